--- /dev/null
+++ b/policy/digest_test.go
@@ -0,0 +1,417 @@
+package policy_test
+
+import (
+	"container/heap"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"fawnglade/policy"
+)
+
+// writeDigests rewrites testdata/digests.json. Only for a change that is meant to decide something anew: the kept
+// digests were written before the decisions were split into files, and show that the split changed nothing.
+var writeDigests = flag.Bool("write-digests", false, "rewrite policy/testdata/digests.json")
+
+const (
+	millisecond = int64(1e6)
+	second      = int64(1e9)
+
+	digestStart    = 1000 * second
+	digestDuration = 40 * second
+	digestGrace    = 20 * second // after the last arrival, for what is still in flight
+)
+
+// digestRecord is what is kept of one generated run: the digest of every action, and how often each occurred, so that a
+// run in which an action never occurs is seen.
+type digestRecord struct {
+	Digest  string         `json:"digest"`
+	Actions map[string]int `json:"actions"`
+}
+
+// digestEvent is one event that is due at a virtual time; events of one time run in the order in which they were queued.
+type digestEvent struct {
+	at, sequence int64
+	run          func()
+}
+
+type digestQueue []digestEvent
+
+func (q digestQueue) Len() int { return len(q) }
+func (q digestQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].sequence < q[j].sequence
+}
+func (q digestQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *digestQueue) Push(x any)   { *q = append(*q, x.(digestEvent)) }
+func (q *digestQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+// digestEndpoint is a generated endpoint: how fast it is, and what it does wrong at the moment.
+type digestEndpoint struct {
+	listed                  policy.Listed
+	speed                   float64
+	inFlight                int
+	failing, silent, full   bool
+	failsCategory           int // answers this category with errors only; -1: none
+	connected, servedBefore bool
+}
+
+// digestRun drives one instance of the decisions with generated events and hashes all that it does.
+type digestRun struct {
+	settings  policy.Settings
+	instance  *policy.Policy
+	random    *rand.Rand
+	now       int64
+	sequence  int64
+	queue     digestQueue
+	endpoints []*digestEndpoint
+	attempts  map[policy.TaskID]int
+	category  map[policy.TaskID]int
+	answered  map[policy.TaskID]bool
+	recalled  map[string]bool
+	slowdown  float64
+	lists     int
+	hash      interface {
+		Write([]byte) (int, error)
+		Sum64() uint64
+	}
+	actions map[string]int
+}
+
+func (r *digestRun) note(action string, arguments ...any) {
+	r.actions[action]++
+	fmt.Fprintln(r.hash, r.now, action, arguments)
+}
+
+func (r *digestRun) after(delay int64, run func()) {
+	r.sequence++
+	heap.Push(&r.queue, digestEvent{r.now + max(delay, 0), r.sequence, run})
+}
+
+func (r *digestRun) HandOff(task policy.TaskID, server policy.ServerID, timeOut int64) {
+	r.note("send", task, server, timeOut)
+	number := r.attempts[task]
+	r.attempts[task]++
+	endpoint := r.endpoints[int(server)-1]
+	endpoint.inFlight++
+	outcome, elapsed := r.outcome(endpoint, r.category[task], timeOut)
+	if r.settings.MayRecall || elapsed < timeOut {
+		elapsed = min(elapsed, timeOut)
+	}
+	fresh := !endpoint.connected
+	endpoint.connected = outcome != policy.Reset && outcome != policy.Unreached
+	if r.recalled[fmt.Sprint(task, number)] {
+		outcome = policy.Recalled
+	}
+	r.after(elapsed, func() {
+		endpoint.inFlight--
+		if r.recalled[fmt.Sprint(task, number)] {
+			outcome = policy.Recalled
+		}
+		answer := policy.Answer{Task: task, Number: number, Server: server, Outcome: outcome, Elapsed: elapsed, Fresh: fresh,
+			Final: outcome == policy.Satisfied, Spent: outcome != policy.Satisfied && r.random.IntN(25) == 0,
+			Report: r.report(endpoint, outcome)}
+		if answer.Final {
+			r.answered[task] = true
+		}
+		r.instance.HandOffAnswered(r.now, answer)
+	})
+}
+
+// outcome draws how an attempt ends and after how long.
+func (r *digestRun) outcome(endpoint *digestEndpoint, category int, timeOut int64) (policy.Outcome, int64) {
+	work := float64(8+4*category) * float64(millisecond) * (0.4 + r.random.ExpFloat64())
+	elapsed := int64(work*endpoint.speed*r.slowdown*float64(1+endpoint.inFlight)/2) + millisecond
+	dice := r.random.Float64()
+	switch {
+	case endpoint.listed.State == policy.Gone && dice < 0.8:
+		return policy.Unreached, 2 * millisecond
+	case endpoint.silent:
+		return policy.TimedOut, timeOut
+	case endpoint.full && dice < 0.9:
+		return policy.Full, millisecond
+	case endpoint.failing && dice < 0.7, endpoint.failsCategory == category && dice < 0.95:
+		return policy.Error, elapsed / 4
+	case dice < 0.004:
+		return policy.Reset, elapsed / 2
+	case dice < 0.006:
+		return policy.Unknown, elapsed / 2
+	case dice < 0.008:
+		return policy.NeverSent, 0
+	case dice < 0.010:
+		return policy.Unreached, 5 * millisecond
+	case elapsed >= timeOut:
+		return policy.TimedOut, timeOut
+	}
+	return policy.Satisfied, elapsed
+}
+
+func (r *digestRun) report(endpoint *digestEndpoint, outcome policy.Outcome) policy.Report {
+	none := policy.Report{Utilisation: -1, Queue: -1, ServiceTime: -1}
+	if r.settings.ProbesReport || outcome != policy.Satisfied && outcome != policy.Full || r.random.IntN(4) == 0 {
+		return none
+	}
+	report := policy.Report{Utilisation: -1, Queue: float64(endpoint.inFlight), ServiceTime: -1}
+	if r.settings.Utilised {
+		report.Utilisation = min(1, float64(1+endpoint.inFlight)*endpoint.speed/8)
+	}
+	if r.settings.Timed {
+		report.ServiceTime = 8 * endpoint.speed * r.slowdown
+	}
+	return report
+}
+
+func (r *digestRun) Recall(task policy.TaskID, number int) {
+	r.note("cancel", task, number)
+	r.recalled[fmt.Sprint(task, number)] = true
+}
+
+func (r *digestRun) Decline(task policy.TaskID, advice int64) {
+	r.note("reject", task, advice)
+	r.answered[task] = true
+}
+
+func (r *digestRun) BreakOff(task policy.TaskID) {
+	r.note("fail", task)
+	r.answered[task] = true
+}
+
+func (r *digestRun) WakeAt(at int64, cookie uint64) {
+	r.note("timer", at, cookie)
+	instance := r.instance
+	r.after(at-r.now, func() {
+		if instance == nil || instance == r.instance { // timers end with the instance that set them
+			r.instance.Woken(r.now, cookie)
+		}
+	})
+}
+
+func (r *digestRun) Subscribe() {
+	r.note("watch")
+	r.after(50*millisecond, func() {
+		if r.lists++; r.lists%7 == 3 {
+			r.instance.ListFailed(r.now)
+			return
+		}
+		r.list(r.lists%2 == 0)
+	})
+}
+
+func (r *digestRun) Release(server policy.ServerID) {
+	r.note("close", server)
+	r.endpoints[int(server)-1].connected = false
+}
+
+func (r *digestRun) Probe(server policy.ServerID) {
+	r.note("probe", server)
+	endpoint := r.endpoints[int(server)-1]
+	r.after(3*millisecond, func() {
+		outcome := policy.Satisfied
+		if endpoint.silent {
+			outcome = policy.TimedOut
+		}
+		r.instance.Probed(r.now, server, outcome, policy.Report{Utilisation: 0.5 * endpoint.speed,
+			Queue: float64(endpoint.inFlight), ServiceTime: 8 * endpoint.speed})
+	})
+}
+
+func (r *digestRun) Tell(news policy.News) {
+	r.note("gossip", uint32(news.Server), news.Category, news.Idle)
+	for range r.random.IntN(5) { // other nodes saw the same
+		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.Told(r.now, news) })
+	}
+}
+
+// list gives the instance the whole list, without what has left, or every tenth line of it.
+func (r *digestRun) list(whole bool) {
+	var lines []policy.Listed
+	for i, endpoint := range r.endpoints {
+		if whole && endpoint.listed.State != policy.Gone || !whole && i%10 == r.lists%10 {
+			lines = append(lines, endpoint.listed)
+		}
+	}
+	r.instance.ListLearned(r.now, lines, whole)
+}
+
+// change gives one endpoint another condition and, where the list tells of it, the instance the changed line.
+func (r *digestRun) change() {
+	endpoint := r.endpoints[r.random.IntN(len(r.endpoints))]
+	listed := true
+	switch r.random.IntN(9) {
+	case 0:
+		endpoint.listed.State = policy.Draining
+	case 1:
+		endpoint.listed.State = policy.Gone
+	case 2, 3:
+		endpoint.listed.State, endpoint.listed.Started = policy.Active, r.now-50*millisecond
+		endpoint.failing, endpoint.silent, endpoint.full, endpoint.connected = false, false, false, false
+	case 4:
+		endpoint.failing, listed = !endpoint.failing, false
+	case 5:
+		endpoint.silent, listed = !endpoint.silent, false
+	case 6:
+		endpoint.full, listed = !endpoint.full, false
+	case 7:
+		endpoint.failsCategory, listed = r.random.IntN(4)-1, false
+	case 8:
+		endpoint.connected, listed = false, false
+	}
+	if listed && r.random.IntN(5) > 0 {
+		r.instance.ListLearned(r.now, []policy.Listed{endpoint.listed}, false)
+	}
+}
+
+func (r *digestRun) arrive(number int) {
+	id := policy.TaskID(fmt.Sprint("r", number))
+	category := r.random.IntN(len(r.settings.Categories))
+	task := policy.Task{ID: id, Category: category, Customer: r.random.IntN(4),
+		HardLimit: r.now + r.settings.Categories[category].SoftLimit*int64(2+r.random.IntN(3)),
+		Repeated:  r.random.IntN(12) == 0, Flows: r.random.IntN(20) == 0}
+	if r.random.IntN(2) == 0 {
+		task.Cost = int64(8+4*category) * millisecond * int64(1+r.random.IntN(3)) / 2
+	}
+	if r.random.IntN(4) > 0 {
+		task.Key = fmt.Sprint("key", min(r.random.IntN(40), r.random.IntN(40)))
+	}
+	r.category[id] = category
+	r.instance.TaskArrived(r.now, task)
+	if r.random.IntN(40) == 0 {
+		r.after(r.random.Int64N(60)*millisecond, func() {
+			if !r.answered[id] {
+				r.answered[id] = true
+				r.instance.TaskWithdrawn(r.now, id)
+			}
+		})
+	}
+}
+
+// replace ends the instance, as at a hot restart, and begins another with what it learned; requests in flight are gone
+// with the old one, and answers that come for them are not known to the new one.
+func (r *digestRun) replace(seed uint64) {
+	learned := r.instance.Learned()
+	r.instance = policy.New(r.settings, seed, r)
+	r.list(true)
+	r.instance.Inherit(&learned)
+	clear(r.attempts)
+}
+
+func digestOf(settings policy.Settings, endpoints int, seed uint64) digestRecord {
+	r := &digestRun{settings: settings, random: rand.New(rand.NewPCG(seed, uint64(endpoints))), now: digestStart,
+		attempts: map[policy.TaskID]int{}, category: map[policy.TaskID]int{}, answered: map[policy.TaskID]bool{},
+		recalled: map[string]bool{}, slowdown: 1, hash: fnv.New64a(), actions: map[string]int{}}
+	for i := range endpoints {
+		started := int64(0)
+		if i%6 == 5 {
+			started = digestStart - int64(i%5)*second
+		}
+		r.endpoints = append(r.endpoints, &digestEndpoint{speed: 0.5 + 1.5*r.random.Float64(), failsCategory: -1,
+			listed: policy.Listed{Server: policy.ServerID(i + 1), Zone: i % 3, Pod: i / 4, Weight: 0.5 + r.random.Float64(), Started: started}})
+	}
+	r.instance = policy.New(settings, seed, r)
+	r.list(true)
+	gap := 16 * millisecond * 8 / int64(min(endpoints, 64))
+	number := 0
+	var next func()
+	next = func() {
+		if r.now > digestStart+digestDuration {
+			return
+		}
+		number++
+		r.arrive(number)
+		r.after(int64(r.random.ExpFloat64()*float64(gap)), next)
+	}
+	r.after(millisecond, next)
+	for at := second; at < digestDuration; at += 300 * millisecond * 16 / int64(min(endpoints, 128)) {
+		r.after(at, r.change)
+	}
+	for at := 5 * second; at < digestDuration; at += 5 * second { // whole lists, which mend what a lost change left
+		r.after(at, func() { r.list(true) })
+	}
+	r.after(12*second, func() { r.slowdown = 12 }) // overload
+	r.after(24*second, func() { r.slowdown = 1 })
+	r.after(30*second, func() { r.replace(seed + 1) })
+	for len(r.queue) > 0 {
+		event := heap.Pop(&r.queue).(digestEvent)
+		if event.at > digestStart+digestDuration+digestGrace {
+			break // the instance's own clock tick never ends
+		}
+		r.now = event.at
+		event.run()
+	}
+	return digestRecord{fmt.Sprintf("%016x", r.hash.Sum64()), r.actions}
+}
+
+// digestSettings are the settings of the runs; each turns other rules on.
+func digestSettings() map[string]policy.Settings {
+	categories := []policy.Category{
+		{SoftLimit: 120 * millisecond, Repeat: policy.Rerunnable, Earnings: 5},
+		{SoftLimit: 160 * millisecond, Repeat: policy.Ticketed, Group: policy.SamePod, Memory: 400 * millisecond, Earnings: 8, LateEarnings: 0.5},
+		{SoftLimit: 200 * millisecond, Repeat: policy.Exclusive, Earnings: 3},
+	}
+	withGroup := func(group policy.Group) []policy.Category {
+		changed := append([]policy.Category(nil), categories...)
+		changed[1].Group = group
+		return changed
+	}
+	return map[string]policy.Settings{
+		"hedging": {Categories: categories, Portions: []float64{0.5, 0.3, 0.2}, OverShare: 0.2, WorstCategory: 0.1, Position: 1, Nodes: 3,
+			Streams: 1, MaxHandOffs: 5, Tick: 5 * millisecond, AskWithin: 10 * second, WarmWithin: 8 * second, WarmKeys: true,
+			MayDuplicate: true, MayRecall: true, MayAdvise: true, MayTell: true, MaxAdvice: 3 * second, ColdFrom: 0.12,
+			Utilised: true, Timed: true},
+		"plain": {Categories: withGroup(policy.SameZone), OverShare: 1, Nodes: 1, Streams: 8, MaxHandOffs: 3, Tick: millisecond,
+			AskWithin: 4 * second, WarmWithin: 20 * second, MustAsk: true, MayRecall: true, ColdFrom: 0.2},
+		"probes": {Categories: withGroup(policy.WholeFleet), Portions: []float64{0.6, 0.4}, OverShare: 0.5, WorstCategory: 0.5, Position: 7, Nodes: 30,
+			Streams: 4, MaxHandOffs: 4, Tick: 2 * millisecond, AskWithin: 6 * second, WarmWithin: 12 * second, GoneMayServe: true,
+			SizeWeights: true, EarnsByWork: true, MayProbe: true, ProbesReport: true, MayTell: true, MayRecall: true, ColdFrom: 0.3,
+			Utilised: true},
+		"no-cancel": {Categories: categories, Portions: []float64{0.7, 0.2, 0.1}, OverShare: 0.1, WorstCategory: 0.3, Position: 299, Nodes: 300,
+			Streams: 1, MaxHandOffs: 2, Tick: millisecond, AskWithin: 5 * second, WarmWithin: 5 * second, MustAsk: true, WarmKeys: true,
+			MayDuplicate: true, MayAdvise: true, MaxAdvice: second / 20, ColdFrom: 0.05},
+	}
+}
+
+// TestDigests holds the decisions to the actions, with their arguments and times, that they took when the digests were
+// written: bit for bit, so that a change of names or shape is shown to decide nothing anew.
+func TestDigests(t *testing.T) {
+	path := filepath.Join("testdata", "digests.json")
+	kept := map[string]digestRecord{}
+	if text, err := os.ReadFile(path); err == nil {
+		if err := json.Unmarshal(text, &kept); err != nil {
+			t.Fatal(err)
+		}
+	} else if !*writeDigests {
+		t.Fatal(err)
+	}
+	got := map[string]digestRecord{}
+	for name, settings := range digestSettings() {
+		for _, endpoints := range []int{8, 64, 512} {
+			run := fmt.Sprint(name, "/", endpoints)
+			got[run] = digestOf(settings, endpoints, 53)
+			want := kept[run]
+			if !*writeDigests && (got[run].Digest != want.Digest || fmt.Sprint(got[run].Actions) != fmt.Sprint(want.Actions)) {
+				t.Errorf("%s: digest %s with actions %v, expected %s with %v", run, got[run].Digest, got[run].Actions, want.Digest, want.Actions)
+			}
+		}
+	}
+	if !*writeDigests {
+		return
+	}
+	text, err := json.MarshalIndent(got, "", "\t")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
