--- /dev/null
+++ b/internal/memory/golden_test.go
@@ -0,0 +1,75 @@
+package memory
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"fawnglade/internal/golden"
+	"fawnglade/internal/store"
+)
+
+// keptDisk is what a life leaves that was told of servers in every state, learned something and knew other nodes.
+func keptDisk() disk {
+	d := disk{}
+	m := d.read()
+	m.Begin(now)
+	m.Listed(now+1e9, []Server{
+		{Name: "s-up", Address: "127.0.0.1:80", Zone: "a", Pod: 3, Weight: 1.5, State: Up, Started: 5},
+		{Name: "s-draining", Address: "127.0.0.2:80", Zone: "b", Weight: 1, State: Draining, Started: 6},
+		{Name: "s-removed", State: Removed}}, 7, false)
+	m.Learned(now+2e9, []byte(`{"MeanOf":5}`))
+	m.Members(now+3e9, map[string]uint64{"n1": 1_700_000_000_000})
+	d.write(m)
+	return d
+}
+
+// TestGoldenRecords holds the stored records to the bytes of earlier builds.
+func TestGoldenRecords(t *testing.T) {
+	var text []byte
+	for key, value := range keptDisk() {
+		golden.Check(t, filepath.Join("records", filepath.Base(key)+".cbor"), value)
+		text = nil
+	}
+	for _, key := range slices.Sorted(maps.Keys(keptDisk())) {
+		text = fmt.Appendln(text, key)
+	}
+	golden.Check(t, "keys.txt", text)
+}
+
+// TestGoldenStore opens a store that an earlier build wrote, and finds in it what that build kept.
+func TestGoldenStore(t *testing.T) {
+	kept := filepath.Join("testdata", "golden", "store")
+	if _, err := os.Stat(kept); err != nil {
+		t.Fatal(err)
+	}
+	dir := filepath.Join(t.TempDir(), "store")
+	if err := os.CopyFS(dir, os.DirFS(kept)); err != nil {
+		t.Fatal(err)
+	}
+	opened, _, err := store.Open(dir, store.Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer opened.Close()
+	found := disk{}
+	snap := opened.Snapshot()
+	defer snap.Release()
+	if err := snap.Each("", func(key string, value []byte) bool { found[key] = slices.Clone(value); return true }); err != nil {
+		t.Fatal(err)
+	}
+	if want := keptDisk(); !maps.EqualFunc(found, want, slices.Equal) {
+		t.Errorf("found %q, expected %q", found, want)
+	}
+	m := found.read()
+	if m.Bad() != 0 || m.Epoch() != 1 || m.Version() != 7 || m.LastClock() != now+3e9 || len(m.Starts()) != 1 {
+		t.Errorf("read: %d unreadable, epoch %d, version %d, last clock %d, starts %v", m.Bad(), m.Epoch(), m.Version(), m.LastClock(), m.Starts())
+	}
+	trusted := m.Trust(now + 4e9)
+	if len(trusted.Servers) != 2 || trusted.Servers[0].State != Draining || trusted.Servers[1].Started != now+4e9 || string(trusted.Learned) != `{"MeanOf":5}` {
+		t.Errorf("trusted: %+v", trusted)
+	}
+}
--- /dev/null
+++ b/internal/news/golden_test.go
@@ -0,0 +1,28 @@
+package news
+
+import (
+	"bytes"
+	"testing"
+
+	"fawnglade/internal/golden"
+	"fawnglade/policy"
+)
+
+// TestGoldenMessages holds the messages between nodes to the bytes that earlier builds send and read.
+func TestGoldenMessages(t *testing.T) {
+	const now = 1_700_000_000_123 * milli
+	for name, sent := range map[string]policy.News{
+		"server-fails.bin":    {Server: 0xfedcba98, Category: 3},
+		"idle-connection.bin": {Idle: 4_321_000 * micro},
+	} {
+		message := Encode(sent, now)
+		golden.Check(t, name, message)
+		read, told, err := decode(message)
+		if err != nil || read != sent || told != now {
+			t.Errorf("%s: read as %+v of %d, %v", name, read, told, err)
+		}
+		if !bytes.Equal(Encode(read, told), message) {
+			t.Errorf("%s: read and written again it is another message", name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/golden_test.go
@@ -0,0 +1,227 @@
+package node
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"fawnglade/internal/golden"
+	"fawnglade/internal/listing"
+	"fawnglade/policy"
+)
+
+// TestGoldenHeads holds the heads of requests, answers, watches and health checks to the bytes of earlier builds.
+func TestGoldenHeads(t *testing.T) {
+	read := func(text string) *http.Request {
+		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		return r
+	}
+	var b bytes.Buffer
+	for _, c := range []struct {
+		text   string
+		source *source
+		body   []byte
+	}{
+		{text: "GET /view/1?q=2 HTTP/1.1\r\nHost: shop\r\nX-Txn: t1\r\nX-Lane: view\r\nX-Org: acme\r\nX-Remaining-Ms: 900\r\nX-Resent: 1\r\nX-Estimate: 5000\r\n" +
+			"X-Pressure: util=1\r\nX-Turned-Away: 1\r\nCookie: key=k9\r\nConnection: close, X-Own\r\nX-Own: 1\r\nX-Other: a\r\nX-Other: b\r\nTe: trailers\r\n\r\n"},
+		{text: taskText("pay", "t2", "hello"), body: []byte("hello")},
+		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t3\r\nContent-Length: 0\r\n\r\n"},
+		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", source: &source{length: -1}},
+		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t5\r\nContent-Length: 9000000\r\n\r\n", source: &source{length: 9_000_000}},
+	} {
+		x := newExchange()
+		x.source, x.body = c.source, c.body
+		x.keep(read(c.text))
+		b.Write(x.headFor(1_234_567_890))
+	}
+	golden.Check(t, "request-heads.txt", b.Bytes())
+
+	b.Reset()
+	header := http.Header{"X-Other": {"a", "b"}, "Content-Length": {"77"}}
+	for _, c := range []struct {
+		answer answer
+		method string
+		old    bool
+		last   bool
+	}{
+		{answer{status: 200, header: header.Clone(), body: []byte("body")}, "GET", false, false},
+		{answer{status: 200, header: header.Clone()}, "HEAD", false, true},
+		{answer{status: 503, advice: 1_500_000_000}, "GET", false, false},
+		{answer{status: 502}, "POST", false, true},
+		{answer{status: 200, header: http.Header{}, flow: &flow{length: -1}}, "GET", false, false},
+		{answer{status: 200, header: http.Header{}, flow: &flow{length: -1}}, "GET", true, true},
+		{answer{status: 200, header: http.Header{}, flow: &flow{length: 9_000_000}}, "GET", false, false},
+	} {
+		x := newExchange()
+		x.method, x.old = c.method, c.old
+		head, chunks := c.answer.text(x, c.last)
+		fmt.Fprintf(&b, "%s(in chunks: %v)\n", head, chunks)
+	}
+	golden.Check(t, "answer-heads.txt", b.Bytes())
+	golden.Check(t, "watch-head.txt", []byte(watchHead("127.0.0.1:9", 42)))
+	golden.Check(t, "load-head.txt", []byte(loadQuestion("127.0.0.1:9")))
+}
+
+// TestGoldenTask holds what the decisions are told of a request's head, and of a server's answer, to earlier builds.
+func TestGoldenTask(t *testing.T) {
+	n := newNode(t, nil)
+	var b bytes.Buffer
+	for _, text := range []string{
+		"GET /view/1 HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nX-Lane: update\r\nX-Org: acme\r\nX-Remaining-Ms: 250\r\nX-Resent: 1\r\nX-Estimate: 5000\r\nCookie: key=k9\r\n\r\n",
+		"GET /view/1 HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nX-Estimate: soon\r\n\r\n",
+		"GET /view/1 HTTP/1.1\r\nHost: h\r\n\r\n",
+		"GET /other HTTP/1.1\r\nHost: h\r\nX-Txn: t3\r\n\r\n",
+		"GET /view HTTP/1.1\r\nHost: h\r\nX-Txn: t3\r\nX-Org: nobody\r\n\r\n",
+		"GET /view HTTP/1.1\r\nHost: h\r\nX-Txn: t3\r\nX-Remaining-Ms: -1\r\n\r\n",
+	} {
+		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		task, err := n.taskOf(r, 1e18)
+		if err != nil {
+			fmt.Fprintf(&b, "%v\n", err)
+			continue
+		}
+		fmt.Fprintf(&b, "%s %d %d %d %v %v %d %q\n", task.ID, task.Category, task.Customer, task.HardLimit, task.Repeated, task.Flows, task.Cost, task.Key)
+	}
+	for _, c := range []struct {
+		status int
+		header http.Header
+	}{
+		{200, nil}, {204, nil}, {400, nil}, {404, nil}, {408, nil}, {425, nil}, {429, nil}, {500, nil}, {503, nil},
+		{503, http.Header{"X-Turned-Away": {"1"}}}, {504, http.Header{"X-Turned-Away": {"1"}}}, {503, http.Header{"X-Turned-Away": {"0"}}}, {500, http.Header{"X-Turned-Away": {"1"}}},
+	} {
+		fmt.Fprintf(&b, "%d %v: outcome %d, %v\n", c.status, c.header, int(outcomeOf(c.status, c.header)), badTask(c.status))
+	}
+	for _, text := range []string{"", "util=0.5,queue=3,latency_ms=12.5", "queue=-1,util=x,other=3", "util=0.25"} {
+		r := reportOf(text)
+		fmt.Fprintf(&b, "%q: %v %v %v\n", text, r.Utilisation, r.Queue, r.ServiceTime)
+	}
+	golden.Check(t, "read.txt", b.Bytes())
+}
+
+// TestGoldenHandover holds what two processes of a node tell one another to the bytes of earlier builds.
+func TestGoldenHandover(t *testing.T) {
+	var b bytes.Buffer
+	who := hello{Version: handoverVersion, Node: `"n0" 127.0.0.1:80`}
+	out := json.NewEncoder(&b)
+	for _, v := range []any{who, heritage{hello: who, List: json.RawMessage(`{"seq":1}`), Listed: []string{"s-1", "s-2"}, Learned: json.RawMessage(`{"MeanOf":1}`)}} {
+		if err := out.Encode(v); err != nil {
+			t.Fatal(err)
+		}
+	}
+	b.WriteString(readyWord)
+	golden.Check(t, "handover.txt", b.Bytes())
+	entries := []entry{
+		{name: "s-1", address: "127.0.0.1:80", Listed: policy.Listed{Zone: 1, Pod: 3, Weight: 1.5, State: policy.Draining, Started: 1_700_000_000_123_000_000}},
+		{name: "s-2", Listed: policy.Listed{Zone: -1, State: policy.Gone}},
+	}
+	text := wholeList(9, entries, []string{"a", "b"})
+	golden.Check(t, "list.json", text)
+	var ids []byte
+	_, err := listing.Parse(text, listing.For(0), func() { ids = nil }, func(in listing.Entry) error {
+		e, err := entryOf(in, []string{"a", "b"})
+		ids = fmt.Appendf(ids, "%s %s %d %d %d %v %d %d %v\n", e.name, e.address, e.Server, e.Zone, e.Pod, e.Weight, int(e.State), e.Started, err)
+		return err
+	})
+	golden.Check(t, "entries.txt", fmt.Appendln(ids, err))
+}
+
+// TestGoldenOrders holds the file of what operators ordered to its form, and a file of an earlier build to its meaning.
+func TestGoldenOrders(t *testing.T) {
+	n := newNode(t, func(c *Config) { c.Name, c.Listen = "n0", "127.0.0.1:0" })
+	s := &standingOrders{drained: true, servers: map[string]out{"s-1": {since: 5}, "s \"2\"": {since: 6, back: 7}}}
+	if err := n.orders.write(s); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(n.orders.path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "orders.txt", text)
+	golden.Check(t, "file-names.txt", fmt.Appendln(nil, n.fileName(".orders"), n.fileName(".sock"), storeDir))
+	kept, err := os.Open(filepath.Join("testdata", "golden", "orders.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer kept.Close()
+	read, err := parseOrders(kept, n.orders.whose())
+	if err != nil || !read.drained || len(read.servers) != 2 || read.servers["s-1"] != (out{since: 5}) || read.servers["s \"2\""] != (out{since: 6, back: 7}) {
+		t.Errorf("read as %+v, %v", read, err)
+	}
+}
+
+// TestGoldenConsole holds the console's answers to the bytes of earlier builds.
+func TestGoldenConsole(t *testing.T) {
+	n := nodeWith(t, withConsole, "127.0.0.1:1")
+	var b bytes.Buffer
+	for _, c := range []string{
+		"GET /ready", "PUT /ready", "GET /nothing", "GET /members", "GET /state", "GET /relays", "PUT /servers/disable", "PUT /servers/disable?target=s-0&target=s-1",
+		"PUT /servers/disable?target=", "PUT /servers/disable?target=%zz", "PUT /servers/disable?target=s-9", "PUT /servers/disable?target=s-0", "PUT /servers/enable?target=s-0",
+		"PUT /drain", "GET /ready", "PUT /undrain", "GET /ready",
+	} {
+		method, target, _ := strings.Cut(c, " ")
+		fmt.Fprintf(&b, "> %s\n%s", c, n.console.call(httptest.NewRequest(method, target, nil)).bytes())
+	}
+	golden.Check(t, "console.txt", b.Bytes())
+	var fields map[string]json.RawMessage
+	d := nodeWith(t, func(c *Config) {
+		if err := c.State(t.TempDir()); err != nil {
+			t.Fatal(err)
+		}
+	}, "127.0.0.1:1")
+	if err := json.Unmarshal([]byte(d.state.text()), &fields); err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for name := range fields {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	golden.Check(t, "state-fields.txt", fmt.Appendln(nil, names))
+}
+
+// TestGoldenRefusals holds the answers that a client gets from the node itself to the bytes of earlier builds.
+func TestGoldenRefusals(t *testing.T) {
+	n := nodeWith(t, nil)
+	var b bytes.Buffer
+	for _, text := range []string{
+		taskText("view", "none-listed", "x"),
+		taskText("nowhere", "t", ""),
+		"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n",
+		"GET /view HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
+		"GET /view HTTP/1.1\r\nbad\r\n\r\n",
+		"GET /" + strings.Repeat("x", maxHead) + " HTTP/1.1\r\nHost: h\r\n\r\n",
+	} {
+		c, err := net.Dial("tcp", n.address())
+		if err != nil {
+			t.Fatal(err)
+		}
+		io.WriteString(c, text)
+		answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := io.ReadAll(answer.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&b, "%.40q: %s %v %q\n", text, answer.Status, answer.Header, body)
+		c.Close()
+	}
+	golden.Check(t, "refusals.txt", b.Bytes())
+}
--- /dev/null
+++ b/internal/relay/golden_test.go
@@ -0,0 +1,63 @@
+package relay
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/golden"
+	"fawnglade/internal/listing"
+)
+
+// TestGoldenFraming holds greetings and the framing to the bytes of earlier builds.
+func TestGoldenFraming(t *testing.T) {
+	var b bytes.Buffer
+	for _, frame := range [][]byte{greeting(false), greeting(true), []byte("a frame")} {
+		if err := writeFrame(&b, frame); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden.Check(t, "framing.bin", b.Bytes())
+	for _, want := range []bool{false, true} {
+		if fresh, err := readGreeting(&b); err != nil || fresh != want {
+			t.Errorf("a greeting read as fresh: %v, %v", fresh, err)
+		}
+	}
+	if size, err := readHead(&b, 100); err != nil || size != len("a frame") {
+		t.Errorf("a frame of %d bytes, %v", size, err)
+	}
+}
+
+// TestGoldenRecords holds what an origin tells of hosts to what nodes of earlier builds read.
+func TestGoldenRecords(t *testing.T) {
+	e := listing.Entry{Host: "s-1", Dial: "127.0.0.1:80", Site: "a", Health: "draining", Block: 3, Share: 1.5, Born: 1_700_000_000_123}
+	body, err := listing.Body(e)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "endpoint.json", body)
+	list := List{Version: 9, Stands: true}.body()
+	golden.Check(t, "list.json", list)
+	golden.Check(t, "endpoint-key.txt", []byte(EndpointKey("s-1")+"\n"))
+	h := NewHosts()
+	told, passed, err := h.Take([]distribution.Change{{Record: distribution.Record{Scope: "eu/web", Key: EndpointKey("s-1"), Body: body}},
+		{Record: distribution.Record{Scope: ScopeOrigin, Key: KeyList, Body: list}}})
+	if got, seen := h.List(); err != nil || passed != 0 || len(told) != 1 || told[0] != e || !seen || got != (List{Version: 9, Stands: true}) {
+		t.Errorf("read as %+v, %v, %d passed over, %v", told, got, passed, err)
+	}
+}
+
+// TestGoldenStats holds the counters that are told as JSON to their names.
+func TestGoldenStats(t *testing.T) {
+	var text []byte
+	for _, stats := range []any{ClientStats{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, ServerStats{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}} {
+		one, err := json.Marshal(stats)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text = fmt.Appendln(text, string(one))
+	}
+	golden.Check(t, "stats.json", text)
+}
