--- a/internal/fading/fading.go
+++ b/internal/ewma/ewma.go
@@ -1,6 +1,6 @@
-// Package fading owns sums of what was seen that lose weight as they age, with a prior for what they lack. It must
+// Package ewma owns sums of what was seen that lose weight as they age, with a prior for what they lack. It must
 // never know what they are of.
-package fading
+package ewma
 
 // Pair sums up two figures that come together. The zero value has seen nothing.
 type Pair struct {
--- a/internal/fading/fading_test.go
+++ b/internal/ewma/ewma_test.go
@@ -1,4 +1,4 @@
-package fading
+package ewma
 
 import (
 	"math"
--- a/internal/learned/learned.go
+++ b/internal/learned/learned.go
@@ -5,15 +5,15 @@
 import (
 	"math"
 
-	"fawnglade/internal/fading"
+	"fawnglade/internal/ewma"
 )
 
 // Figures are of one server.
 type Figures struct {
-	Load, Reported, Drift float64     // w before the exceptions; its last report; what each send since adds
-	Own                   fading.Pair // answer times for each unit of work; what was out when they set off
-	High                  float64     // quantile of answer time for each unit of expected work
-	Known, Heard          bool        // by answers; by reports
+	Load, Reported, Drift float64   // w before the exceptions; its last report; what each send since adds
+	Own                   ewma.Pair // answer times for each unit of work; what was out when they set off
+	High                  float64   // quantile of answer time for each unit of expected work
+	Known, Heard          bool      // by answers; by reports
 }
 
 // Category is what an instance learns of one category.
@@ -78,8 +78,8 @@
 
 // Common is of all servers together.
 type Common struct {
-	Pods         map[int]*fading.Pair
-	Fleet        fading.Pair
+	Pods         map[int]*ewma.Pair
+	Fleet        ewma.Pair
 	Way          map[int]float64 // by zone: what an answer takes however little the work
 	MeanOf, High float64         // mean cost of a task; mean of the high quantiles
 }
@@ -131,7 +131,7 @@
 	return true
 }
 
-func soundPair(p *fading.Pair) bool { return p != nil && sound(p.A, p.B, p.N) }
+func soundPair(p *ewma.Pair) bool { return p != nil && sound(p.A, p.B, p.N) }
 
 // Sound tells whether all of it could have been learned of so many categories.
 func (a *All) Sound(categories int) bool {
--- a/internal/learned/learned_test.go
+++ b/internal/learned/learned_test.go
@@ -5,13 +5,13 @@
 	"math"
 	"testing"
 
-	"fawnglade/internal/fading"
+	"fawnglade/internal/ewma"
 )
 
 func some() All {
-	return All{Common: Common{Pods: map[int]*fading.Pair{1: {A: 1, N: 1}}, Way: map[int]float64{0: 3}, MeanOf: 5, High: 2},
+	return All{Common: Common{Pods: map[int]*ewma.Pair{1: {A: 1, N: 1}}, Way: map[int]float64{0: 3}, MeanOf: 5, High: 2},
 		Categories: []Category{{Typical: 4, Spread: 2, Fares: 1, Due: 1}},
-		Servers:    map[uint32]Server{7: {Figures{Load: 1, Own: fading.Pair{A: 2, N: 2}, Known: true}, 9}}}
+		Servers:    map[uint32]Server{7: {Figures{Load: 1, Own: ewma.Pair{A: 2, N: 2}, Known: true}, 9}}}
 }
 
 // What comes from another process is whole, or is not taken at all.
--- a/policy/draw_test.go
+++ b/policy/draw_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"fawnglade/internal/fading"
+	"fawnglade/internal/ewma"
 )
 
 func anyTask(p *Policy, now int64) *task {
@@ -37,7 +37,7 @@
 		"rising for two":        {func(s *server) { s.Load, s.risingFrom = 1, now-2*recalculate }, 1.5},
 		"above while rising":    {func(s *server) { s.Load, s.risingFrom = 6, now-2*recalculate }, 6},
 		"twice as slow":         {func(s *server) { s.Load, s.Own.A, s.Own.N = 1, 3, 1 }, 4},
-		"in a pod twice slower": {func(s *server) { s.Load, s.pod = 1, &fading.Pair{A: 3, N: 1} }, 4},
+		"in a pod twice slower": {func(s *server) { s.Load, s.pod = 1, &ewma.Pair{A: 3, N: 1} }, 4},
 		"of twice the size":     {func(s *server) { s.Load, s.Weight = 4, 2 }, 2},
 		"with two out":          {func(s *server) { s.Load, s.out = 2, 2 }, 18},
 		"in another zone":       {func(s *server) { s.Load, s.Zone = 2, 1 }, 12},
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"fawnglade/internal/fading"
+	"fawnglade/internal/ewma"
 	"fawnglade/internal/idle"
 	"fawnglade/internal/keys"
 	"fawnglade/internal/lag"
@@ -92,11 +92,11 @@
 	usedAt     int64 // last use of a connection to it, 0: none
 
 	learned.Figures
-	recalculate, risingFrom int64        // recalculate: when next, if no report comes before
-	sends, out, turned      int          // since the last report; out now; turned away in a row
-	most                    int          // out at once since its idle connections were last closed
-	pod                     *fading.Pair // the same of its pod, as one server is heard of once in many seconds
-	credit                  float64      // hand-offs that it has earned while cold
+	recalculate, risingFrom int64      // recalculate: when next, if no report comes before
+	sends, out, turned      int        // since the last report; out now; turned away in a row
+	most                    int        // out at once since its idle connections were last closed
+	pod                     *ewma.Pair // the same of its pod, as one server is heard of once in many seconds
+	credit                  float64    // hand-offs that it has earned while cold
 	silentFrom, fullTill    int64
 }
 
@@ -137,7 +137,7 @@
 	p := &Policy{set: settings, host: host, draws: rand.New(rand.NewPCG(seed, 1)), cookies: firstTask,
 		tasks: map[TaskID]*task{}, waking: map[uint64]*task{}, byID: map[ServerID]*server{}, idle: idle.Whole(),
 		warmth: 1, shares: shares.New(settings.Portions)}
-	p.Common = learned.Common{High: 2, Pods: map[int]*fading.Pair{}, Way: map[int]float64{}}
+	p.Common = learned.Common{High: 2, Pods: map[int]*ewma.Pair{}, Way: map[int]float64{}}
 	p.lags = lag.New(len(settings.Categories), len(settings.Portions))
 	for _, c := range settings.Categories {
 		p.lags.Soft(c.SoftLimit)
@@ -195,7 +195,7 @@
 				rank: rank.Of(rank.Spread(p.set.Position), uint32(l.Server))}
 		}
 		if p.Pods[l.Pod] == nil {
-			p.Pods[l.Pod] = &fading.Pair{}
+			p.Pods[l.Pod] = &ewma.Pair{}
 		}
 		if s.Listed, s.pod, s.left = l, p.Pods[l.Pod], false; l.State == Gone {
 			s.State = before
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"fawnglade/internal/fading"
+	"fawnglade/internal/ewma"
 	"fawnglade/internal/learned"
 )
 
@@ -360,7 +360,7 @@
 	if n := b.given(1); n > 8 {
 		t.Errorf("a full server was asked %d times during 60 tasks", n)
 	}
-	seldom := &server{pod: &fading.Pair{}, standing: make([]standing, 3)}
+	seldom := &server{pod: &ewma.Pair{}, standing: make([]standing, 3)}
 	h := &handOff{server: seldom, sentAt: b.now, open: true}
 	if b.judge(b.now, &task{}, h, Answer{Outcome: Unreached}); seldom.fullTill < b.now+recalculate/2 {
 		t.Errorf("a server not heard of late is asked again after %d ms", (seldom.fullTill-b.now)/ms)
@@ -398,7 +398,7 @@
 		t.Errorf("one server in five times out and the whole fleet is expected at %.1f", unit)
 	}
 	b.serve(60, func(ServerID) (Outcome, int64) { return TimedOut, 450 * ms })
-	unheard := &server{Listed: Listed{Server: 101}, pod: &fading.Pair{}}
+	unheard := &server{Listed: Listed{Server: 101}, pod: &ewma.Pair{}}
 	if unit, _ := b.expect(unheard); unit < 5 {
 		t.Errorf("nearly all time out and a server not heard yet is expected at %.1f", unit)
 	}
@@ -426,7 +426,7 @@
 	b.serve(20, prompt)
 	id := b.arrive(2)
 	s := b.byID[b.last()]
-	s.Own, s.standing[2] = fading.Pair{}, standing{}
+	s.Own, s.standing[2] = ewma.Pair{}, standing{}
 	if b.end(id, 0, Error, ms); !s.standing[2].unfit {
 		t.Errorf("its failing part is taken for %.2f", s.standing[2].failing)
 	}
@@ -641,7 +641,7 @@
 // earns more, up to twice; one that shows nothing, or that it is slow, earns what it did.
 func TestColdServerEarnsByWhatItsAnswersShow(t *testing.T) {
 	bound := 0.0
-	earned := func(own fading.Pair) float64 {
+	earned := func(own ewma.Pair) float64 {
 		b := fleet(t, 4, nil)
 		b.ListLearned(b.now, []Listed{{Server: 4, Pod: 1, Weight: 1, Started: b.now}}, false)
 		b.now += 5e9
@@ -653,15 +653,15 @@
 		bound = 2 * b.cold(b.now, s) / 3 // of the even part of three warm ones
 		return s.credit
 	}
-	sure := earned(fading.Pair{})
-	quick := earned(fading.Pair{A: 12, B: 0, N: 24})
-	if slow := earned(fading.Pair{A: 240, B: 0, N: 24}); sure <= 0 || slow != sure {
+	sure := earned(ewma.Pair{})
+	quick := earned(ewma.Pair{A: 12, B: 0, N: 24})
+	if slow := earned(ewma.Pair{A: 240, B: 0, N: 24}); sure <= 0 || slow != sure {
 		t.Errorf("earns %g where nothing is known, %g where its answers are slow", sure, slow)
 	}
 	if quick <= 1.5*sure || quick > bound+1e-9 {
 		t.Errorf("earns %g where its answers are quick, %g where nothing is known, bound %g", quick, sure, bound)
 	}
-	if few := earned(fading.Pair{A: 0.5, B: 0, N: 1}); few != sure {
+	if few := earned(ewma.Pair{A: 0.5, B: 0, N: 1}); few != sure {
 		t.Errorf("earns %g by a single answer, %g without", few, sure)
 	}
 }
