--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -2,7 +2,7 @@
 // never know a server, a task or a clock.
 package keys
 
-import "fawnglade/internal/rank"
+import "fawnglade/internal/rendezvous"
 
 const (
 	most      = 1 << 16 // keys counted at once; what comes beyond them counts as asked for once
@@ -25,7 +25,7 @@
 	if t.asked == nil {
 		t.asked = map[uint64]float64{}
 	}
-	hash = max(rank.Key(key), 1)
+	hash = max(rendezvous.Key(key), 1)
 	before, known := t.asked[hash]
 	if t.again -= t.again * settles; known {
 		t.again += settles
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -9,7 +9,7 @@
 	"sort"
 
 	"fawnglade/internal/lab/world"
-	"fawnglade/internal/rank"
+	"fawnglade/internal/rendezvous"
 	"fawnglade/policy"
 )
 
@@ -311,7 +311,7 @@
 	if name == "" {
 		name = string(t.ID)
 	}
-	key, sum := rank.Key(name), 1
+	key, sum := rendezvous.Key(name), 1
 	for _, s := range fit {
 		sum += s.out
 	}
@@ -319,7 +319,7 @@
 	var best *server
 	highest := uint64(0)
 	for _, s := range fit {
-		if r := rank.Of(key, uint32(s.Server)); s.out < most && (best == nil || r > highest) {
+		if r := rendezvous.Of(key, uint32(s.Server)); s.out < most && (best == nil || r > highest) {
 			best, highest = s, r
 		}
 	}
--- a/internal/rank/rank.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,7 +1,7 @@
-// Package rank owns the order in which servers stand for a key, the same everywhere without any talk: the highest of a
+// Package rendezvous owns the order in which servers stand for a key, the same everywhere without any talk: the highest of a
 // hash of both comes first (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998). It must
 // never change from one build to the next, or nodes of two builds would disagree.
-package rank
+package rendezvous
 
 // Key is a key's part of the hash.
 func Key(key string) uint64 {
--- a/internal/rank/rank_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -1,4 +1,4 @@
-package rank
+package rendezvous
 
 import (
 	"fmt"
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -15,7 +15,7 @@
 	"fawnglade/internal/keys"
 	"fawnglade/internal/lag"
 	"fawnglade/internal/learned"
-	"fawnglade/internal/rank"
+	"fawnglade/internal/rendezvous"
 	"fawnglade/internal/shares"
 )
 
@@ -192,7 +192,7 @@
 			// A new process: what was learned of the old one misleads. Where in its first part it stands is drawn,
 			// or hundreds of nodes that earn less than a hand-off never warm it, or all give theirs at one moment.
 			*s = server{out: s.out, near: s.near, credit: p.draws.Float64(), standing: make([]standing, len(p.of)),
-				rank: rank.Of(rank.Spread(p.set.Position), uint32(l.Server))}
+				rank: rendezvous.Of(rendezvous.Spread(p.set.Position), uint32(l.Server))}
 		}
 		if p.Pods[l.Pod] == nil {
 			p.Pods[l.Pod] = &ewma.Pair{}
@@ -639,12 +639,12 @@
 	for _, s := range p.homes {
 		s.home = false
 	}
-	if p.homes = p.homes[:0]; t.homes <= rank.Most { // else it is asked for everywhere
-		p.homes = rank.First(p.homes, p.servers, t.homes, func(s *server) uint64 {
+	if p.homes = p.homes[:0]; t.homes <= rendezvous.Most { // else it is asked for everywhere
+		p.homes = rendezvous.First(p.homes, p.servers, t.homes, func(s *server) uint64 {
 			if s.State != Active || p.cold(now, s) < 1 || s.shunned(now) {
 				return 0
 			}
-			return rank.Of(t.key, uint32(s.Server))
+			return rendezvous.Of(t.key, uint32(s.Server))
 		})
 	}
 	for _, s := range p.homes {
