--- a/internal/shares/shares.go
+++ b/internal/quota/quota.go
@@ -1,6 +1,6 @@
-// Package shares owns what each customer may still ask for within its share. Set against a node's own traffic, shares
+// Package quota owns what each customer may still ask for within its share. Set against a node's own traffic, shares
 // need no guess at how traffic is spread over the nodes. It must never know a task, a clock or a server.
-package shares
+package quota
 
 const store = 8 // tasks that a customer may ask for at once after asking for less than its share
 
--- a/internal/shares/shares_test.go
+++ b/internal/quota/quota_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import "testing"
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -15,8 +15,8 @@
 	"fawnglade/internal/keys"
 	"fawnglade/internal/lag"
 	"fawnglade/internal/learned"
+	"fawnglade/internal/quota"
 	"fawnglade/internal/rendezvous"
-	"fawnglade/internal/shares"
 )
 
 const (
@@ -112,7 +112,7 @@
 	tasks         map[TaskID]*task
 	waking        map[uint64]*task
 	of            []learned.Category
-	shares        shares.Shares
+	shares        quota.Shares
 	copies, rate  float64 // second copies that may still go out; tasks a second
 	arrived, asks int     // tasks since the last tick, and ever
 
@@ -136,7 +136,7 @@
 func New(settings Settings, seed uint64, host Host) *Policy {
 	p := &Policy{set: settings, host: host, draws: rand.New(rand.NewPCG(seed, 1)), cookies: firstTask,
 		tasks: map[TaskID]*task{}, waking: map[uint64]*task{}, byID: map[ServerID]*server{}, idle: idle.Whole(),
-		warmth: 1, shares: shares.New(settings.Portions)}
+		warmth: 1, shares: quota.New(settings.Portions)}
 	p.Common = learned.Common{High: 2, Pods: map[int]*ewma.Pair{}, Way: map[int]float64{}}
 	p.lags = lag.New(len(settings.Categories), len(settings.Portions))
 	for _, c := range settings.Categories {
