--- a/internal/keys/keys.go
+++ b/internal/keyfreq/keyfreq.go
@@ -1,6 +1,6 @@
-// Package keys owns how often each key is asked for of late, and from that at how many servers its tasks are at home. It must
+// Package keyfreq owns how often each key is asked for of late, and from that at how many servers its tasks are at home. It must
 // never know a server, a task or a clock.
-package keys
+package keyfreq
 
 import "fawnglade/internal/rendezvous"
 
--- a/internal/keys/keys_test.go
+++ b/internal/keyfreq/keyfreq_test.go
@@ -1,4 +1,4 @@
-package keys
+package keyfreq
 
 import (
 	"fmt"
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -12,7 +12,7 @@
 
 	"fawnglade/internal/ewma"
 	"fawnglade/internal/idle"
-	"fawnglade/internal/keys"
+	"fawnglade/internal/keyfreq"
 	"fawnglade/internal/lag"
 	"fawnglade/internal/learned"
 	"fawnglade/internal/quota"
@@ -125,7 +125,7 @@
 	toldIdle, restTo    int64     // when that was told; until when this node gives the fleet a rest
 	cameAt              int64     // when a task came last
 	near, chilly, drawn []*server // those; of these the cold ones; who takes part in the draw
-	keys                keys.Tally
+	keys                keyfreq.Tally
 	lags                *lag.Book
 	wait, active        float64   // for which the task being drawn waits anywhere, because of its kind; servers
 	homes               []*server // of the key of the task being drawn, the first by rank first
