--- a/internal/lag/lag.go
+++ b/internal/classdelay/classdelay.go
@@ -1,6 +1,6 @@
-// Package lag owns by how much later than others tasks of one kind are answered, wherever they go: kinds are categories, and
+// Package classdelay owns by how much later than others tasks of one kind are answered, wherever they go: kinds are categories, and
 // customers. It must never know a server, nor what is done about it. Times are nanoseconds.
-package lag
+package classdelay
 
 import "math"
 
--- a/internal/lag/lag_test.go
+++ b/internal/classdelay/classdelay_test.go
@@ -1,4 +1,4 @@
-package lag
+package classdelay
 
 import (
 	"math"
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -10,10 +10,10 @@
 	"math/rand/v2"
 	"slices"
 
+	"fawnglade/internal/classdelay"
 	"fawnglade/internal/ewma"
 	"fawnglade/internal/idle"
 	"fawnglade/internal/keyfreq"
-	"fawnglade/internal/lag"
 	"fawnglade/internal/learned"
 	"fawnglade/internal/quota"
 	"fawnglade/internal/rendezvous"
@@ -71,7 +71,7 @@
 	open, crowds int // hand-offs out; what one counts for at its server
 	cookie       uint64
 	over, beyond bool // beyond: its customer's share
-	kinds        lag.Kinds
+	kinds        classdelay.Kinds
 	key          uint64
 	homes        int // servers that its key is at home at; 0 where its work does not go by it
 }
@@ -126,7 +126,7 @@
 	cameAt              int64     // when a task came last
 	near, chilly, drawn []*server // those; of these the cold ones; who takes part in the draw
 	keys                keyfreq.Tally
-	lags                *lag.Book
+	lags                *classdelay.Book
 	wait, active        float64   // for which the task being drawn waits anywhere, because of its kind; servers
 	homes               []*server // of the key of the task being drawn, the first by rank first
 	weights             []float64
@@ -138,7 +138,7 @@
 		tasks: map[TaskID]*task{}, waking: map[uint64]*task{}, byID: map[ServerID]*server{}, idle: idle.Whole(),
 		warmth: 1, shares: quota.New(settings.Portions)}
 	p.Common = learned.Common{High: 2, Pods: map[int]*ewma.Pair{}, Way: map[int]float64{}}
-	p.lags = lag.New(len(settings.Categories), len(settings.Portions))
+	p.lags = classdelay.New(len(settings.Categories), len(settings.Portions))
 	for _, c := range settings.Categories {
 		p.lags.Soft(c.SoftLimit)
 	}
