--- a/internal/idle/idle.go
+++ b/internal/idletimeout/idletimeout.go
@@ -1,6 +1,6 @@
-// Package idle owns for how long a connection may have stood unused and still be trusted, learned from those that were dead when
+// Package idletimeout owns for how long a connection may have stood unused and still be trusted, learned from those that were dead when
 // used. It must never know a connection or a clock. Times are nanoseconds.
-package idle
+package idletimeout
 
 import "math"
 
--- a/internal/idle/idle_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -1,4 +1,4 @@
-package idle
+package idletimeout
 
 import "testing"
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -12,7 +12,7 @@
 
 	"fawnglade/internal/classdelay"
 	"fawnglade/internal/ewma"
-	"fawnglade/internal/idle"
+	"fawnglade/internal/idletimeout"
 	"fawnglade/internal/keyfreq"
 	"fawnglade/internal/learned"
 	"fawnglade/internal/quota"
@@ -120,7 +120,7 @@
 	byID    map[ServerID]*server
 	learned.Common
 	failing, warmth     float64 // part of failures of all; work of a task at its key's home, over that elsewhere
-	idle                idle.Trust
+	idle                idletimeout.Trust
 	jammed, breadth     int       // seconds for which all have been late; how many servers to draw from
 	toldIdle, restTo    int64     // when that was told; until when this node gives the fleet a rest
 	cameAt              int64     // when a task came last
@@ -135,7 +135,7 @@
 // New makes an instance that knows nothing but its settings.
 func New(settings Settings, seed uint64, host Host) *Policy {
 	p := &Policy{set: settings, host: host, draws: rand.New(rand.NewPCG(seed, 1)), cookies: firstTask,
-		tasks: map[TaskID]*task{}, waking: map[uint64]*task{}, byID: map[ServerID]*server{}, idle: idle.Whole(),
+		tasks: map[TaskID]*task{}, waking: map[uint64]*task{}, byID: map[ServerID]*server{}, idle: idletimeout.Whole(),
 		warmth: 1, shares: quota.New(settings.Portions)}
 	p.Common = learned.Common{High: 2, Pods: map[int]*ewma.Pair{}, Way: map[int]float64{}}
 	p.lags = classdelay.New(len(settings.Categories), len(settings.Portions))
