--- a/internal/learned/learned.go
+++ b/internal/estimates/estimates.go
@@ -1,6 +1,6 @@
-// Package learned owns the figures that an instance of the decisions learns of its fleet, in the form in which another
+// Package estimates owns the figures that an instance of the decisions learns of its fleet, in the form in which another
 // instance at the same place takes them over. It must never decide anything, nor trust what it is handed.
-package learned
+package estimates
 
 import (
 	"math"
--- a/internal/learned/golden_test.go
+++ b/internal/estimates/golden_test.go
@@ -1,4 +1,4 @@
-package learned
+package estimates
 
 import (
 	"bytes"
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"fawnglade/internal/learned"
+	"fawnglade/internal/estimates"
 )
 
 // processes makes nodes that are processes of one and the same: they share a folder, an address and the socket there.
@@ -51,7 +51,7 @@
 }
 
 // learned is what the decisions have learned, as it would be told.
-func (n *Node) learned() (all learned.All) {
+func (n *Node) learned() (all estimates.All) {
 	text := make(chan json.RawMessage, 1)
 	n.loop.enter(func() { text <- n.loop.learned() })
 	json.Unmarshal(<-text, &all)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"fawnglade/internal/learned"
+	"fawnglade/internal/estimates"
 	"fawnglade/internal/timers"
 	"fawnglade/policy"
 )
@@ -356,7 +356,7 @@
 
 // inherit begins with what the decisions of the process before had learned, if that makes sense.
 func (l *loop) inherit(text json.RawMessage) {
-	var all learned.All
+	var all estimates.All
 	if err := json.Unmarshal(text, &all); err != nil || !all.Sound(len(l.node.settings.Categories)) {
 		l.node.counters.add(handoversPassedOver)
 		l.node.log.Warn("what the process before had learned passed over", zap.Error(err))
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/zap"
 
-	"fawnglade/internal/learned"
+	"fawnglade/internal/estimates"
 	"fawnglade/internal/members"
 	"fawnglade/internal/memory"
 	"fawnglade/internal/store"
@@ -277,7 +277,7 @@
 		return
 	}
 	l := s.node.loop
-	var all learned.All
+	var all estimates.All
 	if err := json.Unmarshal(s.start.Learned, &all); err != nil || !all.Sound(len(s.node.settings.Categories)) {
 		s.node.log.Warn("memory: what was learned makes no sense", zap.Error(err))
 		return
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,10 +11,10 @@
 	"slices"
 
 	"fawnglade/internal/classdelay"
+	"fawnglade/internal/estimates"
 	"fawnglade/internal/ewma"
 	"fawnglade/internal/idletimeout"
 	"fawnglade/internal/keyfreq"
-	"fawnglade/internal/learned"
 	"fawnglade/internal/quota"
 	"fawnglade/internal/rendezvous"
 )
@@ -91,7 +91,7 @@
 	standing   []standing
 	usedAt     int64 // last use of a connection to it, 0: none
 
-	learned.Figures
+	estimates.Figures
 	recalculate, risingFrom int64      // recalculate: when next, if no report comes before
 	sends, out, turned      int        // since the last report; out now; turned away in a row
 	most                    int        // out at once since its idle connections were last closed
@@ -111,14 +111,14 @@
 
 	tasks         map[TaskID]*task
 	waking        map[uint64]*task
-	of            []learned.Category
+	of            []estimates.Category
 	shares        quota.Shares
 	copies, rate  float64 // second copies that may still go out; tasks a second
 	arrived, asks int     // tasks since the last tick, and ever
 
 	servers []*server // by rank
 	byID    map[ServerID]*server
-	learned.Common
+	estimates.Common
 	failing, warmth     float64 // part of failures of all; work of a task at its key's home, over that elsewhere
 	idle                idletimeout.Trust
 	jammed, breadth     int       // seconds for which all have been late; how many servers to draw from
@@ -137,26 +137,26 @@
 	p := &Policy{set: settings, host: host, draws: rand.New(rand.NewPCG(seed, 1)), cookies: firstTask,
 		tasks: map[TaskID]*task{}, waking: map[uint64]*task{}, byID: map[ServerID]*server{}, idle: idletimeout.Whole(),
 		warmth: 1, shares: quota.New(settings.Portions)}
-	p.Common = learned.Common{High: 2, Pods: map[int]*ewma.Pair{}, Way: map[int]float64{}}
+	p.Common = estimates.Common{High: 2, Pods: map[int]*ewma.Pair{}, Way: map[int]float64{}}
 	p.lags = classdelay.New(len(settings.Categories), len(settings.Portions))
 	for _, c := range settings.Categories {
 		p.lags.Soft(c.SoftLimit)
 	}
-	p.of = slices.Repeat([]learned.Category{{Spread: 2, Fares: 1, Due: 1}}, len(settings.Categories))
+	p.of = slices.Repeat([]estimates.Category{{Spread: 2, Fares: 1, Due: 1}}, len(settings.Categories))
 	return p
 }
 
 // Learned is what this instance has learned; it shares memory with it.
-func (p *Policy) Learned() learned.All {
-	all := learned.All{Common: p.Common, Categories: p.of, Servers: map[uint32]learned.Server{}}
+func (p *Policy) Learned() estimates.All {
+	all := estimates.All{Common: p.Common, Categories: p.of, Servers: map[uint32]estimates.Server{}}
 	for _, s := range p.servers {
-		all.Servers[uint32(s.Server)] = learned.Server{Figures: s.Figures, Started: s.Started}
+		all.Servers[uint32(s.Server)] = estimates.Server{Figures: s.Figures, Started: s.Started}
 	}
 	return all
 }
 
 // Inherit begins, behind the list, with what the instance before learned of the same processes of servers.
-func (p *Policy) Inherit(all *learned.All) {
+func (p *Policy) Inherit(all *estimates.All) {
 	p.Common.TakeOver(&all.Common)
 	copy(p.of, all.Categories)
 	for _, s := range p.servers {
@@ -560,7 +560,7 @@
 
 // worst is the satisfied part of the category that fares worst.
 func (p *Policy) worst() float64 {
-	return slices.MinFunc(p.of, func(a, b learned.Category) int { return cmp.Compare(a.Fares, b.Fares) }).Fares
+	return slices.MinFunc(p.of, func(a, b estimates.Category) int { return cmp.Compare(a.Fares, b.Fares) }).Fares
 }
 
 // dues works out which part of its time each category keeps in need, by what its work earns and by the goal.
@@ -878,7 +878,7 @@
 	if !met {
 		way = took - h.cost
 	}
-	way = max(0, way+learned.Step(took-h.cost >= way, p.MeanOf*learn, nearest))
+	way = max(0, way+estimates.Step(took-h.cost >= way, p.MeanOf*learn, nearest))
 	p.Way[h.server.Zone] = way
 	return max(took-way, h.cost/4)
 }
@@ -898,7 +898,7 @@
 		s.Known, s.High = true, 2*unit
 	}
 	mean, _ := p.expect(s)
-	s.High = max(mean, s.High+learned.Step(unit > s.High, mean*learn, highest))
+	s.High = max(mean, s.High+estimates.Step(unit > s.High, mean*learn, highest))
 }
 
 // age lets what was learned of a server that is no longer heard drift to what its fellows show.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"testing"
 
+	"fawnglade/internal/estimates"
 	"fawnglade/internal/ewma"
-	"fawnglade/internal/learned"
 )
 
 const ms = int64(1e6)
@@ -622,7 +622,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all learned.All
+	var all estimates.All
 	if err := json.Unmarshal(text, &all); err != nil || !all.Sound(3) {
 		t.Fatalf("%v, sound %t", err, all.Sound(3))
 	}
