--- a/internal/benchwire/wire.go
+++ b/internal/benchwire/wire.go
@@ -13,7 +13,7 @@
 	"runtime/debug"
 	"strconv"
 
-	"fawnglade/internal/news"
+	"fawnglade/internal/gossip"
 	"fawnglade/internal/settings"
 	"fawnglade/policy"
 )
@@ -39,7 +39,7 @@
 	number     []byte
 	policy     *policy.Policy
 	categories int
-	inbox      news.Inbox
+	inbox      gossip.Inbox
 	link       *link
 }
 
@@ -500,7 +500,7 @@
 func (i *instance) Release(server policy.ServerID) { i.begin("RELEASE").int(int64(server)).end() }
 
 func (i *instance) Tell(n policy.News) {
-	i.begin("ANNOUNCE").text("all").text(base64.StdEncoding.EncodeToString(news.Encode(n, i.link.now))).end()
+	i.begin("ANNOUNCE").text("all").text(base64.StdEncoding.EncodeToString(gossip.Encode(n, i.link.now))).end()
 }
 
 func (i *instance) Probe(server policy.ServerID) { i.begin("TEST").int(int64(server)).end() }
--- a/internal/news/news.go
+++ b/internal/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package news owns the form in which instances' news travel, and which of what comes is news at all: a version, a kind,
+// Package gossip owns the form in which instances' news travel, and which of what comes is news at all: a version, a kind,
 // when it was told in milliseconds, and whole numbers, at most Most bytes together. It must never decide what to make of
 // news; what makes no sense, is old or was told before is an error.
-package news
+package gossip
 
 import (
 	"encoding/binary"
--- a/internal/news/news_test.go
+++ b/internal/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package news
+package gossip
 
 import (
 	"errors"
--- a/internal/lab/world/node.go
+++ b/internal/lab/world/node.go
@@ -8,12 +8,12 @@
 	"fmt"
 	"time"
 
+	"fawnglade/internal/gossip"
 	"fawnglade/internal/lab/ledger"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/record"
 	"fawnglade/internal/members"
-	"fawnglade/internal/news"
 	"fawnglade/internal/settings"
 	"fawnglade/policy"
 )
@@ -60,7 +60,7 @@
 	tasks    map[policy.TaskID]*exchange
 	order    []*exchange // in the order they came
 	idle     map[*machine][]*conn
-	inbox    news.Inbox
+	inbox    gossip.Inbox
 	wokenIn  int64 // the second of the day that woken counts in
 	woken    int
 	watch    *watch
@@ -528,7 +528,7 @@
 // Tell sends news to every other node, late, and now and then to nobody.
 func (n *node) Tell(what policy.News) {
 	d := n.day
-	message := news.Encode(what, n.clock())
+	message := gossip.Encode(what, n.clock())
 	for _, other := range d.nodes {
 		if other == n || !other.alive || d.draw.Float64() < newsLost {
 			continue
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"fawnglade/internal/datagram"
-	"fawnglade/internal/news"
+	"fawnglade/internal/gossip"
 	"fawnglade/policy"
 )
 
@@ -27,7 +27,7 @@
 	node    *Node
 	socket  *net.UDPConn
 	known   map[netip.AddrPort]int // a number for each
-	inbox   news.Inbox             // of hear alone
+	inbox   gossip.Inbox           // of hear alone
 	waiting chan policy.News
 }
 
@@ -90,7 +90,7 @@
 	}
 	go p.hear()
 	for n := range p.waiting {
-		message := news.Encode(n, p.node.clock.now())
+		message := gossip.Encode(n, p.node.clock.now())
 		for at := range p.known {
 			if _, err := p.socket.WriteToUDPAddrPort(message, at); err != nil {
 				p.node.counters.add(newsDropped)
@@ -103,7 +103,7 @@
 
 // hear enters what peers tell, unless the loop has its hands full: no task is to wait for news.
 func (p *peers) hear() {
-	buffer := make([]byte, news.Most+1)
+	buffer := make([]byte, gossip.Most+1)
 	for {
 		length, from, err := p.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fawnglade/internal/news"
+	"fawnglade/internal/gossip"
 	"fawnglade/policy"
 )
 
@@ -39,12 +39,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := new(news.Inbox).Open(0, buffer[:length], n.clock.now()); got != told || err != nil {
+	if got, err := new(gossip.Inbox).Open(0, buffer[:length], n.clock.now()); got != told || err != nil {
 		t.Errorf("the peer heard %+v, %v", got, err)
 	}
 	own := n.peers.socket.LocalAddr()
-	message := news.Encode(told, n.clock.now())
-	for _, message := range [][]byte{message, message, news.Encode(told, n.clock.now()-5*second), nil, {1, 2, 3}, make([]byte, 2000)} {
+	message := gossip.Encode(told, n.clock.now())
+	for _, message := range [][]byte{message, message, gossip.Encode(told, n.clock.now()-5*second), nil, {1, 2, 3}, make([]byte, 2000)} {
 		listener.WriteTo(message, own)
 	}
 	soon(t, "a message heard, five passed over", func() bool { return n.count(newsHeard) == 1 && n.count(newsPassedOver) == 5 })
