--- a/internal/hearsay/hearsay.go
+++ b/internal/endpointgossip/endpointgossip.go
@@ -1,4 +1,4 @@
-// Package hearsay owns the list of servers as other nodes have it, for a node whose own watch of discovery does not stand: whom it
+// Package endpointgossip owns the list of servers as other nodes have it, for a node whose own watch of discovery does not stand: whom it
 // asks, how often, which of several answers it takes, and what it answers when asked. It has no I/O, no clock and no goroutine:
 // beats are told, loads go out through a Way, and the same calls give the same lists. It must never go before discovery's own word,
 // be waited for, lift a drain that a list at least as new has told, or take most of the servers away on one node's word.
@@ -21,7 +21,7 @@
 // times in a beat, and any answers with at most answersABeat = 24 loads; so all of them send at most N · 28 loads in a beat, each
 // under MostLoad bytes. Who is asked is drawn, so that nodes that wake together do not ask the same one. Kept are at most two
 // lists and the one that is being gathered, of MostLines servers each.
-package hearsay
+package endpointgossip
 
 import (
 	"cmp"
--- a/internal/hearsay/golden_test.go
+++ b/internal/endpointgossip/golden_test.go
@@ -1,4 +1,4 @@
-package hearsay
+package endpointgossip
 
 import (
 	"bytes"
--- a/internal/lab/fleet/hearsay_test.go
+++ b/internal/lab/fleet/hearsay_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"fawnglade/internal/hearsay"
+	"fawnglade/internal/endpointgossip"
 	"fawnglade/internal/members"
 )
 
@@ -27,10 +27,10 @@
 }
 
 // heard is what the nodes say of the list that they go by; nil for one that does not say.
-func (p *Processes) heard(t *testing.T) []*hearsay.View {
-	out := make([]*hearsay.View, len(p.nodes))
+func (p *Processes) heard(t *testing.T) []*endpointgossip.View {
+	out := make([]*endpointgossip.View, len(p.nodes))
 	for i := range p.nodes {
-		var v struct{ List *hearsay.View }
+		var v struct{ List *endpointgossip.View }
 		if status, text, err := Ask(p.Console(i), "GET", "/members"); err == nil && status == 200 && json.Unmarshal(text, &v) == nil {
 			out[i] = v.List
 		}
@@ -39,7 +39,7 @@
 }
 
 // until waits for a statement about the lists of all nodes that were started.
-func (p *Processes) until(t *testing.T, what string, holds func(*hearsay.View) bool) {
+func (p *Processes) until(t *testing.T, what string, holds func(*endpointgossip.View) bool) {
 	t.Helper()
 	if _, err := Until(p, notice, what, func([]*members.View) bool {
 		for i, v := range p.heard(t) {
@@ -75,7 +75,7 @@
 	end := p.busy()
 	defer end()
 	p.lists(2, 1)
-	p.until(t, "all go by the list of the one", func(v *hearsay.View) bool { return v.Version == 2 })
+	p.until(t, "all go by the list of the one", func(v *endpointgossip.View) bool { return v.Version == 2 })
 	if late := p.lateAt(1, time.Now()); late > 0 {
 		t.Errorf("%d tasks came to a server that drains after all knew it", late)
 	}
@@ -90,7 +90,7 @@
 	}
 	before := len(p.plain[1].Came())
 	p.lists(3, -1)
-	p.until(t, "all know that it is up", func(v *hearsay.View) bool { return v.Version == 3 })
+	p.until(t, "all know that it is up", func(v *endpointgossip.View) bool { return v.Version == 3 })
 	for tries := 0; len(p.plain[1].Came()) == before; tries++ {
 		if tries > 3000 {
 			t.Fatal("it gets nothing")
@@ -99,7 +99,7 @@
 	}
 	p.Mend()
 	p.asks.Most(0)
-	p.until(t, "all watches stand", func(v *hearsay.View) bool { return v.Stands })
+	p.until(t, "all watches stand", func(v *endpointgossip.View) bool { return v.Stands })
 }
 
 // TestThoseWithoutADiskServeByTheOthersMemory takes the power from all while a server drains, and half of the disks with it. Discovery
@@ -107,7 +107,7 @@
 func TestThoseWithoutADiskServeByTheOthersMemory(t *testing.T) {
 	p := listening(t, 6, true)
 	p.lists(2, 1)
-	p.until(t, "all are told", func(v *hearsay.View) bool { return v.Version == 2 })
+	p.until(t, "all are told", func(v *endpointgossip.View) bool { return v.Version == 2 })
 	told := time.Now()
 	time.Sleep(200 * time.Millisecond) // until it is on the disks
 	p.asks.Down(true)
@@ -120,13 +120,13 @@
 	p.startAll(t)
 	end := p.busy()
 	defer end()
-	p.until(t, "all have the list that some remember", func(v *hearsay.View) bool { return v.Version == 2 && v.Recalled })
+	p.until(t, "all have the list that some remember", func(v *endpointgossip.View) bool { return v.Version == 2 && v.Recalled })
 	p.serving(t)
 	if late := p.lateAt(1, told); late > 0 {
 		t.Errorf("%d tasks came to a server that drained before the power went", late)
 	}
 	p.asks.Down(false)
-	p.until(t, "all watches stand", func(v *hearsay.View) bool { return v.Stands })
+	p.until(t, "all watches stand", func(v *endpointgossip.View) bool { return v.Stands })
 }
 
 // TestReadyOnceThereIsAList has three nodes wake with nothing: none is ready, and each says why, until one list has come to one.
@@ -174,7 +174,7 @@
 		t.Fatalf("%v\n%+v", err, p.heard(t))
 	}
 	p.asks.Most(2)
-	p.until(t, "two watches are believed", func(v *hearsay.View) bool { return v.Version == 9 })
+	p.until(t, "two watches are believed", func(v *endpointgossip.View) bool { return v.Version == 9 })
 }
 
 // TestPowerIsBackInEveryOrder takes the power from nodes, servers and discovery while a server drains, and brings them back in each of
@@ -199,7 +199,7 @@
 		draining := k % len(p.plain)
 		version++
 		p.lists(version, draining)
-		p.until(t, order+": all are told", func(v *hearsay.View) bool { return v.Version == version })
+		p.until(t, order+": all are told", func(v *endpointgossip.View) bool { return v.Version == version })
 		told := time.Now()
 		time.Sleep(150 * time.Millisecond) // until it is on the disks
 		p.asks.Down(true)
@@ -263,7 +263,7 @@
 		t.Errorf("%d of 400 by servers that may be cold", cold)
 	}
 	p.asks.Down(false)
-	p.until(t, "discovery tells it", func(v *hearsay.View) bool { return v.Stands })
+	p.until(t, "discovery tells it", func(v *endpointgossip.View) bool { return v.Stands })
 	if n := done(100); n != 100 {
 		t.Errorf("once discovery has told, %d of 100", n)
 	}
--- a/internal/lab/scale/hearsay.go
+++ b/internal/lab/scale/hearsay.go
@@ -7,7 +7,7 @@
 	"context"
 	"fmt"
 
-	"fawnglade/internal/hearsay"
+	"fawnglade/internal/endpointgossip"
 )
 
 const (
@@ -45,7 +45,7 @@
 func hearsayProbe() Probe {
 	return Probe{
 		Name: "hearsay", Size: "servers", Sizes: []float64{512, 1200, 4096, 8000, 12000, 28000}, Quick: []float64{10, 40, 100, 200}, Least: 2,
-		At: func(d *Design) float64 { return d.Servers }, Cap: hearsay.MostLines,
+		At: func(d *Design) float64 { return d.Servers }, Cap: endpointgossip.MostLines,
 		Need: func(n float64) Need { return Need{Bytes: 6 * 500 * n} },
 		Figures: []Figure{
 			{Name: "taken", What: "a node that starts without discovery: until it goes by others' whole list", Unit: "s", Role: "node", Method: "virtual time, nothing lost", Limit: limitReady},
@@ -58,21 +58,21 @@
 			v = map[string]float64{}
 			now := int64(1_700_000_000e9)
 			m := &mail{boxes: make([][]letter, tellers+1)}
-			lines := make([]hearsay.Line, int(size))
+			lines := make([]endpointgossip.Line, int(size))
 			for i := range lines {
-				lines[i] = hearsay.Line{Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
+				lines[i] = endpointgossip.Line{Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
 					Zone: fmt.Sprintf("z%02d", i%31), Pod: i / 40, Weight: 1}
 			}
-			var nodes []*hearsay.Hearsay
+			var nodes []*endpointgossip.Hearsay
 			before := inUse()
 			for i := range tellers {
-				h := hearsay.New(uint64(i), way{m, i}, now, 0, nil, false)
+				h := endpointgossip.New(uint64(i), way{m, i}, now, 0, nil, false)
 				h.Listed(now, 1, lines, nil, true)
 				h.View() // makes the list that it answers with
 				nodes = append(nodes, h)
 			}
 			v["memory"] = (inUse() - before) / tellers
-			nodes = append(nodes, hearsay.New(tellers, way{m, tellers}, now, 0, nil, false))
+			nodes = append(nodes, endpointgossip.New(tellers, way{m, tellers}, now, 0, nil, false))
 			var seconds []float64
 			v["cpu"] = spent(func() {
 				for beat := range hearsayLong {
@@ -109,7 +109,7 @@
 			if v["taken"] == 0 {
 				c := nodes[tellers].View().Counts
 				note = fmt.Sprintf("never taken within 20 s, in which it heard %s bytes: %d loads asked for, %d passed over as making no sense; a list has %s servers at most",
-					short(v["bytes"]), c.Asked, c.Bad, count(hearsay.MostLines))
+					short(v["bytes"]), c.Asked, c.Bad, count(endpointgossip.MostLines))
 				v = map[string]float64{"memory": v["memory"]}
 			}
 			return v, note, nil
--- a/internal/lab/world/hearsay.go
+++ b/internal/lab/world/hearsay.go
@@ -6,7 +6,7 @@
 import (
 	"fmt"
 
-	"fawnglade/internal/hearsay"
+	"fawnglade/internal/endpointgossip"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
 	"fawnglade/policy"
@@ -14,7 +14,7 @@
 
 // hearing is one life's part in it.
 type hearing struct {
-	core *hearsay.Hearsay
+	core *endpointgossip.Hearsay
 	word int64 // when the watch last could say something
 }
 
@@ -24,10 +24,10 @@
 		return
 	}
 	lines, _ := n.day.lines(list)
-	n.hearing = &hearing{core: hearsay.New(seed, n.view, n.clock(), n.day.discovery.roster.Version(), lines, false)}
+	n.hearing = &hearing{core: endpointgossip.New(seed, n.view, n.clock(), n.day.discovery.roster.Version(), lines, false)}
 }
 
-func (d *Day) lines(list []model.Listed) (lines []hearsay.Line, gone []string) {
+func (d *Day) lines(list []model.Listed) (lines []endpointgossip.Line, gone []string) {
 	for _, l := range list {
 		m := d.machines[l.Server]
 		name := fmt.Sprint(l.Server)
@@ -35,13 +35,13 @@
 			gone = append(gone, name)
 			continue
 		}
-		lines = append(lines, hearsay.Line{Name: name, Zone: m.spec.Zone, Pod: m.spec.Pod, Weight: 1, Draining: l.Health == model.Draining, Started: l.Started})
+		lines = append(lines, endpointgossip.Line{Name: name, Zone: m.spec.Zone, Pod: m.spec.Pod, Weight: 1, Draining: l.Health == model.Draining, Started: l.Started})
 	}
 	return lines, gone
 }
 
 // goBy takes lines of others, or the node's own list again, to the decisions.
-func (n *node) goBy(lines []hearsay.Line, whole bool) {
+func (n *node) goBy(lines []endpointgossip.Line, whole bool) {
 	if lines == nil {
 		return
 	}
--- a/internal/node/hearsay.go
+++ b/internal/node/hearsay.go
@@ -1,7 +1,7 @@
 package node
 
 // This file owns the shell of the list by others' word: what the core is told of the node's own watch, and what it has the loop go
-// by. What is asked and taken is internal/hearsay's. It must never hold up the watch for an answer, nor let a list of others come
+// by. What is asked and taken is internal/endpointgossip's. It must never hold up the watch for an answer, nor let a list of others come
 // after one of discovery's that the node has already heard.
 
 import (
@@ -11,7 +11,7 @@
 
 	"go.uber.org/zap"
 
-	"fawnglade/internal/hearsay"
+	"fawnglade/internal/endpointgossip"
 	"fawnglade/policy"
 )
 
@@ -19,7 +19,7 @@
 type hearing struct {
 	node *Node
 	mu   sync.Mutex // what is told and what it has the loop do stay in one order
-	core *hearsay.Hearsay
+	core *endpointgossip.Hearsay
 }
 
 func newHearing(n *Node) *hearing {
@@ -30,7 +30,7 @@
 }
 
 // begin makes the core, once the view is there that carries its loads.
-func (s *hearing) begin(seed uint64, way hearsay.Way) {
+func (s *hearing) begin(seed uint64, way endpointgossip.Way) {
 	if s == nil {
 		return
 	}
@@ -38,22 +38,22 @@
 	defer s.mu.Unlock()
 	first := s.node.first
 	lines, _ := s.lines(first.entries)
-	s.core = hearsay.New(seed, way, s.node.clock.now(), first.version, lines, first.base)
+	s.core = endpointgossip.New(seed, way, s.node.clock.now(), first.version, lines, first.base)
 }
 
-func (s *hearing) lines(entries []entry) (lines []hearsay.Line, gone []string) {
+func (s *hearing) lines(entries []entry) (lines []endpointgossip.Line, gone []string) {
 	for _, e := range entries {
 		if e.State == policy.Gone {
 			gone = append(gone, e.name)
 			continue
 		}
-		lines = append(lines, hearsay.Line{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight,
+		lines = append(lines, endpointgossip.Line{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight,
 			Draining: e.State == policy.Draining, Started: e.Started})
 	}
 	return lines, gone
 }
 
-func (s *hearing) entries(lines []hearsay.Line) (out []entry) {
+func (s *hearing) entries(lines []endpointgossip.Line) (out []entry) {
 	for _, l := range lines {
 		e := entry{name: l.Name, address: l.Address, Listed: policy.Listed{Server: serverID(l.Name), Zone: zoneOf(l.Zone, s.node.settings.Zones),
 			Pod: l.Pod, Weight: l.Weight, Started: l.Started, State: policy.Active}}
