--- a/internal/listing/listing.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,5 +1,5 @@
-// Package listing reads discovery's lists as they come, however long they are and however their lines are broken.
-package listing
+// Package endpointlist reads discovery's lists as they come, however long they are and however their lines are broken.
+package endpointlist
 
 // This file owns the form of a list and the bounds of what is held of one. It must never hold a whole line, nor let a list count that
 // did not come to its end: entries are handed on as they come, and count only once Next has returned without an error. No I/O but the
--- a/internal/listing/listing_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -1,4 +1,4 @@
-package listing
+package endpointlist
 
 // This file owns the tests of lists as they come: the same as encoding/json says, in bounds, and never a half of one.
 
--- a/internal/listing/golden_test.go
+++ b/internal/endpointlist/golden_test.go
@@ -1,4 +1,4 @@
-package listing
+package endpointlist
 
 import (
 	"bytes"
--- a/internal/listing/write.go
+++ b/internal/endpointlist/write.go
@@ -1,4 +1,4 @@
-package listing
+package endpointlist
 
 // This file owns the form of a list that is written. It must never write what Next does not read.
 
--- a/internal/following/following.go
+++ b/internal/following/following.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"fawnglade/internal/distribution"
-	"fawnglade/internal/listing"
+	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/relay"
 	"fawnglade/internal/sources"
 )
@@ -34,7 +34,7 @@
 	Clock   func() int64 // ns, monotone
 	Log     *zap.Logger
 
-	Entry  func(listing.Entry) (V, error)
+	Entry  func(endpointlist.Entry) (V, error)
 	Of     func(V) sources.Server[V]                    // how the choice sees an entry
 	As     func(V, sources.State) V                     // an entry in another state
 	Tell   func(entries []V, version int64, whole bool) // what the node is to go by; in order, one call at a time
--- a/internal/following/following_test.go
+++ b/internal/following/following_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"fawnglade/internal/distribution"
-	"fawnglade/internal/listing"
+	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/relay"
 	"fawnglade/internal/sources"
 )
@@ -84,7 +84,7 @@
 	n := &node{told: map[string]string{}}
 	var passed atomic.Int64
 	f, err := New(Settings[entry]{Name: "n", Relays: []string{l.Addr().String()}, Scopes: []string{"eu1/cart"}, Silence: 1e9, Clock: relay.NewClock(), Log: zap.NewNop(),
-		Entry: func(e listing.Entry) (entry, error) {
+		Entry: func(e endpointlist.Entry) (entry, error) {
 			if e.Host == "spoilt" {
 				return entry{}, errors.New("spoilt")
 			}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -1,7 +1,7 @@
 package node
 
 // This file owns the watch of the list: it opens one anew that falls silent, calls again when told to and moves when its address does.
-// The calls that are out for a watch are internal/discover's, the form of a list internal/listing's. It must never decide when to call after a call has failed, but for the longest that the page allows;
+// The calls that are out for a watch are internal/discover's, the form of a list internal/endpointlist's. It must never decide when to call after a call has failed, but for the longest that the page allows;
 // where nobody asks for calls it makes them by itself.
 
 import (
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 
 	"fawnglade/internal/discover"
-	"fawnglade/internal/listing"
+	"fawnglade/internal/endpointlist"
 )
 
 const (
@@ -131,7 +131,7 @@
 		d.node.counters.add(listCallsFailed)
 		d.once.Do(func() { close(d.heard) })
 		wait := d.wait
-		silent, tooLong := errors.Is(err, os.ErrDeadlineExceeded), (*listing.TooLongError)(nil)
+		silent, tooLong := errors.Is(err, os.ErrDeadlineExceeded), (*endpointlist.TooLongError)(nil)
 		if errors.As(err, &tooLong) {
 			if d.long == 0 {
 				d.node.log.Error("the list can't be held, the one from before is kept", zap.Error(err))
@@ -178,7 +178,7 @@
 	}
 	defer d.word.Store(0)
 	defer said.Close()
-	for lines := listing.New(said, d.node.lists); ; {
+	for lines := endpointlist.New(said, d.node.lists); ; {
 		entries, l, err := d.node.list(lines.Next)
 		if err != nil {
 			if said.Ended() == nil {
@@ -191,7 +191,7 @@
 }
 
 // line takes in one line of the watch.
-func (d *discovery) line(entries []entry, l listing.Line) {
+func (d *discovery) line(entries []entry, l endpointlist.Line) {
 	d.version = l.Version
 	d.node.counters.add(listLines)
 	if d.long > 0 {
@@ -202,8 +202,8 @@
 }
 
 // list reads a line. An entry that makes no sense is passed over; the others still count.
-func (n *Node) list(read func(begin func(), take func(listing.Entry) error) (listing.Line, error)) (entries []entry, l listing.Line, err error) {
-	l, err = read(func() { entries = nil }, func(in listing.Entry) error {
+func (n *Node) list(read func(begin func(), take func(endpointlist.Entry) error) (endpointlist.Line, error)) (entries []entry, l endpointlist.Line, err error) {
+	l, err = read(func() { entries = nil }, func(in endpointlist.Entry) error {
 		e, err := entryOf(in, n.settings.Zones)
 		if err == nil {
 			entries = append(entries, e)
@@ -222,8 +222,8 @@
 
 // listOf reads a list that is there whole.
 func (n *Node) listOf(text []byte) (entries []entry, version int64, whole bool, err error) {
-	entries, l, err := n.list(func(begin func(), take func(listing.Entry) error) (listing.Line, error) {
-		return listing.Parse(text, n.lists, begin, take)
+	entries, l, err := n.list(func(begin func(), take func(endpointlist.Entry) error) (endpointlist.Line, error) {
+		return endpointlist.Parse(text, n.lists, begin, take)
 	})
 	return entries, l.Version, l.Whole, err
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"fawnglade/internal/listing"
+	"fawnglade/internal/endpointlist"
 )
 
 // This file owns the tests of a discovery that is slow, crowded, gone or long of word. Its times are a tenth of the real ones.
@@ -205,7 +205,7 @@
 			}, server)
 			core, said := observer.New(zap.InfoLevel)
 			n.log = zap.New(core)
-			n.lists = listing.Limits{Value: 1 << 16, Line: 1 << 20, Hosts: 20}
+			n.lists = endpointlist.Limits{Value: 1 << 16, Line: 1 << 20, Hosts: 20}
 			n.start()
 			time.Sleep(1500 * time.Millisecond)
 			if calls := asked.Load(); calls < 2 || calls > 4 {
--- a/internal/node/distribution.go
+++ b/internal/node/distribution.go
@@ -6,8 +6,8 @@
 import (
 	"cmp"
 
+	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/following"
-	"fawnglade/internal/listing"
 	"fawnglade/internal/sources"
 	"fawnglade/policy"
 )
@@ -23,7 +23,7 @@
 	n.discovery.pause(true) // until there is no word of a relay
 	return following.New(following.Settings[entry]{Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, Silence: set.SilenceNs, Before: n.state.version(),
 		Clock: n.clock.now, Log: n.log, Caught: n.caught, Tell: n.goBy, Watch: func(on bool) { n.discovery.pause(!on) },
-		Entry: func(in listing.Entry) (entry, error) { return entryOf(in, n.settings.Zones) },
+		Entry: func(in endpointlist.Entry) (entry, error) { return entryOf(in, n.settings.Zones) },
 		Of: func(e entry) sources.Server[entry] {
 			return sources.Server[entry]{Name: e.name, State: sources.State(e.State), Started: e.Started, Value: e}
 		},
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -15,8 +15,8 @@
 	"strings"
 	"testing"
 
+	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/golden"
-	"fawnglade/internal/listing"
 	"fawnglade/policy"
 )
 
@@ -133,7 +133,7 @@
 	text := wholeList(9, entries, []string{"a", "b"})
 	golden.Check(t, "list.json", text)
 	var ids []byte
-	_, err := listing.Parse(text, listing.For(0), func() { ids = nil }, func(in listing.Entry) error {
+	_, err := endpointlist.Parse(text, endpointlist.For(0), func() { ids = nil }, func(in endpointlist.Entry) error {
 		e, err := entryOf(in, []string{"a", "b"})
 		ids = fmt.Appendf(ids, "%s %s %d %d %d %v %d %d %v\n", e.name, e.address, e.Server, e.Zone, e.Pod, e.Weight, int(e.State), e.Started, err)
 		return err
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -1,7 +1,7 @@
 package node
 
 // This file owns every name that the protocol uses on a socket: headers, paths and states; those of a list's fields are
-// internal/listing's. It must never decide anything; no other file of the node holds a protocol name.
+// internal/endpointlist's. It must never decide anything; no other file of the node holds a protocol name.
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"net/netip"
 	"strings"
 
-	"fawnglade/internal/listing"
+	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/report"
 	"fawnglade/policy"
 )
@@ -124,7 +124,7 @@
 }
 
 // entryOf takes in one server of a list. A server that wants nothing new needs no address.
-func entryOf(in listing.Entry, zones []string) (entry, error) {
+func entryOf(in endpointlist.Entry, zones []string) (entry, error) {
 	e := entry{name: in.Host, address: in.Dial, Listed: policy.Listed{
 		Server: serverID(in.Host), Zone: zoneOf(in.Site, zones), Pod: in.Block, Weight: in.Share,
 		Started: int64(in.Born * 1e6),
@@ -153,12 +153,12 @@
 
 // wholeList is a list in discovery's form.
 func wholeList(version int64, entries []entry, zones []string) []byte {
-	list := make([]listing.Entry, len(entries))
+	list := make([]endpointlist.Entry, len(entries))
 	for i, e := range entries {
-		list[i] = listing.Entry{Host: e.name, Dial: e.address, Site: e.zone(zones), Block: e.Pod, Share: e.Weight, Born: float64(e.Started) / 1e6,
+		list[i] = endpointlist.Entry{Host: e.name, Dial: e.address, Site: e.zone(zones), Block: e.Pod, Share: e.Weight, Born: float64(e.Started) / 1e6,
 			Health: [...]string{policy.Active: "up", policy.Draining: "draining", policy.Gone: "removed"}[e.State]}
 	}
-	return listing.Text(version, list)
+	return endpointlist.Text(version, list)
 }
 
 // serverID makes the number that the decisions know a server by. It comes from the name alone, so that all nodes
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,8 +23,8 @@
 
 	"go.uber.org/zap"
 
+	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/features"
-	"fawnglade/internal/listing"
 	"fawnglade/internal/settings"
 	"fawnglade/internal/store"
 )
@@ -186,7 +186,7 @@
 	stopping   atomic.Bool
 	held       atomic.Int64 // bytes of bodies of tasks without an answer
 	mostHeld   atomic.Int64
-	lists      listing.Limits
+	lists      endpointlist.Limits
 	categories map[string]int
 	customers  map[string]int
 
@@ -209,7 +209,7 @@
 
 // New makes a node that listens; nothing runs before Run.
 func New(config *Config, log *zap.Logger) (*Node, error) {
-	n := &Node{config: config, settings: &config.decoded, log: log, clock: clock{time.Now()}, lists: listing.For(config.Limits.MemoryMB << 20),
+	n := &Node{config: config, settings: &config.decoded, log: log, clock: clock{time.Now()}, lists: endpointlist.For(config.Limits.MemoryMB << 20),
 		categories: indexes(config.decoded.Categories), customers: indexes(config.decoded.Customers)}
 	n.orders = newOrders(n)
 	n.state = openState(n)
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"fawnglade/internal/distribution"
-	"fawnglade/internal/listing"
+	"fawnglade/internal/endpointlist"
 )
 
 // KindEndpoint begins the keys of endpoints' records: endpoint/<host>.
@@ -53,7 +53,7 @@
 }
 
 // record is a host's record. One that goes needs no scope of its own.
-func (e *endpoints) record(in listing.Entry) (distribution.Record, error) {
+func (e *endpoints) record(in endpointlist.Entry) (distribution.Record, error) {
 	r := distribution.Record{Key: EndpointKey(in.Host), Class: distribution.Endpoint}
 	switch in.Health {
 	case healthUp:
@@ -74,7 +74,7 @@
 		return r, fmt.Errorf("host %q of site %q: expected a region and a service by origin.scope, got none", in.Host, in.Site)
 	}
 	var err error
-	r.Body, err = listing.Body(in)
+	r.Body, err = endpointlist.Body(in)
 	return r, err
 }
 
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/golden"
-	"fawnglade/internal/listing"
 )
 
 // TestGoldenFraming holds greetings and the framing to the bytes of earlier builds.
@@ -32,8 +32,8 @@
 
 // TestGoldenRecords holds what an origin tells of hosts to what nodes of earlier builds read.
 func TestGoldenRecords(t *testing.T) {
-	e := listing.Entry{Host: "s-1", Dial: "127.0.0.1:80", Site: "a", Health: "draining", Block: 3, Share: 1.5, Born: 1_700_000_000_123}
-	body, err := listing.Body(e)
+	e := endpointlist.Entry{Host: "s-1", Dial: "127.0.0.1:80", Site: "a", Health: "draining", Block: 3, Share: 1.5, Born: 1_700_000_000_123}
+	body, err := endpointlist.Body(e)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"fawnglade/internal/distribution"
-	"fawnglade/internal/listing"
+	"fawnglade/internal/endpointlist"
 )
 
 // Hosts is what a node's scopes say of hosts, and of how far the origin hears discovery.
@@ -20,7 +20,7 @@
 
 type scoped struct {
 	scope string
-	entry listing.Entry
+	entry endpointlist.Entry
 }
 
 // NewHosts makes one that knows of none.
@@ -31,7 +31,7 @@
 
 // Take tells the hosts that are other than they were; one that no scope has any more is "removed". Records that are no endpoints are
 // somebody else's. Those that make no sense are passed over, and the error names the last of them.
-func (h *Hosts) Take(changes []distribution.Change) (told []listing.Entry, passed int, err error) {
+func (h *Hosts) Take(changes []distribution.Change) (told []endpointlist.Entry, passed int, err error) {
 	for _, c := range changes {
 		if c.Scope == ScopeOrigin && c.Key == KeyList && !c.Gone {
 			var list List
@@ -58,10 +58,10 @@
 				continue
 			}
 			delete(h.of, host)
-			told = append(told, listing.Entry{Host: host, Health: healthRemoved})
+			told = append(told, endpointlist.Entry{Host: host, Health: healthRemoved})
 			continue
 		}
-		var e listing.Entry
+		var e endpointlist.Entry
 		if wrong := decode(c.Body, &e); wrong != nil || e.Host != host {
 			passed, err = passed+1, fmt.Errorf("scope %q, key %q: expected an endpoint of that name, found %.80q", c.Scope, c.Key, c.Body)
 			continue // what was known of it stays
@@ -77,7 +77,7 @@
 	return told, passed, err
 }
 
-func decode(body []byte, e *listing.Entry) error {
+func decode(body []byte, e *endpointlist.Entry) error {
 	var in struct {
 		Host, Dial, Site, Health string
 		Block                    int
@@ -85,12 +85,12 @@
 		Born                     float64 `json:"born_ms"`
 	}
 	err := json.Unmarshal(body, &in)
-	*e = listing.Entry(in)
+	*e = endpointlist.Entry(in)
 	return err
 }
 
 // best is the entry that counts of a host that several scopes have: the latest start's, the first scope's of these.
-func best(all []scoped) listing.Entry {
+func best(all []scoped) endpointlist.Entry {
 	at := all[0]
 	for _, s := range all[1:] {
 		if s.entry.Born > at.entry.Born || s.entry.Born == at.entry.Born && s.scope < at.scope {
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -15,7 +15,7 @@
 
 	"fawnglade/internal/discover"
 	"fawnglade/internal/distribution"
-	"fawnglade/internal/listing"
+	"fawnglade/internal/endpointlist"
 )
 
 const (
@@ -30,11 +30,11 @@
 // watch follows the list until the context is done.
 type watch struct {
 	address string
-	limits  listing.Limits
+	limits  endpointlist.Limits
 	silence time.Duration
 	log     *zap.Logger
 	told    rarely
-	record  func(listing.Entry) (distribution.Record, error)
+	record  func(endpointlist.Entry) (distribution.Record, error)
 	take    func(told []distribution.Record, whole, first bool)
 
 	version                      int64   // of run alone
@@ -75,10 +75,10 @@
 	}
 	defer w.word.Store(0)
 	defer said.Close()
-	lines := listing.New(said, w.limits)
+	lines := endpointlist.New(said, w.limits)
 	for first := w.version == 0; ; first = false {
 		var told []distribution.Record
-		line, err := lines.Next(func() { told = told[:0] }, func(e listing.Entry) error {
+		line, err := lines.Next(func() { told = told[:0] }, func(e endpointlist.Entry) error {
 			r, err := w.record(e)
 			if err == nil {
 				told = append(told, r)
