--- a/internal/sources/sources.go
+++ b/internal/endpointsource/endpointsource.go
@@ -1,4 +1,4 @@
-// Package sources owns which of two tellers of one list a node goes by: relays, or discovery's own watch. It has no I/O, no clock and
+// Package endpointsource owns which of two tellers of one list a node goes by: relays, or discovery's own watch. It has no I/O, no clock and
 // no goroutine: times are told, and the same calls give the same lists. It must never take a server off because the teller that took
 // over knows less than the other did, nor bring back one that the other knew to drain or to be gone.
 //
@@ -14,7 +14,7 @@
 // other's last list is laid over it, server by server: the later start holds; of one start, draining holds over up; a server that only
 // the other names stays; one that only the new teller names counts if it started after the other's last word, or drains. That ends when
 // the new teller has come to the other's version, or after OverFor: the count may begin anew with a discovery that did.
-package sources
+package endpointsource
 
 import (
 	"cmp"
--- a/internal/sources/sources_test.go
+++ b/internal/endpointsource/endpointsource_test.go
@@ -1,4 +1,4 @@
-package sources
+package endpointsource
 
 import (
 	"fmt"
--- a/internal/following/following.go
+++ b/internal/following/following.go
@@ -14,8 +14,8 @@
 
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/endpointsource"
 	"fawnglade/internal/relay"
-	"fawnglade/internal/sources"
 )
 
 // beatEvery is how often time is let pass.
@@ -35,8 +35,8 @@
 	Log     *zap.Logger
 
 	Entry  func(endpointlist.Entry) (V, error)
-	Of     func(V) sources.Server[V]                    // how the choice sees an entry
-	As     func(V, sources.State) V                     // an entry in another state
+	Of     func(V) endpointsource.Server[V]             // how the choice sees an entry
+	As     func(V, endpointsource.State) V              // an entry in another state
 	Tell   func(entries []V, version int64, whole bool) // what the node is to go by; in order, one call at a time
 	Watch  func(on bool)                                // whether discovery is to be watched; off at first
 	Stands func() bool                                  // whether a watch of it stands
@@ -52,20 +52,20 @@
 	scopes   []string // exact ones
 
 	mu     sync.Mutex
-	choice *sources.Sources[V]
+	choice *endpointsource.Sources[V]
 	hosts  *relay.Hosts
 	on     bool
 	stood  bool
 	state  relay.State
 	told   int64
-	by     sources.Teller
+	by     endpointsource.Teller
 
 	relaying atomic.Bool // relays are in force, and discovery is not watched
 }
 
 // New makes one; nothing runs before Run. Only settings that make no sense are errors.
 func New[V any](set Settings[V]) (*Following[V], error) {
-	f := &Following[V]{set: set, choice: sources.New[V](set.Clock(), set.Silence, set.Before), hosts: relay.NewHosts()}
+	f := &Following[V]{set: set, choice: endpointsource.New[V](set.Clock(), set.Silence, set.Before), hosts: relay.NewHosts()}
 	scopes := relay.WithOrigin(set.Scopes)
 	core, err := distribution.NewSubscriber(relay.Selectors(scopes), distribution.Limits{})
 	if err != nil {
@@ -111,7 +111,7 @@
 }
 
 // tell has the node go by what was chosen, and watch discovery or not.
-func (f *Following[V]) tell(t sources.Told[V]) {
+func (f *Following[V]) tell(t endpointsource.Told[V]) {
 	if t.Any {
 		entries := make([]V, len(t.Servers))
 		for i, s := range t.Servers {
@@ -124,7 +124,7 @@
 		f.by = by
 	}
 	on := f.choice.Watch(f.set.Clock())
-	f.relaying.Store(f.by == sources.Relays && !on)
+	f.relaying.Store(f.by == endpointsource.Relays && !on)
 	if on != f.on {
 		f.on = on
 		f.set.Watch(on)
@@ -141,7 +141,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	entries, passed, err := f.hosts.Take(changes)
-	servers := make([]sources.Server[V], 0, len(entries))
+	servers := make([]endpointsource.Server[V], 0, len(entries))
 	for _, e := range entries {
 		one, wrong := f.set.Entry(e)
 		if wrong != nil {
@@ -174,7 +174,7 @@
 
 // Discovery takes in a line of the node's own watch.
 func (f *Following[V]) Discovery(entries []V, version int64, whole bool) {
-	servers := make([]sources.Server[V], len(entries))
+	servers := make([]endpointsource.Server[V], len(entries))
 	for i, e := range entries {
 		servers[i] = f.set.Of(e)
 	}
--- a/internal/following/following_test.go
+++ b/internal/following/following_test.go
@@ -14,8 +14,8 @@
 
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/endpointsource"
 	"fawnglade/internal/relay"
-	"fawnglade/internal/sources"
 )
 
 // node is a node's part in it.
@@ -41,7 +41,7 @@
 // entry is one as the node under test has it.
 type entry struct {
 	name, by string
-	state    sources.State
+	state    endpointsource.State
 }
 
 func (n *node) tell(entries []entry, _ int64, whole bool) {
@@ -51,7 +51,7 @@
 		n.told = map[string]string{}
 	}
 	for _, e := range entries {
-		if n.told[e.name] = e.by; e.state == sources.Gone {
+		if n.told[e.name] = e.by; e.state == endpointsource.Gone {
 			delete(n.told, e.name)
 		}
 	}
@@ -91,11 +91,11 @@
 			if e.Host == "bad" {
 				panic("bad")
 			}
-			return entry{name: e.Host, by: "by relays", state: map[bool]sources.State{true: sources.Gone}[e.Health == "removed"]}, nil
-		}, Of: func(e entry) sources.Server[entry] {
-			return sources.Server[entry]{Name: e.name, State: e.state, Value: e}
+			return entry{name: e.Host, by: "by relays", state: map[bool]endpointsource.State{true: endpointsource.Gone}[e.Health == "removed"]}, nil
+		}, Of: func(e entry) endpointsource.Server[entry] {
+			return endpointsource.Server[entry]{Name: e.name, State: e.state, Value: e}
 		},
-		As: func(e entry, s sources.State) entry { e.state = s; return e }, Tell: n.tell, Watch: n.watch.Store, Stands: func() bool { return n.watch.Load() }, Passed: func(n int) { passed.Add(int64(n)) }, Caught: n.caught})
+		As: func(e entry, s endpointsource.State) entry { e.state = s; return e }, Tell: n.tell, Watch: n.watch.Store, Stands: func() bool { return n.watch.Load() }, Passed: func(n int) { passed.Add(int64(n)) }, Caught: n.caught})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/distribution.go
+++ b/internal/node/distribution.go
@@ -7,8 +7,8 @@
 	"cmp"
 
 	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/endpointsource"
 	"fawnglade/internal/following"
-	"fawnglade/internal/sources"
 	"fawnglade/policy"
 )
 
@@ -24,10 +24,10 @@
 	return following.New(following.Settings[entry]{Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, Silence: set.SilenceNs, Before: n.state.version(),
 		Clock: n.clock.now, Log: n.log, Caught: n.caught, Tell: n.goBy, Watch: func(on bool) { n.discovery.pause(!on) },
 		Entry: func(in endpointlist.Entry) (entry, error) { return entryOf(in, n.settings.Zones) },
-		Of: func(e entry) sources.Server[entry] {
-			return sources.Server[entry]{Name: e.name, State: sources.State(e.State), Started: e.Started, Value: e}
+		Of: func(e entry) endpointsource.Server[entry] {
+			return endpointsource.Server[entry]{Name: e.name, State: endpointsource.State(e.State), Started: e.Started, Value: e}
 		},
-		As:     func(e entry, s sources.State) entry { e.State = policy.State(s); return e },
+		As:     func(e entry, s endpointsource.State) entry { e.State = policy.State(s); return e },
 		Stands: func() bool { return n.discovery.word.Load() != 0 },
 		Passed: func(records int) { n.counters[listLinesPassedOver].Add(int64(records)) }})
 }
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -19,9 +19,9 @@
 	"go.uber.org/zap"
 
 	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointsource"
 	"fawnglade/internal/features"
 	"fawnglade/internal/relay"
-	"fawnglade/internal/sources"
 	"fawnglade/policy"
 )
 
@@ -185,7 +185,7 @@
 }
 
 func TestStatesOfServersAreTheSameEverywhere(t *testing.T) {
-	for here, there := range map[policy.State]sources.State{policy.Active: sources.Up, policy.Draining: sources.Draining, policy.Gone: sources.Gone} {
+	for here, there := range map[policy.State]endpointsource.State{policy.Active: endpointsource.Up, policy.Draining: endpointsource.Draining, policy.Gone: endpointsource.Gone} {
 		if policy.State(there) != here {
 			t.Errorf("%v and %v differ, and are turned into one another", here, there)
 		}
