--- a/internal/node/distribution.go
+++ b/internal/node/distribution.go
@@ -1,6 +1,6 @@
 package node
 
-// This file owns the shell of the list by relays' word. Who is followed and which teller's list holds is internal/following's. It must
+// This file owns the shell of the list by relays' word. Who is followed and which teller's list holds is internal/subscription's. It must
 // never have the loop go by a list but by the way that discovery's own takes.
 
 import (
@@ -8,12 +8,12 @@
 
 	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/endpointsource"
-	"fawnglade/internal/following"
+	"fawnglade/internal/subscription"
 	"fawnglade/policy"
 )
 
 // relayed is nil where no relays are followed.
-type relayed = following.Following[entry]
+type relayed = subscription.Following[entry]
 
 func newRelayed(n *Node) (*relayed, error) {
 	if n.config.features == nil || n.config.features.Distribution == nil {
@@ -21,7 +21,7 @@
 	}
 	set := n.config.features.Distribution
 	n.discovery.pause(true) // until there is no word of a relay
-	return following.New(following.Settings[entry]{Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, Silence: set.SilenceNs, Before: n.state.version(),
+	return subscription.New(subscription.Settings[entry]{Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, Silence: set.SilenceNs, Before: n.state.version(),
 		Clock: n.clock.now, Log: n.log, Caught: n.caught, Tell: n.goBy, Watch: func(on bool) { n.discovery.pause(!on) },
 		Entry: func(in endpointlist.Entry) (entry, error) { return entryOf(in, n.settings.Zones) },
 		Of: func(e entry) endpointsource.Server[entry] {
--- a/internal/following/following.go
+++ b/internal/subscription/subscription.go
@@ -1,7 +1,7 @@
-// Package following has a node go by relays, and by its own watch of discovery where they fail it: the client, the subscriber and the
+// Package subscription has a node go by relays, and by its own watch of discovery where they fail it: the client, the subscriber and the
 // choice between the two, for a node that says how entries are read and what is done with them. It must never hold up the data
 // path: it has one goroutine of its own beside the client's, and costs the relays' word, never service, when it fails.
-package following
+package subscription
 
 import (
 	"context"
--- a/internal/following/following_test.go
+++ b/internal/subscription/subscription_test.go
@@ -1,4 +1,4 @@
-package following
+package subscription
 
 import (
 	"context"
