--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -11,21 +11,21 @@
 	"runtime"
 	"time"
 
-	"fawnglade/internal/memory"
+	"fawnglade/internal/nodestate"
 	"fawnglade/internal/store"
 )
 
-func remembered(from, n int) []memory.Server {
-	out := make([]memory.Server, n)
+func remembered(from, n int) []nodestate.Server {
+	out := make([]nodestate.Server, n)
 	for k := range out {
 		i := from + k
-		out[k] = memory.Server{Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
+		out[k] = nodestate.Server{Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
 			Zone: fmt.Sprintf("z%02d", i%31), Pod: i / 40, Weight: 1, Started: 1_700_000_000e9 + int64(i)}
 	}
 	return out
 }
 
-func write(to *store.Store, m *memory.Memory) error {
+func write(to *store.Store, m *nodestate.Memory) error {
 	var b store.Batch
 	for _, c := range m.Changes() {
 		if c.Value == nil {
@@ -37,7 +37,7 @@
 	return to.Apply(&b)
 }
 
-func empty() *memory.Memory { return memory.Read(func(func(string, []byte)) {}) }
+func empty() *nodestate.Memory { return nodestate.Read(func(func(string, []byte)) {}) }
 
 func diskProbe() Probe {
 	return Probe{
@@ -78,11 +78,11 @@
 	}()
 	// A memory takes MostServers; so many of them as it takes stand in one store, so that the store at least is seen at every size.
 	n, now := int(size), time.Now().UnixNano()
-	parts := []*memory.Memory(nil)
+	parts := []*nodestate.Memory(nil)
 	before := inUse()
-	for from := 0; from < n; from += memory.MostServers {
+	for from := 0; from < n; from += nodestate.MostServers {
 		m := empty()
-		m.Listed(now, remembered(from, min(memory.MostServers, n-from)), 1, false)
+		m.Listed(now, remembered(from, min(nodestate.MostServers, n-from)), 1, false)
 		parts = append(parts, m)
 	}
 	v["memory"] = inUse() - before
@@ -99,7 +99,7 @@
 	}
 	v["written"] = time.Since(began).Seconds()
 	v["bytes"] = onDisk(path)
-	first := remembered(0, min(memory.MostServers, n))
+	first := remembered(0, min(nodestate.MostServers, n))
 	whole := remembered(0, n)
 	v["listed"] = spent(func() { parts[0].Listed(now, whole, 2, true) })
 	changes := 50
@@ -109,8 +109,8 @@
 	v["change"] = 1e3 * spent(func() {
 		for i := range changes {
 			one := first[i%len(first)]
-			one.State = memory.Draining
-			parts[0].Listed(now, []memory.Server{one}, int64(10+i), false)
+			one.State = nodestate.Draining
+			parts[0].Listed(now, []nodestate.Server{one}, int64(10+i), false)
 			if err == nil {
 				err = write(at, parts[0])
 			}
@@ -125,12 +125,12 @@
 	}
 	at, parts, first = nil, nil, nil
 	before, began = inUse(), time.Now()
-	var found *memory.Memory
+	var found *nodestate.Memory
 	v["open"] = spent(func() {
 		if at, _, err = store.Open(path, store.Options{}); err != nil {
 			return
 		}
-		found = memory.Read(func(each func(string, []byte)) {
+		found = nodestate.Read(func(each func(string, []byte)) {
 			snap := at.Snapshot()
 			defer snap.Release()
 			err = snap.Each("", func(key string, value []byte) bool { each(key, value); return true })
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -1,7 +1,7 @@
 package node
 
 // This file owns the shell of the memory: the store under it, the writing beside all else, and the start from what it holds. What is
-// trusted is internal/memory's. A disk that is full, hangs or lies must cost memory, never service: nobody waits for it but the
+// trusted is internal/nodestate's. A disk that is full, hangs or lies must cost memory, never service: nobody waits for it but the
 // start, and that for openWithin at most.
 
 import (
@@ -18,7 +18,7 @@
 
 	"fawnglade/internal/estimates"
 	"fawnglade/internal/members"
-	"fawnglade/internal/memory"
+	"fawnglade/internal/nodestate"
 	"fawnglade/internal/store"
 	"fawnglade/policy"
 )
@@ -37,8 +37,8 @@
 	dir  string
 
 	mu     sync.Mutex
-	memory *memory.Memory
-	start  memory.Trusted
+	memory *nodestate.Memory
+	start  nodestate.Trusted
 	found  *store.Store // as it was opened; nil: it was not. Of run alone
 	kick   chan struct{}
 	over   chan struct{}
@@ -57,7 +57,7 @@
 	s := &state{node: n, dir: filepath.Join(n.config.state, storeDir), kick: make(chan struct{}, 1), over: make(chan struct{}), done: make(chan struct{})}
 	type opened struct {
 		store  *store.Store
-		memory *memory.Memory
+		memory *nodestate.Memory
 		err    error
 	}
 	came := make(chan opened, 1)
@@ -78,7 +78,7 @@
 	}
 	if o.err != nil {
 		s.complain("no memory of before", o.err)
-		o.memory = memory.Read(func(func(string, []byte)) {})
+		o.memory = nodestate.Read(func(func(string, []byte)) {})
 	}
 	now := n.clock.now()
 	s.memory = o.memory
@@ -97,7 +97,7 @@
 	}
 }
 
-func (s *state) open() (*store.Store, *memory.Memory, error) {
+func (s *state) open() (*store.Store, *nodestate.Memory, error) {
 	files, err := s.node.config.files(s.dir, true)
 	if err != nil {
 		return nil, nil, err
@@ -110,7 +110,7 @@
 		s.node.log.Warn("memory: a tail that a crash had cut off was dropped", zap.Int64("bytes", recovery.Dropped))
 	}
 	var failed error
-	m := memory.Read(func(each func(string, []byte)) {
+	m := nodestate.Read(func(each func(string, []byte)) {
 		snap := at.Snapshot()
 		defer snap.Release()
 		failed = snap.Each("", func(key string, value []byte) bool { each(key, value); return true })
@@ -154,7 +154,7 @@
 			if at != nil {
 				continue
 			}
-			var found *memory.Memory
+			var found *nodestate.Memory
 			var err error
 			if at, found, err = s.open(); err != nil {
 				s.complain("still not open", err)
@@ -291,14 +291,14 @@
 	if s == nil {
 		return entries
 	}
-	out := s.lay(entries, version, func(lines []memory.Server) { s.memory.Listed(s.node.clock.now(), lines, version, whole) })
+	out := s.lay(entries, version, func(lines []nodestate.Server) { s.memory.Listed(s.node.clock.now(), lines, version, whole) })
 	s.poke()
 	return out
 }
 
 // lay lays what is remembered over lines of a list, and has something done with them as they then are.
-func (s *state) lay(entries []entry, version int64, do func([]memory.Server)) []entry {
-	return s.layBy(entries, do, func(lines []memory.Server) []memory.Server { return s.memory.Over(lines, version) })
+func (s *state) lay(entries []entry, version int64, do func([]nodestate.Server)) []entry {
+	return s.layBy(entries, do, func(lines []nodestate.Server) []nodestate.Server { return s.memory.Over(lines, version) })
 }
 
 // overOthers lays what is remembered over what another node has told.
@@ -306,14 +306,14 @@
 	if s == nil {
 		return entries
 	}
-	return s.layBy(entries, nil, func(lines []memory.Server) []memory.Server { return s.memory.OverOthers(lines, version) })
+	return s.layBy(entries, nil, func(lines []nodestate.Server) []nodestate.Server { return s.memory.OverOthers(lines, version) })
 }
 
-func (s *state) layBy(entries []entry, do func([]memory.Server), by func([]memory.Server) []memory.Server) []entry {
-	lines := make([]memory.Server, len(entries))
+func (s *state) layBy(entries []entry, do func([]nodestate.Server), by func([]nodestate.Server) []nodestate.Server) []entry {
+	lines := make([]nodestate.Server, len(entries))
 	for i, e := range entries {
-		lines[i] = memory.Server{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight, Started: e.Started,
-			State: [...]memory.State{policy.Active: memory.Up, policy.Draining: memory.Draining, policy.Gone: memory.Removed}[e.State]}
+		lines[i] = nodestate.Server{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight, Started: e.Started,
+			State: [...]nodestate.State{policy.Active: nodestate.Up, policy.Draining: nodestate.Draining, policy.Gone: nodestate.Removed}[e.State]}
 	}
 	s.mu.Lock()
 	over := by(lines)
@@ -330,11 +330,11 @@
 	return out
 }
 
-func stateOf(m memory.State) policy.State {
-	return [...]policy.State{memory.Up: policy.Active, memory.Draining: policy.Draining, memory.Removed: policy.Gone}[m]
+func stateOf(m nodestate.State) policy.State {
+	return [...]policy.State{nodestate.Up: policy.Active, nodestate.Draining: policy.Draining, nodestate.Removed: policy.Gone}[m]
 }
 
-func (n *Node) entriesOf(servers []memory.Server) []entry {
+func (n *Node) entriesOf(servers []nodestate.Server) []entry {
 	out := make([]entry, len(servers))
 	for i, m := range servers {
 		out[i] = entry{name: m.Name, address: m.Address, Listed: policy.Listed{Server: serverID(m.Name), Zone: zoneOf(m.Zone, n.settings.Zones),
--- a/internal/memory/memory.go
+++ b/internal/nodestate/nodestate.go
@@ -1,4 +1,4 @@
-// Package memory owns what a node keeps between its lives, and what of it is trusted at the next start. It has no I/O, no clock and
+// Package nodestate owns what a node keeps between its lives, and what of it is trusted at the next start. It has no I/O, no clock and
 // no goroutine: it is handed what a store held and the time, and says what is to be written. It must never make a thing younger than
 // it is, take a word of before for one of a later start, or put a server back that was told to drain.
 //
@@ -11,7 +11,7 @@
 //   - What was learned counts for half with each HalfLife of its age; what is learned of one start of a server says nothing of the next.
 //   - Where the clock is behind the last moment of this memory every age is unknown, and nothing learned counts.
 //   - Where others knew a later start of this node than this memory does, it is an older copy: the list goes before all it says.
-package memory
+package nodestate
 
 import (
 	"cmp"
--- a/internal/memory/memory_test.go
+++ b/internal/nodestate/nodestate_test.go
@@ -1,4 +1,4 @@
-package memory
+package nodestate
 
 import (
 	"fmt"
