--- a/internal/report/report.go
+++ b/internal/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package report owns the form in which a server tells its load. It must never take for a load what can't be one.
-package report
+// Package loadreport owns the form in which a server tells its load. It must never take for a load what can't be one.
+package loadreport
 
 import (
 	"math"
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"fawnglade/internal/endpointlist"
-	"fawnglade/internal/report"
+	"fawnglade/internal/loadreport"
 	"fawnglade/policy"
 )
 
@@ -107,7 +107,7 @@
 	return policy.Error
 }
 
-func reportOf(text string) policy.Report { return report.Parse(text) }
+func reportOf(text string) policy.Report { return loadreport.Parse(text) }
 
 // entry is one server of the list, with the address that this node is to use for it.
 type entry struct {
