--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 
 	"fawnglade/internal/estimates"
-	"fawnglade/internal/timers"
+	"fawnglade/internal/timerqueue"
 	"fawnglade/policy"
 )
 
@@ -43,7 +43,7 @@
 	policy *policy.Policy
 	events chan func()
 	now    int64
-	timers timers.Queue
+	timers timerqueue.Queue
 	tasks  map[policy.TaskID]*exchange
 	fleet  map[policy.ServerID]listedAs
 	over   bool // the process is about to end
--- a/internal/timers/timers.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package timers is a queue of what is to be done when. It has no clock: times are told. It must never give what is not due.
-package timers
+// Package timerqueue is a queue of what is to be done when. It has no clock: times are told. It must never give what is not due.
+package timerqueue
 
 import "container/heap"
 
--- a/internal/timers/timers_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -1,4 +1,4 @@
-package timers
+package timerqueue
 
 import (
 	"math/rand/v2"
