--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -4,9 +4,9 @@
 import (
 	"os"
 
-	"fawnglade/internal/benchwire"
+	"fawnglade/internal/simadapter"
 )
 
 func main() {
-	os.Exit(benchwire.Run(os.Stdin, os.Stdout, os.Stderr))
+	os.Exit(simadapter.Run(os.Stdin, os.Stdout, os.Stderr))
 }
--- a/internal/benchwire/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simadapter
 
 import (
 	"encoding/base64"
--- a/internal/benchwire/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,6 +1,6 @@
-// Package benchwire speaks the bench's wire for many independent instances of the decision module.
+// Package simadapter speaks the bench's wire for many independent instances of the decision module.
 // Wire words, microseconds and list numbers end here.
-package benchwire
+package simadapter
 
 import (
 	"bufio"
--- a/internal/benchwire/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simadapter
 
 import (
 	"bytes"
