--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -33,7 +33,7 @@
 	mostLong  = 4 * time.Second // between calls for a list that can't be held: each costs discovery all of it
 )
 
-type discovery struct {
+type endpointWatch struct {
 	node    *Node
 	version int64
 	of      string // the address that told the version
@@ -54,8 +54,8 @@
 	paused  bool // relays tell the list
 }
 
-func newDiscovery(n *Node) *discovery {
-	d := &discovery{node: n, address: n.config.Discovery, calls: make(chan struct{}, 1), silence: listSilence, head: listHead,
+func newEndpointWatch(n *Node) *endpointWatch {
+	d := &endpointWatch{node: n, address: n.config.Discovery, calls: make(chan struct{}, 1), silence: listSilence, head: listHead,
 		wait: longestWait, heard: make(chan struct{})}
 	if within := time.Duration(n.settings.StopWithin); within > 0 {
 		d.wait = max(min(d.wait, within/waitPart), leastWait)
@@ -67,7 +67,7 @@
 
 // move leaves the old address for another at once. The version goes with it: what one place has told says nothing of
 // how another counts, so the next call asks for the whole list.
-func (d *discovery) move(address string) {
+func (d *endpointWatch) move(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.address == address {
@@ -77,14 +77,14 @@
 	d.open()
 }
 
-func (d *discovery) where() (string, context.Context) {
+func (d *endpointWatch) where() (string, context.Context) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.address, d.place
 }
 
 // pause leaves the watch while relays tell the list, or takes it up again, after the version that it had.
-func (d *discovery) pause(on bool) {
+func (d *endpointWatch) pause(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.paused = on
@@ -92,7 +92,7 @@
 }
 
 // open leaves the place that was, and calls the one that is, unless relays tell the list.
-func (d *discovery) open() {
+func (d *endpointWatch) open() {
 	if d.leave(); !d.paused {
 		d.place, d.leave = context.WithCancel(context.Background())
 		d.call()
@@ -100,7 +100,7 @@
 }
 
 // call asks for a watch; one that is already asked for is enough.
-func (d *discovery) call() {
+func (d *endpointWatch) call() {
 	select {
 	case d.calls <- struct{}{}:
 	default:
@@ -109,7 +109,7 @@
 
 // run has one watch after another opened. One that stood and fell silent is followed by the next at once: the list that discovery has
 // may count as told whether or not a watch is open.
-func (d *discovery) run() {
+func (d *endpointWatch) run() {
 	if !d.node.settings.Policy.MustAsk {
 		d.call() // the decisions expect to be told unasked
 	}
@@ -161,7 +161,7 @@
 }
 
 // watch follows the list until it ends, and returns why, and whether it had begun.
-func (d *discovery) watch(address string, place context.Context) (stood bool, err error) {
+func (d *endpointWatch) watch(address string, place context.Context) (stood bool, err error) {
 	defer d.node.caught("discovery", func() { err = errors.New("panic") })
 	if d.of != address {
 		d.of, d.version = address, 0
@@ -191,7 +191,7 @@
 }
 
 // line takes in one line of the watch.
-func (d *discovery) line(entries []entry, l endpointlist.Line) {
+func (d *endpointWatch) line(entries []entry, l endpointlist.Line) {
 	d.version = l.Version
 	d.node.counters.add(listLines)
 	if d.long > 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -193,7 +193,7 @@
 	loop      *loop
 	clients   *clients
 	servers   *servers
-	discovery *discovery
+	discovery *endpointWatch
 	peers     *peers
 	console   *console
 	orders    *orders
@@ -213,7 +213,7 @@
 		categories: indexes(config.decoded.Categories), customers: indexes(config.decoded.Customers)}
 	n.orders = newOrders(n)
 	n.state = openState(n)
-	n.loop, n.servers, n.discovery = newLoop(n), newServers(n), newDiscovery(n)
+	n.loop, n.servers, n.discovery = newLoop(n), newServers(n), newEndpointWatch(n)
 	var err error
 	if n.relayed, err = newRelayed(n); err != nil {
 		return nil, err
