--- a/internal/discover/call.go
+++ b/internal/discovery/call.go
@@ -1,4 +1,4 @@
-package discover
+package discovery
 
 // This file owns the connections of the calls for one watch, and the one that is answered. It must never read what the watch says, nor
 // call again once every call has ended: when is for the caller to know.
--- a/internal/discover/pace.go
+++ b/internal/discovery/pace.go
@@ -1,5 +1,5 @@
-// Package discover decides when a node calls discovery while no watch of the list stands.
-package discover
+// Package discovery decides when a node calls discovery while no watch of the list stands.
+package discovery
 
 // This file owns the pace of the calls that are out for one watch: when a further one is opened beside one that waits, and in whose
 // place. It must never have more than two out, nor give up the call that waits longest while there is reason to think that discovery
--- a/internal/discover/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -1,4 +1,4 @@
-package discover
+package discovery
 
 // This file owns the tests of the pace of calls, in a time of its own.
 
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -1,7 +1,7 @@
 package node
 
 // This file owns the watch of the list: it opens one anew that falls silent, calls again when told to and moves when its address does.
-// The calls that are out for a watch are internal/discover's, the form of a list internal/endpointlist's. It must never decide when to call after a call has failed, but for the longest that the page allows;
+// The calls that are out for a watch are internal/discovery's, the form of a list internal/endpointlist's. It must never decide when to call after a call has failed, but for the longest that the page allows;
 // where nobody asks for calls it makes them by itself.
 
 import (
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"fawnglade/internal/discover"
+	"fawnglade/internal/discovery"
 	"fawnglade/internal/endpointlist"
 )
 
@@ -166,7 +166,7 @@
 	if d.of != address {
 		d.of, d.version = address, 0
 	}
-	how := discover.Call{Address: address, Head: watchHead(address, d.version), Connect: listConnect, First: d.head, Gap: d.head, Again: d.wait,
+	how := discovery.Call{Address: address, Head: watchHead(address, d.version), Connect: listConnect, First: d.head, Gap: d.head, Again: d.wait,
 		Silence: d.silence, Called: func() { d.node.counters.add(listCalls) }, Failed: func() { d.node.counters.add(listCallsFailed) },
 		Said: func() { d.word.Store(d.node.clock.now()) }}
 	if d.anew {
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -13,7 +13,7 @@
 
 	"go.uber.org/zap"
 
-	"fawnglade/internal/discover"
+	"fawnglade/internal/discovery"
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/endpointlist"
 )
@@ -66,7 +66,7 @@
 
 // once opens a watch and follows it until it ends; it tells whether a line came.
 func (w *watch) once(ctx context.Context) (stood bool, err error) {
-	how := discover.Call{Address: w.address, Head: fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address),
+	how := discovery.Call{Address: w.address, Head: fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address),
 		Connect: watchConnect, First: watchHead, Gap: watchHead, Again: leastPause, Silence: w.silence, Called: func() { w.calls.Add(1) },
 		Failed: func() { w.failed.Add(1) }, Said: func() { w.word.Store(w.clock()) }}
 	said, err := how.Answered(ctx)
