--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -20,8 +20,8 @@
 	"go.uber.org/zap/zapcore"
 
 	"fawnglade/internal/lab/baseline"
+	"fawnglade/internal/lab/emulator"
 	"fawnglade/internal/lab/result"
-	"fawnglade/internal/lab/rig"
 	"fawnglade/internal/lab/scenario"
 )
 
@@ -55,12 +55,12 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, k := range append([]string{relayKind}, rig.PlainKinds...) {
+		for _, k := range append([]string{relayKind}, emulator.PlainKinds...) {
 			if k == kind {
 				return []string{self, "proxy", "--kind", kind}, nil
 			}
 		}
-		return nil, fmt.Errorf("%s: expected plain: and one of %s", text, strings.Join(rig.PlainKinds, ", "))
+		return nil, fmt.Errorf("%s: expected plain: and one of %s", text, strings.Join(emulator.PlainKinds, ", "))
 	}
 	words := strings.Fields(text)
 	if len(words) == 0 {
@@ -106,14 +106,14 @@
 
 // once plays one scenario once.
 func once(ctx context.Context, s *scenario.Scenario, seed uint64, node []string, out string, verbose bool) (*result.Result, error) {
-	o := rig.Options{Scenario: s, Seed: seed, Start: rig.Command(node), Out: out, Log: logger(verbose)}
+	o := emulator.Options{Scenario: s, Seed: seed, Start: emulator.Command(node), Out: out, Log: logger(verbose)}
 	if terminal(os.Stderr) {
 		o.Progress = func(at, length time.Duration, settled, tasks int) {
 			fmt.Fprintf(os.Stderr, "\r\033[K%s: %.0f of %.0f s, %d of %d tasks settled", s.Name, min(at, length).Seconds(), length.Seconds(), settled, tasks)
 		}
 		defer fmt.Fprint(os.Stderr, "\r\033[K")
 	}
-	record, err := rig.Play(ctx, o)
+	record, err := emulator.Play(ctx, o)
 	if err != nil {
 		return nil, err
 	}
@@ -307,16 +307,16 @@
 // proxy is a plain proxy in a process of its own, to be played around like a node.
 func proxy() *cobra.Command {
 	c := &cobra.Command{Use: "proxy", Short: "Run a plain proxy to measure against", Hidden: true, Args: cobra.NoArgs}
-	kind := c.Flags().String("kind", "random", strings.Join(rig.PlainKinds, ", "))
+	kind := c.Flags().String("kind", "random", strings.Join(emulator.PlainKinds, ", "))
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if *kind == relayKind {
 			go func() {
 				<-c.Context().Done()
 				os.Exit(exitHeld)
 			}()
-			return rig.Relay(os.Getenv("NODE_CONFIG"))
+			return emulator.Relay(os.Getenv("NODE_CONFIG"))
 		}
-		p, err := rig.NewPlain(os.Getenv("NODE_CONFIG"), *kind, "")
+		p, err := emulator.NewPlain(os.Getenv("NODE_CONFIG"), *kind, "")
 		if err != nil {
 			return err
 		}
--- a/cmd/fawnglade-lab/weigh.go
+++ b/cmd/fawnglade-lab/weigh.go
@@ -16,8 +16,8 @@
 
 	"github.com/spf13/cobra"
 
+	"fawnglade/internal/lab/emulator"
 	"fawnglade/internal/lab/result"
-	"fawnglade/internal/lab/rig"
 	"fawnglade/internal/lab/scenario"
 )
 
@@ -27,7 +27,7 @@
 		Short: "Play two builds on the same seeds in turn and tell how they differ",
 		Long: `Play two builds on the same seeds in turn and tell how they differ.
 
-A build is a command or the path of a node's program, or a built-in plain proxy: ` + "plain:" + strings.Join(rig.PlainKinds, ", plain:") + `.
+A build is a command or the path of a node's program, or a built-in plain proxy: ` + "plain:" + strings.Join(emulator.PlainKinds, ", plain:") + `.
 Which of the two goes first changes with each pair.`,
 		Example: "  fawnglade-lab compare lab/scenarios/slow.toml --a plain:random --b bin/fawnglade --pairs 5\n" +
 			"  fawnglade-lab compare lab/scenarios/calm.toml --a old/fawnglade --b bin/fawnglade --json\n" +
@@ -199,7 +199,7 @@
 				return err
 			}
 			before := ownCPU()
-			record, err := rig.Play(c.Context(), rig.Options{Scenario: s, Seed: 1, Direct: true})
+			record, err := emulator.Play(c.Context(), emulator.Options{Scenario: s, Seed: 1, Direct: true})
 			if err != nil {
 				return err
 			}
--- a/internal/lab/rig/bad.go
+++ b/internal/lab/emulator/bad.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns clients that do not keep to the protocol. Each is owed an error or the connection's end within a
 // time; it must never be served.
--- a/internal/lab/rig/client.go
+++ b/internal/lab/emulator/client.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns the clients and the front: tasks go out when they are due whether or not earlier ones have come back,
 // over connections that are kept, to the nodes that the front believes in. Times count from the moment a task was due.
--- a/internal/lab/rig/day.go
+++ b/internal/lab/emulator/day.go
@@ -1,6 +1,6 @@
-// Package rig plays a day on sockets in real time: servers, discovery, clients and faults around real nodes. It must
+// Package emulator plays a day on sockets in real time: servers, discovery, clients and faults around real nodes. It must
 // never send a byte to any address but those in 127.0.0.0/8, and must leave no process and no socket behind.
-package rig
+package emulator
 
 import (
 	"context"
--- a/internal/lab/rig/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns discovery on sockets: calls that are worked through in turn, the whole list, watches, going down and
 // moving. What it lists and since when is the roster's; it must never tell a node what the roster does not hold.
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 import (
 	"bufio"
--- a/internal/lab/rig/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns what each kind of fault does, and when it ends. Who is hit and when is the plan's; it must never draw.
 
--- a/internal/lab/rig/gauge.go
+++ b/internal/lab/emulator/gauge.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns the measure of how late the rig itself runs. It must never be steered by what it measures: a machine
 // that is short of time makes a day void, not a node guilty.
--- a/internal/lab/rig/machine.go
+++ b/internal/lab/emulator/machine.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns servers on sockets: a door for each node, connections, delays of the network, and what a fault makes
 // of an answer. What a server can do and when work ends is the model's; it must never be decided here.
--- a/internal/lab/rig/names.go
+++ b/internal/lab/emulator/names.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns every name that the rig puts on a socket or reads from one: headers, paths, fields of the list and of
 // the configuration. It is written from the protocol's page, not taken from the node, so that neither covers up the
--- a/internal/lab/rig/node.go
+++ b/internal/lab/emulator/node.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns the nodes of a day: their configuration, their processes, and what a fault does to them. It must never
 // leave a process behind, nor read what a node says of itself for anything but to show it.
--- a/internal/lab/rig/plain.go
+++ b/internal/lab/emulator/plain.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns the plain proxies that a node is measured against: they pick a server in one well-known way and keep
 // to the rules. A way of misbehaving can be set, so that the ledger can be shown to see it. No node may ever use them.
--- a/internal/lab/rig/relay.go
+++ b/internal/lab/emulator/relay.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns a relay that reads nothing: each client's connection is joined to one of a server's. It is what passing
 // bytes on costs at the least, to set a node's cost against. It must never be taken for a proxy: it keeps no rule.
--- a/internal/lab/rig/ways.go
+++ b/internal/lab/emulator/ways.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns what stands between the parts of a day on sockets: relays for messages between nodes, and for streams where the day
 // troubles them, and the asking of nodes what they believe. It must never put a relay where no fault needs one, so that the days
--- a/internal/lab/rig/wire.go
+++ b/internal/lab/emulator/wire.go
@@ -1,4 +1,4 @@
-package rig
+package emulator
 
 // This file owns reading HTTP/1.1 messages in the rig. It is lean, since the rig shares the machine with what it
 // measures, and strict: what it cannot read is told as such. It must never guess at a length.
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
+	"fawnglade/internal/lab/emulator"
 	"fawnglade/internal/lab/ledger"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/relay"
-	"fawnglade/internal/lab/rig"
 )
 
 // Who is who on the ways: nodes from 0, then these.
@@ -40,7 +40,7 @@
 	ways  map[[2]int]*relay.Stream
 	files map[string]string // configurations
 	addr  map[string]string
-	procs map[string]rig.Proc
+	procs map[string]emulator.Proc
 	book  *ledger.Ledger
 	from  time.Time
 
@@ -83,7 +83,7 @@
 func newRelayed(t *testing.T, plain bool) *relayed {
 	t.Helper()
 	r := &relayed{Processes: processes(t, 3), t: t, ways: map[[2]int]*relay.Stream{}, files: map[string]string{}, addr: map[string]string{},
-		procs: map[string]rig.Proc{}, book: &ledger.Ledger{}, open: map[handOff]*ledger.HandOff{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{}}
+		procs: map[string]emulator.Proc{}, book: &ledger.Ledger{}, open: map[handOff]*ledger.HandOff{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{}}
 	for i := range r.plain {
 		r.state[i] = "up"
 	}
@@ -156,7 +156,7 @@
 
 // begin starts a relay or the origin, with nothing.
 func (r *relayed) begin(name string) {
-	proc, err := rig.Command([]string{r.Program[0], "relay", "--config", r.files[name]})("", nil, r.Log)
+	proc, err := emulator.Command([]string{r.Program[0], "relay", "--config", r.files[name]})("", nil, r.Log)
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -19,9 +19,9 @@
 	"syscall"
 	"time"
 
+	"fawnglade/internal/lab/emulator"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/relay"
-	"fawnglade/internal/lab/rig"
 	"fawnglade/internal/members"
 )
 
@@ -61,7 +61,7 @@
 	fleet  *Processes
 	index  int
 	mu     sync.Mutex
-	lives  []rig.Proc // all that run under this name, the last started last
+	lives  []emulator.Proc // all that run under this name, the last started last
 	starts int
 	held   bool
 }
@@ -188,7 +188,7 @@
 	if p.State {
 		env = append(env, "NODE_STATE="+p.StateDir(node))
 	}
-	proc, err := rig.Command(p.Program)("", env, p.Log)
+	proc, err := emulator.Command(p.Program)("", env, p.Log)
 	if err == nil {
 		n.lives, n.held = append(n.lives, proc), false
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -19,8 +19,8 @@
 
 	"go.uber.org/zap"
 
+	"fawnglade/internal/lab/emulator"
 	"fawnglade/internal/lab/fleet"
-	"fawnglade/internal/lab/rig"
 	"fawnglade/internal/node"
 )
 
@@ -126,7 +126,7 @@
 	}
 	read, write := io.Pipe()
 	p := &process{began: time.Now()}
-	if p.Proc, err = rig.Command(append(append([]string(nil), e.Hollow...), path))("", []string{"TMPDIR=" + f.Dir}, write); err != nil {
+	if p.Proc, err = emulator.Command(append(append([]string(nil), e.Hollow...), path))("", []string{"TMPDIR=" + f.Dir}, write); err != nil {
 		return nil, err
 	}
 	said := make(chan string, 1)
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
+	"fawnglade/internal/lab/emulator"
 	"fawnglade/internal/lab/fleet"
-	"fawnglade/internal/lab/rig"
 )
 
 // nodeSettings are those of one node of a large fleet, with its zones.
@@ -44,7 +44,7 @@
 
 // process is one real node.
 type process struct {
-	rig.Proc
+	emulator.Proc
 	console string
 	began   time.Time
 }
@@ -71,7 +71,7 @@
 	defer log.Close()
 	env := []string{"NODE_CONFIG=" + config, "NODE_FEATURES=" + features, "NODE_STATE=" + state, "NODE_CONSOLE=", "TMPDIR=" + dir}
 	p.began = time.Now()
-	p.Proc, err = rig.Command(e.Node)("", env, io.Writer(log))
+	p.Proc, err = emulator.Command(e.Node)("", env, io.Writer(log))
 	return p, err
 }
 
--- a/internal/lab/tree/processes.go
+++ b/internal/lab/tree/processes.go
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"fawnglade/internal/lab/rig"
+	"fawnglade/internal/lab/emulator"
 )
 
 // Programs are the commands of the processes.
@@ -34,9 +34,9 @@
 	address string
 	config  string
 	log     *os.File
-	read    int64    // of the log
-	proc    rig.Proc // nil: none runs
-	held    bool     // by a signal
+	read    int64         // of the log
+	proc    emulator.Proc // nil: none runs
+	held    bool          // by a signal
 }
 
 type processes struct {
@@ -182,7 +182,7 @@
 func (p *processes) start(r *relayProcess) (err error) {
 	for try := 0; try < mostTries; try++ {
 		words := append(append([]string(nil), p.programs.Relay...), "--config", r.config)
-		if r.proc, err = rig.Command(words)("", nil, r.log); err != nil {
+		if r.proc, err = emulator.Command(words)("", nil, r.log); err != nil {
 			r.proc = nil
 			return err
 		}
