--- a/cmd/fawnglade-lab/virtual.go
+++ b/cmd/fawnglade-lab/virtual.go
@@ -14,16 +14,16 @@
 	"fawnglade/internal/lab/baseline"
 	"fawnglade/internal/lab/result"
 	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/world"
+	"fawnglade/internal/lab/simulation"
 )
 
 // moduleName is what the project's own decisions are called.
 const moduleName = "fawnglade"
 
 // makerOf finds what decides by its name.
-func makerOf(name string) (world.Maker, error) {
+func makerOf(name string) (simulation.Maker, error) {
 	if name == "" || name == moduleName {
-		return world.Module, nil
+		return simulation.Module, nil
 	}
 	if _, known := baseline.Kinds[name]; !known {
 		return nil, fmt.Errorf("--by %s: expected %s or one of %s", name, moduleName, strings.Join(baseline.Names(), ", "))
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	played, err := world.Play(ctx, world.Options{Scenario: s, Seed: seed, Maker: maker})
+	played, err := simulation.Play(ctx, simulation.Options{Scenario: s, Seed: seed, Maker: maker})
 	if err != nil {
 		return nil, fmt.Errorf("%s, seed %d, %s: %w", s.Name, seed, by, err)
 	}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -8,7 +8,7 @@
 	"slices"
 	"sort"
 
-	"fawnglade/internal/lab/world"
+	"fawnglade/internal/lab/simulation"
 	"fawnglade/internal/rendezvous"
 	"fawnglade/policy"
 )
@@ -81,7 +81,7 @@
 	node    int
 	set     policy.Settings
 	host    policy.Host
-	see     world.Truth
+	see     simulation.Truth
 	draw    *rand.Rand
 	turn    int
 	servers []*server
@@ -100,8 +100,8 @@
 }
 
 // New makes a maker of deciders of a kind.
-func New(kind string) world.Maker {
-	return func(node int, set policy.Settings, seed uint64, host policy.Host, see world.Truth) world.Decider {
+func New(kind string) simulation.Maker {
+	return func(node int, set policy.Settings, seed uint64, host policy.Host, see simulation.Truth) simulation.Decider {
 		return &Plain{kind: kind, node: node, set: set, host: host, see: see, draw: rand.New(rand.NewPCG(seed, 5)), turn: int(seed % 7919),
 			byID: map[policy.ServerID]*server{}, tasks: map[policy.TaskID]*task{}, work: slices.Repeat([]float64{20e6}, len(set.Categories))}
 	}
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -6,7 +6,7 @@
 
 	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/world"
+	"fawnglade/internal/lab/simulation"
 )
 
 // Every baseline has to keep the rules, or comparing with it says nothing, and to serve a calm day.
@@ -17,7 +17,7 @@
 			t.Fatal(err)
 		}
 		for _, kind := range Names() {
-			r, err := world.Play(context.Background(), world.Options{Scenario: s, Seed: 3, Maker: New(kind)})
+			r, err := simulation.Play(context.Background(), simulation.Options{Scenario: s, Seed: 3, Maker: New(kind)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -45,7 +45,7 @@
 	}
 	inTime := map[string]int{}
 	for _, kind := range []string{"all-seeing", "late-seeing", "hot-cold", "random"} {
-		r, err := world.Play(context.Background(), world.Options{Scenario: s, Seed: 3, Maker: New(kind)})
+		r, err := simulation.Play(context.Background(), simulation.Options{Scenario: s, Seed: 3, Maker: New(kind)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/world/client.go
+++ b/internal/lab/simulation/client.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // This file owns the clients and the front: tasks come when they are due, to the nodes that the front believes in, and are sent
 // again as clients do. It must never hold a task back because an earlier one has not come back.
--- a/internal/lab/world/clock.go
+++ b/internal/lab/simulation/clock.go
@@ -1,7 +1,7 @@
-// Package world plays a day in virtual time: the lab's models of servers, discovery, network, clients and faults around real
+// Package simulation plays a day in virtual time: the lab's models of servers, discovery, network, clients and faults around real
 // instances of the decisions, one to a node, as a sequence of events. It must never read a clock, start a goroutine or let the
 // order of a map reach what happens: the same scenario and seed give the same record, byte for byte, on any number of cores.
-package world
+package simulation
 
 // This file owns time: what is to happen, in order. Two events at one instant happen in the order in which they were asked for.
 
--- a/internal/lab/world/day.go
+++ b/internal/lab/simulation/day.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // This file owns the day as a whole: who takes part, its beginning and its end, and the record that it leaves.
 
--- a/internal/lab/world/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // This file owns discovery and the nodes' following of it: calls that are worked through in turn, watches, going down and moving.
 // What it lists and since when is the roster's; it must never tell a node what the roster does not hold.
--- a/internal/lab/world/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // This file owns what each kind of fault does in virtual time, and when it ends. Who is hit and when is the plan's; it must never
 // draw. Bad clients are not played: what a node does with bytes is for sockets to tell.
--- a/internal/lab/world/hearsay.go
+++ b/internal/lab/simulation/hearsay.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // This file owns the list by others' word in virtual time: the same core as in the node, its loads carried by the members' view. It
 // must never tell a node what no load has brought.
--- a/internal/lab/world/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // This file owns servers: their lives, connections and troubles, and each hand-off at one. What a server can do and when work
 // ends is the model's; it must never be decided here.
--- a/internal/lab/world/node.go
+++ b/internal/lab/simulation/node.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // This file owns a node in virtual time: the decisions' Host, its connections, timers and tasks, and the delays that were
 // measured on sockets. It must never decide anything: what it does by itself is what the real node does by itself.
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"context"
--- a/internal/lab/world/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // This file owns what the day's ways do to messages in virtual time, and the nodes' view of one another: the same core as in the
 // node, its datagrams over the same schedule as on sockets. It must never decide what befalls a message, or what a node believes.
