--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/record"
@@ -35,7 +35,7 @@
 	hard     int64
 	ticket   string
 	id       string
-	rec      *ledger.Try
+	rec      *invariant.Try
 	sentOnce bool // has been written to a connection that turned out to be closed
 	crossed  int64
 }
@@ -88,7 +88,7 @@
 	conn net.Conn
 	in   *reader
 	work chan *try
-	last *ledger.Try // the try whose answer came last, while nothing has been written behind it
+	last *invariant.Try // the try whose answer came last, while nothing has been written behind it
 	text []byte
 }
 
@@ -328,11 +328,11 @@
 	}
 	r.last = nil // what comes from here on is this try's answer, also where nobody waits for it any more
 	now := d.now()
-	rec := &ledger.Try{ID: t.id, Task: t.task.N, Node: r.pool.node.index, Life: life, Category: t.task.Category, Whole: now, Hard: t.hard,
+	rec := &invariant.Try{ID: t.id, Task: t.task.N, Node: r.pool.node.index, Life: life, Category: t.task.Category, Whole: now, Hard: t.hard,
 		From: t.crossed}
 	d.ledger.Sent(rec)
 	until := t.hard + int64(d.scenario.Rules.AnswerGrace) + int64(listenOn)
-	leaves := int64(ledger.Never)
+	leaves := int64(invariant.Never)
 	if t.task.Leaves > 0 {
 		if leaves = t.task.Due + t.task.Leaves; leaves < t.hard {
 			until = leaves
@@ -382,7 +382,7 @@
 }
 
 // answered settles a try that has its answer.
-func (r *rider) answered(t *try, rec *ledger.Try, m *message, now int64) (goesOn bool) {
+func (r *rider) answered(t *try, rec *invariant.Try, m *message, now int64) (goesOn bool) {
 	d := r.pool.side.day
 	size := d.scenario.Load.Body
 	if d.scenario.Categories[t.task.Category].Repeat == "rerunnable" {
--- a/internal/lab/emulator/day.go
+++ b/internal/lab/emulator/day.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/record"
@@ -47,7 +47,7 @@
 	base     int64 // when the day itself began, after its preparation
 	hash     string
 	direct   bool
-	ledger   *ledger.Ledger
+	ledger   *invariant.Ledger
 	gauge    *gauge
 	group    errgroup.Group
 	over     chan struct{}
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	d := &Day{scenario: o.Scenario, plan: plan.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, out: o.Out, t0: time.Now(),
-		ledger: &ledger.Ledger{}, over: make(chan struct{}), oddities: map[string]int{}, memories: map[memoryKey]*sharedMemory{}, holds: map[int]int64{}}
+		ledger: &invariant.Ledger{}, over: make(chan struct{}), oddities: map[string]int{}, memories: map[memoryKey]*sharedMemory{}, holds: map[int]int64{}}
 	if d.log == nil {
 		d.log = zap.NewNop()
 	}
@@ -265,7 +265,7 @@
 	m.mu.Lock()
 	started := m.started
 	m.mu.Unlock()
-	d.ledger.Fell(ledger.Fall{Server: m.spec.Index, Life: life, Started: started, Fall: *f})
+	d.ledger.Fell(invariant.Fall{Server: m.spec.Index, Life: life, Started: started, Fall: *f})
 	d.odd("a cold server was pushed over", m.spec.Name)
 	d.group.Go(func() error { m.stop(); return nil })
 	d.list(m, model.Removed, time.Duration(d.scenario.Discovery.Notice))
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
 )
@@ -30,7 +30,7 @@
 	ever    map[int]bool // servers listed at any time
 	first   [][]byte     // the list of the day's beginning, by node
 	down    bool
-	outage  *ledger.Outage
+	outage  *invariant.Outage
 	slow    float64
 	late    time.Duration // a change of the list shows so much later
 	places  []*place      // by node
@@ -217,27 +217,27 @@
 
 func (s *discovery) fail(k *call) {
 	now := s.day.now()
-	s.day.ledger.Watched(&ledger.Watch{Node: k.node, Life: k.life, From: now, To: now, Failed: true})
+	s.day.ledger.Watched(&invariant.Watch{Node: k.node, Life: k.life, From: now, To: now, Failed: true})
 	io.WriteString(k.conn, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 	reset(k.conn)
 	close(k.answered)
 }
 
 // text puts entries into words for a node, and notes what they tell it.
-func (s *discovery) text(node, life int, version int64, entries []model.Listed, whole bool) ([]byte, []ledger.Told) {
+func (s *discovery) text(node, life int, version int64, entries []model.Listed, whole bool) ([]byte, []invariant.Told) {
 	var lines [][]byte
-	var told []ledger.Told
+	var told []invariant.Told
 	listed := map[int]bool{}
 	for _, e := range entries {
 		m := s.day.machineAt(e.Server)
 		lines = append(lines, entryText(nil, m.spec.Name, m.doors[node].shown, m.spec.Zone, m.spec.Pod, e.Health, e.Started))
-		told = append(told, ledger.Told{Node: node, Life: life, Server: e.Server, Health: e.Health, Started: e.Started})
+		told = append(told, invariant.Told{Node: node, Life: life, Server: e.Server, Health: e.Health, Started: e.Started})
 		listed[e.Server] = true
 	}
 	if whole {
 		for server := range s.ever {
 			if !listed[server] {
-				told = append(told, ledger.Told{Node: node, Life: life, Server: server, Health: model.Removed})
+				told = append(told, invariant.Told{Node: node, Life: life, Server: server, Health: model.Removed})
 			}
 		}
 	}
@@ -245,7 +245,7 @@
 }
 
 // tell notes what has just been written.
-func (s *discovery) tell(told []ledger.Told) {
+func (s *discovery) tell(told []invariant.Told) {
 	now := s.day.now()
 	for i := range told {
 		told[i].At = now
@@ -291,14 +291,14 @@
 	if err == nil {
 		s.tell(told)
 		now := s.day.now()
-		s.day.ledger.Watched(&ledger.Watch{Node: k.node, Life: k.life, From: now, To: now})
+		s.day.ledger.Watched(&invariant.Watch{Node: k.node, Life: k.life, From: now, To: now})
 	}
 	close(k.answered)
 }
 
 // follow serves a watch until its connection ends.
 func (s *discovery) follow(k *call) {
-	w := &ledger.Watch{Node: k.node, Life: k.life, From: s.day.now(), To: ledger.Never}
+	w := &invariant.Watch{Node: k.node, Life: k.life, From: s.day.now(), To: invariant.Never}
 	s.day.ledger.Watched(w)
 	s.mu.Lock()
 	s.watches[k] = struct{}{}
@@ -325,7 +325,7 @@
 		entries, whole := s.roster.After(version)
 		now := s.roster.Version()
 		var text []byte
-		var told []ledger.Told
+		var told []invariant.Told
 		if first || now != version {
 			text, told = s.text(k.node, k.life, now, entries, whole)
 		}
@@ -362,7 +362,7 @@
 		s.roster.Set(l)
 		s.ever[l.Server] = true
 		s.mu.Unlock()
-		s.day.ledger.List(ledger.Listing{Server: l.Server, Health: l.Health, At: s.day.now(), Started: l.Started})
+		s.day.ledger.List(invariant.Listing{Server: l.Server, Health: l.Health, At: s.day.now(), Started: l.Started})
 	}
 	if notice <= 0 {
 		do()
@@ -377,7 +377,7 @@
 	defer s.mu.Unlock()
 	now := s.day.now()
 	if down && !s.down {
-		s.outage = &ledger.Outage{Node: -1, Span: ledger.Span{From: now}}
+		s.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: now}}
 		s.day.ledger.OutOfReach(s.outage)
 	} else if s.down && !down {
 		s.day.ledger.Update(func() { s.outage.To = now })
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/zap"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
@@ -178,7 +178,7 @@
 
 // A server that vanishes in silence: new connections to it never come up, old ones stay silent, and later it is back.
 func TestSevered(t *testing.T) {
-	d := &Day{scenario: parse(t, small), over: make(chan struct{}), ledger: &ledger.Ledger{}, t0: time.Now(), log: zap.NewNop(), oddities: map[string]int{}}
+	d := &Day{scenario: parse(t, small), over: make(chan struct{}), ledger: &invariant.Ledger{}, t0: time.Now(), log: zap.NewNop(), oddities: map[string]int{}}
 	d.nodes = []*node{{day: d}}
 	m := &machine{day: d, fleet: &d.scenario.Fleets[0], kick: make(chan struct{}, 1)}
 	door := &door{m: m, address: "127.0.0.1:0", conns: map[*link]struct{}{}}
@@ -352,7 +352,7 @@
 				<-speak
 				io.WriteString(conn, answer)
 			}()
-			d := &Day{scenario: parse(t, small), t0: time.Now(), ledger: &ledger.Ledger{}, over: make(chan struct{})}
+			d := &Day{scenario: parse(t, small), t0: time.Now(), ledger: &invariant.Ledger{}, over: make(chan struct{})}
 			n := &node{day: d, address: l.Addr().String()}
 			side := &clients{day: d, outcomes: make([]record.Outcome, 2), wake: make(chan struct{}, 1)}
 			r := &rider{pool: &pool{side: side, node: n, all: map[*rider]struct{}{}}}
@@ -382,7 +382,7 @@
 				}
 			}
 			r.close()
-			if got := first.Extra != ledger.Never; got != c.second {
+			if got := first.Extra != invariant.Never; got != c.second {
 				t.Errorf("a second answer: %t", got)
 			}
 		})
--- a/internal/lab/emulator/machine.go
+++ b/internal/lab/emulator/machine.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/plan"
@@ -90,7 +90,7 @@
 // handling is one hand-off at a server.
 type handling struct {
 	link   *link
-	rec    *ledger.HandOff
+	rec    *invariant.HandOff
 	id     int64
 	life   int
 	size   int // of the task's body
@@ -153,7 +153,7 @@
 // warmed hands in what came to the life that ends while it was cold; the lock is held.
 func (m *machine) warmed() {
 	if m.model != nil {
-		m.day.ledger.Warmed(ledger.Cold{Server: m.spec.Index, Life: m.life, Started: m.started, MeanWork: m.model.MeanWork,
+		m.day.ledger.Warmed(invariant.Cold{Server: m.spec.Index, Life: m.life, Started: m.started, MeanWork: m.model.MeanWork,
 			Window: m.model.FallAfter, Pushes: m.model.WhileCold()})
 	}
 }
@@ -394,7 +394,7 @@
 	m := k.door.m
 	now := m.day.now()
 	m.day.ledger.Update(func() {
-		if h.rec.Closed == ledger.Never {
+		if h.rec.Closed == invariant.Never {
 			h.rec.Closed = now
 		}
 	})
@@ -415,7 +415,7 @@
 	m, node := k.door.m, k.door.node
 	now := m.day.now()
 	id := string(msg.get(nameTask))
-	h := &handling{link: k, size: len(msg.body), rec: &ledger.HandOff{Task: id, Node: node, Server: m.spec.Index, Zone: m.spec.Zone,
+	h := &handling{link: k, size: len(msg.body), rec: &invariant.HandOff{Task: id, Node: node, Server: m.spec.Index, Zone: m.spec.Zone,
 		Pod: m.spec.Pod, First: msg.began}}
 	task, try, known := m.day.taskOf(id)
 	if !known {
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -19,7 +19,7 @@
 	"time"
 	"unsafe"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/record"
 )
 
@@ -106,7 +106,7 @@
 
 	mu      sync.Mutex
 	proc    Proc
-	life    *ledger.NodeLife
+	life    *invariant.NodeLife
 	forgets bool // its directory was tampered with since it ended
 	expects bool // its end is the day's own doing
 	in      bool // the front sends to it
@@ -168,7 +168,7 @@
 			n.day.odd("descriptors of a node not limited", err.Error())
 		}
 	}
-	life := &ledger.NodeLife{Node: n.index, Life: number, From: n.day.now(), Remembers: n.day.scenario.Nodes.State && !n.forgets}
+	life := &invariant.NodeLife{Node: n.index, Life: number, From: n.day.now(), Remembers: n.day.scenario.Nodes.State && !n.forgets}
 	n.forgets = false
 	n.day.ledger.Live(life)
 	n.mu.Lock()
@@ -181,7 +181,7 @@
 }
 
 // admit has the front take the node in once it is ready.
-func (n *node) admit(p Proc, life *ledger.NodeLife) {
+func (n *node) admit(p Proc, life *invariant.NodeLife) {
 	for {
 		select {
 		case <-n.day.over:
@@ -214,7 +214,7 @@
 }
 
 // watch sees a life end. The front notices somewhat later.
-func (n *node) watch(p Proc, life *ledger.NodeLife) {
+func (n *node) watch(p Proc, life *invariant.NodeLife) {
 	var gone bool
 	select {
 	case <-p.Done():
@@ -257,7 +257,7 @@
 		return
 	}
 	if excused {
-		n.day.ledger.Excuse(life, ledger.Span{From: n.day.now(), To: ledger.Never})
+		n.day.ledger.Excuse(life, invariant.Span{From: n.day.now(), To: invariant.Never})
 	}
 	p.Signal(s)
 }
@@ -272,7 +272,7 @@
 	}
 	now := n.day.now()
 	// A little longer than it is held, since everything then comes at once.
-	n.day.ledger.Excuse(life, ledger.Span{From: now, To: now + int64(d) + int64(200*time.Millisecond)})
+	n.day.ledger.Excuse(life, invariant.Span{From: now, To: now + int64(d) + int64(200*time.Millisecond)})
 	n.day.later(d, func() { p.Signal(syscall.SIGCONT) })
 }
 
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/relay"
@@ -41,10 +41,10 @@
 	files map[string]string // configurations
 	addr  map[string]string
 	procs map[string]emulator.Proc
-	book  *ledger.Ledger
+	book  *invariant.Ledger
 	from  time.Time
 
-	open map[handOff]*ledger.HandOff // by the ledger's own lock
+	open map[handOff]*invariant.HandOff // by the ledger's own lock
 
 	mu      sync.Mutex
 	asked   [3]int
@@ -83,7 +83,7 @@
 func newRelayed(t *testing.T, plain bool) *relayed {
 	t.Helper()
 	r := &relayed{Processes: processes(t, 3), t: t, ways: map[[2]int]*relay.Stream{}, files: map[string]string{}, addr: map[string]string{},
-		procs: map[string]emulator.Proc{}, book: &ledger.Ledger{}, open: map[handOff]*ledger.HandOff{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{}}
+		procs: map[string]emulator.Proc{}, book: &invariant.Ledger{}, open: map[handOff]*invariant.HandOff{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{}}
 	for i := range r.plain {
 		r.state[i] = "up"
 	}
@@ -124,7 +124,7 @@
 				r.book.Update(func() { r.open[handOff{a.Task, i, a.Came}].Closed = r.at(a.Closed) })
 				return
 			}
-			h := &ledger.HandOff{Task: a.Task, Node: task / perNode, Server: i, Life: 1, Zone: "a"}
+			h := &invariant.HandOff{Task: a.Task, Node: task / perNode, Server: i, Life: 1, Zone: "a"}
 			r.book.Began(h)
 			r.book.Update(func() {
 				r.open[handOff{a.Task, i, a.Came}] = h
@@ -133,7 +133,7 @@
 		})
 	}
 	for i := range 3 {
-		r.book.Live(&ledger.NodeLife{Node: i, Life: 1, From: r.at(time.Now())})
+		r.book.Live(&invariant.NodeLife{Node: i, Life: 1, From: r.at(time.Now())})
 		if err := r.Start(i); err != nil {
 			t.Fatal(err)
 		}
@@ -203,7 +203,7 @@
 func (r *relayed) tell() {
 	for k, all := range r.heard {
 		for i, h := range all {
-			t := ledger.Told{Node: k[0], Life: 1, Server: k[1], Health: model.Up, At: r.at(h.at)}
+			t := invariant.Told{Node: k[0], Life: 1, Server: k[1], Health: model.Up, At: r.at(h.at)}
 			if h.health != "up" {
 				t.Health, t.At = model.Draining, t.At+int64(toldWithin)
 				if i+1 < len(all) && r.at(all[i+1].at) <= t.At {
@@ -236,12 +236,12 @@
 	return func() { close(over); all.Wait() }
 }
 
-var kinds = []ledger.Category{{Name: "view", Repeat: ledger.Rerunnable}, {Name: "pay", Repeat: ledger.Exclusive}}
+var kinds = []invariant.Category{{Name: "view", Repeat: invariant.Rerunnable}, {Name: "pay", Repeat: invariant.Exclusive}}
 
 // ask sends one task and enters what became of it.
 func (r *relayed) ask(node, number, kind int) {
 	now := r.at(time.Now())
-	try := &ledger.Try{ID: fmt.Sprintf("%016x", number), Task: number, Node: node, Life: 1, Category: kind, Whole: now, Hard: now + int64(2*time.Second)}
+	try := &invariant.Try{ID: fmt.Sprintf("%016x", number), Task: number, Node: node, Life: 1, Category: kind, Whole: now, Hard: now + int64(2*time.Second)}
 	r.book.Sent(try)
 	status, err := r.once(node, kinds[kind].Name, try.ID)
 	done := r.at(time.Now())
@@ -349,7 +349,7 @@
 // then stays where it was, and is a second copy.
 func (r *relayed) order(late func(int64) int64) {
 	r.book.Update(func() {
-		of := map[string][]*ledger.HandOff{}
+		of := map[string][]*invariant.HandOff{}
 		for _, h := range r.book.HandOffs {
 			of[h.Task] = append(of[h.Task], h)
 		}
@@ -485,7 +485,7 @@
 		one.order(late)
 		one.tell()
 		one.book.Close()
-		breaks := one.book.Judge(kinds, ledger.Rules{StopSending: int64(500 * time.Millisecond), Slack: int64(50 * time.Millisecond),
+		breaks := one.book.Judge(kinds, invariant.Rules{StopSending: int64(500 * time.Millisecond), Slack: int64(50 * time.Millisecond),
 			Late: late})
 		for _, b := range breaks[:min(5, len(breaks))] {
 			t.Errorf("%s: %d breaks, %s; of the task, %s; the test ran %.0f ms late", name, len(breaks), b, one.story(b.Task),
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package ledger owns what passed on the sockets of a day and judges the four rules by it. It must never hear a word
+// Package invariant owns what passed on the sockets of a day and judges the four rules by it. It must never hear a word
 // from a node: counters and logs of the judged are no evidence. Times are nanoseconds since the day's beginning.
-package ledger
+package invariant
 
 import (
 	"sync"
--- a/internal/lab/ledger/judge.go
+++ b/internal/lab/invariant/judge.go
@@ -1,4 +1,4 @@
-package ledger
+package invariant
 
 // This file owns the judgement of the four rules. It must be able to say no for each of them, and to name task,
 // hand-off, server and moment. What it cannot see for certain counts for the node, what the rules call unknown does not.
--- a/internal/lab/ledger/terms.go
+++ b/internal/lab/invariant/terms.go
@@ -1,4 +1,4 @@
-package ledger
+package invariant
 
 // This file owns the judgement of the standing test's later terms: what counts as told in any case, attempts for clients that have
 // gone, and how soon processes started again are ready. It must never go by what a node says of itself, but that it is ready.
--- a/internal/lab/ledger/terms_test.go
+++ b/internal/lab/invariant/terms_test.go
@@ -1,4 +1,4 @@
-package ledger
+package invariant
 
 import (
 	"strings"
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/scenario"
@@ -94,9 +94,9 @@
 	Base     int64
 	Virtual  bool
 	Outcomes []Outcome
-	Ledger   *ledger.Ledger
-	Breaks   []ledger.Break
-	Peaks    [2][]ledger.Peak // of servers while they were cold: of all that came, and of what came from nodes that knew
+	Ledger   *invariant.Ledger
+	Breaks   []invariant.Break
+	Peaks    [2][]invariant.Peak // of servers while they were cold: of all that came, and of what came from nodes that knew
 	Nodes    []NodeFigures
 	Loads    []LoadSample
 	Together []Together    // by second
@@ -123,19 +123,19 @@
 }
 
 // Categories are a scenario's as the judge knows them.
-func Categories(s *scenario.Scenario) []ledger.Category {
-	var out []ledger.Category
+func Categories(s *scenario.Scenario) []invariant.Category {
+	var out []invariant.Category
 	for i := range s.Categories {
 		repeat, group := RepeatOf(&s.Categories[i])
-		out = append(out, ledger.Category{Name: s.Categories[i].Name, Repeat: repeat, Group: group, Memory: int64(s.Categories[i].Memory)})
+		out = append(out, invariant.Category{Name: s.Categories[i].Name, Repeat: repeat, Group: group, Memory: int64(s.Categories[i].Memory)})
 	}
 	return out
 }
 
 // RepeatOf is what running a category's tasks twice does, and which servers drop a repeat.
-func RepeatOf(c *scenario.Category) (ledger.Repeat, ledger.Group) {
-	repeat := map[string]ledger.Repeat{"rerunnable": ledger.Rerunnable, "ticketed": ledger.Ticketed, "exclusive": ledger.Exclusive}
-	group := map[string]ledger.Group{"fleet": ledger.WholeFleet, "zone": ledger.SameZone, "pod": ledger.SamePod}
+func RepeatOf(c *scenario.Category) (invariant.Repeat, invariant.Group) {
+	repeat := map[string]invariant.Repeat{"rerunnable": invariant.Rerunnable, "ticketed": invariant.Ticketed, "exclusive": invariant.Exclusive}
+	group := map[string]invariant.Group{"fleet": invariant.WholeFleet, "zone": invariant.SameZone, "pod": invariant.SamePod}
 	return repeat[c.Repeat], group[c.Group]
 }
 
@@ -149,13 +149,13 @@
 
 // RulesOf is what the nodes of a day are held to, with what each time limit is longer by: a slack, how late the rig ran, and what
 // the day's ways held up. The day begins at base.
-func RulesOf(s *scenario.Scenario, ways *links.Schedule, base, slack int64, late func(int64) int64) ledger.Rules {
+func RulesOf(s *scenario.Scenario, ways *links.Schedule, base, slack int64, late func(int64) int64) invariant.Rules {
 	r := &s.Rules
 	within := int64(0)
 	if s.Discovery.Ask {
 		within = int64(r.AskWithin)
 	}
-	rules := ledger.Rules{StopSending: int64(r.StopSending), AskWithin: within, AnswerGrace: int64(r.AnswerGrace),
+	rules := invariant.Rules{StopSending: int64(r.StopSending), AskWithin: within, AnswerGrace: int64(r.AnswerGrace),
 		ToldWithin: toldWithin, GoneWithin: goneWithin, ReadyWithin: readyWithin, ReadyShort: readyShort, End: base + int64(s.Length),
 		MayDuplicate: r.MayDuplicate, ByOthers: s.Nodes.List, Slack: slack, Late: late}
 	if len(ways.Turns()) == 0 {
@@ -192,7 +192,7 @@
 
 // Excuse tells the ledger of cuts between clients and nodes, as what is said over them reaches nobody, and of those between nodes and
 // discovery, over which nothing can be learned.
-func Excuse(s *scenario.Scenario, p *plan.Plan, l *ledger.Ledger) {
+func Excuse(s *scenario.Scenario, p *plan.Plan, l *invariant.Ledger) {
 	for i := range p.Faults {
 		way, ok := s.Way(&p.Faults[i].Fault)
 		if !ok || way.Trouble != links.Cut {
@@ -208,7 +208,7 @@
 		}
 		if len(of(links.Discovery)) > 0 {
 			for _, node := range of(links.Node) {
-				l.Outages = append(l.Outages, &ledger.Outage{Node: node, Span: ledger.Span{From: way.Begin, To: way.End}})
+				l.Outages = append(l.Outages, &invariant.Outage{Node: node, Span: invariant.Span{From: way.Begin, To: way.End}})
 			}
 		}
 		if len(of(links.Client)) == 0 {
@@ -216,7 +216,7 @@
 		}
 		for _, life := range l.Lives {
 			if slices.Contains(of(links.Node), life.Node) {
-				life.Excused = append(life.Excused, ledger.Span{From: way.Begin, To: way.End + int64(time.Second)})
+				life.Excused = append(life.Excused, invariant.Span{From: way.Begin, To: way.End + int64(time.Second)})
 			}
 		}
 	}
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -11,7 +11,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
@@ -35,9 +35,9 @@
 	LateMs   float64  `json:"late_ms"` // the rig itself, in all but the worst twentieth of the time
 
 	Tally
-	RulesBroken int            `json:"rules_broken"`
-	BackS       float64        `json:"back_s,omitempty"` // from the last loss of power until service is back; -1: not by the end; 0: no loss
-	Breaks      []ledger.Break `json:"breaks,omitempty"`
+	RulesBroken int               `json:"rules_broken"`
+	BackS       float64           `json:"back_s,omitempty"` // from the last loss of power until service is back; -1: not by the end; 0: no loss
+	Breaks      []invariant.Break `json:"breaks,omitempty"`
 
 	Categories map[string]*Tally `json:"by_category"`
 	Customers  map[string]*Tally `json:"by_customer,omitempty"`
@@ -78,7 +78,7 @@
 	AtS    float64 `json:"at_s"`
 }
 
-func worstOf(peaks []ledger.Peak, base int64) (w ColdWorst) {
+func worstOf(peaks []invariant.Peak, base int64) (w ColdWorst) {
 	for i, p := range peaks {
 		if i == 0 || p.Over > w.Over {
 			w = ColdWorst{Over: p.Over, Got: p.Got, Budget: p.Budget, Server: p.Server, AtS: float64(p.At-base) / 1e9}
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/record"
@@ -102,7 +102,7 @@
 		c.after(t, record.Lost, true, 0)
 		return
 	}
-	rec := &ledger.Try{ID: t.id, Task: t.task.N, Node: n.index, Life: n.life.Life, Category: t.task.Category, Whole: d.now, Hard: t.hard}
+	rec := &invariant.Try{ID: t.id, Task: t.task.N, Node: n.index, Life: n.life.Life, Category: t.task.Category, Whole: d.now, Hard: t.hard}
 	front, place := n.front(), links.End{Index: n.index}
 	if barred, refused := d.barred(front, place); refused {
 		c.after(t, record.Lost, true, 0)
@@ -125,7 +125,7 @@
 		n.arrived(t, rec)
 	}
 	until := t.hard + int64(d.scenario.Rules.AnswerGrace) + listenOn
-	leaves := int64(ledger.Never)
+	leaves := int64(invariant.Never)
 	if t.task.Leaves > 0 {
 		if leaves = t.task.Due + t.task.Leaves; leaves < t.hard {
 			until = leaves
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/plan"
@@ -84,7 +84,7 @@
 	scenario  *scenario.Scenario
 	plan      *plan.Plan
 	maker     Maker
-	ledger    *ledger.Ledger
+	ledger    *invariant.Ledger
 	draw      *rand.Rand
 	idFirst   string
 	machines  []*machine
@@ -107,7 +107,7 @@
 // Play plays a day to its end. An error means that it could not be played; what went wrong within it is in the record.
 func Play(ctx context.Context, o Options) (*record.Record, error) {
 	began := time.Now()
-	d := &Day{scenario: o.Scenario, plan: plan.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &ledger.Ledger{},
+	d := &Day{scenario: o.Scenario, plan: plan.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.Ledger{},
 		draw: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[policy.ServerID]*machine{}, memories: map[memoryKey]*model.Memory{},
 		holds: map[int]int64{}, oddities: map[string]int{}, numbers: map[[2]links.End]uint64{}}
 	d.ways = d.plan.Ways(d.scenario)
@@ -232,7 +232,7 @@
 
 // fell ends a cold server that was pushed over. It stays down.
 func (d *Day) fell(m *machine, f *model.Fall) {
-	d.ledger.Fell(ledger.Fall{Server: m.spec.Index, Life: m.life, Started: m.started, Fall: *f})
+	d.ledger.Fell(invariant.Fall{Server: m.spec.Index, Life: m.life, Started: m.started, Fall: *f})
 	d.odd("a cold server was pushed over")
 	m.stop()
 	d.discovery.set(m, model.Removed, int64(d.scenario.Discovery.Notice))
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/record"
@@ -29,7 +29,7 @@
 	known   map[int]bool
 	first   []model.Listed
 	down    bool
-	outage  *ledger.Outage
+	outage  *invariant.Outage
 	slow    float64
 	late    int64
 	busy    int64 // it works until then
@@ -40,8 +40,8 @@
 // watch is one node's following of the list.
 type watch struct {
 	node    *node
-	life    *ledger.NodeLife
-	rec     *ledger.Watch
+	life    *invariant.NodeLife
+	rec     *invariant.Watch
 	version int64
 	phase   int64
 	due     bool // a delivery has been asked for
@@ -64,7 +64,7 @@
 			s.known[entry.Server] = true
 			s.ever = append(s.ever, entry.Server)
 		}
-		s.day.ledger.List(ledger.Listing{Server: entry.Server, Health: h, At: s.day.now, Started: entry.Started})
+		s.day.ledger.List(invariant.Listing{Server: entry.Server, Health: h, At: s.day.now, Started: entry.Started})
 		for _, w := range s.watches {
 			w.ask()
 		}
@@ -95,16 +95,16 @@
 
 // tell notes what a node is told.
 func (s *discovery) tell(n *node, list []model.Listed, whole bool) {
-	told := make([]ledger.Told, 0, len(list))
+	told := make([]invariant.Told, 0, len(list))
 	listed := map[int]bool{}
 	for _, l := range list {
-		told = append(told, ledger.Told{Node: n.index, Life: n.life.Life, Server: l.Server, Health: l.Health, Started: l.Started, At: s.day.now})
+		told = append(told, invariant.Told{Node: n.index, Life: n.life.Life, Server: l.Server, Health: l.Health, Started: l.Started, At: s.day.now})
 		listed[l.Server] = true
 	}
 	if whole {
 		for _, server := range s.ever {
 			if !listed[server] {
-				told = append(told, ledger.Told{Node: n.index, Life: n.life.Life, Server: server, Health: model.Removed, At: s.day.now})
+				told = append(told, invariant.Told{Node: n.index, Life: n.life.Life, Server: server, Health: model.Removed, At: s.day.now})
 			}
 		}
 	}
@@ -195,7 +195,7 @@
 	n := w.node
 	d := n.day
 	if w.rec == nil {
-		d.ledger.Watched(&ledger.Watch{Node: n.index, Life: w.life.Life, From: d.now, To: d.now, Failed: true})
+		d.ledger.Watched(&invariant.Watch{Node: n.index, Life: w.life.Life, From: d.now, To: d.now, Failed: true})
 	}
 	w.end()
 	if n.life != w.life || !n.alive {
@@ -225,7 +225,7 @@
 // end closes a watch.
 func (w *watch) end() {
 	w.over = true
-	if w.rec != nil && w.rec.To == ledger.Never {
+	if w.rec != nil && w.rec.To == invariant.Never {
 		w.rec.To = w.node.day.now
 	}
 	if w.node.watch == w {
@@ -242,7 +242,7 @@
 
 func (w *watch) follow() {
 	d := w.node.day
-	w.rec = &ledger.Watch{Node: w.node.index, Life: w.life.Life, From: d.now, To: ledger.Never}
+	w.rec = &invariant.Watch{Node: w.node.index, Life: w.life.Life, From: d.now, To: invariant.Never}
 	d.ledger.Watched(w.rec)
 	w.phase = d.now
 	w.node.wait = int64(firstWait)
@@ -312,7 +312,7 @@
 			w.failed() // its connection is reset
 		}
 	}
-	s.outage = &ledger.Outage{Node: -1, Span: ledger.Span{From: s.day.now}}
+	s.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: s.day.now}}
 	s.day.ledger.OutOfReach(s.outage)
 	for _, w := range append([]*watch(nil), s.watches...) {
 		w.failed()
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/scenario"
@@ -107,7 +107,7 @@
 	}
 	switch f.Kind {
 	case "kill":
-		d.ledger.Excuse(n.life, ledger.Span{From: d.now, To: ledger.Never})
+		d.ledger.Excuse(n.life, invariant.Span{From: d.now, To: invariant.Never})
 		n.end()
 		back(d.now)
 	case "stop":
@@ -141,7 +141,7 @@
 		d.in(stillTaking, settled)
 	case "freeze":
 		n.frozen = d.now + int64(f.For)
-		d.ledger.Excuse(n.life, ledger.Span{From: d.now, To: n.frozen + thawed})
+		d.ledger.Excuse(n.life, invariant.Span{From: d.now, To: n.frozen + thawed})
 	case "cut-node":
 		for _, m := range d.machines {
 			if f.Zone == "" || m.spec.Zone == f.Zone {
@@ -169,7 +169,7 @@
 			continue
 		}
 		life := n.life
-		d.ledger.Excuse(life, ledger.Span{From: d.now, To: ledger.Never})
+		d.ledger.Excuse(life, invariant.Span{From: d.now, To: invariant.Never})
 		n.end()
 		if f.NodesBack > 0 {
 			d.in(f.Back(f.NodesBack, f.Seed, i), func() {
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"strconv"
 
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/plan"
@@ -91,7 +91,7 @@
 // warmed hands in what came to the life that ends while it was cold.
 func (m *machine) warmed() {
 	if m.model != nil {
-		m.day.ledger.Warmed(ledger.Cold{Server: m.spec.Index, Life: m.life, Started: m.started, MeanWork: m.model.MeanWork,
+		m.day.ledger.Warmed(invariant.Cold{Server: m.spec.Index, Life: m.life, Started: m.started, MeanWork: m.model.MeanWork,
 			Window: m.model.FallAfter, Pushes: m.model.WhileCold()})
 	}
 }
@@ -229,7 +229,7 @@
 	limit  int64
 	conn   *conn
 	fresh  bool
-	rec    *ledger.HandOff // nil until its first byte was written
+	rec    *invariant.HandOff // nil until its first byte was written
 	id     int64
 	way    int64
 	luck   float64
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"fawnglade/internal/gossip"
-	"fawnglade/internal/lab/ledger"
+	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/record"
@@ -30,7 +30,7 @@
 	node     *node
 	life     int
 	try      *try
-	rec      *ledger.Try
+	rec      *invariant.Try
 	handOffs []*handOff
 	open     int
 	settled  bool
@@ -48,7 +48,7 @@
 	decider Decider
 	figures record.NodeFigures
 
-	life     *ledger.NodeLife
+	life     *invariant.NodeLife
 	alive    bool
 	in       bool // the front sends to it
 	listed   bool // it has a list
@@ -126,7 +126,7 @@
 		number = n.life.Life + 1
 	}
 	d := n.day
-	n.life = &ledger.NodeLife{Node: n.index, Life: number, From: d.now}
+	n.life = &invariant.NodeLife{Node: n.index, Life: number, From: d.now}
 	d.ledger.Live(n.life)
 	n.figures.Starts++
 	n.skew, n.step = n.skew+n.step, 0
@@ -214,7 +214,7 @@
 }
 
 // arrived takes in a task whose last byte has come.
-func (n *node) arrived(t *try, rec *ledger.Try) {
+func (n *node) arrived(t *try, rec *invariant.Try) {
 	x := &exchange{node: n, life: n.life.Life, try: t, rec: rec}
 	n.order = append(n.order, x)
 	if len(n.order) > 1024 && len(n.order) > 4*len(n.tasks) {
@@ -421,7 +421,7 @@
 		d.in(min(after, max(h.limit-d.now, 0)), func() { n.handOffEnds(h, policy.Unreached, noReport.Report, false) })
 		return
 	}
-	h.rec = &ledger.HandOff{Task: x.try.id, Node: n.index, Server: m.spec.Index, Life: m.life, Zone: m.spec.Zone, Pod: m.spec.Pod, First: d.now}
+	h.rec = &invariant.HandOff{Task: x.try.id, Node: n.index, Server: m.spec.Index, Life: m.life, Zone: m.spec.Zone, Pod: m.spec.Pod, First: d.now}
 	d.ledger.Began(h.rec)
 	h.rec.Last = d.now
 	d.at(h.limit, func() {
