--- a/internal/lab/emulator/bad.go
+++ b/internal/lab/emulator/bad.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"fawnglade/internal/lab/plan"
+	"fawnglade/internal/lab/workload"
 )
 
 const (
@@ -39,7 +39,7 @@
 }
 
 // play is one of them from its connection to what it is met with.
-func (b *badClients) play(d *Day, one *plan.BadClient) {
+func (b *badClients) play(d *Day, one *workload.BadClient) {
 	n := d.nodes[one.Node]
 	if !n.takes() {
 		return
@@ -83,7 +83,7 @@
 	return true, false
 }
 
-func (b *badClients) write(d *Day, c net.Conn, one *plan.BadClient) {
+func (b *badClients) write(d *Day, c net.Conn, one *workload.BadClient) {
 	category := d.scenario.Categories[0].Name
 	id := fmt.Sprintf("bad%013x", one.Seed>>12)
 	head := func(extra string) string {
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -18,8 +18,8 @@
 
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/workload"
 )
 
 const (
@@ -29,7 +29,7 @@
 
 // try is one message of a client to one node; a task may take several.
 type try struct {
-	task     *plan.Task
+	task     *workload.Task
 	n        int
 	due      int64 // when this try is due
 	hard     int64
@@ -45,7 +45,7 @@
 	pools    []*pool
 	byZone   [][]*pool
 	turn     []int
-	choice   []plan.Choice // by zone; nil: in turn
+	choice   []workload.Choice // by zone; nil: in turn
 	outcomes []record.Outcome
 
 	mu    sync.Mutex
@@ -120,7 +120,7 @@
 		for _, p := range c.byZone[zone] {
 			indexes = append(indexes, p.node.index)
 		}
-		c.choice = append(c.choice, plan.ChoiceOf(parts, indexes))
+		c.choice = append(c.choice, workload.ChoiceOf(parts, indexes))
 	}
 	return c, nil
 }
@@ -165,7 +165,7 @@
 	}
 }
 
-func (c *clients) first(t *plan.Task) *try {
+func (c *clients) first(t *workload.Task) *try {
 	category := &c.day.scenario.Categories[t.Category]
 	share := c.day.scenario.Clients.TryShare
 	return &try{task: t, due: t.Due, hard: t.Due + int64(float64(category.HardLimit)*share), id: c.day.idOf(t.N, 0),
--- a/internal/lab/emulator/day.go
+++ b/internal/lab/emulator/day.go
@@ -19,9 +19,9 @@
 
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 )
 
 // Options of a run.
@@ -38,7 +38,7 @@
 // Day is one run.
 type Day struct {
 	scenario *scenario.Scenario
-	plan     *plan.Plan
+	plan     *workload.Plan
 	start    Start
 	log      *zap.Logger
 	dir      string
@@ -100,7 +100,7 @@
 	if err := o.Scenario.OnSockets(); err != nil {
 		return nil, err
 	}
-	d := &Day{scenario: o.Scenario, plan: plan.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, out: o.Out, t0: time.Now(),
+	d := &Day{scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, out: o.Out, t0: time.Now(),
 		ledger: &invariant.Ledger{}, over: make(chan struct{}), oddities: map[string]int{}, memories: map[memoryKey]*sharedMemory{}, holds: map[int]int64{}}
 	if d.log == nil {
 		d.log = zap.NewNop()
@@ -224,7 +224,7 @@
 	return fmt.Sprintf("%08x%06x%02x", uint32(d.plan.Seed*2654435761), task, try)
 }
 
-func (d *Day) taskOf(id string) (task *plan.Task, try int, known bool) {
+func (d *Day) taskOf(id string) (task *workload.Task, try int, known bool) {
 	if len(id) != 16 || id[:8] != fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761)) {
 		return nil, 0, false
 	}
@@ -272,7 +272,7 @@
 }
 
 // addMachine brings a machine in, cold, at addresses that another left if there are any.
-func (d *Day) addMachine(spec plan.Server, name string, addresses []string, notice time.Duration) error {
+func (d *Day) addMachine(spec workload.Server, name string, addresses []string, notice time.Duration) error {
 	d.adding.Lock()
 	defer d.adding.Unlock()
 	spec.Index, spec.Name = len(d.machines()), name
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -17,9 +17,9 @@
 	"go.uber.org/zap"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 )
 
 const small = `name = "x"
@@ -358,7 +358,7 @@
 			r := &rider{pool: &pool{side: side, node: n, all: map[*rider]struct{}{}}}
 			try := func(id int, leaves time.Duration) *try {
 				now := d.now()
-				return &try{task: &plan.Task{N: id, Due: now, Leaves: int64(leaves), Customer: -1, Key: -1}, hard: now + int64(5*time.Second),
+				return &try{task: &workload.Task{N: id, Due: now, Leaves: int64(leaves), Customer: -1, Key: -1}, hard: now + int64(5*time.Second),
 					id: fmt.Sprint("t", id)}
 			}
 			if goesOn, again := r.do(try(0, 0)); !goesOn || again != nil {
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 )
 
 // frontLeaves is how long connections go on coming to a node that was told to stop.
@@ -31,7 +31,7 @@
 }
 
 // begin starts one fault, and has its end come in time.
-func (d *Day) begin(f *plan.Fault) error {
+func (d *Day) begin(f *workload.Fault) error {
 	long := time.Duration(f.For)
 	ends := func(do func()) {
 		if long > 0 {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func (d *Day) hitNode(f *plan.Fault, n *node) {
+func (d *Day) hitNode(f *workload.Fault, n *node) {
 	switch f.Kind {
 	case "state":
 		d.report(n.stateFault(f.How))
@@ -136,7 +136,7 @@
 }
 
 // power takes nodes, servers and discovery away at one moment; each is back after a time of its own.
-func (d *Day) power(f *plan.Fault) {
+func (d *Day) power(f *workload.Fault) {
 	whole := f.Zone == "" && len(f.Fault.Nodes) == d.scenario.Nodes.Count
 	if whole {
 		d.discovery.setDown(true)
@@ -182,7 +182,7 @@
 }
 
 // change sets a trouble of a server, and takes it away again in time, unless a new life has done so.
-func (d *Day) change(f *plan.Fault, m *machine, begin, end func(*trouble)) {
+func (d *Day) change(f *workload.Fault, m *machine, begin, end func(*trouble)) {
 	m.mu.Lock()
 	life := m.life
 	begin(&m.trouble)
@@ -198,7 +198,7 @@
 	}
 }
 
-func (d *Day) hitServer(f *plan.Fault, m *machine) {
+func (d *Day) hitServer(f *workload.Fault, m *machine) {
 	long, notice := time.Duration(f.For), time.Duration(d.scenario.Discovery.Notice)
 	switch f.Kind {
 	case "slow":
@@ -293,7 +293,7 @@
 	}
 }
 
-func (d *Day) comeBack(f *plan.Fault, m *machine, notice time.Duration) {
+func (d *Day) comeBack(f *workload.Fault, m *machine, notice time.Duration) {
 	if f.For > 0 {
 		d.later(time.Duration(f.For), func() { d.revive(m, notice) })
 	}
--- a/internal/lab/emulator/machine.go
+++ b/internal/lab/emulator/machine.go
@@ -20,9 +20,9 @@
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/relay"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 )
 
 // trouble is what a fault does to a server, apart from what the model does.
@@ -36,7 +36,7 @@
 // machine is one server. Its life grows with each start.
 type machine struct {
 	day   *Day
-	spec  plan.Server
+	spec  workload.Server
 	fleet *scenario.Fleet
 
 	mu       sync.Mutex
@@ -101,7 +101,7 @@
 }
 
 // newMachine makes a server that listens for every node. With addresses it takes the place of another.
-func newMachine(d *Day, spec plan.Server, cold bool, addresses []string) (*machine, error) {
+func newMachine(d *Day, spec workload.Server, cold bool, addresses []string) (*machine, error) {
 	m := &machine{day: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], waiting: map[int64]*handling{},
 		draw: rand.New(rand.NewPCG(spec.Seed, 3)), kick: make(chan struct{}, 1)}
 	for node := range d.scenario.Nodes.Count {
@@ -429,7 +429,7 @@
 	if left, err := strconv.ParseInt(string(msg.get(nameRemaining)), 10, 64); err == nil {
 		until = now + left*1e6
 	}
-	work, luck := plan.HandOffWork(task.Work, category.HandNoise, task.Seed+uint64(try), m.spec.Seed, 0)
+	work, luck := workload.HandOffWork(task.Work, category.HandNoise, task.Seed+uint64(try), m.spec.Seed, 0)
 	h.luck, h.way = luck, m.oneWay(node)
 	ticket := string(msg.get(nameTicket))
 	m.mu.Lock()
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -12,9 +12,9 @@
 	"strings"
 
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 )
 
 const (
@@ -108,7 +108,7 @@
 }
 
 // tryText is a task on the wire. Its body is made of its id, so that a server can tell whether it came whole.
-func tryText(into []byte, s *scenario.Scenario, t *plan.Task, id, ticket string, try int, remaining int64) []byte {
+func tryText(into []byte, s *scenario.Scenario, t *workload.Task, id, ticket string, try int, remaining int64) []byte {
 	c := &s.Categories[t.Category]
 	method := "POST"
 	if c.Repeat == "rerunnable" {
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -8,8 +8,8 @@
 
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 	"fawnglade/internal/members"
 )
 
@@ -89,8 +89,8 @@
 
 // Record is a day before anything is worked out from it.
 type Record struct {
-	Plan     *plan.Plan // its times shifted by Base, as those of the ledger are
-	Hash     string     // of the plan as drawn
+	Plan     *workload.Plan // its times shifted by Base, as those of the ledger are
+	Hash     string         // of the plan as drawn
 	Base     int64
 	Virtual  bool
 	Outcomes []Outcome
@@ -192,7 +192,7 @@
 
 // Excuse tells the ledger of cuts between clients and nodes, as what is said over them reaches nobody, and of those between nodes and
 // discovery, over which nothing can be learned.
-func Excuse(s *scenario.Scenario, p *plan.Plan, l *invariant.Ledger) {
+func Excuse(s *scenario.Scenario, p *workload.Plan, l *invariant.Ledger) {
 	for i := range p.Faults {
 		way, ok := s.Way(&p.Faults[i].Fault)
 		if !ok || way.Trouble != links.Cut {
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -9,15 +9,15 @@
 
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/workload"
 )
 
 const listenOn = int64(300 * time.Millisecond) // after a hard limit, for answers that come too late
 
 // try is one message of a client to one node; a task may take several.
 type try struct {
-	task   *plan.Task
+	task   *workload.Task
 	n      int
 	hard   int64
 	ticket string
@@ -30,7 +30,7 @@
 	day      *Day
 	byZone   [][]*node
 	turn     []int
-	choice   []plan.Choice // by zone; nil: in turn
+	choice   []workload.Choice // by zone; nil: in turn
 	outcomes []record.Outcome
 	left     int
 	leftAt   int64
@@ -53,7 +53,7 @@
 		for _, n := range c.byZone[zone] {
 			indexes = append(indexes, n.index)
 		}
-		c.choice = append(c.choice, plan.ChoiceOf(parts, indexes))
+		c.choice = append(c.choice, workload.ChoiceOf(parts, indexes))
 	}
 	c.next(0)
 	return c
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -13,9 +13,9 @@
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 	"fawnglade/policy"
 )
 
@@ -82,7 +82,7 @@
 type Day struct {
 	clock
 	scenario  *scenario.Scenario
-	plan      *plan.Plan
+	plan      *workload.Plan
 	maker     Maker
 	ledger    *invariant.Ledger
 	draw      *rand.Rand
@@ -107,7 +107,7 @@
 // Play plays a day to its end. An error means that it could not be played; what went wrong within it is in the record.
 func Play(ctx context.Context, o Options) (*record.Record, error) {
 	began := time.Now()
-	d := &Day{scenario: o.Scenario, plan: plan.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.Ledger{},
+	d := &Day{scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.Ledger{},
 		draw: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[policy.ServerID]*machine{}, memories: map[memoryKey]*model.Memory{},
 		holds: map[int]int64{}, oddities: map[string]int{}, numbers: map[[2]links.End]uint64{}}
 	d.ways = d.plan.Ways(d.scenario)
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -9,8 +9,8 @@
 
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 )
 
 const (
@@ -19,7 +19,7 @@
 	thawed      = int64(200 * time.Millisecond) // everything comes at once to a node that stood still
 )
 
-func (d *Day) begin(f *plan.Fault) {
+func (d *Day) begin(f *workload.Fault) {
 	long := int64(f.For)
 	ends := func(do func()) {
 		if long > 0 {
@@ -62,7 +62,7 @@
 }
 
 // holdKey is the category, or the customer as a negative number, that a wait strikes.
-func (d *Day) holdKey(f *plan.Fault) int {
+func (d *Day) holdKey(f *workload.Fault) int {
 	for i := range d.scenario.Customers {
 		if f.Customer != "" && d.scenario.Customers[i].Name == f.Customer {
 			return -1 - i
@@ -76,14 +76,14 @@
 	return len(d.scenario.Categories)
 }
 
-func (d *Day) hold(t *plan.Task) int64 {
+func (d *Day) hold(t *workload.Task) int64 {
 	if len(d.holds) == 0 {
 		return 0
 	}
 	return max(d.holds[t.Category], d.holds[-1-t.Customer])
 }
 
-func (d *Day) hitNode(f *plan.Fault, n *node) {
+func (d *Day) hitNode(f *workload.Fault, n *node) {
 	if f.Kind == "clock" {
 		n.turnClock(int64(f.Wait), f.Factor)
 		if long := int64(f.For); long > 0 {
@@ -155,7 +155,7 @@
 }
 
 // power takes nodes, servers and discovery away at one moment; each is back after a time of its own.
-func (d *Day) power(f *plan.Fault) {
+func (d *Day) power(f *workload.Fault) {
 	notice := int64(d.scenario.Discovery.Notice)
 	if f.Zone == "" && len(f.Fault.Nodes) == len(d.nodes) {
 		d.discovery.setDown(true)
@@ -190,7 +190,7 @@
 	}
 }
 
-func (d *Day) hitServer(f *plan.Fault, m *machine) {
+func (d *Day) hitServer(f *workload.Fault, m *machine) {
 	long, notice, life := int64(f.For), int64(d.scenario.Discovery.Notice), m.life
 	// change sets a trouble, and takes it away again in time, unless a new life has done so.
 	change := func(begin, end func(*trouble)) {
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -11,8 +11,8 @@
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/plan"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 	"fawnglade/policy"
 )
 
@@ -26,7 +26,7 @@
 
 type machine struct {
 	day   *Day
-	spec  plan.Server
+	spec  workload.Server
 	fleet *scenario.Fleet
 	id    policy.ServerID
 
@@ -63,7 +63,7 @@
 	closed      bool
 }
 
-func (d *Day) newMachine(spec plan.Server, cold bool) *machine {
+func (d *Day) newMachine(spec workload.Server, cold bool) *machine {
 	m := &machine{day: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], id: serverID(spec.Name), draw: rand.New(rand.NewPCG(spec.Seed, 3)),
 		cuts: map[int]int{}, epochs: map[int]int{}}
 	d.machines = append(d.machines, m)
@@ -259,7 +259,7 @@
 	}
 	task, try := h.x.try.task, h.x.try.n
 	c := &d.scenario.Categories[task.Category]
-	work, luck := plan.HandOffWork(task.Work, c.HandNoise, task.Seed+uint64(try), m.spec.Seed, 0)
+	work, luck := workload.HandOffWork(task.Work, c.HandNoise, task.Seed+uint64(try), m.spec.Seed, 0)
 	h.luck = luck
 	if c.Repeat == "ticketed" {
 		if h.rec.Repeated = d.memoryOf(m, task.Category).Seen(d.now, h.x.try.ticket); h.rec.Repeated {
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/workload/workload.go
@@ -1,6 +1,6 @@
-// Package plan owns what is drawn of a day before it starts: servers, tasks, faults and bad clients. It must never
+// Package workload owns what is drawn of a day before it starts: servers, tasks, faults and bad clients. It must never
 // look at a clock or at anything that happened: the same scenario and seed give the same plan, byte for byte.
-package plan
+package workload
 
 import (
 	"crypto/sha256"
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -1,4 +1,4 @@
-package plan
+package workload
 
 import (
 	"math"
