--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -4,9 +4,9 @@
 	"context"
 	"testing"
 
-	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/simulation"
+	"fawnglade/internal/lab/trace"
 )
 
 // Every baseline has to keep the rules, or comparing with it says nothing, and to serve a calm day.
@@ -26,7 +26,7 @@
 			}
 			satisfied := 0
 			for _, o := range r.Outcomes {
-				if o.State == record.Satisfied {
+				if o.State == trace.Satisfied {
 					satisfied++
 				}
 			}
@@ -50,7 +50,7 @@
 			t.Fatal(err)
 		}
 		for i, o := range r.Outcomes {
-			if o.State == record.Satisfied && o.Took <= int64(s.Categories[r.Plan.Tasks[i].Category].SoftLimit) {
+			if o.State == trace.Satisfied && o.Took <= int64(s.Categories[r.Plan.Tasks[i].Category].SoftLimit) {
 				inTime[kind]++
 			}
 		}
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -18,7 +18,7 @@
 
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
-	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 )
 
@@ -46,7 +46,7 @@
 	byZone   [][]*pool
 	turn     []int
 	choice   []workload.Choice // by zone; nil: in turn
-	outcomes []record.Outcome
+	outcomes []trace.Outcome
 
 	mu    sync.Mutex
 	again retries
@@ -93,7 +93,7 @@
 }
 
 func newClients(d *Day) (*clients, error) {
-	c := &clients{day: d, outcomes: make([]record.Outcome, len(d.plan.Tasks)), wake: make(chan struct{}, 1),
+	c := &clients{day: d, outcomes: make([]trace.Outcome, len(d.plan.Tasks)), wake: make(chan struct{}, 1),
 		left: len(d.plan.Tasks), byZone: make([][]*pool, len(d.scenario.Network.Zones)), turn: make([]int, len(d.scenario.Network.Zones))}
 	for _, n := range d.nodes {
 		p := &pool{side: c, node: n, all: map[*rider]struct{}{}}
@@ -192,7 +192,7 @@
 			return
 		}
 	}
-	c.after(t, record.Lost, true, 0)
+	c.after(t, trace.Lost, true, 0)
 }
 
 func (p *pool) give(t *try) {
@@ -306,7 +306,7 @@
 	if r.conn == nil {
 		c, err := net.DialTimeout("tcp", cmp.Or(r.pool.way, r.pool.node.address), connect)
 		if err != nil {
-			r.pool.side.after(t, record.Lost, true, 0)
+			r.pool.side.after(t, trace.Lost, true, 0)
 			return false, nil
 		}
 		r.pool.mu.Lock()
@@ -323,7 +323,7 @@
 			t.sentOnce = true
 			return true, t
 		}
-		r.pool.side.after(t, record.Lost, true, 0)
+		r.pool.side.after(t, trace.Lost, true, 0)
 		return false, nil
 	}
 	r.last = nil // what comes from here on is this try's answer, also where nobody waits for it any more
@@ -359,14 +359,14 @@
 			}
 		})
 		if left {
-			r.pool.side.settle(t, record.Left, now)
+			r.pool.side.settle(t, trace.Left, now)
 		} else {
-			r.pool.side.after(t, record.BrokenOff, false, 0)
+			r.pool.side.after(t, trace.BrokenOff, false, 0)
 		}
 		return false, nil
 	case begun:
 		d.ledger.Update(func() { rec.Cut = true })
-		r.pool.side.after(t, record.BrokenOff, false, 0)
+		r.pool.side.after(t, trace.BrokenOff, false, 0)
 		return false, nil
 	}
 	if reused && !t.sentOnce && errors.Is(err, io.EOF) {
@@ -377,7 +377,7 @@
 		return true, t
 	}
 	d.ledger.Update(func() { rec.Ended = now })
-	r.pool.side.after(t, record.Lost, !r.pool.node.takes(), 0)
+	r.pool.side.after(t, trace.Lost, !r.pool.node.takes(), 0)
 	return false, nil
 }
 
@@ -388,13 +388,13 @@
 	if d.scenario.Categories[t.task.Category].Repeat == "rerunnable" {
 		size = 0
 	}
-	state, advice := record.BrokenOff, int64(0)
+	state, advice := trace.BrokenOff, int64(0)
 	foreign := m.status == 200 && !answersTask(m.body, t.id, size)
 	switch {
 	case m.status == 200 && !foreign:
-		state = record.Satisfied
+		state = trace.Satisfied
 	case m.status == 429 || m.status == 503:
-		state = record.Declined
+		state = trace.Declined
 		if v, err := strconv.ParseFloat(string(m.get(nameAdvice)), 64); err == nil && v > 0 && v < 3600 {
 			advice = int64(v * 1e9)
 		}
@@ -404,8 +404,8 @@
 	})
 	r.last = rec
 	ends := m.close
-	if state == record.Satisfied {
-		r.pool.side.settle(t, record.Satisfied, now+int64(d.scenario.Network.Client))
+	if state == trace.Satisfied {
+		r.pool.side.settle(t, trace.Satisfied, now+int64(d.scenario.Network.Client))
 	} else {
 		r.pool.side.after(t, state, false, advice)
 	}
@@ -430,11 +430,11 @@
 }
 
 // after ends a try that did not satisfy, and sends the task again where a client would.
-func (c *clients) after(t *try, state record.State, unreached bool, advice int64) {
+func (c *clients) after(t *try, state trace.State, unreached bool, advice int64) {
 	now := c.day.now()
 	s := c.day.scenario
 	category := &s.Categories[t.task.Category]
-	may := state == record.Declined || unreached || category.Repeat == "rerunnable"
+	may := state == trace.Declined || unreached || category.Repeat == "rerunnable"
 	if category.Repeat == "ticketed" && category.Group == "fleet" && now < t.task.Due+int64(category.Memory) {
 		may = true
 	}
@@ -459,14 +459,14 @@
 }
 
 // settle writes a task's end down.
-func (c *clients) settle(t *try, state record.State, at int64) {
+func (c *clients) settle(t *try, state trace.State, at int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := &c.outcomes[t.task.N]
-	if o.State != record.Unsettled {
+	if o.State != trace.Unsettled {
 		return
 	}
-	*o = record.Outcome{State: state, Took: at - t.task.Due, Tries: t.n + 1}
+	*o = trace.Outcome{State: state, Took: at - t.task.Due, Tries: t.n + 1}
 	c.left--
 }
 
--- a/internal/lab/emulator/day.go
+++ b/internal/lab/emulator/day.go
@@ -19,8 +19,8 @@
 
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 )
 
@@ -60,15 +60,15 @@
 	problems  []error
 	memories  map[memoryKey]*sharedMemory
 	holds     map[int]int64
-	loads     []record.LoadSample
+	loads     []trace.LoadSample
 	octets    [2]int
 	discovery *discovery
 	nodes     []*node
 	clients   *clients
 	bad       badClients
 	between   *between
-	beliefs   []record.Belief
-	runs      []record.Runs
+	beliefs   []trace.Belief
+	runs      []trace.Runs
 }
 
 type memoryKey struct {
@@ -96,7 +96,7 @@
 )
 
 // Play runs a day to its end. An error means that it could not run; what went wrong within it is in the record.
-func Play(ctx context.Context, o Options) (played *record.Record, err error) {
+func Play(ctx context.Context, o Options) (played *trace.Record, err error) {
 	if err := o.Scenario.OnSockets(); err != nil {
 		return nil, err
 	}
@@ -298,7 +298,7 @@
 	}
 	for i := range d.scenario.Nodes.Count {
 		n := &node{day: d, index: i, zone: i % len(d.scenario.Network.Zones), config: filepath.Join(d.dir, fmt.Sprintf("n%d.json", i)),
-			address: fmt.Sprintf("127.%d.%d.%d:8443", d.octets[0], d.octets[1], 200+i), figures: record.NodeFigures{Node: i}}
+			address: fmt.Sprintf("127.%d.%d.%d:8443", d.octets[0], d.octets[1], 200+i), figures: trace.NodeFigures{Node: i}}
 		if zones := d.scenario.Nodes.Zones; len(zones) > 0 {
 			for z, name := range d.scenario.Network.Zones {
 				if name == zones[i] {
@@ -406,7 +406,7 @@
 // sample takes what nodes use and servers hold.
 func (d *Day) sample() {
 	for n := int64(1); d.sleepUntil(d.base + n*int64(250*time.Millisecond)); n++ {
-		s := record.LoadSample{At: d.now() - d.base}
+		s := trace.LoadSample{At: d.now() - d.base}
 		for _, m := range d.machines() {
 			m.mu.Lock()
 			s.Held = append(s.Held, m.model.Held())
@@ -480,7 +480,7 @@
 }
 
 // record closes the day's books and judges them.
-func (d *Day) record() *record.Record {
+func (d *Day) record() *trace.Record {
 	for _, n := range d.nodes {
 		n.sample()
 	}
@@ -491,15 +491,15 @@
 	}
 	d.ledger.Close()
 	void, late := d.gauge.void()
-	r := &record.Record{Plan: d.plan, Hash: d.hash, Base: d.base, Ledger: d.ledger, Void: void, Late: time.Duration(late), Odd: map[string]int{}, Took: time.Duration(d.now() - d.base),
-		Bad: record.BadFigures{Came: d.bad.came.Load(), Unanswered: d.bad.unanswered.Load(), Served: d.bad.served.Load()}}
+	r := &trace.Record{Plan: d.plan, Hash: d.hash, Base: d.base, Ledger: d.ledger, Void: void, Late: time.Duration(late), Odd: map[string]int{}, Took: time.Duration(d.now() - d.base),
+		Bad: trace.BadFigures{Came: d.bad.came.Load(), Unanswered: d.bad.unanswered.Load(), Served: d.bad.served.Load()}}
 	d.clients.mu.Lock()
 	r.Outcomes = append(r.Outcomes, d.clients.outcomes...)
 	d.clients.mu.Unlock()
-	record.Excuse(d.scenario, d.plan, d.ledger)
-	r.Reach = record.ReachOf(d.scenario, d.between.ways, d.base)
-	rules := record.RulesOf(d.scenario, d.between.ways, d.base, socketSlack, d.gauge.late)
-	r.Breaks = d.ledger.Judge(record.Categories(d.scenario), rules)
+	trace.Excuse(d.scenario, d.plan, d.ledger)
+	r.Reach = trace.ReachOf(d.scenario, d.between.ways, d.base)
+	rules := trace.RulesOf(d.scenario, d.between.ways, d.base, socketSlack, d.gauge.late)
+	r.Breaks = d.ledger.Judge(trace.Categories(d.scenario), rules)
 	r.Peaks[0], r.Peaks[1] = d.ledger.Peaks(rules)
 	for i := range r.Breaks {
 		r.Breaks[i].At -= d.base
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -17,8 +17,8 @@
 	"go.uber.org/zap"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 )
 
@@ -65,7 +65,7 @@
 }
 
 // played plays a day, again if the machine was too busy for it; a machine that always is proves nothing.
-func played(t *testing.T, s *scenario.Scenario, start Start) *record.Record {
+func played(t *testing.T, s *scenario.Scenario, start Start) *trace.Record {
 	t.Helper()
 	for range 3 {
 		r, err := Play(context.Background(), Options{Scenario: s, Seed: 3, Start: start})
@@ -148,7 +148,7 @@
 	for i, o := range r.Outcomes {
 		if at := r.Plan.Tasks[i].Due - r.Base; at > int64(time.Second) && at < int64(1500*time.Millisecond) {
 			due++
-			if o.State == record.Satisfied && o.Took > int64(450*time.Millisecond) {
+			if o.State == trace.Satisfied && o.Took > int64(450*time.Millisecond) {
 				long++
 			}
 		}
@@ -164,10 +164,10 @@
 	r := played(t, s, PlainStart("random", ""))
 	lost := 0
 	for _, o := range r.Outcomes {
-		if o.State == record.Unsettled {
+		if o.State == trace.Unsettled {
 			t.Fatal("a task has no end")
 		}
-		if o.State == record.Lost {
+		if o.State == trace.Lost {
 			lost++
 		}
 	}
@@ -354,7 +354,7 @@
 			}()
 			d := &Day{scenario: parse(t, small), t0: time.Now(), ledger: &invariant.Ledger{}, over: make(chan struct{})}
 			n := &node{day: d, address: l.Addr().String()}
-			side := &clients{day: d, outcomes: make([]record.Outcome, 2), wake: make(chan struct{}, 1)}
+			side := &clients{day: d, outcomes: make([]trace.Outcome, 2), wake: make(chan struct{}, 1)}
 			r := &rider{pool: &pool{side: side, node: n, all: map[*rider]struct{}{}}}
 			try := func(id int, leaves time.Duration) *try {
 				now := d.now()
@@ -367,7 +367,7 @@
 			first := r.last
 			if c.asked {
 				r.do(try(1, 20*time.Millisecond))
-				if r.conn == nil || side.outcomes[1].State != record.Left {
+				if r.conn == nil || side.outcomes[1].State != trace.Left {
 					t.Fatalf("the second try ended as %v", side.outcomes[1].State)
 				}
 			}
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -12,8 +12,8 @@
 	"strings"
 
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 )
 
@@ -93,7 +93,7 @@
 func configText(s *scenario.Scenario, name, listen, discovery string, seed uint64, index, zone int, known []byte, news map[string]any, console string) []byte {
 	all := map[string]any{"name": name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", seed),
 		"limits":   map[string]any{"cores": s.Nodes.Cores, "memory_mb": s.Nodes.MemoryMB, "sockets": s.Nodes.Sockets},
-		"settings": record.SettingsOf(s, index, zone)}
+		"settings": trace.SettingsOf(s, index, zone)}
 	if known != nil {
 		all["known"] = json.RawMessage(known)
 	}
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -20,7 +20,7 @@
 	"unsafe"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/trace"
 )
 
 // Proc is one running node.
@@ -110,7 +110,7 @@
 	forgets bool // its directory was tampered with since it ended
 	expects bool // its end is the day's own doing
 	in      bool // the front sends to it
-	figures record.NodeFigures
+	figures trace.NodeFigures
 	cpuGone float64 // of earlier lives
 }
 
--- a/internal/lab/emulator/ways.go
+++ b/internal/lab/emulator/ways.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"fawnglade/internal/lab/links"
-	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/relay"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/members"
 )
 
@@ -171,10 +171,10 @@
 		for i, v := range views {
 			if runs[i] = '-'; v != nil {
 				runs[i] = 'U'
-				d.beliefs = append(d.beliefs, record.BeliefOf(at, i, v))
+				d.beliefs = append(d.beliefs, trace.BeliefOf(at, i, v))
 			}
 		}
-		d.runs = append(d.runs, record.Runs{At: at, Of: string(runs)})
+		d.runs = append(d.runs, trace.Runs{At: at, Of: string(runs)})
 		d.mu.Unlock()
 	}
 }
--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -21,7 +21,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/trace"
 )
 
 // Colours that a person with any usual colour sight can tell apart.
@@ -113,7 +113,7 @@
 }
 
 // together is one count of what all nodes did, by second.
-func (r *Result) together(name string, of func(*record.Together) int) line {
+func (r *Result) together(name string, of func(*trace.Together) int) line {
 	l := line{name: name}
 	for i := range r.Together {
 		l.x, l.y = append(l.x, float64(i)+0.5), append(l.y, float64(of(&r.Together[i])))
@@ -163,10 +163,10 @@
 		}},
 		{spreadTitle, "deviation over mean", (*Result).spread},
 		{"Connections opened by all nodes", "in the second", func(r *Result, name string) line {
-			return r.together(name, func(t *record.Together) int { return t.Connections })
+			return r.together(name, func(t *trace.Together) int { return t.Connections })
 		}},
 		{"Resends and second copies of all nodes", "in the second", func(r *Result, name string) line {
-			return r.together(name, func(t *record.Together) int { return t.Resends + t.Copies })
+			return r.together(name, func(t *trace.Together) int { return t.Resends + t.Copies })
 		}},
 	}
 	var plots []template.HTML
@@ -222,9 +222,9 @@
 	if len(r.Together) > 0 {
 		all := r.together
 		wanted = append(wanted, plotted{"What all nodes do together, beside the tasks", "in the second", []line{
-			all("resends", func(t *record.Together) int { return t.Resends }), all("copies", func(t *record.Together) int { return t.Copies }),
-			all("connections", func(t *record.Together) int { return t.Connections }), all("calls for the list", func(t *record.Together) int { return t.Calls }),
-			all("probes", func(t *record.Together) int { return t.Probes }), all("messages", func(t *record.Together) int { return t.News })}})
+			all("resends", func(t *trace.Together) int { return t.Resends }), all("copies", func(t *trace.Together) int { return t.Copies }),
+			all("connections", func(t *trace.Together) int { return t.Connections }), all("calls for the list", func(t *trace.Together) int { return t.Calls }),
+			all("probes", func(t *trace.Together) int { return t.Probes }), all("messages", func(t *trace.Together) int { return t.News })}})
 	}
 	if v := r.Views; v != nil {
 		by := func(name string, of []int) line {
--- a/internal/lab/result/page_test.go
+++ b/internal/lab/result/page_test.go
@@ -4,11 +4,11 @@
 	"math"
 	"testing"
 
-	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/trace"
 )
 
 func TestSpreadOfLoadOverServers(t *testing.T) {
-	r := &Result{Loads: []record.LoadSample{
+	r := &Result{Loads: []trace.LoadSample{
 		{At: 0.1e9, Held: []int{4, 4, 4, 4}}, {At: 0.6e9, Held: []int{0, 0, 0, 16}}, // one second: even, then all at one
 		{At: 2.2e9, Held: []int{0, 0, 0, 0}}, // tells nothing
 		{At: 3.2e9, Held: []int{2, 2, 2, 2}},
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -13,8 +13,8 @@
 
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
-	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
 )
 
 // Verdict of a run.
@@ -44,20 +44,20 @@
 	Spans      []Tally           `json:"by_5s"`
 	Seconds    []Tally           `json:"by_1s"`
 
-	HandOffs   HandOffs             `json:"hand_offs"`
-	Nodes      []record.NodeFigures `json:"nodes"`
-	BadClients record.BadFigures    `json:"bad_clients"`
-	Odd        map[string]int       `json:"odd,omitempty"`
-	Faults     []Band               `json:"faults,omitempty"`
-	Cold       *Cold                `json:"cold,omitempty"`
-	Servers    []string             `json:"servers"`
-	Loads      []record.LoadSample  `json:"loads,omitempty"`
-	Virtual    bool                 `json:"virtual,omitempty"`
-	Together   []record.Together    `json:"together_by_1s,omitempty"` // what all nodes do together
-	Reach      []links.Reach        `json:"reach_by_1s,omitempty"`    // who could reach whom
-	Views      *Views               `json:"views,omitempty"`
-	Beliefs    []record.Belief      `json:"beliefs,omitempty"`
-	Runs       []record.Runs        `json:"runs,omitempty"`
+	HandOffs   HandOffs            `json:"hand_offs"`
+	Nodes      []trace.NodeFigures `json:"nodes"`
+	BadClients trace.BadFigures    `json:"bad_clients"`
+	Odd        map[string]int      `json:"odd,omitempty"`
+	Faults     []Band              `json:"faults,omitempty"`
+	Cold       *Cold               `json:"cold,omitempty"`
+	Servers    []string            `json:"servers"`
+	Loads      []trace.LoadSample  `json:"loads,omitempty"`
+	Virtual    bool                `json:"virtual,omitempty"`
+	Together   []trace.Together    `json:"together_by_1s,omitempty"` // what all nodes do together
+	Reach      []links.Reach       `json:"reach_by_1s,omitempty"`    // who could reach whom
+	Views      *Views              `json:"views,omitempty"`
+	Beliefs    []trace.Belief      `json:"beliefs,omitempty"`
+	Runs       []trace.Runs        `json:"runs,omitempty"`
 }
 
 // Cold tells what servers' lives that began cold got at most within a window, over their budget of N requests of mean work.
@@ -88,7 +88,7 @@
 	return w
 }
 
-func coldOf(r *record.Record) *Cold {
+func coldOf(r *trace.Record) *Cold {
 	if len(r.Peaks[0]) == 0 {
 		return nil
 	}
@@ -149,24 +149,24 @@
 
 func newTally() *Tally { return &Tally{hist: hdrhistogram.New(1, mostTime, digits)} }
 
-func (t *Tally) add(o record.Outcome, c *scenario.Category) {
+func (t *Tally) add(o trace.Outcome, c *scenario.Category) {
 	t.Tasks++
-	if o.State == record.Left {
+	if o.State == trace.Left {
 		t.Left++
 		return
 	}
 	t.Earnings += c.Earnings
 	switch o.State {
-	case record.Satisfied:
+	case trace.Satisfied:
 		t.Satisfied++
 		t.hist.RecordValue(max(min(o.Took/1000, mostTime), 1))
 		if o.Took <= int64(c.SoftLimit) {
 			t.InTime++
 			t.Earned += c.Earnings
 		}
-	case record.Declined:
+	case trace.Declined:
 		t.Declined++
-	case record.Lost:
+	case trace.Lost:
 		t.Lost++
 	default:
 		t.BrokenOff++ // also what had no end by the day's
@@ -183,7 +183,7 @@
 }
 
 // Of works a day's figures out.
-func Of(s *scenario.Scenario, r *record.Record) *Result {
+func Of(s *scenario.Scenario, r *trace.Record) *Result {
 	out := &Result{Scenario: s.Name, About: s.About, LengthS: time.Duration(s.Length).Seconds(), LateMs: float64(r.Late) / 1e6,
 		Drawn: Drawn{r.Plan.Seed, r.Hash, len(r.Plan.Tasks)}, Categories: map[string]*Tally{}, Customers: map[string]*Tally{},
 		RulesBroken: len(r.Breaks), Breaks: r.Breaks, Nodes: r.Nodes, BadClients: r.Bad, Odd: r.Odd, Servers: r.Servers, Loads: r.Loads, Virtual: r.Virtual, Together: r.Together,
@@ -290,7 +290,7 @@
 	return of[name]
 }
 
-func handOffs(s *scenario.Scenario, r *record.Record) HandOffs {
+func handOffs(s *scenario.Scenario, r *trace.Record) HandOffs {
 	categoryOf := map[string]int{}
 	ticketOf := map[string]string{}
 	for _, t := range r.Ledger.Tries {
@@ -305,7 +305,7 @@
 }
 
 // judge holds the day against what its scenario expects.
-func (r *Result) judge(s *scenario.Scenario, played *record.Record) {
+func (r *Result) judge(s *scenario.Scenario, played *trace.Record) {
 	miss := func(holds bool, text string, args ...any) {
 		if !holds {
 			r.Missed = append(r.Missed, fmt.Sprintf(text, args...))
@@ -378,7 +378,7 @@
 }
 
 // heldBy sums what each server held, over the samples.
-func heldBy(loads []record.LoadSample, server int) (at, held []float64) {
+func heldBy(loads []trace.LoadSample, server int) (at, held []float64) {
 	for _, s := range loads {
 		if server < len(s.Held) {
 			at = append(at, float64(s.At)/1e9)
--- a/internal/lab/result/text.go
+++ b/internal/lab/result/text.go
@@ -10,7 +10,7 @@
 
 	"maps"
 
-	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/trace"
 )
 
 // mostNodes are shown one by one.
@@ -33,7 +33,7 @@
 	fmt.Fprintf(w, "hand-offs %d: satisfied %d, turned away %d, errors %d, unanswered %d; double effects %d\n",
 		h.Sent, h.Satisfied, h.TurnedAway, h.Errors, h.Unanswered, h.Twice)
 	if len(r.Together) > 0 {
-		var sum, most record.Together
+		var sum, most trace.Together
 		for _, t := range r.Together {
 			sum.Connections, sum.Calls, sum.Probes = sum.Connections+t.Connections, sum.Calls+t.Calls, sum.Probes+t.Probes
 			sum.Resends, sum.Copies, sum.News = sum.Resends+t.Resends, sum.Copies+t.Copies, sum.News+t.News+t.Members
--- a/internal/lab/result/ways.go
+++ b/internal/lab/result/ways.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"fawnglade/internal/lab/links"
-	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/trace"
 )
 
 // Views is what nodes believed of one another over a day.
@@ -20,7 +20,7 @@
 }
 
 // viewsOf sets beliefs against what ran at the same moment.
-func viewsOf(beliefs []record.Belief, runs []record.Runs) *Views {
+func viewsOf(beliefs []trace.Belief, runs []trace.Runs) *Views {
 	if len(runs) == 0 {
 		return nil
 	}
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -9,7 +9,7 @@
 
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
-	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 )
 
@@ -31,13 +31,13 @@
 	byZone   [][]*node
 	turn     []int
 	choice   []workload.Choice // by zone; nil: in turn
-	outcomes []record.Outcome
+	outcomes []trace.Outcome
 	left     int
 	leftAt   int64
 }
 
 func newClients(d *Day) *clients {
-	c := &clients{day: d, outcomes: make([]record.Outcome, len(d.plan.Tasks)), left: len(d.plan.Tasks),
+	c := &clients{day: d, outcomes: make([]trace.Outcome, len(d.plan.Tasks)), left: len(d.plan.Tasks),
 		byZone: make([][]*node, len(d.scenario.Network.Zones)), turn: make([]int, len(d.scenario.Network.Zones))}
 	parts := d.plan.Parts(d.scenario)
 	for zone := range c.byZone {
@@ -66,7 +66,7 @@
 	}
 	t := &c.day.plan.Tasks[i]
 	c.day.at(t.Due+int64(c.day.scenario.Network.Client), func() {
-		c.day.count(func(s *record.Together) { s.Tasks++ })
+		c.day.count(func(s *trace.Together) { s.Tasks++ })
 		category := &c.day.scenario.Categories[t.Category]
 		c.send(&try{task: t, hard: t.Due + int64(float64(category.HardLimit)*c.day.scenario.Clients.TryShare), id: c.day.idOf(t.N, 0),
 			ticket: fmt.Sprintf("%016x", t.Seed)})
@@ -93,23 +93,23 @@
 			return
 		}
 	}
-	c.after(t, record.Lost, true, 0)
+	c.after(t, trace.Lost, true, 0)
 }
 
 func (c *clients) give(t *try, n *node) {
 	d := c.day
 	if !n.alive {
-		c.after(t, record.Lost, true, 0)
+		c.after(t, trace.Lost, true, 0)
 		return
 	}
 	rec := &invariant.Try{ID: t.id, Task: t.task.N, Node: n.index, Life: n.life.Life, Category: t.task.Category, Whole: d.now, Hard: t.hard}
 	front, place := n.front(), links.End{Index: n.index}
 	if barred, refused := d.barred(front, place); refused {
-		c.after(t, record.Lost, true, 0)
+		c.after(t, trace.Lost, true, 0)
 		return
 	} else if barred && !d.ways.Open(d.now, front, place) {
 		// The node never sees it, so the ledger does not either.
-		d.at(t.hard+int64(d.scenario.Rules.AnswerGrace)+listenOn, func() { c.after(t, record.BrokenOff, false, 0) })
+		d.at(t.hard+int64(d.scenario.Rules.AnswerGrace)+listenOn, func() { c.after(t, trace.BrokenOff, false, 0) })
 		return
 	}
 	d.ledger.Sent(rec)
@@ -138,9 +138,9 @@
 		t.over = true
 		if until == leaves {
 			rec.Left = d.now
-			c.settle(t, record.Left, d.now)
+			c.settle(t, trace.Left, d.now)
 		} else {
-			c.after(t, record.BrokenOff, false, 0)
+			c.after(t, trace.BrokenOff, false, 0)
 		}
 		if n.alive && t.x.life == n.life.Life {
 			n.withdrawn(t.x)
@@ -159,11 +159,11 @@
 	x.rec.Answered, x.rec.Status, x.rec.Advice = now, status, advice
 	switch status {
 	case 200:
-		c.settle(t, record.Satisfied, now+int64(c.day.scenario.Network.Client))
+		c.settle(t, trace.Satisfied, now+int64(c.day.scenario.Network.Client))
 	case 503:
-		c.after(t, record.Declined, false, advice)
+		c.after(t, trace.Declined, false, advice)
 	default:
-		c.after(t, record.BrokenOff, false, 0)
+		c.after(t, trace.BrokenOff, false, 0)
 	}
 }
 
@@ -172,16 +172,16 @@
 	if t := x.try; !t.over {
 		t.over = true
 		x.rec.Ended = c.day.now
-		c.after(t, record.Lost, !x.node.in, 0)
+		c.after(t, trace.Lost, !x.node.in, 0)
 	}
 }
 
 // after ends a try that did not satisfy, and sends the task again where a client would.
-func (c *clients) after(t *try, state record.State, unreached bool, advice int64) {
+func (c *clients) after(t *try, state trace.State, unreached bool, advice int64) {
 	d := c.day
 	s := d.scenario
 	category := &s.Categories[t.task.Category]
-	may := state == record.Declined || unreached || category.Repeat == "rerunnable"
+	may := state == trace.Declined || unreached || category.Repeat == "rerunnable"
 	if category.Repeat == "ticketed" && category.Group == "fleet" && d.now < t.task.Due+int64(category.Memory) {
 		may = true
 	}
@@ -200,12 +200,12 @@
 }
 
 // settle writes a task's end down.
-func (c *clients) settle(t *try, state record.State, at int64) {
+func (c *clients) settle(t *try, state trace.State, at int64) {
 	o := &c.outcomes[t.task.N]
-	if o.State != record.Unsettled {
+	if o.State != trace.Unsettled {
 		return
 	}
-	*o = record.Outcome{State: state, Took: at - t.task.Due, Tries: t.n + 1}
+	*o = trace.Outcome{State: state, Took: at - t.task.Due, Tries: t.n + 1}
 	c.left--
 	c.leftAt = c.day.now
 }
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -13,8 +13,8 @@
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 	"fawnglade/policy"
 )
@@ -95,24 +95,24 @@
 	memories  map[memoryKey]*model.Memory
 	holds     map[int]int64
 	oddities  map[string]int
-	loads     []record.LoadSample
-	together  []record.Together
+	loads     []trace.LoadSample
+	together  []trace.Together
 	ways      *links.Schedule
 	numbers   map[[2]links.End]uint64 // messages on each troubled way
-	beliefs   []record.Belief
-	runs      []record.Runs
+	beliefs   []trace.Belief
+	runs      []trace.Runs
 	problem   error
 }
 
 // Play plays a day to its end. An error means that it could not be played; what went wrong within it is in the record.
-func Play(ctx context.Context, o Options) (*record.Record, error) {
+func Play(ctx context.Context, o Options) (*trace.Record, error) {
 	began := time.Now()
 	d := &Day{scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.Ledger{},
 		draw: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[policy.ServerID]*machine{}, memories: map[memoryKey]*model.Memory{},
 		holds: map[int]int64{}, oddities: map[string]int{}, numbers: map[[2]links.End]uint64{}}
 	d.ways = d.plan.Ways(d.scenario)
 	d.idFirst = fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761))
-	d.together = make([]record.Together, int(int64(o.Scenario.Length)/1e9)+1)
+	d.together = make([]trace.Together, int(int64(o.Scenario.Length)/1e9)+1)
 	hash := d.plan.Hash()
 	if err := d.prepare(); err != nil {
 		return nil, err
@@ -143,12 +143,12 @@
 		m.warmed()
 	}
 	d.ledger.Close()
-	r := &record.Record{Plan: d.plan, Hash: hash, Virtual: true, Outcomes: d.clients.outcomes, Ledger: d.ledger, Loads: d.loads, Together: d.together,
+	r := &trace.Record{Plan: d.plan, Hash: hash, Virtual: true, Outcomes: d.clients.outcomes, Ledger: d.ledger, Loads: d.loads, Together: d.together,
 		Odd: d.oddities, Took: time.Since(began)}
-	r.Reach, r.Beliefs, r.Runs = record.ReachOf(d.scenario, d.ways, 0), d.beliefs, d.runs
-	record.Excuse(d.scenario, d.plan, d.ledger)
-	rules := record.RulesOf(d.scenario, d.ways, 0, 0, nil)
-	r.Breaks = d.ledger.Judge(record.Categories(d.scenario), rules)
+	r.Reach, r.Beliefs, r.Runs = trace.ReachOf(d.scenario, d.ways, 0), d.beliefs, d.runs
+	trace.Excuse(d.scenario, d.plan, d.ledger)
+	rules := trace.RulesOf(d.scenario, d.ways, 0, 0, nil)
+	r.Breaks = d.ledger.Judge(trace.Categories(d.scenario), rules)
 	r.Peaks[0], r.Peaks[1] = d.ledger.Peaks(rules)
 	for _, m := range d.machines {
 		r.Servers = append(r.Servers, m.spec.Name)
@@ -194,7 +194,7 @@
 
 // sample takes what servers hold.
 func (d *Day) sample() {
-	s := record.LoadSample{At: d.now}
+	s := trace.LoadSample{At: d.now}
 	for _, m := range d.machines {
 		held := 0
 		if m.up {
@@ -209,7 +209,7 @@
 }
 
 // count adds to what all nodes do together in this second.
-func (d *Day) count(what func(*record.Together)) {
+func (d *Day) count(what func(*trace.Together)) {
 	if second := int(d.now / 1e9); second < len(d.together) {
 		what(&d.together[second])
 	}
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -9,7 +9,7 @@
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/policy"
 )
 
@@ -125,7 +125,7 @@
 	n := w.node
 	d := n.day
 	s := d.discovery
-	d.count(func(t *record.Together) { t.Calls++ })
+	d.count(func(t *trace.Together) { t.Calls++ })
 	place := links.End{Index: n.index}
 	if barred, refused := d.barred(place, discoveryEnd); barred {
 		after := int64(listConnect)
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -12,7 +12,7 @@
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/members"
 	"fawnglade/internal/settings"
 	"fawnglade/policy"
@@ -46,7 +46,7 @@
 	step    int64 // of the system's clock, that the next start will see
 	set     settings.Settings
 	decider Decider
-	figures record.NodeFigures
+	figures trace.NodeFigures
 
 	life     *invariant.NodeLife
 	alive    bool
@@ -72,7 +72,7 @@
 }
 
 func newNode(d *Day, index int) (*node, error) {
-	n := &node{day: d, index: index, rate: 1, zone: index % len(d.scenario.Network.Zones), figures: record.NodeFigures{Node: index}}
+	n := &node{day: d, index: index, rate: 1, zone: index % len(d.scenario.Network.Zones), figures: trace.NodeFigures{Node: index}}
 	if zones := d.scenario.Nodes.Zones; len(zones) > 0 {
 		for z, name := range d.scenario.Network.Zones {
 			if name == zones[index] {
@@ -86,7 +86,7 @@
 	if n.cost = eventCost; d.scenario.Nodes.Cores > 0 && d.scenario.Nodes.Cores < 1 {
 		n.cost = int64(float64(eventCost) / d.scenario.Nodes.Cores)
 	}
-	text, err := json.Marshal(record.SettingsOf(d.scenario, index, n.zone))
+	text, err := json.Marshal(trace.SettingsOf(d.scenario, index, n.zone))
 	if err != nil {
 		return nil, err
 	}
@@ -362,7 +362,7 @@
 	if barred, _ := n.day.barred(links.End{Index: n.index}, m.place()); barred || !m.up || m.cut(n.index) {
 		return nil
 	}
-	n.day.count(func(t *record.Together) { t.Connections++ })
+	n.day.count(func(t *trace.Together) { t.Connections++ })
 	k := &conn{m: m, node: n.index, life: m.life, epoch: m.epochFor(n.index), fresh: true, over: m.crowded()}
 	m.conns++
 	return k
@@ -397,7 +397,7 @@
 	h.limit = min(d.now+max(timeOut, 0), x.try.hard)
 	x.handOffs = append(x.handOffs, h)
 	x.open++
-	d.count(func(t *record.Together) {
+	d.count(func(t *trace.Together) {
 		switch t.HandOffs++; {
 		case h.number > 0 && x.open > 1:
 			t.Copies++
@@ -504,7 +504,7 @@
 // Probe asks a server for its load beside its tasks.
 func (n *node) Probe(server policy.ServerID) {
 	m, d := n.day.byID[server], n.day
-	d.count(func(t *record.Together) { t.Probes++ })
+	d.count(func(t *trace.Together) { t.Probes++ })
 	if m == nil || !m.up || m.cut(n.index) || m.trouble.silent || !d.ways.Open(d.now, links.End{Index: n.index}, m.place()) || !d.ways.Open(d.now, m.place(), links.End{Index: n.index}) {
 		d.in(n.set.ConnectWithin, func() {
 			n.enter(func() { n.decider.Probed(n.clock(), server, policy.TimedOut, noReport.Report) })
@@ -533,7 +533,7 @@
 		if other == n || !other.alive || d.draw.Float64() < newsLost {
 			continue
 		}
-		d.count(func(t *record.Together) { t.News++ })
+		d.count(func(t *trace.Together) { t.News++ })
 		way := d.pass(links.End{Index: n.index}, links.End{Index: other.index}, len(message))
 		if way.Lost || way.Spoilt >= 0 {
 			continue
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"fawnglade/internal/lab/record"
 	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/policy"
 )
 
@@ -27,7 +27,7 @@
 	return s
 }
 
-func played(t *testing.T, s *scenario.Scenario, maker Maker) *record.Record {
+func played(t *testing.T, s *scenario.Scenario, maker Maker) *trace.Record {
 	t.Helper()
 	r, err := Play(context.Background(), Options{Scenario: s, Seed: s.Seed, Maker: maker})
 	if err != nil {
@@ -37,7 +37,7 @@
 }
 
 // text is all that a day left behind but how long it took to play.
-func text(t *testing.T, r *record.Record) string {
+func text(t *testing.T, r *trace.Record) string {
 	t.Helper()
 	r.Took = 0
 	out, err := json.Marshal(r)
@@ -143,12 +143,12 @@
 	r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Host, see Truth) Decider {
 		return &once{Decider: Module(node, set, seed, host, see), host: host}
 	})
-	if len(r.Breaks) > 0 || countOf(r, record.Satisfied) < len(r.Outcomes)*99/100 {
-		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, record.Satisfied), len(r.Outcomes), r.Breaks)
+	if len(r.Breaks) > 0 || countOf(r, trace.Satisfied) < len(r.Outcomes)*99/100 {
+		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, trace.Satisfied), len(r.Outcomes), r.Breaks)
 	}
 }
 
-func countOf(r *record.Record, s record.State) (n int) {
+func countOf(r *trace.Record, s trace.State) (n int) {
 	for _, o := range r.Outcomes {
 		if o.State == s {
 			n++
@@ -167,10 +167,10 @@
 	if len(r.Breaks) > 0 {
 		t.Errorf("rules broken: %v", r.Breaks[0])
 	}
-	if n := countOf(r, record.Lost); n == 0 {
+	if n := countOf(r, trace.Lost); n == 0 {
 		t.Error("nothing was lost with nodes that were killed 30 times")
 	}
-	if n := countOf(r, record.Unsettled); n > 0 {
+	if n := countOf(r, trace.Unsettled); n > 0 {
 		t.Errorf("%d tasks have no end", n)
 	}
 }
@@ -180,8 +180,8 @@
 func TestClocksOfNodesMayDiffer(t *testing.T) {
 	s := read(t, "rolling-restart", 6)
 	s.Nodes.Skew = scenario.Duration(2e9)
-	if r := played(t, s, Module); len(r.Breaks) > 0 || countOf(r, record.Satisfied) < len(r.Outcomes)*95/100 {
-		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, record.Satisfied), len(r.Outcomes), r.Breaks)
+	if r := played(t, s, Module); len(r.Breaks) > 0 || countOf(r, trace.Satisfied) < len(r.Outcomes)*95/100 {
+		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, trace.Satisfied), len(r.Outcomes), r.Breaks)
 	}
 }
 
@@ -215,7 +215,7 @@
 func TestNewsProbesAndMembersArePlayed(t *testing.T) {
 	s := read(t, "fail-fast", 12)
 	s.Nodes.Members, s.Reports.Probed = true, true
-	var all record.Together
+	var all trace.Together
 	r := played(t, s, Module)
 	for _, one := range r.Together {
 		all.Probes, all.News, all.Members = all.Probes+one.Probes, all.News+one.News, all.Members+one.Members
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -9,7 +9,7 @@
 
 	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/record"
+	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/members"
 )
 
@@ -152,7 +152,7 @@
 func (s *datagrams) Send(to int, datagram []byte) {
 	n := (*node)(s)
 	d := n.day
-	d.count(func(t *record.Together) { t.Members++; t.MemberBytes += len(datagram) })
+	d.count(func(t *trace.Together) { t.Members++; t.MemberBytes += len(datagram) })
 	v := d.pass(links.End{Index: n.index}, links.End{Index: to}, len(datagram))
 	if v.Lost {
 		return
@@ -203,15 +203,15 @@
 		if i%step != 0 {
 			continue
 		}
-		b := record.Belief{At: d.now, Node: i, Known: n.view.Figure(n.clock()).Known, Strain: n.view.Strain()}
+		b := trace.Belief{At: d.now, Node: i, Known: n.view.Figure(n.clock()).Known, Strain: n.view.Strain()}
 		letters := make([]byte, len(d.nodes))
 		for k, s := range n.view.States() {
-			letters[k] = record.Letters[s]
+			letters[k] = trace.Letters[s]
 		}
 		b.Of = string(letters)
 		d.beliefs = append(d.beliefs, b)
 	}
-	d.runs = append(d.runs, record.Runs{At: d.now, Of: string(runs)})
+	d.runs = append(d.runs, trace.Runs{At: d.now, Of: string(runs)})
 	if d.now < int64(d.scenario.Length) {
 		d.in(believedEvery, d.believe)
 	}
--- a/internal/lab/record/settings.go
+++ b/internal/lab/trace/settings.go
@@ -1,4 +1,4 @@
-package record
+package trace
 
 // This file owns what nodes are told of the deployment, the same on sockets and in virtual time. It must never tell what a
 // node could not know.
--- a/internal/lab/record/record.go
+++ b/internal/lab/trace/trace.go
@@ -1,6 +1,6 @@
-// Package record owns what a day leaves behind, whoever played it: sockets in real time or a world in virtual time. It must
+// Package trace owns what a day leaves behind, whoever played it: sockets in real time or a world in virtual time. It must
 // never play anything, nor work anything out.
-package record
+package trace
 
 import (
 	"slices"
