--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 )
@@ -98,7 +98,7 @@
 	for _, n := range d.nodes {
 		p := &pool{side: c, node: n, all: map[*rider]struct{}{}}
 		var err error
-		if p.way, err = d.between.stream(links.End{Kind: links.Client, Index: n.zone}, links.End{Kind: links.Node, Index: n.index}, func() string { return n.address }); err != nil {
+		if p.way, err = d.between.stream(netfault.End{Kind: netfault.Client, Index: n.zone}, netfault.End{Kind: netfault.Node, Index: n.index}, func() string { return n.address }); err != nil {
 			return nil, err
 		}
 		if p.way == n.address {
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 )
 
 const (
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	p := &place{node: node, address: l.Addr().String(), listener: l, conns: map[net.Conn]struct{}{}}
-	p.shown, err = s.day.between.stream(links.End{Kind: links.Node, Index: node}, links.End{Kind: links.Discovery}, func() string { return p.address })
+	p.shown, err = s.day.between.stream(netfault.End{Kind: netfault.Node, Index: node}, netfault.End{Kind: netfault.Discovery}, func() string { return p.address })
 	if err != nil {
 		l.Close()
 		return nil, err
--- a/internal/lab/emulator/machine.go
+++ b/internal/lab/emulator/machine.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/relay"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
@@ -117,7 +117,7 @@
 	}
 	for _, one := range m.doors {
 		var err error
-		one.shown, err = d.between.stream(links.End{Kind: links.Node, Index: one.node}, links.End{Kind: links.Server, Index: spec.Index},
+		one.shown, err = d.between.stream(netfault.End{Kind: netfault.Node, Index: one.node}, netfault.End{Kind: netfault.Server, Index: spec.Index},
 			func() string { return one.address })
 		if err != nil {
 			m.stop()
--- a/internal/lab/emulator/ways.go
+++ b/internal/lab/emulator/ways.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/relay"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/members"
@@ -30,7 +30,7 @@
 type between struct {
 	day     *Day
 	board   *relay.Board
-	ways    *links.Schedule // as planned; in force from the day's beginning
+	ways    *netfault.Schedule // as planned; in force from the day's beginning
 	members *relay.Mesh
 	news    *relay.Mesh
 	streams []*relay.Stream
@@ -69,7 +69,7 @@
 }
 
 // stream is the address at which one part reaches another: through a relay if the day troubles such ways, else its own.
-func (b *between) stream(from, to links.End, target func() string) (string, error) {
+func (b *between) stream(from, to netfault.End, target func() string) (string, error) {
 	if !b.ways.Touches(from.Kind, to.Kind) {
 		return target(), nil
 	}
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -6,7 +6,7 @@
 import (
 	"fmt"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
 )
 
@@ -57,13 +57,13 @@
 
 func do(what func()) func() error { return func() error { what(); return nil } }
 
-func cut(a, b []int, oneWay bool) links.Fault {
-	return links.Fault{Trouble: links.Cut, From: Ends(a), To: Ends(b), OneWay: oneWay}
+func cut(a, b []int, oneWay bool) netfault.Fault {
+	return netfault.Fault{Trouble: netfault.Cut, From: Ends(a), To: Ends(b), OneWay: oneWay}
 }
 
-func drop(nodes int, share float64, burst int) links.Fault {
+func drop(nodes int, share float64, burst int) netfault.Fault {
 	all := Ends(Numbers(0, nodes))
-	return links.Fault{Trouble: links.Drop, From: all, To: all, Share: share, Burst: burst, Seed: 7}
+	return netfault.Fault{Trouble: netfault.Drop, From: all, To: all, Share: share, Burst: burst, Seed: 7}
 }
 
 // neverSilent tells that nobody of some is taken for silent or gone by any of some.
@@ -278,12 +278,12 @@
 	}},
 	{"messages late, doubled, overtaken and spoilt at once", 8, func(f Fleet) error {
 		all := Ends(Numbers(0, 8))
-		way := func(t links.Trouble, share float64, wait int64) links.Fault {
-			return links.Fault{Trouble: t, From: all, To: all, Share: share, Wait: wait, Seed: 3}
+		way := func(t netfault.Trouble, share float64, wait int64) netfault.Fault {
+			return netfault.Fault{Trouble: t, From: all, To: all, Share: share, Wait: wait, Seed: 3}
 		}
 		return first(startAll(f),
 			do(func() {
-				f.Break(way(links.Twice, 0.3, 2e9), way(links.Reorder, 0.2, 60e6), way(links.Spoil, 0.1, 0), way(links.Delay, 0, 10e6))
+				f.Break(way(netfault.Twice, 0.3, 2e9), way(netfault.Reorder, 0.2, 60e6), way(netfault.Spoil, 0.1, 0), way(netfault.Delay, 0, 10e6))
 			}),
 			hold(f, 2*calm, "nobody is taken for silent", neverSilent(Numbers(0, 8), Numbers(0, 8))),
 			func() error {
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -15,8 +15,8 @@
 
 	"fawnglade/internal/lab/emulator"
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/relay"
 )
 
@@ -31,7 +31,7 @@
 	toldWithin = 6 * time.Second // after discovery had it and could be reached
 )
 
-func end(i int) links.End { return links.End{Kind: links.Node, Index: i} }
+func end(i int) netfault.End { return netfault.End{Kind: netfault.Node, Index: i} }
 
 // relayed is a fleet of three nodes that follow two relays below an origin, each way through a relay of the lab's.
 type relayed struct {
@@ -421,10 +421,10 @@
 			one.set(server, health, apart)
 		}
 	}
-	nodes, relays, origin := []links.End{end(0), end(1), end(2)}, []links.End{end(relayA), end(relayB)}, []links.End{end(theOne)}
-	lossy := func(from, to []links.End, seed uint64) []links.Fault {
-		return []links.Fault{{Trouble: links.Drop, From: from, To: to, Share: 0.1, Burst: 1, Seed: seed},
-			{Trouble: links.Delay, From: from, To: to, How: "drawn", Wait: int64(80 * time.Millisecond), Burst: 1, Seed: seed + 1}}
+	nodes, relays, origin := []netfault.End{end(0), end(1), end(2)}, []netfault.End{end(relayA), end(relayB)}, []netfault.End{end(theOne)}
+	lossy := func(from, to []netfault.End, seed uint64) []netfault.Fault {
+		return []netfault.Fault{{Trouble: netfault.Drop, From: from, To: to, Share: 0.1, Burst: 1, Seed: seed},
+			{Trouble: netfault.Delay, From: from, To: to, How: "drawn", Wait: int64(80 * time.Millisecond), Burst: 1, Seed: seed + 1}}
 	}
 	time.Sleep(500 * time.Millisecond)
 
@@ -451,11 +451,11 @@
 	r.procs["b"].Signal(syscall.SIGCONT)
 	time.Sleep(3 * time.Second)
 	// Two regions lose each other: relay b and one node on one side, all others on the other.
-	here := []links.End{end(0), end(1), end(relayA), end(theOne), end(theirs)}
-	there := []links.End{end(apartOne), end(relayB)}
-	cut := links.Fault{Trouble: links.Cut, From: here, To: there, Seed: 5}
+	here := []netfault.End{end(0), end(1), end(relayA), end(theOne), end(theirs)}
+	there := []netfault.End{end(apartOne), end(relayB)}
+	cut := netfault.Fault{Trouble: netfault.Cut, From: here, To: there, Seed: 5}
 	r.Break(cut)
-	plain.Break(links.Fault{Trouble: links.Cut, From: []links.End{end(theirs)}, To: []links.End{end(apartOne)}, Seed: 5})
+	plain.Break(netfault.Fault{Trouble: netfault.Cut, From: []netfault.End{end(theirs)}, To: []netfault.End{end(apartOne)}, Seed: 5})
 	time.Sleep(time.Second)
 	set(2, "up", true)
 	set(3, "draining", true)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"strings"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
 )
 
@@ -23,7 +23,7 @@
 	Freeze(node int)
 	Thaw(node int)
 	// Break puts troubles on ways until Mend. Times of a fault are counted from now; End 0: until Mend.
-	Break(faults ...links.Fault)
+	Break(faults ...netfault.Fault)
 	Mend()
 	// Views asks every node what it believes; nil for one that does not say. The second process of a name is not asked.
 	Views() []*members.View
@@ -136,10 +136,10 @@
 }
 
 // Ends names nodes as ends of ways.
-func Ends(nodes []int) []links.End {
-	out := make([]links.End, len(nodes))
+func Ends(nodes []int) []netfault.End {
+	out := make([]netfault.End, len(nodes))
 	for i, n := range nodes {
-		out[i] = links.End{Kind: links.Node, Index: n}
+		out[i] = netfault.End{Kind: netfault.Node, Index: n}
 	}
 	return out
 }
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/relay"
 	"fawnglade/internal/members"
 )
@@ -234,11 +234,11 @@
 	p.nodes[node].held = false
 }
 
-func (p *Processes) Break(faults ...links.Fault) {
-	p.board.Set(links.New(from(int64(time.Since(p.began)), faults)))
+func (p *Processes) Break(faults ...netfault.Fault) {
+	p.board.Set(netfault.New(from(int64(time.Since(p.began)), faults)))
 }
 
-func (p *Processes) Mend() { p.board.Set(links.New(nil)) }
+func (p *Processes) Mend() { p.board.Set(netfault.New(nil)) }
 
 func (p *Processes) Step() { time.Sleep(p.Round / 5) }
 
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
 )
 
@@ -46,7 +46,7 @@
 	due     happenings
 	nodes   []*simulated
 	names   []string
-	faults  *links.Schedule
+	faults  *netfault.Schedule
 	numbers map[[2]int]uint64
 	copied  map[[2]int][]byte
 	draw    *rand.Rand
@@ -65,7 +65,7 @@
 // NewVirtual makes a fleet of which nobody runs yet.
 func NewVirtual(nodes int, seed uint64) *Virtual {
 	v := &Virtual{Round: 500e6, Way: 500e3, Skew: make([]int64, nodes), now: 1_700_000_000e9, numbers: map[[2]int]uint64{}, copied: map[[2]int][]byte{},
-		faults: links.New(nil), draw: rand.New(rand.NewPCG(seed, 5))}
+		faults: netfault.New(nil), draw: rand.New(rand.NewPCG(seed, 5))}
 	for i := range nodes {
 		v.names = append(v.names, fmt.Sprintf("n%d", i))
 		v.nodes = append(v.nodes, &simulated{fleet: v, index: i})
@@ -150,7 +150,7 @@
 	if len(v.nodes) <= mostCopied && v.copied[way] == nil {
 		v.copied[way] = datagram
 	}
-	p := v.faults.Pass(v.now, links.End{Index: s.index}, links.End{Index: to}, v.numbers[way], len(datagram))
+	p := v.faults.Pass(v.now, netfault.End{Index: s.index}, netfault.End{Index: to}, v.numbers[way], len(datagram))
 	if p.Lost {
 		return
 	}
@@ -206,13 +206,13 @@
 	}
 }
 
-func (v *Virtual) Break(faults ...links.Fault) {
-	v.faults = links.New(from(v.now, faults))
+func (v *Virtual) Break(faults ...netfault.Fault) {
+	v.faults = netfault.New(from(v.now, faults))
 }
 
 // from counts faults' times from a moment.
-func from(now int64, faults []links.Fault) []links.Fault {
-	out := append([]links.Fault(nil), faults...)
+func from(now int64, faults []netfault.Fault) []netfault.Fault {
+	out := append([]netfault.Fault(nil), faults...)
 	for i := range out {
 		if out[i].Begin += now; out[i].End == 0 {
 			out[i].End = 1 << 62
@@ -223,7 +223,7 @@
 	return out
 }
 
-func (v *Virtual) Mend() { v.faults = links.New(nil) }
+func (v *Virtual) Mend() { v.faults = netfault.New(nil) }
 
 func (v *Virtual) Views() []*members.View {
 	out := make([]*members.View, len(v.nodes))
--- a/internal/lab/links/links.go
+++ b/internal/lab/netfault/netfault.go
@@ -1,7 +1,7 @@
-// Package links owns the ways between the parts of a day, and what is wrong with them when: which message is lost, late, doubled
+// Package netfault owns the ways between the parts of a day, and what is wrong with them when: which message is lost, late, doubled
 // or spoilt. The schedule is pure, the same for sockets and for virtual time: what befalls a message hangs on the seed, the way and
 // the message's number on it alone. It must never look at a clock or keep count of what passed.
-package links
+package netfault
 
 import (
 	"cmp"
--- a/internal/lab/links/links_test.go
+++ b/internal/lab/netfault/netfault_test.go
@@ -1,4 +1,4 @@
-package links
+package netfault
 
 import (
 	"math"
--- a/internal/lab/links/reach.go
+++ b/internal/lab/netfault/reach.go
@@ -1,4 +1,4 @@
-package links
+package netfault
 
 // This file owns the words for who could reach whom. It must never leave out a way that is cut.
 
--- a/internal/lab/relay/board.go
+++ b/internal/lab/relay/board.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 	"time"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 )
 
 // Board is what is wrong with the ways now, for all relays of a day.
 type Board struct {
 	now      func() int64
-	schedule atomic.Pointer[links.Schedule]
+	schedule atomic.Pointer[netfault.Schedule]
 
 	mu      sync.Mutex
 	streams []*Stream
@@ -26,13 +26,13 @@
 // NewBoard makes a board on which nothing is wrong. now is nanoseconds of the day.
 func NewBoard(now func() int64) *Board {
 	b := &Board{now: now, over: make(chan struct{})}
-	b.schedule.Store(links.New(nil))
+	b.schedule.Store(netfault.New(nil))
 	go b.look()
 	return b
 }
 
 // Set puts a schedule in force.
-func (b *Board) Set(s *links.Schedule) { b.schedule.Store(s) }
+func (b *Board) Set(s *netfault.Schedule) { b.schedule.Store(s) }
 
 // Close ends the watching of streams.
 func (b *Board) Close() { b.ended.Do(func() { close(b.over) }) }
--- a/internal/lab/relay/mesh.go
+++ b/internal/lab/relay/mesh.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 )
 
 const (
@@ -110,7 +110,7 @@
 		m.mu.Unlock()
 	}
 	now := m.board.now()
-	v := m.board.schedule.Load().Pass(now, links.End{Index: from}, links.End{Index: to}, number, len(datagram))
+	v := m.board.schedule.Load().Pass(now, netfault.End{Index: from}, netfault.End{Index: to}, number, len(datagram))
 	if v.Lost {
 		return
 	}
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 )
 
 // echo serves connections that get back what they send.
@@ -33,16 +33,16 @@
 }
 
 var (
-	node   = links.End{Kind: links.Node, Index: 0}
-	server = links.End{Kind: links.Server, Index: 0}
+	node   = netfault.End{Kind: netfault.Node, Index: 0}
+	server = netfault.End{Kind: netfault.Server, Index: 0}
 )
 
-func fault(t links.Trouble) links.Fault {
-	return links.Fault{Trouble: t, From: []links.End{node}, To: []links.End{server}, Begin: 0, End: 1 << 62, Seed: 1}
+func fault(t netfault.Trouble) netfault.Fault {
+	return netfault.Fault{Trouble: t, From: []netfault.End{node}, To: []netfault.End{server}, Begin: 0, End: 1 << 62, Seed: 1}
 }
 
-func set(b *Board, s *Stream, want state, faults ...links.Fault) {
-	b.Set(links.New(faults))
+func set(b *Board, s *Stream, want state, faults ...netfault.Fault) {
+	b.Set(netfault.New(faults))
 	for {
 		s.mu.Lock()
 		is := s.state
@@ -88,7 +88,7 @@
 			t.Fatal(err)
 		}
 		ask(c, 5*time.Second)
-		f := fault(links.Cut)
+		f := fault(netfault.Cut)
 		f.OneWay = oneWay
 		set(b, s, cut, f)
 		if err := ask(c, 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -102,7 +102,7 @@
 			t.Error("mended: expected a reset of what was held up, got ", err)
 		}
 	}
-	f := fault(links.Cut)
+	f := fault(netfault.Cut)
 	f.How = "refused"
 	set(b, s, refusing, f)
 	if _, err := net.DialTimeout("tcp", s.Address(), time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -123,9 +123,9 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	lossy, late, narrow := fault(links.Drop), fault(links.Delay), fault(links.Narrow)
+	lossy, late, narrow := fault(netfault.Drop), fault(netfault.Delay), fault(netfault.Narrow)
 	lossy.Share, late.How, late.Wait, narrow.Rate = 0.1, "drawn", 1e6, 4e6
-	b.Set(links.New([]links.Fault{lossy, late, narrow}))
+	b.Set(netfault.New([]netfault.Fault{lossy, late, narrow}))
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/relay/stream.go
+++ b/internal/lab/relay/stream.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 )
 
 const (
@@ -28,7 +28,7 @@
 // Stream is one relay: connections from one end to another.
 type Stream struct {
 	board    *Board
-	from, to links.End
+	from, to netfault.End
 	address  string
 	target   func() string
 
@@ -55,7 +55,7 @@
 }
 
 // NewStream opens a relay at an address with port 0, or a port of its own. target is asked with each connection.
-func NewStream(board *Board, address string, from, to links.End, target func() string) (*Stream, error) {
+func NewStream(board *Board, address string, from, to netfault.End, target func() string) (*Stream, error) {
 	s := &Stream{board: board, from: from, to: to, address: address, target: target, open: map[*joint]struct{}{}}
 	if err := s.listen(); err != nil {
 		return nil, err
@@ -205,9 +205,9 @@
 }
 
 // follow notices what the schedule says of this way now.
-func (s *Stream) follow(schedule *links.Schedule, now int64) {
+func (s *Stream) follow(schedule *netfault.Schedule, now int64) {
 	want := whole
-	for _, way := range [][2]links.End{{s.from, s.to}, {s.to, s.from}} {
+	for _, way := range [][2]netfault.End{{s.from, s.to}, {s.to, s.from}} {
 		if !schedule.Open(now, way[0], way[1]) {
 			want = max(want, cut)
 			if schedule.Pass(now, way[0], way[1], 0, 0).Refused {
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/trace"
 )
@@ -54,7 +54,7 @@
 	Loads      []trace.LoadSample  `json:"loads,omitempty"`
 	Virtual    bool                `json:"virtual,omitempty"`
 	Together   []trace.Together    `json:"together_by_1s,omitempty"` // what all nodes do together
-	Reach      []links.Reach       `json:"reach_by_1s,omitempty"`    // who could reach whom
+	Reach      []netfault.Reach    `json:"reach_by_1s,omitempty"`    // who could reach whom
 	Views      *Views              `json:"views,omitempty"`
 	Beliefs    []trace.Belief      `json:"beliefs,omitempty"`
 	Runs       []trace.Runs        `json:"runs,omitempty"`
--- a/internal/lab/result/ways.go
+++ b/internal/lab/result/ways.go
@@ -8,7 +8,7 @@
 	"io"
 	"strings"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 )
 
@@ -52,9 +52,9 @@
 }
 
 // reachLines puts who could reach whom into lines, a line for each stretch of seconds that are alike.
-func reachLines(reach []links.Reach) []string {
+func reachLines(reach []netfault.Reach) []string {
 	var out []string
-	text := func(r links.Reach) string {
+	text := func(r netfault.Reach) string {
 		parts := strings.Join(r.Parts, " | ")
 		if len(r.Parts) > 12 {
 			parts = fmt.Sprintf("%d parts, the first %s", len(r.Parts), r.Parts[0])
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -9,7 +9,7 @@
 	"runtime"
 
 	"fawnglade/internal/lab/fleet"
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
 )
 
@@ -79,7 +79,7 @@
 				}
 			}
 			everybody := fleet.Ends(fleet.Numbers(0, n))
-			v.Break(links.Fault{Trouble: links.Drop, From: everybody, To: everybody, Share: lost, Burst: 1, Seed: 11})
+			v.Break(netfault.Fault{Trouble: netfault.Drop, From: everybody, To: everybody, Share: lost, Burst: 1, Seed: 11})
 			began := v.Now()
 			for !allUp(v) {
 				if v.Now()-began > upWithin {
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 )
 
 // Kinds of fault, with what each must name: servers, nodes, or nothing for what is there once.
@@ -114,7 +114,7 @@
 		def(&f.Share, 0.3)
 	}
 	if strings.HasPrefix(f.Kind, "link-") {
-		if hows := links.Hows[links.Trouble(f.Kind)]; len(hows) > 0 {
+		if hows := netfault.Hows[netfault.Trouble(f.Kind)]; len(hows) > 0 {
 			def(&f.How, hows[0])
 		}
 		def(&f.Burst, 1)
--- a/internal/lab/scenario/ways.go
+++ b/internal/lab/scenario/ways.go
@@ -7,12 +7,12 @@
 	"fmt"
 	"strings"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 )
 
 // Site tells what the ends of ways are called.
-func (s *Scenario) Site() *links.Site {
-	site := &links.Site{Zones: s.Network.Zones, ServerNames: s.ServerNames()}
+func (s *Scenario) Site() *netfault.Site {
+	site := &netfault.Site{Zones: s.Network.Zones, ServerNames: s.ServerNames()}
 	for i := range s.Nodes.Count {
 		if len(s.Nodes.Zones) == s.Nodes.Count {
 			site.NodeZones = append(site.NodeZones, s.Nodes.Zones[i])
@@ -29,9 +29,9 @@
 }
 
 // Way is a fault as the schedule of ways takes it; false if it is none of ways, or names what is not there.
-func (s *Scenario) Way(f *Fault) (links.Fault, bool) {
+func (s *Scenario) Way(f *Fault) (netfault.Fault, bool) {
 	if Kinds[f.Kind] != "ways" {
-		return links.Fault{}, false
+		return netfault.Fault{}, false
 	}
 	site := s.Site()
 	from, err := site.Ends(f.From)
@@ -40,7 +40,7 @@
 	if f.For == 0 {
 		end = int64(f.At) + 2*int64(s.Length)
 	}
-	return links.Fault{Trouble: links.Trouble(f.Kind), From: from, To: to, OneWay: f.OneWay, Begin: int64(f.At), End: end, How: f.How, Share: f.Share,
+	return netfault.Fault{Trouble: netfault.Trouble(f.Kind), From: from, To: to, OneWay: f.OneWay, Begin: int64(f.At), End: end, How: f.How, Share: f.Share,
 		Burst: f.Burst, Wait: int64(f.Wait), Rate: f.Rate}, err == nil && err2 == nil && len(from) > 0 && len(to) > 0
 }
 
@@ -48,7 +48,7 @@
 func (s *Scenario) checkWays(c *checker) {
 	type known struct {
 		at  string
-		way links.Fault
+		way netfault.Fault
 	}
 	var sound []known
 	site := s.Site()
@@ -67,8 +67,8 @@
 				c.must(false, at+key, want, got)
 			}
 		}
-		trouble := links.Trouble(f.Kind)
-		if hows := links.Hows[trouble]; len(hows) > 0 {
+		trouble := netfault.Trouble(f.Kind)
+		if hows := netfault.Hows[trouble]; len(hows) > 0 {
 			c.oneOf(at+"how", f.How, hows...)
 		} else {
 			c.must(f.How == "", at+"how", "none, as "+f.Kind+" has one way only", f.How)
@@ -76,9 +76,9 @@
 		c.part(at+"share", f.Share)
 		c.must(f.Burst >= 1 && f.Burst <= 10000, at+"burst", "1 to 10,000 messages", f.Burst)
 		switch trouble {
-		case links.Delay, links.Reorder:
+		case netfault.Delay, netfault.Reorder:
 			c.must(f.Wait > 0 && f.Wait <= ms(60000), at+"wait", "a time above 0, 1m at most", f.Wait.Std())
-		case links.Narrow:
+		case netfault.Narrow:
 			c.must(f.Rate >= 100, at+"rate", "at least 100 bytes a second", f.Rate)
 		}
 		way, ok := s.Way(f)
@@ -88,7 +88,7 @@
 		joined, messages, same := true, true, true
 		for _, a := range way.From {
 			for _, b := range way.To {
-				ways, single := links.CanJoin(a.Kind, b.Kind)
+				ways, single := netfault.CanJoin(a.Kind, b.Kind)
 				joined, messages, same = joined && ways, messages && single, same && a == b
 			}
 		}
@@ -96,9 +96,9 @@
 		if c.must(joined, at+"to", "ends that nodes have ways to: one side of a way is always a node", strings.Join(f.From, " ")+" and "+strings.Join(f.To, " ")); !joined {
 			continue
 		}
-		c.must(messages || links.OnStreams(trouble), at+"kind", "link-cut, link-drop, link-delay or link-narrow where the way carries streams", fmt.Sprintf("%q", f.Kind))
+		c.must(messages || netfault.OnStreams(trouble), at+"kind", "link-cut, link-drop, link-delay or link-narrow where the way carries streams", fmt.Sprintf("%q", f.Kind))
 		for k := range sound {
-			c.must(!links.Contradict(&sound[k].way, &way), at+"kind", "no other "+f.Kind+" of one of its ways at one time", "one in "+strings.TrimSuffix(sound[k].at, "."))
+			c.must(!netfault.Contradict(&sound[k].way, &way), at+"kind", "no other "+f.Kind+" of one of its ways at one time", "one in "+strings.TrimSuffix(sound[k].at, "."))
 		}
 		sound = append(sound, known{at, way})
 	}
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 )
@@ -103,7 +103,7 @@
 		return
 	}
 	rec := &invariant.Try{ID: t.id, Task: t.task.N, Node: n.index, Life: n.life.Life, Category: t.task.Category, Whole: d.now, Hard: t.hard}
-	front, place := n.front(), links.End{Index: n.index}
+	front, place := n.front(), netfault.End{Index: n.index}
 	if barred, refused := d.barred(front, place); refused {
 		c.after(t, trace.Lost, true, 0)
 		return
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
@@ -97,8 +97,8 @@
 	oddities  map[string]int
 	loads     []trace.LoadSample
 	together  []trace.Together
-	ways      *links.Schedule
-	numbers   map[[2]links.End]uint64 // messages on each troubled way
+	ways      *netfault.Schedule
+	numbers   map[[2]netfault.End]uint64 // messages on each troubled way
 	beliefs   []trace.Belief
 	runs      []trace.Runs
 	problem   error
@@ -109,7 +109,7 @@
 	began := time.Now()
 	d := &Day{scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.Ledger{},
 		draw: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[policy.ServerID]*machine{}, memories: map[memoryKey]*model.Memory{},
-		holds: map[int]int64{}, oddities: map[string]int{}, numbers: map[[2]links.End]uint64{}}
+		holds: map[int]int64{}, oddities: map[string]int{}, numbers: map[[2]netfault.End]uint64{}}
 	d.ways = d.plan.Ways(d.scenario)
 	d.idFirst = fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761))
 	d.together = make([]trace.Together, int(int64(o.Scenario.Length)/1e9)+1)
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/policy"
 )
@@ -126,7 +126,7 @@
 	d := n.day
 	s := d.discovery
 	d.count(func(t *trace.Together) { t.Calls++ })
-	place := links.End{Index: n.index}
+	place := netfault.End{Index: n.index}
 	if barred, refused := d.barred(place, discoveryEnd); barred {
 		after := int64(listConnect)
 		if refused {
@@ -265,7 +265,7 @@
 	if w.due = false; w.over {
 		return
 	}
-	if !w.node.day.ways.Open(w.node.day.now, discoveryEnd, links.End{Index: w.node.index}) {
+	if !w.node.day.ways.Open(w.node.day.now, discoveryEnd, netfault.End{Index: w.node.index}) {
 		w.held = true // what is new comes with the next watch
 		return
 	}
--- a/internal/lab/simulation/hearsay.go
+++ b/internal/lab/simulation/hearsay.go
@@ -7,8 +7,8 @@
 	"fmt"
 
 	"fawnglade/internal/endpointgossip"
-	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/policy"
 )
 
@@ -72,7 +72,7 @@
 	}
 	word := int64(0)
 	if w := n.watch; w != nil && w.rec != nil {
-		if n.day.ways.Open(n.day.now, discoveryEnd, links.End{Index: n.index}) {
+		if n.day.ways.Open(n.day.now, discoveryEnd, netfault.End{Index: n.index}) {
 			h.word = n.clock()
 		}
 		word = h.word
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -9,8 +9,8 @@
 	"strconv"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
 	"fawnglade/policy"
@@ -145,7 +145,9 @@
 	}
 }
 
-func (m *machine) place() links.End      { return links.End{Kind: links.Server, Index: m.spec.Index} }
+func (m *machine) place() netfault.End {
+	return netfault.End{Kind: netfault.Server, Index: m.spec.Index}
+}
 func (m *machine) cut(node int) bool     { return m.allCuts > 0 || m.cuts[node] > 0 }
 func (m *machine) epochFor(node int) int { return m.epoch + m.epochs[node] }
 func (m *machine) usable(k *conn) bool {
@@ -312,12 +314,12 @@
 
 // wayBack is how long an answer takes.
 func (h *handOff) wayBack() int64 {
-	return h.way + h.m.day.held(h.m.place(), links.End{Index: h.x.node.index})
+	return h.way + h.m.day.held(h.m.place(), netfault.End{Index: h.x.node.index})
 }
 
 // hears tells whether what the server says now comes to the node.
 func (h *handOff) hears() bool {
-	return !h.m.cut(h.x.node.index) && h.m.day.ways.Open(h.m.day.now, h.m.place(), links.End{Index: h.x.node.index})
+	return !h.m.cut(h.x.node.index) && h.m.day.ways.Open(h.m.day.now, h.m.place(), netfault.End{Index: h.x.node.index})
 }
 
 // answer comes to the node, unless the way is cut or nobody is there any more.
@@ -368,7 +370,7 @@
 		return
 	}
 	h.rec.Closed = min(h.rec.Closed, h.m.day.now)
-	if h.done || h.m.cut(h.x.node.index) || !h.m.day.ways.Open(h.m.day.now, links.End{Index: h.x.node.index}, h.m.place()) {
+	if h.done || h.m.cut(h.x.node.index) || !h.m.day.ways.Open(h.m.day.now, netfault.End{Index: h.x.node.index}, h.m.place()) {
 		return
 	}
 	m, life := h.m, h.life
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -10,8 +10,8 @@
 
 	"fawnglade/internal/gossip"
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/members"
 	"fawnglade/internal/settings"
@@ -274,8 +274,8 @@
 	x.settled = true
 	n.release(x)
 	life := n.life
-	n.day.in(nodeOut+n.day.held(links.End{Index: n.index}, n.front()), func() {
-		if n.alive && n.life == life && !n.day.ways.Open(n.day.now, links.End{Index: n.index}, n.front()) {
+	n.day.in(nodeOut+n.day.held(netfault.End{Index: n.index}, n.front()), func() {
+		if n.alive && n.life == life && !n.day.ways.Open(n.day.now, netfault.End{Index: n.index}, n.front()) {
 			return // the client hears nothing
 		}
 		if n.alive && n.life == life {
@@ -359,7 +359,7 @@
 		}
 		n.close(k)
 	}
-	if barred, _ := n.day.barred(links.End{Index: n.index}, m.place()); barred || !m.up || m.cut(n.index) {
+	if barred, _ := n.day.barred(netfault.End{Index: n.index}, m.place()); barred || !m.up || m.cut(n.index) {
 		return nil
 	}
 	n.day.count(func(t *trace.Together) { t.Connections++ })
@@ -415,7 +415,7 @@
 		if m.up {
 			after = n.set.ConnectWithin // nothing answers
 		}
-		if _, refused := d.barred(links.End{Index: n.index}, m.place()); refused {
+		if _, refused := d.barred(netfault.End{Index: n.index}, m.place()); refused {
 			after = int64(50 * time.Microsecond)
 		}
 		d.in(min(after, max(h.limit-d.now, 0)), func() { n.handOffEnds(h, policy.Unreached, noReport.Report, false) })
@@ -430,10 +430,10 @@
 			h.givenUp()
 		}
 	})
-	if m.cut(n.index) || !d.ways.Open(d.now, links.End{Index: n.index}, m.place()) {
+	if m.cut(n.index) || !d.ways.Open(d.now, netfault.End{Index: n.index}, m.place()) {
 		return // it never arrives; the node cannot know
 	}
-	wait := h.way + d.held(links.End{Index: n.index}, m.place())
+	wait := h.way + d.held(netfault.End{Index: n.index}, m.place())
 	if h.fresh = h.conn.fresh; h.fresh {
 		wait += int64(m.fleet.ConnectionWait) + 2*h.way
 	}
@@ -505,7 +505,7 @@
 func (n *node) Probe(server policy.ServerID) {
 	m, d := n.day.byID[server], n.day
 	d.count(func(t *trace.Together) { t.Probes++ })
-	if m == nil || !m.up || m.cut(n.index) || m.trouble.silent || !d.ways.Open(d.now, links.End{Index: n.index}, m.place()) || !d.ways.Open(d.now, m.place(), links.End{Index: n.index}) {
+	if m == nil || !m.up || m.cut(n.index) || m.trouble.silent || !d.ways.Open(d.now, netfault.End{Index: n.index}, m.place()) || !d.ways.Open(d.now, m.place(), netfault.End{Index: n.index}) {
 		d.in(n.set.ConnectWithin, func() {
 			n.enter(func() { n.decider.Probed(n.clock(), server, policy.TimedOut, noReport.Report) })
 		})
@@ -534,7 +534,7 @@
 			continue
 		}
 		d.count(func(t *trace.Together) { t.News++ })
-		way := d.pass(links.End{Index: n.index}, links.End{Index: other.index}, len(message))
+		way := d.pass(netfault.End{Index: n.index}, netfault.End{Index: other.index}, len(message))
 		if way.Lost || way.Spoilt >= 0 {
 			continue
 		}
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"time"
 
-	"fawnglade/internal/lab/links"
 	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/members"
 )
@@ -22,22 +22,22 @@
 	messageSize   = 400                    // bytes of a task, or of an answer, on a narrow way
 )
 
-var discoveryEnd = links.End{Kind: links.Discovery}
+var discoveryEnd = netfault.End{Kind: netfault.Discovery}
 
-func (n *node) front() links.End { return links.End{Kind: links.Client, Index: n.zone} }
+func (n *node) front() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
 
 // pass is what befalls the next message of a way.
-func (d *Day) pass(from, to links.End, size int) links.Verdict {
+func (d *Day) pass(from, to netfault.End, size int) netfault.Verdict {
 	if len(d.ways.Turns()) == 0 {
-		return links.Verdict{Spoilt: -1}
+		return netfault.Verdict{Spoilt: -1}
 	}
-	way := [2]links.End{from, to}
+	way := [2]netfault.End{from, to}
 	d.numbers[way]++
 	return d.ways.Pass(d.now, from, to, d.numbers[way], size)
 }
 
 // held is by how much later a stream's piece comes than on a sound way.
-func (d *Day) held(from, to links.End) int64 {
+func (d *Day) held(from, to netfault.End) int64 {
 	v := d.pass(from, to, messageSize)
 	if v.Lost {
 		v.After += int64(sentAgain)
@@ -49,8 +49,8 @@
 }
 
 // barred tells whether no new connection comes up between two ends, and whether the one that asks is told so.
-func (d *Day) barred(a, b links.End) (barred, refused bool) {
-	for _, way := range [][2]links.End{{a, b}, {b, a}} {
+func (d *Day) barred(a, b netfault.End) (barred, refused bool) {
+	for _, way := range [][2]netfault.End{{a, b}, {b, a}} {
 		if !d.ways.Open(d.now, way[0], way[1]) {
 			barred = true
 			refused = refused || d.ways.Pass(d.now, way[0], way[1], 0, 0).Refused
@@ -64,7 +64,7 @@
 func (d *Day) mendWays() {
 	for i := range d.plan.Faults {
 		way, ok := d.scenario.Way(&d.plan.Faults[i].Fault)
-		if !ok || way.Trouble != links.Cut {
+		if !ok || way.Trouble != netfault.Cut {
 			continue
 		}
 		reset := func() {
@@ -81,8 +81,8 @@
 			continue
 		}
 		d.at(way.Begin+int64(listSilence), func() {
-			for _, a := range append(append([]links.End(nil), way.From...), way.To...) {
-				if a.Kind != links.Node {
+			for _, a := range append(append([]netfault.End(nil), way.From...), way.To...) {
+				if a.Kind != netfault.Node {
 					continue
 				}
 				if n := d.nodes[a.Index]; n.watch != nil && n.watch.rec != nil && !d.ways.Open(d.now, discoveryEnd, a) {
@@ -93,17 +93,17 @@
 	}
 }
 
-func (d *Day) resetWay(from, to links.End) {
-	if from.Kind != links.Node {
+func (d *Day) resetWay(from, to netfault.End) {
+	if from.Kind != netfault.Node {
 		return
 	}
 	n := d.nodes[from.Index]
 	switch to.Kind {
-	case links.Server:
+	case netfault.Server:
 		m := d.machines[to.Index]
 		m.epochs[n.index]++
 		n.serverGone(m, true)
-	case links.Discovery:
+	case netfault.Discovery:
 		if n.watch != nil && n.watch.held {
 			n.watch.failed()
 		}
@@ -153,7 +153,7 @@
 	n := (*node)(s)
 	d := n.day
 	d.count(func(t *trace.Together) { t.Members++; t.MemberBytes += len(datagram) })
-	v := d.pass(links.End{Index: n.index}, links.End{Index: to}, len(datagram))
+	v := d.pass(netfault.End{Index: n.index}, netfault.End{Index: to}, len(datagram))
 	if v.Lost {
 		return
 	}
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
 	"fawnglade/internal/members"
@@ -99,8 +99,8 @@
 	Peaks    [2][]invariant.Peak // of servers while they were cold: of all that came, and of what came from nodes that knew
 	Nodes    []NodeFigures
 	Loads    []LoadSample
-	Together []Together    // by second
-	Reach    []links.Reach // by second, where ways are troubled
+	Together []Together       // by second
+	Reach    []netfault.Reach // by second, where ways are troubled
 	Beliefs  []Belief
 	Runs     []Runs
 	Odd      map[string]int
@@ -112,7 +112,7 @@
 }
 
 // ReachOf is who could reach whom at the middle of each second of a day that begins at a moment; nothing where no way is troubled.
-func ReachOf(s *scenario.Scenario, ways *links.Schedule, base int64) (out []links.Reach) {
+func ReachOf(s *scenario.Scenario, ways *netfault.Schedule, base int64) (out []netfault.Reach) {
 	if len(ways.Turns()) == 0 {
 		return nil
 	}
@@ -149,7 +149,7 @@
 
 // RulesOf is what the nodes of a day are held to, with what each time limit is longer by: a slack, how late the rig ran, and what
 // the day's ways held up. The day begins at base.
-func RulesOf(s *scenario.Scenario, ways *links.Schedule, base, slack int64, late func(int64) int64) invariant.Rules {
+func RulesOf(s *scenario.Scenario, ways *netfault.Schedule, base, slack int64, late func(int64) int64) invariant.Rules {
 	r := &s.Rules
 	within := int64(0)
 	if s.Discovery.Ask {
@@ -162,14 +162,14 @@
 		return rules
 	}
 	rules.Late = func(at int64) int64 {
-		by := ways.Allowance(at, links.Client, links.Node)
+		by := ways.Allowance(at, netfault.Client, netfault.Node)
 		if late != nil {
 			by += late(at)
 		}
 		return by
 	}
 	rules.OnWay = func(at int64) int64 {
-		return ways.Allowance(at, links.Node, links.Server) + ways.Allowance(at, links.Node, links.Discovery)
+		return ways.Allowance(at, netfault.Node, netfault.Server) + ways.Allowance(at, netfault.Node, netfault.Discovery)
 	}
 	return rules
 }
@@ -195,27 +195,27 @@
 func Excuse(s *scenario.Scenario, p *workload.Plan, l *invariant.Ledger) {
 	for i := range p.Faults {
 		way, ok := s.Way(&p.Faults[i].Fault)
-		if !ok || way.Trouble != links.Cut {
+		if !ok || way.Trouble != netfault.Cut {
 			continue
 		}
-		of := func(k links.Kind) (out []int) {
-			for _, e := range append(append([]links.End(nil), way.From...), way.To...) {
+		of := func(k netfault.Kind) (out []int) {
+			for _, e := range append(append([]netfault.End(nil), way.From...), way.To...) {
 				if e.Kind == k {
 					out = append(out, e.Index)
 				}
 			}
 			return out
 		}
-		if len(of(links.Discovery)) > 0 {
-			for _, node := range of(links.Node) {
+		if len(of(netfault.Discovery)) > 0 {
+			for _, node := range of(netfault.Node) {
 				l.Outages = append(l.Outages, &invariant.Outage{Node: node, Span: invariant.Span{From: way.Begin, To: way.End}})
 			}
 		}
-		if len(of(links.Client)) == 0 {
+		if len(of(netfault.Client)) == 0 {
 			continue
 		}
 		for _, life := range l.Lives {
-			if slices.Contains(of(links.Node), life.Node) {
+			if slices.Contains(of(netfault.Node), life.Node) {
 				life.Excused = append(life.Excused, invariant.Span{From: way.Begin, To: way.End + int64(time.Second)})
 			}
 		}
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -13,7 +13,7 @@
 	"slices"
 	"sort"
 
-	"fawnglade/internal/lab/links"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 )
 
@@ -280,15 +280,15 @@
 }
 
 // Ways is the schedule of what is wrong with ways, with its times as the plan's stand now.
-func (p *Plan) Ways(s *scenario.Scenario) *links.Schedule {
-	var all []links.Fault
+func (p *Plan) Ways(s *scenario.Scenario) *netfault.Schedule {
+	var all []netfault.Fault
 	for i := range p.Faults {
 		if way, ok := s.Way(&p.Faults[i].Fault); ok {
 			way.Seed = p.Faults[i].Seed
 			all = append(all, way)
 		}
 	}
-	return links.New(all)
+	return netfault.New(all)
 }
 
 func (p *Plan) drawBad(s *scenario.Scenario, f *Fault) {
