--- a/internal/lab/emulator/machine.go
+++ b/internal/lab/emulator/machine.go
@@ -17,10 +17,10 @@
 	"sync/atomic"
 	"time"
 
+	"fawnglade/internal/lab/faultproxy"
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/relay"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
 )
@@ -325,7 +325,7 @@
 	}
 	d.cut.Store(true)
 	d.listener.Close()
-	l, plugs, err := relay.ListenFull(d.address)
+	l, plugs, err := faultproxy.ListenFull(d.address)
 	if err != nil {
 		return fmt.Errorf("cutting off %s: %w", d.address, err)
 	}
--- a/internal/lab/emulator/ways.go
+++ b/internal/lab/emulator/ways.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
+	"fawnglade/internal/lab/faultproxy"
 	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/relay"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/members"
 )
@@ -29,21 +29,21 @@
 // between is all relays of a day.
 type between struct {
 	day     *Day
-	board   *relay.Board
+	board   *faultproxy.Board
 	ways    *netfault.Schedule // as planned; in force from the day's beginning
-	members *relay.Mesh
-	news    *relay.Mesh
-	streams []*relay.Stream
+	members *faultproxy.Mesh
+	news    *faultproxy.Mesh
+	streams []*faultproxy.Stream
 }
 
 func newBetween(d *Day) (*between, error) {
-	b := &between{day: d, board: relay.NewBoard(d.now), ways: d.plan.Ways(d.scenario)}
-	talk := func(port int) (*relay.Mesh, error) {
+	b := &between{day: d, board: faultproxy.NewBoard(d.now), ways: d.plan.Ways(d.scenario)}
+	talk := func(port int) (*faultproxy.Mesh, error) {
 		var listen []string
 		for i := range d.scenario.Nodes.Count {
 			listen = append(listen, d.nodeAddress(i, port))
 		}
-		return relay.NewMesh(b.board, listen)
+		return faultproxy.NewMesh(b.board, listen)
 	}
 	var err error
 	if d.scenario.Nodes.Members {
@@ -73,7 +73,7 @@
 	if !b.ways.Touches(from.Kind, to.Kind) {
 		return target(), nil
 	}
-	s, err := relay.NewStream(b.board, fmt.Sprintf("127.%d.%d.%d:0", b.day.octets[0], b.day.octets[1], 1+(from.Index+to.Index)%190), from, to, target)
+	s, err := faultproxy.NewStream(b.board, fmt.Sprintf("127.%d.%d.%d:0", b.day.octets[0], b.day.octets[1], 1+(from.Index+to.Index)%190), from, to, target)
 	if err != nil {
 		return "", err
 	}
@@ -85,7 +85,7 @@
 
 func (b *between) close() {
 	b.board.Close()
-	for _, m := range []*relay.Mesh{b.members, b.news} {
+	for _, m := range []*faultproxy.Mesh{b.members, b.news} {
 		if m != nil {
 			m.Close()
 		}
--- a/internal/lab/emulator/wire.go
+++ b/internal/lab/emulator/wire.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"syscall"
 
-	"fawnglade/internal/lab/relay"
+	"fawnglade/internal/lab/faultproxy"
 )
 
 const (
@@ -255,4 +255,4 @@
 }
 
 // reset ends a connection so that the other side sees it broken rather than closed.
-func reset(c net.Conn) { relay.Reset(c) }
+func reset(c net.Conn) { faultproxy.Reset(c) }
--- a/internal/lab/relay/board.go
+++ b/internal/lab/faultproxy/board.go
@@ -1,6 +1,6 @@
-// Package relay owns relays on loopback: what passes between two parts of a day goes through one and meets there what the schedule
+// Package faultproxy owns relays on loopback: what passes between two parts of a day goes through one and meets there what the schedule
 // of package links has for it. It must never send to any address but those that it was given, nor decide what befalls a message.
-package relay
+package faultproxy
 
 import (
 	"sync"
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 import (
 	"bytes"
--- a/internal/lab/relay/mesh.go
+++ b/internal/lab/faultproxy/mesh.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 // This file owns relays of single messages between nodes: for each two nodes a socket on which the one reaches the other, from which
 // also comes what that other sends, so that each sees the other at one address. It must never keep more than mostLate messages.
--- a/internal/lab/relay/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 // This file owns relays of streams: connections of one part of a day to another. Where a way is cut, what is open stays open and
 // silent, nobody gets through anew, and what was held up is reset once the way is mended. A lost piece is a late one, as the
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/faultproxy"
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/relay"
 )
 
 // Who is who on the ways: nodes from 0, then these.
@@ -37,7 +37,7 @@
 type relayed struct {
 	*Processes
 	t     *testing.T
-	ways  map[[2]int]*relay.Stream
+	ways  map[[2]int]*faultproxy.Stream
 	files map[string]string // configurations
 	addr  map[string]string
 	procs map[string]emulator.Proc
@@ -61,7 +61,7 @@
 }
 
 func (r *relayed) way(from, to int, target func() string) string {
-	s, err := relay.NewStream(r.board, "127.0.0.1:0", end(from), end(to), target)
+	s, err := faultproxy.NewStream(r.board, "127.0.0.1:0", end(from), end(to), target)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 // newRelayed starts an origin, two relays and three nodes; with plain, the nodes watch discovery alone.
 func newRelayed(t *testing.T, plain bool) *relayed {
 	t.Helper()
-	r := &relayed{Processes: processes(t, 3), t: t, ways: map[[2]int]*relay.Stream{}, files: map[string]string{}, addr: map[string]string{},
+	r := &relayed{Processes: processes(t, 3), t: t, ways: map[[2]int]*faultproxy.Stream{}, files: map[string]string{}, addr: map[string]string{},
 		procs: map[string]emulator.Proc{}, book: &invariant.Ledger{}, open: map[handOff]*invariant.HandOff{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{}}
 	for i := range r.plain {
 		r.state[i] = "up"
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -20,8 +20,8 @@
 	"time"
 
 	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/faultproxy"
 	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/relay"
 	"fawnglade/internal/members"
 )
 
@@ -47,8 +47,8 @@
 	DiscoveryFor func(node int) string // where a node reaches discovery; nil: directly
 
 	dir   string
-	board *relay.Board
-	mesh  *relay.Mesh
+	board *faultproxy.Board
+	mesh  *faultproxy.Mesh
 	began time.Time
 	nodes []*process
 	asks  *Discovery
@@ -95,14 +95,14 @@
 		up = append(up, Listing{Server: s, Health: "up"})
 	}
 	p.asks.Tell(1, up...)
-	p.board = relay.NewBoard(func() int64 { return int64(time.Since(p.began)) })
+	p.board = faultproxy.NewBoard(func() int64 { return int64(time.Since(p.began)) })
 	net := (os.Getpid()*67 + int(fleets.Add(1))) % (120 * 250)
 	var listen []string
 	for i := range nodes {
 		p.nodes = append(p.nodes, &process{fleet: p, index: i})
 		listen = append(listen, fmt.Sprintf("127.%d.%d.%d:7946", 130+net/250, 1+net%250, 1+i))
 	}
-	p.mesh, err = relay.NewMesh(p.board, listen)
+	p.mesh, err = faultproxy.NewMesh(p.board, listen)
 	return p, err
 }
 
