--- a/cmd/fawnglade-lab/distribution.go
+++ b/cmd/fawnglade-lab/distribution.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"fawnglade/internal/lab/tree"
+	"fawnglade/internal/lab/distsim"
 )
 
 const originCommand = "distribution-origin"
@@ -27,7 +27,7 @@
 		Example: "  fawnglade-lab distribution --quick\n  fawnglade-lab distribution --nodes 5300 --json > distribution.json",
 		Args:    cobra.NoArgs,
 	}
-	full, small := tree.Full(), tree.Quick()
+	full, small := distsim.Full(), distsim.Quick()
 	size := full
 	f := c.Flags()
 	quick := f.Bool("quick", false, "the small form: 300 nodes in 3 regions, under a minute")
@@ -80,7 +80,7 @@
 		say := func(format string, args ...any) {
 			fmt.Fprintf(c.ErrOrStderr(), "%5.1fs "+format+"\n", append([]any{time.Since(began).Seconds()}, args...)...)
 		}
-		result, err := tree.Play(c.Context(), size, tree.Programs{Relay: words, Origin: []string{self, originCommand}}, say)
+		result, err := distsim.Play(c.Context(), size, distsim.Programs{Relay: words, Origin: []string{self, originCommand}}, say)
 		if result == nil {
 			return err
 		}
@@ -104,7 +104,7 @@
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return tree.Origin(c.Context(), os.Stdin, os.Stdout)
+			return distsim.Origin(c.Context(), os.Stdin, os.Stdout)
 		},
 	}
 }
--- a/internal/lab/tree/config.go
+++ b/internal/lab/distsim/config.go
@@ -1,4 +1,4 @@
-package tree
+package distsim
 
 // This file owns the text of a relay's configuration file. It must never be used for what is not a relay of a run.
 
--- a/internal/lab/tree/tree_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -1,4 +1,4 @@
-package tree
+package distsim
 
 import (
 	"context"
--- a/internal/lab/tree/judge.go
+++ b/internal/lab/distsim/judge.go
@@ -1,4 +1,4 @@
-package tree
+package distsim
 
 // This file owns the verdicts and the figures of an act: every node's records against the truth, every change against those who
 // follow it. It must never count a record as right by its version alone: the bytes are compared.
--- a/internal/lab/tree/nodes.go
+++ b/internal/lab/distsim/nodes.go
@@ -1,4 +1,4 @@
-package tree
+package distsim
 
 // This file owns the hollow nodes: the node's own subscriber and client, without clients or servers of requests behind them. Each
 // notes what it was told and when; what is right is judged elsewhere. It must never look at the truth.
--- a/internal/lab/tree/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -1,4 +1,4 @@
-package tree
+package distsim
 
 // This file owns the origin's process: the module's origin behind the server that relays connect to, with a control on its standard
 // input in the place of discovery and a directory, so that the run knows when each change was made and under which number. It must
--- a/internal/lab/tree/processes.go
+++ b/internal/lab/distsim/processes.go
@@ -1,4 +1,4 @@
-package tree
+package distsim
 
 // This file owns the processes of a run: the origin and the relays, their configuration, their ends, and what they cost by the
 // system's account. It must never leave one behind, nor end one that it did not start.
--- a/internal/lab/tree/run.go
+++ b/internal/lab/distsim/run.go
@@ -1,4 +1,4 @@
-package tree
+package distsim
 
 // This file owns the order of a run: its acts, and what is measured in each. It must never go on for longer than mostRun, and judges
 // by numbers and versions; times are told, not judged.
--- a/internal/lab/tree/size.go
+++ b/internal/lab/distsim/size.go
@@ -1,7 +1,7 @@
-// Package tree owns the run of the distribution tree on one machine: an origin, relays in two levels as processes, and hollow nodes
+// Package distsim owns the run of the distribution tree on one machine: an origin, relays in two levels as processes, and hollow nodes
 // over TCP on loopback, with a day's changes and faults, and the verdict of every hollow node against what the run itself wrote.
 // It must never take a relay's or a node's word for what is true, send to an address outside 127.0.0.0/8, or leave a process behind.
-package tree
+package distsim
 
 import (
 	"errors"
--- a/internal/lab/tree/world.go
+++ b/internal/lab/distsim/world.go
@@ -1,4 +1,4 @@
-package tree
+package distsim
 
 // This file owns what is true: the records of the run and the changes that are drawn, each with a number of its own. It must never
 // read a clock, nor what the tree made of a change. Routes and tenants that no hollow node follows never change and are not kept.
