--- a/cmd/fawnglade-lab/search.go
+++ b/cmd/fawnglade-lab/search.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
-	"fawnglade/internal/lab/hunt"
+	"fawnglade/internal/lab/faultsearch"
 	"fawnglade/internal/lab/result"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/sweep"
@@ -65,7 +65,7 @@
 				return err
 			}
 		}
-		state, err := hunt.Run(c.Context(), hunt.Options{Base: base, Seed: *seed, Draws: *draws, Keep: *keep, Dir: *out, Each: each,
+		state, err := faultsearch.Run(c.Context(), faultsearch.Options{Base: base, Seed: *seed, Draws: *draws, Keep: *keep, Dir: *out, Each: each,
 			Notice: func(text string) { fmt.Fprintln(os.Stderr, text) },
 			Play: func(ctx context.Context, s *scenario.Scenario, seed uint64) (float64, int, error) {
 				own, err := virtual(ctx, s, seed, *by)
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/faultsearch/faultsearch.go
@@ -1,10 +1,10 @@
-// Package hunt owns the search for the days on which the decisions lose most against a policy that sees more, or break a rule:
+// Package faultsearch owns the search for the days on which the decisions lose most against a policy that sees more, or break a rule:
 // which days are tried, which are kept, and how a found one is cut down to what matters. It must never play a day by itself.
 //
 // Random draws come first: troubles are many separate kinds, and the loss has no slope between them. The best of those are then
 // changed a little at a time, each round with half as many and twice the changes (successive halving), as within one kind of trouble
 // the loss does have one. Of days with the same kinds of fault only few stay: three finds are to be three causes.
-package hunt
+package faultsearch
 
 import (
 	"cmp"
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/lab/faultsearch/faultsearch_test.go
@@ -1,4 +1,4 @@
-package hunt
+package faultsearch
 
 import (
 	"context"
