--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -154,16 +154,31 @@
 
 // Stats are counters since the start, and what is held now.
 type Stats struct {
-	Epoch, Through                      uint64 // the position; of a relay what it claims
-	Whole                               bool
-	Records, Tombstones, Scopes, Bytes  int // held now; Records without Tombstones
-	Subscribers, Selectors              int // of a relay now
-	Floor                               uint64
-	Frames, FrameBytes                  int64 // taken
-	Sent, SentBytes, SentRecords        int64 // by a relay
-	SentNames                           int64 // of SentRecords those without a body, as the subscriber held it
-	Resumed, Anew                       int64 // selectors that were resumed after their position, and those that were sent anew
-	Applied, Repeated, Stale, Swept     int64 // records taken: newer, the same again, older than what is known; gone with a whole scope
-	Spoilt, Foreign, OldFrames, Refused int64 // records passed over; frames of another session or epoch; hellos refused
-	LastSpoilt                          string
+	Epoch       uint64 `json:"Epoch"`
+	Through     uint64 `json:"Through"` // the position; of a relay what it claims
+	Whole       bool   `json:"Whole"`
+	Records     int    `json:"Records"`
+	Tombstones  int    `json:"Tombstones"`
+	Scopes      int    `json:"Scopes"`
+	Bytes       int    `json:"Bytes"` // held now; Records without Tombstones
+	Subscribers int    `json:"Subscribers"`
+	Selectors   int    `json:"Selectors"` // of a relay now
+	Floor       uint64 `json:"Floor"`
+	Frames      int64  `json:"Frames"`
+	FrameBytes  int64  `json:"FrameBytes"` // taken
+	Sent        int64  `json:"Sent"`
+	SentBytes   int64  `json:"SentBytes"`
+	SentRecords int64  `json:"SentRecords"` // by a relay
+	SentNames   int64  `json:"SentNames"`   // of SentRecords those without a body, as the subscriber held it
+	Resumed     int64  `json:"Resumed"`
+	Anew        int64  `json:"Anew"` // selectors that were resumed after their position, and those that were sent anew
+	Applied     int64  `json:"Applied"`
+	Repeated    int64  `json:"Repeated"`
+	Stale       int64  `json:"Stale"`
+	Swept       int64  `json:"Swept"` // records taken: newer, the same again, older than what is known; gone with a whole scope
+	Spoilt      int64  `json:"Spoilt"`
+	Foreign     int64  `json:"Foreign"`
+	OldFrames   int64  `json:"OldFrames"`
+	Refused     int64  `json:"Refused"` // records passed over; frames of another session or epoch; hellos refused
+	LastSpoilt  string `json:"LastSpoilt"`
 }
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -17,10 +17,13 @@
 
 // Entry is one server as discovery words it. Born is in milliseconds of Unix time.
 type Entry struct {
-	Host, Dial, Site, Health string
-	Block                    int
-	Share                    float64
-	Born                     float64 `json:"born_ms"`
+	Host   string  `json:"host"`
+	Dial   string  `json:"dial"`
+	Site   string  `json:"site"`
+	Health string  `json:"health"`
+	Block  int     `json:"block"`
+	Share  float64 `json:"share"`
+	Born   float64 `json:"born_ms"`
 }
 
 // Line is a list or what changed in it, without its entries.
--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -10,19 +10,25 @@
 
 // Figures are of one server.
 type Figures struct {
-	Load, Reported, Drift float64   // w before the exceptions; its last report; what each send since adds
-	Own                   ewma.Pair // answer times for each unit of work; what was out when they set off
-	High                  float64   // quantile of answer time for each unit of expected work
-	Known, Heard          bool      // by answers; by reports
+	Load     float64   `json:"Load"`     // w before the exceptions
+	Reported float64   `json:"Reported"` // its last report
+	Drift    float64   `json:"Drift"`    // what each send since adds
+	Own      ewma.Pair `json:"Own"`      // answer times for each unit of work; what was out when they set off
+	High     float64   `json:"High"`     // quantile of answer time for each unit of expected work
+	Known    bool      `json:"Known"`    // by answers
+	Heard    bool      `json:"Heard"`    // by reports
 }
 
 // Category is what an instance learns of one category.
 type Category struct {
-	Typical          float64 // a low quantile of answer times, to compare tasks that bring no hint
-	Spread           float64 // a high quantile of answer times over their prediction
-	Fares, Asked     float64 // part of the tasks of late that were satisfied; fading count of them
-	Due              float64 // part of its time that it keeps while tasks are turned away
-	Taken, Away, Met int     // since the last tick: answers, tasks given up; answers ever
+	Typical float64 `json:"Typical"` // a low quantile of answer times, to compare tasks that bring no hint
+	Spread  float64 `json:"Spread"`  // a high quantile of answer times over their prediction
+	Fares   float64 `json:"Fares"`   // part of the tasks of late that were satisfied
+	Asked   float64 `json:"Asked"`   // fading count of them
+	Due     float64 `json:"Due"`     // part of its time that it keeps while tasks are turned away
+	Taken   int     `json:"Taken"`   // answers since the last tick
+	Away    int     `json:"Away"`    // tasks given up since the last tick
+	Met     int     `json:"Met"`     // answers ever
 }
 
 const (
@@ -78,10 +84,11 @@
 
 // Common is of all servers together.
 type Common struct {
-	Pods         map[int]*ewma.Pair
-	Fleet        ewma.Pair
-	Way          map[int]float64 // by zone: what an answer takes however little the work
-	MeanOf, High float64         // mean cost of a task; mean of the high quantiles
+	Pods   map[int]*ewma.Pair `json:"Pods"`
+	Fleet  ewma.Pair          `json:"Fleet"`
+	Way    map[int]float64    `json:"Way"`    // by zone: what an answer takes however little the work
+	MeanOf float64            `json:"MeanOf"` // mean cost of a task
+	High   float64            `json:"High"`   // mean of the high quantiles
 }
 
 // Age is called once a second: what answers showed of pods and of the fleet counts for those parts of it.
@@ -95,14 +102,14 @@
 // Server is one server's figures, and which start of it they are of.
 type Server struct {
 	Figures
-	Started int64
+	Started int64 `json:"Started"`
 }
 
 // All is what one instance hands to another.
 type All struct {
 	Common
-	Categories []Category
-	Servers    map[uint32]Server
+	Categories []Category        `json:"Categories"`
+	Servers    map[uint32]Server `json:"Servers"`
 }
 
 // Fade has a part of what was seen count: what is old says less.
--- a/internal/ewma/ewma.go
+++ b/internal/ewma/ewma.go
@@ -4,7 +4,9 @@
 
 // Pair sums up two figures that come together. The zero value has seen nothing.
 type Pair struct {
-	A, B, N float64 // sums, and the weight of what they hold
+	A float64 `json:"A"` // the sum of the first figure
+	B float64 `json:"B"` // and of the second
+	N float64 `json:"N"` // the weight of what they hold
 }
 
 // Add takes in one sighting. Those before it fade so that the weight stays at most.
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -79,7 +79,16 @@
 
 // ClientStats only ever grow.
 type ClientStats struct {
-	Dials, Connects, Silent, Closed, Behind, TooLong, Spoilt, Returned, Frames, Bytes int64
+	Dials    int64 `json:"Dials"`
+	Connects int64 `json:"Connects"`
+	Silent   int64 `json:"Silent"`
+	Closed   int64 `json:"Closed"`
+	Behind   int64 `json:"Behind"`
+	TooLong  int64 `json:"TooLong"`
+	Spoilt   int64 `json:"Spoilt"`
+	Returned int64 `json:"Returned"`
+	Frames   int64 `json:"Frames"`
+	Bytes    int64 `json:"Bytes"`
 }
 
 // Client follows upstreams.
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -78,15 +78,8 @@
 }
 
 func decode(body []byte, e *endpointlist.Entry) error {
-	var in struct {
-		Host, Dial, Site, Health string
-		Block                    int
-		Share                    float64
-		Born                     float64 `json:"born_ms"`
-	}
-	err := json.Unmarshal(body, &in)
-	*e = endpointlist.Entry(in)
-	return err
+	*e = endpointlist.Entry{}
+	return json.Unmarshal(body, e)
 }
 
 // best is the entry that counts of a host that several scopes have: the latest start's, the first scope's of these.
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -55,9 +55,16 @@
 
 // ServerStats only ever grow, but for Subscribers and Waiting.
 type ServerStats struct {
-	Subscribers, Waiting                  int64 // now: attached; without a hello
-	Accepted, Refused, BadHellos, Slow    int64 // Refused: over a bound; Slow: ended as a frame was not taken in time
-	Ended, Frames, Bytes, AcceptsTryAgain int64
+	Subscribers     int64 `json:"Subscribers"`
+	Waiting         int64 `json:"Waiting"` // now: attached; without a hello
+	Accepted        int64 `json:"Accepted"`
+	Refused         int64 `json:"Refused"`
+	BadHellos       int64 `json:"BadHellos"`
+	Slow            int64 `json:"Slow"` // Refused: over a bound; Slow: ended as a frame was not taken in time
+	Ended           int64 `json:"Ended"`
+	Frames          int64 `json:"Frames"`
+	Bytes           int64 `json:"Bytes"`
+	AcceptsTryAgain int64 `json:"AcceptsTryAgain"`
 }
 
 // Server hands one feed out. The feed is the server's: whoever changes it does so by Do.
