--- a/internal/classdelay/classdelay.go
+++ b/internal/classdelay/classdelay.go
@@ -45,34 +45,34 @@
 }
 
 // Book holds both sorts of kinds.
-type Book struct {
+type Tracker struct {
 	sorts [2][]kind
 	least float64
 }
 
 // New makes a book in which nothing is late.
-func New(categories, customers int) *Book {
-	return &Book{sorts: [2][]kind{make([]kind, max(categories, 1)), make([]kind, max(customers, 1))}, least: math.Inf(1)}
+func New(categories, customers int) *Tracker {
+	return &Tracker{sorts: [2][]kind{make([]kind, max(categories, 1)), make([]kind, max(customers, 1))}, least: math.Inf(1)}
 }
 
 // Soft takes in the soft limit of a category.
-func (b *Book) Soft(limit int64) { b.least = min(b.least, part*float64(limit)) }
+func (b *Tracker) AddObjective(limit int64) { b.least = min(b.least, part*float64(limit)) }
 
 // Kinds are the two kinds of one task.
-type Kinds struct {
-	book *Book
+type Pair struct {
+	book *Tracker
 	of   [2]*kind
 }
 
 // Kinds finds those of a category and a customer.
-func (b *Book) Kinds(category, customer int) Kinds {
-	return Kinds{b, [2]*kind{&b.sorts[0][category], &b.sorts[1][min(customer, len(b.sorts[1])-1)]}}
+func (b *Tracker) Of(category, customer int) Pair {
+	return Pair{b, [2]*kind{&b.sorts[0][category], &b.sorts[1][min(customer, len(b.sorts[1])-1)]}}
 }
 
 // waits is by how much each kind is later than the one of its sort that fares best, or would be with as much work: in a jam
 // heavy tasks are later than light ones. Kinds that are asked for and given up
 // count with what they last showed: who is not let in must not make the late look like all.
-func (k Kinds) waits(now int64) (waits [2]float64) {
+func (k Pair) waits(now int64) (waits [2]float64) {
 	for i, own := range k.of {
 		least := own.level
 		for j := range k.book.sorts[i] {
@@ -88,14 +88,14 @@
 }
 
 // Wait is by how much the kinds are later than others; infinite while nothing but overdue hand-offs is known.
-func (k Kinds) Wait(now int64) float64 {
+func (k Pair) Delay(now int64) float64 {
 	w := k.waits(now)
 	return w[0] + w[1]
 }
 
 // Due tells whether the kinds that wait may be tried again: nothing is out of them, and there has been for no more than a part
 // of the time. So all nodes together try with no more than that part of them at once, in whatever time a try takes.
-func (k Kinds) Due(now int64, part float64) bool {
+func (k Pair) MayTry(now int64, part float64) bool {
 	for i, w := range k.waits(now) {
 		if own := k.of[i]; w > 0 && (own.out > 0 || float64(now-own.since)*part < float64(own.was)*(1-part)) {
 			return false
@@ -105,7 +105,7 @@
 }
 
 // Out counts hand-offs that go out, or are back.
-func (k Kinds) Out(now int64, by int) {
+func (k Pair) CountInFlight(now int64, by int) {
 	for _, own := range k.of {
 		if own.out += by; own.out == 0 {
 			own.was, own.since = now-own.since, now
@@ -116,7 +116,7 @@
 }
 
 // Away takes in that a task was given up.
-func (k Kinds) Away() {
+func (k Pair) CountGivenUp() {
 	for _, own := range k.of {
 		own.away++
 	}
@@ -124,7 +124,7 @@
 
 // Add takes in how long a hand-off took, infinitely while it is overdue, and how long it takes alone at its server. What its
 // one kind is known to wait for does not count against the other.
-func (k Kinds) Add(now, sentAt int64, took, alone float64) {
+func (k Pair) Observe(now, sentAt int64, took, alone float64) {
 	w, late := k.waits(now), took-alone
 	for i, own := range k.of {
 		own.alone += (alone - own.alone) / 8
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -17,28 +17,28 @@
 
 // Entry is one server as discovery words it. Born is in milliseconds of Unix time.
 type Entry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Health string  `json:"health"`
-	Block  int     `json:"block"`
-	Share  float64 `json:"share"`
-	Born   float64 `json:"born_ms"`
+	Name      string  `json:"host"`
+	Address   string  `json:"dial"`
+	Zone      string  `json:"site"`
+	State     string  `json:"health"`
+	Pod       int     `json:"block"`
+	Weight    float64 `json:"share"`
+	StartedMs float64 `json:"born_ms"`
 }
 
 // Line is a list or what changed in it, without its entries.
-type Line struct {
-	Version int64
-	Whole   bool  // names all there are, and could be read whole
-	Passed  int   // entries that could not be read or made no sense
-	First   error // why the first of them did not
+type Update struct {
+	Version  int64
+	Complete bool  // names all there are, and could be read whole
+	Skipped  int   // entries that could not be read or made no sense
+	FirstErr error // why the first of them did not
 }
 
 // Limits bound what one line may be.
 type Limits struct {
-	Value int   // bytes of one entry or of one field that nobody knows: so much is held at a time
-	Line  int64 // bytes of a line, with all that breaks and indents it
-	Hosts int   // entries
+	ValueBytes int   // bytes of one entry or of one field that nobody knows: so much is held at a time
+	LineBytes  int64 // bytes of a line, with all that breaks and indents it
+	Endpoints  int   // entries
 }
 
 const (
@@ -48,17 +48,17 @@
 	linePart      = 4 // of the memory: the names of servers are kept, the rest of a line is not
 	// HostCost is what a server costs a node in bytes, over all its parts and with what its collector has not taken away yet. Live are 910
 	// (109 MB with 120,000, by the heap's profile of TestAListOf120000 in internal/node, with four categories).
-	HostCost  = 1500
-	hostsPart = 2 // of the memory: the collector begins to work without a rest where what is live comes near 0.6 of it
+	EndpointBytes = 1500
+	hostsPart     = 2 // of the memory: the collector begins to work without a rest where what is live comes near 0.6 of it
 )
 
 // For tells the bounds that go with the memory that a node may use, in bytes; 0: a machine of its own.
-func For(memory int64) Limits {
+func LimitsFor(memory int64) Limits {
 	if memory <= 0 {
 		memory = defaultMemory
 	}
 	line := max(memory/linePart, leastValue)
-	return Limits{Value: int(max(line/valuePart, leastValue)), Line: line, Hosts: int(memory / hostsPart / HostCost)}
+	return Limits{ValueBytes: int(max(line/valuePart, leastValue)), LineBytes: line, Endpoints: int(memory / hostsPart / EndpointBytes)}
 }
 
 // TooLongError is a list that can't be held.
@@ -97,10 +97,10 @@
 
 func (b *bounded) Read(p []byte) (int, error) {
 	switch {
-	case b.value > int64(b.limits.Value):
-		return 0, &TooLongError{"bytes of one value", int64(b.limits.Value)}
-	case b.line > b.limits.Line:
-		return 0, &TooLongError{"bytes of a line", b.limits.Line}
+	case b.value > int64(b.limits.ValueBytes):
+		return 0, &TooLongError{"bytes of one value", int64(b.limits.ValueBytes)}
+	case b.line > b.limits.LineBytes:
+		return 0, &TooLongError{"bytes of a line", b.limits.LineBytes}
 	}
 	n, err := b.in.Read(p)
 	for ; b.between && n > 0; n, err = b.in.Read(p) {
@@ -118,7 +118,7 @@
 
 // Next reads a line. It has begin called where entries begin, and take with each; what take finds fault with is passed over. Entries
 // of before another begin are nothing, and all are nothing if there is an error. After one nothing more can be read.
-func (r *Reader) Next(begin func(), take func(Entry) error) (l Line, err error) {
+func (r *Reader) Next(begin func(), take func(Entry) error) (l Update, err error) {
 	r.in.line, r.in.value, r.in.between = 0, 0, r.drained()
 	var version *int64
 	if err = r.delim('{'); err != nil {
@@ -135,10 +135,10 @@
 		case strings.EqualFold(name, "seq"):
 			err = r.values.Decode(&version)
 		case strings.EqualFold(name, "whole"):
-			err = r.values.Decode(&l.Whole)
+			err = r.values.Decode(&l.Complete)
 		case strings.EqualFold(name, "hosts"):
 			begin()
-			l.Passed, l.First = 0, nil
+			l.Skipped, l.FirstErr = 0, nil
 			err = r.hosts(&l, take)
 		default:
 			err = r.values.Decode(&r.raw)
@@ -154,7 +154,7 @@
 		return l, errors.New("a list without a version")
 	}
 	// A server is not taken off the list because its entry could not be read.
-	l.Version, l.Whole = *version, l.Whole && l.Passed == 0
+	l.Version, l.Complete = *version, l.Complete && l.Skipped == 0
 	return l, nil
 }
 
@@ -185,7 +185,7 @@
 	return err
 }
 
-func (r *Reader) hosts(l *Line, take func(Entry) error) error {
+func (r *Reader) hosts(l *Update, take func(Entry) error) error {
 	token, err := r.values.Token()
 	if err != nil || token == nil {
 		return err
@@ -194,8 +194,8 @@
 		return fmt.Errorf("hosts: expected a list, got %.40q", fmt.Sprint(token))
 	}
 	for n := 0; r.values.More(); n++ {
-		if r.in.value = 0; n >= r.limits.Hosts {
-			return &TooLongError{"entries", int64(r.limits.Hosts)}
+		if r.in.value = 0; n >= r.limits.Endpoints {
+			return &TooLongError{"entries", int64(r.limits.Endpoints)}
 		}
 		if err := r.values.Decode(&r.raw); err != nil {
 			return err
@@ -209,8 +209,8 @@
 			err = take(e)
 		}
 		if err != nil {
-			if l.Passed++; l.First == nil {
-				l.First = err
+			if l.Skipped++; l.FirstErr == nil {
+				l.FirstErr = err
 			}
 			err = nil
 		}
@@ -294,13 +294,13 @@
 func (r *Reader) set(e *Entry, name, value []byte) bool {
 	switch string(name) {
 	case "host":
-		e.Host = string(value)
+		e.Name = string(value)
 	case "dial":
-		e.Dial = string(value)
+		e.Address = string(value)
 	case "site":
-		e.Site = r.word(value)
+		e.Zone = r.word(value)
 	case "health":
-		e.Health = r.word(value)
+		e.State = r.word(value)
 	default:
 		return stranger(name)
 	}
@@ -323,11 +323,11 @@
 	var err error
 	switch string(name) {
 	case "block":
-		e.Block, err = strconv.Atoi(string(value))
+		e.Pod, err = strconv.Atoi(string(value))
 	case "share":
-		e.Share, err = strconv.ParseFloat(string(value), 64)
+		e.Weight, err = strconv.ParseFloat(string(value), 64)
 	case "born_ms":
-		e.Born, err = strconv.ParseFloat(string(value), 64)
+		e.StartedMs, err = strconv.ParseFloat(string(value), 64)
 	default:
 		return stranger(name)
 	}
@@ -335,7 +335,7 @@
 }
 
 // Parse reads a text that is one line and nothing else.
-func Parse(text []byte, limits Limits, begin func(), take func(Entry) error) (Line, error) {
+func Parse(text []byte, limits Limits, begin func(), take func(Entry) error) (Update, error) {
 	r := New(bytes.NewReader(text), limits)
 	l, err := r.Next(begin, take)
 	if err == nil {
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -16,7 +16,7 @@
 )
 
 type all struct {
-	Line    Line
+	Line    Update
 	Entries []Entry
 }
 
@@ -37,25 +37,25 @@
 	}
 	for _, one := range in.Entries {
 		var e Entry
-		if err := json.Unmarshal(one, &e); err != nil || e.Host == "odd" {
-			a.Line.Passed++
+		if err := json.Unmarshal(one, &e); err != nil || e.Name == "odd" {
+			a.Line.Skipped++
 			continue
 		}
 		a.Entries = append(a.Entries, e)
 	}
-	a.Line.Version, a.Line.Whole = *in.Version, in.Whole && a.Line.Passed == 0
+	a.Line.Version, a.Line.Complete = *in.Version, in.Whole && a.Line.Skipped == 0
 	return a, nil
 }
 
-func quick(read func(begin func(), take func(Entry) error) (Line, error)) (a all, err error) {
+func quick(read func(begin func(), take func(Entry) error) (Update, error)) (a all, err error) {
 	a.Line, err = read(func() { a.Entries = nil }, func(e Entry) error {
-		if e.Host == "odd" {
+		if e.Name == "odd" {
 			return odd
 		}
 		a.Entries = append(a.Entries, e)
 		return nil
 	})
-	a.Line.First = nil
+	a.Line.FirstErr = nil
 	return a, err
 }
 
@@ -74,10 +74,10 @@
 // compare holds the streaming reader to encoding/json, whatever the pieces in which a text comes.
 func compare(t *testing.T, text []byte) {
 	want, wrong := slow(text)
-	limits := For(0)
-	for name, read := range map[string]func(begin func(), take func(Entry) error) (Line, error){
-		"at once": func(begin func(), take func(Entry) error) (Line, error) { return Parse(text, limits, begin, take) },
-		"byte by byte": func(begin func(), take func(Entry) error) (Line, error) {
+	limits := LimitsFor(0)
+	for name, read := range map[string]func(begin func(), take func(Entry) error) (Update, error){
+		"at once": func(begin func(), take func(Entry) error) (Update, error) { return Parse(text, limits, begin, take) },
+		"byte by byte": func(begin func(), take func(Entry) error) (Update, error) {
 			r := New(iotest.OneByteReader(bytes.NewReader(text)), limits)
 			l, err := r.Next(begin, take)
 			if err == nil {
@@ -116,11 +116,11 @@
 func TestAHalfIsNothing(t *testing.T) {
 	text := seeds[0]
 	for cut := range len(text) {
-		if _, err := quick(New(strings.NewReader(text[:cut]), For(0)).Next); err == nil || cut > 0 && err == io.EOF {
+		if _, err := quick(New(strings.NewReader(text[:cut]), LimitsFor(0)).Next); err == nil || cut > 0 && err == io.EOF {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 	}
-	r := New(strings.NewReader("\n\n"+text+"\n\n\n"+seeds[3]+"\n"), For(0))
+	r := New(strings.NewReader("\n\n"+text+"\n\n\n"+seeds[3]+"\n"), LimitsFor(0))
 	for i, version := range []int64{41, 3} {
 		if got, err := quick(r.Next); err != nil || got.Line.Version != version {
 			t.Errorf("line %d: %+v, %v", i, got, err)
@@ -137,7 +137,7 @@
 	second := `{"seq":7,"hosts":[{"host":"a  b"},{"host":" "}]}`
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	r := New(io.MultiReader(strings.NewReader(seeds[0]), many, strings.NewReader(second)), Limits{Value: 64 << 10, Line: 64 << 10, Hosts: 10})
+	r := New(io.MultiReader(strings.NewReader(seeds[0]), many, strings.NewReader(second)), Limits{ValueBytes: 64 << 10, LineBytes: 64 << 10, Endpoints: 10})
 	for i, version := range []int64{41, 7} {
 		if got, err := quick(r.Next); err != nil || got.Line.Version != version {
 			t.Errorf("line %d: %+v, %v", i, got, err)
@@ -148,9 +148,9 @@
 		t.Errorf("%d bytes taken", took)
 	}
 	for cut := range len(second) {
-		r := New(io.MultiReader(strings.NewReader(seeds[0]+"\n"+second[:cut]), strings.NewReader(second[cut:])), For(0))
+		r := New(io.MultiReader(strings.NewReader(seeds[0]+"\n"+second[:cut]), strings.NewReader(second[cut:])), LimitsFor(0))
 		quick(r.Next)
-		if got, err := quick(r.Next); err != nil || len(got.Entries) != 2 || got.Entries[0].Host != "a  b" || got.Entries[1].Host != " " {
+		if got, err := quick(r.Next); err != nil || len(got.Entries) != 2 || got.Entries[0].Name != "a  b" || got.Entries[1].Name != " " {
 			t.Fatalf("cut at %d: %+v, %v", cut, got, err)
 		}
 	}
@@ -175,7 +175,7 @@
 
 // Each bound ends a line that goes over it, and what is held meanwhile stays small.
 func TestBounds(t *testing.T) {
-	limits := Limits{Value: 64 << 10, Line: 8 << 20, Hosts: 5000}
+	limits := Limits{ValueBytes: 64 << 10, LineBytes: 8 << 20, Endpoints: 5000}
 	for what, in := range map[string]*endless{
 		"entries":            {head: `{"seq":1,"hosts":[`, each: `{"host":"a"},`},
 		"bytes of a line":    {head: `{"seq":1,"hosts":[`, each: strings.Repeat(" ", 60<<10) + `{"host":"a"},`},
@@ -193,10 +193,10 @@
 			t.Errorf("%s: %d bytes taken", what, took)
 		}
 	}
-	if l := For(0); l.Hosts < 240000 || l.Line < 60<<20 {
+	if l := LimitsFor(0); l.Endpoints < 240000 || l.LineBytes < 60<<20 {
 		t.Errorf("without a limit %+v", l)
 	}
-	if l := For(128 << 20); l.Hosts > 64<<20/1000 || l.Line > 64<<20 {
+	if l := LimitsFor(128 << 20); l.Endpoints > 64<<20/1000 || l.LineBytes > 64<<20 {
 		t.Errorf("with 128 MB %+v", l)
 	}
 }
@@ -225,7 +225,7 @@
 			b.SetBytes(int64(len(text)))
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := New(strings.NewReader(text), For(0)).Next(func() {}, func(Entry) error { return nil }); err != nil {
+				if _, err := New(strings.NewReader(text), LimitsFor(0)).Next(func() {}, func(Entry) error { return nil }); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/endpointlist/golden_test.go
+++ b/internal/endpointlist/golden_test.go
@@ -10,9 +10,9 @@
 
 // TestGoldenList holds a written list to discovery's form, and the reading of one as discovery writes it.
 func TestGoldenList(t *testing.T) {
-	entries := []Entry{{Host: "s-1", Dial: "127.0.0.1:80", Site: "a", Block: 3, Health: "draining", Share: 1.5, Born: 1_700_000_000_123}, {Host: "s-2", Health: "removed"}}
-	golden.Check(t, "list.json", Text(9, entries))
-	body, err := Body(entries[0])
+	entries := []Entry{{Name: "s-1", Address: "127.0.0.1:80", Zone: "a", Pod: 3, State: "draining", Weight: 1.5, StartedMs: 1_700_000_000_123}, {Name: "s-2", State: "removed"}}
+	golden.Check(t, "list.json", Encode(9, entries))
+	body, err := EncodeEntry(entries[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,10 +20,10 @@
 	text := []byte(`{"seq": 12, "whole": false, "later": [1], "hosts": [{"host": "s-1", "dial": "127.0.0.1:80", "site": "a", "class": "m", "block": 3,
 		"health": "up", "share": 0.5, "born_ms": 1700000000123.5, "later": {"a": 1}}, {"host": "s-2", "health": "removed"}]}`)
 	var read bytes.Buffer
-	line, err := Parse(text, For(0), func() { read.Reset() }, func(e Entry) error {
-		fmt.Fprintf(&read, "%q %q %q %d %q %v %v\n", e.Host, e.Dial, e.Site, e.Block, e.Health, e.Share, e.Born)
+	line, err := Parse(text, LimitsFor(0), func() { read.Reset() }, func(e Entry) error {
+		fmt.Fprintf(&read, "%q %q %q %d %q %v %v\n", e.Name, e.Address, e.Zone, e.Pod, e.State, e.Weight, e.StartedMs)
 		return nil
 	})
-	fmt.Fprintf(&read, "version %d, whole %v, passed over %d, %v\n", line.Version, line.Whole, line.Passed, err)
+	fmt.Fprintf(&read, "version %d, whole %v, passed over %d, %v\n", line.Version, line.Complete, line.Skipped, err)
 	golden.Check(t, "read.txt", read.Bytes())
 }
--- a/internal/endpointlist/write.go
+++ b/internal/endpointlist/write.go
@@ -15,10 +15,12 @@
 	Born   float64 `json:"born_ms"`
 }
 
-func lineOf(e Entry) line { return line{e.Host, e.Dial, e.Site, e.Block, e.Health, e.Share, e.Born} }
+func lineOf(e Entry) line {
+	return line{e.Name, e.Address, e.Zone, e.Pod, e.State, e.Weight, e.StartedMs}
+}
 
 // Text is a whole list in discovery's form; nothing where it can't be written, which is what a plain start begins with.
-func Text(version int64, entries []Entry) []byte {
+func Encode(version int64, entries []Entry) []byte {
 	list := struct {
 		Version int64  `json:"seq"`
 		Whole   bool   `json:"whole"`
@@ -35,4 +37,4 @@
 }
 
 // Body is one entry in discovery's form.
-func Body(e Entry) ([]byte, error) { return json.Marshal(lineOf(e)) }
+func EncodeEntry(e Entry) ([]byte, error) { return json.Marshal(lineOf(e)) }
--- a/internal/endpointlist/write_test.go
+++ b/internal/endpointlist/write_test.go
@@ -6,10 +6,10 @@
 )
 
 func TestWhatIsWrittenIsRead(t *testing.T) {
-	in := []Entry{{Host: "h1", Dial: "10.0.0.1:80", Site: "a", Block: 3, Health: "up", Share: 0.5, Born: 7}, {Host: "ü\"x", Health: "draining"}}
+	in := []Entry{{Name: "h1", Address: "10.0.0.1:80", Zone: "a", Pod: 3, State: "up", Weight: 0.5, StartedMs: 7}, {Name: "ü\"x", State: "draining"}}
 	var out []Entry
-	l, err := Parse(Text(9, in), For(0), func() { out = nil }, func(e Entry) error { out = append(out, e); return nil })
-	if err != nil || l.Version != 9 || !l.Whole || !slices.Equal(in, out) {
+	l, err := Parse(Encode(9, in), LimitsFor(0), func() { out = nil }, func(e Entry) error { out = append(out, e); return nil })
+	if err != nil || l.Version != 9 || !l.Complete || !slices.Equal(in, out) {
 		t.Errorf("%+v %v: %+v, expected %+v", l, err, out, in)
 	}
 }
--- a/internal/ewma/ewma_test.go
+++ b/internal/ewma/ewma_test.go
@@ -7,20 +7,20 @@
 
 func TestPair(t *testing.T) {
 	var p Pair
-	if a, b := p.Over(3, 4); a != 3 || b != 4 || p.Level() != 1 {
+	if a, b := p.Means(3, 4); a != 3 || b != 4 || p.Level() != 1 {
 		t.Errorf("nothing seen: %v %v %v, want the prior", a, b, p.Level())
 	}
 	p.Add(5, 0, 10)
-	if a, b := p.Over(1, 4); a != 3 || b != 2 || p.Level() != 3 {
+	if a, b := p.Means(1, 4); a != 3 || b != 2 || p.Level() != 3 {
 		t.Errorf("one sighting of 5 and 0: %v %v %v, want half way to the prior", a, b, p.Level())
 	}
 	for range 1000 {
 		p.Add(7, 1, 10)
 	}
-	if math.Abs(p.N-10) > 1e-9 || math.Abs(p.A/p.N-7) > 1e-9 {
+	if math.Abs(p.Weight-10) > 1e-9 || math.Abs(p.A/p.Weight-7) > 1e-9 {
 		t.Errorf("%+v, want a weight of ten and a mean of 7", p)
 	}
-	if p.Fade(0.5); math.Abs(p.N-5) > 1e-9 || math.Abs(p.Level()-6) > 1e-9 {
+	if p.Decay(0.5); math.Abs(p.Weight-5) > 1e-9 || math.Abs(p.Level()-6) > 1e-9 {
 		t.Errorf("%+v at half, level %v", p, p.Level())
 	}
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -11,9 +11,9 @@
 // TestGoldenMessages holds the messages between nodes to the bytes that earlier builds send and read.
 func TestGoldenMessages(t *testing.T) {
 	const now = 1_700_000_000_123 * milli
-	for name, sent := range map[string]policy.News{
-		"server-fails.bin":    {Server: 0xfedcba98, Category: 3},
-		"idle-connection.bin": {Idle: 4_321_000 * micro},
+	for name, sent := range map[string]policy.GossipMessage{
+		"server-fails.bin":    {Endpoint: 0xfedcba98, Class: 3},
+		"idle-connection.bin": {IdleTime: 4_321_000 * micro},
 	} {
 		message := Encode(sent, now)
 		golden.Check(t, name, message)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -13,7 +13,7 @@
 )
 
 // Most is the length of the longest message.
-const Most = 256
+const MaxMessageBytes = 256
 
 const (
 	version = 1
@@ -35,10 +35,10 @@
 )
 
 // Encode writes down news told now.
-func Encode(n policy.News, now int64) []byte {
-	kind, numbers := byte(fails), []uint64{uint64(now / milli), uint64(n.Server), uint64(n.Category)}
-	if n.Idle > 0 {
-		kind, numbers = idle, []uint64{uint64(now / milli), uint64(n.Idle / micro)}
+func Encode(n policy.GossipMessage, now int64) []byte {
+	kind, numbers := byte(fails), []uint64{uint64(now / milli), uint64(n.Endpoint), uint64(n.Class)}
+	if n.IdleTime > 0 {
+		kind, numbers = idle, []uint64{uint64(now / milli), uint64(n.IdleTime / micro)}
 	}
 	message := []byte{version, kind}
 	for _, v := range numbers {
@@ -48,8 +48,8 @@
 }
 
 // decode reads news. Whether server and category are known is for the reader to see.
-func decode(message []byte) (n policy.News, told int64, err error) {
-	if len(message) < 2 || len(message) > Most || message[0] != version {
+func decode(message []byte) (n policy.GossipMessage, told int64, err error) {
+	if len(message) < 2 || len(message) > MaxMessageBytes || message[0] != version {
 		return n, 0, errNonsense
 	}
 	var numbers []uint64
@@ -66,9 +66,9 @@
 	told = int64(numbers[0]) * milli
 	switch numbers = numbers[1:]; {
 	case message[1] == idle && len(numbers) == 1 && numbers[0] > 0 && numbers[0] < 1<<32:
-		return policy.News{Idle: int64(numbers[0]) * micro}, told, nil
+		return policy.GossipMessage{IdleTime: int64(numbers[0]) * micro}, told, nil
 	case message[1] == fails && len(numbers) == 2 && numbers[0] <= math.MaxUint32 && numbers[1] < math.MaxInt32:
-		return policy.News{Server: policy.ServerID(numbers[0]), Category: int(numbers[1])}, told, nil
+		return policy.GossipMessage{Endpoint: policy.EndpointID(numbers[0]), Class: int(numbers[1])}, told, nil
 	}
 	return n, 0, errNonsense
 }
@@ -76,7 +76,7 @@
 // what is what a sender told of: how long a connection stood is no other news.
 type what struct {
 	from, category int
-	server         policy.ServerID
+	server         policy.EndpointID
 	idle           bool
 }
 
@@ -84,17 +84,17 @@
 type Inbox struct{ met map[what]int64 }
 
 // Open reads a message that has come from a sender, known by a number of its own.
-func (b *Inbox) Open(from int, message []byte, now int64) (policy.News, error) {
+func (b *Inbox) Open(from int, message []byte, now int64) (policy.GossipMessage, error) {
 	n, told, err := decode(message)
 	if err != nil {
 		return n, err
 	}
 	if told < now-oldest || told > now+oldest {
-		return policy.News{}, errOld
+		return policy.GossipMessage{}, errOld
 	}
-	of := what{from, n.Category, n.Server, n.Idle > 0}
+	of := what{from, n.Class, n.Endpoint, n.IdleTime > 0}
 	if last, met := b.met[of]; met && told < last+apart {
-		return policy.News{}, errRepeated
+		return policy.GossipMessage{}, errRepeated
 	}
 	if b.met == nil {
 		b.met = map[what]int64{}
@@ -103,7 +103,7 @@
 		// One that old is turned away for its age alone.
 		maps.DeleteFunc(b.met, func(_ what, told int64) bool { return told < now-oldest })
 		if len(b.met) >= mostMet {
-			return policy.News{}, errFull
+			return policy.GossipMessage{}, errFull
 		}
 	}
 	b.met[of] = told
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -10,15 +10,15 @@
 const now = int64(5e12)
 
 func TestNewsComeBackAsTheyWere(t *testing.T) {
-	for _, n := range []policy.News{{Idle: 1000}, {Idle: 2500000000}, {Server: 1<<32 - 1, Category: 9}, {}} {
-		if got, err := new(Inbox).Open(3, Encode(n, now), now+oldest); got != n || err != nil || len(Encode(n, now)) > Most {
+	for _, n := range []policy.GossipMessage{{IdleTime: 1000}, {IdleTime: 2500000000}, {Endpoint: 1<<32 - 1, Class: 9}, {}} {
+		if got, err := new(Inbox).Open(3, Encode(n, now), now+oldest); got != n || err != nil || len(Encode(n, now)) > MaxMessageBytes {
 			t.Errorf("%+v came back as %+v, %v", n, got, err)
 		}
 	}
 }
 
 func TestWhatIsNoNewsIsAnError(t *testing.T) {
-	b, n := &Inbox{}, policy.News{Server: 7, Category: 1}
+	b, n := &Inbox{}, policy.GossipMessage{Endpoint: 7, Class: 1}
 	b.Open(1, Encode(n, now), now)
 	good := Encode(n, now)
 	for name, c := range map[string]struct {
@@ -27,16 +27,16 @@
 		want    error
 	}{
 		"nothing": {2, nil, errNonsense}, "cut off": {2, good[:len(good)-1], errNonsense}, "cut within a number": {2, good[:4], errNonsense},
-		"too much": {2, append(good[:len(good):len(good)], 0), errNonsense}, "oversized": {2, make([]byte, Most+1), errNonsense},
+		"too much": {2, append(good[:len(good):len(good)], 0), errNonsense}, "oversized": {2, make([]byte, MaxMessageBytes+1), errNonsense},
 		"another version": {2, append([]byte{2}, good[1:]...), errNonsense}, "another kind": {2, append([]byte{1, 9}, good[2:]...), errNonsense},
-		"no idle time": {2, []byte{version, idle, 0, 0}, errNonsense}, "a server past all": {2, Encode(policy.News{Server: 1, Category: -1}, now), errNonsense},
+		"no idle time": {2, []byte{version, idle, 0, 0}, errNonsense}, "a server past all": {2, Encode(policy.GossipMessage{Endpoint: 1, Class: -1}, now), errNonsense},
 		"old": {2, Encode(n, now-oldest-milli), errOld}, "ahead": {2, Encode(n, now+oldest+milli), errOld},
 		"repeated": {1, good, errRepeated}, "told again at once": {1, Encode(n, now+apart-milli), errRepeated},
 		"told before the last": {1, Encode(n, now-milli), errRepeated},
 		"from another":         {2, good, nil}, "a second later": {1, Encode(n, now+1000*milli), nil},
-		"of another category": {1, Encode(policy.News{Server: 7}, now), nil},
+		"of another category": {1, Encode(policy.GossipMessage{Endpoint: 7}, now), nil},
 	} {
-		if got, err := b.Open(c.from, c.message, now); !errors.Is(err, c.want) || err != nil && got != (policy.News{}) {
+		if got, err := b.Open(c.from, c.message, now); !errors.Is(err, c.want) || err != nil && got != (policy.GossipMessage{}) {
 			t.Errorf("%s: %+v, %v, want %v", name, got, err, c.want)
 		}
 	}
@@ -46,19 +46,19 @@
 func TestAFloodIsBoundedAndForgotten(t *testing.T) {
 	b := &Inbox{}
 	for i := range mostMet + 10 {
-		b.Open(1, Encode(policy.News{Server: policy.ServerID(i)}, now), now)
+		b.Open(1, Encode(policy.GossipMessage{Endpoint: policy.EndpointID(i)}, now), now)
 	}
 	later := now + oldest + milli
-	if _, err := b.Open(1, Encode(policy.News{Server: 1}, later), later); len(b.met) != 1 || err != nil {
+	if _, err := b.Open(1, Encode(policy.GossipMessage{Endpoint: 1}, later), later); len(b.met) != 1 || err != nil {
 		t.Errorf("%d kept after a flood, %v", len(b.met), err)
 	}
 }
 
 func FuzzOpen(f *testing.F) {
-	f.Add(Encode(policy.News{Idle: 1000}, now))
-	f.Add(Encode(policy.News{Server: 7, Category: 2}, now))
+	f.Add(Encode(policy.GossipMessage{IdleTime: 1000}, now))
+	f.Add(Encode(policy.GossipMessage{Endpoint: 7, Class: 2}, now))
 	f.Fuzz(func(t *testing.T, message []byte) {
-		if n, err := new(Inbox).Open(0, message, now); err == nil && (n.Idle < 0 || n.Category < 0) {
+		if n, err := new(Inbox).Open(0, message, now); err == nil && (n.IdleTime < 0 || n.Class < 0) {
 			t.Errorf("%v was taken for %+v", message, n)
 		}
 	})
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -13,28 +13,28 @@
 )
 
 // Trust is one node's. Begin with Whole.
-type Trust struct {
-	For  int64 // connections unused for longer are not to be used
-	last int64 // one was dead after so long
-	row  int   // own signs since one lived about as long
-	said float64
+type Estimator struct {
+	Limit int64 // connections unused for longer are not to be used
+	last  int64 // one was dead after so long
+	row   int   // own signs since one lived about as long
+	said  float64
 }
 
 // Whole trusts every connection.
-func Whole() Trust { return Trust{For: math.MaxInt64} }
+func New() Estimator { return Estimator{Limit: math.MaxInt64} }
 
 // Restore trusts all again: closing those that stand open is no remedy.
-func (t *Trust) Restore() { t.For, t.row = math.MaxInt64, 0 }
+func (t *Estimator) Reset() { t.Limit, t.row = math.MaxInt64, 0 }
 
 // Lived takes in a connection that worked after so long.
-func (t *Trust) Lived(gap int64) {
+func (t *Estimator) Survived(gap int64) {
 	if gap > 0 && gap >= t.last/4*3 {
 		t.row = 0
 	}
 }
 
 // Died takes in an own sign of one that was dead after so long, and tells whether it is to be believed.
-func (t *Trust) Died(gap int64) bool {
+func (t *Estimator) Died(gap int64) bool {
 	t.last = gap
 	t.row++
 	return t.row >= inARow
@@ -42,18 +42,18 @@
 
 // Believe counts a sign that is believed, an own one or what another node tells. Where nodes tell one another it takes signs from a
 // part of them to act; nodes: how many there are.
-func (t *Trust) Believe(gap int64, tell bool, nodes int) {
+func (t *Estimator) Confirm(gap int64, tell bool, nodes int) {
 	signs := 1.0
 	if tell {
 		signs = float64(nodes) / signers
 	}
 	if t.said++; t.said >= signs {
-		t.For = min(t.For, int64(part*float64(gap)))
+		t.Limit = min(t.Limit, int64(part*float64(gap)))
 	}
 }
 
 // Age is called once a second.
-func (t *Trust) Age() {
+func (t *Estimator) Decay() {
 	t.said *= forget
-	t.For += min(t.For/grows, math.MaxInt64-t.For)
+	t.Limit += min(t.Limit/grows, math.MaxInt64-t.Limit)
 }
--- a/internal/keyfreq/keyfreq.go
+++ b/internal/keyfreq/keyfreq.go
@@ -13,7 +13,7 @@
 )
 
 // Tally counts keys. The zero value has counted nothing.
-type Tally struct {
+type Counter struct {
 	asked map[uint64]float64
 	all   float64
 	again float64 // running part of the askings whose key was known
@@ -21,11 +21,11 @@
 
 // Ask counts one asking for a key. It returns the key's hash, never 0, and at how many of so many servers it is at home: as many
 // as its part of the askings needs, since a popular key would jam a single one.
-func (t *Tally) Ask(key string, servers int) (hash uint64, homes int) {
+func (t *Counter) Observe(key string, servers int) (hash uint64, homes int) {
 	if t.asked == nil {
 		t.asked = map[uint64]float64{}
 	}
-	hash = max(rendezvous.Key(key), 1)
+	hash = max(rendezvous.HashKey(key), 1)
 	before, known := t.asked[hash]
 	if t.again -= t.again * settles; known {
 		t.again += settles
@@ -38,7 +38,7 @@
 }
 
 // Fade lets what was asked for count for less; it is called once a second.
-func (t *Tally) Fade() {
+func (t *Counter) Decay() {
 	t.all *= fade
 	for key, n := range t.asked {
 		if t.asked[key] = n * fade; n*fade < forgotten {
--- a/internal/keyfreq/keyfreq_test.go
+++ b/internal/keyfreq/keyfreq_test.go
@@ -6,16 +6,16 @@
 )
 
 func TestHomesFollowAKeysPart(t *testing.T) {
-	var tally Tally
+	var tally Counter
 	homes := map[string]int{}
 	for i := range 4000 {
 		key := fmt.Sprint("rare", i)
 		if i%2 == 0 {
 			key = "half"
 		}
-		_, homes[key] = tally.Ask(key, 100)
+		_, homes[key] = tally.Observe(key, 100)
 		if i%100 == 99 {
-			tally.Fade()
+			tally.Decay()
 		}
 	}
 	if n := homes["half"]; n < 70 || n > 80 {
@@ -25,7 +25,7 @@
 		t.Errorf("a key met once: at home at %d, expected one", n)
 	}
 	for range 100 {
-		tally.Fade()
+		tally.Decay()
 	}
 	if len(tally.asked) > 0 {
 		t.Errorf("%d keys are counted that nobody asks for any more", len(tally.asked))
@@ -33,9 +33,9 @@
 }
 
 func TestNoMoreKeysAreCountedThanStated(t *testing.T) {
-	var tally Tally
+	var tally Counter
 	for i := range most + 10 {
-		if hash, homes := tally.Ask(fmt.Sprint(i), 10); hash == 0 || homes < 1 {
+		if hash, homes := tally.Observe(fmt.Sprint(i), 10); hash == 0 || homes < 1 {
 			t.Fatalf("key %d: hash %d, %d homes", i, hash, homes)
 		}
 	}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -52,7 +52,7 @@
 )
 
 type server struct {
-	policy.Listed
+	policy.EndpointInfo
 	out          int
 	cost         float64 // peak-ewma
 	at           int64
@@ -61,8 +61,8 @@
 }
 
 type task struct {
-	policy.Task
-	tried      []policy.ServerID
+	policy.Request
+	tried      []policy.EndpointID
 	open       int
 	mayHaveRun bool
 	over       bool
@@ -70,7 +70,7 @@
 
 type seen struct {
 	at   int64
-	of   policy.ServerID
+	of   policy.EndpointID
 	load float64
 	took float64
 }
@@ -80,13 +80,13 @@
 	kind    string
 	node    int
 	set     policy.Settings
-	host    policy.Host
+	host    policy.Effects
 	see     simulation.Truth
 	draw    *rand.Rand
 	turn    int
 	servers []*server
-	byID    map[policy.ServerID]*server
-	tasks   map[policy.TaskID]*task
+	byID    map[policy.EndpointID]*server
+	tasks   map[policy.RequestID]*task
 	pool    []seen
 	work    []float64 // by category: running mean of work, in nanoseconds of a core
 	looks   []look
@@ -96,41 +96,41 @@
 
 type look struct {
 	at    int64
-	state map[policy.ServerID][2]float64 // held, capacity; absent if it is not up
+	state map[policy.EndpointID][2]float64 // held, capacity; absent if it is not up
 }
 
 // New makes a maker of deciders of a kind.
 func New(kind string) simulation.Maker {
-	return func(node int, set policy.Settings, seed uint64, host policy.Host, see simulation.Truth) simulation.Decider {
+	return func(node int, set policy.Settings, seed uint64, host policy.Effects, see simulation.Truth) simulation.Decider {
 		return &Plain{kind: kind, node: node, set: set, host: host, see: see, draw: rand.New(rand.NewPCG(seed, 5)), turn: int(seed % 7919),
-			byID: map[policy.ServerID]*server{}, tasks: map[policy.TaskID]*task{}, work: slices.Repeat([]float64{20e6}, len(set.Categories))}
+			byID: map[policy.EndpointID]*server{}, tasks: map[policy.RequestID]*task{}, work: slices.Repeat([]float64{20e6}, len(set.Classes))}
 	}
 }
 
 // ListLearned takes the list, or what has changed in it.
-func (p *Plain) ListLearned(now int64, list []policy.Listed, whole bool) {
+func (p *Plain) EndpointsUpdated(now int64, list []policy.EndpointInfo, whole bool) {
 	if whole {
 		for _, s := range p.servers {
-			s.State = policy.Gone
+			s.State = policy.StateRemoved
 		}
 	}
 	for _, l := range list {
-		s := p.byID[l.Server]
+		s := p.byID[l.ID]
 		if s == nil {
 			s = &server{}
-			p.byID[l.Server] = s
+			p.byID[l.ID] = s
 			p.servers = append(p.servers, s)
 		}
-		if l.Started > s.Started {
+		if l.StartedAt > s.StartedAt {
 			s.cost = 0
 		}
-		s.Listed = l
+		s.EndpointInfo = l
 	}
-	slices.SortFunc(p.servers, func(a, b *server) int { return int(a.Server) - int(b.Server) })
+	slices.SortFunc(p.servers, func(a, b *server) int { return int(a.ID) - int(b.ID) })
 	if !p.begun {
 		p.begun = true
-		if p.set.MustAsk {
-			p.host.Subscribe()
+		if p.set.MustPollList {
+			p.host.WatchEndpoints()
 		}
 		if p.kind == "late-seeing" {
 			p.look(now)
@@ -139,12 +139,12 @@
 }
 
 // ListFailed asks again a second later.
-func (p *Plain) ListFailed(now int64) { p.host.WakeAt(now+listAgain, listCookie) }
+func (p *Plain) WatchFailed(now int64) { p.host.SetTimer(now+listAgain, listCookie) }
 
 // Woken takes a timer.
-func (p *Plain) Woken(now int64, cookie uint64) {
+func (p *Plain) TimerFired(now int64, cookie uint64) {
 	if cookie == listCookie {
-		p.host.Subscribe()
+		p.host.WatchEndpoints()
 		return
 	}
 	p.look(now)
@@ -152,26 +152,26 @@
 
 // look notes the true state, to be used later.
 func (p *Plain) look(now int64) {
-	state := map[policy.ServerID][2]float64{}
+	state := map[policy.EndpointID][2]float64{}
 	for _, s := range p.servers {
-		if held, can, up := p.see.Holds(p.node, s.Server); up {
-			state[s.Server] = [2]float64{float64(held), can}
+		if held, can, up := p.see.Holds(p.node, s.ID); up {
+			state[s.ID] = [2]float64{float64(held), can}
 		}
 	}
 	p.looks = append(p.looks, look{now, state})
 	for len(p.looks) > 1 && p.looks[1].at <= now-lateBy {
 		p.looks = p.looks[1:]
 	}
-	p.host.WakeAt(now+lookEach, lookCookie)
+	p.host.SetTimer(now+lookEach, lookCookie)
 }
 
 // TaskArrived sends a task.
-func (p *Plain) TaskArrived(now int64, arrived policy.Task) {
-	t := &task{Task: arrived}
+func (p *Plain) RequestArrived(now int64, arrived policy.Request) {
+	t := &task{Request: arrived}
 	p.tasks[t.ID] = t
-	if p.kind == "hot-cold" && p.set.MayProbe && len(p.servers) > 0 {
+	if p.kind == "hot-cold" && p.set.MayCheckHealth && len(p.servers) > 0 {
 		for range 2 {
-			p.host.Probe(p.servers[p.draw.IntN(len(p.servers))].Server)
+			p.host.CheckHealth(p.servers[p.draw.IntN(len(p.servers))].ID)
 		}
 	}
 	p.send(now, t)
@@ -179,19 +179,19 @@
 
 // cold is the part of its capacity that a server surely has.
 func (p *Plain) cold(now int64, s *server) float64 {
-	if age := now - s.Started; s.Started != 0 && age < p.set.WarmWithin {
-		return p.set.ColdFrom + (1-p.set.ColdFrom)*float64(max(age, 0))/float64(p.set.WarmWithin)
+	if age := now - s.StartedAt; s.StartedAt != 0 && age < p.set.SlowStartWindow {
+		return p.set.SlowStartMinCapacity + (1-p.set.SlowStartMinCapacity)*float64(max(age, 0))/float64(p.set.SlowStartWindow)
 	}
 	return 1
 }
 
 func (p *Plain) send(now int64, t *task) {
-	c := &p.set.Categories[t.Category]
-	limit := t.HardLimit
+	c := &p.set.Classes[t.Class]
+	limit := t.Deadline
 	var fit []*server
-	if now < limit && len(t.tried) < p.set.MaxHandOffs && (!t.mayHaveRun || c.Repeat == policy.Rerunnable) {
+	if now < limit && len(t.tried) < p.set.MaxAttempts && (!t.mayHaveRun || c.Idempotency == policy.Idempotent) {
 		for _, s := range p.servers {
-			if s.State == policy.Active && (len(t.tried) == 0 || t.tried[len(t.tried)-1] != s.Server) {
+			if s.State == policy.StateActive && (len(t.tried) == 0 || t.tried[len(t.tried)-1] != s.ID) {
 				if part := p.cold(now, s); part == 1 || p.draw.Float64() < askLess*part {
 					fit = append(fit, s)
 				}
@@ -201,18 +201,18 @@
 	s := p.pick(now, t, fit)
 	if s == nil {
 		t.over = true
-		if c.Repeat == policy.Rerunnable || !t.mayHaveRun {
-			p.host.Decline(t.ID, min(p.set.MaxAdvice, c.SoftLimit/4))
+		if c.Idempotency == policy.Idempotent || !t.mayHaveRun {
+			p.host.Reject(t.ID, min(p.set.MaxRetryAfter, c.LatencyObjective/4))
 		} else {
-			p.host.BreakOff(t.ID)
+			p.host.Fail(t.ID)
 		}
 		delete(p.tasks, t.ID)
 		return
 	}
-	t.tried = append(t.tried, s.Server)
+	t.tried = append(t.tried, s.ID)
 	t.open++
 	s.out++
-	p.host.HandOff(t.ID, s.Server, limit-now)
+	p.host.Send(t.ID, s.ID, limit-now)
 }
 
 func (p *Plain) pick(now int64, t *task, fit []*server) *server {
@@ -311,7 +311,7 @@
 	if name == "" {
 		name = string(t.ID)
 	}
-	key, sum := rendezvous.Key(name), 1
+	key, sum := rendezvous.HashKey(name), 1
 	for _, s := range fit {
 		sum += s.out
 	}
@@ -319,7 +319,7 @@
 	var best *server
 	highest := uint64(0)
 	for _, s := range fit {
-		if r := rendezvous.Of(key, uint32(s.Server)); s.out < most && (best == nil || r > highest) {
+		if r := rendezvous.Score(key, uint32(s.ID)); s.out < most && (best == nil || r > highest) {
 			best, highest = s, r
 		}
 	}
@@ -328,19 +328,19 @@
 
 // seeing is the earliest end by the true state, unless that is too late.
 func (p *Plain) seeing(now int64, t *task, fit []*server) *server {
-	work := p.work[t.Category]
-	if t.Cost > 0 {
-		work = float64(t.Cost)
+	work := p.work[t.Class]
+	if t.CostHint > 0 {
+		work = float64(t.CostHint)
 	}
 	state := func(s *server) (held, can float64, up bool) {
 		if p.kind == "all-seeing" {
-			h, c, up := p.see.Holds(p.node, s.Server)
+			h, c, up := p.see.Holds(p.node, s.ID)
 			return float64(h), c, up
 		}
 		if len(p.looks) == 0 {
 			return 0, 1e9, true
 		}
-		v, up := p.looks[0].state[s.Server]
+		v, up := p.looks[0].state[s.ID]
 		return v[0] + float64(s.out), v[1], up
 	}
 	ends := func(s *server) float64 {
@@ -348,13 +348,13 @@
 		if !up || can <= 0 {
 			return math.Inf(1)
 		}
-		return float64(p.see.Way(p.node, s.Server)) + (held+1)*work*1e9/can
+		return float64(p.see.Way(p.node, s.ID)) + (held+1)*work*1e9/can
 	}
 	if p.kind == "late-seeing" {
-		return p.drawn(fit, ends, float64(t.HardLimit-now))
+		return p.drawn(fit, ends, float64(t.Deadline-now))
 	}
 	best := p.least(fit, ends)
-	if best == nil || ends(best) > float64(t.HardLimit-now) {
+	if best == nil || ends(best) > float64(t.Deadline-now) {
 		return nil
 	}
 	return best
@@ -383,30 +383,30 @@
 }
 
 // HandOffAnswered takes the end of a hand-off.
-func (p *Plain) HandOffAnswered(now int64, a policy.Answer) {
-	if s := p.byID[a.Server]; s != nil {
+func (p *Plain) AttemptEnded(now int64, a policy.AttemptResult) {
+	if s := p.byID[a.Endpoint]; s != nil {
 		s.out--
 		p.heard(now, s, a)
 	}
-	t := p.tasks[a.Task]
+	t := p.tasks[a.Request]
 	if t == nil {
 		return
 	}
 	t.open--
-	if a.Outcome != policy.Full && a.Outcome != policy.Unreached && a.Outcome != policy.NeverSent {
+	if a.Outcome != policy.OutcomeRejected && a.Outcome != policy.OutcomeConnectFailed && a.Outcome != policy.OutcomeNotSent {
 		t.mayHaveRun = true
 	}
 	switch {
-	case t.over || a.Final || a.Outcome == policy.Satisfied:
+	case t.over || a.RequestDone || a.Outcome == policy.OutcomeSucceeded:
 		delete(p.tasks, t.ID)
 	default:
 		p.send(now, t)
 	}
 }
 
-func (p *Plain) heard(now int64, s *server, a policy.Answer) {
+func (p *Plain) heard(now int64, s *server, a policy.AttemptResult) {
 	took := float64(a.Elapsed)
-	if a.Outcome == policy.Satisfied || a.Outcome == policy.TimedOut {
+	if a.Outcome == policy.OutcomeSucceeded || a.Outcome == policy.OutcomeTimedOut {
 		old := p.decayed(now, s)
 		if s.cost == 0 || took > old {
 			s.cost = took // peaks count at once
@@ -416,36 +416,36 @@
 		}
 		s.at = now
 	}
-	if t := p.tasks[a.Task]; t != nil && a.Outcome == policy.Satisfied {
-		if held, can, up := p.see.Holds(p.node, s.Server); up && p.kind == "all-seeing" || up && p.kind == "late-seeing" {
-			alone := (took - float64(p.see.Way(p.node, s.Server))) * can / 1e9 / float64(held+1)
-			p.work[t.Category] += (max(alone, 0) - p.work[t.Category]) / 64
+	if t := p.tasks[a.Request]; t != nil && a.Outcome == policy.OutcomeSucceeded {
+		if held, can, up := p.see.Holds(p.node, s.ID); up && p.kind == "all-seeing" || up && p.kind == "late-seeing" {
+			alone := (took - float64(p.see.Way(p.node, s.ID))) * can / 1e9 / float64(held+1)
+			p.work[t.Class] += (max(alone, 0) - p.work[t.Class]) / 64
 		}
 	}
-	if a.Report.Queue >= 0 || a.Report.Utilisation >= 0 {
+	if a.Report.QueueLength >= 0 || a.Report.Utilization >= 0 {
 		p.reported(now, s, a.Report, took)
 	}
 }
 
-func (p *Plain) reported(now int64, s *server, r policy.Report, took float64) {
-	load := max(r.Queue, 0) + max(r.Utilisation, 0) + float64(s.out)
+func (p *Plain) reported(now int64, s *server, r policy.LoadReport, took float64) {
+	load := max(r.QueueLength, 0) + max(r.Utilization, 0) + float64(s.out)
 	if r.ServiceTime >= 0 {
 		took = r.ServiceTime * 1e6
 	}
-	if p.pool = append(p.pool, seen{now, s.Server, load, took}); len(p.pool) > poolMost {
+	if p.pool = append(p.pool, seen{now, s.ID, load, took}); len(p.pool) > poolMost {
 		p.pool = p.pool[1:]
 	}
 }
 
 // TaskWithdrawn takes the news that the client has gone.
-func (p *Plain) TaskWithdrawn(_ int64, id policy.TaskID) {
+func (p *Plain) ClientGone(_ int64, id policy.RequestID) {
 	t := p.tasks[id]
 	if t == nil {
 		return
 	}
-	if t.over = true; p.set.MayRecall {
+	if t.over = true; p.set.MayCancel {
 		for n := range t.tried {
-			p.host.Recall(id, n)
+			p.host.Cancel(id, n)
 		}
 	}
 	if t.open == 0 {
@@ -454,11 +454,11 @@
 }
 
 // Probed takes what a probe brought.
-func (p *Plain) Probed(now int64, id policy.ServerID, o policy.Outcome, r policy.Report) {
-	if s := p.byID[id]; s != nil && o == policy.Satisfied {
+func (p *Plain) HealthChecked(now int64, id policy.EndpointID, o policy.Outcome, r policy.LoadReport) {
+	if s := p.byID[id]; s != nil && o == policy.OutcomeSucceeded {
 		p.reported(now, s, r, s.cost)
 	}
 }
 
 // Told passes news over: no baseline heeds any.
-func (p *Plain) Told(int64, policy.News) {}
+func (p *Plain) GossipReceived(int64, policy.GossipMessage) {}
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -123,7 +123,7 @@
 					}
 					continue
 				}
-				if len(b.Task) != 16 || c.rule != 1 && (b.HandOff < 0 || b.Server < 0) || c.wrong == "undrained" && b.Server != 1 {
+				if len(b.Task) != 16 || c.rule != 1 && (b.Attempt < 0 || b.Server < 0) || c.wrong == "undrained" && b.Server != 1 {
 					t.Errorf("%v; want its task, hand-off and server", b)
 				}
 			}
--- a/internal/lab/invariant/judge.go
+++ b/internal/lab/invariant/judge.go
@@ -16,7 +16,7 @@
 	Rule    int    `json:"rule"`
 	What    string `json:"what"`
 	Task    string `json:"task,omitempty"`
-	HandOff int    `json:"hand_off"` // its place among the task's, from 0; -1 if it is about none
+	Attempt int    `json:"hand_off"` // its place among the task's, from 0; -1 if it is about none
 	Server  int    `json:"server"`   // -1 if it is about none
 	Node    int    `json:"node"`
 	At      int64  `json:"at_ns"`
@@ -27,8 +27,8 @@
 	if b.Task != "" {
 		text += ", task " + b.Task
 	}
-	if b.HandOff >= 0 {
-		text += fmt.Sprintf(", hand-off %d", b.HandOff)
+	if b.Attempt >= 0 {
+		text += fmt.Sprintf(", hand-off %d", b.Attempt)
 	}
 	if b.Server >= 0 {
 		text += fmt.Sprintf(", server %d", b.Server)
@@ -97,7 +97,7 @@
 
 // answer judges rule 1 for a task.
 func (j *judge) answer(t *Try) {
-	about := Break{Rule: 1, Task: t.ID, HandOff: -1, Server: -1, Node: t.Node}
+	about := Break{Rule: 1, Task: t.ID, Attempt: -1, Server: -1, Node: t.Node}
 	say := func(at int64, what string) {
 		b := about
 		b.At, b.What = at, what
@@ -141,7 +141,7 @@
 	for n, h := range list {
 		if h.Node == t.Node && h.First > over+j.waySlack(h.First) {
 			b := about
-			b.At, b.What, b.HandOff, b.Server = h.First, "sent to a server after its final answer was due or given", first+n, h.Server
+			b.At, b.What, b.Attempt, b.Server = h.First, "sent to a server after its final answer was due or given", first+n, h.Server
 			j.broken(b)
 		}
 	}
@@ -200,7 +200,7 @@
 	c := j.categories[t.Category]
 	list, first := j.handOffsOf(t)
 	for n, h := range list {
-		about := Break{Rule: 2, Task: t.ID, HandOff: first + n, Server: h.Server, Node: h.Node, At: h.First}
+		about := Break{Rule: 2, Task: t.ID, Attempt: first + n, Server: h.Server, Node: h.Node, At: h.First}
 		for _, earlier := range list[:n] {
 			// An answer is written before its node can know of it, so it needs no slack; a close may be seen late.
 			out := earlier.Last != Never && earlier.Answered > h.First && earlier.Closed > h.First+j.waySlack(h.First)
@@ -236,7 +236,7 @@
 		// A hand-off that began after the answer is rule 1's. Where the turning away was written later than the
 		// answer came, the node declined before it knew.
 		if h.First <= t.Answered && h.proof() > t.Answered {
-			j.broken(Break{Rule: 2, What: "declined though it may have run", Task: t.ID, HandOff: first + n, Server: h.Server, Node: t.Node, At: t.Answered})
+			j.broken(Break{Rule: 2, What: "declined though it may have run", Task: t.ID, Attempt: first + n, Server: h.Server, Node: t.Node, At: t.Answered})
 			return
 		}
 	}
@@ -288,7 +288,7 @@
 		}
 		n := slices.Index(j.byTask[h.Task], h)
 		j.broken(Break{Rule: 3, What: fmt.Sprintf("sent to a draining or gone server %.0f ms after it was told", float64(h.First-told)/1e6),
-			Task: h.Task, HandOff: n, Server: h.Server, Node: h.Node, At: h.First})
+			Task: h.Task, Attempt: n, Server: h.Server, Node: h.Node, At: h.First})
 	}
 }
 
@@ -400,7 +400,7 @@
 		}
 		if knowing >= f.Work*2/3 {
 			j.broken(Break{Rule: 4, What: fmt.Sprintf("a cold server was pushed over: %.2f s of work on a capacity of %.2f a second", f.Work, f.Capacity),
-				HandOff: -1, Server: f.Server, Node: worst, At: f.At})
+				Attempt: -1, Server: f.Server, Node: worst, At: f.At})
 		}
 	}
 }
--- a/internal/lab/invariant/judge_test.go
+++ b/internal/lab/invariant/judge_test.go
@@ -117,7 +117,7 @@
 		l := day().hand(c.sent, nil).try(0, func(t *Try) { t.Whole, t.Hard = c.sent*ms-1, 9000*ms; answered(c.sent+9, 200)(t) })
 		l.Tell(c.told...)
 		got := l.Judge(categories, rules)
-		if c.want != (len(got) == 1) || c.want && (got[0].Rule != 3 || got[0].At != c.sent*ms || got[0].HandOff != 0) {
+		if c.want != (len(got) == 1) || c.want && (got[0].Rule != 3 || got[0].At != c.sent*ms || got[0].Attempt != 0) {
 			t.Errorf("%s: %v, want broken %v", name, got, c.want)
 		}
 	}
--- a/internal/lab/invariant/terms.go
+++ b/internal/lab/invariant/terms.go
@@ -108,7 +108,7 @@
 	for n, h := range list {
 		if h.Node == t.Node && h.First > left+j.rules.GoneWithin+j.waySlack(h.First) {
 			j.afterGone = append(j.afterGone, Break{Rule: 1, What: fmt.Sprintf("sent to a server %.0f ms after its client had gone", float64(h.First-left)/1e6),
-				Task: t.ID, HandOff: first + n, Server: h.Server, Node: h.Node, At: h.First})
+				Task: t.ID, Attempt: first + n, Server: h.Server, Node: h.Node, At: h.First})
 		}
 	}
 }
@@ -146,7 +146,7 @@
 		if again++; n.Ready <= due {
 			inTime++
 		} else if last.At <= due {
-			last = Break{Rule: 5, HandOff: -1, Server: -1, Node: n.Node, At: due}
+			last = Break{Rule: 5, Attempt: -1, Server: -1, Node: n.Node, At: due}
 		}
 	}
 	if float64(inTime) < readyPart*float64(again) {
--- a/internal/lab/invariant/terms_test.go
+++ b/internal/lab/invariant/terms_test.go
@@ -122,7 +122,7 @@
 			l.Excuse(l.Lives[0], Span{990 * ms, (1000 + 10*int64(c.cases) + c.excuse) * ms})
 		}
 		got := l.Judge(categories, terms())
-		if len(got) != c.want || c.want > 0 && (got[0].Rule != 1 || got[0].Task != "c" || got[0].HandOff != 1 || !strings.Contains(got[0].What, "after its client had gone")) {
+		if len(got) != c.want || c.want > 0 && (got[0].Rule != 1 || got[0].Task != "c" || got[0].Attempt != 1 || !strings.Contains(got[0].What, "after its client had gone")) {
 			t.Errorf("%s: %v, want %d breaks from the third on", name, got, c.want)
 		}
 	}
--- a/internal/lab/scale/decisions.go
+++ b/internal/lab/scale/decisions.go
@@ -19,36 +19,36 @@
 
 // host notes the last attempt, and does nothing.
 type host struct {
-	server policy.ServerID
+	server policy.EndpointID
 	sent   bool
 }
 
-func (h *host) HandOff(_ policy.TaskID, s policy.ServerID, _ int64) { h.server, h.sent = s, true }
-func (*host) Recall(policy.TaskID, int)                             {}
-func (*host) Decline(policy.TaskID, int64)                          {}
-func (*host) BreakOff(policy.TaskID)                                {}
-func (*host) WakeAt(int64, uint64)                                  {}
-func (*host) Subscribe()                                            {}
-func (*host) Release(policy.ServerID)                               {}
-func (*host) Probe(policy.ServerID)                                 {}
-func (*host) Tell(policy.News)                                      {}
+func (h *host) Send(_ policy.RequestID, s policy.EndpointID, _ int64) { h.server, h.sent = s, true }
+func (*host) Cancel(policy.RequestID, int)                            {}
+func (*host) Reject(policy.RequestID, int64)                          {}
+func (*host) Fail(policy.RequestID)                                   {}
+func (*host) SetTimer(int64, uint64)                                  {}
+func (*host) WatchEndpoints()                                         {}
+func (*host) CloseIdle(policy.EndpointID)                             {}
+func (*host) CheckHealth(policy.EndpointID)                           {}
+func (*host) Gossip(policy.GossipMessage)                             {}
 
-func listOf(n int) []policy.Listed {
-	list := make([]policy.Listed, n)
+func listOf(n int) []policy.EndpointInfo {
+	list := make([]policy.EndpointInfo, n)
 	for i := range list {
-		list[i] = policy.Listed{Server: policy.ServerID(uint32(i+1) * 2654435761), Zone: i % 31, Pod: i / 40, Weight: 1}
+		list[i] = policy.EndpointInfo{ID: policy.EndpointID(uint32(i+1) * 2654435761), Zone: i % 31, Pod: i / 40, Weight: 1}
 	}
 	return list
 }
 
 // settingsOf is one of many nodes with a number of classes and tenants.
 func settingsOf(classes, tenants int) policy.Settings {
-	s := policy.Settings{Nodes: int(TheDesign.Nodes), Position: 17, MayRecall: true, MaxHandOffs: 3, Streams: 1, WarmWithin: 20e9, ColdFrom: 0.2}
+	s := policy.Settings{NodeCount: int(TheDesign.Nodes), NodeIndex: 17, MayCancel: true, MaxAttempts: 3, StreamsPerConnection: 1, SlowStartWindow: 20e9, SlowStartMinCapacity: 0.2}
 	for range classes {
-		s.Categories = append(s.Categories, policy.Category{SoftLimit: 200 * ms})
+		s.Classes = append(s.Classes, policy.Class{LatencyObjective: 200 * ms})
 	}
 	for range tenants {
-		s.Portions = append(s.Portions, 1/float64(tenants))
+		s.TenantShares = append(s.TenantShares, 1/float64(tenants))
 	}
 	return s
 }
@@ -58,16 +58,16 @@
 
 // requests has an instance do requests at a node's part of the peak, 32 out at a time, its tick each second between them, and returns
 // the processor time of each request, seconds, in order: so many, or as many as fit into a time, but leastRequests.
-func requests(p *policy.Policy, h *host, d *Design, now int64, n, tenants, classes int, long float64) []float64 {
+func requests(p *policy.Balancer, h *host, d *Design, now int64, n, tenants, classes int, long float64) []float64 {
 	type out struct {
-		id     policy.TaskID
-		server policy.ServerID
+		id     policy.RequestID
+		server policy.EndpointID
 		at     int64
 	}
 	var ring [32]out
-	ids := make([]policy.TaskID, n)
+	ids := make([]policy.RequestID, n)
 	for i := range ids {
-		ids[i] = policy.TaskID(fmt.Sprint("t", i))
+		ids[i] = policy.RequestID(fmt.Sprint("t", i))
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -78,20 +78,20 @@
 		}
 		if now += apart; now-tick >= second {
 			tick = now
-			p.Woken(now, tickCookie)
+			p.TimerFired(now, tickCookie)
 		}
 		r := &ring[i%len(ring)]
 		from := threadTime()
 		if r.id != "" {
-			p.HandOffAnswered(now, policy.Answer{Task: r.id, Server: r.server, Outcome: policy.Satisfied, Elapsed: now - r.at + int64(i%7)*ms/4, Final: true,
-				Report: policy.Report{Utilisation: -1, Queue: float64(i % 3), ServiceTime: -1}})
+			p.AttemptEnded(now, policy.AttemptResult{Request: r.id, Endpoint: r.server, Outcome: policy.OutcomeSucceeded, Elapsed: now - r.at + int64(i%7)*ms/4, RequestDone: true,
+				Report: policy.LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1}})
 		}
 		h.sent = false
 		customer := -1
 		if tenants > 0 {
 			customer = i * 7919 % tenants
 		}
-		p.TaskArrived(now, policy.Task{ID: id, HardLimit: now + 600*ms, Category: i % classes, Customer: max(customer, 0)})
+		p.RequestArrived(now, policy.Request{ID: id, Deadline: now + 600*ms, Class: i % classes, Tenant: max(customer, 0)})
 		took = append(took, threadTime()-from)
 		if *r = (out{id, h.server, now}); !h.sent {
 			r.id = ""
@@ -138,39 +138,39 @@
 			h := &host{}
 			p := policy.New(settingsOf(3, 0), 1, h)
 			now := longAgo
-			p.ListLearned(now, listOf(n), true)
+			p.EndpointsUpdated(now, listOf(n), true)
 			v["memory"] = inUse() - before
 			list := listOf(n)
-			turn := func(i int) policy.Listed {
+			turn := func(i int) policy.EndpointInfo {
 				one := list[i/2*7919%n]
-				if one.State = policy.Draining; i%2 == 1 {
-					one.State, one.Started = policy.Active, now
+				if one.State = policy.StateDraining; i%2 == 1 {
+					one.State, one.StartedAt = policy.StateActive, now
 				}
 				return one
 			}
 			v["change"] = 1e3 * each(20, long, func(i int) {
 				now += ms
-				p.ListLearned(now, []policy.Listed{turn(i)}, false)
+				p.EndpointsUpdated(now, []policy.EndpointInfo{turn(i)}, false)
 			})
 			v["day"] = v["change"] / 1e3 * e.Design.Endpoints() * 100
 			v["singly"] = v["change"] / 1e3 * e.Design.ZoneServers
 			burst := int(e.Design.ZoneServers)
 			v["burst"] = each(2, long/2, func(i int) {
 				now += ms
-				lines := make([]policy.Listed, min(burst, n))
+				lines := make([]policy.EndpointInfo, min(burst, n))
 				for k := range lines {
 					lines[k] = list[k]
-					lines[k].State = policy.State(i % 2 * int(policy.Draining))
+					lines[k].State = policy.EndpointState(i % 2 * int(policy.StateDraining))
 				}
-				p.ListLearned(now, lines, false)
+				p.EndpointsUpdated(now, lines, false)
 			})
 			v["whole"] = each(2, long/2, func(int) {
 				now += ms
-				p.ListLearned(now, list, true)
+				p.EndpointsUpdated(now, list, true)
 			})
 			v["tick"] = 100 * each(5, long/2, func(int) {
 				now += 1000 * ms
-				p.Woken(now, tickCookie)
+				p.TimerFired(now, tickCookie)
 			})
 			took := requests(p, h, &e.Design, now, many, 0, 3, 4)
 			sum := 0.0
@@ -233,11 +233,11 @@
 	h := &host{}
 	p := policy.New(settingsOf(classes, tenants), 1, h)
 	now := longAgo
-	p.ListLearned(now, listOf(servers), true)
+	p.EndpointsUpdated(now, listOf(servers), true)
 	v["memory"] = inUse() - before
 	v["tick"] = 100 * each(3, long, func(int) {
 		now += 1000 * ms
-		p.Woken(now, tickCookie)
+		p.TimerFired(now, tickCookie)
 	})
 	took := requests(p, h, &e.Design, now, many, tenants, classes, 8)
 	sum := 0.0
@@ -266,27 +266,27 @@
 			if e.Quick {
 				long = 0.01
 			}
-			all := make([]*policy.Policy, int(size))
+			all := make([]*policy.Balancer, int(size))
 			list := listOf(servers * len(all))
 			before := inUse()
 			now := longAgo
 			for i := range all {
 				all[i] = policy.New(settingsOf(3, 0), uint64(i), &host{})
-				all[i].ListLearned(now, list[i*servers:(i+1)*servers], true)
+				all[i].EndpointsUpdated(now, list[i*servers:(i+1)*servers], true)
 			}
 			v["memory"] = inUse() - before
 			v["tick"] = 100 * each(3, long, func(int) {
 				now += 1000 * ms
 				for _, p := range all {
-					p.Woken(now, tickCookie)
+					p.TimerFired(now, tickCookie)
 				}
 			})
 			v["change"] = 1e3 * each(200, long, func(i int) {
 				now += ms
 				which := i * 7919 % len(all)
 				one := list[which*servers+i%servers]
-				one.Started = now
-				all[which].ListLearned(now, []policy.Listed{one}, false)
+				one.StartedAt = now
+				all[which].EndpointsUpdated(now, []policy.EndpointInfo{one}, false)
 			})
 			runtime.KeepAlive(list)
 			return v, "", nil
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -380,7 +380,7 @@
 		return s.complaint("nodes.count", "1 to 40 on sockets", s.Nodes.Count)
 	case servers*s.Nodes.Count > 8192:
 		return s.complaint("fleet", "no more than 8,192 servers over the number of nodes on sockets", servers)
-	case s.Nodes.Skew > 0 || s.Reports.Probed:
+	case s.Nodes.Skew > 0 || s.Reports.HealthChecked:
 		return s.complaint("nodes", "no skew or probed reports on sockets", "one of them")
 	}
 	for i := range s.Faults {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -108,11 +108,11 @@
 
 // Reports are the load reports in servers' answers.
 type Reports struct {
-	Fields []string `toml:"fields"` // inflight, queue, util, latency_ms; none: no reports
-	Period Duration `toml:"period"` // figures are taken anew this often
-	Delay  Duration `toml:"delay"`  // and seen this much later
-	Noise  float64  `toml:"noise"`
-	Probed bool     `toml:"probed"` // only probes bring them; in virtual time alone
+	Fields        []string `toml:"fields"` // inflight, queue, util, latency_ms; none: no reports
+	Period        Duration `toml:"period"` // figures are taken anew this often
+	Delay         Duration `toml:"delay"`  // and seen this much later
+	Noise         float64  `toml:"noise"`
+	HealthChecked bool     `toml:"probed"` // only probes bring them; in virtual time alone
 }
 
 // Discovery tells nodes of servers.
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -21,30 +21,30 @@
 
 // Decider is what decides at one node: the module, or a baseline. Times are Unix nanoseconds of the node's own clock.
 type Decider interface {
-	ListLearned(now int64, list []policy.Listed, whole bool)
-	ListFailed(now int64)
-	TaskArrived(now int64, t policy.Task)
-	HandOffAnswered(now int64, a policy.Answer)
-	TaskWithdrawn(now int64, id policy.TaskID)
-	Woken(now int64, cookie uint64)
-	Probed(now int64, server policy.ServerID, o policy.Outcome, r policy.Report)
-	Told(now int64, n policy.News)
+	EndpointsUpdated(now int64, list []policy.EndpointInfo, whole bool)
+	WatchFailed(now int64)
+	RequestArrived(now int64, t policy.Request)
+	AttemptEnded(now int64, a policy.AttemptResult)
+	ClientGone(now int64, id policy.RequestID)
+	TimerFired(now int64, cookie uint64)
+	HealthChecked(now int64, server policy.EndpointID, o policy.Outcome, r policy.LoadReport)
+	GossipReceived(now int64, n policy.GossipMessage)
 }
 
 // Truth is the state of all servers, for deciders that are there to measure against.
 type Truth interface {
 	// Holds is how many tasks a server holds, what it can do in a second, in nanoseconds of work, and whether it is up and can be
 	// reached from a node.
-	Holds(node int, server policy.ServerID) (held int, capacity float64, up bool)
+	Holds(node int, server policy.EndpointID) (held int, capacity float64, up bool)
 	// Way is the time to a server and back, in nanoseconds.
-	Way(node int, server policy.ServerID) int64
+	Way(node int, server policy.EndpointID) int64
 }
 
 // Maker makes the decider of one node at each of its starts.
-type Maker func(node int, set policy.Settings, seed uint64, host policy.Host, see Truth) Decider
+type Maker func(node int, set policy.Settings, seed uint64, host policy.Effects, see Truth) Decider
 
 // Module is the project's own.
-func Module(_ int, set policy.Settings, seed uint64, host policy.Host, _ Truth) Decider {
+func Module(_ int, set policy.Settings, seed uint64, host policy.Effects, _ Truth) Decider {
 	return policy.New(set, seed, host)
 }
 
@@ -72,10 +72,10 @@
 func epoch(at int64) int64 { return epochNs + at }
 
 // serverID is a server's number for the decisions, as the node makes it of the name.
-func serverID(name string) policy.ServerID {
+func serverID(name string) policy.EndpointID {
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	return policy.ServerID(h.Sum32())
+	return policy.EndpointID(h.Sum32())
 }
 
 // Day is one run.
@@ -88,7 +88,7 @@
 	draw      *rand.Rand
 	idFirst   string
 	machines  []*machine
-	byID      map[policy.ServerID]*machine
+	byID      map[policy.EndpointID]*machine
 	nodes     []*node
 	discovery *discovery
 	clients   *clients
@@ -108,7 +108,7 @@
 func Play(ctx context.Context, o Options) (*trace.Record, error) {
 	began := time.Now()
 	d := &Day{scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.Ledger{},
-		draw: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[policy.ServerID]*machine{}, memories: map[memoryKey]*model.Memory{},
+		draw: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[policy.EndpointID]*machine{}, memories: map[memoryKey]*model.Memory{},
 		holds: map[int]int64{}, oddities: map[string]int{}, numbers: map[[2]netfault.End]uint64{}}
 	d.ways = d.plan.Ways(d.scenario)
 	d.idFirst = fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761))
@@ -239,7 +239,7 @@
 }
 
 // Holds and Way make the day the Truth.
-func (d *Day) Holds(node int, server policy.ServerID) (held int, capacity float64, up bool) {
+func (d *Day) Holds(node int, server policy.EndpointID) (held int, capacity float64, up bool) {
 	m := d.byID[server]
 	if m == nil || !m.up || m.cut(node) || m.trouble.silent || m.draining || m.trouble.fail > 0.5 || m.trouble.turn > 0.5 || m.trouble.reset > 0.5 {
 		return 0, 0, false
@@ -247,7 +247,7 @@
 	return m.model.Held(), m.workRate() * 1e9, true
 }
 
-func (d *Day) Way(node int, server policy.ServerID) int64 {
+func (d *Day) Way(node int, server policy.EndpointID) int64 {
 	n := &d.scenario.Network
 	if m := d.byID[server]; m != nil && n.Zones[d.nodes[node].zone] != m.spec.Zone {
 		return 2 * int64(n.Cross)
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -77,8 +77,8 @@
 }
 
 // entries are a list as the decisions take it.
-func (s *discovery) entries(list []model.Listed) []policy.Listed {
-	out := make([]policy.Listed, 0, len(list))
+func (s *discovery) entries(list []model.Listed) []policy.EndpointInfo {
+	out := make([]policy.EndpointInfo, 0, len(list))
 	for _, l := range list {
 		m := s.day.machines[l.Server]
 		zone := -1
@@ -87,8 +87,8 @@
 				zone = z
 			}
 		}
-		out = append(out, policy.Listed{Server: m.id, Zone: zone, Pod: m.spec.Pod, Weight: 1, Started: l.Started,
-			State: [...]policy.State{model.Up: policy.Active, model.Draining: policy.Draining, model.Removed: policy.Gone}[l.Health]})
+		out = append(out, policy.EndpointInfo{ID: m.id, Zone: zone, Pod: m.spec.Pod, Weight: 1, StartedAt: l.Started,
+			State: [...]policy.EndpointState{model.Up: policy.StateActive, model.Draining: policy.StateDraining, model.Removed: policy.StateRemoved}[l.Health]})
 	}
 	return out
 }
@@ -201,8 +201,8 @@
 	if n.life != w.life || !n.alive {
 		return
 	}
-	if n.set.Policy.MustAsk {
-		n.enter(func() { n.decider.ListFailed(n.clock()) })
+	if n.set.Policy.MustPollList {
+		n.enter(func() { n.decider.WatchFailed(n.clock()) })
 		n.failures++
 		last := n.failures
 		d.in(mostApart, func() {
@@ -288,10 +288,10 @@
 	}
 	list := s.entries(entries)
 	n.enter(func() {
-		n.decider.ListLearned(n.clock(), list, whole)
+		n.decider.EndpointsUpdated(n.clock(), list, whole)
 		for _, l := range list {
-			if l.State != policy.Active && !n.set.Policy.GoneMayServe {
-				n.Release(l.Server)
+			if l.State != policy.StateActive && !n.set.Policy.RemovedMayServe {
+				n.CloseIdle(l.ID)
 			}
 		}
 	})
--- a/internal/lab/simulation/hearsay.go
+++ b/internal/lab/simulation/hearsay.go
@@ -45,7 +45,7 @@
 	if lines == nil {
 		return
 	}
-	list := make([]policy.Listed, 0, len(lines))
+	list := make([]policy.EndpointInfo, 0, len(lines))
 	for _, l := range lines {
 		var server int
 		fmt.Sscan(l.Name, &server)
@@ -56,10 +56,10 @@
 		list = append(list, n.day.discovery.entries([]model.Listed{{Server: server, Health: health, Started: l.Started}})...)
 	}
 	n.enter(func() {
-		n.decider.ListLearned(n.clock(), list, whole)
+		n.decider.EndpointsUpdated(n.clock(), list, whole)
 		for _, l := range list {
-			if l.State != policy.Active && !n.set.Policy.GoneMayServe {
-				n.Release(l.Server)
+			if l.State != policy.StateActive && !n.set.Policy.RemovedMayServe {
+				n.CloseIdle(l.ID)
 			}
 		}
 	})
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -28,7 +28,7 @@
 	day   *Day
 	spec  workload.Server
 	fleet *scenario.Fleet
-	id    policy.ServerID
+	id    policy.EndpointID
 
 	life     int
 	up       bool
@@ -110,7 +110,7 @@
 }
 
 // report is the newest that may be seen by now.
-func (m *machine) report() policy.Report {
+func (m *machine) report() policy.LoadReport {
 	r, out := &m.day.scenario.Reports, noReport
 	for i := len(m.reports) - 1; i >= 0; i-- {
 		if m.reports[i].at+int64(r.Delay) > m.day.now {
@@ -122,14 +122,14 @@
 			case "util":
 				out.Utilised(f.Utilised)
 			case "queue":
-				out.Queue = f.Queue
+				out.QueueLength = f.Queue
 			case "latency_ms":
 				out.ServiceTime = f.ServiceTime
 			}
 		}
 		break
 	}
-	return out.Report
+	return out.LoadReport
 }
 
 // stop ends a life as a process does that dies: connections are reset, new ones refused.
@@ -253,10 +253,10 @@
 		h.turn()
 		return
 	case t.reset > 0 && m.draw.Float64() < t.reset:
-		h.back(policy.Reset, 0)
+		h.back(policy.OutcomeReset, 0)
 		return
 	case t.fail > 0 && m.draw.Float64() < t.fail:
-		h.answer(policy.Error, 500)
+		h.answer(policy.OutcomeError, 500)
 		return
 	}
 	task, try := h.x.try.task, h.x.try.n
@@ -293,7 +293,7 @@
 
 func (h *handOff) turn() {
 	h.rec.TurnedAway = true
-	h.m.day.in(h.wayBack(), func() { h.answer(policy.Full, 503) })
+	h.m.day.in(h.wayBack(), func() { h.answer(policy.OutcomeRejected, 503) })
 }
 
 // finish answers a task that has run.
@@ -303,11 +303,11 @@
 		t := &m.trouble
 		switch {
 		case h.luck < m.fleet.ErrorShare:
-			h.answer(policy.Error, 500)
+			h.answer(policy.OutcomeError, 500)
 		case t.spoil != "" && m.draw.Float64() < t.spoilShare:
 			h.spoil(t.spoil)
 		default:
-			h.answer(policy.Satisfied, 200)
+			h.answer(policy.OutcomeSucceeded, 200)
 		}
 	})
 }
@@ -329,8 +329,8 @@
 	}
 	h.done = true
 	h.rec.Answered, h.rec.Status = h.m.day.now, status
-	report := noReport.Report
-	if !h.m.day.scenario.Reports.Probed {
+	report := noReport.LoadReport
+	if !h.m.day.scenario.Reports.HealthChecked {
 		report = h.m.report()
 	}
 	h.x.node.handOffEnds(h, o, report, true)
@@ -340,7 +340,7 @@
 func (h *handOff) back(o policy.Outcome, _ int) {
 	h.done = true
 	h.rec.Closed = min(h.rec.Closed, h.m.day.now)
-	h.x.node.handOffEnds(h, o, noReport.Report, false)
+	h.x.node.handOffEnds(h, o, noReport.LoadReport, false)
 }
 
 // spoil is an answer that went wrong. Those that bring more than the answer are taken; the connection is of no further use.
@@ -357,11 +357,11 @@
 		}
 	}
 	if h.rec.Status == 200 {
-		h.x.node.handOffEnds(h, policy.Satisfied, noReport.Report, how == "interim" || how == "bad-report")
+		h.x.node.handOffEnds(h, policy.OutcomeSucceeded, noReport.LoadReport, how == "interim" || how == "bad-report")
 		return
 	}
 	h.rec.Closed = min(h.rec.Closed, now)
-	h.x.node.handOffEnds(h, policy.Reset, noReport.Report, false)
+	h.x.node.handOffEnds(h, policy.OutcomeReset, noReport.LoadReport, false)
 }
 
 // givenUp tells the server, after the way, that nobody waits any more.
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -18,12 +18,12 @@
 	"fawnglade/policy"
 )
 
-type reportOf struct{ policy.Report }
+type reportOf struct{ policy.LoadReport }
 
 // Utilised sets the one figure whose name is also a setting's.
-func (r *reportOf) Utilised(v float64) { r.Report.Utilisation = v }
+func (r *reportOf) Utilised(v float64) { r.LoadReport.Utilization = v }
 
-var noReport = reportOf{policy.Report{Utilisation: -1, Queue: -1, ServiceTime: -1}}
+var noReport = reportOf{policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}}
 
 // exchange is one try of a task at a node.
 type exchange struct {
@@ -57,7 +57,7 @@
 	frozen   int64 // stands still until then
 	busy     int64 // its processor is at work until then
 	cost     int64
-	tasks    map[policy.TaskID]*exchange
+	tasks    map[policy.RequestID]*exchange
 	order    []*exchange // in the order they came
 	idle     map[*machine][]*conn
 	inbox    gossip.Inbox
@@ -131,7 +131,7 @@
 	n.figures.Starts++
 	n.skew, n.step = n.skew+n.step, 0
 	n.alive, n.stopping, n.frozen, n.busy, n.version, n.wait, n.watch = true, false, 0, 0, 0, int64(firstWait), nil
-	n.tasks, n.order, n.idle = map[policy.TaskID]*exchange{}, nil, map[*machine][]*conn{}
+	n.tasks, n.order, n.idle = map[policy.RequestID]*exchange{}, nil, map[*machine][]*conn{}
 	n.decider = d.maker(n.index, n.set.Policy, d.plan.Seed*1000003+uint64(n.index)*7919+uint64(number), n, d)
 	list := d.discovery.roster.Whole()
 	n.up, n.listed = false, number == 1 || !d.scenario.Nodes.NoList
@@ -142,8 +142,8 @@
 	} else {
 		d.discovery.tell(n, list, true)
 	}
-	n.enter(func() { n.decider.ListLearned(n.clock(), d.discovery.entries(list), true) })
-	if !n.set.Policy.MustAsk {
+	n.enter(func() { n.decider.EndpointsUpdated(n.clock(), d.discovery.entries(list), true) })
+	if !n.set.Policy.MustPollList {
 		n.call()
 	}
 	n.join(list)
@@ -233,14 +233,14 @@
 				return
 			}
 			task := t.task
-			id := policy.TaskID(t.id)
+			id := policy.RequestID(t.id)
 			n.tasks[id] = x
-			p := policy.Task{ID: id, Category: task.Category, Customer: max(task.Customer, 0), HardLimit: n.clock() + t.hard - n.day.now, Repeated: t.n > 0,
-				Cost: task.Estimate}
-			if task.Key >= 0 && n.set.Policy.WarmKeys {
+			p := policy.Request{ID: id, Class: task.Category, Tenant: max(task.Customer, 0), Deadline: n.clock() + t.hard - n.day.now, ClientRetry: t.n > 0,
+				CostHint: task.Estimate}
+			if task.Key >= 0 && n.set.Policy.KeyAffinity {
 				p.Key = fmt.Sprint("k", task.Key)
 			}
-			n.decider.TaskArrived(n.clock(), p)
+			n.decider.RequestArrived(n.clock(), p)
 		})
 	})
 }
@@ -248,20 +248,20 @@
 // withdrawn is the client's going.
 func (n *node) withdrawn(x *exchange) {
 	n.enter(func() {
-		id := policy.TaskID(x.try.id)
+		id := policy.RequestID(x.try.id)
 		if x.settled {
 			return
 		}
 		x.settled = true
 		if n.tasks[id] == x {
-			n.decider.TaskWithdrawn(n.clock(), id)
+			n.decider.ClientGone(n.clock(), id)
 			n.release(x)
 		}
 	})
 }
 
 func (n *node) release(x *exchange) {
-	if id := policy.TaskID(x.try.id); x.settled && x.open == 0 && n.tasks[id] == x {
+	if id := policy.RequestID(x.try.id); x.settled && x.open == 0 && n.tasks[id] == x {
 		delete(n.tasks, id)
 	}
 }
@@ -287,12 +287,12 @@
 }
 
 // handOffEnds takes the end of a hand-off; each has exactly one.
-func (n *node) handOffEnds(h *handOff, o policy.Outcome, report policy.Report, keep bool) {
+func (n *node) handOffEnds(h *handOff, o policy.Outcome, report policy.LoadReport, keep bool) {
 	if h.ended {
 		return
 	}
 	h.ended = true
-	if keep && o != policy.Unreached && o != policy.NeverSent && !h.conn.over {
+	if keep && o != policy.OutcomeConnectFailed && o != policy.OutcomeNotSent && !h.conn.over {
 		n.keep(h.conn)
 	} else {
 		n.close(h.conn)
@@ -305,11 +305,11 @@
 		n.enter(func() {
 			x := h.x
 			x.open--
-			if o == policy.Satisfied {
+			if o == policy.OutcomeSucceeded {
 				n.settle(x, 200, 0)
 			}
-			n.decider.HandOffAnswered(n.clock(), policy.Answer{Task: policy.TaskID(x.try.id), Number: h.number, Server: h.m.id, Outcome: o,
-				Elapsed: max(at-h.sentAt, 0), Final: x.settled, Fresh: fresh, Report: report})
+			n.decider.AttemptEnded(n.clock(), policy.AttemptResult{Request: policy.RequestID(x.try.id), Attempt: h.number, Endpoint: h.m.id, Outcome: o,
+				Elapsed: max(at-h.sentAt, 0), RequestDone: x.settled, NewConnection: fresh, Report: report})
 			n.release(x)
 		})
 	})
@@ -323,7 +323,7 @@
 	k.idleSince = n.day.now
 	n.idle[k.m] = append(n.idle[k.m], k)
 	since := k.idleSince
-	n.day.in(n.set.IdleClose*3/4, func() {
+	n.day.in(n.set.IdleTimeout*3/4, func() {
 		if k.closed || k.idleSince != since {
 			return
 		}
@@ -380,14 +380,14 @@
 			}
 			h.rec.Closed = min(h.rec.Closed, n.day.now)
 			if h.done = true; n.alive {
-				n.handOffEnds(h, policy.Reset, noReport.Report, false)
+				n.handOffEnds(h, policy.OutcomeReset, noReport.LoadReport, false)
 			}
 		}
 	}
 }
 
 // HandOff and what follows make the node the decisions' Host.
-func (n *node) HandOff(id policy.TaskID, server policy.ServerID, timeOut int64) {
+func (n *node) Send(id policy.RequestID, server policy.EndpointID, timeOut int64) {
 	x, d := n.tasks[id], n.day
 	if x == nil {
 		return
@@ -406,19 +406,19 @@
 		}
 	})
 	if m == nil || x.settled {
-		n.day.in(0, func() { n.handOffEnds(h, policy.NeverSent, noReport.Report, false) })
+		n.day.in(0, func() { n.handOffEnds(h, policy.OutcomeNotSent, noReport.LoadReport, false) })
 		return
 	}
 	h.life, h.way = m.life, m.oneWay(n)
 	if h.conn = n.connect(m); h.conn == nil {
 		after := int64(50 * time.Microsecond)
 		if m.up {
-			after = n.set.ConnectWithin // nothing answers
+			after = n.set.ConnectTimeout // nothing answers
 		}
 		if _, refused := d.barred(netfault.End{Index: n.index}, m.place()); refused {
 			after = int64(50 * time.Microsecond)
 		}
-		d.in(min(after, max(h.limit-d.now, 0)), func() { n.handOffEnds(h, policy.Unreached, noReport.Report, false) })
+		d.in(min(after, max(h.limit-d.now, 0)), func() { n.handOffEnds(h, policy.OutcomeConnectFailed, noReport.LoadReport, false) })
 		return
 	}
 	h.rec = &invariant.HandOff{Task: x.try.id, Node: n.index, Server: m.spec.Index, Life: m.life, Zone: m.spec.Zone, Pod: m.spec.Pod, First: d.now}
@@ -426,7 +426,7 @@
 	h.rec.Last = d.now
 	d.at(h.limit, func() {
 		if !h.ended {
-			n.handOffEnds(h, policy.TimedOut, noReport.Report, false)
+			n.handOffEnds(h, policy.OutcomeTimedOut, noReport.LoadReport, false)
 			h.givenUp()
 		}
 	})
@@ -440,34 +440,34 @@
 	d.in(wait, h.arrive)
 }
 
-func (n *node) Recall(id policy.TaskID, number int) {
+func (n *node) Cancel(id policy.RequestID, number int) {
 	x := n.tasks[id]
 	if x == nil || number >= len(x.handOffs) || x.handOffs[number].ended {
 		return
 	}
 	h := x.handOffs[number]
 	if h.rec == nil {
-		n.handOffEnds(h, policy.NeverSent, noReport.Report, false)
+		n.handOffEnds(h, policy.OutcomeNotSent, noReport.LoadReport, false)
 		return
 	}
-	n.handOffEnds(h, policy.Recalled, noReport.Report, false)
+	n.handOffEnds(h, policy.OutcomeCanceled, noReport.LoadReport, false)
 	h.givenUp()
 }
 
-func (n *node) Decline(id policy.TaskID, comeBackIn int64) {
+func (n *node) Reject(id policy.RequestID, comeBackIn int64) {
 	if x := n.tasks[id]; x != nil {
 		n.settle(x, 503, comeBackIn)
 	}
 }
 
-func (n *node) BreakOff(id policy.TaskID) {
+func (n *node) Fail(id policy.RequestID) {
 	if x := n.tasks[id]; x != nil {
 		n.settle(x, 502, 0)
 	}
 }
 
 // WakeAt sets a timer. Guards against an instance that asks to be woken at one instant for ever: the day would never end.
-func (n *node) WakeAt(at int64, cookie uint64) {
+func (n *node) SetTimer(at int64, cookie uint64) {
 	d := n.day
 	when := n.moment(at)
 	if second := d.now / 1e9; n.wokenIn != second {
@@ -485,14 +485,14 @@
 	life := n.life
 	d.at(when, func() {
 		if n.alive && n.life == life {
-			n.enter(func() { n.decider.Woken(n.clock(), cookie) })
+			n.enter(func() { n.decider.TimerFired(n.clock(), cookie) })
 		}
 	})
 }
 
-func (n *node) Subscribe() { n.call() }
+func (n *node) WatchEndpoints() { n.call() }
 
-func (n *node) Release(server policy.ServerID) {
+func (n *node) CloseIdle(server policy.EndpointID) {
 	if m := n.day.byID[server]; m != nil {
 		for _, k := range n.idle[m] {
 			n.close(k)
@@ -502,12 +502,12 @@
 }
 
 // Probe asks a server for its load beside its tasks.
-func (n *node) Probe(server policy.ServerID) {
+func (n *node) CheckHealth(server policy.EndpointID) {
 	m, d := n.day.byID[server], n.day
 	d.count(func(t *trace.Together) { t.Probes++ })
 	if m == nil || !m.up || m.cut(n.index) || m.trouble.silent || !d.ways.Open(d.now, netfault.End{Index: n.index}, m.place()) || !d.ways.Open(d.now, m.place(), netfault.End{Index: n.index}) {
-		d.in(n.set.ConnectWithin, func() {
-			n.enter(func() { n.decider.Probed(n.clock(), server, policy.TimedOut, noReport.Report) })
+		d.in(n.set.ConnectTimeout, func() {
+			n.enter(func() { n.decider.HealthChecked(n.clock(), server, policy.OutcomeTimedOut, noReport.LoadReport) })
 		})
 		return
 	}
@@ -520,13 +520,13 @@
 		m.wake()
 		report := m.report()
 		d.in(way, func() {
-			n.enter(func() { n.decider.Probed(n.clock(), server, policy.Satisfied, report) })
+			n.enter(func() { n.decider.HealthChecked(n.clock(), server, policy.OutcomeSucceeded, report) })
 		})
 	})
 }
 
 // Tell sends news to every other node, late, and now and then to nobody.
-func (n *node) Tell(what policy.News) {
+func (n *node) Gossip(what policy.GossipMessage) {
 	d := n.day
 	message := gossip.Encode(what, n.clock())
 	for _, other := range d.nodes {
@@ -541,7 +541,7 @@
 		d.in(way.After+int64(d.scenario.Network.Cross)+int64(d.draw.Float64()*float64(newsLate)), func() {
 			other.enter(func() {
 				if told, err := other.inbox.Open(n.index, message, other.clock()); err == nil {
-					other.decider.Told(other.clock(), told)
+					other.decider.GossipReceived(other.clock(), told)
 				}
 			})
 		})
@@ -555,5 +555,5 @@
 	mostWait  = 3 * time.Second
 )
 
-var _ policy.Host = (*node)(nil)
+var _ policy.Effects = (*node)(nil)
 var _ = model.Never
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -93,22 +93,22 @@
 // restless is the module, but asks to be woken at once whenever it is.
 type restless struct {
 	Decider
-	host policy.Host
+	host policy.Effects
 	past bool
 }
 
-func (r *restless) Woken(now int64, cookie uint64) {
+func (r *restless) TimerFired(now int64, cookie uint64) {
 	if r.past {
 		r.past = false
-		r.host.WakeAt(now-1e9, cookie)
+		r.host.SetTimer(now-1e9, cookie)
 		return
 	}
-	r.host.WakeAt(now, cookie)
+	r.host.SetTimer(now, cookie)
 }
 
 func TestAnInstanceThatIsWokenForEverIsNamed(t *testing.T) {
 	_, err := Play(context.Background(), Options{Scenario: read(t, "calm", 3), Seed: 1,
-		Maker: func(node int, set policy.Settings, seed uint64, host policy.Host, see Truth) Decider {
+		Maker: func(node int, set policy.Settings, seed uint64, host policy.Effects, see Truth) Decider {
 			d := Module(node, set, seed, host, see)
 			if node != 1 {
 				return d
@@ -126,21 +126,21 @@
 // once wakes in the past a single time and then is the module.
 type once struct {
 	Decider
-	host  policy.Host
+	host  policy.Effects
 	asked bool
 }
 
-func (o *once) Woken(now int64, cookie uint64) {
+func (o *once) TimerFired(now int64, cookie uint64) {
 	if !o.asked {
 		o.asked = true
-		o.host.WakeAt(now-5e9, cookie)
+		o.host.SetTimer(now-5e9, cookie)
 		return
 	}
-	o.Decider.Woken(now, cookie)
+	o.Decider.TimerFired(now, cookie)
 }
 
 func TestAWakeInThePastComesAtOnce(t *testing.T) {
-	r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Host, see Truth) Decider {
+	r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Effects, see Truth) Decider {
 		return &once{Decider: Module(node, set, seed, host, see), host: host}
 	})
 	if len(r.Breaks) > 0 || countOf(r, trace.Satisfied) < len(r.Outcomes)*99/100 {
@@ -187,11 +187,11 @@
 
 // The judge has to be able to say no here as well: one that sends exclusive tasks twice, and one that keeps them.
 func TestTheJudgeSeesWhatANodeDoesWrong(t *testing.T) {
-	for rule, wrong := range map[int]func(policy.Host) policy.Host{
-		1: func(h policy.Host) policy.Host { return &silent{Host: h} },
-		2: func(h policy.Host) policy.Host { return &twice{Host: h} },
+	for rule, wrong := range map[int]func(policy.Effects) policy.Effects{
+		1: func(h policy.Effects) policy.Effects { return &silent{Effects: h} },
+		2: func(h policy.Effects) policy.Effects { return &twice{Effects: h} },
 	} {
-		r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Host, see Truth) Decider {
+		r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Effects, see Truth) Decider {
 			return Module(node, set, seed, wrong(host), see)
 		})
 		if len(r.Breaks) == 0 || r.Breaks[0].Rule != rule {
@@ -200,21 +200,21 @@
 	}
 }
 
-type twice struct{ policy.Host }
+type twice struct{ policy.Effects }
 
-func (t *twice) HandOff(id policy.TaskID, s policy.ServerID, wait int64) {
-	t.Host.HandOff(id, s, wait)
-	t.Host.HandOff(id, s, wait)
+func (t *twice) Send(id policy.RequestID, s policy.EndpointID, wait int64) {
+	t.Effects.Send(id, s, wait)
+	t.Effects.Send(id, s, wait)
 }
 
-type silent struct{ policy.Host }
+type silent struct{ policy.Effects }
 
-func (s *silent) HandOff(policy.TaskID, policy.ServerID, int64) {}
+func (s *silent) Send(policy.RequestID, policy.EndpointID, int64) {}
 
 // TestNewsProbesAndMembersArePlayed has what nodes may say to one another, and ask of servers, be sent and heard.
 func TestNewsProbesAndMembersArePlayed(t *testing.T) {
 	s := read(t, "fail-fast", 12)
-	s.Nodes.Members, s.Reports.Probed = true, true
+	s.Nodes.Members, s.Reports.HealthChecked = true, true
 	var all trace.Together
 	r := played(t, s, Module)
 	for _, one := range r.Together {
--- a/internal/lab/trace/settings.go
+++ b/internal/lab/trace/settings.go
@@ -32,7 +32,7 @@
 	if s.Discovery.Ask {
 		discovery = "ask"
 	}
-	if s.Reports.Probed {
+	if s.Reports.HealthChecked {
 		how = "on_probe"
 	}
 	if len(s.Reports.Fields) == 0 {
@@ -53,7 +53,7 @@
 		"group_size": s.Nodes.Count, "layer": 0, "tiers": []string{"lab"}, "kinds": []string{"m"}, "position": index,
 		"limits": map[string]any{"cancelling": r.MayRecall, "connect_timeout_us": micros(r.ConnectIn), "idle_close_us": idle,
 			"max_open": 20000, "max_retry_after_us": micros(r.MaxAdvice), "may_duplicate": r.MayDuplicate, "multiplex": 1,
-			"peer_messages": s.Nodes.News || s.Nodes.Members, "probes": s.Reports.Probed, "retry_after": r.MaxAdvice > 0, "try_limit": r.MostHandOffs},
+			"peer_messages": s.Nodes.News || s.Nodes.Members, "probes": s.Reports.HealthChecked, "retry_after": r.MaxAdvice > 0, "try_limit": r.MostHandOffs},
 		"over_share_worth": 0.05, "profiles": categories, "quantum_us": 2000,
 		"report": map[string]any{"fields": s.Reports.Fields, "how": how},
 		"rules": map[string]any{"grace_to_answer_us": micros(r.AnswerGrace), "ask_within_us": micros(r.AskWithin), "cold_from": coldest,
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -10,8 +10,8 @@
 )
 
 // Parse reads a load report and skips what it does not know or cannot be a load.
-func Parse(text string) policy.Report {
-	r := policy.Report{Utilisation: -1, Queue: -1, ServiceTime: -1}
+func Parse(text string) policy.LoadReport {
+	r := policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
@@ -20,9 +20,9 @@
 		}
 		switch strings.TrimSpace(name) {
 		case "util":
-			r.Utilisation = v
+			r.Utilization = v
 		case "queue":
-			r.Queue = v
+			r.QueueLength = v
 		case "latency_ms":
 			r.ServiceTime = v
 		}
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -605,7 +605,7 @@
 		x.settle(n.noRoom())
 		return
 	}
-	if task.Flows = x.source != nil; task.Flows {
+	if task.StreamingBody = x.source != nil; task.StreamingBody {
 		n.counters.add(tasksFlowed)
 	}
 	x.task = task
@@ -616,16 +616,16 @@
 // noRoom declines a task that never reached the decisions, nor any server.
 func (n *Node) noRoom() answer {
 	a := answer{status: http.StatusServiceUnavailable}
-	if n.settings.Policy.MayAdvise {
-		a.advice = n.settings.Policy.MaxAdvice
+	if n.settings.Policy.MaySetRetryAfter {
+		a.advice = n.settings.Policy.MaxRetryAfter
 	}
 	return a
 }
 
 // taskOf reads what the decisions need to know of a task.
-func (n *Node) taskOf(r *http.Request, now int64) (policy.Task, error) {
+func (n *Node) taskOf(r *http.Request, now int64) (policy.Request, error) {
 	h := r.Header
-	t := policy.Task{ID: policy.TaskID(h.Get(headerTask)), Repeated: h.Get(headerRepeated) == "1"}
+	t := policy.Request{ID: policy.RequestID(h.Get(headerTask)), ClientRetry: h.Get(headerRepeated) == "1"}
 	if t.ID == "" || len(t.ID) > 128 {
 		return t, errors.New(headerTask + ": expected an id of at most 128 bytes")
 	}
@@ -634,27 +634,27 @@
 		category, _, _ = strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	}
 	var known bool
-	if t.Category, known = n.categories[category]; !known {
+	if t.Class, known = n.categories[category]; !known {
 		return t, fmt.Errorf("%s: expected a category of the settings, got %q", headerCategory, category)
 	}
 	if name := h.Get(headerCustomer); name != "" {
-		if t.Customer, known = n.customers[name]; !known {
+		if t.Tenant, known = n.customers[name]; !known {
 			return t, fmt.Errorf("%s: expected a customer of the settings, got %q", headerCustomer, name)
 		}
 	}
-	t.HardLimit = now + n.settings.HardLimits[t.Category]
+	t.Deadline = now + n.settings.Deadlines[t.Class]
 	if text := h.Get(headerRemaining); text != "" {
 		wait, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || wait < 0 || wait > 1e9 {
 			return t, fmt.Errorf("%s: expected whole milliseconds, got %q", headerRemaining, text)
 		}
-		t.HardLimit = min(t.HardLimit, now+wait*milli)
+		t.Deadline = min(t.Deadline, now+wait*milli)
 	}
 	// A guess that cannot be read is no guess; the task itself is sound.
 	if cost, err := strconv.ParseInt(h.Get(headerCost), 10, 64); err == nil && cost > 0 && cost < 1e12 {
-		t.Cost = cost * 1000
+		t.CostHint = cost * 1000
 	}
-	if cookie, err := r.Cookie(cookieKey); n.settings.Policy.WarmKeys && err == nil {
+	if cookie, err := r.Cookie(cookieKey); n.settings.Policy.KeyAffinity && err == nil {
 		t.Key = cookie.Value
 	}
 	return t, nil
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -158,7 +158,7 @@
 			}, 0},
 		"the task has its answer, and nothing may be recalled": {[]string{`"cancelling":true`, `"cancelling":false`}, "batch",
 			func(t *testing.T, n *Node, _ net.Conn, _ string) {
-				n.loop.enter(func() { n.loop.Decline("t1", 0) })
+				n.loop.enter(func() { n.loop.Reject("t1", 0) })
 				n.passed()
 			}, 503},
 	} {
@@ -353,7 +353,7 @@
 	io.WriteString(client, taskText("batch", "t1", ""))
 	answers.held(t, 1)
 	n.learn(t, listText(2, false, listEntry("s-1", other, "up")))
-	n.loop.enter(func() { n.loop.HandOff("t1", serverID("s-1"), 20*second) })
+	n.loop.enter(func() { n.loop.Send("t1", serverID("s-1"), 20*second) })
 	dials.held(t, 1)
 	answers.pass()
 	if status, _, _ := answerOn(in); status != 200 {
@@ -1249,7 +1249,7 @@
 	io.WriteString(client, taskText("pay", "t", ""))
 	answers.held(t, 1)
 	held := n.holdLoop(t)
-	n.loop.enter(func() { n.loop.Recall("t", 0) })
+	n.loop.enter(func() { n.loop.Cancel("t", 0) })
 	held.pass()
 	if status, _, _ := answerOn(in); status != 502 || tasks.Load() != 1 {
 		t.Errorf("an exclusive task that was recalled was answered %d, %d came to servers", status, tasks.Load())
--- a/internal/node/daily_test.go
+++ b/internal/node/daily_test.go
@@ -158,7 +158,7 @@
 	}
 	soon(t, "the server is in use again", func() bool { return ask20(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
 	cold := make(chan int64, 1)
-	n.loop.enter(func() { cold <- n.orders.laid.over(*n.orders.entries["s-0"]).Started })
+	n.loop.enter(func() { cold <- n.orders.laid.over(*n.orders.entries["s-0"]).StartedAt })
 	if started := <-cold; started < before {
 		t.Errorf("put back as started at %d, before it was put back at %d", started, before)
 	}
@@ -172,7 +172,7 @@
 	n.orders.change(func(o *standingOrders) string { return o.putOut("s-0", 1) })
 	h := &handOff{exchange: newExchange(), place: place{serverID("s-0"), server}, limit: n.clock.now() + second}
 	_, err := n.servers.try(h)
-	if err == nil || err.outcome() != policy.NeverSent || tasks.Load() != 0 {
+	if err == nil || err.outcome() != policy.OutcomeNotSent || tasks.Load() != 0 {
 		t.Errorf("%v, %d tasks came to a server that is out", err, tasks.Load())
 	}
 }
@@ -299,8 +299,8 @@
 	}
 }
 
-func listedHere(name string) policy.Listed {
-	return policy.Listed{Server: serverID(name), State: policy.Active, Weight: 1}
+func listedHere(name string) policy.EndpointInfo {
+	return policy.EndpointInfo{ID: serverID(name), State: policy.StateActive, Weight: 1}
 }
 
 // hear has the node take in a list as if discovery had told it.
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -57,7 +57,7 @@
 func newEndpointWatch(n *Node) *endpointWatch {
 	d := &endpointWatch{node: n, address: n.config.Discovery, calls: make(chan struct{}, 1), silence: listSilence, head: listHead,
 		wait: longestWait, heard: make(chan struct{})}
-	if within := time.Duration(n.settings.StopWithin); within > 0 {
+	if within := time.Duration(n.settings.DrainGrace); within > 0 {
 		d.wait = max(min(d.wait, within/waitPart), leastWait)
 	}
 	d.place, d.leave = context.WithCancel(context.Background())
@@ -110,7 +110,7 @@
 // run has one watch after another opened. One that stood and fell silent is followed by the next at once: the list that discovery has
 // may count as told whether or not a watch is open.
 func (d *endpointWatch) run() {
-	if !d.node.settings.Policy.MustAsk {
+	if !d.node.settings.Policy.MustPollList {
 		d.call() // the decisions expect to be told unasked
 	}
 	for range d.calls {
@@ -145,7 +145,7 @@
 		case d.anew:
 			wait = 0
 		case tooLong != nil:
-		case d.node.settings.Policy.MustAsk:
+		case d.node.settings.Policy.MustPollList:
 			d.node.loop.enter(d.node.loop.listFailed)
 			wait = mostApart
 		case silent:
@@ -191,18 +191,18 @@
 }
 
 // line takes in one line of the watch.
-func (d *endpointWatch) line(entries []entry, l endpointlist.Line) {
+func (d *endpointWatch) line(entries []entry, l endpointlist.Update) {
 	d.version = l.Version
 	d.node.counters.add(listLines)
 	if d.long > 0 {
 		d.long = 0
 		d.node.log.Info("the list can be held again", zap.Int("entries", len(entries)))
 	}
-	d.node.told(entries, l.Version, l.Whole)
+	d.node.told(entries, l.Version, l.Complete)
 }
 
 // list reads a line. An entry that makes no sense is passed over; the others still count.
-func (n *Node) list(read func(begin func(), take func(endpointlist.Entry) error) (endpointlist.Line, error)) (entries []entry, l endpointlist.Line, err error) {
+func (n *Node) list(read func(begin func(), take func(endpointlist.Entry) error) (endpointlist.Update, error)) (entries []entry, l endpointlist.Update, err error) {
 	l, err = read(func() { entries = nil }, func(in endpointlist.Entry) error {
 		e, err := entryOf(in, n.settings.Zones)
 		if err == nil {
@@ -213,17 +213,17 @@
 	if err != nil {
 		return nil, l, err
 	}
-	if l.Passed > 0 {
-		n.counters[listLinesPassedOver].Add(int64(l.Passed))
-		n.log.Warn("entry of the list passed over", zap.Int("entries", l.Passed), zap.Error(l.First))
+	if l.Skipped > 0 {
+		n.counters[listLinesPassedOver].Add(int64(l.Skipped))
+		n.log.Warn("entry of the list passed over", zap.Int("entries", l.Skipped), zap.Error(l.FirstErr))
 	}
 	return entries, l, nil
 }
 
 // listOf reads a list that is there whole.
 func (n *Node) listOf(text []byte) (entries []entry, version int64, whole bool, err error) {
-	entries, l, err := n.list(func(begin func(), take func(endpointlist.Entry) error) (endpointlist.Line, error) {
+	entries, l, err := n.list(func(begin func(), take func(endpointlist.Entry) error) (endpointlist.Update, error) {
 		return endpointlist.Parse(text, n.lists, begin, take)
 	})
-	return entries, l.Version, l.Whole, err
+	return entries, l.Version, l.Complete, err
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -205,7 +205,7 @@
 			}, server)
 			core, said := observer.New(zap.InfoLevel)
 			n.log = zap.New(core)
-			n.lists = endpointlist.Limits{Value: 1 << 16, Line: 1 << 20, Hosts: 20}
+			n.lists = endpointlist.Limits{ValueBytes: 1 << 16, LineBytes: 1 << 20, Endpoints: 20}
 			n.start()
 			time.Sleep(1500 * time.Millisecond)
 			if calls := asked.Load(); calls < 2 || calls > 4 {
--- a/internal/node/distribution.go
+++ b/internal/node/distribution.go
@@ -25,9 +25,9 @@
 		Clock: n.clock.now, Log: n.log, Caught: n.caught, Tell: n.goBy, Watch: func(on bool) { n.discovery.pause(!on) },
 		Entry: func(in endpointlist.Entry) (entry, error) { return entryOf(in, n.settings.Zones) },
 		Of: func(e entry) endpointsource.Server[entry] {
-			return endpointsource.Server[entry]{Name: e.name, State: endpointsource.State(e.State), Started: e.Started, Value: e}
+			return endpointsource.Server[entry]{Name: e.name, State: endpointsource.State(e.State), Started: e.StartedAt, Value: e}
 		},
-		As:     func(e entry, s endpointsource.State) entry { e.State = policy.State(s); return e },
+		As:     func(e entry, s endpointsource.State) entry { e.State = policy.EndpointState(s); return e },
 		Stands: func() bool { return n.discovery.word.Load() != 0 },
 		Passed: func(records int) { n.counters[listLinesPassedOver].Add(int64(records)) }})
 }
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -23,7 +23,7 @@
 }
 
 type exchange struct {
-	task   policy.Task
+	task   policy.Request
 	method string
 	last   bool // the client wants its connection closed afterwards
 	head   []byte
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -96,7 +96,7 @@
 			fmt.Fprintf(&b, "%v\n", err)
 			continue
 		}
-		fmt.Fprintf(&b, "%s %d %d %d %v %v %d %q\n", task.ID, task.Category, task.Customer, task.HardLimit, task.Repeated, task.Flows, task.Cost, task.Key)
+		fmt.Fprintf(&b, "%s %d %d %d %v %v %d %q\n", task.ID, task.Class, task.Tenant, task.Deadline, task.ClientRetry, task.StreamingBody, task.CostHint, task.Key)
 	}
 	for _, c := range []struct {
 		status int
@@ -109,7 +109,7 @@
 	}
 	for _, text := range []string{"", "util=0.5,queue=3,latency_ms=12.5", "queue=-1,util=x,other=3", "util=0.25"} {
 		r := reportOf(text)
-		fmt.Fprintf(&b, "%q: %v %v %v\n", text, r.Utilisation, r.Queue, r.ServiceTime)
+		fmt.Fprintf(&b, "%q: %v %v %v\n", text, r.Utilization, r.QueueLength, r.ServiceTime)
 	}
 	golden.Check(t, "read.txt", b.Bytes())
 }
@@ -127,15 +127,15 @@
 	b.WriteString(readyWord)
 	golden.Check(t, "handover.txt", b.Bytes())
 	entries := []entry{
-		{name: "s-1", address: "127.0.0.1:80", Listed: policy.Listed{Zone: 1, Pod: 3, Weight: 1.5, State: policy.Draining, Started: 1_700_000_000_123_000_000}},
-		{name: "s-2", Listed: policy.Listed{Zone: -1, State: policy.Gone}},
+		{name: "s-1", address: "127.0.0.1:80", EndpointInfo: policy.EndpointInfo{Zone: 1, Pod: 3, Weight: 1.5, State: policy.StateDraining, StartedAt: 1_700_000_000_123_000_000}},
+		{name: "s-2", EndpointInfo: policy.EndpointInfo{Zone: -1, State: policy.StateRemoved}},
 	}
 	text := wholeList(9, entries, []string{"a", "b"})
 	golden.Check(t, "list.json", text)
 	var ids []byte
-	_, err := endpointlist.Parse(text, endpointlist.For(0), func() { ids = nil }, func(in endpointlist.Entry) error {
+	_, err := endpointlist.Parse(text, endpointlist.LimitsFor(0), func() { ids = nil }, func(in endpointlist.Entry) error {
 		e, err := entryOf(in, []string{"a", "b"})
-		ids = fmt.Appendf(ids, "%s %s %d %d %d %v %d %d %v\n", e.name, e.address, e.Server, e.Zone, e.Pod, e.Weight, int(e.State), e.Started, err)
+		ids = fmt.Appendf(ids, "%s %s %d %d %d %v %d %d %v\n", e.name, e.address, e.ID, e.Zone, e.Pod, e.Weight, int(e.State), e.StartedAt, err)
 		return err
 	})
 	golden.Check(t, "entries.txt", fmt.Appendln(ids, err))
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -51,7 +51,7 @@
 }
 
 // learned is what the decisions have learned, as it would be told.
-func (n *Node) learned() (all estimates.All) {
+func (n *Node) learned() (all estimates.Snapshot) {
 	text := make(chan json.RawMessage, 1)
 	n.loop.enter(func() { text <- n.loop.learned() })
 	json.Unmarshal(<-text, &all)
@@ -64,7 +64,7 @@
 	next := processes(t)
 	old := next()
 	old.start()
-	old.hear(t, string(wholeList(7, []entry{{name: "s-7", address: server, Listed: listedHere("s-7")}}, []string{"a"})))
+	old.hear(t, string(wholeList(7, []entry{{name: "s-7", address: server, EndpointInfo: listedHere("s-7")}}, []string{"a"})))
 	old.hear(t, listText(8, false, listEntry("s-8", server, "up")))
 	old.hear(t, listText(9, false, listEntry("s-8", server, "removed")))
 	soon(t, "the list", func() bool { return old.orders.listed("s-8") })
@@ -91,7 +91,7 @@
 	if !fresh.orders.listed("s-8") {
 		t.Error("a name that was listed once is not known any more")
 	}
-	if l := fresh.learned(); !l.Servers[uint32(serverID("s-7"))].Known || l.MeanOf == 0 || l.Categories[3].Met == 0 {
+	if l := fresh.learned(); !l.Endpoints[uint32(serverID("s-7"))].HasLatency || l.MeanWork == 0 || l.Classes[3].WorkSamples == 0 {
 		t.Errorf("not what the old process had learned: %+v", l)
 	}
 	taken := old.count(clientsTaken)
--- a/internal/node/hearsay.go
+++ b/internal/node/hearsay.go
@@ -43,22 +43,22 @@
 
 func (s *hearing) lines(entries []entry) (lines []endpointgossip.Line, gone []string) {
 	for _, e := range entries {
-		if e.State == policy.Gone {
+		if e.State == policy.StateRemoved {
 			gone = append(gone, e.name)
 			continue
 		}
 		lines = append(lines, endpointgossip.Line{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight,
-			Draining: e.State == policy.Draining, Started: e.Started})
+			Draining: e.State == policy.StateDraining, Started: e.StartedAt})
 	}
 	return lines, gone
 }
 
 func (s *hearing) entries(lines []endpointgossip.Line) (out []entry) {
 	for _, l := range lines {
-		e := entry{name: l.Name, address: l.Address, Listed: policy.Listed{Server: serverID(l.Name), Zone: zoneOf(l.Zone, s.node.settings.Zones),
-			Pod: l.Pod, Weight: l.Weight, Started: l.Started, State: policy.Active}}
+		e := entry{name: l.Name, address: l.Address, EndpointInfo: policy.EndpointInfo{ID: serverID(l.Name), Zone: zoneOf(l.Zone, s.node.settings.Zones),
+			Pod: l.Pod, Weight: l.Weight, StartedAt: l.Started, State: policy.StateActive}}
 		if _, err := netip.ParseAddrPort(l.Address); l.Draining {
-			e.State = policy.Draining
+			e.State = policy.StateDraining
 		} else if err != nil {
 			continue
 		}
@@ -139,7 +139,7 @@
 	told := map[string]bool{}
 	out := make([]entry, 0, len(entries))
 	for _, e := range entries {
-		if told[e.name] = true; e.State != policy.Gone {
+		if told[e.name] = true; e.State != policy.StateRemoved {
 			out = append(out, e)
 		}
 	}
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -69,7 +69,7 @@
 		"a first attempt": {text: taskText("batch", "t0", "")},
 		"a second copy": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
-			n.loop.enter(func() { n.loop.HandOff("t0", serverID("s-1"), 20*second) })
+			n.loop.enter(func() { n.loop.Send("t0", serverID("s-1"), 20*second) })
 		}},
 		"a retry behind an error": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
@@ -77,11 +77,11 @@
 		}},
 		"a retry behind a recall": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
-			n.loop.enter(func() { n.loop.Recall("t0", 0) })
+			n.loop.enter(func() { n.loop.Cancel("t0", 0) })
 			soon(t, "the recall's end", func() bool { return n.count(handOffsRecalled) == 1 })
 			n.loop.enter(func() { // where the decisions have not by themselves
 				if n.count(handOffsSent) == 1 {
-					n.loop.HandOff("t0", serverID("s-1"), 20*second)
+					n.loop.Send("t0", serverID("s-1"), 20*second)
 				}
 			})
 		}},
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -35,23 +35,23 @@
 // listedAs is what the list calls a server, where it is, and what it said of it last.
 type listedAs struct {
 	name, address string
-	policy.Listed
+	policy.EndpointInfo
 }
 
 type loop struct {
 	node   *Node
-	policy *policy.Policy
+	policy *policy.Balancer
 	events chan func()
 	now    int64
 	timers timerqueue.Queue
-	tasks  map[policy.TaskID]*exchange
-	fleet  map[policy.ServerID]listedAs
+	tasks  map[policy.RequestID]*exchange
+	fleet  map[policy.EndpointID]listedAs
 	over   bool // the process is about to end
 }
 
 func newLoop(n *Node) *loop {
-	l := &loop{node: n, events: make(chan func(), 1024), tasks: map[policy.TaskID]*exchange{},
-		fleet: map[policy.ServerID]listedAs{}}
+	l := &loop{node: n, events: make(chan func(), 1024), tasks: map[policy.RequestID]*exchange{},
+		fleet: map[policy.EndpointID]listedAs{}}
 	l.policy = policy.New(n.settings.Policy, n.config.seed, l)
 	return l
 }
@@ -65,7 +65,7 @@
 	for {
 		l.now = l.node.clock.now()
 		for cookie, due := l.timers.Due(l.now); due; cookie, due = l.timers.Due(l.now) {
-			l.handle(nil, func() { l.policy.Woken(l.now, cookie) })
+			l.handle(nil, func() { l.policy.TimerFired(l.now, cookie) })
 		}
 		wake.Reset(time.Duration(l.timers.Wait(l.now, int64(time.Hour))))
 		select {
@@ -102,7 +102,7 @@
 	}
 	l.node.counters.add(tasksTaken)
 	l.tasks[x.task.ID] = x
-	l.handle(x, func() { l.policy.TaskArrived(l.now, x.task) })
+	l.handle(x, func() { l.policy.RequestArrived(l.now, x.task) })
 }
 
 // giveUp answers whatever still has no answer, and from here on all that comes: the process is about to end, and what it leaves
@@ -110,13 +110,13 @@
 func (l *loop) giveUp() {
 	l.over = true
 	for id, x := range l.tasks {
-		c := l.node.settings.Policy.Categories[x.task.Category]
-		again := c.Repeat == policy.Ticketed && c.Group == policy.WholeFleet
-		mayHaveRun := slices.ContainsFunc(x.handOffs, func(h *handOff) bool { return !h.neverRan && !(again && l.now < h.sentAt+c.Memory) })
-		if !mayHaveRun || c.Repeat == policy.Rerunnable {
-			l.Decline(id, 0)
+		c := l.node.settings.Policy.Classes[x.task.Class]
+		again := c.Idempotency == policy.IdempotentByKey && c.DedupGroup == policy.DedupFleet
+		mayHaveRun := slices.ContainsFunc(x.handOffs, func(h *handOff) bool { return !h.neverRan && !(again && l.now < h.sentAt+c.DedupWindow) })
+		if !mayHaveRun || c.Idempotency == policy.Idempotent {
+			l.Reject(id, 0)
 		} else {
-			l.BreakOff(id)
+			l.Fail(id)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 	if l.tasks[x.task.ID] != x || !l.finish(x, tasksWithdrawn, answer{}) {
 		return
 	}
-	l.handle(x, func() { l.policy.TaskWithdrawn(l.now, x.task.ID) })
+	l.handle(x, func() { l.policy.ClientGone(l.now, x.task.ID) })
 	l.release(x)
 }
 
@@ -136,7 +136,7 @@
 	case !bad(err):
 		l.withdrawn(x)
 	case l.tasks[x.task.ID] == x && l.finish(x, tasksBad, answer{status: statusOf(err)}):
-		l.handle(x, func() { l.policy.TaskWithdrawn(l.now, x.task.ID) })
+		l.handle(x, func() { l.policy.ClientGone(l.now, x.task.ID) })
 		l.release(x)
 	}
 }
@@ -150,12 +150,12 @@
 	if r.left {
 		l.withdrawn(x) // likewise, or they would send it again
 	}
-	h.neverRan = r.outcome == policy.Full || r.outcome == policy.Unreached || r.outcome == policy.NeverSent
+	h.neverRan = r.outcome == policy.OutcomeRejected || r.outcome == policy.OutcomeConnectFailed || r.outcome == policy.OutcomeNotSent
 	x.open--
 	h.stop()
 	how := outcomeCounters[r.outcome]
 	switch {
-	case r.outcome == policy.Satisfied:
+	case r.outcome == policy.OutcomeSucceeded:
 		l.finish(x, tasksSatisfied, r.answer)
 	case r.answer.status != 0:
 		how = handOffsFaulted
@@ -163,17 +163,17 @@
 	}
 	l.node.counters.add(how)
 	l.handle(x, func() {
-		l.policy.HandOffAnswered(l.now, policy.Answer{Task: x.task.ID, Number: h.number, Server: h.place.server,
-			Outcome: r.outcome, Elapsed: max(r.at-h.sentAt-r.flowed, 0), Final: x.settled.Load(), Spent: x.spent(), Fresh: r.fresh,
+		l.policy.AttemptEnded(l.now, policy.AttemptResult{Request: x.task.ID, Attempt: h.number, Endpoint: h.place.server,
+			Outcome: r.outcome, Elapsed: max(r.at-h.sentAt-r.flowed, 0), RequestDone: x.settled.Load(), BodyConsumed: x.spent(), NewConnection: r.fresh,
 			Report: r.report})
 	})
 	l.release(x)
 }
 
 var outcomeCounters = map[policy.Outcome]counter{
-	policy.Satisfied: handOffsSatisfied, policy.Error: handOffsError, policy.Full: handOffsFull,
-	policy.TimedOut: handOffsTimedOut, policy.Unreached: handOffsUnreached, policy.Reset: handOffsReset,
-	policy.Recalled: handOffsRecalled, policy.NeverSent: handOffsNeverSent, policy.Unknown: handOffsReset,
+	policy.OutcomeSucceeded: handOffsSatisfied, policy.OutcomeError: handOffsError, policy.OutcomeRejected: handOffsFull,
+	policy.OutcomeTimedOut: handOffsTimedOut, policy.OutcomeConnectFailed: handOffsUnreached, policy.OutcomeReset: handOffsReset,
+	policy.OutcomeCanceled: handOffsRecalled, policy.OutcomeNotSent: handOffsNeverSent, policy.OutcomeUnknown: handOffsReset,
 }
 
 // mostKept bounds the servers that stay known where being left out of the list binds nothing.
@@ -205,17 +205,17 @@
 
 // absent takes off whoever is not on a whole list.
 func (l *loop) absent(entries []entry) {
-	told := make(map[policy.ServerID]bool, len(entries))
+	told := make(map[policy.EndpointID]bool, len(entries))
 	for _, e := range entries {
-		told[e.Server] = true
+		told[e.ID] = true
 	}
 	var gone []entry
 	for id, as := range l.fleet {
 		if !told[id] {
-			gone = append(gone, entry{Listed: policy.Listed{Server: id, State: policy.Gone}, name: as.name, address: as.address})
+			gone = append(gone, entry{EndpointInfo: policy.EndpointInfo{ID: id, State: policy.StateRemoved}, name: as.name, address: as.address})
 		}
 	}
-	slices.SortFunc(gone, func(a, b entry) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(gone, func(a, b entry) int { return cmp.Compare(a.ID, b.ID) })
 	l.listed(gone, false)
 }
 
@@ -238,31 +238,31 @@
 
 // take takes in entries as the decisions are to see them.
 func (l *loop) take(entries []entry, whole bool) {
-	list := make([]policy.Listed, 0, len(entries))
+	list := make([]policy.EndpointInfo, 0, len(entries))
 	for _, e := range entries {
-		old, known := l.fleet[e.Server]
-		if known && e.State == policy.Gone { // who is left out or only called removed stands where it stood, and started when it did
-			e.Listed = old.Listed
-			e.State = policy.Gone
+		old, known := l.fleet[e.ID]
+		if known && e.State == policy.StateRemoved { // who is left out or only called removed stands where it stood, and started when it did
+			e.EndpointInfo = old.EndpointInfo
+			e.State = policy.StateRemoved
 		}
-		list = append(list, e.Listed)
-		if e.State == policy.Gone && l.node.settings.Policy.GoneMayServe && len(l.fleet) <= mostKept {
+		list = append(list, e.EndpointInfo)
+		if e.State == policy.StateRemoved && l.node.settings.Policy.RemovedMayServe && len(l.fleet) <= mostKept {
 			continue // it may still be sent to: what it is called and where it is stays known, and its connections open
 		}
-		l.node.servers.listed(e.Server, e.address, e.State == policy.Active)
-		if old.address != "" && (old.address != e.address || e.State != policy.Active || e.Started > old.Started) {
-			go l.node.servers.forget(place{e.Server, old.address})
+		l.node.servers.listed(e.ID, e.address, e.State == policy.StateActive)
+		if old.address != "" && (old.address != e.address || e.State != policy.StateActive || e.StartedAt > old.StartedAt) {
+			go l.node.servers.forget(place{e.ID, old.address})
 		}
-		if e.State == policy.Gone {
-			delete(l.fleet, e.Server)
+		if e.State == policy.StateRemoved {
+			delete(l.fleet, e.ID)
 		} else if e.address != "" {
-			l.fleet[e.Server] = listedAs{e.name, e.address, e.Listed}
+			l.fleet[e.ID] = listedAs{e.name, e.address, e.EndpointInfo}
 		}
 	}
-	l.handle(nil, func() { l.policy.ListLearned(l.now, list, whole) })
+	l.handle(nil, func() { l.policy.EndpointsUpdated(l.now, list, whole) })
 }
 
-func (l *loop) listFailed() { l.handle(nil, func() { l.policy.ListFailed(l.now) }) }
+func (l *loop) listFailed() { l.handle(nil, func() { l.policy.WatchFailed(l.now) }) }
 
 // finish gives the task its answer, unless it has one.
 func (l *loop) finish(x *exchange, how counter, a answer) bool {
@@ -282,64 +282,64 @@
 }
 
 // HandOff, Recall, Decline, BreakOff, WakeAt and Subscribe make the loop the decisions' Host.
-func (l *loop) HandOff(id policy.TaskID, server policy.ServerID, timeOut int64) {
+func (l *loop) Send(id policy.RequestID, server policy.EndpointID, timeOut int64) {
 	x := l.tasks[id]
 	if x == nil {
 		return
 	}
 	h := &handOff{exchange: x, number: len(x.handOffs), place: place{server, l.fleet[server].address}, sentAt: l.now}
-	h.limit = min(l.now+timeOut, x.task.HardLimit)
-	if c := l.node.settings.Policy.Categories[x.task.Category]; c.Repeat == policy.Ticketed {
+	h.limit = min(l.now+timeOut, x.task.Deadline)
+	if c := l.node.settings.Policy.Classes[x.task.Class]; c.Idempotency == policy.IdempotentByKey {
 		for _, earlier := range x.handOffs {
 			if !earlier.neverRan { // what may have run is remembered from then on, and this one has to come before that ends
-				h.before = min(cmp.Or(h.before, earlier.sentAt+c.Memory), earlier.sentAt+c.Memory)
+				h.before = min(cmp.Or(h.before, earlier.sentAt+c.DedupWindow), earlier.sentAt+c.DedupWindow)
 			}
 		}
 	}
 	x.handOffs = append(x.handOffs, h)
 	x.open++
 	if x.settled.Load() { // against decisions that a panic has left without the end of this task
-		go l.enter(func() { l.ended(h, result{outcome: policy.NeverSent, report: reportOf(""), at: h.sentAt}) })
+		go l.enter(func() { l.ended(h, result{outcome: policy.OutcomeNotSent, report: reportOf(""), at: h.sentAt}) })
 		return
 	}
 	l.node.counters.add(handOffsSent)
 	l.node.servers.begin(h)
 }
 
-func (l *loop) Recall(id policy.TaskID, number int) {
+func (l *loop) Cancel(id policy.RequestID, number int) {
 	if x := l.tasks[id]; x != nil && number < len(x.handOffs) {
 		x.handOffs[number].stop()
 	}
 }
 
-func (l *loop) Decline(id policy.TaskID, comeBackIn int64) {
+func (l *loop) Reject(id policy.RequestID, comeBackIn int64) {
 	if x := l.tasks[id]; x != nil {
 		l.finish(x, tasksDeclined, answer{status: http.StatusServiceUnavailable, advice: comeBackIn})
 	}
 }
 
-func (l *loop) BreakOff(id policy.TaskID) {
+func (l *loop) Fail(id policy.RequestID) {
 	if x := l.tasks[id]; x != nil {
 		l.finish(x, tasksBrokenOff, answer{status: http.StatusBadGateway})
 	}
 }
 
-func (l *loop) WakeAt(at int64, cookie uint64) { l.timers.Set(at, cookie) }
+func (l *loop) SetTimer(at int64, cookie uint64) { l.timers.Set(at, cookie) }
 
-func (l *loop) Subscribe() { l.node.discovery.call() }
+func (l *loop) WatchEndpoints() { l.node.discovery.call() }
 
 // Release closes what is idle to a server; the loop does not wait for it.
-func (l *loop) Release(server policy.ServerID) {
+func (l *loop) CloseIdle(server policy.EndpointID) {
 	if address := l.fleet[server].address; address != "" {
 		go l.node.servers.forget(place{server, address})
 	}
 }
 
 // Tell passes news on to the peers.
-func (l *loop) Tell(n policy.News) { l.node.peers.tell(n) }
+func (l *loop) Gossip(n policy.GossipMessage) { l.node.peers.tell(n) }
 
 // Probe has a server asked for its load.
-func (l *loop) Probe(server policy.ServerID) {
+func (l *loop) CheckHealth(server policy.EndpointID) {
 	if address := l.fleet[server].address; address != "" {
 		l.node.servers.probe(place{server, address})
 	}
@@ -347,7 +347,7 @@
 
 // learned is what the decisions have learned, for the process that comes after this one.
 func (l *loop) learned() json.RawMessage {
-	text, err := json.Marshal(l.policy.Learned())
+	text, err := json.Marshal(l.policy.Estimates())
 	if err != nil {
 		l.node.log.Warn("what was learned can't be told", zap.Error(err))
 	}
@@ -356,8 +356,8 @@
 
 // inherit begins with what the decisions of the process before had learned, if that makes sense.
 func (l *loop) inherit(text json.RawMessage) {
-	var all estimates.All
-	if err := json.Unmarshal(text, &all); err != nil || !all.Sound(len(l.node.settings.Categories)) {
+	var all estimates.Snapshot
+	if err := json.Unmarshal(text, &all); err != nil || !all.Valid(len(l.node.settings.Classes)) {
 		l.node.counters.add(handoversPassedOver)
 		l.node.log.Warn("what the process before had learned passed over", zap.Error(err))
 		return
@@ -365,8 +365,10 @@
 	l.handle(nil, func() { l.policy.Inherit(&all) })
 }
 
-func (l *loop) probed(server policy.ServerID, outcome policy.Outcome, report policy.Report) {
-	l.handle(nil, func() { l.policy.Probed(l.now, server, outcome, report) })
+func (l *loop) probed(server policy.EndpointID, outcome policy.Outcome, report policy.LoadReport) {
+	l.handle(nil, func() { l.policy.HealthChecked(l.now, server, outcome, report) })
 }
 
-func (l *loop) told(n policy.News) { l.handle(nil, func() { l.policy.Told(l.now, n) }) }
+func (l *loop) told(n policy.GossipMessage) {
+	l.handle(nil, func() { l.policy.GossipReceived(l.now, n) })
+}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -47,7 +47,7 @@
 	if f == nil || f.Members == nil {
 		return nil, nil
 	}
-	if !n.settings.Policy.MayTell {
+	if !n.settings.Policy.MayGossip {
 		n.log.Warn("members are off, as limits.peer_messages is not true in the settings")
 		return nil, nil
 	}
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -98,20 +98,20 @@
 func outcomeOf(status int, h http.Header) policy.Outcome {
 	switch {
 	case badTask(status):
-		return policy.NeverSent
+		return policy.OutcomeNotSent
 	case status == http.StatusOK:
-		return policy.Satisfied
+		return policy.OutcomeSucceeded
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && h.Get(headerNeverRan) == "1":
-		return policy.Full
+		return policy.OutcomeRejected
 	}
-	return policy.Error
+	return policy.OutcomeError
 }
 
-func reportOf(text string) policy.Report { return loadreport.Parse(text) }
+func reportOf(text string) policy.LoadReport { return loadreport.Parse(text) }
 
 // entry is one server of the list, with the address that this node is to use for it.
 type entry struct {
-	policy.Listed
+	policy.EndpointInfo
 	name    string
 	address string
 }
@@ -125,27 +125,27 @@
 
 // entryOf takes in one server of a list. A server that wants nothing new needs no address.
 func entryOf(in endpointlist.Entry, zones []string) (entry, error) {
-	e := entry{name: in.Host, address: in.Dial, Listed: policy.Listed{
-		Server: serverID(in.Host), Zone: zoneOf(in.Site, zones), Pod: in.Block, Weight: in.Share,
-		Started: int64(in.Born * 1e6),
+	e := entry{name: in.Name, address: in.Address, EndpointInfo: policy.EndpointInfo{
+		ID: serverID(in.Name), Zone: zoneOf(in.Zone, zones), Pod: in.Pod, Weight: in.Weight,
+		StartedAt: int64(in.StartedMs * 1e6),
 	}}
-	switch in.Health {
+	switch in.State {
 	case "up":
-		e.State = policy.Active
+		e.State = policy.StateActive
 	case "draining":
-		e.State = policy.Draining
+		e.State = policy.StateDraining
 	case "removed":
-		e.State = policy.Gone
+		e.State = policy.StateRemoved
 	default:
-		return entry{}, fmt.Errorf("health: expected up, draining or removed, got %q", in.Health)
+		return entry{}, fmt.Errorf("health: expected up, draining or removed, got %q", in.State)
 	}
-	if in.Host == "" {
+	if in.Name == "" {
 		return entry{}, errors.New("host: expected a name, got none")
 	}
-	if _, err := netip.ParseAddrPort(in.Dial); err != nil && e.State == policy.Active {
+	if _, err := netip.ParseAddrPort(in.Address); err != nil && e.State == policy.StateActive {
 		return entry{}, fmt.Errorf("dial: %w", err)
 	}
-	if in.Share < 0 || in.Born < 0 || in.Born > 9e12 {
+	if in.Weight < 0 || in.StartedMs < 0 || in.StartedMs > 9e12 {
 		return entry{}, errors.New("share, born_ms: expected numbers that can be a weight and a time")
 	}
 	return e, nil
@@ -155,18 +155,18 @@
 func wholeList(version int64, entries []entry, zones []string) []byte {
 	list := make([]endpointlist.Entry, len(entries))
 	for i, e := range entries {
-		list[i] = endpointlist.Entry{Host: e.name, Dial: e.address, Site: e.zone(zones), Block: e.Pod, Share: e.Weight, Born: float64(e.Started) / 1e6,
-			Health: [...]string{policy.Active: "up", policy.Draining: "draining", policy.Gone: "removed"}[e.State]}
+		list[i] = endpointlist.Entry{Name: e.name, Address: e.address, Zone: e.zone(zones), Pod: e.Pod, Weight: e.Weight, StartedMs: float64(e.StartedAt) / 1e6,
+			State: [...]string{policy.StateActive: "up", policy.StateDraining: "draining", policy.StateRemoved: "removed"}[e.State]}
 	}
-	return endpointlist.Text(version, list)
+	return endpointlist.Encode(version, list)
 }
 
 // serverID makes the number that the decisions know a server by. It comes from the name alone, so that all nodes
 // agree on it without talking.
-func serverID(host string) policy.ServerID {
+func serverID(host string) policy.EndpointID {
 	h := fnv.New32a()
 	h.Write([]byte(host))
-	return policy.ServerID(h.Sum32())
+	return policy.EndpointID(h.Sum32())
 }
 
 func zoneOf(name string, zones []string) int {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -139,11 +139,11 @@
 	if c.decoded, err = settings.FromJSON(c.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if c.decoded.ConnectWithin == 0 || c.decoded.IdleClose == 0 {
+	if c.decoded.ConnectTimeout == 0 || c.decoded.IdleTimeout == 0 {
 		return errors.New("settings: limits.connect_timeout_us, limits.idle_close_us: expected times, got none")
 	}
-	if p := c.decoded.Policy; p.Nodes > 1 && p.Position >= p.Nodes {
-		return fmt.Errorf("settings: position: expected a number below group_size, which is %d, got %d", p.Nodes, p.Position)
+	if p := c.decoded.Policy; p.NodeCount > 1 && p.NodeIndex >= p.NodeCount {
+		return fmt.Errorf("settings: position: expected a number below group_size, which is %d, got %d", p.NodeCount, p.NodeIndex)
 	}
 	if err := c.checkNews(); err != nil {
 		return err
@@ -209,8 +209,8 @@
 
 // New makes a node that listens; nothing runs before Run.
 func New(config *Config, log *zap.Logger) (*Node, error) {
-	n := &Node{config: config, settings: &config.decoded, log: log, clock: clock{time.Now()}, lists: endpointlist.For(config.Limits.MemoryMB << 20),
-		categories: indexes(config.decoded.Categories), customers: indexes(config.decoded.Customers)}
+	n := &Node{config: config, settings: &config.decoded, log: log, clock: clock{time.Now()}, lists: endpointlist.LimitsFor(config.Limits.MemoryMB << 20),
+		categories: indexes(config.decoded.Classes), customers: indexes(config.decoded.Tenants)}
 	n.orders = newOrders(n)
 	n.state = openState(n)
 	n.loop, n.servers, n.discovery = newLoop(n), newServers(n), newEndpointWatch(n)
@@ -382,7 +382,7 @@
 	go n.discovery.run()
 	go n.relayed.Run(context.Background())
 	go n.peers.run()
-	if !n.settings.Policy.MustAsk && n.heritage == nil {
+	if !n.settings.Policy.MustPollList && n.heritage == nil {
 		// What is pushed counts as told from the first moment of a new process, so it is heard before the first task.
 		select {
 		case <-n.discovery.heard:
@@ -473,7 +473,7 @@
 // before the platform may kill the process is given up.
 func (n *Node) stop() {
 	n.log.Info("stopping")
-	killed := time.Now().Add(min(time.Duration(slices.Max(n.settings.HardLimits)), longestKept) + killedAfter)
+	killed := time.Now().Add(min(time.Duration(slices.Max(n.settings.Deadlines)), longestKept) + killedAfter)
 	n.stopping.Store(true)
 	if n.handover.hasYielded() {
 		time.Sleep(min(stillKept, time.Until(killed)-2*lastWords))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -99,10 +99,10 @@
 
 func TestHandOffErrorTellsWhatItProves(t *testing.T) {
 	for at, want := range map[stage][3]policy.Outcome{ // a broken connection, time over, recalled
-		notConnected:  {policy.Unreached, policy.Unreached, policy.NeverSent},
-		partlyWritten: {policy.Unreached, policy.Unreached, policy.NeverSent},
-		writtenWhole:  {policy.Reset, policy.TimedOut, policy.Recalled},
-		answering:     {policy.Reset, policy.TimedOut, policy.Recalled},
+		notConnected:  {policy.OutcomeConnectFailed, policy.OutcomeConnectFailed, policy.OutcomeNotSent},
+		partlyWritten: {policy.OutcomeConnectFailed, policy.OutcomeConnectFailed, policy.OutcomeNotSent},
+		writtenWhole:  {policy.OutcomeReset, policy.OutcomeTimedOut, policy.OutcomeCanceled},
+		answering:     {policy.OutcomeReset, policy.OutcomeTimedOut, policy.OutcomeCanceled},
 	} {
 		late := &net.OpError{Op: "read", Err: timeOut{}}
 		for i, e := range []handOffError{{at, false, io.EOF}, {at, false, late}, {at, true, late}} {
@@ -111,7 +111,7 @@
 			}
 		}
 	}
-	if e := (&handOffError{notConnected, false, errNoRoom}); e.outcome() != policy.NeverSent {
+	if e := (&handOffError{notConnected, false, errNoRoom}); e.outcome() != policy.OutcomeNotSent {
 		t.Error("want of a descriptor here is held against the server")
 	}
 }
@@ -787,7 +787,7 @@
 	}
 	n.loop.enter(func() {
 		n.loop.tasks["bad"] = x
-		n.loop.HandOff("bad", serverID("s-0"), second)
+		n.loop.Send("bad", serverID("s-0"), second)
 	})
 	soon(t, "the end of a hand-off that came too late", func() bool { return n.count(handOffsNeverSent) == 1 })
 	if tasks.Load() != 0 {
@@ -959,7 +959,7 @@
 	lines := func(from, to int) (list []entry) {
 		for i := from; i < to; i++ {
 			name := fmt.Sprint("s-", i)
-			list = append(list, entry{Listed: policy.Listed{Server: policy.ServerID(i), State: policy.Active}, name: name, address: "127.0.0.1:1"})
+			list = append(list, entry{EndpointInfo: policy.EndpointInfo{ID: policy.EndpointID(i), State: policy.StateActive}, name: name, address: "127.0.0.1:1"})
 		}
 		return list
 	}
@@ -992,8 +992,8 @@
 	var conns []*serverConn
 	for i := range 3 {
 		c, _ := net.Pipe()
-		conns = append(conns, &serverConn{conn: newConn(c), place: place{policy.ServerID(i), "x"}})
-		s.listed(policy.ServerID(i), "x", true)
+		conns = append(conns, &serverConn{conn: newConn(c), place: place{policy.EndpointID(i), "x"}})
+		s.listed(policy.EndpointID(i), "x", true)
 		if !s.reserve() {
 			t.Fatal("no room for one of three")
 		}
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -44,7 +44,7 @@
 type standingOrders struct {
 	drained bool
 	servers map[string]out
-	ids     map[policy.ServerID]bool // those that are out now
+	ids     map[policy.EndpointID]bool // those that are out now
 }
 
 func (o *standingOrders) copy() *standingOrders {
@@ -87,7 +87,7 @@
 func newOrders(n *Node) *orders {
 	o := &orders{node: n, path: filepath.Join(n.config.dir, n.fileName(".orders")), entries: map[string]*entry{}}
 	o.names.of = map[string]bool{}
-	o.now.Store(&standingOrders{servers: map[string]out{}, ids: map[policy.ServerID]bool{}})
+	o.now.Store(&standingOrders{servers: map[string]out{}, ids: map[policy.EndpointID]bool{}})
 	o.laid = o.now.Load()
 	o.look()
 	return o
@@ -103,7 +103,7 @@
 func (o *orders) whose() string { c := o.node.config; return strconv.Quote(c.Name) + " " + c.Listen }
 
 // isOut tells whether a server was taken out; any goroutine may ask, and does so just before it writes to the server.
-func (o *orders) isOut(id policy.ServerID) bool { return o.now.Load().ids[id] }
+func (o *orders) isOut(id policy.EndpointID) bool { return o.now.Load().ids[id] }
 
 func (o *orders) drained() bool { return o.now.Load().drained }
 
@@ -153,7 +153,7 @@
 	o.read()
 	next := o.now.Load().copy()
 	done = order(next)
-	next.prune(o.node.clock.now(), o.node.settings.Policy.WarmWithin)
+	next.prune(o.node.clock.now(), o.node.settings.Policy.SlowStartWindow)
 	if len(next.servers) > mostOrders {
 		return "", fmt.Errorf("more than %d servers out", mostOrders)
 	}
@@ -329,7 +329,7 @@
 
 // set lets orders count, from this moment for hand-offs, and as soon as the loop comes to it for the decisions.
 func (o *orders) set(s *standingOrders) {
-	s.ids = map[policy.ServerID]bool{}
+	s.ids = map[policy.EndpointID]bool{}
 	for name, one := range s.servers {
 		if one.back == 0 {
 			s.ids[serverID(name)] = true
@@ -364,7 +364,7 @@
 	o.laid = o.now.Load()
 	laid := make([]entry, 0, len(entries))
 	for _, e := range entries {
-		if e.State == policy.Gone {
+		if e.State == policy.StateRemoved {
 			delete(o.entries, e.name)
 		} else {
 			o.entries[e.name] = &e
@@ -377,14 +377,14 @@
 // over is one entry as the decisions are to see it.
 func (o *standingOrders) over(e entry) entry {
 	one, had := o.servers[e.name]
-	if !had || e.State == policy.Gone {
+	if !had || e.State == policy.StateRemoved {
 		return e
 	}
 	if one.back == 0 {
-		e.State = policy.Draining
-	} else if e.Started < one.since {
+		e.State = policy.StateDraining
+	} else if e.StartedAt < one.since {
 		// Guards against a list that does not know yet that the server was restarted meanwhile: it comes back cold.
-		e.Started = one.back
+		e.StartedAt = one.back
 	}
 	return e
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -28,7 +28,7 @@
 	socket  *net.UDPConn
 	known   map[netip.AddrPort]int // a number for each
 	inbox   gossip.Inbox           // of hear alone
-	waiting chan policy.News
+	waiting chan policy.GossipMessage
 }
 
 // checkNews checks the configuration of news.
@@ -37,7 +37,7 @@
 		if len(c.News.Peers) > 0 {
 			return errors.New("news.listen: expected an address and a port, as there are news.peers, got none")
 		}
-		if c.decoded.Policy.MayTell && c.decoded.Policy.Nodes > 1 {
+		if c.decoded.Policy.MayGossip && c.decoded.Policy.NodeCount > 1 {
 			return errors.New("news.listen: expected an address and a port, as limits.peer_messages is true in the settings, got none")
 		}
 		return nil
@@ -57,7 +57,7 @@
 }
 
 func newPeers(n *Node) (*peers, error) {
-	p := &peers{node: n, known: map[netip.AddrPort]int{}, waiting: make(chan policy.News, mostTold)}
+	p := &peers{node: n, known: map[netip.AddrPort]int{}, waiting: make(chan policy.GossipMessage, mostTold)}
 	if n.config.News.Listen == "" {
 		return p, nil
 	}
@@ -76,7 +76,7 @@
 }
 
 // tell queues news for every peer; it never waits.
-func (p *peers) tell(n policy.News) {
+func (p *peers) tell(n policy.GossipMessage) {
 	select {
 	case p.waiting <- n:
 	default:
@@ -103,7 +103,7 @@
 
 // hear enters what peers tell, unless the loop has its hands full: no task is to wait for news.
 func (p *peers) hear() {
-	buffer := make([]byte, gossip.Most+1)
+	buffer := make([]byte, gossip.MaxMessageBytes+1)
 	for {
 		length, from, err := p.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -31,8 +31,8 @@
 	defer listener.Close()
 	n := nodeWith(t, withNews(1, listener.LocalAddr().String()))
 	t.Cleanup(n.peers.close)
-	told := policy.News{Server: serverID("s-0"), Category: 2}
-	n.loop.enter(func() { n.loop.Tell(told) })
+	told := policy.GossipMessage{Endpoint: serverID("s-0"), Class: 2}
+	n.loop.enter(func() { n.loop.Gossip(told) })
 	buffer := make([]byte, 300)
 	listener.SetReadDeadline(time.Now().Add(5 * time.Second))
 	length, _, err := listener.ReadFrom(buffer)
@@ -62,7 +62,7 @@
 	n := newNode(t, withNews(0))
 	t.Cleanup(n.peers.close)
 	for range mostTold + 5 {
-		n.loop.Tell(policy.News{Idle: second})
+		n.loop.Gossip(policy.GossipMessage{IdleTime: second})
 	}
 	if n.count(newsDropped) != 5 {
 		t.Errorf("%d dropped, want 5", n.count(newsDropped))
@@ -98,9 +98,9 @@
 	server, _ := serverOf(t, echo)
 	n := nodeWith(t, nil, server)
 	ask(t, n, "view", "a", "")
-	n.loop.enter(func() { n.loop.Release(serverID("s-0")) })
+	n.loop.enter(func() { n.loop.CloseIdle(serverID("s-0")) })
 	soon(t, "its connection closed", func() bool { return n.count(serversClosedIdle) == 1 })
-	n.loop.enter(func() { n.loop.Release(99) })
+	n.loop.enter(func() { n.loop.CloseIdle(99) })
 	if status, _, _ := ask(t, n, "view", "b", ""); status != 200 || n.count(serversConnected) != 2 {
 		t.Errorf("after it: %d, %d connections opened", status, n.count(serversConnected))
 	}
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -27,7 +27,7 @@
 		defer func() { <-s.probing }()
 		defer s.node.caught("probe", func() {})
 		outcome, report := s.askLoad(to)
-		if outcome == policy.Satisfied {
+		if outcome == policy.OutcomeSucceeded {
 			s.node.counters.add(probesAnswered)
 		} else {
 			s.node.counters.add(probesFailed)
@@ -36,26 +36,26 @@
 	}()
 }
 
-func (s *servers) askLoad(to place) (policy.Outcome, policy.Report) {
+func (s *servers) askLoad(to place) (policy.Outcome, policy.LoadReport) {
 	wanted := func() bool { return !s.node.orders.isOut(to.server) && s.stands(to) }
 	if !wanted() {
-		return policy.NeverSent, reportOf("")
+		return policy.OutcomeNotSent, reportOf("")
 	}
-	limit := time.Now().Add(2 * time.Duration(s.node.settings.ConnectWithin))
+	limit := time.Now().Add(2 * time.Duration(s.node.settings.ConnectTimeout))
 	c, err := s.connection(&handOff{place: to}, limit)
 	if err != nil {
-		return policy.Unreached, reportOf("")
+		return policy.OutcomeConnectFailed, reportOf("")
 	}
 	if !wanted() { // since it began to connect
 		s.close(c)
-		return policy.NeverSent, reportOf("")
+		return policy.OutcomeNotSent, reportOf("")
 	}
 	c.SetDeadline(limit)
 	if _, err := c.Write([]byte(loadQuestion(to.address))); err == nil {
 		if r, m, err := c.fromServer(&http.Request{Method: http.MethodGet}); err == nil {
 			body, whole, err := m.collect(nil, longestReport)
 			m.end()
-			if outcome := outcomeOf(r.StatusCode, r.Header); err == nil && whole && outcome == policy.Satisfied {
+			if outcome := outcomeOf(r.StatusCode, r.Header); err == nil && whole && outcome == policy.OutcomeSucceeded {
 				if len(c.pending()) == 0 && !r.Close {
 					s.keep(c)
 				} else {
@@ -66,5 +66,5 @@
 		}
 	}
 	s.close(c)
-	return policy.Error, reportOf("")
+	return policy.OutcomeError, reportOf("")
 }
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -185,8 +185,8 @@
 }
 
 func TestStatesOfServersAreTheSameEverywhere(t *testing.T) {
-	for here, there := range map[policy.State]endpointsource.State{policy.Active: endpointsource.Up, policy.Draining: endpointsource.Draining, policy.Gone: endpointsource.Gone} {
-		if policy.State(there) != here {
+	for here, there := range map[policy.EndpointState]endpointsource.State{policy.StateActive: endpointsource.Up, policy.StateDraining: endpointsource.Draining, policy.StateRemoved: endpointsource.Gone} {
+		if policy.EndpointState(there) != here {
 			t.Errorf("%v and %v differ, and are turned into one another", here, there)
 		}
 	}
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -24,7 +24,7 @@
 // place is a server and where it is. An address alone would not do: a server may stand where another stood, and what
 // becomes of the old one must not touch connections to the new.
 type place struct {
-	server  policy.ServerID
+	server  policy.EndpointID
 	address string
 }
 
@@ -83,7 +83,7 @@
 
 type result struct {
 	outcome policy.Outcome
-	report  policy.Report
+	report  policy.LoadReport
 	answer  answer
 	at      int64
 	fresh   bool        // the connection was opened for it
@@ -137,15 +137,15 @@
 	var own ownReason
 	switch {
 	case e.stage < writtenWhole && (e.stopped || errors.As(e.err, &own)):
-		return policy.NeverSent
+		return policy.OutcomeNotSent
 	case e.stage < writtenWhole:
-		return policy.Unreached
+		return policy.OutcomeConnectFailed
 	case e.stopped:
-		return policy.Recalled
+		return policy.OutcomeCanceled
 	case errors.Is(e.err, os.ErrDeadlineExceeded):
-		return policy.TimedOut
+		return policy.OutcomeTimedOut
 	}
-	return policy.Reset
+	return policy.OutcomeReset
 }
 
 type serverConn struct {
@@ -164,9 +164,9 @@
 	mayRest atomic.Int64
 
 	mu    sync.Mutex
-	stand map[policy.ServerID]string // where those are that may have something new
-	idle  map[place][]*serverConn    // the longest idle first
-	order list.List                  // of all that are idle, the longest first: with thousands of servers a search takes too long
+	stand map[policy.EndpointID]string // where those are that may have something new
+	idle  map[place][]*serverConn      // the longest idle first
+	order list.List                    // of all that are idle, the longest first: with thousands of servers a search takes too long
 	open  int
 	most  int // connections open or being opened
 
@@ -177,7 +177,7 @@
 }
 
 func newServers(n *Node) *servers {
-	s := &servers{node: n, stand: map[policy.ServerID]string{}, idle: map[place][]*serverConn{}, work: make(chan *handOff),
+	s := &servers{node: n, stand: map[policy.EndpointID]string{}, idle: map[place][]*serverConn{}, work: make(chan *handOff),
 		rests: strayWithin, probing: make(chan struct{}, mostProbes)}
 	s.dial = s.connect
 	return s
@@ -185,7 +185,7 @@
 
 // connect opens a connection.
 func (s *servers) connect(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: time.Duration(s.node.settings.ConnectWithin), Deadline: limit, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: time.Duration(s.node.settings.ConnectTimeout), Deadline: limit, KeepAlive: -1}
 	dialer.SetMultipathTCP(false)
 	return dialer.DialContext(ctx, "tcp", address)
 }
@@ -242,7 +242,7 @@
 
 // carry runs a hand-off from its start to its one result.
 func (s *servers) carry(h *handOff) {
-	r := result{outcome: policy.Unknown, report: reportOf("")}
+	r := result{outcome: policy.OutcomeUnknown, report: reportOf("")}
 	func() {
 		defer s.node.caught("hand-off", func() {})
 		answered, err := s.try(h)
@@ -303,7 +303,7 @@
 			at = answering
 		}
 		r, e := fail(at, err)
-		if e.stage == writtenWhole && e.outcome() == policy.Reset && !c.idle.IsZero() {
+		if e.stage == writtenWhole && e.outcome() == policy.OutcomeReset && !c.idle.IsZero() {
 			// Guards against a machine that was cut off and is back: it resets the connections from before only when
 			// they are used, and each would cost a task.
 			s.forget(h.place)
@@ -318,7 +318,7 @@
 	}
 	r := result{outcome: outcomeOf(response.StatusCode, response.Header), fresh: c.idle.IsZero(), flowed: flowed,
 		report: reportOf(response.Header.Get(headerLoad))}
-	passed := r.outcome == policy.Satisfied || badTask(response.StatusCode)
+	passed := r.outcome == policy.OutcomeSucceeded || badTask(response.StatusCode)
 	if passed {
 		length := response.Header.Get("Content-Length")
 		r.answer = answer{status: response.StatusCode, header: endToEnd(response.Header), body: body}
@@ -335,7 +335,7 @@
 	}
 	m.end()
 	s.strays(all && len(c.pending()) > 0)
-	if c.turned = r.outcome == policy.Full; running && all && !response.Close && at == writtenWhole && len(c.pending()) == 0 {
+	if c.turned = r.outcome == policy.OutcomeRejected; running && all && !response.Close && at == writtenWhole && len(c.pending()) == 0 {
 		whole = true
 		s.keep(c)
 	}
@@ -371,7 +371,7 @@
 }
 
 // listed has a server stand at an address, or nowhere.
-func (s *servers) listed(server policy.ServerID, address string, stands bool) {
+func (s *servers) listed(server policy.EndpointID, address string, stands bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stand[server] = address; !stands {
@@ -414,7 +414,7 @@
 
 // early tells an answer that may come before the task's last byte was written: one that turns the task away.
 func early(r *http.Response) bool {
-	return outcomeOf(r.StatusCode, r.Header) == policy.Full || badTask(r.StatusCode)
+	return outcomeOf(r.StatusCode, r.Header) == policy.OutcomeRejected || badTask(r.StatusCode)
 }
 
 // why tells who is to blame for a body that did not go out whole.
@@ -585,7 +585,7 @@
 // tooOld is when a connection must have been used last to be used again: well before the server would close it, as a
 // task written to one that the server has just closed may have run for all that can be known.
 func (s *servers) tooOld() time.Time {
-	return time.Now().Add(-time.Duration(s.node.settings.IdleClose) * 3 / 4)
+	return time.Now().Add(-time.Duration(s.node.settings.IdleTimeout) * 3 / 4)
 }
 
 // sweep closes connections that are too old, and those that their server has closed, as they hold descriptors.
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -264,7 +264,7 @@
 	}
 	out := slices.Clone(remembered)
 	for _, e := range s.lay(entries, version, nil) {
-		if !known[e.name] && e.State != policy.Gone {
+		if !known[e.name] && e.State != policy.StateRemoved {
 			out = append(out, e)
 		}
 	}
@@ -277,12 +277,12 @@
 		return
 	}
 	l := s.node.loop
-	var all estimates.All
-	if err := json.Unmarshal(s.start.Learned, &all); err != nil || !all.Sound(len(s.node.settings.Categories)) {
+	var all estimates.Snapshot
+	if err := json.Unmarshal(s.start.Learned, &all); err != nil || !all.Valid(len(s.node.settings.Classes)) {
 		s.node.log.Warn("memory: what was learned makes no sense", zap.Error(err))
 		return
 	}
-	all.Fade(s.start.Part)
+	all.Decay(s.start.Part)
 	l.handle(nil, func() { l.policy.Inherit(&all) })
 }
 
@@ -312,8 +312,8 @@
 func (s *state) layBy(entries []entry, do func([]nodestate.Server), by func([]nodestate.Server) []nodestate.Server) []entry {
 	lines := make([]nodestate.Server, len(entries))
 	for i, e := range entries {
-		lines[i] = nodestate.Server{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight, Started: e.Started,
-			State: [...]nodestate.State{policy.Active: nodestate.Up, policy.Draining: nodestate.Draining, policy.Gone: nodestate.Removed}[e.State]}
+		lines[i] = nodestate.Server{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight, Started: e.StartedAt,
+			State: [...]nodestate.State{policy.StateActive: nodestate.Up, policy.StateDraining: nodestate.Draining, policy.StateRemoved: nodestate.Removed}[e.State]}
 	}
 	s.mu.Lock()
 	over := by(lines)
@@ -330,15 +330,15 @@
 	return out
 }
 
-func stateOf(m nodestate.State) policy.State {
-	return [...]policy.State{nodestate.Up: policy.Active, nodestate.Draining: policy.Draining, nodestate.Removed: policy.Gone}[m]
+func stateOf(m nodestate.State) policy.EndpointState {
+	return [...]policy.EndpointState{nodestate.Up: policy.StateActive, nodestate.Draining: policy.StateDraining, nodestate.Removed: policy.StateRemoved}[m]
 }
 
 func (n *Node) entriesOf(servers []nodestate.Server) []entry {
 	out := make([]entry, len(servers))
 	for i, m := range servers {
-		out[i] = entry{name: m.Name, address: m.Address, Listed: policy.Listed{Server: serverID(m.Name), Zone: zoneOf(m.Zone, n.settings.Zones),
-			Pod: m.Pod, Weight: m.Weight, Started: m.Started, State: stateOf(m.State)}}
+		out[i] = entry{name: m.Name, address: m.Address, EndpointInfo: policy.EndpointInfo{ID: serverID(m.Name), Zone: zoneOf(m.Zone, n.settings.Zones),
+			Pod: m.Pod, Weight: m.Weight, StartedAt: m.Started, State: stateOf(m.State)}}
 	}
 	return out
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -5,16 +5,16 @@
 const store = 8 // tasks that a customer may ask for at once after asking for less than its share
 
 // Shares holds a part of all that is asked for, and what is left of it, for each customer.
-type Shares struct {
+type Quotas struct {
 	portions, left []float64
 }
 
 // New makes one with nothing left for anybody.
-func New(portions []float64) Shares { return Shares{portions, make([]float64, len(portions))} }
+func New(portions []float64) Quotas { return Quotas{portions, make([]float64, len(portions))} }
 
 // Beyond takes one task and tells whether it is beyond its customer's share. One that is asked for again neither earns
 // nor costs: it was counted when it came first.
-func (s *Shares) Beyond(customer int, again bool) bool {
+func (s *Quotas) Exceeded(customer int, again bool) bool {
 	if customer >= len(s.left) {
 		return false
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -7,7 +7,7 @@
 	within := [2]int{}
 	for i := range 4000 {
 		customer := i % 2 // each asks for half
-		if !s.Beyond(customer, false) {
+		if !s.Exceeded(customer, false) {
 			within[customer]++
 		}
 	}
@@ -16,9 +16,9 @@
 	}
 	before := s.left[0]
 	for range 100 {
-		s.Beyond(0, true)
+		s.Exceeded(0, true)
 	}
-	if s.left[0] != before || s.Beyond(7, false) {
+	if s.left[0] != before || s.Exceeded(7, false) {
 		t.Error("what is asked for again counts, or a customer without a share is beyond it")
 	}
 }
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -54,27 +54,27 @@
 
 // record is a host's record. One that goes needs no scope of its own.
 func (e *endpoints) record(in endpointlist.Entry) (distribution.Record, error) {
-	r := distribution.Record{Key: EndpointKey(in.Host), Class: distribution.Endpoint}
-	switch in.Health {
+	r := distribution.Record{Key: EndpointKey(in.Name), Class: distribution.Endpoint}
+	switch in.State {
 	case healthUp:
 	case healthDraining:
 		r.Class = distribution.Withdrawal
 	case healthRemoved:
 		r.Gone = true
 	default:
-		return r, fmt.Errorf("health: expected up, draining or removed, got %q", in.Health)
+		return r, fmt.Errorf("health: expected up, draining or removed, got %q", in.State)
 	}
-	if in.Host == "" || len(r.Key) > distribution.MaxName {
-		return r, fmt.Errorf("host: expected a name of up to %d bytes, got %d", distribution.MaxName-len(KindEndpoint)-1, len(in.Host))
+	if in.Name == "" || len(r.Key) > distribution.MaxName {
+		return r, fmt.Errorf("host: expected a name of up to %d bytes, got %d", distribution.MaxName-len(KindEndpoint)-1, len(in.Name))
 	}
 	if r.Gone {
 		return r, nil
 	}
-	if r.Scope = e.scope.of(in.Host, in.Site); r.Scope == "" {
-		return r, fmt.Errorf("host %q of site %q: expected a region and a service by origin.scope, got none", in.Host, in.Site)
+	if r.Scope = e.scope.of(in.Name, in.Zone); r.Scope == "" {
+		return r, fmt.Errorf("host %q of site %q: expected a region and a service by origin.scope, got none", in.Name, in.Zone)
 	}
 	var err error
-	r.Body, err = endpointlist.Body(in)
+	r.Body, err = endpointlist.EncodeEntry(in)
 	return r, err
 }
 
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -32,8 +32,8 @@
 
 // TestGoldenRecords holds what an origin tells of hosts to what nodes of earlier builds read.
 func TestGoldenRecords(t *testing.T) {
-	e := endpointlist.Entry{Host: "s-1", Dial: "127.0.0.1:80", Site: "a", Health: "draining", Block: 3, Share: 1.5, Born: 1_700_000_000_123}
-	body, err := endpointlist.Body(e)
+	e := endpointlist.Entry{Name: "s-1", Address: "127.0.0.1:80", Zone: "a", State: "draining", Pod: 3, Weight: 1.5, StartedMs: 1_700_000_000_123}
+	body, err := endpointlist.EncodeEntry(e)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -58,11 +58,11 @@
 				continue
 			}
 			delete(h.of, host)
-			told = append(told, endpointlist.Entry{Host: host, Health: healthRemoved})
+			told = append(told, endpointlist.Entry{Name: host, State: healthRemoved})
 			continue
 		}
 		var e endpointlist.Entry
-		if wrong := decode(c.Body, &e); wrong != nil || e.Host != host {
+		if wrong := decode(c.Body, &e); wrong != nil || e.Name != host {
 			passed, err = passed+1, fmt.Errorf("scope %q, key %q: expected an endpoint of that name, found %.80q", c.Scope, c.Key, c.Body)
 			continue // what was known of it stays
 		}
@@ -86,7 +86,7 @@
 func best(all []scoped) endpointlist.Entry {
 	at := all[0]
 	for _, s := range all[1:] {
-		if s.entry.Born > at.entry.Born || s.entry.Born == at.entry.Born && s.scope < at.scope {
+		if s.entry.StartedMs > at.entry.StartedMs || s.entry.StartedMs == at.entry.StartedMs && s.scope < at.scope {
 			at = s
 		}
 	}
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -112,7 +112,7 @@
 	if set.Discovery != "" {
 		p.origin.Await(KindEndpoint)
 		hosts := newEndpoints(&set.Scope)
-		p.watch = &watch{address: set.Discovery, limits: endpointlist.For(int64(p.config.Limits.Bytes)), silence: watchSilence, clock: p.server.set.Clock, log: p.log, record: hosts.record,
+		p.watch = &watch{address: set.Discovery, limits: endpointlist.LimitsFor(int64(p.config.Limits.Bytes)), silence: watchSilence, clock: p.server.set.Clock, log: p.log, record: hosts.record,
 			take: func(told []distribution.Record, whole, first bool) {
 				p.server.Do(func(now int64) { p.complain(hosts.take(now, p.origin, told, whole, first)) })
 			}}
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -91,11 +91,11 @@
 		if err != nil {
 			return stood, err
 		}
-		if line.Passed > 0 {
-			w.passed.Add(int64(line.Passed))
-			w.told.warn(w.log, "entry", "entries of the list passed over", zap.Int("entries", line.Passed), zap.Error(line.First))
+		if line.Skipped > 0 {
+			w.passed.Add(int64(line.Skipped))
+			w.told.warn(w.log, "entry", "entries of the list passed over", zap.Int("entries", line.Skipped), zap.Error(line.FirstErr))
 		}
-		w.take(told, line.Whole, first)
+		w.take(told, line.Complete, first)
 		w.version, stood = line.Version, true
 		w.had.Store(line.Version)
 		w.lines.Add(1)
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -4,7 +4,7 @@
 package rendezvous
 
 // Key is a key's part of the hash.
-func Key(key string) uint64 {
+func HashKey(key string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(key) {
 		h = (h ^ uint64(key[i])) * 1099511628211
@@ -13,22 +13,22 @@
 }
 
 // Of is where a server stands for a key; the higher the earlier.
-func Of(key uint64, server uint32) uint64 {
+func Score(key uint64, server uint32) uint64 {
 	h := (key ^ uint64(server)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>31) * 0x94d049bb133111eb
 	return h ^ h>>29
 }
 
 // Spread is a key for a number, as small ones lie too close together for the hash.
-func Spread(number int) uint64 { return uint64(number+1) * 0x9e3779b97f4a7c15 }
+func NumberKey(number int) uint64 { return uint64(number+1) * 0x9e3779b97f4a7c15 }
 
 // Most is how many First finds at most.
-const Most = 32
+const MaxTop = 32
 
 // First appends to found the n of all that stand highest, the highest first, and leaves out those whose rank is 0.
-func First[T any](found, all []T, n int, rank func(T) uint64) []T {
-	var ranks [Most]uint64
-	if n = min(n, Most); n <= 0 {
+func Top[T any](found, all []T, n int, rank func(T) uint64) []T {
+	var ranks [MaxTop]uint64
+	if n = min(n, MaxTop); n <= 0 {
 		return found
 	}
 	has, from := 0, len(found)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -19,11 +19,11 @@
 type Settings struct {
 	Policy policy.Settings
 
-	Categories, Customers, Zones []string
-	HardLimits                   []int64 // of a task that does not tell its own
-	ConnectWithin                int64
-	IdleClose                    int64
-	StopWithin                   int64 // sends to a draining server have to stop; 0: not told
+	Classes, Tenants, Zones []string
+	Deadlines               []int64 // of a task that does not tell its own
+	ConnectTimeout          int64
+	IdleTimeout             int64
+	DrainGrace              int64 // sends to a draining server have to stop; 0: not told
 }
 
 // FromLine decodes path=value pairs set apart by spaces.
@@ -161,81 +161,81 @@
 	s := &all.Policy
 	for i := range p.count("profiles.count", 1) {
 		at := fmt.Sprintf("profiles.%d.", i)
-		c := policy.Category{
-			SoftLimit:    p.time(at+"objective_us", 1),
-			Earnings:     p.numberOr(at+"worth", 1e-6, 1),
-			LateEarnings: p.numberOr(at+"late_worth", 0, 0),
-			Repeat: choice(p, at+"repeat", map[string]policy.Repeat{
-				"safe": policy.Rerunnable, "keyed": policy.Ticketed, "unsafe": policy.Exclusive}),
+		c := policy.Class{
+			LatencyObjective: p.time(at+"objective_us", 1),
+			PriorityWeight:   p.numberOr(at+"worth", 1e-6, 1),
+			LateFraction:     p.numberOr(at+"late_worth", 0, 0),
+			Idempotency: choice(p, at+"repeat", map[string]policy.Idempotency{
+				"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}),
 		}
-		if c.Repeat == policy.Ticketed {
-			c.Group = choice(p, at+"group", map[string]policy.Group{
-				"all": policy.WholeFleet, "zone": policy.SameZone, "cell": policy.SamePod})
-			c.Memory = p.time(at+"memory_span_us", 0)
+		if c.Idempotency == policy.IdempotentByKey {
+			c.DedupGroup = choice(p, at+"group", map[string]policy.DedupGroup{
+				"all": policy.DedupFleet, "zone": policy.DedupZone, "cell": policy.DedupPod})
+			c.DedupWindow = p.time(at+"memory_span_us", 0)
 			// An attempt is judged here and comes to its server later, with a way and a busy machine between the two.
-			c.Memory -= min(c.Memory/16, 50e6)
+			c.DedupWindow -= min(c.DedupWindow/16, 50e6)
 		}
-		s.Categories = append(s.Categories, c)
-		all.Categories = append(all.Categories, values[at+"name"])
-		all.HardLimits = append(all.HardLimits, p.time(at+"deadline_us", 1))
+		s.Classes = append(s.Classes, c)
+		all.Classes = append(all.Classes, values[at+"name"])
+		all.Deadlines = append(all.Deadlines, p.time(at+"deadline_us", 1))
 	}
 	if p.has("parties.count") {
 		for i := range p.count("parties.count", 0) {
 			at := fmt.Sprintf("parties.%d.", i)
-			s.Portions = append(s.Portions, p.number(at+"portion", 0))
-			all.Customers = append(all.Customers, values[at+"name"])
+			s.TenantShares = append(s.TenantShares, p.number(at+"portion", 0))
+			all.Tenants = append(all.Tenants, values[at+"name"])
 		}
 	}
-	s.OverShare = p.numberOr("over_share_worth", 0, 1)
-	s.WorstCategory = p.numberOr("goal.worst_class", 0, 1)
+	s.OverQuotaFraction = p.numberOr("over_share_worth", 0, 1)
+	s.WorstClassWeight = p.numberOr("goal.worst_class", 0, 1)
 	s.Nines, s.TopNines = p.numberOr("goal.nines_part", 0, 0), p.numberOr("goal.top_nines", 0, 0)
 	if p.has("value_by") {
-		s.EarnsByWork = choice(p, "value_by", map[string]bool{"request": false, "work": true})
+		s.WeightByWork = choice(p, "value_by", map[string]bool{"request": false, "work": true})
 	}
 	s.Zone = int(p.numberOr("zone", 0, 0)) // a deployment may have no zones
-	s.Position = int(p.numberOr("position", 0, 0))
-	s.Nodes = int(p.numberOr("group_size", 1, 1))
-	s.Streams = int(p.numberOr("limits.multiplex", 1, 1))
-	s.Tick = p.time("quantum_us", 0)
-	s.MustAsk = choice(p, "discovery", map[string]bool{"push": false, "ask": true})
-	if s.MustAsk {
-		s.AskWithin = p.time("rules.ask_within_us", 1)
+	s.NodeIndex = int(p.numberOr("position", 0, 0))
+	s.NodeCount = int(p.numberOr("group_size", 1, 1))
+	s.StreamsPerConnection = int(p.numberOr("limits.multiplex", 1, 1))
+	s.ClockResolution = p.time("quantum_us", 0)
+	s.MustPollList = choice(p, "discovery", map[string]bool{"push": false, "ask": true})
+	if s.MustPollList {
+		s.MaxPollInterval = p.time("rules.ask_within_us", 1)
 	}
 	// A weight that says how full a server was a while ago is passed over; what servers report says it better.
-	s.SizeWeights = choice(p, "weights", map[string]bool{"off": false, "nominal": true, "rough": true, "live": false})
+	s.WeightIsSize = choice(p, "weights", map[string]bool{"off": false, "nominal": true, "rough": true, "live": false})
 	if p.values["report.how"] != "off" {
 		for _, field := range strings.Split(p.values["report.fields"], ",") {
 			switch field {
 			case "util":
-				s.Utilised = true
+				s.ReportsUtilization = true
 			case "latency_ms":
-				s.Timed = true
+				s.ReportsServiceTime = true
 			}
 		}
 	}
-	s.GoneMayServe = p.truth("rules.removal_not_binding", false)
-	s.WarmKeys = p.truth("family_info.warm_keys", false)
-	s.MayDuplicate = p.truth("limits.may_duplicate", false)
-	s.MayTell = p.truth("limits.peer_messages", false)
-	s.MayProbe = p.truth("limits.probes", false)
+	s.RemovedMayServe = p.truth("rules.removal_not_binding", false)
+	s.KeyAffinity = p.truth("family_info.warm_keys", false)
+	s.MayHedge = p.truth("limits.may_duplicate", false)
+	s.MayGossip = p.truth("limits.peer_messages", false)
+	s.MayCheckHealth = p.truth("limits.probes", false)
 	if p.has("report.how") {
-		s.ProbesReport = choice(p, "report.how", map[string]bool{"inline": false, "on_probe": true, "off": false})
+		s.HealthChecksReport = choice(p, "report.how", map[string]bool{"inline": false, "on_probe": true, "off": false})
 	}
-	s.MayRecall = p.truth("limits.cancelling", false)
-	s.MayAdvise = p.truth("limits.retry_after", false)
-	if s.MayAdvise {
-		s.MaxAdvice = p.time("limits.max_retry_after_us", 0)
+	s.MayCancel = p.truth("limits.cancelling", false)
+	s.MaySetRetryAfter = p.truth("limits.retry_after", false)
+	if s.MaySetRetryAfter {
+		s.MaxRetryAfter = p.time("limits.max_retry_after_us", 0)
 	}
-	s.MaxHandOffs = int(p.number("limits.try_limit", 1))
-	s.ColdFrom = p.number("rules.cold_from", 0)
-	s.WarmWithin = p.time("rules.warm_within_us", 0)
+	s.MaxAttempts = int(p.number("limits.try_limit", 1))
+	s.SlowStartMinCapacity = p.number("rules.cold_from", 0)
+	s.SlowStartWindow = p.time("rules.warm_within_us", 0)
 	if values["zones"] != "" {
 		all.Zones = strings.Split(values["zones"], ",")
 	}
 	// The bench opens connections itself and may leave these out; a node checks that it has them.
-	all.ConnectWithin = p.timeOr("limits.connect_timeout_us", 0)
-	all.IdleClose = p.timeOr("limits.idle_close_us", 0)
-	all.StopWithin = p.timeOr("rules.stop_sending_within_us", 0)
+	all.ConnectTimeout = p.timeOr("limits.connect_timeout_us", 0)
+	all.IdleTimeout = p.timeOr("limits.idle_close_us", 0)
+	all.DrainGrace = p.timeOr("rules.stop_sending_within_us", 0)
 	return all, p.err
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -34,7 +34,7 @@
 	if !reflect.DeepEqual(fromLine, fromJSON) {
 		t.Errorf("the line gives\n%+v, the object\n%+v", fromLine, fromJSON)
 	}
-	if len(fromJSON.Customers) != 2 || fromJSON.Zones[1] != "b" || fromJSON.HardLimits[1] != 1500000000 || !fromJSON.Policy.Utilised ||
+	if len(fromJSON.Tenants) != 2 || fromJSON.Zones[1] != "b" || fromJSON.Deadlines[1] != 1500000000 || !fromJSON.Policy.ReportsUtilization ||
 		fromJSON.Policy.Nines != 0.3 || fromJSON.Policy.TopNines != 3 {
 		t.Errorf("decoded %+v", fromJSON)
 	}
@@ -58,11 +58,11 @@
 // Guards against a deployment without zones, or one that does not say how soon sends have to stop, being refused.
 func TestSettingsThatADeploymentMayLack(t *testing.T) {
 	got, err := FromJSON([]byte(strings.NewReplacer(`"zone":1,"zones":["a","b"],`, "").Replace(nested)))
-	if err != nil || got.Policy.Zone != 0 || got.Zones != nil || got.StopWithin != 0 {
-		t.Errorf("%v, zone %d of %v, stop within %d", err, got.Policy.Zone, got.Zones, got.StopWithin)
+	if err != nil || got.Policy.Zone != 0 || got.Zones != nil || got.DrainGrace != 0 {
+		t.Errorf("%v, zone %d of %v, stop within %d", err, got.Policy.Zone, got.Zones, got.DrainGrace)
 	}
 	got, err = FromJSON([]byte(strings.Replace(nested, `"rules":{`, `"rules":{"stop_sending_within_us":250000,`, 1)))
-	if err != nil || got.StopWithin != 250e6 {
-		t.Errorf("%v, stop within %d", err, got.StopWithin)
+	if err != nil || got.DrainGrace != 250e6 {
+		t.Errorf("%v, stop within %d", err, got.DrainGrace)
 	}
 }
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -25,19 +25,19 @@
 )
 
 var outcomes = map[string]policy.Outcome{
-	"Ok": policy.Satisfied, "Failed": policy.Error, "QueueFull": policy.Full, "TimedOut": policy.TimedOut,
-	"ConnectError": policy.Unreached, "ResetByPeer": policy.Reset, "Canceled": policy.Recalled,
-	"Ignored": policy.NeverSent,
+	"Ok": policy.OutcomeSucceeded, "Failed": policy.OutcomeError, "QueueFull": policy.OutcomeRejected, "TimedOut": policy.OutcomeTimedOut,
+	"ConnectError": policy.OutcomeConnectFailed, "ResetByPeer": policy.OutcomeReset, "Canceled": policy.OutcomeCanceled,
+	"Ignored": policy.OutcomeNotSent,
 }
 
-var conditions = map[string]policy.State{
-	"active": policy.Active, "leaving": policy.Draining, "left": policy.Gone,
+var conditions = map[string]policy.EndpointState{
+	"active": policy.StateActive, "leaving": policy.StateDraining, "left": policy.StateRemoved,
 }
 
 // instance is one node's module with the host that turns its calls into reply lines.
 type instance struct {
 	number     []byte
-	policy     *policy.Policy
+	policy     *policy.Balancer
 	categories int
 	inbox      gossip.Inbox
 	link       *link
@@ -47,7 +47,7 @@
 	in        *bufio.Reader
 	out       *bufio.Writer
 	instances map[string]*instance
-	lists     [catalogs][]policy.Listed
+	lists     [catalogs][]policy.EndpointInfo
 	given     [catalogs]bool
 	now       int64
 	line      int
@@ -176,7 +176,7 @@
 	if err != nil {
 		return fmt.Errorf("profile_data: %w", err)
 	}
-	i := &instance{number: append([]byte(nil), who...), link: l, categories: len(decoded.Policy.Categories)}
+	i := &instance{number: append([]byte(nil), who...), link: l, categories: len(decoded.Policy.Classes)}
 	l.instances[string(who)] = i
 	i.policy = policy.New(decoded.Policy, seed, i)
 	return nil
@@ -197,9 +197,9 @@
 		if name := e.word("message"); string(name) != "SERVER" {
 			return fmt.Errorf("message: expected SERVER, got %q", name)
 		}
-		s := policy.Listed{
-			Server: policy.ServerID(e.unsigned("server", 32)),
-			Zone:   int(e.unsigned("site", 31)),
+		s := policy.EndpointInfo{
+			ID:   policy.EndpointID(e.unsigned("server", 32)),
+			Zone: int(e.unsigned("site", 31)),
 		}
 		e.unsigned("class_of_host", 31) // nothing is decided on machine kinds
 		s.Pod = int(e.unsigned("cell", 31))
@@ -207,7 +207,7 @@
 		state, known := conditions[string(condition)]
 		s.State = state
 		s.Weight = e.decimal("share")
-		s.Started = e.timeOrNone("born_us")
+		s.StartedAt = e.timeOrNone("born_us")
 		if e.err == nil && !known {
 			e.err = fmt.Errorf("condition: expected active, leaving or left, got %q", condition)
 		}
@@ -237,7 +237,7 @@
 		switch form {
 		case "FAILED":
 			if f.err == nil {
-				i.policy.ListFailed(l.now)
+				i.policy.WatchFailed(l.now)
 			}
 			return f.err
 		case "INCREMENTAL", "FULL", "SAVED":
@@ -249,55 +249,55 @@
 			return fmt.Errorf("sheet: expected a list that was given, got %d", sheet)
 		}
 		if f.err == nil {
-			i.policy.ListLearned(l.now, l.lists[sheet], form != "INCREMENTAL")
+			i.policy.EndpointsUpdated(l.now, l.lists[sheet], form != "INCREMENTAL")
 		}
 	case "REQ":
-		t := policy.Task{
-			ID:        policy.TaskID(f.word("msg_id")),
-			Category:  int(f.unsigned("band", 31)),
-			Customer:  int(f.unsignedOrNone("project", 31)),
-			HardLimit: f.time("client_deadline_us"),
+		t := policy.Request{
+			ID:       policy.RequestID(f.word("msg_id")),
+			Class:    int(f.unsigned("band", 31)),
+			Tenant:   int(f.unsignedOrNone("project", 31)),
+			Deadline: f.time("client_deadline_us"),
 		}
 		marks := f.unsignedOrNone("marks", 63)
-		t.Repeated = marks&2 != 0
+		t.ClientRetry = marks&2 != 0
 		if cost := f.timeOrNone("cost_guess_us"); marks&1 != 0 && cost > 0 {
-			t.Cost = cost
+			t.CostHint = cost
 		}
 		t.Key = f.maybe()
-		if f.err == nil && t.Category >= i.categories {
-			return fmt.Errorf("band: expected a category of the settings, got %d", t.Category)
+		if f.err == nil && t.Class >= i.categories {
+			return fmt.Errorf("band: expected a category of the settings, got %d", t.Class)
 		}
 		if f.err == nil {
-			i.policy.TaskArrived(l.now, t)
+			i.policy.RequestArrived(l.now, t)
 		}
 	case "RESOLVED":
-		a := policy.Answer{
-			Task:    policy.TaskID(f.word("msg_id")),
-			Elapsed: f.time("lag_us"),
-			Server:  policy.ServerID(f.unsigned("server", 32)),
-			Final:   f.truth("over"),
+		a := policy.AttemptResult{
+			Request:     policy.RequestID(f.word("msg_id")),
+			Elapsed:     f.time("lag_us"),
+			Endpoint:    policy.EndpointID(f.unsigned("server", 32)),
+			RequestDone: f.truth("over"),
 		}
 		a.Outcome = outcomes[string(f.word("disposition"))]
-		a.Number = int(f.unsigned("shot", 31))
+		a.Attempt = int(f.unsigned("shot", 31))
 		a.Report = f.report()
 		if f.err == nil {
-			i.policy.HandOffAnswered(l.now, a)
+			i.policy.AttemptEnded(l.now, a)
 		}
 	case "OPENED": // no deployment streams its answers
 	case "WITHDRAWN":
-		if id := policy.TaskID(f.word("msg_id")); f.err == nil {
-			i.policy.TaskWithdrawn(l.now, id)
+		if id := policy.RequestID(f.word("msg_id")); f.err == nil {
+			i.policy.ClientGone(l.now, id)
 		}
 	case "WAKEUP":
 		if cookie := f.unsigned("cookie", 63); f.err == nil {
-			i.policy.Woken(l.now, cookie)
+			i.policy.TimerFired(l.now, cookie)
 		}
 	case "HEALTH_RESULT":
-		server := policy.ServerID(f.unsigned("server", 32))
+		server := policy.EndpointID(f.unsigned("server", 32))
 		outcome := outcomes[string(f.word("disposition"))]
 		f.time("lag_us")
 		if report := f.report(); f.err == nil {
-			i.policy.Probed(l.now, server, outcome, report)
+			i.policy.HealthChecked(l.now, server, outcome, report)
 		}
 	case "PEER":
 		from := int(f.unsigned("neighbour", 31))
@@ -313,7 +313,7 @@
 		if told, err := i.inbox.Open(from, message, l.now); err != nil {
 			l.passedOver++
 		} else {
-			i.policy.Told(l.now, told)
+			i.policy.GossipReceived(l.now, told)
 		}
 	}
 	return f.err
@@ -418,8 +418,8 @@
 }
 
 // report skips names it does not know and values that cannot be a load.
-func (f *fields) report() policy.Report {
-	r := policy.Report{Utilisation: -1, Queue: -1, ServiceTime: -1}
+func (f *fields) report() policy.LoadReport {
+	r := policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}
 	if f.absent() {
 		return r
 	}
@@ -442,9 +442,9 @@
 		}
 		switch string(name) {
 		case "util":
-			r.Utilisation = v
+			r.Utilization = v
 		case "queue":
-			r.Queue = v
+			r.QueueLength = v
 		case "latency_ms":
 			r.ServiceTime = v
 		}
@@ -477,30 +477,30 @@
 // inMicros rounds up, so that a timer never comes early and a wait is never nought.
 func inMicros(ns int64) int64 { return (ns + micro - 1) / micro }
 
-func (i *instance) HandOff(task policy.TaskID, server policy.ServerID, timeOut int64) {
+func (i *instance) Send(task policy.RequestID, server policy.EndpointID, timeOut int64) {
 	i.begin("ISSUE").text(string(task)).int(int64(server)).int(max(1, timeOut/micro)).end()
 }
 
-func (i *instance) Recall(task policy.TaskID, number int) {
+func (i *instance) Cancel(task policy.RequestID, number int) {
 	i.begin("RECALL").text(string(task)).int(int64(number)).end()
 }
 
-func (i *instance) Decline(task policy.TaskID, comeBackIn int64) {
+func (i *instance) Reject(task policy.RequestID, comeBackIn int64) {
 	i.begin("BUSY").text(string(task)).int(inMicros(comeBackIn)).end()
 }
 
-func (i *instance) BreakOff(task policy.TaskID) { i.begin("FINISH_ERROR").text(string(task)).end() }
+func (i *instance) Fail(task policy.RequestID) { i.begin("FINISH_ERROR").text(string(task)).end() }
 
-func (i *instance) WakeAt(at int64, cookie uint64) {
+func (i *instance) SetTimer(at int64, cookie uint64) {
 	i.begin("AFTER").int(inMicros(at)).int(int64(cookie)).end()
 }
 
-func (i *instance) Subscribe() { i.begin("OBSERVE").int(1).end() }
+func (i *instance) WatchEndpoints() { i.begin("OBSERVE").int(1).end() }
 
-func (i *instance) Release(server policy.ServerID) { i.begin("RELEASE").int(int64(server)).end() }
+func (i *instance) CloseIdle(server policy.EndpointID) { i.begin("RELEASE").int(int64(server)).end() }
 
-func (i *instance) Tell(n policy.News) {
+func (i *instance) Gossip(n policy.GossipMessage) {
 	i.begin("ANNOUNCE").text("all").text(base64.StdEncoding.EncodeToString(gossip.Encode(n, i.link.now))).end()
 }
 
-func (i *instance) Probe(server policy.ServerID) { i.begin("TEST").int(int64(server)).end() }
+func (i *instance) CheckHealth(server policy.EndpointID) { i.begin("TEST").int(int64(server)).end() }
--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -101,7 +101,7 @@
 
 // Guards against a peer ending this process, or nonsense passing unseen.
 func TestNewsThatAreNoneAreCounted(t *testing.T) {
-	told := base64.StdEncoding.EncodeToString(gossip.Encode(policy.News{Server: 51530247}, 1000000*micro))
+	told := base64.StdEncoding.EncodeToString(gossip.Encode(policy.GossipMessage{Endpoint: 51530247}, 1000000*micro))
 	in := start + "BEGIN_BATCH 1000001\nPEER 3 1 " + told + "\nPEER 3 1 " + told + "\nPEER 3 2 aGk=\nPEER 3 1 -\nEOB\n"
 	out, complaint, code := serve(in)
 	if !strings.HasSuffix(out, "DONE\n") || complaint != "benchlink: 3 messages passed over\n" || code != 0 {
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -85,13 +85,13 @@
 	var passed atomic.Int64
 	f, err := New(Settings[entry]{Name: "n", Relays: []string{l.Addr().String()}, Scopes: []string{"eu1/cart"}, Silence: 1e9, Clock: relay.NewClock(), Log: zap.NewNop(),
 		Entry: func(e endpointlist.Entry) (entry, error) {
-			if e.Host == "spoilt" {
+			if e.Name == "spoilt" {
 				return entry{}, errors.New("spoilt")
 			}
-			if e.Host == "bad" {
+			if e.Name == "bad" {
 				panic("bad")
 			}
-			return entry{name: e.Host, by: "by relays", state: map[bool]endpointsource.State{true: endpointsource.Gone}[e.Health == "removed"]}, nil
+			return entry{name: e.Name, by: "by relays", state: map[bool]endpointsource.State{true: endpointsource.Gone}[e.State == "removed"]}, nil
 		}, Of: func(e entry) endpointsource.Server[entry] {
 			return endpointsource.Server[entry]{Name: e.name, State: e.state, Value: e}
 		},
@@ -140,7 +140,7 @@
 		if step.health == "" && len(told) == 0 {
 			continue
 		}
-		if err != nil || passed != 0 || len(told) != 1 || told[0].Health != step.health {
+		if err != nil || passed != 0 || len(told) != 1 || told[0].State != step.health {
 			t.Errorf("step %d: %+v, %d, %v; expected %q", i, told, passed, err, step.health)
 		}
 	}
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -59,7 +59,7 @@
 
 // digestEndpoint is a generated endpoint: how fast it is, and what it does wrong at the moment.
 type digestEndpoint struct {
-	listed                  policy.Listed
+	listed                  policy.EndpointInfo
 	speed                   float64
 	inFlight                int
 	failing, silent, full   bool
@@ -70,15 +70,15 @@
 // digestRun drives one instance of the decisions with generated events and hashes all that it does.
 type digestRun struct {
 	settings  policy.Settings
-	instance  *policy.Policy
+	instance  *policy.Balancer
 	random    *rand.Rand
 	now       int64
 	sequence  int64
 	queue     digestQueue
 	endpoints []*digestEndpoint
-	attempts  map[policy.TaskID]int
-	category  map[policy.TaskID]int
-	answered  map[policy.TaskID]bool
+	attempts  map[policy.RequestID]int
+	category  map[policy.RequestID]int
+	answered  map[policy.RequestID]bool
 	recalled  map[string]bool
 	slowdown  float64
 	lists     int
@@ -99,33 +99,33 @@
 	heap.Push(&r.queue, digestEvent{r.now + max(delay, 0), r.sequence, run})
 }
 
-func (r *digestRun) HandOff(task policy.TaskID, server policy.ServerID, timeOut int64) {
+func (r *digestRun) Send(task policy.RequestID, server policy.EndpointID, timeOut int64) {
 	r.note("send", task, server, timeOut)
 	number := r.attempts[task]
 	r.attempts[task]++
 	endpoint := r.endpoints[int(server)-1]
 	endpoint.inFlight++
 	outcome, elapsed := r.outcome(endpoint, r.category[task], timeOut)
-	if r.settings.MayRecall || elapsed < timeOut {
+	if r.settings.MayCancel || elapsed < timeOut {
 		elapsed = min(elapsed, timeOut)
 	}
 	fresh := !endpoint.connected
-	endpoint.connected = outcome != policy.Reset && outcome != policy.Unreached
+	endpoint.connected = outcome != policy.OutcomeReset && outcome != policy.OutcomeConnectFailed
 	if r.recalled[fmt.Sprint(task, number)] {
-		outcome = policy.Recalled
+		outcome = policy.OutcomeCanceled
 	}
 	r.after(elapsed, func() {
 		endpoint.inFlight--
 		if r.recalled[fmt.Sprint(task, number)] {
-			outcome = policy.Recalled
+			outcome = policy.OutcomeCanceled
 		}
-		answer := policy.Answer{Task: task, Number: number, Server: server, Outcome: outcome, Elapsed: elapsed, Fresh: fresh,
-			Final: outcome == policy.Satisfied, Spent: outcome != policy.Satisfied && r.random.IntN(25) == 0,
+		answer := policy.AttemptResult{Request: task, Attempt: number, Endpoint: server, Outcome: outcome, Elapsed: elapsed, NewConnection: fresh,
+			RequestDone: outcome == policy.OutcomeSucceeded, BodyConsumed: outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
 			Report: r.report(endpoint, outcome)}
-		if answer.Final {
+		if answer.RequestDone {
 			r.answered[task] = true
 		}
-		r.instance.HandOffAnswered(r.now, answer)
+		r.instance.AttemptEnded(r.now, answer)
 	})
 }
 
@@ -135,113 +135,113 @@
 	elapsed := int64(work*endpoint.speed*r.slowdown*float64(1+endpoint.inFlight)/2) + millisecond
 	dice := r.random.Float64()
 	switch {
-	case endpoint.listed.State == policy.Gone && dice < 0.8:
-		return policy.Unreached, 2 * millisecond
+	case endpoint.listed.State == policy.StateRemoved && dice < 0.8:
+		return policy.OutcomeConnectFailed, 2 * millisecond
 	case endpoint.silent:
-		return policy.TimedOut, timeOut
+		return policy.OutcomeTimedOut, timeOut
 	case endpoint.full && dice < 0.9:
-		return policy.Full, millisecond
+		return policy.OutcomeRejected, millisecond
 	case endpoint.failing && dice < 0.7, endpoint.failsCategory == category && dice < 0.95:
-		return policy.Error, elapsed / 4
+		return policy.OutcomeError, elapsed / 4
 	case dice < 0.004:
-		return policy.Reset, elapsed / 2
+		return policy.OutcomeReset, elapsed / 2
 	case dice < 0.006:
-		return policy.Unknown, elapsed / 2
+		return policy.OutcomeUnknown, elapsed / 2
 	case dice < 0.008:
-		return policy.NeverSent, 0
+		return policy.OutcomeNotSent, 0
 	case dice < 0.010:
-		return policy.Unreached, 5 * millisecond
+		return policy.OutcomeConnectFailed, 5 * millisecond
 	case elapsed >= timeOut:
-		return policy.TimedOut, timeOut
+		return policy.OutcomeTimedOut, timeOut
 	}
-	return policy.Satisfied, elapsed
+	return policy.OutcomeSucceeded, elapsed
 }
 
-func (r *digestRun) report(endpoint *digestEndpoint, outcome policy.Outcome) policy.Report {
-	none := policy.Report{Utilisation: -1, Queue: -1, ServiceTime: -1}
-	if r.settings.ProbesReport || outcome != policy.Satisfied && outcome != policy.Full || r.random.IntN(4) == 0 {
+func (r *digestRun) report(endpoint *digestEndpoint, outcome policy.Outcome) policy.LoadReport {
+	none := policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}
+	if r.settings.HealthChecksReport || outcome != policy.OutcomeSucceeded && outcome != policy.OutcomeRejected || r.random.IntN(4) == 0 {
 		return none
 	}
-	report := policy.Report{Utilisation: -1, Queue: float64(endpoint.inFlight), ServiceTime: -1}
-	if r.settings.Utilised {
-		report.Utilisation = min(1, float64(1+endpoint.inFlight)*endpoint.speed/8)
+	report := policy.LoadReport{Utilization: -1, QueueLength: float64(endpoint.inFlight), ServiceTime: -1}
+	if r.settings.ReportsUtilization {
+		report.Utilization = min(1, float64(1+endpoint.inFlight)*endpoint.speed/8)
 	}
-	if r.settings.Timed {
+	if r.settings.ReportsServiceTime {
 		report.ServiceTime = 8 * endpoint.speed * r.slowdown
 	}
 	return report
 }
 
-func (r *digestRun) Recall(task policy.TaskID, number int) {
+func (r *digestRun) Cancel(task policy.RequestID, number int) {
 	r.note("cancel", task, number)
 	r.recalled[fmt.Sprint(task, number)] = true
 }
 
-func (r *digestRun) Decline(task policy.TaskID, advice int64) {
+func (r *digestRun) Reject(task policy.RequestID, advice int64) {
 	r.note("reject", task, advice)
 	r.answered[task] = true
 }
 
-func (r *digestRun) BreakOff(task policy.TaskID) {
+func (r *digestRun) Fail(task policy.RequestID) {
 	r.note("fail", task)
 	r.answered[task] = true
 }
 
-func (r *digestRun) WakeAt(at int64, cookie uint64) {
+func (r *digestRun) SetTimer(at int64, cookie uint64) {
 	r.note("timer", at, cookie)
 	instance := r.instance
 	r.after(at-r.now, func() {
 		if instance == nil || instance == r.instance { // timers end with the instance that set them
-			r.instance.Woken(r.now, cookie)
+			r.instance.TimerFired(r.now, cookie)
 		}
 	})
 }
 
-func (r *digestRun) Subscribe() {
+func (r *digestRun) WatchEndpoints() {
 	r.note("watch")
 	r.after(50*millisecond, func() {
 		if r.lists++; r.lists%7 == 3 {
-			r.instance.ListFailed(r.now)
+			r.instance.WatchFailed(r.now)
 			return
 		}
 		r.list(r.lists%2 == 0)
 	})
 }
 
-func (r *digestRun) Release(server policy.ServerID) {
+func (r *digestRun) CloseIdle(server policy.EndpointID) {
 	r.note("close", server)
 	r.endpoints[int(server)-1].connected = false
 }
 
-func (r *digestRun) Probe(server policy.ServerID) {
+func (r *digestRun) CheckHealth(server policy.EndpointID) {
 	r.note("probe", server)
 	endpoint := r.endpoints[int(server)-1]
 	r.after(3*millisecond, func() {
-		outcome := policy.Satisfied
+		outcome := policy.OutcomeSucceeded
 		if endpoint.silent {
-			outcome = policy.TimedOut
+			outcome = policy.OutcomeTimedOut
 		}
-		r.instance.Probed(r.now, server, outcome, policy.Report{Utilisation: 0.5 * endpoint.speed,
-			Queue: float64(endpoint.inFlight), ServiceTime: 8 * endpoint.speed})
+		r.instance.HealthChecked(r.now, server, outcome, policy.LoadReport{Utilization: 0.5 * endpoint.speed,
+			QueueLength: float64(endpoint.inFlight), ServiceTime: 8 * endpoint.speed})
 	})
 }
 
-func (r *digestRun) Tell(news policy.News) {
-	r.note("gossip", uint32(news.Server), news.Category, news.Idle)
+func (r *digestRun) Gossip(news policy.GossipMessage) {
+	r.note("gossip", uint32(news.Endpoint), news.Class, news.IdleTime)
 	for range r.random.IntN(5) { // other nodes saw the same
-		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.Told(r.now, news) })
+		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(r.now, news) })
 	}
 }
 
 // list gives the instance the whole list, without what has left, or every tenth line of it.
 func (r *digestRun) list(whole bool) {
-	var lines []policy.Listed
+	var lines []policy.EndpointInfo
 	for i, endpoint := range r.endpoints {
-		if whole && endpoint.listed.State != policy.Gone || !whole && i%10 == r.lists%10 {
+		if whole && endpoint.listed.State != policy.StateRemoved || !whole && i%10 == r.lists%10 {
 			lines = append(lines, endpoint.listed)
 		}
 	}
-	r.instance.ListLearned(r.now, lines, whole)
+	r.instance.EndpointsUpdated(r.now, lines, whole)
 }
 
 // change gives one endpoint another condition and, where the list tells of it, the instance the changed line.
@@ -250,11 +250,11 @@
 	listed := true
 	switch r.random.IntN(9) {
 	case 0:
-		endpoint.listed.State = policy.Draining
+		endpoint.listed.State = policy.StateDraining
 	case 1:
-		endpoint.listed.State = policy.Gone
+		endpoint.listed.State = policy.StateRemoved
 	case 2, 3:
-		endpoint.listed.State, endpoint.listed.Started = policy.Active, r.now-50*millisecond
+		endpoint.listed.State, endpoint.listed.StartedAt = policy.StateActive, r.now-50*millisecond
 		endpoint.failing, endpoint.silent, endpoint.full, endpoint.connected = false, false, false, false
 	case 4:
 		endpoint.failing, listed = !endpoint.failing, false
@@ -268,29 +268,29 @@
 		endpoint.connected, listed = false, false
 	}
 	if listed && r.random.IntN(5) > 0 {
-		r.instance.ListLearned(r.now, []policy.Listed{endpoint.listed}, false)
+		r.instance.EndpointsUpdated(r.now, []policy.EndpointInfo{endpoint.listed}, false)
 	}
 }
 
 func (r *digestRun) arrive(number int) {
-	id := policy.TaskID(fmt.Sprint("r", number))
-	category := r.random.IntN(len(r.settings.Categories))
-	task := policy.Task{ID: id, Category: category, Customer: r.random.IntN(4),
-		HardLimit: r.now + r.settings.Categories[category].SoftLimit*int64(2+r.random.IntN(3)),
-		Repeated:  r.random.IntN(12) == 0, Flows: r.random.IntN(20) == 0}
+	id := policy.RequestID(fmt.Sprint("r", number))
+	category := r.random.IntN(len(r.settings.Classes))
+	task := policy.Request{ID: id, Class: category, Tenant: r.random.IntN(4),
+		Deadline:    r.now + r.settings.Classes[category].LatencyObjective*int64(2+r.random.IntN(3)),
+		ClientRetry: r.random.IntN(12) == 0, StreamingBody: r.random.IntN(20) == 0}
 	if r.random.IntN(2) == 0 {
-		task.Cost = int64(8+4*category) * millisecond * int64(1+r.random.IntN(3)) / 2
+		task.CostHint = int64(8+4*category) * millisecond * int64(1+r.random.IntN(3)) / 2
 	}
 	if r.random.IntN(4) > 0 {
 		task.Key = fmt.Sprint("key", min(r.random.IntN(40), r.random.IntN(40)))
 	}
 	r.category[id] = category
-	r.instance.TaskArrived(r.now, task)
+	r.instance.RequestArrived(r.now, task)
 	if r.random.IntN(40) == 0 {
 		r.after(r.random.Int64N(60)*millisecond, func() {
 			if !r.answered[id] {
 				r.answered[id] = true
-				r.instance.TaskWithdrawn(r.now, id)
+				r.instance.ClientGone(r.now, id)
 			}
 		})
 	}
@@ -299,7 +299,7 @@
 // replace ends the instance, as at a hot restart, and begins another with what it learned; requests in flight are gone
 // with the old one, and answers that come for them are not known to the new one.
 func (r *digestRun) replace(seed uint64) {
-	learned := r.instance.Learned()
+	learned := r.instance.Estimates()
 	r.instance = policy.New(r.settings, seed, r)
 	r.list(true)
 	r.instance.Inherit(&learned)
@@ -308,7 +308,7 @@
 
 func digestOf(settings policy.Settings, endpoints int, seed uint64) digestRecord {
 	r := &digestRun{settings: settings, random: rand.New(rand.NewPCG(seed, uint64(endpoints))), now: digestStart,
-		attempts: map[policy.TaskID]int{}, category: map[policy.TaskID]int{}, answered: map[policy.TaskID]bool{},
+		attempts: map[policy.RequestID]int{}, category: map[policy.RequestID]int{}, answered: map[policy.RequestID]bool{},
 		recalled: map[string]bool{}, slowdown: 1, hash: fnv.New64a(), actions: map[string]int{}}
 	for i := range endpoints {
 		started := int64(0)
@@ -316,7 +316,7 @@
 			started = digestStart - int64(i%5)*second
 		}
 		r.endpoints = append(r.endpoints, &digestEndpoint{speed: 0.5 + 1.5*r.random.Float64(), failsCategory: -1,
-			listed: policy.Listed{Server: policy.ServerID(i + 1), Zone: i % 3, Pod: i / 4, Weight: 0.5 + r.random.Float64(), Started: started}})
+			listed: policy.EndpointInfo{ID: policy.EndpointID(i + 1), Zone: i % 3, Pod: i / 4, Weight: 0.5 + r.random.Float64(), StartedAt: started}})
 	}
 	r.instance = policy.New(settings, seed, r)
 	r.list(true)
@@ -354,30 +354,30 @@
 
 // digestSettings are the settings of the runs; each turns other rules on.
 func digestSettings() map[string]policy.Settings {
-	categories := []policy.Category{
-		{SoftLimit: 120 * millisecond, Repeat: policy.Rerunnable, Earnings: 5},
-		{SoftLimit: 160 * millisecond, Repeat: policy.Ticketed, Group: policy.SamePod, Memory: 400 * millisecond, Earnings: 8, LateEarnings: 0.5},
-		{SoftLimit: 200 * millisecond, Repeat: policy.Exclusive, Earnings: 3},
+	categories := []policy.Class{
+		{LatencyObjective: 120 * millisecond, Idempotency: policy.Idempotent, PriorityWeight: 5},
+		{LatencyObjective: 160 * millisecond, Idempotency: policy.IdempotentByKey, DedupGroup: policy.DedupPod, DedupWindow: 400 * millisecond, PriorityWeight: 8, LateFraction: 0.5},
+		{LatencyObjective: 200 * millisecond, Idempotency: policy.NonIdempotent, PriorityWeight: 3},
 	}
-	withGroup := func(group policy.Group) []policy.Category {
-		changed := append([]policy.Category(nil), categories...)
-		changed[1].Group = group
+	withGroup := func(group policy.DedupGroup) []policy.Class {
+		changed := append([]policy.Class(nil), categories...)
+		changed[1].DedupGroup = group
 		return changed
 	}
 	return map[string]policy.Settings{
-		"hedging": {Categories: categories, Portions: []float64{0.5, 0.3, 0.2}, OverShare: 0.2, WorstCategory: 0.1, Position: 1, Nodes: 3,
-			Streams: 1, MaxHandOffs: 5, Tick: 5 * millisecond, AskWithin: 10 * second, WarmWithin: 8 * second, WarmKeys: true,
-			MayDuplicate: true, MayRecall: true, MayAdvise: true, MayTell: true, MaxAdvice: 3 * second, ColdFrom: 0.12,
-			Utilised: true, Timed: true},
-		"plain": {Categories: withGroup(policy.SameZone), OverShare: 1, Nodes: 1, Streams: 8, MaxHandOffs: 3, Tick: millisecond,
-			AskWithin: 4 * second, WarmWithin: 20 * second, MustAsk: true, MayRecall: true, ColdFrom: 0.2},
-		"probes": {Categories: withGroup(policy.WholeFleet), Portions: []float64{0.6, 0.4}, OverShare: 0.5, WorstCategory: 0.5, Position: 7, Nodes: 30,
-			Streams: 4, MaxHandOffs: 4, Tick: 2 * millisecond, AskWithin: 6 * second, WarmWithin: 12 * second, GoneMayServe: true,
-			SizeWeights: true, EarnsByWork: true, MayProbe: true, ProbesReport: true, MayTell: true, MayRecall: true, ColdFrom: 0.3,
-			Utilised: true},
-		"no-cancel": {Categories: categories, Portions: []float64{0.7, 0.2, 0.1}, OverShare: 0.1, WorstCategory: 0.3, Position: 299, Nodes: 300,
-			Streams: 1, MaxHandOffs: 2, Tick: millisecond, AskWithin: 5 * second, WarmWithin: 5 * second, MustAsk: true, WarmKeys: true,
-			MayDuplicate: true, MayAdvise: true, MaxAdvice: second / 20, ColdFrom: 0.05},
+		"hedging": {Classes: categories, TenantShares: []float64{0.5, 0.3, 0.2}, OverQuotaFraction: 0.2, WorstClassWeight: 0.1, NodeIndex: 1, NodeCount: 3,
+			StreamsPerConnection: 1, MaxAttempts: 5, ClockResolution: 5 * millisecond, MaxPollInterval: 10 * second, SlowStartWindow: 8 * second, KeyAffinity: true,
+			MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MayGossip: true, MaxRetryAfter: 3 * second, SlowStartMinCapacity: 0.12,
+			ReportsUtilization: true, ReportsServiceTime: true},
+		"plain": {Classes: withGroup(policy.DedupZone), OverQuotaFraction: 1, NodeCount: 1, StreamsPerConnection: 8, MaxAttempts: 3, ClockResolution: millisecond,
+			MaxPollInterval: 4 * second, SlowStartWindow: 20 * second, MustPollList: true, MayCancel: true, SlowStartMinCapacity: 0.2},
+		"probes": {Classes: withGroup(policy.DedupFleet), TenantShares: []float64{0.6, 0.4}, OverQuotaFraction: 0.5, WorstClassWeight: 0.5, NodeIndex: 7, NodeCount: 30,
+			StreamsPerConnection: 4, MaxAttempts: 4, ClockResolution: 2 * millisecond, MaxPollInterval: 6 * second, SlowStartWindow: 12 * second, RemovedMayServe: true,
+			WeightIsSize: true, WeightByWork: true, MayCheckHealth: true, HealthChecksReport: true, MayGossip: true, MayCancel: true, SlowStartMinCapacity: 0.3,
+			ReportsUtilization: true},
+		"no-cancel": {Classes: categories, TenantShares: []float64{0.7, 0.2, 0.1}, OverQuotaFraction: 0.1, WorstClassWeight: 0.3, NodeIndex: 299, NodeCount: 300,
+			StreamsPerConnection: 1, MaxAttempts: 2, ClockResolution: millisecond, MaxPollInterval: 5 * second, SlowStartWindow: 5 * second, MustPollList: true, KeyAffinity: true,
+			MayHedge: true, MaySetRetryAfter: true, MaxRetryAfter: second / 20, SlowStartMinCapacity: 0.05},
 	}
 }
 
--- a/policy/draw_test.go
+++ b/policy/draw_test.go
@@ -8,13 +8,13 @@
 	"fawnglade/internal/ewma"
 )
 
-func anyTask(p *Policy, now int64) *task {
-	return &task{Task: Task{HardLimit: now + 900*ms, Cost: 5e6}, category: &p.set.Categories[0], limit: now + 900*ms, soft: now + 900*ms,
-		kinds: p.lags.Kinds(0, 0)}
+func anyTask(p *Balancer, now int64) *task {
+	return &task{Request: Request{Deadline: now + 900*ms, CostHint: 5e6}, category: &p.set.Classes[0], limit: now + 900*ms, soft: now + 900*ms,
+		kinds: p.lags.Of(0, 0)}
 }
 
 // taking returns who takes part in a draw, with w.
-func taking(p *Policy, now int64) map[*server]float64 {
+func taking(p *Balancer, now int64) map[*server]float64 {
 	out := map[*server]float64{}
 	if p.draw(now, anyTask(p, now)) != nil {
 		for i, s := range p.drawn {
@@ -33,22 +33,22 @@
 	}{
 		"as reported":           {func(s *server) { s.Load = 4 }, 4},
 		"idle":                  {func(s *server) { s.Load = 0 }, 1. / 20}, // a twentieth of the mean, which is 1
-		"never heard":           {func(s *server) { s.Load, s.Heard = 0, false }, 2},
+		"never heard":           {func(s *server) { s.Load, s.HasReport = 0, false }, 2},
 		"rising for two":        {func(s *server) { s.Load, s.risingFrom = 1, now-2*recalculate }, 1.5},
 		"above while rising":    {func(s *server) { s.Load, s.risingFrom = 6, now-2*recalculate }, 6},
-		"twice as slow":         {func(s *server) { s.Load, s.Own.A, s.Own.N = 1, 3, 1 }, 4},
-		"in a pod twice slower": {func(s *server) { s.Load, s.pod = 1, &ewma.Pair{A: 3, N: 1} }, 4},
+		"twice as slow":         {func(s *server) { s.Load, s.Latency.A, s.Latency.Weight = 1, 3, 1 }, 4},
+		"in a pod twice slower": {func(s *server) { s.Load, s.pod = 1, &ewma.Pair{A: 3, Weight: 1} }, 4},
 		"of twice the size":     {func(s *server) { s.Load, s.Weight = 4, 2 }, 2},
 		"with two out":          {func(s *server) { s.Load, s.out = 2, 2 }, 18},
 		"in another zone":       {func(s *server) { s.Load, s.Zone = 2, 1 }, 12},
-		"cold, and has earned":  {func(s *server) { s.Load, s.Started, s.credit = 4, now-1e9, 1 }, 4. / 400},
+		"cold, and has earned":  {func(s *server) { s.Load, s.StartedAt, s.credit = 4, now-1e9, 1 }, 4. / 400},
 	} {
 		set := benchSettings
-		set.SizeWeights = true
+		set.WeightIsSize = true
 		p := New(set, 1, &quiet{})
-		p.ListLearned(now, listOf(2), true)
+		p.EndpointsUpdated(now, listOf(2), true)
 		for _, s := range p.servers {
-			s.Zone, s.Load, s.Heard, s.risingFrom = 0, 2, true, 1
+			s.Zone, s.Load, s.HasReport, s.risingFrom = 0, 2, true, 1
 		}
 		c.change(p.servers[0])
 		if got := taking(p, now)[p.servers[0]]; math.Abs(got/c.want-1) > 1e-9 {
@@ -59,7 +59,7 @@
 
 // worked compares how often each is drawn with 1/w over the sum, by chi-square: for k kinds
 // of outcome it lies about k-1, and under that plus five of its own deviations all but once in a million.
-func worked(t *testing.T, name string, p *Policy, now int64, draws int) {
+func worked(t *testing.T, name string, p *Balancer, now int64, draws int) {
 	t.Helper()
 	task := anyTask(p, now)
 	want, sum := taking(p, now), 0.0
@@ -96,9 +96,9 @@
 		draw := rand.New(rand.NewPCG(uint64(n), 9))
 		p := New(benchSettings, 3, &quiet{})
 		now := int64(1e12)
-		p.ListLearned(now, listOf(n), true)
+		p.EndpointsUpdated(now, listOf(n), true)
 		for _, s := range p.servers {
-			s.Load, s.Reported, s.Heard, s.risingFrom = math.Pow(10, 5*draw.Float64()-3), 1, true, 1
+			s.Load, s.LastReport, s.HasReport, s.risingFrom = math.Pow(10, 5*draw.Float64()-3), 1, true, 1
 			s.out = draw.IntN(3)
 		}
 		worked(t, "w over five orders", p, now, 40000)
@@ -123,10 +123,10 @@
 func TestDrawInALargeFleetFollowsOneOverW(t *testing.T) {
 	p := New(benchSettings, 3, &quiet{})
 	now := int64(1e12)
-	p.ListLearned(now, listOf(4096), true)
+	p.EndpointsUpdated(now, listOf(4096), true)
 	draw := rand.New(rand.NewPCG(1, 9))
 	for _, s := range p.servers {
-		s.Zone, s.Load, s.Heard, s.risingFrom = 0, float64(int(1)<<draw.IntN(3)), true, 1
+		s.Zone, s.Load, s.HasReport, s.risingFrom = 0, float64(int(1)<<draw.IntN(3)), true, 1
 	}
 	task, got, have := anyTask(p, now), map[float64]float64{}, map[float64]float64{}
 	for _, s := range p.servers {
