--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -9,14 +9,14 @@
 
 // sentOut is one hand-off as the plain model sees it.
 type sentOut struct {
-	server  ServerID
+	server  EndpointID
 	at      int64
 	open    bool
 	neverOK bool // provably never ran
 }
 
 type modelTask struct {
-	task     Task
+	task     Request
 	handOffs []sentOut
 	over     bool
 	finals   int
@@ -26,51 +26,51 @@
 // the module against the four rules.
 type world struct {
 	*rand.Rand
-	p       *Policy
+	p       *Balancer
 	set     Settings
 	now     int64
-	tasks   map[TaskID]*modelTask
-	ids     []TaskID
-	list    map[ServerID]Listed
-	drained map[ServerID]bool // listed as draining since it was last listed as active
+	tasks   map[RequestID]*modelTask
+	ids     []RequestID
+	list    map[EndpointID]EndpointInfo
+	drained map[EndpointID]bool // listed as draining since it was last listed as active
 	broken  []string
 	cookies []uint64
-	told    []News
-	coldFor map[ServerID]float64 // hand-offs given to a server since it started cold
-	part    map[ServerID]float64 // and its even part of all hand-offs, times what it surely can do
+	told    []GossipMessage
+	coldFor map[EndpointID]float64 // hand-offs given to a server since it started cold
+	part    map[EndpointID]float64 // and its even part of all hand-offs, times what it surely can do
 }
 
 func (w *world) fail(format string, a ...any) { w.broken = append(w.broken, fmt.Sprintf(format, a...)) }
 
-func (w *world) HandOff(id TaskID, server ServerID, timeOut int64) {
-	t, c := w.tasks[id], &w.set.Categories[0]
+func (w *world) Send(id RequestID, server EndpointID, timeOut int64) {
+	t, c := w.tasks[id], &w.set.Classes[0]
 	if t == nil || t.over {
 		w.fail("rule 1: hand-off of a task that is over")
 		return
 	}
-	c = &w.set.Categories[t.task.Category]
-	if timeOut <= 0 || w.now+timeOut > t.task.HardLimit {
+	c = &w.set.Classes[t.task.Class]
+	if timeOut <= 0 || w.now+timeOut > t.task.Deadline {
 		w.fail("rule 1: time-out %d leaves the hard limit", timeOut)
 	}
 	to, known := w.list[server]
-	if !known || to.State == Draining || to.State == Gone && (!w.set.GoneMayServe || w.drained[server]) {
+	if !known || to.State == StateDraining || to.State == StateRemoved && (!w.set.RemovedMayServe || w.drained[server]) {
 		w.fail("rule 3: hand-off to a server that drains, is gone or was never listed")
 	}
-	if len(t.handOffs) >= w.set.MaxHandOffs {
+	if len(t.handOffs) >= w.set.MaxAttempts {
 		w.fail("more hand-offs than allowed")
 	}
 	for _, h := range t.handOffs {
-		if h.open && !w.set.MayDuplicate {
+		if h.open && !w.set.MayHedge {
 			w.fail("rule 2: second copy")
 		}
-		if h.neverOK || c.Repeat == Rerunnable {
+		if h.neverOK || c.Idempotency == Idempotent {
 			continue
 		}
 		from := w.list[h.server]
-		inGroup := c.Group == WholeFleet || c.Group == SameZone && from.Zone == to.Zone ||
-			c.Group == SamePod && from.Pod == to.Pod
-		if c.Repeat == Exclusive || !inGroup || w.now-h.at >= c.Memory {
-			w.fail("rule 2: %d may run twice", c.Repeat)
+		inGroup := c.DedupGroup == DedupFleet || c.DedupGroup == DedupZone && from.Zone == to.Zone ||
+			c.DedupGroup == DedupPod && from.Pod == to.Pod
+		if c.Idempotency == NonIdempotent || !inGroup || w.now-h.at >= c.DedupWindow {
+			w.fail("rule 2: %d may run twice", c.Idempotency)
 		}
 	}
 	if w.surely(to) < 1 {
@@ -79,13 +79,13 @@
 	t.handOffs = append(t.handOffs, sentOut{server: server, at: w.now, open: true})
 }
 
-func (w *world) Recall(id TaskID, number int) {
-	if t := w.tasks[id]; !w.set.MayRecall || t == nil || number >= len(t.handOffs) {
+func (w *world) Cancel(id RequestID, number int) {
+	if t := w.tasks[id]; !w.set.MayCancel || t == nil || number >= len(t.handOffs) {
 		w.fail("recall of a hand-off that was never made, or not allowed")
 	}
 }
 
-func (w *world) final(id TaskID) *modelTask {
+func (w *world) final(id RequestID) *modelTask {
 	t := w.tasks[id]
 	if t == nil || t.over {
 		w.fail("rule 1: second final answer")
@@ -96,79 +96,79 @@
 	return t
 }
 
-func (w *world) Decline(id TaskID, comeBackIn int64) {
+func (w *world) Reject(id RequestID, comeBackIn int64) {
 	t := w.final(id)
 	if t == nil {
 		return
 	}
-	c := w.set.Categories[t.task.Category]
+	c := w.set.Classes[t.task.Class]
 	for _, h := range t.handOffs {
-		if !h.neverOK && c.Repeat != Rerunnable && (c.Repeat == Exclusive || c.Group != WholeFleet || w.now-h.at >= c.Memory) {
-			w.fail("rule 2: declined though it may have run, after %d of a memory of %d", w.now-h.at, c.Memory)
+		if !h.neverOK && c.Idempotency != Idempotent && (c.Idempotency == NonIdempotent || c.DedupGroup != DedupFleet || w.now-h.at >= c.DedupWindow) {
+			w.fail("rule 2: declined though it may have run, after %d of a memory of %d", w.now-h.at, c.DedupWindow)
 		}
 	}
-	if comeBackIn < 0 || comeBackIn > w.set.MaxAdvice {
+	if comeBackIn < 0 || comeBackIn > w.set.MaxRetryAfter {
 		w.fail("advice %d out of bounds", comeBackIn)
 	}
 }
 
-func (w *world) BreakOff(id TaskID) { w.final(id) }
+func (w *world) Fail(id RequestID) { w.final(id) }
 
-func (w *world) WakeAt(at int64, cookie uint64) {
+func (w *world) SetTimer(at int64, cookie uint64) {
 	if at < w.now {
 		w.fail("timer in the past")
 	}
 	w.cookies = append(w.cookies, cookie)
 }
 
-func (w *world) Subscribe() {}
+func (w *world) WatchEndpoints() {}
 
-func (w *world) Tell(news News) {
-	if !w.set.MayTell || news.Idle == 0 && w.list[news.Server].Server != news.Server {
-		w.fail("news %+v, allowed: %v", news, w.set.MayTell)
+func (w *world) Gossip(news GossipMessage) {
+	if !w.set.MayGossip || news.IdleTime == 0 && w.list[news.Endpoint].ID != news.Endpoint {
+		w.fail("news %+v, allowed: %v", news, w.set.MayGossip)
 	}
 	w.told = append(w.told, news)
 }
 
-func (w *world) Probe(server ServerID) {
-	if l, known := w.list[server]; !w.set.MayProbe || !known || l.State == Draining || l.State == Gone && (!w.set.GoneMayServe || w.drained[server]) {
+func (w *world) CheckHealth(server EndpointID) {
+	if l, known := w.list[server]; !w.set.MayCheckHealth || !known || l.State == StateDraining || l.State == StateRemoved && (!w.set.RemovedMayServe || w.drained[server]) {
 		w.fail("a probe that is not allowed")
 	}
 }
 
-func (w *world) Release(server ServerID) {
+func (w *world) CloseIdle(server EndpointID) {
 	if _, known := w.list[server]; !known {
 		w.fail("release of a server that was never listed")
 	}
 }
 
 func newWorld(seed int64) *world {
-	w := &world{Rand: rand.New(rand.NewSource(seed)), tasks: map[TaskID]*modelTask{},
-		list: map[ServerID]Listed{}, drained: map[ServerID]bool{}, coldFor: map[ServerID]float64{}, part: map[ServerID]float64{}, now: 5e12}
-	w.set = Settings{MaxHandOffs: 1 + w.Intn(5), MayDuplicate: w.Intn(2) == 0, MayRecall: w.Intn(2) == 0,
-		MayAdvise: true, MaxAdvice: 1e9, MustAsk: w.Intn(2) == 0, AskWithin: 1e10, ColdFrom: 0.1, WarmWithin: 2e10,
-		Utilised: w.Intn(2) == 0, Position: w.Intn(9), Nodes: 1 + w.Intn(60), Streams: 1 + w.Intn(2),
-		MayTell: w.Intn(2) == 0, GoneMayServe: w.Intn(2) == 0, WarmKeys: w.Intn(2) == 0, MayProbe: w.Intn(2) == 0, ProbesReport: w.Intn(2) == 0}
-	for _, repeat := range []Repeat{Rerunnable, Ticketed, Exclusive, Ticketed} {
-		w.set.Categories = append(w.set.Categories, Category{SoftLimit: 2e8 + w.Int63n(1e9), Repeat: repeat, Group: Group(w.Intn(3)), Memory: 1e8 + w.Int63n(2e9), LateEarnings: float64(w.Intn(2))})
+	w := &world{Rand: rand.New(rand.NewSource(seed)), tasks: map[RequestID]*modelTask{},
+		list: map[EndpointID]EndpointInfo{}, drained: map[EndpointID]bool{}, coldFor: map[EndpointID]float64{}, part: map[EndpointID]float64{}, now: 5e12}
+	w.set = Settings{MaxAttempts: 1 + w.Intn(5), MayHedge: w.Intn(2) == 0, MayCancel: w.Intn(2) == 0,
+		MaySetRetryAfter: true, MaxRetryAfter: 1e9, MustPollList: w.Intn(2) == 0, MaxPollInterval: 1e10, SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10,
+		ReportsUtilization: w.Intn(2) == 0, NodeIndex: w.Intn(9), NodeCount: 1 + w.Intn(60), StreamsPerConnection: 1 + w.Intn(2),
+		MayGossip: w.Intn(2) == 0, RemovedMayServe: w.Intn(2) == 0, KeyAffinity: w.Intn(2) == 0, MayCheckHealth: w.Intn(2) == 0, HealthChecksReport: w.Intn(2) == 0}
+	for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent, IdempotentByKey} {
+		w.set.Classes = append(w.set.Classes, Class{LatencyObjective: 2e8 + w.Int63n(1e9), Idempotency: repeat, DedupGroup: DedupGroup(w.Intn(3)), DedupWindow: 1e8 + w.Int63n(2e9), LateFraction: float64(w.Intn(2))})
 	}
 	w.p = New(w.set, uint64(seed), w)
 	w.relist(true)
 	return w
 }
 
-func (w *world) surely(l Listed) float64 {
-	if age := w.now - l.Started; l.Started > 0 && age < w.set.WarmWithin {
-		return 0.1 + 0.9*float64(age)/float64(w.set.WarmWithin)
+func (w *world) surely(l EndpointInfo) float64 {
+	if age := w.now - l.StartedAt; l.StartedAt > 0 && age < w.set.SlowStartWindow {
+		return 0.1 + 0.9*float64(age)/float64(w.set.SlowStartWindow)
 	}
 	return 1
 }
 
 // carried adds to each cold server's part what a warm fellow satisfied, or an arrival where none is warm.
-func (w *world) carried(by ServerID) {
+func (w *world) carried(by EndpointID) {
 	active, warm := 0.0, 0.0
 	for _, l := range w.list {
-		if l.State == Active {
+		if l.State == StateActive {
 			active++
 			if w.surely(l) == 1 {
 				warm++
@@ -190,48 +190,48 @@
 
 // relist changes the fleet and tells the module: drains, leavers, restarts and newcomers.
 func (w *world) relist(whole bool) {
-	var told []Listed
-	for id := ServerID(1); id <= 8; id++ {
+	var told []EndpointInfo
+	for id := EndpointID(1); id <= 8; id++ {
 		l, known := w.list[id]
 		switch {
 		case !known:
-			l = Listed{Server: id, Zone: int(id) % 2, Pod: int(id) % 3, Weight: 1}
+			l = EndpointInfo{ID: id, Zone: int(id) % 2, Pod: int(id) % 3, Weight: 1}
 		case w.Intn(6) == 0:
-			l.State = State(w.Intn(3))
+			l.State = EndpointState(w.Intn(3))
 		case w.Intn(12) == 0:
-			l.State, l.Started = Active, w.now-1
+			l.State, l.StartedAt = StateActive, w.now-1
 			w.coldFor[id], w.part[id] = 0, 0
 		default:
 			if !whole {
 				continue
 			}
 		}
-		if whole && l.State == Gone || whole && known && w.Intn(10) == 0 {
-			l.State = Gone // missing from a whole list
+		if whole && l.State == StateRemoved || whole && known && w.Intn(10) == 0 {
+			l.State = StateRemoved // missing from a whole list
 			w.list[id] = l
 			continue
 		}
-		w.list[id], w.drained[id] = l, l.State == Draining || l.State == Gone && w.drained[id]
+		w.list[id], w.drained[id] = l, l.State == StateDraining || l.State == StateRemoved && w.drained[id]
 		told = append(told, l)
 	}
-	w.p.ListLearned(w.now, told, whole)
+	w.p.EndpointsUpdated(w.now, told, whole)
 }
 
 func (w *world) answer(t *modelTask, number int, outcome Outcome) {
 	h := &t.handOffs[number]
 	h.open = false
-	h.neverOK = outcome == Full || outcome == Unreached || outcome == NeverSent
-	a := Answer{Task: t.task.ID, Number: number, Server: h.server, Outcome: outcome, Elapsed: w.now - h.at,
-		Report: Report{Utilisation: w.Float64(), Queue: float64(w.Intn(3)), ServiceTime: -1}}
-	if outcome == Satisfied && !t.over {
+	h.neverOK = outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent
+	a := AttemptResult{Request: t.task.ID, Attempt: number, Endpoint: h.server, Outcome: outcome, Elapsed: w.now - h.at,
+		Report: LoadReport{Utilization: w.Float64(), QueueLength: float64(w.Intn(3)), ServiceTime: -1}}
+	if outcome == OutcomeSucceeded && !t.over {
 		t.over = true
 		t.finals++
 	}
-	a.Final = t.over
-	if outcome == Satisfied {
+	a.RequestDone = t.over
+	if outcome == OutcomeSucceeded {
 		w.carried(h.server)
 	}
-	w.p.HandOffAnswered(w.now, a)
+	w.p.AttemptEnded(w.now, a)
 	w.owed(t)
 }
 
@@ -252,21 +252,21 @@
 	w.now += w.Int63n(2e7)
 	switch w.Intn(10) {
 	case 0, 1, 2, 3:
-		t := &modelTask{task: Task{ID: TaskID(fmt.Sprint(len(w.ids))), Category: w.Intn(4),
-			HardLimit: w.now + 1e8 + w.Int63n(2e9)}}
+		t := &modelTask{task: Request{ID: RequestID(fmt.Sprint(len(w.ids))), Class: w.Intn(4),
+			Deadline: w.now + 1e8 + w.Int63n(2e9)}}
 		w.tasks[t.task.ID] = t
 		w.ids = append(w.ids, t.task.ID)
 		w.carried(0)
-		w.p.TaskArrived(w.now, t.task)
+		w.p.RequestArrived(w.now, t.task)
 		w.owed(t)
 	case 4:
 		// What others tell, whatever it is and however often, must never break a rule.
-		news := News{Server: ServerID(w.Intn(10)), Category: w.Intn(8) - 2, Idle: w.Int63n(3)*w.Int63n(1e10) - 1e9}
+		news := GossipMessage{Endpoint: EndpointID(w.Intn(10)), Class: w.Intn(8) - 2, IdleTime: w.Int63n(3)*w.Int63n(1e10) - 1e9}
 		if len(w.told) > 0 && w.Intn(2) == 0 {
 			news = w.told[w.Intn(len(w.told))]
 		}
-		w.p.Told(w.now, news)
-		w.p.Probed(w.now, ServerID(w.Intn(10)), Outcome(w.Intn(9)), Report{w.Float64(), float64(w.Intn(3)), -1})
+		w.p.GossipReceived(w.now, news)
+		w.p.HealthChecked(w.now, EndpointID(w.Intn(10)), Outcome(w.Intn(9)), LoadReport{w.Float64(), float64(w.Intn(3)), -1})
 		if w.Intn(4) == 0 {
 			w.relist(w.Intn(3) == 0)
 		}
@@ -274,7 +274,7 @@
 		if len(w.ids) > 0 {
 			if t := w.tasks[w.ids[w.Intn(len(w.ids))]]; !t.over && w.Intn(3) == 0 {
 				t.over = true
-				w.p.TaskWithdrawn(w.now, t.task.ID)
+				w.p.ClientGone(w.now, t.task.ID)
 			}
 		}
 	case 6:
@@ -282,7 +282,7 @@
 			at := w.Intn(len(w.cookies))
 			cookie := w.cookies[at]
 			w.cookies = append(w.cookies[:at], w.cookies[at+1:]...)
-			w.p.Woken(w.now, cookie)
+			w.p.TimerFired(w.now, cookie)
 		}
 	default:
 		for range 3 {
@@ -292,9 +292,9 @@
 			t := w.tasks[w.ids[max(0, len(w.ids)-1-w.Intn(30))]]
 			for n := range t.handOffs {
 				if t.handOffs[n].open {
-					w.answer(t, n, Outcome(w.Intn(int(NeverSent)+1)))
+					w.answer(t, n, Outcome(w.Intn(int(OutcomeNotSent)+1)))
 					if w.Intn(8) == 0 { // the same news twice must change nothing
-						w.p.HandOffAnswered(w.now, Answer{Task: t.task.ID, Number: n, Server: t.handOffs[n].server})
+						w.p.AttemptEnded(w.now, AttemptResult{Request: t.task.ID, Attempt: n, Endpoint: t.handOffs[n].server})
 					}
 					break
 				}
@@ -302,7 +302,7 @@
 		}
 	}
 	for id, given := range w.coldFor {
-		if given > w.part[id]+3 && !w.set.GoneMayServe { // else who is warm can not be told from the list
+		if given > w.part[id]+3 && !w.set.RemovedMayServe { // else who is warm can not be told from the list
 			w.fail("rule 4: cold server %d was given %g, its part is %g", id, given, w.part[id])
 		}
 	}
@@ -318,7 +318,7 @@
 		for _, id := range w.ids {
 			for n := 0; n < len(w.tasks[id].handOffs); n++ {
 				if w.tasks[id].handOffs[n].open {
-					w.answer(w.tasks[id], n, TimedOut)
+					w.answer(w.tasks[id], n, OutcomeTimedOut)
 				}
 			}
 			if !w.tasks[id].over || w.tasks[id].finals > 1 {
--- a/policy/move_test.go
+++ b/policy/move_test.go
@@ -3,11 +3,11 @@
 import "testing"
 
 // subset returns whom a node draws from.
-func subset(p *Policy) map[ServerID]bool {
-	near := map[ServerID]bool{}
+func subset(p *Balancer) map[EndpointID]bool {
+	near := map[EndpointID]bool{}
 	for _, s := range p.servers {
 		if s.near {
-			near[s.Server] = true
+			near[s.ID] = true
 		}
 	}
 	return near
@@ -17,12 +17,12 @@
 // of the hand-offs got none.
 func TestHundredsOfNodesSpreadOverTheServers(t *testing.T) {
 	const nodes, servers = 400, 50
-	sharing, moved := map[ServerID]int{}, 0
+	sharing, moved := map[EndpointID]int{}, 0
 	for at := range nodes {
 		set := benchSettings
-		set.Position, set.Nodes = at, nodes
+		set.NodeIndex, set.NodeCount = at, nodes
 		p := New(set, 1, &quiet{})
-		p.ListLearned(1e12, listOf(servers), true)
+		p.EndpointsUpdated(1e12, listOf(servers), true)
 		before := subset(p)
 		if len(before) != least {
 			t.Fatalf("node %d draws from %d servers, want %d", at, len(before), least)
@@ -31,8 +31,8 @@
 			sharing[id]++
 		}
 		gone := listOf(servers)[7]
-		gone.State = Gone
-		p.ListLearned(1e12, []Listed{gone}, false)
+		gone.State = StateRemoved
+		p.EndpointsUpdated(1e12, []EndpointInfo{gone}, false)
 		for id := range subset(p) {
 			if !before[id] {
 				moved++
@@ -50,22 +50,24 @@
 }
 
 func TestAFewNodesDrawFromAll(t *testing.T) {
-	b := fleet(t, 19, func(s *Settings) { s.Position, s.Nodes = 2, 4 })
-	if n := len(subset(b.Policy)); n != 19 {
+	b := fleet(t, 19, func(s *Settings) { s.NodeIndex, s.NodeCount = 2, 4 })
+	if n := len(subset(b.Balancer)); n != 19 {
 		t.Errorf("one of four nodes draws from %d of 19 servers", n)
 	}
 }
 
-func many(s *Settings) { s.Position, s.Nodes, s.Streams, s.MayTell = 3, 300, 100, true }
+func many(s *Settings) {
+	s.NodeIndex, s.NodeCount, s.StreamsPerConnection, s.MayGossip = 3, 300, 100, true
+}
 
 func TestSubsetWidensPastUnfitServersAndWithTraffic(t *testing.T) {
 	b := fleet(t, 40, many)
-	before := subset(b.Policy)
+	before := subset(b.Balancer)
 	for id := range before {
 		b.byID[id].standing[0].unfit = true
 	}
-	if b.tick(); len(subset(b.Policy)) != least+least/2+1 {
-		t.Errorf("with %d servers unfit a node draws from %d", least, len(subset(b.Policy)))
+	if b.tick(); len(subset(b.Balancer)) != least+least/2+1 {
+		t.Errorf("with %d servers unfit a node draws from %d", least, len(subset(b.Balancer)))
 	}
 	for id := range before {
 		b.byID[id].standing[0].unfit = false
@@ -74,7 +76,7 @@
 	for range 60 { // within a second
 		b.arrive(0)
 	}
-	if n := len(subset(b.Policy)); n < 8 {
+	if n := len(subset(b.Balancer)); n < 8 {
 		t.Errorf("asked for 60 tasks in a moment a node draws from %d servers", n)
 	}
 }
@@ -87,31 +89,31 @@
 	b.arrive(2)
 	woken, silent := b.recorder.cookies[len(b.recorder.cookies)-1], b.servers[0]
 	b.now += 100 * ms
-	if b.Woken(b.now, woken); silent.standing[2].unfit {
+	if b.TimerFired(b.now, woken); silent.standing[2].unfit {
 		t.Error("struck though nothing else was answered since")
 	}
 	b.serve(1, prompt)
-	if b.Woken(b.now, woken); !silent.standing[2].unfit || silent.standing[0].failing > 0.01 {
+	if b.TimerFired(b.now, woken); !silent.standing[2].unfit || silent.standing[0].failing > 0.01 {
 		t.Errorf("standing by category: %+v", silent.standing)
 	}
 }
 
 // Guards against a rerunnable task waiting for a silent server to its end where no second copy is allowed.
 func TestOverdueTaskIsRecalledWhereNoCopiesAre(t *testing.T) {
-	b := fleet(t, 3, func(s *Settings) { s.MayDuplicate = false })
+	b := fleet(t, 3, func(s *Settings) { s.MayHedge = false })
 	b.serve(60, prompt)
 	b.tick()
 	id := b.arrive(0)
 	first := b.last()
 	b.now += 200 * ms
-	b.Woken(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
+	b.TimerFired(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
 	if b.recalled != 1 {
 		t.Fatalf("%d recalled", b.recalled)
 	}
-	if b.end(id, 0, Recalled, 200*ms); b.last() == first || b.Policy.tasks[id].open != 1 {
+	if b.end(id, 0, OutcomeCanceled, 200*ms); b.last() == first || b.Balancer.tasks[id].open != 1 {
 		t.Error("the recalled task did not go to another server")
 	}
-	exclusive := b.Policy.tasks[b.arrive(2)]
+	exclusive := b.Balancer.tasks[b.arrive(2)]
 	b.now += 200 * ms
 	b.overdue(b.now, exclusive, 0)
 	if b.recalled != 1 {
@@ -122,44 +124,44 @@
 // Guards against heavy tasks being begun again and again: a server that has answered others meanwhile is at work.
 func TestAHeavyTaskIsLeftWhereItIs(t *testing.T) {
 	for _, answers := range []bool{false, true} {
-		b := fleet(t, 1, func(s *Settings) { s.MayDuplicate = false })
+		b := fleet(t, 1, func(s *Settings) { s.MayHedge = false })
 		b.serve(40, prompt)
 		id := b.arrive(0)
 		cookie := b.recorder.cookies[len(b.recorder.cookies)-1]
 		if answers {
 			other := b.arrive(0)
 			b.now += 50 * ms
-			b.end(other, 0, Satisfied, 50*ms)
+			b.end(other, 0, OutcomeSucceeded, 50*ms)
 		}
 		b.now += 300 * ms
 		b.recalled = 0
-		if b.Woken(b.now, cookie); b.recalled > 0 == answers {
+		if b.TimerFired(b.now, cookie); b.recalled > 0 == answers {
 			t.Errorf("its server answers others: %t; recalled %d times", answers, b.recalled)
 		}
-		b.TaskWithdrawn(b.now, id)
+		b.ClientGone(b.now, id)
 	}
 }
 
 // Guards against connections that something between drops unseen: what is sent on one is lost, and the server blamed.
 func TestConnectionsThatDieIdleAreClosedBeforeUse(t *testing.T) {
-	b := fleet(t, 4, func(s *Settings) { s.Streams = 100 })
+	b := fleet(t, 4, func(s *Settings) { s.StreamsPerConnection = 100 })
 	b.serve(40, prompt)
-	for n := 0; n < 20 && b.idle.For > 1e12; n++ {
+	for n := 0; n < 20 && b.idle.Limit > 1e12; n++ {
 		b.now += 2e9
 		id := b.arrive(0)
 		s := b.byID[b.last()]
 		b.now += ms
-		if b.Policy.tasks[id].handOffs[0].gap == 0 { // its connection is new
-			b.end(id, 0, Satisfied, ms)
+		if b.Balancer.tasks[id].handOffs[0].gap == 0 { // its connection is new
+			b.end(id, 0, OutcomeSucceeded, ms)
 			continue
 		}
-		if b.end(id, 0, Reset, ms); s.standing[0].failing > 0.01 {
+		if b.end(id, 0, OutcomeReset, ms); s.standing[0].failing > 0.01 {
 			t.Errorf("a reset after idleness counts against the server: %+v", s.standing[0])
 		}
-		b.end(id, 1, Satisfied, 40*ms)
+		b.end(id, 1, OutcomeSucceeded, 40*ms)
 	}
-	if b.idle.For > 8e9 {
-		t.Fatalf("connections idle for %d ms are still trusted", b.idle.For/ms)
+	if b.idle.Limit > 8e9 {
+		t.Fatalf("connections idle for %d ms are still trusted", b.idle.Limit/ms)
 	}
 	b.released = nil
 	for range 8 {
@@ -174,7 +176,7 @@
 // Guards against a node that comes by each server seldom: it lost a task to each before it learned that they die idle.
 func TestSilenceOnIdleConnectionsIsASignBeforeItEnds(t *testing.T) {
 	for _, most := range []int{1, 2} { // out at once at a server
-		b := fleet(t, 6, func(s *Settings) { s.Streams = 1 })
+		b := fleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
 		b.serve(60, prompt)
 		for _, s := range b.byID {
 			s.most = most
@@ -183,17 +185,17 @@
 			b.now += 2e9
 			b.arrive(0)
 			b.now += 400 * ms
-			b.Woken(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
+			b.TimerFired(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
 		}
-		if learned := b.idle.For < 1e12; learned != (most == 1) {
-			t.Errorf("%d out at once at a server, where a connection carries one: idle time trusted %d ms", most, b.idle.For/ms)
+		if learned := b.idle.Limit < 1e12; learned != (most == 1) {
+			t.Errorf("%d out at once at a server, where a connection carries one: idle time trusted %d ms", most, b.idle.Limit/ms)
 		}
 	}
 }
 
 // Guards against closing what stands open while new connections are slow or can't be had: the belief ends there.
 func TestIdleConnectionsAreKeptWhereNoNewOneCanBeHad(t *testing.T) {
-	b := fleet(t, 3, func(s *Settings) { s.Streams = 1 })
+	b := fleet(t, 3, func(s *Settings) { s.StreamsPerConnection = 1 })
 	b.serve(30, prompt)
 	b.died(1e9)
 	b.now += 5e9
@@ -201,31 +203,31 @@
 	if len(b.released) == 0 {
 		t.Fatal("a connection idle for 5 s was used")
 	}
-	b.end(id, 0, Unreached, 75*ms)
-	if b.idle.For < 1e12 {
-		t.Errorf("idle time trusted %d ms, and no new connection can be had", b.idle.For/ms)
+	b.end(id, 0, OutcomeConnectFailed, 75*ms)
+	if b.idle.Limit < 1e12 {
+		t.Errorf("idle time trusted %d ms, and no new connection can be had", b.idle.Limit/ms)
 	}
 }
 
 // Guards against a slow answer or two closing connections everywhere: it takes signs from one node in 25.
 func TestIdleNewsNeedManyVoices(t *testing.T) {
 	b := fleet(t, 4, many)
-	news := News{Idle: 1200 * ms}
+	news := GossipMessage{IdleTime: 1200 * ms}
 	for n := range 40 {
-		if trusted := b.idle.For > 1e12; trusted != (n < 12) {
+		if trusted := b.idle.Limit > 1e12; trusted != (n < 12) {
 			t.Fatalf("after %d voices of 300 connections are trusted: %v", n, trusted)
 		}
-		b.Told(b.now, news)
+		b.GossipReceived(b.now, news)
 	}
-	if b.idle.For != 900*ms {
-		t.Errorf("trusted for %d ms", b.idle.For/ms)
+	if b.idle.Limit != 900*ms {
+		t.Errorf("trusted for %d ms", b.idle.Limit/ms)
 	}
 	for range 200 {
 		b.now += recalculate
 		b.tick()
 	}
-	if b.idle.For < 5e9 {
-		t.Errorf("200 s later connections are trusted for %d ms only", b.idle.For/ms)
+	if b.idle.Limit < 5e9 {
+		t.Errorf("200 s later connections are trusted for %d ms only", b.idle.Limit/ms)
 	}
 }
 
@@ -241,13 +243,13 @@
 		}
 	}
 	tell := func(s *server) {
-		b.Told(b.now, News{Server: s.Server})
+		b.GossipReceived(b.now, GossipMessage{Endpoint: s.ID})
 	}
-	unseen.State = Draining
+	unseen.State = StateDraining
 	for range 3 {
 		tell(unseen)
 	}
-	if unseen.State, unseen.standing[0].told = Active, 0; unseen.standing[0].unfit {
+	if unseen.State, unseen.standing[0].told = StateActive, 0; unseen.standing[0].unfit {
 		t.Error("news of a server that drains were heeded")
 	}
 	tell(unseen)
@@ -268,15 +270,15 @@
 
 func TestNonsenseNewsChangeNothing(t *testing.T) {
 	b := fleet(t, 4, many)
-	for _, news := range []News{{}, {Server: 77}, {Server: 1, Category: 3}, {Server: 1, Category: -1}, {Idle: -5}, {Idle: ms}} {
+	for _, news := range []GossipMessage{{}, {Endpoint: 77}, {Endpoint: 1, Class: 3}, {Endpoint: 1, Class: -1}, {IdleTime: -5}, {IdleTime: ms}} {
 		for range 100 {
-			b.Told(b.now, news)
+			b.GossipReceived(b.now, news)
 		}
 	}
 	for _, s := range b.servers {
 		for _, st := range s.standing {
-			if st.unfit || b.idle.For < 1e12 {
-				t.Fatalf("idle %d, standing %+v", b.idle.For, st)
+			if st.unfit || b.idle.Limit < 1e12 {
+				t.Fatalf("idle %d, standing %+v", b.idle.Limit, st)
 			}
 		}
 	}
@@ -286,17 +288,17 @@
 func TestErrorsAreToldOnceASecond(t *testing.T) {
 	b := fleet(t, 4, many)
 	b.serve(20, prompt)
-	bad := ServerID(0)
-	b.serve(40, func(s ServerID) (Outcome, int64) {
+	bad := EndpointID(0)
+	b.serve(40, func(s EndpointID) (Outcome, int64) {
 		if bad == 0 {
 			bad = s
 		}
 		if s == bad {
-			return Error, ms
+			return OutcomeError, ms
 		}
-		return Satisfied, ms
+		return OutcomeSucceeded, ms
 	})
-	if len(b.told) != 1 || b.told[0] != (News{Server: bad}) {
+	if len(b.told) != 1 || b.told[0] != (GossipMessage{Endpoint: bad}) {
 		t.Errorf("told %v", b.told)
 	}
 }
@@ -304,10 +306,10 @@
 // Guards against a spell that ends only once the servers have rested: in a long jam a node gives up all tasks for a
 // while, once; a short one, as a burst makes, changes nothing.
 func TestALongJamIsGivenARestOnce(t *testing.T) {
-	b := fleet(t, 4, func(s *Settings) { s.Utilised = true })
+	b := fleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
 	b.serve(40, prompt)
 	for range 40 { // slow all the time, but nothing is turned away
-		b.Policy.Fleet.A, b.Policy.Fleet.N = 400, 40
+		b.Balancer.Fleet.A, b.Balancer.Fleet.Weight = 400, 40
 		b.now += recalculate
 		if b.tick(); b.restTo > 0 {
 			t.Fatal("a rest though nothing was turned away")
@@ -315,7 +317,7 @@
 	}
 	rests := 0
 	for second := range 40 {
-		b.Policy.Fleet.A, b.Policy.Fleet.N, b.of[0].Fares = 400, 40, 0.4
+		b.Balancer.Fleet.A, b.Balancer.Fleet.Weight, b.of[0].SuccessRate = 400, 40, 0.4
 		b.now += recalculate
 		b.tick()
 		if b.restTo > b.now {
@@ -336,18 +338,18 @@
 // Guards against servers that reset tasks for reasons of their own being taken for connections that die idle: closing
 // and opening connections all the time cost an incident half of its service.
 func TestResetsAmongLongLivedConnectionsAreNoSign(t *testing.T) {
-	b := fleet(t, 1, func(s *Settings) { s.Streams = 100 })
+	b := fleet(t, 1, func(s *Settings) { s.StreamsPerConnection = 100 })
 	b.serve(40, prompt)
 	for n := range 60 {
 		b.now += 2e9
-		id, o := b.arrive(0), Satisfied
+		id, o := b.arrive(0), OutcomeSucceeded
 		if n%12 == 11 {
-			o = Reset
+			o = OutcomeReset
 		}
 		b.now += ms
 		b.end(id, 0, o, ms)
 	}
-	if b.idle.For < 1e12 {
-		t.Errorf("one reset in twelve, and connections idle for %d ms are no longer trusted", b.idle.For/ms)
+	if b.idle.Limit < 1e12 {
+		t.Errorf("one reset in twelve, and connections idle for %d ms are no longer trusted", b.idle.Limit/ms)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -64,14 +64,14 @@
 }
 
 type task struct {
-	Task
-	category     *Category
+	Request
+	category     *Class
 	limit, soft  int64 // the last moments at which an answer still earns, and in full
 	handOffs     []handOff
 	open, crowds int // hand-offs out; what one counts for at its server
 	cookie       uint64
 	over, beyond bool // beyond: its customer's share
-	kinds        classdelay.Kinds
+	kinds        classdelay.Pair
 	key          uint64
 	homes        int // servers that its key is at home at; 0 where its work does not go by it
 }
@@ -84,14 +84,14 @@
 }
 
 type server struct {
-	Listed
+	EndpointInfo
 	rank       uint64
 	near, home bool // this node draws from it; it is one of that key's homes
 	left       bool // the list lacks it, and it has not failed since
 	standing   []standing
 	usedAt     int64 // last use of a connection to it, 0: none
 
-	estimates.Figures
+	estimates.EndpointEstimates
 	recalculate, risingFrom int64      // recalculate: when next, if no report comes before
 	sends, out, turned      int        // since the last report; out now; turned away in a row
 	most                    int        // out at once since its idle connections were last closed
@@ -101,105 +101,105 @@
 }
 
 // Policy is one instance of the decisions.
-type Policy struct {
+type Balancer struct {
 	set            Settings
-	host           Host
+	host           Effects
 	draws          *rand.Rand
 	cookies        uint64
 	started        bool
 	askWait, until int64 // until: by when the task being drawn for is to be answered
 
-	tasks         map[TaskID]*task
+	tasks         map[RequestID]*task
 	waking        map[uint64]*task
-	of            []estimates.Category
-	shares        quota.Shares
+	of            []estimates.ClassEstimates
+	shares        quota.Quotas
 	copies, rate  float64 // second copies that may still go out; tasks a second
 	arrived, asks int     // tasks since the last tick, and ever
 
 	servers []*server // by rank
-	byID    map[ServerID]*server
-	estimates.Common
+	byID    map[EndpointID]*server
+	estimates.FleetEstimates
 	failing, warmth     float64 // part of failures of all; work of a task at its key's home, over that elsewhere
-	idle                idletimeout.Trust
+	idle                idletimeout.Estimator
 	jammed, breadth     int       // seconds for which all have been late; how many servers to draw from
 	toldIdle, restTo    int64     // when that was told; until when this node gives the fleet a rest
 	cameAt              int64     // when a task came last
 	near, chilly, drawn []*server // those; of these the cold ones; who takes part in the draw
-	keys                keyfreq.Tally
-	lags                *classdelay.Book
+	keys                keyfreq.Counter
+	lags                *classdelay.Tracker
 	wait, active        float64   // for which the task being drawn waits anywhere, because of its kind; servers
 	homes               []*server // of the key of the task being drawn, the first by rank first
 	weights             []float64
 }
 
 // New makes an instance that knows nothing but its settings.
-func New(settings Settings, seed uint64, host Host) *Policy {
-	p := &Policy{set: settings, host: host, draws: rand.New(rand.NewPCG(seed, 1)), cookies: firstTask,
-		tasks: map[TaskID]*task{}, waking: map[uint64]*task{}, byID: map[ServerID]*server{}, idle: idletimeout.Whole(),
-		warmth: 1, shares: quota.New(settings.Portions)}
-	p.Common = estimates.Common{High: 2, Pods: map[int]*ewma.Pair{}, Way: map[int]float64{}}
-	p.lags = classdelay.New(len(settings.Categories), len(settings.Portions))
-	for _, c := range settings.Categories {
-		p.lags.Soft(c.SoftLimit)
-	}
-	p.of = slices.Repeat([]estimates.Category{{Spread: 2, Fares: 1, Due: 1}}, len(settings.Categories))
+func New(settings Settings, seed uint64, host Effects) *Balancer {
+	p := &Balancer{set: settings, host: host, draws: rand.New(rand.NewPCG(seed, 1)), cookies: firstTask,
+		tasks: map[RequestID]*task{}, waking: map[uint64]*task{}, byID: map[EndpointID]*server{}, idle: idletimeout.New(),
+		warmth: 1, shares: quota.New(settings.TenantShares)}
+	p.FleetEstimates = estimates.FleetEstimates{HighLatency: 2, Pods: map[int]*ewma.Pair{}, ZoneDelay: map[int]float64{}}
+	p.lags = classdelay.New(len(settings.Classes), len(settings.TenantShares))
+	for _, c := range settings.Classes {
+		p.lags.AddObjective(c.LatencyObjective)
+	}
+	p.of = slices.Repeat([]estimates.ClassEstimates{{LatencySpread: 2, SuccessRate: 1, KeptShare: 1}}, len(settings.Classes))
 	return p
 }
 
 // Learned is what this instance has learned; it shares memory with it.
-func (p *Policy) Learned() estimates.All {
-	all := estimates.All{Common: p.Common, Categories: p.of, Servers: map[uint32]estimates.Server{}}
+func (p *Balancer) Estimates() estimates.Snapshot {
+	all := estimates.Snapshot{FleetEstimates: p.FleetEstimates, Classes: p.of, Endpoints: map[uint32]estimates.Endpoint{}}
 	for _, s := range p.servers {
-		all.Servers[uint32(s.Server)] = estimates.Server{Figures: s.Figures, Started: s.Started}
+		all.Endpoints[uint32(s.ID)] = estimates.Endpoint{EndpointEstimates: s.EndpointEstimates, StartedAt: s.StartedAt}
 	}
 	return all
 }
 
 // Inherit begins, behind the list, with what the instance before learned of the same processes of servers.
-func (p *Policy) Inherit(all *estimates.All) {
-	p.Common.TakeOver(&all.Common)
-	copy(p.of, all.Categories)
+func (p *Balancer) Inherit(all *estimates.Snapshot) {
+	p.FleetEstimates.TakeOver(&all.FleetEstimates)
+	copy(p.of, all.Classes)
 	for _, s := range p.servers {
-		if l, had := all.Servers[uint32(s.Server)]; had && l.Started == s.Started {
-			s.Figures = l.Figures
+		if l, had := all.Endpoints[uint32(s.ID)]; had && l.StartedAt == s.StartedAt {
+			s.EndpointEstimates = l.EndpointEstimates
 		}
 	}
 }
 
 // ListLearned takes the server list, or what changed in it.
-func (p *Policy) ListLearned(now int64, list []Listed, whole bool) {
+func (p *Balancer) EndpointsUpdated(now int64, list []EndpointInfo, whole bool) {
 	if !p.started {
 		p.started = true
-		p.host.WakeAt(now+recalculate, tickCookie)
-		if p.set.MustAsk {
-			p.host.Subscribe()
+		p.host.SetTimer(now+recalculate, tickCookie)
+		if p.set.MustPollList {
+			p.host.WatchEndpoints()
 		}
 	}
 	if p.askWait = 0; whole {
 		for _, s := range p.servers {
-			s.leave(p.set.GoneMayServe)
+			s.leave(p.set.RemovedMayServe)
 		}
 	}
 	for _, l := range list {
-		s := p.byID[l.Server]
+		s := p.byID[l.ID]
 		if s == nil {
 			s = &server{}
-			p.byID[l.Server], p.servers = s, append(p.servers, s)
+			p.byID[l.ID], p.servers = s, append(p.servers, s)
 		}
 		before := s.State
-		if l.Started > s.Started || s.standing == nil {
+		if l.StartedAt > s.StartedAt || s.standing == nil {
 			before = l.State
 			// A new process: what was learned of the old one misleads. Where in its first part it stands is drawn,
 			// or hundreds of nodes that earn less than a hand-off never warm it, or all give theirs at one moment.
 			*s = server{out: s.out, near: s.near, credit: p.draws.Float64(), standing: make([]standing, len(p.of)),
-				rank: rendezvous.Of(rendezvous.Spread(p.set.Position), uint32(l.Server))}
+				rank: rendezvous.Score(rendezvous.NumberKey(p.set.NodeIndex), uint32(l.ID))}
 		}
 		if p.Pods[l.Pod] == nil {
 			p.Pods[l.Pod] = &ewma.Pair{}
 		}
-		if s.Listed, s.pod, s.left = l, p.Pods[l.Pod], false; l.State == Gone {
+		if s.EndpointInfo, s.pod, s.left = l, p.Pods[l.Pod], false; l.State == StateRemoved {
 			s.State = before
-			s.leave(p.set.GoneMayServe)
+			s.leave(p.set.RemovedMayServe)
 		}
 	}
 	slices.SortFunc(p.servers, func(a, b *server) int { return cmp.Compare(b.rank, a.rank) })
@@ -208,36 +208,36 @@
 
 // leave takes off a server that the list lacks; where that binds nothing and may be untrue, once it fails.
 func (s *server) leave(keep bool) {
-	if s.left = keep && s.State == Active; !s.left {
-		s.State = Gone
+	if s.left = keep && s.State == StateActive; !s.left {
+		s.State = StateRemoved
 	}
 }
 
 // ListFailed asks again, after waits that grow but stay well within the time the rules allow.
-func (p *Policy) ListFailed(now int64) {
-	p.askWait = min(max(2*p.askWait, p.set.AskWithin/64), p.set.AskWithin/8)
-	p.host.WakeAt(now+p.askWait, listCookie)
+func (p *Balancer) WatchFailed(now int64) {
+	p.askWait = min(max(2*p.askWait, p.set.MaxPollInterval/64), p.set.MaxPollInterval/8)
+	p.host.SetTimer(now+p.askWait, listCookie)
 }
 
 // TaskArrived takes a new task.
-func (p *Policy) TaskArrived(now int64, arrived Task) {
-	c := &p.set.Categories[arrived.Category]
-	t := &task{Task: arrived, category: c, limit: arrived.HardLimit, crowds: 1,
-		kinds: p.lags.Kinds(arrived.Category, arrived.Customer)}
-	if arrived.Flows {
+func (p *Balancer) RequestArrived(now int64, arrived Request) {
+	c := &p.set.Classes[arrived.Class]
+	t := &task{Request: arrived, category: c, limit: arrived.Deadline, crowds: 1,
+		kinds: p.lags.Of(arrived.Class, arrived.Tenant)}
+	if arrived.StreamingBody {
 		t.crowds = 0 // a server begins it only when all of it has come, and how long that takes is not its doing
 	}
-	if t.soft = min(t.limit, now+c.SoftLimit-c.SoftLimit/64-2*p.set.Tick); c.LateEarnings == 0 {
+	if t.soft = min(t.limit, now+c.LatencyObjective-c.LatencyObjective/64-2*p.set.ClockResolution); c.LateFraction == 0 {
 		t.limit = t.soft
 	}
 	p.tasks[t.ID] = t
-	t.beyond = p.shares.Beyond(t.Customer, t.Repeated)
+	t.beyond = p.shares.Exceeded(t.Tenant, t.ClientRetry)
 	if p.arrived++; p.arrived > int(carries)*p.breadth {
 		p.rate = max(p.rate, float64(p.arrived)) // guards against a busy node jamming the few that it starts with
 		p.choose(now)
 	}
-	if p.set.WarmKeys && t.Key != "" {
-		t.key, t.homes = p.keys.Ask(t.Key, len(p.servers))
+	if p.set.KeyAffinity && t.Key != "" {
+		t.key, t.homes = p.keys.Observe(t.Key, len(p.servers))
 	}
 	p.probe()
 	p.earnCold(now, nil, 0)
@@ -245,15 +245,15 @@
 	p.send(now, t)
 }
 
-func (p *Policy) cost(t *task) float64 {
-	if t.Cost > 0 {
-		return max(float64(t.Cost), smallest*p.MeanOf) // guards against answers to tasks with hardly any work
+func (p *Balancer) cost(t *task) float64 {
+	if t.CostHint > 0 {
+		return max(float64(t.CostHint), smallest*p.MeanWork) // guards against answers to tasks with hardly any work
 	}
-	return cmp.Or(p.of[t.Task.Category].Typical, p.MeanOf)
+	return cmp.Or(p.of[t.Request.Class].TypicalWork, p.MeanWork)
 }
 
 // send hands the task to a drawn server, or gives it up.
-func (p *Policy) send(now int64, t *task) {
+func (p *Balancer) send(now int64, t *task) {
 	if s := p.draw(now, t); s != nil {
 		p.handTo(now, t, s)
 	} else {
@@ -261,72 +261,72 @@
 	}
 }
 
-func (p *Policy) handTo(now int64, t *task, s *server) {
+func (p *Balancer) handTo(now int64, t *task, s *server) {
 	cost, gap := p.cost(t)*p.warm(s), int64(0)
 	if s.out == 0 {
 		s.silentFrom = now
-		if gap = now - cmp.Or(s.usedAt, now); gap > p.idle.For {
+		if gap = now - cmp.Or(s.usedAt, now); gap > p.idle.Limit {
 			gap = 0
 			p.release(s)
 		}
 	}
 	s.usedAt = now
 	t.handOffs = append(t.handOffs, handOff{server: s, zone: s.Zone, pod: s.Pod, sentAt: now, gap: gap,
-		home: s.home, wait: t.kinds.Wait(now), alone: p.Way[s.Zone] + cost*s.pod.Level()*s.Own.Level(),
+		home: s.home, wait: t.kinds.Delay(now), alone: p.ZoneDelay[s.Zone] + cost*s.pod.Level()*s.Latency.Level(),
 		crowd: float64(s.out), predicted: float64(p.predict(s, cost)), cost: cost, open: true})
 	t.open++
-	t.kinds.Out(now, 1)
+	t.kinds.CountInFlight(now, 1)
 	if now >= s.recalculate { // no report came for the design's longest time
-		s.Drift, s.sends, s.recalculate = 0, 0, now+recalculate
+		s.RisePerSend, s.sends, s.recalculate = 0, 0, now+recalculate
 	}
 	s.out += t.crowds
 	s.most = max(s.most, s.out)
 	s.sends++
-	s.Load += s.Drift
+	s.Load += s.RisePerSend
 	s.credit -= max(p.relative(cost), 1)
-	p.host.HandOff(t.ID, s.Server, t.limit-now)
-	if after := p.patience(s, cost); cost > 0 && t.open == 1 && !t.Flows && now+after < t.limit-after/2 {
+	p.host.Send(t.ID, s.ID, t.limit-now)
+	if after := p.patience(s, cost); cost > 0 && t.open == 1 && !t.StreamingBody && now+after < t.limit-after/2 {
 		if t.cookie == 0 {
 			t.cookie, p.cookies = p.cookies, p.cookies+1
 			p.waking[t.cookie] = t
 		}
-		p.host.WakeAt(now+after, t.cookie)
+		p.host.SetTimer(now+after, t.cookie)
 	}
 }
 
 // release closes what is idle to a server.
-func (p *Policy) release(s *server) {
+func (p *Balancer) release(s *server) {
 	s.usedAt, s.most = 0, s.out
-	p.host.Release(s.Server)
+	p.host.CloseIdle(s.ID)
 }
 
 // mayDecline tells whether a client may be told that asking again does no harm.
 func mayDecline(now int64, t *task) bool {
-	all := t.category.Repeat == Ticketed && t.category.Group == WholeFleet
-	return t.category.Repeat == Rerunnable || !slices.ContainsFunc(t.handOffs, func(h handOff) bool {
-		return (h.open || h.mayHaveRun) && !(all && now-h.sentAt < t.category.Memory)
+	all := t.category.Idempotency == IdempotentByKey && t.category.DedupGroup == DedupFleet
+	return t.category.Idempotency == Idempotent || !slices.ContainsFunc(t.handOffs, func(h handOff) bool {
+		return (h.open || h.mayHaveRun) && !(all && now-h.sentAt < t.category.DedupWindow)
 	})
 }
 
 // giveUp answers at once: a decline where asking again does no harm, else a break-off.
-func (p *Policy) giveUp(now int64, t *task) {
-	if t.kinds.Away(); t.kinds.Wait(now) < float64(t.category.SoftLimit)/2 { // else others yield in vain
-		p.of[t.Task.Category].Fare(false)
+func (p *Balancer) giveUp(now int64, t *task) {
+	if t.kinds.CountGivenUp(); t.kinds.Delay(now) < float64(t.category.LatencyObjective)/2 { // else others yield in vain
+		p.of[t.Request.Class].RecordResult(false)
 	}
 	if mayDecline(now, t) {
-		p.host.Decline(t.ID, min(p.set.MaxAdvice, t.category.SoftLimit/4))
+		p.host.Reject(t.ID, min(p.set.MaxRetryAfter, t.category.LatencyObjective/4))
 	} else {
-		p.host.BreakOff(t.ID)
+		p.host.Fail(t.ID)
 	}
 	p.end(t)
 }
 
 // end recalls what is still out for a task that has its answer, and forgets it once nothing is.
-func (p *Policy) end(t *task) {
+func (p *Balancer) end(t *task) {
 	t.over = true
 	for i := range t.handOffs {
-		if t.handOffs[i].open && p.set.MayRecall {
-			p.host.Recall(t.ID, i)
+		if t.handOffs[i].open && p.set.MayCancel {
+			p.host.Cancel(t.ID, i)
 		}
 	}
 	delete(p.waking, t.cookie)
@@ -336,22 +336,22 @@
 }
 
 // HandOffAnswered takes the end of a hand-off.
-func (p *Policy) HandOffAnswered(now int64, a Answer) {
-	if s := p.byID[a.Server]; s != nil {
+func (p *Balancer) AttemptEnded(now int64, a AttemptResult) {
+	if s := p.byID[a.Endpoint]; s != nil {
 		p.report(now, s, &a.Report)
 	}
-	t := p.tasks[a.Task]
-	if t == nil || a.Number < 0 || a.Number >= len(t.handOffs) || !t.handOffs[a.Number].open {
+	t := p.tasks[a.Request]
+	if t == nil || a.Attempt < 0 || a.Attempt >= len(t.handOffs) || !t.handOffs[a.Attempt].open {
 		return
 	}
-	h := &t.handOffs[a.Number]
+	h := &t.handOffs[a.Attempt]
 	s := h.server
-	h.open, h.mayHaveRun = false, a.Outcome != Full && a.Outcome != Unreached && a.Outcome != NeverSent
+	h.open, h.mayHaveRun = false, a.Outcome != OutcomeRejected && a.Outcome != OutcomeConnectFailed && a.Outcome != OutcomeNotSent
 	t.open--
 	s.out -= t.crowds
-	t.kinds.Out(now, -1)
+	t.kinds.CountInFlight(now, -1)
 	switch o := a.Outcome; {
-	case o == Reset || o == Unreached || p.set.Streams < 2 && (o == TimedOut || o == Recalled):
+	case o == OutcomeReset || o == OutcomeConnectFailed || p.set.StreamsPerConnection < 2 && (o == OutcomeTimedOut || o == OutcomeCanceled):
 		s.usedAt = 0 // its connection went with it
 	case s.usedAt > 0:
 		s.usedAt = now
@@ -361,12 +361,12 @@
 	case t.over && t.open == 0:
 		delete(p.tasks, t.ID)
 	case t.over:
-	case a.Final || a.Outcome == Satisfied:
-		if a.Outcome == Satisfied {
-			p.of[t.Task.Category].Fare(true)
+	case a.RequestDone || a.Outcome == OutcomeSucceeded:
+		if a.Outcome == OutcomeSucceeded {
+			p.of[t.Request.Class].RecordResult(true)
 		}
 		p.end(t)
-	case a.Spent:
+	case a.BodyConsumed:
 		p.giveUp(now, t)
 	case t.open == 0:
 		p.send(now, t)
@@ -374,19 +374,19 @@
 }
 
 // TaskWithdrawn takes the news that the client has gone; work still out for it can earn nothing.
-func (p *Policy) TaskWithdrawn(_ int64, id TaskID) {
+func (p *Balancer) ClientGone(_ int64, id RequestID) {
 	if t := p.tasks[id]; t != nil && !t.over {
 		p.end(t)
 	}
 }
 
 // Woken takes a timer that has come due.
-func (p *Policy) Woken(now int64, cookie uint64) {
+func (p *Balancer) TimerFired(now int64, cookie uint64) {
 	switch t := p.waking[cookie]; {
 	case cookie == listCookie:
-		p.host.Subscribe()
+		p.host.WatchEndpoints()
 	case cookie == tickCookie:
-		p.host.WakeAt(now+recalculate, tickCookie)
+		p.host.SetTimer(now+recalculate, tickCookie)
 		p.age(now)
 	case t != nil && t.open == 1:
 		p.overdue(now, t, slices.IndexFunc(t.handOffs, func(h handOff) bool { return h.open }))
@@ -394,42 +394,42 @@
 }
 
 // late tells the task's kinds of an answer that is late by who knows how much, if its connection is not why.
-func (p *Policy) late(now int64, t *task, h *handOff) {
+func (p *Balancer) late(now int64, t *task, h *handOff) {
 	if !h.dead {
-		t.kinds.Add(now, h.sentAt, math.Inf(1), h.alone)
+		t.kinds.Observe(now, h.sentAt, math.Inf(1), h.alone)
 	}
 }
 
 // overdue takes a hand-off that should have been answered: its server is judged, and the task sent elsewhere.
-func (p *Policy) overdue(now int64, t *task, number int) {
+func (p *Balancer) overdue(now int64, t *task, number int) {
 	h := &t.handOffs[number]
-	p.unheard(now, h, TimedOut)
+	p.unheard(now, h, OutcomeTimedOut)
 	p.late(now, t, h)
 	if h.server.silentFrom > h.sentAt && !h.blamed {
 		// Guards against servers that leave one category unanswered and serve the others.
 		h.blamed = true
-		p.mark(now, h.server, t, 1, Error)
+		p.mark(now, h.server, t, 1, OutcomeError)
 	}
-	if again := len(t.handOffs) < p.set.MaxHandOffs; p.set.MayDuplicate && t.category.Repeat != Exclusive {
+	if again := len(t.handOffs) < p.set.MaxAttempts; p.set.MayHedge && t.category.Idempotency != NonIdempotent {
 		if s := p.draw(now, t); s != nil && p.copies >= 1 {
 			p.copies--
 			p.handTo(now, t, s)
 		}
-	} else if again && p.set.MayRecall && t.category.Repeat == Rerunnable && h.server.silentFrom <= h.sentAt {
-		p.host.Recall(t.ID, number) // of one that answers others the task is heavy, and would be elsewhere
+	} else if again && p.set.MayCancel && t.category.Idempotency == Idempotent && h.server.silentFrom <= h.sentAt {
+		p.host.Cancel(t.ID, number) // of one that answers others the task is heavy, and would be elsewhere
 	}
 }
 
 // choose picks whom this node draws from: the first by rank, until enough are warm and fit. Guards against
 // many nodes each holding a connection to every server, hearing little of any, and filling their tables.
-func (p *Policy) choose(now int64) {
+func (p *Balancer) choose(now int64) {
 	p.active = 0
 	for _, s := range p.servers {
-		if s.State == Active {
+		if s.State == StateActive {
 			p.active++
 		}
 	}
-	want := max(least+p.rate/carries, sharers*p.active/float64(max(p.set.Nodes, 1)))
+	want := max(least+p.rate/carries, sharers*p.active/float64(max(p.set.NodeCount, 1)))
 	if p.breadth = max(p.breadth, int(want)); want < float64(p.breadth)-1 {
 		p.breadth-- // slowly, as connections would be closed and opened again
 	}
@@ -437,8 +437,8 @@
 	left, extra := p.breadth, p.breadth/2+1
 	for _, s := range p.servers {
 		was, cold := s.near, p.cold(now, s) < 1
-		if s.near = s.State == Active && left > 0 && !(cold && len(p.chilly) >= chill*p.breadth); !s.near {
-			if was && s.usedAt > 0 && s.out == 0 && p.set.Streams > 1 { // else a key's home is closed each time
+		if s.near = s.State == StateActive && left > 0 && !(cold && len(p.chilly) >= chill*p.breadth); !s.near {
+			if was && s.usedAt > 0 && s.out == 0 && p.set.StreamsPerConnection > 1 { // else a key's home is closed each time
 				p.release(s)
 			}
 			continue
@@ -458,54 +458,54 @@
 }
 
 // cold returns the part of its capacity that a server surely has; 1 when warm.
-func (p *Policy) cold(now int64, s *server) float64 {
-	if age := now - s.Started; s.Started != 0 && age < p.set.WarmWithin {
-		return p.set.ColdFrom + (1-p.set.ColdFrom)*float64(max(age, 0))/float64(p.set.WarmWithin)
+func (p *Balancer) cold(now int64, s *server) float64 {
+	if age := now - s.StartedAt; s.StartedAt != 0 && age < p.set.SlowStartWindow {
+		return p.set.SlowStartMinCapacity + (1-p.set.SlowStartMinCapacity)*float64(max(age, 0))/float64(p.set.SlowStartWindow)
 	}
 	return 1
 }
 
-func (p *Policy) relative(cost float64) float64 {
-	return cmp.Or(cost, p.MeanOf, 1) / cmp.Or(p.MeanOf, cost, 1)
+func (p *Balancer) relative(cost float64) float64 {
+	return cmp.Or(cost, p.MeanWork, 1) / cmp.Or(p.MeanWork, cost, 1)
 }
 
 // earnCold keeps the books on cold servers: with each task that a warm fellow satisfies one earns what it
 // surely can do of that even part, and pays for what it is given. Where few are warm arrivals count, not
 // to rest all on them; but no more than all nodes may give, or the first servers back are pushed over.
-func (p *Policy) earnCold(now int64, by *server, cost float64) {
+func (p *Balancer) earnCold(now int64, by *server, cost float64) {
 	all, sure := len(p.near), math.Inf(1)
 	warm := all - len(p.chilly)
 	if (by == nil) != (2*warm < all) || by != nil && p.cold(now, by) < 1 {
 		return
 	}
 	if by == nil {
-		mean := cmp.Or(p.MeanOf, float64(p.set.Categories[0].SoftLimit)/4)
-		sure = surely * p.active * float64(now-cmp.Or(p.cameAt, now)) / mean / float64(all*max(p.set.Nodes, 1))
+		mean := cmp.Or(p.MeanWork, float64(p.set.Classes[0].LatencyObjective)/4)
+		sure = surely * p.active * float64(now-cmp.Or(p.cameAt, now)) / mean / float64(all*max(p.set.NodeCount, 1))
 		warm, p.cameAt = all, now
 	}
 	for _, s := range p.chilly {
 		if part := p.cold(now, s); part < 1 && s.credit < 1 {
-			part = max(part*(coldSafety+(1-coldSafety)*part), min(2*part, s.Own.N*learn, 1/s.Own.Level()))
+			part = max(part*(coldSafety+(1-coldSafety)*part), min(2*part, s.Latency.Weight*learn, 1/s.Latency.Level()))
 			s.credit = min(1, s.credit+part*min(min(p.relative(cost), 1)/float64(warm), sure))
 		}
 	}
 }
 
 // allowed tells whether rules 2 and 3 let the task go to the server.
-func (p *Policy) allowed(now int64, t *task, s *server) bool {
-	if s.State != Active || len(t.handOffs) >= p.set.MaxHandOffs {
+func (p *Balancer) allowed(now int64, t *task, s *server) bool {
+	if s.State != StateActive || len(t.handOffs) >= p.set.MaxAttempts {
 		return false
 	}
 	for i := range t.handOffs {
 		h := &t.handOffs[i]
-		if h.open && (!p.set.MayDuplicate || h.server == s) {
+		if h.open && (!p.set.MayHedge || h.server == s) {
 			return false
 		}
-		if !h.mayHaveRun && !h.open || t.category.Repeat == Rerunnable {
+		if !h.mayHaveRun && !h.open || t.category.Idempotency == Idempotent {
 			continue
 		}
-		if group := t.category.Group; t.category.Repeat == Exclusive || now-h.sentAt >= t.category.Memory ||
-			group == SamePod && h.pod != s.Pod || group == SameZone && h.zone != s.Zone {
+		if group := t.category.DedupGroup; t.category.Idempotency == NonIdempotent || now-h.sentAt >= t.category.DedupWindow ||
+			group == DedupPod && h.pod != s.Pod || group == DedupZone && h.zone != s.Zone {
 			return false
 		}
 	}
@@ -514,88 +514,88 @@
 
 // inDraw tells who takes part in a task's draw: the fit that will be in time by a high quantile. Where that
 // is nobody, the unfit do that this node hears often and has nothing out at: declining would help none.
-func (p *Policy) inDraw(now int64, t *task, s *server, nobody bool) bool {
+func (p *Balancer) inDraw(now int64, t *task, s *server, nobody bool) bool {
 	n := len(t.handOffs)
 	if !p.allowed(now, t, s) || now < s.fullTill || n > 0 && t.handOffs[n-1].server == s ||
 		s.credit < 1 && p.cold(now, s) < 1 {
 		return false
 	}
-	if st := &s.standing[t.Task.Category]; st.unfit {
-		return s.out == 0 && (nobody && s.Own.N*learn >= 1 || now >= st.retryAt && t.category.Repeat == Rerunnable)
+	if st := &s.standing[t.Request.Class]; st.unfit {
+		return s.out == 0 && (nobody && s.Latency.Weight*learn >= 1 || now >= st.retryAt && t.category.Idempotency == Idempotent)
 	}
 	cost := p.cost(t) * p.warm(s)
-	if s.out > 0 && s.Known && now-s.silentFrom > p.patience(s, max(cost, p.MeanOf)) {
+	if s.out > 0 && s.HasLatency && now-s.silentFrom > p.patience(s, max(cost, p.MeanWork)) {
 		return false // guards against servers that take tasks and answer nothing, and so report no load
 	}
 	// A miss counts only for itself: a high quantile goes in as far as tasks are turned away.
-	spread := p.of[t.Task.Category].Spread
+	spread := p.of[t.Request.Class].LatencySpread
 	took := float64(p.predict(s, cost*min(spread, 1+(spread-1)*(1-p.worst()))))
 	return took+p.wait <= float64(p.allowance(now, t))
 }
 
 // predict counts own hand-offs out double: what draws this node to a server draws its fellows too, unseen.
-func (p *Policy) predict(s *server, cost float64) int64 {
+func (p *Balancer) predict(s *server, cost float64) int64 {
 	unit, crowd := p.expect(s)
-	return int64(p.Way[s.Zone] + unit*cost*(1+2*float64(s.out))/(1+2*crowd))
+	return int64(p.ZoneDelay[s.Zone] + unit*cost*(1+2*float64(s.out))/(1+2*crowd))
 }
 
 // expect is the answer time for a unit of work: the fleet's, times what pod and server were over it of late.
-func (p *Policy) expect(s *server) (unit, crowd float64) {
-	unit, crowd = p.Fleet.Over(1, 0)
-	pod, crowd := s.pod.Over(1, crowd)
-	own, crowd := s.Own.Over(1, crowd)
+func (p *Balancer) expect(s *server) (unit, crowd float64) {
+	unit, crowd = p.Fleet.Means(1, 0)
+	pod, crowd := s.pod.Means(1, crowd)
+	own, crowd := s.Latency.Means(1, crowd)
 	return unit * pod * own, crowd
 }
 
 // patience is how long an answer may take, by the high quantile of the server or of its fit fellows.
-func (p *Policy) patience(s *server, cost float64) int64 {
-	high := p.High
-	if s.Known && !s.shunned(s.silentFrom) {
-		high = min(2*high, s.High)
+func (p *Balancer) patience(s *server, cost float64) int64 {
+	high := p.HighLatency
+	if s.HasLatency && !s.shunned(s.silentFrom) {
+		high = min(2*high, s.HighLatency)
 	}
 	_, crowd := p.expect(s)
 	cost *= high * (1 + float64(s.out)) / (1 + min(crowd, float64(s.out)))
-	return max(grain*p.set.Tick, int64(2*(p.Way[s.Zone]+cost)))
+	return max(grain*p.set.ClockResolution, int64(2*(p.ZoneDelay[s.Zone]+cost)))
 }
 
 // worst is the satisfied part of the category that fares worst.
-func (p *Policy) worst() float64 {
-	return slices.MinFunc(p.of, func(a, b estimates.Category) int { return cmp.Compare(a.Fares, b.Fares) }).Fares
+func (p *Balancer) worst() float64 {
+	return slices.MinFunc(p.of, func(a, b estimates.ClassEstimates) int { return cmp.Compare(a.SuccessRate, b.SuccessRate) }).SuccessRate
 }
 
 // dues works out which part of its time each category keeps in need, by what its work earns and by the goal.
-func (p *Policy) dues() {
-	most, favour := math.SmallestNonzeroFloat64, max(0, 1-p.set.WorstCategory/evenAt)
+func (p *Balancer) dues() {
+	most, favour := math.SmallestNonzeroFloat64, max(0, 1-p.set.WorstClassWeight/evenAt)
 	for i := range p.of {
 		c := &p.of[i]
-		if c.Due = p.set.Categories[i].Earnings; !p.set.EarnsByWork {
-			c.Due /= max(c.Typical, p.MeanOf*smallest, 1)
+		if c.KeptShare = p.set.Classes[i].PriorityWeight; !p.set.WeightByWork {
+			c.KeptShare /= max(c.TypicalWork, p.MeanWork*smallest, 1)
 		}
-		most = max(most, c.Due)
+		most = max(most, c.KeptShare)
 	}
 	for i := range p.of {
-		p.of[i].Due = math.Pow(max(p.of[i].Due/most, 0.01), favour)
+		p.of[i].KeptShare = math.Pow(max(p.of[i].KeptShare/most, 0.01), favour)
 	}
 }
 
 // allowance is the time a prediction may take. What fares better or earns less for its work gives up some.
-func (p *Policy) allowance(now int64, t *task) int64 {
-	c, worst := &p.of[t.Task.Category], p.worst()
-	part := worst / c.Fares * (1 - (1-c.Due)*(1-worst))
+func (p *Balancer) allowance(now int64, t *task) int64 {
+	c, worst := &p.of[t.Request.Class], p.worst()
+	part := worst / c.SuccessRate * (1 - (1-c.KeptShare)*(1-worst))
 	if t.beyond {
-		part *= max(worst*worst, p.set.OverShare)
+		part *= max(worst*worst, p.set.OverQuotaFraction)
 	}
 	return int64(float64(p.until-now) * part)
 }
 
 // draw picks a server with a chance proportional to 1/w among those that take part. Those that will be in
 // time for the soft limit come first.
-func (p *Policy) draw(now int64, t *task) *server {
+func (p *Balancer) draw(now int64, t *task) *server {
 	if now >= t.limit || now < p.restTo {
 		return nil
 	}
 	all, from := p.near, p.near
-	if len(t.handOffs) > 0 && t.category.Repeat == Ticketed {
+	if len(t.handOffs) > 0 && t.category.Idempotency == IdempotentByKey {
 		all, from = p.servers, p.servers // only a part of all may be left to it
 	} else if len(all) > window { // any that stand together by rank, which says nothing of them; if need be all
 		at := p.draws.IntN(len(all) - window + 1)
@@ -603,8 +603,8 @@
 	}
 	p.settle(now, t)
 	// One in time ends the belief, so it is sought: over all nodes by no more at a time than there are servers.
-	if p.wait = t.kinds.Wait(now); p.wait > 0 &&
-		t.kinds.Due(now, min(1, float64(len(p.servers))/float64(max(p.set.Nodes, 1)))) {
+	if p.wait = t.kinds.Delay(now); p.wait > 0 &&
+		t.kinds.MayTry(now, min(1, float64(len(p.servers))/float64(max(p.set.NodeCount, 1)))) {
 		p.wait = 0
 	}
 	for round := range 4 {
@@ -635,16 +635,16 @@
 
 // settle finds the homes of a task's key, on which nodes agree without talking: of the warm and fit the first
 // by a hash of both. Against each node gathering a key wherever it sent it first, so that nobody saves work.
-func (p *Policy) settle(now int64, t *task) {
+func (p *Balancer) settle(now int64, t *task) {
 	for _, s := range p.homes {
 		s.home = false
 	}
-	if p.homes = p.homes[:0]; t.homes <= rendezvous.Most { // else it is asked for everywhere
-		p.homes = rendezvous.First(p.homes, p.servers, t.homes, func(s *server) uint64 {
-			if s.State != Active || p.cold(now, s) < 1 || s.shunned(now) {
+	if p.homes = p.homes[:0]; t.homes <= rendezvous.MaxTop { // else it is asked for everywhere
+		p.homes = rendezvous.Top(p.homes, p.servers, t.homes, func(s *server) uint64 {
+			if s.State != StateActive || p.cold(now, s) < 1 || s.shunned(now) {
 				return 0
 			}
-			return rendezvous.Of(t.key, uint32(s.Server))
+			return rendezvous.Score(t.key, uint32(s.ID))
 		})
 	}
 	for _, s := range p.homes {
@@ -653,14 +653,14 @@
 }
 
 // warm is the work of the task being drawn at a server, over what it is where its key is not at home.
-func (p *Policy) warm(s *server) float64 {
+func (p *Balancer) warm(s *server) float64 {
 	if s.home {
 		return p.warmth
 	}
 	return 1
 }
 
-func (p *Policy) pick() *server {
+func (p *Balancer) pick() *server {
 	sum := 0.0
 	for _, w := range p.weights {
 		sum += 1 / w
@@ -675,10 +675,10 @@
 }
 
 // weigh works out w with its exceptions for the drawn, against the mean load of whom they were drawn from.
-func (p *Policy) weigh(now int64, from []*server) {
+func (p *Balancer) weigh(now int64, from []*server) {
 	mean, heard := 0.0, 0.0
 	for _, s := range from {
-		if s.Heard {
+		if s.HasReport {
 			mean, heard = mean+s.Load, heard+1
 		}
 	}
@@ -686,13 +686,13 @@
 	p.weights = p.weights[:0]
 	for _, s := range p.drawn {
 		w := max(s.Load, mean/floorPart)
-		if !s.Heard || s.risingFrom == 0 || now-s.risingFrom < settling*recalculate {
+		if !s.HasReport || s.risingFrom == 0 || now-s.risingFrom < settling*recalculate {
 			w = max(w, mean)
 		}
 		// Reports do not tell a slow server from a quick one; the square, as one that gets its part still is late.
-		unit := s.pod.Level() * s.Own.Level()
+		unit := s.pod.Level() * s.Latency.Level()
 		w *= max(unit*unit, 1.0/floorPart)
-		if p.set.SizeWeights && s.Weight > 0 {
+		if p.set.WeightIsSize && s.Weight > 0 {
 			w /= s.Weight
 		}
 		if p.cold(now, s) < 1 {
@@ -711,83 +711,83 @@
 
 // hear takes a load report: the rise since the last one, over the sends between, is what each send adds.
 func (s *server) hear(now int64, load float64) {
-	rise := load - s.Reported
-	if s.Drift = 0; s.Heard && rise > 0 && s.sends > 0 && now < s.recalculate {
-		s.Drift = rise / float64(s.sends)
+	rise := load - s.LastReport
+	if s.RisePerSend = 0; s.HasReport && rise > 0 && s.sends > 0 && now < s.recalculate {
+		s.RisePerSend = rise / float64(s.sends)
 	}
-	if rise > 0 && s.Heard && s.risingFrom == 0 {
+	if rise > 0 && s.HasReport && s.risingFrom == 0 {
 		s.risingFrom = now
 	}
-	s.Load, s.Reported, s.Heard, s.sends, s.recalculate = load, load, true, 0, now+recalculate
+	s.Load, s.LastReport, s.HasReport, s.sends, s.recalculate = load, load, true, 0, now+recalculate
 }
 
 // report picks which reported value is the load; all else that depends on it asks the server.
-func (p *Policy) report(now int64, s *server, r *Report) {
-	load := 1 + r.Queue
-	if p.set.Utilised && r.Utilisation >= 0 {
-		if load = r.Utilisation; p.set.Timed && r.ServiceTime >= 0 {
+func (p *Balancer) report(now int64, s *server, r *LoadReport) {
+	load := 1 + r.QueueLength
+	if p.set.ReportsUtilization && r.Utilization >= 0 {
+		if load = r.Utilization; p.set.ReportsServiceTime && r.ServiceTime >= 0 {
 			load *= r.ServiceTime // servers are unequal: the same use of a slower one is a greater load
 		}
-	} else if r.Queue < 0 {
+	} else if r.QueueLength < 0 {
 		return
 	}
-	if !s.Heard || load != s.Reported {
+	if !s.HasReport || load != s.LastReport {
 		s.hear(now, load)
 	}
 }
 
 // probe asks one server after another for its load, once in so many tasks, where answers bring none.
-func (p *Policy) probe() {
-	if p.asks++; p.set.MayProbe && p.set.ProbesReport && p.asks%probeEach == 0 && len(p.near) > 0 {
-		p.host.Probe(p.near[p.asks/probeEach%len(p.near)].Server)
+func (p *Balancer) probe() {
+	if p.asks++; p.set.MayCheckHealth && p.set.HealthChecksReport && p.asks%probeEach == 0 && len(p.near) > 0 {
+		p.host.CheckHealth(p.near[p.asks/probeEach%len(p.near)].ID)
 	}
 }
 
 // Probed takes what a probe brought.
-func (p *Policy) Probed(now int64, id ServerID, o Outcome, r Report) {
-	if s := p.byID[id]; s != nil && o == Satisfied {
+func (p *Balancer) HealthChecked(now int64, id EndpointID, o Outcome, r LoadReport) {
+	if s := p.byID[id]; s != nil && o == OutcomeSucceeded {
 		p.report(now, s, &r)
 	}
 }
 
 // judge learns from how a hand-off ended.
-func (p *Policy) judge(now int64, t *task, h *handOff, a Answer) {
-	s, c, took, bad := h.server, t.Task.Category, float64(a.Elapsed), 1.0
-	if o := a.Outcome; o != TimedOut && o != Recalled && o != NeverSent &&
-		(o != Reset || p.set.Streams < 2 && s.most > 1) {
+func (p *Balancer) judge(now int64, t *task, h *handOff, a AttemptResult) {
+	s, c, took, bad := h.server, t.Request.Class, float64(a.Elapsed), 1.0
+	if o := a.Outcome; o != OutcomeTimedOut && o != OutcomeCanceled && o != OutcomeNotSent &&
+		(o != OutcomeReset || p.set.StreamsPerConnection < 2 && s.most > 1) {
 		s.silentFrom = now
 	}
-	if a.Outcome == NeverSent || a.Outcome != Satisfied && (h.blamed || p.unheard(now, h, a.Outcome)) {
-		if h.blamed && a.Outcome == TimedOut {
-			p.tell(now, &s.standing[c].toldAt, News{Server: s.Server, Category: c})
+	if a.Outcome == OutcomeNotSent || a.Outcome != OutcomeSucceeded && (h.blamed || p.unheard(now, h, a.Outcome)) {
+		if h.blamed && a.Outcome == OutcomeTimedOut {
+			p.tell(now, &s.standing[c].toldAt, GossipMessage{Endpoint: s.ID, Class: c})
 		}
 		return
 	}
 	switch a.Outcome {
-	case Satisfied:
+	case OutcomeSucceeded:
 		bad = 0
-		p.satisfied(now, t, h, took, a.Fresh)
-	case Full, Unreached:
-		if a.Outcome == Unreached && h.gap == 0 {
-			p.idle.Restore() // guards against closing what stands open while nothing new can be had
+		p.satisfied(now, t, h, took, a.NewConnection)
+	case OutcomeRejected, OutcomeConnectFailed:
+		if a.Outcome == OutcomeConnectFailed && h.gap == 0 {
+			p.idle.Reset() // guards against closing what stands open while nothing new can be had
 		}
 		// Guards against one that turns away at once using up all hand-offs: it is left alone, ever longer.
 		s.turned = min(s.turned+1, 6)
-		wait := max(int64(p.MeanOf), int64(float64(recalculate)/(2*s.Own.N+1)))
+		wait := max(int64(p.MeanWork), int64(float64(recalculate)/(2*s.Latency.Weight+1)))
 		s.fullTill = now + wait<<(s.turned-1)
-		if a.Outcome == Full && (a.Report.Queue != 0 || s.Own.N*learn < 1) {
+		if a.Outcome == OutcomeRejected && (a.Report.QueueLength != 0 || s.Latency.Weight*learn < 1) {
 			// Guards against a storm of resends in a jam: the full would be late, one with an empty queue not.
 			p.timed(h, float64(t.limit-h.sentAt)*overrun)
 		}
-		if a.Outcome == Full {
+		if a.Outcome == OutcomeRejected {
 			return
 		}
-	case Recalled:
+	case OutcomeCanceled:
 		// Guards against a silent server that looks fit because second copies always overtake it.
 		if a.Elapsed < p.patience(s, h.cost) || s.silentFrom > h.sentAt || h.wait > 0 {
 			return
 		}
-	case TimedOut:
+	case OutcomeTimedOut:
 		if p.late(now, t, h); h.wait > 0 {
 			return // neither the server's nor the fleet's doing
 		}
@@ -802,23 +802,23 @@
 		s.leave(false)
 		p.choose(now)
 	}
-	if p.mark(now, s, t, bad, a.Outcome); a.Outcome == Error && s.standing[c].unfit {
-		p.tell(now, &s.standing[c].toldAt, News{Server: s.Server, Category: c})
+	if p.mark(now, s, t, bad, a.Outcome); a.Outcome == OutcomeError && s.standing[c].unfit {
+		p.tell(now, &s.standing[c].toldAt, GossipMessage{Endpoint: s.ID, Class: c})
 	}
 }
 
 // satisfied learns from an answer.
-func (p *Policy) satisfied(now int64, t *task, h *handOff, took float64, fresh bool) {
-	s, c := h.server, &p.of[t.Task.Category]
+func (p *Balancer) satisfied(now int64, t *task, h *handOff, took float64, fresh bool) {
+	s, c := h.server, &p.of[t.Request.Class]
 	s.turned = 0
-	p.idle.Lived(h.gap)
-	t.kinds.Add(now, h.sentAt, took, h.alone)
+	p.idle.Survived(h.gap)
+	t.kinds.Observe(now, h.sentAt, took, h.alone)
 	c.Calibrate(took, h.predicted)
 	if fresh && h.cost > 0 {
 		p.earnCold(now, s, h.cost)
 		return // guards against opening a connection making its server look slow
 	}
-	if t.Cost > 0 {
+	if t.CostHint > 0 {
 		took = p.lessWay(h, took)
 	}
 	if h.home && h.cost > 0 {
@@ -827,34 +827,34 @@
 		p.warmth = min(max(p.warmth, smallest), 1)
 		took, h.cost = took/p.warmth, h.cost/p.warmth // as elsewhere, so that what follows is of the server
 	}
-	c.Meet(took)
+	c.ObserveWork(took)
 	h.cost = cmp.Or(h.cost, took)
-	p.MeanOf = cmp.Or(p.MeanOf, h.cost) // guards against other categories being set against next to nothing
-	p.MeanOf += (h.cost - p.MeanOf) / 32
+	p.MeanWork = cmp.Or(p.MeanWork, h.cost) // guards against other categories being set against next to nothing
+	p.MeanWork += (h.cost - p.MeanWork) / 32
 	p.timed(h, took)
 	p.earnCold(now, s, h.cost)
 }
 
 // unheard tells whether a hand-off found its connection dead: something between dropped it while it was idle.
-func (p *Policy) unheard(now int64, h *handOff, o Outcome) bool {
-	if o != Reset && o != TimedOut && o != Recalled || h.gap < shortIdle || h.server.silentFrom > h.sentAt ||
-		h.server.most > p.set.Streams { // which of many connections it was is not known here
+func (p *Balancer) unheard(now int64, h *handOff, o Outcome) bool {
+	if o != OutcomeReset && o != OutcomeTimedOut && o != OutcomeCanceled || h.gap < shortIdle || h.server.silentFrom > h.sentAt ||
+		h.server.most > p.set.StreamsPerConnection { // which of many connections it was is not known here
 		return false
 	}
 	if !h.dead { // silence is counted before its end, or a node that comes by seldom learns it too late
 		h.dead = true
 		p.sawDead(now, h.gap)
-		if p.set.Streams > 1 { // else it ends with the hand-off, and opening others in vain may be what is slow
+		if p.set.StreamsPerConnection > 1 { // else it ends with the hand-off, and opening others in vain may be what is slow
 			p.release(h.server)
 		}
 	}
-	return o == Reset // silence may still be the server's own
+	return o == OutcomeReset // silence may still be the server's own
 }
 
 // mark judges a server, in one category, by one more end of a hand-off.
-func (p *Policy) mark(now int64, s *server, t *task, bad float64, o Outcome) {
-	st, part := &s.standing[t.Task.Category], learn
-	if bad == 0 || o == Error {
+func (p *Balancer) mark(now int64, s *server, t *task, bad float64, o Outcome) {
+	st, part := &s.standing[t.Request.Class], learn
+	if bad == 0 || o == OutcomeError {
 		part = max(learn, 1/(st.n+2)) // one seldom heard is judged by the little there is
 	}
 	st.n = min(st.n+1, 2/learn)
@@ -873,18 +873,18 @@
 }
 
 // lessWay takes off what answers from a zone take however little the work, or small tasks lock the zone out.
-func (p *Policy) lessWay(h *handOff, took float64) float64 {
-	way, met := p.Way[h.server.Zone]
+func (p *Balancer) lessWay(h *handOff, took float64) float64 {
+	way, met := p.ZoneDelay[h.server.Zone]
 	if !met {
 		way = took - h.cost
 	}
-	way = max(0, way+estimates.Step(took-h.cost >= way, p.MeanOf*learn, nearest))
-	p.Way[h.server.Zone] = way
+	way = max(0, way+estimates.QuantileStep(took-h.cost >= way, p.MeanWork*learn, nearest))
+	p.ZoneDelay[h.server.Zone] = way
 	return max(took-way, h.cost/4)
 }
 
 // timed learns from how long a hand-off took.
-func (p *Policy) timed(h *handOff, took float64) {
+func (p *Balancer) timed(h *handOff, took float64) {
 	if h.cost == 0 {
 		return
 	}
@@ -893,75 +893,75 @@
 	fleet, pod := p.Fleet.Level(), s.pod.Level()
 	p.Fleet.Add(min(unit, odd*fleet), crowd, 64)
 	s.pod.Add(min(unit/fleet, odd*pod), crowd, 2/learn)
-	s.Own.Add(unit/fleet/pod, crowd, 2/learn)
-	if !s.Known {
-		s.Known, s.High = true, 2*unit
+	s.Latency.Add(unit/fleet/pod, crowd, 2/learn)
+	if !s.HasLatency {
+		s.HasLatency, s.HighLatency = true, 2*unit
 	}
 	mean, _ := p.expect(s)
-	s.High = max(mean, s.High+estimates.Step(unit > s.High, mean*learn, highest))
+	s.HighLatency = max(mean, s.HighLatency+estimates.QuantileStep(unit > s.HighLatency, mean*learn, highest))
 }
 
 // age lets what was learned of a server that is no longer heard drift to what its fellows show.
-func (p *Policy) age(now int64) {
+func (p *Balancer) age(now int64) {
 	high, n := 0.0, 0.0
 	for _, s := range p.servers {
-		if s.State == Active && s.Known && !s.shunned(now) {
-			high, n = high+s.High, n+1
+		if s.State == StateActive && s.HasLatency && !s.shunned(now) {
+			high, n = high+s.HighLatency, n+1
 		}
 	}
-	p.High = cmp.Or(high/max(n, 1), p.High)
+	p.HighLatency = cmp.Or(high/max(n, 1), p.HighLatency)
 	for _, s := range p.servers {
-		s.High += (p.High - s.High) * learn * (1 - min(1, s.Own.N*learn))
-		s.Own.Fade(1 - learn)
+		s.HighLatency += (p.HighLatency - s.HighLatency) * learn * (1 - min(1, s.Latency.Weight*learn))
+		s.Latency.Decay(1 - learn)
 		for i := range s.standing {
 			s.standing[i].n *= 1 - learn
 			s.standing[i].told *= forget
 		}
 	}
-	if p.Fleet.Level() < jam || p.worst() > inNeed || !p.set.Utilised { // only where they tell how busy they are
+	if p.Fleet.Level() < jam || p.worst() > inNeed || !p.set.ReportsUtilization { // only where they tell how busy they are
 		p.jammed = 0
 	} else if p.jammed++; p.jammed == longJam { // what all depend on may recover only while it rests
 		p.restTo = now + restFor
 	}
-	p.Common.Age(1-learn, forget)
-	p.keys.Fade()
+	p.FleetEstimates.Decay(1-learn, forget)
+	p.keys.Decay()
 	p.rate += (float64(p.arrived) - p.rate) / 8
 	p.arrived = 0
-	p.idle.Age()
+	p.idle.Decay()
 	p.dues()
 	p.choose(now)
 	for i := range p.of {
-		p.of[i].Age()
+		p.of[i].Decay()
 	}
 }
 
 // sawDead takes a connection that was dead when used. Two in a row count, if none between lived as long.
-func (p *Policy) sawDead(now, gap int64) {
+func (p *Balancer) sawDead(now, gap int64) {
 	if p.idle.Died(gap) {
 		p.died(gap)
-		p.tell(now, &p.toldIdle, News{Idle: gap})
+		p.tell(now, &p.toldIdle, GossipMessage{IdleTime: gap})
 	}
 }
 
 // tell sends news, the same no more often than once a second.
-func (p *Policy) tell(now int64, last *int64, n News) {
-	if p.set.MayTell && now-*last >= recalculate {
+func (p *Balancer) tell(now int64, last *int64, n GossipMessage) {
+	if p.set.MayGossip && now-*last >= recalculate {
 		*last = now
-		p.host.Tell(n)
+		p.host.Gossip(n)
 	}
 }
 
 // died counts connections that died idle.
-func (p *Policy) died(gap int64) { p.idle.Believe(gap, p.set.MayTell, p.set.Nodes) }
+func (p *Balancer) died(gap int64) { p.idle.Confirm(gap, p.set.MayGossip, p.set.NodeCount) }
 
 // Told takes what another instance tells.
-func (p *Policy) Told(now int64, n News) {
-	s := p.byID[n.Server]
+func (p *Balancer) GossipReceived(now int64, n GossipMessage) {
+	s := p.byID[n.Endpoint]
 	switch {
-	case n.Idle >= shortIdle:
-		p.died(n.Idle)
-	case n.Idle == 0 && s != nil && s.State == Active && n.Category >= 0 && n.Category < len(p.of):
-		st := &s.standing[n.Category]
+	case n.IdleTime >= shortIdle:
+		p.died(n.IdleTime)
+	case n.IdleTime == 0 && s != nil && s.State == StateActive && n.Class >= 0 && n.Class < len(p.of):
+		st := &s.standing[n.Class]
 		// What this instance saw itself goes first; one voice is none, as a single error puts a server out there.
 		if st.told++; st.told >= voices && !st.unfit && (st.n < 1 || st.failing > failed/2) {
 			st.unfit, st.failing, st.retryAt = true, max(st.failing, 2*failed), now+recalculate
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -15,30 +15,30 @@
 
 // recorder is a host that notes what it is told, for the small tests of single failures.
 type recorder struct {
-	sent               []ServerID
+	sent               []EndpointID
 	waits              []int64
 	recalled           int
 	declined, brokeOff int
 	cookies            []uint64
-	released           []ServerID
-	told               []News
-	probed             []ServerID
+	released           []EndpointID
+	told               []GossipMessage
+	probed             []EndpointID
 	advice             int64
 }
 
-func (r *recorder) HandOff(_ TaskID, s ServerID, wait int64) {
+func (r *recorder) Send(_ RequestID, s EndpointID, wait int64) {
 	r.sent, r.waits = append(r.sent, s), append(r.waits, wait)
 }
-func (r *recorder) Recall(TaskID, int)             { r.recalled++ }
-func (r *recorder) Decline(_ TaskID, advice int64) { r.declined, r.advice = r.declined+1, advice }
-func (r *recorder) BreakOff(TaskID)                { r.brokeOff++ }
-func (r *recorder) WakeAt(_ int64, cookie uint64)  { r.cookies = append(r.cookies, cookie) }
-func (r *recorder) Subscribe()                     {}
-func (r *recorder) Release(s ServerID)             { r.released = append(r.released, s) }
-func (r *recorder) Tell(news News)                 { r.told = append(r.told, news) }
-func (r *recorder) Probe(s ServerID)               { r.probed = append(r.probed, s) }
-func (r *recorder) last() ServerID                 { return r.sent[len(r.sent)-1] }
-func (r *recorder) given(id ServerID) (count int) {
+func (r *recorder) Cancel(RequestID, int)            { r.recalled++ }
+func (r *recorder) Reject(_ RequestID, advice int64) { r.declined, r.advice = r.declined+1, advice }
+func (r *recorder) Fail(RequestID)                   { r.brokeOff++ }
+func (r *recorder) SetTimer(_ int64, cookie uint64)  { r.cookies = append(r.cookies, cookie) }
+func (r *recorder) WatchEndpoints()                  {}
+func (r *recorder) CloseIdle(s EndpointID)           { r.released = append(r.released, s) }
+func (r *recorder) Gossip(news GossipMessage)        { r.told = append(r.told, news) }
+func (r *recorder) CheckHealth(s EndpointID)         { r.probed = append(r.probed, s) }
+func (r *recorder) last() EndpointID                 { return r.sent[len(r.sent)-1] }
+func (r *recorder) given(id EndpointID) (count int) {
 	for _, s := range r.sent {
 		if s == id {
 			count++
@@ -49,7 +49,7 @@
 
 type bench struct {
 	*testing.T
-	*Policy
+	*Balancer
 	*recorder
 	now   int64
 	tasks int
@@ -57,35 +57,35 @@
 
 // fleet starts a module with so many servers and three categories: rerunnable, ticketed in a pod, exclusive.
 func fleet(t *testing.T, servers int, change func(*Settings)) *bench {
-	s := Settings{MaxHandOffs: 5, MayDuplicate: true, MayRecall: true, MayAdvise: true, MaxAdvice: 1e9,
-		ColdFrom: 0.1, WarmWithin: 2e10, Categories: []Category{
-			{SoftLimit: 500 * ms, Repeat: Rerunnable},
-			{SoftLimit: 500 * ms, Repeat: Ticketed, Group: SamePod, Memory: 1000 * ms},
-			{SoftLimit: 500 * ms, Repeat: Exclusive}}}
+	s := Settings{MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
+		SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10, Classes: []Class{
+			{LatencyObjective: 500 * ms, Idempotency: Idempotent},
+			{LatencyObjective: 500 * ms, Idempotency: IdempotentByKey, DedupGroup: DedupPod, DedupWindow: 1000 * ms},
+			{LatencyObjective: 500 * ms, Idempotency: NonIdempotent}}}
 	if change != nil {
 		change(&s)
 	}
 	r := &recorder{}
-	b := &bench{T: t, Policy: New(s, 1, r), recorder: r, now: 1e12}
-	var list []Listed
+	b := &bench{T: t, Balancer: New(s, 1, r), recorder: r, now: 1e12}
+	var list []EndpointInfo
 	for id := range servers {
-		list = append(list, Listed{Server: ServerID(id + 1), Pod: id / 2, Weight: 1})
+		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id / 2, Weight: 1})
 	}
-	b.ListLearned(b.now, list, true)
+	b.EndpointsUpdated(b.now, list, true)
 	return b
 }
 
-func (b *bench) arrive(category int) TaskID {
+func (b *bench) arrive(category int) RequestID {
 	b.tasks++
-	id := TaskID(fmt.Sprint(b.tasks))
-	b.TaskArrived(b.now, Task{ID: id, Category: category, HardLimit: b.now + 1000*ms})
+	id := RequestID(fmt.Sprint(b.tasks))
+	b.RequestArrived(b.now, Request{ID: id, Class: category, Deadline: b.now + 1000*ms})
 	return id
 }
 
-func (b *bench) end(id TaskID, number int, o Outcome, took int64) {
-	t := b.Policy.tasks[id]
-	b.HandOffAnswered(b.now, Answer{Task: id, Number: number, Server: t.handOffs[number].server.Server, Outcome: o,
-		Elapsed: took, Final: o == Satisfied, Report: Report{-1, -1, -1}})
+func (b *bench) end(id RequestID, number int, o Outcome, took int64) {
+	t := b.Balancer.tasks[id]
+	b.AttemptEnded(b.now, AttemptResult{Request: id, Attempt: number, Endpoint: t.handOffs[number].server.ID, Outcome: o,
+		Elapsed: took, RequestDone: o == OutcomeSucceeded, Report: LoadReport{-1, -1, -1}})
 }
 
 // allow is the time that a task with so much left may be predicted to take.
@@ -95,19 +95,19 @@
 }
 
 // serve plays rerunnable tasks one after another, each answered as its server does.
-func (b *bench) serve(tasks int, how func(ServerID) (Outcome, int64)) {
+func (b *bench) serve(tasks int, how func(EndpointID) (Outcome, int64)) {
 	for range tasks {
 		id := b.arrive(0)
-		for b.Policy.tasks[id] != nil {
+		for b.Balancer.tasks[id] != nil {
 			o, took := how(b.last())
 			b.now += took
-			b.end(id, len(b.Policy.tasks[id].handOffs)-1, o, took)
+			b.end(id, len(b.Balancer.tasks[id].handOffs)-1, o, took)
 		}
 		b.now += ms
 	}
 }
 
-func prompt(ServerID) (Outcome, int64) { return Satisfied, 40 * ms }
+func prompt(EndpointID) (Outcome, int64) { return OutcomeSucceeded, 40 * ms }
 
 // TestDrawFollowsTheFormula compares the draw's frequencies with shares worked by hand: for w of 1, 2 and 4
 // the sum is 7, x is 7, 3.5 and 1.75, and the shares are 4/7, 2/7 and 1/7.
@@ -133,15 +133,15 @@
 	s.hear(0, 0.2)
 	s.sends = 4
 	s.hear(1, 0.6)
-	if math.Abs(s.Drift-0.1) > 1e-9 {
-		t.Errorf("a rise of 0.4 over 4 hand-offs gives a drift of %g", s.Drift)
+	if math.Abs(s.RisePerSend-0.1) > 1e-9 {
+		t.Errorf("a rise of 0.4 over 4 hand-offs gives a drift of %g", s.RisePerSend)
 	}
 	s.sends = 4
-	if s.hear(2, 0.5); s.Drift != 0 {
-		t.Errorf("a falling load gives a drift of %g", s.Drift)
+	if s.hear(2, 0.5); s.RisePerSend != 0 {
+		t.Errorf("a falling load gives a drift of %g", s.RisePerSend)
 	}
-	if s.hear(3, 0.9); s.Drift != 0 {
-		t.Errorf("a rise over no hand-offs gives a drift of %g", s.Drift)
+	if s.hear(3, 0.9); s.RisePerSend != 0 {
+		t.Errorf("a rise over no hand-offs gives a drift of %g", s.RisePerSend)
 	}
 }
 
@@ -152,7 +152,7 @@
 	for range 4 {
 		id := b.arrive(2)
 		b.now += 480 * ms
-		b.end(id, 0, TimedOut, 480*ms)
+		b.end(id, 0, OutcomeTimedOut, 480*ms)
 	}
 	if after, _ := b.expect(b.byID[1]); after < 2*before {
 		t.Errorf("after four time-outs the server is expected at %.1f, before at %.1f", after, before)
@@ -161,12 +161,12 @@
 
 func TestFastFailingServerLeavesAndReturns(t *testing.T) {
 	b := fleet(t, 4, nil)
-	bad := ServerID(2)
-	how := func(s ServerID) (Outcome, int64) {
+	bad := EndpointID(2)
+	how := func(s EndpointID) (Outcome, int64) {
 		if s == bad {
-			return Error, ms
+			return OutcomeError, ms
 		}
-		return Satisfied, 40 * ms
+		return OutcomeSucceeded, 40 * ms
 	}
 	b.serve(100, how)
 	b.sent = nil
@@ -188,7 +188,7 @@
 func TestNobodyIsTheOddOneWhenAllFail(t *testing.T) {
 	b := fleet(t, 4, nil)
 	b.serve(20, prompt)
-	b.serve(60, func(ServerID) (Outcome, int64) { return Error, ms })
+	b.serve(60, func(EndpointID) (Outcome, int64) { return OutcomeError, ms })
 	unfit := 0
 	for _, s := range b.servers {
 		if s.standing[0].unfit {
@@ -213,13 +213,13 @@
 		t.Errorf("a server silent for ten answer times got %d more tasks", b.given(silent))
 	}
 	b.now += 80 * ms
-	b.end(id, 0, TimedOut, 480*ms)
+	b.end(id, 0, OutcomeTimedOut, 480*ms)
 	if b.brokeOff != 1 || b.declined != 0 {
 		t.Errorf("the exclusive task was declined %d and broken off %d times", b.declined, b.brokeOff)
 	}
 }
 
-func (b *bench) tick() { b.Woken(b.now, tickCookie) }
+func (b *bench) tick() { b.TimerFired(b.now, tickCookie) }
 
 func TestOverdueTaskGetsACopyAndItsServerIsNoted(t *testing.T) {
 	b := fleet(t, 3, nil)
@@ -227,25 +227,25 @@
 	b.tick()
 	id := b.arrive(0)
 	b.now += 200 * ms
-	b.Woken(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
-	task := b.Policy.tasks[id]
+	b.TimerFired(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
+	task := b.Balancer.tasks[id]
 	if task.open != 2 || task.handOffs[0].server == task.handOffs[1].server {
 		t.Fatalf("the overdue task has %d hand-offs out", task.open)
 	}
 	slow := task.handOffs[0].server
-	b.end(id, 1, Satisfied, 40*ms)
+	b.end(id, 1, OutcomeSucceeded, 40*ms)
 	if b.recalled != 1 {
 		t.Errorf("%d hand-offs were recalled after the copy's answer", b.recalled)
 	}
-	if b.end(id, 0, Recalled, 240*ms); slow.standing[0].failing == 0 {
+	if b.end(id, 0, OutcomeCanceled, 240*ms); slow.standing[0].failing == 0 {
 		t.Error("the overtaken server still looks as good as the others")
 	}
 }
 
 func TestLateCategoryGivesUpTimeForTheStarved(t *testing.T) {
 	b := fleet(t, 2, nil)
-	b.of[0].Fares, b.of[1].Fares = 0.2, 0.8
-	starved, other := &task{limit: b.now + 400*ms}, &task{Task: Task{Category: 1}, limit: b.now + 400*ms}
+	b.of[0].SuccessRate, b.of[1].SuccessRate = 0.2, 0.8
+	starved, other := &task{limit: b.now + 400*ms}, &task{Request: Request{Class: 1}, limit: b.now + 400*ms}
 	if got := b.allow(starved); got != 400*ms {
 		t.Errorf("the starved category may take %d", got)
 	}
@@ -256,12 +256,12 @@
 
 func TestCategoryNoLongerAskedForHoldsNobodyBack(t *testing.T) {
 	b := fleet(t, 2, nil)
-	b.of[0].Fares = 0.01
+	b.of[0].SuccessRate = 0.01
 	for range 40 {
 		b.now += recalculate
 		b.tick()
 	}
-	if got := b.allow(&task{Task: Task{Category: 1}, limit: b.now + 400*ms}); got < 380*ms {
+	if got := b.allow(&task{Request: Request{Class: 1}, limit: b.now + 400*ms}); got < 380*ms {
 		t.Errorf("another category may take %d of 400 ms", got)
 	}
 }
@@ -269,11 +269,11 @@
 func TestHeavyTasksDoNotShutOutTheOthers(t *testing.T) {
 	b := fleet(t, 3, nil)
 	n := 0
-	b.serve(600, func(ServerID) (Outcome, int64) {
+	b.serve(600, func(EndpointID) (Outcome, int64) {
 		if n++; n%12 == 0 {
-			return Satisfied, 490 * ms
+			return OutcomeSucceeded, 490 * ms
 		}
-		return Satisfied, 20 * ms
+		return OutcomeSucceeded, 20 * ms
 	})
 	if b.declined > 0 {
 		t.Errorf("%d of 600 tasks were declined on idle servers for the heavy ones among them", b.declined)
@@ -282,31 +282,31 @@
 
 func TestIdleNodeRelaxesItsBound(t *testing.T) {
 	b := fleet(t, 2, nil)
-	b.of[0].Spread = 5
+	b.of[0].LatencySpread = 5
 	for range 10 {
 		b.serve(1, prompt) // a task now and then must not keep the bound up while most are turned away
-		b.of[0].Away = 2
+		b.of[0].GivenUpCount = 2
 		b.now += recalculate
 		b.tick()
 	}
-	if b.of[0].Spread > 2.5 {
-		t.Errorf("the bound of an idle node is still %.1f of 5", b.of[0].Spread)
+	if b.of[0].LatencySpread > 2.5 {
+		t.Errorf("the bound of an idle node is still %.1f of 5", b.of[0].LatencySpread)
 	}
-	b.of[0].Spread = 3
+	b.of[0].LatencySpread = 3
 	for range 10 {
 		b.serve(1, prompt)
 		b.now += recalculate
 		b.tick()
 	}
-	if b.of[0].Spread < 2.5 {
-		t.Errorf("the bound of a node that mostly has nothing out fell to %.1f of 3", b.of[0].Spread)
+	if b.of[0].LatencySpread < 2.5 {
+		t.Errorf("the bound of a node that mostly has nothing out fell to %.1f of 3", b.of[0].LatencySpread)
 	}
 }
 
 func TestIdleServersAreMeasuredAgainAfterAJam(t *testing.T) {
 	b := fleet(t, 2, nil)
 	b.serve(40, prompt)
-	b.serve(40, func(ServerID) (Outcome, int64) { return Satisfied, 450 * ms })
+	b.serve(40, func(EndpointID) (Outcome, int64) { return OutcomeSucceeded, 450 * ms })
 	jammed, _ := b.expect(b.byID[1])
 	for range 20 {
 		b.now += recalculate
@@ -324,22 +324,22 @@
 func TestSilentServerDoesNotRaiseTheBoundForAll(t *testing.T) {
 	b := fleet(t, 3, nil)
 	b.serve(60, prompt)
-	before := b.of[2].Spread
+	before := b.of[2].LatencySpread
 	for range 5 {
 		id := b.arrive(2)
 		b.now += 480 * ms
-		b.end(id, 0, TimedOut, 480*ms)
+		b.end(id, 0, OutcomeTimedOut, 480*ms)
 	}
-	if b.of[2].Spread > before {
-		t.Errorf("the bound rose from %.2f to %.2f", before, b.of[2].Spread)
+	if b.of[2].LatencySpread > before {
+		t.Errorf("the bound rose from %.2f to %.2f", before, b.of[2].LatencySpread)
 	}
 }
 
 func TestListIsAskedForAgainWithGrowingWaits(t *testing.T) {
-	p := New(Settings{MustAsk: true, AskWithin: 10e9}, 1, &recorder{})
+	p := New(Settings{MustPollList: true, MaxPollInterval: 10e9}, 1, &recorder{})
 	last := int64(10e9 / 128)
 	for range 10 {
-		p.ListFailed(0)
+		p.WatchFailed(0)
 		if p.askWait != min(2*last, 125e7) {
 			t.Fatalf("waits %d after %d", p.askWait, last)
 		}
@@ -351,34 +351,34 @@
 	b := fleet(t, 3, nil)
 	b.serve(30, prompt)
 	b.sent = nil
-	b.serve(60, func(s ServerID) (Outcome, int64) {
+	b.serve(60, func(s EndpointID) (Outcome, int64) {
 		if s == 1 {
-			return Full, ms
+			return OutcomeRejected, ms
 		}
-		return Satisfied, 10 * ms
+		return OutcomeSucceeded, 10 * ms
 	})
 	if n := b.given(1); n > 8 {
 		t.Errorf("a full server was asked %d times during 60 tasks", n)
 	}
 	seldom := &server{pod: &ewma.Pair{}, standing: make([]standing, 3)}
 	h := &handOff{server: seldom, sentAt: b.now, open: true}
-	if b.judge(b.now, &task{}, h, Answer{Outcome: Unreached}); seldom.fullTill < b.now+recalculate/2 {
+	if b.judge(b.now, &task{}, h, AttemptResult{Outcome: OutcomeConnectFailed}); seldom.fullTill < b.now+recalculate/2 {
 		t.Errorf("a server not heard of late is asked again after %d ms", (seldom.fullTill-b.now)/ms)
 	}
 }
 
 func TestCustomerBeyondItsShareIsShedFirst(t *testing.T) {
-	b := fleet(t, 2, func(s *Settings) { s.Portions, s.OverShare = []float64{0.7, 0.3}, 0.2 })
+	b := fleet(t, 2, func(s *Settings) { s.TenantShares, s.OverQuotaFraction = []float64{0.7, 0.3}, 0.2 })
 	beyond := [2]int{}
 	for i := range 1000 { // both ask for as much
-		if b.shares.Beyond(i%2, false) {
+		if b.shares.Exceeded(i%2, false) {
 			beyond[i%2]++
 		}
 	}
 	if beyond[0] > 20 || beyond[1] < 150 {
 		t.Errorf("beyond their shares: %d of the one below it, %d of the one above", beyond[0], beyond[1])
 	}
-	b.of[0].Fares = 0.5
+	b.of[0].SuccessRate = 0.5
 	within, over := &task{limit: b.now + 400*ms}, &task{limit: b.now + 400*ms, beyond: true}
 	if w, o := b.allow(within), b.allow(over); w != 400*ms || o != 100*ms {
 		t.Errorf("with half turned away a task within may take %d, one beyond %d", w, o)
@@ -388,17 +388,17 @@
 func TestFellowsStandInForAServerSeldomHeard(t *testing.T) {
 	b := fleet(t, 100, nil)
 	b.serve(40, prompt)
-	b.serve(40, func(s ServerID) (Outcome, int64) {
+	b.serve(40, func(s EndpointID) (Outcome, int64) {
 		if s <= 20 {
-			return TimedOut, 450 * ms
+			return OutcomeTimedOut, 450 * ms
 		}
-		return Satisfied, 40 * ms
+		return OutcomeSucceeded, 40 * ms
 	})
-	if unit, _ := b.Fleet.Over(1, 0); unit > 3 {
+	if unit, _ := b.Fleet.Means(1, 0); unit > 3 {
 		t.Errorf("one server in five times out and the whole fleet is expected at %.1f", unit)
 	}
-	b.serve(60, func(ServerID) (Outcome, int64) { return TimedOut, 450 * ms })
-	unheard := &server{Listed: Listed{Server: 101}, pod: &ewma.Pair{}}
+	b.serve(60, func(EndpointID) (Outcome, int64) { return OutcomeTimedOut, 450 * ms })
+	unheard := &server{EndpointInfo: EndpointInfo{ID: 101}, pod: &ewma.Pair{}}
 	if unit, _ := b.expect(unheard); unit < 5 {
 		t.Errorf("nearly all time out and a server not heard yet is expected at %.1f", unit)
 	}
@@ -415,7 +415,7 @@
 	b := fleet(t, 100, nil)
 	b.serve(40, prompt)
 	b.sent = nil
-	b.serve(60, func(ServerID) (Outcome, int64) { return Full, ms })
+	b.serve(60, func(EndpointID) (Outcome, int64) { return OutcomeRejected, ms })
 	if len(b.sent) > 120 {
 		t.Errorf("%d hand-offs for 60 tasks while every server is full", len(b.sent))
 	}
@@ -426,8 +426,8 @@
 	b.serve(20, prompt)
 	id := b.arrive(2)
 	s := b.byID[b.last()]
-	s.Own, s.standing[2] = ewma.Pair{}, standing{}
-	if b.end(id, 0, Error, ms); !s.standing[2].unfit {
+	s.Latency, s.standing[2] = ewma.Pair{}, standing{}
+	if b.end(id, 0, OutcomeError, ms); !s.standing[2].unfit {
 		t.Errorf("its failing part is taken for %.2f", s.standing[2].failing)
 	}
 }
@@ -437,7 +437,7 @@
 	for seed := range uint64(400) {
 		b := fleet(t, 20, nil)
 		b.draws = rand.New(rand.NewPCG(seed, 977))
-		b.ListLearned(b.now, []Listed{{Server: 21, Weight: 1, Started: b.now - 4e9}}, false)
+		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 21, Weight: 1, StartedAt: b.now - 4e9}}, false)
 		b.serve(8, prompt)
 		given += b.given(21)
 		most += 8 * 0.28 / 20 // what it surely can do four of twenty seconds after its start
@@ -449,11 +449,11 @@
 
 func TestSlowServerWithAlikeReportsGetsLittle(t *testing.T) {
 	b := fleet(t, 4, nil)
-	b.serve(400, func(s ServerID) (Outcome, int64) {
+	b.serve(400, func(s EndpointID) (Outcome, int64) {
 		if s == 1 {
-			return Satisfied, 120 * ms
+			return OutcomeSucceeded, 120 * ms
 		}
-		return Satisfied, 40 * ms
+		return OutcomeSucceeded, 40 * ms
 	})
 	if n := b.given(1); n > 40 {
 		t.Errorf("a server three times as slow got %d of 400 hand-offs, by speed it would be 40", n)
@@ -463,17 +463,17 @@
 // Guards against the way to another zone, the same for any task, being taken for slowness in proportion to the work.
 func TestWayToAnotherZoneIsNotTakenForSlowness(t *testing.T) {
 	b := fleet(t, 0, nil)
-	b.ListLearned(b.now, []Listed{{Server: 1, Zone: 1, Weight: 1}, {Server: 2, Zone: 1, Weight: 1}}, true)
+	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, Zone: 1, Weight: 1}, {ID: 2, Zone: 1, Weight: 1}}, true)
 	answered := func(cost, took int64, fresh bool) {
 		b.tasks++
-		id := TaskID(fmt.Sprint(b.tasks))
-		b.TaskArrived(b.now, Task{ID: id, HardLimit: b.now + 1000*ms, Cost: cost})
-		if b.Policy.tasks[id] == nil {
+		id := RequestID(fmt.Sprint(b.tasks))
+		b.RequestArrived(b.now, Request{ID: id, Deadline: b.now + 1000*ms, CostHint: cost})
+		if b.Balancer.tasks[id] == nil {
 			t.Fatalf("task %d of %d ms was given up beside idle servers", b.tasks, cost/ms)
 		}
 		b.now += took
-		b.HandOffAnswered(b.now, Answer{Task: id, Server: b.last(), Outcome: Satisfied, Elapsed: took, Fresh: fresh,
-			Report: Report{-1, -1, -1}})
+		b.AttemptEnded(b.now, AttemptResult{Request: id, Endpoint: b.last(), Outcome: OutcomeSucceeded, Elapsed: took, NewConnection: fresh,
+			Report: LoadReport{-1, -1, -1}})
 	}
 	answered(20*ms, 95*ms, true)
 	for range 50 {
@@ -484,8 +484,8 @@
 		if got := b.predict(s, float64(20*ms)); got < 25*ms || got > 50*ms {
 			t.Errorf("20 ms of work 15 ms away are expected to take %d ms", got/ms)
 		}
-		if s.High > 4 {
-			t.Errorf("its high quantile is %.1f times the work", s.High)
+		if s.HighLatency > 4 {
+			t.Errorf("its high quantile is %.1f times the work", s.HighLatency)
 		}
 	}
 }
@@ -495,9 +495,9 @@
 	b := fleet(t, 4, nil)
 	b.serve(100, prompt)
 	for _, s := range b.servers {
-		s.standing[2] = standing{unfit: s.Server > 1, failing: 0.3, retryAt: b.now + int64(1e9)}
+		s.standing[2] = standing{unfit: s.ID > 1, failing: 0.3, retryAt: b.now + int64(1e9)}
 	}
-	b.byID[1].State = Draining
+	b.byID[1].State = StateDraining
 	b.sent = nil
 	for range 3 {
 		b.arrive(2)
@@ -508,14 +508,14 @@
 	if b.arrive(2); b.declined != 1 {
 		t.Error("an unfit server was given a second task while it had one")
 	}
-	b.byID[1].State, b.sent = Active, nil
+	b.byID[1].State, b.sent = StateActive, nil
 	if b.arrive(2); b.given(1) != 1 {
 		t.Errorf("with a fit server a task went to %v", b.sent)
 	}
 	for _, s := range b.servers {
-		s.out, s.Own.N = 0, 1
+		s.out, s.Latency.Weight = 0, 1
 	}
-	b.byID[1].State, b.sent = Draining, nil
+	b.byID[1].State, b.sent = StateDraining, nil
 	if b.arrive(2); len(b.sent) != 0 {
 		t.Error("a server seldom heard, whose state nobody here knows, was tried")
 	}
@@ -529,7 +529,7 @@
 		before, _ := b.expect(b.byID[1])
 		for range 8 {
 			id := b.arrive(2)
-			b.HandOffAnswered(b.now, Answer{Task: id, Server: 1, Outcome: Full, Elapsed: ms, Report: Report{-1, queue, -1}})
+			b.AttemptEnded(b.now, AttemptResult{Request: id, Endpoint: 1, Outcome: OutcomeRejected, Elapsed: ms, Report: LoadReport{-1, queue, -1}})
 			b.now = b.byID[1].fullTill
 		}
 		if after, _ := b.expect(b.byID[1]); (after > 2*before) != late {
@@ -543,27 +543,27 @@
 func TestAMomentsStillnessDeclinesNothing(t *testing.T) {
 	q := &quiet{}
 	set := benchSettings
-	set.Tick = 2 * ms
+	set.ClockResolution = 2 * ms
 	p := New(set, 1, q)
 	now := int64(1e12)
-	p.ListLearned(now, listOf(2), true)
+	p.EndpointsUpdated(now, listOf(2), true)
 	for i := range 100 {
-		id := TaskID(fmt.Sprint("warm", i))
-		p.TaskArrived(now, Task{ID: id, HardLimit: now + 900*ms})
+		id := RequestID(fmt.Sprint("warm", i))
+		p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms})
 		now += ms / 20
-		p.HandOffAnswered(now, Answer{Task: id, Server: q.server, Outcome: Satisfied, Elapsed: ms / 20, Final: true})
+		p.AttemptEnded(now, AttemptResult{Request: id, Endpoint: q.server, Outcome: OutcomeSucceeded, Elapsed: ms / 20, RequestDone: true})
 	}
 	for i := range 8 {
-		p.TaskArrived(now, Task{ID: TaskID(fmt.Sprint("out", i)), HardLimit: now + 900*ms})
+		p.RequestArrived(now, Request{ID: RequestID(fmt.Sprint("out", i)), Deadline: now + 900*ms})
 	}
 	now += 6 * ms
 	q.sent = false
-	if p.TaskArrived(now, Task{ID: "next", HardLimit: now + 900*ms}); !q.sent {
+	if p.RequestArrived(now, Request{ID: "next", Deadline: now + 900*ms}); !q.sent {
 		t.Error("declined after 6 ms of stillness, three ticks of the clock")
 	}
 	now += 60 * ms
 	q.sent = false
-	if p.TaskArrived(now, Task{ID: "later", HardLimit: now + 900*ms}); q.sent {
+	if p.RequestArrived(now, Request{ID: "later", Deadline: now + 900*ms}); q.sent {
 		t.Error("sent to servers that were silent for 66 ms and answer in 0.05")
 	}
 }
@@ -572,20 +572,20 @@
 func TestWhatEarnsLittleGivesUpTimeInNeed(t *testing.T) {
 	for worst, kept := range map[float64]int64{0.2: 225, 0.4: 400} { // of 400 ms, with half turned away
 		b := fleet(t, 2, func(s *Settings) {
-			s.WorstCategory, s.EarnsByWork = worst, true
-			s.Categories[0].Earnings, s.Categories[1].Earnings, s.Categories[2].Earnings = 1, 4, 64
+			s.WorstClassWeight, s.WeightByWork = worst, true
+			s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight, s.Classes[2].PriorityWeight = 1, 4, 64
 		})
 		b.tick()
 		if got := b.allow(&task{limit: b.now + 400*ms}); got != 400*ms {
 			t.Errorf("with nothing turned away it may take %d of 400 ms", got/ms)
 		}
 		for i := range b.of {
-			b.of[i].Fares = 0.5
+			b.of[i].SuccessRate = 0.5
 		}
 		if got := b.allow(&task{limit: b.now + 400*ms}); got/ms != kept {
 			t.Errorf("where the worst weighs %g it may take %d ms, want %d", worst, got/ms, kept)
 		}
-		if got := b.allow(&task{Task: Task{Category: 2}, limit: b.now + 400*ms}); got != 400*ms {
+		if got := b.allow(&task{Request: Request{Class: 2}, limit: b.now + 400*ms}); got != 400*ms {
 			t.Errorf("what earns most may take %d of 400 ms", got/ms)
 		}
 	}
@@ -594,19 +594,19 @@
 // Guards against a task whose body still comes being judged as a slow server's, counted as its crowd, or sent again when
 // part of its body is held no more.
 func TestTaskWhoseBodyStillComes(t *testing.T) {
-	for category, repeat := range []Repeat{Rerunnable, Ticketed, Exclusive} {
-		for _, o := range []Outcome{Unreached, Error} {
+	for category, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
+		for _, o := range []Outcome{OutcomeConnectFailed, OutcomeError} {
 			b := fleet(t, 4, nil)
 			b.serve(40, prompt)
 			b.recorder.cookies = nil
-			b.TaskArrived(b.now, Task{ID: "long", Category: category, HardLimit: b.now + 1000*ms, Flows: true})
+			b.RequestArrived(b.now, Request{ID: "long", Class: category, Deadline: b.now + 1000*ms, StreamingBody: true})
 			s := b.byID[b.last()]
 			if len(b.recorder.cookies) != 0 || s.out != 0 {
 				t.Errorf("%d timers wait for it, %d out at its server", len(b.recorder.cookies), s.out)
 			}
 			sent := len(b.sent)
-			b.HandOffAnswered(b.now+ms, Answer{Task: "long", Server: s.Server, Outcome: o, Spent: true, Report: Report{-1, -1, -1}})
-			declined := repeat == Rerunnable || o == Unreached
+			b.AttemptEnded(b.now+ms, AttemptResult{Request: "long", Endpoint: s.ID, Outcome: o, BodyConsumed: true, Report: LoadReport{-1, -1, -1}})
+			declined := repeat == Idempotent || o == OutcomeConnectFailed
 			if len(b.sent) != sent || s.out != 0 || (b.declined == 1) != declined || (b.brokeOff == 1) == declined {
 				t.Errorf("repeat %d, outcome %d: %d more hand-offs, %d out, %d declined, %d broken off", repeat, o, len(b.sent)-sent, s.out, b.declined, b.brokeOff)
 			}
@@ -617,19 +617,19 @@
 // A new instance predicts as the one before did, and does not take a restarted server for the old one.
 func TestInheritance(t *testing.T) {
 	b := fleet(t, 4, nil)
-	b.serve(200, func(s ServerID) (Outcome, int64) { return Satisfied, int64(s) * 20 * ms })
-	text, err := json.Marshal(b.Learned())
+	b.serve(200, func(s EndpointID) (Outcome, int64) { return OutcomeSucceeded, int64(s) * 20 * ms })
+	text, err := json.Marshal(b.Estimates())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all estimates.All
-	if err := json.Unmarshal(text, &all); err != nil || !all.Sound(3) {
-		t.Fatalf("%v, sound %t", err, all.Sound(3))
+	var all estimates.Snapshot
+	if err := json.Unmarshal(text, &all); err != nil || !all.Valid(3) {
+		t.Fatalf("%v, sound %t", err, all.Valid(3))
 	}
 	next := fleet(t, 4, nil)
-	next.ListLearned(next.now, []Listed{{Server: 4, Pod: 1, Weight: 1, Started: 1}}, false)
+	next.EndpointsUpdated(next.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: 1}}, false)
 	next.Inherit(&all)
-	for id := ServerID(1); id <= 4; id++ {
+	for id := EndpointID(1); id <= 4; id++ {
 		was, is := b.predict(b.byID[id], 1e8), next.predict(next.byID[id], 1e8)
 		if (was == is) != (id != 4) {
 			t.Errorf("server %d: predicted %d by the one before, %d by the next", id, was, is)
@@ -643,25 +643,25 @@
 	bound := 0.0
 	earned := func(own ewma.Pair) float64 {
 		b := fleet(t, 4, nil)
-		b.ListLearned(b.now, []Listed{{Server: 4, Pod: 1, Weight: 1, Started: b.now}}, false)
+		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: b.now}}, false)
 		b.now += 5e9
-		b.ListLearned(b.now, nil, false)
+		b.EndpointsUpdated(b.now, nil, false)
 		b.serve(1, prompt) // so that the cost of a task is known
 		s := b.byID[4]
-		s.credit, s.Own = 0, own
-		b.earnCold(b.now, b.byID[1], b.MeanOf)
+		s.credit, s.Latency = 0, own
+		b.earnCold(b.now, b.byID[1], b.MeanWork)
 		bound = 2 * b.cold(b.now, s) / 3 // of the even part of three warm ones
 		return s.credit
 	}
 	sure := earned(ewma.Pair{})
-	quick := earned(ewma.Pair{A: 12, B: 0, N: 24})
-	if slow := earned(ewma.Pair{A: 240, B: 0, N: 24}); sure <= 0 || slow != sure {
+	quick := earned(ewma.Pair{A: 12, B: 0, Weight: 24})
+	if slow := earned(ewma.Pair{A: 240, B: 0, Weight: 24}); sure <= 0 || slow != sure {
 		t.Errorf("earns %g where nothing is known, %g where its answers are slow", sure, slow)
 	}
 	if quick <= 1.5*sure || quick > bound+1e-9 {
 		t.Errorf("earns %g where its answers are quick, %g where nothing is known, bound %g", quick, sure, bound)
 	}
-	if few := earned(ewma.Pair{A: 0.5, B: 0, N: 1}); few != sure {
+	if few := earned(ewma.Pair{A: 0.5, B: 0, Weight: 1}); few != sure {
 		t.Errorf("earns %g by a single answer, %g without", few, sure)
 	}
 }
@@ -669,17 +669,17 @@
 // Guards against each of many nodes gathering a key at servers of its own, so that nobody saves work.
 func TestNodesAgreeOnAKeysHome(t *testing.T) {
 	const keys = 40
-	at := map[string]map[ServerID]int{}
+	at := map[string]map[EndpointID]int{}
 	for node := range 5 {
-		b := fleet(t, 12, func(s *Settings) { s.WarmKeys, s.Position, s.Nodes = true, node, 5 })
+		b := fleet(t, 12, func(s *Settings) { s.KeyAffinity, s.NodeIndex, s.NodeCount = true, node, 5 })
 		for i := range 3 * keys {
 			key := fmt.Sprint(i % keys)
-			b.TaskArrived(b.now, Task{ID: TaskID(fmt.Sprint(i)), HardLimit: b.now + 1000*ms, Key: key})
+			b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: b.now + 1000*ms, Key: key})
 			if at[key] == nil {
-				at[key] = map[ServerID]int{}
+				at[key] = map[EndpointID]int{}
 			}
 			at[key][b.last()]++
-			b.end(TaskID(fmt.Sprint(i)), 0, Satisfied, 40*ms)
+			b.end(RequestID(fmt.Sprint(i)), 0, OutcomeSucceeded, 40*ms)
 			b.now += 40 * ms
 		}
 	}
@@ -698,14 +698,14 @@
 
 // Guards against a home that is cold, unfit or jammed getting its keys' tasks all the same.
 func TestAKeyLeavesAHomeThatIsNoUse(t *testing.T) {
-	b := fleet(t, 8, func(s *Settings) { s.WarmKeys, s.Categories[0].SoftLimit = true, 200*ms })
+	b := fleet(t, 8, func(s *Settings) { s.KeyAffinity, s.Classes[0].LatencyObjective = true, 200*ms })
 	b.serve(40, prompt)
 	for i := range 200 {
-		b.keys.Ask(fmt.Sprint("another", i), 8)
+		b.keys.Observe(fmt.Sprint("another", i), 8)
 	}
-	ask := func() ServerID {
+	ask := func() EndpointID {
 		b.tasks++
-		b.TaskArrived(b.now, Task{ID: TaskID(fmt.Sprint(b.tasks)), HardLimit: b.now + 1000*ms, Key: "k"})
+		b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(b.tasks)), Deadline: b.now + 1000*ms, Key: "k"})
 		return b.last()
 	}
 	home := ask()
@@ -718,8 +718,8 @@
 	if n := b.byID[home].out; n > 8 {
 		t.Errorf("%d out at the home, 7 elsewhere stand idle", n)
 	}
-	b.ListLearned(b.now, []Listed{{Server: home, Pod: 9, Started: b.now}}, false)
-	if ask(); len(b.homes) == 0 || b.homes[0].Server == home {
+	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: home, Pod: 9, StartedAt: b.now}}, false)
+	if ask(); len(b.homes) == 0 || b.homes[0].ID == home {
 		t.Error("a cold server is a home, and nodes do not agree on the next")
 	}
 }
@@ -727,11 +727,11 @@
 // Guards against a list that says too much: where being left out binds nothing, who still answers is still used.
 func TestGoneServersServeUntilTheyFail(t *testing.T) {
 	for _, keep := range []bool{false, true} {
-		b := fleet(t, 3, func(s *Settings) { s.GoneMayServe = keep })
+		b := fleet(t, 3, func(s *Settings) { s.RemovedMayServe = keep })
 		b.serve(20, prompt)
-		b.ListLearned(b.now, []Listed{{Server: 1, State: Draining}}, false)
-		b.ListLearned(b.now, []Listed{{Server: 1, State: Gone}, {Server: 2, State: Gone}}, false)
-		b.ListLearned(b.now, nil, true)
+		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, State: StateDraining}}, false)
+		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, State: StateRemoved}, {ID: 2, State: StateRemoved}}, false)
+		b.EndpointsUpdated(b.now, nil, true)
 		b.sent = nil
 		b.serve(30, prompt)
 		if b.given(1) > 0 || b.given(2)+b.given(3) > 0 != keep {
@@ -742,7 +742,7 @@
 		}
 		id := b.arrive(0)
 		failing := b.last()
-		b.end(id, 0, Unreached, ms)
+		b.end(id, 0, OutcomeConnectFailed, ms)
 		b.sent = nil
 		if b.serve(30, prompt); b.given(failing) > 0 {
 			t.Error("one that the list lacks and that failed is used on")
@@ -754,15 +754,15 @@
 // their tasks out among those few, whatever these can do.
 func TestTheFirstServersBackAreNotPushedOver(t *testing.T) {
 	gained := func(nodes int) float64 {
-		b := fleet(t, 0, func(s *Settings) { s.Nodes, s.WarmWithin, s.ColdFrom = nodes, 20e9, 0.2 })
-		for id := ServerID(1); id <= 4; id++ {
-			b.ListLearned(b.now, []Listed{{Server: id, Weight: 1, Started: b.now}}, false)
+		b := fleet(t, 0, func(s *Settings) { s.NodeCount, s.SlowStartWindow, s.SlowStartMinCapacity = nodes, 20e9, 0.2 })
+		for id := EndpointID(1); id <= 4; id++ {
+			b.EndpointsUpdated(b.now, []EndpointInfo{{ID: id, Weight: 1, StartedAt: b.now}}, false)
 		}
 		sum := 0.0
 		for i := range 200 { // ten a second, that all get nothing
 			s := b.byID[1]
 			s.credit = 0
-			b.TaskArrived(b.now, Task{ID: TaskID(fmt.Sprint(i)), HardLimit: b.now + 1})
+			b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: b.now + 1})
 			if sum += s.credit; i == 0 && s.credit > 0.25 {
 				t.Errorf("%g by one task", s.credit)
 			}
@@ -783,17 +783,17 @@
 
 // Guards against the first warm servers bearing all, and the cold ones starving as those fail: where few are warm arrivals count.
 func TestColdServersDoNotStarveBesideAFewWarm(t *testing.T) {
-	for _, warm := range []ServerID{1, 5} {
-		b := fleet(t, int(warm), func(s *Settings) { s.Nodes = 1 })
+	for _, warm := range []EndpointID{1, 5} {
+		b := fleet(t, int(warm), func(s *Settings) { s.NodeCount = 1 })
 		for id := warm + 1; id <= 8; id++ {
-			b.ListLearned(b.now, []Listed{{Server: id, Weight: 1, Started: b.now}}, false)
+			b.EndpointsUpdated(b.now, []EndpointInfo{{ID: id, Weight: 1, StartedAt: b.now}}, false)
 		}
 		b.now += 5e9
-		b.ListLearned(b.now, nil, false)
+		b.EndpointsUpdated(b.now, nil, false)
 		s, arrival, answer := b.byID[8], 0.0, 0.0
 		for i := range 10 {
 			s.credit = 0
-			b.TaskArrived(b.now, Task{ID: TaskID(fmt.Sprint(i)), HardLimit: b.now + 1})
+			b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: b.now + 1})
 			b.now += 50 * ms
 			arrival += s.credit
 		}
--- a/policy/return_test.go
+++ b/policy/return_test.go
@@ -82,8 +82,8 @@
 // worldNode is the host of one instance.
 type worldNode struct {
 	*smallWorld
-	p     *Policy
-	asked map[TaskID]*asking
+	p     *Balancer
+	asked map[RequestID]*asking
 }
 
 type asking struct {
@@ -91,21 +91,21 @@
 	since, hardLimit          int64
 	handOffs                  []*job
 	sentAt                    []int64
-	to                        []ServerID
+	to                        []EndpointID
 }
 
 func (n *worldNode) ask(a *asking) {
-	id := TaskID(fmt.Sprint(n.Uint64()))
+	id := RequestID(fmt.Sprint(n.Uint64()))
 	a.hardLimit, a.tries = n.now+1000*ms, a.tries+1
 	a.handOffs, a.sentAt, a.to = nil, nil, nil
 	n.asked[id] = a
-	n.p.TaskArrived(n.now, Task{ID: id, Category: a.category, Customer: a.customer, HardLimit: a.hardLimit, Repeated: a.tries > 1})
+	n.p.RequestArrived(n.now, Request{ID: id, Class: a.category, Tenant: a.customer, Deadline: a.hardLimit, ClientRetry: a.tries > 1})
 }
 
-func (n *worldNode) end(id TaskID, number int, o Outcome) {
+func (n *worldNode) end(id RequestID, number int, o Outcome) {
 	a := n.asked[id]
 	final := a == nil
-	if o == Satisfied && !final {
+	if o == OutcomeSucceeded && !final {
 		if delete(n.asked, id); n.now-a.since <= softAt {
 			n.good[n.second(a.since)]++
 		}
@@ -116,11 +116,11 @@
 		return
 	}
 	h := t.handOffs[number]
-	n.p.HandOffAnswered(n.now, Answer{Task: id, Number: number, Server: h.server.Server, Outcome: o, Elapsed: n.now - h.sentAt,
-		Final: final, Report: Report{-1, -1, -1}})
+	n.p.AttemptEnded(n.now, AttemptResult{Request: id, Attempt: number, Endpoint: h.server.ID, Outcome: o, Elapsed: n.now - h.sentAt,
+		RequestDone: final, Report: LoadReport{-1, -1, -1}})
 }
 
-func (n *worldNode) HandOff(id TaskID, to ServerID, timeOut int64) {
+func (n *worldNode) Send(id RequestID, to EndpointID, timeOut int64) {
 	a, s := n.asked[id], n.shops[to-1]
 	number, j := len(a.handOffs), &job{work: int64(n.ExpFloat64() * float64(workMean))}
 	s.sent[n.second(n.now)] += j.work
@@ -128,11 +128,11 @@
 		j.work += n.waits(a.category, a.customer)
 	}
 	a.handOffs = append(a.handOffs, j)
-	j.done = func() { j.gone = true; n.end(id, number, Satisfied) }
+	j.done = func() { j.gone = true; n.end(id, number, OutcomeSucceeded) }
 	n.in(timeOut, func() {
 		if !j.gone {
 			j.gone = true
-			n.end(id, number, TimedOut)
+			n.end(id, number, OutcomeTimedOut)
 		}
 	})
 	switch {
@@ -142,32 +142,32 @@
 		s.queue = append(s.queue, j)
 	default:
 		j.gone = true
-		n.in(ms, func() { n.end(id, number, Full) })
+		n.in(ms, func() { n.end(id, number, OutcomeRejected) })
 	}
 }
 
-func (n *worldNode) Recall(id TaskID, number int) {
+func (n *worldNode) Cancel(id RequestID, number int) {
 	if a := n.asked[id]; a != nil && !a.handOffs[number].gone {
 		a.handOffs[number].gone = true
-		n.in(0, func() { n.end(id, number, Recalled) })
+		n.in(0, func() { n.end(id, number, OutcomeCanceled) })
 	}
 }
 
-func (n *worldNode) Decline(id TaskID, _ int64) {
+func (n *worldNode) Reject(id RequestID, _ int64) {
 	a := n.asked[id]
 	if delete(n.asked, id); a.tries < 3 {
 		n.in(ms, func() { n.ask(a) })
 	}
 }
 
-func (n *worldNode) BreakOff(id TaskID) { delete(n.asked, id) }
-func (n *worldNode) WakeAt(at int64, cookie uint64) {
-	n.in(max(at-n.now, 1), func() { n.p.Woken(n.now, cookie) })
+func (n *worldNode) Fail(id RequestID) { delete(n.asked, id) }
+func (n *worldNode) SetTimer(at int64, cookie uint64) {
+	n.in(max(at-n.now, 1), func() { n.p.TimerFired(n.now, cookie) })
 }
-func (n *worldNode) Subscribe()       {}
-func (n *worldNode) Release(ServerID) {}
-func (n *worldNode) Probe(ServerID)   {}
-func (n *worldNode) Tell(News)        {}
+func (n *worldNode) WatchEndpoints()        {}
+func (n *worldNode) CloseIdle(EndpointID)   {}
+func (n *worldNode) CheckHealth(EndpointID) {}
+func (n *worldNode) Gossip(GossipMessage)   {}
 
 // arrive has tasks come to a node, a second kind of either sort among four.
 func (n *worldNode) arrive(every int64) {
@@ -180,24 +180,24 @@
 func playReturn(nodes int, waits func(category, customer int) int64) *smallWorld {
 	const servers, rate = 12, 1500
 	w := &smallWorld{Rand: rand.New(rand.NewPCG(7, uint64(nodes))), now: worldStart, waits: waits}
-	var list []Listed
+	var list []EndpointInfo
 	for id := range servers {
 		w.shops = append(w.shops, &shop{})
-		list = append(list, Listed{Server: ServerID(id + 1), Pod: id / 3, Weight: 1})
+		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id / 3, Weight: 1})
 	}
 	for at := range nodes {
-		n := &worldNode{smallWorld: w, asked: map[TaskID]*asking{}}
-		n.p = New(Settings{Categories: []Category{{SoftLimit: softAt, Repeat: Rerunnable, Earnings: 1}, {SoftLimit: softAt, Repeat: Rerunnable, Earnings: 1}},
-			Portions: []float64{0.75, 0.25}, MaxHandOffs: 3, MayRecall: true, MayAdvise: true, ColdFrom: 0.2, WarmWithin: 2e10, Position: at,
-			Nodes: nodes, Tick: 2 * ms}, uint64(at), n)
+		n := &worldNode{smallWorld: w, asked: map[RequestID]*asking{}}
+		n.p = New(Settings{Classes: []Class{{LatencyObjective: softAt, Idempotency: Idempotent, PriorityWeight: 1}, {LatencyObjective: softAt, Idempotency: Idempotent, PriorityWeight: 1}},
+			TenantShares: []float64{0.75, 0.25}, MaxAttempts: 3, MayCancel: true, MaySetRetryAfter: true, SlowStartMinCapacity: 0.2, SlowStartWindow: 2e10, NodeIndex: at,
+			NodeCount: nodes, ClockResolution: 2 * ms}, uint64(at), n)
 		w.nodes = append(w.nodes, n)
-		n.p.ListLearned(w.now, list, true)
+		n.p.EndpointsUpdated(w.now, list, true)
 		w.in(int64(w.Float64()*1e9), func() { n.arrive(int64(nodes) * 1e9 / rate) })
 	}
 	w.in(endsAt*1e9, func() { // one starts anew as the trouble ends
-		list[coldPlace-1].Started = w.now
+		list[coldPlace-1].StartedAt = w.now
 		for _, n := range w.nodes {
-			n.p.ListLearned(w.now, list[coldPlace-1:coldPlace], false)
+			n.p.EndpointsUpdated(w.now, list[coldPlace-1:coldPlace], false)
 		}
 	})
 	for len(w.agenda) > 0 && w.agenda[0].at < worldStart+lastsFor*1e9 {
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -19,15 +19,15 @@
 	for name, spoil := range map[string]func(s *server, i int, now int64){
 		"just turned away": func(s *server, i int, now int64) { s.fullTill = now + ms },
 		"unfit":            func(s *server, i int, now int64) { s.standing[0], s.out = standing{unfit: true, retryAt: now + ms}, 1 },
-		"too late":         func(s *server, i int, now int64) { s.Own.A, s.Own.N = 1e6, 20 },
-		"cold":             func(s *server, i int, now int64) { s.Started, s.credit = now, 0 },
-		"silent":           func(s *server, i int, now int64) { s.out, s.Known, s.silentFrom = 1, true, now-1e9 },
+		"too late":         func(s *server, i int, now int64) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
+		"cold":             func(s *server, i int, now int64) { s.StartedAt, s.credit = now, 0 },
+		"silent":           func(s *server, i int, now int64) { s.out, s.HasLatency, s.silentFrom = 1, true, now-1e9 },
 	} {
 		for _, fit := range []int{0, 1} {
 			p := New(benchSettings, 1, &quiet{})
 			now := int64(1e12)
-			p.ListLearned(now, listOf(4096), true)
-			p.MeanOf, p.High = 5e6, 2
+			p.EndpointsUpdated(now, listOf(4096), true)
+			p.MeanWork, p.HighLatency = 5e6, 2
 			for i, s := range p.servers {
 				if i >= fit {
 					spoil(s, i, now)
@@ -54,17 +54,17 @@
 	p := New(set, 1, q)
 	now := int64(1e12)
 	list := listOf(2 * n)
-	p.ListLearned(now, list[:n], true)
+	p.EndpointsUpdated(now, list[:n], true)
 	type out struct {
-		id     TaskID
-		server ServerID
+		id     RequestID
+		server EndpointID
 	}
 	var outs []out
 	arrive := func(count int) (sent int) {
 		for i := range count {
-			id := TaskID(fmt.Sprint(now, "-", i))
+			id := RequestID(fmt.Sprint(now, "-", i))
 			q.sent = false
-			if p.TaskArrived(now, Task{ID: id, HardLimit: now + 900*ms, Cost: 5e6}); q.sent {
+			if p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms, CostHint: 5e6}); q.sent {
 				outs = append(outs, out{id, q.server})
 				sent++
 			}
@@ -73,8 +73,8 @@
 	}
 	answer := func(load float64) {
 		for _, o := range outs {
-			p.HandOffAnswered(now, Answer{Task: o.id, Server: o.server, Outcome: Satisfied, Elapsed: 20 * ms, Final: true,
-				Report: Report{Utilisation: -1, Queue: load, ServiceTime: -1}})
+			p.AttemptEnded(now, AttemptResult{Request: o.id, Endpoint: o.server, Outcome: OutcomeSucceeded, Elapsed: 20 * ms, RequestDone: true,
+				Report: LoadReport{Utilization: -1, QueueLength: load, ServiceTime: -1}})
 		}
 		outs = nil
 	}
@@ -85,7 +85,7 @@
 	answer(50)
 	answer(0)
 	arrive(2000)
-	p.ListLearned(now, list[n:], true)
+	p.EndpointsUpdated(now, list[n:], true)
 	if got := len(taking(p, now)); got != window {
 		t.Errorf("%d take part after another list, want a window of %d", got, window)
 	}
@@ -93,7 +93,7 @@
 		t.Errorf("%d sent after another list", len(outs)-2000)
 	}
 	for _, o := range outs[2000:] {
-		if p.byID[o.server].State != Active {
+		if p.byID[o.server].State != StateActive {
 			t.Fatalf("sent to %d, which is on the list no more", o.server)
 		}
 	}
@@ -101,13 +101,13 @@
 	answer(1)
 	again := list[n:]
 	for i := range again {
-		again[i].Started = now
+		again[i].StartedAt = now
 	}
-	p.ListLearned(now, again, true)
+	p.EndpointsUpdated(now, again, true)
 	if got := len(taking(p, now)); got > n/10 {
 		t.Errorf("%d of %d cold servers may be given a task at once", got, n)
 	}
-	given := map[ServerID]int{}
+	given := map[EndpointID]int{}
 	for range 50 {
 		now += 20 * ms
 		arrive(100)
@@ -131,12 +131,12 @@
 	q := &quiet{}
 	p := New(benchSettings, 1, q)
 	now := int64(1e12)
-	p.ListLearned(now, listOf(512), true)
-	servers := map[TaskID]ServerID{}
+	p.EndpointsUpdated(now, listOf(512), true)
+	servers := map[RequestID]EndpointID{}
 	for i := range 100000 {
-		id := TaskID(fmt.Sprint(i))
+		id := RequestID(fmt.Sprint(i))
 		q.sent = false
-		if p.TaskArrived(now, Task{ID: id, HardLimit: now + 900*ms}); q.sent {
+		if p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms}); q.sent {
 			servers[id] = q.server
 		}
 	}
@@ -144,7 +144,7 @@
 		t.Errorf("%d held, %d sent", len(p.tasks), len(servers))
 	}
 	for id, s := range servers {
-		p.HandOffAnswered(now+ms, Answer{Task: id, Server: s, Outcome: Satisfied, Elapsed: ms, Final: true})
+		p.AttemptEnded(now+ms, AttemptResult{Request: id, Endpoint: s, Outcome: OutcomeSucceeded, Elapsed: ms, RequestDone: true})
 	}
 	if len(p.tasks) != 0 {
 		t.Errorf("%d held after all have their end", len(p.tasks))
@@ -155,21 +155,21 @@
 // connections are used again.
 func TestAColdFleetIsDividedToo(t *testing.T) {
 	set := benchSettings
-	set.Nodes = 300
+	set.NodeCount = 300
 	p := New(set, 1, &quiet{})
 	now := int64(1e12)
 	list := listOf(120)
 	for i := range list {
-		list[i].Started = now
+		list[i].StartedAt = now
 	}
-	p.ListLearned(now, list, true)
+	p.EndpointsUpdated(now, list, true)
 	if got := len(p.near); got != chill*p.breadth || got > 40 {
 		t.Errorf("one of 300 nodes draws from %d of 120 cold servers, want %d times %d", got, chill, p.breadth)
 	}
 	for i := range list[:60] { // half of them were up long before
-		list[i].Started = 0
+		list[i].StartedAt = 0
 	}
-	p.ListLearned(now, list, true)
+	p.EndpointsUpdated(now, list, true)
 	if warm := len(p.near) - len(p.chilly); warm < p.breadth {
 		t.Errorf("draws from %d warm ones, want %d", warm, p.breadth)
 	}
