--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -188,8 +188,8 @@
 	if short > 0 {
 		t.Errorf("short of a descriptor %d times, first: %s", short, first)
 	}
-	if !strings.Contains(string(said), `"hand-offs never sent":0,`) {
-		t.Errorf("attempts found no descriptor: %s", said[strings.LastIndex(string(said), `"hand-offs sent"`):])
+	if !strings.Contains(string(said), `"attempts not sent":0,`) {
+		t.Errorf("attempts found no descriptor: %s", said[strings.LastIndex(string(said), `"attempts sent"`):])
 	}
 }
 
--- a/cmd/fawnglade/main_test.go
+++ b/cmd/fawnglade/main_test.go
@@ -65,7 +65,7 @@
 	if err := c.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	for _, want := range []string{`"counters asked for"`, `"counters at exit"`, `"list lines passed over":1`} {
+	for _, want := range []string{`"counters asked for"`, `"counters at exit"`, `"list entries skipped":1`} {
 		if !strings.Contains(all.String(), want) {
 			t.Errorf("no %s in the log:\n%s", want, all.String())
 		}
--- a/internal/node/console.go
+++ b/internal/node/admin.go
@@ -19,32 +19,32 @@
 )
 
 const (
-	longestCall   = 3 * time.Second // half a call is ended then
-	newCall       = 10 * time.Millisecond
-	longestAnswer = time.Second
-	maxCallHead   = 8 << 10
-	mostCalls     = 64
-	callsPart     = 12 // of the descriptors one in so many is set aside for callers, if that is fewer
+	adminReadTimeout  = 3 * time.Second // half a call is ended then
+	adminEvictAfter   = 10 * time.Millisecond
+	adminWriteTimeout = time.Second
+	maxAdminHead      = 8 << 10
+	maxAdminConns     = 64
+	adminConnShare    = 12 // of the descriptors one in so many is set aside for callers, if that is fewer
 )
 
-type console struct {
+type adminServer struct {
 	node     *Node
 	listener net.Listener // nil: no console
-	most     int
+	maxOpen  int
 
 	mu      sync.Mutex
-	callers []*caller // who has not made its call yet, the longest silent first
+	callers []*adminConn // who has not made its call yet, the longest silent first
 	open    int
 }
 
-type caller struct {
-	*conn
+type adminConn struct {
+	*bufferedConn
 	since time.Time
 }
 
 // newConsole opens the console, if the configuration has one.
-func newConsole(n *Node) (*console, error) {
-	s := &console{node: n}
+func newAdminServer(n *Node) (*adminServer, error) {
+	s := &adminServer{node: n}
 	if n.config.Console == "" {
 		return s, nil
 	}
@@ -56,20 +56,20 @@
 }
 
 // allot sets how many callers there may be at once.
-func (s *console) allot(most int) {
+func (s *adminServer) setLimit(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.most = most
+	s.maxOpen = most
 }
 
-func (s *console) close() {
+func (s *adminServer) close() {
 	if s.listener != nil {
 		s.listener.Close()
 	}
 }
 
 // run takes callers until the listener is closed.
-func (s *console) run() {
+func (s *adminServer) run() {
 	if s.listener == nil {
 		return
 	}
@@ -82,33 +82,33 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		s.admit(&caller{conn: newConn(raw), since: time.Now()})
+		s.admit(&adminConn{bufferedConn: newBufferedConn(raw), since: time.Now()})
 	}
 }
 
 // admit takes a caller in, in place of the longest silent one if there is no room. One that has only just come stays for
 // a moment, and so does one whose call has come but is not read yet: against a crowd of thousands that say nothing.
-func (s *console) admit(c *caller) {
-	for !s.enter(c) {
-		time.Sleep(newCall / 4)
+func (s *adminServer) admit(c *adminConn) {
+	for !s.tryAdmit(c) {
+		time.Sleep(adminEvictAfter / 4)
 	}
 	go s.serve(c)
 }
 
-func (s *console) enter(c *caller) bool {
+func (s *adminServer) tryAdmit(c *adminConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open >= s.most {
+	if s.open >= s.maxOpen {
 		for _, old := range s.callers {
-			if c.since.Sub(old.since) > newCall && !old.has() {
-				s.forget(old)
+			if c.since.Sub(old.since) > adminEvictAfter && !old.hasInput() {
+				s.forgetLocked(old)
 				old.Close()
-				s.node.counters.add(callsDropped)
+				s.node.counters.add(adminCallsDropped)
 				break
 			}
 		}
 		c.since = time.Now()
-		if s.open >= s.most {
+		if s.open >= s.maxOpen {
 			return false
 		}
 	}
@@ -118,7 +118,7 @@
 }
 
 // forget takes a caller off those that are silent and frees its place; the lock is held.
-func (s *console) forget(c *caller) bool {
+func (s *adminServer) forgetLocked(c *adminConn) bool {
 	for i, one := range s.callers {
 		if one == c {
 			s.callers = append(s.callers[:i], s.callers[i+1:]...)
@@ -130,22 +130,22 @@
 }
 
 // called marks that a caller has made its call, so that nobody takes its place; false: somebody has.
-func (s *console) called(c *caller) bool {
+func (s *adminServer) markCalled(c *adminConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.forget(c) {
+	if !s.forgetLocked(c) {
 		return false
 	}
 	s.open++
 	return true
 }
 
-func (s *console) serve(c *caller) {
+func (s *adminServer) serve(c *adminConn) {
 	defer c.Close()
-	defer s.node.caught("console", func() {})
-	c.SetDeadline(c.since.Add(longestCall))
+	defer s.node.recoverPanic("console", func() {})
+	c.SetDeadline(c.since.Add(adminReadTimeout))
 	r, status, err := s.read(c)
-	if !s.called(c) {
+	if !s.markCalled(c) {
 		return
 	}
 	defer func() {
@@ -153,29 +153,29 @@
 		s.open--
 		s.mu.Unlock()
 	}()
-	var reply callReply
+	var reply adminResponse
 	switch {
 	case status == 0:
-		s.node.counters.add(callsDropped) // gone, or silent to the end
+		s.node.counters.add(adminCallsDropped) // gone, or silent to the end
 		return
 	case err != nil:
-		reply = callReply{status: status, text: err.Error()}
+		reply = adminResponse{status: status, text: err.Error()}
 	default:
-		reply = s.call(r)
+		reply = s.handle(r)
 	}
-	if s.node.counters.add(callsAnswered); reply.status >= 400 && reply.status != http.StatusServiceUnavailable {
-		s.node.counters.add(callsBad)
+	if s.node.counters.add(adminCallsAnswered); reply.status >= 400 && reply.status != http.StatusServiceUnavailable {
+		s.node.counters.add(adminCallsBad)
 	}
-	c.SetDeadline(time.Now().Add(longestAnswer))
-	if _, err := c.Write(reply.bytes()); err == nil {
+	c.SetDeadline(time.Now().Add(adminWriteTimeout))
+	if _, err := c.Write(reply.encode()); err == nil {
 		c.closeGently()
 	}
 }
 
 // read reads one call; status 0 stands for a caller that has gone or said nothing at all.
-func (s *console) read(c *caller) (*http.Request, int, error) {
+func (s *adminServer) read(c *adminConn) (*http.Request, int, error) {
 	for seen := 0; !headEnds(c.pending(), seen); {
-		if seen = max(0, len(c.pending())-3); len(c.pending()) > maxCallHead {
+		if seen = max(0, len(c.pending())-3); len(c.pending()) > maxAdminHead {
 			return nil, http.StatusRequestHeaderFieldsTooLarge, errors.New("head longer than 8 KiB")
 		}
 		if err := c.fill(); err != nil {
@@ -188,7 +188,7 @@
 			return nil, http.StatusBadRequest, errors.New("half a call")
 		}
 	}
-	if end := bytes.Index(c.pending(), []byte("\r\n\r\n")); max(end, 0) > maxCallHead {
+	if end := bytes.Index(c.pending(), []byte("\r\n\r\n")); max(end, 0) > maxAdminHead {
 		return nil, http.StatusRequestHeaderFieldsTooLarge, errors.New("head longer than 8 KiB")
 	}
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.pending())))
@@ -199,13 +199,13 @@
 }
 
 // callReply is what a caller gets: one plain line.
-type callReply struct {
+type adminResponse struct {
 	status int
 	text   string
 	allow  string
 }
 
-func (a callReply) bytes() []byte {
+func (a adminResponse) encode() []byte {
 	var b strings.Builder
 	text := strings.Map(func(r rune) rune {
 		if r < ' ' {
@@ -223,63 +223,63 @@
 }
 
 // call does what a call asks for.
-func (s *console) call(r *http.Request) callReply {
-	method, known := consoleMethods[r.URL.Path]
+func (s *adminServer) handle(r *http.Request) adminResponse {
+	method, known := adminMethods[r.URL.Path]
 	switch {
-	case !known || r.URL.Path == pathMembers && s.node.members == nil || r.URL.Path == pathState && s.node.state == nil ||
-		r.URL.Path == pathRelays && s.node.relayed == nil:
-		return callReply{status: http.StatusNotFound, text: "no such call"}
+	case !known || r.URL.Path == pathMembers && s.node.members == nil || r.URL.Path == pathState && s.node.persistence == nil ||
+		r.URL.Path == pathRelays && s.node.relays == nil:
+		return adminResponse{status: http.StatusNotFound, text: "no such call"}
 	case r.Method != method:
-		return callReply{status: http.StatusMethodNotAllowed, text: "expected " + method, allow: method}
+		return adminResponse{status: http.StatusMethodNotAllowed, text: "expected " + method, allow: method}
 	}
 	if r.URL.Path == pathReady {
 		if why := s.node.notReady(); why != "" {
-			return callReply{status: http.StatusServiceUnavailable, text: why}
+			return adminResponse{status: http.StatusServiceUnavailable, text: why}
 		}
-		return callReply{status: http.StatusOK, text: "ready"}
+		return adminResponse{status: http.StatusOK, text: "ready"}
 	}
 	if r.URL.Path == pathMembers {
-		text, err := s.node.members.text()
+		text, err := s.node.members.viewJSON()
 		if err != nil {
-			return callReply{status: http.StatusServiceUnavailable, text: err.Error()}
+			return adminResponse{status: http.StatusServiceUnavailable, text: err.Error()}
 		}
-		return callReply{status: http.StatusOK, text: text}
+		return adminResponse{status: http.StatusOK, text: text}
 	}
-	var change func(*standingOrders) string
+	var change func(*overrideSet) string
 	switch r.URL.Path {
 	case pathState:
-		return callReply{status: http.StatusOK, text: s.node.state.text()}
+		return adminResponse{status: http.StatusOK, text: s.node.persistence.statusJSON()}
 	case pathRelays:
-		return callReply{status: http.StatusOK, text: s.node.relayed.Text()}
+		return adminResponse{status: http.StatusOK, text: s.node.relays.Text()}
 	case pathDrain:
-		change = func(o *standingOrders) string { o.drained = true; return "drained" }
+		change = func(o *overrideSet) string { o.drained = true; return "drained" }
 	case pathUndrain:
-		change = func(o *standingOrders) string { o.drained = false; return "serving" }
+		change = func(o *overrideSet) string { o.drained = false; return "serving" }
 	default:
-		target, err := targetOf(r.URL.RawQuery)
+		target, err := parseTarget(r.URL.RawQuery)
 		if err != nil {
-			return callReply{status: http.StatusBadRequest, text: err.Error()}
+			return adminResponse{status: http.StatusBadRequest, text: err.Error()}
 		}
-		if !s.node.orders.listed(target) {
-			return callReply{status: http.StatusNotFound, text: fmt.Sprintf("target: expected a server that has been listed, got %q", target)}
+		if !s.node.overrides.isKnown(target) {
+			return adminResponse{status: http.StatusNotFound, text: fmt.Sprintf("target: expected a server that has been listed, got %q", target)}
 		}
 		now := s.node.clock.now()
-		change = func(o *standingOrders) string { return o.putOut(target, now) }
+		change = func(o *overrideSet) string { return o.disable(target, now) }
 		if r.URL.Path == pathEnable {
-			change = func(o *standingOrders) string { return o.putBack(target, now) }
+			change = func(o *overrideSet) string { return o.enable(target, now) }
 		}
 	}
-	done, err := s.node.orders.change(change)
+	done, err := s.node.overrides.change(change)
 	if err != nil {
 		s.node.log.Error("order not carried out", zap.String("call", r.URL.Path), zap.Error(err))
-		return callReply{status: http.StatusInternalServerError, text: "not carried out, nothing has changed: " + err.Error()}
+		return adminResponse{status: http.StatusInternalServerError, text: "not carried out, nothing has changed: " + err.Error()}
 	}
 	s.node.log.Info("order", zap.String("call", r.URL.RequestURI()), zap.String("now", done))
-	return callReply{status: http.StatusOK, text: done}
+	return adminResponse{status: http.StatusOK, text: done}
 }
 
 // targetOf reads the one target of a call.
-func targetOf(query string) (string, error) {
+func parseTarget(query string) (string, error) {
 	values, err := url.ParseQuery(query)
 	if err != nil {
 		return "", errors.New("target: a query that cannot be read")
--- a/internal/node/daily_test.go
+++ b/internal/node/admin_test.go
@@ -20,7 +20,7 @@
 // callOn makes one call at the console and returns what it says.
 func callOn(t *testing.T, n *Node, text string) (status int, body string, header http.Header) {
 	t.Helper()
-	c, err := net.Dial("tcp", n.console.listener.Addr().String())
+	c, err := net.Dial("tcp", n.admin.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 	soon(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	for text, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
-		"GET /ready HTTP/1.1\r\nHost: c\r\nX: " + strings.Repeat("x", maxCallHead) + "\r\n\r\n": 431,
-		strings.Repeat("x", 3*maxCallHead):                              431,
+		"GET /ready HTTP/1.1\r\nHost: c\r\nX: " + strings.Repeat("x", maxAdminHead) + "\r\n\r\n": 431,
+		strings.Repeat("x", 3*maxAdminHead):                             431,
 		callText("GET /"):                                               404,
 		callText("PUT /ready"):                                          405,
 		callText("GET /drain"):                                          405,
@@ -66,8 +66,8 @@
 			t.Errorf("%.60q: %d with Allow %q", text, status, header.Get("Allow"))
 		}
 	}
-	if n.orders.isOut(serverID("s-0")) || n.count(callsBad) != 14 {
-		t.Errorf("a bad call took a server out, or is not counted: %d", n.count(callsBad))
+	if n.overrides.isDisabled(endpointID("s-0")) || n.count(adminCallsBad) != 14 {
+		t.Errorf("a bad call took a server out, or is not counted: %d", n.count(adminCallsBad))
 	}
 }
 
@@ -75,8 +75,8 @@
 func TestSilentCallersMakeRoom(t *testing.T) {
 	n := nodeWith(t, withConsole)
 	var silent []net.Conn
-	for i := range 6 * mostCalls {
-		c, err := net.Dial("tcp", n.console.listener.Addr().String())
+	for i := range 6 * maxAdminConns {
+		c, err := net.Dial("tcp", n.admin.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,10 +90,10 @@
 			t.Errorf("%s among callers that say nothing: %d", call, status)
 		}
 	}
-	n.console.mu.Lock()
-	defer n.console.mu.Unlock()
-	if n.console.open > n.console.most {
-		t.Errorf("%d callers at once, bound %d", n.console.open, n.console.most)
+	n.admin.mu.Lock()
+	defer n.admin.mu.Unlock()
+	if n.admin.open > n.admin.maxOpen {
+		t.Errorf("%d callers at once, bound %d", n.admin.open, n.admin.maxOpen)
 	}
 }
 
@@ -103,9 +103,9 @@
 	n := nodeWith(t, withConsole, server)
 	soon(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	held := make(chan struct{})
-	n.loop.enter(func() { <-held })
+	n.loop.post(func() { <-held })
 	for range cap(n.loop.events) {
-		n.loop.enter(func() {})
+		n.loop.post(func() {})
 	}
 	for _, call := range []string{"PUT /servers/disable?target=s-0", "PUT /drain", "PUT /undrain", "PUT /servers/enable?target=s-0", "GET /ready"} {
 		if status := n.call(t, call); status != 200 {
@@ -141,7 +141,7 @@
 	listings := []string{listText(2, false, listEntry("s-0", one, "up")), listText(3, false, listEntry("s-0", one, "removed")),
 		listText(4, true, listEntry("s-1", two, "up")), listText(5, false, listEntry("s-0", one, "up"))}
 	for i := range len(listings) + 1 {
-		time.Sleep(2 * ordersLook)
+		time.Sleep(2 * overridesPollInterval)
 		if got := ask20(fmt.Sprint("out", i)); got != 0 {
 			t.Errorf("%d tasks for a server that is out, after %d listings", got, i)
 		}
@@ -149,7 +149,7 @@
 			n.hear(t, listings[i])
 		}
 	}
-	if got := n.count(handOffsNeverSent); got != 0 {
+	if got := n.count(attemptsNotSent); got != 0 {
 		t.Errorf("the decisions chose a server that is out %d times", got)
 	}
 	before := n.clock.now()
@@ -158,7 +158,7 @@
 	}
 	soon(t, "the server is in use again", func() bool { return ask20(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
 	cold := make(chan int64, 1)
-	n.loop.enter(func() { cold <- n.orders.laid.over(*n.orders.entries["s-0"]).StartedAt })
+	n.loop.post(func() { cold <- n.overrides.applied.apply(*n.overrides.entries["s-0"]).StartedAt })
 	if started := <-cold; started < before {
 		t.Errorf("put back as started at %d, before it was put back at %d", started, before)
 	}
@@ -168,10 +168,10 @@
 func TestHandOffLooksOnceMore(t *testing.T) {
 	server, tasks := serverOf(t, echo)
 	n := newNode(t, withConsole, server)
-	n.orders.tell("s-0")
-	n.orders.change(func(o *standingOrders) string { return o.putOut("s-0", 1) })
-	h := &handOff{exchange: newExchange(), place: place{serverID("s-0"), server}, limit: n.clock.now() + second}
-	_, err := n.servers.try(h)
+	n.overrides.rememberNames("s-0")
+	n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) })
+	h := &attempt{request: newPendingRequest(), target: upstreamTarget{endpointID("s-0"), server}, deadline: n.clock.now() + second}
+	_, err := n.upstreams.roundTrip(h)
 	if err == nil || err.outcome() != policy.OutcomeNotSent || tasks.Load() != 0 {
 		t.Errorf("%v, %d tasks came to a server that is out", err, tasks.Load())
 	}
@@ -188,32 +188,32 @@
 	n.call(t, "PUT /servers/disable?target=s-0")
 	n.call(t, "PUT /drain")
 	soon(t, "the other knows", func() bool {
-		return other.orders.isOut(serverID("s-0")) && other.call(t, "GET /ready") == 503
+		return other.overrides.isDisabled(endpointID("s-0")) && other.call(t, "GET /ready") == 503
 	})
 	later := newNode(t, func(c *Config) { c.dir, c.Listen = dir, at })
-	if !later.orders.isOut(serverID("s-0")) || !later.orders.drained() || !later.orders.listed("s-0") {
+	if !later.overrides.isDisabled(endpointID("s-0")) || !later.overrides.drained() || !later.overrides.isKnown("s-0") {
 		t.Error("a later process does not know the orders")
 	}
 	other.call(t, "PUT /servers/enable?target=s-0")
-	soon(t, "the first knows", func() bool { return !n.orders.isOut(serverID("s-0")) })
-	if !n.orders.drained() {
+	soon(t, "the first knows", func() bool { return !n.overrides.isDisabled(endpointID("s-0")) })
+	if !n.overrides.drained() {
 		t.Error("an order of one process undid one of the other")
 	}
 	var done sync.WaitGroup
 	for i := range 20 {
 		for _, p := range []*Node{n, other} {
 			name := fmt.Sprintf("s-%d-%p", i, p)
-			p.orders.tell(name)
+			p.overrides.rememberNames(name)
 			done.Go(func() {
-				if _, err := p.orders.change(func(o *standingOrders) string { return o.putOut(name, 1) }); err != nil {
+				if _, err := p.overrides.change(func(o *overrideSet) string { return o.disable(name, 1) }); err != nil {
 					t.Error(err)
 				}
 			})
 		}
 	}
 	done.Wait()
-	n.orders.look()
-	if out := len(n.orders.now.Load().ids); out != 40 {
+	n.overrides.reload()
+	if out := len(n.overrides.current.Load().disabled); out != 40 {
 		t.Errorf("%d of 40 orders stand after both processes were called at once", out)
 	}
 }
@@ -221,39 +221,39 @@
 // What lies in the folder is not trusted: the node starts, says so, and keeps what could be read of servers taken out.
 func TestOrdersThatMakeNoSense(t *testing.T) {
 	n := newNode(t, withConsole)
-	good := "fawnglade-orders 1 " + n.orders.whose() + "\n"
+	good := "fawnglade-orders 1 " + n.overrides.owner() + "\n"
 	for text, kept := range map[string]int{
 		"":               0,
 		"fawnglade-ord":  0,
 		"\x00\xff\n\x00": 0,
 		good:             0,
 		"fawnglade-orders 1 \"n9\" 127.0.0.1:9\nserver \"s-0\" 1 0\nend\n":                         0,
-		"fawnglade-orders 7 " + n.orders.whose() + "\nserver \"s-0\" 1 0\nfuture things\nend\n":    1,
+		"fawnglade-orders 7 " + n.overrides.owner() + "\nserver \"s-0\" 1 0\nfuture things\nend\n": 1,
 		good + "server \"s-0\" 1 0\nserver \"s-1\" 2":                                              1,
 		good + "server \"s-0\" 1 0\nserver s-1 2 0\nserver \"s-2\" 9 x\nserver \"s-3\" 9 0\nend\n": 2,
 		good + strings.Repeat("nonsense\n", 1<<18):                                                 0,
 	} {
-		if err := os.WriteFile(n.orders.path, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(n.overrides.path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		again := newNode(t, func(c *Config) { c.dir, c.Listen = n.config.dir, n.config.Listen })
-		if got := len(again.orders.now.Load().ids); got != kept || again.count(ordersPassedOver) != 1 {
-			t.Errorf("%.80q: %d servers out, want %d; counted %d times", text, got, kept, again.count(ordersPassedOver))
+		if got := len(again.overrides.current.Load().disabled); got != kept || again.count(overridesUnreadable) != 1 {
+			t.Errorf("%.80q: %d servers out, want %d; counted %d times", text, got, kept, again.count(overridesUnreadable))
 		}
 	}
 	running := newNode(t, func(c *Config) { c.dir, c.Listen = n.config.dir, n.config.Listen })
-	running.orders.set(&standingOrders{drained: true, servers: map[string]out{"s-7": {since: 1}}})
-	os.WriteFile(n.orders.path, []byte(good+"server \"s-0\" 1"), 0o600)
-	if running.orders.look(); !running.orders.drained() || !running.orders.isOut(serverID("s-7")) {
+	running.overrides.publish(&overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-7": {disabledAt: 1}}})
+	os.WriteFile(n.overrides.path, []byte(good+"server \"s-0\" 1"), 0o600)
+	if running.overrides.reload(); !running.overrides.drained() || !running.overrides.isDisabled(endpointID("s-7")) {
 		t.Error("a file that was damaged meanwhile ends a drain, or puts a server back")
 	}
-	os.Remove(n.orders.path)
-	os.Mkdir(n.orders.path, 0o700)
-	if again := newNode(t, func(c *Config) { c.dir, c.Listen = n.config.dir, n.config.Listen }); again.count(ordersPassedOver) != 1 {
+	os.Remove(n.overrides.path)
+	os.Mkdir(n.overrides.path, 0o700)
+	if again := newNode(t, func(c *Config) { c.dir, c.Listen = n.config.dir, n.config.Listen }); again.count(overridesUnreadable) != 1 {
 		t.Error("a folder in the place of the file is not told")
 	}
-	if n.orders.tell("s-0"); true {
-		if _, err := n.orders.change(func(o *standingOrders) string { return o.putOut("s-0", 1) }); err == nil || n.orders.isOut(serverID("s-0")) {
+	if n.overrides.rememberNames("s-0"); true {
+		if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err == nil || n.overrides.isDisabled(endpointID("s-0")) {
 			t.Error("an order that can't be kept was said yes to, or counts")
 		}
 	}
@@ -300,15 +300,15 @@
 }
 
 func listedHere(name string) policy.EndpointInfo {
-	return policy.EndpointInfo{ID: serverID(name), State: policy.StateActive, Weight: 1}
+	return policy.EndpointInfo{ID: endpointID(name), State: policy.StateActive, Weight: 1}
 }
 
 // hear has the node take in a list as if discovery had told it.
 func (n *Node) hear(t *testing.T, text string) {
 	t.Helper()
-	entries, _, whole, err := n.listOf([]byte(text))
+	entries, _, whole, err := n.parseList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.loop.enterList(entries, whole)
+	n.loop.postList(entries, whole)
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -54,7 +54,7 @@
 				}()
 			}
 			n := newNode(t, func(c *Config) { c.Limits.Sockets = 16384 }, addresses...)
-			defer n.clients.listener.Close()
+			defer n.frontend.listener.Close()
 			n.start()
 			body := bytes.Repeat([]byte("x"), 196)
 			body = append(body, "!!!!"...)
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	mostBody    = 40 << 20              // of any body
-	heldBody    = 1 << 20               // of a task's body that is held, while there is memory for it
-	alwaysHeld  = 64 << 10              // and that is held whatever else the node holds
-	wholeAnswer = 64 << 10              // an answer no longer than this is passed on only when it is whole
-	heldBack    = 20 * time.Millisecond // that long at most where its head does not tell how long it is
-	flowBuffer  = 32 << 10              // of a body that flows
-	grace       = 2500 * time.Millisecond
-	stall       = time.Second     // of silence, after the grace
-	slowest     = 8 << 10         // bytes that a peer brings for each second it is waited for, after the grace
-	slowWrite   = 5 * time.Second // for as much as a buffer holds
+	maxBodyBytes        = 40 << 20              // of any body
+	maxBufferedBody     = 1 << 20               // of a task's body that is held, while there is memory for it
+	minBufferedBody     = 64 << 10              // and that is held whatever else the node holds
+	maxBufferedResponse = 64 << 10              // an answer no longer than this is passed on only when it is whole
+	responseHoldBack    = 20 * time.Millisecond // that long at most where its head does not tell how long it is
+	streamBufferBytes   = 32 << 10              // of a body that flows
+	bodyGrace           = 2500 * time.Millisecond
+	bodyStall           = time.Second     // of silence, after the grace
+	minBodyRate         = 8 << 10         // bytes that a peer brings for each second it is waited for, after the grace
+	writeStall          = 5 * time.Second // for as much as a buffer holds
 )
 
 // pace is how a peer that brings a body gets on. What counts is the time that the node has waited for it, as it may itself
 // be held up by the other side.
-type pace struct {
+type readPacer struct {
 	start  time.Time
 	grace  time.Duration
 	stall  time.Duration
@@ -44,7 +44,7 @@
 }
 
 // begin sets by when the next byte has to come.
-func (p *pace) begin(c net.Conn) error {
+func (p *readPacer) begin(c net.Conn) error {
 	p.asked = time.Now()
 	if over := p.waited - p.grace; over > 0 && p.came < int64(over.Seconds()*float64(p.least)) {
 		return os.ErrDeadlineExceeded
@@ -55,54 +55,54 @@
 	}
 	err := c.SetReadDeadline(until)
 	if p.given != nil && p.given.Load() {
-		return errGivenUp // its end was set just before, and has been put off by this
+		return errBodyAbandoned // its end was set just before, and has been put off by this
 	}
 	return err
 }
 
-func (p *pace) end(n int) {
+func (p *readPacer) end(n int) {
 	p.waited += time.Since(p.asked)
 	p.came += int64(n)
 }
 
 // source is a task's body that is still coming from its client. Whoever carries the task reads it; the client's own reader
 // waits until that has ended.
-type source struct {
-	conn   *conn
-	rest   *message
-	length int64 // of all of the body; -1 if only its end will tell
+type bodySource struct {
+	conn    *bufferedConn
+	message *message
+	length  int64 // of all of the body; -1 if only its end will tell
 
-	ended  chan struct{}
-	whole  atomic.Bool // all of it has been read
-	given  atomic.Bool // nobody is to read on
-	taken  atomic.Bool // somebody has begun to, so that it can't be sent again
-	mu     sync.Mutex  // held while somebody reads
-	once   sync.Once
-	failed error // why it ended before it was whole; of the reader, then of whoever knows that it has ended
+	ended     chan struct{}
+	complete  atomic.Bool // all of it has been read
+	abandoned atomic.Bool // nobody is to read on
+	consumed  atomic.Bool // somebody has begun to, so that it can't be sent again
+	mu        sync.Mutex  // held while somebody reads
+	once      sync.Once
+	failed    error // why it ended before it was whole; of the reader, then of whoever knows that it has ended
 }
 
-func newSource(c *conn, m *message) *source {
-	s := &source{conn: c, rest: m, length: m.length, ended: make(chan struct{})}
+func newBodySource(c *bufferedConn, m *message) *bodySource {
+	s := &bodySource{conn: c, message: m, length: m.length, ended: make(chan struct{})}
 	if c.pace != nil {
-		c.pace.given = &s.given
+		c.pace.given = &s.abandoned
 	}
 	return s
 }
 
-var errGivenUp = errors.New("the body is not wanted any more")
+var errBodyAbandoned = errors.New("the body is not wanted any more")
 
-func (s *source) Read(p []byte) (int, error) {
+func (s *bodySource) Read(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.given.Load() {
-		return 0, errGivenUp
+	if s.abandoned.Load() {
+		return 0, errBodyAbandoned
 	}
-	n, err := s.rest.Read(p)
-	if err != nil && s.given.Load() {
-		err = errGivenUp
+	n, err := s.message.Read(p)
+	if err != nil && s.abandoned.Load() {
+		err = errBodyAbandoned
 	}
 	if err == io.EOF {
-		s.whole.Store(true)
+		s.complete.Store(true)
 	}
 	if err != nil {
 		s.finish(err)
@@ -111,21 +111,21 @@
 }
 
 // giveUp has nobody read on, and returns once nobody does.
-func (s *source) giveUp() {
+func (s *bodySource) abandon() {
 	select {
 	case <-s.ended:
 		return // the client's reader has gone on to its next task
 	default:
 	}
-	s.given.Store(true)
+	s.abandoned.Store(true)
 	s.conn.SetReadDeadline(time.Unix(1, 0))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.finish(errGivenUp)
+	s.finish(errBodyAbandoned)
 }
 
 // failure tells why the body ended before it was whole; nil if it has not ended, or is whole.
-func (s *source) failure() error {
+func (s *bodySource) failure() error {
 	select {
 	case <-s.ended:
 		return s.failed
@@ -134,7 +134,7 @@
 	}
 }
 
-func (s *source) finish(err error) {
+func (s *bodySource) finish(err error) {
 	s.once.Do(func() {
 		if err != io.EOF {
 			s.failed = err
@@ -145,16 +145,16 @@
 
 // upload is the sending of a task's body that still comes, beside the wait for the server's answer.
 type upload struct {
-	done  chan struct{}
-	whole atomic.Bool
-	at    time.Time // when it was whole
-	err   error     // the server's side; the client's is in the source
+	done        chan struct{}
+	complete    atomic.Bool
+	completedAt time.Time // when it was whole
+	err         error     // the server's side; the client's is in the source
 }
 
-var errEarly = errors.New("an answer came before the task's last byte was written")
+var errEarlyResponse = errors.New("an answer came before the task's last byte was written")
 
 // startUpload writes what follows the head. Once all is written the server has as long to answer as it was given.
-func startUpload(c *serverConn, h *handOff, wait time.Duration) *upload {
+func startUpload(c *upstreamConn, h *attempt, wait time.Duration) *upload {
 	u := &upload{done: make(chan struct{})}
 	go func() {
 		defer close(u.done)
@@ -162,15 +162,15 @@
 			c.SetReadDeadline(time.Unix(1, 0)) // there will be no answer
 			return
 		}
-		u.at = time.Now()
-		u.whole.Store(true)
-		h.until(c.SetReadDeadline, u.at.Add(wait))
+		u.completedAt = time.Now()
+		u.complete.Store(true)
+		h.setDeadline(c.SetReadDeadline, u.completedAt.Add(wait))
 	}()
 	return u
 }
 
-func (u *upload) run(c *serverConn, h *handOff) error {
-	x := h.exchange
+func (u *upload) run(c *upstreamConn, h *attempt) error {
+	x := h.request
 	s := x.source
 	frame := func(p []byte) error { return writePaced(c, h, p) }
 	if s.length < 0 {
@@ -183,12 +183,12 @@
 			return err
 		}
 	}
-	buffer := buffers.Get().(*[flowBuffer]byte)
+	buffer := buffers.Get().(*[streamBufferBytes]byte)
 	defer buffers.Put(buffer)
 	total := int64(len(x.body))
 	for {
 		n, err := s.Read(buffer[:])
-		if total += int64(n); total > mostBody {
+		if total += int64(n); total > maxBodyBytes {
 			s.finish(errBodyTooLong)
 			return errBodyTooLong
 		}
@@ -209,34 +209,34 @@
 			return err
 		}
 	}
-	s.whole.Store(true)
+	s.complete.Store(true)
 	s.finish(io.EOF)
 	return nil
 }
 
 // stop ends the upload and tells whether it had been whole.
-func (u *upload) stop(c *serverConn, x *exchange) bool {
-	if !u.whole.Load() {
+func (u *upload) stop(c *upstreamConn, x *pendingRequest) bool {
+	if !u.complete.Load() {
 		c.SetWriteDeadline(time.Unix(1, 0))
-		x.source.giveUp()
+		x.source.abandon()
 	}
 	<-u.done // or its last deadline would be set on a connection that somebody else has by then
-	return u.whole.Load()
+	return u.complete.Load()
 }
 
-var buffers = sync.Pool{New: func() any { return new([flowBuffer]byte) }}
+var buffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
 // writePaced writes so that the peer has time for each buffer's worth of it, unless the hand-off for which it writes, if it is
 // for one, has been stopped.
-func writePaced(c net.Conn, h *handOff, parts ...[]byte) error {
+func writePaced(c net.Conn, h *attempt, parts ...[]byte) error {
 	until := c.SetWriteDeadline
 	if h != nil {
-		until = func(end time.Time) error { return h.until(c.SetWriteDeadline, end) }
+		until = func(end time.Time) error { return h.setDeadline(c.SetWriteDeadline, end) }
 	}
 	for _, part := range parts {
 		for len(part) > 0 {
-			n := min(len(part), flowBuffer)
-			if err := until(time.Now().Add(slowWrite)); err != nil {
+			n := min(len(part), streamBufferBytes)
+			if err := until(time.Now().Add(writeStall)); err != nil {
 				return err
 			}
 			if _, err := c.Write(part[:n]); err != nil {
@@ -249,32 +249,32 @@
 }
 
 // flow is the rest of an answer that is still coming from its server. The client's writer reads it.
-type flow struct {
-	rest   *message
-	length int64 // of all of the body; -1 if only its end will tell
-	once   sync.Once
-	done   chan bool // whether it came whole
+type responseStream struct {
+	message *message
+	length  int64 // of all of the body; -1 if only its end will tell
+	once    sync.Once
+	done    chan bool // whether it came whole
 }
 
-func newFlow(m *message) *flow {
-	m.c.pace = &pace{start: time.Now(), stall: slowWrite}
-	return &flow{rest: m, length: m.length, done: make(chan bool, 1)}
+func newResponseStream(m *message) *responseStream {
+	m.conn.pace = &readPacer{start: time.Now(), stall: writeStall}
+	return &responseStream{message: m, length: m.length, done: make(chan bool, 1)}
 }
 
 // end lets the connection to the server go; it is used again only if the answer came whole.
-func (f *flow) end(whole bool) { f.once.Do(func() { f.done <- whole }) }
+func (f *responseStream) finish(whole bool) { f.once.Do(func() { f.done <- whole }) }
 
 // drop ends what will not be passed on.
-func (a *answer) drop() {
-	if a.flow != nil {
-		a.flow.end(false)
+func (a *response) discard() {
+	if a.stream != nil {
+		a.stream.finish(false)
 	}
 }
 
 // flowOut writes an answer's head and first part, and then passes on the rest as it comes. It tells whether the client
 // got all; where it did not the connection must be closed, so that the client can tell.
-func (c *client) flowOut(a *answer, head []byte, chunks bool) (whole bool) {
-	defer func() { a.flow.end(whole) }()
+func (c *clientConn) streamResponse(a *response, head []byte, chunks bool) (whole bool) {
+	defer func() { a.stream.finish(whole) }()
 	frame := func(p []byte) error { return writePaced(c.conn, nil, p) }
 	if chunks {
 		frame = func(p []byte) error {
@@ -284,23 +284,23 @@
 	if writePaced(c.conn, nil, head) != nil || len(a.body) > 0 && frame(a.body) != nil {
 		return false
 	}
-	buffer := buffers.Get().(*[flowBuffer]byte)
+	buffer := buffers.Get().(*[streamBufferBytes]byte)
 	defer buffers.Put(buffer)
-	for total := int64(len(a.body)); total != a.flow.length; {
-		n, err := a.flow.rest.Read(buffer[:])
+	for total := int64(len(a.body)); total != a.stream.length; {
+		n, err := a.stream.message.Read(buffer[:])
 		total += int64(n)
-		if total > mostBody || n > 0 && frame(buffer[:n]) != nil {
+		if total > maxBodyBytes || n > 0 && frame(buffer[:n]) != nil {
 			return false
 		}
-		if err == io.EOF && (a.flow.length < 0 || total == a.flow.length) {
+		if err == io.EOF && (a.stream.length < 0 || total == a.stream.length) {
 			break // the last bytes may bring the end with them
 		}
 		if err != nil {
-			c.side.node.counters.add(answersCut)
+			c.frontend.node.counters.add(responsesTruncated)
 			return false
 		}
 	}
 	return !chunks || writePaced(c.conn, nil, []byte("0\r\n\r\n")) == nil
 }
 
-func hasBody(method string) bool { return method != http.MethodHead }
+func allowsBody(method string) bool { return method != http.MethodHead }
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -53,7 +53,7 @@
 
 func (n *Node) returnsWhatItHeld(t *testing.T) {
 	t.Helper()
-	soon(t, "all memory for bodies is given back", func() bool { return n.held.Load() == 0 })
+	soon(t, "all memory for bodies is given back", func() bool { return n.bufferedBytes.Load() == 0 })
 }
 
 // Bodies of all sizes and forms reach the server unchanged, and the connection goes on.
@@ -61,7 +61,7 @@
 	server, _ := digestServer(t)
 	n := nodeWith(t, unhurried, server)
 	c, in := dial(t, n)
-	for i, size := range []int{0, 1, 300, alwaysHeld, alwaysHeld + 1, heldBody, heldBody + 1, 5 << 20} {
+	for i, size := range []int{0, 1, 300, minBufferedBody, minBufferedBody + 1, maxBufferedBody, maxBufferedBody + 1, 5 << 20} {
 		for _, chunk := range []int{0, 1 << 10, 1 << 20} {
 			body := noise(size)
 			head := fmt.Sprintf("POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d-%d\r\n", i, chunk)
@@ -75,8 +75,8 @@
 			}
 		}
 	}
-	if n.count(tasksFlowed) == 0 || n.count(clientsTaken) != 1 {
-		t.Errorf("%d tasks flowed on %d connections", n.count(tasksFlowed), n.count(clientsTaken))
+	if n.count(requestsStreamed) == 0 || n.count(clientsAccepted) != 1 {
+		t.Errorf("%d tasks flowed on %d connections", n.count(requestsStreamed), n.count(clientsAccepted))
 	}
 	n.returnsWhatItHeld(t)
 }
@@ -102,7 +102,7 @@
 		})
 		n := nodeWith(t, unhurried, server)
 		for _, version := range []string{"1.1", "1.0"} {
-			for i, size := range []int{0, 1, wholeAnswer - 1, 2 * wholeAnswer, 5 << 20} {
+			for i, size := range []int{0, 1, maxBufferedResponse - 1, 2 * maxBufferedResponse, 5 << 20} {
 				c, in := dial(t, n)
 				fmt.Fprintf(c, "GET /batch?%d HTTP/%s\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", size, version, i)
 				if status, body, _ := answerOn(in); status != 200 || body != string(noise(size)) {
@@ -111,20 +111,20 @@
 				c.Close()
 			}
 		}
-		if n.count(answersFlowed) != 4 || n.count(answersCut) != 0 {
-			t.Errorf("%s: %d answers flowed, %d cut; want 4, 0", form, n.count(answersFlowed), n.count(answersCut))
+		if n.count(responsesStreamed) != 4 || n.count(responsesTruncated) != 0 {
+			t.Errorf("%s: %d answers flowed, %d cut; want 4, 0", form, n.count(responsesStreamed), n.count(responsesTruncated))
 		}
 		soon(t, "no connection to a server at work", func() bool {
-			n.servers.mu.Lock()
-			defer n.servers.mu.Unlock()
-			return n.servers.open == n.servers.order.Len()
+			n.upstreams.mu.Lock()
+			defer n.upstreams.mu.Unlock()
+			return n.upstreams.open == n.upstreams.order.Len()
 		})
 	}
 }
 
 // Guards against an answer that breaks off looking whole, whatever its form.
 func TestBrokenAnswerShows(t *testing.T) {
-	part := strings.Repeat("x", 3*wholeAnswer)
+	part := strings.Repeat("x", 3*maxBufferedResponse)
 	for _, head := range []string{"Content-Length: 9999999\r\n\r\n" + part,
 		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\n", // no last chunk
 		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\nnonsense\r\n"} {
@@ -142,8 +142,8 @@
 		if body, err := io.ReadAll(r.Body); err == nil {
 			t.Errorf("%.30q: an answer of %d bytes looks whole", head, len(body))
 		}
-		if n.count(answersCut) != 1 {
-			t.Errorf("%.30q: counted %d times", head, n.count(answersCut))
+		if n.count(responsesTruncated) != 1 {
+			t.Errorf("%.30q: counted %d times", head, n.count(responsesTruncated))
 		}
 	}
 }
@@ -221,9 +221,9 @@
 	}
 	c, _ := dial(t, n)
 	io.WriteString(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nContent-Length: 9000000\r\n\r\n"+half)
-	soon(t, "its hand-off", func() bool { return n.count(tasksFlowed) >= 4 })
+	soon(t, "its hand-off", func() bool { return n.count(requestsStreamed) >= 4 })
 	c.Close()
-	soon(t, "the task is withdrawn", func() bool { return n.count(tasksWithdrawn) == 1 })
+	soon(t, "the task is withdrawn", func() bool { return n.count(requestsCanceled) == 1 })
 	if tasks.Load() != 0 {
 		t.Errorf("%d tasks ran without a whole body", tasks.Load())
 	}
@@ -231,7 +231,7 @@
 		t.Errorf("another client got %d", status)
 	}
 	n.returnsWhatItHeld(t)
-	if n.loop.enter(func() {}); n.count(panics) != 0 {
+	if n.loop.post(func() {}); n.count(panics) != 0 {
 		t.Errorf("%d panics", n.count(panics))
 	}
 }
@@ -297,15 +297,15 @@
 	var all []begun
 	for i := range 16 {
 		c, in := dial(t, n)
-		fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nContent-Length: %d\r\n\r\n%s", i, len(body), body[:alwaysHeld])
+		fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nContent-Length: %d\r\n\r\n%s", i, len(body), body[:minBufferedBody])
 		all = append(all, begun{c, in})
 	}
-	soon(t, "some flow, as they are more than there is memory for", func() bool { return n.count(tasksFlowed) > 8 })
-	if held := n.held.Load(); held > 2*n.mostHeld.Load() {
-		t.Errorf("%d bytes held of %d", held, n.mostHeld.Load())
+	soon(t, "some flow, as they are more than there is memory for", func() bool { return n.count(requestsStreamed) > 8 })
+	if held := n.bufferedBytes.Load(); held > 2*n.maxBufferedBytes.Load() {
+		t.Errorf("%d bytes held of %d", held, n.maxBufferedBytes.Load())
 	}
 	for _, one := range all {
-		one.c.Write(body[alwaysHeld:])
+		one.c.Write(body[minBufferedBody:])
 	}
 	for _, one := range all { // on a machine that stands still some may be declined, but none is mixed up
 		if status, answer, _ := answerOn(one.in); status != 503 && answer != digestOf(body) {
@@ -349,7 +349,7 @@
 		seen := make(chan struct{})
 		server, _ := serverOf(t, func(c net.Conn, r *http.Request, _ string) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
-			time.Sleep(2 * heldBack)
+			time.Sleep(2 * responseHoldBack)
 			if strings.Contains(head, "chunked") {
 				io.WriteString(c, "1\r\n,\r\n")
 			} else {
@@ -391,7 +391,7 @@
 	text := taskText("batch", "t1", "a")
 	for i := range 8 {
 		io.WriteString(c, text[i*len(text)/8:(i+1)*len(text)/8])
-		for k := range 2 * n.clients.most {
+		for k := range 2 * n.frontend.maxOpen {
 			crowd, _ := dial(t, n)
 			if k%2 == 0 {
 				io.WriteString(crowd, "GET /batch HTT")
@@ -416,7 +416,7 @@
 	n := nodeWith(t, unhurried, server)
 	c, in := dial(t, n)
 	io.WriteString(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
-	soon(t, "the answer flows", func() bool { return n.count(answersFlowed) == 1 })
+	soon(t, "the answer flows", func() bool { return n.count(responsesStreamed) == 1 })
 	io.WriteString(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
 	time.Sleep(50 * time.Millisecond)
 	if _, body, _ := answerOn(in); body != string(long) {
@@ -437,9 +437,9 @@
 	})
 	n := nodeWith(t, unhurried, server)
 	c, in := dial(t, n)
-	fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nContent-Length: 9000000\r\n\r\n%s", noise(2*alwaysHeld))
+	fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nContent-Length: 9000000\r\n\r\n%s", noise(2*minBufferedBody))
 	for range 5 {
-		time.Sleep(4 * lingers)
+		time.Sleep(4 * closeLinger)
 		if _, err := c.Write(noise(6500)); err != nil {
 			t.Fatalf("closed on while sending: %v", err)
 		}
@@ -452,7 +452,7 @@
 // Where the system refuses splice and sendfile, as the standing test's filter does, a copy that tried them would depend on how
 // the library takes the refusal. So no connection offers a way round the buffers, and nothing is copied but through them.
 func TestBodiesAreCopiedByReadAndWriteAlone(t *testing.T) {
-	for name, c := range map[string]any{"conn": &conn{}, "serverConn": &serverConn{}, "source": &source{}, "message": &message{}} {
+	for name, c := range map[string]any{"conn": &bufferedConn{}, "serverConn": &upstreamConn{}, "source": &bodySource{}, "message": &message{}} {
 		if _, ok := c.(io.ReaderFrom); ok {
 			t.Errorf("%s copies from a reader by itself", name)
 		}
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	firstBuffer = 2 << 10
-	keptBuffer  = 16 << 10 // an idle connection keeps no more
-	maxHead     = 16 << 10
+	initialBuffer = 2 << 10
+	maxIdleBuffer = 16 << 10 // an idle connection keeps no more
+	maxHeadBytes  = 16 << 10
 )
 
 var (
@@ -33,24 +33,24 @@
 	errFraming     = errors.New("a body whose length cannot be told")
 )
 
-type conn struct {
+type bufferedConn struct {
 	net.Conn
 	buf      []byte
 	from, to int
-	pace     *pace        // of the body that is being read, where progress is the measure
-	broken   error        // of the last read that the connection itself failed
-	heard    atomic.Int64 // when bytes came last
+	pace     *readPacer   // of the body that is being read, where progress is the measure
+	readErr  error        // of the last read that the connection itself failed
+	lastRead atomic.Int64 // when bytes came last
 }
 
-func newConn(c net.Conn) *conn { return &conn{Conn: c} }
+func newBufferedConn(c net.Conn) *bufferedConn { return &bufferedConn{Conn: c} }
 
-func (c *conn) pending() []byte { return c.buf[c.from:c.to] }
+func (c *bufferedConn) pending() []byte { return c.buf[c.from:c.to] }
 
 // hear reads once from the connection itself.
-func (c *conn) hear(p []byte) (int, error) {
+func (c *bufferedConn) readOnce(p []byte) (int, error) {
 	if c.pace != nil {
 		if err := c.pace.begin(c.Conn); err != nil {
-			c.broken = err
+			c.readErr = err
 			return 0, err
 		}
 	}
@@ -59,18 +59,18 @@
 		c.pace.end(n)
 	}
 	if n > 0 {
-		c.heard.Store(time.Now().UnixNano())
+		c.lastRead.Store(time.Now().UnixNano())
 		return n, nil
 	}
 	if err == nil {
 		err = io.ErrNoProgress
 	}
-	c.broken = err
+	c.readErr = err
 	return 0, err
 }
 
 // fill reads once, after making room.
-func (c *conn) fill() error {
+func (c *bufferedConn) fill() error {
 	c.shrink()
 	if c.to == len(c.buf) {
 		switch {
@@ -78,67 +78,67 @@
 			c.to = copy(c.buf, c.pending())
 			c.from = 0
 		default:
-			grown := make([]byte, max(firstBuffer, min(2*len(c.buf), len(c.buf)+keptBuffer)))
+			grown := make([]byte, max(initialBuffer, min(2*len(c.buf), len(c.buf)+maxIdleBuffer)))
 			copy(grown, c.buf[:c.to])
 			c.buf = grown
 		}
 	}
-	n, err := c.hear(c.buf[c.to:])
+	n, err := c.readOnce(c.buf[c.to:])
 	c.to += n
 	return err
 }
 
 // shrink starts an empty buffer anew and gives back a large one, against a burst of large messages held for good.
-func (c *conn) shrink() {
+func (c *bufferedConn) shrink() {
 	if c.from < c.to {
 		return
 	}
-	if c.from, c.to = 0, 0; len(c.buf) > keptBuffer {
+	if c.from, c.to = 0, 0; len(c.buf) > maxIdleBuffer {
 		c.buf = nil
 	}
 }
 
 // rest reads what is pending on a connection and then on from the connection.
-type rest struct{ *conn }
+type connReader struct{ *bufferedConn }
 
-func (r rest) Read(p []byte) (int, error) {
+func (r connReader) Read(p []byte) (int, error) {
 	if r.from < r.to {
 		n := copy(p, r.pending())
 		r.from += n
 		return n, nil
 	}
-	return r.hear(p)
+	return r.readOnce(p)
 }
 
 var parsers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
 
 // message is one whose head has been read and whose body may still be coming.
 type message struct {
-	c      *conn
+	conn   *bufferedConn
 	in     *bufio.Reader
 	body   io.Reader
 	length int64 // -1: the body itself tells where it ends
 }
 
 // head collects a head and hands it to parse, which returns the body and how long it is.
-func (c *conn) head(parse func(*bufio.Reader) (body io.Reader, length int64, err error)) (*message, error) {
+func (c *bufferedConn) readHead(parse func(*bufio.Reader) (body io.Reader, length int64, err error)) (*message, error) {
 	for seen := 0; !headEnds(c.pending(), seen); {
-		if seen = max(0, len(c.pending())-3); len(c.pending()) > maxHead {
+		if seen = max(0, len(c.pending())-3); len(c.pending()) > maxHeadBytes {
 			return nil, errHeadTooLong
 		}
 		if err := c.fill(); err != nil {
 			return nil, err
 		}
 	}
-	m := &message{c: c, in: parsers.Get().(*bufio.Reader)}
-	m.in.Reset(rest{c})
-	c.broken = nil
+	m := &message{conn: c, in: parsers.Get().(*bufio.Reader)}
+	m.in.Reset(connReader{c})
+	c.readErr = nil
 	var err error
 	if m.body, m.length, err = parse(m.in); err != nil {
 		m.end()
 		return nil, errors.Join(errMalformed, err)
 	}
-	if m.length > mostBody {
+	if m.length > maxBodyBytes {
 		m.end()
 		return nil, errBodyTooLong
 	}
@@ -151,8 +151,8 @@
 		return
 	}
 	if beyond, _ := m.in.Peek(m.in.Buffered()); len(beyond) > 0 {
-		b := append(append(make([]byte, 0, len(beyond)+len(m.c.pending())), beyond...), m.c.pending()...)
-		m.c.buf, m.c.from, m.c.to = b, 0, len(b)
+		b := append(append(make([]byte, 0, len(beyond)+len(m.conn.pending())), beyond...), m.conn.pending()...)
+		m.conn.buf, m.conn.from, m.conn.to = b, 0, len(b)
 	}
 	m.in.Reset(nil)
 	parsers.Put(m.in)
@@ -164,8 +164,8 @@
 	n, err := m.body.Read(p)
 	switch {
 	case err == nil, err == io.EOF:
-	case m.c.broken != nil:
-		err = m.c.broken
+	case m.conn.readErr != nil:
+		err = m.conn.readErr
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -176,18 +176,18 @@
 }
 
 // collect reads up to a number of bytes of the body behind those that are there, and tells whether that was all of it.
-func (m *message) collect(b []byte, most int) (all []byte, whole bool, err error) {
+func (m *message) readUpTo(b []byte, most int) (all []byte, whole bool, err error) {
 	if m.length >= 0 && cap(b) == 0 {
 		b = make([]byte, 0, min(m.length, int64(most)))
 	}
 	for whole = int64(len(b)) == m.length; !whole && err == nil && len(b) < most; {
-		b, whole, err = m.more(b, most)
+		b, whole, err = m.readMore(b, most)
 	}
 	return b, whole, err
 }
 
 // more reads once.
-func (m *message) more(b []byte, most int) (all []byte, whole bool, err error) {
+func (m *message) readMore(b []byte, most int) (all []byte, whole bool, err error) {
 	if len(b) == cap(b) {
 		b = append(b, 0)[:len(b)]
 	}
@@ -232,14 +232,14 @@
 }
 
 // wantsWord tells that the sender waits for a word before it sends its body.
-func wantsWord(h http.Header) bool { return strings.EqualFold(h.Get("Expect"), "100-continue") }
+func expectsContinue(h http.Header) bool { return strings.EqualFold(h.Get("Expect"), "100-continue") }
 
 // fromClient reads the head of a client's message, and tells one that holds its body back to go on, if it may say so now.
-func (c *conn) fromClient(mayTell func() bool) (r *http.Request, m *message, err error) {
+func (c *bufferedConn) fromClient(mayTell func() bool) (r *http.Request, m *message, err error) {
 	for bytes.HasPrefix(c.pending(), []byte("\r\n")) {
 		c.from += 2 // an empty line before a message is nothing
 	}
-	m, err = c.head(func(in *bufio.Reader) (io.Reader, int64, error) {
+	m, err = c.readHead(func(in *bufio.Reader) (io.Reader, int64, error) {
 		said, encoded := framing(c.pending())
 		if r, err = http.ReadRequest(in); err != nil {
 			return nil, 0, err
@@ -249,20 +249,20 @@
 		}
 		return r.Body, lengthOf(r.ContentLength, r.TransferEncoding), nil
 	})
-	if err == nil && m.in.Buffered()+len(c.pending()) == 0 && m.length != 0 && wantsWord(r.Header) && mayTell() {
+	if err == nil && m.in.Buffered()+len(c.pending()) == 0 && m.length != 0 && expectsContinue(r.Header) && mayTell() {
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
 	return r, m, err
 }
 
 // fromServer reads the head of a server's message, passing over interim ones.
-func (c *conn) fromServer(to *http.Request) (r *http.Response, m *message, err error) {
+func (c *bufferedConn) fromServer(to *http.Request) (r *http.Response, m *message, err error) {
 	for {
-		m, err = c.head(func(in *bufio.Reader) (io.Reader, int64, error) {
+		m, err = c.readHead(func(in *bufio.Reader) (io.Reader, int64, error) {
 			if r, err = http.ReadResponse(in, to); err != nil {
 				return nil, 0, err
 			}
-			if !hasBody(to.Method) {
+			if !allowsBody(to.Method) {
 				return r.Body, 0, nil
 			}
 			return r.Body, lengthOf(r.ContentLength, r.TransferEncoding), nil
@@ -276,11 +276,11 @@
 
 // closeGently ends the sending side and waits a moment for the peer to close, as closing on one that is still sending
 // would throw away what it was sent.
-func (c *conn) closeGently() {
+func (c *bufferedConn) closeGently() {
 	if half, ok := c.Conn.(*net.TCPConn); ok {
 		half.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(lingers))
+	c.SetReadDeadline(time.Now().Add(closeLinger))
 	for c.from = c.to; c.fill() == nil; {
 		c.from = c.to
 	}
@@ -288,13 +288,13 @@
 
 // quiet tells that the peer has neither closed the connection nor sent anything on it unasked. It guards against
 // late answers and against a connection that a restarted server no longer knows.
-func (c *conn) quiet() bool {
+func (c *bufferedConn) isQuiet() bool {
 	_, err := c.peek()
 	return c.from == c.to && err == syscall.EAGAIN
 }
 
 // has tells whether something has come that nobody has read yet. It may be called beside a read.
-func (c *conn) has() bool {
+func (c *bufferedConn) hasInput() bool {
 	n, err := c.peek()
 	return n > 0 && err == nil
 }
@@ -302,7 +302,7 @@
 // ended tells whether the peer has ended its side, also where bytes that nobody has read stand before the end. It may be called beside
 // reads and writes. A peer that has only ended its sending looks the same: the pages have a client that closes gone, and nothing but
 // a write would tell the two apart.
-func (c *conn) ended() bool { return sockstate.Ended(c.Conn) }
+func (c *bufferedConn) isEnded() bool { return sockstate.Ended(c.Conn) }
 
 // peek looks at what the machine holds for the connection, taking nothing.
-func (c *conn) peek() (n int, err error) { return sockstate.Peek(c.Conn) }
+func (c *bufferedConn) peek() (n int, err error) { return sockstate.Peek(c.Conn) }
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -13,64 +13,65 @@
 type counter int
 
 const (
-	clientsTaken counter = iota
-	clientsDismissed
-	clientsWaited
-	tasksTaken
-	tasksBad
-	tasksNoRoom
-	tasksSatisfied
-	tasksDeclined
-	tasksBrokenOff
-	tasksWithdrawn
-	handOffsSent
-	handOffsSatisfied
-	handOffsError
-	handOffsFaulted
-	handOffsFull
-	handOffsTimedOut
-	handOffsUnreached
-	handOffsReset
-	handOffsRecalled
-	handOffsNeverSent
-	serversConnected
-	serversClosedIdle
-	serversFoundClosed
-	listCalls
-	listCallsFailed
-	listLines
-	listLinesPassedOver
-	probesAnswered
-	probesFailed
-	newsTold
-	newsHeard
-	newsPassedOver
-	newsDropped
-	configsRead
-	configsPassedOver
-	tasksFlowed
-	answersFlowed
-	answersCut
-	callsAnswered
-	callsBad
-	callsDropped
-	ordersPassedOver
-	handoversPassedOver
+	clientsAccepted counter = iota
+	clientsEvicted
+	clientsQueued
+	requestsAccepted
+	requestsMalformed
+	requestsOverCapacity
+	requestsSucceeded
+	requestsRejected
+	requestsFailed
+	requestsCanceled
+	attemptsSent
+	attemptsSucceeded
+	attemptsErrored
+	attemptsRequestFault
+	attemptsRejected
+	attemptsTimedOut
+	attemptsConnectFailed
+	attemptsReset
+	attemptsCanceled
+	attemptsNotSent
+	upstreamConnsOpened
+	upstreamConnsIdleClosed
+	upstreamConnsFoundClosed
+	listWatches
+	listWatchesFailed
+	listUpdates
+	listEntriesSkipped
+	healthChecksAnswered
+	healthChecksFailed
+	gossipSent
+	gossipReceived
+	gossipIgnored
+	gossipDropped
+	configReloads
+	configReloadsRejected
+	requestsStreamed
+	responsesStreamed
+	responsesTruncated
+	adminCallsAnswered
+	adminCallsBad
+	adminCallsDropped
+	overridesUnreadable
+	hotRestartsIgnored
 	panics
 	counterCount
 )
 
 var counterNames = [counterCount]string{
-	"clients taken", "clients dismissed", "clients waited",
-	"tasks taken", "tasks bad", "tasks without room", "tasks satisfied", "tasks declined", "tasks broken off",
-	"tasks withdrawn",
-	"hand-offs sent", "hand-offs satisfied", "hand-offs error", "hand-offs faulted", "hand-offs full", "hand-offs timed out",
-	"hand-offs unreached", "hand-offs reset", "hand-offs recalled", "hand-offs never sent",
-	"servers connected", "servers closed idle", "servers found closed",
-	"list calls", "list calls failed", "list lines", "list lines passed over",
-	"probes answered", "probes failed", "news told", "news heard", "news passed over", "news dropped",
-	"configurations read", "configurations passed over",
-	"tasks flowed", "answers flowed", "answers cut", "console calls answered", "console calls bad", "console calls dropped", "orders passed over", "handovers passed over", "panics",
+	"client connections accepted", "client connections evicted", "client connections queued",
+	"requests accepted", "requests malformed", "requests over capacity", "requests succeeded", "requests rejected", "requests failed",
+	"requests canceled",
+	"attempts sent", "attempts succeeded", "attempts error", "attempts request fault", "attempts rejected", "attempts timed out",
+	"attempts connect failed", "attempts reset", "attempts canceled", "attempts not sent",
+	"upstream connections opened", "upstream connections closed idle", "upstream connections found closed",
+	"list watches", "list watches failed", "list updates", "list entries skipped",
+	"health checks answered", "health checks failed", "gossip sent", "gossip received", "gossip ignored", "gossip dropped",
+	"configurations reloaded", "configurations refused",
+	"requests streamed", "responses streamed", "responses truncated", "admin calls answered", "admin calls bad", "admin calls dropped",
+	"overrides unreadable", "hot restarts ignored", "panics",
 }
 
 type counters [counterCount]atomic.Int64
@@ -86,7 +87,7 @@
 }
 
 // caught, when deferred, stops a panic where it is: at one connection or one event.
-func (n *Node) caught(where string, then func()) {
+func (n *Node) recoverPanic(where string, then func()) {
 	if broken := recover(); broken != nil {
 		n.counters.add(panics)
 		n.log.Error("panic stopped", zap.String("where", where), zap.String("what", fmt.Sprint(broken)), zap.Stack("stack"))
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -45,9 +45,9 @@
 // holdDials has each connection to a server stand until the gate is opened, and then be made all the same.
 func (n *Node) holdDials(t *testing.T) *gate {
 	g := newGate(t)
-	n.servers.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
+	n.upstreams.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
 		g.wait()
-		return n.servers.connect(context.Background(), address, limit)
+		return n.upstreams.connect(context.Background(), address, limit)
 	}
 	return g
 }
@@ -55,7 +55,7 @@
 // holdLoop keeps the loop between two events until the gate is opened; what is entered meanwhile stands in order.
 func (n *Node) holdLoop(t *testing.T) *gate {
 	g := newGate(t)
-	n.loop.enter(g.wait)
+	n.loop.post(g.wait)
 	g.held(t, 1)
 	return g
 }
@@ -63,28 +63,28 @@
 // learn has the loop go by a line of discovery's, and returns once it has.
 func (n *Node) learn(t *testing.T, text string) {
 	t.Helper()
-	list, _, whole, err := n.listOf([]byte(text))
+	list, _, whole, err := n.parseList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.loop.enterList(list, whole)
+	n.loop.postList(list, whole)
 	n.passed()
 }
 
 // passed returns once the loop has handled all that stood before it.
 func (n *Node) passed() {
 	done := make(chan struct{})
-	n.loop.enter(func() { close(done) })
+	n.loop.post(func() { close(done) })
 	<-done
 }
 
 // atClients finds the node's side of the one connection from a client.
-func (n *Node) atClients(t *testing.T) (c *client) {
+func (n *Node) atClients(t *testing.T) (c *clientConn) {
 	t.Helper()
 	soon(t, "the connection", func() bool {
-		n.clients.mu.Lock()
-		defer n.clients.mu.Unlock()
-		for c = range n.clients.open {
+		n.frontend.mu.Lock()
+		defer n.frontend.mu.Unlock()
+		for c = range n.frontend.open {
 		}
 		return c != nil
 	})
@@ -93,9 +93,9 @@
 
 // nobodyLeft tells that clients have come, and that their connections have ended.
 func (n *Node) nobodyLeft() bool {
-	n.clients.mu.Lock()
-	defer n.clients.mu.Unlock()
-	return n.count(clientsTaken) > 0 && len(n.clients.open) == 0
+	n.frontend.mu.Lock()
+	defer n.frontend.mu.Unlock()
+	return n.count(clientsAccepted) > 0 && len(n.frontend.open) == 0
 }
 
 func with(settings ...string) func(*Config) {
@@ -143,22 +143,22 @@
 			n.learn(t, listText(2, false, listEntry("s-0", "127.0.0.1:1", "up")))
 		}, 503},
 		"is taken out by hand": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, _ string) {
-			if _, err := n.orders.change(func(o *standingOrders) string { return o.putOut("s-0", n.clock.now()) }); err != nil {
+			if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", n.clock.now()) }); err != nil {
 				t.Fatal(err)
 			}
 		}, 503},
 		"the client leaves": {nil, "batch", func(t *testing.T, n *Node, client net.Conn, _ string) {
 			client.Close()
-			soon(t, "the withdrawal", func() bool { return n.count(tasksWithdrawn) == 1 })
+			soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
 		}, 0},
 		"the client leaves, and nothing may be recalled": {[]string{`"cancelling":true`, `"cancelling":false`}, "batch",
 			func(t *testing.T, n *Node, client net.Conn, _ string) {
 				client.Close()
-				soon(t, "the withdrawal", func() bool { return n.count(tasksWithdrawn) == 1 })
+				soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
 			}, 0},
 		"the task has its answer, and nothing may be recalled": {[]string{`"cancelling":true`, `"cancelling":false`}, "batch",
 			func(t *testing.T, n *Node, _ net.Conn, _ string) {
-				n.loop.enter(func() { n.loop.Reject("t1", 0) })
+				n.loop.post(func() { n.loop.Reject("t1", 0) })
 				n.passed()
 			}, 503},
 	} {
@@ -180,8 +180,8 @@
 			}
 			soon(t, "the end of the hand-off", func() bool {
 				n.passed()
-				ended := n.count(handOffsNeverSent) + n.count(handOffsSatisfied) + n.count(handOffsUnreached)
-				return ended > 0 && ended == n.count(handOffsSent)
+				ended := n.count(attemptsNotSent) + n.count(attemptsSucceeded) + n.count(attemptsConnectFailed)
+				return ended > 0 && ended == n.count(attemptsSent)
 			})
 			if want := int64(c.status / 200 % 2); tasks.Load() != want {
 				t.Errorf("%d tasks came to the server, want %d", tasks.Load(), want)
@@ -198,11 +198,11 @@
 			t.Parallel()
 			n := newNode(t, with(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, span*1000)), first, first)
 			second := newGate(t)
-			n.servers.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
-				if n.count(handOffsSent) > 1 {
+			n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
+				if n.count(attemptsSent) > 1 {
 					second.wait()
 				}
-				return n.servers.connect(ctx, address, limit)
+				return n.upstreams.connect(ctx, address, limit)
 			}
 			n.start()
 			began := n.clock.now()
@@ -212,7 +212,7 @@
 			time.Sleep(time.Until(n.clock.at(began + 200*milli))) // later than the shorter memory in any case
 			second.pass()
 			status, _, _ := answerOn(in)
-			if ran := n.count(handOffsError); status != 502 || name == "ends" && ran != 1 || name == "lasts" && ran < 1 {
+			if ran := n.count(attemptsErrored); status != 502 || name == "ends" && ran != 1 || name == "lasts" && ran < 1 {
 				t.Errorf("answered %d, %d hand-offs have run", status, ran)
 			}
 		})
@@ -295,13 +295,13 @@
 				ran, both := map[string]bool{}, 0
 				failing, attempts := serverOf(t, func(c net.Conn, r *http.Request, _ string) bool {
 					mu.Lock()
-					ran[r.Header.Get(headerTask)] = true
+					ran[r.Header.Get(headerRequestID)] = true
 					mu.Unlock()
 					return say(c, "500 Bad", "")
 				})
 				left, served := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
 					mu.Lock()
-					if ran[r.Header.Get(headerTask)] {
+					if ran[r.Header.Get(headerRequestID)] {
 						both++
 					}
 					mu.Unlock()
@@ -342,25 +342,25 @@
 	other, tasks := serverOf(t, echo)
 	n := newNode(t, with(`"may_duplicate":false`, `"may_duplicate":true`, `"cancelling":true`, `"cancelling":false`), first)
 	dials := newGate(t)
-	n.servers.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
+	n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
 		if address == other {
 			dials.wait()
 		}
-		return n.servers.connect(ctx, address, limit)
+		return n.upstreams.connect(ctx, address, limit)
 	}
 	n.start()
 	client, in := dial(t, n)
 	io.WriteString(client, taskText("batch", "t1", ""))
 	answers.held(t, 1)
 	n.learn(t, listText(2, false, listEntry("s-1", other, "up")))
-	n.loop.enter(func() { n.loop.Send("t1", serverID("s-1"), 20*second) })
+	n.loop.post(func() { n.loop.Send("t1", endpointID("s-1"), 20*second) })
 	dials.held(t, 1)
 	answers.pass()
 	if status, _, _ := answerOn(in); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
 	dials.pass()
-	soon(t, "the end of the copy", func() bool { return n.count(handOffsNeverSent) == 1 })
+	soon(t, "the end of the copy", func() bool { return n.count(attemptsNotSent) == 1 })
 	if tasks.Load() != 0 {
 		t.Error("a copy went out for a task that has its answer")
 	}
@@ -396,8 +396,8 @@
 			n.start()
 			soon(t, "the connection's end", n.nobodyLeft)
 			n.passed()
-			if tasks.Load() != 0 || n.count(tasksTaken) != 0 {
-				t.Errorf("%d tasks were taken and %d went to the server, for nobody", n.count(tasksTaken), tasks.Load())
+			if tasks.Load() != 0 || n.count(requestsAccepted) != 0 {
+				t.Errorf("%d tasks were taken and %d went to the server, for nobody", n.count(requestsAccepted), tasks.Load())
 			}
 		})
 	}
@@ -411,10 +411,10 @@
 		n := nodeWith(t, nil, server)
 		client, _ := dial(t, n)
 		io.WriteString(client, many(20))
-		soon(t, "as many as are read ahead", func() bool { return tasks.Load() == n.count(handOffsSent) && tasks.Load() > pipelined })
+		soon(t, "as many as are read ahead", func() bool { return tasks.Load() == n.count(attemptsSent) && tasks.Load() > maxPipelined })
 		at := n.atClients(t)
 		client.Close()
-		soon(t, "its end", at.hasLeft)
+		soon(t, "its end", at.isGone)
 		before := tasks.Load()
 		answers.pass()
 		soon(t, "the connection's end", n.nobodyLeft)
@@ -430,13 +430,13 @@
 		n.start()
 		client, _ := dial(t, n)
 		io.WriteString(client, many(20))
-		dials.held(t, pipelined+2) // as many as stand in turn, with the writer's and the reader's
+		dials.held(t, maxPipelined+2) // as many as stand in turn, with the writer's and the reader's
 		at := n.atClients(t)
 		client.Close()
-		soon(t, "its end", at.hasLeft)
+		soon(t, "its end", at.isGone)
 		dials.pass()
-		soon(t, "the withdrawals", func() bool { n.passed(); return n.count(handOffsNeverSent) == n.count(handOffsSent) })
-		if sent, taken, withdrawn := n.count(handOffsSent), n.count(tasksTaken), n.count(tasksWithdrawn); tasks.Load() != 0 || sent != taken || withdrawn != taken {
+		soon(t, "the withdrawals", func() bool { n.passed(); return n.count(attemptsNotSent) == n.count(attemptsSent) })
+		if sent, taken, withdrawn := n.count(attemptsSent), n.count(requestsAccepted), n.count(requestsCanceled); tasks.Load() != 0 || sent != taken || withdrawn != taken {
 			t.Errorf("of %d tasks %d were handed off, %d withdrawn, %d came to servers", taken, sent, withdrawn, tasks.Load())
 		}
 	})
@@ -457,10 +457,10 @@
 		client.Close()
 		soon(t, "the withdrawal behind it", func() bool { return len(n.loop.events) == 2 })
 		held.pass()
-		soon(t, "the withdrawal", func() bool { return n.count(tasksWithdrawn) == 1 })
+		soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
 		soon(t, "the end", func() bool {
 			n.passed()
-			return n.count(handOffsSent) == n.count(handOffsError)+n.count(handOffsNeverSent)+n.count(handOffsRecalled)
+			return n.count(attemptsSent) == n.count(attemptsErrored)+n.count(attemptsNotSent)+n.count(attemptsCanceled)
 		})
 		if tasks.Load() != 1 {
 			t.Errorf("%d hand-offs came to servers, want the one before", tasks.Load())
@@ -477,8 +477,8 @@
 		client.Close()
 		soon(t, "the withdrawal behind it", func() bool { return len(n.loop.events) == 2 })
 		held.pass()
-		soon(t, "the withdrawal", func() bool { return n.count(tasksWithdrawn) == 1 })
-		soon(t, "the end", func() bool { n.passed(); return n.count(handOffsSent) == n.count(handOffsNeverSent) })
+		soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+		soon(t, "the end", func() bool { n.passed(); return n.count(attemptsSent) == n.count(attemptsNotSent) })
 		if tasks.Load() != 0 {
 			t.Error("it went to the server")
 		}
@@ -493,18 +493,18 @@
 		return echo(c, r, body)
 	})
 	n := nodeWith(t, nil, server)
-	n.clients.allot(1, 0, 100)
+	n.frontend.setLimits(1, 0, 100)
 	var ins []*bufio.Reader
 	for i := range 5 { // one at work, one at the door, three in the machine
 		c, in := dial(t, n)
 		ins = append(ins, in)
 		io.WriteString(c, taskText("batch", fmt.Sprint("t", i), ""))
-		soon(t, "the first at work and the second at the door", func() bool { return int(n.count(clientsTaken)) == min(i+1, 2) })
+		soon(t, "the first at work and the second at the door", func() bool { return int(n.count(clientsAccepted)) == min(i+1, 2) })
 	}
 	answers.held(t, 1)
 	stopped := make(chan struct{})
 	go func() { n.stop(); close(stopped) }()
-	soon(t, "the end of taking", n.clients.ending.Load)
+	soon(t, "the end of taking", n.frontend.ending.Load)
 	answers.pass()
 	for i, in := range ins {
 		if status, body, _ := answerOn(in); status != 200 {
@@ -528,9 +528,9 @@
 		there func(n *Node) bool
 	}{
 		"in the queue": {hold: func(t *testing.T, n *Node) *gate { return n.holdLoop(t) }, there: func(n *Node) bool { return len(n.loop.events) > 0 }},
-		"dialling":     {there: func(n *Node) bool { return n.count(handOffsSent) == 1 }},
+		"dialling":     {there: func(n *Node) bool { return n.count(attemptsSent) == 1 }},
 		"partly written": {body: long, serve: func(g *gate, _ net.Conn, _ *bufio.Reader) bool { g.wait(); return false },
-			there: func(n *Node) bool { return n.count(tasksFlowed) == 1 }},
+			there: func(n *Node) bool { return n.count(requestsStreamed) == 1 }},
 		"written": {serve: func(g *gate, _ net.Conn, in *bufio.Reader) bool {
 			http.ReadRequest(in)
 			g.wait()
@@ -545,11 +545,11 @@
 		}},
 		"flowing": {serve: func(g *gate, c net.Conn, in *bufio.Reader) bool {
 			http.ReadRequest(in)
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[:wholeAnswer])
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[:maxBufferedResponse])
 			g.wait()
-			io.WriteString(c, long[wholeAnswer:])
+			io.WriteString(c, long[maxBufferedResponse:])
 			return true
-		}, there: func(n *Node) bool { return n.count(answersFlowed) == 1 }},
+		}, there: func(n *Node) bool { return n.count(responsesStreamed) == 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -582,7 +582,7 @@
 			soon(t, "there", func() bool { return c.there == nil || c.there(n) })
 			stopped := make(chan struct{})
 			go func() { n.stop(); close(stopped) }()
-			soon(t, "the end of taking", n.clients.ending.Load)
+			soon(t, "the end of taking", n.frontend.ending.Load)
 			select {
 			case <-stopped:
 				t.Error("the stop ended with a task out") // and the process with it
@@ -617,11 +617,11 @@
 	}
 	defer own.Close()
 	io.WriteString(peer, "GET "+pathReady+" HTTP/1.1\r\nHost: h\r\n\r\n")
-	c := &client{side: n.clients, conn: newConn(own), turns: make(chan *exchange, 1), opened: time.Now().Add(-slowHead)}
-	soon(t, "the request", c.conn.has)
+	c := &clientConn{frontend: n.frontend, conn: newBufferedConn(own), responseOrder: make(chan *pendingRequest, 1), opened: time.Now().Add(-headTimeout)}
+	soon(t, "the request", c.conn.hasInput)
 	read := make(chan error, 1)
 	go func() {
-		r, err := c.next(newExchange())
+		r, err := c.readRequest(newPendingRequest())
 		if err == nil && r.URL.Path != pathReady {
 			err = fmt.Errorf("read %s", r.URL.Path)
 		}
@@ -658,10 +658,10 @@
 			n := nodeWith(t, with(`"group":"zone"`, fmt.Sprintf(`"group":%q`, c.group), `"memory_span_us":2000000`, `"memory_span_us":`+c.span), silent)
 			client, in := dial(t, n)
 			io.WriteString(client, taskText("update", "t1", ""))
-			soon(t, "it is out", func() bool { return n.count(handOffsSent) == 1 })
+			soon(t, "it is out", func() bool { return n.count(attemptsSent) == 1 })
 			time.Sleep(5 * time.Millisecond) // longer than the short memory
 			if c.ends {
-				n.loop.enter(n.loop.giveUp)
+				n.loop.post(n.loop.giveUpAll)
 			}
 			if status, _, _ := answerOn(in); status != c.status {
 				t.Errorf("answered %d, want %d", status, c.status)
@@ -676,7 +676,7 @@
 		if r.URL.Path == "/batch" { // an answer whose end is the connection's, and that does not come
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 			for _, err := io.WriteString(c, "x"); err == nil; _, err = io.WriteString(c, "x") {
-				time.Sleep(heldBack)
+				time.Sleep(responseHoldBack)
 			}
 		}
 		io.Copy(io.Discard, c)
@@ -692,12 +692,12 @@
 	}
 	old, oldIn := dial(t, n)
 	io.WriteString(old, "GET /batch HTTP/1.0\r\nX-Txn: old\r\n\r\n")
-	soon(t, "all at the server, and an answer on its way", func() bool { return tasks.Load() == 4 && n.count(answersFlowed) == 1 })
+	soon(t, "all at the server, and an answer on its way", func() bool { return tasks.Load() == 4 && n.count(responsesStreamed) == 1 })
 	stopped := make(chan struct{})
 	go func() { n.stop(); close(stopped) }()
 	<-stopped
-	if n.count(tasksDeclined) != 1 || n.count(tasksBrokenOff) != 2 {
-		t.Errorf("at the end %d tasks are declined and %d broken off, want 1 and 2", n.count(tasksDeclined), n.count(tasksBrokenOff))
+	if n.count(requestsRejected) != 1 || n.count(requestsFailed) != 2 {
+		t.Errorf("at the end %d tasks are declined and %d broken off, want 1 and 2", n.count(requestsRejected), n.count(requestsFailed))
 	}
 	for category, status := range want {
 		if got, body, _ := answerOn(ins[category]); got != status {
@@ -707,10 +707,10 @@
 	if text, err := io.ReadAll(oldIn); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("half an answer did not end in a reset: %v, %d bytes", err, len(text))
 	}
-	late := newExchange()
-	late.task.ID = "late"
-	n.loop.enter(func() { n.loop.arrived(late) })
-	if a := <-late.answered; a.status != 503 || n.count(tasksNoRoom) != 1 {
+	late := newPendingRequest()
+	late.request.ID = "late"
+	n.loop.post(func() { n.loop.requestArrived(late) })
+	if a := <-late.responses; a.status != 503 || n.count(requestsOverCapacity) != 1 {
 		t.Errorf("a task that came after the end was answered %d", a.status)
 	}
 }
@@ -731,7 +731,7 @@
 	soon(t, "half of the second task", func() bool {
 		at.mu.Lock()
 		defer at.mu.Unlock()
-		return !at.began.IsZero() && at.busy == 1
+		return !at.began.IsZero() && at.pending == 1
 	})
 	n.stopping.Store(true)
 	answers.pass()
@@ -771,11 +771,11 @@
 			}
 		}
 	})
-	idleOf := func(n *Node) (c *serverConn) {
+	idleOf := func(n *Node) (c *upstreamConn) {
 		soon(t, "an idle connection", func() bool {
-			n.servers.mu.Lock()
-			defer n.servers.mu.Unlock()
-			for _, list := range n.servers.idle {
+			n.upstreams.mu.Lock()
+			defer n.upstreams.mu.Unlock()
+			for _, list := range n.upstreams.idle {
 				c = list[0]
 			}
 			return c != nil
@@ -784,9 +784,9 @@
 	}
 	t.Run("another task is out", func(t *testing.T) {
 		n := newNode(t, nil, server)
-		n.servers.rests = time.Hour
+		n.upstreams.strayRest = time.Hour
 		n.start()
-		n.servers.strays(true) // such have been seen here
+		n.upstreams.noteStray(true) // such have been seen here
 		ask(t, n, "batch", "a", "")
 		idleOf(n)
 		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
@@ -802,11 +802,11 @@
 		ask(t, n, "batch", "a", "")
 		c := idleOf(n)
 		stray.pass()
-		soon(t, "the second answer", c.has)
+		soon(t, "the second answer", c.hasInput)
 		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
 			t.Errorf("once the second answer has come a task got %q", body)
 		}
-		if n.servers.strayed.Load() == 0 {
+		if n.upstreams.lastStray.Load() == 0 {
 			t.Error("it was not noticed")
 		}
 	})
@@ -815,7 +815,7 @@
 // What a connection has shown decides when it carries the next task.
 func TestConnectionRests(t *testing.T) {
 	server := listen(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-	at := place{1, server}
+	at := upstreamTarget{1, server}
 	for name, c := range map[string]struct {
 		strayed, turned bool
 		standing        bool
@@ -828,23 +828,23 @@
 		"nor in any of these cases": {strayed: true, turned: true},
 	} {
 		n := newNode(t, nil)
-		n.servers.rests = time.Hour
-		n.servers.listed(1, server, c.standing)
-		n.servers.strays(c.strayed)
+		n.upstreams.strayRest = time.Hour
+		n.upstreams.setAddress(1, server, c.standing)
+		n.upstreams.noteStray(c.strayed)
 		raw, err := net.Dial("tcp", server)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.servers.reserve()
-		n.servers.keep(&serverConn{conn: newConn(raw), place: at, turned: c.turned})
-		if open := n.servers.open; open != 0 != c.standing {
+		n.upstreams.reserveSlot()
+		n.upstreams.putIdle(&upstreamConn{bufferedConn: newBufferedConn(raw), target: at, rejected: c.turned})
+		if open := n.upstreams.open; open != 0 != c.standing {
 			t.Errorf("%s: %d connections are open", name, open)
 		}
-		if got := n.servers.take(at); got != nil != c.taken {
+		if got := n.upstreams.takeIdle(at); got != nil != c.taken {
 			t.Errorf("%s: taken %t", name, got != nil)
 		}
-		n.servers.rests = 0
-		if got := n.servers.take(at); got != nil != (c.standing && !c.taken) {
+		n.upstreams.strayRest = 0
+		if got := n.upstreams.takeIdle(at); got != nil != (c.standing && !c.taken) {
 			t.Errorf("%s: taken %t once it has rested", name, got != nil)
 		}
 		raw.Close()
@@ -856,15 +856,15 @@
 	server, _ := serverOf(t, echo)
 	n := nodeWith(t, nil, server)
 	ask(t, n, "batch", "a", "")
-	soon(t, "an idle connection", func() bool { n.servers.mu.Lock(); defer n.servers.mu.Unlock(); return n.servers.order.Len() == 1 })
+	soon(t, "an idle connection", func() bool { n.upstreams.mu.Lock(); defer n.upstreams.mu.Unlock(); return n.upstreams.order.Len() == 1 })
 	born := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`, fmt.Sprintf(`"born_ms":%d`, n.clock.now()/milli), 1)
 	n.learn(t, listText(2, false, born))
-	soon(t, "its end", func() bool { n.servers.mu.Lock(); defer n.servers.mu.Unlock(); return n.servers.open == 0 })
+	soon(t, "its end", func() bool { n.upstreams.mu.Lock(); defer n.upstreams.mu.Unlock(); return n.upstreams.open == 0 })
 	n.learn(t, listText(3, false, born))
 	ask(t, n, "batch", "b", "")
 	n.learn(t, listText(4, false, born))
-	if n.passed(); n.count(serversClosedIdle) != 1 {
-		t.Errorf("%d connections closed", n.count(serversClosedIdle))
+	if n.passed(); n.count(upstreamConnsIdleClosed) != 1 {
+		t.Errorf("%d connections closed", n.count(upstreamConnsIdleClosed))
 	}
 }
 
@@ -881,7 +881,7 @@
 			t.Parallel()
 			for category, want := range c.status {
 				server, tasks := serverOf(t, func(conn net.Conn, r *http.Request, body string) bool {
-					if r.Header.Get(headerTask) == "first" {
+					if r.Header.Get(headerRequestID) == "first" {
 						return echo(conn, r, body)
 					}
 					if c.linger {
@@ -894,8 +894,8 @@
 				if status, _, _ := ask(t, n, category, "second", ""); status != want || tasks.Load() != 2 {
 					t.Errorf("%s: answered %d, want %d; %d tasks came", category, status, want, tasks.Load())
 				}
-				if n.count(handOffsReset) != 1 {
-					t.Errorf("%s: %d resets", category, n.count(handOffsReset))
+				if n.count(attemptsReset) != 1 {
+					t.Errorf("%s: %d resets", category, n.count(attemptsReset))
 				}
 			}
 		})
@@ -914,12 +914,12 @@
 // A stop holds that comes just before one who carries the hand-off, or reads its body, sets a time of its own.
 func TestStopCrossesADeadline(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
-		h := &handOff{}
+		h := &attempt{}
 		if stopped {
-			h.stop()
+			h.cancel()
 		}
 		var read time.Time
-		h.until(func(end time.Time) error { read = end; return nil }, time.Now().Add(time.Hour))
+		h.setDeadline(func(end time.Time) error { read = end; return nil }, time.Now().Add(time.Hour))
 		c := &noted{}
 		writePaced(c, h, []byte("x"))
 		for name, end := range map[string]time.Time{"a read": read, "a write": c.end} {
@@ -931,7 +931,7 @@
 		defer far.Close()
 		var given atomic.Bool
 		given.Store(stopped)
-		if err := (&pace{stall: time.Hour, given: &given}).begin(near); (err == errGivenUp) != stopped {
+		if err := (&readPacer{stall: time.Hour, given: &given}).begin(near); (err == errBodyAbandoned) != stopped {
 			t.Errorf("given up %t: %v", stopped, err)
 		}
 	}
@@ -1014,19 +1014,19 @@
 					with(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode), `"ask_within_us":10000000`, `"ask_within_us":3600000000`)(c)
 					c.Discovery = address
 				}, server)
-				n.discovery.silence, n.discovery.wait = 60*time.Millisecond, time.Hour
+				n.endpointWatch.silenceTimeout, n.endpointWatch.retryInterval = 60*time.Millisecond, time.Hour
 				n.start()
 				soon(t, "the drain", func() bool {
 					n.passed()
-					n.servers.mu.Lock()
-					defer n.servers.mu.Unlock()
-					return len(n.servers.stand) == 0
+					n.upstreams.mu.Lock()
+					defer n.upstreams.mu.Unlock()
+					return len(n.upstreams.eligible) == 0
 				})
 				if status, _, _ := ask(t, n, "batch", "t", ""); status != 503 || tasks.Load() != 0 {
 					t.Errorf("after the drain a task was answered %d, %d came to the server", status, tasks.Load())
 				}
-				if n.discovery.version != 2 {
-					t.Errorf("the next call would ask for what came after %d", n.discovery.version)
+				if n.endpointWatch.version != 2 {
+					t.Errorf("the next call would ask for what came after %d", n.endpointWatch.version)
 				}
 			})
 		}
@@ -1047,7 +1047,7 @@
 			server, _ := serverOf(t, echo)
 			address, asked := watchOf(t, func(conn net.Conn, chunk func(string)) { c.first(conn, chunk, server) })
 			n := newNode(t, func(c *Config) { with(`"discovery":"ask"`, `"discovery":"push"`)(c); c.Discovery = address }, server)
-			n.discovery.head, n.discovery.wait = 60*time.Millisecond, c.wait
+			n.endpointWatch.headTimeout, n.endpointWatch.retryInterval = 60*time.Millisecond, c.wait
 			n.start()
 			soon(t, "the next call", func() bool { return asked.Load() >= 2 })
 			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
@@ -1059,10 +1059,10 @@
 
 // Between calls there is always a wait, whatever the settings say of sends to draining servers.
 func TestWaitsBetweenCalls(t *testing.T) {
-	for within, want := range map[int]time.Duration{0: longestWait, 1: leastWait, 400000: 100 * time.Millisecond, 60000000: longestWait} {
+	for within, want := range map[int]time.Duration{0: maxRetryInterval, 1: minRetryInterval, 400000: 100 * time.Millisecond, 60000000: maxRetryInterval} {
 		n := newNode(t, with(`"rules":{`, fmt.Sprintf(`"rules":{"stop_sending_within_us":%d,`, within)))
-		if n.discovery.wait != want {
-			t.Errorf("sends stop within %d us: a wait of %v, want %v", within, n.discovery.wait, want)
+		if n.endpointWatch.retryInterval != want {
+			t.Errorf("sends stop within %d us: a wait of %v, want %v", within, n.endpointWatch.retryInterval, want)
 		}
 	}
 }
@@ -1108,9 +1108,9 @@
 	})
 	n := nodeWith(t, func(c *Config) { c.Discovery = old }, server)
 	late.held(t, 1)
-	n.discovery.move(young)
+	n.endpointWatch.move(young)
 	late.pass()
-	soon(t, "the new list", func() bool { return n.count(listLines) >= 2 })
+	soon(t, "the new list", func() bool { return n.count(listUpdates) >= 2 })
 	if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
 		t.Errorf("answered %d by a list that was left", status)
 	}
@@ -1121,7 +1121,7 @@
 	server, _ := serverOf(t, echo)
 	n := processes(t, server)()
 	n.start()
-	raw, err := n.clients.listener.(*net.TCPListener).SyscallConn()
+	raw, err := n.frontend.listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -1140,7 +1140,7 @@
 		t.Error("the stop stands behind an accept")
 	}
 	over := make(chan bool, 1)
-	n.loop.enter(func() { over <- n.loop.over })
+	n.loop.post(func() { over <- n.loop.stopping })
 	if <-over {
 		t.Error("the stop ended only by giving up")
 	}
@@ -1157,17 +1157,17 @@
 	old := next()
 	old.start()
 	fresh := next()
-	fresh.handover.served()
-	soon(t, "the old one yields", old.handover.hasYielded)
+	fresh.hotRestart.announceServing()
+	soon(t, "the old one yields", old.hotRestart.hasYielded)
 	client, in := dial(t, old) // stands in the machine: the successor was to take it
 	io.WriteString(client, taskText("batch", "t", ""))
 	stopped := make(chan struct{})
 	go func() { old.stop(); close(stopped) }()
 	soon(t, "the stop", old.stopping.Load)
-	fresh.handover.close()
-	fresh.handover.mu.Lock()
-	fresh.handover.before.Close()
-	fresh.handover.mu.Unlock()
+	fresh.hotRestart.close()
+	fresh.hotRestart.mu.Lock()
+	fresh.hotRestart.predecessor.Close()
+	fresh.hotRestart.mu.Unlock()
 	if status, _, _ := answerOn(in); status != 200 {
 		t.Errorf("a task that nobody else is there for was answered %d", status)
 	}
@@ -1180,20 +1180,20 @@
 		"two successors": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
 			first := next()
 			second := next() // finds the place taken, and makes a plain start
-			if first.heritage == nil || second.heritage != nil {
+			if first.predecessor == nil || second.predecessor != nil {
 				t.Error("one of them is to take over, the other is not")
 			}
 			second.start()
 			ask("second")
 			first.start()
-			soon(t, "the old one yields", old.handover.hasYielded)
+			soon(t, "the old one yields", old.hotRestart.hasYielded)
 			old.stop()
 			ask("first")
 		},
 		"both stop": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
 			fresh := next()
 			fresh.start()
-			soon(t, "the old one yields", old.handover.hasYielded)
+			soon(t, "the old one yields", old.hotRestart.hasYielded)
 			var done sync.WaitGroup
 			for _, n := range []*Node{old, fresh} {
 				done.Go(n.stop)
@@ -1204,19 +1204,19 @@
 		},
 		"the old one is told to end before the first accept": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
 			fresh := next()
-			fresh.handover.served() // says so, and does not take yet
-			soon(t, "the old one yields", old.handover.hasYielded)
+			fresh.hotRestart.announceServing() // says so, and does not take yet
+			soon(t, "the old one yields", old.hotRestart.hasYielded)
 			old.stop()
 			go fresh.start()
 			ask("after")
 		},
 		"a drain in between": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
 			fresh := next()
-			if _, err := old.orders.change(func(o *standingOrders) string { o.drained = true; return "" }); err != nil {
+			if _, err := old.overrides.change(func(o *overrideSet) string { o.drained = true; return "" }); err != nil {
 				t.Fatal(err)
 			}
 			fresh.start()
-			soon(t, "both know", func() bool { return old.orders.drained() && fresh.notReady() == "drained" })
+			soon(t, "both know", func() bool { return old.overrides.drained() && fresh.notReady() == "drained" })
 			ask("drained")
 			old.stop()
 		},
@@ -1249,12 +1249,12 @@
 	io.WriteString(client, taskText("pay", "t", ""))
 	answers.held(t, 1)
 	held := n.holdLoop(t)
-	n.loop.enter(func() { n.loop.Cancel("t", 0) })
+	n.loop.post(func() { n.loop.Cancel("t", 0) })
 	held.pass()
 	if status, _, _ := answerOn(in); status != 502 || tasks.Load() != 1 {
 		t.Errorf("an exclusive task that was recalled was answered %d, %d came to servers", status, tasks.Load())
 	}
-	if n.count(handOffsRecalled) != 1 {
-		t.Errorf("%d recalled", n.count(handOffsRecalled))
+	if n.count(attemptsCanceled) != 1 {
+		t.Errorf("%d recalled", n.count(attemptsCanceled))
 	}
 }
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -21,17 +21,17 @@
 	server, _ := serverOf(t, echo)
 	slow := listen(t, func(c net.Conn) { answers.wait(); io.Copy(io.Discard, c) })
 	n := nodeWith(t, quiet(t), server)
-	n.servers.allot(2)
-	n.clients.allot(8, 0, 100)
-	n.clients.mayLend.Store(3)
+	n.upstreams.setLimit(2)
+	n.frontend.setLimits(8, 0, 100)
+	n.frontend.maxLent.Store(3)
 	for range 8 {
 		dial(t, n)
 	}
-	soon(t, "a full house", func() bool { n.clients.mu.Lock(); defer n.clients.mu.Unlock(); return len(n.clients.open) == 8 })
-	soon(t, "its clients idle", func() bool { n.clients.mu.Lock(); defer n.clients.mu.Unlock(); return n.idlers() == 8 })
-	var conns []*serverConn
+	soon(t, "a full house", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return len(n.frontend.open) == 8 })
+	soon(t, "its clients idle", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return n.idlers() == 8 })
+	var conns []*upstreamConn
 	for i := range 6 {
-		c, err := n.servers.connection(&handOff{exchange: newExchange(), place: place{1, slow}}, time.Now().Add(time.Minute))
+		c, err := n.upstreams.acquire(&attempt{request: newPendingRequest(), target: upstreamTarget{1, slow}}, time.Now().Add(time.Minute))
 		if (err == nil) != (i < 5) {
 			t.Fatalf("attempt %d: %v", i, err)
 		}
@@ -39,19 +39,19 @@
 			conns = append(conns, c)
 		}
 	}
-	n.clients.mu.Lock()
-	if open, places := len(n.clients.open), n.clients.places(); open > 5 || places != 5 {
+	n.frontend.mu.Lock()
+	if open, places := len(n.frontend.open), n.frontend.placesLocked(); open > 5 || places != 5 {
 		t.Errorf("beside five attempts %d clients stand at %d places", open, places)
 	}
-	n.clients.mu.Unlock()
-	if _, err := n.servers.connection(&handOff{place: place{1, slow}}, time.Now().Add(time.Minute)); err != errNoRoom {
+	n.frontend.mu.Unlock()
+	if _, err := n.upstreams.acquire(&attempt{target: upstreamTarget{1, slow}}, time.Now().Add(time.Minute)); err != errNoConnectionSlot {
 		t.Errorf("a probe: %v", err)
 	}
 	for _, c := range conns[:4] {
-		n.servers.close(c)
+		n.upstreams.closeConn(c)
 	}
-	if n.servers.sweep(); n.clients.lent.Load() != 0 || n.clients.room() != 8 {
-		t.Errorf("%d places are not given back", n.clients.lent.Load())
+	if n.upstreams.closeExpired(); n.frontend.lent.Load() != 0 || n.frontend.capacity() != 8 {
+		t.Errorf("%d places are not given back", n.frontend.lent.Load())
 	}
 }
 
@@ -62,16 +62,16 @@
 	for range 8 {
 		dial(t, n)
 	}
-	soon(t, "all idle", func() bool { n.clients.mu.Lock(); defer n.clients.mu.Unlock(); return n.idlers() == 8 })
-	n.clients.allot(3, 0, 100)
-	if n.count(clientsDismissed) != 5 {
-		t.Errorf("%d clients are asked to go, want 5", n.count(clientsDismissed))
+	soon(t, "all idle", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return n.idlers() == 8 })
+	n.frontend.setLimits(3, 0, 100)
+	if n.count(clientsEvicted) != 5 {
+		t.Errorf("%d clients are asked to go, want 5", n.count(clientsEvicted))
 	}
 }
 
 // idlers is how many clients could be asked to go; the lock is held.
 func (n *Node) idlers() (idle int) {
-	for c := range n.clients.open {
+	for c := range n.frontend.open {
 		c.mu.Lock()
 		if c.idle(time.Now()) {
 			idle++
@@ -86,14 +86,14 @@
 func TestOrdersWaitWithOneFile(t *testing.T) {
 	server, _ := serverOf(t, echo)
 	n := nodeWith(t, nil, server)
-	held, err := lockFile(n.orders.path+".lock", time.Second)
+	held, err := lockFile(n.overrides.path+".lock", time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	open := func() (files int) {
 		list, _ := os.ReadDir("/proc/self/fd")
 		for _, one := range list {
-			if at, _ := os.Readlink("/proc/self/fd/" + one.Name()); strings.HasPrefix(at, n.orders.path) {
+			if at, _ := os.Readlink("/proc/self/fd/" + one.Name()); strings.HasPrefix(at, n.overrides.path) {
 				files++
 			}
 		}
@@ -103,7 +103,7 @@
 	var done sync.WaitGroup
 	for i := range 8 {
 		done.Go(func() {
-			n.orders.change(func(o *standingOrders) string { return o.putOut(fmt.Sprint("s-", i), 1) })
+			n.overrides.change(func(o *overrideSet) string { return o.disable(fmt.Sprint("s-", i), 1) })
 		})
 	}
 	soon(t, "one that waits", func() bool { most = max(most, open()); return most > 0 })
--- a/internal/node/discovery_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -20,8 +20,8 @@
 // This file owns the tests of a discovery that is slow, crowded, gone or long of word. Its times are a tenth of the real ones.
 
 const (
-	tenthHead    = listHead / 10
-	tenthSilence = listSilence / 10
+	tenthHead    = listHeadTimeout / 10
+	tenthSilence = listSilenceTimeout / 10
 )
 
 // turns is a discovery that works calls in turn, one at a time and also those that were given up, and then lets the watch stand.
@@ -71,7 +71,7 @@
 		with(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
 		c.Discovery, c.Known = discovery, nil
 	})
-	n.discovery.head, n.discovery.silence = tenthHead, time.Hour
+	n.endpointWatch.headTimeout, n.endpointWatch.silenceTimeout = tenthHead, time.Hour
 	return n
 }
 
@@ -85,7 +85,7 @@
 				q := turnsOf(t, turn, 0, text)
 				n := atATenth(t, mode, q.address)
 				go n.start()
-				soon(t, "ready", func() bool { return n.notReady() == "" && n.listed.Load() })
+				soon(t, "ready", func() bool { return n.notReady() == "" && n.hasList.Load() })
 				if calls := q.calls.Load(); calls > most+1 { // one more where the machine is slow
 					t.Errorf("%d calls, want %d at most", calls, most)
 				}
@@ -149,7 +149,7 @@
 		with(`"ask_within_us":10000000`, `"ask_within_us":3600000000`)(c)
 		c.Discovery = address
 	})
-	soon(t, "the list", func() bool { return n.count(listLines) == 1 })
+	soon(t, "the list", func() bool { return n.count(listUpdates) == 1 })
 }
 
 // A watch whose head comes at once and whose first word comes in its turn is no dead one, and one that never says a word is.
@@ -171,7 +171,7 @@
 			t.Parallel()
 			address, asked := watchOf(t, script...)
 			n := atATenth(t, "push", address)
-			n.discovery.silence = tenthSilence
+			n.endpointWatch.silenceTimeout = tenthSilence
 			go n.start()
 			soon(t, "ready", func() bool { return n.notReady() == "" })
 			if asked.Load() > 4 {
@@ -205,21 +205,21 @@
 			}, server)
 			core, said := observer.New(zap.InfoLevel)
 			n.log = zap.New(core)
-			n.lists = endpointlist.Limits{ValueBytes: 1 << 16, LineBytes: 1 << 20, Endpoints: 20}
+			n.listLimits = endpointlist.Limits{ValueBytes: 1 << 16, LineBytes: 1 << 20, Endpoints: 20}
 			n.start()
 			time.Sleep(1500 * time.Millisecond)
 			if calls := asked.Load(); calls < 2 || calls > 4 {
 				t.Errorf("%d calls in 1.5 s, want 2 to 4: waits grow from 0.2 s", calls)
 			}
-			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 || !n.orders.listed("s-0") || n.orders.listed("s-1") {
+			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 || !n.overrides.isKnown("s-0") || n.overrides.isKnown("s-1") {
 				t.Errorf("%d by the list from before", status)
 			}
 			if complaints := said.FilterLevelExact(zap.ErrorLevel).Len(); complaints != 1 || said.FilterMessage("watch of the list ended").Len() != 0 {
 				t.Errorf("%d complaints: %v", complaints, said.All())
 			}
 			short.Store(true)
-			soon(t, "the list", func() bool { return n.orders.listed("s-1") })
-			if n.discovery.long != 0 && n.count(listLines) == 0 {
+			soon(t, "the list", func() bool { return n.overrides.isKnown("s-1") })
+			if n.endpointWatch.oversizedBackoff != 0 && n.count(listUpdates) == 0 {
 				t.Error("not held yet")
 			}
 		})
@@ -261,14 +261,14 @@
 		}
 	}
 	known := make(chan int)
-	n.loop.enter(func() { known <- len(n.loop.fleet) })
+	n.loop.post(func() { known <- len(n.loop.endpoints) })
 	if fleet := <-known; fleet != servers || asked.Load() != 1 {
 		t.Errorf("%d servers known after %d calls", fleet, asked.Load())
 	}
-	if !n.orders.listed("s-00000000") || !n.orders.listed(fmt.Sprintf("s-%08x", servers-1)) {
+	if !n.overrides.isKnown("s-00000000") || !n.overrides.isKnown(fmt.Sprintf("s-%08x", servers-1)) {
 		t.Error("operators can't take out a server that is on the list")
 	}
-	n.discovery.move("127.0.0.1:1")
+	n.endpointWatch.move("127.0.0.1:1")
 	n.learn(t, listText(3, true)) // what stays of it costs the tests after it nothing
 }
 
@@ -277,13 +277,13 @@
 	text := listText(2, true, listEntry("s-0", "127.0.0.1:1", "up"))
 	old, young := turnsOf(t, 0, 1000, text), turnsOf(t, 0, 0, text)
 	n := atATenth(t, "push", old.address)
-	n.discovery.head, n.discovery.wait = time.Hour, time.Hour
+	n.endpointWatch.headTimeout, n.endpointWatch.retryInterval = time.Hour, time.Hour
 	go n.start()
 	soon(t, "the call that waits", func() bool { return old.now.Load() == 1 })
-	n.discovery.move(young.address)
-	soon(t, "the list of the new place", func() bool { return n.count(listLines) == 1 })
+	n.endpointWatch.move(young.address)
+	soon(t, "the list of the new place", func() bool { return n.count(listUpdates) == 1 })
 	soon(t, "the old place let go", func() bool { return old.now.Load() == 0 })
-	if n.count(listCallsFailed) != 0 || old.calls.Load() != 1 || young.calls.Load() != 1 {
-		t.Errorf("%d calls at the old place, %d at the new, %d failed", old.calls.Load(), young.calls.Load(), n.count(listCallsFailed))
+	if n.count(listWatchesFailed) != 0 || old.calls.Load() != 1 || young.calls.Load() != 1 {
+		t.Errorf("%d calls at the old place, %d at the new, %d failed", old.calls.Load(), young.calls.Load(), n.count(listWatchesFailed))
 	}
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -32,47 +32,47 @@
 	var b bytes.Buffer
 	for _, c := range []struct {
 		text   string
-		source *source
+		source *bodySource
 		body   []byte
 	}{
 		{text: "GET /view/1?q=2 HTTP/1.1\r\nHost: shop\r\nX-Txn: t1\r\nX-Lane: view\r\nX-Org: acme\r\nX-Remaining-Ms: 900\r\nX-Resent: 1\r\nX-Estimate: 5000\r\n" +
 			"X-Pressure: util=1\r\nX-Turned-Away: 1\r\nCookie: key=k9\r\nConnection: close, X-Own\r\nX-Own: 1\r\nX-Other: a\r\nX-Other: b\r\nTe: trailers\r\n\r\n"},
 		{text: taskText("pay", "t2", "hello"), body: []byte("hello")},
 		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t3\r\nContent-Length: 0\r\n\r\n"},
-		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", source: &source{length: -1}},
-		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t5\r\nContent-Length: 9000000\r\n\r\n", source: &source{length: 9_000_000}},
+		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", source: &bodySource{length: -1}},
+		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t5\r\nContent-Length: 9000000\r\n\r\n", source: &bodySource{length: 9_000_000}},
 	} {
-		x := newExchange()
+		x := newPendingRequest()
 		x.source, x.body = c.source, c.body
-		x.keep(read(c.text))
-		b.Write(x.headFor(1_234_567_890))
+		x.bufferHead(read(c.text))
+		b.Write(x.headWithTimeout(1_234_567_890))
 	}
 	golden.Check(t, "request-heads.txt", b.Bytes())
 
 	b.Reset()
 	header := http.Header{"X-Other": {"a", "b"}, "Content-Length": {"77"}}
 	for _, c := range []struct {
-		answer answer
+		answer response
 		method string
 		old    bool
 		last   bool
 	}{
-		{answer{status: 200, header: header.Clone(), body: []byte("body")}, "GET", false, false},
-		{answer{status: 200, header: header.Clone()}, "HEAD", false, true},
-		{answer{status: 503, advice: 1_500_000_000}, "GET", false, false},
-		{answer{status: 502}, "POST", false, true},
-		{answer{status: 200, header: http.Header{}, flow: &flow{length: -1}}, "GET", false, false},
-		{answer{status: 200, header: http.Header{}, flow: &flow{length: -1}}, "GET", true, true},
-		{answer{status: 200, header: http.Header{}, flow: &flow{length: 9_000_000}}, "GET", false, false},
+		{response{status: 200, header: header.Clone(), body: []byte("body")}, "GET", false, false},
+		{response{status: 200, header: header.Clone()}, "HEAD", false, true},
+		{response{status: 503, retryAfter: 1_500_000_000}, "GET", false, false},
+		{response{status: 502}, "POST", false, true},
+		{response{status: 200, header: http.Header{}, stream: &responseStream{length: -1}}, "GET", false, false},
+		{response{status: 200, header: http.Header{}, stream: &responseStream{length: -1}}, "GET", true, true},
+		{response{status: 200, header: http.Header{}, stream: &responseStream{length: 9_000_000}}, "GET", false, false},
 	} {
-		x := newExchange()
-		x.method, x.old = c.method, c.old
-		head, chunks := c.answer.text(x, c.last)
+		x := newPendingRequest()
+		x.method, x.http10 = c.method, c.old
+		head, chunks := c.answer.encodeHead(x, c.last)
 		fmt.Fprintf(&b, "%s(in chunks: %v)\n", head, chunks)
 	}
 	golden.Check(t, "answer-heads.txt", b.Bytes())
 	golden.Check(t, "watch-head.txt", []byte(watchHead("127.0.0.1:9", 42)))
-	golden.Check(t, "load-head.txt", []byte(loadQuestion("127.0.0.1:9")))
+	golden.Check(t, "load-head.txt", []byte(healthCheckHead("127.0.0.1:9")))
 }
 
 // TestGoldenTask holds what the decisions are told of a request's head, and of a server's answer, to earlier builds.
@@ -91,7 +91,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		task, err := n.taskOf(r, 1e18)
+		task, err := n.parseRequest(r, 1e18)
 		if err != nil {
 			fmt.Fprintf(&b, "%v\n", err)
 			continue
@@ -105,10 +105,10 @@
 		{200, nil}, {204, nil}, {400, nil}, {404, nil}, {408, nil}, {425, nil}, {429, nil}, {500, nil}, {503, nil},
 		{503, http.Header{"X-Turned-Away": {"1"}}}, {504, http.Header{"X-Turned-Away": {"1"}}}, {503, http.Header{"X-Turned-Away": {"0"}}}, {500, http.Header{"X-Turned-Away": {"1"}}},
 	} {
-		fmt.Fprintf(&b, "%d %v: outcome %d, %v\n", c.status, c.header, int(outcomeOf(c.status, c.header)), badTask(c.status))
+		fmt.Fprintf(&b, "%d %v: outcome %d, %v\n", c.status, c.header, int(outcomeOf(c.status, c.header)), isRequestFault(c.status))
 	}
 	for _, text := range []string{"", "util=0.5,queue=3,latency_ms=12.5", "queue=-1,util=x,other=3", "util=0.25"} {
-		r := reportOf(text)
+		r := parseLoadReport(text)
 		fmt.Fprintf(&b, "%q: %v %v %v\n", text, r.Utilization, r.QueueLength, r.ServiceTime)
 	}
 	golden.Check(t, "read.txt", b.Bytes())
@@ -117,24 +117,24 @@
 // TestGoldenHandover holds what two processes of a node tell one another to the bytes of earlier builds.
 func TestGoldenHandover(t *testing.T) {
 	var b bytes.Buffer
-	who := hello{Version: handoverVersion, Node: `"n0" 127.0.0.1:80`}
+	who := restartHello{Version: hotRestartVersion, Node: `"n0" 127.0.0.1:80`}
 	out := json.NewEncoder(&b)
-	for _, v := range []any{who, heritage{hello: who, List: json.RawMessage(`{"seq":1}`), Listed: []string{"s-1", "s-2"}, Learned: json.RawMessage(`{"MeanOf":1}`)}} {
+	for _, v := range []any{who, restartState{restartHello: who, List: json.RawMessage(`{"seq":1}`), Listed: []string{"s-1", "s-2"}, Learned: json.RawMessage(`{"MeanOf":1}`)}} {
 		if err := out.Encode(v); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.WriteString(readyWord)
+	b.WriteString(readyMessage)
 	golden.Check(t, "handover.txt", b.Bytes())
-	entries := []entry{
+	entries := []endpointEntry{
 		{name: "s-1", address: "127.0.0.1:80", EndpointInfo: policy.EndpointInfo{Zone: 1, Pod: 3, Weight: 1.5, State: policy.StateDraining, StartedAt: 1_700_000_000_123_000_000}},
 		{name: "s-2", EndpointInfo: policy.EndpointInfo{Zone: -1, State: policy.StateRemoved}},
 	}
-	text := wholeList(9, entries, []string{"a", "b"})
+	text := encodeList(9, entries, []string{"a", "b"})
 	golden.Check(t, "list.json", text)
 	var ids []byte
 	_, err := endpointlist.Parse(text, endpointlist.LimitsFor(0), func() { ids = nil }, func(in endpointlist.Entry) error {
-		e, err := entryOf(in, []string{"a", "b"})
+		e, err := entryFrom(in, []string{"a", "b"})
 		ids = fmt.Appendf(ids, "%s %s %d %d %d %v %d %d %v\n", e.name, e.address, e.ID, e.Zone, e.Pod, e.Weight, int(e.State), e.StartedAt, err)
 		return err
 	})
@@ -144,11 +144,11 @@
 // TestGoldenOrders holds the file of what operators ordered to its form, and a file of an earlier build to its meaning.
 func TestGoldenOrders(t *testing.T) {
 	n := newNode(t, func(c *Config) { c.Name, c.Listen = "n0", "127.0.0.1:0" })
-	s := &standingOrders{drained: true, servers: map[string]out{"s-1": {since: 5}, "s \"2\"": {since: 6, back: 7}}}
-	if err := n.orders.write(s); err != nil {
+	s := &overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-1": {disabledAt: 5}, "s \"2\"": {disabledAt: 6, enabledAt: 7}}}
+	if err := n.overrides.write(s); err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(n.orders.path)
+	text, err := os.ReadFile(n.overrides.path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,8 +159,8 @@
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	read, err := parseOrders(kept, n.orders.whose())
-	if err != nil || !read.drained || len(read.servers) != 2 || read.servers["s-1"] != (out{since: 5}) || read.servers["s \"2\""] != (out{since: 6, back: 7}) {
+	read, err := parseOverrides(kept, n.overrides.owner())
+	if err != nil || !read.drained || len(read.endpoints) != 2 || read.endpoints["s-1"] != (disabledEndpoint{disabledAt: 5}) || read.endpoints["s \"2\""] != (disabledEndpoint{disabledAt: 6, enabledAt: 7}) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
 }
@@ -175,7 +175,7 @@
 		"PUT /drain", "GET /ready", "PUT /undrain", "GET /ready",
 	} {
 		method, target, _ := strings.Cut(c, " ")
-		fmt.Fprintf(&b, "> %s\n%s", c, n.console.call(httptest.NewRequest(method, target, nil)).bytes())
+		fmt.Fprintf(&b, "> %s\n%s", c, n.admin.handle(httptest.NewRequest(method, target, nil)).encode())
 	}
 	golden.Check(t, "console.txt", b.Bytes())
 	var fields map[string]json.RawMessage
@@ -184,7 +184,7 @@
 			t.Fatal(err)
 		}
 	}, "127.0.0.1:1")
-	if err := json.Unmarshal([]byte(d.state.text()), &fields); err != nil {
+	if err := json.Unmarshal([]byte(d.persistence.statusJSON()), &fields); err != nil {
 		t.Fatal(err)
 	}
 	var names []string
@@ -205,7 +205,7 @@
 		"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n",
 		"GET /view HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
 		"GET /view HTTP/1.1\r\nbad\r\n\r\n",
-		"GET /" + strings.Repeat("x", maxHead) + " HTTP/1.1\r\nHost: h\r\n\r\n",
+		"GET /" + strings.Repeat("x", maxHeadBytes) + " HTTP/1.1\r\nHost: h\r\n\r\n",
 	} {
 		c, err := net.Dial("tcp", n.address())
 		if err != nil {
--- a/internal/node/peers.go
+++ b/internal/node/gossip.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	mostPeers = 4096
-	mostTold  = 64 // news that wait to be sent; what comes beyond is dropped
+	maxGossipPeers  = 4096
+	maxGossipOutbox = 64 // news that wait to be sent; what comes beyond is dropped
 )
 
 // peers holds the node's socket for news; without one nothing is told and nothing heard.
-type peers struct {
-	node    *Node
-	socket  *net.UDPConn
-	known   map[netip.AddrPort]int // a number for each
-	inbox   gossip.Inbox           // of hear alone
-	waiting chan policy.GossipMessage
+type gossiper struct {
+	node   *Node
+	socket *net.UDPConn
+	peers  map[netip.AddrPort]int // a number for each
+	inbox  gossip.Inbox           // of hear alone
+	outbox chan policy.GossipMessage
 }
 
 // checkNews checks the configuration of news.
@@ -45,8 +45,8 @@
 	if _, err := netip.ParseAddrPort(c.News.Listen); err != nil {
 		return fmt.Errorf("news.listen: expected an address and a port, got %q", c.News.Listen)
 	}
-	if len(c.News.Peers) > mostPeers {
-		return fmt.Errorf("news.peers: expected at most %d, got %d", mostPeers, len(c.News.Peers))
+	if len(c.News.Peers) > maxGossipPeers {
+		return fmt.Errorf("news.peers: expected at most %d, got %d", maxGossipPeers, len(c.News.Peers))
 	}
 	for i, address := range c.News.Peers {
 		if at, err := netip.ParseAddrPort(address); err != nil || at.Port() == 0 {
@@ -56,8 +56,8 @@
 	return nil
 }
 
-func newPeers(n *Node) (*peers, error) {
-	p := &peers{node: n, known: map[netip.AddrPort]int{}, waiting: make(chan policy.GossipMessage, mostTold)}
+func newGossiper(n *Node) (*gossiper, error) {
+	p := &gossiper{node: n, peers: map[netip.AddrPort]int{}, outbox: make(chan policy.GossipMessage, maxGossipOutbox)}
 	if n.config.News.Listen == "" {
 		return p, nil
 	}
@@ -69,67 +69,67 @@
 	own := socket.LocalAddr().(*net.UDPAddr).AddrPort()
 	for i, address := range n.config.News.Peers { // the same list may serve all nodes
 		if at := netip.MustParseAddrPort(address); at != own {
-			p.known[at] = i
+			p.peers[at] = i
 		}
 	}
 	return p, nil
 }
 
 // tell queues news for every peer; it never waits.
-func (p *peers) tell(n policy.GossipMessage) {
+func (p *gossiper) send(n policy.GossipMessage) {
 	select {
-	case p.waiting <- n:
+	case p.outbox <- n:
 	default:
-		p.node.counters.add(newsDropped)
+		p.node.counters.add(gossipDropped)
 	}
 }
 
-func (p *peers) run() {
+func (p *gossiper) sendLoop() {
 	if p.socket == nil {
 		return
 	}
-	go p.hear()
-	for n := range p.waiting {
+	go p.receiveLoop()
+	for n := range p.outbox {
 		message := gossip.Encode(n, p.node.clock.now())
-		for at := range p.known {
+		for at := range p.peers {
 			if _, err := p.socket.WriteToUDPAddrPort(message, at); err != nil {
-				p.node.counters.add(newsDropped)
+				p.node.counters.add(gossipDropped)
 				continue
 			}
-			p.node.counters.add(newsTold)
+			p.node.counters.add(gossipSent)
 		}
 	}
 }
 
 // hear enters what peers tell, unless the loop has its hands full: no task is to wait for news.
-func (p *peers) hear() {
+func (p *gossiper) receiveLoop() {
 	buffer := make([]byte, gossip.MaxMessageBytes+1)
 	for {
 		length, from, err := p.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		peer, known := p.known[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		peer, known := p.peers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if err != nil || !known {
-			p.node.counters.add(newsPassedOver)
+			p.node.counters.add(gossipIgnored)
 			continue
 		}
 		told, err := p.inbox.Open(peer, buffer[:length], p.node.clock.now())
 		if err != nil {
-			p.node.counters.add(newsPassedOver)
+			p.node.counters.add(gossipIgnored)
 			continue
 		}
 		select {
-		case p.node.loop.events <- func() { p.node.loop.told(told) }:
-			p.node.counters.add(newsHeard)
+		case p.node.loop.events <- func() { p.node.loop.gossipReceived(told) }:
+			p.node.counters.add(gossipReceived)
 		default:
-			p.node.counters.add(newsDropped)
+			p.node.counters.add(gossipDropped)
 		}
 	}
 }
 
 // close ends both directions.
-func (p *peers) close() {
+func (p *gossiper) close() {
 	if p.socket != nil {
 		if err := p.socket.Close(); err != nil {
 			p.node.log.Warn("news", zap.Error(err))
--- a/internal/node/peers_test.go
+++ b/internal/node/gossip_test.go
@@ -30,9 +30,9 @@
 	}
 	defer listener.Close()
 	n := nodeWith(t, withNews(1, listener.LocalAddr().String()))
-	t.Cleanup(n.peers.close)
-	told := policy.GossipMessage{Endpoint: serverID("s-0"), Class: 2}
-	n.loop.enter(func() { n.loop.Gossip(told) })
+	t.Cleanup(n.gossiper.close)
+	told := policy.GossipMessage{Endpoint: endpointID("s-0"), Class: 2}
+	n.loop.post(func() { n.loop.Gossip(told) })
 	buffer := make([]byte, 300)
 	listener.SetReadDeadline(time.Now().Add(5 * time.Second))
 	length, _, err := listener.ReadFrom(buffer)
@@ -42,30 +42,30 @@
 	if got, err := new(gossip.Inbox).Open(0, buffer[:length], n.clock.now()); got != told || err != nil {
 		t.Errorf("the peer heard %+v, %v", got, err)
 	}
-	own := n.peers.socket.LocalAddr()
+	own := n.gossiper.socket.LocalAddr()
 	message := gossip.Encode(told, n.clock.now())
 	for _, message := range [][]byte{message, message, gossip.Encode(told, n.clock.now()-5*second), nil, {1, 2, 3}, make([]byte, 2000)} {
 		listener.WriteTo(message, own)
 	}
-	soon(t, "a message heard, five passed over", func() bool { return n.count(newsHeard) == 1 && n.count(newsPassedOver) == 5 })
+	soon(t, "a message heard, five passed over", func() bool { return n.count(gossipReceived) == 1 && n.count(gossipIgnored) == 5 })
 	stranger, err := net.Dial("udp", own.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stranger.Close()
 	stranger.Write(message)
-	soon(t, "a stranger passed over", func() bool { return n.count(newsPassedOver) == 6 })
+	soon(t, "a stranger passed over", func() bool { return n.count(gossipIgnored) == 6 })
 }
 
 // Guards against news holding up the loop when nobody takes them from it.
 func TestNewsBeyondWhatWaitsAreDropped(t *testing.T) {
 	n := newNode(t, withNews(0))
-	t.Cleanup(n.peers.close)
-	for range mostTold + 5 {
+	t.Cleanup(n.gossiper.close)
+	for range maxGossipOutbox + 5 {
 		n.loop.Gossip(policy.GossipMessage{IdleTime: second})
 	}
-	if n.count(newsDropped) != 5 {
-		t.Errorf("%d dropped, want 5", n.count(newsDropped))
+	if n.count(gossipDropped) != 5 {
+		t.Errorf("%d dropped, want 5", n.count(gossipDropped))
 	}
 }
 
@@ -82,13 +82,13 @@
 		return echo(c, r, body)
 	})
 	n := nodeWith(t, withNews(0), server)
-	t.Cleanup(n.peers.close)
+	t.Cleanup(n.gossiper.close)
 	for i := range 3 * 32 {
 		if status, _, _ := ask(t, n, "view", fmt.Sprint("t", i), ""); status != 200 {
 			t.Fatalf("task %d: %d", i, status)
 		}
 	}
-	soon(t, "three probes, one of them failed", func() bool { return n.count(probesAnswered) == 2 && n.count(probesFailed) == 1 })
+	soon(t, "three probes, one of them failed", func() bool { return n.count(healthChecksAnswered) == 2 && n.count(healthChecksFailed) == 1 })
 	if probes.Load() != 3 || answered.Load() != 96 {
 		t.Errorf("%d probes and %d tasks came to the server", probes.Load(), answered.Load())
 	}
@@ -98,11 +98,11 @@
 	server, _ := serverOf(t, echo)
 	n := nodeWith(t, nil, server)
 	ask(t, n, "view", "a", "")
-	n.loop.enter(func() { n.loop.CloseIdle(serverID("s-0")) })
-	soon(t, "its connection closed", func() bool { return n.count(serversClosedIdle) == 1 })
-	n.loop.enter(func() { n.loop.CloseIdle(99) })
-	if status, _, _ := ask(t, n, "view", "b", ""); status != 200 || n.count(serversConnected) != 2 {
-		t.Errorf("after it: %d, %d connections opened", status, n.count(serversConnected))
+	n.loop.post(func() { n.loop.CloseIdle(endpointID("s-0")) })
+	soon(t, "its connection closed", func() bool { return n.count(upstreamConnsIdleClosed) == 1 })
+	n.loop.post(func() { n.loop.CloseIdle(99) })
+	if status, _, _ := ask(t, n, "view", "b", ""); status != 200 || n.count(upstreamConnsOpened) != 2 {
+		t.Errorf("after it: %d, %d connections opened", status, n.count(upstreamConnsOpened))
 	}
 }
 
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -103,7 +103,7 @@
 
 // echo answers with what came, so that a mix-up of answers shows.
 func echo(c net.Conn, r *http.Request, body string) bool {
-	return say(c, "200 OK\r\nX-Pressure: queue=1", r.RequestURI+" "+r.Header.Get(headerTask)+" "+body)
+	return say(c, "200 OK\r\nX-Pressure: queue=1", r.RequestURI+" "+r.Header.Get(headerRequestID)+" "+body)
 }
 
 // newNode makes a node whose known list has the servers, with discovery at an address where by default nobody is.
@@ -129,7 +129,7 @@
 	// The bound on memory is a process's: the nodes of all tests share this one, and what was left of them, hundreds at the end, was over
 	// that of a single node, so that its collector stood in every request's way.
 	debug.SetMemoryLimit(math.MaxInt64)
-	t.Cleanup(func() { n.clients.listener.Close() })
+	t.Cleanup(func() { n.frontend.listener.Close() })
 	return n
 }
 
@@ -140,7 +140,7 @@
 	return n
 }
 
-func (n *Node) address() string { return n.clients.listener.Addr().String() }
+func (n *Node) address() string { return n.frontend.listener.Addr().String() }
 
 func dial(t *testing.T, n *Node) (net.Conn, *bufio.Reader) {
 	t.Helper()
@@ -193,10 +193,10 @@
 func (n *Node) count(what counter) int64 { return n.counters[what].Load() }
 
 // entryOf is one server as a list words it.
-func (n *Node) entryOf(text string) (entry, error) {
-	entries, _, _, err := n.listOf([]byte(listText(1, false, text)))
+func (n *Node) entryOf(text string) (endpointEntry, error) {
+	entries, _, _, err := n.parseList([]byte(listText(1, false, text)))
 	if err != nil || len(entries) != 1 {
-		return entry{}, fmt.Errorf("%v, %d entries", err, len(entries))
+		return endpointEntry{}, fmt.Errorf("%v, %d entries", err, len(entries))
 	}
 	return entries[0], nil
 }
--- a/internal/node/handover.go
+++ b/internal/node/hotrestart.go
@@ -21,52 +21,54 @@
 )
 
 const (
-	handoverVersion = 2
-	handoverWithin  = 1500 * time.Millisecond
-	longestHeritage = 16 << 20
-	longestPath     = 100 // the system takes a few more
-	readyWord       = "ready\n"
+	hotRestartVersion = 2
+	hotRestartTimeout = 1500 * time.Millisecond
+	maxRestartState   = 16 << 20
+	maxSocketPath     = 100 // the system takes a few more
+	readyMessage      = "ready\n"
 )
 
 // hello is what the new process says first.
-type hello struct {
+type restartHello struct {
 	Version int    `json:"handover"`
 	Node    string `json:"node"`
 }
 
 // heritage is what the old process knows and the new one takes over.
-type heritage struct {
-	hello
+type restartState struct {
+	restartHello
 	List    json.RawMessage `json:"list"`    // in discovery's form
 	Listed  []string        `json:"listed"`  // every name that was ever listed
 	Learned json.RawMessage `json:"learned"` // by the decisions
 }
 
-type handover struct {
+type hotRestart struct {
 	node *Node
 	path string
 
-	mu        sync.Mutex
-	listener  *net.UnixListener
-	successor net.Conn
-	before    net.Conn // the process that this one takes over from, until it has ended
-	yielded   bool     // the successor takes the new connections
+	mu          sync.Mutex
+	listener    *net.UnixListener
+	successor   net.Conn
+	predecessor net.Conn // the process that this one takes over from, until it has ended
+	yielded     bool     // the successor takes the new connections
 }
 
-func newHandover(n *Node) *handover {
-	return &handover{node: n, path: filepath.Join(n.config.dir, n.fileName(".sock"))}
+func newHotRestart(n *Node) *hotRestart {
+	return &hotRestart{node: n, path: filepath.Join(n.config.dir, n.fileName(".sock"))}
 }
 
-func (h *handover) hello() hello { return hello{Version: handoverVersion, Node: h.node.orders.whose()} }
+func (h *hotRestart) hello() restartHello {
+	return restartHello{Version: hotRestartVersion, Node: h.node.overrides.owner()}
+}
 
 // find looks for the node's other process and asks what it knows; nil where there is none.
-func (h *handover) find() *heritage {
-	told, err := h.ask()
+func (h *hotRestart) connectPredecessor() *restartState {
+	told, err := h.dialPredecessor()
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		return nil
 	case err != nil:
-		h.node.counters.add(handoversPassedOver)
+		h.node.counters.add(hotRestartsIgnored)
 		h.node.log.Warn("no other process answers, a plain start", zap.String("at", h.path), zap.Error(err))
 		return nil
 	}
@@ -74,46 +76,46 @@
 	return told
 }
 
-func (h *handover) ask() (*heritage, error) {
-	at, done, err := h.address(h.path)
+func (h *hotRestart) dialPredecessor() (*restartState, error) {
+	at, done, err := h.socketAddress(h.path)
 	if err != nil {
 		return nil, err
 	}
 	defer done()
-	c, err := net.DialTimeout("unix", at, handoverWithin)
+	c, err := net.DialTimeout("unix", at, hotRestartTimeout)
 	if err != nil {
 		return nil, err
 	}
-	told, err := h.talk(c)
+	told, err := h.receiveState(c)
 	if err != nil {
 		c.Close()
 		return nil, err
 	}
-	h.before = c
+	h.predecessor = c
 	return told, nil
 }
 
-func (h *handover) talk(c net.Conn) (*heritage, error) {
+func (h *hotRestart) receiveState(c net.Conn) (*restartState, error) {
 	if err := sameUser(c); err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(handoverWithin))
+	c.SetDeadline(time.Now().Add(hotRestartTimeout))
 	if err := json.NewEncoder(c).Encode(h.hello()); err != nil {
 		return nil, err
 	}
-	line, err := readLine(bufio.NewReader(c), longestHeritage)
+	line, err := readLine(bufio.NewReader(c), maxRestartState)
 	if err != nil {
 		return nil, err
 	}
-	var told heritage
+	var told restartState
 	if err := json.Unmarshal(line, &told); err != nil {
 		return nil, err
 	}
 	c.SetDeadline(time.Time{})
-	return &told, h.check(told.hello)
+	return &told, h.check(told.restartHello)
 }
 
-func (h *handover) check(other hello) error {
+func (h *hotRestart) check(other restartHello) error {
 	if own := h.hello(); other != own {
 		return fmt.Errorf("expected version %d of node %s, got %d of %.80q", own.Version, own.Node, other.Version, other.Node)
 	}
@@ -138,8 +140,8 @@
 }
 
 // address is how to name a path to a Unix socket: one that is too long goes by its folder's descriptor.
-func (h *handover) address(path string) (at string, done func(), err error) {
-	if len(path) <= longestPath {
+func (h *hotRestart) socketAddress(path string) (at string, done func(), err error) {
+	if len(path) <= maxSocketPath {
 		return path, func() {}, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -168,7 +170,7 @@
 }
 
 // open takes the place where a later process looks, from whoever has it: a process that is stopping, or one that has died.
-func (h *handover) open() {
+func (h *hotRestart) open() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.listener != nil {
@@ -178,7 +180,7 @@
 	fresh := fmt.Sprintf("%s.%d", h.path, os.Getpid())
 	os.Remove(fresh)
 	err := func() error {
-		at, done, err := h.address(fresh)
+		at, done, err := h.socketAddress(fresh)
 		if err != nil {
 			return err
 		}
@@ -202,7 +204,7 @@
 	}
 }
 
-func (h *handover) close() {
+func (h *hotRestart) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.listener != nil {
@@ -211,7 +213,7 @@
 }
 
 // end lets the other process know that this one has ended, a moment before the machine would.
-func (h *handover) end() {
+func (h *hotRestart) end() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.successor != nil {
@@ -219,7 +221,7 @@
 	}
 }
 
-func (h *handover) serve(l *net.UnixListener) {
+func (h *hotRestart) serve(l *net.UnixListener) {
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -229,56 +231,56 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		go h.follow(c)
+		go h.serveSuccessor(c)
 	}
 }
 
 // follow tells a new process what this one knows, and goes by what becomes of it until it ends. There is one at a time.
-func (h *handover) follow(c net.Conn) {
+func (h *hotRestart) serveSuccessor(c net.Conn) {
 	defer c.Close()
-	defer h.node.caught("handover", func() {})
+	defer h.node.recoverPanic("handover", func() {})
 	in := bufio.NewReader(c)
-	if err := h.greet(c, in); err != nil {
-		h.node.counters.add(handoversPassedOver)
+	if err := h.sendState(c, in); err != nil {
+		h.node.counters.add(hotRestartsIgnored)
 		h.node.log.Warn("a caller that does not take over", zap.Error(err))
 		return
 	}
 	h.node.log.Info("another process is to take over")
-	h.node.allot()
+	h.node.divideLimits()
 	defer func() {
 		h.mu.Lock()
 		h.successor, h.yielded = nil, false
 		h.mu.Unlock()
-		h.node.allot()
-		h.node.clients.resume() // also while this one is stopping: there is nobody else to take what still comes
+		h.node.divideLimits()
+		h.node.frontend.resume() // also while this one is stopping: there is nobody else to take what still comes
 		if !h.node.stopping.Load() {
 			h.node.log.Warn("the process that was to take over has ended, this one goes on")
 			h.open()
 		}
 	}()
 	c.SetDeadline(time.Time{})
-	line, err := readLine(in, len(readyWord))
-	if err != nil || string(line) != readyWord {
+	line, err := readLine(in, len(readyMessage))
+	if err != nil || string(line) != readyMessage {
 		return
 	}
 	h.mu.Lock()
 	h.yielded = true
 	h.mu.Unlock()
-	h.node.clients.pause()
+	h.node.frontend.pause()
 	h.node.log.Info("another process takes the new connections")
 	io.Copy(io.Discard, in)
 }
 
-func (h *handover) greet(c net.Conn, in *bufio.Reader) error {
+func (h *hotRestart) sendState(c net.Conn, in *bufio.Reader) error {
 	if err := sameUser(c); err != nil {
 		return err
 	}
-	c.SetDeadline(time.Now().Add(handoverWithin))
+	c.SetDeadline(time.Now().Add(hotRestartTimeout))
 	line, err := readLine(in, 4<<10)
 	if err != nil {
 		return err
 	}
-	var other hello
+	var other restartHello
 	if err := json.Unmarshal(line, &other); err != nil {
 		return err
 	}
@@ -294,13 +296,15 @@
 	if taken {
 		return errors.New("another process is taking over already")
 	}
-	told := heritage{hello: h.hello(), Listed: h.node.orders.told()}
-	learned := make(chan heritage, 1)
-	go h.node.loop.enter(func() { learned <- heritage{List: h.node.orders.list(), Learned: h.node.loop.learned()} })
+	told := restartState{restartHello: h.hello(), Listed: h.node.overrides.knownNames()}
+	learned := make(chan restartState, 1)
+	go h.node.loop.post(func() {
+		learned <- restartState{List: h.node.overrides.encodeUnmodified(), Learned: h.node.loop.encodeEstimates()}
+	})
 	select {
 	case l := <-learned:
 		told.List, told.Learned = l.List, l.Learned
-	case <-time.After(handoverWithin / 2): // names alone are better than no answer
+	case <-time.After(hotRestartTimeout / 2): // names alone are better than no answer
 	}
 	if err := json.NewEncoder(c).Encode(told); err != nil {
 		h.mu.Lock()
@@ -312,19 +316,19 @@
 }
 
 // served tells the old process that this one serves, and from then on stands where the next one looks.
-func (h *handover) served() {
+func (h *hotRestart) announceServing() {
 	h.mu.Lock()
-	before := h.before
+	before := h.predecessor
 	h.mu.Unlock()
 	if before != nil {
-		io.WriteString(before, readyWord)
+		io.WriteString(before, readyMessage)
 		go func() {
 			io.Copy(io.Discard, before)
 			before.Close()
 			h.mu.Lock()
-			h.before = nil
+			h.predecessor = nil
 			h.mu.Unlock()
-			h.node.allot()
+			h.node.divideLimits()
 			h.node.log.Info("the process before has ended")
 		}()
 	}
@@ -332,17 +336,17 @@
 }
 
 // hasYielded tells whether a successor takes the new connections.
-func (h *handover) hasYielded() bool {
+func (h *hotRestart) hasYielded() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.yielded
 }
 
 // processes is how many processes the node has now, this one with them.
-func (h *handover) processes() int {
+func (h *hotRestart) processes() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.successor != nil || h.before != nil {
+	if h.successor != nil || h.predecessor != nil {
 		return 2
 	}
 	return 1
--- a/internal/node/handover_test.go
+++ b/internal/node/hotrestart_test.go
@@ -39,21 +39,21 @@
 			}
 			c.dir, c.Listen, c.inherited = dir, held.Addr().String(), strconv.Itoa(fd)
 		}, servers...)
-		t.Cleanup(n.handover.close)
+		t.Cleanup(n.hotRestart.close)
 		return n
 	}
 }
 
 func (n *Node) mostOpen() int {
-	n.servers.mu.Lock()
-	defer n.servers.mu.Unlock()
-	return n.servers.most
+	n.upstreams.mu.Lock()
+	defer n.upstreams.mu.Unlock()
+	return n.upstreams.maxOpen
 }
 
 // learned is what the decisions have learned, as it would be told.
 func (n *Node) learned() (all estimates.Snapshot) {
 	text := make(chan json.RawMessage, 1)
-	n.loop.enter(func() { text <- n.loop.learned() })
+	n.loop.post(func() { text <- n.loop.encodeEstimates() })
 	json.Unmarshal(<-text, &all)
 	return all
 }
@@ -64,10 +64,10 @@
 	next := processes(t)
 	old := next()
 	old.start()
-	old.hear(t, string(wholeList(7, []entry{{name: "s-7", address: server, EndpointInfo: listedHere("s-7")}}, []string{"a"})))
+	old.hear(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: listedHere("s-7")}}, []string{"a"})))
 	old.hear(t, listText(8, false, listEntry("s-8", server, "up")))
 	old.hear(t, listText(9, false, listEntry("s-8", server, "removed")))
-	soon(t, "the list", func() bool { return old.orders.listed("s-8") })
+	soon(t, "the list", func() bool { return old.overrides.isKnown("s-8") })
 	kept, keptIn := dial(t, old)
 	io.WriteString(kept, taskText("batch", "t1", "a"))
 	if status, _, _ := answerOn(keptIn); status != 200 {
@@ -75,8 +75,8 @@
 	}
 	alone := old.mostOpen()
 	fresh := next()
-	if fresh.heritage == nil || !fresh.orders.listed("s-7") && len(fresh.known().entries) != 1 {
-		t.Fatalf("the old process was not found, or told nothing: %+v", fresh.heritage)
+	if fresh.predecessor == nil || !fresh.overrides.isKnown("s-7") && len(fresh.knownList().entries) != 1 {
+		t.Fatalf("the old process was not found, or told nothing: %+v", fresh.predecessor)
 	}
 	soon(t, "the old one has given up its half", func() bool { return old.mostOpen() < alone })
 	if both := old.mostOpen() + fresh.mostOpen(); both > alone+1 {
@@ -87,20 +87,20 @@
 	}
 	fresh.start()
 	soon(t, "the new one is ready", func() bool { return fresh.call(t, "GET /ready") == 200 })
-	soon(t, "the old one has yielded", old.handover.hasYielded)
-	if !fresh.orders.listed("s-8") {
+	soon(t, "the old one has yielded", old.hotRestart.hasYielded)
+	if !fresh.overrides.isKnown("s-8") {
 		t.Error("a name that was listed once is not known any more")
 	}
-	if l := fresh.learned(); !l.Endpoints[uint32(serverID("s-7"))].HasLatency || l.MeanWork == 0 || l.Classes[3].WorkSamples == 0 {
+	if l := fresh.learned(); !l.Endpoints[uint32(endpointID("s-7"))].HasLatency || l.MeanWork == 0 || l.Classes[3].WorkSamples == 0 {
 		t.Errorf("not what the old process had learned: %+v", l)
 	}
-	taken := old.count(clientsTaken)
+	taken := old.count(clientsAccepted)
 	for i := range 30 {
 		if status, _, _ := ask(t, fresh, "batch", fmt.Sprint("new", i), ""); status != 200 {
 			t.Errorf("task %d on a new connection was answered %d", i, status)
 		}
 	}
-	if old.count(clientsTaken) != taken {
+	if old.count(clientsAccepted) != taken {
 		t.Error("the old process takes new connections")
 	}
 	io.WriteString(kept, taskText("batch", "t2", "a"))
@@ -108,10 +108,10 @@
 		t.Errorf("%v, %v on a kept connection, want an answer that closes it", r, err)
 	}
 	old.stop()
-	old.handover.end()
+	old.hotRestart.end()
 	soon(t, "the new one has the whole limits", func() bool { return fresh.mostOpen() == alone })
 	third := next()
-	if third.heritage == nil {
+	if third.predecessor == nil {
 		t.Error("a third process does not find the second")
 	}
 }
@@ -127,15 +127,15 @@
 		fresh := next()
 		soon(t, "half the limits", func() bool { return old.mostOpen() < alone })
 		if ready {
-			fresh.handover.served()
-			soon(t, "the old one yields", old.handover.hasYielded)
+			fresh.hotRestart.announceServing()
+			soon(t, "the old one yields", old.hotRestart.hasYielded)
 		}
-		fresh.handover.close()
-		fresh.handover.mu.Lock()
-		fresh.handover.before.Close()
-		fresh.handover.mu.Unlock()
-		fresh.clients.listener.Close()
-		soon(t, "all is as before", func() bool { return old.mostOpen() == alone && !old.handover.hasYielded() })
+		fresh.hotRestart.close()
+		fresh.hotRestart.mu.Lock()
+		fresh.hotRestart.predecessor.Close()
+		fresh.hotRestart.mu.Unlock()
+		fresh.frontend.listener.Close()
+		soon(t, "all is as before", func() bool { return old.mostOpen() == alone && !old.hotRestart.hasYielded() })
 		for i := range 10 {
 			if status, _, _ := ask(t, old, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
 				t.Errorf("after the new process died a task was answered %d", status)
@@ -160,16 +160,16 @@
 		"another version": func(path string) {
 			answerAt(t, path, `{"handover":9,"node":"x"}`+"\n")
 		},
-		"endless": func(path string) { answerAt(t, path, strings.Repeat("x", longestHeritage+2)) },
+		"endless": func(path string) { answerAt(t, path, strings.Repeat("x", maxRestartState+2)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			next := processes(t)
 			probe := next()
-			place(probe.handover.path)
+			place(probe.hotRestart.path)
 			began := time.Now()
 			n := next()
-			if n.heritage != nil || n.count(handoversPassedOver) != 1 || time.Since(began) > 2*handoverWithin {
-				t.Errorf("took over %+v after %v, counted %d times", n.heritage, time.Since(began), n.count(handoversPassedOver))
+			if n.predecessor != nil || n.count(hotRestartsIgnored) != 1 || time.Since(began) > 2*hotRestartTimeout {
+				t.Errorf("took over %+v after %v, counted %d times", n.predecessor, time.Since(began), n.count(hotRestartsIgnored))
 			}
 			n.start()
 			soon(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -69,7 +69,7 @@
 		"a first attempt": {text: taskText("batch", "t0", "")},
 		"a second copy": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
-			n.loop.enter(func() { n.loop.Send("t0", serverID("s-1"), 20*second) })
+			n.loop.post(func() { n.loop.Send("t0", endpointID("s-1"), 20*second) })
 		}},
 		"a retry behind an error": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
@@ -77,11 +77,11 @@
 		}},
 		"a retry behind a recall": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
-			n.loop.enter(func() { n.loop.Cancel("t0", 0) })
-			soon(t, "the recall's end", func() bool { return n.count(handOffsRecalled) == 1 })
-			n.loop.enter(func() { // where the decisions have not by themselves
-				if n.count(handOffsSent) == 1 {
-					n.loop.Send("t0", serverID("s-1"), 20*second)
+			n.loop.post(func() { n.loop.Cancel("t0", 0) })
+			soon(t, "the recall's end", func() bool { return n.count(attemptsCanceled) == 1 })
+			n.loop.post(func() { // where the decisions have not by themselves
+				if n.count(attemptsSent) == 1 {
+					n.loop.Send("t0", endpointID("s-1"), 20*second)
 				}
 			})
 		}},
@@ -108,11 +108,11 @@
 					c.Discovery, _ = watchOf(t)
 				}, first)
 				dials := newGate(t)
-				n.servers.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
+				n.upstreams.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
 					if s.first == 0 || address == other {
 						dials.wait()
 					}
-					return n.servers.connect(context.Background(), address, limit)
+					return n.upstreams.connect(context.Background(), address, limit)
 				}
 				n.start()
 				client, _ := dial(t, n)
@@ -123,16 +123,16 @@
 				dials.held(t, 1)
 				at := n.atClients(t)
 				leave(client)
-				soon(t, "its end", at.hasLeft)
+				soon(t, "its end", at.isGone)
 				if !s.blind {
-					soon(t, "the withdrawal", func() bool { return n.count(tasksWithdrawn) == 1 })
+					soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
 				}
 				dials.pass()
 				answers.pass()
 				soon(t, "the end of all attempts", func() bool { n.passed(); return n.nobodyOut() })
-				if atFirst.Load() != int64(s.first) || atOther.Load() != 0 || n.count(handOffsNeverSent) == 0 {
+				if atFirst.Load() != int64(s.first) || atOther.Load() != 0 || n.count(attemptsNotSent) == 0 {
 					t.Errorf("%d attempts began at the first server, want %d; %d at the other; %d did not begin", atFirst.Load(), s.first,
-						atOther.Load(), n.count(handOffsNeverSent))
+						atOther.Load(), n.count(attemptsNotSent))
 				}
 			})
 		}
@@ -143,11 +143,11 @@
 func (n *Node) nobodyOut() bool {
 	ended := int64(0)
 	for _, how := range outcomeCounters {
-		if how != handOffsReset {
+		if how != attemptsReset {
 			ended += n.count(how)
 		}
 	}
-	return ended+n.count(handOffsReset)+n.count(handOffsFaulted) == n.count(handOffsSent)
+	return ended+n.count(attemptsReset)+n.count(attemptsRequestFault) == n.count(attemptsSent)
 }
 
 // stamped reads from a socket and notes when the machine had what was read last, however late the reader is.
@@ -230,7 +230,7 @@
 			if err != nil {
 				return
 			}
-			a.began(r.Header.Get(headerTask), at)
+			a.began(r.Header.Get(headerRequestID), at)
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
@@ -273,12 +273,12 @@
 			c.Discovery, _ = watchOf(t)
 			c.Limits.MemoryMB = 64
 		}, servers...)
-		n.servers.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
+		n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
 			mu.Lock()
 			wait := time.Duration(max(0, luck.IntN(900)-300)) * time.Millisecond
 			mu.Unlock()
 			time.Sleep(wait) // a connection that comes up late, whoever has been told to stop
-			return n.servers.connect(ctx, address, limit)
+			return n.upstreams.connect(ctx, address, limit)
 		}
 		n.start()
 		nodes = append(nodes, n)
--- a/internal/node/hearsay.go
+++ b/internal/node/listgossip.go
@@ -16,32 +16,32 @@
 )
 
 // hearing is nil where nodes do not ask one another.
-type hearing struct {
+type listGossip struct {
 	node *Node
 	mu   sync.Mutex // what is told and what it has the loop do stay in one order
 	core *endpointgossip.Hearsay
 }
 
-func newHearing(n *Node) *hearing {
+func newListGossip(n *Node) *listGossip {
 	if n.members == nil || !n.members.set.List {
 		return nil
 	}
-	return &hearing{node: n}
+	return &listGossip{node: n}
 }
 
 // begin makes the core, once the view is there that carries its loads.
-func (s *hearing) begin(seed uint64, way endpointgossip.Way) {
+func (s *listGossip) begin(seed uint64, way endpointgossip.Way) {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first := s.node.first
+	first := s.node.initialList
 	lines, _ := s.lines(first.entries)
-	s.core = endpointgossip.New(seed, way, s.node.clock.now(), first.version, lines, first.base)
+	s.core = endpointgossip.New(seed, way, s.node.clock.now(), first.version, lines, first.watchResumes)
 }
 
-func (s *hearing) lines(entries []entry) (lines []endpointgossip.Line, gone []string) {
+func (s *listGossip) lines(entries []endpointEntry) (lines []endpointgossip.Line, gone []string) {
 	for _, e := range entries {
 		if e.State == policy.StateRemoved {
 			gone = append(gone, e.name)
@@ -53,9 +53,9 @@
 	return lines, gone
 }
 
-func (s *hearing) entries(lines []endpointgossip.Line) (out []entry) {
+func (s *listGossip) entries(lines []endpointgossip.Line) (out []endpointEntry) {
 	for _, l := range lines {
-		e := entry{name: l.Name, address: l.Address, EndpointInfo: policy.EndpointInfo{ID: serverID(l.Name), Zone: zoneOf(l.Zone, s.node.settings.Zones),
+		e := endpointEntry{name: l.Name, address: l.Address, EndpointInfo: policy.EndpointInfo{ID: endpointID(l.Name), Zone: zoneIndex(l.Zone, s.node.settings.Zones),
 			Pod: l.Pod, Weight: l.Weight, StartedAt: l.Started, State: policy.StateActive}}
 		if _, err := netip.ParseAddrPort(l.Address); l.Draining {
 			e.State = policy.StateDraining
@@ -68,36 +68,36 @@
 }
 
 // listed has the loop go by what the node's own watch has told.
-func (s *hearing) listed(entries []entry, version int64, whole bool) {
+func (s *listGossip) listed(entries []endpointEntry, version int64, whole bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lines, gone := s.lines(entries)
 	if s.core == nil { // the view is not there yet: it begins with this
-		first := &s.node.first
-		*first = firstList{first.over(entries, whole), version, true}
-		s.node.loop.enterList(entries, whole)
+		first := &s.node.initialList
+		*first = initialList{first.merge(entries, whole), version, true}
+		s.node.loop.postList(entries, whole)
 		return
 	}
 	if all := s.core.Listed(s.node.clock.now(), version, lines, gone, whole); all != nil {
 		entries, whole = s.entries(all), true
 	}
-	s.node.loop.enterList(entries, whole)
+	s.node.loop.postList(entries, whole)
 }
 
 // beat lets the core ask.
-func (s *hearing) beat() {
+func (s *listGossip) tick() {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if all := s.core.Beat(s.node.clock.now(), s.node.listWord()); all != nil {
-		s.node.loop.enterList(s.entries(all), true)
+	if all := s.core.Beat(s.node.clock.now(), s.node.listConfirmedAt()); all != nil {
+		s.node.loop.postList(s.entries(all), true)
 	}
 }
 
 // take takes in a load of another node.
-func (s *hearing) take(from int, load []byte) {
+func (s *listGossip) receive(from int, load []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lines := s.core.Heard(s.node.clock.now(), from, load)
@@ -105,13 +105,13 @@
 		return
 	}
 	entries, view := s.entries(lines), s.core.View()
-	s.node.loop.enterList(s.node.state.overOthers(entries, view.Version), false)
-	s.node.listed.Store(true)
+	s.node.loop.postList(s.node.persistence.applyToGossiped(entries, view.Version), false)
+	s.node.hasList.Store(true)
 	s.node.log.Info("the list by others' word", zap.Int("from", from), zap.Int("servers", len(entries)), zap.Any("list", view))
 }
 
 // text tells how it stands, for who asks.
-func (s *hearing) text() json.RawMessage {
+func (s *listGossip) viewJSON() json.RawMessage {
 	if s == nil {
 		return nil
 	}
@@ -128,16 +128,16 @@
 }
 
 // firstList is the list that a node begins with, and what its watch goes on from.
-type firstList struct {
-	entries []entry
-	version int64
-	base    bool // the watch asks for what came after it
+type initialList struct {
+	entries      []endpointEntry
+	version      int64
+	watchResumes bool // the watch asks for what came after it
 }
 
 // over lays lines of the watch over it.
-func (f *firstList) over(entries []entry, whole bool) []entry {
+func (f *initialList) merge(entries []endpointEntry, whole bool) []endpointEntry {
 	told := map[string]bool{}
-	out := make([]entry, 0, len(entries))
+	out := make([]endpointEntry, 0, len(entries))
 	for _, e := range entries {
 		if told[e.name] = true; e.State != policy.StateRemoved {
 			out = append(out, e)
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	mostUnheard   = 512 // datagrams that wait to be taken in
-	mostAtATime   = 2000
-	readingSpan   = 100 * time.Millisecond // no more than mostAtATime are read in it
-	longestAsking = 500 * time.Millisecond
+	maxQueuedDatagrams      = 512 // datagrams that wait to be taken in
+	maxDatagramsPerInterval = 2000
+	readInterval            = 100 * time.Millisecond // no more than mostAtATime are read in it
+	queryTimeout            = 500 * time.Millisecond
 )
 
-var errNoView = errors.New("no view: members are off, or have ended")
+var errNoMembership = errors.New("no view: members are off, or have ended")
 
 // membership is nil where nodes may not talk, or no file says how.
-type membership struct {
-	node   *Node
-	set    *features.Members
-	core   *members.Members // of run alone
-	socket *net.UDPConn
-	heard  chan []byte
-	asked  chan func()
-	over   chan struct{}
-	ended  sync.Once
+type memberAgent struct {
+	node     *Node
+	set      *features.Members
+	core     *members.Members // of run alone
+	socket   *net.UDPConn
+	received chan []byte
+	queries  chan func()
+	done     chan struct{}
+	ended    sync.Once
 }
 
 // newMembership binds the socket. A file alone turns nothing on: the platform's settings must allow messages.
-func newMembership(n *Node) (*membership, error) {
+func newMemberAgent(n *Node) (*memberAgent, error) {
 	f := n.config.features
 	if f == nil || f.Members == nil {
 		return nil, nil
@@ -55,67 +55,67 @@
 	if err != nil {
 		return nil, err
 	}
-	return &membership{node: n, set: f.Members, socket: socket, heard: make(chan []byte, mostUnheard), asked: make(chan func()), over: make(chan struct{})}, nil
+	return &memberAgent{node: n, set: f.Members, socket: socket, received: make(chan []byte, maxQueuedDatagrams), queries: make(chan func()), done: make(chan struct{})}, nil
 }
 
 // Send writes a datagram; what the system does not take is lost, as on the way.
-func (s *membership) Send(to int, datagram []byte) {
+func (s *memberAgent) Send(to int, datagram []byte) {
 	s.socket.WriteToUDPAddrPort(datagram, s.set.At[to])
 }
 
 // run holds the view until the process ends, or another has taken over from it.
-func (s *membership) run() {
+func (s *memberAgent) run() {
 	defer s.end()
 	var drawn [12]byte
 	crand.Read(drawn[:])
 	set := members.Settings{Name: s.node.config.Name, Key: s.set.KeyBytes, Round: s.set.RoundNs, Seed: binary.LittleEndian.Uint64(drawn[:]),
-		Run: binary.LittleEndian.Uint32(drawn[8:]), Known: s.node.state.starts()}
+		Run: binary.LittleEndian.Uint32(drawn[8:]), Known: s.node.persistence.starts()}
 	for _, n := range s.set.Nodes {
 		set.Peers = append(set.Peers, n.Name)
 	}
-	if s.node.hearing != nil {
-		set.Take = s.node.hearing.take
+	if s.node.listGossip != nil {
+		set.Take = s.node.listGossip.receive
 	}
 	var err error
 	if s.core, err = members.New(set, s, s.node.clock.now()); err != nil {
 		s.node.log.Error("members are off", zap.Error(err))
 		return
 	}
-	s.node.hearing.begin(set.Seed, s.core)
+	s.node.listGossip.begin(set.Seed, s.core)
 	go s.read()
 	beats := time.NewTicker(time.Duration(s.set.RoundNs / 10))
 	defer beats.Stop()
 	for {
 		select {
-		case <-s.over:
+		case <-s.done:
 			return
 		case <-beats.C:
-			if s.node.handover.hasYielded() {
+			if s.node.hotRestart.hasYielded() {
 				return // the other process has the name now, and the address
 			}
 			s.step(func() {
 				s.core.Beat(s.node.clock.now())
-				s.node.hearing.beat()
+				s.node.listGossip.tick()
 			})
-		case datagram := <-s.heard:
+		case datagram := <-s.received:
 			s.step(func() {
 				s.core.Heard(s.node.clock.now(), datagram)
-				s.node.state.older(s.core.Before())
+				s.node.persistence.noteLaterStart(s.core.Before())
 			})
-		case ask := <-s.asked:
+		case ask := <-s.queries:
 			s.step(ask)
 		}
 	}
 }
 
 // step keeps a panic in the view from ending the process.
-func (s *membership) step(do func()) {
-	defer s.node.caught("members", func() {})
+func (s *memberAgent) step(do func()) {
+	defer s.node.recoverPanic("members", func() {})
 	do()
 }
 
 // read takes datagrams from the socket, a bounded number in a time: a peer gone wild costs a part of a core, never the service.
-func (s *membership) read() {
+func (s *memberAgent) read() {
 	buffer := make([]byte, members.Most)
 	count, since := 0, time.Now()
 	for {
@@ -123,8 +123,8 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if count++; count >= mostAtATime {
-			if left := readingSpan - time.Since(since); left > 0 {
+		if count++; count >= maxDatagramsPerInterval {
+			if left := readInterval - time.Since(since); left > 0 {
 				time.Sleep(left)
 			}
 			count, since = 0, time.Now()
@@ -133,64 +133,64 @@
 			continue
 		}
 		select {
-		case s.heard <- append([]byte(nil), buffer[:length]...):
+		case s.received <- append([]byte(nil), buffer[:length]...):
 		default: // the view has its hands full; loss is what it is made for
 		}
 	}
 }
 
 // ask has the view looked at between two of its steps.
-func (s *membership) ask(what func(m *members.Members, now int64)) error {
+func (s *memberAgent) query(what func(m *members.Members, now int64)) error {
 	if s == nil {
-		return errNoView
+		return errNoMembership
 	}
 	done := make(chan struct{})
 	select {
-	case s.asked <- func() { defer close(done); what(s.core, s.node.clock.now()) }:
+	case s.queries <- func() { defer close(done); what(s.core, s.node.clock.now()) }:
 		<-done
 		return nil
-	case <-s.over:
-		return errNoView
-	case <-time.After(longestAsking):
+	case <-s.done:
+		return errNoMembership
+	case <-time.After(queryTimeout):
 		return errors.New("the view does not answer")
 	}
 }
 
 // figure is how many nodes there are and which part of them this one hears; not known where there is no view.
-func (s *membership) figure() members.Figure {
-	f := members.Figure{Why: errNoView.Error()}
-	if err := s.ask(func(m *members.Members, now int64) { f = m.Figure(now) }); err != nil {
+func (s *memberAgent) figure() members.Figure {
+	f := members.Figure{Why: errNoMembership.Error()}
+	if err := s.query(func(m *members.Members, now int64) { f = m.Figure(now) }); err != nil {
 		f.Why = err.Error()
 	}
 	return f
 }
 
 // text is the whole view for who asks.
-func (s *membership) text() (string, error) {
+func (s *memberAgent) viewJSON() (string, error) {
 	var v members.View
-	if err := s.ask(func(m *members.Members, now int64) { v = m.View(now) }); err != nil {
+	if err := s.query(func(m *members.Members, now int64) { v = m.View(now) }); err != nil {
 		return "", err
 	}
 	text, err := json.Marshal(struct {
 		members.View
 		List json.RawMessage `json:"list,omitempty"` // by others' word
-	}{v, s.node.hearing.text()})
+	}{v, s.node.listGossip.viewJSON()})
 	return string(text), err
 }
 
 // leave tells the others that this node ends, unless another process goes on in its name.
-func (s *membership) leave() {
-	if s == nil || s.node.handover.hasYielded() {
+func (s *memberAgent) leave() {
+	if s == nil || s.node.hotRestart.hasYielded() {
 		return
 	}
-	s.ask(func(m *members.Members, now int64) { m.Leave(now) })
+	s.query(func(m *members.Members, now int64) { m.Leave(now) })
 }
 
 // end closes the socket.
-func (s *membership) end() {
+func (s *memberAgent) end() {
 	if s != nil {
 		s.ended.Do(func() {
-			close(s.over)
+			close(s.done)
 			s.socket.Close()
 		})
 	}
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	headerTask      = "X-Txn"
-	headerCategory  = "X-Lane"
-	headerCustomer  = "X-Org"
-	headerRemaining = "X-Remaining-Ms"
-	headerRepeated  = "X-Resent"
-	headerCost      = "X-Estimate"
-	headerLoad      = "X-Pressure"
-	headerNeverRan  = "X-Turned-Away"
-	headerAdvice    = "Retry-After"
-	cookieKey       = "key" // what a task concerns
+	headerRequestID   = "X-Txn"
+	headerClass       = "X-Lane"
+	headerTenant      = "X-Org"
+	headerRemaining   = "X-Remaining-Ms"
+	headerClientRetry = "X-Resent"
+	headerCostHint    = "X-Estimate"
+	headerLoadReport  = "X-Pressure"
+	headerNotExecuted = "X-Turned-Away"
+	headerRetryAfter  = "Retry-After"
+	affinityCookie    = "key" // what a task concerns
 
 	pathReady   = "/ready"
 	pathDisable = "/servers/disable"
@@ -46,7 +46,7 @@
 )
 
 // consoleMethods are the calls of the console.
-var consoleMethods = map[string]string{
+var adminMethods = map[string]string{
 	pathReady: http.MethodGet, pathDisable: http.MethodPut, pathEnable: http.MethodPut, pathDrain: http.MethodPut,
 	pathUndrain: http.MethodPut, pathMembers: http.MethodGet,
 	pathState: http.MethodGet, pathRelays: http.MethodGet,
@@ -57,14 +57,14 @@
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true, "Expect": true, "Host": true,
-	headerRemaining: true, headerLoad: true, headerNeverRan: true,
+	headerRemaining: true, headerLoadReport: true, headerNotExecuted: true,
 }
 
 // endToEnd removes what concerns one connection only, also what the sender says does.
 func endToEnd(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
-			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name != headerTask {
+			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name != headerRequestID {
 				delete(h, name)
 			}
 		}
@@ -80,13 +80,13 @@
 }
 
 // loadQuestion is a probe.
-func loadQuestion(address string) string {
+func healthCheckHead(address string) string {
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", pathLoad, address)
 }
 
 // badTask tells an answer that finds fault with the task itself. Any server would, so it is the task's answer and says
 // nothing of the server.
-func badTask(status int) bool {
+func isRequestFault(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
 		return false
@@ -97,26 +97,26 @@
 // outcomeOf tells what a server's whole answer means.
 func outcomeOf(status int, h http.Header) policy.Outcome {
 	switch {
-	case badTask(status):
+	case isRequestFault(status):
 		return policy.OutcomeNotSent
 	case status == http.StatusOK:
 		return policy.OutcomeSucceeded
-	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && h.Get(headerNeverRan) == "1":
+	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && h.Get(headerNotExecuted) == "1":
 		return policy.OutcomeRejected
 	}
 	return policy.OutcomeError
 }
 
-func reportOf(text string) policy.LoadReport { return loadreport.Parse(text) }
+func parseLoadReport(text string) policy.LoadReport { return loadreport.Parse(text) }
 
 // entry is one server of the list, with the address that this node is to use for it.
-type entry struct {
+type endpointEntry struct {
 	policy.EndpointInfo
 	name    string
 	address string
 }
 
-func (e *entry) zone(zones []string) string {
+func (e *endpointEntry) zone(zones []string) string {
 	if e.Zone < 0 || e.Zone >= len(zones) {
 		return ""
 	}
@@ -124,9 +124,9 @@
 }
 
 // entryOf takes in one server of a list. A server that wants nothing new needs no address.
-func entryOf(in endpointlist.Entry, zones []string) (entry, error) {
-	e := entry{name: in.Name, address: in.Address, EndpointInfo: policy.EndpointInfo{
-		ID: serverID(in.Name), Zone: zoneOf(in.Zone, zones), Pod: in.Pod, Weight: in.Weight,
+func entryFrom(in endpointlist.Entry, zones []string) (endpointEntry, error) {
+	e := endpointEntry{name: in.Name, address: in.Address, EndpointInfo: policy.EndpointInfo{
+		ID: endpointID(in.Name), Zone: zoneIndex(in.Zone, zones), Pod: in.Pod, Weight: in.Weight,
 		StartedAt: int64(in.StartedMs * 1e6),
 	}}
 	switch in.State {
@@ -137,22 +137,22 @@
 	case "removed":
 		e.State = policy.StateRemoved
 	default:
-		return entry{}, fmt.Errorf("health: expected up, draining or removed, got %q", in.State)
+		return endpointEntry{}, fmt.Errorf("health: expected up, draining or removed, got %q", in.State)
 	}
 	if in.Name == "" {
-		return entry{}, errors.New("host: expected a name, got none")
+		return endpointEntry{}, errors.New("host: expected a name, got none")
 	}
 	if _, err := netip.ParseAddrPort(in.Address); err != nil && e.State == policy.StateActive {
-		return entry{}, fmt.Errorf("dial: %w", err)
+		return endpointEntry{}, fmt.Errorf("dial: %w", err)
 	}
 	if in.Weight < 0 || in.StartedMs < 0 || in.StartedMs > 9e12 {
-		return entry{}, errors.New("share, born_ms: expected numbers that can be a weight and a time")
+		return endpointEntry{}, errors.New("share, born_ms: expected numbers that can be a weight and a time")
 	}
 	return e, nil
 }
 
 // wholeList is a list in discovery's form.
-func wholeList(version int64, entries []entry, zones []string) []byte {
+func encodeList(version int64, entries []endpointEntry, zones []string) []byte {
 	list := make([]endpointlist.Entry, len(entries))
 	for i, e := range entries {
 		list[i] = endpointlist.Entry{Name: e.name, Address: e.address, Zone: e.zone(zones), Pod: e.Pod, Weight: e.Weight, StartedMs: float64(e.StartedAt) / 1e6,
@@ -163,13 +163,13 @@
 
 // serverID makes the number that the decisions know a server by. It comes from the name alone, so that all nodes
 // agree on it without talking.
-func serverID(host string) policy.EndpointID {
+func endpointID(host string) policy.EndpointID {
 	h := fnv.New32a()
 	h.Write([]byte(host))
 	return policy.EndpointID(h.Sum32())
 }
 
-func zoneOf(name string, zones []string) int {
+func zoneIndex(name string, zones []string) int {
 	for i, z := range zones {
 		if z == name {
 			return i
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,20 +30,20 @@
 )
 
 const (
-	stillTaking = 450 * time.Millisecond // after SIGTERM, as connections go on coming for a while
-	stillKept   = 700 * time.Millisecond // where a successor takes the new ones, idle connections stay so long
+	acceptAfterTerm         = 450 * time.Millisecond // after SIGTERM, as connections go on coming for a while
+	acceptAfterTermReplaced = 700 * time.Millisecond // where a successor takes the new ones, idle connections stay so long
 	// The platform kills a process no sooner than the longest hard limit, but at most this, and killedAfter behind SIGTERM.
-	longestKept = 3 * time.Second
-	killedAfter = 700 * time.Millisecond
-	lastWords   = 150 * time.Millisecond // before that all that has no answer is given up: what a kill finds is lost
-	lastExit    = 40 * time.Millisecond  // and so long before it the process ends
-	ownFiles    = 24                     // standard files, poller, listeners and those at them, discovery, orders, state, peers, the runtime
-	fewest      = 32                     // descriptors with which a node can do anything
-	spareShare  = 16                     // a sixteenth of the descriptors is kept to tell clients that there is no room
-	usualPart   = 4                      // clients hold a third of the descriptors at most, so a quarter leaves them room
-	serversPart = 3                      // a third of the others is for servers: clients keep theirs while they ask nothing
-	heldShare   = 8                      // an eighth of the memory is for bodies; connections' buffers need the like
-	defaultHeld = 64 << 20
+	maxDrain             = 3 * time.Second
+	killDelay            = 700 * time.Millisecond
+	answerMargin         = 150 * time.Millisecond // before that all that has no answer is given up: what a kill finds is lost
+	exitMargin           = 40 * time.Millisecond  // and so long before it the process ends
+	ownDescriptors       = 24                     // standard files, poller, listeners and those at them, discovery, orders, state, peers, the runtime
+	minDescriptors       = 32                     // descriptors with which a node can do anything
+	spareDescriptorShare = 16                     // a sixteenth of the descriptors is kept to tell clients that there is no room
+	activeClientShare    = 4                      // clients hold a third of the descriptors at most, so a quarter leaves them room
+	upstreamShare        = 3                      // a third of the others is for servers: clients keep theirs while they ask nothing
+	bodyMemoryShare      = 8                      // an eighth of the memory is for bodies; connections' buffers need the like
+	defaultBodyMemory    = 64 << 20
 )
 
 // Config is what a node is told at its start.
@@ -127,8 +127,8 @@
 	if c.seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
 		return fmt.Errorf("seed: expected up to 16 hexadecimal digits, got %q", c.Seed)
 	}
-	if c.Limits.Sockets != 0 && c.Limits.Sockets < fewest {
-		return fmt.Errorf("limits.sockets: expected at least %d, got %d", fewest, c.Limits.Sockets)
+	if c.Limits.Sockets != 0 && c.Limits.Sockets < minDescriptors {
+		return fmt.Errorf("limits.sockets: expected at least %d, got %d", minDescriptors, c.Limits.Sockets)
 	}
 	if c.Limits.MemoryMB < 0 || c.Limits.Cores < 0 {
 		return errors.New("limits: expected numbers above 0")
@@ -177,97 +177,97 @@
 
 // Node is one node and what its parts share.
 type Node struct {
-	config     *Config
-	settings   *settings.Settings
-	log        *zap.Logger
-	clock      clock
-	counters   counters
-	serving    atomic.Bool // list, orders and loop are in place
-	stopping   atomic.Bool
-	held       atomic.Int64 // bytes of bodies of tasks without an answer
-	mostHeld   atomic.Int64
-	lists      endpointlist.Limits
-	categories map[string]int
-	customers  map[string]int
+	config           *Config
+	settings         *settings.Settings
+	log              *zap.Logger
+	clock            clock
+	counters         counters
+	serving          atomic.Bool // list, orders and loop are in place
+	stopping         atomic.Bool
+	bufferedBytes    atomic.Int64 // bytes of bodies of tasks without an answer
+	maxBufferedBytes atomic.Int64
+	listLimits       endpointlist.Limits
+	classIndex       map[string]int
+	tenantIndex      map[string]int
 
-	loop      *loop
-	clients   *clients
-	servers   *servers
-	discovery *endpointWatch
-	peers     *peers
-	console   *console
-	orders    *orders
-	handover  *handover
-	members   *membership // nil: off
-	hearing   *hearing    // nil: off
-	relayed   *relayed    // nil: off
-	first     firstList   // of start, then of hearing
-	listed    atomic.Bool // some list has come, or was there
-	state     *state      // nil: no memory
-	heritage  *heritage   // what the process before has told; nil at a plain start
+	loop          *eventLoop
+	frontend      *frontend
+	upstreams     *upstreams
+	endpointWatch *endpointWatch
+	gossiper      *gossiper
+	admin         *adminServer
+	overrides     *overrides
+	hotRestart    *hotRestart
+	members       *memberAgent       // nil: off
+	listGossip    *listGossip        // nil: off
+	relays        *relaySubscription // nil: off
+	initialList   initialList        // of start, then of hearing
+	hasList       atomic.Bool        // some list has come, or was there
+	persistence   *persistence       // nil: no memory
+	predecessor   *restartState      // what the process before has told; nil at a plain start
 }
 
 // New makes a node that listens; nothing runs before Run.
 func New(config *Config, log *zap.Logger) (*Node, error) {
-	n := &Node{config: config, settings: &config.decoded, log: log, clock: clock{time.Now()}, lists: endpointlist.LimitsFor(config.Limits.MemoryMB << 20),
-		categories: indexes(config.decoded.Classes), customers: indexes(config.decoded.Tenants)}
-	n.orders = newOrders(n)
-	n.state = openState(n)
-	n.loop, n.servers, n.discovery = newLoop(n), newServers(n), newEndpointWatch(n)
+	n := &Node{config: config, settings: &config.decoded, log: log, clock: clock{time.Now()}, listLimits: endpointlist.LimitsFor(config.Limits.MemoryMB << 20),
+		classIndex: indexOf(config.decoded.Classes), tenantIndex: indexOf(config.decoded.Tenants)}
+	n.overrides = newOverrides(n)
+	n.persistence = openPersistence(n)
+	n.loop, n.upstreams, n.endpointWatch = newEventLoop(n), newUpstreams(n), newEndpointWatch(n)
 	var err error
-	if n.relayed, err = newRelayed(n); err != nil {
+	if n.relays, err = newRelaySubscription(n); err != nil {
 		return nil, err
 	}
 	listener, err := n.listener()
 	if err != nil {
 		return nil, err
 	}
-	if n.console, err = newConsole(n); err != nil {
+	if n.admin, err = newAdminServer(n); err != nil {
 		listener.Close()
 		return nil, err
 	}
-	if n.peers, err = newPeers(n); err != nil {
-		n.console.close()
+	if n.gossiper, err = newGossiper(n); err != nil {
+		n.admin.close()
 		listener.Close()
 		return nil, err
 	}
-	if n.members, err = newMembership(n); err != nil {
-		n.peers.close()
-		n.console.close()
+	if n.members, err = newMemberAgent(n); err != nil {
+		n.gossiper.close()
+		n.admin.close()
 		listener.Close()
 		return nil, fmt.Errorf("members.listen: %w", err)
 	}
-	n.hearing = newHearing(n)
-	n.clients = newClients(n, listener)
-	n.handover = newHandover(n)
-	n.heritage = n.handover.find()
-	n.allot()
+	n.listGossip = newListGossip(n)
+	n.frontend = newFrontend(n, listener)
+	n.hotRestart = newHotRestart(n)
+	n.predecessor = n.hotRestart.connectPredecessor()
+	n.divideLimits()
 	return n, nil
 }
 
 // allot shares out the limits: to rules and limits a node is one, however many processes it has at the moment.
-func (n *Node) allot() {
-	processes := n.handover.processes()
+func (n *Node) divideLimits() {
+	processes := n.hotRestart.processes()
 	all := n.config.Limits.Sockets
 	if all == 0 {
 		all = 1024
 	}
 	sockets := all / processes
-	spare := sockets / spareShare
-	callers := min(mostCalls, sockets/callsPart)
-	rest := sockets - min(ownFiles, sockets/2+4) - spare - callers
-	toServers := max(rest/serversPart, 1)
+	spare := sockets / spareDescriptorShare
+	callers := min(maxAdminConns, sockets/adminConnShare)
+	rest := sockets - min(ownDescriptors, sockets/2+4) - spare - callers
+	toServers := max(rest/upstreamShare, 1)
 	toClients := max(rest-toServers, 1)
-	n.servers.allot(toServers)
-	n.console.allot(callers)
-	n.clients.allot(toClients, spare, all/usualPart)
-	n.clients.mayLend.Store(int64(toClients-toServers) / 2) // each attempt has a client that waits for it
-	held := int64(defaultHeld)
+	n.upstreams.setLimit(toServers)
+	n.admin.setLimit(callers)
+	n.frontend.setLimits(toClients, spare, all/activeClientShare)
+	n.frontend.maxLent.Store(int64(toClients-toServers) / 2) // each attempt has a client that waits for it
+	held := int64(defaultBodyMemory)
 	if mb := n.config.Limits.MemoryMB; mb > 0 {
-		held = mb << 20 / heldShare
+		held = mb << 20 / bodyMemoryShare
 		debug.SetMemoryLimit(mb << 20 * 6 / 10 / int64(processes))
 	}
-	n.mostHeld.Store(held / int64(processes))
+	n.maxBufferedBytes.Store(held / int64(processes))
 }
 
 // bind opens a listening socket.
@@ -303,22 +303,22 @@
 	switch {
 	case n.stopping.Load():
 		return "stopping"
-	case n.orders.drained():
+	case n.overrides.drained():
 		return "drained"
 	case !n.serving.Load():
 		return "starting"
-	case !n.listed.Load():
+	case !n.hasList.Load():
 		return "no list of servers yet: none is remembered, and nobody has told one"
 	}
 	return ""
 }
 
 // leaving tells whether connections of clients end with their next answer.
-func (n *Node) leaving() bool {
-	return n.stopping.Load() || n.orders.drained() || n.handover.hasYielded()
+func (n *Node) closesConnections() bool {
+	return n.stopping.Load() || n.overrides.drained() || n.hotRestart.hasYielded()
 }
 
-func indexes(names []string) map[string]int {
+func indexOf(names []string) map[string]int {
 	of := map[string]int{}
 	for i, name := range names {
 		of[name] = i
@@ -327,7 +327,7 @@
 }
 
 // limit keeps the runtime within the machine's share that the node was given.
-func (n *Node) limit() {
+func (n *Node) limitRuntime() {
 	if cores := n.config.Limits.Cores; cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cores)))
 	}
@@ -335,66 +335,66 @@
 }
 
 // known is the list that the node had last: the one of the process before, else the configuration's.
-func (n *Node) known() firstList {
-	if n.heritage != nil {
-		n.orders.tell(n.heritage.Listed...)
-		if entries, version, _, err := n.listOf(n.heritage.List); err == nil {
-			return firstList{entries, version, false} // discovery is asked for the whole list
+func (n *Node) knownList() initialList {
+	if n.predecessor != nil {
+		n.overrides.rememberNames(n.predecessor.Listed...)
+		if entries, version, _, err := n.parseList(n.predecessor.List); err == nil {
+			return initialList{entries, version, false} // discovery is asked for the whole list
 		}
-		n.counters.add(handoversPassedOver)
+		n.counters.add(hotRestartsIgnored)
 		n.log.Warn("the list of the process before passed over")
 	}
-	remembered := firstList{n.state.known(), n.state.version(), false}
-	n.orders.tell(names(remembered.entries)...)
+	remembered := initialList{n.persistence.known(), n.persistence.version(), false}
+	n.overrides.rememberNames(names(remembered.entries)...)
 	if len(n.config.Known) == 0 {
 		return remembered
 	}
-	entries, version, whole, err := n.listOf(n.config.Known)
+	entries, version, whole, err := n.parseList(n.config.Known)
 	if err != nil {
 		n.log.Warn("known list passed over", zap.Error(err))
 		return remembered
 	}
-	if len(remembered.entries) > 0 && !n.state.before(version) {
-		remembered.entries = n.state.beside(remembered.entries, entries, version)
+	if len(remembered.entries) > 0 && !n.persistence.before(version) {
+		remembered.entries = n.persistence.beside(remembered.entries, entries, version)
 		return remembered // discovery is asked for the whole list
 	}
-	n.discovery.version = version
-	return firstList{n.state.listed(entries, version, whole), version, true}
+	n.endpointWatch.version = version
+	return initialList{n.persistence.listed(entries, version, whole), version, true}
 }
 
 // start sets the parts to work, beginning with the list that the node had last. Clients are taken once all else is in place:
 // beside another process they come from the first moment.
 func (n *Node) start() {
 	n.loop.now = n.clock.now()
-	n.first = n.known()
-	n.listed.Store(n.first.base || len(n.first.entries) > 0 || n.heritage != nil)
-	n.loop.listed(n.first.entries, true)
-	if n.heritage != nil {
-		n.loop.inherit(n.heritage.Learned)
+	n.initialList = n.knownList()
+	n.hasList.Store(n.initialList.watchResumes || len(n.initialList.entries) > 0 || n.predecessor != nil)
+	n.loop.listUpdated(n.initialList.entries, true)
+	if n.predecessor != nil {
+		n.loop.inherit(n.predecessor.Learned)
 	} else {
-		n.state.inherit()
+		n.persistence.inherit()
 	}
 	go n.loop.run()
-	n.state.run()
-	go n.orders.watch()
-	go n.console.run()
-	go n.clients.empty()
-	go n.discovery.run()
-	go n.relayed.Run(context.Background())
-	go n.peers.run()
-	if !n.settings.Policy.MustPollList && n.heritage == nil {
+	n.persistence.run()
+	go n.overrides.watch()
+	go n.admin.run()
+	go n.frontend.closeIdleWhileDrained()
+	go n.endpointWatch.run()
+	go n.relays.Run(context.Background())
+	go n.gossiper.sendLoop()
+	if !n.settings.Policy.MustPollList && n.predecessor == nil {
 		// What is pushed counts as told from the first moment of a new process, so it is heard before the first task.
 		select {
-		case <-n.discovery.heard:
-		case <-time.After(listConnect):
+		case <-n.endpointWatch.firstHeard:
+		case <-time.After(listConnectTimeout):
 		}
 	}
 	inPlace := make(chan struct{})
-	n.loop.enter(func() { close(inPlace) })
+	n.loop.post(func() { close(inPlace) })
 	<-inPlace
-	go n.clients.accept()
+	go n.frontend.accept()
 	n.serving.Store(true)
-	n.handover.served()
+	n.hotRestart.announceServing()
 	if n.members != nil {
 		go n.members.run()
 	}
@@ -413,20 +413,20 @@
 // Run serves until SIGTERM or SIGINT has been followed to its end. The other signals are heard on through that, and another of
 // these changes nothing.
 func (n *Node) Run(signals <-chan os.Signal) error {
-	n.limit()
+	n.limitRuntime()
 	n.start()
 	sweep := time.NewTicker(time.Second)
 	var stopped chan struct{} // closed at the end, once there has been such a signal
 	for {
 		select {
 		case <-sweep.C:
-			n.servers.sweep()
+			n.upstreams.closeExpired()
 		case <-stopped:
 			n.members.end()
-			n.state.end()
-			n.peers.close()
-			n.console.close()
-			n.handover.end()
+			n.persistence.end()
+			n.gossiper.close()
+			n.admin.close()
+			n.hotRestart.end()
 			n.counters.log(n.log, "at exit")
 			return nil
 		case s := <-signals:
@@ -434,7 +434,7 @@
 			case s == syscall.SIGUSR1:
 				n.counters.log(n.log, "asked for")
 			case s == syscall.SIGHUP:
-				n.reread()
+				n.reload()
 			case stopped == nil:
 				stopped = make(chan struct{})
 				n.members.leave()
@@ -449,14 +449,14 @@
 
 // reread takes in the configuration's file as it is now. Only the address of discovery can change while the node runs;
 // what else has is named, so that nobody takes it for heard. A bad file changes nothing.
-func (n *Node) reread() {
+func (n *Node) reload() {
 	c, err := ReadConfig(n.config.path)
 	if err != nil {
-		n.counters.add(configsPassedOver)
+		n.counters.add(configReloadsRejected)
 		n.log.Error("configuration passed over, the old one kept", zap.Error(err))
 		return
 	}
-	n.counters.add(configsRead)
+	n.counters.add(configReloads)
 	var later []string
 	for name, same := range map[string]bool{"listen": c.Listen == n.config.Listen, "limits": c.Limits == n.config.Limits,
 		"settings": reflect.DeepEqual(c.decoded, n.config.decoded), "news": reflect.DeepEqual(c.News, n.config.News),
@@ -466,35 +466,35 @@
 		}
 	}
 	n.log.Info("configuration read again", zap.String("discovery", c.Discovery), zap.Strings("only after a restart", later))
-	n.discovery.move(c.Discovery)
+	n.endpointWatch.move(c.Discovery)
 }
 
 // stop goes on taking for a while, then closes what is idle and waits until every task taken has its answer. What is left shortly
 // before the platform may kill the process is given up.
 func (n *Node) stop() {
 	n.log.Info("stopping")
-	killed := time.Now().Add(min(time.Duration(slices.Max(n.settings.Deadlines)), longestKept) + killedAfter)
+	killed := time.Now().Add(min(time.Duration(slices.Max(n.settings.Deadlines)), maxDrain) + killDelay)
 	n.stopping.Store(true)
-	if n.handover.hasYielded() {
-		time.Sleep(min(stillKept, time.Until(killed)-2*lastWords))
+	if n.hotRestart.hasYielded() {
+		time.Sleep(min(acceptAfterTermReplaced, time.Until(killed)-2*answerMargin))
 	} else {
-		time.Sleep(stillTaking)
+		time.Sleep(acceptAfterTerm)
 	}
-	n.clients.close(killed.Add(-lastWords))
-	n.handover.close()
-	if n.settled(killed.Add(-lastWords)) {
+	n.frontend.drainAndClose(killed.Add(-answerMargin))
+	n.hotRestart.close()
+	if n.awaitClients(killed.Add(-answerMargin)) {
 		return
 	}
 	n.log.Warn("stops with tasks or connections open: what has no answer is given up")
-	n.loop.enter(n.loop.giveUp)
-	n.settled(killed.Add(-lastExit))
-	n.clients.cut()
+	n.loop.post(n.loop.giveUpAll)
+	n.awaitClients(killed.Add(-exitMargin))
+	n.frontend.abortStreams()
 }
 
 // settled waits until no client is left, or until a time, and tells which.
-func (n *Node) settled(by time.Time) bool {
+func (n *Node) awaitClients(by time.Time) bool {
 	for ; time.Now().Before(by); time.Sleep(10 * time.Millisecond) {
-		if n.clients.settle() == 0 {
+		if n.frontend.evictAllIdle() == 0 {
 			return true
 		}
 	}
