--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -35,12 +35,12 @@
 		if want := fmt.Sprintf("/batch/x?q=%d t%d a\x00b", i, i); status != 200 || body != want {
 			t.Errorf("got %d %q, want 200 %q", status, body, want)
 		}
-		if header.Get(headerLoad) != "" {
+		if header.Get(headerLoadReport) != "" {
 			t.Error("a server's load report went on to a client")
 		}
 	}
-	if n.count(serversConnected) != 1 {
-		t.Errorf("%d connections to the server for tasks one after the other, want 1", n.count(serversConnected))
+	if n.count(upstreamConnsOpened) != 1 {
+		t.Errorf("%d connections to the server for tasks one after the other, want 1", n.count(upstreamConnsOpened))
 	}
 }
 
@@ -63,23 +63,23 @@
 		how    counter
 		status map[string]int // by category; 503 is a decline
 	}{
-		"error":             {cut("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), handOffsError, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"turned away":       {cut("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), handOffsFull, map[string]int{"view": 503, "update": 503, "pay": 503}},
-		"503 without proof": {cut("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), handOffsError, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"fault with it":     {cut("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), handOffsFaulted, map[string]int{"view": 400, "update": 400, "pay": 400}},
-		"too many":          {cut("HTTP/1.1 429 Later\r\nContent-Length: 0\r\n\r\n"), handOffsError, map[string]int{"view": 503, "pay": 502}},
-		"refused":           {"127.0.0.1:1", handOffsUnreached, map[string]int{"view": 503, "update": 503, "pay": 503}},
-		"broken before any": {cut(""), handOffsReset, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"broken in head":    {cut("HTTP/1.1 200 OK\r\nContent-Le"), handOffsReset, map[string]int{"view": 503, "pay": 502}},
-		"broken in body":    {cut("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), handOffsReset, map[string]int{"view": 503, "pay": 502}},
-		"broken in chunk":   {cut("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal"), handOffsReset, map[string]int{"pay": 502}},
-		"no answer at all":  {cut("SSH-2.0-x\r\n\r\n"), handOffsReset, map[string]int{"pay": 502}},
-		"endless answer":    {cut("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), handOffsReset, map[string]int{"pay": 502}},
-		"silent":            {silent, handOffsTimedOut, map[string]int{"view": 503, "update": 502, "pay": 502}},
+		"error":             {cut("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsErrored, map[string]int{"view": 503, "update": 502, "pay": 502}},
+		"turned away":       {cut("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), attemptsRejected, map[string]int{"view": 503, "update": 503, "pay": 503}},
+		"503 without proof": {cut("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), attemptsErrored, map[string]int{"view": 503, "update": 502, "pay": 502}},
+		"fault with it":     {cut("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsRequestFault, map[string]int{"view": 400, "update": 400, "pay": 400}},
+		"too many":          {cut("HTTP/1.1 429 Later\r\nContent-Length: 0\r\n\r\n"), attemptsErrored, map[string]int{"view": 503, "pay": 502}},
+		"refused":           {"127.0.0.1:1", attemptsConnectFailed, map[string]int{"view": 503, "update": 503, "pay": 503}},
+		"broken before any": {cut(""), attemptsReset, map[string]int{"view": 503, "update": 502, "pay": 502}},
+		"broken in head":    {cut("HTTP/1.1 200 OK\r\nContent-Le"), attemptsReset, map[string]int{"view": 503, "pay": 502}},
+		"broken in body":    {cut("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), attemptsReset, map[string]int{"view": 503, "pay": 502}},
+		"broken in chunk":   {cut("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal"), attemptsReset, map[string]int{"pay": 502}},
+		"no answer at all":  {cut("SSH-2.0-x\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
+		"endless answer":    {cut("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
+		"silent":            {silent, attemptsTimedOut, map[string]int{"view": 503, "update": 502, "pay": 502}},
 		"closed at once":    {closed, counterCount, map[string]int{"view": 503}},
 		"interim, chunked": {cut("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
-			handOffsSatisfied, map[string]int{"pay": 200}},
-		"body till the end": {cut("HTTP/1.1 200 OK\r\n\r\nall of it"), handOffsSatisfied, map[string]int{"pay": 200}},
+			attemptsSucceeded, map[string]int{"pay": 200}},
+		"body till the end": {cut("HTTP/1.1 200 OK\r\n\r\nall of it"), attemptsSucceeded, map[string]int{"pay": 200}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -89,8 +89,8 @@
 				if status != want || c.how < counterCount && n.count(c.how) != 1 {
 					t.Errorf("%s: answered %d, want %d; outcome counted %d times", category, status, want, n.count(min(c.how, panics)))
 				}
-				if (header.Get(headerAdvice) != "") != (status == 503) {
-					t.Errorf("%s: %d with advice %q", category, status, header.Get(headerAdvice))
+				if (header.Get(headerRetryAfter) != "") != (status == 503) {
+					t.Errorf("%s: %d with advice %q", category, status, header.Get(headerRetryAfter))
 				}
 			}
 		})
@@ -98,20 +98,20 @@
 }
 
 func TestHandOffErrorTellsWhatItProves(t *testing.T) {
-	for at, want := range map[stage][3]policy.Outcome{ // a broken connection, time over, recalled
-		notConnected:  {policy.OutcomeConnectFailed, policy.OutcomeConnectFailed, policy.OutcomeNotSent},
-		partlyWritten: {policy.OutcomeConnectFailed, policy.OutcomeConnectFailed, policy.OutcomeNotSent},
-		writtenWhole:  {policy.OutcomeReset, policy.OutcomeTimedOut, policy.OutcomeCanceled},
-		answering:     {policy.OutcomeReset, policy.OutcomeTimedOut, policy.OutcomeCanceled},
+	for at, want := range map[attemptStage][3]policy.Outcome{ // a broken connection, time over, recalled
+		notConnected:    {policy.OutcomeConnectFailed, policy.OutcomeConnectFailed, policy.OutcomeNotSent},
+		partlyWritten:   {policy.OutcomeConnectFailed, policy.OutcomeConnectFailed, policy.OutcomeNotSent},
+		fullyWritten:    {policy.OutcomeReset, policy.OutcomeTimedOut, policy.OutcomeCanceled},
+		readingResponse: {policy.OutcomeReset, policy.OutcomeTimedOut, policy.OutcomeCanceled},
 	} {
 		late := &net.OpError{Op: "read", Err: timeOut{}}
-		for i, e := range []handOffError{{at, false, io.EOF}, {at, false, late}, {at, true, late}} {
+		for i, e := range []attemptError{{at, false, io.EOF}, {at, false, late}, {at, true, late}} {
 			if got := e.outcome(); got != want[i] {
 				t.Errorf("%v: outcome %d, want %d", &e, got, want[i])
 			}
 		}
 	}
-	if e := (&handOffError{notConnected, false, errNoRoom}); e.outcome() != policy.OutcomeNotSent {
+	if e := (&attemptError{notConnected, false, errNoConnectionSlot}); e.outcome() != policy.OutcomeNotSent {
 		t.Error("want of a descriptor here is held against the server")
 	}
 }
@@ -166,12 +166,12 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if tasks.Load() != 5 || n.count(handOffsReset) != 0 {
-		t.Errorf("%d tasks came to the server, %d resets", tasks.Load(), n.count(handOffsReset))
+	if tasks.Load() != 5 || n.count(attemptsReset) != 0 {
+		t.Errorf("%d tasks came to the server, %d resets", tasks.Load(), n.count(attemptsReset))
 	}
-	n.servers.sweep()
-	if n.servers.open != 0 {
-		t.Errorf("%d closed connections still hold descriptors", n.servers.open)
+	n.upstreams.closeExpired()
+	if n.upstreams.open != 0 {
+		t.Errorf("%d closed connections still hold descriptors", n.upstreams.open)
 	}
 }
 
@@ -185,8 +185,8 @@
 		if i == 2 {
 			time.Sleep(80 * time.Millisecond)
 		}
-		if ask(t, n, "batch", fmt.Sprint("t", i), ""); n.count(serversConnected) != want {
-			t.Errorf("%d connections after task %d, want %d", n.count(serversConnected), i, want)
+		if ask(t, n, "batch", fmt.Sprint("t", i), ""); n.count(upstreamConnsOpened) != want {
+			t.Errorf("%d connections after task %d, want %d", n.count(upstreamConnsOpened), i, want)
 		}
 	}
 }
@@ -216,10 +216,10 @@
 	if status, _, _ := ask(t, n, "pay", "first", ""); status != 502 {
 		t.Errorf("the first task after the cut was answered %d", status)
 	}
-	n.servers.mu.Lock()
-	defer n.servers.mu.Unlock()
-	if n.servers.open != 0 {
-		t.Errorf("%d connections from before are still open", n.servers.open)
+	n.upstreams.mu.Lock()
+	defer n.upstreams.mu.Unlock()
+	if n.upstreams.open != 0 {
+		t.Errorf("%d connections from before are still open", n.upstreams.open)
 	}
 }
 
@@ -240,12 +240,12 @@
 	case <-time.After(5 * time.Second): // its soft limit is 20 s
 		t.Error("the hand-off was not recalled")
 	}
-	soon(t, "the recall", func() bool { return n.count(tasksWithdrawn) == 1 && n.count(handOffsRecalled) == 1 })
+	soon(t, "the recall", func() bool { return n.count(requestsCanceled) == 1 && n.count(attemptsCanceled) == 1 })
 }
 
 func TestPipelinedTasksAreAnsweredInOrder(t *testing.T) {
 	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
-		if strings.HasSuffix(r.Header.Get(headerTask), "0") {
+		if strings.HasSuffix(r.Header.Get(headerRequestID), "0") {
 			time.Sleep(50 * time.Millisecond)
 		}
 		return echo(c, r, body)
@@ -310,8 +310,8 @@
 			t.Errorf("%.60q was answered %d, want %d", text, status, want)
 		}
 	}
-	if status, _, _ := ask(t, n, "batch", "still", ""); status != 200 || n.count(tasksBad) != 15 {
-		t.Errorf("after bad tasks a good one is answered %d; %d counted as bad", status, n.count(tasksBad))
+	if status, _, _ := ask(t, n, "batch", "still", ""); status != 200 || n.count(requestsMalformed) != 15 {
+		t.Errorf("after bad tasks a good one is answered %d; %d counted as bad", status, n.count(requestsMalformed))
 	}
 }
 
@@ -363,12 +363,12 @@
 				rest = rest[n:]
 			}
 		}()
-		c := newConn(near)
+		c := newBufferedConn(near)
 		_, m, err := c.fromClient(func() bool { return false })
 		var got []byte
 		whole := false
 		if err == nil {
-			got, whole, err = m.collect(nil, 1<<20)
+			got, whole, err = m.readUpTo(nil, 1<<20)
 			m.end()
 		}
 		if spoil {
@@ -384,7 +384,7 @@
 // Guards against a flood of connections that bring nothing shutting out clients at work.
 func TestFloodLeavesRoomForClients(t *testing.T) {
 	server, _ := serverOf(t, echo)
-	n := nodeWith(t, func(c *Config) { c.Limits.Sockets = 4 * ownFiles }, server)
+	n := nodeWith(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
 	c, in := dial(t, n)
 	for i := range 40 {
 		for range 5 {
@@ -398,22 +398,22 @@
 			t.Fatalf("task %d of a new client was answered %d", i, status)
 		}
 	}
-	n.clients.mu.Lock()
-	defer n.clients.mu.Unlock()
-	if most := n.clients.most + n.clients.spare; len(n.clients.open) > most {
-		t.Errorf("%d connections from clients, at most %d are allowed", len(n.clients.open), most)
+	n.frontend.mu.Lock()
+	defer n.frontend.mu.Unlock()
+	if most := n.frontend.maxOpen + n.frontend.spare; len(n.frontend.open) > most {
+		t.Errorf("%d connections from clients, at most %d are allowed", len(n.frontend.open), most)
 	}
 }
 
 // Guards against clients that keep their connections filling all places, so that all who come have to pass through a
 // few, each waiting until the one before is old enough to go.
 func TestConnectionsKeptForGoodMakeRoom(t *testing.T) {
-	for name, idle := range map[string]time.Duration{"for long": longIdle + 100*time.Millisecond, "of late": 3 * lingers} {
+	for name, idle := range map[string]time.Duration{"for long": evictableAfter + 100*time.Millisecond, "of late": 3 * closeLinger} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server, _ := serverOf(t, echo)
-			n := nodeWith(t, func(c *Config) { c.Limits.Sockets = 4 * ownFiles }, server)
-			for i := range n.clients.most + n.clients.spare {
+			n := nodeWith(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
+			for i := range n.frontend.maxOpen + n.frontend.spare {
 				c, in := dial(t, n)
 				io.WriteString(c, taskText("batch", fmt.Sprint("stays", i), ""))
 				answerOn(in)
@@ -438,9 +438,9 @@
 // Guards against clients that ask once and keep their connections using up all that the front may hold to a node.
 func TestIdleConnectionsLeaveTheFrontRoom(t *testing.T) {
 	server, _ := serverOf(t, echo)
-	n := nodeWith(t, func(c *Config) { c.Limits.Sockets = 4 * ownFiles }, server)
+	n := nodeWith(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
 	var ended atomic.Int64
-	for i := range 4 * ownFiles / 3 {
+	for i := range 4 * ownDescriptors / 3 {
 		c, in := dial(t, n)
 		io.WriteString(c, taskText("batch", fmt.Sprint("stays", i), ""))
 		if status, _, _ := answerOn(in); status != 200 {
@@ -450,12 +450,12 @@
 			in.ReadByte()
 			ended.Add(1)
 		}()
-		time.Sleep(lingers / 5)
+		time.Sleep(closeLinger / 5)
 	}
 	soon(t, "room for further tasks", func() bool { return ended.Load() >= 4 })
-	n.clients.mu.Lock()
-	defer n.clients.mu.Unlock()
-	if held := len(n.clients.open); held > 4*ownFiles/usualPart+2 {
+	n.frontend.mu.Lock()
+	defer n.frontend.mu.Unlock()
+	if held := len(n.frontend.open); held > 4*ownDescriptors/activeClientShare+2 {
 		t.Errorf("%d connections are held, more than a quarter of the descriptors", held)
 	}
 }
@@ -466,8 +466,8 @@
 		time.Sleep(100 * time.Millisecond)
 		return echo(c, r, body)
 	})
-	n := newNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownFiles }, server)
-	n.servers.most = 200 // want of room is to show at the clients alone
+	n := newNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
+	n.upstreams.maxOpen = 200 // want of room is to show at the clients alone
 	n.start()
 	var done sync.WaitGroup
 	answers := [600]atomic.Int64{}
@@ -481,10 +481,10 @@
 		})
 	}
 	done.Wait()
-	if answers[200].Load() == 0 || answers[200].Load()+answers[503].Load() != 150 || n.count(tasksNoRoom) == 0 {
-		t.Errorf("%d satisfied, %d declined, %d of them without room", answers[200].Load(), answers[503].Load(), n.count(tasksNoRoom))
+	if answers[200].Load() == 0 || answers[200].Load()+answers[503].Load() != 150 || n.count(requestsOverCapacity) == 0 {
+		t.Errorf("%d satisfied, %d declined, %d of them without room", answers[200].Load(), answers[503].Load(), n.count(requestsOverCapacity))
 	}
-	if read := n.count(tasksTaken) + n.count(tasksNoRoom); read != 150 {
+	if read := n.count(requestsAccepted) + n.count(requestsOverCapacity); read != 150 {
 		t.Errorf("%d tasks were read for 150 answers", read)
 	}
 }
@@ -492,21 +492,21 @@
 // Guards against a task that comes just as its connection is asked to leave being withdrawn while it is out.
 func TestTaskOnAConnectionThatLeavesIsAnswered(t *testing.T) {
 	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
-		time.Sleep(3 * lingers)
+		time.Sleep(3 * closeLinger)
 		return echo(c, r, body)
 	})
 	n := nodeWith(t, nil, server)
 	c, in := dial(t, n)
 	io.WriteString(c, taskText("batch", "t1", ""))
-	soon(t, "the hand-off", func() bool { return n.count(handOffsSent) == 1 })
-	n.clients.mu.Lock()
-	for one := range n.clients.open {
+	soon(t, "the hand-off", func() bool { return n.count(attemptsSent) == 1 })
+	n.frontend.mu.Lock()
+	for one := range n.frontend.open {
 		one.mu.Lock()
-		one.leaving = true
+		one.evicting = true
 		one.conn.SetReadDeadline(time.Unix(1, 0))
 		one.mu.Unlock()
 	}
-	n.clients.mu.Unlock()
+	n.frontend.mu.Unlock()
 	if status, _, header := answerOn(in); status != 200 || header == nil {
 		t.Errorf("answered %d", status)
 	}
@@ -525,9 +525,9 @@
 			<-hold
 			return echo(c, r, body)
 		})
-		n := newNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownFiles }, server)
-		n.servers.most = 3
-		n.clients.mayLend.Store(lent)
+		n := newNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
+		n.upstreams.maxOpen = 3
+		n.frontend.maxLent.Store(lent)
 		n.start()
 		var done sync.WaitGroup
 		answers := [600]atomic.Int64{}
@@ -540,8 +540,8 @@
 		soon(t, "declines", func() bool { return answers[503].Load() == 7-lent })
 		close(hold)
 		done.Wait()
-		if answers[200].Load() != 3+lent || out.Load() != 3+lent || n.count(handOffsNeverSent) < 7-lent {
-			t.Errorf("with %d lent: %d satisfied, %d at the server, %d never sent", lent, answers[200].Load(), out.Load(), n.count(handOffsNeverSent))
+		if answers[200].Load() != 3+lent || out.Load() != 3+lent || n.count(attemptsNotSent) < 7-lent {
+			t.Errorf("with %d lent: %d satisfied, %d at the server, %d never sent", lent, answers[200].Load(), out.Load(), n.count(attemptsNotSent))
 		}
 	}
 }
@@ -575,16 +575,16 @@
 			"no list"},
 		[]string{listText(6, false, listEntry("s-0", second, "draining"))})
 	n := nodeWith(t, func(c *Config) { c.Discovery = address }, first)
-	soon(t, "the move", func() bool { return n.count(listLines) == 1 })
+	soon(t, "the move", func() bool { return n.count(listUpdates) == 1 })
 	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 || atFirst.Load() != 0 || atSecond.Load() != 1 {
 		t.Errorf("after the move %d, %d tasks at the old address, %d at the new", status, atFirst.Load(), atSecond.Load())
 	}
-	soon(t, "the drain", func() bool { return n.count(listLines) == 2 })
+	soon(t, "the drain", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := ask(t, n, "batch", "t2", ""); status != 503 || atSecond.Load() != 1 {
 		t.Errorf("with its only server draining a task was answered %d", status)
 	}
-	if n.count(listLinesPassedOver) != 3 {
-		t.Errorf("%d lines passed over, want 3", n.count(listLinesPassedOver))
+	if n.count(listEntriesSkipped) != 3 {
+		t.Errorf("%d lines passed over, want 3", n.count(listEntriesSkipped))
 	}
 	for i, want := range []string{"after=1 ", "after=5 "} {
 		if got, _ := asked.Load(i); got == nil || !strings.Contains(got.(string), want) {
@@ -610,7 +610,7 @@
 	}
 	n := newNode(t, func(c *Config) { c.Discovery, c.path = old, path }, "127.0.0.1:1")
 	go n.Run(Signals())
-	soon(t, "the old watch", func() bool { return n.count(listLines) == 1 })
+	soon(t, "the old watch", func() bool { return n.count(listUpdates) == 1 })
 	told := func(counted counter) {
 		t.Helper()
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
@@ -619,30 +619,30 @@
 		soon(t, counterNames[counted], func() bool { return n.count(counted) == 1 })
 	}
 	write(young, "no seed")
-	told(configsPassedOver)
-	if address, _ := n.discovery.where(); address != old {
+	told(configReloadsRejected)
+	if address, _ := n.endpointWatch.current(); address != old {
 		t.Errorf("a bad file moved discovery to %s", address)
 	}
 	write(young, "2e")
-	told(configsRead)
-	soon(t, "the new list", func() bool { return n.count(listLines) == 2 })
+	told(configReloads)
+	soon(t, "the new list", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 {
 		t.Errorf("by the new list a task was answered %d", status)
 	}
 	if got, _ := asked.Load(0); got == nil || !strings.Contains(got.(string), "after=0 ") {
 		t.Errorf("the new place was asked %q, want the whole list", got)
 	}
-	if n.count(listCallsFailed) != 0 || n.count(listCalls) != 2 {
-		t.Errorf("%d calls, %d of them failed", n.count(listCalls), n.count(listCallsFailed))
+	if n.count(listWatchesFailed) != 0 || n.count(listWatches) != 2 {
+		t.Errorf("%d calls, %d of them failed", n.count(listWatches), n.count(listWatchesFailed))
 	}
 }
 
 func TestSilentWatchIsCalledAgain(t *testing.T) {
 	address, _ := discoveryOf(t, []string{listText(2, false)}, []string{listText(3, false)})
 	n := newNode(t, func(c *Config) { c.Discovery = address })
-	n.discovery.silence = 200 * time.Millisecond
+	n.endpointWatch.silenceTimeout = 200 * time.Millisecond
 	n.start()
-	soon(t, "the second call", func() bool { return n.count(listLines) >= 2 })
+	soon(t, "the second call", func() bool { return n.count(listUpdates) >= 2 })
 }
 
 // Guards against the late removal of a server closing connections to the one that stands at its address, against a gone
@@ -653,29 +653,29 @@
 	ask(t, n, "batch", "old", "")
 	learn := func(version int, whole bool, entries ...string) {
 		t.Helper()
-		list, _, whole, err := n.listOf([]byte(listText(version, whole, entries...)))
+		list, _, whole, err := n.parseList([]byte(listText(version, whole, entries...)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		done := make(chan struct{})
-		n.loop.enterList(list, whole)
-		n.loop.enter(func() { close(done) })
+		n.loop.postList(list, whole)
+		n.loop.post(func() { close(done) })
 		<-done
 	}
 	learn(2, false, listEntry("s-0", server, "draining"), listEntry("young", server, "up"))
 	ask(t, n, "batch", "young", "")
-	if n.count(serversConnected) != 2 {
-		t.Errorf("%d connections, want one to the old server and one to the new", n.count(serversConnected))
+	if n.count(upstreamConnsOpened) != 2 {
+		t.Errorf("%d connections, want one to the old server and one to the new", n.count(upstreamConnsOpened))
 	}
 	learn(3, false, listEntry("s-0", server, "removed"))
 	time.Sleep(20 * time.Millisecond)
 	ask(t, n, "batch", "again", "")
-	if n.count(serversConnected) != 2 {
+	if n.count(upstreamConnsOpened) != 2 {
 		t.Error("the removal of the old server closed the connection to the new")
 	}
 	learn(4, true, listEntry("third", server, "up"))
 	known := make(chan int)
-	n.loop.enter(func() { known <- len(n.loop.fleet) })
+	n.loop.post(func() { known <- len(n.loop.endpoints) })
 	if fleet := <-known; fleet != 1 {
 		t.Errorf("%d servers are known after a list of one", fleet)
 	}
@@ -689,16 +689,16 @@
 	}, server)
 	ask(t, n, "batch", "before", "")
 	learn := func(text string) {
-		list, _, whole, err := n.listOf([]byte(text))
+		list, _, whole, err := n.parseList([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.loop.enterList(list, whole)
+		n.loop.postList(list, whole)
 	}
 	learn(listText(2, false, listEntry("s-0", server, "removed")))
 	learn(listText(3, true))
-	if status, _, _ := ask(t, n, "batch", "after", ""); status != http.StatusOK || n.count(serversConnected) != 1 {
-		t.Errorf("%d, %d connections to it", status, n.count(serversConnected))
+	if status, _, _ := ask(t, n, "batch", "after", ""); status != http.StatusOK || n.count(upstreamConnsOpened) != 1 {
+		t.Errorf("%d, %d connections to it", status, n.count(upstreamConnsOpened))
 	}
 	learn(listText(4, false, listEntry("s-0", server, "draining")))
 	if status, _, _ := ask(t, n, "batch", "drained", ""); status != http.StatusServiceUnavailable {
@@ -709,12 +709,12 @@
 // A server is not taken off the list because its line could not be read, only because a readable list lacks it.
 func TestUnreadableEntryTakesNobodyOff(t *testing.T) {
 	n := nodeWith(t, nil)
-	_, _, whole, err := n.listOf([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
+	_, _, whole, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
 	if whole || err != nil {
 		t.Errorf("whole %t, error %v", whole, err)
 	}
 	for _, text := range []string{"", "[]", "{}", `{"seq":"a"}`, `{"seq":1,"hosts":{}}`} {
-		if _, _, _, err := n.listOf([]byte(text)); err == nil {
+		if _, _, _, err := n.parseList([]byte(text)); err == nil {
 			t.Errorf("%q was taken for a list", text)
 		}
 	}
@@ -754,7 +754,7 @@
 	if status, _, _ := ask(t, n, "batch", "new", ""); status != 200 {
 		t.Errorf("a new connection while stopping was answered %d", status)
 	}
-	time.Sleep(stillTaking - 120*time.Millisecond)
+	time.Sleep(acceptAfterTerm - 120*time.Millisecond)
 	io.WriteString(idle, taskText("batch", "a", "")+taskText("batch", "b", ""))
 	for range 2 {
 		if status, body, _ := answerOn(idleIn); status != 200 {
@@ -762,7 +762,7 @@
 		}
 	}
 	busy.Wait()
-	if taken := n.count(tasksTaken); answered.Load()+3 != taken {
+	if taken := n.count(requestsAccepted); answered.Load()+3 != taken {
 		t.Errorf("%d tasks were taken and %d answered", taken, answered.Load()+3)
 	}
 	select {
@@ -776,20 +776,20 @@
 func TestPanicStopsAtItsTask(t *testing.T) {
 	server, tasks := serverOf(t, echo)
 	n := nodeWith(t, nil, server)
-	x := newExchange()
-	x.task.ID = "bad"
-	n.loop.enter(func() {
-		n.loop.tasks["bad"] = x
+	x := newPendingRequest()
+	x.request.ID = "bad"
+	n.loop.post(func() {
+		n.loop.requests["bad"] = x
 		n.loop.handle(x, func() { panic("a mistake in the decisions") })
 	})
-	if a := <-x.answered; a.status != 502 {
+	if a := <-x.responses; a.status != 502 {
 		t.Errorf("its task was answered %d", a.status)
 	}
-	n.loop.enter(func() {
-		n.loop.tasks["bad"] = x
-		n.loop.Send("bad", serverID("s-0"), second)
+	n.loop.post(func() {
+		n.loop.requests["bad"] = x
+		n.loop.Send("bad", endpointID("s-0"), second)
 	})
-	soon(t, "the end of a hand-off that came too late", func() bool { return n.count(handOffsNeverSent) == 1 })
+	soon(t, "the end of a hand-off that came too late", func() bool { return n.count(attemptsNotSent) == 1 })
 	if tasks.Load() != 0 {
 		t.Error("a task that has its answer went to a server")
 	}
@@ -847,7 +847,7 @@
 	runs := map[string]int{}
 	dice := rand.New(rand.NewPCG(1, 2))
 	behave := func(c net.Conn, r *http.Request, body string) bool {
-		id := r.Header.Get(headerTask)
+		id := r.Header.Get(headerRequestID)
 		mu.Lock()
 		how := dice.IntN(60)
 		if how > 2 {
@@ -916,7 +916,7 @@
 	done.Wait()
 	soon(t, "the end of all that was taken", func() bool {
 		left := make(chan int)
-		n.loop.enter(func() { left <- len(n.loop.tasks) })
+		n.loop.post(func() { left <- len(n.loop.requests) })
 		return <-left == 0
 	})
 	mu.Lock()
@@ -956,63 +956,63 @@
 		}
 		return events
 	}
-	lines := func(from, to int) (list []entry) {
+	lines := func(from, to int) (list []endpointEntry) {
 		for i := from; i < to; i++ {
 			name := fmt.Sprint("s-", i)
-			list = append(list, entry{EndpointInfo: policy.EndpointInfo{ID: policy.EndpointID(i), State: policy.StateActive}, name: name, address: "127.0.0.1:1"})
+			list = append(list, endpointEntry{EndpointInfo: policy.EndpointInfo{ID: policy.EndpointID(i), State: policy.StateActive}, name: name, address: "127.0.0.1:1"})
 		}
 		return list
 	}
-	n.loop.enterList(lines(1, 4097), true)
-	if events := taken(); events != 9 || len(n.loop.fleet) != 4096 {
-		t.Errorf("4,096 lines in %d events, %d servers known; want 8 slices and a last one for who is absent, and all", events, len(n.loop.fleet))
+	n.loop.postList(lines(1, 4097), true)
+	if events := taken(); events != 9 || len(n.loop.endpoints) != 4096 {
+		t.Errorf("4,096 lines in %d events, %d servers known; want 8 slices and a last one for who is absent, and all", events, len(n.loop.endpoints))
 	}
-	n.loop.enterList(lines(4001, 5001), true)
+	n.loop.postList(lines(4001, 5001), true)
 	for range 2 {
 		(<-n.loop.events)()
 	}
-	if len(n.loop.fleet) != 5000 {
-		t.Errorf("%d servers known before the list is through, want 5,000: nobody is taken off before", len(n.loop.fleet))
+	if len(n.loop.endpoints) != 5000 {
+		t.Errorf("%d servers known before the list is through, want 5,000: nobody is taken off before", len(n.loop.endpoints))
 	}
 	taken()
-	if len(n.loop.fleet) != 1000 || n.loop.fleet[4000].address != "" || n.loop.fleet[5000].address == "" {
-		t.Errorf("%d servers known, want the 1,000 of the second list", len(n.loop.fleet))
+	if len(n.loop.endpoints) != 1000 || n.loop.endpoints[4000].address != "" || n.loop.endpoints[5000].address == "" {
+		t.Errorf("%d servers known, want the 1,000 of the second list", len(n.loop.endpoints))
 	}
-	n.loop.enterList(nil, false)
-	if n.loop.enterList(nil, true); taken() != 2 || len(n.loop.fleet) != 0 {
-		t.Errorf("%d servers known after a whole list of nobody", len(n.loop.fleet))
+	n.loop.postList(nil, false)
+	if n.loop.postList(nil, true); taken() != 2 || len(n.loop.endpoints) != 0 {
+		t.Errorf("%d servers known after a whole list of nobody", len(n.loop.endpoints))
 	}
 }
 
 // Room for a connection is made in place of the one that has been idle longest, whichever server it is to.
 func TestLongestIdleMakesRoom(t *testing.T) {
 	n := newNode(t, nil)
-	s := n.servers
-	s.most, s.rests = 3, 0
-	var conns []*serverConn
+	s := n.upstreams
+	s.maxOpen, s.strayRest = 3, 0
+	var conns []*upstreamConn
 	for i := range 3 {
 		c, _ := net.Pipe()
-		conns = append(conns, &serverConn{conn: newConn(c), place: place{policy.EndpointID(i), "x"}})
-		s.listed(policy.EndpointID(i), "x", true)
-		if !s.reserve() {
+		conns = append(conns, &upstreamConn{bufferedConn: newBufferedConn(c), target: upstreamTarget{policy.EndpointID(i), "x"}})
+		s.setAddress(policy.EndpointID(i), "x", true)
+		if !s.reserveSlot() {
 			t.Fatal("no room for one of three")
 		}
 	}
 	for _, i := range []int{1, 0, 2} {
-		s.keep(conns[i])
+		s.putIdle(conns[i])
 	}
-	if c := s.take(conns[1].place); c != conns[1] {
+	if c := s.takeIdle(conns[1].target); c != conns[1] {
 		t.Fatal("the connection that was kept is not there")
 	}
-	s.keep(conns[1]) // used again, so that 0 is now the longest idle
-	if !s.reserve() || s.take(conns[0].place) != nil || s.order.Len() != 2 {
+	s.putIdle(conns[1]) // used again, so that 0 is now the longest idle
+	if !s.reserveSlot() || s.takeIdle(conns[0].target) != nil || s.order.Len() != 2 {
 		t.Errorf("%d idle, want 1 and 2", s.order.Len())
 	}
-	s.forget(conns[2].place)
+	s.closeIdle(conns[2].target)
 	if s.order.Len() != 1 || s.open != 2 {
 		t.Errorf("%d idle, %d open after a server was forgotten, want 1 and 2", s.order.Len(), s.open)
 	}
-	if s.take(conns[1].place) == nil || s.reserve() && s.reserve() {
+	if s.takeIdle(conns[1].target) == nil || s.reserveSlot() && s.reserveSlot() {
 		t.Error("room was made though nothing stands idle")
 	}
 }
--- a/internal/node/exchange.go
+++ b/internal/node/pendingrequest.go
@@ -14,48 +14,48 @@
 )
 
 // answer is what a client gets; status 0 stands for nothing, as the client has gone.
-type answer struct {
-	status int
-	header http.Header
-	body   []byte
-	advice int64 // when to come back, where that is told
-	flow   *flow // what follows the body, of one that is too long to hold
+type response struct {
+	status     int
+	header     http.Header
+	body       []byte
+	retryAfter int64           // when to come back, where that is told
+	stream     *responseStream // what follows the body, of one that is too long to hold
 }
 
-type exchange struct {
-	task   policy.Request
-	method string
-	last   bool // the client wants its connection closed afterwards
-	head   []byte
-	body   []byte
-	old    bool    // the client speaks HTTP/1.0, which knows no chunks
-	source *source // what follows the body, of one that is too long to hold
+type pendingRequest struct {
+	request    policy.Request
+	method     string
+	closeAfter bool // the client wants its connection closed afterwards
+	head       []byte
+	body       []byte
+	http10     bool        // the client speaks HTTP/1.0, which knows no chunks
+	source     *bodySource // what follows the body, of one that is too long to hold
 
-	left func() bool // whether its client has gone, as far as can be known now; told by the client side
+	clientGone func() bool // whether its client has gone, as far as can be known now; told by the client side
 
-	answered chan answer
-	settled  atomic.Bool
+	responses chan response
+	answered  atomic.Bool
 
-	handOffs []*handOff // these two belong to the loop
-	open     int
+	attempts []*attempt // these two belong to the loop
+	inFlight int
 }
 
-func newExchange() *exchange {
-	return &exchange{answered: make(chan answer, 1), left: func() bool { return false }}
+func newPendingRequest() *pendingRequest {
+	return &pendingRequest{responses: make(chan response, 1), clientGone: func() bool { return false }}
 }
 
 // settle gives the exchange its one answer and tells whether this was it.
-func (x *exchange) settle(a answer) bool {
-	if !x.settled.CompareAndSwap(false, true) {
-		a.drop()
+func (x *pendingRequest) answer(a response) bool {
+	if !x.answered.CompareAndSwap(false, true) {
+		a.discard()
 		return false
 	}
-	x.answered <- a
+	x.responses <- a
 	return true
 }
 
 // keep holds on to a task's message in the form in which it goes out.
-func (x *exchange) keep(r *http.Request) {
+func (x *pendingRequest) bufferHead(r *http.Request) {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	endToEnd(r.Header).Write(&b)
@@ -71,42 +71,42 @@
 }
 
 // headFor is the task's head as it goes out, with the time that the node will wait for its answer.
-func (x *exchange) headFor(wait int64) []byte {
+func (x *pendingRequest) headWithTimeout(wait int64) []byte {
 	b := make([]byte, 0, len(x.head)+40)
 	b = append(append(append(b, x.head...), headerRemaining...), ": "...)
 	return append(strconv.AppendInt(b, max(1, wait/milli), 10), "\r\n\r\n"...)
 }
 
 // half tells whether the task's body is still coming, or ended before it was whole.
-func (x *exchange) half() bool { return x.source != nil && !x.source.whole.Load() }
+func (x *pendingRequest) bodyIncomplete() bool { return x.source != nil && !x.source.complete.Load() }
 
 // spent tells whether the task can't be sent again, as part of its body has gone to a server and is held no more.
-func (x *exchange) spent() bool { return x.source != nil && x.source.taken.Load() }
+func (x *pendingRequest) bodyConsumed() bool { return x.source != nil && x.source.consumed.Load() }
 
 // text is the answer's head as it goes to the client, and whether its body goes in chunks.
-func (a *answer) text(x *exchange, last bool) (head []byte, chunks bool) {
+func (a *response) encodeHead(x *pendingRequest, last bool) (head []byte, chunks bool) {
 	b := bytes.NewBuffer(make([]byte, 0, 512))
 	b.WriteString("HTTP/1.1 " + strconv.Itoa(a.status) + " " + http.StatusText(a.status) + "\r\n")
 	length := strconv.Itoa(len(a.body))
-	if declared := a.header.Get("Content-Length"); declared != "" && !hasBody(x.method) {
+	if declared := a.header.Get("Content-Length"); declared != "" && !allowsBody(x.method) {
 		length = declared
 	}
 	if a.header != nil {
 		a.header.Del("Content-Length")
 		a.header.Write(b)
 	}
-	if a.advice > 0 {
-		b.WriteString(headerAdvice + ": " + strconv.FormatFloat(float64(a.advice)/float64(second), 'f', 3, 64) + "\r\n")
+	if a.retryAfter > 0 {
+		b.WriteString(headerRetryAfter + ": " + strconv.FormatFloat(float64(a.retryAfter)/float64(second), 'f', 3, 64) + "\r\n")
 	}
 	if last {
 		b.WriteString("Connection: close\r\n")
 	}
 	switch {
-	case a.flow == nil:
+	case a.stream == nil:
 		b.WriteString("Content-Length: " + length + "\r\n")
-	case a.flow.length >= 0:
-		b.WriteString("Content-Length: " + strconv.FormatInt(a.flow.length, 10) + "\r\n")
-	case !x.old:
+	case a.stream.length >= 0:
+		b.WriteString("Content-Length: " + strconv.FormatInt(a.stream.length, 10) + "\r\n")
+	case !x.http10:
 		b.WriteString("Transfer-Encoding: chunked\r\n")
 		chunks = true
 	}
--- a/internal/node/state.go
+++ b/internal/node/persistence.go
@@ -24,25 +24,25 @@
 )
 
 const (
-	openWithin   = 2 * time.Second
-	writeEvery   = 10 * time.Millisecond // changes that come together go into one batch
-	learnedEvery = 5 * time.Second
-	openAgain    = 5 * time.Second
-	storeDir     = "memory"
+	openTimeout       = 2 * time.Second
+	batchDelay        = 10 * time.Millisecond // changes that come together go into one batch
+	estimatesInterval = 5 * time.Second
+	reopenInterval    = 5 * time.Second
+	storeDir          = "memory"
 )
 
 // state is nil where the node was given no directory.
-type state struct {
+type persistence struct {
 	node *Node
 	dir  string
 
-	mu     sync.Mutex
-	memory *nodestate.Memory
-	start  nodestate.Trusted
-	found  *store.Store // as it was opened; nil: it was not. Of run alone
-	kick   chan struct{}
-	over   chan struct{}
-	done   chan struct{}
+	mu      sync.Mutex
+	memory  *nodestate.Memory
+	trusted nodestate.Trusted
+	opened  *store.Store // as it was opened; nil: it was not. Of run alone
+	wake    chan struct{}
+	stop    chan struct{}
+	done    chan struct{}
 
 	written, failed atomic.Int64 // batches
 	since           atomic.Int64 // when a write that is under way began; 0: none
@@ -50,11 +50,11 @@
 }
 
 // openState reads what a directory holds. What can't be read, or not in time, leaves the node without memory, which is told.
-func openState(n *Node) *state {
+func openPersistence(n *Node) *persistence {
 	if n.config.state == "" {
 		return nil
 	}
-	s := &state{node: n, dir: filepath.Join(n.config.state, storeDir), kick: make(chan struct{}, 1), over: make(chan struct{}), done: make(chan struct{})}
+	s := &persistence{node: n, dir: filepath.Join(n.config.state, storeDir), wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	type opened struct {
 		store  *store.Store
 		memory *nodestate.Memory
@@ -68,8 +68,8 @@
 	var o opened
 	select {
 	case o = <-came:
-	case <-time.After(openWithin):
-		o.err = fmt.Errorf("not open within %v", openWithin)
+	case <-time.After(openTimeout):
+		o.err = fmt.Errorf("not open within %v", openTimeout)
 		go func() { // whenever it comes, it is let go, so that a later try can have it
 			if late := <-came; late.store != nil {
 				late.store.Close()
@@ -77,27 +77,27 @@
 		}()
 	}
 	if o.err != nil {
-		s.complain("no memory of before", o.err)
+		s.recordFailure("no memory of before", o.err)
 		o.memory = nodestate.Read(func(func(string, []byte)) {})
 	}
 	now := n.clock.now()
 	s.memory = o.memory
-	s.start = s.memory.Trust(now)
+	s.trusted = s.memory.Trust(now)
 	s.memory.Begin(now)
-	n.log.Info("memory", zap.Uint64("epoch", s.memory.Epoch()), zap.Int("servers", len(s.start.Servers)), zap.Int("unreadable", s.memory.Bad()),
-		zap.Float64("learned counts", s.start.Part), zap.Strings("not trusted", s.start.Notes))
-	s.found = o.store
+	n.log.Info("memory", zap.Uint64("epoch", s.memory.Epoch()), zap.Int("servers", len(s.trusted.Servers)), zap.Int("unreadable", s.memory.Bad()),
+		zap.Float64("learned counts", s.trusted.Part), zap.Strings("not trusted", s.trusted.Notes))
+	s.opened = o.store
 	return s
 }
 
 // run begins the writing. It asks the loop and the view of the others, so it comes once all parts are in place.
-func (s *state) run() {
+func (s *persistence) run() {
 	if s != nil {
-		go s.write(s.found)
+		go s.writeLoop(s.opened)
 	}
 }
 
-func (s *state) open() (*store.Store, *nodestate.Memory, error) {
+func (s *persistence) open() (*store.Store, *nodestate.Memory, error) {
 	files, err := s.node.config.files(s.dir, true)
 	if err != nil {
 		return nil, nil, err
@@ -122,33 +122,33 @@
 	return at, m, nil
 }
 
-func (s *state) complain(what string, err error) {
+func (s *persistence) recordFailure(what string, err error) {
 	text := what + ": " + err.Error()
 	s.broken.Store(&text)
 	s.node.log.Warn("memory", zap.String("what", what), zap.Error(err))
 }
 
 // write puts changes on the disk, one batch at a time. After a failure it opens the store anew once in a while, and writes all.
-func (s *state) write(at *store.Store) {
+func (s *persistence) writeLoop(at *store.Store) {
 	defer close(s.done)
 	defer func() {
 		if at != nil {
 			at.Close()
 		}
 	}()
-	learn := time.NewTicker(learnedEvery)
+	learn := time.NewTicker(estimatesInterval)
 	defer learn.Stop()
-	retry := time.NewTicker(openAgain)
+	retry := time.NewTicker(reopenInterval)
 	defer retry.Stop()
-	s.poke()
+	s.wakeWriter()
 	for last := false; !last; {
 		select {
-		case <-s.over:
+		case <-s.stop:
 			last = true
-		case <-s.kick:
-			time.Sleep(writeEvery)
+		case <-s.wake:
+			time.Sleep(batchDelay)
 		case <-learn.C:
-			s.askLearned()
+			s.collectEstimates()
 			continue
 		case <-retry.C:
 			if at != nil {
@@ -157,7 +157,7 @@
 			var found *nodestate.Memory
 			var err error
 			if at, found, err = s.open(); err != nil {
-				s.complain("still not open", err)
+				s.recordFailure("still not open", err)
 				continue
 			}
 			s.mu.Lock()
@@ -186,7 +186,7 @@
 		s.since.Store(0)
 		if err != nil {
 			s.failed.Add(1)
-			s.complain("a write failed", err)
+			s.recordFailure("a write failed", err)
 			s.mu.Lock()
 			s.memory.Again(changes)
 			s.mu.Unlock()
@@ -201,43 +201,43 @@
 	}
 }
 
-func (s *state) poke() {
+func (s *persistence) wakeWriter() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
 // askLearned has the loop say what the decisions have learned, when it comes to it, and the view who started when.
-func (s *state) askLearned() {
+func (s *persistence) collectEstimates() {
 	var starts map[string]uint64
-	if s.node.members.ask(func(m *members.Members, _ int64) { starts = m.Starts() }) == nil {
+	if s.node.members.query(func(m *members.Members, _ int64) { starts = m.Starts() }) == nil {
 		s.mu.Lock()
 		s.memory.Members(s.node.clock.now(), starts)
 		s.mu.Unlock()
 	}
 	select {
 	case s.node.loop.events <- func() {
-		text := s.node.loop.learned()
+		text := s.node.loop.encodeEstimates()
 		s.mu.Lock()
 		s.memory.Learned(s.node.clock.now(), text)
 		s.mu.Unlock()
-		s.poke()
+		s.wakeWriter()
 	}:
 	default: // it has its hands full
 	}
 }
 
 // known is the list to begin with: what was told when, and is taken for cold. Nothing where there is no memory.
-func (s *state) known() []entry {
+func (s *persistence) known() []endpointEntry {
 	if s == nil {
 		return nil
 	}
-	return s.node.entriesOf(s.start.Servers)
+	return s.node.entriesOf(s.trusted.Servers)
 }
 
 // version is the highest of the list that is remembered; 0: none.
-func (s *state) version() int64 {
+func (s *persistence) version() int64 {
 	if s == nil {
 		return 0
 	}
@@ -247,7 +247,7 @@
 }
 
 // before tells whether a list is newer than all that is remembered.
-func (s *state) before(version int64) bool {
+func (s *persistence) before(version int64) bool {
 	if s == nil {
 		return true
 	}
@@ -257,13 +257,13 @@
 }
 
 // beside adds to what is remembered the servers that only an older list knows, unless they were removed since.
-func (s *state) beside(remembered, entries []entry, version int64) []entry {
+func (s *persistence) beside(remembered, entries []endpointEntry, version int64) []endpointEntry {
 	known := map[string]bool{}
 	for _, e := range remembered {
 		known[e.name] = true
 	}
 	out := slices.Clone(remembered)
-	for _, e := range s.lay(entries, version, nil) {
+	for _, e := range s.applyMemory(entries, version, nil) {
 		if !known[e.name] && e.State != policy.StateRemoved {
 			out = append(out, e)
 		}
@@ -272,44 +272,44 @@
 }
 
 // inherit begins with what the decisions had learned, by its age.
-func (s *state) inherit() {
-	if s == nil || s.start.Learned == nil {
+func (s *persistence) inherit() {
+	if s == nil || s.trusted.Learned == nil {
 		return
 	}
 	l := s.node.loop
 	var all estimates.Snapshot
-	if err := json.Unmarshal(s.start.Learned, &all); err != nil || !all.Valid(len(s.node.settings.Classes)) {
+	if err := json.Unmarshal(s.trusted.Learned, &all); err != nil || !all.Valid(len(s.node.settings.Classes)) {
 		s.node.log.Warn("memory: what was learned makes no sense", zap.Error(err))
 		return
 	}
-	all.Decay(s.start.Part)
-	l.handle(nil, func() { l.policy.Inherit(&all) })
+	all.Decay(s.trusted.Part)
+	l.handle(nil, func() { l.balancer.Inherit(&all) })
 }
 
 // listed lays what is remembered over lines of the list, and remembers them.
-func (s *state) listed(entries []entry, version int64, whole bool) []entry {
+func (s *persistence) listed(entries []endpointEntry, version int64, whole bool) []endpointEntry {
 	if s == nil {
 		return entries
 	}
-	out := s.lay(entries, version, func(lines []nodestate.Server) { s.memory.Listed(s.node.clock.now(), lines, version, whole) })
-	s.poke()
+	out := s.applyMemory(entries, version, func(lines []nodestate.Server) { s.memory.Listed(s.node.clock.now(), lines, version, whole) })
+	s.wakeWriter()
 	return out
 }
 
 // lay lays what is remembered over lines of a list, and has something done with them as they then are.
-func (s *state) lay(entries []entry, version int64, do func([]nodestate.Server)) []entry {
-	return s.layBy(entries, do, func(lines []nodestate.Server) []nodestate.Server { return s.memory.Over(lines, version) })
+func (s *persistence) applyMemory(entries []endpointEntry, version int64, do func([]nodestate.Server)) []endpointEntry {
+	return s.applyBy(entries, do, func(lines []nodestate.Server) []nodestate.Server { return s.memory.Over(lines, version) })
 }
 
 // overOthers lays what is remembered over what another node has told.
-func (s *state) overOthers(entries []entry, version int64) []entry {
+func (s *persistence) applyToGossiped(entries []endpointEntry, version int64) []endpointEntry {
 	if s == nil {
 		return entries
 	}
-	return s.layBy(entries, nil, func(lines []nodestate.Server) []nodestate.Server { return s.memory.OverOthers(lines, version) })
+	return s.applyBy(entries, nil, func(lines []nodestate.Server) []nodestate.Server { return s.memory.OverOthers(lines, version) })
 }
 
-func (s *state) layBy(entries []entry, do func([]nodestate.Server), by func([]nodestate.Server) []nodestate.Server) []entry {
+func (s *persistence) applyBy(entries []endpointEntry, do func([]nodestate.Server), by func([]nodestate.Server) []nodestate.Server) []endpointEntry {
 	lines := make([]nodestate.Server, len(entries))
 	for i, e := range entries {
 		lines[i] = nodestate.Server{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight, Started: e.StartedAt,
@@ -324,27 +324,27 @@
 	out := slices.Clone(entries)
 	for i := range out {
 		if over[i].State != lines[i].State {
-			out[i].State = stateOf(over[i].State)
+			out[i].State = endpointState(over[i].State)
 		}
 	}
 	return out
 }
 
-func stateOf(m nodestate.State) policy.EndpointState {
+func endpointState(m nodestate.State) policy.EndpointState {
 	return [...]policy.EndpointState{nodestate.Up: policy.StateActive, nodestate.Draining: policy.StateDraining, nodestate.Removed: policy.StateRemoved}[m]
 }
 
-func (n *Node) entriesOf(servers []nodestate.Server) []entry {
-	out := make([]entry, len(servers))
+func (n *Node) entriesOf(servers []nodestate.Server) []endpointEntry {
+	out := make([]endpointEntry, len(servers))
 	for i, m := range servers {
-		out[i] = entry{name: m.Name, address: m.Address, EndpointInfo: policy.EndpointInfo{ID: serverID(m.Name), Zone: zoneOf(m.Zone, n.settings.Zones),
-			Pod: m.Pod, Weight: m.Weight, StartedAt: m.Started, State: stateOf(m.State)}}
+		out[i] = endpointEntry{name: m.Name, address: m.Address, EndpointInfo: policy.EndpointInfo{ID: endpointID(m.Name), Zone: zoneIndex(m.Zone, n.settings.Zones),
+			Pod: m.Pod, Weight: m.Weight, StartedAt: m.Started, State: endpointState(m.State)}}
 	}
 	return out
 }
 
 // starts are when other nodes started, as this one knew before.
-func (s *state) starts() map[string]uint64 {
+func (s *persistence) starts() map[string]uint64 {
 	if s == nil {
 		return nil
 	}
@@ -354,7 +354,7 @@
 }
 
 // older hears from the others when they last knew this node to start.
-func (s *state) older(start uint64) {
+func (s *persistence) noteLaterStart(start uint64) {
 	if s == nil {
 		return
 	}
@@ -367,7 +367,7 @@
 }
 
 // text tells how the memory does, for who asks.
-func (s *state) text() string {
+func (s *persistence) statusJSON() string {
 	s.mu.Lock()
 	v := struct {
 		Epoch   uint64   `json:"epoch"`
@@ -378,7 +378,7 @@
 		Failed  int64    `json:"batches_failed"`
 		Waiting float64  `json:"write_under_way_s"`
 		Broken  string   `json:"broken,omitempty"`
-	}{s.memory.Epoch(), s.memory.Servers(), s.memory.IsOlder(), s.start.Notes, s.written.Load(), s.failed.Load(), 0, ""}
+	}{s.memory.Epoch(), s.memory.Servers(), s.memory.IsOlder(), s.trusted.Notes, s.written.Load(), s.failed.Load(), 0, ""}
 	s.mu.Unlock()
 	if since := s.since.Load(); since > 0 {
 		v.Waiting = float64(s.node.clock.now()-since) / 1e9
@@ -394,11 +394,11 @@
 }
 
 // end writes what is left, and waits for it no longer than a moment.
-func (s *state) end() {
+func (s *persistence) end() {
 	if s == nil {
 		return
 	}
-	close(s.over)
+	close(s.stop)
 	select {
 	case <-s.done:
 	case <-time.After(time.Second):
--- a/internal/node/state_test.go
+++ b/internal/node/persistence_test.go
@@ -62,10 +62,10 @@
 	server, _ := serverOf(t, echo)
 	disk, dir := &badDisk{}, t.TempDir()
 	n := nodeWith(t, onDisk(t, disk, dir), server)
-	soon(t, "a first batch", func() bool { return n.state.written.Load() > 0 })
+	soon(t, "a first batch", func() bool { return n.persistence.written.Load() > 0 })
 	disk.hangs.Lock()
-	before, written := disk.syncs.Load(), n.state.written.Load()
-	n.state.listed([]entry{{name: "s-0", address: server}}, 2, true)
+	before, written := disk.syncs.Load(), n.persistence.written.Load()
+	n.persistence.listed([]endpointEntry{{name: "s-0", address: server}}, 2, true)
 	tasks := func(first string) {
 		for _, id := range []string{"1", "2", "3"} {
 			if status, _, _ := ask(t, n, "view", first+id, ""); status != 200 {
@@ -75,14 +75,14 @@
 	}
 	soon(t, "a sync that hangs", func() bool { return disk.syncs.Load() > before })
 	tasks("hanging")
-	if n.state.written.Load() != written || strings.Contains(n.state.text(), `"write_under_way_s":0,`) {
-		t.Error(n.state.text())
+	if n.persistence.written.Load() != written || strings.Contains(n.persistence.statusJSON(), `"write_under_way_s":0,`) {
+		t.Error(n.persistence.statusJSON())
 	}
 	disk.hangs.Unlock()
-	soon(t, "written", func() bool { return n.state.written.Load() > written })
+	soon(t, "written", func() bool { return n.persistence.written.Load() > written })
 	disk.fails.Store(true)
-	n.state.listed([]entry{{name: "s-0", address: server}}, 2, true)
-	soon(t, "a failure that is told", func() bool { return strings.Contains(n.state.text(), "a write failed") })
+	n.persistence.listed([]endpointEntry{{name: "s-0", address: server}}, 2, true)
+	soon(t, "a failure that is told", func() bool { return strings.Contains(n.persistence.statusJSON(), "a write failed") })
 	tasks("failing")
 }
 
@@ -96,8 +96,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.state.listed([]entry{at}, 2, true)
-	n.state.end()
+	n.persistence.listed([]endpointEntry{at}, 2, true)
+	n.persistence.end()
 	again := nodeWith(t, onDisk(t, whole, dir))
 	asked := 0
 	soon(t, "a task at the server, which is taken for cold", func() bool {
@@ -105,8 +105,8 @@
 		status, _, _ := ask(t, again, "view", fmt.Sprint(asked), "")
 		return status == 200 && tasks.Load() == 1
 	})
-	if again.state.memory.Epoch() != 2 {
-		t.Errorf("epoch %d", again.state.memory.Epoch())
+	if again.persistence.memory.Epoch() != 2 {
+		t.Errorf("epoch %d", again.persistence.memory.Epoch())
 	}
 }
 
@@ -127,8 +127,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.state.listed([]entry{out}, 5, false)
-	n.state.end()
+	n.persistence.listed([]endpointEntry{out}, 5, false)
+	n.persistence.end()
 	for _, version := range []int{4, 6} {
 		want := version > 5
 		again := life(version)
@@ -141,8 +141,8 @@
 		if (drained.Load() > before) != want {
 			t.Errorf("a known list of version %d after one of 5: %d tasks to the server that drained, %d to the other", version, drained.Load()-before, served.Load())
 		}
-		again.state.end()
-		if version == 4 && !again.state.before(6) {
+		again.persistence.end()
+		if version == 4 && !again.persistence.before(6) {
 			t.Error("6 is not newer than 5")
 		}
 	}
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -114,7 +114,7 @@
 	Whole     bool
 }) {
 	t.Helper()
-	if err := json.Unmarshal([]byte(n.relayed.Text()), &v); err != nil {
+	if err := json.Unmarshal([]byte(n.relays.Text()), &v); err != nil {
 		t.Fatal(err)
 	}
 	return v
@@ -165,7 +165,7 @@
 		o.Put(now, testScope, "moon/phase", distribution.Configuration, []byte("full"))
 	})
 	heardList(s, o, 10, true)
-	soon(t, "the spoilt record", func() bool { return n.count(listLinesPassedOver) == 1 && relaySeq(t, n) == 10 })
+	soon(t, "the spoilt record", func() bool { return n.count(listEntriesSkipped) == 1 && relaySeq(t, n) == 10 })
 	if !answers(t, n, "three", "b") {
 		t.Error("a spoilt record took a server off")
 	}
@@ -180,7 +180,7 @@
 
 func relaySeq(t *testing.T, n *Node) (seq int64) {
 	var v struct{ Seq int64 }
-	json.Unmarshal([]byte(n.relayed.Text()), &v)
+	json.Unmarshal([]byte(n.relays.Text()), &v)
 	return v.Seq
 }
 
--- /dev/null
+++ b/internal/node/relays.go
@@ -0,0 +1,62 @@
+package node
+
+// This file owns the shell of the list by relays' word. Who is followed and which teller's list holds is internal/subscription's. It must
+// never have the loop go by a list but by the way that discovery's own takes.
+
+import (
+	"cmp"
+
+	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/endpointsource"
+	"fawnglade/internal/subscription"
+	"fawnglade/policy"
+)
+
+// relayed is nil where no relays are followed.
+type relaySubscription = subscription.Following[endpointEntry]
+
+func newRelaySubscription(n *Node) (*relaySubscription, error) {
+	if n.config.features == nil || n.config.features.Distribution == nil {
+		return nil, nil
+	}
+	set := n.config.features.Distribution
+	n.endpointWatch.pause(true) // until there is no word of a relay
+	return subscription.New(subscription.Settings[endpointEntry]{Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, Silence: set.SilenceNs, Before: n.persistence.version(),
+		Clock: n.clock.now, Log: n.log, Caught: n.recoverPanic, Tell: n.applyList, Watch: func(on bool) { n.endpointWatch.pause(!on) },
+		Entry: func(in endpointlist.Entry) (endpointEntry, error) { return entryFrom(in, n.settings.Zones) },
+		Of: func(e endpointEntry) endpointsource.Server[endpointEntry] {
+			return endpointsource.Server[endpointEntry]{Name: e.name, State: endpointsource.State(e.State), Started: e.StartedAt, Value: e}
+		},
+		As: func(e endpointEntry, s endpointsource.State) endpointEntry {
+			e.State = policy.EndpointState(s)
+			return e
+		},
+		Stands: func() bool { return n.endpointWatch.lastHeard.Load() != 0 },
+		Passed: func(records int) { n.counters[listEntriesSkipped].Add(int64(records)) }})
+}
+
+// told takes in a line of discovery's watch.
+func (n *Node) discoveryUpdated(entries []endpointEntry, version int64, whole bool) {
+	if n.relays == nil {
+		n.applyList(entries, version, whole)
+	} else {
+		n.relays.Discovery(entries, version, whole)
+	}
+}
+
+// goBy has the loop go by a list, or by what has changed in it, whoever told it.
+func (n *Node) applyList(entries []endpointEntry, version int64, whole bool) {
+	entries = n.persistence.listed(entries, version, whole)
+	if n.listGossip == nil {
+		n.loop.postList(entries, whole)
+	} else {
+		n.listGossip.listed(entries, version, whole)
+	}
+	n.hasList.Store(true)
+	n.endpointWatch.once.Do(func() { close(n.endpointWatch.firstHeard) })
+}
+
+// listWord is when the list that holds was last known to be told; 0: it is not.
+func (n *Node) listConfirmedAt() int64 {
+	return cmp.Or(n.relays.Word(), n.endpointWatch.lastHeard.Load())
+}
