--- a/cmd/fawnglade/signals_test.go
+++ b/cmd/fawnglade/signals_test.go
@@ -16,7 +16,7 @@
 )
 
 // Signals that come while the node starts, held in the midst of it by an old process that says nothing, wait until it can follow
-// them: none ends it where it is, with a task already in the machine.
+// them: none ends it where it is, with a request already in the machine.
 func TestSignalsDuringAStart(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"the end":                  {syscall.SIGTERM},
--- a/cmd/fawnglade/upgrade_test.go
+++ b/cmd/fawnglade/upgrade_test.go
@@ -122,7 +122,7 @@
 				if err != nil || r.StatusCode == 200 && string(body) != id {
 					lost.Add(1)
 				}
-				if r.Close || i%2 == 0 { // half of them connect anew for each task
+				if r.Close || i%2 == 0 { // half of them connect anew for each request
 					c.Close()
 					c = nil
 				}
--- a/internal/classdelay/classdelay_test.go
+++ b/internal/classdelay/classdelay_test.go
@@ -14,7 +14,7 @@
 	return b
 }
 
-// play lets every category and customer have an answer each tenth of a second for so long, late by what late says.
+// play lets every class and tenant have an answer each tenth of a second for so long, late by what late says.
 func play(b *Tracker, from, to int64, late func(category, customer int) float64) {
 	for now := from; now < to; now += second / 10 {
 		for category := range b.sorts[0] {
--- a/internal/endpointgossip/endpointgossip.go
+++ b/internal/endpointgossip/endpointgossip.go
@@ -5,7 +5,7 @@
 //
 // The order between lists, each a line of take:
 //
-//   - What the node's own watch tells ends all hearsay.
+//   - What the node's own watch tells ends all gossip.
 //   - A list that somebody's watch has told since that node started goes before one that is only remembered.
 //   - Of two such, or two remembered ones, the higher version holds. Two of the same version, or a remembered one of a higher
 //     version than what is told, make the more cautious of both: more servers, more of them draining, later starts. So nodes that
@@ -13,7 +13,7 @@
 //     far that together they leave less than half.
 //   - A server that was known and is not on a newer list is taken for draining, not for gone.
 //   - A list that leaves less than half of the servers that the node could use counts once two nodes tell it whose own watches
-//     stand. Hearsay of one, however often repeated, bans nothing of that size.
+//     stand. Gossip of one, however often repeated, bans nothing of that size.
 //   - A list that is not known to have stood within the last FreshFor says who serves, not since when: servers that are new in it
 //     are cold. An age is counted from when the question went out, so that a late answer is old.
 //
@@ -122,7 +122,7 @@
 	stands  bool
 	word    int64 // when it last said anything
 	mute    int   // beats for which it has stood without telling a list
-	strayed bool  // the node goes by others' word
+	strayed bool  // the node goes by gossip
 
 	best    *list // what it answers with, and goes by while its watch does not stand
 	other   *gathering
@@ -172,7 +172,7 @@
 }
 
 // Listed takes what the node's own watch tells; that ends what it had from others. gone are no longer on the list. Where the node
-// went by others' word it is to go by the lines that are returned instead, as the whole list.
+// went by gossip it is to go by the lines that are returned instead, as the whole list.
 func (h *Hearsay) Listed(now, version int64, lines []Line, gone []string, whole bool) []Line {
 	if whole {
 		h.own = map[string]Line{}
--- a/internal/endpointgossip/endpointgossip_test.go
+++ b/internal/endpointgossip/endpointgossip_test.go
@@ -228,7 +228,7 @@
 	if s.nodes[1].core.counts.Asked != before || s.nodes[1].usable() != 8 {
 		t.Error("one whose watch stands asks, or goes by others")
 	}
-	// Lost again, others' word counts; a watch that goes on without news brings its own list back.
+	// Lost again, gossip counts; a watch that goes on without news brings its own list back.
 	s.nodes[1].word = false
 	s.nodes[0].tell(10, lines(8, 2, 3))
 	for range 30 {
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -26,7 +26,7 @@
 	StartedMs float64 `json:"born_ms"`
 }
 
-// Line is a list or what changed in it, without its entries.
+// Update is a list or what changed in it, without its entries.
 type Update struct {
 	Version  int64
 	Complete bool  // names all there are, and could be read whole
@@ -47,12 +47,12 @@
 	leastValue    = 64 << 10
 	linePart      = 4 // of the memory: the names of servers are kept, the rest of a line is not
 	// HostCost is what a server costs a node in bytes, over all its parts and with what its collector has not taken away yet. Live are 910
-	// (109 MB with 120,000, by the heap's profile of TestAListOf120000 in internal/node, with four categories).
+	// (109 MB with 120,000, by the heap's profile of TestAListOf120000 in internal/node, with four classes).
 	EndpointBytes = 1500
 	hostsPart     = 2 // of the memory: the collector begins to work without a rest where what is live comes near 0.6 of it
 )
 
-// For tells the bounds that go with the memory that a node may use, in bytes; 0: a machine of its own.
+// LimitsFor tells the bounds that go with the memory that a node may use, in bytes; 0: a machine of its own.
 func LimitsFor(memory int64) Limits {
 	if memory <= 0 {
 		memory = defaultMemory
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -112,7 +112,7 @@
 	f.Fuzz(compare)
 }
 
-// A line that ends anywhere before its end tells an error, and one broken off between two lines a plain end.
+// A line that ends anywhere before its end tells an error, and one failed between two lines a plain end.
 func TestAHalfIsNothing(t *testing.T) {
 	text := seeds[0]
 	for cut := range len(text) {
--- a/internal/endpointlist/write.go
+++ b/internal/endpointlist/write.go
@@ -19,7 +19,7 @@
 	return line{e.Name, e.Address, e.Zone, e.Pod, e.State, e.Weight, e.StartedMs}
 }
 
-// Text is a whole list in discovery's form; nothing where it can't be written, which is what a plain start begins with.
+// Encode is a whole list in discovery's form; nothing where it can't be written, which is what a plain start begins with.
 func Encode(version int64, entries []Entry) []byte {
 	list := struct {
 		Version int64  `json:"seq"`
@@ -36,5 +36,5 @@
 	return text
 }
 
-// Body is one entry in discovery's form.
+// EncodeEntry is one entry in discovery's form.
 func EncodeEntry(e Entry) ([]byte, error) { return json.Marshal(lineOf(e)) }
--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -8,7 +8,7 @@
 	"fawnglade/internal/ewma"
 )
 
-// Figures are of one server.
+// EndpointEstimates are of one server.
 type EndpointEstimates struct {
 	Load        float64   `json:"Load"`     // w before the exceptions
 	LastReport  float64   `json:"Reported"` // its last report
@@ -19,28 +19,28 @@
 	HasReport   bool      `json:"Heard"`    // by reports
 }
 
-// Category is what an instance learns of one category.
+// ClassEstimates is what an instance learns of one class.
 type ClassEstimates struct {
-	TypicalWork   float64 `json:"Typical"` // a low quantile of answer times, to compare tasks that bring no hint
+	TypicalWork   float64 `json:"Typical"` // a low quantile of answer times, to compare requests that bring no hint
 	LatencySpread float64 `json:"Spread"`  // a high quantile of answer times over their prediction
-	SuccessRate   float64 `json:"Fares"`   // part of the tasks of late that were satisfied
+	SuccessRate   float64 `json:"Fares"`   // part of the requests of late that were satisfied
 	RequestCount  float64 `json:"Asked"`   // fading count of them
-	KeptShare     float64 `json:"Due"`     // part of its time that it keeps while tasks are turned away
+	KeptShare     float64 `json:"Due"`     // part of its time that it keeps while requests are rejected
 	AnsweredCount int     `json:"Taken"`   // answers since the last tick
-	GivenUpCount  int     `json:"Away"`    // tasks given up since the last tick
+	GivenUpCount  int     `json:"Away"`    // requests given up since the last tick
 	WorkSamples   int     `json:"Met"`     // answers ever
 }
 
 const (
-	learn     = 1.0 / 12 // part of a new value in a category's running quantiles
+	learn     = 1.0 / 12 // part of a new value in a class's running quantiles
 	single    = 0.9      // the quantile of answers over predictions
 	most      = 5        // times a prediction that an answer may come
-	askedFade = 0.9      // part of the tasks asked for that still counts a second later
-	lowest    = 0.4      // the quantile that tells a category's work from its waiting
-	firstMet  = 8        // answers by whose mean a category's work is first known
+	askedFade = 0.9      // part of the requests asked for that still counts a second later
+	lowest    = 0.4      // the quantile that tells a class's work from its waiting
+	firstMet  = 8        // answers by whose mean a class's work is first known
 )
 
-// Fare takes in that a task was satisfied, or given up.
+// RecordResult takes in that a request was satisfied, or given up.
 func (c *ClassEstimates) RecordResult(satisfied bool) {
 	c.RequestCount = min(c.RequestCount+1, 64)
 	part := 0.0
@@ -52,7 +52,7 @@
 	c.SuccessRate = max(c.SuccessRate+(part-c.SuccessRate)/(c.RequestCount+1), 0.01)
 }
 
-// Calibrate learns how far above its prediction, if there was one, an answer came. At most, against heavy tasks that nobody
+// Calibrate learns how far above its prediction, if there was one, an answer came. At most, against heavy requests that nobody
 // told of: late on any server, they say nothing of waiting.
 func (c *ClassEstimates) Calibrate(took, predicted float64) {
 	if c.AnsweredCount++; predicted > 0 {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Meet learns what the category's work is. Guards against a lock-out: by the mean a jam makes idle servers look late, and so
+// ObserveWork learns what the class's work is. Guards against a lock-out: by the mean a jam makes idle servers look late, and so
 // does one small first answer.
 func (c *ClassEstimates) ObserveWork(took float64) {
 	if c.WorkSamples++; c.WorkSamples <= firstMet {
@@ -71,7 +71,7 @@
 	}
 }
 
-// Age is called once a second.
+// Decay is called once a second.
 func (c *ClassEstimates) Decay() {
 	if c.AnsweredCount <= c.GivenUpCount {
 		// Guards against a lock-out: a bound so high that next to nothing is taken would not be measured again.
@@ -82,16 +82,16 @@
 	c.AnsweredCount, c.GivenUpCount = 0, 0
 }
 
-// Common is of all servers together.
+// FleetEstimates is of all servers together.
 type FleetEstimates struct {
 	Pods        map[int]*ewma.Pair `json:"Pods"`
 	Fleet       ewma.Pair          `json:"Fleet"`
 	ZoneDelay   map[int]float64    `json:"Way"`    // by zone: what an answer takes however little the work
-	MeanWork    float64            `json:"MeanOf"` // mean cost of a task
+	MeanWork    float64            `json:"MeanOf"` // mean cost of a request
 	HighLatency float64            `json:"High"`   // mean of the high quantiles
 }
 
-// Age is called once a second: what answers showed of pods and of the fleet counts for those parts of it.
+// Decay is called once a second: what answers showed of pods and of the fleet counts for those parts of it.
 func (c *FleetEstimates) Decay(pods, fleet float64) {
 	for _, pod := range c.Pods {
 		pod.Decay(pods)
@@ -99,20 +99,20 @@
 	c.Fleet.Decay(fleet)
 }
 
-// Server is one server's figures, and which start of it they are of.
+// Endpoint is one server's figures, and which start of it they are of.
 type Endpoint struct {
 	EndpointEstimates
 	StartedAt int64 `json:"Started"`
 }
 
-// All is what one instance hands to another.
+// Snapshot is what one instance hands to another.
 type Snapshot struct {
 	FleetEstimates
 	Classes   []ClassEstimates    `json:"Categories"`
 	Endpoints map[uint32]Endpoint `json:"Servers"`
 }
 
-// Fade has a part of what was seen count: what is old says less.
+// Decay has a part of what was seen count: what is old says less.
 func (a *Snapshot) Decay(part float64) {
 	a.Fleet.Decay(part)
 	for _, pod := range a.Pods {
@@ -140,7 +140,7 @@
 
 func soundPair(p *ewma.Pair) bool { return p != nil && sound(p.A, p.B, p.Weight) }
 
-// Sound tells whether all of it could have been learned of so many categories.
+// Valid tells whether all of it could have been learned of so many classes.
 func (a *Snapshot) Valid(categories int) bool {
 	if len(a.Classes) != categories || a.ZoneDelay == nil || !soundPair(&a.Fleet) || !sound(a.MeanWork, a.HighLatency) || a.HighLatency == 0 {
 		return false
@@ -178,7 +178,7 @@
 	c.Fleet, c.ZoneDelay, c.MeanWork, c.HighLatency = from.Fleet, from.ZoneDelay, from.MeanWork, from.HighLatency
 }
 
-// Step moves a running quantile by a part of what by says, up or down.
+// QuantileStep moves a running quantile by a part of what by says, up or down.
 func QuantileStep(up bool, by, quantile float64) float64 {
 	if up {
 		return by * quantile
--- a/internal/ewma/ewma.go
+++ b/internal/ewma/ewma.go
@@ -15,10 +15,10 @@
 	p.A, p.B, p.Weight = p.A+a, p.B+b, p.Weight+1
 }
 
-// Fade leaves a part of all that was seen.
+// Decay leaves a part of all that was seen.
 func (p *Pair) Decay(part float64) { p.A, p.B, p.Weight = p.A*part, p.B*part, p.Weight*part }
 
-// Over is the mean of each figure, with a prior that counts as one sighting.
+// Means is the mean of each figure, with a prior that counts as one sighting.
 func (p *Pair) Means(a, b float64) (float64, float64) {
 	return (p.A + a) / (p.Weight + 1), (p.B + b) / (p.Weight + 1)
 }
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -104,7 +104,7 @@
 	m.KeyBytes, err = hex.DecodeString(m.Key)
 	c.Must(err == nil && (m.Key == "" || len(m.KeyBytes) >= leastKey), "members.key", fmt.Sprintf("nothing, or at least %d hexadecimal digits", 2*leastKey),
 		fmt.Sprintf("%d characters", len(m.Key)))
-	// A list names addresses that tasks go to: nobody without the key may tell one.
+	// A list names addresses that requests go to: nobody without the key may tell one.
 	c.Must(!m.List || m.Key != "", "members.key", "a key, as members.list is true", "none")
 	c.Must(len(m.Nodes) >= 1 && len(m.Nodes) <= mostNodes, "members.node", fmt.Sprintf("1 to %d nodes", mostNodes), len(m.Nodes))
 	names, places, self := map[string]bool{}, map[netip.AddrPort]string{}, false
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -12,13 +12,13 @@
 	"fawnglade/policy"
 )
 
-// Most is the length of the longest message.
+// MaxMessageBytes is the length of the longest message.
 const MaxMessageBytes = 256
 
 const (
 	version = 1
 	idle    = 1 // microseconds
-	fails   = 2 // server, category
+	fails   = 2 // server, class
 
 	micro, milli = int64(1e3), int64(1e6)
 
@@ -47,7 +47,7 @@
 	return message
 }
 
-// decode reads news. Whether server and category are known is for the reader to see.
+// decode reads news. Whether server and class are known is for the reader to see.
 func decode(message []byte) (n policy.GossipMessage, told int64, err error) {
 	if len(message) < 2 || len(message) > MaxMessageBytes || message[0] != version {
 		return n, 0, errNonsense
@@ -100,7 +100,7 @@
 		b.met = map[what]int64{}
 	}
 	if len(b.met) >= mostMet {
-		// One that old is turned away for its age alone.
+		// One that old is rejected for its age alone.
 		maps.DeleteFunc(b.met, func(_ what, told int64) bool { return told < now-oldest })
 		if len(b.met) >= mostMet {
 			return policy.GossipMessage{}, errFull
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -12,7 +12,7 @@
 	grows   = 32   // the trust grows back by this part of itself a second
 )
 
-// Trust is one node's. Begin with Whole.
+// Estimator is one node's. Begin with Whole.
 type Estimator struct {
 	Limit int64 // connections unused for longer are not to be used
 	last  int64 // one was dead after so long
@@ -20,13 +20,13 @@
 	said  float64
 }
 
-// Whole trusts every connection.
+// New trusts every connection.
 func New() Estimator { return Estimator{Limit: math.MaxInt64} }
 
-// Restore trusts all again: closing those that stand open is no remedy.
+// Reset trusts all again: closing those that stand open is no remedy.
 func (t *Estimator) Reset() { t.Limit, t.row = math.MaxInt64, 0 }
 
-// Lived takes in a connection that worked after so long.
+// Survived takes in a connection that worked after so long.
 func (t *Estimator) Survived(gap int64) {
 	if gap > 0 && gap >= t.last/4*3 {
 		t.row = 0
@@ -40,7 +40,7 @@
 	return t.row >= inARow
 }
 
-// Believe counts a sign that is believed, an own one or what another node tells. Where nodes tell one another it takes signs from a
+// Confirm counts a sign that is believed, an own one or what another node tells. Where nodes tell one another it takes signs from a
 // part of them to act; nodes: how many there are.
 func (t *Estimator) Confirm(gap int64, tell bool, nodes int) {
 	signs := 1.0
@@ -52,7 +52,7 @@
 	}
 }
 
-// Age is called once a second.
+// Decay is called once a second.
 func (t *Estimator) Decay() {
 	t.said *= forget
 	t.Limit += min(t.Limit/grows, math.MaxInt64-t.Limit)
--- a/internal/keyfreq/keyfreq.go
+++ b/internal/keyfreq/keyfreq.go
@@ -1,5 +1,5 @@
-// Package keyfreq owns how often each key is asked for of late, and from that at how many servers its tasks are at home. It must
-// never know a server, a task or a clock.
+// Package keyfreq owns how often each key is asked for of late, and from that at how many servers its requests are at home. It must
+// never know a server, a request or a clock.
 package keyfreq
 
 import "fawnglade/internal/rendezvous"
@@ -12,14 +12,14 @@
 	settles   = 1.0 / 32
 )
 
-// Tally counts keys. The zero value has counted nothing.
+// Counter counts keys. The zero value has counted nothing.
 type Counter struct {
 	asked map[uint64]float64
 	all   float64
 	again float64 // running part of the askings whose key was known
 }
 
-// Ask counts one asking for a key. It returns the key's hash, never 0, and at how many of so many servers it is at home: as many
+// Observe counts one asking for a key. It returns the key's hash, never 0, and at how many of so many servers it is at home: as many
 // as its part of the askings needs, since a popular key would jam a single one.
 func (t *Counter) Observe(key string, servers int) (hash uint64, homes int) {
 	if t.asked == nil {
@@ -37,7 +37,7 @@
 	return hash, 1 + int(homesPart*float64(servers)*(before+t.again)/t.all)
 }
 
-// Fade lets what was asked for count for less; it is called once a second.
+// Decay lets what was asked for count for less; it is called once a second.
 func (t *Counter) Decay() {
 	t.all *= fade
 	for key, n := range t.asked {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,6 +1,6 @@
 // Package members owns one node's view of the other nodes: never seen, up, doubted, silent or left, each with its start and
 // incarnation. It has no I/O, no clock and no goroutine: time is told with each call, datagrams go out through a Way, and the
-// same calls give the same view. It must never decide anything about tasks or servers, keep anything of a node that is not on
+// same calls give the same view. It must never decide anything about requests or servers, keep anything of a node that is not on
 // its list, or take what others say of a node for more than their word.
 //
 // The protocol is SWIM (Das, Gupta and Motivala 2002) with parts of Lifeguard (Dadgar, Phillips and Currey 2017):
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -182,7 +182,7 @@
 	runtime.KeepAlive(m)
 }
 
-// TestAClockThatWentBack starts a node anew with a clock a minute behind: the others' word of its life before brings it beyond.
+// TestAClockThatWentBack starts a node anew with a clock a minute behind: the gossip of its life before brings it beyond.
 func TestAClockThatWentBack(t *testing.T) {
 	way := &nowhere{}
 	m := one(t, "n0", 3, way)
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -42,7 +42,7 @@
 	since time.Time
 }
 
-// newConsole opens the console, if the configuration has one.
+// newAdminServer opens the console, if the configuration has one.
 func newAdminServer(n *Node) (*adminServer, error) {
 	s := &adminServer{node: n}
 	if n.config.Console == "" {
@@ -55,7 +55,7 @@
 	return s, nil
 }
 
-// allot sets how many callers there may be at once.
+// setLimit sets how many callers there may be at once.
 func (s *adminServer) setLimit(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 	return true
 }
 
-// forget takes a caller off those that are silent and frees its place; the lock is held.
+// forgetLocked takes a caller off those that are silent and frees its place; the lock is held.
 func (s *adminServer) forgetLocked(c *adminConn) bool {
 	for i, one := range s.callers {
 		if one == c {
@@ -129,7 +129,7 @@
 	return false
 }
 
-// called marks that a caller has made its call, so that nobody takes its place; false: somebody has.
+// markCalled marks that a caller has made its call, so that nobody takes its place; false: somebody has.
 func (s *adminServer) markCalled(c *adminConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +198,7 @@
 	return r, http.StatusOK, nil
 }
 
-// callReply is what a caller gets: one plain line.
+// adminResponse is what a caller gets: one plain line.
 type adminResponse struct {
 	status int
 	text   string
@@ -222,7 +222,7 @@
 	return []byte(b.String())
 }
 
-// call does what a call asks for.
+// handle does what a call asks for.
 func (s *adminServer) handle(r *http.Request) adminResponse {
 	method, known := adminMethods[r.URL.Path]
 	switch {
@@ -278,7 +278,7 @@
 	return adminResponse{status: http.StatusOK, text: done}
 }
 
-// targetOf reads the one target of a call.
+// parseTarget reads the one target of a call.
 func parseTarget(query string) (string, error) {
 	values, err := url.ParseQuery(query)
 	if err != nil {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// The last look before a hand-off is written stands by itself: the decisions may not know of the order yet.
+// The last look before an attempt is written stands by itself: the decisions may not know of the order yet.
 func TestHandOffLooksOnceMore(t *testing.T) {
 	server, tasks := serverOf(t, echo)
 	n := newNode(t, withConsole, server)
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkNode is a task of 200 bytes through the node, clients and servers in the same process, over 32 connections.
+// BenchmarkNode is a request of 200 bytes through the node, clients and servers in the same process, over 32 connections.
 func BenchmarkNode(b *testing.B) {
 	for _, servers := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -19,7 +19,7 @@
 
 const (
 	maxBodyBytes        = 40 << 20              // of any body
-	maxBufferedBody     = 1 << 20               // of a task's body that is held, while there is memory for it
+	maxBufferedBody     = 1 << 20               // of a request's body that is held, while there is memory for it
 	minBufferedBody     = 64 << 10              // and that is held whatever else the node holds
 	maxBufferedResponse = 64 << 10              // an answer no longer than this is passed on only when it is whole
 	responseHoldBack    = 20 * time.Millisecond // that long at most where its head does not tell how long it is
@@ -30,7 +30,7 @@
 	writeStall          = 5 * time.Second // for as much as a buffer holds
 )
 
-// pace is how a peer that brings a body gets on. What counts is the time that the node has waited for it, as it may itself
+// readPacer is how a peer that brings a body gets on. What counts is the time that the node has waited for it, as it may itself
 // be held up by the other side.
 type readPacer struct {
 	start  time.Time
@@ -65,7 +65,7 @@
 	p.came += int64(n)
 }
 
-// source is a task's body that is still coming from its client. Whoever carries the task reads it; the client's own reader
+// bodySource is a request's body that is still coming from its client. Whoever carries the request reads it; the client's own reader
 // waits until that has ended.
 type bodySource struct {
 	conn    *bufferedConn
@@ -110,11 +110,11 @@
 	return n, err
 }
 
-// giveUp has nobody read on, and returns once nobody does.
+// abandon has nobody read on, and returns once nobody does.
 func (s *bodySource) abandon() {
 	select {
 	case <-s.ended:
-		return // the client's reader has gone on to its next task
+		return // the client's reader has gone on to its next request
 	default:
 	}
 	s.abandoned.Store(true)
@@ -143,7 +143,7 @@
 	})
 }
 
-// upload is the sending of a task's body that still comes, beside the wait for the server's answer.
+// upload is the sending of a request's body that still comes, beside the wait for the server's answer.
 type upload struct {
 	done        chan struct{}
 	complete    atomic.Bool
@@ -226,7 +226,7 @@
 
 var buffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
-// writePaced writes so that the peer has time for each buffer's worth of it, unless the hand-off for which it writes, if it is
+// writePaced writes so that the peer has time for each buffer's worth of it, unless the attempt for which it writes, if it is
 // for one, has been stopped.
 func writePaced(c net.Conn, h *attempt, parts ...[]byte) error {
 	until := c.SetWriteDeadline
@@ -248,7 +248,7 @@
 	return nil
 }
 
-// flow is the rest of an answer that is still coming from its server. The client's writer reads it.
+// responseStream is the rest of an answer that is still coming from its server. The client's writer reads it.
 type responseStream struct {
 	message *message
 	length  int64 // of all of the body; -1 if only its end will tell
@@ -261,17 +261,17 @@
 	return &responseStream{message: m, length: m.length, done: make(chan bool, 1)}
 }
 
-// end lets the connection to the server go; it is used again only if the answer came whole.
+// finish lets the connection to the server go; it is used again only if the answer came whole.
 func (f *responseStream) finish(whole bool) { f.once.Do(func() { f.done <- whole }) }
 
-// drop ends what will not be passed on.
+// discard ends what will not be passed on.
 func (a *response) discard() {
 	if a.stream != nil {
 		a.stream.finish(false)
 	}
 }
 
-// flowOut writes an answer's head and first part, and then passes on the rest as it comes. It tells whether the client
+// streamResponse writes an answer's head and first part, and then passes on the rest as it comes. It tells whether the client
 // got all; where it did not the connection must be closed, so that the client can tell.
 func (c *clientConn) streamResponse(a *response, head []byte, chunks bool) (whole bool) {
 	defer func() { a.stream.finish(whole) }()
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -42,7 +42,7 @@
 	return b.String()
 }
 
-// digestServer answers with the digest of a task's body, and counts the tasks that came whole.
+// digestServer answers with the digest of a request's body, and counts the requests that came whole.
 func digestServer(t *testing.T) (string, *atomic.Int64) {
 	return serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
 		return say(c, "200 OK", fmt.Sprintf("%d %x", len(body), sha256.Sum256([]byte(body))))
@@ -122,7 +122,7 @@
 	}
 }
 
-// Guards against an answer that breaks off looking whole, whatever its form.
+// Guards against an answer that fails looking whole, whatever its form.
 func TestBrokenAnswerShows(t *testing.T) {
 	part := strings.Repeat("x", 3*maxBufferedResponse)
 	for _, head := range []string{"Content-Length: 9999999\r\n\r\n" + part,
@@ -148,7 +148,7 @@
 	}
 }
 
-// What a body that does not go out whole proves, and what becomes of a task whose body is held no more.
+// What a body that does not go out whole proves, and what becomes of a request whose body is held no more.
 func TestLongTaskIsSentOnce(t *testing.T) {
 	body := noise(36 << 20) // more than the machine takes in for a server that does not read
 	var mode atomic.Value
@@ -201,7 +201,7 @@
 	}
 }
 
-// A client that stops, lies or leaves in the middle of a long body gets an error or a close for itself alone, and its task never ran.
+// A client that stops, lies or leaves in the middle of a long body gets an error or a close for itself alone, and its request never ran.
 func TestLongBodyThatNeverComes(t *testing.T) {
 	server, tasks := digestServer(t)
 	n := nodeWith(t, unhurried, server)
@@ -307,7 +307,7 @@
 	for _, one := range all {
 		one.c.Write(body[minBufferedBody:])
 	}
-	for _, one := range all { // on a machine that stands still some may be declined, but none is mixed up
+	for _, one := range all { // on a machine that stands still some may be rejected, but none is mixed up
 		if status, answer, _ := answerOn(one.in); status != 503 && answer != digestOf(body) {
 			t.Errorf("%d %.60q", status, answer)
 		}
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -46,7 +46,7 @@
 
 func (c *bufferedConn) pending() []byte { return c.buf[c.from:c.to] }
 
-// hear reads once from the connection itself.
+// readOnce reads once from the connection itself.
 func (c *bufferedConn) readOnce(p []byte) (int, error) {
 	if c.pace != nil {
 		if err := c.pace.begin(c.Conn); err != nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// rest reads what is pending on a connection and then on from the connection.
+// connReader reads what is pending on a connection and then on from the connection.
 type connReader struct{ *bufferedConn }
 
 func (r connReader) Read(p []byte) (int, error) {
@@ -120,7 +120,7 @@
 	length int64 // -1: the body itself tells where it ends
 }
 
-// head collects a head and hands it to parse, which returns the body and how long it is.
+// readHead collects a head and hands it to parse, which returns the body and how long it is.
 func (c *bufferedConn) readHead(parse func(*bufio.Reader) (body io.Reader, length int64, err error)) (*message, error) {
 	for seen := 0; !headEnds(c.pending(), seen); {
 		if seen = max(0, len(c.pending())-3); len(c.pending()) > maxHeadBytes {
@@ -175,7 +175,7 @@
 	return n, err
 }
 
-// collect reads up to a number of bytes of the body behind those that are there, and tells whether that was all of it.
+// readUpTo reads up to a number of bytes of the body behind those that are there, and tells whether that was all of it.
 func (m *message) readUpTo(b []byte, most int) (all []byte, whole bool, err error) {
 	if m.length >= 0 && cap(b) == 0 {
 		b = make([]byte, 0, min(m.length, int64(most)))
@@ -186,7 +186,7 @@
 	return b, whole, err
 }
 
-// more reads once.
+// readMore reads once.
 func (m *message) readMore(b []byte, most int) (all []byte, whole bool, err error) {
 	if len(b) == cap(b) {
 		b = append(b, 0)[:len(b)]
@@ -213,7 +213,7 @@
 }
 
 // framing tells how often a head says how long its body is, and whether by an encoding. One that says it twice is nobody's
-// to pass on: one reader may see a task where another sees a body. http.ReadRequest keeps quiet about it and drops the length
+// to pass on: one reader may see a request where another sees a body. http.ReadRequest keeps quiet about it and drops the length
 // beside an encoding, or the encoding where HTTP/1.0 knows none.
 func framing(head []byte) (said int, encoded bool) {
 	for line := range bytes.Lines(head) {
@@ -231,7 +231,7 @@
 	return said, encoded
 }
 
-// wantsWord tells that the sender waits for a word before it sends its body.
+// expectsContinue tells that the sender waits for a word before it sends its body.
 func expectsContinue(h http.Header) bool { return strings.EqualFold(h.Get("Expect"), "100-continue") }
 
 // fromClient reads the head of a client's message, and tells one that holds its body back to go on, if it may say so now.
@@ -286,20 +286,20 @@
 	}
 }
 
-// quiet tells that the peer has neither closed the connection nor sent anything on it unasked. It guards against
+// isQuiet tells that the peer has neither closed the connection nor sent anything on it unasked. It guards against
 // late answers and against a connection that a restarted server no longer knows.
 func (c *bufferedConn) isQuiet() bool {
 	_, err := c.peek()
 	return c.from == c.to && err == syscall.EAGAIN
 }
 
-// has tells whether something has come that nobody has read yet. It may be called beside a read.
+// hasInput tells whether something has come that nobody has read yet. It may be called beside a read.
 func (c *bufferedConn) hasInput() bool {
 	n, err := c.peek()
 	return n > 0 && err == nil
 }
 
-// ended tells whether the peer has ended its side, also where bytes that nobody has read stand before the end. It may be called beside
+// isEnded tells whether the peer has ended its side, also where bytes that nobody has read stand before the end. It may be called beside
 // reads and writes. A peer that has only ended its sending looks the same: the pages have a client that closes gone, and nothing but
 // a write would tell the two apart.
 func (c *bufferedConn) isEnded() bool { return sockstate.Ended(c.Conn) }
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -110,7 +110,7 @@
 	return func(c *Config) { c.Discovery = address }
 }
 
-// What is told of a server, or of the task, while its connection comes up counts: nothing is written on it then.
+// What is told of a server, or of the request, while its connection comes up counts: nothing is written on it then.
 func TestWhatHappensDuringADial(t *testing.T) {
 	for name, c := range map[string]struct {
 		settings []string
@@ -190,7 +190,7 @@
 	}
 }
 
-// A task that may have run goes to its group again only while that remembers it, also where the way there takes long.
+// A request that may have run goes to its group again only while that remembers it, also where the way there takes long.
 func TestMemoryEndsDuringADial(t *testing.T) {
 	first, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool { return say(c, "500 Bad", "") })
 	for name, span := range map[string]int64{"ends": 150, "lasts": 700} {
@@ -332,7 +332,7 @@
 	}
 }
 
-// A second copy that is still on its way to a server when the first is answered is not written, also where none may be recalled.
+// A hedged request that is still on its way to a server when the first is answered is not written, also where none may be recalled.
 func TestAnswerCrossesACopyThatDials(t *testing.T) {
 	answers := newGate(t)
 	first, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -366,7 +366,7 @@
 	}
 }
 
-// A task whose client has left while it waited, wherever that was, is written to no server.
+// A request whose client has left while it waited, wherever that was, is written to no server.
 func TestClientLeavesWhileItsTaskWaits(t *testing.T) {
 	many := func(n int) (text string) {
 		for i := range n {
@@ -518,12 +518,12 @@
 	}
 }
 
-// A task that is anywhere on its way when the node stops gets its whole answer.
+// A request that is anywhere on its way when the node stops gets its whole answer.
 func TestStopWithATaskAtEveryStage(t *testing.T) {
 	long := strings.Repeat("x", 2<<20) // more than is held, or than the machines take
 	for name, c := range map[string]struct {
 		body  string
-		hold  func(t *testing.T, n *Node) *gate // before the task
+		hold  func(t *testing.T, n *Node) *gate // before the request
 		serve func(g *gate, c net.Conn, in *bufio.Reader) (served bool)
 		there func(n *Node) bool
 	}{
@@ -637,7 +637,7 @@
 	}
 }
 
-// A keyed request that may have run is declined only where every server would drop its repeat, and only for as long as they would.
+// A keyed request that may have run is rejected only where every server would drop its repeat, and only for as long as they would.
 func TestDeclineOfAKeyedRequest(t *testing.T) {
 	silent, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool { io.Copy(io.Discard, c); return false })
 	for name, c := range map[string]struct {
@@ -670,7 +670,7 @@
 	}
 }
 
-// What has no answer shortly before the platform kills a process is given up: a decline where another try does no harm.
+// What has no answer shortly before the platform kills a process is given up: a reject where another try does no harm.
 func TestWhatIsOutAtTheEndIsGivenUp(t *testing.T) {
 	silent, tasks := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.URL.Path == "/batch" { // an answer whose end is the connection's, and that does not come
@@ -715,7 +715,7 @@
 	}
 }
 
-// A connection is not closed behind an answer while the next task has begun to come.
+// A connection is not closed behind an answer while the next request has begun to come.
 func TestTaskBeginsAsItsConnectionIsToClose(t *testing.T) {
 	answers := newGate(t)
 	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -747,7 +747,7 @@
 	}
 }
 
-// An answer that comes a second time is nobody's: neither while its connection stands idle, nor once another task is out.
+// An answer that comes a second time is nobody's: neither while its connection stands idle, nor once another request is out.
 func TestSecondAnswerComesLate(t *testing.T) {
 	stray := newGate(t)
 	var conns atomic.Int64
@@ -812,7 +812,7 @@
 	})
 }
 
-// What a connection has shown decides when it carries the next task.
+// What a connection has shown decides when it carries the next request.
 func TestConnectionRests(t *testing.T) {
 	server := listen(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	at := upstreamTarget{1, server}
@@ -868,7 +868,7 @@
 	}
 }
 
-// A connection that its server closes as a task is written to it, or resets, is one on which the task may have run.
+// A connection that its server closes as a request is written to it, or resets, is one on which the request may have run.
 func TestIdleConnectionEndsAsATaskIsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		linger bool
@@ -911,7 +911,7 @@
 func (c *noted) SetWriteDeadline(end time.Time) error { c.end = end; return nil }
 func (c *noted) Write(p []byte) (int, error)          { return len(p), nil }
 
-// A stop holds that comes just before one who carries the hand-off, or reads its body, sets a time of its own.
+// A stop holds that comes just before one who carries the attempt, or reads its body, sets a time of its own.
 func TestStopCrossesADeadline(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
 		h := &attempt{}
@@ -1067,7 +1067,7 @@
 	}
 }
 
-// What is pushed counts from the first moment of a new process: no task goes by the list from before while the first word is due.
+// What is pushed counts from the first moment of a new process: no request goes by the list from before while the first word is due.
 func TestPushedListIsHeardBeforeTheFirstTask(t *testing.T) {
 	server, tasks := serverOf(t, echo)
 	word := newGate(t)
@@ -1174,7 +1174,7 @@
 	<-stopped
 }
 
-// Two successors at once, or both processes told to end: nobody's tasks are lost over it.
+// Two successors at once, or both processes told to end: nobody's requests are lost over it.
 func TestHandOversCross(t *testing.T) {
 	for name, cross := range map[string]func(t *testing.T, next func() *Node, old *Node, ask func(string)){
 		"two successors": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -91,7 +91,7 @@
 	d.reopen()
 }
 
-// open leaves the place that was, and calls the one that is, unless relays tell the list.
+// reopen leaves the place that was, and calls the one that is, unless relays tell the list.
 func (d *endpointWatch) reopen() {
 	if d.cancelAddress(); !d.paused {
 		d.addressContext, d.cancelAddress = context.WithCancel(context.Background())
@@ -99,7 +99,7 @@
 	}
 }
 
-// call asks for a watch; one that is already asked for is enough.
+// requestCall asks for a watch; one that is already asked for is enough.
 func (d *endpointWatch) requestCall() {
 	select {
 	case d.callRequests <- struct{}{}:
@@ -190,7 +190,7 @@
 	}
 }
 
-// line takes in one line of the watch.
+// applyUpdate takes in one line of the watch.
 func (d *endpointWatch) applyUpdate(entries []endpointEntry, l endpointlist.Update) {
 	d.version = l.Version
 	d.node.counters.add(listUpdates)
@@ -201,7 +201,7 @@
 	d.node.discoveryUpdated(entries, l.Version, l.Complete)
 }
 
-// list reads a line. An entry that makes no sense is passed over; the others still count.
+// readList reads a line. An entry that makes no sense is passed over; the others still count.
 func (n *Node) readList(read func(begin func(), take func(endpointlist.Entry) error) (endpointlist.Update, error)) (entries []endpointEntry, l endpointlist.Update, err error) {
 	l, err = read(func() { entries = nil }, func(in endpointlist.Entry) error {
 		e, err := entryFrom(in, n.settings.Zones)
@@ -220,7 +220,7 @@
 	return entries, l, nil
 }
 
-// listOf reads a list that is there whole.
+// parseList reads a list that is there whole.
 func (n *Node) parseList(text []byte) (entries []endpointEntry, version int64, whole bool, err error) {
 	entries, l, err := n.readList(func(begin func(), take func(endpointlist.Entry) error) (endpointlist.Update, error) {
 		return endpointlist.Parse(text, n.listLimits, begin, take)
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -1,6 +1,6 @@
 package node
 
-// This file owns the loop: the one goroutine that holds the decisions, their clock, their timers and the tasks they
+// This file owns the loop: the one goroutine that holds the decisions, their clock, their timers and the requests they
 // know of, and that acts as their Host. Events enter one at a time. It must never do I/O or wait for a peer, and it
 // decides nothing itself.
 
@@ -32,7 +32,7 @@
 
 func (c clock) at(ns int64) time.Time { return c.start.Add(time.Duration(ns - c.start.UnixNano())) }
 
-// listedAs is what the list calls a server, where it is, and what it said of it last.
+// knownEndpoint is what the list calls a server, where it is, and what it said of it last.
 type knownEndpoint struct {
 	name, address string
 	policy.EndpointInfo
@@ -56,7 +56,7 @@
 	return l
 }
 
-// enter queues an event; it waits while the queue is full, so it is never called from within the loop.
+// post queues an event; it waits while the queue is full, so it is never called from within the loop.
 func (l *eventLoop) post(event func()) { l.events <- event }
 
 // run handles events until the node ends. Timers that are due go first, as they are older than what is queued.
@@ -77,8 +77,8 @@
 	}
 }
 
-// handle keeps a panic in the decisions from ending the process: the task at hand is broken off, as nothing is known
-// of its hand-offs any more.
+// handle keeps a panic in the decisions from ending the process: the request at hand is failed, as nothing is known
+// of its attempts any more.
 func (l *eventLoop) handle(x *pendingRequest, event func()) {
 	defer l.node.recoverPanic("decisions", func() {
 		if x != nil {
@@ -88,9 +88,9 @@
 	event()
 }
 
-// arrived takes in a task that the client side has read.
+// requestArrived takes in a request that the client side has read.
 func (l *eventLoop) requestArrived(x *pendingRequest) {
-	if l.requests[x.request.ID] != nil { // rules are kept by id: a second task under one that is still known would mix the two up
+	if l.requests[x.request.ID] != nil { // rules are kept by id: a second request under one that is still known would mix the two up
 		l.node.counters.add(requestsMalformed)
 		x.answer(response{status: http.StatusConflict})
 		return
@@ -105,7 +105,7 @@
 	l.handle(x, func() { l.balancer.RequestArrived(l.now, x.request) })
 }
 
-// giveUp answers whatever still has no answer, and from here on all that comes: the process is about to end, and what it leaves
+// giveUpAll answers whatever still has no answer, and from here on all that comes: the process is about to end, and what it leaves
 // without an answer is lost.
 func (l *eventLoop) giveUpAll() {
 	l.stopping = true
@@ -129,7 +129,7 @@
 	l.release(x)
 }
 
-// broken ends a task whose body its client did not bring whole; it has never run.
+// bodyBroken ends a request whose body its client did not bring whole; it has never run.
 func (l *eventLoop) bodyBroken(x *pendingRequest) {
 	switch err := x.source.failure(); {
 	case err == nil || errors.Is(err, errBodyAbandoned): // not the client's doing
@@ -141,11 +141,11 @@
 	}
 }
 
-// ended takes the end of a hand-off; each has exactly one.
+// attemptEnded takes the end of an attempt; each has exactly one.
 func (l *eventLoop) attemptEnded(h *attempt, r attemptResult) {
 	x := h.request
 	if x.bodyIncomplete() {
-		l.bodyBroken(x) // before the decisions hear of it: they would decline what is the client's own fault
+		l.bodyBroken(x) // before the decisions hear of it: they would reject what is the client's own fault
 	}
 	if r.clientGone {
 		l.clientGone(x) // likewise, or they would send it again
@@ -176,17 +176,17 @@
 	policy.OutcomeCanceled: attemptsCanceled, policy.OutcomeNotSent: attemptsNotSent, policy.OutcomeUnknown: attemptsReset,
 }
 
-// mostKept bounds the servers that stay known where being left out of the list binds nothing.
+// maxRemovedKept bounds the servers that stay known where being left out of the list binds nothing.
 const maxRemovedKept = 8192
 
 // listSlice is how many lines of the list are taken in at a time, or a listPart of it: each slice costs a pass over all servers
-// besides, so that many of them cost far more than they hold tasks up the less.
+// besides, so that many of them cost far more than they hold requests up the less.
 const (
 	listSlice = 512
 	listPart  = 32
 )
 
-// enterList enters a list in slices, with tasks in between: one of thousands of lines would hold them all up. Who is not
+// postList enters a list in slices, with requests in between: one of thousands of lines would hold them all up. Who is not
 // on a whole list comes last, so that until then nobody is taken off who is on it.
 func (l *eventLoop) postList(entries []endpointEntry, whole bool) {
 	size := max(listSlice, len(entries)/listPart)
@@ -203,7 +203,7 @@
 	}
 }
 
-// absent takes off whoever is not on a whole list.
+// removeAbsent takes off whoever is not on a whole list.
 func (l *eventLoop) removeAbsent(entries []endpointEntry) {
 	told := make(map[policy.EndpointID]bool, len(entries))
 	for _, e := range entries {
@@ -219,13 +219,13 @@
 	l.listUpdated(gone, false)
 }
 
-// listed takes in the list or what changed in it. Connections to a server that is no longer wanted are given up.
+// listUpdated takes in the list or what changed in it. Connections to a server that is no longer wanted are given up.
 func (l *eventLoop) listUpdated(entries []endpointEntry, whole bool) {
 	l.node.overrides.rememberNames(names(entries)...)
 	l.apply(l.node.overrides.apply(entries, whole), whole)
 }
 
-// ordered takes in what operators have changed by hand.
+// overridesChanged takes in what operators have changed by hand.
 func (l *eventLoop) overridesChanged() { l.apply(l.node.overrides.changedEntries(), false) }
 
 func names(entries []endpointEntry) []string {
@@ -236,7 +236,7 @@
 	return list
 }
 
-// take takes in entries as the decisions are to see them.
+// apply takes in entries as the decisions are to see them.
 func (l *eventLoop) apply(entries []endpointEntry, whole bool) {
 	list := make([]policy.EndpointInfo, 0, len(entries))
 	for _, e := range entries {
@@ -264,7 +264,7 @@
 
 func (l *eventLoop) watchFailed() { l.handle(nil, func() { l.balancer.WatchFailed(l.now) }) }
 
-// finish gives the task its answer, unless it has one.
+// finish gives the request its answer, unless it has one.
 func (l *eventLoop) finish(x *pendingRequest, how counter, a response) bool {
 	if !x.answer(a) {
 		return false
@@ -274,14 +274,14 @@
 	return true
 }
 
-// release forgets a task once it has its answer and nothing is out for it.
+// release forgets a request once it has its answer and nothing is out for it.
 func (l *eventLoop) release(x *pendingRequest) {
 	if x.inFlight == 0 && x.answered.Load() && l.requests[x.request.ID] == x {
 		delete(l.requests, x.request.ID)
 	}
 }
 
-// HandOff, Recall, Decline, BreakOff, WakeAt and Subscribe make the loop the decisions' Host.
+// HandOff, Recall, Reject, BreakOff, WakeAt and Subscribe make the loop the decisions' Host.
 func (l *eventLoop) Send(id policy.RequestID, server policy.EndpointID, timeOut int64) {
 	x := l.requests[id]
 	if x == nil {
@@ -298,7 +298,7 @@
 	}
 	x.attempts = append(x.attempts, h)
 	x.inFlight++
-	if x.answered.Load() { // against decisions that a panic has left without the end of this task
+	if x.answered.Load() { // against decisions that a panic has left without the end of this request
 		go l.post(func() {
 			l.attemptEnded(h, attemptResult{outcome: policy.OutcomeNotSent, report: parseLoadReport(""), endedAt: h.sentAt})
 		})
@@ -330,24 +330,24 @@
 
 func (l *eventLoop) WatchEndpoints() { l.node.endpointWatch.requestCall() }
 
-// Release closes what is idle to a server; the loop does not wait for it.
+// CloseIdle closes what is idle to a server; the loop does not wait for it.
 func (l *eventLoop) CloseIdle(server policy.EndpointID) {
 	if address := l.endpoints[server].address; address != "" {
 		go l.node.upstreams.closeIdle(upstreamTarget{server, address})
 	}
 }
 
-// Tell passes news on to the peers.
+// Gossip passes news on to the peers.
 func (l *eventLoop) Gossip(n policy.GossipMessage) { l.node.gossiper.send(n) }
 
-// Probe has a server asked for its load.
+// CheckHealth has a server asked for its load.
 func (l *eventLoop) CheckHealth(server policy.EndpointID) {
 	if address := l.endpoints[server].address; address != "" {
 		l.node.upstreams.checkHealth(upstreamTarget{server, address})
 	}
 }
 
-// learned is what the decisions have learned, for the process that comes after this one.
+// encodeEstimates is what the decisions have learned, for the process that comes after this one.
 func (l *eventLoop) encodeEstimates() json.RawMessage {
 	text, err := json.Marshal(l.balancer.Estimates())
 	if err != nil {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -1,6 +1,6 @@
 package node
 
-// This file owns the client side: the listener, its connections, reading tasks and writing the one answer to each,
+// This file owns the client side: the listener, its connections, reading requests and writing the one answer to each,
 // in order. It must never talk to a server, nor hold back an answer that is there.
 
 import (
@@ -24,7 +24,7 @@
 	evictableAfter    = 2 * time.Second         // after which a connection may have to make room
 	headTimeout       = 2500 * time.Millisecond // until a head that has begun is whole, the first from its connection's start
 	maxLinger         = 3 * time.Second         // for a client that is still sending what nobody wants
-	maxPipelined      = 4                       // tasks read ahead on one connection
+	maxPipelined      = 4                       // requests read ahead on one connection
 	closeLinger       = 25 * time.Millisecond
 	lendTimeout       = 4 * closeLinger        // until an attempt has the place of a client that goes
 	acceptPoll        = 5 * time.Millisecond   // for connections that wait to be accepted
@@ -47,13 +47,13 @@
 	open    map[*clientConn]struct{}
 	maxOpen int // connections at work; beyond these only a few, to say that there is no room
 	spare   int
-	usual   int // connections that have brought tasks; of more, those that stand idle are closed
+	usual   int // connections that have brought requests; of more, those that stand idle are closed
 
 	maxLent, lent atomic.Int64 // places of these that attempts may have, and have now
 }
 
-// client is one connection. Its reader and its writer meet in turns, where exchanges stand in the order of their
-// tasks.
+// clientConn is one connection. Its reader and its writer meet in turns, where exchanges stand in the order of their
+// requests.
 type clientConn struct {
 	frontend      *frontend
 	conn          *bufferedConn
@@ -64,9 +64,9 @@
 
 	mu       sync.Mutex
 	pending  int
-	closed   bool          // takes no more tasks
+	closed   bool          // takes no more requests
 	evicting bool          // is to close once nothing has come
-	used     bool          // has brought a task
+	used     bool          // has brought a request
 	gap      time.Duration // of silence after the last answer, until the connection is closed
 	opened   time.Time
 	lastUse  time.Time
@@ -78,7 +78,7 @@
 		open: map[*clientConn]struct{}{}}
 }
 
-// allot sets how many connections there may be.
+// setLimits sets how many connections there may be.
 func (s *frontend) setLimits(most, spare, usual int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,17 +86,17 @@
 	s.evictIdleLocked(len(s.open) - most) // another process of this node may have what stands idle beyond it
 }
 
-// room is how many connections may be at work.
+// capacity is how many connections may be at work.
 func (s *frontend) capacity() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.placesLocked()
 }
 
-// places is how many may be at work beside the attempts that have some of the places; the lock is held.
+// placesLocked is how many may be at work beside the attempts that have some of the places; the lock is held.
 func (s *frontend) placesLocked() int { return s.maxOpen - int(s.lent.Load()) }
 
-// lend gives an attempt the place of a client: a free one, or one whose client stands idle and is asked to go, which may come soon.
+// lendSlot gives an attempt the place of a client: a free one, or one whose client stands idle and is asked to go, which may come soon.
 // Guards against idle clients who keep attempts from getting a connection.
 func (s *frontend) lendSlot() (lent, soon bool) {
 	s.mu.Lock()
@@ -112,7 +112,7 @@
 	return false, int(s.active.Load()) < len(s.open)
 }
 
-// until sets by when the wait for a new connection ends.
+// setAcceptDeadline sets by when the wait for a new connection ends.
 func (s *frontend) setAcceptDeadline(end time.Time) {
 	if l, ok := s.listener.(*net.TCPListener); ok {
 		l.SetDeadline(end)
@@ -131,8 +131,8 @@
 	s.wake()
 }
 
-// close ends the taking of connections, and returns once what the machine had accepted is taken, or by a time. Guards against
-// a listener that is closed over connections which nobody has got to: the machine resets them, with tasks already written.
+// drainAndClose ends the taking of connections, and returns once what the machine had accepted is taken, or by a time. Guards against
+// a listener that is closed over connections which nobody has got to: the machine resets them, with requests already written.
 //
 // It waits no longer than the door is in use: whoever else holds the socket may make it a blocking one at any moment, as the start
 // of another process does in passing, and an accept that then stands in the machine ends with the next connection alone.
@@ -161,7 +161,7 @@
 }
 
 // accept takes connections until the listener is closed. Those it does not get to in time are lost all the same: a
-// task counts as taken once it is in the machine, whether or not anyone has accepted its connection.
+// request counts as taken once it is in the machine, whether or not anyone has accepted its connection.
 func (s *frontend) accept() {
 	defer close(s.ended)
 	defer s.listener.Close()
@@ -192,7 +192,7 @@
 }
 
 // admit takes one connection in, if need be in place of one that stands idle. Where all are at work it waits for the
-// next to end: a task may already be written to this one, so it can't be closed without an answer.
+// next to end: a request may already be written to this one, so it can't be closed without an answer.
 func (s *frontend) admit(raw net.Conn) {
 	now := time.Now()
 	c := &clientConn{frontend: s, conn: newBufferedConn(raw), responseOrder: make(chan *pendingRequest, maxPipelined), lastUse: now}
@@ -222,14 +222,14 @@
 	return true
 }
 
-// crowded guards against clients that ask once and keep their connections: those in front of a node hold only so many to
+// crowdedLocked guards against clients that ask once and keep their connections: those in front of a node hold only so many to
 // it, and with all of them standing idle nobody can ask.
 func (s *frontend) crowdedLocked() bool { return int(s.used.Load()) >= s.usual }
 
-// dismiss asks up to n of the connections that stand idle to close; the lock is held. Those that never brought a task go
+// evictIdleLocked asks up to n of the connections that stand idle to close; the lock is held. Those that never brought a request go
 // first, against a flood that takes the place of clients at work, then the longest idle. While there is room left, one
-// used of late stays if there are any that never brought a task, even too young to go. With none left it goes as well:
-// to keep it would leave all who come a few places to pass through one after another, and their tasks wait outside.
+// used of late stays if there are any that never brought a request, even too young to go. With none left it goes as well:
+// to keep it would leave all who come a few places to pass through one after another, and their requests wait outside.
 func (s *frontend) evictIdleLocked(n int) {
 	now, fresh := time.Now(), false
 	type standing struct {
@@ -263,7 +263,7 @@
 	}
 }
 
-// settle asks what stands idle to close and tells how many connections are left.
+// evictAllIdle asks what stands idle to close and tells how many connections are left.
 func (s *frontend) evictAllIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,7 +271,7 @@
 	return len(s.open) + int(s.waitingAdmission.Load())
 }
 
-// cut ends the connections on which an answer is still flowing, so that each client can tell that its own is not whole: the end of
+// abortStreams ends the connections on which an answer is still flowing, so that each client can tell that its own is not whole: the end of
 // the process would end them in order, and where the end of the connection is the end of an answer that would pass for one.
 func (s *frontend) abortStreams() {
 	s.mu.Lock()
@@ -288,7 +288,7 @@
 	drainIdleInterval = 100 * time.Millisecond
 )
 
-// empty closes what stands idle while the node is drained: connections that are in use end with their next answer, and the
+// closeIdleWhileDrained closes what stands idle while the node is drained: connections that are in use end with their next answer, and the
 // others are not to be held.
 func (s *frontend) closeIdleWhileDrained() {
 	var since time.Time
@@ -304,13 +304,13 @@
 	}
 }
 
-// idle tells whether the connection holds no task and none is under way; the lock is held.
+// idle tells whether the connection holds no request and none is under way; the lock is held.
 func (c *clientConn) idle(now time.Time) bool {
 	return c.pending == 0 && !c.closed && !c.evicting && now.Sub(c.lastUse) > closeLinger &&
 		(c.began.IsZero() || now.UnixNano()-max(c.conn.lastRead.Load(), c.began.UnixNano()) > int64(stallUnderFlood))
 }
 
-// dismiss wakes the reader, which alone can tell whether a task has come meanwhile.
+// evict wakes the reader, which alone can tell whether a request has come meanwhile.
 func (c *clientConn) evict(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -321,7 +321,7 @@
 	}
 }
 
-// begin marks the connection as holding one task more, unless it has been closed.
+// beginRequest marks the connection as holding one request more, unless it has been closed.
 func (c *clientConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -339,7 +339,7 @@
 	return true
 }
 
-// isLast tells whether the connection is to be closed after this answer. It is not while it holds further tasks, or the next
+// closesAfter tells whether the connection is to be closed after this answer. It is not while it holds further requests, or the next
 // has begun to come, as they would be lost, and from here on it takes none.
 func (c *clientConn) closesAfter(x *pendingRequest) bool {
 	c.mu.Lock()
@@ -363,7 +363,7 @@
 	c.lastUse = time.Now()
 }
 
-// read takes tasks from the connection until it ends; then those without an answer are withdrawn.
+// readLoop takes requests from the connection until it ends; then those without an answer are withdrawn.
 func (c *clientConn) readLoop() {
 	var mine []*pendingRequest
 	n := c.frontend.node
@@ -381,7 +381,7 @@
 		x.clientGone = c.isGone
 		r, err := c.readRequest(x)
 		if err != nil && !isMalformed(err) || c.isGone() {
-			// Guards against a client that sends much at once and goes: its tasks came one by one to servers as the ones
+			// Guards against a client that sends much at once and goes: its requests came one by one to servers as the ones
 			// before were answered, each to nobody.
 			c.releaseBody(x)
 			return
@@ -408,11 +408,11 @@
 	}
 }
 
-// hasLeft tells whether the client has gone, also before the reader comes to the end of the connection. Anybody may ask, and
-// who is about to write its task to a server does.
+// isGone tells whether the client has gone, also before the reader comes to the end of the connection. Anybody may ask, and
+// who is about to write its request to a server does.
 func (c *clientConn) isGone() bool { return c.conn.isEnded() }
 
-// follow waits until a body that flows has been read by whoever carries the task, and tells whether the connection goes on.
+// awaitBody waits until a body that flows has been read by whoever carries the request, and tells whether the connection goes on.
 func (c *clientConn) awaitBody(x *pendingRequest) bool {
 	<-x.source.ended
 	x.source.message.end()
@@ -424,12 +424,12 @@
 	return false
 }
 
-// giveBack returns what a body took of the memory for bodies.
+// releaseBody returns what a body took of the memory for bodies.
 func (c *clientConn) releaseBody(x *pendingRequest) {
 	c.frontend.node.bufferedBytes.Add(-int64(cap(x.body)))
 }
 
-// next reads one message, or as much of a long one as is held. A client may take its time before it begins one, not within,
+// readRequest reads one message, or as much of a long one as is held. A client may take its time before it begins one, not within,
 // and not before its first: a connection that says nothing holds descriptors.
 func (c *clientConn) readRequest(x *pendingRequest) (*http.Request, error) {
 	first := !c.used
@@ -471,14 +471,14 @@
 	return r, nil
 }
 
-// unanswered tells that no answer is due or being written. Guards against a word in the middle of one.
+// hasNoPending tells that no answer is due or being written. Guards against a word in the middle of one.
 func (c *clientConn) hasNoPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending == 0
 }
 
-// collect reads a body, or as much of a long one as the node has memory for.
+// readBody reads a body, or as much of a long one as the node has memory for.
 func (c *clientConn) readBody(x *pendingRequest, m *message) (whole bool, err error) {
 	most := 4 << 10
 	switch {
@@ -498,7 +498,7 @@
 	}
 }
 
-// hold makes room for so much of a task's body, if there is memory for it or it must be.
+// reserveBody makes room for so much of a request's body, if there is memory for it or it must be.
 func (c *clientConn) reserveBody(x *pendingRequest, most int, must bool) bool {
 	n, more := c.frontend.node, int64(most-cap(x.body))
 	if more <= 0 {
@@ -514,15 +514,15 @@
 	return true
 }
 
-// stays tells whether the connection outlives a read that lasted too long, as its task is still out. One that was asked
-// to leave just when its task came is no exception.
+// keepsOpen tells whether the connection outlives a read that lasted too long, as its request is still out. One that was asked
+// to leave just when its request came is no exception.
 func (c *clientConn) keepsOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending > 0 && !c.closed
 }
 
-// readFor sets how long reads may last: a moment after the last answer, or once the connection is to leave.
+// setReadTimeout sets how long reads may last: a moment after the last answer, or once the connection is to leave.
 func (c *clientConn) setReadTimeout(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -532,7 +532,7 @@
 	c.conn.SetReadDeadline(time.Now().Add(d))
 }
 
-// drain reads on to the end without taking anything, so that the client leaving is noticed and what it still sends
+// discardInput reads on to the end without taking anything, so that the client leaving is noticed and what it still sends
 // does not make the machine throw away the answer on its way.
 func (c *clientConn) discardInput() {
 	c.setReadTimeout(clientIdleTimeout)
@@ -579,7 +579,7 @@
 	return kept
 }
 
-// take enters a task, or answers at once what needs no decision.
+// handle enters a request, or answers at once what needs no decision.
 func (c *clientConn) handle(x *pendingRequest, r *http.Request) {
 	n := c.frontend.node
 	if r.URL.Path == pathReady {
@@ -615,7 +615,7 @@
 	n.loop.post(func() { n.loop.requestArrived(x) })
 }
 
-// noRoom declines a task that never reached the decisions, nor any server.
+// overCapacity rejects a request that never reached the decisions, nor any server.
 func (n *Node) overCapacity() response {
 	a := response{status: http.StatusServiceUnavailable}
 	if n.settings.Policy.MaySetRetryAfter {
@@ -624,7 +624,7 @@
 	return a
 }
 
-// taskOf reads what the decisions need to know of a task.
+// parseRequest reads what the decisions need to know of a request.
 func (n *Node) parseRequest(r *http.Request, now int64) (policy.Request, error) {
 	h := r.Header
 	t := policy.Request{ID: policy.RequestID(h.Get(headerRequestID)), ClientRetry: h.Get(headerClientRetry) == "1"}
@@ -652,7 +652,7 @@
 		}
 		t.Deadline = min(t.Deadline, now+wait*milli)
 	}
-	// A guess that cannot be read is no guess; the task itself is sound.
+	// A guess that cannot be read is no guess; the request itself is sound.
 	if cost, err := strconv.ParseInt(h.Get(headerCostHint), 10, 64); err == nil && cost > 0 && cost < 1e12 {
 		t.CostHint = cost * 1000
 	}
@@ -662,7 +662,7 @@
 	return t, nil
 }
 
-// cut ends the connection so that the client can tell that its answer is not whole, also where the end of the connection
+// abort ends the connection so that the client can tell that its answer is not whole, also where the end of the connection
 // would be the end of the answer.
 func (c *clientConn) abort() {
 	if tcp, ok := c.conn.Conn.(*net.TCPConn); ok {
@@ -671,7 +671,7 @@
 	c.conn.Close()
 }
 
-// write writes the answers in the order of the tasks. Once the client has gone it only waits for what is still due.
+// writeLoop writes the answers in the order of the requests. Once the client has gone it only waits for what is still due.
 // The connection ends with it, so that a node that stops waits for the last answer.
 func (c *clientConn) writeLoop() {
 	defer func() {
@@ -699,7 +699,7 @@
 	}
 }
 
-// say writes one answer and tells whether the connection goes on. After the last it waits a moment for the client to
+// writeResponse writes one answer and tells whether the connection goes on. After the last it waits a moment for the client to
 // close, as closing on a client that is still sending would throw the answer away.
 func (c *clientConn) writeResponse(x *pendingRequest, a *response, last bool) (goesOn bool) {
 	defer c.frontend.node.recoverPanic("answer", func() { c.conn.Close() })
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -22,7 +22,7 @@
 	maxGossipOutbox = 64 // news that wait to be sent; what comes beyond is dropped
 )
 
-// peers holds the node's socket for news; without one nothing is told and nothing heard.
+// gossiper holds the node's socket for news; without one nothing is told and nothing heard.
 type gossiper struct {
 	node   *Node
 	socket *net.UDPConn
@@ -75,7 +75,7 @@
 	return p, nil
 }
 
-// tell queues news for every peer; it never waits.
+// send queues news for every peer; it never waits.
 func (p *gossiper) send(n policy.GossipMessage) {
 	select {
 	case p.outbox <- n:
@@ -101,7 +101,7 @@
 	}
 }
 
-// hear enters what peers tell, unless the loop has its hands full: no task is to wait for news.
+// receiveLoop enters what peers tell, unless the loop has its hands full: no request is to wait for news.
 func (p *gossiper) receiveLoop() {
 	buffer := make([]byte, gossip.MaxMessageBytes+1)
 	for {
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -1,6 +1,6 @@
 package node
 
-// This file owns probes: one short question to a server for its load, outside any task. It must never resend, and a
+// This file owns probes: one short question to a server for its load, outside any request. It must never resend, and a
 // probe that fails says nothing but that it failed.
 
 import (
@@ -15,7 +15,7 @@
 	maxReportBytes  = 64 << 10
 )
 
-// probe asks a server for its load, without the loop waiting for it.
+// checkHealth asks a server for its load, without the loop waiting for it.
 func (s *upstreams) checkHealth(to upstreamTarget) {
 	select {
 	case s.healthChecks <- struct{}{}:
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 )
 
-// settingsText has a rerunnable, a ticketed and an exclusive category, and one that can wait.
+// settingsText has an idempotent, a ticketed and an exclusive class, and one that can wait.
 const settingsText = `{"discovery":"ask","family_info":{"warm_keys":true},"goal":{"whole":0.5},"group_size":1,
 "limits":{"cancelling":true,"connect_timeout_us":75000,"idle_close_us":60000000,"max_retry_after_us":1500000,
 "may_duplicate":false,"retry_after":true,"try_limit":3},"parties":[{"name":"acme","portion":1.0}],"profiles":[
@@ -74,7 +74,7 @@
 	return l.Addr().String()
 }
 
-// serverOf answers each task on a connection by what answer writes; it tells whether the connection goes on.
+// serverOf answers each request on a connection by what answer writes; it tells whether the connection goes on.
 func serverOf(t *testing.T, answer func(c net.Conn, r *http.Request, body string) bool) (address string, tasks *atomic.Int64) {
 	tasks = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
@@ -171,7 +171,7 @@
 	return r.StatusCode, string(text), r.Header
 }
 
-// ask sends one task on a new connection.
+// ask sends one request on a new connection.
 func ask(t *testing.T, n *Node, category, id, body string) (status int, answer string, header http.Header) {
 	t.Helper()
 	c, in := dial(t, n)
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -28,13 +28,13 @@
 	readyMessage      = "ready\n"
 )
 
-// hello is what the new process says first.
+// restartHello is what the new process says first.
 type restartHello struct {
 	Version int    `json:"handover"`
 	Node    string `json:"node"`
 }
 
-// heritage is what the old process knows and the new one takes over.
+// restartState is what the old process knows and the new one takes over.
 type restartState struct {
 	restartHello
 	List    json.RawMessage `json:"list"`    // in discovery's form
@@ -61,7 +61,7 @@
 	return restartHello{Version: hotRestartVersion, Node: h.node.overrides.owner()}
 }
 
-// find looks for the node's other process and asks what it knows; nil where there is none.
+// connectPredecessor looks for the node's other process and asks what it knows; nil where there is none.
 func (h *hotRestart) connectPredecessor() *restartState {
 	told, err := h.dialPredecessor()
 	switch {
@@ -139,7 +139,7 @@
 	}
 }
 
-// address is how to name a path to a Unix socket: one that is too long goes by its folder's descriptor.
+// socketAddress is how to name a path to a Unix socket: one that is too long goes by its folder's descriptor.
 func (h *hotRestart) socketAddress(path string) (at string, done func(), err error) {
 	if len(path) <= maxSocketPath {
 		return path, func() {}, nil
@@ -235,7 +235,7 @@
 	}
 }
 
-// follow tells a new process what this one knows, and goes by what becomes of it until it ends. There is one at a time.
+// serveSuccessor tells a new process what this one knows, and goes by what becomes of it until it ends. There is one at a time.
 func (h *hotRestart) serveSuccessor(c net.Conn) {
 	defer c.Close()
 	defer h.node.recoverPanic("handover", func() {})
@@ -315,7 +315,7 @@
 	return nil
 }
 
-// served tells the old process that this one serves, and from then on stands where the next one looks.
+// announceServing tells the old process that this one serves, and from then on stands where the next one looks.
 func (h *hotRestart) announceServing() {
 	h.mu.Lock()
 	before := h.predecessor
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -211,7 +211,7 @@
 	a.attempts[id] = append(a.attempts[id], at)
 }
 
-// troubled answers as a seed says: late, with errors, turning away, or not at all.
+// troubled answers as a seed says: late, with errors, rejecting, or not at all.
 func (a *attendance) troubled(t *testing.T, seed uint64) string {
 	var mu sync.Mutex
 	luck := rand.New(rand.NewPCG(seed, 1))
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -1,6 +1,6 @@
 package node
 
-// This file owns the shell of the list by others' word: what the core is told of the node's own watch, and what it has the loop go
+// This file owns the shell of the list by gossip: what the core is told of the node's own watch, and what it has the loop go
 // by. What is asked and taken is internal/endpointgossip's. It must never hold up the watch for an answer, nor let a list of others come
 // after one of discovery's that the node has already heard.
 
@@ -15,7 +15,7 @@
 	"fawnglade/policy"
 )
 
-// hearing is nil where nodes do not ask one another.
+// listGossip is nil where nodes do not ask one another.
 type listGossip struct {
 	node *Node
 	mu   sync.Mutex // what is told and what it has the loop do stay in one order
@@ -84,7 +84,7 @@
 	s.node.loop.postList(entries, whole)
 }
 
-// beat lets the core ask.
+// tick lets the core ask.
 func (s *listGossip) tick() {
 	if s == nil {
 		return
@@ -96,7 +96,7 @@
 	}
 }
 
-// take takes in a load of another node.
+// receive takes in a load of another node.
 func (s *listGossip) receive(from int, load []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +110,7 @@
 	s.node.log.Info("the list by others' word", zap.Int("from", from), zap.Int("servers", len(entries)), zap.Any("list", view))
 }
 
-// text tells how it stands, for who asks.
+// viewJSON tells how it stands, for who asks.
 func (s *listGossip) viewJSON() json.RawMessage {
 	if s == nil {
 		return nil
@@ -127,14 +127,14 @@
 	return text
 }
 
-// firstList is the list that a node begins with, and what its watch goes on from.
+// initialList is the list that a node begins with, and what its watch goes on from.
 type initialList struct {
 	entries      []endpointEntry
 	version      int64
 	watchResumes bool // the watch asks for what came after it
 }
 
-// over lays lines of the watch over it.
+// merge lays lines of the watch over it.
 func (f *initialList) merge(entries []endpointEntry, whole bool) []endpointEntry {
 	told := map[string]bool{}
 	out := make([]endpointEntry, 0, len(entries))
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -1,7 +1,7 @@
 package node
 
 // This file owns the shell of the members' view: its socket, its beats and the asking from outside. What is believed is
-// internal/members'. It must never hold up a task: it has goroutines of its own, drops what comes too fast, and costs a view, never
+// internal/members'. It must never hold up a request: it has goroutines of its own, drops what comes too fast, and costs a view, never
 // service, when it fails.
 
 import (
@@ -29,7 +29,7 @@
 
 var errNoMembership = errors.New("no view: members are off, or have ended")
 
-// membership is nil where nodes may not talk, or no file says how.
+// memberAgent is nil where nodes may not talk, or no file says how.
 type memberAgent struct {
 	node     *Node
 	set      *features.Members
@@ -41,7 +41,7 @@
 	ended    sync.Once
 }
 
-// newMembership binds the socket. A file alone turns nothing on: the platform's settings must allow messages.
+// newMemberAgent binds the socket. A file alone turns nothing on: the platform's settings must allow messages.
 func newMemberAgent(n *Node) (*memberAgent, error) {
 	f := n.config.features
 	if f == nil || f.Members == nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-// ask has the view looked at between two of its steps.
+// query has the view looked at between two of its steps.
 func (s *memberAgent) query(what func(m *members.Members, now int64)) error {
 	if s == nil {
 		return errNoMembership
@@ -165,7 +165,7 @@
 	return f
 }
 
-// text is the whole view for who asks.
+// viewJSON is the whole view for who asks.
 func (s *memberAgent) viewJSON() (string, error) {
 	var v members.View
 	if err := s.query(func(m *members.Members, now int64) { v = m.View(now) }); err != nil {
@@ -173,7 +173,7 @@
 	}
 	text, err := json.Marshal(struct {
 		members.View
-		List json.RawMessage `json:"list,omitempty"` // by others' word
+		List json.RawMessage `json:"list,omitempty"` // by gossip
 	}{v, s.node.listGossip.viewJSON()})
 	return string(text), err
 }
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -26,7 +26,7 @@
 	headerLoadReport  = "X-Pressure"
 	headerNotExecuted = "X-Turned-Away"
 	headerRetryAfter  = "Retry-After"
-	affinityCookie    = "key" // what a task concerns
+	affinityCookie    = "key" // what a request concerns
 
 	pathReady   = "/ready"
 	pathDisable = "/servers/disable"
@@ -45,14 +45,14 @@
 	envInherited = "NODE_INHERITED_FD" // the descriptor of the clients' listening socket, where the platform holds it
 )
 
-// consoleMethods are the calls of the console.
+// adminMethods are the calls of the console.
 var adminMethods = map[string]string{
 	pathReady: http.MethodGet, pathDisable: http.MethodPut, pathEnable: http.MethodPut, pathDrain: http.MethodPut,
 	pathUndrain: http.MethodPut, pathMembers: http.MethodGet,
 	pathState: http.MethodGet, pathRelays: http.MethodGet,
 }
 
-// ownHeaders are written by the node itself or end at it: a connection's own, and those that tell of one hand-off.
+// ownHeaders are written by the node itself or end at it: a connection's own, and those that tell of one attempt.
 var ownHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
@@ -79,12 +79,12 @@
 	return fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, version, address)
 }
 
-// loadQuestion is a probe.
+// healthCheckHead is a probe.
 func healthCheckHead(address string) string {
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", pathLoad, address)
 }
 
-// badTask tells an answer that finds fault with the task itself. Any server would, so it is the task's answer and says
+// isRequestFault tells an answer that finds fault with the request itself. Any server would, so it is the request's answer and says
 // nothing of the server.
 func isRequestFault(status int) bool {
 	switch status {
@@ -109,7 +109,7 @@
 
 func parseLoadReport(text string) policy.LoadReport { return loadreport.Parse(text) }
 
-// entry is one server of the list, with the address that this node is to use for it.
+// endpointEntry is one server of the list, with the address that this node is to use for it.
 type endpointEntry struct {
 	policy.EndpointInfo
 	name    string
@@ -123,7 +123,7 @@
 	return zones[e.Zone]
 }
 
-// entryOf takes in one server of a list. A server that wants nothing new needs no address.
+// entryFrom takes in one server of a list. A server that wants nothing new needs no address.
 func entryFrom(in endpointlist.Entry, zones []string) (endpointEntry, error) {
 	e := endpointEntry{name: in.Name, address: in.Address, EndpointInfo: policy.EndpointInfo{
 		ID: endpointID(in.Name), Zone: zoneIndex(in.Zone, zones), Pod: in.Pod, Weight: in.Weight,
@@ -151,7 +151,7 @@
 	return e, nil
 }
 
-// wholeList is a list in discovery's form.
+// encodeList is a list in discovery's form.
 func encodeList(version int64, entries []endpointEntry, zones []string) []byte {
 	list := make([]endpointlist.Entry, len(entries))
 	for i, e := range entries {
@@ -161,7 +161,7 @@
 	return endpointlist.Encode(version, list)
 }
 
-// serverID makes the number that the decisions know a server by. It comes from the name alone, so that all nodes
+// endpointID makes the number that the decisions know a server by. It comes from the name alone, so that all nodes
 // agree on it without talking.
 func endpointID(host string) policy.EndpointID {
 	h := fnv.New32a()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
 // Package node is one real node: the decisions of package policy on sockets.
 package node
 
-// This file owns a node's configuration, its start and its end. It must never take part in a task.
+// This file owns a node's configuration, its start and its end. It must never take part in a request.
 
 import (
 	"context"
@@ -32,7 +32,7 @@
 const (
 	acceptAfterTerm         = 450 * time.Millisecond // after SIGTERM, as connections go on coming for a while
 	acceptAfterTermReplaced = 700 * time.Millisecond // where a successor takes the new ones, idle connections stay so long
-	// The platform kills a process no sooner than the longest hard limit, but at most this, and killedAfter behind SIGTERM.
+	// The platform kills a process no sooner than the longest deadline, but at most this, and killedAfter behind SIGTERM.
 	maxDrain             = 3 * time.Second
 	killDelay            = 700 * time.Millisecond
 	answerMargin         = 150 * time.Millisecond // before that all that has no answer is given up: what a kill finds is lost
@@ -184,7 +184,7 @@
 	counters         counters
 	serving          atomic.Bool // list, orders and loop are in place
 	stopping         atomic.Bool
-	bufferedBytes    atomic.Int64 // bytes of bodies of tasks without an answer
+	bufferedBytes    atomic.Int64 // bytes of bodies of requests without an answer
 	maxBufferedBytes atomic.Int64
 	listLimits       endpointlist.Limits
 	classIndex       map[string]int
@@ -245,7 +245,7 @@
 	return n, nil
 }
 
-// allot shares out the limits: to rules and limits a node is one, however many processes it has at the moment.
+// divideLimits shares out the limits: to rules and limits a node is one, however many processes it has at the moment.
 func (n *Node) divideLimits() {
 	processes := n.hotRestart.processes()
 	all := n.config.Limits.Sockets
@@ -313,7 +313,7 @@
 	return ""
 }
 
-// leaving tells whether connections of clients end with their next answer.
+// closesConnections tells whether connections of clients end with their next answer.
 func (n *Node) closesConnections() bool {
 	return n.stopping.Load() || n.overrides.drained() || n.hotRestart.hasYielded()
 }
@@ -326,15 +326,15 @@
 	return of
 }
 
-// limit keeps the runtime within the machine's share that the node was given.
+// limitRuntime keeps the runtime within the machine's share that the node was given.
 func (n *Node) limitRuntime() {
 	if cores := n.config.Limits.Cores; cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cores)))
 	}
-	debug.SetGCPercent(400) // the heap is small; its collection takes time from tasks
+	debug.SetGCPercent(400) // the heap is small; its collection takes time from requests
 }
 
-// known is the list that the node had last: the one of the process before, else the configuration's.
+// knownList is the list that the node had last: the one of the process before, else the configuration's.
 func (n *Node) knownList() initialList {
 	if n.predecessor != nil {
 		n.overrides.rememberNames(n.predecessor.Listed...)
@@ -383,7 +383,7 @@
 	go n.relays.Run(context.Background())
 	go n.gossiper.sendLoop()
 	if !n.settings.Policy.MustPollList && n.predecessor == nil {
-		// What is pushed counts as told from the first moment of a new process, so it is heard before the first task.
+		// What is pushed counts as told from the first moment of a new process, so it is heard before the first request.
 		select {
 		case <-n.endpointWatch.firstHeard:
 		case <-time.After(listConnectTimeout):
@@ -402,7 +402,7 @@
 }
 
 // Signals hears what the platform tells the process, from the call on: before it a signal ends the process where it is, a start
-// with tasks already in the machine as well.
+// with requests already in the machine as well.
 func Signals() chan os.Signal {
 	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more is no reason to end
 	signals := make(chan os.Signal, 16)
@@ -447,7 +447,7 @@
 	}
 }
 
-// reread takes in the configuration's file as it is now. Only the address of discovery can change while the node runs;
+// reload takes in the configuration's file as it is now. Only the address of discovery can change while the node runs;
 // what else has is named, so that nobody takes it for heard. A bad file changes nothing.
 func (n *Node) reload() {
 	c, err := ReadConfig(n.config.path)
@@ -469,7 +469,7 @@
 	n.endpointWatch.move(c.Discovery)
 }
 
-// stop goes on taking for a while, then closes what is idle and waits until every task taken has its answer. What is left shortly
+// stop goes on taking for a while, then closes what is idle and waits until every request taken has its answer. What is left shortly
 // before the platform may kill the process is given up.
 func (n *Node) stop() {
 	n.log.Info("stopping")
@@ -491,7 +491,7 @@
 	n.frontend.abortStreams()
 }
 
-// settled waits until no client is left, or until a time, and tells which.
+// awaitClients waits until no client is left, or until a time, and tells which.
 func (n *Node) awaitClients(by time.Time) bool {
 	for ; time.Now().Before(by); time.Sleep(10 * time.Millisecond) {
 		if n.frontend.evictAllIdle() == 0 {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// What a server does decides the outcome, and with the category what the client is told.
+// What a server does decides the outcome, and with the class what the client is told.
 func TestOutcomes(t *testing.T) {
 	closed := listen(t, func(c net.Conn) {})
 	cut := func(text string) string {
@@ -61,7 +61,7 @@
 	for name, c := range map[string]struct {
 		server string
 		how    counter
-		status map[string]int // by category; 503 is a decline
+		status map[string]int // by class; 503 is a reject
 	}{
 		"error":             {cut("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsErrored, map[string]int{"view": 503, "update": 502, "pay": 502}},
 		"turned away":       {cut("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), attemptsRejected, map[string]int{"view": 503, "update": 503, "pay": 503}},
@@ -116,7 +116,7 @@
 	}
 }
 
-// Guards against the answer to a task that timed out being taken for the next one's.
+// Guards against the answer to a request that timed out being taken for the next one's.
 func TestLateAnswerIsNobodys(t *testing.T) {
 	var slow atomic.Bool
 	slow.Store(true)
@@ -138,7 +138,7 @@
 	}
 }
 
-// Guards against a whole answer with more behind it being followed by another task on that connection.
+// Guards against a whole answer with more behind it being followed by another request on that connection.
 func TestConnectionWithMoreThanTheAnswerIsNotUsedAgain(t *testing.T) {
 	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
@@ -175,7 +175,7 @@
 	}
 }
 
-// Guards against a task written to a connection that the server is about to close, or has, for standing idle.
+// Guards against a request written to a connection that the server is about to close, or has, for standing idle.
 func TestConnectionThatStoodIdleIsNotUsedAgain(t *testing.T) {
 	server, _ := serverOf(t, echo)
 	n := nodeWith(t, func(c *Config) {
@@ -192,7 +192,7 @@
 }
 
 // Guards against a machine that was cut off and is back: the connections from before are reset only when used, and
-// each would cost a task.
+// each would cost a request.
 func TestConnectionsFromBeforeAResetAreDropped(t *testing.T) {
 	var back atomic.Bool
 	var idle sync.WaitGroup
@@ -237,7 +237,7 @@
 	c.Close()
 	select {
 	case <-closed:
-	case <-time.After(5 * time.Second): // its soft limit is 20 s
+	case <-time.After(5 * time.Second): // its latency objective is 20 s
 		t.Error("the hand-off was not recalled")
 	}
 	soon(t, "the recall", func() bool { return n.count(requestsCanceled) == 1 && n.count(attemptsCanceled) == 1 })
@@ -297,7 +297,7 @@
 		head + "X-Pad: " + strings.Repeat("a", 17<<10):            431,
 		head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n":         400,
 		head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab": 400,
-		// Each of these may hide a task in a body.
+		// Each of these may hide a request in a body.
 		head + "X-Txn: a\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na":                      400,
 		head + "X-Txn: a\r\nContent-Length: 70\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n":    400,
 		head + "X-Txn: a\r\ntransfer-encoding:\r\n chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n": 400,
@@ -460,7 +460,7 @@
 	}
 }
 
-// Guards against a connection that is closed for want of room with a task already written to it.
+// Guards against a connection that is closed for want of room with a request already written to it.
 func TestMoreTasksThanConnectionsAreAllAnswered(t *testing.T) {
 	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(100 * time.Millisecond)
@@ -489,7 +489,7 @@
 	}
 }
 
-// Guards against a task that comes just as its connection is asked to leave being withdrawn while it is out.
+// Guards against a request that comes just as its connection is asked to leave being withdrawn while it is out.
 func TestTaskOnAConnectionThatLeavesIsAnswered(t *testing.T) {
 	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(3 * closeLinger)
@@ -772,7 +772,7 @@
 	}
 }
 
-// Guards against a panic in the decisions costing the other tasks or leaving its own without an answer.
+// Guards against a panic in the decisions costing the other requests or leaving its own without an answer.
 func TestPanicStopsAtItsTask(t *testing.T) {
 	server, tasks := serverOf(t, echo)
 	n := nodeWith(t, nil, server)
@@ -824,7 +824,7 @@
 	}
 }
 
-// An id that is still known must not be mixed up with a second task under the same one.
+// An id that is still known must not be mixed up with a second request under the same one.
 func TestIDInUseIsTurnedDown(t *testing.T) {
 	server, tasks := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(50 * time.Millisecond)
@@ -841,7 +841,7 @@
 }
 
 // Servers that fail in every way and clients that leave: each client that stays gets one answer, its own; an exclusive
-// task runs once at most; and where a decline says that nothing ran, nothing did.
+// request runs once at most; and where a reject says that nothing ran, nothing did.
 func TestRulesOnSockets(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
@@ -946,7 +946,7 @@
 	return target.Error() == "i/o timeout"
 }
 
-// A list of thousands of lines is taken in in slices, so that tasks come in between; what it means is the same.
+// A list of thousands of lines is taken in in slices, so that requests come in between; what it means is the same.
 func TestLongListIsTakenInInSlices(t *testing.T) {
 	n := newNode(t, nil) // its loop does not run, so that what is entered can be counted
 	taken := func() (events int) {
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -2,7 +2,7 @@
 
 // This file owns what operators ordered by hand: which servers are out and whether the node is drained. It lays that over
 // the list before the decisions see it, and keeps it in one small file that both processes of a node read and replace. It
-// must never decide where a task goes, nor say yes to an order that is not in the file; it trusts nothing it reads there.
+// must never decide where a request goes, nor say yes to an order that is not in the file; it trusts nothing it reads there.
 
 import (
 	"bufio"
@@ -37,10 +37,10 @@
 	maxKnownNames         = 1 << 18 // names that the list has ever told
 )
 
-// out is one server's order: since when it was out, and when it was put back, 0 while it is out.
+// disabledEndpoint is one server's order: since when it was out, and when it was put back, 0 while it is out.
 type disabledEndpoint struct{ disabledAt, enabledAt int64 }
 
-// standingOrders is all of the orders at a time. One that others may see is never changed, only replaced.
+// overrideSet is all of the orders at a time. One that others may see is never changed, only replaced.
 type overrideSet struct {
 	drained   bool
 	endpoints map[string]disabledEndpoint
@@ -83,7 +83,7 @@
 	applied *overrideSet              // the orders that the decisions know; of the loop alone
 }
 
-// newOrders reads what stands from before. What can't be read is told and passed over; the node starts all the same.
+// newOverrides reads what stands from before. What can't be read is told and passed over; the node starts all the same.
 func newOverrides(n *Node) *overrides {
 	o := &overrides{node: n, path: filepath.Join(n.config.dir, n.fileName(".orders")), entries: map[string]*endpointEntry{}}
 	o.names.of = map[string]bool{}
@@ -102,12 +102,12 @@
 
 func (o *overrides) owner() string { c := o.node.config; return strconv.Quote(c.Name) + " " + c.Listen }
 
-// isOut tells whether a server was taken out; any goroutine may ask, and does so just before it writes to the server.
+// isDisabled tells whether a server was taken out; any goroutine may ask, and does so just before it writes to the server.
 func (o *overrides) isDisabled(id policy.EndpointID) bool { return o.current.Load().disabled[id] }
 
 func (o *overrides) drained() bool { return o.current.Load().drained }
 
-// listed tells whether the list has ever told of a server, or an order stands for it.
+// isKnown tells whether the list has ever told of a server, or an order stands for it.
 func (o *overrides) isKnown(name string) bool {
 	if _, had := o.current.Load().endpoints[name]; had {
 		return true
@@ -117,7 +117,7 @@
 	return o.names.of[name]
 }
 
-// tell notes names of the list; the longest known go first where there are too many.
+// rememberNames notes names of the list; the longest known go first where there are too many.
 func (o *overrides) rememberNames(names ...string) {
 	o.names.Lock()
 	defer o.names.Unlock()
@@ -216,14 +216,14 @@
 	return nil
 }
 
-// look takes in the file if it is another than before.
+// reload takes in the file if it is another than before.
 func (o *overrides) reload() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.reloadLocked()
 }
 
-// read takes in the file if it is another than before; the lock is held. A file that is not there changes nothing: it says that
+// reloadLocked takes in the file if it is another than before; the lock is held. A file that is not there changes nothing: it says that
 // nobody ordered anything yet, or that somebody cleared the folder.
 func (o *overrides) reloadLocked() {
 	info, err := os.Lstat(o.path)
@@ -263,7 +263,7 @@
 	o.node.log.Warn("orders of before passed over where they can't be read", zap.String("file", o.path), zap.Error(err))
 }
 
-// parseOrders reads a file of orders. With an error it returns what could be read all the same, nil if the file is not this node's.
+// parseOverrides reads a file of orders. With an error it returns what could be read all the same, nil if the file is not this node's.
 func parseOverrides(in io.Reader, whose string) (*overrideSet, error) {
 	s := &overrideSet{endpoints: map[string]disabledEndpoint{}}
 	lines := bufio.NewReader(in)
@@ -327,7 +327,7 @@
 	return name, one, nil
 }
 
-// set lets orders count, from this moment for hand-offs, and as soon as the loop comes to it for the decisions.
+// publish lets orders count, from this moment for attempts, and as soon as the loop comes to it for the decisions.
 func (o *overrides) publish(s *overrideSet) {
 	s.disabled = map[policy.EndpointID]bool{}
 	for name, one := range s.endpoints {
@@ -356,7 +356,7 @@
 	}
 }
 
-// over lays the orders over entries of the list, and remembers what the list said.
+// apply lays the orders over entries of the list, and remembers what the list said.
 func (o *overrides) apply(entries []endpointEntry, whole bool) []endpointEntry {
 	if whole {
 		o.entries = map[string]*endpointEntry{}
@@ -374,7 +374,7 @@
 	return laid
 }
 
-// over is one entry as the decisions are to see it.
+// apply is one entry as the decisions are to see it.
 func (o *overrideSet) apply(e endpointEntry) endpointEntry {
 	one, had := o.endpoints[e.name]
 	if !had || e.State == policy.StateRemoved {
@@ -389,7 +389,7 @@
 	return e
 }
 
-// list is what discovery last said of all, without the orders; of the loop alone.
+// encodeUnmodified is what discovery last said of all, without the orders; of the loop alone.
 func (o *overrides) encodeUnmodified() []byte {
 	entries := make([]endpointEntry, 0, len(o.entries))
 	for _, name := range slices.Sorted(maps.Keys(o.entries)) {
@@ -398,7 +398,7 @@
 	return encodeList(0, entries, o.node.settings.Zones)
 }
 
-// changed tells the entries that look another way under the present orders.
+// changedEntries tells the entries that look another way under the present orders.
 func (o *overrides) changedEntries() []endpointEntry {
 	before, now := o.applied, o.current.Load()
 	o.applied = now
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -1,6 +1,6 @@
 package node
 
-// This file owns the exchange, the one object in which client side and server side meet: a task as the client side
+// This file owns the exchange, the one object in which client side and server side meet: a request as the client side
 // read it, and the one answer that the client side is to write. It must never touch a socket, nor know which side
 // called it.
 
@@ -13,7 +13,7 @@
 	"fawnglade/policy"
 )
 
-// answer is what a client gets; status 0 stands for nothing, as the client has gone.
+// response is what a client gets; status 0 stands for nothing, as the client has gone.
 type response struct {
 	status     int
 	header     http.Header
@@ -44,7 +44,7 @@
 	return &pendingRequest{responses: make(chan response, 1), clientGone: func() bool { return false }}
 }
 
-// settle gives the exchange its one answer and tells whether this was it.
+// answer gives the exchange its one answer and tells whether this was it.
 func (x *pendingRequest) answer(a response) bool {
 	if !x.answered.CompareAndSwap(false, true) {
 		a.discard()
@@ -54,7 +54,7 @@
 	return true
 }
 
-// keep holds on to a task's message in the form in which it goes out.
+// bufferHead holds on to a request's message in the form in which it goes out.
 func (x *pendingRequest) bufferHead(r *http.Request) {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -70,20 +70,20 @@
 	x.head = b.Bytes()
 }
 
-// headFor is the task's head as it goes out, with the time that the node will wait for its answer.
+// headWithTimeout is the request's head as it goes out, with the time that the node will wait for its answer.
 func (x *pendingRequest) headWithTimeout(wait int64) []byte {
 	b := make([]byte, 0, len(x.head)+40)
 	b = append(append(append(b, x.head...), headerRemaining...), ": "...)
 	return append(strconv.AppendInt(b, max(1, wait/milli), 10), "\r\n\r\n"...)
 }
 
-// half tells whether the task's body is still coming, or ended before it was whole.
+// bodyIncomplete tells whether the request's body is still coming, or ended before it was whole.
 func (x *pendingRequest) bodyIncomplete() bool { return x.source != nil && !x.source.complete.Load() }
 
-// spent tells whether the task can't be sent again, as part of its body has gone to a server and is held no more.
+// bodyConsumed tells whether the request can't be sent again, as part of its body has gone to a server and is held no more.
 func (x *pendingRequest) bodyConsumed() bool { return x.source != nil && x.source.consumed.Load() }
 
-// text is the answer's head as it goes to the client, and whether its body goes in chunks.
+// encodeHead is the answer's head as it goes to the client, and whether its body goes in chunks.
 func (a *response) encodeHead(x *pendingRequest, last bool) (head []byte, chunks bool) {
 	b := bytes.NewBuffer(make([]byte, 0, 512))
 	b.WriteString("HTTP/1.1 " + strconv.Itoa(a.status) + " " + http.StatusText(a.status) + "\r\n")
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -31,7 +31,7 @@
 	storeDir          = "memory"
 )
 
-// state is nil where the node was given no directory.
+// persistence is nil where the node was given no directory.
 type persistence struct {
 	node *Node
 	dir  string
@@ -49,7 +49,7 @@
 	broken          atomic.Pointer[string]
 }
 
-// openState reads what a directory holds. What can't be read, or not in time, leaves the node without memory, which is told.
+// openPersistence reads what a directory holds. What can't be read, or not in time, leaves the node without memory, which is told.
 func openPersistence(n *Node) *persistence {
 	if n.config.state == "" {
 		return nil
@@ -128,7 +128,7 @@
 	s.node.log.Warn("memory", zap.String("what", what), zap.Error(err))
 }
 
-// write puts changes on the disk, one batch at a time. After a failure it opens the store anew once in a while, and writes all.
+// writeLoop puts changes on the disk, one batch at a time. After a failure it opens the store anew once in a while, and writes all.
 func (s *persistence) writeLoop(at *store.Store) {
 	defer close(s.done)
 	defer func() {
@@ -208,7 +208,7 @@
 	}
 }
 
-// askLearned has the loop say what the decisions have learned, when it comes to it, and the view who started when.
+// collectEstimates has the loop say what the decisions have learned, when it comes to it, and the view who started when.
 func (s *persistence) collectEstimates() {
 	var starts map[string]uint64
 	if s.node.members.query(func(m *members.Members, _ int64) { starts = m.Starts() }) == nil {
@@ -296,12 +296,12 @@
 	return out
 }
 
-// lay lays what is remembered over lines of a list, and has something done with them as they then are.
+// applyMemory lays what is remembered over lines of a list, and has something done with them as they then are.
 func (s *persistence) applyMemory(entries []endpointEntry, version int64, do func([]nodestate.Server)) []endpointEntry {
 	return s.applyBy(entries, do, func(lines []nodestate.Server) []nodestate.Server { return s.memory.Over(lines, version) })
 }
 
-// overOthers lays what is remembered over what another node has told.
+// applyToGossiped lays what is remembered over what another node has told.
 func (s *persistence) applyToGossiped(entries []endpointEntry, version int64) []endpointEntry {
 	if s == nil {
 		return entries
@@ -353,7 +353,7 @@
 	return s.memory.Starts()
 }
 
-// older hears from the others when they last knew this node to start.
+// noteLaterStart hears from the others when they last knew this node to start.
 func (s *persistence) noteLaterStart(start uint64) {
 	if s == nil {
 		return
@@ -366,7 +366,7 @@
 	}
 }
 
-// text tells how the memory does, for who asks.
+// statusJSON tells how the memory does, for who asks.
 func (s *persistence) statusJSON() string {
 	s.mu.Lock()
 	v := struct {
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestADiskThatHangsOrFails has no sync come back while tasks are done; let go, all is written; failing, it is told and tasks go on.
+// TestADiskThatHangsOrFails has no sync come back while requests are done; let go, all is written; failing, it is told and requests go on.
 func TestADiskThatHangsOrFails(t *testing.T) {
 	server, _ := serverOf(t, echo)
 	disk, dir := &badDisk{}, t.TempDir()
@@ -134,7 +134,7 @@
 		again := life(version)
 		before, asked := drained.Load(), 0
 		soon(t, "tasks at servers, which are taken for cold", func() bool {
-			asked++ // most are declined
+			asked++ // most are rejected
 			ask(t, again, "view", fmt.Sprint(version, "-", asked), "")
 			return asked > 40 && served.Load() > 2 && (!want || drained.Load() > before)
 		})
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -12,7 +12,7 @@
 	"fawnglade/policy"
 )
 
-// relayed is nil where no relays are followed.
+// relaySubscription is nil where no relays are followed.
 type relaySubscription = subscription.Following[endpointEntry]
 
 func newRelaySubscription(n *Node) (*relaySubscription, error) {
@@ -35,7 +35,7 @@
 		Passed: func(records int) { n.counters[listEntriesSkipped].Add(int64(records)) }})
 }
 
-// told takes in a line of discovery's watch.
+// discoveryUpdated takes in a line of discovery's watch.
 func (n *Node) discoveryUpdated(entries []endpointEntry, version int64, whole bool) {
 	if n.relays == nil {
 		n.applyList(entries, version, whole)
@@ -44,7 +44,7 @@
 	}
 }
 
-// goBy has the loop go by a list, or by what has changed in it, whoever told it.
+// applyList has the loop go by a list, or by what has changed in it, whoever told it.
 func (n *Node) applyList(entries []endpointEntry, version int64, whole bool) {
 	entries = n.persistence.listed(entries, version, whole)
 	if n.listGossip == nil {
@@ -56,7 +56,7 @@
 	n.endpointWatch.once.Do(func() { close(n.endpointWatch.firstHeard) })
 }
 
-// listWord is when the list that holds was last known to be told; 0: it is not.
+// listConfirmedAt is when the list that holds was last known to be told; 0: it is not.
 func (n *Node) listConfirmedAt() int64 {
 	return cmp.Or(n.relays.Word(), n.endpointWatch.lastHeard.Load())
 }
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -1,7 +1,7 @@
 package node
 
-// This file owns the server side: the connections to servers and the hand-offs on them. Each hand-off is one write
-// of one task on one connection and ends in exactly one result. It must never send a task a second time by itself,
+// This file owns the server side: the connections to servers and the attempts on them. Each attempt is one write
+// of one request on one connection and ends in exactly one result. It must never send a request a second time by itself,
 // nor use a connection again on which anything but a whole answer has come.
 
 import (
@@ -21,14 +21,14 @@
 	"fawnglade/policy"
 )
 
-// place is a server and where it is. An address alone would not do: a server may stand where another stood, and what
+// upstreamTarget is a server and where it is. An address alone would not do: a server may stand where another stood, and what
 // becomes of the old one must not touch connections to the new.
 type upstreamTarget struct {
 	endpoint policy.EndpointID
 	address  string
 }
 
-// handOff is one sending of a task to one server.
+// attempt is one sending of a request to one server.
 type attempt struct {
 	request       *pendingRequest
 	number        int
@@ -43,7 +43,7 @@
 	onCancel func() // wakes whatever it waits in
 }
 
-// stop ends the wait for the hand-off's answer.
+// cancel ends the wait for the attempt's answer.
 func (h *attempt) cancel() {
 	h.mu.Lock()
 	wake := h.onCancel
@@ -54,7 +54,7 @@
 	}
 }
 
-// waits sets what stop is to wake, nil for nothing, and tells whether it has not been stopped yet.
+// setOnCancel sets what stop is to wake, nil for nothing, and tells whether it has not been stopped yet.
 func (h *attempt) setOnCancel(wake func()) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,7 +70,7 @@
 	return h.canceled
 }
 
-// until sets by when a read or a write has to be over, by set; once the hand-off has been stopped that is now. Guards against
+// setDeadline sets by when a read or a write has to be over, by set; once the attempt has been stopped that is now. Guards against
 // a stop that comes just before one of those who carry it puts its own time in place of the stop's.
 func (h *attempt) setDeadline(set func(time.Time) error, end time.Time) error {
 	h.mu.Lock()
@@ -87,13 +87,13 @@
 	response      response
 	endedAt       int64
 	newConnection bool          // the connection was opened for it
-	uploadTime    int64         // the part of the time in which the task's body was still coming
+	uploadTime    int64         // the part of the time in which the request's body was still coming
 	conn          *upstreamConn // where a long answer is still coming
 	closes        bool          // the server closes it afterwards
 	clientGone    bool          // it was not written, as the client has gone
 }
 
-// stage is how far a hand-off had come.
+// attemptStage is how far an attempt had come.
 type attemptStage int
 
 const (
@@ -107,7 +107,7 @@
 	return [...]string{"not connected", "partly written", "written whole", "answering"}[s]
 }
 
-// handOffError is why a hand-off has no answer, and how far it had come.
+// attemptError is why an attempt has no answer, and how far it had come.
 type attemptError struct {
 	stage   attemptStage
 	stopped bool
@@ -117,7 +117,7 @@
 func (e *attemptError) Error() string { return fmt.Sprintf("%v: %v", e.stage, e.err) }
 func (e *attemptError) Unwrap() error { return e.err }
 
-// ownReason is why this node itself does not send; it says nothing of the server.
+// localError is why this node itself does not send; it says nothing of the server.
 type localError string
 
 func (r localError) Error() string { return string(r) }
@@ -132,7 +132,7 @@
 	errDedupWindowOver  localError = "the servers may have forgotten the hand-off before"
 )
 
-// outcome tells what the error proves: a server begins a task only when its last byte has come.
+// outcome tells what the error proves: a server begins a request only when its last byte has come.
 func (e *attemptError) outcome() policy.Outcome {
 	var own localError
 	switch {
@@ -153,7 +153,7 @@
 	target   upstreamTarget
 	idle     time.Time
 	stand    *list.Element // among all that are idle
-	rejected bool          // its last answer turned a task away
+	rejected bool          // its last answer turned a request away
 }
 
 type upstreams struct {
@@ -170,8 +170,8 @@
 	open     int
 	maxOpen  int // connections open or being opened
 
-	strayRest time.Duration // after an answer that may come again, before a connection carries the next task
-	lastStray atomic.Int64  // when more than belonged to a task's answer came last
+	strayRest time.Duration // after an answer that may come again, before a connection carries the next request
+	lastStray atomic.Int64  // when more than belonged to a request's answer came last
 
 	healthChecks chan struct{} // one for each probe that is out
 }
@@ -191,7 +191,7 @@
 }
 
 const (
-	// An answer may come a second time some milliseconds later, and nothing on it tells whose it is: the next task on that
+	// An answer may come a second time some milliseconds later, and nothing on it tells whose it is: the next request on that
 	// connection would be answered with it, or be sent again on its word that it never ran. Up to 5 ms were seen.
 	strayWindow       = 8 * time.Millisecond
 	strayMemory       = time.Minute // for so long all rest once more than an answer has come
@@ -199,7 +199,7 @@
 	maxIdleWorkersCap = 64
 )
 
-// allot sets how many connections there may be, and closes idle ones beyond that.
+// setLimit sets how many connections there may be, and closes idle ones beyond that.
 func (s *upstreams) setLimit(most int) {
 	s.maxIdleWorkers.Store(int64(min(maxIdleWorkersCap, max(most/idleWorkerShare, 1))))
 	s.mu.Lock()
@@ -208,7 +208,7 @@
 	s.trimIdleLocked()
 }
 
-// trim closes what is idle beyond the places of attempts, and gives back what they don't need of the clients'; the lock is held.
+// trimIdleLocked closes what is idle beyond the places of attempts, and gives back what they don't need of the clients'; the lock is held.
 func (s *upstreams) trimIdleLocked() {
 	for s.open > s.maxOpen && s.order.Len() > 0 {
 		s.closeOldestLocked(s.order.Front().Value.(*upstreamConn).target, 1)
@@ -217,8 +217,8 @@
 	lent.Add(min(0, int64(max(0, s.open-s.maxOpen))-lent.Load()))
 }
 
-// begin has a hand-off carried without waiting. A carrier that rests is taken before a new one: a goroutine that is
-// made for each hand-off grows its stack anew each time, a sixth of what a task costs the node.
+// start has an attempt carried without waiting. A carrier that rests is taken before a new one: a goroutine that is
+// made for each attempt grows its stack anew each time, a sixth of what a request costs the node.
 func (s *upstreams) start(h *attempt) {
 	select {
 	case s.work <- h:
@@ -227,7 +227,7 @@
 	}
 }
 
-// carrier carries one hand-off after another, and ends where enough others rest.
+// worker carries one attempt after another, and ends where enough others rest.
 func (s *upstreams) worker(h *attempt) {
 	for {
 		s.runAttempt(h)
@@ -240,7 +240,7 @@
 	}
 }
 
-// carry runs a hand-off from its start to its one result.
+// runAttempt runs an attempt from its start to its one result.
 func (s *upstreams) runAttempt(h *attempt) {
 	r := attemptResult{outcome: policy.OutcomeUnknown, report: parseLoadReport("")}
 	func() {
@@ -258,7 +258,7 @@
 	}
 }
 
-// settleFlow takes back the connection on which a long answer came, once that is over.
+// finishStream takes back the connection on which a long answer came, once that is over.
 func (s *upstreams) finishStream(whole bool, f *responseStream, c *upstreamConn, closes bool) {
 	f.message.end()
 	c.pace = nil
@@ -305,7 +305,7 @@
 		r, e := fail(at, err)
 		if e.stage == fullyWritten && e.outcome() == policy.OutcomeReset && !c.idle.IsZero() {
 			// Guards against a machine that was cut off and is back: it resets the connections from before only when
-			// they are used, and each would cost a task.
+			// they are used, and each would cost a request.
 			s.closeIdle(h.target)
 		}
 		return r, e
@@ -326,7 +326,7 @@
 			r.response.header.Set("Content-Length", length)
 		}
 	}
-	running := h.setOnCancel(nil) // from here on nobody wakes this hand-off
+	running := h.setOnCancel(nil) // from here on nobody wakes this attempt
 	if passed && !all && running {
 		s.node.counters.add(responsesStreamed)
 		whole = true // the connection is let go by whoever ends the flow
@@ -345,9 +345,9 @@
 	return r, nil
 }
 
-// hindrance tells why a hand-off must not be written, by what has become of its task and its server since the decisions chose it:
+// whyNotSend tells why an attempt must not be written, by what has become of its request and its server since the decisions chose it:
 // it may have stood in a queue or waited for its connection. It is asked last of all before the first byte, so that whatever
-// comes meanwhile is known here, and what comes later crosses a task that is on its way.
+// comes meanwhile is known here, and what comes later crosses a request that is on its way.
 func (s *upstreams) whyNotSend(h *attempt) error {
 	switch x := h.request; {
 	case x.answered.Load():
@@ -362,7 +362,7 @@
 	return nil
 }
 
-// stands tells whether a server may have something new where it is.
+// isEligible tells whether a server may have something new where it is.
 func (s *upstreams) isEligible(at upstreamTarget) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -370,7 +370,7 @@
 	return stands && address == at.address
 }
 
-// listed has a server stand at an address, or nowhere.
+// setAddress has a server stand at an address, or nowhere.
 func (s *upstreams) setAddress(server policy.EndpointID, address string, stands bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -379,8 +379,8 @@
 	}
 }
 
-// ask writes a task and reads the head of its answer. It tells how far that came, and how much of the time went by while
-// the task's body was still coming from its client.
+// writeAndReadHead writes a request and reads the head of its answer. It tells how far that came, and how much of the time went by while
+// the request's body was still coming from its client.
 func (s *upstreams) writeAndReadHead(c *upstreamConn, h *attempt) (r *http.Response, m *message, at attemptStage, flowed int64, err error) {
 	x, wait, to := h.request, h.deadline-s.node.clock.now(), &http.Request{Method: h.request.method}
 	if x.source == nil {
@@ -412,12 +412,12 @@
 	return r, m, partlyWritten, 0, nil
 }
 
-// early tells an answer that may come before the task's last byte was written: one that turns the task away.
+// isEarlyResponse tells an answer that may come before the request's last byte was written: one that turns the request away.
 func isEarlyResponse(r *http.Response) bool {
 	return outcomeOf(r.StatusCode, r.Header) == policy.OutcomeRejected || isRequestFault(r.StatusCode)
 }
 
-// why tells who is to blame for a body that did not go out whole.
+// blame tells who is to blame for a body that did not go out whole.
 func (u *upload) blame(x *pendingRequest, reading error) error {
 	switch {
 	case x.source.failure() != nil && !errors.Is(x.source.failure(), errBodyAbandoned):
@@ -428,7 +428,7 @@
 	return reading
 }
 
-// firstPart reads an answer whole if it is short, else its first part. One that does not tell how long it is counts as short
+// readFirstPart reads an answer whole if it is short, else its first part. One that does not tell how long it is counts as short
 // for a moment: what is spoilt mostly shows at once, and what comes slowly is not to be held back until it is known to be long.
 func (s *upstreams) readFirstPart(m *message) (body []byte, all bool, err error) {
 	if m.length > maxBufferedResponse {
@@ -450,7 +450,7 @@
 	return body, false, nil
 }
 
-// connection takes the connection to a server that was used last, as the others may then grow old and be closed,
+// acquire takes the connection to a server that was used last, as the others may then grow old and be closed,
 // or opens one.
 func (s *upstreams) acquire(h *attempt, limit time.Time) (*upstreamConn, error) {
 	to := h.target
@@ -496,7 +496,7 @@
 	return &upstreamConn{bufferedConn: newBufferedConn(raw), target: to}, nil
 }
 
-// take takes the connection used last, unless its answer may come again and it has not rested since: then one that has, or none.
+// takeIdle takes the connection used last, unless its answer may come again and it has not rested since: then one that has, or none.
 // To open another costs more than a rest does, so all rest only once something has come that nobody asked for.
 func (s *upstreams) takeIdle(from upstreamTarget) *upstreamConn {
 	s.mu.Lock()
@@ -515,14 +515,14 @@
 	return c
 }
 
-// strays notes that more than a task's answer has come on a connection.
+// noteStray notes that more than a request's answer has come on a connection.
 func (s *upstreams) noteStray(more bool) {
 	if more {
 		s.lastStray.Store(time.Now().UnixNano())
 	}
 }
 
-// reserve makes room for one more connection, if need be in place of the one that has been idle longest.
+// reserveSlot makes room for one more connection, if need be in place of the one that has been idle longest.
 func (s *upstreams) reserveSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -537,7 +537,7 @@
 	return true
 }
 
-// drop closes the n connections to a server that have been idle longest; the lock is held.
+// closeOldestLocked closes the n connections to a server that have been idle longest; the lock is held.
 func (s *upstreams) closeOldestLocked(from upstreamTarget, n int) {
 	list := s.idle[from]
 	for _, c := range list[:n] {
@@ -551,7 +551,7 @@
 	}
 }
 
-// keep puts a connection by, unless its server is not wanted any more: it would come back behind those that were closed for
+// putIdle puts a connection by, unless its server is not wanted any more: it would come back behind those that were closed for
 // that, and hold its place for nobody.
 func (s *upstreams) putIdle(c *upstreamConn) {
 	c.SetDeadline(time.Time{})
@@ -575,20 +575,20 @@
 	s.mu.Unlock()
 }
 
-// forget closes what is idle to a server that is no longer wanted, or no longer there.
+// closeIdle closes what is idle to a server that is no longer wanted, or no longer there.
 func (s *upstreams) closeIdle(old upstreamTarget) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closeOldestLocked(old, len(s.idle[old]))
 }
 
-// tooOld is when a connection must have been used last to be used again: well before the server would close it, as a
-// task written to one that the server has just closed may have run for all that can be known.
+// idleCutoff is when a connection must have been used last to be used again: well before the server would close it, as a
+// request written to one that the server has just closed may have run for all that can be known.
 func (s *upstreams) idleCutoff() time.Time {
 	return time.Now().Add(-time.Duration(s.node.settings.IdleTimeout) * 3 / 4)
 }
 
-// sweep closes connections that are too old, and those that their server has closed, as they hold descriptors.
+// closeExpired closes connections that are too old, and those that their server has closed, as they hold descriptors.
 func (s *upstreams) closeExpired() {
 	tooOld := s.idleCutoff()
 	s.mu.Lock()
--- a/internal/nodestate/nodestate.go
+++ b/internal/nodestate/nodestate.go
@@ -4,7 +4,7 @@
 //
 // The rules of trust, each a line of Trust or Over:
 //
-//   - A drain holds from the first task, however old, until the list says "up" after it, or the server's start is later. A list is
+//   - A drain holds from the first request, however old, until the list says "up" after it, or the server's start is later. A list is
 //     after it if its version is higher, or if it tells of any start later than the last moment of this memory.
 //   - A server that was up is taken for one that has just started: the power that went here may have gone there too. The list says
 //     otherwise as soon as it comes.
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -3,7 +3,7 @@
 // never change from one build to the next, or nodes of two builds would disagree.
 package rendezvous
 
-// Key is a key's part of the hash.
+// HashKey is a key's part of the hash.
 func HashKey(key string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(key) {
@@ -12,20 +12,20 @@
 	return h
 }
 
-// Of is where a server stands for a key; the higher the earlier.
+// Score is where a server stands for a key; the higher the earlier.
 func Score(key uint64, server uint32) uint64 {
 	h := (key ^ uint64(server)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>31) * 0x94d049bb133111eb
 	return h ^ h>>29
 }
 
-// Spread is a key for a number, as small ones lie too close together for the hash.
+// NumberKey is a key for a number, as small ones lie too close together for the hash.
 func NumberKey(number int) uint64 { return uint64(number+1) * 0x9e3779b97f4a7c15 }
 
-// Most is how many First finds at most.
+// MaxTop is how many First finds at most.
 const MaxTop = 32
 
-// First appends to found the n of all that stand highest, the highest first, and leaves out those whose rank is 0.
+// Top appends to found the n of all that stand highest, the highest first, and leaves out those whose rank is 0.
 func Top[T any](found, all []T, n int, rank func(T) uint64) []T {
 	var ranks [MaxTop]uint64
 	if n = min(n, MaxTop); n <= 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,7 @@
 	Policy policy.Settings
 
 	Classes, Tenants, Zones []string
-	Deadlines               []int64 // of a task that does not tell its own
+	Deadlines               []int64 // of a request that does not tell its own
 	ConnectTimeout          int64
 	IdleTimeout             int64
 	DrainGrace              int64 // sends to a draining server have to stop; 0: not told
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// quiet is a host that only notes the last hand-off.
+// quiet is a host that only notes the last attempt.
 type quiet struct {
 	server EndpointID
 	sent   bool
@@ -31,8 +31,8 @@
 
 var benchSettings = Settings{Classes: []Class{{LatencyObjective: 200 * ms}}, MayCancel: true, MaxAttempts: 4, SlowStartWindow: 20e9, SlowStartMinCapacity: 0.2}
 
-// BenchmarkTask is a task from its arrival to its answer, with 32 others out, a tick of the clock each second of
-// 20,000 tasks, and answers that bring a report and take their time.
+// BenchmarkTask is a request from its arrival to its answer, with 32 others out, a tick of the clock each second of
+// 20,000 requests, and answers that bring a report and take their time.
 func BenchmarkTask(b *testing.B) {
 	for _, n := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -63,7 +63,7 @@
 	speed                   float64
 	inFlight                int
 	failing, silent, full   bool
-	failsCategory           int // answers this category with errors only; -1: none
+	failsCategory           int // answers this class with errors only; -1: none
 	connected, servedBefore bool
 }
 
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -7,7 +7,7 @@
 	"testing/quick"
 )
 
-// sentOut is one hand-off as the plain model sees it.
+// sentOut is one attempt as the plain model sees it.
 type sentOut struct {
 	server  EndpointID
 	at      int64
@@ -36,8 +36,8 @@
 	broken  []string
 	cookies []uint64
 	told    []GossipMessage
-	coldFor map[EndpointID]float64 // hand-offs given to a server since it started cold
-	part    map[EndpointID]float64 // and its even part of all hand-offs, times what it surely can do
+	coldFor map[EndpointID]float64 // attempts given to a server since it started cold
+	part    map[EndpointID]float64 // and its even part of all attempts, times what it surely can do
 }
 
 func (w *world) fail(format string, a ...any) { w.broken = append(w.broken, fmt.Sprintf(format, a...)) }
@@ -164,7 +164,7 @@
 	return 1
 }
 
-// carried adds to each cold server's part what a warm fellow satisfied, or an arrival where none is warm.
+// carried adds to each cold server's part what a warm peer satisfied, or an arrival where none is warm.
 func (w *world) carried(by EndpointID) {
 	active, warm := 0.0, 0.0
 	for _, l := range w.list {
@@ -235,7 +235,7 @@
 	w.owed(t)
 }
 
-// owed checks that a task which is not over has work out: nothing else would ever answer it in time.
+// owed checks that a request which is not over has work out: nothing else would ever answer it in time.
 func (w *world) owed(t *modelTask) {
 	if t.over {
 		return
--- a/policy/move_test.go
+++ b/policy/move_test.go
@@ -14,7 +14,7 @@
 }
 
 // Guards against each of hundreds of nodes holding a connection to every server: servers took 76 to 120, and up to 65%
-// of the hand-offs got none.
+// of the attempts got none.
 func TestHundredsOfNodesSpreadOverTheServers(t *testing.T) {
 	const nodes, servers = 400, 50
 	sharing, moved := map[EndpointID]int{}, 0
@@ -81,7 +81,7 @@
 	}
 }
 
-// Guards against servers that leave one category unanswered and serve the others as usual.
+// Guards against servers that leave one class unanswered and serve the others as usual.
 func TestOneCategoryUnansweredStrikesItAlone(t *testing.T) {
 	b := fleet(t, 1, nil)
 	b.serve(60, prompt)
@@ -98,7 +98,7 @@
 	}
 }
 
-// Guards against a rerunnable task waiting for a silent server to its end where no second copy is allowed.
+// Guards against an idempotent request waiting for a silent server to its end where no hedged request is allowed.
 func TestOverdueTaskIsRecalledWhereNoCopiesAre(t *testing.T) {
 	b := fleet(t, 3, func(s *Settings) { s.MayHedge = false })
 	b.serve(60, prompt)
@@ -121,7 +121,7 @@
 	}
 }
 
-// Guards against heavy tasks being begun again and again: a server that has answered others meanwhile is at work.
+// Guards against heavy requests being begun again and again: a server that has answered others meanwhile is at work.
 func TestAHeavyTaskIsLeftWhereItIs(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		b := fleet(t, 1, func(s *Settings) { s.MayHedge = false })
@@ -173,7 +173,7 @@
 	}
 }
 
-// Guards against a node that comes by each server seldom: it lost a task to each before it learned that they die idle.
+// Guards against a node that comes by each server seldom: it lost a request to each before it learned that they die idle.
 func TestSilenceOnIdleConnectionsIsASignBeforeItEnds(t *testing.T) {
 	for _, most := range []int{1, 2} { // out at once at a server
 		b := fleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
@@ -303,12 +303,12 @@
 	}
 }
 
-// Guards against a spell that ends only once the servers have rested: in a long jam a node gives up all tasks for a
+// Guards against a spell that ends only once the servers have rested: in a long jam a node gives up all requests for a
 // while, once; a short one, as a burst makes, changes nothing.
 func TestALongJamIsGivenARestOnce(t *testing.T) {
 	b := fleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
 	b.serve(40, prompt)
-	for range 40 { // slow all the time, but nothing is turned away
+	for range 40 { // slow all the time, but nothing is rejected
 		b.Balancer.Fleet.A, b.Balancer.Fleet.Weight = 400, 40
 		b.now += recalculate
 		if b.tick(); b.restTo > 0 {
@@ -335,7 +335,7 @@
 	}
 }
 
-// Guards against servers that reset tasks for reasons of their own being taken for connections that die idle: closing
+// Guards against servers that reset requests for reasons of their own being taken for connections that die idle: closing
 // and opening connections all the time cost an incident half of its service.
 func TestResetsAmongLongLivedConnectionsAreNoSign(t *testing.T) {
 	b := fleet(t, 1, func(s *Settings) { s.StreamsPerConnection = 100 })
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,4 +1,4 @@
-// Package policy decides which server gets each task, and when a task is sent again, declined or broken off.
+// Package policy decides which server gets each request, and when a request is sent again, rejected or failed.
 //
 // New takes the settings, a seed and a Host; then call the one method for each thing that happens, in order,
 // and with the clock. It keeps no clock and starts nothing. docs/design.md tells what follows the paper.
@@ -26,27 +26,27 @@
 	farAway     = 6                    // w of a server in another zone is pushed up by this
 	learn       = 1.0 / 12             // part of a new value in a server's running means
 	highest     = 0.95                 // the quantile of answer times by which a server is judged
-	overrun     = 1.5                  // what a hand-off that timed out would have taken, over what it had
-	smallest    = 0.25                 // part of the mean work that a task counts for at least
+	overrun     = 1.5                  // what an attempt that timed out would have taken, over what it had
+	smallest    = 0.25                 // part of the mean work that a request counts for at least
 	nearest     = 0.1                  // the quantile that tells the way to a zone from the work
 	forget      = 0.5                  // part of what answers showed that still counts a second later
-	odd         = 3                    // an answer counts for at most this multiple of what its fellows show
+	odd         = 3                    // an answer counts for at most this multiple of what its peers show
 	failed      = 0.25                 // running part of failures that puts a server out of the draw
 	coldSafety  = 0.75                 // part of its fair part that a cold server gets, to err on the low side
-	surely      = 8                    // tasks that a warm server surely does at a time
-	copyPart    = 0.1                  // second copies for each task
+	surely      = 8                    // requests that a warm server surely does at a time
+	copyPart    = 0.1                  // hedged requests for each request
 	least       = 4                    // servers that a node draws from at least, and a further one
-	carries     = 8.0                  // for so many tasks a second
+	carries     = 8.0                  // for so many requests a second
 	sharers     = 16                   // nodes that draw from a server at least
 	chill       = 4                    // times its breadth of cold servers, or each send opens a connection
-	evenAt      = 0.4                  // where the worst category weighs so much, what work earns favours none
-	probeEach   = 32                   // tasks for which a server is probed
+	evenAt      = 0.4                  // where the worst class weighs so much, what work earns favours none
+	probeEach   = 32                   // requests for which a server is probed
 	shortIdle   = recalculate * 3 / 10 // a connection used so lately is not dead
-	voices      = 3                    // that a server fails a category, within about two seconds
+	voices      = 3                    // that a server fails a class, within about two seconds
 	grain       = 4                    // ticks of silence that tell nothing: the node may have stood still
 	jam         = 2.5                  // answer times over the work at which the fleet is jammed
-	inNeed      = 0.7                  // if the worst category also fares no better
-	longJam     = 9                    // seconds of it after which a node gives up all tasks for a while, once
+	inNeed      = 0.7                  // if the worst class also fares no better
+	longJam     = 9                    // seconds of it after which a node gives up all requests for a while, once
 	restFor     = recalculate * 5
 	window      = 32 // servers of which one is drawn at most, so that no fleet costs more
 
@@ -68,15 +68,15 @@
 	category     *Class
 	limit, soft  int64 // the last moments at which an answer still earns, and in full
 	handOffs     []handOff
-	open, crowds int // hand-offs out; what one counts for at its server
+	open, crowds int // attempts out; what one counts for at its server
 	cookie       uint64
-	over, beyond bool // beyond: its customer's share
+	over, beyond bool // beyond: its tenant's share
 	kinds        classdelay.Pair
 	key          uint64
 	homes        int // servers that its key is at home at; 0 where its work does not go by it
 }
 
-// standing is what a server showed of late in one category.
+// standing is what a server showed of late in one class.
 type standing struct {
 	failing, n, told            float64 // running part of failures; fading counts: over which, who say so
 	unfit                       bool
@@ -93,42 +93,42 @@
 
 	estimates.EndpointEstimates
 	recalculate, risingFrom int64      // recalculate: when next, if no report comes before
-	sends, out, turned      int        // since the last report; out now; turned away in a row
+	sends, out, turned      int        // since the last report; out now; rejected in a row
 	most                    int        // out at once since its idle connections were last closed
 	pod                     *ewma.Pair // the same of its pod, as one server is heard of once in many seconds
-	credit                  float64    // hand-offs that it has earned while cold
+	credit                  float64    // attempts that it has earned while cold
 	silentFrom, fullTill    int64
 }
 
-// Policy is one instance of the decisions.
+// Balancer is one instance of the decisions.
 type Balancer struct {
 	set            Settings
 	host           Effects
 	draws          *rand.Rand
 	cookies        uint64
 	started        bool
-	askWait, until int64 // until: by when the task being drawn for is to be answered
+	askWait, until int64 // until: by when the request being drawn for is to be answered
 
 	tasks         map[RequestID]*task
 	waking        map[uint64]*task
 	of            []estimates.ClassEstimates
 	shares        quota.Quotas
-	copies, rate  float64 // second copies that may still go out; tasks a second
-	arrived, asks int     // tasks since the last tick, and ever
+	copies, rate  float64 // hedged requests that may still go out; requests a second
+	arrived, asks int     // requests since the last tick, and ever
 
 	servers []*server // by rank
 	byID    map[EndpointID]*server
 	estimates.FleetEstimates
-	failing, warmth     float64 // part of failures of all; work of a task at its key's home, over that elsewhere
+	failing, warmth     float64 // part of failures of all; work of a request at its key's home, over that elsewhere
 	idle                idletimeout.Estimator
 	jammed, breadth     int       // seconds for which all have been late; how many servers to draw from
 	toldIdle, restTo    int64     // when that was told; until when this node gives the fleet a rest
-	cameAt              int64     // when a task came last
+	cameAt              int64     // when a request came last
 	near, chilly, drawn []*server // those; of these the cold ones; who takes part in the draw
 	keys                keyfreq.Counter
 	lags                *classdelay.Tracker
-	wait, active        float64   // for which the task being drawn waits anywhere, because of its kind; servers
-	homes               []*server // of the key of the task being drawn, the first by rank first
+	wait, active        float64   // for which the request being drawn waits anywhere, because of its kind; servers
+	homes               []*server // of the key of the request being drawn, the first by rank first
 	weights             []float64
 }
 
@@ -146,7 +146,7 @@
 	return p
 }
 
-// Learned is what this instance has learned; it shares memory with it.
+// Estimates is what this instance has learned; it shares memory with it.
 func (p *Balancer) Estimates() estimates.Snapshot {
 	all := estimates.Snapshot{FleetEstimates: p.FleetEstimates, Classes: p.of, Endpoints: map[uint32]estimates.Endpoint{}}
 	for _, s := range p.servers {
@@ -166,7 +166,7 @@
 	}
 }
 
-// ListLearned takes the server list, or what changed in it.
+// EndpointsUpdated takes the server list, or what changed in it.
 func (p *Balancer) EndpointsUpdated(now int64, list []EndpointInfo, whole bool) {
 	if !p.started {
 		p.started = true
@@ -190,7 +190,7 @@
 		if l.StartedAt > s.StartedAt || s.standing == nil {
 			before = l.State
 			// A new process: what was learned of the old one misleads. Where in its first part it stands is drawn,
-			// or hundreds of nodes that earn less than a hand-off never warm it, or all give theirs at one moment.
+			// or hundreds of nodes that earn less than an attempt never warm it, or all give theirs at one moment.
 			*s = server{out: s.out, near: s.near, credit: p.draws.Float64(), standing: make([]standing, len(p.of)),
 				rank: rendezvous.Score(rendezvous.NumberKey(p.set.NodeIndex), uint32(l.ID))}
 		}
@@ -213,13 +213,13 @@
 	}
 }
 
-// ListFailed asks again, after waits that grow but stay well within the time the rules allow.
+// WatchFailed asks again, after waits that grow but stay well within the time the rules allow.
 func (p *Balancer) WatchFailed(now int64) {
 	p.askWait = min(max(2*p.askWait, p.set.MaxPollInterval/64), p.set.MaxPollInterval/8)
 	p.host.SetTimer(now+p.askWait, listCookie)
 }
 
-// TaskArrived takes a new task.
+// RequestArrived takes a new request.
 func (p *Balancer) RequestArrived(now int64, arrived Request) {
 	c := &p.set.Classes[arrived.Class]
 	t := &task{Request: arrived, category: c, limit: arrived.Deadline, crowds: 1,
@@ -247,12 +247,12 @@
 
 func (p *Balancer) cost(t *task) float64 {
 	if t.CostHint > 0 {
-		return max(float64(t.CostHint), smallest*p.MeanWork) // guards against answers to tasks with hardly any work
+		return max(float64(t.CostHint), smallest*p.MeanWork) // guards against answers to requests with hardly any work
 	}
 	return cmp.Or(p.of[t.Request.Class].TypicalWork, p.MeanWork)
 }
 
-// send hands the task to a drawn server, or gives it up.
+// send hands the request to a drawn server, or gives it up.
 func (p *Balancer) send(now int64, t *task) {
 	if s := p.draw(now, t); s != nil {
 		p.handTo(now, t, s)
@@ -308,7 +308,7 @@
 	})
 }
 
-// giveUp answers at once: a decline where asking again does no harm, else a break-off.
+// giveUp answers at once: a reject where asking again does no harm, else a failure.
 func (p *Balancer) giveUp(now int64, t *task) {
 	if t.kinds.CountGivenUp(); t.kinds.Delay(now) < float64(t.category.LatencyObjective)/2 { // else others yield in vain
 		p.of[t.Request.Class].RecordResult(false)
@@ -321,7 +321,7 @@
 	p.end(t)
 }
 
-// end recalls what is still out for a task that has its answer, and forgets it once nothing is.
+// end recalls what is still out for a request that has its answer, and forgets it once nothing is.
 func (p *Balancer) end(t *task) {
 	t.over = true
 	for i := range t.handOffs {
@@ -335,7 +335,7 @@
 	}
 }
 
-// HandOffAnswered takes the end of a hand-off.
+// AttemptEnded takes the end of an attempt.
 func (p *Balancer) AttemptEnded(now int64, a AttemptResult) {
 	if s := p.byID[a.Endpoint]; s != nil {
 		p.report(now, s, &a.Report)
@@ -373,14 +373,14 @@
 	}
 }
 
-// TaskWithdrawn takes the news that the client has gone; work still out for it can earn nothing.
+// ClientGone takes the news that the client has gone; work still out for it can earn nothing.
 func (p *Balancer) ClientGone(_ int64, id RequestID) {
 	if t := p.tasks[id]; t != nil && !t.over {
 		p.end(t)
 	}
 }
 
-// Woken takes a timer that has come due.
+// TimerFired takes a timer that has come due.
 func (p *Balancer) TimerFired(now int64, cookie uint64) {
 	switch t := p.waking[cookie]; {
 	case cookie == listCookie:
@@ -393,20 +393,20 @@
 	}
 }
 
-// late tells the task's kinds of an answer that is late by who knows how much, if its connection is not why.
+// late tells the request's kinds of an answer that is late by who knows how much, if its connection is not why.
 func (p *Balancer) late(now int64, t *task, h *handOff) {
 	if !h.dead {
 		t.kinds.Observe(now, h.sentAt, math.Inf(1), h.alone)
 	}
 }
 
-// overdue takes a hand-off that should have been answered: its server is judged, and the task sent elsewhere.
+// overdue takes an attempt that should have been answered: its server is judged, and the request sent elsewhere.
 func (p *Balancer) overdue(now int64, t *task, number int) {
 	h := &t.handOffs[number]
 	p.unheard(now, h, OutcomeTimedOut)
 	p.late(now, t, h)
 	if h.server.silentFrom > h.sentAt && !h.blamed {
-		// Guards against servers that leave one category unanswered and serve the others.
+		// Guards against servers that leave one class unanswered and serve the others.
 		h.blamed = true
 		p.mark(now, h.server, t, 1, OutcomeError)
 	}
@@ -416,7 +416,7 @@
 			p.handTo(now, t, s)
 		}
 	} else if again && p.set.MayCancel && t.category.Idempotency == Idempotent && h.server.silentFrom <= h.sentAt {
-		p.host.Cancel(t.ID, number) // of one that answers others the task is heavy, and would be elsewhere
+		p.host.Cancel(t.ID, number) // of one that answers others the request is heavy, and would be elsewhere
 	}
 }
 
@@ -469,7 +469,7 @@
 	return cmp.Or(cost, p.MeanWork, 1) / cmp.Or(p.MeanWork, cost, 1)
 }
 
-// earnCold keeps the books on cold servers: with each task that a warm fellow satisfies one earns what it
+// earnCold keeps the books on cold servers: with each request that a warm peer satisfies one earns what it
 // surely can do of that even part, and pays for what it is given. Where few are warm arrivals count, not
 // to rest all on them; but no more than all nodes may give, or the first servers back are pushed over.
 func (p *Balancer) earnCold(now int64, by *server, cost float64) {
@@ -491,7 +491,7 @@
 	}
 }
 
-// allowed tells whether rules 2 and 3 let the task go to the server.
+// allowed tells whether rules 2 and 3 let the request go to the server.
 func (p *Balancer) allowed(now int64, t *task, s *server) bool {
 	if s.State != StateActive || len(t.handOffs) >= p.set.MaxAttempts {
 		return false
@@ -512,8 +512,8 @@
 	return true
 }
 
-// inDraw tells who takes part in a task's draw: the fit that will be in time by a high quantile. Where that
-// is nobody, the unfit do that this node hears often and has nothing out at: declining would help none.
+// inDraw tells who takes part in a request's draw: the fit that will be in time by a high quantile. Where that
+// is nobody, the unfit do that this node hears often and has nothing out at: rejecting would help none.
 func (p *Balancer) inDraw(now int64, t *task, s *server, nobody bool) bool {
 	n := len(t.handOffs)
 	if !p.allowed(now, t, s) || now < s.fullTill || n > 0 && t.handOffs[n-1].server == s ||
@@ -525,15 +525,15 @@
 	}
 	cost := p.cost(t) * p.warm(s)
 	if s.out > 0 && s.HasLatency && now-s.silentFrom > p.patience(s, max(cost, p.MeanWork)) {
-		return false // guards against servers that take tasks and answer nothing, and so report no load
+		return false // guards against servers that take requests and answer nothing, and so report no load
 	}
-	// A miss counts only for itself: a high quantile goes in as far as tasks are turned away.
+	// A miss counts only for itself: a high quantile goes in as far as requests are rejected.
 	spread := p.of[t.Request.Class].LatencySpread
 	took := float64(p.predict(s, cost*min(spread, 1+(spread-1)*(1-p.worst()))))
 	return took+p.wait <= float64(p.allowance(now, t))
 }
 
-// predict counts own hand-offs out double: what draws this node to a server draws its fellows too, unseen.
+// predict counts own attempts out double: what draws this node to a server draws its peers too, unseen.
 func (p *Balancer) predict(s *server, cost float64) int64 {
 	unit, crowd := p.expect(s)
 	return int64(p.ZoneDelay[s.Zone] + unit*cost*(1+2*float64(s.out))/(1+2*crowd))
@@ -547,7 +547,7 @@
 	return unit * pod * own, crowd
 }
 
-// patience is how long an answer may take, by the high quantile of the server or of its fit fellows.
+// patience is how long an answer may take, by the high quantile of the server or of its fit peers.
 func (p *Balancer) patience(s *server, cost float64) int64 {
 	high := p.HighLatency
 	if s.HasLatency && !s.shunned(s.silentFrom) {
@@ -558,12 +558,12 @@
 	return max(grain*p.set.ClockResolution, int64(2*(p.ZoneDelay[s.Zone]+cost)))
 }
 
-// worst is the satisfied part of the category that fares worst.
+// worst is the satisfied part of the class that fares worst.
 func (p *Balancer) worst() float64 {
 	return slices.MinFunc(p.of, func(a, b estimates.ClassEstimates) int { return cmp.Compare(a.SuccessRate, b.SuccessRate) }).SuccessRate
 }
 
-// dues works out which part of its time each category keeps in need, by what its work earns and by the goal.
+// dues works out which part of its time each class keeps in need, by what its work earns and by the goal.
 func (p *Balancer) dues() {
 	most, favour := math.SmallestNonzeroFloat64, max(0, 1-p.set.WorstClassWeight/evenAt)
 	for i := range p.of {
@@ -589,7 +589,7 @@
 }
 
 // draw picks a server with a chance proportional to 1/w among those that take part. Those that will be in
-// time for the soft limit come first.
+// time for the latency objective come first.
 func (p *Balancer) draw(now int64, t *task) *server {
 	if now >= t.limit || now < p.restTo {
 		return nil
@@ -633,7 +633,7 @@
 	return nil
 }
 
-// settle finds the homes of a task's key, on which nodes agree without talking: of the warm and fit the first
+// settle finds the homes of a request's key, on which nodes agree without talking: of the warm and fit the first
 // by a hash of both. Against each node gathering a key wherever it sent it first, so that nobody saves work.
 func (p *Balancer) settle(now int64, t *task) {
 	for _, s := range p.homes {
@@ -652,7 +652,7 @@
 	}
 }
 
-// warm is the work of the task being drawn at a server, over what it is where its key is not at home.
+// warm is the work of the request being drawn at a server, over what it is where its key is not at home.
 func (p *Balancer) warm(s *server) float64 {
 	if s.home {
 		return p.warmth
@@ -696,7 +696,7 @@
 			w /= s.Weight
 		}
 		if p.cold(now, s) < 1 {
-			w /= floorPart * floorPart // it has earned this hand-off; guards against never warming
+			w /= floorPart * floorPart // it has earned this attempt; guards against never warming
 		}
 		if s.home {
 			w /= floorPart * floorPart
@@ -736,21 +736,21 @@
 	}
 }
 
-// probe asks one server after another for its load, once in so many tasks, where answers bring none.
+// probe asks one server after another for its load, once in so many requests, where answers bring none.
 func (p *Balancer) probe() {
 	if p.asks++; p.set.MayCheckHealth && p.set.HealthChecksReport && p.asks%probeEach == 0 && len(p.near) > 0 {
 		p.host.CheckHealth(p.near[p.asks/probeEach%len(p.near)].ID)
 	}
 }
 
-// Probed takes what a probe brought.
+// HealthChecked takes what a probe brought.
 func (p *Balancer) HealthChecked(now int64, id EndpointID, o Outcome, r LoadReport) {
 	if s := p.byID[id]; s != nil && o == OutcomeSucceeded {
 		p.report(now, s, &r)
 	}
 }
 
-// judge learns from how a hand-off ended.
+// judge learns from how an attempt ended.
 func (p *Balancer) judge(now int64, t *task, h *handOff, a AttemptResult) {
 	s, c, took, bad := h.server, t.Request.Class, float64(a.Elapsed), 1.0
 	if o := a.Outcome; o != OutcomeTimedOut && o != OutcomeCanceled && o != OutcomeNotSent &&
@@ -771,7 +771,7 @@
 		if a.Outcome == OutcomeConnectFailed && h.gap == 0 {
 			p.idle.Reset() // guards against closing what stands open while nothing new can be had
 		}
-		// Guards against one that turns away at once using up all hand-offs: it is left alone, ever longer.
+		// Guards against one that rejects at once using up all attempts: it is left alone, ever longer.
 		s.turned = min(s.turned+1, 6)
 		wait := max(int64(p.MeanWork), int64(float64(recalculate)/(2*s.Latency.Weight+1)))
 		s.fullTill = now + wait<<(s.turned-1)
@@ -783,7 +783,7 @@
 			return
 		}
 	case OutcomeCanceled:
-		// Guards against a silent server that looks fit because second copies always overtake it.
+		// Guards against a silent server that looks fit because hedged requests always overtake it.
 		if a.Elapsed < p.patience(s, h.cost) || s.silentFrom > h.sentAt || h.wait > 0 {
 			return
 		}
@@ -793,7 +793,7 @@
 		}
 		// Guards against learning from the quick alone: what never answered took longer still.
 		if s.silentFrom > h.sentAt || odd*p.Fleet.Level()*h.cost > took {
-			// Guards against a silent server raising the bound for all, and its fellows' tasks being declined.
+			// Guards against a silent server raising the bound for all, and its peers' requests being rejected.
 			p.of[c].Calibrate(took*overrun, h.predicted)
 		}
 		p.timed(h, took*overrun)
@@ -829,13 +829,13 @@
 	}
 	c.ObserveWork(took)
 	h.cost = cmp.Or(h.cost, took)
-	p.MeanWork = cmp.Or(p.MeanWork, h.cost) // guards against other categories being set against next to nothing
+	p.MeanWork = cmp.Or(p.MeanWork, h.cost) // guards against other classes being set against next to nothing
 	p.MeanWork += (h.cost - p.MeanWork) / 32
 	p.timed(h, took)
 	p.earnCold(now, s, h.cost)
 }
 
-// unheard tells whether a hand-off found its connection dead: something between dropped it while it was idle.
+// unheard tells whether an attempt found its connection dead: something between dropped it while it was idle.
 func (p *Balancer) unheard(now int64, h *handOff, o Outcome) bool {
 	if o != OutcomeReset && o != OutcomeTimedOut && o != OutcomeCanceled || h.gap < shortIdle || h.server.silentFrom > h.sentAt ||
 		h.server.most > p.set.StreamsPerConnection { // which of many connections it was is not known here
@@ -844,14 +844,14 @@
 	if !h.dead { // silence is counted before its end, or a node that comes by seldom learns it too late
 		h.dead = true
 		p.sawDead(now, h.gap)
-		if p.set.StreamsPerConnection > 1 { // else it ends with the hand-off, and opening others in vain may be what is slow
+		if p.set.StreamsPerConnection > 1 { // else it ends with the attempt, and opening others in vain may be what is slow
 			p.release(h.server)
 		}
 	}
 	return o == OutcomeReset // silence may still be the server's own
 }
 
-// mark judges a server, in one category, by one more end of a hand-off.
+// mark judges a server, in one class, by one more end of an attempt.
 func (p *Balancer) mark(now int64, s *server, t *task, bad float64, o Outcome) {
 	st, part := &s.standing[t.Request.Class], learn
 	if bad == 0 || o == OutcomeError {
@@ -872,7 +872,7 @@
 	}
 }
 
-// lessWay takes off what answers from a zone take however little the work, or small tasks lock the zone out.
+// lessWay takes off what answers from a zone take however little the work, or small requests lock the zone out.
 func (p *Balancer) lessWay(h *handOff, took float64) float64 {
 	way, met := p.ZoneDelay[h.server.Zone]
 	if !met {
@@ -883,7 +883,7 @@
 	return max(took-way, h.cost/4)
 }
 
-// timed learns from how long a hand-off took.
+// timed learns from how long an attempt took.
 func (p *Balancer) timed(h *handOff, took float64) {
 	if h.cost == 0 {
 		return
@@ -901,7 +901,7 @@
 	s.HighLatency = max(mean, s.HighLatency+estimates.QuantileStep(unit > s.HighLatency, mean*learn, highest))
 }
 
-// age lets what was learned of a server that is no longer heard drift to what its fellows show.
+// age lets what was learned of a server that is no longer heard drift to what its peers show.
 func (p *Balancer) age(now int64) {
 	high, n := 0.0, 0.0
 	for _, s := range p.servers {
@@ -954,7 +954,7 @@
 // died counts connections that died idle.
 func (p *Balancer) died(gap int64) { p.idle.Confirm(gap, p.set.MayGossip, p.set.NodeCount) }
 
-// Told takes what another instance tells.
+// GossipReceived takes what another instance tells.
 func (p *Balancer) GossipReceived(now int64, n GossipMessage) {
 	s := p.byID[n.Endpoint]
 	switch {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -55,7 +55,7 @@
 	tasks int
 }
 
-// fleet starts a module with so many servers and three categories: rerunnable, ticketed in a pod, exclusive.
+// fleet starts a module with so many servers and three classes: idempotent, ticketed in a pod, exclusive.
 func fleet(t *testing.T, servers int, change func(*Settings)) *bench {
 	s := Settings{MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
 		SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10, Classes: []Class{
@@ -88,13 +88,13 @@
 		Elapsed: took, RequestDone: o == OutcomeSucceeded, Report: LoadReport{-1, -1, -1}})
 }
 
-// allow is the time that a task with so much left may be predicted to take.
+// allow is the time that a request with so much left may be predicted to take.
 func (b *bench) allow(t *task) int64 {
 	b.until = t.limit
 	return b.allowance(b.now, t)
 }
 
-// serve plays rerunnable tasks one after another, each answered as its server does.
+// serve plays idempotent requests one after another, each answered as its server does.
 func (b *bench) serve(tasks int, how func(EndpointID) (Outcome, int64)) {
 	for range tasks {
 		id := b.arrive(0)
@@ -284,7 +284,7 @@
 	b := fleet(t, 2, nil)
 	b.of[0].LatencySpread = 5
 	for range 10 {
-		b.serve(1, prompt) // a task now and then must not keep the bound up while most are turned away
+		b.serve(1, prompt) // a request now and then must not keep the bound up while most are rejected
 		b.of[0].GivenUpCount = 2
 		b.now += recalculate
 		b.tick()
@@ -460,7 +460,7 @@
 	}
 }
 
-// Guards against the way to another zone, the same for any task, being taken for slowness in proportion to the work.
+// Guards against the way to another zone, the same for any request, being taken for slowness in proportion to the work.
 func TestWayToAnotherZoneIsNotTakenForSlowness(t *testing.T) {
 	b := fleet(t, 0, nil)
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, Zone: 1, Weight: 1}, {ID: 2, Zone: 1, Weight: 1}}, true)
@@ -521,7 +521,7 @@
 	}
 }
 
-// Guards against a server that turns a part of its tasks away, idle as it is, being taken for a crowded one.
+// Guards against a server that turns a part of its requests away, idle as it is, being taken for a crowded one.
 func TestTurnedAwayWithAnEmptyQueueTeachesNoLateness(t *testing.T) {
 	for queue, late := range map[float64]bool{0: false, 3: true, -1: true} {
 		b := fleet(t, 1, nil)
@@ -538,8 +538,8 @@
 	}
 }
 
-// With a task out at each of a few servers and answers in microseconds, a moment in which the node itself stood still
-// made all of them look silent, and idle servers' tasks were declined: 57 of the first 50,000 with eight.
+// With a request out at each of a few servers and answers in microseconds, a moment in which the node itself stood still
+// made all of them look silent, and idle servers' requests were rejected: 57 of the first 50,000 with eight.
 func TestAMomentsStillnessDeclinesNothing(t *testing.T) {
 	q := &quiet{}
 	set := benchSettings
@@ -570,7 +570,7 @@
 
 // Guards against a jam of work that earns next to nothing holding up what earns fifty times as much.
 func TestWhatEarnsLittleGivesUpTimeInNeed(t *testing.T) {
-	for worst, kept := range map[float64]int64{0.2: 225, 0.4: 400} { // of 400 ms, with half turned away
+	for worst, kept := range map[float64]int64{0.2: 225, 0.4: 400} { // of 400 ms, with half rejected
 		b := fleet(t, 2, func(s *Settings) {
 			s.WorstClassWeight, s.WeightByWork = worst, true
 			s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight, s.Classes[2].PriorityWeight = 1, 4, 64
@@ -591,7 +591,7 @@
 	}
 }
 
-// Guards against a task whose body still comes being judged as a slow server's, counted as its crowd, or sent again when
+// Guards against a request whose body still comes being judged as a slow server's, counted as its crowd, or sent again when
 // part of its body is held no more.
 func TestTaskWhoseBodyStillComes(t *testing.T) {
 	for category, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
@@ -646,7 +646,7 @@
 		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: b.now}}, false)
 		b.now += 5e9
 		b.EndpointsUpdated(b.now, nil, false)
-		b.serve(1, prompt) // so that the cost of a task is known
+		b.serve(1, prompt) // so that the cost of a request is known
 		s := b.byID[4]
 		s.credit, s.Latency = 0, own
 		b.earnCold(b.now, b.byID[1], b.MeanWork)
@@ -696,7 +696,7 @@
 	}
 }
 
-// Guards against a home that is cold, unfit or jammed getting its keys' tasks all the same.
+// Guards against a home that is cold, unfit or jammed getting its keys' requests all the same.
 func TestAKeyLeavesAHomeThatIsNoUse(t *testing.T) {
 	b := fleet(t, 8, func(s *Settings) { s.KeyAffinity, s.Classes[0].LatencyObjective = true, 200*ms })
 	b.serve(40, prompt)
@@ -751,7 +751,7 @@
 }
 
 // Guards against the first servers back after a loss of power being pushed over: hundreds of nodes that find none warm share
-// their tasks out among those few, whatever these can do.
+// their requests out among those few, whatever these can do.
 func TestTheFirstServersBackAreNotPushedOver(t *testing.T) {
 	gained := func(nodes int) float64 {
 		b := fleet(t, 0, func(s *Settings) { s.NodeCount, s.SlowStartWindow, s.SlowStartMinCapacity = nodes, 20e9, 0.2 })
@@ -771,7 +771,7 @@
 		return sum / 20 // a second
 	}
 	one, many := gained(1), gained(300)
-	// In the 20 s the sure part is 0.6 in the mean. A warm server does surely tasks at a time, each taken for a quarter of the soft limit.
+	// In the 20 s the sure part is 0.6 in the mean. A warm server does surely requests at a time, each taken for a quarter of the latency objective.
 	const mean = 0.125 // s
 	if all := many * 300 * mean; all > surely*0.6 {
 		t.Errorf("all nodes together give a cold server %g of its time, no more than %g of what it surely does", all, surely*0.6)
--- a/policy/return_test.go
+++ b/policy/return_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A small world of servers, clients and nodes in which a trouble comes and goes. A server works on so many tasks at once and
-// keeps others waiting; a client that is declined asks again at once, twice at most.
+// A small world of servers, clients and nodes in which a trouble comes and goes. A server works on so many requests at once and
+// keeps others waiting; a client that is rejected asks again at once, twice at most.
 const (
 	places, room        = 8, 40
 	workMean            = 20 * ms
@@ -169,7 +169,7 @@
 func (n *worldNode) CheckHealth(EndpointID) {}
 func (n *worldNode) Gossip(GossipMessage)   {}
 
-// arrive has tasks come to a node, a second kind of either sort among four.
+// arrive has requests come to a node, a second kind of either sort among four.
 func (n *worldNode) arrive(every int64) {
 	a := &asking{since: n.now, category: n.IntN(4) / 3, customer: n.IntN(4) / 3}
 	n.smallWorld.asked[n.second(n.now)]++
@@ -208,8 +208,8 @@
 	return w
 }
 
-// Guards against beliefs that outlive their cause, and against the trouble of some being read as that of all: tasks were
-// declined by nine in ten for as long as a day lasted, for a category that had waited and no longer did.
+// Guards against beliefs that outlive their cause, and against the trouble of some being read as that of all: requests were
+// rejected by nine in ten for as long as a day lasted, for a class that had waited and no longer did.
 func TestServiceIsBackAfterATrouble(t *testing.T) {
 	for name, c := range map[string]struct {
 		nodes, within int // seconds after its end
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// What comes all at once: reports, another list, every server restarted, with 10,000 tasks out.
+// What comes all at once: reports, another list, every server restarted, with 10,000 requests out.
 func TestAllAtOnce(t *testing.T) {
 	const n = 1024
 	q := &quiet{}
@@ -126,7 +126,7 @@
 	}
 }
 
-// 100,000 tasks held at once, then none.
+// 100,000 requests held at once, then none.
 func TestManyHeld(t *testing.T) {
 	q := &quiet{}
 	p := New(benchSettings, 1, q)
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,7 +1,7 @@
 package policy
 
-// Ids are kept as they come. Repeat tells what running a task twice does, Group which servers drop a repeat
-// of a ticketed one, State what the list says of a server, Outcome how a hand-off or a probe ended.
+// Ids are kept as they come. Repeat tells what running a request twice does, Group which servers drop a repeat
+// of a ticketed one, State what the list says of a server, Outcome how an attempt or a probe ended.
 type (
 	RequestID     string
 	EndpointID    uint32
@@ -20,33 +20,33 @@
 	OutcomeTimedOut, OutcomeConnectFailed, OutcomeReset, OutcomeCanceled, OutcomeNotSent Outcome       = 4, 5, 6, 7, 8
 )
 
-// Category holds what is known of one category of tasks.
+// Class holds what is known of one class of requests.
 type Class struct {
 	LatencyObjective int64
 	Idempotency      Idempotency
 	DedupGroup       DedupGroup
 	DedupWindow      int64   // how long the group still drops a repeat
-	PriorityWeight   float64 // of a task, or of a unit of its work
-	LateFraction     float64 // share of the earnings paid between soft and hard limit
+	PriorityWeight   float64 // of a request, or of a unit of its work
+	LateFraction     float64 // share of the earnings paid between soft and deadline
 }
 
 // Settings are the figures the decisions read; all times are nanoseconds.
 type Settings struct {
 	Classes                                           []Class
-	TenantShares                                      []float64 // of each customer
-	OverQuotaFraction                                 float64   // earnings of a task beyond its customer's share
-	WorstClassWeight                                  float64   // what the worst category weighs in the goal, 0 to 1
+	TenantShares                                      []float64 // of each tenant
+	OverQuotaFraction                                 float64   // earnings of a request beyond its tenant's share
+	WorstClassWeight                                  float64   // what the worst class weighs in the goal, 0 to 1
 	Nines, TopNines                                   float64   // the weight of the nines in it, and how many are all; not used
 	NodeIndex, NodeCount                              int       // of this instance, and how many there are
-	StreamsPerConnection                              int       // tasks that a connection carries at once
+	StreamsPerConnection                              int       // requests that a connection carries at once
 	Zone, MaxAttempts                                 int
 	ClockResolution, MaxPollInterval, SlowStartWindow int64
 
 	MustPollList                                  bool // the list answers only when asked
 	RemovedMayServe                               bool // only a listing as draining binds
 	WeightIsSize                                  bool // the list's weight is a size
-	KeyAffinity                                   bool // who met a task's key lately does it for less work
-	WeightByWork                                  bool // a task's earnings go by its work
+	KeyAffinity                                   bool // who met a request's key lately does it for less work
+	WeightByWork                                  bool // a request's earnings go by its work
 	MayHedge, MayCancel, MaySetRetryAfter         bool
 	MayGossip, MayCheckHealth, HealthChecksReport bool // messages to other instances; probes; only these bring reports
 	ReportsUtilization, ReportsServiceTime        bool // in reports: utilisation, service time
@@ -55,7 +55,7 @@
 	SlowStartMinCapacity float64
 }
 
-// Listed is one line of the server list.
+// EndpointInfo is one line of the server list.
 type EndpointInfo struct {
 	ID        EndpointID
 	Zone, Pod int
@@ -64,7 +64,7 @@
 	StartedAt int64 // 0: long ago
 }
 
-// Task is one task as it arrives.
+// Request is one request as it arrives.
 type Request struct {
 	ID                         RequestID
 	Class, Tenant              int
@@ -74,29 +74,29 @@
 	Key                        string // what it concerns; may be empty
 }
 
-// Report holds the load values that came with an answer; a negative one was not sent.
+// LoadReport holds the load values that came with an answer; a negative one was not sent.
 type LoadReport struct{ Utilization, QueueLength, ServiceTime float64 }
 
-// Answer tells how one hand-off ended.
+// AttemptResult tells how one attempt ended.
 type AttemptResult struct {
 	Request                   RequestID
-	Attempt                   int // which hand-off of its task, from 0
+	Attempt                   int // which attempt of its request, from 0
 	Endpoint                  EndpointID
 	Outcome                   Outcome
 	Elapsed                   int64
-	RequestDone, BodyConsumed bool // the task has its final answer; it can't be sent again, as its body is held no more
+	RequestDone, BodyConsumed bool // the request has its final answer; it can't be sent again, as its body is held no more
 	NewConnection             bool // a connection was opened for it, which takes a time of its own
 	Report                    LoadReport
 }
 
-// News is what one instance tells the others: a server fails a category, or a connection was dead when used.
+// GossipMessage is what one instance tells the others: a server fails a class, or a connection was dead when used.
 type GossipMessage struct {
 	Endpoint EndpointID
 	Class    int
 	IdleTime int64 // for how long the connection had stood; 0: a server fails
 }
 
-// Host does what the decisions ask for. Calls take effect at the time of the event being handled.
+// Effects does what the decisions ask for. Calls take effect at the time of the event being handled.
 type Effects interface {
 	Send(task RequestID, server EndpointID, timeOut int64)
 	Cancel(task RequestID, number int)
