--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"testing"
+	"time"
 
 	"fawnglade/internal/golden"
 	"fawnglade/policy"
@@ -13,7 +14,7 @@
 	const now = 1_700_000_000_123 * milli
 	for name, sent := range map[string]policy.GossipMessage{
 		"server-fails.bin":    {Endpoint: 0xfedcba98, Class: 3},
-		"idle-connection.bin": {IdleTime: 4_321_000 * micro},
+		"idle-connection.bin": {IdleTime: 4_321_000 * time.Microsecond},
 	} {
 		message := Encode(sent, now)
 		golden.Check(t, name, message)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -8,6 +8,7 @@
 	"errors"
 	"maps"
 	"math"
+	"time"
 
 	"fawnglade/policy"
 )
@@ -38,7 +39,7 @@
 func Encode(n policy.GossipMessage, now int64) []byte {
 	kind, numbers := byte(fails), []uint64{uint64(now / milli), uint64(n.Endpoint), uint64(n.Class)}
 	if n.IdleTime > 0 {
-		kind, numbers = idle, []uint64{uint64(now / milli), uint64(n.IdleTime / micro)}
+		kind, numbers = idle, []uint64{uint64(now / milli), uint64(n.IdleTime / time.Microsecond)}
 	}
 	message := []byte{version, kind}
 	for _, v := range numbers {
@@ -66,7 +67,7 @@
 	told = int64(numbers[0]) * milli
 	switch numbers = numbers[1:]; {
 	case message[1] == idle && len(numbers) == 1 && numbers[0] > 0 && numbers[0] < 1<<32:
-		return policy.GossipMessage{IdleTime: int64(numbers[0]) * micro}, told, nil
+		return policy.GossipMessage{IdleTime: time.Duration(numbers[0]) * time.Microsecond}, told, nil
 	case message[1] == fails && len(numbers) == 2 && numbers[0] <= math.MaxUint32 && numbers[1] < math.MaxInt32:
 		return policy.GossipMessage{Endpoint: policy.EndpointID(numbers[0]), Class: int(numbers[1])}, told, nil
 	}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -37,7 +37,7 @@
 }
 
 const (
-	second    = int64(1e9)
+	second    = 1_000_000_000 // nanoseconds
 	lookEach  = second / 4
 	lateBy    = second / 2
 	decay     = 10e9 // of peak-ewma, nanoseconds
@@ -55,7 +55,7 @@
 	policy.EndpointInfo
 	out          int
 	cost         float64 // peak-ewma
-	at           int64
+	at           policy.Time
 	held, worked float64 // late-seeing: as it was then
 	up           bool
 }
@@ -69,7 +69,7 @@
 }
 
 type seen struct {
-	at   int64
+	at   policy.Time
 	of   policy.EndpointID
 	load float64
 	took float64
@@ -95,7 +95,7 @@
 }
 
 type look struct {
-	at    int64
+	at    policy.Time
 	state map[policy.EndpointID][2]float64 // held, capacity; absent if it is not up
 }
 
@@ -108,7 +108,7 @@
 }
 
 // ListLearned takes the list, or what has changed in it.
-func (p *Plain) EndpointsUpdated(now int64, list []policy.EndpointInfo, whole bool) {
+func (p *Plain) EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, whole bool) {
 	if whole {
 		for _, s := range p.servers {
 			s.State = policy.StateRemoved
@@ -139,10 +139,10 @@
 }
 
 // ListFailed asks again a second later.
-func (p *Plain) WatchFailed(now int64) { p.host.SetTimer(now+listAgain, listCookie) }
+func (p *Plain) WatchFailed(now policy.Time) { p.host.SetTimer(now+listAgain, listCookie) }
 
 // Woken takes a timer.
-func (p *Plain) TimerFired(now int64, cookie uint64) {
+func (p *Plain) TimerFired(now policy.Time, cookie uint64) {
 	if cookie == listCookie {
 		p.host.WatchEndpoints()
 		return
@@ -151,7 +151,7 @@
 }
 
 // look notes the true state, to be used later.
-func (p *Plain) look(now int64) {
+func (p *Plain) look(now policy.Time) {
 	state := map[policy.EndpointID][2]float64{}
 	for _, s := range p.servers {
 		if held, can, up := p.see.Holds(p.node, s.ID); up {
@@ -166,7 +166,7 @@
 }
 
 // TaskArrived sends a task.
-func (p *Plain) RequestArrived(now int64, arrived policy.Request) {
+func (p *Plain) RequestArrived(now policy.Time, arrived policy.Request) {
 	t := &task{Request: arrived}
 	p.tasks[t.ID] = t
 	if p.kind == "hot-cold" && p.set.MayCheckHealth && len(p.servers) > 0 {
@@ -178,14 +178,14 @@
 }
 
 // cold is the part of its capacity that a server surely has.
-func (p *Plain) cold(now int64, s *server) float64 {
-	if age := now - s.StartedAt; s.StartedAt != 0 && age < p.set.SlowStartWindow {
+func (p *Plain) cold(now policy.Time, s *server) float64 {
+	if age := now - s.StartedAt; s.StartedAt != 0 && age < policy.Time(p.set.SlowStartWindow) {
 		return p.set.SlowStartMinCapacity + (1-p.set.SlowStartMinCapacity)*float64(max(age, 0))/float64(p.set.SlowStartWindow)
 	}
 	return 1
 }
 
-func (p *Plain) send(now int64, t *task) {
+func (p *Plain) send(now policy.Time, t *task) {
 	c := &p.set.Classes[t.Class]
 	limit := t.Deadline
 	var fit []*server
@@ -212,10 +212,10 @@
 	t.tried = append(t.tried, s.ID)
 	t.open++
 	s.out++
-	p.host.Send(t.ID, s.ID, limit-now)
+	p.host.Send(t.ID, s.ID, limit.Sub(now))
 }
 
-func (p *Plain) pick(now int64, t *task, fit []*server) *server {
+func (p *Plain) pick(now policy.Time, t *task, fit []*server) *server {
 	if len(fit) == 0 {
 		return nil
 	}
@@ -265,14 +265,14 @@
 	return best
 }
 
-func (p *Plain) decayed(now int64, s *server) float64 {
+func (p *Plain) decayed(now policy.Time, s *server) float64 {
 	if s.cost == 0 {
 		return 1e6 // unheard: quick, until it shows otherwise
 	}
 	return s.cost * math.Exp(-float64(now-s.at)/decay)
 }
 
-func (p *Plain) hotCold(now int64, fit []*server, any func() *server) *server {
+func (p *Plain) hotCold(now policy.Time, fit []*server, any func() *server) *server {
 	for len(p.pool) > 0 && now-p.pool[0].at > poolAge {
 		p.pool = p.pool[1:]
 	}
@@ -327,7 +327,7 @@
 }
 
 // seeing is the earliest end by the true state, unless that is too late.
-func (p *Plain) seeing(now int64, t *task, fit []*server) *server {
+func (p *Plain) seeing(now policy.Time, t *task, fit []*server) *server {
 	work := p.work[t.Class]
 	if t.CostHint > 0 {
 		work = float64(t.CostHint)
@@ -383,7 +383,7 @@
 }
 
 // HandOffAnswered takes the end of a hand-off.
-func (p *Plain) AttemptEnded(now int64, a policy.AttemptResult) {
+func (p *Plain) AttemptEnded(now policy.Time, a policy.AttemptResult) {
 	if s := p.byID[a.Endpoint]; s != nil {
 		s.out--
 		p.heard(now, s, a)
@@ -404,7 +404,7 @@
 	}
 }
 
-func (p *Plain) heard(now int64, s *server, a policy.AttemptResult) {
+func (p *Plain) heard(now policy.Time, s *server, a policy.AttemptResult) {
 	took := float64(a.Elapsed)
 	if a.Outcome == policy.OutcomeSucceeded || a.Outcome == policy.OutcomeTimedOut {
 		old := p.decayed(now, s)
@@ -427,7 +427,7 @@
 	}
 }
 
-func (p *Plain) reported(now int64, s *server, r policy.LoadReport, took float64) {
+func (p *Plain) reported(now policy.Time, s *server, r policy.LoadReport, took float64) {
 	load := max(r.QueueLength, 0) + max(r.Utilization, 0) + float64(s.out)
 	if r.ServiceTime >= 0 {
 		took = r.ServiceTime * 1e6
@@ -438,7 +438,7 @@
 }
 
 // TaskWithdrawn takes the news that the client has gone.
-func (p *Plain) ClientGone(_ int64, id policy.RequestID) {
+func (p *Plain) ClientGone(_ policy.Time, id policy.RequestID) {
 	t := p.tasks[id]
 	if t == nil {
 		return
@@ -454,11 +454,11 @@
 }
 
 // Probed takes what a probe brought.
-func (p *Plain) HealthChecked(now int64, id policy.EndpointID, o policy.Outcome, r policy.LoadReport) {
+func (p *Plain) HealthChecked(now policy.Time, id policy.EndpointID, o policy.Outcome, r policy.LoadReport) {
 	if s := p.byID[id]; s != nil && o == policy.OutcomeSucceeded {
 		p.reported(now, s, r, s.cost)
 	}
 }
 
 // Told passes news over: no baseline heeds any.
-func (p *Plain) GossipReceived(int64, policy.GossipMessage) {}
+func (p *Plain) GossipReceived(policy.Time, policy.GossipMessage) {}
--- a/internal/lab/scale/decisions.go
+++ b/internal/lab/scale/decisions.go
@@ -7,14 +7,15 @@
 	"fmt"
 	"runtime"
 	"slices"
+	"time"
 
 	"fawnglade/policy"
 )
 
 const (
-	ms         = int64(1e6)
-	tickCookie = 1 // of the decisions' own clock, each second
-	longAgo    = int64(1e12)
+	ms         = 1_000_000   // nanoseconds
+	tickCookie = 1           // of the decisions' own clock, each second
+	longAgo    = int64(1e12) // a moment, in nanoseconds
 )
 
 // host notes the last attempt, and does nothing.
@@ -23,15 +24,17 @@
 	sent   bool
 }
 
-func (h *host) Send(_ policy.RequestID, s policy.EndpointID, _ int64) { h.server, h.sent = s, true }
-func (*host) Cancel(policy.RequestID, int)                            {}
-func (*host) Reject(policy.RequestID, int64)                          {}
-func (*host) Fail(policy.RequestID)                                   {}
-func (*host) SetTimer(int64, uint64)                                  {}
-func (*host) WatchEndpoints()                                         {}
-func (*host) CloseIdle(policy.EndpointID)                             {}
-func (*host) CheckHealth(policy.EndpointID)                           {}
-func (*host) Gossip(policy.GossipMessage)                             {}
+func (h *host) Send(_ policy.RequestID, s policy.EndpointID, _ time.Duration) {
+	h.server, h.sent = s, true
+}
+func (*host) Cancel(policy.RequestID, int)           {}
+func (*host) Reject(policy.RequestID, time.Duration) {}
+func (*host) Fail(policy.RequestID)                  {}
+func (*host) SetTimer(policy.Time, uint64)           {}
+func (*host) WatchEndpoints()                        {}
+func (*host) CloseIdle(policy.EndpointID)            {}
+func (*host) CheckHealth(policy.EndpointID)          {}
+func (*host) Gossip(policy.GossipMessage)            {}
 
 func listOf(n int) []policy.EndpointInfo {
 	list := make([]policy.EndpointInfo, n)
@@ -58,11 +61,11 @@
 
 // requests has an instance do requests at a node's part of the peak, 32 out at a time, its tick each second between them, and returns
 // the processor time of each request, seconds, in order: so many, or as many as fit into a time, but leastRequests.
-func requests(p *policy.Balancer, h *host, d *Design, now int64, n, tenants, classes int, long float64) []float64 {
+func requests(p *policy.Balancer, h *host, d *Design, now policy.Time, n, tenants, classes int, long float64) []float64 {
 	type out struct {
 		id     policy.RequestID
 		server policy.EndpointID
-		at     int64
+		at     policy.Time
 	}
 	var ring [32]out
 	ids := make([]policy.RequestID, n)
@@ -71,19 +74,19 @@
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	took, began, apart, tick := make([]float64, 0, n), threadTime(), int64(float64(second)*d.Nodes/d.Requests), now
+	took, began, apart, tick := make([]float64, 0, n), threadTime(), policy.Time(float64(second)*d.Nodes/d.Requests), now
 	for i, id := range ids {
 		if i >= leastRequests && threadTime()-began > long {
 			break
 		}
-		if now += apart; now-tick >= second {
+		if now += apart; now.Sub(tick) >= time.Second {
 			tick = now
 			p.TimerFired(now, tickCookie)
 		}
 		r := &ring[i%len(ring)]
 		from := threadTime()
 		if r.id != "" {
-			p.AttemptEnded(now, policy.AttemptResult{Request: r.id, Endpoint: r.server, Outcome: policy.OutcomeSucceeded, Elapsed: now - r.at + int64(i%7)*ms/4, RequestDone: true,
+			p.AttemptEnded(now, policy.AttemptResult{Request: r.id, Endpoint: r.server, Outcome: policy.OutcomeSucceeded, Elapsed: now.Sub(r.at) + time.Duration(i%7)*ms/4, RequestDone: true,
 				Report: policy.LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1}})
 		}
 		h.sent = false
@@ -137,7 +140,7 @@
 			before := inUse()
 			h := &host{}
 			p := policy.New(settingsOf(3, 0), 1, h)
-			now := longAgo
+			now := policy.Time(longAgo)
 			p.EndpointsUpdated(now, listOf(n), true)
 			v["memory"] = inUse() - before
 			list := listOf(n)
@@ -232,7 +235,7 @@
 	before := inUse()
 	h := &host{}
 	p := policy.New(settingsOf(classes, tenants), 1, h)
-	now := longAgo
+	now := policy.Time(longAgo)
 	p.EndpointsUpdated(now, listOf(servers), true)
 	v["memory"] = inUse() - before
 	v["tick"] = 100 * each(3, long, func(int) {
@@ -269,7 +272,7 @@
 			all := make([]*policy.Balancer, int(size))
 			list := listOf(servers * len(all))
 			before := inUse()
-			now := longAgo
+			now := policy.Time(longAgo)
 			for i := range all {
 				all[i] = policy.New(settingsOf(3, 0), uint64(i), &host{})
 				all[i].EndpointsUpdated(now, list[i*servers:(i+1)*servers], true)
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -21,14 +21,14 @@
 
 // Decider is what decides at one node: the module, or a baseline. Times are Unix nanoseconds of the node's own clock.
 type Decider interface {
-	EndpointsUpdated(now int64, list []policy.EndpointInfo, whole bool)
-	WatchFailed(now int64)
-	RequestArrived(now int64, t policy.Request)
-	AttemptEnded(now int64, a policy.AttemptResult)
-	ClientGone(now int64, id policy.RequestID)
-	TimerFired(now int64, cookie uint64)
-	HealthChecked(now int64, server policy.EndpointID, o policy.Outcome, r policy.LoadReport)
-	GossipReceived(now int64, n policy.GossipMessage)
+	EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, whole bool)
+	WatchFailed(now policy.Time)
+	RequestArrived(now policy.Time, t policy.Request)
+	AttemptEnded(now policy.Time, a policy.AttemptResult)
+	ClientGone(now policy.Time, id policy.RequestID)
+	TimerFired(now policy.Time, cookie uint64)
+	HealthChecked(now policy.Time, server policy.EndpointID, o policy.Outcome, r policy.LoadReport)
+	GossipReceived(now policy.Time, n policy.GossipMessage)
 }
 
 // Truth is the state of all servers, for deciders that are there to measure against.
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -87,7 +87,7 @@
 				zone = z
 			}
 		}
-		out = append(out, policy.EndpointInfo{ID: m.id, Zone: zone, Pod: m.spec.Pod, Weight: 1, StartedAt: l.Started,
+		out = append(out, policy.EndpointInfo{ID: m.id, Zone: zone, Pod: m.spec.Pod, Weight: 1, StartedAt: policy.Time(l.Started),
 			State: [...]policy.EndpointState{model.Up: policy.StateActive, model.Draining: policy.StateDraining, model.Removed: policy.StateRemoved}[l.Health]})
 	}
 	return out
@@ -202,7 +202,7 @@
 		return
 	}
 	if n.set.Policy.MustPollList {
-		n.enter(func() { n.decider.WatchFailed(n.clock()) })
+		n.enter(func() { n.decider.WatchFailed(policy.Time(n.clock())) })
 		n.failures++
 		last := n.failures
 		d.in(mostApart, func() {
@@ -288,7 +288,7 @@
 	}
 	list := s.entries(entries)
 	n.enter(func() {
-		n.decider.EndpointsUpdated(n.clock(), list, whole)
+		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
 		for _, l := range list {
 			if l.State != policy.StateActive && !n.set.Policy.RemovedMayServe {
 				n.CloseIdle(l.ID)
--- a/internal/lab/simulation/hearsay.go
+++ b/internal/lab/simulation/hearsay.go
@@ -56,7 +56,7 @@
 		list = append(list, n.day.discovery.entries([]model.Listed{{Server: server, Health: health, Started: l.Started}})...)
 	}
 	n.enter(func() {
-		n.decider.EndpointsUpdated(n.clock(), list, whole)
+		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
 		for _, l := range list {
 			if l.State != policy.StateActive && !n.set.Policy.RemovedMayServe {
 				n.CloseIdle(l.ID)
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -142,7 +142,7 @@
 	} else {
 		d.discovery.tell(n, list, true)
 	}
-	n.enter(func() { n.decider.EndpointsUpdated(n.clock(), d.discovery.entries(list), true) })
+	n.enter(func() { n.decider.EndpointsUpdated(policy.Time(n.clock()), d.discovery.entries(list), true) })
 	if !n.set.Policy.MustPollList {
 		n.call()
 	}
@@ -235,12 +235,12 @@
 			task := t.task
 			id := policy.RequestID(t.id)
 			n.tasks[id] = x
-			p := policy.Request{ID: id, Class: task.Category, Tenant: max(task.Customer, 0), Deadline: n.clock() + t.hard - n.day.now, ClientRetry: t.n > 0,
-				CostHint: task.Estimate}
+			p := policy.Request{ID: id, Class: task.Category, Tenant: max(task.Customer, 0), Deadline: policy.Time(n.clock() + t.hard - n.day.now), ClientRetry: t.n > 0,
+				CostHint: time.Duration(task.Estimate)}
 			if task.Key >= 0 && n.set.Policy.KeyAffinity {
 				p.Key = fmt.Sprint("k", task.Key)
 			}
-			n.decider.RequestArrived(n.clock(), p)
+			n.decider.RequestArrived(policy.Time(n.clock()), p)
 		})
 	})
 }
@@ -254,7 +254,7 @@
 		}
 		x.settled = true
 		if n.tasks[id] == x {
-			n.decider.ClientGone(n.clock(), id)
+			n.decider.ClientGone(policy.Time(n.clock()), id)
 			n.release(x)
 		}
 	})
@@ -308,8 +308,8 @@
 			if o == policy.OutcomeSucceeded {
 				n.settle(x, 200, 0)
 			}
-			n.decider.AttemptEnded(n.clock(), policy.AttemptResult{Request: policy.RequestID(x.try.id), Attempt: h.number, Endpoint: h.m.id, Outcome: o,
-				Elapsed: max(at-h.sentAt, 0), RequestDone: x.settled, NewConnection: fresh, Report: report})
+			n.decider.AttemptEnded(policy.Time(n.clock()), policy.AttemptResult{Request: policy.RequestID(x.try.id), Attempt: h.number, Endpoint: h.m.id, Outcome: o,
+				Elapsed: time.Duration(max(at-h.sentAt, 0)), RequestDone: x.settled, NewConnection: fresh, Report: report})
 			n.release(x)
 		})
 	})
@@ -323,7 +323,7 @@
 	k.idleSince = n.day.now
 	n.idle[k.m] = append(n.idle[k.m], k)
 	since := k.idleSince
-	n.day.in(n.set.IdleTimeout*3/4, func() {
+	n.day.in(int64(n.set.IdleTimeout)*3/4, func() {
 		if k.closed || k.idleSince != since {
 			return
 		}
@@ -387,14 +387,14 @@
 }
 
 // HandOff and what follows make the node the decisions' Host.
-func (n *node) Send(id policy.RequestID, server policy.EndpointID, timeOut int64) {
+func (n *node) Send(id policy.RequestID, server policy.EndpointID, timeOut time.Duration) {
 	x, d := n.tasks[id], n.day
 	if x == nil {
 		return
 	}
 	m := d.byID[server]
 	h := &handOff{x: x, number: len(x.handOffs), m: m, sentAt: n.clock()}
-	h.limit = min(d.now+max(timeOut, 0), x.try.hard)
+	h.limit = min(d.now+int64(max(timeOut, 0)), x.try.hard)
 	x.handOffs = append(x.handOffs, h)
 	x.open++
 	d.count(func(t *trace.Together) {
@@ -413,7 +413,7 @@
 	if h.conn = n.connect(m); h.conn == nil {
 		after := int64(50 * time.Microsecond)
 		if m.up {
-			after = n.set.ConnectTimeout // nothing answers
+			after = int64(n.set.ConnectTimeout) // nothing answers
 		}
 		if _, refused := d.barred(netfault.End{Index: n.index}, m.place()); refused {
 			after = int64(50 * time.Microsecond)
@@ -454,9 +454,9 @@
 	h.givenUp()
 }
 
-func (n *node) Reject(id policy.RequestID, comeBackIn int64) {
+func (n *node) Reject(id policy.RequestID, comeBackIn time.Duration) {
 	if x := n.tasks[id]; x != nil {
-		n.settle(x, 503, comeBackIn)
+		n.settle(x, 503, int64(comeBackIn))
 	}
 }
 
@@ -467,9 +467,9 @@
 }
 
 // WakeAt sets a timer. Guards against an instance that asks to be woken at one instant for ever: the day would never end.
-func (n *node) SetTimer(at int64, cookie uint64) {
+func (n *node) SetTimer(at policy.Time, cookie uint64) {
 	d := n.day
-	when := n.moment(at)
+	when := n.moment(int64(at))
 	if second := d.now / 1e9; n.wokenIn != second {
 		n.wokenIn, n.woken = second, 0
 	}
@@ -485,7 +485,7 @@
 	life := n.life
 	d.at(when, func() {
 		if n.alive && n.life == life {
-			n.enter(func() { n.decider.TimerFired(n.clock(), cookie) })
+			n.enter(func() { n.decider.TimerFired(policy.Time(n.clock()), cookie) })
 		}
 	})
 }
@@ -506,8 +506,10 @@
 	m, d := n.day.byID[server], n.day
 	d.count(func(t *trace.Together) { t.Probes++ })
 	if m == nil || !m.up || m.cut(n.index) || m.trouble.silent || !d.ways.Open(d.now, netfault.End{Index: n.index}, m.place()) || !d.ways.Open(d.now, m.place(), netfault.End{Index: n.index}) {
-		d.in(n.set.ConnectTimeout, func() {
-			n.enter(func() { n.decider.HealthChecked(n.clock(), server, policy.OutcomeTimedOut, noReport.LoadReport) })
+		d.in(int64(n.set.ConnectTimeout), func() {
+			n.enter(func() {
+				n.decider.HealthChecked(policy.Time(n.clock()), server, policy.OutcomeTimedOut, noReport.LoadReport)
+			})
 		})
 		return
 	}
@@ -520,7 +522,7 @@
 		m.wake()
 		report := m.report()
 		d.in(way, func() {
-			n.enter(func() { n.decider.HealthChecked(n.clock(), server, policy.OutcomeSucceeded, report) })
+			n.enter(func() { n.decider.HealthChecked(policy.Time(n.clock()), server, policy.OutcomeSucceeded, report) })
 		})
 	})
 }
@@ -541,7 +543,7 @@
 		d.in(way.After+int64(d.scenario.Network.Cross)+int64(d.draw.Float64()*float64(newsLate)), func() {
 			other.enter(func() {
 				if told, err := other.inbox.Open(n.index, message, other.clock()); err == nil {
-					other.decider.GossipReceived(other.clock(), told)
+					other.decider.GossipReceived(policy.Time(other.clock()), told)
 				}
 			})
 		})
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -7,6 +7,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
 
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/trace"
@@ -97,7 +98,7 @@
 	past bool
 }
 
-func (r *restless) TimerFired(now int64, cookie uint64) {
+func (r *restless) TimerFired(now policy.Time, cookie uint64) {
 	if r.past {
 		r.past = false
 		r.host.SetTimer(now-1e9, cookie)
@@ -130,7 +131,7 @@
 	asked bool
 }
 
-func (o *once) TimerFired(now int64, cookie uint64) {
+func (o *once) TimerFired(now policy.Time, cookie uint64) {
 	if !o.asked {
 		o.asked = true
 		o.host.SetTimer(now-5e9, cookie)
@@ -202,14 +203,14 @@
 
 type twice struct{ policy.Effects }
 
-func (t *twice) Send(id policy.RequestID, s policy.EndpointID, wait int64) {
+func (t *twice) Send(id policy.RequestID, s policy.EndpointID, wait time.Duration) {
 	t.Effects.Send(id, s, wait)
 	t.Effects.Send(id, s, wait)
 }
 
 type silent struct{ policy.Effects }
 
-func (s *silent) Send(policy.RequestID, policy.EndpointID, int64) {}
+func (s *silent) Send(policy.RequestID, policy.EndpointID, time.Duration) {}
 
 // TestNewsProbesAndMembersArePlayed has what nodes may say to one another, and ask of servers, be sent and heard.
 func TestNewsProbesAndMembersArePlayed(t *testing.T) {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -157,7 +157,7 @@
 		t.Fatal("not put back")
 	}
 	soon(t, "the server is in use again", func() bool { return ask20(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
-	cold := make(chan int64, 1)
+	cold := make(chan policy.Time, 1)
 	n.loop.post(func() { cold <- n.overrides.applied.apply(*n.overrides.entries["s-0"]).StartedAt })
 	if started := <-cold; started < before {
 		t.Errorf("put back as started at %d, before it was put back at %d", started, before)
@@ -170,7 +170,7 @@
 	n := newNode(t, withConsole, server)
 	n.overrides.rememberNames("s-0")
 	n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) })
-	h := &attempt{request: newPendingRequest(), target: upstreamTarget{endpointID("s-0"), server}, deadline: n.clock.now() + second}
+	h := &attempt{request: newPendingRequest(), target: upstreamTarget{endpointID("s-0"), server}, deadline: n.clock.now().Add(time.Second)}
 	_, err := n.upstreams.roundTrip(h)
 	if err == nil || err.outcome() != policy.OutcomeNotSent || tasks.Load() != 0 {
 		t.Errorf("%v, %d tasks came to a server that is out", err, tasks.Load())
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -209,7 +209,7 @@
 			client, in := dial(t, n)
 			io.WriteString(client, taskText("update", "t1", ""))
 			second.held(t, 1)
-			time.Sleep(time.Until(n.clock.at(began + 200*milli))) // later than the shorter memory in any case
+			time.Sleep(time.Until(n.clock.at(began.Add(200 * time.Millisecond)))) // later than the shorter memory in any case
 			second.pass()
 			status, _, _ := answerOn(in)
 			if ran := n.count(attemptsErrored); status != 502 || name == "ends" && ran != 1 || name == "lasts" && ran < 1 {
@@ -353,7 +353,7 @@
 	io.WriteString(client, taskText("batch", "t1", ""))
 	answers.held(t, 1)
 	n.learn(t, listText(2, false, listEntry("s-1", other, "up")))
-	n.loop.post(func() { n.loop.Send("t1", endpointID("s-1"), 20*second) })
+	n.loop.post(func() { n.loop.Send("t1", endpointID("s-1"), 20*time.Second) })
 	dials.held(t, 1)
 	answers.pass()
 	if status, _, _ := answerOn(in); status != 200 {
@@ -857,7 +857,7 @@
 	n := nodeWith(t, nil, server)
 	ask(t, n, "batch", "a", "")
 	soon(t, "an idle connection", func() bool { n.upstreams.mu.Lock(); defer n.upstreams.mu.Unlock(); return n.upstreams.order.Len() == 1 })
-	born := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`, fmt.Sprintf(`"born_ms":%d`, n.clock.now()/milli), 1)
+	born := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`, fmt.Sprintf(`"born_ms":%d`, n.clock.nanos()/milli), 1)
 	n.learn(t, listText(2, false, born))
 	soon(t, "its end", func() bool { n.upstreams.mu.Lock(); defer n.upstreams.mu.Unlock(); return n.upstreams.open == 0 })
 	n.learn(t, listText(3, false, born))
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -168,7 +168,7 @@
 	}
 	how := discovery.Call{Address: address, Head: watchHead(address, d.version), Connect: listConnectTimeout, First: d.headTimeout, Gap: d.headTimeout, Again: d.retryInterval,
 		Silence: d.silenceTimeout, Called: func() { d.node.counters.add(listWatches) }, Failed: func() { d.node.counters.add(listWatchesFailed) },
-		Said: func() { d.lastHeard.Store(d.node.clock.now()) }}
+		Said: func() { d.lastHeard.Store(d.node.clock.nanos()) }}
 	if d.reopening {
 		how.First = min(d.headTimeout, reopenHeadTimeout)
 	}
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -28,9 +28,14 @@
 // system's time reaches the decisions while the list's start times can still be set against it.
 type clock struct{ start time.Time }
 
-func (c clock) now() int64 { return c.start.UnixNano() + int64(time.Since(c.start)) }
+func (c clock) now() policy.Time { return policy.Time(c.start.UnixNano()).Add(time.Since(c.start)) }
 
-func (c clock) at(ns int64) time.Time { return c.start.Add(time.Duration(ns - c.start.UnixNano())) }
+// nanos is now for packages that count in nanoseconds.
+func (c clock) nanos() int64 { return int64(c.now()) }
+
+func (c clock) at(t policy.Time) time.Time {
+	return c.start.Add(t.Sub(policy.Time(c.start.UnixNano())))
+}
 
 // knownEndpoint is what the list calls a server, where it is, and what it said of it last.
 type knownEndpoint struct {
@@ -42,7 +47,7 @@
 	node      *Node
 	balancer  *policy.Balancer
 	events    chan func()
-	now       int64
+	now       policy.Time
 	timers    timerqueue.Queue
 	requests  map[policy.RequestID]*pendingRequest
 	endpoints map[policy.EndpointID]knownEndpoint
@@ -64,10 +69,10 @@
 	wake := time.NewTimer(time.Hour)
 	for {
 		l.now = l.node.clock.now()
-		for cookie, due := l.timers.Due(l.now); due; cookie, due = l.timers.Due(l.now) {
+		for cookie, due := l.timers.Due(int64(l.now)); due; cookie, due = l.timers.Due(int64(l.now)) {
 			l.handle(nil, func() { l.balancer.TimerFired(l.now, cookie) })
 		}
-		wake.Reset(time.Duration(l.timers.Wait(l.now, int64(time.Hour))))
+		wake.Reset(time.Duration(l.timers.Wait(int64(l.now), int64(time.Hour))))
 		select {
 		case event := <-l.events:
 			l.now = l.node.clock.now()
@@ -112,7 +117,7 @@
 	for id, x := range l.requests {
 		c := l.node.settings.Policy.Classes[x.request.Class]
 		again := c.Idempotency == policy.IdempotentByKey && c.DedupGroup == policy.DedupFleet
-		mayHaveRun := slices.ContainsFunc(x.attempts, func(h *attempt) bool { return !h.neverRan && !(again && l.now < h.sentAt+c.DedupWindow) })
+		mayHaveRun := slices.ContainsFunc(x.attempts, func(h *attempt) bool { return !h.neverRan && !(again && l.now < h.sentAt.Add(c.DedupWindow)) })
 		if !mayHaveRun || c.Idempotency == policy.Idempotent {
 			l.Reject(id, 0)
 		} else {
@@ -164,7 +169,7 @@
 	l.node.counters.add(how)
 	l.handle(x, func() {
 		l.balancer.AttemptEnded(l.now, policy.AttemptResult{Request: x.request.ID, Attempt: h.number, Endpoint: h.target.endpoint,
-			Outcome: r.outcome, Elapsed: max(r.endedAt-h.sentAt-r.uploadTime, 0), RequestDone: x.answered.Load(), BodyConsumed: x.bodyConsumed(), NewConnection: r.newConnection,
+			Outcome: r.outcome, Elapsed: max(r.endedAt.Sub(h.sentAt)-r.uploadTime, 0), RequestDone: x.answered.Load(), BodyConsumed: x.bodyConsumed(), NewConnection: r.newConnection,
 			Report: r.report})
 	})
 	l.release(x)
@@ -282,17 +287,17 @@
 }
 
 // HandOff, Recall, Reject, BreakOff, WakeAt and Subscribe make the loop the decisions' Host.
-func (l *eventLoop) Send(id policy.RequestID, server policy.EndpointID, timeOut int64) {
+func (l *eventLoop) Send(id policy.RequestID, server policy.EndpointID, timeOut time.Duration) {
 	x := l.requests[id]
 	if x == nil {
 		return
 	}
 	h := &attempt{request: x, number: len(x.attempts), target: upstreamTarget{server, l.endpoints[server].address}, sentAt: l.now}
-	h.deadline = min(l.now+timeOut, x.request.Deadline)
+	h.deadline = min(l.now.Add(timeOut), x.request.Deadline)
 	if c := l.node.settings.Policy.Classes[x.request.Class]; c.Idempotency == policy.IdempotentByKey {
 		for _, earlier := range x.attempts {
 			if !earlier.neverRan { // what may have run is remembered from then on, and this one has to come before that ends
-				h.dedupDeadline = min(cmp.Or(h.dedupDeadline, earlier.sentAt+c.DedupWindow), earlier.sentAt+c.DedupWindow)
+				h.dedupDeadline = min(cmp.Or(h.dedupDeadline, earlier.sentAt.Add(c.DedupWindow)), earlier.sentAt.Add(c.DedupWindow))
 			}
 		}
 	}
@@ -314,7 +319,7 @@
 	}
 }
 
-func (l *eventLoop) Reject(id policy.RequestID, comeBackIn int64) {
+func (l *eventLoop) Reject(id policy.RequestID, comeBackIn time.Duration) {
 	if x := l.requests[id]; x != nil {
 		l.finish(x, requestsRejected, response{status: http.StatusServiceUnavailable, retryAfter: comeBackIn})
 	}
@@ -326,7 +331,7 @@
 	}
 }
 
-func (l *eventLoop) SetTimer(at int64, cookie uint64) { l.timers.Set(at, cookie) }
+func (l *eventLoop) SetTimer(at policy.Time, cookie uint64) { l.timers.Set(int64(at), cookie) }
 
 func (l *eventLoop) WatchEndpoints() { l.node.endpointWatch.requestCall() }
 
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -625,7 +625,7 @@
 }
 
 // parseRequest reads what the decisions need to know of a request.
-func (n *Node) parseRequest(r *http.Request, now int64) (policy.Request, error) {
+func (n *Node) parseRequest(r *http.Request, now policy.Time) (policy.Request, error) {
 	h := r.Header
 	t := policy.Request{ID: policy.RequestID(h.Get(headerRequestID)), ClientRetry: h.Get(headerClientRetry) == "1"}
 	if t.ID == "" || len(t.ID) > 128 {
@@ -644,17 +644,17 @@
 			return t, fmt.Errorf("%s: expected a customer of the settings, got %q", headerTenant, name)
 		}
 	}
-	t.Deadline = now + n.settings.Deadlines[t.Class]
+	t.Deadline = now.Add(n.settings.Deadlines[t.Class])
 	if text := h.Get(headerRemaining); text != "" {
 		wait, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || wait < 0 || wait > 1e9 {
 			return t, fmt.Errorf("%s: expected whole milliseconds, got %q", headerRemaining, text)
 		}
-		t.Deadline = min(t.Deadline, now+wait*milli)
+		t.Deadline = min(t.Deadline, now.Add(time.Duration(wait)*time.Millisecond))
 	}
 	// A guess that cannot be read is no guess; the request itself is sound.
 	if cost, err := strconv.ParseInt(h.Get(headerCostHint), 10, 64); err == nil && cost > 0 && cost < 1e12 {
-		t.CostHint = cost * 1000
+		t.CostHint = time.Duration(cost) * time.Microsecond
 	}
 	if cookie, err := r.Cookie(affinityCookie); n.settings.Policy.KeyAffinity && err == nil {
 		t.Key = cookie.Value
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -90,7 +90,7 @@
 	}
 	go p.receiveLoop()
 	for n := range p.outbox {
-		message := gossip.Encode(n, p.node.clock.now())
+		message := gossip.Encode(n, p.node.clock.nanos())
 		for at := range p.peers {
 			if _, err := p.socket.WriteToUDPAddrPort(message, at); err != nil {
 				p.node.counters.add(gossipDropped)
@@ -114,7 +114,7 @@
 			p.node.counters.add(gossipIgnored)
 			continue
 		}
-		told, err := p.inbox.Open(peer, buffer[:length], p.node.clock.now())
+		told, err := p.inbox.Open(peer, buffer[:length], p.node.clock.nanos())
 		if err != nil {
 			p.node.counters.add(gossipIgnored)
 			continue
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -39,12 +39,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := new(gossip.Inbox).Open(0, buffer[:length], n.clock.now()); got != told || err != nil {
+	if got, err := new(gossip.Inbox).Open(0, buffer[:length], n.clock.nanos()); got != told || err != nil {
 		t.Errorf("the peer heard %+v, %v", got, err)
 	}
 	own := n.gossiper.socket.LocalAddr()
-	message := gossip.Encode(told, n.clock.now())
-	for _, message := range [][]byte{message, message, gossip.Encode(told, n.clock.now()-5*second), nil, {1, 2, 3}, make([]byte, 2000)} {
+	message := gossip.Encode(told, n.clock.nanos())
+	for _, message := range [][]byte{message, message, gossip.Encode(told, n.clock.nanos()-5*second), nil, {1, 2, 3}, make([]byte, 2000)} {
 		listener.WriteTo(message, own)
 	}
 	soon(t, "a message heard, five passed over", func() bool { return n.count(gossipReceived) == 1 && n.count(gossipIgnored) == 5 })
@@ -62,7 +62,7 @@
 	n := newNode(t, withNews(0))
 	t.Cleanup(n.gossiper.close)
 	for range maxGossipOutbox + 5 {
-		n.loop.Gossip(policy.GossipMessage{IdleTime: second})
+		n.loop.Gossip(policy.GossipMessage{IdleTime: time.Second})
 	}
 	if n.count(gossipDropped) != 5 {
 		t.Errorf("%d dropped, want 5", n.count(gossipDropped))
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -69,7 +69,7 @@
 		"a first attempt": {text: taskText("batch", "t0", "")},
 		"a second copy": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
-			n.loop.post(func() { n.loop.Send("t0", endpointID("s-1"), 20*second) })
+			n.loop.post(func() { n.loop.Send("t0", endpointID("s-1"), 20*time.Second) })
 		}},
 		"a retry behind an error": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
@@ -81,7 +81,7 @@
 			soon(t, "the recall's end", func() bool { return n.count(attemptsCanceled) == 1 })
 			n.loop.post(func() { // where the decisions have not by themselves
 				if n.count(attemptsSent) == 1 {
-					n.loop.Send("t0", endpointID("s-1"), 20*second)
+					n.loop.Send("t0", endpointID("s-1"), 20*time.Second)
 				}
 			})
 		}},
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -38,7 +38,7 @@
 	defer s.mu.Unlock()
 	first := s.node.initialList
 	lines, _ := s.lines(first.entries)
-	s.core = endpointgossip.New(seed, way, s.node.clock.now(), first.version, lines, first.watchResumes)
+	s.core = endpointgossip.New(seed, way, s.node.clock.nanos(), first.version, lines, first.watchResumes)
 }
 
 func (s *listGossip) lines(entries []endpointEntry) (lines []endpointgossip.Line, gone []string) {
@@ -48,7 +48,7 @@
 			continue
 		}
 		lines = append(lines, endpointgossip.Line{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight,
-			Draining: e.State == policy.StateDraining, Started: e.StartedAt})
+			Draining: e.State == policy.StateDraining, Started: int64(e.StartedAt)})
 	}
 	return lines, gone
 }
@@ -56,7 +56,7 @@
 func (s *listGossip) entries(lines []endpointgossip.Line) (out []endpointEntry) {
 	for _, l := range lines {
 		e := endpointEntry{name: l.Name, address: l.Address, EndpointInfo: policy.EndpointInfo{ID: endpointID(l.Name), Zone: zoneIndex(l.Zone, s.node.settings.Zones),
-			Pod: l.Pod, Weight: l.Weight, StartedAt: l.Started, State: policy.StateActive}}
+			Pod: l.Pod, Weight: l.Weight, StartedAt: policy.Time(l.Started), State: policy.StateActive}}
 		if _, err := netip.ParseAddrPort(l.Address); l.Draining {
 			e.State = policy.StateDraining
 		} else if err != nil {
@@ -78,7 +78,7 @@
 		s.node.loop.postList(entries, whole)
 		return
 	}
-	if all := s.core.Listed(s.node.clock.now(), version, lines, gone, whole); all != nil {
+	if all := s.core.Listed(s.node.clock.nanos(), version, lines, gone, whole); all != nil {
 		entries, whole = s.entries(all), true
 	}
 	s.node.loop.postList(entries, whole)
@@ -91,7 +91,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if all := s.core.Beat(s.node.clock.now(), s.node.listConfirmedAt()); all != nil {
+	if all := s.core.Beat(s.node.clock.nanos(), s.node.listConfirmedAt()); all != nil {
 		s.node.loop.postList(s.entries(all), true)
 	}
 }
@@ -100,7 +100,7 @@
 func (s *listGossip) receive(from int, load []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines := s.core.Heard(s.node.clock.now(), from, load)
+	lines := s.core.Heard(s.node.clock.nanos(), from, load)
 	if lines == nil {
 		return
 	}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -77,7 +77,7 @@
 		set.Take = s.node.listGossip.receive
 	}
 	var err error
-	if s.core, err = members.New(set, s, s.node.clock.now()); err != nil {
+	if s.core, err = members.New(set, s, s.node.clock.nanos()); err != nil {
 		s.node.log.Error("members are off", zap.Error(err))
 		return
 	}
@@ -94,12 +94,12 @@
 				return // the other process has the name now, and the address
 			}
 			s.step(func() {
-				s.core.Beat(s.node.clock.now())
+				s.core.Beat(s.node.clock.nanos())
 				s.node.listGossip.tick()
 			})
 		case datagram := <-s.received:
 			s.step(func() {
-				s.core.Heard(s.node.clock.now(), datagram)
+				s.core.Heard(s.node.clock.nanos(), datagram)
 				s.node.persistence.noteLaterStart(s.core.Before())
 			})
 		case ask := <-s.queries:
@@ -146,7 +146,7 @@
 	}
 	done := make(chan struct{})
 	select {
-	case s.queries <- func() { defer close(done); what(s.core, s.node.clock.now()) }:
+	case s.queries <- func() { defer close(done); what(s.core, s.node.clock.nanos()) }:
 		<-done
 		return nil
 	case <-s.done:
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -127,7 +127,7 @@
 func entryFrom(in endpointlist.Entry, zones []string) (endpointEntry, error) {
 	e := endpointEntry{name: in.Name, address: in.Address, EndpointInfo: policy.EndpointInfo{
 		ID: endpointID(in.Name), Zone: zoneIndex(in.Zone, zones), Pod: in.Pod, Weight: in.Weight,
-		StartedAt: int64(in.StartedMs * 1e6),
+		StartedAt: policy.Time(in.StartedMs * 1e6),
 	}}
 	switch in.State {
 	case "up":
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -787,7 +787,7 @@
 	}
 	n.loop.post(func() {
 		n.loop.requests["bad"] = x
-		n.loop.Send("bad", endpointID("s-0"), second)
+		n.loop.Send("bad", endpointID("s-0"), time.Second)
 	})
 	soon(t, "the end of a hand-off that came too late", func() bool { return n.count(attemptsNotSent) == 1 })
 	if tasks.Load() != 0 {
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -38,7 +38,7 @@
 )
 
 // disabledEndpoint is one server's order: since when it was out, and when it was put back, 0 while it is out.
-type disabledEndpoint struct{ disabledAt, enabledAt int64 }
+type disabledEndpoint struct{ disabledAt, enabledAt policy.Time }
 
 // overrideSet is all of the orders at a time. One that others may see is never changed, only replaced.
 type overrideSet struct {
@@ -51,14 +51,14 @@
 	return &overrideSet{drained: o.drained, endpoints: maps.Clone(o.endpoints)}
 }
 
-func (o *overrideSet) disable(name string, now int64) string {
+func (o *overrideSet) disable(name string, now policy.Time) string {
 	if was, had := o.endpoints[name]; !had || was.enabledAt != 0 {
 		o.endpoints[name] = disabledEndpoint{disabledAt: now}
 	}
 	return name + " is out"
 }
 
-func (o *overrideSet) enable(name string, now int64) string {
+func (o *overrideSet) enable(name string, now policy.Time) string {
 	if was, had := o.endpoints[name]; had && was.enabledAt == 0 {
 		o.endpoints[name] = disabledEndpoint{was.disabledAt, now}
 	}
@@ -165,8 +165,8 @@
 }
 
 // prune drops orders that have ended: a server put back so long ago is warm.
-func (o *overrideSet) prune(now, warm int64) {
-	maps.DeleteFunc(o.endpoints, func(_ string, s disabledEndpoint) bool { return s.enabledAt != 0 && now-s.enabledAt > 2*warm })
+func (o *overrideSet) prune(now policy.Time, warm time.Duration) {
+	maps.DeleteFunc(o.endpoints, func(_ string, s disabledEndpoint) bool { return s.enabledAt != 0 && now.Sub(s.enabledAt) > 2*warm })
 }
 
 // lockFile holds the one lock on a node's files until it is closed; a process that dies lets go of it.
@@ -318,9 +318,9 @@
 		return "", disabledEndpoint{}, fmt.Errorf("a server's name that makes no sense: %.40q", text)
 	}
 	since, back, two := strings.Cut(strings.TrimPrefix(text[len(quoted):], " "), " ")
-	var err1, err2 error
-	one.disabledAt, err1 = strconv.ParseInt(since, 10, 64)
-	one.enabledAt, err2 = strconv.ParseInt(back, 10, 64)
+	disabledAt, err1 := strconv.ParseInt(since, 10, 64)
+	enabledAt, err2 := strconv.ParseInt(back, 10, 64)
+	one = disabledEndpoint{policy.Time(disabledAt), policy.Time(enabledAt)}
 	if !two || err1 != nil || err2 != nil || one.disabledAt < 0 || one.enabledAt < 0 {
 		return "", disabledEndpoint{}, fmt.Errorf("times of a server that make no sense: %.40q", text)
 	}
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"strconv"
 	"sync/atomic"
+	"time"
 
 	"fawnglade/policy"
 )
@@ -18,7 +19,7 @@
 	status     int
 	header     http.Header
 	body       []byte
-	retryAfter int64           // when to come back, where that is told
+	retryAfter time.Duration   // when to come back, where that is told
 	stream     *responseStream // what follows the body, of one that is too long to hold
 }
 
@@ -71,10 +72,10 @@
 }
 
 // headWithTimeout is the request's head as it goes out, with the time that the node will wait for its answer.
-func (x *pendingRequest) headWithTimeout(wait int64) []byte {
+func (x *pendingRequest) headWithTimeout(wait time.Duration) []byte {
 	b := make([]byte, 0, len(x.head)+40)
 	b = append(append(append(b, x.head...), headerRemaining...), ": "...)
-	return append(strconv.AppendInt(b, max(1, wait/milli), 10), "\r\n\r\n"...)
+	return append(strconv.AppendInt(b, max(1, wait.Milliseconds()), 10), "\r\n\r\n"...)
 }
 
 // bodyIncomplete tells whether the request's body is still coming, or ended before it was whole.
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -80,7 +80,7 @@
 		s.recordFailure("no memory of before", o.err)
 		o.memory = nodestate.Read(func(func(string, []byte)) {})
 	}
-	now := n.clock.now()
+	now := n.clock.nanos()
 	s.memory = o.memory
 	s.trusted = s.memory.Trust(now)
 	s.memory.Begin(now)
@@ -181,7 +181,7 @@
 				batch.Put(c.Key, c.Value)
 			}
 		}
-		s.since.Store(s.node.clock.now())
+		s.since.Store(s.node.clock.nanos())
 		err := at.Apply(&batch)
 		s.since.Store(0)
 		if err != nil {
@@ -213,14 +213,14 @@
 	var starts map[string]uint64
 	if s.node.members.query(func(m *members.Members, _ int64) { starts = m.Starts() }) == nil {
 		s.mu.Lock()
-		s.memory.Members(s.node.clock.now(), starts)
+		s.memory.Members(s.node.clock.nanos(), starts)
 		s.mu.Unlock()
 	}
 	select {
 	case s.node.loop.events <- func() {
 		text := s.node.loop.encodeEstimates()
 		s.mu.Lock()
-		s.memory.Learned(s.node.clock.now(), text)
+		s.memory.Learned(s.node.clock.nanos(), text)
 		s.mu.Unlock()
 		s.wakeWriter()
 	}:
@@ -291,7 +291,7 @@
 	if s == nil {
 		return entries
 	}
-	out := s.applyMemory(entries, version, func(lines []nodestate.Server) { s.memory.Listed(s.node.clock.now(), lines, version, whole) })
+	out := s.applyMemory(entries, version, func(lines []nodestate.Server) { s.memory.Listed(s.node.clock.nanos(), lines, version, whole) })
 	s.wakeWriter()
 	return out
 }
@@ -312,7 +312,7 @@
 func (s *persistence) applyBy(entries []endpointEntry, do func([]nodestate.Server), by func([]nodestate.Server) []nodestate.Server) []endpointEntry {
 	lines := make([]nodestate.Server, len(entries))
 	for i, e := range entries {
-		lines[i] = nodestate.Server{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight, Started: e.StartedAt,
+		lines[i] = nodestate.Server{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight, Started: int64(e.StartedAt),
 			State: [...]nodestate.State{policy.StateActive: nodestate.Up, policy.StateDraining: nodestate.Draining, policy.StateRemoved: nodestate.Removed}[e.State]}
 	}
 	s.mu.Lock()
@@ -338,7 +338,7 @@
 	out := make([]endpointEntry, len(servers))
 	for i, m := range servers {
 		out[i] = endpointEntry{name: m.Name, address: m.Address, EndpointInfo: policy.EndpointInfo{ID: endpointID(m.Name), Zone: zoneIndex(m.Zone, n.settings.Zones),
-			Pod: m.Pod, Weight: m.Weight, StartedAt: m.Started, State: endpointState(m.State)}}
+			Pod: m.Pod, Weight: m.Weight, StartedAt: policy.Time(m.Started), State: endpointState(m.State)}}
 	}
 	return out
 }
@@ -381,7 +381,7 @@
 	}{s.memory.Epoch(), s.memory.Servers(), s.memory.IsOlder(), s.trusted.Notes, s.written.Load(), s.failed.Load(), 0, ""}
 	s.mu.Unlock()
 	if since := s.since.Load(); since > 0 {
-		v.Waiting = float64(s.node.clock.now()-since) / 1e9
+		v.Waiting = float64(s.node.clock.nanos()-since) / 1e9
 	}
 	if b := s.broken.Load(); b != nil {
 		v.Broken = *b
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -22,10 +22,10 @@
 	set := n.config.features.Distribution
 	n.endpointWatch.pause(true) // until there is no word of a relay
 	return subscription.New(subscription.Settings[endpointEntry]{Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, Silence: set.SilenceNs, Before: n.persistence.version(),
-		Clock: n.clock.now, Log: n.log, Caught: n.recoverPanic, Tell: n.applyList, Watch: func(on bool) { n.endpointWatch.pause(!on) },
+		Clock: n.clock.nanos, Log: n.log, Caught: n.recoverPanic, Tell: n.applyList, Watch: func(on bool) { n.endpointWatch.pause(!on) },
 		Entry: func(in endpointlist.Entry) (endpointEntry, error) { return entryFrom(in, n.settings.Zones) },
 		Of: func(e endpointEntry) endpointsource.Server[endpointEntry] {
-			return endpointsource.Server[endpointEntry]{Name: e.name, State: endpointsource.State(e.State), Started: e.StartedAt, Value: e}
+			return endpointsource.Server[endpointEntry]{Name: e.name, State: endpointsource.State(e.State), Started: int64(e.StartedAt), Value: e}
 		},
 		As: func(e endpointEntry, s endpointsource.State) endpointEntry {
 			e.State = policy.EndpointState(s)
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -33,10 +33,10 @@
 	request       *pendingRequest
 	number        int
 	target        upstreamTarget
-	sentAt        int64
-	deadline      int64
-	dedupDeadline int64 // it must be written before this; 0: whenever
-	neverRan      bool  // proved by its end; of the loop
+	sentAt        policy.Time
+	deadline      policy.Time
+	dedupDeadline policy.Time // it must be written before this; 0: whenever
+	neverRan      bool        // proved by its end; of the loop
 
 	mu       sync.Mutex
 	canceled bool   // recalled, or ended
@@ -85,9 +85,9 @@
 	outcome       policy.Outcome
 	report        policy.LoadReport
 	response      response
-	endedAt       int64
+	endedAt       policy.Time
 	newConnection bool          // the connection was opened for it
-	uploadTime    int64         // the part of the time in which the request's body was still coming
+	uploadTime    time.Duration // the part of the time in which the request's body was still coming
 	conn          *upstreamConn // where a long answer is still coming
 	closes        bool          // the server closes it afterwards
 	clientGone    bool          // it was not written, as the client has gone
@@ -381,8 +381,8 @@
 
 // writeAndReadHead writes a request and reads the head of its answer. It tells how far that came, and how much of the time went by while
 // the request's body was still coming from its client.
-func (s *upstreams) writeAndReadHead(c *upstreamConn, h *attempt) (r *http.Response, m *message, at attemptStage, flowed int64, err error) {
-	x, wait, to := h.request, h.deadline-s.node.clock.now(), &http.Request{Method: h.request.method}
+func (s *upstreams) writeAndReadHead(c *upstreamConn, h *attempt) (r *http.Response, m *message, at attemptStage, flowed time.Duration, err error) {
+	x, wait, to := h.request, h.deadline.Sub(s.node.clock.now()), &http.Request{Method: h.request.method}
 	if x.source == nil {
 		whole := net.Buffers{x.headWithTimeout(wait), x.body}
 		if _, err = whole.WriteTo(c.Conn); err != nil {
@@ -398,11 +398,11 @@
 	if x.source.consumed.Swap(true) {
 		return nil, nil, partlyWritten, 0, errBodyLost
 	}
-	up := startUpload(c, h, time.Duration(wait))
+	up := startUpload(c, h, wait)
 	r, m, err = c.fromServer(to)
 	switch whole := up.stop(c, x); {
 	case whole:
-		return r, m, fullyWritten, int64(up.completedAt.Sub(began)), err
+		return r, m, fullyWritten, up.completedAt.Sub(began), err
 	case err != nil:
 		return nil, nil, partlyWritten, 0, up.blame(x, err)
 	case !isEarlyResponse(r):
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,21 +9,20 @@
 	"fmt"
 	"strconv"
 	"strings"
+	"time"
 
 	"fawnglade/policy"
 )
 
-const micro = 1000 // nanoseconds
-
 // Settings holds what the decisions read, and what a node needs to name things as its peers do.
 type Settings struct {
 	Policy policy.Settings
 
 	Classes, Tenants, Zones []string
-	Deadlines               []int64 // of a request that does not tell its own
-	ConnectTimeout          int64
-	IdleTimeout             int64
-	DrainGrace              int64 // sends to a draining server have to stop; 0: not told
+	Deadlines               []time.Duration // of a request that does not tell its own
+	ConnectTimeout          time.Duration
+	IdleTimeout             time.Duration
+	DrainGrace              time.Duration // sends to a draining server have to stop; 0: not told
 }
 
 // FromLine decodes path=value pairs set apart by spaces.
@@ -111,20 +110,20 @@
 	return p.number(key, low)
 }
 
-func (p *pairs) time(key string, low float64) int64 {
+func (p *pairs) duration(key string, low float64) time.Duration {
 	v := p.number(key, low)
 	if v > 9e15 { // would not fit in nanoseconds
 		p.complain(key, "a time in microseconds")
 		return 0
 	}
-	return int64(v) * micro
+	return time.Duration(v) * time.Microsecond
 }
 
-func (p *pairs) timeOr(key string, missing int64) int64 {
+func (p *pairs) durationOr(key string, missing time.Duration) time.Duration {
 	if !p.has(key) {
 		return missing
 	}
-	return p.time(key, 0)
+	return p.duration(key, 0)
 }
 
 func (p *pairs) truth(key string, missing bool) bool {
@@ -162,7 +161,7 @@
 	for i := range p.count("profiles.count", 1) {
 		at := fmt.Sprintf("profiles.%d.", i)
 		c := policy.Class{
-			LatencyObjective: p.time(at+"objective_us", 1),
+			LatencyObjective: p.duration(at+"objective_us", 1),
 			PriorityWeight:   p.numberOr(at+"worth", 1e-6, 1),
 			LateFraction:     p.numberOr(at+"late_worth", 0, 0),
 			Idempotency: choice(p, at+"repeat", map[string]policy.Idempotency{
@@ -171,13 +170,13 @@
 		if c.Idempotency == policy.IdempotentByKey {
 			c.DedupGroup = choice(p, at+"group", map[string]policy.DedupGroup{
 				"all": policy.DedupFleet, "zone": policy.DedupZone, "cell": policy.DedupPod})
-			c.DedupWindow = p.time(at+"memory_span_us", 0)
+			c.DedupWindow = p.duration(at+"memory_span_us", 0)
 			// An attempt is judged here and comes to its server later, with a way and a busy machine between the two.
-			c.DedupWindow -= min(c.DedupWindow/16, 50e6)
+			c.DedupWindow -= min(c.DedupWindow/16, 50*time.Millisecond)
 		}
 		s.Classes = append(s.Classes, c)
 		all.Classes = append(all.Classes, values[at+"name"])
-		all.Deadlines = append(all.Deadlines, p.time(at+"deadline_us", 1))
+		all.Deadlines = append(all.Deadlines, p.duration(at+"deadline_us", 1))
 	}
 	if p.has("parties.count") {
 		for i := range p.count("parties.count", 0) {
@@ -188,7 +187,9 @@
 	}
 	s.OverQuotaFraction = p.numberOr("over_share_worth", 0, 1)
 	s.WorstClassWeight = p.numberOr("goal.worst_class", 0, 1)
-	s.Nines, s.TopNines = p.numberOr("goal.nines_part", 0, 0), p.numberOr("goal.top_nines", 0, 0)
+	// Nothing reads these two, but what is no number is refused as ever.
+	p.numberOr("goal.nines_part", 0, 0)
+	p.numberOr("goal.top_nines", 0, 0)
 	if p.has("value_by") {
 		s.WeightByWork = choice(p, "value_by", map[string]bool{"request": false, "work": true})
 	}
@@ -196,10 +197,10 @@
 	s.NodeIndex = int(p.numberOr("position", 0, 0))
 	s.NodeCount = int(p.numberOr("group_size", 1, 1))
 	s.StreamsPerConnection = int(p.numberOr("limits.multiplex", 1, 1))
-	s.ClockResolution = p.time("quantum_us", 0)
+	s.ClockResolution = p.duration("quantum_us", 0)
 	s.MustPollList = choice(p, "discovery", map[string]bool{"push": false, "ask": true})
 	if s.MustPollList {
-		s.MaxPollInterval = p.time("rules.ask_within_us", 1)
+		s.MaxPollInterval = p.duration("rules.ask_within_us", 1)
 	}
 	// A weight that says how full a server was a while ago is passed over; what servers report says it better.
 	s.WeightIsSize = choice(p, "weights", map[string]bool{"off": false, "nominal": true, "rough": true, "live": false})
@@ -224,18 +225,18 @@
 	s.MayCancel = p.truth("limits.cancelling", false)
 	s.MaySetRetryAfter = p.truth("limits.retry_after", false)
 	if s.MaySetRetryAfter {
-		s.MaxRetryAfter = p.time("limits.max_retry_after_us", 0)
+		s.MaxRetryAfter = p.duration("limits.max_retry_after_us", 0)
 	}
 	s.MaxAttempts = int(p.number("limits.try_limit", 1))
 	s.SlowStartMinCapacity = p.number("rules.cold_from", 0)
-	s.SlowStartWindow = p.time("rules.warm_within_us", 0)
+	s.SlowStartWindow = p.duration("rules.warm_within_us", 0)
 	if values["zones"] != "" {
 		all.Zones = strings.Split(values["zones"], ",")
 	}
 	// The bench opens connections itself and may leave these out; a node checks that it has them.
-	all.ConnectTimeout = p.timeOr("limits.connect_timeout_us", 0)
-	all.IdleTimeout = p.timeOr("limits.idle_close_us", 0)
-	all.DrainGrace = p.timeOr("rules.stop_sending_within_us", 0)
+	all.ConnectTimeout = p.durationOr("limits.connect_timeout_us", 0)
+	all.IdleTimeout = p.durationOr("limits.idle_close_us", 0)
+	all.DrainGrace = p.durationOr("rules.stop_sending_within_us", 0)
 	return all, p.err
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -4,6 +4,7 @@
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 )
 
 const nested = `{"discovery":"ask","goal":{"nines_part":0.3,"top_nines":3},"limits":{"connect_timeout_us":75000,"idle_close_us":60000000,"try_limit":3,
@@ -35,7 +36,7 @@
 		t.Errorf("the line gives\n%+v, the object\n%+v", fromLine, fromJSON)
 	}
 	if len(fromJSON.Tenants) != 2 || fromJSON.Zones[1] != "b" || fromJSON.Deadlines[1] != 1500000000 || !fromJSON.Policy.ReportsUtilization ||
-		fromJSON.Policy.Nines != 0.3 || fromJSON.Policy.TopNines != 3 {
+		fromJSON.Policy.SlowStartMinCapacity != 0.14 || fromJSON.Policy.MaxRetryAfter != 1500*time.Millisecond {
 		t.Errorf("decoded %+v", fromJSON)
 	}
 }
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -12,6 +12,7 @@
 	"math"
 	"runtime/debug"
 	"strconv"
+	"time"
 
 	"fawnglade/internal/gossip"
 	"fawnglade/internal/settings"
@@ -207,7 +208,7 @@
 		state, known := conditions[string(condition)]
 		s.State = state
 		s.Weight = e.decimal("share")
-		s.StartedAt = e.timeOrNone("born_us")
+		s.StartedAt = policy.Time(e.timeOrNone("born_us"))
 		if e.err == nil && !known {
 			e.err = fmt.Errorf("condition: expected active, leaving or left, got %q", condition)
 		}
@@ -237,7 +238,7 @@
 		switch form {
 		case "FAILED":
 			if f.err == nil {
-				i.policy.WatchFailed(l.now)
+				i.policy.WatchFailed(policy.Time(l.now))
 			}
 			return f.err
 		case "INCREMENTAL", "FULL", "SAVED":
@@ -249,31 +250,31 @@
 			return fmt.Errorf("sheet: expected a list that was given, got %d", sheet)
 		}
 		if f.err == nil {
-			i.policy.EndpointsUpdated(l.now, l.lists[sheet], form != "INCREMENTAL")
+			i.policy.EndpointsUpdated(policy.Time(l.now), l.lists[sheet], form != "INCREMENTAL")
 		}
 	case "REQ":
 		t := policy.Request{
 			ID:       policy.RequestID(f.word("msg_id")),
 			Class:    int(f.unsigned("band", 31)),
 			Tenant:   int(f.unsignedOrNone("project", 31)),
-			Deadline: f.time("client_deadline_us"),
+			Deadline: policy.Time(f.time("client_deadline_us")),
 		}
 		marks := f.unsignedOrNone("marks", 63)
 		t.ClientRetry = marks&2 != 0
 		if cost := f.timeOrNone("cost_guess_us"); marks&1 != 0 && cost > 0 {
-			t.CostHint = cost
+			t.CostHint = time.Duration(cost)
 		}
 		t.Key = f.maybe()
 		if f.err == nil && t.Class >= i.categories {
 			return fmt.Errorf("band: expected a category of the settings, got %d", t.Class)
 		}
 		if f.err == nil {
-			i.policy.RequestArrived(l.now, t)
+			i.policy.RequestArrived(policy.Time(l.now), t)
 		}
 	case "RESOLVED":
 		a := policy.AttemptResult{
 			Request:     policy.RequestID(f.word("msg_id")),
-			Elapsed:     f.time("lag_us"),
+			Elapsed:     time.Duration(f.time("lag_us")),
 			Endpoint:    policy.EndpointID(f.unsigned("server", 32)),
 			RequestDone: f.truth("over"),
 		}
@@ -281,23 +282,23 @@
 		a.Attempt = int(f.unsigned("shot", 31))
 		a.Report = f.report()
 		if f.err == nil {
-			i.policy.AttemptEnded(l.now, a)
+			i.policy.AttemptEnded(policy.Time(l.now), a)
 		}
 	case "OPENED": // no deployment streams its answers
 	case "WITHDRAWN":
 		if id := policy.RequestID(f.word("msg_id")); f.err == nil {
-			i.policy.ClientGone(l.now, id)
+			i.policy.ClientGone(policy.Time(l.now), id)
 		}
 	case "WAKEUP":
 		if cookie := f.unsigned("cookie", 63); f.err == nil {
-			i.policy.TimerFired(l.now, cookie)
+			i.policy.TimerFired(policy.Time(l.now), cookie)
 		}
 	case "HEALTH_RESULT":
 		server := policy.EndpointID(f.unsigned("server", 32))
 		outcome := outcomes[string(f.word("disposition"))]
 		f.time("lag_us")
 		if report := f.report(); f.err == nil {
-			i.policy.HealthChecked(l.now, server, outcome, report)
+			i.policy.HealthChecked(policy.Time(l.now), server, outcome, report)
 		}
 	case "PEER":
 		from := int(f.unsigned("neighbour", 31))
@@ -313,7 +314,7 @@
 		if told, err := i.inbox.Open(from, message, l.now); err != nil {
 			l.passedOver++
 		} else {
-			i.policy.GossipReceived(l.now, told)
+			i.policy.GossipReceived(policy.Time(l.now), told)
 		}
 	}
 	return f.err
@@ -477,22 +478,22 @@
 // inMicros rounds up, so that a timer never comes early and a wait is never nought.
 func inMicros(ns int64) int64 { return (ns + micro - 1) / micro }
 
-func (i *instance) Send(task policy.RequestID, server policy.EndpointID, timeOut int64) {
-	i.begin("ISSUE").text(string(task)).int(int64(server)).int(max(1, timeOut/micro)).end()
+func (i *instance) Send(task policy.RequestID, server policy.EndpointID, timeOut time.Duration) {
+	i.begin("ISSUE").text(string(task)).int(int64(server)).int(max(1, timeOut.Microseconds())).end()
 }
 
 func (i *instance) Cancel(task policy.RequestID, number int) {
 	i.begin("RECALL").text(string(task)).int(int64(number)).end()
 }
 
-func (i *instance) Reject(task policy.RequestID, comeBackIn int64) {
-	i.begin("BUSY").text(string(task)).int(inMicros(comeBackIn)).end()
+func (i *instance) Reject(task policy.RequestID, comeBackIn time.Duration) {
+	i.begin("BUSY").text(string(task)).int(inMicros(int64(comeBackIn))).end()
 }
 
 func (i *instance) Fail(task policy.RequestID) { i.begin("FINISH_ERROR").text(string(task)).end() }
 
-func (i *instance) SetTimer(at int64, cookie uint64) {
-	i.begin("AFTER").int(inMicros(at)).int(int64(cookie)).end()
+func (i *instance) SetTimer(at policy.Time, cookie uint64) {
+	i.begin("AFTER").int(inMicros(int64(at))).int(int64(cookie)).end()
 }
 
 func (i *instance) WatchEndpoints() { i.begin("OBSERVE").int(1).end() }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 )
 
 // quiet is a host that only notes the last attempt.
@@ -11,15 +12,15 @@
 	sent   bool
 }
 
-func (q *quiet) Send(_ RequestID, s EndpointID, _ int64) { q.server, q.sent = s, true }
-func (*quiet) Cancel(RequestID, int)                     {}
-func (*quiet) Reject(RequestID, int64)                   {}
-func (*quiet) Fail(RequestID)                            {}
-func (*quiet) SetTimer(int64, uint64)                    {}
-func (*quiet) WatchEndpoints()                           {}
-func (*quiet) CloseIdle(EndpointID)                      {}
-func (*quiet) Gossip(GossipMessage)                      {}
-func (*quiet) CheckHealth(EndpointID)                    {}
+func (q *quiet) Send(_ RequestID, s EndpointID, _ time.Duration) { q.server, q.sent = s, true }
+func (*quiet) Cancel(RequestID, int)                             {}
+func (*quiet) Reject(RequestID, time.Duration)                   {}
+func (*quiet) Fail(RequestID)                                    {}
+func (*quiet) SetTimer(Time, uint64)                             {}
+func (*quiet) WatchEndpoints()                                   {}
+func (*quiet) CloseIdle(EndpointID)                              {}
+func (*quiet) Gossip(GossipMessage)                              {}
+func (*quiet) CheckHealth(EndpointID)                            {}
 
 func listOf(n int) []EndpointInfo {
 	list := make([]EndpointInfo, n)
@@ -38,12 +39,12 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			q := &quiet{}
 			p := New(benchSettings, 1, q)
-			now := int64(1e12)
+			now := Time(1e12)
 			p.EndpointsUpdated(now, listOf(n), true)
 			type out struct {
 				id     RequestID
 				server EndpointID
-				at     int64
+				at     Time
 			}
 			var ring [32]out
 			ids := make([]RequestID, 1<<16)
@@ -59,7 +60,7 @@
 				}
 				r := &ring[i%len(ring)]
 				if r.id != "" {
-					p.AttemptEnded(now, AttemptResult{Request: r.id, Endpoint: r.server, Outcome: OutcomeSucceeded, Elapsed: now - r.at + int64(i%7)*ms/4, RequestDone: true,
+					p.AttemptEnded(now, AttemptResult{Request: r.id, Endpoint: r.server, Outcome: OutcomeSucceeded, Elapsed: now.Sub(r.at) + time.Duration(i%7)*ms/4, RequestDone: true,
 						Report: LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1}})
 				}
 				id := ids[i%len(ids)]
@@ -93,7 +94,7 @@
 			p.EndpointsUpdated(1e12, list, true)
 			for i := range b.N {
 				from := i * 512 % n
-				p.EndpointsUpdated(1e12+int64(i), list[from:from+512], false)
+				p.EndpointsUpdated(1e12+Time(i), list[from:from+512], false)
 			}
 		})
 	}
@@ -109,7 +110,7 @@
 				p := New(benchSettings, 1, &quiet{})
 				p.EndpointsUpdated(1e12, list[:n], true)
 				b.StartTimer()
-				p.EndpointsUpdated(1e12+int64(i), list[n:], true)
+				p.EndpointsUpdated(1e12+Time(i), list[n:], true)
 			}
 		})
 	}
@@ -120,7 +121,7 @@
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := New(benchSettings, 1, &quiet{})
-			now := int64(1e12)
+			now := Time(1e12)
 			p.EndpointsUpdated(now, listOf(n), true)
 			for _, s := range p.servers {
 				s.fullTill = now + ms
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"testing"
+	"time"
 
 	"fawnglade/policy"
 )
@@ -19,8 +20,8 @@
 var writeDigests = flag.Bool("write-digests", false, "rewrite policy/testdata/digests.json")
 
 const (
-	millisecond = int64(1e6)
-	second      = int64(1e9)
+	millisecond = 1_000_000 // nanoseconds
+	second      = 1000 * millisecond
 
 	digestStart    = 1000 * second
 	digestDuration = 40 * second
@@ -99,7 +100,8 @@
 	heap.Push(&r.queue, digestEvent{r.now + max(delay, 0), r.sequence, run})
 }
 
-func (r *digestRun) Send(task policy.RequestID, server policy.EndpointID, timeOut int64) {
+func (r *digestRun) Send(task policy.RequestID, server policy.EndpointID, timeout time.Duration) {
+	timeOut := int64(timeout)
 	r.note("send", task, server, timeOut)
 	number := r.attempts[task]
 	r.attempts[task]++
@@ -119,13 +121,13 @@
 		if r.recalled[fmt.Sprint(task, number)] {
 			outcome = policy.OutcomeCanceled
 		}
-		answer := policy.AttemptResult{Request: task, Attempt: number, Endpoint: server, Outcome: outcome, Elapsed: elapsed, NewConnection: fresh,
+		answer := policy.AttemptResult{Request: task, Attempt: number, Endpoint: server, Outcome: outcome, Elapsed: time.Duration(elapsed), NewConnection: fresh,
 			RequestDone: outcome == policy.OutcomeSucceeded, BodyConsumed: outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
 			Report: r.report(endpoint, outcome)}
 		if answer.RequestDone {
 			r.answered[task] = true
 		}
-		r.instance.AttemptEnded(r.now, answer)
+		r.instance.AttemptEnded(policy.Time(policy.Time(r.now)), answer)
 	})
 }
 
@@ -177,8 +179,8 @@
 	r.recalled[fmt.Sprint(task, number)] = true
 }
 
-func (r *digestRun) Reject(task policy.RequestID, advice int64) {
-	r.note("reject", task, advice)
+func (r *digestRun) Reject(task policy.RequestID, advice time.Duration) {
+	r.note("reject", task, int64(advice))
 	r.answered[task] = true
 }
 
@@ -187,12 +189,12 @@
 	r.answered[task] = true
 }
 
-func (r *digestRun) SetTimer(at int64, cookie uint64) {
-	r.note("timer", at, cookie)
+func (r *digestRun) SetTimer(at policy.Time, cookie uint64) {
+	r.note("timer", int64(at), cookie)
 	instance := r.instance
-	r.after(at-r.now, func() {
+	r.after(int64(at)-r.now, func() {
 		if instance == nil || instance == r.instance { // timers end with the instance that set them
-			r.instance.TimerFired(r.now, cookie)
+			r.instance.TimerFired(policy.Time(policy.Time(r.now)), cookie)
 		}
 	})
 }
@@ -201,7 +203,7 @@
 	r.note("watch")
 	r.after(50*millisecond, func() {
 		if r.lists++; r.lists%7 == 3 {
-			r.instance.WatchFailed(r.now)
+			r.instance.WatchFailed(policy.Time(r.now))
 			return
 		}
 		r.list(r.lists%2 == 0)
@@ -221,15 +223,15 @@
 		if endpoint.silent {
 			outcome = policy.OutcomeTimedOut
 		}
-		r.instance.HealthChecked(r.now, server, outcome, policy.LoadReport{Utilization: 0.5 * endpoint.speed,
+		r.instance.HealthChecked(policy.Time(policy.Time(r.now)), server, outcome, policy.LoadReport{Utilization: 0.5 * endpoint.speed,
 			QueueLength: float64(endpoint.inFlight), ServiceTime: 8 * endpoint.speed})
 	})
 }
 
 func (r *digestRun) Gossip(news policy.GossipMessage) {
-	r.note("gossip", uint32(news.Endpoint), news.Class, news.IdleTime)
+	r.note("gossip", uint32(news.Endpoint), news.Class, int64(news.IdleTime))
 	for range r.random.IntN(5) { // other nodes saw the same
-		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(r.now, news) })
+		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(policy.Time(policy.Time(r.now)), news) })
 	}
 }
 
@@ -241,7 +243,7 @@
 			lines = append(lines, endpoint.listed)
 		}
 	}
-	r.instance.EndpointsUpdated(r.now, lines, whole)
+	r.instance.EndpointsUpdated(policy.Time(policy.Time(r.now)), lines, whole)
 }
 
 // change gives one endpoint another condition and, where the list tells of it, the instance the changed line.
@@ -254,7 +256,7 @@
 	case 1:
 		endpoint.listed.State = policy.StateRemoved
 	case 2, 3:
-		endpoint.listed.State, endpoint.listed.StartedAt = policy.StateActive, r.now-50*millisecond
+		endpoint.listed.State, endpoint.listed.StartedAt = policy.StateActive, policy.Time(r.now-50*millisecond)
 		endpoint.failing, endpoint.silent, endpoint.full, endpoint.connected = false, false, false, false
 	case 4:
 		endpoint.failing, listed = !endpoint.failing, false
@@ -268,7 +270,7 @@
 		endpoint.connected, listed = false, false
 	}
 	if listed && r.random.IntN(5) > 0 {
-		r.instance.EndpointsUpdated(r.now, []policy.EndpointInfo{endpoint.listed}, false)
+		r.instance.EndpointsUpdated(policy.Time(policy.Time(r.now)), []policy.EndpointInfo{endpoint.listed}, false)
 	}
 }
 
@@ -276,21 +278,21 @@
 	id := policy.RequestID(fmt.Sprint("r", number))
 	category := r.random.IntN(len(r.settings.Classes))
 	task := policy.Request{ID: id, Class: category, Tenant: r.random.IntN(4),
-		Deadline:    r.now + r.settings.Classes[category].LatencyObjective*int64(2+r.random.IntN(3)),
+		Deadline:    policy.Time(r.now).Add(r.settings.Classes[category].LatencyObjective * time.Duration(2+r.random.IntN(3))),
 		ClientRetry: r.random.IntN(12) == 0, StreamingBody: r.random.IntN(20) == 0}
 	if r.random.IntN(2) == 0 {
-		task.CostHint = int64(8+4*category) * millisecond * int64(1+r.random.IntN(3)) / 2
+		task.CostHint = time.Duration(int64(8+4*category) * millisecond * int64(1+r.random.IntN(3)) / 2)
 	}
 	if r.random.IntN(4) > 0 {
 		task.Key = fmt.Sprint("key", min(r.random.IntN(40), r.random.IntN(40)))
 	}
 	r.category[id] = category
-	r.instance.RequestArrived(r.now, task)
+	r.instance.RequestArrived(policy.Time(policy.Time(r.now)), task)
 	if r.random.IntN(40) == 0 {
 		r.after(r.random.Int64N(60)*millisecond, func() {
 			if !r.answered[id] {
 				r.answered[id] = true
-				r.instance.ClientGone(r.now, id)
+				r.instance.ClientGone(policy.Time(policy.Time(r.now)), id)
 			}
 		})
 	}
@@ -316,7 +318,7 @@
 			started = digestStart - int64(i%5)*second
 		}
 		r.endpoints = append(r.endpoints, &digestEndpoint{speed: 0.5 + 1.5*r.random.Float64(), failsCategory: -1,
-			listed: policy.EndpointInfo{ID: policy.EndpointID(i + 1), Zone: i % 3, Pod: i / 4, Weight: 0.5 + r.random.Float64(), StartedAt: started}})
+			listed: policy.EndpointInfo{ID: policy.EndpointID(i + 1), Zone: i % 3, Pod: i / 4, Weight: 0.5 + r.random.Float64(), StartedAt: policy.Time(started)}})
 	}
 	r.instance = policy.New(settings, seed, r)
 	r.list(true)
@@ -332,10 +334,10 @@
 		r.after(int64(r.random.ExpFloat64()*float64(gap)), next)
 	}
 	r.after(millisecond, next)
-	for at := second; at < digestDuration; at += 300 * millisecond * 16 / int64(min(endpoints, 128)) {
+	for at := int64(second); at < digestDuration; at += 300 * millisecond * 16 / int64(min(endpoints, 128)) {
 		r.after(at, r.change)
 	}
-	for at := 5 * second; at < digestDuration; at += 5 * second { // whole lists, which mend what a lost change left
+	for at := int64(5 * second); at < digestDuration; at += 5 * second { // whole lists, which mend what a lost change left
 		r.after(at, func() { r.list(true) })
 	}
 	r.after(12*second, func() { r.slowdown = 12 }) // overload
--- a/policy/draw_test.go
+++ b/policy/draw_test.go
@@ -8,13 +8,13 @@
 	"fawnglade/internal/ewma"
 )
 
-func anyTask(p *Balancer, now int64) *task {
+func anyTask(p *Balancer, now Time) *task {
 	return &task{Request: Request{Deadline: now + 900*ms, CostHint: 5e6}, category: &p.set.Classes[0], limit: now + 900*ms, soft: now + 900*ms,
 		kinds: p.lags.Of(0, 0)}
 }
 
 // taking returns who takes part in a draw, with w.
-func taking(p *Balancer, now int64) map[*server]float64 {
+func taking(p *Balancer, now Time) map[*server]float64 {
 	out := map[*server]float64{}
 	if p.draw(now, anyTask(p, now)) != nil {
 		for i, s := range p.drawn {
@@ -26,7 +26,7 @@
 
 // w of one server with each exception in turn, beside one with a load of 2 that has been heard to rise; worked by hand.
 func TestWeightsWorkedByHand(t *testing.T) {
-	const now = int64(1e12)
+	const now = Time(1e12)
 	for name, c := range map[string]struct {
 		change func(s *server)
 		want   float64
@@ -34,8 +34,8 @@
 		"as reported":           {func(s *server) { s.Load = 4 }, 4},
 		"idle":                  {func(s *server) { s.Load = 0 }, 1. / 20}, // a twentieth of the mean, which is 1
 		"never heard":           {func(s *server) { s.Load, s.HasReport = 0, false }, 2},
-		"rising for two":        {func(s *server) { s.Load, s.risingFrom = 1, now-2*recalculate }, 1.5},
-		"above while rising":    {func(s *server) { s.Load, s.risingFrom = 6, now-2*recalculate }, 6},
+		"rising for two":        {func(s *server) { s.Load, s.risingFrom = 1, now.Add(-2*recalculate) }, 1.5},
+		"above while rising":    {func(s *server) { s.Load, s.risingFrom = 6, now.Add(-2*recalculate) }, 6},
 		"twice as slow":         {func(s *server) { s.Load, s.Latency.A, s.Latency.Weight = 1, 3, 1 }, 4},
 		"in a pod twice slower": {func(s *server) { s.Load, s.pod = 1, &ewma.Pair{A: 3, Weight: 1} }, 4},
 		"of twice the size":     {func(s *server) { s.Load, s.Weight = 4, 2 }, 2},
@@ -59,7 +59,7 @@
 
 // worked compares how often each is drawn with 1/w over the sum, by chi-square: for k kinds
 // of outcome it lies about k-1, and under that plus five of its own deviations all but once in a million.
-func worked(t *testing.T, name string, p *Balancer, now int64, draws int) {
+func worked(t *testing.T, name string, p *Balancer, now Time, draws int) {
 	t.Helper()
 	task := anyTask(p, now)
 	want, sum := taking(p, now), 0.0
@@ -95,7 +95,7 @@
 	for _, n := range []int{3, 20, window} {
 		draw := rand.New(rand.NewPCG(uint64(n), 9))
 		p := New(benchSettings, 3, &quiet{})
-		now := int64(1e12)
+		now := Time(1e12)
 		p.EndpointsUpdated(now, listOf(n), true)
 		for _, s := range p.servers {
 			s.Load, s.LastReport, s.HasReport, s.risingFrom = math.Pow(10, 5*draw.Float64()-3), 1, true, 1
@@ -103,7 +103,7 @@
 		}
 		worked(t, "w over five orders", p, now, 40000)
 		for i, s := range p.servers {
-			s.fullTill = now + int64(i%(n/3+1))*ms
+			s.fullTill = now + Time(i%(n/3+1))*ms
 		}
 		worked(t, "most just turned away", p, now, 40000)
 		for i, s := range p.servers {
@@ -122,7 +122,7 @@
 // In a fleet larger than the window chances still fall as 1/w, since any part of the ranks is like any other.
 func TestDrawInALargeFleetFollowsOneOverW(t *testing.T) {
 	p := New(benchSettings, 3, &quiet{})
-	now := int64(1e12)
+	now := Time(1e12)
 	p.EndpointsUpdated(now, listOf(4096), true)
 	draw := rand.New(rand.NewPCG(1, 9))
 	for _, s := range p.servers {
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -5,12 +5,13 @@
 	"math/rand"
 	"testing"
 	"testing/quick"
+	"time"
 )
 
 // sentOut is one attempt as the plain model sees it.
 type sentOut struct {
 	server  EndpointID
-	at      int64
+	at      Time
 	open    bool
 	neverOK bool // provably never ran
 }
@@ -28,7 +29,7 @@
 	*rand.Rand
 	p       *Balancer
 	set     Settings
-	now     int64
+	now     Time
 	tasks   map[RequestID]*modelTask
 	ids     []RequestID
 	list    map[EndpointID]EndpointInfo
@@ -42,14 +43,14 @@
 
 func (w *world) fail(format string, a ...any) { w.broken = append(w.broken, fmt.Sprintf(format, a...)) }
 
-func (w *world) Send(id RequestID, server EndpointID, timeOut int64) {
+func (w *world) Send(id RequestID, server EndpointID, timeOut time.Duration) {
 	t, c := w.tasks[id], &w.set.Classes[0]
 	if t == nil || t.over {
 		w.fail("rule 1: hand-off of a task that is over")
 		return
 	}
 	c = &w.set.Classes[t.task.Class]
-	if timeOut <= 0 || w.now+timeOut > t.task.Deadline {
+	if timeOut <= 0 || w.now.Add(timeOut) > t.task.Deadline {
 		w.fail("rule 1: time-out %d leaves the hard limit", timeOut)
 	}
 	to, known := w.list[server]
@@ -69,7 +70,7 @@
 		from := w.list[h.server]
 		inGroup := c.DedupGroup == DedupFleet || c.DedupGroup == DedupZone && from.Zone == to.Zone ||
 			c.DedupGroup == DedupPod && from.Pod == to.Pod
-		if c.Idempotency == NonIdempotent || !inGroup || w.now-h.at >= c.DedupWindow {
+		if c.Idempotency == NonIdempotent || !inGroup || w.now.Sub(h.at) >= c.DedupWindow {
 			w.fail("rule 2: %d may run twice", c.Idempotency)
 		}
 	}
@@ -96,15 +97,15 @@
 	return t
 }
 
-func (w *world) Reject(id RequestID, comeBackIn int64) {
+func (w *world) Reject(id RequestID, comeBackIn time.Duration) {
 	t := w.final(id)
 	if t == nil {
 		return
 	}
 	c := w.set.Classes[t.task.Class]
 	for _, h := range t.handOffs {
-		if !h.neverOK && c.Idempotency != Idempotent && (c.Idempotency == NonIdempotent || c.DedupGroup != DedupFleet || w.now-h.at >= c.DedupWindow) {
-			w.fail("rule 2: declined though it may have run, after %d of a memory of %d", w.now-h.at, c.DedupWindow)
+		if !h.neverOK && c.Idempotency != Idempotent && (c.Idempotency == NonIdempotent || c.DedupGroup != DedupFleet || w.now.Sub(h.at) >= c.DedupWindow) {
+			w.fail("rule 2: declined though it may have run, after %d of a memory of %d", w.now.Sub(h.at), c.DedupWindow)
 		}
 	}
 	if comeBackIn < 0 || comeBackIn > w.set.MaxRetryAfter {
@@ -114,7 +115,7 @@
 
 func (w *world) Fail(id RequestID) { w.final(id) }
 
-func (w *world) SetTimer(at int64, cookie uint64) {
+func (w *world) SetTimer(at Time, cookie uint64) {
 	if at < w.now {
 		w.fail("timer in the past")
 	}
@@ -150,7 +151,7 @@
 		ReportsUtilization: w.Intn(2) == 0, NodeIndex: w.Intn(9), NodeCount: 1 + w.Intn(60), StreamsPerConnection: 1 + w.Intn(2),
 		MayGossip: w.Intn(2) == 0, RemovedMayServe: w.Intn(2) == 0, KeyAffinity: w.Intn(2) == 0, MayCheckHealth: w.Intn(2) == 0, HealthChecksReport: w.Intn(2) == 0}
 	for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent, IdempotentByKey} {
-		w.set.Classes = append(w.set.Classes, Class{LatencyObjective: 2e8 + w.Int63n(1e9), Idempotency: repeat, DedupGroup: DedupGroup(w.Intn(3)), DedupWindow: 1e8 + w.Int63n(2e9), LateFraction: float64(w.Intn(2))})
+		w.set.Classes = append(w.set.Classes, Class{LatencyObjective: 2e8 + time.Duration(w.Int63n(1e9)), Idempotency: repeat, DedupGroup: DedupGroup(w.Intn(3)), DedupWindow: 1e8 + time.Duration(w.Int63n(2e9)), LateFraction: float64(w.Intn(2))})
 	}
 	w.p = New(w.set, uint64(seed), w)
 	w.relist(true)
@@ -158,7 +159,7 @@
 }
 
 func (w *world) surely(l EndpointInfo) float64 {
-	if age := w.now - l.StartedAt; l.StartedAt > 0 && age < w.set.SlowStartWindow {
+	if age := w.now - l.StartedAt; l.StartedAt > 0 && time.Duration(age) < w.set.SlowStartWindow {
 		return 0.1 + 0.9*float64(age)/float64(w.set.SlowStartWindow)
 	}
 	return 1
@@ -221,7 +222,7 @@
 	h := &t.handOffs[number]
 	h.open = false
 	h.neverOK = outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent
-	a := AttemptResult{Request: t.task.ID, Attempt: number, Endpoint: h.server, Outcome: outcome, Elapsed: w.now - h.at,
+	a := AttemptResult{Request: t.task.ID, Attempt: number, Endpoint: h.server, Outcome: outcome, Elapsed: w.now.Sub(h.at),
 		Report: LoadReport{Utilization: w.Float64(), QueueLength: float64(w.Intn(3)), ServiceTime: -1}}
 	if outcome == OutcomeSucceeded && !t.over {
 		t.over = true
@@ -249,11 +250,11 @@
 }
 
 func (w *world) step() {
-	w.now += w.Int63n(2e7)
+	w.now += Time(w.Int63n(2e7))
 	switch w.Intn(10) {
 	case 0, 1, 2, 3:
 		t := &modelTask{task: Request{ID: RequestID(fmt.Sprint(len(w.ids))), Class: w.Intn(4),
-			Deadline: w.now + 1e8 + w.Int63n(2e9)}}
+			Deadline: w.now + 1e8 + Time(w.Int63n(2e9))}}
 		w.tasks[t.task.ID] = t
 		w.ids = append(w.ids, t.task.ID)
 		w.carried(0)
@@ -261,7 +262,7 @@
 		w.owed(t)
 	case 4:
 		// What others tell, whatever it is and however often, must never break a rule.
-		news := GossipMessage{Endpoint: EndpointID(w.Intn(10)), Class: w.Intn(8) - 2, IdleTime: w.Int63n(3)*w.Int63n(1e10) - 1e9}
+		news := GossipMessage{Endpoint: EndpointID(w.Intn(10)), Class: w.Intn(8) - 2, IdleTime: time.Duration(w.Int63n(3)*w.Int63n(1e10) - 1e9)}
 		if len(w.told) > 0 && w.Intn(2) == 0 {
 			news = w.told[w.Intn(len(w.told))]
 		}
--- a/policy/move_test.go
+++ b/policy/move_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 // subset returns whom a node draws from.
 func subset(p *Balancer) map[EndpointID]bool {
@@ -223,7 +226,7 @@
 		t.Errorf("trusted for %d ms", b.idle.Limit/ms)
 	}
 	for range 200 {
-		b.now += recalculate
+		b.now += Time(recalculate)
 		b.tick()
 	}
 	if b.idle.Limit < 5e9 {
@@ -289,7 +292,7 @@
 	b := fleet(t, 4, many)
 	b.serve(20, prompt)
 	bad := EndpointID(0)
-	b.serve(40, func(s EndpointID) (Outcome, int64) {
+	b.serve(40, func(s EndpointID) (Outcome, time.Duration) {
 		if bad == 0 {
 			bad = s
 		}
@@ -310,7 +313,7 @@
 	b.serve(40, prompt)
 	for range 40 { // slow all the time, but nothing is rejected
 		b.Balancer.Fleet.A, b.Balancer.Fleet.Weight = 400, 40
-		b.now += recalculate
+		b.now += Time(recalculate)
 		if b.tick(); b.restTo > 0 {
 			t.Fatal("a rest though nothing was turned away")
 		}
@@ -318,7 +321,7 @@
 	rests := 0
 	for second := range 40 {
 		b.Balancer.Fleet.A, b.Balancer.Fleet.Weight, b.of[0].SuccessRate = 400, 40, 0.4
-		b.now += recalculate
+		b.now += Time(recalculate)
 		b.tick()
 		if b.restTo > b.now {
 			rests++
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -9,6 +9,7 @@
 	"math"
 	"math/rand/v2"
 	"slices"
+	"time"
 
 	"fawnglade/internal/classdelay"
 	"fawnglade/internal/estimates"
@@ -20,7 +21,7 @@
 )
 
 const (
-	recalculate = int64(1e9)           // the design's longest time between two recalculations
+	recalculate = time.Second          // the design's longest time between two recalculations
 	settling    = 3                    // recalculations through which a rising server still sits at the mean
 	floorPart   = 20                   // w is at least the mean over this
 	farAway     = 6                    // w of a server in another zone is pushed up by this
@@ -55,7 +56,8 @@
 
 type handOff struct {
 	server                 *server
-	sentAt, gap            int64 // gap: for how long its connection had been idle
+	sentAt                 Time
+	gap                    time.Duration // gap: for how long its connection had been idle
 	crowd, cost, predicted float64
 	wait, alone            float64 // for which its kinds wait anywhere; its time alone at the server
 	zone, pod              int     // where its server stood: by now it may be listed elsewhere, or nowhere
@@ -66,7 +68,7 @@
 type task struct {
 	Request
 	category     *Class
-	limit, soft  int64 // the last moments at which an answer still earns, and in full
+	limit, soft  Time // the last moments at which an answer still earns, and in full
 	handOffs     []handOff
 	open, crowds int // attempts out; what one counts for at its server
 	cookie       uint64
@@ -78,9 +80,10 @@
 
 // standing is what a server showed of late in one class.
 type standing struct {
-	failing, n, told            float64 // running part of failures; fading counts: over which, who say so
-	unfit                       bool
-	retryAt, retryAfter, toldAt int64 // toldAt: when this instance said so
+	failing, n, told float64 // running part of failures; fading counts: over which, who say so
+	unfit            bool
+	retryAfter       time.Duration
+	retryAt, toldAt  Time // toldAt: when this instance said so
 }
 
 type server struct {
@@ -89,25 +92,26 @@
 	near, home bool // this node draws from it; it is one of that key's homes
 	left       bool // the list lacks it, and it has not failed since
 	standing   []standing
-	usedAt     int64 // last use of a connection to it, 0: none
+	usedAt     Time // last use of a connection to it, 0: none
 
 	estimates.EndpointEstimates
-	recalculate, risingFrom int64      // recalculate: when next, if no report comes before
+	recalculate, risingFrom Time       // recalculate: when next, if no report comes before
 	sends, out, turned      int        // since the last report; out now; rejected in a row
 	most                    int        // out at once since its idle connections were last closed
 	pod                     *ewma.Pair // the same of its pod, as one server is heard of once in many seconds
 	credit                  float64    // attempts that it has earned while cold
-	silentFrom, fullTill    int64
+	silentFrom, fullTill    Time
 }
 
 // Balancer is one instance of the decisions.
 type Balancer struct {
-	set            Settings
-	host           Effects
-	draws          *rand.Rand
-	cookies        uint64
-	started        bool
-	askWait, until int64 // until: by when the request being drawn for is to be answered
+	set     Settings
+	host    Effects
+	draws   *rand.Rand
+	cookies uint64
+	started bool
+	askWait time.Duration
+	until   Time // until: by when the request being drawn for is to be answered
 
 	tasks         map[RequestID]*task
 	waking        map[uint64]*task
@@ -122,8 +126,8 @@
 	failing, warmth     float64 // part of failures of all; work of a request at its key's home, over that elsewhere
 	idle                idletimeout.Estimator
 	jammed, breadth     int       // seconds for which all have been late; how many servers to draw from
-	toldIdle, restTo    int64     // when that was told; until when this node gives the fleet a rest
-	cameAt              int64     // when a request came last
+	toldIdle, restTo    Time      // when that was told; until when this node gives the fleet a rest
+	cameAt              Time      // when a request came last
 	near, chilly, drawn []*server // those; of these the cold ones; who takes part in the draw
 	keys                keyfreq.Counter
 	lags                *classdelay.Tracker
@@ -140,7 +144,7 @@
 	p.FleetEstimates = estimates.FleetEstimates{HighLatency: 2, Pods: map[int]*ewma.Pair{}, ZoneDelay: map[int]float64{}}
 	p.lags = classdelay.New(len(settings.Classes), len(settings.TenantShares))
 	for _, c := range settings.Classes {
-		p.lags.AddObjective(c.LatencyObjective)
+		p.lags.AddObjective(int64(c.LatencyObjective))
 	}
 	p.of = slices.Repeat([]estimates.ClassEstimates{{LatencySpread: 2, SuccessRate: 1, KeptShare: 1}}, len(settings.Classes))
 	return p
@@ -150,7 +154,7 @@
 func (p *Balancer) Estimates() estimates.Snapshot {
 	all := estimates.Snapshot{FleetEstimates: p.FleetEstimates, Classes: p.of, Endpoints: map[uint32]estimates.Endpoint{}}
 	for _, s := range p.servers {
-		all.Endpoints[uint32(s.ID)] = estimates.Endpoint{EndpointEstimates: s.EndpointEstimates, StartedAt: s.StartedAt}
+		all.Endpoints[uint32(s.ID)] = estimates.Endpoint{EndpointEstimates: s.EndpointEstimates, StartedAt: int64(s.StartedAt)}
 	}
 	return all
 }
@@ -160,17 +164,17 @@
 	p.FleetEstimates.TakeOver(&all.FleetEstimates)
 	copy(p.of, all.Classes)
 	for _, s := range p.servers {
-		if l, had := all.Endpoints[uint32(s.ID)]; had && l.StartedAt == s.StartedAt {
+		if l, had := all.Endpoints[uint32(s.ID)]; had && Time(l.StartedAt) == s.StartedAt {
 			s.EndpointEstimates = l.EndpointEstimates
 		}
 	}
 }
 
 // EndpointsUpdated takes the server list, or what changed in it.
-func (p *Balancer) EndpointsUpdated(now int64, list []EndpointInfo, whole bool) {
+func (p *Balancer) EndpointsUpdated(now Time, list []EndpointInfo, whole bool) {
 	if !p.started {
 		p.started = true
-		p.host.SetTimer(now+recalculate, tickCookie)
+		p.host.SetTimer(now.Add(recalculate), tickCookie)
 		if p.set.MustPollList {
 			p.host.WatchEndpoints()
 		}
@@ -214,20 +218,20 @@
 }
 
 // WatchFailed asks again, after waits that grow but stay well within the time the rules allow.
-func (p *Balancer) WatchFailed(now int64) {
+func (p *Balancer) WatchFailed(now Time) {
 	p.askWait = min(max(2*p.askWait, p.set.MaxPollInterval/64), p.set.MaxPollInterval/8)
-	p.host.SetTimer(now+p.askWait, listCookie)
+	p.host.SetTimer(now.Add(p.askWait), listCookie)
 }
 
 // RequestArrived takes a new request.
-func (p *Balancer) RequestArrived(now int64, arrived Request) {
+func (p *Balancer) RequestArrived(now Time, arrived Request) {
 	c := &p.set.Classes[arrived.Class]
 	t := &task{Request: arrived, category: c, limit: arrived.Deadline, crowds: 1,
 		kinds: p.lags.Of(arrived.Class, arrived.Tenant)}
 	if arrived.StreamingBody {
 		t.crowds = 0 // a server begins it only when all of it has come, and how long that takes is not its doing
 	}
-	if t.soft = min(t.limit, now+c.LatencyObjective-c.LatencyObjective/64-2*p.set.ClockResolution); c.LateFraction == 0 {
+	if t.soft = min(t.limit, now.Add(c.LatencyObjective-c.LatencyObjective/64-2*p.set.ClockResolution)); c.LateFraction == 0 {
 		t.limit = t.soft
 	}
 	p.tasks[t.ID] = t
@@ -253,7 +257,7 @@
 }
 
 // send hands the request to a drawn server, or gives it up.
-func (p *Balancer) send(now int64, t *task) {
+func (p *Balancer) send(now Time, t *task) {
 	if s := p.draw(now, t); s != nil {
 		p.handTo(now, t, s)
 	} else {
@@ -261,36 +265,36 @@
 	}
 }
 
-func (p *Balancer) handTo(now int64, t *task, s *server) {
-	cost, gap := p.cost(t)*p.warm(s), int64(0)
+func (p *Balancer) handTo(now Time, t *task, s *server) {
+	cost, gap := p.cost(t)*p.warm(s), time.Duration(0)
 	if s.out == 0 {
 		s.silentFrom = now
-		if gap = now - cmp.Or(s.usedAt, now); gap > p.idle.Limit {
+		if gap = now.Sub(cmp.Or(s.usedAt, now)); int64(gap) > p.idle.Limit {
 			gap = 0
 			p.release(s)
 		}
 	}
 	s.usedAt = now
 	t.handOffs = append(t.handOffs, handOff{server: s, zone: s.Zone, pod: s.Pod, sentAt: now, gap: gap,
-		home: s.home, wait: t.kinds.Delay(now), alone: p.ZoneDelay[s.Zone] + cost*s.pod.Level()*s.Latency.Level(),
+		home: s.home, wait: t.kinds.Delay(int64(now)), alone: p.ZoneDelay[s.Zone] + cost*s.pod.Level()*s.Latency.Level(),
 		crowd: float64(s.out), predicted: float64(p.predict(s, cost)), cost: cost, open: true})
 	t.open++
-	t.kinds.CountInFlight(now, 1)
+	t.kinds.CountInFlight(int64(now), 1)
 	if now >= s.recalculate { // no report came for the design's longest time
-		s.RisePerSend, s.sends, s.recalculate = 0, 0, now+recalculate
+		s.RisePerSend, s.sends, s.recalculate = 0, 0, now.Add(recalculate)
 	}
 	s.out += t.crowds
 	s.most = max(s.most, s.out)
 	s.sends++
 	s.Load += s.RisePerSend
 	s.credit -= max(p.relative(cost), 1)
-	p.host.Send(t.ID, s.ID, t.limit-now)
-	if after := p.patience(s, cost); cost > 0 && t.open == 1 && !t.StreamingBody && now+after < t.limit-after/2 {
+	p.host.Send(t.ID, s.ID, t.limit.Sub(now))
+	if after := p.patience(s, cost); cost > 0 && t.open == 1 && !t.StreamingBody && now.Add(after) < t.limit.Add(-(after/2)) {
 		if t.cookie == 0 {
 			t.cookie, p.cookies = p.cookies, p.cookies+1
 			p.waking[t.cookie] = t
 		}
-		p.host.SetTimer(now+after, t.cookie)
+		p.host.SetTimer(now.Add(after), t.cookie)
 	}
 }
 
@@ -301,16 +305,16 @@
 }
 
 // mayDecline tells whether a client may be told that asking again does no harm.
-func mayDecline(now int64, t *task) bool {
+func mayDecline(now Time, t *task) bool {
 	all := t.category.Idempotency == IdempotentByKey && t.category.DedupGroup == DedupFleet
 	return t.category.Idempotency == Idempotent || !slices.ContainsFunc(t.handOffs, func(h handOff) bool {
-		return (h.open || h.mayHaveRun) && !(all && now-h.sentAt < t.category.DedupWindow)
+		return (h.open || h.mayHaveRun) && !(all && now.Sub(h.sentAt) < t.category.DedupWindow)
 	})
 }
 
 // giveUp answers at once: a reject where asking again does no harm, else a failure.
-func (p *Balancer) giveUp(now int64, t *task) {
-	if t.kinds.CountGivenUp(); t.kinds.Delay(now) < float64(t.category.LatencyObjective)/2 { // else others yield in vain
+func (p *Balancer) giveUp(now Time, t *task) {
+	if t.kinds.CountGivenUp(); t.kinds.Delay(int64(now)) < float64(t.category.LatencyObjective)/2 { // else others yield in vain
 		p.of[t.Request.Class].RecordResult(false)
 	}
 	if mayDecline(now, t) {
@@ -336,7 +340,7 @@
 }
 
 // AttemptEnded takes the end of an attempt.
-func (p *Balancer) AttemptEnded(now int64, a AttemptResult) {
+func (p *Balancer) AttemptEnded(now Time, a AttemptResult) {
 	if s := p.byID[a.Endpoint]; s != nil {
 		p.report(now, s, &a.Report)
 	}
@@ -349,7 +353,7 @@
 	h.open, h.mayHaveRun = false, a.Outcome != OutcomeRejected && a.Outcome != OutcomeConnectFailed && a.Outcome != OutcomeNotSent
 	t.open--
 	s.out -= t.crowds
-	t.kinds.CountInFlight(now, -1)
+	t.kinds.CountInFlight(int64(now), -1)
 	switch o := a.Outcome; {
 	case o == OutcomeReset || o == OutcomeConnectFailed || p.set.StreamsPerConnection < 2 && (o == OutcomeTimedOut || o == OutcomeCanceled):
 		s.usedAt = 0 // its connection went with it
@@ -374,19 +378,19 @@
 }
 
 // ClientGone takes the news that the client has gone; work still out for it can earn nothing.
-func (p *Balancer) ClientGone(_ int64, id RequestID) {
+func (p *Balancer) ClientGone(_ Time, id RequestID) {
 	if t := p.tasks[id]; t != nil && !t.over {
 		p.end(t)
 	}
 }
 
 // TimerFired takes a timer that has come due.
-func (p *Balancer) TimerFired(now int64, cookie uint64) {
+func (p *Balancer) TimerFired(now Time, cookie uint64) {
 	switch t := p.waking[cookie]; {
 	case cookie == listCookie:
 		p.host.WatchEndpoints()
 	case cookie == tickCookie:
-		p.host.SetTimer(now+recalculate, tickCookie)
+		p.host.SetTimer(now.Add(recalculate), tickCookie)
 		p.age(now)
 	case t != nil && t.open == 1:
 		p.overdue(now, t, slices.IndexFunc(t.handOffs, func(h handOff) bool { return h.open }))
@@ -394,14 +398,14 @@
 }
 
 // late tells the request's kinds of an answer that is late by who knows how much, if its connection is not why.
-func (p *Balancer) late(now int64, t *task, h *handOff) {
+func (p *Balancer) late(now Time, t *task, h *handOff) {
 	if !h.dead {
-		t.kinds.Observe(now, h.sentAt, math.Inf(1), h.alone)
+		t.kinds.Observe(int64(now), int64(h.sentAt), math.Inf(1), h.alone)
 	}
 }
 
 // overdue takes an attempt that should have been answered: its server is judged, and the request sent elsewhere.
-func (p *Balancer) overdue(now int64, t *task, number int) {
+func (p *Balancer) overdue(now Time, t *task, number int) {
 	h := &t.handOffs[number]
 	p.unheard(now, h, OutcomeTimedOut)
 	p.late(now, t, h)
@@ -422,7 +426,7 @@
 
 // choose picks whom this node draws from: the first by rank, until enough are warm and fit. Guards against
 // many nodes each holding a connection to every server, hearing little of any, and filling their tables.
-func (p *Balancer) choose(now int64) {
+func (p *Balancer) choose(now Time) {
 	p.active = 0
 	for _, s := range p.servers {
 		if s.State == StateActive {
@@ -452,14 +456,14 @@
 }
 
 // shunned tells whether a server is no use for the moment.
-func (s *server) shunned(now int64) bool {
+func (s *server) shunned(now Time) bool {
 	unfit := func(st standing) bool { return st.unfit }
 	return now < s.fullTill && s.turned > 1 || slices.ContainsFunc(s.standing, unfit)
 }
 
 // cold returns the part of its capacity that a server surely has; 1 when warm.
-func (p *Balancer) cold(now int64, s *server) float64 {
-	if age := now - s.StartedAt; s.StartedAt != 0 && age < p.set.SlowStartWindow {
+func (p *Balancer) cold(now Time, s *server) float64 {
+	if age := now.Sub(s.StartedAt); s.StartedAt != 0 && age < p.set.SlowStartWindow {
 		return p.set.SlowStartMinCapacity + (1-p.set.SlowStartMinCapacity)*float64(max(age, 0))/float64(p.set.SlowStartWindow)
 	}
 	return 1
@@ -472,7 +476,7 @@
 // earnCold keeps the books on cold servers: with each request that a warm peer satisfies one earns what it
 // surely can do of that even part, and pays for what it is given. Where few are warm arrivals count, not
 // to rest all on them; but no more than all nodes may give, or the first servers back are pushed over.
-func (p *Balancer) earnCold(now int64, by *server, cost float64) {
+func (p *Balancer) earnCold(now Time, by *server, cost float64) {
 	all, sure := len(p.near), math.Inf(1)
 	warm := all - len(p.chilly)
 	if (by == nil) != (2*warm < all) || by != nil && p.cold(now, by) < 1 {
@@ -492,7 +496,7 @@
 }
 
 // allowed tells whether rules 2 and 3 let the request go to the server.
-func (p *Balancer) allowed(now int64, t *task, s *server) bool {
+func (p *Balancer) allowed(now Time, t *task, s *server) bool {
 	if s.State != StateActive || len(t.handOffs) >= p.set.MaxAttempts {
 		return false
 	}
@@ -504,7 +508,7 @@
 		if !h.mayHaveRun && !h.open || t.category.Idempotency == Idempotent {
 			continue
 		}
-		if group := t.category.DedupGroup; t.category.Idempotency == NonIdempotent || now-h.sentAt >= t.category.DedupWindow ||
+		if group := t.category.DedupGroup; t.category.Idempotency == NonIdempotent || now.Sub(h.sentAt) >= t.category.DedupWindow ||
 			group == DedupPod && h.pod != s.Pod || group == DedupZone && h.zone != s.Zone {
 			return false
 		}
@@ -514,7 +518,7 @@
 
 // inDraw tells who takes part in a request's draw: the fit that will be in time by a high quantile. Where that
 // is nobody, the unfit do that this node hears often and has nothing out at: rejecting would help none.
-func (p *Balancer) inDraw(now int64, t *task, s *server, nobody bool) bool {
+func (p *Balancer) inDraw(now Time, t *task, s *server, nobody bool) bool {
 	n := len(t.handOffs)
 	if !p.allowed(now, t, s) || now < s.fullTill || n > 0 && t.handOffs[n-1].server == s ||
 		s.credit < 1 && p.cold(now, s) < 1 {
@@ -524,7 +528,7 @@
 		return s.out == 0 && (nobody && s.Latency.Weight*learn >= 1 || now >= st.retryAt && t.category.Idempotency == Idempotent)
 	}
 	cost := p.cost(t) * p.warm(s)
-	if s.out > 0 && s.HasLatency && now-s.silentFrom > p.patience(s, max(cost, p.MeanWork)) {
+	if s.out > 0 && s.HasLatency && now.Sub(s.silentFrom) > p.patience(s, max(cost, p.MeanWork)) {
 		return false // guards against servers that take requests and answer nothing, and so report no load
 	}
 	// A miss counts only for itself: a high quantile goes in as far as requests are rejected.
@@ -534,9 +538,9 @@
 }
 
 // predict counts own attempts out double: what draws this node to a server draws its peers too, unseen.
-func (p *Balancer) predict(s *server, cost float64) int64 {
+func (p *Balancer) predict(s *server, cost float64) time.Duration {
 	unit, crowd := p.expect(s)
-	return int64(p.ZoneDelay[s.Zone] + unit*cost*(1+2*float64(s.out))/(1+2*crowd))
+	return time.Duration(p.ZoneDelay[s.Zone] + unit*cost*(1+2*float64(s.out))/(1+2*crowd))
 }
 
 // expect is the answer time for a unit of work: the fleet's, times what pod and server were over it of late.
@@ -548,14 +552,14 @@
 }
 
 // patience is how long an answer may take, by the high quantile of the server or of its fit peers.
-func (p *Balancer) patience(s *server, cost float64) int64 {
+func (p *Balancer) patience(s *server, cost float64) time.Duration {
 	high := p.HighLatency
 	if s.HasLatency && !s.shunned(s.silentFrom) {
 		high = min(2*high, s.HighLatency)
 	}
 	_, crowd := p.expect(s)
 	cost *= high * (1 + float64(s.out)) / (1 + min(crowd, float64(s.out)))
-	return max(grain*p.set.ClockResolution, int64(2*(p.ZoneDelay[s.Zone]+cost)))
+	return max(grain*p.set.ClockResolution, time.Duration(2*(p.ZoneDelay[s.Zone]+cost)))
 }
 
 // worst is the satisfied part of the class that fares worst.
@@ -579,18 +583,18 @@
 }
 
 // allowance is the time a prediction may take. What fares better or earns less for its work gives up some.
-func (p *Balancer) allowance(now int64, t *task) int64 {
+func (p *Balancer) allowance(now Time, t *task) time.Duration {
 	c, worst := &p.of[t.Request.Class], p.worst()
 	part := worst / c.SuccessRate * (1 - (1-c.KeptShare)*(1-worst))
 	if t.beyond {
 		part *= max(worst*worst, p.set.OverQuotaFraction)
 	}
-	return int64(float64(p.until-now) * part)
+	return time.Duration(float64(p.until-now) * part)
 }
 
 // draw picks a server with a chance proportional to 1/w among those that take part. Those that will be in
 // time for the latency objective come first.
-func (p *Balancer) draw(now int64, t *task) *server {
+func (p *Balancer) draw(now Time, t *task) *server {
 	if now >= t.limit || now < p.restTo {
 		return nil
 	}
@@ -603,8 +607,8 @@
 	}
 	p.settle(now, t)
 	// One in time ends the belief, so it is sought: over all nodes by no more at a time than there are servers.
-	if p.wait = t.kinds.Delay(now); p.wait > 0 &&
-		t.kinds.MayTry(now, min(1, float64(len(p.servers))/float64(max(p.set.NodeCount, 1)))) {
+	if p.wait = t.kinds.Delay(int64(now)); p.wait > 0 &&
+		t.kinds.MayTry(int64(now), min(1, float64(len(p.servers))/float64(max(p.set.NodeCount, 1)))) {
 		p.wait = 0
 	}
 	for round := range 4 {
@@ -635,7 +639,7 @@
 
 // settle finds the homes of a request's key, on which nodes agree without talking: of the warm and fit the first
 // by a hash of both. Against each node gathering a key wherever it sent it first, so that nobody saves work.
-func (p *Balancer) settle(now int64, t *task) {
+func (p *Balancer) settle(now Time, t *task) {
 	for _, s := range p.homes {
 		s.home = false
 	}
@@ -675,7 +679,7 @@
 }
 
 // weigh works out w with its exceptions for the drawn, against the mean load of whom they were drawn from.
-func (p *Balancer) weigh(now int64, from []*server) {
+func (p *Balancer) weigh(now Time, from []*server) {
 	mean, heard := 0.0, 0.0
 	for _, s := range from {
 		if s.HasReport {
@@ -686,7 +690,7 @@
 	p.weights = p.weights[:0]
 	for _, s := range p.drawn {
 		w := max(s.Load, mean/floorPart)
-		if !s.HasReport || s.risingFrom == 0 || now-s.risingFrom < settling*recalculate {
+		if !s.HasReport || s.risingFrom == 0 || now.Sub(s.risingFrom) < settling*recalculate {
 			w = max(w, mean)
 		}
 		// Reports do not tell a slow server from a quick one; the square, as one that gets its part still is late.
@@ -710,7 +714,7 @@
 }
 
 // hear takes a load report: the rise since the last one, over the sends between, is what each send adds.
-func (s *server) hear(now int64, load float64) {
+func (s *server) hear(now Time, load float64) {
 	rise := load - s.LastReport
 	if s.RisePerSend = 0; s.HasReport && rise > 0 && s.sends > 0 && now < s.recalculate {
 		s.RisePerSend = rise / float64(s.sends)
@@ -718,11 +722,11 @@
 	if rise > 0 && s.HasReport && s.risingFrom == 0 {
 		s.risingFrom = now
 	}
-	s.Load, s.LastReport, s.HasReport, s.sends, s.recalculate = load, load, true, 0, now+recalculate
+	s.Load, s.LastReport, s.HasReport, s.sends, s.recalculate = load, load, true, 0, now.Add(recalculate)
 }
 
 // report picks which reported value is the load; all else that depends on it asks the server.
-func (p *Balancer) report(now int64, s *server, r *LoadReport) {
+func (p *Balancer) report(now Time, s *server, r *LoadReport) {
 	load := 1 + r.QueueLength
 	if p.set.ReportsUtilization && r.Utilization >= 0 {
 		if load = r.Utilization; p.set.ReportsServiceTime && r.ServiceTime >= 0 {
@@ -744,14 +748,14 @@
 }
 
 // HealthChecked takes what a probe brought.
-func (p *Balancer) HealthChecked(now int64, id EndpointID, o Outcome, r LoadReport) {
+func (p *Balancer) HealthChecked(now Time, id EndpointID, o Outcome, r LoadReport) {
 	if s := p.byID[id]; s != nil && o == OutcomeSucceeded {
 		p.report(now, s, &r)
 	}
 }
 
 // judge learns from how an attempt ended.
-func (p *Balancer) judge(now int64, t *task, h *handOff, a AttemptResult) {
+func (p *Balancer) judge(now Time, t *task, h *handOff, a AttemptResult) {
 	s, c, took, bad := h.server, t.Request.Class, float64(a.Elapsed), 1.0
 	if o := a.Outcome; o != OutcomeTimedOut && o != OutcomeCanceled && o != OutcomeNotSent &&
 		(o != OutcomeReset || p.set.StreamsPerConnection < 2 && s.most > 1) {
@@ -773,8 +777,8 @@
 		}
 		// Guards against one that rejects at once using up all attempts: it is left alone, ever longer.
 		s.turned = min(s.turned+1, 6)
-		wait := max(int64(p.MeanWork), int64(float64(recalculate)/(2*s.Latency.Weight+1)))
-		s.fullTill = now + wait<<(s.turned-1)
+		wait := max(time.Duration(p.MeanWork), time.Duration(float64(recalculate)/(2*s.Latency.Weight+1)))
+		s.fullTill = now.Add(wait << (s.turned - 1))
 		if a.Outcome == OutcomeRejected && (a.Report.QueueLength != 0 || s.Latency.Weight*learn < 1) {
 			// Guards against a storm of resends in a jam: the full would be late, one with an empty queue not.
 			p.timed(h, float64(t.limit-h.sentAt)*overrun)
@@ -808,11 +812,11 @@
 }
 
 // satisfied learns from an answer.
-func (p *Balancer) satisfied(now int64, t *task, h *handOff, took float64, fresh bool) {
+func (p *Balancer) satisfied(now Time, t *task, h *handOff, took float64, fresh bool) {
 	s, c := h.server, &p.of[t.Request.Class]
 	s.turned = 0
-	p.idle.Survived(h.gap)
-	t.kinds.Observe(now, h.sentAt, took, h.alone)
+	p.idle.Survived(int64(h.gap))
+	t.kinds.Observe(int64(now), int64(h.sentAt), took, h.alone)
 	c.Calibrate(took, h.predicted)
 	if fresh && h.cost > 0 {
 		p.earnCold(now, s, h.cost)
@@ -836,7 +840,7 @@
 }
 
 // unheard tells whether an attempt found its connection dead: something between dropped it while it was idle.
-func (p *Balancer) unheard(now int64, h *handOff, o Outcome) bool {
+func (p *Balancer) unheard(now Time, h *handOff, o Outcome) bool {
 	if o != OutcomeReset && o != OutcomeTimedOut && o != OutcomeCanceled || h.gap < shortIdle || h.server.silentFrom > h.sentAt ||
 		h.server.most > p.set.StreamsPerConnection { // which of many connections it was is not known here
 		return false
@@ -852,7 +856,7 @@
 }
 
 // mark judges a server, in one class, by one more end of an attempt.
-func (p *Balancer) mark(now int64, s *server, t *task, bad float64, o Outcome) {
+func (p *Balancer) mark(now Time, s *server, t *task, bad float64, o Outcome) {
 	st, part := &s.standing[t.Request.Class], learn
 	if bad == 0 || o == OutcomeError {
 		part = max(learn, 1/(st.n+2)) // one seldom heard is judged by the little there is
@@ -866,7 +870,7 @@
 	case bad > 0 && (st.unfit || st.failing > limit):
 		st.unfit = true
 		st.retryAfter = min(max(2*st.retryAfter, recalculate/2), 4*recalculate)
-		st.retryAt = now + st.retryAfter
+		st.retryAt = now.Add(st.retryAfter)
 	case st.unfit && st.failing < limit/2:
 		st.unfit, st.retryAfter = false, 0
 	}
@@ -902,7 +906,7 @@
 }
 
 // age lets what was learned of a server that is no longer heard drift to what its peers show.
-func (p *Balancer) age(now int64) {
+func (p *Balancer) age(now Time) {
 	high, n := 0.0, 0.0
 	for _, s := range p.servers {
 		if s.State == StateActive && s.HasLatency && !s.shunned(now) {
@@ -921,7 +925,7 @@
 	if p.Fleet.Level() < jam || p.worst() > inNeed || !p.set.ReportsUtilization { // only where they tell how busy they are
 		p.jammed = 0
 	} else if p.jammed++; p.jammed == longJam { // what all depend on may recover only while it rests
-		p.restTo = now + restFor
+		p.restTo = now.Add(restFor)
 	}
 	p.FleetEstimates.Decay(1-learn, forget)
 	p.keys.Decay()
@@ -936,26 +940,28 @@
 }
 
 // sawDead takes a connection that was dead when used. Two in a row count, if none between lived as long.
-func (p *Balancer) sawDead(now, gap int64) {
-	if p.idle.Died(gap) {
+func (p *Balancer) sawDead(now Time, gap time.Duration) {
+	if p.idle.Died(int64(gap)) {
 		p.died(gap)
 		p.tell(now, &p.toldIdle, GossipMessage{IdleTime: gap})
 	}
 }
 
 // tell sends news, the same no more often than once a second.
-func (p *Balancer) tell(now int64, last *int64, n GossipMessage) {
-	if p.set.MayGossip && now-*last >= recalculate {
+func (p *Balancer) tell(now Time, last *Time, n GossipMessage) {
+	if p.set.MayGossip && now.Sub(*last) >= recalculate {
 		*last = now
 		p.host.Gossip(n)
 	}
 }
 
 // died counts connections that died idle.
-func (p *Balancer) died(gap int64) { p.idle.Confirm(gap, p.set.MayGossip, p.set.NodeCount) }
+func (p *Balancer) died(gap time.Duration) {
+	p.idle.Confirm(int64(gap), p.set.MayGossip, p.set.NodeCount)
+}
 
 // GossipReceived takes what another instance tells.
-func (p *Balancer) GossipReceived(now int64, n GossipMessage) {
+func (p *Balancer) GossipReceived(now Time, n GossipMessage) {
 	s := p.byID[n.Endpoint]
 	switch {
 	case n.IdleTime >= shortIdle:
@@ -964,7 +970,7 @@
 		st := &s.standing[n.Class]
 		// What this instance saw itself goes first; one voice is none, as a single error puts a server out there.
 		if st.told++; st.told >= voices && !st.unfit && (st.n < 1 || st.failing > failed/2) {
-			st.unfit, st.failing, st.retryAt = true, max(st.failing, 2*failed), now+recalculate
+			st.unfit, st.failing, st.retryAt = true, max(st.failing, 2*failed), now.Add(recalculate)
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -6,38 +6,41 @@
 	"math"
 	"math/rand/v2"
 	"testing"
+	"time"
 
 	"fawnglade/internal/estimates"
 	"fawnglade/internal/ewma"
 )
 
-const ms = int64(1e6)
+const ms = 1_000_000 // nanoseconds
 
 // recorder is a host that notes what it is told, for the small tests of single failures.
 type recorder struct {
 	sent               []EndpointID
-	waits              []int64
+	waits              []time.Duration
 	recalled           int
 	declined, brokeOff int
 	cookies            []uint64
 	released           []EndpointID
 	told               []GossipMessage
 	probed             []EndpointID
-	advice             int64
+	advice             time.Duration
 }
 
-func (r *recorder) Send(_ RequestID, s EndpointID, wait int64) {
+func (r *recorder) Send(_ RequestID, s EndpointID, wait time.Duration) {
 	r.sent, r.waits = append(r.sent, s), append(r.waits, wait)
 }
-func (r *recorder) Cancel(RequestID, int)            { r.recalled++ }
-func (r *recorder) Reject(_ RequestID, advice int64) { r.declined, r.advice = r.declined+1, advice }
-func (r *recorder) Fail(RequestID)                   { r.brokeOff++ }
-func (r *recorder) SetTimer(_ int64, cookie uint64)  { r.cookies = append(r.cookies, cookie) }
-func (r *recorder) WatchEndpoints()                  {}
-func (r *recorder) CloseIdle(s EndpointID)           { r.released = append(r.released, s) }
-func (r *recorder) Gossip(news GossipMessage)        { r.told = append(r.told, news) }
-func (r *recorder) CheckHealth(s EndpointID)         { r.probed = append(r.probed, s) }
-func (r *recorder) last() EndpointID                 { return r.sent[len(r.sent)-1] }
+func (r *recorder) Cancel(RequestID, int) { r.recalled++ }
+func (r *recorder) Reject(_ RequestID, advice time.Duration) {
+	r.declined, r.advice = r.declined+1, advice
+}
+func (r *recorder) Fail(RequestID)                 { r.brokeOff++ }
+func (r *recorder) SetTimer(_ Time, cookie uint64) { r.cookies = append(r.cookies, cookie) }
+func (r *recorder) WatchEndpoints()                {}
+func (r *recorder) CloseIdle(s EndpointID)         { r.released = append(r.released, s) }
+func (r *recorder) Gossip(news GossipMessage)      { r.told = append(r.told, news) }
+func (r *recorder) CheckHealth(s EndpointID)       { r.probed = append(r.probed, s) }
+func (r *recorder) last() EndpointID               { return r.sent[len(r.sent)-1] }
 func (r *recorder) given(id EndpointID) (count int) {
 	for _, s := range r.sent {
 		if s == id {
@@ -51,7 +54,7 @@
 	*testing.T
 	*Balancer
 	*recorder
-	now   int64
+	now   Time
 	tasks int
 }
 
@@ -82,32 +85,32 @@
 	return id
 }
 
-func (b *bench) end(id RequestID, number int, o Outcome, took int64) {
+func (b *bench) end(id RequestID, number int, o Outcome, took time.Duration) {
 	t := b.Balancer.tasks[id]
 	b.AttemptEnded(b.now, AttemptResult{Request: id, Attempt: number, Endpoint: t.handOffs[number].server.ID, Outcome: o,
 		Elapsed: took, RequestDone: o == OutcomeSucceeded, Report: LoadReport{-1, -1, -1}})
 }
 
 // allow is the time that a request with so much left may be predicted to take.
-func (b *bench) allow(t *task) int64 {
+func (b *bench) allow(t *task) time.Duration {
 	b.until = t.limit
 	return b.allowance(b.now, t)
 }
 
 // serve plays idempotent requests one after another, each answered as its server does.
-func (b *bench) serve(tasks int, how func(EndpointID) (Outcome, int64)) {
+func (b *bench) serve(tasks int, how func(EndpointID) (Outcome, time.Duration)) {
 	for range tasks {
 		id := b.arrive(0)
 		for b.Balancer.tasks[id] != nil {
 			o, took := how(b.last())
-			b.now += took
+			b.now += Time(took)
 			b.end(id, len(b.Balancer.tasks[id].handOffs)-1, o, took)
 		}
 		b.now += ms
 	}
 }
 
-func prompt(EndpointID) (Outcome, int64) { return OutcomeSucceeded, 40 * ms }
+func prompt(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 40 * ms }
 
 // TestDrawFollowsTheFormula compares the draw's frequencies with shares worked by hand: for w of 1, 2 and 4
 // the sum is 7, x is 7, 3.5 and 1.75, and the shares are 4/7, 2/7 and 1/7.
@@ -162,7 +165,7 @@
 func TestFastFailingServerLeavesAndReturns(t *testing.T) {
 	b := fleet(t, 4, nil)
 	bad := EndpointID(2)
-	how := func(s EndpointID) (Outcome, int64) {
+	how := func(s EndpointID) (Outcome, time.Duration) {
 		if s == bad {
 			return OutcomeError, ms
 		}
@@ -188,7 +191,7 @@
 func TestNobodyIsTheOddOneWhenAllFail(t *testing.T) {
 	b := fleet(t, 4, nil)
 	b.serve(20, prompt)
-	b.serve(60, func(EndpointID) (Outcome, int64) { return OutcomeError, ms })
+	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeError, ms })
 	unfit := 0
 	for _, s := range b.servers {
 		if s.standing[0].unfit {
@@ -258,7 +261,7 @@
 	b := fleet(t, 2, nil)
 	b.of[0].SuccessRate = 0.01
 	for range 40 {
-		b.now += recalculate
+		b.now += Time(recalculate)
 		b.tick()
 	}
 	if got := b.allow(&task{Request: Request{Class: 1}, limit: b.now + 400*ms}); got < 380*ms {
@@ -269,7 +272,7 @@
 func TestHeavyTasksDoNotShutOutTheOthers(t *testing.T) {
 	b := fleet(t, 3, nil)
 	n := 0
-	b.serve(600, func(EndpointID) (Outcome, int64) {
+	b.serve(600, func(EndpointID) (Outcome, time.Duration) {
 		if n++; n%12 == 0 {
 			return OutcomeSucceeded, 490 * ms
 		}
@@ -286,7 +289,7 @@
 	for range 10 {
 		b.serve(1, prompt) // a request now and then must not keep the bound up while most are rejected
 		b.of[0].GivenUpCount = 2
-		b.now += recalculate
+		b.now += Time(recalculate)
 		b.tick()
 	}
 	if b.of[0].LatencySpread > 2.5 {
@@ -295,7 +298,7 @@
 	b.of[0].LatencySpread = 3
 	for range 10 {
 		b.serve(1, prompt)
-		b.now += recalculate
+		b.now += Time(recalculate)
 		b.tick()
 	}
 	if b.of[0].LatencySpread < 2.5 {
@@ -306,10 +309,10 @@
 func TestIdleServersAreMeasuredAgainAfterAJam(t *testing.T) {
 	b := fleet(t, 2, nil)
 	b.serve(40, prompt)
-	b.serve(40, func(EndpointID) (Outcome, int64) { return OutcomeSucceeded, 450 * ms })
+	b.serve(40, func(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 450 * ms })
 	jammed, _ := b.expect(b.byID[1])
 	for range 20 {
-		b.now += recalculate
+		b.now += Time(recalculate)
 		b.tick()
 	}
 	if relaxed, _ := b.expect(b.byID[1]); relaxed > jammed*2/3 {
@@ -337,7 +340,7 @@
 
 func TestListIsAskedForAgainWithGrowingWaits(t *testing.T) {
 	p := New(Settings{MustPollList: true, MaxPollInterval: 10e9}, 1, &recorder{})
-	last := int64(10e9 / 128)
+	last := time.Duration(10e9 / 128)
 	for range 10 {
 		p.WatchFailed(0)
 		if p.askWait != min(2*last, 125e7) {
@@ -351,7 +354,7 @@
 	b := fleet(t, 3, nil)
 	b.serve(30, prompt)
 	b.sent = nil
-	b.serve(60, func(s EndpointID) (Outcome, int64) {
+	b.serve(60, func(s EndpointID) (Outcome, time.Duration) {
 		if s == 1 {
 			return OutcomeRejected, ms
 		}
@@ -362,7 +365,7 @@
 	}
 	seldom := &server{pod: &ewma.Pair{}, standing: make([]standing, 3)}
 	h := &handOff{server: seldom, sentAt: b.now, open: true}
-	if b.judge(b.now, &task{}, h, AttemptResult{Outcome: OutcomeConnectFailed}); seldom.fullTill < b.now+recalculate/2 {
+	if b.judge(b.now, &task{}, h, AttemptResult{Outcome: OutcomeConnectFailed}); seldom.fullTill < b.now.Add(recalculate/2) {
 		t.Errorf("a server not heard of late is asked again after %d ms", (seldom.fullTill-b.now)/ms)
 	}
 }
@@ -388,7 +391,7 @@
 func TestFellowsStandInForAServerSeldomHeard(t *testing.T) {
 	b := fleet(t, 100, nil)
 	b.serve(40, prompt)
-	b.serve(40, func(s EndpointID) (Outcome, int64) {
+	b.serve(40, func(s EndpointID) (Outcome, time.Duration) {
 		if s <= 20 {
 			return OutcomeTimedOut, 450 * ms
 		}
@@ -397,13 +400,13 @@
 	if unit, _ := b.Fleet.Means(1, 0); unit > 3 {
 		t.Errorf("one server in five times out and the whole fleet is expected at %.1f", unit)
 	}
-	b.serve(60, func(EndpointID) (Outcome, int64) { return OutcomeTimedOut, 450 * ms })
+	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeTimedOut, 450 * ms })
 	unheard := &server{EndpointInfo: EndpointInfo{ID: 101}, pod: &ewma.Pair{}}
 	if unit, _ := b.expect(unheard); unit < 5 {
 		t.Errorf("nearly all time out and a server not heard yet is expected at %.1f", unit)
 	}
 	for range 60 {
-		b.now += recalculate
+		b.now += Time(recalculate)
 		b.tick()
 	}
 	if unit, _ := b.expect(unheard); unit > 1.5 {
@@ -415,7 +418,7 @@
 	b := fleet(t, 100, nil)
 	b.serve(40, prompt)
 	b.sent = nil
-	b.serve(60, func(EndpointID) (Outcome, int64) { return OutcomeRejected, ms })
+	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeRejected, ms })
 	if len(b.sent) > 120 {
 		t.Errorf("%d hand-offs for 60 tasks while every server is full", len(b.sent))
 	}
@@ -449,7 +452,7 @@
 
 func TestSlowServerWithAlikeReportsGetsLittle(t *testing.T) {
 	b := fleet(t, 4, nil)
-	b.serve(400, func(s EndpointID) (Outcome, int64) {
+	b.serve(400, func(s EndpointID) (Outcome, time.Duration) {
 		if s == 1 {
 			return OutcomeSucceeded, 120 * ms
 		}
@@ -464,14 +467,14 @@
 func TestWayToAnotherZoneIsNotTakenForSlowness(t *testing.T) {
 	b := fleet(t, 0, nil)
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, Zone: 1, Weight: 1}, {ID: 2, Zone: 1, Weight: 1}}, true)
-	answered := func(cost, took int64, fresh bool) {
+	answered := func(cost, took time.Duration, fresh bool) {
 		b.tasks++
 		id := RequestID(fmt.Sprint(b.tasks))
 		b.RequestArrived(b.now, Request{ID: id, Deadline: b.now + 1000*ms, CostHint: cost})
 		if b.Balancer.tasks[id] == nil {
 			t.Fatalf("task %d of %d ms was given up beside idle servers", b.tasks, cost/ms)
 		}
-		b.now += took
+		b.now += Time(took)
 		b.AttemptEnded(b.now, AttemptResult{Request: id, Endpoint: b.last(), Outcome: OutcomeSucceeded, Elapsed: took, NewConnection: fresh,
 			Report: LoadReport{-1, -1, -1}})
 	}
@@ -495,7 +498,7 @@
 	b := fleet(t, 4, nil)
 	b.serve(100, prompt)
 	for _, s := range b.servers {
-		s.standing[2] = standing{unfit: s.ID > 1, failing: 0.3, retryAt: b.now + int64(1e9)}
+		s.standing[2] = standing{unfit: s.ID > 1, failing: 0.3, retryAt: b.now + Time(1e9)}
 	}
 	b.byID[1].State = StateDraining
 	b.sent = nil
@@ -545,7 +548,7 @@
 	set := benchSettings
 	set.ClockResolution = 2 * ms
 	p := New(set, 1, q)
-	now := int64(1e12)
+	now := Time(1e12)
 	p.EndpointsUpdated(now, listOf(2), true)
 	for i := range 100 {
 		id := RequestID(fmt.Sprint("warm", i))
@@ -570,7 +573,7 @@
 
 // Guards against a jam of work that earns next to nothing holding up what earns fifty times as much.
 func TestWhatEarnsLittleGivesUpTimeInNeed(t *testing.T) {
-	for worst, kept := range map[float64]int64{0.2: 225, 0.4: 400} { // of 400 ms, with half rejected
+	for worst, kept := range map[float64]time.Duration{0.2: 225, 0.4: 400} { // of 400 ms, with half rejected
 		b := fleet(t, 2, func(s *Settings) {
 			s.WorstClassWeight, s.WeightByWork = worst, true
 			s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight, s.Classes[2].PriorityWeight = 1, 4, 64
@@ -617,7 +620,7 @@
 // A new instance predicts as the one before did, and does not take a restarted server for the old one.
 func TestInheritance(t *testing.T) {
 	b := fleet(t, 4, nil)
-	b.serve(200, func(s EndpointID) (Outcome, int64) { return OutcomeSucceeded, int64(s) * 20 * ms })
+	b.serve(200, func(s EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, time.Duration(s) * 20 * ms })
 	text, err := json.Marshal(b.Estimates())
 	if err != nil {
 		t.Fatal(err)
--- a/policy/return_test.go
+++ b/policy/return_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
+	"time"
 )
 
 // A small world of servers, clients and nodes in which a trouble comes and goes. A server works on so many requests at once and
@@ -18,7 +19,7 @@
 )
 
 type happening struct {
-	at   int64
+	at   Time
 	what func()
 }
 
@@ -35,7 +36,7 @@
 }
 
 type job struct {
-	work int64
+	work time.Duration
 	done func()
 	gone bool
 }
@@ -43,26 +44,26 @@
 type shop struct {
 	busy  int
 	queue []*job
-	sent  [lastsFor]int64 // work that reached it, by second
+	sent  [lastsFor]time.Duration // work that reached it, by second
 }
 
 type smallWorld struct {
 	*rand.Rand
-	now         int64
+	now         Time
 	agenda      agenda
 	shops       []*shop
 	nodes       []*worldNode
-	waits       func(category, customer int) int64 // what the trouble adds
-	asked, good [lastsFor]float64                  // by the second in which a client first asked
+	waits       func(category, customer int) time.Duration // what the trouble adds
+	asked, good [lastsFor]float64                          // by the second in which a client first asked
 }
 
-func (w *smallWorld) in(after int64, what func()) {
-	heap.Push(&w.agenda, happening{w.now + after, what})
+func (w *smallWorld) in(after time.Duration, what func()) {
+	heap.Push(&w.agenda, happening{w.now.Add(after), what})
 }
 
-func (w *smallWorld) second(at int64) int { return int((at - worldStart) / 1e9) }
+func (w *smallWorld) second(at Time) int { return int((at - worldStart) / 1e9) }
 
-const worldStart = int64(1e12)
+const worldStart = Time(1e12)
 
 func (w *smallWorld) begin(s *shop, j *job) {
 	s.busy++
@@ -88,9 +89,9 @@
 
 type asking struct {
 	category, customer, tries int
-	since, hardLimit          int64
+	since, hardLimit          Time
 	handOffs                  []*job
-	sentAt                    []int64
+	sentAt                    []Time
 	to                        []EndpointID
 }
 
@@ -106,7 +107,7 @@
 	a := n.asked[id]
 	final := a == nil
 	if o == OutcomeSucceeded && !final {
-		if delete(n.asked, id); n.now-a.since <= softAt {
+		if delete(n.asked, id); n.now.Sub(a.since) <= softAt {
 			n.good[n.second(a.since)]++
 		}
 		final = true
@@ -116,13 +117,13 @@
 		return
 	}
 	h := t.handOffs[number]
-	n.p.AttemptEnded(n.now, AttemptResult{Request: id, Attempt: number, Endpoint: h.server.ID, Outcome: o, Elapsed: n.now - h.sentAt,
+	n.p.AttemptEnded(n.now, AttemptResult{Request: id, Attempt: number, Endpoint: h.server.ID, Outcome: o, Elapsed: n.now.Sub(h.sentAt),
 		RequestDone: final, Report: LoadReport{-1, -1, -1}})
 }
 
-func (n *worldNode) Send(id RequestID, to EndpointID, timeOut int64) {
+func (n *worldNode) Send(id RequestID, to EndpointID, timeOut time.Duration) {
 	a, s := n.asked[id], n.shops[to-1]
-	number, j := len(a.handOffs), &job{work: int64(n.ExpFloat64() * float64(workMean))}
+	number, j := len(a.handOffs), &job{work: time.Duration(n.ExpFloat64() * float64(workMean))}
 	s.sent[n.second(n.now)] += j.work
 	if at := n.second(n.now); at >= troubleAt && at < endsAt {
 		j.work += n.waits(a.category, a.customer)
@@ -153,7 +154,7 @@
 	}
 }
 
-func (n *worldNode) Reject(id RequestID, _ int64) {
+func (n *worldNode) Reject(id RequestID, _ time.Duration) {
 	a := n.asked[id]
 	if delete(n.asked, id); a.tries < 3 {
 		n.in(ms, func() { n.ask(a) })
@@ -161,8 +162,8 @@
 }
 
 func (n *worldNode) Fail(id RequestID) { delete(n.asked, id) }
-func (n *worldNode) SetTimer(at int64, cookie uint64) {
-	n.in(max(at-n.now, 1), func() { n.p.TimerFired(n.now, cookie) })
+func (n *worldNode) SetTimer(at Time, cookie uint64) {
+	n.in(max(at.Sub(n.now), 1), func() { n.p.TimerFired(n.now, cookie) })
 }
 func (n *worldNode) WatchEndpoints()        {}
 func (n *worldNode) CloseIdle(EndpointID)   {}
@@ -170,14 +171,14 @@
 func (n *worldNode) Gossip(GossipMessage)   {}
 
 // arrive has requests come to a node, a second kind of either sort among four.
-func (n *worldNode) arrive(every int64) {
+func (n *worldNode) arrive(every time.Duration) {
 	a := &asking{since: n.now, category: n.IntN(4) / 3, customer: n.IntN(4) / 3}
 	n.smallWorld.asked[n.second(n.now)]++
 	n.ask(a)
-	n.in(int64(n.ExpFloat64()*float64(every)), func() { n.arrive(every) })
+	n.in(time.Duration(n.ExpFloat64()*float64(every)), func() { n.arrive(every) })
 }
 
-func playReturn(nodes int, waits func(category, customer int) int64) *smallWorld {
+func playReturn(nodes int, waits func(category, customer int) time.Duration) *smallWorld {
 	const servers, rate = 12, 1500
 	w := &smallWorld{Rand: rand.New(rand.NewPCG(7, uint64(nodes))), now: worldStart, waits: waits}
 	var list []EndpointInfo
@@ -192,7 +193,7 @@
 			NodeCount: nodes, ClockResolution: 2 * ms}, uint64(at), n)
 		w.nodes = append(w.nodes, n)
 		n.p.EndpointsUpdated(w.now, list, true)
-		w.in(int64(w.Float64()*1e9), func() { n.arrive(int64(nodes) * 1e9 / rate) })
+		w.in(time.Duration(w.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
 	}
 	w.in(endsAt*1e9, func() { // one starts anew as the trouble ends
 		list[coldPlace-1].StartedAt = w.now
@@ -214,16 +215,16 @@
 	for name, c := range map[string]struct {
 		nodes, within int // seconds after its end
 		others        float64
-		waits         func(category, customer int) int64
+		waits         func(category, customer int) time.Duration
 	}{
-		"a category, one node":        {1, 2, 0.7, func(c, _ int) int64 { return int64(c) * 600 * ms }},
-		"a category, 100 nodes":       {100, 4, 0.4, func(c, _ int) int64 { return int64(c) * 600 * ms }},
-		"a customer, one node":        {1, 2, 0.7, func(_, u int) int64 { return int64(u) * 600 * ms }},
-		"a customer, 100 nodes":       {100, 4, 0.4, func(_, u int) int64 { return int64(u) * 600 * ms }},
-		"every server's, one node":    {1, 3, 0, func(int, int) int64 { return 600 * ms }},
-		"every server's, 100 nodes":   {100, 5, 0, func(int, int) int64 { return 600 * ms }},
-		"most of the work, one node":  {1, 2, 0.08, func(c, _ int) int64 { return int64(1-c) * 600 * ms }},
-		"most of the work, 100 nodes": {100, 4, 0.12, func(c, _ int) int64 { return int64(1-c) * 600 * ms }},
+		"a category, one node":        {1, 2, 0.7, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
+		"a category, 100 nodes":       {100, 4, 0.4, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
+		"a customer, one node":        {1, 2, 0.7, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms }},
+		"a customer, 100 nodes":       {100, 4, 0.4, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms }},
+		"every server's, one node":    {1, 3, 0, func(int, int) time.Duration { return 600 * ms }},
+		"every server's, 100 nodes":   {100, 5, 0, func(int, int) time.Duration { return 600 * ms }},
+		"most of the work, one node":  {1, 2, 0.08, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms }},
+		"most of the work, 100 nodes": {100, 4, 0.12, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := playReturn(c.nodes, c.waits)
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -16,16 +16,16 @@
 
 // Where next to nobody is fit the draw ends after its passes; it must not spin, nor miss the one.
 func TestDrawDoesNotSpin(t *testing.T) {
-	for name, spoil := range map[string]func(s *server, i int, now int64){
-		"just turned away": func(s *server, i int, now int64) { s.fullTill = now + ms },
-		"unfit":            func(s *server, i int, now int64) { s.standing[0], s.out = standing{unfit: true, retryAt: now + ms}, 1 },
-		"too late":         func(s *server, i int, now int64) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
-		"cold":             func(s *server, i int, now int64) { s.StartedAt, s.credit = now, 0 },
-		"silent":           func(s *server, i int, now int64) { s.out, s.HasLatency, s.silentFrom = 1, true, now-1e9 },
+	for name, spoil := range map[string]func(s *server, i int, now Time){
+		"just turned away": func(s *server, i int, now Time) { s.fullTill = now + ms },
+		"unfit":            func(s *server, i int, now Time) { s.standing[0], s.out = standing{unfit: true, retryAt: now + ms}, 1 },
+		"too late":         func(s *server, i int, now Time) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
+		"cold":             func(s *server, i int, now Time) { s.StartedAt, s.credit = now, 0 },
+		"silent":           func(s *server, i int, now Time) { s.out, s.HasLatency, s.silentFrom = 1, true, now-1e9 },
 	} {
 		for _, fit := range []int{0, 1} {
 			p := New(benchSettings, 1, &quiet{})
-			now := int64(1e12)
+			now := Time(1e12)
 			p.EndpointsUpdated(now, listOf(4096), true)
 			p.MeanWork, p.HighLatency = 5e6, 2
 			for i, s := range p.servers {
@@ -52,7 +52,7 @@
 	q := &quiet{}
 	set := benchSettings
 	p := New(set, 1, q)
-	now := int64(1e12)
+	now := Time(1e12)
 	list := listOf(2 * n)
 	p.EndpointsUpdated(now, list[:n], true)
 	type out struct {
@@ -130,7 +130,7 @@
 func TestManyHeld(t *testing.T) {
 	q := &quiet{}
 	p := New(benchSettings, 1, q)
-	now := int64(1e12)
+	now := Time(1e12)
 	p.EndpointsUpdated(now, listOf(512), true)
 	servers := map[RequestID]EndpointID{}
 	for i := range 100000 {
@@ -157,7 +157,7 @@
 	set := benchSettings
 	set.NodeCount = 300
 	p := New(set, 1, &quiet{})
-	now := int64(1e12)
+	now := Time(1e12)
 	list := listOf(120)
 	for i := range list {
 		list[i].StartedAt = now
--- /dev/null
+++ b/policy/settings.go
@@ -0,0 +1,103 @@
+package policy
+
+import "time"
+
+// Idempotency says what running a request twice does.
+type Idempotency uint8
+
+// The kinds of idempotency. A request that is idempotent by key is run once by endpoints that share a deduplication
+// group, for the deduplication window of its class.
+const (
+	Idempotent Idempotency = iota
+	IdempotentByKey
+	NonIdempotent
+)
+
+// String names the kind for logs and tests.
+func (i Idempotency) String() string {
+	return nameOf([]string{"idempotent", "idempotent by key", "non-idempotent"}, int(i))
+}
+
+// DedupGroup says which endpoints drop a repeat of a request that is idempotent by key.
+type DedupGroup uint8
+
+// The deduplication groups: every endpoint, those of one zone, or those of one pod.
+const (
+	DedupFleet DedupGroup = iota
+	DedupZone
+	DedupPod
+)
+
+// String names the group for logs and tests.
+func (g DedupGroup) String() string { return nameOf([]string{"fleet", "zone", "pod"}, int(g)) }
+
+// Class is what the settings say of one class of requests.
+type Class struct {
+	// LatencyObjective is the time after arrival within which an answer has its full worth.
+	LatencyObjective time.Duration
+	// Idempotency decides whether a request that may have run can be sent again.
+	Idempotency Idempotency
+	// DedupGroup and DedupWindow are read for IdempotentByKey alone: who drops a repeat, and for how long after the first
+	// attempt that may have run.
+	DedupGroup  DedupGroup
+	DedupWindow time.Duration
+	// PriorityWeight is the worth of a request, or of a unit of its work where Settings.WeightByWork is set.
+	PriorityWeight float64
+	// LateFraction is the part of PriorityWeight that an answer between objective and deadline still has; 0: none.
+	LateFraction float64
+}
+
+// Settings are what the decisions read of the deployment. They are decoded once, at the start of an instance.
+type Settings struct {
+	// Classes of requests; Request.Class is an index into them.
+	Classes []Class
+	// TenantShares is the part of all requests that each tenant may send at full worth; Request.Tenant is an index.
+	TenantShares []float64
+	// OverQuotaFraction is the part of its worth that a request beyond its tenant's share has.
+	OverQuotaFraction float64
+	// WorstClassWeight is how much the class that fares worst counts in the operators' goal, 0 to 1.
+	WorstClassWeight float64
+	// NodeIndex is this node's place among NodeCount nodes.
+	NodeIndex, NodeCount int
+	// StreamsPerConnection is how many attempts one connection carries at once.
+	StreamsPerConnection int
+	// Zone of this node; EndpointInfo.Zone is compared with it.
+	Zone int
+	// MaxAttempts bounds the attempts of one request, hedged ones among them.
+	MaxAttempts int
+	// ClockResolution is the least time that the caller's clock tells apart.
+	ClockResolution time.Duration
+	// MaxPollInterval is the longest time between two calls for the endpoint list, where MustPollList is set.
+	MaxPollInterval time.Duration
+	// SlowStartWindow is how long after its start an endpoint has its full capacity at the latest.
+	SlowStartWindow time.Duration
+	// SlowStartMinCapacity is the part of its capacity that an endpoint has from its start.
+	SlowStartMinCapacity float64
+	// MaxRetryAfter bounds the Retry-After of a rejection; 0: none is sent.
+	MaxRetryAfter time.Duration
+
+	// MustPollList: the endpoint list is told only when asked for.
+	MustPollList bool
+	// RemovedMayServe: an endpoint that the list lacks may still be sent to; only a listing as draining binds.
+	RemovedMayServe bool
+	// WeightIsSize: EndpointInfo.Weight tells how large an endpoint is.
+	WeightIsSize bool
+	// KeyAffinity: an endpoint that served a key lately serves it for less work.
+	KeyAffinity bool
+	// WeightByWork: PriorityWeight is of a unit of work, not of a request.
+	WeightByWork bool
+	// MayHedge: two attempts of a request may be in flight at once.
+	MayHedge bool
+	// MayCancel: an attempt in flight may be canceled.
+	MayCancel bool
+	// MaySetRetryAfter: a rejection may carry a Retry-After.
+	MaySetRetryAfter bool
+	// MayGossip: messages to other nodes are allowed.
+	MayGossip bool
+	// MayCheckHealth: health checks are allowed.
+	MayCheckHealth bool
+	// HealthChecksReport: load reports come with health checks alone.
+	HealthChecksReport bool
+	// ReportsUtilization and ReportsServiceTime: load reports carry these values.
+	ReportsUtilization, ReportsServiceTime bool
+}
