--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -2,9 +2,8 @@
 package main
 
 import (
-	"os"
-
 	"fawnglade/internal/simadapter"
+	"os"
 )
 
 func main() {
--- a/cmd/fawnglade-lab/distribution.go
+++ b/cmd/fawnglade-lab/distribution.go
@@ -4,13 +4,12 @@
 
 import (
 	"errors"
+	"fawnglade/internal/lab/distsim"
 	"fmt"
 	"os"
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"fawnglade/internal/lab/distsim"
 )
 
 const originCommand = "distribution-origin"
--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -4,15 +4,14 @@
 // by random choice, and one line at the end that says whether all held.
 
 import (
+	"fawnglade/internal/lab/result"
+	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"io"
 	"strings"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
-
-	"fawnglade/internal/lab/result"
-	"fawnglade/internal/lab/scenario"
 )
 
 const (
@@ -100,8 +99,10 @@
 }
 
 func judge(s *scenario.Scenario, own, seeing, plain *result.Result) judgedDay {
-	d := judgedDay{Day: s.Name, Seed: own.Drawn.Seed, InTime: own.Part, Seeing: seeing.Part, Plain: plain.Part, Worst10s: own.Worst(10),
-		Broken: own.RulesBroken, Missed: own.Missed}
+	d := judgedDay{
+		Day: s.Name, Seed: own.Drawn.Seed, InTime: own.Part, Seeing: seeing.Part, Plain: plain.Part, Worst10s: own.Worst(10),
+		Broken: own.RulesBroken, Missed: own.Missed,
+	}
 	for _, t := range own.Together {
 		d.Connections += float64(t.Connections) / float64(max(own.Tasks, 1))
 		d.Calls += t.Calls
--- a/cmd/fawnglade-lab/members.go
+++ b/cmd/fawnglade-lab/members.go
@@ -5,14 +5,13 @@
 import (
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/lab/fleet"
 	"fmt"
 	"os"
 	"slices"
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"fawnglade/internal/lab/fleet"
 )
 
 func readFigures(paths []string) (all []*fleet.Figures, err error) {
--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -7,6 +7,10 @@
 	_ "embed"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/lab/baseline"
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/result"
+	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"io"
 	"os"
@@ -18,11 +22,6 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
-
-	"fawnglade/internal/lab/baseline"
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/result"
-	"fawnglade/internal/lab/scenario"
 )
 
 //go:embed demo.toml
--- a/cmd/fawnglade-lab/scale.go
+++ b/cmd/fawnglade-lab/scale.go
@@ -5,6 +5,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/lab/scale"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -12,14 +13,14 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"fawnglade/internal/lab/scale"
 )
 
 // figures are those of the design and the limits that have a flag.
 func figures(d *scale.Design, l *scale.Limits) map[string]*float64 {
-	return map[string]*float64{"design-nodes": &d.Nodes, "design-servers": &d.Servers, "design-tenants": &d.Tenants, "limit-cores": &l.Cores, "limit-bytes": &l.Bytes,
-		"limit-bytes-s": &l.Network}
+	return map[string]*float64{
+		"design-nodes": &d.Nodes, "design-servers": &d.Servers, "design-tenants": &d.Tenants, "limit-cores": &l.Cores, "limit-bytes": &l.Bytes,
+		"limit-bytes-s": &l.Network,
+	}
 }
 
 // commandLine is how a run is done again: without where its result went, which is each machine's own.
@@ -119,8 +120,10 @@
 				return err
 			}
 			defer os.RemoveAll(dir)
-			r, err = scale.Run(c.Context(), scale.Options{Only: *only, Sizes: *sizes, Command: commandLine(c),
-				Env: scale.Env{Node: words, Hollow: hollow, Quick: *quick, Log: os.Stderr, Dir: dir}, Day: time.Now(), Design: design, Limits: limits, Machine: machine})
+			r, err = scale.Run(c.Context(), scale.Options{
+				Only: *only, Sizes: *sizes, Command: commandLine(c),
+				Env: scale.Env{Node: words, Hollow: hollow, Quick: *quick, Log: os.Stderr, Dir: dir}, Day: time.Now(), Design: design, Limits: limits, Machine: machine,
+			})
 			if r == nil {
 				return err
 			}
--- a/cmd/fawnglade-lab/search.go
+++ b/cmd/fawnglade-lab/search.go
@@ -4,6 +4,10 @@
 
 import (
 	"context"
+	"fawnglade/internal/lab/faultsearch"
+	"fawnglade/internal/lab/result"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/sweep"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,11 +15,6 @@
 
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
-
-	"fawnglade/internal/lab/faultsearch"
-	"fawnglade/internal/lab/result"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/sweep"
 )
 
 // each runs many at once and stops at the first error.
@@ -65,7 +64,8 @@
 				return err
 			}
 		}
-		state, err := faultsearch.Run(c.Context(), faultsearch.Options{Base: base, Seed: *seed, Draws: *draws, Keep: *keep, Dir: *out, Each: each,
+		state, err := faultsearch.Run(c.Context(), faultsearch.Options{
+			Base: base, Seed: *seed, Draws: *draws, Keep: *keep, Dir: *out, Each: each,
 			Notice: func(text string) { fmt.Fprintln(os.Stderr, text) },
 			Play: func(ctx context.Context, s *scenario.Scenario, seed uint64) (float64, int, error) {
 				own, err := virtual(ctx, s, seed, *by)
@@ -77,7 +77,8 @@
 					return 0, 0, err
 				}
 				return other.Part - own.Part, own.RulesBroken, nil
-			}})
+			},
+		})
 		if err != nil {
 			return err
 		}
--- a/cmd/fawnglade-lab/virtual.go
+++ b/cmd/fawnglade-lab/virtual.go
@@ -5,16 +5,15 @@
 
 import (
 	"context"
+	"fawnglade/internal/lab/baseline"
+	"fawnglade/internal/lab/result"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/simulation"
 	"fmt"
 	"runtime"
 	"strings"
 
 	"golang.org/x/sync/errgroup"
-
-	"fawnglade/internal/lab/baseline"
-	"fawnglade/internal/lab/result"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/simulation"
 )
 
 // moduleName is what the project's own decisions are called.
--- a/cmd/fawnglade-lab/weigh.go
+++ b/cmd/fawnglade-lab/weigh.go
@@ -5,6 +5,9 @@
 import (
 	"cmp"
 	"errors"
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/result"
+	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"io"
 	"os"
@@ -15,10 +18,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/result"
-	"fawnglade/internal/lab/scenario"
 )
 
 func compare() *cobra.Command {
@@ -205,8 +204,10 @@
 			}
 			used := ownCPU() - before
 			r := result.Of(s, record)
-			one := step{Rate: rate, Tasks: r.Tasks, Whole: r.Satisfied, LateMs: r.LateMs, P50: r.P50, P99: r.P99, Most: r.Most,
-				CPU: used.Seconds() * 1e6 / float64(max(r.Tasks, 1)), Held: r.Satisfied == r.Tasks && r.LateMs <= 5}
+			one := step{
+				Rate: rate, Tasks: r.Tasks, Whole: r.Satisfied, LateMs: r.LateMs, P50: r.P50, P99: r.P99, Most: r.Most,
+				CPU: used.Seconds() * 1e6 / float64(max(r.Tasks, 1)), Held: r.Satisfied == r.Tasks && r.LateMs <= 5,
+			}
 			steps = append(steps, one)
 			if !*asJSON {
 				fmt.Fprintf(c.OutOrStdout(), "%8.0f a second: %d of %d satisfied, late %.2f ms, p50 %.2f ms, p99 %.2f ms, %.1f us of CPU a task\n",
@@ -309,8 +310,10 @@
 					if err != nil {
 						return err
 					}
-					row := costRow{command, n, rate, r.Tasks, r.Satisfied, r.Declined, r.P50, r.P99,
-						r.Nodes[0].CPUSeconds * 1e6 / float64(max(r.Tasks, 1)), r.Nodes[0].MostMB, r.Verdict == result.Void}
+					row := costRow{
+						command, n, rate, r.Tasks, r.Satisfied, r.Declined, r.P50, r.P99,
+						r.Nodes[0].CPUSeconds * 1e6 / float64(max(r.Tasks, 1)), r.Nodes[0].MostMB, r.Verdict == result.Void,
+					}
 					if row.Through == "" {
 						row.Through = "fawnglade"
 					}
--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -224,8 +224,12 @@
 		most                  int64 // connections that each server takes
 		after                 time.Duration
 	}{
-		{32, 2, 2, "ask", false, 64, 0}, {64, 8, 4, "ask", true, 64, 0}, {64, 8, 4, "push", false, 64, 0}, {64, 4, 4, "ask", true, 4, 0},
-		{256, 90, 4, "push", true, 64, 200 * time.Millisecond}, {1024, 16, 4, "ask", true, 64, 0},
+		{32, 2, 2, "ask", false, 64, 0},
+		{64, 8, 4, "ask", true, 64, 0},
+		{64, 8, 4, "push", false, 64, 0},
+		{64, 4, 4, "ask", true, 4, 0},
+		{256, 90, 4, "push", true, 64, 200 * time.Millisecond},
+		{1024, 16, 4, "ask", true, 64, 0},
 	} {
 		t.Run(fmt.Sprintf("%d, %s, servers of %d", c.sockets, c.mode, c.most), func(t *testing.T) {
 			var servers []string
--- a/cmd/fawnglade/fleet.go
+++ b/cmd/fawnglade/fleet.go
@@ -7,6 +7,7 @@
 	"bytes"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/members"
 	"fmt"
 	"io"
 	"net"
@@ -16,8 +17,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"fawnglade/internal/members"
 )
 
 const askWithin = 3 * time.Second
@@ -58,11 +57,13 @@
 }
 
 func fleetView() *cobra.Command {
-	c := &cobra.Command{Use: "view --console ADDRESS...", Short: "Show which nodes one node believes are there", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "view --console ADDRESS...", Short: "Show which nodes one node believes are there", Args: cobra.NoArgs,
 		Long: `Show which nodes one node believes are there, with what it goes by. Several consoles are asked in turn.
 
 Exit code 0: every node asked has answered. 1: one did not, or members are off there.`,
-		Example: "  fawnglade fleet view --console 127.0.0.1:9000\n  fawnglade fleet view --console 127.0.0.1:9000 --console 127.0.0.2:9000 --json"}
+		Example: "  fawnglade fleet view --console 127.0.0.1:9000\n  fawnglade fleet view --console 127.0.0.1:9000 --console 127.0.0.2:9000 --json",
+	}
 	var consoles []string
 	if own := os.Getenv("NODE_CONSOLE"); own != "" {
 		consoles = []string{own}
--- a/cmd/fawnglade/main.go
+++ b/cmd/fawnglade/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"fawnglade/internal/node"
 	"fmt"
 	"os"
 	"runtime"
@@ -9,8 +10,6 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
-
-	"fawnglade/internal/node"
 )
 
 const release = "0.1.0"
@@ -96,8 +95,10 @@
 }
 
 func version() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
 			fmt.Fprintln(c.OutOrStdout(), "fawnglade", release, runtime.Version())
-		}}
+		},
+	}
 }
--- a/cmd/fawnglade/migrate.go
+++ b/cmd/fawnglade/migrate.go
@@ -8,14 +8,13 @@
 	"bytes"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/node"
 	"fmt"
 	"os"
 	"slices"
 	"strings"
 
 	"github.com/spf13/cobra"
-
-	"fawnglade/internal/node"
 )
 
 // shape is what the new deployment is like and an old file cannot tell.
--- a/cmd/fawnglade/migrate_test.go
+++ b/cmd/fawnglade/migrate_test.go
@@ -1,14 +1,13 @@
 package main
 
 import (
+	"fawnglade/internal/node"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/spf13/cobra"
-
-	"fawnglade/internal/node"
 )
 
 const oldShape = `{"name":"n0","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8081","seed":"1f","limits":{"sockets":512},"news":{"listen":"127.0.0.1:7"},
@@ -45,8 +44,10 @@
 	if err := os.WriteFile(all, []byte("127.0.0.1:9001\n127.0.0.1:9002\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	arguments := []string{"--config", from, "--out", to, "--nodes", "400", "--position", "7", "--news", "127.0.0.1:9001",
-		"--peers", all, "--peer", "127.0.0.1:9003", "--reports", "on_probe", "--copies=false"}
+	arguments := []string{
+		"--config", from, "--out", to, "--nodes", "400", "--position", "7", "--news", "127.0.0.1:9001",
+		"--peers", all, "--peer", "127.0.0.1:9003", "--reports", "on_probe", "--copies=false",
+	}
 	dry, left, err := run(append(arguments, "--dry-run")...)
 	if err != nil {
 		t.Fatal(err)
@@ -54,8 +55,10 @@
 	if _, err := os.Stat(to); err == nil {
 		t.Fatal("a dry run wrote the file")
 	}
-	for _, want := range []string{"goal.tail", "goal.borne_misses", "profiles.0.aim_stretch",
-		"settings.weights", "news:", "report.fields: inflight"} {
+	for _, want := range []string{
+		"goal.tail", "goal.borne_misses", "profiles.0.aim_stretch",
+		"settings.weights", "news:", "report.fields: inflight",
+	} {
 		if !strings.Contains(left, want) {
 			t.Errorf("%s is not told as not carried over in\n%s", want, left)
 		}
--- a/cmd/fawnglade/relay.go
+++ b/cmd/fawnglade/relay.go
@@ -3,11 +3,10 @@
 // This file owns the command that runs an origin or a relay of the distribution.
 
 import (
+	"fawnglade/internal/relay"
 	"fmt"
 
 	"github.com/spf13/cobra"
-
-	"fawnglade/internal/relay"
 )
 
 func relayCommand() *cobra.Command {
--- a/cmd/fawnglade/relay_test.go
+++ b/cmd/fawnglade/relay_test.go
@@ -4,6 +4,8 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/relay"
 	"fmt"
 	"os"
 	"os/exec"
@@ -14,9 +16,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/relay"
 )
 
 // relayProcess starts a process and tells where it serves.
--- a/cmd/fawnglade/store.go
+++ b/cmd/fawnglade/store.go
@@ -6,13 +6,12 @@
 	"encoding/base64"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/store"
 	"fmt"
 	"os"
 	"unicode/utf8"
 
 	"github.com/spf13/cobra"
-
-	"fawnglade/internal/store"
 )
 
 func storeCommands() *cobra.Command {
@@ -32,8 +31,10 @@
 }
 
 func storeCheck() *cobra.Command {
-	c := &cobra.Command{Use: "check DIR", Short: "Read all of a store and say whether it is whole", Args: cobra.ExactArgs(1),
-		Example: "  fawnglade store check /var/lib/fawnglade\n  fawnglade store check /var/lib/fawnglade --json"}
+	c := &cobra.Command{
+		Use: "check DIR", Short: "Read all of a store and say whether it is whole", Args: cobra.ExactArgs(1),
+		Example: "  fawnglade store check /var/lib/fawnglade\n  fawnglade store check /var/lib/fawnglade --json",
+	}
 	asJSON := c.Flags().Bool("json", false, "print one JSON object")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		s, r, err := look(args[0])
@@ -80,8 +81,10 @@
 }
 
 func storeList() *cobra.Command {
-	c := &cobra.Command{Use: "list DIR", Short: "List keys and the sizes of their values", Args: cobra.ExactArgs(1),
-		Example: "  fawnglade store list /var/lib/fawnglade --prefix drain/"}
+	c := &cobra.Command{
+		Use: "list DIR", Short: "List keys and the sizes of their values", Args: cobra.ExactArgs(1),
+		Example: "  fawnglade store list /var/lib/fawnglade --prefix drain/",
+	}
 	prefix := c.Flags().String("prefix", "", "only keys that begin so")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		return each(args[0], *prefix, func(k string, v []byte) error {
@@ -93,7 +96,8 @@
 }
 
 func storeGet() *cobra.Command {
-	return &cobra.Command{Use: "get DIR KEY", Short: "Print one value as it is", Args: cobra.ExactArgs(2),
+	return &cobra.Command{
+		Use: "get DIR KEY", Short: "Print one value as it is", Args: cobra.ExactArgs(2),
 		Example: "  fawnglade store get /var/lib/fawnglade list > list.cbor",
 		RunE: func(c *cobra.Command, args []string) error {
 			s, _, err := look(args[0])
@@ -110,11 +114,13 @@
 			}
 			_, err = c.OutOrStdout().Write(v)
 			return err
-		}}
+		},
+	}
 }
 
 func storeExport() *cobra.Command {
-	return &cobra.Command{Use: "export DIR", Short: "Print all keys and values as JSON, one to a line", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: "export DIR", Short: "Print all keys and values as JSON, one to a line", Args: cobra.ExactArgs(1),
 		Long:    "Print all keys and values as JSON, one to a line: key, and the value as text, or in base64 where it is none.",
 		Example: "  fawnglade store export /var/lib/fawnglade > backup.jsonl",
 		RunE: func(c *cobra.Command, args []string) error {
@@ -125,16 +131,19 @@
 				}
 				return out.Encode(map[string]string{"key": k, "base64": base64.StdEncoding.EncodeToString(v)})
 			})
-		}}
+		},
+	}
 }
 
 func storeRepair() *cobra.Command {
-	c := &cobra.Command{Use: "repair DIR --to DIR2", Short: "Copy what can be read of a damaged store into a new one", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use: "repair DIR --to DIR2", Short: "Copy what can be read of a damaged store into a new one", Args: cobra.ExactArgs(1),
 		Long: `Copy what can be read of a damaged store into a new one.
 
 DIR stays as it is. What stood between two whole batches is lost, and a key that it had changed or removed comes back as
 it was before: look at what comes out before a node is started on it.`,
-		Example: "  fawnglade store repair /var/lib/fawnglade --to /var/lib/fawnglade-2"}
+		Example: "  fawnglade store repair /var/lib/fawnglade --to /var/lib/fawnglade-2",
+	}
 	to := c.Flags().String("to", "", "a directory without a store, made if it is not there")
 	c.MarkFlagRequired("to")
 	c.RunE = func(c *cobra.Command, args []string) error {
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -80,8 +80,10 @@
 		back := gone + draws.Int64N(8*second)
 		first := []int64{gap, 2 * second}[draws.IntN(2)]
 		queue := draws.Int64N(1500 * ms)
-		w := &world{pace: New(0, first, gap, again), reach: func(now int64) bool { return now < gone || now >= back },
-			answer: func(now, made int64) bool { return made >= back && now-made >= queue }}
+		w := &world{
+			pace: New(0, first, gap, again), reach: func(now int64) bool { return now < gone || now >= back },
+			answer: func(now, made int64) bool { return made >= back && now-made >= queue },
+		}
 		if gone == 0 {
 			continue // then no call is out
 		}
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -129,5 +129,6 @@
 
 func helloAt(at Position) hello {
 	return hello{Protocol: protocol, Session: 3, Seen: at.Epoch, Epoch: at.Epoch, Through: at.Through, Selectors: []helloOfScope{
-		{Scope: "b/1", Flags: flagFollows}, {Scope: "b/1", Epoch: 8, Through: 1}, {Scope: "b/1", Flags: flagPrefix | flagFollows}, {Scope: "b/none", Epoch: 11}}}
+		{Scope: "b/1", Flags: flagFollows}, {Scope: "b/1", Epoch: 8, Through: 1}, {Scope: "b/1", Flags: flagPrefix | flagFollows}, {Scope: "b/none", Epoch: 11},
+	}}
 }
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -3,19 +3,22 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fawnglade/internal/golden"
 	"fmt"
 	"testing"
-
-	"fawnglade/internal/golden"
 )
 
 // TestGoldenFrames holds hellos and frames to the bytes that earlier builds send and read.
 func TestGoldenFrames(t *testing.T) {
 	h := hello{Protocol: protocol, Session: 3, Seen: 5, Epoch: 5, Through: 40, Selectors: []helloOfScope{
-		{Scope: "eu/", Flags: flagPrefix | flagFollows}, {Scope: "us/web", Epoch: 4, Through: 39}}}
-	f := frame{Session: 3, Number: 2, Epoch: 5, Begin: []uint32{0}, Groups: []group{{Scope: "eu/web", Records: []record{
-		{Key: "host/a", Flags: 1, Version: 41, Body: []byte(`{"host":"a"}`)}, {Key: "host/b", Flags: flagGone, Version: 42}, {Key: "host/c", Flags: flagNamed, Version: 40}}}},
-		End: []uint32{0, 1}, Through: 42, All: true, Except: []uint32{1}, Age: 12345}
+		{Scope: "eu/", Flags: flagPrefix | flagFollows}, {Scope: "us/web", Epoch: 4, Through: 39},
+	}}
+	f := frame{
+		Session: 3, Number: 2, Epoch: 5, Begin: []uint32{0}, Groups: []group{{Scope: "eu/web", Records: []record{
+			{Key: "host/a", Flags: 1, Version: 41, Body: []byte(`{"host":"a"}`)}, {Key: "host/b", Flags: flagGone, Version: 42}, {Key: "host/c", Flags: flagNamed, Version: 40},
+		}}},
+		End: []uint32{0, 1}, Through: 42, All: true, Except: []uint32{1}, Age: 12345,
+	}
 	for name, v := range map[string]any{"hello.bin": &h, "frame.bin": &f} {
 		golden.Check(t, name, encode(v))
 	}
@@ -31,9 +34,11 @@
 
 // TestGoldenStats holds the counters that are told as JSON to their names.
 func TestGoldenStats(t *testing.T) {
-	text, err := json.Marshal(Stats{Epoch: 1, Through: 2, Whole: true, Records: 3, Tombstones: 4, Scopes: 5, Bytes: 6, Subscribers: 7, Selectors: 8, Floor: 9,
+	text, err := json.Marshal(Stats{
+		Epoch: 1, Through: 2, Whole: true, Records: 3, Tombstones: 4, Scopes: 5, Bytes: 6, Subscribers: 7, Selectors: 8, Floor: 9,
 		Frames: 10, FrameBytes: 11, Sent: 12, SentBytes: 13, SentRecords: 14, SentNames: 15, Resumed: 16, Anew: 17, Applied: 18, Repeated: 19, Stale: 20, Swept: 21,
-		Spoilt: 22, Foreign: 23, OldFrames: 24, Refused: 25, LastSpoilt: "x"})
+		Spoilt: 22, Foreign: 23, OldFrames: 24, Refused: 25, LastSpoilt: "x",
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -115,8 +115,10 @@
 }
 
 func newNetwork(t *rapid.T) *network {
-	n := &network{t: t, truth: truth{map[uint64]map[nameOf][]entry{}, map[uint64]uint64{}}, limits: Limits{Tombstones: rapid.IntRange(1, 4).Draw(t, "tombstones")},
-		live: map[nameOf]entry{}}
+	n := &network{
+		t: t, truth: truth{map[uint64]map[nameOf][]entry{}, map[uint64]uint64{}}, limits: Limits{Tombstones: rapid.IntRange(1, 4).Draw(t, "tombstones")},
+		live: map[nameOf]entry{},
+	}
 	n.newOrigin()
 	n.load()
 	pace := rapid.SampledFrom([]int{0, 8000}).Draw(t, "pace")
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -381,8 +381,10 @@
 		return 0, err
 	}
 	r.lastID++
-	s := &subscription{id: r.lastID, session: h.Session, seen: h.Seen, pace: int64(max(0, bytesPerSecond)), due: now, sent: now - Heartbeat,
-		feeds: make([]feed, len(h.Selectors)), unsettled: len(h.Selectors)}
+	s := &subscription{
+		id: r.lastID, session: h.Session, seen: h.Seen, pace: int64(max(0, bytesPerSecond)), due: now, sent: now - Heartbeat,
+		feeds: make([]feed, len(h.Selectors)), unsettled: len(h.Selectors),
+	}
 	r.subs[s.id] = s
 	for i, n := range h.Selectors {
 		f := &s.feeds[i]
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -143,8 +143,10 @@
 func (r *replica) hello() []byte {
 	r.session++
 	r.number, r.broken = 0, false
-	h := hello{Protocol: protocol, Session: r.session, Seen: r.seen, Epoch: r.shared.Epoch, Through: r.shared.Through,
-		Selectors: make([]helloOfScope, len(r.interests))}
+	h := hello{
+		Protocol: protocol, Session: r.session, Seen: r.seen, Epoch: r.shared.Epoch, Through: r.shared.Through,
+		Selectors: make([]helloOfScope, len(r.interests)),
+	}
 	for i := range r.interests {
 		n := &r.interests[i]
 		n.open = false
--- a/internal/distribution/wire.go
+++ b/internal/distribution/wire.go
@@ -88,8 +88,10 @@
 )
 
 var (
-	reading = must(cbor.DecOptions{MaxArrayElements: 64 << 10, MaxMapPairs: 64, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.DecMode())
+	reading = must(cbor.DecOptions{
+		MaxArrayElements: 64 << 10, MaxMapPairs: 64, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden,
+	}.DecMode())
 	writing = must(cbor.CoreDetEncOptions().EncMode())
 )
 
--- a/internal/endpointgossip/endpointgossip.go
+++ b/internal/endpointgossip/endpointgossip.go
@@ -319,8 +319,10 @@
 	if l == nil {
 		return
 	}
-	a := message{Kind: reply, Asked: q.Asked, Version: l.version, Digest: l.digest, Pages: len(l.pages), Page: -1, Age: max(h.age(l), 0),
-		First: h.stands, Recalled: l.recalled}
+	a := message{
+		Kind: reply, Asked: q.Asked, Version: l.version, Digest: l.digest, Pages: len(l.pages), Page: -1, Age: max(h.age(l), 0),
+		First: h.stands, Recalled: l.recalled,
+	}
 	want := q.Want
 	switch same := q.Version == l.version && q.Digest == l.digest; {
 	case len(want) > 0 && !same: // the list that it gathers is not this node's any more
@@ -578,8 +580,10 @@
 }
 
 var (
-	reading = must(cbor.DecOptions{MaxArrayElements: 64, MaxMapPairs: 16, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.DecMode())
+	reading = must(cbor.DecOptions{
+		MaxArrayElements: 64, MaxMapPairs: 16, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden,
+	}.DecMode())
 	writing = must(cbor.CoreDetEncOptions().EncMode())
 )
 
--- a/internal/endpointgossip/golden_test.go
+++ b/internal/endpointgossip/golden_test.go
@@ -3,10 +3,9 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fawnglade/internal/golden"
 	"fmt"
 	"testing"
-
-	"fawnglade/internal/golden"
 )
 
 // TestGoldenMessages holds what nodes ask one another of the list, and answer, to the bytes of earlier builds.
--- a/internal/endpointlist/golden_test.go
+++ b/internal/endpointlist/golden_test.go
@@ -2,10 +2,9 @@
 
 import (
 	"bytes"
+	"fawnglade/internal/golden"
 	"fmt"
 	"testing"
-
-	"fawnglade/internal/golden"
 )
 
 // TestGoldenList holds a written list to discovery's form, and the reading of one as discovery writes it.
--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -3,9 +3,8 @@
 package estimates
 
 import (
-	"math"
-
 	"fawnglade/internal/ewma"
+	"math"
 )
 
 // EndpointEstimates are of one server.
--- a/internal/estimates/estimates_test.go
+++ b/internal/estimates/estimates_test.go
@@ -2,16 +2,17 @@
 
 import (
 	"encoding/json"
+	"fawnglade/internal/ewma"
 	"math"
 	"testing"
-
-	"fawnglade/internal/ewma"
 )
 
 func some() Snapshot {
-	return Snapshot{FleetEstimates: FleetEstimates{Pods: map[int]*ewma.Pair{1: {A: 1, Weight: 1}}, ZoneDelay: map[int]float64{0: 3}, MeanWork: 5, HighLatency: 2},
-		Classes:   []ClassEstimates{{TypicalWork: 4, LatencySpread: 2, SuccessRate: 1, KeptShare: 1}},
-		Endpoints: map[uint32]Endpoint{7: {EndpointEstimates{Load: 1, Latency: ewma.Pair{A: 2, Weight: 2}, HasLatency: true}, 9}}}
+	return Snapshot{
+		FleetEstimates: FleetEstimates{Pods: map[int]*ewma.Pair{1: {A: 1, Weight: 1}}, ZoneDelay: map[int]float64{0: 3}, MeanWork: 5, HighLatency: 2},
+		Classes:        []ClassEstimates{{TypicalWork: 4, LatencySpread: 2, SuccessRate: 1, KeptShare: 1}},
+		Endpoints:      map[uint32]Endpoint{7: {EndpointEstimates{Load: 1, Latency: ewma.Pair{A: 2, Weight: 2}, HasLatency: true}, 9}},
+	}
 }
 
 // What comes from another process is whole, or is not taken at all.
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -4,13 +4,12 @@
 
 import (
 	"encoding/hex"
+	"fawnglade/internal/tomlfile"
 	"fmt"
 	"net/netip"
 	"os"
 	"strings"
 	"time"
-
-	"fawnglade/internal/tomlfile"
 )
 
 // Features of one node, checked.
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -34,8 +34,10 @@
 	if err == nil {
 		t.Fatal("taken")
 	}
-	for _, want := range []string{"members.colour", "members.listen", "members.round", "members.key", "members.node.1.name", "members.node.1.address",
-		"members.node.2.name", "members.node.2.address", `"n9", among them`} {
+	for _, want := range []string{
+		"members.colour", "members.listen", "members.round", "members.key", "members.node.1.name", "members.node.1.address",
+		"members.node.2.name", "members.node.2.address", `"n9", among them`,
+	} {
 		if !strings.Contains(err.Error(), "f.toml: "+want) && !strings.Contains(err.Error(), want) {
 			t.Errorf("no word of %s in:\n%v", want, err)
 		}
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"bytes"
-	"testing"
-	"time"
-
 	"fawnglade/internal/golden"
 	"fawnglade/policy"
+	"testing"
+	"time"
 )
 
 // TestGoldenMessages holds the messages between nodes to the bytes that earlier builds send and read.
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -6,11 +6,10 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fawnglade/policy"
 	"maps"
 	"math"
 	"time"
-
-	"fawnglade/policy"
 )
 
 // MaxMessageBytes is the length of the longest message.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -2,9 +2,8 @@
 
 import (
 	"errors"
-	"testing"
-
 	"fawnglade/policy"
+	"testing"
 )
 
 const now = int64(5e12)
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -3,14 +3,13 @@
 package baseline
 
 import (
+	"fawnglade/internal/lab/simulation"
+	"fawnglade/internal/rendezvous"
+	"fawnglade/policy"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"sort"
-
-	"fawnglade/internal/lab/simulation"
-	"fawnglade/internal/rendezvous"
-	"fawnglade/policy"
 )
 
 // Kinds are the baselines by name, and where each is from.
@@ -102,8 +101,10 @@
 // New makes a maker of deciders of a kind.
 func New(kind string) simulation.Maker {
 	return func(node int, set policy.Settings, seed uint64, host policy.Effects, see simulation.Truth) simulation.Decider {
-		return &Plain{kind: kind, node: node, set: set, host: host, see: see, draw: rand.New(rand.NewPCG(seed, 5)), turn: int(seed % 7919),
-			byID: map[policy.EndpointID]*server{}, tasks: map[policy.RequestID]*task{}, work: slices.Repeat([]float64{20e6}, len(set.Classes))}
+		return &Plain{
+			kind: kind, node: node, set: set, host: host, see: see, draw: rand.New(rand.NewPCG(seed, 5)), turn: int(seed % 7919),
+			byID: map[policy.EndpointID]*server{}, tasks: map[policy.RequestID]*task{}, work: slices.Repeat([]float64{20e6}, len(set.Classes)),
+		}
 	}
 }
 
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"context"
-	"testing"
-
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/simulation"
 	"fawnglade/internal/lab/trace"
+	"testing"
 )
 
 // Every baseline has to keep the rules, or comparing with it says nothing, and to serve a calm day.
--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -3,14 +3,13 @@
 import (
 	"context"
 	"encoding/json"
+	"fawnglade/internal/distribution"
 	"fmt"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
 	"time"
-
-	"fawnglade/internal/distribution"
 )
 
 func TestSizesThatCanNotBePlayedAreRefusedInOneLine(t *testing.T) {
@@ -202,12 +201,16 @@
 		expect func(*Act) bool
 	}{
 		"all is well": {func(all []distribution.Change, _ *fake) []distribution.Change { return all }, (*Act).Held},
-		"one end is lost": {func(all []distribution.Change, _ *fake) []distribution.Change { return all[:len(all)-1] },
+		"one end is lost": {
+			func(all []distribution.Change, _ *fake) []distribution.Change { return all[:len(all)-1] },
 			func(a *Act) bool {
 				return a.Wrong == 1 && a.Missing == 1 && strings.Contains(a.Example, "which is gone")
-			}},
-		"one is told twice": {func(all []distribution.Change, _ *fake) []distribution.Change { return append(all, all[0]) },
-			func(a *Act) bool { return a.Doubled == 1 && a.Wrong == 0 }},
+			},
+		},
+		"one is told twice": {
+			func(all []distribution.Change, _ *fake) []distribution.Change { return append(all, all[0]) },
+			func(a *Act) bool { return a.Doubled == 1 && a.Wrong == 0 },
+		},
 		"one comes back from the dead": {func(all []distribution.Change, f *fake) []distribution.Change {
 			old := last(all)
 			old.Gone, old.Version, old.Body = false, old.Version-1, []byte(`{"n":0}`)
--- a/internal/lab/distsim/judge.go
+++ b/internal/lab/distsim/judge.go
@@ -5,14 +5,13 @@
 
 import (
 	"context"
+	"fawnglade/internal/distribution"
 	"fmt"
 	"math"
 	"slices"
 	"strings"
 	"sync/atomic"
 	"time"
-
-	"fawnglade/internal/distribution"
 )
 
 // Times are seconds until something held for half, for 99 in 100 and for all of those concerned; -1: it did not.
--- a/internal/lab/distsim/nodes.go
+++ b/internal/lab/distsim/nodes.go
@@ -5,6 +5,8 @@
 
 import (
 	"context"
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/relay"
 	"net"
 	"slices"
 	"sync"
@@ -12,9 +14,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/relay"
 )
 
 // told is one change that came to a node.
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -8,15 +8,14 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/relay"
 	"fmt"
 	"io"
 	"net"
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/relay"
 )
 
 // originLine is one line of the origin's on its standard output.
--- a/internal/lab/distsim/processes.go
+++ b/internal/lab/distsim/processes.go
@@ -7,6 +7,7 @@
 	"bufio"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/lab/emulator"
 	"fmt"
 	"io"
 	"net"
@@ -18,8 +19,6 @@
 	"sync"
 	"syscall"
 	"time"
-
-	"fawnglade/internal/lab/emulator"
 )
 
 // Programs are the commands of the processes.
--- a/internal/lab/distsim/run.go
+++ b/internal/lab/distsim/run.go
@@ -5,6 +5,7 @@
 
 import (
 	"context"
+	"fawnglade/internal/relay"
 	"fmt"
 	"os"
 	"runtime"
@@ -12,8 +13,6 @@
 	"sync"
 	"syscall"
 	"time"
-
-	"fawnglade/internal/relay"
 )
 
 // Run is one run, while it plays.
--- a/internal/lab/distsim/size.go
+++ b/internal/lab/distsim/size.go
@@ -46,14 +46,18 @@
 
 // Full is the size to design for, on one machine: a node follows a part of the routes and tenants, as the machine could not hold all.
 func Full() Size {
-	return Size{Nodes: 5300, Regions: 10, Zones: 31, Upper: 3, Lower: 15, Services: 5000, Endpoints: 120_000, Take: 500, Routes: 86_000,
-		Tenants: 980_000, Shared: 5, Pace: 60, True: 5 * time.Second, Day: 5 * time.Second, Burst: 3900, Settle: 20 * time.Second, Bytes: 18_000, Seed: 1}
+	return Size{
+		Nodes: 5300, Regions: 10, Zones: 31, Upper: 3, Lower: 15, Services: 5000, Endpoints: 120_000, Take: 500, Routes: 86_000,
+		Tenants: 980_000, Shared: 5, Pace: 60, True: 5 * time.Second, Day: 5 * time.Second, Burst: 3900, Settle: 20 * time.Second, Bytes: 18_000, Seed: 1,
+	}
 }
 
 // Quick is the small form, for CI.
 func Quick() Size {
-	return Size{Nodes: 300, Regions: 3, Zones: 6, Upper: 2, Lower: 4, Services: 200, Endpoints: 4800, Take: 50, Routes: 1000,
-		Tenants: 4000, Shared: 4, Pace: 60, True: 2 * time.Second, Day: 3 * time.Second, Burst: 400, Settle: 10 * time.Second, Bytes: 18_000, Seed: 1}
+	return Size{
+		Nodes: 300, Regions: 3, Zones: 6, Upper: 2, Lower: 4, Services: 200, Endpoints: 4800, Take: 50, Routes: 1000,
+		Tenants: 4000, Shared: 4, Pace: 60, True: 2 * time.Second, Day: 3 * time.Second, Burst: 400, Settle: 10 * time.Second, Bytes: 18_000, Seed: 1,
+	}
 }
 
 // What a run takes, bytes, rounded up from the runs at size; a refusal needs no more than the right order.
--- a/internal/lab/distsim/world.go
+++ b/internal/lab/distsim/world.go
@@ -163,8 +163,10 @@
 
 func (w *world) endpointIs(i int, health, class string) Change {
 	n := w.number()
-	return w.put(Change{Scope: w.size.endpointScope(i), Key: "endpoint/" + w.hosts[i], Class: class,
-		Body: w.size.endpointBody(i, w.hosts[i], health, w.born, n), n: n, mend: -1})
+	return w.put(Change{
+		Scope: w.size.endpointScope(i), Key: "endpoint/" + w.hosts[i], Class: class,
+		Body: w.size.endpointBody(i, w.hosts[i], health, w.born, n), n: n, mend: -1,
+	})
 }
 
 // drain begins a restart; back ends one, or puts another machine in a failed one's place.
--- a/internal/lab/emulator/bad.go
+++ b/internal/lab/emulator/bad.go
@@ -5,14 +5,13 @@
 
 import (
 	"bytes"
+	"fawnglade/internal/lab/workload"
 	"fmt"
 	"io"
 	"net"
 	"strings"
 	"sync/atomic"
 	"time"
-
-	"fawnglade/internal/lab/workload"
 )
 
 const (
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -8,6 +8,10 @@
 	"cmp"
 	"container/heap"
 	"errors"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/trace"
+	"fawnglade/internal/lab/workload"
 	"fmt"
 	"io"
 	"net"
@@ -15,11 +19,6 @@
 	"strconv"
 	"sync"
 	"time"
-
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/trace"
-	"fawnglade/internal/lab/workload"
 )
 
 const (
@@ -93,8 +92,10 @@
 }
 
 func newClients(d *Day) (*clients, error) {
-	c := &clients{day: d, outcomes: make([]trace.Outcome, len(d.plan.Tasks)), wake: make(chan struct{}, 1),
-		left: len(d.plan.Tasks), byZone: make([][]*pool, len(d.scenario.Network.Zones)), turn: make([]int, len(d.scenario.Network.Zones))}
+	c := &clients{
+		day: d, outcomes: make([]trace.Outcome, len(d.plan.Tasks)), wake: make(chan struct{}, 1),
+		left: len(d.plan.Tasks), byZone: make([][]*pool, len(d.scenario.Network.Zones)), turn: make([]int, len(d.scenario.Network.Zones)),
+	}
 	for _, n := range d.nodes {
 		p := &pool{side: c, node: n, all: map[*rider]struct{}{}}
 		var err error
@@ -168,8 +169,10 @@
 func (c *clients) first(t *workload.Task) *try {
 	category := &c.day.scenario.Categories[t.Category]
 	share := c.day.scenario.Clients.TryShare
-	return &try{task: t, due: t.Due, hard: t.Due + int64(float64(category.HardLimit)*share), id: c.day.idOf(t.N, 0),
-		ticket: fmt.Sprintf("%016x%016x", c.day.plan.Seed, t.Seed)}
+	return &try{
+		task: t, due: t.Due, hard: t.Due + int64(float64(category.HardLimit)*share), id: c.day.idOf(t.N, 0),
+		ticket: fmt.Sprintf("%016x%016x", c.day.plan.Seed, t.Seed),
+	}
 }
 
 // send gives a try to a connection of the next node that the front believes in.
@@ -328,8 +331,10 @@
 	}
 	r.last = nil // what comes from here on is this try's answer, also where nobody waits for it any more
 	now := d.now()
-	rec := &invariant.Try{ID: t.id, Task: t.task.N, Node: r.pool.node.index, Life: life, Category: t.task.Category, Whole: now, Hard: t.hard,
-		From: t.crossed}
+	rec := &invariant.Try{
+		ID: t.id, Task: t.task.N, Node: r.pool.node.index, Life: life, Category: t.task.Category, Whole: now, Hard: t.hard,
+		From: t.crossed,
+	}
 	d.ledger.Sent(rec)
 	until := t.hard + int64(d.scenario.Rules.AnswerGrace) + int64(listenOn)
 	leaves := int64(invariant.Never)
--- a/internal/lab/emulator/day.go
+++ b/internal/lab/emulator/day.go
@@ -5,6 +5,11 @@
 import (
 	"context"
 	"errors"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
+	"fawnglade/internal/lab/workload"
 	"fmt"
 	"io"
 	"os"
@@ -16,12 +21,6 @@
 
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
-
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/trace"
-	"fawnglade/internal/lab/workload"
 )
 
 // Options of a run.
@@ -100,8 +99,10 @@
 	if err := o.Scenario.OnSockets(); err != nil {
 		return nil, err
 	}
-	d := &Day{scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, out: o.Out, t0: time.Now(),
-		ledger: &invariant.Ledger{}, over: make(chan struct{}), oddities: map[string]int{}, memories: map[memoryKey]*sharedMemory{}, holds: map[int]int64{}}
+	d := &Day{
+		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, out: o.Out, t0: time.Now(),
+		ledger: &invariant.Ledger{}, over: make(chan struct{}), oddities: map[string]int{}, memories: map[memoryKey]*sharedMemory{}, holds: map[int]int64{},
+	}
 	if d.log == nil {
 		d.log = zap.NewNop()
 	}
@@ -297,8 +298,10 @@
 		d.listed = append(d.listed, m)
 	}
 	for i := range d.scenario.Nodes.Count {
-		n := &node{day: d, index: i, zone: i % len(d.scenario.Network.Zones), config: filepath.Join(d.dir, fmt.Sprintf("n%d.json", i)),
-			address: fmt.Sprintf("127.%d.%d.%d:8443", d.octets[0], d.octets[1], 200+i), figures: trace.NodeFigures{Node: i}}
+		n := &node{
+			day: d, index: i, zone: i % len(d.scenario.Network.Zones), config: filepath.Join(d.dir, fmt.Sprintf("n%d.json", i)),
+			address: fmt.Sprintf("127.%d.%d.%d:8443", d.octets[0], d.octets[1], 200+i), figures: trace.NodeFigures{Node: i},
+		}
 		if zones := d.scenario.Nodes.Zones; len(zones) > 0 {
 			for z, name := range d.scenario.Network.Zones {
 				if name == zones[i] {
@@ -491,8 +494,10 @@
 	}
 	d.ledger.Close()
 	void, late := d.gauge.void()
-	r := &trace.Record{Plan: d.plan, Hash: d.hash, Base: d.base, Ledger: d.ledger, Void: void, Late: time.Duration(late), Odd: map[string]int{}, Took: time.Duration(d.now() - d.base),
-		Bad: trace.BadFigures{Came: d.bad.came.Load(), Unanswered: d.bad.unanswered.Load(), Served: d.bad.served.Load()}}
+	r := &trace.Record{
+		Plan: d.plan, Hash: d.hash, Base: d.base, Ledger: d.ledger, Void: void, Late: time.Duration(late), Odd: map[string]int{}, Took: time.Duration(d.now() - d.base),
+		Bad: trace.BadFigures{Came: d.bad.came.Load(), Unanswered: d.bad.unanswered.Load(), Served: d.bad.served.Load()},
+	}
 	d.clients.mu.Lock()
 	r.Outcomes = append(r.Outcomes, d.clients.outcomes...)
 	d.clients.mu.Unlock()
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -5,15 +5,14 @@
 
 import (
 	"errors"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 	"fmt"
 	"io"
 	"net"
 	"sync"
 	"time"
-
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/netfault"
 )
 
 const (
@@ -58,8 +57,10 @@
 }
 
 func newDiscovery(d *Day) (*discovery, error) {
-	s := &discovery{day: d, roster: model.NewRoster(40), ever: map[int]bool{}, slow: 1, calls: make(chan *call, mostCalls),
-		watches: map[*call]struct{}{}}
+	s := &discovery{
+		day: d, roster: model.NewRoster(40), ever: map[int]bool{}, slow: 1, calls: make(chan *call, mostCalls),
+		watches: map[*call]struct{}{},
+	}
 	for node := range d.scenario.Nodes.Count {
 		p, err := s.openAt(node, d.address(node, 1))
 		if err != nil {
@@ -156,8 +157,10 @@
 			}
 			continue
 		}
-		k := &call{node: p.node, life: s.day.nodes[p.node].lifeNow(), conn: c, watch: watch, after: after, came: time.Now(),
-			gone: make(chan struct{}), answered: make(chan struct{})}
+		k := &call{
+			node: p.node, life: s.day.nodes[p.node].lifeNow(), conn: c, watch: watch, after: after, came: time.Now(),
+			gone: make(chan struct{}), answered: make(chan struct{}),
+		}
 		select {
 		case s.calls <- k:
 		default:
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -4,6 +4,10 @@
 	"bufio"
 	"context"
 	"errors"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
+	"fawnglade/internal/lab/workload"
 	"fmt"
 	"io"
 	"net"
@@ -15,11 +19,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/trace"
-	"fawnglade/internal/lab/workload"
 )
 
 const small = `name = "x"
@@ -308,8 +307,10 @@
 	if err := in.next(&m, false); err != io.EOF {
 		t.Errorf("at the end: %v", err)
 	}
-	for _, bad := range []string{"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "noise\r\n\r\n", "HTTP/1.1 2x0 OK\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", mostHead)} {
+	for _, bad := range []string{
+		"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "noise\r\n\r\n", "HTTP/1.1 2x0 OK\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", mostHead),
+	} {
 		a, b := net.Pipe()
 		go func() {
 			io.WriteString(a, bad)
@@ -358,8 +359,10 @@
 			r := &rider{pool: &pool{side: side, node: n, all: map[*rider]struct{}{}}}
 			try := func(id int, leaves time.Duration) *try {
 				now := d.now()
-				return &try{task: &workload.Task{N: id, Due: now, Leaves: int64(leaves), Customer: -1, Key: -1}, hard: now + int64(5*time.Second),
-					id: fmt.Sprint("t", id)}
+				return &try{
+					task: &workload.Task{N: id, Due: now, Leaves: int64(leaves), Customer: -1, Key: -1}, hard: now + int64(5*time.Second),
+					id: fmt.Sprint("t", id),
+				}
 			}
 			if goesOn, again := r.do(try(0, 0)); !goesOn || again != nil {
 				t.Fatal("the first try ended its connection")
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -3,14 +3,13 @@
 // This file owns what each kind of fault does, and when it ends. Who is hit and when is the plan's; it must never draw.
 
 import (
+	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 	"fmt"
 	"math"
 	"syscall"
 	"time"
-
-	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/workload"
 )
 
 // frontLeaves is how long connections go on coming to a node that was told to stop.
--- a/internal/lab/emulator/machine.go
+++ b/internal/lab/emulator/machine.go
@@ -5,6 +5,12 @@
 
 import (
 	"errors"
+	"fawnglade/internal/lab/faultproxy"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 	"fmt"
 	"io"
 	"math"
@@ -16,13 +22,6 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"fawnglade/internal/lab/faultproxy"
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/workload"
 )
 
 // trouble is what a fault does to a server, apart from what the model does.
@@ -102,8 +101,10 @@
 
 // newMachine makes a server that listens for every node. With addresses it takes the place of another.
 func newMachine(d *Day, spec workload.Server, cold bool, addresses []string) (*machine, error) {
-	m := &machine{day: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], waiting: map[int64]*handling{},
-		draw: rand.New(rand.NewPCG(spec.Seed, 3)), kick: make(chan struct{}, 1)}
+	m := &machine{
+		day: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], waiting: map[int64]*handling{},
+		draw: rand.New(rand.NewPCG(spec.Seed, 3)), kick: make(chan struct{}, 1),
+	}
 	for node := range d.scenario.Nodes.Count {
 		address := d.address(node, 0)
 		if addresses != nil {
@@ -153,8 +154,10 @@
 // warmed hands in what came to the life that ends while it was cold; the lock is held.
 func (m *machine) warmed() {
 	if m.model != nil {
-		m.day.ledger.Warmed(invariant.Cold{Server: m.spec.Index, Life: m.life, Started: m.started, MeanWork: m.model.MeanWork,
-			Window: m.model.FallAfter, Pushes: m.model.WhileCold()})
+		m.day.ledger.Warmed(invariant.Cold{
+			Server: m.spec.Index, Life: m.life, Started: m.started, MeanWork: m.model.MeanWork,
+			Window: m.model.FallAfter, Pushes: m.model.WhileCold(),
+		})
 	}
 }
 
@@ -415,8 +418,10 @@
 	m, node := k.door.m, k.door.node
 	now := m.day.now()
 	id := string(msg.get(nameTask))
-	h := &handling{link: k, size: len(msg.body), rec: &invariant.HandOff{Task: id, Node: node, Server: m.spec.Index, Zone: m.spec.Zone,
-		Pod: m.spec.Pod, First: msg.began}}
+	h := &handling{link: k, size: len(msg.body), rec: &invariant.HandOff{
+		Task: id, Node: node, Server: m.spec.Index, Zone: m.spec.Zone,
+		Pod: m.spec.Pod, First: msg.began,
+	}}
 	task, try, known := m.day.taskOf(id)
 	if !known {
 		// The task's id is not one that a client sent in this form.
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -7,14 +7,13 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fmt"
-	"strconv"
-	"strings"
-
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
+	"fmt"
+	"strconv"
+	"strings"
 )
 
 const (
@@ -91,9 +90,11 @@
 
 // configText is a node's whole configuration.
 func configText(s *scenario.Scenario, name, listen, discovery string, seed uint64, index, zone int, known []byte, news map[string]any, console string) []byte {
-	all := map[string]any{"name": name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", seed),
+	all := map[string]any{
+		"name": name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", seed),
 		"limits":   map[string]any{"cores": s.Nodes.Cores, "memory_mb": s.Nodes.MemoryMB, "sockets": s.Nodes.Sockets},
-		"settings": trace.SettingsOf(s, index, zone)}
+		"settings": trace.SettingsOf(s, index, zone),
+	}
 	if known != nil {
 		all["known"] = json.RawMessage(known)
 	}
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -5,6 +5,8 @@
 
 import (
 	"errors"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/trace"
 	"fmt"
 	"io"
 	"net"
@@ -18,9 +20,6 @@
 	"syscall"
 	"time"
 	"unsafe"
-
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/trace"
 )
 
 // Proc is one running node.
@@ -149,8 +148,10 @@
 	if err := n.writeConfig(known, seed); err != nil {
 		return err
 	}
-	env := []string{"NODE_CONFIG=" + n.config, fmt.Sprintf("NODE_NAME=n%d", n.index), "NODE_LISTEN=" + n.address,
-		"NODE_DISCOVERY=" + n.day.discovery.addressFor(n.index), "TMPDIR=" + n.tmp()}
+	env := []string{
+		"NODE_CONFIG=" + n.config, fmt.Sprintf("NODE_NAME=n%d", n.index), "NODE_LISTEN=" + n.address,
+		"NODE_DISCOVERY=" + n.day.discovery.addressFor(n.index), "TMPDIR=" + n.tmp(),
+	}
 	if features, err := n.features(); err != nil {
 		return err
 	} else if features != "" {
--- a/internal/lab/emulator/plain.go
+++ b/internal/lab/emulator/plain.go
@@ -26,8 +26,10 @@
 var PlainKinds = []string{"random", "round-robin", "least", "two-choices"}
 
 // Misbehaviours are the ways in which one can be made to break a rule, and just that one.
-var Misbehaviours = []string{"lose", "late", "twice", "foreign", "after", "resend-exclusive", "decline-exclusive", "outside-group",
-	"copy", "undrained", "rush-cold"}
+var Misbehaviours = []string{
+	"lose", "late", "twice", "foreign", "after", "resend-exclusive", "decline-exclusive", "outside-group",
+	"copy", "undrained", "rush-cold",
+}
 
 // Plain is one plain proxy.
 type Plain struct {
@@ -112,10 +114,12 @@
 		return nil, fmt.Errorf("seed: %w", err)
 	}
 	s := &in.Settings
-	p := &Plain{kind: kind, wrong: wrong, listen: in.Listen, discovery: in.Discovery, coldFrom: s.Rules.Cold,
+	p := &Plain{
+		kind: kind, wrong: wrong, listen: in.Listen, discovery: in.Discovery, coldFrom: s.Rules.Cold,
 		warm: time.Duration(s.Rules.Warm) * time.Microsecond, connect: time.Duration(s.Limits.Connect) * time.Microsecond,
 		most: s.Limits.Tries, advice: float64(s.Limits.Advice) / 1e6 / 10, categories: map[string]plainCategory{}, draw: rand.New(rand.NewPCG(seed, 11)),
-		servers: map[string]*plainServer{}, clients: map[net.Conn]struct{}{}}
+		servers: map[string]*plainServer{}, clients: map[net.Conn]struct{}{},
+	}
 	for _, c := range s.Profiles {
 		p.categories[c.Name] = plainCategory{c.Repeat, c.Group, time.Duration(c.Memory) * time.Microsecond}
 	}
@@ -281,8 +285,10 @@
 			io.WriteString(c, "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			return
 		}
-		t := &plainTask{id: string(m.get(nameTask)), method: method, target: target, ticket: string(m.get(nameTicket)),
-			body: slices.Clone(m.body), category: category, hard: time.Now().Add(time.Duration(left) * time.Millisecond)}
+		t := &plainTask{
+			id: string(m.get(nameTask)), method: method, target: target, ticket: string(m.get(nameTicket)),
+			body: slices.Clone(m.body), category: category, hard: time.Now().Add(time.Duration(left) * time.Millisecond),
+		}
 		status, body := p.handle(t)
 		if !p.say(c, t, status, body) {
 			return
--- a/internal/lab/emulator/wire.go
+++ b/internal/lab/emulator/wire.go
@@ -6,12 +6,11 @@
 import (
 	"bytes"
 	"errors"
+	"fawnglade/internal/lab/faultproxy"
 	"io"
 	"net"
 	"strconv"
 	"syscall"
-
-	"fawnglade/internal/lab/faultproxy"
 )
 
 const (
--- a/internal/lab/faultproxy/board.go
+++ b/internal/lab/faultproxy/board.go
@@ -3,11 +3,10 @@
 package faultproxy
 
 import (
+	"fawnglade/internal/lab/netfault"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"fawnglade/internal/lab/netfault"
 )
 
 // Board is what is wrong with the ways now, for all relays of a day.
--- a/internal/lab/faultproxy/mesh.go
+++ b/internal/lab/faultproxy/mesh.go
@@ -5,13 +5,12 @@
 
 import (
 	"errors"
+	"fawnglade/internal/lab/netfault"
 	"net"
 	"net/netip"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"fawnglade/internal/lab/netfault"
 )
 
 const (
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -6,6 +6,7 @@
 
 import (
 	"errors"
+	"fawnglade/internal/lab/netfault"
 	"fmt"
 	"io"
 	"net"
@@ -14,8 +15,6 @@
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"fawnglade/internal/lab/netfault"
 )
 
 const (
--- a/internal/lab/faultsearch/faultsearch.go
+++ b/internal/lab/faultsearch/faultsearch.go
@@ -11,6 +11,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"io/fs"
 	"math/bits"
@@ -22,8 +23,6 @@
 	"strings"
 
 	"github.com/pelletier/go-toml/v2"
-
-	"fawnglade/internal/lab/scenario"
 )
 
 // Found is a day that was tried.
@@ -68,8 +67,10 @@
 )
 
 // kinds of fault that are drawn, with how they are drawn.
-var kinds = []string{"slow", "silent", "fail", "turn-away", "reset", "pause", "crowd", "cut", "die", "restart-servers", "replace", "drain", "unlisted",
-	"discovery-down", "discovery-slow", "lists-late", "wait", "kill", "stop", "freeze", "cut-node"}
+var kinds = []string{
+	"slow", "silent", "fail", "turn-away", "reset", "pause", "crowd", "cut", "die", "restart-servers", "replace", "drain", "unlisted",
+	"discovery-down", "discovery-slow", "lists-late", "wait", "kill", "stop", "freeze", "cut-node",
+}
 
 // Run hunts, or goes on with a hunt that was ended.
 func Run(ctx context.Context, o Options) (*State, error) {
@@ -219,8 +220,10 @@
 
 func (o *Options) drawFault(draw *rand.Rand) scenario.Fault {
 	length := float64(o.Base.Length)
-	f := scenario.Fault{Kind: kinds[draw.IntN(len(kinds))], At: scenario.Duration((0.05 + 0.7*draw.Float64()) * length),
-		For: scenario.Duration((0.02 + 0.5*draw.Float64()*draw.Float64()) * length), HandOffs: 1}
+	f := scenario.Fault{
+		Kind: kinds[draw.IntN(len(kinds))], At: scenario.Duration((0.05 + 0.7*draw.Float64()) * length),
+		For: scenario.Duration((0.02 + 0.5*draw.Float64()*draw.Float64()) * length), HandOffs: 1,
+	}
 	switch scenario.Kinds[f.Kind] {
 	case "servers", "nodes":
 		f.Share = 0.05 + 0.65*draw.Float64()*draw.Float64()
--- a/internal/lab/faultsearch/faultsearch_test.go
+++ b/internal/lab/faultsearch/faultsearch_test.go
@@ -4,12 +4,11 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/lab/scenario"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-
-	"fawnglade/internal/lab/scenario"
 )
 
 func base(t *testing.T) *scenario.Scenario {
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -4,10 +4,9 @@
 // never look at a clock; what it allows is told in rounds.
 
 import (
-	"fmt"
-
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
+	"fmt"
 )
 
 // Case is one hard case.
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -3,6 +3,11 @@
 import (
 	"bufio"
 	"encoding/json"
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/faultproxy"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 	"fmt"
 	"net"
 	"net/http"
@@ -12,12 +17,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/faultproxy"
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/netfault"
 )
 
 // Who is who on the ways: nodes from 0, then these.
@@ -82,8 +81,10 @@
 // newRelayed starts an origin, two relays and three nodes; with plain, the nodes watch discovery alone.
 func newRelayed(t *testing.T, plain bool) *relayed {
 	t.Helper()
-	r := &relayed{Processes: processes(t, 3), t: t, ways: map[[2]int]*faultproxy.Stream{}, files: map[string]string{}, addr: map[string]string{},
-		procs: map[string]emulator.Proc{}, book: &invariant.Ledger{}, open: map[handOff]*invariant.HandOff{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{}}
+	r := &relayed{
+		Processes: processes(t, 3), t: t, ways: map[[2]int]*faultproxy.Stream{}, files: map[string]string{}, addr: map[string]string{},
+		procs: map[string]emulator.Proc{}, book: &invariant.Ledger{}, open: map[handOff]*invariant.HandOff{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{},
+	}
 	for i := range r.plain {
 		r.state[i] = "up"
 	}
@@ -423,8 +424,10 @@
 	}
 	nodes, relays, origin := []netfault.End{end(0), end(1), end(2)}, []netfault.End{end(relayA), end(relayB)}, []netfault.End{end(theOne)}
 	lossy := func(from, to []netfault.End, seed uint64) []netfault.Fault {
-		return []netfault.Fault{{Trouble: netfault.Drop, From: from, To: to, Share: 0.1, Burst: 1, Seed: seed},
-			{Trouble: netfault.Delay, From: from, To: to, How: "drawn", Wait: int64(80 * time.Millisecond), Burst: 1, Seed: seed + 1}}
+		return []netfault.Fault{
+			{Trouble: netfault.Drop, From: from, To: to, Share: 0.1, Burst: 1, Seed: seed},
+			{Trouble: netfault.Delay, From: from, To: to, How: "drawn", Wait: int64(80 * time.Millisecond), Burst: 1, Seed: seed + 1},
+		}
 	}
 	time.Sleep(500 * time.Millisecond)
 
@@ -485,8 +488,10 @@
 		one.order(late)
 		one.tell()
 		one.book.Close()
-		breaks := one.book.Judge(kinds, invariant.Rules{StopSending: int64(500 * time.Millisecond), Slack: int64(50 * time.Millisecond),
-			Late: late})
+		breaks := one.book.Judge(kinds, invariant.Rules{
+			StopSending: int64(500 * time.Millisecond), Slack: int64(50 * time.Millisecond),
+			Late: late,
+		})
 		for _, b := range breaks[:min(5, len(breaks))] {
 			t.Errorf("%s: %d breaks, %s; of the task, %s; the test ran %.0f ms late", name, len(breaks), b, one.story(b.Task),
 				float64(late(b.At))/2e6)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -5,11 +5,10 @@
 package fleet
 
 import (
-	"fmt"
-	"strings"
-
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
+	"fmt"
+	"strings"
 )
 
 // Fleet is some nodes and the ways between them. A node is named by its number.
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -4,11 +4,10 @@
 // what it costs in messages. It must never count as known what a node did not say itself.
 
 import (
-	"fmt"
-	"time"
-
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
+	"fmt"
+	"time"
 )
 
 // Figures of one fleet at one loss.
--- a/internal/lab/fleet/order_test.go
+++ b/internal/lab/fleet/order_test.go
@@ -1,10 +1,9 @@
 package fleet
 
 import (
+	"fawnglade/internal/lab/invariant"
 	"testing"
 	"time"
-
-	"fawnglade/internal/lab/invariant"
 )
 
 // TestTheOrderThatAStallLost has two attempts of a task read in one moment: a second copy only where the node had closed neither.
--- a/internal/lab/fleet/power_test.go
+++ b/internal/lab/fleet/power_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fawnglade/internal/members"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -11,8 +12,6 @@
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"fawnglade/internal/members"
 )
 
 const grace = 550 * time.Millisecond // to stop sending, with what a socket may hold up
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fawnglade/internal/members"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -12,8 +13,6 @@
 	"sync"
 	"testing"
 	"time"
-
-	"fawnglade/internal/members"
 )
 
 // program is the node, built once for all tests.
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -5,11 +5,10 @@
 
 import (
 	"container/heap"
-	"fmt"
-	"math/rand/v2"
-
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
+	"fmt"
+	"math/rand/v2"
 )
 
 // mostCopied nodes at most have a message of each way kept: in a large fleet these would be most of the memory.
@@ -64,8 +63,10 @@
 
 // NewVirtual makes a fleet of which nobody runs yet.
 func NewVirtual(nodes int, seed uint64) *Virtual {
-	v := &Virtual{Round: 500e6, Way: 500e3, Skew: make([]int64, nodes), now: 1_700_000_000e9, numbers: map[[2]int]uint64{}, copied: map[[2]int][]byte{},
-		faults: netfault.New(nil), draw: rand.New(rand.NewPCG(seed, 5))}
+	v := &Virtual{
+		Round: 500e6, Way: 500e3, Skew: make([]int64, nodes), now: 1_700_000_000e9, numbers: map[[2]int]uint64{}, copied: map[[2]int][]byte{},
+		faults: netfault.New(nil), draw: rand.New(rand.NewPCG(seed, 5)),
+	}
 	for i := range nodes {
 		v.names = append(v.names, fmt.Sprintf("n%d", i))
 		v.nodes = append(v.nodes, &simulated{fleet: v, index: i})
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -1,10 +1,9 @@
 package fleet
 
 import (
+	"fawnglade/internal/members"
 	"fmt"
 	"testing"
-
-	"fawnglade/internal/members"
 )
 
 func TestCasesInVirtualTime(t *testing.T) {
--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -3,9 +3,8 @@
 package invariant
 
 import (
-	"sync"
-
 	"fawnglade/internal/lab/model"
+	"sync"
 )
 
 // Never is a time that did not come.
--- a/internal/lab/invariant/judge.go
+++ b/internal/lab/invariant/judge.go
@@ -5,10 +5,9 @@
 
 import (
 	"cmp"
+	"fawnglade/internal/lab/model"
 	"fmt"
 	"slices"
-
-	"fawnglade/internal/lab/model"
 )
 
 // Break is one rule broken once.
@@ -287,8 +286,10 @@
 			continue
 		}
 		n := slices.Index(j.byTask[h.Task], h)
-		j.broken(Break{Rule: 3, What: fmt.Sprintf("sent to a draining or gone server %.0f ms after it was told", float64(h.First-told)/1e6),
-			Task: h.Task, Attempt: n, Server: h.Server, Node: h.Node, At: h.First})
+		j.broken(Break{
+			Rule: 3, What: fmt.Sprintf("sent to a draining or gone server %.0f ms after it was told", float64(h.First-told)/1e6),
+			Task: h.Task, Attempt: n, Server: h.Server, Node: h.Node, At: h.First,
+		})
 	}
 }
 
@@ -399,8 +400,10 @@
 			}
 		}
 		if knowing >= f.Work*2/3 {
-			j.broken(Break{Rule: 4, What: fmt.Sprintf("a cold server was pushed over: %.2f s of work on a capacity of %.2f a second", f.Work, f.Capacity),
-				Attempt: -1, Server: f.Server, Node: worst, At: f.At})
+			j.broken(Break{
+				Rule: 4, What: fmt.Sprintf("a cold server was pushed over: %.2f s of work on a capacity of %.2f a second", f.Work, f.Capacity),
+				Attempt: -1, Server: f.Server, Node: worst, At: f.At,
+			})
 		}
 	}
 }
--- a/internal/lab/invariant/judge_test.go
+++ b/internal/lab/invariant/judge_test.go
@@ -1,18 +1,21 @@
 package invariant
 
 import (
+	"fawnglade/internal/lab/model"
 	"strings"
 	"testing"
-
-	"fawnglade/internal/lab/model"
 )
 
 const ms = int64(1e6)
 
 var rules = Rules{StopSending: 500 * ms, AskWithin: 10000 * ms, AnswerGrace: 20 * ms, Slack: 50 * ms}
 
-var categories = []Category{{Name: "view"}, {Name: "update", Repeat: Ticketed, Group: SameZone, Memory: 2000 * ms},
-	{Name: "pay", Repeat: Exclusive}, {Name: "wide", Repeat: Ticketed, Group: WholeFleet, Memory: 2000 * ms}}
+var categories = []Category{
+	{Name: "view"},
+	{Name: "update", Repeat: Ticketed, Group: SameZone, Memory: 2000 * ms},
+	{Name: "pay", Repeat: Exclusive},
+	{Name: "wide", Repeat: Ticketed, Group: WholeFleet, Memory: 2000 * ms},
+}
 
 // day is a ledger with one node that watches from its start.
 func day() *Ledger {
@@ -81,8 +84,10 @@
 		"ticketed in its group":        {day().hand(1001, failed(1002)).hand(1003, nil).try(1, answered(1100, 200)), ""},
 		"ticketed outside it":          {day().hand(1001, failed(1002)).hand(1003, func(h *HandOff) { h.Zone = "b" }).try(1, answered(1100, 200)), "rule 2 at 1.003 s, node 0: a ticketed task that may have run sent again outside"},
 		"ticketed outside, never ran":  {day().hand(1001, turned(1002)).hand(1003, func(h *HandOff) { h.Zone = "b" }).try(1, answered(1100, 200)), ""},
-		"ticketed after the span": {day().hand(1001, failed(1002)).hand(3100, nil).try(1, func(t *Try) { t.Hard = 9000 * ms; answered(3200, 200)(t) }),
-			"rule 2 at 3.100 s, node 0: a ticketed task that may have run sent again after the memory"},
+		"ticketed after the span": {
+			day().hand(1001, failed(1002)).hand(3100, nil).try(1, func(t *Try) { t.Hard = 9000 * ms; answered(3200, 200)(t) }),
+			"rule 2 at 3.100 s, node 0: a ticketed task that may have run sent again after the memory",
+		},
 		"ticketed, declined":       {day().hand(1001, failed(1002)).try(1, answered(1100, 503)), "rule 2 at 1.100"},
 		"ticketed, fleet declined": {day().hand(1001, failed(1002)).try(3, answered(1100, 503)), ""},
 		"two out at once":          {day().hand(1001, func(h *HandOff) { h.Answered = 1090 * ms }).hand(1003, nil).try(0, answered(1100, 200)), "rule 2 at 1.003 s, node 0: a second copy"},
--- a/internal/lab/invariant/terms.go
+++ b/internal/lab/invariant/terms.go
@@ -5,11 +5,10 @@
 
 import (
 	"cmp"
+	"fawnglade/internal/lab/model"
 	"fmt"
 	"math"
 	"slices"
-
-	"fawnglade/internal/lab/model"
 )
 
 const (
@@ -107,8 +106,10 @@
 	list, first := j.handOffsOf(t)
 	for n, h := range list {
 		if h.Node == t.Node && h.First > left+j.rules.GoneWithin+j.waySlack(h.First) {
-			j.afterGone = append(j.afterGone, Break{Rule: 1, What: fmt.Sprintf("sent to a server %.0f ms after its client had gone", float64(h.First-left)/1e6),
-				Task: t.ID, Attempt: first + n, Server: h.Server, Node: h.Node, At: h.First})
+			j.afterGone = append(j.afterGone, Break{
+				Rule: 1, What: fmt.Sprintf("sent to a server %.0f ms after its client had gone", float64(h.First-left)/1e6),
+				Task: t.ID, Attempt: first + n, Server: h.Server, Node: h.Node, At: h.First,
+			})
 		}
 	}
 }
--- a/internal/lab/invariant/terms_test.go
+++ b/internal/lab/invariant/terms_test.go
@@ -1,10 +1,9 @@
 package invariant
 
 import (
+	"fawnglade/internal/lab/model"
 	"strings"
 	"testing"
-
-	"fawnglade/internal/lab/model"
 )
 
 // terms are the rules with the standing test's later terms.
--- a/internal/lab/model/kind.go
+++ b/internal/lab/model/kind.go
@@ -12,8 +12,10 @@
 		shares += s.Categories[i].Share
 	}
 	cancel := map[string]Cancel{"nothing": CancelsNothing, "waiting": CancelsWaiting, "work": CancelsWork}
-	return Kind{Cores: f.Cores, Speed: speed, Places: f.Places, Waiting: f.Waiting, Dearer: f.Dearer, DearerAt: f.DearerAt, DropExpired: f.DropExpired,
+	return Kind{
+		Cores: f.Cores, Speed: speed, Places: f.Places, Waiting: f.Waiting, Dearer: f.Dearer, DearerAt: f.DearerAt, DropExpired: f.DropExpired,
 		Cancel: cancel[f.Cancel], ColdFrom: f.ColdFrom, WarmFor: int64(f.WarmFor), FallMultiple: r.FallMultiple, FallAfter: int64(r.FallAfter),
 		MeanWork: work / shares, ByChance: r.FallSlack == "chance",
-		PauseEvery: int64(f.PauseEvery), PauseFor: int64(f.PauseFor), Connections: f.Connections, ConnectionWork: int64(f.ConnectionWork)}
+		PauseEvery: int64(f.PauseEvery), PauseFor: int64(f.PauseFor), Connections: f.Connections, ConnectionWork: int64(f.ConnectionWork),
+	}
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -218,8 +218,11 @@
 		chance bool
 		want   int
 	}{
-		{1.5e9 / 64, true, 64 + 16 + 2 + 1}, {1.5e9 / 64, false, 64 + 3 + 1}, {1.5e9 / 16, false, 16 + 2 + 1},
-		{240000, true, 6250 + 160 + 1}, {240000, false, 6250 + 160 + 1},
+		{1.5e9 / 64, true, 64 + 16 + 2 + 1},
+		{1.5e9 / 64, false, 64 + 3 + 1},
+		{1.5e9 / 16, false, 16 + 2 + 1},
+		{240000, true, 6250 + 160 + 1},
+		{240000, false, 6250 + 160 + 1},
 	} {
 		if got := falls(c.work, c.chance); got != c.want {
 			t.Errorf("requests of %d ns, by chance %v: fell at the %d., want the %d.", c.work, c.chance, got, c.want)
--- a/internal/lab/netfault/netfault_test.go
+++ b/internal/lab/netfault/netfault_test.go
@@ -83,8 +83,10 @@
 }
 
 func TestReach(t *testing.T) {
-	s := New([]Fault{{Trouble: Cut, From: ends(t, "n0", "n1"), To: ends(t, "n2", "n3"), Begin: 0, End: 10},
-		{Trouble: Cut, From: ends(t, "n0"), To: ends(t, "n1"), OneWay: true, Begin: 5, End: 10}})
+	s := New([]Fault{
+		{Trouble: Cut, From: ends(t, "n0", "n1"), To: ends(t, "n2", "n3"), Begin: 0, End: 10},
+		{Trouble: Cut, From: ends(t, "n0"), To: ends(t, "n1"), OneWay: true, Begin: 5, End: 10},
+	})
 	if r := s.ReachAt(3, 4); !slices.Equal(r.Parts, []string{"n0..n1", "n2..n3"}) || len(r.OneWay) > 0 {
 		t.Errorf("%+v", r)
 	}
--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -5,6 +5,7 @@
 
 import (
 	"bytes"
+	"fawnglade/internal/lab/trace"
 	"fmt"
 	"html/template"
 	"image/color"
@@ -20,13 +21,18 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
-
-	"fawnglade/internal/lab/trace"
 )
 
 // Colours that a person with any usual colour sight can tell apart.
-var colours = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255},
-	{86, 180, 233, 255}, {90, 90, 90, 255}}
+var colours = []color.RGBA{
+	{0, 114, 178, 255},
+	{213, 94, 0, 255},
+	{0, 158, 115, 255},
+	{204, 121, 167, 255},
+	{230, 159, 0, 255},
+	{86, 180, 233, 255},
+	{90, 90, 90, 255},
+}
 
 const (
 	mostServersDrawn = 24
@@ -210,10 +216,12 @@
 		{"Earnings in time, part of what came in the second", "part", []line{r.bySecond("", func(t *Tally) float64 { return t.Part })}},
 		{"Answer times of satisfied tasks, from when they were due", "ms", []line{
 			r.bySecond("p50", func(t *Tally) float64 { return t.P50 }), r.bySecond("p90", func(t *Tally) float64 { return t.P90 }),
-			r.bySecond("p99", func(t *Tally) float64 { return t.P99 })}},
+			r.bySecond("p99", func(t *Tally) float64 { return t.P99 }),
+		}},
 		{"Tasks by their end", "tasks due in the second", []line{
 			states("satisfied", func(t *Tally) int { return t.Satisfied }), states("declined", func(t *Tally) int { return t.Declined }),
-			states("broken off", func(t *Tally) int { return t.BrokenOff }), states("lost", func(t *Tally) int { return t.Lost })}},
+			states("broken off", func(t *Tally) int { return t.BrokenOff }), states("lost", func(t *Tally) int { return t.Lost }),
+		}},
 		{"Tasks held by each server", "tasks", servers},
 	}
 	if len(r.Loads) > 0 {
@@ -224,7 +232,8 @@
 		wanted = append(wanted, plotted{"What all nodes do together, beside the tasks", "in the second", []line{
 			all("resends", func(t *trace.Together) int { return t.Resends }), all("copies", func(t *trace.Together) int { return t.Copies }),
 			all("connections", func(t *trace.Together) int { return t.Connections }), all("calls for the list", func(t *trace.Together) int { return t.Calls }),
-			all("probes", func(t *trace.Together) int { return t.Probes }), all("messages", func(t *trace.Together) int { return t.News })}})
+			all("probes", func(t *trace.Together) int { return t.Probes }), all("messages", func(t *trace.Together) int { return t.News }),
+		}})
 	}
 	if v := r.Views; v != nil {
 		by := func(name string, of []int) line {
--- a/internal/lab/result/page_test.go
+++ b/internal/lab/result/page_test.go
@@ -1,10 +1,9 @@
 package result
 
 import (
+	"fawnglade/internal/lab/trace"
 	"math"
 	"testing"
-
-	"fawnglade/internal/lab/trace"
 )
 
 func TestSpreadOfLoadOverServers(t *testing.T) {
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -4,17 +4,16 @@
 
 import (
 	"encoding/json"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
 	"fmt"
 	"os"
 	"path/filepath"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/trace"
 )
 
 // Verdict of a run.
@@ -184,10 +183,12 @@
 
 // Of works a day's figures out.
 func Of(s *scenario.Scenario, r *trace.Record) *Result {
-	out := &Result{Scenario: s.Name, About: s.About, LengthS: time.Duration(s.Length).Seconds(), LateMs: float64(r.Late) / 1e6,
+	out := &Result{
+		Scenario: s.Name, About: s.About, LengthS: time.Duration(s.Length).Seconds(), LateMs: float64(r.Late) / 1e6,
 		Drawn: Drawn{r.Plan.Seed, r.Hash, len(r.Plan.Tasks)}, Categories: map[string]*Tally{}, Customers: map[string]*Tally{},
 		RulesBroken: len(r.Breaks), Breaks: r.Breaks, Nodes: r.Nodes, BadClients: r.Bad, Odd: r.Odd, Servers: r.Servers, Loads: r.Loads, Virtual: r.Virtual, Together: r.Together,
-		Reach: r.Reach, Views: viewsOf(r.Beliefs, r.Runs), Beliefs: r.Beliefs, Runs: r.Runs}
+		Reach: r.Reach, Views: viewsOf(r.Beliefs, r.Runs), Beliefs: r.Beliefs, Runs: r.Runs,
+	}
 	all := newTally()
 	spans, seconds := tallies(s.Length, longSpan), tallies(s.Length, int64(time.Second))
 	for i := range r.Plan.Tasks {
--- a/internal/lab/result/text.go
+++ b/internal/lab/result/text.go
@@ -3,14 +3,12 @@
 // This file owns a result as a person reads it in a terminal.
 
 import (
+	"fawnglade/internal/lab/trace"
 	"fmt"
 	"io"
+	"maps"
 	"slices"
 	"text/tabwriter"
-
-	"maps"
-
-	"fawnglade/internal/lab/trace"
 )
 
 // mostNodes are shown one by one.
--- a/internal/lab/result/ways.go
+++ b/internal/lab/result/ways.go
@@ -4,12 +4,11 @@
 // must never take a node that did not say for one that was right.
 
 import (
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/trace"
 	"fmt"
 	"io"
 	"strings"
-
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/trace"
 )
 
 // Views is what nodes believed of one another over a day.
--- a/internal/lab/scale/decisions.go
+++ b/internal/lab/scale/decisions.go
@@ -4,12 +4,11 @@
 
 import (
 	"context"
+	"fawnglade/policy"
 	"fmt"
 	"runtime"
 	"slices"
 	"time"
-
-	"fawnglade/policy"
 )
 
 const (
@@ -86,8 +85,10 @@
 		r := &ring[i%len(ring)]
 		from := threadTime()
 		if r.id != "" {
-			p.AttemptEnded(now, policy.AttemptResult{Request: r.id, Endpoint: r.server, Outcome: policy.OutcomeSucceeded, Elapsed: now.Sub(r.at) + time.Duration(i%7)*ms/4, RequestDone: true,
-				Report: policy.LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1}})
+			p.AttemptEnded(now, policy.AttemptResult{
+				Request: r.id, Endpoint: r.server, Outcome: policy.OutcomeSucceeded, Elapsed: now.Sub(r.at) + time.Duration(i%7)*ms/4, RequestDone: true,
+				Report: policy.LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1},
+			})
 		}
 		h.sent = false
 		customer := -1
--- a/internal/lab/scale/design.go
+++ b/internal/lab/scale/design.go
@@ -42,8 +42,10 @@
 
 // TheDesign and TheLimits are the letter's figures.
 var (
-	TheDesign = Design{Nodes: 5300, Servers: 120_000, Services: 5000, Routes: 86_000, Tenants: 980_000, Regions: 10, Zones: 31, Requests: 3.9e6,
-		Configurations: 72_000, Failures: 260, Restarts: 16_000, ZoneServers: 3900}
+	TheDesign = Design{
+		Nodes: 5300, Servers: 120_000, Services: 5000, Routes: 86_000, Tenants: 980_000, Regions: 10, Zones: 31, Requests: 3.9e6,
+		Configurations: 72_000, Failures: 260, Restarts: 16_000, ZoneServers: 3900,
+	}
 	TheLimits = Limits{Cores: 0.027, Bytes: 128e6, Network: 22e3, Machines: 19, InForce: 5, Ready: 10, Added: 1.3e-3}
 )
 
@@ -87,10 +89,27 @@
 	for _, f := range []struct {
 		key   string
 		value float64
-	}{{"design.nodes", d.Nodes}, {"design.servers", d.Servers}, {"design.services", d.Services}, {"design.routes", d.Routes}, {"design.tenants", d.Tenants},
-		{"design.regions", d.Regions}, {"design.zones", d.Zones}, {"design.requests_s", d.Requests}, {"design.configurations_day", d.Configurations},
-		{"design.failures_day", d.Failures}, {"design.restarts_day", d.Restarts}, {"design.zone_servers", d.ZoneServers}, {"limits.cores", l.Cores},
-		{"limits.bytes", l.Bytes}, {"limits.bytes_s", l.Network}, {"limits.machines", l.Machines}, {"limits.in_force_s", l.InForce}, {"limits.ready_s", l.Ready}, {"limits.added_s", l.Added}} {
+	}{
+		{"design.nodes", d.Nodes},
+		{"design.servers", d.Servers},
+		{"design.services", d.Services},
+		{"design.routes", d.Routes},
+		{"design.tenants", d.Tenants},
+		{"design.regions", d.Regions},
+		{"design.zones", d.Zones},
+		{"design.requests_s", d.Requests},
+		{"design.configurations_day", d.Configurations},
+		{"design.failures_day", d.Failures},
+		{"design.restarts_day", d.Restarts},
+		{"design.zone_servers", d.ZoneServers},
+		{"limits.cores", l.Cores},
+		{"limits.bytes", l.Bytes},
+		{"limits.bytes_s", l.Network},
+		{"limits.machines", l.Machines},
+		{"limits.in_force_s", l.InForce},
+		{"limits.ready_s", l.Ready},
+		{"limits.added_s", l.Added},
+	} {
 		if !(f.value > 0) {
 			all = append(all, fmt.Errorf("%s: %s: expected a number above 0, found %v", path, f.key, f.value))
 		}
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -5,22 +5,23 @@
 
 import (
 	"context"
+	"fawnglade/internal/nodestate"
+	"fawnglade/internal/store"
 	"fmt"
 	"os"
 	"path/filepath"
 	"runtime"
 	"time"
-
-	"fawnglade/internal/nodestate"
-	"fawnglade/internal/store"
 )
 
 func remembered(from, n int) []nodestate.Server {
 	out := make([]nodestate.Server, n)
 	for k := range out {
 		i := from + k
-		out[k] = nodestate.Server{Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
-			Zone: fmt.Sprintf("z%02d", i%31), Pod: i / 40, Weight: 1, Started: 1_700_000_000e9 + int64(i)}
+		out[k] = nodestate.Server{
+			Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
+			Zone: fmt.Sprintf("z%02d", i%31), Pod: i / 40, Weight: 1, Started: 1_700_000_000e9 + int64(i),
+		}
 	}
 	return out
 }
--- a/internal/lab/scale/distribution.go
+++ b/internal/lab/scale/distribution.go
@@ -5,10 +5,9 @@
 
 import (
 	"context"
+	"fawnglade/internal/distribution"
 	"fmt"
 	"runtime"
-
-	"fawnglade/internal/distribution"
 )
 
 const (
@@ -42,8 +41,10 @@
 }
 
 func tenantOf(i, turn int) distribution.Record {
-	return distribution.Record{Scope: fmt.Sprintf("r%d/tenants", i%regions), Key: fmt.Sprintf("tenant/%06d", i), Class: distribution.Configuration,
-		Body: fmt.Appendf(nil, `{"tenant":"t-%06d","portion":0.000001,"turn":%d}`, i, turn)}
+	return distribution.Record{
+		Scope: fmt.Sprintf("r%d/tenants", i%regions), Key: fmt.Sprintf("tenant/%06d", i), Class: distribution.Configuration,
+		Body: fmt.Appendf(nil, `{"tenant":"t-%06d","portion":0.000001,"turn":%d}`, i, turn),
+	}
 }
 
 func records(n int, of maker) []distribution.Record {
--- a/internal/lab/scale/hearsay.go
+++ b/internal/lab/scale/hearsay.go
@@ -5,9 +5,8 @@
 
 import (
 	"context"
-	"fmt"
-
 	"fawnglade/internal/endpointgossip"
+	"fmt"
 )
 
 const (
@@ -60,8 +59,10 @@
 			m := &mail{boxes: make([][]letter, tellers+1)}
 			lines := make([]endpointgossip.Line, int(size))
 			for i := range lines {
-				lines[i] = endpointgossip.Line{Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
-					Zone: fmt.Sprintf("z%02d", i%31), Pod: i / 40, Weight: 1}
+				lines[i] = endpointgossip.Line{
+					Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
+					Zone: fmt.Sprintf("z%02d", i%31), Pod: i / 40, Weight: 1,
+				}
 			}
 			var nodes []*endpointgossip.Hearsay
 			before := inUse()
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -9,6 +9,9 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/fleet"
+	"fawnglade/internal/node"
 	"fmt"
 	"io"
 	"net"
@@ -18,10 +21,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/fleet"
-	"fawnglade/internal/node"
 )
 
 // hollowNode is where one of them is.
--- a/internal/lab/scale/inforce.go
+++ b/internal/lab/scale/inforce.go
@@ -7,9 +7,8 @@
 	"container/heap"
 	"context"
 	"errors"
-	"fmt"
-
 	"fawnglade/internal/distribution"
+	"fmt"
 )
 
 const (
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -5,12 +5,11 @@
 
 import (
 	"context"
-	"fmt"
-	"runtime"
-
 	"fawnglade/internal/lab/fleet"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
+	"fmt"
+	"runtime"
 )
 
 const (
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -6,6 +6,8 @@
 import (
 	"context"
 	"encoding/json"
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/fleet"
 	"fmt"
 	"io"
 	"os"
@@ -13,9 +15,6 @@
 	"strings"
 	"syscall"
 	"time"
-
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/fleet"
 )
 
 // nodeSettings are those of one node of a large fleet, with its zones.
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -259,8 +259,10 @@
 }
 
 func slopeOf(p *Probe, f *Figure, points []Point, notes []string, o *Options) Slope {
-	s := Slope{Name: p.Name + "." + f.Name, What: f.What, Role: f.Role, Unit: f.Unit, SizeOf: p.Size, Method: f.Method, Missing: p.Missing, Cap: p.Cap, Points: points,
-		Notes: notes, Design: p.At(&o.Design), Command: o.Command, Day: o.Day.Format(time.DateOnly)}
+	s := Slope{
+		Name: p.Name + "." + f.Name, What: f.What, Role: f.Role, Unit: f.Unit, SizeOf: p.Size, Method: f.Method, Missing: p.Missing, Cap: p.Cap, Points: points,
+		Notes: notes, Design: p.At(&o.Design), Command: o.Command, Day: o.Day.Format(time.DateOnly),
+	}
 	if f.Limit != nil {
 		s.Limit = f.Limit(&o.Design, &o.Limits)
 	}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -163,8 +163,10 @@
 
 func quick(t *testing.T, names ...string) *Result {
 	t.Helper()
-	r, err := Run(t.Context(), Options{Only: names, Env: Env{Quick: true, Dir: t.TempDir()}, Command: "fawnglade-lab scale --quick", Day: time.Now(), Design: TheDesign,
-		Limits: TheLimits, Machine: Machine{Cores: 1, MemoryBytes: 16e9, Go: "go"}})
+	r, err := Run(t.Context(), Options{
+		Only: names, Env: Env{Quick: true, Dir: t.TempDir()}, Command: "fawnglade-lab scale --quick", Day: time.Now(), Design: TheDesign,
+		Limits: TheLimits, Machine: Machine{Cores: 1, MemoryBytes: 16e9, Go: "go"},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scale/show.go
+++ b/internal/lab/scale/show.go
@@ -103,8 +103,10 @@
 	rows := (len(panels) + columns - 1) / columns
 	wide := min(columns, len(panels))
 	image := vgimg.NewWith(vgimg.UseWH(panelX*vg.Length(wide), panelY*vg.Length(rows)), vgimg.UseDPI(dots))
-	tiles := draw.Tiles{Rows: rows, Cols: wide, PadX: vg.Millimeter * 3, PadY: vg.Millimeter * 4, PadTop: vg.Millimeter, PadBottom: vg.Millimeter,
-		PadLeft: vg.Millimeter, PadRight: vg.Millimeter * 4}
+	tiles := draw.Tiles{
+		Rows: rows, Cols: wide, PadX: vg.Millimeter * 3, PadY: vg.Millimeter * 4, PadTop: vg.Millimeter, PadBottom: vg.Millimeter,
+		PadLeft: vg.Millimeter, PadRight: vg.Millimeter * 4,
+	}
 	page := draw.New(image)
 	for i, p := range panels {
 		p.Draw(tiles.At(page, i%columns, i/columns))
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -7,14 +7,13 @@
 	"bytes"
 	"cmp"
 	"errors"
+	"fawnglade/internal/lab/netfault"
 	"fmt"
 	"slices"
 	"strings"
 
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
-
-	"fawnglade/internal/lab/netfault"
 )
 
 // Kinds of fault, with what each must name: servers, nodes, or nothing for what is there once.
@@ -172,15 +171,19 @@
 }
 
 func (c *checker) part(key string, v float64) { c.must(v >= 0 && v <= 1, key, "a part from 0 to 1", v) }
+
 func (c *checker) positive(key string, v Duration) {
 	c.must(v > 0, key, "a time above 0", v.Std())
 }
+
 func (c *checker) atLeast(key string, v, least float64) {
 	c.must(v >= least && v < 1e9, key, fmt.Sprintf("a number of at least %g", least), v)
 }
+
 func (c *checker) oneOf(key, v string, of ...string) {
 	c.must(slices.Contains(of, v), key, "one of "+strings.Join(of, ", "), fmt.Sprintf("%q", v))
 }
+
 func (c *checker) zone(key, v string) {
 	c.must(slices.Contains(c.s.Network.Zones, v), key, "a zone of network.zones", fmt.Sprintf("%q", v))
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -250,8 +250,10 @@
 	s.Nodes = Nodes{Count: 1, MemoryMB: 192, Sockets: 1024, Notice: ms(1000), Round: ms(500)}
 	s.Reports = Reports{Fields: []string{"queue", "inflight"}, Period: ms(400), Delay: ms(100), Noise: 0.03}
 	s.Discovery = Discovery{Ask: true, Notice: ms(500), Period: ms(200), Call: ms(20), GiveUp: ms(2000)}
-	s.Rules = Rules{StopSending: ms(500), AskWithin: ms(10000), FallMultiple: 3, FallAfter: ms(1000), FallSlack: "tight", AnswerGrace: ms(20),
-		MostHandOffs: 4, MayRecall: true, MaxAdvice: ms(1500), ConnectIn: ms(75)}
+	s.Rules = Rules{
+		StopSending: ms(500), AskWithin: ms(10000), FallMultiple: 3, FallAfter: ms(1000), FallSlack: "tight", AnswerGrace: ms(20),
+		MostHandOffs: 4, MayRecall: true, MaxAdvice: ms(1500), ConnectIn: ms(75),
+	}
 	s.Load = Load{Rate: 200, Shape: "steady", Swing: 0.3, Period: ms(5000), Body: 200}
 	s.Clients = Clients{Retries: 2, Backoff: ms(20), Honour: 0.8, TryShare: 1, MostConns: 200}
 	return s
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -75,9 +75,11 @@
 		t.Fatal("taken")
 	}
 	lines := strings.Split(err.Error(), "\n")
-	for _, want := range []string{"f:20: fault.1.from: expected n0 to n0", "f:26: fault.2.to: expected ends that nodes have ways to",
+	for _, want := range []string{
+		"f:20: fault.1.from: expected n0 to n0", "f:26: fault.2.to: expected ends that nodes have ways to",
 		"f:29: fault.3.kind: expected link-cut, link-drop, link-delay or link-narrow", "f:46: fault.5.how: expected one of fixed, drawn, growing",
-		"f:41: fault.5.kind: expected no other link-delay of one of its ways at one time, got one in fault.4", "f:48: fault.6.kind: expected one of"} {
+		"f:41: fault.5.kind: expected no other link-delay of one of its ways at one time, got one in fault.4", "f:48: fault.6.kind: expected one of",
+	} {
 		found := false
 		for _, line := range lines {
 			found = found || strings.HasPrefix(line, want)
--- a/internal/lab/scenario/ways.go
+++ b/internal/lab/scenario/ways.go
@@ -4,10 +4,9 @@
 // together. It must never draw or play one.
 
 import (
+	"fawnglade/internal/lab/netfault"
 	"fmt"
 	"strings"
-
-	"fawnglade/internal/lab/netfault"
 )
 
 // Site tells what the ends of ways are called.
@@ -40,8 +39,10 @@
 	if f.For == 0 {
 		end = int64(f.At) + 2*int64(s.Length)
 	}
-	return netfault.Fault{Trouble: netfault.Trouble(f.Kind), From: from, To: to, OneWay: f.OneWay, Begin: int64(f.At), End: end, How: f.How, Share: f.Share,
-		Burst: f.Burst, Wait: int64(f.Wait), Rate: f.Rate}, err == nil && err2 == nil && len(from) > 0 && len(to) > 0
+	return netfault.Fault{
+		Trouble: netfault.Trouble(f.Kind), From: from, To: to, OneWay: f.OneWay, Begin: int64(f.At), End: end, How: f.How, Share: f.Share,
+		Burst: f.Burst, Wait: int64(f.Wait), Rate: f.Rate,
+	}, err == nil && err2 == nil && len(from) > 0 && len(to) > 0
 }
 
 // checkWays checks faults of ways, each and against one another.
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -4,13 +4,12 @@
 // again as clients do. It must never hold a task back because an earlier one has not come back.
 
 import (
-	"fmt"
-	"time"
-
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
+	"fmt"
+	"time"
 )
 
 const listenOn = int64(300 * time.Millisecond) // after a hard limit, for answers that come too late
@@ -37,8 +36,10 @@
 }
 
 func newClients(d *Day) *clients {
-	c := &clients{day: d, outcomes: make([]trace.Outcome, len(d.plan.Tasks)), left: len(d.plan.Tasks),
-		byZone: make([][]*node, len(d.scenario.Network.Zones)), turn: make([]int, len(d.scenario.Network.Zones))}
+	c := &clients{
+		day: d, outcomes: make([]trace.Outcome, len(d.plan.Tasks)), left: len(d.plan.Tasks),
+		byZone: make([][]*node, len(d.scenario.Network.Zones)), turn: make([]int, len(d.scenario.Network.Zones)),
+	}
 	parts := d.plan.Parts(d.scenario)
 	for zone := range c.byZone {
 		for _, n := range d.nodes {
@@ -68,8 +69,10 @@
 	c.day.at(t.Due+int64(c.day.scenario.Network.Client), func() {
 		c.day.count(func(s *trace.Together) { s.Tasks++ })
 		category := &c.day.scenario.Categories[t.Category]
-		c.send(&try{task: t, hard: t.Due + int64(float64(category.HardLimit)*c.day.scenario.Clients.TryShare), id: c.day.idOf(t.N, 0),
-			ticket: fmt.Sprintf("%016x", t.Seed)})
+		c.send(&try{
+			task: t, hard: t.Due + int64(float64(category.HardLimit)*c.day.scenario.Clients.TryShare), id: c.day.idOf(t.N, 0),
+			ticket: fmt.Sprintf("%016x", t.Seed),
+		})
 		c.next(i + 1)
 	})
 }
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -4,12 +4,6 @@
 
 import (
 	"context"
-	"fmt"
-	"hash/fnv"
-	"math/rand/v2"
-	"strconv"
-	"time"
-
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
@@ -17,6 +11,11 @@
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 	"fawnglade/policy"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"strconv"
+	"time"
 )
 
 // Decider is what decides at one node: the module, or a baseline. Times are Unix nanoseconds of the node's own clock.
@@ -107,9 +106,11 @@
 // Play plays a day to its end. An error means that it could not be played; what went wrong within it is in the record.
 func Play(ctx context.Context, o Options) (*trace.Record, error) {
 	began := time.Now()
-	d := &Day{scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.Ledger{},
+	d := &Day{
+		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.Ledger{},
 		draw: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[policy.EndpointID]*machine{}, memories: map[memoryKey]*model.Memory{},
-		holds: map[int]int64{}, oddities: map[string]int{}, numbers: map[[2]netfault.End]uint64{}}
+		holds: map[int]int64{}, oddities: map[string]int{}, numbers: map[[2]netfault.End]uint64{},
+	}
 	d.ways = d.plan.Ways(d.scenario)
 	d.idFirst = fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761))
 	d.together = make([]trace.Together, int(int64(o.Scenario.Length)/1e9)+1)
@@ -143,8 +144,10 @@
 		m.warmed()
 	}
 	d.ledger.Close()
-	r := &trace.Record{Plan: d.plan, Hash: hash, Virtual: true, Outcomes: d.clients.outcomes, Ledger: d.ledger, Loads: d.loads, Together: d.together,
-		Odd: d.oddities, Took: time.Since(began)}
+	r := &trace.Record{
+		Plan: d.plan, Hash: hash, Virtual: true, Outcomes: d.clients.outcomes, Ledger: d.ledger, Loads: d.loads, Together: d.together,
+		Odd: d.oddities, Took: time.Since(began),
+	}
 	r.Reach, r.Beliefs, r.Runs = trace.ReachOf(d.scenario, d.ways, 0), d.beliefs, d.runs
 	trace.Excuse(d.scenario, d.plan, d.ledger)
 	rules := trace.RulesOf(d.scenario, d.ways, 0, 0, nil)
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -4,13 +4,12 @@
 // What it lists and since when is the roster's; it must never tell a node what the roster does not hold.
 
 import (
-	"time"
-
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/policy"
+	"time"
 )
 
 const (
@@ -87,8 +86,10 @@
 				zone = z
 			}
 		}
-		out = append(out, policy.EndpointInfo{ID: m.id, Zone: zone, Pod: m.spec.Pod, Weight: 1, StartedAt: policy.Time(l.Started),
-			State: [...]policy.EndpointState{model.Up: policy.StateActive, model.Draining: policy.StateDraining, model.Removed: policy.StateRemoved}[l.Health]})
+		out = append(out, policy.EndpointInfo{
+			ID: m.id, Zone: zone, Pod: m.spec.Pod, Weight: 1, StartedAt: policy.Time(l.Started),
+			State: [...]policy.EndpointState{model.Up: policy.StateActive, model.Draining: policy.StateDraining, model.Removed: policy.StateRemoved}[l.Health],
+		})
 	}
 	return out
 }
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -4,13 +4,12 @@
 // draw. Bad clients are not played: what a node does with bytes is for sockets to tell.
 
 import (
-	"math"
-	"time"
-
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
+	"math"
+	"time"
 )
 
 const (
--- a/internal/lab/simulation/hearsay.go
+++ b/internal/lab/simulation/hearsay.go
@@ -4,12 +4,11 @@
 // must never tell a node what no load has brought.
 
 import (
-	"fmt"
-
 	"fawnglade/internal/endpointgossip"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/policy"
+	"fmt"
 )
 
 // hearing is one life's part in it.
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -4,16 +4,15 @@
 // ends is the model's; it must never be decided here.
 
 import (
-	"math"
-	"math/rand/v2"
-	"strconv"
-
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
 	"fawnglade/policy"
+	"math"
+	"math/rand/v2"
+	"strconv"
 )
 
 // trouble is what a fault does to a server, apart from what the model does.
@@ -64,8 +63,10 @@
 }
 
 func (d *Day) newMachine(spec workload.Server, cold bool) *machine {
-	m := &machine{day: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], id: serverID(spec.Name), draw: rand.New(rand.NewPCG(spec.Seed, 3)),
-		cuts: map[int]int{}, epochs: map[int]int{}}
+	m := &machine{
+		day: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], id: serverID(spec.Name), draw: rand.New(rand.NewPCG(spec.Seed, 3)),
+		cuts: map[int]int{}, epochs: map[int]int{},
+	}
 	d.machines = append(d.machines, m)
 	d.byID[m.id] = m
 	m.start(cold)
@@ -91,8 +92,10 @@
 // warmed hands in what came to the life that ends while it was cold.
 func (m *machine) warmed() {
 	if m.model != nil {
-		m.day.ledger.Warmed(invariant.Cold{Server: m.spec.Index, Life: m.life, Started: m.started, MeanWork: m.model.MeanWork,
-			Window: m.model.FallAfter, Pushes: m.model.WhileCold()})
+		m.day.ledger.Warmed(invariant.Cold{
+			Server: m.spec.Index, Life: m.life, Started: m.started, MeanWork: m.model.MeanWork,
+			Window: m.model.FallAfter, Pushes: m.model.WhileCold(),
+		})
 	}
 }
 
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -5,9 +5,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
-	"time"
-
 	"fawnglade/internal/gossip"
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
@@ -16,6 +13,8 @@
 	"fawnglade/internal/members"
 	"fawnglade/internal/settings"
 	"fawnglade/policy"
+	"fmt"
+	"time"
 )
 
 type reportOf struct{ policy.LoadReport }
@@ -235,8 +234,10 @@
 			task := t.task
 			id := policy.RequestID(t.id)
 			n.tasks[id] = x
-			p := policy.Request{ID: id, Class: task.Category, Tenant: max(task.Customer, 0), Deadline: policy.Time(n.clock() + t.hard - n.day.now), ClientRetry: t.n > 0,
-				CostHint: time.Duration(task.Estimate)}
+			p := policy.Request{
+				ID: id, Class: task.Category, Tenant: max(task.Customer, 0), Deadline: policy.Time(n.clock() + t.hard - n.day.now), ClientRetry: t.n > 0,
+				CostHint: time.Duration(task.Estimate),
+			}
 			if task.Key >= 0 && n.set.Policy.KeyAffinity {
 				p.Key = fmt.Sprint("k", task.Key)
 			}
@@ -308,8 +309,10 @@
 			if o == policy.OutcomeSucceeded {
 				n.settle(x, 200, 0)
 			}
-			n.decider.AttemptEnded(policy.Time(n.clock()), policy.AttemptResult{Request: policy.RequestID(x.try.id), Attempt: h.number, Endpoint: h.m.id, Outcome: o,
-				Elapsed: time.Duration(max(at-h.sentAt, 0)), RequestDone: x.settled, NewConnection: fresh, Report: report})
+			n.decider.AttemptEnded(policy.Time(n.clock()), policy.AttemptResult{
+				Request: policy.RequestID(x.try.id), Attempt: h.number, Endpoint: h.m.id, Outcome: o,
+				Elapsed: time.Duration(max(at-h.sentAt, 0)), RequestDone: x.settled, NewConnection: fresh, Report: report,
+			})
 			n.release(x)
 		})
 	})
@@ -557,5 +560,7 @@
 	mostWait  = 3 * time.Second
 )
 
-var _ policy.Effects = (*node)(nil)
-var _ = model.Never
+var (
+	_ policy.Effects = (*node)(nil)
+	_                = model.Never
+)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -3,15 +3,14 @@
 import (
 	"context"
 	"encoding/json"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
+	"fawnglade/policy"
 	"runtime"
 	"slices"
 	"strings"
 	"testing"
 	"time"
-
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/trace"
-	"fawnglade/policy"
 )
 
 func read(t *testing.T, name string, nodes int) *scenario.Scenario {
@@ -108,14 +107,16 @@
 }
 
 func TestAnInstanceThatIsWokenForEverIsNamed(t *testing.T) {
-	_, err := Play(context.Background(), Options{Scenario: read(t, "calm", 3), Seed: 1,
+	_, err := Play(context.Background(), Options{
+		Scenario: read(t, "calm", 3), Seed: 1,
 		Maker: func(node int, set policy.Settings, seed uint64, host policy.Effects, see Truth) Decider {
 			d := Module(node, set, seed, host, see)
 			if node != 1 {
 				return d
 			}
 			return &restless{Decider: d, host: host}
-		}})
+		},
+	})
 	if err == nil || !strings.HasPrefix(err.Error(), "node 1 asks at ") || !strings.HasSuffix(err.Error(), "to be woken at once, over and over") {
 		t.Errorf("ended with %v", err)
 	}
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -4,13 +4,12 @@
 // node, its datagrams over the same schedule as on sockets. It must never decide what befalls a message, or what a node believes.
 
 import (
-	"fmt"
-	"time"
-
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/members"
+	"fmt"
+	"time"
 )
 
 const (
@@ -121,8 +120,10 @@
 		names = append(names, fmt.Sprintf("n%d", i))
 	}
 	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.life.Life)
-	view, err := members.New(members.Settings{Name: names[n.index], Peers: names, Round: int64(d.scenario.Nodes.Round), Seed: seed,
-		Run: uint32(seed*2654435761>>8) | 1, Take: func(from int, load []byte) { n.hearing.take(n, from, load) }}, (*datagrams)(n), n.clock())
+	view, err := members.New(members.Settings{
+		Name: names[n.index], Peers: names, Round: int64(d.scenario.Nodes.Round), Seed: seed,
+		Run: uint32(seed*2654435761>>8) | 1, Take: func(from int, load []byte) { n.hearing.take(n, from, load) },
+	}, (*datagrams)(n), n.clock())
 	if err != nil {
 		d.problem = fmt.Errorf("node %d: %w", n.index, err)
 		return
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -5,6 +5,7 @@
 import (
 	"encoding/csv"
 	"errors"
+	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"io"
 	"io/fs"
@@ -16,8 +17,6 @@
 	"sync"
 
 	"github.com/pelletier/go-toml/v2"
-
-	"fawnglade/internal/lab/scenario"
 )
 
 // Axis is one key with its values.
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -3,14 +3,13 @@
 package trace
 
 import (
-	"slices"
-	"time"
-
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
 	"fawnglade/internal/members"
+	"slices"
+	"time"
 )
 
 // State is what became of a task for its client, over all its tries.
@@ -155,9 +154,11 @@
 	if s.Discovery.Ask {
 		within = int64(r.AskWithin)
 	}
-	rules := invariant.Rules{StopSending: int64(r.StopSending), AskWithin: within, AnswerGrace: int64(r.AnswerGrace),
+	rules := invariant.Rules{
+		StopSending: int64(r.StopSending), AskWithin: within, AnswerGrace: int64(r.AnswerGrace),
 		ToldWithin: toldWithin, GoneWithin: goneWithin, ReadyWithin: readyWithin, ReadyShort: readyShort, End: base + int64(s.Length),
-		MayDuplicate: r.MayDuplicate, ByOthers: s.Nodes.List, Slack: slack, Late: late}
+		MayDuplicate: r.MayDuplicate, ByOthers: s.Nodes.List, Slack: slack, Late: late,
+	}
 	if len(ways.Turns()) == 0 {
 		return rules
 	}
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -6,15 +6,14 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"hash/fnv"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"sort"
-
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/scenario"
 )
 
 // Server is one machine of the day's beginning, or one that a fault adds or puts in place of another.
@@ -75,8 +74,10 @@
 }
 
 // BadKinds are the ways of bad clients.
-var BadKinds = []string{"noise", "endless-head", "negative-length", "two-lengths", "huge-body", "no-category", "no-limit",
-	"no-id", "half", "silent", "both-framings", "flood"}
+var BadKinds = []string{
+	"noise", "endless-head", "negative-length", "two-lengths", "huge-body", "no-category", "no-limit",
+	"no-id", "half", "silent", "both-framings", "flood",
+}
 
 // source draws for one purpose, so that a change of one part of a scenario leaves the draws of the others alone.
 func source(seed uint64, purpose string) *rand.Rand {
@@ -130,8 +131,10 @@
 				pods++
 			}
 			inZone[zone]++
-			p.Servers = append(p.Servers, Server{Name: fmt.Sprintf("%s-%d", fleet.Name, n), Index: len(p.Servers), Fleet: f,
-				Zone: zone, Pod: podOf[zone], Speed: fleet.Speed * (1 + fleet.Spread*(2*draw.Float64()-1)), Seed: draw.Uint64()})
+			p.Servers = append(p.Servers, Server{
+				Name: fmt.Sprintf("%s-%d", fleet.Name, n), Index: len(p.Servers), Fleet: f,
+				Zone: zone, Pod: podOf[zone], Speed: fleet.Speed * (1 + fleet.Spread*(2*draw.Float64()-1)), Seed: draw.Uint64(),
+			})
 		}
 	}
 }
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -2,11 +2,10 @@
 package loadreport
 
 import (
+	"fawnglade/policy"
 	"math"
 	"strconv"
 	"strings"
-
-	"fawnglade/policy"
 )
 
 // Parse reads a load report and skips what it does not know or cannot be a load.
--- a/internal/members/golden_test.go
+++ b/internal/members/golden_test.go
@@ -3,10 +3,9 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fawnglade/internal/golden"
 	"fmt"
 	"testing"
-
-	"fawnglade/internal/golden"
 )
 
 // TestGoldenMessages holds the datagrams of membership to the bytes that earlier builds send and read.
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -172,8 +172,10 @@
 	if set.Name == "" || set.Round <= 0 {
 		return nil, errors.New("members: expected a name and a round above 0")
 	}
-	m := &Members{set: set, way: way, draw: rand.New(rand.NewPCG(set.Seed, uint64(set.Run))), id: xxhash.Sum64String(set.Name),
-		start: uint64(max(now, 0) / 1e6), last: now}
+	m := &Members{
+		set: set, way: way, draw: rand.New(rand.NewPCG(set.Seed, uint64(set.Run))), id: xxhash.Sum64String(set.Name),
+		start: uint64(max(now, 0) / 1e6), last: now,
+	}
 	m.number = m.start
 	for i, name := range set.Peers {
 		if name != set.Name {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -240,8 +240,11 @@
 
 func TestWrongSettings(t *testing.T) {
 	for _, s := range []Settings{
-		{Name: "", Peers: names(2), Round: 1}, {Name: "n0", Peers: names(2)}, {Name: "x", Peers: names(2), Round: 1},
-		{Name: "n0", Peers: []string{"n0", "n1", "n1"}, Round: 1}, {Name: "n0", Peers: names(mostPeers + 1), Round: 1},
+		{Name: "", Peers: names(2), Round: 1},
+		{Name: "n0", Peers: names(2)},
+		{Name: "x", Peers: names(2), Round: 1},
+		{Name: "n0", Peers: []string{"n0", "n1", "n1"}, Round: 1},
+		{Name: "n0", Peers: names(mostPeers + 1), Round: 1},
 	} {
 		if _, err := New(s, &nowhere{}, begin); err == nil {
 			t.Errorf("%q of %d taken", s.Name, len(s.Peers))
--- a/internal/members/message.go
+++ b/internal/members/message.go
@@ -54,8 +54,10 @@
 }
 
 var (
-	reading = must(cbor.DecOptions{MaxArrayElements: 64, MaxMapPairs: 64, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.DecMode())
+	reading = must(cbor.DecOptions{
+		MaxArrayElements: 64, MaxMapPairs: 64, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden,
+	}.DecMode())
 	writing = must(cbor.CoreDetEncOptions().EncMode())
 
 	errLong    = errors.New("members: longer than a datagram may be")
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -133,8 +133,10 @@
 
 // View at a moment, in the order of the settings' list.
 func (m *Members) View(now int64) View {
-	v := View{Name: m.set.Name, Start: m.start, Incarnation: m.number, Rounds: m.Rounds(), Strain: m.strain, Twice: m.Twice(),
-		Figure: m.Figure(now), Counts: m.counts}
+	v := View{
+		Name: m.set.Name, Start: m.start, Incarnation: m.number, Rounds: m.Rounds(), Strain: m.strain, Twice: m.Twice(),
+		Figure: m.Figure(now), Counts: m.counts,
+	}
 	byPlace := make([]int, len(m.set.Peers))
 	for i := range byPlace {
 		byPlace[i] = -1
@@ -148,8 +150,10 @@
 			continue
 		}
 		p := &m.peers[i]
-		r := Row{Name: m.set.Peers[place], State: p.state.String(), Start: p.start, Incarnation: p.number, Since: now - p.since, Heard: -1,
-			Twice: p.doubled >= twiceAfter, Own: p.own}
+		r := Row{
+			Name: m.set.Peers[place], State: p.state.String(), Start: p.start, Incarnation: p.number, Since: now - p.since, Heard: -1,
+			Twice: p.doubled >= twiceAfter, Own: p.own,
+		}
 		if p.heard != 0 {
 			r.Heard = now - p.heard
 		}
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"fawnglade/policy"
 	"fmt"
 	"io"
 	"net"
@@ -11,8 +12,6 @@
 	"sync"
 	"testing"
 	"time"
-
-	"fawnglade/policy"
 )
 
 func withConsole(c *Config) { c.Console = address() }
@@ -138,8 +137,10 @@
 			t.Fatalf("taken out: %d", status)
 		}
 	}
-	listings := []string{listText(2, false, listEntry("s-0", one, "up")), listText(3, false, listEntry("s-0", one, "removed")),
-		listText(4, true, listEntry("s-1", two, "up")), listText(5, false, listEntry("s-0", one, "up"))}
+	listings := []string{
+		listText(2, false, listEntry("s-0", one, "up")), listText(3, false, listEntry("s-0", one, "removed")),
+		listText(4, true, listEntry("s-1", two, "up")), listText(5, false, listEntry("s-0", one, "up")),
+	}
 	for i := range len(listings) + 1 {
 		time.Sleep(2 * overridesPollInterval)
 		if got := ask20(fmt.Sprint("out", i)); got != 0 {
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -125,9 +125,11 @@
 // Guards against an answer that fails looking whole, whatever its form.
 func TestBrokenAnswerShows(t *testing.T) {
 	part := strings.Repeat("x", 3*maxBufferedResponse)
-	for _, head := range []string{"Content-Length: 9999999\r\n\r\n" + part,
+	for _, head := range []string{
+		"Content-Length: 9999999\r\n\r\n" + part,
 		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\n", // no last chunk
-		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\nnonsense\r\n"} {
+		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\nnonsense\r\n",
+	} {
 		server, _ := serverOf(t, func(c net.Conn, r *http.Request, _ string) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
 			return false
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -8,6 +8,7 @@
 	"bufio"
 	"bytes"
 	"errors"
+	"fawnglade/internal/sockstate"
 	"io"
 	"net"
 	"net/http"
@@ -16,8 +17,6 @@
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"fawnglade/internal/sockstate"
 )
 
 const (
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -125,14 +125,20 @@
 		"is gone": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
 			n.learn(t, listText(2, false, listEntry("s-0", server, "removed")))
 		}, 503},
-		"is gone, which does not bind": {[]string{`"rules":{`, `"rules":{"removal_not_binding":true,`}, "pay",
+		"is gone, which does not bind": {
+			[]string{`"rules":{`, `"rules":{"removal_not_binding":true,`},
+			"pay",
 			func(t *testing.T, n *Node, _ net.Conn, server string) {
 				n.learn(t, listText(2, false, listEntry("s-0", server, "removed")))
-			}, 200},
-		"drains, and only that binds": {[]string{`"rules":{`, `"rules":{"removal_not_binding":true,`}, "pay",
+			}, 200,
+		},
+		"drains, and only that binds": {
+			[]string{`"rules":{`, `"rules":{"removal_not_binding":true,`},
+			"pay",
 			func(t *testing.T, n *Node, _ net.Conn, server string) {
 				n.learn(t, listText(2, false, listEntry("s-0", server, "draining")))
-			}, 503},
+			}, 503,
+		},
 		"is on no whole list": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
 			n.learn(t, listText(2, true))
 		}, 503},
@@ -151,16 +157,22 @@
 			client.Close()
 			soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
 		}, 0},
-		"the client leaves, and nothing may be recalled": {[]string{`"cancelling":true`, `"cancelling":false`}, "batch",
+		"the client leaves, and nothing may be recalled": {
+			[]string{`"cancelling":true`, `"cancelling":false`},
+			"batch",
 			func(t *testing.T, n *Node, client net.Conn, _ string) {
 				client.Close()
 				soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
-			}, 0},
-		"the task has its answer, and nothing may be recalled": {[]string{`"cancelling":true`, `"cancelling":false`}, "batch",
+			}, 0,
+		},
+		"the task has its answer, and nothing may be recalled": {
+			[]string{`"cancelling":true`, `"cancelling":false`},
+			"batch",
 			func(t *testing.T, n *Node, _ net.Conn, _ string) {
 				n.loop.post(func() { n.loop.Reject("t1", 0) })
 				n.passed()
-			}, 503},
+			}, 503,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -529,8 +541,10 @@
 	}{
 		"in the queue": {hold: func(t *testing.T, n *Node) *gate { return n.holdLoop(t) }, there: func(n *Node) bool { return len(n.loop.events) > 0 }},
 		"dialling":     {there: func(n *Node) bool { return n.count(attemptsSent) == 1 }},
-		"partly written": {body: long, serve: func(g *gate, _ net.Conn, _ *bufio.Reader) bool { g.wait(); return false },
-			there: func(n *Node) bool { return n.count(requestsStreamed) == 1 }},
+		"partly written": {
+			body: long, serve: func(g *gate, _ net.Conn, _ *bufio.Reader) bool { g.wait(); return false },
+			there: func(n *Node) bool { return n.count(requestsStreamed) == 1 },
+		},
 		"written": {serve: func(g *gate, _ net.Conn, in *bufio.Reader) bool {
 			http.ReadRequest(in)
 			g.wait()
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -7,15 +7,14 @@
 import (
 	"context"
 	"errors"
+	"fawnglade/internal/discovery"
+	"fawnglade/internal/endpointlist"
 	"os"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/discovery"
-	"fawnglade/internal/endpointlist"
 )
 
 const (
@@ -55,8 +54,10 @@
 }
 
 func newEndpointWatch(n *Node) *endpointWatch {
-	d := &endpointWatch{node: n, address: n.config.Discovery, callRequests: make(chan struct{}, 1), silenceTimeout: listSilenceTimeout, headTimeout: listHeadTimeout,
-		retryInterval: maxRetryInterval, firstHeard: make(chan struct{})}
+	d := &endpointWatch{
+		node: n, address: n.config.Discovery, callRequests: make(chan struct{}, 1), silenceTimeout: listSilenceTimeout, headTimeout: listHeadTimeout,
+		retryInterval: maxRetryInterval, firstHeard: make(chan struct{}),
+	}
 	if within := time.Duration(n.settings.DrainGrace); within > 0 {
 		d.retryInterval = max(min(d.retryInterval, within/drainGraceShare), minRetryInterval)
 	}
@@ -166,9 +167,11 @@
 	if d.versionAddress != address {
 		d.versionAddress, d.version = address, 0
 	}
-	how := discovery.Call{Address: address, Head: watchHead(address, d.version), Connect: listConnectTimeout, First: d.headTimeout, Gap: d.headTimeout, Again: d.retryInterval,
+	how := discovery.Call{
+		Address: address, Head: watchHead(address, d.version), Connect: listConnectTimeout, First: d.headTimeout, Gap: d.headTimeout, Again: d.retryInterval,
 		Silence: d.silenceTimeout, Called: func() { d.node.counters.add(listWatches) }, Failed: func() { d.node.counters.add(listWatchesFailed) },
-		Said: func() { d.lastHeard.Store(d.node.clock.nanos()) }}
+		Said: func() { d.lastHeard.Store(d.node.clock.nanos()) },
+	}
 	if d.reopening {
 		how.First = min(d.headTimeout, reopenHeadTimeout)
 	}
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"fawnglade/internal/endpointlist"
 	"fmt"
 	"io"
 	"net"
@@ -13,8 +14,6 @@
 
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
-
-	"fawnglade/internal/endpointlist"
 )
 
 // This file owns the tests of a discovery that is slow, crowded, gone or long of word. Its times are a tenth of the real ones.
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -8,15 +8,14 @@
 	"cmp"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/estimates"
+	"fawnglade/internal/timerqueue"
+	"fawnglade/policy"
 	"net/http"
 	"slices"
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/estimates"
-	"fawnglade/internal/timerqueue"
-	"fawnglade/policy"
 )
 
 const (
@@ -55,8 +54,10 @@
 }
 
 func newEventLoop(n *Node) *eventLoop {
-	l := &eventLoop{node: n, events: make(chan func(), 1024), requests: map[policy.RequestID]*pendingRequest{},
-		endpoints: map[policy.EndpointID]knownEndpoint{}}
+	l := &eventLoop{
+		node: n, events: make(chan func(), 1024), requests: map[policy.RequestID]*pendingRequest{},
+		endpoints: map[policy.EndpointID]knownEndpoint{},
+	}
 	l.balancer = policy.New(n.settings.Policy, n.config.seed, l)
 	return l
 }
@@ -168,9 +169,11 @@
 	}
 	l.node.counters.add(how)
 	l.handle(x, func() {
-		l.balancer.AttemptEnded(l.now, policy.AttemptResult{Request: x.request.ID, Attempt: h.number, Endpoint: h.target.endpoint,
+		l.balancer.AttemptEnded(l.now, policy.AttemptResult{
+			Request: x.request.ID, Attempt: h.number, Endpoint: h.target.endpoint,
 			Outcome: r.outcome, Elapsed: max(r.endedAt.Sub(h.sentAt)-r.uploadTime, 0), RequestDone: x.answered.Load(), BodyConsumed: x.bodyConsumed(), NewConnection: r.newConnection,
-			Report: r.report})
+			Report: r.report,
+		})
 	})
 	l.release(x)
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -5,6 +5,7 @@
 
 import (
 	"errors"
+	"fawnglade/policy"
 	"fmt"
 	"net"
 	"net/http"
@@ -15,8 +16,6 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"fawnglade/policy"
 )
 
 const (
@@ -74,8 +73,10 @@
 }
 
 func newFrontend(n *Node, listener net.Listener) *frontend {
-	return &frontend{node: n, listener: listener, again: make(chan struct{}, 1), ended: make(chan struct{}),
-		open: map[*clientConn]struct{}{}}
+	return &frontend{
+		node: n, listener: listener, again: make(chan struct{}, 1), ended: make(chan struct{}),
+		open: map[*clientConn]struct{}{},
+	}
 }
 
 // setLimits sets how many connections there may be.
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -4,6 +4,9 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
+	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/golden"
+	"fawnglade/policy"
 	"fmt"
 	"io"
 	"net"
@@ -14,10 +17,6 @@
 	"slices"
 	"strings"
 	"testing"
-
-	"fawnglade/internal/endpointlist"
-	"fawnglade/internal/golden"
-	"fawnglade/policy"
 )
 
 // TestGoldenHeads holds the heads of requests, answers, watches and health checks to the bytes of earlier builds.
@@ -102,8 +101,19 @@
 		status int
 		header http.Header
 	}{
-		{200, nil}, {204, nil}, {400, nil}, {404, nil}, {408, nil}, {425, nil}, {429, nil}, {500, nil}, {503, nil},
-		{503, http.Header{"X-Turned-Away": {"1"}}}, {504, http.Header{"X-Turned-Away": {"1"}}}, {503, http.Header{"X-Turned-Away": {"0"}}}, {500, http.Header{"X-Turned-Away": {"1"}}},
+		{200, nil},
+		{204, nil},
+		{400, nil},
+		{404, nil},
+		{408, nil},
+		{425, nil},
+		{429, nil},
+		{500, nil},
+		{503, nil},
+		{503, http.Header{"X-Turned-Away": {"1"}}},
+		{504, http.Header{"X-Turned-Away": {"1"}}},
+		{503, http.Header{"X-Turned-Away": {"0"}}},
+		{500, http.Header{"X-Turned-Away": {"1"}}},
 	} {
 		fmt.Fprintf(&b, "%d %v: outcome %d, %v\n", c.status, c.header, int(outcomeOf(c.status, c.header)), isRequestFault(c.status))
 	}
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -6,15 +6,14 @@
 
 import (
 	"errors"
+	"fawnglade/internal/datagram"
+	"fawnglade/internal/gossip"
+	"fawnglade/policy"
 	"fmt"
 	"net"
 	"net/netip"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/datagram"
-	"fawnglade/internal/gossip"
-	"fawnglade/policy"
 )
 
 const (
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -1,6 +1,8 @@
 package node
 
 import (
+	"fawnglade/internal/gossip"
+	"fawnglade/policy"
 	"fmt"
 	"net"
 	"net/http"
@@ -8,9 +10,6 @@
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"fawnglade/internal/gossip"
-	"fawnglade/policy"
 )
 
 // withNews gives a node a place for news and peers; its settings allow messages and probes.
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -4,10 +4,9 @@
 // probe that fails says nothing but that it failed.
 
 import (
+	"fawnglade/policy"
 	"net/http"
 	"time"
-
-	"fawnglade/policy"
 )
 
 const (
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -113,8 +113,10 @@
 	for i, s := range servers {
 		entries = append(entries, listEntry(fmt.Sprintf("s-%d", i), s, "up"))
 	}
-	c := &Config{Name: "n0", Listen: address(), Discovery: "127.0.0.1:1", Seed: "1f",
-		Known: json.RawMessage(listText(1, true, entries...)), Settings: json.RawMessage(settingsText), dir: t.TempDir()}
+	c := &Config{
+		Name: "n0", Listen: address(), Discovery: "127.0.0.1:1", Seed: "1f",
+		Known: json.RawMessage(listText(1, true, entries...)), Settings: json.RawMessage(settingsText), dir: t.TempDir(),
+	}
 	c.Limits.MemoryMB, c.Limits.Sockets = 192, 1024
 	if change != nil {
 		change(c)
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fawnglade/internal/estimates"
 	"fmt"
 	"io"
 	"net"
@@ -12,8 +13,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"fawnglade/internal/estimates"
 )
 
 // processes makes nodes that are processes of one and the same: they share a folder, an address and the socket there.
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -6,13 +6,12 @@
 
 import (
 	"encoding/json"
+	"fawnglade/internal/endpointgossip"
+	"fawnglade/policy"
 	"net/netip"
 	"sync"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/endpointgossip"
-	"fawnglade/policy"
 )
 
 // listGossip is nil where nodes do not ask one another.
@@ -47,16 +46,20 @@
 			gone = append(gone, e.name)
 			continue
 		}
-		lines = append(lines, endpointgossip.Line{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight,
-			Draining: e.State == policy.StateDraining, Started: int64(e.StartedAt)})
+		lines = append(lines, endpointgossip.Line{
+			Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight,
+			Draining: e.State == policy.StateDraining, Started: int64(e.StartedAt),
+		})
 	}
 	return lines, gone
 }
 
 func (s *listGossip) entries(lines []endpointgossip.Line) (out []endpointEntry) {
 	for _, l := range lines {
-		e := endpointEntry{name: l.Name, address: l.Address, EndpointInfo: policy.EndpointInfo{ID: endpointID(l.Name), Zone: zoneIndex(l.Zone, s.node.settings.Zones),
-			Pod: l.Pod, Weight: l.Weight, StartedAt: policy.Time(l.Started), State: policy.StateActive}}
+		e := endpointEntry{name: l.Name, address: l.Address, EndpointInfo: policy.EndpointInfo{
+			ID: endpointID(l.Name), Zone: zoneIndex(l.Zone, s.node.settings.Zones),
+			Pod: l.Pod, Weight: l.Weight, StartedAt: policy.Time(l.Started), State: policy.StateActive,
+		}}
 		if _, err := netip.ParseAddrPort(l.Address); l.Draining {
 			e.State = policy.StateDraining
 		} else if err != nil {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -9,15 +9,14 @@
 	"encoding/binary"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/datagram"
+	"fawnglade/internal/features"
+	"fawnglade/internal/members"
 	"net"
 	"sync"
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/datagram"
-	"fawnglade/internal/features"
-	"fawnglade/internal/members"
 )
 
 const (
@@ -68,8 +67,10 @@
 	defer s.end()
 	var drawn [12]byte
 	crand.Read(drawn[:])
-	set := members.Settings{Name: s.node.config.Name, Key: s.set.KeyBytes, Round: s.set.RoundNs, Seed: binary.LittleEndian.Uint64(drawn[:]),
-		Run: binary.LittleEndian.Uint32(drawn[8:]), Known: s.node.persistence.starts()}
+	set := members.Settings{
+		Name: s.node.config.Name, Key: s.set.KeyBytes, Round: s.set.RoundNs, Seed: binary.LittleEndian.Uint64(drawn[:]),
+		Run: binary.LittleEndian.Uint32(drawn[8:]), Known: s.node.persistence.starts(),
+	}
 	for _, n := range s.set.Nodes {
 		set.Peers = append(set.Peers, n.Name)
 	}
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -5,15 +5,14 @@
 
 import (
 	"errors"
+	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/loadreport"
+	"fawnglade/policy"
 	"fmt"
 	"hash/fnv"
 	"net/http"
 	"net/netip"
 	"strings"
-
-	"fawnglade/internal/endpointlist"
-	"fawnglade/internal/loadreport"
-	"fawnglade/policy"
 )
 
 const (
@@ -155,8 +154,10 @@
 func encodeList(version int64, entries []endpointEntry, zones []string) []byte {
 	list := make([]endpointlist.Entry, len(entries))
 	for i, e := range entries {
-		list[i] = endpointlist.Entry{Name: e.name, Address: e.address, Zone: e.zone(zones), Pod: e.Pod, Weight: e.Weight, StartedMs: float64(e.StartedAt) / 1e6,
-			State: [...]string{policy.StateActive: "up", policy.StateDraining: "draining", policy.StateRemoved: "removed"}[e.State]}
+		list[i] = endpointlist.Entry{
+			Name: e.name, Address: e.address, Zone: e.zone(zones), Pod: e.Pod, Weight: e.Weight, StartedMs: float64(e.StartedAt) / 1e6,
+			State: [...]string{policy.StateActive: "up", policy.StateDraining: "draining", policy.StateRemoved: "removed"}[e.State],
+		}
 	}
 	return endpointlist.Encode(version, list)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -7,6 +7,10 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/features"
+	"fawnglade/internal/settings"
+	"fawnglade/internal/store"
 	"fmt"
 	"net"
 	"net/netip"
@@ -22,11 +26,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/endpointlist"
-	"fawnglade/internal/features"
-	"fawnglade/internal/settings"
-	"fawnglade/internal/store"
 )
 
 const (
@@ -209,8 +208,10 @@
 
 // New makes a node that listens; nothing runs before Run.
 func New(config *Config, log *zap.Logger) (*Node, error) {
-	n := &Node{config: config, settings: &config.decoded, log: log, clock: clock{time.Now()}, listLimits: endpointlist.LimitsFor(config.Limits.MemoryMB << 20),
-		classIndex: indexOf(config.decoded.Classes), tenantIndex: indexOf(config.decoded.Tenants)}
+	n := &Node{
+		config: config, settings: &config.decoded, log: log, clock: clock{time.Now()}, listLimits: endpointlist.LimitsFor(config.Limits.MemoryMB << 20),
+		classIndex: indexOf(config.decoded.Classes), tenantIndex: indexOf(config.decoded.Tenants),
+	}
 	n.overrides = newOverrides(n)
 	n.persistence = openPersistence(n)
 	n.loop, n.upstreams, n.endpointWatch = newEventLoop(n), newUpstreams(n), newEndpointWatch(n)
@@ -458,9 +459,11 @@
 	}
 	n.counters.add(configReloads)
 	var later []string
-	for name, same := range map[string]bool{"listen": c.Listen == n.config.Listen, "limits": c.Limits == n.config.Limits,
+	for name, same := range map[string]bool{
+		"listen": c.Listen == n.config.Listen, "limits": c.Limits == n.config.Limits,
 		"settings": reflect.DeepEqual(c.decoded, n.config.decoded), "news": reflect.DeepEqual(c.News, n.config.News),
-		"console": c.Console == n.config.Console} {
+		"console": c.Console == n.config.Console,
+	} {
 		if !same {
 			later = append(later, name)
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fawnglade/policy"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -15,8 +16,6 @@
 	"testing"
 	"testing/quick"
 	"time"
-
-	"fawnglade/policy"
 )
 
 func TestTaskGoesThroughUnchanged(t *testing.T) {
@@ -77,8 +76,11 @@
 		"endless answer":    {cut("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
 		"silent":            {silent, attemptsTimedOut, map[string]int{"view": 503, "update": 502, "pay": 502}},
 		"closed at once":    {closed, counterCount, map[string]int{"view": 503}},
-		"interim, chunked": {cut("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
-			attemptsSucceeded, map[string]int{"pay": 200}},
+		"interim, chunked": {
+			cut("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
+			attemptsSucceeded,
+			map[string]int{"pay": 200},
+		},
 		"body till the end": {cut("HTTP/1.1 200 OK\r\n\r\nall of it"), attemptsSucceeded, map[string]int{"pay": 200}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -320,8 +322,10 @@
 func TestClientsThatNeverEndAMessageAreLetGo(t *testing.T) {
 	n := nodeWith(t, nil)
 	var done sync.WaitGroup
-	for text, want := range map[string]int{"": 0, "GET /batch HT": 408, taskText("batch", "a", "body")[:100]: 408,
-		"POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nContent-Length: 9\r\n\r\nhalf": 408} {
+	for text, want := range map[string]int{
+		"": 0, "GET /batch HT": 408, taskText("batch", "a", "body")[:100]: 408,
+		"POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nContent-Length: 9\r\n\r\nhalf": 408,
+	} {
 		done.Go(func() {
 			began := time.Now()
 			c, in := dial(t, n)
@@ -571,8 +575,10 @@
 	first, atFirst := serverOf(t, echo)
 	second, atSecond := serverOf(t, echo)
 	address, asked := discoveryOf(t,
-		[]string{listText(5, false, listEntry("s-0", second, "up"), listEntry("s-1", "nowhere", "up"), `{"host":7}`), "",
-			"no list"},
+		[]string{
+			listText(5, false, listEntry("s-0", second, "up"), listEntry("s-1", "nowhere", "up"), `{"host":7}`), "",
+			"no list",
+		},
 		[]string{listText(6, false, listEntry("s-0", second, "draining"))})
 	n := nodeWith(t, func(c *Config) { c.Discovery = address }, first)
 	soon(t, "the move", func() bool { return n.count(listUpdates) == 1 })
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -8,6 +8,7 @@
 	"bufio"
 	"bytes"
 	"errors"
+	"fawnglade/policy"
 	"fmt"
 	"hash/fnv"
 	"io"
@@ -23,8 +24,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/policy"
 )
 
 const (
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -6,12 +6,11 @@
 
 import (
 	"bytes"
+	"fawnglade/policy"
 	"net/http"
 	"strconv"
 	"sync/atomic"
 	"time"
-
-	"fawnglade/policy"
 )
 
 // response is what a client gets; status 0 stands for nothing, as the client has gone.
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -7,6 +7,11 @@
 import (
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/estimates"
+	"fawnglade/internal/members"
+	"fawnglade/internal/nodestate"
+	"fawnglade/internal/store"
+	"fawnglade/policy"
 	"fmt"
 	"path/filepath"
 	"slices"
@@ -15,12 +20,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/estimates"
-	"fawnglade/internal/members"
-	"fawnglade/internal/nodestate"
-	"fawnglade/internal/store"
-	"fawnglade/policy"
 )
 
 const (
@@ -312,8 +311,10 @@
 func (s *persistence) applyBy(entries []endpointEntry, do func([]nodestate.Server), by func([]nodestate.Server) []nodestate.Server) []endpointEntry {
 	lines := make([]nodestate.Server, len(entries))
 	for i, e := range entries {
-		lines[i] = nodestate.Server{Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight, Started: int64(e.StartedAt),
-			State: [...]nodestate.State{policy.StateActive: nodestate.Up, policy.StateDraining: nodestate.Draining, policy.StateRemoved: nodestate.Removed}[e.State]}
+		lines[i] = nodestate.Server{
+			Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight, Started: int64(e.StartedAt),
+			State: [...]nodestate.State{policy.StateActive: nodestate.Up, policy.StateDraining: nodestate.Draining, policy.StateRemoved: nodestate.Removed}[e.State],
+		}
 	}
 	s.mu.Lock()
 	over := by(lines)
@@ -337,8 +338,10 @@
 func (n *Node) entriesOf(servers []nodestate.Server) []endpointEntry {
 	out := make([]endpointEntry, len(servers))
 	for i, m := range servers {
-		out[i] = endpointEntry{name: m.Name, address: m.Address, EndpointInfo: policy.EndpointInfo{ID: endpointID(m.Name), Zone: zoneIndex(m.Zone, n.settings.Zones),
-			Pod: m.Pod, Weight: m.Weight, StartedAt: policy.Time(m.Started), State: endpointState(m.State)}}
+		out[i] = endpointEntry{name: m.Name, address: m.Address, EndpointInfo: policy.EndpointInfo{
+			ID: endpointID(m.Name), Zone: zoneIndex(m.Zone, n.settings.Zones),
+			Pod: m.Pod, Weight: m.Weight, StartedAt: policy.Time(m.Started), State: endpointState(m.State),
+		}}
 	}
 	return out
 }
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"errors"
+	"fawnglade/internal/store"
 	"fmt"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
-
-	"fawnglade/internal/store"
 )
 
 // badDisk is a directory whose syncs hang until they are let go, or fail.
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -4,6 +4,11 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointsource"
+	"fawnglade/internal/features"
+	"fawnglade/internal/relay"
+	"fawnglade/policy"
 	"fmt"
 	"io"
 	"net"
@@ -17,12 +22,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointsource"
-	"fawnglade/internal/features"
-	"fawnglade/internal/relay"
-	"fawnglade/policy"
 )
 
 // serveOrigin serves an origin; stop ends it as a process does that is killed.
@@ -112,7 +111,8 @@
 	By, Relay string
 	Watch     bool
 	Whole     bool
-}) {
+},
+) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(n.relays.Text()), &v); err != nil {
 		t.Fatal(err)
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -5,7 +5,6 @@
 
 import (
 	"cmp"
-
 	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/endpointsource"
 	"fawnglade/internal/subscription"
@@ -21,7 +20,8 @@
 	}
 	set := n.config.features.Distribution
 	n.endpointWatch.pause(true) // until there is no word of a relay
-	return subscription.New(subscription.Settings[endpointEntry]{Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, Silence: set.SilenceNs, Before: n.persistence.version(),
+	return subscription.New(subscription.Settings[endpointEntry]{
+		Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, Silence: set.SilenceNs, Before: n.persistence.version(),
 		Clock: n.clock.nanos, Log: n.log, Caught: n.recoverPanic, Tell: n.applyList, Watch: func(on bool) { n.endpointWatch.pause(!on) },
 		Entry: func(in endpointlist.Entry) (endpointEntry, error) { return entryFrom(in, n.settings.Zones) },
 		Of: func(e endpointEntry) endpointsource.Server[endpointEntry] {
@@ -32,7 +32,8 @@
 			return e
 		},
 		Stands: func() bool { return n.endpointWatch.lastHeard.Load() != 0 },
-		Passed: func(records int) { n.counters[listEntriesSkipped].Add(int64(records)) }})
+		Passed: func(records int) { n.counters[listEntriesSkipped].Add(int64(records)) },
+	})
 }
 
 // discoveryUpdated takes in a line of discovery's watch.
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -8,6 +8,7 @@
 	"container/list"
 	"context"
 	"errors"
+	"fawnglade/policy"
 	"fmt"
 	"net"
 	"net/http"
@@ -17,8 +18,6 @@
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"fawnglade/policy"
 )
 
 // upstreamTarget is a server and where it is. An address alone would not do: a server may stand where another stood, and what
@@ -177,8 +176,10 @@
 }
 
 func newUpstreams(n *Node) *upstreams {
-	s := &upstreams{node: n, eligible: map[policy.EndpointID]string{}, idle: map[upstreamTarget][]*upstreamConn{}, work: make(chan *attempt),
-		strayRest: strayWindow, healthChecks: make(chan struct{}, maxHealthChecks)}
+	s := &upstreams{
+		node: n, eligible: map[policy.EndpointID]string{}, idle: map[upstreamTarget][]*upstreamConn{}, work: make(chan *attempt),
+		strayRest: strayWindow, healthChecks: make(chan struct{}, maxHealthChecks),
+	}
 	s.dial = s.connect
 	return s
 }
@@ -316,8 +317,10 @@
 		m.end()
 		return fail(readingResponse, err)
 	}
-	r := attemptResult{outcome: outcomeOf(reply.StatusCode, reply.Header), newConnection: c.idle.IsZero(), uploadTime: flowed,
-		report: parseLoadReport(reply.Header.Get(headerLoadReport))}
+	r := attemptResult{
+		outcome: outcomeOf(reply.StatusCode, reply.Header), newConnection: c.idle.IsZero(), uploadTime: flowed,
+		report: parseLoadReport(reply.Header.Get(headerLoadReport)),
+	}
 	passed := r.outcome == policy.OutcomeSucceeded || isRequestFault(reply.StatusCode)
 	if passed {
 		length := reply.Header.Get("Content-Length")
--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -1,12 +1,11 @@
 package nodestate
 
 import (
+	"fawnglade/internal/store"
 	"maps"
 	"os"
 	"path/filepath"
 	"testing"
-
-	"fawnglade/internal/store"
 )
 
 // TestCutAtEveryByte cuts the log of a node's store at every byte: what is then remembered is what one of the batches left, and the
--- a/internal/nodestate/golden_test.go
+++ b/internal/nodestate/golden_test.go
@@ -1,15 +1,14 @@
 package nodestate
 
 import (
+	"fawnglade/internal/golden"
+	"fawnglade/internal/store"
 	"fmt"
 	"maps"
 	"os"
 	"path/filepath"
 	"slices"
 	"testing"
-
-	"fawnglade/internal/golden"
-	"fawnglade/internal/store"
 )
 
 // keptDisk is what a life leaves that was told of servers in every state, learned something and knew other nodes.
@@ -20,7 +19,8 @@
 	m.Listed(now+1e9, []Server{
 		{Name: "s-up", Address: "127.0.0.1:80", Zone: "a", Pod: 3, Weight: 1.5, State: Up, Started: 5},
 		{Name: "s-draining", Address: "127.0.0.2:80", Zone: "b", Weight: 1, State: Draining, Started: 6},
-		{Name: "s-removed", State: Removed}}, 7, false)
+		{Name: "s-removed", State: Removed},
+	}, 7, false)
 	m.Learned(now+2e9, []byte(`{"MeanOf":5}`))
 	m.Members(now+3e9, map[string]uint64{"n1": 1_700_000_000_000})
 	d.write(m)
--- a/internal/nodestate/nodestate_test.go
+++ b/internal/nodestate/nodestate_test.go
@@ -54,7 +54,9 @@
 		at   int64
 		part float64
 	}{
-		{"at once", now + 10, 1}, {"after a half-life", now + 10 + HalfLife, 0.5}, {"much later", now + year, 0},
+		{"at once", now + 10, 1},
+		{"after a half-life", now + 10 + HalfLife, 0.5},
+		{"much later", now + year, 0},
 		{"by a clock that went back", now - 60e9, 0},
 	} {
 		got := lived().read().Trust(c.at)
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -8,6 +8,7 @@
 	"cmp"
 	"context"
 	"errors"
+	"fawnglade/internal/distribution"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -20,8 +21,6 @@
 
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
 )
 
 // Sink is what a client feeds: a subscriber, or a relay that has an upstream. It is called by the client's goroutine alone and must
@@ -143,9 +142,11 @@
 
 // Stats are the client's counters.
 func (c *Client) Stats() ClientStats {
-	return ClientStats{Dials: c.dials.Load(), Connects: c.connects.Load(), Silent: c.silent.Load(), Closed: c.closed.Load(),
+	return ClientStats{
+		Dials: c.dials.Load(), Connects: c.connects.Load(), Silent: c.silent.Load(), Closed: c.closed.Load(),
 		Behind: c.behind.Load(), TooLong: c.tooLong.Load(), Spoilt: c.spoilt.Load(), Returned: c.returned.Load(),
-		Frames: c.frames.Load(), Bytes: c.bytes.Load()}
+		Frames: c.frames.Load(), Bytes: c.bytes.Load(),
+	}
 }
 
 var (
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -3,14 +3,13 @@
 // This file owns the configuration of a relay's or an origin's process. It must never start anything.
 
 import (
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/tomlfile"
 	"fmt"
 	"net/netip"
 	"os"
 	"strings"
 	"time"
-
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/tomlfile"
 )
 
 // Config of one process, checked.
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -8,6 +8,7 @@
 	"bytes"
 	"encoding/json"
 	"errors"
+	"fawnglade/internal/distribution"
 	"fmt"
 	"io"
 	"io/fs"
@@ -17,8 +18,6 @@
 	"strings"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
 )
 
 const (
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -4,11 +4,10 @@
 
 import (
 	"errors"
-	"fmt"
-	"strings"
-
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/endpointlist"
+	"fmt"
+	"strings"
 )
 
 // KindEndpoint begins the keys of endpoints' records: endpoint/<host>.
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -4,13 +4,12 @@
 // the callback may want.
 
 import (
+	"fawnglade/internal/distribution"
 	"slices"
 	"strings"
 	"sync"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
 )
 
 // Selectors reads scopes as they stand in a file: a star at the end stands for all that begin so.
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -3,12 +3,11 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fmt"
-	"testing"
-
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/golden"
+	"fmt"
+	"testing"
 )
 
 // TestGoldenFraming holds greetings and the framing to the bytes of earlier builds.
@@ -42,8 +41,10 @@
 	golden.Check(t, "list.json", list)
 	golden.Check(t, "endpoint-key.txt", []byte(EndpointKey("s-1")+"\n"))
 	h := NewHosts()
-	told, passed, err := h.Take([]distribution.Change{{Record: distribution.Record{Scope: "eu/web", Key: EndpointKey("s-1"), Body: body}},
-		{Record: distribution.Record{Scope: ScopeOrigin, Key: KeyList, Body: list}}})
+	told, passed, err := h.Take([]distribution.Change{
+		{Record: distribution.Record{Scope: "eu/web", Key: EndpointKey("s-1"), Body: body}},
+		{Record: distribution.Record{Scope: ScopeOrigin, Key: KeyList, Body: list}},
+	})
 	if got, seen := h.List(); err != nil || passed != 0 || len(told) != 1 || told[0] != e || !seen || got != (List{Version: 9, Stands: true}) {
 		t.Errorf("read as %+v, %v, %d passed over, %v", told, got, passed, err)
 	}
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -4,11 +4,10 @@
 
 import (
 	"encoding/json"
-	"fmt"
-	"slices"
-
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/endpointlist"
+	"fmt"
+	"slices"
 )
 
 // Hosts is what a node's scopes say of hosts, and of how far the origin hears discovery.
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -4,6 +4,8 @@
 
 import (
 	"context"
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointlist"
 	"fmt"
 	"io/fs"
 	"net"
@@ -15,9 +17,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointlist"
 )
 
 type counter = atomic.Int64
@@ -112,10 +111,12 @@
 	if set.Discovery != "" {
 		p.origin.Await(KindEndpoint)
 		hosts := newEndpoints(&set.Scope)
-		p.watch = &watch{address: set.Discovery, limits: endpointlist.LimitsFor(int64(p.config.Limits.Bytes)), silence: watchSilence, clock: p.server.set.Clock, log: p.log, record: hosts.record,
+		p.watch = &watch{
+			address: set.Discovery, limits: endpointlist.LimitsFor(int64(p.config.Limits.Bytes)), silence: watchSilence, clock: p.server.set.Clock, log: p.log, record: hosts.record,
 			take: func(told []distribution.Record, whole, first bool) {
 				p.server.Do(func(now int64) { p.complain(hosts.take(now, p.origin, told, whole, first)) })
-			}}
+			},
+		}
 	}
 	if set.Configuration != "" {
 		p.origin.Await(kindConfiguration)
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"fawnglade/internal/distribution"
 	"fmt"
 	"net"
 	"net/http"
@@ -19,8 +20,6 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
-
-	"fawnglade/internal/distribution"
 )
 
 // standIn is a discovery: it answers each watch with the whole list, then with what changes.
@@ -530,10 +529,12 @@
 	look("the same", true)
 	put(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b":1}}`, `{"scope":"s","key":"route/2","body":3}`)
 	look("one changed", true, "+route/23")
-	for i, bad := range []string{`{"scope":"s","key":"route/1"`, `[]`, `{"scope":"","key":"route/1","body":1}`, `{"scope":"s","key":"endpoint/1","body":1}`,
+	for i, bad := range []string{
+		`{"scope":"s","key":"route/1"`, `[]`, `{"scope":"","key":"route/1","body":1}`, `{"scope":"s","key":"endpoint/1","body":1}`,
 		`{"scope":"s","key":"route/1","body":1,"extra":2}`, `{"scope":"s","key":"route/1","body":1} {}`, `{"scope":"s","key":"route/1"}`,
 		`{"scope":"s","key":"route","body":1}`, `{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBody) + `"}`,
-		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`, strings.Repeat("x", longestRecord+1)} {
+		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`, strings.Repeat("x", longestRecord+1),
+	} {
 		put(t, dir, "a.jsonl", bad)
 		before := logs.Len()
 		look(fmt.Sprintf("bad %d", i), true)
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -8,6 +8,7 @@
 	"cmp"
 	"context"
 	"errors"
+	"fawnglade/internal/distribution"
 	"fmt"
 	"io"
 	"net"
@@ -17,8 +18,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
 )
 
 // Feed is what a server hands out; *distribution.Relay is one. Times are nanoseconds of the server's clock.
@@ -317,9 +316,11 @@
 
 // Stats are the server's counters.
 func (s *Server) Stats() ServerStats {
-	return ServerStats{Subscribers: s.attached.Load(), Waiting: s.waiting.Load(), Accepted: s.accepted.Load(), Refused: s.refused.Load(),
+	return ServerStats{
+		Subscribers: s.attached.Load(), Waiting: s.waiting.Load(), Accepted: s.accepted.Load(), Refused: s.refused.Load(),
 		BadHellos: s.badHellos.Load(), Slow: s.slow.Load(), Ended: s.ended.Load(), Frames: s.frames.Load(), Bytes: s.bytes.Load(),
-		AcceptsTryAgain: s.again.Load()}
+		AcceptsTryAgain: s.again.Load(),
+	}
 }
 
 // rarely keeps the log from growing with what others do: each kind of complaint is told once in a while, with how many there were.
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -6,16 +6,15 @@
 import (
 	"context"
 	"errors"
+	"fawnglade/internal/discovery"
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointlist"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/discovery"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointlist"
 )
 
 const (
@@ -66,9 +65,11 @@
 
 // once opens a watch and follows it until it ends; it tells whether a line came.
 func (w *watch) once(ctx context.Context) (stood bool, err error) {
-	how := discovery.Call{Address: w.address, Head: fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address),
+	how := discovery.Call{
+		Address: w.address, Head: fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address),
 		Connect: watchConnect, First: watchHead, Gap: watchHead, Again: leastPause, Silence: w.silence, Called: func() { w.calls.Add(1) },
-		Failed: func() { w.failed.Add(1) }, Said: func() { w.word.Store(w.clock()) }}
+		Failed: func() { w.failed.Add(1) }, Said: func() { w.word.Store(w.clock()) },
+	}
 	said, err := how.Answered(ctx)
 	if err != nil {
 		return false, err
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -6,12 +6,11 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fawnglade/policy"
 	"fmt"
 	"strconv"
 	"strings"
 	"time"
-
-	"fawnglade/policy"
 )
 
 // Settings holds what the decisions read, and what a node needs to name things as its peers do.
@@ -143,8 +142,10 @@
 	v, ok := of[p.values[key]]
 	if !ok {
 		names := ""
-		for _, name := range []string{"safe", "keyed", "unsafe", "all", "zone", "cell", "push", "ask",
-			"inline", "on_probe", "off", "nominal", "rough", "live", "request", "work"} {
+		for _, name := range []string{
+			"safe", "keyed", "unsafe", "all", "zone", "cell", "push", "ask",
+			"inline", "on_probe", "off", "nominal", "rough", "live", "request", "work",
+		} {
 			if _, known := of[name]; known {
 				names += " " + name
 			}
@@ -165,11 +166,13 @@
 			PriorityWeight:   p.numberOr(at+"worth", 1e-6, 1),
 			LateFraction:     p.numberOr(at+"late_worth", 0, 0),
 			Idempotency: choice(p, at+"repeat", map[string]policy.Idempotency{
-				"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}),
+				"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent,
+			}),
 		}
 		if c.Idempotency == policy.IdempotentByKey {
 			c.DedupGroup = choice(p, at+"group", map[string]policy.DedupGroup{
-				"all": policy.DedupFleet, "zone": policy.DedupZone, "cell": policy.DedupPod})
+				"all": policy.DedupFleet, "zone": policy.DedupZone, "cell": policy.DedupPod,
+			})
 			c.DedupWindow = p.duration(at+"memory_span_us", 0)
 			// An attempt is judged here and comes to its server later, with a way and a busy machine between the two.
 			c.DedupWindow -= min(c.DedupWindow/16, 50*time.Millisecond)
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -7,16 +7,15 @@
 	"bytes"
 	"encoding/base64"
 	"errors"
+	"fawnglade/internal/gossip"
+	"fawnglade/internal/settings"
+	"fawnglade/policy"
 	"fmt"
 	"io"
 	"math"
 	"runtime/debug"
 	"strconv"
 	"time"
-
-	"fawnglade/internal/gossip"
-	"fawnglade/internal/settings"
-	"fawnglade/policy"
 )
 
 const (
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -3,11 +3,10 @@
 import (
 	"bytes"
 	"encoding/base64"
-	"strings"
-	"testing"
-
 	"fawnglade/internal/gossip"
 	"fawnglade/policy"
+	"strings"
+	"testing"
 )
 
 const settingsLine = "profiles.count=3 profiles.0.deadline_us=8000000 profiles.0.objective_us=2000000 profiles.0.repeat=safe " +
@@ -37,28 +36,35 @@
 		"start":       {start, began},
 		"killed and started again in one batch": {
 			start + "BEGIN_BATCH 1500000\nSTOP 3\nCONFIGURE 3 43 " + settingsLine + "\nREGISTRY 3 SAVED 41 0\nEOB\n",
-			began + "AFTER 3 2500000 1\nOBSERVE 3 1\nDONE\n"},
+			began + "AFTER 3 2500000 1\nOBSERVE 3 1\nDONE\n",
+		},
 		"a task goes out and is answered": {
 			start + task + "BEGIN_BATCH 1020000\nRESOLVED 3 aa 18500 51530247 1 Ok 0 latency_ms:14.5,util:0.6,new:1\nEOB\n",
-			began + "ISSUE 3 aa 51530247 1958750\nDONE\nDONE\n"},
+			began + "ISSUE 3 aa 51530247 1958750\nDONE\nDONE\n",
+		},
 		"a decline proves harmless after a full queue": {
 			start + task + "BEGIN_BATCH 1020000\nRESOLVED 3 aa 500 51530247 0 QueueFull 0 -\nEOB\n",
-			began + "ISSUE 3 aa 51530247 1958750\nDONE\nBUSY 3 aa 500000\nDONE\n"},
+			began + "ISSUE 3 aa 51530247 1958750\nDONE\nBUSY 3 aa 500000\nDONE\n",
+		},
 		"an unknown outcome may have run": {
 			start + hinted +
 				"BEGIN_BATCH 1020000\nRESOLVED 3 aa 500 51530247 0 Melted 0 util:-1,latency_ms:NaN\nEOB\n",
-			began + "ISSUE 3 aa 51530247 1466562\nAFTER 3 1096000 2\nDONE\nFINISH_ERROR 3 aa\nDONE\n"},
+			began + "ISSUE 3 aa 51530247 1466562\nAFTER 3 1096000 2\nDONE\nFINISH_ERROR 3 aa\nDONE\n",
+		},
 		"a stream, a withdrawal and news of a task no longer held": {
 			start + hinted +
 				"BEGIN_BATCH 1020000\nOPENED 3 aa 0 51530247 100\nWITHDRAWN 3 aa\nWITHDRAWN 3 aa\nOPENED 3 bb 0 1 1\nEOB\n",
-			began + "ISSUE 3 aa 51530247 1466562\nAFTER 3 1096000 2\nDONE\nRECALL 3 aa 0\nDONE\n"},
+			began + "ISSUE 3 aa 51530247 1466562\nAFTER 3 1096000 2\nDONE\nRECALL 3 aa 0\nDONE\n",
+		},
 		"a list number used again within a batch": {
 			start + "BEGIN_BATCH 1000000\nCATALOG 0 1\nSERVER 51530247 0 0 0 left 1 -\nREGISTRY 3 INCREMENTAL 42 0\n" +
 				"CATALOG 0 1\nSERVER 7 0 0 0 active 1.5 -\nREGISTRY 3 INCREMENTAL 43 0\nREQ 3 aa 0 - 9000000 - - -\nEOB\n",
-			began + "ISSUE 3 aa 7 1958750\nDONE\n"},
+			began + "ISSUE 3 aa 7 1958750\nDONE\n",
+		},
 		"a failed list call, a timer and a probe": {
 			start + "BEGIN_BATCH 1000000\nREGISTRY 3 FAILED 41 -\nWAKEUP 3 0\nHEALTH_RESULT 3 7 Ok 5 util:0.5\nEOB\n",
-			began + "AFTER 3 1156250 0\nOBSERVE 3 1\nDONE\n"},
+			began + "AFTER 3 1156250 0\nOBSERVE 3 1\nDONE\n",
+		},
 	} {
 		if out, complaint, code := serve(c.in); out != c.out || complaint != "" || code != 0 {
 			t.Errorf("%s: exit %d, complaint %q, replies\n%swant\n%s", name, code, complaint, out, c.out)
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -6,16 +6,15 @@
 import (
 	"context"
 	"encoding/json"
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/endpointsource"
+	"fawnglade/internal/relay"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointlist"
-	"fawnglade/internal/endpointsource"
-	"fawnglade/internal/relay"
 )
 
 // beatEvery is how often time is let pass.
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -3,6 +3,10 @@
 import (
 	"context"
 	"errors"
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/endpointsource"
+	"fawnglade/internal/relay"
 	"fmt"
 	"net"
 	"sync"
@@ -11,11 +15,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointlist"
-	"fawnglade/internal/endpointsource"
-	"fawnglade/internal/relay"
 )
 
 // node is a node's part in it.
@@ -83,7 +82,8 @@
 	})
 	n := &node{told: map[string]string{}}
 	var passed atomic.Int64
-	f, err := New(Settings[entry]{Name: "n", Relays: []string{l.Addr().String()}, Scopes: []string{"eu1/cart"}, Silence: 1e9, Clock: relay.NewClock(), Log: zap.NewNop(),
+	f, err := New(Settings[entry]{
+		Name: "n", Relays: []string{l.Addr().String()}, Scopes: []string{"eu1/cart"}, Silence: 1e9, Clock: relay.NewClock(), Log: zap.NewNop(),
 		Entry: func(e endpointlist.Entry) (entry, error) {
 			if e.Name == "spoilt" {
 				return entry{}, errors.New("spoilt")
@@ -95,7 +95,8 @@
 		}, Of: func(e entry) endpointsource.Server[entry] {
 			return endpointsource.Server[entry]{Name: e.name, State: e.state, Value: e}
 		},
-		As: func(e entry, s endpointsource.State) entry { e.state = s; return e }, Tell: n.tell, Watch: n.watch.Store, Stands: func() bool { return n.watch.Load() }, Passed: func(n int) { passed.Add(int64(n)) }, Caught: n.caught})
+		As: func(e entry, s endpointsource.State) entry { e.state = s; return e }, Tell: n.tell, Watch: n.watch.Store, Stands: func() bool { return n.watch.Load() }, Passed: func(n int) { passed.Add(int64(n)) }, Caught: n.caught,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -60,8 +60,10 @@
 				}
 				r := &ring[i%len(ring)]
 				if r.id != "" {
-					p.AttemptEnded(now, AttemptResult{Request: r.id, Endpoint: r.server, Outcome: OutcomeSucceeded, Elapsed: now.Sub(r.at) + time.Duration(i%7)*ms/4, RequestDone: true,
-						Report: LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1}})
+					p.AttemptEnded(now, AttemptResult{
+						Request: r.id, Endpoint: r.server, Outcome: OutcomeSucceeded, Elapsed: now.Sub(r.at) + time.Duration(i%7)*ms/4, RequestDone: true,
+						Report: LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1},
+					})
 				}
 				id := ids[i%len(ids)]
 				q.sent = false
@@ -126,8 +128,10 @@
 			for _, s := range p.servers {
 				s.fullTill = now + ms
 			}
-			task := &task{Request: Request{Deadline: now + 900*ms}, category: &p.set.Classes[0], limit: now + 900*ms,
-				kinds: p.lags.Of(0, 0)}
+			task := &task{
+				Request: Request{Deadline: now + 900*ms}, category: &p.set.Classes[0], limit: now + 900*ms,
+				kinds: p.lags.Of(0, 0),
+			}
 			for range b.N {
 				p.draw(now, task)
 			}
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -3,6 +3,7 @@
 import (
 	"container/heap"
 	"encoding/json"
+	"fawnglade/policy"
 	"flag"
 	"fmt"
 	"hash/fnv"
@@ -11,8 +12,6 @@
 	"path/filepath"
 	"testing"
 	"time"
-
-	"fawnglade/policy"
 )
 
 // writeDigests rewrites testdata/digests.json. Only for a change that is meant to decide something anew: the kept
@@ -121,9 +120,11 @@
 		if r.recalled[fmt.Sprint(task, number)] {
 			outcome = policy.OutcomeCanceled
 		}
-		answer := policy.AttemptResult{Request: task, Attempt: number, Endpoint: server, Outcome: outcome, Elapsed: time.Duration(elapsed), NewConnection: fresh,
+		answer := policy.AttemptResult{
+			Request: task, Attempt: number, Endpoint: server, Outcome: outcome, Elapsed: time.Duration(elapsed), NewConnection: fresh,
 			RequestDone: outcome == policy.OutcomeSucceeded, BodyConsumed: outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
-			Report: r.report(endpoint, outcome)}
+			Report: r.report(endpoint, outcome),
+		}
 		if answer.RequestDone {
 			r.answered[task] = true
 		}
@@ -223,8 +224,10 @@
 		if endpoint.silent {
 			outcome = policy.OutcomeTimedOut
 		}
-		r.instance.HealthChecked(policy.Time(policy.Time(r.now)), server, outcome, policy.LoadReport{Utilization: 0.5 * endpoint.speed,
-			QueueLength: float64(endpoint.inFlight), ServiceTime: 8 * endpoint.speed})
+		r.instance.HealthChecked(policy.Time(policy.Time(r.now)), server, outcome, policy.LoadReport{
+			Utilization: 0.5 * endpoint.speed,
+			QueueLength: float64(endpoint.inFlight), ServiceTime: 8 * endpoint.speed,
+		})
 	})
 }
 
@@ -277,9 +280,11 @@
 func (r *digestRun) arrive(number int) {
 	id := policy.RequestID(fmt.Sprint("r", number))
 	category := r.random.IntN(len(r.settings.Classes))
-	task := policy.Request{ID: id, Class: category, Tenant: r.random.IntN(4),
+	task := policy.Request{
+		ID: id, Class: category, Tenant: r.random.IntN(4),
 		Deadline:    policy.Time(r.now).Add(r.settings.Classes[category].LatencyObjective * time.Duration(2+r.random.IntN(3))),
-		ClientRetry: r.random.IntN(12) == 0, StreamingBody: r.random.IntN(20) == 0}
+		ClientRetry: r.random.IntN(12) == 0, StreamingBody: r.random.IntN(20) == 0,
+	}
 	if r.random.IntN(2) == 0 {
 		task.CostHint = time.Duration(int64(8+4*category) * millisecond * int64(1+r.random.IntN(3)) / 2)
 	}
@@ -309,16 +314,20 @@
 }
 
 func digestOf(settings policy.Settings, endpoints int, seed uint64) digestRecord {
-	r := &digestRun{settings: settings, random: rand.New(rand.NewPCG(seed, uint64(endpoints))), now: digestStart,
+	r := &digestRun{
+		settings: settings, random: rand.New(rand.NewPCG(seed, uint64(endpoints))), now: digestStart,
 		attempts: map[policy.RequestID]int{}, category: map[policy.RequestID]int{}, answered: map[policy.RequestID]bool{},
-		recalled: map[string]bool{}, slowdown: 1, hash: fnv.New64a(), actions: map[string]int{}}
+		recalled: map[string]bool{}, slowdown: 1, hash: fnv.New64a(), actions: map[string]int{},
+	}
 	for i := range endpoints {
 		started := int64(0)
 		if i%6 == 5 {
 			started = digestStart - int64(i%5)*second
 		}
-		r.endpoints = append(r.endpoints, &digestEndpoint{speed: 0.5 + 1.5*r.random.Float64(), failsCategory: -1,
-			listed: policy.EndpointInfo{ID: policy.EndpointID(i + 1), Zone: i % 3, Pod: i / 4, Weight: 0.5 + r.random.Float64(), StartedAt: policy.Time(started)}})
+		r.endpoints = append(r.endpoints, &digestEndpoint{
+			speed: 0.5 + 1.5*r.random.Float64(), failsCategory: -1,
+			listed: policy.EndpointInfo{ID: policy.EndpointID(i + 1), Zone: i % 3, Pod: i / 4, Weight: 0.5 + r.random.Float64(), StartedAt: policy.Time(started)},
+		})
 	}
 	r.instance = policy.New(settings, seed, r)
 	r.list(true)
@@ -367,19 +376,27 @@
 		return changed
 	}
 	return map[string]policy.Settings{
-		"hedging": {Classes: categories, TenantShares: []float64{0.5, 0.3, 0.2}, OverQuotaFraction: 0.2, WorstClassWeight: 0.1, NodeIndex: 1, NodeCount: 3,
+		"hedging": {
+			Classes: categories, TenantShares: []float64{0.5, 0.3, 0.2}, OverQuotaFraction: 0.2, WorstClassWeight: 0.1, NodeIndex: 1, NodeCount: 3,
 			StreamsPerConnection: 1, MaxAttempts: 5, ClockResolution: 5 * millisecond, MaxPollInterval: 10 * second, SlowStartWindow: 8 * second, KeyAffinity: true,
 			MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MayGossip: true, MaxRetryAfter: 3 * second, SlowStartMinCapacity: 0.12,
-			ReportsUtilization: true, ReportsServiceTime: true},
-		"plain": {Classes: withGroup(policy.DedupZone), OverQuotaFraction: 1, NodeCount: 1, StreamsPerConnection: 8, MaxAttempts: 3, ClockResolution: millisecond,
-			MaxPollInterval: 4 * second, SlowStartWindow: 20 * second, MustPollList: true, MayCancel: true, SlowStartMinCapacity: 0.2},
-		"probes": {Classes: withGroup(policy.DedupFleet), TenantShares: []float64{0.6, 0.4}, OverQuotaFraction: 0.5, WorstClassWeight: 0.5, NodeIndex: 7, NodeCount: 30,
+			ReportsUtilization: true, ReportsServiceTime: true,
+		},
+		"plain": {
+			Classes: withGroup(policy.DedupZone), OverQuotaFraction: 1, NodeCount: 1, StreamsPerConnection: 8, MaxAttempts: 3, ClockResolution: millisecond,
+			MaxPollInterval: 4 * second, SlowStartWindow: 20 * second, MustPollList: true, MayCancel: true, SlowStartMinCapacity: 0.2,
+		},
+		"probes": {
+			Classes: withGroup(policy.DedupFleet), TenantShares: []float64{0.6, 0.4}, OverQuotaFraction: 0.5, WorstClassWeight: 0.5, NodeIndex: 7, NodeCount: 30,
 			StreamsPerConnection: 4, MaxAttempts: 4, ClockResolution: 2 * millisecond, MaxPollInterval: 6 * second, SlowStartWindow: 12 * second, RemovedMayServe: true,
 			WeightIsSize: true, WeightByWork: true, MayCheckHealth: true, HealthChecksReport: true, MayGossip: true, MayCancel: true, SlowStartMinCapacity: 0.3,
-			ReportsUtilization: true},
-		"no-cancel": {Classes: categories, TenantShares: []float64{0.7, 0.2, 0.1}, OverQuotaFraction: 0.1, WorstClassWeight: 0.3, NodeIndex: 299, NodeCount: 300,
+			ReportsUtilization: true,
+		},
+		"no-cancel": {
+			Classes: categories, TenantShares: []float64{0.7, 0.2, 0.1}, OverQuotaFraction: 0.1, WorstClassWeight: 0.3, NodeIndex: 299, NodeCount: 300,
 			StreamsPerConnection: 1, MaxAttempts: 2, ClockResolution: millisecond, MaxPollInterval: 5 * second, SlowStartWindow: 5 * second, MustPollList: true, KeyAffinity: true,
-			MayHedge: true, MaySetRetryAfter: true, MaxRetryAfter: second / 20, SlowStartMinCapacity: 0.05},
+			MayHedge: true, MaySetRetryAfter: true, MaxRetryAfter: second / 20, SlowStartMinCapacity: 0.05,
+		},
 	}
 }
 
--- a/policy/draw_test.go
+++ b/policy/draw_test.go
@@ -1,16 +1,17 @@
 package policy
 
 import (
+	"fawnglade/internal/ewma"
 	"math"
 	"math/rand/v2"
 	"testing"
-
-	"fawnglade/internal/ewma"
 )
 
 func anyTask(p *Balancer, now Time) *task {
-	return &task{Request: Request{Deadline: now + 900*ms, CostHint: 5e6}, category: &p.set.Classes[0], limit: now + 900*ms, soft: now + 900*ms,
-		kinds: p.lags.Of(0, 0)}
+	return &task{
+		Request: Request{Deadline: now + 900*ms, CostHint: 5e6}, category: &p.set.Classes[0], limit: now + 900*ms, soft: now + 900*ms,
+		kinds: p.lags.Of(0, 0),
+	}
 }
 
 // taking returns who takes part in a draw, with w.
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -144,12 +144,16 @@
 }
 
 func newWorld(seed int64) *world {
-	w := &world{Rand: rand.New(rand.NewSource(seed)), tasks: map[RequestID]*modelTask{},
-		list: map[EndpointID]EndpointInfo{}, drained: map[EndpointID]bool{}, coldFor: map[EndpointID]float64{}, part: map[EndpointID]float64{}, now: 5e12}
-	w.set = Settings{MaxAttempts: 1 + w.Intn(5), MayHedge: w.Intn(2) == 0, MayCancel: w.Intn(2) == 0,
+	w := &world{
+		Rand: rand.New(rand.NewSource(seed)), tasks: map[RequestID]*modelTask{},
+		list: map[EndpointID]EndpointInfo{}, drained: map[EndpointID]bool{}, coldFor: map[EndpointID]float64{}, part: map[EndpointID]float64{}, now: 5e12,
+	}
+	w.set = Settings{
+		MaxAttempts: 1 + w.Intn(5), MayHedge: w.Intn(2) == 0, MayCancel: w.Intn(2) == 0,
 		MaySetRetryAfter: true, MaxRetryAfter: 1e9, MustPollList: w.Intn(2) == 0, MaxPollInterval: 1e10, SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10,
 		ReportsUtilization: w.Intn(2) == 0, NodeIndex: w.Intn(9), NodeCount: 1 + w.Intn(60), StreamsPerConnection: 1 + w.Intn(2),
-		MayGossip: w.Intn(2) == 0, RemovedMayServe: w.Intn(2) == 0, KeyAffinity: w.Intn(2) == 0, MayCheckHealth: w.Intn(2) == 0, HealthChecksReport: w.Intn(2) == 0}
+		MayGossip: w.Intn(2) == 0, RemovedMayServe: w.Intn(2) == 0, KeyAffinity: w.Intn(2) == 0, MayCheckHealth: w.Intn(2) == 0, HealthChecksReport: w.Intn(2) == 0,
+	}
 	for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent, IdempotentByKey} {
 		w.set.Classes = append(w.set.Classes, Class{LatencyObjective: 2e8 + time.Duration(w.Int63n(1e9)), Idempotency: repeat, DedupGroup: DedupGroup(w.Intn(3)), DedupWindow: 1e8 + time.Duration(w.Int63n(2e9)), LateFraction: float64(w.Intn(2))})
 	}
@@ -222,8 +226,10 @@
 	h := &t.handOffs[number]
 	h.open = false
 	h.neverOK = outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent
-	a := AttemptResult{Request: t.task.ID, Attempt: number, Endpoint: h.server, Outcome: outcome, Elapsed: w.now.Sub(h.at),
-		Report: LoadReport{Utilization: w.Float64(), QueueLength: float64(w.Intn(3)), ServiceTime: -1}}
+	a := AttemptResult{
+		Request: t.task.ID, Attempt: number, Endpoint: h.server, Outcome: outcome, Elapsed: w.now.Sub(h.at),
+		Report: LoadReport{Utilization: w.Float64(), QueueLength: float64(w.Intn(3)), ServiceTime: -1},
+	}
 	if outcome == OutcomeSucceeded && !t.over {
 		t.over = true
 		t.finals++
@@ -253,8 +259,10 @@
 	w.now += Time(w.Int63n(2e7))
 	switch w.Intn(10) {
 	case 0, 1, 2, 3:
-		t := &modelTask{task: Request{ID: RequestID(fmt.Sprint(len(w.ids))), Class: w.Intn(4),
-			Deadline: w.now + 1e8 + Time(w.Int63n(2e9))}}
+		t := &modelTask{task: Request{
+			ID: RequestID(fmt.Sprint(len(w.ids))), Class: w.Intn(4),
+			Deadline: w.now + 1e8 + Time(w.Int63n(2e9)),
+		}}
 		w.tasks[t.task.ID] = t
 		w.ids = append(w.ids, t.task.ID)
 		w.carried(0)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -6,11 +6,6 @@
 
 import (
 	"cmp"
-	"math"
-	"math/rand/v2"
-	"slices"
-	"time"
-
 	"fawnglade/internal/classdelay"
 	"fawnglade/internal/estimates"
 	"fawnglade/internal/ewma"
@@ -18,6 +13,10 @@
 	"fawnglade/internal/keyfreq"
 	"fawnglade/internal/quota"
 	"fawnglade/internal/rendezvous"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
 )
 
 const (
@@ -138,9 +137,11 @@
 
 // New makes an instance that knows nothing but its settings.
 func New(settings Settings, seed uint64, host Effects) *Balancer {
-	p := &Balancer{set: settings, host: host, draws: rand.New(rand.NewPCG(seed, 1)), cookies: firstTask,
+	p := &Balancer{
+		set: settings, host: host, draws: rand.New(rand.NewPCG(seed, 1)), cookies: firstTask,
 		tasks: map[RequestID]*task{}, waking: map[uint64]*task{}, byID: map[EndpointID]*server{}, idle: idletimeout.New(),
-		warmth: 1, shares: quota.New(settings.TenantShares)}
+		warmth: 1, shares: quota.New(settings.TenantShares),
+	}
 	p.FleetEstimates = estimates.FleetEstimates{HighLatency: 2, Pods: map[int]*ewma.Pair{}, ZoneDelay: map[int]float64{}}
 	p.lags = classdelay.New(len(settings.Classes), len(settings.TenantShares))
 	for _, c := range settings.Classes {
@@ -195,8 +196,10 @@
 			before = l.State
 			// A new process: what was learned of the old one misleads. Where in its first part it stands is drawn,
 			// or hundreds of nodes that earn less than an attempt never warm it, or all give theirs at one moment.
-			*s = server{out: s.out, near: s.near, credit: p.draws.Float64(), standing: make([]standing, len(p.of)),
-				rank: rendezvous.Score(rendezvous.NumberKey(p.set.NodeIndex), uint32(l.ID))}
+			*s = server{
+				out: s.out, near: s.near, credit: p.draws.Float64(), standing: make([]standing, len(p.of)),
+				rank: rendezvous.Score(rendezvous.NumberKey(p.set.NodeIndex), uint32(l.ID)),
+			}
 		}
 		if p.Pods[l.Pod] == nil {
 			p.Pods[l.Pod] = &ewma.Pair{}
@@ -226,8 +229,10 @@
 // RequestArrived takes a new request.
 func (p *Balancer) RequestArrived(now Time, arrived Request) {
 	c := &p.set.Classes[arrived.Class]
-	t := &task{Request: arrived, category: c, limit: arrived.Deadline, crowds: 1,
-		kinds: p.lags.Of(arrived.Class, arrived.Tenant)}
+	t := &task{
+		Request: arrived, category: c, limit: arrived.Deadline, crowds: 1,
+		kinds: p.lags.Of(arrived.Class, arrived.Tenant),
+	}
 	if arrived.StreamingBody {
 		t.crowds = 0 // a server begins it only when all of it has come, and how long that takes is not its doing
 	}
@@ -275,9 +280,11 @@
 		}
 	}
 	s.usedAt = now
-	t.handOffs = append(t.handOffs, handOff{server: s, zone: s.Zone, pod: s.Pod, sentAt: now, gap: gap,
+	t.handOffs = append(t.handOffs, handOff{
+		server: s, zone: s.Zone, pod: s.Pod, sentAt: now, gap: gap,
 		home: s.home, wait: t.kinds.Delay(int64(now)), alone: p.ZoneDelay[s.Zone] + cost*s.pod.Level()*s.Latency.Level(),
-		crowd: float64(s.out), predicted: float64(p.predict(s, cost)), cost: cost, open: true})
+		crowd: float64(s.out), predicted: float64(p.predict(s, cost)), cost: cost, open: true,
+	})
 	t.open++
 	t.kinds.CountInFlight(int64(now), 1)
 	if now >= s.recalculate { // no report came for the design's longest time
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"encoding/json"
+	"fawnglade/internal/estimates"
+	"fawnglade/internal/ewma"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"testing"
 	"time"
-
-	"fawnglade/internal/estimates"
-	"fawnglade/internal/ewma"
 )
 
 const ms = 1_000_000 // nanoseconds
@@ -60,11 +59,14 @@
 
 // fleet starts a module with so many servers and three classes: idempotent, ticketed in a pod, exclusive.
 func fleet(t *testing.T, servers int, change func(*Settings)) *bench {
-	s := Settings{MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
+	s := Settings{
+		MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
 		SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10, Classes: []Class{
 			{LatencyObjective: 500 * ms, Idempotency: Idempotent},
 			{LatencyObjective: 500 * ms, Idempotency: IdempotentByKey, DedupGroup: DedupPod, DedupWindow: 1000 * ms},
-			{LatencyObjective: 500 * ms, Idempotency: NonIdempotent}}}
+			{LatencyObjective: 500 * ms, Idempotency: NonIdempotent},
+		},
+	}
 	if change != nil {
 		change(&s)
 	}
@@ -87,8 +89,10 @@
 
 func (b *bench) end(id RequestID, number int, o Outcome, took time.Duration) {
 	t := b.Balancer.tasks[id]
-	b.AttemptEnded(b.now, AttemptResult{Request: id, Attempt: number, Endpoint: t.handOffs[number].server.ID, Outcome: o,
-		Elapsed: took, RequestDone: o == OutcomeSucceeded, Report: LoadReport{-1, -1, -1}})
+	b.AttemptEnded(b.now, AttemptResult{
+		Request: id, Attempt: number, Endpoint: t.handOffs[number].server.ID, Outcome: o,
+		Elapsed: took, RequestDone: o == OutcomeSucceeded, Report: LoadReport{-1, -1, -1},
+	})
 }
 
 // allow is the time that a request with so much left may be predicted to take.
@@ -475,8 +479,10 @@
 			t.Fatalf("task %d of %d ms was given up beside idle servers", b.tasks, cost/ms)
 		}
 		b.now += Time(took)
-		b.AttemptEnded(b.now, AttemptResult{Request: id, Endpoint: b.last(), Outcome: OutcomeSucceeded, Elapsed: took, NewConnection: fresh,
-			Report: LoadReport{-1, -1, -1}})
+		b.AttemptEnded(b.now, AttemptResult{
+			Request: id, Endpoint: b.last(), Outcome: OutcomeSucceeded, Elapsed: took, NewConnection: fresh,
+			Report: LoadReport{-1, -1, -1},
+		})
 	}
 	answered(20*ms, 95*ms, true)
 	for range 50 {
--- a/policy/return_test.go
+++ b/policy/return_test.go
@@ -117,8 +117,10 @@
 		return
 	}
 	h := t.handOffs[number]
-	n.p.AttemptEnded(n.now, AttemptResult{Request: id, Attempt: number, Endpoint: h.server.ID, Outcome: o, Elapsed: n.now.Sub(h.sentAt),
-		RequestDone: final, Report: LoadReport{-1, -1, -1}})
+	n.p.AttemptEnded(n.now, AttemptResult{
+		Request: id, Attempt: number, Endpoint: h.server.ID, Outcome: o, Elapsed: n.now.Sub(h.sentAt),
+		RequestDone: final, Report: LoadReport{-1, -1, -1},
+	})
 }
 
 func (n *worldNode) Send(id RequestID, to EndpointID, timeOut time.Duration) {
@@ -188,9 +190,11 @@
 	}
 	for at := range nodes {
 		n := &worldNode{smallWorld: w, asked: map[RequestID]*asking{}}
-		n.p = New(Settings{Classes: []Class{{LatencyObjective: softAt, Idempotency: Idempotent, PriorityWeight: 1}, {LatencyObjective: softAt, Idempotency: Idempotent, PriorityWeight: 1}},
+		n.p = New(Settings{
+			Classes:      []Class{{LatencyObjective: softAt, Idempotency: Idempotent, PriorityWeight: 1}, {LatencyObjective: softAt, Idempotency: Idempotent, PriorityWeight: 1}},
 			TenantShares: []float64{0.75, 0.25}, MaxAttempts: 3, MayCancel: true, MaySetRetryAfter: true, SlowStartMinCapacity: 0.2, SlowStartWindow: 2e10, NodeIndex: at,
-			NodeCount: nodes, ClockResolution: 2 * ms}, uint64(at), n)
+			NodeCount: nodes, ClockResolution: 2 * ms,
+		}, uint64(at), n)
 		w.nodes = append(w.nodes, n)
 		n.p.EndpointsUpdated(w.now, list, true)
 		w.in(time.Duration(w.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -73,8 +73,10 @@
 	}
 	answer := func(load float64) {
 		for _, o := range outs {
-			p.AttemptEnded(now, AttemptResult{Request: o.id, Endpoint: o.server, Outcome: OutcomeSucceeded, Elapsed: 20 * ms, RequestDone: true,
-				Report: LoadReport{Utilization: -1, QueueLength: load, ServiceTime: -1}})
+			p.AttemptEnded(now, AttemptResult{
+				Request: o.id, Endpoint: o.server, Outcome: OutcomeSucceeded, Elapsed: 20 * ms, RequestDone: true,
+				Report: LoadReport{Utilization: -1, QueueLength: load, ServiceTime: -1},
+			})
 		}
 		outs = nil
 	}
