--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -7,20 +7,20 @@
 )
 
 // quiet is a host that only notes the last attempt.
-type quiet struct {
+type lastSendRecorder struct {
 	server EndpointID
 	sent   bool
 }
 
-func (q *quiet) Send(_ RequestID, s EndpointID, _ time.Duration) { q.server, q.sent = s, true }
-func (*quiet) Cancel(RequestID, int)                             {}
-func (*quiet) Reject(RequestID, time.Duration)                   {}
-func (*quiet) Fail(RequestID)                                    {}
-func (*quiet) SetTimer(Time, uint64)                             {}
-func (*quiet) WatchEndpoints()                                   {}
-func (*quiet) CloseIdle(EndpointID)                              {}
-func (*quiet) Gossip(GossipMessage)                              {}
-func (*quiet) CheckHealth(EndpointID)                            {}
+func (q *lastSendRecorder) Send(_ RequestID, s EndpointID, _ time.Duration) { q.server, q.sent = s, true }
+func (*lastSendRecorder) Cancel(RequestID, int)                             {}
+func (*lastSendRecorder) Reject(RequestID, time.Duration)                   {}
+func (*lastSendRecorder) Fail(RequestID)                                    {}
+func (*lastSendRecorder) SetTimer(Time, uint64)                             {}
+func (*lastSendRecorder) WatchEndpoints()                                   {}
+func (*lastSendRecorder) CloseIdle(EndpointID)                              {}
+func (*lastSendRecorder) Gossip(GossipMessage)                              {}
+func (*lastSendRecorder) CheckHealth(EndpointID)                            {}
 
 func listOf(n int) []EndpointInfo {
 	list := make([]EndpointInfo, n)
@@ -37,7 +37,7 @@
 func BenchmarkTask(b *testing.B) {
 	for _, n := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			q := &quiet{}
+			q := &lastSendRecorder{}
 			p := New(benchSettings, 1, q)
 			now := Time(1e12)
 			p.EndpointsUpdated(now, listOf(n), true)
@@ -92,7 +92,7 @@
 	for _, n := range []int{512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list := listOf(n)
-			p := New(benchSettings, 1, &quiet{})
+			p := New(benchSettings, 1, &lastSendRecorder{})
 			p.EndpointsUpdated(1e12, list, true)
 			for i := range b.N {
 				from := i * 512 % n
@@ -109,7 +109,7 @@
 			list := listOf(2 * n)
 			for i := range b.N {
 				b.StopTimer()
-				p := New(benchSettings, 1, &quiet{})
+				p := New(benchSettings, 1, &lastSendRecorder{})
 				p.EndpointsUpdated(1e12, list[:n], true)
 				b.StartTimer()
 				p.EndpointsUpdated(1e12+Time(i), list[n:], true)
@@ -122,18 +122,18 @@
 func BenchmarkNobody(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := New(benchSettings, 1, &quiet{})
+			p := New(benchSettings, 1, &lastSendRecorder{})
 			now := Time(1e12)
 			p.EndpointsUpdated(now, listOf(n), true)
-			for _, s := range p.servers {
-				s.fullTill = now + ms
+			for _, s := range p.endpoints {
+				s.backoffUntil = now + ms
 			}
-			task := &task{
-				Request: Request{Deadline: now + 900*ms}, category: &p.set.Classes[0], limit: now + 900*ms,
-				kinds: p.lags.Of(0, 0),
+			task := &request{
+				Request: Request{Deadline: now + 900*ms}, classSettings: &p.settings.Classes[0], effectiveDeadline: now + 900*ms,
+				delays: p.classDelays.Of(0, 0),
 			}
 			for range b.N {
-				p.draw(now, task)
+				p.selectEndpoint(now, task)
 			}
 		})
 	}
--- a/policy/draw_test.go
+++ b/policy/draw_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-func anyTask(p *Balancer, now Time) *task {
-	return &task{
-		Request: Request{Deadline: now + 900*ms, CostHint: 5e6}, category: &p.set.Classes[0], limit: now + 900*ms, soft: now + 900*ms,
-		kinds: p.lags.Of(0, 0),
+func anyTask(p *Balancer, now Time) *request {
+	return &request{
+		Request: Request{Deadline: now + 900*ms, CostHint: 5e6}, classSettings: &p.settings.Classes[0], effectiveDeadline: now + 900*ms, objectiveAt: now + 900*ms,
+		delays: p.classDelays.Of(0, 0),
 	}
 }
 
 // taking returns who takes part in a draw, with w.
-func taking(p *Balancer, now Time) map[*server]float64 {
-	out := map[*server]float64{}
-	if p.draw(now, anyTask(p, now)) != nil {
-		for i, s := range p.drawn {
+func taking(p *Balancer, now Time) map[*endpoint]float64 {
+	out := map[*endpoint]float64{}
+	if p.selectEndpoint(now, anyTask(p, now)) != nil {
+		for i, s := range p.candidates {
 			out[s] = p.weights[i]
 		}
 	}
@@ -29,30 +29,30 @@
 func TestWeightsWorkedByHand(t *testing.T) {
 	const now = Time(1e12)
 	for name, c := range map[string]struct {
-		change func(s *server)
+		change func(s *endpoint)
 		want   float64
 	}{
-		"as reported":           {func(s *server) { s.Load = 4 }, 4},
-		"idle":                  {func(s *server) { s.Load = 0 }, 1. / 20}, // a twentieth of the mean, which is 1
-		"never heard":           {func(s *server) { s.Load, s.HasReport = 0, false }, 2},
-		"rising for two":        {func(s *server) { s.Load, s.risingFrom = 1, now.Add(-2*recalculate) }, 1.5},
-		"above while rising":    {func(s *server) { s.Load, s.risingFrom = 6, now.Add(-2*recalculate) }, 6},
-		"twice as slow":         {func(s *server) { s.Load, s.Latency.A, s.Latency.Weight = 1, 3, 1 }, 4},
-		"in a pod twice slower": {func(s *server) { s.Load, s.pod = 1, &ewma.Pair{A: 3, Weight: 1} }, 4},
-		"of twice the size":     {func(s *server) { s.Load, s.Weight = 4, 2 }, 2},
-		"with two out":          {func(s *server) { s.Load, s.out = 2, 2 }, 18},
-		"in another zone":       {func(s *server) { s.Load, s.Zone = 2, 1 }, 12},
-		"cold, and has earned":  {func(s *server) { s.Load, s.StartedAt, s.credit = 4, now-1e9, 1 }, 4. / 400},
+		"as reported":           {func(s *endpoint) { s.Load = 4 }, 4},
+		"idle":                  {func(s *endpoint) { s.Load = 0 }, 1. / 20}, // a twentieth of the mean, which is 1
+		"never heard":           {func(s *endpoint) { s.Load, s.HasReport = 0, false }, 2},
+		"rising for two":        {func(s *endpoint) { s.Load, s.risingFrom = 1, now.Add(-2*recalculationInterval) }, 1.5},
+		"above while rising":    {func(s *endpoint) { s.Load, s.risingFrom = 6, now.Add(-2*recalculationInterval) }, 6},
+		"twice as slow":         {func(s *endpoint) { s.Load, s.Latency.A, s.Latency.Weight = 1, 3, 1 }, 4},
+		"in a pod twice slower": {func(s *endpoint) { s.Load, s.podLatency = 1, &ewma.Pair{A: 3, Weight: 1} }, 4},
+		"of twice the size":     {func(s *endpoint) { s.Load, s.Weight = 4, 2 }, 2},
+		"with two out":          {func(s *endpoint) { s.Load, s.inFlight = 2, 2 }, 18},
+		"in another zone":       {func(s *endpoint) { s.Load, s.Zone = 2, 1 }, 12},
+		"cold, and has earned":  {func(s *endpoint) { s.Load, s.StartedAt, s.slowStartCredit = 4, now-1e9, 1 }, 4. / 400},
 	} {
 		set := benchSettings
 		set.WeightIsSize = true
-		p := New(set, 1, &quiet{})
+		p := New(set, 1, &lastSendRecorder{})
 		p.EndpointsUpdated(now, listOf(2), true)
-		for _, s := range p.servers {
+		for _, s := range p.endpoints {
 			s.Zone, s.Load, s.HasReport, s.risingFrom = 0, 2, true, 1
 		}
-		c.change(p.servers[0])
-		if got := taking(p, now)[p.servers[0]]; math.Abs(got/c.want-1) > 1e-9 {
+		c.change(p.endpoints[0])
+		if got := taking(p, now)[p.endpoints[0]]; math.Abs(got/c.want-1) > 1e-9 {
 			t.Errorf("%s: w is %g, want %g", name, got, c.want)
 		}
 	}
@@ -67,9 +67,9 @@
 	for _, w := range want {
 		sum += 1 / w
 	}
-	got := map[*server]int{}
+	got := map[*endpoint]int{}
 	for range draws {
-		got[p.draw(now, task)]++
+		got[p.selectEndpoint(now, task)]++
 	}
 	chi, kinds, restWant, restGot := 0.0, 0.0, 0.0, 0
 	add := func(want float64, got int) { chi, kinds = chi+(float64(got)-want)*(float64(got)-want)/want, kinds+1 }
@@ -93,28 +93,28 @@
 }
 
 func TestDrawIsProportionalToOneOverW(t *testing.T) {
-	for _, n := range []int{3, 20, window} {
+	for _, n := range []int{3, 20, selectionWindow} {
 		draw := rand.New(rand.NewPCG(uint64(n), 9))
-		p := New(benchSettings, 3, &quiet{})
+		p := New(benchSettings, 3, &lastSendRecorder{})
 		now := Time(1e12)
 		p.EndpointsUpdated(now, listOf(n), true)
-		for _, s := range p.servers {
+		for _, s := range p.endpoints {
 			s.Load, s.LastReport, s.HasReport, s.risingFrom = math.Pow(10, 5*draw.Float64()-3), 1, true, 1
-			s.out = draw.IntN(3)
+			s.inFlight = draw.IntN(3)
 		}
 		worked(t, "w over five orders", p, now, 40000)
-		for i, s := range p.servers {
-			s.fullTill = now + Time(i%(n/3+1))*ms
+		for i, s := range p.endpoints {
+			s.backoffUntil = now + Time(i%(n/3+1))*ms
 		}
 		worked(t, "most just turned away", p, now, 40000)
-		for i, s := range p.servers {
-			if s.fullTill = 0; i != n/2 {
-				s.fullTill = now + ms
+		for i, s := range p.endpoints {
+			if s.backoffUntil = 0; i != n/2 {
+				s.backoffUntil = now + ms
 			}
 		}
 		worked(t, "one left", p, now, 200)
-		p.servers[n/2].fullTill = now + ms
-		if s := p.draw(now, anyTask(p, now)); s != nil {
+		p.endpoints[n/2].backoffUntil = now + ms
+		if s := p.selectEndpoint(now, anyTask(p, now)); s != nil {
 			t.Errorf("drew %v with none left", s)
 		}
 	}
@@ -122,19 +122,19 @@
 
 // In a fleet larger than the window chances still fall as 1/w, since any part of the ranks is like any other.
 func TestDrawInALargeFleetFollowsOneOverW(t *testing.T) {
-	p := New(benchSettings, 3, &quiet{})
+	p := New(benchSettings, 3, &lastSendRecorder{})
 	now := Time(1e12)
 	p.EndpointsUpdated(now, listOf(4096), true)
 	draw := rand.New(rand.NewPCG(1, 9))
-	for _, s := range p.servers {
+	for _, s := range p.endpoints {
 		s.Zone, s.Load, s.HasReport, s.risingFrom = 0, float64(int(1)<<draw.IntN(3)), true, 1
 	}
 	task, got, have := anyTask(p, now), map[float64]float64{}, map[float64]float64{}
-	for _, s := range p.servers {
+	for _, s := range p.endpoints {
 		have[s.Load]++
 	}
 	for range 60000 {
-		got[p.draw(now, task).Load]++
+		got[p.selectEndpoint(now, task).Load]++
 	}
 	for _, w := range []float64{2, 4} {
 		if ratio := got[1] / have[1] / (got[w] / have[w]); math.Abs(ratio/w-1) > 0.06 {
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -334,12 +334,12 @@
 				w.fail("rule 1: task with %d final answers", w.tasks[id].finals)
 			}
 		}
-		if len(w.p.tasks) > 0 {
-			w.fail("%d tasks are kept after their end", len(w.p.tasks))
+		if len(w.p.requests) > 0 {
+			w.fail("%d tasks are kept after their end", len(w.p.requests))
 		}
-		for _, s := range w.p.servers {
-			if s.out != 0 {
-				w.fail("%d hand-offs are counted out after all have ended", s.out)
+		for _, s := range w.p.endpoints {
+			if s.inFlight != 0 {
+				w.fail("%d hand-offs are counted out after all have ended", s.inFlight)
 			}
 		}
 		if len(w.broken) > 0 {
--- a/policy/move_test.go
+++ b/policy/move_test.go
@@ -8,8 +8,8 @@
 // subset returns whom a node draws from.
 func subset(p *Balancer) map[EndpointID]bool {
 	near := map[EndpointID]bool{}
-	for _, s := range p.servers {
-		if s.near {
+	for _, s := range p.endpoints {
+		if s.inSubset {
 			near[s.ID] = true
 		}
 	}
@@ -24,11 +24,11 @@
 	for at := range nodes {
 		set := benchSettings
 		set.NodeIndex, set.NodeCount = at, nodes
-		p := New(set, 1, &quiet{})
+		p := New(set, 1, &lastSendRecorder{})
 		p.EndpointsUpdated(1e12, listOf(servers), true)
 		before := subset(p)
-		if len(before) != least {
-			t.Fatalf("node %d draws from %d servers, want %d", at, len(before), least)
+		if len(before) != minSubsetSize {
+			t.Fatalf("node %d draws from %d servers, want %d", at, len(before), minSubsetSize)
 		}
 		for id := range before {
 			sharing[id]++
@@ -67,13 +67,13 @@
 	b := fleet(t, 40, many)
 	before := subset(b.Balancer)
 	for id := range before {
-		b.byID[id].standing[0].unfit = true
+		b.byID[id].health[0].ejected = true
 	}
-	if b.tick(); len(subset(b.Balancer)) != least+least/2+1 {
-		t.Errorf("with %d servers unfit a node draws from %d", least, len(subset(b.Balancer)))
+	if b.tick(); len(subset(b.Balancer)) != minSubsetSize+minSubsetSize/2+1 {
+		t.Errorf("with %d servers unfit a node draws from %d", minSubsetSize, len(subset(b.Balancer)))
 	}
 	for id := range before {
-		b.byID[id].standing[0].unfit = false
+		b.byID[id].health[0].ejected = false
 	}
 	b.tick()
 	for range 60 { // within a second
@@ -90,14 +90,14 @@
 	b.serve(60, prompt)
 	b.tick()
 	b.arrive(2)
-	woken, silent := b.recorder.cookies[len(b.recorder.cookies)-1], b.servers[0]
+	woken, silent := b.recorder.cookies[len(b.recorder.cookies)-1], b.endpoints[0]
 	b.now += 100 * ms
-	if b.TimerFired(b.now, woken); silent.standing[2].unfit {
+	if b.TimerFired(b.now, woken); silent.health[2].ejected {
 		t.Error("struck though nothing else was answered since")
 	}
 	b.serve(1, prompt)
-	if b.TimerFired(b.now, woken); !silent.standing[2].unfit || silent.standing[0].failing > 0.01 {
-		t.Errorf("standing by category: %+v", silent.standing)
+	if b.TimerFired(b.now, woken); !silent.health[2].ejected || silent.health[0].failureRate > 0.01 {
+		t.Errorf("standing by category: %+v", silent.health)
 	}
 }
 
@@ -113,12 +113,12 @@
 	if b.recalled != 1 {
 		t.Fatalf("%d recalled", b.recalled)
 	}
-	if b.end(id, 0, OutcomeCanceled, 200*ms); b.last() == first || b.Balancer.tasks[id].open != 1 {
+	if b.end(id, 0, OutcomeCanceled, 200*ms); b.last() == first || b.Balancer.requests[id].inFlight != 1 {
 		t.Error("the recalled task did not go to another server")
 	}
-	exclusive := b.Balancer.tasks[b.arrive(2)]
+	exclusive := b.Balancer.requests[b.arrive(2)]
 	b.now += 200 * ms
-	b.overdue(b.now, exclusive, 0)
+	b.attemptOverdue(b.now, exclusive, 0)
 	if b.recalled != 1 {
 		t.Error("an exclusive task was recalled")
 	}
@@ -149,22 +149,22 @@
 func TestConnectionsThatDieIdleAreClosedBeforeUse(t *testing.T) {
 	b := fleet(t, 4, func(s *Settings) { s.StreamsPerConnection = 100 })
 	b.serve(40, prompt)
-	for n := 0; n < 20 && b.idle.Limit > 1e12; n++ {
+	for n := 0; n < 20 && b.idleTimeout.Limit > 1e12; n++ {
 		b.now += 2e9
 		id := b.arrive(0)
 		s := b.byID[b.last()]
 		b.now += ms
-		if b.Balancer.tasks[id].handOffs[0].gap == 0 { // its connection is new
+		if b.Balancer.requests[id].attempts[0].idleTime == 0 { // its connection is new
 			b.end(id, 0, OutcomeSucceeded, ms)
 			continue
 		}
-		if b.end(id, 0, OutcomeReset, ms); s.standing[0].failing > 0.01 {
-			t.Errorf("a reset after idleness counts against the server: %+v", s.standing[0])
+		if b.end(id, 0, OutcomeReset, ms); s.health[0].failureRate > 0.01 {
+			t.Errorf("a reset after idleness counts against the server: %+v", s.health[0])
 		}
 		b.end(id, 1, OutcomeSucceeded, 40*ms)
 	}
-	if b.idle.Limit > 8e9 {
-		t.Fatalf("connections idle for %d ms are still trusted", b.idle.Limit/ms)
+	if b.idleTimeout.Limit > 8e9 {
+		t.Fatalf("connections idle for %d ms are still trusted", b.idleTimeout.Limit/ms)
 	}
 	b.released = nil
 	for range 8 {
@@ -182,7 +182,7 @@
 		b := fleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
 		b.serve(60, prompt)
 		for _, s := range b.byID {
-			s.most = most
+			s.maxInFlight = most
 		}
 		for range 3 {
 			b.now += 2e9
@@ -190,8 +190,8 @@
 			b.now += 400 * ms
 			b.TimerFired(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
 		}
-		if learned := b.idle.Limit < 1e12; learned != (most == 1) {
-			t.Errorf("%d out at once at a server, where a connection carries one: idle time trusted %d ms", most, b.idle.Limit/ms)
+		if learned := b.idleTimeout.Limit < 1e12; learned != (most == 1) {
+			t.Errorf("%d out at once at a server, where a connection carries one: idle time trusted %d ms", most, b.idleTimeout.Limit/ms)
 		}
 	}
 }
@@ -200,15 +200,15 @@
 func TestIdleConnectionsAreKeptWhereNoNewOneCanBeHad(t *testing.T) {
 	b := fleet(t, 3, func(s *Settings) { s.StreamsPerConnection = 1 })
 	b.serve(30, prompt)
-	b.died(1e9)
+	b.confirmDeadConnection(1e9)
 	b.now += 5e9
 	id := b.arrive(0)
 	if len(b.released) == 0 {
 		t.Fatal("a connection idle for 5 s was used")
 	}
 	b.end(id, 0, OutcomeConnectFailed, 75*ms)
-	if b.idle.Limit < 1e12 {
-		t.Errorf("idle time trusted %d ms, and no new connection can be had", b.idle.Limit/ms)
+	if b.idleTimeout.Limit < 1e12 {
+		t.Errorf("idle time trusted %d ms, and no new connection can be had", b.idleTimeout.Limit/ms)
 	}
 }
 
@@ -217,56 +217,56 @@
 	b := fleet(t, 4, many)
 	news := GossipMessage{IdleTime: 1200 * ms}
 	for n := range 40 {
-		if trusted := b.idle.Limit > 1e12; trusted != (n < 12) {
+		if trusted := b.idleTimeout.Limit > 1e12; trusted != (n < 12) {
 			t.Fatalf("after %d voices of 300 connections are trusted: %v", n, trusted)
 		}
 		b.GossipReceived(b.now, news)
 	}
-	if b.idle.Limit != 900*ms {
-		t.Errorf("trusted for %d ms", b.idle.Limit/ms)
+	if b.idleTimeout.Limit != 900*ms {
+		t.Errorf("trusted for %d ms", b.idleTimeout.Limit/ms)
 	}
 	for range 200 {
-		b.now += Time(recalculate)
+		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if b.idle.Limit < 5e9 {
-		t.Errorf("200 s later connections are trusted for %d ms only", b.idle.Limit/ms)
+	if b.idleTimeout.Limit < 5e9 {
+		t.Errorf("200 s later connections are trusted for %d ms only", b.idleTimeout.Limit/ms)
 	}
 }
 
 func TestFailNewsAreHeardUnlessSeenOtherwise(t *testing.T) {
 	b := fleet(t, 12, many)
 	b.serve(60, prompt)
-	var seen, unseen *server
-	for _, s := range b.servers {
-		if s.near && s.standing[0].n > 1 {
+	var seen, unseen *endpoint
+	for _, s := range b.endpoints {
+		if s.inSubset && s.health[0].samples > 1 {
 			seen = s
-		} else if !s.near {
+		} else if !s.inSubset {
 			unseen = s
 		}
 	}
-	tell := func(s *server) {
+	tell := func(s *endpoint) {
 		b.GossipReceived(b.now, GossipMessage{Endpoint: s.ID})
 	}
 	unseen.State = StateDraining
 	for range 3 {
 		tell(unseen)
 	}
-	if unseen.State, unseen.standing[0].told = StateActive, 0; unseen.standing[0].unfit {
+	if unseen.State, unseen.health[0].gossipVotes = StateActive, 0; unseen.health[0].ejected {
 		t.Error("news of a server that drains were heeded")
 	}
 	tell(unseen)
 	tell(unseen)
-	if unseen.standing[0].unfit {
+	if unseen.health[0].ejected {
 		t.Error("two voices put a server out")
 	}
-	if tell(unseen); !unseen.standing[0].unfit || unseen.standing[1].unfit {
-		t.Errorf("after three voices %+v", unseen.standing)
+	if tell(unseen); !unseen.health[0].ejected || unseen.health[1].ejected {
+		t.Errorf("after three voices %+v", unseen.health)
 	}
 	for range 20 {
 		tell(seen)
 	}
-	if seen.standing[0].unfit {
+	if seen.health[0].ejected {
 		t.Error("hearsay overruled what was seen")
 	}
 }
@@ -278,10 +278,10 @@
 			b.GossipReceived(b.now, news)
 		}
 	}
-	for _, s := range b.servers {
-		for _, st := range s.standing {
-			if st.unfit || b.idle.Limit < 1e12 {
-				t.Fatalf("idle %d, standing %+v", b.idle.Limit, st)
+	for _, s := range b.endpoints {
+		for _, st := range s.health {
+			if st.ejected || b.idleTimeout.Limit < 1e12 {
+				t.Fatalf("idle %d, standing %+v", b.idleTimeout.Limit, st)
 			}
 		}
 	}
@@ -313,19 +313,19 @@
 	b.serve(40, prompt)
 	for range 40 { // slow all the time, but nothing is rejected
 		b.Balancer.Fleet.A, b.Balancer.Fleet.Weight = 400, 40
-		b.now += Time(recalculate)
-		if b.tick(); b.restTo > 0 {
+		b.now += Time(recalculationInterval)
+		if b.tick(); b.restUntil > 0 {
 			t.Fatal("a rest though nothing was turned away")
 		}
 	}
 	rests := 0
 	for second := range 40 {
-		b.Balancer.Fleet.A, b.Balancer.Fleet.Weight, b.of[0].SuccessRate = 400, 40, 0.4
-		b.now += Time(recalculate)
+		b.Balancer.Fleet.A, b.Balancer.Fleet.Weight, b.classes[0].SuccessRate = 400, 40, 0.4
+		b.now += Time(recalculationInterval)
 		b.tick()
-		if b.restTo > b.now {
+		if b.restUntil > b.now {
 			rests++
-			if second < longJam-1 {
+			if second < overloadedSecondsToRest-1 {
 				t.Fatalf("a rest after %d s of jam", second+1)
 			}
 			if b.declined = 0; b.arrive(0) == "" || b.declined != 1 {
@@ -333,8 +333,8 @@
 			}
 		}
 	}
-	if rests != int(restFor/recalculate) {
-		t.Errorf("%d s of rest in one jam, want %d", rests, restFor/recalculate)
+	if rests != int(restDuration/recalculationInterval) {
+		t.Errorf("%d s of rest in one jam, want %d", rests, restDuration/recalculationInterval)
 	}
 }
 
@@ -352,7 +352,7 @@
 		b.now += ms
 		b.end(id, 0, o, ms)
 	}
-	if b.idle.Limit < 1e12 {
-		t.Errorf("one reset in twelve, and connections idle for %d ms are no longer trusted", b.idle.Limit/ms)
+	if b.idleTimeout.Limit < 1e12 {
+		t.Errorf("one reset in twelve, and connections idle for %d ms are no longer trusted", b.idleTimeout.Limit/ms)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -49,7 +49,7 @@
 	return count
 }
 
-type bench struct {
+type testFleet struct {
 	*testing.T
 	*Balancer
 	*recorder
@@ -58,7 +58,7 @@
 }
 
 // fleet starts a module with so many servers and three classes: idempotent, ticketed in a pod, exclusive.
-func fleet(t *testing.T, servers int, change func(*Settings)) *bench {
+func fleet(t *testing.T, servers int, change func(*Settings)) *testFleet {
 	s := Settings{
 		MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
 		SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10, Classes: []Class{
@@ -71,7 +71,7 @@
 		change(&s)
 	}
 	r := &recorder{}
-	b := &bench{T: t, Balancer: New(s, 1, r), recorder: r, now: 1e12}
+	b := &testFleet{T: t, Balancer: New(s, 1, r), recorder: r, now: 1e12}
 	var list []EndpointInfo
 	for id := range servers {
 		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id / 2, Weight: 1})
@@ -80,35 +80,35 @@
 	return b
 }
 
-func (b *bench) arrive(category int) RequestID {
+func (b *testFleet) arrive(category int) RequestID {
 	b.tasks++
 	id := RequestID(fmt.Sprint(b.tasks))
 	b.RequestArrived(b.now, Request{ID: id, Class: category, Deadline: b.now + 1000*ms})
 	return id
 }
 
-func (b *bench) end(id RequestID, number int, o Outcome, took time.Duration) {
-	t := b.Balancer.tasks[id]
+func (b *testFleet) end(id RequestID, number int, o Outcome, took time.Duration) {
+	t := b.Balancer.requests[id]
 	b.AttemptEnded(b.now, AttemptResult{
-		Request: id, Attempt: number, Endpoint: t.handOffs[number].server.ID, Outcome: o,
+		Request: id, Attempt: number, Endpoint: t.attempts[number].endpoint.ID, Outcome: o,
 		Elapsed: took, RequestDone: o == OutcomeSucceeded, Report: LoadReport{-1, -1, -1},
 	})
 }
 
 // allow is the time that a request with so much left may be predicted to take.
-func (b *bench) allow(t *task) time.Duration {
-	b.until = t.limit
-	return b.allowance(b.now, t)
+func (b *testFleet) allow(t *request) time.Duration {
+	b.answerBy = t.effectiveDeadline
+	return b.latencyBudget(b.now, t)
 }
 
 // serve plays idempotent requests one after another, each answered as its server does.
-func (b *bench) serve(tasks int, how func(EndpointID) (Outcome, time.Duration)) {
+func (b *testFleet) serve(tasks int, how func(EndpointID) (Outcome, time.Duration)) {
 	for range tasks {
 		id := b.arrive(0)
-		for b.Balancer.tasks[id] != nil {
+		for b.Balancer.requests[id] != nil {
 			o, took := how(b.last())
 			b.now += Time(took)
-			b.end(id, len(b.Balancer.tasks[id].handOffs)-1, o, took)
+			b.end(id, len(b.Balancer.requests[id].attempts)-1, o, took)
 		}
 		b.now += ms
 	}
@@ -120,15 +120,15 @@
 // the sum is 7, x is 7, 3.5 and 1.75, and the shares are 4/7, 2/7 and 1/7.
 func TestDrawFollowsTheFormula(t *testing.T) {
 	p := New(Settings{}, 7, nil)
-	a, b, c := &server{}, &server{}, &server{}
-	count := map[*server]int{}
+	a, b, c := &endpoint{}, &endpoint{}, &endpoint{}
+	count := map[*endpoint]int{}
 	const draws = 70000
 	for range draws {
-		p.drawn = append(p.drawn[:0], c, a, b)
+		p.candidates = append(p.candidates[:0], c, a, b)
 		p.weights = append(p.weights[:0], 4, 1, 2)
-		count[p.pick()]++
+		count[p.draw()]++
 	}
-	for s, want := range map[*server]float64{a: 4. / 7, b: 2. / 7, c: 1. / 7} {
+	for s, want := range map[*endpoint]float64{a: 4. / 7, b: 2. / 7, c: 1. / 7} {
 		if got := float64(count[s]) / draws; math.Abs(got-want) > 0.01 {
 			t.Errorf("share %.3f, want %.3f", got, want)
 		}
@@ -136,18 +136,18 @@
 }
 
 func TestDriftIsTheLastRisePerHandOff(t *testing.T) {
-	s := &server{}
-	s.hear(0, 0.2)
-	s.sends = 4
-	s.hear(1, 0.6)
+	s := &endpoint{}
+	s.takeReport(0, 0.2)
+	s.sendsSinceReport = 4
+	s.takeReport(1, 0.6)
 	if math.Abs(s.RisePerSend-0.1) > 1e-9 {
 		t.Errorf("a rise of 0.4 over 4 hand-offs gives a drift of %g", s.RisePerSend)
 	}
-	s.sends = 4
-	if s.hear(2, 0.5); s.RisePerSend != 0 {
+	s.sendsSinceReport = 4
+	if s.takeReport(2, 0.5); s.RisePerSend != 0 {
 		t.Errorf("a falling load gives a drift of %g", s.RisePerSend)
 	}
-	if s.hear(3, 0.9); s.RisePerSend != 0 {
+	if s.takeReport(3, 0.9); s.RisePerSend != 0 {
 		t.Errorf("a rise over no hand-offs gives a drift of %g", s.RisePerSend)
 	}
 }
@@ -155,13 +155,13 @@
 func TestTimeOutsTeachAnswerTimes(t *testing.T) {
 	b := fleet(t, 1, nil)
 	b.serve(20, prompt)
-	before, _ := b.expect(b.byID[1])
+	before, _ := b.expectedLatency(b.byID[1])
 	for range 4 {
 		id := b.arrive(2)
 		b.now += 480 * ms
 		b.end(id, 0, OutcomeTimedOut, 480*ms)
 	}
-	if after, _ := b.expect(b.byID[1]); after < 2*before {
+	if after, _ := b.expectedLatency(b.byID[1]); after < 2*before {
 		t.Errorf("after four time-outs the server is expected at %.1f, before at %.1f", after, before)
 	}
 }
@@ -187,7 +187,7 @@
 	}
 	b.serve(800, how)
 	b.sent = nil
-	if b.serve(100, how); b.given(2) < 10 || b.byID[2].standing[0].unfit {
+	if b.serve(100, how); b.given(2) < 10 || b.byID[2].health[0].ejected {
 		t.Errorf("a mended server got %d of 100 hand-offs", b.given(2))
 	}
 }
@@ -197,8 +197,8 @@
 	b.serve(20, prompt)
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeError, ms })
 	unfit := 0
-	for _, s := range b.servers {
-		if s.standing[0].unfit {
+	for _, s := range b.endpoints {
+		if s.health[0].ejected {
 			unfit++
 		}
 	}
@@ -226,7 +226,7 @@
 	}
 }
 
-func (b *bench) tick() { b.TimerFired(b.now, tickCookie) }
+func (b *testFleet) tick() { b.TimerFired(b.now, tickTimer) }
 
 func TestOverdueTaskGetsACopyAndItsServerIsNoted(t *testing.T) {
 	b := fleet(t, 3, nil)
@@ -235,24 +235,24 @@
 	id := b.arrive(0)
 	b.now += 200 * ms
 	b.TimerFired(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
-	task := b.Balancer.tasks[id]
-	if task.open != 2 || task.handOffs[0].server == task.handOffs[1].server {
-		t.Fatalf("the overdue task has %d hand-offs out", task.open)
+	task := b.Balancer.requests[id]
+	if task.inFlight != 2 || task.attempts[0].endpoint == task.attempts[1].endpoint {
+		t.Fatalf("the overdue task has %d hand-offs out", task.inFlight)
 	}
-	slow := task.handOffs[0].server
+	slow := task.attempts[0].endpoint
 	b.end(id, 1, OutcomeSucceeded, 40*ms)
 	if b.recalled != 1 {
 		t.Errorf("%d hand-offs were recalled after the copy's answer", b.recalled)
 	}
-	if b.end(id, 0, OutcomeCanceled, 240*ms); slow.standing[0].failing == 0 {
+	if b.end(id, 0, OutcomeCanceled, 240*ms); slow.health[0].failureRate == 0 {
 		t.Error("the overtaken server still looks as good as the others")
 	}
 }
 
 func TestLateCategoryGivesUpTimeForTheStarved(t *testing.T) {
 	b := fleet(t, 2, nil)
-	b.of[0].SuccessRate, b.of[1].SuccessRate = 0.2, 0.8
-	starved, other := &task{limit: b.now + 400*ms}, &task{Request: Request{Class: 1}, limit: b.now + 400*ms}
+	b.classes[0].SuccessRate, b.classes[1].SuccessRate = 0.2, 0.8
+	starved, other := &request{effectiveDeadline: b.now + 400*ms}, &request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}
 	if got := b.allow(starved); got != 400*ms {
 		t.Errorf("the starved category may take %d", got)
 	}
@@ -263,12 +263,12 @@
 
 func TestCategoryNoLongerAskedForHoldsNobodyBack(t *testing.T) {
 	b := fleet(t, 2, nil)
-	b.of[0].SuccessRate = 0.01
+	b.classes[0].SuccessRate = 0.01
 	for range 40 {
-		b.now += Time(recalculate)
+		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if got := b.allow(&task{Request: Request{Class: 1}, limit: b.now + 400*ms}); got < 380*ms {
+	if got := b.allow(&request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}); got < 380*ms {
 		t.Errorf("another category may take %d of 400 ms", got)
 	}
 }
@@ -289,24 +289,24 @@
 
 func TestIdleNodeRelaxesItsBound(t *testing.T) {
 	b := fleet(t, 2, nil)
-	b.of[0].LatencySpread = 5
+	b.classes[0].LatencySpread = 5
 	for range 10 {
 		b.serve(1, prompt) // a request now and then must not keep the bound up while most are rejected
-		b.of[0].GivenUpCount = 2
-		b.now += Time(recalculate)
+		b.classes[0].GivenUpCount = 2
+		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if b.of[0].LatencySpread > 2.5 {
-		t.Errorf("the bound of an idle node is still %.1f of 5", b.of[0].LatencySpread)
+	if b.classes[0].LatencySpread > 2.5 {
+		t.Errorf("the bound of an idle node is still %.1f of 5", b.classes[0].LatencySpread)
 	}
-	b.of[0].LatencySpread = 3
+	b.classes[0].LatencySpread = 3
 	for range 10 {
 		b.serve(1, prompt)
-		b.now += Time(recalculate)
+		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if b.of[0].LatencySpread < 2.5 {
-		t.Errorf("the bound of a node that mostly has nothing out fell to %.1f of 3", b.of[0].LatencySpread)
+	if b.classes[0].LatencySpread < 2.5 {
+		t.Errorf("the bound of a node that mostly has nothing out fell to %.1f of 3", b.classes[0].LatencySpread)
 	}
 }
 
@@ -314,12 +314,12 @@
 	b := fleet(t, 2, nil)
 	b.serve(40, prompt)
 	b.serve(40, func(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 450 * ms })
-	jammed, _ := b.expect(b.byID[1])
+	jammed, _ := b.expectedLatency(b.byID[1])
 	for range 20 {
-		b.now += Time(recalculate)
+		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if relaxed, _ := b.expect(b.byID[1]); relaxed > jammed*2/3 {
+	if relaxed, _ := b.expectedLatency(b.byID[1]); relaxed > jammed*2/3 {
 		t.Errorf("answer times expected at %.1f in the jam are still expected at %.1f", jammed, relaxed)
 	}
 	b.declined = 0
@@ -331,14 +331,14 @@
 func TestSilentServerDoesNotRaiseTheBoundForAll(t *testing.T) {
 	b := fleet(t, 3, nil)
 	b.serve(60, prompt)
-	before := b.of[2].LatencySpread
+	before := b.classes[2].LatencySpread
 	for range 5 {
 		id := b.arrive(2)
 		b.now += 480 * ms
 		b.end(id, 0, OutcomeTimedOut, 480*ms)
 	}
-	if b.of[2].LatencySpread > before {
-		t.Errorf("the bound rose from %.2f to %.2f", before, b.of[2].LatencySpread)
+	if b.classes[2].LatencySpread > before {
+		t.Errorf("the bound rose from %.2f to %.2f", before, b.classes[2].LatencySpread)
 	}
 }
 
@@ -347,10 +347,10 @@
 	last := time.Duration(10e9 / 128)
 	for range 10 {
 		p.WatchFailed(0)
-		if p.askWait != min(2*last, 125e7) {
-			t.Fatalf("waits %d after %d", p.askWait, last)
+		if p.pollBackoff != min(2*last, 125e7) {
+			t.Fatalf("waits %d after %d", p.pollBackoff, last)
 		}
-		last = p.askWait
+		last = p.pollBackoff
 	}
 }
 
@@ -367,10 +367,10 @@
 	if n := b.given(1); n > 8 {
 		t.Errorf("a full server was asked %d times during 60 tasks", n)
 	}
-	seldom := &server{pod: &ewma.Pair{}, standing: make([]standing, 3)}
-	h := &handOff{server: seldom, sentAt: b.now, open: true}
-	if b.judge(b.now, &task{}, h, AttemptResult{Outcome: OutcomeConnectFailed}); seldom.fullTill < b.now.Add(recalculate/2) {
-		t.Errorf("a server not heard of late is asked again after %d ms", (seldom.fullTill-b.now)/ms)
+	seldom := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
+	h := &attempt{endpoint: seldom, sentAt: b.now, open: true}
+	if b.learnFrom(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed}); seldom.backoffUntil < b.now.Add(recalculationInterval/2) {
+		t.Errorf("a server not heard of late is asked again after %d ms", (seldom.backoffUntil-b.now)/ms)
 	}
 }
 
@@ -378,15 +378,15 @@
 	b := fleet(t, 2, func(s *Settings) { s.TenantShares, s.OverQuotaFraction = []float64{0.7, 0.3}, 0.2 })
 	beyond := [2]int{}
 	for i := range 1000 { // both ask for as much
-		if b.shares.Exceeded(i%2, false) {
+		if b.quotas.Exceeded(i%2, false) {
 			beyond[i%2]++
 		}
 	}
 	if beyond[0] > 20 || beyond[1] < 150 {
 		t.Errorf("beyond their shares: %d of the one below it, %d of the one above", beyond[0], beyond[1])
 	}
-	b.of[0].SuccessRate = 0.5
-	within, over := &task{limit: b.now + 400*ms}, &task{limit: b.now + 400*ms, beyond: true}
+	b.classes[0].SuccessRate = 0.5
+	within, over := &request{effectiveDeadline: b.now + 400*ms}, &request{effectiveDeadline: b.now + 400*ms, overQuota: true}
 	if w, o := b.allow(within), b.allow(over); w != 400*ms || o != 100*ms {
 		t.Errorf("with half turned away a task within may take %d, one beyond %d", w, o)
 	}
@@ -405,15 +405,15 @@
 		t.Errorf("one server in five times out and the whole fleet is expected at %.1f", unit)
 	}
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeTimedOut, 450 * ms })
-	unheard := &server{EndpointInfo: EndpointInfo{ID: 101}, pod: &ewma.Pair{}}
-	if unit, _ := b.expect(unheard); unit < 5 {
+	unheard := &endpoint{EndpointInfo: EndpointInfo{ID: 101}, podLatency: &ewma.Pair{}}
+	if unit, _ := b.expectedLatency(unheard); unit < 5 {
 		t.Errorf("nearly all time out and a server not heard yet is expected at %.1f", unit)
 	}
 	for range 60 {
-		b.now += Time(recalculate)
+		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if unit, _ := b.expect(unheard); unit > 1.5 {
+	if unit, _ := b.expectedLatency(unheard); unit > 1.5 {
 		t.Errorf("a minute later it is still expected at %.1f", unit)
 	}
 }
@@ -433,9 +433,9 @@
 	b.serve(20, prompt)
 	id := b.arrive(2)
 	s := b.byID[b.last()]
-	s.Latency, s.standing[2] = ewma.Pair{}, standing{}
-	if b.end(id, 0, OutcomeError, ms); !s.standing[2].unfit {
-		t.Errorf("its failing part is taken for %.2f", s.standing[2].failing)
+	s.Latency, s.health[2] = ewma.Pair{}, classHealth{}
+	if b.end(id, 0, OutcomeError, ms); !s.health[2].ejected {
+		t.Errorf("its failing part is taken for %.2f", s.health[2].failureRate)
 	}
 }
 
@@ -443,7 +443,7 @@
 	given, most := 0, 0.0
 	for seed := range uint64(400) {
 		b := fleet(t, 20, nil)
-		b.draws = rand.New(rand.NewPCG(seed, 977))
+		b.random = rand.New(rand.NewPCG(seed, 977))
 		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 21, Weight: 1, StartedAt: b.now - 4e9}}, false)
 		b.serve(8, prompt)
 		given += b.given(21)
@@ -475,7 +475,7 @@
 		b.tasks++
 		id := RequestID(fmt.Sprint(b.tasks))
 		b.RequestArrived(b.now, Request{ID: id, Deadline: b.now + 1000*ms, CostHint: cost})
-		if b.Balancer.tasks[id] == nil {
+		if b.Balancer.requests[id] == nil {
 			t.Fatalf("task %d of %d ms was given up beside idle servers", b.tasks, cost/ms)
 		}
 		b.now += Time(took)
@@ -489,8 +489,8 @@
 		answered(ms/5, 16*ms, false)
 		answered(20*ms, 35*ms, false)
 	}
-	for _, s := range b.servers {
-		if got := b.predict(s, float64(20*ms)); got < 25*ms || got > 50*ms {
+	for _, s := range b.endpoints {
+		if got := b.predictLatency(s, float64(20*ms)); got < 25*ms || got > 50*ms {
 			t.Errorf("20 ms of work 15 ms away are expected to take %d ms", got/ms)
 		}
 		if s.HighLatency > 4 {
@@ -503,8 +503,8 @@
 func TestUnfitServersAreTriedBeforeATaskIsDeclined(t *testing.T) {
 	b := fleet(t, 4, nil)
 	b.serve(100, prompt)
-	for _, s := range b.servers {
-		s.standing[2] = standing{unfit: s.ID > 1, failing: 0.3, retryAt: b.now + Time(1e9)}
+	for _, s := range b.endpoints {
+		s.health[2] = classHealth{ejected: s.ID > 1, failureRate: 0.3, retryAt: b.now + Time(1e9)}
 	}
 	b.byID[1].State = StateDraining
 	b.sent = nil
@@ -521,8 +521,8 @@
 	if b.arrive(2); b.given(1) != 1 {
 		t.Errorf("with a fit server a task went to %v", b.sent)
 	}
-	for _, s := range b.servers {
-		s.out, s.Latency.Weight = 0, 1
+	for _, s := range b.endpoints {
+		s.inFlight, s.Latency.Weight = 0, 1
 	}
 	b.byID[1].State, b.sent = StateDraining, nil
 	if b.arrive(2); len(b.sent) != 0 {
@@ -535,13 +535,13 @@
 	for queue, late := range map[float64]bool{0: false, 3: true, -1: true} {
 		b := fleet(t, 1, nil)
 		b.serve(100, prompt)
-		before, _ := b.expect(b.byID[1])
+		before, _ := b.expectedLatency(b.byID[1])
 		for range 8 {
 			id := b.arrive(2)
 			b.AttemptEnded(b.now, AttemptResult{Request: id, Endpoint: 1, Outcome: OutcomeRejected, Elapsed: ms, Report: LoadReport{-1, queue, -1}})
-			b.now = b.byID[1].fullTill
+			b.now = b.byID[1].backoffUntil
 		}
-		if after, _ := b.expect(b.byID[1]); (after > 2*before) != late {
+		if after, _ := b.expectedLatency(b.byID[1]); (after > 2*before) != late {
 			t.Errorf("with a queue of %g the server is expected at %.1f, before at %.1f", queue, after, before)
 		}
 	}
@@ -550,7 +550,7 @@
 // With a request out at each of a few servers and answers in microseconds, a moment in which the node itself stood still
 // made all of them look silent, and idle servers' requests were rejected: 57 of the first 50,000 with eight.
 func TestAMomentsStillnessDeclinesNothing(t *testing.T) {
-	q := &quiet{}
+	q := &lastSendRecorder{}
 	set := benchSettings
 	set.ClockResolution = 2 * ms
 	p := New(set, 1, q)
@@ -585,16 +585,16 @@
 			s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight, s.Classes[2].PriorityWeight = 1, 4, 64
 		})
 		b.tick()
-		if got := b.allow(&task{limit: b.now + 400*ms}); got != 400*ms {
+		if got := b.allow(&request{effectiveDeadline: b.now + 400*ms}); got != 400*ms {
 			t.Errorf("with nothing turned away it may take %d of 400 ms", got/ms)
 		}
-		for i := range b.of {
-			b.of[i].SuccessRate = 0.5
+		for i := range b.classes {
+			b.classes[i].SuccessRate = 0.5
 		}
-		if got := b.allow(&task{limit: b.now + 400*ms}); got/ms != kept {
+		if got := b.allow(&request{effectiveDeadline: b.now + 400*ms}); got/ms != kept {
 			t.Errorf("where the worst weighs %g it may take %d ms, want %d", worst, got/ms, kept)
 		}
-		if got := b.allow(&task{Request: Request{Class: 2}, limit: b.now + 400*ms}); got != 400*ms {
+		if got := b.allow(&request{Request: Request{Class: 2}, effectiveDeadline: b.now + 400*ms}); got != 400*ms {
 			t.Errorf("what earns most may take %d of 400 ms", got/ms)
 		}
 	}
@@ -610,14 +610,14 @@
 			b.recorder.cookies = nil
 			b.RequestArrived(b.now, Request{ID: "long", Class: category, Deadline: b.now + 1000*ms, StreamingBody: true})
 			s := b.byID[b.last()]
-			if len(b.recorder.cookies) != 0 || s.out != 0 {
-				t.Errorf("%d timers wait for it, %d out at its server", len(b.recorder.cookies), s.out)
+			if len(b.recorder.cookies) != 0 || s.inFlight != 0 {
+				t.Errorf("%d timers wait for it, %d out at its server", len(b.recorder.cookies), s.inFlight)
 			}
 			sent := len(b.sent)
 			b.AttemptEnded(b.now+ms, AttemptResult{Request: "long", Endpoint: s.ID, Outcome: o, BodyConsumed: true, Report: LoadReport{-1, -1, -1}})
 			declined := repeat == Idempotent || o == OutcomeConnectFailed
-			if len(b.sent) != sent || s.out != 0 || (b.declined == 1) != declined || (b.brokeOff == 1) == declined {
-				t.Errorf("repeat %d, outcome %d: %d more hand-offs, %d out, %d declined, %d broken off", repeat, o, len(b.sent)-sent, s.out, b.declined, b.brokeOff)
+			if len(b.sent) != sent || s.inFlight != 0 || (b.declined == 1) != declined || (b.brokeOff == 1) == declined {
+				t.Errorf("repeat %d, outcome %d: %d more hand-offs, %d out, %d declined, %d broken off", repeat, o, len(b.sent)-sent, s.inFlight, b.declined, b.brokeOff)
 			}
 		}
 	}
@@ -639,7 +639,7 @@
 	next.EndpointsUpdated(next.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: 1}}, false)
 	next.Inherit(&all)
 	for id := EndpointID(1); id <= 4; id++ {
-		was, is := b.predict(b.byID[id], 1e8), next.predict(next.byID[id], 1e8)
+		was, is := b.predictLatency(b.byID[id], 1e8), next.predictLatency(next.byID[id], 1e8)
 		if (was == is) != (id != 4) {
 			t.Errorf("server %d: predicted %d by the one before, %d by the next", id, was, is)
 		}
@@ -657,10 +657,10 @@
 		b.EndpointsUpdated(b.now, nil, false)
 		b.serve(1, prompt) // so that the cost of a request is known
 		s := b.byID[4]
-		s.credit, s.Latency = 0, own
-		b.earnCold(b.now, b.byID[1], b.MeanWork)
-		bound = 2 * b.cold(b.now, s) / 3 // of the even part of three warm ones
-		return s.credit
+		s.slowStartCredit, s.Latency = 0, own
+		b.earnSlowStartCredit(b.now, b.byID[1], b.MeanWork)
+		bound = 2 * b.capacityFraction(b.now, s) / 3 // of the even part of three warm ones
+		return s.slowStartCredit
 	}
 	sure := earned(ewma.Pair{})
 	quick := earned(ewma.Pair{A: 12, B: 0, Weight: 24})
@@ -724,7 +724,7 @@
 	for range 12 {
 		ask()
 	}
-	if n := b.byID[home].out; n > 8 {
+	if n := b.byID[home].inFlight; n > 8 {
 		t.Errorf("%d out at the home, 7 elsewhere stand idle", n)
 	}
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: home, Pod: 9, StartedAt: b.now}}, false)
@@ -770,10 +770,10 @@
 		sum := 0.0
 		for i := range 200 { // ten a second, that all get nothing
 			s := b.byID[1]
-			s.credit = 0
+			s.slowStartCredit = 0
 			b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: b.now + 1})
-			if sum += s.credit; i == 0 && s.credit > 0.25 {
-				t.Errorf("%g by one task", s.credit)
+			if sum += s.slowStartCredit; i == 0 && s.slowStartCredit > 0.25 {
+				t.Errorf("%g by one task", s.slowStartCredit)
 			}
 			b.now += 100 * ms
 		}
@@ -782,8 +782,8 @@
 	one, many := gained(1), gained(300)
 	// In the 20 s the sure part is 0.6 in the mean. A warm server does surely requests at a time, each taken for a quarter of the latency objective.
 	const mean = 0.125 // s
-	if all := many * 300 * mean; all > surely*0.6 {
-		t.Errorf("all nodes together give a cold server %g of its time, no more than %g of what it surely does", all, surely*0.6)
+	if all := many * 300 * mean; all > warmConcurrency*0.6 {
+		t.Errorf("all nodes together give a cold server %g of its time, no more than %g of what it surely does", all, warmConcurrency*0.6)
 	}
 	if one < 4*many {
 		t.Errorf("a node alone gives %g a second, one of 300 %g", one, many)
@@ -801,14 +801,14 @@
 		b.EndpointsUpdated(b.now, nil, false)
 		s, arrival, answer := b.byID[8], 0.0, 0.0
 		for i := range 10 {
-			s.credit = 0
+			s.slowStartCredit = 0
 			b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: b.now + 1})
 			b.now += 50 * ms
-			arrival += s.credit
+			arrival += s.slowStartCredit
 		}
-		s.credit = 0
-		b.earnCold(b.now, b.byID[1], 1e6)
-		answer = s.credit
+		s.slowStartCredit = 0
+		b.earnSlowStartCredit(b.now, b.byID[1], 1e6)
+		answer = s.slowStartCredit
 		if few := warm == 1; (arrival > 0) != few || (answer > 0) == few {
 			t.Errorf("%d of 8 warm: %g by arrivals, %g by an answer", warm, arrival, answer)
 		}
--- a/policy/return_test.go
+++ b/policy/return_test.go
@@ -112,13 +112,13 @@
 		}
 		final = true
 	}
-	t := n.p.tasks[id]
-	if t == nil || number >= len(t.handOffs) {
+	t := n.p.requests[id]
+	if t == nil || number >= len(t.attempts) {
 		return
 	}
-	h := t.handOffs[number]
+	h := t.attempts[number]
 	n.p.AttemptEnded(n.now, AttemptResult{
-		Request: id, Attempt: number, Endpoint: h.server.ID, Outcome: o, Elapsed: n.now.Sub(h.sentAt),
+		Request: id, Attempt: number, Endpoint: h.endpoint.ID, Outcome: o, Elapsed: n.now.Sub(h.sentAt),
 		RequestDone: final, Report: LoadReport{-1, -1, -1},
 	})
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -16,27 +16,27 @@
 
 // Where next to nobody is fit the draw ends after its passes; it must not spin, nor miss the one.
 func TestDrawDoesNotSpin(t *testing.T) {
-	for name, spoil := range map[string]func(s *server, i int, now Time){
-		"just turned away": func(s *server, i int, now Time) { s.fullTill = now + ms },
-		"unfit":            func(s *server, i int, now Time) { s.standing[0], s.out = standing{unfit: true, retryAt: now + ms}, 1 },
-		"too late":         func(s *server, i int, now Time) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
-		"cold":             func(s *server, i int, now Time) { s.StartedAt, s.credit = now, 0 },
-		"silent":           func(s *server, i int, now Time) { s.out, s.HasLatency, s.silentFrom = 1, true, now-1e9 },
+	for name, spoil := range map[string]func(s *endpoint, i int, now Time){
+		"just turned away": func(s *endpoint, i int, now Time) { s.backoffUntil = now + ms },
+		"unfit":            func(s *endpoint, i int, now Time) { s.health[0], s.inFlight = classHealth{ejected: true, retryAt: now + ms}, 1 },
+		"too late":         func(s *endpoint, i int, now Time) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
+		"cold":             func(s *endpoint, i int, now Time) { s.StartedAt, s.slowStartCredit = now, 0 },
+		"silent":           func(s *endpoint, i int, now Time) { s.inFlight, s.HasLatency, s.silentSince = 1, true, now-1e9 },
 	} {
 		for _, fit := range []int{0, 1} {
-			p := New(benchSettings, 1, &quiet{})
+			p := New(benchSettings, 1, &lastSendRecorder{})
 			now := Time(1e12)
 			p.EndpointsUpdated(now, listOf(4096), true)
 			p.MeanWork, p.HighLatency = 5e6, 2
-			for i, s := range p.servers {
+			for i, s := range p.endpoints {
 				if i >= fit {
 					spoil(s, i, now)
 				}
 			}
 			c := &counted{Source: rand.NewPCG(1, 2)}
-			p.draws = rand.New(c)
-			s := p.draw(now, anyTask(p, now))
-			if (s != nil) != (fit == 1) || s != nil && s != p.servers[0] {
+			p.random = rand.New(c)
+			s := p.selectEndpoint(now, anyTask(p, now))
+			if (s != nil) != (fit == 1) || s != nil && s != p.endpoints[0] {
 				t.Errorf("%s, %d fit: drew %v", name, fit, s)
 			}
 			if c.n > 4 {
@@ -49,7 +49,7 @@
 // What comes all at once: reports, another list, every server restarted, with 10,000 requests out.
 func TestAllAtOnce(t *testing.T) {
 	const n = 1024
-	q := &quiet{}
+	q := &lastSendRecorder{}
 	set := benchSettings
 	p := New(set, 1, q)
 	now := Time(1e12)
@@ -88,8 +88,8 @@
 	answer(0)
 	arrive(2000)
 	p.EndpointsUpdated(now, list[n:], true)
-	if got := len(taking(p, now)); got != window {
-		t.Errorf("%d take part after another list, want a window of %d", got, window)
+	if got := len(taking(p, now)); got != selectionWindow {
+		t.Errorf("%d take part after another list, want a window of %d", got, selectionWindow)
 	}
 	if arrive(500); len(outs) < 2000 {
 		t.Errorf("%d sent after another list", len(outs)-2000)
@@ -123,14 +123,14 @@
 			t.Errorf("cold server %d was given %d of 5,000 tasks, one in %d would be its even part", id, k, n)
 		}
 	}
-	if len(p.tasks) != 0 {
-		t.Errorf("%d tasks are held that have their end", len(p.tasks))
+	if len(p.requests) != 0 {
+		t.Errorf("%d tasks are held that have their end", len(p.requests))
 	}
 }
 
 // 100,000 requests held at once, then none.
 func TestManyHeld(t *testing.T) {
-	q := &quiet{}
+	q := &lastSendRecorder{}
 	p := New(benchSettings, 1, q)
 	now := Time(1e12)
 	p.EndpointsUpdated(now, listOf(512), true)
@@ -142,14 +142,14 @@
 			servers[id] = q.server
 		}
 	}
-	if len(p.tasks) != len(servers) || len(servers) < 90000 {
-		t.Errorf("%d held, %d sent", len(p.tasks), len(servers))
+	if len(p.requests) != len(servers) || len(servers) < 90000 {
+		t.Errorf("%d held, %d sent", len(p.requests), len(servers))
 	}
 	for id, s := range servers {
 		p.AttemptEnded(now+ms, AttemptResult{Request: id, Endpoint: s, Outcome: OutcomeSucceeded, Elapsed: ms, RequestDone: true})
 	}
-	if len(p.tasks) != 0 {
-		t.Errorf("%d held after all have their end", len(p.tasks))
+	if len(p.requests) != 0 {
+		t.Errorf("%d held after all have their end", len(p.requests))
 	}
 }
 
@@ -158,21 +158,21 @@
 func TestAColdFleetIsDividedToo(t *testing.T) {
 	set := benchSettings
 	set.NodeCount = 300
-	p := New(set, 1, &quiet{})
+	p := New(set, 1, &lastSendRecorder{})
 	now := Time(1e12)
 	list := listOf(120)
 	for i := range list {
 		list[i].StartedAt = now
 	}
 	p.EndpointsUpdated(now, list, true)
-	if got := len(p.near); got != chill*p.breadth || got > 40 {
-		t.Errorf("one of 300 nodes draws from %d of 120 cold servers, want %d times %d", got, chill, p.breadth)
+	if got := len(p.subset); got != warmingUpPerWarm*p.breadth || got > 40 {
+		t.Errorf("one of 300 nodes draws from %d of 120 cold servers, want %d times %d", got, warmingUpPerWarm, p.breadth)
 	}
 	for i := range list[:60] { // half of them were up long before
 		list[i].StartedAt = 0
 	}
 	p.EndpointsUpdated(now, list, true)
-	if warm := len(p.near) - len(p.chilly); warm < p.breadth {
+	if warm := len(p.subset) - len(p.warmingUp); warm < p.breadth {
 		t.Errorf("draws from %d warm ones, want %d", warm, p.breadth)
 	}
 }
