--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -30,6 +30,14 @@
 	WorkSamples   int     `json:"Met"`     // answers ever
 }
 
+// NewClass is what is known of a class before its first request.
+func NewClass() ClassEstimates { return ClassEstimates{LatencySpread: 2, SuccessRate: 1, KeptShare: 1} }
+
+// NewFleet is what is known of a fleet before its first answer.
+func NewFleet(highLatency float64) FleetEstimates {
+	return FleetEstimates{HighLatency: highLatency, Pods: map[int]*ewma.Pair{}, ZoneDelay: map[int]float64{}}
+}
+
 const (
 	learn     = 1.0 / 12 // part of a new value in a class's running quantiles
 	single    = 0.9      // the quantile of answers over predictions
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -116,10 +116,8 @@
 func (l *eventLoop) giveUpAll() {
 	l.stopping = true
 	for id, x := range l.requests {
-		c := l.node.settings.Policy.Classes[x.request.Class]
-		again := c.Idempotency == policy.IdempotentByKey && c.DedupGroup == policy.DedupFleet
-		mayHaveRun := slices.ContainsFunc(x.attempts, func(h *attempt) bool { return !h.neverRan && !(again && l.now < h.sentAt.Add(c.DedupWindow)) })
-		if !mayHaveRun || c.Idempotency == policy.Idempotent {
+		class := &l.node.settings.Policy.Classes[x.request.Class]
+		if policy.MayReject(class, l.now, x.attempts, ranSince) {
 			l.Reject(id, 0)
 		} else {
 			l.Fail(id)
@@ -127,6 +125,11 @@
 	}
 }
 
+// ranSince returns when an attempt was sent, and whether it may have run.
+func ranSince(a **attempt) (sentAt policy.Time, mayHaveRun bool) {
+	return (*a).sentAt, !(*a).neverRan
+}
+
 func (l *eventLoop) clientGone(x *pendingRequest) {
 	if l.requests[x.request.ID] != x || !l.finish(x, requestsCanceled, response{}) {
 		return
--- /dev/null
+++ b/policy/admission.go
@@ -0,0 +1,92 @@
+package policy
+
+import (
+	"cmp"
+	"fawnglade/internal/classdelay"
+	"fawnglade/internal/estimates"
+	"fawnglade/internal/quota"
+	"math"
+	"time"
+)
+
+// A request is admitted if an endpoint is predicted to answer it in time. Inputs: the predicted latency, the time left until
+// the latency objective or the effective deadline, the success rate of each class, its priority weight, and the tenants'
+// quotas. While requests are rejected, those of a class that does better than the worst, of a class that earns less
+// for its work, and of a tenant beyond its quota have to be answered in a part of the time that is left. None of this
+// acts while all classes succeed, and nothing is queued: who is not admitted is rejected at once. docs/design.md:
+// "Predicted in time", "Fairness over categories", "Customers beyond their share", "Categories in need".
+
+const (
+	// evenWorstClassWeight is the Settings.WorstClassWeight from which on what a class earns gives it no preference.
+	evenWorstClassWeight = 0.4
+	// minRelativeEarnings is the least that a class earns in the comparison, over what the best one earns.
+	minRelativeEarnings = 0.01
+	// retryAfterDivisor: the advised wait of a rejection is the latency objective over this.
+	retryAfterDivisor = 4
+)
+
+type admission struct {
+	quotas quota.Quotas
+	delays *classdelay.Tracker
+}
+
+// isInTime tells whether an endpoint is predicted to answer in time, by a quantile of the answers over their predictions. It
+// is a high quantile only as far as requests are rejected: while there is capacity, a late answer costs nobody else.
+func (b *Balancer) isInTime(c *criteria, ep *endpoint, work float64) bool {
+	spread := b.estimator.classes[c.request.Class].LatencySpread
+	factor := min(spread, 1+(spread-1)*(1-b.estimator.worstSuccessRate()))
+	predicted := float64(b.estimator.predictLatency(ep, work*factor))
+	return predicted+c.classDelayNanos <= float64(b.latencyBudget(c.request, c.answerBy.Sub(c.now)))
+}
+
+// latencyBudget is the part of the remaining time that a prediction may take.
+func (b *Balancer) latencyBudget(req *request, remaining time.Duration) time.Duration {
+	class := &b.estimator.classes[req.Class]
+	worst := b.estimator.worstSuccessRate()
+	fraction := worst / class.SuccessRate * (1 - (1-class.KeptShare)*(1-worst))
+	if req.overQuota {
+		fraction *= max(worst*worst, b.settings.OverQuotaFraction)
+	}
+	return time.Duration(float64(remaining) * fraction)
+}
+
+// updateKeptShares works out which part of its time each class keeps while requests are rejected: what its work earns over
+// what that of the best class earns, the less so the more the worst class counts for the operators.
+func (b *Balancer) updateKeptShares() {
+	classes := b.estimator.classes
+	best := math.SmallestNonzeroFloat64
+	for i := range classes {
+		classes[i].KeptShare = b.earningsPerWork(&classes[i], &b.settings.Classes[i])
+		best = max(best, classes[i].KeptShare)
+	}
+	preference := max(0, 1-b.settings.WorstClassWeight/evenWorstClassWeight)
+	for i := range classes {
+		classes[i].KeptShare = math.Pow(max(classes[i].KeptShare/best, minRelativeEarnings), preference)
+	}
+}
+
+func (b *Balancer) earningsPerWork(learned *estimates.ClassEstimates, class *Class) float64 {
+	if b.settings.WeightByWork {
+		return class.PriorityWeight
+	}
+	return class.PriorityWeight / max(learned.TypicalWork, b.estimator.MeanWork*minWorkFraction, 1)
+}
+
+// workAt is the expected work of a request at an endpoint, in nanoseconds; 0: not known yet.
+func (b *Balancer) workAt(req *request, ep *endpoint) float64 {
+	return b.work(req) * b.affinity.workFactor(ep)
+}
+
+// work is the expected work of a request where its key is not at home, in nanoseconds.
+func (b *Balancer) work(req *request) float64 {
+	if req.CostHint > 0 {
+		// Answers to requests with hardly any work tell nothing of an endpoint.
+		return max(float64(req.CostHint), minWorkFraction*b.estimator.MeanWork)
+	}
+	return cmp.Or(b.estimator.classes[req.Class].TypicalWork, b.estimator.MeanWork)
+}
+
+// retryAfter is the wait that a rejected client is advised; 0: none.
+func (b *Balancer) retryAfter(class *Class) time.Duration {
+	return min(b.settings.MaxRetryAfter, class.LatencyObjective/retryAfterDivisor)
+}
--- /dev/null
+++ b/policy/affinity.go
@@ -0,0 +1,61 @@
+package policy
+
+import (
+	"fawnglade/internal/keyfreq"
+	"fawnglade/internal/rendezvous"
+)
+
+// Affinity sends requests for a key to its homes, where an endpoint that served a key lately serves it for less work
+// (Settings.KeyAffinity). Homes are the first of the warm and healthy endpoints by rendezvous hashing of key and ID, so
+// nodes agree without a message; a key has as many as its part of the requests needs. Inputs: the key, how often it was
+// asked for, and the work that answers at a home took over that elsewhere, a ratio. A home is preferred but never
+// forced: it is drawn only if it is a candidate. docs/design.md: "Homes of a key".
+
+const (
+	// homeWorkWindow is the number of answers over which homeWorkFactor is averaged.
+	homeWorkWindow = 64
+	// minHomeWorkFactor and 1 bound homeWorkFactor; one answer counts for at most maxHomeWorkSample.
+	minHomeWorkFactor = 0.25
+	maxHomeWorkSample = 2
+)
+
+type affinity struct {
+	keys           keyfreq.Counter
+	homes          []*endpoint // of the key of the request that is being placed, the first choice first
+	homeWorkFactor float64     // work of a request at its key's home, over that elsewhere; 0.25 to 1
+}
+
+// findHomes sets the homes of the request's key. A key that needs more than rendezvous.MaxTop has none.
+func (b *Balancer) findHomes(now Time, req *request) {
+	a := &b.affinity
+	for _, ep := range a.homes {
+		ep.isHome = false
+	}
+	a.homes = a.homes[:0]
+	if req.homeCount <= rendezvous.MaxTop {
+		a.homes = rendezvous.Top(a.homes, b.endpoints.all, req.homeCount, func(ep *endpoint) uint64 {
+			if ep.State != StateActive || b.slowStart.capacity(now, ep) < 1 || ep.isAvoided(now) {
+				return 0
+			}
+			return rendezvous.Score(req.keyHash, uint32(ep.ID))
+		})
+	}
+	for _, ep := range a.homes {
+		ep.isHome = true
+	}
+}
+
+// workFactor is the work of the request that is being placed at an endpoint, over that where its key is not at home.
+func (a *affinity) workFactor(ep *endpoint) float64 {
+	if ep.isHome {
+		return a.homeWorkFactor
+	}
+	return 1
+}
+
+// learnHomeWork takes in an answer that took so long at a home, where it was expected to take so long.
+func (a *affinity) learnHomeWork(tookNanos, expectedNanos float64) {
+	sample := min(tookNanos*a.homeWorkFactor/expectedNanos, maxHomeWorkSample)
+	a.homeWorkFactor += (sample - a.homeWorkFactor) / homeWorkWindow
+	a.homeWorkFactor = min(max(a.homeWorkFactor, minHomeWorkFactor), 1)
+}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -12,15 +12,17 @@
 	sent   bool
 }
 
-func (q *lastSendRecorder) Send(_ RequestID, s EndpointID, _ time.Duration) { q.server, q.sent = s, true }
-func (*lastSendRecorder) Cancel(RequestID, int)                             {}
-func (*lastSendRecorder) Reject(RequestID, time.Duration)                   {}
-func (*lastSendRecorder) Fail(RequestID)                                    {}
-func (*lastSendRecorder) SetTimer(Time, uint64)                             {}
-func (*lastSendRecorder) WatchEndpoints()                                   {}
-func (*lastSendRecorder) CloseIdle(EndpointID)                              {}
-func (*lastSendRecorder) Gossip(GossipMessage)                              {}
-func (*lastSendRecorder) CheckHealth(EndpointID)                            {}
+func (q *lastSendRecorder) Send(_ RequestID, s EndpointID, _ time.Duration) {
+	q.server, q.sent = s, true
+}
+func (*lastSendRecorder) Cancel(RequestID, int)           {}
+func (*lastSendRecorder) Reject(RequestID, time.Duration) {}
+func (*lastSendRecorder) Fail(RequestID)                  {}
+func (*lastSendRecorder) SetTimer(Time, uint64)           {}
+func (*lastSendRecorder) WatchEndpoints()                 {}
+func (*lastSendRecorder) CloseIdle(EndpointID)            {}
+func (*lastSendRecorder) Gossip(GossipMessage)            {}
+func (*lastSendRecorder) CheckHealth(EndpointID)          {}
 
 func listOf(n int) []EndpointInfo {
 	list := make([]EndpointInfo, n)
@@ -125,12 +127,12 @@
 			p := New(benchSettings, 1, &lastSendRecorder{})
 			now := Time(1e12)
 			p.EndpointsUpdated(now, listOf(n), true)
-			for _, s := range p.endpoints {
+			for _, s := range p.endpoints.all {
 				s.backoffUntil = now + ms
 			}
 			task := &request{
 				Request: Request{Deadline: now + 900*ms}, classSettings: &p.settings.Classes[0], effectiveDeadline: now + 900*ms,
-				delays: p.classDelays.Of(0, 0),
+				delays: p.admission.delays.Of(0, 0),
 			}
 			for range b.N {
 				p.selectEndpoint(now, task)
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -59,12 +59,12 @@
 
 // digestEndpoint is a generated endpoint: how fast it is, and what it does wrong at the moment.
 type digestEndpoint struct {
-	listed                  policy.EndpointInfo
-	speed                   float64
-	inFlight                int
-	failing, silent, full   bool
-	failsCategory           int // answers this class with errors only; -1: none
-	connected, servedBefore bool
+	listed                policy.EndpointInfo
+	speed                 float64
+	inFlight              int
+	failing, silent, full bool
+	failsCategory         int // answers this class with errors only; -1: none
+	connected             bool
 }
 
 // digestRun drives one instance of the decisions with generated events and hashes all that it does.
@@ -91,7 +91,9 @@
 
 func (r *digestRun) note(action string, arguments ...any) {
 	r.actions[action]++
-	fmt.Fprintln(r.hash, r.now, action, arguments)
+	if _, err := fmt.Fprintln(r.hash, r.now, action, arguments); err != nil {
+		panic(err) // a hash takes all
+	}
 }
 
 func (r *digestRun) after(delay int64, run func()) {
--- a/policy/draw_test.go
+++ b/policy/draw_test.go
@@ -10,7 +10,7 @@
 func anyTask(p *Balancer, now Time) *request {
 	return &request{
 		Request: Request{Deadline: now + 900*ms, CostHint: 5e6}, classSettings: &p.settings.Classes[0], effectiveDeadline: now + 900*ms, objectiveAt: now + 900*ms,
-		delays: p.classDelays.Of(0, 0),
+		delays: p.admission.delays.Of(0, 0),
 	}
 }
 
@@ -18,8 +18,8 @@
 func taking(p *Balancer, now Time) map[*endpoint]float64 {
 	out := map[*endpoint]float64{}
 	if p.selectEndpoint(now, anyTask(p, now)) != nil {
-		for i, s := range p.candidates {
-			out[s] = p.weights[i]
+		for i, s := range p.selector.candidates {
+			out[s] = p.selector.weights[i]
 		}
 	}
 	return out
@@ -35,8 +35,8 @@
 		"as reported":           {func(s *endpoint) { s.Load = 4 }, 4},
 		"idle":                  {func(s *endpoint) { s.Load = 0 }, 1. / 20}, // a twentieth of the mean, which is 1
 		"never heard":           {func(s *endpoint) { s.Load, s.HasReport = 0, false }, 2},
-		"rising for two":        {func(s *endpoint) { s.Load, s.risingFrom = 1, now.Add(-2*recalculationInterval) }, 1.5},
-		"above while rising":    {func(s *endpoint) { s.Load, s.risingFrom = 6, now.Add(-2*recalculationInterval) }, 6},
+		"rising for two":        {func(s *endpoint) { s.Load, s.risingSince = 1, now.Add(-2*recalculationInterval) }, 1.5},
+		"above while rising":    {func(s *endpoint) { s.Load, s.risingSince = 6, now.Add(-2*recalculationInterval) }, 6},
 		"twice as slow":         {func(s *endpoint) { s.Load, s.Latency.A, s.Latency.Weight = 1, 3, 1 }, 4},
 		"in a pod twice slower": {func(s *endpoint) { s.Load, s.podLatency = 1, &ewma.Pair{A: 3, Weight: 1} }, 4},
 		"of twice the size":     {func(s *endpoint) { s.Load, s.Weight = 4, 2 }, 2},
@@ -48,11 +48,11 @@
 		set.WeightIsSize = true
 		p := New(set, 1, &lastSendRecorder{})
 		p.EndpointsUpdated(now, listOf(2), true)
-		for _, s := range p.endpoints {
-			s.Zone, s.Load, s.HasReport, s.risingFrom = 0, 2, true, 1
+		for _, s := range p.endpoints.all {
+			s.Zone, s.Load, s.HasReport, s.risingSince = 0, 2, true, 1
 		}
-		c.change(p.endpoints[0])
-		if got := taking(p, now)[p.endpoints[0]]; math.Abs(got/c.want-1) > 1e-9 {
+		c.change(p.endpoints.all[0])
+		if got := taking(p, now)[p.endpoints.all[0]]; math.Abs(got/c.want-1) > 1e-9 {
 			t.Errorf("%s: w is %g, want %g", name, got, c.want)
 		}
 	}
@@ -98,22 +98,22 @@
 		p := New(benchSettings, 3, &lastSendRecorder{})
 		now := Time(1e12)
 		p.EndpointsUpdated(now, listOf(n), true)
-		for _, s := range p.endpoints {
-			s.Load, s.LastReport, s.HasReport, s.risingFrom = math.Pow(10, 5*draw.Float64()-3), 1, true, 1
+		for _, s := range p.endpoints.all {
+			s.Load, s.LastReport, s.HasReport, s.risingSince = math.Pow(10, 5*draw.Float64()-3), 1, true, 1
 			s.inFlight = draw.IntN(3)
 		}
 		worked(t, "w over five orders", p, now, 40000)
-		for i, s := range p.endpoints {
+		for i, s := range p.endpoints.all {
 			s.backoffUntil = now + Time(i%(n/3+1))*ms
 		}
 		worked(t, "most just turned away", p, now, 40000)
-		for i, s := range p.endpoints {
+		for i, s := range p.endpoints.all {
 			if s.backoffUntil = 0; i != n/2 {
 				s.backoffUntil = now + ms
 			}
 		}
 		worked(t, "one left", p, now, 200)
-		p.endpoints[n/2].backoffUntil = now + ms
+		p.endpoints.all[n/2].backoffUntil = now + ms
 		if s := p.selectEndpoint(now, anyTask(p, now)); s != nil {
 			t.Errorf("drew %v with none left", s)
 		}
@@ -126,11 +126,11 @@
 	now := Time(1e12)
 	p.EndpointsUpdated(now, listOf(4096), true)
 	draw := rand.New(rand.NewPCG(1, 9))
-	for _, s := range p.endpoints {
-		s.Zone, s.Load, s.HasReport, s.risingFrom = 0, float64(int(1)<<draw.IntN(3)), true, 1
+	for _, s := range p.endpoints.all {
+		s.Zone, s.Load, s.HasReport, s.risingSince = 0, float64(int(1)<<draw.IntN(3)), true, 1
 	}
 	task, got, have := anyTask(p, now), map[float64]float64{}, map[float64]float64{}
-	for _, s := range p.endpoints {
+	for _, s := range p.endpoints.all {
 		have[s.Load]++
 	}
 	for range 60000 {
--- /dev/null
+++ b/policy/endpoint.go
@@ -0,0 +1,54 @@
+package policy
+
+import (
+	"fawnglade/internal/estimates"
+	"fawnglade/internal/ewma"
+	"time"
+)
+
+// endpoint is what this node knows of one endpoint, grouped by the rule that owns it.
+type endpoint struct {
+	// The endpoint list (endpointlist.go).
+	EndpointInfo
+	rank     uint64 // this node's order of preference, the highest first
+	delisted bool   // the list lacks it, and no attempt on it has failed since
+
+	// The subset and key affinity (subset.go, affinity.go).
+	inSubset bool
+	isHome   bool // of the key of the request that is being placed
+
+	// Load and latency; Load, LastReport and RisePerSend are load.go's, Latency and HighLatency estimator.go's.
+	estimates.EndpointEstimates
+	sendsSinceReport int
+	recalculateAt    Time       // when the load is worked out anew if no report comes before
+	risingSince      Time       // when its reports rose for the first time; 0: they have not
+	podLatency       *ewma.Pair // shared by the pod: this node hears of one endpoint too seldom to judge it alone
+
+	// Attempts of this node.
+	inFlight int
+	// silentSince is its last sign of life, or when something was sent to it with nothing in flight.
+	silentSince Time
+
+	// Outlier ejection, by class, and backoff after rejections (outlier.go).
+	health           []classHealth
+	rejectionsInARow int
+	backoffUntil     Time
+
+	// Slow start (slowstart.go).
+	slowStartCredit float64 // requests of mean work that may be sent to it while it warms up
+
+	// Idle connections (idleconns.go).
+	lastUsedAt  Time // last use of a connection to it; 0: none is open
+	maxInFlight int  // since its idle connections were last closed
+}
+
+// classHealth is how an endpoint did lately with one class of requests.
+type classHealth struct {
+	failureRate  float64 // running part of attempts that failed, 0 to 1
+	samples      float64 // fading count of the attempts in failureRate
+	ejected      bool
+	ejectionTime time.Duration // doubles while it stays ejected
+	retryAt      Time          // when one idempotent request may try it again
+	gossipVotes  float64       // fading count of messages of other nodes that it fails this class
+	gossipedAt   Time          // when this node sent such a message last
+}
--- /dev/null
+++ b/policy/estimator.go
@@ -0,0 +1,180 @@
+package policy
+
+import (
+	"cmp"
+	"fawnglade/internal/estimates"
+	"slices"
+	"time"
+)
+
+// Latency is predicted from decaying averages of the answers' latency for each unit of expected work, a ratio: that of the
+// fleet, times that of the pod over the fleet, times that of the endpoint over both. Each average counts one answer that
+// was never seen and shows nothing unusual, so that few answers say little. Inputs: the work of an attempt in nanoseconds,
+// its latency, the attempts of this node at the endpoint when it was sent, and, by zone, the latency that an answer has
+// however little the work. Work is in nanoseconds as float64, for speed. Answers of one endpoint alone never make
+// the whole fleet look slow. docs/design.md: "Predicted in time", "The way to a zone", "What teaches it".
+
+const (
+	// learningRate is the part of a new value in an endpoint's running averages.
+	learningRate = 1.0 / 12
+	// fleetWindow and endpointWindow are the weights in answers at which the averages of the fleet, and those of a pod and
+	// of an endpoint, stay.
+	fleetWindow    = 64
+	endpointWindow = 2 / learningRate
+	// meanWorkWindow is the number of answers over which the mean work is averaged.
+	meanWorkWindow = 32
+	// fleetDecayPerSecond is the part of what answers showed of the fleet that still counts a second later.
+	fleetDecayPerSecond = 0.5
+
+	// highLatencyQuantile is the quantile of the latency for each unit of work by which an endpoint is overdue or silent.
+	highLatencyQuantile = 0.95
+	// initialHighLatency is what it is taken for, over one answer or over the work alone.
+	initialHighLatency = 2
+	// zoneDelayQuantile is the quantile of latency less work that tells the delay of a zone.
+	zoneDelayQuantile = 0.1
+	// minWorkFraction is the part of the mean work that a request counts for at least.
+	minWorkFraction = 0.25
+	// maxSurprise bounds what an answer counts for in the averages of fleet and pod, over what these show.
+	maxSurprise = 3
+	// minOverdueTicks is how many ticks of the clock an answer is not overdue: this node itself may have stood still.
+	minOverdueTicks = 4
+	// overdueFactor: an answer is overdue after its high quantile times this.
+	overdueFactor = 2
+)
+
+// estimator holds what was learned of latency and work of the fleet and of each class. What was learned of an endpoint is
+// in the endpoint.
+type estimator struct {
+	estimates.FleetEstimates
+	classes         []estimates.ClassEstimates
+	clockResolution time.Duration
+}
+
+func newEstimator(settings *Settings) estimator {
+	unknown := []estimates.ClassEstimates{estimates.NewClass()}
+	return estimator{
+		FleetEstimates:  estimates.NewFleet(initialHighLatency),
+		classes:         slices.Repeat(unknown, len(settings.Classes)),
+		clockResolution: settings.ClockResolution,
+	}
+}
+
+// predictLatency is the expected latency of so much work. Attempts of this node count double: what draws this node to an
+// endpoint draws others too, unseen.
+func (e *estimator) predictLatency(ep *endpoint, work float64) time.Duration {
+	perWork, inFlight := e.expectedLatency(ep)
+	crowding := (1 + 2*float64(ep.inFlight)) / (1 + 2*inFlight)
+	return time.Duration(e.ZoneDelay[ep.Zone] + perWork*work*crowding)
+}
+
+// expectedLatency is the latency for each unit of work, and the attempts in flight at which it was measured.
+func (e *estimator) expectedLatency(ep *endpoint) (perWork, inFlight float64) {
+	fleet, inFlight := e.Fleet.Means(1, 0)
+	pod, inFlight := ep.podLatency.Means(1, inFlight)
+	own, inFlight := ep.Latency.Means(1, inFlight)
+	return fleet * pod * own, inFlight
+}
+
+// unloadedNanos is the latency of so much work with nothing else at the endpoint and the fleet at rest.
+func (e *estimator) unloadedNanos(ep *endpoint, work float64) float64 {
+	return e.ZoneDelay[ep.Zone] + work*ep.podLatency.Level()*ep.Latency.Level()
+}
+
+// overdueAfter is how long an answer may take, by the high quantile of the endpoint or of its healthy peers.
+func (e *estimator) overdueAfter(ep *endpoint, work float64) time.Duration {
+	high := e.HighLatency
+	if ep.HasLatency && !ep.isAvoided(ep.silentSince) {
+		high = min(2*high, ep.HighLatency)
+	}
+	_, inFlight := e.expectedLatency(ep)
+	work *= high * (1 + float64(ep.inFlight)) / (1 + min(inFlight, float64(ep.inFlight)))
+	overdue := time.Duration(overdueFactor * (e.ZoneDelay[ep.Zone] + work))
+	return max(minOverdueTicks*e.clockResolution, overdue)
+}
+
+// isSilent tells whether an endpoint has answered nothing for too long. Guards against one that takes requests and answers
+// none, and so reports no load.
+func (e *estimator) isSilent(now Time, ep *endpoint, work float64) bool {
+	return ep.inFlight > 0 && ep.HasLatency && now.Sub(ep.silentSince) > e.overdueAfter(ep, max(work, e.MeanWork))
+}
+
+// relativeWork is work in requests of mean work.
+func (e *estimator) relativeWork(work float64) float64 {
+	return cmp.Or(work, e.MeanWork, 1) / cmp.Or(e.MeanWork, work, 1)
+}
+
+// worstSuccessRate is the success rate of the class that fares worst.
+func (e *estimator) worstSuccessRate() float64 {
+	worst := slices.MinFunc(e.classes, func(a, b estimates.ClassEstimates) int {
+		return cmp.Compare(a.SuccessRate, b.SuccessRate)
+	})
+	return worst.SuccessRate
+}
+
+// observeLatency learns of an endpoint, its pod and the fleet from how long an attempt took.
+func (e *estimator) observeLatency(a *attempt, tookNanos float64) {
+	if a.work == 0 {
+		return
+	}
+	ep := a.endpoint
+	perWork := tookNanos / a.work
+	fleet, pod := e.Fleet.Level(), ep.podLatency.Level()
+	// Guards against a few slow endpoints making the whole fleet look late.
+	e.Fleet.Add(min(perWork, maxSurprise*fleet), a.inFlightBefore, fleetWindow)
+	ep.podLatency.Add(min(perWork/fleet, maxSurprise*pod), a.inFlightBefore, endpointWindow)
+	ep.Latency.Add(perWork/fleet/pod, a.inFlightBefore, endpointWindow)
+	if !ep.HasLatency {
+		ep.HasLatency = true
+		ep.HighLatency = initialHighLatency * perWork
+	}
+	mean, _ := e.expectedLatency(ep)
+	step := estimates.QuantileStep(perWork > ep.HighLatency, mean*learningRate, highLatencyQuantile)
+	ep.HighLatency = max(mean, ep.HighLatency+step)
+}
+
+// observeMeanWork learns from the work of a request that was answered.
+func (e *estimator) observeMeanWork(work float64) {
+	// Guards against other classes being compared with next to nothing.
+	e.MeanWork = cmp.Or(e.MeanWork, work)
+	e.MeanWork += (work - e.MeanWork) / meanWorkWindow
+}
+
+// withoutZoneDelay takes off a latency what answers of the zone take however little the work, and learns it. Guards
+// against requests with little work making another zone look slow.
+func (e *estimator) withoutZoneDelay(a *attempt, tookNanos float64) float64 {
+	zone := a.endpoint.Zone
+	beyondWork := tookNanos - a.work
+	delay, known := e.ZoneDelay[zone]
+	if !known {
+		delay = beyondWork
+	}
+	step := estimates.QuantileStep(beyondWork >= delay, e.MeanWork*learningRate, zoneDelayQuantile)
+	delay = max(0, delay+step)
+	e.ZoneDelay[zone] = delay
+	return max(tookNanos-delay, a.work/4)
+}
+
+// updateHighLatency takes the mean of the high quantiles of the endpoints that are active and healthy.
+func (e *estimator) updateHighLatency(now Time, endpoints []*endpoint) {
+	sum, count := 0.0, 0.0
+	for _, ep := range endpoints {
+		if ep.State == StateActive && ep.HasLatency && !ep.isAvoided(now) {
+			sum += ep.HighLatency
+			count++
+		}
+	}
+	e.HighLatency = cmp.Or(sum/max(count, 1), e.HighLatency)
+}
+
+// decayEndpoint lets what was learned of an endpoint that is no longer heard of drift to what others show.
+func (e *estimator) decayEndpoint(ep *endpoint) {
+	unknown := 1 - min(1, ep.Latency.Weight*learningRate)
+	ep.HighLatency += (e.HighLatency - ep.HighLatency) * learningRate * unknown
+	ep.Latency.Decay(1 - learningRate)
+}
+
+func (e *estimator) decayClasses() {
+	for i := range e.classes {
+		e.classes[i].Decay()
+	}
+}
--- /dev/null
+++ b/policy/hedging.go
@@ -0,0 +1,75 @@
+package policy
+
+import "math"
+
+// An attempt that is overdue may get a hedged request: a second attempt at another endpoint while the first is in flight.
+// Inputs: the latency at which an answer of the endpoint is overdue, the time left until the effective deadline, and a
+// budget of one hedged request for every ten requests. There is none for a non-idempotent class, nor where the settings
+// forbid two attempts at once; there an overdue idempotent attempt is canceled and sent elsewhere, if its endpoint has
+// answered nobody since: one that answers others is at work on a heavy request, which would be heavy elsewhere too. A
+// request whose body is still coming is never overdue. docs/design.md: "Second copies".
+
+const (
+	hedgesPerRequest = 0.1
+	maxHedgeBudget   = 4 // hedged requests that may be saved up
+)
+
+// hedgeBudget bounds the hedged requests.
+type hedgeBudget struct {
+	available float64
+}
+
+func (h *hedgeBudget) earn() {
+	h.available = min(h.available+hedgesPerRequest, maxHedgeBudget)
+}
+
+// setOverdueTimer sets the timer of a request that has one attempt in flight, if time is left then for another.
+func (b *Balancer) setOverdueTimer(now Time, req *request, ep *endpoint, work float64) {
+	overdueAfter := b.estimator.overdueAfter(ep, work)
+	if work <= 0 || req.inFlight != 1 || req.StreamingBody {
+		return
+	}
+	latest := req.effectiveDeadline.Add(-(overdueAfter / 2))
+	if now.Add(overdueAfter) < latest {
+		b.effects.SetTimer(now.Add(overdueAfter), b.requests.overdueTimer(req))
+	}
+}
+
+// attemptOverdue takes an attempt that should have been answered: its endpoint is judged, and the request hedged or moved.
+func (b *Balancer) attemptOverdue(now Time, req *request, number int) {
+	a := &req.attempts[number]
+	b.foundConnectionDead(now, a, OutcomeTimedOut)
+	b.observeUnansweredDelay(now, req, a)
+	if a.endpoint.answeredSince(a.sentAt) && !a.heldAgainstClass {
+		// Guards against endpoints that leave one class unanswered and serve the others.
+		a.heldAgainstClass = true
+		b.recordOutcome(now, a.endpoint, req, true, OutcomeError)
+	}
+	class := req.classSettings
+	switch {
+	case b.settings.MayHedge && class.Idempotency != NonIdempotent:
+		b.hedge(now, req)
+	case len(req.attempts) < b.settings.MaxAttempts && b.settings.MayCancel &&
+		class.Idempotency == Idempotent && !a.endpoint.answeredSince(a.sentAt):
+		b.effects.Cancel(req.ID, number)
+	}
+}
+
+func (b *Balancer) hedge(now Time, req *request) {
+	ep := b.selectEndpoint(now, req)
+	if ep != nil && b.hedging.available >= 1 {
+		b.hedging.available--
+		b.sendTo(now, req, ep)
+	}
+}
+
+// answeredSince tells whether an endpoint has shown a sign of life after a moment.
+func (ep *endpoint) answeredSince(at Time) bool { return ep.silentSince > at }
+
+// observeUnansweredDelay notes for the request's class and tenant that an attempt is late by an unknown time, unless its
+// connection was dead.
+func (b *Balancer) observeUnansweredDelay(now Time, req *request, a *attempt) {
+	if !a.connectionDead {
+		req.delays.Observe(int64(now), int64(a.sentAt), math.Inf(1), a.unloadedNanos)
+	}
+}
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -44,12 +44,12 @@
 func (w *world) fail(format string, a ...any) { w.broken = append(w.broken, fmt.Sprintf(format, a...)) }
 
 func (w *world) Send(id RequestID, server EndpointID, timeOut time.Duration) {
-	t, c := w.tasks[id], &w.set.Classes[0]
+	t := w.tasks[id]
 	if t == nil || t.over {
 		w.fail("rule 1: hand-off of a task that is over")
 		return
 	}
-	c = &w.set.Classes[t.task.Class]
+	c := &w.set.Classes[t.task.Class]
 	if timeOut <= 0 || w.now.Add(timeOut) > t.task.Deadline {
 		w.fail("rule 1: time-out %d leaves the hard limit", timeOut)
 	}
@@ -334,10 +334,10 @@
 				w.fail("rule 1: task with %d final answers", w.tasks[id].finals)
 			}
 		}
-		if len(w.p.requests) > 0 {
-			w.fail("%d tasks are kept after their end", len(w.p.requests))
+		if len(w.p.requests.byID) > 0 {
+			w.fail("%d tasks are kept after their end", len(w.p.requests.byID))
 		}
-		for _, s := range w.p.endpoints {
+		for _, s := range w.p.endpoints.all {
 			if s.inFlight != 0 {
 				w.fail("%d hand-offs are counted out after all have ended", s.inFlight)
 			}
--- a/policy/move_test.go
+++ b/policy/move_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// subset returns whom a node draws from.
-func subset(p *Balancer) map[EndpointID]bool {
+// subsetIDs returns the members of the subset.
+func subsetIDs(p *Balancer) map[EndpointID]bool {
 	near := map[EndpointID]bool{}
-	for _, s := range p.endpoints {
+	for _, s := range p.endpoints.all {
 		if s.inSubset {
 			near[s.ID] = true
 		}
@@ -26,7 +26,7 @@
 		set.NodeIndex, set.NodeCount = at, nodes
 		p := New(set, 1, &lastSendRecorder{})
 		p.EndpointsUpdated(1e12, listOf(servers), true)
-		before := subset(p)
+		before := subsetIDs(p)
 		if len(before) != minSubsetSize {
 			t.Fatalf("node %d draws from %d servers, want %d", at, len(before), minSubsetSize)
 		}
@@ -36,7 +36,7 @@
 		gone := listOf(servers)[7]
 		gone.State = StateRemoved
 		p.EndpointsUpdated(1e12, []EndpointInfo{gone}, false)
-		for id := range subset(p) {
+		for id := range subsetIDs(p) {
 			if !before[id] {
 				moved++
 			}
@@ -54,7 +54,7 @@
 
 func TestAFewNodesDrawFromAll(t *testing.T) {
 	b := fleet(t, 19, func(s *Settings) { s.NodeIndex, s.NodeCount = 2, 4 })
-	if n := len(subset(b.Balancer)); n != 19 {
+	if n := len(subsetIDs(b.Balancer)); n != 19 {
 		t.Errorf("one of four nodes draws from %d of 19 servers", n)
 	}
 }
@@ -65,21 +65,21 @@
 
 func TestSubsetWidensPastUnfitServersAndWithTraffic(t *testing.T) {
 	b := fleet(t, 40, many)
-	before := subset(b.Balancer)
+	before := subsetIDs(b.Balancer)
 	for id := range before {
-		b.byID[id].health[0].ejected = true
+		b.endpoints.byID[id].health[0].ejected = true
 	}
-	if b.tick(); len(subset(b.Balancer)) != minSubsetSize+minSubsetSize/2+1 {
-		t.Errorf("with %d servers unfit a node draws from %d", minSubsetSize, len(subset(b.Balancer)))
+	if b.tick(); len(subsetIDs(b.Balancer)) != minSubsetSize+minSubsetSize/2+1 {
+		t.Errorf("with %d servers unfit a node draws from %d", minSubsetSize, len(subsetIDs(b.Balancer)))
 	}
 	for id := range before {
-		b.byID[id].health[0].ejected = false
+		b.endpoints.byID[id].health[0].ejected = false
 	}
 	b.tick()
 	for range 60 { // within a second
 		b.arrive(0)
 	}
-	if n := len(subset(b.Balancer)); n < 8 {
+	if n := len(subsetIDs(b.Balancer)); n < 8 {
 		t.Errorf("asked for 60 tasks in a moment a node draws from %d servers", n)
 	}
 }
@@ -90,7 +90,7 @@
 	b.serve(60, prompt)
 	b.tick()
 	b.arrive(2)
-	woken, silent := b.recorder.cookies[len(b.recorder.cookies)-1], b.endpoints[0]
+	woken, silent := b.cookies[len(b.cookies)-1], b.endpoints.all[0]
 	b.now += 100 * ms
 	if b.TimerFired(b.now, woken); silent.health[2].ejected {
 		t.Error("struck though nothing else was answered since")
@@ -109,14 +109,14 @@
 	id := b.arrive(0)
 	first := b.last()
 	b.now += 200 * ms
-	b.TimerFired(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
+	b.TimerFired(b.now, b.cookies[len(b.cookies)-1])
 	if b.recalled != 1 {
 		t.Fatalf("%d recalled", b.recalled)
 	}
-	if b.end(id, 0, OutcomeCanceled, 200*ms); b.last() == first || b.Balancer.requests[id].inFlight != 1 {
+	if b.end(id, 0, OutcomeCanceled, 200*ms); b.last() == first || b.requests.byID[id].inFlight != 1 {
 		t.Error("the recalled task did not go to another server")
 	}
-	exclusive := b.Balancer.requests[b.arrive(2)]
+	exclusive := b.requests.byID[b.arrive(2)]
 	b.now += 200 * ms
 	b.attemptOverdue(b.now, exclusive, 0)
 	if b.recalled != 1 {
@@ -130,7 +130,7 @@
 		b := fleet(t, 1, func(s *Settings) { s.MayHedge = false })
 		b.serve(40, prompt)
 		id := b.arrive(0)
-		cookie := b.recorder.cookies[len(b.recorder.cookies)-1]
+		cookie := b.cookies[len(b.cookies)-1]
 		if answers {
 			other := b.arrive(0)
 			b.now += 50 * ms
@@ -149,12 +149,12 @@
 func TestConnectionsThatDieIdleAreClosedBeforeUse(t *testing.T) {
 	b := fleet(t, 4, func(s *Settings) { s.StreamsPerConnection = 100 })
 	b.serve(40, prompt)
-	for n := 0; n < 20 && b.idleTimeout.Limit > 1e12; n++ {
+	for n := 0; n < 20 && b.idleConns.trusted.Limit > 1e12; n++ {
 		b.now += 2e9
 		id := b.arrive(0)
-		s := b.byID[b.last()]
+		s := b.endpoints.byID[b.last()]
 		b.now += ms
-		if b.Balancer.requests[id].attempts[0].idleTime == 0 { // its connection is new
+		if b.requests.byID[id].attempts[0].idleTime == 0 { // its connection is new
 			b.end(id, 0, OutcomeSucceeded, ms)
 			continue
 		}
@@ -163,8 +163,8 @@
 		}
 		b.end(id, 1, OutcomeSucceeded, 40*ms)
 	}
-	if b.idleTimeout.Limit > 8e9 {
-		t.Fatalf("connections idle for %d ms are still trusted", b.idleTimeout.Limit/ms)
+	if b.idleConns.trusted.Limit > 8e9 {
+		t.Fatalf("connections idle for %d ms are still trusted", b.idleConns.trusted.Limit/ms)
 	}
 	b.released = nil
 	for range 8 {
@@ -181,17 +181,17 @@
 	for _, most := range []int{1, 2} { // out at once at a server
 		b := fleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
 		b.serve(60, prompt)
-		for _, s := range b.byID {
+		for _, s := range b.endpoints.byID {
 			s.maxInFlight = most
 		}
 		for range 3 {
 			b.now += 2e9
 			b.arrive(0)
 			b.now += 400 * ms
-			b.TimerFired(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
+			b.TimerFired(b.now, b.cookies[len(b.cookies)-1])
 		}
-		if learned := b.idleTimeout.Limit < 1e12; learned != (most == 1) {
-			t.Errorf("%d out at once at a server, where a connection carries one: idle time trusted %d ms", most, b.idleTimeout.Limit/ms)
+		if learned := b.idleConns.trusted.Limit < 1e12; learned != (most == 1) {
+			t.Errorf("%d out at once at a server, where a connection carries one: idle time trusted %d ms", most, b.idleConns.trusted.Limit/ms)
 		}
 	}
 }
@@ -207,8 +207,8 @@
 		t.Fatal("a connection idle for 5 s was used")
 	}
 	b.end(id, 0, OutcomeConnectFailed, 75*ms)
-	if b.idleTimeout.Limit < 1e12 {
-		t.Errorf("idle time trusted %d ms, and no new connection can be had", b.idleTimeout.Limit/ms)
+	if b.idleConns.trusted.Limit < 1e12 {
+		t.Errorf("idle time trusted %d ms, and no new connection can be had", b.idleConns.trusted.Limit/ms)
 	}
 }
 
@@ -217,20 +217,20 @@
 	b := fleet(t, 4, many)
 	news := GossipMessage{IdleTime: 1200 * ms}
 	for n := range 40 {
-		if trusted := b.idleTimeout.Limit > 1e12; trusted != (n < 12) {
+		if trusted := b.idleConns.trusted.Limit > 1e12; trusted != (n < 12) {
 			t.Fatalf("after %d voices of 300 connections are trusted: %v", n, trusted)
 		}
 		b.GossipReceived(b.now, news)
 	}
-	if b.idleTimeout.Limit != 900*ms {
-		t.Errorf("trusted for %d ms", b.idleTimeout.Limit/ms)
+	if b.idleConns.trusted.Limit != 900*ms {
+		t.Errorf("trusted for %d ms", b.idleConns.trusted.Limit/ms)
 	}
 	for range 200 {
 		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if b.idleTimeout.Limit < 5e9 {
-		t.Errorf("200 s later connections are trusted for %d ms only", b.idleTimeout.Limit/ms)
+	if b.idleConns.trusted.Limit < 5e9 {
+		t.Errorf("200 s later connections are trusted for %d ms only", b.idleConns.trusted.Limit/ms)
 	}
 }
 
@@ -238,7 +238,7 @@
 	b := fleet(t, 12, many)
 	b.serve(60, prompt)
 	var seen, unseen *endpoint
-	for _, s := range b.endpoints {
+	for _, s := range b.endpoints.all {
 		if s.inSubset && s.health[0].samples > 1 {
 			seen = s
 		} else if !s.inSubset {
@@ -278,10 +278,10 @@
 			b.GossipReceived(b.now, news)
 		}
 	}
-	for _, s := range b.endpoints {
+	for _, s := range b.endpoints.all {
 		for _, st := range s.health {
-			if st.ejected || b.idleTimeout.Limit < 1e12 {
-				t.Fatalf("idle %d, standing %+v", b.idleTimeout.Limit, st)
+			if st.ejected || b.idleConns.trusted.Limit < 1e12 {
+				t.Fatalf("idle %d, standing %+v", b.idleConns.trusted.Limit, st)
 			}
 		}
 	}
@@ -312,18 +312,18 @@
 	b := fleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
 	b.serve(40, prompt)
 	for range 40 { // slow all the time, but nothing is rejected
-		b.Balancer.Fleet.A, b.Balancer.Fleet.Weight = 400, 40
+		b.estimator.Fleet.A, b.estimator.Fleet.Weight = 400, 40
 		b.now += Time(recalculationInterval)
-		if b.tick(); b.restUntil > 0 {
+		if b.tick(); b.overload.restUntil > 0 {
 			t.Fatal("a rest though nothing was turned away")
 		}
 	}
 	rests := 0
 	for second := range 40 {
-		b.Balancer.Fleet.A, b.Balancer.Fleet.Weight, b.classes[0].SuccessRate = 400, 40, 0.4
+		b.estimator.Fleet.A, b.estimator.Fleet.Weight, b.estimator.classes[0].SuccessRate = 400, 40, 0.4
 		b.now += Time(recalculationInterval)
 		b.tick()
-		if b.restUntil > b.now {
+		if b.overload.restUntil > b.now {
 			rests++
 			if second < overloadedSecondsToRest-1 {
 				t.Fatalf("a rest after %d s of jam", second+1)
@@ -352,7 +352,7 @@
 		b.now += ms
 		b.end(id, 0, o, ms)
 	}
-	if b.idleTimeout.Limit < 1e12 {
-		t.Errorf("one reset in twelve, and connections idle for %d ms are no longer trusted", b.idleTimeout.Limit/ms)
+	if b.idleConns.trusted.Limit < 1e12 {
+		t.Errorf("one reset in twelve, and connections idle for %d ms are no longer trusted", b.idleConns.trusted.Limit/ms)
 	}
 }
--- /dev/null
+++ b/policy/outcome.go
@@ -0,0 +1,143 @@
+package policy
+
+import "time"
+
+// The end of an attempt tells each rule something else. Inputs: the outcome, the time from sending to the end, and what
+// was known at sending. A connection that was dead, a class or tenant that waits at any endpoint, and an attempt
+// that was never sent are held against no endpoint. A time-out counts as a longer latency, or only quick answers would
+// be learned from. docs/design.md: "What teaches it", "Unfit servers, by category".
+
+// timeoutFactor is the latency that an attempt without an answer is taken for, over the time that it had.
+const timeoutFactor = 1.5
+
+// learnFrom takes the end of an attempt.
+func (b *Balancer) learnFrom(now Time, req *request, a *attempt, result AttemptResult) {
+	ep, class := a.endpoint, req.Class
+	if b.showsLife(ep, result.Outcome) {
+		ep.silentSince = now
+	}
+	if b.isNotEndpointsFault(now, a, result.Outcome) {
+		if a.heldAgainstClass && result.Outcome == OutcomeTimedOut {
+			b.gossipFailure(now, ep, class)
+		}
+		return
+	}
+	if !b.learnFromOutcome(now, req, a, result) {
+		return
+	}
+	failed := result.Outcome != OutcomeSucceeded
+	if failed && ep.delisted {
+		ep.delist(false)
+		b.updateSubset(now)
+	}
+	b.recordOutcome(now, ep, req, failed, result.Outcome)
+	if result.Outcome == OutcomeError && ep.health[class].ejected {
+		b.gossipFailure(now, ep, class)
+	}
+}
+
+// showsLife tells whether an outcome came from the endpoint itself. A reset did only where several connections carry one
+// attempt each: else something between may have dropped the connection.
+func (b *Balancer) showsLife(ep *endpoint, outcome Outcome) bool {
+	switch outcome {
+	case OutcomeTimedOut, OutcomeCanceled, OutcomeNotSent:
+		return false
+	case OutcomeReset:
+		return b.settings.StreamsPerConnection < 2 && ep.maxInFlight > 1
+	default:
+		return true
+	}
+}
+
+// isNotEndpointsFault tells whether an end says nothing more of the endpoint: nothing was sent, the attempt was counted when
+// it was overdue, or its connection was dead.
+func (b *Balancer) isNotEndpointsFault(now Time, a *attempt, outcome Outcome) bool {
+	switch outcome {
+	case OutcomeNotSent:
+		return true
+	case OutcomeSucceeded:
+		return false
+	default:
+		return a.heldAgainstClass || b.foundConnectionDead(now, a, outcome)
+	}
+}
+
+// learnFromOutcome teaches latencies and backoffs; it tells whether the outcome counts for or against the endpoint's health.
+func (b *Balancer) learnFromOutcome(now Time, req *request, a *attempt, result AttemptResult) bool {
+	switch result.Outcome {
+	case OutcomeSucceeded:
+		b.learnFromSuccess(now, req, a, float64(result.Elapsed), result.NewConnection)
+	case OutcomeRejected:
+		b.learnFromRejection(now, req, a, result.Report.QueueLength)
+		return false
+	case OutcomeConnectFailed:
+		if a.idleTime == 0 {
+			// Guards against closing the connections that are open while no new one can be had.
+			b.idleConns.trusted.Reset()
+		}
+		a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
+	case OutcomeCanceled:
+		// Guards against a silent endpoint that looks healthy because hedged requests always overtake it.
+		wasOverdue := result.Elapsed >= b.estimator.overdueAfter(a.endpoint, a.work)
+		return wasOverdue && !a.endpoint.answeredSince(a.sentAt) && a.classDelayNanos <= 0
+	case OutcomeTimedOut:
+		return b.learnFromTimeout(now, req, a, float64(result.Elapsed))
+	}
+	return true
+}
+
+// learnFromSuccess takes an answer.
+func (b *Balancer) learnFromSuccess(now Time, req *request, a *attempt, tookNanos float64, newConnection bool) {
+	ep, class := a.endpoint, &b.estimator.classes[req.Class]
+	ep.rejectionsInARow = 0
+	b.idleConns.trusted.Survived(int64(a.idleTime))
+	req.delays.Observe(int64(now), int64(a.sentAt), tookNanos, a.unloadedNanos)
+	class.Calibrate(tookNanos, a.predictedNanos)
+	if newConnection && a.work > 0 {
+		// Guards against the opening of a connection making its endpoint look slow.
+		b.earnCreditByAnswer(now, ep, a.work)
+		return
+	}
+	if req.CostHint > 0 {
+		tookNanos = b.estimator.withoutZoneDelay(a, tookNanos)
+	}
+	if a.atHome && a.work > 0 {
+		perWork, _ := b.estimator.expectedLatency(ep)
+		b.affinity.learnHomeWork(tookNanos, perWork*a.work)
+		// From here on as elsewhere, so that what is learned is of the endpoint.
+		tookNanos /= b.affinity.homeWorkFactor
+		a.work /= b.affinity.homeWorkFactor
+	}
+	class.ObserveWork(tookNanos)
+	if a.work == 0 {
+		a.work = tookNanos
+	}
+	b.estimator.observeMeanWork(a.work)
+	b.estimator.observeLatency(a, tookNanos)
+	b.earnCreditByAnswer(now, ep, a.work)
+}
+
+// learnFromRejection takes an attempt that the endpoint rejected. It counts as a late answer, unless an endpoint that is well
+// known tells of an empty queue: where most are full, trying elsewhere brings only a storm of retries.
+func (b *Balancer) learnFromRejection(now Time, req *request, a *attempt, queueLength float64) {
+	a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
+	wellKnown := a.endpoint.Latency.Weight*learningRate >= 1
+	if queueLength != 0 || !wellKnown {
+		b.estimator.observeLatency(a, float64(req.effectiveDeadline-a.sentAt)*timeoutFactor)
+	}
+}
+
+// learnFromTimeout takes an attempt without an answer; it tells whether that counts against the endpoint.
+func (b *Balancer) learnFromTimeout(now Time, req *request, a *attempt, tookNanos float64) bool {
+	b.observeUnansweredDelay(now, req, a)
+	if a.classDelayNanos > 0 {
+		return false
+	}
+	// Guards against a silent endpoint raising the spread of its class, and so requests to others being rejected.
+	isUsual := maxSurprise*b.estimator.Fleet.Level()*a.work > tookNanos
+	if a.endpoint.answeredSince(a.sentAt) || isUsual {
+		b.estimator.classes[req.Class].Calibrate(tookNanos*timeoutFactor, a.predictedNanos)
+	}
+	b.estimator.observeLatency(a, tookNanos*timeoutFactor)
+	return true
+}
--- /dev/null
+++ b/policy/outlier.go
@@ -0,0 +1,129 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// An endpoint that fails much of one class is ejected for that class. Inputs: the failure rate of the endpoint in the
+// class, a running part from 0 to 1, the failure rate of all endpoints, and messages of other nodes. It is ejected above a
+// quarter, and above twice the rate of all: where everything fails together, no endpoint is an outlier. One idempotent
+// request at a time tries an ejected endpoint after half a second, which doubles to four; it is back when its rate is
+// under half of the limit. Other nodes' messages eject it only where this node has seen nothing itself, or failures.
+// Where nobody else is a candidate an ejected endpoint is used rather than rejecting, if this node knows it well and has
+// nothing in flight there. An endpoint that rejects, or takes no connection, gets nothing for a time that doubles.
+// docs/design.md: "Unfit servers", "Silent servers", "Servers that turn away", "News".
+
+const (
+	ejectionFailureRate = 0.25
+	minEjectionTime     = time.Second / 2
+	maxEjectionTime     = 4 * time.Second
+	// maxHealthSamples bounds classHealth.samples.
+	maxHealthSamples = 2 / learningRate
+	// gossipVotesToEject is how many messages, within about two seconds, eject an endpoint; one may tell of one error.
+	gossipVotesToEject = 3
+	// gossipEjectionTime is how long an endpoint stays ejected at least after such messages.
+	gossipEjectionTime = time.Second
+	// gossipDecayPerSecond is the part of the votes that still counts a second later.
+	gossipDecayPerSecond = 0.5
+
+	// maxRejectionBackoff is for an endpoint that was not heard of lately; the more is known of it, the shorter.
+	maxRejectionBackoff = time.Second
+	// maxRejectionsInARow bounds the doubling of the backoff.
+	maxRejectionsInARow = 6
+)
+
+// outlierDetector judges endpoints against all others.
+type outlierDetector struct {
+	fleetFailureRate float64 // running part of the attempts at any endpoint that failed
+}
+
+// limit is the failure rate above which an endpoint is ejected.
+func (d *outlierDetector) limit() float64 {
+	return max(ejectionFailureRate, 2*d.fleetFailureRate)
+}
+
+// record judges an endpoint in one class by the end of an attempt, which counts for rate of what is known.
+func (d *outlierDetector) record(now Time, health *classHealth, failure, rate float64) {
+	health.samples = min(health.samples+1, maxHealthSamples)
+	health.failureRate += (failure - health.failureRate) * rate
+	d.fleetFailureRate += (failure - d.fleetFailureRate) * learningRate / 2
+	limit := d.limit()
+	switch {
+	case failure > 0 && (health.ejected || health.failureRate > limit):
+		health.ejected = true
+		health.ejectionTime = min(max(2*health.ejectionTime, minEjectionTime), maxEjectionTime)
+		health.retryAt = now.Add(health.ejectionTime)
+	case health.ejected && health.failureRate < limit/2:
+		health.ejected = false
+		health.ejectionTime = 0
+	}
+}
+
+// recordOutcome judges the endpoint of an attempt in the class of its request.
+func (b *Balancer) recordOutcome(now Time, ep *endpoint, req *request, failed bool, outcome Outcome) {
+	health := &ep.health[req.Class]
+	rate, failure := learningRate, 0.0
+	if failed {
+		failure = 1
+	}
+	if !failed || outcome == OutcomeError {
+		// An endpoint that is seldom heard of is judged by the little there is.
+		rate = max(learningRate, 1/(health.samples+2))
+	}
+	b.outliers.record(now, health, failure, rate)
+}
+
+// takeGossip counts a message of another node that the endpoint fails the class. What this node saw itself goes first.
+func (h *classHealth) takeGossip(now Time) {
+	h.gossipVotes++
+	sawItWork := h.samples >= 1 && h.failureRate <= ejectionFailureRate/2
+	if h.gossipVotes < gossipVotesToEject || h.ejected || sawItWork {
+		return
+	}
+	h.ejected = true
+	h.failureRate = max(h.failureRate, 2*ejectionFailureRate)
+	h.retryAt = now.Add(gossipEjectionTime)
+}
+
+// mayTryEjected tells whether an endpoint that is ejected for the request's class may get the request all the same.
+func mayTryEjected(c *criteria, ep *endpoint, health *classHealth) bool {
+	if ep.inFlight > 0 {
+		return false
+	}
+	// Guards against a cascade: pauses eject endpoints one by one, and the rest, asked for too much, times out too.
+	wellKnown := ep.Latency.Weight*learningRate >= 1
+	if c.round == roundWithEjected && wellKnown {
+		return true
+	}
+	return c.now >= health.retryAt && c.request.classSettings.Idempotency == Idempotent
+}
+
+// decayHealth lets what this node and others saw count for less.
+func (ep *endpoint) decayHealth() {
+	for i := range ep.health {
+		ep.health[i].samples *= 1 - learningRate
+		ep.health[i].gossipVotes *= gossipDecayPerSecond
+	}
+}
+
+// isAvoided tells whether an endpoint is of little use at the moment, for any class.
+func (ep *endpoint) isAvoided(now Time) bool {
+	if now < ep.backoffUntil && ep.rejectionsInARow > 1 {
+		return true
+	}
+	return slices.ContainsFunc(ep.health, func(health classHealth) bool { return health.ejected })
+}
+
+// backOff leaves an endpoint alone that rejected an attempt, or took no connection. Guards against one that rejects at
+// once using up all attempts.
+func (ep *endpoint) backOff(now Time, meanWork time.Duration) {
+	ep.rejectionsInARow = min(ep.rejectionsInARow+1, maxRejectionsInARow)
+	shortest := time.Duration(float64(maxRejectionBackoff) / (2*ep.Latency.Weight + 1))
+	ep.backoffUntil = now.Add(max(meanWork, shortest) << (ep.rejectionsInARow - 1))
+}
+
+// gossipFailure tells the other nodes that an endpoint fails a class.
+func (b *Balancer) gossipFailure(now Time, ep *endpoint, class int) {
+	b.gossip(now, &ep.health[class].gossipedAt, GossipMessage{Endpoint: ep.ID, Class: class})
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -88,7 +88,7 @@
 }
 
 func (b *testFleet) end(id RequestID, number int, o Outcome, took time.Duration) {
-	t := b.Balancer.requests[id]
+	t := b.requests.byID[id]
 	b.AttemptEnded(b.now, AttemptResult{
 		Request: id, Attempt: number, Endpoint: t.attempts[number].endpoint.ID, Outcome: o,
 		Elapsed: took, RequestDone: o == OutcomeSucceeded, Report: LoadReport{-1, -1, -1},
@@ -97,18 +97,17 @@
 
 // allow is the time that a request with so much left may be predicted to take.
 func (b *testFleet) allow(t *request) time.Duration {
-	b.answerBy = t.effectiveDeadline
-	return b.latencyBudget(b.now, t)
+	return b.latencyBudget(t, t.effectiveDeadline.Sub(b.now))
 }
 
 // serve plays idempotent requests one after another, each answered as its server does.
 func (b *testFleet) serve(tasks int, how func(EndpointID) (Outcome, time.Duration)) {
 	for range tasks {
 		id := b.arrive(0)
-		for b.Balancer.requests[id] != nil {
+		for b.requests.byID[id] != nil {
 			o, took := how(b.last())
 			b.now += Time(took)
-			b.end(id, len(b.Balancer.requests[id].attempts)-1, o, took)
+			b.end(id, len(b.requests.byID[id].attempts)-1, o, took)
 		}
 		b.now += ms
 	}
@@ -124,9 +123,9 @@
 	count := map[*endpoint]int{}
 	const draws = 70000
 	for range draws {
-		p.candidates = append(p.candidates[:0], c, a, b)
-		p.weights = append(p.weights[:0], 4, 1, 2)
-		count[p.draw()]++
+		p.selector.candidates = append(p.selector.candidates[:0], c, a, b)
+		p.selector.weights = append(p.selector.weights[:0], 4, 1, 2)
+		count[p.selector.draw(p.random)]++
 	}
 	for s, want := range map[*endpoint]float64{a: 4. / 7, b: 2. / 7, c: 1. / 7} {
 		if got := float64(count[s]) / draws; math.Abs(got-want) > 0.01 {
@@ -155,13 +154,13 @@
 func TestTimeOutsTeachAnswerTimes(t *testing.T) {
 	b := fleet(t, 1, nil)
 	b.serve(20, prompt)
-	before, _ := b.expectedLatency(b.byID[1])
+	before, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 	for range 4 {
 		id := b.arrive(2)
 		b.now += 480 * ms
 		b.end(id, 0, OutcomeTimedOut, 480*ms)
 	}
-	if after, _ := b.expectedLatency(b.byID[1]); after < 2*before {
+	if after, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); after < 2*before {
 		t.Errorf("after four time-outs the server is expected at %.1f, before at %.1f", after, before)
 	}
 }
@@ -187,7 +186,7 @@
 	}
 	b.serve(800, how)
 	b.sent = nil
-	if b.serve(100, how); b.given(2) < 10 || b.byID[2].health[0].ejected {
+	if b.serve(100, how); b.given(2) < 10 || b.endpoints.byID[2].health[0].ejected {
 		t.Errorf("a mended server got %d of 100 hand-offs", b.given(2))
 	}
 }
@@ -197,7 +196,7 @@
 	b.serve(20, prompt)
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeError, ms })
 	unfit := 0
-	for _, s := range b.endpoints {
+	for _, s := range b.endpoints.all {
 		if s.health[0].ejected {
 			unfit++
 		}
@@ -234,8 +233,8 @@
 	b.tick()
 	id := b.arrive(0)
 	b.now += 200 * ms
-	b.TimerFired(b.now, b.recorder.cookies[len(b.recorder.cookies)-1])
-	task := b.Balancer.requests[id]
+	b.TimerFired(b.now, b.cookies[len(b.cookies)-1])
+	task := b.requests.byID[id]
 	if task.inFlight != 2 || task.attempts[0].endpoint == task.attempts[1].endpoint {
 		t.Fatalf("the overdue task has %d hand-offs out", task.inFlight)
 	}
@@ -251,7 +250,7 @@
 
 func TestLateCategoryGivesUpTimeForTheStarved(t *testing.T) {
 	b := fleet(t, 2, nil)
-	b.classes[0].SuccessRate, b.classes[1].SuccessRate = 0.2, 0.8
+	b.estimator.classes[0].SuccessRate, b.estimator.classes[1].SuccessRate = 0.2, 0.8
 	starved, other := &request{effectiveDeadline: b.now + 400*ms}, &request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}
 	if got := b.allow(starved); got != 400*ms {
 		t.Errorf("the starved category may take %d", got)
@@ -263,7 +262,7 @@
 
 func TestCategoryNoLongerAskedForHoldsNobodyBack(t *testing.T) {
 	b := fleet(t, 2, nil)
-	b.classes[0].SuccessRate = 0.01
+	b.estimator.classes[0].SuccessRate = 0.01
 	for range 40 {
 		b.now += Time(recalculationInterval)
 		b.tick()
@@ -289,24 +288,24 @@
 
 func TestIdleNodeRelaxesItsBound(t *testing.T) {
 	b := fleet(t, 2, nil)
-	b.classes[0].LatencySpread = 5
+	b.estimator.classes[0].LatencySpread = 5
 	for range 10 {
 		b.serve(1, prompt) // a request now and then must not keep the bound up while most are rejected
-		b.classes[0].GivenUpCount = 2
+		b.estimator.classes[0].GivenUpCount = 2
 		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if b.classes[0].LatencySpread > 2.5 {
-		t.Errorf("the bound of an idle node is still %.1f of 5", b.classes[0].LatencySpread)
+	if b.estimator.classes[0].LatencySpread > 2.5 {
+		t.Errorf("the bound of an idle node is still %.1f of 5", b.estimator.classes[0].LatencySpread)
 	}
-	b.classes[0].LatencySpread = 3
+	b.estimator.classes[0].LatencySpread = 3
 	for range 10 {
 		b.serve(1, prompt)
 		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if b.classes[0].LatencySpread < 2.5 {
-		t.Errorf("the bound of a node that mostly has nothing out fell to %.1f of 3", b.classes[0].LatencySpread)
+	if b.estimator.classes[0].LatencySpread < 2.5 {
+		t.Errorf("the bound of a node that mostly has nothing out fell to %.1f of 3", b.estimator.classes[0].LatencySpread)
 	}
 }
 
@@ -314,12 +313,12 @@
 	b := fleet(t, 2, nil)
 	b.serve(40, prompt)
 	b.serve(40, func(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 450 * ms })
-	jammed, _ := b.expectedLatency(b.byID[1])
+	jammed, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 	for range 20 {
 		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if relaxed, _ := b.expectedLatency(b.byID[1]); relaxed > jammed*2/3 {
+	if relaxed, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); relaxed > jammed*2/3 {
 		t.Errorf("answer times expected at %.1f in the jam are still expected at %.1f", jammed, relaxed)
 	}
 	b.declined = 0
@@ -331,14 +330,14 @@
 func TestSilentServerDoesNotRaiseTheBoundForAll(t *testing.T) {
 	b := fleet(t, 3, nil)
 	b.serve(60, prompt)
-	before := b.classes[2].LatencySpread
+	before := b.estimator.classes[2].LatencySpread
 	for range 5 {
 		id := b.arrive(2)
 		b.now += 480 * ms
 		b.end(id, 0, OutcomeTimedOut, 480*ms)
 	}
-	if b.classes[2].LatencySpread > before {
-		t.Errorf("the bound rose from %.2f to %.2f", before, b.classes[2].LatencySpread)
+	if b.estimator.classes[2].LatencySpread > before {
+		t.Errorf("the bound rose from %.2f to %.2f", before, b.estimator.classes[2].LatencySpread)
 	}
 }
 
@@ -347,10 +346,10 @@
 	last := time.Duration(10e9 / 128)
 	for range 10 {
 		p.WatchFailed(0)
-		if p.pollBackoff != min(2*last, 125e7) {
-			t.Fatalf("waits %d after %d", p.pollBackoff, last)
+		if p.endpoints.pollBackoff != min(2*last, 125e7) {
+			t.Fatalf("waits %d after %d", p.endpoints.pollBackoff, last)
 		}
-		last = p.pollBackoff
+		last = p.endpoints.pollBackoff
 	}
 }
 
@@ -368,7 +367,7 @@
 		t.Errorf("a full server was asked %d times during 60 tasks", n)
 	}
 	seldom := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
-	h := &attempt{endpoint: seldom, sentAt: b.now, open: true}
+	h := &attempt{endpoint: seldom, sentAt: b.now, inFlight: true}
 	if b.learnFrom(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed}); seldom.backoffUntil < b.now.Add(recalculationInterval/2) {
 		t.Errorf("a server not heard of late is asked again after %d ms", (seldom.backoffUntil-b.now)/ms)
 	}
@@ -378,14 +377,14 @@
 	b := fleet(t, 2, func(s *Settings) { s.TenantShares, s.OverQuotaFraction = []float64{0.7, 0.3}, 0.2 })
 	beyond := [2]int{}
 	for i := range 1000 { // both ask for as much
-		if b.quotas.Exceeded(i%2, false) {
+		if b.admission.quotas.Exceeded(i%2, false) {
 			beyond[i%2]++
 		}
 	}
 	if beyond[0] > 20 || beyond[1] < 150 {
 		t.Errorf("beyond their shares: %d of the one below it, %d of the one above", beyond[0], beyond[1])
 	}
-	b.classes[0].SuccessRate = 0.5
+	b.estimator.classes[0].SuccessRate = 0.5
 	within, over := &request{effectiveDeadline: b.now + 400*ms}, &request{effectiveDeadline: b.now + 400*ms, overQuota: true}
 	if w, o := b.allow(within), b.allow(over); w != 400*ms || o != 100*ms {
 		t.Errorf("with half turned away a task within may take %d, one beyond %d", w, o)
@@ -401,19 +400,19 @@
 		}
 		return OutcomeSucceeded, 40 * ms
 	})
-	if unit, _ := b.Fleet.Means(1, 0); unit > 3 {
+	if unit, _ := b.estimator.Fleet.Means(1, 0); unit > 3 {
 		t.Errorf("one server in five times out and the whole fleet is expected at %.1f", unit)
 	}
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeTimedOut, 450 * ms })
 	unheard := &endpoint{EndpointInfo: EndpointInfo{ID: 101}, podLatency: &ewma.Pair{}}
-	if unit, _ := b.expectedLatency(unheard); unit < 5 {
+	if unit, _ := b.estimator.expectedLatency(unheard); unit < 5 {
 		t.Errorf("nearly all time out and a server not heard yet is expected at %.1f", unit)
 	}
 	for range 60 {
 		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if unit, _ := b.expectedLatency(unheard); unit > 1.5 {
+	if unit, _ := b.estimator.expectedLatency(unheard); unit > 1.5 {
 		t.Errorf("a minute later it is still expected at %.1f", unit)
 	}
 }
@@ -432,7 +431,7 @@
 	b := fleet(t, 40, nil)
 	b.serve(20, prompt)
 	id := b.arrive(2)
-	s := b.byID[b.last()]
+	s := b.endpoints.byID[b.last()]
 	s.Latency, s.health[2] = ewma.Pair{}, classHealth{}
 	if b.end(id, 0, OutcomeError, ms); !s.health[2].ejected {
 		t.Errorf("its failing part is taken for %.2f", s.health[2].failureRate)
@@ -475,7 +474,7 @@
 		b.tasks++
 		id := RequestID(fmt.Sprint(b.tasks))
 		b.RequestArrived(b.now, Request{ID: id, Deadline: b.now + 1000*ms, CostHint: cost})
-		if b.Balancer.requests[id] == nil {
+		if b.requests.byID[id] == nil {
 			t.Fatalf("task %d of %d ms was given up beside idle servers", b.tasks, cost/ms)
 		}
 		b.now += Time(took)
@@ -489,8 +488,8 @@
 		answered(ms/5, 16*ms, false)
 		answered(20*ms, 35*ms, false)
 	}
-	for _, s := range b.endpoints {
-		if got := b.predictLatency(s, float64(20*ms)); got < 25*ms || got > 50*ms {
+	for _, s := range b.endpoints.all {
+		if got := b.estimator.predictLatency(s, float64(20*ms)); got < 25*ms || got > 50*ms {
 			t.Errorf("20 ms of work 15 ms away are expected to take %d ms", got/ms)
 		}
 		if s.HighLatency > 4 {
@@ -503,10 +502,10 @@
 func TestUnfitServersAreTriedBeforeATaskIsDeclined(t *testing.T) {
 	b := fleet(t, 4, nil)
 	b.serve(100, prompt)
-	for _, s := range b.endpoints {
+	for _, s := range b.endpoints.all {
 		s.health[2] = classHealth{ejected: s.ID > 1, failureRate: 0.3, retryAt: b.now + Time(1e9)}
 	}
-	b.byID[1].State = StateDraining
+	b.endpoints.byID[1].State = StateDraining
 	b.sent = nil
 	for range 3 {
 		b.arrive(2)
@@ -517,14 +516,14 @@
 	if b.arrive(2); b.declined != 1 {
 		t.Error("an unfit server was given a second task while it had one")
 	}
-	b.byID[1].State, b.sent = StateActive, nil
+	b.endpoints.byID[1].State, b.sent = StateActive, nil
 	if b.arrive(2); b.given(1) != 1 {
 		t.Errorf("with a fit server a task went to %v", b.sent)
 	}
-	for _, s := range b.endpoints {
+	for _, s := range b.endpoints.all {
 		s.inFlight, s.Latency.Weight = 0, 1
 	}
-	b.byID[1].State, b.sent = StateDraining, nil
+	b.endpoints.byID[1].State, b.sent = StateDraining, nil
 	if b.arrive(2); len(b.sent) != 0 {
 		t.Error("a server seldom heard, whose state nobody here knows, was tried")
 	}
@@ -535,13 +534,13 @@
 	for queue, late := range map[float64]bool{0: false, 3: true, -1: true} {
 		b := fleet(t, 1, nil)
 		b.serve(100, prompt)
-		before, _ := b.expectedLatency(b.byID[1])
+		before, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 		for range 8 {
 			id := b.arrive(2)
 			b.AttemptEnded(b.now, AttemptResult{Request: id, Endpoint: 1, Outcome: OutcomeRejected, Elapsed: ms, Report: LoadReport{-1, queue, -1}})
-			b.now = b.byID[1].backoffUntil
+			b.now = b.endpoints.byID[1].backoffUntil
 		}
-		if after, _ := b.expectedLatency(b.byID[1]); (after > 2*before) != late {
+		if after, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); (after > 2*before) != late {
 			t.Errorf("with a queue of %g the server is expected at %.1f, before at %.1f", queue, after, before)
 		}
 	}
@@ -588,8 +587,8 @@
 		if got := b.allow(&request{effectiveDeadline: b.now + 400*ms}); got != 400*ms {
 			t.Errorf("with nothing turned away it may take %d of 400 ms", got/ms)
 		}
-		for i := range b.classes {
-			b.classes[i].SuccessRate = 0.5
+		for i := range b.estimator.classes {
+			b.estimator.classes[i].SuccessRate = 0.5
 		}
 		if got := b.allow(&request{effectiveDeadline: b.now + 400*ms}); got/ms != kept {
 			t.Errorf("where the worst weighs %g it may take %d ms, want %d", worst, got/ms, kept)
@@ -607,11 +606,11 @@
 		for _, o := range []Outcome{OutcomeConnectFailed, OutcomeError} {
 			b := fleet(t, 4, nil)
 			b.serve(40, prompt)
-			b.recorder.cookies = nil
+			b.cookies = nil
 			b.RequestArrived(b.now, Request{ID: "long", Class: category, Deadline: b.now + 1000*ms, StreamingBody: true})
-			s := b.byID[b.last()]
-			if len(b.recorder.cookies) != 0 || s.inFlight != 0 {
-				t.Errorf("%d timers wait for it, %d out at its server", len(b.recorder.cookies), s.inFlight)
+			s := b.endpoints.byID[b.last()]
+			if len(b.cookies) != 0 || s.inFlight != 0 {
+				t.Errorf("%d timers wait for it, %d out at its server", len(b.cookies), s.inFlight)
 			}
 			sent := len(b.sent)
 			b.AttemptEnded(b.now+ms, AttemptResult{Request: "long", Endpoint: s.ID, Outcome: o, BodyConsumed: true, Report: LoadReport{-1, -1, -1}})
@@ -639,7 +638,7 @@
 	next.EndpointsUpdated(next.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: 1}}, false)
 	next.Inherit(&all)
 	for id := EndpointID(1); id <= 4; id++ {
-		was, is := b.predictLatency(b.byID[id], 1e8), next.predictLatency(next.byID[id], 1e8)
+		was, is := b.estimator.predictLatency(b.endpoints.byID[id], 1e8), next.estimator.predictLatency(next.endpoints.byID[id], 1e8)
 		if (was == is) != (id != 4) {
 			t.Errorf("server %d: predicted %d by the one before, %d by the next", id, was, is)
 		}
@@ -656,10 +655,10 @@
 		b.now += 5e9
 		b.EndpointsUpdated(b.now, nil, false)
 		b.serve(1, prompt) // so that the cost of a request is known
-		s := b.byID[4]
+		s := b.endpoints.byID[4]
 		s.slowStartCredit, s.Latency = 0, own
-		b.earnSlowStartCredit(b.now, b.byID[1], b.MeanWork)
-		bound = 2 * b.capacityFraction(b.now, s) / 3 // of the even part of three warm ones
+		b.earnCreditByAnswer(b.now, b.endpoints.byID[1], b.estimator.MeanWork)
+		bound = 2 * b.slowStart.capacity(b.now, s) / 3 // of the even part of three warm ones
 		return s.slowStartCredit
 	}
 	sure := earned(ewma.Pair{})
@@ -710,7 +709,7 @@
 	b := fleet(t, 8, func(s *Settings) { s.KeyAffinity, s.Classes[0].LatencyObjective = true, 200*ms })
 	b.serve(40, prompt)
 	for i := range 200 {
-		b.keys.Observe(fmt.Sprint("another", i), 8)
+		b.affinity.keys.Observe(fmt.Sprint("another", i), 8)
 	}
 	ask := func() EndpointID {
 		b.tasks++
@@ -724,11 +723,11 @@
 	for range 12 {
 		ask()
 	}
-	if n := b.byID[home].inFlight; n > 8 {
+	if n := b.endpoints.byID[home].inFlight; n > 8 {
 		t.Errorf("%d out at the home, 7 elsewhere stand idle", n)
 	}
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: home, Pod: 9, StartedAt: b.now}}, false)
-	if ask(); len(b.homes) == 0 || b.homes[0].ID == home {
+	if ask(); len(b.affinity.homes) == 0 || b.affinity.homes[0].ID == home {
 		t.Error("a cold server is a home, and nodes do not agree on the next")
 	}
 }
@@ -769,7 +768,7 @@
 		}
 		sum := 0.0
 		for i := range 200 { // ten a second, that all get nothing
-			s := b.byID[1]
+			s := b.endpoints.byID[1]
 			s.slowStartCredit = 0
 			b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: b.now + 1})
 			if sum += s.slowStartCredit; i == 0 && s.slowStartCredit > 0.25 {
@@ -799,7 +798,7 @@
 		}
 		b.now += 5e9
 		b.EndpointsUpdated(b.now, nil, false)
-		s, arrival, answer := b.byID[8], 0.0, 0.0
+		s, arrival, answer := b.endpoints.byID[8], 0.0, 0.0
 		for i := range 10 {
 			s.slowStartCredit = 0
 			b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: b.now + 1})
@@ -807,7 +806,7 @@
 			arrival += s.slowStartCredit
 		}
 		s.slowStartCredit = 0
-		b.earnSlowStartCredit(b.now, b.byID[1], 1e6)
+		b.earnCreditByAnswer(b.now, b.endpoints.byID[1], 1e6)
 		answer = s.slowStartCredit
 		if few := warm == 1; (arrival > 0) != few || (answer > 0) == few {
 			t.Errorf("%d of 8 warm: %g by arrivals, %g by an answer", warm, arrival, answer)
--- /dev/null
+++ b/policy/request.go
@@ -0,0 +1,186 @@
+package policy
+
+import (
+	"fawnglade/internal/classdelay"
+	"slices"
+	"time"
+)
+
+// objectiveMarginDivisor is the part of a latency objective that is kept for the way back to the client.
+const objectiveMarginDivisor = 64
+
+// request is a request from its arrival until no attempt of it is in flight any more.
+type request struct {
+	Request
+	classSettings *Class
+	// effectiveDeadline is the last moment at which an answer has any worth, objectiveAt the last at which it has its
+	// full worth. They are equal where a late answer is worth nothing.
+	effectiveDeadline, objectiveAt Time
+	attempts                       []attempt
+	inFlight                       int    // attempts
+	loadPerAttempt                 int    // what one adds to endpoint.inFlight
+	overdueTimer                   uint64 // 0: none was set
+	done                           bool   // it has its final answer
+	overQuota                      bool
+	delays                         classdelay.Pair // of its class and its tenant
+	keyHash                        uint64
+	homeCount                      int // endpoints at which its key is at home; 0: no affinity
+}
+
+// attempt is one send of a request to an endpoint.
+type attempt struct {
+	endpoint       *endpoint
+	zone, pod      int // of the endpoint when it was sent: the list may have changed since
+	sentAt         Time
+	idleTime       time.Duration // for how long the connection had been idle; 0: not known or a new one
+	inFlightBefore float64       // attempts of this node at the endpoint when it was sent
+
+	// Estimates at the time of sending, in nanoseconds.
+	work            float64
+	predictedNanos  float64
+	unloadedNanos   float64 // its latency with nothing else at the endpoint
+	classDelayNanos float64 // what its class and tenant wait at any endpoint
+
+	inFlight         bool
+	mayHaveRun       bool // it ended, and may have been executed
+	atHome           bool // of its key
+	heldAgainstClass bool // overdue at an endpoint that answered others, and counted so
+	connectionDead   bool // its connection was dead when used
+}
+
+// requestTable holds the requests that are not at their end.
+type requestTable struct {
+	byID           map[RequestID]*request
+	byOverdueTimer map[uint64]*request
+	nextTimer      uint64
+}
+
+func newRequestTable() requestTable {
+	return requestTable{
+		byID:           map[RequestID]*request{},
+		byOverdueTimer: map[uint64]*request{},
+		nextTimer:      firstRequestTimer,
+	}
+}
+
+// overdueTimer returns the number of the request's timer, a new one at its first use.
+func (t *requestTable) overdueTimer(req *request) uint64 {
+	if req.overdueTimer == 0 {
+		req.overdueTimer = t.nextTimer
+		t.nextTimer++
+		t.byOverdueTimer[req.overdueTimer] = req
+	}
+	return req.overdueTimer
+}
+
+func (b *Balancer) newRequest(now Time, arrived Request) *request {
+	class := &b.settings.Classes[arrived.Class]
+	req := &request{
+		Request:           arrived,
+		classSettings:     class,
+		effectiveDeadline: arrived.Deadline,
+		loadPerAttempt:    1,
+		delays:            b.admission.delays.Of(arrived.Class, arrived.Tenant),
+	}
+	if arrived.StreamingBody {
+		// An endpoint begins it when its whole body is there: until then it is no load.
+		req.loadPerAttempt = 0
+	}
+	objective := class.LatencyObjective
+	margin := objective/objectiveMarginDivisor + 2*b.settings.ClockResolution
+	req.objectiveAt = min(req.effectiveDeadline, now.Add(objective-margin))
+	if class.LateFraction == 0 {
+		req.effectiveDeadline = req.objectiveAt
+	}
+	return req
+}
+
+// attemptInFlight returns the attempt with this number, or nil if none is in flight.
+func (req *request) attemptInFlight(number int) *attempt {
+	if number < 0 || number >= len(req.attempts) || !req.attempts[number].inFlight {
+		return nil
+	}
+	return &req.attempts[number]
+}
+
+func (req *request) firstInFlight() int {
+	return slices.IndexFunc(req.attempts, func(a attempt) bool { return a.inFlight })
+}
+
+func (req *request) closeAttempt(now Time, a *attempt, outcome Outcome) {
+	a.inFlight = false
+	a.mayHaveRun = outcome.MayHaveRun()
+	req.inFlight--
+	a.endpoint.inFlight -= req.loadPerAttempt
+	req.delays.CountInFlight(int64(now), -1)
+}
+
+// sendOrGiveUp sends the request to a drawn endpoint; if no endpoint may get it, it is given up at once.
+func (b *Balancer) sendOrGiveUp(now Time, req *request) {
+	if ep := b.selectEndpoint(now, req); ep != nil {
+		b.sendTo(now, req, ep)
+	} else {
+		b.giveUp(now, req)
+	}
+}
+
+func (b *Balancer) sendTo(now Time, req *request, ep *endpoint) {
+	work := b.workAt(req, ep)
+	idleTime := b.prepareConnection(now, ep)
+	req.attempts = append(req.attempts, attempt{
+		endpoint:        ep,
+		zone:            ep.Zone,
+		pod:             ep.Pod,
+		sentAt:          now,
+		idleTime:        idleTime,
+		inFlightBefore:  float64(ep.inFlight),
+		work:            work,
+		predictedNanos:  float64(b.estimator.predictLatency(ep, work)),
+		unloadedNanos:   b.estimator.unloadedNanos(ep, work),
+		classDelayNanos: req.delays.Delay(int64(now)),
+		inFlight:        true,
+		atHome:          ep.isHome,
+	})
+	req.inFlight++
+	req.delays.CountInFlight(int64(now), 1)
+	ep.countSend(now, req.loadPerAttempt)
+	ep.slowStartCredit -= max(b.estimator.relativeWork(work), 1)
+	b.effects.Send(req.ID, ep.ID, req.effectiveDeadline.Sub(now))
+	b.setOverdueTimer(now, req, ep, work)
+}
+
+// proceed continues a request after the end of one of its attempts.
+func (b *Balancer) proceed(now Time, req *request, result AttemptResult) {
+	switch {
+	case req.done:
+		b.requests.forget(req)
+	case result.RequestDone || result.Outcome == OutcomeSucceeded:
+		if result.Outcome == OutcomeSucceeded {
+			b.estimator.classes[req.Class].RecordResult(true)
+		}
+		b.finish(req)
+	case result.BodyConsumed:
+		b.giveUp(now, req)
+	case req.inFlight == 0:
+		b.sendOrGiveUp(now, req)
+	}
+}
+
+// finish cancels the attempts that are still in flight for a request that has its final answer.
+func (b *Balancer) finish(req *request) {
+	req.done = true
+	for number := range req.attempts {
+		if req.attempts[number].inFlight && b.settings.MayCancel {
+			b.effects.Cancel(req.ID, number)
+		}
+	}
+	delete(b.requests.byOverdueTimer, req.overdueTimer)
+	b.requests.forget(req)
+}
+
+// forget drops a request that is done once nothing of it is in flight.
+func (t *requestTable) forget(req *request) {
+	if req.inFlight == 0 {
+		delete(t.byID, req.ID)
+	}
+}
--- /dev/null
+++ b/policy/retry.go
@@ -0,0 +1,95 @@
+package policy
+
+// No request may run twice where that does harm. Inputs: the idempotency of the class, and of each earlier attempt whether
+// it may have run, when it was sent, and where the endpoint stood in zone and pod at that time. An attempt that is in
+// flight counts as one that may have run.
+//
+//   - Idempotent: the request may be sent again and rejected at any time.
+//   - Idempotent by key: it may be sent again within the deduplication window to endpoints of the same deduplication group, and
+//     rejected within the window if all endpoints form one group, as the client's retry may go to any.
+//   - Non-idempotent: nothing once an attempt may have run.
+//
+// A request that can't be sent on is given up at once: rejected, which tells the client that a retry does no harm, or else
+// failed. Nothing waits without an attempt in flight. docs/design.md: "Resends", "Giving up".
+
+// mayAttempt tells whether the request may be sent to an endpoint now.
+func (b *Balancer) mayAttempt(now Time, req *request, ep *endpoint) bool {
+	if ep.State != StateActive || len(req.attempts) >= b.settings.MaxAttempts {
+		return false
+	}
+	for i := range req.attempts {
+		a := &req.attempts[i]
+		if a.inFlight && (!b.settings.MayHedge || a.endpoint == ep) {
+			return false
+		}
+		if (a.inFlight || a.mayHaveRun) && !req.classSettings.mayRepeat(now, a, ep) {
+			return false
+		}
+	}
+	return true
+}
+
+// mayRepeat tells whether an endpoint may run a request that an earlier attempt may have run.
+func (c *Class) mayRepeat(now Time, earlier *attempt, ep *endpoint) bool {
+	switch c.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentByKey:
+		return c.deduplicates(now, earlier.sentAt) && c.sameDedupGroup(earlier, ep)
+	default:
+		return false
+	}
+}
+
+// deduplicates tells whether endpoints still remember an attempt that was sent at sentAt.
+func (c *Class) deduplicates(now, sentAt Time) bool {
+	return now.Sub(sentAt) < c.DedupWindow
+}
+
+func (c *Class) sameDedupGroup(earlier *attempt, ep *endpoint) bool {
+	switch c.DedupGroup {
+	case DedupPod:
+		return earlier.pod == ep.Pod
+	case DedupZone:
+		return earlier.zone == ep.Zone
+	default:
+		return true
+	}
+}
+
+// MayReject tells whether a client may be told that a retry does no harm. Attempts are those of its request so far; inspect
+// returns when one was sent, and whether it may have run, which it may also while it is in flight.
+func MayReject[A any](class *Class, now Time, attempts []A, inspect func(*A) (sentAt Time, mayHaveRun bool)) bool {
+	if class.Idempotency == Idempotent {
+		return true
+	}
+	anyEndpointDeduplicates := class.Idempotency == IdempotentByKey && class.DedupGroup == DedupFleet
+	for i := range attempts {
+		sentAt, mayHaveRun := inspect(&attempts[i])
+		harmless := anyEndpointDeduplicates && class.deduplicates(now, sentAt)
+		if mayHaveRun && !harmless {
+			return false
+		}
+	}
+	return true
+}
+
+// giveUp answers the client at once: it rejects the request if a retry does no harm, else it fails it.
+func (b *Balancer) giveUp(now Time, req *request) {
+	req.delays.CountGivenUp()
+	if req.delays.Delay(int64(now)) < float64(req.classSettings.LatencyObjective)/2 {
+		// A class that waits at any endpoint is not helped by others giving up time for it.
+		b.estimator.classes[req.Class].RecordResult(false)
+	}
+	if MayReject(req.classSettings, now, req.attempts, (*attempt).ranSince) {
+		b.effects.Reject(req.ID, b.retryAfter(req.classSettings))
+	} else {
+		b.effects.Fail(req.ID)
+	}
+	b.finish(req)
+}
+
+// ranSince returns when an attempt was sent, and whether it may have run.
+func (a *attempt) ranSince() (sentAt Time, mayHaveRun bool) {
+	return a.sentAt, a.inFlight || a.mayHaveRun
+}
--- a/policy/return_test.go
+++ b/policy/return_test.go
@@ -112,7 +112,7 @@
 		}
 		final = true
 	}
-	t := n.p.requests[id]
+	t := n.p.requests.byID[id]
 	if t == nil || number >= len(t.attempts) {
 		return
 	}
--- a/policy/runtime.go
+++ b/policy/runtime.go
@@ -15,11 +15,11 @@
 // Sub returns the time from u to t.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// RequestID names a request at this node, as the client does; EndpointID names an endpoint, alike at every node.
-type (
-	RequestID  string
-	EndpointID uint32
-)
+// RequestID names a request at this node, as the client does.
+type RequestID string
+
+// EndpointID names an endpoint, alike at every node.
+type EndpointID uint32
 
 // EndpointState is what the endpoint list says of an endpoint.
 type EndpointState uint8
@@ -55,7 +55,9 @@
 
 // String names the outcome for logs and tests.
 func (o Outcome) String() string {
-	return nameOf([]string{"unknown", "succeeded", "error", "rejected", "timed out", "connect failed", "reset", "canceled", "not sent"}, int(o))
+	return nameOf([]string{
+		"unknown", "succeeded", "error", "rejected", "timed out", "connect failed", "reset", "canceled", "not sent",
+	}, int(o))
 }
 
 // MayHaveRun tells whether an attempt that ended so may have been executed.
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -18,17 +18,19 @@
 func TestDrawDoesNotSpin(t *testing.T) {
 	for name, spoil := range map[string]func(s *endpoint, i int, now Time){
 		"just turned away": func(s *endpoint, i int, now Time) { s.backoffUntil = now + ms },
-		"unfit":            func(s *endpoint, i int, now Time) { s.health[0], s.inFlight = classHealth{ejected: true, retryAt: now + ms}, 1 },
-		"too late":         func(s *endpoint, i int, now Time) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
-		"cold":             func(s *endpoint, i int, now Time) { s.StartedAt, s.slowStartCredit = now, 0 },
-		"silent":           func(s *endpoint, i int, now Time) { s.inFlight, s.HasLatency, s.silentSince = 1, true, now-1e9 },
+		"unfit": func(s *endpoint, i int, now Time) {
+			s.health[0], s.inFlight = classHealth{ejected: true, retryAt: now + ms}, 1
+		},
+		"too late": func(s *endpoint, i int, now Time) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
+		"cold":     func(s *endpoint, i int, now Time) { s.StartedAt, s.slowStartCredit = now, 0 },
+		"silent":   func(s *endpoint, i int, now Time) { s.inFlight, s.HasLatency, s.silentSince = 1, true, now-1e9 },
 	} {
 		for _, fit := range []int{0, 1} {
 			p := New(benchSettings, 1, &lastSendRecorder{})
 			now := Time(1e12)
 			p.EndpointsUpdated(now, listOf(4096), true)
-			p.MeanWork, p.HighLatency = 5e6, 2
-			for i, s := range p.endpoints {
+			p.estimator.MeanWork, p.estimator.HighLatency = 5e6, 2
+			for i, s := range p.endpoints.all {
 				if i >= fit {
 					spoil(s, i, now)
 				}
@@ -36,7 +38,7 @@
 			c := &counted{Source: rand.NewPCG(1, 2)}
 			p.random = rand.New(c)
 			s := p.selectEndpoint(now, anyTask(p, now))
-			if (s != nil) != (fit == 1) || s != nil && s != p.endpoints[0] {
+			if (s != nil) != (fit == 1) || s != nil && s != p.endpoints.all[0] {
 				t.Errorf("%s, %d fit: drew %v", name, fit, s)
 			}
 			if c.n > 4 {
@@ -95,7 +97,7 @@
 		t.Errorf("%d sent after another list", len(outs)-2000)
 	}
 	for _, o := range outs[2000:] {
-		if p.byID[o.server].State != StateActive {
+		if p.endpoints.byID[o.server].State != StateActive {
 			t.Fatalf("sent to %d, which is on the list no more", o.server)
 		}
 	}
@@ -123,8 +125,8 @@
 			t.Errorf("cold server %d was given %d of 5,000 tasks, one in %d would be its even part", id, k, n)
 		}
 	}
-	if len(p.requests) != 0 {
-		t.Errorf("%d tasks are held that have their end", len(p.requests))
+	if len(p.requests.byID) != 0 {
+		t.Errorf("%d tasks are held that have their end", len(p.requests.byID))
 	}
 }
 
@@ -142,14 +144,14 @@
 			servers[id] = q.server
 		}
 	}
-	if len(p.requests) != len(servers) || len(servers) < 90000 {
-		t.Errorf("%d held, %d sent", len(p.requests), len(servers))
+	if len(p.requests.byID) != len(servers) || len(servers) < 90000 {
+		t.Errorf("%d held, %d sent", len(p.requests.byID), len(servers))
 	}
 	for id, s := range servers {
 		p.AttemptEnded(now+ms, AttemptResult{Request: id, Endpoint: s, Outcome: OutcomeSucceeded, Elapsed: ms, RequestDone: true})
 	}
-	if len(p.requests) != 0 {
-		t.Errorf("%d held after all have their end", len(p.requests))
+	if len(p.requests.byID) != 0 {
+		t.Errorf("%d held after all have their end", len(p.requests.byID))
 	}
 }
 
@@ -165,14 +167,14 @@
 		list[i].StartedAt = now
 	}
 	p.EndpointsUpdated(now, list, true)
-	if got := len(p.subset); got != warmingUpPerWarm*p.breadth || got > 40 {
-		t.Errorf("one of 300 nodes draws from %d of 120 cold servers, want %d times %d", got, warmingUpPerWarm, p.breadth)
+	if got := len(p.subset.members); got != warmingUpPerWarm*p.subset.size || got > 40 {
+		t.Errorf("one of 300 nodes draws from %d of 120 cold servers, want %d times %d", got, warmingUpPerWarm, p.subset.size)
 	}
 	for i := range list[:60] { // half of them were up long before
 		list[i].StartedAt = 0
 	}
 	p.EndpointsUpdated(now, list, true)
-	if warm := len(p.subset) - len(p.warmingUp); warm < p.breadth {
-		t.Errorf("draws from %d warm ones, want %d", warm, p.breadth)
+	if warm := len(p.subset.members) - len(p.subset.warmingUp); warm < p.subset.size {
+		t.Errorf("draws from %d warm ones, want %d", warm, p.subset.size)
 	}
 }
--- /dev/null
+++ b/policy/selection.go
@@ -0,0 +1,213 @@
+package policy
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"slices"
+)
+
+// Selection draws the endpoint of an attempt. The candidates are the endpoints of the subset, and the homes of the
+// request's key, that the request may go to and that are expected to answer in time. Each has a weight w, its load with
+// some adjustments, and is drawn with a chance of (1/w) over the sum of all 1/w: formulas 2 to 6 of the paper, without its
+// sorting, which changes no chance. Where nobody is a candidate, up to three further rounds ask for less. Nothing is drawn
+// after the request's effective deadline. docs/design.md: "The draw", "Exceptions that adjust w", "Exceptions on who is in
+// the draw".
+
+const (
+	// selectionWindow bounds the endpoints that are weighed, so that a request costs no more in a large fleet.
+	selectionWindow = 32
+	// weightFloorDivisor: w is at least the mean load over this.
+	weightFloorDivisor = 20
+	// preferredDivisor divides w where the endpoint should be drawn nearly always.
+	preferredDivisor = weightFloorDivisor * weightFloorDivisor
+	// otherZoneFactor multiplies w of an endpoint in another zone: crossing costs time, but a zone that is overloaded still
+	// spills over.
+	otherZoneFactor = 6
+)
+
+// selectionRound says how much is asked of a candidate.
+type selectionRound int
+
+const (
+	roundByObjective selectionRound = iota // answers in time for the latency objective, of the window
+	roundByDeadline                        // answers in time for the effective deadline, of the window
+	roundWholeSubset                       // the same, of the whole subset
+	roundWithEjected                       // ejected endpoints that are well known too, whatever is predicted
+	numberOfSelectionRounds
+)
+
+// selector holds the candidates of the draw at hand and their weights; its memory is used again.
+type selector struct {
+	candidates []*endpoint
+	weights    []float64
+}
+
+// criteria is what makes an endpoint a candidate for a request in one round.
+type criteria struct {
+	now             Time
+	request         *request
+	round           selectionRound
+	answerBy        Time
+	classDelayNanos float64 // what the class and the tenant wait at any endpoint
+}
+
+// selectEndpoint returns the endpoint for the request's next attempt, or nil if there is none.
+func (b *Balancer) selectEndpoint(now Time, req *request) *endpoint {
+	if now >= req.effectiveDeadline || b.overload.rests(now) {
+		return nil
+	}
+	all, window := b.selectionPool(req)
+	b.findHomes(now, req)
+	c := criteria{now: now, request: req, classDelayNanos: b.classDelay(now, req)}
+	for c.round = range numberOfSelectionRounds {
+		c.answerBy = req.effectiveDeadline
+		if c.round == roundByObjective {
+			c.answerBy = req.objectiveAt
+		}
+		from := window
+		if c.round >= roundWholeSubset {
+			from = all
+		}
+		b.findCandidates(&c, from)
+		if len(b.selector.candidates) > 0 {
+			b.computeWeights(now, from)
+			return b.selector.draw(b.random)
+		}
+	}
+	return nil
+}
+
+// selectionPool returns the endpoints that the request is drawn from, and the window of them that the first rounds weigh.
+// A window is a run of neighbors by rank, which says nothing of their load. A retry that is idempotent by key is drawn
+// from all endpoints, as its deduplication group may lie outside the subset.
+func (b *Balancer) selectionPool(req *request) (all, window []*endpoint) {
+	if len(req.attempts) > 0 && req.classSettings.Idempotency == IdempotentByKey {
+		return b.endpoints.all, b.endpoints.all
+	}
+	all = b.subset.members
+	if len(all) <= selectionWindow {
+		return all, all
+	}
+	first := b.random.IntN(len(all) - selectionWindow + 1)
+	return all, all[first : first+selectionWindow]
+}
+
+func (b *Balancer) findCandidates(c *criteria, from []*endpoint) {
+	s := &b.selector
+	s.candidates = s.candidates[:0]
+	for _, ep := range from {
+		if b.isCandidate(c, ep) {
+			s.candidates = append(s.candidates, ep)
+		}
+	}
+	for _, ep := range b.affinity.homes {
+		if !slices.Contains(s.candidates, ep) && b.isCandidate(c, ep) {
+			s.candidates = append(s.candidates, ep)
+		}
+	}
+}
+
+func (b *Balancer) isCandidate(c *criteria, ep *endpoint) bool {
+	if !b.mayAttempt(c.now, c.request, ep) || c.now < ep.backoffUntil || c.request.lastEndpoint() == ep {
+		return false
+	}
+	if ep.slowStartCredit < 1 && b.slowStart.capacity(c.now, ep) < 1 {
+		return false
+	}
+	if health := &ep.health[c.request.Class]; health.ejected {
+		return mayTryEjected(c, ep, health)
+	}
+	work := b.workAt(c.request, ep)
+	return !b.estimator.isSilent(c.now, ep, work) && b.isInTime(c, ep, work)
+}
+
+// lastEndpoint returns the endpoint of the last attempt, to which the next one does not go; nil before the first.
+func (req *request) lastEndpoint() *endpoint {
+	if len(req.attempts) == 0 {
+		return nil
+	}
+	return req.attempts[len(req.attempts)-1].endpoint
+}
+
+// computeWeights works out w of the candidates, against the mean load of the endpoints that they were taken from.
+func (b *Balancer) computeWeights(now Time, from []*endpoint) {
+	mean := meanLoad(from)
+	s := &b.selector
+	s.weights = s.weights[:0]
+	for _, ep := range s.candidates {
+		s.weights = append(s.weights, b.weight(now, ep, mean))
+	}
+}
+
+func (b *Balancer) weight(now Time, ep *endpoint, meanLoad float64) float64 {
+	w := max(ep.Load, meanLoad/weightFloorDivisor)
+	if ep.isSettling(now) {
+		w = max(w, meanLoad)
+	}
+	// Load reports do not show that an endpoint is slow. The square, as one that is loaded by its speed is still late.
+	slowness := ep.podLatency.Level() * ep.Latency.Level()
+	w *= max(slowness*slowness, 1.0/weightFloorDivisor)
+	if b.settings.WeightIsSize && ep.Weight > 0 {
+		w /= ep.Weight
+	}
+	if b.slowStart.capacity(now, ep) < 1 {
+		w /= preferredDivisor // it has credit for this attempt, and would hardly be drawn by its load
+	}
+	if ep.isHome {
+		w /= preferredDivisor
+	}
+	// Guards against all requests going to one endpoint between two of its reports, or to the home of a key.
+	w *= (1 + float64(ep.inFlight)) * (1 + float64(ep.inFlight))
+	if ep.Zone != b.settings.Zone {
+		w *= otherZoneFactor
+	}
+	return w
+}
+
+// draw returns a candidate with a chance proportional to 1/w.
+func (s *selector) draw(random *rand.Rand) *endpoint {
+	sum := 0.0
+	for _, w := range s.weights {
+		sum += 1 / w
+	}
+	remaining := random.Float64() * sum
+	for i, w := range s.weights {
+		remaining -= 1 / w
+		if remaining < 0 {
+			return s.candidates[i]
+		}
+	}
+	return s.candidates[len(s.candidates)-1]
+}
+
+// meanLoad is the mean load of the endpoints that have sent a report; 1 if none has, or all are idle.
+func meanLoad(endpoints []*endpoint) float64 {
+	sum, reporting := 0.0, 0.0
+	for _, ep := range endpoints {
+		if ep.HasReport {
+			sum += ep.Load
+			reporting++
+		}
+	}
+	return cmp.Or(sum/max(reporting, 1), 1)
+}
+
+// classDelay returns what the request's class and tenant wait at any endpoint, in nanoseconds. It is taken for none where
+// the delay may be tried anew: one answer in time ends it. All nodes together try with no more requests at a time than there
+// are endpoints.
+func (b *Balancer) classDelay(now Time, req *request) float64 {
+	delay := req.delays.Delay(int64(now))
+	if delay > 0 {
+		timeFraction := min(1, float64(len(b.endpoints.all))/float64(max(b.settings.NodeCount, 1)))
+		if req.delays.MayTry(int64(now), timeFraction) {
+			return 0
+		}
+	}
+	return delay
+}
+
+// isSettling tells whether an endpoint has not sent reports long enough to trust a low one.
+func (ep *endpoint) isSettling(now Time) bool {
+	const settlingTime = 3 * recalculationInterval
+	return !ep.HasReport || ep.risingSince == 0 || now.Sub(ep.risingSince) < settlingTime
+}
--- /dev/null
+++ b/policy/slowstart.go
@@ -0,0 +1,89 @@
+package policy
+
+import (
+	"cmp"
+	"time"
+)
+
+// An endpoint in slow start gets the part of its fair share that it surely has the capacity for. Inputs: its age, the
+// settings' window and least capacity, answers of warm endpoints, and the latencies of its own answers. It earns credit,
+// in requests of mean work, for each request that a warm endpoint answers, or, where less than half of the subset is warm,
+// for each arrival; it is a candidate only with credit for a whole request, saves up no more than one, and pays by the
+// work of each. So all nodes together never send it more than its part, however many they are. docs/design.md: "Cold
+// servers".
+
+const (
+	// slowStartSafety is the part of its fair share that the coldest endpoint gets; it rises to all of it.
+	slowStartSafety = 0.75
+	// maxSlowStartRaise bounds what quick answers may raise the capacity to, over what is sure.
+	maxSlowStartRaise = 2
+	// warmConcurrency is how many requests a warm endpoint surely works on at a time.
+	warmConcurrency = 8
+	// unknownWorkDivisor: until the work of a request is known it is taken for the latency objective over this.
+	unknownWorkDivisor = 4
+)
+
+type slowStart struct {
+	window        time.Duration
+	minCapacity   float64 // part of the capacity at the start, 0 to 1
+	lastArrivalAt Time    // of a request that earned credit; 0: none has
+}
+
+// capacity returns the part of its capacity that an endpoint surely has; 1 when it is warm.
+func (s *slowStart) capacity(now Time, ep *endpoint) float64 {
+	age := now.Sub(ep.StartedAt)
+	if ep.StartedAt == 0 || age >= s.window {
+		return 1
+	}
+	return s.minCapacity + (1-s.minCapacity)*float64(max(age, 0))/float64(s.window)
+}
+
+// arrivalsEarn tells whether arrivals earn credit in place of answers: the few endpoints that are warm can't set the pace.
+func (s *subset) arrivalsEarn() bool {
+	warm := len(s.members) - len(s.warmingUp)
+	return 2*warm < len(s.members)
+}
+
+// earnCreditByAnswer lets the endpoints in slow start earn their even part of a request that a warm endpoint answered.
+func (b *Balancer) earnCreditByAnswer(now Time, answered *endpoint, work float64) {
+	if b.subset.arrivalsEarn() || b.slowStart.capacity(now, answered) < 1 {
+		return
+	}
+	warm := len(b.subset.members) - len(b.subset.warmingUp)
+	b.earnCredit(now, min(b.estimator.relativeWork(work), 1)/float64(warm))
+}
+
+// earnCreditByArrival lets them earn their even part of an arrival, within what all nodes together may send them: the first
+// endpoints back after a loss of power would else get the requests of the whole fleet.
+func (b *Balancer) earnCreditByArrival(now Time) {
+	if !b.subset.arrivalsEarn() {
+		return
+	}
+	s := &b.slowStart
+	members := len(b.subset.members)
+	objective := float64(b.settings.Classes[0].LatencyObjective)
+	work := cmp.Or(b.estimator.MeanWork, objective/unknownWorkDivisor)
+	sinceLast := float64(now - cmp.Or(s.lastArrivalAt, now))
+	nodes := max(b.settings.NodeCount, 1)
+	most := warmConcurrency * b.subset.activeEndpoints * sinceLast / work / float64(members*nodes)
+	s.lastArrivalAt = now
+	b.earnCredit(now, min(1/float64(members), most))
+}
+
+// earnCredit gives each endpoint in slow start its part of a share, in requests.
+func (b *Balancer) earnCredit(now Time, share float64) {
+	for _, ep := range b.subset.warmingUp {
+		capacity := b.slowStart.capacity(now, ep)
+		if capacity < 1 && ep.slowStartCredit < 1 {
+			ep.slowStartCredit = min(1, ep.slowStartCredit+creditPart(capacity, ep)*share)
+		}
+	}
+}
+
+// creditPart is the part of its share that an endpoint earns. Answers quicker than those of others raise it, as far as there is
+// evidence; late answers take the raise back.
+func creditPart(capacity float64, ep *endpoint) float64 {
+	sure := capacity * (slowStartSafety + (1-slowStartSafety)*capacity)
+	evidence := ep.Latency.Weight * learningRate
+	return max(sure, min(maxSlowStartRaise*capacity, evidence, 1/ep.Latency.Level()))
+}
--- /dev/null
+++ b/policy/subset.go
@@ -0,0 +1,106 @@
+package policy
+
+// Each node sends to a subset of the endpoints: the first by its own rank, a hash of the node's index and the endpoint's
+// ID. Inputs: how many endpoints are active, how many nodes there are, and this node's requests per second. The subset
+// is as large as these ask for, counted in endpoints that are warm and healthy, and shrinks by one endpoint a second at
+// most. It never holds an endpoint that the list does not name as active. Without it hundreds of nodes would each hold a
+// connection to every endpoint and hear little of any. docs/design.md: "A subset of the servers".
+
+const (
+	minSubsetSize = 4
+	// requestRatePerEndpoint is how many requests a second make the subset larger by one endpoint.
+	requestRatePerEndpoint = 8.0
+	// nodesPerEndpoint is how many nodes use an endpoint at least, so that a few nodes use all.
+	nodesPerEndpoint = 16
+	// warmingUpPerWarm bounds the endpoints that are warming up, for each place in the subset: in a fleet that is cold
+	// as a whole each send would open a connection.
+	warmingUpPerWarm = 4
+	// requestRateWindow is over how many seconds the request rate is averaged.
+	requestRateWindow = 8
+)
+
+// subset is the endpoints that this node uses.
+type subset struct {
+	members         []*endpoint // by rank
+	warmingUp       []*endpoint // those of members that are in slow start
+	size            int         // how many warm and healthy members are wanted
+	activeEndpoints float64     // on the list
+	requestRate     float64     // requests a second, averaged
+	arrivals        int         // requests since the last tick
+}
+
+// updateSubset chooses the members anew.
+func (b *Balancer) updateSubset(now Time) {
+	b.subset.resize(b.endpoints.countActive(), max(b.settings.NodeCount, 1))
+	s := &b.subset
+	s.members = s.members[:0]
+	s.warmingUp = s.warmingUp[:0]
+	places := s.size
+	replacements := s.size/2 + 1 // further places for members that are of no use at the moment
+	for _, ep := range b.endpoints.all {
+		wasMember := ep.inSubset
+		isWarmingUp := b.slowStart.capacity(now, ep) < 1
+		tooManyWarmingUp := isWarmingUp && len(s.warmingUp) >= warmingUpPerWarm*s.size
+		ep.inSubset = ep.State == StateActive && places > 0 && !tooManyWarmingUp
+		if !ep.inSubset {
+			if wasMember {
+				b.closeUnused(ep)
+			}
+			continue
+		}
+		s.members = append(s.members, ep)
+		if isWarmingUp {
+			s.warmingUp = append(s.warmingUp, ep)
+			continue
+		}
+		places--
+		if ep.isAvoided(now) && replacements > 0 {
+			places++
+			replacements--
+		}
+	}
+}
+
+// resize follows what is wanted: up at once, down by one each time, as connections would be closed and opened again.
+func (s *subset) resize(activeEndpoints float64, nodes int) {
+	s.activeEndpoints = activeEndpoints
+	wanted := max(minSubsetSize+s.requestRate/requestRatePerEndpoint, nodesPerEndpoint*activeEndpoints/float64(nodes))
+	s.size = max(s.size, int(wanted))
+	if wanted < float64(s.size)-1 {
+		s.size--
+	}
+}
+
+func (t *endpointTable) countActive() (count float64) {
+	for _, ep := range t.all {
+		if ep.State == StateActive {
+			count++
+		}
+	}
+	return count
+}
+
+// closeUnused closes the idle connections to an endpoint that has left the subset. A connection that carries one attempt
+// at a time is left to age: that of a key's home would be closed each time.
+func (b *Balancer) closeUnused(ep *endpoint) {
+	if ep.lastUsedAt > 0 && ep.inFlight == 0 && b.settings.StreamsPerConnection > 1 {
+		b.closeIdle(ep)
+	}
+}
+
+// countArrival counts a request. The subset of a node that suddenly gets many grows before the second is over, or they
+// would overload its few endpoints.
+func (b *Balancer) countArrival(now Time) {
+	s := &b.subset
+	s.arrivals++
+	if s.arrivals > int(requestRatePerEndpoint)*s.size {
+		s.requestRate = max(s.requestRate, float64(s.arrivals))
+		b.updateSubset(now)
+	}
+}
+
+// updateRequestRate takes in the second that has ended.
+func (s *subset) updateRequestRate() {
+	s.requestRate += (float64(s.arrivals) - s.requestRate) / requestRateWindow
+	s.arrivals = 0
+}
