--- a/policy/admission.go
+++ b/policy/admission.go
@@ -30,13 +30,17 @@
 	delays *classdelay.Tracker
 }
 
-// isInTime tells whether an endpoint is predicted to answer in time, by a quantile of the answers over their predictions. It
-// is a high quantile only as far as requests are rejected: while there is capacity, a late answer costs nobody else.
-func (b *Balancer) isInTime(c *criteria, ep *endpoint, work float64) bool {
-	spread := b.estimator.classes[c.request.Class].LatencySpread
-	factor := min(spread, 1+(spread-1)*(1-b.estimator.worstSuccessRate()))
-	predicted := float64(b.estimator.predictLatency(ep, work*factor))
-	return predicted+c.classDelayNanos <= float64(b.latencyBudget(c.request, c.answerBy.Sub(c.now)))
+// isInTime tells whether an endpoint is predicted to answer within the budget.
+func (e *estimator) isInTime(c *criteria, ep *endpoint, work float64) bool {
+	predicted := float64(e.predictLatency(ep, work*c.latencyFactor))
+	return predicted+c.classDelayNanos <= c.budgetNanos
+}
+
+// latencyFactor is the quantile of answers over their predictions that a prediction is raised by. It is a high one only as
+// far as requests are rejected: while there is capacity, a late answer costs nobody else.
+func (b *Balancer) latencyFactor(req *request) float64 {
+	spread := b.estimator.classes[req.Class].LatencySpread
+	return min(spread, 1+(spread-1)*(1-b.estimator.worstSuccessRate()))
 }
 
 // latencyBudget is the part of the remaining time that a prediction may take.
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -44,11 +44,15 @@
 
 // criteria is what makes an endpoint a candidate for a request in one round.
 type criteria struct {
-	now             Time
-	request         *request
-	round           selectionRound
-	answerBy        Time
+	now     Time
+	request *request
+	round   selectionRound
+	work    float64 // of the request where its key is not at home, in nanoseconds
+
+	// A candidate's predicted latency, for latencyFactor times the work, and classDelayNanos end within the budget.
+	latencyFactor   float64
 	classDelayNanos float64 // what the class and the tenant wait at any endpoint
+	budgetNanos     float64
 }
 
 // selectEndpoint returns the endpoint for the request's next attempt, or nil if there is none.
@@ -58,16 +62,22 @@
 	}
 	all, window := b.selectionPool(req)
 	b.findHomes(now, req)
-	c := criteria{now: now, request: req, classDelayNanos: b.classDelay(now, req)}
+	c := criteria{
+		now:             now,
+		request:         req,
+		work:            b.work(req),
+		latencyFactor:   b.latencyFactor(req),
+		classDelayNanos: b.classDelay(now, req),
+	}
 	for c.round = range numberOfSelectionRounds {
-		c.answerBy = req.effectiveDeadline
+		answerBy, from := req.effectiveDeadline, window
 		if c.round == roundByObjective {
-			c.answerBy = req.objectiveAt
+			answerBy = req.objectiveAt
 		}
-		from := window
 		if c.round >= roundWholeSubset {
 			from = all
 		}
+		c.budgetNanos = float64(b.latencyBudget(req, answerBy.Sub(now)))
 		b.findCandidates(&c, from)
 		if len(b.selector.candidates) > 0 {
 			b.computeWeights(now, from)
@@ -117,8 +127,8 @@
 	if health := &ep.health[c.request.Class]; health.ejected {
 		return mayTryEjected(c, ep, health)
 	}
-	work := b.workAt(c.request, ep)
-	return !b.estimator.isSilent(c.now, ep, work) && b.isInTime(c, ep, work)
+	work := c.work * b.affinity.workFactor(ep)
+	return !b.estimator.isSilent(c.now, ep, work) && b.estimator.isInTime(c, ep, work)
 }
 
 // lastEndpoint returns the endpoint of the last attempt, to which the next one does not go; nil before the first.
