--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,12 +8,12 @@
 
 // quiet is a host that only notes the last attempt.
 type lastSendRecorder struct {
-	server EndpointID
+	endpoint EndpointID
 	sent   bool
 }
 
 func (q *lastSendRecorder) Send(_ RequestID, s EndpointID, _ time.Duration) {
-	q.server, q.sent = s, true
+	q.endpoint, q.sent = s, true
 }
 func (*lastSendRecorder) Cancel(RequestID, int)           {}
 func (*lastSendRecorder) Reject(RequestID, time.Duration) {}
@@ -24,7 +24,7 @@
 func (*lastSendRecorder) Gossip(GossipMessage)            {}
 func (*lastSendRecorder) CheckHealth(EndpointID)          {}
 
-func listOf(n int) []EndpointInfo {
+func endpointList(n int) []EndpointInfo {
 	list := make([]EndpointInfo, n)
 	for i := range list {
 		list[i] = EndpointInfo{ID: EndpointID(uint32(i+1) * 2654435761), Zone: i % 3, Pod: i / 8, Weight: 1}
@@ -42,7 +42,7 @@
 			q := &lastSendRecorder{}
 			p := New(benchSettings, 1, q)
 			now := Time(1e12)
-			p.EndpointsUpdated(now, listOf(n), true)
+			p.EndpointsUpdated(now, endpointList(n), true)
 			type out struct {
 				id     RequestID
 				server EndpointID
@@ -70,7 +70,7 @@
 				id := ids[i%len(ids)]
 				q.sent = false
 				p.RequestArrived(now, Request{ID: id, Deadline: now + 600*ms})
-				if *r = (out{id, q.server, now}); !q.sent {
+				if *r = (out{id, q.endpoint, now}); !q.sent {
 					r.id = ""
 					declined++
 				}
@@ -90,10 +90,10 @@
 }
 
 // BenchmarkSlice is 512 lines of a list taken in by a node that holds so many servers.
-func BenchmarkSlice(b *testing.B) {
+func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := listOf(n)
+			list := endpointList(n)
 			p := New(benchSettings, 1, &lastSendRecorder{})
 			p.EndpointsUpdated(1e12, list, true)
 			for i := range b.N {
@@ -108,7 +108,7 @@
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := listOf(2 * n)
+			list := endpointList(2 * n)
 			for i := range b.N {
 				b.StopTimer()
 				p := New(benchSettings, 1, &lastSendRecorder{})
@@ -121,12 +121,12 @@
 }
 
 // BenchmarkNobody is a draw in which nobody takes part: the worst case, 32 tries and two passes.
-func BenchmarkNobody(b *testing.B) {
+func BenchmarkNoCandidate(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := New(benchSettings, 1, &lastSendRecorder{})
 			now := Time(1e12)
-			p.EndpointsUpdated(now, listOf(n), true)
+			p.EndpointsUpdated(now, endpointList(n), true)
 			for _, s := range p.endpoints.all {
 				s.backoffUntil = now + ms
 			}
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -101,16 +101,16 @@
 	heap.Push(&r.queue, digestEvent{r.now + max(delay, 0), r.sequence, run})
 }
 
-func (r *digestRun) Send(task policy.RequestID, server policy.EndpointID, timeout time.Duration) {
-	timeOut := int64(timeout)
-	r.note("send", task, server, timeOut)
+func (r *digestRun) Send(task policy.RequestID, server policy.EndpointID, limit time.Duration) {
+	timeout := int64(limit)
+	r.note("send", task, server, timeout)
 	number := r.attempts[task]
 	r.attempts[task]++
 	endpoint := r.endpoints[int(server)-1]
 	endpoint.inFlight++
-	outcome, elapsed := r.outcome(endpoint, r.category[task], timeOut)
-	if r.settings.MayCancel || elapsed < timeOut {
-		elapsed = min(elapsed, timeOut)
+	outcome, elapsed := r.outcome(endpoint, r.category[task], timeout)
+	if r.settings.MayCancel || elapsed < timeout {
+		elapsed = min(elapsed, timeout)
 	}
 	fresh := !endpoint.connected
 	endpoint.connected = outcome != policy.OutcomeReset && outcome != policy.OutcomeConnectFailed
@@ -130,23 +130,23 @@
 		if answer.RequestDone {
 			r.answered[task] = true
 		}
-		r.instance.AttemptEnded(policy.Time(policy.Time(r.now)), answer)
+		r.instance.AttemptEnded(policy.Time(r.now), answer)
 	})
 }
 
 // outcome draws how an attempt ends and after how long.
-func (r *digestRun) outcome(endpoint *digestEndpoint, category int, timeOut int64) (policy.Outcome, int64) {
-	work := float64(8+4*category) * float64(millisecond) * (0.4 + r.random.ExpFloat64())
+func (r *digestRun) outcome(endpoint *digestEndpoint, class int, timeout int64) (policy.Outcome, int64) {
+	work := float64(8+4*class) * float64(millisecond) * (0.4 + r.random.ExpFloat64())
 	elapsed := int64(work*endpoint.speed*r.slowdown*float64(1+endpoint.inFlight)/2) + millisecond
 	dice := r.random.Float64()
 	switch {
 	case endpoint.listed.State == policy.StateRemoved && dice < 0.8:
 		return policy.OutcomeConnectFailed, 2 * millisecond
 	case endpoint.silent:
-		return policy.OutcomeTimedOut, timeOut
+		return policy.OutcomeTimedOut, timeout
 	case endpoint.full && dice < 0.9:
 		return policy.OutcomeRejected, millisecond
-	case endpoint.failing && dice < 0.7, endpoint.failsCategory == category && dice < 0.95:
+	case endpoint.failing && dice < 0.7, endpoint.failsCategory == class && dice < 0.95:
 		return policy.OutcomeError, elapsed / 4
 	case dice < 0.004:
 		return policy.OutcomeReset, elapsed / 2
@@ -156,8 +156,8 @@
 		return policy.OutcomeNotSent, 0
 	case dice < 0.010:
 		return policy.OutcomeConnectFailed, 5 * millisecond
-	case elapsed >= timeOut:
-		return policy.OutcomeTimedOut, timeOut
+	case elapsed >= timeout:
+		return policy.OutcomeTimedOut, timeout
 	}
 	return policy.OutcomeSucceeded, elapsed
 }
@@ -192,12 +192,12 @@
 	r.answered[task] = true
 }
 
-func (r *digestRun) SetTimer(at policy.Time, cookie uint64) {
-	r.note("timer", int64(at), cookie)
+func (r *digestRun) SetTimer(at policy.Time, timer uint64) {
+	r.note("timer", int64(at), timer)
 	instance := r.instance
 	r.after(int64(at)-r.now, func() {
 		if instance == nil || instance == r.instance { // timers end with the instance that set them
-			r.instance.TimerFired(policy.Time(policy.Time(r.now)), cookie)
+			r.instance.TimerFired(policy.Time(r.now), timer)
 		}
 	})
 }
@@ -226,7 +226,7 @@
 		if endpoint.silent {
 			outcome = policy.OutcomeTimedOut
 		}
-		r.instance.HealthChecked(policy.Time(policy.Time(r.now)), server, outcome, policy.LoadReport{
+		r.instance.HealthChecked(policy.Time(r.now), server, outcome, policy.LoadReport{
 			Utilization: 0.5 * endpoint.speed,
 			QueueLength: float64(endpoint.inFlight), ServiceTime: 8 * endpoint.speed,
 		})
@@ -236,7 +236,7 @@
 func (r *digestRun) Gossip(news policy.GossipMessage) {
 	r.note("gossip", uint32(news.Endpoint), news.Class, int64(news.IdleTime))
 	for range r.random.IntN(5) { // other nodes saw the same
-		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(policy.Time(policy.Time(r.now)), news) })
+		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(policy.Time(r.now), news) })
 	}
 }
 
@@ -248,7 +248,7 @@
 			lines = append(lines, endpoint.listed)
 		}
 	}
-	r.instance.EndpointsUpdated(policy.Time(policy.Time(r.now)), lines, whole)
+	r.instance.EndpointsUpdated(policy.Time(r.now), lines, whole)
 }
 
 // change gives one endpoint another condition and, where the list tells of it, the instance the changed line.
@@ -275,31 +275,31 @@
 		endpoint.connected, listed = false, false
 	}
 	if listed && r.random.IntN(5) > 0 {
-		r.instance.EndpointsUpdated(policy.Time(policy.Time(r.now)), []policy.EndpointInfo{endpoint.listed}, false)
+		r.instance.EndpointsUpdated(policy.Time(r.now), []policy.EndpointInfo{endpoint.listed}, false)
 	}
 }
 
 func (r *digestRun) arrive(number int) {
 	id := policy.RequestID(fmt.Sprint("r", number))
-	category := r.random.IntN(len(r.settings.Classes))
+	class := r.random.IntN(len(r.settings.Classes))
 	task := policy.Request{
-		ID: id, Class: category, Tenant: r.random.IntN(4),
-		Deadline:    policy.Time(r.now).Add(r.settings.Classes[category].LatencyObjective * time.Duration(2+r.random.IntN(3))),
+		ID: id, Class: class, Tenant: r.random.IntN(4),
+		Deadline:    policy.Time(r.now).Add(r.settings.Classes[class].LatencyObjective * time.Duration(2+r.random.IntN(3))),
 		ClientRetry: r.random.IntN(12) == 0, StreamingBody: r.random.IntN(20) == 0,
 	}
 	if r.random.IntN(2) == 0 {
-		task.CostHint = time.Duration(int64(8+4*category) * millisecond * int64(1+r.random.IntN(3)) / 2)
+		task.CostHint = time.Duration(int64(8+4*class) * millisecond * int64(1+r.random.IntN(3)) / 2)
 	}
 	if r.random.IntN(4) > 0 {
 		task.Key = fmt.Sprint("key", min(r.random.IntN(40), r.random.IntN(40)))
 	}
-	r.category[id] = category
-	r.instance.RequestArrived(policy.Time(policy.Time(r.now)), task)
+	r.category[id] = class
+	r.instance.RequestArrived(policy.Time(r.now), task)
 	if r.random.IntN(40) == 0 {
 		r.after(r.random.Int64N(60)*millisecond, func() {
 			if !r.answered[id] {
 				r.answered[id] = true
-				r.instance.ClientGone(policy.Time(policy.Time(r.now)), id)
+				r.instance.ClientGone(policy.Time(r.now), id)
 			}
 		})
 	}
--- a/policy/draw_test.go
+++ b/policy/draw_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func anyTask(p *Balancer, now Time) *request {
+func anyRequest(p *Balancer, now Time) *request {
 	return &request{
 		Request: Request{Deadline: now + 900*ms, CostHint: 5e6}, classSettings: &p.settings.Classes[0], effectiveDeadline: now + 900*ms, objectiveAt: now + 900*ms,
 		delays: p.admission.delays.Of(0, 0),
@@ -15,9 +15,9 @@
 }
 
 // taking returns who takes part in a draw, with w.
-func taking(p *Balancer, now Time) map[*endpoint]float64 {
+func candidateWeights(p *Balancer, now Time) map[*endpoint]float64 {
 	out := map[*endpoint]float64{}
-	if p.selectEndpoint(now, anyTask(p, now)) != nil {
+	if p.selectEndpoint(now, anyRequest(p, now)) != nil {
 		for i, s := range p.selector.candidates {
 			out[s] = p.selector.weights[i]
 		}
@@ -47,12 +47,12 @@
 		set := benchSettings
 		set.WeightIsSize = true
 		p := New(set, 1, &lastSendRecorder{})
-		p.EndpointsUpdated(now, listOf(2), true)
+		p.EndpointsUpdated(now, endpointList(2), true)
 		for _, s := range p.endpoints.all {
 			s.Zone, s.Load, s.HasReport, s.risingSince = 0, 2, true, 1
 		}
 		c.change(p.endpoints.all[0])
-		if got := taking(p, now)[p.endpoints.all[0]]; math.Abs(got/c.want-1) > 1e-9 {
+		if got := candidateWeights(p, now)[p.endpoints.all[0]]; math.Abs(got/c.want-1) > 1e-9 {
 			t.Errorf("%s: w is %g, want %g", name, got, c.want)
 		}
 	}
@@ -60,10 +60,10 @@
 
 // worked compares how often each is drawn with 1/w over the sum, by chi-square: for k kinds
 // of outcome it lies about k-1, and under that plus five of its own deviations all but once in a million.
-func worked(t *testing.T, name string, p *Balancer, now Time, draws int) {
+func checkFrequencies(t *testing.T, name string, p *Balancer, now Time, draws int) {
 	t.Helper()
-	task := anyTask(p, now)
-	want, sum := taking(p, now), 0.0
+	task := anyRequest(p, now)
+	want, sum := candidateWeights(p, now), 0.0
 	for _, w := range want {
 		sum += 1 / w
 	}
@@ -97,24 +97,24 @@
 		draw := rand.New(rand.NewPCG(uint64(n), 9))
 		p := New(benchSettings, 3, &lastSendRecorder{})
 		now := Time(1e12)
-		p.EndpointsUpdated(now, listOf(n), true)
+		p.EndpointsUpdated(now, endpointList(n), true)
 		for _, s := range p.endpoints.all {
 			s.Load, s.LastReport, s.HasReport, s.risingSince = math.Pow(10, 5*draw.Float64()-3), 1, true, 1
 			s.inFlight = draw.IntN(3)
 		}
-		worked(t, "w over five orders", p, now, 40000)
+		checkFrequencies(t, "w over five orders", p, now, 40000)
 		for i, s := range p.endpoints.all {
 			s.backoffUntil = now + Time(i%(n/3+1))*ms
 		}
-		worked(t, "most just turned away", p, now, 40000)
+		checkFrequencies(t, "most just turned away", p, now, 40000)
 		for i, s := range p.endpoints.all {
 			if s.backoffUntil = 0; i != n/2 {
 				s.backoffUntil = now + ms
 			}
 		}
-		worked(t, "one left", p, now, 200)
+		checkFrequencies(t, "one left", p, now, 200)
 		p.endpoints.all[n/2].backoffUntil = now + ms
-		if s := p.selectEndpoint(now, anyTask(p, now)); s != nil {
+		if s := p.selectEndpoint(now, anyRequest(p, now)); s != nil {
 			t.Errorf("drew %v with none left", s)
 		}
 	}
@@ -124,12 +124,12 @@
 func TestDrawInALargeFleetFollowsOneOverW(t *testing.T) {
 	p := New(benchSettings, 3, &lastSendRecorder{})
 	now := Time(1e12)
-	p.EndpointsUpdated(now, listOf(4096), true)
+	p.EndpointsUpdated(now, endpointList(4096), true)
 	draw := rand.New(rand.NewPCG(1, 9))
 	for _, s := range p.endpoints.all {
 		s.Zone, s.Load, s.HasReport, s.risingSince = 0, float64(int(1)<<draw.IntN(3)), true, 1
 	}
-	task, got, have := anyTask(p, now), map[float64]float64{}, map[float64]float64{}
+	task, got, have := anyRequest(p, now), map[float64]float64{}, map[float64]float64{}
 	for _, s := range p.endpoints.all {
 		have[s.Load]++
 	}
--- a/policy/move_test.go
+++ b/policy/move_test.go
@@ -18,14 +18,14 @@
 
 // Guards against each of hundreds of nodes holding a connection to every server: servers took 76 to 120, and up to 65%
 // of the attempts got none.
-func TestHundredsOfNodesSpreadOverTheServers(t *testing.T) {
+func TestHundredsOfNodesSpreadOverTheEndpoints(t *testing.T) {
 	const nodes, servers = 400, 50
 	sharing, moved := map[EndpointID]int{}, 0
 	for at := range nodes {
 		set := benchSettings
 		set.NodeIndex, set.NodeCount = at, nodes
 		p := New(set, 1, &lastSendRecorder{})
-		p.EndpointsUpdated(1e12, listOf(servers), true)
+		p.EndpointsUpdated(1e12, endpointList(servers), true)
 		before := subsetIDs(p)
 		if len(before) != minSubsetSize {
 			t.Fatalf("node %d draws from %d servers, want %d", at, len(before), minSubsetSize)
@@ -33,7 +33,7 @@
 		for id := range before {
 			sharing[id]++
 		}
-		gone := listOf(servers)[7]
+		gone := endpointList(servers)[7]
 		gone.State = StateRemoved
 		p.EndpointsUpdated(1e12, []EndpointInfo{gone}, false)
 		for id := range subsetIDs(p) {
@@ -52,19 +52,19 @@
 	}
 }
 
-func TestAFewNodesDrawFromAll(t *testing.T) {
-	b := fleet(t, 19, func(s *Settings) { s.NodeIndex, s.NodeCount = 2, 4 })
+func TestFewNodesUseAllEndpoints(t *testing.T) {
+	b := newTestFleet(t, 19, func(s *Settings) { s.NodeIndex, s.NodeCount = 2, 4 })
 	if n := len(subsetIDs(b.Balancer)); n != 19 {
 		t.Errorf("one of four nodes draws from %d of 19 servers", n)
 	}
 }
 
-func many(s *Settings) {
+func manyNodes(s *Settings) {
 	s.NodeIndex, s.NodeCount, s.StreamsPerConnection, s.MayGossip = 3, 300, 100, true
 }
 
-func TestSubsetWidensPastUnfitServersAndWithTraffic(t *testing.T) {
-	b := fleet(t, 40, many)
+func TestSubsetWidensPastEjectedEndpointsAndWithTraffic(t *testing.T) {
+	b := newTestFleet(t, 40, manyNodes)
 	before := subsetIDs(b.Balancer)
 	for id := range before {
 		b.endpoints.byID[id].health[0].ejected = true
@@ -85,33 +85,33 @@
 }
 
 // Guards against servers that leave one class unanswered and serve the others as usual.
-func TestOneCategoryUnansweredStrikesItAlone(t *testing.T) {
-	b := fleet(t, 1, nil)
-	b.serve(60, prompt)
+func TestClassLeftUnansweredIsEjectedAlone(t *testing.T) {
+	b := newTestFleet(t, 1, nil)
+	b.serve(60, answersPromptly)
 	b.tick()
 	b.arrive(2)
-	woken, silent := b.cookies[len(b.cookies)-1], b.endpoints.all[0]
+	woken, silent := b.timers[len(b.timers)-1], b.endpoints.all[0]
 	b.now += 100 * ms
 	if b.TimerFired(b.now, woken); silent.health[2].ejected {
 		t.Error("struck though nothing else was answered since")
 	}
-	b.serve(1, prompt)
+	b.serve(1, answersPromptly)
 	if b.TimerFired(b.now, woken); !silent.health[2].ejected || silent.health[0].failureRate > 0.01 {
 		t.Errorf("standing by category: %+v", silent.health)
 	}
 }
 
 // Guards against an idempotent request waiting for a silent server to its end where no hedged request is allowed.
-func TestOverdueTaskIsRecalledWhereNoCopiesAre(t *testing.T) {
-	b := fleet(t, 3, func(s *Settings) { s.MayHedge = false })
-	b.serve(60, prompt)
+func TestOverdueRequestIsCanceledWithoutHedging(t *testing.T) {
+	b := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
+	b.serve(60, answersPromptly)
 	b.tick()
 	id := b.arrive(0)
 	first := b.last()
 	b.now += 200 * ms
-	b.TimerFired(b.now, b.cookies[len(b.cookies)-1])
-	if b.recalled != 1 {
-		t.Fatalf("%d recalled", b.recalled)
+	b.TimerFired(b.now, b.timers[len(b.timers)-1])
+	if b.canceled != 1 {
+		t.Fatalf("%d recalled", b.canceled)
 	}
 	if b.end(id, 0, OutcomeCanceled, 200*ms); b.last() == first || b.requests.byID[id].inFlight != 1 {
 		t.Error("the recalled task did not go to another server")
@@ -119,27 +119,27 @@
 	exclusive := b.requests.byID[b.arrive(2)]
 	b.now += 200 * ms
 	b.attemptOverdue(b.now, exclusive, 0)
-	if b.recalled != 1 {
+	if b.canceled != 1 {
 		t.Error("an exclusive task was recalled")
 	}
 }
 
 // Guards against heavy requests being begun again and again: a server that has answered others meanwhile is at work.
-func TestAHeavyTaskIsLeftWhereItIs(t *testing.T) {
+func TestHeavyRequestIsNotCanceled(t *testing.T) {
 	for _, answers := range []bool{false, true} {
-		b := fleet(t, 1, func(s *Settings) { s.MayHedge = false })
-		b.serve(40, prompt)
+		b := newTestFleet(t, 1, func(s *Settings) { s.MayHedge = false })
+		b.serve(40, answersPromptly)
 		id := b.arrive(0)
-		cookie := b.cookies[len(b.cookies)-1]
+		timer := b.timers[len(b.timers)-1]
 		if answers {
 			other := b.arrive(0)
 			b.now += 50 * ms
 			b.end(other, 0, OutcomeSucceeded, 50*ms)
 		}
 		b.now += 300 * ms
-		b.recalled = 0
-		if b.TimerFired(b.now, cookie); b.recalled > 0 == answers {
-			t.Errorf("its server answers others: %t; recalled %d times", answers, b.recalled)
+		b.canceled = 0
+		if b.TimerFired(b.now, timer); b.canceled > 0 == answers {
+			t.Errorf("its server answers others: %t; recalled %d times", answers, b.canceled)
 		}
 		b.ClientGone(b.now, id)
 	}
@@ -147,8 +147,8 @@
 
 // Guards against connections that something between drops unseen: what is sent on one is lost, and the server blamed.
 func TestConnectionsThatDieIdleAreClosedBeforeUse(t *testing.T) {
-	b := fleet(t, 4, func(s *Settings) { s.StreamsPerConnection = 100 })
-	b.serve(40, prompt)
+	b := newTestFleet(t, 4, func(s *Settings) { s.StreamsPerConnection = 100 })
+	b.serve(40, answersPromptly)
 	for n := 0; n < 20 && b.idleConns.trusted.Limit > 1e12; n++ {
 		b.now += 2e9
 		id := b.arrive(0)
@@ -166,21 +166,21 @@
 	if b.idleConns.trusted.Limit > 8e9 {
 		t.Fatalf("connections idle for %d ms are still trusted", b.idleConns.trusted.Limit/ms)
 	}
-	b.released = nil
+	b.closedIdle = nil
 	for range 8 {
 		b.now += 9e9
-		b.serve(1, prompt)
+		b.serve(1, answersPromptly)
 	}
-	if len(b.released) < 4 {
-		t.Errorf("of connections idle for 9 s and more %d were closed before use", len(b.released))
+	if len(b.closedIdle) < 4 {
+		t.Errorf("of connections idle for 9 s and more %d were closed before use", len(b.closedIdle))
 	}
 }
 
 // Guards against a node that comes by each server seldom: it lost a request to each before it learned that they die idle.
 func TestSilenceOnIdleConnectionsIsASignBeforeItEnds(t *testing.T) {
 	for _, most := range []int{1, 2} { // out at once at a server
-		b := fleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
-		b.serve(60, prompt)
+		b := newTestFleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
+		b.serve(60, answersPromptly)
 		for _, s := range b.endpoints.byID {
 			s.maxInFlight = most
 		}
@@ -188,7 +188,7 @@
 			b.now += 2e9
 			b.arrive(0)
 			b.now += 400 * ms
-			b.TimerFired(b.now, b.cookies[len(b.cookies)-1])
+			b.TimerFired(b.now, b.timers[len(b.timers)-1])
 		}
 		if learned := b.idleConns.trusted.Limit < 1e12; learned != (most == 1) {
 			t.Errorf("%d out at once at a server, where a connection carries one: idle time trusted %d ms", most, b.idleConns.trusted.Limit/ms)
@@ -198,12 +198,12 @@
 
 // Guards against closing what stands open while new connections are slow or can't be had: the belief ends there.
 func TestIdleConnectionsAreKeptWhereNoNewOneCanBeHad(t *testing.T) {
-	b := fleet(t, 3, func(s *Settings) { s.StreamsPerConnection = 1 })
-	b.serve(30, prompt)
+	b := newTestFleet(t, 3, func(s *Settings) { s.StreamsPerConnection = 1 })
+	b.serve(30, answersPromptly)
 	b.confirmDeadConnection(1e9)
 	b.now += 5e9
 	id := b.arrive(0)
-	if len(b.released) == 0 {
+	if len(b.closedIdle) == 0 {
 		t.Fatal("a connection idle for 5 s was used")
 	}
 	b.end(id, 0, OutcomeConnectFailed, 75*ms)
@@ -213,8 +213,8 @@
 }
 
 // Guards against a slow answer or two closing connections everywhere: it takes signs from one node in 25.
-func TestIdleNewsNeedManyVoices(t *testing.T) {
-	b := fleet(t, 4, many)
+func TestGossipOfIdleTimeNeedsManyNodes(t *testing.T) {
+	b := newTestFleet(t, 4, manyNodes)
 	news := GossipMessage{IdleTime: 1200 * ms}
 	for n := range 40 {
 		if trusted := b.idleConns.trusted.Limit > 1e12; trusted != (n < 12) {
@@ -234,9 +234,9 @@
 	}
 }
 
-func TestFailNewsAreHeardUnlessSeenOtherwise(t *testing.T) {
-	b := fleet(t, 12, many)
-	b.serve(60, prompt)
+func TestGossipOfFailuresYieldsToWhatWasSeen(t *testing.T) {
+	b := newTestFleet(t, 12, manyNodes)
+	b.serve(60, answersPromptly)
 	var seen, unseen *endpoint
 	for _, s := range b.endpoints.all {
 		if s.inSubset && s.health[0].samples > 1 {
@@ -271,8 +271,8 @@
 	}
 }
 
-func TestNonsenseNewsChangeNothing(t *testing.T) {
-	b := fleet(t, 4, many)
+func TestInvalidGossipIsIgnored(t *testing.T) {
+	b := newTestFleet(t, 4, manyNodes)
 	for _, news := range []GossipMessage{{}, {Endpoint: 77}, {Endpoint: 1, Class: 3}, {Endpoint: 1, Class: -1}, {IdleTime: -5}, {IdleTime: ms}} {
 		for range 100 {
 			b.GossipReceived(b.now, news)
@@ -288,9 +288,9 @@
 }
 
 // A node tells what it saw, and no more often than once a second.
-func TestErrorsAreToldOnceASecond(t *testing.T) {
-	b := fleet(t, 4, many)
-	b.serve(20, prompt)
+func TestGossipOfErrorsOnceASecond(t *testing.T) {
+	b := newTestFleet(t, 4, manyNodes)
+	b.serve(20, answersPromptly)
 	bad := EndpointID(0)
 	b.serve(40, func(s EndpointID) (Outcome, time.Duration) {
 		if bad == 0 {
@@ -301,16 +301,16 @@
 		}
 		return OutcomeSucceeded, ms
 	})
-	if len(b.told) != 1 || b.told[0] != (GossipMessage{Endpoint: bad}) {
-		t.Errorf("told %v", b.told)
+	if len(b.gossiped) != 1 || b.gossiped[0] != (GossipMessage{Endpoint: bad}) {
+		t.Errorf("told %v", b.gossiped)
 	}
 }
 
 // Guards against a spell that ends only once the servers have rested: in a long jam a node gives up all requests for a
 // while, once; a short one, as a burst makes, changes nothing.
-func TestALongJamIsGivenARestOnce(t *testing.T) {
-	b := fleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
-	b.serve(40, prompt)
+func TestLongOverloadGetsOneRest(t *testing.T) {
+	b := newTestFleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
+	b.serve(40, answersPromptly)
 	for range 40 { // slow all the time, but nothing is rejected
 		b.estimator.Fleet.A, b.estimator.Fleet.Weight = 400, 40
 		b.now += Time(recalculationInterval)
@@ -328,7 +328,7 @@
 			if second < overloadedSecondsToRest-1 {
 				t.Fatalf("a rest after %d s of jam", second+1)
 			}
-			if b.declined = 0; b.arrive(0) == "" || b.declined != 1 {
+			if b.rejected = 0; b.arrive(0) == "" || b.rejected != 1 {
 				t.Error("a task was taken while the fleet rests")
 			}
 		}
@@ -341,8 +341,8 @@
 // Guards against servers that reset requests for reasons of their own being taken for connections that die idle: closing
 // and opening connections all the time cost an incident half of its service.
 func TestResetsAmongLongLivedConnectionsAreNoSign(t *testing.T) {
-	b := fleet(t, 1, func(s *Settings) { s.StreamsPerConnection = 100 })
-	b.serve(40, prompt)
+	b := newTestFleet(t, 1, func(s *Settings) { s.StreamsPerConnection = 100 })
+	b.serve(40, answersPromptly)
 	for n := range 60 {
 		b.now += 2e9
 		id, o := b.arrive(0), OutcomeSucceeded
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -16,31 +16,31 @@
 // recorder is a host that notes what it is told, for the small tests of single failures.
 type recorder struct {
 	sent               []EndpointID
-	waits              []time.Duration
-	recalled           int
-	declined, brokeOff int
-	cookies            []uint64
-	released           []EndpointID
-	told               []GossipMessage
-	probed             []EndpointID
-	advice             time.Duration
+	timeouts              []time.Duration
+	canceled           int
+	rejected, failed int
+	timers            []uint64
+	closedIdle           []EndpointID
+	gossiped               []GossipMessage
+	checked             []EndpointID
+	retryAfter             time.Duration
 }
 
 func (r *recorder) Send(_ RequestID, s EndpointID, wait time.Duration) {
-	r.sent, r.waits = append(r.sent, s), append(r.waits, wait)
+	r.sent, r.timeouts = append(r.sent, s), append(r.timeouts, wait)
 }
-func (r *recorder) Cancel(RequestID, int) { r.recalled++ }
+func (r *recorder) Cancel(RequestID, int) { r.canceled++ }
 func (r *recorder) Reject(_ RequestID, advice time.Duration) {
-	r.declined, r.advice = r.declined+1, advice
+	r.rejected, r.retryAfter = r.rejected+1, advice
 }
-func (r *recorder) Fail(RequestID)                 { r.brokeOff++ }
-func (r *recorder) SetTimer(_ Time, cookie uint64) { r.cookies = append(r.cookies, cookie) }
+func (r *recorder) Fail(RequestID)                 { r.failed++ }
+func (r *recorder) SetTimer(_ Time, timer uint64) { r.timers = append(r.timers, timer) }
 func (r *recorder) WatchEndpoints()                {}
-func (r *recorder) CloseIdle(s EndpointID)         { r.released = append(r.released, s) }
-func (r *recorder) Gossip(news GossipMessage)      { r.told = append(r.told, news) }
-func (r *recorder) CheckHealth(s EndpointID)       { r.probed = append(r.probed, s) }
+func (r *recorder) CloseIdle(s EndpointID)         { r.closedIdle = append(r.closedIdle, s) }
+func (r *recorder) Gossip(news GossipMessage)      { r.gossiped = append(r.gossiped, news) }
+func (r *recorder) CheckHealth(s EndpointID)       { r.checked = append(r.checked, s) }
 func (r *recorder) last() EndpointID               { return r.sent[len(r.sent)-1] }
-func (r *recorder) given(id EndpointID) (count int) {
+func (r *recorder) sentTo(id EndpointID) (count int) {
 	for _, s := range r.sent {
 		if s == id {
 			count++
@@ -54,11 +54,11 @@
 	*Balancer
 	*recorder
 	now   Time
-	tasks int
+	arrived int
 }
 
 // fleet starts a module with so many servers and three classes: idempotent, ticketed in a pod, exclusive.
-func fleet(t *testing.T, servers int, change func(*Settings)) *testFleet {
+func newTestFleet(t *testing.T, servers int, change func(*Settings)) *testFleet {
 	s := Settings{
 		MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
 		SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10, Classes: []Class{
@@ -80,10 +80,10 @@
 	return b
 }
 
-func (b *testFleet) arrive(category int) RequestID {
-	b.tasks++
-	id := RequestID(fmt.Sprint(b.tasks))
-	b.RequestArrived(b.now, Request{ID: id, Class: category, Deadline: b.now + 1000*ms})
+func (b *testFleet) arrive(class int) RequestID {
+	b.arrived++
+	id := RequestID(fmt.Sprint(b.arrived))
+	b.RequestArrived(b.now, Request{ID: id, Class: class, Deadline: b.now + 1000*ms})
 	return id
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-func prompt(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 40 * ms }
+func answersPromptly(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 40 * ms }
 
 // TestDrawFollowsTheFormula compares the draw's frequencies with shares worked by hand: for w of 1, 2 and 4
 // the sum is 7, x is 7, 3.5 and 1.75, and the shares are 4/7, 2/7 and 1/7.
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestDriftIsTheLastRisePerHandOff(t *testing.T) {
+func TestRisePerSendIsTheLastRiseOverItsSends(t *testing.T) {
 	s := &endpoint{}
 	s.takeReport(0, 0.2)
 	s.sendsSinceReport = 4
@@ -151,9 +151,9 @@
 	}
 }
 
-func TestTimeOutsTeachAnswerTimes(t *testing.T) {
-	b := fleet(t, 1, nil)
-	b.serve(20, prompt)
+func TestTimeoutsRaiseTheExpectedLatency(t *testing.T) {
+	b := newTestFleet(t, 1, nil)
+	b.serve(20, answersPromptly)
 	before, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 	for range 4 {
 		id := b.arrive(2)
@@ -165,8 +165,8 @@
 	}
 }
 
-func TestFastFailingServerLeavesAndReturns(t *testing.T) {
-	b := fleet(t, 4, nil)
+func TestFailingEndpointIsEjectedAndReturns(t *testing.T) {
+	b := newTestFleet(t, 4, nil)
 	bad := EndpointID(2)
 	how := func(s EndpointID) (Outcome, time.Duration) {
 		if s == bad {
@@ -177,23 +177,23 @@
 	b.serve(100, how)
 	b.sent = nil
 	b.serve(100, how)
-	if n := b.given(bad); n > 8 {
+	if n := b.sentTo(bad); n > 8 {
 		t.Errorf("a failing server got %d of %d hand-offs", n, len(b.sent))
 	}
 	b.arrive(2)
-	if bad = 0; b.declined+b.brokeOff > 0 {
-		t.Errorf("%d tasks were given up beside three good servers", b.declined+b.brokeOff)
+	if bad = 0; b.rejected+b.failed > 0 {
+		t.Errorf("%d tasks were given up beside three good servers", b.rejected+b.failed)
 	}
 	b.serve(800, how)
 	b.sent = nil
-	if b.serve(100, how); b.given(2) < 10 || b.endpoints.byID[2].health[0].ejected {
-		t.Errorf("a mended server got %d of 100 hand-offs", b.given(2))
+	if b.serve(100, how); b.sentTo(2) < 10 || b.endpoints.byID[2].health[0].ejected {
+		t.Errorf("a mended server got %d of 100 hand-offs", b.sentTo(2))
 	}
 }
 
-func TestNobodyIsTheOddOneWhenAllFail(t *testing.T) {
-	b := fleet(t, 4, nil)
-	b.serve(20, prompt)
+func TestNoOutlierWhenAllFail(t *testing.T) {
+	b := newTestFleet(t, 4, nil)
+	b.serve(20, answersPromptly)
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeError, ms })
 	unfit := 0
 	for _, s := range b.endpoints.all {
@@ -206,50 +206,50 @@
 	}
 }
 
-func TestSilentServerGetsNoMoreTasks(t *testing.T) {
-	b := fleet(t, 3, nil)
-	b.serve(60, prompt)
+func TestSilentEndpointGetsNoMoreRequests(t *testing.T) {
+	b := newTestFleet(t, 3, nil)
+	b.serve(60, answersPromptly)
 	b.tick()
 	id := b.arrive(2)
 	silent := b.last()
 	b.now += 400 * ms
 	b.sent = nil
-	b.serve(30, prompt)
-	if b.given(silent) > 0 {
-		t.Errorf("a server silent for ten answer times got %d more tasks", b.given(silent))
+	b.serve(30, answersPromptly)
+	if b.sentTo(silent) > 0 {
+		t.Errorf("a server silent for ten answer times got %d more tasks", b.sentTo(silent))
 	}
 	b.now += 80 * ms
 	b.end(id, 0, OutcomeTimedOut, 480*ms)
-	if b.brokeOff != 1 || b.declined != 0 {
-		t.Errorf("the exclusive task was declined %d and broken off %d times", b.declined, b.brokeOff)
+	if b.failed != 1 || b.rejected != 0 {
+		t.Errorf("the exclusive task was declined %d and broken off %d times", b.rejected, b.failed)
 	}
 }
 
 func (b *testFleet) tick() { b.TimerFired(b.now, tickTimer) }
 
-func TestOverdueTaskGetsACopyAndItsServerIsNoted(t *testing.T) {
-	b := fleet(t, 3, nil)
-	b.serve(60, prompt)
+func TestOverdueRequestIsHedgedAndItsEndpointJudged(t *testing.T) {
+	b := newTestFleet(t, 3, nil)
+	b.serve(60, answersPromptly)
 	b.tick()
 	id := b.arrive(0)
 	b.now += 200 * ms
-	b.TimerFired(b.now, b.cookies[len(b.cookies)-1])
+	b.TimerFired(b.now, b.timers[len(b.timers)-1])
 	task := b.requests.byID[id]
 	if task.inFlight != 2 || task.attempts[0].endpoint == task.attempts[1].endpoint {
 		t.Fatalf("the overdue task has %d hand-offs out", task.inFlight)
 	}
 	slow := task.attempts[0].endpoint
 	b.end(id, 1, OutcomeSucceeded, 40*ms)
-	if b.recalled != 1 {
-		t.Errorf("%d hand-offs were recalled after the copy's answer", b.recalled)
+	if b.canceled != 1 {
+		t.Errorf("%d hand-offs were recalled after the copy's answer", b.canceled)
 	}
 	if b.end(id, 0, OutcomeCanceled, 240*ms); slow.health[0].failureRate == 0 {
 		t.Error("the overtaken server still looks as good as the others")
 	}
 }
 
-func TestLateCategoryGivesUpTimeForTheStarved(t *testing.T) {
-	b := fleet(t, 2, nil)
+func TestClassThatDoesWellGivesUpTimeForTheWorst(t *testing.T) {
+	b := newTestFleet(t, 2, nil)
 	b.estimator.classes[0].SuccessRate, b.estimator.classes[1].SuccessRate = 0.2, 0.8
 	starved, other := &request{effectiveDeadline: b.now + 400*ms}, &request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}
 	if got := b.allow(starved); got != 400*ms {
@@ -260,8 +260,8 @@
 	}
 }
 
-func TestCategoryNoLongerAskedForHoldsNobodyBack(t *testing.T) {
-	b := fleet(t, 2, nil)
+func TestClassWithoutRequestsHoldsNoOtherBack(t *testing.T) {
+	b := newTestFleet(t, 2, nil)
 	b.estimator.classes[0].SuccessRate = 0.01
 	for range 40 {
 		b.now += Time(recalculationInterval)
@@ -272,8 +272,8 @@
 	}
 }
 
-func TestHeavyTasksDoNotShutOutTheOthers(t *testing.T) {
-	b := fleet(t, 3, nil)
+func TestHeavyRequestsDoNotShutOutOthers(t *testing.T) {
+	b := newTestFleet(t, 3, nil)
 	n := 0
 	b.serve(600, func(EndpointID) (Outcome, time.Duration) {
 		if n++; n%12 == 0 {
@@ -281,16 +281,16 @@
 		}
 		return OutcomeSucceeded, 20 * ms
 	})
-	if b.declined > 0 {
-		t.Errorf("%d of 600 tasks were declined on idle servers for the heavy ones among them", b.declined)
+	if b.rejected > 0 {
+		t.Errorf("%d of 600 tasks were declined on idle servers for the heavy ones among them", b.rejected)
 	}
 }
 
-func TestIdleNodeRelaxesItsBound(t *testing.T) {
-	b := fleet(t, 2, nil)
+func TestLatencySpreadRelaxesWhileMostIsRejected(t *testing.T) {
+	b := newTestFleet(t, 2, nil)
 	b.estimator.classes[0].LatencySpread = 5
 	for range 10 {
-		b.serve(1, prompt) // a request now and then must not keep the bound up while most are rejected
+		b.serve(1, answersPromptly) // a request now and then must not keep the bound up while most are rejected
 		b.estimator.classes[0].GivenUpCount = 2
 		b.now += Time(recalculationInterval)
 		b.tick()
@@ -300,7 +300,7 @@
 	}
 	b.estimator.classes[0].LatencySpread = 3
 	for range 10 {
-		b.serve(1, prompt)
+		b.serve(1, answersPromptly)
 		b.now += Time(recalculationInterval)
 		b.tick()
 	}
@@ -309,9 +309,9 @@
 	}
 }
 
-func TestIdleServersAreMeasuredAgainAfterAJam(t *testing.T) {
-	b := fleet(t, 2, nil)
-	b.serve(40, prompt)
+func TestEndpointsAreMeasuredAgainAfterOverload(t *testing.T) {
+	b := newTestFleet(t, 2, nil)
+	b.serve(40, answersPromptly)
 	b.serve(40, func(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 450 * ms })
 	jammed, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 	for range 20 {
@@ -321,15 +321,15 @@
 	if relaxed, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); relaxed > jammed*2/3 {
 		t.Errorf("answer times expected at %.1f in the jam are still expected at %.1f", jammed, relaxed)
 	}
-	b.declined = 0
-	if b.serve(20, prompt); b.declined > 0 {
-		t.Errorf("%d of 20 tasks were declined twenty idle seconds after a jam", b.declined)
+	b.rejected = 0
+	if b.serve(20, answersPromptly); b.rejected > 0 {
+		t.Errorf("%d of 20 tasks were declined twenty idle seconds after a jam", b.rejected)
 	}
 }
 
-func TestSilentServerDoesNotRaiseTheBoundForAll(t *testing.T) {
-	b := fleet(t, 3, nil)
-	b.serve(60, prompt)
+func TestSilentEndpointDoesNotRaiseTheSpreadOfItsClass(t *testing.T) {
+	b := newTestFleet(t, 3, nil)
+	b.serve(60, answersPromptly)
 	before := b.estimator.classes[2].LatencySpread
 	for range 5 {
 		id := b.arrive(2)
@@ -341,7 +341,7 @@
 	}
 }
 
-func TestListIsAskedForAgainWithGrowingWaits(t *testing.T) {
+func TestPollBackoffGrows(t *testing.T) {
 	p := New(Settings{MustPollList: true, MaxPollInterval: 10e9}, 1, &recorder{})
 	last := time.Duration(10e9 / 128)
 	for range 10 {
@@ -353,9 +353,9 @@
 	}
 }
 
-func TestServerThatTurnsAwayIsLeftAloneLonger(t *testing.T) {
-	b := fleet(t, 3, nil)
-	b.serve(30, prompt)
+func TestBackoffGrowsForAnEndpointThatRejects(t *testing.T) {
+	b := newTestFleet(t, 3, nil)
+	b.serve(30, answersPromptly)
 	b.sent = nil
 	b.serve(60, func(s EndpointID) (Outcome, time.Duration) {
 		if s == 1 {
@@ -363,7 +363,7 @@
 		}
 		return OutcomeSucceeded, 10 * ms
 	})
-	if n := b.given(1); n > 8 {
+	if n := b.sentTo(1); n > 8 {
 		t.Errorf("a full server was asked %d times during 60 tasks", n)
 	}
 	seldom := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
@@ -373,8 +373,8 @@
 	}
 }
 
-func TestCustomerBeyondItsShareIsShedFirst(t *testing.T) {
-	b := fleet(t, 2, func(s *Settings) { s.TenantShares, s.OverQuotaFraction = []float64{0.7, 0.3}, 0.2 })
+func TestTenantOverItsQuotaIsShedFirst(t *testing.T) {
+	b := newTestFleet(t, 2, func(s *Settings) { s.TenantShares, s.OverQuotaFraction = []float64{0.7, 0.3}, 0.2 })
 	beyond := [2]int{}
 	for i := range 1000 { // both ask for as much
 		if b.admission.quotas.Exceeded(i%2, false) {
@@ -391,9 +391,9 @@
 	}
 }
 
-func TestFellowsStandInForAServerSeldomHeard(t *testing.T) {
-	b := fleet(t, 100, nil)
-	b.serve(40, prompt)
+func TestPeersStandInForAnUnknownEndpoint(t *testing.T) {
+	b := newTestFleet(t, 100, nil)
+	b.serve(40, answersPromptly)
 	b.serve(40, func(s EndpointID) (Outcome, time.Duration) {
 		if s <= 20 {
 			return OutcomeTimedOut, 450 * ms
@@ -417,9 +417,9 @@
 	}
 }
 
-func TestFullServersTeachThatTheFleetIsLate(t *testing.T) {
-	b := fleet(t, 100, nil)
-	b.serve(40, prompt)
+func TestRejectionsTeachThatTheFleetIsLate(t *testing.T) {
+	b := newTestFleet(t, 100, nil)
+	b.serve(40, answersPromptly)
 	b.sent = nil
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeRejected, ms })
 	if len(b.sent) > 120 {
@@ -427,9 +427,9 @@
 	}
 }
 
-func TestOneErrorOfAServerSeldomHeardPutsItOut(t *testing.T) {
-	b := fleet(t, 40, nil)
-	b.serve(20, prompt)
+func TestOneErrorEjectsALittleKnownEndpoint(t *testing.T) {
+	b := newTestFleet(t, 40, nil)
+	b.serve(20, answersPromptly)
 	id := b.arrive(2)
 	s := b.endpoints.byID[b.last()]
 	s.Latency, s.health[2] = ewma.Pair{}, classHealth{}
@@ -438,14 +438,14 @@
 	}
 }
 
-func TestHundredsOfNodesTogetherGiveAColdServerItsPart(t *testing.T) {
+func TestHundredsOfNodesGiveAnEndpointInSlowStartItsShare(t *testing.T) {
 	given, most := 0, 0.0
 	for seed := range uint64(400) {
-		b := fleet(t, 20, nil)
+		b := newTestFleet(t, 20, nil)
 		b.random = rand.New(rand.NewPCG(seed, 977))
 		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 21, Weight: 1, StartedAt: b.now - 4e9}}, false)
-		b.serve(8, prompt)
-		given += b.given(21)
+		b.serve(8, answersPromptly)
+		given += b.sentTo(21)
 		most += 8 * 0.28 / 20 // what it surely can do four of twenty seconds after its start
 	}
 	if float64(given) < most/4 || float64(given) > most {
@@ -453,29 +453,29 @@
 	}
 }
 
-func TestSlowServerWithAlikeReportsGetsLittle(t *testing.T) {
-	b := fleet(t, 4, nil)
+func TestSlowEndpointWithTheSameReportsGetsLittle(t *testing.T) {
+	b := newTestFleet(t, 4, nil)
 	b.serve(400, func(s EndpointID) (Outcome, time.Duration) {
 		if s == 1 {
 			return OutcomeSucceeded, 120 * ms
 		}
 		return OutcomeSucceeded, 40 * ms
 	})
-	if n := b.given(1); n > 40 {
+	if n := b.sentTo(1); n > 40 {
 		t.Errorf("a server three times as slow got %d of 400 hand-offs, by speed it would be 40", n)
 	}
 }
 
 // Guards against the way to another zone, the same for any request, being taken for slowness in proportion to the work.
-func TestWayToAnotherZoneIsNotTakenForSlowness(t *testing.T) {
-	b := fleet(t, 0, nil)
+func TestZoneDelayIsNotTakenForSlowness(t *testing.T) {
+	b := newTestFleet(t, 0, nil)
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, Zone: 1, Weight: 1}, {ID: 2, Zone: 1, Weight: 1}}, true)
 	answered := func(cost, took time.Duration, fresh bool) {
-		b.tasks++
-		id := RequestID(fmt.Sprint(b.tasks))
+		b.arrived++
+		id := RequestID(fmt.Sprint(b.arrived))
 		b.RequestArrived(b.now, Request{ID: id, Deadline: b.now + 1000*ms, CostHint: cost})
 		if b.requests.byID[id] == nil {
-			t.Fatalf("task %d of %d ms was given up beside idle servers", b.tasks, cost/ms)
+			t.Fatalf("task %d of %d ms was given up beside idle servers", b.arrived, cost/ms)
 		}
 		b.now += Time(took)
 		b.AttemptEnded(b.now, AttemptResult{
@@ -499,9 +499,9 @@
 }
 
 // Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it can do.
-func TestUnfitServersAreTriedBeforeATaskIsDeclined(t *testing.T) {
-	b := fleet(t, 4, nil)
-	b.serve(100, prompt)
+func TestEjectedEndpointsAreUsedBeforeRejecting(t *testing.T) {
+	b := newTestFleet(t, 4, nil)
+	b.serve(100, answersPromptly)
 	for _, s := range b.endpoints.all {
 		s.health[2] = classHealth{ejected: s.ID > 1, failureRate: 0.3, retryAt: b.now + Time(1e9)}
 	}
@@ -510,14 +510,14 @@
 	for range 3 {
 		b.arrive(2)
 	}
-	if b.given(2) != 1 || b.given(3) != 1 || b.given(4) != 1 || b.declined != 0 {
-		t.Errorf("three tasks went to %v, %d were declined", b.sent, b.declined)
+	if b.sentTo(2) != 1 || b.sentTo(3) != 1 || b.sentTo(4) != 1 || b.rejected != 0 {
+		t.Errorf("three tasks went to %v, %d were declined", b.sent, b.rejected)
 	}
-	if b.arrive(2); b.declined != 1 {
+	if b.arrive(2); b.rejected != 1 {
 		t.Error("an unfit server was given a second task while it had one")
 	}
 	b.endpoints.byID[1].State, b.sent = StateActive, nil
-	if b.arrive(2); b.given(1) != 1 {
+	if b.arrive(2); b.sentTo(1) != 1 {
 		t.Errorf("with a fit server a task went to %v", b.sent)
 	}
 	for _, s := range b.endpoints.all {
@@ -530,10 +530,10 @@
 }
 
 // Guards against a server that turns a part of its requests away, idle as it is, being taken for a crowded one.
-func TestTurnedAwayWithAnEmptyQueueTeachesNoLateness(t *testing.T) {
+func TestRejectionWithAnEmptyQueueTeachesNoLatency(t *testing.T) {
 	for queue, late := range map[float64]bool{0: false, 3: true, -1: true} {
-		b := fleet(t, 1, nil)
-		b.serve(100, prompt)
+		b := newTestFleet(t, 1, nil)
+		b.serve(100, answersPromptly)
 		before, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 		for range 8 {
 			id := b.arrive(2)
@@ -548,18 +548,18 @@
 
 // With a request out at each of a few servers and answers in microseconds, a moment in which the node itself stood still
 // made all of them look silent, and idle servers' requests were rejected: 57 of the first 50,000 with eight.
-func TestAMomentsStillnessDeclinesNothing(t *testing.T) {
+func TestAPauseOfTheNodeRejectsNothing(t *testing.T) {
 	q := &lastSendRecorder{}
 	set := benchSettings
 	set.ClockResolution = 2 * ms
 	p := New(set, 1, q)
 	now := Time(1e12)
-	p.EndpointsUpdated(now, listOf(2), true)
+	p.EndpointsUpdated(now, endpointList(2), true)
 	for i := range 100 {
 		id := RequestID(fmt.Sprint("warm", i))
 		p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms})
 		now += ms / 20
-		p.AttemptEnded(now, AttemptResult{Request: id, Endpoint: q.server, Outcome: OutcomeSucceeded, Elapsed: ms / 20, RequestDone: true})
+		p.AttemptEnded(now, AttemptResult{Request: id, Endpoint: q.endpoint, Outcome: OutcomeSucceeded, Elapsed: ms / 20, RequestDone: true})
 	}
 	for i := range 8 {
 		p.RequestArrived(now, Request{ID: RequestID(fmt.Sprint("out", i)), Deadline: now + 900*ms})
@@ -577,9 +577,9 @@
 }
 
 // Guards against a jam of work that earns next to nothing holding up what earns fifty times as much.
-func TestWhatEarnsLittleGivesUpTimeInNeed(t *testing.T) {
+func TestClassThatEarnsLittleGivesUpTime(t *testing.T) {
 	for worst, kept := range map[float64]time.Duration{0.2: 225, 0.4: 400} { // of 400 ms, with half rejected
-		b := fleet(t, 2, func(s *Settings) {
+		b := newTestFleet(t, 2, func(s *Settings) {
 			s.WorstClassWeight, s.WeightByWork = worst, true
 			s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight, s.Classes[2].PriorityWeight = 1, 4, 64
 		})
@@ -601,22 +601,22 @@
 
 // Guards against a request whose body still comes being judged as a slow server's, counted as its crowd, or sent again when
 // part of its body is held no more.
-func TestTaskWhoseBodyStillComes(t *testing.T) {
-	for category, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
+func TestStreamingBody(t *testing.T) {
+	for class, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
 		for _, o := range []Outcome{OutcomeConnectFailed, OutcomeError} {
-			b := fleet(t, 4, nil)
-			b.serve(40, prompt)
-			b.cookies = nil
-			b.RequestArrived(b.now, Request{ID: "long", Class: category, Deadline: b.now + 1000*ms, StreamingBody: true})
+			b := newTestFleet(t, 4, nil)
+			b.serve(40, answersPromptly)
+			b.timers = nil
+			b.RequestArrived(b.now, Request{ID: "long", Class: class, Deadline: b.now + 1000*ms, StreamingBody: true})
 			s := b.endpoints.byID[b.last()]
-			if len(b.cookies) != 0 || s.inFlight != 0 {
-				t.Errorf("%d timers wait for it, %d out at its server", len(b.cookies), s.inFlight)
+			if len(b.timers) != 0 || s.inFlight != 0 {
+				t.Errorf("%d timers wait for it, %d out at its server", len(b.timers), s.inFlight)
 			}
 			sent := len(b.sent)
 			b.AttemptEnded(b.now+ms, AttemptResult{Request: "long", Endpoint: s.ID, Outcome: o, BodyConsumed: true, Report: LoadReport{-1, -1, -1}})
 			declined := repeat == Idempotent || o == OutcomeConnectFailed
-			if len(b.sent) != sent || s.inFlight != 0 || (b.declined == 1) != declined || (b.brokeOff == 1) == declined {
-				t.Errorf("repeat %d, outcome %d: %d more hand-offs, %d out, %d declined, %d broken off", repeat, o, len(b.sent)-sent, s.inFlight, b.declined, b.brokeOff)
+			if len(b.sent) != sent || s.inFlight != 0 || (b.rejected == 1) != declined || (b.failed == 1) == declined {
+				t.Errorf("repeat %d, outcome %d: %d more hand-offs, %d out, %d declined, %d broken off", repeat, o, len(b.sent)-sent, s.inFlight, b.rejected, b.failed)
 			}
 		}
 	}
@@ -624,7 +624,7 @@
 
 // A new instance predicts as the one before did, and does not take a restarted server for the old one.
 func TestInheritance(t *testing.T) {
-	b := fleet(t, 4, nil)
+	b := newTestFleet(t, 4, nil)
 	b.serve(200, func(s EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, time.Duration(s) * 20 * ms })
 	text, err := json.Marshal(b.Estimates())
 	if err != nil {
@@ -634,7 +634,7 @@
 	if err := json.Unmarshal(text, &all); err != nil || !all.Valid(3) {
 		t.Fatalf("%v, sound %t", err, all.Valid(3))
 	}
-	next := fleet(t, 4, nil)
+	next := newTestFleet(t, 4, nil)
 	next.EndpointsUpdated(next.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: 1}}, false)
 	next.Inherit(&all)
 	for id := EndpointID(1); id <= 4; id++ {
@@ -647,14 +647,14 @@
 
 // Guards against a fleet that is mostly cold being used no further than its servers surely can: one whose answers show more
 // earns more, up to twice; one that shows nothing, or that it is slow, earns what it did.
-func TestColdServerEarnsByWhatItsAnswersShow(t *testing.T) {
+func TestSlowStartCreditFollowsTheAnswers(t *testing.T) {
 	bound := 0.0
 	earned := func(own ewma.Pair) float64 {
-		b := fleet(t, 4, nil)
+		b := newTestFleet(t, 4, nil)
 		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: b.now}}, false)
 		b.now += 5e9
 		b.EndpointsUpdated(b.now, nil, false)
-		b.serve(1, prompt) // so that the cost of a request is known
+		b.serve(1, answersPromptly) // so that the cost of a request is known
 		s := b.endpoints.byID[4]
 		s.slowStartCredit, s.Latency = 0, own
 		b.earnCreditByAnswer(b.now, b.endpoints.byID[1], b.estimator.MeanWork)
@@ -679,7 +679,7 @@
 	const keys = 40
 	at := map[string]map[EndpointID]int{}
 	for node := range 5 {
-		b := fleet(t, 12, func(s *Settings) { s.KeyAffinity, s.NodeIndex, s.NodeCount = true, node, 5 })
+		b := newTestFleet(t, 12, func(s *Settings) { s.KeyAffinity, s.NodeIndex, s.NodeCount = true, node, 5 })
 		for i := range 3 * keys {
 			key := fmt.Sprint(i % keys)
 			b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: b.now + 1000*ms, Key: key})
@@ -705,15 +705,15 @@
 }
 
 // Guards against a home that is cold, unfit or jammed getting its keys' requests all the same.
-func TestAKeyLeavesAHomeThatIsNoUse(t *testing.T) {
-	b := fleet(t, 8, func(s *Settings) { s.KeyAffinity, s.Classes[0].LatencyObjective = true, 200*ms })
-	b.serve(40, prompt)
+func TestKeyLeavesAnOverloadedOrRestartedHome(t *testing.T) {
+	b := newTestFleet(t, 8, func(s *Settings) { s.KeyAffinity, s.Classes[0].LatencyObjective = true, 200*ms })
+	b.serve(40, answersPromptly)
 	for i := range 200 {
 		b.affinity.keys.Observe(fmt.Sprint("another", i), 8)
 	}
 	ask := func() EndpointID {
-		b.tasks++
-		b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(b.tasks)), Deadline: b.now + 1000*ms, Key: "k"})
+		b.arrived++
+		b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(b.arrived)), Deadline: b.now + 1000*ms, Key: "k"})
 		return b.last()
 	}
 	home := ask()
@@ -733,17 +733,17 @@
 }
 
 // Guards against a list that says too much: where being left out binds nothing, who still answers is still used.
-func TestGoneServersServeUntilTheyFail(t *testing.T) {
+func TestRemovedEndpointsServeUntilTheyFail(t *testing.T) {
 	for _, keep := range []bool{false, true} {
-		b := fleet(t, 3, func(s *Settings) { s.RemovedMayServe = keep })
-		b.serve(20, prompt)
+		b := newTestFleet(t, 3, func(s *Settings) { s.RemovedMayServe = keep })
+		b.serve(20, answersPromptly)
 		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, State: StateDraining}}, false)
 		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, State: StateRemoved}, {ID: 2, State: StateRemoved}}, false)
 		b.EndpointsUpdated(b.now, nil, true)
 		b.sent = nil
-		b.serve(30, prompt)
-		if b.given(1) > 0 || b.given(2)+b.given(3) > 0 != keep {
-			t.Errorf("kept %t: %d to the one that had drained, %d and %d to the others", keep, b.given(1), b.given(2), b.given(3))
+		b.serve(30, answersPromptly)
+		if b.sentTo(1) > 0 || b.sentTo(2)+b.sentTo(3) > 0 != keep {
+			t.Errorf("kept %t: %d to the one that had drained, %d and %d to the others", keep, b.sentTo(1), b.sentTo(2), b.sentTo(3))
 		}
 		if !keep {
 			continue
@@ -752,7 +752,7 @@
 		failing := b.last()
 		b.end(id, 0, OutcomeConnectFailed, ms)
 		b.sent = nil
-		if b.serve(30, prompt); b.given(failing) > 0 {
+		if b.serve(30, answersPromptly); b.sentTo(failing) > 0 {
 			t.Error("one that the list lacks and that failed is used on")
 		}
 	}
@@ -760,9 +760,9 @@
 
 // Guards against the first servers back after a loss of power being pushed over: hundreds of nodes that find none warm share
 // their requests out among those few, whatever these can do.
-func TestTheFirstServersBackAreNotPushedOver(t *testing.T) {
+func TestFirstEndpointsBackAreNotOverloaded(t *testing.T) {
 	gained := func(nodes int) float64 {
-		b := fleet(t, 0, func(s *Settings) { s.NodeCount, s.SlowStartWindow, s.SlowStartMinCapacity = nodes, 20e9, 0.2 })
+		b := newTestFleet(t, 0, func(s *Settings) { s.NodeCount, s.SlowStartWindow, s.SlowStartMinCapacity = nodes, 20e9, 0.2 })
 		for id := EndpointID(1); id <= 4; id++ {
 			b.EndpointsUpdated(b.now, []EndpointInfo{{ID: id, Weight: 1, StartedAt: b.now}}, false)
 		}
@@ -790,9 +790,9 @@
 }
 
 // Guards against the first warm servers bearing all, and the cold ones starving as those fail: where few are warm arrivals count.
-func TestColdServersDoNotStarveBesideAFewWarm(t *testing.T) {
+func TestSlowStartBesideFewWarmEndpoints(t *testing.T) {
 	for _, warm := range []EndpointID{1, 5} {
-		b := fleet(t, int(warm), func(s *Settings) { s.NodeCount = 1 })
+		b := newTestFleet(t, int(warm), func(s *Settings) { s.NodeCount = 1 })
 		for id := warm + 1; id <= 8; id++ {
 			b.EndpointsUpdated(b.now, []EndpointInfo{{ID: id, Weight: 1, StartedAt: b.now}}, false)
 		}
--- a/policy/return_test.go
+++ b/policy/return_test.go
@@ -11,69 +11,69 @@
 // A small world of servers, clients and nodes in which a trouble comes and goes. A server works on so many requests at once and
 // keeps others waiting; a client that is rejected asks again at once, twice at most.
 const (
-	places, room        = 8, 40
-	workMean            = 20 * ms
-	troubleAt, endsAt   = 4, 9 // seconds
-	lastsFor, coldPlace = 24, 7
-	softAt              = 250 * ms
+	endpointConcurrency, endpointQueueLimit        = 8, 40
+	meanWork            = 20 * ms
+	faultStartSecond, faultEndSecond   = 4, 9 // seconds
+	simulationSeconds, restartedEndpoint = 24, 7
+	simulationObjective              = 250 * ms
 )
 
-type happening struct {
+type simulatedEvent struct {
 	at   Time
-	what func()
+	run func()
 }
 
-type agenda []happening
+type eventHeap []simulatedEvent
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a eventHeap) Len() int           { return len(a) }
+func (a eventHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a eventHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventHeap) Push(x any)        { *a = append(*a, x.(simulatedEvent)) }
+func (a *eventHeap) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-type job struct {
+type simulatedWork struct {
 	work time.Duration
 	done func()
-	gone bool
+	ended bool
 }
 
-type shop struct {
+type simulatedEndpoint struct {
 	busy  int
-	queue []*job
-	sent  [lastsFor]time.Duration // work that reached it, by second
+	queue []*simulatedWork
+	workSent  [simulationSeconds]time.Duration // work that reached it, by second
 }
 
-type smallWorld struct {
+type faultSimulation struct {
 	*rand.Rand
 	now         Time
-	agenda      agenda
-	shops       []*shop
-	nodes       []*worldNode
-	waits       func(category, customer int) time.Duration // what the trouble adds
-	asked, good [lastsFor]float64                          // by the second in which a client first asked
+	events      eventHeap
+	endpoints       []*simulatedEndpoint
+	nodes       []*simulatedNode
+	extraLatency       func(category, customer int) time.Duration // what the trouble adds
+	asked, inTime [simulationSeconds]float64                          // by the second in which a client first asked
 }
 
-func (w *smallWorld) in(after time.Duration, what func()) {
-	heap.Push(&w.agenda, happening{w.now.Add(after), what})
+func (w *faultSimulation) after(after time.Duration, what func()) {
+	heap.Push(&w.events, simulatedEvent{w.now.Add(after), what})
 }
 
-func (w *smallWorld) second(at Time) int { return int((at - worldStart) / 1e9) }
+func (w *faultSimulation) second(at Time) int { return int((at - simulationStart) / 1e9) }
 
-const worldStart = Time(1e12)
+const simulationStart = Time(1e12)
 
-func (w *smallWorld) begin(s *shop, j *job) {
+func (w *faultSimulation) begin(s *simulatedEndpoint, j *simulatedWork) {
 	s.busy++
-	w.in(j.work, func() {
-		if s.busy--; !j.gone {
+	w.after(j.work, func() {
+		if s.busy--; !j.ended {
 			j.done()
 		}
-		for len(s.queue) > 0 && s.busy < places {
+		for len(s.queue) > 0 && s.busy < endpointConcurrency {
 			next := s.queue[0]
-			if s.queue = s.queue[1:]; !next.gone {
+			if s.queue = s.queue[1:]; !next.ended {
 				w.begin(s, next)
 			}
 		}
@@ -81,145 +81,145 @@
 }
 
 // worldNode is the host of one instance.
-type worldNode struct {
-	*smallWorld
-	p     *Balancer
-	asked map[RequestID]*asking
+type simulatedNode struct {
+	*faultSimulation
+	balancer     *Balancer
+	open map[RequestID]*simulatedRequest
 }
 
-type asking struct {
-	category, customer, tries int
-	since, hardLimit          Time
-	handOffs                  []*job
+type simulatedRequest struct {
+	class, tenant, tries int
+	since, deadline          Time
+	attempts                  []*simulatedWork
 	sentAt                    []Time
 	to                        []EndpointID
 }
 
-func (n *worldNode) ask(a *asking) {
+func (n *simulatedNode) send(a *simulatedRequest) {
 	id := RequestID(fmt.Sprint(n.Uint64()))
-	a.hardLimit, a.tries = n.now+1000*ms, a.tries+1
-	a.handOffs, a.sentAt, a.to = nil, nil, nil
-	n.asked[id] = a
-	n.p.RequestArrived(n.now, Request{ID: id, Class: a.category, Tenant: a.customer, Deadline: a.hardLimit, ClientRetry: a.tries > 1})
+	a.deadline, a.tries = n.now+1000*ms, a.tries+1
+	a.attempts, a.sentAt, a.to = nil, nil, nil
+	n.open[id] = a
+	n.balancer.RequestArrived(n.now, Request{ID: id, Class: a.class, Tenant: a.tenant, Deadline: a.deadline, ClientRetry: a.tries > 1})
 }
 
-func (n *worldNode) end(id RequestID, number int, o Outcome) {
-	a := n.asked[id]
+func (n *simulatedNode) endAttempt(id RequestID, number int, o Outcome) {
+	a := n.open[id]
 	final := a == nil
 	if o == OutcomeSucceeded && !final {
-		if delete(n.asked, id); n.now.Sub(a.since) <= softAt {
-			n.good[n.second(a.since)]++
+		if delete(n.open, id); n.now.Sub(a.since) <= simulationObjective {
+			n.inTime[n.second(a.since)]++
 		}
 		final = true
 	}
-	t := n.p.requests.byID[id]
+	t := n.balancer.requests.byID[id]
 	if t == nil || number >= len(t.attempts) {
 		return
 	}
 	h := t.attempts[number]
-	n.p.AttemptEnded(n.now, AttemptResult{
+	n.balancer.AttemptEnded(n.now, AttemptResult{
 		Request: id, Attempt: number, Endpoint: h.endpoint.ID, Outcome: o, Elapsed: n.now.Sub(h.sentAt),
 		RequestDone: final, Report: LoadReport{-1, -1, -1},
 	})
 }
 
-func (n *worldNode) Send(id RequestID, to EndpointID, timeOut time.Duration) {
-	a, s := n.asked[id], n.shops[to-1]
-	number, j := len(a.handOffs), &job{work: time.Duration(n.ExpFloat64() * float64(workMean))}
-	s.sent[n.second(n.now)] += j.work
-	if at := n.second(n.now); at >= troubleAt && at < endsAt {
-		j.work += n.waits(a.category, a.customer)
+func (n *simulatedNode) Send(id RequestID, to EndpointID, timeout time.Duration) {
+	a, s := n.open[id], n.endpoints[to-1]
+	number, j := len(a.attempts), &simulatedWork{work: time.Duration(n.ExpFloat64() * float64(meanWork))}
+	s.workSent[n.second(n.now)] += j.work
+	if at := n.second(n.now); at >= faultStartSecond && at < faultEndSecond {
+		j.work += n.extraLatency(a.class, a.tenant)
 	}
-	a.handOffs = append(a.handOffs, j)
-	j.done = func() { j.gone = true; n.end(id, number, OutcomeSucceeded) }
-	n.in(timeOut, func() {
-		if !j.gone {
-			j.gone = true
-			n.end(id, number, OutcomeTimedOut)
+	a.attempts = append(a.attempts, j)
+	j.done = func() { j.ended = true; n.endAttempt(id, number, OutcomeSucceeded) }
+	n.after(timeout, func() {
+		if !j.ended {
+			j.ended = true
+			n.endAttempt(id, number, OutcomeTimedOut)
 		}
 	})
 	switch {
-	case s.busy < places:
+	case s.busy < endpointConcurrency:
 		n.begin(s, j)
-	case len(s.queue) < room:
+	case len(s.queue) < endpointQueueLimit:
 		s.queue = append(s.queue, j)
 	default:
-		j.gone = true
-		n.in(ms, func() { n.end(id, number, OutcomeRejected) })
+		j.ended = true
+		n.after(ms, func() { n.endAttempt(id, number, OutcomeRejected) })
 	}
 }
 
-func (n *worldNode) Cancel(id RequestID, number int) {
-	if a := n.asked[id]; a != nil && !a.handOffs[number].gone {
-		a.handOffs[number].gone = true
-		n.in(0, func() { n.end(id, number, OutcomeCanceled) })
+func (n *simulatedNode) Cancel(id RequestID, number int) {
+	if a := n.open[id]; a != nil && !a.attempts[number].ended {
+		a.attempts[number].ended = true
+		n.after(0, func() { n.endAttempt(id, number, OutcomeCanceled) })
 	}
 }
 
-func (n *worldNode) Reject(id RequestID, _ time.Duration) {
-	a := n.asked[id]
-	if delete(n.asked, id); a.tries < 3 {
-		n.in(ms, func() { n.ask(a) })
+func (n *simulatedNode) Reject(id RequestID, _ time.Duration) {
+	a := n.open[id]
+	if delete(n.open, id); a.tries < 3 {
+		n.after(ms, func() { n.send(a) })
 	}
 }
 
-func (n *worldNode) Fail(id RequestID) { delete(n.asked, id) }
-func (n *worldNode) SetTimer(at Time, cookie uint64) {
-	n.in(max(at.Sub(n.now), 1), func() { n.p.TimerFired(n.now, cookie) })
+func (n *simulatedNode) Fail(id RequestID) { delete(n.open, id) }
+func (n *simulatedNode) SetTimer(at Time, timer uint64) {
+	n.after(max(at.Sub(n.now), 1), func() { n.balancer.TimerFired(n.now, timer) })
 }
-func (n *worldNode) WatchEndpoints()        {}
-func (n *worldNode) CloseIdle(EndpointID)   {}
-func (n *worldNode) CheckHealth(EndpointID) {}
-func (n *worldNode) Gossip(GossipMessage)   {}
+func (n *simulatedNode) WatchEndpoints()        {}
+func (n *simulatedNode) CloseIdle(EndpointID)   {}
+func (n *simulatedNode) CheckHealth(EndpointID) {}
+func (n *simulatedNode) Gossip(GossipMessage)   {}
 
 // arrive has requests come to a node, a second kind of either sort among four.
-func (n *worldNode) arrive(every time.Duration) {
-	a := &asking{since: n.now, category: n.IntN(4) / 3, customer: n.IntN(4) / 3}
-	n.smallWorld.asked[n.second(n.now)]++
-	n.ask(a)
-	n.in(time.Duration(n.ExpFloat64()*float64(every)), func() { n.arrive(every) })
+func (n *simulatedNode) arrive(every time.Duration) {
+	a := &simulatedRequest{since: n.now, class: n.IntN(4) / 3, tenant: n.IntN(4) / 3}
+	n.faultSimulation.asked[n.second(n.now)]++
+	n.send(a)
+	n.after(time.Duration(n.ExpFloat64()*float64(every)), func() { n.arrive(every) })
 }
 
-func playReturn(nodes int, waits func(category, customer int) time.Duration) *smallWorld {
+func simulateFault(nodes int, waits func(class, tenant int) time.Duration) *faultSimulation {
 	const servers, rate = 12, 1500
-	w := &smallWorld{Rand: rand.New(rand.NewPCG(7, uint64(nodes))), now: worldStart, waits: waits}
+	w := &faultSimulation{Rand: rand.New(rand.NewPCG(7, uint64(nodes))), now: simulationStart, extraLatency: waits}
 	var list []EndpointInfo
 	for id := range servers {
-		w.shops = append(w.shops, &shop{})
+		w.endpoints = append(w.endpoints, &simulatedEndpoint{})
 		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id / 3, Weight: 1})
 	}
 	for at := range nodes {
-		n := &worldNode{smallWorld: w, asked: map[RequestID]*asking{}}
-		n.p = New(Settings{
-			Classes:      []Class{{LatencyObjective: softAt, Idempotency: Idempotent, PriorityWeight: 1}, {LatencyObjective: softAt, Idempotency: Idempotent, PriorityWeight: 1}},
+		n := &simulatedNode{faultSimulation: w, open: map[RequestID]*simulatedRequest{}}
+		n.balancer = New(Settings{
+			Classes:      []Class{{LatencyObjective: simulationObjective, Idempotency: Idempotent, PriorityWeight: 1}, {LatencyObjective: simulationObjective, Idempotency: Idempotent, PriorityWeight: 1}},
 			TenantShares: []float64{0.75, 0.25}, MaxAttempts: 3, MayCancel: true, MaySetRetryAfter: true, SlowStartMinCapacity: 0.2, SlowStartWindow: 2e10, NodeIndex: at,
 			NodeCount: nodes, ClockResolution: 2 * ms,
 		}, uint64(at), n)
 		w.nodes = append(w.nodes, n)
-		n.p.EndpointsUpdated(w.now, list, true)
-		w.in(time.Duration(w.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
+		n.balancer.EndpointsUpdated(w.now, list, true)
+		w.after(time.Duration(w.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
 	}
-	w.in(endsAt*1e9, func() { // one starts anew as the trouble ends
-		list[coldPlace-1].StartedAt = w.now
+	w.after(faultEndSecond*1e9, func() { // one starts anew as the trouble ends
+		list[restartedEndpoint-1].StartedAt = w.now
 		for _, n := range w.nodes {
-			n.p.EndpointsUpdated(w.now, list[coldPlace-1:coldPlace], false)
+			n.balancer.EndpointsUpdated(w.now, list[restartedEndpoint-1:restartedEndpoint], false)
 		}
 	})
-	for len(w.agenda) > 0 && w.agenda[0].at < worldStart+lastsFor*1e9 {
-		next := heap.Pop(&w.agenda).(happening)
+	for len(w.events) > 0 && w.events[0].at < simulationStart+simulationSeconds*1e9 {
+		next := heap.Pop(&w.events).(simulatedEvent)
 		w.now = next.at
-		next.what()
+		next.run()
 	}
 	return w
 }
 
 // Guards against beliefs that outlive their cause, and against the trouble of some being read as that of all: requests were
 // rejected by nine in ten for as long as a day lasted, for a class that had waited and no longer did.
-func TestServiceIsBackAfterATrouble(t *testing.T) {
+func TestServiceIsBackAfterAFault(t *testing.T) {
 	for name, c := range map[string]struct {
 		nodes, within int // seconds after its end
 		others        float64
-		waits         func(category, customer int) time.Duration
+		waits         func(class, tenant int) time.Duration
 	}{
 		"a category, one node":        {1, 2, 0.7, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
 		"a category, 100 nodes":       {100, 4, 0.4, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
@@ -231,18 +231,18 @@
 		"most of the work, 100 nodes": {100, 4, 0.12, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := playReturn(c.nodes, c.waits)
+			w := simulateFault(c.nodes, c.waits)
 			part := func(from, to int) float64 {
 				good, asked := 0.0, 0.0
 				for s := from; s < to; s++ {
-					good, asked = good+w.good[s], asked+w.asked[s]
+					good, asked = good+w.inTime[s], asked+w.asked[s]
 				}
 				return good / asked
 			}
-			before, during, after := part(1, troubleAt), part(troubleAt+2, endsAt), part(endsAt+c.within, lastsFor-2)
+			before, during, after := part(1, faultStartSecond), part(faultStartSecond+2, faultEndSecond), part(faultEndSecond+c.within, simulationSeconds-2)
 			t.Logf(name+": in time %.3f before, %.3f in it, %.3f from %d s after it; by second %.2f", before, during, after, c.within,
 				func() (by []float64) {
-					for s := range lastsFor - 2 {
+					for s := range simulationSeconds - 2 {
 						by = append(by, part(s, s+1))
 					}
 					return by
@@ -253,9 +253,9 @@
 			if during < c.others {
 				t.Errorf("in time %.3f while it lasts, at least %.2f are not struck", during, c.others)
 			}
-			for s := endsAt; s < lastsFor; s++ {
-				can := places * 1e9 * (0.2 + 0.8*min(1, float64(s-endsAt)/20))
-				if sent := float64(w.shops[coldPlace-1].sent[s]); sent > 3*can {
+			for s := faultEndSecond; s < simulationSeconds; s++ {
+				can := endpointConcurrency * 1e9 * (0.2 + 0.8*min(1, float64(s-faultEndSecond)/20))
+				if sent := float64(w.endpoints[restartedEndpoint-1].workSent[s]); sent > 3*can {
 					t.Errorf("second %d: a cold server is sent %.1f times what it can do", s, sent/can)
 				}
 			}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -7,12 +7,12 @@
 )
 
 // counted counts what is drawn.
-type counted struct {
+type countingSource struct {
 	rand.Source
 	n int
 }
 
-func (c *counted) Uint64() uint64 { c.n++; return c.Source.Uint64() }
+func (c *countingSource) Uint64() uint64 { c.n++; return c.Source.Uint64() }
 
 // Where next to nobody is fit the draw ends after its passes; it must not spin, nor miss the one.
 func TestDrawDoesNotSpin(t *testing.T) {
@@ -28,16 +28,16 @@
 		for _, fit := range []int{0, 1} {
 			p := New(benchSettings, 1, &lastSendRecorder{})
 			now := Time(1e12)
-			p.EndpointsUpdated(now, listOf(4096), true)
+			p.EndpointsUpdated(now, endpointList(4096), true)
 			p.estimator.MeanWork, p.estimator.HighLatency = 5e6, 2
 			for i, s := range p.endpoints.all {
 				if i >= fit {
 					spoil(s, i, now)
 				}
 			}
-			c := &counted{Source: rand.NewPCG(1, 2)}
+			c := &countingSource{Source: rand.NewPCG(1, 2)}
 			p.random = rand.New(c)
-			s := p.selectEndpoint(now, anyTask(p, now))
+			s := p.selectEndpoint(now, anyRequest(p, now))
 			if (s != nil) != (fit == 1) || s != nil && s != p.endpoints.all[0] {
 				t.Errorf("%s, %d fit: drew %v", name, fit, s)
 			}
@@ -55,7 +55,7 @@
 	set := benchSettings
 	p := New(set, 1, q)
 	now := Time(1e12)
-	list := listOf(2 * n)
+	list := endpointList(2 * n)
 	p.EndpointsUpdated(now, list[:n], true)
 	type out struct {
 		id     RequestID
@@ -67,7 +67,7 @@
 			id := RequestID(fmt.Sprint(now, "-", i))
 			q.sent = false
 			if p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms, CostHint: 5e6}); q.sent {
-				outs = append(outs, out{id, q.server})
+				outs = append(outs, out{id, q.endpoint})
 				sent++
 			}
 		}
@@ -90,7 +90,7 @@
 	answer(0)
 	arrive(2000)
 	p.EndpointsUpdated(now, list[n:], true)
-	if got := len(taking(p, now)); got != selectionWindow {
+	if got := len(candidateWeights(p, now)); got != selectionWindow {
 		t.Errorf("%d take part after another list, want a window of %d", got, selectionWindow)
 	}
 	if arrive(500); len(outs) < 2000 {
@@ -108,7 +108,7 @@
 		again[i].StartedAt = now
 	}
 	p.EndpointsUpdated(now, again, true)
-	if got := len(taking(p, now)); got > n/10 {
+	if got := len(candidateWeights(p, now)); got > n/10 {
 		t.Errorf("%d of %d cold servers may be given a task at once", got, n)
 	}
 	given := map[EndpointID]int{}
@@ -131,17 +131,17 @@
 }
 
 // 100,000 requests held at once, then none.
-func TestManyHeld(t *testing.T) {
+func TestManyRequestsInFlight(t *testing.T) {
 	q := &lastSendRecorder{}
 	p := New(benchSettings, 1, q)
 	now := Time(1e12)
-	p.EndpointsUpdated(now, listOf(512), true)
+	p.EndpointsUpdated(now, endpointList(512), true)
 	servers := map[RequestID]EndpointID{}
 	for i := range 100000 {
 		id := RequestID(fmt.Sprint(i))
 		q.sent = false
 		if p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms}); q.sent {
-			servers[id] = q.server
+			servers[id] = q.endpoint
 		}
 	}
 	if len(p.requests.byID) != len(servers) || len(servers) < 90000 {
@@ -157,12 +157,12 @@
 
 // TestAColdFleetIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part of it, so that its
 // connections are used again.
-func TestAColdFleetIsDividedToo(t *testing.T) {
+func TestFleetInSlowStartIsDividedToo(t *testing.T) {
 	set := benchSettings
 	set.NodeCount = 300
 	p := New(set, 1, &lastSendRecorder{})
 	now := Time(1e12)
-	list := listOf(120)
+	list := endpointList(120)
 	for i := range list {
 		list[i].StartedAt = now
 	}
