--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,34 +6,6 @@
 	"time"
 )
 
-// quiet is a host that only notes the last attempt.
-type lastSendRecorder struct {
-	endpoint EndpointID
-	sent   bool
-}
-
-func (q *lastSendRecorder) Send(_ RequestID, s EndpointID, _ time.Duration) {
-	q.endpoint, q.sent = s, true
-}
-func (*lastSendRecorder) Cancel(RequestID, int)           {}
-func (*lastSendRecorder) Reject(RequestID, time.Duration) {}
-func (*lastSendRecorder) Fail(RequestID)                  {}
-func (*lastSendRecorder) SetTimer(Time, uint64)           {}
-func (*lastSendRecorder) WatchEndpoints()                 {}
-func (*lastSendRecorder) CloseIdle(EndpointID)            {}
-func (*lastSendRecorder) Gossip(GossipMessage)            {}
-func (*lastSendRecorder) CheckHealth(EndpointID)          {}
-
-func endpointList(n int) []EndpointInfo {
-	list := make([]EndpointInfo, n)
-	for i := range list {
-		list[i] = EndpointInfo{ID: EndpointID(uint32(i+1) * 2654435761), Zone: i % 3, Pod: i / 8, Weight: 1}
-	}
-	return list
-}
-
-var benchSettings = Settings{Classes: []Class{{LatencyObjective: 200 * ms}}, MayCancel: true, MaxAttempts: 4, SlowStartWindow: 20e9, SlowStartMinCapacity: 0.2}
-
 // BenchmarkTask is a request from its arrival to its answer, with 32 others out, a tick of the clock each second of
 // 20,000 requests, and answers that bring a report and take their time.
 func BenchmarkTask(b *testing.B) {
--- /dev/null
+++ b/policy/helper_test.go
@@ -0,0 +1,154 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const ms = 1_000_000 // nanoseconds
+
+// recorder is a host that notes what it is told, for the small tests of single failures.
+type recorder struct {
+	sent             []EndpointID
+	timeouts         []time.Duration
+	canceled         int
+	rejected, failed int
+	timers           []uint64
+	closedIdle       []EndpointID
+	gossiped         []GossipMessage
+	checked          []EndpointID
+	retryAfter       time.Duration
+}
+
+func (r *recorder) Send(_ RequestID, s EndpointID, wait time.Duration) {
+	r.sent, r.timeouts = append(r.sent, s), append(r.timeouts, wait)
+}
+
+func (r *recorder) Cancel(RequestID, int) { r.canceled++ }
+
+func (r *recorder) Reject(_ RequestID, advice time.Duration) {
+	r.rejected, r.retryAfter = r.rejected+1, advice
+}
+
+func (r *recorder) Fail(RequestID) { r.failed++ }
+
+func (r *recorder) SetTimer(_ Time, timer uint64) { r.timers = append(r.timers, timer) }
+
+func (r *recorder) WatchEndpoints() {}
+
+func (r *recorder) CloseIdle(s EndpointID) { r.closedIdle = append(r.closedIdle, s) }
+
+func (r *recorder) Gossip(news GossipMessage) { r.gossiped = append(r.gossiped, news) }
+
+func (r *recorder) CheckHealth(s EndpointID) { r.checked = append(r.checked, s) }
+
+func (r *recorder) last() EndpointID { return r.sent[len(r.sent)-1] }
+
+func (r *recorder) sentTo(id EndpointID) (count int) {
+	for _, s := range r.sent {
+		if s == id {
+			count++
+		}
+	}
+	return count
+}
+
+type testFleet struct {
+	*testing.T
+	*Balancer
+	*recorder
+	now     Time
+	arrived int
+}
+
+// fleet starts a module with so many servers and three classes: idempotent, ticketed in a pod, exclusive.
+func newTestFleet(t *testing.T, servers int, change func(*Settings)) *testFleet {
+	s := Settings{
+		MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
+		SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10, Classes: []Class{
+			{LatencyObjective: 500 * ms, Idempotency: Idempotent},
+			{LatencyObjective: 500 * ms, Idempotency: IdempotentByKey, DedupGroup: DedupPod, DedupWindow: 1000 * ms},
+			{LatencyObjective: 500 * ms, Idempotency: NonIdempotent},
+		},
+	}
+	if change != nil {
+		change(&s)
+	}
+	r := &recorder{}
+	b := &testFleet{T: t, Balancer: New(s, 1, r), recorder: r, now: 1e12}
+	var list []EndpointInfo
+	for id := range servers {
+		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id / 2, Weight: 1})
+	}
+	b.EndpointsUpdated(b.now, list, true)
+	return b
+}
+
+func (b *testFleet) arrive(class int) RequestID {
+	b.arrived++
+	id := RequestID(fmt.Sprint(b.arrived))
+	b.RequestArrived(b.now, Request{ID: id, Class: class, Deadline: b.now + 1000*ms})
+	return id
+}
+
+func (b *testFleet) end(id RequestID, number int, o Outcome, took time.Duration) {
+	t := b.requests.byID[id]
+	b.AttemptEnded(b.now, AttemptResult{
+		Request: id, Attempt: number, Endpoint: t.attempts[number].endpoint.ID, Outcome: o,
+		Elapsed: took, RequestDone: o == OutcomeSucceeded, Report: LoadReport{-1, -1, -1},
+	})
+}
+
+// serve plays idempotent requests one after another, each answered as its server does.
+func (b *testFleet) serve(tasks int, how func(EndpointID) (Outcome, time.Duration)) {
+	for range tasks {
+		id := b.arrive(0)
+		for b.requests.byID[id] != nil {
+			o, took := how(b.last())
+			b.now += Time(took)
+			b.end(id, len(b.requests.byID[id].attempts)-1, o, took)
+		}
+		b.now += ms
+	}
+}
+
+func answersPromptly(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 40 * ms }
+
+func (b *testFleet) tick() { b.TimerFired(b.now, tickTimer) }
+
+// quiet is a host that only notes the last attempt.
+type lastSendRecorder struct {
+	endpoint EndpointID
+	sent     bool
+}
+
+func (q *lastSendRecorder) Send(_ RequestID, s EndpointID, _ time.Duration) {
+	q.endpoint, q.sent = s, true
+}
+
+func (*lastSendRecorder) Cancel(RequestID, int) {}
+
+func (*lastSendRecorder) Reject(RequestID, time.Duration) {}
+
+func (*lastSendRecorder) Fail(RequestID) {}
+
+func (*lastSendRecorder) SetTimer(Time, uint64) {}
+
+func (*lastSendRecorder) WatchEndpoints() {}
+
+func (*lastSendRecorder) CloseIdle(EndpointID) {}
+
+func (*lastSendRecorder) Gossip(GossipMessage) {}
+
+func (*lastSendRecorder) CheckHealth(EndpointID) {}
+
+func endpointList(n int) []EndpointInfo {
+	list := make([]EndpointInfo, n)
+	for i := range list {
+		list[i] = EndpointInfo{ID: EndpointID(uint32(i+1) * 2654435761), Zone: i % 3, Pod: i / 8, Weight: 1}
+	}
+	return list
+}
+
+var benchSettings = Settings{Classes: []Class{{LatencyObjective: 200 * ms}}, MayCancel: true, MaxAttempts: 4, SlowStartWindow: 20e9, SlowStartMinCapacity: 0.2}
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -10,38 +10,40 @@
 
 // sentOut is one attempt as the plain model sees it.
 type modelAttempt struct {
-	endpoint  EndpointID
-	sentAt      Time
-	inFlight    bool
+	endpoint EndpointID
+	sentAt   Time
+	inFlight bool
 	neverRan bool // provably never ran
 }
 
 type modelRequest struct {
-	request     Request
-	attempts []modelAttempt
-	done     bool
-	finalAnswers   int
+	request      Request
+	attempts     []modelAttempt
+	done         bool
+	finalAnswers int
 }
 
 // world is the plain model: it plays events at random, keeps what the wire would know and checks each call of
 // the module against the four rules.
 type model struct {
 	*rand.Rand
-	balancer       *Balancer
-	settings     Settings
-	now     Time
-	requests   map[RequestID]*modelRequest
-	ids     []RequestID
-	listed    map[EndpointID]EndpointInfo
-	drainedLast map[EndpointID]bool // listed as draining since it was last listed as active
-	violations  []string
-	timers []uint64
-	gossiped    []GossipMessage
+	balancer        *Balancer
+	settings        Settings
+	now             Time
+	requests        map[RequestID]*modelRequest
+	ids             []RequestID
+	listed          map[EndpointID]EndpointInfo
+	drainedLast     map[EndpointID]bool // listed as draining since it was last listed as active
+	violations      []string
+	timers          []uint64
+	gossiped        []GossipMessage
 	sentInSlowStart map[EndpointID]float64 // attempts given to a server since it started cold
-	fairShare    map[EndpointID]float64 // and its even part of all attempts, times what it surely can do
+	fairShare       map[EndpointID]float64 // and its even part of all attempts, times what it surely can do
 }
 
-func (w *model) violation(format string, a ...any) { w.violations = append(w.violations, fmt.Sprintf(format, a...)) }
+func (w *model) violation(format string, a ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, a...))
+}
 
 func (w *model) Send(id RequestID, server EndpointID, timeout time.Duration) {
 	t := w.requests[id]
--- /dev/null
+++ b/policy/outlier_test.go
@@ -0,0 +1,249 @@
+package policy
+
+import (
+	"fawnglade/internal/ewma"
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestFailingEndpointIsEjectedAndReturns(t *testing.T) {
+	b := newTestFleet(t, 4, nil)
+	bad := EndpointID(2)
+	how := func(s EndpointID) (Outcome, time.Duration) {
+		if s == bad {
+			return OutcomeError, ms
+		}
+		return OutcomeSucceeded, 40 * ms
+	}
+	b.serve(100, how)
+	b.sent = nil
+	b.serve(100, how)
+	if n := b.sentTo(bad); n > 8 {
+		t.Errorf("a failing server got %d of %d hand-offs", n, len(b.sent))
+	}
+	b.arrive(2)
+	if bad = 0; b.rejected+b.failed > 0 {
+		t.Errorf("%d tasks were given up beside three good servers", b.rejected+b.failed)
+	}
+	b.serve(800, how)
+	b.sent = nil
+	if b.serve(100, how); b.sentTo(2) < 10 || b.endpoints.byID[2].health[0].ejected {
+		t.Errorf("a mended server got %d of 100 hand-offs", b.sentTo(2))
+	}
+}
+
+func TestNoOutlierWhenAllFail(t *testing.T) {
+	b := newTestFleet(t, 4, nil)
+	b.serve(20, answersPromptly)
+	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeError, ms })
+	unfit := 0
+	for _, s := range b.endpoints.all {
+		if s.health[0].ejected {
+			unfit++
+		}
+	}
+	if unfit > 2 {
+		t.Errorf("%d of 4 servers were judged unfit when all failed alike", unfit)
+	}
+}
+
+func TestSilentEndpointGetsNoMoreRequests(t *testing.T) {
+	b := newTestFleet(t, 3, nil)
+	b.serve(60, answersPromptly)
+	b.tick()
+	id := b.arrive(2)
+	silent := b.last()
+	b.now += 400 * ms
+	b.sent = nil
+	b.serve(30, answersPromptly)
+	if b.sentTo(silent) > 0 {
+		t.Errorf("a server silent for ten answer times got %d more tasks", b.sentTo(silent))
+	}
+	b.now += 80 * ms
+	b.end(id, 0, OutcomeTimedOut, 480*ms)
+	if b.failed != 1 || b.rejected != 0 {
+		t.Errorf("the exclusive task was declined %d and broken off %d times", b.rejected, b.failed)
+	}
+}
+
+func TestBackoffGrowsForAnEndpointThatRejects(t *testing.T) {
+	b := newTestFleet(t, 3, nil)
+	b.serve(30, answersPromptly)
+	b.sent = nil
+	b.serve(60, func(s EndpointID) (Outcome, time.Duration) {
+		if s == 1 {
+			return OutcomeRejected, ms
+		}
+		return OutcomeSucceeded, 10 * ms
+	})
+	if n := b.sentTo(1); n > 8 {
+		t.Errorf("a full server was asked %d times during 60 tasks", n)
+	}
+	seldom := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
+	h := &attempt{endpoint: seldom, sentAt: b.now, inFlight: true}
+	if b.learnFrom(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed}); seldom.backoffUntil < b.now.Add(recalculationInterval/2) {
+		t.Errorf("a server not heard of late is asked again after %d ms", (seldom.backoffUntil-b.now)/ms)
+	}
+}
+
+func TestOneErrorEjectsALittleKnownEndpoint(t *testing.T) {
+	b := newTestFleet(t, 40, nil)
+	b.serve(20, answersPromptly)
+	id := b.arrive(2)
+	s := b.endpoints.byID[b.last()]
+	s.Latency, s.health[2] = ewma.Pair{}, classHealth{}
+	if b.end(id, 0, OutcomeError, ms); !s.health[2].ejected {
+		t.Errorf("its failing part is taken for %.2f", s.health[2].failureRate)
+	}
+}
+
+// Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it can do.
+func TestEjectedEndpointsAreUsedBeforeRejecting(t *testing.T) {
+	b := newTestFleet(t, 4, nil)
+	b.serve(100, answersPromptly)
+	for _, s := range b.endpoints.all {
+		s.health[2] = classHealth{ejected: s.ID > 1, failureRate: 0.3, retryAt: b.now + Time(1e9)}
+	}
+	b.endpoints.byID[1].State = StateDraining
+	b.sent = nil
+	for range 3 {
+		b.arrive(2)
+	}
+	if b.sentTo(2) != 1 || b.sentTo(3) != 1 || b.sentTo(4) != 1 || b.rejected != 0 {
+		t.Errorf("three tasks went to %v, %d were declined", b.sent, b.rejected)
+	}
+	if b.arrive(2); b.rejected != 1 {
+		t.Error("an unfit server was given a second task while it had one")
+	}
+	b.endpoints.byID[1].State, b.sent = StateActive, nil
+	if b.arrive(2); b.sentTo(1) != 1 {
+		t.Errorf("with a fit server a task went to %v", b.sent)
+	}
+	for _, s := range b.endpoints.all {
+		s.inFlight, s.Latency.Weight = 0, 1
+	}
+	b.endpoints.byID[1].State, b.sent = StateDraining, nil
+	if b.arrive(2); len(b.sent) != 0 {
+		t.Error("a server seldom heard, whose state nobody here knows, was tried")
+	}
+}
+
+// With a request out at each of a few servers and answers in microseconds, a moment in which the node itself stood still
+// made all of them look silent, and idle servers' requests were rejected: 57 of the first 50,000 with eight.
+func TestAPauseOfTheNodeRejectsNothing(t *testing.T) {
+	q := &lastSendRecorder{}
+	set := benchSettings
+	set.ClockResolution = 2 * ms
+	p := New(set, 1, q)
+	now := Time(1e12)
+	p.EndpointsUpdated(now, endpointList(2), true)
+	for i := range 100 {
+		id := RequestID(fmt.Sprint("warm", i))
+		p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms})
+		now += ms / 20
+		p.AttemptEnded(now, AttemptResult{Request: id, Endpoint: q.endpoint, Outcome: OutcomeSucceeded, Elapsed: ms / 20, RequestDone: true})
+	}
+	for i := range 8 {
+		p.RequestArrived(now, Request{ID: RequestID(fmt.Sprint("out", i)), Deadline: now + 900*ms})
+	}
+	now += 6 * ms
+	q.sent = false
+	if p.RequestArrived(now, Request{ID: "next", Deadline: now + 900*ms}); !q.sent {
+		t.Error("declined after 6 ms of stillness, three ticks of the clock")
+	}
+	now += 60 * ms
+	q.sent = false
+	if p.RequestArrived(now, Request{ID: "later", Deadline: now + 900*ms}); q.sent {
+		t.Error("sent to servers that were silent for 66 ms and answer in 0.05")
+	}
+}
+
+// Guards against servers that leave one class unanswered and serve the others as usual.
+func TestClassLeftUnansweredIsEjectedAlone(t *testing.T) {
+	b := newTestFleet(t, 1, nil)
+	b.serve(60, answersPromptly)
+	b.tick()
+	b.arrive(2)
+	woken, silent := b.timers[len(b.timers)-1], b.endpoints.all[0]
+	b.now += 100 * ms
+	if b.TimerFired(b.now, woken); silent.health[2].ejected {
+		t.Error("struck though nothing else was answered since")
+	}
+	b.serve(1, answersPromptly)
+	if b.TimerFired(b.now, woken); !silent.health[2].ejected || silent.health[0].failureRate > 0.01 {
+		t.Errorf("standing by category: %+v", silent.health)
+	}
+}
+
+func TestGossipOfFailuresYieldsToWhatWasSeen(t *testing.T) {
+	b := newTestFleet(t, 12, manyNodes)
+	b.serve(60, answersPromptly)
+	var seen, unseen *endpoint
+	for _, s := range b.endpoints.all {
+		if s.inSubset && s.health[0].samples > 1 {
+			seen = s
+		} else if !s.inSubset {
+			unseen = s
+		}
+	}
+	tell := func(s *endpoint) {
+		b.GossipReceived(b.now, GossipMessage{Endpoint: s.ID})
+	}
+	unseen.State = StateDraining
+	for range 3 {
+		tell(unseen)
+	}
+	if unseen.State, unseen.health[0].gossipVotes = StateActive, 0; unseen.health[0].ejected {
+		t.Error("news of a server that drains were heeded")
+	}
+	tell(unseen)
+	tell(unseen)
+	if unseen.health[0].ejected {
+		t.Error("two voices put a server out")
+	}
+	if tell(unseen); !unseen.health[0].ejected || unseen.health[1].ejected {
+		t.Errorf("after three voices %+v", unseen.health)
+	}
+	for range 20 {
+		tell(seen)
+	}
+	if seen.health[0].ejected {
+		t.Error("hearsay overruled what was seen")
+	}
+}
+
+func TestInvalidGossipIsIgnored(t *testing.T) {
+	b := newTestFleet(t, 4, manyNodes)
+	for _, news := range []GossipMessage{{}, {Endpoint: 77}, {Endpoint: 1, Class: 3}, {Endpoint: 1, Class: -1}, {IdleTime: -5}, {IdleTime: ms}} {
+		for range 100 {
+			b.GossipReceived(b.now, news)
+		}
+	}
+	for _, s := range b.endpoints.all {
+		for _, st := range s.health {
+			if st.ejected || b.idleConns.trusted.Limit < 1e12 {
+				t.Fatalf("idle %d, standing %+v", b.idleConns.trusted.Limit, st)
+			}
+		}
+	}
+}
+
+// A node tells what it saw, and no more often than once a second.
+func TestGossipOfErrorsOnceASecond(t *testing.T) {
+	b := newTestFleet(t, 4, manyNodes)
+	b.serve(20, answersPromptly)
+	bad := EndpointID(0)
+	b.serve(40, func(s EndpointID) (Outcome, time.Duration) {
+		if bad == 0 {
+			bad = s
+		}
+		if s == bad {
+			return OutcomeError, ms
+		}
+		return OutcomeSucceeded, ms
+	})
+	if len(b.gossiped) != 1 || b.gossiped[0] != (GossipMessage{Endpoint: bad}) {
+		t.Errorf("told %v", b.gossiped)
+	}
+}
--- a/policy/return_test.go
+++ b/policy/recovery_test.go
@@ -11,15 +11,15 @@
 // A small world of servers, clients and nodes in which a trouble comes and goes. A server works on so many requests at once and
 // keeps others waiting; a client that is rejected asks again at once, twice at most.
 const (
-	endpointConcurrency, endpointQueueLimit        = 8, 40
-	meanWork            = 20 * ms
-	faultStartSecond, faultEndSecond   = 4, 9 // seconds
-	simulationSeconds, restartedEndpoint = 24, 7
-	simulationObjective              = 250 * ms
+	endpointConcurrency, endpointQueueLimit = 8, 40
+	meanWork                                = 20 * ms
+	faultStartSecond, faultEndSecond        = 4, 9 // seconds
+	simulationSeconds, restartedEndpoint    = 24, 7
+	simulationObjective                     = 250 * ms
 )
 
 type simulatedEvent struct {
-	at   Time
+	at  Time
 	run func()
 }
 
@@ -36,25 +36,25 @@
 }
 
 type simulatedWork struct {
-	work time.Duration
-	done func()
+	work  time.Duration
+	done  func()
 	ended bool
 }
 
 type simulatedEndpoint struct {
-	busy  int
-	queue []*simulatedWork
-	workSent  [simulationSeconds]time.Duration // work that reached it, by second
+	busy     int
+	queue    []*simulatedWork
+	workSent [simulationSeconds]time.Duration // work that reached it, by second
 }
 
 type faultSimulation struct {
 	*rand.Rand
-	now         Time
-	events      eventHeap
-	endpoints       []*simulatedEndpoint
-	nodes       []*simulatedNode
-	extraLatency       func(category, customer int) time.Duration // what the trouble adds
-	asked, inTime [simulationSeconds]float64                          // by the second in which a client first asked
+	now           Time
+	events        eventHeap
+	endpoints     []*simulatedEndpoint
+	nodes         []*simulatedNode
+	extraLatency  func(category, customer int) time.Duration // what the trouble adds
+	asked, inTime [simulationSeconds]float64                 // by the second in which a client first asked
 }
 
 func (w *faultSimulation) after(after time.Duration, what func()) {
@@ -83,16 +83,16 @@
 // worldNode is the host of one instance.
 type simulatedNode struct {
 	*faultSimulation
-	balancer     *Balancer
-	open map[RequestID]*simulatedRequest
+	balancer *Balancer
+	open     map[RequestID]*simulatedRequest
 }
 
 type simulatedRequest struct {
 	class, tenant, tries int
-	since, deadline          Time
-	attempts                  []*simulatedWork
-	sentAt                    []Time
-	to                        []EndpointID
+	since, deadline      Time
+	attempts             []*simulatedWork
+	sentAt               []Time
+	to                   []EndpointID
 }
 
 func (n *simulatedNode) send(a *simulatedRequest) {
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -2,52 +2,9 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"testing"
 )
 
-// counted counts what is drawn.
-type countingSource struct {
-	rand.Source
-	n int
-}
-
-func (c *countingSource) Uint64() uint64 { c.n++; return c.Source.Uint64() }
-
-// Where next to nobody is fit the draw ends after its passes; it must not spin, nor miss the one.
-func TestDrawDoesNotSpin(t *testing.T) {
-	for name, spoil := range map[string]func(s *endpoint, i int, now Time){
-		"just turned away": func(s *endpoint, i int, now Time) { s.backoffUntil = now + ms },
-		"unfit": func(s *endpoint, i int, now Time) {
-			s.health[0], s.inFlight = classHealth{ejected: true, retryAt: now + ms}, 1
-		},
-		"too late": func(s *endpoint, i int, now Time) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
-		"cold":     func(s *endpoint, i int, now Time) { s.StartedAt, s.slowStartCredit = now, 0 },
-		"silent":   func(s *endpoint, i int, now Time) { s.inFlight, s.HasLatency, s.silentSince = 1, true, now-1e9 },
-	} {
-		for _, fit := range []int{0, 1} {
-			p := New(benchSettings, 1, &lastSendRecorder{})
-			now := Time(1e12)
-			p.EndpointsUpdated(now, endpointList(4096), true)
-			p.estimator.MeanWork, p.estimator.HighLatency = 5e6, 2
-			for i, s := range p.endpoints.all {
-				if i >= fit {
-					spoil(s, i, now)
-				}
-			}
-			c := &countingSource{Source: rand.NewPCG(1, 2)}
-			p.random = rand.New(c)
-			s := p.selectEndpoint(now, anyRequest(p, now))
-			if (s != nil) != (fit == 1) || s != nil && s != p.endpoints.all[0] {
-				t.Errorf("%s, %d fit: drew %v", name, fit, s)
-			}
-			if c.n > 4 {
-				t.Errorf("%s, %d fit: %d numbers drawn, want four at most", name, fit, c.n)
-			}
-		}
-	}
-}
-
 // What comes all at once: reports, another list, every server restarted, with 10,000 requests out.
 func TestAllAtOnce(t *testing.T) {
 	const n = 1024
@@ -154,27 +111,3 @@
 		t.Errorf("%d held after all have their end", len(p.requests.byID))
 	}
 }
-
-// TestAColdFleetIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part of it, so that its
-// connections are used again.
-func TestFleetInSlowStartIsDividedToo(t *testing.T) {
-	set := benchSettings
-	set.NodeCount = 300
-	p := New(set, 1, &lastSendRecorder{})
-	now := Time(1e12)
-	list := endpointList(120)
-	for i := range list {
-		list[i].StartedAt = now
-	}
-	p.EndpointsUpdated(now, list, true)
-	if got := len(p.subset.members); got != warmingUpPerWarm*p.subset.size || got > 40 {
-		t.Errorf("one of 300 nodes draws from %d of 120 cold servers, want %d times %d", got, warmingUpPerWarm, p.subset.size)
-	}
-	for i := range list[:60] { // half of them were up long before
-		list[i].StartedAt = 0
-	}
-	p.EndpointsUpdated(now, list, true)
-	if warm := len(p.subset.members) - len(p.subset.warmingUp); warm < p.subset.size {
-		t.Errorf("draws from %d warm ones, want %d", warm, p.subset.size)
-	}
-}
--- a/policy/draw_test.go
+++ b/policy/selection_test.go
@@ -5,8 +5,41 @@
 	"math"
 	"math/rand/v2"
 	"testing"
+	"time"
 )
 
+// TestDrawFollowsTheFormula compares the draw's frequencies with shares worked by hand: for w of 1, 2 and 4
+// the sum is 7, x is 7, 3.5 and 1.75, and the shares are 4/7, 2/7 and 1/7.
+func TestDrawFollowsTheFormula(t *testing.T) {
+	p := New(Settings{}, 7, nil)
+	a, b, c := &endpoint{}, &endpoint{}, &endpoint{}
+	count := map[*endpoint]int{}
+	const draws = 70000
+	for range draws {
+		p.selector.candidates = append(p.selector.candidates[:0], c, a, b)
+		p.selector.weights = append(p.selector.weights[:0], 4, 1, 2)
+		count[p.selector.draw(p.random)]++
+	}
+	for s, want := range map[*endpoint]float64{a: 4. / 7, b: 2. / 7, c: 1. / 7} {
+		if got := float64(count[s]) / draws; math.Abs(got-want) > 0.01 {
+			t.Errorf("share %.3f, want %.3f", got, want)
+		}
+	}
+}
+
+func TestSlowEndpointWithTheSameReportsGetsLittle(t *testing.T) {
+	b := newTestFleet(t, 4, nil)
+	b.serve(400, func(s EndpointID) (Outcome, time.Duration) {
+		if s == 1 {
+			return OutcomeSucceeded, 120 * ms
+		}
+		return OutcomeSucceeded, 40 * ms
+	})
+	if n := b.sentTo(1); n > 40 {
+		t.Errorf("a server three times as slow got %d of 400 hand-offs, by speed it would be 40", n)
+	}
+}
+
 func anyRequest(p *Balancer, now Time) *request {
 	return &request{
 		Request: Request{Deadline: now + 900*ms, CostHint: 5e6}, classSettings: &p.settings.Classes[0], effectiveDeadline: now + 900*ms, objectiveAt: now + 900*ms,
@@ -142,3 +175,45 @@
 		}
 	}
 }
+
+// counted counts what is drawn.
+type countingSource struct {
+	rand.Source
+	n int
+}
+
+func (c *countingSource) Uint64() uint64 { c.n++; return c.Source.Uint64() }
+
+// Where next to nobody is fit the draw ends after its passes; it must not spin, nor miss the one.
+func TestDrawDoesNotSpin(t *testing.T) {
+	for name, spoil := range map[string]func(s *endpoint, i int, now Time){
+		"just turned away": func(s *endpoint, i int, now Time) { s.backoffUntil = now + ms },
+		"unfit": func(s *endpoint, i int, now Time) {
+			s.health[0], s.inFlight = classHealth{ejected: true, retryAt: now + ms}, 1
+		},
+		"too late": func(s *endpoint, i int, now Time) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
+		"cold":     func(s *endpoint, i int, now Time) { s.StartedAt, s.slowStartCredit = now, 0 },
+		"silent":   func(s *endpoint, i int, now Time) { s.inFlight, s.HasLatency, s.silentSince = 1, true, now-1e9 },
+	} {
+		for _, fit := range []int{0, 1} {
+			p := New(benchSettings, 1, &lastSendRecorder{})
+			now := Time(1e12)
+			p.EndpointsUpdated(now, endpointList(4096), true)
+			p.estimator.MeanWork, p.estimator.HighLatency = 5e6, 2
+			for i, s := range p.endpoints.all {
+				if i >= fit {
+					spoil(s, i, now)
+				}
+			}
+			c := &countingSource{Source: rand.NewPCG(1, 2)}
+			p.random = rand.New(c)
+			s := p.selectEndpoint(now, anyRequest(p, now))
+			if (s != nil) != (fit == 1) || s != nil && s != p.endpoints.all[0] {
+				t.Errorf("%s, %d fit: drew %v", name, fit, s)
+			}
+			if c.n > 4 {
+				t.Errorf("%s, %d fit: %d numbers drawn, want four at most", name, fit, c.n)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/policy/subset_test.go
@@ -0,0 +1,108 @@
+package policy
+
+import (
+	"testing"
+)
+
+// subsetIDs returns the members of the subset.
+func subsetIDs(p *Balancer) map[EndpointID]bool {
+	near := map[EndpointID]bool{}
+	for _, s := range p.endpoints.all {
+		if s.inSubset {
+			near[s.ID] = true
+		}
+	}
+	return near
+}
+
+// Guards against each of hundreds of nodes holding a connection to every server: servers took 76 to 120, and up to 65%
+// of the attempts got none.
+func TestHundredsOfNodesSpreadOverTheEndpoints(t *testing.T) {
+	const nodes, servers = 400, 50
+	sharing, moved := map[EndpointID]int{}, 0
+	for at := range nodes {
+		set := benchSettings
+		set.NodeIndex, set.NodeCount = at, nodes
+		p := New(set, 1, &lastSendRecorder{})
+		p.EndpointsUpdated(1e12, endpointList(servers), true)
+		before := subsetIDs(p)
+		if len(before) != minSubsetSize {
+			t.Fatalf("node %d draws from %d servers, want %d", at, len(before), minSubsetSize)
+		}
+		for id := range before {
+			sharing[id]++
+		}
+		gone := endpointList(servers)[7]
+		gone.State = StateRemoved
+		p.EndpointsUpdated(1e12, []EndpointInfo{gone}, false)
+		for id := range subsetIDs(p) {
+			if !before[id] {
+				moved++
+			}
+		}
+	}
+	for id, n := range sharing {
+		if n < 12 || n > 60 {
+			t.Errorf("server %d is drawn from by %d nodes, 32 would be even", id, n)
+		}
+	}
+	if len(sharing) < servers || moved > 60 {
+		t.Errorf("%d of %d servers are drawn from; one that left moved %d connections, 32 would be even", len(sharing), servers, moved)
+	}
+}
+
+func TestFewNodesUseAllEndpoints(t *testing.T) {
+	b := newTestFleet(t, 19, func(s *Settings) { s.NodeIndex, s.NodeCount = 2, 4 })
+	if n := len(subsetIDs(b.Balancer)); n != 19 {
+		t.Errorf("one of four nodes draws from %d of 19 servers", n)
+	}
+}
+
+func manyNodes(s *Settings) {
+	s.NodeIndex, s.NodeCount, s.StreamsPerConnection, s.MayGossip = 3, 300, 100, true
+}
+
+func TestSubsetWidensPastEjectedEndpointsAndWithTraffic(t *testing.T) {
+	b := newTestFleet(t, 40, manyNodes)
+	before := subsetIDs(b.Balancer)
+	for id := range before {
+		b.endpoints.byID[id].health[0].ejected = true
+	}
+	if b.tick(); len(subsetIDs(b.Balancer)) != minSubsetSize+minSubsetSize/2+1 {
+		t.Errorf("with %d servers unfit a node draws from %d", minSubsetSize, len(subsetIDs(b.Balancer)))
+	}
+	for id := range before {
+		b.endpoints.byID[id].health[0].ejected = false
+	}
+	b.tick()
+	for range 60 { // within a second
+		b.arrive(0)
+	}
+	if n := len(subsetIDs(b.Balancer)); n < 8 {
+		t.Errorf("asked for 60 tasks in a moment a node draws from %d servers", n)
+	}
+}
+
+// TestAColdFleetIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part of it, so that its
+// connections are used again.
+func TestFleetInSlowStartIsDividedToo(t *testing.T) {
+	set := benchSettings
+	set.NodeCount = 300
+	p := New(set, 1, &lastSendRecorder{})
+	now := Time(1e12)
+	list := endpointList(120)
+	for i := range list {
+		list[i].StartedAt = now
+	}
+	p.EndpointsUpdated(now, list, true)
+	if got := len(p.subset.members); got != warmingUpPerWarm*p.subset.size || got > 40 {
+		t.Errorf("one of 300 nodes draws from %d of 120 cold servers, want %d times %d", got, warmingUpPerWarm, p.subset.size)
+	}
+	for i := range list[:60] { // half of them were up long before
+		list[i].StartedAt = 0
+	}
+	p.EndpointsUpdated(now, list, true)
+	if warm := len(p.subset.members) - len(p.subset.warmingUp); warm < p.subset.size {
+		t.Errorf("draws from %d warm ones, want %d", warm, p.subset.size)
+	}
+}
