--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -15,7 +15,7 @@
 	b.estimator.classes[0].SuccessRate, b.estimator.classes[1].SuccessRate = 0.2, 0.8
 	starved, other := &request{effectiveDeadline: b.now + 400*ms}, &request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}
 	if got := b.allow(starved); got != 400*ms {
-		t.Errorf("the starved category may take %d", got)
+		t.Errorf("the starved class may take %d", got)
 	}
 	if got := b.allow(other); got != 100*ms {
 		t.Errorf("the other may take %d, want a quarter of 400 ms", got)
@@ -30,7 +30,7 @@
 		b.tick()
 	}
 	if got := b.allow(&request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}); got < 380*ms {
-		t.Errorf("another category may take %d of 400 ms", got)
+		t.Errorf("another class may take %d of 400 ms", got)
 	}
 }
 
@@ -44,7 +44,7 @@
 		return OutcomeSucceeded, 20 * ms
 	})
 	if b.rejected > 0 {
-		t.Errorf("%d of 600 tasks were declined on idle servers for the heavy ones among them", b.rejected)
+		t.Errorf("%d of 600 requests were rejected on idle endpoints for the heavy ones among them", b.rejected)
 	}
 }
 
@@ -85,11 +85,11 @@
 	b.estimator.classes[0].SuccessRate = 0.5
 	within, over := &request{effectiveDeadline: b.now + 400*ms}, &request{effectiveDeadline: b.now + 400*ms, overQuota: true}
 	if w, o := b.allow(within), b.allow(over); w != 400*ms || o != 100*ms {
-		t.Errorf("with half turned away a task within may take %d, one beyond %d", w, o)
+		t.Errorf("with half rejected a request within may take %d, one beyond %d", w, o)
 	}
 }
 
-// Guards against a jam of work that earns next to nothing holding up what earns fifty times as much.
+// Guards against overload of work that earns next to nothing holding up what earns fifty times as much.
 func TestClassThatEarnsLittleGivesUpTime(t *testing.T) {
 	for worst, kept := range map[float64]time.Duration{0.2: 225, 0.4: 400} { // of 400 ms, with half rejected
 		b := newTestFleet(t, 2, func(s *Settings) {
@@ -98,7 +98,7 @@
 		})
 		b.tick()
 		if got := b.allow(&request{effectiveDeadline: b.now + 400*ms}); got != 400*ms {
-			t.Errorf("with nothing turned away it may take %d of 400 ms", got/ms)
+			t.Errorf("with nothing rejected it may take %d of 400 ms", got/ms)
 		}
 		for i := range b.estimator.classes {
 			b.estimator.classes[i].SuccessRate = 0.5
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against each of many nodes gathering a key at servers of its own, so that nobody saves work.
+// Guards against each of many nodes gathering a key at endpoints of its own, so that no node saves work.
 func TestNodesAgreeOnAKeysHome(t *testing.T) {
 	const keys = 40
 	at := map[string]map[EndpointID]int{}
@@ -23,19 +23,19 @@
 		}
 	}
 	kept := 0
-	for _, servers := range at {
+	for _, endpoints := range at {
 		most := 0
-		for _, n := range servers {
+		for _, n := range endpoints {
 			most = max(most, n)
 		}
 		kept += most
 	}
 	if kept < 5*3*keys*9/10 {
-		t.Errorf("%d of %d tasks went where most of their key's go", kept, 5*3*keys)
+		t.Errorf("%d of %d requests went where most of their key's go", kept, 5*3*keys)
 	}
 }
 
-// Guards against a home that is cold, unfit or jammed getting its keys' requests all the same.
+// Guards against a home that is cold, ejected or overloaded getting its keys' requests all the same.
 func TestKeyLeavesAnOverloadedOrRestartedHome(t *testing.T) {
 	b := newTestFleet(t, 8, func(s *Settings) { s.KeyAffinity, s.Classes[0].LatencyObjective = true, 200*ms })
 	b.serve(40, answersPromptly)
@@ -59,6 +59,6 @@
 	}
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: home, Pod: 9, StartedAt: b.now}}, false)
 	if ask(); len(b.affinity.homes) == 0 || b.affinity.homes[0].ID == home {
-		t.Error("a cold server is a home, and nodes do not agree on the next")
+		t.Error("a cold endpoint is a home, and nodes do not agree on the next")
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -25,7 +25,7 @@
 			for i := range ids {
 				ids[i] = RequestID(fmt.Sprint("t", i))
 			}
-			declined, tick := 0, now
+			rejected, tick := 0, now
 			one := func(i int) {
 				now += 50e3
 				if now-tick > 1e9 {
@@ -44,7 +44,7 @@
 				p.RequestArrived(now, Request{ID: id, Deadline: now + 600*ms})
 				if *r = (out{id, q.endpoint, now}); !q.sent {
 					r.id = ""
-					declined++
+					rejected++
 				}
 			}
 			for i := range 50000 {
@@ -52,16 +52,16 @@
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
-			declined = 0
+			rejected = 0
 			for i := range b.N {
 				one(i + 50000)
 			}
-			b.ReportMetric(float64(declined)/float64(b.N), "declined/op")
+			b.ReportMetric(float64(rejected)/float64(b.N), "rejected/op")
 		})
 	}
 }
 
-// BenchmarkSlice is 512 lines of a list taken in by a node that holds so many servers.
+// BenchmarkListChange is 512 lines of a list taken in by a node that holds so many endpoints.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// BenchmarkNobody is a draw in which nobody takes part: the worst case, 32 tries and two passes.
+// BenchmarkNoCandidate is a draw in which no endpoint takes part: the worst case, 32 tries and two passes.
 func BenchmarkNoCandidate(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -102,12 +102,12 @@
 			for _, s := range p.endpoints.all {
 				s.backoffUntil = now + ms
 			}
-			task := &request{
+			req := &request{
 				Request: Request{Deadline: now + 900*ms}, classSettings: &p.settings.Classes[0], effectiveDeadline: now + 900*ms,
 				delays: p.admission.delays.Of(0, 0),
 			}
 			for range b.N {
-				p.selectEndpoint(now, task)
+				p.selectEndpoint(now, req)
 			}
 		})
 	}
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -101,34 +101,34 @@
 	heap.Push(&r.queue, digestEvent{r.now + max(delay, 0), r.sequence, run})
 }
 
-func (r *digestRun) Send(task policy.RequestID, server policy.EndpointID, limit time.Duration) {
+func (r *digestRun) Send(req policy.RequestID, id policy.EndpointID, limit time.Duration) {
 	timeout := int64(limit)
-	r.note("send", task, server, timeout)
-	number := r.attempts[task]
-	r.attempts[task]++
-	endpoint := r.endpoints[int(server)-1]
+	r.note("send", req, id, timeout)
+	number := r.attempts[req]
+	r.attempts[req]++
+	endpoint := r.endpoints[int(id)-1]
 	endpoint.inFlight++
-	outcome, elapsed := r.outcome(endpoint, r.category[task], timeout)
+	outcome, elapsed := r.outcome(endpoint, r.category[req], timeout)
 	if r.settings.MayCancel || elapsed < timeout {
 		elapsed = min(elapsed, timeout)
 	}
 	fresh := !endpoint.connected
 	endpoint.connected = outcome != policy.OutcomeReset && outcome != policy.OutcomeConnectFailed
-	if r.recalled[fmt.Sprint(task, number)] {
+	if r.recalled[fmt.Sprint(req, number)] {
 		outcome = policy.OutcomeCanceled
 	}
 	r.after(elapsed, func() {
 		endpoint.inFlight--
-		if r.recalled[fmt.Sprint(task, number)] {
+		if r.recalled[fmt.Sprint(req, number)] {
 			outcome = policy.OutcomeCanceled
 		}
 		answer := policy.AttemptResult{
-			Request: task, Attempt: number, Endpoint: server, Outcome: outcome, Elapsed: time.Duration(elapsed), NewConnection: fresh,
+			Request: req, Attempt: number, Endpoint: id, Outcome: outcome, Elapsed: time.Duration(elapsed), NewConnection: fresh,
 			RequestDone: outcome == policy.OutcomeSucceeded, BodyConsumed: outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
 			Report: r.report(endpoint, outcome),
 		}
 		if answer.RequestDone {
-			r.answered[task] = true
+			r.answered[req] = true
 		}
 		r.instance.AttemptEnded(policy.Time(r.now), answer)
 	})
@@ -177,19 +177,19 @@
 	return report
 }
 
-func (r *digestRun) Cancel(task policy.RequestID, number int) {
-	r.note("cancel", task, number)
-	r.recalled[fmt.Sprint(task, number)] = true
+func (r *digestRun) Cancel(req policy.RequestID, number int) {
+	r.note("cancel", req, number)
+	r.recalled[fmt.Sprint(req, number)] = true
 }
 
-func (r *digestRun) Reject(task policy.RequestID, advice time.Duration) {
-	r.note("reject", task, int64(advice))
-	r.answered[task] = true
+func (r *digestRun) Reject(req policy.RequestID, advice time.Duration) {
+	r.note("reject", req, int64(advice))
+	r.answered[req] = true
 }
 
-func (r *digestRun) Fail(task policy.RequestID) {
-	r.note("fail", task)
-	r.answered[task] = true
+func (r *digestRun) Fail(req policy.RequestID) {
+	r.note("fail", req)
+	r.answered[req] = true
 }
 
 func (r *digestRun) SetTimer(at policy.Time, timer uint64) {
@@ -213,42 +213,42 @@
 	})
 }
 
-func (r *digestRun) CloseIdle(server policy.EndpointID) {
-	r.note("close", server)
-	r.endpoints[int(server)-1].connected = false
+func (r *digestRun) CloseIdle(id policy.EndpointID) {
+	r.note("close", id)
+	r.endpoints[int(id)-1].connected = false
 }
 
-func (r *digestRun) CheckHealth(server policy.EndpointID) {
-	r.note("probe", server)
-	endpoint := r.endpoints[int(server)-1]
+func (r *digestRun) CheckHealth(id policy.EndpointID) {
+	r.note("probe", id)
+	endpoint := r.endpoints[int(id)-1]
 	r.after(3*millisecond, func() {
 		outcome := policy.OutcomeSucceeded
 		if endpoint.silent {
 			outcome = policy.OutcomeTimedOut
 		}
-		r.instance.HealthChecked(policy.Time(r.now), server, outcome, policy.LoadReport{
+		r.instance.HealthChecked(policy.Time(r.now), id, outcome, policy.LoadReport{
 			Utilization: 0.5 * endpoint.speed,
 			QueueLength: float64(endpoint.inFlight), ServiceTime: 8 * endpoint.speed,
 		})
 	})
 }
 
-func (r *digestRun) Gossip(news policy.GossipMessage) {
-	r.note("gossip", uint32(news.Endpoint), news.Class, int64(news.IdleTime))
+func (r *digestRun) Gossip(message policy.GossipMessage) {
+	r.note("gossip", uint32(message.Endpoint), message.Class, int64(message.IdleTime))
 	for range r.random.IntN(5) { // other nodes saw the same
-		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(policy.Time(r.now), news) })
+		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(policy.Time(r.now), message) })
 	}
 }
 
 // list gives the instance the whole list, without what has left, or every tenth line of it.
-func (r *digestRun) list(whole bool) {
+func (r *digestRun) list(complete bool) {
 	var lines []policy.EndpointInfo
 	for i, endpoint := range r.endpoints {
-		if whole && endpoint.listed.State != policy.StateRemoved || !whole && i%10 == r.lists%10 {
+		if complete && endpoint.listed.State != policy.StateRemoved || !complete && i%10 == r.lists%10 {
 			lines = append(lines, endpoint.listed)
 		}
 	}
-	r.instance.EndpointsUpdated(policy.Time(r.now), lines, whole)
+	r.instance.EndpointsUpdated(policy.Time(r.now), lines, complete)
 }
 
 // change gives one endpoint another condition and, where the list tells of it, the instance the changed line.
@@ -282,19 +282,19 @@
 func (r *digestRun) arrive(number int) {
 	id := policy.RequestID(fmt.Sprint("r", number))
 	class := r.random.IntN(len(r.settings.Classes))
-	task := policy.Request{
+	req := policy.Request{
 		ID: id, Class: class, Tenant: r.random.IntN(4),
 		Deadline:    policy.Time(r.now).Add(r.settings.Classes[class].LatencyObjective * time.Duration(2+r.random.IntN(3))),
 		ClientRetry: r.random.IntN(12) == 0, StreamingBody: r.random.IntN(20) == 0,
 	}
 	if r.random.IntN(2) == 0 {
-		task.CostHint = time.Duration(int64(8+4*class) * millisecond * int64(1+r.random.IntN(3)) / 2)
+		req.CostHint = time.Duration(int64(8+4*class) * millisecond * int64(1+r.random.IntN(3)) / 2)
 	}
 	if r.random.IntN(4) > 0 {
-		task.Key = fmt.Sprint("key", min(r.random.IntN(40), r.random.IntN(40)))
+		req.Key = fmt.Sprint("key", min(r.random.IntN(40), r.random.IntN(40)))
 	}
 	r.category[id] = class
-	r.instance.RequestArrived(policy.Time(r.now), task)
+	r.instance.RequestArrived(policy.Time(r.now), req)
 	if r.random.IntN(40) == 0 {
 		r.after(r.random.Int64N(60)*millisecond, func() {
 			if !r.answered[id] {
--- a/policy/estimator_test.go
+++ b/policy/estimator_test.go
@@ -19,7 +19,7 @@
 		b.end(id, 0, OutcomeTimedOut, 480*ms)
 	}
 	if after, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); after < 2*before {
-		t.Errorf("after four time-outs the server is expected at %.1f, before at %.1f", after, before)
+		t.Errorf("after four time-outs the endpoint is expected at %.1f, before at %.1f", after, before)
 	}
 }
 
@@ -27,17 +27,17 @@
 	b := newTestFleet(t, 2, nil)
 	b.serve(40, answersPromptly)
 	b.serve(40, func(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 450 * ms })
-	jammed, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
+	overloaded, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 	for range 20 {
 		b.now += Time(recalculationInterval)
 		b.tick()
 	}
-	if relaxed, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); relaxed > jammed*2/3 {
-		t.Errorf("answer times expected at %.1f in the jam are still expected at %.1f", jammed, relaxed)
+	if relaxed, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); relaxed > overloaded*2/3 {
+		t.Errorf("answer times expected at %.1f under overload are still expected at %.1f", overloaded, relaxed)
 	}
 	b.rejected = 0
 	if b.serve(20, answersPromptly); b.rejected > 0 {
-		t.Errorf("%d of 20 tasks were declined twenty idle seconds after a jam", b.rejected)
+		t.Errorf("%d of 20 requests were rejected twenty idle seconds after overload", b.rejected)
 	}
 }
 
@@ -51,12 +51,12 @@
 		return OutcomeSucceeded, 40 * ms
 	})
 	if unit, _ := b.estimator.Fleet.Means(1, 0); unit > 3 {
-		t.Errorf("one server in five times out and the whole fleet is expected at %.1f", unit)
+		t.Errorf("one endpoint in five times out and the whole fleet is expected at %.1f", unit)
 	}
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeTimedOut, 450 * ms })
 	unheard := &endpoint{EndpointInfo: EndpointInfo{ID: 101}, podLatency: &ewma.Pair{}}
 	if unit, _ := b.estimator.expectedLatency(unheard); unit < 5 {
-		t.Errorf("nearly all time out and a server not heard yet is expected at %.1f", unit)
+		t.Errorf("nearly all time out and an endpoint not heard yet is expected at %.1f", unit)
 	}
 	for range 60 {
 		b.now += Time(recalculationInterval)
@@ -76,7 +76,7 @@
 		id := RequestID(fmt.Sprint(b.arrived))
 		b.RequestArrived(b.now, Request{ID: id, Deadline: b.now + 1000*ms, CostHint: cost})
 		if b.requests.byID[id] == nil {
-			t.Fatalf("task %d of %d ms was given up beside idle servers", b.arrived, cost/ms)
+			t.Fatalf("request %d of %d ms was given up beside idle endpoints", b.arrived, cost/ms)
 		}
 		b.now += Time(took)
 		b.AttemptEnded(b.now, AttemptResult{
@@ -99,7 +99,7 @@
 	}
 }
 
-// A new instance predicts as the one before did, and does not take a restarted server for the old one.
+// A new instance predicts as the one before did, and does not take a restarted endpoint for the old one.
 func TestInheritance(t *testing.T) {
 	b := newTestFleet(t, 4, nil)
 	b.serve(200, func(s EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, time.Duration(s) * 20 * ms })
@@ -117,7 +117,7 @@
 	for id := EndpointID(1); id <= 4; id++ {
 		was, is := b.estimator.predictLatency(b.endpoints.byID[id], 1e8), next.estimator.predictLatency(next.endpoints.byID[id], 1e8)
 		if (was == is) != (id != 4) {
-			t.Errorf("server %d: predicted %d by the one before, %d by the next", id, was, is)
+			t.Errorf("endpoint %d: predicted %d by the one before, %d by the next", id, was, is)
 		}
 	}
 }
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -11,21 +11,21 @@
 	id := b.arrive(0)
 	b.now += 200 * ms
 	b.TimerFired(b.now, b.timers[len(b.timers)-1])
-	task := b.requests.byID[id]
-	if task.inFlight != 2 || task.attempts[0].endpoint == task.attempts[1].endpoint {
-		t.Fatalf("the overdue task has %d hand-offs out", task.inFlight)
+	req := b.requests.byID[id]
+	if req.inFlight != 2 || req.attempts[0].endpoint == req.attempts[1].endpoint {
+		t.Fatalf("the overdue request has %d attempts out", req.inFlight)
 	}
-	slow := task.attempts[0].endpoint
+	slow := req.attempts[0].endpoint
 	b.end(id, 1, OutcomeSucceeded, 40*ms)
 	if b.canceled != 1 {
-		t.Errorf("%d hand-offs were recalled after the copy's answer", b.canceled)
+		t.Errorf("%d attempts were canceled after the copy's answer", b.canceled)
 	}
 	if b.end(id, 0, OutcomeCanceled, 240*ms); slow.health[0].failureRate == 0 {
-		t.Error("the overtaken server still looks as good as the others")
+		t.Error("the overtaken endpoint still looks as good as the others")
 	}
 }
 
-// Guards against an idempotent request waiting for a silent server to its end where no hedged request is allowed.
+// Guards against an idempotent request waiting for a silent endpoint to its end where no hedged request is allowed.
 func TestOverdueRequestIsCanceledWithoutHedging(t *testing.T) {
 	b := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
 	b.serve(60, answersPromptly)
@@ -35,20 +35,20 @@
 	b.now += 200 * ms
 	b.TimerFired(b.now, b.timers[len(b.timers)-1])
 	if b.canceled != 1 {
-		t.Fatalf("%d recalled", b.canceled)
+		t.Fatalf("%d canceled", b.canceled)
 	}
 	if b.end(id, 0, OutcomeCanceled, 200*ms); b.last() == first || b.requests.byID[id].inFlight != 1 {
-		t.Error("the recalled task did not go to another server")
+		t.Error("the canceled request did not go to another endpoint")
 	}
 	exclusive := b.requests.byID[b.arrive(2)]
 	b.now += 200 * ms
 	b.attemptOverdue(b.now, exclusive, 0)
 	if b.canceled != 1 {
-		t.Error("an exclusive task was recalled")
+		t.Error("a non-idempotent request was canceled")
 	}
 }
 
-// Guards against heavy requests being begun again and again: a server that has answered others meanwhile is at work.
+// Guards against heavy requests being begun again and again: an endpoint that has answered others meanwhile is at work.
 func TestHeavyRequestIsNotCanceled(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		b := newTestFleet(t, 1, func(s *Settings) { s.MayHedge = false })
@@ -63,8 +63,24 @@
 		b.now += 300 * ms
 		b.canceled = 0
 		if b.TimerFired(b.now, timer); b.canceled > 0 == answers {
-			t.Errorf("its server answers others: %t; recalled %d times", answers, b.canceled)
+			t.Errorf("its endpoint answers others: %t; canceled %d times", answers, b.canceled)
 		}
 		b.ClientGone(b.now, id)
 	}
 }
+
+func TestHedgeBudgetIsBounded(t *testing.T) {
+	var budget hedgeBudget
+	for range 9 {
+		budget.earn()
+	}
+	if budget.available >= 1 {
+		t.Errorf("nine requests earn %g hedged ones", budget.available)
+	}
+	for range 100 {
+		budget.earn()
+	}
+	if budget.available != maxHedgeBudget {
+		t.Errorf("%g hedged requests are saved up, expected %d", budget.available, maxHedgeBudget)
+	}
+}
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -8,7 +8,7 @@
 
 const ms = 1_000_000 // nanoseconds
 
-// recorder is a host that notes what it is told, for the small tests of single failures.
+// recorder is Effects that note what they are asked for, for the small tests of single failures.
 type recorder struct {
 	sent             []EndpointID
 	timeouts         []time.Duration
@@ -39,7 +39,7 @@
 
 func (r *recorder) CloseIdle(s EndpointID) { r.closedIdle = append(r.closedIdle, s) }
 
-func (r *recorder) Gossip(news GossipMessage) { r.gossiped = append(r.gossiped, news) }
+func (r *recorder) Gossip(message GossipMessage) { r.gossiped = append(r.gossiped, message) }
 
 func (r *recorder) CheckHealth(s EndpointID) { r.checked = append(r.checked, s) }
 
@@ -62,8 +62,8 @@
 	arrived int
 }
 
-// fleet starts a module with so many servers and three classes: idempotent, ticketed in a pod, exclusive.
-func newTestFleet(t *testing.T, servers int, change func(*Settings)) *testFleet {
+// newTestFleet starts a Balancer with so many endpoints and three classes: idempotent, idempotent by key in a pod, non-idempotent.
+func newTestFleet(t *testing.T, endpoints int, change func(*Settings)) *testFleet {
 	s := Settings{
 		MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
 		SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10, Classes: []Class{
@@ -78,7 +78,7 @@
 	r := &recorder{}
 	b := &testFleet{T: t, Balancer: New(s, 1, r), recorder: r, now: 1e12}
 	var list []EndpointInfo
-	for id := range servers {
+	for id := range endpoints {
 		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id / 2, Weight: 1})
 	}
 	b.EndpointsUpdated(b.now, list, true)
@@ -100,7 +100,7 @@
 	})
 }
 
-// serve plays idempotent requests one after another, each answered as its server does.
+// serve plays idempotent requests one after another, each answered as its endpoint does.
 func (b *testFleet) serve(tasks int, how func(EndpointID) (Outcome, time.Duration)) {
 	for range tasks {
 		id := b.arrive(0)
@@ -117,7 +117,7 @@
 
 func (b *testFleet) tick() { b.TimerFired(b.now, tickTimer) }
 
-// quiet is a host that only notes the last attempt.
+// lastSendRecorder only notes the last attempt.
 type lastSendRecorder struct {
 	endpoint EndpointID
 	sent     bool
--- a/policy/idleconns_test.go
+++ b/policy/idleconns_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Guards against connections that something between drops unseen: what is sent on one is lost, and the server blamed.
+// Guards against connections that something between drops unseen: what is sent on one is lost, and the endpoint blamed.
 func TestConnectionsThatDieIdleAreClosedBeforeUse(t *testing.T) {
 	b := newTestFleet(t, 4, func(s *Settings) { s.StreamsPerConnection = 100 })
 	b.serve(40, answersPromptly)
@@ -18,7 +18,7 @@
 			continue
 		}
 		if b.end(id, 0, OutcomeReset, ms); s.health[0].failureRate > 0.01 {
-			t.Errorf("a reset after idleness counts against the server: %+v", s.health[0])
+			t.Errorf("a reset after idleness counts against the endpoint: %+v", s.health[0])
 		}
 		b.end(id, 1, OutcomeSucceeded, 40*ms)
 	}
@@ -35,9 +35,9 @@
 	}
 }
 
-// Guards against a node that comes by each server seldom: it lost a request to each before it learned that they die idle.
+// Guards against a node that comes by each endpoint seldom: it lost a request to each before it learned that they die idle.
 func TestSilenceOnIdleConnectionsIsASignBeforeItEnds(t *testing.T) {
-	for _, most := range []int{1, 2} { // out at once at a server
+	for _, most := range []int{1, 2} { // out at once at an endpoint
 		b := newTestFleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
 		b.serve(60, answersPromptly)
 		for _, s := range b.endpoints.byID {
@@ -50,7 +50,7 @@
 			b.TimerFired(b.now, b.timers[len(b.timers)-1])
 		}
 		if learned := b.idleConns.trusted.Limit < 1e12; learned != (most == 1) {
-			t.Errorf("%d out at once at a server, where a connection carries one: idle time trusted %d ms", most, b.idleConns.trusted.Limit/ms)
+			t.Errorf("%d out at once at an endpoint, where a connection carries one: idle time trusted %d ms", most, b.idleConns.trusted.Limit/ms)
 		}
 	}
 }
@@ -74,12 +74,12 @@
 // Guards against a slow answer or two closing connections everywhere: it takes signs from one node in 25.
 func TestGossipOfIdleTimeNeedsManyNodes(t *testing.T) {
 	b := newTestFleet(t, 4, manyNodes)
-	news := GossipMessage{IdleTime: 1200 * ms}
+	message := GossipMessage{IdleTime: 1200 * ms}
 	for n := range 40 {
 		if trusted := b.idleConns.trusted.Limit > 1e12; trusted != (n < 12) {
-			t.Fatalf("after %d voices of 300 connections are trusted: %v", n, trusted)
+			t.Fatalf("after %d messages of 300 connections are trusted: %v", n, trusted)
 		}
-		b.GossipReceived(b.now, news)
+		b.GossipReceived(b.now, message)
 	}
 	if b.idleConns.trusted.Limit != 900*ms {
 		t.Errorf("trusted for %d ms", b.idleConns.trusted.Limit/ms)
@@ -93,7 +93,7 @@
 	}
 }
 
-// Guards against servers that reset requests for reasons of their own being taken for connections that die idle: closing
+// Guards against endpoints that reset requests for reasons of their own being taken for connections that die idle: closing
 // and opening connections all the time cost an incident half of its service.
 func TestResetsAmongLongLivedConnectionsAreNoSign(t *testing.T) {
 	b := newTestFleet(t, 1, func(s *Settings) { s.StreamsPerConnection = 100 })
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -24,7 +24,7 @@
 }
 
 // world is the plain model: it plays events at random, keeps what the wire would know and checks each call of
-// the module against the four rules.
+// the Balancer against the four rules.
 type model struct {
 	*rand.Rand
 	balancer        *Balancer
@@ -37,7 +37,7 @@
 	violations      []string
 	timers          []uint64
 	gossiped        []GossipMessage
-	sentInSlowStart map[EndpointID]float64 // attempts given to a server since it started cold
+	sentInSlowStart map[EndpointID]float64 // attempts given to an endpoint since it started cold
 	fairShare       map[EndpointID]float64 // and its even part of all attempts, times what it surely can do
 }
 
@@ -45,26 +45,26 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, a...))
 }
 
-func (w *model) Send(id RequestID, server EndpointID, timeout time.Duration) {
+func (w *model) Send(id RequestID, target EndpointID, timeout time.Duration) {
 	t := w.requests[id]
 	if t == nil || t.done {
-		w.violation("rule 1: hand-off of a task that is over")
+		w.violation("rule 1: attempt of a request that is over")
 		return
 	}
 	c := &w.settings.Classes[t.request.Class]
 	if timeout <= 0 || w.now.Add(timeout) > t.request.Deadline {
-		w.violation("rule 1: time-out %d leaves the hard limit", timeout)
+		w.violation("rule 1: time-out %d leaves the deadline", timeout)
 	}
-	to, known := w.listed[server]
-	if !known || to.State == StateDraining || to.State == StateRemoved && (!w.settings.RemovedMayServe || w.drainedLast[server]) {
-		w.violation("rule 3: hand-off to a server that drains, is gone or was never listed")
+	to, known := w.listed[target]
+	if !known || to.State == StateDraining || to.State == StateRemoved && (!w.settings.RemovedMayServe || w.drainedLast[target]) {
+		w.violation("rule 3: attempt to an endpoint that drains, is gone or was never listed")
 	}
 	if len(t.attempts) >= w.settings.MaxAttempts {
-		w.violation("more hand-offs than allowed")
+		w.violation("more attempts than allowed")
 	}
 	for _, h := range t.attempts {
 		if h.inFlight && !w.settings.MayHedge {
-			w.violation("rule 2: second copy")
+			w.violation("rule 2: two attempts at once")
 		}
 		if h.neverRan || c.Idempotency == Idempotent {
 			continue
@@ -77,14 +77,14 @@
 		}
 	}
 	if w.capacity(to) < 1 {
-		w.sentInSlowStart[server]++
+		w.sentInSlowStart[target]++
 	}
-	t.attempts = append(t.attempts, modelAttempt{endpoint: server, sentAt: w.now, inFlight: true})
+	t.attempts = append(t.attempts, modelAttempt{endpoint: target, sentAt: w.now, inFlight: true})
 }
 
 func (w *model) Cancel(id RequestID, number int) {
 	if t := w.requests[id]; !w.settings.MayCancel || t == nil || number >= len(t.attempts) {
-		w.violation("recall of a hand-off that was never made, or not allowed")
+		w.violation("cancellation of an attempt that was never made, or not allowed")
 	}
 }
 
@@ -107,7 +107,7 @@
 	c := w.settings.Classes[t.request.Class]
 	for _, h := range t.attempts {
 		if !h.neverRan && c.Idempotency != Idempotent && (c.Idempotency == NonIdempotent || c.DedupGroup != DedupFleet || w.now.Sub(h.sentAt) >= c.DedupWindow) {
-			w.violation("rule 2: declined though it may have run, after %d of a memory of %d", w.now.Sub(h.sentAt), c.DedupWindow)
+			w.violation("rule 2: rejected though it may have run, after %d of a deduplication window of %d", w.now.Sub(h.sentAt), c.DedupWindow)
 		}
 	}
 	if comeBackIn < 0 || comeBackIn > w.settings.MaxRetryAfter {
@@ -126,22 +126,22 @@
 
 func (w *model) WatchEndpoints() {}
 
-func (w *model) Gossip(news GossipMessage) {
-	if !w.settings.MayGossip || news.IdleTime == 0 && w.listed[news.Endpoint].ID != news.Endpoint {
-		w.violation("news %+v, allowed: %v", news, w.settings.MayGossip)
+func (w *model) Gossip(message GossipMessage) {
+	if !w.settings.MayGossip || message.IdleTime == 0 && w.listed[message.Endpoint].ID != message.Endpoint {
+		w.violation("gossip %+v, allowed: %v", message, w.settings.MayGossip)
 	}
-	w.gossiped = append(w.gossiped, news)
+	w.gossiped = append(w.gossiped, message)
 }
 
-func (w *model) CheckHealth(server EndpointID) {
-	if l, known := w.listed[server]; !w.settings.MayCheckHealth || !known || l.State == StateDraining || l.State == StateRemoved && (!w.settings.RemovedMayServe || w.drainedLast[server]) {
-		w.violation("a probe that is not allowed")
+func (w *model) CheckHealth(id EndpointID) {
+	if l, known := w.listed[id]; !w.settings.MayCheckHealth || !known || l.State == StateDraining || l.State == StateRemoved && (!w.settings.RemovedMayServe || w.drainedLast[id]) {
+		w.violation("a health check that is not allowed")
 	}
 }
 
-func (w *model) CloseIdle(server EndpointID) {
-	if _, known := w.listed[server]; !known {
-		w.violation("release of a server that was never listed")
+func (w *model) CloseIdle(id EndpointID) {
+	if _, known := w.listed[id]; !known {
+		w.violation("close of an endpoint that was never listed")
 	}
 }
 
@@ -171,7 +171,7 @@
 	return 1
 }
 
-// carried adds to each cold server's part what a warm peer satisfied, or an arrival where none is warm.
+// earnShares adds to each cold endpoint's part what a warm peer satisfied, or an arrival where none is warm.
 func (w *model) earnShares(by EndpointID) {
 	active, warm := 0.0, 0.0
 	for _, l := range w.listed {
@@ -195,8 +195,8 @@
 	}
 }
 
-// relist changes the fleet and tells the module: drains, leavers, restarts and newcomers.
-func (w *model) changeList(whole bool) {
+// changeList changes the fleet and enters it: drains, leavers, restarts and newcomers.
+func (w *model) changeList(complete bool) {
 	var told []EndpointInfo
 	for id := EndpointID(1); id <= 8; id++ {
 		l, known := w.listed[id]
@@ -209,11 +209,11 @@
 			l.State, l.StartedAt = StateActive, w.now-1
 			w.sentInSlowStart[id], w.fairShare[id] = 0, 0
 		default:
-			if !whole {
+			if !complete {
 				continue
 			}
 		}
-		if whole && l.State == StateRemoved || whole && known && w.Intn(10) == 0 {
+		if complete && l.State == StateRemoved || complete && known && w.Intn(10) == 0 {
 			l.State = StateRemoved // missing from a whole list
 			w.listed[id] = l
 			continue
@@ -221,7 +221,7 @@
 		w.listed[id], w.drainedLast[id] = l, l.State == StateDraining || l.State == StateRemoved && w.drainedLast[id]
 		told = append(told, l)
 	}
-	w.balancer.EndpointsUpdated(w.now, told, whole)
+	w.balancer.EndpointsUpdated(w.now, told, complete)
 }
 
 func (w *model) endAttempt(t *modelRequest, number int, outcome Outcome) {
@@ -254,7 +254,7 @@
 			return
 		}
 	}
-	w.violation("rule 1: a task is held with nothing out")
+	w.violation("rule 1: a request is held with nothing out")
 }
 
 func (w *model) step() {
@@ -272,11 +272,11 @@
 		w.checkInFlight(t)
 	case 4:
 		// What others tell, whatever it is and however often, must never break a rule.
-		news := GossipMessage{Endpoint: EndpointID(w.Intn(10)), Class: w.Intn(8) - 2, IdleTime: time.Duration(w.Int63n(3)*w.Int63n(1e10) - 1e9)}
+		message := GossipMessage{Endpoint: EndpointID(w.Intn(10)), Class: w.Intn(8) - 2, IdleTime: time.Duration(w.Int63n(3)*w.Int63n(1e10) - 1e9)}
 		if len(w.gossiped) > 0 && w.Intn(2) == 0 {
-			news = w.gossiped[w.Intn(len(w.gossiped))]
+			message = w.gossiped[w.Intn(len(w.gossiped))]
 		}
-		w.balancer.GossipReceived(w.now, news)
+		w.balancer.GossipReceived(w.now, message)
 		w.balancer.HealthChecked(w.now, EndpointID(w.Intn(10)), Outcome(w.Intn(9)), LoadReport{w.Float64(), float64(w.Intn(3)), -1})
 		if w.Intn(4) == 0 {
 			w.changeList(w.Intn(3) == 0)
@@ -304,7 +304,7 @@
 			for n := range t.attempts {
 				if t.attempts[n].inFlight {
 					w.endAttempt(t, n, Outcome(w.Intn(int(OutcomeNotSent)+1)))
-					if w.Intn(8) == 0 { // the same news twice must change nothing
+					if w.Intn(8) == 0 { // the same gossip twice must change nothing
 						w.balancer.AttemptEnded(w.now, AttemptResult{Request: t.request.ID, Attempt: n, Endpoint: t.attempts[n].endpoint})
 					}
 					break
@@ -313,8 +313,8 @@
 		}
 	}
 	for id, given := range w.sentInSlowStart {
-		if given > w.fairShare[id]+3 && !w.settings.RemovedMayServe { // else who is warm can not be told from the list
-			w.violation("rule 4: cold server %d was given %g, its part is %g", id, given, w.fairShare[id])
+		if given > w.fairShare[id]+3 && !w.settings.RemovedMayServe { // else the list does not tell who is warm
+			w.violation("rule 4: cold endpoint %d was given %g, its part is %g", id, given, w.fairShare[id])
 		}
 	}
 }
@@ -333,15 +333,15 @@
 				}
 			}
 			if !w.requests[id].done || w.requests[id].finalAnswers > 1 {
-				w.violation("rule 1: task with %d final answers", w.requests[id].finalAnswers)
+				w.violation("rule 1: request with %d final answers", w.requests[id].finalAnswers)
 			}
 		}
 		if len(w.balancer.requests.byID) > 0 {
-			w.violation("%d tasks are kept after their end", len(w.balancer.requests.byID))
+			w.violation("%d requests are kept after their end", len(w.balancer.requests.byID))
 		}
 		for _, s := range w.balancer.endpoints.all {
 			if s.inFlight != 0 {
-				w.violation("%d hand-offs are counted out after all have ended", s.inFlight)
+				w.violation("%d attempts are counted out after all have ended", s.inFlight)
 			}
 		}
 		if len(w.violations) > 0 {
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -25,11 +25,11 @@
 	b.sent = nil
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeRejected, ms })
 	if len(b.sent) > 120 {
-		t.Errorf("%d hand-offs for 60 tasks while every server is full", len(b.sent))
+		t.Errorf("%d attempts for 60 requests while every endpoint is full", len(b.sent))
 	}
 }
 
-// Guards against a server that turns a part of its requests away, idle as it is, being taken for a crowded one.
+// Guards against an endpoint that rejects a part of its requests, idle as it is, being taken for a crowded one.
 func TestRejectionWithAnEmptyQueueTeachesNoLatency(t *testing.T) {
 	for queue, late := range map[float64]bool{0: false, 3: true, -1: true} {
 		b := newTestFleet(t, 1, nil)
@@ -41,7 +41,7 @@
 			b.now = b.endpoints.byID[1].backoffUntil
 		}
 		if after, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); (after > 2*before) != late {
-			t.Errorf("with a queue of %g the server is expected at %.1f, before at %.1f", queue, after, before)
+			t.Errorf("with a queue of %g the endpoint is expected at %.1f, before at %.1f", queue, after, before)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -20,16 +20,16 @@
 	b.sent = nil
 	b.serve(100, how)
 	if n := b.sentTo(bad); n > 8 {
-		t.Errorf("a failing server got %d of %d hand-offs", n, len(b.sent))
+		t.Errorf("a failing endpoint got %d of %d attempts", n, len(b.sent))
 	}
 	b.arrive(2)
 	if bad = 0; b.rejected+b.failed > 0 {
-		t.Errorf("%d tasks were given up beside three good servers", b.rejected+b.failed)
+		t.Errorf("%d requests were given up beside three good endpoints", b.rejected+b.failed)
 	}
 	b.serve(800, how)
 	b.sent = nil
 	if b.serve(100, how); b.sentTo(2) < 10 || b.endpoints.byID[2].health[0].ejected {
-		t.Errorf("a mended server got %d of 100 hand-offs", b.sentTo(2))
+		t.Errorf("a mended endpoint got %d of 100 attempts", b.sentTo(2))
 	}
 }
 
@@ -37,14 +37,14 @@
 	b := newTestFleet(t, 4, nil)
 	b.serve(20, answersPromptly)
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeError, ms })
-	unfit := 0
+	ejected := 0
 	for _, s := range b.endpoints.all {
 		if s.health[0].ejected {
-			unfit++
+			ejected++
 		}
 	}
-	if unfit > 2 {
-		t.Errorf("%d of 4 servers were judged unfit when all failed alike", unfit)
+	if ejected > 2 {
+		t.Errorf("%d of 4 endpoints were ejected when all failed alike", ejected)
 	}
 }
 
@@ -58,12 +58,12 @@
 	b.sent = nil
 	b.serve(30, answersPromptly)
 	if b.sentTo(silent) > 0 {
-		t.Errorf("a server silent for ten answer times got %d more tasks", b.sentTo(silent))
+		t.Errorf("an endpoint silent for ten answer times got %d more requests", b.sentTo(silent))
 	}
 	b.now += 80 * ms
 	b.end(id, 0, OutcomeTimedOut, 480*ms)
 	if b.failed != 1 || b.rejected != 0 {
-		t.Errorf("the exclusive task was declined %d and broken off %d times", b.rejected, b.failed)
+		t.Errorf("the non-idempotent request was rejected %d and failed %d times", b.rejected, b.failed)
 	}
 }
 
@@ -78,12 +78,12 @@
 		return OutcomeSucceeded, 10 * ms
 	})
 	if n := b.sentTo(1); n > 8 {
-		t.Errorf("a full server was asked %d times during 60 tasks", n)
+		t.Errorf("a full endpoint was asked %d times during 60 requests", n)
 	}
 	seldom := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
 	h := &attempt{endpoint: seldom, sentAt: b.now, inFlight: true}
 	if b.learnFrom(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed}); seldom.backoffUntil < b.now.Add(recalculationInterval/2) {
-		t.Errorf("a server not heard of late is asked again after %d ms", (seldom.backoffUntil-b.now)/ms)
+		t.Errorf("an endpoint not heard of late is asked again after %d ms", (seldom.backoffUntil-b.now)/ms)
 	}
 }
 
@@ -111,26 +111,26 @@
 		b.arrive(2)
 	}
 	if b.sentTo(2) != 1 || b.sentTo(3) != 1 || b.sentTo(4) != 1 || b.rejected != 0 {
-		t.Errorf("three tasks went to %v, %d were declined", b.sent, b.rejected)
+		t.Errorf("three requests went to %v, %d were rejected", b.sent, b.rejected)
 	}
 	if b.arrive(2); b.rejected != 1 {
-		t.Error("an unfit server was given a second task while it had one")
+		t.Error("an ejected endpoint was given a second request while it had one")
 	}
 	b.endpoints.byID[1].State, b.sent = StateActive, nil
 	if b.arrive(2); b.sentTo(1) != 1 {
-		t.Errorf("with a fit server a task went to %v", b.sent)
+		t.Errorf("with a fit endpoint a request went to %v", b.sent)
 	}
 	for _, s := range b.endpoints.all {
 		s.inFlight, s.Latency.Weight = 0, 1
 	}
 	b.endpoints.byID[1].State, b.sent = StateDraining, nil
 	if b.arrive(2); len(b.sent) != 0 {
-		t.Error("a server seldom heard, whose state nobody here knows, was tried")
+		t.Error("an endpoint seldom heard, whose state nobody here knows, was tried")
 	}
 }
 
-// With a request out at each of a few servers and answers in microseconds, a moment in which the node itself stood still
-// made all of them look silent, and idle servers' requests were rejected: 57 of the first 50,000 with eight.
+// With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood still
+// made all of them look silent, and idle endpoints' requests were rejected: 57 of the first 50,000 with eight.
 func TestAPauseOfTheNodeRejectsNothing(t *testing.T) {
 	q := &lastSendRecorder{}
 	set := benchSettings
@@ -150,16 +150,16 @@
 	now += 6 * ms
 	q.sent = false
 	if p.RequestArrived(now, Request{ID: "next", Deadline: now + 900*ms}); !q.sent {
-		t.Error("declined after 6 ms of stillness, three ticks of the clock")
+		t.Error("rejected after 6 ms of stillness, three ticks of the clock")
 	}
 	now += 60 * ms
 	q.sent = false
 	if p.RequestArrived(now, Request{ID: "later", Deadline: now + 900*ms}); q.sent {
-		t.Error("sent to servers that were silent for 66 ms and answer in 0.05")
+		t.Error("sent to endpoints that were silent for 66 ms and answer in 0.05")
 	}
 }
 
-// Guards against servers that leave one class unanswered and serve the others as usual.
+// Guards against endpoints that leave one class unanswered and serve the others as usual.
 func TestClassLeftUnansweredIsEjectedAlone(t *testing.T) {
 	b := newTestFleet(t, 1, nil)
 	b.serve(60, answersPromptly)
@@ -172,7 +172,7 @@
 	}
 	b.serve(1, answersPromptly)
 	if b.TimerFired(b.now, woken); !silent.health[2].ejected || silent.health[0].failureRate > 0.01 {
-		t.Errorf("standing by category: %+v", silent.health)
+		t.Errorf("health by class: %+v", silent.health)
 	}
 }
 
@@ -195,29 +195,29 @@
 		tell(unseen)
 	}
 	if unseen.State, unseen.health[0].gossipVotes = StateActive, 0; unseen.health[0].ejected {
-		t.Error("news of a server that drains were heeded")
+		t.Error("gossip of a draining endpoint was heeded")
 	}
 	tell(unseen)
 	tell(unseen)
 	if unseen.health[0].ejected {
-		t.Error("two voices put a server out")
+		t.Error("two messages put an endpoint out")
 	}
 	if tell(unseen); !unseen.health[0].ejected || unseen.health[1].ejected {
-		t.Errorf("after three voices %+v", unseen.health)
+		t.Errorf("after three messages %+v", unseen.health)
 	}
 	for range 20 {
 		tell(seen)
 	}
 	if seen.health[0].ejected {
-		t.Error("hearsay overruled what was seen")
+		t.Error("gossip overruled what was seen")
 	}
 }
 
 func TestInvalidGossipIsIgnored(t *testing.T) {
 	b := newTestFleet(t, 4, manyNodes)
-	for _, news := range []GossipMessage{{}, {Endpoint: 77}, {Endpoint: 1, Class: 3}, {Endpoint: 1, Class: -1}, {IdleTime: -5}, {IdleTime: ms}} {
+	for _, message := range []GossipMessage{{}, {Endpoint: 77}, {Endpoint: 1, Class: 3}, {Endpoint: 1, Class: -1}, {IdleTime: -5}, {IdleTime: ms}} {
 		for range 100 {
-			b.GossipReceived(b.now, news)
+			b.GossipReceived(b.now, message)
 		}
 	}
 	for _, s := range b.endpoints.all {
@@ -244,6 +244,28 @@
 		return OutcomeSucceeded, ms
 	})
 	if len(b.gossiped) != 1 || b.gossiped[0] != (GossipMessage{Endpoint: bad}) {
-		t.Errorf("told %v", b.gossiped)
+		t.Errorf("gossiped %v", b.gossiped)
+	}
+}
+
+func TestOutlierDetectorEjectsAndReinstates(t *testing.T) {
+	const now = Time(1e12)
+	var detector outlierDetector
+	var health classHealth
+	for _, ejection := range []time.Duration{minEjectionTime, 2 * minEjectionTime, 4 * minEjectionTime, maxEjectionTime, maxEjectionTime} {
+		detector.record(now, &health, 1, 0.5)
+		if !health.ejected || health.retryAt != now.Add(ejection) {
+			t.Fatalf("after a failure %+v, expected an ejection for %v", health, ejection)
+		}
+	}
+	for range 20 {
+		detector.record(now, &health, 0, 0.5)
+	}
+	if health.ejected || health.ejectionTime != 0 {
+		t.Errorf("after twenty successes %+v", health)
+	}
+	detector.fleetFailureRate = 0.5 // all fail alike
+	if detector.record(now, &health, 1, 0.5); health.ejected {
+		t.Errorf("ejected at a failure rate of %g where that of all is half", health.failureRate)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"testing"
+	"time"
 )
 
-// Guards against a spell that ends only once the servers have rested: in a long jam a node gives up all requests for a
+// Guards against a spell that ends only once the endpoints have rested: in a long overload a node gives up all requests for a
 // while, once; a short one, as a burst makes, changes nothing.
 func TestLongOverloadGetsOneRest(t *testing.T) {
 	b := newTestFleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
@@ -13,7 +14,7 @@
 		b.estimator.Fleet.A, b.estimator.Fleet.Weight = 400, 40
 		b.now += Time(recalculationInterval)
 		if b.tick(); b.overload.restUntil > 0 {
-			t.Fatal("a rest though nothing was turned away")
+			t.Fatal("a rest though nothing was rejected")
 		}
 	}
 	rests := 0
@@ -24,14 +25,44 @@
 		if b.overload.restUntil > b.now {
 			rests++
 			if second < overloadedSecondsToRest-1 {
-				t.Fatalf("a rest after %d s of jam", second+1)
+				t.Fatalf("a rest after %d s of overload", second+1)
 			}
 			if b.rejected = 0; b.arrive(0) == "" || b.rejected != 1 {
-				t.Error("a task was taken while the fleet rests")
+				t.Error("a request was taken while the fleet rests")
 			}
 		}
 	}
 	if rests != int(restDuration/recalculationInterval) {
-		t.Errorf("%d s of rest in one jam, want %d", rests, restDuration/recalculationInterval)
+		t.Errorf("%d s of rest in one overload, want %d", rests, restDuration/recalculationInterval)
+	}
+}
+
+func TestOverloadGuardRestsOncePerSpell(t *testing.T) {
+	var guard overloadGuard
+	now := Time(1e12)
+	tick := func(level, success float64) {
+		now = now.Add(time.Second)
+		guard.tick(now, level, success)
+	}
+	for range overloadedSecondsToRest - 1 {
+		tick(overloadedFleetLevel, overloadedSuccessRate)
+	}
+	tick(overloadedFleetLevel-0.1, overloadedSuccessRate) // the spell ends
+	for range overloadedSecondsToRest - 1 {
+		tick(overloadedFleetLevel, overloadedSuccessRate)
+		if guard.rests(now) {
+			t.Fatal("rests before its time")
+		}
+	}
+	tick(overloadedFleetLevel, overloadedSuccessRate)
+	if !guard.rests(now.Add(restDuration-1)) || guard.rests(now.Add(restDuration)) {
+		t.Errorf("rests until %d ns, now %d", guard.restUntil, now)
+	}
+	until := guard.restUntil
+	for range 3 * overloadedSecondsToRest {
+		tick(overloadedFleetLevel, overloadedSuccessRate)
+	}
+	if guard.restUntil != until {
+		t.Error("a second rest in one spell")
 	}
 }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A small world of servers, clients and nodes in which a trouble comes and goes. A server works on so many requests at once and
+// A small world of endpoints, clients and nodes in which a fault comes and goes. An endpoint works on so many requests at once and
 // keeps others waiting; a client that is rejected asks again at once, twice at most.
 const (
 	endpointConcurrency, endpointQueueLimit = 8, 40
@@ -53,7 +53,7 @@
 	events        eventHeap
 	endpoints     []*simulatedEndpoint
 	nodes         []*simulatedNode
-	extraLatency  func(category, customer int) time.Duration // what the trouble adds
+	extraLatency  func(category, customer int) time.Duration // what the fault adds
 	asked, inTime [simulationSeconds]float64                 // by the second in which a client first asked
 }
 
@@ -80,7 +80,7 @@
 	})
 }
 
-// worldNode is the host of one instance.
+// simulatedNode is the Effects of one instance.
 type simulatedNode struct {
 	*faultSimulation
 	balancer *Balancer
@@ -175,7 +175,7 @@
 // arrive has requests come to a node, a second kind of either sort among four.
 func (n *simulatedNode) arrive(every time.Duration) {
 	a := &simulatedRequest{since: n.now, class: n.IntN(4) / 3, tenant: n.IntN(4) / 3}
-	n.faultSimulation.asked[n.second(n.now)]++
+	n.asked[n.second(n.now)]++
 	n.send(a)
 	n.after(time.Duration(n.ExpFloat64()*float64(every)), func() { n.arrive(every) })
 }
@@ -199,7 +199,7 @@
 		n.balancer.EndpointsUpdated(w.now, list, true)
 		w.after(time.Duration(w.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
 	}
-	w.after(faultEndSecond*1e9, func() { // one starts anew as the trouble ends
+	w.after(faultEndSecond*1e9, func() { // one starts anew as the fault ends
 		list[restartedEndpoint-1].StartedAt = w.now
 		for _, n := range w.nodes {
 			n.balancer.EndpointsUpdated(w.now, list[restartedEndpoint-1:restartedEndpoint], false)
@@ -213,7 +213,7 @@
 	return w
 }
 
-// Guards against beliefs that outlive their cause, and against the trouble of some being read as that of all: requests were
+// Guards against estimates that outlive their cause, and against the fault of some being read as that of all: requests were
 // rejected by nine in ten for as long as a day lasted, for a class that had waited and no longer did.
 func TestServiceIsBackAfterAFault(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -221,12 +221,12 @@
 		others        float64
 		waits         func(class, tenant int) time.Duration
 	}{
-		"a category, one node":        {1, 2, 0.7, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
-		"a category, 100 nodes":       {100, 4, 0.4, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
-		"a customer, one node":        {1, 2, 0.7, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms }},
-		"a customer, 100 nodes":       {100, 4, 0.4, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms }},
-		"every server's, one node":    {1, 3, 0, func(int, int) time.Duration { return 600 * ms }},
-		"every server's, 100 nodes":   {100, 5, 0, func(int, int) time.Duration { return 600 * ms }},
+		"a class, one node":           {1, 2, 0.7, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
+		"a class, 100 nodes":          {100, 4, 0.4, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
+		"a tenant, one node":          {1, 2, 0.7, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms }},
+		"a tenant, 100 nodes":         {100, 4, 0.4, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms }},
+		"every endpoint's, one node":  {1, 3, 0, func(int, int) time.Duration { return 600 * ms }},
+		"every endpoint's, 100 nodes": {100, 5, 0, func(int, int) time.Duration { return 600 * ms }},
 		"most of the work, one node":  {1, 2, 0.08, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms }},
 		"most of the work, 100 nodes": {100, 4, 0.12, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms }},
 	} {
@@ -256,7 +256,7 @@
 			for s := faultEndSecond; s < simulationSeconds; s++ {
 				can := endpointConcurrency * 1e9 * (0.2 + 0.8*min(1, float64(s-faultEndSecond)/20))
 				if sent := float64(w.endpoints[restartedEndpoint-1].workSent[s]); sent > 3*can {
-					t.Errorf("second %d: a cold server is sent %.1f times what it can do", s, sent/can)
+					t.Errorf("second %d: a cold endpoint is sent %.1f times what it can do", s, sent/can)
 				}
 			}
 		})
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What comes all at once: reports, another list, every server restarted, with 10,000 requests out.
+// What comes all at once: reports, another list, every endpoint restarted, with 10,000 requests out.
 func TestAllAtOnce(t *testing.T) {
 	const n = 1024
 	q := &lastSendRecorder{}
@@ -40,7 +40,7 @@
 		outs = nil
 	}
 	if sent := arrive(10000); sent < 9000 {
-		t.Fatalf("%d of 10,000 tasks sent to %d idle servers", sent, n)
+		t.Fatalf("%d of 10,000 requests sent to %d idle endpoints", sent, n)
 	}
 	now += 20 * ms
 	answer(50)
@@ -66,7 +66,7 @@
 	}
 	p.EndpointsUpdated(now, again, true)
 	if got := len(candidateWeights(p, now)); got > n/10 {
-		t.Errorf("%d of %d cold servers may be given a task at once", got, n)
+		t.Errorf("%d of %d cold endpoints may be given a request at once", got, n)
 	}
 	given := map[EndpointID]int{}
 	for range 50 {
@@ -79,11 +79,11 @@
 	}
 	for id, k := range given {
 		if k > 8 {
-			t.Errorf("cold server %d was given %d of 5,000 tasks, one in %d would be its even part", id, k, n)
+			t.Errorf("cold endpoint %d was given %d of 5,000 requests, one in %d would be its even part", id, k, n)
 		}
 	}
 	if len(p.requests.byID) != 0 {
-		t.Errorf("%d tasks are held that have their end", len(p.requests.byID))
+		t.Errorf("%d requests are held that have their end", len(p.requests.byID))
 	}
 }
 
@@ -93,18 +93,18 @@
 	p := New(benchSettings, 1, q)
 	now := Time(1e12)
 	p.EndpointsUpdated(now, endpointList(512), true)
-	servers := map[RequestID]EndpointID{}
+	endpoints := map[RequestID]EndpointID{}
 	for i := range 100000 {
 		id := RequestID(fmt.Sprint(i))
 		q.sent = false
 		if p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms}); q.sent {
-			servers[id] = q.endpoint
+			endpoints[id] = q.endpoint
 		}
 	}
-	if len(p.requests.byID) != len(servers) || len(servers) < 90000 {
-		t.Errorf("%d held, %d sent", len(p.requests.byID), len(servers))
+	if len(p.requests.byID) != len(endpoints) || len(endpoints) < 90000 {
+		t.Errorf("%d held, %d sent", len(p.requests.byID), len(endpoints))
 	}
-	for id, s := range servers {
+	for id, s := range endpoints {
 		p.AttemptEnded(now+ms, AttemptResult{Request: id, Endpoint: s, Outcome: OutcomeSucceeded, Elapsed: ms, RequestDone: true})
 	}
 	if len(p.requests.byID) != 0 {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -36,7 +36,7 @@
 		return OutcomeSucceeded, 40 * ms
 	})
 	if n := b.sentTo(1); n > 40 {
-		t.Errorf("a server three times as slow got %d of 400 hand-offs, by speed it would be 40", n)
+		t.Errorf("an endpoint three times as slow got %d of 400 attempts, by speed it would be 40", n)
 	}
 }
 
@@ -58,7 +58,7 @@
 	return out
 }
 
-// w of one server with each exception in turn, beside one with a load of 2 that has been heard to rise; worked by hand.
+// w of one endpoint with each exception in turn, beside one with a load of 2 that has been heard to rise; worked by hand.
 func TestWeightsWorkedByHand(t *testing.T) {
 	const now = Time(1e12)
 	for name, c := range map[string]struct {
@@ -95,14 +95,14 @@
 // of outcome it lies about k-1, and under that plus five of its own deviations all but once in a million.
 func checkFrequencies(t *testing.T, name string, p *Balancer, now Time, draws int) {
 	t.Helper()
-	task := anyRequest(p, now)
+	req := anyRequest(p, now)
 	want, sum := candidateWeights(p, now), 0.0
 	for _, w := range want {
 		sum += 1 / w
 	}
 	got := map[*endpoint]int{}
 	for range draws {
-		got[p.selectEndpoint(now, task)]++
+		got[p.selectEndpoint(now, req)]++
 	}
 	chi, kinds, restWant, restGot := 0.0, 0.0, 0.0, 0
 	add := func(want float64, got int) { chi, kinds = chi+(float64(got)-want)*(float64(got)-want)/want, kinds+1 }
@@ -139,7 +139,7 @@
 		for i, s := range p.endpoints.all {
 			s.backoffUntil = now + Time(i%(n/3+1))*ms
 		}
-		checkFrequencies(t, "most just turned away", p, now, 40000)
+		checkFrequencies(t, "most just rejected", p, now, 40000)
 		for i, s := range p.endpoints.all {
 			if s.backoffUntil = 0; i != n/2 {
 				s.backoffUntil = now + ms
@@ -162,12 +162,12 @@
 	for _, s := range p.endpoints.all {
 		s.Zone, s.Load, s.HasReport, s.risingSince = 0, float64(int(1)<<draw.IntN(3)), true, 1
 	}
-	task, got, have := anyRequest(p, now), map[float64]float64{}, map[float64]float64{}
+	req, got, have := anyRequest(p, now), map[float64]float64{}, map[float64]float64{}
 	for _, s := range p.endpoints.all {
 		have[s.Load]++
 	}
 	for range 60000 {
-		got[p.selectEndpoint(now, task).Load]++
+		got[p.selectEndpoint(now, req).Load]++
 	}
 	for _, w := range []float64{2, 4} {
 		if ratio := got[1] / have[1] / (got[w] / have[w]); math.Abs(ratio/w-1) > 0.06 {
@@ -187,8 +187,8 @@
 // Where next to nobody is fit the draw ends after its passes; it must not spin, nor miss the one.
 func TestDrawDoesNotSpin(t *testing.T) {
 	for name, spoil := range map[string]func(s *endpoint, i int, now Time){
-		"just turned away": func(s *endpoint, i int, now Time) { s.backoffUntil = now + ms },
-		"unfit": func(s *endpoint, i int, now Time) {
+		"just rejected": func(s *endpoint, i int, now Time) { s.backoffUntil = now + ms },
+		"ejected": func(s *endpoint, i int, now Time) {
 			s.health[0], s.inFlight = classHealth{ejected: true, retryAt: now + ms}, 1
 		},
 		"too late": func(s *endpoint, i int, now Time) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -3,8 +3,10 @@
 import (
 	"fawnglade/internal/ewma"
 	"fmt"
+	"math"
 	"math/rand/v2"
 	"testing"
+	"time"
 )
 
 func TestHundredsOfNodesGiveAnEndpointInSlowStartItsShare(t *testing.T) {
@@ -18,11 +20,11 @@
 		most += 8 * 0.28 / 20 // what it surely can do four of twenty seconds after its start
 	}
 	if float64(given) < most/4 || float64(given) > most {
-		t.Errorf("400 nodes with eight tasks each gave it %d hand-offs, it surely can do %.0f", given, most)
+		t.Errorf("400 nodes with eight requests each gave it %d attempts, it surely can do %.0f", given, most)
 	}
 }
 
-// Guards against a fleet that is mostly cold being used no further than its servers surely can: one whose answers show more
+// Guards against a fleet that is mostly cold being used no further than its endpoints surely can: one whose answers show more
 // earns more, up to twice; one that shows nothing, or that it is slow, earns what it did.
 func TestSlowStartCreditFollowsTheAnswers(t *testing.T) {
 	bound := 0.0
@@ -51,7 +53,7 @@
 	}
 }
 
-// Guards against the first servers back after a loss of power being pushed over: hundreds of nodes that find none warm share
+// Guards against the first endpoints back after a loss of power being pushed over: hundreds of nodes that find none warm share
 // their requests out among those few, whatever these can do.
 func TestFirstEndpointsBackAreNotOverloaded(t *testing.T) {
 	gained := func(nodes int) float64 {
@@ -65,24 +67,24 @@
 			s.slowStartCredit = 0
 			b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: b.now + 1})
 			if sum += s.slowStartCredit; i == 0 && s.slowStartCredit > 0.25 {
-				t.Errorf("%g by one task", s.slowStartCredit)
+				t.Errorf("%g by one request", s.slowStartCredit)
 			}
 			b.now += 100 * ms
 		}
 		return sum / 20 // a second
 	}
 	one, many := gained(1), gained(300)
-	// In the 20 s the sure part is 0.6 in the mean. A warm server does surely requests at a time, each taken for a quarter of the latency objective.
+	// In the 20 s the sure part is 0.6 in the mean. A warm endpoint does warmConcurrency requests at a time, each taken for a quarter of the latency objective.
 	const mean = 0.125 // s
 	if all := many * 300 * mean; all > warmConcurrency*0.6 {
-		t.Errorf("all nodes together give a cold server %g of its time, no more than %g of what it surely does", all, warmConcurrency*0.6)
+		t.Errorf("all nodes together give a cold endpoint %g of its time, no more than %g of what it surely does", all, warmConcurrency*0.6)
 	}
 	if one < 4*many {
 		t.Errorf("a node alone gives %g a second, one of 300 %g", one, many)
 	}
 }
 
-// Guards against the first warm servers bearing all, and the cold ones starving as those fail: where few are warm arrivals count.
+// Guards against the first warm endpoints bearing all, and the cold ones starving as those fail: where few are warm arrivals count.
 func TestSlowStartBesideFewWarmEndpoints(t *testing.T) {
 	for _, warm := range []EndpointID{1, 5} {
 		b := newTestFleet(t, int(warm), func(s *Settings) { s.NodeCount = 1 })
@@ -106,3 +108,25 @@
 		}
 	}
 }
+
+func TestSlowStartCapacity(t *testing.T) {
+	s := slowStart{window: 20 * time.Second, minCapacity: 0.2}
+	started := Time(1e12)
+	for _, c := range []struct {
+		startedAt Time
+		age       time.Duration
+		want      float64
+	}{
+		{0, 0, 1},
+		{started, 0, 0.2},
+		{started, -time.Second, 0.2},
+		{started, 10 * time.Second, 0.6},
+		{started, 20 * time.Second, 1},
+		{started, time.Hour, 1},
+	} {
+		ep := &endpoint{EndpointInfo: EndpointInfo{StartedAt: c.startedAt}}
+		if got := s.capacity(started.Add(c.age), ep); math.Abs(got-c.want) > 1e-12 {
+			t.Errorf("started at %d, %v later: capacity %g, expected %g", c.startedAt, c.age, got, c.want)
+		}
+	}
+}
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -15,7 +15,7 @@
 	return near
 }
 
-// Guards against each of hundreds of nodes holding a connection to every server: servers took 76 to 120, and up to 65%
+// Guards against each of hundreds of nodes holding a connection to every endpoint: endpoints took 76 to 120, and up to 65%
 // of the attempts got none.
 func TestHundredsOfNodesSpreadOverTheEndpoints(t *testing.T) {
 	const nodes, servers = 400, 50
@@ -27,7 +27,7 @@
 		p.EndpointsUpdated(1e12, endpointList(servers), true)
 		before := subsetIDs(p)
 		if len(before) != minSubsetSize {
-			t.Fatalf("node %d draws from %d servers, want %d", at, len(before), minSubsetSize)
+			t.Fatalf("node %d draws from %d endpoints, want %d", at, len(before), minSubsetSize)
 		}
 		for id := range before {
 			sharing[id]++
@@ -43,18 +43,18 @@
 	}
 	for id, n := range sharing {
 		if n < 12 || n > 60 {
-			t.Errorf("server %d is drawn from by %d nodes, 32 would be even", id, n)
+			t.Errorf("endpoint %d is drawn from by %d nodes, 32 would be even", id, n)
 		}
 	}
 	if len(sharing) < servers || moved > 60 {
-		t.Errorf("%d of %d servers are drawn from; one that left moved %d connections, 32 would be even", len(sharing), servers, moved)
+		t.Errorf("%d of %d endpoints are drawn from; one that left moved %d connections, 32 would be even", len(sharing), servers, moved)
 	}
 }
 
 func TestFewNodesUseAllEndpoints(t *testing.T) {
 	b := newTestFleet(t, 19, func(s *Settings) { s.NodeIndex, s.NodeCount = 2, 4 })
 	if n := len(subsetIDs(b.Balancer)); n != 19 {
-		t.Errorf("one of four nodes draws from %d of 19 servers", n)
+		t.Errorf("one of four nodes draws from %d of 19 endpoints", n)
 	}
 }
 
@@ -69,7 +69,7 @@
 		b.endpoints.byID[id].health[0].ejected = true
 	}
 	if b.tick(); len(subsetIDs(b.Balancer)) != minSubsetSize+minSubsetSize/2+1 {
-		t.Errorf("with %d servers unfit a node draws from %d", minSubsetSize, len(subsetIDs(b.Balancer)))
+		t.Errorf("with %d endpoints ejected a node draws from %d", minSubsetSize, len(subsetIDs(b.Balancer)))
 	}
 	for id := range before {
 		b.endpoints.byID[id].health[0].ejected = false
@@ -79,11 +79,11 @@
 		b.arrive(0)
 	}
 	if n := len(subsetIDs(b.Balancer)); n < 8 {
-		t.Errorf("asked for 60 tasks in a moment a node draws from %d servers", n)
+		t.Errorf("asked for 60 requests in a moment a node draws from %d endpoints", n)
 	}
 }
 
-// TestAColdFleetIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part of it, so that its
+// TestFleetInSlowStartIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part of it, so that its
 // connections are used again.
 func TestFleetInSlowStartIsDividedToo(t *testing.T) {
 	set := benchSettings
@@ -96,7 +96,7 @@
 	}
 	p.EndpointsUpdated(now, list, true)
 	if got := len(p.subset.members); got != warmingUpPerWarm*p.subset.size || got > 40 {
-		t.Errorf("one of 300 nodes draws from %d of 120 cold servers, want %d times %d", got, warmingUpPerWarm, p.subset.size)
+		t.Errorf("one of 300 nodes draws from %d of 120 cold endpoints, want %d times %d", got, warmingUpPerWarm, p.subset.size)
 	}
 	for i := range list[:60] { // half of them were up long before
 		list[i].StartedAt = 0
