--- a/internal/endpointsource/endpointsource.go
+++ b/internal/endpointsource/endpointsource.go
@@ -23,155 +23,155 @@
 
 const (
 	// StartWait is for how long after the start relays alone are waited for, ns.
-	StartWait = int64(1e9)
+	RelayStartupWaitNs = int64(1e9)
 	// OverFor is for how long the list of a teller that has gone is laid over another's, ns.
-	OverFor = int64(60e9)
+	OverlayNs = int64(60e9)
 )
 
 // State of a server. The later ones are the more withdrawn.
-type State uint8
+type EndpointState uint8
 
 // The states.
 const (
-	Up State = iota
-	Draining
-	Gone
+	StateUp EndpointState = iota
+	StateDraining
+	StateRemoved
 )
 
 // Server is one server as a teller words it. Value is not looked at.
-type Server[V any] struct {
-	Name    string
-	State   State
-	Started int64 // ns of Unix time; 0: long ago
-	Value   V
+type Endpoint[V any] struct {
+	Name        string
+	State       EndpointState
+	StartedAtNs int64 // ns of Unix time; 0: long ago
+	Value       V
 }
 
 // Teller is who tells the list.
-type Teller int
+type Source int
 
 // The tellers.
 const (
-	Nobody Teller = iota
-	Relays
-	Discovery
-	tellers
+	SourceNone Source = iota
+	SourceRelays
+	SourceDiscovery
+	sourceCount
 )
 
-func (t Teller) String() string { return [...]string{"nobody", "relays", "discovery"}[t] }
+func (t Source) String() string { return [...]string{"nobody", "relays", "discovery"}[t] }
 
 // list is what a teller has told.
 type list[V any] struct {
-	servers map[string]Server[V]
-	whole   bool  // it told all there is, once
-	version int64 // 0: not known
-	stands  bool  // it tells what changes
-	word    int64 // when it last said anything
+	endpoints map[string]Endpoint[V]
+	complete  bool  // it told all there is, once
+	version   int64 // 0: not known
+	connected bool  // it tells what changes
+	heardAtNs int64 // when it last said anything
 }
 
 // Told is what the node is to go by from now on.
-type Told[V any] struct {
-	Servers []Server[V] // by name
-	Whole   bool        // who is not among them is off the list
-	Version int64       // of the list
-	Any     bool        // there is something to go by; an empty whole list is
+type Update[V any] struct {
+	Endpoints []Endpoint[V] // by name
+	Complete  bool          // who is not among them is off the list
+	Version   int64         // of the list
+	Valid     bool          // there is something to go by; an empty whole list is
 }
 
 // Sources is one node's. One caller at a time.
-type Sources[V any] struct {
-	silence int64
-	began   int64
-	by      Teller
-	lists   [tellers]list[V]
-	force   map[string]Server[V] // what the node goes by, without the gone
-	over    *list[V]             // laid over the list in force
-	overEnd int64
-	fresh   bool
-	target  int64 // discovery's version when relays came to be fresh
-	lost    bool  // no relay could be reached
-	before  int64 // the version that is remembered from before the start
-	Moves   int64 // from one teller to the other
+type Selector[V any] struct {
+	staleAfterNs      int64
+	startedAtNs       int64
+	active            Source
+	lists             [sourceCount]list[V]
+	current           map[string]Endpoint[V] // what the node goes by, without the gone
+	overlay           *list[V]               // laid over the list in force
+	overlayUntilNs    int64
+	relaysWereFresh   bool
+	takeoverVersion   int64 // discovery's version when relays came to be fresh
+	relaysUnreachable bool  // no relay could be reached
+	restoredVersion   int64 // the version that is remembered from before the start
+	Switches          int64 // from one teller to the other
 }
 
 // New makes one. After silence, ns, without a word relays are not gone by any more. before is the version of the list that the node
 // remembers from before its start: what is told at no higher one does not count against it, and relays' version may lag behind what
 // they tell by a moment, so their list is told whole once more when they have come past it.
-func New[V any](now, silence, before int64) *Sources[V] {
-	s := &Sources[V]{silence: silence, began: now, before: before, force: map[string]Server[V]{}}
+func New[V any](now, silence, before int64) *Selector[V] {
+	s := &Selector[V]{staleAfterNs: silence, startedAtNs: now, restoredVersion: before, current: map[string]Endpoint[V]{}}
 	for i := range s.lists {
-		s.lists[i].servers = map[string]Server[V]{}
+		s.lists[i].endpoints = map[string]Endpoint[V]{}
 	}
 	return s
 }
 
 // By is who is in force.
-func (s *Sources[V]) By() Teller { return s.by }
+func (s *Selector[V]) Active() Source { return s.active }
 
 // Watch says whether discovery is to be watched.
-func (s *Sources[V]) Watch(now int64) bool {
-	if s.by == Nobody {
-		return s.lost || now-s.began >= StartWait
+func (s *Selector[V]) WantsDiscovery(now int64) bool {
+	if s.active == SourceNone {
+		return s.relaysUnreachable || now-s.startedAtNs >= RelayStartupWaitNs
 	}
-	return s.by == Discovery || !s.isFresh(now)
+	return s.active == SourceDiscovery || !s.relaysFresh(now)
 }
 
-func (s *Sources[V]) isFresh(now int64) bool {
-	r := &s.lists[Relays]
-	return r.whole && r.stands && now-r.word < s.silence
+func (s *Selector[V]) relaysFresh(now int64) bool {
+	r := &s.lists[SourceRelays]
+	return r.complete && r.connected && now-r.heardAtNs < s.staleAfterNs
 }
 
 // RelaysTold takes in what relays have told. whole: they have told all there is, once; stands: the origin hears discovery itself; asOf:
 // when what they tell was known to be so; version: discovery's, that the origin had, at least; 0: not known.
-func (s *Sources[V]) RelaysTold(now int64, changes []Server[V], whole, stands bool, asOf, version int64) Told[V] {
-	r := &s.lists[Relays]
-	past := r.version <= s.before && version > s.before && s.by == Relays
-	r.whole, r.stands, r.version = whole, stands, version
-	if s.lost = false; stands {
-		r.word = asOf
+func (s *Selector[V]) UpdateRelays(now int64, changes []Endpoint[V], whole, stands bool, asOf, version int64) Update[V] {
+	r := &s.lists[SourceRelays]
+	past := r.version <= s.restoredVersion && version > s.restoredVersion && s.active == SourceRelays
+	r.complete, r.connected, r.version = whole, stands, version
+	if s.relaysUnreachable = false; stands {
+		r.heardAtNs = asOf
 	}
-	r.take(changes)
-	return s.tell(now, Relays, names(changes), past)
+	r.apply(changes)
+	return s.reselect(now, SourceRelays, names(changes), past)
 }
 
 // RelaysLost says that no relay could be reached.
-func (s *Sources[V]) RelaysLost(now int64) Told[V] {
-	s.lists[Relays].stands, s.lost = false, true
-	return s.tell(now, Relays, nil, false)
+func (s *Selector[V]) RelaysUnreachable(now int64) Update[V] {
+	s.lists[SourceRelays].connected, s.relaysUnreachable = false, true
+	return s.reselect(now, SourceRelays, nil, false)
 }
 
 // DiscoveryTold takes in a line of discovery's watch.
-func (s *Sources[V]) DiscoveryTold(now int64, servers []Server[V], whole bool, version int64) Told[V] {
-	d := &s.lists[Discovery]
+func (s *Selector[V]) UpdateDiscovery(now int64, servers []Endpoint[V], whole bool, version int64) Update[V] {
+	d := &s.lists[SourceDiscovery]
 	if whole {
-		d.servers = make(map[string]Server[V], len(servers))
+		d.endpoints = make(map[string]Endpoint[V], len(servers))
 	}
-	d.whole, d.version, d.stands, d.word = d.whole || whole, version, true, now
-	d.take(servers)
-	return s.tell(now, Discovery, names(servers), whole)
+	d.complete, d.version, d.connected, d.heardAtNs = d.complete || whole, version, true, now
+	d.apply(servers)
+	return s.reselect(now, SourceDiscovery, names(servers), whole)
 }
 
 // DiscoveryStands says whether a watch of discovery stands, as it does from its first word on, whatever that is.
-func (s *Sources[V]) DiscoveryStands(now int64, stands bool) Told[V] {
-	d := &s.lists[Discovery]
-	if d.stands = stands; stands {
-		d.word = now
+func (s *Selector[V]) SetDiscoveryConnected(now int64, stands bool) Update[V] {
+	d := &s.lists[SourceDiscovery]
+	if d.connected = stands; stands {
+		d.heardAtNs = now
 	}
-	return s.tell(now, Discovery, nil, false)
+	return s.reselect(now, SourceDiscovery, nil, false)
 }
 
 // Beat lets time pass.
-func (s *Sources[V]) Beat(now int64) Told[V] { return s.tell(now, Nobody, nil, false) }
+func (s *Selector[V]) Tick(now int64) Update[V] { return s.reselect(now, SourceNone, nil, false) }
 
-func (l *list[V]) take(servers []Server[V]) {
+func (l *list[V]) apply(servers []Endpoint[V]) {
 	for _, e := range servers {
-		if e.State == Gone {
-			delete(l.servers, e.Name)
+		if e.State == StateRemoved {
+			delete(l.endpoints, e.Name)
 		} else {
-			l.servers[e.Name] = e
+			l.endpoints[e.Name] = e
 		}
 	}
 }
 
-func names[V any](servers []Server[V]) []string {
+func names[V any](servers []Endpoint[V]) []string {
 	out := make([]string, len(servers))
 	for i, e := range servers {
 		out[i] = e.Name
@@ -180,77 +180,77 @@
 }
 
 // tell says what the node is to go by, once a teller has told something of some servers, or of all.
-func (s *Sources[V]) tell(now int64, from Teller, touched []string, all bool) Told[V] {
-	fresh := s.isFresh(now)
-	if fresh && !s.fresh {
-		s.target = s.lists[Discovery].version
+func (s *Selector[V]) reselect(now int64, from Source, touched []string, all bool) Update[V] {
+	fresh := s.relaysFresh(now)
+	if fresh && !s.relaysWereFresh {
+		s.takeoverVersion = s.lists[SourceDiscovery].version
 	}
-	s.fresh = fresh
-	if to := s.next(fresh); to != s.by {
-		s.move(now, to)
+	s.relaysWereFresh = fresh
+	if to := s.nextActive(fresh); to != s.active {
+		s.switchTo(now, to)
 		all = true
-	} else if from != s.by {
+	} else if from != s.active {
 		touched, all = nil, false
 	}
-	if s.by == Nobody {
-		return Told[V]{}
+	if s.active == SourceNone {
+		return Update[V]{}
 	}
-	if s.over != nil && (s.lists[s.by].version >= s.over.version && s.over.version > 0 || now >= s.overEnd) {
-		s.over, all = nil, true
+	if s.overlay != nil && (s.lists[s.active].version >= s.overlay.version && s.overlay.version > 0 || now >= s.overlayUntilNs) {
+		s.overlay, all = nil, true
 	}
 	if !all && len(touched) == 0 {
-		return Told[V]{}
+		return Update[V]{}
 	}
 	if all {
-		touched = s.everybody()
+		touched = s.allNames()
 	}
-	return s.differ(touched, all)
+	return s.updateOf(touched, all)
 }
 
 // next is who is to be in force.
-func (s *Sources[V]) next(fresh bool) Teller {
-	r, d := &s.lists[Relays], &s.lists[Discovery]
-	listed := d.stands && d.whole
+func (s *Selector[V]) nextActive(fresh bool) Source {
+	r, d := &s.lists[SourceRelays], &s.lists[SourceDiscovery]
+	listed := d.connected && d.complete
 	switch {
-	case s.by != Relays && fresh && (!listed || r.version > 0 && r.version >= s.target):
-		return Relays
-	case s.by != Discovery && !fresh && listed:
-		return Discovery
+	case s.active != SourceRelays && fresh && (!listed || r.version > 0 && r.version >= s.takeoverVersion):
+		return SourceRelays
+	case s.active != SourceDiscovery && !fresh && listed:
+		return SourceDiscovery
 	}
-	return s.by
+	return s.active
 }
 
 // move has another teller be in force. What was in force is laid over its list where that may be older.
-func (s *Sources[V]) move(now int64, to Teller) {
-	if s.by != Nobody {
-		s.Moves++
-		was, is := &s.lists[s.by], &s.lists[to]
+func (s *Selector[V]) switchTo(now int64, to Source) {
+	if s.active != SourceNone {
+		s.Switches++
+		was, is := &s.lists[s.active], &s.lists[to]
 		version := was.version
-		if s.over != nil { // what was in force was more than that teller's own list
-			version = max(version, s.over.version)
+		if s.overlay != nil { // what was in force was more than that teller's own list
+			version = max(version, s.overlay.version)
 		}
-		s.over = nil
+		s.overlay = nil
 		if is.version == 0 || version == 0 || is.version < version {
-			s.over, s.overEnd = &list[V]{servers: make(map[string]Server[V], len(s.force)), version: version, word: was.word}, now+OverFor
-			for name, e := range s.force {
-				s.over.servers[name] = e
+			s.overlay, s.overlayUntilNs = &list[V]{endpoints: make(map[string]Endpoint[V], len(s.current)), version: version, heardAtNs: was.heardAtNs}, now+OverlayNs
+			for name, e := range s.current {
+				s.overlay.endpoints[name] = e
 			}
 		}
 	}
-	s.by = to
+	s.active = to
 }
 
 // everybody is all servers that the node goes by, or might.
-func (s *Sources[V]) everybody() []string {
-	all := make([]string, 0, len(s.force)+len(s.lists[s.by].servers))
-	for name := range s.force {
+func (s *Selector[V]) allNames() []string {
+	all := make([]string, 0, len(s.current)+len(s.lists[s.active].endpoints))
+	for name := range s.current {
 		all = append(all, name)
 	}
-	for name := range s.lists[s.by].servers {
+	for name := range s.lists[s.active].endpoints {
 		all = append(all, name)
 	}
-	if s.over != nil {
-		for name := range s.over.servers {
+	if s.overlay != nil {
+		for name := range s.overlay.endpoints {
 			all = append(all, name)
 		}
 	}
@@ -258,39 +258,39 @@
 }
 
 // differ is what has changed of some servers in what the node goes by; whole: told as a whole list.
-func (s *Sources[V]) differ(touched []string, all bool) Told[V] {
-	t := Told[V]{Version: s.lists[s.by].version, Whole: all, Any: true}
+func (s *Selector[V]) updateOf(touched []string, all bool) Update[V] {
+	t := Update[V]{Version: s.lists[s.active].version, Complete: all, Valid: true}
 	slices.Sort(touched)
 	for _, name := range slices.Compact(touched) {
-		e, there := s.of(name)
-		if was, had := s.force[name]; !there {
+		e, there := s.resolve(name)
+		if was, had := s.current[name]; !there {
 			if had && !all {
-				was.State = Gone
-				t.Servers = append(t.Servers, was)
+				was.State = StateRemoved
+				t.Endpoints = append(t.Endpoints, was)
 			}
-			delete(s.force, name)
+			delete(s.current, name)
 			continue
 		}
-		s.force[name] = e
-		t.Servers = append(t.Servers, e)
+		s.current[name] = e
+		t.Endpoints = append(t.Endpoints, e)
 	}
 	return t
 }
 
 // of is a server as the node is to see it.
-func (s *Sources[V]) of(name string) (e Server[V], there bool) {
-	e, there = s.lists[s.by].servers[name]
-	if s.over == nil {
+func (s *Selector[V]) resolve(name string) (e Endpoint[V], there bool) {
+	e, there = s.lists[s.active].endpoints[name]
+	if s.overlay == nil {
 		return e, there
 	}
-	was, had := s.over.servers[name]
+	was, had := s.overlay.endpoints[name]
 	switch {
 	case there && !had:
-		return e, e.State != Up || e.Started > s.over.word
+		return e, e.State != StateUp || e.StartedAtNs > s.overlay.heardAtNs
 	case !there:
 		return was, had
 	}
-	if order := cmp.Or(cmp.Compare(was.Started, e.Started), cmp.Compare(was.State, e.State)); order > 0 {
+	if order := cmp.Or(cmp.Compare(was.StartedAtNs, e.StartedAtNs), cmp.Compare(was.State, e.State)); order > 0 {
 		return was, true
 	}
 	return e, true
--- a/internal/endpointsource/endpointsource_test.go
+++ b/internal/endpointsource/endpointsource_test.go
@@ -16,11 +16,11 @@
 	began   = 1000 * second // after all that ever started, where a test does not say otherwise
 )
 
-type server = Server[int]
+type server = Endpoint[int]
 
 // node goes by what it is told, as the loop does.
 type node struct {
-	s     *Sources[int]
+	s     *Selector[int]
 	now   int64
 	force map[string]server
 }
@@ -29,12 +29,12 @@
 	return &node{s: New[int](began, silence, 0), now: began, force: map[string]server{}}
 }
 
-func (n *node) by(t Told[int]) Told[int] {
-	if t.Whole {
+func (n *node) by(t Update[int]) Update[int] {
+	if t.Complete {
 		clear(n.force)
 	}
-	for _, e := range t.Servers {
-		if e.State == Gone {
+	for _, e := range t.Endpoints {
+		if e.State == StateRemoved {
 			delete(n.force, e.Name)
 		} else {
 			n.force[e.Name] = e
@@ -48,13 +48,13 @@
 	for word := range strings.FieldsSeq(text) {
 		e := server{Name: word[:1]}
 		if i := strings.IndexByte(word, '+'); i > 0 {
-			fmt.Sscan(word[i+1:], &e.Started)
+			fmt.Sscan(word[i+1:], &e.StartedAtNs)
 		}
 		if strings.Contains(word, "-") {
-			e.State = Draining
+			e.State = StateDraining
 		}
 		if strings.Contains(word, "!") {
-			e.State = Gone
+			e.State = StateRemoved
 		}
 		out = append(out, e)
 	}
@@ -65,7 +65,7 @@
 	var words []string
 	for _, name := range slices.Sorted(maps.Keys(n.force)) {
 		e := n.force[name]
-		if e.State == Draining {
+		if e.State == StateDraining {
 			name += "-"
 		}
 		words = append(words, name)
@@ -74,66 +74,66 @@
 }
 
 func (n *node) relays(text string, stands bool, version int64) {
-	n.by(n.s.RelaysTold(n.now, servers(text), true, stands, n.now, version))
+	n.by(n.s.UpdateRelays(n.now, servers(text), true, stands, n.now, version))
 }
 
 func (n *node) discovery(text string, whole bool, version int64) {
-	n.by(n.s.DiscoveryTold(n.now, servers(text), whole, version))
+	n.by(n.s.UpdateDiscovery(n.now, servers(text), whole, version))
 }
 
 func (n *node) pass(ns int64) {
 	n.now += ns
-	n.by(n.s.Beat(n.now))
+	n.by(n.s.Tick(n.now))
 }
 
-func (n *node) expect(t *testing.T, what string, by Teller, force string, watch bool) {
+func (n *node) expect(t *testing.T, what string, by Source, force string, watch bool) {
 	t.Helper()
-	if n.s.By() != by || n.String() != force || n.s.Watch(n.now) != watch {
-		t.Errorf("%s: by %v %q, discovery watched: %v; expected %v %q, %v", what, n.s.By(), n, n.s.Watch(n.now), by, force, watch)
+	if n.s.Active() != by || n.String() != force || n.s.WantsDiscovery(n.now) != watch {
+		t.Errorf("%s: by %v %q, discovery watched: %v; expected %v %q, %v", what, n.s.Active(), n, n.s.WantsDiscovery(n.now), by, force, watch)
 	}
 }
 
 func TestRelaysAloneWhileTheyAnswer(t *testing.T) {
 	n := newNode()
-	n.expect(t, "at first", Nobody, "", false)
-	n.by(n.s.RelaysTold(n.now, servers("a"), false, true, n.now, 1))
-	n.expect(t, "half of it", Nobody, "", false)
+	n.expect(t, "at first", SourceNone, "", false)
+	n.by(n.s.UpdateRelays(n.now, servers("a"), false, true, n.now, 1))
+	n.expect(t, "half of it", SourceNone, "", false)
 	n.relays("b", true, 7)
-	n.expect(t, "whole", Relays, "a b", false)
+	n.expect(t, "whole", SourceRelays, "a b", false)
 	n.pass(3 * second)
 	n.relays("a- c", true, 8)
-	n.expect(t, "changes", Relays, "a- b c", false)
+	n.expect(t, "changes", SourceRelays, "a- b c", false)
 	n.relays("a!", true, 9)
-	n.expect(t, "one that went", Relays, "b c", false)
+	n.expect(t, "one that went", SourceRelays, "b c", false)
 }
 
 func TestDiscoveryIsWatchedWhereNoRelayAnswers(t *testing.T) {
 	n := newNode()
-	n.pass(StartWait)
-	n.expect(t, "a second without a word", Nobody, "", true)
+	n.pass(RelayStartupWaitNs)
+	n.expect(t, "a second without a word", SourceNone, "", true)
 	n.discovery("a b", true, 5)
-	n.expect(t, "the list", Discovery, "a b", true)
+	n.expect(t, "the list", SourceDiscovery, "a b", true)
 	n.discovery("a!", false, 6)
-	n.expect(t, "a change", Discovery, "b", true)
+	n.expect(t, "a change", SourceDiscovery, "b", true)
 	n = newNode()
-	n.by(n.s.RelaysLost(n.now))
-	n.expect(t, "no relay to be reached", Nobody, "", true)
+	n.by(n.s.RelaysUnreachable(n.now))
+	n.expect(t, "no relay to be reached", SourceNone, "", true)
 }
 
 func TestDiscoveryTakesOverFromSilentRelaysAndHandsBack(t *testing.T) {
 	n := newNode()
 	n.relays("a b c-", true, 10)
 	n.pass(silence)
-	n.expect(t, "silence", Relays, "a b c-", true)
+	n.expect(t, "silence", SourceRelays, "a b c-", true)
 	n.discovery("a d", true, 12) // b and c went
-	n.expect(t, "discovery, which knows more", Discovery, "a d", true)
+	n.expect(t, "discovery, which knows more", SourceDiscovery, "a d", true)
 	n.pass(second)
 	n.relays("", true, 11)
-	n.expect(t, "relays that have not caught up", Discovery, "a d", true)
+	n.expect(t, "relays that have not caught up", SourceDiscovery, "a d", true)
 	n.relays("b! c! d", true, 12)
-	n.expect(t, "relays that have", Relays, "a d", false)
-	if n.s.Moves != 2 {
-		t.Errorf("%d moves, expected 2", n.s.Moves)
+	n.expect(t, "relays that have", SourceRelays, "a d", false)
+	if n.s.Switches != 2 {
+		t.Errorf("%d moves, expected 2", n.s.Switches)
 	}
 }
 
@@ -143,9 +143,9 @@
 	n.relays("a b", true, 10)
 	n.pass(second)
 	n.relays("", false, 10)
-	n.expect(t, "an origin without a watch", Relays, "a b", true)
+	n.expect(t, "an origin without a watch", SourceRelays, "a b", true)
 	n.discovery("a", true, 11)
-	n.expect(t, "discovery", Discovery, "a", true)
+	n.expect(t, "discovery", SourceDiscovery, "a", true)
 }
 
 func TestATellerThatKnowsLessTakesNothingOff(t *testing.T) {
@@ -154,19 +154,19 @@
 	n.relays("d!", true, 11)
 	n.pass(silence)
 	n.discovery("a c d", true, 8) // before b came, before c drained, before d went
-	n.expect(t, "an older list", Discovery, "a b c-", true)
+	n.expect(t, "an older list", SourceDiscovery, "a b c-", true)
 	n.discovery("c+3", false, 9) // it started anew: another life
-	n.expect(t, "a later start", Discovery, "a b c", true)
+	n.expect(t, "a later start", SourceDiscovery, "a b c", true)
 	n.discovery("d b", false, 11)
-	n.expect(t, "it has caught up", Discovery, "a b c d", true)
+	n.expect(t, "it has caught up", SourceDiscovery, "a b c d", true)
 
 	n = newNode()
 	n.relays("a b", true, 10)
 	n.pass(silence)
 	n.discovery("a", true, 3)
-	n.expect(t, "a count that began anew", Discovery, "a b", true)
-	n.pass(OverFor)
-	n.expect(t, "and goes on alone", Discovery, "a", true)
+	n.expect(t, "a count that began anew", SourceDiscovery, "a b", true)
+	n.pass(OverlayNs)
+	n.expect(t, "and goes on alone", SourceDiscovery, "a", true)
 }
 
 // A list at a version that is remembered from before the start is told whole again once it has come past that.
@@ -178,8 +178,8 @@
 		whole   bool
 		servers int
 	}{{10, true, 2}, {10, false, 1}, {11, true, 2}, {12, false, 1}} {
-		told := n.by(n.s.RelaysTold(n.now, servers([]string{"a- b", "a", "", "b"}[i]), true, true, n.now, step.version))
-		if told.Whole != step.whole || len(told.Servers) != step.servers {
+		told := n.by(n.s.UpdateRelays(n.now, servers([]string{"a- b", "a", "", "b"}[i]), true, true, n.now, step.version))
+		if told.Complete != step.whole || len(told.Endpoints) != step.servers {
 			t.Errorf("step %d: %+v, expected whole %v and %d servers", i, told, step.whole, step.servers)
 		}
 	}
@@ -190,11 +190,11 @@
 	n := newNode()
 	n.relays("a b", true, 10)
 	n.pass(silence - second)
-	n.by(n.s.RelaysTold(n.now, nil, true, true, n.now-silence/2, 10))
+	n.by(n.s.UpdateRelays(n.now, nil, true, true, n.now-silence/2, 10))
 	n.pass(silence/2 - 1)
-	n.expect(t, "old, but not too old", Relays, "a b", false)
+	n.expect(t, "old, but not too old", SourceRelays, "a b", false)
 	n.pass(1)
-	n.expect(t, "too old", Relays, "a b", true)
+	n.expect(t, "too old", SourceRelays, "a b", true)
 }
 
 // What was laid over goes on to count when the tellers change again.
@@ -203,12 +203,12 @@
 	n.relays("a b-", true, 10)
 	n.pass(silence)
 	n.discovery("a b", true, 8)
-	n.expect(t, "an older list", Discovery, "a b-", true)
-	n.by(n.s.DiscoveryStands(n.now, false))
+	n.expect(t, "an older list", SourceDiscovery, "a b-", true)
+	n.by(n.s.SetDiscoveryConnected(n.now, false))
 	n.relays("b", true, 9) // of another origin, which is behind the first
-	n.expect(t, "relays that are behind what relays had told", Relays, "a b-", false)
+	n.expect(t, "relays that are behind what relays had told", SourceRelays, "a b-", false)
 	n.relays("", true, 10)
-	n.expect(t, "they have caught up", Relays, "a b", false)
+	n.expect(t, "they have caught up", SourceRelays, "a b", false)
 }
 
 // Relays come back while discovery is gone: what it had told to drain does not serve again by their older word.
@@ -218,13 +218,13 @@
 	n.pass(silence)
 	n.discovery("a b- c", true, 12)
 	n.discovery("c!", false, 13)
-	n.by(n.s.DiscoveryStands(n.now, false))
+	n.by(n.s.SetDiscoveryConnected(n.now, false))
 	n.relays("", true, 10)
-	n.expect(t, "stale relays", Relays, "a b-", false)
+	n.expect(t, "stale relays", SourceRelays, "a b-", false)
 	n.relays("e", true, 11)
-	n.expect(t, "one that may have gone since", Relays, "a b-", false)
+	n.expect(t, "one that may have gone since", SourceRelays, "a b-", false)
 	n.relays("b", true, 13)
-	n.expect(t, "they have caught up", Relays, "a b c e", false)
+	n.expect(t, "they have caught up", SourceRelays, "a b c e", false)
 }
 
 // truth is a discovery's history: version by version.
@@ -242,9 +242,9 @@
 	switch {
 	case !there || rapid.IntRange(0, 3).Draw(t, "restart") == 0:
 		w.births++
-		next[name] = server{Name: name, Started: w.births}
-	case e.State == Up:
-		e.State = Draining
+		next[name] = server{Name: name, StartedAtNs: w.births}
+	case e.State == StateUp:
+		e.State = StateDraining
 		next[name] = e
 	default:
 		delete(next, name)
@@ -262,7 +262,7 @@
 func changes(from, to map[string]server) (out []server) {
 	for _, name := range slices.Sorted(maps.Keys(from)) {
 		if _, stays := to[name]; !stays {
-			out = append(out, server{Name: name, State: Gone})
+			out = append(out, server{Name: name, State: StateRemoved})
 		}
 	}
 	for _, e := range all(to) {
@@ -282,48 +282,48 @@
 			w.change(t)
 		}
 		n := newNode()
-		at := map[Teller]int{Relays: 0, Discovery: 0}
-		told := map[Teller]map[string]server{Relays: {}, Discovery: {}}
+		at := map[Source]int{SourceRelays: 0, SourceDiscovery: 0}
+		told := map[Source]map[string]server{SourceRelays: {}, SourceDiscovery: {}}
 		withdrawn := map[string]int64{} // the last life of which the node knew that it drains
 		known := 0                      // the highest version that a teller in force has had
-		tell := func(who Teller, to int) {
+		tell := func(who Source, to int) {
 			if to < at[who] {
 				to = at[who]
 			}
-			if who == Relays {
-				n.by(n.s.RelaysTold(n.now, changes(told[who], w.versions[to]), true, true, n.now, int64(to)))
+			if who == SourceRelays {
+				n.by(n.s.UpdateRelays(n.now, changes(told[who], w.versions[to]), true, true, n.now, int64(to)))
 			} else if rapid.Bool().Draw(t, "whole") || at[who] == 0 {
-				n.by(n.s.DiscoveryTold(n.now, all(w.versions[to]), true, int64(to)))
+				n.by(n.s.UpdateDiscovery(n.now, all(w.versions[to]), true, int64(to)))
 			} else {
-				n.by(n.s.DiscoveryTold(n.now, changes(told[who], w.versions[to]), false, int64(to)))
+				n.by(n.s.UpdateDiscovery(n.now, changes(told[who], w.versions[to]), false, int64(to)))
 			}
 			at[who], told[who] = to, w.versions[to]
 		}
 		check := func() {
-			known = max(known, at[n.s.By()])
+			known = max(known, at[n.s.Active()])
 			for _, e := range n.force {
-				if e.State == Up && e.Started <= withdrawn[e.Name] {
-					t.Fatalf("%s of life %d serves again, which was told to drain: by %v at %v", e.Name, e.Started, n.s.By(), at)
+				if e.State == StateUp && e.StartedAtNs <= withdrawn[e.Name] {
+					t.Fatalf("%s of life %d serves again, which was told to drain: by %v at %v", e.Name, e.StartedAtNs, n.s.Active(), at)
 				}
-				if was, there := w.versions[known][e.Name]; e.State == Up && (!there || was.State == Draining) && e.Started <= max(was.Started, w.births) &&
+				if was, there := w.versions[known][e.Name]; e.State == StateUp && (!there || was.State == StateDraining) && e.StartedAtNs <= max(was.StartedAtNs, w.births) &&
 					!slices.ContainsFunc(w.versions[known:], func(v map[string]server) bool { return v[e.Name] == e }) {
-					t.Fatalf("%s of life %d serves again, which was gone at %d: by %v at %v", e.Name, e.Started, known, n.s.By(), at)
+					t.Fatalf("%s of life %d serves again, which was gone at %d: by %v at %v", e.Name, e.StartedAtNs, known, n.s.Active(), at)
 				}
-				if e.State == Draining {
-					withdrawn[e.Name] = max(withdrawn[e.Name], e.Started)
+				if e.State == StateDraining {
+					withdrawn[e.Name] = max(withdrawn[e.Name], e.StartedAtNs)
 				}
 			}
-			if n.s.By() == Nobody {
+			if n.s.Active() == SourceNone {
 				return
 			}
 			steady := maps.Clone(w.now())
-			low := at[n.s.By()]
+			low := at[n.s.Active()]
 			for _, v := range w.versions[low:] {
-				maps.DeleteFunc(steady, func(name string, e server) bool { return v[name] != e || e.State != Up })
+				maps.DeleteFunc(steady, func(name string, e server) bool { return v[name] != e || e.State != StateUp })
 			}
 			for name := range steady {
-				if n.force[name].State != Up || n.force[name].Name == "" {
-					t.Fatalf("%s serves in all versions since %d, and is off: by %v at %v, %v", name, low, n.s.By(), at, n)
+				if n.force[name].State != StateUp || n.force[name].Name == "" {
+					t.Fatalf("%s serves in all versions since %d, and is off: by %v at %v, %v", name, low, n.s.Active(), at, n)
 				}
 			}
 		}
@@ -332,28 +332,28 @@
 			case 0, 1:
 				w.change(t)
 			case 2:
-				tell(Relays, rapid.IntRange(1, len(w.versions)-1).Draw(t, "relays at"))
+				tell(SourceRelays, rapid.IntRange(1, len(w.versions)-1).Draw(t, "relays at"))
 			case 3:
-				if n.s.Watch(n.now) {
-					tell(Discovery, rapid.IntRange(1, len(w.versions)-1).Draw(t, "discovery at"))
+				if n.s.WantsDiscovery(n.now) {
+					tell(SourceDiscovery, rapid.IntRange(1, len(w.versions)-1).Draw(t, "discovery at"))
 				}
 			case 4:
 				n.pass(rapid.Int64Range(0, silence+second).Draw(t, "pass"))
 			case 5:
-				n.by(n.s.DiscoveryStands(n.now, false))
+				n.by(n.s.SetDiscoveryConnected(n.now, false))
 			case 6:
-				n.by(n.s.RelaysLost(n.now))
+				n.by(n.s.RelaysUnreachable(n.now))
 			}
-			if n.now-began < OverFor/2 {
+			if n.now-began < OverlayNs/2 {
 				check()
 			}
 		}
 		n.pass(silence)
-		tell(Discovery, len(w.versions)-1)
-		tell(Relays, len(w.versions)-1)
-		n.pass(OverFor)
-		tell(Discovery, len(w.versions)-1)
-		tell(Relays, len(w.versions)-1)
+		tell(SourceDiscovery, len(w.versions)-1)
+		tell(SourceRelays, len(w.versions)-1)
+		n.pass(OverlayNs)
+		tell(SourceDiscovery, len(w.versions)-1)
+		tell(SourceRelays, len(w.versions)-1)
 		if !maps.Equal(n.force, w.now()) {
 			t.Fatalf("in the end %v, expected %v", n.force, w.now())
 		}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -250,7 +250,7 @@
 	case pathState:
 		return adminResponse{status: http.StatusOK, text: s.node.persistence.statusJSON()}
 	case pathRelays:
-		return adminResponse{status: http.StatusOK, text: s.node.relays.Text()}
+		return adminResponse{status: http.StatusOK, text: s.node.relays.StatusJSON()}
 	case pathDrain:
 		change = func(o *overrideSet) string { o.drained = true; return "drained" }
 	case pathUndrain:
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -114,7 +114,7 @@
 },
 ) {
 	t.Helper()
-	if err := json.Unmarshal([]byte(n.relays.Text()), &v); err != nil {
+	if err := json.Unmarshal([]byte(n.relays.StatusJSON()), &v); err != nil {
 		t.Fatal(err)
 	}
 	return v
@@ -180,12 +180,12 @@
 
 func relaySeq(t *testing.T, n *Node) (seq int64) {
 	var v struct{ Seq int64 }
-	json.Unmarshal([]byte(n.relays.Text()), &v)
+	json.Unmarshal([]byte(n.relays.StatusJSON()), &v)
 	return v.Seq
 }
 
 func TestStatesOfServersAreTheSameEverywhere(t *testing.T) {
-	for here, there := range map[policy.EndpointState]endpointsource.State{policy.StateActive: endpointsource.Up, policy.StateDraining: endpointsource.Draining, policy.StateRemoved: endpointsource.Gone} {
+	for here, there := range map[policy.EndpointState]endpointsource.EndpointState{policy.StateActive: endpointsource.StateUp, policy.StateDraining: endpointsource.StateDraining, policy.StateRemoved: endpointsource.StateRemoved} {
 		if policy.EndpointState(there) != here {
 			t.Errorf("%v and %v differ, and are turned into one another", here, there)
 		}
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -12,7 +12,7 @@
 )
 
 // relaySubscription is nil where no relays are followed.
-type relaySubscription = subscription.Following[endpointEntry]
+type relaySubscription = subscription.Subscription[endpointEntry]
 
 func newRelaySubscription(n *Node) (*relaySubscription, error) {
 	if n.config.features == nil || n.config.features.Distribution == nil {
@@ -20,19 +20,19 @@
 	}
 	set := n.config.features.Distribution
 	n.endpointWatch.pause(true) // until there is no word of a relay
-	return subscription.New(subscription.Settings[endpointEntry]{
-		Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, Silence: set.SilenceNs, Before: n.persistence.version(),
-		Clock: n.clock.nanos, Log: n.log, Caught: n.recoverPanic, Tell: n.applyList, Watch: func(on bool) { n.endpointWatch.pause(!on) },
-		Entry: func(in endpointlist.Entry) (endpointEntry, error) { return entryFrom(in, n.settings.Zones) },
-		Of: func(e endpointEntry) endpointsource.Server[endpointEntry] {
-			return endpointsource.Server[endpointEntry]{Name: e.name, State: endpointsource.State(e.State), Started: int64(e.StartedAt), Value: e}
+	return subscription.New(subscription.Config[endpointEntry]{
+		Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, StaleAfterNs: set.SilenceNs, RestoredVersion: n.persistence.version(),
+		Clock: n.clock.nanos, Log: n.log, Recover: n.recoverPanic, Apply: n.applyList, WatchDiscovery: func(on bool) { n.endpointWatch.pause(!on) },
+		Decode: func(in endpointlist.Entry) (endpointEntry, error) { return entryFrom(in, n.settings.Zones) },
+		ToEndpoint: func(e endpointEntry) endpointsource.Endpoint[endpointEntry] {
+			return endpointsource.Endpoint[endpointEntry]{Name: e.name, State: endpointsource.EndpointState(e.State), StartedAtNs: int64(e.StartedAt), Value: e}
 		},
-		As: func(e endpointEntry, s endpointsource.State) endpointEntry {
+		WithState: func(e endpointEntry, s endpointsource.EndpointState) endpointEntry {
 			e.State = policy.EndpointState(s)
 			return e
 		},
-		Stands: func() bool { return n.endpointWatch.lastHeard.Load() != 0 },
-		Passed: func(records int) { n.counters[listEntriesSkipped].Add(int64(records)) },
+		DiscoveryConnected: func() bool { return n.endpointWatch.lastHeard.Load() != 0 },
+		CountSkipped:       func(records int) { n.counters[listEntriesSkipped].Add(int64(records)) },
 	})
 }
 
@@ -41,7 +41,7 @@
 	if n.relays == nil {
 		n.applyList(entries, version, whole)
 	} else {
-		n.relays.Discovery(entries, version, whole)
+		n.relays.UpdateDiscovery(entries, version, whole)
 	}
 }
 
@@ -59,5 +59,5 @@
 
 // listConfirmedAt is when the list that holds was last known to be told; 0: it is not.
 func (n *Node) listConfirmedAt() int64 {
-	return cmp.Or(n.relays.Word(), n.endpointWatch.lastHeard.Load())
+	return cmp.Or(n.relays.RelaysHeardAt(), n.endpointWatch.lastHeard.Load())
 }
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -18,77 +18,77 @@
 )
 
 // beatEvery is how often time is let pass.
-const beatEvery = 100 * time.Millisecond
+const tickInterval = 100 * time.Millisecond
 
 // tellEvery is how often records that are passed over are told of.
-const tellEvery = int64(10e9)
+const skipLogIntervalNs = int64(10e9)
 
 // Settings of one node. V is an entry as the node has it.
-type Settings[V any] struct {
-	Name    string
-	Relays  []string
-	Scopes  []string
-	Silence int64        // ns without a word of any relay: discovery is watched
-	Before  int64        // the version of the list that the node remembers from before its start; 0: none
-	Clock   func() int64 // ns, monotone
-	Log     *zap.Logger
-
-	Entry  func(endpointlist.Entry) (V, error)
-	Of     func(V) endpointsource.Server[V]             // how the choice sees an entry
-	As     func(V, endpointsource.State) V              // an entry in another state
-	Tell   func(entries []V, version int64, whole bool) // what the node is to go by; in order, one call at a time
-	Watch  func(on bool)                                // whether discovery is to be watched; off at first
-	Stands func() bool                                  // whether a watch of it stands
-	Passed func(records int)                            // counts what is passed over
-	Caught func(where string, then func())              // deferred in each goroutine: it stops a panic there
+type Config[V any] struct {
+	Name            string
+	Relays          []string
+	Scopes          []string
+	StaleAfterNs    int64        // ns without a word of any relay: discovery is watched
+	RestoredVersion int64        // the version of the list that the node remembers from before its start; 0: none
+	Clock           func() int64 // ns, monotone
+	Log             *zap.Logger
+
+	Decode             func(endpointlist.Entry) (V, error)
+	ToEndpoint         func(V) endpointsource.Endpoint[V]           // how the choice sees an entry
+	WithState          func(V, endpointsource.EndpointState) V      // an entry in another state
+	Apply              func(entries []V, version int64, whole bool) // what the node is to go by; in order, one call at a time
+	WatchDiscovery     func(on bool)                                // whether discovery is to be watched; off at first
+	DiscoveryConnected func() bool                                  // whether a watch of it stands
+	CountSkipped       func(records int)                            // counts what is passed over
+	Recover            func(where string, then func())              // deferred in each goroutine: it stops a panic there
 }
 
 // Following is one node's.
-type Following[V any] struct {
-	set      Settings[V]
+type Subscription[V any] struct {
+	config   Config[V]
 	client   *relay.Client
 	follower *relay.Follower
 	scopes   []string // exact ones
 
-	mu     sync.Mutex
-	choice *endpointsource.Sources[V]
-	hosts  *relay.Hosts
-	on     bool
-	stood  bool
-	state  relay.State
-	told   int64
-	by     endpointsource.Teller
+	mu                 sync.Mutex
+	selector           *endpointsource.Selector[V]
+	hosts              *relay.Hosts
+	watching           bool
+	discoveryConnected bool
+	clientState        relay.State
+	skipsLoggedAtNs    int64
+	active             endpointsource.Source
 
-	relaying atomic.Bool // relays are in force, and discovery is not watched
+	relaysOnly atomic.Bool // relays are in force, and discovery is not watched
 }
 
 // New makes one; nothing runs before Run. Only settings that make no sense are errors.
-func New[V any](set Settings[V]) (*Following[V], error) {
-	f := &Following[V]{set: set, choice: endpointsource.New[V](set.Clock(), set.Silence, set.Before), hosts: relay.NewHosts()}
+func New[V any](set Config[V]) (*Subscription[V], error) {
+	f := &Subscription[V]{config: set, selector: endpointsource.New[V](set.Clock(), set.StaleAfterNs, set.RestoredVersion), hosts: relay.NewHosts()}
 	scopes := relay.WithOrigin(set.Scopes)
 	core, err := distribution.NewSubscriber(relay.Selectors(scopes), distribution.Limits{})
 	if err != nil {
 		return nil, err
 	}
-	f.follower = relay.NewFollower(core, scopes, f.changed, set.Log)
-	f.client = relay.NewClient(relay.ClientSettings{Name: set.Name, Upstreams: set.Relays, Spread: true, Clock: set.Clock, OnState: f.stateIs},
+	f.follower = relay.NewFollower(core, scopes, f.onFrame, set.Log)
+	f.client = relay.NewClient(relay.ClientSettings{Name: set.Name, Upstreams: set.Relays, Spread: true, Clock: set.Clock, OnState: f.onClientState},
 		f.follower, set.Log)
 	return f, nil
 }
 
 // Run follows until the context is done. A nil one follows nobody.
-func (f *Following[V]) Run(ctx context.Context) {
+func (f *Subscription[V]) Run(ctx context.Context) {
 	if f == nil {
 		return
 	}
 	go func() {
-		defer f.set.Caught("relays", func() {})
+		defer f.config.Recover("relays", func() {})
 		f.client.Run(ctx)
 	}()
-	beats := time.NewTicker(beatEvery)
+	beats := time.NewTicker(tickInterval)
 	defer beats.Stop()
 	for {
-		f.beat()
+		f.tick()
 		select {
 		case <-beats.C:
 		case <-ctx.Done():
@@ -97,41 +97,41 @@
 	}
 }
 
-func (f *Following[V]) beat() {
-	defer f.set.Caught("relays", func() {})
+func (f *Subscription[V]) tick() {
+	defer f.config.Recover("relays", func() {})
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.set.Clock()
-	if stands := f.set.Stands(); stands != f.stood {
-		f.stood = stands
-		f.tell(f.choice.DiscoveryStands(now, stands))
+	now := f.config.Clock()
+	if stands := f.config.DiscoveryConnected(); stands != f.discoveryConnected {
+		f.discoveryConnected = stands
+		f.applyUpdate(f.selector.SetDiscoveryConnected(now, stands))
 	}
-	f.tell(f.choice.Beat(now))
+	f.applyUpdate(f.selector.Tick(now))
 }
 
 // tell has the node go by what was chosen, and watch discovery or not.
-func (f *Following[V]) tell(t endpointsource.Told[V]) {
-	if t.Any {
-		entries := make([]V, len(t.Servers))
-		for i, s := range t.Servers {
-			entries[i] = f.set.As(s.Value, s.State)
+func (f *Subscription[V]) applyUpdate(t endpointsource.Update[V]) {
+	if t.Valid {
+		entries := make([]V, len(t.Endpoints))
+		for i, s := range t.Endpoints {
+			entries[i] = f.config.WithState(s.Value, s.State)
 		}
-		f.set.Tell(entries, t.Version, t.Whole)
+		f.config.Apply(entries, t.Version, t.Complete)
 	}
-	if by := f.choice.By(); by != f.by {
-		f.set.Log.Info("the list is told by another", zap.Stringer("by", by), zap.Stringer("before", f.by), zap.Int64("version", t.Version))
-		f.by = by
+	if by := f.selector.Active(); by != f.active {
+		f.config.Log.Info("the list is told by another", zap.Stringer("by", by), zap.Stringer("before", f.active), zap.Int64("version", t.Version))
+		f.active = by
 	}
-	on := f.choice.Watch(f.set.Clock())
-	f.relaying.Store(f.by == endpointsource.Relays && !on)
-	if on != f.on {
-		f.on = on
-		f.set.Watch(on)
+	on := f.selector.WantsDiscovery(f.config.Clock())
+	f.relaysOnly.Store(f.active == endpointsource.SourceRelays && !on)
+	if on != f.watching {
+		f.watching = on
+		f.config.WatchDiscovery(on)
 	}
 }
 
 // changed takes in what a frame has brought.
-func (f *Following[V]) changed(now int64, changes []distribution.Change) {
+func (f *Subscription[V]) onFrame(now int64, changes []distribution.Change) {
 	whole, age, known := false, int64(0), false
 	f.follower.Look(func(s *distribution.Subscriber) {
 		whole = s.Complete()
@@ -140,90 +140,90 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	entries, passed, err := f.hosts.Take(changes)
-	servers := make([]endpointsource.Server[V], 0, len(entries))
+	servers := make([]endpointsource.Endpoint[V], 0, len(entries))
 	for _, e := range entries {
-		one, wrong := f.set.Entry(e)
+		one, wrong := f.config.Decode(e)
 		if wrong != nil {
 			passed, err = passed+1, wrong
 			continue // what was known of it stays
 		}
-		servers = append(servers, f.set.Of(one))
+		servers = append(servers, f.config.ToEndpoint(one))
 	}
 	if passed > 0 {
-		f.set.Passed(passed)
-		if now-f.told > tellEvery {
-			f.told = now
-			f.set.Log.Warn("records passed over", zap.Int("records", passed), zap.Error(err))
+		f.config.CountSkipped(passed)
+		if now-f.skipsLoggedAtNs > skipLogIntervalNs {
+			f.skipsLoggedAtNs = now
+			f.config.Log.Warn("records passed over", zap.Int("records", passed), zap.Error(err))
 		}
 	}
 	list, seen := f.hosts.List()
-	f.tell(f.choice.RelaysTold(now, servers, whole, seen && list.Stands && known, now-age, list.Version))
+	f.applyUpdate(f.selector.UpdateRelays(now, servers, whole, seen && list.Stands && known, now-age, list.Version))
 }
 
-func (f *Following[V]) stateIs(s relay.State) {
+func (f *Subscription[V]) onClientState(s relay.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.state = s
+	f.clientState = s
 	if s.Connected {
-		f.set.Log.Info("follows", zap.String("relay", s.Upstream))
+		f.config.Log.Info("follows", zap.String("relay", s.Upstream))
 	} else if s.Round {
-		f.tell(f.choice.RelaysLost(f.set.Clock()))
+		f.applyUpdate(f.selector.RelaysUnreachable(f.config.Clock()))
 	}
 }
 
 // Discovery takes in a line of the node's own watch.
-func (f *Following[V]) Discovery(entries []V, version int64, whole bool) {
-	servers := make([]endpointsource.Server[V], len(entries))
+func (f *Subscription[V]) UpdateDiscovery(entries []V, version int64, whole bool) {
+	servers := make([]endpointsource.Endpoint[V], len(entries))
 	for i, e := range entries {
-		servers[i] = f.set.Of(e)
+		servers[i] = f.config.ToEndpoint(e)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stood = true
-	f.tell(f.choice.DiscoveryTold(f.set.Clock(), servers, whole, version))
+	f.discoveryConnected = true
+	f.applyUpdate(f.selector.UpdateDiscovery(f.config.Clock(), servers, whole, version))
 }
 
 // Word is when relays last told the list that the node goes by; 0: they do not. It waits for nobody.
-func (f *Following[V]) Word() int64 {
-	if f == nil || !f.relaying.Load() {
+func (f *Subscription[V]) RelaysHeardAt() int64 {
+	if f == nil || !f.relaysOnly.Load() {
 		return 0
 	}
 	return f.client.Heard()
 }
 
 // View is how it stands, for who asks.
-type View struct {
-	By       string            `json:"by"` // whose list is in force: nobody, relays, discovery
-	Relay    string            `json:"relay,omitempty"`
-	Why      string            `json:"why,omitempty"`  // the last one was left
-	AgeS     float64           `json:"age_s"`          // of what relays told; -1: not known
-	Seq      int64             `json:"seq"`            // of discovery's list, that the relays' origin has
-	Watch    bool              `json:"watch"`          // discovery is to be watched
-	Moves    int64             `json:"moves"`          // from one teller to the other
-	Whole    bool              `json:"whole"`          // all scopes have been whole once
-	Spoilt   int64             `json:"records_spoilt"` // passed over
-	Client   relay.ClientStats `json:"client"`
-	Records  int               `json:"records"`
-	Position [2]uint64         `json:"position"` // epoch and version of what relays told
+type Status struct {
+	Active           string            `json:"by"` // whose list is in force: nobody, relays, discovery
+	Relay            string            `json:"relay,omitempty"`
+	LastError        string            `json:"why,omitempty"`  // the last one was left
+	AgeSeconds       float64           `json:"age_s"`          // of what relays told; -1: not known
+	ListVersion      int64             `json:"seq"`            // of discovery's list, that the relays' origin has
+	WatchesDiscovery bool              `json:"watch"`          // discovery is to be watched
+	Switches         int64             `json:"moves"`          // from one teller to the other
+	Complete         bool              `json:"whole"`          // all scopes have been whole once
+	SkippedRecords   int64             `json:"records_spoilt"` // passed over
+	Client           relay.ClientStats `json:"client"`
+	Records          int               `json:"records"`
+	Position         [2]uint64         `json:"position"` // epoch and version of what relays told
 }
 
 // Text is the view as JSON.
-func (f *Following[V]) Text() string {
-	var v View
+func (f *Subscription[V]) StatusJSON() string {
+	var v Status
 	f.follower.Look(func(s *distribution.Subscriber) {
 		stats := s.Stats()
-		v.Whole, v.Records, v.Spoilt = s.Complete(), stats.Records, stats.Spoilt
+		v.Complete, v.Records, v.SkippedRecords = s.Complete(), stats.Records, stats.Spoilt
 		at := s.Position(relay.ScopeOrigin)
 		v.Position = [2]uint64{at.Epoch, at.Through}
-		v.AgeS = -1
-		if age, known := s.Age(f.set.Clock(), relay.ScopeOrigin); known {
-			v.AgeS = float64(age) / 1e9
+		v.AgeSeconds = -1
+		if age, known := s.Age(f.config.Clock(), relay.ScopeOrigin); known {
+			v.AgeSeconds = float64(age) / 1e9
 		}
 	})
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list, _ := f.hosts.List()
-	v.By, v.Relay, v.Why, v.Seq, v.Watch, v.Moves, v.Client = f.by.String(), f.state.Upstream, f.state.Why, list.Version, f.on, f.choice.Moves, f.client.Stats()
+	v.Active, v.Relay, v.LastError, v.ListVersion, v.WatchesDiscovery, v.Switches, v.Client = f.active.String(), f.clientState.Upstream, f.clientState.Why, list.Version, f.watching, f.selector.Switches, f.client.Stats()
 	text, err := json.Marshal(v)
 	if err != nil {
 		return err.Error()
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -40,7 +40,7 @@
 // entry is one as the node under test has it.
 type entry struct {
 	name, by string
-	state    endpointsource.State
+	state    endpointsource.EndpointState
 }
 
 func (n *node) tell(entries []entry, _ int64, whole bool) {
@@ -50,7 +50,7 @@
 		n.told = map[string]string{}
 	}
 	for _, e := range entries {
-		if n.told[e.name] = e.by; e.state == endpointsource.Gone {
+		if n.told[e.name] = e.by; e.state == endpointsource.StateRemoved {
 			delete(n.told, e.name)
 		}
 	}
@@ -82,20 +82,20 @@
 	})
 	n := &node{told: map[string]string{}}
 	var passed atomic.Int64
-	f, err := New(Settings[entry]{
-		Name: "n", Relays: []string{l.Addr().String()}, Scopes: []string{"eu1/cart"}, Silence: 1e9, Clock: relay.NewClock(), Log: zap.NewNop(),
-		Entry: func(e endpointlist.Entry) (entry, error) {
+	f, err := New(Config[entry]{
+		Name: "n", Relays: []string{l.Addr().String()}, Scopes: []string{"eu1/cart"}, StaleAfterNs: 1e9, Clock: relay.NewClock(), Log: zap.NewNop(),
+		Decode: func(e endpointlist.Entry) (entry, error) {
 			if e.Name == "spoilt" {
 				return entry{}, errors.New("spoilt")
 			}
 			if e.Name == "bad" {
 				panic("bad")
 			}
-			return entry{name: e.Name, by: "by relays", state: map[bool]endpointsource.State{true: endpointsource.Gone}[e.State == "removed"]}, nil
-		}, Of: func(e entry) endpointsource.Server[entry] {
-			return endpointsource.Server[entry]{Name: e.name, State: e.state, Value: e}
+			return entry{name: e.Name, by: "by relays", state: map[bool]endpointsource.EndpointState{true: endpointsource.StateRemoved}[e.State == "removed"]}, nil
+		}, ToEndpoint: func(e entry) endpointsource.Endpoint[entry] {
+			return endpointsource.Endpoint[entry]{Name: e.name, State: e.state, Value: e}
 		},
-		As: func(e entry, s endpointsource.State) entry { e.state = s; return e }, Tell: n.tell, Watch: n.watch.Store, Stands: func() bool { return n.watch.Load() }, Passed: func(n int) { passed.Add(int64(n)) }, Caught: n.caught,
+		WithState: func(e entry, s endpointsource.EndpointState) entry { e.state = s; return e }, Apply: n.tell, WatchDiscovery: n.watch.Store, DiscoveryConnected: func() bool { return n.watch.Load() }, CountSkipped: func(n int) { passed.Add(int64(n)) }, Recover: n.caught,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -117,12 +117,12 @@
 	s.Do(func(now int64) { o.Put(now, "eu1/cart", "endpoint/bad", distribution.Endpoint, endpoint("bad")) })
 	soon(t, "the panic", func() bool { return n.panics.Load() > 0 })
 	soon(t, "a watch of discovery", n.watch.Load)
-	f.Discovery([]entry{{name: "good", by: "by discovery"}}, 4, true)
+	f.UpdateDiscovery([]entry{{name: "good", by: "by discovery"}}, 4, true)
 	soon(t, "discovery's list", func() bool { return n.has("good") == "by discovery" })
-	if f.Word() != 0 {
+	if f.RelaysHeardAt() != 0 {
 		t.Error("relays still count as heard")
 	}
-	if text := f.Text(); text == "" {
+	if text := f.StatusJSON(); text == "" {
 		t.Error("no view")
 	}
 }
