--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -45,19 +45,19 @@
 
 const (
 	// MaxFrame is the most bytes that a frame from a relay may have, without the four bytes of length before it.
-	MaxFrame = 64 << 10
+	MaxFrameBytes = 64 << 10
 	// MaxHello is the most bytes that a hello may have.
-	MaxHello = 256 << 10
+	MaxHelloBytes = 256 << 10
 	// MaxBody is the most bytes that the body of a record may have: a record always fits into a frame.
-	MaxBody = 16 << 10
+	MaxBodyBytes = 16 << 10
 	// MaxName is the most bytes that a scope or a key may have.
-	MaxName = 256
+	MaxNameBytes = 256
 	// MaxPrefixes is how many selectors of a subscriber may be prefixes: each is looked at on every change.
 	MaxPrefixes = 64
 	// Heartbeat is the time between two frames to a subscriber that has nothing to be told, nanoseconds.
-	Heartbeat = int64(1e9)
+	HeartbeatNs = int64(1e9)
 	// Burst is how far a relay may run ahead of a subscriber's pace, nanoseconds.
-	Burst = int64(250e6)
+	BurstNs = int64(250e6)
 )
 
 // Class is the order in which records go out: a withdrawal goes before any endpoint, an endpoint before any configuration.
@@ -65,15 +65,15 @@
 
 // The classes, first to last.
 const (
-	Withdrawal    Class = iota // an endpoint that drains or has gone
-	Endpoint                   // an endpoint that serves
-	Configuration              // a route, a tenant, a service
-	classes
+	ClassWithdrawal    Class = iota // an endpoint that drains or has gone
+	ClassEndpoint                   // an endpoint that serves
+	ClassConfiguration              // a route, a tenant, a service
+	classCount
 )
 
 func (c Class) withdrawn() Class {
-	if c == Endpoint {
-		return Withdrawal
+	if c == ClassEndpoint {
+		return ClassWithdrawal
 	}
 	return c
 }
@@ -84,7 +84,7 @@
 	Class      Class
 	Epoch      uint64
 	Version    uint64 // of the change that made it so, within Epoch
-	Gone       bool
+	Deleted    bool
 	Body       []byte // not looked at
 }
 
@@ -139,46 +139,46 @@
 
 // Errors that callers tell apart. After any error of Take the connection is to be ended; Hello or Upstream begins anew.
 var (
-	ErrLimit   = errors.New("distribution: over a bound")
-	ErrFrame   = errors.New("distribution: not a frame")
-	ErrHello   = errors.New("distribution: not a hello")
-	ErrGap     = errors.New("distribution: a frame is missing")
-	ErrMissing = errors.New("distribution: a record is said to be held that is not")
+	ErrLimit         = errors.New("distribution: over a bound")
+	ErrBadFrame      = errors.New("distribution: not a frame")
+	ErrBadHello      = errors.New("distribution: not a hello")
+	ErrFrameGap      = errors.New("distribution: a frame is missing")
+	ErrMissingRecord = errors.New("distribution: a record is said to be held that is not")
 	// ErrNotFollowed refuses a subscriber that asks for more than the relay itself takes: it would take what is not there for gone.
 	ErrNotFollowed = errors.New("distribution: this relay does not follow the scope")
 )
 
-func over(what string, bound, found int) error {
+func limitError(what string, bound, found int) error {
 	return fmt.Errorf("%w: %s: at most %d, found %d", ErrLimit, what, bound, found)
 }
 
 // Stats are counters since the start, and what is held now.
 type Stats struct {
-	Epoch       uint64 `json:"Epoch"`
-	Through     uint64 `json:"Through"` // the position; of a relay what it claims
-	Whole       bool   `json:"Whole"`
-	Records     int    `json:"Records"`
-	Tombstones  int    `json:"Tombstones"`
-	Scopes      int    `json:"Scopes"`
-	Bytes       int    `json:"Bytes"` // held now; Records without Tombstones
-	Subscribers int    `json:"Subscribers"`
-	Selectors   int    `json:"Selectors"` // of a relay now
-	Floor       uint64 `json:"Floor"`
-	Frames      int64  `json:"Frames"`
-	FrameBytes  int64  `json:"FrameBytes"` // taken
-	Sent        int64  `json:"Sent"`
-	SentBytes   int64  `json:"SentBytes"`
-	SentRecords int64  `json:"SentRecords"` // by a relay
-	SentNames   int64  `json:"SentNames"`   // of SentRecords those without a body, as the subscriber held it
-	Resumed     int64  `json:"Resumed"`
-	Anew        int64  `json:"Anew"` // selectors that were resumed after their position, and those that were sent anew
-	Applied     int64  `json:"Applied"`
-	Repeated    int64  `json:"Repeated"`
-	Stale       int64  `json:"Stale"`
-	Swept       int64  `json:"Swept"` // records taken: newer, the same again, older than what is known; gone with a whole scope
-	Spoilt      int64  `json:"Spoilt"`
-	Foreign     int64  `json:"Foreign"`
-	OldFrames   int64  `json:"OldFrames"`
-	Refused     int64  `json:"Refused"` // records passed over; frames of another session or epoch; hellos refused
-	LastSpoilt  string `json:"LastSpoilt"`
+	Epoch          uint64 `json:"Epoch"`
+	Through        uint64 `json:"Through"` // the position; of a relay what it claims
+	Complete       bool   `json:"Whole"`
+	Records        int    `json:"Records"`
+	Tombstones     int    `json:"Tombstones"`
+	Scopes         int    `json:"Scopes"`
+	Bytes          int    `json:"Bytes"` // held now; Records without Tombstones
+	Subscribers    int    `json:"Subscribers"`
+	Selectors      int    `json:"Selectors"` // of a relay now
+	Floor          uint64 `json:"Floor"`
+	Frames         int64  `json:"Frames"`
+	FrameBytes     int64  `json:"FrameBytes"` // taken
+	Sent           int64  `json:"Sent"`
+	SentBytes      int64  `json:"SentBytes"`
+	SentRecords    int64  `json:"SentRecords"` // by a relay
+	SentKeysOnly   int64  `json:"SentNames"`   // of SentRecords those without a body, as the subscriber held it
+	Resumed        int64  `json:"Resumed"`
+	Snapshots      int64  `json:"Anew"` // selectors that were resumed after their position, and those that were sent anew
+	Applied        int64  `json:"Applied"`
+	Repeated       int64  `json:"Repeated"`
+	Stale          int64  `json:"Stale"`
+	Swept          int64  `json:"Swept"` // records taken: newer, the same again, older than what is known; gone with a whole scope
+	InvalidRecords int64  `json:"Spoilt"`
+	ForeignRecords int64  `json:"Foreign"`
+	StaleFrames    int64  `json:"OldFrames"`
+	RefusedHellos  int64  `json:"Refused"` // records passed over; frames of another session or epoch; hellos refused
+	LastInvalid    string `json:"LastSpoilt"`
 }
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -31,7 +31,7 @@
 }
 
 func (l *leaf) take(now int64, frame []byte) error {
-	c, err := l.Take(now, frame)
+	c, err := l.Receive(now, frame)
 	l.changes = append(l.changes, c...)
 	return err
 }
@@ -39,8 +39,8 @@
 
 type inner struct{ *Relay }
 
-func (r inner) take(now int64, frame []byte) error { return r.Take(now, frame) }
-func (r inner) hello(now int64) []byte             { return r.Upstream(now) }
+func (r inner) take(now int64, frame []byte) error { return r.Receive(now, frame) }
+func (r inner) hello(now int64) []byte             { return r.UpstreamHello(now) }
 
 func attach(t testing.TB, now int64, from *Relay, to taker, pace int) link {
 	t.Helper()
@@ -59,7 +59,7 @@
 		if f == nil {
 			return frames
 		}
-		if len(f) > MaxFrame {
+		if len(f) > MaxFrameBytes {
 			t.Fatalf("a frame of %d bytes", len(f))
 		}
 		frames = append(frames, f)
@@ -116,9 +116,9 @@
 	top := newInner(t, Limits{}, Selector{Prefix: true})
 	low := newInner(t, Limits{}, Selector{Scope: "eu1/", Prefix: true})
 	s := newLeaf(t, Selector{Scope: "eu1/cart"}, Selector{Scope: "eu1/none"})
-	put(t, o, "eu1/cart", "endpoint/a", Endpoint, "A")
-	put(t, o, "eu1/cart", "endpoint/b", Endpoint, "B")
-	put(t, o, "us1/cart", "endpoint/c", Endpoint, "C")
+	put(t, o, "eu1/cart", "endpoint/a", ClassEndpoint, "A")
+	put(t, o, "eu1/cart", "endpoint/b", ClassEndpoint, "B")
+	put(t, o, "us1/cart", "endpoint/c", ClassEndpoint, "C")
 	a, b, c := attach(t, 0, o.Relay(), top, 0), attach(t, 0, top.Relay, low, 0), attach(t, 0, low.Relay, s, 0)
 	step := func(now int64) { a.drain(t, now, top); b.drain(t, now, low); c.drain(t, now, s) }
 	c.drain(t, 0, s)
@@ -127,9 +127,9 @@
 	expect(t, "records", list(s.Subscriber), "eu1/cart endpoint/a=A\neu1/cart endpoint/b=B\n")
 	expect(t, "complete", s.Complete(), true)
 	expect(t, "records at a relay", low.Stats().Records, 2)
-	expect(t, "foreign records sent to a relay", low.Stats().Foreign, int64(0))
+	expect(t, "foreign records sent to a relay", low.Stats().ForeignRecords, int64(0))
 	v, _ := o.Remove(0, "eu1/cart", "endpoint/a")
-	put(t, o, "eu1/none", "endpoint/d", Endpoint, "D")
+	put(t, o, "eu1/none", "endpoint/d", ClassEndpoint, "D")
 	step(second / 10)
 	expect(t, "records", list(s.Subscriber), "eu1/cart endpoint/b=B\neu1/none endpoint/d=D\n")
 	if age, known := s.Age(second/10, "eu1/cart"); !known || age != 0 {
@@ -162,20 +162,20 @@
 		l := attach(t, 0, o.Relay(), s, 0)
 		l.drain(t, 0, s)
 		s.changes = nil
-		put(t, o, "eu1/cart", "route/1", Configuration, fmt.Sprint("R", slow))
-		put(t, o, "eu1/cart", "endpoint/a", Endpoint, fmt.Sprint("A", slow))
-		put(t, o, "eu1/new", "endpoint/b", Endpoint, fmt.Sprint("B", slow))
-		put(t, o, "eu1/cart", "endpoint/c", Withdrawal, fmt.Sprint("C", slow))
-		put(t, o, "eu1/new", "endpoint/d", Endpoint, fmt.Sprint("D", slow))
+		put(t, o, "eu1/cart", "route/1", ClassConfiguration, fmt.Sprint("R", slow))
+		put(t, o, "eu1/cart", "endpoint/a", ClassEndpoint, fmt.Sprint("A", slow))
+		put(t, o, "eu1/new", "endpoint/b", ClassEndpoint, fmt.Sprint("B", slow))
+		put(t, o, "eu1/cart", "endpoint/c", ClassWithdrawal, fmt.Sprint("C", slow))
+		put(t, o, "eu1/new", "endpoint/d", ClassEndpoint, fmt.Sprint("D", slow))
 		o.Remove(0, "eu1/new", "endpoint/d")
 		if slow { // the same where frames have room for little
-			l.from.subs[l.id].pace = 1
-			l.from.subs[l.id].due = -100000 * second
+			l.from.sessions[l.id].bytesPerSecond = 1
+			l.from.sessions[l.id].dueNs = -100000 * second
 		}
 		for range 20 {
 			l.drain(t, 0, s)
 		}
-		last := Withdrawal
+		last := ClassWithdrawal
 		for _, c := range s.changes {
 			if c.Class < last {
 				t.Fatalf("a change of class %d after one of %d: %+v", c.Class, last, s.changes)
@@ -192,26 +192,26 @@
 	s := newLeaf(t, Selector{Scope: "s"})
 	l := attach(t, 0, o.Relay(), s, 0)
 	l.drain(t, 0, s)
-	put(t, o, "s", "endpoint/a", Endpoint, "up")
-	put(t, o, "s", "endpoint/a", Withdrawal, "up")
+	put(t, o, "s", "endpoint/a", ClassEndpoint, "up")
+	put(t, o, "s", "endpoint/a", ClassWithdrawal, "up")
 	l.drain(t, 0, s)
 	expect(t, "changes for two changes unsent", len(s.changes), 1)
-	put(t, o, "s", "endpoint/a", Endpoint, "up")
+	put(t, o, "s", "endpoint/a", ClassEndpoint, "up")
 	l.drain(t, 0, s)
 	expect(t, "changes", len(s.changes), 2)
-	expect(t, "class", s.changes[1].Class, Endpoint)
+	expect(t, "class", s.changes[1].Class, ClassEndpoint)
 	expect(t, "old", string(s.changes[1].Old), "up")
-	expect(t, "records at the relay", o.Relay().order.Len(), 1)
+	expect(t, "records at the relay", o.Relay().byClass.Len(), 1)
 }
 
 func TestSameIsNoChange(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	v := put(t, o, "s", "k", Endpoint, "x")
-	expect(t, "version", put(t, o, "s", "k", Endpoint, "x"), v)
-	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "e/1", Class: Endpoint, Body: []byte("1")}}); n != 1 || err != nil {
+	v := put(t, o, "s", "k", ClassEndpoint, "x")
+	expect(t, "version", put(t, o, "s", "k", ClassEndpoint, "x"), v)
+	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "e/1", Class: ClassEndpoint, Body: []byte("1")}}); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
-	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "e/1", Class: Endpoint, Body: []byte("1")}}); n != 0 || err != nil {
+	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "e/1", Class: ClassEndpoint, Body: []byte("1")}}); n != 0 || err != nil {
 		t.Fatal(n, err)
 	}
 	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "f/1"}, {Scope: "s", Key: "e/2", Class: 9}}); n != 1 || err == nil {
@@ -223,7 +223,7 @@
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
 	s.changes = nil
 	o = NewOrigin(2, Limits{})
-	put(t, o, "s", "k", Endpoint, "x")
+	put(t, o, "s", "k", ClassEndpoint, "x")
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
 	expect(t, "changes", len(s.changes), 0)
 	expect(t, "position", s.Position("s"), Position{2, 1})
@@ -233,7 +233,7 @@
 	o := NewOrigin(1, Limits{})
 	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
 	for i := range 100 {
-		put(t, o, "s", fmt.Sprint("k", i), Endpoint, "x")
+		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, "x")
 	}
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
 	sent := o.Relay().Stats().SentRecords
@@ -241,7 +241,7 @@
 	expect(t, "frames of a resumption", len(l.drain(t, 0, s)), 1)
 	expect(t, "records of a resumption", o.Relay().Stats().SentRecords-sent, int64(0))
 	expect(t, "resumed", o.Relay().Stats().Resumed, int64(2))
-	put(t, o, "s", "k7", Endpoint, "y")
+	put(t, o, "s", "k7", ClassEndpoint, "y")
 	l = attach(t, 0, o.Relay(), s, 0)
 	l.drain(t, 0, s)
 	expect(t, "records of a resumption after one change", o.Relay().Stats().SentRecords-sent, int64(1))
@@ -252,11 +252,11 @@
 	o := NewOrigin(1, Limits{})
 	s := newLeaf(t, Selector{Scope: "s"})
 	for i := range 100 {
-		put(t, o, "s", fmt.Sprint("k", i), Endpoint, fmt.Sprintf("%0200d", i))
+		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, fmt.Sprintf("%0200d", i))
 	}
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
 	o.Remove(0, "s", "k7")
-	put(t, o, "s", "k8", Endpoint, "new")
+	put(t, o, "s", "k8", ClassEndpoint, "new")
 	r := newInner(t, Limits{}, Selector{Prefix: true})
 	attach(t, 0, o.Relay(), r, 0).drain(t, 0, r)
 	s.changes = nil
@@ -265,7 +265,7 @@
 		bytes += len(f)
 	}
 	expect(t, "changes", len(s.changes), 2)
-	expect(t, "names", r.Stats().SentNames, int64(98))
+	expect(t, "names", r.Stats().SentKeysOnly, int64(98))
 	if bytes > 98*12+300 {
 		t.Fatalf("%d bytes for 98 names and two changes", bytes)
 	}
@@ -273,19 +273,19 @@
 
 func TestNameOfWhatIsNotHeld(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	put(t, o, "s", "k", Endpoint, "x")
+	put(t, o, "s", "k", ClassEndpoint, "x")
 	s := newLeaf(t, Selector{Scope: "s"})
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
-	s.held.remove(s.held.find("s", "k")) // as if it had been spoilt on its way
+	s.replica.remove(s.replica.find("s", "k")) // as if it had been spoilt on its way
 	r := newInner(t, Limits{}, Selector{Prefix: true})
-	put(t, o, "s", "l", Endpoint, "x")
+	put(t, o, "s", "l", ClassEndpoint, "x")
 	attach(t, 0, o.Relay(), r, 0).drain(t, 0, r)
 	l := attach(t, 0, r.Relay, s, 0)
 	f, _ := r.Next(0, l.id)
-	if _, err := s.Take(0, f); !errors.Is(err, ErrMissing) {
+	if _, err := s.Receive(0, f); !errors.Is(err, ErrMissingRecord) {
 		t.Fatal(err)
 	}
-	if c, err := s.Take(0, f); c != nil || err != nil {
+	if c, err := s.Receive(0, f); c != nil || err != nil {
 		t.Fatal("a session after its error", c, err)
 	}
 	attach(t, 0, r.Relay, s, 0).drain(t, 0, s)
@@ -295,14 +295,14 @@
 // An origin without its list claims nothing, and takes nothing away.
 func TestOriginWithoutItsList(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	put(t, o, "s", "endpoint/a", Endpoint, "A")
-	put(t, o, "s", "endpoint/b", Endpoint, "B")
+	put(t, o, "s", "endpoint/a", ClassEndpoint, "A")
+	put(t, o, "s", "endpoint/b", ClassEndpoint, "B")
 	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
 	o = NewOrigin(2, Limits{})
 	o.Await("endpoint", "route")
 	l := attach(t, 0, o.Relay(), s, 0)
-	put(t, o, "s", "endpoint/b", Endpoint, "B2")
+	put(t, o, "s", "endpoint/b", ClassEndpoint, "B2")
 	for now := range int64(5) {
 		l.drain(t, now*second, s)
 	}
@@ -316,7 +316,7 @@
 	}
 	l.drain(t, 5*second, s)
 	expect(t, "position with one list of two", s.Position("s").Epoch, uint64(1))
-	if _, err := o.Replace(0, "endpoint", []Record{{Scope: "s", Key: "endpoint/b", Class: Endpoint, Body: []byte("B2")}}); err != nil {
+	if _, err := o.Replace(0, "endpoint", []Record{{Scope: "s", Key: "endpoint/b", Class: ClassEndpoint, Body: []byte("B2")}}); err != nil {
 		t.Fatal(err)
 	}
 	l.drain(t, 5*second, s)
@@ -328,11 +328,11 @@
 // A subscriber that has heard of an epoch goes to a relay that has not: it is told nothing until that has.
 func TestRelayOfAnOldEpoch(t *testing.T) {
 	old := NewOrigin(1, Limits{})
-	put(t, old, "s", "endpoint/a", Endpoint, "A")
+	put(t, old, "s", "endpoint/a", ClassEndpoint, "A")
 	behind := newInner(t, Limits{}, Selector{Prefix: true})
 	attach(t, 0, old.Relay(), behind, 0).drain(t, 0, behind)
 	o := NewOrigin(2, Limits{})
-	put(t, o, "s", "endpoint/b", Endpoint, "B")
+	put(t, o, "s", "endpoint/b", ClassEndpoint, "B")
 	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "t"})
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
 	l := attach(t, 0, behind.Relay, s, 0)
@@ -356,12 +356,12 @@
 func TestSlowSubscriberIsBounded(t *testing.T) {
 	o := NewOrigin(1, Limits{Tombstones: 10})
 	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "quiet"})
-	put(t, o, "quiet", "k", Endpoint, "x")
-	put(t, o, "s", "stays", Endpoint, "x")
+	put(t, o, "quiet", "k", ClassEndpoint, "x")
+	put(t, o, "s", "stays", ClassEndpoint, "x")
 	l := attach(t, 0, o.Relay(), s, 0)
 	l.drain(t, 0, s)
 	for i := range 5000 {
-		put(t, o, "s", fmt.Sprint("k", i), Endpoint, "x")
+		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, "x")
 		l.drain(t, 0, s)
 		if i < 4000 {
 			o.Remove(0, "s", fmt.Sprint("k", i))
@@ -372,17 +372,17 @@
 	}
 	for i := range 5000 { // from here on it takes nothing
 		o.Remove(0, "s", fmt.Sprint("k", i))
-		put(t, o, "s", fmt.Sprint("l", i), Endpoint, "x")
+		put(t, o, "s", fmt.Sprint("l", i), ClassEndpoint, "x")
 		o.Remove(0, "s", fmt.Sprint("l", i))
-		put(t, o, "s", "stays", Endpoint, fmt.Sprint(i))
+		put(t, o, "s", "stays", ClassEndpoint, fmt.Sprint(i))
 	}
 	st := o.Relay().Stats()
 	expect(t, "tombstones", st.Tombstones, 10)
-	if n := len(o.relay.dead); n > 2*10+65 {
+	if n := len(o.relay.tombstones); n > 2*10+65 {
 		t.Fatal("places of tombstones kept:", n)
 	}
-	for q := range queues {
-		if n := len(o.relay.subs[l.id].queues[q].list); n > 40 {
+	for q := range queueCount {
+		if n := len(o.relay.sessions[l.id].queues[q].list); n > 40 {
 			t.Fatal("a queue for two selectors has", n)
 		}
 	}
@@ -396,7 +396,7 @@
 	const pace = 20000
 	o := NewOrigin(1, Limits{})
 	for i := range 2000 {
-		put(t, o, "s", fmt.Sprint("k", i), Endpoint, fmt.Sprintf("%0200d", i))
+		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, fmt.Sprintf("%0200d", i))
 	}
 	s := newLeaf(t, Selector{Scope: "s"})
 	l := attach(t, 0, o.Relay(), s, pace)
@@ -417,10 +417,10 @@
 		if len(f) > pace/4 {
 			t.Fatalf("a frame of %d bytes at %d a second", len(f), pace)
 		}
-		if most := pace*(now+Burst)/second + pace/4; int64(sum) > most {
+		if most := pace*(now+BurstNs)/second + pace/4; int64(sum) > most {
 			t.Fatalf("%d bytes after %d ns, at most %d", sum, now, most)
 		}
-		if _, err := s.Take(now, f); err != nil {
+		if _, err := s.Receive(now, f); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -431,10 +431,10 @@
 		t.Fatal("silence", longest)
 	}
 	// In debt by one great body the heartbeats go on, and are small.
-	put(t, o, "s", "great", Endpoint, string(make([]byte, MaxBody)))
-	l.from.subs[l.id].pace, l.from.subs[l.id].due = 1000, now
+	put(t, o, "s", "great", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
+	l.from.sessions[l.id].bytesPerSecond, l.from.sessions[l.id].dueNs = 1000, now
 	expect(t, "frames of a great body", len(l.drain(t, now, s)), 1)
-	put(t, o, "s", "k1", Endpoint, "later")
+	put(t, o, "s", "k1", ClassEndpoint, "later")
 	for i := int64(1); i <= 5; i++ {
 		f := l.drain(t, now+i*second, s)
 		if len(f) != 1 || len(f[0]) > 64 {
@@ -448,12 +448,12 @@
 // While one scope's backlog is sent, the others' ages are told.
 func TestAgesBesideABacklog(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	put(t, o, "quiet", "k", Endpoint, "x")
+	put(t, o, "quiet", "k", ClassEndpoint, "x")
 	s := newLeaf(t, Selector{Scope: "busy"}, Selector{Scope: "quiet"})
 	l := attach(t, 0, o.Relay(), s, 4000)
 	l.drain(t, 0, s)
 	for i := range 500 {
-		put(t, o, "busy", fmt.Sprint("k", i), Configuration, fmt.Sprintf("%0200d", i))
+		put(t, o, "busy", fmt.Sprint("k", i), ClassConfiguration, fmt.Sprintf("%0200d", i))
 	}
 	var now int64
 	for range 10 {
@@ -482,39 +482,39 @@
 	o := NewOrigin(1, Limits{})
 	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "t"})
 	for _, k := range []string{"a", "b", "c"} {
-		put(t, o, "s", k, Endpoint, "x")
+		put(t, o, "s", k, ClassEndpoint, "x")
 	}
-	put(t, o, "t", "a", Endpoint, "x")
+	put(t, o, "t", "a", ClassEndpoint, "x")
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
 	s.Hello()
 	raw := func(v any) cbor.RawMessage { return encode(v) }
 	// Anew, with a record of a class that this build does not know, one that is no record, and one more.
-	f := encode(map[int]any{1: s.held.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{
+	f := encode(map[int]any{1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{
 		[]any{"s", []any{[]any{"a", 3, 7, []byte("x")}, "nonsense", raw([]any{"d", 1, 8, []byte("y")})}},
 		[]any{"foreign", []any{[]any{"a", 1, 9, []byte("x")}}},
 	}, 6: []int{0, 1}, 7: 9})
-	if _, err := s.Take(0, f); err != nil {
+	if _, err := s.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
 	// What could not be read may have named any record of its scope: they stay. The other scope is empty.
 	expect(t, "records", list(s.Subscriber), "s a=x\ns b=x\ns c=x\ns d=y\n")
 	st := s.Stats()
-	expect(t, "spoilt", st.Spoilt, int64(2))
-	expect(t, "foreign", st.Foreign, int64(1))
-	if !strings.Contains(st.LastSpoilt, `"s"`) {
-		t.Fatal("named:", st.LastSpoilt)
+	expect(t, "spoilt", st.InvalidRecords, int64(2))
+	expect(t, "foreign", st.ForeignRecords, int64(1))
+	if !strings.Contains(st.LastInvalid, `"s"`) {
+		t.Fatal("named:", st.LastInvalid)
 	}
 	// A group that can't be read may have named anything.
 	s.Hello()
-	f = encode(map[int]any{1: s.held.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{"nonsense"}, 6: []int{0, 1}, 7: 10})
-	if _, err := s.Take(0, f); err != nil {
+	f = encode(map[int]any{1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{"nonsense"}, 6: []int{0, 1}, 7: 10})
+	if _, err := s.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
 	expect(t, "records", s.Stats().Records, 4)
 	// And later, whole, the scope goes by what it is.
 	s.Hello()
-	f = encode(map[int]any{1: s.held.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{[]any{"s", []any{[]any{"d", 0x21, 8, nil}}}}, 6: []int{0, 1}, 7: 10})
-	if _, err := s.Take(0, f); err != nil {
+	f = encode(map[int]any{1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{[]any{"s", []any{[]any{"d", 0x21, 8, nil}}}}, 6: []int{0, 1}, 7: 10})
+	if _, err := s.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
 	expect(t, "records", list(s.Subscriber), "s d=y\n")
@@ -527,34 +527,34 @@
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	long := strings.Repeat("n", MaxName+1)
+	long := strings.Repeat("n", MaxNameBytes+1)
 	o := NewOrigin(1, Limits{Records: 8, Bytes: 40000, Subscribers: 1, Selectors: 3})
-	_, err := o.Put(0, "s", "k", Endpoint, make([]byte, MaxBody+1))
+	_, err := o.Put(0, "s", "k", ClassEndpoint, make([]byte, MaxBodyBytes+1))
 	refused("bytes of a body", err, ErrLimit)
 	for _, n := range [][2]string{{"", "k"}, {long, "k"}, {"s", ""}, {"s", long}} {
-		if _, err := o.Put(0, n[0], n[1], Endpoint, nil); err == nil {
+		if _, err := o.Put(0, n[0], n[1], ClassEndpoint, nil); err == nil {
 			t.Error("no error for", n)
 		}
 	}
-	if _, err := o.Put(0, "s", "k", classes, nil); err == nil {
+	if _, err := o.Put(0, "s", "k", classCount, nil); err == nil {
 		t.Error("no error for a class that there is not")
 	}
-	put(t, o, "s", "k1", Endpoint, string(make([]byte, MaxBody)))
-	put(t, o, "s", "k2", Endpoint, string(make([]byte, MaxBody)))
+	put(t, o, "s", "k1", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
+	put(t, o, "s", "k2", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
 	version := o.version
-	_, err = o.Put(0, "s", "k3", Endpoint, make([]byte, MaxBody))
+	_, err = o.Put(0, "s", "k3", ClassEndpoint, make([]byte, MaxBodyBytes))
 	refused("bytes of records", err, ErrLimit)
 	expect(t, "version after a refusal", o.version, version)
 	for i := range 6 {
-		put(t, o, "s", fmt.Sprint("small", i), Endpoint, "x")
+		put(t, o, "s", fmt.Sprint("small", i), ClassEndpoint, "x")
 	}
-	_, err = o.Put(0, "s", "k3", Endpoint, nil)
+	_, err = o.Put(0, "s", "k3", ClassEndpoint, nil)
 	refused("records", err, ErrLimit)
 	for i := range 3 {
 		o.Remove(0, "s", fmt.Sprint("small", 3+i))
 	}
 	for i := range 50 { // tombstones never take the room of what is there
-		put(t, o, "s", fmt.Sprint("fresh", i), Endpoint, "x")
+		put(t, o, "s", fmt.Sprint("fresh", i), ClassEndpoint, "x")
 		o.Remove(0, "s", fmt.Sprint("fresh", i))
 	}
 	_, err = NewSubscriber(make([]Selector, 4), Limits{Selectors: 3})
@@ -575,21 +575,21 @@
 	wide, _ := NewSubscriber([]Selector{{Scope: "a"}, {Scope: "b"}, {Scope: "c"}, {Scope: "d"}}, Limits{})
 	_, err = o.Relay().Attach(0, wide.Hello(), 0)
 	refused("selectors", err, ErrLimit)
-	pre := hello{Protocol: protocol}
+	pre := hello{Protocol: protocolVersion}
 	for _, s := range many {
-		pre.Selectors = append(pre.Selectors, helloOfScope{Scope: s.Scope, Flags: flagPrefix})
+		pre.Selectors = append(pre.Selectors, helloSelector{Scope: s.Scope, Flags: flagPrefix})
 	}
 	_, err = NewOrigin(1, Limits{}).Relay().Attach(0, encode(pre), 0)
 	refused("prefixes", err, ErrLimit)
-	_, err = o.Relay().Attach(0, make([]byte, MaxHello+1), 0)
-	refused("bytes", err, ErrHello)
+	_, err = o.Relay().Attach(0, make([]byte, MaxHelloBytes+1), 0)
+	refused("bytes", err, ErrBadHello)
 	_, err = o.Relay().Attach(0, encode(hello{Protocol: 7}), 0)
-	refused("protocol", err, ErrHello)
-	_, err = o.Relay().Attach(0, encode(hello{Protocol: protocol, Selectors: []helloOfScope{{}}}), 0)
-	refused("selector 0", err, ErrHello)
+	refused("protocol", err, ErrBadHello)
+	_, err = o.Relay().Attach(0, encode(hello{Protocol: protocolVersion, Selectors: []helloSelector{{}}}), 0)
+	refused("selector 0", err, ErrBadHello)
 	_, err = o.Relay().Attach(0, []byte("nonsense"), 0)
-	refused("hello", err, ErrHello)
-	expect(t, "refused", o.Relay().Stats().Refused, int64(5))
+	refused("hello", err, ErrBadHello)
+	expect(t, "refused", o.Relay().Stats().RefusedHellos, int64(5))
 	s := newLeaf(t, Selector{Scope: "s"})
 	l := attach(t, 0, o.Relay(), s, 0)
 	_, err = o.Relay().Attach(0, s.Hello(), 0)
@@ -610,20 +610,20 @@
 
 	few, _ := NewSubscriber([]Selector{{Scope: "s"}}, Limits{Records: 3})
 	h := few.Hello()
-	_, err = few.Take(0, make([]byte, MaxFrame+1))
-	refused("bytes", err, ErrFrame)
-	_, err = few.Take(0, encode(frame{Session: 1, Number: 1}))
-	if err != nil || few.Stats().OldFrames != 1 {
+	_, err = few.Receive(0, make([]byte, MaxFrameBytes+1))
+	refused("bytes", err, ErrBadFrame)
+	_, err = few.Receive(0, encode(frame{Session: 1, Number: 1}))
+	if err != nil || few.Stats().StaleFrames != 1 {
 		t.Error("a session after its error", err)
 	}
 	big := NewOrigin(1, Limits{})
 	for i := range 10 {
-		put(t, big, "s", fmt.Sprint("k", i), Endpoint, "x")
+		put(t, big, "s", fmt.Sprint("k", i), ClassEndpoint, "x")
 	}
 	h = few.Hello()
 	id, _ := big.Relay().Attach(0, h, 0)
 	f, _ := big.Relay().Next(0, id)
-	changes, err := few.Take(0, f)
+	changes, err := few.Receive(0, f)
 	refused("records", err, ErrLimit)
 	if len(changes) != 3 || few.Complete() {
 		t.Error("changes before the bound", len(changes), few.Complete())
@@ -641,19 +641,19 @@
 		s := newLeaf(t, Selector{Scope: "s"})
 		s.Hello()
 		f.Session = 1
-		if _, err := s.Take(0, encode(f)); err == nil {
+		if _, err := s.Receive(0, encode(f)); err == nil {
 			t.Error("no error for", what)
 		}
 		expect(t, what+": complete", s.Complete(), false)
 		s.Hello()
 		f.Session, f.Number, f.Begin, f.End, f.Except = 1, 1, []uint32{0}, []uint32{0}, nil
-		if _, err := s.Take(0, encode(f)); err != nil || s.Complete() {
+		if _, err := s.Receive(0, encode(f)); err != nil || s.Complete() {
 			t.Error("a frame of a session that is over counts", err)
 		}
 	}
 	s := newLeaf(t, Selector{Scope: "s"})
 	s.Hello()
-	if _, err := s.Take(100, encode(frame{Session: 1, Number: 1, Epoch: 1, Begin: []uint32{0}, End: []uint32{0}, Age: -50})); err != nil {
+	if _, err := s.Receive(100, encode(frame{Session: 1, Number: 1, Epoch: 1, Begin: []uint32{0}, End: []uint32{0}, Age: -50})); err != nil {
 		t.Fatal(err)
 	}
 	if age, known := s.Age(100, "s"); age != 0 || !known {
@@ -668,12 +668,12 @@
 	la.drain(t, 0, a)
 	lb.drain(t, 0, b)
 	o.Relay().Ready()
-	put(t, o, "a", "k", Endpoint, "x")
-	put(t, o, "a", "l", Endpoint, "x")
+	put(t, o, "a", "k", ClassEndpoint, "x")
+	put(t, o, "a", "l", ClassEndpoint, "x")
 	expect(t, "ready", fmt.Sprint(o.Relay().Ready()), fmt.Sprint([]int{la.id}))
 	expect(t, "ready again", len(o.Relay().Ready()), 0)
 	la.drain(t, 0, a)
-	put(t, o, "b", "k", Endpoint, "x")
+	put(t, o, "b", "k", ClassEndpoint, "x")
 	o.Relay().Detach(lb.id)
 	expect(t, "ready without who has gone", len(o.Relay().Ready()), 0)
 	f, at := o.Relay().Next(0, lb.id)
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -13,7 +13,7 @@
 	s := newLeaf(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
 	for i := range 5 {
 		put(t, o, "a/x", fmt.Sprint("endpoint/", i), Class(i%3), "body")
-		put(t, o, fmt.Sprint("b/", i), "endpoint/a", Endpoint, "body")
+		put(t, o, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
 	}
 	hello = s.Hello()
 	id, err := o.Relay().Attach(0, hello, 8000)
@@ -23,7 +23,7 @@
 	for now := int64(0); now < 5*second; now += second / 2 {
 		if now == second {
 			o.Remove(now, "a/x", "endpoint/1")
-			put(t, o, "b/1", "endpoint/a", Withdrawal, "body")
+			put(t, o, "b/1", "endpoint/a", ClassWithdrawal, "body")
 		}
 		for {
 			f, _ := o.Relay().Next(now, id)
@@ -50,7 +50,7 @@
 		leaf := newLeaf(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
 		down := newLeaf(t, Selector{Scope: "a/x"})
 		down.Hello()
-		relay.Upstream(0)
+		relay.UpstreamHello(0)
 		leaf.Hello()
 		id, err := relay.Attach(0, down.Hello(), 0)
 		if err != nil {
@@ -62,12 +62,12 @@
 				t.Fatalf("a relay says %v, a subscriber %v", one, two)
 			}
 		}
-		if s := relay.Stats(); s.Records+s.Tombstones > 64 || s.Bytes > 64<<10+MaxName*4 {
+		if s := relay.Stats(); s.Records+s.Tombstones > 64 || s.Bytes > 64<<10+MaxNameBytes*4 {
 			t.Fatalf("over the bounds: %+v", s)
 		}
 		sum := 0
 		leaf.Each(func(r Record) {
-			if sum++; sound(r.Scope, r.Key, r.Class, r.Body) != nil || !(r.Scope == "a/x" || r.Scope[:2] == "b/") {
+			if sum++; validateRecord(r.Scope, r.Key, r.Class, r.Body) != nil || !(r.Scope == "a/x" || r.Scope[:2] == "b/") {
 				t.Fatalf("holds %+v", r)
 			}
 		})
@@ -85,7 +85,7 @@
 				}
 			}
 		}
-		if !relay.Whole() && down.Complete() {
+		if !relay.Complete() && down.Complete() {
 			t.Fatal("complete by a relay that is not")
 		}
 	})
@@ -99,16 +99,16 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		o := NewOrigin(9, Limits{Selectors: 16})
 		for i := range 20 {
-			put(t, o, fmt.Sprint("b/", i), "endpoint/a", Endpoint, "body")
+			put(t, o, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
 		}
 		id, err := o.Relay().Attach(0, b, 10000)
 		if err != nil {
-			if n := o.Relay().Stats(); n.Subscribers != 0 || n.Refused != 1 || n.Scopes != 20 {
+			if n := o.Relay().Stats(); n.Subscribers != 0 || n.RefusedHellos != 1 || n.Scopes != 20 {
 				t.Fatalf("after a refusal: %+v", n)
 			}
 			return
 		}
-		put(t, o, "b/1", "endpoint/a", Withdrawal, "body")
+		put(t, o, "b/1", "endpoint/a", ClassWithdrawal, "body")
 		for now := int64(0); now < 4*second; now += second / 4 {
 			for n := 0; ; n++ {
 				f, _ := o.Relay().Next(now, id)
@@ -128,7 +128,7 @@
 }
 
 func helloAt(at Position) hello {
-	return hello{Protocol: protocol, Session: 3, Seen: at.Epoch, Epoch: at.Epoch, Through: at.Through, Selectors: []helloOfScope{
-		{Scope: "b/1", Flags: flagFollows}, {Scope: "b/1", Epoch: 8, Through: 1}, {Scope: "b/1", Flags: flagPrefix | flagFollows}, {Scope: "b/none", Epoch: 11},
+	return hello{Protocol: protocolVersion, Session: 3, EpochSeen: at.Epoch, Epoch: at.Epoch, Through: at.Through, Selectors: []helloSelector{
+		{Scope: "b/1", Flags: flagShared}, {Scope: "b/1", Epoch: 8, Through: 1}, {Scope: "b/1", Flags: flagPrefix | flagShared}, {Scope: "b/none", Epoch: 11},
 	}}
 }
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -10,12 +10,12 @@
 
 // TestGoldenFrames holds hellos and frames to the bytes that earlier builds send and read.
 func TestGoldenFrames(t *testing.T) {
-	h := hello{Protocol: protocol, Session: 3, Seen: 5, Epoch: 5, Through: 40, Selectors: []helloOfScope{
-		{Scope: "eu/", Flags: flagPrefix | flagFollows}, {Scope: "us/web", Epoch: 4, Through: 39},
+	h := hello{Protocol: protocolVersion, Session: 3, EpochSeen: 5, Epoch: 5, Through: 40, Selectors: []helloSelector{
+		{Scope: "eu/", Flags: flagPrefix | flagShared}, {Scope: "us/web", Epoch: 4, Through: 39},
 	}}
 	f := frame{
-		Session: 3, Number: 2, Epoch: 5, Begin: []uint32{0}, Groups: []group{{Scope: "eu/web", Records: []record{
-			{Key: "host/a", Flags: 1, Version: 41, Body: []byte(`{"host":"a"}`)}, {Key: "host/b", Flags: flagGone, Version: 42}, {Key: "host/c", Flags: flagNamed, Version: 40},
+		Session: 3, Number: 2, Epoch: 5, Begin: []uint32{0}, Groups: []recordGroup{{Scope: "eu/web", Records: []record{
+			{Key: "host/a", Flags: 1, Version: 41, Body: []byte(`{"host":"a"}`)}, {Key: "host/b", Flags: flagDeleted, Version: 42}, {Key: "host/c", Flags: flagKeyOnly, Version: 40},
 		}}},
 		End: []uint32{0, 1}, Through: 42, All: true, Except: []uint32{1}, Age: 12345,
 	}
@@ -35,9 +35,9 @@
 // TestGoldenStats holds the counters that are told as JSON to their names.
 func TestGoldenStats(t *testing.T) {
 	text, err := json.Marshal(Stats{
-		Epoch: 1, Through: 2, Whole: true, Records: 3, Tombstones: 4, Scopes: 5, Bytes: 6, Subscribers: 7, Selectors: 8, Floor: 9,
-		Frames: 10, FrameBytes: 11, Sent: 12, SentBytes: 13, SentRecords: 14, SentNames: 15, Resumed: 16, Anew: 17, Applied: 18, Repeated: 19, Stale: 20, Swept: 21,
-		Spoilt: 22, Foreign: 23, OldFrames: 24, Refused: 25, LastSpoilt: "x",
+		Epoch: 1, Through: 2, Complete: true, Records: 3, Tombstones: 4, Scopes: 5, Bytes: 6, Subscribers: 7, Selectors: 8, Floor: 9,
+		Frames: 10, FrameBytes: 11, Sent: 12, SentBytes: 13, SentRecords: 14, SentKeysOnly: 15, Resumed: 16, Snapshots: 17, Applied: 18, Repeated: 19, Stale: 20, Swept: 21,
+		InvalidRecords: 22, ForeignRecords: 23, StaleFrames: 24, RefusedHellos: 25, LastInvalid: "x",
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/distribution/guards_test.go
+++ b/internal/distribution/guards_test.go
@@ -10,27 +10,27 @@
 	"testing"
 )
 
-// session hands frames to a taker, numbered.
-type session struct {
+// testSession hands numbered frames to a taker.
+type testSession struct {
 	t      *testing.T
 	to     taker
 	number uint64
 	id     uint64
 }
 
-func newSession(t *testing.T, to taker) *session {
+func newSession(t *testing.T, to taker) *testSession {
 	to.hello(0)
-	s := &session{t: t, to: to}
+	s := &testSession{t: t, to: to}
 	switch to := to.(type) {
 	case *leaf:
-		s.id = to.held.session
+		s.id = to.replica.session
 	case inner:
-		s.id = to.held.session
+		s.id = to.replica.session
 	}
 	return s
 }
 
-func (s *session) send(now int64, f frame) {
+func (s *testSession) send(now int64, f frame) {
 	s.t.Helper()
 	s.number++
 	f.Session, f.Number = s.id, s.number
@@ -43,7 +43,9 @@
 	return record{Key: key, Flags: flags, Version: version, Body: fmt.Append(nil, version)}
 }
 
-func in(scope string, records ...record) []group { return []group{{Scope: scope, Records: records}} }
+func in(scope string, records ...record) []recordGroup {
+	return []recordGroup{{Scope: scope, Records: records}}
+}
 
 var first = []uint32{0}
 
@@ -51,11 +53,11 @@
 	s := newLeaf(t, Selector{Scope: "s"})
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", 1, 5))})
-	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", flagGone, 6))})
+	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", flagDeleted, 6))})
 	e.number = 0
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", 1, 9))})
 	expect(t, "records", list(s.Subscriber), "")
-	expect(t, "old frames", s.Stats().OldFrames, int64(1))
+	expect(t, "old frames", s.Stats().StaleFrames, int64(1))
 }
 
 func TestLowerEpochIsPassedOver(t *testing.T) {
@@ -73,7 +75,7 @@
 	s := newLeaf(t, Selector{Scope: "s"})
 	e := newSession(t, s)
 	// Before the scope is whole a tombstone keeps the older state out, and goes when the position has passed it.
-	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", flagGone, 9), rec("l", 1, 8))})
+	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", flagDeleted, 9), rec("l", 1, 8))})
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", 1, 5), rec("l", 1, 7))})
 	expect(t, "records", list(s.Subscriber), "s l=8\n")
 	expect(t, "tombstones", s.Stats().Tombstones, 1)
@@ -84,10 +86,10 @@
 	expect(t, "records", list(s.Subscriber), "s l=8\n")
 	expect(t, "stale", s.Stats().Stale, int64(4))
 	// Gone, back and gone within one frame leaves one tombstone to bury.
-	e.send(0, frame{Epoch: 1, Groups: in("s", rec("n", flagGone, 11), rec("n", 1, 12), rec("n", flagGone, 13))})
+	e.send(0, frame{Epoch: 1, Groups: in("s", rec("n", flagDeleted, 11), rec("n", 1, 12), rec("n", flagDeleted, 13))})
 	e.send(0, frame{Epoch: 1, Through: 13, All: true})
 	expect(t, "records", list(s.Subscriber), "s l=8\n")
-	expect(t, "held", s.held.items.Len(), 1)
+	expect(t, "held", s.replica.items.Len(), 1)
 }
 
 func TestNewerThanTheEndStays(t *testing.T) {
@@ -103,7 +105,7 @@
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", 1, 5))})
 	s.Hello()
-	if _, err := s.Take(0, encode(frame{Session: s.held.session, Number: 1, Epoch: 1, End: first, Through: 10})); !errors.Is(err, ErrFrame) {
+	if _, err := s.Receive(0, encode(frame{Session: s.replica.session, Number: 1, Epoch: 1, End: first, Through: 10})); !errors.Is(err, ErrBadFrame) {
 		t.Fatal(err)
 	}
 	expect(t, "records", list(s.Subscriber), "s k=5\n")
@@ -122,7 +124,7 @@
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 1, Through: 20, All: true})
 	at("progress before anything was whole", 0, 0, 0)
-	expect(t, "whole", s.Stats().Whole, false)
+	expect(t, "whole", s.Stats().Complete, false)
 	e.send(0, frame{Epoch: 1, Begin: []uint32{0, 1}, End: []uint32{0, 1}, Through: 30})
 	at("ends", 1030, 1030, 0)
 	e.send(0, frame{Epoch: 1, Through: 25, All: true})
@@ -170,15 +172,15 @@
 
 func TestRecordsThatAreNone(t *testing.T) {
 	s := newLeaf(t, Selector{Prefix: true})
-	long := strings.Repeat("n", MaxName+1)
+	long := strings.Repeat("n", MaxNameBytes+1)
 	e := newSession(t, s)
-	for i, g := range [][]group{
+	for i, g := range [][]recordGroup{
 		in("s", rec("k", 0x41, 1)), in("s", rec("k", 0x03, 1)), in("s", rec("k", 1, 0)), in("s", rec("", 1, 1)), in("s", rec(long, 1, 1)),
-		in("", rec("k", 1, 1)), in(long, rec("k", 1, 1)), in("s", record{Key: "k", Flags: 1, Version: 1, Body: make([]byte, MaxBody+1)}),
+		in("", rec("k", 1, 1)), in(long, rec("k", 1, 1)), in("s", record{Key: "k", Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes+1)}),
 	} {
 		e.send(0, frame{Epoch: 1, Groups: g})
-		expect(t, fmt.Sprint("spoilt ", i), s.Stats().Spoilt, int64(i+1))
-		expect(t, fmt.Sprint("records ", i), s.held.items.Len(), 0)
+		expect(t, fmt.Sprint("spoilt ", i), s.Stats().InvalidRecords, int64(i+1))
+		expect(t, fmt.Sprint("records ", i), s.replica.items.Len(), 0)
 	}
 }
 
@@ -187,16 +189,16 @@
 	s.Hello()
 	f := frame{Session: 1, Number: 1, Epoch: 1, Groups: in("s")}
 	for i := range 5 {
-		f.Groups[0].Records = append(f.Groups[0].Records, record{Key: fmt.Sprint(i), Flags: 1, Version: 1, Body: make([]byte, MaxBody)})
+		f.Groups[0].Records = append(f.Groups[0].Records, record{Key: fmt.Sprint(i), Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes)})
 	}
-	if _, err := s.Take(0, encode(f)); !errors.Is(err, ErrFrame) || s.held.items.Len() > 0 {
+	if _, err := s.Receive(0, encode(f)); !errors.Is(err, ErrBadFrame) || s.replica.items.Len() > 0 {
 		t.Fatal(err)
 	}
-	h := hello{Protocol: protocol}
+	h := hello{Protocol: protocolVersion}
 	for len(h.Selectors) < 1100 {
-		h.Selectors = append(h.Selectors, helloOfScope{Scope: strings.Repeat("n", MaxName)})
+		h.Selectors = append(h.Selectors, helloSelector{Scope: strings.Repeat("n", MaxNameBytes)})
 	}
-	if _, err := NewOrigin(1, Limits{}).Relay().Attach(0, encode(h), 0); !errors.Is(err, ErrHello) {
+	if _, err := NewOrigin(1, Limits{}).Relay().Attach(0, encode(h), 0); !errors.Is(err, ErrBadHello) {
 		t.Fatal(err)
 	}
 }
@@ -209,7 +211,7 @@
 	now := int64(0)
 	whole := func(what string, want bool) {
 		t.Helper()
-		expect(t, what, r.Whole(), want)
+		expect(t, what, r.Complete(), want)
 		now += second
 		f, _ := r.Next(now, l.id)
 		h, err := decodeFrame(f, func(string) {})
@@ -233,7 +235,7 @@
 	expect(t, "through", r.Stats().Through, uint64(150))
 	e.send(0, frame{Epoch: 1, Begin: []uint32{0}})
 	whole("told anew", false)
-	e.send(0, frame{Epoch: 1, End: []uint32{0}, Groups: in("s", rec("k", 1|flagNamed, 5)), Through: 150})
+	e.send(0, frame{Epoch: 1, End: []uint32{0}, Groups: in("s", rec("k", 1|flagKeyOnly, 5)), Through: 150})
 	whole("told anew to its end", true)
 	e.send(0, frame{Epoch: 2, Groups: in("s", rec("k", 1, 1))})
 	whole("a new epoch", false)
@@ -249,7 +251,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	put(t, old, "s", "k", Endpoint, "x")
+	put(t, old, "s", "k", ClassEndpoint, "x")
 	f, _ := old.Relay().Next(0, id)
 	if h, err := decodeFrame(f, func(string) {}); err != nil || h.All || h.Groups != nil || h.Begin != nil {
 		t.Fatal(h, err)
@@ -260,7 +262,7 @@
 func TestTombstonesThatMustStay(t *testing.T) {
 	r := newInner(t, Limits{Tombstones: 1}, Selector{Scope: "s"})
 	e := newSession(t, r)
-	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", flagGone, 9), rec("b", flagGone, 10), rec("c", flagGone, 11))})
+	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", flagDeleted, 9), rec("b", flagDeleted, 10), rec("c", flagDeleted, 11))})
 	expect(t, "tombstones", r.Stats().Tombstones, 3)
 	e = newSession(t, r)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", 1, 4))})
@@ -270,10 +272,10 @@
 	expect(t, "floor", r.Stats().Floor, uint64(20))
 	o := NewOrigin(1, Limits{})
 	for i := range 5000 {
-		put(t, o, "s", "k", Endpoint, fmt.Sprint(i))
+		put(t, o, "s", "k", ClassEndpoint, fmt.Sprint(i))
 		o.Remove(0, "s", "k")
 	}
-	if n := len(o.relay.dead); n > 70 {
+	if n := len(o.relay.tombstones); n > 70 {
 		t.Fatalf("%d places of one tombstone", n)
 	}
 }
@@ -296,15 +298,15 @@
 	o := NewOrigin(1, Limits{Tombstones: 1})
 	behind := newInner(t, Limits{}, Selector{Prefix: true})
 	attach(t, 0, o.Relay(), behind, 0).drain(t, 0, behind)
-	put(t, o, "s", "k", Endpoint, "x")
-	put(t, o, "s", "stays", Endpoint, "x")
+	put(t, o, "s", "k", ClassEndpoint, "x")
+	put(t, o, "s", "stays", ClassEndpoint, "x")
 	s := newLeaf(t, Selector{Scope: "s"})
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
 	l := attach(t, 0, behind.Relay, s, 0)
 	l.drain(t, 0, s)
 	o.Remove(0, "s", "k")
 	for i := range 3 {
-		put(t, o, "s", fmt.Sprint(i), Endpoint, "x")
+		put(t, o, "s", fmt.Sprint(i), ClassEndpoint, "x")
 		o.Remove(0, "s", fmt.Sprint(i))
 	}
 	expect(t, "frames", len(attach(t, 0, o.Relay(), behind, 0).drain(t, 0, behind)), 1)
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -167,15 +167,15 @@
 // note writes down what the origin has made of its last call.
 func (n *network) note() {
 	history := n.truth.history[n.epoch]
-	n.origin.relay.held.items.Ascend(func(it *item) bool {
+	n.origin.relay.replica.items.Ascend(func(it *item) bool {
 		name := nameOf{it.scope.name, it.key}
 		if list := history[name]; len(list) == 0 || list[len(list)-1].version != it.version {
-			history[name] = append(list, entry{it.version, it.gone, it.class, string(it.body)})
+			history[name] = append(list, entry{it.version, it.deleted, it.class, string(it.body)})
 		}
 		return true
 	})
 	for name, list := range history {
-		if n.origin.relay.held.find(name.scope, name.key) == nil && !list[len(list)-1].gone {
+		if n.origin.relay.replica.find(name.scope, name.key) == nil && !list[len(list)-1].gone {
 			history[name] = append(list, entry{version: n.origin.version, gone: true}) // its tombstone is over the bound
 		}
 	}
@@ -225,7 +225,7 @@
 	}
 	var hello []byte
 	if e.relay != nil {
-		hello = e.relay.Upstream(n.now)
+		hello = e.relay.UpstreamHello(n.now)
 	} else {
 		hello = e.leaf.Hello()
 	}
@@ -243,7 +243,7 @@
 		if f == nil {
 			break
 		}
-		if len(f) > MaxFrame {
+		if len(f) > MaxFrameBytes {
 			n.t.Fatalf("a frame of %d bytes", len(f))
 		}
 		e.way = append(e.way, f)
@@ -255,12 +255,12 @@
 	var err error
 	var changes []Change
 	if e.relay != nil {
-		err = e.relay.Take(n.now, frame)
+		err = e.relay.Receive(n.now, frame)
 	} else {
-		changes, err = e.leaf.Take(n.now, frame)
+		changes, err = e.leaf.Receive(n.now, frame)
 	}
 	n.look(e, changes)
-	if err != nil && !errors.Is(err, ErrGap) {
+	if err != nil && !errors.Is(err, ErrFrameGap) {
 		n.t.Fatalf("%s: %v", e.name, err)
 	}
 	if err != nil {
@@ -274,13 +274,13 @@
 	t := n.t
 	holds := map[nameOf]Record{}
 	if e.relay != nil {
-		e.relay.held.items.Ascend(func(it *item) bool {
-			if !it.gone {
+		e.relay.replica.items.Ascend(func(it *item) bool {
+			if !it.deleted {
 				holds[nameOf{it.scope.name, it.key}] = it.record()
 			}
 			return true
 		})
-		if e.relay.Whole() {
+		if e.relay.Complete() {
 			for _, s := range e.wants {
 				n.truth.claimed(t, e.name, s, e.relay.claimed, holds)
 			}
@@ -288,7 +288,7 @@
 	} else {
 		for _, c := range changes {
 			name := nameOf{c.Scope, c.Key}
-			if c.Gone {
+			if c.Deleted {
 				if _, ok := e.told[name]; !ok {
 					t.Fatalf("%s was told that %v is gone, twice or never there", e.name, name)
 				}
@@ -313,7 +313,7 @@
 			t.Fatalf("%s holds %d records and was told of %d", e.name, len(holds), len(e.told))
 		}
 		for i, s := range e.wants {
-			at, _ := e.leaf.held.position(&e.leaf.held.interests[i])
+			at, _ := e.leaf.replica.position(&e.leaf.replica.interests[i])
 			n.truth.claimed(t, e.name, s, at, holds)
 		}
 	}
@@ -431,20 +431,20 @@
 			}
 		}
 		tombs := 0
-		items := n.origin.relay.held.items
+		items := n.origin.relay.replica.items
 		items.Ascend(func(it *item) bool {
-			if !it.gone {
+			if !it.deleted {
 				say(&real, it.scope.name, it.key, string(it.body))
 			}
 			return true
 		})
 		if e.relay != nil {
-			items = e.relay.held.items
+			items = e.relay.replica.items
 		} else {
-			items = e.leaf.held.items
+			items = e.leaf.replica.items
 		}
 		items.Ascend(func(it *item) bool {
-			if !it.gone {
+			if !it.deleted {
 				say(&held, it.scope.name, it.key, string(it.body))
 			} else {
 				tombs++
@@ -455,8 +455,8 @@
 			t.Fatalf("%s holds in the end\n%sand true is\n%s", e.name, &held, &real)
 		}
 		if e.leaf == nil {
-			if at := e.relay.claimed; !e.relay.Whole() || at != (Position{n.epoch, n.origin.version}) || tombs > n.limits.Tombstones {
-				t.Fatalf("%s ends whole %v at %v of %d with %d tombstones", e.name, e.relay.Whole(), at, n.origin.version, tombs)
+			if at := e.relay.claimed; !e.relay.Complete() || at != (Position{n.epoch, n.origin.version}) || tombs > n.limits.Tombstones {
+				t.Fatalf("%s ends whole %v at %v of %d with %d tombstones", e.name, e.relay.Complete(), at, n.origin.version, tombs)
 			}
 			continue
 		}
--- a/internal/distribution/origin.go
+++ b/internal/distribution/origin.go
@@ -21,8 +21,8 @@
 // never go back to a lower one.
 func NewOrigin(epoch uint64, l Limits) *Origin {
 	o := &Origin{relay: NewRelay(l), awaited: map[string]bool{}}
-	o.relay.owner, o.relay.held.seen = o, max(1, epoch)
-	o.relay.refresh()
+	o.relay.origin, o.relay.replica.epochSeen = o, max(1, epoch)
+	o.relay.updateClaim()
 	return o
 }
 
@@ -35,19 +35,19 @@
 	for _, k := range kinds {
 		o.awaited[k] = true
 	}
-	o.relay.refresh()
+	o.relay.updateClaim()
 }
 
-func sound(scope, key string, class Class, body []byte) error {
+func validateRecord(scope, key string, class Class, body []byte) error {
 	switch {
-	case scope == "" || len(scope) > MaxName:
-		return fmt.Errorf("distribution: scope %.64q: a name of 1 to %d bytes expected, found %d", scope, MaxName, len(scope))
-	case key == "" || len(key) > MaxName:
-		return fmt.Errorf("distribution: scope %q, key %.64q: a name of 1 to %d bytes expected, found %d", scope, key, MaxName, len(key))
-	case class >= classes:
-		return fmt.Errorf("distribution: scope %q, key %q: a class under %d expected, found %d", scope, key, classes, class)
-	case len(body) > MaxBody:
-		return fmt.Errorf("scope %q, key %q: %w", scope, key, over("bytes of a body", MaxBody, len(body)))
+	case scope == "" || len(scope) > MaxNameBytes:
+		return fmt.Errorf("distribution: scope %.64q: a name of 1 to %d bytes expected, found %d", scope, MaxNameBytes, len(scope))
+	case key == "" || len(key) > MaxNameBytes:
+		return fmt.Errorf("distribution: scope %q, key %.64q: a name of 1 to %d bytes expected, found %d", scope, key, MaxNameBytes, len(key))
+	case class >= classCount:
+		return fmt.Errorf("distribution: scope %q, key %q: a class under %d expected, found %d", scope, key, classCount, class)
+	case len(body) > MaxBodyBytes:
+		return fmt.Errorf("scope %q, key %q: %w", scope, key, limitError("bytes of a body", MaxBodyBytes, len(body)))
 	}
 	return nil
 }
@@ -55,19 +55,19 @@
 // Put sets a record; the same again is no change. The body must not be changed afterwards.
 func (o *Origin) Put(now int64, scope, key string, class Class, body []byte) (version uint64, err error) {
 	version, _, err = o.put(scope, key, class, body)
-	o.relay.refresh()
+	o.relay.updateClaim()
 	return version, err
 }
 
 func (o *Origin) put(scope, key string, class Class, body []byte) (version uint64, changed bool, err error) {
-	if err := sound(scope, key, class, body); err != nil {
+	if err := validateRecord(scope, key, class, body); err != nil {
 		return 0, false, err
 	}
-	held := o.relay.held.find(scope, key)
-	if held != nil && !held.gone && held.class == class && bytes.Equal(held.body, body) {
+	held := o.relay.replica.find(scope, key)
+	if held != nil && !held.deleted && held.class == class && bytes.Equal(held.body, body) {
 		return held.version, false, nil
 	}
-	if _, err := o.relay.held.set(held, scope, key, class, Position{o.relay.epoch, o.version + 1}, false, body, false); err != nil {
+	if _, err := o.relay.replica.upsert(held, scope, key, class, Position{o.relay.epoch, o.version + 1}, false, body, false); err != nil {
 		return 0, false, err
 	}
 	o.version++
@@ -76,8 +76,8 @@
 
 // Remove takes a record away.
 func (o *Origin) Remove(now int64, scope, key string) (version uint64, removed bool) {
-	removed = o.remove(o.relay.held.find(scope, key))
-	o.relay.refresh()
+	removed = o.remove(o.relay.replica.find(scope, key))
+	o.relay.updateClaim()
 	if removed {
 		version = o.version
 	}
@@ -85,11 +85,11 @@
 }
 
 func (o *Origin) remove(held *item) bool {
-	if held == nil || held.gone {
+	if held == nil || held.deleted {
 		return false
 	}
 	o.version++
-	if _, err := o.relay.held.set(held, held.scope.name, held.key, held.class.withdrawn(), Position{o.relay.epoch, o.version}, true, nil, false); err != nil {
+	if _, err := o.relay.replica.upsert(held, held.scope.name, held.key, held.class.withdrawn(), Position{o.relay.epoch, o.version}, true, nil, false); err != nil {
 		panic(err) // a tombstone is never longer than the record
 	}
 	return true
@@ -104,8 +104,8 @@
 		named[name{all[i].Scope, all[i].Key}] = true
 	}
 	var out []*item
-	o.relay.held.items.Ascend(func(it *item) bool {
-		if !it.gone && strings.HasPrefix(it.key, kind) && strings.HasPrefix(it.key[len(kind):], "/") && !named[name{it.scope.name, it.key}] {
+	o.relay.replica.items.Ascend(func(it *item) bool {
+		if !it.deleted && strings.HasPrefix(it.key, kind) && strings.HasPrefix(it.key[len(kind):], "/") && !named[name{it.scope.name, it.key}] {
 			out = append(out, it)
 		}
 		return true
@@ -136,6 +136,6 @@
 		}
 	}
 	delete(o.awaited, kind)
-	o.relay.refresh()
+	o.relay.updateClaim()
 	return changed, err
 }
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -23,40 +23,40 @@
 	seq     uint64 // its place in the order in which this relay came to know; at a subscriber: listed while it is among the dead
 	mark    uint32 // the last time that it was named
 	class   Class
-	gone    bool
+	deleted bool
 }
 
-const listed = 1
+const awaitsRemoval = 1
 
-func (it *item) stamp() Position { return Position{it.epoch, it.version} }
+func (it *item) position() Position { return Position{it.epoch, it.version} }
 
 func (it *item) record() Record {
-	return Record{Scope: it.scope.name, Key: it.key, Class: it.class, Epoch: it.epoch, Version: it.version, Gone: it.gone, Body: it.body}
+	return Record{Scope: it.scope.name, Key: it.key, Class: it.class, Epoch: it.epoch, Version: it.version, Deleted: it.deleted, Body: it.body}
 }
 
 // scope is there while records of it are held or somebody subscribes to it.
 type scope struct {
-	name   string
-	held   int32  // tombstones among them
-	exact  int32  // the interest in it alone, or -1
-	spoilt uint32 // the mark under which a record of it could last not be read
-	lanes  *lanes // at a relay
+	name          string
+	itemCount     int32       // tombstones among them
+	exactInterest int32       // the interest in it alone, or -1
+	invalidMark   uint32      // the mark under which a record of it could last not be read
+	order         *scopeOrder // at a relay
 }
 
 // interest is a selector and how far it is known.
 type interest struct {
-	name    string
-	prefix  bool
-	whole   bool     // has been so once
-	follows bool     // its position is the replica's shared one
-	open    bool     // it is being told anew
-	begun   uint32   // the mark under which that began
-	pos     Position // while it does not follow
-	asOf    int64
+	scope        string
+	prefix       bool
+	complete     bool     // has been so once
+	shared       bool     // its position is the replica's shared one
+	inSnapshot   bool     // it is being told anew
+	snapshotMark uint32   // the mark under which that began
+	position     Position // while it does not follow
+	asOfNs       int64
 }
 
 // prior is what a record was before a change.
-type prior struct {
+type previousState struct {
 	live  bool
 	class Class
 	body  []byte
@@ -64,47 +64,47 @@
 
 // keeper is who holds the replica. The two are called around every change of an item: before it leaves its place, and after it
 // has its new state.
-type keeper interface {
-	leaves(it *item)
-	changed(it *item, was prior, swept bool)
+type changeObserver interface {
+	beforeChange(it *item)
+	afterChange(it *item, was previousState, swept bool)
 }
 
 type replica struct {
-	limits Limits
-	keeper keeper
-	intern Intern
-	tombs  bool // tombstones outlive the position, and what is swept leaves one
-
-	items    *btree.BTreeG[*item]
-	scopes   map[string]*scope
-	scopeIDs uint64
-	probe    item
-	at       scope
-	gone     int // tombstones
-	bytes    int // of names, keys and bodies
-	dead     []*item
-
-	interests []interest
-	exact     map[string]int32
-	prefixes  []int32
-	lagging   []int32 // interests that do not follow
-	wholes    int
-	shared    Position
-	asOf      int64
-	seen      uint64 // the highest epoch heard of
-	endMax    uint64 // the highest position at which anything was told anew, in that epoch
-	mark      uint32
-
-	session uint64
-	number  uint64 // of the last frame
-	broken  bool   // until the next hello
-	lost    uint32 // the mark under which a whole group could last not be read
+	limits          Limits
+	observer        changeObserver
+	interner        Interner
+	keepsTombstones bool // tombstones outlive the position, and what is swept leaves one
+
+	items             *btree.BTreeG[*item]
+	scopes            map[string]*scope
+	scopeIDs          uint64
+	probe             item
+	probeScope        scope
+	tombstones        int // tombstones
+	bytes             int // of names, keys and bodies
+	pendingTombstones []*item
+
+	interests         []interest
+	exactInterests    map[string]int32
+	prefixInterests   []int32
+	lagging           []int32 // interests that do not follow
+	completeInterests int
+	sharedPosition    Position
+	sharedAsOfNs      int64
+	epochSeen         uint64 // the highest epoch heard of
+	maxSnapshotEnd    uint64 // the highest position at which anything was told anew, in that epoch
+	mark              uint32
+
+	session          uint64
+	lastFrame        uint64 // of the last frame
+	sessionVoid      bool   // until the next hello
+	invalidGroupMark uint32 // the mark under which a whole group could last not be read
 
 	stats Stats
 }
 
-func newReplica(k keeper, l Limits) *replica {
-	r := &replica{limits: l.filled(), keeper: k, scopes: map[string]*scope{}, exact: map[string]int32{}, broken: true}
+func newReplica(k changeObserver, l Limits) *replica {
+	r := &replica{limits: l.filled(), observer: k, scopes: map[string]*scope{}, exactInterests: map[string]int32{}, sessionVoid: true}
 	r.items = btree.NewG(32, func(a, b *item) bool {
 		if a.scope != b.scope && a.scope.name != b.scope.name {
 			return a.scope.name < b.scope.name
@@ -114,50 +114,50 @@
 	return r
 }
 
-func (r *replica) follow(selectors []Selector) error {
+func (r *replica) addSelectors(selectors []Selector) error {
 	if len(selectors) > r.limits.Selectors {
-		return over("selectors of a subscriber", r.limits.Selectors, len(selectors))
+		return limitError("selectors of a subscriber", r.limits.Selectors, len(selectors))
 	}
 	for i, s := range selectors {
-		if len(s.Scope) > MaxName || s.Scope == "" && !s.Prefix {
-			return fmt.Errorf("distribution: selector %d: a name of 1 to %d bytes expected, found %d", i, MaxName, len(s.Scope))
+		if len(s.Scope) > MaxNameBytes || s.Scope == "" && !s.Prefix {
+			return fmt.Errorf("distribution: selector %d: a name of 1 to %d bytes expected, found %d", i, MaxNameBytes, len(s.Scope))
 		}
 		at := int32(len(r.interests))
 		if s.Prefix {
-			r.prefixes = append(r.prefixes, at)
-		} else if _, twice := r.exact[s.Scope]; twice {
+			r.prefixInterests = append(r.prefixInterests, at)
+		} else if _, twice := r.exactInterests[s.Scope]; twice {
 			continue
 		} else {
-			r.exact[s.Scope] = at
+			r.exactInterests[s.Scope] = at
 		}
-		r.interests = append(r.interests, interest{name: s.Scope, prefix: s.Prefix})
+		r.interests = append(r.interests, interest{scope: s.Scope, prefix: s.Prefix})
 		r.lagging = append(r.lagging, at)
 	}
-	if len(r.prefixes) > MaxPrefixes {
-		return over("prefixes of a subscriber", MaxPrefixes, len(r.prefixes))
+	if len(r.prefixInterests) > MaxPrefixes {
+		return limitError("prefixes of a subscriber", MaxPrefixes, len(r.prefixInterests))
 	}
 	return nil
 }
 
 // hello begins a session. Frames of the one before are void from here on, and what it had begun to tell anew.
-func (r *replica) hello() []byte {
+func (r *replica) newHello() []byte {
 	r.session++
-	r.number, r.broken = 0, false
+	r.lastFrame, r.sessionVoid = 0, false
 	h := hello{
-		Protocol: protocol, Session: r.session, Seen: r.seen, Epoch: r.shared.Epoch, Through: r.shared.Through,
-		Selectors: make([]helloOfScope, len(r.interests)),
+		Protocol: protocolVersion, Session: r.session, EpochSeen: r.epochSeen, Epoch: r.sharedPosition.Epoch, Through: r.sharedPosition.Through,
+		Selectors: make([]helloSelector, len(r.interests)),
 	}
 	for i := range r.interests {
 		n := &r.interests[i]
-		n.open = false
-		s := helloOfScope{Scope: n.name}
+		n.inSnapshot = false
+		s := helloSelector{Scope: n.scope}
 		if n.prefix {
 			s.Flags |= flagPrefix
 		}
-		if n.follows {
-			s.Flags |= flagFollows
+		if n.shared {
+			s.Flags |= flagShared
 		} else {
-			s.Epoch, s.Through = n.pos.Epoch, n.pos.Through
+			s.Epoch, s.Through = n.position.Epoch, n.position.Through
 		}
 		h.Selectors[i] = s
 	}
@@ -166,24 +166,24 @@
 
 // position is up to where an interest is known.
 func (r *replica) position(n *interest) (Position, int64) {
-	if n.follows {
-		return r.shared, r.asOf
+	if n.shared {
+		return r.sharedPosition, r.sharedAsOfNs
 	}
-	return n.pos, n.asOf
+	return n.position, n.asOfNs
 }
 
 // of is up to where a scope is known, and as of when.
-func (r *replica) of(name string, exact int32) (at Position, asOf int64, whole bool) {
+func (r *replica) scopePosition(name string, exact int32) (at Position, asOf int64, whole bool) {
 	better := func(n *interest) {
-		if p, t := r.position(n); n.whole && (!whole || p.compare(at) > 0 || p == at && t > asOf) {
+		if p, t := r.position(n); n.complete && (!whole || p.compare(at) > 0 || p == at && t > asOf) {
 			at, asOf, whole = p, t, true
 		}
 	}
 	if exact >= 0 {
 		better(&r.interests[exact])
 	}
-	for _, i := range r.prefixes {
-		if strings.HasPrefix(name, r.interests[i].name) {
+	for _, i := range r.prefixInterests {
+		if strings.HasPrefix(name, r.interests[i].scope) {
 			better(&r.interests[i])
 		}
 	}
@@ -191,33 +191,33 @@
 }
 
 // least is up to where all interests are known, as of when, and whether they are whole and none is being told anew.
-func (r *replica) least() (at Position, asOf int64, whole bool) {
+func (r *replica) leastPosition() (at Position, asOf int64, whole bool) {
 	if len(r.interests) == 0 {
 		return at, asOf, false
 	}
-	at, asOf = r.shared, r.asOf
+	at, asOf = r.sharedPosition, r.sharedAsOfNs
 	for k, i := range r.lagging {
 		n := &r.interests[i]
-		if n.open || !n.whole {
+		if n.inSnapshot || !n.complete {
 			return Position{}, 0, false
 		}
 		if k == 0 && len(r.lagging) == len(r.interests) {
-			at, asOf = n.pos, n.asOf
+			at, asOf = n.position, n.asOfNs
 		}
-		if n.pos.compare(at) < 0 {
-			at = n.pos
+		if n.position.compare(at) < 0 {
+			at = n.position
 		}
-		asOf = min(asOf, n.asOf)
+		asOf = min(asOf, n.asOfNs)
 	}
 	return at, asOf, true
 }
 
 func (r *replica) covers(name string) bool {
-	if _, ok := r.exact[name]; ok {
+	if _, ok := r.exactInterests[name]; ok {
 		return true
 	}
-	for _, i := range r.prefixes {
-		if strings.HasPrefix(name, r.interests[i].name) {
+	for _, i := range r.prefixInterests {
+		if strings.HasPrefix(name, r.interests[i].scope) {
 			return true
 		}
 	}
@@ -229,25 +229,25 @@
 	if !prefix {
 		return r.covers(name)
 	}
-	return slices.ContainsFunc(r.prefixes, func(i int32) bool { return strings.HasPrefix(name, r.interests[i].name) })
+	return slices.ContainsFunc(r.prefixInterests, func(i int32) bool { return strings.HasPrefix(name, r.interests[i].scope) })
 }
 
-func (r *replica) scopeOf(name string) *scope {
+func (r *replica) ensureScope(name string) *scope {
 	s := r.scopes[name]
 	if s == nil {
-		exact, ok := r.exact[name]
+		exact, ok := r.exactInterests[name]
 		if ok {
-			name = r.interests[exact].name // one string for both
+			name = r.interests[exact].scope // one string for both
 		} else {
 			exact = -1
-			if r.intern.Text != nil {
-				name = r.intern.Text(name)
+			if r.interner.Text != nil {
+				name = r.interner.Text(name)
 			}
 		}
-		s = &scope{name: name, exact: exact}
-		if r.tombs {
+		s = &scope{name: name, exactInterest: exact}
+		if r.keepsTombstones {
 			r.scopeIDs++
-			s.lanes = &lanes{id: r.scopeIDs}
+			s.order = &scopeOrder{id: r.scopeIDs}
 		}
 		r.scopes[name] = s
 		r.bytes += len(name)
@@ -256,96 +256,96 @@
 }
 
 // release forgets a scope of which nothing is held and that nobody waits for.
-func (r *replica) release(s *scope) {
-	if s.held == 0 && (s.lanes == nil || len(s.lanes.feeds) == 0) && r.scopes[s.name] == s {
+func (r *replica) releaseScope(s *scope) {
+	if s.itemCount == 0 && (s.order == nil || len(s.order.feeds) == 0) && r.scopes[s.name] == s {
 		delete(r.scopes, s.name)
 		r.bytes -= len(s.name)
 	}
 }
 
 func (r *replica) find(scopeName, key string) *item {
-	r.at.name = scopeName
-	r.probe.scope, r.probe.key = &r.at, key
+	r.probeScope.name = scopeName
+	r.probe.scope, r.probe.key = &r.probeScope, key
 	it, _ := r.items.Get(&r.probe)
 	return it
 }
 
 // set gives a record its newest state, whatever it was; held is what is there of it, or nil.
-func (r *replica) set(held *item, name, key string, class Class, at Position, gone bool, body []byte, swept bool) (*item, error) {
+func (r *replica) upsert(held *item, name, key string, class Class, at Position, gone bool, body []byte, swept bool) (*item, error) {
 	more := len(body)
 	if held != nil {
 		more -= len(held.body)
 	} else {
 		more += len(key)
 		if r.items.Len() >= r.limits.Records {
-			return nil, over("records", r.limits.Records, r.items.Len()+1)
+			return nil, limitError("records", r.limits.Records, r.items.Len()+1)
 		}
 	}
 	if more > 0 && r.bytes+more > r.limits.Bytes {
-		return nil, over("bytes of records", r.limits.Bytes, r.bytes+more)
+		return nil, limitError("bytes of records", r.limits.Bytes, r.bytes+more)
 	}
-	var was prior
+	var was previousState
 	if held == nil {
-		s := r.scopeOf(name)
-		if r.intern.Text != nil {
-			key = r.intern.Text(key)
+		s := r.ensureScope(name)
+		if r.interner.Text != nil {
+			key = r.interner.Text(key)
 		}
 		held = &item{scope: s, key: key}
-		s.held++
+		s.itemCount++
 		r.items.ReplaceOrInsert(held)
 	} else {
-		was = prior{!held.gone, held.class, held.body}
-		r.keeper.leaves(held)
-		if held.gone {
-			r.gone--
+		was = previousState{!held.deleted, held.class, held.body}
+		r.observer.beforeChange(held)
+		if held.deleted {
+			r.tombstones--
 		}
 	}
 	switch {
 	case gone:
 		body = nil
-		r.gone++
+		r.tombstones++
 	case was.live && bytes.Equal(was.body, body):
 		body = was.body
-	case r.intern.Body != nil:
-		body = r.intern.Body(body)
+	case r.interner.Body != nil:
+		body = r.interner.Body(body)
 	}
 	r.bytes += more
-	held.class, held.epoch, held.version, held.gone, held.body, held.mark = class, at.Epoch, at.Through, gone, body, r.mark
-	if gone && !r.tombs && held.seq == 0 {
-		held.seq = listed
-		r.dead = append(r.dead, held)
+	held.class, held.epoch, held.version, held.deleted, held.body, held.mark = class, at.Epoch, at.Through, gone, body, r.mark
+	if gone && !r.keepsTombstones && held.seq == 0 {
+		held.seq = awaitsRemoval
+		r.pendingTombstones = append(r.pendingTombstones, held)
 	}
-	r.keeper.changed(held, was, swept)
+	r.observer.afterChange(held, was, swept)
 	return held, nil
 }
 
 // remove forgets an item without a trace.
 func (r *replica) remove(it *item) {
-	r.keeper.leaves(it)
+	r.observer.beforeChange(it)
 	r.items.Delete(it)
 	r.bytes -= len(it.key) + len(it.body)
-	if it.gone {
-		r.gone--
+	if it.deleted {
+		r.tombstones--
 	}
-	it.scope.held--
-	r.release(it.scope)
+	it.scope.itemCount--
+	r.releaseScope(it.scope)
 }
 
-func (r *replica) spoilt(name, what string) {
-	r.stats.Spoilt++
-	r.stats.LastSpoilt = what
+func (r *replica) noteInvalid(name, what string) {
+	r.stats.InvalidRecords++
+	r.stats.LastInvalid = what
 	if name == "" {
-		r.lost = r.mark
+		r.invalidGroupMark = r.mark
 	} else if s := r.scopes[name]; s != nil {
-		s.spoilt = r.mark
+		s.invalidMark = r.mark
 	}
 }
 
 // take takes in a frame. After an error the session is void.
-func (r *replica) take(now int64, b []byte) (err error) {
+func (r *replica) receive(now int64, b []byte) (err error) {
 	defer func() {
 		if err != nil {
-			r.broken = true
+			r.sessionVoid = true
 		}
 	}()
 	r.stats.Frames++
@@ -356,85 +356,85 @@
 	if err != nil {
 		return err
 	}
-	if r.broken || f.Session != r.session || f.Number <= r.number {
-		r.stats.OldFrames++
+	if r.sessionVoid || f.Session != r.session || f.Number <= r.lastFrame {
+		r.stats.StaleFrames++
 		return nil
 	}
-	if f.Number != r.number+1 {
-		return fmt.Errorf("%w: number %d expected, found %d", ErrGap, r.number+1, f.Number)
+	if f.Number != r.lastFrame+1 {
+		return fmt.Errorf("%w: number %d expected, found %d", ErrFrameGap, r.lastFrame+1, f.Number)
 	}
-	r.number++
+	r.lastFrame++
 	f.Age = max(0, f.Age)
-	if f.Epoch < r.seen || f.Epoch == 0 {
+	if f.Epoch < r.epochSeen || f.Epoch == 0 {
 		if f.Epoch != 0 || len(f.Groups)+len(f.Begin)+len(f.End) > 0 {
-			r.stats.OldFrames++
+			r.stats.StaleFrames++
 		}
 		return nil
 	}
-	if f.Epoch > r.seen {
-		r.seen, r.endMax = f.Epoch, 0
+	if f.Epoch > r.epochSeen {
+		r.epochSeen, r.maxSnapshotEnd = f.Epoch, 0
 	}
-	if err := r.begin(f); err != nil {
+	if err := r.beginSnapshots(f); err != nil {
 		return err
 	}
 	for _, s := range spoilt {
-		r.spoilt(s.scope, fmt.Sprintf("scope %q: a record that can't be read", s.scope))
+		r.noteInvalid(s.scope, fmt.Sprintf("scope %q: a record that can't be read", s.scope))
 	}
 	for i := range f.Groups {
-		if err := r.group(f, &f.Groups[i]); err != nil {
+		if err := r.applyGroup(f, &f.Groups[i]); err != nil {
 			return err
 		}
 	}
-	if err := r.end(now, f); err != nil {
+	if err := r.endSnapshots(now, f); err != nil {
 		return err
 	}
 	if f.All {
-		if err := r.progress(now, f); err != nil {
+		if err := r.advance(now, f); err != nil {
 			return err
 		}
 	}
-	r.bury()
+	r.dropTombstones()
 	return nil
 }
 
-func (r *replica) begin(f *frame) error {
+func (r *replica) beginSnapshots(f *frame) error {
 	if len(f.Begin) > 0 {
 		r.mark++
 	}
 	for _, i := range f.Begin {
 		if int(i) >= len(r.interests) {
-			return fmt.Errorf("%w: begin: a selector under %d expected, found %d", ErrFrame, len(r.interests), i)
+			return fmt.Errorf("%w: begin: a selector under %d expected, found %d", ErrBadFrame, len(r.interests), i)
 		}
-		r.leave(int32(i))
-		r.interests[i].open, r.interests[i].begun = true, r.mark
+		r.unshare(int32(i))
+		r.interests[i].inSnapshot, r.interests[i].snapshotMark = true, r.mark
 	}
 	return nil
 }
 
 // leave gives an interest a position of its own.
-func (r *replica) leave(i int32) {
-	if n := &r.interests[i]; n.follows {
-		n.follows, n.pos, n.asOf = false, r.shared, r.asOf
+func (r *replica) unshare(i int32) {
+	if n := &r.interests[i]; n.shared {
+		n.shared, n.position, n.asOfNs = false, r.sharedPosition, r.sharedAsOfNs
 		r.lagging = append(r.lagging, i)
 	}
 }
 
-func (r *replica) group(f *frame, g *group) error {
-	if g.Scope == "" || len(g.Scope) > MaxName {
-		r.spoilt("", fmt.Sprintf("scope %.64q: a name of 1 to %d bytes expected, found %d", g.Scope, MaxName, len(g.Scope)))
+func (r *replica) applyGroup(f *frame, g *recordGroup) error {
+	if g.Scope == "" || len(g.Scope) > MaxNameBytes {
+		r.noteInvalid("", fmt.Sprintf("scope %.64q: a name of 1 to %d bytes expected, found %d", g.Scope, MaxNameBytes, len(g.Scope)))
 		return nil
 	}
 	if !r.covers(g.Scope) {
-		r.stats.Foreign += int64(len(g.Records))
+		r.stats.ForeignRecords += int64(len(g.Records))
 		return nil
 	}
 	for i := range g.Records {
 		n := &g.Records[i]
-		if n.Key == "" || len(n.Key) > MaxName || n.Flags&^flagsAll != 0 || n.Flags&3 >= uint8(classes) || n.Version == 0 || len(n.Body) > MaxBody {
-			r.spoilt(g.Scope, fmt.Sprintf("scope %q, key %.64q: flags %#x, version %d, %d bytes", g.Scope, n.Key, n.Flags, n.Version, len(n.Body)))
+		if n.Key == "" || len(n.Key) > MaxNameBytes || n.Flags&^knownFlags != 0 || n.Flags&3 >= uint8(classCount) || n.Version == 0 || len(n.Body) > MaxBodyBytes {
+			r.noteInvalid(g.Scope, fmt.Sprintf("scope %q, key %.64q: flags %#x, version %d, %d bytes", g.Scope, n.Key, n.Flags, n.Version, len(n.Body)))
 			continue
 		}
-		if err := r.one(f, g.Scope, n); err != nil {
+		if err := r.applyRecord(f, g.Scope, n); err != nil {
 			return err
 		}
 	}
@@ -442,20 +442,20 @@
 }
 
 // one takes in a record: the newer state holds, and what is not held and is not newer than what is known of its scope is dead.
-func (r *replica) one(f *frame, name string, n *record) error {
+func (r *replica) applyRecord(f *frame, name string, n *record) error {
 	at := Position{f.Epoch, n.Version}
 	held := r.find(name, n.Key)
-	if n.Flags&flagNamed != 0 {
-		if held == nil || held.stamp().compare(at) < 0 {
-			r.distrust(name)
-			return fmt.Errorf("%w: scope %q, key %q, version %d", ErrMissing, name, n.Key, n.Version)
+	if n.Flags&flagKeyOnly != 0 {
+		if held == nil || held.position().compare(at) < 0 {
+			r.resetPositions(name)
+			return fmt.Errorf("%w: scope %q, key %q, version %d", ErrMissingRecord, name, n.Key, n.Version)
 		}
 		held.mark = r.mark
 		r.stats.Repeated++
 		return nil
 	}
 	if held != nil {
-		switch c := held.stamp().compare(at); {
+		switch c := held.position().compare(at); {
 		case c == 0:
 			held.mark = r.mark
 			r.stats.Repeated++
@@ -465,76 +465,76 @@
 			return nil
 		}
 	} else {
-		exact, ok := r.exact[name]
+		exact, ok := r.exactInterests[name]
 		if !ok {
 			exact = -1
 		}
-		if known, _, _ := r.of(name, exact); at.compare(known) <= 0 {
+		if known, _, _ := r.scopePosition(name, exact); at.compare(known) <= 0 {
 			r.stats.Stale++
 			return nil
 		}
 	}
 	r.stats.Applied++
-	_, err := r.set(held, name, n.Key, Class(n.Flags&3), at, n.Flags&flagGone != 0, n.Body, false)
+	_, err := r.upsert(held, name, n.Key, Class(n.Flags&3), at, n.Flags&flagDeleted != 0, n.Body, false)
 	return err
 }
 
 // distrust has all that covers a scope told anew with its bodies: what the relay took for held is not.
-func (r *replica) distrust(name string) {
+func (r *replica) resetPositions(name string) {
 	for i := range r.interests {
-		if n := &r.interests[i]; (Selector{Scope: n.name, Prefix: n.prefix}).covers(name) {
-			r.leave(int32(i))
-			n.pos = Position{}
+		if n := &r.interests[i]; (Selector{Scope: n.scope, Prefix: n.prefix}).covers(name) {
+			r.unshare(int32(i))
+			n.position = Position{}
 		}
 	}
 }
 
 // end takes scopes for whole: what was not named since they began, and is not newer than what they are told by, goes.
-func (r *replica) end(now int64, f *frame) error {
+func (r *replica) endSnapshots(now int64, f *frame) error {
 	for _, i := range f.End {
-		if int(i) >= len(r.interests) || !r.interests[i].open {
-			return fmt.Errorf("%w: end: a selector that has begun expected, found %d", ErrFrame, i)
+		if int(i) >= len(r.interests) || !r.interests[i].inSnapshot {
+			return fmt.Errorf("%w: end: a selector that has begun expected, found %d", ErrBadFrame, i)
 		}
 		n := &r.interests[i]
 		at := Position{f.Epoch, f.Through}
-		n.open = false
+		n.inSnapshot = false
 		if err := r.sweep(n, at); err != nil {
 			return err
 		}
-		if !n.whole {
-			n.whole = true
-			r.wholes++
+		if !n.complete {
+			n.complete = true
+			r.completeInterests++
 		}
-		if at.compare(n.pos) > 0 {
-			n.pos = at
+		if at.compare(n.position) > 0 {
+			n.position = at
 		}
-		n.asOf = max(n.asOf, now-f.Age)
-		r.endMax = max(r.endMax, f.Through)
+		n.asOfNs = max(n.asOfNs, now-f.Age)
+		r.maxSnapshotEnd = max(r.maxSnapshotEnd, f.Through)
 	}
 	return nil
 }
 
 func (r *replica) sweep(n *interest, at Position) error {
-	if r.lost >= n.begun {
+	if r.invalidGroupMark >= n.snapshotMark {
 		return nil // a group could not be read: nobody knows what it named
 	}
 	var out []*item
-	r.at.name = n.name
-	r.probe.scope, r.probe.key = &r.at, ""
+	r.probeScope.name = n.scope
+	r.probe.scope, r.probe.key = &r.probeScope, ""
 	r.items.AscendGreaterOrEqual(&r.probe, func(it *item) bool {
-		if !(Selector{Scope: n.name, Prefix: n.prefix}).covers(it.scope.name) {
+		if !(Selector{Scope: n.scope, Prefix: n.prefix}).covers(it.scope.name) {
 			return false
 		}
-		if !it.gone && it.mark < n.begun && it.stamp().compare(at) <= 0 && it.scope.spoilt < n.begun {
+		if !it.deleted && it.mark < n.snapshotMark && it.position().compare(at) <= 0 && it.scope.invalidMark < n.snapshotMark {
 			out = append(out, it)
 		}
 		return true
 	})
 	for _, it := range out {
 		r.stats.Swept++
-		if it.epoch == at.Epoch || !r.tombs {
+		if it.epoch == at.Epoch || !r.keepsTombstones {
 			// Those that were told of it in this epoch have to hear of it.
-			if _, err := r.set(it, it.scope.name, it.key, it.class.withdrawn(), at, true, nil, true); err != nil {
+			if _, err := r.upsert(it, it.scope.name, it.key, it.class.withdrawn(), at, true, nil, true); err != nil {
 				return err
 			}
 		} else {
@@ -545,7 +545,7 @@
 }
 
 // progress takes in up to where everything is told. It costs nothing where all interests follow already.
-func (r *replica) progress(now int64, f *frame) error {
+func (r *replica) advance(now int64, f *frame) error {
 	at := Position{f.Epoch, f.Through}
 	var except map[uint32]bool
 	if len(f.Except) > 0 {
@@ -553,29 +553,29 @@
 	}
 	for _, i := range f.Except {
 		if int(i) >= len(r.interests) {
-			return fmt.Errorf("%w: except: a selector under %d expected, found %d", ErrFrame, len(r.interests), i)
+			return fmt.Errorf("%w: except: a selector under %d expected, found %d", ErrBadFrame, len(r.interests), i)
 		}
 		except[i] = true
 	}
-	if at.Epoch != r.shared.Epoch {
+	if at.Epoch != r.sharedPosition.Epoch {
 		for i := range r.interests {
-			r.leave(int32(i))
+			r.unshare(int32(i))
 		}
-		r.shared, r.asOf = at, now-f.Age
+		r.sharedPosition, r.sharedAsOfNs = at, now-f.Age
 	}
-	if at.compare(r.shared) < 0 {
+	if at.compare(r.sharedPosition) < 0 {
 		return nil // a relay behind the one before: it has nothing to say yet
 	}
 	for _, i := range f.Except {
-		r.leave(int32(i))
+		r.unshare(int32(i))
 	}
-	r.shared = at
-	r.asOf = max(r.asOf, now-f.Age)
+	r.sharedPosition = at
+	r.sharedAsOfNs = max(r.sharedAsOfNs, now-f.Age)
 	still := r.lagging[:0]
 	for _, i := range r.lagging {
 		n := &r.interests[i]
-		if !n.open && !except[uint32(i)] && n.pos.Epoch == at.Epoch && n.pos.compare(at) <= 0 {
-			n.follows = true
+		if !n.inSnapshot && !except[uint32(i)] && n.position.Epoch == at.Epoch && n.position.compare(at) <= 0 {
+			n.shared = true
 		} else {
 			still = append(still, i)
 		}
@@ -585,31 +585,31 @@
 }
 
 // bury forgets the tombstones that the position has passed: what is not held and not newer than it is dead by that alone.
-func (r *replica) bury() {
-	if r.tombs || len(r.dead) == 0 {
+func (r *replica) dropTombstones() {
+	if r.keepsTombstones || len(r.pendingTombstones) == 0 {
 		return
 	}
-	still := r.dead[:0]
-	for _, it := range r.dead {
-		if !it.gone {
+	still := r.pendingTombstones[:0]
+	for _, it := range r.pendingTombstones {
+		if !it.deleted {
 			it.seq = 0
 			continue
 		}
-		if known, _, _ := r.of(it.scope.name, it.scope.exact); it.stamp().compare(known) <= 0 {
+		if known, _, _ := r.scopePosition(it.scope.name, it.scope.exactInterest); it.position().compare(known) <= 0 {
 			r.remove(it)
 		} else {
 			still = append(still, it)
 		}
 	}
-	clear(r.dead[len(still):])
-	r.dead = still
+	clear(r.pendingTombstones[len(still):])
+	r.pendingTombstones = still
 	if len(still) == 0 {
-		r.dead = nil
+		r.pendingTombstones = nil
 	}
 }
 
-func (r *replica) counts() Stats {
+func (r *replica) currentStats() Stats {
 	s := r.stats
-	s.Epoch, s.Records, s.Tombstones, s.Scopes, s.Bytes = r.seen, r.items.Len()-r.gone, r.gone, len(r.scopes), r.bytes
+	s.Epoch, s.Records, s.Tombstones, s.Scopes, s.Bytes = r.epochSeen, r.items.Len()-r.tombstones, r.tombstones, len(r.scopes), r.bytes
 	return s
 }
--- a/internal/distribution/size_test.go
+++ b/internal/distribution/size_test.go
@@ -26,7 +26,7 @@
 			scopes += len(scope)
 		}
 		content += len(key) + len(body)
-		put(t, o, scope, key, Endpoint, string(body))
+		put(t, o, scope, key, ClassEndpoint, string(body))
 	}
 	s := newLeaf(t, selectors...)
 	sum, n := 0, 0
@@ -45,7 +45,7 @@
 	}
 	l := attach(t, 0, o.Relay(), s, 0)
 	l.drain(t, 0, s)
-	put(t, o, "eu1/service-0000", "endpoint/h000000", Withdrawal, string(bodyOf(0)))
+	put(t, o, "eu1/service-0000", "endpoint/h000000", ClassWithdrawal, string(bodyOf(0)))
 	change := l.drain(t, 0, s)
 	beat := l.drain(t, 2*second, s)
 	t.Logf("one change %d bytes, of them %d its content; a heartbeat %d", len(change[0]), 16+16+len(bodyOf(0)), len(beat[0]))
@@ -58,7 +58,7 @@
 func region(t testing.TB, records, scopes, subscribers, each int) (*Origin, []link, []*leaf) {
 	o := NewOrigin(1, Limits{})
 	for i := range records {
-		put(t, o, fmt.Sprintf("eu1/service-%05d", i%scopes), fmt.Sprintf("endpoint/h%06d", i), Endpoint, string(bodyOf(i)))
+		put(t, o, fmt.Sprintf("eu1/service-%05d", i%scopes), fmt.Sprintf("endpoint/h%06d", i), ClassEndpoint, string(bodyOf(i)))
 	}
 	links, leaves := make([]link, subscribers), make([]*leaf, subscribers)
 	for i := range subscribers {
@@ -88,10 +88,10 @@
 	}
 	o.Relay().Ready()
 	sent := o.Relay().Stats()
-	put(t, o, "eu1/service-00037", "endpoint/new", Endpoint, "x")
+	put(t, o, "eu1/service-00037", "endpoint/new", ClassEndpoint, "x")
 	want := 0
 	for _, s := range leaves {
-		if s.held.covers("eu1/service-00037") {
+		if s.replica.covers("eu1/service-00037") {
 			want++
 		}
 	}
@@ -100,8 +100,8 @@
 		t.Fatalf("%d woken, %d subscribe", len(ready), want)
 	}
 	for _, id := range ready {
-		s := o.Relay().subs[id]
-		expect(t, "queued", s.queues[Endpoint].len(), 1)
+		s := o.Relay().sessions[id]
+		expect(t, "queued", s.queues[ClassEndpoint].len(), 1)
 		o.Relay().Next(0, id)
 		if f, _ := o.Relay().Next(0, id); f != nil {
 			t.Fatal("a second frame for one change")
@@ -117,7 +117,7 @@
 		before := heap()
 		o, _, _ := region(b, 120000, 50000, 0, 1)
 		bare := heap()
-		bodies := o.relay.held.bytes
+		bodies := o.relay.replica.bytes
 		b.ReportMetric(float64(bare-before-int64(bodies))/120000, "B/record")
 		b.ReportMetric(float64(bodies)/120000, "content-B/record")
 		var selectors []Selector
@@ -139,7 +139,7 @@
 func BenchmarkSubscriberMemory(b *testing.B) {
 	text := map[string]string{}
 	body := map[string][]byte{}
-	share := Intern{func(s string) string {
+	share := Interner{func(s string) string {
 		if v, ok := text[s]; ok {
 			return v
 		}
@@ -162,7 +162,7 @@
 		var before int64
 		for i := range 101 {
 			s := newLeaf(b, selectors...)
-			s.Share(share)
+			s.SetInterner(share)
 			all = append(all, s.Subscriber)
 			l := attach(b, 0, o.Relay(), s, 0)
 			l.drain(b, 0, s)
@@ -194,7 +194,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				k := i * 7919 % size
-				put(b, o, fmt.Sprintf("eu1/service-%05d", k%(size*5/12)), fmt.Sprintf("endpoint/h%06d", k), Endpoint, fmt.Sprint("changed", i))
+				put(b, o, fmt.Sprintf("eu1/service-%05d", k%(size*5/12)), fmt.Sprintf("endpoint/h%06d", k), ClassEndpoint, fmt.Sprint("changed", i))
 				for _, id := range o.Relay().Ready() {
 					o.Relay().Next(0, id)
 				}
@@ -222,8 +222,8 @@
 			o, links, leaves := region(b, 12000, 5000, 1, 500)
 			links[0].drain(b, 0, leaves[0])
 			selectors := make([]Selector, 0, 500)
-			for _, n := range leaves[0].held.interests {
-				selectors = append(selectors, Selector{Scope: n.name})
+			for _, n := range leaves[0].replica.interests {
+				selectors = append(selectors, Selector{Scope: n.scope})
 			}
 			b.ResetTimer()
 			for range b.N {
--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -132,7 +132,7 @@
 func (f *fake) Hello() []byte  { return nil }
 func (f *fake) Complete() bool { return true }
 
-func (f *fake) Take(int64, []byte) ([]distribution.Change, error) {
+func (f *fake) Receive(int64, []byte) ([]distribution.Change, error) {
 	for _, c := range f.next {
 		f.records[dead{c.Scope, c.Key}] = c.Record
 	}
@@ -143,7 +143,7 @@
 
 func (f *fake) Each(one func(distribution.Record)) {
 	for _, r := range f.records {
-		if !r.Gone {
+		if !r.Deleted {
 			one(r)
 		}
 	}
@@ -172,7 +172,7 @@
 	note := func(c Change) {
 		r.sent, r.what = append(r.sent, 0), append(r.what, c)
 		if follows[c.Scope] {
-			all = append(all, distribution.Change{Record: distribution.Record{Scope: c.Scope, Key: c.Key, Version: uint64(1 + c.n), Gone: c.Gone, Body: []byte(c.Body)}})
+			all = append(all, distribution.Change{Record: distribution.Record{Scope: c.Scope, Key: c.Key, Version: uint64(1 + c.n), Deleted: c.Gone, Body: []byte(c.Body)}})
 		}
 	}
 	for range 5 {
@@ -213,12 +213,12 @@
 		},
 		"one comes back from the dead": {func(all []distribution.Change, f *fake) []distribution.Change {
 			old := last(all)
-			old.Gone, old.Version, old.Body = false, old.Version-1, []byte(`{"n":0}`)
+			old.Deleted, old.Version, old.Body = false, old.Version-1, []byte(`{"n":0}`)
 			return append(all, old)
 		}, func(a *Act) bool { return a.Revived == 1 && a.Wrong == 1 }},
 		"one that is there is taken away": {func(all []distribution.Change, f *fake) []distribution.Change {
 			c := all[0]
-			c.Gone, c.Version, c.Body = true, 1e6, nil
+			c.Deleted, c.Version, c.Body = true, 1e6, nil
 			back := all[0]
 			back.Version = 1e6 + 1
 			return append(append(all[1:], c), back)
@@ -230,7 +230,7 @@
 		}, func(a *Act) bool { return a.Wrong == 1 && a.Missing == 1 && strings.Contains(a.Example, "and it is") }},
 		"one too few": {func(all []distribution.Change, f *fake) []distribution.Change {
 			for k, r := range f.records {
-				if r.Class != distribution.Configuration && strings.HasPrefix(k.scope, "r00/") && r.Version == 1 {
+				if r.Class != distribution.ClassConfiguration && strings.HasPrefix(k.scope, "r00/") && r.Version == 1 {
 					keep := true
 					for _, c := range all {
 						keep = keep && (c.Scope != k.scope || c.Key != k.key)
--- a/internal/lab/distsim/judge.go
+++ b/internal/lab/distsim/judge.go
@@ -152,7 +152,7 @@
 	have, scope, mine := 0, "", false
 	var in map[string]*held
 	h.sub.Each(func(c distribution.Record) {
-		if c.Gone {
+		if c.Deleted {
 			return
 		}
 		have++
--- a/internal/lab/distsim/nodes.go
+++ b/internal/lab/distsim/nodes.go
@@ -57,7 +57,7 @@
 // subscriber is what a node holds; *distribution.Subscriber but where a test has one that fails.
 type subscriber interface {
 	Hello() []byte
-	Take(now int64, frame []byte) ([]distribution.Change, error)
+	Receive(now int64, frame []byte) ([]distribution.Change, error)
 	Complete() bool
 	Each(func(distribution.Record))
 }
@@ -119,7 +119,7 @@
 		panic(err) // a size that Check lets through makes no such selectors
 	}
 	if h.run.size.Share {
-		sub.Share(distribution.Intern{Text: h.run.text, Body: h.run.body})
+		sub.SetInterner(distribution.Interner{Text: h.run.text, Body: h.run.body})
 	}
 	h.sub, h.whole, h.gone = sub, 0, map[dead]uint64{}
 	h.mu.Unlock()
@@ -205,7 +205,7 @@
 func (h *hollow) Take(now int64, frame []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	changes, err := h.sub.Take(now, frame)
+	changes, err := h.sub.Receive(now, frame)
 	if err != nil {
 		h.spoilt++
 	}
@@ -223,7 +223,7 @@
 // note enters one change; the lock is held.
 func (h *hollow) note(now int64, c distribution.Change) {
 	is := dead{c.Scope, c.Key}
-	if c.Gone {
+	if c.Deleted {
 		h.gone[is] = c.Version
 		h.ended = append(h.ended, end{is, int32(now / 1000)})
 		return
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -27,7 +27,7 @@
 
 const longestOrder = 16 << 20
 
-var classes = map[string]distribution.Class{withdrawal: distribution.Withdrawal, endpoint: distribution.Endpoint, configuration: distribution.Configuration}
+var classes = map[string]distribution.Class{withdrawal: distribution.ClassWithdrawal, endpoint: distribution.ClassEndpoint, configuration: distribution.ClassConfiguration}
 
 // Origin is that process: the first line in is a Size, every other a list of changes. It ends with its input.
 func Origin(ctx context.Context, in io.Reader, out io.Writer) error {
--- a/internal/lab/scale/distribution.go
+++ b/internal/lab/scale/distribution.go
@@ -26,23 +26,23 @@
 
 // endpointOf serves on even turns and drains on odd ones; its body is discovery's own form.
 func endpointOf(i, turn int) distribution.Record {
-	r := distribution.Record{Scope: scopeOf(i), Key: fmt.Sprintf("endpoint/srv-%06d.eu1", i), Class: distribution.Endpoint}
+	r := distribution.Record{Scope: scopeOf(i), Key: fmt.Sprintf("endpoint/srv-%06d.eu1", i), Class: distribution.ClassEndpoint}
 	if r.Body = entryText(nil, i, "up", int64(turn)); turn%2 == 1 {
-		r.Class, r.Body = distribution.Withdrawal, entryText(nil, i, "draining", int64(turn))
+		r.Class, r.Body = distribution.ClassWithdrawal, entryText(nil, i, "draining", int64(turn))
 	}
 	return r
 }
 
 // routeOf and tenantOf are configuration of the length that such has; nothing reads them yet.
 func routeOf(i, turn int) distribution.Record {
-	return distribution.Record{Scope: scopeOf(i), Key: fmt.Sprintf("route/%06d", i), Class: distribution.Configuration, Body: fmt.Appendf(nil,
+	return distribution.Record{Scope: scopeOf(i), Key: fmt.Sprintf("route/%06d", i), Class: distribution.ClassConfiguration, Body: fmt.Appendf(nil,
 		`{"route":"r-%06d","host":"www-%06d.example","path":"/v1/orders/%06d/","service":"s%04d","class":"view","repeat":"safe","deadline_ms":2000,"objective_ms":400,"tries":3,"turn":%d}`,
 		i, i%20000, i, i%5000, turn)}
 }
 
 func tenantOf(i, turn int) distribution.Record {
 	return distribution.Record{
-		Scope: fmt.Sprintf("r%d/tenants", i%regions), Key: fmt.Sprintf("tenant/%06d", i), Class: distribution.Configuration,
+		Scope: fmt.Sprintf("r%d/tenants", i%regions), Key: fmt.Sprintf("tenant/%06d", i), Class: distribution.ClassConfiguration,
 		Body: fmt.Appendf(nil, `{"tenant":"t-%06d","portion":0.000001,"turn":%d}`, i, turn),
 	}
 }
@@ -134,11 +134,11 @@
 			if err := r.Follow(everything()); err != nil {
 				return v, "", err
 			}
-			up, err := o.Relay().Attach(now, r.Upstream(now), 0)
+			up, err := o.Relay().Attach(now, r.UpstreamHello(now), 0)
 			if err != nil {
 				return v, "", err
 			}
-			v["relaytake"] = spent(func() { _, v["wire"], err = pump(now, o.Relay(), up, r.Take) })
+			v["relaytake"] = spent(func() { _, v["wire"], err = pump(now, o.Relay(), up, r.Receive) })
 			if err != nil {
 				return v, "", err
 			}
@@ -148,7 +148,7 @@
 			if err != nil {
 				return v, "", err
 			}
-			take := func(now int64, frame []byte) error { _, err := s.Take(now, frame); return err }
+			take := func(now int64, frame []byte) error { _, err := s.Receive(now, frame); return err }
 			down, err := r.Attach(now, s.Hello(), 0)
 			if err != nil {
 				return v, "", err
@@ -170,7 +170,7 @@
 					_, err = o.Put(now, one.Scope, one.Key, one.Class, one.Body)
 				}
 				if err == nil {
-					_, _, err = pump(now, o.Relay(), up, r.Take)
+					_, _, err = pump(now, o.Relay(), up, r.Receive)
 				}
 				if err == nil {
 					_, bytes, err = pump(now, r, down, take)
@@ -265,7 +265,7 @@
 		for i, s := range subs {
 			for _, frame := range sent[i] {
 				if err == nil {
-					_, err = s.Take(now, frame)
+					_, err = s.Receive(now, frame)
 				}
 			}
 			sent[i] = nil
@@ -312,7 +312,7 @@
 	const beats = 5
 	relay, node, wire := 0.0, 0.0, 0.0
 	for range beats {
-		now += distribution.Heartbeat
+		now += distribution.HeartbeatNs
 		relay += spent(func() { wire += toAll() })
 		node += spent(takeAll)
 	}
@@ -336,7 +336,7 @@
 	v["resume"] = spent(func() { attach(hellos); v["resumewire"] = toAll() })
 	takeAll()
 	for i, s := range subs {
-		if err == nil && s.Stats().Anew+s.Stats().Swept > 0 {
+		if err == nil && s.Stats().Snapshots+s.Stats().Swept > 0 {
 			err = fmt.Errorf("subscriber %d was sent its scopes anew", i)
 		}
 	}
--- a/internal/lab/scale/inforce.go
+++ b/internal/lab/scale/inforce.go
@@ -124,8 +124,8 @@
 	if err := b.relay.Follow(everything()); err != nil {
 		t.fail(err)
 	}
-	t.attach(on, b.relay.Upstream(t.now), 0, farWay, func(frame []byte) {
-		if err := b.relay.Take(t.now, frame); err != nil {
+	t.attach(on, b.relay.UpstreamHello(t.now), 0, farWay, func(frame []byte) {
+		if err := b.relay.Receive(t.now, frame); err != nil {
 			t.fail(err)
 		}
 		t.ready(b)
@@ -166,7 +166,7 @@
 	if _, err := t.origin.Replace(t.now, "endpoint", records(endpoints, endpointOf)); err != nil {
 		return nil, err
 	}
-	if _, err := t.origin.Put(t.now, "all/settings", "route/0", distribution.Configuration, []byte("0")); err != nil {
+	if _, err := t.origin.Put(t.now, "all/settings", "route/0", distribution.ClassConfiguration, []byte("0")); err != nil {
 		return nil, err
 	}
 	top := &branch{relay: t.origin.Relay(), below: map[int]*below{}}
@@ -179,7 +179,7 @@
 	}
 	whole := func() bool {
 		for _, b := range t.relays {
-			if !b.relay.Whole() {
+			if !b.relay.Complete() {
 				return false
 			}
 		}
@@ -196,7 +196,7 @@
 		}
 		t.leaves = append(t.leaves, l)
 		t.attach(t.relays[1+firstLevel+i%secondLevel], l.sub.Hello(), pace, nearWay, func(frame []byte) {
-			changes, err := l.sub.Take(t.now, frame)
+			changes, err := l.sub.Receive(t.now, frame)
 			if err != nil {
 				t.fail(err)
 			}
@@ -291,7 +291,7 @@
 			for _, l := range t.leaves {
 				l.changed = 0
 			}
-			if _, err := t.origin.Put(t.now, "all/settings", "route/0", distribution.Configuration, []byte("1")); err != nil {
+			if _, err := t.origin.Put(t.now, "all/settings", "route/0", distribution.ClassConfiguration, []byte("1")); err != nil {
 				return v, "", err
 			}
 			t.ready(t.relays[0])
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -51,9 +51,9 @@
 			o.Remove(now, testScope, relay.EndpointKey(name))
 			return
 		}
-		class := distribution.Endpoint
+		class := distribution.ClassEndpoint
 		if health == "draining" {
-			class = distribution.Withdrawal
+			class = distribution.ClassWithdrawal
 		}
 		o.Put(now, testScope, relay.EndpointKey(name), class, []byte(listEntry(name, dial, health)))
 	})
@@ -61,7 +61,7 @@
 
 func heardList(s *relay.Server, o *distribution.Origin, seq int, stands bool) {
 	s.Do(func(now int64) {
-		o.Put(now, relay.ScopeOrigin, relay.KeyList, distribution.Configuration, fmt.Appendf(nil, `{"seq":%d,"stands":%t}`, seq, stands))
+		o.Put(now, relay.ScopeOrigin, relay.KeyList, distribution.ClassConfiguration, fmt.Appendf(nil, `{"seq":%d,"stands":%t}`, seq, stands))
 	})
 }
 
@@ -161,8 +161,8 @@
 	}
 	// A spoilt record, and one that nobody knows, take nothing with them.
 	s.Do(func(now int64) {
-		o.Put(now, testScope, relay.EndpointKey("b"), distribution.Endpoint, []byte(`{"host":"b","dial":"nowhere","health":"up"}`))
-		o.Put(now, testScope, "moon/phase", distribution.Configuration, []byte("full"))
+		o.Put(now, testScope, relay.EndpointKey("b"), distribution.ClassEndpoint, []byte(`{"host":"b","dial":"nowhere","health":"up"}`))
+		o.Put(now, testScope, "moon/phase", distribution.ClassConfiguration, []byte("full"))
 	})
 	heardList(s, o, 10, true)
 	soon(t, "the spoilt record", func() bool { return n.count(listEntriesSkipped) == 1 && relaySeq(t, n) == 10 })
@@ -267,7 +267,7 @@
 	discovery, _, _ := discoveryTelling(t, func(int64) string { return listText(3, true, listEntry("a", a, "up")) })
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	first, s, _ := serveOrigin(t, o)
-	s.Do(func(now int64) { o.Put(now, testScope, "route/x", distribution.Configuration, []byte("1")) })
+	s.Do(func(now int64) { o.Put(now, testScope, "route/x", distribution.ClassConfiguration, []byte("1")) })
 	n := nodeWith(t, withRelays(discovery, first))
 	soon(t, "ready", func() bool { return n.notReady() == "" })
 	if v := relayView(t, n); v.By != "discovery" || !v.Whole {
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -54,7 +54,7 @@
 }
 
 const (
-	usualMaxFrame      = distribution.MaxFrame
+	usualMaxFrame      = distribution.MaxFrameBytes
 	usualConnectWithin = 700 * time.Millisecond
 	usualSilence       = 2500 * time.Millisecond
 	usualFrameWithin   = 5 * time.Second
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -121,8 +121,8 @@
 	}
 	c.Must(len(f.Scopes) <= mostScopes, "scopes", fmt.Sprintf("%d at most", mostScopes), len(f.Scopes))
 	for i, s := range f.Scopes {
-		c.Must(s != "" && len(s) <= distribution.MaxName && !strings.Contains(strings.TrimSuffix(s, "*"), "*"), fmt.Sprintf("scopes.%d", i),
-			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", distribution.MaxName), fmt.Sprintf("%q", s))
+		c.Must(s != "" && len(s) <= distribution.MaxNameBytes && !strings.Contains(strings.TrimSuffix(s, "*"), "*"), fmt.Sprintf("scopes.%d", i),
+			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", distribution.MaxNameBytes), fmt.Sprintf("%q", s))
 	}
 }
 
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -22,7 +22,7 @@
 
 const (
 	recordsSuffix = ".jsonl"
-	longestRecord = 4 * distribution.MaxBody // bytes of a line: names and JSON's own marks come to the body
+	longestRecord = 4 * distribution.MaxBodyBytes // bytes of a line: names and JSON's own marks come to the body
 	mostFiles     = 100_000
 	// kindConfiguration is what the origin waits for before it claims to be whole; no record's key begins with it.
 	kindConfiguration = "configuration"
@@ -106,7 +106,7 @@
 	}
 	for n := range f.records {
 		if _, stays := now[n]; !stays {
-			changes = append(changes, change{distribution.Record{Scope: n.scope, Key: n.key, Gone: true}})
+			changes = append(changes, change{distribution.Record{Scope: n.scope, Key: n.key, Deleted: true}})
 			delete(d.owner, n)
 		}
 	}
@@ -220,16 +220,16 @@
 	if _, err := decode.Token(); err != io.EOF {
 		return r, errors.New("one object a line, found more")
 	}
-	if in.Scope == "" || len(in.Scope) > distribution.MaxName || strings.Contains(in.Scope, "*") {
-		return r, fmt.Errorf("scope: 1 to %d bytes without a star, found %.80q", distribution.MaxName, in.Scope)
+	if in.Scope == "" || len(in.Scope) > distribution.MaxNameBytes || strings.Contains(in.Scope, "*") {
+		return r, fmt.Errorf("scope: 1 to %d bytes without a star, found %.80q", distribution.MaxNameBytes, in.Scope)
 	}
 	if in.Scope == ScopeOrigin {
 		return r, fmt.Errorf("scope: another than %q, which is the origin's own", ScopeOrigin)
 	}
 	kind, rest, _ := strings.Cut(in.Key, "/")
-	if kind == "" || rest == "" || len(in.Key) > distribution.MaxName || kind == KindEndpoint || kind == kindConfiguration {
+	if kind == "" || rest == "" || len(in.Key) > distribution.MaxNameBytes || kind == KindEndpoint || kind == kindConfiguration {
 		return r, fmt.Errorf("key: a kind, a slash and a name, such as route/checkout, up to %d bytes, and another kind than endpoint and configuration, found %.80q",
-			distribution.MaxName, in.Key)
+			distribution.MaxNameBytes, in.Key)
 	}
 	var body bytes.Buffer
 	if len(in.Body) == 0 {
@@ -238,8 +238,8 @@
 	if err := json.Compact(&body, in.Body); err != nil {
 		return r, err
 	}
-	if body.Len() > distribution.MaxBody {
-		return r, fmt.Errorf("body: at most %d bytes, found %d", distribution.MaxBody, body.Len())
+	if body.Len() > distribution.MaxBodyBytes {
+		return r, fmt.Errorf("body: at most %d bytes, found %d", distribution.MaxBodyBytes, body.Len())
 	}
-	return distribution.Record{Scope: in.Scope, Key: in.Key, Class: distribution.Configuration, Body: body.Bytes()}, nil
+	return distribution.Record{Scope: in.Scope, Key: in.Key, Class: distribution.ClassConfiguration, Body: body.Bytes()}, nil
 }
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -53,20 +53,20 @@
 
 // record is a host's record. One that goes needs no scope of its own.
 func (e *endpoints) record(in endpointlist.Entry) (distribution.Record, error) {
-	r := distribution.Record{Key: EndpointKey(in.Name), Class: distribution.Endpoint}
+	r := distribution.Record{Key: EndpointKey(in.Name), Class: distribution.ClassEndpoint}
 	switch in.State {
 	case healthUp:
 	case healthDraining:
-		r.Class = distribution.Withdrawal
+		r.Class = distribution.ClassWithdrawal
 	case healthRemoved:
-		r.Gone = true
+		r.Deleted = true
 	default:
 		return r, fmt.Errorf("health: expected up, draining or removed, got %q", in.State)
 	}
-	if in.Name == "" || len(r.Key) > distribution.MaxName {
-		return r, fmt.Errorf("host: expected a name of up to %d bytes, got %d", distribution.MaxName-len(KindEndpoint)-1, len(in.Name))
+	if in.Name == "" || len(r.Key) > distribution.MaxNameBytes {
+		return r, fmt.Errorf("host: expected a name of up to %d bytes, got %d", distribution.MaxNameBytes-len(KindEndpoint)-1, len(in.Name))
 	}
-	if r.Gone {
+	if r.Deleted {
 		return r, nil
 	}
 	if r.Scope = e.scope.of(in.Name, in.Zone); r.Scope == "" {
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, r := range told {
-		if delete(hosts, r.Key); !r.Gone {
+		if delete(hosts, r.Key); !r.Deleted {
 			hosts[r.Key] = r
 		}
 	}
@@ -109,11 +109,11 @@
 
 func (e *endpoints) put(now int64, o *distribution.Origin, r distribution.Record) error {
 	had, held := e.hosts[r.Key]
-	if held && (r.Gone || had.Scope != r.Scope) {
+	if held && (r.Deleted || had.Scope != r.Scope) {
 		o.Remove(now, had.Scope, had.Key)
 		delete(e.hosts, r.Key)
 	}
-	if r.Gone {
+	if r.Deleted {
 		return nil
 	}
 	if _, err := o.Put(now, r.Scope, r.Key, r.Class, r.Body); err != nil {
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -102,10 +102,10 @@
 	var err error
 	spoilt, last := int64(0), ""
 	f.Look(func(core *distribution.Subscriber) {
-		changes, err = core.Take(now, frame)
+		changes, err = core.Receive(now, frame)
 		stats := core.Stats()
-		spoilt, last = stats.Spoilt-f.spoilt, stats.LastSpoilt
-		f.spoilt = stats.Spoilt
+		spoilt, last = stats.InvalidRecords-f.spoilt, stats.LastInvalid
+		f.spoilt = stats.InvalidRecords
 		f.coming.look(now, &stats)
 	})
 	if spoilt > 0 {
@@ -144,7 +144,7 @@
 func (u *upstream) Hello(int64) (hello []byte) {
 	u.server.Do(func(now int64) {
 		u.coming.begin(now)
-		hello = u.core.Upstream(now)
+		hello = u.core.UpstreamHello(now)
 	})
 	return hello
 }
@@ -152,13 +152,13 @@
 func (u *upstream) Take(_ int64, frame []byte) (err error) {
 	var stats distribution.Stats
 	u.server.Do(func(now int64) {
-		err = u.core.Take(now, frame)
+		err = u.core.Receive(now, frame)
 		stats = u.core.Stats()
 		u.coming.look(now, &stats)
 	})
-	if n := stats.Spoilt - u.spoilt; n > 0 {
-		u.spoilt = stats.Spoilt
-		u.told.warn(u.server.log, "spoilt", "records passed over", zap.Int64("records", n), zap.String("last", stats.LastSpoilt))
+	if n := stats.InvalidRecords - u.spoilt; n > 0 {
+		u.spoilt = stats.InvalidRecords
+		u.told.warn(u.server.log, "spoilt", "records passed over", zap.Int64("records", n), zap.String("last", stats.LastInvalid))
 	}
 	return err
 }
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -32,7 +32,7 @@
 // somebody else's. Those that make no sense are passed over, and the error names the last of them.
 func (h *Hosts) Take(changes []distribution.Change) (told []endpointlist.Entry, passed int, err error) {
 	for _, c := range changes {
-		if c.Scope == ScopeOrigin && c.Key == KeyList && !c.Gone {
+		if c.Scope == ScopeOrigin && c.Key == KeyList && !c.Deleted {
 			var list List
 			if wrong := json.Unmarshal(c.Body, &list); wrong != nil || list.Version <= 0 {
 				passed, err = passed+1, fmt.Errorf("scope %q, key %q: expected a version of the list, found %.80q", c.Scope, c.Key, c.Body)
@@ -47,7 +47,7 @@
 		}
 		all := h.of[host]
 		at := slices.IndexFunc(all, func(s scoped) bool { return s.scope == c.Scope })
-		if c.Gone {
+		if c.Deleted {
 			if at < 0 {
 				continue
 			}
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -148,7 +148,7 @@
 		is := List{p.watch.had.Load(), stands.look(now, p.watch.word.Load())}
 		if is.Version > 0 && (is.Stands != told.Stands || is != told && now-at >= tellEveryList) {
 			p.server.Do(func(now int64) {
-				_, err := p.origin.Put(now, ScopeOrigin, KeyList, distribution.Configuration, is.body())
+				_, err := p.origin.Put(now, ScopeOrigin, KeyList, distribution.ClassConfiguration, is.body())
 				p.complain(err)
 			})
 			told, at = is, now
@@ -188,7 +188,7 @@
 		rest = rest[len(slice):]
 		p.server.Do(func(now int64) {
 			for _, c := range slice {
-				if r := c.record; r.Gone {
+				if r := c.record; r.Deleted {
 					p.origin.Remove(now, r.Scope, r.Key)
 				} else if _, err := p.origin.Put(now, r.Scope, r.Key, r.Class, r.Body); err != nil {
 					p.complain(err)
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -221,7 +221,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.changes {
-		if c.Gone {
+		if c.Deleted {
 			n++
 		}
 	}
@@ -274,7 +274,7 @@
 	h.wait(t, "after a move", "eu1/cart endpoint/h1", "eu1/cart route/y")
 	h.Look(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
-			if r.Key == "endpoint/h1" && (r.Class != distribution.Withdrawal || !strings.Contains(string(r.Body), `"health":"draining"`)) {
+			if r.Key == "endpoint/h1" && (r.Class != distribution.ClassWithdrawal || !strings.Contains(string(r.Body), `"health":"draining"`)) {
 				t.Errorf("a draining host came as %+v %s", r, r.Body)
 			}
 		})
@@ -426,7 +426,7 @@
 		drains := 0
 		h.Look(func(s *distribution.Subscriber) {
 			s.Each(func(r distribution.Record) {
-				if r.Class == distribution.Withdrawal {
+				if r.Class == distribution.ClassWithdrawal {
 					drains++
 				}
 			})
@@ -475,8 +475,8 @@
 // An origin whose clock went back, without a file that keeps the epoch, is not believed; one with it is.
 func TestAnOriginWhoseClockWentBack(t *testing.T) {
 	newer, older := distribution.NewOrigin(2000, distribution.Limits{}), distribution.NewOrigin(1000, distribution.Limits{})
-	newer.Put(0, "eu1/cart", "route/x", distribution.Configuration, []byte("new"))
-	older.Put(0, "eu1/cart", "route/x", distribution.Configuration, []byte("old"))
+	newer.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte("new"))
+	older.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte("old"))
 	serve := func(o *distribution.Origin) (string, *Server) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -512,7 +512,7 @@
 		found := []string{}
 		for _, c := range changes {
 			sign := "+"
-			if c.record.Gone {
+			if c.record.Deleted {
 				sign = "-"
 			}
 			found = append(found, sign+c.record.Key+string(c.record.Body))
@@ -532,7 +532,7 @@
 	for i, bad := range []string{
 		`{"scope":"s","key":"route/1"`, `[]`, `{"scope":"","key":"route/1","body":1}`, `{"scope":"s","key":"endpoint/1","body":1}`,
 		`{"scope":"s","key":"route/1","body":1,"extra":2}`, `{"scope":"s","key":"route/1","body":1} {}`, `{"scope":"s","key":"route/1"}`,
-		`{"scope":"s","key":"route","body":1}`, `{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBody) + `"}`,
+		`{"scope":"s","key":"route","body":1}`, `{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBodyBytes) + `"}`,
 		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`, strings.Repeat("x", longestRecord+1),
 	} {
 		put(t, dir, "a.jsonl", bad)
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -43,7 +43,7 @@
 const (
 	usualConnections = 1024
 	usualHellos      = 512
-	usualHelloSize   = distribution.MaxHello
+	usualHelloSize   = distribution.MaxHelloBytes
 	usualHelloWithin = 3 * time.Second
 	usualWriteWithin = 5 * time.Second
 	longestIdle      = time.Second // a writer looks again so often, whatever the feed said
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -212,7 +212,7 @@
 	var v Status
 	f.follower.Look(func(s *distribution.Subscriber) {
 		stats := s.Stats()
-		v.Complete, v.Records, v.SkippedRecords = s.Complete(), stats.Records, stats.Spoilt
+		v.Complete, v.Records, v.SkippedRecords = s.Complete(), stats.Records, stats.InvalidRecords
 		at := s.Position(relay.ScopeOrigin)
 		v.Position = [2]uint64{at.Epoch, at.Through}
 		v.AgeSeconds = -1
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -77,8 +77,8 @@
 	go s.Serve(l)
 	t.Cleanup(func() { l.Close(); s.Close(context.Background()) })
 	s.Do(func(now int64) {
-		o.Put(now, "eu1/cart", "endpoint/good", distribution.Endpoint, endpoint("good"))
-		o.Put(now, relay.ScopeOrigin, relay.KeyList, distribution.Configuration, []byte(`{"seq":3,"stands":true}`))
+		o.Put(now, "eu1/cart", "endpoint/good", distribution.ClassEndpoint, endpoint("good"))
+		o.Put(now, relay.ScopeOrigin, relay.KeyList, distribution.ClassConfiguration, []byte(`{"seq":3,"stands":true}`))
 	})
 	n := &node{told: map[string]string{}}
 	var passed atomic.Int64
@@ -105,8 +105,8 @@
 	go f.Run(ctx)
 	soon(t, "the list by relays", func() bool { return n.has("good") == "by relays" })
 	s.Do(func(now int64) {
-		o.Put(now, "eu1/cart", "endpoint/spoilt", distribution.Endpoint, endpoint("spoilt"))
-		o.Put(now, "eu1/cart", "endpoint/another", distribution.Endpoint, endpoint("another"))
+		o.Put(now, "eu1/cart", "endpoint/spoilt", distribution.ClassEndpoint, endpoint("spoilt"))
+		o.Put(now, "eu1/cart", "endpoint/another", distribution.ClassEndpoint, endpoint("another"))
 	})
 	soon(t, "the one beside the spoilt one", func() bool { return n.has("another") == "by relays" })
 	n.mu.Lock()
@@ -114,7 +114,7 @@
 		t.Errorf("%q told, %d passed over; expected two and one", n.told, passed.Load())
 	}
 	n.mu.Unlock()
-	s.Do(func(now int64) { o.Put(now, "eu1/cart", "endpoint/bad", distribution.Endpoint, endpoint("bad")) })
+	s.Do(func(now int64) { o.Put(now, "eu1/cart", "endpoint/bad", distribution.ClassEndpoint, endpoint("bad")) })
 	soon(t, "the panic", func() bool { return n.panics.Load() > 0 })
 	soon(t, "a watch of discovery", n.watch.Load)
 	f.UpdateDiscovery([]entry{{name: "good", by: "by discovery"}}, 4, true)
@@ -130,7 +130,7 @@
 // A host that two scopes have stays until neither has it, in whatever order that is told.
 func TestAHostInTwoScopes(t *testing.T) {
 	put := func(scope, host string, gone bool) distribution.Change {
-		return distribution.Change{Record: distribution.Record{Scope: scope, Key: relay.EndpointKey(host), Gone: gone, Body: endpoint(host)}}
+		return distribution.Change{Record: distribution.Record{Scope: scope, Key: relay.EndpointKey(host), Deleted: gone, Body: endpoint(host)}}
 	}
 	h := relay.NewHosts()
 	for i, step := range []struct {
