--- a/cmd/fawnglade/relay_test.go
+++ b/cmd/fawnglade/relay_test.go
@@ -75,8 +75,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := relay.NewFollower(core, []string{"all/tenants"}, nil, zap.NewNop())
-	client := relay.NewClient(relay.ClientSettings{Name: "n", Upstreams: []string{first, second}}, f, zap.NewNop())
+	f := relay.NewSubscriberSink(core, []string{"all/tenants"}, nil, zap.NewNop())
+	client := relay.NewClient(relay.ClientConfig{Name: "n", Upstreams: []string{first, second}}, f, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go client.Run(ctx)
@@ -87,7 +87,7 @@
 			if time.Since(began) > within {
 				t.Fatalf("%q after %v, expected %d", found, within, n)
 			}
-			f.Look(func(s *distribution.Subscriber) { s.Each(func(r distribution.Record) { found = string(r.Body) }) })
+			f.Inspect(func(s *distribution.Subscriber) { s.Each(func(r distribution.Record) { found = string(r.Body) }) })
 		}
 	}
 	told(1, 10*time.Second)
--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -184,7 +184,7 @@
 		}
 	}
 	f.next = spoil(all, f)
-	if err := h.Take(1000, nil); err != nil {
+	if err := h.Receive(1000, nil); err != nil {
 		t.Fatal(err)
 	}
 	a := &Act{}
--- a/internal/lab/distsim/nodes.go
+++ b/internal/lab/distsim/nodes.go
@@ -132,11 +132,11 @@
 	h.before = h.stats()
 	h.cancel, h.done = cancel, make(chan struct{})
 	dialer := &net.Dialer{KeepAlive: -1}
-	h.client = relay.NewClient(relay.ClientSettings{
-		Name:      "h" + serviceName(h.index),
-		Upstreams: h.run.lower(h.index),
-		Spread:    true,
-		Clock:     h.run.now,
+	h.client = relay.NewClient(relay.ClientConfig{
+		Name:         "h" + serviceName(h.index),
+		Upstreams:    h.run.lower(h.index),
+		SpreadByName: true,
+		Clock:        h.run.now,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			c, err := dialer.DialContext(ctx, "tcp", address)
 			if err != nil {
@@ -161,11 +161,11 @@
 
 func add(a, b relay.ClientStats) relay.ClientStats {
 	a.Connects += b.Connects
-	a.Returned += b.Returned
+	a.Failbacks += b.Failbacks
 	a.Silent += b.Silent
 	a.Closed += b.Closed
-	a.Behind += b.Behind
-	a.Spoilt += b.Spoilt + b.TooLong
+	a.Lagging += b.Lagging
+	a.Invalid += b.Invalid + b.Oversized
 	return a
 }
 
@@ -195,14 +195,14 @@
 	return n, err
 }
 
-// Hello, Take and Behind are what the client asks of whom it feeds.
+// Hello, Receive and LagNs make it a relay.Sink.
 func (h *hollow) Hello(now int64) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.sub.Hello()
 }
 
-func (h *hollow) Take(now int64, frame []byte) error {
+func (h *hollow) Receive(now int64, frame []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	changes, err := h.sub.Receive(now, frame)
@@ -218,7 +218,7 @@
 	return err
 }
 
-func (h *hollow) Behind(now int64) int64 { return 0 }
+func (h *hollow) LagNs(now int64) int64 { return 0 }
 
 // note enters one change; the lock is held.
 func (h *hollow) note(now int64, c distribution.Change) {
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	defer l.Close()
-	server := relay.NewServer(origin.Relay(), relay.ServerSettings{Clock: clock}, zap.NewNop())
+	server := relay.NewServer(origin.Relay(), relay.ServerConfig{Clock: clock}, zap.NewNop())
 	go server.Serve(l)
 	defer func() {
 		end, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/internal/lab/distsim/run.go
+++ b/internal/lab/distsim/run.go
@@ -180,8 +180,8 @@
 		return err
 	}
 	then := r.clients()
-	a.Connects, a.Returned = int(then.Connects-clients.Connects), int(then.Returned-clients.Returned)
-	a.Left = Left{int(then.Silent - clients.Silent), int(then.Closed - clients.Closed), int(then.Behind - clients.Behind), int(then.Spoilt - clients.Spoilt)}
+	a.Connects, a.Returned = int(then.Connects-clients.Connects), int(then.Failbacks-clients.Failbacks)
+	a.Left = Left{int(then.Silent - clients.Silent), int(then.Closed - clients.Closed), int(then.Lagging - clients.Lagging), int(then.Invalid - clients.Invalid)}
 	r.traffic(a, bytes-before.bytes)
 	r.harvest(a, first)
 	r.out.Acts = append(r.out.Acts, a)
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s = relay.NewServer(o.Relay(), relay.ServerSettings{}, zap.NewNop())
+	s = relay.NewServer(o.Relay(), relay.ServerConfig{}, zap.NewNop())
 	go s.Serve(l)
 	stop = func() {
 		l.Close()
@@ -61,7 +61,7 @@
 
 func heardList(s *relay.Server, o *distribution.Origin, seq int, stands bool) {
 	s.Do(func(now int64) {
-		o.Put(now, relay.ScopeOrigin, relay.KeyList, distribution.ClassConfiguration, fmt.Appendf(nil, `{"seq":%d,"stands":%t}`, seq, stands))
+		o.Put(now, relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, fmt.Appendf(nil, `{"seq":%d,"stands":%t}`, seq, stands))
 	})
 }
 
@@ -233,7 +233,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s = relay.NewServer(again.Relay(), relay.ServerSettings{}, zap.NewNop())
+	s = relay.NewServer(again.Relay(), relay.ServerConfig{}, zap.NewNop())
 	t.Cleanup(func() { s.Close(context.Background()) })
 	endpoint(s, again, "a", a, "up")
 	heardList(s, again, 25, true)
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -14,13 +14,13 @@
 
 // Config of one process, checked.
 type Config struct {
-	Name     string   `toml:"name"`
-	Role     string   `toml:"role"`     // origin or relay
-	Listen   string   `toml:"listen"`   // address and port; port 0: one that is free
-	Upstream []string `toml:"upstream"` // of a relay, the first choice first
-	Scopes   []string `toml:"scopes"`   // of a relay: region/service; a star at the end stands for all that begin so; none: all
-	Pace     int      `toml:"pace"`     // bytes a second and subscriber; 0: no bound
-	Limits   struct {
+	Name           string   `toml:"name"`
+	Role           string   `toml:"role"`     // origin or relay
+	Listen         string   `toml:"listen"`   // address and port; port 0: one that is free
+	Upstream       []string `toml:"upstream"` // of a relay, the first choice first
+	Scopes         []string `toml:"scopes"`   // of a relay: region/service; a star at the end stands for all that begin so; none: all
+	BytesPerSecond int      `toml:"pace"`     // bytes a second and subscriber; 0: no bound
+	Limits         struct {
 		Records     int `toml:"records"`
 		Bytes       int `toml:"bytes"` // of names, keys and bodies
 		Subscribers int `toml:"subscribers"`
@@ -30,17 +30,17 @@
 
 // OriginConfig is where an origin's truth comes from.
 type OriginConfig struct {
-	Discovery     string `toml:"discovery"`     // address and port; empty: no endpoints
-	Configuration string `toml:"configuration"` // directory; empty: no configuration
-	Every         string `toml:"every"`         // how often the directory is looked at
-	State         string `toml:"state"`         // file that keeps the epoch, so that it grows though the machine's clock goes back
-	Scope         Scope  `toml:"scope"`
+	Discovery     string    `toml:"discovery"`     // address and port; empty: no endpoints
+	Configuration string    `toml:"configuration"` // directory; empty: no configuration
+	PollInterval  string    `toml:"every"`         // how often the directory is looked at
+	State         string    `toml:"state"`         // file that keeps the epoch, so that it grows though the machine's clock goes back
+	ScopeRule     ScopeRule `toml:"scope"`
 
-	EveryNs int64 `toml:"-"`
+	PollIntervalNs int64 `toml:"-"`
 }
 
 // Scope is how a host is put into a scope, region/service.
-type Scope struct {
+type ScopeRule struct {
 	Service     string              `toml:"service"`      // that all hosts serve
 	ServiceFrom string              `toml:"service_from"` // "host": what is before the last dash of the host's name
 	Region      string              `toml:"region"`       // of sites that no region names; empty: their hosts are passed over
@@ -54,14 +54,14 @@
 	roleRelay  = "relay"
 	fromHost   = "host"
 
-	page          = "docs/operate/relay.md"
-	usualEvery    = time.Second
-	leastEvery    = 50 * time.Millisecond
-	mostEvery     = time.Hour
-	leastPace     = 1024
-	mostUpstreams = 64
-	mostScopes    = 4096
-	longestName   = 255
+	configPage          = "docs/operate/relay.md"
+	defaultPollInterval = time.Second
+	minPollInterval     = 50 * time.Millisecond
+	maxPollInterval     = time.Hour
+	minBytesPerSecond   = 1024
+	maxUpstreams        = 64
+	maxScopes           = 4096
+	maxNameBytes        = 255
 )
 
 // ReadConfig reads and checks a file. All that is wrong is told at once.
@@ -76,7 +76,7 @@
 // ParseConfig checks a file's text.
 func ParseConfig(path string, text []byte) (*Config, error) {
 	f := &Config{}
-	c, err := tomlfile.Decode(path, text, f, page)
+	c, err := tomlfile.Decode(path, text, f, configPage)
 	if err != nil {
 		return nil, err
 	}
@@ -90,10 +90,10 @@
 }
 
 func (f *Config) check(c *tomlfile.Complaints) {
-	c.Must(f.Name != "" && len(f.Name) <= longestName, "name", fmt.Sprintf("a name of up to %d bytes", longestName), fmt.Sprintf("%q", f.Name))
+	c.Must(f.Name != "" && len(f.Name) <= maxNameBytes, "name", fmt.Sprintf("a name of up to %d bytes", maxNameBytes), fmt.Sprintf("%q", f.Name))
 	c.Must(f.Role == roleOrigin || f.Role == roleRelay, "role", "origin or relay", fmt.Sprintf("%q", f.Role))
 	address(c, "listen", f.Listen, true)
-	c.Must(f.Pace == 0 || f.Pace >= leastPace, "pace", fmt.Sprintf("0, or at least %d bytes a second", leastPace), f.Pace)
+	c.Must(f.BytesPerSecond == 0 || f.BytesPerSecond >= minBytesPerSecond, "pace", fmt.Sprintf("0, or at least %d bytes a second", minBytesPerSecond), f.BytesPerSecond)
 	for key, n := range map[string]int{"limits.records": f.Limits.Records, "limits.bytes": f.Limits.Bytes, "limits.subscribers": f.Limits.Subscribers} {
 		c.Must(n >= 0, key, "a number from 0, which stands for the default", n)
 	}
@@ -107,7 +107,7 @@
 		return
 	}
 	c.Must(f.Origin == nil, "origin", "none, as role is not origin", "a table")
-	c.Must(len(f.Upstream) >= 1 && len(f.Upstream) <= mostUpstreams, "upstream", fmt.Sprintf("1 to %d addresses and ports", mostUpstreams), len(f.Upstream))
+	c.Must(len(f.Upstream) >= 1 && len(f.Upstream) <= maxUpstreams, "upstream", fmt.Sprintf("1 to %d addresses and ports", maxUpstreams), len(f.Upstream))
 	seen := map[string]bool{}
 	for i, up := range f.Upstream {
 		key := fmt.Sprintf("upstream.%d", i)
@@ -119,7 +119,7 @@
 	if len(f.Scopes) == 0 {
 		f.Scopes = []string{"*"}
 	}
-	c.Must(len(f.Scopes) <= mostScopes, "scopes", fmt.Sprintf("%d at most", mostScopes), len(f.Scopes))
+	c.Must(len(f.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(f.Scopes))
 	for i, s := range f.Scopes {
 		c.Must(s != "" && len(s) <= distribution.MaxNameBytes && !strings.Contains(strings.TrimSuffix(s, "*"), "*"), fmt.Sprintf("scopes.%d", i),
 			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", distribution.MaxNameBytes), fmt.Sprintf("%q", s))
@@ -128,17 +128,17 @@
 
 func (o *OriginConfig) check(c *tomlfile.Complaints) {
 	c.Must(o.Discovery != "" || o.Configuration != "", "origin", "discovery, configuration or both", "neither")
-	every, err := usualEvery, error(nil)
-	if o.Every != "" {
-		every, err = time.ParseDuration(o.Every)
-		c.Must(err == nil && every >= leastEvery && every <= mostEvery, "origin.every", "a time from 50ms to 1h", fmt.Sprintf("%q", o.Every))
+	every, err := defaultPollInterval, error(nil)
+	if o.PollInterval != "" {
+		every, err = time.ParseDuration(o.PollInterval)
+		c.Must(err == nil && every >= minPollInterval && every <= maxPollInterval, "origin.every", "a time from 50ms to 1h", fmt.Sprintf("%q", o.PollInterval))
 	}
-	o.EveryNs = int64(every)
+	o.PollIntervalNs = int64(every)
 	if o.Discovery == "" {
 		return
 	}
 	address(c, "origin.discovery", o.Discovery, false)
-	s := &o.Scope
+	s := &o.ScopeRule
 	c.Must((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place", fmt.Sprintf("%q and %q", s.Service, s.ServiceFrom))
 	c.Must(s.ServiceFrom == "" || s.ServiceFrom == fromHost, "origin.scope.service_from", "host", fmt.Sprintf("%q", s.ServiceFrom))
 	c.Must(s.Region != "" || len(s.Regions) > 0, "origin.scope.region", "a region, or regions with their sites", "neither")
@@ -150,15 +150,15 @@
 		}
 	}
 	for key, name := range map[string]string{"service": s.Service, "region": s.Region} {
-		c.Must(len(name) <= longestName/2 && !strings.ContainsAny(name, "/*"), "origin.scope."+key, fmt.Sprintf("a name of up to %d bytes without / and *", longestName/2), fmt.Sprintf("%q", name))
+		c.Must(len(name) <= maxNameBytes/2 && !strings.ContainsAny(name, "/*"), "origin.scope."+key, fmt.Sprintf("a name of up to %d bytes without / and *", maxNameBytes/2), fmt.Sprintf("%q", name))
 	}
 	for region := range s.Regions {
-		c.Must(region != "" && len(region) <= longestName/2 && !strings.ContainsAny(region, "/*"), "origin.scope.regions", fmt.Sprintf("names of up to %d bytes without / and *", longestName/2), fmt.Sprintf("%q", region))
+		c.Must(region != "" && len(region) <= maxNameBytes/2 && !strings.ContainsAny(region, "/*"), "origin.scope.regions", fmt.Sprintf("names of up to %d bytes without / and *", maxNameBytes/2), fmt.Sprintf("%q", region))
 	}
 }
 
 // of is the scope of a host; empty: none.
-func (s *Scope) of(host, site string) string {
+func (s *ScopeRule) scopeOf(host, site string) string {
 	region, ok := s.sites[site]
 	if !ok {
 		region = s.Region
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -22,42 +22,42 @@
 
 const (
 	recordsSuffix = ".jsonl"
-	longestRecord = 4 * distribution.MaxBodyBytes // bytes of a line: names and JSON's own marks come to the body
-	mostFiles     = 100_000
+	maxLineBytes  = 4 * distribution.MaxBodyBytes // bytes of a line: names and JSON's own marks come to the body
+	maxFiles      = 100_000
 	// kindConfiguration is what the origin waits for before it claims to be whole; no record's key begins with it.
 	kindConfiguration = "configuration"
 )
 
-var errTwice = errors.New("a record that no other file has")
+var errDuplicateRecord = errors.New("a record that no other file has")
 
-type name struct{ scope, key string }
+type recordName struct{ scope, key string }
 
 // file is one file as it counts now.
-type file struct {
-	stamp   stamp
-	records map[name]distribution.Record
-	bad     string // what was wrong with it when it was last read
+type recordFile struct {
+	stamp     fileStamp
+	records   map[recordName]distribution.Record
+	lastError string // what was wrong with it when it was last read
 }
 
 // stamp tells whether a file is another than it was.
-type stamp struct {
-	size, changed int64
-	id            uint64
+type fileStamp struct {
+	size, modifiedNs int64
+	inode            uint64
 }
 
 // directory is what an origin has of its files.
-type directory struct {
-	path  string
-	files map[string]*file
-	owner map[name]string // the file of each record
-	log   *zap.Logger
-	told  rarely
-
-	read, bad counter
+type configDirectory struct {
+	path     string
+	files    map[string]*recordFile
+	owner    map[recordName]string // the file of each record
+	log      *zap.Logger
+	warnings warnLimiter
+
+	filesRead, invalid counter
 }
 
-func newDirectory(path string, log *zap.Logger) *directory {
-	return &directory{path: path, files: map[string]*file{}, owner: map[name]string{}, log: log}
+func newConfigDirectory(path string, log *zap.Logger) *configDirectory {
+	return &configDirectory{path: path, files: map[string]*recordFile{}, owner: map[recordName]string{}, log: log}
 }
 
 // change is what an origin has to do.
@@ -66,10 +66,10 @@
 }
 
 // look reads what has changed, and tells what the origin has to do; whole: the directory could be read, and holds files.
-func (d *directory) look() (changes []change, whole bool) {
+func (d *configDirectory) scan() (changes []change, whole bool) {
 	found, err := os.ReadDir(d.path)
 	if err != nil {
-		d.told.warn(d.log, "directory", "the directory of configuration can't be read: what was read stays", zap.Error(err))
+		d.warnings.warn(d.log, "directory", "the directory of configuration can't be read: what was read stays", zap.Error(err))
 		return nil, false
 	}
 	var names []string
@@ -80,26 +80,26 @@
 	}
 	if len(names) == 0 && len(d.files) > 0 {
 		// A mount that went looks like this; who wants no configuration leaves an empty file.
-		d.told.warn(d.log, "empty", "the directory of configuration has no files any more: what was read stays")
+		d.warnings.warn(d.log, "empty", "the directory of configuration has no files any more: what was read stays")
 		return nil, false
 	}
-	if len(names) > mostFiles {
-		d.told.warn(d.log, "files", "the directory of configuration has too many files: what was read stays", zap.Int("files", len(names)), zap.Int("at most", mostFiles))
+	if len(names) > maxFiles {
+		d.warnings.warn(d.log, "files", "the directory of configuration has too many files: what was read stays", zap.Int("files", len(names)), zap.Int("at most", maxFiles))
 		return nil, false
 	}
 	for old := range d.files {
 		if _, there := slices.BinarySearch(names, old); !there {
-			changes = d.drop(changes, old, nil)
+			changes = d.removeRecords(changes, old, nil)
 		}
 	}
 	for _, n := range names {
-		changes = d.one(changes, n)
+		changes = d.scanFile(changes, n)
 	}
 	return changes, true
 }
 
 // drop removes a file's records but those that it still has.
-func (d *directory) drop(changes []change, from string, now map[name]distribution.Record) []change {
+func (d *configDirectory) removeRecords(changes []change, from string, now map[recordName]distribution.Record) []change {
 	f := d.files[from]
 	if f == nil {
 		return changes
@@ -116,43 +116,43 @@
 	return changes
 }
 
-func (d *directory) one(changes []change, at string) []change {
+func (d *configDirectory) scanFile(changes []change, at string) []change {
 	path := filepath.Join(d.path, at)
 	info, err := os.Stat(path)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) { // else it went since; the next look sees that
-			d.told.warn(d.log, "stat", "a file of configuration can't be read: what was read of it stays", zap.Error(err))
+			d.warnings.warn(d.log, "stat", "a file of configuration can't be read: what was read of it stays", zap.Error(err))
 		}
 		return changes
 	}
-	is := stampOf(info)
+	is := fileStampOf(info)
 	had := d.files[at]
 	if had != nil && had.stamp == is {
 		return changes
 	}
-	records, err := readRecords(path, func(n name) error {
+	records, err := readRecords(path, func(n recordName) error {
 		if other := d.owner[n]; other != "" && other != at {
-			return fmt.Errorf("%w, found scope %q, key %q, which is in %s", errTwice, n.scope, n.key, other)
+			return fmt.Errorf("%w, found scope %q, key %q, which is in %s", errDuplicateRecord, n.scope, n.key, other)
 		}
 		return nil
 	})
-	d.read.Add(1)
+	d.filesRead.Add(1)
 	if err != nil {
-		d.bad.Add(1)
+		d.invalid.Add(1)
 		if had == nil {
-			had = &file{}
+			had = &recordFile{}
 			d.files[at] = had
 		}
-		if had.bad != err.Error() {
+		if had.lastError != err.Error() {
 			d.log.Warn("file of configuration passed over: what was read of it before stays", zap.Error(err))
 		}
-		had.stamp, had.bad = is, err.Error()
-		if errors.Is(err, errTwice) {
-			had.stamp = stamp{} // the other file may let go of it
+		had.stamp, had.lastError = is, err.Error()
+		if errors.Is(err, errDuplicateRecord) {
+			had.stamp = fileStamp{} // the other file may let go of it
 		}
 		return changes
 	}
-	changes = d.drop(changes, at, records)
+	changes = d.removeRecords(changes, at, records)
 	first := len(changes)
 	for n, r := range records {
 		d.owner[n] = at
@@ -166,30 +166,30 @@
 	slices.SortFunc(changes[first:], func(a, b change) int { // the order of versions does not hang on a map's
 		return strings.Compare(a.record.Scope+"\x00"+a.record.Key, b.record.Scope+"\x00"+b.record.Key)
 	})
-	d.files[at] = &file{stamp: is, records: records}
+	d.files[at] = &recordFile{stamp: is, records: records}
 	return changes
 }
 
 // readRecords reads a file: one record a line, {"scope": ..., "key": ..., "body": any JSON}.
-func readRecords(path string, may func(name) error) (map[name]distribution.Record, error) {
+func readRecords(path string, may func(recordName) error) (map[recordName]distribution.Record, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	records := map[name]distribution.Record{}
-	in := bufio.NewReaderSize(f, longestRecord)
+	records := map[recordName]distribution.Record{}
+	in := bufio.NewReaderSize(f, maxLineBytes)
 	for line := 1; ; line++ {
 		text, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			return nil, fmt.Errorf("%s: line %d: expected at most %d bytes, found more", path, line, longestRecord)
+			return nil, fmt.Errorf("%s: line %d: expected at most %d bytes, found more", path, line, maxLineBytes)
 		}
 		if err != nil && err != io.EOF {
 			return nil, err
 		}
 		if rest := bytes.TrimSpace(text); len(rest) > 0 {
 			r, wrong := recordOf(rest)
-			n := name{r.Scope, r.Key}
+			n := recordName{r.Scope, r.Key}
 			if _, twice := records[n]; wrong == nil && twice {
 				wrong = fmt.Errorf("a record once, found scope %q, key %q again", r.Scope, r.Key)
 			}
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -27,32 +27,32 @@
 
 // What an origin tells of itself: a scope that every node and relay follows, and the record of how far it hears discovery.
 const (
-	ScopeOrigin = "origin"
-	KeyList     = "list/discovery"
+	ScopeOrigin  = "origin"
+	KeyDiscovery = "list/discovery"
 )
 
 // List is how far the origin hears discovery. It is changed after the endpoints that it speaks of, and goes out after them.
-type List struct {
-	Version int64 `json:"seq"`    // of discovery's list, that the origin has at least
-	Stands  bool  `json:"stands"` // the origin's watch does
+type DiscoveryState struct {
+	Version   int64 `json:"seq"`    // of discovery's list, that the origin has at least
+	Connected bool  `json:"stands"` // the origin's watch does
 }
 
-func (l List) body() []byte {
-	return fmt.Appendf(nil, `{"seq":%d,"stands":%t}`, l.Version, l.Stands)
+func (l DiscoveryState) body() []byte {
+	return fmt.Appendf(nil, `{"seq":%d,"stands":%t}`, l.Version, l.Connected)
 }
 
 // endpoints are the hosts as the origin has them.
-type endpoints struct {
-	scope *Scope
+type endpointRecords struct {
+	rule  *ScopeRule
 	hosts map[string]distribution.Record
 }
 
-func newEndpoints(scope *Scope) *endpoints {
-	return &endpoints{scope: scope, hosts: map[string]distribution.Record{}}
+func newEndpointRecords(scope *ScopeRule) *endpointRecords {
+	return &endpointRecords{rule: scope, hosts: map[string]distribution.Record{}}
 }
 
 // record is a host's record. One that goes needs no scope of its own.
-func (e *endpoints) record(in endpointlist.Entry) (distribution.Record, error) {
+func (e *endpointRecords) record(in endpointlist.Entry) (distribution.Record, error) {
 	r := distribution.Record{Key: EndpointKey(in.Name), Class: distribution.ClassEndpoint}
 	switch in.State {
 	case healthUp:
@@ -69,7 +69,7 @@
 	if r.Deleted {
 		return r, nil
 	}
-	if r.Scope = e.scope.of(in.Name, in.Zone); r.Scope == "" {
+	if r.Scope = e.rule.scopeOf(in.Name, in.Zone); r.Scope == "" {
 		return r, fmt.Errorf("host %q of site %q: expected a region and a service by origin.scope, got none", in.Name, in.Zone)
 	}
 	var err error
@@ -79,7 +79,7 @@
 
 // take has an origin go by a line of the list. The first line that answers a call for the whole list is the list, also where entries
 // of it could not be read: these hosts stay as they were.
-func (e *endpoints) take(now int64, o *distribution.Origin, told []distribution.Record, whole, first bool) error {
+func (e *endpointRecords) apply(now int64, o *distribution.Origin, told []distribution.Record, whole, first bool) error {
 	if !whole && !first {
 		var errs []error
 		for _, r := range told {
@@ -107,7 +107,7 @@
 	return err
 }
 
-func (e *endpoints) put(now int64, o *distribution.Origin, r distribution.Record) error {
+func (e *endpointRecords) put(now int64, o *distribution.Origin, r distribution.Record) error {
 	had, held := e.hosts[r.Key]
 	if held && (r.Deleted || had.Scope != r.Scope) {
 		o.Remove(now, had.Scope, had.Key)
--- a/internal/relay/epoch.go
+++ b/internal/relay/epoch.go
@@ -30,14 +30,14 @@
 		return 0, fmt.Errorf("origin.state: %w", err)
 	}
 	epoch := max(uint64(now), last+1)
-	if err := replaceFile(path, fmt.Sprintf("%d\n", epoch)); err != nil {
+	if err := writeFileAtomically(path, fmt.Sprintf("%d\n", epoch)); err != nil {
 		return 0, fmt.Errorf("origin.state: %w", err)
 	}
 	return epoch, nil
 }
 
 // replaceFile has a file hold a text, or what it held before.
-func replaceFile(path, text string) (err error) {
+func writeFileAtomically(path, text string) (err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return err
--- a/internal/relay/frame.go
+++ b/internal/relay/frame.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	headSize     = 4
-	greetingSize = 4
-	wireVersion  = 1
-	flagFresh    = 1 // the server has all it should have, and is not behind
+	lengthBytes     = 4
+	greetingBytes   = 4
+	protocolVersion = 1
+	flagFresh       = 1 // the server has all it should have, and is not behind
 )
 
 var (
-	errTooLong  = errors.New("a frame over the limit")
-	errGreeting = errors.New("not a relay: no greeting of this version")
+	errOversizedFrame = errors.New("a frame over the limit")
+	errBadGreeting    = errors.New("not a relay: no greeting of this version")
 )
 
 // writeFrame sends one frame in a single call.
 func writeFrame(w io.Writer, frame []byte) error {
-	var head [headSize]byte
+	var head [lengthBytes]byte
 	binary.BigEndian.PutUint32(head[:], uint32(len(frame)))
 	parts := net.Buffers{head[:], frame}
 	_, err := parts.WriteTo(w)
@@ -37,13 +37,13 @@
 }
 
 // readHead reads the length of the next frame.
-func readHead(r io.Reader, most int) (size int, err error) {
-	var head [headSize]byte
+func readLength(r io.Reader, most int) (size int, err error) {
+	var head [lengthBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, err
 	}
 	if n := binary.BigEndian.Uint32(head[:]); n > uint32(most) {
-		return 0, fmt.Errorf("%w: %d bytes, %d allowed", errTooLong, n, most)
+		return 0, fmt.Errorf("%w: %d bytes, %d allowed", errOversizedFrame, n, most)
 	} else {
 		return int(n), nil
 	}
@@ -51,7 +51,7 @@
 
 // greeting is what a server says first: a client that gets none talks to a frozen process, or to no relay.
 func greeting(fresh bool) []byte {
-	g := []byte{'f', 'g', wireVersion, 0}
+	g := []byte{'f', 'g', protocolVersion, 0}
 	if fresh {
 		g[3] |= flagFresh
 	}
@@ -59,19 +59,19 @@
 }
 
 func readGreeting(r io.Reader) (fresh bool, err error) {
-	size, err := readHead(r, greetingSize)
-	if errors.Is(err, errTooLong) || err == nil && size != greetingSize {
-		return false, errGreeting
+	size, err := readLength(r, greetingBytes)
+	if errors.Is(err, errOversizedFrame) || err == nil && size != greetingBytes {
+		return false, errBadGreeting
 	}
 	if err != nil {
 		return false, err
 	}
-	var g [greetingSize]byte
+	var g [greetingBytes]byte
 	if _, err := io.ReadFull(r, g[:]); err != nil {
 		return false, err
 	}
-	if g[0] != 'f' || g[1] != 'g' || g[2] != wireVersion {
-		return false, errGreeting
+	if g[0] != 'f' || g[1] != 'g' || g[2] != protocolVersion {
+		return false, errBadGreeting
 	}
 	return g[3]&flagFresh != 0, nil
 }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -24,7 +24,7 @@
 			t.Errorf("a greeting read as fresh: %v, %v", fresh, err)
 		}
 	}
-	if size, err := readHead(&b, 100); err != nil || size != len("a frame") {
+	if size, err := readLength(&b, 100); err != nil || size != len("a frame") {
 		t.Errorf("a frame of %d bytes, %v", size, err)
 	}
 }
@@ -37,15 +37,15 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "endpoint.json", body)
-	list := List{Version: 9, Stands: true}.body()
+	list := DiscoveryState{Version: 9, Connected: true}.body()
 	golden.Check(t, "list.json", list)
 	golden.Check(t, "endpoint-key.txt", []byte(EndpointKey("s-1")+"\n"))
-	h := NewHosts()
-	told, passed, err := h.Take([]distribution.Change{
+	h := NewHostTable()
+	told, passed, err := h.Apply([]distribution.Change{
 		{Record: distribution.Record{Scope: "eu/web", Key: EndpointKey("s-1"), Body: body}},
-		{Record: distribution.Record{Scope: ScopeOrigin, Key: KeyList, Body: list}},
+		{Record: distribution.Record{Scope: ScopeOrigin, Key: KeyDiscovery, Body: list}},
 	})
-	if got, seen := h.List(); err != nil || passed != 0 || len(told) != 1 || told[0] != e || !seen || got != (List{Version: 9, Stands: true}) {
+	if got, seen := h.Discovery(); err != nil || passed != 0 || len(told) != 1 || told[0] != e || !seen || got != (DiscoveryState{Version: 9, Connected: true}) {
 		t.Errorf("read as %+v, %v, %d passed over, %v", told, got, passed, err)
 	}
 }
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosttable.go
@@ -11,78 +11,78 @@
 )
 
 // Hosts is what a node's scopes say of hosts, and of how far the origin hears discovery.
-type Hosts struct {
-	of   map[string][]scoped
-	list List
-	seen bool // the origin says how far
+type HostTable struct {
+	byName         map[string][]scopedEntry
+	discovery      DiscoveryState
+	discoveryKnown bool // the origin says how far
 }
 
-type scoped struct {
+type scopedEntry struct {
 	scope string
 	entry endpointlist.Entry
 }
 
 // NewHosts makes one that knows of none.
-func NewHosts() *Hosts { return &Hosts{of: map[string][]scoped{}} }
+func NewHostTable() *HostTable { return &HostTable{byName: map[string][]scopedEntry{}} }
 
 // List is how far the origin hears discovery; false: it has not said, so nothing of it is a list.
-func (h *Hosts) List() (List, bool) { return h.list, h.seen }
+func (h *HostTable) Discovery() (DiscoveryState, bool) { return h.discovery, h.discoveryKnown }
 
 // Take tells the hosts that are other than they were; one that no scope has any more is "removed". Records that are no endpoints are
 // somebody else's. Those that make no sense are passed over, and the error names the last of them.
-func (h *Hosts) Take(changes []distribution.Change) (told []endpointlist.Entry, passed int, err error) {
+func (h *HostTable) Apply(changes []distribution.Change) (told []endpointlist.Entry, passed int, err error) {
 	for _, c := range changes {
-		if c.Scope == ScopeOrigin && c.Key == KeyList && !c.Deleted {
-			var list List
+		if c.Scope == ScopeOrigin && c.Key == KeyDiscovery && !c.Deleted {
+			var list DiscoveryState
 			if wrong := json.Unmarshal(c.Body, &list); wrong != nil || list.Version <= 0 {
 				passed, err = passed+1, fmt.Errorf("scope %q, key %q: expected a version of the list, found %.80q", c.Scope, c.Key, c.Body)
 				continue
 			}
-			h.list, h.seen = list, true
+			h.discovery, h.discoveryKnown = list, true
 			continue
 		}
 		host, is := HostOf(c.Key)
 		if !is {
 			continue
 		}
-		all := h.of[host]
-		at := slices.IndexFunc(all, func(s scoped) bool { return s.scope == c.Scope })
+		all := h.byName[host]
+		at := slices.IndexFunc(all, func(s scopedEntry) bool { return s.scope == c.Scope })
 		if c.Deleted {
 			if at < 0 {
 				continue
 			}
 			if all = slices.Delete(all, at, at+1); len(all) > 0 {
-				h.of[host] = all
-				told = append(told, best(all))
+				h.byName[host] = all
+				told = append(told, newestEntry(all))
 				continue
 			}
-			delete(h.of, host)
+			delete(h.byName, host)
 			told = append(told, endpointlist.Entry{Name: host, State: healthRemoved})
 			continue
 		}
 		var e endpointlist.Entry
-		if wrong := decode(c.Body, &e); wrong != nil || e.Name != host {
+		if wrong := decodeEntry(c.Body, &e); wrong != nil || e.Name != host {
 			passed, err = passed+1, fmt.Errorf("scope %q, key %q: expected an endpoint of that name, found %.80q", c.Scope, c.Key, c.Body)
 			continue // what was known of it stays
 		}
 		if at < 0 {
-			all = append(all, scoped{c.Scope, e})
+			all = append(all, scopedEntry{c.Scope, e})
 		} else {
 			all[at].entry = e
 		}
-		h.of[host] = all
-		told = append(told, best(all))
+		h.byName[host] = all
+		told = append(told, newestEntry(all))
 	}
 	return told, passed, err
 }
 
-func decode(body []byte, e *endpointlist.Entry) error {
+func decodeEntry(body []byte, e *endpointlist.Entry) error {
 	*e = endpointlist.Entry{}
 	return json.Unmarshal(body, e)
 }
 
 // best is the entry that counts of a host that several scopes have: the latest start's, the first scope's of these.
-func best(all []scoped) endpointlist.Entry {
+func newestEntry(all []scopedEntry) endpointlist.Entry {
 	at := all[0]
 	for _, s := range all[1:] {
 		if s.entry.StartedMs > at.entry.StartedMs || s.entry.StartedMs == at.entry.StartedMs && s.scope < at.scope {
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -22,14 +22,14 @@
 type counter = atomic.Int64
 
 const (
-	closeWithin = 2 * time.Second
-	freshWithin = 4 * time.Second // an upstream that has told nothing for so long is behind, as greetings say
+	closeTimeout = 2 * time.Second
+	maxFreshAge  = 4 * time.Second // an upstream that has told nothing for so long is behind, as greetings say
 )
 
-func stampOf(info fs.FileInfo) stamp {
-	s := stamp{size: info.Size(), changed: info.ModTime().UnixNano()}
+func fileStampOf(info fs.FileInfo) fileStamp {
+	s := fileStamp{size: info.Size(), modifiedNs: info.ModTime().UnixNano()}
 	if sys, ok := info.Sys().(*syscall.Stat_t); ok {
-		s.id = sys.Ino
+		s.inode = sys.Ino
 	}
 	return s
 }
@@ -40,13 +40,13 @@
 	log      *zap.Logger
 	listener net.Listener
 	server   *Server
-	core     *distribution.Relay
+	relay    *distribution.Relay
 
 	origin    *distribution.Origin // of an origin
-	watch     *watch
-	directory *directory
+	watch     *discoveryWatch
+	directory *configDirectory
 	refused   counter // records that the origin did not take
-	told      rarely
+	warnings  warnLimiter
 
 	client *Client // of a relay
 }
@@ -55,11 +55,11 @@
 func NewProcess(config *Config, log *zap.Logger) (*Process, error) {
 	p := &Process{config: config, log: log.With(zap.String("name", config.Name), zap.String("role", config.Role))}
 	limits := distribution.Limits{Records: config.Limits.Records, Bytes: config.Limits.Bytes, Subscribers: config.Limits.Subscribers}
-	set := ServerSettings{Pace: config.Pace, Clock: NewClock()}
+	set := ServerConfig{BytesPerSecond: config.BytesPerSecond, Clock: NewClock()}
 	if n := config.Limits.Subscribers; n > 0 {
-		set.Connections, set.Hellos = n+n/4+16, n+16 // all of a region's nodes may come at once
+		set.MaxConnections, set.MaxPendingHellos = n+n/4+16, n+16 // all of a region's nodes may come at once
 	} else {
-		set.Connections, set.Hellos = 10_000, 8192
+		set.MaxConnections, set.MaxPendingHellos = 10_000, 8192
 	}
 	if config.Origin != nil {
 		epoch, err := nextEpoch(config.Origin.State, time.Now().UnixNano())
@@ -67,21 +67,21 @@
 			return nil, err
 		}
 		p.origin = distribution.NewOrigin(epoch, limits)
-		p.core = p.origin.Relay()
+		p.relay = p.origin.Relay()
 		p.log.Info("origin", zap.Uint64("epoch", epoch))
 	} else {
-		p.core = distribution.NewRelay(limits)
-		if err := p.core.Follow(Selectors(WithOrigin(config.Scopes))); err != nil {
+		p.relay = distribution.NewRelay(limits)
+		if err := p.relay.Follow(Selectors(WithOrigin(config.Scopes))); err != nil {
 			return nil, err
 		}
 	}
-	set.Fresh = func() bool { return p.fresh(set.Clock()) }
-	p.server = NewServer(p.core, set, p.log)
+	set.Fresh = func() bool { return p.isFresh(set.Clock()) }
+	p.server = NewServer(p.relay, set, p.log)
 	if p.origin != nil {
-		p.truth()
+		p.openSources()
 	} else {
-		p.client = NewClient(ClientSettings{Name: config.Name, Upstreams: config.Upstream, Clock: set.Clock, OnState: p.state},
-			&upstream{server: p.server, core: p.core}, p.log)
+		p.client = NewClient(ClientConfig{Name: config.Name, Upstreams: config.Upstream, Clock: set.Clock, OnState: p.onClientState},
+			&relaySink{server: p.server, relay: p.relay}, p.log)
 	}
 	how := net.ListenConfig{KeepAlive: -1}
 	listener, err := how.Listen(context.Background(), "tcp", config.Listen)
@@ -92,64 +92,64 @@
 	return p, nil
 }
 
-func (p *Process) fresh(now int64) bool {
-	age, known := p.core.Age(now)
-	return known && age < int64(freshWithin)
+func (p *Process) isFresh(now int64) bool {
+	age, known := p.relay.Age(now)
+	return known && age < int64(maxFreshAge)
 }
 
-func (p *Process) state(s State) {
+func (p *Process) onClientState(s ClientState) {
 	if s.Connected {
 		p.log.Info("follows", zap.String("upstream", s.Upstream))
 	} else {
-		p.told.warn(p.log, "left "+s.Upstream, "left", zap.String("upstream", s.Upstream), zap.String("why", s.Why))
+		p.warnings.warn(p.log, "left "+s.Upstream, "left", zap.String("upstream", s.Upstream), zap.String("why", s.Reason))
 	}
 }
 
 // truth makes what an origin's truth comes from, and has it wait for all of it.
-func (p *Process) truth() {
+func (p *Process) openSources() {
 	set := p.config.Origin
 	if set.Discovery != "" {
 		p.origin.Await(KindEndpoint)
-		hosts := newEndpoints(&set.Scope)
-		p.watch = &watch{
-			address: set.Discovery, limits: endpointlist.LimitsFor(int64(p.config.Limits.Bytes)), silence: watchSilence, clock: p.server.set.Clock, log: p.log, record: hosts.record,
-			take: func(told []distribution.Record, whole, first bool) {
-				p.server.Do(func(now int64) { p.complain(hosts.take(now, p.origin, told, whole, first)) })
+		hosts := newEndpointRecords(&set.ScopeRule)
+		p.watch = &discoveryWatch{
+			address: set.Discovery, limits: endpointlist.LimitsFor(int64(p.config.Limits.Bytes)), silenceTimeout: watchSilenceTimeout, clock: p.server.config.Clock, log: p.log, toRecord: hosts.record,
+			apply: func(told []distribution.Record, whole, first bool) {
+				p.server.Do(func(now int64) { p.warnRefused(hosts.apply(now, p.origin, told, whole, first)) })
 			},
 		}
 	}
 	if set.Configuration != "" {
 		p.origin.Await(kindConfiguration)
-		p.directory = newDirectory(set.Configuration, p.log)
+		p.directory = newConfigDirectory(set.Configuration, p.log)
 	}
 }
 
-func (p *Process) complain(err error) {
+func (p *Process) warnRefused(err error) {
 	if err != nil {
 		p.refused.Add(1)
-		p.told.warn(p.log, "record", "records passed over", zap.Error(err))
+		p.warnings.warn(p.log, "record", "records passed over", zap.Error(err))
 	}
 }
 
 // How often the origin says how far it hears discovery, if that has changed: a version a second, and at once that it does not hear it.
 const (
-	lookEveryList = 100 * time.Millisecond
-	tellEveryList = int64(time.Second)
+	stateCheckInterval     = 100 * time.Millisecond
+	statePublishIntervalNs = int64(time.Second)
 )
 
 // tellList has every node know how far the origin hears discovery.
-func (p *Process) tellList(ctx context.Context) {
-	ticks := time.NewTicker(lookEveryList)
+func (p *Process) publishDiscoveryState(ctx context.Context) {
+	ticks := time.NewTicker(stateCheckInterval)
 	defer ticks.Stop()
-	var stands standing
-	var told List
+	var stands connectionGrace
+	var told DiscoveryState
 	for at := int64(0); ; {
-		now := p.server.set.Clock()
-		is := List{p.watch.had.Load(), stands.look(now, p.watch.word.Load())}
-		if is.Version > 0 && (is.Stands != told.Stands || is != told && now-at >= tellEveryList) {
+		now := p.server.config.Clock()
+		is := DiscoveryState{p.watch.appliedVersion.Load(), stands.connected(now, p.watch.heardAtNs.Load())}
+		if is.Version > 0 && (is.Connected != told.Connected || is != told && now-at >= statePublishIntervalNs) {
 			p.server.Do(func(now int64) {
-				_, err := p.origin.Put(now, ScopeOrigin, KeyList, distribution.ClassConfiguration, is.body())
-				p.complain(err)
+				_, err := p.origin.Put(now, ScopeOrigin, KeyDiscovery, distribution.ClassConfiguration, is.body())
+				p.warnRefused(err)
 			})
 			told, at = is, now
 		}
@@ -162,11 +162,11 @@
 }
 
 // configure looks at the directory once in a while.
-func (p *Process) configure(ctx context.Context) {
-	ticks := time.NewTicker(time.Duration(p.config.Origin.EveryNs))
+func (p *Process) watchDirectory(ctx context.Context) {
+	ticks := time.NewTicker(time.Duration(p.config.Origin.PollIntervalNs))
 	defer ticks.Stop()
 	for read := false; ; {
-		changes, whole := p.directory.look()
+		changes, whole := p.directory.scan()
 		if len(changes) > 0 || whole && !read {
 			p.apply(changes, whole)
 			read = read || whole
@@ -180,18 +180,18 @@
 }
 
 // applySlice is how many records are put between two looks of others at the feed.
-const applySlice = 512
+const applyBatchRecords = 512
 
 func (p *Process) apply(changes []change, whole bool) {
 	for rest := changes; len(rest) > 0; {
-		slice := rest[:min(applySlice, len(rest))]
+		slice := rest[:min(applyBatchRecords, len(rest))]
 		rest = rest[len(slice):]
 		p.server.Do(func(now int64) {
 			for _, c := range slice {
 				if r := c.record; r.Deleted {
 					p.origin.Remove(now, r.Scope, r.Key)
 				} else if _, err := p.origin.Put(now, r.Scope, r.Key, r.Class, r.Body); err != nil {
-					p.complain(err)
+					p.warnRefused(err)
 				}
 			}
 		})
@@ -222,10 +222,10 @@
 	}
 	if p.watch != nil {
 		parts.Go(func() { p.watch.run(ctx) })
-		parts.Go(func() { p.tellList(ctx) })
+		parts.Go(func() { p.publishDiscoveryState(ctx) })
 	}
 	if p.directory != nil {
-		parts.Go(func() { p.configure(ctx) })
+		parts.Go(func() { p.watchDirectory(ctx) })
 	}
 	served := make(chan error, 1)
 	go func() { served <- p.server.Serve(p.listener) }()
@@ -236,31 +236,31 @@
 			return fmt.Errorf("the listener ended: %w", err)
 		case s := <-signals:
 			if s == syscall.SIGUSR1 {
-				p.counters("asked for")
+				p.logCounters("asked for")
 				continue
 			}
 			p.log.Info("stopping", zap.Stringer("signal", s))
 			p.listener.Close()
 			cancel()
-			limit, done := context.WithTimeout(context.Background(), closeWithin)
+			limit, done := context.WithTimeout(context.Background(), closeTimeout)
 			defer done()
 			if err := p.server.Close(limit); err != nil {
 				p.log.Warn("stops with subscribers open", zap.Error(err))
 			}
 			parts.Wait()
-			p.counters("at exit")
+			p.logCounters("at exit")
 			return nil
 		}
 	}
 }
 
-func (p *Process) counters(why string) {
+func (p *Process) logCounters(why string) {
 	var stats distribution.Stats
 	var age int64
 	var known bool
 	p.server.Do(func(now int64) {
-		stats = p.core.Stats()
-		age, known = p.core.Age(now)
+		stats = p.relay.Stats()
+		age, known = p.relay.Age(now)
 	})
 	if !known {
 		age = -1e9
@@ -271,10 +271,10 @@
 	}
 	if w := p.watch; w != nil {
 		fields = append(fields, zap.Int64("list calls", w.calls.Load()), zap.Int64("list calls failed", w.failed.Load()), zap.Int64("list lines", w.lines.Load()),
-			zap.Int64("list entries passed over", w.passed.Load()))
+			zap.Int64("list entries passed over", w.skipped.Load()))
 	}
 	if d := p.directory; d != nil {
-		fields = append(fields, zap.Int64("files read", d.read.Load()), zap.Int64("files passed over", d.bad.Load()))
+		fields = append(fields, zap.Int64("files read", d.filesRead.Load()), zap.Int64("files passed over", d.invalid.Load()))
 	}
 	if p.origin != nil {
 		fields = append(fields, zap.Int64("records refused", p.refused.Load()))
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -178,20 +178,20 @@
 
 // held is what a subscriber holds, and every change that it was told.
 type held struct {
-	*Follower
+	*SubscriberSink
 	client  *Client
 	mu      sync.Mutex
 	changes []distribution.Change
 }
 
-func subscribe(t *testing.T, name string, scopes []string, set ClientSettings) *held {
+func subscribe(t *testing.T, name string, scopes []string, set ClientConfig) *held {
 	t.Helper()
 	core, err := distribution.NewSubscriber(Selectors(scopes), distribution.Limits{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := &held{}
-	h.Follower = NewFollower(core, scopes, func(_ int64, changes []distribution.Change) {
+	h.SubscriberSink = NewSubscriberSink(core, scopes, func(_ int64, changes []distribution.Change) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.changes = append(h.changes, changes...)
@@ -209,7 +209,7 @@
 }
 
 func (h *held) keys() (keys []string, complete bool) {
-	h.Look(func(s *distribution.Subscriber) {
+	h.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) { keys = append(keys, r.Scope+" "+r.Key) })
 		complete = s.Complete()
 	})
@@ -262,7 +262,7 @@
 	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
 	top := start(t, relayText("top", "127.0.0.1:0", nil, o.Address()))
 	low := start(t, relayText("low", "127.0.0.1:0", []string{"eu1/*"}, top.Address()))
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientSettings{Upstreams: []string{low.Address()}})
+	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{low.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2", "eu1/cart route/x")
 	d.set("h1", "a", "draining")
 	d.set("h2", "b", "removed")
@@ -272,7 +272,7 @@
 	d.set("h4", "c", "up") // another site: another region
 	put(t, dir, "routes.jsonl", "")
 	h.wait(t, "after a move", "eu1/cart endpoint/h1", "eu1/cart route/y")
-	h.Look(func(s *distribution.Subscriber) {
+	h.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
 			if r.Key == "endpoint/h1" && (r.Class != distribution.ClassWithdrawal || !strings.Contains(string(r.Body), `"health":"draining"`)) {
 				t.Errorf("a draining host came as %+v %s", r, r.Body)
@@ -291,7 +291,7 @@
 	o := start(t, text)
 	at := o.Address()
 	r := start(t, relayText("r", "127.0.0.1:0", nil, at))
-	h := subscribe(t, "n1", []string{"eu1/*"}, ClientSettings{Upstreams: []string{r.Address()}})
+	h := subscribe(t, "n1", []string{"eu1/*"}, ClientConfig{Upstreams: []string{r.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h1", "eu1/cart route/x")
 	d.cut(true)
 	soon(t, "a second call", 5*time.Second, func() bool { return o.watch.calls.Load() >= 2 })
@@ -324,7 +324,7 @@
 	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
 	r := start(t, relayText("r", "127.0.0.1:0", nil, o.Address()))
 	at := r.Address()
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientSettings{Upstreams: []string{at}})
+	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{at}})
 	soon(t, "all fifty", 10*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == 50 })
 	r.end(t)
 	originAt := o.Address()
@@ -358,12 +358,12 @@
 	soon(t, "both relays whole", 10*time.Second, func() bool {
 		whole := true
 		for _, r := range []*running{a, b} {
-			r.server.Do(func(now int64) { whole = whole && r.fresh(now) })
+			r.server.Do(func(now int64) { whole = whole && r.isFresh(now) })
 		}
 		return whole
 	})
 	way, freeze := freezing(t, b.Address())
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientSettings{Upstreams: []string{a.Address(), way, b.Address()}})
+	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), way, b.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h0")
 	a.end(t)
 	began := time.Now()
@@ -391,8 +391,8 @@
 	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
 	empty := start(t, relayText("empty", "127.0.0.1:0", nil, "127.0.0.1:1"))
 	other := start(t, relayText("other", "127.0.0.1:0", nil, "127.0.0.1:1"))
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientSettings{Upstreams: []string{empty.Address(), other.Address()}, BehindAfter: 500 * time.Millisecond, Back: time.Hour})
-	soon(t, "the first relay left", 10*time.Second, func() bool { return h.client.Stats().Behind >= 2 })
+	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{empty.Address(), other.Address()}, MaxLag: 500 * time.Millisecond, FailbackDelay: time.Hour})
+	soon(t, "the first relay left", 10*time.Second, func() bool { return h.client.Stats().Lagging >= 2 })
 	at := other.Address()
 	other.end(t)
 	start(t, relayText("other", at, nil, o.Address()))
@@ -415,16 +415,16 @@
 	soon(t, "both relays whole", 10*time.Second, func() bool {
 		whole := true
 		for _, r := range []*running{one, two} {
-			r.server.Do(func(now int64) { whole = whole && r.fresh(now) && r.core.Stats().Records > hosts })
+			r.server.Do(func(now int64) { whole = whole && r.isFresh(now) && r.relay.Stats().Records > hosts })
 		}
 		return whole
 	})
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientSettings{Upstreams: []string{one.Address(), two.Address()}, BehindAfter: 500 * time.Millisecond})
+	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{one.Address(), two.Address()}, MaxLag: 500 * time.Millisecond})
 	soon(t, "all of it", 20*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == hosts })
 	set("draining")
 	soon(t, "the burst", 20*time.Second, func() bool {
 		drains := 0
-		h.Look(func(s *distribution.Subscriber) {
+		h.Inspect(func(s *distribution.Subscriber) {
 			s.Each(func(r distribution.Record) {
 				if r.Class == distribution.ClassWithdrawal {
 					drains++
@@ -433,7 +433,7 @@
 		})
 		return drains == hosts
 	})
-	if s := h.client.Stats(); s.Behind != 0 || s.Connects != 1 {
+	if s := h.client.Stats(); s.Lagging != 0 || s.Connects != 1 {
 		t.Errorf("%+v: left a relay that sent all the time", s)
 	}
 }
@@ -441,7 +441,7 @@
 func TestTheEndIsOrderly(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
-	subscribe(t, "n1", []string{"eu1/cart"}, ClientSettings{Upstreams: []string{o.Address()}})
+	subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{o.Address()}})
 	soon(t, "a subscriber", 10*time.Second, func() bool { return o.server.Stats().Subscribers == 1 })
 	o.signals <- syscall.SIGUSR1
 	soon(t, "the counters", 5*time.Second, func() bool { return o.logs.FilterMessage("counters asked for").Len() == 1 })
@@ -482,18 +482,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := NewServer(o.Relay(), ServerSettings{}, zap.NewNop())
+		s := NewServer(o.Relay(), ServerConfig{}, zap.NewNop())
 		go s.Serve(l)
 		t.Cleanup(func() { l.Close(); s.Close(context.Background()) })
 		return l.Addr().String(), s
 	}
 	a, first := serve(newer)
 	b, second := serve(older)
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientSettings{Upstreams: []string{a, b}})
+	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a, b}})
 	h.wait(t, "at first", "eu1/cart route/x")
 	first.Close(context.Background())
 	soon(t, "frames of the older", 10*time.Second, func() bool { return second.Stats().Frames >= 2 })
-	h.Look(func(s *distribution.Subscriber) {
+	h.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
 			if string(r.Body) != "new" {
 				t.Errorf("went back to %s", r.Body)
@@ -505,10 +505,10 @@
 func TestConfigurationFilesCountWholeOrNotAtAll(t *testing.T) {
 	dir := t.TempDir()
 	core, logs := observer.New(zapcore.WarnLevel)
-	d := newDirectory(dir, zap.New(core))
+	d := newConfigDirectory(dir, zap.New(core))
 	look := func(what string, whole bool, expected ...string) {
 		t.Helper()
-		changes, is := d.look()
+		changes, is := d.scan()
 		found := []string{}
 		for _, c := range changes {
 			sign := "+"
@@ -533,7 +533,7 @@
 		`{"scope":"s","key":"route/1"`, `[]`, `{"scope":"","key":"route/1","body":1}`, `{"scope":"s","key":"endpoint/1","body":1}`,
 		`{"scope":"s","key":"route/1","body":1,"extra":2}`, `{"scope":"s","key":"route/1","body":1} {}`, `{"scope":"s","key":"route/1"}`,
 		`{"scope":"s","key":"route","body":1}`, `{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBodyBytes) + `"}`,
-		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`, strings.Repeat("x", longestRecord+1),
+		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`, strings.Repeat("x", maxLineBytes+1),
 	} {
 		put(t, dir, "a.jsonl", bad)
 		before := logs.Len()
@@ -608,24 +608,24 @@
 
 // A host's scope comes from its site and its name; one that has none is passed over and takes nothing else with it.
 func TestScopesOfHosts(t *testing.T) {
-	s := Scope{ServiceFrom: "host", sites: map[string]string{"a": "eu1"}}
+	s := ScopeRule{ServiceFrom: "host", sites: map[string]string{"a": "eu1"}}
 	for in, expected := range map[[2]string]string{{"svc-12-h7", "a"}: "eu1/svc-12", {"h7", "a"}: "", {"svc-1", "z"}: "", {"-1", "a"}: ""} {
-		if got := s.of(in[0], in[1]); got != expected {
+		if got := s.scopeOf(in[0], in[1]); got != expected {
 			t.Errorf("%q: %q, expected %q", in, got, expected)
 		}
 	}
-	s = Scope{Service: "cart", Region: "far", sites: map[string]string{"a": "eu1"}}
-	if a, z := s.of("h", "a"), s.of("h", "z"); a != "eu1/cart" || z != "far/cart" {
+	s = ScopeRule{Service: "cart", Region: "far", sites: map[string]string{"a": "eu1"}}
+	if a, z := s.scopeOf("h", "a"), s.scopeOf("h", "z"); a != "eu1/cart" || z != "far/cart" {
 		t.Errorf("%q, %q", a, z)
 	}
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h1", "a", "up")
 	d.set("h2", "unknown", "up")
 	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
-	h := subscribe(t, "n1", []string{"*"}, ClientSettings{Upstreams: []string{o.Address()}})
+	h := subscribe(t, "n1", []string{"*"}, ClientConfig{Upstreams: []string{o.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h1", "origin list/discovery")
-	if o.watch.passed.Load() != 1 {
-		t.Errorf("%d entries passed over, expected 1", o.watch.passed.Load())
+	if o.watch.skipped.Load() != 1 {
+		t.Errorf("%d entries passed over, expected 1", o.watch.skipped.Load())
 	}
 	d.set("h1", "a", "removed")
 	h.wait(t, "after that", "origin list/discovery")
--- a/internal/relay/tcp_test.go
+++ b/internal/relay/tcp_test.go
@@ -94,7 +94,7 @@
 	return append(binary.BigEndian.AppendUint64(nil, s.last), make([]byte, 20)...)
 }
 
-func (s *following) Take(_ int64, frame []byte) error {
+func (s *following) Receive(_ int64, frame []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if string(frame) == "beat" {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (s *following) Behind(int64) int64 { return s.behind.Load() }
+func (s *following) LagNs(int64) int64 { return s.behind.Load() }
 
 func (s *following) at() uint64 {
 	s.mu.Lock()
@@ -153,7 +153,7 @@
 	s.Close(ctx)
 }
 
-func stationAt(t *testing.T, at string, feed *counting, set ServerSettings) *station {
+func stationAt(t *testing.T, at string, feed *counting, set ServerConfig) *station {
 	t.Helper()
 	l, err := net.Listen("tcp", at)
 	if err != nil {
@@ -165,11 +165,11 @@
 	return s
 }
 
-func newStation(t *testing.T, set ServerSettings) *station {
+func newStation(t *testing.T, set ServerConfig) *station {
 	return stationAt(t, "127.0.0.1:0", newCounting(), set)
 }
 
-func follow(t *testing.T, set ClientSettings) (*Client, *following) {
+func follow(t *testing.T, set ClientConfig) (*Client, *following) {
 	t.Helper()
 	sink := &following{t: t}
 	c := NewClient(set, sink, zap.NewNop())
@@ -192,8 +192,8 @@
 }
 
 func TestEachFrameComesOnceAndInOrder(t *testing.T) {
-	s := newStation(t, ServerSettings{})
-	_, sink := follow(t, ClientSettings{Name: "n", Upstreams: []string{s.at}})
+	s := newStation(t, ServerConfig{})
+	_, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{s.at}})
 	for range 20 {
 		s.add(50)
 	}
@@ -202,10 +202,10 @@
 
 // An upstream that dies is left at once, in whichever way it dies, and nothing is lost or doubled.
 func TestAnUpstreamThatDiesIsLeftForAnother(t *testing.T) {
-	a, b := newStation(t, ServerSettings{}), newStation(t, ServerSettings{})
+	a, b := newStation(t, ServerConfig{}), newStation(t, ServerConfig{})
 	a.add(10)
 	b.add(10)
-	_, sink := follow(t, ClientSettings{Name: "n", Upstreams: []string{a.at, b.at}})
+	_, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{a.at, b.at}})
 	soon(t, "the first ten", 5*time.Second, func() bool { return sink.at() == 10 })
 	a.stop()
 	began := time.Now()
@@ -275,13 +275,13 @@
 }
 
 func TestAFrozenUpstreamIsLeftBySilence(t *testing.T) {
-	a, b := newStation(t, ServerSettings{}), newStation(t, ServerSettings{})
+	a, b := newStation(t, ServerConfig{}), newStation(t, ServerConfig{})
 	a.add(10)
 	b.add(10)
 	still := frozen(t)
 	way, freeze := freezing(t, a.at)
 	// The second one stands still too, from the start: it is passed by as it does not greet.
-	c, sink := follow(t, ClientSettings{Name: "n", Upstreams: []string{way, still, b.at}})
+	c, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{way, still, b.at}})
 	soon(t, "the first ten", 5*time.Second, func() bool { return sink.at() == 10 })
 	freeze()
 	began := time.Now()
@@ -297,18 +297,18 @@
 }
 
 func TestTheFirstChoiceIsTakenUpAgainWithoutAGap(t *testing.T) {
-	a, b := newStation(t, ServerSettings{}), newStation(t, ServerSettings{})
+	a, b := newStation(t, ServerConfig{}), newStation(t, ServerConfig{})
 	a.add(3)
 	b.add(3)
-	c, sink := follow(t, ClientSettings{Name: "n", Upstreams: []string{a.at, b.at}, Back: 200 * time.Millisecond})
+	c, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{a.at, b.at}, FailbackDelay: 200 * time.Millisecond})
 	soon(t, "the first three", 5*time.Second, func() bool { return sink.at() == 3 })
 	at := a.at
 	a.stop()
 	b.add(3)
 	soon(t, "three by the second", 5*time.Second, func() bool { return sink.at() == 6 })
-	again := stationAt(t, at, newCounting(), ServerSettings{})
+	again := stationAt(t, at, newCounting(), ServerConfig{})
 	again.add(6)
-	soon(t, "the return", 5*time.Second, func() bool { return c.Stats().Returned == 1 })
+	soon(t, "the return", 5*time.Second, func() bool { return c.Stats().Failbacks == 1 })
 	again.add(3)
 	soon(t, "three by the first", 5*time.Second, func() bool { return sink.at() == 9 })
 	soon(t, "that the second one notices", 5*time.Second, func() bool { return b.Stats().Subscribers == 0 })
@@ -316,15 +316,15 @@
 
 // A first choice that stands still, or says that it lacks something, is not gone back to.
 func TestAFirstChoiceThatIsOfNoUseIsLeftAlone(t *testing.T) {
-	lacking := newStation(t, ServerSettings{Fresh: func() bool { return false }})
+	lacking := newStation(t, ServerConfig{Fresh: func() bool { return false }})
 	lacking.add(3)
-	b := newStation(t, ServerSettings{})
+	b := newStation(t, ServerConfig{})
 	b.add(3)
 	for name, first := range map[string]string{"frozen": frozen(t), "lacking": lacking.at} {
-		c, sink := follow(t, ClientSettings{Name: name, Upstreams: []string{first, b.at}, Back: 100 * time.Millisecond})
+		c, sink := follow(t, ClientConfig{Name: name, Upstreams: []string{first, b.at}, FailbackDelay: 100 * time.Millisecond})
 		soon(t, "three by the second", 5*time.Second, func() bool { return sink.at() == 3 })
 		soon(t, "tries to go back", 10*time.Second, func() bool { return c.Stats().Dials >= 4 })
-		if s := c.Stats(); s.Returned != 0 || s.Connects != 1 {
+		if s := c.Stats(); s.Failbacks != 0 || s.Connects != 1 {
 			t.Errorf("%s: %+v: expected no return and one connection", name, s)
 		}
 	}
@@ -332,20 +332,20 @@
 
 // Where no upstream has all, one that lacks something is better than none.
 func TestAnUpstreamThatLacksSomethingIsBetterThanNone(t *testing.T) {
-	lacking := newStation(t, ServerSettings{Fresh: func() bool { return false }})
+	lacking := newStation(t, ServerConfig{Fresh: func() bool { return false }})
 	lacking.add(3)
-	_, sink := follow(t, ClientSettings{Name: "n", Upstreams: []string{"127.0.0.1:1", lacking.at}})
+	_, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{"127.0.0.1:1", lacking.at}})
 	soon(t, "three by the one that lacks something", 5*time.Second, func() bool { return sink.at() == 3 })
 }
 
 func TestAnUpstreamThatIsBehindIsLeft(t *testing.T) {
-	a, b := newStation(t, ServerSettings{}), newStation(t, ServerSettings{})
-	c, sink := follow(t, ClientSettings{Name: "n", Upstreams: []string{a.at, b.at}, BehindAfter: 150 * time.Millisecond})
+	a, b := newStation(t, ServerConfig{}), newStation(t, ServerConfig{})
+	c, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{a.at, b.at}, MaxLag: 150 * time.Millisecond})
 	soon(t, "a connection", 5*time.Second, func() bool { return a.Stats().Subscribers == 1 })
 	sink.behind.Store(int64(time.Second))
 	soon(t, "the move", 5*time.Second, func() bool { return b.Stats().Subscribers == 1 })
 	time.Sleep(600 * time.Millisecond) // as far behind: moving on would not help, and is put off
-	if s := c.Stats(); s.Behind != 1 || s.Connects != 2 {
+	if s := c.Stats(); s.Lagging != 1 || s.Connects != 2 {
 		t.Errorf("%+v: expected one move", s)
 	}
 }
@@ -353,7 +353,7 @@
 func TestASubscriberThatTakesNothingIsEndedAndBounded(t *testing.T) {
 	feed := newCounting()
 	feed.padding = 60 << 10
-	s := stationAt(t, "127.0.0.1:0", feed, ServerSettings{WriteWithin: 300 * time.Millisecond})
+	s := stationAt(t, "127.0.0.1:0", feed, ServerConfig{WriteTimeout: 300 * time.Millisecond})
 	slow, err := net.Dial("tcp", s.at)
 	if err != nil {
 		t.Fatal(err)
@@ -361,7 +361,7 @@
 	defer slow.Close()
 	slow.(*net.TCPConn).SetReadBuffer(4096)
 	writeFrame(slow, make([]byte, 8))
-	_, sink := follow(t, ClientSettings{Name: "n", Upstreams: []string{s.at}})
+	_, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{s.at}})
 	soon(t, "both", 5*time.Second, func() bool { return s.Stats().Subscribers == 2 })
 	s.add(500) // 30 MB, of which the system holds a few hundred KB for the slow one
 	soon(t, "all frames at the other", 10*time.Second, func() bool { return sink.at() == 500 })
@@ -370,7 +370,7 @@
 
 // A frame over the limit ends that connection alone.
 func TestATooLongFrameEndsItsConnectionAlone(t *testing.T) {
-	s := newStation(t, ServerSettings{})
+	s := newStation(t, ServerConfig{})
 	long, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -388,12 +388,12 @@
 			c.Close()
 		}
 	}()
-	c, sink := follow(t, ClientSettings{Name: "n", Upstreams: []string{long.Addr().String(), s.at}})
-	_, other := follow(t, ClientSettings{Name: "m", Upstreams: []string{s.at}})
+	c, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{long.Addr().String(), s.at}})
+	_, other := follow(t, ClientConfig{Name: "m", Upstreams: []string{s.at}})
 	s.add(3)
 	soon(t, "three by the next upstream", 5*time.Second, func() bool { return sink.at() == 3 && other.at() == 3 })
-	if st := c.Stats(); st.TooLong != 1 {
-		t.Errorf("too long = %d, expected 1", st.TooLong)
+	if st := c.Stats(); st.Oversized != 1 {
+		t.Errorf("too long = %d, expected 1", st.Oversized)
 	}
 	// The server's side: a hello over the limit, and one that makes no sense.
 	for _, text := range []string{"\xff\xff\xff\xff", "\x00\x00\x00\x02hi", "GET / HTTP/1.1\r\n\r\n"} {
@@ -403,7 +403,7 @@
 		}
 		conn.SetDeadline(time.Now().Add(5 * time.Second))
 		io.WriteString(conn, text)
-		if all, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) || len(all) > headSize+greetingSize {
+		if all, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) || len(all) > lengthBytes+greetingBytes {
 			t.Errorf("hello %q: got %q, %v; expected the end of the connection", text, all, err)
 		}
 		conn.Close()
@@ -413,8 +413,8 @@
 }
 
 func TestConnectionsAndHellosAreBounded(t *testing.T) {
-	s := newStation(t, ServerSettings{Connections: 20, Hellos: 10, HelloWithin: 300 * time.Millisecond})
-	_, sink := follow(t, ClientSettings{Name: "n", Upstreams: []string{s.at}})
+	s := newStation(t, ServerConfig{MaxConnections: 20, MaxPendingHellos: 10, HelloTimeout: 300 * time.Millisecond})
+	_, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{s.at}})
 	soon(t, "the subscriber", 5*time.Second, func() bool { return s.Stats().Subscribers == 1 })
 	var conns []net.Conn
 	for range 200 {
@@ -423,19 +423,19 @@
 		}
 	}
 	soon(t, "that all were looked at", 5*time.Second, func() bool { return s.Stats().Accepted == 201 })
-	if st := s.Stats(); st.Waiting > 10 || st.Refused < 150 {
+	if st := s.Stats(); st.PendingHellos > 10 || st.Refused < 150 {
 		t.Errorf("%+v: expected 10 without a hello at most, and the others refused", st)
 	}
 	s.add(3)
 	soon(t, "three frames in the flood", 5*time.Second, func() bool { return sink.at() == 3 })
-	soon(t, "the flood's end", 5*time.Second, func() bool { st := s.Stats(); return st.Waiting == 0 && st.Ended >= 10 })
+	soon(t, "the flood's end", 5*time.Second, func() bool { st := s.Stats(); return st.PendingHellos == 0 && st.Ended >= 10 })
 	for _, c := range conns {
 		c.Close()
 	}
 }
 
 func TestSubscribersAreBoundedWithoutAWordFromTheFeed(t *testing.T) {
-	s := newStation(t, ServerSettings{Connections: 3})
+	s := newStation(t, ServerConfig{MaxConnections: 3})
 	for range 10 {
 		c, err := net.Dial("tcp", s.at)
 		if err != nil {
@@ -452,7 +452,7 @@
 }
 
 func TestASubscriberThatSpeaksAfterItsHelloIsEnded(t *testing.T) {
-	s := newStation(t, ServerSettings{})
+	s := newStation(t, ServerConfig{})
 	c, err := net.Dial("tcp", s.at)
 	if err != nil {
 		t.Fatal(err)
@@ -466,7 +466,7 @@
 
 // Everybody's upstream is gone: the tries are bounded.
 func TestTriesAreBounded(t *testing.T) {
-	c, _ := follow(t, ClientSettings{Name: "n", Upstreams: []string{"127.0.0.1:1", "127.0.0.1:2"}})
+	c, _ := follow(t, ClientConfig{Name: "n", Upstreams: []string{"127.0.0.1:1", "127.0.0.1:2"}})
 	time.Sleep(1500 * time.Millisecond)
 	if n := c.Stats().Dials; n > 14 || n < 4 {
 		t.Errorf("%d tries in 1.5 s, expected 4 to 14", n)
@@ -478,7 +478,7 @@
 	ups := []string{"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"}
 	first, second := map[string]int{}, map[string]int{}
 	for i := range 4000 {
-		o := order(ClientSettings{Name: fmt.Sprintf("node-%d", i), Upstreams: ups, Spread: true})
+		o := order(ClientConfig{Name: fmt.Sprintf("node-%d", i), Upstreams: ups, SpreadByName: true})
 		first[o[0]]++
 		if o[0] == ups[0] {
 			second[o[1]]++
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -47,15 +47,15 @@
 type Subscription[V any] struct {
 	config   Config[V]
 	client   *relay.Client
-	follower *relay.Follower
+	follower *relay.SubscriberSink
 	scopes   []string // exact ones
 
 	mu                 sync.Mutex
 	selector           *endpointsource.Selector[V]
-	hosts              *relay.Hosts
+	hosts              *relay.HostTable
 	watching           bool
 	discoveryConnected bool
-	clientState        relay.State
+	clientState        relay.ClientState
 	skipsLoggedAtNs    int64
 	active             endpointsource.Source
 
@@ -64,14 +64,14 @@
 
 // New makes one; nothing runs before Run. Only settings that make no sense are errors.
 func New[V any](set Config[V]) (*Subscription[V], error) {
-	f := &Subscription[V]{config: set, selector: endpointsource.New[V](set.Clock(), set.StaleAfterNs, set.RestoredVersion), hosts: relay.NewHosts()}
+	f := &Subscription[V]{config: set, selector: endpointsource.New[V](set.Clock(), set.StaleAfterNs, set.RestoredVersion), hosts: relay.NewHostTable()}
 	scopes := relay.WithOrigin(set.Scopes)
 	core, err := distribution.NewSubscriber(relay.Selectors(scopes), distribution.Limits{})
 	if err != nil {
 		return nil, err
 	}
-	f.follower = relay.NewFollower(core, scopes, f.onFrame, set.Log)
-	f.client = relay.NewClient(relay.ClientSettings{Name: set.Name, Upstreams: set.Relays, Spread: true, Clock: set.Clock, OnState: f.onClientState},
+	f.follower = relay.NewSubscriberSink(core, scopes, f.onFrame, set.Log)
+	f.client = relay.NewClient(relay.ClientConfig{Name: set.Name, Upstreams: set.Relays, SpreadByName: true, Clock: set.Clock, OnState: f.onClientState},
 		f.follower, set.Log)
 	return f, nil
 }
@@ -133,13 +133,13 @@
 // changed takes in what a frame has brought.
 func (f *Subscription[V]) onFrame(now int64, changes []distribution.Change) {
 	whole, age, known := false, int64(0), false
-	f.follower.Look(func(s *distribution.Subscriber) {
+	f.follower.Inspect(func(s *distribution.Subscriber) {
 		whole = s.Complete()
 		age, known = s.Age(now, relay.ScopeOrigin)
 	})
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	entries, passed, err := f.hosts.Take(changes)
+	entries, passed, err := f.hosts.Apply(changes)
 	servers := make([]endpointsource.Endpoint[V], 0, len(entries))
 	for _, e := range entries {
 		one, wrong := f.config.Decode(e)
@@ -156,17 +156,17 @@
 			f.config.Log.Warn("records passed over", zap.Int("records", passed), zap.Error(err))
 		}
 	}
-	list, seen := f.hosts.List()
-	f.applyUpdate(f.selector.UpdateRelays(now, servers, whole, seen && list.Stands && known, now-age, list.Version))
+	list, seen := f.hosts.Discovery()
+	f.applyUpdate(f.selector.UpdateRelays(now, servers, whole, seen && list.Connected && known, now-age, list.Version))
 }
 
-func (f *Subscription[V]) onClientState(s relay.State) {
+func (f *Subscription[V]) onClientState(s relay.ClientState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.clientState = s
 	if s.Connected {
 		f.config.Log.Info("follows", zap.String("relay", s.Upstream))
-	} else if s.Round {
+	} else if s.AllFailed {
 		f.applyUpdate(f.selector.RelaysUnreachable(f.config.Clock()))
 	}
 }
@@ -188,7 +188,7 @@
 	if f == nil || !f.relaysOnly.Load() {
 		return 0
 	}
-	return f.client.Heard()
+	return f.client.HeardAtNs()
 }
 
 // View is how it stands, for who asks.
@@ -210,7 +210,7 @@
 // Text is the view as JSON.
 func (f *Subscription[V]) StatusJSON() string {
 	var v Status
-	f.follower.Look(func(s *distribution.Subscriber) {
+	f.follower.Inspect(func(s *distribution.Subscriber) {
 		stats := s.Stats()
 		v.Complete, v.Records, v.SkippedRecords = s.Complete(), stats.Records, stats.InvalidRecords
 		at := s.Position(relay.ScopeOrigin)
@@ -222,8 +222,8 @@
 	})
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	list, _ := f.hosts.List()
-	v.Active, v.Relay, v.LastError, v.ListVersion, v.WatchesDiscovery, v.Switches, v.Client = f.active.String(), f.clientState.Upstream, f.clientState.Why, list.Version, f.watching, f.selector.Switches, f.client.Stats()
+	list, _ := f.hosts.Discovery()
+	v.Active, v.Relay, v.LastError, v.ListVersion, v.WatchesDiscovery, v.Switches, v.Client = f.active.String(), f.clientState.Upstream, f.clientState.Reason, list.Version, f.watching, f.selector.Switches, f.client.Stats()
 	text, err := json.Marshal(v)
 	if err != nil {
 		return err.Error()
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -73,12 +73,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := relay.NewServer(o.Relay(), relay.ServerSettings{}, zap.NewNop())
+	s := relay.NewServer(o.Relay(), relay.ServerConfig{}, zap.NewNop())
 	go s.Serve(l)
 	t.Cleanup(func() { l.Close(); s.Close(context.Background()) })
 	s.Do(func(now int64) {
 		o.Put(now, "eu1/cart", "endpoint/good", distribution.ClassEndpoint, endpoint("good"))
-		o.Put(now, relay.ScopeOrigin, relay.KeyList, distribution.ClassConfiguration, []byte(`{"seq":3,"stands":true}`))
+		o.Put(now, relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, []byte(`{"seq":3,"stands":true}`))
 	})
 	n := &node{told: map[string]string{}}
 	var passed atomic.Int64
@@ -132,12 +132,12 @@
 	put := func(scope, host string, gone bool) distribution.Change {
 		return distribution.Change{Record: distribution.Record{Scope: scope, Key: relay.EndpointKey(host), Deleted: gone, Body: endpoint(host)}}
 	}
-	h := relay.NewHosts()
+	h := relay.NewHostTable()
 	for i, step := range []struct {
 		change distribution.Change
 		health string
 	}{{put("a", "h", false), "up"}, {put("b", "h", false), "up"}, {put("a", "h", true), "up"}, {put("b", "h", true), "removed"}, {put("b", "h", true), ""}} {
-		told, passed, err := h.Take([]distribution.Change{step.change})
+		told, passed, err := h.Apply([]distribution.Change{step.change})
 		if step.health == "" && len(told) == 0 {
 			continue
 		}
