--- a/cmd/fawnglade/store.go
+++ b/cmd/fawnglade/store.go
@@ -38,7 +38,7 @@
 	asJSON := c.Flags().Bool("json", false, "print one JSON object")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		s, r, err := look(args[0])
-		var damage *store.Damage
+		var damage *store.CorruptionError
 		if err != nil && (!*asJSON || !errors.As(err, &damage)) {
 			return err
 		}
@@ -48,7 +48,7 @@
 		if *asJSON {
 			out := map[string]any{"whole": err == nil}
 			if damage != nil {
-				out["file"], out["offset"], out["what"], out["batches_after"] = damage.File, damage.Offset, damage.What, damage.After
+				out["file"], out["offset"], out["what"], out["batches_after"] = damage.File, damage.Offset, damage.Reason, damage.BatchesAfter
 			} else {
 				out["segments"], out["batches"], out["keys"] = r.Segments, r.Batches, r.Keys
 			}
@@ -147,7 +147,7 @@
 	to := c.Flags().String("to", "", "a directory without a store, made if it is not there")
 	c.MarkFlagRequired("to")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		from, err := store.Dir(args[0], false)
+		from, err := store.SystemDirectory(args[0], false)
 		if err != nil {
 			return err
 		}
@@ -156,7 +156,7 @@
 				return errors.New("--to: expected another directory, a store is never repaired in place")
 			}
 		}
-		into, err := store.Dir(*to, true)
+		into, err := store.SystemDirectory(*to, true)
 		if err != nil {
 			return err
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -70,7 +70,7 @@
 	seed      uint64
 	decoded   settings.Settings
 	state     string // the directory of the memory; empty: none
-	files     func(path string, write bool) (store.Files, error)
+	files     func(path string, write bool) (store.Directory, error)
 	features  *features.Features // nil: nothing beyond the platform's protocol
 }
 
@@ -79,7 +79,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	c.state, c.dir, c.files = dir, dir, store.Dir
+	c.state, c.dir, c.files = dir, dir, store.SystemDirectory
 	return nil
 }
 
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -101,12 +101,12 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	at, recovery, err := store.OpenFiles(files, store.Options{})
+	at, recovery, err := store.OpenDirectory(files, store.Options{})
 	if err != nil {
 		return nil, nil, err
 	}
-	if recovery.Dropped > 0 {
-		s.node.log.Warn("memory: a tail that a crash had cut off was dropped", zap.Int64("bytes", recovery.Dropped))
+	if recovery.TruncatedBytes > 0 {
+		s.node.log.Warn("memory: a tail that a crash had cut off was dropped", zap.Int64("bytes", recovery.TruncatedBytes))
 	}
 	var failed error
 	m := nodestate.Read(func(each func(string, []byte)) {
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -12,7 +12,7 @@
 
 // badDisk is a directory whose syncs hang until they are let go, or fail.
 type badDisk struct {
-	store.Files
+	store.Directory
 	hangs sync.Mutex // held: no sync comes back
 	fails atomic.Bool
 	syncs atomic.Int64
@@ -24,12 +24,12 @@
 }
 
 func (d *badDisk) Create(name string) (store.File, error) {
-	f, err := d.Files.Create(name)
+	f, err := d.Directory.Create(name)
 	return badFile{f, d}, err
 }
 
 func (d *badDisk) Open(name string, write bool) (store.File, error) {
-	f, err := d.Files.Open(name, write)
+	f, err := d.Directory.Open(name, write)
 	return badFile{f, d}, err
 }
 
@@ -48,9 +48,9 @@
 		if err := c.State(dir); err != nil {
 			t.Fatal(err)
 		}
-		c.files = func(path string, write bool) (store.Files, error) {
+		c.files = func(path string, write bool) (store.Directory, error) {
 			var err error
-			disk.Files, err = store.Dir(path, write)
+			disk.Directory, err = store.SystemDirectory(path, write)
 			return disk, err
 		}
 	}
--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -12,7 +12,7 @@
 // drains of the last whole one hold.
 func TestCutAtEveryByte(t *testing.T) {
 	dir := t.TempDir()
-	at, _, err := store.Open(dir, store.Options{NoSelfCompact: true})
+	at, _, err := store.Open(dir, store.Options{ManualCompaction: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -42,7 +42,7 @@
 	for _, keys := range []int{1000, 100000, 1000000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			dir := b.TempDir()
-			s, _, err := Open(dir, Options{NoSelfCompact: true})
+			s, _, err := Open(dir, Options{ManualCompaction: true})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -62,7 +62,7 @@
 			runtime.ReadMemStats(&before)
 			b.ResetTimer()
 			for range b.N {
-				s, r, err := Open(dir, Options{NoSelfCompact: true})
+				s, r, err := Open(dir, Options{ManualCompaction: true})
 				if err != nil || r.Keys != keys {
 					b.Fatal(err, r)
 				}
@@ -101,7 +101,7 @@
 			total += seg.size
 		}
 		if i > 100 {
-			most = max(most, float64(total)/float64(s.live))
+			most = max(most, float64(total)/float64(s.liveBytes))
 		}
 		s.mu.Unlock()
 	}
--- a/internal/store/compact.go
+++ b/internal/store/compaction.go
@@ -11,18 +11,18 @@
 	"golang.org/x/time/rate"
 )
 
-const smallLog = 64 << 10 // less garbage than this is not worth the work
+const minGarbageBytes = 64 << 10 // less garbage than this is not worth the work
 
 // wantsCompaction tells whether enough of the closed segments is garbage; the lock is held.
-func (s *Store) wantsCompaction() bool {
-	if s.compacting || s.closed || len(s.segments) < 2 || s.broken != nil {
+func (s *Store) needsCompaction() bool {
+	if s.compacting || s.closed || len(s.segments) < 2 || s.failure != nil {
 		return false
 	}
 	total := int64(0)
 	for _, seg := range s.segments {
 		total += seg.size
 	}
-	return float64(total-s.live) > max(s.options.Garbage*float64(total), smallLog)
+	return float64(total-s.liveBytes) > max(s.options.MaxGarbageRatio*float64(total), minGarbageBytes)
 }
 
 // Compact rewrites all closed segments now. Writers and readers go on meanwhile.
@@ -34,20 +34,20 @@
 	}
 	s.compacting = true
 	s.mu.Unlock()
-	return s.compact()
+	return s.runCompaction()
 }
 
-func (s *Store) compact() error {
-	err := s.rewrite()
+func (s *Store) runCompaction() error {
+	err := s.compactSegments()
 	s.mu.Lock()
 	s.compacting = false
-	s.changed.Broadcast()
+	s.stateChanged.Broadcast()
 	s.mu.Unlock()
 	return err
 }
 
 // rewrite does the work; only one does at a time.
-func (s *Store) rewrite() error {
+func (s *Store) compactSegments() error {
 	s.mu.Lock()
 	var old []*segment
 	for _, seg := range s.segments {
@@ -55,7 +55,7 @@
 			old = append(old, seg)
 		}
 	}
-	if len(old) == 0 || len(old) == 1 && old[0].merged && s.live >= old[0].size {
+	if len(old) == 0 || len(old) == 1 && old[0].compacted && s.liveBytes >= old[0].size {
 		s.mu.Unlock()
 		return nil
 	}
@@ -72,11 +72,11 @@
 	}
 	name := segmentName(id)
 	part := name + partSuffix
-	made, err := s.begin(part, id, replaces)
+	made, err := s.createSegment(part, id, replaces)
 	if made == nil {
 		return err
 	}
-	moved, err2 := s.move(snap, made, from)
+	moved, err2 := s.copyLive(snap, made, from)
 	if err = errors.Join(err, err2); err == nil {
 		err = made.file.Sync()
 	}
@@ -93,7 +93,7 @@
 	err = s.files.SyncDir()
 	s.mu.Lock()
 	if err != nil {
-		s.broken = err
+		s.failure = err
 		s.mu.Unlock()
 		return err
 	}
@@ -108,7 +108,7 @@
 			kept = append(kept, seg)
 			continue
 		}
-		if seg.gone = true; seg.refs == 0 {
+		if seg.obsolete = true; seg.refs == 0 {
 			seg.file.Close()
 		}
 	}
@@ -121,8 +121,8 @@
 }
 
 // move writes what stands in the old segments, no faster than it may.
-func (s *Store) move(snap *Snapshot, to *segment, from map[*segment]bool) (moved []entry, err error) {
-	pace := rate.NewLimiter(rate.Limit(s.options.CompactPerSec), max(s.options.CompactPerSec/8, mostPayload))
+func (s *Store) copyLive(snap *Snapshot, to *segment, from map[*segment]bool) (moved []entry, err error) {
+	pace := rate.NewLimiter(rate.Limit(s.options.CompactBytesPerSecond), max(s.options.CompactBytesPerSecond/8, maxPayloadBytes))
 	var block []byte
 	write := func() error {
 		if len(block) == 0 {
@@ -146,9 +146,9 @@
 		if value, err = e.read(); err != nil {
 			return false
 		}
-		ops := []op{{key: e.key, value: value}}
-		frame := frameOf(e.seq, ops)
-		moved = append(moved, entry{e.key, to, to.size + int64(len(block)+ops[0].at), e.n, e.seq})
+		ops := []operation{{key: e.key, value: value}}
+		frame := encodeFrame(e.seq, ops)
+		moved = append(moved, entry{e.key, to, to.size + int64(len(block)+ops[0].valueOffset), e.length, e.seq})
 		if block = append(block, frame...); len(block) >= 256<<10 {
 			err = write()
 		}
--- a/internal/store/files.go
+++ b/internal/store/directory.go
@@ -24,7 +24,7 @@
 }
 
 // Files is one directory.
-type Files interface {
+type Directory interface {
 	Create(name string) (File, error) // a new file; one that is there is an error
 	Open(name string, write bool) (File, error)
 	Rename(from, to string) error
@@ -35,7 +35,7 @@
 }
 
 // Dir is a directory of the system's, made if it is not there.
-func Dir(path string, write bool) (Files, error) {
+func SystemDirectory(path string, write bool) (Directory, error) {
 	if write {
 		if err := os.MkdirAll(path, 0o700); err != nil {
 			return nil, err
@@ -48,14 +48,14 @@
 	if !info.IsDir() {
 		return nil, fmt.Errorf("%s: expected a directory", path)
 	}
-	return dir(path), nil
+	return systemDirectory(path), nil
 }
 
-type dir string
+type systemDirectory string
 
-type osFile struct{ *os.File }
+type systemFile struct{ *os.File }
 
-func (f osFile) Size() (int64, error) {
+func (f systemFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
 		return 0, err
@@ -63,32 +63,32 @@
 	return info.Size(), nil
 }
 
-func (d dir) at(name string) string { return filepath.Join(string(d), name) }
+func (d systemDirectory) path(name string) string { return filepath.Join(string(d), name) }
 
-func (d dir) Create(name string) (File, error) {
-	f, err := os.OpenFile(d.at(name), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
+func (d systemDirectory) Create(name string) (File, error) {
+	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	return osFile{f}, nil
+	return systemFile{f}, nil
 }
 
-func (d dir) Open(name string, write bool) (File, error) {
+func (d systemDirectory) Open(name string, write bool) (File, error) {
 	how := os.O_RDONLY
 	if write {
 		how = os.O_RDWR
 	}
-	f, err := os.OpenFile(d.at(name), how, 0)
+	f, err := os.OpenFile(d.path(name), how, 0)
 	if err != nil {
 		return nil, err
 	}
-	return osFile{f}, nil
+	return systemFile{f}, nil
 }
 
-func (d dir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
-func (d dir) Remove(name string) error     { return os.Remove(d.at(name)) }
+func (d systemDirectory) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
+func (d systemDirectory) Remove(name string) error     { return os.Remove(d.path(name)) }
 
-func (d dir) List() ([]string, error) {
+func (d systemDirectory) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 	return names, nil
 }
 
-func (d dir) SyncDir() error {
+func (d systemDirectory) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
 		return err
@@ -112,8 +112,8 @@
 }
 
 // Lock takes the directory for this process alone. The system lets go of it when the process ends, however it does.
-func (d dir) Lock() (func() error, error) {
-	f, err := os.OpenFile(d.at("LOCK"), os.O_RDWR|os.O_CREATE, 0o600)
+func (d systemDirectory) Lock() (func() error, error) {
+	f, err := os.OpenFile(d.path("LOCK"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -4,23 +4,23 @@
 
 // FuzzScan reads whatever may stand in a file: it neither panics nor tells of more than there is.
 func FuzzScan(f *testing.F) {
-	whole := headOf([]uint64{3})
-	whole = append(whole, frameOf(1, []op{{key: "a", value: []byte("1")}, {key: "b", remove: true}})...)
-	whole = append(whole, frameOf(2, []op{{key: "a", value: nil}})...)
+	whole := encodeHeader([]uint64{3})
+	whole = append(whole, encodeFrame(1, []operation{{key: "a", value: []byte("1")}, {key: "b", remove: true}})...)
+	whole = append(whole, encodeFrame(2, []operation{{key: "a", value: nil}})...)
 	f.Add(whole, true)
 	f.Add(whole[:len(whole)-3], true)
-	f.Add(append(headOf(nil), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0, 1), false)
+	f.Add(append(encodeHeader(nil), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0, 1), false)
 	f.Add([]byte(magic), true)
 	f.Fuzz(func(t *testing.T, b []byte, last bool) {
-		s, _ := scan(segmentName(1), b, last, func(_ uint64, at int64, ops []op) {
+		s, _ := scan(segmentName(1), b, last, func(_ uint64, at int64, ops []operation) {
 			for _, o := range ops {
-				if !o.remove && (o.at < 0 || at+int64(o.at+len(o.value)) > int64(len(b))) {
-					t.Fatalf("a value at %d of %d bytes in %d", at+int64(o.at), len(o.value), len(b))
+				if !o.remove && (o.valueOffset < 0 || at+int64(o.valueOffset+len(o.value)) > int64(len(b))) {
+					t.Fatalf("a value at %d of %d bytes in %d", at+int64(o.valueOffset), len(o.value), len(b))
 				}
 			}
 		})
-		if s.whole > int64(len(b)) {
-			t.Fatalf("%d whole bytes of %d", s.whole, len(b))
+		if s.validBytes > int64(len(b)) {
+			t.Fatalf("%d whole bytes of %d", s.validBytes, len(b))
 		}
 	})
 }
--- a/internal/store/recover.go
+++ b/internal/store/recovery.go
@@ -15,14 +15,14 @@
 )
 
 // OpenFiles opens a directory by what is handed in for it.
-func OpenFiles(files Files, o Options) (s *Store, r *Recovery, err error) {
-	def(&o.SegmentBytes, 4<<20)
-	def(&o.Garbage, 0.5)
-	def(&o.CompactPerSec, 8<<20)
-	s = &Store{files: files, options: o, index: btree.NewG(16, less), group: &group{}, nextID: 1}
-	s.changed = sync.NewCond(&s.mu)
+func OpenDirectory(files Directory, o Options) (s *Store, r *Recovery, err error) {
+	setDefault(&o.SegmentBytes, 4<<20)
+	setDefault(&o.MaxGarbageRatio, 0.5)
+	setDefault(&o.CompactBytesPerSecond, 8<<20)
+	s = &Store{files: files, options: o, index: btree.NewG(16, entryLess), group: &commitGroup{}, nextID: 1}
+	s.stateChanged = sync.NewCond(&s.mu)
 	if !o.ReadOnly {
-		if s.release, err = files.Lock(); err != nil {
+		if s.unlock, err = files.Lock(); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -31,14 +31,14 @@
 			for _, seg := range s.segments {
 				seg.file.Close()
 			}
-			if s.release != nil {
-				s.release()
+			if s.unlock != nil {
+				s.unlock()
 			}
 			s = nil
 		}
 	}()
 	r = &Recovery{}
-	all, removed, err := s.readAll(r)
+	all, removed, err := s.loadSegments(r)
 	if err != nil || o.ReadOnly {
 		return s, r, err
 	}
@@ -46,15 +46,15 @@
 		if err := files.Remove(name); err != nil {
 			return nil, nil, err
 		}
-		r.Removed = append(r.Removed, name)
+		r.RemovedFiles = append(r.RemovedFiles, name)
 	}
 	if s.active == nil {
-		return s, r, s.roll()
+		return s, r, s.rollSegment()
 	}
-	return s, r, s.cutTail(all, r)
+	return s, r, s.truncateTail(all, r)
 }
 
-func def[T comparable](v *T, missing T) {
+func setDefault[T comparable](v *T, missing T) {
 	var zero T
 	if *v == zero {
 		*v = missing
@@ -62,18 +62,18 @@
 }
 
 // cutTail takes off what a crash left of a batch, so that what is written next follows whole ones.
-func (s *Store) cutTail(all []scanned, r *Recovery) error {
+func (s *Store) truncateTail(all []scanResult, r *Recovery) error {
 	a := s.active
-	tail := all[slices.IndexFunc(all, func(one scanned) bool { return one.id == a.id })]
-	if tail.whole == tail.size && tail.whole > 0 {
+	tail := all[slices.IndexFunc(all, func(one scanResult) bool { return one.id == a.id })]
+	if tail.validBytes == tail.size && tail.validBytes > 0 {
 		return nil
 	}
-	r.Dropped, r.DroppedFrom = tail.size-tail.whole, a.name
-	if err := a.file.Truncate(tail.whole); err != nil {
+	r.TruncatedBytes, r.TruncatedFile = tail.size-tail.validBytes, a.name
+	if err := a.file.Truncate(tail.validBytes); err != nil {
 		return err
 	}
-	if a.size = tail.whole; a.size == 0 {
-		head := headOf(nil)
+	if a.size = tail.validBytes; a.size == 0 {
+		head := encodeHeader(nil)
 		if _, err := a.file.WriteAt(head, 0); err != nil {
 			return err
 		}
@@ -83,18 +83,18 @@
 }
 
 // newest is the last that the log says of a key.
-type newest struct {
+type latestChange struct {
 	entry
 	removed bool
 }
 
 // readAll reads every segment and fills the index. It changes nothing and returns what may be removed.
-func (s *Store) readAll(r *Recovery) (all []scanned, removed []string, err error) {
+func (s *Store) loadSegments(r *Recovery) (all []scanResult, removed []string, err error) {
 	names, err := s.files.List()
 	if err != nil {
 		return nil, nil, err
 	}
-	heads := map[string]scanned{}
+	heads := map[string]scanResult{}
 	var lastLog uint64
 	for _, name := range names {
 		if strings.HasSuffix(name, partSuffix) {
@@ -105,18 +105,18 @@
 		if !is {
 			continue
 		}
-		seg, b, err := s.load(name, id)
+		seg, b, err := s.openSegment(name, id)
 		if err != nil {
 			return nil, nil, err
 		}
 		s.segments = append(s.segments, seg)
 		s.nextID = max(s.nextID, id+1)
-		_, replaces, err := readHead(b)
-		if errors.Is(err, ErrNewer) {
+		_, replaces, err := decodeHeader(b)
+		if errors.Is(err, ErrNewerVersion) {
 			return nil, nil, fmt.Errorf("%s: %w", name, err)
 		}
-		heads[name] = scanned{id: id, replaces: replaces}
-		if seg.merged = len(replaces) > 0; !seg.merged {
+		heads[name] = scanResult{id: id, replaces: replaces}
+		if seg.compacted = len(replaces) > 0; !seg.compacted {
 			lastLog = max(lastLog, id)
 		}
 	}
@@ -124,7 +124,7 @@
 	for _, h := range heads {
 		replaced = append(replaced, h.replaces...)
 	}
-	words := map[string]newest{}
+	words := map[string]latestChange{}
 	kept := s.segments[:0]
 	for _, seg := range s.segments {
 		if slices.Contains(replaced, seg.id) {
@@ -137,21 +137,21 @@
 	s.segments = kept
 	slices.SortFunc(s.segments, byID)
 	for _, seg := range s.segments {
-		b, err := readWhole(seg)
+		b, err := readSegment(seg)
 		if err != nil {
 			return nil, nil, err
 		}
-		one, err := scan(seg.name, b, seg.id == lastLog, func(seq uint64, at int64, ops []op) {
+		one, err := scan(seg.name, b, seg.id == lastLog, func(seq uint64, at int64, ops []operation) {
 			for _, o := range ops {
 				if old, was := words[o.key]; !was || seq >= old.seq {
-					words[o.key] = newest{entry{o.key, seg, at + int64(o.at), len(o.value), seq}, o.remove}
+					words[o.key] = latestChange{entry{o.key, seg, at + int64(o.valueOffset), len(o.value), seq}, o.remove}
 				}
 			}
 		})
 		if err != nil {
 			return nil, nil, err
 		}
-		if seg.size = one.whole; !seg.merged && seg.id == lastLog {
+		if seg.size = one.validBytes; !seg.compacted && seg.id == lastLog {
 			s.active = seg
 		}
 		r.Segments++
@@ -161,20 +161,20 @@
 	}
 	for _, w := range words {
 		if !w.removed {
-			s.set(w.entry)
+			s.setEntry(w.entry)
 		}
 	}
 	r.Keys = s.index.Len()
 	return all, removed, nil
 }
 
-func (s *Store) load(name string, id uint64) (*segment, []byte, error) {
+func (s *Store) openSegment(name string, id uint64) (*segment, []byte, error) {
 	f, err := s.files.Open(name, !s.options.ReadOnly)
 	if err != nil {
 		return nil, nil, err
 	}
 	seg := &segment{id: id, name: name, file: f}
-	b, err := readWhole(seg)
+	b, err := readSegment(seg)
 	if err != nil {
 		f.Close()
 		return nil, nil, err
@@ -182,7 +182,7 @@
 	return seg, b, nil
 }
 
-func readWhole(seg *segment) ([]byte, error) {
+func readSegment(seg *segment) ([]byte, error) {
 	size, err := seg.file.Size()
 	if err != nil {
 		return nil, err
@@ -197,7 +197,7 @@
 // Repair copies what can be read of a damaged directory into another, batch by batch in their order, and tells how many
 // bytes it had to leave. What stands between two whole batches is lost, so a key may come back that a lost batch had
 // changed or removed; nobody can tell. The damaged directory is left as it is.
-func Repair(from, to Files) (batches int, lost int64, err error) {
+func Repair(from, to Directory) (batches int, lost int64, err error) {
 	existing, err := to.List()
 	if err != nil {
 		return 0, 0, err
@@ -213,7 +213,7 @@
 	}
 	type batch struct {
 		seq uint64
-		ops []op
+		ops []operation
 	}
 	var found []batch
 	for _, name := range names {
@@ -225,17 +225,17 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		b, err := readWhole(&segment{id: id, name: name, file: f})
+		b, err := readSegment(&segment{id: id, name: name, file: f})
 		f.Close()
 		if err != nil {
 			return 0, 0, err
 		}
-		at, _, err := readHead(b)
+		at, _, err := decodeHeader(b)
 		if err != nil {
 			at = 0
 		}
 		for at < len(b) {
-			n, seq, ops := readFrame(b[at:])
+			n, seq, ops := decodeFrame(b[at:])
 			if n == 0 {
 				at++
 				lost++
@@ -253,7 +253,7 @@
 		}
 		return 0
 	})
-	out, _, err := OpenFiles(to, Options{NoSelfCompact: true})
+	out, _, err := OpenDirectory(to, Options{ManualCompaction: true})
 	if err != nil {
 		return 0, 0, err
 	}
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -16,33 +16,33 @@
 // follow, each a batch: length of the payload, CRC-32C of the rest of the frame, sequence, payload. Numbers are little
 // endian.
 const (
-	magic       = "fgstore\n"
-	version     = 1
-	headFixed   = len(magic) + 4 + 4 + 4 // version, count of the replaced, checksum
-	frameHead   = 4 + 4 + 8
-	mostPayload = 16 << 20
-	mostKey     = 4 << 10
-	namePrefix  = "seg-"
-	nameSuffix  = ".log"
-	partSuffix  = ".part"
+	magic            = "fgstore\n"
+	version          = 1
+	fixedHeaderBytes = len(magic) + 4 + 4 + 4 // version, count of the replaced, checksum
+	frameHeaderBytes = 4 + 4 + 8
+	maxPayloadBytes  = 16 << 20
+	maxKeyBytes      = 4 << 10
+	namePrefix       = "seg-"
+	nameSuffix       = ".log"
+	partSuffix       = ".part"
 )
 
 var (
-	table = crc32.MakeTable(crc32.Castagnoli)
+	crcTable = crc32.MakeTable(crc32.Castagnoli)
 	// ErrNewer is a file from a version of the program that this one does not know.
-	ErrNewer = errors.New("written by a newer version of this program")
+	ErrNewerVersion = errors.New("written by a newer version of this program")
 )
 
 // Damage is a place in the log, before its tail, that cannot be read. Nothing was changed.
-type Damage struct {
-	File   string
-	Offset int64
-	After  int // whole batches that can be read after it
-	What   string
+type CorruptionError struct {
+	File         string
+	Offset       int64
+	BatchesAfter int // whole batches that can be read after it
+	Reason       string
 }
 
-func (d *Damage) Error() string {
-	return fmt.Sprintf("%s is damaged at byte %d: %s; %d whole batches can be read after it", d.File, d.Offset, d.What, d.After)
+func (d *CorruptionError) Error() string {
+	return fmt.Sprintf("%s is damaged at byte %d: %s; %d whole batches can be read after it", d.File, d.Offset, d.Reason, d.BatchesAfter)
 }
 
 func segmentName(id uint64) string { return fmt.Sprintf("%s%016x%s", namePrefix, id, nameSuffix) }
@@ -59,19 +59,19 @@
 	return id, err == nil
 }
 
-func headOf(replaces []uint64) []byte {
+func encodeHeader(replaces []uint64) []byte {
 	b := append([]byte(nil), magic...)
 	b = binary.LittleEndian.AppendUint32(b, version)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(replaces)))
 	for _, id := range replaces {
 		b = binary.LittleEndian.AppendUint64(b, id)
 	}
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, table))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, crcTable))
 }
 
 // readHead returns the length of a segment's head; 0 if it is not whole.
-func readHead(b []byte) (length int, replaces []uint64, err error) {
-	if len(b) < headFixed {
+func decodeHeader(b []byte) (length int, replaces []uint64, err error) {
+	if len(b) < fixedHeaderBytes {
 		if !strings.HasPrefix(magic, string(b[:min(len(b), len(magic))])) {
 			return 0, nil, errors.New("not a segment of a store")
 		}
@@ -81,32 +81,32 @@
 		return 0, nil, errors.New("not a segment of a store")
 	}
 	if v := binary.LittleEndian.Uint32(b[len(magic):]); v > version {
-		return 0, nil, ErrNewer
+		return 0, nil, ErrNewerVersion
 	}
 	count := int(binary.LittleEndian.Uint32(b[len(magic)+4:]))
-	length = headFixed + 8*count
+	length = fixedHeaderBytes + 8*count
 	if count > 1<<20 || len(b) < length {
 		return 0, nil, nil
 	}
 	for i := range count {
 		replaces = append(replaces, binary.LittleEndian.Uint64(b[len(magic)+8+8*i:]))
 	}
-	if crc32.Checksum(b[:length-4], table) != binary.LittleEndian.Uint32(b[length-4:]) {
+	if crc32.Checksum(b[:length-4], crcTable) != binary.LittleEndian.Uint32(b[length-4:]) {
 		return 0, nil, errors.New("head does not match its checksum")
 	}
 	return length, replaces, nil
 }
 
 // op is one change within a batch.
-type op struct {
-	key    string
-	value  []byte
-	remove bool
-	at     int // of the value, within its frame
+type operation struct {
+	key         string
+	value       []byte
+	remove      bool
+	valueOffset int // of the value, within its frame
 }
 
-func frameOf(seq uint64, ops []op) []byte {
-	b := make([]byte, frameHead, 256)
+func encodeFrame(seq uint64, ops []operation) []byte {
+	b := make([]byte, frameHeaderBytes, 256)
 	binary.LittleEndian.PutUint64(b[8:], seq)
 	b = binary.AppendUvarint(b, uint64(len(ops)))
 	for i := range ops {
@@ -119,32 +119,32 @@
 		b = append(b, ops[i].key...)
 		if !ops[i].remove {
 			b = binary.AppendUvarint(b, uint64(len(ops[i].value)))
-			ops[i].at = len(b)
+			ops[i].valueOffset = len(b)
 			b = append(b, ops[i].value...)
 		}
 	}
-	binary.LittleEndian.PutUint32(b, uint32(len(b)-frameHead))
-	binary.LittleEndian.PutUint32(b[4:], crc32.Update(crc32.Checksum(b[:4], table), table, b[8:]))
+	binary.LittleEndian.PutUint32(b, uint32(len(b)-frameHeaderBytes))
+	binary.LittleEndian.PutUint32(b[4:], crc32.Update(crc32.Checksum(b[:4], crcTable), crcTable, b[8:]))
 	return b
 }
 
 // readFrame reads the frame at the beginning of b; length 0 means that there is no whole one.
-func readFrame(b []byte) (length int, seq uint64, ops []op) {
-	if len(b) < frameHead {
+func decodeFrame(b []byte) (length int, seq uint64, ops []operation) {
+	if len(b) < frameHeaderBytes {
 		return 0, 0, nil
 	}
 	size := int64(binary.LittleEndian.Uint32(b))
-	if size > mostPayload || int64(len(b)) < frameHead+size {
+	if size > maxPayloadBytes || int64(len(b)) < frameHeaderBytes+size {
 		return 0, 0, nil
 	}
-	length = frameHead + int(size)
-	if crc32.Update(crc32.Checksum(b[:4], table), table, b[8:length]) != binary.LittleEndian.Uint32(b[4:]) {
+	length = frameHeaderBytes + int(size)
+	if crc32.Update(crc32.Checksum(b[:4], crcTable), crcTable, b[8:length]) != binary.LittleEndian.Uint32(b[4:]) {
 		return 0, 0, nil
 	}
-	at := frameHead
+	at := frameHeaderBytes
 	number := func() int {
 		v, n := binary.Uvarint(b[at:length])
-		if n <= 0 || v > mostPayload {
+		if n <= 0 || v > maxPayloadBytes {
 			at = length + 1
 			return 0
 		}
@@ -155,7 +155,7 @@
 		if at >= length {
 			return 0, 0, nil
 		}
-		o := op{remove: b[at] == 1}
+		o := operation{remove: b[at] == 1}
 		at++
 		n := number()
 		if at+n > length {
@@ -168,7 +168,7 @@
 			if at+n > length {
 				return 0, 0, nil
 			}
-			o.at, o.value = at, b[at:at+n]
+			o.valueOffset, o.value = at, b[at:at+n]
 			at += n
 		}
 		ops = append(ops, o)
@@ -180,55 +180,55 @@
 }
 
 // scanned is a segment as read from its file.
-type scanned struct {
-	id       uint64
-	replaces []uint64
-	whole    int64 // bytes up to the end of the last whole batch; 0 if not even the head is whole
-	size     int64
-	batches  int
-	lastSeq  uint64
+type scanResult struct {
+	id         uint64
+	replaces   []uint64
+	validBytes int64 // bytes up to the end of the last whole batch; 0 if not even the head is whole
+	size       int64
+	batches    int
+	lastSeq    uint64
 }
 
 // scan reads a segment and calls each for every batch. What cannot be read is the tail of a crash, if this is the last
 // segment and no whole batch comes after it; everything else is damage.
-func scan(name string, b []byte, last bool, each func(seq uint64, at int64, ops []op)) (scanned, error) {
+func scan(name string, b []byte, last bool, each func(seq uint64, at int64, ops []operation)) (scanResult, error) {
 	id, _ := segmentID(name)
-	s := scanned{id: id, size: int64(len(b))}
-	head, replaces, err := readHead(b)
+	s := scanResult{id: id, size: int64(len(b))}
+	head, replaces, err := decodeHeader(b)
 	switch {
-	case errors.Is(err, ErrNewer):
+	case errors.Is(err, ErrNewerVersion):
 		return s, fmt.Errorf("%s: %w", name, err)
 	case err != nil:
-		return s, &Damage{name, 0, after(b, 0, 0), err.Error()}
+		return s, &CorruptionError{name, 0, countBatchesAfter(b, 0, 0), err.Error()}
 	case head == 0:
 		if !last {
-			return s, &Damage{name, 0, 0, "head is not whole"}
+			return s, &CorruptionError{name, 0, 0, "head is not whole"}
 		}
 		return s, nil
 	}
-	s.replaces, s.whole = replaces, int64(head)
-	for s.whole < s.size {
-		n, seq, ops := readFrame(b[s.whole:])
+	s.replaces, s.validBytes = replaces, int64(head)
+	for s.validBytes < s.size {
+		n, seq, ops := decodeFrame(b[s.validBytes:])
 		if n == 0 {
-			if found := after(b, int(s.whole)+1, s.lastSeq); found > 0 || !last {
-				return s, &Damage{name, s.whole, found, "a batch does not match its checksum or is cut off"}
+			if found := countBatchesAfter(b, int(s.validBytes)+1, s.lastSeq); found > 0 || !last {
+				return s, &CorruptionError{name, s.validBytes, found, "a batch does not match its checksum or is cut off"}
 			}
 			return s, nil
 		}
-		each(seq, s.whole, ops)
+		each(seq, s.validBytes, ops)
 		s.batches++
 		s.lastSeq = max(s.lastSeq, seq)
-		s.whole += int64(n)
+		s.validBytes += int64(n)
 	}
 	return s, nil
 }
 
 // after counts whole batches anywhere from a place on.
-func after(b []byte, from int, lastSeq uint64) (found int) {
-	for from+frameHead <= len(b) {
+func countBatchesAfter(b []byte, from int, lastSeq uint64) (found int) {
+	for from+frameHeaderBytes <= len(b) {
 		// The sequence rules nearly every place out before its checksum is worked out.
 		if seq := binary.LittleEndian.Uint64(b[from+8:]); seq > lastSeq && seq < lastSeq+1<<32 {
-			if n, _, _ := readFrame(b[from:]); n > 0 {
+			if n, _, _ := decodeFrame(b[from:]); n > 0 {
 				found++
 				from += n
 				continue
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,93 +19,93 @@
 
 // Options bound a store; zero values stand for those in brackets.
 type Options struct {
-	SegmentBytes  int64   // a segment is closed beyond this [4 MiB]
-	Garbage       float64 // part of the log that is no longer live at which it is compacted [0.5]
-	CompactPerSec int     // bytes a second that compaction may write [8 MiB]
-	NoSelfCompact bool    // compaction only when asked for
-	ReadOnly      bool    // nothing is changed, not even a tail cut off; no lock is taken
+	SegmentBytes          int64   // a segment is closed beyond this [4 MiB]
+	MaxGarbageRatio       float64 // part of the log that is no longer live at which it is compacted [0.5]
+	CompactBytesPerSecond int     // bytes a second that compaction may write [8 MiB]
+	ManualCompaction      bool    // compaction only when asked for
+	ReadOnly              bool    // nothing is changed, not even a tail cut off; no lock is taken
 }
 
 // Recovery tells what opening found.
 type Recovery struct {
 	Segments, Batches, Keys int
-	Dropped                 int64    // bytes of a tail that a crash had cut off
-	DroppedFrom             string   // the file that they stood in
-	Removed                 []string // files of a compaction that had not come to its end, or had
+	TruncatedBytes          int64    // bytes of a tail that a crash had cut off
+	TruncatedFile           string   // the file that they stood in
+	RemovedFiles            []string // files of a compaction that had not come to its end, or had
 }
 
 // ErrReadOnly is what a write gets once nothing may be written any more.
 var ErrReadOnly = errors.New("the store is read-only")
 
 type segment struct {
-	id     uint64
-	name   string
-	file   File
-	size   int64
-	merged bool // made by compaction
-	refs   int  // readers at work
-	gone   bool
+	id        uint64
+	name      string
+	file      File
+	size      int64
+	compacted bool // made by compaction
+	refs      int  // readers at work
+	obsolete  bool
 }
 
 type entry struct {
-	key string
-	seg *segment
-	at  int64
-	n   int
-	seq uint64
+	key    string
+	seg    *segment
+	offset int64
+	length int
+	seq    uint64
 }
 
-func less(a, b entry) bool { return a.key < b.key }
+func entryLess(a, b entry) bool { return a.key < b.key }
 
 // group is batches that become durable by one sync.
-type group struct {
+type commitGroup struct {
 	frames []byte
 	seqs   []uint64
 	starts []int
-	ops    [][]op
+	ops    [][]operation
 	done   bool
 	err    error
 }
 
 // Store is an open directory. Its methods may be called from any goroutine.
 type Store struct {
-	files   Files
+	files   Directory
 	options Options
-	release func() error
-
-	mu         sync.Mutex
-	changed    *sync.Cond
-	index      *btree.BTreeG[entry]
-	segments   []*segment // by id
-	active     *segment
-	nextID     uint64
-	seq        uint64
-	group      *group
-	flushing   bool
-	compacting bool
-	live       int64 // bytes of keys and values that stand
-	broken     error
-	closed     bool
+	unlock  func() error
+
+	mu           sync.Mutex
+	stateChanged *sync.Cond
+	index        *btree.BTreeG[entry]
+	segments     []*segment // by id
+	active       *segment
+	nextID       uint64
+	seq          uint64
+	group        *commitGroup
+	flushing     bool
+	compacting   bool
+	liveBytes    int64 // bytes of keys and values that stand
+	failure      error
+	closed       bool
 }
 
 // Batch is changes that take effect whole or not at all, in their order.
-type Batch struct{ ops []op }
+type Batch struct{ ops []operation }
 
 // Put sets a key.
 func (b *Batch) Put(key string, value []byte) {
-	b.ops = append(b.ops, op{key: key, value: slices.Clone(value)})
+	b.ops = append(b.ops, operation{key: key, value: slices.Clone(value)})
 }
 
 // Delete removes a key; one that is not there is no error.
-func (b *Batch) Delete(key string) { b.ops = append(b.ops, op{key: key, remove: true}) }
+func (b *Batch) Delete(key string) { b.ops = append(b.ops, operation{key: key, remove: true}) }
 
 // Open opens a directory, or begins one, and recovers what stands there to the last whole batch.
 func Open(path string, o Options) (*Store, *Recovery, error) {
-	files, err := Dir(path, !o.ReadOnly)
+	files, err := SystemDirectory(path, !o.ReadOnly)
 	if err != nil {
 		return nil, nil, err
 	}
-	return OpenFiles(files, o)
+	return OpenDirectory(files, o)
 }
 
 // Put sets one key and returns once that is durable.
@@ -130,13 +130,13 @@
 	}
 	size := 0
 	for _, o := range b.ops {
-		if o.key == "" || len(o.key) > mostKey {
-			return fmt.Errorf("key: expected 1 to %d bytes, got %d", mostKey, len(o.key))
+		if o.key == "" || len(o.key) > maxKeyBytes {
+			return fmt.Errorf("key: expected 1 to %d bytes, got %d", maxKeyBytes, len(o.key))
 		}
 		size += len(o.key) + len(o.value) + 24
 	}
-	if size > mostPayload/2 {
-		return fmt.Errorf("batch: expected %d bytes at most, got %d", mostPayload/2, size)
+	if size > maxPayloadBytes/2 {
+		return fmt.Errorf("batch: expected %d bytes at most, got %d", maxPayloadBytes/2, size)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,14 +146,14 @@
 	s.seq++
 	g, ops := s.group, slices.Clone(b.ops)
 	g.starts = append(g.starts, len(g.frames))
-	g.frames = append(g.frames, frameOf(s.seq, ops)...)
+	g.frames = append(g.frames, encodeFrame(s.seq, ops)...)
 	g.seqs, g.ops = append(g.seqs, s.seq), append(g.ops, ops)
 	for !g.done {
 		if s.flushing {
-			s.changed.Wait()
+			s.stateChanged.Wait()
 			continue
 		}
-		s.flush()
+		s.flushGroup()
 	}
 	return g.err
 }
@@ -164,40 +164,40 @@
 		return errors.New("the store is closed")
 	case s.options.ReadOnly:
 		return ErrReadOnly
-	case s.broken != nil:
-		return fmt.Errorf("%w: %w", ErrReadOnly, s.broken)
+	case s.failure != nil:
+		return fmt.Errorf("%w: %w", ErrReadOnly, s.failure)
 	}
 	return nil
 }
 
 // flush makes the group at hand durable; the lock is held, and let go while the disk is at work.
-func (s *Store) flush() {
+func (s *Store) flushGroup() {
 	g := s.group
-	s.group, s.flushing = &group{}, true
-	broken := s.broken
+	s.group, s.flushing = &commitGroup{}, true
+	broken := s.failure
 	s.mu.Unlock()
 	var at int64
 	err := broken
 	final := false
 	if err == nil {
-		at, final, err = s.write(g.frames)
+		at, final, err = s.appendFrames(g.frames)
 	}
 	s.mu.Lock()
 	if s.flushing, g.done, g.err = false, true, err; final {
-		s.broken = err
+		s.failure = err
 	}
 	if err == nil {
 		s.publish(g, at)
 	}
-	s.changed.Broadcast()
+	s.stateChanged.Broadcast()
 }
 
 // write appends frames to the log and makes them durable; only the one who flushes calls it. Where the disk takes only a
 // part, that part is taken off again; final tells that nothing more may be written.
-func (s *Store) write(frames []byte) (at int64, final bool, err error) {
+func (s *Store) appendFrames(frames []byte) (at int64, final bool, err error) {
 	a := s.active
-	if a.size > 0 && a.size+int64(len(frames)) > s.options.SegmentBytes && a.size > int64(headFixed) {
-		if err := s.roll(); err != nil {
+	if a.size > 0 && a.size+int64(len(frames)) > s.options.SegmentBytes && a.size > int64(fixedHeaderBytes) {
+		if err := s.rollSegment(); err != nil {
 			return 0, false, err
 		}
 		a = s.active
@@ -220,12 +220,12 @@
 }
 
 // roll begins a new segment. The old one is whole and durable.
-func (s *Store) roll() error {
+func (s *Store) rollSegment() error {
 	s.mu.Lock()
 	id := s.nextID
 	s.nextID++
 	s.mu.Unlock()
-	seg, err := s.begin(segmentName(id), id, nil)
+	seg, err := s.createSegment(segmentName(id), id, nil)
 	if err == nil {
 		err = s.files.SyncDir()
 	}
@@ -244,48 +244,48 @@
 }
 
 // begin makes a file with a head that is durable; its directory is not yet.
-func (s *Store) begin(name string, id uint64, replaces []uint64) (*segment, error) {
+func (s *Store) createSegment(name string, id uint64, replaces []uint64) (*segment, error) {
 	f, err := s.files.Create(name)
 	if err != nil {
 		return nil, err
 	}
-	head := headOf(replaces)
+	head := encodeHeader(replaces)
 	if _, err = f.WriteAt(head, 0); err == nil {
 		err = f.Sync()
 	}
-	seg := &segment{id: id, name: name, file: f, size: int64(len(head)), merged: len(replaces) > 0}
+	seg := &segment{id: id, name: name, file: f, size: int64(len(head)), compacted: len(replaces) > 0}
 	return seg, err
 }
 
 // publish takes durable batches into the index; the lock is held.
-func (s *Store) publish(g *group, at int64) {
+func (s *Store) publish(g *commitGroup, at int64) {
 	for i, ops := range g.ops {
 		for _, o := range ops {
 			if o.remove {
-				s.forget(o.key)
+				s.removeEntry(o.key)
 				continue
 			}
-			s.set(entry{o.key, s.active, at + int64(g.starts[i]+o.at), len(o.value), g.seqs[i]})
+			s.setEntry(entry{o.key, s.active, at + int64(g.starts[i]+o.valueOffset), len(o.value), g.seqs[i]})
 		}
 	}
-	if !s.options.NoSelfCompact && s.wantsCompaction() {
+	if !s.options.ManualCompaction && s.needsCompaction() {
 		s.compacting = true
-		go s.compact()
+		go s.runCompaction()
 	}
 }
 
-func (e entry) size() int64 { return int64(len(e.key) + e.n + frameHead + 8) }
+func (e entry) size() int64 { return int64(len(e.key) + e.length + frameHeaderBytes + 8) }
 
-func (s *Store) set(e entry) {
+func (s *Store) setEntry(e entry) {
 	if old, was := s.index.ReplaceOrInsert(e); was {
-		s.live -= old.size()
+		s.liveBytes -= old.size()
 	}
-	s.live += e.size()
+	s.liveBytes += e.size()
 }
 
-func (s *Store) forget(key string) {
+func (s *Store) removeEntry(key string) {
 	if old, was := s.index.Delete(entry{key: key}); was {
-		s.live -= old.size()
+		s.liveBytes -= old.size()
 	}
 }
 
@@ -299,25 +299,25 @@
 	}
 	e.seg.refs++
 	s.mu.Unlock()
-	defer s.let(e.seg)
+	defer s.releaseSegments(e.seg)
 	value, err = e.read()
 	return value, err == nil, err
 }
 
 func (e entry) read() ([]byte, error) {
-	value := make([]byte, e.n)
-	if n, err := e.seg.file.ReadAt(value, e.at); n < e.n {
-		return nil, fmt.Errorf("%s at byte %d: %w", e.seg.name, e.at, err)
+	value := make([]byte, e.length)
+	if n, err := e.seg.file.ReadAt(value, e.offset); n < e.length {
+		return nil, fmt.Errorf("%s at byte %d: %w", e.seg.name, e.offset, err)
 	}
 	return value, nil
 }
 
 // let ends a reader's hold on a segment, which may have been its last.
-func (s *Store) let(segs ...*segment) {
+func (s *Store) releaseSegments(segs ...*segment) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, seg := range segs {
-		if seg.refs--; seg.refs == 0 && seg.gone {
+		if seg.refs--; seg.refs == 0 && seg.obsolete {
 			seg.file.Close()
 		}
 	}
@@ -325,17 +325,17 @@
 
 // Snapshot is the store as it stood at a moment; writers do not disturb it. It holds files open until Release.
 type Snapshot struct {
-	store *Store
-	index *btree.BTreeG[entry]
-	segs  []*segment
+	store    *Store
+	index    *btree.BTreeG[entry]
+	segments []*segment
 }
 
 // Snapshot takes one.
 func (s *Store) Snapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	snap := &Snapshot{store: s, index: s.index.Clone(), segs: slices.Clone(s.segments)}
-	for _, seg := range snap.segs {
+	snap := &Snapshot{store: s, index: s.index.Clone(), segments: slices.Clone(s.segments)}
+	for _, seg := range snap.segments {
 		seg.refs++
 	}
 	return snap
@@ -343,8 +343,8 @@
 
 // Release lets go of a snapshot; it may not be used afterwards.
 func (p *Snapshot) Release() {
-	p.store.let(p.segs...)
-	p.segs = nil
+	p.store.releaseSegments(p.segments...)
+	p.segments = nil
 }
 
 // Each calls for every key with the prefix, in order, until it returns false or a value cannot be read.
@@ -374,16 +374,16 @@
 	}
 	s.closed = true
 	for s.flushing || s.compacting {
-		s.changed.Wait()
+		s.stateChanged.Wait()
 	}
 	var errs []error
 	for _, seg := range s.segments {
-		if seg.gone = true; seg.refs == 0 {
+		if seg.obsolete = true; seg.refs == 0 {
 			errs = append(errs, seg.file.Close())
 		}
 	}
-	if s.release != nil {
-		errs = append(errs, s.release())
+	if s.unlock != nil {
+		errs = append(errs, s.unlock())
 	}
 	return errors.Join(errs...)
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -192,7 +192,7 @@
 
 func open(t *testing.T, d *disk, o Options) (*Store, *Recovery) {
 	t.Helper()
-	s, r, err := OpenFiles(d, o)
+	s, r, err := OpenDirectory(d, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -231,13 +231,13 @@
 // A log cut off at any byte comes back as it stood after its last whole batch, and goes on from there.
 func TestCutOffAtEveryByte(t *testing.T) {
 	d := newDisk()
-	s, _ := open(t, d, Options{NoSelfCompact: true})
+	s, _ := open(t, d, Options{ManualCompaction: true})
 	states := history(t, s, 40, rand.New(rand.NewPCG(1, 1)))
 	s.Close()
 	whole := d.now[segmentName(1)].data
-	ends := []int{headFixed}
-	if _, err := scan(segmentName(1), whole, true, func(_ uint64, at int64, _ []op) {
-		n, _, _ := readFrame(whole[at:])
+	ends := []int{fixedHeaderBytes}
+	if _, err := scan(segmentName(1), whole, true, func(_ uint64, at int64, _ []operation) {
+		n, _, _ := decodeFrame(whole[at:])
 		ends = append(ends, int(at)+n)
 	}); err != nil {
 		t.Fatal(err)
@@ -245,7 +245,7 @@
 	for cut := range len(whole) + 1 {
 		d := newDisk()
 		d.now[segmentName(1)] = &memFile{d: d, data: slices.Clone(whole[:cut])}
-		s, r := open(t, d, Options{NoSelfCompact: true})
+		s, r := open(t, d, Options{ManualCompaction: true})
 		want := 0
 		for want+1 < len(ends) && ends[want+1] <= cut {
 			want++
@@ -253,14 +253,14 @@
 		if got := contents(t, s); !maps.Equal(got, states[want]) {
 			t.Fatalf("cut at %d: %v, want the state after %d batches, %v", cut, got, want, states[want])
 		}
-		if kept := ends[want]; cut > kept && r.Dropped != int64(cut-kept) {
-			t.Fatalf("cut at %d: %d bytes told as dropped, want %d", cut, r.Dropped, cut-kept)
+		if kept := ends[want]; cut > kept && r.TruncatedBytes != int64(cut-kept) {
+			t.Fatalf("cut at %d: %d bytes told as dropped, want %d", cut, r.TruncatedBytes, cut-kept)
 		}
 		if err := s.Put("after", []byte("x")); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
-		if s, r := open(t, d, Options{}); contents(t, s)["after"] != "x" || r.Dropped != 0 {
+		if s, r := open(t, d, Options{}); contents(t, s)["after"] != "x" || r.TruncatedBytes != 0 {
 			t.Fatalf("cut at %d: what was written afterwards is gone", cut)
 		}
 	}
@@ -270,7 +270,7 @@
 // is ever made up.
 func TestEveryByteWrong(t *testing.T) {
 	d := newDisk()
-	s, _ := open(t, d, Options{NoSelfCompact: true, SegmentBytes: 400})
+	s, _ := open(t, d, Options{ManualCompaction: true, SegmentBytes: 400})
 	states := history(t, s, 30, rand.New(rand.NewPCG(2, 2)))
 	s.Close()
 	names, _ := d.List()
@@ -283,10 +283,10 @@
 			}
 			bad.now[name].data[at] ^= 0x41
 			before := slices.Clone(bad.now[name].data)
-			s, _, err := OpenFiles(bad, Options{NoSelfCompact: true})
+			s, _, err := OpenDirectory(bad, Options{ManualCompaction: true})
 			if err != nil {
-				var damage *Damage
-				if !errors.As(err, &damage) && !errors.Is(err, ErrNewer) || damage != nil && damage.File != name {
+				var damage *CorruptionError
+				if !errors.As(err, &damage) && !errors.Is(err, ErrNewerVersion) || damage != nil && damage.File != name {
 					t.Fatalf("%s at %d: %v", name, at, err)
 				}
 				if !slices.Equal(before, bad.now[name].data) {
@@ -295,7 +295,7 @@
 				refused++
 				continue
 			}
-			if name != names[len(names)-1] || among(states, contents(t, s)) < len(states)-2 && at >= headFixed {
+			if name != names[len(names)-1] || among(states, contents(t, s)) < len(states)-2 && at >= fixedHeaderBytes {
 				if i := among(states, contents(t, s)); i < 0 || name != names[len(names)-1] {
 					t.Fatalf("%s at %d: opened in a state that never was", name, at)
 				}
@@ -313,7 +313,7 @@
 	play := func(d *disk, seed uint64) (acknowledged, perhaps map[string]string) {
 		draw := rand.New(rand.NewPCG(seed, 3))
 		acknowledged = map[string]string{}
-		s, _, err := OpenFiles(d, Options{NoSelfCompact: true, SegmentBytes: 300})
+		s, _, err := OpenDirectory(d, Options{ManualCompaction: true, SegmentBytes: 300})
 		if err != nil {
 			return acknowledged, acknowledged
 		}
@@ -351,7 +351,7 @@
 			d.failAt = at
 			acknowledged, perhaps := play(d, 1)
 			after := d.crash(rand.New(rand.NewPCG(seed, uint64(at))))
-			s, _, err := OpenFiles(after, Options{NoSelfCompact: true})
+			s, _, err := OpenDirectory(after, Options{ManualCompaction: true})
 			if err != nil {
 				t.Fatalf("power gone at step %d: %v", at, err)
 			}
@@ -370,7 +370,7 @@
 
 func TestDiskFullAndSyncFails(t *testing.T) {
 	d := newDisk()
-	s, _ := open(t, d, Options{NoSelfCompact: true})
+	s, _ := open(t, d, Options{ManualCompaction: true})
 	if err := s.Put("a", []byte("1")); err != nil {
 		t.Fatal(err)
 	}
@@ -473,7 +473,7 @@
 	newer := slices.Clone(b)
 	newer[len(magic)] = version + 1
 	os.WriteFile(name, newer, 0o600)
-	if _, _, err := Open(path, Options{}); !errors.Is(err, ErrNewer) {
+	if _, _, err := Open(path, Options{}); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("from a newer version: %v", err)
 	}
 	file := filepath.Join(t.TempDir(), "f")
@@ -486,7 +486,7 @@
 // What can be read round a damage comes over whole, and the damaged directory stays as it was.
 func TestRepair(t *testing.T) {
 	d := newDisk()
-	s, _ := open(t, d, Options{NoSelfCompact: true})
+	s, _ := open(t, d, Options{ManualCompaction: true})
 	for i := range 10 {
 		s.Put(fmt.Sprint("k", i), []byte("value"))
 	}
@@ -494,8 +494,8 @@
 	data := d.now[segmentName(1)].data
 	data[len(data)/2] ^= 1
 	before := slices.Clone(data)
-	var damage *Damage
-	if _, _, err := OpenFiles(d, Options{}); !errors.As(err, &damage) || damage.After < 3 || damage.Offset == 0 {
+	var damage *CorruptionError
+	if _, _, err := OpenDirectory(d, Options{}); !errors.As(err, &damage) || damage.BatchesAfter < 3 || damage.Offset == 0 {
 		t.Fatalf("%v, want the damage told", err)
 	}
 	to := newDisk()
