--- /dev/null
+++ b/internal/endpointsource/selector.go
@@ -0,0 +1,175 @@
+package endpointsource
+
+const (
+	// RelayStartupWaitNs is how long a node waits for relays alone after its start, in nanoseconds.
+	RelayStartupWaitNs = int64(1e9)
+	// OverlayNs is how long the previous source's list is merged into the active source's, at most, in nanoseconds.
+	// The versions of a discovery that has been started anew may never reach the previous ones.
+	OverlayNs = int64(60e9)
+)
+
+// Selector holds the lists of both sources and selects the active one. It is not safe for concurrent use.
+type Selector[V any] struct {
+	staleAfterNs    int64
+	startedAtNs     int64
+	restoredVersion int64
+
+	active  Source
+	lists   [sourceCount]list[V]
+	current map[string]Endpoint[V] // what the node uses, without removed endpoints
+
+	overlay        *list[V] // the previous source's list, merged into the active one; nil: none
+	overlayUntilNs int64
+
+	relaysWereFresh   bool
+	takeoverVersion   int64 // discovery's version when relays became fresh
+	relaysUnreachable bool
+
+	Switches int64 // from one source to the other, since the start
+}
+
+// New returns a selector without a list at nowNs, a time of the clock that all later calls use. Relays are stale once
+// what they sent was last current staleAfterNs ago. restoredVersion is the version of the list that the node has kept
+// from before its start: a list at no higher version does not count against it. As the version that relays report may
+// lag a moment behind their list, the list of relays is given once more as a complete one when they have passed
+// restoredVersion.
+func New[V any](nowNs, staleAfterNs, restoredVersion int64) *Selector[V] {
+	s := &Selector[V]{
+		staleAfterNs:    staleAfterNs,
+		startedAtNs:     nowNs,
+		restoredVersion: restoredVersion,
+		current:         map[string]Endpoint[V]{},
+	}
+	for i := range s.lists {
+		s.lists[i].endpoints = map[string]Endpoint[V]{}
+	}
+	return s
+}
+
+// Active returns the active source.
+func (s *Selector[V]) Active() Source { return s.active }
+
+// WantsDiscovery reports whether the node is to watch discovery now.
+func (s *Selector[V]) WantsDiscovery(nowNs int64) bool {
+	switch s.active {
+	case SourceNone:
+		return s.relaysUnreachable || nowNs-s.startedAtNs >= RelayStartupWaitNs
+	case SourceDiscovery:
+		return true
+	}
+	return !s.relaysFresh(nowNs)
+}
+
+func (s *Selector[V]) relaysFresh(nowNs int64) bool {
+	relays := &s.lists[SourceRelays]
+	return relays.complete && relays.connected && nowNs-relays.heardAtNs < s.staleAfterNs
+}
+
+// RelayUpdate is what relays have sent.
+type RelayUpdate[V any] struct {
+	Changes   []Endpoint[V]
+	Complete  bool  // relays have sent all there is, at least once
+	Connected bool  // the origin's own watch of discovery is connected
+	AsOfNs    int64 // when what relays sent was known to be current
+	Version   int64 // of discovery's list, that the origin has at least; 0: not known
+}
+
+// UpdateRelays applies what relays have sent.
+func (s *Selector[V]) UpdateRelays(nowNs int64, update RelayUpdate[V]) Update[V] {
+	relays := &s.lists[SourceRelays]
+	passedRestored := s.active == SourceRelays && relays.version <= s.restoredVersion && update.Version > s.restoredVersion
+	relays.complete = update.Complete
+	relays.connected = update.Connected
+	relays.version = update.Version
+	s.relaysUnreachable = false
+	if update.Connected {
+		relays.heardAtNs = update.AsOfNs
+	}
+	relays.apply(update.Changes)
+	return s.reselect(nowNs, SourceRelays, names(update.Changes), passedRestored)
+}
+
+// RelaysUnreachable records that no relay could be reached.
+func (s *Selector[V]) RelaysUnreachable(nowNs int64) Update[V] {
+	s.lists[SourceRelays].connected = false
+	s.relaysUnreachable = true
+	return s.reselect(nowNs, SourceRelays, nil, false)
+}
+
+// UpdateDiscovery applies a watch event of discovery. complete: it holds the complete list.
+func (s *Selector[V]) UpdateDiscovery(nowNs int64, endpoints []Endpoint[V], complete bool, version int64) Update[V] {
+	discovery := &s.lists[SourceDiscovery]
+	if complete {
+		discovery.endpoints = make(map[string]Endpoint[V], len(endpoints))
+		discovery.complete = true
+	}
+	discovery.version = version
+	discovery.connected = true
+	discovery.heardAtNs = nowNs
+	discovery.apply(endpoints)
+	return s.reselect(nowNs, SourceDiscovery, names(endpoints), complete)
+}
+
+// SetDiscoveryConnected records whether the watch of discovery is connected, which it is from its first byte on.
+func (s *Selector[V]) SetDiscoveryConnected(nowNs int64, connected bool) Update[V] {
+	discovery := &s.lists[SourceDiscovery]
+	discovery.connected = connected
+	if connected {
+		discovery.heardAtNs = nowNs
+	}
+	return s.reselect(nowNs, SourceDiscovery, nil, false)
+}
+
+// Tick lets time pass: relays may have become stale, or the overlay may have expired.
+func (s *Selector[V]) Tick(nowNs int64) Update[V] { return s.reselect(nowNs, SourceNone, nil, false) }
+
+func names[V any](endpoints []Endpoint[V]) []string {
+	out := make([]string, len(endpoints))
+	for i, endpoint := range endpoints {
+		out[i] = endpoint.Name
+	}
+	return out
+}
+
+// reselect selects the active source after a source has sent endpoints, by name, or a complete list, and returns what
+// has changed.
+func (s *Selector[V]) reselect(nowNs int64, from Source, touched []string, complete bool) Update[V] {
+	fresh := s.relaysFresh(nowNs)
+	if fresh && !s.relaysWereFresh {
+		s.takeoverVersion = s.lists[SourceDiscovery].version
+	}
+	s.relaysWereFresh = fresh
+	if next := s.nextActive(fresh); next != s.active {
+		s.switchTo(nowNs, next)
+		complete = true
+	} else if from != s.active {
+		touched, complete = nil, false
+	}
+	if s.active == SourceNone {
+		return Update[V]{}
+	}
+	if s.overlay != nil && s.overlayEnds(nowNs) {
+		s.overlay = nil
+		complete = true
+	}
+	if complete {
+		touched = s.allNames()
+	} else if len(touched) == 0 {
+		return Update[V]{}
+	}
+	return s.updateOf(touched, complete)
+}
+
+// nextActive is the rule in the package's comment.
+func (s *Selector[V]) nextActive(relaysFresh bool) Source {
+	relays, discovery := &s.lists[SourceRelays], &s.lists[SourceDiscovery]
+	discoveryUsable := discovery.connected && discovery.complete
+	relaysCaughtUp := relays.version > 0 && relays.version >= s.takeoverVersion
+	switch {
+	case s.active != SourceRelays && relaysFresh && (!discoveryUsable || relaysCaughtUp):
+		return SourceRelays
+	case s.active != SourceDiscovery && !relaysFresh && discoveryUsable:
+		return SourceDiscovery
+	}
+	return s.active
+}
--- a/internal/endpointsource/endpointsource_test.go
+++ b/internal/endpointsource/selector_test.go
@@ -18,7 +18,7 @@
 
 type server = Endpoint[int]
 
-// node goes by what it is told, as the loop does.
+// node applies updates as the event loop does.
 type node struct {
 	s     *Selector[int]
 	now   int64
@@ -43,12 +43,14 @@
 	return t
 }
 
-// servers reads "a b- c+3": a and c up, b draining, c started at 3; d! is gone.
+// servers reads "a b- c+3 d!": a and c are up, b drains, c started at 3, d is removed.
 func servers(text string) (out []server) {
 	for word := range strings.FieldsSeq(text) {
 		e := server{Name: word[:1]}
 		if i := strings.IndexByte(word, '+'); i > 0 {
-			fmt.Sscan(word[i+1:], &e.StartedAtNs)
+			if _, err := fmt.Sscan(word[i+1:], &e.StartedAtNs); err != nil {
+				panic(err)
+			}
 		}
 		if strings.Contains(word, "-") {
 			e.State = StateDraining
@@ -73,8 +75,12 @@
 	return strings.Join(words, " ")
 }
 
+func relayUpdate(changes []server, complete, connected bool, asOfNs, version int64) RelayUpdate[int] {
+	return RelayUpdate[int]{Changes: changes, Complete: complete, Connected: connected, AsOfNs: asOfNs, Version: version}
+}
+
 func (n *node) relays(text string, stands bool, version int64) {
-	n.by(n.s.UpdateRelays(n.now, servers(text), true, stands, n.now, version))
+	n.by(n.s.UpdateRelays(n.now, relayUpdate(servers(text), true, stands, n.now, version)))
 }
 
 func (n *node) discovery(text string, whole bool, version int64) {
@@ -89,28 +95,28 @@
 func (n *node) expect(t *testing.T, what string, by Source, force string, watch bool) {
 	t.Helper()
 	if n.s.Active() != by || n.String() != force || n.s.WantsDiscovery(n.now) != watch {
-		t.Errorf("%s: by %v %q, discovery watched: %v; expected %v %q, %v", what, n.s.Active(), n, n.s.WantsDiscovery(n.now), by, force, watch)
+		t.Errorf("%s: source %v %q, discovery watched: %v; expected %v %q, %v", what, n.s.Active(), n, n.s.WantsDiscovery(n.now), by, force, watch)
 	}
 }
 
-func TestRelaysAloneWhileTheyAnswer(t *testing.T) {
+func TestRelaysActiveWhileTheyAnswer(t *testing.T) {
 	n := newNode()
 	n.expect(t, "at first", SourceNone, "", false)
-	n.by(n.s.UpdateRelays(n.now, servers("a"), false, true, n.now, 1))
-	n.expect(t, "half of it", SourceNone, "", false)
+	n.by(n.s.UpdateRelays(n.now, relayUpdate(servers("a"), false, true, n.now, 1)))
+	n.expect(t, "not yet complete", SourceNone, "", false)
 	n.relays("b", true, 7)
-	n.expect(t, "whole", SourceRelays, "a b", false)
+	n.expect(t, "complete", SourceRelays, "a b", false)
 	n.pass(3 * second)
 	n.relays("a- c", true, 8)
 	n.expect(t, "changes", SourceRelays, "a- b c", false)
 	n.relays("a!", true, 9)
-	n.expect(t, "one that went", SourceRelays, "b c", false)
+	n.expect(t, "a removal", SourceRelays, "b c", false)
 }
 
-func TestDiscoveryIsWatchedWhereNoRelayAnswers(t *testing.T) {
+func TestDiscoveryWatchedWhenNoRelayAnswers(t *testing.T) {
 	n := newNode()
 	n.pass(RelayStartupWaitNs)
-	n.expect(t, "a second without a word", SourceNone, "", true)
+	n.expect(t, "a second without an answer", SourceNone, "", true)
 	n.discovery("a b", true, 5)
 	n.expect(t, "the list", SourceDiscovery, "a b", true)
 	n.discovery("a!", false, 6)
@@ -120,12 +126,12 @@
 	n.expect(t, "no relay to be reached", SourceNone, "", true)
 }
 
-func TestDiscoveryTakesOverFromSilentRelaysAndHandsBack(t *testing.T) {
+func TestDiscoveryTakesOverFromStaleRelaysAndBack(t *testing.T) {
 	n := newNode()
 	n.relays("a b c-", true, 10)
 	n.pass(silence)
 	n.expect(t, "silence", SourceRelays, "a b c-", true)
-	n.discovery("a d", true, 12) // b and c went
+	n.discovery("a d", true, 12) // b and c were removed
 	n.expect(t, "discovery, which knows more", SourceDiscovery, "a d", true)
 	n.pass(second)
 	n.relays("", true, 11)
@@ -137,8 +143,8 @@
 	}
 }
 
-// Relays that are told to lack something, as the origin does not hear discovery, are no reason not to watch it.
-func TestAnOriginThatDoesNotHearDiscovery(t *testing.T) {
+// Discovery is watched while the origin behind the relays has lost its own watch.
+func TestOriginWithoutDiscoveryWatch(t *testing.T) {
 	n := newNode()
 	n.relays("a b", true, 10)
 	n.pass(second)
@@ -148,14 +154,14 @@
 	n.expect(t, "discovery", SourceDiscovery, "a", true)
 }
 
-func TestATellerThatKnowsLessTakesNothingOff(t *testing.T) {
+func TestOlderListRemovesNothing(t *testing.T) {
 	n := newNode()
 	n.relays("a b c- d", true, 10)
 	n.relays("d!", true, 11)
 	n.pass(silence)
 	n.discovery("a c d", true, 8) // before b came, before c drained, before d went
 	n.expect(t, "an older list", SourceDiscovery, "a b c-", true)
-	n.discovery("c+3", false, 9) // it started anew: another life
+	n.discovery("c+3", false, 9) // it restarted: another incarnation
 	n.expect(t, "a later start", SourceDiscovery, "a b c", true)
 	n.discovery("d b", false, 11)
 	n.expect(t, "it has caught up", SourceDiscovery, "a b c d", true)
@@ -164,13 +170,13 @@
 	n.relays("a b", true, 10)
 	n.pass(silence)
 	n.discovery("a", true, 3)
-	n.expect(t, "a count that began anew", SourceDiscovery, "a b", true)
+	n.expect(t, "discovery that counts from the start again", SourceDiscovery, "a b", true)
 	n.pass(OverlayNs)
-	n.expect(t, "and goes on alone", SourceDiscovery, "a", true)
+	n.expect(t, "the overlay expired", SourceDiscovery, "a", true)
 }
 
-// A list at a version that is remembered from before the start is told whole again once it has come past that.
-func TestRelaysPastWhatIsRemembered(t *testing.T) {
+// Relays that pass the version restored from before the start send their list once more as a complete one.
+func TestRelaysPassRestoredVersion(t *testing.T) {
 	n := newNode()
 	n.s = New[int](began, silence, 10)
 	for i, step := range []struct {
@@ -178,41 +184,41 @@
 		whole   bool
 		servers int
 	}{{10, true, 2}, {10, false, 1}, {11, true, 2}, {12, false, 1}} {
-		told := n.by(n.s.UpdateRelays(n.now, servers([]string{"a- b", "a", "", "b"}[i]), true, true, n.now, step.version))
+		told := n.by(n.s.UpdateRelays(n.now, relayUpdate(servers([]string{"a- b", "a", "", "b"}[i]), true, true, n.now, step.version)))
 		if told.Complete != step.whole || len(told.Endpoints) != step.servers {
 			t.Errorf("step %d: %+v, expected whole %v and %d servers", i, told, step.whole, step.servers)
 		}
 	}
 }
 
-// Relays that are heard, and tell what is old, are not fresh.
-func TestOldWordOfRelays(t *testing.T) {
+// Relays that answer with an old list are not fresh.
+func TestRelaysWithOldListAreStale(t *testing.T) {
 	n := newNode()
 	n.relays("a b", true, 10)
 	n.pass(silence - second)
-	n.by(n.s.UpdateRelays(n.now, nil, true, true, n.now-silence/2, 10))
+	n.by(n.s.UpdateRelays(n.now, relayUpdate(nil, true, true, n.now-silence/2, 10)))
 	n.pass(silence/2 - 1)
 	n.expect(t, "old, but not too old", SourceRelays, "a b", false)
 	n.pass(1)
 	n.expect(t, "too old", SourceRelays, "a b", true)
 }
 
-// What was laid over goes on to count when the tellers change again.
-func TestAThirdChangeOfTellersForgetsNothing(t *testing.T) {
+// The overlay is kept across a second switch.
+func TestOverlayKeptAcrossSecondSwitch(t *testing.T) {
 	n := newNode()
 	n.relays("a b-", true, 10)
 	n.pass(silence)
 	n.discovery("a b", true, 8)
 	n.expect(t, "an older list", SourceDiscovery, "a b-", true)
 	n.by(n.s.SetDiscoveryConnected(n.now, false))
-	n.relays("b", true, 9) // of another origin, which is behind the first
-	n.expect(t, "relays that are behind what relays had told", SourceRelays, "a b-", false)
+	n.relays("b", true, 9) // from another origin, which is behind the first
+	n.expect(t, "relays behind what relays had sent", SourceRelays, "a b-", false)
 	n.relays("", true, 10)
 	n.expect(t, "they have caught up", SourceRelays, "a b", false)
 }
 
-// Relays come back while discovery is gone: what it had told to drain does not serve again by their older word.
-func TestStaleRelaysBringNothingBack(t *testing.T) {
+// Relays that return with an older list do not bring back what discovery had drained or removed.
+func TestOlderRelaysBringNothingBack(t *testing.T) {
 	n := newNode()
 	n.relays("a b c", true, 10)
 	n.pass(silence)
@@ -222,12 +228,12 @@
 	n.relays("", true, 10)
 	n.expect(t, "stale relays", SourceRelays, "a b-", false)
 	n.relays("e", true, 11)
-	n.expect(t, "one that may have gone since", SourceRelays, "a b-", false)
+	n.expect(t, "one that may have been removed since", SourceRelays, "a b-", false)
 	n.relays("b", true, 13)
 	n.expect(t, "they have caught up", SourceRelays, "a b c e", false)
 }
 
-// truth is a discovery's history: version by version.
+// truth is the history of discovery's list, version by version.
 type truth struct {
 	versions []map[string]server
 	births   int64
@@ -273,8 +279,9 @@
 	return out
 }
 
-// Whatever the tellers know and however they come and go: a server that the node was told to drain, or to be gone, does not serve
-// again in the same life; one that serves in all that anybody could still tell is never taken off; and in the end all is as it is.
+// Whatever the sources know, and in whatever order they switch: an endpoint that the node knew to drain or to be
+// removed does not come back in the same incarnation; one that is up in every version that a source may still send is
+// never removed; and in the end the node's list is discovery's.
 func TestNothingComesBackAndNothingIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &truth{versions: []map[string]server{{}}}
@@ -284,14 +291,14 @@
 		n := newNode()
 		at := map[Source]int{SourceRelays: 0, SourceDiscovery: 0}
 		told := map[Source]map[string]server{SourceRelays: {}, SourceDiscovery: {}}
-		withdrawn := map[string]int64{} // the last life of which the node knew that it drains
-		known := 0                      // the highest version that a teller in force has had
+		withdrawn := map[string]int64{} // the last incarnation that the node knew to drain
+		known := 0                      // the highest version that an active source has had
 		tell := func(who Source, to int) {
 			if to < at[who] {
 				to = at[who]
 			}
 			if who == SourceRelays {
-				n.by(n.s.UpdateRelays(n.now, changes(told[who], w.versions[to]), true, true, n.now, int64(to)))
+				n.by(n.s.UpdateRelays(n.now, relayUpdate(changes(told[who], w.versions[to]), true, true, n.now, int64(to))))
 			} else if rapid.Bool().Draw(t, "whole") || at[who] == 0 {
 				n.by(n.s.UpdateDiscovery(n.now, all(w.versions[to]), true, int64(to)))
 			} else {
@@ -303,11 +310,11 @@
 			known = max(known, at[n.s.Active()])
 			for _, e := range n.force {
 				if e.State == StateUp && e.StartedAtNs <= withdrawn[e.Name] {
-					t.Fatalf("%s of life %d serves again, which was told to drain: by %v at %v", e.Name, e.StartedAtNs, n.s.Active(), at)
+					t.Fatalf("%s, incarnation %d, is up again after it drained: source %v at %v", e.Name, e.StartedAtNs, n.s.Active(), at)
 				}
 				if was, there := w.versions[known][e.Name]; e.State == StateUp && (!there || was.State == StateDraining) && e.StartedAtNs <= max(was.StartedAtNs, w.births) &&
 					!slices.ContainsFunc(w.versions[known:], func(v map[string]server) bool { return v[e.Name] == e }) {
-					t.Fatalf("%s of life %d serves again, which was gone at %d: by %v at %v", e.Name, e.StartedAtNs, known, n.s.Active(), at)
+					t.Fatalf("%s, incarnation %d, is up again after it was removed at %d: source %v at %v", e.Name, e.StartedAtNs, known, n.s.Active(), at)
 				}
 				if e.State == StateDraining {
 					withdrawn[e.Name] = max(withdrawn[e.Name], e.StartedAtNs)
@@ -323,7 +330,7 @@
 			}
 			for name := range steady {
 				if n.force[name].State != StateUp || n.force[name].Name == "" {
-					t.Fatalf("%s serves in all versions since %d, and is off: by %v at %v, %v", name, low, n.s.Active(), at, n)
+					t.Fatalf("%s is up in all versions since %d, and is missing: source %v at %v, %v", name, low, n.s.Active(), at, n)
 				}
 			}
 		}
@@ -359,3 +366,23 @@
 		}
 	})
 }
+
+func TestNames(t *testing.T) {
+	for _, c := range []struct {
+		value    fmt.Stringer
+		expected string
+	}{
+		{SourceNone, "nobody"},
+		{SourceRelays, "relays"},
+		{SourceDiscovery, "discovery"},
+		{sourceCount, "Source(3)"},
+		{StateUp, "up"},
+		{StateDraining, "draining"},
+		{StateRemoved, "removed"},
+		{EndpointState(7), "EndpointState(7)"},
+	} {
+		if found := c.value.String(); found != c.expected {
+			t.Errorf("expected %q, found %q", c.expected, found)
+		}
+	}
+}
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -41,12 +41,15 @@
 	golden.Check(t, "list.json", list)
 	golden.Check(t, "endpoint-key.txt", []byte(EndpointKey("s-1")+"\n"))
 	h := NewHostTable()
-	told, passed, err := h.Apply([]distribution.Change{
+	hosts := h.Apply([]distribution.Change{
 		{Record: distribution.Record{Scope: "eu/web", Key: EndpointKey("s-1"), Body: body}},
 		{Record: distribution.Record{Scope: ScopeOrigin, Key: KeyDiscovery, Body: list}},
 	})
-	if got, seen := h.Discovery(); err != nil || passed != 0 || len(told) != 1 || told[0] != e || !seen || got != (DiscoveryState{Version: 9, Connected: true}) {
-		t.Errorf("read as %+v, %v, %d passed over, %v", told, got, passed, err)
+	if hosts.LastErr != nil || hosts.Skipped != 0 || len(hosts.Entries) != 1 || hosts.Entries[0] != e {
+		t.Errorf("hosts read as %+v", hosts)
+	}
+	if got, known := h.Discovery(); !known || got != (DiscoveryState{Version: 9, Connected: true}) {
+		t.Errorf("state of discovery read as %+v, %v", got, known)
 	}
 }
 
--- a/internal/relay/hosttable.go
+++ b/internal/relay/hosttable.go
@@ -1,7 +1,5 @@
 package relay
 
-// This file owns how records become hosts again at a node: no I/O. It must never take a host off that another scope still has.
-
 import (
 	"encoding/json"
 	"fawnglade/internal/distribution"
@@ -10,11 +8,12 @@
 	"slices"
 )
 
-// Hosts is what a node's scopes say of hosts, and of how far the origin hears discovery.
+// HostTable turns the records of a node's scopes back into hosts. A host that several scopes have is removed once none
+// has it. It is not safe for concurrent use.
 type HostTable struct {
 	byName         map[string][]scopedEntry
 	discovery      DiscoveryState
-	discoveryKnown bool // the origin says how far
+	discoveryKnown bool // the origin has sent it
 }
 
 type scopedEntry struct {
@@ -22,72 +21,102 @@
 	entry endpointlist.Entry
 }
 
-// NewHosts makes one that knows of none.
+// HostChanges are the hosts that changes of records concern.
+type HostChanges struct {
+	Entries []endpointlist.Entry // in the changes' order; one that no scope has any more is "removed"
+	Skipped int                  // records that could not be decoded; what was known of their hosts stays
+	LastErr error                // of the last record skipped
+}
+
+func (h *HostChanges) skip(err error) {
+	h.Skipped++
+	h.LastErr = err
+}
+
+// NewHostTable returns a table without hosts.
 func NewHostTable() *HostTable { return &HostTable{byName: map[string][]scopedEntry{}} }
 
-// List is how far the origin hears discovery; false: it has not said, so nothing of it is a list.
+// Discovery returns the state of the origin's watch of discovery; false: the origin has not sent it, so the hosts are
+// no list yet.
 func (h *HostTable) Discovery() (DiscoveryState, bool) { return h.discovery, h.discoveryKnown }
 
-// Take tells the hosts that are other than they were; one that no scope has any more is "removed". Records that are no endpoints are
-// somebody else's. Those that make no sense are passed over, and the error names the last of them.
-func (h *HostTable) Apply(changes []distribution.Change) (told []endpointlist.Entry, passed int, err error) {
-	for _, c := range changes {
-		if c.Scope == ScopeOrigin && c.Key == KeyDiscovery && !c.Deleted {
-			var list DiscoveryState
-			if wrong := json.Unmarshal(c.Body, &list); wrong != nil || list.Version <= 0 {
-				passed, err = passed+1, fmt.Errorf("scope %q, key %q: expected a version of the list, found %.80q", c.Scope, c.Key, c.Body)
-				continue
-			}
-			h.discovery, h.discoveryKnown = list, true
+// Apply takes in changes of records. Records that are no endpoints are ignored.
+func (h *HostTable) Apply(changes []distribution.Change) HostChanges {
+	var out HostChanges
+	for i := range changes {
+		record := &changes[i].Record
+		if record.Scope == ScopeOrigin && record.Key == KeyDiscovery && !record.Deleted {
+			h.applyDiscovery(record, &out)
 			continue
 		}
-		host, is := HostOf(c.Key)
-		if !is {
-			continue
+		host, isHost := HostOf(record.Key)
+		switch {
+		case !isHost:
+		case record.Deleted:
+			h.remove(host, record.Scope, &out)
+		default:
+			h.put(host, record, &out)
 		}
-		all := h.byName[host]
-		at := slices.IndexFunc(all, func(s scopedEntry) bool { return s.scope == c.Scope })
-		if c.Deleted {
-			if at < 0 {
-				continue
-			}
-			if all = slices.Delete(all, at, at+1); len(all) > 0 {
-				h.byName[host] = all
-				told = append(told, newestEntry(all))
-				continue
-			}
-			delete(h.byName, host)
-			told = append(told, endpointlist.Entry{Name: host, State: healthRemoved})
-			continue
-		}
-		var e endpointlist.Entry
-		if wrong := decodeEntry(c.Body, &e); wrong != nil || e.Name != host {
-			passed, err = passed+1, fmt.Errorf("scope %q, key %q: expected an endpoint of that name, found %.80q", c.Scope, c.Key, c.Body)
-			continue // what was known of it stays
-		}
-		if at < 0 {
-			all = append(all, scopedEntry{c.Scope, e})
-		} else {
-			all[at].entry = e
-		}
-		h.byName[host] = all
-		told = append(told, newestEntry(all))
 	}
-	return told, passed, err
+	return out
+}
+
+func (h *HostTable) applyDiscovery(record *distribution.Record, out *HostChanges) {
+	var state DiscoveryState
+	if err := json.Unmarshal(record.Body, &state); err != nil || state.Version <= 0 {
+		out.skip(fmt.Errorf("scope %q, key %q: expected a version of the list, found %.80q", record.Scope, record.Key, record.Body))
+		return
+	}
+	h.discovery = state
+	h.discoveryKnown = true
+}
+
+func (h *HostTable) put(host string, record *distribution.Record, out *HostChanges) {
+	var entry endpointlist.Entry
+	if err := json.Unmarshal(record.Body, &entry); err != nil || entry.Name != host {
+		out.skip(fmt.Errorf("scope %q, key %q: expected an endpoint of that name, found %.80q", record.Scope, record.Key, record.Body))
+		return
+	}
+	entries := h.byName[host]
+	if i := indexOfScope(entries, record.Scope); i < 0 {
+		entries = append(entries, scopedEntry{record.Scope, entry})
+	} else {
+		entries[i].entry = entry
+	}
+	h.byName[host] = entries
+	out.Entries = append(out.Entries, newestEntry(entries))
+}
+
+func (h *HostTable) remove(host, scope string, out *HostChanges) {
+	entries := h.byName[host]
+	i := indexOfScope(entries, scope)
+	if i < 0 {
+		return
+	}
+	entries = slices.Delete(entries, i, i+1)
+	if len(entries) == 0 {
+		delete(h.byName, host)
+		out.Entries = append(out.Entries, endpointlist.Entry{Name: host, State: healthRemoved})
+		return
+	}
+	h.byName[host] = entries
+	out.Entries = append(out.Entries, newestEntry(entries))
 }
 
-func decodeEntry(body []byte, e *endpointlist.Entry) error {
-	*e = endpointlist.Entry{}
-	return json.Unmarshal(body, e)
+func indexOfScope(entries []scopedEntry, scope string) int {
+	return slices.IndexFunc(entries, func(e scopedEntry) bool { return e.scope == scope })
 }
 
-// best is the entry that counts of a host that several scopes have: the latest start's, the first scope's of these.
-func newestEntry(all []scopedEntry) endpointlist.Entry {
-	at := all[0]
-	for _, s := range all[1:] {
-		if s.entry.StartedMs > at.entry.StartedMs || s.entry.StartedMs == at.entry.StartedMs && s.scope < at.scope {
-			at = s
+// newestEntry returns the entry that counts of a host in several scopes: the one with the latest start, of these the
+// one of the first scope by name.
+func newestEntry(entries []scopedEntry) endpointlist.Entry {
+	newest := entries[0]
+	for _, e := range entries[1:] {
+		newer := e.entry.StartedMs > newest.entry.StartedMs
+		tie := e.entry.StartedMs == newest.entry.StartedMs
+		if newer || tie && e.scope < newest.scope {
+			newest = e
 		}
 	}
-	return at.entry
+	return newest.entry
 }
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -1,11 +1,11 @@
-// Package subscription has a node go by relays, and by its own watch of discovery where they fail it: the client, the subscriber and the
-// choice between the two, for a node that says how entries are read and what is done with them. It must never hold up the data
-// path: it has one goroutine of its own beside the client's, and costs the relays' word, never service, when it fails.
+// Package subscription gives a node its endpoint list: by relays, and by the node's own watch of discovery where relays
+// fail. It joins a relay client, a subscriber and the selection of the source (endpointsource), and calls back into the
+// node for how entries are decoded and applied. A failure here costs the relays' updates, never requests: all work is
+// done by two goroutines of its own.
 package subscription
 
 import (
 	"context"
-	"encoding/json"
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/endpointsource"
@@ -17,216 +17,209 @@
 	"go.uber.org/zap"
 )
 
-// beatEvery is how often time is let pass.
-const tickInterval = 100 * time.Millisecond
-
-// tellEvery is how often records that are passed over are told of.
-const skipLogIntervalNs = int64(10e9)
+const (
+	// tickInterval is how often the selection of the source is checked.
+	tickInterval = 100 * time.Millisecond
+	// skipLogIntervalNs is the least time between two log entries about skipped records.
+	skipLogIntervalNs = int64(10e9)
+)
 
-// Settings of one node. V is an entry as the node has it.
+// Config of a node's subscription. V is an endpoint as the node describes it. Apply and WatchDiscovery are called one at
+// a time, in order, under the subscription's lock: they must not call back into it.
 type Config[V any] struct {
-	Name            string
-	Relays          []string
-	Scopes          []string
-	StaleAfterNs    int64        // ns without a word of any relay: discovery is watched
-	RestoredVersion int64        // the version of the list that the node remembers from before its start; 0: none
-	Clock           func() int64 // ns, monotone
+	Name            string       // of the node: decides the order in which it tries relays
+	Relays          []string     // addresses with ports
+	Scopes          []string     // region/service; a star at the end stands for all that begin so
+	StaleAfterNs    int64        // relays whose list is older than this are stale, and discovery is watched
+	RestoredVersion int64        // of the list that the node has kept from before its start; 0: none
+	Clock           func() int64 // nanoseconds, monotonic
 	Log             *zap.Logger
 
-	Decode             func(endpointlist.Entry) (V, error)
-	ToEndpoint         func(V) endpointsource.Endpoint[V]           // how the choice sees an entry
-	WithState          func(V, endpointsource.EndpointState) V      // an entry in another state
-	Apply              func(entries []V, version int64, whole bool) // what the node is to go by; in order, one call at a time
-	WatchDiscovery     func(on bool)                                // whether discovery is to be watched; off at first
-	DiscoveryConnected func() bool                                  // whether a watch of it stands
-	CountSkipped       func(records int)                            // counts what is passed over
-	Recover            func(where string, then func())              // deferred in each goroutine: it stops a panic there
+	// Decode reads an entry of the list. An error has the entry skipped, and what was known of it stays.
+	Decode func(endpointlist.Entry) (V, error)
+	// ToEndpoint describes an endpoint to the selection of the source.
+	ToEndpoint func(V) endpointsource.Endpoint[V]
+	// WithState returns the endpoint in another state.
+	WithState func(V, endpointsource.EndpointState) V
+	// Apply has the node use a list, or with complete false what has changed in it.
+	Apply func(entries []V, version int64, complete bool)
+	// WatchDiscovery starts or stops the watch of discovery. It is stopped at first.
+	WatchDiscovery func(on bool)
+	// DiscoveryConnected reports whether the watch of discovery is connected.
+	DiscoveryConnected func() bool
+	// CountSkipped counts records that could not be used.
+	CountSkipped func(records int)
+	// Recover is deferred in each goroutine and stops a panic there.
+	Recover func(where string, then func())
 }
 
-// Following is one node's.
+// Subscription is a node's subscription to the endpoint list. Its methods are safe for concurrent use.
 type Subscription[V any] struct {
-	config   Config[V]
-	client   *relay.Client
-	follower *relay.SubscriberSink
-	scopes   []string // exact ones
+	config Config[V]
+	client *relay.Client
+	sink   *relay.SubscriberSink
 
 	mu                 sync.Mutex
 	selector           *endpointsource.Selector[V]
 	hosts              *relay.HostTable
-	watching           bool
+	active             endpointsource.Source // as last logged
+	watching           bool                  // discovery, as last asked for by WatchDiscovery
 	discoveryConnected bool
 	clientState        relay.ClientState
 	skipsLoggedAtNs    int64
-	active             endpointsource.Source
 
-	relaysOnly atomic.Bool // relays are in force, and discovery is not watched
+	relaysOnly atomic.Bool // relays are active, and discovery is not watched
 }
 
-// New makes one; nothing runs before Run. Only settings that make no sense are errors.
-func New[V any](set Config[V]) (*Subscription[V], error) {
-	f := &Subscription[V]{config: set, selector: endpointsource.New[V](set.Clock(), set.StaleAfterNs, set.RestoredVersion), hosts: relay.NewHostTable()}
-	scopes := relay.WithOrigin(set.Scopes)
-	core, err := distribution.NewSubscriber(relay.Selectors(scopes), distribution.Limits{})
+// New returns a subscription; nothing runs before Run. An error says that the configuration is invalid.
+func New[V any](config Config[V]) (*Subscription[V], error) {
+	s := &Subscription[V]{
+		config:   config,
+		selector: endpointsource.New[V](config.Clock(), config.StaleAfterNs, config.RestoredVersion),
+		hosts:    relay.NewHostTable(),
+	}
+	scopes := relay.WithOrigin(config.Scopes)
+	subscriber, err := distribution.NewSubscriber(relay.Selectors(scopes), distribution.Limits{})
 	if err != nil {
 		return nil, err
 	}
-	f.follower = relay.NewSubscriberSink(core, scopes, f.onFrame, set.Log)
-	f.client = relay.NewClient(relay.ClientConfig{Name: set.Name, Upstreams: set.Relays, SpreadByName: true, Clock: set.Clock, OnState: f.onClientState},
-		f.follower, set.Log)
-	return f, nil
+	s.sink = relay.NewSubscriberSink(subscriber, scopes, s.onFrame, config.Log)
+	s.client = relay.NewClient(relay.ClientConfig{
+		Name:         config.Name,
+		Upstreams:    config.Relays,
+		SpreadByName: true,
+		Clock:        config.Clock,
+		OnState:      s.onClientState,
+	}, s.sink, config.Log)
+	return s, nil
 }
 
-// Run follows until the context is done. A nil one follows nobody.
-func (f *Subscription[V]) Run(ctx context.Context) {
-	if f == nil {
+// Run keeps the list up to date until the context is done. On a nil subscription it returns at once.
+func (s *Subscription[V]) Run(ctx context.Context) {
+	if s == nil {
 		return
 	}
 	go func() {
-		defer f.config.Recover("relays", func() {})
-		f.client.Run(ctx)
+		defer s.config.Recover("relays", func() {})
+		s.client.Run(ctx)
 	}()
-	beats := time.NewTicker(tickInterval)
-	defer beats.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
-		f.tick()
+		s.tick()
 		select {
-		case <-beats.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (f *Subscription[V]) tick() {
-	defer f.config.Recover("relays", func() {})
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.config.Clock()
-	if stands := f.config.DiscoveryConnected(); stands != f.discoveryConnected {
-		f.discoveryConnected = stands
-		f.applyUpdate(f.selector.SetDiscoveryConnected(now, stands))
+func (s *Subscription[V]) tick() {
+	defer s.config.Recover("relays", func() {})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.config.Clock()
+	if connected := s.config.DiscoveryConnected(); connected != s.discoveryConnected {
+		s.discoveryConnected = connected
+		s.applyUpdate(s.selector.SetDiscoveryConnected(now, connected))
 	}
-	f.applyUpdate(f.selector.Tick(now))
+	s.applyUpdate(s.selector.Tick(now))
 }
 
-// tell has the node go by what was chosen, and watch discovery or not.
-func (f *Subscription[V]) applyUpdate(t endpointsource.Update[V]) {
-	if t.Valid {
-		entries := make([]V, len(t.Endpoints))
-		for i, s := range t.Endpoints {
-			entries[i] = f.config.WithState(s.Value, s.State)
+// applyUpdate hands an update to the node, and starts or stops the watch of discovery. The lock is held.
+func (s *Subscription[V]) applyUpdate(update endpointsource.Update[V]) {
+	if update.Valid {
+		entries := make([]V, len(update.Endpoints))
+		for i, endpoint := range update.Endpoints {
+			entries[i] = s.config.WithState(endpoint.Value, endpoint.State)
 		}
-		f.config.Apply(entries, t.Version, t.Complete)
+		s.config.Apply(entries, update.Version, update.Complete)
 	}
-	if by := f.selector.Active(); by != f.active {
-		f.config.Log.Info("the list is told by another", zap.Stringer("by", by), zap.Stringer("before", f.active), zap.Int64("version", t.Version))
-		f.active = by
+	if active := s.selector.Active(); active != s.active {
+		s.config.Log.Info("source of the endpoint list changed", zap.Stringer("source", active),
+			zap.Stringer("before", s.active), zap.Int64("version", update.Version))
+		s.active = active
 	}
-	on := f.selector.WantsDiscovery(f.config.Clock())
-	f.relaysOnly.Store(f.active == endpointsource.SourceRelays && !on)
-	if on != f.watching {
-		f.watching = on
-		f.config.WatchDiscovery(on)
+	watch := s.selector.WantsDiscovery(s.config.Clock())
+	s.relaysOnly.Store(s.active == endpointsource.SourceRelays && !watch)
+	if watch != s.watching {
+		s.watching = watch
+		s.config.WatchDiscovery(watch)
 	}
 }
 
-// changed takes in what a frame has brought.
-func (f *Subscription[V]) onFrame(now int64, changes []distribution.Change) {
-	whole, age, known := false, int64(0), false
-	f.follower.Inspect(func(s *distribution.Subscriber) {
-		whole = s.Complete()
-		age, known = s.Age(now, relay.ScopeOrigin)
+// onFrame applies what a frame of a relay has changed.
+func (s *Subscription[V]) onFrame(now int64, changes []distribution.Change) {
+	complete, ageNs, ageKnown := false, int64(0), false
+	s.sink.Inspect(func(subscriber *distribution.Subscriber) {
+		complete = subscriber.Complete()
+		ageNs, ageKnown = subscriber.Age(now, relay.ScopeOrigin)
 	})
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	entries, passed, err := f.hosts.Apply(changes)
-	servers := make([]endpointsource.Endpoint[V], 0, len(entries))
-	for _, e := range entries {
-		one, wrong := f.config.Decode(e)
-		if wrong != nil {
-			passed, err = passed+1, wrong
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	endpoints := s.decode(now, changes)
+	discovery, discoveryKnown := s.hosts.Discovery()
+	s.applyUpdate(s.selector.UpdateRelays(now, endpointsource.RelayUpdate[V]{
+		Changes:   endpoints,
+		Complete:  complete,
+		Connected: discoveryKnown && discovery.Connected && ageKnown,
+		AsOfNs:    now - ageNs,
+		Version:   discovery.Version,
+	}))
+}
+
+// decode turns changes of records into endpoints. Records that can't be used are counted and skipped.
+func (s *Subscription[V]) decode(now int64, changes []distribution.Change) []endpointsource.Endpoint[V] {
+	hosts := s.hosts.Apply(changes)
+	endpoints := make([]endpointsource.Endpoint[V], 0, len(hosts.Entries))
+	for _, entry := range hosts.Entries {
+		decoded, err := s.config.Decode(entry)
+		if err != nil {
+			hosts.Skipped++
+			hosts.LastErr = err
 			continue // what was known of it stays
 		}
-		servers = append(servers, f.config.ToEndpoint(one))
+		endpoints = append(endpoints, s.config.ToEndpoint(decoded))
 	}
-	if passed > 0 {
-		f.config.CountSkipped(passed)
-		if now-f.skipsLoggedAtNs > skipLogIntervalNs {
-			f.skipsLoggedAtNs = now
-			f.config.Log.Warn("records passed over", zap.Int("records", passed), zap.Error(err))
+	if hosts.Skipped > 0 {
+		s.config.CountSkipped(hosts.Skipped)
+		if now-s.skipsLoggedAtNs > skipLogIntervalNs {
+			s.skipsLoggedAtNs = now
+			s.config.Log.Warn("records skipped", zap.Int("records", hosts.Skipped), zap.Error(hosts.LastErr))
 		}
 	}
-	list, seen := f.hosts.Discovery()
-	f.applyUpdate(f.selector.UpdateRelays(now, servers, whole, seen && list.Connected && known, now-age, list.Version))
+	return endpoints
 }
 
-func (f *Subscription[V]) onClientState(s relay.ClientState) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.clientState = s
-	if s.Connected {
-		f.config.Log.Info("follows", zap.String("relay", s.Upstream))
-	} else if s.AllFailed {
-		f.applyUpdate(f.selector.RelaysUnreachable(f.config.Clock()))
+func (s *Subscription[V]) onClientState(state relay.ClientState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.clientState = state
+	if state.Connected {
+		s.config.Log.Info("relay connected", zap.String("relay", state.Upstream))
+	} else if state.AllFailed {
+		s.applyUpdate(s.selector.RelaysUnreachable(s.config.Clock()))
 	}
 }
 
-// Discovery takes in a line of the node's own watch.
-func (f *Subscription[V]) UpdateDiscovery(entries []V, version int64, whole bool) {
-	servers := make([]endpointsource.Endpoint[V], len(entries))
-	for i, e := range entries {
-		servers[i] = f.config.ToEndpoint(e)
+// UpdateDiscovery applies a watch event of discovery. complete: entries are the complete list.
+func (s *Subscription[V]) UpdateDiscovery(entries []V, version int64, complete bool) {
+	endpoints := make([]endpointsource.Endpoint[V], len(entries))
+	for i, entry := range entries {
+		endpoints[i] = s.config.ToEndpoint(entry)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.discoveryConnected = true
-	f.applyUpdate(f.selector.UpdateDiscovery(f.config.Clock(), servers, whole, version))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.discoveryConnected = true
+	s.applyUpdate(s.selector.UpdateDiscovery(s.config.Clock(), endpoints, complete, version))
 }
 
-// Word is when relays last told the list that the node goes by; 0: they do not. It waits for nobody.
-func (f *Subscription[V]) RelaysHeardAt() int64 {
-	if f == nil || !f.relaysOnly.Load() {
+// RelaysHeardAt returns when relays last sent anything, by the clock, in nanoseconds; 0: the list doesn't come from
+// relays alone. It takes no lock, and may be called on a nil subscription.
+func (s *Subscription[V]) RelaysHeardAt() int64 {
+	if s == nil || !s.relaysOnly.Load() {
 		return 0
 	}
-	return f.client.HeardAtNs()
-}
-
-// View is how it stands, for who asks.
-type Status struct {
-	Active           string            `json:"by"` // whose list is in force: nobody, relays, discovery
-	Relay            string            `json:"relay,omitempty"`
-	LastError        string            `json:"why,omitempty"`  // the last one was left
-	AgeSeconds       float64           `json:"age_s"`          // of what relays told; -1: not known
-	ListVersion      int64             `json:"seq"`            // of discovery's list, that the relays' origin has
-	WatchesDiscovery bool              `json:"watch"`          // discovery is to be watched
-	Switches         int64             `json:"moves"`          // from one teller to the other
-	Complete         bool              `json:"whole"`          // all scopes have been whole once
-	SkippedRecords   int64             `json:"records_spoilt"` // passed over
-	Client           relay.ClientStats `json:"client"`
-	Records          int               `json:"records"`
-	Position         [2]uint64         `json:"position"` // epoch and version of what relays told
-}
-
-// Text is the view as JSON.
-func (f *Subscription[V]) StatusJSON() string {
-	var v Status
-	f.follower.Inspect(func(s *distribution.Subscriber) {
-		stats := s.Stats()
-		v.Complete, v.Records, v.SkippedRecords = s.Complete(), stats.Records, stats.InvalidRecords
-		at := s.Position(relay.ScopeOrigin)
-		v.Position = [2]uint64{at.Epoch, at.Through}
-		v.AgeSeconds = -1
-		if age, known := s.Age(f.config.Clock(), relay.ScopeOrigin); known {
-			v.AgeSeconds = float64(age) / 1e9
-		}
-	})
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	list, _ := f.hosts.Discovery()
-	v.Active, v.Relay, v.LastError, v.ListVersion, v.WatchesDiscovery, v.Switches, v.Client = f.active.String(), f.clientState.Upstream, f.clientState.Reason, list.Version, f.watching, f.selector.Switches, f.client.Stats()
-	text, err := json.Marshal(v)
-	if err != nil {
-		return err.Error()
-	}
-	return string(text)
+	return s.client.HeardAtNs()
 }
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -17,15 +17,15 @@
 	"go.uber.org/zap"
 )
 
-// node is a node's part in it.
+// node stands for the node that subscribes.
 type node struct {
-	panics atomic.Int64
-	watch  atomic.Bool
-	mu     sync.Mutex
-	told   map[string]string
+	panics  atomic.Int64
+	watch   atomic.Bool
+	mu      sync.Mutex
+	applied map[string]string
 }
 
-func (n *node) caught(string, func()) {
+func (n *node) recoverPanic(string, func()) {
 	if recover() != nil {
 		n.panics.Add(1)
 	}
@@ -34,24 +34,24 @@
 func (n *node) has(name string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.told[name]
+	return n.applied[name]
 }
 
-// entry is one as the node under test has it.
+// entry is an endpoint as the node under test describes it.
 type entry struct {
 	name, by string
 	state    endpointsource.EndpointState
 }
 
-func (n *node) tell(entries []entry, _ int64, whole bool) {
+func (n *node) apply(entries []entry, _ int64, complete bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if whole {
-		n.told = map[string]string{}
+	if complete {
+		n.applied = map[string]string{}
 	}
 	for _, e := range entries {
-		if n.told[e.name] = e.by; e.state == endpointsource.StateRemoved {
-			delete(n.told, e.name)
+		if n.applied[e.name] = e.by; e.state == endpointsource.StateRemoved {
+			delete(n.applied, e.name)
 		}
 	}
 }
@@ -67,68 +67,121 @@
 
 func endpoint(host string) []byte { return fmt.Appendf(nil, `{"host":%q,"health":"up"}`, host) }
 
-func TestAPanicCostsTheRelaysWordAlone(t *testing.T) {
+// origin is an origin behind a relay server.
+type origin struct {
+	t       *testing.T
+	origin  *distribution.Origin
+	server  *relay.Server
+	address string
+}
+
+func newOrigin(t *testing.T) *origin {
+	t.Helper()
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := relay.NewServer(o.Relay(), relay.ServerConfig{}, zap.NewNop())
-	go s.Serve(l)
-	t.Cleanup(func() { l.Close(); s.Close(context.Background()) })
-	s.Do(func(now int64) {
-		o.Put(now, "eu1/cart", "endpoint/good", distribution.ClassEndpoint, endpoint("good"))
-		o.Put(now, relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, []byte(`{"seq":3,"stands":true}`))
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(l) }()
+	t.Cleanup(func() {
+		l.Close()
+		if err := errors.Join(s.Close(context.Background()), <-served); err != nil {
+			t.Error(err)
+		}
 	})
-	n := &node{told: map[string]string{}}
-	var passed atomic.Int64
-	f, err := New(Config[entry]{
-		Name: "n", Relays: []string{l.Addr().String()}, Scopes: []string{"eu1/cart"}, StaleAfterNs: 1e9, Clock: relay.NewClock(), Log: zap.NewNop(),
-		Decode: func(e endpointlist.Entry) (entry, error) {
-			if e.Name == "spoilt" {
-				return entry{}, errors.New("spoilt")
-			}
-			if e.Name == "bad" {
-				panic("bad")
+	return &origin{t: t, origin: o, server: s, address: l.Addr().String()}
+}
+
+func (o *origin) put(scope, key string, class distribution.Class, body []byte) {
+	o.t.Helper()
+	o.server.Do(func(now int64) {
+		if _, err := o.origin.Put(now, scope, key, class, body); err != nil {
+			o.t.Error(err)
+		}
+	})
+}
+
+// putHosts puts hosts that subscribers get in one frame.
+func (o *origin) putHosts(hosts ...string) {
+	o.t.Helper()
+	o.server.Do(func(now int64) {
+		for _, host := range hosts {
+			if _, err := o.origin.Put(now, "eu1/cart", relay.EndpointKey(host), distribution.ClassEndpoint, endpoint(host)); err != nil {
+				o.t.Error(err)
 			}
-			return entry{name: e.Name, by: "by relays", state: map[bool]endpointsource.EndpointState{true: endpointsource.StateRemoved}[e.State == "removed"]}, nil
-		}, ToEndpoint: func(e entry) endpointsource.Endpoint[entry] {
+		}
+	})
+}
+
+// decode can't read a host named invalid, and panics at one named panics.
+func decode(e endpointlist.Entry) (entry, error) {
+	switch e.Name {
+	case "invalid":
+		return entry{}, errors.New("invalid")
+	case "panics":
+		panic("panics")
+	}
+	out := entry{name: e.Name, by: "by relays"}
+	if e.State == "removed" {
+		out.state = endpointsource.StateRemoved
+	}
+	return out, nil
+}
+
+// A panic at a record of the relays ends their part alone: discovery takes over.
+func TestPanicLeavesDiscovery(t *testing.T) {
+	o := newOrigin(t)
+	o.putHosts("good")
+	o.put(relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, []byte(`{"seq":3,"stands":true}`))
+	n := &node{applied: map[string]string{}}
+	var skipped atomic.Int64
+	s, err := New(Config[entry]{
+		Name: "n", Relays: []string{o.address}, Scopes: []string{"eu1/cart"}, StaleAfterNs: 1e9,
+		Clock: relay.NewClock(), Log: zap.NewNop(), Decode: decode,
+		ToEndpoint: func(e entry) endpointsource.Endpoint[entry] {
 			return endpointsource.Endpoint[entry]{Name: e.name, State: e.state, Value: e}
 		},
-		WithState: func(e entry, s endpointsource.EndpointState) entry { e.state = s; return e }, Apply: n.tell, WatchDiscovery: n.watch.Store, DiscoveryConnected: func() bool { return n.watch.Load() }, CountSkipped: func(n int) { passed.Add(int64(n)) }, Recover: n.caught,
+		WithState: func(e entry, s endpointsource.EndpointState) entry {
+			e.state = s
+			return e
+		},
+		Apply:              n.apply,
+		WatchDiscovery:     n.watch.Store,
+		DiscoveryConnected: n.watch.Load,
+		CountSkipped:       func(n int) { skipped.Add(int64(n)) },
+		Recover:            n.recoverPanic,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go f.Run(ctx)
+	go s.Run(ctx)
 	soon(t, "the list by relays", func() bool { return n.has("good") == "by relays" })
-	s.Do(func(now int64) {
-		o.Put(now, "eu1/cart", "endpoint/spoilt", distribution.ClassEndpoint, endpoint("spoilt"))
-		o.Put(now, "eu1/cart", "endpoint/another", distribution.ClassEndpoint, endpoint("another"))
-	})
-	soon(t, "the one beside the spoilt one", func() bool { return n.has("another") == "by relays" })
+	o.putHosts("invalid", "another")
+	soon(t, "the one beside the invalid one", func() bool { return n.has("another") == "by relays" })
 	n.mu.Lock()
-	if len(n.told) != 2 || passed.Load() != 1 {
-		t.Errorf("%q told, %d passed over; expected two and one", n.told, passed.Load())
+	if len(n.applied) != 2 || skipped.Load() != 1 {
+		t.Errorf("%q applied, %d skipped; expected two and one", n.applied, skipped.Load())
 	}
 	n.mu.Unlock()
-	s.Do(func(now int64) { o.Put(now, "eu1/cart", "endpoint/bad", distribution.ClassEndpoint, endpoint("bad")) })
+	o.putHosts("panics")
 	soon(t, "the panic", func() bool { return n.panics.Load() > 0 })
 	soon(t, "a watch of discovery", n.watch.Load)
-	f.UpdateDiscovery([]entry{{name: "good", by: "by discovery"}}, 4, true)
+	s.UpdateDiscovery([]entry{{name: "good", by: "by discovery"}}, 4, true)
 	soon(t, "discovery's list", func() bool { return n.has("good") == "by discovery" })
-	if f.RelaysHeardAt() != 0 {
+	if s.RelaysHeardAt() != 0 {
 		t.Error("relays still count as heard")
 	}
-	if text := f.StatusJSON(); text == "" {
-		t.Error("no view")
+	if text := s.StatusJSON(); text == "" {
+		t.Error("no status")
 	}
 }
 
-// A host that two scopes have stays until neither has it, in whatever order that is told.
-func TestAHostInTwoScopes(t *testing.T) {
+// A host in two scopes stays until neither has it, in whatever order the changes come.
+func TestHostInTwoScopes(t *testing.T) {
 	put := func(scope, host string, gone bool) distribution.Change {
 		return distribution.Change{Record: distribution.Record{Scope: scope, Key: relay.EndpointKey(host), Deleted: gone, Body: endpoint(host)}}
 	}
@@ -137,12 +190,12 @@
 		change distribution.Change
 		health string
 	}{{put("a", "h", false), "up"}, {put("b", "h", false), "up"}, {put("a", "h", true), "up"}, {put("b", "h", true), "removed"}, {put("b", "h", true), ""}} {
-		told, passed, err := h.Apply([]distribution.Change{step.change})
-		if step.health == "" && len(told) == 0 {
+		hosts := h.Apply([]distribution.Change{step.change})
+		if step.health == "" && len(hosts.Entries) == 0 {
 			continue
 		}
-		if err != nil || passed != 0 || len(told) != 1 || told[0].State != step.health {
-			t.Errorf("step %d: %+v, %d, %v; expected %q", i, told, passed, err, step.health)
+		if hosts.LastErr != nil || hosts.Skipped != 0 || len(hosts.Entries) != 1 || hosts.Entries[0].State != step.health {
+			t.Errorf("step %d: %+v; expected %q", i, hosts, step.health)
 		}
 	}
 }
