--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -190,33 +190,33 @@
 
 // Fault is one trouble in the day. Who is named by Servers or Nodes, or drawn: Count of them or a Share.
 type Fault struct {
-	Kind     string   `toml:"kind"`
-	At       Duration `toml:"at"`
-	For      Duration `toml:"for"`
-	Servers  []string `toml:"servers"` // names as in fleet-0
-	Nodes    []int    `toml:"nodes"`
-	Zone     string   `toml:"zone"`
-	Count    int      `toml:"count"`
-	Share    float64  `toml:"share"`
-	Factor   float64  `toml:"factor"`
-	Each     Duration `toml:"each"`      // apart, when several are hit one after another
-	HandOffs float64  `toml:"hand_offs"` // share of hand-offs or answers that it hits
-	How      string   `toml:"how"`
-	Rate     float64  `toml:"rate"` // of bad clients, a second
-	Category string   `toml:"category"`
-	Customer string   `toml:"customer"`
-	Wait     Duration `toml:"wait"` // in its place, before the work; of a way: how much later; of a clock: the step
+	Kind     string   `toml:"kind" json:"Kind"`
+	At       Duration `toml:"at" json:"At"`
+	For      Duration `toml:"for" json:"For"`
+	Servers  []string `toml:"servers" json:"Servers"` // names as in fleet-0
+	Nodes    []int    `toml:"nodes" json:"Nodes"`
+	Zone     string   `toml:"zone" json:"Zone"`
+	Count    int      `toml:"count" json:"Count"`
+	Share    float64  `toml:"share" json:"Share"`
+	Factor   float64  `toml:"factor" json:"Factor"`
+	Each     Duration `toml:"each" json:"Each"`          // apart, when several are hit one after another
+	HandOffs float64  `toml:"hand_offs" json:"HandOffs"` // share of hand-offs or answers that it hits
+	How      string   `toml:"how" json:"How"`
+	Rate     float64  `toml:"rate" json:"Rate"` // of bad clients, a second
+	Category string   `toml:"category" json:"Category"`
+	Customer string   `toml:"customer" json:"Customer"`
+	Wait     Duration `toml:"wait" json:"Wait"` // in its place, before the work; of a way: how much later; of a clock: the step
 
 	// Of ways: which ends, by the names that package links resolves.
-	From   []string `toml:"from"`
-	To     []string `toml:"to"`
-	OneWay bool     `toml:"one_way"` // only what goes from From to To
-	Burst  int      `toml:"burst"`   // so many messages in a row meet the same fate
+	From   []string `toml:"from" json:"From"`
+	To     []string `toml:"to" json:"To"`
+	OneWay bool     `toml:"one_way" json:"OneWay"` // only what goes from From to To
+	Burst  int      `toml:"burst" json:"Burst"`    // so many messages in a row meet the same fate
 
 	// Of a power loss: when what was lost is back, counted from the loss, each up to Each later; 0: not in the day.
-	NodesBack     Duration `toml:"nodes_back"`
-	ServersBack   Duration `toml:"servers_back"`
-	DiscoveryBack Duration `toml:"discovery_back"`
+	NodesBack     Duration `toml:"nodes_back" json:"NodesBack"`
+	ServersBack   Duration `toml:"servers_back" json:"ServersBack"`
+	DiscoveryBack Duration `toml:"discovery_back" json:"DiscoveryBack"`
 }
 
 // Expect is what must hold for a run to end with exit 0. No rule may be broken, whatever stands here.
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -18,37 +18,37 @@
 
 // Server is one machine of the day's beginning, or one that a fault adds or puts in place of another.
 type Server struct {
-	Name  string
-	Index int
-	Fleet int
-	Zone  string
-	Pod   int
-	Speed float64
-	Seed  uint64
+	Name  string  `json:"Name"`
+	Index int     `json:"Index"`
+	Fleet int     `json:"Fleet"`
+	Zone  string  `json:"Zone"`
+	Pod   int     `json:"Pod"`
+	Speed float64 `json:"Speed"`
+	Seed  uint64  `json:"Seed"`
 }
 
 // Task is one thing that a client wants. Its tries on the wire have ids of their own.
 type Task struct {
-	N        int
-	Due      int64 // since the day's beginning, nanoseconds
-	Zone     int   // of the client, and so of its front
-	Category int
-	Customer int // -1 without
-	Key      int // -1 without
-	Work     int64
-	Estimate int64 // what the client guesses the work to be; 0: does not tell
-	Leaves   int64 // after this long the client goes; 0: stays
-	Once     bool  // its connection is kept and never used again
-	Honours  bool
-	Seed     uint64
+	N        int    `json:"N"`
+	Due      int64  `json:"Due"`  // since the day's beginning, nanoseconds
+	Zone     int    `json:"Zone"` // of the client, and so of its front
+	Category int    `json:"Category"`
+	Customer int    `json:"Customer"` // -1 without
+	Key      int    `json:"Key"`      // -1 without
+	Work     int64  `json:"Work"`
+	Estimate int64  `json:"Estimate"` // what the client guesses the work to be; 0: does not tell
+	Leaves   int64  `json:"Leaves"`   // after this long the client goes; 0: stays
+	Once     bool   `json:"Once"`     // its connection is kept and never used again
+	Honours  bool   `json:"Honours"`
+	Seed     uint64 `json:"Seed"`
 }
 
 // Fault is one trouble with who it hits.
 type Fault struct {
 	scenario.Fault
-	N       int
-	Targets []int // servers or nodes
-	Seed    uint64
+	N       int    `json:"N"`
+	Targets []int  `json:"Targets"` // servers or nodes
+	Seed    uint64 `json:"Seed"`
 }
 
 // Back is when one of those that a power loss took is back: after a time, and up to Each more, drawn for each.
@@ -58,19 +58,19 @@
 
 // BadClient is one client that does not keep to the protocol.
 type BadClient struct {
-	Due  int64
-	Kind string
-	Node int
-	Seed uint64
+	Due  int64  `json:"Due"`
+	Kind string `json:"Kind"`
+	Node int    `json:"Node"`
+	Seed uint64 `json:"Seed"`
 }
 
 // Plan is a day as drawn.
 type Plan struct {
-	Seed    uint64
-	Servers []Server
-	Tasks   []Task
-	Faults  []Fault
-	Bad     []BadClient
+	Seed    uint64      `json:"Seed"`
+	Servers []Server    `json:"Servers"`
+	Tasks   []Task      `json:"Tasks"`
+	Faults  []Fault     `json:"Faults"`
+	Bad     []BadClient `json:"Bad"`
 }
 
 // BadKinds are the ways of bad clients.
