--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -34,7 +34,7 @@
 	hard     int64
 	ticket   string
 	id       string
-	rec      *invariant.Try
+	rec      *invariant.Request
 	sentOnce bool // has been written to a connection that turned out to be closed
 	crossed  int64
 }
@@ -87,7 +87,7 @@
 	conn net.Conn
 	in   *reader
 	work chan *try
-	last *invariant.Try // the try whose answer came last, while nothing has been written behind it
+	last *invariant.Request // the try whose answer came last, while nothing has been written behind it
 	text []byte
 }
 
@@ -291,7 +291,7 @@
 	more, ended := standing(r.conn)
 	if (more || r.in.pending() > 0) && r.last != nil {
 		rec, now := r.last, r.pool.side.day.now()
-		r.pool.side.day.ledger.Update(func() { rec.Extra = min(rec.Extra, now) })
+		r.pool.side.day.ledger.Update(func() { rec.ExtraAt = min(rec.ExtraAt, now) })
 		r.last = nil
 	}
 	return ended || more || r.in.pending() > 0
@@ -331,11 +331,11 @@
 	}
 	r.last = nil // what comes from here on is this try's answer, also where nobody waits for it any more
 	now := d.now()
-	rec := &invariant.Try{
-		ID: t.id, Task: t.task.N, Node: r.pool.node.index, Life: life, Category: t.task.Category, Whole: now, Hard: t.hard,
-		From: t.crossed,
+	rec := &invariant.Request{
+		ID: t.id, Operation: t.task.N, Node: r.pool.node.index, Incarnation: life, Class: t.task.Category, SentAt: now, Deadline: t.hard,
+		ResentAfter: t.crossed,
 	}
-	d.ledger.Sent(rec)
+	d.ledger.RecordRequest(rec)
 	until := t.hard + int64(d.scenario.Rules.AnswerGrace) + int64(listenOn)
 	leaves := int64(invariant.Never)
 	if t.task.Leaves > 0 {
@@ -358,9 +358,9 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		left := until == leaves
 		d.ledger.Update(func() {
-			rec.Cut = begun
+			rec.Truncated = begun
 			if left {
-				rec.Left = now
+				rec.CanceledAt = now
 			}
 		})
 		if left {
@@ -370,24 +370,24 @@
 		}
 		return false, nil
 	case begun:
-		d.ledger.Update(func() { rec.Cut = true })
+		d.ledger.Update(func() { rec.Truncated = true })
 		r.pool.side.after(t, trace.BrokenOff, false, 0)
 		return false, nil
 	}
 	if reused && !t.sentOnce && errors.Is(err, io.EOF) {
 		// The node closed between tasks and this crossed it; the client sends the same once more on a new connection.
-		d.ledger.Update(func() { rec.Crossed = now })
+		d.ledger.Update(func() { rec.CrossedAt = now })
 		r.close()
 		t.sentOnce, t.crossed = true, now
 		return true, t
 	}
-	d.ledger.Update(func() { rec.Ended = now })
+	d.ledger.Update(func() { rec.ClosedAt = now })
 	r.pool.side.after(t, trace.Lost, !r.pool.node.takes(), 0)
 	return false, nil
 }
 
 // answered settles a try that has its answer.
-func (r *rider) answered(t *try, rec *invariant.Try, m *message, now int64) (goesOn bool) {
+func (r *rider) answered(t *try, rec *invariant.Request, m *message, now int64) (goesOn bool) {
 	d := r.pool.side.day
 	size := d.scenario.Load.Body
 	if d.scenario.Categories[t.task.Category].Repeat == "rerunnable" {
@@ -405,7 +405,7 @@
 		}
 	}
 	d.ledger.Update(func() {
-		rec.Answered, rec.Status, rec.Foreign, rec.Advice = now, m.status, foreign, advice
+		rec.AnsweredAt, rec.Status, rec.ForeignBody, rec.RetryAfter = now, m.status, foreign, advice
 	})
 	r.last = rec
 	ends := m.close
--- a/internal/lab/emulator/day.go
+++ b/internal/lab/emulator/day.go
@@ -46,7 +46,7 @@
 	base     int64 // when the day itself began, after its preparation
 	hash     string
 	direct   bool
-	ledger   *invariant.Ledger
+	ledger   *invariant.History
 	gauge    *gauge
 	group    errgroup.Group
 	over     chan struct{}
@@ -77,7 +77,7 @@
 
 type sharedMemory struct {
 	mu sync.Mutex
-	*model.Memory
+	*model.Deduplicator
 }
 
 func (m *sharedMemory) seen(now int64, ticket string) bool {
@@ -101,7 +101,7 @@
 	}
 	d := &Day{
 		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, out: o.Out, t0: time.Now(),
-		ledger: &invariant.Ledger{}, over: make(chan struct{}), oddities: map[string]int{}, memories: map[memoryKey]*sharedMemory{}, holds: map[int]int64{},
+		ledger: &invariant.History{}, over: make(chan struct{}), oddities: map[string]int{}, memories: map[memoryKey]*sharedMemory{}, holds: map[int]int64{},
 	}
 	if d.log == nil {
 		d.log = zap.NewNop()
@@ -249,24 +249,24 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.memories[k] == nil {
-		d.memories[k] = &sharedMemory{Memory: model.NewMemory(int64(c.Memory))}
+		d.memories[k] = &sharedMemory{Deduplicator: model.NewDeduplicator(int64(c.Memory))}
 	}
 	return d.memories[k]
 }
 
-func (d *Day) list(m *machine, h model.Health, notice time.Duration) {
+func (d *Day) list(m *machine, h model.State, notice time.Duration) {
 	m.mu.Lock()
 	started := m.started
 	m.mu.Unlock()
-	d.discovery.set(model.Listed{Server: m.spec.Index, Health: h, Started: started}, notice)
+	d.discovery.set(model.ListEntry{Endpoint: m.spec.Index, State: h, StartedAt: started}, notice)
 }
 
 // fell ends a cold server that was pushed over. It stays down.
-func (d *Day) fell(m *machine, life int, f *model.Fall) {
+func (d *Day) fell(m *machine, life int, f *model.Crash) {
 	m.mu.Lock()
 	started := m.started
 	m.mu.Unlock()
-	d.ledger.Fell(invariant.Fall{Server: m.spec.Index, Life: life, Started: started, Fall: *f})
+	d.ledger.RecordCrash(invariant.Crash{Endpoint: m.spec.Index, Incarnation: life, StartedAt: started, Crash: *f})
 	d.odd("a cold server was pushed over", m.spec.Name)
 	d.group.Go(func() error { m.stop(); return nil })
 	d.list(m, model.Removed, time.Duration(d.scenario.Discovery.Notice))
@@ -504,7 +504,7 @@
 	trace.Excuse(d.scenario, d.plan, d.ledger)
 	r.Reach = trace.ReachOf(d.scenario, d.between.ways, d.base)
 	rules := trace.RulesOf(d.scenario, d.between.ways, d.base, socketSlack, d.gauge.late)
-	r.Breaks = d.ledger.Judge(trace.Categories(d.scenario), rules)
+	r.Breaks = d.ledger.Check(trace.Categories(d.scenario), rules)
 	r.Peaks[0], r.Peaks[1] = d.ledger.Peaks(rules)
 	for i := range r.Breaks {
 		r.Breaks[i].At -= d.base
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -25,7 +25,7 @@
 	day *Day
 
 	mu      sync.Mutex
-	roster  *model.Roster
+	roster  *model.EndpointList
 	ever    map[int]bool // servers listed at any time
 	first   [][]byte     // the list of the day's beginning, by node
 	down    bool
@@ -58,7 +58,7 @@
 
 func newDiscovery(d *Day) (*discovery, error) {
 	s := &discovery{
-		day: d, roster: model.NewRoster(40), ever: map[int]bool{}, slow: 1, calls: make(chan *call, mostCalls),
+		day: d, roster: model.NewEndpointList(40), ever: map[int]bool{}, slow: 1, calls: make(chan *call, mostCalls),
 		watches: map[*call]struct{}{},
 	}
 	for node := range d.scenario.Nodes.Count {
@@ -194,9 +194,9 @@
 		}
 		d := &s.day.scenario.Discovery
 		s.mu.Lock()
-		down, lines := s.down, len(s.roster.Whole())
+		down, lines := s.down, len(s.roster.Complete())
 		if k.after > 0 {
-			changed, _ := s.roster.After(k.after)
+			changed, _ := s.roster.ChangesAfter(k.after)
 			lines = len(changed)
 		}
 		cost := time.Duration(s.slow * float64(int64(d.Call)+int64(d.PerLine)*int64(lines)))
@@ -220,27 +220,27 @@
 
 func (s *discovery) fail(k *call) {
 	now := s.day.now()
-	s.day.ledger.Watched(&invariant.Watch{Node: k.node, Life: k.life, From: now, To: now, Failed: true})
+	s.day.ledger.RecordWatch(&invariant.Watch{Node: k.node, Incarnation: k.life, From: now, To: now, Failed: true})
 	io.WriteString(k.conn, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 	reset(k.conn)
 	close(k.answered)
 }
 
 // text puts entries into words for a node, and notes what they tell it.
-func (s *discovery) text(node, life int, version int64, entries []model.Listed, whole bool) ([]byte, []invariant.Told) {
+func (s *discovery) text(node, life int, version int64, entries []model.ListEntry, whole bool) ([]byte, []invariant.ListEntry) {
 	var lines [][]byte
-	var told []invariant.Told
+	var told []invariant.ListEntry
 	listed := map[int]bool{}
 	for _, e := range entries {
-		m := s.day.machineAt(e.Server)
-		lines = append(lines, entryText(nil, m.spec.Name, m.doors[node].shown, m.spec.Zone, m.spec.Pod, e.Health, e.Started))
-		told = append(told, invariant.Told{Node: node, Life: life, Server: e.Server, Health: e.Health, Started: e.Started})
-		listed[e.Server] = true
+		m := s.day.machineAt(e.Endpoint)
+		lines = append(lines, entryText(nil, m.spec.Name, m.doors[node].shown, m.spec.Zone, m.spec.Pod, e.State, e.StartedAt))
+		told = append(told, invariant.ListEntry{Node: node, Incarnation: life, Endpoint: e.Endpoint, State: e.State, StartedAt: e.StartedAt})
+		listed[e.Endpoint] = true
 	}
 	if whole {
 		for server := range s.ever {
 			if !listed[server] {
-				told = append(told, invariant.Told{Node: node, Life: life, Server: server, Health: model.Removed})
+				told = append(told, invariant.ListEntry{Node: node, Incarnation: life, Endpoint: server, State: model.Removed})
 			}
 		}
 	}
@@ -248,12 +248,12 @@
 }
 
 // tell notes what has just been written.
-func (s *discovery) tell(told []invariant.Told) {
+func (s *discovery) tell(told []invariant.ListEntry) {
 	now := s.day.now()
 	for i := range told {
 		told[i].At = now
 	}
-	s.day.ledger.Tell(told...)
+	s.day.ledger.RecordEntries(told...)
 }
 
 // known is the list as a node is given it at its start. A stale one tells it nothing that it is held to.
@@ -263,7 +263,7 @@
 	if stale && s.first != nil {
 		return s.first[node]
 	}
-	text, told := s.text(node, life, s.roster.Version(), s.roster.Whole(), true)
+	text, told := s.text(node, life, s.roster.Version(), s.roster.Complete(), true)
 	s.tell(told)
 	return text
 }
@@ -272,7 +272,7 @@
 func (s *discovery) asItStands(node int) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	text, _ := s.text(node, 0, s.roster.Version(), s.roster.Whole(), true)
+	text, _ := s.text(node, 0, s.roster.Version(), s.roster.Complete(), true)
 	return text
 }
 
@@ -281,28 +281,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for node := range s.places {
-		text, _ := s.text(node, 0, s.roster.Version(), s.roster.Whole(), true)
+		text, _ := s.text(node, 0, s.roster.Version(), s.roster.Complete(), true)
 		s.first = append(s.first, text)
 	}
 }
 
 func (s *discovery) whole(k *call) {
 	s.mu.Lock()
-	text, told := s.text(k.node, k.life, s.roster.Version(), s.roster.Whole(), true)
+	text, told := s.text(k.node, k.life, s.roster.Version(), s.roster.Complete(), true)
 	s.mu.Unlock()
 	_, err := fmt.Fprintf(k.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	if err == nil {
 		s.tell(told)
 		now := s.day.now()
-		s.day.ledger.Watched(&invariant.Watch{Node: k.node, Life: k.life, From: now, To: now})
+		s.day.ledger.RecordWatch(&invariant.Watch{Node: k.node, Incarnation: k.life, From: now, To: now})
 	}
 	close(k.answered)
 }
 
 // follow serves a watch until its connection ends.
 func (s *discovery) follow(k *call) {
-	w := &invariant.Watch{Node: k.node, Life: k.life, From: s.day.now(), To: invariant.Never}
-	s.day.ledger.Watched(w)
+	w := &invariant.Watch{Node: k.node, Incarnation: k.life, From: s.day.now(), To: invariant.Never}
+	s.day.ledger.RecordWatch(w)
 	s.mu.Lock()
 	s.watches[k] = struct{}{}
 	s.mu.Unlock()
@@ -325,10 +325,10 @@
 	version, quiet := k.after, time.Now()
 	for first := true; ; first = false {
 		s.mu.Lock()
-		entries, whole := s.roster.After(version)
+		entries, whole := s.roster.ChangesAfter(version)
 		now := s.roster.Version()
 		var text []byte
-		var told []invariant.Told
+		var told []invariant.ListEntry
 		if first || now != version {
 			text, told = s.text(k.node, k.life, now, entries, whole)
 		}
@@ -356,16 +356,16 @@
 }
 
 // set changes the list after the notice that it takes.
-func (s *discovery) set(l model.Listed, notice time.Duration) {
+func (s *discovery) set(l model.ListEntry, notice time.Duration) {
 	s.mu.Lock()
 	notice += s.late
 	s.mu.Unlock()
 	do := func() {
 		s.mu.Lock()
 		s.roster.Set(l)
-		s.ever[l.Server] = true
+		s.ever[l.Endpoint] = true
 		s.mu.Unlock()
-		s.day.ledger.List(invariant.Listing{Server: l.Server, Health: l.Health, At: s.day.now(), Started: l.Started})
+		s.day.ledger.RecordListChange(invariant.ListChange{Endpoint: l.Endpoint, State: l.State, At: s.day.now(), StartedAt: l.StartedAt})
 	}
 	if notice <= 0 {
 		do()
@@ -381,7 +381,7 @@
 	now := s.day.now()
 	if down && !s.down {
 		s.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: now}}
-		s.day.ledger.OutOfReach(s.outage)
+		s.day.ledger.RecordOutage(s.outage)
 	} else if s.down && !down {
 		s.day.ledger.Update(func() { s.outage.To = now })
 	}
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -117,12 +117,12 @@
 					t.Errorf("%v; want rule %d only, %s", b, c.rule, c.what)
 				}
 				if c.rule == 4 {
-					if b.Server != 1 {
+					if b.Endpoint != 1 {
 						t.Errorf("%v; want server 1", b)
 					}
 					continue
 				}
-				if len(b.Task) != 16 || c.rule != 1 && (b.Attempt < 0 || b.Server < 0) || c.wrong == "undrained" && b.Server != 1 {
+				if len(b.Request) != 16 || c.rule != 1 && (b.Attempt < 0 || b.Endpoint < 0) || c.wrong == "undrained" && b.Endpoint != 1 {
 					t.Errorf("%v; want its task, hand-off and server", b)
 				}
 			}
@@ -177,7 +177,7 @@
 
 // A server that vanishes in silence: new connections to it never come up, old ones stay silent, and later it is back.
 func TestSevered(t *testing.T) {
-	d := &Day{scenario: parse(t, small), over: make(chan struct{}), ledger: &invariant.Ledger{}, t0: time.Now(), log: zap.NewNop(), oddities: map[string]int{}}
+	d := &Day{scenario: parse(t, small), over: make(chan struct{}), ledger: &invariant.History{}, t0: time.Now(), log: zap.NewNop(), oddities: map[string]int{}}
 	d.nodes = []*node{{day: d}}
 	m := &machine{day: d, fleet: &d.scenario.Fleets[0], kick: make(chan struct{}, 1)}
 	door := &door{m: m, address: "127.0.0.1:0", conns: map[*link]struct{}{}}
@@ -353,7 +353,7 @@
 				<-speak
 				io.WriteString(conn, answer)
 			}()
-			d := &Day{scenario: parse(t, small), t0: time.Now(), ledger: &invariant.Ledger{}, over: make(chan struct{})}
+			d := &Day{scenario: parse(t, small), t0: time.Now(), ledger: &invariant.History{}, over: make(chan struct{})}
 			n := &node{day: d, address: l.Addr().String()}
 			side := &clients{day: d, outcomes: make([]trace.Outcome, 2), wake: make(chan struct{}, 1)}
 			r := &rider{pool: &pool{side: side, node: n, all: map[*rider]struct{}{}}}
@@ -385,7 +385,7 @@
 				}
 			}
 			r.close()
-			if got := first.Extra != invariant.Never; got != c.second {
+			if got := first.ExtraAt != invariant.Never; got != c.second {
 				t.Errorf("a second answer: %t", got)
 			}
 		})
--- a/internal/lab/emulator/machine.go
+++ b/internal/lab/emulator/machine.go
@@ -41,7 +41,7 @@
 	mu       sync.Mutex
 	life     int
 	started  int64 // Unix nanoseconds; 0 for long ago
-	model    *model.Server
+	model    *model.Endpoint
 	draw     *rand.Rand
 	waiting  map[int64]*handling
 	lastID   int64
@@ -57,7 +57,7 @@
 
 type published struct {
 	at     int64
-	figure model.Figure
+	figure model.LoadFigures
 }
 
 // door is where one node reaches one server.
@@ -89,7 +89,7 @@
 // handling is one hand-off at a server.
 type handling struct {
 	link   *link
-	rec    *invariant.HandOff
+	rec    *invariant.Attempt
 	id     int64
 	life   int
 	size   int // of the task's body
@@ -140,7 +140,7 @@
 		started, m.started = now, m.day.epoch(now)/1e6*1e6
 	}
 	m.life++
-	m.model = model.NewServer(model.KindOf(m.day.scenario, m.fleet, m.spec.Speed), started, now, m.spec.Seed+uint64(m.life))
+	m.model = model.NewEndpoint(model.SpecOf(m.day.scenario, m.fleet, m.spec.Speed), started, now, m.spec.Seed+uint64(m.life))
 	m.waiting, m.trouble, m.draining, m.reports, m.reported, m.conns = map[int64]*handling{}, trouble{}, false, nil, now, 0
 	m.mu.Unlock()
 	for _, d := range m.doors {
@@ -154,9 +154,9 @@
 // warmed hands in what came to the life that ends while it was cold; the lock is held.
 func (m *machine) warmed() {
 	if m.model != nil {
-		m.day.ledger.Warmed(invariant.Cold{
-			Server: m.spec.Index, Life: m.life, Started: m.started, MeanWork: m.model.MeanWork,
-			Window: m.model.FallAfter, Pushes: m.model.WhileCold(),
+		m.day.ledger.RecordSlowStart(invariant.SlowStart{
+			Endpoint: m.spec.Index, Incarnation: m.life, StartedAt: m.started, MeanWork: m.model.MeanWork,
+			Window: m.model.FallAfter, Arrivals: m.model.WhileCold(),
 		})
 	}
 }
@@ -215,7 +215,7 @@
 				late = append(late, h)
 				continue
 			}
-			m.day.ledger.Update(func() { h.rec.Ran = true })
+			m.day.ledger.Update(func() { h.rec.Executed = true })
 			finished = append(finished, h)
 		}
 		m.mu.Unlock()
@@ -397,8 +397,8 @@
 	m := k.door.m
 	now := m.day.now()
 	m.day.ledger.Update(func() {
-		if h.rec.Closed == invariant.Never {
-			h.rec.Closed = now
+		if h.rec.ClosedAt == invariant.Never {
+			h.rec.ClosedAt = now
 		}
 	})
 	if h.done.Load() || k.door.cut.Load() {
@@ -418,9 +418,9 @@
 	m, node := k.door.m, k.door.node
 	now := m.day.now()
 	id := string(msg.get(nameTask))
-	h := &handling{link: k, size: len(msg.body), rec: &invariant.HandOff{
-		Task: id, Node: node, Server: m.spec.Index, Zone: m.spec.Zone,
-		Pod: m.spec.Pod, First: msg.began,
+	h := &handling{link: k, size: len(msg.body), rec: &invariant.Attempt{
+		Request: id, Node: node, Endpoint: m.spec.Index, Zone: m.spec.Zone,
+		Pod: m.spec.Pod, FirstByteAt: msg.began,
 	}}
 	task, try, known := m.day.taskOf(id)
 	if !known {
@@ -438,12 +438,12 @@
 	h.luck, h.way = luck, m.oneWay(node)
 	ticket := string(msg.get(nameTicket))
 	m.mu.Lock()
-	h.life, h.rec.Life = m.life, m.life
+	h.life, h.rec.Incarnation = m.life, m.life
 	m.lastID++
 	h.id = m.lastID
 	m.mu.Unlock()
-	m.day.ledger.Began(h.rec)
-	m.day.ledger.Update(func() { h.rec.Last = now })
+	m.day.ledger.RecordAttempt(h.rec)
+	m.day.ledger.Update(func() { h.rec.LastByteAt = now })
 	k.mu.Lock()
 	k.cur = h
 	k.mu.Unlock()
@@ -497,7 +497,7 @@
 		if h.repeat = m.day.memoryOf(m, category).seen(m.day.now(), ticket); h.repeat {
 			work = min(work, int64(200*time.Microsecond)) // it only looks the answer up
 		}
-		m.day.ledger.Update(func() { h.rec.Repeated = h.repeat })
+		m.day.ledger.Update(func() { h.rec.Deduplicated = h.repeat })
 	}
 	job := &model.Job{ID: h.id, Work: work, Until: until, Node: h.link.door.node, Hold: m.day.hold(category, customer)}
 	accepted, fall := m.model.Arrive(m.day.now(), job)
@@ -516,7 +516,7 @@
 
 // turn answers that the task was not looked at.
 func (h *handling) turn() {
-	h.link.door.m.day.ledger.Update(func() { h.rec.TurnedAway = true })
+	h.link.door.m.day.ledger.Update(func() { h.rec.Rejected = true })
 	later(h.way, func() { h.answer("503 Turned Away", "\r\n"+nameNeverRan+": 1", nil) })
 }
 
@@ -536,7 +536,7 @@
 			h.spoil(t.spoil)
 			return
 		}
-		h.answer("200 OK", "", answerFor(nil, m.spec.Name, h.rec.Task, h.size))
+		h.answer("200 OK", "", answerFor(nil, m.spec.Name, h.rec.Request, h.size))
 	})
 }
 
@@ -548,7 +548,7 @@
 		return
 	}
 	code, _ := strconv.Atoi(status[:3])
-	m.day.ledger.Update(func() { h.rec.Answered, h.rec.Status = now, code })
+	m.day.ledger.Update(func() { h.rec.AnsweredAt, h.rec.Status = now, code })
 	out := append(make([]byte, 0, 256+len(body)), "HTTP/1.1 "...)
 	out = append(out, status...)
 	out = append(out, extra...)
@@ -565,7 +565,7 @@
 // spoil writes an answer in one of the ways that answers go wrong.
 func (h *handling) spoil(how string) {
 	m, c := h.link.door.m, h.link.conn
-	body := string(answerFor(nil, m.spec.Name, h.rec.Task, h.size))
+	body := string(answerFor(nil, m.spec.Name, h.rec.Request, h.size))
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	now := m.day.now()
 	sound := false
@@ -576,7 +576,7 @@
 		return
 	}
 	m.day.ledger.Update(func() {
-		h.rec.Answered, h.rec.Status = now, 502
+		h.rec.AnsweredAt, h.rec.Status = now, 502
 		if sound {
 			h.rec.Status = 200
 		}
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -32,10 +32,10 @@
 	pathList  = "/v1/endpoints"
 )
 
-var healthNames = map[model.Health]string{model.Up: "up", model.Draining: "draining", model.Removed: "removed"}
+var healthNames = map[model.State]string{model.Up: "up", model.Draining: "draining", model.Removed: "removed"}
 
 // entryText is one server of a list.
-func entryText(into []byte, name, dial, zone string, pod int, health model.Health, startedNs int64) []byte {
+func entryText(into []byte, name, dial, zone string, pod int, health model.State, startedNs int64) []byte {
 	return fmt.Appendf(into, `{"host":%q,"dial":%q,"site":%q,"class":"m","block":%d,"health":%q,"share":1.0,"born_ms":%d}`,
 		name, dial, zone, pod, healthNames[health], startedNs/1e6)
 }
@@ -67,7 +67,7 @@
 }
 
 // reportText is a load report in the fields that the scenario has.
-func reportText(into []byte, fields []string, f model.Figure) []byte {
+func reportText(into []byte, fields []string, f model.LoadFigures) []byte {
 	for i, name := range fields {
 		if i > 0 {
 			into = append(into, ',')
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -105,7 +105,7 @@
 
 	mu      sync.Mutex
 	proc    Proc
-	life    *invariant.NodeLife
+	life    *invariant.Process
 	forgets bool // its directory was tampered with since it ended
 	expects bool // its end is the day's own doing
 	in      bool // the front sends to it
@@ -119,7 +119,7 @@
 	if n.life == nil {
 		return 0
 	}
-	return n.life.Life
+	return n.life.Incarnation
 }
 
 func (n *node) writeConfig(known []byte, seed uint64) error {
@@ -137,7 +137,7 @@
 	n.mu.Lock()
 	number := 1
 	if n.life != nil {
-		number = n.life.Life + 1
+		number = n.life.Incarnation + 1
 	}
 	n.mu.Unlock()
 	seed := n.day.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(number)
@@ -169,9 +169,9 @@
 			n.day.odd("descriptors of a node not limited", err.Error())
 		}
 	}
-	life := &invariant.NodeLife{Node: n.index, Life: number, From: n.day.now(), Remembers: n.day.scenario.Nodes.State && !n.forgets}
+	life := &invariant.Process{Node: n.index, Incarnation: number, StartedAt: n.day.now(), Persistent: n.day.scenario.Nodes.State && !n.forgets}
 	n.forgets = false
-	n.day.ledger.Live(life)
+	n.day.ledger.RecordProcess(life)
 	n.mu.Lock()
 	n.proc, n.life, n.expects = p, life, false
 	n.figures.Starts++
@@ -182,7 +182,7 @@
 }
 
 // admit has the front take the node in once it is ready.
-func (n *node) admit(p Proc, life *invariant.NodeLife) {
+func (n *node) admit(p Proc, life *invariant.Process) {
 	for {
 		select {
 		case <-n.day.over:
@@ -193,7 +193,7 @@
 		}
 		if ready(n.address) {
 			now := n.day.now()
-			n.day.ledger.Update(func() { life.Ready = now })
+			n.day.ledger.Update(func() { life.ReadyAt = now })
 			n.mu.Lock()
 			n.in = n.proc == p
 			n.mu.Unlock()
@@ -215,7 +215,7 @@
 }
 
 // watch sees a life end. The front notices somewhat later.
-func (n *node) watch(p Proc, life *invariant.NodeLife) {
+func (n *node) watch(p Proc, life *invariant.Process) {
 	var gone bool
 	select {
 	case <-p.Done():
@@ -223,7 +223,7 @@
 	case <-n.day.over:
 	}
 	now := n.day.now()
-	n.day.ledger.Update(func() { life.Until = now })
+	n.day.ledger.Update(func() { life.EndedAt = now })
 	if !gone {
 		return
 	}
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -40,10 +40,10 @@
 	files map[string]string // configurations
 	addr  map[string]string
 	procs map[string]emulator.Proc
-	book  *invariant.Ledger
+	book  *invariant.History
 	from  time.Time
 
-	open map[handOff]*invariant.HandOff // by the ledger's own lock
+	open map[handOff]*invariant.Attempt // by the ledger's own lock
 
 	mu      sync.Mutex
 	asked   [3]int
@@ -83,7 +83,7 @@
 	t.Helper()
 	r := &relayed{
 		Processes: processes(t, 3), t: t, ways: map[[2]int]*faultproxy.Stream{}, files: map[string]string{}, addr: map[string]string{},
-		procs: map[string]emulator.Proc{}, book: &invariant.Ledger{}, open: map[handOff]*invariant.HandOff{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{},
+		procs: map[string]emulator.Proc{}, book: &invariant.History{}, open: map[handOff]*invariant.Attempt{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{},
 	}
 	for i := range r.plain {
 		r.state[i] = "up"
@@ -122,19 +122,19 @@
 				return
 			}
 			if !a.Closed.IsZero() {
-				r.book.Update(func() { r.open[handOff{a.Task, i, a.Came}].Closed = r.at(a.Closed) })
+				r.book.Update(func() { r.open[handOff{a.Task, i, a.Came}].ClosedAt = r.at(a.Closed) })
 				return
 			}
-			h := &invariant.HandOff{Task: a.Task, Node: task / perNode, Server: i, Life: 1, Zone: "a"}
-			r.book.Began(h)
+			h := &invariant.Attempt{Request: a.Task, Node: task / perNode, Endpoint: i, Incarnation: 1, Zone: "a"}
+			r.book.RecordAttempt(h)
 			r.book.Update(func() {
 				r.open[handOff{a.Task, i, a.Came}] = h
-				h.First, h.Last, h.Answered, h.Status, h.Ran = r.at(a.Came), r.at(a.Came), r.at(a.Answered), 200, true
+				h.FirstByteAt, h.LastByteAt, h.AnsweredAt, h.Status, h.Executed = r.at(a.Came), r.at(a.Came), r.at(a.Answered), 200, true
 			})
 		})
 	}
 	for i := range 3 {
-		r.book.Live(&invariant.NodeLife{Node: i, Life: 1, From: r.at(time.Now())})
+		r.book.RecordProcess(&invariant.Process{Node: i, Incarnation: 1, StartedAt: r.at(time.Now())})
 		if err := r.Start(i); err != nil {
 			t.Fatal(err)
 		}
@@ -204,14 +204,14 @@
 func (r *relayed) tell() {
 	for k, all := range r.heard {
 		for i, h := range all {
-			t := invariant.Told{Node: k[0], Life: 1, Server: k[1], Health: model.Up, At: r.at(h.at)}
+			t := invariant.ListEntry{Node: k[0], Incarnation: 1, Endpoint: k[1], State: model.Up, At: r.at(h.at)}
 			if h.health != "up" {
-				t.Health, t.At = model.Draining, t.At+int64(toldWithin)
+				t.State, t.At = model.Draining, t.At+int64(toldWithin)
 				if i+1 < len(all) && r.at(all[i+1].at) <= t.At {
 					continue
 				}
 			}
-			r.book.Tell(t)
+			r.book.RecordEntries(t)
 		}
 	}
 }
@@ -237,20 +237,20 @@
 	return func() { close(over); all.Wait() }
 }
 
-var kinds = []invariant.Category{{Name: "view", Repeat: invariant.Rerunnable}, {Name: "pay", Repeat: invariant.Exclusive}}
+var kinds = []invariant.Class{{Name: "view", Idempotency: invariant.Idempotent}, {Name: "pay", Idempotency: invariant.NonIdempotent}}
 
 // ask sends one task and enters what became of it.
 func (r *relayed) ask(node, number, kind int) {
 	now := r.at(time.Now())
-	try := &invariant.Try{ID: fmt.Sprintf("%016x", number), Task: number, Node: node, Life: 1, Category: kind, Whole: now, Hard: now + int64(2*time.Second)}
-	r.book.Sent(try)
+	try := &invariant.Request{ID: fmt.Sprintf("%016x", number), Operation: number, Node: node, Incarnation: 1, Class: kind, SentAt: now, Deadline: now + int64(2*time.Second)}
+	r.book.RecordRequest(try)
 	status, err := r.once(node, kinds[kind].Name, try.ID)
 	done := r.at(time.Now())
 	r.book.Update(func() {
 		if err != nil {
-			try.Ended = done
+			try.ClosedAt = done
 		} else {
-			try.Answered, try.Status = done, status
+			try.AnsweredAt, try.Status = done, status
 		}
 	})
 	r.mu.Lock()
@@ -336,9 +336,9 @@
 // used are the servers that a node sent to after a moment, by what came to servers.
 func (r *relayed) used(node int, after time.Time) (servers [8]int) {
 	r.book.Update(func() {
-		for _, h := range r.book.HandOffs {
-			if h.Node == node && h.First > r.at(after) {
-				servers[h.Server]++
+		for _, h := range r.book.Attempts {
+			if h.Node == node && h.FirstByteAt > r.at(after) {
+				servers[h.Endpoint]++
 			}
 		}
 	})
@@ -350,16 +350,16 @@
 // then stays where it was, and is a second copy.
 func (r *relayed) order(late func(int64) int64) {
 	r.book.Update(func() {
-		of := map[string][]*invariant.HandOff{}
-		for _, h := range r.book.HandOffs {
-			of[h.Task] = append(of[h.Task], h)
+		of := map[string][]*invariant.Attempt{}
+		for _, h := range r.book.Attempts {
+			of[h.Request] = append(of[h.Request], h)
 		}
 		for _, all := range of {
 			for _, closed := range all {
 				for _, other := range all {
-					stood := late(closed.First)
-					if other != closed && closed.First-stood <= other.First && other.First <= closed.First && closed.Closed-closed.First <= stood {
-						closed.First = other.First - 1
+					stood := late(closed.FirstByteAt)
+					if other != closed && closed.FirstByteAt-stood <= other.FirstByteAt && other.FirstByteAt <= closed.FirstByteAt && closed.ClosedAt-closed.FirstByteAt <= stood {
+						closed.FirstByteAt = other.FirstByteAt - 1
 					}
 				}
 			}
@@ -370,14 +370,14 @@
 // story is what became of a task, for who reads a failure.
 func (r *relayed) story(task string) string {
 	text := "nothing known"
-	for _, t := range r.book.Tries {
+	for _, t := range r.book.Requests {
 		if t.ID == task {
-			text = fmt.Sprintf("%s at %.1f ms, answered %d at %.1f", kinds[t.Category].Name, float64(t.Whole)/1e6, t.Status, float64(t.Answered)/1e6)
+			text = fmt.Sprintf("%s at %.1f ms, answered %d at %.1f", kinds[t.Class].Name, float64(t.SentAt)/1e6, t.Status, float64(t.AnsweredAt)/1e6)
 		}
 	}
-	for _, h := range r.book.HandOffs {
-		if h.Task == task {
-			text += fmt.Sprintf(", s%d %.1f to %.1f, closed %.1f", h.Server, float64(h.First)/1e6, float64(h.Answered)/1e6, float64(h.Closed)/1e6)
+	for _, h := range r.book.Attempts {
+		if h.Request == task {
+			text += fmt.Sprintf(", s%d %.1f to %.1f, closed %.1f", h.Endpoint, float64(h.FirstByteAt)/1e6, float64(h.AnsweredAt)/1e6, float64(h.ClosedAt)/1e6)
 		}
 	}
 	return text
@@ -386,8 +386,8 @@
 // history is how many tasks a node sent to a server in each second, for who reads a failure.
 func (r *relayed) history(node, server int) (all [64]int) {
 	r.book.Update(func() {
-		for _, h := range r.book.HandOffs {
-			if s := h.First / int64(time.Second); h.Node == node && h.Server == server && s >= 0 && s < int64(len(all)) {
+		for _, h := range r.book.Attempts {
+			if s := h.FirstByteAt / int64(time.Second); h.Node == node && h.Endpoint == server && s >= 0 && s < int64(len(all)) {
 				all[s]++
 			}
 		}
@@ -488,12 +488,12 @@
 		one.order(late)
 		one.tell()
 		one.book.Close()
-		breaks := one.book.Judge(kinds, invariant.Rules{
+		breaks := one.book.Check(kinds, invariant.Rules{
 			StopSending: int64(500 * time.Millisecond), Slack: int64(50 * time.Millisecond),
-			Late: late,
+			Lag: late,
 		})
 		for _, b := range breaks[:min(5, len(breaks))] {
-			t.Errorf("%s: %d breaks, %s; of the task, %s; the test ran %.0f ms late", name, len(breaks), b, one.story(b.Task),
+			t.Errorf("%s: %d breaks, %s; of the task, %s; the test ran %.0f ms late", name, len(breaks), b, one.story(b.Request),
 				float64(late(b.At))/2e6)
 		}
 	}
--- a/internal/lab/fleet/order_test.go
+++ b/internal/lab/fleet/order_test.go
@@ -20,23 +20,23 @@
 		"nothing stood still":             {60 * ms, 0, 0, 1},
 		"the other came before the stall": {0, 40 * ms, 300 * ms, 1},
 	} {
-		r := &relayed{book: &invariant.Ledger{}}
-		r.book.Live(&invariant.NodeLife{Life: 1})
-		try := &invariant.Try{ID: "a", Life: 1, Whole: 900 * ms, Hard: 3000 * ms}
-		r.book.Sent(try)
-		good, cancelled := &invariant.HandOff{Task: "a", Server: 3, Life: 1}, &invariant.HandOff{Task: "a", Server: 1, Life: 1}
-		r.book.Began(good)
-		r.book.Began(cancelled)
-		try.Answered, try.Status = 2000*ms, 200
-		good.First, good.Last, good.Answered = 1000*ms, 1000*ms, 1400*ms
-		cancelled.First, cancelled.Last, cancelled.Answered = good.First+one.apart+1, good.First+one.apart+1, good.First+one.apart+1
-		if cancelled.Closed = one.closed; one.closed != invariant.Never {
-			cancelled.Closed += cancelled.First
+		r := &relayed{book: &invariant.History{}}
+		r.book.RecordProcess(&invariant.Process{Incarnation: 1})
+		try := &invariant.Request{ID: "a", Incarnation: 1, SentAt: 900 * ms, Deadline: 3000 * ms}
+		r.book.RecordRequest(try)
+		good, cancelled := &invariant.Attempt{Request: "a", Endpoint: 3, Incarnation: 1}, &invariant.Attempt{Request: "a", Endpoint: 1, Incarnation: 1}
+		r.book.RecordAttempt(good)
+		r.book.RecordAttempt(cancelled)
+		try.AnsweredAt, try.Status = 2000*ms, 200
+		good.FirstByteAt, good.LastByteAt, good.AnsweredAt = 1000*ms, 1000*ms, 1400*ms
+		cancelled.FirstByteAt, cancelled.LastByteAt, cancelled.AnsweredAt = good.FirstByteAt+one.apart+1, good.FirstByteAt+one.apart+1, good.FirstByteAt+one.apart+1
+		if cancelled.ClosedAt = one.closed; one.closed != invariant.Never {
+			cancelled.ClosedAt += cancelled.FirstByteAt
 		}
 		late := func(int64) int64 { return one.late }
 		r.order(late)
 		r.book.Close()
-		if breaks := r.book.Judge(kinds, invariant.Rules{Slack: 50 * ms, Late: late}); len(breaks) != one.breaks {
+		if breaks := r.book.Check(kinds, invariant.Rules{Slack: 50 * ms, Lag: late}); len(breaks) != one.breaks {
 			t.Errorf("%s: %v, expected %d", name, breaks, one.breaks)
 		}
 	}
--- a/internal/lab/invariant/terms_test.go
+++ b/internal/lab/invariant/terms_test.go
@@ -9,23 +9,23 @@
 // terms are the rules with the standing test's later terms.
 func terms() Rules {
 	r := rules
-	r.ToldWithin, r.GoneWithin, r.ReadyWithin, r.ReadyShort, r.End = 6000*ms, 100*ms, 10000*ms, 6000*ms, 60000*ms
+	r.KnownWithin, r.CancelGrace, r.ReadyWithin, r.ReadyWithinAtEnd, r.End = 6000*ms, 100*ms, 10000*ms, 6000*ms, 60000*ms
 	return r
 }
 
 // TestToldInAnyCase has a drain at 2 s and an attempt at that server later; settings that ask allow far longer than six seconds, and
 // four times that after a failed call.
 func TestToldInAnyCase(t *testing.T) {
-	none := func(*Ledger) {}
-	outage := func(node int, from, to int64) func(*Ledger) {
-		return func(l *Ledger) {
+	none := func(*History) {}
+	outage := func(node int, from, to int64) func(*History) {
+		return func(l *History) {
 			o := &Outage{Node: node, Span: Span{From: from * ms}}
-			l.OutOfReach(o)
+			l.RecordOutage(o)
 			o.To = to * ms
 		}
 	}
 	for name, c := range map[string]struct {
-		change func(*Ledger)
+		change func(*History)
 		sent   int64
 		want   bool
 	}{
@@ -34,41 +34,41 @@
 		"discovery down before":                {outage(-1, 1000, 4000), 10540, false},
 		"six seconds after its return":         {outage(-1, 1000, 4000), 10560, true},
 		"down in the midst of them":            {outage(-1, 7900, 9000), 15540, false},
-		"down twice":                           {func(l *Ledger) { outage(-1, 3000, 4000)(l); outage(-1, 9000, 9500)(l) }, 15990, false},
-		"and six seconds after":                {func(l *Ledger) { outage(-1, 3000, 4000)(l); outage(-1, 9000, 9500)(l) }, 16060, true},
+		"down twice":                           {func(l *History) { outage(-1, 3000, 4000)(l); outage(-1, 9000, 9500)(l) }, 15990, false},
+		"and six seconds after":                {func(l *History) { outage(-1, 3000, 4000)(l); outage(-1, 9000, 9500)(l) }, 16060, true},
 		"down only later":                      {outage(-1, 8001, 30000), 8560, true},
 		"cut off from it alone":                {outage(0, 1000, 4000), 10540, false},
 		"another cut off from it":              {outage(1, 1000, 4000), 8560, true},
-		"never back":                           {func(l *Ledger) { l.OutOfReach(&Outage{Node: -1, Span: Span{From: 1000 * ms}}) }, 30000, false},
-		"the node itself stood still":          {func(l *Ledger) { l.Excuse(l.Lives[0], Span{1000 * ms, 5000 * ms}) }, 11540, false},
-		"and no longer":                        {func(l *Ledger) { l.Excuse(l.Lives[0], Span{1000 * ms, 5000 * ms}) }, 11560, true},
-		"told that it is up again":             {func(l *Ledger) { l.List(Listing{Health: model.Up, At: 3000 * ms}); l.Tell(told(3100, model.Up)) }, 8800, false},
-		"up again on the list, and not told":   {func(l *Ledger) { l.List(Listing{Health: model.Up, At: 3000 * ms}) }, 9600, false},
-		"told before the change that it is up": {func(l *Ledger) { l.Tell(told(1900, model.Up)) }, 8560, true},
-		"up and draining again, neither told": {func(l *Ledger) {
-			l.List(Listing{Health: model.Up, At: 3000 * ms})
-			l.List(Listing{Health: model.Draining, At: 4000 * ms})
+		"never back":                           {func(l *History) { l.RecordOutage(&Outage{Node: -1, Span: Span{From: 1000 * ms}}) }, 30000, false},
+		"the node itself stood still":          {func(l *History) { l.Excuse(l.Processes[0], Span{1000 * ms, 5000 * ms}) }, 11540, false},
+		"and no longer":                        {func(l *History) { l.Excuse(l.Processes[0], Span{1000 * ms, 5000 * ms}) }, 11560, true},
+		"told that it is up again":             {func(l *History) { l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms}); l.RecordEntries(told(3100, model.Up)) }, 8800, false},
+		"up again on the list, and not told":   {func(l *History) { l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms}) }, 9600, false},
+		"told before the change that it is up": {func(l *History) { l.RecordEntries(told(1900, model.Up)) }, 8560, true},
+		"up and draining again, neither told": {func(l *History) {
+			l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
+			l.RecordListChange(ListChange{State: model.Draining, At: 4000 * ms})
 		}, 10560, true},
-		"told up, then draining again, not told": {func(l *Ledger) {
-			l.List(Listing{Health: model.Up, At: 3000 * ms})
-			l.Tell(told(3100, model.Up))
-			l.List(Listing{Health: model.Draining, At: 4000 * ms})
+		"told up, then draining again, not told": {func(l *History) {
+			l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
+			l.RecordEntries(told(3100, model.Up))
+			l.RecordListChange(ListChange{State: model.Draining, At: 4000 * ms})
 		}, 10560, true},
 	} {
 		for _, asked := range []bool{true, false} {
-			l := &Ledger{}
-			l.Live(&NodeLife{Life: 1})
+			l := &History{}
+			l.RecordProcess(&Process{Incarnation: 1})
 			for at := int64(0); at < 30000; at += 1000 {
-				l.Watched(&Watch{Life: 1, From: at * ms, To: at * ms, Failed: true})
+				l.RecordWatch(&Watch{Incarnation: 1, From: at * ms, To: at * ms, Failed: true})
 			}
-			l.List(Listing{Health: model.Draining, At: 2000 * ms})
+			l.RecordListChange(ListChange{State: model.Draining, At: 2000 * ms})
 			c.change(l)
-			l.hand(c.sent, nil).try(0, func(t *Try) { t.Whole, t.Hard = c.sent*ms-1, 99000*ms; answered(c.sent+9, 200)(t) })
+			l.attempt(c.sent, nil).request(0, func(t *Request) { t.SentAt, t.Deadline = c.sent*ms-1, 99000*ms; answered(c.sent+9, 200)(t) })
 			r := terms()
 			if !asked {
-				r.AskWithin = 0 // lists are pushed
+				r.PollWithin = 0 // lists are pushed
 			}
-			got := l.Judge(categories, r)
+			got := l.Check(categories, r)
 			if c.want != (len(got) == 1) || c.want && (got[0].Rule != 3 || got[0].At != c.sent*ms) {
 				t.Errorf("%s, asked %v: %v, want broken %v", name, asked, got, c.want)
 			}
@@ -79,15 +79,15 @@
 // A process that starts with an old list has six seconds from its start.
 func TestToldInAnyCaseToANewProcess(t *testing.T) {
 	for sent, want := range map[int64]bool{12540: false, 12560: true} {
-		l := &Ledger{}
-		l.Live(&NodeLife{Life: 1})
-		l.Lives[0].Until = 5000 * ms
-		l.List(Listing{Health: model.Draining, At: 2000 * ms})
-		l.Live(&NodeLife{Life: 2, From: 6000 * ms})
-		l.hand(sent, nil).try(0, func(t *Try) { t.Life, t.Whole, t.Hard = 2, sent*ms-1, 99000*ms; answered(sent+9, 200)(t) })
+		l := &History{}
+		l.RecordProcess(&Process{Incarnation: 1})
+		l.Processes[0].EndedAt = 5000 * ms
+		l.RecordListChange(ListChange{State: model.Draining, At: 2000 * ms})
+		l.RecordProcess(&Process{Incarnation: 2, StartedAt: 6000 * ms})
+		l.attempt(sent, nil).request(0, func(t *Request) { t.Incarnation, t.SentAt, t.Deadline = 2, sent*ms-1, 99000*ms; answered(sent+9, 200)(t) })
 		r := terms()
 		r.ReadyWithin = 0
-		if got := l.Judge(categories, r); want != (len(got) == 1) {
+		if got := l.Check(categories, r); want != (len(got) == 1) {
 			t.Errorf("sent at %d ms: %v, want broken %v", sent, got, want)
 		}
 	}
@@ -110,18 +110,18 @@
 		l := day()
 		for i := range int64(c.cases) {
 			left := (1000 + 10*i) * ms
-			l.Sent(&Try{ID: string(rune('a' + i)), Life: 1, Whole: left - 10*ms, Hard: 9000 * ms})
-			l.Tries[i].Left = left
-			l.Began(&HandOff{Task: string(rune('a' + i)), First: left - 5*ms, Zone: "a"})
-			l.HandOffs[2*i].Last, l.HandOffs[2*i].Closed = left-5*ms, left
-			l.Began(&HandOff{Task: string(rune('a' + i)), First: left + c.late*ms, Zone: "a"})
-			l.HandOffs[2*i+1].Last = left + c.late*ms
+			l.RecordRequest(&Request{ID: string(rune('a' + i)), Incarnation: 1, SentAt: left - 10*ms, Deadline: 9000 * ms})
+			l.Requests[i].CanceledAt = left
+			l.RecordAttempt(&Attempt{Request: string(rune('a' + i)), FirstByteAt: left - 5*ms, Zone: "a"})
+			l.Attempts[2*i].LastByteAt, l.Attempts[2*i].ClosedAt = left-5*ms, left
+			l.RecordAttempt(&Attempt{Request: string(rune('a' + i)), FirstByteAt: left + c.late*ms, Zone: "a"})
+			l.Attempts[2*i+1].LastByteAt = left + c.late*ms
 		}
 		if c.excuse > 0 {
-			l.Excuse(l.Lives[0], Span{990 * ms, (1000 + 10*int64(c.cases) + c.excuse) * ms})
+			l.Excuse(l.Processes[0], Span{990 * ms, (1000 + 10*int64(c.cases) + c.excuse) * ms})
 		}
-		got := l.Judge(categories, terms())
-		if len(got) != c.want || c.want > 0 && (got[0].Rule != 1 || got[0].Task != "c" || got[0].Attempt != 1 || !strings.Contains(got[0].What, "after its client had gone")) {
+		got := l.Check(categories, terms())
+		if len(got) != c.want || c.want > 0 && (got[0].Rule != 1 || got[0].Request != "c" || got[0].Attempt != 1 || !strings.Contains(got[0].What, "after its client had gone")) {
 			t.Errorf("%s: %v, want %d breaks from the third on", name, got, c.want)
 		}
 	}
@@ -144,27 +144,27 @@
 		"too near the day's end":          {[]int64{0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, 25, 0, ""},
 		"one of nine that were not ended": {[]int64{1, 1, 1, 1, 1, 1, 1, 1, 0, 0}, 60, 2, "rule 5 at 30.050 s, node 8: 8 of 9"},
 	} {
-		l := &Ledger{}
+		l := &History{}
 		for node, ready := range c.ready {
-			l.Live(&NodeLife{Node: node, Life: 1})
-			l.Lives[2*node].Until = 20000 * ms
-			l.Live(&NodeLife{Node: node, Life: 2, From: 20000 * ms})
+			l.RecordProcess(&Process{Node: node, Incarnation: 1})
+			l.Processes[2*node].EndedAt = 20000 * ms
+			l.RecordProcess(&Process{Node: node, Incarnation: 2, StartedAt: 20000 * ms})
 			if ready > 0 {
-				l.Lives[2*node+1].Ready = (20 + ready) * 1000 * ms
+				l.Processes[2*node+1].ReadyAt = (20 + ready) * 1000 * ms
 			}
 		}
 		if c.ended > 0 {
-			l.Lives[len(l.Lives)-1].Until = (20 + c.ended) * 1000 * ms
+			l.Processes[len(l.Processes)-1].EndedAt = (20 + c.ended) * 1000 * ms
 		}
 		r := terms()
 		r.End = c.length * 1000 * ms
-		got := l.Judge(categories, r)
+		got := l.Check(categories, r)
 		if c.want == "" && len(got) > 0 || c.want != "" && (len(got) != 1 || !strings.HasPrefix(got[0].String(), c.want)) {
 			t.Errorf("%s: %v, want %q", name, got, c.want)
 		}
 	}
 	l := day()
-	if got := l.Judge(categories, terms()); len(got) != 0 {
+	if got := l.Check(categories, terms()); len(got) != 0 {
 		t.Errorf("a first life that was never ready: %v, want nothing broken: the day waits for these", got)
 	}
 }
@@ -172,38 +172,38 @@
 // TestPeaks has requests of a second of work come to a cold server with a budget of four: first five from a node that was not told, then
 // four from one that was, the last of them while one of the others is still within the window.
 func TestPeaks(t *testing.T) {
-	l := &Ledger{}
+	l := &History{}
 	for node := range 2 {
-		l.Live(&NodeLife{Node: node, Life: 1, From: -10000 * ms})
+		l.RecordProcess(&Process{Node: node, Incarnation: 1, StartedAt: -10000 * ms})
 	}
-	l.Tell(Told{Node: 1, Life: 1, Server: 3, Started: 77, At: 1500 * ms}, Told{Node: 0, Life: 1, Server: 3, Started: 76, At: 0})
-	cold := Cold{Server: 3, Life: 2, Started: 77, MeanWork: 1, Window: 1000 * ms}
+	l.RecordEntries(ListEntry{Node: 1, Incarnation: 1, Endpoint: 3, StartedAt: 77, At: 1500 * ms}, ListEntry{Node: 0, Incarnation: 1, Endpoint: 3, StartedAt: 76, At: 0})
+	cold := SlowStart{Endpoint: 3, Incarnation: 2, StartedAt: 77, MeanWork: 1, Window: 1000 * ms}
 	add := func(node int, at ...int64) {
 		for _, a := range at {
-			cold.Pushes = append(cold.Pushes, model.Push{At: a * ms, Work: 1, Node: node, Budget: 4})
+			cold.Arrivals = append(cold.Arrivals, model.Arrival{At: a * ms, Work: 1, Node: node, Budget: 4})
 		}
 	}
 	add(0, 1000, 1001, 1002, 1600, 1700)
 	add(1, 2100, 2650, 2660, 2670)
-	l.Warmed(cold)
-	l.Warmed(Cold{Server: 4, MeanWork: 1, Window: 1000 * ms}) // nothing came to it
+	l.RecordSlowStart(cold)
+	l.RecordSlowStart(SlowStart{Endpoint: 4, MeanWork: 1, Window: 1000 * ms}) // nothing came to it
 	all, told := l.Peaks(terms())
-	if len(all) != 1 || all[0] != (Peak{Server: 3, At: 1700 * ms, Got: 5, Budget: 4, Over: 0.5}) {
+	if len(all) != 1 || all[0] != (Peak{Endpoint: 3, At: 1700 * ms, Load: 5, Budget: 4, Excess: 0.5}) {
 		t.Errorf("of all that came: %+v, want five at 1.7 s, half a root over, none from who was told", all)
 	}
-	if len(told) != 1 || told[0] != (Peak{Server: 3, At: 2670 * ms, Got: 5, Budget: 4, Over: 0.5, Told: 0.8}) {
+	if len(told) != 1 || told[0] != (Peak{Endpoint: 3, At: 2670 * ms, Load: 5, Budget: 4, Excess: 0.5, KnownShare: 0.8}) {
 		t.Errorf("from nodes that were told: %+v, want five at 2.67 s, four of them from who was told", told)
 	}
 	// Six seconds after discovery listed the start whoever could reach it knows.
-	l.List(Listing{Server: 3, Health: model.Up, At: -4395 * ms, Started: 77})
-	l.List(Listing{Server: 3, Health: model.Up, At: -9000 * ms, Started: 76})
-	if _, told := l.Peaks(terms()); len(told) != 1 || told[0] != (Peak{Server: 3, At: 2670 * ms, Got: 5, Budget: 4, Over: 0.5, Told: 1}) {
+	l.RecordListChange(ListChange{Endpoint: 3, State: model.Up, At: -4395 * ms, StartedAt: 77})
+	l.RecordListChange(ListChange{Endpoint: 3, State: model.Up, At: -9000 * ms, StartedAt: 76})
+	if _, told := l.Peaks(terms()); len(told) != 1 || told[0] != (Peak{Endpoint: 3, At: 2670 * ms, Load: 5, Budget: 4, Excess: 0.5, KnownShare: 1}) {
 		t.Errorf("taken to know at 1.605 s: %+v, want all five of 2.67 s", told)
 	}
-	cold.Pushes = cold.Pushes[:5]
-	l = &Ledger{}
-	l.Live(&NodeLife{Life: 1})
-	l.Warmed(cold)
+	cold.Arrivals = cold.Arrivals[:5]
+	l = &History{}
+	l.RecordProcess(&Process{Incarnation: 1})
+	l.RecordSlowStart(cold)
 	if all, told := l.Peaks(terms()); len(all) != 1 || len(told) != 0 {
 		t.Errorf("nobody was told: %+v and %+v", all, told)
 	}
@@ -213,9 +213,9 @@
 func TestFallsTakenToKnow(t *testing.T) {
 	for at, want := range map[int64]int{5900: 0, 6100: 1} {
 		l := day()
-		l.List(Listing{Server: 4, Health: model.Up, At: 0, Started: 77})
-		l.Fell(Fall{Server: 4, Started: 77, Fall: model.Fall{At: at * ms, Capacity: 0.5, Work: 1, Pushes: []model.Push{{At: at * ms, Work: 1}}}})
-		if got := l.Judge(categories, terms()); len(got) != want || want > 0 && got[0].Rule != 4 {
+		l.RecordListChange(ListChange{Endpoint: 4, State: model.Up, At: 0, StartedAt: 77})
+		l.RecordCrash(Crash{Endpoint: 4, StartedAt: 77, Crash: model.Crash{At: at * ms, Capacity: 0.5, Work: 1, Arrivals: []model.Arrival{{At: at * ms, Work: 1}}}})
+		if got := l.Check(categories, terms()); len(got) != want || want > 0 && got[0].Rule != 4 {
 			t.Errorf("pushed over at %d ms: %v, want %d broken", at, got, want)
 		}
 	}
--- a/internal/lab/model/memory.go
+++ b/internal/lab/model/memory.go
@@ -4,17 +4,17 @@
 // never forget before the span is over.
 
 // Memory is shared by the servers of a fleet, a zone or a pod.
-type Memory struct {
-	span  int64
+type Deduplicator struct {
+	window  int64
 	until map[string]int64
 	order []string
 }
 
 // NewMemory makes one that remembers for a span.
-func NewMemory(span int64) *Memory { return &Memory{span: span, until: map[string]int64{}} }
+func NewDeduplicator(span int64) *Deduplicator { return &Deduplicator{window: span, until: map[string]int64{}} }
 
 // Seen tells whether the ticket is remembered, and remembers it if not. The span counts from the first time.
-func (m *Memory) Seen(now int64, ticket string) bool {
+func (m *Deduplicator) Seen(now int64, ticket string) bool {
 	for len(m.order) > 0 && m.until[m.order[0]] <= now {
 		delete(m.until, m.order[0])
 		m.order = m.order[1:]
@@ -22,7 +22,7 @@
 	if _, known := m.until[ticket]; known {
 		return true
 	}
-	m.until[ticket] = now + m.span
+	m.until[ticket] = now + m.window
 	m.order = append(m.order, ticket)
 	return false
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -8,14 +8,14 @@
 
 const msec = int64(1e6)
 
-func kind() Kind {
-	return Kind{Cores: 2, Speed: 1, Places: 4, Waiting: 2, ColdFrom: 0.25, WarmFor: 10000 * msec, FallMultiple: 3, FallAfter: 1000 * msec}
+func kind() Spec {
+	return Spec{Cores: 2, Speed: 1, Places: 4, Waiting: 2, ColdFrom: 0.25, WarmFor: 10000 * msec, FallMultiple: 3, FallAfter: 1000 * msec}
 }
 
 const longAgo = math.MinInt64 / 2
 
 // drive advances a server by its own wishes and tells when each job ended.
-func drive(s *Server, until int64) map[int64]int64 {
+func drive(s *Endpoint, until int64) map[int64]int64 {
 	ends := map[int64]int64{}
 	for {
 		for _, d := range s.Advance(min(s.Next(), until)) {
@@ -42,7 +42,7 @@
 
 // Two cores, three tasks of 10 ms: each gets two thirds of a core.
 func TestWorkIsShared(t *testing.T) {
-	s := NewServer(kind(), longAgo, 0, 1)
+	s := NewEndpoint(kind(), longAgo, 0, 1)
 	for id := range int64(3) {
 		s.Arrive(0, &Job{ID: id, Work: 10 * msec, Until: Never})
 	}
@@ -54,7 +54,7 @@
 
 // Guards against ends that are lost because something else advanced the server: one hand-off in 200 was.
 func TestEndsAreNotLostToArrivals(t *testing.T) {
-	s := NewServer(kind(), longAgo, 0, 1)
+	s := NewEndpoint(kind(), longAgo, 0, 1)
 	s.Arrive(0, &Job{ID: 1, Work: 5 * msec, Until: Never})
 	s.Arrive(9*msec, &Job{ID: 2, Work: 5 * msec, Until: Never})
 	s.Connected(20 * msec)
@@ -65,7 +65,7 @@
 }
 
 func TestPlacesWaitingAndTurnedAway(t *testing.T) {
-	s := NewServer(kind(), longAgo, 0, 1)
+	s := NewEndpoint(kind(), longAgo, 0, 1)
 	accepted := 0
 	for id := range int64(10) {
 		if ok, _ := s.Arrive(0, &Job{ID: id, Work: 10 * msec, Until: Never}); ok {
@@ -83,7 +83,7 @@
 func TestWaitedPastItsTime(t *testing.T) {
 	k := kind()
 	k.Places, k.DropExpired = 1, true
-	s := NewServer(k, longAgo, 0, 1)
+	s := NewEndpoint(k, longAgo, 0, 1)
 	s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Until: Never})
 	s.Arrive(0, &Job{ID: 2, Work: 10 * msec, Until: 5 * msec})
 	if ends := drive(s, 100*msec); ends[2] != -1 {
@@ -95,7 +95,7 @@
 	for cancel, want := range map[Cancel][2]bool{CancelsNothing: {false, false}, CancelsWaiting: {false, true}, CancelsWork: {true, true}} {
 		k := kind()
 		k.Places, k.Cancel = 1, cancel
-		s := NewServer(k, longAgo, 0, 1)
+		s := NewEndpoint(k, longAgo, 0, 1)
 		s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Until: Never})
 		s.Arrive(0, &Job{ID: 2, Work: 10 * msec, Until: Never})
 		waiting, never := s.GiveUp(msec, 2)
@@ -107,14 +107,14 @@
 }
 
 func TestStandsStill(t *testing.T) {
-	s := NewServer(kind(), longAgo, 0, 1)
+	s := NewEndpoint(kind(), longAgo, 0, 1)
 	s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Until: Never})
 	s.Stop(5*msec, 105*msec)
 	near(t, "task over a pause", drive(s, 200*msec)[1], 110*msec)
 }
 
 func TestWarmsUp(t *testing.T) {
-	s := NewServer(kind(), 0, 0, 1)
+	s := NewEndpoint(kind(), 0, 0, 1)
 	if c := s.Capacity(); c != 0.5 {
 		t.Errorf("capacity at the start %v, want a quarter of 2", c)
 	}
@@ -130,8 +130,8 @@
 
 // A cold server takes three times its capacity for a second and no more; what it turns away pushes too.
 func TestFallsOver(t *testing.T) {
-	push := func(each int64, every int64) (*Server, *Fall) {
-		s := NewServer(kind(), 0, 0, 1)
+	push := func(each int64, every int64) (*Endpoint, *Crash) {
+		s := NewEndpoint(kind(), 0, 0, 1)
 		for at := int64(0); at < 1000*msec; at += every {
 			if _, fall := s.Arrive(at, &Job{Work: each, Until: Never, Node: 3}); fall != nil {
 				return s, fall
@@ -146,16 +146,16 @@
 	if fall == nil || !s.IsDown() {
 		t.Fatal("did not fall over under five times its capacity")
 	}
-	if fall.Work < 1.5 || fall.Work > 2 || fall.Pushes[0].Node != 3 {
+	if fall.Work < 1.5 || fall.Work > 2 || fall.Arrivals[0].Node != 3 {
 		t.Errorf("fell at %v s of work in a second, want a little over 3 x 0.5", fall.Work)
 	}
-	if warm := NewServer(kind(), longAgo, 0, 1); warm.Warmth() != 1 {
+	if warm := NewEndpoint(kind(), longAgo, 0, 1); warm.Warmth() != 1 {
 		t.Error("a server that started long ago is not warm")
 	}
 }
 
 func TestFigures(t *testing.T) {
-	s := NewServer(kind(), longAgo, 0, 1)
+	s := NewEndpoint(kind(), longAgo, 0, 1)
 	for id := range int64(5) {
 		s.Arrive(0, &Job{ID: id, Work: 20 * msec, Until: Never})
 	}
@@ -169,30 +169,30 @@
 }
 
 func TestMemory(t *testing.T) {
-	m := NewMemory(100)
+	m := NewDeduplicator(100)
 	if m.Seen(0, "a") || !m.Seen(99, "a") || m.Seen(100, "a") || !m.Seen(150, "a") {
 		t.Error("a ticket is remembered from its first time for the span, and not longer")
 	}
 }
 
 func TestRoster(t *testing.T) {
-	r := NewRoster(40)
-	r.Set(Listed{Server: 2, Health: Up})
-	r.Set(Listed{Server: 1, Health: Up})
-	r.Set(Listed{Server: 2, Health: Draining})
-	r.Set(Listed{Server: 1, Health: Removed})
-	if got := r.Whole(); len(got) != 1 || got[0].Health != Draining {
+	r := NewEndpointList(40)
+	r.Set(ListEntry{Endpoint: 2, State: Up})
+	r.Set(ListEntry{Endpoint: 1, State: Up})
+	r.Set(ListEntry{Endpoint: 2, State: Draining})
+	r.Set(ListEntry{Endpoint: 1, State: Removed})
+	if got := r.Complete(); len(got) != 1 || got[0].State != Draining {
 		t.Errorf("whole list %v, want server 2 draining", got)
 	}
-	if got, whole := r.After(42); whole || len(got) != 2 || got[0].Health != Draining || got[1].Health != Removed {
+	if got, whole := r.ChangesAfter(42); whole || len(got) != 2 || got[0].State != Draining || got[1].State != Removed {
 		t.Errorf("after 42: %v %v, want the last state of both", got, whole)
 	}
 	for _, version := range []int64{0, 7, 99} {
-		if _, whole := r.After(version); !whole {
+		if _, whole := r.ChangesAfter(version); !whole {
 			t.Errorf("after %d: not the whole list, though nobody can tell what has changed", version)
 		}
 	}
-	if got, whole := r.After(44); whole || len(got) != 0 {
+	if got, whole := r.ChangesAfter(44); whole || len(got) != 0 {
 		t.Errorf("after the newest: %v %v, want nothing", got, whole)
 	}
 }
@@ -203,7 +203,7 @@
 	falls := func(work int64, chance bool) int {
 		k := kind()
 		k.MeanWork, k.ByChance, k.WarmFor = float64(work)/1e9, chance, 1e15 // as cold all through
-		s := NewServer(k, 0, 0, 1)
+		s := NewEndpoint(k, 0, 0, 1)
 		for n := 1; ; n++ {
 			if _, fall := s.Arrive(0, &Job{Work: work, Until: Never}); fall != nil {
 				if got := len(s.WhileCold()); got != n || s.WhileCold()[0].Budget != 1.5 {
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -12,7 +12,7 @@
 const Never = math.MaxInt64
 
 // Kind is what a server is built as.
-type Kind struct {
+type Spec struct {
 	Cores       int
 	Speed       float64
 	Places      int
@@ -57,8 +57,8 @@
 }
 
 // Server is one machine in its present life. Work is shared evenly among the tasks in work: each gets a core at most.
-type Server struct {
-	Kind
+type Endpoint struct {
+	Spec
 	Started  int64 // Never ran cold if in the far past
 	Slowness float64
 	draw     *rand.Rand
@@ -71,21 +71,21 @@
 	dead     bool
 	extra    float64 // work of connections and turning away, done before anything else
 
-	pushes []Push // of a cold server, within the window
-	cold   []Push // all that came to it while it was cold
+	pushes []Arrival // of a cold server, within the window
+	cold   []Arrival // all that came to it while it was cold
 
 	done []Done
 
 	busy       float64 // core-seconds used since the last figure was taken
 	taken      int64
-	figure     Figure
+	figure     LoadFigures
 	served     float64
 	latencySum float64
 	latencies  int
 }
 
 // Push is work that came to a cold server.
-type Push struct {
+type Arrival struct {
 	At     int64
 	Work   float64 // seconds
 	Node   int
@@ -93,33 +93,33 @@
 }
 
 // Figure is what a server says of itself.
-type Figure struct {
+type LoadFigures struct {
 	Held, Queue, Utilised, ServiceTime float64
 }
 
 // Fall tells how a cold server was pushed over, and by whom within the window.
-type Fall struct {
+type Crash struct {
 	At       int64
 	Work     float64 // seconds
 	Capacity float64 // seconds of work a second, then
-	Pushes   []Push
+	Arrivals   []Arrival
 }
 
 // NewServer makes a server that started at a time, warm if that is long ago.
-func NewServer(k Kind, started, now int64, seed uint64) *Server {
-	s := &Server{Kind: k, Started: started, Slowness: 1, draw: rand.New(rand.NewPCG(seed, 7)), now: now, nextStop: Never, taken: now}
+func NewEndpoint(k Spec, started, now int64, seed uint64) *Endpoint {
+	s := &Endpoint{Spec: k, Started: started, Slowness: 1, draw: rand.New(rand.NewPCG(seed, 7)), now: now, nextStop: Never, taken: now}
 	s.drawStop()
 	return s
 }
 
-func (s *Server) drawStop() {
+func (s *Endpoint) drawStop() {
 	if s.PauseEvery > 0 {
 		s.nextStop = s.now + int64(s.draw.ExpFloat64()*float64(s.PauseEvery))
 	}
 }
 
 // Warmth is the share of its capacity that the server has, from the cold share to 1 in a straight line.
-func (s *Server) Warmth() float64 {
+func (s *Endpoint) Warmth() float64 {
 	if age := s.now - s.Started; s.WarmFor > 0 && age < s.WarmFor {
 		return s.ColdFrom + (1-s.ColdFrom)*math.Max(0, float64(age))/float64(s.WarmFor)
 	}
@@ -127,29 +127,29 @@
 }
 
 // Capacity is the work that it can do now, in seconds of work a second.
-func (s *Server) Capacity() float64 { return float64(s.Cores) * s.Speed * s.Warmth() * s.Slowness }
+func (s *Endpoint) Capacity() float64 { return float64(s.Cores) * s.Speed * s.Warmth() * s.Slowness }
 
 // Stop makes the server stand still for a while.
-func (s *Server) Stop(now, until int64) { s.advance(now); s.stopped = max(s.stopped, until) }
+func (s *Endpoint) Stop(now, until int64) { s.advance(now); s.stopped = max(s.stopped, until) }
 
 // SetSlowness makes the server do that part of its work from now on.
-func (s *Server) SetSlowness(now int64, part float64) { s.advance(now); s.Slowness = part }
+func (s *Endpoint) SetSlowness(now int64, part float64) { s.advance(now); s.Slowness = part }
 
 // Down is the server's end; nothing that it held is finished.
-func (s *Server) Down() { s.dead, s.jobs, s.queue, s.done = true, nil, nil, nil }
+func (s *Endpoint) Down() { s.dead, s.jobs, s.queue, s.done = true, nil, nil, nil }
 
 // IsDown tells whether it has ended.
-func (s *Server) IsDown() bool { return s.dead }
+func (s *Endpoint) IsDown() bool { return s.dead }
 
 // Held is the number of tasks in work and waiting.
-func (s *Server) Held() int { return len(s.jobs) + len(s.queue) }
+func (s *Endpoint) Held() int { return len(s.jobs) + len(s.queue) }
 
 // step is the longest time over which the warmth is taken to stand still.
 const step = int64(50e6)
 
 // Advance does the work up to now and returns the jobs that have ended since it was last asked, each with its moment
 // in the past.
-func (s *Server) Advance(now int64) []Done {
+func (s *Endpoint) Advance(now int64) []Done {
 	s.advance(now)
 	done := s.done
 	s.done = nil
@@ -157,7 +157,7 @@
 }
 
 // advance keeps what ends for the next who asks: guards against ends that are lost as an arrival's side effect.
-func (s *Server) advance(now int64) {
+func (s *Endpoint) advance(now int64) {
 	for s.now < now && !s.dead {
 		until := min(now, s.now+step)
 		if s.nextStop <= s.now {
@@ -183,7 +183,7 @@
 }
 
 // work runs until a time, or up to the first job's end before it.
-func (s *Server) work(until int64) []Done {
+func (s *Endpoint) work(until int64) []Done {
 	rate := s.Speed * s.Warmth() * s.Slowness // seconds of work a second, of one core
 	span := float64(until-s.now) / 1e9
 	if s.extra > 0 {
@@ -241,7 +241,7 @@
 }
 
 // running is how many tasks in places are worked on.
-func (s *Server) running() (n int) {
+func (s *Endpoint) running() (n int) {
 	for _, j := range s.jobs {
 		if j.ready <= s.now {
 			n++
@@ -251,7 +251,7 @@
 }
 
 // soonest is when the next that waits in its place begins.
-func (s *Server) soonest() int64 {
+func (s *Endpoint) soonest() int64 {
 	soonest := int64(Never)
 	for _, j := range s.jobs {
 		if j.ready > s.now {
@@ -262,7 +262,7 @@
 }
 
 // each is the work that every one of so many gets done in a second: a core at most, and less where a crowd makes it dearer.
-func (s *Server) each(running int) float64 {
+func (s *Endpoint) each(running int) float64 {
 	rate := s.Speed * s.Warmth() * s.Slowness * math.Min(1, float64(s.Cores)/float64(running))
 	if over := float64(running)/float64(s.Cores) - s.DearerAt; s.Dearer > 0 && over > 0 {
 		rate /= 1 + s.Dearer*over
@@ -271,7 +271,7 @@
 }
 
 // pull takes from the waiting room what there are places for.
-func (s *Server) pull() (late []Done) {
+func (s *Endpoint) pull() (late []Done) {
 	for len(s.queue) > 0 && len(s.jobs) < s.Places {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
@@ -284,7 +284,7 @@
 	return late
 }
 
-func (s *Server) begin(j *Job) {
+func (s *Endpoint) begin(j *Job) {
 	j.begun, j.left, j.ready = float64(s.now), float64(j.Work)/1e9, s.now+j.Hold
 	s.jobs = append(s.jobs, j)
 }
@@ -294,7 +294,7 @@
 
 // Arrive hands a job to the server: in work or waiting, or turned away. A fall means that the server has just been
 // pushed over and has ended.
-func (s *Server) Arrive(now int64, j *Job) (accepted bool, fall *Fall) {
+func (s *Endpoint) Arrive(now int64, j *Job) (accepted bool, fall *Crash) {
 	s.advance(now)
 	if s.dead {
 		return false, nil
@@ -317,26 +317,26 @@
 }
 
 // Connected charges the work of a new connection.
-func (s *Server) Connected(now int64) {
+func (s *Endpoint) Connected(now int64) {
 	s.advance(now)
 	s.extra += float64(s.ConnectionWork) / 1e9
 }
 
 // WhileCold is all that came in this life until the server was warm, or fell.
-func (s *Server) WhileCold() []Push { return s.cold }
+func (s *Endpoint) WhileCold() []Arrival { return s.cold }
 
 // push keeps the budget of a cold server: multiple times its present capacity times the window, with a little slack
 // for chance. All that reaches it counts, also what it turns away. Of N requests of mean work the standing test puts 2 x root of N + 2
 // down to chance; where a day doesn't ask for just that, the slack is the lesser of this and a twentieth, or two requests.
-func (s *Server) push(node int, work float64) *Fall {
+func (s *Endpoint) push(node int, work float64) *Crash {
 	if s.Warmth() >= 1 {
 		s.pushes = nil
 		return nil
 	}
 	window := float64(s.FallAfter) / 1e9
 	budget := s.FallMultiple * s.Capacity() * window
-	s.pushes = append(s.pushes, Push{s.now, work, node, budget})
-	s.cold = append(s.cold, Push{s.now, work, node, budget})
+	s.pushes = append(s.pushes, Arrival{s.now, work, node, budget})
+	s.cold = append(s.cold, Arrival{s.now, work, node, budget})
 	from := 0
 	for s.pushes[from].At <= s.now-s.FallAfter {
 		from++
@@ -356,11 +356,11 @@
 	if sum <= budget+slack {
 		return nil
 	}
-	return &Fall{At: s.now, Work: sum, Capacity: s.Capacity(), Pushes: s.pushes}
+	return &Crash{At: s.now, Work: sum, Capacity: s.Capacity(), Arrivals: s.pushes}
 }
 
 // GiveUp tells that nobody waits for a job any more. It returns whether that stopped it, and whether it had not begun.
-func (s *Server) GiveUp(now int64, id int64) (stopped, neverRan bool) {
+func (s *Endpoint) GiveUp(now int64, id int64) (stopped, neverRan bool) {
 	s.advance(now)
 	for i, j := range s.queue {
 		if j.ID == id && s.Cancel >= CancelsWaiting {
@@ -378,7 +378,7 @@
 }
 
 // Next is when the server wants to be advanced at the latest.
-func (s *Server) Next() int64 {
+func (s *Endpoint) Next() int64 {
 	if len(s.done) > 0 {
 		return s.now
 	}
@@ -406,10 +406,10 @@
 }
 
 // Take takes the figures of a load report anew.
-func (s *Server) Take(now int64) Figure {
+func (s *Endpoint) Take(now int64) LoadFigures {
 	s.advance(now)
 	span := float64(now-s.taken) / 1e9
-	f := Figure{Held: float64(len(s.jobs)), Queue: float64(len(s.queue)), ServiceTime: s.figure.ServiceTime}
+	f := LoadFigures{Held: float64(len(s.jobs)), Queue: float64(len(s.queue)), ServiceTime: s.figure.ServiceTime}
 	if span > 0 {
 		f.Utilised = math.Min(1, s.busy/span/float64(s.Cores))
 	}
@@ -421,13 +421,13 @@
 }
 
 // Noisy spoils a figure a little, as measurements are.
-func (f Figure) Noisy(draw func() float64, noise float64) Figure {
+func (f LoadFigures) Noisy(draw func() float64, noise float64) LoadFigures {
 	one := func(v float64) float64 { return math.Max(0, v*(1+noise*(2*draw()-1))) }
-	return Figure{math.Round(one(f.Held)), math.Round(one(f.Queue)), one(f.Utilised), one(f.ServiceTime)}
+	return LoadFigures{math.Round(one(f.Held)), math.Round(one(f.Queue)), one(f.Utilised), one(f.ServiceTime)}
 }
 
 // Charge adds work that is no task's: a probe's.
-func (s *Server) Charge(now, work int64) {
+func (s *Endpoint) Charge(now, work int64) {
 	s.advance(now)
 	s.extra += float64(work) / 1e9
 }
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -36,7 +36,7 @@
 	Tally
 	RulesBroken int               `json:"rules_broken"`
 	BackS       float64           `json:"back_s,omitempty"` // from the last loss of power until service is back; -1: not by the end; 0: no loss
-	Breaks      []invariant.Break `json:"breaks,omitempty"`
+	Breaks      []invariant.Violation `json:"breaks,omitempty"`
 
 	Categories map[string]*Tally `json:"by_category"`
 	Customers  map[string]*Tally `json:"by_customer,omitempty"`
@@ -79,8 +79,8 @@
 
 func worstOf(peaks []invariant.Peak, base int64) (w ColdWorst) {
 	for i, p := range peaks {
-		if i == 0 || p.Over > w.Over {
-			w = ColdWorst{Over: p.Over, Got: p.Got, Budget: p.Budget, Server: p.Server, AtS: float64(p.At-base) / 1e9}
+		if i == 0 || p.Excess > w.Over {
+			w = ColdWorst{Over: p.Excess, Got: p.Load, Budget: p.Budget, Server: p.Endpoint, AtS: float64(p.At-base) / 1e9}
 		}
 	}
 	w.Lives = len(peaks)
@@ -91,7 +91,7 @@
 	if len(r.Peaks[0]) == 0 {
 		return nil
 	}
-	return &Cold{len(r.Peaks[0]), len(r.Ledger.Falls), worstOf(r.Peaks[0], r.Base), worstOf(r.Peaks[1], r.Base)}
+	return &Cold{len(r.Peaks[0]), len(r.Ledger.Crashes), worstOf(r.Peaks[0], r.Base), worstOf(r.Peaks[1], r.Base)}
 }
 
 // Drawn is the same for the same scenario and seed.
@@ -294,15 +294,15 @@
 func handOffs(s *scenario.Scenario, r *trace.Record) HandOffs {
 	categoryOf := map[string]int{}
 	ticketOf := map[string]string{}
-	for _, t := range r.Ledger.Tries {
-		categoryOf[t.ID] = t.Category
-		ticketOf[t.ID] = fmt.Sprint(t.Task)
+	for _, t := range r.Ledger.Requests {
+		categoryOf[t.ID] = t.Class
+		ticketOf[t.ID] = fmt.Sprint(t.Operation)
 	}
 	k := r.Ledger.Count(func(task string) (string, bool) {
 		c, known := categoryOf[task]
 		return ticketOf[task], known && s.Categories[c].Repeat != "rerunnable"
 	})
-	return HandOffs{k.HandOffs, k.Satisfied, k.TurnedAway, k.Errors, k.Unanswered + k.Broken, k.Twice}
+	return HandOffs{k.Attempts, k.Succeeded, k.Rejected, k.Errors, k.Unanswered + k.Incomplete, k.DoubleEffects}
 }
 
 // judge holds the day against what its scenario expects.
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -105,7 +105,7 @@
 		c.after(t, trace.Lost, true, 0)
 		return
 	}
-	rec := &invariant.Try{ID: t.id, Task: t.task.N, Node: n.index, Life: n.life.Life, Category: t.task.Category, Whole: d.now, Hard: t.hard}
+	rec := &invariant.Request{ID: t.id, Operation: t.task.N, Node: n.index, Incarnation: n.life.Incarnation, Class: t.task.Category, SentAt: d.now, Deadline: t.hard}
 	front, place := n.front(), netfault.End{Index: n.index}
 	if barred, refused := d.barred(front, place); refused {
 		c.after(t, trace.Lost, true, 0)
@@ -115,12 +115,12 @@
 		d.at(t.hard+int64(d.scenario.Rules.AnswerGrace)+listenOn, func() { c.after(t, trace.BrokenOff, false, 0) })
 		return
 	}
-	d.ledger.Sent(rec)
+	d.ledger.RecordRequest(rec)
 	if late := d.held(front, place); late > 0 {
-		rec.Whole += late
-		t.x = &exchange{node: n, life: n.life.Life, try: t, rec: rec}
+		rec.SentAt += late
+		t.x = &exchange{node: n, life: n.life.Incarnation, try: t, rec: rec}
 		d.in(late, func() {
-			if n.alive && n.life.Life == rec.Life && !t.over {
+			if n.alive && n.life.Incarnation == rec.Incarnation && !t.over {
 				n.arrived(t, rec)
 			}
 		})
@@ -140,12 +140,12 @@
 		}
 		t.over = true
 		if until == leaves {
-			rec.Left = d.now
+			rec.CanceledAt = d.now
 			c.settle(t, trace.Left, d.now)
 		} else {
 			c.after(t, trace.BrokenOff, false, 0)
 		}
-		if n.alive && t.x.life == n.life.Life {
+		if n.alive && t.x.life == n.life.Incarnation {
 			n.withdrawn(t.x)
 		}
 	})
@@ -159,7 +159,7 @@
 	}
 	t.over = true
 	now := c.day.now
-	x.rec.Answered, x.rec.Status, x.rec.Advice = now, status, advice
+	x.rec.AnsweredAt, x.rec.Status, x.rec.RetryAfter = now, status, advice
 	switch status {
 	case 200:
 		c.settle(t, trace.Satisfied, now+int64(c.day.scenario.Network.Client))
@@ -174,7 +174,7 @@
 func (c *clients) lost(x *exchange) {
 	if t := x.try; !t.over {
 		t.over = true
-		x.rec.Ended = c.day.now
+		x.rec.ClosedAt = c.day.now
 		c.after(t, trace.Lost, !x.node.in, 0)
 	}
 }
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -83,7 +83,7 @@
 	scenario  *scenario.Scenario
 	plan      *workload.Plan
 	maker     Maker
-	ledger    *invariant.Ledger
+	ledger    *invariant.History
 	draw      *rand.Rand
 	idFirst   string
 	machines  []*machine
@@ -91,7 +91,7 @@
 	nodes     []*node
 	discovery *discovery
 	clients   *clients
-	memories  map[memoryKey]*model.Memory
+	memories  map[memoryKey]*model.Deduplicator
 	holds     map[int]int64
 	oddities  map[string]int
 	loads     []trace.LoadSample
@@ -107,8 +107,8 @@
 func Play(ctx context.Context, o Options) (*trace.Record, error) {
 	began := time.Now()
 	d := &Day{
-		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.Ledger{},
-		draw: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[policy.EndpointID]*machine{}, memories: map[memoryKey]*model.Memory{},
+		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.History{},
+		draw: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[policy.EndpointID]*machine{}, memories: map[memoryKey]*model.Deduplicator{},
 		holds: map[int]int64{}, oddities: map[string]int{}, numbers: map[[2]netfault.End]uint64{},
 	}
 	d.ways = d.plan.Ways(d.scenario)
@@ -151,7 +151,7 @@
 	r.Reach, r.Beliefs, r.Runs = trace.ReachOf(d.scenario, d.ways, 0), d.beliefs, d.runs
 	trace.Excuse(d.scenario, d.plan, d.ledger)
 	rules := trace.RulesOf(d.scenario, d.ways, 0, 0, nil)
-	r.Breaks = d.ledger.Judge(trace.Categories(d.scenario), rules)
+	r.Breaks = d.ledger.Check(trace.Categories(d.scenario), rules)
 	r.Peaks[0], r.Peaks[1] = d.ledger.Peaks(rules)
 	for _, m := range d.machines {
 		r.Servers = append(r.Servers, m.spec.Name)
@@ -170,7 +170,7 @@
 	for _, m := range d.machines {
 		d.discovery.set(m, model.Up, 0)
 	}
-	d.discovery.first = d.discovery.roster.Whole()
+	d.discovery.first = d.discovery.roster.Complete()
 	for i := range d.scenario.Nodes.Count {
 		n, err := newNode(d, i)
 		if err != nil {
@@ -234,8 +234,8 @@
 }
 
 // fell ends a cold server that was pushed over. It stays down.
-func (d *Day) fell(m *machine, f *model.Fall) {
-	d.ledger.Fell(invariant.Fall{Server: m.spec.Index, Life: m.life, Started: m.started, Fall: *f})
+func (d *Day) fell(m *machine, f *model.Crash) {
+	d.ledger.RecordCrash(invariant.Crash{Endpoint: m.spec.Index, Incarnation: m.life, StartedAt: m.started, Crash: *f})
 	d.odd("a cold server was pushed over")
 	m.stop()
 	d.discovery.set(m, model.Removed, int64(d.scenario.Discovery.Notice))
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -23,10 +23,10 @@
 
 type discovery struct {
 	day     *Day
-	roster  *model.Roster
+	roster  *model.EndpointList
 	ever    []int // servers listed at any time, in order of their first listing
 	known   map[int]bool
-	first   []model.Listed
+	first   []model.ListEntry
 	down    bool
 	outage  *invariant.Outage
 	slow    float64
@@ -39,7 +39,7 @@
 // watch is one node's following of the list.
 type watch struct {
 	node    *node
-	life    *invariant.NodeLife
+	life    *invariant.Process
 	rec     *invariant.Watch
 	version int64
 	phase   int64
@@ -51,19 +51,19 @@
 }
 
 func newDiscovery(d *Day) *discovery {
-	return &discovery{day: d, roster: model.NewRoster(40), known: map[int]bool{}, slow: 1}
+	return &discovery{day: d, roster: model.NewEndpointList(40), known: map[int]bool{}, slow: 1}
 }
 
 // set changes the list after the notice that it takes.
-func (s *discovery) set(m *machine, h model.Health, notice int64) {
-	entry := model.Listed{Server: m.spec.Index, Health: h, Started: m.started}
+func (s *discovery) set(m *machine, h model.State, notice int64) {
+	entry := model.ListEntry{Endpoint: m.spec.Index, State: h, StartedAt: m.started}
 	do := func() {
 		s.roster.Set(entry)
-		if !s.known[entry.Server] {
-			s.known[entry.Server] = true
-			s.ever = append(s.ever, entry.Server)
+		if !s.known[entry.Endpoint] {
+			s.known[entry.Endpoint] = true
+			s.ever = append(s.ever, entry.Endpoint)
 		}
-		s.day.ledger.List(invariant.Listing{Server: entry.Server, Health: h, At: s.day.now, Started: entry.Started})
+		s.day.ledger.RecordListChange(invariant.ListChange{Endpoint: entry.Endpoint, State: h, At: s.day.now, StartedAt: entry.StartedAt})
 		for _, w := range s.watches {
 			w.ask()
 		}
@@ -76,10 +76,10 @@
 }
 
 // entries are a list as the decisions take it.
-func (s *discovery) entries(list []model.Listed) []policy.EndpointInfo {
+func (s *discovery) entries(list []model.ListEntry) []policy.EndpointInfo {
 	out := make([]policy.EndpointInfo, 0, len(list))
 	for _, l := range list {
-		m := s.day.machines[l.Server]
+		m := s.day.machines[l.Endpoint]
 		zone := -1
 		for z, name := range s.day.scenario.Network.Zones {
 			if name == m.spec.Zone {
@@ -87,29 +87,29 @@
 			}
 		}
 		out = append(out, policy.EndpointInfo{
-			ID: m.id, Zone: zone, Pod: m.spec.Pod, Weight: 1, StartedAt: policy.Time(l.Started),
-			State: [...]policy.EndpointState{model.Up: policy.StateActive, model.Draining: policy.StateDraining, model.Removed: policy.StateRemoved}[l.Health],
+			ID: m.id, Zone: zone, Pod: m.spec.Pod, Weight: 1, StartedAt: policy.Time(l.StartedAt),
+			State: [...]policy.EndpointState{model.Up: policy.StateActive, model.Draining: policy.StateDraining, model.Removed: policy.StateRemoved}[l.State],
 		})
 	}
 	return out
 }
 
 // tell notes what a node is told.
-func (s *discovery) tell(n *node, list []model.Listed, whole bool) {
-	told := make([]invariant.Told, 0, len(list))
+func (s *discovery) tell(n *node, list []model.ListEntry, whole bool) {
+	told := make([]invariant.ListEntry, 0, len(list))
 	listed := map[int]bool{}
 	for _, l := range list {
-		told = append(told, invariant.Told{Node: n.index, Life: n.life.Life, Server: l.Server, Health: l.Health, Started: l.Started, At: s.day.now})
-		listed[l.Server] = true
+		told = append(told, invariant.ListEntry{Node: n.index, Incarnation: n.life.Incarnation, Endpoint: l.Endpoint, State: l.State, StartedAt: l.StartedAt, At: s.day.now})
+		listed[l.Endpoint] = true
 	}
 	if whole {
 		for _, server := range s.ever {
 			if !listed[server] {
-				told = append(told, invariant.Told{Node: n.index, Life: n.life.Life, Server: server, Health: model.Removed, At: s.day.now})
+				told = append(told, invariant.ListEntry{Node: n.index, Incarnation: n.life.Incarnation, Endpoint: server, State: model.Removed, At: s.day.now})
 			}
 		}
 	}
-	s.day.ledger.Tell(told...)
+	s.day.ledger.RecordEntries(told...)
 }
 
 // call asks for a watch; a node has one at a time.
@@ -145,9 +145,9 @@
 	w.out++
 	s.waiting++
 	begin := max(d.now, s.busy)
-	lines := len(s.roster.Whole())
+	lines := len(s.roster.Complete())
 	if w.version > 0 {
-		changed, _ := s.roster.After(w.version)
+		changed, _ := s.roster.ChangesAfter(w.version)
 		lines = len(changed)
 	}
 	c := &d.scenario.Discovery
@@ -196,7 +196,7 @@
 	n := w.node
 	d := n.day
 	if w.rec == nil {
-		d.ledger.Watched(&invariant.Watch{Node: n.index, Life: w.life.Life, From: d.now, To: d.now, Failed: true})
+		d.ledger.RecordWatch(&invariant.Watch{Node: n.index, Incarnation: w.life.Incarnation, From: d.now, To: d.now, Failed: true})
 	}
 	w.end()
 	if n.life != w.life || !n.alive {
@@ -243,8 +243,8 @@
 
 func (w *watch) follow() {
 	d := w.node.day
-	w.rec = &invariant.Watch{Node: w.node.index, Life: w.life.Life, From: d.now, To: invariant.Never}
-	d.ledger.Watched(w.rec)
+	w.rec = &invariant.Watch{Node: w.node.index, Incarnation: w.life.Incarnation, From: d.now, To: invariant.Never}
+	d.ledger.RecordWatch(w.rec)
 	w.phase = d.now
 	w.node.wait = int64(firstWait)
 	d.discovery.watches = append(d.discovery.watches, w)
@@ -271,7 +271,7 @@
 		return
 	}
 	n, s := w.node, w.node.day.discovery
-	entries, whole := s.roster.After(w.version)
+	entries, whole := s.roster.ChangesAfter(w.version)
 	first := w.version == 0
 	if !first && s.roster.Version() == w.version {
 		return
@@ -314,7 +314,7 @@
 		}
 	}
 	s.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: s.day.now}}
-	s.day.ledger.OutOfReach(s.outage)
+	s.day.ledger.RecordOutage(s.outage)
 	for _, w := range append([]*watch(nil), s.watches...) {
 		w.failed()
 	}
--- a/internal/lab/simulation/hearsay.go
+++ b/internal/lab/simulation/hearsay.go
@@ -17,7 +17,7 @@
 	word int64 // when the watch last could say something
 }
 
-func (n *node) listen(seed uint64, list []model.Listed) {
+func (n *node) listen(seed uint64, list []model.ListEntry) {
 	n.hearing = nil
 	if !n.day.scenario.Nodes.List {
 		return
@@ -26,15 +26,15 @@
 	n.hearing = &hearing{core: endpointgossip.New(seed, n.view, n.clock(), n.day.discovery.roster.Version(), lines, false)}
 }
 
-func (d *Day) lines(list []model.Listed) (lines []endpointgossip.Line, gone []string) {
+func (d *Day) lines(list []model.ListEntry) (lines []endpointgossip.Line, gone []string) {
 	for _, l := range list {
-		m := d.machines[l.Server]
-		name := fmt.Sprint(l.Server)
-		if l.Health == model.Removed {
+		m := d.machines[l.Endpoint]
+		name := fmt.Sprint(l.Endpoint)
+		if l.State == model.Removed {
 			gone = append(gone, name)
 			continue
 		}
-		lines = append(lines, endpointgossip.Line{Name: name, Zone: m.spec.Zone, Pod: m.spec.Pod, Weight: 1, Draining: l.Health == model.Draining, Started: l.Started})
+		lines = append(lines, endpointgossip.Line{Name: name, Zone: m.spec.Zone, Pod: m.spec.Pod, Weight: 1, Draining: l.State == model.Draining, Started: l.StartedAt})
 	}
 	return lines, gone
 }
@@ -52,7 +52,7 @@
 		if l.Draining {
 			health = model.Draining
 		}
-		list = append(list, n.day.discovery.entries([]model.Listed{{Server: server, Health: health, Started: l.Started}})...)
+		list = append(list, n.day.discovery.entries([]model.ListEntry{{Endpoint: server, State: health, StartedAt: l.Started}})...)
 	}
 	n.enter(func() {
 		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
@@ -86,7 +86,7 @@
 }
 
 // listed takes what the watch tells, and tells whether the node goes by all of the list anew.
-func (h *hearing) listed(n *node, version int64, entries []model.Listed, whole bool) bool {
+func (h *hearing) listed(n *node, version int64, entries []model.ListEntry, whole bool) bool {
 	if h == nil {
 		return false
 	}
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -32,7 +32,7 @@
 	life     int
 	up       bool
 	started  int64 // Unix nanoseconds; 0 for long ago
-	model    *model.Server
+	model    *model.Endpoint
 	draw     *rand.Rand
 	waiting  map[int64]*handOff
 	lastID   int64
@@ -49,7 +49,7 @@
 
 type published struct {
 	at     int64
-	figure model.Figure
+	figure model.LoadFigures
 }
 
 // conn is one connection of a node to a server.
@@ -82,7 +82,7 @@
 	}
 	m.life++
 	m.up = true
-	m.model = model.NewServer(model.KindOf(m.day.scenario, m.fleet, m.spec.Speed), started, now, m.spec.Seed+uint64(m.life))
+	m.model = model.NewEndpoint(model.SpecOf(m.day.scenario, m.fleet, m.spec.Speed), started, now, m.spec.Seed+uint64(m.life))
 	m.waiting, m.trouble, m.draining, m.reports, m.conns, m.next = map[int64]*handOff{}, trouble{}, false, nil, 0, model.Never
 	if len(m.day.scenario.Reports.Fields) > 0 {
 		m.figures(m.life)
@@ -92,9 +92,9 @@
 // warmed hands in what came to the life that ends while it was cold.
 func (m *machine) warmed() {
 	if m.model != nil {
-		m.day.ledger.Warmed(invariant.Cold{
-			Server: m.spec.Index, Life: m.life, Started: m.started, MeanWork: m.model.MeanWork,
-			Window: m.model.FallAfter, Pushes: m.model.WhileCold(),
+		m.day.ledger.RecordSlowStart(invariant.SlowStart{
+			Endpoint: m.spec.Index, Incarnation: m.life, StartedAt: m.started, MeanWork: m.model.MeanWork,
+			Window: m.model.FallAfter, Arrivals: m.model.WhileCold(),
 		})
 	}
 }
@@ -218,7 +218,7 @@
 			h.turn()
 			continue
 		}
-		h.rec.Ran = true
+		h.rec.Executed = true
 		h.finish()
 	}
 	m.wake()
@@ -234,7 +234,7 @@
 	limit  int64
 	conn   *conn
 	fresh  bool
-	rec    *invariant.HandOff // nil until its first byte was written
+	rec    *invariant.Attempt // nil until its first byte was written
 	id     int64
 	way    int64
 	luck   float64
@@ -267,7 +267,7 @@
 	work, luck := workload.HandOffWork(task.Work, c.HandNoise, task.Seed+uint64(try), m.spec.Seed, 0)
 	h.luck = luck
 	if c.Repeat == "ticketed" {
-		if h.rec.Repeated = d.memoryOf(m, task.Category).Seen(d.now, h.x.try.ticket); h.rec.Repeated {
+		if h.rec.Deduplicated = d.memoryOf(m, task.Category).Seen(d.now, h.x.try.ticket); h.rec.Deduplicated {
 			work = min(work, 200_000) // it only looks the answer up
 		}
 	}
@@ -295,7 +295,7 @@
 }
 
 func (h *handOff) turn() {
-	h.rec.TurnedAway = true
+	h.rec.Rejected = true
 	h.m.day.in(h.wayBack(), func() { h.answer(policy.OutcomeRejected, 503) })
 }
 
@@ -331,7 +331,7 @@
 		return
 	}
 	h.done = true
-	h.rec.Answered, h.rec.Status = h.m.day.now, status
+	h.rec.AnsweredAt, h.rec.Status = h.m.day.now, status
 	report := noReport.LoadReport
 	if !h.m.day.scenario.Reports.HealthChecked {
 		report = h.m.report()
@@ -342,7 +342,7 @@
 // back is an end without an answer that the node sees.
 func (h *handOff) back(o policy.Outcome, _ int) {
 	h.done = true
-	h.rec.Closed = min(h.rec.Closed, h.m.day.now)
+	h.rec.ClosedAt = min(h.rec.ClosedAt, h.m.day.now)
 	h.x.node.handOffEnds(h, o, noReport.LoadReport, false)
 }
 
@@ -353,7 +353,7 @@
 	}
 	now := h.m.day.now
 	h.done = true
-	h.rec.Answered, h.rec.Status = now, 502
+	h.rec.AnsweredAt, h.rec.Status = now, 502
 	for _, k := range scenario.SoundKinds {
 		if k == how {
 			h.rec.Status = 200
@@ -363,7 +363,7 @@
 		h.x.node.handOffEnds(h, policy.OutcomeSucceeded, noReport.LoadReport, how == "interim" || how == "bad-report")
 		return
 	}
-	h.rec.Closed = min(h.rec.Closed, now)
+	h.rec.ClosedAt = min(h.rec.ClosedAt, now)
 	h.x.node.handOffEnds(h, policy.OutcomeReset, noReport.LoadReport, false)
 }
 
@@ -372,7 +372,7 @@
 	if h.rec == nil {
 		return
 	}
-	h.rec.Closed = min(h.rec.Closed, h.m.day.now)
+	h.rec.ClosedAt = min(h.rec.ClosedAt, h.m.day.now)
 	if h.done || h.m.cut(h.x.node.index) || !h.m.day.ways.Open(h.m.day.now, netfault.End{Index: h.x.node.index}, h.m.place()) {
 		return
 	}
@@ -388,7 +388,7 @@
 	})
 }
 
-func (d *Day) memoryOf(m *machine, category int) *model.Memory {
+func (d *Day) memoryOf(m *machine, category int) *model.Deduplicator {
 	c := &d.scenario.Categories[category]
 	k := memoryKey{category, ""}
 	switch c.Group {
@@ -398,7 +398,7 @@
 		k.group = strconv.Itoa(m.spec.Pod)
 	}
 	if d.memories[k] == nil {
-		d.memories[k] = model.NewMemory(int64(c.Memory))
+		d.memories[k] = model.NewDeduplicator(int64(c.Memory))
 	}
 	return d.memories[k]
 }
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -29,7 +29,7 @@
 	node     *node
 	life     int
 	try      *try
-	rec      *invariant.Try
+	rec      *invariant.Request
 	handOffs []*handOff
 	open     int
 	settled  bool
@@ -47,7 +47,7 @@
 	decider Decider
 	figures trace.NodeFigures
 
-	life     *invariant.NodeLife
+	life     *invariant.Process
 	alive    bool
 	in       bool // the front sends to it
 	listed   bool // it has a list
@@ -122,17 +122,17 @@
 func (n *node) start() {
 	number := 1
 	if n.life != nil {
-		number = n.life.Life + 1
+		number = n.life.Incarnation + 1
 	}
 	d := n.day
-	n.life = &invariant.NodeLife{Node: n.index, Life: number, From: d.now}
-	d.ledger.Live(n.life)
+	n.life = &invariant.Process{Node: n.index, Incarnation: number, StartedAt: d.now}
+	d.ledger.RecordProcess(n.life)
 	n.figures.Starts++
 	n.skew, n.step = n.skew+n.step, 0
 	n.alive, n.stopping, n.frozen, n.busy, n.version, n.wait, n.watch = true, false, 0, 0, 0, int64(firstWait), nil
 	n.tasks, n.order, n.idle = map[policy.RequestID]*exchange{}, nil, map[*machine][]*conn{}
 	n.decider = d.maker(n.index, n.set.Policy, d.plan.Seed*1000003+uint64(n.index)*7919+uint64(number), n, d)
-	list := d.discovery.roster.Whole()
+	list := d.discovery.roster.Complete()
 	n.up, n.listed = false, number == 1 || !d.scenario.Nodes.NoList
 	if stale := d.scenario.Nodes.OldList && number > 1; stale {
 		list = d.discovery.first
@@ -152,7 +152,7 @@
 func (n *node) admitted() {
 	n.up = n.alive
 	if n.in = n.alive && n.listed; n.in {
-		n.life.Ready = n.day.now
+		n.life.ReadyAt = n.day.now
 	}
 }
 
@@ -181,7 +181,7 @@
 	}
 	d := n.day
 	n.alive, n.in = false, n.in && !n.stopping
-	n.life.Until = d.now
+	n.life.EndedAt = d.now
 	n.view = nil
 	for _, x := range n.order {
 		if !x.settled {
@@ -213,8 +213,8 @@
 }
 
 // arrived takes in a task whose last byte has come.
-func (n *node) arrived(t *try, rec *invariant.Try) {
-	x := &exchange{node: n, life: n.life.Life, try: t, rec: rec}
+func (n *node) arrived(t *try, rec *invariant.Request) {
+	x := &exchange{node: n, life: n.life.Incarnation, try: t, rec: rec}
 	n.order = append(n.order, x)
 	if len(n.order) > 1024 && len(n.order) > 4*len(n.tasks) {
 		kept := n.order[:0]
@@ -298,7 +298,7 @@
 	} else {
 		n.close(h.conn)
 	}
-	if h.x.life != n.life.Life || !n.alive {
+	if h.x.life != n.life.Incarnation || !n.alive {
 		return
 	}
 	at, fresh := n.clock(), h.fresh
@@ -381,7 +381,7 @@
 			if h.m != m || h.ended || h.conn == nil || m.cut(n.index) && !healed {
 				continue
 			}
-			h.rec.Closed = min(h.rec.Closed, n.day.now)
+			h.rec.ClosedAt = min(h.rec.ClosedAt, n.day.now)
 			if h.done = true; n.alive {
 				n.handOffEnds(h, policy.OutcomeReset, noReport.LoadReport, false)
 			}
@@ -424,9 +424,9 @@
 		d.in(min(after, max(h.limit-d.now, 0)), func() { n.handOffEnds(h, policy.OutcomeConnectFailed, noReport.LoadReport, false) })
 		return
 	}
-	h.rec = &invariant.HandOff{Task: x.try.id, Node: n.index, Server: m.spec.Index, Life: m.life, Zone: m.spec.Zone, Pod: m.spec.Pod, First: d.now}
-	d.ledger.Began(h.rec)
-	h.rec.Last = d.now
+	h.rec = &invariant.Attempt{Request: x.try.id, Node: n.index, Endpoint: m.spec.Index, Incarnation: m.life, Zone: m.spec.Zone, Pod: m.spec.Pod, FirstByteAt: d.now}
+	d.ledger.RecordAttempt(h.rec)
+	h.rec.LastByteAt = d.now
 	d.at(h.limit, func() {
 		if !h.ended {
 			n.handOffEnds(h, policy.OutcomeTimedOut, noReport.LoadReport, false)
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -110,7 +110,7 @@
 }
 
 // join begins a life's view of the others.
-func (n *node) join(list []model.Listed) {
+func (n *node) join(list []model.ListEntry) {
 	d := n.day
 	if !d.scenario.Nodes.Members {
 		return
@@ -119,7 +119,7 @@
 	for i := range d.scenario.Nodes.Count {
 		names = append(names, fmt.Sprintf("n%d", i))
 	}
-	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.life.Life)
+	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.life.Incarnation)
 	view, err := members.New(members.Settings{
 		Name: names[n.index], Peers: names, Round: int64(d.scenario.Nodes.Round), Seed: seed,
 		Run: uint32(seed*2654435761>>8) | 1, Take: func(from int, load []byte) { n.hearing.take(n, from, load) },
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -93,8 +93,8 @@
 	Base     int64
 	Virtual  bool
 	Outcomes []Outcome
-	Ledger   *invariant.Ledger
-	Breaks   []invariant.Break
+	Ledger   *invariant.History
+	Breaks   []invariant.Violation
 	Peaks    [2][]invariant.Peak // of servers while they were cold: of all that came, and of what came from nodes that knew
 	Nodes    []NodeFigures
 	Loads    []LoadSample
@@ -122,19 +122,19 @@
 }
 
 // Categories are a scenario's as the judge knows them.
-func Categories(s *scenario.Scenario) []invariant.Category {
-	var out []invariant.Category
+func Categories(s *scenario.Scenario) []invariant.Class {
+	var out []invariant.Class
 	for i := range s.Categories {
 		repeat, group := RepeatOf(&s.Categories[i])
-		out = append(out, invariant.Category{Name: s.Categories[i].Name, Repeat: repeat, Group: group, Memory: int64(s.Categories[i].Memory)})
+		out = append(out, invariant.Class{Name: s.Categories[i].Name, Idempotency: repeat, DedupGroup: group, DedupWindow: int64(s.Categories[i].Memory)})
 	}
 	return out
 }
 
 // RepeatOf is what running a category's tasks twice does, and which servers drop a repeat.
-func RepeatOf(c *scenario.Category) (invariant.Repeat, invariant.Group) {
-	repeat := map[string]invariant.Repeat{"rerunnable": invariant.Rerunnable, "ticketed": invariant.Ticketed, "exclusive": invariant.Exclusive}
-	group := map[string]invariant.Group{"fleet": invariant.WholeFleet, "zone": invariant.SameZone, "pod": invariant.SamePod}
+func RepeatOf(c *scenario.Category) (invariant.Idempotency, invariant.DedupGroup) {
+	repeat := map[string]invariant.Idempotency{"rerunnable": invariant.Idempotent, "ticketed": invariant.IdempotentByKey, "exclusive": invariant.NonIdempotent}
+	group := map[string]invariant.DedupGroup{"fleet": invariant.DedupFleet, "zone": invariant.DedupZone, "pod": invariant.DedupPod}
 	return repeat[c.Repeat], group[c.Group]
 }
 
@@ -155,21 +155,21 @@
 		within = int64(r.AskWithin)
 	}
 	rules := invariant.Rules{
-		StopSending: int64(r.StopSending), AskWithin: within, AnswerGrace: int64(r.AnswerGrace),
-		ToldWithin: toldWithin, GoneWithin: goneWithin, ReadyWithin: readyWithin, ReadyShort: readyShort, End: base + int64(s.Length),
-		MayDuplicate: r.MayDuplicate, ByOthers: s.Nodes.List, Slack: slack, Late: late,
+		StopSending: int64(r.StopSending), PollWithin: within, AnswerGrace: int64(r.AnswerGrace),
+		KnownWithin: toldWithin, CancelGrace: goneWithin, ReadyWithin: readyWithin, ReadyWithinAtEnd: readyShort, End: base + int64(s.Length),
+		MayHedge: r.MayDuplicate, ListGossip: s.Nodes.List, Slack: slack, Lag: late,
 	}
 	if len(ways.Turns()) == 0 {
 		return rules
 	}
-	rules.Late = func(at int64) int64 {
+	rules.Lag = func(at int64) int64 {
 		by := ways.Allowance(at, netfault.Client, netfault.Node)
 		if late != nil {
 			by += late(at)
 		}
 		return by
 	}
-	rules.OnWay = func(at int64) int64 {
+	rules.LinkDelay = func(at int64) int64 {
 		return ways.Allowance(at, netfault.Node, netfault.Server) + ways.Allowance(at, netfault.Node, netfault.Discovery)
 	}
 	return rules
@@ -193,7 +193,7 @@
 
 // Excuse tells the ledger of cuts between clients and nodes, as what is said over them reaches nobody, and of those between nodes and
 // discovery, over which nothing can be learned.
-func Excuse(s *scenario.Scenario, p *workload.Plan, l *invariant.Ledger) {
+func Excuse(s *scenario.Scenario, p *workload.Plan, l *invariant.History) {
 	for i := range p.Faults {
 		way, ok := s.Way(&p.Faults[i].Fault)
 		if !ok || way.Trouble != netfault.Cut {
@@ -215,7 +215,7 @@
 		if len(of(netfault.Client)) == 0 {
 			continue
 		}
-		for _, life := range l.Lives {
+		for _, life := range l.Processes {
 			if slices.Contains(of(netfault.Node), life.Node) {
 				life.Excused = append(life.Excused, invariant.Span{From: way.Begin, To: way.End + int64(time.Second)})
 			}
