--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -174,12 +174,12 @@
 
 // read reads one call; status 0 stands for a caller that has gone or said nothing at all.
 func (s *adminServer) read(c *adminConn) (*http.Request, int, error) {
-	for seen := 0; !headEnds(c.pending(), seen); {
-		if seen = max(0, len(c.pending())-3); len(c.pending()) > maxAdminHead {
+	for seen := 0; !headEnds(c.buffered(), seen); {
+		if seen = max(0, len(c.buffered())-3); len(c.buffered()) > maxAdminHead {
 			return nil, http.StatusRequestHeaderFieldsTooLarge, errors.New("head longer than 8 KiB")
 		}
 		if err := c.fill(); err != nil {
-			if len(c.pending()) == 0 {
+			if len(c.buffered()) == 0 {
 				return nil, 0, err
 			}
 			if timeOut := net.Error(nil); errors.As(err, &timeOut) && timeOut.Timeout() {
@@ -188,10 +188,10 @@
 			return nil, http.StatusBadRequest, errors.New("half a call")
 		}
 	}
-	if end := bytes.Index(c.pending(), []byte("\r\n\r\n")); max(end, 0) > maxAdminHead {
+	if end := bytes.Index(c.buffered(), []byte("\r\n\r\n")); max(end, 0) > maxAdminHead {
 		return nil, http.StatusRequestHeaderFieldsTooLarge, errors.New("head longer than 8 KiB")
 	}
-	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.pending())))
+	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.buffered())))
 	if err != nil {
 		return nil, http.StatusBadRequest, errors.New("a call that cannot be read")
 	}
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -26,7 +26,7 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	io.WriteString(c, text)
-	return answerOn(bufio.NewReader(c))
+	return readAnswer(bufio.NewReader(c))
 }
 
 func callText(call string) string { return call + " HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n" }
@@ -38,9 +38,9 @@
 }
 
 func TestConsoleTurnsDownWhatItCannotUse(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, withConsole, server)
-	soon(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, withConsole, server)
+	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	for text, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
 		"GET /ready HTTP/1.1\r\nHost: c\r\nX: " + strings.Repeat("x", maxAdminHead) + "\r\n\r\n": 431,
@@ -72,7 +72,7 @@
 
 // Guards against callers that say nothing, or half a call, keeping the others out.
 func TestSilentCallersMakeRoom(t *testing.T) {
-	n := nodeWith(t, withConsole)
+	n := startNode(t, withConsole)
 	var silent []net.Conn
 	for i := range 6 * maxAdminConns {
 		c, err := net.Dial("tcp", n.admin.listener.Addr().String())
@@ -98,9 +98,9 @@
 
 // Guards against a console that answers only when the loop has time.
 func TestConsoleDoesNotWaitForTheLoop(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, withConsole, server)
-	soon(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, withConsole, server)
+	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	held := make(chan struct{})
 	n.loop.post(func() { <-held })
 	for range cap(n.loop.events) {
@@ -116,10 +116,10 @@
 
 // A server taken out gets nothing, whatever the list says of it, until one call puts it back, cold.
 func TestServerTakenOut(t *testing.T) {
-	one, first := serverOf(t, echo)
-	two, _ := serverOf(t, echo)
-	n := nodeWith(t, withConsole, one, two)
-	soon(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+	one, first := startUpstream(t, echo)
+	two, _ := startUpstream(t, echo)
+	n := startNode(t, withConsole, one, two)
+	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	ask20 := func(round string) int64 {
 		before := first.Load()
 		for i := range 20 {
@@ -157,7 +157,7 @@
 	if n.call(t, "PUT /servers/enable?target=s-0") != 200 {
 		t.Fatal("not put back")
 	}
-	soon(t, "the server is in use again", func() bool { return ask20(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
+	eventually(t, "the server is in use again", func() bool { return ask20(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
 	cold := make(chan policy.Time, 1)
 	n.loop.post(func() { cold <- n.overrides.applied.apply(*n.overrides.entries["s-0"]).StartedAt })
 	if started := <-cold; started < before {
@@ -167,7 +167,7 @@
 
 // The last look before an attempt is written stands by itself: the decisions may not know of the order yet.
 func TestHandOffLooksOnceMore(t *testing.T) {
-	server, tasks := serverOf(t, echo)
+	server, tasks := startUpstream(t, echo)
 	n := newNode(t, withConsole, server)
 	n.overrides.rememberNames("s-0")
 	n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) })
@@ -180,15 +180,15 @@
 
 // Orders outlive the process, and both processes of a node go by them.
 func TestOrdersAreSharedAndOutliveAProcess(t *testing.T) {
-	server, _ := serverOf(t, echo)
+	server, _ := startUpstream(t, echo)
 	var dir, at string
-	n := nodeWith(t, func(c *Config) { withConsole(c); dir, at = c.dir, c.Listen }, server)
+	n := startNode(t, func(c *Config) { withConsole(c); dir, at = c.dir, c.Listen }, server)
 	other := newNode(t, func(c *Config) { withConsole(c); c.dir, c.Listen = dir, at }, server)
 	other.start()
-	soon(t, "both ready", func() bool { return n.call(t, "GET /ready") == 200 && other.call(t, "GET /ready") == 200 })
+	eventually(t, "both ready", func() bool { return n.call(t, "GET /ready") == 200 && other.call(t, "GET /ready") == 200 })
 	n.call(t, "PUT /servers/disable?target=s-0")
 	n.call(t, "PUT /drain")
-	soon(t, "the other knows", func() bool {
+	eventually(t, "the other knows", func() bool {
 		return other.overrides.isDisabled(endpointID("s-0")) && other.call(t, "GET /ready") == 503
 	})
 	later := newNode(t, func(c *Config) { c.dir, c.Listen = dir, at })
@@ -196,7 +196,7 @@
 		t.Error("a later process does not know the orders")
 	}
 	other.call(t, "PUT /servers/enable?target=s-0")
-	soon(t, "the first knows", func() bool { return !n.overrides.isDisabled(endpointID("s-0")) })
+	eventually(t, "the first knows", func() bool { return !n.overrides.isDisabled(endpointID("s-0")) })
 	if !n.overrides.drained() {
 		t.Error("an order of one process undid one of the other")
 	}
@@ -262,24 +262,24 @@
 
 // While drained the node says no, ends connections with their next answer or when they stand idle, and serves who comes.
 func TestDrainEmptiesTheNode(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, withConsole, server)
-	soon(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, withConsole, server)
+	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	used, in := dial(t, n)
-	io.WriteString(used, taskText("batch", "t1", ""))
-	answerOn(in)
+	io.WriteString(used, requestText("batch", "t1", ""))
+	readAnswer(in)
 	idle, idleIn := dial(t, n)
-	io.WriteString(idle, taskText("batch", "t2", ""))
-	answerOn(idleIn)
+	io.WriteString(idle, requestText("batch", "t2", ""))
+	readAnswer(idleIn)
 	if n.call(t, "PUT /drain") != 200 || n.call(t, "GET /ready") != 503 {
 		t.Fatal("ready while drained")
 	}
 	c, cIn := dial(t, n)
 	io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
-	if status, _, _ := answerOn(cIn); status != 503 {
+	if status, _, _ := readAnswer(cIn); status != 503 {
 		t.Errorf("where clients connect it says %d", status)
 	}
-	io.WriteString(used, taskText("batch", "t3", ""))
+	io.WriteString(used, requestText("batch", "t3", ""))
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 200 || !r.Close {
 		t.Errorf("%v, %v on a connection in use, want an answer that closes it", r, err)
 	}
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -33,36 +33,36 @@
 // readPacer is how a peer that brings a body gets on. What counts is the time that the node has waited for it, as it may itself
 // be held up by the other side.
 type readPacer struct {
-	start  time.Time
-	grace  time.Duration
-	stall  time.Duration
-	least  int64 // bytes for each second after the grace
-	waited time.Duration
-	came   int64
-	asked  time.Time
-	given  *atomic.Bool // of a body that may be given up while it is read
+	start     time.Time
+	grace     time.Duration
+	stall     time.Duration
+	minRate   int64 // bytes for each second after the grace
+	waited    time.Duration
+	received  int64
+	readBegan time.Time
+	abandoned *atomic.Bool // of a body that may be given up while it is read
 }
 
 // begin sets by when the next byte has to come.
 func (p *readPacer) begin(c net.Conn) error {
-	p.asked = time.Now()
-	if over := p.waited - p.grace; over > 0 && p.came < int64(over.Seconds()*float64(p.least)) {
+	p.readBegan = time.Now()
+	if over := p.waited - p.grace; over > 0 && p.received < int64(over.Seconds()*float64(p.minRate)) {
 		return os.ErrDeadlineExceeded
 	}
-	until := p.asked.Add(p.stall)
+	until := p.readBegan.Add(p.stall)
 	if first := p.start.Add(p.grace); first.After(until) {
 		until = first
 	}
 	err := c.SetReadDeadline(until)
-	if p.given != nil && p.given.Load() {
+	if p.abandoned != nil && p.abandoned.Load() {
 		return errBodyAbandoned // its end was set just before, and has been put off by this
 	}
 	return err
 }
 
 func (p *readPacer) end(n int) {
-	p.waited += time.Since(p.asked)
-	p.came += int64(n)
+	p.waited += time.Since(p.readBegan)
+	p.received += int64(n)
 }
 
 // bodySource is a request's body that is still coming from its client. Whoever carries the request reads it; the client's own reader
@@ -83,8 +83,8 @@
 
 func newBodySource(c *bufferedConn, m *message) *bodySource {
 	s := &bodySource{conn: c, message: m, length: m.length, ended: make(chan struct{})}
-	if c.pace != nil {
-		c.pace.given = &s.abandoned
+	if c.pacer != nil {
+		c.pacer.abandoned = &s.abandoned
 	}
 	return s
 }
@@ -183,8 +183,8 @@
 			return err
 		}
 	}
-	buffer := buffers.Get().(*[streamBufferBytes]byte)
-	defer buffers.Put(buffer)
+	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(buffer)
 	total := int64(len(x.body))
 	for {
 		n, err := s.Read(buffer[:])
@@ -224,7 +224,7 @@
 	return u.complete.Load()
 }
 
-var buffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
+var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
 // writePaced writes so that the peer has time for each buffer's worth of it, unless the attempt for which it writes, if it is
 // for one, has been stopped.
@@ -257,7 +257,7 @@
 }
 
 func newResponseStream(m *message) *responseStream {
-	m.conn.pace = &readPacer{start: time.Now(), stall: writeStall}
+	m.conn.pacer = &readPacer{start: time.Now(), stall: writeStall}
 	return &responseStream{message: m, length: m.length, done: make(chan bool, 1)}
 }
 
@@ -284,8 +284,8 @@
 	if writePaced(c.conn, nil, head) != nil || len(a.body) > 0 && frame(a.body) != nil {
 		return false
 	}
-	buffer := buffers.Get().(*[streamBufferBytes]byte)
-	defer buffers.Put(buffer)
+	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(buffer)
 	for total := int64(len(a.body)); total != a.stream.length; {
 		n, err := a.stream.message.Read(buffer[:])
 		total += int64(n)
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-func noise(size int) []byte {
+func randomBody(size int) []byte {
 	b := make([]byte, size)
 	draws := rand.New(rand.NewPCG(uint64(size), 1))
 	for i := range b {
@@ -26,12 +26,12 @@
 }
 
 // unhurried keeps the decisions from taking a server for silent because noise takes a moment to make.
-func unhurried(c *Config) {
+func lenientSettings(c *Config) {
 	c.Settings = json.RawMessage(strings.Replace(settingsText, `"quantum_us":2000`, `"quantum_us":1000000`, 1))
 }
 
 // inChunks is a body in chunks of that size, with extensions and a trailer.
-func inChunks(body []byte, size int) string {
+func chunkedBody(body []byte, size int) string {
 	var b strings.Builder
 	for len(body) > 0 {
 		n := min(size, len(body))
@@ -44,8 +44,8 @@
 
 // digestServer answers with the digest of a request's body, and counts the requests that came whole.
 func digestServer(t *testing.T) (string, *atomic.Int64) {
-	return serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
-		return say(c, "200 OK", fmt.Sprintf("%d %x", len(body), sha256.Sum256([]byte(body))))
+	return startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+		return writeAnswer(c, "200 OK", fmt.Sprintf("%d %x", len(body), sha256.Sum256([]byte(body))))
 	})
 }
 
@@ -53,24 +53,24 @@
 
 func (n *Node) returnsWhatItHeld(t *testing.T) {
 	t.Helper()
-	soon(t, "all memory for bodies is given back", func() bool { return n.bufferedBytes.Load() == 0 })
+	eventually(t, "all memory for bodies is given back", func() bool { return n.bufferedBytes.Load() == 0 })
 }
 
 // Bodies of all sizes and forms reach the server unchanged, and the connection goes on.
 func TestBodiesOfAllSizesGoUp(t *testing.T) {
 	server, _ := digestServer(t)
-	n := nodeWith(t, unhurried, server)
+	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
 	for i, size := range []int{0, 1, 300, minBufferedBody, minBufferedBody + 1, maxBufferedBody, maxBufferedBody + 1, 5 << 20} {
 		for _, chunk := range []int{0, 1 << 10, 1 << 20} {
-			body := noise(size)
+			body := randomBody(size)
 			head := fmt.Sprintf("POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d-%d\r\n", i, chunk)
 			if chunk > 0 {
-				io.WriteString(c, head+"Transfer-Encoding: chunked\r\n\r\n"+inChunks(body, chunk))
+				io.WriteString(c, head+"Transfer-Encoding: chunked\r\n\r\n"+chunkedBody(body, chunk))
 			} else {
 				io.WriteString(c, fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, size, body))
 			}
-			if status, answer, _ := answerOn(in); status != 200 || answer != digestOf(body) {
+			if status, answer, _ := readAnswer(in); status != 200 || answer != digestOf(body) {
 				t.Fatalf("%d bytes, chunks of %d: %d %.80q, want %q", size, chunk, status, answer, digestOf(body))
 			}
 		}
@@ -84,28 +84,28 @@
 // Answers of all sizes and forms reach the client unchanged.
 func TestAnswersOfAllSizesGoDown(t *testing.T) {
 	for _, form := range []string{"length", "chunks", "end"} {
-		server, _ := serverOf(t, func(c net.Conn, r *http.Request, _ string) bool {
+		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 			var size int
 			fmt.Sscanf(r.URL.RawQuery, "%d", &size)
-			body := noise(size)
+			body := randomBody(size)
 			io.WriteString(c, "HTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
 			switch form {
 			case "length":
-				return say(c, "200 OK", string(body))
+				return writeAnswer(c, "200 OK", string(body))
 			case "chunks":
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+inChunks(body, 3000))
+				io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunkedBody(body, 3000))
 				return true
 			}
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 			c.Write(body)
 			return false
 		})
-		n := nodeWith(t, unhurried, server)
+		n := startNode(t, lenientSettings, server)
 		for _, version := range []string{"1.1", "1.0"} {
 			for i, size := range []int{0, 1, maxBufferedResponse - 1, 2 * maxBufferedResponse, 5 << 20} {
 				c, in := dial(t, n)
 				fmt.Fprintf(c, "GET /batch?%d HTTP/%s\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", size, version, i)
-				if status, body, _ := answerOn(in); status != 200 || body != string(noise(size)) {
+				if status, body, _ := readAnswer(in); status != 200 || body != string(randomBody(size)) {
 					t.Errorf("%s, HTTP/%s, %d bytes: %d, %d bytes", form, version, size, status, len(body))
 				}
 				c.Close()
@@ -114,10 +114,10 @@
 		if n.count(responsesStreamed) != 4 || n.count(responsesTruncated) != 0 {
 			t.Errorf("%s: %d answers flowed, %d cut; want 4, 0", form, n.count(responsesStreamed), n.count(responsesTruncated))
 		}
-		soon(t, "no connection to a server at work", func() bool {
+		eventually(t, "no connection to a server at work", func() bool {
 			n.upstreams.mu.Lock()
 			defer n.upstreams.mu.Unlock()
-			return n.upstreams.open == n.upstreams.order.Len()
+			return n.upstreams.open == n.upstreams.idleOrder.Len()
 		})
 	}
 }
@@ -130,11 +130,11 @@
 		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\n", // no last chunk
 		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\nnonsense\r\n",
 	} {
-		server, _ := serverOf(t, func(c net.Conn, r *http.Request, _ string) bool {
+		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
 			return false
 		})
-		n := nodeWith(t, unhurried, server)
+		n := startNode(t, lenientSettings, server)
 		c, in := dial(t, n)
 		io.WriteString(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 		r, err := http.ReadResponse(in, nil)
@@ -152,7 +152,7 @@
 
 // What a body that does not go out whole proves, and what becomes of a request whose body is held no more.
 func TestLongTaskIsSentOnce(t *testing.T) {
-	body := noise(36 << 20) // more than the machine takes in for a server that does not read
+	body := randomBody(36 << 20) // more than the machine takes in for a server that does not read
 	var mode atomic.Value
 	seen := new(atomic.Int64)
 	serve := func(c net.Conn) {
@@ -174,9 +174,9 @@
 			time.Sleep(50 * time.Millisecond)
 		case "fails":
 			io.Copy(io.Discard, r.Body)
-			say(c, "500 Bad", "")
+			writeAnswer(c, "500 Bad", "")
 		case "early":
-			say(c, "200 OK", "too soon")
+			writeAnswer(c, "200 OK", "too soon")
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
@@ -190,7 +190,7 @@
 	} {
 		mode.Store(how)
 		for category, status := range want {
-			n := nodeWith(t, nil, one, two)
+			n := startNode(t, nil, one, two)
 			before := seen.Load()
 			if got, _, _ := ask(t, n, category, "t1", string(body)); got != status {
 				t.Errorf("%s, %s: %d, want %d", how, category, got, status)
@@ -206,26 +206,26 @@
 // A client that stops, lies or leaves in the middle of a long body gets an error or a close for itself alone, and its request never ran.
 func TestLongBodyThatNeverComes(t *testing.T) {
 	server, tasks := digestServer(t)
-	n := nodeWith(t, unhurried, server)
-	half := string(noise(2 << 20))
+	n := startNode(t, lenientSettings, server)
+	half := string(randomBody(2 << 20))
 	for text, want := range map[string]int{
-		"Content-Length: 9000000\r\n\r\n" + half:                              408,
-		"Transfer-Encoding: chunked\r\n\r\n200000\r\n" + half + "\r\nzz\r\n":  400,
-		"Transfer-Encoding: chunked\r\n\r\n" + inChunks(noise(42<<20), 1<<20): 413,
-		"Content-Length: 60000000\r\n\r\n" + half:                             413,
+		"Content-Length: 9000000\r\n\r\n" + half:                                      408,
+		"Transfer-Encoding: chunked\r\n\r\n200000\r\n" + half + "\r\nzz\r\n":          400,
+		"Transfer-Encoding: chunked\r\n\r\n" + chunkedBody(randomBody(42<<20), 1<<20): 413,
+		"Content-Length: 60000000\r\n\r\n" + half:                                     413,
 	} {
 		c, in := dial(t, n)
 		go io.WriteString(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n"+text)
-		if status, _, _ := answerOn(in); status != want {
+		if status, _, _ := readAnswer(in); status != want {
 			t.Errorf("%.40q: %d, want %d", text, status, want)
 		}
 		c.Close()
 	}
 	c, _ := dial(t, n)
 	io.WriteString(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nContent-Length: 9000000\r\n\r\n"+half)
-	soon(t, "its hand-off", func() bool { return n.count(requestsStreamed) >= 4 })
+	eventually(t, "its hand-off", func() bool { return n.count(requestsStreamed) >= 4 })
 	c.Close()
-	soon(t, "the task is withdrawn", func() bool { return n.count(requestsCanceled) == 1 })
+	eventually(t, "the task is withdrawn", func() bool { return n.count(requestsCanceled) == 1 })
 	if tasks.Load() != 0 {
 		t.Errorf("%d tasks ran without a whole body", tasks.Load())
 	}
@@ -242,15 +242,15 @@
 // and an answer goes as slowly as its client reads.
 func TestSlowPeersAreServed(t *testing.T) {
 	t.Parallel()
-	long := noise(1 << 20)
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	long := randomBody(1 << 20)
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodGet {
-			return say(c, "200 OK", string(long))
+			return writeAnswer(c, "200 OK", string(long))
 		}
-		return say(c, "200 OK", digestOf([]byte(body)))
+		return writeAnswer(c, "200 OK", digestOf([]byte(body)))
 	})
-	n := nodeWith(t, unhurried, server)
-	body := noise(260 << 10)
+	n := startNode(t, lenientSettings, server)
+	body := randomBody(260 << 10)
 	up := make(chan string, 1)
 	go func() {
 		c, in := dial(t, n)
@@ -263,7 +263,7 @@
 			c.Write(body[i:min(i+6500, len(body))])
 			time.Sleep(100 * time.Millisecond)
 		}
-		_, answer, _ := answerOn(in)
+		_, answer, _ := readAnswer(in)
 		up <- answer
 	}()
 	c, in := dial(t, n)
@@ -290,8 +290,8 @@
 // Guards against the memory for bodies going to whoever sends most: beyond its share they flow.
 func TestManyLongBodiesAtOnce(t *testing.T) {
 	server, _ := digestServer(t)
-	n := nodeWith(t, func(c *Config) { unhurried(c); c.Limits.MemoryMB = 32 }, server)
-	body := noise(900 << 10)
+	n := startNode(t, func(c *Config) { lenientSettings(c); c.Limits.MemoryMB = 32 }, server)
+	body := randomBody(900 << 10)
 	type begun struct {
 		c  net.Conn
 		in *bufio.Reader
@@ -302,7 +302,7 @@
 		fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nContent-Length: %d\r\n\r\n%s", i, len(body), body[:minBufferedBody])
 		all = append(all, begun{c, in})
 	}
-	soon(t, "some flow, as they are more than there is memory for", func() bool { return n.count(requestsStreamed) > 8 })
+	eventually(t, "some flow, as they are more than there is memory for", func() bool { return n.count(requestsStreamed) > 8 })
 	if held := n.bufferedBytes.Load(); held > 2*n.maxBufferedBytes.Load() {
 		t.Errorf("%d bytes held of %d", held, n.maxBufferedBytes.Load())
 	}
@@ -310,7 +310,7 @@
 		one.c.Write(body[minBufferedBody:])
 	}
 	for _, one := range all { // on a machine that stands still some may be rejected, but none is mixed up
-		if status, answer, _ := answerOn(one.in); status != 503 && answer != digestOf(body) {
+		if status, answer, _ := readAnswer(one.in); status != 503 && answer != digestOf(body) {
 			t.Errorf("%d %.60q", status, answer)
 		}
 	}
@@ -318,14 +318,14 @@
 }
 
 func TestHeadAndWordToGoOn(t *testing.T) {
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodHead {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n")
 			return err == nil
 		}
-		return say(c, "200 OK", digestOf([]byte(body)))
+		return writeAnswer(c, "200 OK", digestOf([]byte(body)))
 	})
-	n := nodeWith(t, unhurried, server)
+	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
 	for i := range 2 {
 		fmt.Fprintf(c, "HEAD /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", i)
@@ -334,13 +334,13 @@
 			t.Fatalf("%+v, %v", r, err)
 		}
 	}
-	body := noise(3 << 20)
+	body := randomBody(3 << 20)
 	fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t9\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", len(body))
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 100 {
 		t.Fatalf("%+v, %v, want the word to go on", r, err)
 	}
 	c.Write(body)
-	if _, answer, _ := answerOn(in); answer != digestOf(body) {
+	if _, answer, _ := readAnswer(in); answer != digestOf(body) {
 		t.Errorf("got %q", answer)
 	}
 }
@@ -349,7 +349,7 @@
 func TestAnswerThatComesSlowlyIsNotHeldBack(t *testing.T) {
 	for _, head := range []string{"Content-Length: 70003\r\n\r\nyes", "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n", "\r\nyes"} {
 		seen := make(chan struct{})
-		server, _ := serverOf(t, func(c net.Conn, r *http.Request, _ string) bool {
+		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
 			time.Sleep(2 * responseHoldBack)
 			if strings.Contains(head, "chunked") {
@@ -365,7 +365,7 @@
 			}
 			return false
 		})
-		n := nodeWith(t, unhurried, server)
+		n := startNode(t, lenientSettings, server)
 		c, in := dial(t, n)
 		io.WriteString(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 		r, err := http.ReadResponse(in, nil)
@@ -387,10 +387,10 @@
 // and of others that say nothing waits for room.
 func TestSlowHeadInACrowdIsServed(t *testing.T) {
 	t.Parallel()
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, func(c *Config) { unhurried(c); c.Limits.Sockets = 64 }, server)
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, func(c *Config) { lenientSettings(c); c.Limits.Sockets = 64 }, server)
 	c, in := dial(t, n)
-	text := taskText("batch", "t1", "a")
+	text := requestText("batch", "t1", "a")
 	for i := range 8 {
 		io.WriteString(c, text[i*len(text)/8:(i+1)*len(text)/8])
 		for k := range 2 * n.frontend.maxOpen {
@@ -401,31 +401,31 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	if status, body, _ := answerOn(in); status != 200 {
+	if status, body, _ := readAnswer(in); status != 200 {
 		t.Errorf("a slow client among a crowd got %d %q", status, body)
 	}
 }
 
 // Guards against the word to go on landing in the middle of an answer that is still being written.
 func TestWordToGoOnWaitsForTheAnswerBefore(t *testing.T) {
-	long := noise(24 << 20) // more than the machine takes in for a client that does not read
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	long := randomBody(24 << 20) // more than the machine takes in for a client that does not read
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodGet {
-			return say(c, "200 OK", string(long))
+			return writeAnswer(c, "200 OK", string(long))
 		}
-		return say(c, "200 OK", body)
+		return writeAnswer(c, "200 OK", body)
 	})
-	n := nodeWith(t, unhurried, server)
+	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
 	io.WriteString(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
-	soon(t, "the answer flows", func() bool { return n.count(responsesStreamed) == 1 })
+	eventually(t, "the answer flows", func() bool { return n.count(responsesStreamed) == 1 })
 	io.WriteString(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
 	time.Sleep(50 * time.Millisecond)
-	if _, body, _ := answerOn(in); body != string(long) {
+	if _, body, _ := readAnswer(in); body != string(long) {
 		t.Errorf("an answer of %d bytes came as %d others", len(long), len(body))
 	}
 	io.WriteString(c, "abc")
-	if _, body, _ := answerOn(in); body != "abc" {
+	if _, body, _ := readAnswer(in); body != "abc" {
 		t.Errorf("the second task was answered %.40q", body)
 	}
 }
@@ -437,16 +437,16 @@
 		io.WriteString(c, "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(50 * time.Millisecond)
 	})
-	n := nodeWith(t, unhurried, server)
+	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
-	fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nContent-Length: 9000000\r\n\r\n%s", noise(2*minBufferedBody))
+	fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nContent-Length: 9000000\r\n\r\n%s", randomBody(2*minBufferedBody))
 	for range 5 {
 		time.Sleep(4 * closeLinger)
-		if _, err := c.Write(noise(6500)); err != nil {
+		if _, err := c.Write(randomBody(6500)); err != nil {
 			t.Fatalf("closed on while sending: %v", err)
 		}
 	}
-	if status, _, _ := answerOn(in); status != 503 {
+	if status, _, _ := readAnswer(in); status != 503 {
 		t.Errorf("got %d", status)
 	}
 }
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -34,31 +34,31 @@
 
 type bufferedConn struct {
 	net.Conn
-	buf      []byte
-	from, to int
-	pace     *readPacer   // of the body that is being read, where progress is the measure
-	readErr  error        // of the last read that the connection itself failed
-	lastRead atomic.Int64 // when bytes came last
+	buf        []byte
+	start, end int
+	pacer      *readPacer   // of the body that is being read, where progress is the measure
+	readErr    error        // of the last read that the connection itself failed
+	lastReadAt atomic.Int64 // when bytes came last
 }
 
 func newBufferedConn(c net.Conn) *bufferedConn { return &bufferedConn{Conn: c} }
 
-func (c *bufferedConn) pending() []byte { return c.buf[c.from:c.to] }
+func (c *bufferedConn) buffered() []byte { return c.buf[c.start:c.end] }
 
 // readOnce reads once from the connection itself.
 func (c *bufferedConn) readOnce(p []byte) (int, error) {
-	if c.pace != nil {
-		if err := c.pace.begin(c.Conn); err != nil {
+	if c.pacer != nil {
+		if err := c.pacer.begin(c.Conn); err != nil {
 			c.readErr = err
 			return 0, err
 		}
 	}
 	n, err := c.Conn.Read(p)
-	if c.pace != nil {
-		c.pace.end(n)
+	if c.pacer != nil {
+		c.pacer.end(n)
 	}
 	if n > 0 {
-		c.lastRead.Store(time.Now().UnixNano())
+		c.lastReadAt.Store(time.Now().UnixNano())
 		return n, nil
 	}
 	if err == nil {
@@ -71,28 +71,28 @@
 // fill reads once, after making room.
 func (c *bufferedConn) fill() error {
 	c.shrink()
-	if c.to == len(c.buf) {
+	if c.end == len(c.buf) {
 		switch {
-		case c.from > 0:
-			c.to = copy(c.buf, c.pending())
-			c.from = 0
+		case c.start > 0:
+			c.end = copy(c.buf, c.buffered())
+			c.start = 0
 		default:
 			grown := make([]byte, max(initialBuffer, min(2*len(c.buf), len(c.buf)+maxIdleBuffer)))
-			copy(grown, c.buf[:c.to])
+			copy(grown, c.buf[:c.end])
 			c.buf = grown
 		}
 	}
-	n, err := c.readOnce(c.buf[c.to:])
-	c.to += n
+	n, err := c.readOnce(c.buf[c.end:])
+	c.end += n
 	return err
 }
 
 // shrink starts an empty buffer anew and gives back a large one, against a burst of large messages held for good.
 func (c *bufferedConn) shrink() {
-	if c.from < c.to {
+	if c.start < c.end {
 		return
 	}
-	if c.from, c.to = 0, 0; len(c.buf) > maxIdleBuffer {
+	if c.start, c.end = 0, 0; len(c.buf) > maxIdleBuffer {
 		c.buf = nil
 	}
 }
@@ -101,39 +101,39 @@
 type connReader struct{ *bufferedConn }
 
 func (r connReader) Read(p []byte) (int, error) {
-	if r.from < r.to {
-		n := copy(p, r.pending())
-		r.from += n
+	if r.start < r.end {
+		n := copy(p, r.buffered())
+		r.start += n
 		return n, nil
 	}
 	return r.readOnce(p)
 }
 
-var parsers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
+var headReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
 
 // message is one whose head has been read and whose body may still be coming.
 type message struct {
 	conn   *bufferedConn
-	in     *bufio.Reader
+	reader *bufio.Reader
 	body   io.Reader
 	length int64 // -1: the body itself tells where it ends
 }
 
 // readHead collects a head and hands it to parse, which returns the body and how long it is.
 func (c *bufferedConn) readHead(parse func(*bufio.Reader) (body io.Reader, length int64, err error)) (*message, error) {
-	for seen := 0; !headEnds(c.pending(), seen); {
-		if seen = max(0, len(c.pending())-3); len(c.pending()) > maxHeadBytes {
+	for seen := 0; !headEnds(c.buffered(), seen); {
+		if seen = max(0, len(c.buffered())-3); len(c.buffered()) > maxHeadBytes {
 			return nil, errHeadTooLong
 		}
 		if err := c.fill(); err != nil {
 			return nil, err
 		}
 	}
-	m := &message{conn: c, in: parsers.Get().(*bufio.Reader)}
-	m.in.Reset(connReader{c})
+	m := &message{conn: c, reader: headReaders.Get().(*bufio.Reader)}
+	m.reader.Reset(connReader{c})
 	c.readErr = nil
 	var err error
-	if m.body, m.length, err = parse(m.in); err != nil {
+	if m.body, m.length, err = parse(m.reader); err != nil {
 		m.end()
 		return nil, errors.Join(errMalformed, err)
 	}
@@ -146,16 +146,16 @@
 
 // end gives back what was read beyond the message. The message is not to be used any more.
 func (m *message) end() {
-	if m.in == nil {
+	if m.reader == nil {
 		return
 	}
-	if beyond, _ := m.in.Peek(m.in.Buffered()); len(beyond) > 0 {
-		b := append(append(make([]byte, 0, len(beyond)+len(m.conn.pending())), beyond...), m.conn.pending()...)
-		m.conn.buf, m.conn.from, m.conn.to = b, 0, len(b)
+	if beyond, _ := m.reader.Peek(m.reader.Buffered()); len(beyond) > 0 {
+		b := append(append(make([]byte, 0, len(beyond)+len(m.conn.buffered())), beyond...), m.conn.buffered()...)
+		m.conn.buf, m.conn.start, m.conn.end = b, 0, len(b)
 	}
-	m.in.Reset(nil)
-	parsers.Put(m.in)
-	m.in = nil
+	m.reader.Reset(nil)
+	headReaders.Put(m.reader)
+	m.reader = nil
 }
 
 // Read reads on in the body. What the connection failed is told as such; any other error is the body's own.
@@ -234,12 +234,12 @@
 func expectsContinue(h http.Header) bool { return strings.EqualFold(h.Get("Expect"), "100-continue") }
 
 // fromClient reads the head of a client's message, and tells one that holds its body back to go on, if it may say so now.
-func (c *bufferedConn) fromClient(mayTell func() bool) (r *http.Request, m *message, err error) {
-	for bytes.HasPrefix(c.pending(), []byte("\r\n")) {
-		c.from += 2 // an empty line before a message is nothing
+func (c *bufferedConn) readRequestHead(mayTell func() bool) (r *http.Request, m *message, err error) {
+	for bytes.HasPrefix(c.buffered(), []byte("\r\n")) {
+		c.start += 2 // an empty line before a message is nothing
 	}
 	m, err = c.readHead(func(in *bufio.Reader) (io.Reader, int64, error) {
-		said, encoded := framing(c.pending())
+		said, encoded := framing(c.buffered())
 		if r, err = http.ReadRequest(in); err != nil {
 			return nil, 0, err
 		}
@@ -248,14 +248,14 @@
 		}
 		return r.Body, lengthOf(r.ContentLength, r.TransferEncoding), nil
 	})
-	if err == nil && m.in.Buffered()+len(c.pending()) == 0 && m.length != 0 && expectsContinue(r.Header) && mayTell() {
+	if err == nil && m.reader.Buffered()+len(c.buffered()) == 0 && m.length != 0 && expectsContinue(r.Header) && mayTell() {
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
 	return r, m, err
 }
 
 // fromServer reads the head of a server's message, passing over interim ones.
-func (c *bufferedConn) fromServer(to *http.Request) (r *http.Response, m *message, err error) {
+func (c *bufferedConn) readResponseHead(to *http.Request) (r *http.Response, m *message, err error) {
 	for {
 		m, err = c.readHead(func(in *bufio.Reader) (io.Reader, int64, error) {
 			if r, err = http.ReadResponse(in, to); err != nil {
@@ -280,8 +280,8 @@
 		half.CloseWrite()
 	}
 	c.SetReadDeadline(time.Now().Add(closeLinger))
-	for c.from = c.to; c.fill() == nil; {
-		c.from = c.to
+	for c.start = c.end; c.fill() == nil; {
+		c.start = c.end
 	}
 }
 
@@ -289,7 +289,7 @@
 // late answers and against a connection that a restarted server no longer knows.
 func (c *bufferedConn) isQuiet() bool {
 	_, err := c.peek()
-	return c.from == c.to && err == syscall.EAGAIN
+	return c.start == c.end && err == syscall.EAGAIN
 }
 
 // hasInput tells whether something has come that nobody has read yet. It may be called beside a read.
@@ -301,7 +301,7 @@
 // isEnded tells whether the peer has ended its side, also where bytes that nobody has read stand before the end. It may be called beside
 // reads and writes. A peer that has only ended its sending looks the same: the pages have a client that closes gone, and nothing but
 // a write would tell the two apart.
-func (c *bufferedConn) isEnded() bool { return sockstate.Ended(c.Conn) }
+func (c *bufferedConn) closedByPeer() bool { return sockstate.Ended(c.Conn) }
 
 // peek looks at what the machine holds for the connection, taking nothing.
 func (c *bufferedConn) peek() (n int, err error) { return sockstate.Peek(c.Conn) }
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -39,7 +39,7 @@
 
 func (g *gate) held(t *testing.T, n int64) {
 	t.Helper()
-	soon(t, fmt.Sprintf("%d at the gate", n), func() bool { return g.come.Load() >= n })
+	eventually(t, fmt.Sprintf("%d at the gate", n), func() bool { return g.come.Load() >= n })
 }
 
 // holdDials has each connection to a server stand until the gate is opened, and then be made all the same.
@@ -61,27 +61,27 @@
 }
 
 // learn has the loop go by a line of discovery's, and returns once it has.
-func (n *Node) learn(t *testing.T, text string) {
+func (n *Node) updateList(t *testing.T, text string) {
 	t.Helper()
 	list, _, whole, err := n.parseList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.loop.postList(list, whole)
-	n.passed()
+	n.flushLoop()
 }
 
 // passed returns once the loop has handled all that stood before it.
-func (n *Node) passed() {
+func (n *Node) flushLoop() {
 	done := make(chan struct{})
 	n.loop.post(func() { close(done) })
 	<-done
 }
 
 // atClients finds the node's side of the one connection from a client.
-func (n *Node) atClients(t *testing.T) (c *clientConn) {
+func (n *Node) onlyClientConn(t *testing.T) (c *clientConn) {
 	t.Helper()
-	soon(t, "the connection", func() bool {
+	eventually(t, "the connection", func() bool {
 		n.frontend.mu.Lock()
 		defer n.frontend.mu.Unlock()
 		for c = range n.frontend.open {
@@ -92,20 +92,20 @@
 }
 
 // nobodyLeft tells that clients have come, and that their connections have ended.
-func (n *Node) nobodyLeft() bool {
+func (n *Node) allClientsClosed() bool {
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
 	return n.count(clientsAccepted) > 0 && len(n.frontend.open) == 0
 }
 
-func with(settings ...string) func(*Config) {
+func withSettings(settings ...string) func(*Config) {
 	return func(c *Config) {
 		c.Settings = json.RawMessage(strings.NewReplacer(settings...).Replace(settingsText))
 	}
 }
 
 // quiet gives a node a discovery that never answers, so that nothing but the test enters events.
-func quiet(t *testing.T) func(*Config) {
+func silentDiscovery(t *testing.T) func(*Config) {
 	address, _ := watchOf(t)
 	return func(c *Config) { c.Discovery = address }
 }
@@ -120,33 +120,33 @@
 	}{
 		"nothing": {nil, "pay", func(*testing.T, *Node, net.Conn, string) {}, 200},
 		"drains": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
-			n.learn(t, listText(2, false, listEntry("s-0", server, "draining")))
+			n.updateList(t, listText(2, false, listEntry("s-0", server, "draining")))
 		}, 503},
 		"is gone": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
-			n.learn(t, listText(2, false, listEntry("s-0", server, "removed")))
+			n.updateList(t, listText(2, false, listEntry("s-0", server, "removed")))
 		}, 503},
 		"is gone, which does not bind": {
 			[]string{`"rules":{`, `"rules":{"removal_not_binding":true,`},
 			"pay",
 			func(t *testing.T, n *Node, _ net.Conn, server string) {
-				n.learn(t, listText(2, false, listEntry("s-0", server, "removed")))
+				n.updateList(t, listText(2, false, listEntry("s-0", server, "removed")))
 			}, 200,
 		},
 		"drains, and only that binds": {
 			[]string{`"rules":{`, `"rules":{"removal_not_binding":true,`},
 			"pay",
 			func(t *testing.T, n *Node, _ net.Conn, server string) {
-				n.learn(t, listText(2, false, listEntry("s-0", server, "draining")))
+				n.updateList(t, listText(2, false, listEntry("s-0", server, "draining")))
 			}, 503,
 		},
 		"is on no whole list": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
-			n.learn(t, listText(2, true))
+			n.updateList(t, listText(2, true))
 		}, 503},
 		"another stands at its address": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
-			n.learn(t, listText(2, true, listEntry("young", server, "draining")))
+			n.updateList(t, listText(2, true, listEntry("young", server, "draining")))
 		}, 503},
 		"stands elsewhere": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
-			n.learn(t, listText(2, false, listEntry("s-0", "127.0.0.1:1", "up")))
+			n.updateList(t, listText(2, false, listEntry("s-0", "127.0.0.1:1", "up")))
 		}, 503},
 		"is taken out by hand": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, _ string) {
 			if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", n.clock.now()) }); err != nil {
@@ -155,14 +155,14 @@
 		}, 503},
 		"the client leaves": {nil, "batch", func(t *testing.T, n *Node, client net.Conn, _ string) {
 			client.Close()
-			soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+			eventually(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
 		}, 0},
 		"the client leaves, and nothing may be recalled": {
 			[]string{`"cancelling":true`, `"cancelling":false`},
 			"batch",
 			func(t *testing.T, n *Node, client net.Conn, _ string) {
 				client.Close()
-				soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+				eventually(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
 			}, 0,
 		},
 		"the task has its answer, and nothing may be recalled": {
@@ -170,28 +170,28 @@
 			"batch",
 			func(t *testing.T, n *Node, _ net.Conn, _ string) {
 				n.loop.post(func() { n.loop.Reject("t1", 0) })
-				n.passed()
+				n.flushLoop()
 			}, 503,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server, tasks := serverOf(t, echo)
-			n := newNode(t, with(c.settings...), server)
+			server, tasks := startUpstream(t, echo)
+			n := newNode(t, withSettings(c.settings...), server)
 			dials := n.holdDials(t)
 			n.start()
 			client, in := dial(t, n)
-			io.WriteString(client, taskText(c.category, "t1", ""))
+			io.WriteString(client, requestText(c.category, "t1", ""))
 			dials.held(t, 1)
 			c.event(t, n, client, server)
 			dials.pass()
 			if c.status != 0 {
-				if status, _, _ := answerOn(in); status != c.status {
+				if status, _, _ := readAnswer(in); status != c.status {
 					t.Errorf("answered %d, want %d", status, c.status)
 				}
 			}
-			soon(t, "the end of the hand-off", func() bool {
-				n.passed()
+			eventually(t, "the end of the hand-off", func() bool {
+				n.flushLoop()
 				ended := n.count(attemptsNotSent) + n.count(attemptsSucceeded) + n.count(attemptsConnectFailed)
 				return ended > 0 && ended == n.count(attemptsSent)
 			})
@@ -204,11 +204,11 @@
 
 // A request that may have run goes to its group again only while that remembers it, also where the way there takes long.
 func TestMemoryEndsDuringADial(t *testing.T) {
-	first, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool { return say(c, "500 Bad", "") })
+	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool { return writeAnswer(c, "500 Bad", "") })
 	for name, span := range map[string]int64{"ends": 150, "lasts": 700} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := newNode(t, with(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, span*1000)), first, first)
+			n := newNode(t, withSettings(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, span*1000)), first, first)
 			second := newGate(t)
 			n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
 				if n.count(attemptsSent) > 1 {
@@ -219,11 +219,11 @@
 			n.start()
 			began := n.clock.now()
 			client, in := dial(t, n)
-			io.WriteString(client, taskText("update", "t1", ""))
+			io.WriteString(client, requestText("update", "t1", ""))
 			second.held(t, 1)
 			time.Sleep(time.Until(n.clock.at(began.Add(200 * time.Millisecond)))) // later than the shorter memory in any case
 			second.pass()
-			status, _, _ := answerOn(in)
+			status, _, _ := readAnswer(in)
 			if ran := n.count(attemptsErrored); status != 502 || name == "ends" && ran != 1 || name == "lasts" && ran < 1 {
 				t.Errorf("answered %d, %d hand-offs have run", status, ran)
 			}
@@ -234,11 +234,11 @@
 // A request is written some time after it was judged, and comes to its server later still: close before the end of the memory it stays.
 func TestMemoryIsAboutToEnd(t *testing.T) {
 	const span = 800 * time.Millisecond
-	failing, tasks := serverOf(t, func(c net.Conn, r *http.Request, _ string) bool {
+	failing, tasks := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 		time.Sleep(span - 20*time.Millisecond)
-		return say(c, "500 Bad", "")
+		return writeAnswer(c, "500 Bad", "")
 	})
-	n := nodeWith(t, with(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, span.Microseconds()), `800000`, `20000000`, `300000`, `20000000`),
+	n := startNode(t, withSettings(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, span.Microseconds()), `800000`, `20000000`, `300000`, `20000000`),
 		failing, failing)
 	if status, _, _ := ask(t, n, "update", "t1", ""); status != 502 || tasks.Load() != 1 {
 		t.Errorf("answered %d after %d attempts, want 502 after one", status, tasks.Load())
@@ -270,22 +270,22 @@
 				t.Run(fmt.Sprintf("%s, %s, somebody else there: %t", group, name, !outside), func(t *testing.T) {
 					t.Parallel()
 					gate := newGate(t)
-					first, _ := serverOf(t, func(net.Conn, *http.Request, string) bool { gate.wait(); return false }) // cut: it may have run
-					fellow, _ := serverOf(t, echo)
-					elsewhere, strangers := serverOf(t, echo)
-					n := newNode(t, with(`"group":"zone"`, fmt.Sprintf(`"group":%q`, group)))
+					first, _ := startUpstream(t, func(net.Conn, *http.Request, string) bool { gate.wait(); return false }) // cut: it may have run
+					fellow, _ := startUpstream(t, echo)
+					elsewhere, strangers := startUpstream(t, echo)
+					n := newNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, group)))
 					n.start()
-					n.learn(t, listText(1, true, there(listEntry("s-0", first, "up"))))
+					n.updateList(t, listText(1, true, there(listEntry("s-0", first, "up"))))
 					client, answers := dial(t, n)
-					io.WriteString(client, taskText("update", "t1", "x"))
+					io.WriteString(client, requestText("update", "t1", "x"))
 					gate.held(t, 1)
 					inGroup, want := there(listEntry("s-1", fellow, "up")), 200
 					if outside {
 						inGroup, want = there(listEntry("s-1", fellow, "draining")), 502
 					}
-					n.learn(t, list(listEntry("s-0", first, "removed"), inGroup, other(listEntry("s-2", elsewhere, "up"))))
+					n.updateList(t, list(listEntry("s-0", first, "removed"), inGroup, other(listEntry("s-2", elsewhere, "up"))))
 					gate.pass()
-					if status, _, _ := answerOn(answers); status != want || strangers.Load() != 0 {
+					if status, _, _ := readAnswer(answers); status != want || strangers.Load() != 0 {
 						t.Errorf("answered %d, want %d; sent outside its group %d times", status, want, strangers.Load())
 					}
 				})
@@ -305,13 +305,13 @@
 				t.Parallel()
 				var mu sync.Mutex
 				ran, both := map[string]bool{}, 0
-				failing, attempts := serverOf(t, func(c net.Conn, r *http.Request, _ string) bool {
+				failing, attempts := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 					mu.Lock()
 					ran[r.Header.Get(headerRequestID)] = true
 					mu.Unlock()
-					return say(c, "500 Bad", "")
+					return writeAnswer(c, "500 Bad", "")
 				})
-				left, served := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+				left, served := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 					mu.Lock()
 					if ran[r.Header.Get(headerRequestID)] {
 						both++
@@ -319,17 +319,17 @@
 					mu.Unlock()
 					return echo(c, r, body)
 				})
-				n := newNode(t, with(`"group":"zone"`, fmt.Sprintf(`"group":%q`, group), `"rules":{`, `"rules":{"removal_not_binding":true,`))
+				n := newNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, group), `"rules":{`, `"rules":{"removal_not_binding":true,`))
 				n.start()
 				stays := listEntry("s-1", failing, "up")
 				if group == "cell" {
 					stays = strings.Replace(stays, `"block":1`, `"block":0`, 1)
 				}
-				n.learn(t, listText(1, true, change.Replace(listEntry("s-0", left, "up"))))
+				n.updateList(t, listText(1, true, change.Replace(listEntry("s-0", left, "up"))))
 				if list == "" {
-					n.learn(t, listText(2, true, stays))
+					n.updateList(t, listText(2, true, stays))
 				} else {
-					n.learn(t, listText(2, false, list, stays))
+					n.updateList(t, listText(2, false, list, stays))
 				}
 				for i := 0; i < 200 && (attempts.Load() == 0 || served.Load() == 0 || i < 20); i++ {
 					ask(t, n, "update", fmt.Sprint("t", i), "")
@@ -347,12 +347,12 @@
 // A hedged request that is still on its way to a server when the first is answered is not written, also where none may be recalled.
 func TestAnswerCrossesACopyThatDials(t *testing.T) {
 	answers := newGate(t)
-	first, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
 		return echo(c, r, body)
 	})
-	other, tasks := serverOf(t, echo)
-	n := newNode(t, with(`"may_duplicate":false`, `"may_duplicate":true`, `"cancelling":true`, `"cancelling":false`), first)
+	other, tasks := startUpstream(t, echo)
+	n := newNode(t, withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `"cancelling":true`, `"cancelling":false`), first)
 	dials := newGate(t)
 	n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
 		if address == other {
@@ -362,17 +362,17 @@
 	}
 	n.start()
 	client, in := dial(t, n)
-	io.WriteString(client, taskText("batch", "t1", ""))
+	io.WriteString(client, requestText("batch", "t1", ""))
 	answers.held(t, 1)
-	n.learn(t, listText(2, false, listEntry("s-1", other, "up")))
+	n.updateList(t, listText(2, false, listEntry("s-1", other, "up")))
 	n.loop.post(func() { n.loop.Send("t1", endpointID("s-1"), 20*time.Second) })
 	dials.held(t, 1)
 	answers.pass()
-	if status, _, _ := answerOn(in); status != 200 {
+	if status, _, _ := readAnswer(in); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
 	dials.pass()
-	soon(t, "the end of the copy", func() bool { return n.count(attemptsNotSent) == 1 })
+	eventually(t, "the end of the copy", func() bool { return n.count(attemptsNotSent) == 1 })
 	if tasks.Load() != 0 {
 		t.Error("a copy went out for a task that has its answer")
 	}
@@ -382,7 +382,7 @@
 func TestClientLeavesWhileItsTaskWaits(t *testing.T) {
 	many := func(n int) (text string) {
 		for i := range n {
-			text += taskText("batch", fmt.Sprint("t", i), "")
+			text += requestText("batch", fmt.Sprint("t", i), "")
 		}
 		return text
 	}
@@ -395,19 +395,19 @@
 	}{
 		"one task at the door": {many(1), leave}, "one, reset": {many(1), reset}, "one, half-closed": {many(1), halve},
 		"many at once": {many(20), leave}, "many, reset": {many(20), reset}, "more than is read at once": {many(200), leave},
-		"a long body that is half there": {strings.Replace(taskText("batch", "t", strings.Repeat("x", 900<<10)), "X-Lane: batch\r\n", "", 1)[:300<<10], leave},
+		"a long body that is half there": {strings.Replace(requestText("batch", "t", strings.Repeat("x", 900<<10)), "X-Lane: batch\r\n", "", 1)[:300<<10], leave},
 	} {
 		t.Run("before the node looks: "+name, func(t *testing.T) {
 			t.Parallel()
-			server, tasks := serverOf(t, echo)
+			server, tasks := startUpstream(t, echo)
 			n := newNode(t, nil, server)
 			client, _ := dial(t, n) // the machine takes it, nobody has yet
 			client.SetDeadline(time.Now().Add(time.Second))
 			io.WriteString(client, c.text)
 			c.leave(client)
 			n.start()
-			soon(t, "the connection's end", n.nobodyLeft)
-			n.passed()
+			eventually(t, "the connection's end", n.allClientsClosed)
+			n.flushLoop()
 			if tasks.Load() != 0 || n.count(requestsAccepted) != 0 {
 				t.Errorf("%d tasks were taken and %d went to the server, for nobody", n.count(requestsAccepted), tasks.Load())
 			}
@@ -416,38 +416,38 @@
 	t.Run("behind tasks that are out", func(t *testing.T) {
 		t.Parallel()
 		answers := newGate(t)
-		server, tasks := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+		server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 			answers.wait()
 			return echo(c, r, body)
 		})
-		n := nodeWith(t, nil, server)
+		n := startNode(t, nil, server)
 		client, _ := dial(t, n)
 		io.WriteString(client, many(20))
-		soon(t, "as many as are read ahead", func() bool { return tasks.Load() == n.count(attemptsSent) && tasks.Load() > maxPipelined })
-		at := n.atClients(t)
+		eventually(t, "as many as are read ahead", func() bool { return tasks.Load() == n.count(attemptsSent) && tasks.Load() > maxPipelined })
+		at := n.onlyClientConn(t)
 		client.Close()
-		soon(t, "its end", at.isGone)
+		eventually(t, "its end", at.clientGone)
 		before := tasks.Load()
 		answers.pass()
-		soon(t, "the connection's end", n.nobodyLeft)
-		if n.passed(); tasks.Load() != before {
+		eventually(t, "the connection's end", n.allClientsClosed)
+		if n.flushLoop(); tasks.Load() != before {
 			t.Errorf("%d tasks at the server when the client left, %d in the end", before, tasks.Load())
 		}
 	})
 	t.Run("all dialling, and the reader sees nothing", func(t *testing.T) {
 		t.Parallel()
-		server, tasks := serverOf(t, echo)
-		n := newNode(t, quiet(t), server, server, server)
+		server, tasks := startUpstream(t, echo)
+		n := newNode(t, silentDiscovery(t), server, server, server)
 		dials := n.holdDials(t)
 		n.start()
 		client, _ := dial(t, n)
 		io.WriteString(client, many(20))
 		dials.held(t, maxPipelined+2) // as many as stand in turn, with the writer's and the reader's
-		at := n.atClients(t)
+		at := n.onlyClientConn(t)
 		client.Close()
-		soon(t, "its end", at.isGone)
+		eventually(t, "its end", at.clientGone)
 		dials.pass()
-		soon(t, "the withdrawals", func() bool { n.passed(); return n.count(attemptsNotSent) == n.count(attemptsSent) })
+		eventually(t, "the withdrawals", func() bool { n.flushLoop(); return n.count(attemptsNotSent) == n.count(attemptsSent) })
 		if sent, taken, withdrawn := n.count(attemptsSent), n.count(requestsAccepted), n.count(requestsCanceled); tasks.Load() != 0 || sent != taken || withdrawn != taken {
 			t.Errorf("of %d tasks %d were handed off, %d withdrawn, %d came to servers", taken, sent, withdrawn, tasks.Load())
 		}
@@ -455,23 +455,23 @@
 	t.Run("in the loop's queue, behind the answer that sends it again", func(t *testing.T) {
 		t.Parallel()
 		errs := newGate(t)
-		server, tasks := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+		server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 			errs.wait()
-			return say(c, "500 Bad", "")
+			return writeAnswer(c, "500 Bad", "")
 		})
-		n := nodeWith(t, quiet(t), server, server)
+		n := startNode(t, silentDiscovery(t), server, server)
 		client, _ := dial(t, n)
-		io.WriteString(client, taskText("batch", "t", ""))
+		io.WriteString(client, requestText("batch", "t", ""))
 		errs.held(t, 1)
 		held := n.holdLoop(t)
 		errs.pass()
-		soon(t, "the answer in the queue", func() bool { return len(n.loop.events) == 1 })
+		eventually(t, "the answer in the queue", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
-		soon(t, "the withdrawal behind it", func() bool { return len(n.loop.events) == 2 })
+		eventually(t, "the withdrawal behind it", func() bool { return len(n.loop.events) == 2 })
 		held.pass()
-		soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
-		soon(t, "the end", func() bool {
-			n.passed()
+		eventually(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+		eventually(t, "the end", func() bool {
+			n.flushLoop()
 			return n.count(attemptsSent) == n.count(attemptsErrored)+n.count(attemptsNotSent)+n.count(attemptsCanceled)
 		})
 		if tasks.Load() != 1 {
@@ -480,17 +480,17 @@
 	})
 	t.Run("in the loop's queue, before its arrival", func(t *testing.T) {
 		t.Parallel()
-		server, tasks := serverOf(t, echo)
-		n := nodeWith(t, quiet(t), server)
+		server, tasks := startUpstream(t, echo)
+		n := startNode(t, silentDiscovery(t), server)
 		held := n.holdLoop(t)
 		client, _ := dial(t, n)
-		io.WriteString(client, taskText("batch", "t", ""))
-		soon(t, "the arrival in the queue", func() bool { return len(n.loop.events) == 1 })
+		io.WriteString(client, requestText("batch", "t", ""))
+		eventually(t, "the arrival in the queue", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
-		soon(t, "the withdrawal behind it", func() bool { return len(n.loop.events) == 2 })
+		eventually(t, "the withdrawal behind it", func() bool { return len(n.loop.events) == 2 })
 		held.pass()
-		soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
-		soon(t, "the end", func() bool { n.passed(); return n.count(attemptsSent) == n.count(attemptsNotSent) })
+		eventually(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+		eventually(t, "the end", func() bool { n.flushLoop(); return n.count(attemptsSent) == n.count(attemptsNotSent) })
 		if tasks.Load() != 0 {
 			t.Error("it went to the server")
 		}
@@ -500,26 +500,26 @@
 // A node that stops takes what its machine has accepted, also where that has to wait for room.
 func TestStopTakesWhatTheMachineHasAccepted(t *testing.T) {
 	answers := newGate(t)
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	n.frontend.setLimits(1, 0, 100)
 	var ins []*bufio.Reader
 	for i := range 5 { // one at work, one at the door, three in the machine
 		c, in := dial(t, n)
 		ins = append(ins, in)
-		io.WriteString(c, taskText("batch", fmt.Sprint("t", i), ""))
-		soon(t, "the first at work and the second at the door", func() bool { return int(n.count(clientsAccepted)) == min(i+1, 2) })
+		io.WriteString(c, requestText("batch", fmt.Sprint("t", i), ""))
+		eventually(t, "the first at work and the second at the door", func() bool { return int(n.count(clientsAccepted)) == min(i+1, 2) })
 	}
 	answers.held(t, 1)
 	stopped := make(chan struct{})
 	go func() { n.stop(); close(stopped) }()
-	soon(t, "the end of taking", n.frontend.ending.Load)
+	eventually(t, "the end of taking", n.frontend.draining.Load)
 	answers.pass()
 	for i, in := range ins {
-		if status, body, _ := answerOn(in); status != 200 {
+		if status, body, _ := readAnswer(in); status != 200 {
 			t.Errorf("task %d was answered %d %s", i, status, body)
 		}
 	}
@@ -580,9 +580,9 @@
 					}
 					io.Copy(io.Discard, r.Body)
 				}
-				say(conn, "200 OK", "whole")
+				writeAnswer(conn, "200 OK", "whole")
 			})
-			n := newNode(t, quiet(t), server)
+			n := newNode(t, silentDiscovery(t), server)
 			if name == "dialling" {
 				g = n.holdDials(t)
 			}
@@ -591,19 +591,19 @@
 				g = c.hold(t, n)
 			}
 			client, in := dial(t, n)
-			go io.WriteString(client, taskText("batch", "t", c.body))
+			go io.WriteString(client, requestText("batch", "t", c.body))
 			g.held(t, 1)
-			soon(t, "there", func() bool { return c.there == nil || c.there(n) })
+			eventually(t, "there", func() bool { return c.there == nil || c.there(n) })
 			stopped := make(chan struct{})
 			go func() { n.stop(); close(stopped) }()
-			soon(t, "the end of taking", n.frontend.ending.Load)
+			eventually(t, "the end of taking", n.frontend.draining.Load)
 			select {
 			case <-stopped:
 				t.Error("the stop ended with a task out") // and the process with it
 			case <-time.After(100 * time.Millisecond): // rounds in which it might have
 			}
 			g.pass()
-			status, body, header := answerOn(in)
+			status, body, header := readAnswer(in)
 			if status != 200 || body != "whole" && body != "half" && body != long {
 				t.Errorf("answered %d with %d bytes, %v", status, len(body), header)
 			}
@@ -614,7 +614,7 @@
 
 // A connection whose first bytes come just as its time for them ends is read, and is no endless loop.
 func TestFirstBytesComeAsTheirTimeEnds(t *testing.T) {
-	n := nodeWith(t, nil)
+	n := startNode(t, nil)
 	l, err := net.Listen("tcp", address())
 	if err != nil {
 		t.Fatal(err)
@@ -631,8 +631,8 @@
 	}
 	defer own.Close()
 	io.WriteString(peer, "GET "+pathReady+" HTTP/1.1\r\nHost: h\r\n\r\n")
-	c := &clientConn{frontend: n.frontend, conn: newBufferedConn(own), responseOrder: make(chan *pendingRequest, 1), opened: time.Now().Add(-headTimeout)}
-	soon(t, "the request", c.conn.hasInput)
+	c := &clientConn{frontend: n.frontend, conn: newBufferedConn(own), responseOrder: make(chan *pendingRequest, 1), admittedAt: time.Now().Add(-headTimeout)}
+	eventually(t, "the request", c.conn.hasInput)
 	read := make(chan error, 1)
 	go func() {
 		r, err := c.readRequest(newPendingRequest())
@@ -653,7 +653,7 @@
 
 // A keyed request that may have run is rejected only where every server would drop its repeat, and only for as long as they would.
 func TestDeclineOfAKeyedRequest(t *testing.T) {
-	silent, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool { io.Copy(io.Discard, c); return false })
+	silent, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool { io.Copy(io.Discard, c); return false })
 	for name, c := range map[string]struct {
 		group  string
 		span   string
@@ -669,15 +669,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := nodeWith(t, with(`"group":"zone"`, fmt.Sprintf(`"group":%q`, c.group), `"memory_span_us":2000000`, `"memory_span_us":`+c.span), silent)
+			n := startNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, c.group), `"memory_span_us":2000000`, `"memory_span_us":`+c.span), silent)
 			client, in := dial(t, n)
-			io.WriteString(client, taskText("update", "t1", ""))
-			soon(t, "it is out", func() bool { return n.count(attemptsSent) == 1 })
+			io.WriteString(client, requestText("update", "t1", ""))
+			eventually(t, "it is out", func() bool { return n.count(attemptsSent) == 1 })
 			time.Sleep(5 * time.Millisecond) // longer than the short memory
 			if c.ends {
 				n.loop.post(n.loop.giveUpAll)
 			}
-			if status, _, _ := answerOn(in); status != c.status {
+			if status, _, _ := readAnswer(in); status != c.status {
 				t.Errorf("answered %d, want %d", status, c.status)
 			}
 		})
@@ -686,7 +686,7 @@
 
 // What has no answer shortly before the platform kills a process is given up: a reject where another try does no harm.
 func TestWhatIsOutAtTheEndIsGivenUp(t *testing.T) {
-	silent, tasks := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	silent, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.URL.Path == "/batch" { // an answer whose end is the connection's, and that does not come
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 			for _, err := io.WriteString(c, "x"); err == nil; _, err = io.WriteString(c, "x") {
@@ -696,17 +696,17 @@
 		io.Copy(io.Discard, c)
 		return false
 	})
-	n := nodeWith(t, with(`800000`, `20000000`, `300000`, `20000000`), silent)
+	n := startNode(t, withSettings(`800000`, `20000000`, `300000`, `20000000`), silent)
 	want := map[string]int{"view": 503, "update": 502, "pay": 502}
 	ins := map[string]*bufio.Reader{}
 	for category := range want {
 		c, in := dial(t, n)
-		io.WriteString(c, taskText(category, category, ""))
+		io.WriteString(c, requestText(category, category, ""))
 		ins[category] = in
 	}
 	old, oldIn := dial(t, n)
 	io.WriteString(old, "GET /batch HTTP/1.0\r\nX-Txn: old\r\n\r\n")
-	soon(t, "all at the server, and an answer on its way", func() bool { return tasks.Load() == 4 && n.count(responsesStreamed) == 1 })
+	eventually(t, "all at the server, and an answer on its way", func() bool { return tasks.Load() == 4 && n.count(responsesStreamed) == 1 })
 	stopped := make(chan struct{})
 	go func() { n.stop(); close(stopped) }()
 	<-stopped
@@ -714,7 +714,7 @@
 		t.Errorf("at the end %d tasks are declined and %d broken off, want 1 and 2", n.count(requestsRejected), n.count(requestsFailed))
 	}
 	for category, status := range want {
-		if got, body, _ := answerOn(ins[category]); got != status {
+		if got, body, _ := readAnswer(ins[category]); got != status {
 			t.Errorf("%s was answered %d %s, want %d", category, got, body, status)
 		}
 	}
@@ -732,31 +732,31 @@
 // A connection is not closed behind an answer while the next request has begun to come.
 func TestTaskBeginsAsItsConnectionIsToClose(t *testing.T) {
 	answers := newGate(t)
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	client, in := dial(t, n)
-	next := taskText("batch", "b", "body")
-	io.WriteString(client, taskText("batch", "a", "")+next[:60])
+	next := requestText("batch", "b", "body")
+	io.WriteString(client, requestText("batch", "a", "")+next[:60])
 	answers.held(t, 1)
-	at := n.atClients(t)
-	soon(t, "half of the second task", func() bool {
+	at := n.onlyClientConn(t)
+	eventually(t, "half of the second task", func() bool {
 		at.mu.Lock()
 		defer at.mu.Unlock()
-		return !at.began.IsZero() && at.pending == 1
+		return !at.messageBegan.IsZero() && at.pending == 1
 	})
 	n.stopping.Store(true)
 	answers.pass()
-	if status, _, header := answerOn(in); status != 200 || header.Get("Connection") == "close" {
+	if status, _, header := readAnswer(in); status != 200 || header.Get("Connection") == "close" {
 		t.Errorf("the first was answered %d, %v", status, header)
 	}
 	io.WriteString(client, next[60:])
-	if status, _, _ := answerOn(in); status != 200 {
+	if status, _, _ := readAnswer(in); status != 200 {
 		t.Errorf("the second was answered %d", status)
 	}
-	if status, _, _ := answerOn(in); status != 0 {
+	if status, _, _ := readAnswer(in); status != 0 {
 		t.Error("the connection stays after the last")
 	}
 }
@@ -774,22 +774,22 @@
 				return
 			}
 			if i > 0 && first {
-				say(c, "200 OK", "stray") // the second answer comes before its own
+				writeAnswer(c, "200 OK", "stray") // the second answer comes before its own
 			}
 			echo(c, r, "")
 			if i == 0 && first {
 				go func() {
 					stray.wait()
-					say(c, "200 OK", "stray")
+					writeAnswer(c, "200 OK", "stray")
 				}()
 			}
 		}
 	})
 	idleOf := func(n *Node) (c *upstreamConn) {
-		soon(t, "an idle connection", func() bool {
+		eventually(t, "an idle connection", func() bool {
 			n.upstreams.mu.Lock()
 			defer n.upstreams.mu.Unlock()
-			for _, list := range n.upstreams.idle {
+			for _, list := range n.upstreams.idleConns {
 				c = list[0]
 			}
 			return c != nil
@@ -798,7 +798,7 @@
 	}
 	t.Run("another task is out", func(t *testing.T) {
 		n := newNode(t, nil, server)
-		n.upstreams.strayRest = time.Hour
+		n.upstreams.strayCooldown = time.Hour
 		n.start()
 		n.upstreams.noteStray(true) // such have been seen here
 		ask(t, n, "batch", "a", "")
@@ -812,15 +812,15 @@
 	})
 	t.Run("idle", func(t *testing.T) {
 		conns.Store(0)
-		n := nodeWith(t, nil, server)
+		n := startNode(t, nil, server)
 		ask(t, n, "batch", "a", "")
 		c := idleOf(n)
 		stray.pass()
-		soon(t, "the second answer", c.hasInput)
+		eventually(t, "the second answer", c.hasInput)
 		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
 			t.Errorf("once the second answer has come a task got %q", body)
 		}
-		if n.upstreams.lastStray.Load() == 0 {
+		if n.upstreams.lastStrayAt.Load() == 0 {
 			t.Error("it was not noticed")
 		}
 	})
@@ -842,7 +842,7 @@
 		"nor in any of these cases": {strayed: true, turned: true},
 	} {
 		n := newNode(t, nil)
-		n.upstreams.strayRest = time.Hour
+		n.upstreams.strayCooldown = time.Hour
 		n.upstreams.setAddress(1, server, c.standing)
 		n.upstreams.noteStray(c.strayed)
 		raw, err := net.Dial("tcp", server)
@@ -850,14 +850,14 @@
 			t.Fatal(err)
 		}
 		n.upstreams.reserveSlot()
-		n.upstreams.putIdle(&upstreamConn{bufferedConn: newBufferedConn(raw), target: at, rejected: c.turned})
+		n.upstreams.putIdle(&upstreamConn{bufferedConn: newBufferedConn(raw), target: at, lastRejected: c.turned})
 		if open := n.upstreams.open; open != 0 != c.standing {
 			t.Errorf("%s: %d connections are open", name, open)
 		}
 		if got := n.upstreams.takeIdle(at); got != nil != c.taken {
 			t.Errorf("%s: taken %t", name, got != nil)
 		}
-		n.upstreams.strayRest = 0
+		n.upstreams.strayCooldown = 0
 		if got := n.upstreams.takeIdle(at); got != nil != (c.standing && !c.taken) {
 			t.Errorf("%s: taken %t once it has rested", name, got != nil)
 		}
@@ -867,17 +867,21 @@
 
 // A server that has started anew at its address is not sent to on connections from before.
 func TestServerStartsAnewWhereItStood(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, nil, server)
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, nil, server)
 	ask(t, n, "batch", "a", "")
-	soon(t, "an idle connection", func() bool { n.upstreams.mu.Lock(); defer n.upstreams.mu.Unlock(); return n.upstreams.order.Len() == 1 })
+	eventually(t, "an idle connection", func() bool {
+		n.upstreams.mu.Lock()
+		defer n.upstreams.mu.Unlock()
+		return n.upstreams.idleOrder.Len() == 1
+	})
 	born := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`, fmt.Sprintf(`"born_ms":%d`, n.clock.nanos()/milli), 1)
-	n.learn(t, listText(2, false, born))
-	soon(t, "its end", func() bool { n.upstreams.mu.Lock(); defer n.upstreams.mu.Unlock(); return n.upstreams.open == 0 })
-	n.learn(t, listText(3, false, born))
+	n.updateList(t, listText(2, false, born))
+	eventually(t, "its end", func() bool { n.upstreams.mu.Lock(); defer n.upstreams.mu.Unlock(); return n.upstreams.open == 0 })
+	n.updateList(t, listText(3, false, born))
 	ask(t, n, "batch", "b", "")
-	n.learn(t, listText(4, false, born))
-	if n.passed(); n.count(upstreamConnsIdleClosed) != 1 {
+	n.updateList(t, listText(4, false, born))
+	if n.flushLoop(); n.count(upstreamConnsIdleClosed) != 1 {
 		t.Errorf("%d connections closed", n.count(upstreamConnsIdleClosed))
 	}
 }
@@ -894,7 +898,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for category, want := range c.status {
-				server, tasks := serverOf(t, func(conn net.Conn, r *http.Request, body string) bool {
+				server, tasks := startUpstream(t, func(conn net.Conn, r *http.Request, body string) bool {
 					if r.Header.Get(headerRequestID) == "first" {
 						return echo(conn, r, body)
 					}
@@ -903,7 +907,7 @@
 					}
 					return false
 				})
-				n := nodeWith(t, nil, server)
+				n := startNode(t, nil, server)
 				ask(t, n, category, "first", "")
 				if status, _, _ := ask(t, n, category, "second", ""); status != want || tasks.Load() != 2 {
 					t.Errorf("%s: answered %d, want %d; %d tasks came", category, status, want, tasks.Load())
@@ -917,13 +921,13 @@
 }
 
 // noted notes by when a write has to be over, and takes it all.
-type noted struct {
+type deadlineRecorder struct {
 	net.Conn
 	end time.Time
 }
 
-func (c *noted) SetWriteDeadline(end time.Time) error { c.end = end; return nil }
-func (c *noted) Write(p []byte) (int, error)          { return len(p), nil }
+func (c *deadlineRecorder) SetWriteDeadline(end time.Time) error { c.end = end; return nil }
+func (c *deadlineRecorder) Write(p []byte) (int, error)          { return len(p), nil }
 
 // A stop holds that comes just before one who carries the attempt, or reads its body, sets a time of its own.
 func TestStopCrossesADeadline(t *testing.T) {
@@ -934,7 +938,7 @@
 		}
 		var read time.Time
 		h.setDeadline(func(end time.Time) error { read = end; return nil }, time.Now().Add(time.Hour))
-		c := &noted{}
+		c := &deadlineRecorder{}
 		writePaced(c, h, []byte("x"))
 		for name, end := range map[string]time.Time{"a read": read, "a write": c.end} {
 			if end.Before(time.Now()) != stopped {
@@ -945,7 +949,7 @@
 		defer far.Close()
 		var given atomic.Bool
 		given.Store(stopped)
-		if err := (&readPacer{stall: time.Hour, given: &given}).begin(near); (err == errBodyAbandoned) != stopped {
+		if err := (&readPacer{stall: time.Hour, abandoned: &given}).begin(near); (err == errBodyAbandoned) != stopped {
 			t.Errorf("given up %t: %v", stopped, err)
 		}
 	}
@@ -1022,16 +1026,16 @@
 		} {
 			t.Run(mode+": "+name, func(t *testing.T) {
 				t.Parallel()
-				server, tasks := serverOf(t, echo)
+				server, tasks := startUpstream(t, echo)
 				address, _ := watchOf(t, script(server)...)
 				n := newNode(t, func(c *Config) {
-					with(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode), `"ask_within_us":10000000`, `"ask_within_us":3600000000`)(c)
+					withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode), `"ask_within_us":10000000`, `"ask_within_us":3600000000`)(c)
 					c.Discovery = address
 				}, server)
 				n.endpointWatch.silenceTimeout, n.endpointWatch.retryInterval = 60*time.Millisecond, time.Hour
 				n.start()
-				soon(t, "the drain", func() bool {
-					n.passed()
+				eventually(t, "the drain", func() bool {
+					n.flushLoop()
 					n.upstreams.mu.Lock()
 					defer n.upstreams.mu.Unlock()
 					return len(n.upstreams.eligible) == 0
@@ -1058,12 +1062,12 @@
 	} {
 		t.Run("push: "+name, func(t *testing.T) {
 			t.Parallel()
-			server, _ := serverOf(t, echo)
+			server, _ := startUpstream(t, echo)
 			address, asked := watchOf(t, func(conn net.Conn, chunk func(string)) { c.first(conn, chunk, server) })
-			n := newNode(t, func(c *Config) { with(`"discovery":"ask"`, `"discovery":"push"`)(c); c.Discovery = address }, server)
+			n := newNode(t, func(c *Config) { withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c); c.Discovery = address }, server)
 			n.endpointWatch.headTimeout, n.endpointWatch.retryInterval = 60*time.Millisecond, c.wait
 			n.start()
-			soon(t, "the next call", func() bool { return asked.Load() >= 2 })
+			eventually(t, "the next call", func() bool { return asked.Load() >= 2 })
 			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
 				t.Errorf("by half a line a server was given up: %d", status)
 			}
@@ -1074,7 +1078,7 @@
 // Between calls there is always a wait, whatever the settings say of sends to draining servers.
 func TestWaitsBetweenCalls(t *testing.T) {
 	for within, want := range map[int]time.Duration{0: maxRetryInterval, 1: minRetryInterval, 400000: 100 * time.Millisecond, 60000000: maxRetryInterval} {
-		n := newNode(t, with(`"rules":{`, fmt.Sprintf(`"rules":{"stop_sending_within_us":%d,`, within)))
+		n := newNode(t, withSettings(`"rules":{`, fmt.Sprintf(`"rules":{"stop_sending_within_us":%d,`, within)))
 		if n.endpointWatch.retryInterval != want {
 			t.Errorf("sends stop within %d us: a wait of %v, want %v", within, n.endpointWatch.retryInterval, want)
 		}
@@ -1083,7 +1087,7 @@
 
 // What is pushed counts from the first moment of a new process: no request goes by the list from before while the first word is due.
 func TestPushedListIsHeardBeforeTheFirstTask(t *testing.T) {
-	server, tasks := serverOf(t, echo)
+	server, tasks := startUpstream(t, echo)
 	word := newGate(t)
 	address, _ := watchOf(t, func(c net.Conn, chunk func(string)) {
 		word.wait()
@@ -1091,23 +1095,23 @@
 		chunk(listText(2, false, listEntry("s-0", server, "draining")) + "\n")
 		io.Copy(io.Discard, c)
 	})
-	n := newNode(t, func(c *Config) { with(`"discovery":"ask"`, `"discovery":"push"`)(c); c.Discovery = address }, server)
+	n := newNode(t, func(c *Config) { withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c); c.Discovery = address }, server)
 	client, in := dial(t, n)
-	io.WriteString(client, taskText("batch", "t", ""))
+	io.WriteString(client, requestText("batch", "t", ""))
 	go n.start()
 	word.held(t, 1)
 	if n.notReady() == "" {
 		t.Error("ready before the first word")
 	}
 	word.pass()
-	if status, _, _ := answerOn(in); status != 503 || tasks.Load() != 0 {
+	if status, _, _ := readAnswer(in); status != 503 || tasks.Load() != 0 {
 		t.Errorf("answered %d, %d tasks at a server that is draining", status, tasks.Load())
 	}
 }
 
 // The last line of an old place of discovery does not come after the first of the new one.
 func TestLastLineOfAnOldPlaceCrossesTheMove(t *testing.T) {
-	server, _ := serverOf(t, echo)
+	server, _ := startUpstream(t, echo)
 	late := newGate(t)
 	old, _ := watchOf(t, func(c net.Conn, chunk func(string)) {
 		io.WriteString(c, watchBegins)
@@ -1120,11 +1124,11 @@
 		chunk(listText(3, true, listEntry("s-0", server, "up")) + "\n")
 		io.Copy(io.Discard, c)
 	})
-	n := nodeWith(t, func(c *Config) { c.Discovery = old }, server)
+	n := startNode(t, func(c *Config) { c.Discovery = old }, server)
 	late.held(t, 1)
 	n.endpointWatch.move(young)
 	late.pass()
-	soon(t, "the new list", func() bool { return n.count(listUpdates) >= 2 })
+	eventually(t, "the new list", func() bool { return n.count(listUpdates) >= 2 })
 	if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
 		t.Errorf("answered %d by a list that was left", status)
 	}
@@ -1132,7 +1136,7 @@
 
 // The socket that processes share turns blocking while one stands before its next accept: the end of taking reaches it all the same.
 func TestSharedSocketTurnsBlocking(t *testing.T) {
-	server, _ := serverOf(t, echo)
+	server, _ := startUpstream(t, echo)
 	n := processes(t, server)()
 	n.start()
 	raw, err := n.frontend.listener.(*net.TCPListener).SyscallConn()
@@ -1166,23 +1170,23 @@
 
 // Where the successor dies while the old process is stopping, the old one takes what still comes.
 func TestSuccessorDiesWhileTheOldProcessStops(t *testing.T) {
-	server, _ := serverOf(t, echo)
+	server, _ := startUpstream(t, echo)
 	next := processes(t, server)
 	old := next()
 	old.start()
 	fresh := next()
 	fresh.hotRestart.announceServing()
-	soon(t, "the old one yields", old.hotRestart.hasYielded)
+	eventually(t, "the old one yields", old.hotRestart.hasYielded)
 	client, in := dial(t, old) // stands in the machine: the successor was to take it
-	io.WriteString(client, taskText("batch", "t", ""))
+	io.WriteString(client, requestText("batch", "t", ""))
 	stopped := make(chan struct{})
 	go func() { old.stop(); close(stopped) }()
-	soon(t, "the stop", old.stopping.Load)
+	eventually(t, "the stop", old.stopping.Load)
 	fresh.hotRestart.close()
 	fresh.hotRestart.mu.Lock()
 	fresh.hotRestart.predecessor.Close()
 	fresh.hotRestart.mu.Unlock()
-	if status, _, _ := answerOn(in); status != 200 {
+	if status, _, _ := readAnswer(in); status != 200 {
 		t.Errorf("a task that nobody else is there for was answered %d", status)
 	}
 	<-stopped
@@ -1200,26 +1204,26 @@
 			second.start()
 			ask("second")
 			first.start()
-			soon(t, "the old one yields", old.hotRestart.hasYielded)
+			eventually(t, "the old one yields", old.hotRestart.hasYielded)
 			old.stop()
 			ask("first")
 		},
 		"both stop": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
 			fresh := next()
 			fresh.start()
-			soon(t, "the old one yields", old.hotRestart.hasYielded)
+			eventually(t, "the old one yields", old.hotRestart.hasYielded)
 			var done sync.WaitGroup
 			for _, n := range []*Node{old, fresh} {
 				done.Go(n.stop)
 			}
-			soon(t, "both stop", func() bool { return old.stopping.Load() && fresh.stopping.Load() })
+			eventually(t, "both stop", func() bool { return old.stopping.Load() && fresh.stopping.Load() })
 			ask("while both stop")
 			done.Wait()
 		},
 		"the old one is told to end before the first accept": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
 			fresh := next()
 			fresh.hotRestart.announceServing() // says so, and does not take yet
-			soon(t, "the old one yields", old.hotRestart.hasYielded)
+			eventually(t, "the old one yields", old.hotRestart.hasYielded)
 			old.stop()
 			go fresh.start()
 			ask("after")
@@ -1230,14 +1234,14 @@
 				t.Fatal(err)
 			}
 			fresh.start()
-			soon(t, "both know", func() bool { return old.overrides.drained() && fresh.notReady() == "drained" })
+			eventually(t, "both know", func() bool { return old.overrides.drained() && fresh.notReady() == "drained" })
 			ask("drained")
 			old.stop()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server, _ := serverOf(t, echo)
+			server, _ := startUpstream(t, echo)
 			next := processes(t, server)
 			old := next()
 			old.start()
@@ -1254,18 +1258,18 @@
 // A recall whose outcome is still out counts as out, and what is proved by an end decides who may go again.
 func TestRecallThatIsStillOut(t *testing.T) {
 	answers := newGate(t)
-	server, tasks := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, nil, server, server)
+	n := startNode(t, nil, server, server)
 	client, in := dial(t, n)
-	io.WriteString(client, taskText("pay", "t", ""))
+	io.WriteString(client, requestText("pay", "t", ""))
 	answers.held(t, 1)
 	held := n.holdLoop(t)
 	n.loop.post(func() { n.loop.Cancel("t", 0) })
 	held.pass()
-	if status, _, _ := answerOn(in); status != 502 || tasks.Load() != 1 {
+	if status, _, _ := readAnswer(in); status != 502 || tasks.Load() != 1 {
 		t.Errorf("an exclusive task that was recalled was answered %d, %d came to servers", status, tasks.Load())
 	}
 	if n.count(attemptsCanceled) != 1 {
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -18,17 +18,17 @@
 // give them back once they need them no more.
 func TestAttemptsHaveThePlacesOfIdleClients(t *testing.T) {
 	answers := newGate(t)
-	server, _ := serverOf(t, echo)
+	server, _ := startUpstream(t, echo)
 	slow := listen(t, func(c net.Conn) { answers.wait(); io.Copy(io.Discard, c) })
-	n := nodeWith(t, quiet(t), server)
+	n := startNode(t, silentDiscovery(t), server)
 	n.upstreams.setLimit(2)
 	n.frontend.setLimits(8, 0, 100)
-	n.frontend.maxLent.Store(3)
+	n.frontend.maxLentSlots.Store(3)
 	for range 8 {
 		dial(t, n)
 	}
-	soon(t, "a full house", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return len(n.frontend.open) == 8 })
-	soon(t, "its clients idle", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return n.idlers() == 8 })
+	eventually(t, "a full house", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return len(n.frontend.open) == 8 })
+	eventually(t, "its clients idle", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return n.idlers() == 8 })
 	var conns []*upstreamConn
 	for i := range 6 {
 		c, err := n.upstreams.acquire(&attempt{request: newPendingRequest(), target: upstreamTarget{1, slow}}, time.Now().Add(time.Minute))
@@ -40,7 +40,7 @@
 		}
 	}
 	n.frontend.mu.Lock()
-	if open, places := len(n.frontend.open), n.frontend.placesLocked(); open > 5 || places != 5 {
+	if open, places := len(n.frontend.open), n.frontend.slotsLocked(); open > 5 || places != 5 {
 		t.Errorf("beside five attempts %d clients stand at %d places", open, places)
 	}
 	n.frontend.mu.Unlock()
@@ -50,19 +50,19 @@
 	for _, c := range conns[:4] {
 		n.upstreams.closeConn(c)
 	}
-	if n.upstreams.closeExpired(); n.frontend.lent.Load() != 0 || n.frontend.capacity() != 8 {
-		t.Errorf("%d places are not given back", n.frontend.lent.Load())
+	if n.upstreams.closeExpired(); n.frontend.lentSlots.Load() != 0 || n.frontend.capacity() != 8 {
+		t.Errorf("%d places are not given back", n.frontend.lentSlots.Load())
 	}
 }
 
 // A node that has another process beside it lets idle clients beyond its half go, also where nobody comes to it any more.
 func TestIdleClientsBeyondTheHalfGo(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, quiet(t), server)
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, silentDiscovery(t), server)
 	for range 8 {
 		dial(t, n)
 	}
-	soon(t, "all idle", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return n.idlers() == 8 })
+	eventually(t, "all idle", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return n.idlers() == 8 })
 	n.frontend.setLimits(3, 0, 100)
 	if n.count(clientsEvicted) != 5 {
 		t.Errorf("%d clients are asked to go, want 5", n.count(clientsEvicted))
@@ -84,8 +84,8 @@
 // Of many who order at once, one has the file's lock open: each open file is a descriptor, and the wait for another process's turn is
 // not spent behind one's own.
 func TestOrdersWaitWithOneFile(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, nil, server)
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, nil, server)
 	held, err := lockFile(n.overrides.path+".lock", time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 			n.overrides.change(func(o *overrideSet) string { return o.disable(fmt.Sprint("s-", i), 1) })
 		})
 	}
-	soon(t, "one that waits", func() bool { most = max(most, open()); return most > 0 })
+	eventually(t, "one that waits", func() bool { most = max(most, open()); return most > 0 })
 	for range 20 {
 		time.Sleep(time.Millisecond)
 		most = max(most, open())
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -67,7 +67,7 @@
 // atATenth makes a node without a list whose times are a tenth.
 func atATenth(t *testing.T, mode, discovery string) *Node {
 	n := newNode(t, func(c *Config) {
-		with(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
+		withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
 		c.Discovery, c.Known = discovery, nil
 	})
 	n.endpointWatch.headTimeout, n.endpointWatch.silenceTimeout = tenthHead, time.Hour
@@ -84,7 +84,7 @@
 				q := turnsOf(t, turn, 0, text)
 				n := atATenth(t, mode, q.address)
 				go n.start()
-				soon(t, "ready", func() bool { return n.notReady() == "" && n.hasList.Load() })
+				eventually(t, "ready", func() bool { return n.notReady() == "" && n.hasList.Load() })
 				if calls := q.calls.Load(); calls > most+1 { // one more where the machine is slow
 					t.Errorf("%d calls, want %d at most", calls, most)
 				}
@@ -101,11 +101,11 @@
 			q := turnsOf(t, time.Millisecond, 4, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
 			n := atATenth(t, mode, q.address)
 			go n.start()
-			soon(t, "ready", func() bool { return n.notReady() == "" })
+			eventually(t, "ready", func() bool { return n.notReady() == "" })
 			if calls, most := q.calls.Load(), q.most.Load(); calls > 5 || most > 3 { // the third until the node's close has come
 				t.Errorf("%d calls, %d at a time", calls, most)
 			}
-			soon(t, "the others closed", func() bool { return q.now.Load() == 1 })
+			eventually(t, "the others closed", func() bool { return q.now.Load() == 1 })
 		})
 	}
 }
@@ -121,7 +121,7 @@
 		all = append(all, n)
 		go n.start()
 	}
-	soon(t, "all ready", func() bool {
+	eventually(t, "all ready", func() bool {
 		for _, n := range all {
 			if n.notReady() != "" {
 				return false
@@ -136,7 +136,7 @@
 
 // However long the decisions would wait after a failed call, a change counts as told 6 s after discovery could be reached again.
 func TestTheWaitAfterAFailedCallIsBounded(t *testing.T) {
-	server, _ := serverOf(t, echo)
+	server, _ := startUpstream(t, echo)
 	address, _ := watchOf(t, func(c net.Conn, _ func(string)) {
 		io.WriteString(c, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 	}, func(c net.Conn, chunk func(string)) {
@@ -144,11 +144,11 @@
 		chunk(listText(2, true, listEntry("s-0", server, "up")) + "\n")
 		io.Copy(io.Discard, c)
 	})
-	n := nodeWith(t, func(c *Config) {
-		with(`"ask_within_us":10000000`, `"ask_within_us":3600000000`)(c)
+	n := startNode(t, func(c *Config) {
+		withSettings(`"ask_within_us":10000000`, `"ask_within_us":3600000000`)(c)
 		c.Discovery = address
 	})
-	soon(t, "the list", func() bool { return n.count(listUpdates) == 1 })
+	eventually(t, "the list", func() bool { return n.count(listUpdates) == 1 })
 }
 
 // A watch whose head comes at once and whose first word comes in its turn is no dead one, and one that never says a word is.
@@ -172,7 +172,7 @@
 			n := atATenth(t, "push", address)
 			n.endpointWatch.silenceTimeout = tenthSilence
 			go n.start()
-			soon(t, "ready", func() bool { return n.notReady() == "" })
+			eventually(t, "ready", func() bool { return n.notReady() == "" })
 			if asked.Load() > 4 {
 				t.Errorf("%d calls", asked.Load())
 			}
@@ -185,7 +185,7 @@
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			server, _ := serverOf(t, echo)
+			server, _ := startUpstream(t, echo)
 			var short atomic.Bool
 			var asked atomic.Int64
 			address := listen(t, func(c net.Conn) {
@@ -199,7 +199,7 @@
 				io.Copy(io.Discard, c)
 			})
 			n := newNode(t, func(c *Config) {
-				with(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
+				withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
 				c.Discovery = address
 			}, server)
 			core, said := observer.New(zap.InfoLevel)
@@ -217,7 +217,7 @@
 				t.Errorf("%d complaints: %v", complaints, said.All())
 			}
 			short.Store(true)
-			soon(t, "the list", func() bool { return n.overrides.isKnown("s-1") })
+			eventually(t, "the list", func() bool { return n.overrides.isKnown("s-1") })
 			if n.endpointWatch.oversizedBackoff != 0 && n.count(listUpdates) == 0 {
 				t.Error("not held yet")
 			}
@@ -250,7 +250,7 @@
 		}
 	})
 	n := newNode(t, func(c *Config) {
-		with(`"discovery":"ask"`, `"discovery":"push"`)(c)
+		withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c)
 		c.Discovery, c.Known, c.Limits.MemoryMB = address, nil, 0
 	})
 	go n.start()
@@ -268,7 +268,7 @@
 		t.Error("operators can't take out a server that is on the list")
 	}
 	n.endpointWatch.move("127.0.0.1:1")
-	n.learn(t, listText(3, true)) // what stays of it costs the tests after it nothing
+	n.updateList(t, listText(3, true)) // what stays of it costs the tests after it nothing
 }
 
 // A new address is called at once while a call to the old one waits, and that one is let go.
@@ -278,10 +278,10 @@
 	n := atATenth(t, "push", old.address)
 	n.endpointWatch.headTimeout, n.endpointWatch.retryInterval = time.Hour, time.Hour
 	go n.start()
-	soon(t, "the call that waits", func() bool { return old.now.Load() == 1 })
+	eventually(t, "the call that waits", func() bool { return old.now.Load() == 1 })
 	n.endpointWatch.move(young.address)
-	soon(t, "the list of the new place", func() bool { return n.count(listUpdates) == 1 })
-	soon(t, "the old place let go", func() bool { return old.now.Load() == 0 })
+	eventually(t, "the list of the new place", func() bool { return n.count(listUpdates) == 1 })
+	eventually(t, "the old place let go", func() bool { return old.now.Load() == 0 })
 	if n.count(listWatchesFailed) != 0 || old.calls.Load() != 1 || young.calls.Load() != 1 {
 		t.Errorf("%d calls at the old place, %d at the new, %d failed", old.calls.Load(), young.calls.Load(), n.count(listWatchesFailed))
 	}
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -34,21 +34,21 @@
 type frontend struct {
 	node             *Node
 	listener         net.Listener
-	again            chan struct{} // after a pause
+	acceptWake       chan struct{} // after a pause
 	paused           atomic.Bool   // another process takes what comes
-	ending           atomic.Bool   // what the machine has accepted is still taken, then the listener is closed
-	ended            chan struct{} // it is
-	used             atomic.Int64
-	active           atomic.Int64
+	draining         atomic.Bool   // what the machine has accepted is still taken, then the listener is closed
+	acceptDone       chan struct{} // it is
+	usedConns        atomic.Int64
+	activeConns      atomic.Int64
 	waitingAdmission atomic.Int64 // accepted and waiting for room
 
-	mu      sync.Mutex
-	open    map[*clientConn]struct{}
-	maxOpen int // connections at work; beyond these only a few, to say that there is no room
-	spare   int
-	usual   int // connections that have brought requests; of more, those that stand idle are closed
+	mu         sync.Mutex
+	open       map[*clientConn]struct{}
+	maxOpen    int // connections at work; beyond these only a few, to say that there is no room
+	spareSlots int
+	crowdedAt  int // connections that have brought requests; of more, those that stand idle are closed
 
-	maxLent, lent atomic.Int64 // places of these that attempts may have, and have now
+	maxLentSlots, lentSlots atomic.Int64 // places of these that attempts may have, and have now
 }
 
 // clientConn is one connection. Its reader and its writer meet in turns, where exchanges stand in the order of their
@@ -61,20 +61,20 @@
 	lingerUntil atomic.Int64 // once the last answer is written: until when what still comes is read
 	streaming   atomic.Bool  // an answer is being passed on as it comes
 
-	mu       sync.Mutex
-	pending  int
-	closed   bool          // takes no more requests
-	evicting bool          // is to close once nothing has come
-	used     bool          // has brought a request
-	gap      time.Duration // of silence after the last answer, until the connection is closed
-	opened   time.Time
-	lastUse  time.Time
-	began    time.Time // when the message that is being read began; zero between messages
+	mu            sync.Mutex
+	pending       int
+	closed        bool          // takes no more requests
+	evicting      bool          // is to close once nothing has come
+	used          bool          // has brought a request
+	lingerTimeout time.Duration // of silence after the last answer, until the connection is closed
+	admittedAt    time.Time
+	lastUsedAt    time.Time
+	messageBegan  time.Time // when the message that is being read began; zero between messages
 }
 
 func newFrontend(n *Node, listener net.Listener) *frontend {
 	return &frontend{
-		node: n, listener: listener, again: make(chan struct{}, 1), ended: make(chan struct{}),
+		node: n, listener: listener, acceptWake: make(chan struct{}, 1), acceptDone: make(chan struct{}),
 		open: map[*clientConn]struct{}{},
 	}
 }
@@ -83,7 +83,7 @@
 func (s *frontend) setLimits(most, spare, usual int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.maxOpen, s.spare, s.usual = most, spare, usual
+	s.maxOpen, s.spareSlots, s.crowdedAt = most, spare, usual
 	s.evictIdleLocked(len(s.open) - most) // another process of this node may have what stands idle beyond it
 }
 
@@ -91,26 +91,26 @@
 func (s *frontend) capacity() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.placesLocked()
+	return s.slotsLocked()
 }
 
 // placesLocked is how many may be at work beside the attempts that have some of the places; the lock is held.
-func (s *frontend) placesLocked() int { return s.maxOpen - int(s.lent.Load()) }
+func (s *frontend) slotsLocked() int { return s.maxOpen - int(s.lentSlots.Load()) }
 
 // lendSlot gives an attempt the place of a client: a free one, or one whose client stands idle and is asked to go, which may come soon.
 // Guards against idle clients who keep attempts from getting a connection.
 func (s *frontend) lendSlot() (lent, soon bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lent.Load() >= s.maxLent.Load() {
+	if s.lentSlots.Load() >= s.maxLentSlots.Load() {
 		return false, false
 	}
-	if len(s.open) < s.placesLocked()+s.spare {
-		s.lent.Add(1)
+	if len(s.open) < s.slotsLocked()+s.spareSlots {
+		s.lentSlots.Add(1)
 		return true, true
 	}
 	s.evictIdleLocked(1 + s.maxOpen/16)
-	return false, int(s.active.Load()) < len(s.open)
+	return false, int(s.activeConns.Load()) < len(s.open)
 }
 
 // setAcceptDeadline sets by when the wait for a new connection ends.
@@ -138,12 +138,12 @@
 // It waits no longer than the door is in use: whoever else holds the socket may make it a blocking one at any moment, as the start
 // of another process does in passing, and an accept that then stands in the machine ends with the next connection alone.
 func (s *frontend) drainAndClose(by time.Time) {
-	s.ending.Store(true)
+	s.draining.Store(true)
 	s.setAcceptDeadline(time.Unix(1, 0))
 	s.wake()
 	for idle := time.Now(); time.Now().Before(by) && time.Since(idle) < acceptStuckAfter; {
 		select {
-		case <-s.ended:
+		case <-s.acceptDone:
 			return
 		case <-time.After(acceptPoll):
 		}
@@ -156,7 +156,7 @@
 
 func (s *frontend) wake() {
 	select {
-	case s.again <- struct{}{}:
+	case s.acceptWake <- struct{}{}:
 	default:
 	}
 }
@@ -164,10 +164,10 @@
 // accept takes connections until the listener is closed. Those it does not get to in time are lost all the same: a
 // request counts as taken once it is in the machine, whether or not anyone has accepted its connection.
 func (s *frontend) accept() {
-	defer close(s.ended)
+	defer close(s.acceptDone)
 	defer s.listener.Close()
 	for looked := false; ; {
-		if looked = s.ending.Load() && !s.paused.Load(); looked {
+		if looked = s.draining.Load() && !s.paused.Load(); looked {
 			s.setAcceptDeadline(time.Now().Add(acceptPoll)) // an accept whose time is over does not even look
 		}
 		raw, err := s.listener.Accept()
@@ -176,10 +176,10 @@
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			switch {
-			case looked || s.ending.Load() && s.paused.Load():
+			case looked || s.draining.Load() && s.paused.Load():
 				return
-			case !s.ending.Load():
-				<-s.again
+			case !s.draining.Load():
+				<-s.acceptWake
 			}
 			continue
 		}
@@ -196,7 +196,7 @@
 // next to end: a request may already be written to this one, so it can't be closed without an answer.
 func (s *frontend) admit(raw net.Conn) {
 	now := time.Now()
-	c := &clientConn{frontend: s, conn: newBufferedConn(raw), responseOrder: make(chan *pendingRequest, maxPipelined), lastUse: now}
+	c := &clientConn{frontend: s, conn: newBufferedConn(raw), responseOrder: make(chan *pendingRequest, maxPipelined), lastUsedAt: now}
 	s.waitingAdmission.Add(1)
 	defer s.waitingAdmission.Add(-1)
 	for waited := false; !s.tryAdmit(c); waited = true {
@@ -205,7 +205,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	c.opened = time.Now() // what it waited at the door is not its doing
+	c.admittedAt = time.Now() // what it waited at the door is not its doing
 	go c.writeLoop()
 	go c.readLoop()
 }
@@ -213,10 +213,10 @@
 func (s *frontend) tryAdmit(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.open) >= s.placesLocked() || s.crowdedLocked() {
+	if len(s.open) >= s.slotsLocked() || s.crowdedLocked() {
 		s.evictIdleLocked(1 + s.maxOpen/16) // some ahead, as each takes a moment to go
 	}
-	if len(s.open) >= s.placesLocked()+s.spare {
+	if len(s.open) >= s.slotsLocked()+s.spareSlots {
 		return false
 	}
 	s.open[c] = struct{}{}
@@ -225,7 +225,7 @@
 
 // crowdedLocked guards against clients that ask once and keep their connections: those in front of a node hold only so many to
 // it, and with all of them standing idle nobody can ask.
-func (s *frontend) crowdedLocked() bool { return int(s.used.Load()) >= s.usual }
+func (s *frontend) crowdedLocked() bool { return int(s.usedConns.Load()) >= s.crowdedAt }
 
 // evictIdleLocked asks up to n of the connections that stand idle to close; the lock is held. Those that never brought a request go
 // first, against a flood that takes the place of clients at work, then the longest idle. While there is room left, one
@@ -242,7 +242,7 @@
 	for c := range s.open {
 		c.mu.Lock()
 		if c.idle(now) {
-			idle = append(idle, standing{c, c.used, c.lastUse})
+			idle = append(idle, standing{c, c.used, c.lastUsedAt})
 		}
 		fresh = fresh || !c.used && !c.evicting
 		c.mu.Unlock()
@@ -257,7 +257,7 @@
 		return a.last.Compare(b.last)
 	})
 	for _, one := range idle[:max(0, min(n, len(idle)))] {
-		if !one.used || !fresh || s.crowdedLocked() || len(s.open) >= s.placesLocked()+s.spare || n >= len(s.open) ||
+		if !one.used || !fresh || s.crowdedLocked() || len(s.open) >= s.slotsLocked()+s.spareSlots || n >= len(s.open) ||
 			now.Sub(one.last) > evictableAfter {
 			one.c.evict(now)
 		}
@@ -307,8 +307,8 @@
 
 // idle tells whether the connection holds no request and none is under way; the lock is held.
 func (c *clientConn) idle(now time.Time) bool {
-	return c.pending == 0 && !c.closed && !c.evicting && now.Sub(c.lastUse) > closeLinger &&
-		(c.began.IsZero() || now.UnixNano()-max(c.conn.lastRead.Load(), c.began.UnixNano()) > int64(stallUnderFlood))
+	return c.pending == 0 && !c.closed && !c.evicting && now.Sub(c.lastUsedAt) > closeLinger &&
+		(c.messageBegan.IsZero() || now.UnixNano()-max(c.conn.lastReadAt.Load(), c.messageBegan.UnixNano()) > int64(stallUnderFlood))
 }
 
 // evict wakes the reader, which alone can tell whether a request has come meanwhile.
@@ -330,13 +330,13 @@
 		return false
 	}
 	if c.pending++; c.pending == 1 {
-		c.frontend.active.Add(1)
+		c.frontend.activeConns.Add(1)
 	}
 	if !c.used {
 		c.used = true
-		c.frontend.used.Add(1)
+		c.frontend.usedConns.Add(1)
 	}
-	c.began = time.Time{}
+	c.messageBegan = time.Time{}
 	return true
 }
 
@@ -345,12 +345,12 @@
 func (c *clientConn) closesAfter(x *pendingRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pending > 1 || !x.closeAfter && !x.bodyIncomplete() && (!c.evicting && !c.frontend.node.closesConnections() || !c.began.IsZero() || c.conn.hasInput()) {
+	if c.pending > 1 || !x.closeAfter && !x.bodyIncomplete() && (!c.evicting && !c.frontend.node.closesConnections() || !c.messageBegan.IsZero() || c.conn.hasInput()) {
 		return false
 	}
-	c.closed, c.gap = true, closeLinger
+	c.closed, c.lingerTimeout = true, closeLinger
 	if x.bodyIncomplete() {
-		c.gap = bodyStall // against closing on a client that still sends its body slowly, which would throw its answer away
+		c.lingerTimeout = bodyStall // against closing on a client that still sends its body slowly, which would throw its answer away
 	}
 	return true
 }
@@ -359,9 +359,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending--; c.pending == 0 {
-		c.frontend.active.Add(-1)
+		c.frontend.activeConns.Add(-1)
 	}
-	c.lastUse = time.Now()
+	c.lastUsedAt = time.Now()
 }
 
 // readLoop takes requests from the connection until it ends; then those without an answer are withdrawn.
@@ -379,9 +379,9 @@
 	defer n.recoverPanic("client", func() {})
 	for {
 		x := newPendingRequest()
-		x.clientGone = c.isGone
+		x.clientGone = c.clientGone
 		r, err := c.readRequest(x)
-		if err != nil && !isMalformed(err) || c.isGone() {
+		if err != nil && !isMalformed(err) || c.clientGone() {
 			// Guards against a client that sends much at once and goes: its requests came one by one to servers as the ones
 			// before were answered, each to nobody.
 			c.releaseBody(x)
@@ -411,13 +411,13 @@
 
 // isGone tells whether the client has gone, also before the reader comes to the end of the connection. Anybody may ask, and
 // who is about to write its request to a server does.
-func (c *clientConn) isGone() bool { return c.conn.isEnded() }
+func (c *clientConn) clientGone() bool { return c.conn.closedByPeer() }
 
 // awaitBody waits until a body that flows has been read by whoever carries the request, and tells whether the connection goes on.
 func (c *clientConn) awaitBody(x *pendingRequest) bool {
 	<-x.source.ended
 	x.source.message.end()
-	c.conn.pace = nil
+	c.conn.pacer = nil
 	if !x.bodyIncomplete() {
 		return true
 	}
@@ -434,9 +434,9 @@
 // and not before its first: a connection that says nothing holds descriptors.
 func (c *clientConn) readRequest(x *pendingRequest) (*http.Request, error) {
 	first := !c.used
-	for len(c.conn.pending()) == 0 {
+	for len(c.conn.buffered()) == 0 {
 		if first {
-			c.setReadTimeout(max(time.Until(c.opened.Add(headTimeout)), closeLinger)) // what is there is read, also where its time has just ended
+			c.setReadTimeout(max(time.Until(c.admittedAt.Add(headTimeout)), closeLinger)) // what is there is read, also where its time has just ended
 		} else {
 			c.setReadTimeout(clientIdleTimeout)
 		}
@@ -449,22 +449,22 @@
 		}
 	}
 	c.mu.Lock()
-	c.began = time.Now()
-	from := c.began
+	c.messageBegan = time.Now()
+	from := c.messageBegan
 	if first {
-		from = c.opened
+		from = c.admittedAt
 	}
 	c.conn.SetReadDeadline(from.Add(headTimeout))
 	c.mu.Unlock()
-	r, m, err := c.conn.fromClient(c.hasNoPending)
+	r, m, err := c.conn.readRequestHead(c.hasNoPending)
 	if err != nil {
 		return nil, err
 	}
 	x.method, x.http10 = r.Method, !r.ProtoAtLeast(1, 1)
-	c.conn.pace = &readPacer{start: from, grace: bodyGrace, stall: bodyStall, least: minBodyRate}
+	c.conn.pacer = &readPacer{start: from, grace: bodyGrace, stall: bodyStall, minRate: minBodyRate}
 	whole, err := c.readBody(x, m)
 	if err != nil || whole {
-		c.conn.pace = nil
+		c.conn.pacer = nil
 		m.end()
 		return r, err
 	}
@@ -528,7 +528,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || c.evicting && c.pending == 0 {
-		d = max(c.gap, closeLinger)
+		d = max(c.lingerTimeout, closeLinger)
 	}
 	c.conn.SetReadDeadline(time.Now().Add(d))
 }
@@ -538,7 +538,7 @@
 func (c *clientConn) discardInput() {
 	c.setReadTimeout(clientIdleTimeout)
 	for {
-		c.conn.from = c.conn.to
+		c.conn.start = c.conn.end
 		if c.conn.fill() != nil {
 			return
 		}
@@ -591,7 +591,7 @@
 		x.answer(response{status: status})
 		return
 	}
-	if int(c.frontend.active.Load()) > c.frontend.capacity() {
+	if int(c.frontend.activeConns.Load()) > c.frontend.capacity() {
 		n.counters.add(requestsOverCapacity)
 		x.closeAfter = true
 		x.answer(n.overCapacity())
@@ -678,7 +678,7 @@
 	defer func() {
 		c.conn.Close()
 		if c.used {
-			c.frontend.used.Add(-1)
+			c.frontend.usedConns.Add(-1)
 		}
 		c.frontend.mu.Lock()
 		delete(c.frontend.open, c)
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -36,7 +36,7 @@
 	}{
 		{text: "GET /view/1?q=2 HTTP/1.1\r\nHost: shop\r\nX-Txn: t1\r\nX-Lane: view\r\nX-Org: acme\r\nX-Remaining-Ms: 900\r\nX-Resent: 1\r\nX-Estimate: 5000\r\n" +
 			"X-Pressure: util=1\r\nX-Turned-Away: 1\r\nCookie: key=k9\r\nConnection: close, X-Own\r\nX-Own: 1\r\nX-Other: a\r\nX-Other: b\r\nTe: trailers\r\n\r\n"},
-		{text: taskText("pay", "t2", "hello"), body: []byte("hello")},
+		{text: requestText("pay", "t2", "hello"), body: []byte("hello")},
 		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t3\r\nContent-Length: 0\r\n\r\n"},
 		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", source: &bodySource{length: -1}},
 		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t5\r\nContent-Length: 9000000\r\n\r\n", source: &bodySource{length: 9_000_000}},
@@ -177,7 +177,7 @@
 
 // TestGoldenConsole holds the console's answers to the bytes of earlier builds.
 func TestGoldenConsole(t *testing.T) {
-	n := nodeWith(t, withConsole, "127.0.0.1:1")
+	n := startNode(t, withConsole, "127.0.0.1:1")
 	var b bytes.Buffer
 	for _, c := range []string{
 		"GET /ready", "PUT /ready", "GET /nothing", "GET /members", "GET /state", "GET /relays", "PUT /servers/disable", "PUT /servers/disable?target=s-0&target=s-1",
@@ -189,7 +189,7 @@
 	}
 	golden.Check(t, "console.txt", b.Bytes())
 	var fields map[string]json.RawMessage
-	d := nodeWith(t, func(c *Config) {
+	d := startNode(t, func(c *Config) {
 		if err := c.State(t.TempDir()); err != nil {
 			t.Fatal(err)
 		}
@@ -207,11 +207,11 @@
 
 // TestGoldenRefusals holds the answers that a client gets from the node itself to the bytes of earlier builds.
 func TestGoldenRefusals(t *testing.T) {
-	n := nodeWith(t, nil)
+	n := startNode(t, nil)
 	var b bytes.Buffer
 	for _, text := range []string{
-		taskText("view", "none-listed", "x"),
-		taskText("nowhere", "t", ""),
+		requestText("view", "none-listed", "x"),
+		requestText("nowhere", "t", ""),
 		"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n",
 		"GET /view HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
 		"GET /view HTTP/1.1\r\nbad\r\n\r\n",
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	n := nodeWith(t, withNews(1, listener.LocalAddr().String()))
+	n := startNode(t, withNews(1, listener.LocalAddr().String()))
 	t.Cleanup(n.gossiper.close)
 	told := policy.GossipMessage{Endpoint: endpointID("s-0"), Class: 2}
 	n.loop.post(func() { n.loop.Gossip(told) })
@@ -46,14 +46,14 @@
 	for _, message := range [][]byte{message, message, gossip.Encode(told, n.clock.nanos()-5*second), nil, {1, 2, 3}, make([]byte, 2000)} {
 		listener.WriteTo(message, own)
 	}
-	soon(t, "a message heard, five passed over", func() bool { return n.count(gossipReceived) == 1 && n.count(gossipIgnored) == 5 })
+	eventually(t, "a message heard, five passed over", func() bool { return n.count(gossipReceived) == 1 && n.count(gossipIgnored) == 5 })
 	stranger, err := net.Dial("udp", own.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stranger.Close()
 	stranger.Write(message)
-	soon(t, "a stranger passed over", func() bool { return n.count(gossipIgnored) == 6 })
+	eventually(t, "a stranger passed over", func() bool { return n.count(gossipIgnored) == 6 })
 }
 
 // Guards against news holding up the loop when nobody takes them from it.
@@ -70,35 +70,35 @@
 
 func TestProbesBringLoads(t *testing.T) {
 	var probes, answered atomic.Int64
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.URL.Path == pathLoad {
 			if probes.Add(1) == 3 {
-				return say(c, "503 Service Unavailable", "")
+				return writeAnswer(c, "503 Service Unavailable", "")
 			}
-			return say(c, "200 OK", "queue=7,qps=3")
+			return writeAnswer(c, "200 OK", "queue=7,qps=3")
 		}
 		answered.Add(1)
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, withNews(0), server)
+	n := startNode(t, withNews(0), server)
 	t.Cleanup(n.gossiper.close)
 	for i := range 3 * 32 {
 		if status, _, _ := ask(t, n, "view", fmt.Sprint("t", i), ""); status != 200 {
 			t.Fatalf("task %d: %d", i, status)
 		}
 	}
-	soon(t, "three probes, one of them failed", func() bool { return n.count(healthChecksAnswered) == 2 && n.count(healthChecksFailed) == 1 })
+	eventually(t, "three probes, one of them failed", func() bool { return n.count(healthChecksAnswered) == 2 && n.count(healthChecksFailed) == 1 })
 	if probes.Load() != 3 || answered.Load() != 96 {
 		t.Errorf("%d probes and %d tasks came to the server", probes.Load(), answered.Load())
 	}
 }
 
 func TestReleaseClosesWhatIsIdle(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, nil, server)
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, nil, server)
 	ask(t, n, "view", "a", "")
 	n.loop.post(func() { n.loop.CloseIdle(endpointID("s-0")) })
-	soon(t, "its connection closed", func() bool { return n.count(upstreamConnsIdleClosed) == 1 })
+	eventually(t, "its connection closed", func() bool { return n.count(upstreamConnsIdleClosed) == 1 })
 	n.loop.post(func() { n.loop.CloseIdle(99) })
 	if status, _, _ := ask(t, n, "view", "b", ""); status != 200 || n.count(upstreamConnsOpened) != 2 {
 		t.Errorf("after it: %d, %d connections opened", status, n.count(upstreamConnsOpened))
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -51,11 +51,11 @@
 	}
 	c.SetDeadline(limit)
 	if _, err := c.Write([]byte(healthCheckHead(to.address))); err == nil {
-		if r, m, err := c.fromServer(&http.Request{Method: http.MethodGet}); err == nil {
+		if r, m, err := c.readResponseHead(&http.Request{Method: http.MethodGet}); err == nil {
 			body, whole, err := m.readUpTo(nil, maxReportBytes)
 			m.end()
 			if outcome := outcomeOf(r.StatusCode, r.Header); err == nil && whole && outcome == policy.OutcomeSucceeded {
-				if len(c.pending()) == 0 && !r.Close {
+				if len(c.buffered()) == 0 && !r.Close {
 					s.putIdle(c)
 				} else {
 					s.closeConn(c)
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -75,7 +75,7 @@
 }
 
 // serverOf answers each request on a connection by what answer writes; it tells whether the connection goes on.
-func serverOf(t *testing.T, answer func(c net.Conn, r *http.Request, body string) bool) (address string, tasks *atomic.Int64) {
+func startUpstream(t *testing.T, answer func(c net.Conn, r *http.Request, body string) bool) (address string, tasks *atomic.Int64) {
 	tasks = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -96,14 +96,14 @@
 	}), tasks
 }
 
-func say(c net.Conn, head, body string) bool {
+func writeAnswer(c net.Conn, head, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	return err == nil
 }
 
 // echo answers with what came, so that a mix-up of answers shows.
 func echo(c net.Conn, r *http.Request, body string) bool {
-	return say(c, "200 OK\r\nX-Pressure: queue=1", r.RequestURI+" "+r.Header.Get(headerRequestID)+" "+body)
+	return writeAnswer(c, "200 OK\r\nX-Pressure: queue=1", r.RequestURI+" "+r.Header.Get(headerRequestID)+" "+body)
 }
 
 // newNode makes a node whose known list has the servers, with discovery at an address where by default nobody is.
@@ -135,7 +135,7 @@
 	return n
 }
 
-func nodeWith(t *testing.T, change func(*Config), servers ...string) *Node {
+func startNode(t *testing.T, change func(*Config), servers ...string) *Node {
 	t.Helper()
 	n := newNode(t, change, servers...)
 	n.start()
@@ -155,13 +155,13 @@
 	return c, bufio.NewReader(c)
 }
 
-func taskText(category, id, body string) string {
+func requestText(category, id, body string) string {
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: acme\r\nX-Remaining-Ms: 9000\r\n"+
 		"Content-Length: %d\r\n\r\n%s", category, id, category, len(body), body)
 }
 
 // answerOn reads one answer; status 0 means that the connection ended without one.
-func answerOn(in *bufio.Reader) (status int, body string, header http.Header) {
+func readAnswer(in *bufio.Reader) (status int, body string, header http.Header) {
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return 0, err.Error(), nil
@@ -178,12 +178,12 @@
 	t.Helper()
 	c, in := dial(t, n)
 	defer c.Close()
-	io.WriteString(c, taskText(category, id, body))
-	return answerOn(in)
+	io.WriteString(c, requestText(category, id, body))
+	return readAnswer(in)
 }
 
 // soon waits until something holds.
-func soon(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -59,17 +59,17 @@
 
 // The new process knows what the old one did, takes all new connections, and both keep within one node's limits.
 func TestNewProcessTakesOver(t *testing.T) {
-	server, _ := serverOf(t, echo)
+	server, _ := startUpstream(t, echo)
 	next := processes(t)
 	old := next()
 	old.start()
 	old.hear(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: listedHere("s-7")}}, []string{"a"})))
 	old.hear(t, listText(8, false, listEntry("s-8", server, "up")))
 	old.hear(t, listText(9, false, listEntry("s-8", server, "removed")))
-	soon(t, "the list", func() bool { return old.overrides.isKnown("s-8") })
+	eventually(t, "the list", func() bool { return old.overrides.isKnown("s-8") })
 	kept, keptIn := dial(t, old)
-	io.WriteString(kept, taskText("batch", "t1", "a"))
-	if status, _, _ := answerOn(keptIn); status != 200 {
+	io.WriteString(kept, requestText("batch", "t1", "a"))
+	if status, _, _ := readAnswer(keptIn); status != 200 {
 		t.Fatalf("the old process answered %d", status)
 	}
 	alone := old.mostOpen()
@@ -77,7 +77,7 @@
 	if fresh.predecessor == nil || !fresh.overrides.isKnown("s-7") && len(fresh.knownList().entries) != 1 {
 		t.Fatalf("the old process was not found, or told nothing: %+v", fresh.predecessor)
 	}
-	soon(t, "the old one has given up its half", func() bool { return old.mostOpen() < alone })
+	eventually(t, "the old one has given up its half", func() bool { return old.mostOpen() < alone })
 	if both := old.mostOpen() + fresh.mostOpen(); both > alone+1 {
 		t.Errorf("both together may open %d connections to servers, one alone %d", both, alone)
 	}
@@ -85,8 +85,8 @@
 		t.Error("ready before it serves")
 	}
 	fresh.start()
-	soon(t, "the new one is ready", func() bool { return fresh.call(t, "GET /ready") == 200 })
-	soon(t, "the old one has yielded", old.hotRestart.hasYielded)
+	eventually(t, "the new one is ready", func() bool { return fresh.call(t, "GET /ready") == 200 })
+	eventually(t, "the old one has yielded", old.hotRestart.hasYielded)
 	if !fresh.overrides.isKnown("s-8") {
 		t.Error("a name that was listed once is not known any more")
 	}
@@ -102,13 +102,13 @@
 	if old.count(clientsAccepted) != taken {
 		t.Error("the old process takes new connections")
 	}
-	io.WriteString(kept, taskText("batch", "t2", "a"))
+	io.WriteString(kept, requestText("batch", "t2", "a"))
 	if r, err := http.ReadResponse(keptIn, nil); err != nil || r.StatusCode != 200 || !r.Close {
 		t.Errorf("%v, %v on a kept connection, want an answer that closes it", r, err)
 	}
 	old.stop()
 	old.hotRestart.end()
-	soon(t, "the new one has the whole limits", func() bool { return fresh.mostOpen() == alone })
+	eventually(t, "the new one has the whole limits", func() bool { return fresh.mostOpen() == alone })
 	third := next()
 	if third.predecessor == nil {
 		t.Error("a third process does not find the second")
@@ -117,24 +117,24 @@
 
 // Guards against an upgrade that fails taking the node with it.
 func TestOldProcessGoesOnWhereTheNewOneDies(t *testing.T) {
-	server, _ := serverOf(t, echo)
+	server, _ := startUpstream(t, echo)
 	next := processes(t, server)
 	old := next()
 	old.start()
 	alone := old.mostOpen()
 	for _, ready := range []bool{false, true, true} {
 		fresh := next()
-		soon(t, "half the limits", func() bool { return old.mostOpen() < alone })
+		eventually(t, "half the limits", func() bool { return old.mostOpen() < alone })
 		if ready {
 			fresh.hotRestart.announceServing()
-			soon(t, "the old one yields", old.hotRestart.hasYielded)
+			eventually(t, "the old one yields", old.hotRestart.hasYielded)
 		}
 		fresh.hotRestart.close()
 		fresh.hotRestart.mu.Lock()
 		fresh.hotRestart.predecessor.Close()
 		fresh.hotRestart.mu.Unlock()
 		fresh.frontend.listener.Close()
-		soon(t, "all is as before", func() bool { return old.mostOpen() == alone && !old.hotRestart.hasYielded() })
+		eventually(t, "all is as before", func() bool { return old.mostOpen() == alone && !old.hotRestart.hasYielded() })
 		for i := range 10 {
 			if status, _, _ := ask(t, old, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
 				t.Errorf("after the new process died a task was answered %d", status)
@@ -171,7 +171,7 @@
 				t.Errorf("took over %+v after %v, counted %d times", n.predecessor, time.Since(began), n.count(hotRestartsIgnored))
 			}
 			n.start()
-			soon(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+			eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 		})
 	}
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -20,15 +20,15 @@
 // that is gone is not counted, only attempts that begin.
 
 // leavings are the ways to go; the pages know no client that half-closes and waits.
-var leavings = map[string]func(c net.Conn){
+var waysToLeave = map[string]func(c net.Conn){
 	"close":      func(c net.Conn) { c.Close() },
 	"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 	"half-close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 }
 
 // long is a request whose body flows, with so much of it as the machine takes in: an end behind more than that waits at the client.
-func long(category, id string) string {
-	return strings.TrimSuffix(taskText(category, id, strings.Repeat("x", 2<<20)), strings.Repeat("x", 2<<20-(80<<10)))
+func streamedRequest(category, id string) string {
+	return strings.TrimSuffix(requestText(category, id, strings.Repeat("x", 2<<20)), strings.Repeat("x", 2<<20-(80<<10)))
 }
 
 // firstBytes is a server that counts attempts as they begin, whether or not all of them comes.
@@ -63,47 +63,47 @@
 	}
 	another := func(t *testing.T, n *Node, other string, dials, answers *gate) {
 		answers.held(t, 1)
-		n.learn(t, listText(2, false, listEntry("s-1", other, "up")))
+		n.updateList(t, listText(2, false, listEntry("s-1", other, "up")))
 	}
 	for name, s := range map[string]stage{
-		"a first attempt": {text: taskText("batch", "t0", "")},
-		"a second copy": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
+		"a first attempt": {text: requestText("batch", "t0", "")},
+		"a second copy": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
 			n.loop.post(func() { n.loop.Send("t0", endpointID("s-1"), 20*time.Second) })
 		}},
-		"a retry behind an error": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
+		"a retry behind an error": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
 			answers.pass()
 		}},
-		"a retry behind a recall": {text: taskText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
+		"a retry behind a recall": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
 			another(t, n, other, dials, answers)
 			n.loop.post(func() { n.loop.Cancel("t0", 0) })
-			soon(t, "the recall's end", func() bool { return n.count(attemptsCanceled) == 1 })
+			eventually(t, "the recall's end", func() bool { return n.count(attemptsCanceled) == 1 })
 			n.loop.post(func() { // where the decisions have not by themselves
 				if n.count(attemptsSent) == 1 {
 					n.loop.Send("t0", endpointID("s-1"), 20*time.Second)
 				}
 			})
 		}},
-		"an upload that flows": {text: long("batch", "t0"), blind: true},
+		"an upload that flows": {text: streamedRequest("batch", "t0"), blind: true},
 		"many on one connection": {text: func() (text string) {
 			for i := range 20 {
-				text += taskText("batch", fmt.Sprint("t", i), "")
+				text += requestText("batch", fmt.Sprint("t", i), "")
 			}
 			return text
 		}(), blind: true},
 	} {
-		for how, leave := range leavings {
+		for how, leave := range waysToLeave {
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
 				answers := newGate(t)
 				first, atFirst := firstBytes(t, func(c net.Conn, r *http.Request) {
 					answers.wait()
-					say(c, "500 Bad", "")
+					writeAnswer(c, "500 Bad", "")
 				})
 				other, atOther := firstBytes(t, func(c net.Conn, r *http.Request) { echo(c, r, "") })
 				n := newNode(t, func(c *Config) {
-					with(`"may_duplicate":false`, `"may_duplicate":true`, `800000`, `8000000`, `75000`, `5000000`,
+					withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `800000`, `8000000`, `75000`, `5000000`,
 						`"cancelling":true`, `"cancelling":false`)(c) // nothing is recalled on its way, which would do as well
 					c.Discovery, _ = watchOf(t)
 				}, first)
@@ -121,15 +121,15 @@
 					s.reach(t, n, other, dials, answers)
 				}
 				dials.held(t, 1)
-				at := n.atClients(t)
+				at := n.onlyClientConn(t)
 				leave(client)
-				soon(t, "its end", at.isGone)
+				eventually(t, "its end", at.clientGone)
 				if !s.blind {
-					soon(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+					eventually(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
 				}
 				dials.pass()
 				answers.pass()
-				soon(t, "the end of all attempts", func() bool { n.passed(); return n.nobodyOut() })
+				eventually(t, "the end of all attempts", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
 				if atFirst.Load() != int64(s.first) || atOther.Load() != 0 || n.count(attemptsNotSent) == 0 {
 					t.Errorf("%d attempts began at the first server, want %d; %d at the other; %d did not begin", atFirst.Load(), s.first,
 						atOther.Load(), n.count(attemptsNotSent))
@@ -140,7 +140,7 @@
 }
 
 // nobodyOut tells that all attempts have ended.
-func (n *Node) nobodyOut() bool {
+func (n *Node) allAttemptsEnded() bool {
 	ended := int64(0)
 	for _, how := range outcomeCounters {
 		if how != attemptsReset {
@@ -151,21 +151,21 @@
 }
 
 // stamped reads from a socket and notes when the machine had what was read last, however late the reader is.
-type stamped struct {
+type timestampedReader struct {
 	raw syscall.RawConn
 	at  time.Time
 }
 
-func newStamped(c net.Conn) (*stamped, error) {
+func newTimestampedReader(c net.Conn) (*timestampedReader, error) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TIMESTAMPNS, 1) })
-	return &stamped{raw: raw}, err
+	return &timestampedReader{raw: raw}, err
 }
 
-func (s *stamped) Read(p []byte) (n int, err error) {
+func (s *timestampedReader) Read(p []byte) (n int, err error) {
 	var beside [128]byte
 	var size int
 	broken := s.raw.Read(func(fd uintptr) bool {
@@ -191,13 +191,13 @@
 }
 
 // attendance is what the sockets show of a day: when each client was gone, and when each attempt's first byte was at a server.
-type attendance struct {
+type sessionLog struct {
 	mu       sync.Mutex
 	gone     map[string]time.Time
 	attempts map[string][]time.Time
 }
 
-func (a *attendance) left(at time.Time, ids ...string) {
+func (a *sessionLog) left(at time.Time, ids ...string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, id := range ids {
@@ -205,18 +205,18 @@
 	}
 }
 
-func (a *attendance) began(id string, at time.Time) {
+func (a *sessionLog) began(id string, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.attempts[id] = append(a.attempts[id], at)
 }
 
 // troubled answers as a seed says: late, with errors, rejecting, or not at all.
-func (a *attendance) troubled(t *testing.T, seed uint64) string {
+func (a *sessionLog) troubled(t *testing.T, seed uint64) string {
 	var mu sync.Mutex
 	luck := rand.New(rand.NewPCG(seed, 1))
 	return listen(t, func(c net.Conn) {
-		stamps, err := newStamped(c)
+		stamps, err := newTimestampedReader(c)
 		if err != nil {
 			return
 		}
@@ -243,9 +243,9 @@
 			time.Sleep(wait)
 			switch {
 			case what < 3:
-				say(c, "500 Bad", "")
+				writeAnswer(c, "500 Bad", "")
 			case what == 3:
-				say(c, "503 Full", "")
+				writeAnswer(c, "503 Full", "")
 			case what == 4:
 				return
 			default:
@@ -258,7 +258,7 @@
 // On a day on which clients leave at any moment, from three nodes before six servers in trouble whose connections come up late, no attempt
 // begins more than 0.1 s behind the end of its client.
 func TestDayOfClientsThatLeave(t *testing.T) {
-	day := &attendance{gone: map[string]time.Time{}, attempts: map[string][]time.Time{}}
+	day := &sessionLog{gone: map[string]time.Time{}, attempts: map[string][]time.Time{}}
 	var servers []string
 	for i := range 6 {
 		servers = append(servers, day.troubled(t, uint64(i)))
@@ -268,7 +268,7 @@
 		var mu sync.Mutex
 		luck := rand.New(rand.NewPCG(50, uint64(i)))
 		n := newNode(t, func(c *Config) {
-			with(`"may_duplicate":false`, `"may_duplicate":true`, `800000`, `3000000`, `20000000`, `3000000`, `75000`, `1500000`)(c)
+			withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `800000`, `3000000`, `20000000`, `3000000`, `75000`, `1500000`)(c)
 			c.Name, c.Seed = fmt.Sprint("n", i), fmt.Sprintf("%x", 7+i)
 			c.Discovery, _ = watchOf(t)
 			c.Limits.MemoryMB = 64
@@ -293,14 +293,14 @@
 		switch kind := luck.IntN(10); {
 		case kind < 2:
 			ids = []string{fmt.Sprintf("u%d", i)}
-			text = long(category, ids[0])
+			text = streamedRequest(category, ids[0])
 		default:
 			for k := range []int{1, 1, 1, 1, 3, 12, 1, 1}[kind-2] {
 				ids = append(ids, fmt.Sprintf("t%d-%d", i, k))
-				text += taskText(category, ids[k], "")
+				text += requestText(category, ids[k], "")
 			}
 		}
-		after, leave := time.Duration(luck.IntN(600))*time.Millisecond, leavings[ways[luck.IntN(3)]]
+		after, leave := time.Duration(luck.IntN(600))*time.Millisecond, waysToLeave[ways[luck.IntN(3)]]
 		stays := luck.IntN(4) == 0 && len(ids) == 1 && !strings.HasPrefix(ids[0], "u")
 		done.Go(func() {
 			c, err := net.Dial("tcp", n.address())
@@ -312,7 +312,7 @@
 			c.SetDeadline(time.Now().Add(10 * time.Second))
 			io.WriteString(c, text)
 			if stays {
-				if status, body, _ := answerOn(bufio.NewReader(c)); status == 0 {
+				if status, body, _ := readAnswer(bufio.NewReader(c)); status == 0 {
 					t.Errorf("%s, who stayed, has no answer: %s", ids[0], body)
 				}
 				return
@@ -325,7 +325,7 @@
 	}
 	done.Wait()
 	for _, n := range nodes {
-		soon(t, "the end of all attempts", func() bool { n.passed(); return n.nobodyOut() })
+		eventually(t, "the end of all attempts", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
 	}
 	day.mu.Lock()
 	defer day.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -262,7 +262,7 @@
 	n.upstreams.setLimit(toServers)
 	n.admin.setLimit(callers)
 	n.frontend.setLimits(toClients, spare, all/activeClientShare)
-	n.frontend.maxLent.Store(int64(toClients-toServers) / 2) // each attempt has a client that waits for it
+	n.frontend.maxLentSlots.Store(int64(toClients-toServers) / 2) // each attempt has a client that waits for it
 	held := int64(defaultBodyMemory)
 	if mb := n.config.Limits.MemoryMB; mb > 0 {
 		held = mb << 20 / bodyMemoryShare
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,18 +19,18 @@
 )
 
 func TestTaskGoesThroughUnchanged(t *testing.T) {
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get(headerRemaining) == "" || r.Header.Get("X-Other") != "kept" || r.Header.Get("Connection") != "" {
-			return say(c, "500 Bad", "")
+			return writeAnswer(c, "500 Bad", "")
 		}
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	c, in := dial(t, n)
 	for i := range 3 {
 		fmt.Fprintf(c, "POST /batch/x?q=%d HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nX-Other: kept\r\nConnection: keep-alive\r\n"+
 			"Content-Length: 3\r\n\r\na\x00b", i, i)
-		status, body, header := answerOn(in)
+		status, body, header := readAnswer(in)
 		if want := fmt.Sprintf("/batch/x?q=%d t%d a\x00b", i, i); status != 200 || body != want {
 			t.Errorf("got %d %q, want 200 %q", status, body, want)
 		}
@@ -47,13 +47,13 @@
 func TestOutcomes(t *testing.T) {
 	closed := listen(t, func(c net.Conn) {})
 	cut := func(text string) string {
-		address, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+		address, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 			io.WriteString(c, text)
 			return false
 		})
 		return address
 	}
-	silent, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	silent, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		io.Copy(io.Discard, c)
 		return false
 	})
@@ -86,7 +86,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for category, want := range c.status {
-				n := nodeWith(t, nil, c.server)
+				n := startNode(t, nil, c.server)
 				status, _, header := ask(t, n, category, "t1", "body")
 				if status != want || c.how < counterCount && n.count(c.how) != 1 {
 					t.Errorf("%s: answered %d, want %d; outcome counted %d times", category, status, want, n.count(min(c.how, panics)))
@@ -122,13 +122,13 @@
 func TestLateAnswerIsNobodys(t *testing.T) {
 	var slow atomic.Bool
 	slow.Store(true)
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if slow.Swap(false) {
 			time.Sleep(350 * time.Millisecond)
 		}
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	if status, _, _ := ask(t, n, "view", "late", ""); status != 503 {
 		t.Errorf("the late task was answered %d, want 503", status)
 	}
@@ -142,11 +142,11 @@
 
 // Guards against a whole answer with more behind it being followed by another request on that connection.
 func TestConnectionWithMoreThanTheAnswerIsNotUsedAgain(t *testing.T) {
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
-		return say(c, "200 OK", "unasked")
+		return writeAnswer(c, "200 OK", "unasked")
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	for i := range 5 {
 		if _, body, _ := ask(t, n, "batch", fmt.Sprint("t", i), ""); body != fmt.Sprintf("/batch t%d ", i) {
 			t.Fatalf("task %d got the answer %q", i, body)
@@ -157,11 +157,11 @@
 
 // Guards against a reset on a connection that the server had closed while it stood idle.
 func TestConnectionClosedByTheServerIsNoticed(t *testing.T) {
-	server, tasks := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
 		return false
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	for i := range 5 {
 		if status, _, _ := ask(t, n, "batch", fmt.Sprint("t", i), ""); status != 200 {
 			t.Errorf("task %d was answered %d", i, status)
@@ -179,8 +179,8 @@
 
 // Guards against a request written to a connection that the server is about to close, or has, for standing idle.
 func TestConnectionThatStoodIdleIsNotUsedAgain(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, func(c *Config) {
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, func(c *Config) {
 		c.Settings = json.RawMessage(strings.Replace(settingsText, `"idle_close_us":60000000`, `"idle_close_us":100000`, 1))
 	}, server)
 	for i, want := range []int64{1, 1, 2} {
@@ -199,7 +199,7 @@
 	var back atomic.Bool
 	var idle sync.WaitGroup
 	idle.Add(5)
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if back.Load() {
 			c.(*net.TCPConn).SetLinger(0)
 			return false
@@ -208,7 +208,7 @@
 		idle.Wait()
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	var done sync.WaitGroup
 	for i := range 5 {
 		done.Go(func() { ask(t, n, "pay", fmt.Sprint("t", i), "") })
@@ -227,65 +227,65 @@
 
 func TestClientThatLeavesHasItsTaskRecalled(t *testing.T) {
 	closed := make(chan struct{})
-	server, tasks := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		io.Copy(io.Discard, c)
 		close(closed)
 		return false
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	c, _ := dial(t, n)
 	io.WriteString(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
-	soon(t, "the hand-off", func() bool { return tasks.Load() == 1 })
+	eventually(t, "the hand-off", func() bool { return tasks.Load() == 1 })
 	c.Close()
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second): // its latency objective is 20 s
 		t.Error("the hand-off was not recalled")
 	}
-	soon(t, "the recall", func() bool { return n.count(requestsCanceled) == 1 && n.count(attemptsCanceled) == 1 })
+	eventually(t, "the recall", func() bool { return n.count(requestsCanceled) == 1 && n.count(attemptsCanceled) == 1 })
 }
 
 func TestPipelinedTasksAreAnsweredInOrder(t *testing.T) {
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasSuffix(r.Header.Get(headerRequestID), "0") {
 			time.Sleep(50 * time.Millisecond)
 		}
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	c, in := dial(t, n)
 	var all string
 	for i := range 9 {
-		all += taskText("batch", fmt.Sprint("t", i), "b")
+		all += requestText("batch", fmt.Sprint("t", i), "b")
 	}
 	io.WriteString(c, all+"no message\r\n\r\n")
 	for i := range 9 {
-		if status, body, _ := answerOn(in); status != 200 || body != fmt.Sprintf("/batch t%d b", i) {
+		if status, body, _ := readAnswer(in); status != 200 || body != fmt.Sprintf("/batch t%d b", i) {
 			t.Errorf("answer %d is %d %q", i, status, body)
 		}
 	}
-	if status, _, _ := answerOn(in); status != 400 {
+	if status, _, _ := readAnswer(in); status != 400 {
 		t.Errorf("what is no message was answered %d", status)
 	}
 }
 
 func TestClientThatHoldsItsBodyBackIsToldToGoOn(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, nil, server)
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, nil, server)
 	c, in := dial(t, n)
 	io.WriteString(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
-	if status, _, _ := answerOn(in); status != 100 {
+	if status, _, _ := readAnswer(in); status != 100 {
 		t.Fatalf("told %d", status)
 	}
 	io.WriteString(c, "body")
-	if status, body, _ := answerOn(in); status != 200 || body != "/batch t body" {
+	if status, body, _ := readAnswer(in); status != 200 || body != "/batch t body" {
 		t.Errorf("answered %d %q", status, body)
 	}
 }
 
 func TestBadTasksAreAnsweredAndCounted(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, nil, server)
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, nil, server)
 	head := "POST /batch HTTP/1.1\r\nHost: h\r\n"
 	for text, want := range map[string]int{
 		"\x00\x01\x02\r\n\r\n":                                    400,
@@ -308,7 +308,7 @@
 	} {
 		c, in := dial(t, n)
 		io.WriteString(c, text)
-		if status, _, _ := answerOn(in); status != want {
+		if status, _, _ := readAnswer(in); status != want {
 			t.Errorf("%.60q was answered %d, want %d", text, status, want)
 		}
 	}
@@ -320,17 +320,17 @@
 // Guards against connections that say nothing, or never end what they say, holding descriptors: bad clients are owed an
 // answer or a close within 3 s.
 func TestClientsThatNeverEndAMessageAreLetGo(t *testing.T) {
-	n := nodeWith(t, nil)
+	n := startNode(t, nil)
 	var done sync.WaitGroup
 	for text, want := range map[string]int{
-		"": 0, "GET /batch HT": 408, taskText("batch", "a", "body")[:100]: 408,
+		"": 0, "GET /batch HT": 408, requestText("batch", "a", "body")[:100]: 408,
 		"POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nContent-Length: 9\r\n\r\nhalf": 408,
 	} {
 		done.Go(func() {
 			began := time.Now()
 			c, in := dial(t, n)
 			io.WriteString(c, text)
-			status, _, _ := answerOn(in)
+			status, _, _ := readAnswer(in)
 			if took := time.Since(began); status != want || took > 2900*time.Millisecond {
 				t.Errorf("%q was answered %d after %v", text, status, took)
 			}
@@ -368,7 +368,7 @@
 			}
 		}()
 		c := newBufferedConn(near)
-		_, m, err := c.fromClient(func() bool { return false })
+		_, m, err := c.readRequestHead(func() bool { return false })
 		var got []byte
 		whole := false
 		if err == nil {
@@ -378,7 +378,7 @@
 		if spoil {
 			return err != nil || len(got) <= len(body)
 		}
-		return err == nil && whole && string(got) == string(body) && len(c.pending()) == 0
+		return err == nil && whole && string(got) == string(body) && len(c.buffered()) == 0
 	}
 	if err := quick.Check(property, &quick.Config{MaxCount: 300}); err != nil {
 		t.Error(err)
@@ -387,15 +387,15 @@
 
 // Guards against a flood of connections that bring nothing shutting out clients at work.
 func TestFloodLeavesRoomForClients(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
 	c, in := dial(t, n)
 	for i := range 40 {
 		for range 5 {
 			dial(t, n)
 		}
-		io.WriteString(c, taskText("batch", fmt.Sprint("t", i), ""))
-		if status, _, _ := answerOn(in); status != 200 {
+		io.WriteString(c, requestText("batch", fmt.Sprint("t", i), ""))
+		if status, _, _ := readAnswer(in); status != 200 {
 			t.Fatalf("task %d in the flood was answered %d", i, status)
 		}
 		if status, _, _ := ask(t, n, "batch", fmt.Sprint("new", i), ""); status != 200 {
@@ -404,7 +404,7 @@
 	}
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
-	if most := n.frontend.maxOpen + n.frontend.spare; len(n.frontend.open) > most {
+	if most := n.frontend.maxOpen + n.frontend.spareSlots; len(n.frontend.open) > most {
 		t.Errorf("%d connections from clients, at most %d are allowed", len(n.frontend.open), most)
 	}
 }
@@ -415,12 +415,12 @@
 	for name, idle := range map[string]time.Duration{"for long": evictableAfter + 100*time.Millisecond, "of late": 3 * closeLinger} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server, _ := serverOf(t, echo)
-			n := nodeWith(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
-			for i := range n.frontend.maxOpen + n.frontend.spare {
+			server, _ := startUpstream(t, echo)
+			n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
+			for i := range n.frontend.maxOpen + n.frontend.spareSlots {
 				c, in := dial(t, n)
-				io.WriteString(c, taskText("batch", fmt.Sprint("stays", i), ""))
-				answerOn(in)
+				io.WriteString(c, requestText("batch", fmt.Sprint("stays", i), ""))
+				readAnswer(in)
 			}
 			time.Sleep(idle)
 			began := time.Now()
@@ -441,13 +441,13 @@
 
 // Guards against clients that ask once and keep their connections using up all that the front may hold to a node.
 func TestIdleConnectionsLeaveTheFrontRoom(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
 	var ended atomic.Int64
 	for i := range 4 * ownDescriptors / 3 {
 		c, in := dial(t, n)
-		io.WriteString(c, taskText("batch", fmt.Sprint("stays", i), ""))
-		if status, _, _ := answerOn(in); status != 200 {
+		io.WriteString(c, requestText("batch", fmt.Sprint("stays", i), ""))
+		if status, _, _ := readAnswer(in); status != 200 {
 			t.Fatalf("task %d was answered %d", i, status)
 		}
 		go func() {
@@ -456,7 +456,7 @@
 		}()
 		time.Sleep(closeLinger / 5)
 	}
-	soon(t, "room for further tasks", func() bool { return ended.Load() >= 4 })
+	eventually(t, "room for further tasks", func() bool { return ended.Load() >= 4 })
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
 	if held := len(n.frontend.open); held > 4*ownDescriptors/activeClientShare+2 {
@@ -466,7 +466,7 @@
 
 // Guards against a connection that is closed for want of room with a request already written to it.
 func TestMoreTasksThanConnectionsAreAllAnswered(t *testing.T) {
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(100 * time.Millisecond)
 		return echo(c, r, body)
 	})
@@ -495,14 +495,14 @@
 
 // Guards against a request that comes just as its connection is asked to leave being withdrawn while it is out.
 func TestTaskOnAConnectionThatLeavesIsAnswered(t *testing.T) {
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(3 * closeLinger)
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	c, in := dial(t, n)
-	io.WriteString(c, taskText("batch", "t1", ""))
-	soon(t, "the hand-off", func() bool { return n.count(attemptsSent) == 1 })
+	io.WriteString(c, requestText("batch", "t1", ""))
+	eventually(t, "the hand-off", func() bool { return n.count(attemptsSent) == 1 })
 	n.frontend.mu.Lock()
 	for one := range n.frontend.open {
 		one.mu.Lock()
@@ -511,10 +511,10 @@
 		one.mu.Unlock()
 	}
 	n.frontend.mu.Unlock()
-	if status, _, header := answerOn(in); status != 200 || header == nil {
+	if status, _, header := readAnswer(in); status != 200 || header == nil {
 		t.Errorf("answered %d", status)
 	}
-	if status, _, _ := answerOn(in); status != 0 {
+	if status, _, _ := readAnswer(in); status != 0 {
 		t.Error("the connection did not leave after its answer")
 	}
 }
@@ -524,14 +524,14 @@
 	for _, lent := range []int64{0, 4} {
 		var out atomic.Int64
 		hold := make(chan struct{})
-		server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 			out.Add(1)
 			<-hold
 			return echo(c, r, body)
 		})
 		n := newNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
 		n.upstreams.maxOpen = 3
-		n.frontend.maxLent.Store(lent)
+		n.frontend.maxLentSlots.Store(lent)
 		n.start()
 		var done sync.WaitGroup
 		answers := [600]atomic.Int64{}
@@ -541,7 +541,7 @@
 				answers[status].Add(1)
 			})
 		}
-		soon(t, "declines", func() bool { return answers[503].Load() == 7-lent })
+		eventually(t, "declines", func() bool { return answers[503].Load() == 7-lent })
 		close(hold)
 		done.Wait()
 		if answers[200].Load() != 3+lent || out.Load() != 3+lent || n.count(attemptsNotSent) < 7-lent {
@@ -572,20 +572,20 @@
 }
 
 func TestListMovesDrainsAndMakesNoSense(t *testing.T) {
-	first, atFirst := serverOf(t, echo)
-	second, atSecond := serverOf(t, echo)
+	first, atFirst := startUpstream(t, echo)
+	second, atSecond := startUpstream(t, echo)
 	address, asked := discoveryOf(t,
 		[]string{
 			listText(5, false, listEntry("s-0", second, "up"), listEntry("s-1", "nowhere", "up"), `{"host":7}`), "",
 			"no list",
 		},
 		[]string{listText(6, false, listEntry("s-0", second, "draining"))})
-	n := nodeWith(t, func(c *Config) { c.Discovery = address }, first)
-	soon(t, "the move", func() bool { return n.count(listUpdates) == 1 })
+	n := startNode(t, func(c *Config) { c.Discovery = address }, first)
+	eventually(t, "the move", func() bool { return n.count(listUpdates) == 1 })
 	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 || atFirst.Load() != 0 || atSecond.Load() != 1 {
 		t.Errorf("after the move %d, %d tasks at the old address, %d at the new", status, atFirst.Load(), atSecond.Load())
 	}
-	soon(t, "the drain", func() bool { return n.count(listUpdates) == 2 })
+	eventually(t, "the drain", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := ask(t, n, "batch", "t2", ""); status != 503 || atSecond.Load() != 1 {
 		t.Errorf("with its only server draining a task was answered %d", status)
 	}
@@ -601,7 +601,7 @@
 
 // Guards against a new configuration ending the node, being told as a list that failed, or leaving it with the old list.
 func TestNewConfigurationMovesDiscoveryAtOnce(t *testing.T) {
-	server, _ := serverOf(t, echo)
+	server, _ := startUpstream(t, echo)
 	old, _ := discoveryOf(t, []string{listText(50, false)})
 	young, asked := discoveryOf(t, []string{listText(3, true, listEntry("s-1", server, "up"))})
 	path := t.TempDir() + "/config.json"
@@ -616,13 +616,13 @@
 	}
 	n := newNode(t, func(c *Config) { c.Discovery, c.path = old, path }, "127.0.0.1:1")
 	go n.Run(Signals())
-	soon(t, "the old watch", func() bool { return n.count(listUpdates) == 1 })
+	eventually(t, "the old watch", func() bool { return n.count(listUpdates) == 1 })
 	told := func(counted counter) {
 		t.Helper()
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		soon(t, counterNames[counted], func() bool { return n.count(counted) == 1 })
+		eventually(t, counterNames[counted], func() bool { return n.count(counted) == 1 })
 	}
 	write(young, "no seed")
 	told(configReloadsRejected)
@@ -631,7 +631,7 @@
 	}
 	write(young, "2e")
 	told(configReloads)
-	soon(t, "the new list", func() bool { return n.count(listUpdates) == 2 })
+	eventually(t, "the new list", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 {
 		t.Errorf("by the new list a task was answered %d", status)
 	}
@@ -648,14 +648,14 @@
 	n := newNode(t, func(c *Config) { c.Discovery = address })
 	n.endpointWatch.silenceTimeout = 200 * time.Millisecond
 	n.start()
-	soon(t, "the second call", func() bool { return n.count(listUpdates) >= 2 })
+	eventually(t, "the second call", func() bool { return n.count(listUpdates) >= 2 })
 }
 
 // Guards against the late removal of a server closing connections to the one that stands at its address, against a gone
 // server staying because another has its address, and against a connection to the old one being used for the new.
 func TestServerAtTheAddressOfOneThatHasGone(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, nil, server)
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, nil, server)
 	ask(t, n, "batch", "old", "")
 	learn := func(version int, whole bool, entries ...string) {
 		t.Helper()
@@ -689,8 +689,8 @@
 
 // Where only a listing as draining binds, a server that the list drops is used on; draining ends it all the same.
 func TestAServerThatTheListDropsMayServe(t *testing.T) {
-	server, _ := serverOf(t, echo)
-	n := nodeWith(t, func(c *Config) {
+	server, _ := startUpstream(t, echo)
+	n := startNode(t, func(c *Config) {
 		c.Settings = json.RawMessage(strings.Replace(settingsText, `"rules":{`, `"rules":{"removal_not_binding":true,`, 1))
 	}, server)
 	ask(t, n, "batch", "before", "")
@@ -714,7 +714,7 @@
 
 // A server is not taken off the list because its line could not be read, only because a readable list lacks it.
 func TestUnreadableEntryTakesNobodyOff(t *testing.T) {
-	n := nodeWith(t, nil)
+	n := startNode(t, nil)
 	_, _, whole, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
 	if whole || err != nil {
 		t.Errorf("whole %t, error %v", whole, err)
@@ -727,11 +727,11 @@
 }
 
 func TestStopGoesOnTakingAndSettlesAll(t *testing.T) {
-	server, _ := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(60 * time.Millisecond)
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	idle, idleIn := dial(t, n)
 	var answered atomic.Int64
 	var busy sync.WaitGroup
@@ -739,8 +739,8 @@
 		c, in := dial(t, n)
 		busy.Go(func() {
 			for k := 0; ; k++ {
-				io.WriteString(c, taskText("batch", fmt.Sprint(i, "-", k), ""))
-				status, _, header := answerOn(in)
+				io.WriteString(c, requestText("batch", fmt.Sprint(i, "-", k), ""))
+				status, _, header := readAnswer(in)
 				if status == 200 {
 					answered.Add(1)
 				}
@@ -750,20 +750,20 @@
 			}
 		})
 	}
-	soon(t, "answers", func() bool { return answered.Load() >= 20 })
+	eventually(t, "answers", func() bool { return answered.Load() >= 20 })
 	stopped := make(chan struct{})
 	go func() {
 		n.stop()
 		close(stopped)
 	}()
-	soon(t, "the stop", n.stopping.Load)
+	eventually(t, "the stop", n.stopping.Load)
 	if status, _, _ := ask(t, n, "batch", "new", ""); status != 200 {
 		t.Errorf("a new connection while stopping was answered %d", status)
 	}
 	time.Sleep(acceptAfterTerm - 120*time.Millisecond)
-	io.WriteString(idle, taskText("batch", "a", "")+taskText("batch", "b", ""))
+	io.WriteString(idle, requestText("batch", "a", "")+requestText("batch", "b", ""))
 	for range 2 {
-		if status, body, _ := answerOn(idleIn); status != 200 {
+		if status, body, _ := readAnswer(idleIn); status != 200 {
 			t.Errorf("a task taken before the end was answered %d %s", status, body)
 		}
 	}
@@ -780,8 +780,8 @@
 
 // Guards against a panic in the decisions costing the other requests or leaving its own without an answer.
 func TestPanicStopsAtItsTask(t *testing.T) {
-	server, tasks := serverOf(t, echo)
-	n := nodeWith(t, nil, server)
+	server, tasks := startUpstream(t, echo)
+	n := startNode(t, nil, server)
 	x := newPendingRequest()
 	x.request.ID = "bad"
 	n.loop.post(func() {
@@ -795,7 +795,7 @@
 		n.loop.requests["bad"] = x
 		n.loop.Send("bad", endpointID("s-0"), time.Second)
 	})
-	soon(t, "the end of a hand-off that came too late", func() bool { return n.count(attemptsNotSent) == 1 })
+	eventually(t, "the end of a hand-off that came too late", func() bool { return n.count(attemptsNotSent) == 1 })
 	if tasks.Load() != 0 {
 		t.Error("a task that has its answer went to a server")
 	}
@@ -832,15 +832,15 @@
 
 // An id that is still known must not be mixed up with a second request under the same one.
 func TestIDInUseIsTurnedDown(t *testing.T) {
-	server, tasks := serverOf(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(50 * time.Millisecond)
 		return echo(c, r, body)
 	})
-	n := nodeWith(t, nil, server)
+	n := startNode(t, nil, server)
 	c, in := dial(t, n)
-	io.WriteString(c, taskText("batch", "same", "")+taskText("batch", "same", ""))
-	first, _, _ := answerOn(in)
-	second, _, _ := answerOn(in)
+	io.WriteString(c, requestText("batch", "same", "")+requestText("batch", "same", ""))
+	first, _, _ := readAnswer(in)
+	second, _, _ := readAnswer(in)
 	if first != 200 || second != 409 || tasks.Load() != 1 {
 		t.Errorf("answered %d and %d, %d tasks at the server", first, second, tasks.Load())
 	}
@@ -863,14 +863,14 @@
 		time.Sleep(5 * time.Millisecond)
 		switch how {
 		case 0:
-			return say(c, "503 No\r\nX-Turned-Away: 1", "")
+			return writeAnswer(c, "503 No\r\nX-Turned-Away: 1", "")
 		case 1:
-			return say(c, "504 Over\r\nX-Turned-Away: 1\r\nConnection: close", "") && false
+			return writeAnswer(c, "504 Over\r\nX-Turned-Away: 1\r\nConnection: close", "") && false
 		case 2:
-			say(c, "503 No\r\nX-Turned-Away: 1", "")
+			writeAnswer(c, "503 No\r\nX-Turned-Away: 1", "")
 			return false
 		case 3:
-			return say(c, "500 Bad", "")
+			return writeAnswer(c, "500 Bad", "")
 		case 4:
 			return false
 		case 5:
@@ -882,17 +882,17 @@
 		case 7:
 			time.Sleep(60 * time.Millisecond)
 		case 8:
-			return say(c, "503 No", "")
+			return writeAnswer(c, "503 No", "")
 		}
 		return echo(c, r, body)
 	}
 	var servers []string
 	for range 4 {
-		address, _ := serverOf(t, behave)
+		address, _ := startUpstream(t, behave)
 		servers = append(servers, address)
 	}
 	patient := strings.NewReplacer("300000", "2000000", "800000", "3000000").Replace(settingsText)
-	n := nodeWith(t, func(c *Config) { c.Settings = json.RawMessage(patient) }, append(servers, "127.0.0.1:1")...)
+	n := startNode(t, func(c *Config) { c.Settings = json.RawMessage(patient) }, append(servers, "127.0.0.1:1")...)
 	var done sync.WaitGroup
 	answers := make([]int, 400)
 	category := func(i int) string { return []string{"pay", "update", "view", "pay"}[i%4] }
@@ -901,12 +901,12 @@
 		done.Go(func() {
 			c, in := dial(t, n)
 			defer c.Close()
-			io.WriteString(c, taskText(category(i), id, "b"))
+			io.WriteString(c, requestText(category(i), id, "b"))
 			if i%10 == 9 {
 				time.Sleep(time.Duration(i) * 100 * time.Microsecond)
 				return
 			}
-			status, body, _ := answerOn(in)
+			status, body, _ := readAnswer(in)
 			if answers[i] = status; status == 200 && body != "/"+category(i)+" "+id+" b" {
 				t.Errorf("%s got the answer %q", id, body)
 			}
@@ -920,7 +920,7 @@
 		}
 	}
 	done.Wait()
-	soon(t, "the end of all that was taken", func() bool {
+	eventually(t, "the end of all that was taken", func() bool {
 		left := make(chan int)
 		n.loop.post(func() { left <- len(n.loop.requests) })
 		return <-left == 0
@@ -994,7 +994,7 @@
 func TestLongestIdleMakesRoom(t *testing.T) {
 	n := newNode(t, nil)
 	s := n.upstreams
-	s.maxOpen, s.strayRest = 3, 0
+	s.maxOpen, s.strayCooldown = 3, 0
 	var conns []*upstreamConn
 	for i := range 3 {
 		c, _ := net.Pipe()
@@ -1011,12 +1011,12 @@
 		t.Fatal("the connection that was kept is not there")
 	}
 	s.putIdle(conns[1]) // used again, so that 0 is now the longest idle
-	if !s.reserveSlot() || s.takeIdle(conns[0].target) != nil || s.order.Len() != 2 {
-		t.Errorf("%d idle, want 1 and 2", s.order.Len())
+	if !s.reserveSlot() || s.takeIdle(conns[0].target) != nil || s.idleOrder.Len() != 2 {
+		t.Errorf("%d idle, want 1 and 2", s.idleOrder.Len())
 	}
 	s.closeIdle(conns[2].target)
-	if s.order.Len() != 1 || s.open != 2 {
-		t.Errorf("%d idle, %d open after a server was forgotten, want 1 and 2", s.order.Len(), s.open)
+	if s.idleOrder.Len() != 1 || s.open != 2 {
+		t.Errorf("%d idle, %d open after a server was forgotten, want 1 and 2", s.idleOrder.Len(), s.open)
 	}
 	if s.takeIdle(conns[1].target) == nil || s.reserveSlot() && s.reserveSlot() {
 		t.Error("room was made though nothing stands idle")
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -58,10 +58,10 @@
 
 // TestADiskThatHangsOrFails has no sync come back while requests are done; let go, all is written; failing, it is told and requests go on.
 func TestADiskThatHangsOrFails(t *testing.T) {
-	server, _ := serverOf(t, echo)
+	server, _ := startUpstream(t, echo)
 	disk, dir := &badDisk{}, t.TempDir()
-	n := nodeWith(t, onDisk(t, disk, dir), server)
-	soon(t, "a first batch", func() bool { return n.persistence.written.Load() > 0 })
+	n := startNode(t, onDisk(t, disk, dir), server)
+	eventually(t, "a first batch", func() bool { return n.persistence.written.Load() > 0 })
 	disk.hangs.Lock()
 	before, written := disk.syncs.Load(), n.persistence.written.Load()
 	n.persistence.listed([]endpointEntry{{name: "s-0", address: server}}, 2, true)
@@ -72,34 +72,34 @@
 			}
 		}
 	}
-	soon(t, "a sync that hangs", func() bool { return disk.syncs.Load() > before })
+	eventually(t, "a sync that hangs", func() bool { return disk.syncs.Load() > before })
 	tasks("hanging")
 	if n.persistence.written.Load() != written || strings.Contains(n.persistence.statusJSON(), `"write_under_way_s":0,`) {
 		t.Error(n.persistence.statusJSON())
 	}
 	disk.hangs.Unlock()
-	soon(t, "written", func() bool { return n.persistence.written.Load() > written })
+	eventually(t, "written", func() bool { return n.persistence.written.Load() > written })
 	disk.fails.Store(true)
 	n.persistence.listed([]endpointEntry{{name: "s-0", address: server}}, 2, true)
-	soon(t, "a failure that is told", func() bool { return strings.Contains(n.persistence.statusJSON(), "a write failed") })
+	eventually(t, "a failure that is told", func() bool { return strings.Contains(n.persistence.statusJSON(), "a write failed") })
 	tasks("failing")
 }
 
 // TestTheKnownListGivesWayToTheMemory starts twice on one directory: the second life begins with what the first was told.
 func TestTheKnownListGivesWayToTheMemory(t *testing.T) {
-	server, tasks := serverOf(t, echo)
+	server, tasks := startUpstream(t, echo)
 	whole := &badDisk{}
 	dir := t.TempDir()
-	n := nodeWith(t, onDisk(t, whole, dir))
+	n := startNode(t, onDisk(t, whole, dir))
 	at, err := n.entryOf(listEntry("s-9", server, "up"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.persistence.listed([]endpointEntry{at}, 2, true)
 	n.persistence.end()
-	again := nodeWith(t, onDisk(t, whole, dir))
+	again := startNode(t, onDisk(t, whole, dir))
 	asked := 0
-	soon(t, "a task at the server, which is taken for cold", func() bool {
+	eventually(t, "a task at the server, which is taken for cold", func() bool {
 		asked++
 		status, _, _ := ask(t, again, "view", fmt.Sprint(asked), "")
 		return status == 200 && tasks.Load() == 1
@@ -112,11 +112,11 @@
 // TestAKnownListAndTheMemory sets the list of a configuration against what is remembered: the newer one goes first, and an older one
 // puts nobody back who drains.
 func TestAKnownListAndTheMemory(t *testing.T) {
-	drains, drained := serverOf(t, echo)
-	serves, served := serverOf(t, echo)
+	drains, drained := startUpstream(t, echo)
+	serves, served := startUpstream(t, echo)
 	dir := t.TempDir()
 	life := func(version int) *Node {
-		return nodeWith(t, func(c *Config) {
+		return startNode(t, func(c *Config) {
 			onDisk(t, &badDisk{}, dir)(c)
 			c.Known = []byte(listText(version, true, listEntry("s-0", drains, "up"), listEntry("s-1", serves, "up")))
 		})
@@ -132,7 +132,7 @@
 		want := version > 5
 		again := life(version)
 		before, asked := drained.Load(), 0
-		soon(t, "tasks at servers, which are taken for cold", func() bool {
+		eventually(t, "tasks at servers, which are taken for cold", func() bool {
 			asked++ // most are rejected
 			ask(t, again, "view", fmt.Sprint(version, "-", asked), "")
 			return asked > 40 && served.Load() > 2 && (!want || drained.Load() > before)
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -128,7 +128,9 @@
 
 // naming answers with the server's own name.
 func naming(t *testing.T, name string) (address string, tasks *atomic.Int64) {
-	return serverOf(t, func(c net.Conn, r *http.Request, _ string) bool { return say(c, "200 OK\r\nX-Pressure: queue=1", name) })
+	return startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
+		return writeAnswer(c, "200 OK\r\nX-Pressure: queue=1", name)
+	})
 }
 
 func TestANodeGoesByRelays(t *testing.T) {
@@ -139,8 +141,8 @@
 	first, s, stop := serveOrigin(t, o)
 	endpoint(s, o, "a", a, "up")
 	heardList(s, o, 7, true)
-	n := nodeWith(t, withRelays(discovery, first))
-	soon(t, "ready", func() bool { return n.notReady() == "" })
+	n := startNode(t, withRelays(discovery, first))
+	eventually(t, "ready", func() bool { return n.notReady() == "" })
 	for i := range 10 {
 		if !answers(t, n, fmt.Sprint("one", i), "a") {
 			t.Fatal("not served by the one that relays told")
@@ -149,7 +151,7 @@
 	endpoint(s, o, "b", b, "up")
 	endpoint(s, o, "a", a, "draining")
 	heardList(s, o, 9, true)
-	soon(t, "the drain", func() bool { return relaySeq(t, n) == 9 })
+	eventually(t, "the drain", func() bool { return relaySeq(t, n) == 9 })
 	before := tasksA.Load()
 	for i := range 10 {
 		if !answers(t, n, fmt.Sprint("two", i), "b") {
@@ -165,7 +167,7 @@
 		o.Put(now, testScope, "moon/phase", distribution.Configuration, []byte("full"))
 	})
 	heardList(s, o, 10, true)
-	soon(t, "the spoilt record", func() bool { return n.count(listEntriesSkipped) == 1 && relaySeq(t, n) == 10 })
+	eventually(t, "the spoilt record", func() bool { return n.count(listEntriesSkipped) == 1 && relaySeq(t, n) == 10 })
 	if !answers(t, n, "three", "b") {
 		t.Error("a spoilt record took a server off")
 	}
@@ -209,14 +211,14 @@
 		}
 		return listText(int(version.Load()), true, listEntry("a", a, "up"), listEntry("b", b, "up"))
 	})
-	n := nodeWith(t, withRelaysSilent("20s", discovery, first)) // that no relay can be reached is known sooner
-	soon(t, "ready", func() bool { return n.notReady() == "" })
+	n := startNode(t, withRelaysSilent("20s", discovery, first)) // that no relay can be reached is known sooner
+	eventually(t, "ready", func() bool { return n.notReady() == "" })
 	if !answers(t, n, "one", "b") {
 		t.Fatal("not served by what relays told")
 	}
 	stop()
-	soon(t, "a call to discovery", func() bool { return calls.Load() == 1 })
-	soon(t, "discovery's list", func() bool { return relayView(t, n).By == "discovery" })
+	eventually(t, "a call to discovery", func() bool { return calls.Load() == 1 })
+	eventually(t, "discovery's list", func() bool { return relayView(t, n).By == "discovery" })
 	before := tasksA.Load()
 	for i := range 10 {
 		if !answers(t, n, fmt.Sprint("two", i), "b") {
@@ -238,9 +240,9 @@
 	endpoint(s, again, "a", a, "up")
 	heardList(s, again, 25, true)
 	go s.Serve(l)
-	soon(t, "relays again", func() bool { v := relayView(t, n); return v.By == "relays" && !v.Watch })
-	soon(t, "the end of the watch", func() bool { return open.Load() == 0 })
-	soon(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("three", addresses.Add(1)), "a") })
+	eventually(t, "relays again", func() bool { v := relayView(t, n); return v.By == "relays" && !v.Watch })
+	eventually(t, "the end of the watch", func() bool { return open.Load() == 0 })
+	eventually(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("three", addresses.Add(1)), "a") })
 }
 
 // Where no relay answers at the start, discovery is watched as without any.
@@ -250,8 +252,8 @@
 	still := listen(t, func(c net.Conn) { time.Sleep(20 * time.Second) }) // it takes connections and says nothing
 	for name, at := range map[string]string{"nobody there": "127.0.0.1:1", "a frozen one": still} {
 		began := time.Now()
-		n := nodeWith(t, withRelays(discovery, at))
-		soon(t, "ready, "+name, func() bool { return n.notReady() == "" })
+		n := startNode(t, withRelays(discovery, at))
+		eventually(t, "ready, "+name, func() bool { return n.notReady() == "" })
 		if took := time.Since(began); took > 3*time.Second {
 			t.Errorf("%s: ready after %v, expected a second and a call", name, took)
 		}
@@ -268,8 +270,8 @@
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	first, s, _ := serveOrigin(t, o)
 	s.Do(func(now int64) { o.Put(now, testScope, "route/x", distribution.Configuration, []byte("1")) })
-	n := nodeWith(t, withRelays(discovery, first))
-	soon(t, "ready", func() bool { return n.notReady() == "" })
+	n := startNode(t, withRelays(discovery, first))
+	eventually(t, "ready", func() bool { return n.notReady() == "" })
 	if v := relayView(t, n); v.By != "discovery" || !v.Whole {
 		t.Errorf("%+v", v)
 	}
@@ -308,11 +310,11 @@
 	endpoint(s, o, "a", a, "up")
 	heardList(s, o, 8, true)
 	low, _ := relayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", first))
-	n := nodeWith(t, withRelaysSilent("2s", discovery, low.Address()))
-	soon(t, "the list by relays", func() bool { return n.notReady() == "" && relayView(t, n).By == "relays" })
+	n := startNode(t, withRelaysSilent("2s", discovery, low.Address()))
+	eventually(t, "the list by relays", func() bool { return n.notReady() == "" && relayView(t, n).By == "relays" })
 	stop()
-	soon(t, "the list by discovery", func() bool { return relayView(t, n).By == "discovery" })
-	soon(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("t", addresses.Add(1)), "b") })
+	eventually(t, "the list by discovery", func() bool { return relayView(t, n).By == "discovery" })
+	eventually(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("t", addresses.Add(1)), "b") })
 	if v := relayView(t, n); v.Relay != low.Address() {
 		t.Errorf("%+v: the relay is still there", v)
 	}
@@ -343,8 +345,8 @@
 	})
 	origin, _ := relayProcess(t, fmt.Sprintf("name=\"o\"\nrole=\"origin\"\nlisten=\"127.0.0.1:0\"\n[origin]\ndiscovery=%q\n[origin.scope]\nservice=\"cart\"\nregion=\"eu1\"\n", half))
 	low, _ := relayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", origin.Address()))
-	n := nodeWith(t, withRelaysSilent("4s", discovery, low.Address()))
-	soon(t, "the list by relays", func() bool { return n.notReady() == "" && relayView(t, n).By == "relays" })
+	n := startNode(t, withRelaysSilent("4s", discovery, low.Address()))
+	eventually(t, "the list by relays", func() bool { return n.notReady() == "" && relayView(t, n).By == "relays" })
 	if !answers(t, n, "one", "a") {
 		t.Fatal("not served by what relays told")
 	}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -88,7 +88,7 @@
 	newConnection bool          // the connection was opened for it
 	uploadTime    time.Duration // the part of the time in which the request's body was still coming
 	conn          *upstreamConn // where a long answer is still coming
-	closes        bool          // the server closes it afterwards
+	closeAfter    bool          // the server closes it afterwards
 	clientGone    bool          // it was not written, as the client has gone
 }
 
@@ -108,9 +108,9 @@
 
 // attemptError is why an attempt has no answer, and how far it had come.
 type attemptError struct {
-	stage   attemptStage
-	stopped bool
-	err     error
+	stage    attemptStage
+	canceled bool
+	err      error
 }
 
 func (e *attemptError) Error() string { return fmt.Sprintf("%v: %v", e.stage, e.err) }
@@ -135,11 +135,11 @@
 func (e *attemptError) outcome() policy.Outcome {
 	var own localError
 	switch {
-	case e.stage < fullyWritten && (e.stopped || errors.As(e.err, &own)):
+	case e.stage < fullyWritten && (e.canceled || errors.As(e.err, &own)):
 		return policy.OutcomeNotSent
 	case e.stage < fullyWritten:
 		return policy.OutcomeConnectFailed
-	case e.stopped:
+	case e.canceled:
 		return policy.OutcomeCanceled
 	case errors.Is(e.err, os.ErrDeadlineExceeded):
 		return policy.OutcomeTimedOut
@@ -149,10 +149,10 @@
 
 type upstreamConn struct {
 	*bufferedConn
-	target   upstreamTarget
-	idle     time.Time
-	stand    *list.Element // among all that are idle
-	rejected bool          // its last answer turned a request away
+	target       upstreamTarget
+	idleSince    time.Time
+	idleElement  *list.Element // among all that are idle
+	lastRejected bool          // its last answer turned a request away
 }
 
 type upstreams struct {
@@ -162,23 +162,23 @@
 	idleWorkers    atomic.Int64  // carriers that wait for work
 	maxIdleWorkers atomic.Int64
 
-	mu       sync.Mutex
-	eligible map[policy.EndpointID]string       // where those are that may have something new
-	idle     map[upstreamTarget][]*upstreamConn // the longest idle first
-	order    list.List                          // of all that are idle, the longest first: with thousands of servers a search takes too long
-	open     int
-	maxOpen  int // connections open or being opened
+	mu        sync.Mutex
+	eligible  map[policy.EndpointID]string       // where those are that may have something new
+	idleConns map[upstreamTarget][]*upstreamConn // the longest idle first
+	idleOrder list.List                          // of all that are idle, the longest first: with thousands of servers a search takes too long
+	open      int
+	maxOpen   int // connections open or being opened
 
-	strayRest time.Duration // after an answer that may come again, before a connection carries the next request
-	lastStray atomic.Int64  // when more than belonged to a request's answer came last
+	strayCooldown time.Duration // after an answer that may come again, before a connection carries the next request
+	lastStrayAt   atomic.Int64  // when more than belonged to a request's answer came last
 
 	healthChecks chan struct{} // one for each probe that is out
 }
 
 func newUpstreams(n *Node) *upstreams {
 	s := &upstreams{
-		node: n, eligible: map[policy.EndpointID]string{}, idle: map[upstreamTarget][]*upstreamConn{}, work: make(chan *attempt),
-		strayRest: strayWindow, healthChecks: make(chan struct{}, maxHealthChecks),
+		node: n, eligible: map[policy.EndpointID]string{}, idleConns: map[upstreamTarget][]*upstreamConn{}, work: make(chan *attempt),
+		strayCooldown: strayWindow, healthChecks: make(chan struct{}, maxHealthChecks),
 	}
 	s.dial = s.connect
 	return s
@@ -211,10 +211,10 @@
 
 // trimIdleLocked closes what is idle beyond the places of attempts, and gives back what they don't need of the clients'; the lock is held.
 func (s *upstreams) trimIdleLocked() {
-	for s.open > s.maxOpen && s.order.Len() > 0 {
-		s.closeOldestLocked(s.order.Front().Value.(*upstreamConn).target, 1)
+	for s.open > s.maxOpen && s.idleOrder.Len() > 0 {
+		s.closeOldestLocked(s.idleOrder.Front().Value.(*upstreamConn).target, 1)
 	}
-	lent := &s.node.frontend.lent
+	lent := &s.node.frontend.lentSlots
 	lent.Add(min(0, int64(max(0, s.open-s.maxOpen))-lent.Load()))
 }
 
@@ -255,15 +255,15 @@
 	flow := r.response.stream // the answer goes its own way from here
 	s.node.loop.post(func() { s.node.loop.attemptEnded(h, r) })
 	if flow != nil {
-		s.finishStream(<-flow.done, flow, r.conn, r.closes)
+		s.finishStream(<-flow.done, flow, r.conn, r.closeAfter)
 	}
 }
 
 // finishStream takes back the connection on which a long answer came, once that is over.
 func (s *upstreams) finishStream(whole bool, f *responseStream, c *upstreamConn, closes bool) {
 	f.message.end()
-	c.pace = nil
-	if whole && !closes && len(c.pending()) == 0 {
+	c.pacer = nil
+	if whole && !closes && len(c.buffered()) == 0 {
 		s.putIdle(c)
 	} else {
 		s.closeConn(c)
@@ -300,11 +300,11 @@
 	}
 	reply, m, at, flowed, err := s.writeAndReadHead(c, h)
 	if err != nil {
-		if at == fullyWritten && len(c.pending()) > 0 {
+		if at == fullyWritten && len(c.buffered()) > 0 {
 			at = readingResponse
 		}
 		r, e := fail(at, err)
-		if e.stage == fullyWritten && e.outcome() == policy.OutcomeReset && !c.idle.IsZero() {
+		if e.stage == fullyWritten && e.outcome() == policy.OutcomeReset && !c.idleSince.IsZero() {
 			// Guards against a machine that was cut off and is back: it resets the connections from before only when
 			// they are used, and each would cost a request.
 			s.closeIdle(h.target)
@@ -318,7 +318,7 @@
 		return fail(readingResponse, err)
 	}
 	r := attemptResult{
-		outcome: outcomeOf(reply.StatusCode, reply.Header), newConnection: c.idle.IsZero(), uploadTime: flowed,
+		outcome: outcomeOf(reply.StatusCode, reply.Header), newConnection: c.idleSince.IsZero(), uploadTime: flowed,
 		report: parseLoadReport(reply.Header.Get(headerLoadReport)),
 	}
 	passed := r.outcome == policy.OutcomeSucceeded || isRequestFault(reply.StatusCode)
@@ -333,12 +333,12 @@
 	if passed && !all && running {
 		s.node.counters.add(responsesStreamed)
 		whole = true // the connection is let go by whoever ends the flow
-		r.response.stream, r.conn, r.closes = newResponseStream(m), c, reply.Close || at != fullyWritten
+		r.response.stream, r.conn, r.closeAfter = newResponseStream(m), c, reply.Close || at != fullyWritten
 		return r, nil
 	}
 	m.end()
-	s.noteStray(all && len(c.pending()) > 0)
-	if c.rejected = r.outcome == policy.OutcomeRejected; running && all && !reply.Close && at == fullyWritten && len(c.pending()) == 0 {
+	s.noteStray(all && len(c.buffered()) > 0)
+	if c.lastRejected = r.outcome == policy.OutcomeRejected; running && all && !reply.Close && at == fullyWritten && len(c.buffered()) == 0 {
 		whole = true
 		s.putIdle(c)
 	}
@@ -391,7 +391,7 @@
 		if _, err = whole.WriteTo(c.Conn); err != nil {
 			return nil, nil, partlyWritten, 0, err
 		}
-		r, m, err = c.fromServer(to)
+		r, m, err = c.readResponseHead(to)
 		return r, m, fullyWritten, 0, err
 	}
 	began := time.Now()
@@ -402,7 +402,7 @@
 		return nil, nil, partlyWritten, 0, errBodyLost
 	}
 	up := startUpload(c, h, wait)
-	r, m, err = c.fromServer(to)
+	r, m, err = c.readResponseHead(to)
 	switch whole := up.stop(c, x); {
 	case whole:
 		return r, m, fullyWritten, up.completedAt.Sub(began), err
@@ -462,7 +462,7 @@
 		if c == nil {
 			break
 		}
-		old := c.idle.Before(s.idleCutoff())
+		old := c.idleSince.Before(s.idleCutoff())
 		if !old && c.isQuiet() {
 			return c, nil
 		}
@@ -504,24 +504,24 @@
 func (s *upstreams) takeIdle(from upstreamTarget) *upstreamConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	idle, now := s.idle[from], time.Now()
-	wary := now.UnixNano()-s.lastStray.Load() < int64(strayMemory)
+	idle, now := s.idleConns[from], time.Now()
+	wary := now.UnixNano()-s.lastStrayAt.Load() < int64(strayMemory)
 	i := len(idle) - 1
-	for ; i >= 0 && (wary || idle[i].rejected) && now.Sub(idle[i].idle) < s.strayRest; i-- {
+	for ; i >= 0 && (wary || idle[i].lastRejected) && now.Sub(idle[i].idleSince) < s.strayCooldown; i-- {
 	}
 	if i < 0 {
 		return nil
 	}
 	c := idle[i]
-	s.idle[from] = slices.Delete(idle, i, i+1)
-	s.order.Remove(c.stand)
+	s.idleConns[from] = slices.Delete(idle, i, i+1)
+	s.idleOrder.Remove(c.idleElement)
 	return c
 }
 
 // noteStray notes that more than a request's answer has come on a connection.
 func (s *upstreams) noteStray(more bool) {
 	if more {
-		s.lastStray.Store(time.Now().UnixNano())
+		s.lastStrayAt.Store(time.Now().UnixNano())
 	}
 }
 
@@ -529,8 +529,8 @@
 func (s *upstreams) reserveSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open >= s.maxOpen+int(s.node.frontend.lent.Load()) {
-		oldest := s.order.Front()
+	if s.open >= s.maxOpen+int(s.node.frontend.lentSlots.Load()) {
+		oldest := s.idleOrder.Front()
 		if oldest == nil {
 			return false
 		}
@@ -542,15 +542,15 @@
 
 // closeOldestLocked closes the n connections to a server that have been idle longest; the lock is held.
 func (s *upstreams) closeOldestLocked(from upstreamTarget, n int) {
-	list := s.idle[from]
+	list := s.idleConns[from]
 	for _, c := range list[:n] {
 		c.Close()
-		s.order.Remove(c.stand)
+		s.idleOrder.Remove(c.idleElement)
 		s.open--
 		s.node.counters.add(upstreamConnsIdleClosed)
 	}
-	if s.idle[from] = append([]*upstreamConn(nil), list[n:]...); len(list) == n {
-		delete(s.idle, from)
+	if s.idleConns[from] = append([]*upstreamConn(nil), list[n:]...); len(list) == n {
+		delete(s.idleConns, from)
 	}
 }
 
@@ -566,9 +566,9 @@
 		s.open--
 		return
 	}
-	c.idle = time.Now()
-	s.idle[c.target] = append(s.idle[c.target], c)
-	c.stand = s.order.PushBack(c)
+	c.idleSince = time.Now()
+	s.idleConns[c.target] = append(s.idleConns[c.target], c)
+	c.idleElement = s.idleOrder.PushBack(c)
 }
 
 func (s *upstreams) closeConn(c *upstreamConn) {
@@ -582,7 +582,7 @@
 func (s *upstreams) closeIdle(old upstreamTarget) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closeOldestLocked(old, len(s.idle[old]))
+	s.closeOldestLocked(old, len(s.idleConns[old]))
 }
 
 // idleCutoff is when a connection must have been used last to be used again: well before the server would close it, as a
@@ -596,21 +596,21 @@
 	tooOld := s.idleCutoff()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for at, list := range s.idle {
+	for at, list := range s.idleConns {
 		kept := list[:0]
 		for _, c := range list {
-			if c.idle.After(tooOld) && c.isQuiet() {
+			if c.idleSince.After(tooOld) && c.isQuiet() {
 				kept = append(kept, c)
 				continue
 			}
 			s.noteStray(c.hasInput())
 			c.Close()
-			s.order.Remove(c.stand)
+			s.idleOrder.Remove(c.idleElement)
 			s.open--
 			s.node.counters.add(upstreamConnsIdleClosed)
 		}
-		if s.idle[at] = kept; len(kept) == 0 {
-			delete(s.idle, at)
+		if s.idleConns[at] = kept; len(kept) == 0 {
+			delete(s.idleConns, at)
 		}
 	}
 	s.trimIdleLocked()
