--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -73,7 +73,7 @@
 func (n *Node) idlers() (idle int) {
 	for c := range n.frontend.open {
 		c.mu.Lock()
-		if c.idle(time.Now()) {
+		if c.idleLocked(time.Now()) {
 			idle++
 		}
 		c.mu.Unlock()
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -66,8 +66,8 @@
 	} {
 		x := newPendingRequest()
 		x.method, x.http10 = c.method, c.old
-		head, chunks := c.answer.encodeHead(x, c.last)
-		fmt.Fprintf(&b, "%s(in chunks: %v)\n", head, chunks)
+		head := c.answer.encodeHead(x, c.last)
+		fmt.Fprintf(&b, "%s(in chunks: %v)\n", head.text, head.chunked)
 	}
 	golden.Check(t, "answer-heads.txt", b.Bytes())
 	golden.Check(t, "watch-head.txt", []byte(watchHead("127.0.0.1:9", 42)))
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -1,69 +1,89 @@
 package node
 
-// This file owns probes: one short question to a server for its load, outside any request. It must never resend, and a
-// probe that fails says nothing but that it failed.
+// Health checks: one short request to an endpoint for its load report, outside any client's request. A health check is
+// never repeated here; the decisions ask for the next.
 
 import (
+	"errors"
 	"fawnglade/policy"
 	"net/http"
 	"time"
 )
 
 const (
-	maxHealthChecks = 8 // out at once; one more is not made
-	maxReportBytes  = 64 << 10
+	maxHealthChecks = 8        // in flight; one more fails at once
+	maxReportBytes  = 64 << 10 // of a load report
 )
 
-// checkHealth asks a server for its load, without the loop waiting for it.
-func (s *upstreams) checkHealth(to upstreamTarget) {
+// checkHealth has an endpoint asked for its load; the event loop, which calls it, gets the result as an event. Beyond
+// maxHealthChecks nothing is done but counted.
+func (u *upstreams) checkHealth(target upstreamTarget) {
 	select {
-	case s.healthChecks <- struct{}{}:
+	case u.healthChecks <- struct{}{}:
 	default:
-		s.node.counters.add(healthChecksFailed)
+		u.node.counters.add(healthChecksFailed)
 		return
 	}
 	go func() {
-		defer func() { <-s.healthChecks }()
-		defer s.node.recoverPanic("probe", func() {})
-		outcome, report := s.readLoadReport(to)
+		defer func() { <-u.healthChecks }()
+		defer u.node.recoverPanic("health check", func() {})
+		outcome, report := u.readLoadReport(target)
 		if outcome == policy.OutcomeSucceeded {
-			s.node.counters.add(healthChecksAnswered)
+			u.node.counters.add(healthChecksAnswered)
 		} else {
-			s.node.counters.add(healthChecksFailed)
+			u.node.counters.add(healthChecksFailed)
 		}
-		s.node.loop.post(func() { s.node.loop.healthChecked(to.endpoint, outcome, report) })
+		u.node.loop.post(func() { u.node.loop.healthChecked(target.endpoint, outcome, report) })
 	}()
 }
 
-func (s *upstreams) readLoadReport(to upstreamTarget) (policy.Outcome, policy.LoadReport) {
-	wanted := func() bool { return !s.node.overrides.isDisabled(to.endpoint) && s.isEligible(to) }
-	if !wanted() {
-		return policy.OutcomeNotSent, parseLoadReport("")
+// readLoadReport asks an endpoint for its load. The report is empty unless the outcome is OutcomeSucceeded.
+func (u *upstreams) readLoadReport(target upstreamTarget) (policy.Outcome, policy.LoadReport) {
+	noReport := parseLoadReport("")
+	if !u.mayUse(target) {
+		return policy.OutcomeNotSent, noReport
 	}
-	limit := time.Now().Add(2 * time.Duration(s.node.settings.ConnectTimeout))
-	c, err := s.acquire(&attempt{target: to}, limit)
+	deadline := time.Now().Add(2 * time.Duration(u.node.settings.ConnectTimeout))
+	conn, err := u.acquire(&attempt{target: target}, deadline)
 	if err != nil {
-		return policy.OutcomeConnectFailed, parseLoadReport("")
+		return policy.OutcomeConnectFailed, noReport
 	}
-	if !wanted() { // since it began to connect
-		s.closeConn(c)
-		return policy.OutcomeNotSent, parseLoadReport("")
+	if !u.mayUse(target) { // it may have changed while the connection was opened
+		u.closeConn(conn)
+		return policy.OutcomeNotSent, noReport
 	}
-	c.SetDeadline(limit)
-	if _, err := c.Write([]byte(healthCheckHead(to.address))); err == nil {
-		if r, m, err := c.readResponseHead(&http.Request{Method: http.MethodGet}); err == nil {
-			body, whole, err := m.readUpTo(nil, maxReportBytes)
-			m.end()
-			if outcome := outcomeOf(r.StatusCode, r.Header); err == nil && whole && outcome == policy.OutcomeSucceeded {
-				if len(c.buffered()) == 0 && !r.Close {
-					s.putIdle(c)
-				} else {
-					s.closeConn(c)
-				}
-				return outcome, parseLoadReport(string(body))
-			}
-		}
+	conn.SetDeadline(deadline)
+	text, reusable, err := conn.getLoadReport()
+	if err != nil {
+		u.closeConn(conn)
+		return policy.OutcomeError, noReport
+	}
+	if reusable {
+		u.putIdle(conn)
+	} else {
+		u.closeConn(conn)
+	}
+	return policy.OutcomeSucceeded, parseLoadReport(text)
+}
+
+var errNoReport = errors.New("the response is no load report")
+
+// getLoadReport asks for a load report, and reports whether the connection can be used again.
+func (c *upstreamConn) getLoadReport() (text string, reusable bool, err error) {
+	if _, err := c.Write([]byte(healthCheckHead(c.target.address))); err != nil {
+		return "", false, err
+	}
+	head, m, err := c.readResponseHead(http.MethodGet)
+	if err != nil {
+		return "", false, err
+	}
+	body, complete, err := m.readUpTo(nil, maxReportBytes)
+	m.end()
+	if err != nil {
+		return "", false, err
+	}
+	if !complete || outcomeOf(head.StatusCode, head.Header) != policy.OutcomeSucceeded {
+		return "", false, errNoReport
 	}
-	s.closeConn(c)
-	return policy.OutcomeError, parseLoadReport("")
+	return string(body), len(c.buffered()) == 0 && !head.Close, nil
 }
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -1,7 +1,8 @@
 package node
 
-// This file owns every name that the protocol uses on a socket: headers, paths and states; those of a list's fields are
-// internal/endpointlist's. It must never decide anything; no other file of the node holds a protocol name.
+// The names that the protocol uses on sockets: headers, paths, states and the status codes' meaning. They are mapped to
+// the terms of the code here and nowhere else in this package; the field names of an endpoint list are in
+// internal/endpointlist.
 
 import (
 	"errors"
@@ -12,6 +13,7 @@
 	"hash/fnv"
 	"net/http"
 	"net/netip"
+	"slices"
 	"strings"
 )
 
@@ -25,7 +27,7 @@
 	headerLoadReport  = "X-Pressure"
 	headerNotExecuted = "X-Turned-Away"
 	headerRetryAfter  = "Retry-After"
-	affinityCookie    = "key" // what a request concerns
+	affinityCookie    = "key" // whose value is the request's affinity key
 
 	pathReady   = "/ready"
 	pathDisable = "/servers/disable"
@@ -41,80 +43,87 @@
 	pathLoad = "/status/load"
 
 	envConsole   = "NODE_CONSOLE"
-	envInherited = "NODE_INHERITED_FD" // the descriptor of the clients' listening socket, where the platform holds it
+	envInherited = "NODE_INHERITED_FD" // the descriptor of the listening socket for clients, if the platform opened it
 )
 
-// adminMethods are the calls of the console.
+// adminMethods are the methods of the admin API, by path.
 var adminMethods = map[string]string{
 	pathReady: http.MethodGet, pathDisable: http.MethodPut, pathEnable: http.MethodPut, pathDrain: http.MethodPut,
 	pathUndrain: http.MethodPut, pathMembers: http.MethodGet,
 	pathState: http.MethodGet, pathRelays: http.MethodGet,
 }
 
-// ownHeaders are written by the node itself or end at it: a connection's own, and those that tell of one attempt.
-var ownHeaders = map[string]bool{
+// hopHeaders are not passed on: they concern one connection, or one attempt, or are written by the node itself.
+var hopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true, "Expect": true, "Host": true,
 	headerRemaining: true, headerLoadReport: true, headerNotExecuted: true,
 }
 
-// endToEnd removes what concerns one connection only, also what the sender says does.
+// endToEnd removes, in place, the headers that are not passed on, also those that the sender names in Connection. The
+// request id is always passed on.
 func endToEnd(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
-			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name != headerRequestID {
+			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
+			if name != headerRequestID {
 				delete(h, name)
 			}
 		}
 	}
-	for name := range ownHeaders {
+	for name := range hopHeaders {
 		delete(h, name)
 	}
 	return h
 }
 
+// watchHead is the request that watches the endpoint list for changes after a version.
 func watchHead(address string, version int64) string {
 	return fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, version, address)
 }
 
-// healthCheckHead is a probe.
+// healthCheckHead is the request of a health check.
 func healthCheckHead(address string) string {
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", pathLoad, address)
 }
 
-// isRequestFault tells an answer that finds fault with the request itself. Any server would, so it is the request's answer and says
-// nothing of the server.
+// isRequestFault reports a status that finds fault with the request itself. Any endpoint would, so it is the request's
+// response and says nothing about the endpoint.
 func isRequestFault(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
 		return false
 	}
-	return status >= 400 && status < 500
+	return status >= http.StatusBadRequest && status < http.StatusInternalServerError
 }
 
-// outcomeOf tells what a server's whole answer means.
+// outcomeOf maps the head of a complete response to its outcome. A rejection is proof that the request did not run, and
+// needs its header besides the status.
 func outcomeOf(status int, h http.Header) policy.Outcome {
+	unavailable := status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 	switch {
 	case isRequestFault(status):
 		return policy.OutcomeNotSent
 	case status == http.StatusOK:
 		return policy.OutcomeSucceeded
-	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && h.Get(headerNotExecuted) == "1":
+	case unavailable && h.Get(headerNotExecuted) == "1":
 		return policy.OutcomeRejected
 	}
 	return policy.OutcomeError
 }
 
+// parseLoadReport reads the load report of a response's header or of a health check; an empty text is an empty report.
 func parseLoadReport(text string) policy.LoadReport { return loadreport.Parse(text) }
 
-// endpointEntry is one server of the list, with the address that this node is to use for it.
+// endpointEntry is one endpoint of the list, with the address that this node uses for it.
 type endpointEntry struct {
 	policy.EndpointInfo
 	name    string
 	address string
 }
 
+// zone is the name of the endpoint's zone; empty if it is none of the settings' zones.
 func (e *endpointEntry) zone(zones []string) string {
 	if e.Zone < 0 || e.Zone >= len(zones) {
 		return ""
@@ -122,59 +131,82 @@
 	return zones[e.Zone]
 }
 
-// entryFrom takes in one server of a list. A server that wants nothing new needs no address.
+// The states of an endpoint in the list.
+const (
+	stateUp       = "up"
+	stateDraining = "draining"
+	stateRemoved  = "removed"
+)
+
+var endpointStates = map[string]policy.EndpointState{
+	stateUp:       policy.StateActive,
+	stateDraining: policy.StateDraining,
+	stateRemoved:  policy.StateRemoved,
+}
+
+var endpointStateNames = [...]string{
+	policy.StateActive:   stateUp,
+	policy.StateDraining: stateDraining,
+	policy.StateRemoved:  stateRemoved,
+}
+
+// maxStartedMs bounds an endpoint's start time, in milliseconds of Unix time, so that nanoseconds fit an int64.
+const maxStartedMs = 9e12
+
+// entryFrom checks one endpoint of a list and maps it to the terms of the decisions. An endpoint that is draining or
+// removed needs no address.
 func entryFrom(in endpointlist.Entry, zones []string) (endpointEntry, error) {
-	e := endpointEntry{name: in.Name, address: in.Address, EndpointInfo: policy.EndpointInfo{
-		ID: endpointID(in.Name), Zone: zoneIndex(in.Zone, zones), Pod: in.Pod, Weight: in.Weight,
-		StartedAt: policy.Time(in.StartedMs * 1e6),
-	}}
-	switch in.State {
-	case "up":
-		e.State = policy.StateActive
-	case "draining":
-		e.State = policy.StateDraining
-	case "removed":
-		e.State = policy.StateRemoved
-	default:
+	state, ok := endpointStates[in.State]
+	if !ok {
 		return endpointEntry{}, fmt.Errorf("health: expected up, draining or removed, got %q", in.State)
 	}
 	if in.Name == "" {
 		return endpointEntry{}, errors.New("host: expected a name, got none")
 	}
-	if _, err := netip.ParseAddrPort(in.Address); err != nil && e.State == policy.StateActive {
+	if _, err := netip.ParseAddrPort(in.Address); err != nil && state == policy.StateActive {
 		return endpointEntry{}, fmt.Errorf("dial: %w", err)
 	}
-	if in.Weight < 0 || in.StartedMs < 0 || in.StartedMs > 9e12 {
+	if in.Weight < 0 || in.StartedMs < 0 || in.StartedMs > maxStartedMs {
 		return endpointEntry{}, errors.New("share, born_ms: expected numbers that can be a weight and a time")
 	}
-	return e, nil
+	return endpointEntry{
+		name:    in.Name,
+		address: in.Address,
+		EndpointInfo: policy.EndpointInfo{
+			ID:        endpointID(in.Name),
+			Zone:      zoneIndex(in.Zone, zones),
+			Pod:       in.Pod,
+			Weight:    in.Weight,
+			State:     state,
+			StartedAt: policy.Time(in.StartedMs * 1e6),
+		},
+	}, nil
 }
 
-// encodeList is a list in discovery's form.
+// encodeList encodes a list in the form in which the discovery service sends it.
 func encodeList(version int64, entries []endpointEntry, zones []string) []byte {
 	list := make([]endpointlist.Entry, len(entries))
 	for i, e := range entries {
 		list[i] = endpointlist.Entry{
-			Name: e.name, Address: e.address, Zone: e.zone(zones), Pod: e.Pod, Weight: e.Weight, StartedMs: float64(e.StartedAt) / 1e6,
-			State: [...]string{policy.StateActive: "up", policy.StateDraining: "draining", policy.StateRemoved: "removed"}[e.State],
+			Name:      e.name,
+			Address:   e.address,
+			Zone:      e.zone(zones),
+			Pod:       e.Pod,
+			Weight:    e.Weight,
+			StartedMs: float64(e.StartedAt) / 1e6,
+			State:     endpointStateNames[e.State],
 		}
 	}
 	return endpointlist.Encode(version, list)
 }
 
-// endpointID makes the number that the decisions know a server by. It comes from the name alone, so that all nodes
-// agree on it without talking.
-func endpointID(host string) policy.EndpointID {
-	h := fnv.New32a()
-	h.Write([]byte(host))
-	return policy.EndpointID(h.Sum32())
+// endpointID is the number by which the decisions know an endpoint. It comes from the name alone, so that all nodes agree
+// on it without messages.
+func endpointID(name string) policy.EndpointID {
+	hash := fnv.New32a()
+	hash.Write([]byte(name))
+	return policy.EndpointID(hash.Sum32())
 }
 
-func zoneIndex(name string, zones []string) int {
-	for i, z := range zones {
-		if z == name {
-			return i
-		}
-	}
-	return -1
-}
+// zoneIndex is a zone's place in the settings, or -1.
+func zoneIndex(name string, zones []string) int { return slices.Index(zones, name) }
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -1,8 +1,7 @@
 package node
 
-// This file owns the exchange, the one object in which client side and server side meet: a request as the client side
-// read it, and the one answer that the client side is to write. It must never touch a socket, nor know which side
-// called it.
+// A request as the client side has read it, and its one response. It is what the client side, the event loop and the
+// upstream side share.
 
 import (
 	"bytes"
@@ -13,103 +12,71 @@
 	"time"
 )
 
-// response is what a client gets; status 0 stands for nothing, as the client has gone.
-type response struct {
-	status     int
-	header     http.Header
-	body       []byte
-	retryAfter time.Duration   // when to come back, where that is told
-	stream     *responseStream // what follows the body, of one that is too long to hold
-}
-
+// pendingRequest is a request until its response has been written. The read loop of its client connection fills it in
+// before it posts the request to the event loop, and nothing but the fields with their own synchronization changes
+// afterwards.
 type pendingRequest struct {
 	request    policy.Request
 	method     string
-	closeAfter bool // the client wants its connection closed afterwards
-	head       []byte
-	body       []byte
+	closeAfter bool        // the client connection is closed after the response
 	http10     bool        // the client speaks HTTP/1.0, which knows no chunks
-	source     *bodySource // what follows the body, of one that is too long to hold
+	head       []byte      // of the request as it goes to upstreams, without the time that remains and the empty line
+	body       []byte      // the buffered part of the body
+	source     *bodySource // what follows, of a body that is too long to be buffered; else nil
 
-	clientGone func() bool // whether its client has gone, as far as can be known now; told by the client side
+	clientGone func() bool // whether the client has closed its connection; any goroutine may call it
 
-	responses chan response
-	answered  atomic.Bool
+	responses chan response // gets the one response; read by the write loop
+	answered  atomic.Bool   // the response is there
 
-	attempts []*attempt // these two belong to the loop
-	inFlight int
+	attempts []*attempt // by number; of the event loop alone
+	inFlight int        // attempts that have not ended; of the event loop alone
 }
 
 func newPendingRequest() *pendingRequest {
 	return &pendingRequest{responses: make(chan response, 1), clientGone: func() bool { return false }}
 }
 
-// answer gives the exchange its one answer and tells whether this was it.
-func (x *pendingRequest) answer(a response) bool {
-	if !x.answered.CompareAndSwap(false, true) {
-		a.discard()
+// answer gives the request its one response. It reports whether this was it; any later one is discarded.
+func (p *pendingRequest) answer(r response) bool {
+	if !p.answered.CompareAndSwap(false, true) {
+		r.discard()
 		return false
 	}
-	x.responses <- a
+	p.responses <- r
 	return true
 }
 
-// bufferHead holds on to a request's message in the form in which it goes out.
-func (x *pendingRequest) bufferHead(r *http.Request) {
+// bufferHead keeps the request's head in the form in which it goes to upstreams.
+func (p *pendingRequest) bufferHead(r *http.Request) {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	endToEnd(r.Header).Write(&b)
+	_ = endToEnd(r.Header).Write(&b) // a write to a buffer can't fail
 	switch {
-	case x.source != nil && x.source.length < 0:
+	case p.source != nil && p.source.length < 0:
 		b.WriteString("Transfer-Encoding: chunked\r\n")
-	case x.source != nil:
-		b.WriteString("Content-Length: " + strconv.FormatInt(x.source.length, 10) + "\r\n")
-	case len(x.body) > 0 || r.Method == http.MethodPost:
-		b.WriteString("Content-Length: " + strconv.Itoa(len(x.body)) + "\r\n")
+	case p.source != nil:
+		b.WriteString("Content-Length: " + strconv.FormatInt(p.source.length, 10) + "\r\n")
+	case len(p.body) > 0 || r.Method == http.MethodPost:
+		b.WriteString("Content-Length: " + strconv.Itoa(len(p.body)) + "\r\n")
 	}
-	x.head = b.Bytes()
+	p.head = b.Bytes()
 }
 
-// headWithTimeout is the request's head as it goes out, with the time that the node will wait for its answer.
-func (x *pendingRequest) headWithTimeout(wait time.Duration) []byte {
-	b := make([]byte, 0, len(x.head)+40)
-	b = append(append(append(b, x.head...), headerRemaining...), ": "...)
-	return append(strconv.AppendInt(b, max(1, wait.Milliseconds()), 10), "\r\n\r\n"...)
+// headWithTimeout is the request's head as it goes to an upstream, with the time that the node will wait for the
+// response.
+func (p *pendingRequest) headWithTimeout(timeout time.Duration) []byte {
+	const timeoutHeaderBytes = 40 // at most
+	b := make([]byte, 0, len(p.head)+timeoutHeaderBytes)
+	b = append(b, p.head...)
+	b = append(b, headerRemaining+": "...)
+	b = strconv.AppendInt(b, max(1, timeout.Milliseconds()), 10)
+	return append(b, "\r\n\r\n"...)
 }
 
-// bodyIncomplete tells whether the request's body is still coming, or ended before it was whole.
-func (x *pendingRequest) bodyIncomplete() bool { return x.source != nil && !x.source.complete.Load() }
-
-// bodyConsumed tells whether the request can't be sent again, as part of its body has gone to a server and is held no more.
-func (x *pendingRequest) bodyConsumed() bool { return x.source != nil && x.source.consumed.Load() }
+// bodyIncomplete reports whether the request's body is still coming, or ended before it was complete.
+func (p *pendingRequest) bodyIncomplete() bool { return p.source != nil && !p.source.complete.Load() }
 
-// encodeHead is the answer's head as it goes to the client, and whether its body goes in chunks.
-func (a *response) encodeHead(x *pendingRequest, last bool) (head []byte, chunks bool) {
-	b := bytes.NewBuffer(make([]byte, 0, 512))
-	b.WriteString("HTTP/1.1 " + strconv.Itoa(a.status) + " " + http.StatusText(a.status) + "\r\n")
-	length := strconv.Itoa(len(a.body))
-	if declared := a.header.Get("Content-Length"); declared != "" && !allowsBody(x.method) {
-		length = declared
-	}
-	if a.header != nil {
-		a.header.Del("Content-Length")
-		a.header.Write(b)
-	}
-	if a.retryAfter > 0 {
-		b.WriteString(headerRetryAfter + ": " + strconv.FormatFloat(float64(a.retryAfter)/float64(second), 'f', 3, 64) + "\r\n")
-	}
-	if last {
-		b.WriteString("Connection: close\r\n")
-	}
-	switch {
-	case a.stream == nil:
-		b.WriteString("Content-Length: " + length + "\r\n")
-	case a.stream.length >= 0:
-		b.WriteString("Content-Length: " + strconv.FormatInt(a.stream.length, 10) + "\r\n")
-	case !x.http10:
-		b.WriteString("Transfer-Encoding: chunked\r\n")
-		chunks = true
-	}
-	b.WriteString("\r\n")
-	return b.Bytes(), chunks
-}
+// bodyConsumed reports whether the request can't be sent again, as part of its body has gone to an upstream and is no
+// longer buffered.
+func (p *pendingRequest) bodyConsumed() bool { return p.source != nil && p.source.consumed.Load() }
--- /dev/null
+++ b/internal/node/requestread.go
@@ -0,0 +1,159 @@
+package node
+
+// Reading a request from a client connection: its head, and its body as far as the node has memory for it. What is
+// longer is streamed.
+
+import (
+	"errors"
+	"net/http"
+	"os"
+	"time"
+)
+
+const (
+	headTimeout      = 2500 * time.Millisecond // for a head, from its first byte; for the first, from admission
+	firstBodyRead    = 4 << 10                 // bytes reserved at first for a body of unknown length
+	bodyMemoryFactor = 2                       // bodies are rejected once the buffered ones exceed the limit so far
+)
+
+// errClientClosed ends the read loop: the connection ended before the next request began, or was idle for too long.
+var errClientClosed = errors.New("the client closed the connection")
+
+// readRequest reads one request, or as much of a long one as is buffered; the rest is then p.source. A client may
+// take its time before a request begins, but not within, nor before its first one: a silent connection holds a
+// descriptor. An error for which isMalformed holds is to be answered, any other ends the connection.
+func (c *clientConn) readRequest(p *pendingRequest) (*http.Request, error) {
+	first := !c.used
+	if err := c.awaitFirstByte(first); err != nil {
+		return nil, err
+	}
+	began := c.beginMessage(first)
+	request, m, err := c.conn.readRequestHead(c.hasNoPending)
+	if err != nil {
+		return nil, err
+	}
+	p.method = request.Method
+	p.http10 = !request.ProtoAtLeast(1, 1)
+	c.conn.pacer = &readPacer{start: began, grace: bodyGrace, stall: bodyStall, minRate: minBodyRate}
+	complete, err := c.readBody(p, m)
+	if err != nil || complete {
+		c.conn.pacer = nil
+		m.end()
+		return request, err
+	}
+	p.source = newBodySource(c.conn, m)
+	return request, nil
+}
+
+// awaitFirstByte waits until something of the next request is buffered.
+func (c *clientConn) awaitFirstByte(first bool) error {
+	for len(c.conn.buffered()) == 0 {
+		timeout := clientIdleTimeout
+		if first { // at least closeLinger, so that what has come is read also where the time has just ended
+			timeout = max(time.Until(c.admittedAt.Add(headTimeout)), closeLinger)
+		}
+		c.setReadTimeout(timeout)
+		err := c.conn.fill()
+		if errors.Is(err, os.ErrDeadlineExceeded) && (c.conn.hasInput() || c.keepsOpen()) {
+			continue
+		}
+		if err != nil {
+			return errClientClosed
+		}
+	}
+	return nil
+}
+
+// beginMessage notes that a message is being read, sets the deadline of its head, and returns the time from which that
+// counts.
+func (c *clientConn) beginMessage(first bool) time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.messageBegan = time.Now()
+	began := c.messageBegan
+	if first {
+		began = c.admittedAt
+	}
+	c.conn.SetReadDeadline(began.Add(headTimeout))
+	return began
+}
+
+// readBody reads a body into memory, or as much of a long one as there is memory for, and reports whether that is all.
+func (c *clientConn) readBody(p *pendingRequest, m *message) (complete bool, err error) {
+	if m.length == 0 {
+		return true, nil
+	}
+	limit := firstBodyRead
+	switch {
+	case m.length > minBufferedBody && m.length <= maxBufferedBody && c.reserveBody(p, int(m.length), false):
+		limit = int(m.length)
+	case m.length > 0:
+		limit = int(min(m.length, minBufferedBody))
+	}
+	c.reserveBody(p, limit, true)
+	for {
+		p.body, complete, err = m.readUpTo(p.body, limit)
+		if complete || err != nil || m.length > 0 {
+			return complete, err
+		}
+		limit *= 2
+		if limit > maxBufferedBody || !c.reserveBody(p, limit, limit <= minBufferedBody) {
+			return false, nil
+		}
+	}
+}
+
+// reserveBody makes room for a number of bytes of a request's body and reports whether there is memory for it; forced,
+// there always is. releaseBody gives the memory back.
+func (c *clientConn) reserveBody(p *pendingRequest, size int, force bool) bool {
+	node := c.frontend.node
+	more := int64(size - cap(p.body))
+	if more <= 0 {
+		return true
+	}
+	if node.bufferedBytes.Add(more) > node.maxBufferedBytes.Load() && !force {
+		node.bufferedBytes.Add(-more)
+		return false
+	}
+	grown := make([]byte, len(p.body), size)
+	copy(grown, p.body)
+	p.body = grown
+	return true
+}
+
+// releaseBody gives back the memory that was reserved for a request's body.
+func (c *clientConn) releaseBody(p *pendingRequest) {
+	c.frontend.node.bufferedBytes.Add(-int64(cap(p.body)))
+}
+
+// awaitBody waits until a streamed body has been read by its attempt, and reports whether the connection goes on.
+func (c *clientConn) awaitBody(p *pendingRequest) bool {
+	<-p.source.ended
+	p.source.message.end()
+	c.conn.pacer = nil
+	if !p.bodyIncomplete() {
+		return true
+	}
+	loop := c.frontend.node.loop
+	loop.post(func() { loop.bodyBroken(p) })
+	return false
+}
+
+// isMalformed reports an error of reading a request that is the client's, and that it is told of.
+func isMalformed(err error) bool {
+	return errors.Is(err, errMalformed) || errors.Is(err, errHeadTooLong) || errors.Is(err, errBodyTooLong) ||
+		errors.Is(err, os.ErrDeadlineExceeded)
+}
+
+// statusFor is the status that answers an error for which isMalformed holds.
+func statusFor(err error) int {
+	switch {
+	case errors.Is(err, errHeadTooLong):
+		return http.StatusRequestHeaderFieldsTooLarge
+	case errors.Is(err, errBodyTooLong):
+		return http.StatusRequestEntityTooLarge
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return http.StatusRequestTimeout
+	}
+	return http.StatusBadRequest
+}
