--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,4 @@
-// Benchlink puts the decision module on the bench's wire.
+// Benchlink runs the decisions for a simulator that speaks to it on standard input and output.
 package main
 
 import (
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -61,7 +61,7 @@
 		case 4:
 			fmt.Fprintf(&b, "CATALOG 5 1\nSERVER %d 1 0 2 %s 1 %d\nREGISTRY %d INCREMENTAL 42 5\n", 100+draw.IntN(6), conditions[draw.IntN(3)], clock, who)
 		case 5:
-			told := gossip.Encode(policy.GossipMessage{Endpoint: policy.EndpointID(100 + draw.IntN(6)), Class: draw.IntN(3)}, clock*micro)
+			told := gossip.Encode(policy.GossipMessage{Endpoint: policy.EndpointID(100 + draw.IntN(6)), Class: draw.IntN(3)}, clock*nanosPerMicrosecond)
 			fmt.Fprintf(&b, "PEER %d %d %s\n", who, draw.IntN(5), base64.StdEncoding.EncodeToString(told))
 		case 6:
 			fmt.Fprintf(&b, "OPENED %d t%d 0 100 50\n", who, n)
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -38,11 +38,11 @@
 			start + "BEGIN_BATCH 1500000\nSTOP 3\nCONFIGURE 3 43 " + settingsLine + "\nREGISTRY 3 SAVED 41 0\nEOB\n",
 			began + "AFTER 3 2500000 1\nOBSERVE 3 1\nDONE\n",
 		},
-		"a task goes out and is answered": {
+		"a request goes out and is answered": {
 			start + task + "BEGIN_BATCH 1020000\nRESOLVED 3 aa 18500 51530247 1 Ok 0 latency_ms:14.5,util:0.6,new:1\nEOB\n",
 			began + "ISSUE 3 aa 51530247 1958750\nDONE\nDONE\n",
 		},
-		"a decline proves harmless after a full queue": {
+		"a rejection proves harmless after a full queue": {
 			start + task + "BEGIN_BATCH 1020000\nRESOLVED 3 aa 500 51530247 0 QueueFull 0 -\nEOB\n",
 			began + "ISSUE 3 aa 51530247 1958750\nDONE\nBUSY 3 aa 500000\nDONE\n",
 		},
@@ -51,7 +51,7 @@
 				"BEGIN_BATCH 1020000\nRESOLVED 3 aa 500 51530247 0 Melted 0 util:-1,latency_ms:NaN\nEOB\n",
 			began + "ISSUE 3 aa 51530247 1466562\nAFTER 3 1096000 2\nDONE\nFINISH_ERROR 3 aa\nDONE\n",
 		},
-		"a stream, a withdrawal and news of a task no longer held": {
+		"a stream, a withdrawal and an answer began for a request no longer held": {
 			start + hinted +
 				"BEGIN_BATCH 1020000\nOPENED 3 aa 0 51530247 100\nWITHDRAWN 3 aa\nWITHDRAWN 3 aa\nOPENED 3 bb 0 1 1\nEOB\n",
 			began + "ISSUE 3 aa 51530247 1466562\nAFTER 3 1096000 2\nDONE\nRECALL 3 aa 0\nDONE\n",
@@ -61,7 +61,7 @@
 				"CATALOG 0 1\nSERVER 7 0 0 0 active 1.5 -\nREGISTRY 3 INCREMENTAL 43 0\nREQ 3 aa 0 - 9000000 - - -\nEOB\n",
 			began + "ISSUE 3 aa 7 1958750\nDONE\n",
 		},
-		"a failed list call, a timer and a probe": {
+		"a failed list call, a timer and a health check": {
 			start + "BEGIN_BATCH 1000000\nREGISTRY 3 FAILED 41 -\nWAKEUP 3 0\nHEALTH_RESULT 3 7 Ok 5 util:0.5\nEOB\n",
 			began + "AFTER 3 1156250 0\nOBSERVE 3 1\nDONE\n",
 		},
@@ -105,10 +105,10 @@
 	}
 }
 
-// Guards against a peer ending this process, or nonsense passing unseen.
-func TestNewsThatAreNoneAreCounted(t *testing.T) {
-	told := base64.StdEncoding.EncodeToString(gossip.Encode(policy.GossipMessage{Endpoint: 51530247}, 1000000*micro))
-	in := start + "BEGIN_BATCH 1000001\nPEER 3 1 " + told + "\nPEER 3 1 " + told + "\nPEER 3 2 aGk=\nPEER 3 1 -\nEOB\n"
+// Guards against a peer ending this process, or invalid gossip passing unseen.
+func TestInvalidGossipIsCounted(t *testing.T) {
+	message := base64.StdEncoding.EncodeToString(gossip.Encode(policy.GossipMessage{Endpoint: 51530247}, 1000000*nanosPerMicrosecond))
+	in := start + "BEGIN_BATCH 1000001\nPEER 3 1 " + message + "\nPEER 3 1 " + message + "\nPEER 3 2 aGk=\nPEER 3 1 -\nEOB\n"
 	out, complaint, code := serve(in)
 	if !strings.HasSuffix(out, "DONE\n") || complaint != "benchlink: 3 messages passed over\n" || code != 0 {
 		t.Errorf("exit %d, complaint %q", code, complaint)
