--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,7 +22,7 @@
 	"profiles.1.repeat=keyed quantum_us=2000 report.fields=queue,util report.how=inline rules.ask_within_us=10000000 " +
 	"rules.cold_from=0.14 rules.warm_within_us=22000000 weights=off zone=1 zones=a,b"
 
-// Guards against the two homes of the decisions reading the same settings differently.
+// Guards against a simulator and a node reading the same settings differently.
 func TestBothFormsSayTheSame(t *testing.T) {
 	fromLine, err := FromLine(line)
 	if err != nil {
