--- a/internal/classdelay/classdelay.go
+++ b/internal/classdelay/classdelay.go
@@ -1,134 +1,181 @@
-// Package classdelay owns by how much later than others requests of one kind are answered, wherever they go: kinds are classes, and
-// tenants. It must never know a server, nor what is done about it. Times are nanoseconds.
+// Package classdelay tells by how much longer than others the requests of one class, or of one tenant, wait wherever they are
+// sent, for example for a dependency of their own. Times are in nanoseconds; moments are of the caller's clock.
 package classdelay
 
 import "math"
 
 const (
-	kept  = 3          // answers of a kind that count
-	fresh = int64(4e9) // for how long a kind's answers tell how others fare
-	part  = 0.25       // of the shortest latency objective: a lag below it is no kind's own
+	// answersKept is how many answers of a group count: all have to be late for a delay to be seen.
+	answersKept = 3
+	// freshNanos is for how long the answers of a group say how others fare.
+	freshNanos = int64(4e9)
+	// minDelayFraction is the part of the shortest latency objective below which a delay is no group's own.
+	minDelayFraction = 0.25
+	// latencyWindow is the number of answers over which a group's unloaded latency is averaged.
+	latencyWindow = 8
 )
 
+// The two kinds of groups.
+const (
+	byClass = iota
+	byTenant
+	numberOfKinds
+)
+
+// answer is how late one attempt was; sentAt identifies the attempt.
 type answer struct {
-	sentAt int64 // stands for the attempt
-	late   float64
+	sentAt int64
+	late   float64 // infinite while it is overdue
 }
 
-type kind struct {
-	last  [kept]answer
-	next  int
-	level float64 // the least of them: all have to be late for it to rise, and one in time lets it fall
-	alone float64 // running mean of what its attempts take with nothing else at the server
-	at    int64   // of the last answer
-	away  int     // requests given up since then
-	out   int
-	since int64 // something is out, or nothing is
-	was   int64 // for how long something was, before
+// group is the requests of one class or of one tenant.
+type group struct {
+	answers  [answersKept]answer
+	next     int     // of answers, to be replaced
+	lateness float64 // the least of answers: it rises once all are late, and falls with one in time
+	unloaded float64 // running mean of the latency with nothing else at the endpoint
+
+	lastAnswerAt int64
+	givenUp      int // requests given up since
+
+	inFlight      int
+	changedAt     int64 // when inFlight became or ceased to be 0
+	lastTryLasted int64 // for how long something was in flight before
 }
 
-func (k *kind) add(now, sentAt int64, late float64) {
-	at := k.next
-	for i := range k.last {
-		if k.last[i].sentAt == sentAt && math.IsInf(k.last[i].late, 1) {
-			at = i // it was overdue, and now is answered
+// add takes in an attempt, or the late answer of one that was taken in as overdue.
+func (g *group) add(now, sentAt int64, late float64) {
+	at := g.next
+	for i := range g.answers {
+		if g.answers[i].sentAt == sentAt && math.IsInf(g.answers[i].late, 1) {
+			at = i
 		}
 	}
-	if at == k.next {
-		k.next = (k.next + 1) % kept
+	if at == g.next {
+		g.next = (g.next + 1) % answersKept
 	}
-	k.last[at] = answer{sentAt, max(late, 0)}
-	k.at, k.away, k.level = now, 0, math.Inf(1)
-	for _, a := range k.last {
-		k.level = min(k.level, a.late)
+	g.answers[at] = answer{sentAt: sentAt, late: max(late, 0)}
+	g.lastAnswerAt = now
+	g.givenUp = 0
+	g.lateness = math.Inf(1)
+	for _, a := range g.answers {
+		g.lateness = min(g.lateness, a.late)
 	}
 }
 
-// Tracker holds both sorts of kinds.
+// isComparable tells whether a group says how others fare now. One whose requests are given up counts by what it showed
+// last: those that are not admitted must not make the late ones look like all.
+func (g *group) isComparable(now int64) bool {
+	return now-g.lastAnswerAt < freshNanos || g.givenUp >= answersKept
+}
+
+// Tracker holds the groups of one instance. It is not safe for concurrent use.
 type Tracker struct {
-	sorts [2][]kind
-	least float64
+	groups   [numberOfKinds][]group
+	minDelay float64
 }
 
-// New makes a book in which nothing is late.
-func New(categories, customers int) *Tracker {
-	return &Tracker{sorts: [2][]kind{make([]kind, max(categories, 1)), make([]kind, max(customers, 1))}, least: math.Inf(1)}
+// New returns a tracker that has seen no answer.
+func New(classes, tenants int) *Tracker {
+	return &Tracker{
+		groups: [numberOfKinds][]group{
+			byClass:  make([]group, max(classes, 1)),
+			byTenant: make([]group, max(tenants, 1)),
+		},
+		minDelay: math.Inf(1),
+	}
 }
 
 // AddObjective takes in the latency objective of a class.
-func (b *Tracker) AddObjective(limit int64) { b.least = min(b.least, part*float64(limit)) }
+func (t *Tracker) AddObjective(objective int64) {
+	t.minDelay = min(t.minDelay, minDelayFraction*float64(objective))
+}
 
-// Pair are the two kinds of one request.
-type Pair struct {
-	book *Tracker
-	of   [2]*kind
+// ClassAndTenant is the two groups that a request belongs to.
+type ClassAndTenant struct {
+	tracker *Tracker
+	groups  [numberOfKinds]*group
 }
 
-// Of finds those of a class and a tenant.
-func (b *Tracker) Of(category, customer int) Pair {
-	return Pair{b, [2]*kind{&b.sorts[0][category], &b.sorts[1][min(customer, len(b.sorts[1])-1)]}}
+// Of returns the groups of a request; tenants beyond the known ones share the last group.
+func (t *Tracker) Of(class, tenant int) ClassAndTenant {
+	tenants := t.groups[byTenant]
+	return ClassAndTenant{t, [numberOfKinds]*group{
+		byClass:  &t.groups[byClass][class],
+		byTenant: &tenants[min(tenant, len(tenants)-1)],
+	}}
 }
 
-// waits is by how much each kind is later than the one of its sort that fares best, or would be with as much work: in a jam
-// heavy requests are later than light ones. Kinds that are asked for and given up
-// count with what they last showed: who is not let in must not make the late look like all.
-func (k Pair) waits(now int64) (waits [2]float64) {
-	for i, own := range k.of {
-		least := own.level
-		for j := range k.book.sorts[i] {
-			if o := &k.book.sorts[i][j]; now-o.at < fresh || o.away >= kept {
-				least = min(least, o.level*max(1, own.alone/max(o.alone, 1)))
+// delays returns by how much each group is later than the one of its kind that fares best, or would be with as much work:
+// under overload heavy requests are later than light ones.
+func (c ClassAndTenant) delays(now int64) (delays [numberOfKinds]float64) {
+	for kind, own := range c.groups {
+		best := own.lateness
+		groups := c.tracker.groups[kind]
+		for i := range groups {
+			other := &groups[i]
+			if other.isComparable(now) {
+				best = min(best, other.lateness*max(1, own.unloaded/max(other.unloaded, 1)))
 			}
 		}
-		if own.level-least > k.book.least {
-			waits[i] = own.level - least
+		if own.lateness-best > c.tracker.minDelay {
+			delays[kind] = own.lateness - best
 		}
 	}
-	return waits
+	return delays
 }
 
-// Delay is by how much the kinds are later than others; infinite while nothing but overdue attempts is known.
-func (k Pair) Delay(now int64) float64 {
-	w := k.waits(now)
-	return w[0] + w[1]
+// Delay returns by how much the request is later than others anywhere; infinite while nothing but overdue attempts is known.
+func (c ClassAndTenant) Delay(now int64) float64 {
+	delays := c.delays(now)
+	return delays[byClass] + delays[byTenant]
 }
 
-// MayTry tells whether the kinds that wait may be tried again: nothing is out of them, and there has been for no more than a part
-// of the time. So all nodes together try with no more than that part of them at once, in whatever time a try takes.
-func (k Pair) MayTry(now int64, part float64) bool {
-	for i, w := range k.waits(now) {
-		if own := k.of[i]; w > 0 && (own.out > 0 || float64(now-own.since)*part < float64(own.was)*(1-part)) {
+// MayTry tells whether the groups that are delayed may be tried anew: nothing of them is in flight, nor has been for more than
+// a part of the time. So all nodes together never try with more than that part of them at once, however long a try takes.
+func (c ClassAndTenant) MayTry(now int64, timeFraction float64) bool {
+	for kind, delay := range c.delays(now) {
+		own := c.groups[kind]
+		if delay <= 0 {
+			continue
+		}
+		paused := float64(now - own.changedAt)
+		if own.inFlight > 0 || paused*timeFraction < float64(own.lastTryLasted)*(1-timeFraction) {
 			return false
 		}
 	}
 	return true
 }
 
-// CountInFlight counts attempts that go out, or are back.
-func (k Pair) CountInFlight(now int64, by int) {
-	for _, own := range k.of {
-		if own.out += by; own.out == 0 {
-			own.was, own.since = now-own.since, now
-		} else if own.out == by {
-			own.since = now
+// CountInFlight counts an attempt that is sent, by 1, or one that ends, by -1.
+func (c ClassAndTenant) CountInFlight(now int64, by int) {
+	for _, own := range c.groups {
+		own.inFlight += by
+		switch own.inFlight {
+		case 0:
+			own.lastTryLasted = now - own.changedAt
+			own.changedAt = now
+		case by:
+			own.changedAt = now
 		}
 	}
 }
 
-// CountGivenUp takes in that a request was given up.
-func (k Pair) CountGivenUp() {
-	for _, own := range k.of {
-		own.away++
+// CountGivenUp counts a request that was given up.
+func (c ClassAndTenant) CountGivenUp() {
+	for _, own := range c.groups {
+		own.givenUp++
 	}
 }
 
-// Observe takes in how long an attempt took, infinitely while it is overdue, and how long it takes alone at its server. What its
-// one kind is known to wait for does not count against the other.
-func (k Pair) Observe(now, sentAt int64, took, alone float64) {
-	w, late := k.waits(now), took-alone
-	for i, own := range k.of {
-		own.alone += (alone - own.alone) / 8
-		if other := w[1-i]; !math.IsInf(other, 1) {
+// Observe takes in the latency of an attempt, infinite while it is overdue, and what it is with nothing else at the endpoint.
+// What one group is known to wait for does not count against the other.
+func (c ClassAndTenant) Observe(now, sentAt int64, latency, unloaded float64) {
+	delays, late := c.delays(now), latency-unloaded
+	for kind, own := range c.groups {
+		own.unloaded += (unloaded - own.unloaded) / latencyWindow
+		other := delays[numberOfKinds-1-kind]
+		if !math.IsInf(other, 1) {
 			own.add(now, sentAt, late-other)
 		}
 	}
--- a/internal/ewma/ewma.go
+++ b/internal/ewma/ewma.go
@@ -1,27 +1,33 @@
-// Package ewma owns sums of what was seen that lose weight as they age, with a prior for what they lack. It must
-// never know what they are of.
+// Package ewma keeps exponentially decaying averages of values that are observed two at a time, with a prior for what has
+// not been observed.
 package ewma
 
-// Pair sums up two figures that come together. The zero value has seen nothing.
+// Pair sums up observations of two values, in whatever units the caller gives them. The zero value has none.
 type Pair struct {
-	A      float64 `json:"A"` // the sum of the first figure
-	B      float64 `json:"B"` // and of the second
-	Weight float64 `json:"N"` // the weight of what they hold
+	FirstSum  float64 `json:"A"`
+	SecondSum float64 `json:"B"`
+	Weight    float64 `json:"N"` // of the observations in the sums
 }
 
-// Add takes in one sighting. Those before it fade so that the weight stays at most.
-func (p *Pair) Add(a, b, most float64) {
-	p.Decay(min(1, (most-1)/max(p.Weight, 1)))
-	p.A, p.B, p.Weight = p.A+a, p.B+b, p.Weight+1
+// Add takes in one observation. Earlier ones decay so that Weight is at most maxWeight.
+func (p *Pair) Add(first, second, maxWeight float64) {
+	p.Decay(min(1, (maxWeight-1)/max(p.Weight, 1)))
+	p.FirstSum += first
+	p.SecondSum += second
+	p.Weight++
 }
 
-// Decay leaves a part of all that was seen.
-func (p *Pair) Decay(part float64) { p.A, p.B, p.Weight = p.A*part, p.B*part, p.Weight*part }
+// Decay multiplies the weight of all observations by a part from 0 to 1.
+func (p *Pair) Decay(part float64) {
+	p.FirstSum *= part
+	p.SecondSum *= part
+	p.Weight *= part
+}
 
-// Means is the mean of each figure, with a prior that counts as one sighting.
-func (p *Pair) Means(a, b float64) (float64, float64) {
-	return (p.A + a) / (p.Weight + 1), (p.B + b) / (p.Weight + 1)
+// Means returns the mean of each value; the priors count as one observation.
+func (p *Pair) Means(firstPrior, secondPrior float64) (first, second float64) {
+	return (p.FirstSum + firstPrior) / (p.Weight + 1), (p.SecondSum + secondPrior) / (p.Weight + 1)
 }
 
-// Level is the mean of the first figure over a prior of 1.
-func (p *Pair) Level() float64 { return (p.A + 1) / (p.Weight + 1) }
+// Level returns the mean of the first value, a ratio, over a prior of 1.
+func (p *Pair) Level() float64 { return (p.FirstSum + 1) / (p.Weight + 1) }
--- a/internal/ewma/ewma_test.go
+++ b/internal/ewma/ewma_test.go
@@ -17,7 +17,7 @@
 	for range 1000 {
 		p.Add(7, 1, 10)
 	}
-	if math.Abs(p.Weight-10) > 1e-9 || math.Abs(p.A/p.Weight-7) > 1e-9 {
+	if math.Abs(p.Weight-10) > 1e-9 || math.Abs(p.FirstSum/p.Weight-7) > 1e-9 {
 		t.Errorf("%+v, want a weight of ten and a mean of 7", p)
 	}
 	if p.Decay(0.5); math.Abs(p.Weight-5) > 1e-9 || math.Abs(p.Level()-6) > 1e-9 {
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -1,59 +1,70 @@
-// Package idletimeout owns for how long a connection may have stood unused and still be trusted, learned from those that were dead when
-// used. It must never know a connection or a clock. Times are nanoseconds.
+// Package idletimeout learns for how long a connection may have been idle and still be trusted, from those that were dead
+// when they were used. Times are in nanoseconds.
 package idletimeout
 
 import "math"
 
 const (
-	inARow  = 2    // own signs that count
-	part    = 0.75 // of the time after which one was dead: what stood longer is no longer trusted
-	forget  = 0.5  // part of the signs that still counts a second later
-	signers = 25   // where nodes tell one another: one in so many has to see connections die
-	grows   = 32   // the trust grows back by this part of itself a second
+	// deadInARowToConfirm is how many dead connections in a row are a sign.
+	deadInARowToConfirm = 2
+	// trustedNumerator over trustedDenominator is the part of the idle time of a dead connection that is trusted still.
+	trustedNumerator, trustedDenominator = 3, 4
+	// signDecayPerSecond is the part of the signs that still counts a second later.
+	signDecayPerSecond = 0.5
+	// nodesPerSign: where nodes exchange signs, it takes one from one node in so many.
+	nodesPerSign = 25
+	// growthDivisor: the trusted time grows by this part of itself a second.
+	growthDivisor = 32
 )
 
-// Estimator is one node's. Begin with Whole.
+// Estimator is what one node knows. It starts with New and is not safe for concurrent use.
 type Estimator struct {
-	Limit int64 // connections unused for longer are not to be used
-	last  int64 // one was dead after so long
-	row   int   // own signs since one lived about as long
-	said  float64
+	// Limit is the idle time beyond which a connection is not to be used.
+	Limit         int64
+	lastDeadAfter int64 // idle time of the last one that was dead
+	deadInARow    int   // since one survived about as long
+	signs         float64
 }
 
-// New trusts every connection.
+// New returns an estimator that trusts every connection.
 func New() Estimator { return Estimator{Limit: math.MaxInt64} }
 
-// Reset trusts all again: closing those that stand open is no remedy.
-func (t *Estimator) Reset() { t.Limit, t.row = math.MaxInt64, 0 }
+// Reset trusts every connection again, for when new ones can't be opened.
+func (e *Estimator) Reset() {
+	e.Limit = math.MaxInt64
+	e.deadInARow = 0
+}
 
-// Survived takes in a connection that worked after so long.
-func (t *Estimator) Survived(gap int64) {
-	if gap > 0 && gap >= t.last/4*3 {
-		t.row = 0
+// Survived takes in a connection that worked after an idle time; 0: it was not idle.
+func (e *Estimator) Survived(idle int64) {
+	if idle > 0 && idle >= e.lastDeadAfter/trustedDenominator*trustedNumerator {
+		e.deadInARow = 0
 	}
 }
 
-// Died takes in an own sign of one that was dead after so long, and tells whether it is to be believed.
-func (t *Estimator) Died(gap int64) bool {
-	t.last = gap
-	t.row++
-	return t.row >= inARow
+// Died takes in a connection that was dead after an idle time, and tells whether that is a sign, for Confirm.
+func (e *Estimator) Died(idle int64) bool {
+	e.lastDeadAfter = idle
+	e.deadInARow++
+	return e.deadInARow >= deadInARowToConfirm
 }
 
-// Confirm counts a sign that is believed, an own one or what another node tells. Where nodes tell one another it takes signs from a
-// part of them to act; nodes: how many there are.
-func (t *Estimator) Confirm(gap int64, tell bool, nodes int) {
-	signs := 1.0
-	if tell {
-		signs = float64(nodes) / signers
+// Confirm counts a sign of this node or of another one, for an idle time. Where nodes exchange them, it acts on signs of a
+// part of the nodes only.
+func (e *Estimator) Confirm(idle int64, exchanged bool, nodes int) {
+	needed := 1.0
+	if exchanged {
+		needed = float64(nodes) / nodesPerSign
 	}
-	if t.said++; t.said >= signs {
-		t.Limit = min(t.Limit, int64(part*float64(gap)))
+	e.signs++
+	if e.signs >= needed {
+		trusted := float64(trustedNumerator) / trustedDenominator * float64(idle)
+		e.Limit = min(e.Limit, int64(trusted))
 	}
 }
 
-// Decay is called once a second.
-func (t *Estimator) Decay() {
-	t.said *= forget
-	t.Limit += min(t.Limit/grows, math.MaxInt64-t.Limit)
+// Decay lets signs fade and the trusted time grow back. The caller invokes it once a second.
+func (e *Estimator) Decay() {
+	e.signs *= signDecayPerSecond
+	e.Limit += min(e.Limit/growthDivisor, math.MaxInt64-e.Limit)
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,33 +1,36 @@
-// Package quota owns what each tenant may still ask for within its share. Set against a node's own traffic, shares
-// need no guess at how traffic is spread over the nodes. It must never know a request, a clock or a server.
+// Package quota says which requests are within their tenant's share of a node's own traffic. Measured so, a share needs no
+// guess at how traffic is spread over the nodes. A Quotas is a token bucket for each tenant, in requests.
 package quota
 
-const store = 8 // requests that a tenant may ask for at once after asking for less than its share
+// maxSavedRequests bounds the requests that a tenant may send at once after it sent less than its share.
+const maxSavedRequests = 8
 
-// Quotas holds a part of all that is asked for, and what is left of it, for each tenant.
+// Quotas holds each tenant's share of all requests, and the requests that it may send now.
 type Quotas struct {
-	portions, left []float64
+	shares, available []float64
 }
 
-// New makes one with nothing left for anybody.
-func New(portions []float64) Quotas { return Quotas{portions, make([]float64, len(portions))} }
+// New returns quotas with nothing available yet. A share is a part of all requests, from 0 to 1, by tenant.
+func New(shares []float64) Quotas {
+	return Quotas{shares: shares, available: make([]float64, len(shares))}
+}
 
-// Exceeded takes one request and tells whether it is beyond its tenant's share. One that is asked for again neither earns
-// nor costs: it was counted when it came first.
-func (s *Quotas) Exceeded(customer int, again bool) bool {
-	if customer >= len(s.left) {
+// Exceeded counts a request and tells whether it is beyond its tenant's quota; tenants without a share have none. A client's
+// retry neither adds nor takes, as the request was counted when it came first.
+func (q *Quotas) Exceeded(tenant int, isRetry bool) bool {
+	if tenant >= len(q.available) {
 		return false
 	}
-	if !again {
-		for i := range s.left {
-			s.left[i] = min(s.left[i]+s.portions[i], store)
+	if !isRetry {
+		for i := range q.available {
+			q.available[i] = min(q.available[i]+q.shares[i], maxSavedRequests)
 		}
 	}
-	if s.left[customer] < 1 {
+	if q.available[tenant] < 1 {
 		return true
 	}
-	if !again {
-		s.left[customer]--
+	if !isRetry {
+		q.available[tenant]--
 	}
 	return false
 }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,51 +1,64 @@
-// Package rendezvous owns the order in which servers stand for a key, the same everywhere without any talk: the highest of a
-// hash of both comes first (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998). It must
-// never change from one build to the next, or nodes of two builds would disagree.
+// Package rendezvous orders endpoints by a hash of a key and each endpoint's ID, the highest first, so that all nodes agree on
+// the first choices for a key without talking (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
+// 1998). The hashes are the same in every build, or nodes of two builds would disagree.
 package rendezvous
 
-// HashKey is a key's part of the hash.
+// FNV-1a and the finalizer of a 64-bit mixing function.
+const (
+	fnvOffset    = 14695981039346656037
+	fnvPrime     = 1099511628211
+	goldenRatio  = 0x9e3779b97f4a7c15
+	mixingFirst  = 0xbf58476d1ce4e5b9
+	mixingSecond = 0x94d049bb133111eb
+)
+
+// HashKey returns the hash of a key.
 func HashKey(key string) uint64 {
-	h := uint64(14695981039346656037)
+	h := uint64(fnvOffset)
 	for i := range len(key) {
-		h = (h ^ uint64(key[i])) * 1099511628211
+		h = (h ^ uint64(key[i])) * fnvPrime
 	}
 	return h
 }
 
-// Score is where a server stands for a key; the higher the earlier.
-func Score(key uint64, server uint32) uint64 {
-	h := (key ^ uint64(server)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
-	h = (h ^ h>>31) * 0x94d049bb133111eb
+// NumberKey returns a key hash for a number; small ones lie too close together to be hashes themselves.
+func NumberKey(number int) uint64 { return uint64(number+1) * goldenRatio }
+
+// Score returns the order of an endpoint for a key hash, the higher the earlier.
+func Score(keyHash uint64, endpointID uint32) uint64 {
+	h := (keyHash ^ uint64(endpointID)*goldenRatio) * mixingFirst
+	h = (h ^ h>>31) * mixingSecond
 	return h ^ h>>29
 }
 
-// NumberKey is a key for a number, as small ones lie too close together for the hash.
-func NumberKey(number int) uint64 { return uint64(number+1) * 0x9e3779b97f4a7c15 }
-
-// MaxTop is how many First finds at most.
+// MaxTop is the most that Top finds.
 const MaxTop = 32
 
-// Top appends to found the n of all that stand highest, the highest first, and leaves out those whose rank is 0.
-func Top[T any](found, all []T, n int, rank func(T) uint64) []T {
-	var ranks [MaxTop]uint64
-	if n = min(n, MaxTop); n <= 0 {
+// Top appends to found the n items with the highest scores, the highest first, and returns the result. It skips items with a
+// score of 0, and finds MaxTop at most.
+func Top[T any](found, items []T, n int, score func(T) uint64) []T {
+	n = min(n, MaxTop)
+	if n <= 0 {
 		return found
 	}
-	has, from := 0, len(found)
-	for _, one := range all {
-		r := rank(one)
-		if r == 0 || has == n && r <= ranks[n-1] {
+	var scores [MaxTop]uint64 // of those found, in order
+	count, first := 0, len(found)
+	for _, item := range items {
+		s := score(item)
+		if s == 0 || count == n && s <= scores[n-1] {
 			continue
 		}
-		if has < n {
-			has++
-			found = append(found, one)
+		if count < n {
+			count++
+			found = append(found, item)
 		}
-		at := has - 1
-		for ; at > 0 && ranks[at-1] < r; at-- {
-			ranks[at], found[from+at] = ranks[at-1], found[from+at-1]
+		at := count - 1
+		for ; at > 0 && scores[at-1] < s; at-- {
+			scores[at] = scores[at-1]
+			found[first+at] = found[first+at-1]
 		}
-		ranks[at], found[from+at] = r, one
+		scores[at] = s
+		found[first+at] = item
 	}
 	return found
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -11,7 +11,7 @@
 	b := newTestFleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
 	b.serve(40, answersPromptly)
 	for range 40 { // slow all the time, but nothing is rejected
-		b.estimator.Fleet.A, b.estimator.Fleet.Weight = 400, 40
+		b.estimator.Fleet.FirstSum, b.estimator.Fleet.Weight = 400, 40
 		b.now += Time(recalculationInterval)
 		if b.tick(); b.overload.restUntil > 0 {
 			t.Fatal("a rest though nothing was rejected")
@@ -19,7 +19,7 @@
 	}
 	rests := 0
 	for second := range 40 {
-		b.estimator.Fleet.A, b.estimator.Fleet.Weight, b.estimator.classes[0].SuccessRate = 400, 40, 0.4
+		b.estimator.Fleet.FirstSum, b.estimator.Fleet.Weight, b.estimator.classes[0].SuccessRate = 400, 40, 0.4
 		b.now += Time(recalculationInterval)
 		b.tick()
 		if b.overload.restUntil > b.now {
--- a/policy/request.go
+++ b/policy/request.go
@@ -22,7 +22,7 @@
 	overdueTimer                   uint64 // 0: none was set
 	done                           bool   // it has its final answer
 	overQuota                      bool
-	delays                         classdelay.Pair // of its class and its tenant
+	delays                         classdelay.ClassAndTenant // of its class and its tenant
 	keyHash                        uint64
 	homeCount                      int // endpoints at which its key is at home; 0: no affinity
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -70,8 +70,8 @@
 		"never heard":           {func(s *endpoint) { s.Load, s.HasReport = 0, false }, 2},
 		"rising for two":        {func(s *endpoint) { s.Load, s.risingSince = 1, now.Add(-2*recalculationInterval) }, 1.5},
 		"above while rising":    {func(s *endpoint) { s.Load, s.risingSince = 6, now.Add(-2*recalculationInterval) }, 6},
-		"twice as slow":         {func(s *endpoint) { s.Load, s.Latency.A, s.Latency.Weight = 1, 3, 1 }, 4},
-		"in a pod twice slower": {func(s *endpoint) { s.Load, s.podLatency = 1, &ewma.Pair{A: 3, Weight: 1} }, 4},
+		"twice as slow":         {func(s *endpoint) { s.Load, s.Latency.FirstSum, s.Latency.Weight = 1, 3, 1 }, 4},
+		"in a pod twice slower": {func(s *endpoint) { s.Load, s.podLatency = 1, &ewma.Pair{FirstSum: 3, Weight: 1} }, 4},
 		"of twice the size":     {func(s *endpoint) { s.Load, s.Weight = 4, 2 }, 2},
 		"with two out":          {func(s *endpoint) { s.Load, s.inFlight = 2, 2 }, 18},
 		"in another zone":       {func(s *endpoint) { s.Load, s.Zone = 2, 1 }, 12},
@@ -191,7 +191,7 @@
 		"ejected": func(s *endpoint, i int, now Time) {
 			s.health[0], s.inFlight = classHealth{ejected: true, retryAt: now + ms}, 1
 		},
-		"too late": func(s *endpoint, i int, now Time) { s.Latency.A, s.Latency.Weight = 1e6, 20 },
+		"too late": func(s *endpoint, i int, now Time) { s.Latency.FirstSum, s.Latency.Weight = 1e6, 20 },
 		"cold":     func(s *endpoint, i int, now Time) { s.StartedAt, s.slowStartCredit = now, 0 },
 		"silent":   func(s *endpoint, i int, now Time) { s.inFlight, s.HasLatency, s.silentSince = 1, true, now-1e9 },
 	} {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -41,14 +41,14 @@
 		return s.slowStartCredit
 	}
 	sure := earned(ewma.Pair{})
-	quick := earned(ewma.Pair{A: 12, B: 0, Weight: 24})
-	if slow := earned(ewma.Pair{A: 240, B: 0, Weight: 24}); sure <= 0 || slow != sure {
+	quick := earned(ewma.Pair{FirstSum: 12, SecondSum: 0, Weight: 24})
+	if slow := earned(ewma.Pair{FirstSum: 240, SecondSum: 0, Weight: 24}); sure <= 0 || slow != sure {
 		t.Errorf("earns %g where nothing is known, %g where its answers are slow", sure, slow)
 	}
 	if quick <= 1.5*sure || quick > bound+1e-9 {
 		t.Errorf("earns %g where its answers are quick, %g where nothing is known, bound %g", quick, sure, bound)
 	}
-	if few := earned(ewma.Pair{A: 0.5, B: 0, Weight: 1}); few != sure {
+	if few := earned(ewma.Pair{FirstSum: 0.5, SecondSum: 0, Weight: 1}); few != sure {
 		t.Errorf("earns %g by a single answer, %g without", few, sure)
 	}
 }
