--- a/internal/lab/invariant/judge.go
+++ b/internal/lab/invariant/judge.go
@@ -12,13 +12,13 @@
 
 // Break is one rule broken once.
 type Violation struct {
-	Rule    int    `json:"rule"`
-	What    string `json:"what"`
-	Request    string `json:"task,omitempty"`
-	Attempt int    `json:"hand_off"` // its place among the task's, from 0; -1 if it is about none
-	Endpoint  int    `json:"server"`   // -1 if it is about none
-	Node    int    `json:"node"`
-	At      int64  `json:"at_ns"`
+	Rule     int    `json:"rule"`
+	What     string `json:"what"`
+	Request  string `json:"task,omitempty"`
+	Attempt  int    `json:"hand_off"` // its place among the task's, from 0; -1 if it is about none
+	Endpoint int    `json:"server"`   // -1 if it is about none
+	Node     int    `json:"node"`
+	At       int64  `json:"at_ns"`
 }
 
 func (b Violation) String() string {
@@ -39,13 +39,13 @@
 
 type checker struct {
 	*History
-	classes []Class
-	rules      Rules
-	attemptsByID     map[string][]*Attempt
-	processes      map[processKey]*Process
-	knownStarts     map[endpointStart]int64
+	classes      []Class
+	rules        Rules
+	attemptsByID map[string][]*Attempt
+	processes    map[processKey]*Process
+	knownStarts  map[endpointStart]int64
 	afterCancel  []Violation // attempts for clients that had gone; the first few are let pass
-	violations     []Violation
+	violations   []Violation
 }
 
 // filled has functions where a day has nothing to say.
@@ -320,7 +320,9 @@
 
 // remembered gives a life that kept its disk what the one before was told last of each server.
 func (j *checker) addPersisted(words map[endpointKey][]knownState) {
-	lives := slices.SortedFunc(slices.Values(j.Processes), func(a, b *Process) int { return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation)) })
+	lives := slices.SortedFunc(slices.Values(j.Processes), func(a, b *Process) int {
+		return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
+	})
 	for i, n := range lives {
 		if i == 0 || !n.Persistent || lives[i-1].Node != n.Node {
 			continue
--- a/internal/lab/invariant/terms.go
+++ b/internal/lab/invariant/terms.go
@@ -13,7 +13,7 @@
 
 const (
 	allowedAfterCancel = 2   // attempts for clients that had gone, in a day
-	readyShare   = 0.9 // of the processes started again
+	readyShare         = 0.9 // of the processes started again
 )
 
 // away is when a life could not reach discovery, in order.
@@ -159,10 +159,10 @@
 // Peak is the most that a cold server got within a window over its budget of N requests of mean work: Over is in roots of N. The
 // standing test puts 2 x root of N + 2 down to chance.
 type Peak struct {
-	Endpoint      int
-	At          int64
-	Load, Budget float64 // requests of mean work
-	Excess, KnownShare  float64 // Told: the part of it that came from nodes that had been told of the start
+	Endpoint           int
+	At                 int64
+	Load, Budget       float64 // requests of mean work
+	Excess, KnownShare float64 // Told: the part of it that came from nodes that had been told of the start
 }
 
 // toldShare of a window from which on its nodes are answerable for a fall.
--- a/internal/lab/invariant/terms_test.go
+++ b/internal/lab/invariant/terms_test.go
@@ -29,20 +29,23 @@
 		sent   int64
 		want   bool
 	}{
-		"six seconds and the grace":            {none, 8560, true},
-		"not yet":                              {none, 8540, false},
-		"discovery down before":                {outage(-1, 1000, 4000), 10540, false},
-		"six seconds after its return":         {outage(-1, 1000, 4000), 10560, true},
-		"down in the midst of them":            {outage(-1, 7900, 9000), 15540, false},
-		"down twice":                           {func(l *History) { outage(-1, 3000, 4000)(l); outage(-1, 9000, 9500)(l) }, 15990, false},
-		"and six seconds after":                {func(l *History) { outage(-1, 3000, 4000)(l); outage(-1, 9000, 9500)(l) }, 16060, true},
-		"down only later":                      {outage(-1, 8001, 30000), 8560, true},
-		"cut off from it alone":                {outage(0, 1000, 4000), 10540, false},
-		"another cut off from it":              {outage(1, 1000, 4000), 8560, true},
-		"never back":                           {func(l *History) { l.RecordOutage(&Outage{Node: -1, Span: Span{From: 1000 * ms}}) }, 30000, false},
-		"the node itself stood still":          {func(l *History) { l.Excuse(l.Processes[0], Span{1000 * ms, 5000 * ms}) }, 11540, false},
-		"and no longer":                        {func(l *History) { l.Excuse(l.Processes[0], Span{1000 * ms, 5000 * ms}) }, 11560, true},
-		"told that it is up again":             {func(l *History) { l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms}); l.RecordEntries(told(3100, model.Up)) }, 8800, false},
+		"six seconds and the grace":    {none, 8560, true},
+		"not yet":                      {none, 8540, false},
+		"discovery down before":        {outage(-1, 1000, 4000), 10540, false},
+		"six seconds after its return": {outage(-1, 1000, 4000), 10560, true},
+		"down in the midst of them":    {outage(-1, 7900, 9000), 15540, false},
+		"down twice":                   {func(l *History) { outage(-1, 3000, 4000)(l); outage(-1, 9000, 9500)(l) }, 15990, false},
+		"and six seconds after":        {func(l *History) { outage(-1, 3000, 4000)(l); outage(-1, 9000, 9500)(l) }, 16060, true},
+		"down only later":              {outage(-1, 8001, 30000), 8560, true},
+		"cut off from it alone":        {outage(0, 1000, 4000), 10540, false},
+		"another cut off from it":      {outage(1, 1000, 4000), 8560, true},
+		"never back":                   {func(l *History) { l.RecordOutage(&Outage{Node: -1, Span: Span{From: 1000 * ms}}) }, 30000, false},
+		"the node itself stood still":  {func(l *History) { l.Excuse(l.Processes[0], Span{1000 * ms, 5000 * ms}) }, 11540, false},
+		"and no longer":                {func(l *History) { l.Excuse(l.Processes[0], Span{1000 * ms, 5000 * ms}) }, 11560, true},
+		"told that it is up again": {func(l *History) {
+			l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
+			l.RecordEntries(told(3100, model.Up))
+		}, 8800, false},
 		"up again on the list, and not told":   {func(l *History) { l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms}) }, 9600, false},
 		"told before the change that it is up": {func(l *History) { l.RecordEntries(told(1900, model.Up)) }, 8560, true},
 		"up and draining again, neither told": {func(l *History) {
@@ -84,7 +87,10 @@
 		l.Processes[0].EndedAt = 5000 * ms
 		l.RecordListChange(ListChange{State: model.Draining, At: 2000 * ms})
 		l.RecordProcess(&Process{Incarnation: 2, StartedAt: 6000 * ms})
-		l.attempt(sent, nil).request(0, func(t *Request) { t.Incarnation, t.SentAt, t.Deadline = 2, sent*ms-1, 99000*ms; answered(sent+9, 200)(t) })
+		l.attempt(sent, nil).request(0, func(t *Request) {
+			t.Incarnation, t.SentAt, t.Deadline = 2, sent*ms-1, 99000*ms
+			answered(sent+9, 200)(t)
+		})
 		r := terms()
 		r.ReadyWithin = 0
 		if got := l.Check(categories, r); want != (len(got) == 1) {
--- a/internal/lab/model/memory.go
+++ b/internal/lab/model/memory.go
@@ -5,13 +5,15 @@
 
 // Memory is shared by the servers of a fleet, a zone or a pod.
 type Deduplicator struct {
-	window  int64
-	until map[string]int64
-	order []string
+	window int64
+	until  map[string]int64
+	order  []string
 }
 
 // NewMemory makes one that remembers for a span.
-func NewDeduplicator(span int64) *Deduplicator { return &Deduplicator{window: span, until: map[string]int64{}} }
+func NewDeduplicator(span int64) *Deduplicator {
+	return &Deduplicator{window: span, until: map[string]int64{}}
+}
 
 // Seen tells whether the ticket is remembered, and remembers it if not. The span counts from the first time.
 func (m *Deduplicator) Seen(now int64, ticket string) bool {
--- a/internal/lab/model/roster.go
+++ b/internal/lab/model/roster.go
@@ -17,7 +17,7 @@
 // Listed is one server as discovery lists it.
 type ListEntry struct {
 	Endpoint  int
-	State  State
+	State     State
 	StartedAt int64 // nanoseconds since the Unix epoch; 0 for long ago
 }
 
@@ -28,10 +28,10 @@
 
 // Roster is the list with its history. Versions only grow, also when discovery moves.
 type EndpointList struct {
-	version int64
-	current     map[int]ListEntry
-	history []change
-	maxHistory    int // changes kept; whoever is further behind gets the whole list
+	version    int64
+	current    map[int]ListEntry
+	history    []change
+	maxHistory int // changes kept; whoever is further behind gets the whole list
 }
 
 // NewRoster begins at a version with nobody listed.
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -102,7 +102,7 @@
 	At       int64
 	Work     float64 // seconds
 	Capacity float64 // seconds of work a second, then
-	Arrivals   []Arrival
+	Arrivals []Arrival
 }
 
 // NewServer makes a server that started at a time, warm if that is long ago.
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -34,8 +34,8 @@
 	LateMs   float64  `json:"late_ms"` // the rig itself, in all but the worst twentieth of the time
 
 	Tally
-	RulesBroken int               `json:"rules_broken"`
-	BackS       float64           `json:"back_s,omitempty"` // from the last loss of power until service is back; -1: not by the end; 0: no loss
+	RulesBroken int                   `json:"rules_broken"`
+	BackS       float64               `json:"back_s,omitempty"` // from the last loss of power until service is back; -1: not by the end; 0: no loss
 	Breaks      []invariant.Violation `json:"breaks,omitempty"`
 
 	Categories map[string]*Tally `json:"by_category"`
