--- a/internal/lab/invariant/terms_test.go
+++ b/internal/lab/invariant/knowledge_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// terms are the rules with the standing test's later terms.
-func terms() Rules {
+// standingTestRules are the rules with the later terms of the standing test.
+func standingTestRules() Rules {
 	r := rules
 	r.KnownWithin, r.CancelGrace, r.ReadyWithin, r.ReadyWithinAtEnd, r.End = 6000*ms, 100*ms, 10000*ms, 6000*ms, 60000*ms
 	return r
 }
 
-// TestToldInAnyCase has a drain at 2 s and an attempt at that server later; settings that ask allow far longer than six seconds, and
-// four times that after a failed call.
-func TestToldInAnyCase(t *testing.T) {
+// An endpoint drains at 2 s and gets an attempt later. Where the list is polled the limit is far longer than six seconds, and four
+// times that after a failed call.
+func TestPresumedKnowledge(t *testing.T) {
 	none := func(*History) {}
 	outage := func(node int, from, to int64) func(*History) {
 		return func(l *History) {
@@ -44,17 +44,17 @@
 		"and no longer":                {func(l *History) { l.Excuse(l.Processes[0], Span{1000 * ms, 5000 * ms}) }, 11560, true},
 		"told that it is up again": {func(l *History) {
 			l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
-			l.RecordEntries(told(3100, model.Up))
+			l.RecordEntries(entry(3100, model.Up))
 		}, 8800, false},
 		"up again on the list, and not told":   {func(l *History) { l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms}) }, 9600, false},
-		"told before the change that it is up": {func(l *History) { l.RecordEntries(told(1900, model.Up)) }, 8560, true},
+		"told before the change that it is up": {func(l *History) { l.RecordEntries(entry(1900, model.Up)) }, 8560, true},
 		"up and draining again, neither told": {func(l *History) {
 			l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
 			l.RecordListChange(ListChange{State: model.Draining, At: 4000 * ms})
 		}, 10560, true},
 		"told up, then draining again, not told": {func(l *History) {
 			l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
-			l.RecordEntries(told(3100, model.Up))
+			l.RecordEntries(entry(3100, model.Up))
 			l.RecordListChange(ListChange{State: model.Draining, At: 4000 * ms})
 		}, 10560, true},
 	} {
@@ -67,11 +67,11 @@
 			l.RecordListChange(ListChange{State: model.Draining, At: 2000 * ms})
 			c.change(l)
 			l.attempt(c.sent, nil).request(0, func(t *Request) { t.SentAt, t.Deadline = c.sent*ms-1, 99000*ms; answered(c.sent+9, 200)(t) })
-			r := terms()
+			r := standingTestRules()
 			if !asked {
 				r.PollWithin = 0 // lists are pushed
 			}
-			got := l.Check(categories, r)
+			got := l.Check(classes, r)
 			if c.want != (len(got) == 1) || c.want && (got[0].Rule != 3 || got[0].At != c.sent*ms) {
 				t.Errorf("%s, asked %v: %v, want broken %v", name, asked, got, c.want)
 			}
@@ -79,8 +79,8 @@
 	}
 }
 
-// A process that starts with an old list has six seconds from its start.
-func TestToldInAnyCaseToANewProcess(t *testing.T) {
+// A process that starts with a stale list has six seconds from its start.
+func TestPresumedKnowledgeOfANewProcess(t *testing.T) {
 	for sent, want := range map[int64]bool{12540: false, 12560: true} {
 		l := &History{}
 		l.RecordProcess(&Process{Incarnation: 1})
@@ -91,16 +91,16 @@
 			t.Incarnation, t.SentAt, t.Deadline = 2, sent*ms-1, 99000*ms
 			answered(sent+9, 200)(t)
 		})
-		r := terms()
+		r := standingTestRules()
 		r.ReadyWithin = 0
-		if got := l.Check(categories, r); want != (len(got) == 1) {
+		if got := l.Check(classes, r); want != (len(got) == 1) {
 			t.Errorf("sent at %d ms: %v, want broken %v", sent, got, want)
 		}
 	}
 }
 
-// TestGone has attempts begin after their clients had gone.
-func TestGone(t *testing.T) {
+// Attempts begin after their clients have gone.
+func TestAttemptsAfterCancel(t *testing.T) {
 	for name, c := range map[string]struct {
 		late, excuse int64
 		cases, want  int
@@ -113,7 +113,7 @@
 		"stood still then":     {200, 100, 5, 0},
 		"and began afterwards": {400, 100, 5, 3},
 	} {
-		l := day()
+		l := newHistory()
 		for i := range int64(c.cases) {
 			left := (1000 + 10*i) * ms
 			l.RecordRequest(&Request{ID: string(rune('a' + i)), Incarnation: 1, SentAt: left - 10*ms, Deadline: 9000 * ms})
@@ -126,14 +126,14 @@
 		if c.excuse > 0 {
 			l.Excuse(l.Processes[0], Span{990 * ms, (1000 + 10*int64(c.cases) + c.excuse) * ms})
 		}
-		got := l.Check(categories, terms())
+		got := l.Check(classes, standingTestRules())
 		if len(got) != c.want || c.want > 0 && (got[0].Rule != 1 || got[0].Request != "c" || got[0].Attempt != 1 || !strings.Contains(got[0].What, "after its client had gone")) {
 			t.Errorf("%s: %v, want %d breaks from the third on", name, got, c.want)
 		}
 	}
 }
 
-// TestReadiness has ten processes started again at 20 s of a day, ready so many seconds later; 0 is never.
+// Ten processes are started again at 20 s, and ready so many seconds later; 0 is never.
 func TestReadiness(t *testing.T) {
 	for name, c := range map[string]struct {
 		ready  []int64
@@ -162,21 +162,21 @@
 		if c.ended > 0 {
 			l.Processes[len(l.Processes)-1].EndedAt = (20 + c.ended) * 1000 * ms
 		}
-		r := terms()
+		r := standingTestRules()
 		r.End = c.length * 1000 * ms
-		got := l.Check(categories, r)
+		got := l.Check(classes, r)
 		if c.want == "" && len(got) > 0 || c.want != "" && (len(got) != 1 || !strings.HasPrefix(got[0].String(), c.want)) {
 			t.Errorf("%s: %v, want %q", name, got, c.want)
 		}
 	}
-	l := day()
-	if got := l.Check(categories, terms()); len(got) != 0 {
+	l := newHistory()
+	if got := l.Check(classes, standingTestRules()); len(got) != 0 {
 		t.Errorf("a first life that was never ready: %v, want nothing broken: the day waits for these", got)
 	}
 }
 
-// TestPeaks has requests of a second of work come to a cold server with a budget of four: first five from a node that was not told, then
-// four from one that was, the last of them while one of the others is still within the window.
+// Requests of a second of work arrive at an endpoint in slow start with a budget of four: first five from a node that does not
+// know of the start, then four from one that does, the last of them while one of the others is still within the window.
 func TestPeaks(t *testing.T) {
 	l := &History{}
 	for node := range 2 {
@@ -192,36 +192,36 @@
 	add(0, 1000, 1001, 1002, 1600, 1700)
 	add(1, 2100, 2650, 2660, 2670)
 	l.RecordSlowStart(cold)
-	l.RecordSlowStart(SlowStart{Endpoint: 4, MeanWork: 1, Window: 1000 * ms}) // nothing came to it
-	all, told := l.Peaks(terms())
+	l.RecordSlowStart(SlowStart{Endpoint: 4, MeanWork: 1, Window: 1000 * ms}) // nothing arrived
+	all, told := l.Peaks(standingTestRules())
 	if len(all) != 1 || all[0] != (Peak{Endpoint: 3, At: 1700 * ms, Load: 5, Budget: 4, Excess: 0.5}) {
 		t.Errorf("of all that came: %+v, want five at 1.7 s, half a root over, none from who was told", all)
 	}
 	if len(told) != 1 || told[0] != (Peak{Endpoint: 3, At: 2670 * ms, Load: 5, Budget: 4, Excess: 0.5, KnownShare: 0.8}) {
 		t.Errorf("from nodes that were told: %+v, want five at 2.67 s, four of them from who was told", told)
 	}
-	// Six seconds after discovery listed the start whoever could reach it knows.
+	// Six seconds after discovery listed the start every node that could reach it is presumed to know.
 	l.RecordListChange(ListChange{Endpoint: 3, State: model.Up, At: -4395 * ms, StartedAt: 77})
 	l.RecordListChange(ListChange{Endpoint: 3, State: model.Up, At: -9000 * ms, StartedAt: 76})
-	if _, told := l.Peaks(terms()); len(told) != 1 || told[0] != (Peak{Endpoint: 3, At: 2670 * ms, Load: 5, Budget: 4, Excess: 0.5, KnownShare: 1}) {
+	if _, told := l.Peaks(standingTestRules()); len(told) != 1 || told[0] != (Peak{Endpoint: 3, At: 2670 * ms, Load: 5, Budget: 4, Excess: 0.5, KnownShare: 1}) {
 		t.Errorf("taken to know at 1.605 s: %+v, want all five of 2.67 s", told)
 	}
 	cold.Arrivals = cold.Arrivals[:5]
 	l = &History{}
 	l.RecordProcess(&Process{Incarnation: 1})
 	l.RecordSlowStart(cold)
-	if all, told := l.Peaks(terms()); len(all) != 1 || len(told) != 0 {
+	if all, told := l.Peaks(standingTestRules()); len(all) != 1 || len(told) != 0 {
 		t.Errorf("nobody was told: %+v and %+v", all, told)
 	}
 }
 
-// A fall is broken where those who pushed are taken to know of the start, though nobody told them.
-func TestFallsTakenToKnow(t *testing.T) {
+// A crash is a violation where the nodes are presumed to know of the start, though they did not receive it.
+func TestCrashesByPresumedKnowledge(t *testing.T) {
 	for at, want := range map[int64]int{5900: 0, 6100: 1} {
-		l := day()
+		l := newHistory()
 		l.RecordListChange(ListChange{Endpoint: 4, State: model.Up, At: 0, StartedAt: 77})
 		l.RecordCrash(Crash{Endpoint: 4, StartedAt: 77, Crash: model.Crash{At: at * ms, Capacity: 0.5, Work: 1, Arrivals: []model.Arrival{{At: at * ms, Work: 1}}}})
-		if got := l.Check(categories, terms()); len(got) != want || want > 0 && got[0].Rule != 4 {
+		if got := l.Check(classes, standingTestRules()); len(got) != want || want > 0 && got[0].Rule != 4 {
 			t.Errorf("pushed over at %d ms: %v, want %d broken", at, got, want)
 		}
 	}
