--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -105,13 +105,13 @@
 	}
 	for _, t := range own.Together {
 		d.Connections += float64(t.Connections) / float64(max(own.Tasks, 1))
-		d.Calls += t.Calls
+		d.Calls += t.ListCalls
 	}
-	if least := s.Expect.SeeingPart * seeing.Part; own.Part < least {
-		d.Missed = append(d.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f of what %s keeps", own.Part, least, s.Expect.SeeingPart, seeingName))
+	if least := s.Expect.OfLateSeeing * seeing.Part; own.Part < least {
+		d.Missed = append(d.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f of what %s keeps", own.Part, least, s.Expect.OfLateSeeing, seeingName))
 	}
-	if least := plain.Part - s.Expect.PlainLess; s.Expect.PlainLess > 0 && own.Part < least {
-		d.Missed = append(d.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f under %s", own.Part, least, s.Expect.PlainLess, plainName))
+	if least := plain.Part - s.Expect.MaxBelowRandom; s.Expect.MaxBelowRandom > 0 && own.Part < least {
+		d.Missed = append(d.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f under %s", own.Part, least, s.Expect.MaxBelowRandom, plainName))
 	}
 	return d
 }
--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -293,7 +293,7 @@
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %v, %d servers, %d nodes, %d faults\n", path, s.Name, s.Length.Std(),
-					len(s.ServerNames()), s.Nodes.Count, len(s.Faults))
+					len(s.EndpointNames()), s.Nodes.Count, len(s.Faults))
 			}
 			return errors.Join(problems...)
 		},
--- a/cmd/fawnglade-lab/search.go
+++ b/cmd/fawnglade-lab/search.go
@@ -88,7 +88,7 @@
 				filepath.Join(*out, fmt.Sprintf("%s-found-%d.toml", base.Name, i+1)), d.Loss, *than, d.Broken, d.Seed)
 			for _, f := range d.Faults {
 				fmt.Fprintf(c.OutOrStdout(), "  %s at %v for %v: share %.2f zone %q factor %.2f hand-offs %.2f wait %v %s%s\n",
-					f.Kind, f.At.Std().Round(1e6), f.For.Std().Round(1e6), f.Share, f.Zone, f.Factor, f.HandOffs, f.Wait.Std().Round(1e6), f.Category, f.Customer)
+					f.Kind, f.At.Std().Round(1e6), f.For.Std().Round(1e6), f.Share, f.Zone, f.Factor, f.AttemptShare, f.Wait.Std().Round(1e6), f.Class, f.Tenant)
 			}
 			broken = broken || d.Broken > 0
 		}
--- a/cmd/fawnglade-lab/weigh.go
+++ b/cmd/fawnglade-lab/weigh.go
@@ -312,7 +312,7 @@
 					}
 					row := costRow{
 						command, n, rate, r.Tasks, r.Satisfied, r.Declined, r.P50, r.P99,
-						r.Nodes[0].CPUSeconds * 1e6 / float64(max(r.Tasks, 1)), r.Nodes[0].MostMB, r.Verdict == result.Void,
+						r.Nodes[0].CPUSeconds * 1e6 / float64(max(r.Tasks, 1)), r.Nodes[0].MaxMemoryMB, r.Verdict == result.Void,
 					}
 					if row.Through == "" {
 						row.Through = "fawnglade"
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -20,12 +20,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(r.Breaks) > 0 {
-				t.Errorf("%s on %s: %v", kind, day, r.Breaks[0])
+			if len(r.Violations) > 0 {
+				t.Errorf("%s on %s: %v", kind, day, r.Violations[0])
 			}
 			satisfied := 0
 			for _, o := range r.Outcomes {
-				if o.State == trace.Satisfied {
+				if o.State == trace.Succeeded {
 					satisfied++
 				}
 			}
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		for i, o := range r.Outcomes {
-			if o.State == trace.Satisfied && o.Took <= int64(s.Categories[r.Plan.Tasks[i].Category].SoftLimit) {
+			if o.State == trace.Succeeded && o.Elapsed <= int64(s.Classes[r.Plan.Operations[i].Class].LatencyObjective) {
 				inTime[kind]++
 			}
 		}
--- a/internal/lab/emulator/bad.go
+++ b/internal/lab/emulator/bad.go
@@ -28,8 +28,8 @@
 
 // run sends them out as they are due.
 func (b *badClients) run(d *Day) {
-	for i := range d.plan.Bad {
-		one := &d.plan.Bad[i]
+	for i := range d.plan.BadClients {
+		one := &d.plan.BadClients[i]
 		if !d.sleepUntil(one.Due) {
 			return
 		}
@@ -83,7 +83,7 @@
 }
 
 func (b *badClients) write(d *Day, c net.Conn, one *workload.BadClient) {
-	category := d.scenario.Categories[0].Name
+	category := d.scenario.Classes[0].Name
 	id := fmt.Sprintf("bad%013x", one.Seed>>12)
 	head := func(extra string) string {
 		return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: lab\r\n%s: %s\r\n%s: %s\r\n%s: 500\r\n%s", category, nameTask, id, nameCategory,
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -28,7 +28,7 @@
 
 // try is one message of a client to one node; a task may take several.
 type try struct {
-	task     *workload.Task
+	task     *workload.Operation
 	n        int
 	due      int64 // when this try is due
 	hard     int64
@@ -44,7 +44,7 @@
 	pools    []*pool
 	byZone   [][]*pool
 	turn     []int
-	choice   []workload.Choice // by zone; nil: in turn
+	choice   []workload.NodePicker // by zone; nil: in turn
 	outcomes []trace.Outcome
 
 	mu    sync.Mutex
@@ -93,8 +93,8 @@
 
 func newClients(d *Day) (*clients, error) {
 	c := &clients{
-		day: d, outcomes: make([]trace.Outcome, len(d.plan.Tasks)), wake: make(chan struct{}, 1),
-		left: len(d.plan.Tasks), byZone: make([][]*pool, len(d.scenario.Network.Zones)), turn: make([]int, len(d.scenario.Network.Zones)),
+		day: d, outcomes: make([]trace.Outcome, len(d.plan.Operations)), wake: make(chan struct{}, 1),
+		left: len(d.plan.Operations), byZone: make([][]*pool, len(d.scenario.Network.Zones)), turn: make([]int, len(d.scenario.Network.Zones)),
 	}
 	for _, n := range d.nodes {
 		p := &pool{side: c, node: n, all: map[*rider]struct{}{}}
@@ -107,7 +107,7 @@
 		}
 		c.pools = append(c.pools, p)
 	}
-	parts := d.plan.Parts(d.scenario)
+	parts := d.plan.NodeShares(d.scenario)
 	for zone := range c.byZone {
 		for _, p := range c.pools {
 			if p.node.zone == zone {
@@ -121,14 +121,14 @@
 		for _, p := range c.byZone[zone] {
 			indexes = append(indexes, p.node.index)
 		}
-		c.choice = append(c.choice, workload.ChoiceOf(parts, indexes))
+		c.choice = append(c.choice, workload.NewNodePicker(parts, indexes))
 	}
 	return c, nil
 }
 
 // run sends out what is due.
 func (c *clients) run() {
-	tasks, next := c.day.plan.Tasks, 0
+	tasks, next := c.day.plan.Operations, 0
 	delay := int64(c.day.scenario.Network.Client)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -166,11 +166,11 @@
 	}
 }
 
-func (c *clients) first(t *workload.Task) *try {
-	category := &c.day.scenario.Categories[t.Category]
-	share := c.day.scenario.Clients.TryShare
+func (c *clients) first(t *workload.Operation) *try {
+	category := &c.day.scenario.Classes[t.Class]
+	share := c.day.scenario.Clients.RequestTimeoutShare
 	return &try{
-		task: t, due: t.Due, hard: t.Due + int64(float64(category.HardLimit)*share), id: c.day.idOf(t.N, 0),
+		task: t, due: t.Due, hard: t.Due + int64(float64(category.Deadline)*share), id: c.day.idOf(t.Index, 0),
 		ticket: fmt.Sprintf("%016x%016x", c.day.plan.Seed, t.Seed),
 	}
 }
@@ -180,7 +180,7 @@
 	t.rec = nil
 	zone := c.byZone[t.task.Zone]
 	if choice := c.choice[t.task.Zone]; choice != nil {
-		c.turn[t.task.Zone] = choice.Place(t.task, t.n) - 1 // who is next, if that one is not in
+		c.turn[t.task.Zone] = choice.Pick(t.task, t.n) - 1 // who is next, if that one is not in
 	}
 	for range zone {
 		c.turn[t.task.Zone]++
@@ -207,7 +207,7 @@
 		r.work <- t
 		return
 	}
-	if p.open >= p.side.day.scenario.Clients.MostConns {
+	if p.open >= p.side.day.scenario.Clients.MaxConnections {
 		p.queue = append(p.queue, t)
 		p.mu.Unlock()
 		return
@@ -332,14 +332,14 @@
 	r.last = nil // what comes from here on is this try's answer, also where nobody waits for it any more
 	now := d.now()
 	rec := &invariant.Request{
-		ID: t.id, Operation: t.task.N, Node: r.pool.node.index, Incarnation: life, Class: t.task.Category, SentAt: now, Deadline: t.hard,
+		ID: t.id, Operation: t.task.Index, Node: r.pool.node.index, Incarnation: life, Class: t.task.Class, SentAt: now, Deadline: t.hard,
 		ResentAfter: t.crossed,
 	}
 	d.ledger.RecordRequest(rec)
 	until := t.hard + int64(d.scenario.Rules.AnswerGrace) + int64(listenOn)
 	leaves := int64(invariant.Never)
-	if t.task.Leaves > 0 {
-		if leaves = t.task.Due + t.task.Leaves; leaves < t.hard {
+	if t.task.LeavesAfter > 0 {
+		if leaves = t.task.Due + t.task.LeavesAfter; leaves < t.hard {
 			until = leaves
 		}
 	}
@@ -364,14 +364,14 @@
 			}
 		})
 		if left {
-			r.pool.side.settle(t, trace.Left, now)
+			r.pool.side.settle(t, trace.Canceled, now)
 		} else {
-			r.pool.side.after(t, trace.BrokenOff, false, 0)
+			r.pool.side.after(t, trace.Failed, false, 0)
 		}
 		return false, nil
 	case begun:
 		d.ledger.Update(func() { rec.Truncated = true })
-		r.pool.side.after(t, trace.BrokenOff, false, 0)
+		r.pool.side.after(t, trace.Failed, false, 0)
 		return false, nil
 	}
 	if reused && !t.sentOnce && errors.Is(err, io.EOF) {
@@ -390,16 +390,16 @@
 func (r *rider) answered(t *try, rec *invariant.Request, m *message, now int64) (goesOn bool) {
 	d := r.pool.side.day
 	size := d.scenario.Load.Body
-	if d.scenario.Categories[t.task.Category].Repeat == "rerunnable" {
+	if d.scenario.Classes[t.task.Class].Idempotency == "rerunnable" {
 		size = 0
 	}
-	state, advice := trace.BrokenOff, int64(0)
+	state, advice := trace.Failed, int64(0)
 	foreign := m.status == 200 && !answersTask(m.body, t.id, size)
 	switch {
 	case m.status == 200 && !foreign:
-		state = trace.Satisfied
+		state = trace.Succeeded
 	case m.status == 429 || m.status == 503:
-		state = trace.Declined
+		state = trace.Rejected
 		if v, err := strconv.ParseFloat(string(m.get(nameAdvice)), 64); err == nil && v > 0 && v < 3600 {
 			advice = int64(v * 1e9)
 		}
@@ -409,15 +409,15 @@
 	})
 	r.last = rec
 	ends := m.close
-	if state == trace.Satisfied {
-		r.pool.side.settle(t, trace.Satisfied, now+int64(d.scenario.Network.Client))
+	if state == trace.Succeeded {
+		r.pool.side.settle(t, trace.Succeeded, now+int64(d.scenario.Network.Client))
 	} else {
 		r.pool.side.after(t, state, false, advice)
 	}
 	if ends {
 		return false
 	}
-	if t.task.Once {
+	if t.task.OneShot {
 		r.park()
 		return false
 	}
@@ -438,22 +438,22 @@
 func (c *clients) after(t *try, state trace.State, unreached bool, advice int64) {
 	now := c.day.now()
 	s := c.day.scenario
-	category := &s.Categories[t.task.Category]
-	may := state == trace.Declined || unreached || category.Repeat == "rerunnable"
-	if category.Repeat == "ticketed" && category.Group == "fleet" && now < t.task.Due+int64(category.Memory) {
+	category := &s.Classes[t.task.Class]
+	may := state == trace.Rejected || unreached || category.Idempotency == "rerunnable"
+	if category.Idempotency == "ticketed" && category.DedupGroup == "fleet" && now < t.task.Due+int64(category.DedupWindow) {
 		may = true
 	}
 	wait := int64(s.Clients.Backoff) << t.n
-	if advice > 0 && t.task.Honours {
+	if advice > 0 && t.task.HonorsRetryAfter {
 		wait = max(wait, advice)
 	}
-	last := t.task.Due + int64(category.HardLimit)
+	last := t.task.Due + int64(category.Deadline)
 	if !may || t.n >= s.Clients.Retries || now+wait >= last {
 		c.settle(t, state, now)
 		return
 	}
-	next := &try{task: t.task, n: t.n + 1, due: now + wait, ticket: t.ticket, id: c.day.idOf(t.task.N, t.n+1)}
-	next.hard = min(last, next.due+int64(float64(category.HardLimit)*s.Clients.TryShare))
+	next := &try{task: t.task, n: t.n + 1, due: now + wait, ticket: t.ticket, id: c.day.idOf(t.task.Index, t.n+1)}
+	next.hard = min(last, next.due+int64(float64(category.Deadline)*s.Clients.RequestTimeoutShare))
 	c.mu.Lock()
 	heap.Push(&c.again, next)
 	c.mu.Unlock()
@@ -467,11 +467,11 @@
 func (c *clients) settle(t *try, state trace.State, at int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := &c.outcomes[t.task.N]
-	if o.State != trace.Unsettled {
+	o := &c.outcomes[t.task.Index]
+	if o.State != trace.Pending {
 		return
 	}
-	*o = trace.Outcome{State: state, Took: at - t.task.Due, Tries: t.n + 1}
+	*o = trace.Outcome{State: state, Elapsed: at - t.task.Due, Requests: t.n + 1}
 	c.left--
 }
 
--- a/internal/lab/emulator/day.go
+++ b/internal/lab/emulator/day.go
@@ -66,8 +66,8 @@
 	clients   *clients
 	bad       badClients
 	between   *between
-	beliefs   []trace.Belief
-	runs      []trace.Runs
+	beliefs   []trace.MembershipView
+	runs      []trace.RunningNodes
 }
 
 type memoryKey struct {
@@ -95,7 +95,7 @@
 )
 
 // Play runs a day to its end. An error means that it could not run; what went wrong within it is in the record.
-func Play(ctx context.Context, o Options) (played *trace.Record, err error) {
+func Play(ctx context.Context, o Options) (played *trace.Trace, err error) {
 	if err := o.Scenario.OnSockets(); err != nil {
 		return nil, err
 	}
@@ -225,22 +225,22 @@
 	return fmt.Sprintf("%08x%06x%02x", uint32(d.plan.Seed*2654435761), task, try)
 }
 
-func (d *Day) taskOf(id string) (task *workload.Task, try int, known bool) {
+func (d *Day) taskOf(id string) (task *workload.Operation, try int, known bool) {
 	if len(id) != 16 || id[:8] != fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761)) {
 		return nil, 0, false
 	}
 	n, err := strconv.ParseUint(id[8:14], 16, 32)
 	k, err2 := strconv.ParseUint(id[14:], 16, 16)
-	if err != nil || err2 != nil || int(n) >= len(d.plan.Tasks) {
+	if err != nil || err2 != nil || int(n) >= len(d.plan.Operations) {
 		return nil, 0, false
 	}
-	return &d.plan.Tasks[n], int(k), true
+	return &d.plan.Operations[n], int(k), true
 }
 
 func (d *Day) memoryOf(m *machine, category int) *sharedMemory {
-	c := &d.scenario.Categories[category]
+	c := &d.scenario.Classes[category]
 	k := memoryKey{category, ""}
-	switch c.Group {
+	switch c.DedupGroup {
 	case "zone":
 		k.group = m.spec.Zone
 	case "pod":
@@ -249,7 +249,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.memories[k] == nil {
-		d.memories[k] = &sharedMemory{Deduplicator: model.NewDeduplicator(int64(c.Memory))}
+		d.memories[k] = &sharedMemory{Deduplicator: model.NewDeduplicator(int64(c.DedupWindow))}
 	}
 	return d.memories[k]
 }
@@ -269,11 +269,11 @@
 	d.ledger.RecordCrash(invariant.Crash{Endpoint: m.spec.Index, Incarnation: life, StartedAt: started, Crash: *f})
 	d.odd("a cold server was pushed over", m.spec.Name)
 	d.group.Go(func() error { m.stop(); return nil })
-	d.list(m, model.Removed, time.Duration(d.scenario.Discovery.Notice))
+	d.list(m, model.Removed, time.Duration(d.scenario.Discovery.ChangeDelay))
 }
 
 // addMachine brings a machine in, cold, at addresses that another left if there are any.
-func (d *Day) addMachine(spec workload.Server, name string, addresses []string, notice time.Duration) error {
+func (d *Day) addMachine(spec workload.Endpoint, name string, addresses []string, notice time.Duration) error {
 	d.adding.Lock()
 	defer d.adding.Unlock()
 	spec.Index, spec.Name = len(d.machines()), name
@@ -290,8 +290,8 @@
 
 // prepare starts servers, discovery and nodes, and waits until the nodes are ready.
 func (d *Day) prepare(ctx context.Context) error {
-	for _, spec := range d.plan.Servers {
-		m, err := newMachine(d, spec, d.scenario.Fleets[spec.Fleet].Cold, nil)
+	for _, spec := range d.plan.Endpoints {
+		m, err := newMachine(d, spec, d.scenario.Fleets[spec.Fleet].StartsCold, nil)
 		if err != nil {
 			return fmt.Errorf("server %s: %w", spec.Name, err)
 		}
@@ -300,7 +300,7 @@
 	for i := range d.scenario.Nodes.Count {
 		n := &node{
 			day: d, index: i, zone: i % len(d.scenario.Network.Zones), config: filepath.Join(d.dir, fmt.Sprintf("n%d.json", i)),
-			address: fmt.Sprintf("127.%d.%d.%d:8443", d.octets[0], d.octets[1], 200+i), figures: trace.NodeFigures{Node: i},
+			address: fmt.Sprintf("127.%d.%d.%d:8443", d.octets[0], d.octets[1], 200+i), figures: trace.NodeUsage{Node: i},
 		}
 		if zones := d.scenario.Nodes.Zones; len(zones) > 0 {
 			for z, name := range d.scenario.Network.Zones {
@@ -375,8 +375,8 @@
 	d.group.Go(func() error { d.believe(); return nil })
 	length := time.Duration(d.scenario.Length)
 	longest := time.Duration(0)
-	for _, c := range d.scenario.Categories {
-		longest = max(longest, time.Duration(c.HardLimit))
+	for _, c := range d.scenario.Classes {
+		longest = max(longest, time.Duration(c.Deadline))
 	}
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
@@ -393,7 +393,7 @@
 			left := d.clients.left
 			d.clients.mu.Unlock()
 			if progress != nil {
-				progress(time.Duration(d.now()-d.base), length, len(d.plan.Tasks)-left, len(d.plan.Tasks))
+				progress(time.Duration(d.now()-d.base), length, len(d.plan.Operations)-left, len(d.plan.Operations))
 			}
 			if d.now()-d.base < int64(length) {
 				continue
@@ -412,7 +412,7 @@
 		s := trace.LoadSample{At: d.now() - d.base}
 		for _, m := range d.machines() {
 			m.mu.Lock()
-			s.Held = append(s.Held, m.model.Held())
+			s.InFlight = append(s.InFlight, m.model.InFlight())
 			m.mu.Unlock()
 		}
 		for _, one := range d.nodes {
@@ -483,7 +483,7 @@
 }
 
 // record closes the day's books and judges them.
-func (d *Day) record() *trace.Record {
+func (d *Day) record() *trace.Trace {
 	for _, n := range d.nodes {
 		n.sample()
 	}
@@ -494,30 +494,30 @@
 	}
 	d.ledger.Close()
 	void, late := d.gauge.void()
-	r := &trace.Record{
-		Plan: d.plan, Hash: d.hash, Base: d.base, Ledger: d.ledger, Void: void, Late: time.Duration(late), Odd: map[string]int{}, Took: time.Duration(d.now() - d.base),
-		Bad: trace.BadFigures{Came: d.bad.came.Load(), Unanswered: d.bad.unanswered.Load(), Served: d.bad.served.Load()},
+	r := &trace.Trace{
+		Plan: d.plan, PlanHash: d.hash, StartedAt: d.base, History: d.ledger, Void: void, Lag: time.Duration(late), Oddities: map[string]int{}, Elapsed: time.Duration(d.now() - d.base),
+		BadClients: trace.BadClientCounts{Came: d.bad.came.Load(), Unanswered: d.bad.unanswered.Load(), Served: d.bad.served.Load()},
 	}
 	d.clients.mu.Lock()
 	r.Outcomes = append(r.Outcomes, d.clients.outcomes...)
 	d.clients.mu.Unlock()
-	trace.Excuse(d.scenario, d.plan, d.ledger)
+	trace.ExcuseCutLinks(d.scenario, d.plan, d.ledger)
 	r.Reach = trace.ReachOf(d.scenario, d.between.ways, d.base)
 	rules := trace.RulesOf(d.scenario, d.between.ways, d.base, socketSlack, d.gauge.late)
-	r.Breaks = d.ledger.Check(trace.Categories(d.scenario), rules)
+	r.Violations = d.ledger.Check(trace.Classes(d.scenario), rules)
 	r.Peaks[0], r.Peaks[1] = d.ledger.Peaks(rules)
-	for i := range r.Breaks {
-		r.Breaks[i].At -= d.base
+	for i := range r.Violations {
+		r.Violations[i].At -= d.base
 	}
 	for _, m := range d.machines() {
-		r.Servers = append(r.Servers, m.spec.Name)
+		r.Endpoints = append(r.Endpoints, m.spec.Name)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for what, n := range d.oddities {
-		r.Odd[what] = n
+		r.Oddities[what] = n
 	}
-	r.Loads, r.Beliefs, r.Runs = d.loads, d.beliefs, d.runs
+	r.Loads, r.Views, r.Running = d.loads, d.beliefs, d.runs
 	for _, n := range d.nodes {
 		n.mu.Lock()
 		n.figures.LastLogLine = lastLine(n.log.Name())
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -199,9 +199,9 @@
 			changed, _ := s.roster.ChangesAfter(k.after)
 			lines = len(changed)
 		}
-		cost := time.Duration(s.slow * float64(int64(d.Call)+int64(d.PerLine)*int64(lines)))
+		cost := time.Duration(s.slow * float64(int64(d.CallTime)+int64(d.EntryTime)*int64(lines)))
 		s.mu.Unlock()
-		if down || time.Since(k.came)+cost > time.Duration(d.GiveUp) {
+		if down || time.Since(k.came)+cost > time.Duration(d.CallTimeout) {
 			s.fail(k)
 			continue
 		}
@@ -350,7 +350,7 @@
 			return
 		case <-k.gone:
 			return
-		case <-time.After(time.Duration(s.day.scenario.Discovery.Period)):
+		case <-time.After(time.Duration(s.day.scenario.Discovery.UpdateInterval)):
 		}
 	}
 }
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -64,7 +64,7 @@
 }
 
 // played plays a day, again if the machine was too busy for it; a machine that always is proves nothing.
-func played(t *testing.T, s *scenario.Scenario, start Start) *trace.Record {
+func played(t *testing.T, s *scenario.Scenario, start Start) *trace.Trace {
 	t.Helper()
 	for range 3 {
 		r, err := Play(context.Background(), Options{Scenario: s, Seed: 3, Start: start})
@@ -109,10 +109,10 @@
 				s.Load.Rate = 900 // 3.6 s of work a second, on a server that can do 0.5 then
 			}
 			r := played(t, s, PlainStart("random", c.wrong))
-			if len(r.Breaks) == 0 {
-				t.Fatalf("nothing broken; seen besides: %v", r.Odd)
+			if len(r.Violations) == 0 {
+				t.Fatalf("nothing broken; seen besides: %v", r.Oddities)
 			}
-			for _, b := range r.Breaks {
+			for _, b := range r.Violations {
 				if b.Rule != c.rule || !strings.Contains(b.What, c.what) || b.Node != 0 || b.At < 0 || b.At > int64(5*time.Second) {
 					t.Errorf("%v; want rule %d only, %s", b, c.rule, c.what)
 				}
@@ -129,8 +129,8 @@
 		})
 		t.Run(c.wrong+" not done", func(t *testing.T) {
 			t.Parallel()
-			if r := played(t, parse(t, small+c.faults), PlainStart("random", "")); len(r.Breaks) != 0 {
-				t.Errorf("an honest proxy is blamed: %v", r.Breaks)
+			if r := played(t, parse(t, small+c.faults), PlainStart("random", "")); len(r.Violations) != 0 {
+				t.Errorf("an honest proxy is blamed: %v", r.Violations)
 			}
 		})
 	}
@@ -141,13 +141,13 @@
 func TestStallShows(t *testing.T) {
 	s := parse(t, strings.NewReplacer(`"400ms"`, `"3s"`, "count = 6", "count = 1\nplaces = 500\nwaiting = 500", "zones = [\"a\", \"b\"]", "zones = [\"a\"]").Replace(small)+
 		"[[fault]]\nkind = \"pause\"\nat = \"1s\"\nfor = \"1s\"\nservers = [\"s-0\"]\n")
-	s.Clients.MostConns = 4 // so few that most have to wait for one, which is also a stall
+	s.Clients.MaxConnections = 4 // so few that most have to wait for one, which is also a stall
 	r := played(t, s, PlainStart("random", ""))
 	long, due := 0, 0
 	for i, o := range r.Outcomes {
-		if at := r.Plan.Tasks[i].Due - r.Base; at > int64(time.Second) && at < int64(1500*time.Millisecond) {
+		if at := r.Plan.Operations[i].Due - r.StartedAt; at > int64(time.Second) && at < int64(1500*time.Millisecond) {
 			due++
-			if o.State == trace.Satisfied && o.Took > int64(450*time.Millisecond) {
+			if o.State == trace.Succeeded && o.Elapsed > int64(450*time.Millisecond) {
 				long++
 			}
 		}
@@ -163,15 +163,15 @@
 	r := played(t, s, PlainStart("random", ""))
 	lost := 0
 	for _, o := range r.Outcomes {
-		if o.State == trace.Unsettled {
+		if o.State == trace.Pending {
 			t.Fatal("a task has no end")
 		}
 		if o.State == trace.Lost {
 			lost++
 		}
 	}
-	if len(r.Breaks) != 0 || lost < 100 {
-		t.Errorf("broken %v, lost %d; want none broken and all that came afterwards lost", r.Breaks, lost)
+	if len(r.Violations) != 0 || lost < 100 {
+		t.Errorf("broken %v, lost %d; want none broken and all that came afterwards lost", r.Violations, lost)
 	}
 }
 
@@ -360,7 +360,7 @@
 			try := func(id int, leaves time.Duration) *try {
 				now := d.now()
 				return &try{
-					task: &workload.Task{N: id, Due: now, Leaves: int64(leaves), Customer: -1, Key: -1}, hard: now + int64(5*time.Second),
+					task: &workload.Operation{Index: id, Due: now, LeavesAfter: int64(leaves), Tenant: -1, Key: -1}, hard: now + int64(5*time.Second),
 					id: fmt.Sprint("t", id),
 				}
 			}
@@ -370,7 +370,7 @@
 			first := r.last
 			if c.asked {
 				r.do(try(1, 20*time.Millisecond))
-				if r.conn == nil || side.outcomes[1].State != trace.Left {
+				if r.conn == nil || side.outcomes[1].State != trace.Canceled {
 					t.Fatalf("the second try ended as %v", side.outcomes[1].State)
 				}
 			}
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -23,7 +23,7 @@
 			return nil
 		}
 		if err := d.begin(f); err != nil {
-			return fmt.Errorf("fault %d, %s: %w", f.N, f.Kind, err)
+			return fmt.Errorf("fault %d, %s: %w", f.Index, f.Kind, err)
 		}
 	}
 	return nil
@@ -37,7 +37,7 @@
 			d.later(long, do)
 		}
 	}
-	if scenario.Kinds[f.Kind] == "ways" {
+	if scenario.FaultKinds[f.Kind] == "ways" {
 		return nil // the relays go by the schedule
 	}
 	switch f.Kind {
@@ -146,15 +146,15 @@
 	for i, target := range f.Fault.Nodes {
 		d.nodes[target].kill()
 		if f.NodesBack > 0 {
-			d.comesBack(d.nodes[target], time.Duration(f.Back(f.NodesBack, f.Seed, i)))
+			d.comesBack(d.nodes[target], time.Duration(f.RestoredAfter(f.NodesBack, f.Seed, i)))
 		}
 	}
 	for i, target := range f.Targets {
 		m := d.machineAt(target)
 		m.stop()
-		d.list(m, model.Removed, time.Duration(d.scenario.Discovery.Notice))
-		if f.ServersBack > 0 {
-			d.later(time.Duration(f.Back(f.ServersBack, f.Seed+1, i)), func() { d.revive(m, time.Duration(d.scenario.Discovery.Notice)) })
+		d.list(m, model.Removed, time.Duration(d.scenario.Discovery.ChangeDelay))
+		if f.EndpointsBack > 0 {
+			d.later(time.Duration(f.RestoredAfter(f.EndpointsBack, f.Seed+1, i)), func() { d.revive(m, time.Duration(d.scenario.Discovery.ChangeDelay)) })
 		}
 	}
 }
@@ -198,45 +198,45 @@
 }
 
 func (d *Day) hitServer(f *workload.Fault, m *machine) {
-	long, notice := time.Duration(f.For), time.Duration(d.scenario.Discovery.Notice)
+	long, notice := time.Duration(f.For), time.Duration(d.scenario.Discovery.ChangeDelay)
 	switch f.Kind {
 	case "slow":
 		m.mu.Lock()
-		m.model.SetSlowness(d.now(), math.Max(f.Factor, 0.001))
+		m.model.SetSpeedFactor(d.now(), math.Max(f.Factor, 0.001))
 		m.mu.Unlock()
 		m.wake()
 		if long > 0 {
 			d.later(long, func() {
 				m.mu.Lock()
-				m.model.SetSlowness(d.now(), 1)
+				m.model.SetSpeedFactor(d.now(), 1)
 				m.mu.Unlock()
 				m.wake()
 			})
 		}
 	case "pause":
 		m.mu.Lock()
-		m.model.Stop(d.now(), d.now()+int64(f.For))
+		m.model.Pause(d.now(), d.now()+int64(f.For))
 		m.mu.Unlock()
 		m.wake()
 	case "silent":
 		d.change(f, m, func(t *trouble) { t.silent = true }, func(t *trouble) { t.silent = false })
 	case "fail":
-		d.change(f, m, func(t *trouble) { t.fail = f.HandOffs }, func(t *trouble) { t.fail = 0 })
+		d.change(f, m, func(t *trouble) { t.fail = f.AttemptShare }, func(t *trouble) { t.fail = 0 })
 	case "turn-away":
-		d.change(f, m, func(t *trouble) { t.turn = f.HandOffs }, func(t *trouble) { t.turn = 0 })
+		d.change(f, m, func(t *trouble) { t.turn = f.AttemptShare }, func(t *trouble) { t.turn = 0 })
 	case "reset":
-		d.change(f, m, func(t *trouble) { t.reset = f.HandOffs }, func(t *trouble) { t.reset = 0 })
+		d.change(f, m, func(t *trouble) { t.reset = f.AttemptShare }, func(t *trouble) { t.reset = 0 })
 	case "spoil":
-		d.change(f, m, func(t *trouble) { t.spoil, t.spoilShare = f.How, f.HandOffs }, func(t *trouble) { t.spoil = "" })
+		d.change(f, m, func(t *trouble) { t.spoil, t.spoilShare = f.How, f.AttemptShare }, func(t *trouble) { t.spoil = "" })
 	case "crowd":
 		m.mu.Lock()
-		places, waiting := m.model.Places, m.model.Waiting
-		m.model.Places, m.model.Waiting = max(1, int(float64(places)*f.Factor)), int(float64(waiting)*f.Factor)
+		places, waiting := m.model.Concurrency, m.model.QueueLimit
+		m.model.Concurrency, m.model.QueueLimit = max(1, int(float64(places)*f.Factor)), int(float64(waiting)*f.Factor)
 		m.mu.Unlock()
 		if long > 0 {
 			d.later(long, func() {
 				m.mu.Lock()
-				m.model.Places, m.model.Waiting = places, waiting
+				m.model.Concurrency, m.model.QueueLimit = places, waiting
 				m.mu.Unlock()
 			})
 		}
@@ -323,17 +323,17 @@
 
 // holdKey is the category, or the customer as a negative number, that a wait strikes.
 func holdKey(s *scenario.Scenario, f *scenario.Fault) int {
-	for i := range s.Customers {
-		if f.Customer != "" && s.Customers[i].Name == f.Customer {
+	for i := range s.Tenants {
+		if f.Tenant != "" && s.Tenants[i].Name == f.Tenant {
 			return -1 - i
 		}
 	}
-	for i := range s.Categories {
-		if s.Categories[i].Name == f.Category {
+	for i := range s.Classes {
+		if s.Classes[i].Name == f.Class {
 			return i
 		}
 	}
-	return len(s.Categories)
+	return len(s.Classes)
 }
 
 // hold is for how long a task waits in its place.
--- a/internal/lab/emulator/machine.go
+++ b/internal/lab/emulator/machine.go
@@ -35,7 +35,7 @@
 // machine is one server. Its life grows with each start.
 type machine struct {
 	day   *Day
-	spec  workload.Server
+	spec  workload.Endpoint
 	fleet *scenario.Fleet
 
 	mu       sync.Mutex
@@ -100,7 +100,7 @@
 }
 
 // newMachine makes a server that listens for every node. With addresses it takes the place of another.
-func newMachine(d *Day, spec workload.Server, cold bool, addresses []string) (*machine, error) {
+func newMachine(d *Day, spec workload.Endpoint, cold bool, addresses []string) (*machine, error) {
 	m := &machine{
 		day: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], waiting: map[int64]*handling{},
 		draw: rand.New(rand.NewPCG(spec.Seed, 3)), kick: make(chan struct{}, 1),
@@ -118,7 +118,7 @@
 	}
 	for _, one := range m.doors {
 		var err error
-		one.shown, err = d.between.stream(netfault.End{Kind: netfault.Node, Index: one.node}, netfault.End{Kind: netfault.Server, Index: spec.Index},
+		one.shown, err = d.between.stream(netfault.End{Kind: netfault.Node, Index: one.node}, netfault.End{Kind: netfault.Endpoint, Index: spec.Index},
 			func() string { return one.address })
 		if err != nil {
 			m.stop()
@@ -156,7 +156,7 @@
 	if m.model != nil {
 		m.day.ledger.RecordSlowStart(invariant.SlowStart{
 			Endpoint: m.spec.Index, Incarnation: m.life, StartedAt: m.started, MeanWork: m.model.MeanWork,
-			Window: m.model.FallAfter, Arrivals: m.model.WhileCold(),
+			Window: m.model.CrashWindow, Arrivals: m.model.SlowStartArrivals(),
 		})
 	}
 }
@@ -165,7 +165,7 @@
 func (m *machine) stop() {
 	m.mu.Lock()
 	if m.model != nil {
-		m.model.Down()
+		m.model.Crash()
 	}
 	m.waiting = map[int64]*handling{}
 	m.mu.Unlock()
@@ -197,7 +197,7 @@
 		now := m.day.now()
 		done := m.model.Advance(now)
 		if m.reported <= now {
-			m.reports = append(m.reports, published{now, m.model.Take(now)})
+			m.reports = append(m.reports, published{now, m.model.Sample(now)})
 			if len(m.reports) > 8 {
 				m.reports = m.reports[1:]
 			}
@@ -248,9 +248,9 @@
 // oneWay is the network's delay between a node and this server.
 func (m *machine) oneWay(node int) time.Duration {
 	n := &m.day.scenario.Network
-	base := n.Same
+	base := n.SameZone
 	if m.day.zoneOf(node) != m.spec.Zone {
-		base = n.Cross
+		base = n.CrossZone
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -290,7 +290,7 @@
 		d.mu.Unlock()
 		m := d.m
 		m.mu.Lock()
-		m.model.Connected(m.day.now())
+		m.model.ConnectionOpened(m.day.now())
 		m.conns++
 		k.life = m.life
 		k.over = m.conns > m.fleet.Connections
@@ -407,7 +407,7 @@
 	time.AfterFunc(h.way, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if stopped, _ := m.model.GiveUp(m.day.now(), h.id); stopped && m.waiting[h.id] == h {
+		if stopped, _ := m.model.CancelJob(m.day.now(), h.id); stopped && m.waiting[h.id] == h {
 			delete(m.waiting, h.id)
 		}
 	})
@@ -429,12 +429,12 @@
 		h.answer("400 Unknown", "", nil)
 		return
 	}
-	category := &m.day.scenario.Categories[task.Category]
+	category := &m.day.scenario.Classes[task.Class]
 	until := int64(model.Never)
 	if left, err := strconv.ParseInt(string(msg.get(nameRemaining)), 10, 64); err == nil {
 		until = now + left*1e6
 	}
-	work, luck := workload.HandOffWork(task.Work, category.HandNoise, task.Seed+uint64(try), m.spec.Seed, 0)
+	work, luck := workload.AttemptWork(task.Work, category.AttemptNoise, task.Seed+uint64(try), m.spec.Seed, 0)
 	h.luck, h.way = luck, m.oneWay(node)
 	ticket := string(msg.get(nameTicket))
 	m.mu.Lock()
@@ -455,7 +455,7 @@
 	if k.door.cut.Load() {
 		return // it never arrives; the node cannot know
 	}
-	later(wait, func() { h.arrive(work, until, ticket, task.Category, task.Customer) })
+	later(wait, func() { h.arrive(work, until, ticket, task.Class, task.Tenant) })
 }
 
 func later(d time.Duration, do func()) {
@@ -470,7 +470,7 @@
 func (h *handling) arrive(work, until int64, ticket string, category, customer int) {
 	m := h.link.door.m
 	m.mu.Lock()
-	if m.life != h.life || m.model.IsDown() {
+	if m.life != h.life || m.model.HasCrashed() {
 		m.mu.Unlock()
 		return
 	}
@@ -499,7 +499,7 @@
 		}
 		m.day.ledger.Update(func() { h.rec.Deduplicated = h.repeat })
 	}
-	job := &model.Job{ID: h.id, Work: work, Until: until, Node: h.link.door.node, Hold: m.day.hold(category, customer)}
+	job := &model.Job{ID: h.id, Work: work, Deadline: until, Node: h.link.door.node, Wait: m.day.hold(category, customer)}
 	accepted, fall := m.model.Arrive(m.day.now(), job)
 	if accepted {
 		m.waiting[h.id] = h
@@ -569,7 +569,7 @@
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	now := m.day.now()
 	sound := false
-	for _, k := range scenario.SoundKinds {
+	for _, k := range scenario.IntactKinds {
 		sound = sound || k == how
 	}
 	if h.done.Swap(true) {
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -76,11 +76,11 @@
 		into = append(into, '=')
 		switch name {
 		case "inflight":
-			into = strconv.AppendFloat(into, f.Held, 'f', -1, 64)
+			into = strconv.AppendFloat(into, f.InFlight, 'f', -1, 64)
 		case "queue":
 			into = strconv.AppendFloat(into, f.Queue, 'f', -1, 64)
 		case "util":
-			into = strconv.AppendFloat(into, f.Utilised, 'f', 3, 64)
+			into = strconv.AppendFloat(into, f.Utilization, 'f', 3, 64)
 		case "latency_ms":
 			into = strconv.AppendFloat(into, f.ServiceTime, 'f', 3, 64)
 		}
@@ -93,7 +93,7 @@
 	all := map[string]any{
 		"name": name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", seed),
 		"limits":   map[string]any{"cores": s.Nodes.Cores, "memory_mb": s.Nodes.MemoryMB, "sockets": s.Nodes.Sockets},
-		"settings": trace.SettingsOf(s, index, zone),
+		"settings": trace.NodeSettings(s, index, zone),
 	}
 	if known != nil {
 		all["known"] = json.RawMessage(known)
@@ -109,10 +109,10 @@
 }
 
 // tryText is a task on the wire. Its body is made of its id, so that a server can tell whether it came whole.
-func tryText(into []byte, s *scenario.Scenario, t *workload.Task, id, ticket string, try int, remaining int64) []byte {
-	c := &s.Categories[t.Category]
+func tryText(into []byte, s *scenario.Scenario, t *workload.Operation, id, ticket string, try int, remaining int64) []byte {
+	c := &s.Classes[t.Class]
 	method := "POST"
-	if c.Repeat == "rerunnable" {
+	if c.Idempotency == "rerunnable" {
 		method = "GET"
 	}
 	into = append(into, method...)
@@ -124,20 +124,20 @@
 	into = append(into, c.Name...)
 	into = append(into, "\r\n"+nameRemaining+": "...)
 	into = strconv.AppendInt(into, max(remaining/1e6, 0), 10)
-	if t.Customer >= 0 {
+	if t.Tenant >= 0 {
 		into = append(into, "\r\n"+nameCustomer+": "...)
-		into = append(into, s.Customers[t.Customer].Name...)
+		into = append(into, s.Tenants[t.Tenant].Name...)
 	}
-	if c.Repeat == "ticketed" {
+	if c.Idempotency == "ticketed" {
 		into = append(into, "\r\n"+nameTicket+": "...)
 		into = append(into, ticket...)
 	}
 	if t.Key >= 0 {
 		into = fmt.Appendf(into, "\r\nCookie: key=k%d", t.Key)
 	}
-	if t.Estimate > 0 {
+	if t.CostHint > 0 {
 		into = append(into, "\r\n"+nameCost+": "...)
-		into = strconv.AppendInt(into, t.Estimate/1000, 10)
+		into = strconv.AppendInt(into, t.CostHint/1000, 10)
 	}
 	if try > 0 {
 		into = append(into, "\r\n"+nameRepeated+": 1"...)
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -109,7 +109,7 @@
 	forgets bool // its directory was tampered with since it ended
 	expects bool // its end is the day's own doing
 	in      bool // the front sends to it
-	figures trace.NodeFigures
+	figures trace.NodeUsage
 	cpuGone float64 // of earlier lives
 }
 
@@ -143,7 +143,7 @@
 	seed := n.day.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(number)
 	var known []byte
 	if number == 1 || !n.day.scenario.Nodes.NoList {
-		known = n.day.discovery.known(n.index, number, n.day.scenario.Nodes.OldList && number > 1)
+		known = n.day.discovery.known(n.index, number, n.day.scenario.Nodes.StaleList && number > 1)
 	}
 	if err := n.writeConfig(known, seed); err != nil {
 		return err
@@ -157,7 +157,7 @@
 	} else if features != "" {
 		env = append(env, "NODE_FEATURES="+features)
 	}
-	if n.day.scenario.Nodes.State {
+	if n.day.scenario.Nodes.PersistState {
 		env = append(env, "NODE_STATE="+filepath.Join(n.tmp(), "state"))
 	}
 	p, err := n.day.start(n.config, env, n.log)
@@ -169,7 +169,7 @@
 			n.day.odd("descriptors of a node not limited", err.Error())
 		}
 	}
-	life := &invariant.Process{Node: n.index, Incarnation: number, StartedAt: n.day.now(), Persistent: n.day.scenario.Nodes.State && !n.forgets}
+	life := &invariant.Process{Node: n.index, Incarnation: number, StartedAt: n.day.now(), Persistent: n.day.scenario.Nodes.PersistState && !n.forgets}
 	n.forgets = false
 	n.day.ledger.RecordProcess(life)
 	n.mu.Lock()
@@ -237,7 +237,7 @@
 	if !expected {
 		n.day.odd("a node ended by itself", strconv.Itoa(n.index))
 	}
-	n.day.later(time.Duration(n.day.scenario.Nodes.Notice), func() {
+	n.day.later(time.Duration(n.day.scenario.Nodes.DeathNotice), func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if n.proc == p {
@@ -326,8 +326,8 @@
 	files, _ := os.ReadDir(filepath.Join(dir, "fd"))
 	n.mu.Lock()
 	n.figures.CPUSeconds = n.cpuGone + (user+system)/100
-	n.figures.MostMB = max(n.figures.MostMB, mb)
-	n.figures.MostFiles = max(n.figures.MostFiles, len(files))
+	n.figures.MaxMemoryMB = max(n.figures.MaxMemoryMB, mb)
+	n.figures.MaxDescriptors = max(n.figures.MaxDescriptors, len(files))
 	n.mu.Unlock()
 	if mb > float64(n.day.scenario.Nodes.MemoryMB) {
 		n.day.odd("a node over its memory was killed", fmt.Sprintf("node %d with %.0f MB", n.index, mb))
--- a/internal/lab/emulator/ways.go
+++ b/internal/lab/emulator/ways.go
@@ -36,7 +36,7 @@
 }
 
 func newBetween(d *Day) (*between, error) {
-	b := &between{day: d, board: faultproxy.NewBoard(d.now), ways: d.plan.Ways(d.scenario)}
+	b := &between{day: d, board: faultproxy.NewBoard(d.now), ways: d.plan.LinkFaults(d.scenario)}
 	talk := func(port int) (*faultproxy.Mesh, error) {
 		var listen []string
 		for i := range d.scenario.Nodes.Count {
@@ -45,10 +45,10 @@
 		return faultproxy.NewMesh(b.board, listen)
 	}
 	var err error
-	if d.scenario.Nodes.Members {
+	if d.scenario.Nodes.Membership {
 		b.members, err = talk(membersPort)
 	}
-	if err == nil && (d.scenario.Nodes.Members || d.scenario.Nodes.News) {
+	if err == nil && (d.scenario.Nodes.Membership || d.scenario.Nodes.Gossip) {
 		b.news, err = talk(newsPort)
 	}
 	if err != nil {
@@ -63,7 +63,7 @@
 
 // begin puts the schedule in force, by the day's clock.
 func (b *between) begin() {
-	b.ways = b.day.plan.Ways(b.day.scenario)
+	b.ways = b.day.plan.LinkFaults(b.day.scenario)
 	b.board.Set(b.ways)
 }
 
@@ -119,8 +119,8 @@
 	}
 	var b strings.Builder
 	set := n.day.scenario.Nodes
-	fmt.Fprintf(&b, "[members]\nlisten = %q\nround = %q\n", m.Address(n.index, n.index), set.Round.Std())
-	if set.List {
+	fmt.Fprintf(&b, "[members]\nlisten = %q\nround = %q\n", m.Address(n.index, n.index), set.ProtocolPeriod.Std())
+	if set.ListGossip {
 		fmt.Fprintf(&b, "list = true\nkey = %q\n", strings.Repeat("5a", 16))
 	}
 	for k := range n.day.scenario.Nodes.Count {
@@ -170,10 +170,10 @@
 		for i, v := range views {
 			if runs[i] = '-'; v != nil {
 				runs[i] = 'U'
-				d.beliefs = append(d.beliefs, trace.BeliefOf(at, i, v))
+				d.beliefs = append(d.beliefs, trace.ViewOf(at, i, v))
 			}
 		}
-		d.runs = append(d.runs, trace.Runs{At: at, Of: string(runs)})
+		d.runs = append(d.runs, trace.RunningNodes{At: at, States: string(runs)})
 		d.mu.Unlock()
 	}
 }
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -33,11 +33,11 @@
 
 var (
 	node   = netfault.End{Kind: netfault.Node, Index: 0}
-	server = netfault.End{Kind: netfault.Server, Index: 0}
+	server = netfault.End{Kind: netfault.Endpoint, Index: 0}
 )
 
-func fault(t netfault.Trouble) netfault.Fault {
-	return netfault.Fault{Trouble: t, From: []netfault.End{node}, To: []netfault.End{server}, Begin: 0, End: 1 << 62, Seed: 1}
+func fault(t netfault.Kind) netfault.Fault {
+	return netfault.Fault{Kind: t, From: []netfault.End{node}, To: []netfault.End{server}, Begin: 0, End: 1 << 62, Seed: 1}
 }
 
 func set(b *Board, s *Stream, want state, faults ...netfault.Fault) {
@@ -102,7 +102,7 @@
 		}
 	}
 	f := fault(netfault.Cut)
-	f.How = "refused"
+	f.Variant = "refused"
 	set(b, s, refusing, f)
 	if _, err := net.DialTimeout("tcp", s.Address(), time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error("refused: ", err)
@@ -123,7 +123,7 @@
 	}
 	defer s.Close()
 	lossy, late, narrow := fault(netfault.Drop), fault(netfault.Delay), fault(netfault.Narrow)
-	lossy.Share, late.How, late.Wait, narrow.Rate = 0.1, "drawn", 1e6, 4e6
+	lossy.Share, late.Variant, late.Wait, narrow.Rate = 0.1, "drawn", 1e6, 4e6
 	b.Set(netfault.New([]netfault.Fault{lossy, late, narrow}))
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
--- a/internal/lab/faultproxy/mesh.go
+++ b/internal/lab/faultproxy/mesh.go
@@ -109,13 +109,13 @@
 		m.mu.Unlock()
 	}
 	now := m.board.now()
-	v := m.board.schedule.Load().Pass(now, netfault.End{Index: from}, netfault.End{Index: to}, number, len(datagram))
+	v := m.board.schedule.Load().FateOf(now, netfault.End{Index: from}, netfault.End{Index: to}, number, len(datagram))
 	if v.Lost {
 		return
 	}
-	if v.Spoilt >= 0 {
+	if v.CorruptByte >= 0 {
 		datagram = append([]byte(nil), datagram...)
-		datagram[v.Spoilt] ^= 0x55
+		datagram[v.CorruptByte] ^= 0x55
 	}
 	if v.Rate > 0 {
 		ready := max(m.busy[from][to].Load(), now) + int64(float64(len(datagram))/v.Rate*1e9)
@@ -123,11 +123,11 @@
 			return // the queue before a narrow way is full
 		}
 		m.busy[from][to].Store(ready)
-		v.After += ready - now
+		v.Delay += ready - now
 	}
-	m.later(v.After, func() { m.deliver(from, to, datagram) })
-	if v.Again > 0 {
-		m.later(v.After+v.Again, func() { m.deliver(from, to, datagram) })
+	m.later(v.Delay, func() { m.deliver(from, to, datagram) })
+	if v.DuplicateAfter > 0 {
+		m.later(v.Delay+v.DuplicateAfter, func() { m.deliver(from, to, datagram) })
 	}
 }
 
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -136,17 +136,17 @@
 			data := make([]byte, piece)
 			n, err := in.Read(data)
 			now := s.board.now()
-			v := s.board.schedule.Load().Pass(now, from, to, j.numbers[direction].Add(1), n)
+			v := s.board.schedule.Load().FateOf(now, from, to, j.numbers[direction].Add(1), n)
 			if v.Lost && !s.board.schedule.Load().Open(now, from, to) {
 				held.Store(true)
 				return // it is reset when the way is mended
 			}
 			if v.Lost {
-				v.After += sentAgain
+				v.Delay += sentAgain
 			}
-			at := max(last, now+v.After)
+			at := max(last, now+v.Delay)
 			if v.Rate > 0 {
-				at = max(last, now) + v.After + int64(float64(n)/v.Rate*1e9)
+				at = max(last, now) + v.Delay + int64(float64(n)/v.Rate*1e9)
 			}
 			last = at
 			select {
@@ -209,7 +209,7 @@
 	for _, way := range [][2]netfault.End{{s.from, s.to}, {s.to, s.from}} {
 		if !schedule.Open(now, way[0], way[1]) {
 			want = max(want, cut)
-			if schedule.Pass(now, way[0], way[1], 0, 0).Refused {
+			if schedule.FateOf(now, way[0], way[1], 0, 0).Refused {
 				want = refusing
 			}
 		}
--- a/internal/lab/faultsearch/faultsearch.go
+++ b/internal/lab/faultsearch/faultsearch.go
@@ -222,9 +222,9 @@
 	length := float64(o.Base.Length)
 	f := scenario.Fault{
 		Kind: kinds[draw.IntN(len(kinds))], At: scenario.Duration((0.05 + 0.7*draw.Float64()) * length),
-		For: scenario.Duration((0.02 + 0.5*draw.Float64()*draw.Float64()) * length), HandOffs: 1,
+		For: scenario.Duration((0.02 + 0.5*draw.Float64()*draw.Float64()) * length), AttemptShare: 1,
 	}
-	switch scenario.Kinds[f.Kind] {
+	switch scenario.FaultKinds[f.Kind] {
 	case "servers", "nodes":
 		f.Share = 0.05 + 0.65*draw.Float64()*draw.Float64()
 		if draw.IntN(4) == 0 && len(o.Base.Network.Zones) > 1 {
@@ -242,14 +242,14 @@
 	case "discovery-slow":
 		f.Factor = 5 + 100*draw.Float64()
 	case "fail", "turn-away", "reset":
-		f.HandOffs = 0.1 + 0.9*draw.Float64()
+		f.AttemptShare = 0.1 + 0.9*draw.Float64()
 	case "lists-late":
 		f.Wait = scenario.Duration(1e9 + 5e9*draw.Float64())
 	case "wait":
-		c := &o.Base.Categories[draw.IntN(len(o.Base.Categories))]
-		f.Category, f.Wait = c.Name, scenario.Duration((0.5+2*draw.Float64())*float64(c.SoftLimit))
-		if n := len(o.Base.Customers); n > 0 && draw.IntN(2) == 0 {
-			f.Category, f.Customer = "", o.Base.Customers[draw.IntN(n)].Name
+		c := &o.Base.Classes[draw.IntN(len(o.Base.Classes))]
+		f.Class, f.Wait = c.Name, scenario.Duration((0.5+2*draw.Float64())*float64(c.LatencyObjective))
+		if n := len(o.Base.Tenants); n > 0 && draw.IntN(2) == 0 {
+			f.Class, f.Tenant = "", o.Base.Tenants[draw.IntN(n)].Name
 		}
 	case "pause", "freeze":
 		f.For = scenario.Duration(0.1e9 + 2e9*draw.Float64())
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -57,12 +57,12 @@
 func do(what func()) func() error { return func() error { what(); return nil } }
 
 func cut(a, b []int, oneWay bool) netfault.Fault {
-	return netfault.Fault{Trouble: netfault.Cut, From: Ends(a), To: Ends(b), OneWay: oneWay}
+	return netfault.Fault{Kind: netfault.Cut, From: Ends(a), To: Ends(b), OneWay: oneWay}
 }
 
 func drop(nodes int, share float64, burst int) netfault.Fault {
 	all := Ends(Numbers(0, nodes))
-	return netfault.Fault{Trouble: netfault.Drop, From: all, To: all, Share: share, Burst: burst, Seed: 7}
+	return netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: share, Burst: burst, Seed: 7}
 }
 
 // neverSilent tells that nobody of some is taken for silent or gone by any of some.
@@ -277,12 +277,12 @@
 	}},
 	{"messages late, doubled, overtaken and spoilt at once", 8, func(f Fleet) error {
 		all := Ends(Numbers(0, 8))
-		way := func(t netfault.Trouble, share float64, wait int64) netfault.Fault {
-			return netfault.Fault{Trouble: t, From: all, To: all, Share: share, Wait: wait, Seed: 3}
+		way := func(t netfault.Kind, share float64, wait int64) netfault.Fault {
+			return netfault.Fault{Kind: t, From: all, To: all, Share: share, Wait: wait, Seed: 3}
 		}
 		return first(startAll(f),
 			do(func() {
-				f.Break(way(netfault.Twice, 0.3, 2e9), way(netfault.Reorder, 0.2, 60e6), way(netfault.Spoil, 0.1, 0), way(netfault.Delay, 0, 10e6))
+				f.Break(way(netfault.Duplicate, 0.3, 2e9), way(netfault.Reorder, 0.2, 60e6), way(netfault.Corrupt, 0.1, 0), way(netfault.Delay, 0, 10e6))
 			}),
 			hold(f, 2*calm, "nobody is taken for silent", neverSilent(Numbers(0, 8), Numbers(0, 8))),
 			func() error {
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -425,8 +425,8 @@
 	nodes, relays, origin := []netfault.End{end(0), end(1), end(2)}, []netfault.End{end(relayA), end(relayB)}, []netfault.End{end(theOne)}
 	lossy := func(from, to []netfault.End, seed uint64) []netfault.Fault {
 		return []netfault.Fault{
-			{Trouble: netfault.Drop, From: from, To: to, Share: 0.1, Burst: 1, Seed: seed},
-			{Trouble: netfault.Delay, From: from, To: to, How: "drawn", Wait: int64(80 * time.Millisecond), Burst: 1, Seed: seed + 1},
+			{Kind: netfault.Drop, From: from, To: to, Share: 0.1, Burst: 1, Seed: seed},
+			{Kind: netfault.Delay, From: from, To: to, Variant: "drawn", Wait: int64(80 * time.Millisecond), Burst: 1, Seed: seed + 1},
 		}
 	}
 	time.Sleep(500 * time.Millisecond)
@@ -456,9 +456,9 @@
 	// Two regions lose each other: relay b and one node on one side, all others on the other.
 	here := []netfault.End{end(0), end(1), end(relayA), end(theOne), end(theirs)}
 	there := []netfault.End{end(apartOne), end(relayB)}
-	cut := netfault.Fault{Trouble: netfault.Cut, From: here, To: there, Seed: 5}
+	cut := netfault.Fault{Kind: netfault.Cut, From: here, To: there, Seed: 5}
 	r.Break(cut)
-	plain.Break(netfault.Fault{Trouble: netfault.Cut, From: []netfault.End{end(theirs)}, To: []netfault.End{end(apartOne)}, Seed: 5})
+	plain.Break(netfault.Fault{Kind: netfault.Cut, From: []netfault.End{end(theirs)}, To: []netfault.End{end(apartOne)}, Seed: 5})
 	time.Sleep(time.Second)
 	set(2, "up", true)
 	set(3, "draining", true)
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -100,7 +100,7 @@
 	}
 	everybody := Ends(Numbers(0, f.Len()))
 	if loss > 0 {
-		f.Break(netfault.Fault{Trouble: netfault.Drop, From: everybody, To: everybody, Share: loss, Burst: burst, Seed: 11})
+		f.Break(netfault.Fault{Kind: netfault.Drop, From: everybody, To: everybody, Share: loss, Burst: burst, Seed: 11})
 	}
 	before, from := f.Counts(), f.Now()
 	for f.Now() < from+int64(watch) {
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -151,18 +151,18 @@
 	if len(v.nodes) <= mostCopied && v.copied[way] == nil {
 		v.copied[way] = datagram
 	}
-	p := v.faults.Pass(v.now, netfault.End{Index: s.index}, netfault.End{Index: to}, v.numbers[way], len(datagram))
+	p := v.faults.FateOf(v.now, netfault.End{Index: s.index}, netfault.End{Index: to}, v.numbers[way], len(datagram))
 	if p.Lost {
 		return
 	}
-	if p.Spoilt >= 0 {
+	if p.CorruptByte >= 0 {
 		datagram = append([]byte(nil), datagram...)
-		datagram[p.Spoilt] ^= 0x55
+		datagram[p.CorruptByte] ^= 0x55
 	}
-	after := v.Way + int64(v.draw.Uint64()%uint64(v.Way/4+1)) + p.After
+	after := v.Way + int64(v.draw.Uint64()%uint64(v.Way/4+1)) + p.Delay
 	v.at(v.now+after, func() { v.Throw(to, datagram) })
-	if p.Again > 0 {
-		v.at(v.now+after+p.Again, func() { v.Throw(to, datagram) })
+	if p.DuplicateAfter > 0 {
+		v.at(v.now+after+p.DuplicateAfter, func() { v.Throw(to, datagram) })
 	}
 }
 
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -9,7 +9,7 @@
 const msec = int64(1e6)
 
 func kind() Spec {
-	return Spec{Cores: 2, Speed: 1, Places: 4, Waiting: 2, ColdFrom: 0.25, WarmFor: 10000 * msec, FallMultiple: 3, FallAfter: 1000 * msec}
+	return Spec{Cores: 2, Speed: 1, Concurrency: 4, QueueLimit: 2, SlowStartCapacity: 0.25, SlowStartWindow: 10000 * msec, CrashMultiple: 3, CrashWindow: 1000 * msec}
 }
 
 const longAgo = math.MinInt64 / 2
@@ -44,7 +44,7 @@
 func TestWorkIsShared(t *testing.T) {
 	s := NewEndpoint(kind(), longAgo, 0, 1)
 	for id := range int64(3) {
-		s.Arrive(0, &Job{ID: id, Work: 10 * msec, Until: Never})
+		s.Arrive(0, &Job{ID: id, Work: 10 * msec, Deadline: Never})
 	}
 	ends := drive(s, 100*msec)
 	for id := range int64(3) {
@@ -55,10 +55,10 @@
 // Guards against ends that are lost because something else advanced the server: one hand-off in 200 was.
 func TestEndsAreNotLostToArrivals(t *testing.T) {
 	s := NewEndpoint(kind(), longAgo, 0, 1)
-	s.Arrive(0, &Job{ID: 1, Work: 5 * msec, Until: Never})
-	s.Arrive(9*msec, &Job{ID: 2, Work: 5 * msec, Until: Never})
-	s.Connected(20 * msec)
-	s.Take(21 * msec)
+	s.Arrive(0, &Job{ID: 1, Work: 5 * msec, Deadline: Never})
+	s.Arrive(9*msec, &Job{ID: 2, Work: 5 * msec, Deadline: Never})
+	s.ConnectionOpened(20 * msec)
+	s.Sample(21 * msec)
 	if ends := drive(s, 50*msec); len(ends) != 2 {
 		t.Errorf("ends %v, want those of both", ends)
 	}
@@ -68,12 +68,12 @@
 	s := NewEndpoint(kind(), longAgo, 0, 1)
 	accepted := 0
 	for id := range int64(10) {
-		if ok, _ := s.Arrive(0, &Job{ID: id, Work: 10 * msec, Until: Never}); ok {
+		if ok, _ := s.Arrive(0, &Job{ID: id, Work: 10 * msec, Deadline: Never}); ok {
 			accepted++
 		}
 	}
-	if accepted != 6 || s.Held() != 6 {
-		t.Errorf("%d accepted, %d held, want 6 of each: four places, two waiting", accepted, s.Held())
+	if accepted != 6 || s.InFlight() != 6 {
+		t.Errorf("%d accepted, %d held, want 6 of each: four places, two waiting", accepted, s.InFlight())
 	}
 	if ends := drive(s, 1000*msec); len(ends) != 6 {
 		t.Errorf("%d ended, want 6", len(ends))
@@ -82,24 +82,24 @@
 
 func TestWaitedPastItsTime(t *testing.T) {
 	k := kind()
-	k.Places, k.DropExpired = 1, true
+	k.Concurrency, k.DropExpired = 1, true
 	s := NewEndpoint(k, longAgo, 0, 1)
-	s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Until: Never})
-	s.Arrive(0, &Job{ID: 2, Work: 10 * msec, Until: 5 * msec})
+	s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Deadline: Never})
+	s.Arrive(0, &Job{ID: 2, Work: 10 * msec, Deadline: 5 * msec})
 	if ends := drive(s, 100*msec); ends[2] != -1 {
 		t.Errorf("a task that waited past its time ended at %d, want it turned away", ends[2])
 	}
 }
 
 func TestGivenUp(t *testing.T) {
-	for cancel, want := range map[Cancel][2]bool{CancelsNothing: {false, false}, CancelsWaiting: {false, true}, CancelsWork: {true, true}} {
+	for cancel, want := range map[CancelEffect][2]bool{CancelsNothing: {false, false}, CancelsQueued: {false, true}, CancelsRunning: {true, true}} {
 		k := kind()
-		k.Places, k.Cancel = 1, cancel
+		k.Concurrency, k.Cancel = 1, cancel
 		s := NewEndpoint(k, longAgo, 0, 1)
-		s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Until: Never})
-		s.Arrive(0, &Job{ID: 2, Work: 10 * msec, Until: Never})
-		waiting, never := s.GiveUp(msec, 2)
-		work, _ := s.GiveUp(msec, 1)
+		s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Deadline: Never})
+		s.Arrive(0, &Job{ID: 2, Work: 10 * msec, Deadline: Never})
+		waiting, never := s.CancelJob(msec, 2)
+		work, _ := s.CancelJob(msec, 1)
 		if got := [2]bool{work, waiting}; got != want || never != waiting {
 			t.Errorf("cancel %d stops work, waiting: %v, want %v", cancel, got, want)
 		}
@@ -108,8 +108,8 @@
 
 func TestStandsStill(t *testing.T) {
 	s := NewEndpoint(kind(), longAgo, 0, 1)
-	s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Until: Never})
-	s.Stop(5*msec, 105*msec)
+	s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Deadline: Never})
+	s.Pause(5*msec, 105*msec)
 	near(t, "task over a pause", drive(s, 200*msec)[1], 110*msec)
 }
 
@@ -133,7 +133,7 @@
 	push := func(each int64, every int64) (*Endpoint, *Crash) {
 		s := NewEndpoint(kind(), 0, 0, 1)
 		for at := int64(0); at < 1000*msec; at += every {
-			if _, fall := s.Arrive(at, &Job{Work: each, Until: Never, Node: 3}); fall != nil {
+			if _, fall := s.Arrive(at, &Job{Work: each, Deadline: Never, Node: 3}); fall != nil {
 				return s, fall
 			}
 		}
@@ -143,13 +143,13 @@
 		t.Errorf("fell over under twice its capacity: %+v", fall)
 	}
 	s, fall := push(10*msec, 4*msec)
-	if fall == nil || !s.IsDown() {
+	if fall == nil || !s.HasCrashed() {
 		t.Fatal("did not fall over under five times its capacity")
 	}
 	if fall.Work < 1.5 || fall.Work > 2 || fall.Arrivals[0].Node != 3 {
 		t.Errorf("fell at %v s of work in a second, want a little over 3 x 0.5", fall.Work)
 	}
-	if warm := NewEndpoint(kind(), longAgo, 0, 1); warm.Warmth() != 1 {
+	if warm := NewEndpoint(kind(), longAgo, 0, 1); warm.CapacityShare() != 1 {
 		t.Error("a server that started long ago is not warm")
 	}
 }
@@ -157,13 +157,13 @@
 func TestFigures(t *testing.T) {
 	s := NewEndpoint(kind(), longAgo, 0, 1)
 	for id := range int64(5) {
-		s.Arrive(0, &Job{ID: id, Work: 20 * msec, Until: Never})
+		s.Arrive(0, &Job{ID: id, Work: 20 * msec, Deadline: Never})
 	}
-	if f := s.Take(10 * msec); f.Held != 4 || f.Queue != 1 || math.Abs(f.Utilised-1) > 0.01 {
+	if f := s.Sample(10 * msec); f.InFlight != 4 || f.Queue != 1 || math.Abs(f.Utilization-1) > 0.01 {
 		t.Errorf("figures %+v, want 4 held, 1 waiting, both cores in use", f)
 	}
 	s.Advance(200 * msec)
-	if f := s.Take(210 * msec); f.Held != 0 || f.ServiceTime < 30 {
+	if f := s.Sample(210 * msec); f.InFlight != 0 || f.ServiceTime < 30 {
 		t.Errorf("figures %+v, want nothing held and the time that tasks took", f)
 	}
 }
@@ -202,12 +202,12 @@
 func TestFallsBeyondChance(t *testing.T) {
 	falls := func(work int64, chance bool) int {
 		k := kind()
-		k.MeanWork, k.ByChance, k.WarmFor = float64(work)/1e9, chance, 1e15 // as cold all through
+		k.MeanWork, k.ChanceSlack, k.SlowStartWindow = float64(work)/1e9, chance, 1e15 // as cold all through
 		s := NewEndpoint(k, 0, 0, 1)
 		for n := 1; ; n++ {
-			if _, fall := s.Arrive(0, &Job{Work: work, Until: Never}); fall != nil {
-				if got := len(s.WhileCold()); got != n || s.WhileCold()[0].Budget != 1.5 {
-					t.Errorf("%d pushes kept with a budget of %v s, want all %d and 1.5 s", got, s.WhileCold()[0].Budget, n)
+			if _, fall := s.Arrive(0, &Job{Work: work, Deadline: Never}); fall != nil {
+				if got := len(s.SlowStartArrivals()); got != n || s.SlowStartArrivals()[0].Budget != 1.5 {
+					t.Errorf("%d pushes kept with a budget of %v s, want all %d and 1.5 s", got, s.SlowStartArrivals()[0].Budget, n)
 				}
 				return n
 			}
--- a/internal/lab/netfault/netfault.go
+++ b/internal/lab/netfault/netfault.go
@@ -13,19 +13,19 @@
 )
 
 // Kind of a part of the day.
-type Kind uint8
+type EndKind uint8
 
 // The parts that ways lead between.
 const (
-	Node Kind = iota
-	Server
+	Node EndKind = iota
+	Endpoint
 	Discovery
 	Client
 )
 
 // End is one end of a way. Clients are one end for each zone, by the zone's number.
 type End struct {
-	Kind  Kind
+	Kind  EndKind
 	Index int
 }
 
@@ -34,30 +34,30 @@
 }
 
 // Trouble is what is wrong with a way.
-type Trouble string
+type Kind string
 
 // The troubles of ways.
 const (
-	Cut     Trouble = "link-cut"     // nothing passes
-	Drop    Trouble = "link-drop"    // a share is lost
-	Delay   Trouble = "link-delay"   // all comes later
-	Twice   Trouble = "link-twice"   // a share comes a second time, after Wait
-	Reorder Trouble = "link-reorder" // a share is held for Wait, so that others overtake it
-	Spoil   Trouble = "link-spoil"   // a byte of a share is changed
-	Narrow  Trouble = "link-narrow"  // so many bytes a second
+	Cut       Kind = "link-cut"     // nothing passes
+	Drop      Kind = "link-drop"    // a share is lost
+	Delay     Kind = "link-delay"   // all comes later
+	Duplicate Kind = "link-twice"   // a share comes a second time, after Wait
+	Reorder   Kind = "link-reorder" // a share is held for Wait, so that others overtake it
+	Corrupt   Kind = "link-spoil"   // a byte of a share is changed
+	Narrow    Kind = "link-narrow"  // so many bytes a second
 )
 
 // Hows are the ways in which a trouble can be had; the first is the usual one.
-var Hows = map[Trouble][]string{Cut: {"silent", "refused"}, Delay: {"fixed", "drawn", "growing"}}
+var Variants = map[Kind][]string{Cut: {"silent", "refused"}, Delay: {"fixed", "drawn", "growing"}}
 
 // Fault is a trouble of some ways for a time. Times are nanoseconds of the day.
 type Fault struct {
-	Trouble  Trouble
+	Kind     Kind
 	From, To []End
 	OneWay   bool // only what goes from From to To
 	Begin    int64
 	End      int64
-	How      string
+	Variant  string
 	Share    float64 // of the messages
 	Burst    int     // so many in a row meet the same fate
 	Wait     int64   // nanoseconds
@@ -68,19 +68,19 @@
 }
 
 // Verdict is what befalls one message.
-type Verdict struct {
-	Lost    bool
-	Refused bool // the sender is told, where the way has a means to
-	After   int64
-	Again   int64 // after that long a second copy comes; 0: none
-	Spoilt  int   // place of the changed byte; -1: none
-	Rate    float64
+type Fate struct {
+	Lost           bool
+	Refused        bool // the sender is told, where the way has a means to
+	Delay          int64
+	DuplicateAfter int64 // after that long a second copy comes; 0: none
+	CorruptByte    int   // place of the changed byte; -1: none
+	Rate           float64
 }
 
 // Schedule is all that is wrong with the ways of a day.
 type Schedule struct {
-	faults []Fault
-	turns  []int64
+	faults  []Fault
+	changes []int64
 }
 
 // New makes a schedule.
@@ -92,10 +92,10 @@
 	}
 	slices.SortStableFunc(s.faults, func(a, b Fault) int { return cmp.Compare(a.Begin, b.Begin) })
 	for i := range s.faults {
-		s.turns = append(s.turns, s.faults[i].Begin, s.faults[i].End)
+		s.changes = append(s.changes, s.faults[i].Begin, s.faults[i].End)
 	}
-	slices.Sort(s.turns)
-	s.turns = slices.Compact(s.turns)
+	slices.Sort(s.changes)
+	s.changes = slices.Compact(s.changes)
 	return s
 }
 
@@ -124,11 +124,11 @@
 	return x
 }
 
-func part(x uint64) float64 { return float64(x>>11) / (1 << 53) }
+func fraction(x uint64) float64 { return float64(x>>11) / (1 << 53) }
 
 // Pass tells what befalls message n of the way from one end to another.
-func (s *Schedule) Pass(now int64, from, to End, n uint64, size int) Verdict {
-	v := Verdict{Spoilt: -1}
+func (s *Schedule) FateOf(now int64, from, to End, n uint64, size int) Fate {
+	v := Fate{CorruptByte: -1}
 	for i := range s.faults {
 		f := &s.faults[i]
 		if f.Begin > now {
@@ -137,33 +137,33 @@
 		if now >= f.End || !f.hits(from, to) {
 			continue
 		}
-		struck := f.Share == 0 || part(mix(f.Seed, from, to, n/uint64(max(f.Burst, 1)), 1)) < f.Share
-		switch f.Trouble {
+		struck := f.Share == 0 || fraction(mix(f.Seed, from, to, n/uint64(max(f.Burst, 1)), 1)) < f.Share
+		switch f.Kind {
 		case Cut:
 			v.Lost = true
-			v.Refused = v.Refused || f.How == "refused"
+			v.Refused = v.Refused || f.Variant == "refused"
 		case Drop:
 			v.Lost = v.Lost || struck
 		case Delay:
-			switch draw := part(mix(f.Seed, from, to, n, 2)); f.How {
+			switch draw := fraction(mix(f.Seed, from, to, n, 2)); f.Variant {
 			case "drawn":
-				v.After += int64(-math.Log(1-draw) * float64(f.Wait))
+				v.Delay += int64(-math.Log(1-draw) * float64(f.Wait))
 			case "growing":
-				v.After += int64(float64(f.Wait) * float64(now-f.Begin) / float64(f.End-f.Begin))
+				v.Delay += int64(float64(f.Wait) * float64(now-f.Begin) / float64(f.End-f.Begin))
 			default:
-				v.After += f.Wait
+				v.Delay += f.Wait
 			}
-		case Twice:
+		case Duplicate:
 			if struck {
-				v.Again = max(f.Wait, 1)
+				v.DuplicateAfter = max(f.Wait, 1)
 			}
 		case Reorder:
 			if struck {
-				v.After += f.Wait
+				v.Delay += f.Wait
 			}
-		case Spoil:
+		case Corrupt:
 			if struck && size > 0 {
-				v.Spoilt = int(mix(f.Seed, from, to, n, 3) % uint64(size))
+				v.CorruptByte = int(mix(f.Seed, from, to, n, 3) % uint64(size))
 			}
 		case Narrow:
 			v.Rate = f.Rate
@@ -176,7 +176,7 @@
 func (s *Schedule) Open(now int64, from, to End) bool {
 	for i := range s.faults {
 		f := &s.faults[i]
-		if f.Trouble == Cut && f.Begin <= now && now < f.End && f.hits(from, to) {
+		if f.Kind == Cut && f.Begin <= now && now < f.End && f.hits(from, to) {
 			return false
 		}
 	}
@@ -184,8 +184,8 @@
 }
 
 // Touches tells whether any fault strikes a way of these kinds of ends, in either direction.
-func (s *Schedule) Touches(a, b Kind) bool {
-	has := func(list []End, k Kind) bool {
+func (s *Schedule) Touches(a, b EndKind) bool {
+	has := func(list []End, k EndKind) bool {
 		return slices.ContainsFunc(list, func(e End) bool { return e.Kind == k })
 	}
 	for i := range s.faults {
@@ -198,14 +198,14 @@
 }
 
 // Turns are the moments at which anything begins or ends, in order.
-func (s *Schedule) Turns() []int64 { return s.turns }
+func (s *Schedule) Changes() []int64 { return s.changes }
 
 // Site is what names of ends are resolved against.
 type Site struct {
-	Zones       []string
-	NodeZones   []string // by node
-	ServerNames []string
-	ServerZones []string
+	Zones         []string
+	NodeZones     []string // by node
+	EndpointNames []string
+	EndpointZones []string
 }
 
 // Ends resolves the names of a file: n3, n0..n5, nodes, nodes:ZONE, a server's name, servers, servers:ZONE, discovery, clients,
@@ -228,7 +228,7 @@
 	if zoned && !slices.Contains(s.Zones, zone) {
 		return nil, fmt.Errorf("a zone of network.zones after the colon, got %q", name)
 	}
-	pick := func(k Kind, zones []string) (out []End, err error) {
+	pick := func(k EndKind, zones []string) (out []End, err error) {
 		for i, z := range zones {
 			if !zoned || z == zone {
 				out = append(out, End{k, i})
@@ -243,14 +243,14 @@
 	case "nodes":
 		return pick(Node, s.NodeZones)
 	case "servers":
-		return pick(Server, s.ServerZones)
+		return pick(Endpoint, s.EndpointZones)
 	case "clients":
 		return pick(Client, s.Zones)
 	case "discovery":
 		return []End{{Discovery, 0}}, nil
 	}
-	if i := slices.Index(s.ServerNames, name); i >= 0 {
-		return []End{{Server, i}}, nil
+	if i := slices.Index(s.EndpointNames, name); i >= 0 {
+		return []End{{Endpoint, i}}, nil
 	}
 	first, last, ranged := strings.Cut(name, "..")
 	if !ranged {
@@ -278,7 +278,7 @@
 }
 
 // CanJoin tells whether there are ways between two kinds of ends, and whether these carry single messages (true) or streams.
-func CanJoin(a, b Kind) (ways, messages bool) {
+func CanLink(a, b EndKind) (ways, messages bool) {
 	if a > b {
 		a, b = b, a
 	}
@@ -286,11 +286,11 @@
 }
 
 // OnStreams are the troubles that a stream can show: it is read whole, in order and once, and loss is lateness there.
-func OnStreams(t Trouble) bool { return t != Twice && t != Reorder && t != Spoil }
+func AppliesToStreams(t Kind) bool { return t != Duplicate && t != Reorder && t != Corrupt }
 
 // Contradict tells whether two faults say different things of one way at one time.
-func Contradict(a, b *Fault) bool {
-	if a.Trouble != b.Trouble || a.End <= b.Begin || b.End <= a.Begin {
+func Conflict(a, b *Fault) bool {
+	if a.Kind != b.Kind || a.End <= b.Begin || b.End <= a.Begin {
 		return false
 	}
 	type way struct{ from, to End }
--- a/internal/lab/netfault/netfault_test.go
+++ b/internal/lab/netfault/netfault_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-var site = Site{Zones: []string{"a", "b"}, NodeZones: []string{"a", "b", "a", "b"}, ServerNames: []string{"s-0", "s-1"}, ServerZones: []string{"a", "b"}}
+var site = Site{Zones: []string{"a", "b"}, NodeZones: []string{"a", "b", "a", "b"}, EndpointNames: []string{"s-0", "s-1"}, EndpointZones: []string{"a", "b"}}
 
 func ends(t *testing.T, names ...string) []End {
 	t.Helper()
@@ -39,24 +39,24 @@
 func TestShares(t *testing.T) {
 	a, b := End{Node, 0}, End{Node, 1}
 	for _, c := range []struct {
-		trouble Trouble
-		struck  func(Verdict) bool
+		trouble Kind
+		struck  func(Fate) bool
 		share   float64
 	}{
-		{Cut, func(v Verdict) bool { return v.Lost }, 1},
-		{Drop, func(v Verdict) bool { return v.Lost }, 0.3},
-		{Delay, func(v Verdict) bool { return v.After >= 5e6 }, 1},
-		{Twice, func(v Verdict) bool { return v.Again > 0 }, 0.3},
-		{Reorder, func(v Verdict) bool { return v.After > 0 }, 0.3},
-		{Spoil, func(v Verdict) bool { return v.Spoilt >= 0 && v.Spoilt < 100 }, 0.3},
-		{Narrow, func(v Verdict) bool { return v.Rate == 1000 }, 1},
+		{Cut, func(v Fate) bool { return v.Lost }, 1},
+		{Drop, func(v Fate) bool { return v.Lost }, 0.3},
+		{Delay, func(v Fate) bool { return v.Delay >= 5e6 }, 1},
+		{Duplicate, func(v Fate) bool { return v.DuplicateAfter > 0 }, 0.3},
+		{Reorder, func(v Fate) bool { return v.Delay > 0 }, 0.3},
+		{Corrupt, func(v Fate) bool { return v.CorruptByte >= 0 && v.CorruptByte < 100 }, 0.3},
+		{Narrow, func(v Fate) bool { return v.Rate == 1000 }, 1},
 	} {
-		f := Fault{Trouble: c.trouble, From: []End{a}, To: []End{b}, OneWay: true, Begin: 10, End: 20, Share: 0.3, Burst: 4, Wait: 5e6, Rate: 1000, Seed: 9}
+		f := Fault{Kind: c.trouble, From: []End{a}, To: []End{b}, OneWay: true, Begin: 10, End: 20, Share: 0.3, Burst: 4, Wait: 5e6, Rate: 1000, Seed: 9}
 		s := New([]Fault{f})
 		struck, runs, last := 0, 0, false
 		for n := range uint64(20000) {
-			v := s.Pass(15, a, b, n, 100)
-			if v != s.Pass(15, a, b, n, 100) {
+			v := s.FateOf(15, a, b, n, 100)
+			if v != s.FateOf(15, a, b, n, 100) {
 				t.Fatal(c.trouble, ": not the same twice")
 			}
 			is := c.struck(v)
@@ -67,8 +67,8 @@
 				runs++
 			}
 			last = is
-			for _, other := range []Verdict{s.Pass(9, a, b, n, 100), s.Pass(20, a, b, n, 100), s.Pass(15, b, a, n, 100)} {
-				if other != (Verdict{Spoilt: -1}) {
+			for _, other := range []Fate{s.FateOf(9, a, b, n, 100), s.FateOf(20, a, b, n, 100), s.FateOf(15, b, a, n, 100)} {
+				if other != (Fate{CorruptByte: -1}) {
 					t.Fatalf("%s: strikes before, after, or the other way: %+v", c.trouble, other)
 				}
 			}
@@ -84,8 +84,8 @@
 
 func TestReach(t *testing.T) {
 	s := New([]Fault{
-		{Trouble: Cut, From: ends(t, "n0", "n1"), To: ends(t, "n2", "n3"), Begin: 0, End: 10},
-		{Trouble: Cut, From: ends(t, "n0"), To: ends(t, "n1"), OneWay: true, Begin: 5, End: 10},
+		{Kind: Cut, From: ends(t, "n0", "n1"), To: ends(t, "n2", "n3"), Begin: 0, End: 10},
+		{Kind: Cut, From: ends(t, "n0"), To: ends(t, "n1"), OneWay: true, Begin: 5, End: 10},
 	})
 	if r := s.ReachAt(3, 4); !slices.Equal(r.Parts, []string{"n0..n1", "n2..n3"}) || len(r.OneWay) > 0 {
 		t.Errorf("%+v", r)
@@ -99,9 +99,9 @@
 }
 
 func TestAllowanceIsOfTheWaysAskedFor(t *testing.T) {
-	s := New([]Fault{{Trouble: Delay, From: ends(t, "n0"), To: ends(t, "s-0"), Begin: 10, End: 20, Wait: 5}, {Trouble: Cut, From: ends(t, "n0"), To: ends(t, "n1"), Begin: 0, End: 100}})
+	s := New([]Fault{{Kind: Delay, From: ends(t, "n0"), To: ends(t, "s-0"), Begin: 10, End: 20, Wait: 5}, {Kind: Cut, From: ends(t, "n0"), To: ends(t, "n1"), Begin: 0, End: 100}})
 	for at, want := range map[int64]int64{9: 0, 10: 5, 24: 5, 25: 0} {
-		if got := s.Allowance(at, Node, Server); got != want {
+		if got := s.Allowance(at, Node, Endpoint); got != want {
 			t.Errorf("at %d: %d, want %d", at, got, want)
 		}
 	}
--- a/internal/lab/netfault/reach.go
+++ b/internal/lab/netfault/reach.go
@@ -12,7 +12,7 @@
 type Reach struct {
 	Parts  []string `json:"parts"`             // nodes that reach one another, both ways, as n0..n5
 	OneWay []string `json:"one_way,omitempty"` // as n3 -> n0: the first is heard by the second, and does not hear it
-	Worse  []string `json:"troubled,omitempty"`
+	Faults []string `json:"troubled,omitempty"`
 }
 
 // ReachAt tells who reaches whom among the nodes at a moment, and what else is wrong with ways.
@@ -48,28 +48,28 @@
 		if f.OneWay {
 			arrow = "->"
 		}
-		text := fmt.Sprintf("%s %s %s %s", f.Trouble, names(f.From), arrow, names(f.To))
-		if f.Trouble == Cut && f.OneWay {
+		text := fmt.Sprintf("%s %s %s %s", f.Kind, names(f.From), arrow, names(f.To))
+		if f.Kind == Cut && f.OneWay {
 			r.OneWay = append(r.OneWay, text)
 		} else {
-			r.Worse = append(r.Worse, text)
+			r.Faults = append(r.Faults, text)
 		}
 	}
 	return r
 }
 
 func names(list []End) string {
-	by := map[Kind][]int{}
+	by := map[EndKind][]int{}
 	for _, e := range list {
 		by[e.Kind] = append(by[e.Kind], e.Index)
 	}
 	var out []string
 	for k, name := range []string{"n", "server ", "discovery", "clients "} {
-		switch of := by[Kind(k)]; {
+		switch of := by[EndKind(k)]; {
 		case len(of) == 0:
-		case Kind(k) == Node:
+		case EndKind(k) == Node:
 			out = append(out, Ranges(of))
-		case Kind(k) == Discovery:
+		case EndKind(k) == Discovery:
 			out = append(out, name)
 		default:
 			out = append(out, fmt.Sprintf("%s%s", name, strings.ReplaceAll(Ranges(of), "n", "")))
@@ -98,7 +98,7 @@
 
 // Allowance is by how much what two kinds of ends say to one another may come later than it was sent, at a moment: what each time
 // limit that is judged at the far end is longer by. Nothing of a node's own doing is in it.
-func (s *Schedule) Allowance(at int64, a, b Kind) int64 {
+func (s *Schedule) Allowance(at int64, a, b EndKind) int64 {
 	worst := int64(0)
 	for i := range s.faults {
 		f := &s.faults[i]
@@ -107,7 +107,7 @@
 			continue
 		}
 		late := f.Wait
-		switch f.Trouble {
+		switch f.Kind {
 		case Cut: // what was held up ends when the way is mended
 			late = f.End - f.Begin
 		case Drop:
@@ -115,7 +115,7 @@
 		case Narrow:
 			late = int64(second)
 		case Delay:
-			if f.How == "drawn" {
+			if f.Variant == "drawn" {
 				late *= 10
 			}
 		}
--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -119,7 +119,7 @@
 }
 
 // together is one count of what all nodes did, by second.
-func (r *Result) together(name string, of func(*trace.Together) int) line {
+func (r *Result) together(name string, of func(*trace.FleetActivity) int) line {
 	l := line{name: name}
 	for i := range r.Together {
 		l.x, l.y = append(l.x, float64(i)+0.5), append(l.y, float64(of(&r.Together[i])))
@@ -143,8 +143,8 @@
 			end()
 			second = int(s.At / 1e9)
 		}
-		held := make([]float64, len(s.Held))
-		for i, h := range s.Held {
+		held := make([]float64, len(s.InFlight))
+		for i, h := range s.InFlight {
 			held[i] = float64(h)
 		}
 		if mean, deviation := stat.MeanStdDev(held, nil); len(held) > 1 && mean > leastHeld {
@@ -169,10 +169,10 @@
 		}},
 		{spreadTitle, "deviation over mean", (*Result).spread},
 		{"Connections opened by all nodes", "in the second", func(r *Result, name string) line {
-			return r.together(name, func(t *trace.Together) int { return t.Connections })
+			return r.together(name, func(t *trace.FleetActivity) int { return t.Connections })
 		}},
 		{"Resends and second copies of all nodes", "in the second", func(r *Result, name string) line {
-			return r.together(name, func(t *trace.Together) int { return t.Resends + t.Copies })
+			return r.together(name, func(t *trace.FleetActivity) int { return t.Retries + t.Hedged })
 		}},
 	}
 	var plots []template.HTML
@@ -230,9 +230,9 @@
 	if len(r.Together) > 0 {
 		all := r.together
 		wanted = append(wanted, plotted{"What all nodes do together, beside the tasks", "in the second", []line{
-			all("resends", func(t *trace.Together) int { return t.Resends }), all("copies", func(t *trace.Together) int { return t.Copies }),
-			all("connections", func(t *trace.Together) int { return t.Connections }), all("calls for the list", func(t *trace.Together) int { return t.Calls }),
-			all("probes", func(t *trace.Together) int { return t.Probes }), all("messages", func(t *trace.Together) int { return t.News }),
+			all("resends", func(t *trace.FleetActivity) int { return t.Retries }), all("copies", func(t *trace.FleetActivity) int { return t.Hedged }),
+			all("connections", func(t *trace.FleetActivity) int { return t.Connections }), all("calls for the list", func(t *trace.FleetActivity) int { return t.ListCalls }),
+			all("probes", func(t *trace.FleetActivity) int { return t.HealthChecks }), all("messages", func(t *trace.FleetActivity) int { return t.Gossip }),
 		}})
 	}
 	if v := r.Views; v != nil {
--- a/internal/lab/result/page_test.go
+++ b/internal/lab/result/page_test.go
@@ -8,9 +8,9 @@
 
 func TestSpreadOfLoadOverServers(t *testing.T) {
 	r := &Result{Loads: []trace.LoadSample{
-		{At: 0.1e9, Held: []int{4, 4, 4, 4}}, {At: 0.6e9, Held: []int{0, 0, 0, 16}}, // one second: even, then all at one
-		{At: 2.2e9, Held: []int{0, 0, 0, 0}}, // tells nothing
-		{At: 3.2e9, Held: []int{2, 2, 2, 2}},
+		{At: 0.1e9, InFlight: []int{4, 4, 4, 4}}, {At: 0.6e9, InFlight: []int{0, 0, 0, 16}}, // one second: even, then all at one
+		{At: 2.2e9, InFlight: []int{0, 0, 0, 0}}, // tells nothing
+		{At: 3.2e9, InFlight: []int{2, 2, 2, 2}},
 	}}
 	got, want := r.spread(""), []float64{1, 0}
 	if len(got.y) != 2 || math.Abs(got.y[0]-want[0]) > 1e-9 || got.y[1] != 0 || got.x[0] != 0.5 || got.x[1] != 3.5 {
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -43,20 +43,20 @@
 	Spans      []Tally           `json:"by_5s"`
 	Seconds    []Tally           `json:"by_1s"`
 
-	HandOffs   HandOffs            `json:"hand_offs"`
-	Nodes      []trace.NodeFigures `json:"nodes"`
-	BadClients trace.BadFigures    `json:"bad_clients"`
-	Odd        map[string]int      `json:"odd,omitempty"`
-	Faults     []Band              `json:"faults,omitempty"`
-	Cold       *Cold               `json:"cold,omitempty"`
-	Servers    []string            `json:"servers"`
-	Loads      []trace.LoadSample  `json:"loads,omitempty"`
-	Virtual    bool                `json:"virtual,omitempty"`
-	Together   []trace.Together    `json:"together_by_1s,omitempty"` // what all nodes do together
-	Reach      []netfault.Reach    `json:"reach_by_1s,omitempty"`    // who could reach whom
-	Views      *Views              `json:"views,omitempty"`
-	Beliefs    []trace.Belief      `json:"beliefs,omitempty"`
-	Runs       []trace.Runs        `json:"runs,omitempty"`
+	HandOffs   HandOffs               `json:"hand_offs"`
+	Nodes      []trace.NodeUsage      `json:"nodes"`
+	BadClients trace.BadClientCounts  `json:"bad_clients"`
+	Odd        map[string]int         `json:"odd,omitempty"`
+	Faults     []Band                 `json:"faults,omitempty"`
+	Cold       *Cold                  `json:"cold,omitempty"`
+	Servers    []string               `json:"servers"`
+	Loads      []trace.LoadSample     `json:"loads,omitempty"`
+	Virtual    bool                   `json:"virtual,omitempty"`
+	Together   []trace.FleetActivity  `json:"together_by_1s,omitempty"` // what all nodes do together
+	Reach      []netfault.Reach       `json:"reach_by_1s,omitempty"`    // who could reach whom
+	Views      *Views                 `json:"views,omitempty"`
+	Beliefs    []trace.MembershipView `json:"beliefs,omitempty"`
+	Runs       []trace.RunningNodes   `json:"runs,omitempty"`
 }
 
 // Cold tells what servers' lives that began cold got at most within a window, over their budget of N requests of mean work.
@@ -87,11 +87,11 @@
 	return w
 }
 
-func coldOf(r *trace.Record) *Cold {
+func coldOf(r *trace.Trace) *Cold {
 	if len(r.Peaks[0]) == 0 {
 		return nil
 	}
-	return &Cold{len(r.Peaks[0]), len(r.Ledger.Crashes), worstOf(r.Peaks[0], r.Base), worstOf(r.Peaks[1], r.Base)}
+	return &Cold{len(r.Peaks[0]), len(r.History.Crashes), worstOf(r.Peaks[0], r.StartedAt), worstOf(r.Peaks[1], r.StartedAt)}
 }
 
 // Drawn is the same for the same scenario and seed.
@@ -148,22 +148,22 @@
 
 func newTally() *Tally { return &Tally{hist: hdrhistogram.New(1, mostTime, digits)} }
 
-func (t *Tally) add(o trace.Outcome, c *scenario.Category) {
+func (t *Tally) add(o trace.Outcome, c *scenario.Class) {
 	t.Tasks++
-	if o.State == trace.Left {
+	if o.State == trace.Canceled {
 		t.Left++
 		return
 	}
-	t.Earnings += c.Earnings
+	t.Earnings += c.PriorityWeight
 	switch o.State {
-	case trace.Satisfied:
+	case trace.Succeeded:
 		t.Satisfied++
-		t.hist.RecordValue(max(min(o.Took/1000, mostTime), 1))
-		if o.Took <= int64(c.SoftLimit) {
+		t.hist.RecordValue(max(min(o.Elapsed/1000, mostTime), 1))
+		if o.Elapsed <= int64(c.LatencyObjective) {
 			t.InTime++
-			t.Earned += c.Earnings
+			t.Earned += c.PriorityWeight
 		}
-	case trace.Declined:
+	case trace.Rejected:
 		t.Declined++
 	case trace.Lost:
 		t.Lost++
@@ -182,21 +182,21 @@
 }
 
 // Of works a day's figures out.
-func Of(s *scenario.Scenario, r *trace.Record) *Result {
+func Of(s *scenario.Scenario, r *trace.Trace) *Result {
 	out := &Result{
-		Scenario: s.Name, About: s.About, LengthS: time.Duration(s.Length).Seconds(), LateMs: float64(r.Late) / 1e6,
-		Drawn: Drawn{r.Plan.Seed, r.Hash, len(r.Plan.Tasks)}, Categories: map[string]*Tally{}, Customers: map[string]*Tally{},
-		RulesBroken: len(r.Breaks), Breaks: r.Breaks, Nodes: r.Nodes, BadClients: r.Bad, Odd: r.Odd, Servers: r.Servers, Loads: r.Loads, Virtual: r.Virtual, Together: r.Together,
-		Reach: r.Reach, Views: viewsOf(r.Beliefs, r.Runs), Beliefs: r.Beliefs, Runs: r.Runs,
+		Scenario: s.Name, About: s.About, LengthS: time.Duration(s.Length).Seconds(), LateMs: float64(r.Lag) / 1e6,
+		Drawn: Drawn{r.Plan.Seed, r.PlanHash, len(r.Plan.Operations)}, Categories: map[string]*Tally{}, Customers: map[string]*Tally{},
+		RulesBroken: len(r.Violations), Breaks: r.Violations, Nodes: r.Nodes, BadClients: r.BadClients, Odd: r.Oddities, Servers: r.Endpoints, Loads: r.Loads, Virtual: r.Virtual, Together: r.Activity,
+		Reach: r.Reach, Views: viewsOf(r.Views, r.Running), Beliefs: r.Views, Runs: r.Running,
 	}
 	all := newTally()
 	spans, seconds := tallies(s.Length, longSpan), tallies(s.Length, int64(time.Second))
-	for i := range r.Plan.Tasks {
-		t, o := &r.Plan.Tasks[i], r.Outcomes[i]
-		c := &s.Categories[t.Category]
-		into := []*Tally{all, named(out.Categories, c.Name), spans[(t.Due-r.Base)/longSpan], seconds[(t.Due-r.Base)/int64(time.Second)]}
-		if t.Customer >= 0 {
-			into = append(into, named(out.Customers, s.Customers[t.Customer].Name))
+	for i := range r.Plan.Operations {
+		t, o := &r.Plan.Operations[i], r.Outcomes[i]
+		c := &s.Classes[t.Class]
+		into := []*Tally{all, named(out.Categories, c.Name), spans[(t.Due-r.StartedAt)/longSpan], seconds[(t.Due-r.StartedAt)/int64(time.Second)]}
+		if t.Tenant >= 0 {
+			into = append(into, named(out.Customers, s.Tenants[t.Tenant].Name))
 		}
 		for _, one := range into {
 			one.add(o, c)
@@ -218,12 +218,12 @@
 	out.HandOffs = handOffs(s, r)
 	for i := range r.Plan.Faults {
 		f := &r.Plan.Faults[i]
-		from := float64(int64(f.At)-r.Base) / 1e9
+		from := float64(int64(f.At)-r.StartedAt) / 1e9
 		if f.Kind == "power" {
 			out.BackS = out.back(from)
 		}
 		whom := len(f.Targets)
-		if way, ok := s.Way(&f.Fault); ok {
+		if way, ok := s.LinkFault(&f.Fault); ok {
 			whom = len(way.From) * len(way.To)
 		}
 		out.Faults = append(out.Faults, Band{f.Kind, from, from + time.Duration(f.For).Seconds(), whom})
@@ -291,22 +291,22 @@
 	return of[name]
 }
 
-func handOffs(s *scenario.Scenario, r *trace.Record) HandOffs {
+func handOffs(s *scenario.Scenario, r *trace.Trace) HandOffs {
 	categoryOf := map[string]int{}
 	ticketOf := map[string]string{}
-	for _, t := range r.Ledger.Requests {
+	for _, t := range r.History.Requests {
 		categoryOf[t.ID] = t.Class
 		ticketOf[t.ID] = fmt.Sprint(t.Operation)
 	}
-	k := r.Ledger.Count(func(task string) (string, bool) {
+	k := r.History.Count(func(task string) (string, bool) {
 		c, known := categoryOf[task]
-		return ticketOf[task], known && s.Categories[c].Repeat != "rerunnable"
+		return ticketOf[task], known && s.Classes[c].Idempotency != "rerunnable"
 	})
 	return HandOffs{k.Attempts, k.Succeeded, k.Rejected, k.Errors, k.Unanswered + k.Incomplete, k.DoubleEffects}
 }
 
 // judge holds the day against what its scenario expects.
-func (r *Result) judge(s *scenario.Scenario, played *trace.Record) {
+func (r *Result) judge(s *scenario.Scenario, played *trace.Trace) {
 	miss := func(holds bool, text string, args ...any) {
 		if !holds {
 			r.Missed = append(r.Missed, fmt.Sprintf(text, args...))
@@ -315,34 +315,34 @@
 	e := &s.Expect
 	here := max(r.Tasks-r.Left, 1)
 	miss(r.RulesBroken == 0, "rules broken %d times, expected never", r.RulesBroken)
-	miss(r.Part >= e.EarningsInTime, "earnings in time %.4f, expected %.4f at least", r.Part, e.EarningsInTime)
-	if part := float64(r.Satisfied) / float64(here); e.Satisfied > 0 {
-		miss(part >= e.Satisfied, "satisfied %.4f of the tasks, expected %.4f at least", part, e.Satisfied)
+	miss(r.Part >= e.WeightInTime, "earnings in time %.4f, expected %.4f at least", r.Part, e.WeightInTime)
+	if part := float64(r.Satisfied) / float64(here); e.Succeeded > 0 {
+		miss(part >= e.Succeeded, "satisfied %.4f of the tasks, expected %.4f at least", part, e.Succeeded)
 	}
-	if part := float64(r.Declined) / float64(here); e.Declined > 0 {
-		miss(part <= e.Declined, "declined %.4f of the tasks, expected %.4f at most", part, e.Declined)
+	if part := float64(r.Declined) / float64(here); e.Rejected > 0 {
+		miss(part <= e.Rejected, "declined %.4f of the tasks, expected %.4f at most", part, e.Rejected)
 	}
 	if e.P99 > 0 {
 		miss(r.P99 <= float64(e.P99)/1e6, "99th percentile %.1f ms, expected %v at most", r.P99, e.P99.Std())
 	}
-	if b := played.Bad; b.Came > 0 {
+	if b := played.BadClients; b.Came > 0 {
 		part := float64(b.Unanswered) / float64(b.Came)
 		miss(part <= e.BadUnanswered, "%.4f of the bad clients got neither an error nor a close, expected %.4f at most", part, e.BadUnanswered)
 		miss(b.Served == 0, "%d bad clients were served, expected none", b.Served)
 	}
-	miss(r.Lost <= e.LostMost, "%d tasks lost, expected %d at most", r.Lost, e.LostMost)
+	miss(r.Lost <= e.MaxLost, "%d tasks lost, expected %d at most", r.Lost, e.MaxLost)
 	for _, n := range r.Nodes {
 		miss(n.Crashes == 0, "node %d ended by itself %d times", n.Node, n.Crashes)
 	}
-	if e.BackWithin > 0 {
-		miss(r.BackS >= 0 && r.BackS <= e.BackWithin.Std().Seconds(), "service back at %.2f of the earnings after %.0f s (-1: not by the end), expected %v at most", backPart, r.BackS, e.BackWithin.Std())
+	if e.RecoverWithin > 0 {
+		miss(r.BackS >= 0 && r.BackS <= e.RecoverWithin.Std().Seconds(), "service back at %.2f of the earnings after %.0f s (-1: not by the end), expected %v at most", backPart, r.BackS, e.RecoverWithin.Std())
 	}
-	if e.ColdOver != nil && r.Cold != nil {
+	if e.MaxSlowStartExcess != nil && r.Cold != nil {
 		c := &r.Cold.Told
-		miss(c.Over <= *e.ColdOver, "a cold server got %.1f requests of mean work, over two thirds from nodes that had been told, where N = %.1f: %.2f times the root of N over it, expected %.2f at most",
-			c.Got, c.Budget, c.Over, *e.ColdOver)
+		miss(c.Over <= *e.MaxSlowStartExcess, "a cold server got %.1f requests of mean work, over two thirds from nodes that had been told, where N = %.1f: %.2f times the root of N over it, expected %.2f at most",
+			c.Got, c.Budget, c.Over, *e.MaxSlowStartExcess)
 	}
-	miss(!e.Agree || r.Views != nil && r.Views.AgreeFromS >= 0, "at the end nodes believe wrongly which of them run, expected that all know")
+	miss(!e.ViewsAgree || r.Views != nil && r.Views.AgreeFromS >= 0, "at the end nodes believe wrongly which of them run, expected that all know")
 	switch {
 	case played.Void:
 		r.Verdict = Void
@@ -381,9 +381,9 @@
 // heldBy sums what each server held, over the samples.
 func heldBy(loads []trace.LoadSample, server int) (at, held []float64) {
 	for _, s := range loads {
-		if server < len(s.Held) {
+		if server < len(s.InFlight) {
 			at = append(at, float64(s.At)/1e9)
-			held = append(held, float64(s.Held[server]))
+			held = append(held, float64(s.InFlight[server]))
 		}
 	}
 	return at, held
--- a/internal/lab/result/text.go
+++ b/internal/lab/result/text.go
@@ -31,21 +31,21 @@
 	fmt.Fprintf(w, "hand-offs %d: satisfied %d, turned away %d, errors %d, unanswered %d; double effects %d\n",
 		h.Sent, h.Satisfied, h.TurnedAway, h.Errors, h.Unanswered, h.Twice)
 	if len(r.Together) > 0 {
-		var sum, most trace.Together
+		var sum, most trace.FleetActivity
 		for _, t := range r.Together {
-			sum.Connections, sum.Calls, sum.Probes = sum.Connections+t.Connections, sum.Calls+t.Calls, sum.Probes+t.Probes
-			sum.Resends, sum.Copies, sum.News = sum.Resends+t.Resends, sum.Copies+t.Copies, sum.News+t.News+t.Members
-			most.Connections, most.Calls = max(most.Connections, t.Connections), max(most.Calls, t.Calls)
+			sum.Connections, sum.ListCalls, sum.HealthChecks = sum.Connections+t.Connections, sum.ListCalls+t.ListCalls, sum.HealthChecks+t.HealthChecks
+			sum.Retries, sum.Hedged, sum.Gossip = sum.Retries+t.Retries, sum.Hedged+t.Hedged, sum.Gossip+t.Gossip+t.Members
+			most.Connections, most.ListCalls = max(most.Connections, t.Connections), max(most.ListCalls, t.ListCalls)
 		}
 		fmt.Fprintf(w, "all nodes together: %d connections (%d in the worst second), %d calls for the list (%d), %d resends, %d copies, %d probes, %d messages\n",
-			sum.Connections, most.Connections, sum.Calls, most.Calls, sum.Resends, sum.Copies, sum.Probes, sum.News)
+			sum.Connections, most.Connections, sum.ListCalls, most.ListCalls, sum.Retries, sum.Hedged, sum.HealthChecks, sum.Gossip)
 	}
 	if c := r.Cold; c != nil {
 		fmt.Fprintf(w, "cold servers %d, %d pushed over: the worst got %.1f requests of mean work where N = %.1f, %+.2f times the root of N over it; of those pushed by nodes that were told %.1f where N = %.1f, %+.2f\n",
 			c.Lives, c.Falls, c.All.Got, c.All.Budget, c.All.Over, c.Told.Got, c.Told.Budget, c.Told.Over)
 	}
 	for _, n := range r.Nodes[:min(len(r.Nodes), mostNodes)] {
-		fmt.Fprintf(w, "node %d: %.2f s of CPU, %.0f MB and %d descriptors at most, started %d times\n", n.Node, n.CPUSeconds, n.MostMB, n.MostFiles, n.Starts)
+		fmt.Fprintf(w, "node %d: %.2f s of CPU, %.0f MB and %d descriptors at most, started %d times\n", n.Node, n.CPUSeconds, n.MaxMemoryMB, n.MaxDescriptors, n.Starts)
 	}
 	if b := r.BadClients; b.Came > 0 {
 		fmt.Fprintf(w, "bad clients %d: %d got neither an error nor a close, %d were served\n", b.Came, b.Unanswered, b.Served)
--- a/internal/lab/result/ways.go
+++ b/internal/lab/result/ways.go
@@ -19,7 +19,7 @@
 }
 
 // viewsOf sets beliefs against what ran at the same moment.
-func viewsOf(beliefs []trace.Belief, runs []trace.Runs) *Views {
+func viewsOf(beliefs []trace.MembershipView, runs []trace.RunningNodes) *Views {
 	if len(runs) == 0 {
 		return nil
 	}
@@ -33,8 +33,8 @@
 			if !b.Known {
 				unknown++
 			}
-			for k := range min(len(b.Of), len(r.Of)) {
-				if (b.Of[k] == 'U') != (r.Of[k] == 'U') {
+			for k := range min(len(b.States), len(r.States)) {
+				if (b.States[k] == 'U') != (r.States[k] == 'U') {
 					wrong++
 				}
 			}
@@ -58,7 +58,7 @@
 		if len(r.Parts) > 12 {
 			parts = fmt.Sprintf("%d parts, the first %s", len(r.Parts), r.Parts[0])
 		}
-		for _, w := range append(append([]string(nil), r.OneWay...), r.Worse...) {
+		for _, w := range append(append([]string(nil), r.OneWay...), r.Faults...) {
 			parts += "; " + w
 		}
 		return parts
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -17,7 +17,7 @@
 )
 
 // Kinds of fault, with what each must name: servers, nodes, or nothing for what is there once.
-var Kinds = map[string]string{
+var FaultKinds = map[string]string{
 	"slow": "servers", "silent": "servers", "fail": "servers", "pause": "servers", "reset": "servers", "cut": "servers",
 	"die": "servers", "replace": "servers", "drain": "servers", "unlisted": "servers", "crowd": "servers",
 	"spoil": "servers", "turn-away": "servers", "restart-servers": "servers",
@@ -30,12 +30,12 @@
 }
 
 // StateKinds are what can become of a node's directory.
-var StateKinds = []string{"lost", "torn", "older"}
+var StateFaultKinds = []string{"lost", "torn", "older"}
 
 // SpoilKinds are the ways in which an answer can be spoilt; SoundKinds those that bring more than the answer.
 var (
-	SpoilKinds = []string{"noise", "endless-head", "short", "long"}
-	SoundKinds = []string{"twice", "interim", "bad-report", "other-body"}
+	CorruptKinds = []string{"noise", "endless-head", "short", "long"}
+	IntactKinds  = []string{"twice", "interim", "bad-report", "other-body"}
 )
 
 // Mistake is what is wrong in a file.
@@ -79,11 +79,11 @@
 			s.Fleets[i].Zones = s.Network.Zones
 		}
 	}
-	for i := range s.Categories {
-		categoryDefault(&s.Categories[i])
+	for i := range s.Classes {
+		classDefault(&s.Classes[i])
 	}
-	for i := range s.Customers {
-		def(&s.Customers[i].Owns, s.Customers[i].Share)
+	for i := range s.Tenants {
+		setDefault(&s.Tenants[i].Quota, s.Tenants[i].Share)
 	}
 	for i := range s.Faults {
 		faultDefault(&s.Faults[i])
@@ -95,28 +95,28 @@
 }
 
 func faultDefault(f *Fault) {
-	def(&f.HandOffs, 1)
+	setDefault(&f.AttemptShare, 1)
 	switch f.Kind {
 	case "slow":
-		def(&f.Factor, 0.2)
+		setDefault(&f.Factor, 0.2)
 	case "discovery-slow":
-		def(&f.Factor, 20)
+		setDefault(&f.Factor, 20)
 	case "crowd":
-		def(&f.Factor, 0.5)
+		setDefault(&f.Factor, 0.5)
 	case "bad-clients":
-		def(&f.Rate, 20)
+		setDefault(&f.Rate, 20)
 	case "lists-late":
-		def(&f.Wait, ms(3000))
+		setDefault(&f.Wait, ms(3000))
 	case "clock":
-		def(&f.Factor, 1)
+		setDefault(&f.Factor, 1)
 	case "link-drop", "link-spoil", "link-twice", "link-reorder":
-		def(&f.Share, 0.3)
+		setDefault(&f.Share, 0.3)
 	}
 	if strings.HasPrefix(f.Kind, "link-") {
-		if hows := netfault.Hows[netfault.Trouble(f.Kind)]; len(hows) > 0 {
-			def(&f.How, hows[0])
+		if hows := netfault.Variants[netfault.Kind(f.Kind)]; len(hows) > 0 {
+			setDefault(&f.How, hows[0])
 		}
-		def(&f.Burst, 1)
+		setDefault(&f.Burst, 1)
 	}
 }
 
@@ -194,17 +194,17 @@
 	c.must(s.Length >= Duration(1e9) && s.Length <= Duration(3600e9), "length", "a time from 1s to 1h", s.Length.Std())
 	n := &s.Network
 	c.must(len(n.Zones) > 0 && len(n.Zones) <= 16, "network.zones", "1 to 16 zones", len(n.Zones))
-	c.must(n.Same >= 0 && n.Cross >= 0 && n.Client >= 0, "network", "delays of at least 0", "less")
+	c.must(n.SameZone >= 0 && n.CrossZone >= 0 && n.Client >= 0, "network", "delays of at least 0", "less")
 	c.part("network.jitter", n.Jitter)
 	c.must(s.Nodes.Count >= 1 && s.Nodes.Count <= 1024, "nodes.count", "1 to 1,024", s.Nodes.Count)
 	c.must(len(s.Nodes.Zones) == 0 || len(s.Nodes.Zones) == s.Nodes.Count, "nodes.zones", "one for each node", s.Nodes.Zones)
 	for _, z := range s.Nodes.Zones {
 		c.zone("nodes.zones", z)
 	}
-	c.must(!s.Nodes.NoList || !s.Nodes.OldList, "nodes.no_list", "not old_list beside it", "both")
+	c.must(!s.Nodes.NoList || !s.Nodes.StaleList, "nodes.no_list", "not old_list beside it", "both")
 	c.must(s.Nodes.Sockets >= 32, "nodes.sockets", "at least 32", s.Nodes.Sockets)
 	c.must(s.Nodes.MemoryMB >= 16, "nodes.memory_mb", "at least 16", s.Nodes.MemoryMB)
-	c.must(s.Nodes.Round >= ms(50) && s.Nodes.Round <= ms(60000), "nodes.round", "a time from 50ms to 1m", s.Nodes.Round.Std())
+	c.must(s.Nodes.ProtocolPeriod >= ms(50) && s.Nodes.ProtocolPeriod <= ms(60000), "nodes.round", "a time from 50ms to 1m", s.Nodes.ProtocolPeriod.Std())
 	c.must(len(s.Fleets) > 0, "fleet", "at least one [[fleet]]", "none")
 	total, names := 0, map[string]bool{}
 	for i := range s.Fleets {
@@ -218,27 +218,27 @@
 	c.positive("reports.period", s.Reports.Period)
 	c.part("reports.noise", s.Reports.Noise)
 	d := &s.Discovery
-	c.positive("discovery.period", d.Period)
-	c.must(d.Call >= 0 && d.PerLine >= 0 && d.Notice >= 0, "discovery", "times of at least 0", "less")
+	c.positive("discovery.period", d.UpdateInterval)
+	c.must(d.CallTime >= 0 && d.EntryTime >= 0 && d.ChangeDelay >= 0, "discovery", "times of at least 0", "less")
 	r := &s.Rules
 	c.positive("rules.stop_sending", r.StopSending)
-	c.positive("rules.ask_within", r.AskWithin)
-	c.positive("rules.fall_after", r.FallAfter)
-	c.positive("rules.connect_within", r.ConnectIn)
-	c.atLeast("rules.fall_multiple", r.FallMultiple, 1)
-	c.oneOf("rules.fall_slack", r.FallSlack, "tight", "chance")
-	c.must(r.MostHandOffs >= 1, "rules.most_hand_offs", "at least 1", r.MostHandOffs)
+	c.positive("rules.ask_within", r.PollWithin)
+	c.positive("rules.fall_after", r.CrashWindow)
+	c.positive("rules.connect_within", r.ConnectTimeout)
+	c.atLeast("rules.fall_multiple", r.CrashMultiple, 1)
+	c.oneOf("rules.fall_slack", r.CrashSlack, "tight", "chance")
+	c.must(r.MaxAttempts >= 1, "rules.most_hand_offs", "at least 1", r.MaxAttempts)
 	s.checkLoad(c)
 	for i := range s.Faults {
 		s.checkFault(c, fmt.Sprintf("fault.%d.", i), &s.Faults[i])
 	}
-	s.checkWays(c)
-	c.part("expect.earnings_in_time_min", s.Expect.EarningsInTime)
-	c.part("expect.satisfied_min", s.Expect.Satisfied)
-	c.part("expect.declined_max", s.Expect.Declined)
+	s.checkLinkFaults(c)
+	c.part("expect.earnings_in_time_min", s.Expect.WeightInTime)
+	c.part("expect.satisfied_min", s.Expect.Succeeded)
+	c.part("expect.declined_max", s.Expect.Rejected)
 	c.part("expect.bad_unanswered_max", s.Expect.BadUnanswered)
 	lost := slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == "power" })
-	c.must(s.Expect.BackWithin >= 0 && (lost || s.Expect.BackWithin == 0), "expect.back_within", "a time, where a fault is a loss of power", s.Expect.BackWithin.Std())
+	c.must(s.Expect.RecoverWithin >= 0 && (lost || s.Expect.RecoverWithin == 0), "expect.back_within", "a time, where a fault is a loss of power", s.Expect.RecoverWithin.Std())
 	slices.SortStableFunc(c.all, func(a, b error) int { return cmp.Compare(a.(*Mistake).Line, b.(*Mistake).Line) })
 	return errors.Join(c.all...)
 }
@@ -252,14 +252,14 @@
 	}
 	c.must(f.Cores >= 1 && f.Cores <= 1024, at+"cores", "1 to 1,024", f.Cores)
 	c.must(f.Speed > 0, at+"speed", "a number above 0", f.Speed)
-	c.must(f.Places >= 1, at+"places", "at least 1", f.Places)
-	c.must(f.Waiting >= 0, at+"waiting", "at least 0", f.Waiting)
+	c.must(f.Concurrency >= 1, at+"places", "at least 1", f.Concurrency)
+	c.must(f.QueueLimit >= 0, at+"waiting", "at least 0", f.QueueLimit)
 	c.must(f.Spread >= 0 && f.Spread < 1, at+"spread", "a part from 0 to under 1", f.Spread)
 	c.part(at+"error_share", f.ErrorShare)
-	c.must(f.ColdFrom > 0 && f.ColdFrom <= 1, at+"cold_from", "a part above 0, 1 at most", f.ColdFrom)
+	c.must(f.SlowStartCapacity > 0 && f.SlowStartCapacity <= 1, at+"cold_from", "a part above 0, 1 at most", f.SlowStartCapacity)
 	c.must(f.Connections >= 1, at+"connections", "at least 1", f.Connections)
 	c.oneOf(at+"cancel", f.Cancel, "nothing", "waiting", "work")
-	c.positive(at+"warm_for", f.WarmFor)
+	c.positive(at+"warm_for", f.SlowStartWindow)
 	c.positive(at+"idle_close", f.IdleClose)
 }
 
@@ -268,45 +268,45 @@
 	c.must(l.Rate > 0 && l.Rate <= 100000, "load.rate", "above 0, 100,000 at most", l.Rate)
 	c.oneOf("load.shape", l.Shape, "steady", "wave", "burst", "month-end")
 	c.part("load.swing", l.Swing)
-	c.part("load.hot_key", l.HotKey)
-	c.must(l.Uneven >= 0 && l.Uneven <= 3, "load.uneven", "from 0 to 3", l.Uneven)
+	c.part("load.hot_key", l.HotKeyShare)
+	c.must(l.NodeSkew >= 0 && l.NodeSkew <= 3, "load.uneven", "from 0 to 3", l.NodeSkew)
 	c.positive("load.period", l.Period)
 	c.must(l.Body >= 0 && l.Body <= 64<<10, "load.body", "0 to 65,536 bytes", l.Body)
 	c.must(len(l.ZoneShare) == 0 || len(l.ZoneShare) == len(s.Network.Zones), "load.zone_share", "one for each zone", l.ZoneShare)
-	c.must(len(s.Categories) > 0, "category", "at least one [[category]]", "none")
+	c.must(len(s.Classes) > 0, "category", "at least one [[category]]", "none")
 	names := map[string]bool{}
-	for i := range s.Categories {
-		k, at := &s.Categories[i], fmt.Sprintf("category.%d.", i)
+	for i := range s.Classes {
+		k, at := &s.Classes[i], fmt.Sprintf("category.%d.", i)
 		c.must(k.Name != "" && !names[k.Name] && !strings.ContainsAny(k.Name, "/ \r\n"), at+"name", "a name of its own", fmt.Sprintf("%q", k.Name))
 		names[k.Name] = true
-		c.oneOf(at+"repeat", k.Repeat, "rerunnable", "ticketed", "exclusive")
-		if k.Repeat == "ticketed" {
-			c.oneOf(at+"group", k.Group, "fleet", "zone", "pod")
-			c.positive(at+"memory", k.Memory)
+		c.oneOf(at+"repeat", k.Idempotency, "rerunnable", "ticketed", "exclusive")
+		if k.Idempotency == "ticketed" {
+			c.oneOf(at+"group", k.DedupGroup, "fleet", "zone", "pod")
+			c.positive(at+"memory", k.DedupWindow)
 		}
-		c.positive(at+"soft_limit", k.SoftLimit)
-		c.must(k.HardLimit >= k.SoftLimit && k.HardLimit <= Duration(600e9), at+"hard_limit", "no less than soft_limit, 10m at most", k.HardLimit.Std())
+		c.positive(at+"soft_limit", k.LatencyObjective)
+		c.must(k.Deadline >= k.LatencyObjective && k.Deadline <= Duration(600e9), at+"hard_limit", "no less than soft_limit, 10m at most", k.Deadline.Std())
 		c.positive(at+"work", k.Work)
-		c.part(at+"vary", k.Vary)
-		c.part(at+"hand_noise", k.HandNoise)
+		c.part(at+"vary", k.WorkSpread)
+		c.part(at+"hand_noise", k.AttemptNoise)
 		c.must(k.Share > 0, at+"share", "a number above 0", k.Share)
-		c.must(k.Earnings > 0, at+"earnings", "a number above 0", k.Earnings)
+		c.must(k.PriorityWeight > 0, at+"earnings", "a number above 0", k.PriorityWeight)
 	}
-	for i := range s.Customers {
-		c.must(s.Customers[i].Name != "" && s.Customers[i].Share > 0, fmt.Sprintf("customer.%d", i), "a name and a share above 0", s.Customers[i].Name)
+	for i := range s.Tenants {
+		c.must(s.Tenants[i].Name != "" && s.Tenants[i].Share > 0, fmt.Sprintf("customer.%d", i), "a name and a share above 0", s.Tenants[i].Name)
 	}
 	c.must(s.Clients.Retries >= 0 && s.Clients.Retries <= 10, "clients.retries", "0 to 10", s.Clients.Retries)
-	c.part("clients.honour", s.Clients.Honour)
-	c.part("clients.leave", s.Clients.Leave)
-	c.part("clients.once", s.Clients.Once)
-	c.must(s.Clients.TryShare > 0 && s.Clients.TryShare <= 1, "clients.try_share", "a part above 0", s.Clients.TryShare)
-	c.must(s.Clients.MostConns >= 1, "clients.connections", "at least 1", s.Clients.MostConns)
+	c.part("clients.honour", s.Clients.HonorShare)
+	c.part("clients.leave", s.Clients.LeaveShare)
+	c.part("clients.once", s.Clients.OneShotShare)
+	c.must(s.Clients.RequestTimeoutShare > 0 && s.Clients.RequestTimeoutShare <= 1, "clients.try_share", "a part above 0", s.Clients.RequestTimeoutShare)
+	c.must(s.Clients.MaxConnections >= 1, "clients.connections", "at least 1", s.Clients.MaxConnections)
 }
 
 func (s *Scenario) checkFault(c *checker, at string, f *Fault) {
-	names, known := Kinds[f.Kind]
+	names, known := FaultKinds[f.Kind]
 	var all []string
-	for k := range Kinds {
+	for k := range FaultKinds {
 		all = append(all, k)
 	}
 	slices.Sort(all)
@@ -320,7 +320,7 @@
 	}
 	c.must(len(f.From)+len(f.To) == 0, at+"from", "none, as the fault is of no way", f.From)
 	c.part(at+"share", f.Share)
-	c.part(at+"hand_offs", f.HandOffs)
+	c.part(at+"hand_offs", f.AttemptShare)
 	c.must(f.Factor >= 0, at+"factor", "a number of at least 0", f.Factor)
 	if f.Zone != "" {
 		c.zone(at+"zone", f.Zone)
@@ -328,11 +328,11 @@
 	switch names {
 	case "servers":
 		c.must(len(f.Nodes) == 0, at+"nodes", "none, as the fault is the servers'", f.Nodes)
-		for _, name := range f.Servers {
-			c.must(slices.Contains(s.ServerNames(), name), at+"servers", "names such as "+s.ServerNames()[0], fmt.Sprintf("%q", name))
+		for _, name := range f.Endpoints {
+			c.must(slices.Contains(s.EndpointNames(), name), at+"servers", "names such as "+s.EndpointNames()[0], fmt.Sprintf("%q", name))
 		}
-		c.must(len(f.Servers) > 0 || f.Count > 0 || f.Share > 0 || f.Zone != "", at+"servers", "servers, a count, a share or a zone", "a fault that names nobody")
-		c.must(f.Count <= len(s.ServerNames()), at+"count", "no more than there are servers", f.Count)
+		c.must(len(f.Endpoints) > 0 || f.Count > 0 || f.Share > 0 || f.Zone != "", at+"servers", "servers, a count, a share or a zone", "a fault that names nobody")
+		c.must(f.Count <= len(s.EndpointNames()), at+"count", "no more than there are servers", f.Count)
 	case "nodes":
 		for _, i := range f.Nodes {
 			c.must(i >= 0 && i < s.Nodes.Count, at+"nodes", fmt.Sprintf("numbers from 0 to %d", s.Nodes.Count-1), i)
@@ -344,29 +344,29 @@
 		for _, i := range f.Nodes {
 			c.must(i >= 0 && i < s.Nodes.Count, at+"nodes", fmt.Sprintf("numbers from 0 to %d", s.Nodes.Count-1), i)
 		}
-		for _, name := range f.Servers {
-			c.must(slices.Contains(s.ServerNames(), name), at+"servers", "names such as "+s.ServerNames()[0], fmt.Sprintf("%q", name))
+		for _, name := range f.Endpoints {
+			c.must(slices.Contains(s.EndpointNames(), name), at+"servers", "names such as "+s.EndpointNames()[0], fmt.Sprintf("%q", name))
 		}
-		c.must(f.NodesBack >= 0 && f.ServersBack >= 0 && f.DiscoveryBack >= 0 && f.Each >= 0, at+"nodes_back", "times of at least 0", "less")
+		c.must(f.NodesBack >= 0 && f.EndpointsBack >= 0 && f.DiscoveryBack >= 0 && f.Each >= 0, at+"nodes_back", "times of at least 0", "less")
 	case "clock":
 		c.must(f.Wait != 0 || f.Factor != 1, at+"wait", "a step, or a factor for its drift", "neither")
 		c.must(f.Factor > 0.5 && f.Factor < 2, at+"factor", "between 0.5 and 2", f.Factor)
 	case "state":
-		c.oneOf(at+"how", f.How, StateKinds...)
+		c.oneOf(at+"how", f.How, StateFaultKinds...)
 	}
 	if f.Kind == "wait" {
 		c.positive(at+"wait", f.Wait)
-		c.must((f.Category == "") != (f.Customer == ""), at+"category", "a category or a customer", "neither or both")
-		c.must(f.Category == "" || slices.ContainsFunc(s.Categories, func(k Category) bool { return k.Name == f.Category }), at+"category", "a category's name", f.Category)
-		c.must(f.Customer == "" || slices.ContainsFunc(s.Customers, func(k Customer) bool { return k.Name == f.Customer }), at+"customer", "a customer's name", f.Customer)
+		c.must((f.Class == "") != (f.Tenant == ""), at+"category", "a category or a customer", "neither or both")
+		c.must(f.Class == "" || slices.ContainsFunc(s.Classes, func(k Class) bool { return k.Name == f.Class }), at+"category", "a category's name", f.Class)
+		c.must(f.Tenant == "" || slices.ContainsFunc(s.Tenants, func(k Tenant) bool { return k.Name == f.Tenant }), at+"customer", "a customer's name", f.Tenant)
 	}
 	if f.Kind == "spoil" {
-		c.oneOf(at+"how", f.How, append(slices.Clone(SpoilKinds), SoundKinds...)...)
+		c.oneOf(at+"how", f.How, append(slices.Clone(CorruptKinds), IntactKinds...)...)
 	}
 }
 
 // ServerNames lists the servers of the day's beginning in their order.
-func (s *Scenario) ServerNames() []string {
+func (s *Scenario) EndpointNames() []string {
 	var names []string
 	for i := range s.Fleets {
 		for n := range s.Fleets[i].Count {
@@ -378,12 +378,12 @@
 
 // OnSockets tells what keeps a day from being played on sockets, nil if nothing does.
 func (s *Scenario) OnSockets() error {
-	switch servers := len(s.ServerNames()); {
+	switch servers := len(s.EndpointNames()); {
 	case s.Nodes.Count > 40:
 		return s.complaint("nodes.count", "1 to 40 on sockets", s.Nodes.Count)
 	case servers*s.Nodes.Count > 8192:
 		return s.complaint("fleet", "no more than 8,192 servers over the number of nodes on sockets", servers)
-	case s.Nodes.Skew > 0 || s.Reports.HealthChecked:
+	case s.Nodes.ClockSkew > 0 || s.Reports.HealthChecked:
 		return s.complaint("nodes", "no skew or probed reports on sockets", "one of them")
 	}
 	for i := range s.Faults {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -30,18 +30,18 @@
 	Length Duration `toml:"length"`
 	Seed   uint64   `toml:"seed"`
 
-	Network    Network    `toml:"network"`
-	Nodes      Nodes      `toml:"nodes"`
-	Fleets     []Fleet    `toml:"fleet"`
-	Reports    Reports    `toml:"reports"`
-	Discovery  Discovery  `toml:"discovery"`
-	Rules      Rules      `toml:"rules"`
-	Load       Load       `toml:"load"`
-	Categories []Category `toml:"category"`
-	Customers  []Customer `toml:"customer"`
-	Clients    Clients    `toml:"clients"`
-	Faults     []Fault    `toml:"fault"`
-	Expect     Expect     `toml:"expect"`
+	Network   Network   `toml:"network"`
+	Nodes     Nodes     `toml:"nodes"`
+	Fleets    []Fleet   `toml:"fleet"`
+	Reports   Reports   `toml:"reports"`
+	Discovery Discovery `toml:"discovery"`
+	Rules     Rules     `toml:"rules"`
+	Load      Load      `toml:"load"`
+	Classes   []Class   `toml:"category"`
+	Tenants   []Tenant  `toml:"customer"`
+	Clients   Clients   `toml:"clients"`
+	Faults    []Fault   `toml:"fault"`
+	Expect    Expect    `toml:"expect"`
 
 	Path  string         `toml:"-"`
 	lines map[string]int // of keys, to say where a fault lies
@@ -49,29 +49,29 @@
 
 // Network has a delay for one way between each two places. A zone's clients come through a front in their zone.
 type Network struct {
-	Zones  []string `toml:"zones"`
-	Same   Duration `toml:"same"`   // within a zone, one way
-	Cross  Duration `toml:"cross"`  // between two zones, one way
-	Client Duration `toml:"client"` // from a client to its front, one way
-	Jitter float64  `toml:"jitter"` // up to this part more
+	Zones     []string `toml:"zones"`
+	SameZone  Duration `toml:"same"`   // within a zone, one way
+	CrossZone Duration `toml:"cross"`  // between two zones, one way
+	Client    Duration `toml:"client"` // from a client to its front, one way
+	Jitter    float64  `toml:"jitter"` // up to this part more
 }
 
 // Nodes are real processes. Node i stands in zone i modulo the number of zones, unless Zones says otherwise.
 type Nodes struct {
-	Count    int      `toml:"count"`
-	Zones    []string `toml:"zones"`
-	Cores    float64  `toml:"cores"`
-	MemoryMB int64    `toml:"memory_mb"` // past it the node is killed
-	Sockets  int      `toml:"sockets"`   // descriptors, set as the process's limit
-	Notice   Duration `toml:"notice"`    // until the front sees that one has died
-	OldList  bool     `toml:"old_list"`  // a node that comes back knows the list of the day's beginning
-	NoList   bool     `toml:"no_list"`   // a node that comes back knows no list, and is ready once it has one
-	Skew     Duration `toml:"skew"`      // clocks differ by up to this, either way; in virtual time alone
-	News     bool     `toml:"news"`      // nodes may tell one another what they find out
-	State    bool     `toml:"state"`     // nodes remember through a crash; on sockets alone
-	Members  bool     `toml:"members"`   // nodes know of one another, which they can only where they may tell
-	Round    Duration `toml:"round"`     // of the members
-	List     bool     `toml:"list"`      // members ask one another for the list while discovery does not tell it
+	Count          int      `toml:"count"`
+	Zones          []string `toml:"zones"`
+	Cores          float64  `toml:"cores"`
+	MemoryMB       int64    `toml:"memory_mb"` // past it the node is killed
+	Sockets        int      `toml:"sockets"`   // descriptors, set as the process's limit
+	DeathNotice    Duration `toml:"notice"`    // until the front sees that one has died
+	StaleList      bool     `toml:"old_list"`  // a node that comes back knows the list of the day's beginning
+	NoList         bool     `toml:"no_list"`   // a node that comes back knows no list, and is ready once it has one
+	ClockSkew      Duration `toml:"skew"`      // clocks differ by up to this, either way; in virtual time alone
+	Gossip         bool     `toml:"news"`      // nodes may tell one another what they find out
+	PersistState   bool     `toml:"state"`     // nodes remember through a crash; on sockets alone
+	Membership     bool     `toml:"members"`   // nodes know of one another, which they can only where they may tell
+	ProtocolPeriod Duration `toml:"round"`     // of the members
+	ListGossip     bool     `toml:"list"`      // members ask one another for the list while discovery does not tell it
 }
 
 // Fleet is a number of servers of one kind, spread over its zones in turn.
@@ -81,29 +81,29 @@
 	Zones   []string `toml:"zones"`
 	PodSize int      `toml:"pod_size"`
 
-	Cores       int     `toml:"cores"`
-	Speed       float64 `toml:"speed"`  // work done by one core in a second, in seconds of work
-	Spread      float64 `toml:"spread"` // speeds lie within this part of Speed, drawn
-	Places      int     `toml:"places"` // tasks in work at a time
-	Waiting     int     `toml:"waiting"`
-	Dearer      float64 `toml:"dearer"`    // part by which work gets dearer with each task a core beyond dearer_at
-	DearerAt    float64 `toml:"dearer_at"` // tasks in work to a core
-	ErrorShare  float64 `toml:"error_share"`
-	DropExpired bool    `toml:"drop_expired"` // turns away what has waited past its time
-	Cancel      string  `toml:"cancel"`       // what a hand-off given up on stops: nothing, waiting or work
+	Cores        int     `toml:"cores"`
+	Speed        float64 `toml:"speed"`  // work done by one core in a second, in seconds of work
+	Spread       float64 `toml:"spread"` // speeds lie within this part of Speed, drawn
+	Concurrency  int     `toml:"places"` // tasks in work at a time
+	QueueLimit   int     `toml:"waiting"`
+	Slowdown     float64 `toml:"dearer"`    // part by which work gets dearer with each task a core beyond dearer_at
+	SlowdownFrom float64 `toml:"dearer_at"` // tasks in work to a core
+	ErrorShare   float64 `toml:"error_share"`
+	DropExpired  bool    `toml:"drop_expired"` // turns away what has waited past its time
+	Cancel       string  `toml:"cancel"`       // what a hand-off given up on stops: nothing, waiting or work
 
-	ColdFrom float64  `toml:"cold_from"` // share of its capacity that a server has at its start
-	WarmFor  Duration `toml:"warm_for"`
-	Cold     bool     `toml:"cold"` // started at the day's beginning, so cold then
+	SlowStartCapacity float64  `toml:"cold_from"` // share of its capacity that a server has at its start
+	SlowStartWindow   Duration `toml:"warm_for"`
+	StartsCold        bool     `toml:"cold"` // started at the day's beginning, so cold then
 
 	PauseEvery Duration `toml:"pause_every"` // on average; 0: never
 	PauseFor   Duration `toml:"pause_for"`
 
-	Connections    int      `toml:"connections"`     // at most
-	ConnectionWork Duration `toml:"connection_work"` // work that a new one costs
-	ConnectionWait Duration `toml:"connection_wait"` // time that the first task on a new one waits
-	IdleClose      Duration `toml:"idle_close"`      // closes one that has stood idle this long
-	ProbeWork      Duration `toml:"probe_work"`      // work that a probe costs
+	Connections     int      `toml:"connections"`     // at most
+	ConnectionWork  Duration `toml:"connection_work"` // work that a new one costs
+	ConnectionWait  Duration `toml:"connection_wait"` // time that the first task on a new one waits
+	IdleClose       Duration `toml:"idle_close"`      // closes one that has stood idle this long
+	HealthCheckWork Duration `toml:"probe_work"`      // work that a probe costs
 }
 
 // Reports are the load reports in servers' answers.
@@ -117,95 +117,95 @@
 
 // Discovery tells nodes of servers.
 type Discovery struct {
-	Ask      bool     `toml:"ask"`    // nodes have to ask for a watch
-	Notice   Duration `toml:"notice"` // until a change among the servers stands in the list
-	Period   Duration `toml:"period"` // between two writings to a watch
-	Call     Duration `toml:"call"`   // to work through one call; calls wait their turn
-	PerLine  Duration `toml:"per_line"`
-	GiveUp   Duration `toml:"give_up"` // a call that waits longer fails
-	WarmKeys bool     `toml:"warm_keys"`
+	MustPoll       bool     `toml:"ask"`    // nodes have to ask for a watch
+	ChangeDelay    Duration `toml:"notice"` // until a change among the servers stands in the list
+	UpdateInterval Duration `toml:"period"` // between two writings to a watch
+	CallTime       Duration `toml:"call"`   // to work through one call; calls wait their turn
+	EntryTime      Duration `toml:"per_line"`
+	CallTimeout    Duration `toml:"give_up"` // a call that waits longer fails
+	KeyAffinity    bool     `toml:"warm_keys"`
 }
 
 // Rules are what nodes are held to, and told.
 type Rules struct {
-	StopSending  Duration `toml:"stop_sending"`
-	AskWithin    Duration `toml:"ask_within"`
-	FallMultiple float64  `toml:"fall_multiple"`
-	FallAfter    Duration `toml:"fall_after"`
-	FallSlack    string   `toml:"fall_slack"` // over the budget: tight, or chance as in the standing test
-	AnswerGrace  Duration `toml:"answer_grace"`
-	MostHandOffs int      `toml:"most_hand_offs"`
-	MayDuplicate bool     `toml:"may_duplicate"`
-	MayRecall    bool     `toml:"may_recall"`
-	MaxAdvice    Duration `toml:"max_advice"` // 0: no advice may be given
-	ConnectIn    Duration `toml:"connect_within"`
+	StopSending    Duration `toml:"stop_sending"`
+	PollWithin     Duration `toml:"ask_within"`
+	CrashMultiple  float64  `toml:"fall_multiple"`
+	CrashWindow    Duration `toml:"fall_after"`
+	CrashSlack     string   `toml:"fall_slack"` // over the budget: tight, or chance as in the standing test
+	AnswerGrace    Duration `toml:"answer_grace"`
+	MaxAttempts    int      `toml:"most_hand_offs"`
+	MayHedge       bool     `toml:"may_duplicate"`
+	MayCancel      bool     `toml:"may_recall"`
+	MaxRetryAfter  Duration `toml:"max_advice"` // 0: no advice may be given
+	ConnectTimeout Duration `toml:"connect_within"`
 }
 
 // Load is what clients ask for, drawn ahead.
 type Load struct {
-	Rate      float64   `toml:"rate"`       // tasks in a second, mean of all clients
-	Shape     string    `toml:"shape"`      // steady, wave, burst or month-end
-	Swing     float64   `toml:"swing"`      // how far the rate moves from its mean, as a part of it
-	Period    Duration  `toml:"period"`     // of a wave; between bursts
-	ZoneShare []float64 `toml:"zone_share"` // even if left out
-	Keys      int       `toml:"keys"`       // number of keys; 0: tasks have none
-	HotKey    float64   `toml:"hot_key"`    // share of the tasks that have one and the same key
-	Body      int       `toml:"body"`       // bytes
-	Uneven    float64   `toml:"uneven"`     // spread over the nodes of a zone: the deviation of the logarithm of a node's part; 0: all alike
+	Rate        float64   `toml:"rate"`       // tasks in a second, mean of all clients
+	Shape       string    `toml:"shape"`      // steady, wave, burst or month-end
+	Swing       float64   `toml:"swing"`      // how far the rate moves from its mean, as a part of it
+	Period      Duration  `toml:"period"`     // of a wave; between bursts
+	ZoneShare   []float64 `toml:"zone_share"` // even if left out
+	Keys        int       `toml:"keys"`       // number of keys; 0: tasks have none
+	HotKeyShare float64   `toml:"hot_key"`    // share of the tasks that have one and the same key
+	Body        int       `toml:"body"`       // bytes
+	NodeSkew    float64   `toml:"uneven"`     // spread over the nodes of a zone: the deviation of the logarithm of a node's part; 0: all alike
 }
 
 // Category of tasks.
-type Category struct {
-	Name      string   `toml:"name"`
-	Repeat    string   `toml:"repeat"` // rerunnable, ticketed or exclusive
-	Group     string   `toml:"group"`  // of a ticketed one: fleet, zone or pod
-	Memory    Duration `toml:"memory"`
-	Share     float64  `toml:"share"`
-	SoftLimit Duration `toml:"soft_limit"`
-	HardLimit Duration `toml:"hard_limit"`
-	Earnings  float64  `toml:"earnings"`
-	Work      Duration `toml:"work"`       // mean, on a core of speed 1
-	Vary      float64  `toml:"vary"`       // 0: all alike; 1: exponential
-	HandNoise float64  `toml:"hand_noise"` // one hand-off's work lies within this part of the task's
-	Estimate  bool     `toml:"estimate"`   // clients tell a guess at the work
+type Class struct {
+	Name             string   `toml:"name"`
+	Idempotency      string   `toml:"repeat"` // rerunnable, ticketed or exclusive
+	DedupGroup       string   `toml:"group"`  // of a ticketed one: fleet, zone or pod
+	DedupWindow      Duration `toml:"memory"`
+	Share            float64  `toml:"share"`
+	LatencyObjective Duration `toml:"soft_limit"`
+	Deadline         Duration `toml:"hard_limit"`
+	PriorityWeight   float64  `toml:"earnings"`
+	Work             Duration `toml:"work"`       // mean, on a core of speed 1
+	WorkSpread       float64  `toml:"vary"`       // 0: all alike; 1: exponential
+	AttemptNoise     float64  `toml:"hand_noise"` // one hand-off's work lies within this part of the task's
+	CostHint         bool     `toml:"estimate"`   // clients tell a guess at the work
 }
 
 // Customer whose tasks these are.
-type Customer struct {
+type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"` // of the tasks that come
-	Owns  float64 `toml:"owns"`  // of the service; as Share if left out
+	Quota float64 `toml:"owns"`  // of the service; as Share if left out
 }
 
 // Clients tells how they behave.
 type Clients struct {
-	Retries   int      `toml:"retries"`
-	Backoff   Duration `toml:"backoff"`     // doubled with each
-	Honour    float64  `toml:"honour"`      // share that heeds advice when to come back
-	Leave     float64  `toml:"leave"`       // share that may leave early
-	Once      float64  `toml:"once"`        // share that asks once and keeps its connection for good
-	TryShare  float64  `toml:"try_share"`   // of the hard limit that one try waits
-	MostConns int      `toml:"connections"` // to a node, at most; tasks beyond wait, which counts in their times
+	Retries             int      `toml:"retries"`
+	Backoff             Duration `toml:"backoff"`     // doubled with each
+	HonorShare          float64  `toml:"honour"`      // share that heeds advice when to come back
+	LeaveShare          float64  `toml:"leave"`       // share that may leave early
+	OneShotShare        float64  `toml:"once"`        // share that asks once and keeps its connection for good
+	RequestTimeoutShare float64  `toml:"try_share"`   // of the hard limit that one try waits
+	MaxConnections      int      `toml:"connections"` // to a node, at most; tasks beyond wait, which counts in their times
 }
 
 // Fault is one trouble in the day. Who is named by Servers or Nodes, or drawn: Count of them or a Share.
 type Fault struct {
-	Kind     string   `toml:"kind" json:"Kind"`
-	At       Duration `toml:"at" json:"At"`
-	For      Duration `toml:"for" json:"For"`
-	Servers  []string `toml:"servers" json:"Servers"` // names as in fleet-0
-	Nodes    []int    `toml:"nodes" json:"Nodes"`
-	Zone     string   `toml:"zone" json:"Zone"`
-	Count    int      `toml:"count" json:"Count"`
-	Share    float64  `toml:"share" json:"Share"`
-	Factor   float64  `toml:"factor" json:"Factor"`
-	Each     Duration `toml:"each" json:"Each"`          // apart, when several are hit one after another
-	HandOffs float64  `toml:"hand_offs" json:"HandOffs"` // share of hand-offs or answers that it hits
-	How      string   `toml:"how" json:"How"`
-	Rate     float64  `toml:"rate" json:"Rate"` // of bad clients, a second
-	Category string   `toml:"category" json:"Category"`
-	Customer string   `toml:"customer" json:"Customer"`
-	Wait     Duration `toml:"wait" json:"Wait"` // in its place, before the work; of a way: how much later; of a clock: the step
+	Kind         string   `toml:"kind" json:"Kind"`
+	At           Duration `toml:"at" json:"At"`
+	For          Duration `toml:"for" json:"For"`
+	Endpoints    []string `toml:"servers" json:"Servers"` // names as in fleet-0
+	Nodes        []int    `toml:"nodes" json:"Nodes"`
+	Zone         string   `toml:"zone" json:"Zone"`
+	Count        int      `toml:"count" json:"Count"`
+	Share        float64  `toml:"share" json:"Share"`
+	Factor       float64  `toml:"factor" json:"Factor"`
+	Each         Duration `toml:"each" json:"Each"`          // apart, when several are hit one after another
+	AttemptShare float64  `toml:"hand_offs" json:"HandOffs"` // share of hand-offs or answers that it hits
+	How          string   `toml:"how" json:"How"`
+	Rate         float64  `toml:"rate" json:"Rate"` // of bad clients, a second
+	Class        string   `toml:"category" json:"Category"`
+	Tenant       string   `toml:"customer" json:"Customer"`
+	Wait         Duration `toml:"wait" json:"Wait"` // in its place, before the work; of a way: how much later; of a clock: the step
 
 	// Of ways: which ends, by the names that package links resolves.
 	From   []string `toml:"from" json:"From"`
@@ -215,23 +215,23 @@
 
 	// Of a power loss: when what was lost is back, counted from the loss, each up to Each later; 0: not in the day.
 	NodesBack     Duration `toml:"nodes_back" json:"NodesBack"`
-	ServersBack   Duration `toml:"servers_back" json:"ServersBack"`
+	EndpointsBack Duration `toml:"servers_back" json:"ServersBack"`
 	DiscoveryBack Duration `toml:"discovery_back" json:"DiscoveryBack"`
 }
 
 // Expect is what must hold for a run to end with exit 0. No rule may be broken, whatever stands here.
 type Expect struct {
-	EarningsInTime float64  `toml:"earnings_in_time_min"` // part of the earnings that came
-	Satisfied      float64  `toml:"satisfied_min"`        // part of the tasks
-	Declined       float64  `toml:"declined_max"`
-	P99            Duration `toml:"p99_max"`
-	BadUnanswered  float64  `toml:"bad_unanswered_max"` // part of bad clients that got neither an error nor a close
-	LostMost       int      `toml:"lost_max"`           // tasks lost with nodes that were killed
-	SeeingPart     float64  `toml:"seeing_part_min"`    // of what a policy keeps that sees the true state late; the gate
-	Agree          bool     `toml:"agree"`              // at the end every node knows which nodes run
-	BackWithin     Duration `toml:"back_within"`        // from the last loss of power until service is back at 0.95 of the earnings; 0: not asked
-	ColdOver       *float64 `toml:"cold_over_max"`      // the most over a cold server's budget of N requests from nodes that were told, in roots of N
-	PlainLess      float64  `toml:"plain_less_max"`     // by how much less than random choice it may keep; the gate; 0: not asked
+	WeightInTime       float64  `toml:"earnings_in_time_min"` // part of the earnings that came
+	Succeeded          float64  `toml:"satisfied_min"`        // part of the tasks
+	Rejected           float64  `toml:"declined_max"`
+	P99                Duration `toml:"p99_max"`
+	BadUnanswered      float64  `toml:"bad_unanswered_max"` // part of bad clients that got neither an error nor a close
+	MaxLost            int      `toml:"lost_max"`           // tasks lost with nodes that were killed
+	OfLateSeeing       float64  `toml:"seeing_part_min"`    // of what a policy keeps that sees the true state late; the gate
+	ViewsAgree         bool     `toml:"agree"`              // at the end every node knows which nodes run
+	RecoverWithin      Duration `toml:"back_within"`        // from the last loss of power until service is back at 0.95 of the earnings; 0: not asked
+	MaxSlowStartExcess *float64 `toml:"cold_over_max"`      // the most over a cold server's budget of N requests from nodes that were told, in roots of N
+	MaxBelowRandom     float64  `toml:"plain_less_max"`     // by how much less than random choice it may keep; the gate; 0: not asked
 }
 
 // Read reads and checks a file. Its errors name the line and what was expected.
@@ -246,16 +246,16 @@
 // Default returns what a file need not say. The figures are those of a small, healthy site.
 func Default() *Scenario {
 	s := &Scenario{Length: Duration(10 * time.Second), Seed: 1}
-	s.Network = Network{Zones: []string{"a"}, Same: ms(0.2), Cross: ms(5), Client: ms(0.3), Jitter: 0.1}
-	s.Nodes = Nodes{Count: 1, MemoryMB: 192, Sockets: 1024, Notice: ms(1000), Round: ms(500)}
+	s.Network = Network{Zones: []string{"a"}, SameZone: ms(0.2), CrossZone: ms(5), Client: ms(0.3), Jitter: 0.1}
+	s.Nodes = Nodes{Count: 1, MemoryMB: 192, Sockets: 1024, DeathNotice: ms(1000), ProtocolPeriod: ms(500)}
 	s.Reports = Reports{Fields: []string{"queue", "inflight"}, Period: ms(400), Delay: ms(100), Noise: 0.03}
-	s.Discovery = Discovery{Ask: true, Notice: ms(500), Period: ms(200), Call: ms(20), GiveUp: ms(2000)}
+	s.Discovery = Discovery{MustPoll: true, ChangeDelay: ms(500), UpdateInterval: ms(200), CallTime: ms(20), CallTimeout: ms(2000)}
 	s.Rules = Rules{
-		StopSending: ms(500), AskWithin: ms(10000), FallMultiple: 3, FallAfter: ms(1000), FallSlack: "tight", AnswerGrace: ms(20),
-		MostHandOffs: 4, MayRecall: true, MaxAdvice: ms(1500), ConnectIn: ms(75),
+		StopSending: ms(500), PollWithin: ms(10000), CrashMultiple: 3, CrashWindow: ms(1000), CrashSlack: "tight", AnswerGrace: ms(20),
+		MaxAttempts: 4, MayCancel: true, MaxRetryAfter: ms(1500), ConnectTimeout: ms(75),
 	}
 	s.Load = Load{Rate: 200, Shape: "steady", Swing: 0.3, Period: ms(5000), Body: 200}
-	s.Clients = Clients{Retries: 2, Backoff: ms(20), Honour: 0.8, TryShare: 1, MostConns: 200}
+	s.Clients = Clients{Retries: 2, Backoff: ms(20), HonorShare: 0.8, RequestTimeoutShare: 1, MaxConnections: 200}
 	return s
 }
 
@@ -263,33 +263,33 @@
 
 // fleetDefault fills what a fleet leaves out.
 func fleetDefault(f *Fleet) {
-	def(&f.Name, "s")
-	def(&f.PodSize, 4)
-	def(&f.Cores, 2)
-	def(&f.Speed, 1)
-	def(&f.Places, 16)
-	def(&f.Waiting, 16)
-	def(&f.ColdFrom, 0.25)
-	def(&f.WarmFor, ms(15000))
-	def(&f.Connections, 1000)
-	def(&f.IdleClose, ms(60000))
-	def(&f.Cancel, "nothing")
+	setDefault(&f.Name, "s")
+	setDefault(&f.PodSize, 4)
+	setDefault(&f.Cores, 2)
+	setDefault(&f.Speed, 1)
+	setDefault(&f.Concurrency, 16)
+	setDefault(&f.QueueLimit, 16)
+	setDefault(&f.SlowStartCapacity, 0.25)
+	setDefault(&f.SlowStartWindow, ms(15000))
+	setDefault(&f.Connections, 1000)
+	setDefault(&f.IdleClose, ms(60000))
+	setDefault(&f.Cancel, "nothing")
 	if f.PauseEvery > 0 {
-		def(&f.PauseFor, ms(100))
+		setDefault(&f.PauseFor, ms(100))
 	}
 }
 
-func categoryDefault(c *Category) {
-	def(&c.Repeat, "rerunnable")
-	def(&c.Share, 1)
-	def(&c.Earnings, 1)
-	if c.Repeat == "ticketed" {
-		def(&c.Group, "fleet")
-		def(&c.Memory, ms(5000))
+func classDefault(c *Class) {
+	setDefault(&c.Idempotency, "rerunnable")
+	setDefault(&c.Share, 1)
+	setDefault(&c.PriorityWeight, 1)
+	if c.Idempotency == "ticketed" {
+		setDefault(&c.DedupGroup, "fleet")
+		setDefault(&c.DedupWindow, ms(5000))
 	}
 }
 
-func def[T comparable](v *T, missing T) {
+func setDefault[T comparable](v *T, missing T) {
 	var zero T
 	if *v == zero {
 		*v = missing
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := s.Fleets[0]; f.Name != "s" || f.Cores != 2 || len(f.Zones) != 1 || s.Categories[0].Repeat != "rerunnable" || s.Faults[0].Factor != 0.2 {
+	if f := s.Fleets[0]; f.Name != "s" || f.Cores != 2 || len(f.Zones) != 1 || s.Classes[0].Idempotency != "rerunnable" || s.Faults[0].Factor != 0.2 {
 		t.Errorf("defaults not filled in: %+v", s)
 	}
 }
@@ -129,7 +129,7 @@
 			t.Error(err)
 			continue
 		}
-		if s.Name+".toml" != filepath.Base(path) || s.About == "" || s.Expect.EarningsInTime == 0 {
+		if s.Name+".toml" != filepath.Base(path) || s.About == "" || s.Expect.WeightInTime == 0 {
 			t.Errorf("%s: expected its name, what it is about and what it expects", path)
 		}
 	}
--- a/internal/lab/scenario/ways.go
+++ b/internal/lab/scenario/ways.go
@@ -11,7 +11,7 @@
 
 // Site tells what the ends of ways are called.
 func (s *Scenario) Site() *netfault.Site {
-	site := &netfault.Site{Zones: s.Network.Zones, ServerNames: s.ServerNames()}
+	site := &netfault.Site{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
 	for i := range s.Nodes.Count {
 		if len(s.Nodes.Zones) == s.Nodes.Count {
 			site.NodeZones = append(site.NodeZones, s.Nodes.Zones[i])
@@ -21,15 +21,15 @@
 	}
 	for i := range s.Fleets {
 		for n := range s.Fleets[i].Count {
-			site.ServerZones = append(site.ServerZones, s.Fleets[i].Zones[n%len(s.Fleets[i].Zones)])
+			site.EndpointZones = append(site.EndpointZones, s.Fleets[i].Zones[n%len(s.Fleets[i].Zones)])
 		}
 	}
 	return site
 }
 
 // Way is a fault as the schedule of ways takes it; false if it is none of ways, or names what is not there.
-func (s *Scenario) Way(f *Fault) (netfault.Fault, bool) {
-	if Kinds[f.Kind] != "ways" {
+func (s *Scenario) LinkFault(f *Fault) (netfault.Fault, bool) {
+	if FaultKinds[f.Kind] != "ways" {
 		return netfault.Fault{}, false
 	}
 	site := s.Site()
@@ -40,13 +40,13 @@
 		end = int64(f.At) + 2*int64(s.Length)
 	}
 	return netfault.Fault{
-		Trouble: netfault.Trouble(f.Kind), From: from, To: to, OneWay: f.OneWay, Begin: int64(f.At), End: end, How: f.How, Share: f.Share,
+		Kind: netfault.Kind(f.Kind), From: from, To: to, OneWay: f.OneWay, Begin: int64(f.At), End: end, Variant: f.How, Share: f.Share,
 		Burst: f.Burst, Wait: int64(f.Wait), Rate: f.Rate,
 	}, err == nil && err2 == nil && len(from) > 0 && len(to) > 0
 }
 
 // checkWays checks faults of ways, each and against one another.
-func (s *Scenario) checkWays(c *checker) {
+func (s *Scenario) checkLinkFaults(c *checker) {
 	type known struct {
 		at  string
 		way netfault.Fault
@@ -55,7 +55,7 @@
 	site := s.Site()
 	for i := range s.Faults {
 		f, at := &s.Faults[i], fmt.Sprintf("fault.%d.", i)
-		if Kinds[f.Kind] != "ways" {
+		if FaultKinds[f.Kind] != "ways" {
 			continue
 		}
 		for key, list := range map[string][]string{"from": f.From, "to": f.To} {
@@ -68,8 +68,8 @@
 				c.must(false, at+key, want, got)
 			}
 		}
-		trouble := netfault.Trouble(f.Kind)
-		if hows := netfault.Hows[trouble]; len(hows) > 0 {
+		trouble := netfault.Kind(f.Kind)
+		if hows := netfault.Variants[trouble]; len(hows) > 0 {
 			c.oneOf(at+"how", f.How, hows...)
 		} else {
 			c.must(f.How == "", at+"how", "none, as "+f.Kind+" has one way only", f.How)
@@ -82,14 +82,14 @@
 		case netfault.Narrow:
 			c.must(f.Rate >= 100, at+"rate", "at least 100 bytes a second", f.Rate)
 		}
-		way, ok := s.Way(f)
+		way, ok := s.LinkFault(f)
 		if !ok {
 			continue
 		}
 		joined, messages, same := true, true, true
 		for _, a := range way.From {
 			for _, b := range way.To {
-				ways, single := netfault.CanJoin(a.Kind, b.Kind)
+				ways, single := netfault.CanLink(a.Kind, b.Kind)
 				joined, messages, same = joined && ways, messages && single, same && a == b
 			}
 		}
@@ -97,9 +97,9 @@
 		if c.must(joined, at+"to", "ends that nodes have ways to: one side of a way is always a node", strings.Join(f.From, " ")+" and "+strings.Join(f.To, " ")); !joined {
 			continue
 		}
-		c.must(messages || netfault.OnStreams(trouble), at+"kind", "link-cut, link-drop, link-delay or link-narrow where the way carries streams", fmt.Sprintf("%q", f.Kind))
+		c.must(messages || netfault.AppliesToStreams(trouble), at+"kind", "link-cut, link-drop, link-delay or link-narrow where the way carries streams", fmt.Sprintf("%q", f.Kind))
 		for k := range sound {
-			c.must(!netfault.Contradict(&sound[k].way, &way), at+"kind", "no other "+f.Kind+" of one of its ways at one time", "one in "+strings.TrimSuffix(sound[k].at, "."))
+			c.must(!netfault.Conflict(&sound[k].way, &way), at+"kind", "no other "+f.Kind+" of one of its ways at one time", "one in "+strings.TrimSuffix(sound[k].at, "."))
 		}
 		sound = append(sound, known{at, way})
 	}
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -16,7 +16,7 @@
 
 // try is one message of a client to one node; a task may take several.
 type try struct {
-	task   *workload.Task
+	task   *workload.Operation
 	n      int
 	hard   int64
 	ticket string
@@ -29,7 +29,7 @@
 	day      *Day
 	byZone   [][]*node
 	turn     []int
-	choice   []workload.Choice // by zone; nil: in turn
+	choice   []workload.NodePicker // by zone; nil: in turn
 	outcomes []trace.Outcome
 	left     int
 	leftAt   int64
@@ -37,10 +37,10 @@
 
 func newClients(d *Day) *clients {
 	c := &clients{
-		day: d, outcomes: make([]trace.Outcome, len(d.plan.Tasks)), left: len(d.plan.Tasks),
+		day: d, outcomes: make([]trace.Outcome, len(d.plan.Operations)), left: len(d.plan.Operations),
 		byZone: make([][]*node, len(d.scenario.Network.Zones)), turn: make([]int, len(d.scenario.Network.Zones)),
 	}
-	parts := d.plan.Parts(d.scenario)
+	parts := d.plan.NodeShares(d.scenario)
 	for zone := range c.byZone {
 		for _, n := range d.nodes {
 			if n.zone == zone {
@@ -54,7 +54,7 @@
 		for _, n := range c.byZone[zone] {
 			indexes = append(indexes, n.index)
 		}
-		c.choice = append(c.choice, workload.ChoiceOf(parts, indexes))
+		c.choice = append(c.choice, workload.NewNodePicker(parts, indexes))
 	}
 	c.next(0)
 	return c
@@ -62,15 +62,15 @@
 
 // next has one task come after another, so that the heap holds few.
 func (c *clients) next(i int) {
-	if i >= len(c.day.plan.Tasks) {
+	if i >= len(c.day.plan.Operations) {
 		return
 	}
-	t := &c.day.plan.Tasks[i]
+	t := &c.day.plan.Operations[i]
 	c.day.at(t.Due+int64(c.day.scenario.Network.Client), func() {
-		c.day.count(func(s *trace.Together) { s.Tasks++ })
-		category := &c.day.scenario.Categories[t.Category]
+		c.day.count(func(s *trace.FleetActivity) { s.Operations++ })
+		category := &c.day.scenario.Classes[t.Class]
 		c.send(&try{
-			task: t, hard: t.Due + int64(float64(category.HardLimit)*c.day.scenario.Clients.TryShare), id: c.day.idOf(t.N, 0),
+			task: t, hard: t.Due + int64(float64(category.Deadline)*c.day.scenario.Clients.RequestTimeoutShare), id: c.day.idOf(t.Index, 0),
 			ticket: fmt.Sprintf("%016x", t.Seed),
 		})
 		c.next(i + 1)
@@ -81,7 +81,7 @@
 func (c *clients) send(t *try) {
 	zone := c.byZone[t.task.Zone]
 	if choice := c.choice[t.task.Zone]; choice != nil {
-		c.turn[t.task.Zone] = choice.Place(t.task, t.n) - 1 // who is next, if that one is not in
+		c.turn[t.task.Zone] = choice.Pick(t.task, t.n) - 1 // who is next, if that one is not in
 	}
 	for range zone {
 		c.turn[t.task.Zone]++
@@ -105,14 +105,14 @@
 		c.after(t, trace.Lost, true, 0)
 		return
 	}
-	rec := &invariant.Request{ID: t.id, Operation: t.task.N, Node: n.index, Incarnation: n.life.Incarnation, Class: t.task.Category, SentAt: d.now, Deadline: t.hard}
+	rec := &invariant.Request{ID: t.id, Operation: t.task.Index, Node: n.index, Incarnation: n.life.Incarnation, Class: t.task.Class, SentAt: d.now, Deadline: t.hard}
 	front, place := n.front(), netfault.End{Index: n.index}
 	if barred, refused := d.barred(front, place); refused {
 		c.after(t, trace.Lost, true, 0)
 		return
 	} else if barred && !d.ways.Open(d.now, front, place) {
 		// The node never sees it, so the ledger does not either.
-		d.at(t.hard+int64(d.scenario.Rules.AnswerGrace)+listenOn, func() { c.after(t, trace.BrokenOff, false, 0) })
+		d.at(t.hard+int64(d.scenario.Rules.AnswerGrace)+listenOn, func() { c.after(t, trace.Failed, false, 0) })
 		return
 	}
 	d.ledger.RecordRequest(rec)
@@ -129,8 +129,8 @@
 	}
 	until := t.hard + int64(d.scenario.Rules.AnswerGrace) + listenOn
 	leaves := int64(invariant.Never)
-	if t.task.Leaves > 0 {
-		if leaves = t.task.Due + t.task.Leaves; leaves < t.hard {
+	if t.task.LeavesAfter > 0 {
+		if leaves = t.task.Due + t.task.LeavesAfter; leaves < t.hard {
 			until = leaves
 		}
 	}
@@ -141,9 +141,9 @@
 		t.over = true
 		if until == leaves {
 			rec.CanceledAt = d.now
-			c.settle(t, trace.Left, d.now)
+			c.settle(t, trace.Canceled, d.now)
 		} else {
-			c.after(t, trace.BrokenOff, false, 0)
+			c.after(t, trace.Failed, false, 0)
 		}
 		if n.alive && t.x.life == n.life.Incarnation {
 			n.withdrawn(t.x)
@@ -162,11 +162,11 @@
 	x.rec.AnsweredAt, x.rec.Status, x.rec.RetryAfter = now, status, advice
 	switch status {
 	case 200:
-		c.settle(t, trace.Satisfied, now+int64(c.day.scenario.Network.Client))
+		c.settle(t, trace.Succeeded, now+int64(c.day.scenario.Network.Client))
 	case 503:
-		c.after(t, trace.Declined, false, advice)
+		c.after(t, trace.Rejected, false, advice)
 	default:
-		c.after(t, trace.BrokenOff, false, 0)
+		c.after(t, trace.Failed, false, 0)
 	}
 }
 
@@ -183,32 +183,32 @@
 func (c *clients) after(t *try, state trace.State, unreached bool, advice int64) {
 	d := c.day
 	s := d.scenario
-	category := &s.Categories[t.task.Category]
-	may := state == trace.Declined || unreached || category.Repeat == "rerunnable"
-	if category.Repeat == "ticketed" && category.Group == "fleet" && d.now < t.task.Due+int64(category.Memory) {
+	category := &s.Classes[t.task.Class]
+	may := state == trace.Rejected || unreached || category.Idempotency == "rerunnable"
+	if category.Idempotency == "ticketed" && category.DedupGroup == "fleet" && d.now < t.task.Due+int64(category.DedupWindow) {
 		may = true
 	}
 	wait := int64(s.Clients.Backoff) << t.n
-	if advice > 0 && t.task.Honours {
+	if advice > 0 && t.task.HonorsRetryAfter {
 		wait = max(wait, advice)
 	}
-	last := t.task.Due + int64(category.HardLimit)
+	last := t.task.Due + int64(category.Deadline)
 	if !may || t.n >= s.Clients.Retries || d.now+wait >= last {
 		c.settle(t, state, d.now)
 		return
 	}
-	next := &try{task: t.task, n: t.n + 1, ticket: t.ticket, id: d.idOf(t.task.N, t.n+1)}
-	next.hard = min(last, d.now+wait+int64(float64(category.HardLimit)*s.Clients.TryShare))
+	next := &try{task: t.task, n: t.n + 1, ticket: t.ticket, id: d.idOf(t.task.Index, t.n+1)}
+	next.hard = min(last, d.now+wait+int64(float64(category.Deadline)*s.Clients.RequestTimeoutShare))
 	d.in(wait, func() { c.send(next) })
 }
 
 // settle writes a task's end down.
 func (c *clients) settle(t *try, state trace.State, at int64) {
-	o := &c.outcomes[t.task.N]
-	if o.State != trace.Unsettled {
+	o := &c.outcomes[t.task.Index]
+	if o.State != trace.Pending {
 		return
 	}
-	*o = trace.Outcome{State: state, Took: at - t.task.Due, Tries: t.n + 1}
+	*o = trace.Outcome{State: state, Elapsed: at - t.task.Due, Requests: t.n + 1}
 	c.left--
 	c.leftAt = c.day.now
 }
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -95,32 +95,32 @@
 	holds     map[int]int64
 	oddities  map[string]int
 	loads     []trace.LoadSample
-	together  []trace.Together
+	together  []trace.FleetActivity
 	ways      *netfault.Schedule
 	numbers   map[[2]netfault.End]uint64 // messages on each troubled way
-	beliefs   []trace.Belief
-	runs      []trace.Runs
+	beliefs   []trace.MembershipView
+	runs      []trace.RunningNodes
 	problem   error
 }
 
 // Play plays a day to its end. An error means that it could not be played; what went wrong within it is in the record.
-func Play(ctx context.Context, o Options) (*trace.Record, error) {
+func Play(ctx context.Context, o Options) (*trace.Trace, error) {
 	began := time.Now()
 	d := &Day{
 		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), maker: o.Maker, ledger: &invariant.History{},
 		draw: rand.New(rand.NewPCG(o.Seed, 11)), byID: map[policy.EndpointID]*machine{}, memories: map[memoryKey]*model.Deduplicator{},
 		holds: map[int]int64{}, oddities: map[string]int{}, numbers: map[[2]netfault.End]uint64{},
 	}
-	d.ways = d.plan.Ways(d.scenario)
+	d.ways = d.plan.LinkFaults(d.scenario)
 	d.idFirst = fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761))
-	d.together = make([]trace.Together, int(int64(o.Scenario.Length)/1e9)+1)
+	d.together = make([]trace.FleetActivity, int(int64(o.Scenario.Length)/1e9)+1)
 	hash := d.plan.Hash()
 	if err := d.prepare(); err != nil {
 		return nil, err
 	}
 	longest := int64(0)
-	for _, c := range d.scenario.Categories {
-		longest = max(longest, int64(c.HardLimit))
+	for _, c := range d.scenario.Classes {
+		longest = max(longest, int64(c.Deadline))
 	}
 	end, most := int64(d.scenario.Length)+longest+settleIn, o.Most
 	if most == 0 {
@@ -144,17 +144,17 @@
 		m.warmed()
 	}
 	d.ledger.Close()
-	r := &trace.Record{
-		Plan: d.plan, Hash: hash, Virtual: true, Outcomes: d.clients.outcomes, Ledger: d.ledger, Loads: d.loads, Together: d.together,
-		Odd: d.oddities, Took: time.Since(began),
+	r := &trace.Trace{
+		Plan: d.plan, PlanHash: hash, Virtual: true, Outcomes: d.clients.outcomes, History: d.ledger, Loads: d.loads, Activity: d.together,
+		Oddities: d.oddities, Elapsed: time.Since(began),
 	}
-	r.Reach, r.Beliefs, r.Runs = trace.ReachOf(d.scenario, d.ways, 0), d.beliefs, d.runs
-	trace.Excuse(d.scenario, d.plan, d.ledger)
+	r.Reach, r.Views, r.Running = trace.ReachOf(d.scenario, d.ways, 0), d.beliefs, d.runs
+	trace.ExcuseCutLinks(d.scenario, d.plan, d.ledger)
 	rules := trace.RulesOf(d.scenario, d.ways, 0, 0, nil)
-	r.Breaks = d.ledger.Check(trace.Categories(d.scenario), rules)
+	r.Violations = d.ledger.Check(trace.Classes(d.scenario), rules)
 	r.Peaks[0], r.Peaks[1] = d.ledger.Peaks(rules)
 	for _, m := range d.machines {
-		r.Servers = append(r.Servers, m.spec.Name)
+		r.Endpoints = append(r.Endpoints, m.spec.Name)
 	}
 	for _, n := range d.nodes {
 		r.Nodes = append(r.Nodes, n.figures)
@@ -163,8 +163,8 @@
 }
 
 func (d *Day) prepare() error {
-	for _, spec := range d.plan.Servers {
-		d.newMachine(spec, d.scenario.Fleets[spec.Fleet].Cold)
+	for _, spec := range d.plan.Endpoints {
+		d.newMachine(spec, d.scenario.Fleets[spec.Fleet].StartsCold)
 	}
 	d.discovery = newDiscovery(d)
 	for _, m := range d.machines {
@@ -189,7 +189,7 @@
 	}
 	d.in(sampleEvery, d.sample)
 	d.mendWays()
-	if d.scenario.Nodes.Members {
+	if d.scenario.Nodes.Membership {
 		d.in(believedEvery, d.believe)
 	}
 	return nil
@@ -201,9 +201,9 @@
 	for _, m := range d.machines {
 		held := 0
 		if m.up {
-			held = m.model.Held()
+			held = m.model.InFlight()
 		}
-		s.Held = append(s.Held, held)
+		s.InFlight = append(s.InFlight, held)
 	}
 	d.loads = append(d.loads, s)
 	if d.now < int64(d.scenario.Length) {
@@ -212,7 +212,7 @@
 }
 
 // count adds to what all nodes do together in this second.
-func (d *Day) count(what func(*trace.Together)) {
+func (d *Day) count(what func(*trace.FleetActivity)) {
 	if second := int(d.now / 1e9); second < len(d.together) {
 		what(&d.together[second])
 	}
@@ -238,7 +238,7 @@
 	d.ledger.RecordCrash(invariant.Crash{Endpoint: m.spec.Index, Incarnation: m.life, StartedAt: m.started, Crash: *f})
 	d.odd("a cold server was pushed over")
 	m.stop()
-	d.discovery.set(m, model.Removed, int64(d.scenario.Discovery.Notice))
+	d.discovery.set(m, model.Removed, int64(d.scenario.Discovery.ChangeDelay))
 }
 
 // Holds and Way make the day the Truth.
@@ -247,13 +247,13 @@
 	if m == nil || !m.up || m.cut(node) || m.trouble.silent || m.draining || m.trouble.fail > 0.5 || m.trouble.turn > 0.5 || m.trouble.reset > 0.5 {
 		return 0, 0, false
 	}
-	return m.model.Held(), m.workRate() * 1e9, true
+	return m.model.InFlight(), m.workRate() * 1e9, true
 }
 
 func (d *Day) Way(node int, server policy.EndpointID) int64 {
 	n := &d.scenario.Network
 	if m := d.byID[server]; m != nil && n.Zones[d.nodes[node].zone] != m.spec.Zone {
-		return 2 * int64(n.Cross)
+		return 2 * int64(n.CrossZone)
 	}
-	return 2 * int64(n.Same)
+	return 2 * int64(n.SameZone)
 }
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -126,7 +126,7 @@
 	n := w.node
 	d := n.day
 	s := d.discovery
-	d.count(func(t *trace.Together) { t.Calls++ })
+	d.count(func(t *trace.FleetActivity) { t.ListCalls++ })
 	place := netfault.End{Index: n.index}
 	if barred, refused := d.barred(place, discoveryEnd); barred {
 		after := int64(listConnect)
@@ -151,8 +151,8 @@
 		lines = len(changed)
 	}
 	c := &d.scenario.Discovery
-	cost := int64(s.slow * float64(int64(c.Call)+int64(c.PerLine)*int64(lines)))
-	if begin-came+cost > int64(c.GiveUp) {
+	cost := int64(s.slow * float64(int64(c.CallTime)+int64(c.EntryTime)*int64(lines)))
+	if begin-came+cost > int64(c.CallTimeout) {
 		cost = 0 // it fails when its turn has come
 	}
 	s.busy = begin + cost
@@ -161,7 +161,7 @@
 		if w.over || w.rec != nil || n.life != w.life || !n.alive {
 			return
 		}
-		if s.down || begin-came+cost > int64(c.GiveUp) || cost == 0 && begin > came {
+		if s.down || begin-came+cost > int64(c.CallTimeout) || cost == 0 && begin > came {
 			w.ended(1)
 			return
 		}
@@ -257,7 +257,7 @@
 		return
 	}
 	w.due = true
-	period := int64(w.node.day.scenario.Discovery.Period)
+	period := int64(w.node.day.scenario.Discovery.UpdateInterval)
 	since := w.node.day.now - w.phase
 	w.node.day.at(w.phase+(since/period+1)*period, w.deliver)
 }
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -26,7 +26,7 @@
 		}
 	}
 	s := d.discovery
-	if scenario.Kinds[f.Kind] == "ways" {
+	if scenario.FaultKinds[f.Kind] == "ways" {
 		return // each message goes by the schedule
 	}
 	switch f.Kind {
@@ -62,24 +62,24 @@
 
 // holdKey is the category, or the customer as a negative number, that a wait strikes.
 func (d *Day) holdKey(f *workload.Fault) int {
-	for i := range d.scenario.Customers {
-		if f.Customer != "" && d.scenario.Customers[i].Name == f.Customer {
+	for i := range d.scenario.Tenants {
+		if f.Tenant != "" && d.scenario.Tenants[i].Name == f.Tenant {
 			return -1 - i
 		}
 	}
-	for i := range d.scenario.Categories {
-		if d.scenario.Categories[i].Name == f.Category {
+	for i := range d.scenario.Classes {
+		if d.scenario.Classes[i].Name == f.Class {
 			return i
 		}
 	}
-	return len(d.scenario.Categories)
+	return len(d.scenario.Classes)
 }
 
-func (d *Day) hold(t *workload.Task) int64 {
+func (d *Day) hold(t *workload.Operation) int64 {
 	if len(d.holds) == 0 {
 		return 0
 	}
-	return max(d.holds[t.Category], d.holds[-1-t.Customer])
+	return max(d.holds[t.Class], d.holds[-1-t.Tenant])
 }
 
 func (d *Day) hitNode(f *workload.Fault, n *node) {
@@ -155,7 +155,7 @@
 
 // power takes nodes, servers and discovery away at one moment; each is back after a time of its own.
 func (d *Day) power(f *workload.Fault) {
-	notice := int64(d.scenario.Discovery.Notice)
+	notice := int64(d.scenario.Discovery.ChangeDelay)
 	if f.Zone == "" && len(f.Fault.Nodes) == len(d.nodes) {
 		d.discovery.setDown(true)
 		if f.DiscoveryBack > 0 {
@@ -171,7 +171,7 @@
 		d.ledger.Excuse(life, invariant.Span{From: d.now, To: invariant.Never})
 		n.end()
 		if f.NodesBack > 0 {
-			d.in(f.Back(f.NodesBack, f.Seed, i), func() {
+			d.in(f.RestoredAfter(f.NodesBack, f.Seed, i), func() {
 				if n.life == life && !n.alive {
 					n.start()
 					d.in(startsIn, n.admitted)
@@ -183,14 +183,14 @@
 		m := d.machines[target]
 		m.stop()
 		d.discovery.set(m, model.Removed, notice)
-		if f.ServersBack > 0 {
-			d.in(f.Back(f.ServersBack, f.Seed+1, i), func() { d.revive(m, notice) })
+		if f.EndpointsBack > 0 {
+			d.in(f.RestoredAfter(f.EndpointsBack, f.Seed+1, i), func() { d.revive(m, notice) })
 		}
 	}
 }
 
 func (d *Day) hitServer(f *workload.Fault, m *machine) {
-	long, notice, life := int64(f.For), int64(d.scenario.Discovery.Notice), m.life
+	long, notice, life := int64(f.For), int64(d.scenario.Discovery.ChangeDelay), m.life
 	// change sets a trouble, and takes it away again in time, unless a new life has done so.
 	change := func(begin, end func(*trouble)) {
 		begin(&m.trouble)
@@ -204,36 +204,36 @@
 	}
 	switch f.Kind {
 	case "slow":
-		m.model.SetSlowness(d.now, math.Max(f.Factor, 0.001))
+		m.model.SetSpeedFactor(d.now, math.Max(f.Factor, 0.001))
 		m.next = model.Never
 		m.wake()
 		if long > 0 {
 			d.in(long, func() {
-				m.model.SetSlowness(d.now, 1)
+				m.model.SetSpeedFactor(d.now, 1)
 				m.next = model.Never
 				m.wake()
 			})
 		}
 	case "pause":
-		m.model.Stop(d.now, d.now+long)
+		m.model.Pause(d.now, d.now+long)
 		m.wake()
 	case "silent":
 		change(func(t *trouble) { t.silent = true }, func(t *trouble) { t.silent = false })
 	case "fail":
-		change(func(t *trouble) { t.fail = f.HandOffs }, func(t *trouble) { t.fail = 0 })
+		change(func(t *trouble) { t.fail = f.AttemptShare }, func(t *trouble) { t.fail = 0 })
 	case "turn-away":
-		change(func(t *trouble) { t.turn = f.HandOffs }, func(t *trouble) { t.turn = 0 })
+		change(func(t *trouble) { t.turn = f.AttemptShare }, func(t *trouble) { t.turn = 0 })
 	case "reset":
-		change(func(t *trouble) { t.reset = f.HandOffs }, func(t *trouble) { t.reset = 0 })
+		change(func(t *trouble) { t.reset = f.AttemptShare }, func(t *trouble) { t.reset = 0 })
 	case "spoil":
-		change(func(t *trouble) { t.spoil, t.spoilShare = f.How, f.HandOffs }, func(t *trouble) { t.spoil = "" })
+		change(func(t *trouble) { t.spoil, t.spoilShare = f.How, f.AttemptShare }, func(t *trouble) { t.spoil = "" })
 	case "crowd":
-		places, waiting := m.model.Places, m.model.Waiting
-		m.model.Places, m.model.Waiting = max(1, int(float64(places)*f.Factor)), int(float64(waiting)*f.Factor)
+		places, waiting := m.model.Concurrency, m.model.QueueLimit
+		m.model.Concurrency, m.model.QueueLimit = max(1, int(float64(places)*f.Factor)), int(float64(waiting)*f.Factor)
 		if long > 0 {
 			d.in(long, func() {
 				if m.life == life {
-					m.model.Places, m.model.Waiting = places, waiting
+					m.model.Concurrency, m.model.QueueLimit = places, waiting
 				}
 			})
 		}
--- a/internal/lab/simulation/hearsay.go
+++ b/internal/lab/simulation/hearsay.go
@@ -19,7 +19,7 @@
 
 func (n *node) listen(seed uint64, list []model.ListEntry) {
 	n.hearing = nil
-	if !n.day.scenario.Nodes.List {
+	if !n.day.scenario.Nodes.ListGossip {
 		return
 	}
 	lines, _ := n.day.lines(list)
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -25,7 +25,7 @@
 
 type machine struct {
 	day   *Day
-	spec  workload.Server
+	spec  workload.Endpoint
 	fleet *scenario.Fleet
 	id    policy.EndpointID
 
@@ -62,7 +62,7 @@
 	closed      bool
 }
 
-func (d *Day) newMachine(spec workload.Server, cold bool) *machine {
+func (d *Day) newMachine(spec workload.Endpoint, cold bool) *machine {
 	m := &machine{
 		day: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], id: serverID(spec.Name), draw: rand.New(rand.NewPCG(spec.Seed, 3)),
 		cuts: map[int]int{}, epochs: map[int]int{},
@@ -94,7 +94,7 @@
 	if m.model != nil {
 		m.day.ledger.RecordSlowStart(invariant.SlowStart{
 			Endpoint: m.spec.Index, Incarnation: m.life, StartedAt: m.started, MeanWork: m.model.MeanWork,
-			Window: m.model.FallAfter, Arrivals: m.model.WhileCold(),
+			Window: m.model.CrashWindow, Arrivals: m.model.SlowStartArrivals(),
 		})
 	}
 }
@@ -104,7 +104,7 @@
 	if !m.up || m.life != life {
 		return
 	}
-	m.reports = append(m.reports, published{m.day.now, m.model.Take(m.day.now)})
+	m.reports = append(m.reports, published{m.day.now, m.model.Sample(m.day.now)})
 	if len(m.reports) > 8 {
 		m.reports = m.reports[1:]
 	}
@@ -123,7 +123,7 @@
 		for _, name := range r.Fields {
 			switch name {
 			case "util":
-				out.Utilised(f.Utilised)
+				out.Utilised(f.Utilization)
 			case "queue":
 				out.QueueLength = f.Queue
 			case "latency_ms":
@@ -141,7 +141,7 @@
 		return
 	}
 	m.up = false
-	m.model.Down()
+	m.model.Crash()
 	m.waiting = map[int64]*handOff{}
 	for _, n := range m.day.nodes { // in order
 		n.serverGone(m, false)
@@ -149,7 +149,7 @@
 }
 
 func (m *machine) place() netfault.End {
-	return netfault.End{Kind: netfault.Server, Index: m.spec.Index}
+	return netfault.End{Kind: netfault.Endpoint, Index: m.spec.Index}
 }
 func (m *machine) cut(node int) bool     { return m.allCuts > 0 || m.cuts[node] > 0 }
 func (m *machine) epochFor(node int) int { return m.epoch + m.epochs[node] }
@@ -160,9 +160,9 @@
 func (m *machine) workRate() float64 { return m.model.Capacity() }
 func (m *machine) oneWay(node *node) int64 {
 	n := &m.day.scenario.Network
-	base := n.Same
+	base := n.SameZone
 	if m.day.scenario.Network.Zones[node.zone] != m.spec.Zone {
-		base = n.Cross
+		base = n.CrossZone
 	}
 	return int64(float64(base) * (1 + n.Jitter*m.draw.Float64()))
 }
@@ -245,7 +245,7 @@
 // arrive hands the work to the model, unless a trouble comes first.
 func (h *handOff) arrive() {
 	m, d := h.m, h.m.day
-	if m.life != h.life || !m.up || h.ended && h.m.model.Cancel == model.CancelsWork {
+	if m.life != h.life || !m.up || h.ended && h.m.model.Cancel == model.CancelsRunning {
 		return
 	}
 	t := &m.trouble
@@ -263,17 +263,17 @@
 		return
 	}
 	task, try := h.x.try.task, h.x.try.n
-	c := &d.scenario.Categories[task.Category]
-	work, luck := workload.HandOffWork(task.Work, c.HandNoise, task.Seed+uint64(try), m.spec.Seed, 0)
+	c := &d.scenario.Classes[task.Class]
+	work, luck := workload.AttemptWork(task.Work, c.AttemptNoise, task.Seed+uint64(try), m.spec.Seed, 0)
 	h.luck = luck
-	if c.Repeat == "ticketed" {
-		if h.rec.Deduplicated = d.memoryOf(m, task.Category).Seen(d.now, h.x.try.ticket); h.rec.Deduplicated {
+	if c.Idempotency == "ticketed" {
+		if h.rec.Deduplicated = d.memoryOf(m, task.Class).Seen(d.now, h.x.try.ticket); h.rec.Deduplicated {
 			work = min(work, 200_000) // it only looks the answer up
 		}
 	}
 	if h.conn.fresh {
 		h.conn.fresh = false
-		m.model.Connected(d.now)
+		m.model.ConnectionOpened(d.now)
 	}
 	until := int64(model.Never)
 	if h.limit < until {
@@ -281,7 +281,7 @@
 	}
 	m.lastID++
 	h.id = m.lastID
-	accepted, fall := m.model.Arrive(d.now, &model.Job{ID: h.id, Work: work, Until: until, Node: h.x.node.index, Hold: d.hold(task)})
+	accepted, fall := m.model.Arrive(d.now, &model.Job{ID: h.id, Work: work, Deadline: until, Node: h.x.node.index, Wait: d.hold(task)})
 	if accepted {
 		m.waiting[h.id] = h
 	}
@@ -354,7 +354,7 @@
 	now := h.m.day.now
 	h.done = true
 	h.rec.AnsweredAt, h.rec.Status = now, 502
-	for _, k := range scenario.SoundKinds {
+	for _, k := range scenario.IntactKinds {
 		if k == how {
 			h.rec.Status = 200
 		}
@@ -381,7 +381,7 @@
 		if m.life != life || !m.up || m.waiting[h.id] != h {
 			return
 		}
-		if stopped, _ := m.model.GiveUp(m.day.now, h.id); stopped {
+		if stopped, _ := m.model.CancelJob(m.day.now, h.id); stopped {
 			delete(m.waiting, h.id)
 		}
 		m.wake()
@@ -389,16 +389,16 @@
 }
 
 func (d *Day) memoryOf(m *machine, category int) *model.Deduplicator {
-	c := &d.scenario.Categories[category]
+	c := &d.scenario.Classes[category]
 	k := memoryKey{category, ""}
-	switch c.Group {
+	switch c.DedupGroup {
 	case "zone":
 		k.group = m.spec.Zone
 	case "pod":
 		k.group = strconv.Itoa(m.spec.Pod)
 	}
 	if d.memories[k] == nil {
-		d.memories[k] = model.NewDeduplicator(int64(c.Memory))
+		d.memories[k] = model.NewDeduplicator(int64(c.DedupWindow))
 	}
 	return d.memories[k]
 }
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -45,7 +45,7 @@
 	step    int64 // of the system's clock, that the next start will see
 	set     settings.Settings
 	decider Decider
-	figures trace.NodeFigures
+	figures trace.NodeUsage
 
 	life     *invariant.Process
 	alive    bool
@@ -71,7 +71,7 @@
 }
 
 func newNode(d *Day, index int) (*node, error) {
-	n := &node{day: d, index: index, rate: 1, zone: index % len(d.scenario.Network.Zones), figures: trace.NodeFigures{Node: index}}
+	n := &node{day: d, index: index, rate: 1, zone: index % len(d.scenario.Network.Zones), figures: trace.NodeUsage{Node: index}}
 	if zones := d.scenario.Nodes.Zones; len(zones) > 0 {
 		for z, name := range d.scenario.Network.Zones {
 			if name == zones[index] {
@@ -79,13 +79,13 @@
 			}
 		}
 	}
-	if skew := int64(d.scenario.Nodes.Skew); skew > 0 {
+	if skew := int64(d.scenario.Nodes.ClockSkew); skew > 0 {
 		n.skew = int64((2*d.draw.Float64() - 1) * float64(skew))
 	}
 	if n.cost = eventCost; d.scenario.Nodes.Cores > 0 && d.scenario.Nodes.Cores < 1 {
 		n.cost = int64(float64(eventCost) / d.scenario.Nodes.Cores)
 	}
-	text, err := json.Marshal(trace.SettingsOf(d.scenario, index, n.zone))
+	text, err := json.Marshal(trace.NodeSettings(d.scenario, index, n.zone))
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 	n.decider = d.maker(n.index, n.set.Policy, d.plan.Seed*1000003+uint64(n.index)*7919+uint64(number), n, d)
 	list := d.discovery.roster.Complete()
 	n.up, n.listed = false, number == 1 || !d.scenario.Nodes.NoList
-	if stale := d.scenario.Nodes.OldList && number > 1; stale {
+	if stale := d.scenario.Nodes.StaleList && number > 1; stale {
 		list = d.discovery.first
 	} else if !n.listed {
 		list = nil
@@ -205,7 +205,7 @@
 		n.watch.end()
 	}
 	life := n.life
-	d.in(int64(d.scenario.Nodes.Notice), func() {
+	d.in(int64(d.scenario.Nodes.DeathNotice), func() {
 		if n.life == life && !n.alive {
 			n.in = false
 		}
@@ -235,8 +235,8 @@
 			id := policy.RequestID(t.id)
 			n.tasks[id] = x
 			p := policy.Request{
-				ID: id, Class: task.Category, Tenant: max(task.Customer, 0), Deadline: policy.Time(n.clock() + t.hard - n.day.now), ClientRetry: t.n > 0,
-				CostHint: time.Duration(task.Estimate),
+				ID: id, Class: task.Class, Tenant: max(task.Tenant, 0), Deadline: policy.Time(n.clock() + t.hard - n.day.now), ClientRetry: t.n > 0,
+				CostHint: time.Duration(task.CostHint),
 			}
 			if task.Key >= 0 && n.set.Policy.KeyAffinity {
 				p.Key = fmt.Sprint("k", task.Key)
@@ -365,7 +365,7 @@
 	if barred, _ := n.day.barred(netfault.End{Index: n.index}, m.place()); barred || !m.up || m.cut(n.index) {
 		return nil
 	}
-	n.day.count(func(t *trace.Together) { t.Connections++ })
+	n.day.count(func(t *trace.FleetActivity) { t.Connections++ })
 	k := &conn{m: m, node: n.index, life: m.life, epoch: m.epochFor(n.index), fresh: true, over: m.crowded()}
 	m.conns++
 	return k
@@ -400,12 +400,12 @@
 	h.limit = min(d.now+int64(max(timeOut, 0)), x.try.hard)
 	x.handOffs = append(x.handOffs, h)
 	x.open++
-	d.count(func(t *trace.Together) {
-		switch t.HandOffs++; {
+	d.count(func(t *trace.FleetActivity) {
+		switch t.Attempts++; {
 		case h.number > 0 && x.open > 1:
-			t.Copies++
+			t.Hedged++
 		case h.number > 0:
-			t.Resends++
+			t.Retries++
 		}
 	})
 	if m == nil || x.settled {
@@ -507,7 +507,7 @@
 // Probe asks a server for its load beside its tasks.
 func (n *node) CheckHealth(server policy.EndpointID) {
 	m, d := n.day.byID[server], n.day
-	d.count(func(t *trace.Together) { t.Probes++ })
+	d.count(func(t *trace.FleetActivity) { t.HealthChecks++ })
 	if m == nil || !m.up || m.cut(n.index) || m.trouble.silent || !d.ways.Open(d.now, netfault.End{Index: n.index}, m.place()) || !d.ways.Open(d.now, m.place(), netfault.End{Index: n.index}) {
 		d.in(int64(n.set.ConnectTimeout), func() {
 			n.enter(func() {
@@ -521,7 +521,7 @@
 		if !m.up {
 			return
 		}
-		m.model.Charge(d.now, int64(m.fleet.ProbeWork))
+		m.model.Charge(d.now, int64(m.fleet.HealthCheckWork))
 		m.wake()
 		report := m.report()
 		d.in(way, func() {
@@ -538,12 +538,12 @@
 		if other == n || !other.alive || d.draw.Float64() < newsLost {
 			continue
 		}
-		d.count(func(t *trace.Together) { t.News++ })
+		d.count(func(t *trace.FleetActivity) { t.Gossip++ })
 		way := d.pass(netfault.End{Index: n.index}, netfault.End{Index: other.index}, len(message))
-		if way.Lost || way.Spoilt >= 0 {
+		if way.Lost || way.CorruptByte >= 0 {
 			continue
 		}
-		d.in(way.After+int64(d.scenario.Network.Cross)+int64(d.draw.Float64()*float64(newsLate)), func() {
+		d.in(way.Delay+int64(d.scenario.Network.CrossZone)+int64(d.draw.Float64()*float64(newsLate)), func() {
 			other.enter(func() {
 				if told, err := other.inbox.Open(n.index, message, other.clock()); err == nil {
 					other.decider.GossipReceived(policy.Time(other.clock()), told)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-func played(t *testing.T, s *scenario.Scenario, maker Maker) *trace.Record {
+func played(t *testing.T, s *scenario.Scenario, maker Maker) *trace.Trace {
 	t.Helper()
 	r, err := Play(context.Background(), Options{Scenario: s, Seed: s.Seed, Maker: maker})
 	if err != nil {
@@ -37,9 +37,9 @@
 }
 
 // text is all that a day left behind but how long it took to play.
-func text(t *testing.T, r *trace.Record) string {
+func text(t *testing.T, r *trace.Trace) string {
 	t.Helper()
-	r.Took = 0
+	r.Elapsed = 0
 	out, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
@@ -145,12 +145,12 @@
 	r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Effects, see Truth) Decider {
 		return &once{Decider: Module(node, set, seed, host, see), host: host}
 	})
-	if len(r.Breaks) > 0 || countOf(r, trace.Satisfied) < len(r.Outcomes)*99/100 {
-		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, trace.Satisfied), len(r.Outcomes), r.Breaks)
+	if len(r.Violations) > 0 || countOf(r, trace.Succeeded) < len(r.Outcomes)*99/100 {
+		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, trace.Succeeded), len(r.Outcomes), r.Violations)
 	}
 }
 
-func countOf(r *trace.Record, s trace.State) (n int) {
+func countOf(r *trace.Trace, s trace.State) (n int) {
 	for _, o := range r.Outcomes {
 		if o.State == s {
 			n++
@@ -166,13 +166,13 @@
 		s.Faults = append(s.Faults, scenario.Fault{Kind: "kill", At: scenario.Duration(2e9 + int64(at)*2e8), For: 3e8, Nodes: []int{at % 12}})
 	}
 	r := played(t, s, Module)
-	if len(r.Breaks) > 0 {
-		t.Errorf("rules broken: %v", r.Breaks[0])
+	if len(r.Violations) > 0 {
+		t.Errorf("rules broken: %v", r.Violations[0])
 	}
 	if n := countOf(r, trace.Lost); n == 0 {
 		t.Error("nothing was lost with nodes that were killed 30 times")
 	}
-	if n := countOf(r, trace.Unsettled); n > 0 {
+	if n := countOf(r, trace.Pending); n > 0 {
 		t.Errorf("%d tasks have no end", n)
 	}
 }
@@ -181,9 +181,9 @@
 // one moment that it is told.
 func TestClocksOfNodesMayDiffer(t *testing.T) {
 	s := read(t, "rolling-restart", 6)
-	s.Nodes.Skew = scenario.Duration(2e9)
-	if r := played(t, s, Module); len(r.Breaks) > 0 || countOf(r, trace.Satisfied) < len(r.Outcomes)*95/100 {
-		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, trace.Satisfied), len(r.Outcomes), r.Breaks)
+	s.Nodes.ClockSkew = scenario.Duration(2e9)
+	if r := played(t, s, Module); len(r.Violations) > 0 || countOf(r, trace.Succeeded) < len(r.Outcomes)*95/100 {
+		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, trace.Succeeded), len(r.Outcomes), r.Violations)
 	}
 }
 
@@ -196,8 +196,8 @@
 		r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Effects, see Truth) Decider {
 			return Module(node, set, seed, wrong(host), see)
 		})
-		if len(r.Breaks) == 0 || r.Breaks[0].Rule != rule {
-			t.Errorf("rule %d was broken all day; the judge found %d breaks", rule, len(r.Breaks))
+		if len(r.Violations) == 0 || r.Violations[0].Rule != rule {
+			t.Errorf("rule %d was broken all day; the judge found %d breaks", rule, len(r.Violations))
 		}
 	}
 }
@@ -216,14 +216,14 @@
 // TestNewsProbesAndMembersArePlayed has what nodes may say to one another, and ask of servers, be sent and heard.
 func TestNewsProbesAndMembersArePlayed(t *testing.T) {
 	s := read(t, "fail-fast", 12)
-	s.Nodes.Members, s.Reports.HealthChecked = true, true
-	var all trace.Together
+	s.Nodes.Membership, s.Reports.HealthChecked = true, true
+	var all trace.FleetActivity
 	r := played(t, s, Module)
-	for _, one := range r.Together {
-		all.Probes, all.News, all.Members = all.Probes+one.Probes, all.News+one.News, all.Members+one.Members
+	for _, one := range r.Activity {
+		all.HealthChecks, all.Gossip, all.Members = all.HealthChecks+one.HealthChecks, all.Gossip+one.Gossip, all.Members+one.Members
 	}
-	if all.Probes == 0 || all.News == 0 || all.Members == 0 || len(r.Beliefs) == 0 {
-		t.Errorf("%d probes, %d news, %d datagrams of members, %d beliefs", all.Probes, all.News, all.Members, len(r.Beliefs))
+	if all.HealthChecks == 0 || all.Gossip == 0 || all.Members == 0 || len(r.Views) == 0 {
+		t.Errorf("%d probes, %d news, %d datagrams of members, %d beliefs", all.HealthChecks, all.Gossip, all.Members, len(r.Views))
 	}
 	if again := played(t, s, Module); text(t, again) != text(t, r) {
 		t.Error("not the same twice")
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -26,25 +26,25 @@
 func (n *node) front() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
 
 // pass is what befalls the next message of a way.
-func (d *Day) pass(from, to netfault.End, size int) netfault.Verdict {
-	if len(d.ways.Turns()) == 0 {
-		return netfault.Verdict{Spoilt: -1}
+func (d *Day) pass(from, to netfault.End, size int) netfault.Fate {
+	if len(d.ways.Changes()) == 0 {
+		return netfault.Fate{CorruptByte: -1}
 	}
 	way := [2]netfault.End{from, to}
 	d.numbers[way]++
-	return d.ways.Pass(d.now, from, to, d.numbers[way], size)
+	return d.ways.FateOf(d.now, from, to, d.numbers[way], size)
 }
 
 // held is by how much later a stream's piece comes than on a sound way.
 func (d *Day) held(from, to netfault.End) int64 {
 	v := d.pass(from, to, messageSize)
 	if v.Lost {
-		v.After += int64(sentAgain)
+		v.Delay += int64(sentAgain)
 	}
 	if v.Rate > 0 {
-		v.After += int64(messageSize / v.Rate * 1e9)
+		v.Delay += int64(messageSize / v.Rate * 1e9)
 	}
-	return v.After
+	return v.Delay
 }
 
 // barred tells whether no new connection comes up between two ends, and whether the one that asks is told so.
@@ -52,7 +52,7 @@
 	for _, way := range [][2]netfault.End{{a, b}, {b, a}} {
 		if !d.ways.Open(d.now, way[0], way[1]) {
 			barred = true
-			refused = refused || d.ways.Pass(d.now, way[0], way[1], 0, 0).Refused
+			refused = refused || d.ways.FateOf(d.now, way[0], way[1], 0, 0).Refused
 		}
 	}
 	return barred, refused
@@ -62,8 +62,8 @@
 // A watch that is silent for too long is given up by the node itself.
 func (d *Day) mendWays() {
 	for i := range d.plan.Faults {
-		way, ok := d.scenario.Way(&d.plan.Faults[i].Fault)
-		if !ok || way.Trouble != netfault.Cut {
+		way, ok := d.scenario.LinkFault(&d.plan.Faults[i].Fault)
+		if !ok || way.Kind != netfault.Cut {
 			continue
 		}
 		reset := func() {
@@ -75,7 +75,7 @@
 			}
 		}
 		d.at(way.End, reset)
-		if way.How == "refused" {
+		if way.Variant == "refused" {
 			d.at(way.Begin, reset)
 			continue
 		}
@@ -98,7 +98,7 @@
 	}
 	n := d.nodes[from.Index]
 	switch to.Kind {
-	case netfault.Server:
+	case netfault.Endpoint:
 		m := d.machines[to.Index]
 		m.epochs[n.index]++
 		n.serverGone(m, true)
@@ -112,7 +112,7 @@
 // join begins a life's view of the others.
 func (n *node) join(list []model.ListEntry) {
 	d := n.day
-	if !d.scenario.Nodes.Members {
+	if !d.scenario.Nodes.Membership {
 		return
 	}
 	var names []string
@@ -121,7 +121,7 @@
 	}
 	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.life.Incarnation)
 	view, err := members.New(members.Settings{
-		Name: names[n.index], Peers: names, Round: int64(d.scenario.Nodes.Round), Seed: seed,
+		Name: names[n.index], Peers: names, Round: int64(d.scenario.Nodes.ProtocolPeriod), Seed: seed,
 		Run: uint32(seed*2654435761>>8) | 1, Take: func(from int, load []byte) { n.hearing.take(n, from, load) },
 	}, (*datagrams)(n), n.clock())
 	if err != nil {
@@ -130,7 +130,7 @@
 	}
 	n.view = view
 	n.listen(seed, list)
-	beat := int64(d.scenario.Nodes.Round) / 10
+	beat := int64(d.scenario.Nodes.ProtocolPeriod) / 10
 	var again func()
 	again = func() {
 		if n.view != view {
@@ -153,26 +153,26 @@
 func (s *datagrams) Send(to int, datagram []byte) {
 	n := (*node)(s)
 	d := n.day
-	d.count(func(t *trace.Together) { t.Members++; t.MemberBytes += len(datagram) })
+	d.count(func(t *trace.FleetActivity) { t.Members++; t.MemberBytes += len(datagram) })
 	v := d.pass(netfault.End{Index: n.index}, netfault.End{Index: to}, len(datagram))
 	if v.Lost {
 		return
 	}
-	if v.Spoilt >= 0 {
+	if v.CorruptByte >= 0 {
 		datagram = append([]byte(nil), datagram...)
-		datagram[v.Spoilt] ^= 0x55
+		datagram[v.CorruptByte] ^= 0x55
 	}
 	other := d.nodes[to]
-	way := int64(d.scenario.Network.Same)
+	way := int64(d.scenario.Network.SameZone)
 	if n.zone != other.zone {
-		way = int64(d.scenario.Network.Cross)
+		way = int64(d.scenario.Network.CrossZone)
 	}
 	if v.Rate > 0 {
-		v.After += int64(float64(len(datagram)) / v.Rate * 1e9)
+		v.Delay += int64(float64(len(datagram)) / v.Rate * 1e9)
 	}
-	d.in(way+v.After, func() { other.heard(datagram) })
-	if v.Again > 0 {
-		d.in(way+v.After+v.Again, func() { other.heard(datagram) })
+	d.in(way+v.Delay, func() { other.heard(datagram) })
+	if v.DuplicateAfter > 0 {
+		d.in(way+v.Delay+v.DuplicateAfter, func() { other.heard(datagram) })
 	}
 }
 
@@ -204,15 +204,15 @@
 		if i%step != 0 {
 			continue
 		}
-		b := trace.Belief{At: d.now, Node: i, Known: n.view.Figure(n.clock()).Known, Strain: n.view.Strain()}
+		b := trace.MembershipView{At: d.now, Node: i, Known: n.view.Figure(n.clock()).Known, Strain: n.view.Strain()}
 		letters := make([]byte, len(d.nodes))
 		for k, s := range n.view.States() {
-			letters[k] = trace.Letters[s]
+			letters[k] = trace.StateLetters[s]
 		}
-		b.Of = string(letters)
+		b.States = string(letters)
 		d.beliefs = append(d.beliefs, b)
 	}
-	d.runs = append(d.runs, trace.Runs{At: d.now, Of: string(runs)})
+	d.runs = append(d.runs, trace.RunningNodes{At: d.now, States: string(runs)})
 	if d.now < int64(d.scenario.Length) {
 		d.in(believedEvery, d.believe)
 	}
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -17,8 +17,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Load.Rate != 123 || s.Faults[0].Factor != 0.5 || s.Network.Cross != 9e6 {
-		t.Errorf("rate %v, factor %v, cross %v", s.Load.Rate, s.Faults[0].Factor, s.Network.Cross)
+	if s.Load.Rate != 123 || s.Faults[0].Factor != 0.5 || s.Network.CrossZone != 9e6 {
+		t.Errorf("rate %v, factor %v, cross %v", s.Load.Rate, s.Faults[0].Factor, s.Network.CrossZone)
 	}
 	for key, want := range map[string]string{"load.speed": "unknown key", "fault.7.factor": "a number from 0 to", "name.x": "no table", "load.rate": "cannot decode"} {
 		value := "1"
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -16,12 +16,12 @@
 type State int
 
 const (
-	Unsettled State = iota
-	Satisfied
-	Declined
-	BrokenOff // failed, or no answer when its time was up
-	Lost      // went down with a node that was killed, or found none
-	Left      // its client went first
+	Pending State = iota
+	Succeeded
+	Rejected
+	Failed   // failed, or no answer when its time was up
+	Lost     // went down with a node that was killed, or found none
+	Canceled // its client went first
 )
 
 // StateNames in the order of the states.
@@ -29,90 +29,94 @@
 
 // Outcome is one task's end.
 type Outcome struct {
-	State State
-	Took  int64 // from when it was due to when the client had its answer, or gave up
-	Tries int
+	State    State
+	Elapsed  int64 // from when it was due to when the client had its answer, or gave up
+	Requests int
 }
 
 // NodeFigures is what a node used.
-type NodeFigures struct {
-	Node        int     `json:"node"`
-	CPUSeconds  float64 `json:"cpu_s"`
-	MostMB      float64 `json:"memory_mb"`
-	MostFiles   int     `json:"descriptors"`
-	Starts      int     `json:"starts"`
-	Crashes     int     `json:"crashes"`
-	LastLogLine string  `json:"last_log,omitempty"`
+type NodeUsage struct {
+	Node           int     `json:"node"`
+	CPUSeconds     float64 `json:"cpu_s"`
+	MaxMemoryMB    float64 `json:"memory_mb"`
+	MaxDescriptors int     `json:"descriptors"`
+	Starts         int     `json:"starts"`
+	Crashes        int     `json:"crashes"`
+	LastLogLine    string  `json:"last_log,omitempty"`
 }
 
 // LoadSample is what the servers held at a moment.
 type LoadSample struct {
-	At   int64
-	Held []int
+	At       int64 `json:"At"`
+	InFlight []int `json:"Held"` // by endpoint
 }
 
 // BadFigures tell how bad clients were met.
-type BadFigures struct{ Came, Unanswered, Served int64 }
+type BadClientCounts struct {
+	Came       int64 `json:"Came"`
+	Unanswered int64 `json:"Unanswered"`
+	Served     int64 `json:"Served"`
+}
 
 // Together counts what all nodes did together in one second of the day, beside the tasks that came.
-type Together struct {
-	Tasks       int `json:"tasks"`
-	HandOffs    int `json:"hand_offs"`
-	Resends     int `json:"resends"` // hand-offs of a task after its first, when none was out
-	Copies      int `json:"copies"`  // and while one was out
-	Connections int `json:"connections"`
-	Calls       int `json:"calls"` // for the list
-	Probes      int `json:"probes"`
-	News        int `json:"news"`              // messages between nodes
-	Members     int `json:"members,omitempty"` // datagrams of who is there, and their bytes
-	MemberBytes int `json:"member_bytes,omitempty"`
+type FleetActivity struct {
+	Operations   int `json:"tasks"`
+	Attempts     int `json:"hand_offs"`
+	Retries      int `json:"resends"` // hand-offs of a task after its first, when none was out
+	Hedged       int `json:"copies"`  // and while one was out
+	Connections  int `json:"connections"`
+	ListCalls    int `json:"calls"` // for the list
+	HealthChecks int `json:"probes"`
+	Gossip       int `json:"news"`              // messages between nodes
+	Members      int `json:"members,omitempty"` // datagrams of who is there, and their bytes
+	MemberBytes  int `json:"member_bytes,omitempty"`
 }
 
 // Belief is what one node believed of the others at a moment.
-type Belief struct {
+type MembershipView struct {
 	At     int64  `json:"at_ns"`
 	Node   int    `json:"node"`
 	Known  bool   `json:"known"`            // it says how many there are
-	Of     string `json:"of"`               // by node: . never seen, U up, ? doubted, - silent, L left
+	States string `json:"of"`               // by node: . never seen, U up, ? doubted, - silent, L left
 	Strain int64  `json:"strain,omitempty"` // 0 to 8
 }
 
 // Letters of what is believed of a node, by the state's number.
-const Letters = ".U?-L"
+const StateLetters = ".U?-L"
 
 // Runs is which nodes ran at a moment, as a letter each: U, or - for one that did not.
-type Runs struct {
-	At int64  `json:"at_ns"`
-	Of string `json:"of"`
+type RunningNodes struct {
+	At     int64  `json:"at_ns"`
+	States string `json:"of"`
 }
 
 // Record is a day before anything is worked out from it.
-type Record struct {
-	Plan     *workload.Plan // its times shifted by Base, as those of the ledger are
-	Hash     string         // of the plan as drawn
-	Base     int64
-	Virtual  bool
-	Outcomes []Outcome
-	Ledger   *invariant.History
-	Breaks   []invariant.Violation
-	Peaks    [2][]invariant.Peak // of servers while they were cold: of all that came, and of what came from nodes that knew
-	Nodes    []NodeFigures
-	Loads    []LoadSample
-	Together []Together       // by second
-	Reach    []netfault.Reach // by second, where ways are troubled
-	Beliefs  []Belief
-	Runs     []Runs
-	Odd      map[string]int
-	Void     bool
-	Late     time.Duration // in all but the worst twentieth of the time no later than this
-	Bad      BadFigures
-	Servers  []string
-	Took     time.Duration
+type Trace struct {
+	Plan       *workload.Plan // its times shifted by Base, as those of the ledger are
+	PlanHash   string         // of the plan as drawn
+	StartedAt  int64
+	Virtual    bool
+	Outcomes   []Outcome
+	History    *invariant.History
+	Violations []invariant.Violation
+	Peaks      [2][]invariant.Peak // of servers while they were cold: of all that came, and of what came from nodes that knew
+	Nodes      []NodeUsage
+	Loads      []LoadSample
+	Activity   []FleetActivity  // by second
+	Reach      []netfault.Reach // by second, where ways are troubled
+	Views      []MembershipView
+	Running    []RunningNodes
+	Oddities   map[string]int
+	Void       bool
+	Lag        time.Duration // in all but the worst twentieth of the time no later than this
+	BadClients BadClientCounts
+	Endpoints  []string
+	Elapsed    time.Duration
 }
 
 // ReachOf is who could reach whom at the middle of each second of a day that begins at a moment; nothing where no way is troubled.
 func ReachOf(s *scenario.Scenario, ways *netfault.Schedule, base int64) (out []netfault.Reach) {
-	if len(ways.Turns()) == 0 {
+	if len(ways.Changes()) == 0 {
 		return nil
 	}
 	for second := int64(0); second < (int64(s.Length)+1e9-1)/1e9; second++ {
@@ -122,28 +126,28 @@
 }
 
 // Categories are a scenario's as the judge knows them.
-func Categories(s *scenario.Scenario) []invariant.Class {
+func Classes(s *scenario.Scenario) []invariant.Class {
 	var out []invariant.Class
-	for i := range s.Categories {
-		repeat, group := RepeatOf(&s.Categories[i])
-		out = append(out, invariant.Class{Name: s.Categories[i].Name, Idempotency: repeat, DedupGroup: group, DedupWindow: int64(s.Categories[i].Memory)})
+	for i := range s.Classes {
+		repeat, group := IdempotencyOf(&s.Classes[i])
+		out = append(out, invariant.Class{Name: s.Classes[i].Name, Idempotency: repeat, DedupGroup: group, DedupWindow: int64(s.Classes[i].DedupWindow)})
 	}
 	return out
 }
 
 // RepeatOf is what running a category's tasks twice does, and which servers drop a repeat.
-func RepeatOf(c *scenario.Category) (invariant.Idempotency, invariant.DedupGroup) {
+func IdempotencyOf(c *scenario.Class) (invariant.Idempotency, invariant.DedupGroup) {
 	repeat := map[string]invariant.Idempotency{"rerunnable": invariant.Idempotent, "ticketed": invariant.IdempotentByKey, "exclusive": invariant.NonIdempotent}
 	group := map[string]invariant.DedupGroup{"fleet": invariant.DedupFleet, "zone": invariant.DedupZone, "pod": invariant.DedupPod}
-	return repeat[c.Repeat], group[c.Group]
+	return repeat[c.Idempotency], group[c.DedupGroup]
 }
 
 // The standing test's terms that hold whatever a day's settings allow.
 const (
-	toldWithin  = int64(6 * time.Second)
-	goneWithin  = int64(100 * time.Millisecond)
-	readyWithin = int64(10 * time.Second)
-	readyShort  = int64(6 * time.Second)
+	knownWithin      = int64(6 * time.Second)
+	cancelGrace      = int64(100 * time.Millisecond)
+	readyWithin      = int64(10 * time.Second)
+	readyWithinAtEnd = int64(6 * time.Second)
 )
 
 // RulesOf is what the nodes of a day are held to, with what each time limit is longer by: a slack, how late the rig ran, and what
@@ -151,15 +155,15 @@
 func RulesOf(s *scenario.Scenario, ways *netfault.Schedule, base, slack int64, late func(int64) int64) invariant.Rules {
 	r := &s.Rules
 	within := int64(0)
-	if s.Discovery.Ask {
-		within = int64(r.AskWithin)
+	if s.Discovery.MustPoll {
+		within = int64(r.PollWithin)
 	}
 	rules := invariant.Rules{
 		StopSending: int64(r.StopSending), PollWithin: within, AnswerGrace: int64(r.AnswerGrace),
-		KnownWithin: toldWithin, CancelGrace: goneWithin, ReadyWithin: readyWithin, ReadyWithinAtEnd: readyShort, End: base + int64(s.Length),
-		MayHedge: r.MayDuplicate, ListGossip: s.Nodes.List, Slack: slack, Lag: late,
+		KnownWithin: knownWithin, CancelGrace: cancelGrace, ReadyWithin: readyWithin, ReadyWithinAtEnd: readyWithinAtEnd, End: base + int64(s.Length),
+		MayHedge: r.MayHedge, ListGossip: s.Nodes.ListGossip, Slack: slack, Lag: late,
 	}
-	if len(ways.Turns()) == 0 {
+	if len(ways.Changes()) == 0 {
 		return rules
 	}
 	rules.Lag = func(at int64) int64 {
@@ -170,36 +174,36 @@
 		return by
 	}
 	rules.LinkDelay = func(at int64) int64 {
-		return ways.Allowance(at, netfault.Node, netfault.Server) + ways.Allowance(at, netfault.Node, netfault.Discovery)
+		return ways.Allowance(at, netfault.Node, netfault.Endpoint) + ways.Allowance(at, netfault.Node, netfault.Discovery)
 	}
 	return rules
 }
 
 // BeliefOf puts a view into a line.
-func BeliefOf(at int64, node int, v *members.View) Belief {
-	b := Belief{At: at, Node: node, Known: v.Figure.Known, Strain: v.Strain}
+func ViewOf(at int64, node int, v *members.View) MembershipView {
+	b := MembershipView{At: at, Node: node, Known: v.Figure.Known, Strain: v.Strain}
 	letters := make([]byte, len(v.Members))
 	for i, r := range v.Members {
 		letters[i] = '.'
 		for s := members.Never; s <= members.Left; s++ {
 			if s.String() == r.State {
-				letters[i] = Letters[s]
+				letters[i] = StateLetters[s]
 			}
 		}
 	}
-	b.Of = string(letters)
+	b.States = string(letters)
 	return b
 }
 
 // Excuse tells the ledger of cuts between clients and nodes, as what is said over them reaches nobody, and of those between nodes and
 // discovery, over which nothing can be learned.
-func Excuse(s *scenario.Scenario, p *workload.Plan, l *invariant.History) {
+func ExcuseCutLinks(s *scenario.Scenario, p *workload.Plan, l *invariant.History) {
 	for i := range p.Faults {
-		way, ok := s.Way(&p.Faults[i].Fault)
-		if !ok || way.Trouble != netfault.Cut {
+		way, ok := s.LinkFault(&p.Faults[i].Fault)
+		if !ok || way.Kind != netfault.Cut {
 			continue
 		}
-		of := func(k netfault.Kind) (out []int) {
+		of := func(k netfault.EndKind) (out []int) {
 			for _, e := range append(append([]netfault.End(nil), way.From...), way.To...) {
 				if e.Kind == k {
 					out = append(out, e.Index)
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -17,7 +17,7 @@
 )
 
 // Server is one machine of the day's beginning, or one that a fault adds or puts in place of another.
-type Server struct {
+type Endpoint struct {
 	Name  string  `json:"Name"`
 	Index int     `json:"Index"`
 	Fleet int     `json:"Fleet"`
@@ -28,31 +28,31 @@
 }
 
 // Task is one thing that a client wants. Its tries on the wire have ids of their own.
-type Task struct {
-	N        int    `json:"N"`
-	Due      int64  `json:"Due"`  // since the day's beginning, nanoseconds
-	Zone     int    `json:"Zone"` // of the client, and so of its front
-	Category int    `json:"Category"`
-	Customer int    `json:"Customer"` // -1 without
-	Key      int    `json:"Key"`      // -1 without
-	Work     int64  `json:"Work"`
-	Estimate int64  `json:"Estimate"` // what the client guesses the work to be; 0: does not tell
-	Leaves   int64  `json:"Leaves"`   // after this long the client goes; 0: stays
-	Once     bool   `json:"Once"`     // its connection is kept and never used again
-	Honours  bool   `json:"Honours"`
-	Seed     uint64 `json:"Seed"`
+type Operation struct {
+	Index            int    `json:"N"`
+	Due              int64  `json:"Due"`  // since the day's beginning, nanoseconds
+	Zone             int    `json:"Zone"` // of the client, and so of its front
+	Class            int    `json:"Category"`
+	Tenant           int    `json:"Customer"` // -1 without
+	Key              int    `json:"Key"`      // -1 without
+	Work             int64  `json:"Work"`
+	CostHint         int64  `json:"Estimate"` // what the client guesses the work to be; 0: does not tell
+	LeavesAfter      int64  `json:"Leaves"`   // after this long the client goes; 0: stays
+	OneShot          bool   `json:"Once"`     // its connection is kept and never used again
+	HonorsRetryAfter bool   `json:"Honours"`
+	Seed             uint64 `json:"Seed"`
 }
 
 // Fault is one trouble with who it hits.
 type Fault struct {
 	scenario.Fault
-	N       int    `json:"N"`
+	Index   int    `json:"N"`
 	Targets []int  `json:"Targets"` // servers or nodes
 	Seed    uint64 `json:"Seed"`
 }
 
 // Back is when one of those that a power loss took is back: after a time, and up to Each more, drawn for each.
-func (f *Fault) Back(after scenario.Duration, seed uint64, n int) int64 {
+func (f *Fault) RestoredAfter(after scenario.Duration, seed uint64, n int) int64 {
 	return int64(after) + int64(source(seed+uint64(n)*7919, "back").Float64()*float64(f.Each))
 }
 
@@ -66,15 +66,15 @@
 
 // Plan is a day as drawn.
 type Plan struct {
-	Seed    uint64      `json:"Seed"`
-	Servers []Server    `json:"Servers"`
-	Tasks   []Task      `json:"Tasks"`
-	Faults  []Fault     `json:"Faults"`
-	Bad     []BadClient `json:"Bad"`
+	Seed       uint64      `json:"Seed"`
+	Endpoints  []Endpoint  `json:"Servers"`
+	Operations []Operation `json:"Tasks"`
+	Faults     []Fault     `json:"Faults"`
+	BadClients []BadClient `json:"Bad"`
 }
 
 // BadKinds are the ways of bad clients.
-var BadKinds = []string{
+var BadClientKinds = []string{
 	"noise", "endless-head", "negative-length", "two-lengths", "huge-body", "no-category", "no-limit",
 	"no-id", "half", "silent", "both-framings", "flood",
 }
@@ -89,8 +89,8 @@
 // Draw makes the plan of a day.
 func Draw(s *scenario.Scenario, seed uint64) *Plan {
 	p := &Plan{Seed: seed}
-	p.drawServers(s)
-	p.drawTasks(s)
+	p.drawEndpoints(s)
+	p.drawOperations(s)
 	p.drawFaults(s)
 	return p
 }
@@ -106,18 +106,18 @@
 
 // Shift moves all moments, for a clock on which the day does not begin at 0.
 func (p *Plan) Shift(by int64) {
-	for i := range p.Tasks {
-		p.Tasks[i].Due += by
+	for i := range p.Operations {
+		p.Operations[i].Due += by
 	}
 	for i := range p.Faults {
 		p.Faults[i].At += scenario.Duration(by)
 	}
-	for i := range p.Bad {
-		p.Bad[i].Due += by
+	for i := range p.BadClients {
+		p.BadClients[i].Due += by
 	}
 }
 
-func (p *Plan) drawServers(s *scenario.Scenario) {
+func (p *Plan) drawEndpoints(s *scenario.Scenario) {
 	draw := source(p.Seed, "servers")
 	pods := 0
 	for f := range s.Fleets {
@@ -131,8 +131,8 @@
 				pods++
 			}
 			inZone[zone]++
-			p.Servers = append(p.Servers, Server{
-				Name: fmt.Sprintf("%s-%d", fleet.Name, n), Index: len(p.Servers), Fleet: f,
+			p.Endpoints = append(p.Endpoints, Endpoint{
+				Name: fmt.Sprintf("%s-%d", fleet.Name, n), Index: len(p.Endpoints), Fleet: f,
 				Zone: zone, Pod: podOf[zone], Speed: fleet.Speed * (1 + fleet.Spread*(2*draw.Float64()-1)), Seed: draw.Uint64(),
 			})
 		}
@@ -165,10 +165,10 @@
 	return 1
 }
 
-func (p *Plan) drawTasks(s *scenario.Scenario) {
+func (p *Plan) drawOperations(s *scenario.Scenario) {
 	draw := source(p.Seed, "tasks")
-	category := weights(s.Categories, func(c *scenario.Category) float64 { return c.Share })
-	customer := weights(s.Customers, func(c *scenario.Customer) float64 { return c.Share })
+	category := weights(s.Classes, func(c *scenario.Class) float64 { return c.Share })
+	customer := weights(s.Tenants, func(c *scenario.Tenant) float64 { return c.Share })
 	zone := s.Load.ZoneShare
 	if len(zone) == 0 {
 		zone = make([]float64, len(s.Network.Zones))
@@ -186,35 +186,35 @@
 		if draw.Float64()*(1+s.Load.Swing) >= rateAt(&s.Load, int64(at), int64(s.Length)) {
 			continue
 		}
-		t := Task{N: len(p.Tasks), Due: int64(at), Customer: -1, Key: -1, Seed: draw.Uint64()}
-		t.Category, t.Zone = pick(draw, category), pick(draw, zone)
-		if len(s.Customers) > 0 {
-			t.Customer = pick(draw, customer)
+		t := Operation{Index: len(p.Operations), Due: int64(at), Tenant: -1, Key: -1, Seed: draw.Uint64()}
+		t.Class, t.Zone = pick(draw, category), pick(draw, zone)
+		if len(s.Tenants) > 0 {
+			t.Tenant = pick(draw, customer)
 		}
 		if s.Load.Keys > 0 {
-			if t.Key = 0; draw.Float64() >= s.Load.HotKey {
+			if t.Key = 0; draw.Float64() >= s.Load.HotKeyShare {
 				t.Key = draw.IntN(s.Load.Keys)
 			}
 		}
-		c := &s.Categories[t.Category]
-		t.Work = int64(float64(c.Work) * (1 - c.Vary + c.Vary*draw.ExpFloat64()))
-		if t.Work = max(t.Work, 1000); c.Estimate {
-			t.Estimate = int64(float64(t.Work) * (0.8 + 0.4*draw.Float64()))
+		c := &s.Classes[t.Class]
+		t.Work = int64(float64(c.Work) * (1 - c.WorkSpread + c.WorkSpread*draw.ExpFloat64()))
+		if t.Work = max(t.Work, 1000); c.CostHint {
+			t.CostHint = int64(float64(t.Work) * (0.8 + 0.4*draw.Float64()))
 		}
-		if draw.Float64() < s.Clients.Leave {
-			t.Leaves = int64(float64(c.HardLimit) * draw.Float64())
+		if draw.Float64() < s.Clients.LeaveShare {
+			t.LeavesAfter = int64(float64(c.Deadline) * draw.Float64())
 		}
-		t.Once = draw.Float64() < s.Clients.Once
-		t.Honours = draw.Float64() < s.Clients.Honour
-		p.Tasks = append(p.Tasks, t)
+		t.OneShot = draw.Float64() < s.Clients.OneShotShare
+		t.HonorsRetryAfter = draw.Float64() < s.Clients.HonorShare
+		p.Operations = append(p.Operations, t)
 	}
 }
 
 func (p *Plan) drawFaults(s *scenario.Scenario) {
 	draw := source(p.Seed, "faults")
 	for n := range s.Faults {
-		f := Fault{Fault: s.Faults[n], N: n, Seed: draw.Uint64()}
-		switch scenario.Kinds[f.Kind] {
+		f := Fault{Fault: s.Faults[n], Index: n, Seed: draw.Uint64()}
+		switch scenario.FaultKinds[f.Kind] {
 		case "servers":
 			f.Targets = p.targets(draw, &f.Fault)
 		case "nodes":
@@ -225,25 +225,25 @@
 		}
 		p.Faults = append(p.Faults, f)
 		if f.Kind == "bad-clients" {
-			p.drawBad(s, &f)
+			p.drawBadClients(s, &f)
 		}
 	}
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return int(a.At - b.At) })
-	slices.SortStableFunc(p.Bad, func(a, b BadClient) int { return int(a.Due - b.Due) })
+	slices.SortStableFunc(p.BadClients, func(a, b BadClient) int { return int(a.Due - b.Due) })
 }
 
 // targets names who is hit: those that the file names, else as many as it wants of those in the zone.
 func (p *Plan) targets(draw *rand.Rand, f *scenario.Fault) []int {
 	var named, fit []int
-	for i := range p.Servers {
-		if slices.Contains(f.Servers, p.Servers[i].Name) {
+	for i := range p.Endpoints {
+		if slices.Contains(f.Endpoints, p.Endpoints[i].Name) {
 			named = append(named, i)
 		}
-		if f.Zone == "" || p.Servers[i].Zone == f.Zone {
+		if f.Zone == "" || p.Endpoints[i].Zone == f.Zone {
 			fit = append(fit, i)
 		}
 	}
-	if len(f.Servers) > 0 {
+	if len(f.Endpoints) > 0 {
 		return named
 	}
 	return some(draw, fit, f)
@@ -283,10 +283,10 @@
 }
 
 // Ways is the schedule of what is wrong with ways, with its times as the plan's stand now.
-func (p *Plan) Ways(s *scenario.Scenario) *netfault.Schedule {
+func (p *Plan) LinkFaults(s *scenario.Scenario) *netfault.Schedule {
 	var all []netfault.Fault
 	for i := range p.Faults {
-		if way, ok := s.Way(&p.Faults[i].Fault); ok {
+		if way, ok := s.LinkFault(&p.Faults[i].Fault); ok {
 			way.Seed = p.Faults[i].Seed
 			all = append(all, way)
 		}
@@ -294,7 +294,7 @@
 	return netfault.New(all)
 }
 
-func (p *Plan) drawBad(s *scenario.Scenario, f *Fault) {
+func (p *Plan) drawBadClients(s *scenario.Scenario, f *Fault) {
 	draw := source(f.Seed, "bad clients")
 	until := int64(f.At + f.For)
 	if f.For == 0 {
@@ -304,36 +304,36 @@
 		if at += draw.ExpFloat64() / f.Rate * 1e9; int64(at) >= until {
 			return
 		}
-		kind := BadKinds[draw.IntN(len(BadKinds))]
+		kind := BadClientKinds[draw.IntN(len(BadClientKinds))]
 		if f.How != "" {
 			kind = f.How
 		}
-		p.Bad = append(p.Bad, BadClient{Due: int64(at), Kind: kind, Node: draw.IntN(s.Nodes.Count), Seed: draw.Uint64()})
+		p.BadClients = append(p.BadClients, BadClient{Due: int64(at), Kind: kind, Node: draw.IntN(s.Nodes.Count), Seed: draw.Uint64()})
 	}
 }
 
 // Parts is how much of its zone's load each node gets, over the mean; nil where all get the same. It is drawn for itself, so that the
 // plan of a day without it stays what it was.
-func (p *Plan) Parts(s *scenario.Scenario) []float64 {
-	if s.Load.Uneven == 0 {
+func (p *Plan) NodeShares(s *scenario.Scenario) []float64 {
+	if s.Load.NodeSkew == 0 {
 		return nil
 	}
 	draw, out := source(p.Seed, "parts"), make([]float64, s.Nodes.Count)
 	for i := range out {
-		out[i] = math.Exp(s.Load.Uneven*draw.NormFloat64() - s.Load.Uneven*s.Load.Uneven/2)
+		out[i] = math.Exp(s.Load.NodeSkew*draw.NormFloat64() - s.Load.NodeSkew*s.Load.NodeSkew/2)
 	}
 	return out
 }
 
 // Choice deals tasks out to nodes of a zone by their parts. Which gets a try hangs on the try alone.
-type Choice []float64
+type NodePicker []float64
 
 // ChoiceOf is a choice among some nodes; nil where all parts are the same.
-func ChoiceOf(parts []float64, nodes []int) Choice {
+func NewNodePicker(parts []float64, nodes []int) NodePicker {
 	if parts == nil {
 		return nil
 	}
-	c, sum := make(Choice, len(nodes)), 0.0
+	c, sum := make(NodePicker, len(nodes)), 0.0
 	for i, n := range nodes {
 		sum += parts[n]
 		c[i] = sum
@@ -342,7 +342,7 @@
 }
 
 // Place is the place in the list of the node that a try goes to.
-func (c Choice) Place(task *Task, try int) int {
+func (c NodePicker) Pick(task *Operation, try int) int {
 	x := rand.New(rand.NewPCG(task.Seed, 77+uint64(try))).Float64() * c[len(c)-1]
 	return min(sort.SearchFloat64s(c, x), len(c)-1)
 }
@@ -371,7 +371,7 @@
 
 // HandOffWork is the work that one hand-off of a task means for a server. It hangs on the task, the hand-off's place
 // among those of its try and the server alone, so that it does not matter when it comes.
-func HandOffWork(work int64, noise float64, seed, server uint64, n int) (drawn int64, luck float64) {
+func AttemptWork(work int64, noise float64, seed, server uint64, n int) (drawn int64, luck float64) {
 	draw := rand.New(rand.NewPCG(seed+uint64(n), server))
 	return max(int64(float64(work)*(1+noise*(2*draw.Float64()-1))), 1000), draw.Float64()
 }
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -56,7 +56,7 @@
 	}
 	// A change of one part leaves the draws of the others alone.
 	keyed := drawn(t, "keys = 10", 5)
-	if keyed.Servers[7] != a.Servers[7] || keyed.Bad[3] != a.Bad[3] || len(keyed.Faults[0].Targets) != len(a.Faults[0].Targets) {
+	if keyed.Endpoints[7] != a.Endpoints[7] || keyed.BadClients[3] != a.BadClients[3] || len(keyed.Faults[0].Targets) != len(a.Faults[0].Targets) {
 		t.Error("keys of tasks changed the draws of servers, faults or bad clients")
 	}
 }
@@ -64,11 +64,11 @@
 func TestDrawsAreWhatTheFileSays(t *testing.T) {
 	for _, load := range []string{"", `shape = "wave"`, "shape = \"burst\"\nswing = 0.8", `shape = "month-end"`} {
 		p := drawn(t, load, 1)
-		if n := float64(len(p.Tasks)); math.Abs(n-30000) > 6*math.Sqrt(30000) && load != `shape = "month-end"` {
+		if n := float64(len(p.Operations)); math.Abs(n-30000) > 6*math.Sqrt(30000) && load != `shape = "month-end"` {
 			t.Errorf("%s: %v tasks in a minute, want about 30,000", load, n)
 		}
 		last := int64(0)
-		for _, task := range p.Tasks {
+		for _, task := range p.Operations {
 			if task.Due < last {
 				t.Fatalf("%s: tasks are not in order", load)
 			}
@@ -77,19 +77,19 @@
 	}
 	p := drawn(t, "", 1)
 	view, work := 0, 0.0
-	for _, task := range p.Tasks {
-		if task.Category == 0 {
+	for _, task := range p.Operations {
+		if task.Class == 0 {
 			view++
 			work += float64(task.Work) / 5e6
 		}
 	}
-	if part := float64(view) / float64(len(p.Tasks)); math.Abs(part-0.75) > 0.02 || math.Abs(work/float64(view)-1) > 0.05 {
+	if part := float64(view) / float64(len(p.Operations)); math.Abs(part-0.75) > 0.02 || math.Abs(work/float64(view)-1) > 0.05 {
 		t.Errorf("share of views %.3f, work by its mean %.3f; want 0.75 and 1", part, work/float64(view))
 	}
-	if targets := p.Faults[0].Targets; len(targets) != 5 || p.Servers[targets[0]].Zone != "b" {
+	if targets := p.Faults[0].Targets; len(targets) != 5 || p.Endpoints[targets[0]].Zone != "b" {
 		t.Errorf("hit %v, want a quarter of zone b's twenty", targets)
 	}
-	for _, b := range p.Bad {
+	for _, b := range p.BadClients {
 		if b.Due < 2e9 || b.Due >= 6e9 {
 			t.Errorf("a bad client at %d, outside its time", b.Due)
 		}
@@ -103,20 +103,20 @@
 		t.Fatal(err)
 	}
 	p := Draw(s, 1)
-	parts := p.Parts(s)
+	parts := p.NodeShares(s)
 	least, most := slices.Min(parts), slices.Max(parts)
 	if len(parts) != s.Nodes.Count || most < 4 || most > 20 || least > 0.3 || least <= 0 {
 		t.Errorf("%d nodes get from %.2f to %.2f of the mean, want some several times it", len(parts), least, most)
 	}
 	nodes := []int{3, 6, 9}
 	parts[3], parts[6], parts[9] = 1, 3, 0.5
-	choice, got := ChoiceOf(parts, nodes), make([]float64, 3)
-	for i := range p.Tasks {
-		place := choice.Place(&p.Tasks[i], 0)
-		if place != choice.Place(&p.Tasks[i], 0) {
+	choice, got := NewNodePicker(parts, nodes), make([]float64, 3)
+	for i := range p.Operations {
+		place := choice.Pick(&p.Operations[i], 0)
+		if place != choice.Pick(&p.Operations[i], 0) {
 			t.Fatal("a try goes elsewhere when asked again")
 		}
-		got[place] += 4.5 / float64(len(p.Tasks))
+		got[place] += 4.5 / float64(len(p.Operations))
 	}
 	for i, n := range nodes {
 		if math.Abs(got[i]-parts[n]) > 0.1 {
@@ -124,7 +124,7 @@
 		}
 	}
 	hash := p.Hash()
-	if s.Load.Uneven = 0; p.Parts(s) != nil || ChoiceOf(nil, nodes) != nil || Draw(s, 1).Hash() != hash {
+	if s.Load.NodeSkew = 0; p.NodeShares(s) != nil || NewNodePicker(nil, nodes) != nil || Draw(s, 1).Hash() != hash {
 		t.Error("an even day deals tasks out in turn, and its plan is the same")
 	}
 }
