--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -1,11 +1,11 @@
-// Package subscription has a node go by relays, and by its own watch of discovery where they fail it: the client, the subscriber and the
-// choice between the two, for a node that says how entries are read and what is done with them. It must never hold up the data
-// path: it has one goroutine of its own beside the client's, and costs the relays' word, never service, when it fails.
+// Package subscription gives a node its endpoint list: by relays, and by the node's own watch of discovery where relays
+// fail. It joins a relay client, a subscriber and the selection of the source (endpointsource), and calls back into the
+// node for how entries are decoded and applied. A failure here costs the relays' updates, never requests: all work is
+// done by two goroutines of its own.
 package subscription
 
 import (
 	"context"
-	"encoding/json"
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/endpointsource"
@@ -17,216 +17,209 @@
 	"go.uber.org/zap"
 )
 
-// beatEvery is how often time is let pass.
-const beatEvery = 100 * time.Millisecond
-
-// tellEvery is how often records that are passed over are told of.
-const tellEvery = int64(10e9)
-
-// Settings of one node. V is an entry as the node has it.
-type Settings[V any] struct {
-	Name    string
-	Relays  []string
-	Scopes  []string
-	Silence int64        // ns without a word of any relay: discovery is watched
-	Before  int64        // the version of the list that the node remembers from before its start; 0: none
-	Clock   func() int64 // ns, monotone
-	Log     *zap.Logger
-
-	Entry  func(endpointlist.Entry) (V, error)
-	Of     func(V) endpointsource.Server[V]             // how the choice sees an entry
-	As     func(V, endpointsource.State) V              // an entry in another state
-	Tell   func(entries []V, version int64, whole bool) // what the node is to go by; in order, one call at a time
-	Watch  func(on bool)                                // whether discovery is to be watched; off at first
-	Stands func() bool                                  // whether a watch of it stands
-	Passed func(records int)                            // counts what is passed over
-	Caught func(where string, then func())              // deferred in each goroutine: it stops a panic there
+const (
+	// tickInterval is how often the selection of the source is checked.
+	tickInterval = 100 * time.Millisecond
+	// skipLogIntervalNs is the least time between two log entries about skipped records.
+	skipLogIntervalNs = int64(10e9)
+)
+
+// Config of a node's subscription. V is an endpoint as the node describes it. Apply and WatchDiscovery are called one at
+// a time, in order, under the subscription's lock: they must not call back into it.
+type Config[V any] struct {
+	Name            string       // of the node: decides the order in which it tries relays
+	Relays          []string     // addresses with ports
+	Scopes          []string     // region/service; a star at the end stands for all that begin so
+	StaleAfterNs    int64        // relays whose list is older than this are stale, and discovery is watched
+	RestoredVersion int64        // of the list that the node has kept from before its start; 0: none
+	Clock           func() int64 // nanoseconds, monotonic
+	Log             *zap.Logger
+
+	// Decode reads an entry of the list. An error has the entry skipped, and what was known of it stays.
+	Decode func(endpointlist.Entry) (V, error)
+	// ToEndpoint describes an endpoint to the selection of the source.
+	ToEndpoint func(V) endpointsource.Endpoint[V]
+	// WithState returns the endpoint in another state.
+	WithState func(V, endpointsource.EndpointState) V
+	// Apply has the node use a list, or with complete false what has changed in it.
+	Apply func(entries []V, version int64, complete bool)
+	// WatchDiscovery starts or stops the watch of discovery. It is stopped at first.
+	WatchDiscovery func(on bool)
+	// DiscoveryConnected reports whether the watch of discovery is connected.
+	DiscoveryConnected func() bool
+	// CountSkipped counts records that could not be used.
+	CountSkipped func(records int)
+	// Recover is deferred in each goroutine and stops a panic there.
+	Recover func(where string, then func())
 }
 
-// Following is one node's.
-type Following[V any] struct {
-	set      Settings[V]
-	client   *relay.Client
-	follower *relay.Follower
-	scopes   []string // exact ones
-
-	mu     sync.Mutex
-	choice *endpointsource.Sources[V]
-	hosts  *relay.Hosts
-	on     bool
-	stood  bool
-	state  relay.State
-	told   int64
-	by     endpointsource.Teller
-
-	relaying atomic.Bool // relays are in force, and discovery is not watched
+// Subscription is a node's subscription to the endpoint list. Its methods are safe for concurrent use.
+type Subscription[V any] struct {
+	config Config[V]
+	client *relay.Client
+	sink   *relay.SubscriberSink
+
+	mu                 sync.Mutex
+	selector           *endpointsource.Selector[V]
+	hosts              *relay.HostTable
+	active             endpointsource.Source // as last logged
+	watching           bool                  // discovery, as last asked for by WatchDiscovery
+	discoveryConnected bool
+	clientState        relay.ClientState
+	skipsLoggedAtNs    int64
+
+	relaysOnly atomic.Bool // relays are active, and discovery is not watched
 }
 
-// New makes one; nothing runs before Run. Only settings that make no sense are errors.
-func New[V any](set Settings[V]) (*Following[V], error) {
-	f := &Following[V]{set: set, choice: endpointsource.New[V](set.Clock(), set.Silence, set.Before), hosts: relay.NewHosts()}
-	scopes := relay.WithOrigin(set.Scopes)
-	core, err := distribution.NewSubscriber(relay.Selectors(scopes), distribution.Limits{})
+// New returns a subscription; nothing runs before Run. An error says that the configuration is invalid.
+func New[V any](config Config[V]) (*Subscription[V], error) {
+	s := &Subscription[V]{
+		config:   config,
+		selector: endpointsource.New[V](config.Clock(), config.StaleAfterNs, config.RestoredVersion),
+		hosts:    relay.NewHostTable(),
+	}
+	scopes := relay.WithOrigin(config.Scopes)
+	subscriber, err := distribution.NewSubscriber(relay.Selectors(scopes), distribution.Limits{})
 	if err != nil {
 		return nil, err
 	}
-	f.follower = relay.NewFollower(core, scopes, f.changed, set.Log)
-	f.client = relay.NewClient(relay.ClientSettings{Name: set.Name, Upstreams: set.Relays, Spread: true, Clock: set.Clock, OnState: f.stateIs},
-		f.follower, set.Log)
-	return f, nil
+	s.sink = relay.NewSubscriberSink(subscriber, scopes, s.onFrame, config.Log)
+	s.client = relay.NewClient(relay.ClientConfig{
+		Name:         config.Name,
+		Upstreams:    config.Relays,
+		SpreadByName: true,
+		Clock:        config.Clock,
+		OnState:      s.onClientState,
+	}, s.sink, config.Log)
+	return s, nil
 }
 
-// Run follows until the context is done. A nil one follows nobody.
-func (f *Following[V]) Run(ctx context.Context) {
-	if f == nil {
+// Run keeps the list up to date until the context is done. On a nil subscription it returns at once.
+func (s *Subscription[V]) Run(ctx context.Context) {
+	if s == nil {
 		return
 	}
 	go func() {
-		defer f.set.Caught("relays", func() {})
-		f.client.Run(ctx)
+		defer s.config.Recover("relays", func() {})
+		s.client.Run(ctx)
 	}()
-	beats := time.NewTicker(beatEvery)
-	defer beats.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
-		f.beat()
+		s.tick()
 		select {
-		case <-beats.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (f *Following[V]) beat() {
-	defer f.set.Caught("relays", func() {})
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.set.Clock()
-	if stands := f.set.Stands(); stands != f.stood {
-		f.stood = stands
-		f.tell(f.choice.DiscoveryStands(now, stands))
+func (s *Subscription[V]) tick() {
+	defer s.config.Recover("relays", func() {})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.config.Clock()
+	if connected := s.config.DiscoveryConnected(); connected != s.discoveryConnected {
+		s.discoveryConnected = connected
+		s.applyUpdate(s.selector.SetDiscoveryConnected(now, connected))
 	}
-	f.tell(f.choice.Beat(now))
+	s.applyUpdate(s.selector.Tick(now))
 }
 
-// tell has the node go by what was chosen, and watch discovery or not.
-func (f *Following[V]) tell(t endpointsource.Told[V]) {
-	if t.Any {
-		entries := make([]V, len(t.Servers))
-		for i, s := range t.Servers {
-			entries[i] = f.set.As(s.Value, s.State)
+// applyUpdate hands an update to the node, and starts or stops the watch of discovery. The lock is held.
+func (s *Subscription[V]) applyUpdate(update endpointsource.Update[V]) {
+	if update.Valid {
+		entries := make([]V, len(update.Endpoints))
+		for i, endpoint := range update.Endpoints {
+			entries[i] = s.config.WithState(endpoint.Value, endpoint.State)
 		}
-		f.set.Tell(entries, t.Version, t.Whole)
+		s.config.Apply(entries, update.Version, update.Complete)
 	}
-	if by := f.choice.By(); by != f.by {
-		f.set.Log.Info("the list is told by another", zap.Stringer("by", by), zap.Stringer("before", f.by), zap.Int64("version", t.Version))
-		f.by = by
+	if active := s.selector.Active(); active != s.active {
+		s.config.Log.Info("source of the endpoint list changed", zap.Stringer("source", active),
+			zap.Stringer("before", s.active), zap.Int64("version", update.Version))
+		s.active = active
 	}
-	on := f.choice.Watch(f.set.Clock())
-	f.relaying.Store(f.by == endpointsource.Relays && !on)
-	if on != f.on {
-		f.on = on
-		f.set.Watch(on)
+	watch := s.selector.WantsDiscovery(s.config.Clock())
+	s.relaysOnly.Store(s.active == endpointsource.SourceRelays && !watch)
+	if watch != s.watching {
+		s.watching = watch
+		s.config.WatchDiscovery(watch)
 	}
 }
 
-// changed takes in what a frame has brought.
-func (f *Following[V]) changed(now int64, changes []distribution.Change) {
-	whole, age, known := false, int64(0), false
-	f.follower.Look(func(s *distribution.Subscriber) {
-		whole = s.Complete()
-		age, known = s.Age(now, relay.ScopeOrigin)
+// onFrame applies what a frame of a relay has changed.
+func (s *Subscription[V]) onFrame(now int64, changes []distribution.Change) {
+	complete, ageNs, ageKnown := false, int64(0), false
+	s.sink.Inspect(func(subscriber *distribution.Subscriber) {
+		complete = subscriber.Complete()
+		ageNs, ageKnown = subscriber.Age(now, relay.ScopeOrigin)
 	})
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	entries, passed, err := f.hosts.Take(changes)
-	servers := make([]endpointsource.Server[V], 0, len(entries))
-	for _, e := range entries {
-		one, wrong := f.set.Entry(e)
-		if wrong != nil {
-			passed, err = passed+1, wrong
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	endpoints := s.decode(now, changes)
+	discovery, discoveryKnown := s.hosts.Discovery()
+	s.applyUpdate(s.selector.UpdateRelays(now, endpointsource.RelayUpdate[V]{
+		Changes:   endpoints,
+		Complete:  complete,
+		Connected: discoveryKnown && discovery.Connected && ageKnown,
+		AsOfNs:    now - ageNs,
+		Version:   discovery.Version,
+	}))
+}
+
+// decode turns changes of records into endpoints. Records that can't be used are counted and skipped.
+func (s *Subscription[V]) decode(now int64, changes []distribution.Change) []endpointsource.Endpoint[V] {
+	hosts := s.hosts.Apply(changes)
+	endpoints := make([]endpointsource.Endpoint[V], 0, len(hosts.Entries))
+	for _, entry := range hosts.Entries {
+		decoded, err := s.config.Decode(entry)
+		if err != nil {
+			hosts.Skipped++
+			hosts.LastErr = err
 			continue // what was known of it stays
 		}
-		servers = append(servers, f.set.Of(one))
+		endpoints = append(endpoints, s.config.ToEndpoint(decoded))
 	}
-	if passed > 0 {
-		f.set.Passed(passed)
-		if now-f.told > tellEvery {
-			f.told = now
-			f.set.Log.Warn("records passed over", zap.Int("records", passed), zap.Error(err))
+	if hosts.Skipped > 0 {
+		s.config.CountSkipped(hosts.Skipped)
+		if now-s.skipsLoggedAtNs > skipLogIntervalNs {
+			s.skipsLoggedAtNs = now
+			s.config.Log.Warn("records skipped", zap.Int("records", hosts.Skipped), zap.Error(hosts.LastErr))
 		}
 	}
-	list, seen := f.hosts.List()
-	f.tell(f.choice.RelaysTold(now, servers, whole, seen && list.Stands && known, now-age, list.Version))
+	return endpoints
 }
 
-func (f *Following[V]) stateIs(s relay.State) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.state = s
-	if s.Connected {
-		f.set.Log.Info("follows", zap.String("relay", s.Upstream))
-	} else if s.Round {
-		f.tell(f.choice.RelaysLost(f.set.Clock()))
+func (s *Subscription[V]) onClientState(state relay.ClientState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.clientState = state
+	if state.Connected {
+		s.config.Log.Info("relay connected", zap.String("relay", state.Upstream))
+	} else if state.AllFailed {
+		s.applyUpdate(s.selector.RelaysUnreachable(s.config.Clock()))
 	}
 }
 
-// Discovery takes in a line of the node's own watch.
-func (f *Following[V]) Discovery(entries []V, version int64, whole bool) {
-	servers := make([]endpointsource.Server[V], len(entries))
-	for i, e := range entries {
-		servers[i] = f.set.Of(e)
+// UpdateDiscovery applies a watch event of discovery. complete: entries are the complete list.
+func (s *Subscription[V]) UpdateDiscovery(entries []V, version int64, complete bool) {
+	endpoints := make([]endpointsource.Endpoint[V], len(entries))
+	for i, entry := range entries {
+		endpoints[i] = s.config.ToEndpoint(entry)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.stood = true
-	f.tell(f.choice.DiscoveryTold(f.set.Clock(), servers, whole, version))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.discoveryConnected = true
+	s.applyUpdate(s.selector.UpdateDiscovery(s.config.Clock(), endpoints, complete, version))
 }
 
-// Word is when relays last told the list that the node goes by; 0: they do not. It waits for nobody.
-func (f *Following[V]) Word() int64 {
-	if f == nil || !f.relaying.Load() {
+// RelaysHeardAt returns when relays last sent anything, by the clock, in nanoseconds; 0: the list doesn't come from
+// relays alone. It takes no lock, and may be called on a nil subscription.
+func (s *Subscription[V]) RelaysHeardAt() int64 {
+	if s == nil || !s.relaysOnly.Load() {
 		return 0
 	}
-	return f.client.Heard()
-}
-
-// View is how it stands, for who asks.
-type View struct {
-	By       string            `json:"by"` // whose list is in force: nobody, relays, discovery
-	Relay    string            `json:"relay,omitempty"`
-	Why      string            `json:"why,omitempty"`  // the last one was left
-	AgeS     float64           `json:"age_s"`          // of what relays told; -1: not known
-	Seq      int64             `json:"seq"`            // of discovery's list, that the relays' origin has
-	Watch    bool              `json:"watch"`          // discovery is to be watched
-	Moves    int64             `json:"moves"`          // from one teller to the other
-	Whole    bool              `json:"whole"`          // all scopes have been whole once
-	Spoilt   int64             `json:"records_spoilt"` // passed over
-	Client   relay.ClientStats `json:"client"`
-	Records  int               `json:"records"`
-	Position [2]uint64         `json:"position"` // epoch and version of what relays told
-}
-
-// Text is the view as JSON.
-func (f *Following[V]) Text() string {
-	var v View
-	f.follower.Look(func(s *distribution.Subscriber) {
-		stats := s.Stats()
-		v.Whole, v.Records, v.Spoilt = s.Complete(), stats.Records, stats.Spoilt
-		at := s.Position(relay.ScopeOrigin)
-		v.Position = [2]uint64{at.Epoch, at.Through}
-		v.AgeS = -1
-		if age, known := s.Age(f.set.Clock(), relay.ScopeOrigin); known {
-			v.AgeS = float64(age) / 1e9
-		}
-	})
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	list, _ := f.hosts.List()
-	v.By, v.Relay, v.Why, v.Seq, v.Watch, v.Moves, v.Client = f.by.String(), f.state.Upstream, f.state.Why, list.Version, f.on, f.choice.Moves, f.client.Stats()
-	text, err := json.Marshal(v)
-	if err != nil {
-		return err.Error()
-	}
-	return string(text)
+	return s.client.HeardAtNs()
 }
