--- a/internal/classdelay/classdelay.go
+++ b/internal/classdelay/classdelay.go
@@ -1,5 +1,6 @@
-// Package classdelay tells by how much longer than others the requests of one class, or of one tenant, wait wherever they are
-// sent, for example for a dependency of their own. Times are in nanoseconds; moments are of the caller's clock.
+// Package classdelay tells by how much longer than others the requests of one class, or of one tenant, wait wherever
+// they are sent, for example for a dependency of their own. Times are in nanoseconds; moments are of the caller's
+// clock.
 package classdelay
 
 import "math"
@@ -106,8 +107,8 @@
 	}}
 }
 
-// delays returns by how much each group is later than the one of its kind that fares best, or would be with as much work:
-// under overload heavy requests are later than light ones.
+// delays returns by how much each group is later than the one of its kind that fares best, or would be with as much
+// work: under overload heavy requests are later than light ones.
 func (c ClassAndTenant) delays(now int64) (delays [numberOfKinds]float64) {
 	for kind, own := range c.groups {
 		best := own.lateness
@@ -125,14 +126,16 @@
 	return delays
 }
 
-// Delay returns by how much the request is later than others anywhere; infinite while nothing but overdue attempts is known.
+// Delay returns by how much the request is later than others anywhere; infinite while nothing but overdue attempts is
+// known.
 func (c ClassAndTenant) Delay(now int64) float64 {
 	delays := c.delays(now)
 	return delays[byClass] + delays[byTenant]
 }
 
-// MayTry tells whether the groups that are delayed may be tried anew: nothing of them is in flight, nor has been for more than
-// a part of the time. So all nodes together never try with more than that part of them at once, however long a try takes.
+// MayTry tells whether the groups that are delayed may be tried anew: nothing of them is in flight, nor has been for
+// more than a part of the time. So all nodes together never try with more than that part of them at once, however long
+// a try takes.
 func (c ClassAndTenant) MayTry(now int64, timeFraction float64) bool {
 	for kind, delay := range c.delays(now) {
 		own := c.groups[kind]
@@ -168,8 +171,8 @@
 	}
 }
 
-// Observe takes in the latency of an attempt, infinite while it is overdue, and what it is with nothing else at the endpoint.
-// What one group is known to wait for does not count against the other.
+// Observe takes in the latency of an attempt, infinite while it is overdue, and what it is with nothing else at the
+// endpoint. What one group is known to wait for does not count against the other.
 func (c ClassAndTenant) Observe(now, sentAt int64, latency, unloaded float64) {
 	delays, late := c.delays(now), latency-unloaded
 	for kind, own := range c.groups {
--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -1,5 +1,6 @@
-// Package estimates holds the figures that an instance of the decisions learns of its endpoints, its fleet and its classes of
-// requests, and the form in which another instance at the same place takes them over. Work and latencies are in nanoseconds.
+// Package estimates holds the figures that an instance of the decisions learns of its endpoints, its fleet and its
+// classes of requests, and the form in which another instance at the same place takes them over. Work and latencies are
+// in nanoseconds.
 package estimates
 
 import "fawnglade/internal/ewma"
@@ -60,8 +61,8 @@
 	f.HighLatency = from.HighLatency
 }
 
-// QuantileStep returns the step of a running quantile, from 0 to 1: up where a value was above it, else down. Size is the sum
-// of the two steps.
+// QuantileStep returns the step of a running quantile, from 0 to 1: up where a value was above it, else down. Size is
+// the sum of the two steps.
 func QuantileStep(above bool, size, quantile float64) float64 {
 	if above {
 		return size * quantile
--- a/internal/estimates/golden_test.go
+++ b/internal/estimates/golden_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestGoldenJSON holds what one process tells the next, and what a state directory keeps, to the names of earlier builds.
+// TestGoldenJSON holds what one process tells the next, and what a state directory keeps, to the names of earlier
+// builds.
 func TestGoldenJSON(t *testing.T) {
 	all := Snapshot{
 		FleetEstimates: FleetEstimates{Pods: map[int]*ewma.Pair{1: {FirstSum: 1, SecondSum: 2, Weight: 3}, 2: {FirstSum: 4}}, Fleet: ewma.Pair{FirstSum: 5, SecondSum: 6, Weight: 7}, ZoneDelay: map[int]float64{0: 8.5, -1: 9}, MeanWork: 10, HighLatency: 11},
--- a/internal/estimates/snapshot.go
+++ b/internal/estimates/snapshot.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Valid tells whether all of it can have been learned of so many classes. What comes from another process is taken whole or
-// not at all.
+// Valid tells whether all of it can have been learned of so many classes. What comes from another process is taken
+// whole or not at all.
 func (s *Snapshot) Valid(classes int) bool {
 	if len(s.Classes) != classes || !s.isValidFleet() {
 		return false
--- a/internal/ewma/ewma.go
+++ b/internal/ewma/ewma.go
@@ -1,5 +1,5 @@
-// Package ewma keeps exponentially decaying averages of values that are observed two at a time, with a prior for what has
-// not been observed.
+// Package ewma keeps exponentially decaying averages of values that are observed two at a time, with a prior for what
+// has not been observed.
 package ewma
 
 // Pair sums up observations of two values, in whatever units the caller gives them. The zero value has none.
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -1,5 +1,5 @@
-// Package idletimeout learns for how long a connection may have been idle and still be trusted, from those that were dead
-// when they were used. Times are in nanoseconds.
+// Package idletimeout learns for how long a connection may have been idle and still be trusted, from those that were
+// dead when they were used. Times are in nanoseconds.
 package idletimeout
 
 import "math"
@@ -49,8 +49,8 @@
 	return e.deadInARow >= deadInARowToConfirm
 }
 
-// Confirm counts a sign of this node or of another one, for an idle time. Where nodes exchange them, it acts on signs of a
-// part of the nodes only.
+// Confirm counts a sign of this node or of another one, for an idle time. Where nodes exchange them, it acts on signs
+// of a part of the nodes only.
 func (e *Estimator) Confirm(idle int64, exchanged bool, nodes int) {
 	needed := 1.0
 	if exchanged {
--- a/internal/keyfreq/keyfreq.go
+++ b/internal/keyfreq/keyfreq.go
@@ -1,4 +1,5 @@
-// Package keyfreq counts how often each key was asked for lately, and says at how many endpoints a key should be at home.
+// Package keyfreq counts how often each key was asked for lately, and says at how many endpoints a key should be at
+// home.
 package keyfreq
 
 import "fawnglade/internal/rendezvous"
@@ -20,8 +21,8 @@
 	repeatFraction float64 // running part of requests whose key was known
 }
 
-// Observe counts a request for a key. It returns the key's hash, never 0, and at how many of so many endpoints it is at home: as
-// many as its part of the requests needs, since a popular key would overload a single one.
+// Observe counts a request for a key. It returns the key's hash, never 0, and at how many of so many endpoints it is at
+// home: as many as its part of the requests needs, since a popular key would overload a single one.
 func (c *Counter) Observe(key string, endpoints int) (hash uint64, homes int) {
 	if c.counts == nil {
 		c.counts = map[uint64]float64{}
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous orders endpoints by a hash of a key and each endpoint's ID, the highest first, so that all nodes agree on
-// the first choices for a key without talking (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
-// 1998). The hashes are the same in every build, or nodes of two builds would disagree.
+// Package rendezvous orders endpoints by a hash of a key and each endpoint's ID, the highest first, so that all nodes
+// agree on the first choices for a key without talking (Thaler and Ravishankar, "Using name-based mappings to increase
+// hit rates", 1998). The hashes are the same in every build, or nodes of two builds would disagree.
 package rendezvous
 
 // FNV-1a and the finalizer of a 64-bit mixing function.
@@ -34,8 +34,8 @@
 // MaxTop is the most that Top finds.
 const MaxTop = 32
 
-// Top appends to found the n items with the highest scores, the highest first, and returns the result. It skips items with a
-// score of 0, and finds MaxTop at most.
+// Top appends to found the n items with the highest scores, the highest first, and returns the result. It skips items
+// with a score of 0, and finds MaxTop at most.
 func Top[T any](found, items []T, n int, score func(T) uint64) []T {
 	n = min(n, MaxTop)
 	if n <= 0 {
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The names of the settings and of their values, mapped to the field's terms. Operators and simulators write them, so they
-// are fixed. The order of reading is the order in which errors are found.
+// The names of the settings and of their values, mapped to the field's terms. Operators and simulators write them, so
+// they are fixed. The order of reading is the order in which errors are found.
 
 var (
 	idempotencyOptions = []option[policy.Idempotency]{
@@ -31,8 +31,8 @@
 	reportedServiceTime = "latency_ms"
 )
 
-// The deduplication window is taken for shorter by this part of it, at most by maxDedupMargin: an attempt is judged here
-// and comes to its endpoint later.
+// The deduplication window is taken for shorter by this part of it, at most by maxDedupMargin: an attempt is judged
+// here and comes to its endpoint later.
 const (
 	dedupMarginDivisor = 16
 	maxDedupMargin     = 50 * time.Millisecond
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings decodes the settings of a deployment, which come as a line of path=value pairs from a simulator and as
-// nested JSON at a node. It maps their names to the fields of the decisions (names.go). A setting that the decisions need
-// and that is missing is an error, as is a value that makes no sense; names that are not known are ignored.
+// Package settings decodes the settings of a deployment, which come as a line of path=value pairs from a simulator and
+// as nested JSON at a node. It maps their names to the fields of the decisions (names.go). A setting that the decisions
+// need and that is missing is an error, as is a value that makes no sense; names that are not known are ignored.
 package settings
 
 import (
@@ -19,7 +19,8 @@
 	Policy policy.Settings
 	// Classes, Tenants and Zones are the names of what Policy refers to by number.
 	Classes, Tenants, Zones []string
-	// Deadlines is, by class, the time after its arrival at which the client of a request that states no deadline gives up.
+	// Deadlines is, by class, the time after its arrival at which the client of a request that states no deadline gives
+	// up.
 	Deadlines []time.Duration
 	// ConnectTimeout bounds the opening of a connection to an endpoint; 0: not stated.
 	ConnectTimeout time.Duration
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -20,8 +20,8 @@
 	inbox    gossip.Inbox
 }
 
-// instanceEvents are the events for one instance that has been configured. Each takes its fields, and nothing happens if
-// one of them is wrong.
+// instanceEvents are the events for one instance that has been configured. Each takes its fields, and nothing happens
+// if one of them is wrong.
 var instanceEvents = map[string]func(*instance, *fields) error{
 	eventEndpointsUpdate: (*instance).endpointsUpdated,
 	eventRequestArrived:  (*instance).requestArrived,
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -75,7 +75,8 @@
 	return b.String()
 }
 
-// TestGoldenConversation holds the replies to the simulator to the bytes of earlier builds, with every event and both kinds of settings.
+// TestGoldenConversation holds the replies to the simulator to the bytes of earlier builds, with every event and both
+// kinds of settings.
 func TestGoldenConversation(t *testing.T) {
 	out, complaint, code := serve(conversation(53))
 	if code != 0 {
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -1,6 +1,6 @@
-// Package simadapter runs many independent instances of the decisions for a simulator, which it talks to in lines on its
-// standard input and output. The simulator sends batches of events with a clock and reads the actions that they lead to.
-// The words of that protocol, its microseconds and its list numbers end here.
+// Package simadapter runs many independent instances of the decisions for a simulator, which it talks to in lines on
+// its standard input and output. The simulator sends batches of events with a clock and reads the actions that they
+// lead to. The words of that protocol, its microseconds and its list numbers end here.
 package simadapter
 
 import (
@@ -43,8 +43,8 @@
 	given     bool
 }
 
-// Run serves the protocol until the input ends and returns the exit code of the process: 0, or 1 after a complaint about
-// the input or a failed write.
+// Run serves the protocol until the input ends and returns the exit code of the process: 0, or 1 after a complaint
+// about the input or a failed write.
 func Run(in io.Reader, out, complaints io.Writer) int {
 	debug.SetGCPercent(collectorPercent)
 	s := &session{
@@ -130,8 +130,8 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte{'\r'}), nil
 }
 
-// readLongLine reads the rest of a line that exceeds the input buffer; it returns bufio.ErrBufferFull for one that is too
-// long.
+// readLongLine reads the rest of a line that exceeds the input buffer; it returns bufio.ErrBufferFull for one that is
+// too long.
 func (s *session) readLongLine(begin []byte) ([]byte, error) {
 	s.longLine = append(s.longLine[:0], begin...)
 	err := bufio.ErrBufferFull
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// A request is admitted if an endpoint is predicted to answer it in time. Inputs: the predicted latency, the time left until
-// the latency objective or the effective deadline, the success rate of each class, its priority weight, and the tenants'
-// quotas. While requests are rejected, those of a class that does better than the worst, of a class that earns less
-// for its work, and of a tenant beyond its quota have to be answered in a part of the time that is left. None of this
-// acts while all classes succeed, and nothing is queued: who is not admitted is rejected at once. docs/design.md:
-// "Predicted in time", "Fairness over categories", "Customers beyond their share", "Categories in need".
+// A request is admitted if an endpoint is predicted to answer it in time. Inputs: the predicted latency, the time left
+// until the latency objective or the effective deadline, the success rate of each class, its priority weight, and the
+// tenants' quotas. While requests are rejected, those of a class that does better than the worst, of a class that earns
+// less for its work, and of a tenant beyond its quota have to be answered in a part of the time that is left. None of
+// this acts while all classes succeed, and nothing is queued: who is not admitted is rejected at once. docs/design.md:
+// "Admission: predicted in time", "Shedding load".
 
 const (
 	// evenWorstClassWeight is the Settings.WorstClassWeight from which on what a class earns gives it no preference.
@@ -36,8 +36,8 @@
 	return predicted+c.classDelayNanos <= c.budgetNanos
 }
 
-// latencyFactor is the quantile of answers over their predictions that a prediction is raised by. It is a high one only as
-// far as requests are rejected: while there is capacity, a late answer costs nobody else.
+// latencyFactor is the quantile of answers over their predictions that a prediction is raised by. It is a high one only
+// as far as requests are rejected: while there is capacity, a late answer costs nobody else.
 func (b *Balancer) latencyFactor(req *request) float64 {
 	spread := b.estimator.classes[req.Class].LatencySpread
 	return min(spread, 1+(spread-1)*(1-b.estimator.worstSuccessRate()))
@@ -54,8 +54,8 @@
 	return time.Duration(float64(remaining) * fraction)
 }
 
-// updateKeptShares works out which part of its time each class keeps while requests are rejected: what its work earns over
-// what that of the best class earns, the less so the more the worst class counts for the operators.
+// updateKeptShares works out which part of its time each class keeps while requests are rejected: what its work earns
+// over what that of the best class earns, the less so the more the worst class counts for the operators.
 func (b *Balancer) updateKeptShares() {
 	classes := b.estimator.classes
 	best := math.SmallestNonzeroFloat64
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,8 +1,8 @@
 // Package policy decides which endpoint gets each request, and when a request is sent again, rejected or failed.
 //
-// A Balancer gets its settings, a seed and the Effects that carry out what it decides. The caller invokes one method for
-// each event, in the order of events, from one goroutine, with the time of the event. A Balancer reads no clock, starts
-// nothing and does no I/O. Each rule has a file of its own; docs/design.md gives their reasons.
+// A Balancer gets its settings, a seed and the Effects that carry out what it decides. The caller invokes one method
+// for each event, in the order of events, from one goroutine, with the time of the event. A Balancer reads no clock,
+// starts nothing and does no I/O. Each rule has a file of its own; docs/design.md gives their reasons.
 package policy
 
 import (
@@ -192,8 +192,8 @@
 	return snapshot
 }
 
-// Inherit takes over what an earlier instance learned of the fleet and of endpoints that have not restarted since. It is
-// called after the first endpoint list, with a valid snapshot.
+// Inherit takes over what an earlier instance learned of the fleet and of endpoints that have not restarted since. It
+// is called after the first endpoint list, with a valid snapshot.
 func (b *Balancer) Inherit(snapshot *estimates.Snapshot) {
 	b.estimator.TakeOver(&snapshot.FleetEstimates)
 	copy(b.estimator.classes, snapshot.Classes)
@@ -224,7 +224,8 @@
 	b.estimator.decayClasses()
 }
 
-// gossip sends a message to the other nodes, at most once in gossipInterval for each cause; sentAt is the cause's last time.
+// gossip sends a message to the other nodes, at most once in gossipInterval for each cause; sentAt is the cause's last
+// time.
 func (b *Balancer) gossip(now Time, sentAt *Time, message GossipMessage) {
 	if b.settings.MayGossip && now.Sub(*sentAt) >= gossipInterval {
 		*sentAt = now
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -12,7 +12,8 @@
 // The endpoint list names the endpoints that requests may go to. Inputs: the list or its changes, and the failures of
 // calls for it. Nothing is sent to an endpoint that is draining or removed; where the settings say that removal is not
 // binding, a removed endpoint serves until an attempt on it fails. A new start time of an endpoint discards all that
-// was learned of its previous process, but for its attempts in flight. docs/design.md: "Draining and gone servers".
+// was learned of its previous process, but for its attempts in flight. docs/design.md: "Candidates", "Polling the
+// list".
 
 // After a failed call for the list the next waits for a backoff that doubles between these parts of MaxPollInterval.
 const (
@@ -84,8 +85,8 @@
 }
 
 // reset forgets an earlier process of the endpoint. The credit for slow start begins at a random part of a request:
-// with none, hundreds of nodes that earn less than one request each would never send any, with a whole one all would send
-// theirs at once.
+// with none, hundreds of nodes that earn less than one request each would never send any, with a whole one all would
+// send theirs at once.
 func (ep *endpoint) reset(random *rand.Rand, classes int) {
 	*ep = endpoint{
 		inFlight:        ep.inFlight,
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Latency is predicted from decaying averages of the answers' latency for each unit of expected work, a ratio: that of the
-// fleet, times that of the pod over the fleet, times that of the endpoint over both. Each average counts one answer that
-// was never seen and shows nothing unusual, so that few answers say little. Inputs: the work of an attempt in nanoseconds,
-// its latency, the attempts of this node at the endpoint when it was sent, and, by zone, the latency that an answer has
-// however little the work. Work is in nanoseconds as float64, for speed. Answers of one endpoint alone never make
-// the whole fleet look slow. docs/design.md: "Predicted in time", "The way to a zone", "What teaches it".
+// Latency is predicted from decaying averages of the answers' latency for each unit of expected work, a ratio: that of
+// the fleet, times that of the pod over the fleet, times that of the endpoint over both. Each average counts one answer
+// that was never seen and shows nothing unusual, so that few answers say little. Inputs: the work of an attempt in
+// nanoseconds, its latency, the attempts of this node at the endpoint when it was sent, and, by zone, the latency that
+// an answer has however little the work. Work is in nanoseconds as float64, for speed. Answers of one endpoint alone
+// never make the whole fleet look slow. docs/design.md: "Admission: predicted in time".
 
 const (
 	// learningRate is the part of a new value in an endpoint's running averages.
 	learningRate = 1.0 / 12
-	// fleetWindow and endpointWindow are the weights in answers at which the averages of the fleet, and those of a pod and
-	// of an endpoint, stay.
+	// fleetWindow and endpointWindow are the weights in answers at which the averages of the fleet, and those of a pod
+	// and of an endpoint, stay.
 	fleetWindow    = 64
 	endpointWindow = 2 / learningRate
 	// meanWorkWindow is the number of answers over which the mean work is averaged.
@@ -26,7 +26,8 @@
 	// fleetDecayPerSecond is the part of what answers showed of the fleet that still counts a second later.
 	fleetDecayPerSecond = 0.5
 
-	// highLatencyQuantile is the quantile of the latency for each unit of work by which an endpoint is overdue or silent.
+	// highLatencyQuantile is the quantile of the latency for each unit of work by which an endpoint is overdue or
+	// silent.
 	highLatencyQuantile = 0.95
 	// initialHighLatency is what it is taken for, over one answer or over the work alone.
 	initialHighLatency = 2
@@ -42,8 +43,8 @@
 	overdueFactor = 2
 )
 
-// estimator holds what was learned of latency and work of the fleet and of each class. What was learned of an endpoint is
-// in the endpoint.
+// estimator holds what was learned of latency and work of the fleet and of each class. What was learned of an endpoint
+// is in the endpoint.
 type estimator struct {
 	estimates.FleetEstimates
 	classes         []estimates.ClassEstimates
@@ -59,8 +60,8 @@
 	}
 }
 
-// predictLatency is the expected latency of so much work. Attempts of this node count double: what draws this node to an
-// endpoint draws others too, unseen.
+// predictLatency is the expected latency of so much work. Attempts of this node count double: what draws this node to
+// an endpoint draws others too, unseen.
 func (e *estimator) predictLatency(ep *endpoint, work float64) time.Duration {
 	perWork, inFlight := e.expectedLatency(ep)
 	crowding := (1 + 2*float64(ep.inFlight)) / (1 + 2*inFlight)
@@ -92,8 +93,8 @@
 	return max(minOverdueTicks*e.clockResolution, overdue)
 }
 
-// isSilent tells whether an endpoint has answered nothing for too long. Guards against one that takes requests and answers
-// none, and so reports no load.
+// isSilent tells whether an endpoint has answered nothing for too long. Guards against one that takes requests and
+// answers none, and so reports no load.
 func (e *estimator) isSilent(now Time, ep *endpoint, work float64) bool {
 	return ep.inFlight > 0 && ep.HasLatency && now.Sub(ep.silentSince) > e.overdueAfter(ep, max(work, e.MeanWork))
 }
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// An attempt that is overdue may get a hedged request: a second attempt at another endpoint while the first is in flight.
-// Inputs: the latency at which an answer of the endpoint is overdue, the time left until the effective deadline, and a
-// budget of one hedged request for every ten requests. There is none for a non-idempotent class, nor where the settings
-// forbid two attempts at once; there an overdue idempotent attempt is canceled and sent elsewhere, if its endpoint has
-// answered nobody since: one that answers others is at work on a heavy request, which would be heavy elsewhere too. A
-// request whose body is still coming is never overdue. docs/design.md: "Second copies".
+// An attempt that is overdue may get a hedged request: a second attempt at another endpoint while the first is in
+// flight. Inputs: the latency at which an answer of the endpoint is overdue, the time left until the effective
+// deadline, and a budget of one hedged request for every ten requests. There is none for a non-idempotent class, nor
+// where the settings forbid two attempts at once; there an overdue idempotent attempt is canceled and sent elsewhere,
+// if its endpoint has answered nobody since: one that answers others is at work on a heavy request, which would be
+// heavy elsewhere too. A request whose body is still coming is never overdue. docs/design.md: "Hedging".
 
 const (
 	hedgesPerRequest = 0.1
@@ -35,7 +35,8 @@
 	}
 }
 
-// attemptOverdue takes an attempt that should have been answered: its endpoint is judged, and the request hedged or moved.
+// attemptOverdue takes an attempt that should have been answered: its endpoint is judged, and the request hedged or
+// moved.
 func (b *Balancer) attemptOverdue(now Time, req *request, number int) {
 	a := &req.attempts[number]
 	b.foundConnectionDead(now, a, OutcomeTimedOut)
@@ -66,8 +67,8 @@
 // answeredSince tells whether an endpoint has shown a sign of life after a moment.
 func (ep *endpoint) answeredSince(at Time) bool { return ep.silentSince > at }
 
-// observeUnansweredDelay notes for the request's class and tenant that an attempt is late by an unknown time, unless its
-// connection was dead.
+// observeUnansweredDelay notes for the request's class and tenant that an attempt is late by an unknown time, unless
+// its connection was dead.
 func (b *Balancer) observeUnansweredDelay(now Time, req *request, a *attempt) {
 	if !a.connectionDead {
 		req.delays.Observe(int64(now), int64(a.sentAt), math.Inf(1), a.unloadedNanos)
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -62,7 +62,8 @@
 	arrived int
 }
 
-// newTestFleet starts a Balancer with so many endpoints and three classes: idempotent, idempotent by key in a pod, non-idempotent.
+// newTestFleet starts a Balancer with so many endpoints and three classes: idempotent, idempotent by key in a pod,
+// non-idempotent.
 func newTestFleet(t *testing.T, endpoints int, change func(*Settings)) *testFleet {
 	s := Settings{
 		MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
--- a/policy/idleconns.go
+++ b/policy/idleconns.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// A connection that was idle for long may have been dropped unseen by something between this node and the endpoint; what
-// is sent on it is lost. Inputs: for how long a connection had been idle when an attempt on it was reset, or got no answer in time,
-// and messages of other nodes. internal/idletimeout learns from them for how long an idle connection can be trusted; one
-// that was idle for longer is closed before use. A connection that was used lately is never taken for dead, nor one of an
-// endpoint that has answered since, nor one of several where it is not known which it was. docs/design.md: "Idle connections".
+// A connection that was idle for long may have been dropped unseen by something between this node and the endpoint;
+// what is sent on it is lost. Inputs: for how long a connection had been idle when an attempt on it was reset, or got
+// no answer in time, and messages of other nodes. internal/idletimeout learns from them for how long an idle connection
+// can be trusted; one that was idle for longer is closed before use. A connection that was used lately is never taken
+// for dead, nor one of an endpoint that has answered since, nor one of several where it is not known which it was.
+// docs/design.md: "Idle connections".
 
 // minDeadIdleTime is the shortest idle time after which a connection may be taken for dead.
 const minDeadIdleTime = 300 * time.Millisecond
@@ -58,8 +59,8 @@
 }
 
 // foundConnectionDead takes an attempt that got no answer. It tells whether that is certainly no fault of the endpoint:
-// a reset of a connection that was dead. Silence counts before its end, or a node that sends seldom would learn too late, but
-// it may still be the endpoint's own.
+// a reset of a connection that was dead. Silence counts before its end, or a node that sends seldom would learn too
+// late, but it may still be the endpoint's own.
 func (b *Balancer) foundConnectionDead(now Time, a *attempt, outcome Outcome) bool {
 	if !b.mayBeDead(a, outcome) {
 		return false
--- a/policy/idleconns_test.go
+++ b/policy/idleconns_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// Guards against a node that comes by each endpoint seldom: it lost a request to each before it learned that they die idle.
+// Guards against a node that comes by each endpoint seldom: it lost a request to each before it learned that they die
+// idle.
 func TestSilenceOnIdleConnectionsIsASignBeforeItEnds(t *testing.T) {
 	for _, most := range []int{1, 2} { // out at once at an endpoint
 		b := newTestFleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
@@ -93,8 +94,8 @@
 	}
 }
 
-// Guards against endpoints that reset requests for reasons of their own being taken for connections that die idle: closing
-// and opening connections all the time cost an incident half of its service.
+// Guards against endpoints that reset requests for reasons of their own being taken for connections that die idle:
+// closing and opening connections all the time cost an incident half of its service.
 func TestResetsAmongLongLivedConnectionsAreNoSign(t *testing.T) {
 	b := newTestFleet(t, 1, func(s *Settings) { s.StreamsPerConnection = 100 })
 	b.serve(40, answersPromptly)
--- a/policy/load.go
+++ b/policy/load.go
@@ -4,8 +4,9 @@
 
 // The load of an endpoint is the paper's transmit rate, taken from its load reports: utilization (a fraction) times
 // service time (milliseconds), utilization alone, or one plus the queue length, whichever the deployment offers first.
-// Between reports each send of this node adds the last rise over the number of sends in which it came about; a load that
-// fell, or rose with nothing sent, adds nothing. An unchanged report is the same report again. docs/design.md: "The load".
+// Between reports each send of this node adds the last rise over the number of sends in which it came about; a load
+// that fell, or rose with nothing sent, adds nothing. An unchanged report is the same report again. docs/design.md:
+// "Load: what w is made of".
 
 const (
 	// recalculationInterval is the longest time between two recalculations of a load.
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -3,9 +3,9 @@
 import "time"
 
 // The end of an attempt tells each rule something else. Inputs: the outcome, the time from sending to the end, and what
-// was known at sending. A connection that was dead, a class or tenant that waits at any endpoint, and an attempt
-// that was never sent are held against no endpoint. A time-out counts as a longer latency, or only quick answers would
-// be learned from. docs/design.md: "What teaches it", "Unfit servers, by category".
+// was known at sending. A connection that was dead, a class or tenant that waits at any endpoint, and an attempt that
+// was never sent are held against no endpoint. A time-out counts as a longer latency, or only quick answers would be
+// learned from. docs/design.md: "Admission: predicted in time", "Outliers".
 
 // timeoutFactor is the latency that an attempt without an answer is taken for, over the time that it had.
 const timeoutFactor = 1.5
@@ -36,8 +36,8 @@
 	}
 }
 
-// showsLife tells whether an outcome came from the endpoint itself. A reset did only where several connections carry one
-// attempt each: else something between may have dropped the connection.
+// showsLife tells whether an outcome came from the endpoint itself. A reset did only where several connections carry
+// one attempt each: else something between may have dropped the connection.
 func (b *Balancer) showsLife(ep *endpoint, outcome Outcome) bool {
 	switch outcome {
 	case OutcomeTimedOut, OutcomeCanceled, OutcomeNotSent:
@@ -49,8 +49,8 @@
 	}
 }
 
-// isNotEndpointsFault tells whether an end says nothing more of the endpoint: nothing was sent, the attempt was counted when
-// it was overdue, or its connection was dead.
+// isNotEndpointsFault tells whether an end says nothing more of the endpoint: nothing was sent, the attempt was counted
+// when it was overdue, or its connection was dead.
 func (b *Balancer) isNotEndpointsFault(now Time, a *attempt, outcome Outcome) bool {
 	switch outcome {
 	case OutcomeNotSent:
@@ -62,7 +62,8 @@
 	}
 }
 
-// learnFromOutcome teaches latencies and backoffs; it tells whether the outcome counts for or against the endpoint's health.
+// learnFromOutcome teaches latencies and backoffs; it tells whether the outcome counts for or against the endpoint's
+// health.
 func (b *Balancer) learnFromOutcome(now Time, req *request, a *attempt, result AttemptResult) bool {
 	switch result.Outcome {
 	case OutcomeSucceeded:
@@ -117,8 +118,8 @@
 	b.earnCreditByAnswer(now, ep, a.work)
 }
 
-// learnFromRejection takes an attempt that the endpoint rejected. It counts as a late answer, unless an endpoint that is well
-// known tells of an empty queue: where most are full, trying elsewhere brings only a storm of retries.
+// learnFromRejection takes an attempt that the endpoint rejected. It counts as a late answer, unless an endpoint that
+// is well known tells of an empty queue: where most are full, trying elsewhere brings only a storm of retries.
 func (b *Balancer) learnFromRejection(now Time, req *request, a *attempt, queueLength float64) {
 	a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
 	wellKnown := a.endpoint.Latency.Weight*learningRate >= 1
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -6,13 +6,13 @@
 )
 
 // An endpoint that fails much of one class is ejected for that class. Inputs: the failure rate of the endpoint in the
-// class, a running part from 0 to 1, the failure rate of all endpoints, and messages of other nodes. It is ejected above a
-// quarter, and above twice the rate of all: where everything fails together, no endpoint is an outlier. One idempotent
-// request at a time tries an ejected endpoint after half a second, which doubles to four; it is back when its rate is
-// under half of the limit. Other nodes' messages eject it only where this node has seen nothing itself, or failures.
-// Where nobody else is a candidate an ejected endpoint is used rather than rejecting, if this node knows it well and has
-// nothing in flight there. An endpoint that rejects, or takes no connection, gets nothing for a time that doubles.
-// docs/design.md: "Unfit servers", "Silent servers", "Servers that turn away", "News".
+// class, a running part from 0 to 1, the failure rate of all endpoints, and messages of other nodes. It is ejected
+// above a quarter, and above twice the rate of all: where everything fails together, no endpoint is an outlier. One
+// idempotent request at a time tries an ejected endpoint after half a second, which doubles to four; it is back when
+// its rate is under half of the limit. Other nodes' messages eject it only where this node has seen nothing itself, or
+// failures. Where nobody else is a candidate an ejected endpoint is used rather than rejecting, if this node knows it
+// well and has nothing in flight there. An endpoint that rejects, or takes no connection, gets nothing for a time that
+// doubles. docs/design.md: "Outliers", "Gossip".
 
 const (
 	ejectionFailureRate = 0.25
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it can do.
+// Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it
+// can do.
 func TestEjectedEndpointsAreUsedBeforeRejecting(t *testing.T) {
 	b := newTestFleet(t, 4, nil)
 	b.serve(100, answersPromptly)
@@ -129,8 +130,8 @@
 	}
 }
 
-// With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood still
-// made all of them look silent, and idle endpoints' requests were rejected: 57 of the first 50,000 with eight.
+// With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood
+// still made all of them look silent, and idle endpoints' requests were rejected: 57 of the first 50,000 with eight.
 func TestAPauseOfTheNodeRejectsNothing(t *testing.T) {
 	q := &lastSendRecorder{}
 	set := benchSettings
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -3,10 +3,10 @@
 import "time"
 
 // A fleet that has been overloaded for long gets one rest: this node gives up all requests for a while, as what all
-// endpoints depend on may recover only then. Inputs: the latency of the fleet over the work of its requests, a ratio, and
-// the success rate of the class that fares worst. Short overload, as a burst makes, and slowness in which requests still
-// succeed change nothing, and no spell gets a second rest. It acts only where reports tell utilization. docs/design.md:
-// "A long jam is given a rest, once".
+// endpoints depend on may recover only then. Inputs: the latency of the fleet over the work of its requests, a ratio,
+// and the success rate of the class that fares worst. Short overload, as a burst makes, and slowness in which requests
+// still succeed change nothing, and no spell gets a second rest. It acts only where reports tell utilization.
+// docs/design.md: "Shedding load".
 
 const (
 	overloadedFleetLevel    = 2.5
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a spell that ends only once the endpoints have rested: in a long overload a node gives up all requests for a
-// while, once; a short one, as a burst makes, changes nothing.
+// Guards against a spell that ends only once the endpoints have rested: in a long overload a node gives up all requests
+// for a while, once; a short one, as a burst makes, changes nothing.
 func TestLongOverloadGetsOneRest(t *testing.T) {
 	b := newTestFleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
 	b.serve(40, answersPromptly)
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A small world of endpoints, clients and nodes in which a fault comes and goes. An endpoint works on so many requests at once and
-// keeps others waiting; a client that is rejected asks again at once, twice at most.
+// A small world of endpoints, clients and nodes in which a fault comes and goes. An endpoint works on so many requests
+// at once and keeps others waiting; a client that is rejected asks again at once, twice at most.
 const (
 	endpointConcurrency, endpointQueueLimit = 8, 40
 	meanWork                                = 20 * ms
@@ -213,8 +213,8 @@
 	return w
 }
 
-// Guards against estimates that outlive their cause, and against the fault of some being read as that of all: requests were
-// rejected by nine in ten for as long as a day lasted, for a class that had waited and no longer did.
+// Guards against estimates that outlive their cause, and against the fault of some being read as that of all: requests
+// were rejected by nine in ten for as long as a day lasted, for a class that had waited and no longer did.
 func TestServiceIsBackAfterAFault(t *testing.T) {
 	for name, c := range map[string]struct {
 		nodes, within int // seconds after its end
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a request whose body still comes being judged as a slow endpoint's, counted as its crowd, or sent again when
-// part of its body is held no more.
+// Guards against a request whose body still comes being judged as a slow endpoint's, counted as its crowd, or sent
+// again when part of its body is held no more.
 func TestStreamingBody(t *testing.T) {
 	for class, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
 		for _, o := range []Outcome{OutcomeConnectFailed, OutcomeError} {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -8,10 +8,10 @@
 
 // Selection draws the endpoint of an attempt. The candidates are the endpoints of the subset, and the homes of the
 // request's key, that the request may go to and that are expected to answer in time. Each has a weight w, its load with
-// some adjustments, and is drawn with a chance of (1/w) over the sum of all 1/w: formulas 2 to 6 of the paper, without its
-// sorting, which changes no chance. Where nobody is a candidate, up to three further rounds ask for less. Nothing is drawn
-// after the request's effective deadline. docs/design.md: "The draw", "Exceptions that adjust w", "Exceptions on who is in
-// the draw".
+// some adjustments, and is drawn with a chance of (1/w) over the sum of all 1/w: formulas 2 to 6 of the paper, without
+// its sorting, which changes no chance. Where nobody is a candidate, up to three further rounds ask for less. Nothing
+// is drawn after the request's effective deadline. docs/design.md: "Selection, from the paper", "Rules that adjust w",
+// "Candidates".
 
 const (
 	// selectionWindow bounds the endpoints that are weighed, so that a request costs no more in a large fleet.
@@ -20,8 +20,8 @@
 	weightFloorDivisor = 20
 	// preferredDivisor divides w where the endpoint should be drawn nearly always.
 	preferredDivisor = weightFloorDivisor * weightFloorDivisor
-	// otherZoneFactor multiplies w of an endpoint in another zone: crossing costs time, but a zone that is overloaded still
-	// spills over.
+	// otherZoneFactor multiplies w of an endpoint in another zone: crossing costs time, but a zone that is overloaded
+	// still spills over.
 	otherZoneFactor = 6
 )
 
@@ -87,9 +87,9 @@
 	return nil
 }
 
-// selectionPool returns the endpoints that the request is drawn from, and the window of them that the first rounds weigh.
-// A window is a run of neighbors by rank, which says nothing of their load. A retry that is idempotent by key is drawn
-// from all endpoints, as its deduplication group may lie outside the subset.
+// selectionPool returns the endpoints that the request is drawn from, and the window of them that the first rounds
+// weigh. A window is a run of neighbors by rank, which says nothing of their load. A retry that is idempotent by key is
+// drawn from all endpoints, as its deduplication group may lie outside the subset.
 func (b *Balancer) selectionPool(req *request) (all, window []*endpoint) {
 	if len(req.attempts) > 0 && req.classSettings.Idempotency == IdempotentByKey {
 		return b.endpoints.all, b.endpoints.all
@@ -202,9 +202,9 @@
 	return cmp.Or(sum/max(reporting, 1), 1)
 }
 
-// classDelay returns what the request's class and tenant wait at any endpoint, in nanoseconds. It is taken for none where
-// the delay may be tried anew: one answer in time ends it. All nodes together try with no more requests at a time than there
-// are endpoints.
+// classDelay returns what the request's class and tenant wait at any endpoint, in nanoseconds. It is taken for none
+// where the delay may be tried anew: one answer in time ends it. All nodes together try with no more requests at a time
+// than there are endpoints.
 func (b *Balancer) classDelay(now Time, req *request) float64 {
 	delay := req.delays.Delay(int64(now))
 	if delay > 0 {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -58,7 +58,8 @@
 	return out
 }
 
-// w of one endpoint with each exception in turn, beside one with a load of 2 that has been heard to rise; worked by hand.
+// w of one endpoint with each exception in turn, beside one with a load of 2 that has been heard to rise; worked by
+// hand.
 func TestWeightsWorkedByHand(t *testing.T) {
 	const now = Time(1e12)
 	for name, c := range map[string]struct {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -37,8 +37,8 @@
 	LatencyObjective time.Duration
 	// Idempotency decides whether a request that may have run can be sent again.
 	Idempotency Idempotency
-	// DedupGroup and DedupWindow are read for IdempotentByKey alone: who drops a repeat, and for how long after the first
-	// attempt that may have run.
+	// DedupGroup and DedupWindow are read for IdempotentByKey alone: who drops a repeat, and for how long after the
+	// first attempt that may have run.
 	DedupGroup  DedupGroup
 	DedupWindow time.Duration
 	// PriorityWeight is the worth of a request, or of a unit of its work where Settings.WeightByWork is set.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,11 +6,11 @@
 )
 
 // An endpoint in slow start gets the part of its fair share that it surely has the capacity for. Inputs: its age, the
-// settings' window and least capacity, answers of warm endpoints, and the latencies of its own answers. It earns credit,
-// in requests of mean work, for each request that a warm endpoint answers, or, where less than half of the subset is warm,
-// for each arrival; it is a candidate only with credit for a whole request, saves up no more than one, and pays by the
-// work of each. So all nodes together never send it more than its part, however many they are. docs/design.md: "Cold
-// servers".
+// settings' window and least capacity, answers of warm endpoints, and the latencies of its own answers. It earns
+// credit, in requests of mean work, for each request that a warm endpoint answers, or, where less than half of the
+// subset is warm, for each arrival; it is a candidate only with credit for a whole request, saves up no more than one,
+// and pays by the work of each. So all nodes together never send it more than its part, however many they are.
+// docs/design.md: "Slow start".
 
 const (
 	// slowStartSafety is the part of its fair share that the coldest endpoint gets; it rises to all of it.
@@ -38,7 +38,8 @@
 	return s.minCapacity + (1-s.minCapacity)*float64(max(age, 0))/float64(s.window)
 }
 
-// arrivalsEarn tells whether arrivals earn credit in place of answers: the few endpoints that are warm can't set the pace.
+// arrivalsEarn tells whether arrivals earn credit in place of answers: the few endpoints that are warm can't set the
+// pace.
 func (s *subset) arrivalsEarn() bool {
 	warm := len(s.members) - len(s.warmingUp)
 	return 2*warm < len(s.members)
@@ -53,8 +54,8 @@
 	b.earnCredit(now, min(b.estimator.relativeWork(work), 1)/float64(warm))
 }
 
-// earnCreditByArrival lets them earn their even part of an arrival, within what all nodes together may send them: the first
-// endpoints back after a loss of power would else get the requests of the whole fleet.
+// earnCreditByArrival lets them earn their even part of an arrival, within what all nodes together may send them: the
+// first endpoints back after a loss of power would else get the requests of the whole fleet.
 func (b *Balancer) earnCreditByArrival(now Time) {
 	if !b.subset.arrivalsEarn() {
 		return
@@ -80,8 +81,8 @@
 	}
 }
 
-// creditPart is the part of its share that an endpoint earns. Answers quicker than those of others raise it, as far as there is
-// evidence; late answers take the raise back.
+// creditPart is the part of its share that an endpoint earns. Answers quicker than those of others raise it, as far as
+// there is evidence; late answers take the raise back.
 func creditPart(capacity float64, ep *endpoint) float64 {
 	sure := capacity * (slowStartSafety + (1-slowStartSafety)*capacity)
 	evidence := ep.Latency.Weight * learningRate
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Guards against a fleet that is mostly cold being used no further than its endpoints surely can: one whose answers show more
-// earns more, up to twice; one that shows nothing, or that it is slow, earns what it did.
+// Guards against a fleet that is mostly cold being used no further than its endpoints surely can: one whose answers
+// show more earns more, up to twice; one that shows nothing, or that it is slow, earns what it did.
 func TestSlowStartCreditFollowsTheAnswers(t *testing.T) {
 	bound := 0.0
 	earned := func(own ewma.Pair) float64 {
@@ -53,8 +53,8 @@
 	}
 }
 
-// Guards against the first endpoints back after a loss of power being pushed over: hundreds of nodes that find none warm share
-// their requests out among those few, whatever these can do.
+// Guards against the first endpoints back after a loss of power being pushed over: hundreds of nodes that find none
+// warm share their requests out among those few, whatever these can do.
 func TestFirstEndpointsBackAreNotOverloaded(t *testing.T) {
 	gained := func(nodes int) float64 {
 		b := newTestFleet(t, 0, func(s *Settings) { s.NodeCount, s.SlowStartWindow, s.SlowStartMinCapacity = nodes, 20e9, 0.2 })
@@ -74,7 +74,8 @@
 		return sum / 20 // a second
 	}
 	one, many := gained(1), gained(300)
-	// In the 20 s the sure part is 0.6 in the mean. A warm endpoint does warmConcurrency requests at a time, each taken for a quarter of the latency objective.
+	// In the 20 s the sure part is 0.6 in the mean. A warm endpoint does warmConcurrency requests at a time, each taken
+	// for a quarter of the latency objective.
 	const mean = 0.125 // s
 	if all := many * 300 * mean; all > warmConcurrency*0.6 {
 		t.Errorf("all nodes together give a cold endpoint %g of its time, no more than %g of what it surely does", all, warmConcurrency*0.6)
@@ -84,7 +85,8 @@
 	}
 }
 
-// Guards against the first warm endpoints bearing all, and the cold ones starving as those fail: where few are warm arrivals count.
+// Guards against the first warm endpoints bearing all, and the cold ones starving as those fail: where few are warm
+// arrivals count.
 func TestSlowStartBesideFewWarmEndpoints(t *testing.T) {
 	for _, warm := range []EndpointID{1, 5} {
 		b := newTestFleet(t, int(warm), func(s *Settings) { s.NodeCount = 1 })
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -1,10 +1,10 @@
 package policy
 
-// Each node sends to a subset of the endpoints: the first by its own rank, a hash of the node's index and the endpoint's
-// ID. Inputs: how many endpoints are active, how many nodes there are, and this node's requests per second. The subset
-// is as large as these ask for, counted in endpoints that are warm and healthy, and shrinks by one endpoint a second at
-// most. It never holds an endpoint that the list does not name as active. Without it hundreds of nodes would each hold a
-// connection to every endpoint and hear little of any. docs/design.md: "A subset of the servers".
+// Each node sends to a subset of the endpoints: the first by its own rank, a hash of the node's index and the
+// endpoint's ID. Inputs: how many endpoints are active, how many nodes there are, and this node's requests per second.
+// The subset is as large as these ask for, counted in endpoints that are warm and healthy, and shrinks by one endpoint
+// a second at most. It never holds an endpoint that the list does not name as active. Without it hundreds of nodes
+// would each hold a connection to every endpoint and hear little of any. docs/design.md: "Candidates".
 
 const (
 	minSubsetSize = 4
@@ -80,8 +80,8 @@
 	return count
 }
 
-// closeUnused closes the idle connections to an endpoint that has left the subset. A connection that carries one attempt
-// at a time is left to age: that of a key's home would be closed each time.
+// closeUnused closes the idle connections to an endpoint that has left the subset. A connection that carries one
+// attempt at a time is left to age: that of a key's home would be closed each time.
 func (b *Balancer) closeUnused(ep *endpoint) {
 	if ep.lastUsedAt > 0 && ep.inFlight == 0 && b.settings.StreamsPerConnection > 1 {
 		b.closeIdle(ep)
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -15,8 +15,8 @@
 	return near
 }
 
-// Guards against each of hundreds of nodes holding a connection to every endpoint: endpoints took 76 to 120, and up to 65%
-// of the attempts got none.
+// Guards against each of hundreds of nodes holding a connection to every endpoint: endpoints took 76 to 120, and up to
+// 65% of the attempts got none.
 func TestHundredsOfNodesSpreadOverTheEndpoints(t *testing.T) {
 	const nodes, servers = 400, 50
 	sharing, moved := map[EndpointID]int{}, 0
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestFleetInSlowStartIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part of it, so that its
-// connections are used again.
+// TestFleetInSlowStartIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part
+// of it, so that its connections are used again.
 func TestFleetInSlowStartIsDividedToo(t *testing.T) {
 	set := benchSettings
 	set.NodeCount = 300
