--- a/internal/classdelay/classdelay_test.go
+++ b/internal/classdelay/classdelay_test.go
@@ -30,9 +30,13 @@
 		late func(class, tenant int) float64
 		want func(class, tenant int) float64
 	}{
-		"all":    {func(int, int) float64 { return 1e9 }, func(int, int) float64 { return 0 }},
-		"class":  {func(c, _ int) float64 { return 1e9 * float64(c) }, func(c, _ int) float64 { return 1e9 * float64(c) }},
-		"tenant": {func(_, u int) float64 { return 1e9 * float64(u/2) }, func(_, u int) float64 { return 1e9 * float64(u/2) }},
+		"all": {func(int, int) float64 { return 1e9 }, func(int, int) float64 { return 0 }},
+		"class": {
+			func(c, _ int) float64 { return 1e9 * float64(c) }, func(c, _ int) float64 { return 1e9 * float64(c) },
+		},
+		"tenant": {
+			func(_, u int) float64 { return 1e9 * float64(u/2) }, func(_, u int) float64 { return 1e9 * float64(u/2) },
+		},
 		"little": {func(c, _ int) float64 { return 1e7 * float64(c) }, func(int, int) float64 { return 0 }},
 	} {
 		tracker := newTracker(3)
@@ -40,7 +44,10 @@
 		for class := range 2 {
 			for tenant := range 3 {
 				if got, want := tracker.Of(class, tenant).Delay(4*second), c.want(class, tenant); math.Abs(got-want) > 1e7 {
-					t.Errorf("%s: class %d of tenant %d waits %.0f ms, expected %.0f", name, class, tenant, got/1e6, want/1e6)
+					t.Errorf(
+						"%s: class %d of tenant %d waits %.0f ms, expected %.0f", name, class, tenant, got/1e6,
+						want/1e6,
+					)
 				}
 			}
 		}
--- a/internal/estimates/estimates_test.go
+++ b/internal/estimates/estimates_test.go
@@ -9,9 +9,16 @@
 
 func some() Snapshot {
 	return Snapshot{
-		FleetEstimates: FleetEstimates{Pods: map[int]*ewma.Pair{1: {FirstSum: 1, Weight: 1}}, ZoneDelay: map[int]float64{0: 3}, MeanWork: 5, HighLatency: 2},
-		Classes:        []ClassEstimates{{TypicalWork: 4, LatencySpread: 2, SuccessRate: 1, KeptShare: 1}},
-		Endpoints:      map[uint32]Endpoint{7: {EndpointEstimates{Load: 1, Latency: ewma.Pair{FirstSum: 2, Weight: 2}, HasLatency: true}, 9}},
+		FleetEstimates: FleetEstimates{
+			Pods:        map[int]*ewma.Pair{1: {FirstSum: 1, Weight: 1}},
+			ZoneDelay:   map[int]float64{0: 3},
+			MeanWork:    5,
+			HighLatency: 2,
+		},
+		Classes: []ClassEstimates{{TypicalWork: 4, LatencySpread: 2, SuccessRate: 1, KeptShare: 1}},
+		Endpoints: map[uint32]Endpoint{7: {
+			EndpointEstimates{Load: 1, Latency: ewma.Pair{FirstSum: 2, Weight: 2}, HasLatency: true}, 9,
+		}},
 	}
 }
 
@@ -22,7 +29,8 @@
 		t.Fatal(err)
 	}
 	var all Snapshot
-	if err := json.Unmarshal(text, &all); err != nil || !all.Valid(1) || all.Endpoints[7] != some().Endpoints[7] || *all.Pods[1] != *some().Pods[1] {
+	if err := json.Unmarshal(text, &all); err != nil || !all.Valid(1) || all.Endpoints[7] != some().Endpoints[7] ||
+		*all.Pods[1] != *some().Pods[1] {
 		t.Errorf("%v, came back as %+v", err, all)
 	}
 	for name, spoil := range map[string]func(*Snapshot){
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -14,7 +14,9 @@
 // settingsLines turn on what one line can't hold at once.
 var settingsLines = []string{
 	settingsLine,
-	strings.NewReplacer("discovery=ask", "discovery=push", "report.how=inline", "report.how=on_probe", "weights=off", "weights=rough").Replace(settingsLine) +
+	strings.NewReplacer(
+		"discovery=ask", "discovery=push", "report.how=inline", "report.how=on_probe", "weights=off", "weights=rough",
+	).Replace(settingsLine) +
 		" limits.probes=true limits.peer_messages=true limits.multiplex=8 family_info.warm_keys=true value_by=work position=2 over_share_worth=0.2" +
 		" goal.worst_class=0.3 parties.count=2 parties.0.name=a parties.0.portion=0.7 parties.1.name=b parties.1.portion=0.3" +
 		" rules.removal_not_binding=true profiles.0.late_worth=0.5 profiles.0.worth=5.0 profiles.1.worth=8.0 zones=x,y limits.idle_close_us=5000000",
@@ -31,17 +33,25 @@
 	}
 	b.WriteString("CATALOG 3 6\n")
 	for i := range 6 {
-		fmt.Fprintf(&b, "SERVER %d %d 0 %d active %g %s\n", 100+i, i%2, i/2, 1+0.5*float64(i), []string{"-", "900000"}[i/5])
+		fmt.Fprintf(
+			&b, "SERVER %d %d 0 %d active %g %s\n", 100+i, i%2, i/2, 1+0.5*float64(i), []string{"-", "900000"}[i/5],
+		)
 	}
 	b.WriteString("REGISTRY 0 SAVED 41 3\nREGISTRY 1 FULL 41 3\nEOB\n")
-	outcomes := []string{"Ok", "Ok", "Ok", "Ok", "Failed", "QueueFull", "TimedOut", "ConnectError", "ResetByPeer", "Canceled", "Ignored", "Other"}
+	outcomes := []string{
+		"Ok", "Ok", "Ok", "Ok", "Failed", "QueueFull", "TimedOut", "ConnectError", "ResetByPeer", "Canceled", "Ignored",
+		"Other",
+	}
 	conditions := []string{"active", "leaving", "left"}
 	for n := range 600 {
 		clock += draw.Int64N(20_000)
 		fmt.Fprintf(&b, "BEGIN_BATCH %d\n", clock)
 		who := n % 2
 		id := fmt.Sprint("t", n)
-		fmt.Fprintf(&b, "REQ %d %s %d %d %d %d %d key%d\n", who, id, draw.IntN(3), draw.IntN(2), clock+4_000_000, draw.IntN(4), 1000+draw.IntN(20_000), draw.IntN(9))
+		fmt.Fprintf(
+			&b, "REQ %d %s %d %d %d %d %d key%d\n", who, id, draw.IntN(3), draw.IntN(2), clock+4_000_000, draw.IntN(4),
+			1000+draw.IntN(20_000), draw.IntN(9),
+		)
 		for shot := range draw.IntN(3) {
 			fmt.Fprintf(&b, "RESOLVED %d t%d %d %d 0 %s %d latency_ms:%d,util:0.%d,queue:%d,new:1\n", who, max(0, n-2*draw.IntN(3)), 500+draw.IntN(40_000), 100+draw.IntN(6),
 				outcomes[draw.IntN(len(outcomes))], shot, 1+draw.IntN(30), draw.IntN(10), draw.IntN(4))
@@ -59,9 +69,15 @@
 		case 3:
 			fmt.Fprintf(&b, "REGISTRY %d FAILED 41 -\n", who)
 		case 4:
-			fmt.Fprintf(&b, "CATALOG 5 1\nSERVER %d 1 0 2 %s 1 %d\nREGISTRY %d INCREMENTAL 42 5\n", 100+draw.IntN(6), conditions[draw.IntN(3)], clock, who)
+			fmt.Fprintf(
+				&b, "CATALOG 5 1\nSERVER %d 1 0 2 %s 1 %d\nREGISTRY %d INCREMENTAL 42 5\n", 100+draw.IntN(6),
+				conditions[draw.IntN(3)], clock, who,
+			)
 		case 5:
-			told := gossip.Encode(policy.GossipMessage{Endpoint: policy.EndpointID(100 + draw.IntN(6)), Class: draw.IntN(3)}, clock*nanosPerMicrosecond)
+			told := gossip.Encode(
+				policy.GossipMessage{Endpoint: policy.EndpointID(100 + draw.IntN(6)), Class: draw.IntN(3)},
+				clock*nanosPerMicrosecond,
+			)
 			fmt.Fprintf(&b, "PEER %d %d %s\n", who, draw.IntN(5), base64.StdEncoding.EncodeToString(told))
 		case 6:
 			fmt.Fprintf(&b, "OPENED %d t%d 0 100 50\n", who, n)
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -107,7 +107,9 @@
 
 // Guards against a peer ending this process, or invalid gossip passing unseen.
 func TestInvalidGossipIsCounted(t *testing.T) {
-	message := base64.StdEncoding.EncodeToString(gossip.Encode(policy.GossipMessage{Endpoint: 51530247}, 1000000*nanosPerMicrosecond))
+	message := base64.StdEncoding.EncodeToString(gossip.Encode(
+		policy.GossipMessage{Endpoint: 51530247}, 1000000*nanosPerMicrosecond,
+	))
 	in := start + "BEGIN_BATCH 1000001\nPEER 3 1 " + message + "\nPEER 3 1 " + message + "\nPEER 3 2 aGk=\nPEER 3 1 -\nEOB\n"
 	out, complaint, code := serve(in)
 	if !strings.HasSuffix(out, "DONE\n") || complaint != "benchlink: 3 messages passed over\n" || code != 0 {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -13,7 +13,10 @@
 func TestClassThatDoesWellGivesUpTimeForTheWorst(t *testing.T) {
 	b := newTestFleet(t, 2, nil)
 	b.estimator.classes[0].SuccessRate, b.estimator.classes[1].SuccessRate = 0.2, 0.8
-	starved, other := &request{effectiveDeadline: b.now + 400*ms}, &request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}
+	starved, other := &request{effectiveDeadline: b.now + 400*ms}, &request{
+		Request:           Request{Class: 1},
+		effectiveDeadline: b.now + 400*ms,
+	}
 	if got := b.allow(starved); got != 400*ms {
 		t.Errorf("the starved class may take %d", got)
 	}
@@ -67,7 +70,9 @@
 		b.tick()
 	}
 	if b.estimator.classes[0].LatencySpread < 2.5 {
-		t.Errorf("the bound of a node that mostly has nothing out fell to %.1f of 3", b.estimator.classes[0].LatencySpread)
+		t.Errorf(
+			"the bound of a node that mostly has nothing out fell to %.1f of 3", b.estimator.classes[0].LatencySpread,
+		)
 	}
 }
 
@@ -83,7 +88,10 @@
 		t.Errorf("beyond their shares: %d of the one below it, %d of the one above", beyond[0], beyond[1])
 	}
 	b.estimator.classes[0].SuccessRate = 0.5
-	within, over := &request{effectiveDeadline: b.now + 400*ms}, &request{effectiveDeadline: b.now + 400*ms, overQuota: true}
+	within, over := &request{effectiveDeadline: b.now + 400*ms}, &request{
+		effectiveDeadline: b.now + 400*ms,
+		overQuota:         true,
+	}
 	if w, o := b.allow(within), b.allow(over); w != 400*ms || o != 100*ms {
 		t.Errorf("with half rejected a request within may take %d, one beyond %d", w, o)
 	}
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -164,7 +164,8 @@
 
 func (r *digestRun) report(endpoint *digestEndpoint, outcome policy.Outcome) policy.LoadReport {
 	none := policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}
-	if r.settings.HealthChecksReport || outcome != policy.OutcomeSucceeded && outcome != policy.OutcomeRejected || r.random.IntN(4) == 0 {
+	if r.settings.HealthChecksReport || outcome != policy.OutcomeSucceeded && outcome != policy.OutcomeRejected ||
+		r.random.IntN(4) == 0 {
 		return none
 	}
 	report := policy.LoadReport{Utilization: -1, QueueLength: float64(endpoint.inFlight), ServiceTime: -1}
@@ -328,7 +329,13 @@
 		}
 		r.endpoints = append(r.endpoints, &digestEndpoint{
 			speed: 0.5 + 1.5*r.random.Float64(), failsCategory: -1,
-			listed: policy.EndpointInfo{ID: policy.EndpointID(i + 1), Zone: i % 3, Pod: i / 4, Weight: 0.5 + r.random.Float64(), StartedAt: policy.Time(started)},
+			listed: policy.EndpointInfo{
+				ID:        policy.EndpointID(i + 1),
+				Zone:      i % 3,
+				Pod:       i / 4,
+				Weight:    0.5 + r.random.Float64(),
+				StartedAt: policy.Time(started),
+			},
 		})
 	}
 	r.instance = policy.New(settings, seed, r)
@@ -369,7 +376,14 @@
 func digestSettings() map[string]policy.Settings {
 	categories := []policy.Class{
 		{LatencyObjective: 120 * millisecond, Idempotency: policy.Idempotent, PriorityWeight: 5},
-		{LatencyObjective: 160 * millisecond, Idempotency: policy.IdempotentByKey, DedupGroup: policy.DedupPod, DedupWindow: 400 * millisecond, PriorityWeight: 8, LateFraction: 0.5},
+		{
+			LatencyObjective: 160 * millisecond,
+			Idempotency:      policy.IdempotentByKey,
+			DedupGroup:       policy.DedupPod,
+			DedupWindow:      400 * millisecond,
+			PriorityWeight:   8,
+			LateFraction:     0.5,
+		},
 		{LatencyObjective: 200 * millisecond, Idempotency: policy.NonIdempotent, PriorityWeight: 3},
 	}
 	withGroup := func(group policy.DedupGroup) []policy.Class {
@@ -420,8 +434,12 @@
 			run := fmt.Sprint(name, "/", endpoints)
 			got[run] = digestOf(settings, endpoints, 53)
 			want := kept[run]
-			if !*writeDigests && (got[run].Digest != want.Digest || fmt.Sprint(got[run].Actions) != fmt.Sprint(want.Actions)) {
-				t.Errorf("%s: digest %s with actions %v, expected %s with %v", run, got[run].Digest, got[run].Actions, want.Digest, want.Actions)
+			if !*writeDigests && (got[run].Digest != want.Digest ||
+				fmt.Sprint(got[run].Actions) != fmt.Sprint(want.Actions)) {
+				t.Errorf(
+					"%s: digest %s with actions %v, expected %s with %v", run, got[run].Digest, got[run].Actions,
+					want.Digest, want.Actions,
+				)
 			}
 		}
 	}
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -28,7 +28,10 @@
 		b.sent = nil
 		b.serve(30, answersPromptly)
 		if b.sentTo(1) > 0 || b.sentTo(2)+b.sentTo(3) > 0 != keep {
-			t.Errorf("kept %t: %d to the one that had drained, %d and %d to the others", keep, b.sentTo(1), b.sentTo(2), b.sentTo(3))
+			t.Errorf(
+				"kept %t: %d to the one that had drained, %d and %d to the others", keep, b.sentTo(1), b.sentTo(2),
+				b.sentTo(3),
+			)
 		}
 		if !keep {
 			continue
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -152,4 +152,10 @@
 	return list
 }
 
-var benchSettings = Settings{Classes: []Class{{LatencyObjective: 200 * ms}}, MayCancel: true, MaxAttempts: 4, SlowStartWindow: 20e9, SlowStartMinCapacity: 0.2}
+var benchSettings = Settings{
+	Classes:              []Class{{LatencyObjective: 200 * ms}},
+	MayCancel:            true,
+	MaxAttempts:          4,
+	SlowStartWindow:      20e9,
+	SlowStartMinCapacity: 0.2,
+}
--- a/policy/idleconns_test.go
+++ b/policy/idleconns_test.go
@@ -51,7 +51,10 @@
 			b.TimerFired(b.now, b.timers[len(b.timers)-1])
 		}
 		if learned := b.idleConns.trusted.Limit < 1e12; learned != (most == 1) {
-			t.Errorf("%d out at once at an endpoint, where a connection carries one: idle time trusted %d ms", most, b.idleConns.trusted.Limit/ms)
+			t.Errorf(
+				"%d out at once at an endpoint, where a connection carries one: idle time trusted %d ms", most,
+				b.idleConns.trusted.Limit/ms,
+			)
 		}
 	}
 }
@@ -109,6 +112,8 @@
 		b.end(id, 0, o, ms)
 	}
 	if b.idleConns.trusted.Limit < 1e12 {
-		t.Errorf("one reset in twelve, and connections idle for %d ms are no longer trusted", b.idleConns.trusted.Limit/ms)
+		t.Errorf(
+			"one reset in twelve, and connections idle for %d ms are no longer trusted", b.idleConns.trusted.Limit/ms,
+		)
 	}
 }
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -33,9 +33,11 @@
 		"queue":                        {Settings{}, full, 4, true},
 		"utilization":                  {Settings{ReportsUtilization: true}, full, 0.5, true},
 		"utilization and service time": {Settings{ReportsUtilization: true, ReportsServiceTime: true}, full, 20, true},
-		"no service time in it":        {Settings{ReportsUtilization: true, ReportsServiceTime: true}, LoadReport{0.5, 3, -1}, 0.5, true},
-		"no utilization in it":         {Settings{ReportsUtilization: true}, LoadReport{-1, 3, 40}, 4, true},
-		"nothing in it":                {Settings{}, LoadReport{-1, -1, -1}, 0, false},
+		"no service time in it": {
+			Settings{ReportsUtilization: true, ReportsServiceTime: true}, LoadReport{0.5, 3, -1}, 0.5, true,
+		},
+		"no utilization in it": {Settings{ReportsUtilization: true}, LoadReport{-1, 3, 40}, 4, true},
+		"nothing in it":        {Settings{}, LoadReport{-1, -1, -1}, 0, false},
 	} {
 		if got, reported := c.settings.loadOf(&c.report); reported != c.reported || reported && got != c.want {
 			t.Errorf("%s: load %g, reported %t, expected %g, %t", name, got, reported, c.want, c.reported)
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -56,7 +56,8 @@
 		w.violation("rule 1: time-out %d leaves the deadline", timeout)
 	}
 	to, known := w.listed[target]
-	if !known || to.State == StateDraining || to.State == StateRemoved && (!w.settings.RemovedMayServe || w.drainedLast[target]) {
+	if !known || to.State == StateDraining || to.State == StateRemoved && (!w.settings.RemovedMayServe ||
+		w.drainedLast[target]) {
 		w.violation("rule 3: attempt to an endpoint that drains, is gone or was never listed")
 	}
 	if len(t.attempts) >= w.settings.MaxAttempts {
@@ -106,8 +107,12 @@
 	}
 	c := w.settings.Classes[t.request.Class]
 	for _, h := range t.attempts {
-		if !h.neverRan && c.Idempotency != Idempotent && (c.Idempotency == NonIdempotent || c.DedupGroup != DedupFleet || w.now.Sub(h.sentAt) >= c.DedupWindow) {
-			w.violation("rule 2: rejected though it may have run, after %d of a deduplication window of %d", w.now.Sub(h.sentAt), c.DedupWindow)
+		if !h.neverRan && c.Idempotency != Idempotent && (c.Idempotency == NonIdempotent ||
+			c.DedupGroup != DedupFleet || w.now.Sub(h.sentAt) >= c.DedupWindow) {
+			w.violation(
+				"rule 2: rejected though it may have run, after %d of a deduplication window of %d",
+				w.now.Sub(h.sentAt), c.DedupWindow,
+			)
 		}
 	}
 	if comeBackIn < 0 || comeBackIn > w.settings.MaxRetryAfter {
@@ -134,7 +139,8 @@
 }
 
 func (w *model) CheckHealth(id EndpointID) {
-	if l, known := w.listed[id]; !w.settings.MayCheckHealth || !known || l.State == StateDraining || l.State == StateRemoved && (!w.settings.RemovedMayServe || w.drainedLast[id]) {
+	if l, known := w.listed[id]; !w.settings.MayCheckHealth || !known || l.State == StateDraining ||
+		l.State == StateRemoved && (!w.settings.RemovedMayServe || w.drainedLast[id]) {
 		w.violation("a health check that is not allowed")
 	}
 }
@@ -157,7 +163,16 @@
 		MayGossip: w.Intn(2) == 0, RemovedMayServe: w.Intn(2) == 0, KeyAffinity: w.Intn(2) == 0, MayCheckHealth: w.Intn(2) == 0, HealthChecksReport: w.Intn(2) == 0,
 	}
 	for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent, IdempotentByKey} {
-		w.settings.Classes = append(w.settings.Classes, Class{LatencyObjective: 2e8 + time.Duration(w.Int63n(1e9)), Idempotency: repeat, DedupGroup: DedupGroup(w.Intn(3)), DedupWindow: 1e8 + time.Duration(w.Int63n(2e9)), LateFraction: float64(w.Intn(2))})
+		w.settings.Classes = append(
+			w.settings.Classes,
+			Class{
+				LatencyObjective: 2e8 + time.Duration(w.Int63n(1e9)),
+				Idempotency:      repeat,
+				DedupGroup:       DedupGroup(w.Intn(3)),
+				DedupWindow:      1e8 + time.Duration(w.Int63n(2e9)),
+				LateFraction:     float64(w.Intn(2)),
+			},
+		)
 	}
 	w.balancer = New(w.settings, uint64(seed), w)
 	w.changeList(true)
@@ -272,12 +287,18 @@
 		w.checkInFlight(t)
 	case 4:
 		// What others tell, whatever it is and however often, must never break a rule.
-		message := GossipMessage{Endpoint: EndpointID(w.Intn(10)), Class: w.Intn(8) - 2, IdleTime: time.Duration(w.Int63n(3)*w.Int63n(1e10) - 1e9)}
+		message := GossipMessage{
+			Endpoint: EndpointID(w.Intn(10)),
+			Class:    w.Intn(8) - 2,
+			IdleTime: time.Duration(w.Int63n(3)*w.Int63n(1e10) - 1e9),
+		}
 		if len(w.gossiped) > 0 && w.Intn(2) == 0 {
 			message = w.gossiped[w.Intn(len(w.gossiped))]
 		}
 		w.balancer.GossipReceived(w.now, message)
-		w.balancer.HealthChecked(w.now, EndpointID(w.Intn(10)), Outcome(w.Intn(9)), LoadReport{w.Float64(), float64(w.Intn(3)), -1})
+		w.balancer.HealthChecked(
+			w.now, EndpointID(w.Intn(10)), Outcome(w.Intn(9)), LoadReport{w.Float64(), float64(w.Intn(3)), -1},
+		)
 		if w.Intn(4) == 0 {
 			w.changeList(w.Intn(3) == 0)
 		}
@@ -305,7 +326,9 @@
 				if t.attempts[n].inFlight {
 					w.endAttempt(t, n, Outcome(w.Intn(int(OutcomeNotSent)+1)))
 					if w.Intn(8) == 0 { // the same gossip twice must change nothing
-						w.balancer.AttemptEnded(w.now, AttemptResult{Request: t.request.ID, Attempt: n, Endpoint: t.attempts[n].endpoint})
+						w.balancer.AttemptEnded(
+							w.now, AttemptResult{Request: t.request.ID, Attempt: n, Endpoint: t.attempts[n].endpoint},
+						)
 					}
 					break
 				}
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -37,7 +37,16 @@
 		before, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 		for range 8 {
 			id := b.arrive(2)
-			b.AttemptEnded(b.now, AttemptResult{Request: id, Endpoint: 1, Outcome: OutcomeRejected, Elapsed: ms, Report: LoadReport{-1, queue, -1}})
+			b.AttemptEnded(
+				b.now,
+				AttemptResult{
+					Request:  id,
+					Endpoint: 1,
+					Outcome:  OutcomeRejected,
+					Elapsed:  ms,
+					Report:   LoadReport{-1, queue, -1},
+				},
+			)
 			b.now = b.endpoints.byID[1].backoffUntil
 		}
 		if after, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); (after > 2*before) != late {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -143,7 +143,16 @@
 		id := RequestID(fmt.Sprint("warm", i))
 		p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms})
 		now += ms / 20
-		p.AttemptEnded(now, AttemptResult{Request: id, Endpoint: q.endpoint, Outcome: OutcomeSucceeded, Elapsed: ms / 20, RequestDone: true})
+		p.AttemptEnded(
+			now,
+			AttemptResult{
+				Request:     id,
+				Endpoint:    q.endpoint,
+				Outcome:     OutcomeSucceeded,
+				Elapsed:     ms / 20,
+				RequestDone: true,
+			},
+		)
 	}
 	for i := range 8 {
 		p.RequestArrived(now, Request{ID: RequestID(fmt.Sprint("out", i)), Deadline: now + 900*ms})
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -100,7 +100,9 @@
 	a.deadline, a.tries = n.now+1000*ms, a.tries+1
 	a.attempts, a.sentAt, a.to = nil, nil, nil
 	n.open[id] = a
-	n.balancer.RequestArrived(n.now, Request{ID: id, Class: a.class, Tenant: a.tenant, Deadline: a.deadline, ClientRetry: a.tries > 1})
+	n.balancer.RequestArrived(
+		n.now, Request{ID: id, Class: a.class, Tenant: a.tenant, Deadline: a.deadline, ClientRetry: a.tries > 1},
+	)
 }
 
 func (n *simulatedNode) endAttempt(id RequestID, number int, o Outcome) {
@@ -191,7 +193,10 @@
 	for at := range nodes {
 		n := &simulatedNode{faultSimulation: w, open: map[RequestID]*simulatedRequest{}}
 		n.balancer = New(Settings{
-			Classes:      []Class{{LatencyObjective: simulationObjective, Idempotency: Idempotent, PriorityWeight: 1}, {LatencyObjective: simulationObjective, Idempotency: Idempotent, PriorityWeight: 1}},
+			Classes: []Class{
+				{LatencyObjective: simulationObjective, Idempotency: Idempotent, PriorityWeight: 1},
+				{LatencyObjective: simulationObjective, Idempotency: Idempotent, PriorityWeight: 1},
+			},
 			TenantShares: []float64{0.75, 0.25}, MaxAttempts: 3, MayCancel: true, MaySetRetryAfter: true, SlowStartMinCapacity: 0.2, SlowStartWindow: 2e10, NodeIndex: at,
 			NodeCount: nodes, ClockResolution: 2 * ms,
 		}, uint64(at), n)
@@ -221,14 +226,22 @@
 		others        float64
 		waits         func(class, tenant int) time.Duration
 	}{
-		"a class, one node":           {1, 2, 0.7, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
-		"a class, 100 nodes":          {100, 4, 0.4, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
-		"a tenant, one node":          {1, 2, 0.7, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms }},
-		"a tenant, 100 nodes":         {100, 4, 0.4, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms }},
+		"a class, one node": {1, 2, 0.7, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
+		"a class, 100 nodes": {
+			100, 4, 0.4, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms },
+		},
+		"a tenant, one node": {1, 2, 0.7, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms }},
+		"a tenant, 100 nodes": {
+			100, 4, 0.4, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms },
+		},
 		"every endpoint's, one node":  {1, 3, 0, func(int, int) time.Duration { return 600 * ms }},
 		"every endpoint's, 100 nodes": {100, 5, 0, func(int, int) time.Duration { return 600 * ms }},
-		"most of the work, one node":  {1, 2, 0.08, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms }},
-		"most of the work, 100 nodes": {100, 4, 0.12, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms }},
+		"most of the work, one node": {
+			1, 2, 0.08, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms },
+		},
+		"most of the work, 100 nodes": {
+			100, 4, 0.12, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms },
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := simulateFault(c.nodes, c.waits)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -19,10 +19,22 @@
 				t.Errorf("%d timers wait for it, %d out at its endpoint", len(b.timers), s.inFlight)
 			}
 			sent := len(b.sent)
-			b.AttemptEnded(b.now+ms, AttemptResult{Request: "long", Endpoint: s.ID, Outcome: o, BodyConsumed: true, Report: LoadReport{-1, -1, -1}})
+			b.AttemptEnded(
+				b.now+ms,
+				AttemptResult{
+					Request:      "long",
+					Endpoint:     s.ID,
+					Outcome:      o,
+					BodyConsumed: true,
+					Report:       LoadReport{-1, -1, -1},
+				},
+			)
 			rejected := repeat == Idempotent || o == OutcomeConnectFailed
 			if len(b.sent) != sent || s.inFlight != 0 || (b.rejected == 1) != rejected || (b.failed == 1) == rejected {
-				t.Errorf("repeat %d, outcome %d: %d more attempts, %d out, %d rejected, %d failed", repeat, o, len(b.sent)-sent, s.inFlight, b.rejected, b.failed)
+				t.Errorf(
+					"repeat %d, outcome %d: %d more attempts, %d out, %d rejected, %d failed", repeat, o,
+					len(b.sent)-sent, s.inFlight, b.rejected, b.failed,
+				)
 			}
 		}
 	}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -105,7 +105,9 @@
 		t.Errorf("%d held, %d sent", len(p.requests.byID), len(endpoints))
 	}
 	for id, s := range endpoints {
-		p.AttemptEnded(now+ms, AttemptResult{Request: id, Endpoint: s, Outcome: OutcomeSucceeded, Elapsed: ms, RequestDone: true})
+		p.AttemptEnded(
+			now+ms, AttemptResult{Request: id, Endpoint: s, Outcome: OutcomeSucceeded, Elapsed: ms, RequestDone: true},
+		)
 	}
 	if len(p.requests.byID) != 0 {
 		t.Errorf("%d held after all have their end", len(p.requests.byID))
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -66,17 +66,25 @@
 		change func(s *endpoint)
 		want   float64
 	}{
-		"as reported":           {func(s *endpoint) { s.Load = 4 }, 4},
-		"idle":                  {func(s *endpoint) { s.Load = 0 }, 1. / 20}, // a twentieth of the mean, which is 1
-		"never heard":           {func(s *endpoint) { s.Load, s.HasReport = 0, false }, 2},
-		"rising for two":        {func(s *endpoint) { s.Load, s.risingSince = 1, now.Add(-2*recalculationInterval) }, 1.5},
-		"above while rising":    {func(s *endpoint) { s.Load, s.risingSince = 6, now.Add(-2*recalculationInterval) }, 6},
-		"twice as slow":         {func(s *endpoint) { s.Load, s.Latency.FirstSum, s.Latency.Weight = 1, 3, 1 }, 4},
-		"in a pod twice slower": {func(s *endpoint) { s.Load, s.podLatency = 1, &ewma.Pair{FirstSum: 3, Weight: 1} }, 4},
-		"of twice the size":     {func(s *endpoint) { s.Load, s.Weight = 4, 2 }, 2},
-		"with two out":          {func(s *endpoint) { s.Load, s.inFlight = 2, 2 }, 18},
-		"in another zone":       {func(s *endpoint) { s.Load, s.Zone = 2, 1 }, 12},
-		"cold, and has earned":  {func(s *endpoint) { s.Load, s.StartedAt, s.slowStartCredit = 4, now-1e9, 1 }, 4. / 400},
+		"as reported": {func(s *endpoint) { s.Load = 4 }, 4},
+		"idle":        {func(s *endpoint) { s.Load = 0 }, 1. / 20}, // a twentieth of the mean, which is 1
+		"never heard": {func(s *endpoint) { s.Load, s.HasReport = 0, false }, 2},
+		"rising for two": {
+			func(s *endpoint) { s.Load, s.risingSince = 1, now.Add(-2*recalculationInterval) }, 1.5,
+		},
+		"above while rising": {
+			func(s *endpoint) { s.Load, s.risingSince = 6, now.Add(-2*recalculationInterval) }, 6,
+		},
+		"twice as slow": {func(s *endpoint) { s.Load, s.Latency.FirstSum, s.Latency.Weight = 1, 3, 1 }, 4},
+		"in a pod twice slower": {
+			func(s *endpoint) { s.Load, s.podLatency = 1, &ewma.Pair{FirstSum: 3, Weight: 1} }, 4,
+		},
+		"of twice the size": {func(s *endpoint) { s.Load, s.Weight = 4, 2 }, 2},
+		"with two out":      {func(s *endpoint) { s.Load, s.inFlight = 2, 2 }, 18},
+		"in another zone":   {func(s *endpoint) { s.Load, s.Zone = 2, 1 }, 12},
+		"cold, and has earned": {
+			func(s *endpoint) { s.Load, s.StartedAt, s.slowStartCredit = 4, now-1e9, 1 }, 4. / 400,
+		},
 	} {
 		set := benchSettings
 		set.WeightIsSize = true
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -57,7 +57,9 @@
 // warm share their requests out among those few, whatever these can do.
 func TestFirstEndpointsBackAreNotOverloaded(t *testing.T) {
 	gained := func(nodes int) float64 {
-		b := newTestFleet(t, 0, func(s *Settings) { s.NodeCount, s.SlowStartWindow, s.SlowStartMinCapacity = nodes, 20e9, 0.2 })
+		b := newTestFleet(
+			t, 0, func(s *Settings) { s.NodeCount, s.SlowStartWindow, s.SlowStartMinCapacity = nodes, 20e9, 0.2 },
+		)
 		for id := EndpointID(1); id <= 4; id++ {
 			b.EndpointsUpdated(b.now, []EndpointInfo{{ID: id, Weight: 1, StartedAt: b.now}}, false)
 		}
@@ -78,7 +80,10 @@
 	// for a quarter of the latency objective.
 	const mean = 0.125 // s
 	if all := many * 300 * mean; all > warmConcurrency*0.6 {
-		t.Errorf("all nodes together give a cold endpoint %g of its time, no more than %g of what it surely does", all, warmConcurrency*0.6)
+		t.Errorf(
+			"all nodes together give a cold endpoint %g of its time, no more than %g of what it surely does", all,
+			warmConcurrency*0.6,
+		)
 	}
 	if one < 4*many {
 		t.Errorf("a node alone gives %g a second, one of 300 %g", one, many)
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -47,7 +47,10 @@
 		}
 	}
 	if len(sharing) < servers || moved > 60 {
-		t.Errorf("%d of %d endpoints are drawn from; one that left moved %d connections, 32 would be even", len(sharing), servers, moved)
+		t.Errorf(
+			"%d of %d endpoints are drawn from; one that left moved %d connections, 32 would be even", len(sharing),
+			servers, moved,
+		)
 	}
 }
 
@@ -96,7 +99,10 @@
 	}
 	p.EndpointsUpdated(now, list, true)
 	if got := len(p.subset.members); got != warmingUpPerWarm*p.subset.size || got > 40 {
-		t.Errorf("one of 300 nodes draws from %d of 120 cold endpoints, want %d times %d", got, warmingUpPerWarm, p.subset.size)
+		t.Errorf(
+			"one of 300 nodes draws from %d of 120 cold endpoints, want %d times %d", got, warmingUpPerWarm,
+			p.subset.size,
+		)
 	}
 	for i := range list[:60] { // half of them were up long before
 		list[i].StartedAt = 0
