--- a/cmd/fawnglade/main.go
+++ b/cmd/fawnglade/main.go
@@ -42,7 +42,7 @@
 	}
 	config, err := node.ReadConfig(path)
 	if err == nil && features != "" {
-		err = config.Features(features)
+		err = config.ReadFeatures(features)
 	}
 	return config, err
 }
@@ -55,7 +55,7 @@
 		signals := node.Signals()
 		config, err := read(*path, *features)
 		if err == nil && *state != "" {
-			err = config.State(*state)
+			err = config.UseStateDir(*state)
 		}
 		if err != nil {
 			return err
--- a/cmd/fawnglade/migrate_test.go
+++ b/cmd/fawnglade/migrate_test.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.News.Listen != "127.0.0.1:9001" || len(c.News.Peers) != 3 || !strings.Contains(dry, `"group_size": 400`) ||
+	if c.Gossip.Listen != "127.0.0.1:9001" || len(c.Gossip.Peers) != 3 || !strings.Contains(dry, `"group_size": 400`) ||
 		!strings.Contains(dry, `"multiplex": 100`) || !strings.Contains(dry, "12345678901234567890") || !strings.Contains(dry, `"may_duplicate": false`) {
 		t.Errorf("written:\n%s", text)
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -90,7 +90,7 @@
 		if err != nil {
 			return err
 		}
-		if err := errors.Join(c.Features(features), c.State(f.state(i))); err != nil {
+		if err := errors.Join(c.ReadFeatures(features), c.UseStateDir(f.state(i))); err != nil {
 			return err
 		}
 		n, err := node.New(c, zap.NewNop())
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -45,11 +45,11 @@
 // newAdminServer opens the console, if the configuration has one.
 func newAdminServer(n *Node) (*adminServer, error) {
 	s := &adminServer{node: n}
-	if n.config.Console == "" {
+	if n.config.AdminListen == "" {
 		return s, nil
 	}
 	var err error
-	if s.listener, err = bind(n.config.Console); err != nil {
+	if s.listener, err = bind(n.config.AdminListen); err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
 	return s, nil
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-func withConsole(c *Config) { c.Console = address() }
+func withConsole(c *Config) { c.AdminListen = address() }
 
 // callOn makes one call at the console and returns what it says.
 func callOn(t *testing.T, n *Node, text string) (status int, body string, header http.Header) {
@@ -182,8 +182,8 @@
 func TestOrdersAreSharedAndOutliveAProcess(t *testing.T) {
 	server, _ := serverOf(t, echo)
 	var dir, at string
-	n := nodeWith(t, func(c *Config) { withConsole(c); dir, at = c.dir, c.Listen }, server)
-	other := newNode(t, func(c *Config) { withConsole(c); c.dir, c.Listen = dir, at }, server)
+	n := nodeWith(t, func(c *Config) { withConsole(c); dir, at = c.filesDir, c.Listen }, server)
+	other := newNode(t, func(c *Config) { withConsole(c); c.filesDir, c.Listen = dir, at }, server)
 	other.start()
 	soon(t, "both ready", func() bool { return n.call(t, "GET /ready") == 200 && other.call(t, "GET /ready") == 200 })
 	n.call(t, "PUT /servers/disable?target=s-0")
@@ -191,7 +191,7 @@
 	soon(t, "the other knows", func() bool {
 		return other.overrides.isDisabled(endpointID("s-0")) && other.call(t, "GET /ready") == 503
 	})
-	later := newNode(t, func(c *Config) { c.dir, c.Listen = dir, at })
+	later := newNode(t, func(c *Config) { c.filesDir, c.Listen = dir, at })
 	if !later.overrides.isDisabled(endpointID("s-0")) || !later.overrides.drained() || !later.overrides.isKnown("s-0") {
 		t.Error("a later process does not know the orders")
 	}
@@ -237,12 +237,12 @@
 		if err := os.WriteFile(n.overrides.path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		again := newNode(t, func(c *Config) { c.dir, c.Listen = n.config.dir, n.config.Listen })
+		again := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
 		if got := len(again.overrides.current.Load().disabled); got != kept || again.count(overridesUnreadable) != 1 {
 			t.Errorf("%.80q: %d servers out, want %d; counted %d times", text, got, kept, again.count(overridesUnreadable))
 		}
 	}
-	running := newNode(t, func(c *Config) { c.dir, c.Listen = n.config.dir, n.config.Listen })
+	running := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
 	running.overrides.publish(&overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-7": {disabledAt: 1}}})
 	os.WriteFile(n.overrides.path, []byte(good+"server \"s-0\" 1"), 0o600)
 	if running.overrides.reload(); !running.overrides.drained() || !running.overrides.isDisabled(endpointID("s-7")) {
@@ -250,7 +250,7 @@
 	}
 	os.Remove(n.overrides.path)
 	os.Mkdir(n.overrides.path, 0o700)
-	if again := newNode(t, func(c *Config) { c.dir, c.Listen = n.config.dir, n.config.Listen }); again.count(overridesUnreadable) != 1 {
+	if again := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen }); again.count(overridesUnreadable) != 1 {
 		t.Error("a folder in the place of the file is not told")
 	}
 	if n.overrides.rememberNames("s-0"); true {
@@ -311,5 +311,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.loop.postList(entries, whole)
+	n.loop.postEndpoints(entries, whole)
 }
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.loop.postList(list, whole)
+	n.loop.postEndpoints(list, whole)
 	n.passed()
 }
 
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -147,7 +147,7 @@
 			wait = 0
 		case tooLong != nil:
 		case d.node.settings.Policy.MustPollList:
-			d.node.loop.post(d.node.loop.watchFailed)
+			d.node.loop.post(d.node.loop.endpointWatchFailed)
 			wait = maxPollGap
 		case silent:
 			wait = 0
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -68,7 +68,7 @@
 func atATenth(t *testing.T, mode, discovery string) *Node {
 	n := newNode(t, func(c *Config) {
 		with(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
-		c.Discovery, c.Known = discovery, nil
+		c.Discovery, c.KnownList = discovery, nil
 	})
 	n.endpointWatch.headTimeout, n.endpointWatch.silenceTimeout = tenthHead, time.Hour
 	return n
@@ -251,7 +251,7 @@
 	})
 	n := newNode(t, func(c *Config) {
 		with(`"discovery":"ask"`, `"discovery":"push"`)(c)
-		c.Discovery, c.Known, c.Limits.MemoryMB = address, nil, 0
+		c.Discovery, c.KnownList, c.Limits.MemoryMB = address, nil, 0
 	})
 	go n.start()
 	for end := time.Now().Add(2 * time.Minute); n.notReady() != ""; time.Sleep(10 * time.Millisecond) {
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -196,12 +196,12 @@
 
 // postList enters a list in slices, with requests in between: one of thousands of lines would hold them all up. Who is not
 // on a whole list comes last, so that until then nobody is taken off who is on it.
-func (l *eventLoop) postList(entries []endpointEntry, whole bool) {
+func (l *eventLoop) postEndpoints(entries []endpointEntry, whole bool) {
 	size := max(listSlice, len(entries)/listPart)
 	for rest := entries; len(rest) > 0 || !whole; {
 		slice := rest[:min(size, len(rest))]
 		rest = rest[len(slice):]
-		l.post(func() { l.listUpdated(slice, false) })
+		l.post(func() { l.endpointsUpdated(slice, false) })
 		if len(rest) == 0 {
 			break
 		}
@@ -224,17 +224,17 @@
 		}
 	}
 	slices.SortFunc(gone, func(a, b endpointEntry) int { return cmp.Compare(a.ID, b.ID) })
-	l.listUpdated(gone, false)
+	l.endpointsUpdated(gone, false)
 }
 
 // listUpdated takes in the list or what changed in it. Connections to a server that is no longer wanted are given up.
-func (l *eventLoop) listUpdated(entries []endpointEntry, whole bool) {
+func (l *eventLoop) endpointsUpdated(entries []endpointEntry, whole bool) {
 	l.node.overrides.rememberNames(names(entries)...)
-	l.apply(l.node.overrides.apply(entries, whole), whole)
+	l.updateEndpoints(l.node.overrides.apply(entries, whole), whole)
 }
 
 // overridesChanged takes in what operators have changed by hand.
-func (l *eventLoop) overridesChanged() { l.apply(l.node.overrides.changedEntries(), false) }
+func (l *eventLoop) overridesChanged() { l.updateEndpoints(l.node.overrides.changedEntries(), false) }
 
 func names(entries []endpointEntry) []string {
 	list := make([]string, len(entries))
@@ -245,7 +245,7 @@
 }
 
 // apply takes in entries as the decisions are to see them.
-func (l *eventLoop) apply(entries []endpointEntry, whole bool) {
+func (l *eventLoop) updateEndpoints(entries []endpointEntry, whole bool) {
 	list := make([]policy.EndpointInfo, 0, len(entries))
 	for _, e := range entries {
 		old, known := l.endpoints[e.ID]
@@ -270,7 +270,7 @@
 	l.handle(nil, func() { l.balancer.EndpointsUpdated(l.now, list, whole) })
 }
 
-func (l *eventLoop) watchFailed() { l.handle(nil, func() { l.balancer.WatchFailed(l.now) }) }
+func (l *eventLoop) endpointWatchFailed() { l.handle(nil, func() { l.balancer.WatchFailed(l.now) }) }
 
 // finish gives the request its answer, unless it has one.
 func (l *eventLoop) finish(x *pendingRequest, how counter, a response) bool {
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -190,7 +190,7 @@
 	golden.Check(t, "console.txt", b.Bytes())
 	var fields map[string]json.RawMessage
 	d := nodeWith(t, func(c *Config) {
-		if err := c.State(t.TempDir()); err != nil {
+		if err := c.UseStateDir(t.TempDir()); err != nil {
 			t.Fatal(err)
 		}
 	}, "127.0.0.1:1")
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -31,23 +31,23 @@
 }
 
 // checkNews checks the configuration of news.
-func (c *Config) checkNews() error {
-	if c.News.Listen == "" {
-		if len(c.News.Peers) > 0 {
+func (c *Config) checkGossip() error {
+	if c.Gossip.Listen == "" {
+		if len(c.Gossip.Peers) > 0 {
 			return errors.New("news.listen: expected an address and a port, as there are news.peers, got none")
 		}
-		if c.decoded.Policy.MayGossip && c.decoded.Policy.NodeCount > 1 {
+		if c.parsedSettings.Policy.MayGossip && c.parsedSettings.Policy.NodeCount > 1 {
 			return errors.New("news.listen: expected an address and a port, as limits.peer_messages is true in the settings, got none")
 		}
 		return nil
 	}
-	if _, err := netip.ParseAddrPort(c.News.Listen); err != nil {
-		return fmt.Errorf("news.listen: expected an address and a port, got %q", c.News.Listen)
+	if _, err := netip.ParseAddrPort(c.Gossip.Listen); err != nil {
+		return fmt.Errorf("news.listen: expected an address and a port, got %q", c.Gossip.Listen)
 	}
-	if len(c.News.Peers) > maxGossipPeers {
-		return fmt.Errorf("news.peers: expected at most %d, got %d", maxGossipPeers, len(c.News.Peers))
+	if len(c.Gossip.Peers) > maxGossipPeers {
+		return fmt.Errorf("news.peers: expected at most %d, got %d", maxGossipPeers, len(c.Gossip.Peers))
 	}
-	for i, address := range c.News.Peers {
+	for i, address := range c.Gossip.Peers {
 		if at, err := netip.ParseAddrPort(address); err != nil || at.Port() == 0 {
 			return fmt.Errorf("news.peers.%d: expected an address and a port, got %q", i, address)
 		}
@@ -57,16 +57,16 @@
 
 func newGossiper(n *Node) (*gossiper, error) {
 	p := &gossiper{node: n, peers: map[netip.AddrPort]int{}, outbox: make(chan policy.GossipMessage, maxGossipOutbox)}
-	if n.config.News.Listen == "" {
+	if n.config.Gossip.Listen == "" {
 		return p, nil
 	}
-	socket, err := datagram.Listen(n.config.News.Listen)
+	socket, err := datagram.Listen(n.config.Gossip.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("news.listen: %w", err)
 	}
 	p.socket = socket
 	own := socket.LocalAddr().(*net.UDPAddr).AddrPort()
-	for i, address := range n.config.News.Peers { // the same list may serve all nodes
+	for i, address := range n.config.Gossip.Peers { // the same list may serve all nodes
 		if at := netip.MustParseAddrPort(address); at != own {
 			p.peers[at] = i
 		}
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -15,7 +15,7 @@
 // withNews gives a node a place for news and peers; its settings allow messages and probes.
 func withNews(at int, peers ...string) func(*Config) {
 	return func(c *Config) {
-		c.News.Listen, c.News.Peers = "127.0.0.1:0", peers
+		c.Gossip.Listen, c.Gossip.Peers = "127.0.0.1:0", peers
 		text := strings.Replace(settingsText, `"group_size":1`, fmt.Sprintf(`"group_size":3,"position":%d,"value_by":"work"`, at), 1)
 		text = strings.Replace(text, `"limits":{`, `"limits":{"peer_messages":true,"probes":true,"multiplex":100,`, 1)
 		c.Settings = []byte(strings.Replace(text, `"how":"inline"`, `"how":"on_probe"`, 1))
@@ -107,10 +107,10 @@
 
 func TestNewsConfigurationIsChecked(t *testing.T) {
 	for want, change := range map[string]func(*Config){
-		"news.listen: expected an address and a port, as limits.peer": func(c *Config) { c.News.Listen = "" },
-		"news.listen: expected an address and a port, got":            func(c *Config) { c.News.Listen = "nowhere" },
-		"news.listen: expected an address and a port, as there are":   func(c *Config) { c.News.Listen, c.News.Peers = "", []string{"127.0.0.1:9"} },
-		"news.peers.1: expected an address and a port":                func(c *Config) { c.News.Peers = []string{"127.0.0.1:9", "127.0.0.1:0"} },
+		"news.listen: expected an address and a port, as limits.peer": func(c *Config) { c.Gossip.Listen = "" },
+		"news.listen: expected an address and a port, got":            func(c *Config) { c.Gossip.Listen = "nowhere" },
+		"news.listen: expected an address and a port, as there are":   func(c *Config) { c.Gossip.Listen, c.Gossip.Peers = "", []string{"127.0.0.1:9"} },
+		"news.peers.1: expected an address and a port":                func(c *Config) { c.Gossip.Peers = []string{"127.0.0.1:9", "127.0.0.1:0"} },
 		"settings: position: expected a number below group_size": func(c *Config) {
 			c.Settings = []byte(strings.Replace(string(c.Settings), `"position":0`, `"position":3`, 1))
 		},
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -115,7 +115,7 @@
 	}
 	c := &Config{
 		Name: "n0", Listen: address(), Discovery: "127.0.0.1:1", Seed: "1f",
-		Known: json.RawMessage(listText(1, true, entries...)), Settings: json.RawMessage(settingsText), dir: t.TempDir(),
+		KnownList: json.RawMessage(listText(1, true, entries...)), Settings: json.RawMessage(settingsText), filesDir: t.TempDir(),
 	}
 	c.Limits.MemoryMB, c.Limits.Sockets = 192, 1024
 	if change != nil {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -54,7 +54,7 @@
 }
 
 func newHotRestart(n *Node) *hotRestart {
-	return &hotRestart{node: n, path: filepath.Join(n.config.dir, n.fileName(".sock"))}
+	return &hotRestart{node: n, path: filepath.Join(n.config.filesDir, n.fileName(".sock"))}
 }
 
 func (h *hotRestart) hello() restartHello {
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -36,7 +36,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.dir, c.Listen, c.inherited = dir, held.Addr().String(), strconv.Itoa(fd)
+			c.filesDir, c.Listen, c.inherited = dir, held.Addr().String(), strconv.Itoa(fd)
 		}, servers...)
 		t.Cleanup(n.hotRestart.close)
 		return n
@@ -193,8 +193,8 @@
 	}
 	defer pipe.Close()
 	for want, change := range map[string]func(*Config){
-		`console: expected an address and a port, got "here"`:         func(c *Config) { c.Console = "here" },
-		"console: expected another address than listen, got":          func(c *Config) { c.Listen = "127.0.0.1:9"; c.Console = c.Listen },
+		`console: expected an address and a port, got "here"`:         func(c *Config) { c.AdminListen = "here" },
+		"console: expected another address than listen, got":          func(c *Config) { c.Listen = "127.0.0.1:9"; c.AdminListen = c.Listen },
 		`NODE_INHERITED_FD: expected a descriptor's number, got "-1"`: func(c *Config) { c.inherited = "-1" },
 		`expected a descriptor's number, got "five"`:                  func(c *Config) { c.inherited = "five" },
 		"expected a listening socket, got descriptor 999999":          func(c *Config) { c.inherited = "999999" },
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -78,13 +78,13 @@
 	if s.core == nil { // the view is not there yet: it begins with this
 		first := &s.node.initialList
 		*first = initialList{first.merge(entries, whole), version, true}
-		s.node.loop.postList(entries, whole)
+		s.node.loop.postEndpoints(entries, whole)
 		return
 	}
 	if all := s.core.Listed(s.node.clock.nanos(), version, lines, gone, whole); all != nil {
 		entries, whole = s.entries(all), true
 	}
-	s.node.loop.postList(entries, whole)
+	s.node.loop.postEndpoints(entries, whole)
 }
 
 // tick lets the core ask.
@@ -95,7 +95,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if all := s.core.Beat(s.node.clock.nanos(), s.node.listConfirmedAt()); all != nil {
-		s.node.loop.postList(s.entries(all), true)
+		s.node.loop.postEndpoints(s.entries(all), true)
 	}
 }
 
@@ -108,7 +108,7 @@
 		return
 	}
 	entries, view := s.entries(lines), s.core.View()
-	s.node.loop.postList(s.node.persistence.applyToGossiped(entries, view.Version), false)
+	s.node.loop.postEndpoints(s.node.persistence.applyToGossiped(entries, view.Version), false)
 	s.node.hasList.Store(true)
 	s.node.log.Info("the list by others' word", zap.Int("from", from), zap.Int("servers", len(entries)), zap.Any("list", view))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -56,35 +56,35 @@
 		MemoryMB int64   `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	News struct { // between nodes, where the settings allow messages
+	Gossip struct { // between nodes, where the settings allow messages
 		Listen string   `json:"listen"`
 		Peers  []string `json:"peers"`
 	} `json:"news"`
-	Console  string          `json:"console"` // where operators call; $NODE_CONSOLE goes before it
-	Known    json.RawMessage `json:"known"`
+	AdminListen  string          `json:"console"` // where operators call; $NODE_CONSOLE goes before it
+	KnownList    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
 	path      string
-	dir       string // for small files that outlive a process
+	filesDir       string // for small files that outlive a process
 	inherited string // $NODE_INHERITED_FD
 	seed      uint64
-	decoded   settings.Settings
-	state     string // the directory of the memory; empty: none
-	files     func(path string, write bool) (store.Files, error)
+	parsedSettings   settings.Settings
+	stateDir     string // the directory of the memory; empty: none
+	openFiles     func(path string, write bool) (store.Files, error)
 	features  *features.Features // nil: nothing beyond the platform's protocol
 }
 
 // State has the node keep a memory in a directory, and its orders too.
-func (c *Config) State(dir string) error {
+func (c *Config) UseStateDir(dir string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	c.state, c.dir, c.files = dir, dir, store.Dir
+	c.stateDir, c.filesDir, c.openFiles = dir, dir, store.Dir
 	return nil
 }
 
 // Features reads the file of what this node does beyond the platform's protocol.
-func (c *Config) Features(path string) (err error) {
+func (c *Config) ReadFeatures(path string) (err error) {
 	c.features, err = features.Read(path, c.Name)
 	return err
 }
@@ -95,12 +95,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{path: path, dir: os.TempDir(), inherited: os.Getenv(envInherited)}
+	c := &Config{path: path, filesDir: os.TempDir(), inherited: os.Getenv(envInherited)}
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if console := os.Getenv(envConsole); console != "" {
-		c.Console = console
+		c.AdminListen = console
 	}
 	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -110,7 +110,7 @@
 
 // ParseConfig checks a configuration's text.
 func ParseConfig(text []byte) (*Config, error) {
-	c := &Config{dir: os.TempDir()}
+	c := &Config{filesDir: os.TempDir()}
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, err
 	}
@@ -135,29 +135,29 @@
 	if len(c.Settings) == 0 {
 		return errors.New("settings: expected an object, got none")
 	}
-	if c.decoded, err = settings.FromJSON(c.Settings); err != nil {
+	if c.parsedSettings, err = settings.FromJSON(c.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if c.decoded.ConnectTimeout == 0 || c.decoded.IdleTimeout == 0 {
+	if c.parsedSettings.ConnectTimeout == 0 || c.parsedSettings.IdleTimeout == 0 {
 		return errors.New("settings: limits.connect_timeout_us, limits.idle_close_us: expected times, got none")
 	}
-	if p := c.decoded.Policy; p.NodeCount > 1 && p.NodeIndex >= p.NodeCount {
+	if p := c.parsedSettings.Policy; p.NodeCount > 1 && p.NodeIndex >= p.NodeCount {
 		return fmt.Errorf("settings: position: expected a number below group_size, which is %d, got %d", p.NodeCount, p.NodeIndex)
 	}
-	if err := c.checkNews(); err != nil {
+	if err := c.checkGossip(); err != nil {
 		return err
 	}
-	return c.checkConsole()
+	return c.checkAdmin()
 }
 
-func (c *Config) checkConsole() error {
-	if c.Console != "" {
-		at, err := netip.ParseAddrPort(c.Console)
+func (c *Config) checkAdmin() error {
+	if c.AdminListen != "" {
+		at, err := netip.ParseAddrPort(c.AdminListen)
 		if err != nil {
-			return fmt.Errorf("console: expected an address and a port, got %q", c.Console)
+			return fmt.Errorf("console: expected an address and a port, got %q", c.AdminListen)
 		}
 		if at == netip.MustParseAddrPort(c.Listen) && at.Port() != 0 {
-			return fmt.Errorf("console: expected another address than listen, got %q for both", c.Console)
+			return fmt.Errorf("console: expected another address than listen, got %q for both", c.AdminListen)
 		}
 	}
 	if c.inherited == "" {
@@ -209,8 +209,8 @@
 // New makes a node that listens; nothing runs before Run.
 func New(config *Config, log *zap.Logger) (*Node, error) {
 	n := &Node{
-		config: config, settings: &config.decoded, log: log, clock: clock{time.Now()}, listLimits: endpointlist.LimitsFor(config.Limits.MemoryMB << 20),
-		classIndex: indexOf(config.decoded.Classes), tenantIndex: indexOf(config.decoded.Tenants),
+		config: config, settings: &config.parsedSettings, log: log, clock: clock{time.Now()}, listLimits: endpointlist.LimitsFor(config.Limits.MemoryMB << 20),
+		classIndex: indexOf(config.parsedSettings.Classes), tenantIndex: indexOf(config.parsedSettings.Tenants),
 	}
 	n.overrides = newOverrides(n)
 	n.persistence = openPersistence(n)
@@ -347,10 +347,10 @@
 	}
 	remembered := initialList{n.persistence.known(), n.persistence.version(), false}
 	n.overrides.rememberNames(names(remembered.entries)...)
-	if len(n.config.Known) == 0 {
+	if len(n.config.KnownList) == 0 {
 		return remembered
 	}
-	entries, version, whole, err := n.parseList(n.config.Known)
+	entries, version, whole, err := n.parseList(n.config.KnownList)
 	if err != nil {
 		n.log.Warn("known list passed over", zap.Error(err))
 		return remembered
@@ -369,7 +369,7 @@
 	n.loop.now = n.clock.now()
 	n.initialList = n.knownList()
 	n.hasList.Store(n.initialList.watchResumes || len(n.initialList.entries) > 0 || n.predecessor != nil)
-	n.loop.listUpdated(n.initialList.entries, true)
+	n.loop.endpointsUpdated(n.initialList.entries, true)
 	if n.predecessor != nil {
 		n.loop.inherit(n.predecessor.Learned)
 	} else {
@@ -461,8 +461,8 @@
 	var later []string
 	for name, same := range map[string]bool{
 		"listen": c.Listen == n.config.Listen, "limits": c.Limits == n.config.Limits,
-		"settings": reflect.DeepEqual(c.decoded, n.config.decoded), "news": reflect.DeepEqual(c.News, n.config.News),
-		"console": c.Console == n.config.Console,
+		"settings": reflect.DeepEqual(c.parsedSettings, n.config.parsedSettings), "news": reflect.DeepEqual(c.Gossip, n.config.Gossip),
+		"console": c.AdminListen == n.config.AdminListen,
 	} {
 		if !same {
 			later = append(later, name)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -664,7 +664,7 @@
 			t.Fatal(err)
 		}
 		done := make(chan struct{})
-		n.loop.postList(list, whole)
+		n.loop.postEndpoints(list, whole)
 		n.loop.post(func() { close(done) })
 		<-done
 	}
@@ -699,7 +699,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.loop.postList(list, whole)
+		n.loop.postEndpoints(list, whole)
 	}
 	learn(listText(2, false, listEntry("s-0", server, "removed")))
 	learn(listText(3, true))
@@ -969,11 +969,11 @@
 		}
 		return list
 	}
-	n.loop.postList(lines(1, 4097), true)
+	n.loop.postEndpoints(lines(1, 4097), true)
 	if events := taken(); events != 9 || len(n.loop.endpoints) != 4096 {
 		t.Errorf("4,096 lines in %d events, %d servers known; want 8 slices and a last one for who is absent, and all", events, len(n.loop.endpoints))
 	}
-	n.loop.postList(lines(4001, 5001), true)
+	n.loop.postEndpoints(lines(4001, 5001), true)
 	for range 2 {
 		(<-n.loop.events)()
 	}
@@ -984,8 +984,8 @@
 	if len(n.loop.endpoints) != 1000 || n.loop.endpoints[4000].address != "" || n.loop.endpoints[5000].address == "" {
 		t.Errorf("%d servers known, want the 1,000 of the second list", len(n.loop.endpoints))
 	}
-	n.loop.postList(nil, false)
-	if n.loop.postList(nil, true); taken() != 2 || len(n.loop.endpoints) != 0 {
+	n.loop.postEndpoints(nil, false)
+	if n.loop.postEndpoints(nil, true); taken() != 2 || len(n.loop.endpoints) != 0 {
 		t.Errorf("%d servers known after a whole list of nobody", len(n.loop.endpoints))
 	}
 }
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -84,7 +84,7 @@
 
 // newOverrides reads what stands from before. What can't be read is told and passed over; the node starts all the same.
 func newOverrides(n *Node) *overrides {
-	o := &overrides{node: n, path: filepath.Join(n.config.dir, n.fileName(".orders")), entries: map[string]*endpointEntry{}}
+	o := &overrides{node: n, path: filepath.Join(n.config.filesDir, n.fileName(".orders")), entries: map[string]*endpointEntry{}}
 	o.names.of = map[string]bool{}
 	o.current.Store(&overrideSet{endpoints: map[string]disabledEndpoint{}, disabled: map[policy.EndpointID]bool{}})
 	o.applied = o.current.Load()
@@ -201,7 +201,7 @@
 		return err
 	}
 	_, err = f.Write(b.Bytes())
-	if o.node.config.state != "" && err == nil {
+	if o.node.config.stateDir != "" && err == nil {
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err == nil {
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -37,7 +37,7 @@
 
 	mu      sync.Mutex
 	memory  *nodestate.Memory
-	trusted nodestate.Trusted
+	recovered nodestate.Trusted
 	opened  *store.Store // as it was opened; nil: it was not. Of run alone
 	wake    chan struct{}
 	stop    chan struct{}
@@ -50,10 +50,10 @@
 
 // openPersistence reads what a directory holds. What can't be read, or not in time, leaves the node without memory, which is told.
 func openPersistence(n *Node) *persistence {
-	if n.config.state == "" {
+	if n.config.stateDir == "" {
 		return nil
 	}
-	s := &persistence{node: n, dir: filepath.Join(n.config.state, storeDir), wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+	s := &persistence{node: n, dir: filepath.Join(n.config.stateDir, storeDir), wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	type opened struct {
 		store  *store.Store
 		memory *nodestate.Memory
@@ -81,10 +81,10 @@
 	}
 	now := n.clock.nanos()
 	s.memory = o.memory
-	s.trusted = s.memory.Trust(now)
+	s.recovered = s.memory.Trust(now)
 	s.memory.Begin(now)
-	n.log.Info("memory", zap.Uint64("epoch", s.memory.Epoch()), zap.Int("servers", len(s.trusted.Servers)), zap.Int("unreadable", s.memory.Bad()),
-		zap.Float64("learned counts", s.trusted.Part), zap.Strings("not trusted", s.trusted.Notes))
+	n.log.Info("memory", zap.Uint64("epoch", s.memory.Epoch()), zap.Int("servers", len(s.recovered.Servers)), zap.Int("unreadable", s.memory.Bad()),
+		zap.Float64("learned counts", s.recovered.Part), zap.Strings("not trusted", s.recovered.Notes))
 	s.opened = o.store
 	return s
 }
@@ -97,7 +97,7 @@
 }
 
 func (s *persistence) open() (*store.Store, *nodestate.Memory, error) {
-	files, err := s.node.config.files(s.dir, true)
+	files, err := s.node.config.openFiles(s.dir, true)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -232,7 +232,7 @@
 	if s == nil {
 		return nil
 	}
-	return s.node.entriesOf(s.trusted.Servers)
+	return s.node.entriesOf(s.recovered.Servers)
 }
 
 // version is the highest of the list that is remembered; 0: none.
@@ -272,16 +272,16 @@
 
 // inherit begins with what the decisions had learned, by its age.
 func (s *persistence) inherit() {
-	if s == nil || s.trusted.Learned == nil {
+	if s == nil || s.recovered.Learned == nil {
 		return
 	}
 	l := s.node.loop
 	var all estimates.Snapshot
-	if err := json.Unmarshal(s.trusted.Learned, &all); err != nil || !all.Valid(len(s.node.settings.Classes)) {
+	if err := json.Unmarshal(s.recovered.Learned, &all); err != nil || !all.Valid(len(s.node.settings.Classes)) {
 		s.node.log.Warn("memory: what was learned makes no sense", zap.Error(err))
 		return
 	}
-	all.Decay(s.trusted.Part)
+	all.Decay(s.recovered.Part)
 	l.handle(nil, func() { l.balancer.Inherit(&all) })
 }
 
@@ -381,7 +381,7 @@
 		Failed  int64    `json:"batches_failed"`
 		Waiting float64  `json:"write_under_way_s"`
 		Broken  string   `json:"broken,omitempty"`
-	}{s.memory.Epoch(), s.memory.Servers(), s.memory.IsOlder(), s.trusted.Notes, s.written.Load(), s.failed.Load(), 0, ""}
+	}{s.memory.Epoch(), s.memory.Servers(), s.memory.IsOlder(), s.recovered.Notes, s.written.Load(), s.failed.Load(), 0, ""}
 	s.mu.Unlock()
 	if since := s.since.Load(); since > 0 {
 		v.Waiting = float64(s.node.clock.nanos()-since) / 1e9
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -45,10 +45,10 @@
 
 func onDisk(t *testing.T, disk *badDisk, dir string) func(*Config) {
 	return func(c *Config) {
-		if err := c.State(dir); err != nil {
+		if err := c.UseStateDir(dir); err != nil {
 			t.Fatal(err)
 		}
-		c.files = func(path string, write bool) (store.Files, error) {
+		c.openFiles = func(path string, write bool) (store.Files, error) {
 			var err error
 			disk.Files, err = store.Dir(path, write)
 			return disk, err
@@ -118,7 +118,7 @@
 	life := func(version int) *Node {
 		return nodeWith(t, func(c *Config) {
 			onDisk(t, &badDisk{}, dir)(c)
-			c.Known = []byte(listText(version, true, listEntry("s-0", drains, "up"), listEntry("s-1", serves, "up")))
+			c.KnownList = []byte(listText(version, true, listEntry("s-0", drains, "up"), listEntry("s-1", serves, "up")))
 		})
 	}
 	n := life(3)
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -71,7 +71,7 @@
 
 func withRelaysSilent(silence, discovery string, relays ...string) func(*Config) {
 	return func(c *Config) {
-		c.Known = nil
+		c.KnownList = nil
 		c.Discovery = discovery
 		list, _ := json.Marshal(relays)
 		f, err := features.Parse("f.toml", c.Name, fmt.Appendf(nil, "[distribution]\nrelays = %s\nscopes = [%q]\nsilence = %q\n", list, testScope, silence))
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -49,7 +49,7 @@
 func (n *Node) applyList(entries []endpointEntry, version int64, whole bool) {
 	entries = n.persistence.listed(entries, version, whole)
 	if n.listGossip == nil {
-		n.loop.postList(entries, whole)
+		n.loop.postEndpoints(entries, whole)
 	} else {
 		n.listGossip.listed(entries, version, whole)
 	}
