--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -1,8 +1,5 @@
 package node
 
-// This file owns the console, where operators call: its own listener, the reading of one call on each connection, and
-// the bounds on both. It must never wait for the loop, a client or a server, and changes nothing but orders.
-
 import (
 	"bufio"
 	"bytes"
@@ -10,39 +7,47 @@
 	"fmt"
 	"net"
 	"net/http"
-	"net/url"
-	"strings"
 	"sync"
 	"time"
-
-	"go.uber.org/zap"
 )
 
+// The admin API's connections: a listener of its own, one call on each connection, and a bound on both. What calls do
+// is in admincommands.go. Nothing here waits for the loop, a client or an upstream.
+
 const (
-	adminReadTimeout  = 3 * time.Second // half a call is ended then
-	adminEvictAfter   = 10 * time.Millisecond
-	adminWriteTimeout = time.Second
-	maxAdminHead      = 8 << 10
-	maxAdminConns     = 64
-	adminConnShare    = 12 // of the descriptors one in so many is set aside for callers, if that is fewer
+	adminReadTimeout   = 3 * time.Second // for the whole call
+	adminEvictAfter    = 10 * time.Millisecond
+	adminWriteTimeout  = time.Second
+	maxAdminHeadBytes  = 8 << 10
+	maxAdminConns      = 64
+	adminConnShare     = 12 // of the descriptors one in so many is for the admin API, if that is fewer
+	headEnd            = "\r\n\r\n"
+	admitRetryInterval = adminEvictAfter / 4
+)
+
+var (
+	errAdminHeadTooLong = errors.New("head longer than 8 KiB")
+	errAdminIncomplete  = errors.New("half a call")
+	errAdminMalformed   = errors.New("a call that cannot be read")
 )
 
+// adminServer owns the admin API's listener and connections.
 type adminServer struct {
 	node     *Node
-	listener net.Listener // nil: no console
-	maxOpen  int
+	listener net.Listener // nil: no admin API
 
 	mu      sync.Mutex
-	callers []*adminConn // who has not made its call yet, the longest silent first
+	maxOpen int
 	open    int
+	waiting []*adminConn // those whose call has not been read, the oldest first
 }
 
 type adminConn struct {
 	*bufferedConn
-	since time.Time
+	acceptedAt time.Time
 }
 
-// newAdminServer opens the console, if the configuration has one.
+// newAdminServer opens the listener, if the configuration has one.
 func newAdminServer(n *Node) (*adminServer, error) {
 	s := &adminServer{node: n}
 	if n.config.AdminListen == "" {
@@ -55,11 +60,11 @@
 	return s, nil
 }
 
-// setLimit sets how many callers there may be at once.
-func (s *adminServer) setLimit(most int) {
+// setLimit sets how many connections there may be at once.
+func (s *adminServer) setLimit(maxOpen int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.maxOpen = most
+	s.maxOpen = maxOpen
 }
 
 func (s *adminServer) close() {
@@ -68,29 +73,28 @@
 	}
 }
 
-// run takes callers until the listener is closed.
+// run accepts connections until the listener is closed.
 func (s *adminServer) run() {
 	if s.listener == nil {
 		return
 	}
 	for {
-		raw, err := s.listener.Accept()
+		accepted, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(5 * time.Millisecond)
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
-		s.admit(&adminConn{bufferedConn: newBufferedConn(raw), since: time.Now()})
+		s.admit(&adminConn{bufferedConn: newBufferedConn(accepted), acceptedAt: time.Now()})
 	}
 }
 
-// admit takes a caller in, in place of the longest silent one if there is no room. One that has only just come stays for
-// a moment, and so does one whose call has come but is not read yet: against a crowd of thousands that say nothing.
+// admit serves a connection once there is room for it: guards against thousands of connections that send nothing.
 func (s *adminServer) admit(c *adminConn) {
 	for !s.tryAdmit(c) {
-		time.Sleep(adminEvictAfter / 4)
+		time.Sleep(admitRetryInterval)
 	}
 	go s.serve(c)
 }
@@ -99,29 +103,35 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.open >= s.maxOpen {
-		for _, old := range s.callers {
-			if c.since.Sub(old.since) > adminEvictAfter && !old.hasInput() {
-				s.forgetLocked(old)
-				old.Close()
-				s.node.counters.add(adminCallsDropped)
-				break
-			}
-		}
-		c.since = time.Now()
+		s.evictLocked(c.acceptedAt)
+		c.acceptedAt = time.Now()
 		if s.open >= s.maxOpen {
 			return false
 		}
 	}
 	s.open++
-	s.callers = append(s.callers, c)
+	s.waiting = append(s.waiting, c)
 	return true
 }
 
-// forgetLocked takes a caller off those that are silent and frees its place; the lock is held.
+// evictLocked closes the oldest connection that has sent nothing for adminEvictAfter before a time; mu is held.
+func (s *adminServer) evictLocked(before time.Time) {
+	for _, c := range s.waiting {
+		if before.Sub(c.acceptedAt) > adminEvictAfter && !c.hasInput() {
+			s.forgetLocked(c)
+			c.Close()
+			s.node.counters.add(adminCallsDropped)
+			return
+		}
+	}
+}
+
+// forgetLocked removes a connection from those that wait, and frees its place; it tells whether it was among them. mu
+// is held.
 func (s *adminServer) forgetLocked(c *adminConn) bool {
-	for i, one := range s.callers {
-		if one == c {
-			s.callers = append(s.callers[:i], s.callers[i+1:]...)
+	for i, waiting := range s.waiting {
+		if waiting == c {
+			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			s.open--
 			return true
 		}
@@ -129,7 +139,7 @@
 	return false
 }
 
-// markCalled marks that a caller has made its call, so that nobody takes its place; false: somebody has.
+// markCalled notes that a connection's call has been read, so that it is no longer evicted; false: it was evicted.
 func (s *adminServer) markCalled(c *adminConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,158 +150,76 @@
 	return true
 }
 
+func (s *adminServer) release() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.open--
+}
+
+// serve reads one call, answers it and closes the connection.
 func (s *adminServer) serve(c *adminConn) {
 	defer c.Close()
-	defer s.node.recoverPanic("console", func() {})
-	c.SetDeadline(c.since.Add(adminReadTimeout))
-	r, status, err := s.read(c)
+	defer s.node.recoverPanic("admin API", func() {})
+	c.SetDeadline(c.acceptedAt.Add(adminReadTimeout))
+	request, status, err := readAdminCall(c)
 	if !s.markCalled(c) {
 		return
 	}
-	defer func() {
-		s.mu.Lock()
-		s.open--
-		s.mu.Unlock()
-	}()
-	var reply adminResponse
-	switch {
-	case status == 0:
-		s.node.counters.add(adminCallsDropped) // gone, or silent to the end
+	defer s.release()
+	if status == 0 {
+		s.node.counters.add(adminCallsDropped)
 		return
-	case err != nil:
-		reply = adminResponse{status: status, text: err.Error()}
-	default:
-		reply = s.handle(r)
 	}
-	if s.node.counters.add(adminCallsAnswered); reply.status >= 400 && reply.status != http.StatusServiceUnavailable {
-		s.node.counters.add(adminCallsBad)
+	answer := adminResponse{status: status}
+	if err != nil {
+		answer.text = err.Error()
+	} else {
+		answer = s.handle(request)
 	}
+	s.count(answer)
 	c.SetDeadline(time.Now().Add(adminWriteTimeout))
-	if _, err := c.Write(reply.encode()); err == nil {
+	if _, err := c.Write(answer.encode()); err == nil {
 		c.closeGently()
 	}
 }
 
-// read reads one call; status 0 stands for a caller that has gone or said nothing at all.
-func (s *adminServer) read(c *adminConn) (*http.Request, int, error) {
-	for seen := 0; !headEnds(c.pending(), seen); {
-		if seen = max(0, len(c.pending())-3); len(c.pending()) > maxAdminHead {
-			return nil, http.StatusRequestHeaderFieldsTooLarge, errors.New("head longer than 8 KiB")
-		}
-		if err := c.fill(); err != nil {
-			if len(c.pending()) == 0 {
-				return nil, 0, err
-			}
-			if timeOut := net.Error(nil); errors.As(err, &timeOut) && timeOut.Timeout() {
-				return nil, http.StatusRequestTimeout, errors.New("half a call")
-			}
-			return nil, http.StatusBadRequest, errors.New("half a call")
-		}
-	}
-	if end := bytes.Index(c.pending(), []byte("\r\n\r\n")); max(end, 0) > maxAdminHead {
-		return nil, http.StatusRequestHeaderFieldsTooLarge, errors.New("head longer than 8 KiB")
-	}
-	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.pending())))
-	if err != nil {
-		return nil, http.StatusBadRequest, errors.New("a call that cannot be read")
+func (s *adminServer) count(answer adminResponse) {
+	s.node.counters.add(adminCallsAnswered)
+	if answer.status >= http.StatusBadRequest && answer.status != http.StatusServiceUnavailable {
+		s.node.counters.add(adminCallsBad)
 	}
-	return r, http.StatusOK, nil
-}
-
-// adminResponse is what a caller gets: one plain line.
-type adminResponse struct {
-	status int
-	text   string
-	allow  string
 }
 
-func (a adminResponse) encode() []byte {
-	var b strings.Builder
-	text := strings.Map(func(r rune) rune {
-		if r < ' ' {
-			return ' '
+// readAdminCall reads the head of one call. The status is that of the answer if there is an error; 0: the connection
+// has ended, or sent nothing at all.
+func readAdminCall(c *adminConn) (request *http.Request, status int, err error) {
+	for searched := 0; !headEnds(c.pending(), searched); {
+		searched = max(0, len(c.pending())-len(headEnd)+1)
+		if len(c.pending()) > maxAdminHeadBytes {
+			return nil, http.StatusRequestHeaderFieldsTooLarge, errAdminHeadTooLong
 		}
-		return r
-	}, a.text) + "\n"
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\nContent-Length: %d\r\n",
-		a.status, http.StatusText(a.status), len(text))
-	if a.allow != "" {
-		b.WriteString("Allow: " + a.allow + "\r\n")
-	}
-	b.WriteString("\r\n" + text)
-	return []byte(b.String())
-}
-
-// handle does what a call asks for.
-func (s *adminServer) handle(r *http.Request) adminResponse {
-	method, known := adminMethods[r.URL.Path]
-	switch {
-	case !known || r.URL.Path == pathMembers && s.node.members == nil || r.URL.Path == pathState && s.node.persistence == nil ||
-		r.URL.Path == pathRelays && s.node.relays == nil:
-		return adminResponse{status: http.StatusNotFound, text: "no such call"}
-	case r.Method != method:
-		return adminResponse{status: http.StatusMethodNotAllowed, text: "expected " + method, allow: method}
-	}
-	if r.URL.Path == pathReady {
-		if why := s.node.notReady(); why != "" {
-			return adminResponse{status: http.StatusServiceUnavailable, text: why}
+		if err := c.fill(); err != nil {
+			return nil, incompleteStatus(c, err), errAdminIncomplete
 		}
-		return adminResponse{status: http.StatusOK, text: "ready"}
 	}
-	if r.URL.Path == pathMembers {
-		text, err := s.node.members.viewJSON()
-		if err != nil {
-			return adminResponse{status: http.StatusServiceUnavailable, text: err.Error()}
-		}
-		return adminResponse{status: http.StatusOK, text: text}
+	if end := bytes.Index(c.pending(), []byte(headEnd)); end > maxAdminHeadBytes {
+		return nil, http.StatusRequestHeaderFieldsTooLarge, errAdminHeadTooLong
 	}
-	var change func(*overrideSet) string
-	switch r.URL.Path {
-	case pathState:
-		return adminResponse{status: http.StatusOK, text: s.node.persistence.statusJSON()}
-	case pathRelays:
-		return adminResponse{status: http.StatusOK, text: s.node.relays.Text()}
-	case pathDrain:
-		change = func(o *overrideSet) string { o.drained = true; return "drained" }
-	case pathUndrain:
-		change = func(o *overrideSet) string { o.drained = false; return "serving" }
-	default:
-		target, err := parseTarget(r.URL.RawQuery)
-		if err != nil {
-			return adminResponse{status: http.StatusBadRequest, text: err.Error()}
-		}
-		if !s.node.overrides.isKnown(target) {
-			return adminResponse{status: http.StatusNotFound, text: fmt.Sprintf("target: expected a server that has been listed, got %q", target)}
-		}
-		now := s.node.clock.now()
-		change = func(o *overrideSet) string { return o.disable(target, now) }
-		if r.URL.Path == pathEnable {
-			change = func(o *overrideSet) string { return o.enable(target, now) }
-		}
-	}
-	done, err := s.node.overrides.change(change)
+	request, err = http.ReadRequest(bufio.NewReader(bytes.NewReader(c.pending())))
 	if err != nil {
-		s.node.log.Error("order not carried out", zap.String("call", r.URL.Path), zap.Error(err))
-		return adminResponse{status: http.StatusInternalServerError, text: "not carried out, nothing has changed: " + err.Error()}
+		return nil, http.StatusBadRequest, errAdminMalformed
 	}
-	s.node.log.Info("order", zap.String("call", r.URL.RequestURI()), zap.String("now", done))
-	return adminResponse{status: http.StatusOK, text: done}
+	return request, http.StatusOK, nil
 }
 
-// parseTarget reads the one target of a call.
-func parseTarget(query string) (string, error) {
-	values, err := url.ParseQuery(query)
-	if err != nil {
-		return "", errors.New("target: a query that cannot be read")
+// incompleteStatus is the answer to a call whose connection failed before the head was complete; 0: none.
+func incompleteStatus(c *adminConn, err error) int {
+	if len(c.pending()) == 0 {
+		return 0
 	}
-	switch list := values[queryTarget]; {
-	case len(list) == 0:
-		return "", errors.New("target: expected a server's id, got none")
-	case len(list) > 1:
-		return "", fmt.Errorf("target: expected one server's id, got %d", len(list))
-	case list[0] == "":
-		return "", errors.New("target: expected a server's id, got an empty one")
-	default:
-		return list[0], nil
+	var timeout net.Error
+	if errors.As(err, &timeout) && timeout.Timeout() {
+		return http.StatusRequestTimeout
 	}
+	return http.StatusBadRequest
 }
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -43,19 +43,19 @@
 	soon(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	for text, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
-		"GET /ready HTTP/1.1\r\nHost: c\r\nX: " + strings.Repeat("x", maxAdminHead) + "\r\n\r\n": 431,
-		strings.Repeat("x", 3*maxAdminHead):                             431,
-		callText("GET /"):                                               404,
-		callText("PUT /ready"):                                          405,
-		callText("GET /drain"):                                          405,
-		callText("POST /servers/disable?target=s-0"):                    405,
-		callText("PUT /servers/disable"):                                400,
-		callText("PUT /servers/disable?target="):                        400,
-		callText("PUT /servers/disable?target=s-0&target=s-0"):          400,
-		callText("PUT /servers/disable?target=%zz"):                     400,
-		callText("PUT /servers/disable?target=s-9"):                     404,
-		callText("PUT /servers/enable?target=s-9"):                      404,
-		"PUT /servers/disable?target=s-0 HTTP/1.1\r\nHost: c\r\nno end": 408,
+		"GET /ready HTTP/1.1\r\nHost: c\r\nX: " + strings.Repeat("x", maxAdminHeadBytes) + "\r\n\r\n": 431,
+		strings.Repeat("x", 3*maxAdminHeadBytes):                                                      431,
+		callText("GET /"):                                                                             404,
+		callText("PUT /ready"):                                                                        405,
+		callText("GET /drain"):                                                                        405,
+		callText("POST /servers/disable?target=s-0"):                                                  405,
+		callText("PUT /servers/disable"):                                                              400,
+		callText("PUT /servers/disable?target="):                                                      400,
+		callText("PUT /servers/disable?target=s-0&target=s-0"):                                        400,
+		callText("PUT /servers/disable?target=%zz"):                                                   400,
+		callText("PUT /servers/disable?target=s-9"):                                                   404,
+		callText("PUT /servers/enable?target=s-9"):                                                    404,
+		"PUT /servers/disable?target=s-0 HTTP/1.1\r\nHost: c\r\nno end":                               408,
 	} {
 		status, body, header := callOn(t, n, text)
 		if status != want || strings.Count(body, "\n") != 1 {
@@ -222,14 +222,14 @@
 // What lies in the folder is not trusted: the node starts, says so, and keeps what could be read of servers taken out.
 func TestOrdersThatMakeNoSense(t *testing.T) {
 	n := newNode(t, withConsole)
-	good := "fawnglade-orders 1 " + n.overrides.owner() + "\n"
+	good := "fawnglade-orders 1 " + n.identity() + "\n"
 	for text, kept := range map[string]int{
 		"":               0,
 		"fawnglade-ord":  0,
 		"\x00\xff\n\x00": 0,
 		good:             0,
 		"fawnglade-orders 1 \"n9\" 127.0.0.1:9\nserver \"s-0\" 1 0\nend\n":                         0,
-		"fawnglade-orders 7 " + n.overrides.owner() + "\nserver \"s-0\" 1 0\nfuture things\nend\n": 1,
+		"fawnglade-orders 7 " + n.identity() + "\nserver \"s-0\" 1 0\nfuture things\nend\n":        1,
 		good + "server \"s-0\" 1 0\nserver \"s-1\" 2":                                              1,
 		good + "server \"s-0\" 1 0\nserver s-1 2 0\nserver \"s-2\" 9 x\nserver \"s-3\" 9 0\nend\n": 2,
 		good + strings.Repeat("nonsense\n", 1<<18):                                                 0,
@@ -307,9 +307,9 @@
 // hear has the node take in a list as if discovery had told it.
 func (n *Node) hear(t *testing.T, text string) {
 	t.Helper()
-	entries, _, whole, err := n.parseList([]byte(text))
+	update, err := n.parseList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.loop.postEndpoints(entries, whole)
+	n.loop.postEndpoints(update.entries, update.complete)
 }
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -1,8 +1,5 @@
 package node
 
-// This file owns the counters of what the node takes in, sends and answers. They only ever grow, and nothing may be
-// decided by them.
-
 import (
 	"fmt"
 	"sync/atomic"
@@ -10,6 +7,8 @@
 	"go.uber.org/zap"
 )
 
+// counter is an event that is counted since the start of the process. Counters are for operators, who see them under
+// their counterNames in the log; nothing is decided by them.
 type counter int
 
 const (
@@ -61,23 +60,58 @@
 )
 
 var counterNames = [counterCount]string{
-	"client connections accepted", "client connections evicted", "client connections queued",
-	"requests accepted", "requests malformed", "requests over capacity", "requests succeeded", "requests rejected", "requests failed",
-	"requests canceled",
-	"attempts sent", "attempts succeeded", "attempts error", "attempts request fault", "attempts rejected", "attempts timed out",
-	"attempts connect failed", "attempts reset", "attempts canceled", "attempts not sent",
-	"upstream connections opened", "upstream connections closed idle", "upstream connections found closed",
-	"list watches", "list watches failed", "list updates", "list entries skipped",
-	"health checks answered", "health checks failed", "gossip sent", "gossip received", "gossip ignored", "gossip dropped",
-	"configurations reloaded", "configurations refused",
-	"requests streamed", "responses streamed", "responses truncated", "admin calls answered", "admin calls bad", "admin calls dropped",
-	"overrides unreadable", "hot restarts ignored", "panics",
+	clientsAccepted:          "client connections accepted",
+	clientsEvicted:           "client connections evicted",
+	clientsQueued:            "client connections queued",
+	requestsAccepted:         "requests accepted",
+	requestsMalformed:        "requests malformed",
+	requestsOverCapacity:     "requests over capacity",
+	requestsSucceeded:        "requests succeeded",
+	requestsRejected:         "requests rejected",
+	requestsFailed:           "requests failed",
+	requestsCanceled:         "requests canceled",
+	attemptsSent:             "attempts sent",
+	attemptsSucceeded:        "attempts succeeded",
+	attemptsErrored:          "attempts error",
+	attemptsRequestFault:     "attempts request fault",
+	attemptsRejected:         "attempts rejected",
+	attemptsTimedOut:         "attempts timed out",
+	attemptsConnectFailed:    "attempts connect failed",
+	attemptsReset:            "attempts reset",
+	attemptsCanceled:         "attempts canceled",
+	attemptsNotSent:          "attempts not sent",
+	upstreamConnsOpened:      "upstream connections opened",
+	upstreamConnsIdleClosed:  "upstream connections closed idle",
+	upstreamConnsFoundClosed: "upstream connections found closed",
+	listWatches:              "list watches",
+	listWatchesFailed:        "list watches failed",
+	listUpdates:              "list updates",
+	listEntriesSkipped:       "list entries skipped",
+	healthChecksAnswered:     "health checks answered",
+	healthChecksFailed:       "health checks failed",
+	gossipSent:               "gossip sent",
+	gossipReceived:           "gossip received",
+	gossipIgnored:            "gossip ignored",
+	gossipDropped:            "gossip dropped",
+	configReloads:            "configurations reloaded",
+	configReloadsRejected:    "configurations refused",
+	requestsStreamed:         "requests streamed",
+	responsesStreamed:        "responses streamed",
+	responsesTruncated:       "responses truncated",
+	adminCallsAnswered:       "admin calls answered",
+	adminCallsBad:            "admin calls bad",
+	adminCallsDropped:        "admin calls dropped",
+	overridesUnreadable:      "overrides unreadable",
+	hotRestartsIgnored:       "hot restarts ignored",
+	panics:                   "panics",
 }
 
 type counters [counterCount]atomic.Int64
 
+// add counts one event; any goroutine may call it.
 func (c *counters) add(what counter) { c[what].Add(1) }
 
+// log writes all counters into one log entry.
 func (c *counters) log(log *zap.Logger, why string) {
 	fields := make([]zap.Field, counterCount)
 	for i := range fields {
@@ -86,11 +120,12 @@
 	log.Info("counters "+why, fields...)
 }
 
-// caught, when deferred, stops a panic where it is: at one connection or one event.
-func (n *Node) recoverPanic(where string, then func()) {
-	if broken := recover(); broken != nil {
+// recoverPanic, when deferred, limits a panic to one connection or one event, and calls cleanUp after one.
+func (n *Node) recoverPanic(where string, cleanUp func()) {
+	if recovered := recover(); recovered != nil {
 		n.counters.add(panics)
-		n.log.Error("panic stopped", zap.String("where", where), zap.String("what", fmt.Sprint(broken)), zap.Stack("stack"))
-		then()
+		n.log.Error("panic stopped", zap.String("where", where), zap.String("what", fmt.Sprint(recovered)),
+			zap.Stack("stack"))
+		cleanUp()
 	}
 }
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -63,11 +63,11 @@
 // learn has the loop go by a line of discovery's, and returns once it has.
 func (n *Node) learn(t *testing.T, text string) {
 	t.Helper()
-	list, _, whole, err := n.parseList([]byte(text))
+	update, err := n.parseList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.loop.postEndpoints(list, whole)
+	n.loop.postEndpoints(update.entries, update.complete)
 	n.passed()
 }
 
@@ -515,7 +515,7 @@
 	}
 	answers.held(t, 1)
 	stopped := make(chan struct{})
-	go func() { n.stop(); close(stopped) }()
+	go func() { n.shutDown(); close(stopped) }()
 	soon(t, "the end of taking", n.frontend.ending.Load)
 	answers.pass()
 	for i, in := range ins {
@@ -595,7 +595,7 @@
 			g.held(t, 1)
 			soon(t, "there", func() bool { return c.there == nil || c.there(n) })
 			stopped := make(chan struct{})
-			go func() { n.stop(); close(stopped) }()
+			go func() { n.shutDown(); close(stopped) }()
 			soon(t, "the end of taking", n.frontend.ending.Load)
 			select {
 			case <-stopped:
@@ -708,7 +708,7 @@
 	io.WriteString(old, "GET /batch HTTP/1.0\r\nX-Txn: old\r\n\r\n")
 	soon(t, "all at the server, and an answer on its way", func() bool { return tasks.Load() == 4 && n.count(responsesStreamed) == 1 })
 	stopped := make(chan struct{})
-	go func() { n.stop(); close(stopped) }()
+	go func() { n.shutDown(); close(stopped) }()
 	<-stopped
 	if n.count(requestsRejected) != 1 || n.count(requestsFailed) != 2 {
 		t.Errorf("at the end %d tasks are declined and %d broken off, want 1 and 2", n.count(requestsRejected), n.count(requestsFailed))
@@ -1147,7 +1147,7 @@
 	defer syscall.Close(held)
 	ask(t, n, "batch", "t", "") // the accept behind this one stands in the machine
 	stopped := make(chan struct{})
-	go func() { n.stop(); close(stopped) }()
+	go func() { n.shutDown(); close(stopped) }()
 	select {
 	case <-stopped:
 	case <-time.After(10 * time.Second):
@@ -1176,7 +1176,7 @@
 	client, in := dial(t, old) // stands in the machine: the successor was to take it
 	io.WriteString(client, taskText("batch", "t", ""))
 	stopped := make(chan struct{})
-	go func() { old.stop(); close(stopped) }()
+	go func() { old.shutDown(); close(stopped) }()
 	soon(t, "the stop", old.stopping.Load)
 	fresh.hotRestart.close()
 	fresh.hotRestart.mu.Lock()
@@ -1201,7 +1201,7 @@
 			ask("second")
 			first.start()
 			soon(t, "the old one yields", old.hotRestart.hasYielded)
-			old.stop()
+			old.shutDown()
 			ask("first")
 		},
 		"both stop": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
@@ -1210,7 +1210,7 @@
 			soon(t, "the old one yields", old.hotRestart.hasYielded)
 			var done sync.WaitGroup
 			for _, n := range []*Node{old, fresh} {
-				done.Go(n.stop)
+				done.Go(n.shutDown)
 			}
 			soon(t, "both stop", func() bool { return old.stopping.Load() && fresh.stopping.Load() })
 			ask("while both stop")
@@ -1220,7 +1220,7 @@
 			fresh := next()
 			fresh.hotRestart.announceServing() // says so, and does not take yet
 			soon(t, "the old one yields", old.hotRestart.hasYielded)
-			old.stop()
+			old.shutDown()
 			go fresh.start()
 			ask("after")
 		},
@@ -1232,7 +1232,7 @@
 			fresh.start()
 			soon(t, "both know", func() bool { return old.overrides.drained() && fresh.notReady() == "drained" })
 			ask("drained")
-			old.stop()
+			old.shutDown()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- /dev/null
+++ b/internal/node/effects.go
@@ -0,0 +1,97 @@
+package node
+
+import (
+	"cmp"
+	"fawnglade/policy"
+	"net/http"
+	"time"
+)
+
+// The event loop implements policy.Effects: the decisions call these methods from within an event, on the loop's own
+// goroutine. None of them waits.
+var _ policy.Effects = (*eventLoop)(nil)
+
+// Send starts an attempt at an endpoint that ends with the request's deadline, or with the timeout if that is sooner.
+func (l *eventLoop) Send(id policy.RequestID, endpoint policy.EndpointID, timeout time.Duration) {
+	request := l.requests[id]
+	if request == nil {
+		return
+	}
+	started := &attempt{
+		request:       request,
+		number:        len(request.attempts),
+		target:        upstreamTarget{endpoint, l.endpoints[endpoint].address},
+		sentAt:        l.now,
+		deadline:      min(l.now.Add(timeout), request.request.Deadline),
+		dedupDeadline: l.dedupDeadline(request),
+	}
+	request.attempts = append(request.attempts, started)
+	request.inFlight++
+	if request.answered.Load() { // guards against decisions that a panic has kept from noting the request's end
+		result := attemptResult{outcome: policy.OutcomeNotSent, report: parseLoadReport(""), endedAt: started.sentAt}
+		go l.post(func() { l.attemptEnded(started, result) })
+		return
+	}
+	l.node.counters.add(attemptsSent)
+	l.node.upstreams.start(started)
+}
+
+// dedupDeadline is when the deduplication window of the first attempt that may have run ends, which a retry under the
+// same idempotency key has to precede; 0: none has begun.
+func (l *eventLoop) dedupDeadline(request *pendingRequest) (deadline policy.Time) {
+	class := l.node.settings.Policy.Classes[request.request.Class]
+	if class.Idempotency != policy.IdempotentByKey {
+		return 0
+	}
+	for _, earlier := range request.attempts {
+		if !earlier.neverRan {
+			windowEnd := earlier.sentAt.Add(class.DedupWindow)
+			deadline = min(cmp.Or(deadline, windowEnd), windowEnd)
+		}
+	}
+	return deadline
+}
+
+// Cancel ends an attempt.
+func (l *eventLoop) Cancel(id policy.RequestID, number int) {
+	if request := l.requests[id]; request != nil && number < len(request.attempts) {
+		request.attempts[number].cancel()
+	}
+}
+
+// Reject answers a request that has not run; retryAfter goes to the client as Retry-After, 0: without one.
+func (l *eventLoop) Reject(id policy.RequestID, retryAfter time.Duration) {
+	if request := l.requests[id]; request != nil {
+		l.finish(request, requestsRejected, response{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
+	}
+}
+
+// Fail answers a request that may have run.
+func (l *eventLoop) Fail(id policy.RequestID) {
+	if request := l.requests[id]; request != nil {
+		l.finish(request, requestsFailed, response{status: http.StatusBadGateway})
+	}
+}
+
+// SetTimer has TimerFired called with the cookie at a time.
+func (l *eventLoop) SetTimer(at policy.Time, cookie uint64) { l.timers.Set(int64(at), cookie) }
+
+// WatchEndpoints asks for a watch of the endpoint list.
+func (l *eventLoop) WatchEndpoints() { l.node.endpointWatch.requestCall() }
+
+// CloseIdle closes the idle connections to an endpoint.
+func (l *eventLoop) CloseIdle(endpoint policy.EndpointID) {
+	if address := l.endpoints[endpoint].address; address != "" {
+		go l.node.upstreams.closeIdle(upstreamTarget{endpoint, address})
+	}
+}
+
+// Gossip queues a message to all peers.
+func (l *eventLoop) Gossip(message policy.GossipMessage) { l.node.gossiper.send(message) }
+
+// CheckHealth starts a health check of an endpoint.
+func (l *eventLoop) CheckHealth(endpoint policy.EndpointID) {
+	if address := l.endpoints[endpoint].address; address != "" {
+		l.node.upstreams.checkHealth(upstreamTarget{endpoint, address})
+	}
+}
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -1,9 +1,5 @@
 package node
 
-// This file owns the watch of the list: it opens one anew that falls silent, calls again when told to and moves when its address does.
-// The calls that are out for a watch are internal/discovery's, the form of a list internal/endpointlist's. It must never decide when to call after a call has failed, but for the longest that the page allows;
-// where nobody asks for calls it makes them by itself.
-
 import (
 	"context"
 	"errors"
@@ -17,216 +13,236 @@
 	"go.uber.org/zap"
 )
 
+// The watch of the endpoint list at discovery. A watch that has fallen silent is followed by a call at once, one that
+// failed by a call after a backoff, or sooner if the decisions ask for one: where the platform has nodes poll, they do
+// (policy.Effects.WatchEndpoints). Package discovery has the rules of the calls for one watch.
+
 const (
 	listConnectTimeout = time.Second
-	listHeadTimeout    = 3 * time.Second         // a call that waits so long has another beside it, not in its place: calls are worked in turn
-	listSilenceTimeout = 3200 * time.Millisecond // an empty line comes every 2 s while nothing changes
-	maxRetryInterval   = 200 * time.Millisecond  // between calls, where nobody asks for them
-	minRetryInterval   = 20 * time.Millisecond
-	drainGraceShare    = 4 // of the time within which sends have to stop, if that is less
-	// What a watch that has fallen silent misses counts as told 6 s later. The call that opens it anew has another beside it this soon,
-	// so that it still comes in time.
+	// listHeadTimeout is how long a call waits for its answer before another is opened beside it. It is not given up:
+	// discovery answers calls in turn.
+	listHeadTimeout = 3 * time.Second
+	// listSilenceTimeout ends a watch. Discovery sends an empty line every 2 s while nothing changes.
+	listSilenceTimeout = 3200 * time.Millisecond
+	// maxRetryInterval and minRetryInterval bound the time between calls where the list is pushed.
+	maxRetryInterval = 200 * time.Millisecond
+	minRetryInterval = 20 * time.Millisecond
+	drainGraceShare  = 4 // of the time within which sends to a drained endpoint have to stop, if that is less
+	// reopenHeadTimeout is listHeadTimeout for the first call after a silence: what a silent watch has missed binds 6 s
+	// later.
 	reopenHeadTimeout = 2 * time.Second
-	// What discovery has counts as told 6 s after it could be reached, whoever chooses the waits and whatever is wrong with its list.
-	maxPollGap          = 2 * time.Second
-	maxOversizedBackoff = 4 * time.Second // between calls for a list that can't be held: each costs discovery all of it
+	// maxPollGap bounds the time between calls where nodes poll: a list binds 6 s after discovery could be reached.
+	maxPollGap = 2 * time.Second
+	// maxOversizedBackoff bounds the time between calls for a list that is too long to be held: each costs discovery
+	// the whole list.
+	maxOversizedBackoff = 4 * time.Second
 )
 
+var errWatchPanicked = errors.New("panic")
+
+// endpointWatch owns the connection to discovery. Fields without a mutex belong to run's goroutine.
 type endpointWatch struct {
 	node             *Node
-	version          int64
-	versionAddress   string // the address that told the version
-	callRequests     chan struct{}
-	silenceTimeout   time.Duration // after which a watch is taken to be dead
-	headTimeout      time.Duration // after which a call that has not been answered has another beside it
-	retryInterval    time.Duration // between calls, where nobody asks for them
-	oversizedBackoff time.Duration // the last wait for a list that can be held; 0: the last one could be
-	firstHeard       chan struct{} // closed once the first call has brought a line, or has failed
-	once             sync.Once
-	reopening        bool         // this call opens a watch anew that had fallen silent
-	lastHeard        atomic.Int64 // when the watch last said anything; 0: none stands
-
-	mu             sync.Mutex
-	address        string
-	addressContext context.Context // done once the address is another
-	cancelAddress  context.CancelFunc
-	paused         bool // relays tell the list
+	version          int64         // of the list; the next call asks for what came after it
+	versionAddress   string        // the address that sent the version
+	callRequests     chan struct{} // holds one request for a call
+	silenceTimeout   time.Duration
+	headTimeout      time.Duration
+	retryInterval    time.Duration
+	oversizedBackoff time.Duration // the last backoff for a list that is too long; 0: the last list was not
+	reopening        bool          // the next call reopens a watch that has fallen silent
+	firstEvent       chan struct{} // closed once a watch event has come or the first call has failed
+	firstEventOnce   sync.Once
+	lastHeard        atomic.Int64 // when the watch last received anything, Unix nanoseconds; 0: none is open
+
+	mu      sync.Mutex
+	address string
+	ctx     context.Context // done when the address changes or the watch is paused
+	cancel  context.CancelFunc
+	paused  bool // the list comes from relays
 }
 
 func newEndpointWatch(n *Node) *endpointWatch {
-	d := &endpointWatch{
-		node: n, address: n.config.Discovery, callRequests: make(chan struct{}, 1), silenceTimeout: listSilenceTimeout, headTimeout: listHeadTimeout,
-		retryInterval: maxRetryInterval, firstHeard: make(chan struct{}),
+	w := &endpointWatch{
+		node:           n,
+		address:        n.config.Discovery,
+		versionAddress: n.config.Discovery,
+		callRequests:   make(chan struct{}, 1),
+		silenceTimeout: listSilenceTimeout,
+		headTimeout:    listHeadTimeout,
+		retryInterval:  maxRetryInterval,
+		firstEvent:     make(chan struct{}),
 	}
-	if within := time.Duration(n.settings.DrainGrace); within > 0 {
-		d.retryInterval = max(min(d.retryInterval, within/drainGraceShare), minRetryInterval)
+	if grace := time.Duration(n.settings.DrainGrace); grace > 0 {
+		w.retryInterval = max(min(w.retryInterval, grace/drainGraceShare), minRetryInterval)
 	}
-	d.addressContext, d.cancelAddress = context.WithCancel(context.Background())
-	d.versionAddress = d.address
-	return d
+	w.ctx, w.cancel = context.WithCancel(context.Background())
+	return w
 }
 
-// move leaves the old address for another at once. The version goes with it: what one place has told says nothing of
-// how another counts, so the next call asks for the whole list.
-func (d *endpointWatch) move(address string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.address == address {
+// move leaves the address for another at once. Versions of different addresses can't be compared, so the next call
+// asks for the whole list.
+func (w *endpointWatch) move(address string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.address == address {
 		return
 	}
-	d.address = address
-	d.reopen()
+	w.address = address
+	w.reopen()
 }
 
-func (d *endpointWatch) current() (string, context.Context) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.address, d.addressContext
+// pause closes the watch while the list comes from relays, or resumes it after the version that it had.
+func (w *endpointWatch) pause(paused bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.paused = paused
+	w.reopen()
 }
 
-// pause leaves the watch while relays tell the list, or takes it up again, after the version that it had.
-func (d *endpointWatch) pause(on bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.paused = on
-	d.reopen()
+// reopen closes the watch, and asks for another unless it is paused; mu is held.
+func (w *endpointWatch) reopen() {
+	w.cancel()
+	if !w.paused {
+		w.ctx, w.cancel = context.WithCancel(context.Background())
+		w.requestCall()
+	}
 }
 
-// reopen leaves the place that was, and calls the one that is, unless relays tell the list.
-func (d *endpointWatch) reopen() {
-	if d.cancelAddress(); !d.paused {
-		d.addressContext, d.cancelAddress = context.WithCancel(context.Background())
-		d.requestCall()
-	}
+func (w *endpointWatch) current() (address string, ctx context.Context) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.address, w.ctx
 }
 
-// requestCall asks for a watch; one that is already asked for is enough.
-func (d *endpointWatch) requestCall() {
+// requestCall asks for a watch; requests before it is called for count as one.
+func (w *endpointWatch) requestCall() {
 	select {
-	case d.callRequests <- struct{}{}:
+	case w.callRequests <- struct{}{}:
 	default:
 	}
 }
 
-// run has one watch after another opened. One that stood and fell silent is followed by the next at once: the list that discovery has
-// may count as told whether or not a watch is open.
-func (d *endpointWatch) run() {
-	if !d.node.settings.Policy.MustPollList {
-		d.requestCall() // the decisions expect to be told unasked
-	}
-	for range d.callRequests {
-		began := time.Now()
-		address, place := d.current()
-		if place.Err() != nil {
-			continue // relays tell the list; whoever ends that calls
-		}
-		stood, err := d.watch(address, place)
-		if place.Err() != nil {
-			// Guards against a watch that was left being told as one that failed, which would put off the next call.
-			if now, _ := d.current(); now != address {
-				d.node.log.Info("watch of the list left for another address", zap.String("from", address))
-			}
-			d.reopening = false
-			continue
-		}
-		d.node.counters.add(listWatchesFailed)
-		d.once.Do(func() { close(d.firstHeard) })
-		wait := d.retryInterval
-		silent, tooLong := errors.Is(err, os.ErrDeadlineExceeded), (*endpointlist.TooLongError)(nil)
-		if errors.As(err, &tooLong) {
-			if d.oversizedBackoff == 0 {
-				d.node.log.Error("the list can't be held, the one from before is kept", zap.Error(err))
-			}
-			d.oversizedBackoff = min(max(2*d.oversizedBackoff, maxRetryInterval), maxOversizedBackoff)
-			wait = d.oversizedBackoff
-		} else {
-			d.node.log.Warn("watch of the list ended", zap.Error(err), zap.Duration("lasted", time.Since(began)))
-		}
-		switch d.reopening = stood && silent; {
-		case d.reopening:
-			wait = 0
-		case tooLong != nil:
-		case d.node.settings.Policy.MustPollList:
-			d.node.loop.post(d.node.loop.endpointWatchFailed)
-			wait = maxPollGap
-		case silent:
-			wait = 0
+// markFirstEvent lets a start that waits for the first event go on.
+func (w *endpointWatch) markFirstEvent() { w.firstEventOnce.Do(func() { close(w.firstEvent) }) }
+
+// run opens one watch after another until the process ends.
+func (w *endpointWatch) run() {
+	if !w.node.settings.Policy.MustPollList {
+		w.requestCall()
+	}
+	for range w.callRequests {
+		address, ctx := w.current()
+		if ctx.Err() == nil { // else the watch is paused, and its resumption asks for a call
+			w.watchUntilFailure(ctx, address)
 		}
-		select {
-		case <-time.After(wait):
-			d.requestCall()
-		case <-d.callRequests: // the decisions ask sooner, or the address is another
-			d.requestCall()
+	}
+}
+
+// watchUntilFailure follows one watch and asks for the next: after a backoff, or as soon as anybody else asks.
+func (w *endpointWatch) watchUntilFailure(ctx context.Context, address string) {
+	began := time.Now()
+	opened, err := w.watch(ctx, address)
+	if ctx.Err() != nil { // closed on purpose, which is no failure
+		if current, _ := w.current(); current != address {
+			w.node.log.Info("endpoint watch moved to another address", zap.String("from", address))
 		}
+		w.reopening = false
+		return
+	}
+	w.node.counters.add(listWatchesFailed)
+	w.markFirstEvent()
+	select {
+	case <-time.After(w.backoff(opened, err, time.Since(began))):
+	case <-w.callRequests:
 	}
+	w.requestCall()
 }
 
-// watch follows the list until it ends, and returns why, and whether it had begun.
-func (d *endpointWatch) watch(address string, place context.Context) (stood bool, err error) {
-	defer d.node.recoverPanic("discovery", func() { err = errors.New("panic") })
-	if d.versionAddress != address {
-		d.versionAddress, d.version = address, 0
+// backoff takes in why a watch has failed, and tells how long to wait before the next call.
+func (w *endpointWatch) backoff(opened bool, err error, lasted time.Duration) time.Duration {
+	var tooLong *endpointlist.TooLongError
+	oversized := errors.As(err, &tooLong)
+	if oversized {
+		w.growOversizedBackoff(err)
+	} else {
+		w.node.log.Warn("endpoint watch ended", zap.Error(err), zap.Duration("lasted", lasted))
 	}
-	how := discovery.Call{
-		Address: address, Head: watchHead(address, d.version), Connect: listConnectTimeout, First: d.headTimeout, Gap: d.headTimeout, Again: d.retryInterval,
-		Silence: d.silenceTimeout, Called: func() { d.node.counters.add(listWatches) }, Failed: func() { d.node.counters.add(listWatchesFailed) },
-		Said: func() { d.lastHeard.Store(d.node.clock.nanos()) },
+	silent := errors.Is(err, os.ErrDeadlineExceeded)
+	w.reopening = opened && silent
+	switch {
+	case w.reopening:
+		return 0
+	case oversized:
+		return w.oversizedBackoff
+	case w.node.settings.Policy.MustPollList:
+		w.node.loop.post(w.node.loop.endpointWatchFailed)
+		return maxPollGap
+	case silent:
+		return 0
 	}
-	if d.reopening {
-		how.First = min(d.headTimeout, reopenHeadTimeout)
+	return w.retryInterval
+}
+
+func (w *endpointWatch) growOversizedBackoff(err error) {
+	if w.oversizedBackoff == 0 {
+		w.node.log.Error("endpoint list too long, the old one kept", zap.Error(err))
+	}
+	w.oversizedBackoff = min(max(2*w.oversizedBackoff, maxRetryInterval), maxOversizedBackoff)
+}
+
+// watch follows the list until the watch fails, and returns why and whether it had been open.
+func (w *endpointWatch) watch(ctx context.Context, address string) (opened bool, err error) {
+	defer w.node.recoverPanic("discovery", func() { err = errWatchPanicked })
+	if w.versionAddress != address {
+		w.versionAddress, w.version = address, 0
 	}
-	said, err := how.Answered(place)
+	call := w.call(address)
+	stream, err := call.Answered(ctx)
 	if err != nil {
 		return false, err
 	}
-	defer d.lastHeard.Store(0)
-	defer said.Close()
-	for lines := endpointlist.New(said, d.node.listLimits); ; {
-		entries, l, err := d.node.readList(lines.Next)
+	defer w.lastHeard.Store(0)
+	defer stream.Close()
+	reader := endpointlist.New(stream, w.node.listLimits)
+	for {
+		update, err := w.node.readList(reader.Next)
 		if err != nil {
-			if said.Ended() == nil {
-				d.node.counters.add(listEntriesSkipped) // what it told is lost, so the next call has to bring it again
+			if stream.Ended() == nil { // the update came but is lost: the next call has to bring it again
+				w.node.counters.add(listEntriesSkipped)
 			}
-			return true, err // what had come of a line is nothing
+			return true, err
 		}
-		d.applyUpdate(entries, l)
+		w.updateReceived(update)
 	}
 }
 
-// applyUpdate takes in one line of the watch.
-func (d *endpointWatch) applyUpdate(entries []endpointEntry, l endpointlist.Update) {
-	d.version = l.Version
-	d.node.counters.add(listUpdates)
-	if d.oversizedBackoff > 0 {
-		d.oversizedBackoff = 0
-		d.node.log.Info("the list can be held again", zap.Int("entries", len(entries)))
+func (w *endpointWatch) call(address string) discovery.Call {
+	call := discovery.Call{
+		Address: address,
+		Head:    watchHead(address, w.version),
+		Connect: listConnectTimeout,
+		First:   w.headTimeout,
+		Gap:     w.headTimeout,
+		Again:   w.retryInterval,
+		Silence: w.silenceTimeout,
+		Called:  func() { w.node.counters.add(listWatches) },
+		Failed:  func() { w.node.counters.add(listWatchesFailed) },
+		Said:    func() { w.lastHeard.Store(w.node.clock.nanos()) },
 	}
-	d.node.discoveryUpdated(entries, l.Version, l.Complete)
-}
-
-// readList reads a line. An entry that makes no sense is passed over; the others still count.
-func (n *Node) readList(read func(begin func(), take func(endpointlist.Entry) error) (endpointlist.Update, error)) (entries []endpointEntry, l endpointlist.Update, err error) {
-	l, err = read(func() { entries = nil }, func(in endpointlist.Entry) error {
-		e, err := entryFrom(in, n.settings.Zones)
-		if err == nil {
-			entries = append(entries, e)
-		}
-		return err
-	})
-	if err != nil {
-		return nil, l, err
-	}
-	if l.Skipped > 0 {
-		n.counters[listEntriesSkipped].Add(int64(l.Skipped))
-		n.log.Warn("entry of the list passed over", zap.Int("entries", l.Skipped), zap.Error(l.FirstErr))
+	if w.reopening {
+		call.First = min(w.headTimeout, reopenHeadTimeout)
 	}
-	return entries, l, nil
+	return call
 }
 
-// parseList reads a list that is there whole.
-func (n *Node) parseList(text []byte) (entries []endpointEntry, version int64, whole bool, err error) {
-	entries, l, err := n.readList(func(begin func(), take func(endpointlist.Entry) error) (endpointlist.Update, error) {
-		return endpointlist.Parse(text, n.listLimits, begin, take)
-	})
-	return entries, l.Version, l.Complete, err
+// updateReceived takes in one event of the watch.
+func (w *endpointWatch) updateReceived(update listUpdate) {
+	w.version = update.version
+	w.node.counters.add(listUpdates)
+	if w.oversizedBackoff > 0 {
+		w.oversizedBackoff = 0
+		w.node.log.Info("endpoint list can be held again", zap.Int("entries", len(update.entries)))
+	}
+	w.node.discoveryUpdated(update.entries, update.version, update.complete)
 }
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -213,7 +213,7 @@
 			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 || !n.overrides.isKnown("s-0") || n.overrides.isKnown("s-1") {
 				t.Errorf("%d by the list from before", status)
 			}
-			if complaints := said.FilterLevelExact(zap.ErrorLevel).Len(); complaints != 1 || said.FilterMessage("watch of the list ended").Len() != 0 {
+			if complaints := said.FilterLevelExact(zap.ErrorLevel).Len(); complaints != 1 || said.FilterMessage("endpoint watch ended").Len() != 0 {
 				t.Errorf("%d complaints: %v", complaints, said.All())
 			}
 			short.Store(true)
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -1,79 +1,65 @@
 package node
 
-// This file owns the loop: the one goroutine that holds the decisions, their clock, their timers and the requests they
-// know of, and that acts as their Host. Events enter one at a time. It must never do I/O or wait for a peer, and it
-// decides nothing itself.
-
 import (
-	"cmp"
-	"encoding/json"
 	"errors"
-	"fawnglade/internal/estimates"
 	"fawnglade/internal/timerqueue"
 	"fawnglade/policy"
 	"net/http"
 	"slices"
 	"time"
-
-	"go.uber.org/zap"
 )
 
 const (
-	milli  = int64(time.Millisecond)
-	second = int64(time.Second)
+	eventQueueLength = 1024
+	maxLoopSleep     = time.Hour
 )
 
-// clock is the system's time at the start plus what has passed since by the monotonic clock, so that no step of the
-// system's time reaches the decisions while the list's start times can still be set against it.
-type clock struct{ start time.Time }
-
-func (c clock) now() policy.Time { return policy.Time(c.start.UnixNano()).Add(time.Since(c.start)) }
-
-// nanos is now for packages that count in nanoseconds.
-func (c clock) nanos() int64 { return int64(c.now()) }
-
-func (c clock) at(t policy.Time) time.Time {
-	return c.start.Add(t.Sub(policy.Time(c.start.UnixNano())))
-}
-
-// knownEndpoint is what the list calls a server, where it is, and what it said of it last.
-type knownEndpoint struct {
-	name, address string
-	policy.EndpointInfo
-}
-
+// eventLoop is the one goroutine that owns the decisions, their clock and timers, and the requests and endpoints that
+// they know. Events enter through post, one at a time. Nothing in it does I/O or waits for a peer.
 type eventLoop struct {
 	node      *Node
 	balancer  *policy.Balancer
 	events    chan func()
-	now       policy.Time
+	now       policy.Time // when the event at hand began
 	timers    timerqueue.Queue
 	requests  map[policy.RequestID]*pendingRequest
 	endpoints map[policy.EndpointID]knownEndpoint
-	stopping  bool // the process is about to end
+	stopping  bool // new requests are rejected: the process is about to end
 }
 
 func newEventLoop(n *Node) *eventLoop {
 	l := &eventLoop{
-		node: n, events: make(chan func(), 1024), requests: map[policy.RequestID]*pendingRequest{},
+		node:      n,
+		events:    make(chan func(), eventQueueLength),
+		requests:  map[policy.RequestID]*pendingRequest{},
 		endpoints: map[policy.EndpointID]knownEndpoint{},
 	}
 	l.balancer = policy.New(n.settings.Policy, n.config.seed, l)
 	return l
 }
 
-// post queues an event; it waits while the queue is full, so it is never called from within the loop.
+// post queues an event. It waits while the queue is full, so it must not be called from within the loop.
 func (l *eventLoop) post(event func()) { l.events <- event }
 
-// run handles events until the node ends. Timers that are due go first, as they are older than what is queued.
+// tryPost queues an event unless the queue is full, and tells whether it did.
+func (l *eventLoop) tryPost(event func()) bool {
+	select {
+	case l.events <- event:
+		return true
+	default:
+		return false
+	}
+}
+
+// run handles events until the process ends. Due timers go first, as they are older than the queued events.
 func (l *eventLoop) run() {
-	wake := time.NewTimer(time.Hour)
+	wake := time.NewTimer(maxLoopSleep)
 	for {
 		l.now = l.node.clock.now()
 		for cookie, due := l.timers.Due(int64(l.now)); due; cookie, due = l.timers.Due(int64(l.now)) {
 			l.handle(nil, func() { l.balancer.TimerFired(l.now, cookie) })
 		}
-		wake.Reset(time.Duration(l.timers.Wait(int64(l.now), int64(time.Hour))))
+		wake.Reset(time.Duration(l.timers.Wait(int64(l.now), int64(maxLoopSleep))))
 		select {
 		case event := <-l.events:
 			l.now = l.node.clock.now()
@@ -83,32 +69,33 @@
 	}
 }
 
-// handle keeps a panic in the decisions from ending the process: the request at hand is failed, as nothing is known
-// of its attempts any more.
-func (l *eventLoop) handle(x *pendingRequest, event func()) {
+// handle runs one event. A panic in the decisions does not end the process; the request at hand, if there is one, is
+// failed, as nothing is known of its attempts any more.
+func (l *eventLoop) handle(request *pendingRequest, event func()) {
 	defer l.node.recoverPanic("decisions", func() {
-		if x != nil {
-			l.finish(x, requestsFailed, response{status: http.StatusBadGateway})
+		if request != nil {
+			l.finish(request, requestsFailed, response{status: http.StatusBadGateway})
 		}
 	})
 	event()
 }
 
 // requestArrived takes in a request that the client side has read.
-func (l *eventLoop) requestArrived(x *pendingRequest) {
-	if l.requests[x.request.ID] != nil { // rules are kept by id: a second request under one that is still known would mix the two up
+func (l *eventLoop) requestArrived(request *pendingRequest) {
+	id := request.request.ID
+	if l.requests[id] != nil { // guards against two requests under one id, whose attempts would be mixed up
 		l.node.counters.add(requestsMalformed)
-		x.answer(response{status: http.StatusConflict})
+		request.answer(response{status: http.StatusConflict})
 		return
 	}
 	if l.stopping {
 		l.node.counters.add(requestsOverCapacity)
-		x.answer(l.node.overCapacity())
+		request.answer(l.node.overCapacity())
 		return
 	}
 	l.node.counters.add(requestsAccepted)
-	l.requests[x.request.ID] = x
-	l.handle(x, func() { l.balancer.RequestArrived(l.now, x.request) })
+	l.requests[id] = request
+	l.handle(request, func() { l.balancer.RequestArrived(l.now, request.request) })
 }
 
 // giveUpAll answers whatever still has no answer, and from here on all that comes: the process is about to end, and what it leaves
@@ -127,258 +114,127 @@
 	}
 }
 
-func (l *eventLoop) clientGone(x *pendingRequest) {
-	if l.requests[x.request.ID] != x || !l.finish(x, requestsCanceled, response{}) {
-		return
-	}
-	l.handle(x, func() { l.balancer.ClientGone(l.now, x.request.ID) })
-	l.release(x)
+// clientGone cancels a request whose client has closed its connection.
+func (l *eventLoop) clientGone(request *pendingRequest) {
+	l.endForClient(request, requestsCanceled, response{})
 }
 
-// bodyBroken ends a request whose body its client did not bring whole; it has never run.
-func (l *eventLoop) bodyBroken(x *pendingRequest) {
-	switch err := x.source.failure(); {
-	case err == nil || errors.Is(err, errBodyAbandoned): // not the client's doing
-	case !isMalformed(err):
-		l.clientGone(x)
-	case l.requests[x.request.ID] == x && l.finish(x, requestsMalformed, response{status: statusFor(err)}):
-		l.handle(x, func() { l.balancer.ClientGone(l.now, x.request.ID) })
-		l.release(x)
+// endForClient ends a request for a reason on the client's side, with the answer if it is known and has none yet.
+func (l *eventLoop) endForClient(request *pendingRequest, how counter, answer response) {
+	if l.requests[request.request.ID] != request || !l.finish(request, how, answer) {
+		return
 	}
+	l.handle(request, func() { l.balancer.ClientGone(l.now, request.request.ID) })
+	l.release(request)
 }
 
-// attemptEnded takes the end of an attempt; each has exactly one.
-func (l *eventLoop) attemptEnded(h *attempt, r attemptResult) {
-	x := h.request
-	if x.bodyIncomplete() {
-		l.bodyBroken(x) // before the decisions hear of it: they would reject what is the client's own fault
-	}
-	if r.clientGone {
-		l.clientGone(x) // likewise, or they would send it again
-	}
-	h.neverRan = r.outcome == policy.OutcomeRejected || r.outcome == policy.OutcomeConnectFailed || r.outcome == policy.OutcomeNotSent
-	x.inFlight--
-	h.cancel()
-	how := outcomeCounters[r.outcome]
+// bodyBroken ends a request whose client has not sent the complete body; it has never run.
+func (l *eventLoop) bodyBroken(request *pendingRequest) {
+	err := request.source.failure()
 	switch {
-	case r.outcome == policy.OutcomeSucceeded:
-		l.finish(x, requestsSucceeded, r.response)
-	case r.response.status != 0:
-		how = attemptsRequestFault
-		l.finish(x, requestsFailed, r.response)
+	case err == nil || errors.Is(err, errBodyAbandoned): // not the client's fault
+	case !isMalformed(err):
+		l.clientGone(request)
+	default:
+		l.endForClient(request, requestsMalformed, response{status: statusFor(err)})
 	}
-	l.node.counters.add(how)
-	l.handle(x, func() {
-		l.balancer.AttemptEnded(l.now, policy.AttemptResult{
-			Request: x.request.ID, Attempt: h.number, Endpoint: h.target.endpoint,
-			Outcome: r.outcome, Elapsed: max(r.endedAt.Sub(h.sentAt)-r.uploadTime, 0), RequestDone: x.answered.Load(), BodyConsumed: x.bodyConsumed(), NewConnection: r.newConnection,
-			Report: r.report,
-		})
-	})
-	l.release(x)
-}
-
-var outcomeCounters = map[policy.Outcome]counter{
-	policy.OutcomeSucceeded: attemptsSucceeded, policy.OutcomeError: attemptsErrored, policy.OutcomeRejected: attemptsRejected,
-	policy.OutcomeTimedOut: attemptsTimedOut, policy.OutcomeConnectFailed: attemptsConnectFailed, policy.OutcomeReset: attemptsReset,
-	policy.OutcomeCanceled: attemptsCanceled, policy.OutcomeNotSent: attemptsNotSent, policy.OutcomeUnknown: attemptsReset,
 }
 
-// maxRemovedKept bounds the servers that stay known where being left out of the list binds nothing.
-const maxRemovedKept = 8192
-
-// listSlice is how many lines of the list are taken in at a time, or a listPart of it: each slice costs a pass over all servers
-// besides, so that many of them cost far more than they hold requests up the less.
-const (
-	listSlice = 512
-	listPart  = 32
-)
-
-// postList enters a list in slices, with requests in between: one of thousands of lines would hold them all up. Who is not
-// on a whole list comes last, so that until then nobody is taken off who is on it.
-func (l *eventLoop) postEndpoints(entries []endpointEntry, whole bool) {
-	size := max(listSlice, len(entries)/listPart)
-	for rest := entries; len(rest) > 0 || !whole; {
-		slice := rest[:min(size, len(rest))]
-		rest = rest[len(slice):]
-		l.post(func() { l.endpointsUpdated(slice, false) })
-		if len(rest) == 0 {
-			break
-		}
+// attemptEnded takes the end of an attempt; each has exactly one.
+func (l *eventLoop) attemptEnded(ended *attempt, result attemptResult) {
+	request := ended.request
+	// The client's own faults come before the decisions see the outcome: they would reject or retry the request.
+	if request.bodyIncomplete() {
+		l.bodyBroken(request)
 	}
-	if whole {
-		l.post(func() { l.removeAbsent(entries) })
+	if result.clientGone {
+		l.clientGone(request)
 	}
+	ended.neverRan = provesNotRun(result.outcome)
+	request.inFlight--
+	ended.cancel()
+	l.countAttempt(request, result)
+	l.handle(request, func() { l.balancer.AttemptEnded(l.now, ended.resultFor(request, result)) })
+	l.release(request)
 }
 
-// removeAbsent takes off whoever is not on a whole list.
-func (l *eventLoop) removeAbsent(entries []endpointEntry) {
-	told := make(map[policy.EndpointID]bool, len(entries))
-	for _, e := range entries {
-		told[e.ID] = true
-	}
-	var gone []endpointEntry
-	for id, as := range l.endpoints {
-		if !told[id] {
-			gone = append(gone, endpointEntry{EndpointInfo: policy.EndpointInfo{ID: id, State: policy.StateRemoved}, name: as.name, address: as.address})
-		}
+// provesNotRun tells whether after an outcome the attempt can't have run.
+func provesNotRun(outcome policy.Outcome) bool {
+	switch outcome {
+	case policy.OutcomeRejected, policy.OutcomeConnectFailed, policy.OutcomeNotSent:
+		return true
 	}
-	slices.SortFunc(gone, func(a, b endpointEntry) int { return cmp.Compare(a.ID, b.ID) })
-	l.endpointsUpdated(gone, false)
+	return false
 }
 
-// listUpdated takes in the list or what changed in it. Connections to a server that is no longer wanted are given up.
-func (l *eventLoop) endpointsUpdated(entries []endpointEntry, whole bool) {
-	l.node.overrides.rememberNames(names(entries)...)
-	l.updateEndpoints(l.node.overrides.apply(entries, whole), whole)
-}
-
-// overridesChanged takes in what operators have changed by hand.
-func (l *eventLoop) overridesChanged() { l.updateEndpoints(l.node.overrides.changedEntries(), false) }
-
-func names(entries []endpointEntry) []string {
-	list := make([]string, len(entries))
-	for i, e := range entries {
-		list[i] = e.name
+// countAttempt counts an attempt and answers the request if the attempt brought its answer: a success, or an error
+// that any endpoint would have answered.
+func (l *eventLoop) countAttempt(request *pendingRequest, result attemptResult) {
+	how := outcomeCounters[result.outcome]
+	switch {
+	case result.outcome == policy.OutcomeSucceeded:
+		l.finish(request, requestsSucceeded, result.response)
+	case result.response.status != 0:
+		how = attemptsRequestFault
+		l.finish(request, requestsFailed, result.response)
 	}
-	return list
+	l.node.counters.add(how)
 }
 
-// apply takes in entries as the decisions are to see them.
-func (l *eventLoop) updateEndpoints(entries []endpointEntry, whole bool) {
-	list := make([]policy.EndpointInfo, 0, len(entries))
-	for _, e := range entries {
-		old, known := l.endpoints[e.ID]
-		if known && e.State == policy.StateRemoved { // who is left out or only called removed stands where it stood, and started when it did
-			e.EndpointInfo = old.EndpointInfo
-			e.State = policy.StateRemoved
-		}
-		list = append(list, e.EndpointInfo)
-		if e.State == policy.StateRemoved && l.node.settings.Policy.RemovedMayServe && len(l.endpoints) <= maxRemovedKept {
-			continue // it may still be sent to: what it is called and where it is stays known, and its connections open
-		}
-		l.node.upstreams.setAddress(e.ID, e.address, e.State == policy.StateActive)
-		if old.address != "" && (old.address != e.address || e.State != policy.StateActive || e.StartedAt > old.StartedAt) {
-			go l.node.upstreams.closeIdle(upstreamTarget{e.ID, old.address})
-		}
-		if e.State == policy.StateRemoved {
-			delete(l.endpoints, e.ID)
-		} else if e.address != "" {
-			l.endpoints[e.ID] = knownEndpoint{e.name, e.address, e.EndpointInfo}
-		}
+// resultFor is the end of an attempt as the decisions see it. Time in which the client was slow to upload is not the
+// endpoint's latency.
+func (h *attempt) resultFor(request *pendingRequest, result attemptResult) policy.AttemptResult {
+	return policy.AttemptResult{
+		Request:       request.request.ID,
+		Attempt:       h.number,
+		Endpoint:      h.target.endpoint,
+		Outcome:       result.outcome,
+		Elapsed:       max(result.endedAt.Sub(h.sentAt)-result.uploadTime, 0),
+		RequestDone:   request.answered.Load(),
+		BodyConsumed:  request.bodyConsumed(),
+		NewConnection: result.newConnection,
+		Report:        result.report,
 	}
-	l.handle(nil, func() { l.balancer.EndpointsUpdated(l.now, list, whole) })
 }
 
-func (l *eventLoop) endpointWatchFailed() { l.handle(nil, func() { l.balancer.WatchFailed(l.now) }) }
-
-// finish gives the request its answer, unless it has one.
-func (l *eventLoop) finish(x *pendingRequest, how counter, a response) bool {
-	if !x.answer(a) {
+var outcomeCounters = map[policy.Outcome]counter{
+	policy.OutcomeSucceeded:     attemptsSucceeded,
+	policy.OutcomeError:         attemptsErrored,
+	policy.OutcomeRejected:      attemptsRejected,
+	policy.OutcomeTimedOut:      attemptsTimedOut,
+	policy.OutcomeConnectFailed: attemptsConnectFailed,
+	policy.OutcomeReset:         attemptsReset,
+	policy.OutcomeCanceled:      attemptsCanceled,
+	policy.OutcomeNotSent:       attemptsNotSent,
+	policy.OutcomeUnknown:       attemptsReset,
+}
+
+// finish gives the request its answer, and tells whether it had none before.
+func (l *eventLoop) finish(request *pendingRequest, how counter, answer response) bool {
+	if !request.answer(answer) {
 		return false
 	}
 	l.node.counters.add(how)
-	l.release(x)
+	l.release(request)
 	return true
 }
 
-// release forgets a request once it has its answer and nothing is out for it.
-func (l *eventLoop) release(x *pendingRequest) {
-	if x.inFlight == 0 && x.answered.Load() && l.requests[x.request.ID] == x {
-		delete(l.requests, x.request.ID)
-	}
-}
-
-// HandOff, Recall, Reject, BreakOff, WakeAt and Subscribe make the loop the decisions' Host.
-func (l *eventLoop) Send(id policy.RequestID, server policy.EndpointID, timeOut time.Duration) {
-	x := l.requests[id]
-	if x == nil {
-		return
-	}
-	h := &attempt{request: x, number: len(x.attempts), target: upstreamTarget{server, l.endpoints[server].address}, sentAt: l.now}
-	h.deadline = min(l.now.Add(timeOut), x.request.Deadline)
-	if c := l.node.settings.Policy.Classes[x.request.Class]; c.Idempotency == policy.IdempotentByKey {
-		for _, earlier := range x.attempts {
-			if !earlier.neverRan { // what may have run is remembered from then on, and this one has to come before that ends
-				h.dedupDeadline = min(cmp.Or(h.dedupDeadline, earlier.sentAt.Add(c.DedupWindow)), earlier.sentAt.Add(c.DedupWindow))
-			}
-		}
-	}
-	x.attempts = append(x.attempts, h)
-	x.inFlight++
-	if x.answered.Load() { // against decisions that a panic has left without the end of this request
-		go l.post(func() {
-			l.attemptEnded(h, attemptResult{outcome: policy.OutcomeNotSent, report: parseLoadReport(""), endedAt: h.sentAt})
-		})
-		return
-	}
-	l.node.counters.add(attemptsSent)
-	l.node.upstreams.start(h)
-}
-
-func (l *eventLoop) Cancel(id policy.RequestID, number int) {
-	if x := l.requests[id]; x != nil && number < len(x.attempts) {
-		x.attempts[number].cancel()
+// release forgets a request once it has its answer and no attempt is in flight.
+func (l *eventLoop) release(request *pendingRequest) {
+	id := request.request.ID
+	if request.inFlight == 0 && request.answered.Load() && l.requests[id] == request {
+		delete(l.requests, id)
 	}
 }
 
-func (l *eventLoop) Reject(id policy.RequestID, comeBackIn time.Duration) {
-	if x := l.requests[id]; x != nil {
-		l.finish(x, requestsRejected, response{status: http.StatusServiceUnavailable, retryAfter: comeBackIn})
-	}
-}
-
-func (l *eventLoop) Fail(id policy.RequestID) {
-	if x := l.requests[id]; x != nil {
-		l.finish(x, requestsFailed, response{status: http.StatusBadGateway})
-	}
-}
-
-func (l *eventLoop) SetTimer(at policy.Time, cookie uint64) { l.timers.Set(int64(at), cookie) }
-
-func (l *eventLoop) WatchEndpoints() { l.node.endpointWatch.requestCall() }
-
-// CloseIdle closes what is idle to a server; the loop does not wait for it.
-func (l *eventLoop) CloseIdle(server policy.EndpointID) {
-	if address := l.endpoints[server].address; address != "" {
-		go l.node.upstreams.closeIdle(upstreamTarget{server, address})
-	}
-}
-
-// Gossip passes news on to the peers.
-func (l *eventLoop) Gossip(n policy.GossipMessage) { l.node.gossiper.send(n) }
-
-// CheckHealth has a server asked for its load.
-func (l *eventLoop) CheckHealth(server policy.EndpointID) {
-	if address := l.endpoints[server].address; address != "" {
-		l.node.upstreams.checkHealth(upstreamTarget{server, address})
-	}
-}
-
-// encodeEstimates is what the decisions have learned, for the process that comes after this one.
-func (l *eventLoop) encodeEstimates() json.RawMessage {
-	text, err := json.Marshal(l.balancer.Estimates())
-	if err != nil {
-		l.node.log.Warn("what was learned can't be told", zap.Error(err))
-	}
-	return text
-}
-
-// inherit begins with what the decisions of the process before had learned, if that makes sense.
-func (l *eventLoop) inherit(text json.RawMessage) {
-	var all estimates.Snapshot
-	if err := json.Unmarshal(text, &all); err != nil || !all.Valid(len(l.node.settings.Classes)) {
-		l.node.counters.add(hotRestartsIgnored)
-		l.node.log.Warn("what the process before had learned passed over", zap.Error(err))
-		return
-	}
-	l.handle(nil, func() { l.balancer.Inherit(&all) })
+func (l *eventLoop) endpointWatchFailed() {
+	l.handle(nil, func() { l.balancer.WatchFailed(l.now) })
 }
 
-func (l *eventLoop) healthChecked(server policy.EndpointID, outcome policy.Outcome, report policy.LoadReport) {
-	l.handle(nil, func() { l.balancer.HealthChecked(l.now, server, outcome, report) })
+func (l *eventLoop) healthChecked(endpoint policy.EndpointID, outcome policy.Outcome, report policy.LoadReport) {
+	l.handle(nil, func() { l.balancer.HealthChecked(l.now, endpoint, outcome, report) })
 }
 
-func (l *eventLoop) gossipReceived(n policy.GossipMessage) {
-	l.handle(nil, func() { l.balancer.GossipReceived(l.now, n) })
+func (l *eventLoop) gossipReceived(message policy.GossipMessage) {
+	l.handle(nil, func() { l.balancer.GossipReceived(l.now, message) })
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -129,7 +129,7 @@
 	var b bytes.Buffer
 	who := restartHello{Version: hotRestartVersion, Node: `"n0" 127.0.0.1:80`}
 	out := json.NewEncoder(&b)
-	for _, v := range []any{who, restartState{restartHello: who, List: json.RawMessage(`{"seq":1}`), Listed: []string{"s-1", "s-2"}, Learned: json.RawMessage(`{"MeanOf":1}`)}} {
+	for _, v := range []any{who, restartState{restartHello: who, Endpoints: json.RawMessage(`{"seq":1}`), KnownNames: []string{"s-1", "s-2"}, Estimates: json.RawMessage(`{"MeanOf":1}`)}} {
 		if err := out.Encode(v); err != nil {
 			t.Fatal(err)
 		}
@@ -169,7 +169,7 @@
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	read, err := parseOverrides(kept, n.overrides.owner())
+	read, err := parseOverrides(kept, n.identity())
 	if err != nil || !read.drained || len(read.endpoints) != 2 || read.endpoints["s-1"] != (disabledEndpoint{disabledAt: 5}) || read.endpoints["s \"2\""] != (disabledEndpoint{disabledAt: 6, enabledAt: 7}) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -196,9 +196,9 @@
 
 // entryOf is one server as a list words it.
 func (n *Node) entryOf(text string) (endpointEntry, error) {
-	entries, _, _, err := n.parseList([]byte(listText(1, false, text)))
-	if err != nil || len(entries) != 1 {
-		return endpointEntry{}, fmt.Errorf("%v, %d entries", err, len(entries))
+	update, err := n.parseList([]byte(listText(1, false, text)))
+	if err != nil || len(update.entries) != 1 {
+		return endpointEntry{}, fmt.Errorf("%v, %d entries", err, len(update.entries))
 	}
-	return entries[0], nil
+	return update.entries[0], nil
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -1,9 +1,5 @@
 package node
 
-// This file owns the meeting of a node's two processes at an upgrade: how the new one finds the old, what it is told, how they
-// split the limits, and who takes new connections. It must never hold up a start: whoever does not answer in time, or talks
-// nonsense, is nobody. What operators ordered is not told here; both read it from the file of orders.
-
 import (
 	"bufio"
 	"encoding/json"
@@ -14,34 +10,19 @@
 	"os"
 	"path/filepath"
 	"sync"
-	"syscall"
 	"time"
 
 	"go.uber.org/zap"
 )
 
-const (
-	hotRestartVersion = 2
-	hotRestartTimeout = 1500 * time.Millisecond
-	maxRestartState   = 16 << 20
-	maxSocketPath     = 100 // the system takes a few more
-	readyMessage      = "ready\n"
-)
-
-// restartHello is what the new process says first.
-type restartHello struct {
-	Version int    `json:"handover"`
-	Node    string `json:"node"`
-}
+// A hot restart: a second process of the node starts, inherits the state of the first, and takes the new connections
+// once it serves. Until one of them has ended each has half of the limits. If the successor ends first, the
+// predecessor takes new connections again. A start never waits longer than hotRestartTimeout for the other process:
+// one that does not answer in time, or not correctly, is ignored.
 
-// restartState is what the old process knows and the new one takes over.
-type restartState struct {
-	restartHello
-	List    json.RawMessage `json:"list"`    // in discovery's form
-	Listed  []string        `json:"listed"`  // every name that was ever listed
-	Learned json.RawMessage `json:"learned"` // by the decisions
-}
+const acceptRetryInterval = 5 * time.Millisecond
 
+// hotRestart owns the socket that a successor connects to and the connections to the node's other process.
 type hotRestart struct {
 	node *Node
 	path string
@@ -49,7 +30,7 @@
 	mu          sync.Mutex
 	listener    *net.UnixListener
 	successor   net.Conn
-	predecessor net.Conn // the process that this one takes over from, until it has ended
+	predecessor net.Conn // nil once it has ended
 	yielded     bool     // the successor takes the new connections
 }
 
@@ -58,118 +39,70 @@
 }
 
 func (h *hotRestart) hello() restartHello {
-	return restartHello{Version: hotRestartVersion, Node: h.node.overrides.owner()}
+	return restartHello{Version: hotRestartVersion, Node: h.node.identity()}
 }
 
-// connectPredecessor looks for the node's other process and asks what it knows; nil where there is none.
+// connectPredecessor looks for the node's other process and inherits its state; nil where there is none.
 func (h *hotRestart) connectPredecessor() *restartState {
-	told, err := h.dialPredecessor()
+	state, err := h.dialPredecessor()
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		return nil
 	case err != nil:
 		h.node.counters.add(hotRestartsIgnored)
-		h.node.log.Warn("no other process answers, a plain start", zap.String("at", h.path), zap.Error(err))
+		h.node.log.Warn("hot restart: no predecessor answers, a plain start", zap.String("socket", h.path), zap.Error(err))
 		return nil
 	}
-	h.node.log.Info("takes over from another process of this node", zap.Int("names", len(told.Listed)))
-	return told
+	h.node.log.Info("hot restart: state inherited from the predecessor", zap.Int("names", len(state.KnownNames)))
+	return state
 }
 
 func (h *hotRestart) dialPredecessor() (*restartState, error) {
-	at, done, err := h.socketAddress(h.path)
+	address, release, err := socketAddress(h.path)
 	if err != nil {
 		return nil, err
 	}
-	defer done()
-	c, err := net.DialTimeout("unix", at, hotRestartTimeout)
+	defer release()
+	c, err := net.DialTimeout("unix", address, hotRestartTimeout)
 	if err != nil {
 		return nil, err
 	}
-	told, err := h.receiveState(c)
+	state, err := requestState(c, h.hello())
 	if err != nil {
 		c.Close()
 		return nil, err
 	}
 	h.predecessor = c
-	return told, nil
-}
-
-func (h *hotRestart) receiveState(c net.Conn) (*restartState, error) {
-	if err := sameUser(c); err != nil {
-		return nil, err
-	}
-	c.SetDeadline(time.Now().Add(hotRestartTimeout))
-	if err := json.NewEncoder(c).Encode(h.hello()); err != nil {
-		return nil, err
-	}
-	line, err := readLine(bufio.NewReader(c), maxRestartState)
-	if err != nil {
-		return nil, err
-	}
-	var told restartState
-	if err := json.Unmarshal(line, &told); err != nil {
-		return nil, err
-	}
-	c.SetDeadline(time.Time{})
-	return &told, h.check(told.restartHello)
-}
-
-func (h *hotRestart) check(other restartHello) error {
-	if own := h.hello(); other != own {
-		return fmt.Errorf("expected version %d of node %s, got %d of %.80q", own.Version, own.Node, other.Version, other.Node)
-	}
-	return nil
+	return state, nil
 }
 
-// readLine reads one line of at most so many bytes.
-func readLine(in *bufio.Reader, most int) ([]byte, error) {
-	var line []byte
-	for {
-		part, err := in.ReadSlice('\n')
-		if line = append(line, part...); err == nil {
-			return line, nil
-		}
-		if err != bufio.ErrBufferFull {
-			return nil, err
-		}
-		if len(line) > most {
-			return nil, errors.New("a line without an end")
+// announceServing notifies the predecessor that this process serves, and opens the socket for the next one.
+func (h *hotRestart) announceServing() {
+	h.mu.Lock()
+	predecessor := h.predecessor
+	h.mu.Unlock()
+	if predecessor != nil {
+		if _, err := io.WriteString(predecessor, readyMessage); err != nil {
+			h.node.log.Warn("hot restart: the predecessor was not notified", zap.Error(err))
 		}
+		go h.awaitPredecessorEnd(predecessor)
 	}
+	h.open()
 }
 
-// socketAddress is how to name a path to a Unix socket: one that is too long goes by its folder's descriptor.
-func (h *hotRestart) socketAddress(path string) (at string, done func(), err error) {
-	if len(path) <= maxSocketPath {
-		return path, func() {}, nil
-	}
-	dir, err := os.Open(filepath.Dir(path))
-	if err != nil {
-		return "", nil, err
-	}
-	return fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)), func() { dir.Close() }, nil
-}
-
-// sameUser guards against another user's process in the place of this node's: the folder may be anybody's.
-func sameUser(c net.Conn) error {
-	raw, err := c.(*net.UnixConn).SyscallConn()
-	if err != nil {
-		return err
-	}
-	var peer *syscall.Ucred
-	if broken := raw.Control(func(fd uintptr) {
-		peer, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
-	}); broken != nil || err != nil {
-		return errors.Join(broken, err)
-	}
-	if int(peer.Uid) != os.Geteuid() {
-		return fmt.Errorf("a process of user %d", peer.Uid)
-	}
-	return nil
+// awaitPredecessorEnd takes the whole limits once the predecessor has ended.
+func (h *hotRestart) awaitPredecessorEnd(predecessor net.Conn) {
+	awaitClose(predecessor)
+	predecessor.Close()
+	h.mu.Lock()
+	h.predecessor = nil
+	h.mu.Unlock()
+	h.node.divideLimits()
+	h.node.log.Info("hot restart: the predecessor has ended")
 }
 
-// open takes the place where a later process looks, from whoever has it: a process that is stopping, or one that has died.
+// open takes over the path of the socket, also from a process that is shutting down or has died. Without it the node
+// serves all the same, and the next restart is a plain start.
 func (h *hotRestart) open() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -177,33 +110,38 @@
 		h.listener.Close()
 		h.listener = nil
 	}
-	fresh := fmt.Sprintf("%s.%d", h.path, os.Getpid())
-	os.Remove(fresh)
-	err := func() error {
-		at, done, err := h.socketAddress(fresh)
-		if err != nil {
-			return err
-		}
-		defer done()
-		l, err := net.ListenUnix("unix", &net.UnixAddr{Name: at, Net: "unix"})
-		if err != nil {
-			return err
-		}
-		l.SetUnlinkOnClose(false) // the path may be the successor's by then
-		if err := errors.Join(os.Chmod(fresh, 0o600), os.Rename(fresh, h.path)); err != nil {
-			l.Close()
-			os.Remove(fresh)
-			return err
-		}
-		h.listener = l
-		go h.serve(l)
-		return nil
-	}()
-	if err != nil { // the node serves all the same; an upgrade will be a plain start
-		h.node.log.Warn("a later process will not find this one", zap.Error(err))
+	listener, err := h.listen()
+	if err != nil {
+		h.node.log.Warn("hot restart: a successor will not find this process", zap.Error(err))
+		return
+	}
+	h.listener = listener
+	go h.serve(listener)
+}
+
+// listen opens a socket under a path of this process's own and renames it into place.
+func (h *hotRestart) listen() (*net.UnixListener, error) {
+	ownPath := fmt.Sprintf("%s.%d", h.path, os.Getpid())
+	removeLeftover(ownPath)
+	address, release, err := socketAddress(ownPath)
+	if err != nil {
+		return nil, err
+	}
+	defer release()
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: address, Net: "unix"})
+	if err != nil {
+		return nil, err
+	}
+	listener.SetUnlinkOnClose(false) // the path may be the successor's by then
+	if err := errors.Join(os.Chmod(ownPath, 0o600), os.Rename(ownPath, h.path)); err != nil {
+		listener.Close()
+		removeLeftover(ownPath)
+		return nil, err
 	}
+	return listener, nil
 }
 
+// close stops taking successors.
 func (h *hotRestart) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -212,8 +150,8 @@
 	}
 }
 
-// end lets the other process know that this one has ended, a moment before the machine would.
-func (h *hotRestart) end() {
+// closeSuccessor notifies the successor that this process has ended, a moment before the system would.
+func (h *hotRestart) closeSuccessor() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.successor != nil {
@@ -221,92 +159,67 @@
 	}
 }
 
-func (h *hotRestart) serve(l *net.UnixListener) {
+func (h *hotRestart) serve(listener *net.UnixListener) {
 	for {
-		c, err := l.Accept()
+		c, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(5 * time.Millisecond)
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
 		go h.serveSuccessor(c)
 	}
 }
 
-// serveSuccessor tells a new process what this one knows, and goes by what becomes of it until it ends. There is one at a time.
+// serveSuccessor hands the state to a successor and yields new connections to it, until it ends.
 func (h *hotRestart) serveSuccessor(c net.Conn) {
 	defer c.Close()
-	defer h.node.recoverPanic("handover", func() {})
+	defer h.node.recoverPanic("hot restart", func() {})
 	in := bufio.NewReader(c)
 	if err := h.sendState(c, in); err != nil {
 		h.node.counters.add(hotRestartsIgnored)
-		h.node.log.Warn("a caller that does not take over", zap.Error(err))
+		h.node.log.Warn("hot restart: a successor was ignored", zap.Error(err))
 		return
 	}
-	h.node.log.Info("another process is to take over")
+	h.node.log.Info("hot restart: state handed to a successor")
 	h.node.divideLimits()
-	defer func() {
-		h.mu.Lock()
-		h.successor, h.yielded = nil, false
-		h.mu.Unlock()
-		h.node.divideLimits()
-		h.node.frontend.resume() // also while this one is stopping: there is nobody else to take what still comes
-		if !h.node.stopping.Load() {
-			h.node.log.Warn("the process that was to take over has ended, this one goes on")
-			h.open()
-		}
-	}()
-	c.SetDeadline(time.Time{})
-	line, err := readLine(in, len(readyMessage))
-	if err != nil || string(line) != readyMessage {
+	defer h.successorEnded()
+	if err := awaitReady(c, in); err != nil {
 		return
 	}
 	h.mu.Lock()
 	h.yielded = true
 	h.mu.Unlock()
 	h.node.frontend.pause()
-	h.node.log.Info("another process takes the new connections")
-	io.Copy(io.Discard, in)
+	h.node.log.Info("hot restart: the successor takes the new connections")
+	awaitClose(in)
 }
 
-func (h *hotRestart) sendState(c net.Conn, in *bufio.Reader) error {
-	if err := sameUser(c); err != nil {
-		return err
-	}
-	c.SetDeadline(time.Now().Add(hotRestartTimeout))
-	line, err := readLine(in, 4<<10)
-	if err != nil {
-		return err
-	}
-	var other restartHello
-	if err := json.Unmarshal(line, &other); err != nil {
-		return err
-	}
-	if err := h.check(other); err != nil {
-		return err
-	}
+// successorEnded takes the whole limits and new connections again, also while this process is shutting down: there is
+// no other that would.
+func (h *hotRestart) successorEnded() {
 	h.mu.Lock()
-	taken := h.successor != nil
-	if !taken {
-		h.successor = c
-	}
+	h.successor, h.yielded = nil, false
 	h.mu.Unlock()
-	if taken {
-		return errors.New("another process is taking over already")
+	h.node.divideLimits()
+	h.node.frontend.resume()
+	if !h.node.stopping.Load() {
+		h.node.log.Warn("hot restart: the successor has ended, this process goes on")
+		h.open()
 	}
-	told := restartState{restartHello: h.hello(), Listed: h.node.overrides.knownNames()}
-	learned := make(chan restartState, 1)
-	go h.node.loop.post(func() {
-		learned <- restartState{List: h.node.overrides.encodeUnmodified(), Learned: h.node.loop.encodeEstimates()}
-	})
-	select {
-	case l := <-learned:
-		told.List, told.Learned = l.List, l.Learned
-	case <-time.After(hotRestartTimeout / 2): // names alone are better than no answer
+}
+
+// sendState makes the caller the successor, if there is none, and sends it the state.
+func (h *hotRestart) sendState(c net.Conn, in *bufio.Reader) error {
+	if err := readHello(c, in, h.hello()); err != nil {
+		return err
+	}
+	if !h.claimSuccessor(c) {
+		return errRestartInProgress
 	}
-	if err := json.NewEncoder(c).Encode(told); err != nil {
+	if err := json.NewEncoder(c).Encode(h.state()); err != nil {
 		h.mu.Lock()
 		h.successor = nil
 		h.mu.Unlock()
@@ -315,24 +228,32 @@
 	return nil
 }
 
-// announceServing tells the old process that this one serves, and from then on stands where the next one looks.
-func (h *hotRestart) announceServing() {
+func (h *hotRestart) claimSuccessor(c net.Conn) bool {
 	h.mu.Lock()
-	before := h.predecessor
-	h.mu.Unlock()
-	if before != nil {
-		io.WriteString(before, readyMessage)
-		go func() {
-			io.Copy(io.Discard, before)
-			before.Close()
-			h.mu.Lock()
-			h.predecessor = nil
-			h.mu.Unlock()
-			h.node.divideLimits()
-			h.node.log.Info("the process before has ended")
-		}()
+	defer h.mu.Unlock()
+	if h.successor != nil {
+		return false
 	}
-	h.open()
+	h.successor = c
+	return true
+}
+
+// state collects what a successor inherits. If the loop does not answer in time, the names alone are sent.
+func (h *hotRestart) state() restartState {
+	state := restartState{restartHello: h.hello(), KnownNames: h.node.overrides.knownNames()}
+	fromLoop := make(chan restartState, 1)
+	go h.node.loop.post(func() {
+		fromLoop <- restartState{
+			Endpoints: h.node.overrides.encodeUnmodified(),
+			Estimates: h.node.loop.encodeEstimates(),
+		}
+	})
+	select {
+	case collected := <-fromLoop:
+		state.Endpoints, state.Estimates = collected.Endpoints, collected.Estimates
+	case <-time.After(hotRestartTimeout / 2):
+	}
+	return state
 }
 
 // hasYielded tells whether a successor takes the new connections.
@@ -342,7 +263,7 @@
 	return h.yielded
 }
 
-// processes is how many processes the node has now, this one with them.
+// processes is how many processes the node has now, this one included.
 func (h *hotRestart) processes() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -74,7 +74,7 @@
 	}
 	alone := old.mostOpen()
 	fresh := next()
-	if fresh.predecessor == nil || !fresh.overrides.isKnown("s-7") && len(fresh.knownList().entries) != 1 {
+	if fresh.predecessor == nil || !fresh.overrides.isKnown("s-7") && len(fresh.chooseInitialList().entries) != 1 {
 		t.Fatalf("the old process was not found, or told nothing: %+v", fresh.predecessor)
 	}
 	soon(t, "the old one has given up its half", func() bool { return old.mostOpen() < alone })
@@ -106,8 +106,8 @@
 	if r, err := http.ReadResponse(keptIn, nil); err != nil || r.StatusCode != 200 || !r.Close {
 		t.Errorf("%v, %v on a kept connection, want an answer that closes it", r, err)
 	}
-	old.stop()
-	old.hotRestart.end()
+	old.shutDown()
+	old.hotRestart.closeSuccessor()
 	soon(t, "the new one has the whole limits", func() bool { return fresh.mostOpen() == alone })
 	third := next()
 	if third.predecessor == nil {
--- /dev/null
+++ b/internal/node/limits.go
@@ -0,0 +1,71 @@
+package node
+
+import (
+	"runtime"
+	"runtime/debug"
+)
+
+// How a node's file descriptors and memory are divided. Config.Limits holds for the node, so while a hot restart has
+// two processes running each takes half. The shares are one in so many.
+const (
+	defaultDescriptors = 1024
+	minDescriptors     = 32 // with fewer a node can't serve
+
+	// ownDescriptors are standard files, poller, listeners with a connection each, discovery, overrides, state,
+	// gossip and the runtime.
+	ownDescriptors       = 24
+	spareDescriptorShare = 16 // of all descriptors, to answer clients that there is no room for
+	activeClientShare    = 4  // of all descriptors, for clients with a request; clients hold a third at most
+	upstreamShare        = 3  // of what is left, for upstreams: clients keep their connections while idle
+
+	bodyMemoryShare    = 8 // of the memory, for bodies in flight; connections' buffers need as much
+	defaultBodyMemory  = 64 << 20
+	heapLimitPercent   = 60  // of the memory
+	garbagePercent     = 400 // the heap is small, its collection takes time from requests
+	bytesPerMiB        = 1 << 20
+	minOwnDescriptors  = 4 // beside half of the descriptors, where those are few
+	lentUpstreamsShare = 2
+)
+
+// divideLimits sets the limits of connections and memory. It is called at the start, and whenever the node's other
+// process comes or goes.
+func (n *Node) divideLimits() {
+	processes := n.hotRestart.processes()
+	n.divideDescriptors(processes)
+	n.divideMemory(processes)
+}
+
+func (n *Node) divideDescriptors(processes int) {
+	total := n.config.Limits.Sockets
+	if total == 0 {
+		total = defaultDescriptors
+	}
+	available := total / processes
+	spare := available / spareDescriptorShare
+	admin := min(maxAdminConns, available/adminConnShare)
+	rest := available - min(ownDescriptors, available/2+minOwnDescriptors) - spare - admin
+	toUpstreams := max(rest/upstreamShare, 1)
+	toClients := max(rest-toUpstreams, 1)
+	n.upstreams.setLimit(toUpstreams)
+	n.admin.setLimit(admin)
+	n.frontend.setLimits(toClients, spare, total/activeClientShare)
+	// Each attempt has a client that waits for it, so idle clients' descriptors can be lent to upstreams.
+	n.frontend.maxLent.Store(int64(toClients-toUpstreams) / lentUpstreamsShare)
+}
+
+func (n *Node) divideMemory(processes int) {
+	bodies := int64(defaultBodyMemory)
+	if mb := n.config.Limits.MemoryMB; mb > 0 {
+		bodies = mb * bytesPerMiB / bodyMemoryShare
+		debug.SetMemoryLimit(mb * bytesPerMiB * heapLimitPercent / 100 / int64(processes))
+	}
+	n.maxBufferedBytes.Store(bodies / int64(processes))
+}
+
+// limitRuntime keeps the runtime within the machine's share that the node was given.
+func (n *Node) limitRuntime() {
+	if cores := n.config.Limits.Cores; cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(cores)))
+	}
+	debug.SetGCPercent(garbagePercent)
+}
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -1,9 +1,5 @@
 package node
 
-// This file owns the shell of the list by gossip: what the core is told of the node's own watch, and what it has the loop go
-// by. What is asked and taken is internal/endpointgossip's. It must never hold up the watch for an answer, nor let a list of others come
-// after one of discovery's that the node has already heard.
-
 import (
 	"encoding/json"
 	"fawnglade/internal/endpointgossip"
@@ -14,80 +10,55 @@
 	"go.uber.org/zap"
 )
 
-// listGossip is nil where nodes do not ask one another.
+// listGossip connects package endpointgossip, which decides which lists of other nodes count, to the membership that
+// carries its messages and to the loop. An update of the node's own watch is never held up, and no gossiped list is
+// posted after a newer one of the watch. It is nil where nodes do not exchange lists.
 type listGossip struct {
 	node *Node
-	mu   sync.Mutex // what is told and what it has the loop do stay in one order
+	mu   sync.Mutex // keeps updates and what the loop is posted for them in one order
 	core *endpointgossip.Hearsay
 }
 
 func newListGossip(n *Node) *listGossip {
-	if n.members == nil || !n.members.set.List {
+	if n.members == nil || !n.members.config.List {
 		return nil
 	}
 	return &listGossip{node: n}
 }
 
-// begin makes the core, once the view is there that carries its loads.
-func (s *listGossip) begin(seed uint64, way endpointgossip.Way) {
+// begin starts the exchange over the membership, from the node's initial list.
+func (s *listGossip) begin(seed uint64, transport endpointgossip.Way) {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first := s.node.initialList
-	lines, _ := s.lines(first.entries)
-	s.core = endpointgossip.New(seed, way, s.node.clock.nanos(), first.version, lines, first.watchResumes)
+	initial := s.node.initialList
+	endpoints, _ := s.split(initial.entries)
+	s.core = endpointgossip.New(seed, transport, s.node.clock.nanos(), initial.version, endpoints, initial.watchResumes)
 }
 
-func (s *listGossip) lines(entries []endpointEntry) (lines []endpointgossip.Line, gone []string) {
-	for _, e := range entries {
-		if e.State == policy.StateRemoved {
-			gone = append(gone, e.name)
-			continue
-		}
-		lines = append(lines, endpointgossip.Line{
-			Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight,
-			Draining: e.State == policy.StateDraining, Started: int64(e.StartedAt),
-		})
-	}
-	return lines, gone
-}
-
-func (s *listGossip) entries(lines []endpointgossip.Line) (out []endpointEntry) {
-	for _, l := range lines {
-		e := endpointEntry{name: l.Name, address: l.Address, EndpointInfo: policy.EndpointInfo{
-			ID: endpointID(l.Name), Zone: zoneIndex(l.Zone, s.node.settings.Zones),
-			Pod: l.Pod, Weight: l.Weight, StartedAt: policy.Time(l.Started), State: policy.StateActive,
-		}}
-		if _, err := netip.ParseAddrPort(l.Address); l.Draining {
-			e.State = policy.StateDraining
-		} else if err != nil {
-			continue
-		}
-		out = append(out, e)
-	}
-	return out
-}
-
-// listed has the loop go by what the node's own watch has told.
-func (s *listGossip) listed(entries []endpointEntry, version int64, whole bool) {
+// watchUpdated takes in an update of the node's own list and posts it. If the node went by a gossiped list, the whole
+// own list is posted.
+func (s *listGossip) watchUpdated(update listUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines, gone := s.lines(entries)
-	if s.core == nil { // the view is not there yet: it begins with this
-		first := &s.node.initialList
-		*first = initialList{first.merge(entries, whole), version, true}
-		s.node.loop.postEndpoints(entries, whole)
+	if s.core == nil { // the membership has not started yet: begin starts from this
+		initial := &s.node.initialList
+		*initial = initialList{initial.merge(update), update.version, true}
+		s.node.loop.postEndpoints(update.entries, update.complete)
 		return
 	}
-	if all := s.core.Listed(s.node.clock.nanos(), version, lines, gone, whole); all != nil {
-		entries, whole = s.entries(all), true
+	endpoints, removed := s.split(update.entries)
+	all := s.core.Listed(s.node.clock.nanos(), update.version, endpoints, removed, update.complete)
+	if all != nil {
+		s.node.loop.postEndpoints(s.entries(all), true)
+		return
 	}
-	s.node.loop.postEndpoints(entries, whole)
+	s.node.loop.postEndpoints(update.entries, update.complete)
 }
 
-// tick lets the core ask.
+// tick is called with each tick of the membership.
 func (s *listGossip) tick() {
 	if s == nil {
 		return
@@ -99,21 +70,22 @@
 	}
 }
 
-// receive takes in a load of another node.
-func (s *listGossip) receive(from int, load []byte) {
+// receive takes in a message of another node.
+func (s *listGossip) receive(from int, message []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines := s.core.Heard(s.node.clock.nanos(), from, load)
-	if lines == nil {
+	endpoints := s.core.Heard(s.node.clock.nanos(), from, message)
+	if endpoints == nil {
 		return
 	}
-	entries, view := s.entries(lines), s.core.View()
+	entries, view := s.entries(endpoints), s.core.View()
 	s.node.loop.postEndpoints(s.node.persistence.applyToGossiped(entries, view.Version), false)
 	s.node.hasList.Store(true)
-	s.node.log.Info("the list by others' word", zap.Int("from", from), zap.Int("servers", len(entries)), zap.Any("list", view))
+	s.node.log.Info("endpoint list taken from another node",
+		zap.Int("from", from), zap.Int("endpoints", len(entries)), zap.Any("list", view))
 }
 
-// viewJSON tells how it stands, for who asks.
+// viewJSON is the state of the exchange for the admin API; nil where there is none.
 func (s *listGossip) viewJSON() json.RawMessage {
 	if s == nil {
 		return nil
@@ -125,31 +97,52 @@
 	}
 	text, err := json.Marshal(s.core.View())
 	if err != nil {
-		s.node.log.Error("view of the list", zap.Error(err))
+		s.node.log.Error("state of the list exchange can't be encoded", zap.Error(err))
 	}
 	return text
 }
 
-// initialList is the list that a node begins with, and what its watch goes on from.
-type initialList struct {
-	entries      []endpointEntry
-	version      int64
-	watchResumes bool // the watch asks for what came after it
-}
-
-// merge lays lines of the watch over it.
-func (f *initialList) merge(entries []endpointEntry, whole bool) []endpointEntry {
-	told := map[string]bool{}
-	out := make([]endpointEntry, 0, len(entries))
+// split converts entries, and separates the names of those that were removed.
+func (s *listGossip) split(entries []endpointEntry) (endpoints []endpointgossip.Line, removed []string) {
 	for _, e := range entries {
-		if told[e.name] = true; e.State != policy.StateRemoved {
-			out = append(out, e)
+		if e.State == policy.StateRemoved {
+			removed = append(removed, e.name)
+			continue
 		}
+		endpoints = append(endpoints, endpointgossip.Line{
+			Name:     e.name,
+			Address:  e.address,
+			Zone:     e.zone(s.node.settings.Zones),
+			Pod:      e.Pod,
+			Weight:   e.Weight,
+			Draining: e.State == policy.StateDraining,
+			Started:  int64(e.StartedAt),
+		})
 	}
-	for _, e := range f.entries {
-		if !whole && !told[e.name] {
-			out = append(out, e)
+	return endpoints, removed
+}
+
+// entries converts endpoints; an active one without a valid address is left out.
+func (s *listGossip) entries(endpoints []endpointgossip.Line) (entries []endpointEntry) {
+	for _, gossiped := range endpoints {
+		state := policy.StateActive
+		if gossiped.Draining {
+			state = policy.StateDraining
+		} else if _, err := netip.ParseAddrPort(gossiped.Address); err != nil {
+			continue
 		}
+		entries = append(entries, endpointEntry{
+			name:    gossiped.Name,
+			address: gossiped.Address,
+			EndpointInfo: policy.EndpointInfo{
+				ID:        endpointID(gossiped.Name),
+				Zone:      zoneIndex(gossiped.Zone, s.node.settings.Zones),
+				Pod:       gossiped.Pod,
+				Weight:    gossiped.Weight,
+				StartedAt: policy.Time(gossiped.Started),
+				State:     state,
+			},
+		})
 	}
-	return out
+	return entries
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -1,9 +1,5 @@
 package node
 
-// This file owns the shell of the members' view: its socket, its beats and the asking from outside. What is believed is
-// internal/members'. It must never hold up a request: it has goroutines of its own, drops what comes too fast, and costs a view, never
-// service, when it fails.
-
 import (
 	crand "crypto/rand"
 	"encoding/binary"
@@ -20,19 +16,25 @@
 )
 
 const (
-	maxQueuedDatagrams      = 512 // datagrams that wait to be taken in
-	maxDatagramsPerInterval = 2000
-	readInterval            = 100 * time.Millisecond // no more than mostAtATime are read in it
+	maxQueuedDatagrams      = 512                    // received and not handled yet; more are dropped
+	maxDatagramsPerInterval = 2000                   // read in readInterval
+	readInterval            = 100 * time.Millisecond // of the bound above
 	queryTimeout            = 500 * time.Millisecond
+	ticksPerRound           = 10 // as package members wants it
 )
 
-var errNoMembership = errors.New("no view: members are off, or have ended")
+var (
+	errNoMembership      = errors.New("no view: members are off, or have ended")
+	errMembershipTimeout = errors.New("the view does not answer")
+)
 
-// memberAgent is nil where nodes may not talk, or no file says how.
+// memberAgent runs the membership of package members on a UDP socket, in goroutines of its own: its failure costs the
+// view of other nodes, never a request. It is nil where the settings don't allow messages between nodes, or the
+// features file names no members; its methods may then be called, unless they say otherwise.
 type memberAgent struct {
 	node     *Node
-	set      *features.Members
-	core     *members.Members // of run alone
+	config   *features.Members
+	core     *members.Members // of run's goroutine alone
 	socket   *net.UDPConn
 	received chan []byte
 	queries  chan func()
@@ -40,159 +42,182 @@
 	ended    sync.Once
 }
 
-// newMemberAgent binds the socket. A file alone turns nothing on: the platform's settings must allow messages.
+// newMemberAgent binds the socket. The features file alone turns nothing on: the platform's settings must allow
+// messages between nodes.
 func newMemberAgent(n *Node) (*memberAgent, error) {
-	f := n.config.features
-	if f == nil || f.Members == nil {
+	enabled := n.config.features
+	if enabled == nil || enabled.Members == nil {
 		return nil, nil
 	}
 	if !n.settings.Policy.MayGossip {
 		n.log.Warn("members are off, as limits.peer_messages is not true in the settings")
 		return nil, nil
 	}
-	socket, err := datagram.Listen(f.Members.Bind.String())
+	socket, err := datagram.Listen(enabled.Members.Bind.String())
 	if err != nil {
 		return nil, err
 	}
-	return &memberAgent{node: n, set: f.Members, socket: socket, received: make(chan []byte, maxQueuedDatagrams), queries: make(chan func()), done: make(chan struct{})}, nil
+	return &memberAgent{
+		node:     n,
+		config:   enabled.Members,
+		socket:   socket,
+		received: make(chan []byte, maxQueuedDatagrams),
+		queries:  make(chan func()),
+		done:     make(chan struct{}),
+	}, nil
 }
 
-// Send writes a datagram; what the system does not take is lost, as on the way.
-func (s *memberAgent) Send(to int, datagram []byte) {
-	s.socket.WriteToUDPAddrPort(datagram, s.set.At[to])
+// Send sends a datagram to a node; it may be lost. It makes the agent the membership's transport.
+func (a *memberAgent) Send(to int, datagram []byte) {
+	_, _ = a.socket.WriteToUDPAddrPort(datagram, a.config.At[to]) // an error is a loss
 }
 
-// run holds the view until the process ends, or another has taken over from it.
-func (s *memberAgent) run() {
-	defer s.end()
-	var drawn [12]byte
-	crand.Read(drawn[:])
-	set := members.Settings{
-		Name: s.node.config.Name, Key: s.set.KeyBytes, Round: s.set.RoundNs, Seed: binary.LittleEndian.Uint64(drawn[:]),
-		Run: binary.LittleEndian.Uint32(drawn[8:]), Known: s.node.persistence.starts(),
-	}
-	for _, n := range s.set.Nodes {
-		set.Peers = append(set.Peers, n.Name)
-	}
-	if s.node.listGossip != nil {
-		set.Take = s.node.listGossip.receive
-	}
-	var err error
-	if s.core, err = members.New(set, s, s.node.clock.nanos()); err != nil {
-		s.node.log.Error("members are off", zap.Error(err))
+// run runs the membership until the process ends or a successor has taken over; not to be called on a nil agent.
+func (a *memberAgent) run() {
+	defer a.end()
+	if err := a.start(); err != nil {
+		a.node.log.Error("members are off", zap.Error(err))
 		return
 	}
-	s.node.listGossip.begin(set.Seed, s.core)
-	go s.read()
-	beats := time.NewTicker(time.Duration(s.set.RoundNs / 10))
-	defer beats.Stop()
+	go a.read()
+	ticks := time.NewTicker(time.Duration(a.config.RoundNs / ticksPerRound))
+	defer ticks.Stop()
 	for {
 		select {
-		case <-s.done:
+		case <-a.done:
 			return
-		case <-beats.C:
-			if s.node.hotRestart.hasYielded() {
-				return // the other process has the name now, and the address
+		case <-ticks.C:
+			if a.node.hotRestart.hasYielded() {
+				return // the successor has the node's name and address
 			}
-			s.step(func() {
-				s.core.Beat(s.node.clock.nanos())
-				s.node.listGossip.tick()
-			})
-		case datagram := <-s.received:
-			s.step(func() {
-				s.core.Heard(s.node.clock.nanos(), datagram)
-				s.node.persistence.noteLaterStart(s.core.Before())
-			})
-		case ask := <-s.queries:
-			s.step(ask)
+			a.step(a.tick)
+		case datagram := <-a.received:
+			a.step(func() { a.handle(datagram) })
+		case query := <-a.queries:
+			a.step(query)
 		}
 	}
 }
 
-// step keeps a panic in the view from ending the process.
-func (s *memberAgent) step(do func()) {
-	defer s.node.recoverPanic("members", func() {})
+// start makes the membership with a run number and a seed of its own.
+func (a *memberAgent) start() (err error) {
+	var random [12]byte
+	if _, err := crand.Read(random[:]); err != nil {
+		return err
+	}
+	config := members.Settings{
+		Name:  a.node.config.Name,
+		Key:   a.config.KeyBytes,
+		Round: a.config.RoundNs,
+		Seed:  binary.LittleEndian.Uint64(random[:]),
+		Run:   binary.LittleEndian.Uint32(random[8:]),
+		Known: a.node.persistence.memberStarts(),
+	}
+	for _, node := range a.config.Nodes {
+		config.Peers = append(config.Peers, node.Name)
+	}
+	if a.node.listGossip != nil {
+		config.Take = a.node.listGossip.receive
+	}
+	if a.core, err = members.New(config, a, a.node.clock.nanos()); err != nil {
+		return err
+	}
+	a.node.listGossip.begin(config.Seed, a.core)
+	return nil
+}
+
+func (a *memberAgent) tick() {
+	a.core.Beat(a.node.clock.nanos())
+	a.node.listGossip.tick()
+}
+
+func (a *memberAgent) handle(datagram []byte) {
+	a.core.Heard(a.node.clock.nanos(), datagram)
+	a.node.persistence.laterStartReported(a.core.Before())
+}
+
+// step keeps a panic in the membership from ending the process.
+func (a *memberAgent) step(do func()) {
+	defer a.node.recoverPanic("members", func() {})
 	do()
 }
 
-// read takes datagrams from the socket, a bounded number in a time: a peer gone wild costs a part of a core, never the service.
-func (s *memberAgent) read() {
+// read reads datagrams, at most maxDatagramsPerInterval in an interval: guards against a peer that sends without end.
+func (a *memberAgent) read() {
 	buffer := make([]byte, members.Most)
-	count, since := 0, time.Now()
+	count, intervalStart := 0, time.Now()
 	for {
-		length, _, err := s.socket.ReadFromUDPAddrPort(buffer)
+		length, _, err := a.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if count++; count >= maxDatagramsPerInterval {
-			if left := readInterval - time.Since(since); left > 0 {
-				time.Sleep(left)
-			}
-			count, since = 0, time.Now()
+		count++
+		if count >= maxDatagramsPerInterval {
+			time.Sleep(readInterval - time.Since(intervalStart))
+			count, intervalStart = 0, time.Now()
 		}
 		if err != nil {
 			continue
 		}
 		select {
-		case s.received <- append([]byte(nil), buffer[:length]...):
-		default: // the view has its hands full; loss is what it is made for
+		case a.received <- append([]byte(nil), buffer[:length]...):
+		default: // dropped: the protocol copes with loss
 		}
 	}
 }
 
-// query has the view looked at between two of its steps.
-func (s *memberAgent) query(what func(m *members.Members, now int64)) error {
-	if s == nil {
+// query runs a function on the membership between two of its steps.
+func (a *memberAgent) query(what func(m *members.Members, now int64)) error {
+	if a == nil {
 		return errNoMembership
 	}
-	done := make(chan struct{})
+	answered := make(chan struct{})
+	query := func() {
+		defer close(answered)
+		what(a.core, a.node.clock.nanos())
+	}
 	select {
-	case s.queries <- func() { defer close(done); what(s.core, s.node.clock.nanos()) }:
-		<-done
+	case a.queries <- query:
+		<-answered
 		return nil
-	case <-s.done:
+	case <-a.done:
 		return errNoMembership
 	case <-time.After(queryTimeout):
-		return errors.New("the view does not answer")
+		return errMembershipTimeout
 	}
 }
 
-// figure is how many nodes there are and which part of them this one hears; not known where there is no view.
-func (s *memberAgent) figure() members.Figure {
-	f := members.Figure{Why: errNoMembership.Error()}
-	if err := s.query(func(m *members.Members, now int64) { f = m.Figure(now) }); err != nil {
-		f.Why = err.Error()
-	}
-	return f
-}
-
-// viewJSON is the whole view for who asks.
-func (s *memberAgent) viewJSON() (string, error) {
-	var v members.View
-	if err := s.query(func(m *members.Members, now int64) { v = m.View(now) }); err != nil {
+// viewJSON is the admin API's view of all nodes, with that of the list exchange.
+func (a *memberAgent) viewJSON() (string, error) {
+	var view members.View
+	if err := a.query(func(m *members.Members, now int64) { view = m.View(now) }); err != nil {
 		return "", err
 	}
 	text, err := json.Marshal(struct {
 		members.View
-		List json.RawMessage `json:"list,omitempty"` // by gossip
-	}{v, s.node.listGossip.viewJSON()})
+		List json.RawMessage `json:"list,omitempty"`
+	}{view, a.node.listGossip.viewJSON()})
 	return string(text), err
 }
 
-// leave tells the others that this node ends, unless another process goes on in its name.
-func (s *memberAgent) leave() {
-	if s == nil || s.node.hotRestart.hasYielded() {
+// leave notifies other nodes that this one ends, unless a successor goes on in its name.
+func (a *memberAgent) leave() {
+	if a == nil || a.node.hotRestart.hasYielded() {
 		return
 	}
-	s.query(func(m *members.Members, now int64) { m.Leave(now) })
+	if err := a.query(func(m *members.Members, now int64) { m.Leave(now) }); err != nil {
+		a.node.log.Warn("other nodes were not notified of the shutdown", zap.Error(err))
+	}
 }
 
-// end closes the socket.
-func (s *memberAgent) end() {
-	if s != nil {
-		s.ended.Do(func() {
-			close(s.done)
-			s.socket.Close()
+// end closes the socket and ends run.
+func (a *memberAgent) end() {
+	if a != nil {
+		a.ended.Do(func() {
+			close(a.done)
+			if err := a.socket.Close(); err != nil {
+				a.node.log.Warn("membership socket did not close cleanly", zap.Error(err))
+			}
 		})
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -659,12 +659,12 @@
 	ask(t, n, "batch", "old", "")
 	learn := func(version int, whole bool, entries ...string) {
 		t.Helper()
-		list, _, whole, err := n.parseList([]byte(listText(version, whole, entries...)))
+		update, err := n.parseList([]byte(listText(version, whole, entries...)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		done := make(chan struct{})
-		n.loop.postEndpoints(list, whole)
+		n.loop.postEndpoints(update.entries, update.complete)
 		n.loop.post(func() { close(done) })
 		<-done
 	}
@@ -695,11 +695,11 @@
 	}, server)
 	ask(t, n, "batch", "before", "")
 	learn := func(text string) {
-		list, _, whole, err := n.parseList([]byte(text))
+		update, err := n.parseList([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.loop.postEndpoints(list, whole)
+		n.loop.postEndpoints(update.entries, update.complete)
 	}
 	learn(listText(2, false, listEntry("s-0", server, "removed")))
 	learn(listText(3, true))
@@ -715,12 +715,12 @@
 // A server is not taken off the list because its line could not be read, only because a readable list lacks it.
 func TestUnreadableEntryTakesNobodyOff(t *testing.T) {
 	n := nodeWith(t, nil)
-	_, _, whole, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
-	if whole || err != nil {
-		t.Errorf("whole %t, error %v", whole, err)
+	update, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
+	if update.complete || err != nil {
+		t.Errorf("complete %t, error %v", update.complete, err)
 	}
 	for _, text := range []string{"", "[]", "{}", `{"seq":"a"}`, `{"seq":1,"hosts":{}}`} {
-		if _, _, _, err := n.parseList([]byte(text)); err == nil {
+		if _, err := n.parseList([]byte(text)); err == nil {
 			t.Errorf("%q was taken for a list", text)
 		}
 	}
@@ -753,7 +753,7 @@
 	soon(t, "answers", func() bool { return answered.Load() >= 20 })
 	stopped := make(chan struct{})
 	go func() {
-		n.stop()
+		n.shutDown()
 		close(stopped)
 	}()
 	soon(t, "the stop", n.stopping.Load)
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -1,20 +1,12 @@
 package node
 
-// This file owns the shell of the memory: the store under it, the writing beside all else, and the start from what it holds. What is
-// trusted is internal/nodestate's. A disk that is full, hangs or lies must cost memory, never service: nobody waits for it but the
-// start, and that for openWithin at most.
-
 import (
-	"encoding/json"
 	"errors"
-	"fawnglade/internal/estimates"
 	"fawnglade/internal/members"
 	"fawnglade/internal/nodestate"
 	"fawnglade/internal/store"
-	"fawnglade/policy"
 	"fmt"
 	"path/filepath"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -22,388 +14,268 @@
 	"go.uber.org/zap"
 )
 
+// The state that a node persists: the endpoint list, the estimates of the decisions and the starts of other nodes.
+// Package nodestate decides what of it is trusted after a start; this file opens the store and writes to it. A disk
+// that is full, hangs or corrupts data costs the state, never service: only the start waits for it, for openTimeout.
+
 const (
 	openTimeout       = 2 * time.Second
 	batchDelay        = 10 * time.Millisecond // changes that come together go into one batch
-	estimatesInterval = 5 * time.Second
-	reopenInterval    = 5 * time.Second
+	estimatesInterval = 5 * time.Second       // between writes of the estimates
+	reopenInterval    = 5 * time.Second       // between attempts to open a store that failed
+	lastWriteTimeout  = time.Second           // at shutdown
 	storeDir          = "memory"
 )
 
-// persistence is nil where the node was given no directory.
+var errOpenTimeout = fmt.Errorf("not open within %v", openTimeout)
+
+// persistence owns the persisted state and its store. It is nil where the node has no state directory; its methods
+// may then be called all the same.
 type persistence struct {
 	node *Node
 	dir  string
 
-	mu      sync.Mutex
-	memory  *nodestate.Memory
-	recovered nodestate.Trusted
-	opened  *store.Store // as it was opened; nil: it was not. Of run alone
-	wake    chan struct{}
-	stop    chan struct{}
-	done    chan struct{}
+	mu     sync.Mutex // guards memory
+	memory *nodestate.Memory
+
+	recovered nodestate.Trusted // what the start goes by
+	opened    openedStore       // of the start, then of the write loop
+	wake      chan struct{}
+	stop      chan struct{}
+	done      chan struct{}
+
+	written, failed atomic.Int64           // batches
+	writeStarted    atomic.Int64           // when the write under way began, Unix nanoseconds; 0: none is
+	lastError       atomic.Pointer[string] // nil once a write has succeeded
+}
 
-	written, failed atomic.Int64 // batches
-	since           atomic.Int64 // when a write that is under way began; 0: none
-	broken          atomic.Pointer[string]
+// openedStore is a store and the state that was found in it.
+type openedStore struct {
+	store  *store.Store // nil: not open
+	memory *nodestate.Memory
 }
 
-// openPersistence reads what a directory holds. What can't be read, or not in time, leaves the node without memory, which is told.
+// openPersistence reads the state directory. If it can't be read, or not in time, the node starts without its state.
 func openPersistence(n *Node) *persistence {
 	if n.config.stateDir == "" {
 		return nil
 	}
-	s := &persistence{node: n, dir: filepath.Join(n.config.stateDir, storeDir), wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
-	type opened struct {
-		store  *store.Store
-		memory *nodestate.Memory
+	p := &persistence{
+		node: n,
+		dir:  filepath.Join(n.config.stateDir, storeDir),
+		wake: make(chan struct{}, 1),
+		stop: make(chan struct{}),
+		done: make(chan struct{}),
+	}
+	opened, err := p.openInTime()
+	if err != nil {
+		p.recordError("no memory of before", err)
+		opened.memory = nodestate.Read(func(func(string, []byte)) {})
+	}
+	now := n.clock.nanos()
+	p.opened, p.memory = opened, opened.memory
+	p.recovered = p.memory.Trust(now)
+	p.memory.Begin(now)
+	n.log.Info("persisted state recovered", zap.Uint64("epoch", p.memory.Epoch()),
+		zap.Int("endpoints", len(p.recovered.Servers)), zap.Int("unreadable values", p.memory.Bad()),
+		zap.Float64("weight of estimates", p.recovered.Part), zap.Strings("not trusted", p.recovered.Notes))
+	return p
+}
+
+// openInTime opens the store within openTimeout. One that opens later is closed, so that the write loop can reopen it.
+func (p *persistence) openInTime() (openedStore, error) {
+	type result struct {
+		opened openedStore
 		err    error
 	}
-	came := make(chan opened, 1)
+	results := make(chan result, 1)
 	go func() {
-		at, m, err := s.open()
-		came <- opened{at, m, err}
+		opened, err := p.open()
+		results <- result{opened, err}
 	}()
-	var o opened
 	select {
-	case o = <-came:
+	case r := <-results:
+		return r.opened, r.err
 	case <-time.After(openTimeout):
-		o.err = fmt.Errorf("not open within %v", openTimeout)
-		go func() { // whenever it comes, it is let go, so that a later try can have it
-			if late := <-came; late.store != nil {
-				late.store.Close()
+		go func() {
+			if late := <-results; late.opened.store != nil {
+				p.closeStore(late.opened.store)
 			}
 		}()
-	}
-	if o.err != nil {
-		s.recordFailure("no memory of before", o.err)
-		o.memory = nodestate.Read(func(func(string, []byte)) {})
-	}
-	now := n.clock.nanos()
-	s.memory = o.memory
-	s.recovered = s.memory.Trust(now)
-	s.memory.Begin(now)
-	n.log.Info("memory", zap.Uint64("epoch", s.memory.Epoch()), zap.Int("servers", len(s.recovered.Servers)), zap.Int("unreadable", s.memory.Bad()),
-		zap.Float64("learned counts", s.recovered.Part), zap.Strings("not trusted", s.recovered.Notes))
-	s.opened = o.store
-	return s
-}
-
-// run begins the writing. It asks the loop and the view of the others, so it comes once all parts are in place.
-func (s *persistence) run() {
-	if s != nil {
-		go s.writeLoop(s.opened)
+		return openedStore{}, errOpenTimeout
 	}
 }
 
-func (s *persistence) open() (*store.Store, *nodestate.Memory, error) {
-	files, err := s.node.config.openFiles(s.dir, true)
+func (p *persistence) open() (openedStore, error) {
+	files, err := p.node.config.openFiles(p.dir, true)
 	if err != nil {
-		return nil, nil, err
+		return openedStore{}, err
 	}
-	at, recovery, err := store.OpenFiles(files, store.Options{})
+	opened, recovery, err := store.OpenFiles(files, store.Options{})
 	if err != nil {
-		return nil, nil, err
+		return openedStore{}, err
 	}
 	if recovery.Dropped > 0 {
-		s.node.log.Warn("memory: a tail that a crash had cut off was dropped", zap.Int64("bytes", recovery.Dropped))
-	}
-	var failed error
-	m := nodestate.Read(func(each func(string, []byte)) {
-		snap := at.Snapshot()
-		defer snap.Release()
-		failed = snap.Each("", func(key string, value []byte) bool { each(key, value); return true })
+		p.node.log.Warn("persisted state: a tail that a crash had cut off was dropped",
+			zap.Int64("bytes", recovery.Dropped))
+	}
+	var readErr error
+	memory := nodestate.Read(func(each func(string, []byte)) {
+		snapshot := opened.Snapshot()
+		defer snapshot.Release()
+		readErr = snapshot.Each("", func(key string, value []byte) bool {
+			each(key, value)
+			return true
+		})
 	})
-	if failed != nil {
-		at.Close()
-		return nil, nil, failed
+	if readErr != nil {
+		p.closeStore(opened)
+		return openedStore{}, readErr
 	}
-	return at, m, nil
+	return openedStore{opened, memory}, nil
 }
 
-func (s *persistence) recordFailure(what string, err error) {
+func (p *persistence) closeStore(s *store.Store) {
+	if err := s.Close(); err != nil {
+		p.node.log.Warn("persisted state: the store did not close cleanly", zap.Error(err))
+	}
+}
+
+// recordError logs an error and keeps it for the admin API.
+func (p *persistence) recordError(what string, err error) {
 	text := what + ": " + err.Error()
-	s.broken.Store(&text)
-	s.node.log.Warn("memory", zap.String("what", what), zap.Error(err))
+	p.lastError.Store(&text)
+	p.node.log.Warn("persisted state: the store fails", zap.String("what", what), zap.Error(err))
 }
 
-// writeLoop puts changes on the disk, one batch at a time. After a failure it opens the store anew once in a while, and writes all.
-func (s *persistence) writeLoop(at *store.Store) {
-	defer close(s.done)
+// run begins to write. The write loop queries the event loop and the members, so it starts once these are in place.
+func (p *persistence) run() {
+	if p != nil {
+		go p.writeLoop()
+	}
+}
+
+// writeLoop writes changes to the store, one batch at a time. After a failure it opens the store anew every
+// reopenInterval and writes everything.
+func (p *persistence) writeLoop() {
+	defer close(p.done)
 	defer func() {
-		if at != nil {
-			at.Close()
+		if p.opened.store != nil {
+			p.closeStore(p.opened.store)
 		}
 	}()
-	learn := time.NewTicker(estimatesInterval)
-	defer learn.Stop()
-	retry := time.NewTicker(reopenInterval)
-	defer retry.Stop()
-	s.wakeWriter()
-	for last := false; !last; {
+	estimates := time.NewTicker(estimatesInterval)
+	defer estimates.Stop()
+	reopen := time.NewTicker(reopenInterval)
+	defer reopen.Stop()
+	p.wakeWriter()
+	for {
 		select {
-		case <-s.stop:
-			last = true
-		case <-s.wake:
+		case <-p.stop:
+			p.writeChanges()
+			return
+		case <-p.wake:
 			time.Sleep(batchDelay)
-		case <-learn.C:
-			s.collectEstimates()
-			continue
-		case <-retry.C:
-			if at != nil {
-				continue
-			}
-			var found *nodestate.Memory
-			var err error
-			if at, found, err = s.open(); err != nil {
-				s.recordFailure("still not open", err)
-				continue
+			p.writeChanges()
+		case <-estimates.C:
+			p.collectEstimates()
+		case <-reopen.C:
+			if p.opened.store == nil && p.reopen() {
+				p.writeChanges()
 			}
-			s.mu.Lock()
-			s.memory.Follow(found)
-			s.mu.Unlock()
 		}
-		if at == nil {
-			continue
-		}
-		s.mu.Lock()
-		changes := s.memory.Changes()
-		s.mu.Unlock()
-		if len(changes) == 0 {
-			continue
-		}
-		var batch store.Batch
-		for _, c := range changes {
-			if c.Value == nil {
-				batch.Delete(c.Key)
-			} else {
-				batch.Put(c.Key, c.Value)
-			}
-		}
-		s.since.Store(s.node.clock.nanos())
-		err := at.Apply(&batch)
-		s.since.Store(0)
-		if err != nil {
-			s.failed.Add(1)
-			s.recordFailure("a write failed", err)
-			s.mu.Lock()
-			s.memory.Again(changes)
-			s.mu.Unlock()
-			if errors.Is(err, store.ErrReadOnly) {
-				at.Close()
-				at = nil
-			}
-			continue
-		}
-		s.written.Add(1)
-		s.broken.Store(nil)
 	}
 }
 
-func (s *persistence) wakeWriter() {
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
-}
-
-// collectEstimates has the loop say what the decisions have learned, when it comes to it, and the view who started when.
-func (s *persistence) collectEstimates() {
-	var starts map[string]uint64
-	if s.node.members.query(func(m *members.Members, _ int64) { starts = m.Starts() }) == nil {
-		s.mu.Lock()
-		s.memory.Members(s.node.clock.nanos(), starts)
-		s.mu.Unlock()
-	}
-	select {
-	case s.node.loop.events <- func() {
-		text := s.node.loop.encodeEstimates()
-		s.mu.Lock()
-		s.memory.Learned(s.node.clock.nanos(), text)
-		s.mu.Unlock()
-		s.wakeWriter()
-	}:
-	default: // it has its hands full
-	}
-}
-
-// known is the list to begin with: what was told when, and is taken for cold. Nothing where there is no memory.
-func (s *persistence) known() []endpointEntry {
-	if s == nil {
-		return nil
-	}
-	return s.node.entriesOf(s.recovered.Servers)
-}
-
-// version is the highest of the list that is remembered; 0: none.
-func (s *persistence) version() int64 {
-	if s == nil {
-		return 0
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.memory.Version()
-}
-
-// before tells whether a list is newer than all that is remembered.
-func (s *persistence) before(version int64) bool {
-	if s == nil {
-		return true
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return version > s.memory.Version()
-}
-
-// beside adds to what is remembered the servers that only an older list knows, unless they were removed since.
-func (s *persistence) beside(remembered, entries []endpointEntry, version int64) []endpointEntry {
-	known := map[string]bool{}
-	for _, e := range remembered {
-		known[e.name] = true
-	}
-	out := slices.Clone(remembered)
-	for _, e := range s.applyMemory(entries, version, nil) {
-		if !known[e.name] && e.State != policy.StateRemoved {
-			out = append(out, e)
-		}
-	}
-	return out
+// reopen opens a store that has failed, and tells whether it is open.
+func (p *persistence) reopen() bool {
+	opened, err := p.open()
+	if err != nil {
+		p.recordError("still not open", err)
+		return false
+	}
+	p.opened = opened
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.memory.Follow(opened.memory)
+	return true
 }
 
-// inherit begins with what the decisions had learned, by its age.
-func (s *persistence) inherit() {
-	if s == nil || s.recovered.Learned == nil {
+// writeChanges writes what has changed since the last batch. Changes of a batch that fails are written again.
+func (p *persistence) writeChanges() {
+	if p.opened.store == nil {
 		return
 	}
-	l := s.node.loop
-	var all estimates.Snapshot
-	if err := json.Unmarshal(s.recovered.Learned, &all); err != nil || !all.Valid(len(s.node.settings.Classes)) {
-		s.node.log.Warn("memory: what was learned makes no sense", zap.Error(err))
+	p.mu.Lock()
+	changes := p.memory.Changes()
+	p.mu.Unlock()
+	if len(changes) == 0 {
 		return
 	}
-	all.Decay(s.recovered.Part)
-	l.handle(nil, func() { l.balancer.Inherit(&all) })
-}
-
-// listed lays what is remembered over lines of the list, and remembers them.
-func (s *persistence) listed(entries []endpointEntry, version int64, whole bool) []endpointEntry {
-	if s == nil {
-		return entries
+	p.writeStarted.Store(p.node.clock.nanos())
+	err := p.opened.store.Apply(batchOf(changes))
+	p.writeStarted.Store(0)
+	if err == nil {
+		p.written.Add(1)
+		p.lastError.Store(nil)
+		return
 	}
-	out := s.applyMemory(entries, version, func(lines []nodestate.Server) { s.memory.Listed(s.node.clock.nanos(), lines, version, whole) })
-	s.wakeWriter()
-	return out
-}
-
-// applyMemory lays what is remembered over lines of a list, and has something done with them as they then are.
-func (s *persistence) applyMemory(entries []endpointEntry, version int64, do func([]nodestate.Server)) []endpointEntry {
-	return s.applyBy(entries, do, func(lines []nodestate.Server) []nodestate.Server { return s.memory.Over(lines, version) })
-}
-
-// applyToGossiped lays what is remembered over what another node has told.
-func (s *persistence) applyToGossiped(entries []endpointEntry, version int64) []endpointEntry {
-	if s == nil {
-		return entries
+	p.failed.Add(1)
+	p.recordError("a write failed", err)
+	p.mu.Lock()
+	p.memory.Again(changes)
+	p.mu.Unlock()
+	if errors.Is(err, store.ErrReadOnly) {
+		p.closeStore(p.opened.store)
+		p.opened.store = nil
 	}
-	return s.applyBy(entries, nil, func(lines []nodestate.Server) []nodestate.Server { return s.memory.OverOthers(lines, version) })
 }
 
-func (s *persistence) applyBy(entries []endpointEntry, do func([]nodestate.Server), by func([]nodestate.Server) []nodestate.Server) []endpointEntry {
-	lines := make([]nodestate.Server, len(entries))
-	for i, e := range entries {
-		lines[i] = nodestate.Server{
-			Name: e.name, Address: e.address, Zone: e.zone(s.node.settings.Zones), Pod: e.Pod, Weight: e.Weight, Started: int64(e.StartedAt),
-			State: [...]nodestate.State{policy.StateActive: nodestate.Up, policy.StateDraining: nodestate.Draining, policy.StateRemoved: nodestate.Removed}[e.State],
-		}
-	}
-	s.mu.Lock()
-	over := by(lines)
-	if do != nil {
-		do(over)
-	}
-	s.mu.Unlock()
-	out := slices.Clone(entries)
-	for i := range out {
-		if over[i].State != lines[i].State {
-			out[i].State = endpointState(over[i].State)
+func batchOf(changes []nodestate.Change) *store.Batch {
+	var batch store.Batch
+	for _, change := range changes {
+		if change.Value == nil {
+			batch.Delete(change.Key)
+		} else {
+			batch.Put(change.Key, change.Value)
 		}
 	}
-	return out
-}
-
-func endpointState(m nodestate.State) policy.EndpointState {
-	return [...]policy.EndpointState{nodestate.Up: policy.StateActive, nodestate.Draining: policy.StateDraining, nodestate.Removed: policy.StateRemoved}[m]
-}
-
-func (n *Node) entriesOf(servers []nodestate.Server) []endpointEntry {
-	out := make([]endpointEntry, len(servers))
-	for i, m := range servers {
-		out[i] = endpointEntry{name: m.Name, address: m.Address, EndpointInfo: policy.EndpointInfo{
-			ID: endpointID(m.Name), Zone: zoneIndex(m.Zone, n.settings.Zones),
-			Pod: m.Pod, Weight: m.Weight, StartedAt: policy.Time(m.Started), State: endpointState(m.State),
-		}}
-	}
-	return out
-}
-
-// starts are when other nodes started, as this one knew before.
-func (s *persistence) starts() map[string]uint64 {
-	if s == nil {
-		return nil
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.memory.Starts()
+	return &batch
 }
 
-// noteLaterStart hears from the others when they last knew this node to start.
-func (s *persistence) noteLaterStart(start uint64) {
-	if s == nil {
-		return
-	}
-	s.mu.Lock()
-	found := s.memory.Older(start)
-	s.mu.Unlock()
-	if found {
-		s.node.log.Warn("memory: an older copy, as others knew a later start of this node; the list goes before it")
+func (p *persistence) wakeWriter() {
+	select {
+	case p.wake <- struct{}{}:
+	default:
 	}
 }
 
-// statusJSON tells how the memory does, for who asks.
-func (s *persistence) statusJSON() string {
-	s.mu.Lock()
-	v := struct {
-		Epoch   uint64   `json:"epoch"`
-		Servers int      `json:"servers"`
-		Older   bool     `json:"older_copy"`
-		Notes   []string `json:"not_trusted,omitempty"`
-		Written int64    `json:"batches_written"`
-		Failed  int64    `json:"batches_failed"`
-		Waiting float64  `json:"write_under_way_s"`
-		Broken  string   `json:"broken,omitempty"`
-	}{s.memory.Epoch(), s.memory.Servers(), s.memory.IsOlder(), s.recovered.Notes, s.written.Load(), s.failed.Load(), 0, ""}
-	s.mu.Unlock()
-	if since := s.since.Load(); since > 0 {
-		v.Waiting = float64(s.node.clock.nanos()-since) / 1e9
-	}
-	if b := s.broken.Load(); b != nil {
-		v.Broken = *b
-	}
-	text, err := json.Marshal(v)
-	if err != nil {
-		return err.Error()
-	}
-	return string(text)
+// collectEstimates asks the members when other nodes started, and the loop for the estimates. A full loop is not
+// waited for: the next interval is soon enough.
+func (p *persistence) collectEstimates() {
+	var starts map[string]uint64
+	if p.node.members.query(func(m *members.Members, _ int64) { starts = m.Starts() }) == nil {
+		p.mu.Lock()
+		p.memory.Members(p.node.clock.nanos(), starts)
+		p.mu.Unlock()
+	}
+	p.node.loop.tryPost(func() {
+		text := p.node.loop.encodeEstimates()
+		p.mu.Lock()
+		p.memory.Learned(p.node.clock.nanos(), text)
+		p.mu.Unlock()
+		p.wakeWriter()
+	})
 }
 
-// end writes what is left, and waits for it no longer than a moment.
-func (s *persistence) end() {
-	if s == nil {
+// close writes what is left, within lastWriteTimeout.
+func (p *persistence) close() {
+	if p == nil {
 		return
 	}
-	close(s.stop)
+	close(p.stop)
 	select {
-	case <-s.done:
-	case <-time.After(time.Second):
+	case <-p.done:
+	case <-time.After(lastWriteTimeout):
 	}
 }
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -64,7 +64,7 @@
 	soon(t, "a first batch", func() bool { return n.persistence.written.Load() > 0 })
 	disk.hangs.Lock()
 	before, written := disk.syncs.Load(), n.persistence.written.Load()
-	n.persistence.listed([]endpointEntry{{name: "s-0", address: server}}, 2, true)
+	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
 	tasks := func(first string) {
 		for _, id := range []string{"1", "2", "3"} {
 			if status, _, _ := ask(t, n, "view", first+id, ""); status != 200 {
@@ -80,7 +80,7 @@
 	disk.hangs.Unlock()
 	soon(t, "written", func() bool { return n.persistence.written.Load() > written })
 	disk.fails.Store(true)
-	n.persistence.listed([]endpointEntry{{name: "s-0", address: server}}, 2, true)
+	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
 	soon(t, "a failure that is told", func() bool { return strings.Contains(n.persistence.statusJSON(), "a write failed") })
 	tasks("failing")
 }
@@ -95,8 +95,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.persistence.listed([]endpointEntry{at}, 2, true)
-	n.persistence.end()
+	n.persistence.recordList([]endpointEntry{at}, 2, true)
+	n.persistence.close()
 	again := nodeWith(t, onDisk(t, whole, dir))
 	asked := 0
 	soon(t, "a task at the server, which is taken for cold", func() bool {
@@ -126,8 +126,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.persistence.listed([]endpointEntry{out}, 5, false)
-	n.persistence.end()
+	n.persistence.recordList([]endpointEntry{out}, 5, false)
+	n.persistence.close()
 	for _, version := range []int{4, 6} {
 		want := version > 5
 		again := life(version)
@@ -140,8 +140,8 @@
 		if (drained.Load() > before) != want {
 			t.Errorf("a known list of version %d after one of 5: %d tasks to the server that drained, %d to the other", version, drained.Load()-before, served.Load())
 		}
-		again.persistence.end()
-		if version == 4 && !again.persistence.before(6) {
+		again.persistence.close()
+		if version == 4 && !again.persistence.isOlderThan(6) {
 			t.Error("6 is not newer than 5")
 		}
 	}
--- /dev/null
+++ b/internal/node/recovery.go
@@ -0,0 +1,225 @@
+package node
+
+import (
+	"encoding/json"
+	"fawnglade/internal/nodestate"
+	"fawnglade/policy"
+	"slices"
+
+	"go.uber.org/zap"
+)
+
+// What the node goes by of its persisted state: the endpoint list and the estimates at its start, and drains that hold
+// against an older list later on. The rules of trust are package nodestate's.
+
+// endpoints is the persisted list, with every endpoint as just started.
+func (p *persistence) endpoints() []endpointEntry {
+	if p == nil {
+		return nil
+	}
+	return p.node.entriesOf(p.recovered.Servers)
+}
+
+// version is the highest version of the persisted list; 0: none.
+func (p *persistence) version() int64 {
+	if p == nil {
+		return 0
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.memory.Version()
+}
+
+// isOlderThan tells whether a list is newer than the persisted one.
+func (p *persistence) isOlderThan(version int64) bool { return p == nil || version > p.version() }
+
+// addOlder adds to the persisted endpoints those that only an older list has, unless they were removed since.
+func (p *persistence) addOlder(persisted, older []endpointEntry, version int64) []endpointEntry {
+	known := map[string]bool{}
+	for _, e := range persisted {
+		known[e.name] = true
+	}
+	all := slices.Clone(persisted)
+	for _, e := range p.applyTo(older, version) {
+		if !known[e.name] && e.State != policy.StateRemoved {
+			all = append(all, e)
+		}
+	}
+	return all
+}
+
+// inheritEstimates begins with the persisted estimates, weighted by their age.
+func (p *persistence) inheritEstimates() {
+	if p == nil || p.recovered.Learned == nil {
+		return
+	}
+	snapshot, err := p.node.decodeEstimates(p.recovered.Learned)
+	if err != nil {
+		p.node.log.Warn("persisted estimates ignored", zap.Error(err))
+		return
+	}
+	snapshot.Decay(p.recovered.Part)
+	loop := p.node.loop
+	loop.handle(nil, func() { loop.balancer.Inherit(snapshot) })
+}
+
+// recordList applies the persisted drains to entries of the list, and persists the result.
+func (p *persistence) recordList(entries []endpointEntry, version int64, complete bool) []endpointEntry {
+	if p == nil {
+		return entries
+	}
+	now := p.node.clock.nanos()
+	updated := p.update(entries, func(endpoints []nodestate.Server) []nodestate.Server {
+		endpoints = p.memory.Over(endpoints, version)
+		p.memory.Listed(now, endpoints, version, complete)
+		return endpoints
+	})
+	p.wakeWriter()
+	return updated
+}
+
+// applyTo applies the persisted drains to entries of a list of discovery.
+func (p *persistence) applyTo(entries []endpointEntry, version int64) []endpointEntry {
+	return p.update(entries, func(endpoints []nodestate.Server) []nodestate.Server {
+		return p.memory.Over(endpoints, version)
+	})
+}
+
+// applyToGossiped applies the persisted drains to a list that came by gossip.
+func (p *persistence) applyToGossiped(entries []endpointEntry, version int64) []endpointEntry {
+	if p == nil {
+		return entries
+	}
+	return p.update(entries, func(endpoints []nodestate.Server) []nodestate.Server {
+		return p.memory.OverOthers(endpoints, version)
+	})
+}
+
+// update returns the entries with the states that a function of the persisted state, called under its lock, gives them.
+func (p *persistence) update(
+	entries []endpointEntry, apply func([]nodestate.Server) []nodestate.Server,
+) []endpointEntry {
+	endpoints := p.node.persistedEndpoints(entries)
+	p.mu.Lock()
+	applied := apply(endpoints)
+	p.mu.Unlock()
+	updated := slices.Clone(entries)
+	for i := range updated {
+		if applied[i].State != endpoints[i].State {
+			updated[i].State = endpointState(applied[i].State)
+		}
+	}
+	return updated
+}
+
+// laterStartReported takes in when other nodes last knew this one to start: a start after all that is persisted shows
+// that the state directory is an older copy.
+func (p *persistence) laterStartReported(startMs uint64) {
+	if p == nil {
+		return
+	}
+	p.mu.Lock()
+	olderCopy := p.memory.Older(startMs)
+	p.mu.Unlock()
+	if olderCopy {
+		p.node.log.Warn("the state directory is an older copy: other nodes knew a later start; the list overrides it")
+	}
+}
+
+// memberStarts are the persisted starts of other nodes, in milliseconds of their clocks, by name.
+func (p *persistence) memberStarts() map[string]uint64 {
+	if p == nil {
+		return nil
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.memory.Starts()
+}
+
+// persistenceStatus is the admin API's answer on persisted state.
+type persistenceStatus struct {
+	Epoch       uint64   `json:"epoch"`
+	Endpoints   int      `json:"servers"`
+	OlderCopy   bool     `json:"older_copy"`
+	NotTrusted  []string `json:"not_trusted,omitempty"`
+	Written     int64    `json:"batches_written"`
+	Failed      int64    `json:"batches_failed"`
+	WriteTimeS  float64  `json:"write_under_way_s"`
+	LastFailure string   `json:"broken,omitempty"`
+}
+
+func (p *persistence) statusJSON() string {
+	p.mu.Lock()
+	status := persistenceStatus{
+		Epoch:      p.memory.Epoch(),
+		Endpoints:  p.memory.Servers(),
+		OlderCopy:  p.memory.IsOlder(),
+		NotTrusted: p.recovered.Notes,
+		Written:    p.written.Load(),
+		Failed:     p.failed.Load(),
+	}
+	p.mu.Unlock()
+	if started := p.writeStarted.Load(); started > 0 {
+		status.WriteTimeS = float64(p.node.clock.nanos()-started) / float64(second)
+	}
+	if failure := p.lastError.Load(); failure != nil {
+		status.LastFailure = *failure
+	}
+	text, err := json.Marshal(status)
+	if err != nil {
+		return err.Error()
+	}
+	return string(text)
+}
+
+var persistedStates = map[policy.EndpointState]nodestate.State{
+	policy.StateActive:   nodestate.Up,
+	policy.StateDraining: nodestate.Draining,
+	policy.StateRemoved:  nodestate.Removed,
+}
+
+func endpointState(persisted nodestate.State) policy.EndpointState {
+	switch persisted {
+	case nodestate.Draining:
+		return policy.StateDraining
+	case nodestate.Removed:
+		return policy.StateRemoved
+	default:
+		return policy.StateActive
+	}
+}
+
+func (n *Node) persistedEndpoints(entries []endpointEntry) []nodestate.Server {
+	endpoints := make([]nodestate.Server, len(entries))
+	for i, e := range entries {
+		endpoints[i] = nodestate.Server{
+			Name:    e.name,
+			Address: e.address,
+			Zone:    e.zone(n.settings.Zones),
+			Pod:     e.Pod,
+			Weight:  e.Weight,
+			Started: int64(e.StartedAt),
+			State:   persistedStates[e.State],
+		}
+	}
+	return endpoints
+}
+
+func (n *Node) entriesOf(endpoints []nodestate.Server) []endpointEntry {
+	entries := make([]endpointEntry, len(endpoints))
+	for i, persisted := range endpoints {
+		entries[i] = endpointEntry{
+			name:    persisted.Name,
+			address: persisted.Address,
+			EndpointInfo: policy.EndpointInfo{
+				ID:        endpointID(persisted.Name),
+				Zone:      zoneIndex(persisted.Zone, n.settings.Zones),
+				Pod:       persisted.Pod,
+				Weight:    persisted.Weight,
+				StartedAt: policy.Time(persisted.Started),
+				State:     endpointState(persisted.State),
+			},
+		}
+	}
+	return entries
+}
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -1,8 +1,5 @@
 package node
 
-// This file owns the shell of the list by relays' word. Who is followed and which teller's list holds is internal/subscription's. It must
-// never have the loop go by a list but by the way that discovery's own takes.
-
 import (
 	"cmp"
 	"fawnglade/internal/endpointlist"
@@ -11,6 +8,9 @@
 	"fawnglade/policy"
 )
 
+// Where the endpoint list comes from: discovery's watch, or relays where the features file names some. Package
+// subscription decides which relay is followed and whose list holds; either way a list enters through applyList.
+
 // relaySubscription is nil where no relays are followed.
 type relaySubscription = subscription.Following[endpointEntry]
 
@@ -18,10 +18,10 @@
 	if n.config.features == nil || n.config.features.Distribution == nil {
 		return nil, nil
 	}
-	set := n.config.features.Distribution
-	n.endpointWatch.pause(true) // until there is no word of a relay
+	config := n.config.features.Distribution
+	n.endpointWatch.pause(true) // until the relays are silent
 	return subscription.New(subscription.Settings[endpointEntry]{
-		Name: n.config.Name, Relays: set.Relays, Scopes: set.Scopes, Silence: set.SilenceNs, Before: n.persistence.version(),
+		Name: n.config.Name, Relays: config.Relays, Scopes: config.Scopes, Silence: config.SilenceNs, Before: n.persistence.version(),
 		Clock: n.clock.nanos, Log: n.log, Caught: n.recoverPanic, Tell: n.applyList, Watch: func(on bool) { n.endpointWatch.pause(!on) },
 		Entry: func(in endpointlist.Entry) (endpointEntry, error) { return entryFrom(in, n.settings.Zones) },
 		Of: func(e endpointEntry) endpointsource.Server[endpointEntry] {
@@ -36,28 +36,28 @@
 	})
 }
 
-// discoveryUpdated takes in a line of discovery's watch.
-func (n *Node) discoveryUpdated(entries []endpointEntry, version int64, whole bool) {
+// discoveryUpdated takes in an event of discovery's watch.
+func (n *Node) discoveryUpdated(entries []endpointEntry, version int64, complete bool) {
 	if n.relays == nil {
-		n.applyList(entries, version, whole)
+		n.applyList(entries, version, complete)
 	} else {
-		n.relays.Discovery(entries, version, whole)
+		n.relays.Discovery(entries, version, complete)
 	}
 }
 
-// applyList has the loop go by a list, or by what has changed in it, whoever told it.
-func (n *Node) applyList(entries []endpointEntry, version int64, whole bool) {
-	entries = n.persistence.listed(entries, version, whole)
+// applyList persists a list, or what has changed in one, and posts it to the loop.
+func (n *Node) applyList(entries []endpointEntry, version int64, complete bool) {
+	entries = n.persistence.recordList(entries, version, complete)
 	if n.listGossip == nil {
-		n.loop.postEndpoints(entries, whole)
+		n.loop.postEndpoints(entries, complete)
 	} else {
-		n.listGossip.listed(entries, version, whole)
+		n.listGossip.watchUpdated(listUpdate{entries, version, complete})
 	}
 	n.hasList.Store(true)
-	n.endpointWatch.once.Do(func() { close(n.endpointWatch.firstHeard) })
+	n.endpointWatch.markFirstEvent()
 }
 
-// listConfirmedAt is when the list that holds was last known to be told; 0: it is not.
+// listConfirmedAt is when the list was last known to be current, Unix nanoseconds; 0: it is not known to be.
 func (n *Node) listConfirmedAt() int64 {
 	return cmp.Or(n.relays.Word(), n.endpointWatch.lastHeard.Load())
 }
--- /dev/null
+++ b/internal/node/shutdown.go
@@ -0,0 +1,87 @@
+package node
+
+import (
+	"slices"
+	"time"
+)
+
+// Graceful shutdown after SIGTERM or SIGINT, in order:
+//
+//  1. The node reports itself as not ready, notifies the other members, and tells clients with each answer that their
+//     connection ends. It still accepts connections and requests for acceptAfterTerm, as load balancers need that long.
+//  2. The listener is closed once its backlog is drained, idle client connections are closed, and requests in flight
+//     run on, with retries, until they have their answers.
+//  3. answerMargin before the platform may kill the process, each request without an answer gets one: rejected if no
+//     attempt may have run or if the class is idempotent, failed otherwise (eventLoop.giveUpAll).
+//  4. exitMargin before that moment, streams that still flow are cut off, state is written, and the process ends.
+//
+// The platform kills the process no sooner than killDelay after the longest deadline, which counts as maxDrain at most.
+const (
+	acceptAfterTerm         = 450 * time.Millisecond
+	acceptAfterTermReplaced = 700 * time.Millisecond // a successor takes new connections; idle ones here stay so long
+	maxDrain                = 3 * time.Second
+	killDelay               = 700 * time.Millisecond
+	answerMargin            = 150 * time.Millisecond
+	exitMargin              = 40 * time.Millisecond
+	clientPollInterval      = 10 * time.Millisecond
+)
+
+// beginShutdown starts the graceful shutdown; the channel is closed when clients have their answers.
+func (n *Node) beginShutdown() chan struct{} {
+	n.members.leave()
+	ended := make(chan struct{})
+	go func() {
+		n.shutDown()
+		close(ended)
+	}()
+	return ended
+}
+
+// killTimeout is how long after SIGTERM the platform may kill the process.
+func (n *Node) killTimeout() time.Duration {
+	longestDeadline := time.Duration(slices.Max(n.settings.Deadlines))
+	return min(longestDeadline, maxDrain) + killDelay
+}
+
+// shutDown goes on accepting for a while, closes idle connections, waits for the requests in flight and answers what is
+// left shortly before the platform may kill the process.
+func (n *Node) shutDown() {
+	n.log.Info("shutting down")
+	killAt := time.Now().Add(n.killTimeout())
+	n.stopping.Store(true)
+	if n.hotRestart.hasYielded() {
+		time.Sleep(min(acceptAfterTermReplaced, time.Until(killAt)-2*answerMargin))
+	} else {
+		time.Sleep(acceptAfterTerm)
+	}
+	answerBy := killAt.Add(-answerMargin)
+	n.frontend.drainAndClose(answerBy)
+	n.hotRestart.close()
+	if n.awaitClients(answerBy) {
+		return
+	}
+	n.log.Warn("shutdown timeout: rejecting or failing all requests without an answer")
+	n.loop.post(n.loop.giveUpAll)
+	n.awaitClients(killAt.Add(-exitMargin))
+	n.frontend.abortStreams()
+}
+
+// awaitClients waits until no client connection is left, or until a time; it tells whether none is left.
+func (n *Node) awaitClients(until time.Time) bool {
+	for ; time.Now().Before(until); time.Sleep(clientPollInterval) {
+		if n.frontend.evictAllIdle() == 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// close ends all parts. The other process of a hot restart is notified last, when state is written.
+func (n *Node) close() {
+	n.members.end()
+	n.persistence.close()
+	n.gossiper.close()
+	n.admin.close()
+	n.hotRestart.closeSuccessor()
+	n.counters.log(n.log, "at exit")
+}
