--- a/internal/node/admincommands.go
+++ b/internal/node/admincommands.go
@@ -69,7 +69,7 @@
 	case pathState:
 		return ok(s.node.persistence.statusJSON())
 	case pathRelays:
-		return ok(s.node.relays.Text())
+		return ok(s.node.relays.StatusJSON())
 	default:
 		return s.handleOverride(r)
 	}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -53,7 +53,7 @@
 	seed           uint64
 	parsedSettings settings.Settings
 	stateDir       string // where state is persisted; empty: it is not
-	openFiles      func(path string, write bool) (store.Files, error)
+	openFiles      func(path string, write bool) (store.Directory, error)
 	features       *features.Features // nil: nothing beyond the platform's protocol
 }
 
@@ -62,7 +62,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	c.stateDir, c.filesDir, c.openFiles = dir, dir, store.Dir
+	c.stateDir, c.filesDir, c.openFiles = dir, dir, store.SystemDirectory
 	return nil
 }
 
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -111,13 +111,13 @@
 	if err != nil {
 		return openedStore{}, err
 	}
-	opened, recovery, err := store.OpenFiles(files, store.Options{})
+	opened, recovery, err := store.OpenDirectory(files, store.Options{})
 	if err != nil {
 		return openedStore{}, err
 	}
-	if recovery.Dropped > 0 {
+	if recovery.TruncatedBytes > 0 {
 		p.node.log.Warn("persisted state: a tail that a crash had cut off was dropped",
-			zap.Int64("bytes", recovery.Dropped))
+			zap.Int64("bytes", recovery.TruncatedBytes))
 	}
 	var readErr error
 	memory := nodestate.Read(func(each func(string, []byte)) {
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -12,7 +12,7 @@
 // subscription decides which relay is followed and whose list holds; either way a list enters through applyList.
 
 // relaySubscription is nil where no relays are followed.
-type relaySubscription = subscription.Following[endpointEntry]
+type relaySubscription = subscription.Subscription[endpointEntry]
 
 func newRelaySubscription(n *Node) (*relaySubscription, error) {
 	if n.config.features == nil || n.config.features.Distribution == nil {
@@ -20,28 +20,45 @@
 	}
 	config := n.config.features.Distribution
 	n.endpointWatch.pause(true) // until the relays are silent
-	return subscription.New(subscription.Settings[endpointEntry]{
-		Name: n.config.Name, Relays: config.Relays, Scopes: config.Scopes, Silence: config.SilenceNs, Before: n.persistence.version(),
-		Clock: n.clock.nanos, Log: n.log, Caught: n.recoverPanic, Tell: n.applyList, Watch: func(on bool) { n.endpointWatch.pause(!on) },
-		Entry: func(in endpointlist.Entry) (endpointEntry, error) { return entryFrom(in, n.settings.Zones) },
-		Of: func(e endpointEntry) endpointsource.Server[endpointEntry] {
-			return endpointsource.Server[endpointEntry]{Name: e.name, State: endpointsource.State(e.State), Started: int64(e.StartedAt), Value: e}
-		},
-		As: func(e endpointEntry, s endpointsource.State) endpointEntry {
-			e.State = policy.EndpointState(s)
-			return e
-		},
-		Stands: func() bool { return n.endpointWatch.lastHeard.Load() != 0 },
-		Passed: func(records int) { n.counters[listEntriesSkipped].Add(int64(records)) },
+	return subscription.New(subscription.Config[endpointEntry]{
+		Name:               n.config.Name,
+		Relays:             config.Relays,
+		Scopes:             config.Scopes,
+		StaleAfterNs:       config.SilenceNs,
+		RestoredVersion:    n.persistence.version(),
+		Clock:              n.clock.nanos,
+		Log:                n.log,
+		Recover:            n.recoverPanic,
+		Apply:              n.applyList,
+		WatchDiscovery:     func(on bool) { n.endpointWatch.pause(!on) },
+		Decode:             func(in endpointlist.Entry) (endpointEntry, error) { return entryFrom(in, n.settings.Zones) },
+		ToEndpoint:         sourceEndpoint,
+		WithState:          withSourceState,
+		DiscoveryConnected: func() bool { return n.endpointWatch.lastHeard.Load() != 0 },
+		CountSkipped:       func(records int) { n.counters[listEntriesSkipped].Add(int64(records)) },
 	})
 }
 
+func sourceEndpoint(e endpointEntry) endpointsource.Endpoint[endpointEntry] {
+	return endpointsource.Endpoint[endpointEntry]{
+		Name:        e.name,
+		State:       endpointsource.EndpointState(e.State),
+		StartedAtNs: int64(e.StartedAt),
+		Value:       e,
+	}
+}
+
+func withSourceState(e endpointEntry, state endpointsource.EndpointState) endpointEntry {
+	e.State = policy.EndpointState(state)
+	return e
+}
+
 // discoveryUpdated takes in an event of discovery's watch.
 func (n *Node) discoveryUpdated(entries []endpointEntry, version int64, complete bool) {
 	if n.relays == nil {
 		n.applyList(entries, version, complete)
 	} else {
-		n.relays.Discovery(entries, version, complete)
+		n.relays.UpdateDiscovery(entries, version, complete)
 	}
 }
 
@@ -59,5 +76,5 @@
 
 // listConfirmedAt is when the list was last known to be current, Unix nanoseconds; 0: it is not known to be.
 func (n *Node) listConfirmedAt() int64 {
-	return cmp.Or(n.relays.Word(), n.endpointWatch.lastHeard.Load())
+	return cmp.Or(n.relays.RelaysHeardAt(), n.endpointWatch.lastHeard.Load())
 }
