--- a/cmd/fawnglade/fleet.go
+++ b/cmd/fawnglade/fleet.go
@@ -103,32 +103,32 @@
 }
 
 func printView(w io.Writer, v *members.View) {
-	f := &v.Figure
-	fmt.Fprintf(w, "%s, incarnation %d, %d rounds, strain %d\n", v.Name, v.Incarnation, v.Rounds, v.Strain)
+	f := &v.Summary
+	fmt.Fprintf(w, "%s, incarnation %d, %d rounds, strain %d\n", v.Name, v.Incarnation, v.Rounds, v.HealthScore)
 	if f.Known {
 		fmt.Fprintf(w, "%d of %d nodes up, %d doubted, %d silent, %d left, %d never seen; %.0f%% of the last probes answered, %s ago\n",
-			f.Up, f.Nodes, f.Doubted, f.Silent, f.Left, f.Never, 100*f.Heard, age(f.Age))
+			f.Alive, f.Nodes, f.Suspect, f.Dead, f.Left, f.Unknown, 100*f.ProbeSuccess, age(f.AgeNs))
 	} else {
-		fmt.Fprintf(w, "how many of %d nodes there are is unknown: %s\n", f.Nodes, f.Why)
+		fmt.Fprintf(w, "how many of %d nodes there are is unknown: %s\n", f.Nodes, f.Reason)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NODE\tSTATE\tFOR\tHEARD\tSTARTED\tINCARNATION\tREMARK")
 	for _, r := range v.Members {
 		started, remark := "", ""
-		if r.Start > 0 {
-			started = time.UnixMilli(int64(r.Start)).UTC().Format("2006-01-02 15:04:05")
+		if r.StartMs > 0 {
+			started = time.UnixMilli(int64(r.StartMs)).UTC().Format("2006-01-02 15:04:05")
 		}
 		switch {
-		case r.Name == v.Name && v.Twice:
+		case r.Name == v.Name && v.NameConflict:
 			remark = "another process has this name"
 		case r.Name == v.Name:
 			remark = "itself"
-		case r.Twice:
+		case r.NameConflict:
 			remark = "messages from another life or process of this name"
-		case r.Own:
+		case r.OwnViewOnly:
 			remark = "by this node's sight alone"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", r.Name, r.State, age(r.Since), age(r.Heard), started, r.Incarnation, remark)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", r.Name, r.State, age(r.StateAgeNs), age(r.LastHeardNs), started, r.Incarnation, remark)
 	}
 	t.Flush()
 }
--- a/internal/endpointgossip/endpointgossip.go
+++ b/internal/endpointgossip/endpointgossip.go
@@ -74,9 +74,9 @@
 
 // Way carries loads to other nodes, which are named by their places; it may lose them.
 type Way interface {
-	Carry(to int, load []byte)
+	SendPayload(to int, load []byte)
 	// Others are the nodes that may hear: all but those that are known not to.
-	Others() []int
+	Reachable() []int
 }
 
 // Counts of what has happened since the start. They only grow.
@@ -252,7 +252,7 @@
 	if h.beat < h.next {
 		return nil
 	}
-	others := h.way.Others()
+	others := h.way.Reachable()
 	for range min(few, len(others)) {
 		i := h.draw.IntN(len(others))
 		h.ask(others[i], nil)
@@ -276,7 +276,7 @@
 		q.Version, q.Digest = h.other.head.Version, h.other.head.Digest
 	}
 	h.counts.Asked++
-	h.way.Carry(to, encode(&q))
+	h.way.SendPayload(to, encode(&q))
 }
 
 // askFor asks for pages that are missing, who told of them last.
@@ -347,7 +347,7 @@
 			a.Lines = l.pages[p]
 		}
 		h.counts.Answered++
-		h.way.Carry(to, encode(&a))
+		h.way.SendPayload(to, encode(&a))
 	}
 }
 
--- a/internal/endpointgossip/endpointgossip_test.go
+++ b/internal/endpointgossip/endpointgossip_test.go
@@ -37,7 +37,7 @@
 	load         []byte
 }
 
-func (n *node) Carry(to int, load []byte) {
+func (n *node) SendPayload(to int, load []byte) {
 	s := n.net
 	if len(load) >= MostLoad {
 		s.t.Fatalf("a load of %d bytes", len(load))
@@ -48,7 +48,7 @@
 	}
 }
 
-func (n *node) Others() (out []int) {
+func (n *node) Reachable() (out []int) {
 	for i := range n.net.nodes {
 		if i != n.index {
 			out = append(out, i)
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -109,7 +109,7 @@
 // startedAfter tells whether everybody believes a node up that started after a moment of its own clock.
 func startedAfter(views []*members.View, node int, start uint64) bool {
 	for _, v := range views {
-		if v == nil || v.Members[node].Start <= start || v.Members[node].State != "up" {
+		if v == nil || v.Members[node].StartMs <= start || v.Members[node].State != "up" {
 			return false
 		}
 	}
@@ -141,7 +141,7 @@
 			until(f, notice, "the others know", Agree(rest, without(0))),
 			until(f, notice, "it knows that it hears nobody, and says that nothing is known", func(views []*members.View) bool {
 				v := views[0]
-				return v != nil && !v.Figure.Known && v.Figure.Why == "this node hears nobody" && v.Figure.Silent == 11
+				return v != nil && !v.Summary.Known && v.Summary.Reason == "this node hears nobody" && v.Summary.Dead == 11
 			}),
 			do(f.Mend),
 			until(f, rejoin, "one view again", Agree(Numbers(0, 12), Each("up"))),
@@ -189,7 +189,7 @@
 				f.Thaw(0)
 				for _, i := range rest {
 					if v := f.Views()[i]; v != nil {
-						doubts += v.Counts.Refuted
+						doubts += v.Counters.Refutations
 					}
 				}
 			}),
@@ -199,7 +199,7 @@
 				after := int64(0)
 				for _, i := range rest {
 					if v := f.Views()[i]; v != nil {
-						after += v.Counts.Refuted
+						after += v.Counters.Refutations
 					}
 				}
 				if after > doubts {
@@ -211,7 +211,7 @@
 	{"a restart that is faster than anybody notices", 6, func(f Fleet) error {
 		var start uint64
 		return first(startAll(f),
-			do(func() { start = f.Views()[3].Start; f.Kill(3); f.Step() }),
+			do(func() { start = f.Views()[3].StartMs; f.Kill(3); f.Step() }),
 			func() error { return f.Start(3) },
 			until(f, meet, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 3, start) }),
 			until(f, meet, "the new one knows all", Agree([]int{3}, Each("up"))))
@@ -234,7 +234,7 @@
 		var start uint64
 		return first(startAll(f),
 			until(f, meet, "a message to be copied", func([]*members.View) bool { old = f.Copied(2, 1); return old != nil }),
-			do(func() { start = f.Views()[2].Start; f.Kill(2); f.Step() }),
+			do(func() { start = f.Views()[2].StartMs; f.Kill(2); f.Step() }),
 			func() error { return f.Start(2) },
 			until(f, meet, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 2, start) }),
 			do(func() { f.Throw(1, old) }),
@@ -245,7 +245,7 @@
 				return ""
 			})),
 			func() error {
-				if v := f.Views()[1]; v == nil || v.Counts.Old == 0 {
+				if v := f.Views()[1]; v == nil || v.Counters.Stale == 0 {
 					return fmt.Errorf("the old message was not told from a new one")
 				}
 				return nil
@@ -263,7 +263,7 @@
 			}),
 			until(f, 2*notice, "it holds all others for silent, and the figure for unknown", func(views []*members.View) bool {
 				v := views[0]
-				return v != nil && v.Figure.Silent == 11 && !v.Figure.Known
+				return v != nil && v.Summary.Dead == 11 && !v.Summary.Known
 			}),
 			func() error {
 				for i := 1; i < 12; i++ {
@@ -289,7 +289,7 @@
 				bad := int64(0)
 				for _, v := range f.Views() {
 					if v != nil {
-						bad += v.Counts.Bad + v.Counts.Versions
+						bad += v.Counters.Invalid + v.Counters.UnknownVersions
 					}
 				}
 				if bad == 0 {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -99,8 +99,8 @@
 		for _, r := range v.Members {
 			b.WriteString(letters[r.State])
 		}
-		f := v.Figure
-		fmt.Fprintf(&b, "  round %d, strain %d, known %v %s, heard %.2f\n", v.Rounds, v.Strain, f.Known, f.Why, f.Heard)
+		f := v.Summary
+		fmt.Fprintf(&b, "  round %d, strain %d, known %v %s, heard %.2f\n", v.Rounds, v.HealthScore, f.Known, f.Reason, f.ProbeSuccess)
 	}
 	return b.String()
 }
--- a/internal/lab/fleet/hearsay_test.go
+++ b/internal/lab/fleet/hearsay_test.go
@@ -254,7 +254,7 @@
 	ready()
 	cold := done(400)
 	if _, err := Until(p, meet, "it says that it hears nobody", func(views []*members.View) bool {
-		return views[0] != nil && !views[0].Figure.Known
+		return views[0] != nil && !views[0].Summary.Known
 	}); err != nil {
 		t.Error(err)
 	}
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -30,18 +30,18 @@
 	Fleet
 	Now() int64
 	// Counts of every node that runs, and what it believes of one.
-	Counts() []*members.Counts
+	Counts() []*members.Counters
 	Holds(of int, state members.State) (all bool)
 }
 
 // Now is the time since the fleet was made, nanoseconds.
 func (p *Processes) Now() int64 { return int64(time.Since(p.began)) }
 
-func (p *Processes) Counts() []*members.Counts {
-	out := make([]*members.Counts, len(p.nodes))
+func (p *Processes) Counts() []*members.Counters {
+	out := make([]*members.Counters, len(p.nodes))
 	for i, v := range p.Views() {
 		if v != nil {
-			out[i] = &v.Counts
+			out[i] = &v.Counters
 		}
 	}
 	return out
@@ -56,11 +56,11 @@
 	return true
 }
 
-func (v *Virtual) Counts() []*members.Counts {
-	out := make([]*members.Counts, len(v.nodes))
+func (v *Virtual) Counts() []*members.Counters {
+	out := make([]*members.Counters, len(v.nodes))
 	for i, s := range v.nodes {
 		if s.view != nil {
-			c := s.view.Counts()
+			c := s.view.Counters()
 			out[i] = &c
 		}
 	}
@@ -94,7 +94,7 @@
 		return steps, nil
 	}
 	for i := range f.Len() {
-		if _, err := all(i, members.Up, "up"); err != nil {
+		if _, err := all(i, members.Alive, "up"); err != nil {
 			return nil, err
 		}
 	}
@@ -112,8 +112,8 @@
 		if c == nil || before[i] == nil {
 			continue
 		}
-		out.Doubts += float64(c.Doubts-before[i].Doubts) / long * 3600
-		out.Silences += float64(c.Silences-before[i].Silences) / long * 3600
+		out.Doubts += float64(c.Suspicions-before[i].Suspicions) / long * 3600
+		out.Silences += float64(c.Deaths-before[i].Deaths) / long * 3600
 		sent := float64(c.Sent-before[i].Sent) / long
 		out.Sent += sent / float64(f.Len())
 		out.Bytes += float64(c.SentBytes-before[i].SentBytes) / long / float64(f.Len())
@@ -123,7 +123,7 @@
 		victim := (1 + 7*n) % f.Len()
 		f.Kill(victim)
 		killed := f.Now()
-		steps, err := all(victim, members.Silent, "silent")
+		steps, err := all(victim, members.Dead, "silent")
 		if err != nil {
 			return nil, err
 		}
@@ -132,7 +132,7 @@
 		if err := f.Start(victim); err != nil {
 			return nil, err
 		}
-		if _, err := all(victim, members.Up, "up again"); err != nil {
+		if _, err := all(victim, members.Alive, "up again"); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -98,7 +98,7 @@
 	}
 	_, err := Until(p, 3*meet, "somebody says that a name is there twice", func(views []*members.View) bool {
 		for _, v := range views {
-			if v != nil && (v.Twice || v.Members[2].Twice) {
+			if v != nil && (v.NameConflict || v.Members[2].NameConflict) {
 				return true
 			}
 		}
@@ -121,7 +121,7 @@
 	}
 	begin := map[int64]int64{}
 	for i, v := range p.Views() {
-		begin[int64(i)] = v.Counts.Bad + v.Counts.Versions
+		begin[int64(i)] = v.Counters.Invalid + v.Counters.UnknownVersions
 	}
 	to, err := net.Dial("udp", p.mesh.Address(0, 0))
 	if err != nil {
@@ -161,7 +161,7 @@
 	close(over)
 	if sent := <-done; err != nil {
 		t.Error(err)
-	} else if v := p.Views()[0]; v == nil || v.Counts.Bad+v.Counts.Versions == begin[0] {
+	} else if v := p.Views()[0]; v == nil || v.Counters.Invalid+v.Counters.UnknownVersions == begin[0] {
 		t.Errorf("of %d datagrams of nonsense none was counted", sent)
 	}
 }
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -110,7 +110,7 @@
 	}
 	s.lives++
 	var err error
-	s.view, err = members.New(members.Settings{Name: v.names[node], Peers: v.names, Round: v.Round, Seed: v.draw.Uint64(), Run: uint32(v.draw.Uint32())}, s, s.clock())
+	s.view, err = members.New(members.Config{Name: v.names[node], Nodes: v.names, RoundNs: v.Round, Seed: v.draw.Uint64(), RunID: uint32(v.draw.Uint32())}, s, s.clock())
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 			return
 		}
 		if s.missed = s.frozen; !s.frozen {
-			s.view.Beat(s.clock())
+			s.view.Tick(s.clock())
 		}
 		v.at(v.now+v.Round/10, beat)
 	}
@@ -171,7 +171,7 @@
 		view := s.view
 		s.enter(func() {
 			if s.view == view {
-				s.view.Heard(s.clock(), datagram)
+				s.view.Receive(s.clock(), datagram)
 			}
 		})
 	}
@@ -198,7 +198,7 @@
 	waits, missed := s.waits, s.missed
 	s.frozen, s.missed, s.waits = false, false, nil
 	if missed && s.view != nil { // of the beats that a ticker missed it makes up for one
-		s.view.Beat(s.clock())
+		s.view.Tick(s.clock())
 	}
 	for _, do := range waits {
 		if s.view != nil {
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -84,8 +84,8 @@
 	f.Break(cut([]int{0}, []int{1}, true))
 	f.Run(60 * f.Round)
 	for i, c := range f.Counts() {
-		if c.Doubts != 0 {
-			t.Errorf("n%d raised %d doubts", i, c.Doubts)
+		if c.Suspicions != 0 {
+			t.Errorf("n%d raised %d doubts", i, c.Suspicions)
 		}
 	}
 }
--- a/internal/lab/scale/hearsay.go
+++ b/internal/lab/scale/hearsay.go
@@ -28,11 +28,11 @@
 	self int
 }
 
-func (w way) Carry(to int, load []byte) {
+func (w way) SendPayload(to int, load []byte) {
 	w.mail.boxes[to] = append(w.mail.boxes[to], letter{w.self, load})
 }
 
-func (w way) Others() (out []int) {
+func (w way) Reachable() (out []int) {
 	for i := range w.mail.boxes {
 		if i != w.self {
 			out = append(out, i)
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -39,7 +39,7 @@
 func allUp(v *fleet.Virtual) bool {
 	for i := range v.Len() {
 		for _, s := range v.Members(i).States() {
-			if s != members.Up {
+			if s != members.Alive {
 				return false
 			}
 		}
@@ -127,7 +127,7 @@
 	for _, sign := range []float64{-1, 1} {
 		for i := range v.Len() {
 			if m := v.Members(i); m != nil {
-				c := m.Counts()
+				c := m.Counters()
 				sent, bytes = sent+sign*float64(c.Sent), bytes+sign*float64(c.SentBytes)
 			}
 		}
@@ -149,13 +149,13 @@
 	}
 	for parts := []int{50, 90, 99, 100}; len(parts) > 0; {
 		if v.Now()-killed > deathWithin {
-			return fmt.Sprintf("%s%d: %d of %.0f held it silent after %d s", name, parts[0], holding(v, victim, members.Silent), others, deathWithin/second), nil
+			return fmt.Sprintf("%s%d: %d of %.0f held it silent after %d s", name, parts[0], holding(v, victim, members.Dead), others, deathWithin/second), nil
 		}
 		if err := ctx.Err(); err != nil {
 			return "", err
 		}
 		v.Run(countEvery)
-		for have := float64(holding(v, victim, members.Silent)); len(parts) > 0 && have >= float64(parts[0])/100*others; parts = parts[1:] {
+		for have := float64(holding(v, victim, members.Dead)); len(parts) > 0 && have >= float64(parts[0])/100*others; parts = parts[1:] {
 			values[fmt.Sprint(name, parts[0])] = float64(v.Now()-killed) / 1e9
 			e.say("  %s: %d in 100 know after %.1f s", name, parts[0], values[fmt.Sprint(name, parts[0])])
 		}
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -120,9 +120,9 @@
 		names = append(names, fmt.Sprintf("n%d", i))
 	}
 	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.life.Incarnation)
-	view, err := members.New(members.Settings{
-		Name: names[n.index], Peers: names, Round: int64(d.scenario.Nodes.Round), Seed: seed,
-		Run: uint32(seed*2654435761>>8) | 1, Take: func(from int, load []byte) { n.hearing.take(n, from, load) },
+	view, err := members.New(members.Config{
+		Name: names[n.index], Nodes: names, RoundNs: int64(d.scenario.Nodes.Round), Seed: seed,
+		RunID: uint32(seed*2654435761>>8) | 1, ReceivePayload: func(from int, load []byte) { n.hearing.take(n, from, load) },
 	}, (*datagrams)(n), n.clock())
 	if err != nil {
 		d.problem = fmt.Errorf("node %d: %w", n.index, err)
@@ -140,7 +140,7 @@
 			d.at(n.frozen, again)
 			return
 		}
-		view.Beat(n.clock())
+		view.Tick(n.clock())
 		n.hearing.beat(n)
 		d.in(beat, again)
 	}
@@ -189,7 +189,7 @@
 		})
 		return
 	}
-	view.Heard(n.clock(), datagram)
+	view.Receive(n.clock(), datagram)
 }
 
 // believe keeps what nodes believe, and which of them run.
@@ -204,7 +204,7 @@
 		if i%step != 0 {
 			continue
 		}
-		b := trace.Belief{At: d.now, Node: i, Known: n.view.Figure(n.clock()).Known, Strain: n.view.Strain()}
+		b := trace.Belief{At: d.now, Node: i, Known: n.view.Summary(n.clock()).Known, Strain: n.view.HealthScore()}
 		letters := make([]byte, len(d.nodes))
 		for k, s := range n.view.States() {
 			letters[k] = trace.Letters[s]
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -177,11 +177,11 @@
 
 // BeliefOf puts a view into a line.
 func BeliefOf(at int64, node int, v *members.View) Belief {
-	b := Belief{At: at, Node: node, Known: v.Figure.Known, Strain: v.Strain}
+	b := Belief{At: at, Node: node, Known: v.Summary.Known, Strain: v.HealthScore}
 	letters := make([]byte, len(v.Members))
 	for i, r := range v.Members {
 		letters[i] = '.'
-		for s := members.Never; s <= members.Left; s++ {
+		for s := members.Unknown; s <= members.Left; s++ {
 			if s.String() == r.State {
 				letters[i] = Letters[s]
 			}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -31,10 +31,10 @@
 
 // The states, in the order in which one overrides another at the same incarnation.
 const (
-	Never State = iota // no word of it yet
-	Up
-	Doubted // did not answer, nor others that were asked to try; it may say otherwise
-	Silent
+	Unknown State = iota // no word of it yet
+	Alive
+	Suspect // did not answer, nor others that were asked to try; it may say otherwise
+	Dead
 	Left // said so itself
 )
 
@@ -48,147 +48,147 @@
 }
 
 const (
-	beatsARound  = 10
-	answersABeat = 6
-	mostPeers    = 4096
-	mostAsks     = 64 // of others, at work
-	mostProbes   = 2  // at a time
-	mostStrain   = 8
-	callsARound  = 3 // of nodes that are not up, while some were never seen; else one
-	confirmers   = 3 // independent doubts that shorten the wait to its least
-	lately       = 8 // probes that tell whether this node hears anybody
-	mostCounted  = 32
-	twiceAfter   = 3
-	yieldFor     = 20 * beatsARound
-	mostNumber   = 1 << 53 // an incarnation beyond is nonsense, and could not be outbid for ever
+	ticksPerRound      = 10
+	maxAnswersPerTick  = 6
+	maxNodes           = 4096
+	maxIndirectProbes  = 64 // of others, at work
+	maxProbes          = 2  // at a time
+	maxHealthScore     = 8
+	reconnectsPerRound = 3 // of nodes that are not up, while some were never seen; else one
+	maxConfirmations   = 3 // independent doubts that shorten the wait to its least
+	recentProbes       = 8 // probes that tell whether this node hears anybody
+	maxProbeResults    = 32
+	conflictThreshold  = 3
+	yieldTicks         = 20 * ticksPerRound
+	maxIncarnation     = 1 << 53 // an incarnation beyond is nonsense, and could not be outbid for ever
 )
 
 // Settings of one node's view.
-type Settings struct {
-	Name  string
-	Peers []string                    // names of all nodes, its own among them
-	Key   []byte                      // of the keyed hash on each datagram; empty: a checksum alone
-	Round int64                       // nanoseconds; Beat is to be called ten times in each
-	Seed  uint64                      // of all that is drawn
-	Run   uint32                      // tells this process from others of its name
-	Known map[string]uint64           // when others started, in milliseconds of their clocks, as this node knew in an earlier life; may be nil
-	Take  func(from int, load []byte) // what another node carried here; nil: nobody wants it
+type Config struct {
+	Name           string
+	Nodes          []string                    // names of all nodes, its own among them
+	Key            []byte                      // of the keyed hash on each datagram; empty: a checksum alone
+	RoundNs        int64                       // nanoseconds; Beat is to be called ten times in each
+	Seed           uint64                      // of all that is drawn
+	RunID          uint32                      // tells this process from others of its name
+	KnownStartsMs  map[string]uint64           // when others started, in milliseconds of their clocks, as this node knew in an earlier life; may be nil
+	ReceivePayload func(from int, load []byte) // what another node carried here; nil: nobody wants it
 }
 
 // Way sends datagrams; it may lose them. A node is named by its place in Settings.Peers.
-type Way interface {
+type Transport interface {
 	Send(to int, datagram []byte)
 }
 
 // Counts of what has happened since the start. They only grow.
-type Counts struct {
-	Sent        int64 `json:"sent"`
-	SentBytes   int64 `json:"sent_bytes"`
-	Heard       int64 `json:"heard"`
-	HeardBytes  int64 `json:"heard_bytes"`
-	Bad         int64 `json:"bad"`          // not to be read: too long, spoilt, of another key
-	Versions    int64 `json:"versions"`     // of a form that this build does not know
-	Strangers   int64 `json:"strangers"`    // from or about a node that is not on the list
-	Misled      int64 `json:"misled"`       // meant for another node
-	Old         int64 `json:"old"`          // from an earlier life of its sender
-	Held        int64 `json:"held"`         // answers not given, beyond the bound
-	Probes      int64 `json:"probes"`       // ended
-	Unanswered  int64 `json:"unanswered"`   // of those
-	Doubts      int64 `json:"doubts"`       // raised by this node's own sight
-	FalseDoubts int64 `json:"false_doubts"` // and taken back by the one that was doubted
-	Silences    int64 `json:"silences"`     // doubts that ended so
-	Refuted     int64 `json:"refuted"`      // doubts about this node that it took back
-	Standstills int64 `json:"standstills"`  // of this node itself
+type Counters struct {
+	Sent            int64 `json:"sent"`
+	SentBytes       int64 `json:"sent_bytes"`
+	Received        int64 `json:"heard"`
+	ReceivedBytes   int64 `json:"heard_bytes"`
+	Invalid         int64 `json:"bad"`          // not to be read: too long, spoilt, of another key
+	UnknownVersions int64 `json:"versions"`     // of a form that this build does not know
+	UnknownNodes    int64 `json:"strangers"`    // from or about a node that is not on the list
+	Misdirected     int64 `json:"misled"`       // meant for another node
+	Stale           int64 `json:"old"`          // from an earlier life of its sender
+	AnswersWithheld int64 `json:"held"`         // answers not given, beyond the bound
+	Probes          int64 `json:"probes"`       // ended
+	FailedProbes    int64 `json:"unanswered"`   // of those
+	Suspicions      int64 `json:"doubts"`       // raised by this node's own sight
+	FalseSuspicions int64 `json:"false_doubts"` // and taken back by the one that was doubted
+	Deaths          int64 `json:"silences"`     // doubts that ended so
+	Refutations     int64 `json:"refuted"`      // doubts about this node that it took back
+	Stalls          int64 `json:"standstills"`  // of this node itself
 }
 
 // peer is what is believed of one other node.
 type peer struct {
-	id      uint64
-	number  uint64 // incarnation
-	start   uint64 // milliseconds of its own clock
-	since   int64  // when its state was taken on
-	heard   int64  // when it was last heard directly
-	ends    int64  // beat at which a doubt becomes silence
-	began   int64  // beat at which the doubt came up
-	prior   uint64 // the start of its life before this one, as far as known
-	run     uint32
-	place   int32
-	state   State
-	own     bool // judged by this node's sight alone while it heard nobody else: any word of others goes before it
-	mine    bool // the doubt is this node's own
-	doubled uint8
-	by      [confirmers]uint64
-	left    int8 // times that its state is still to be told
-	queued  bool
+	id             uint64
+	incarnation    uint64 // incarnation
+	startMs        uint64 // milliseconds of its own clock
+	stateSince     int64  // when its state was taken on
+	heardAt        int64  // when it was last heard directly
+	suspicionEnds  int64  // beat at which a doubt becomes silence
+	suspicionBegan int64  // beat at which the doubt came up
+	priorStartMs   uint64 // the start of its life before this one, as far as known
+	runID          uint32
+	place          int32
+	state          State
+	ownViewOnly    bool // judged by this node's sight alone while it heard nobody else: any word of others goes before it
+	suspectedHere  bool // the doubt is this node's own
+	conflicts      uint8
+	confirmedBy    [maxConfirmations]uint64
+	transmitsLeft  int8 // times that its state is still to be told
+	queued         bool
 }
 
 // Members is one node's view.
 type Members struct {
-	set  Settings
-	way  Way
-	draw *rand.Rand
+	config    Config
+	transport Transport
+	random    *rand.Rand
 
 	// What it is itself.
-	id     uint64
-	number uint64
-	start  uint64
-	rival  uint32 // another process of this name
-	bids   int    // of the rival against this one
-	bid    uint64 // the rival's highest
-	before uint64 // the latest start that others knew of another process of this name, milliseconds
-	yields int64  // beat until which this one keeps quiet, as the other has the name
-	gone   bool   // it has said that it leaves
+	id                 uint64
+	incarnation        uint64
+	startMs            uint64
+	rivalRunID         uint32 // another process of this name
+	rivalBids          int    // of the rival against this one
+	rivalIncarnation   uint64 // the rival's highest
+	latestKnownStartMs uint64 // the latest start that others knew of another process of this name, milliseconds
+	quietUntil         int64  // beat until which this one keeps quiet, as the other has the name
+	hasLeft            bool   // it has said that it leaves
 
 	// What it believes, by id.
 	peers []peer
 
 	// Time as told, and its own condition.
-	beat    int64
-	last    int64 // when the last call came
-	stood   int64 // beat until which a standstill casts doubt on what it sees
-	strain  int64
-	ended   []bool // own probes, the newest last: answered
-	endedAt int64
+	tick         int64
+	lastCallAt   int64 // when the last call came
+	stalledUntil int64 // beat until which a standstill casts doubt on what it sees
+	healthScore  int64
+	probeResults []bool // own probes, the newest last: answered
+	lastProbeAt  int64
 
 	// What is under way.
-	sequence uint64
-	probes   []*probe
-	asks     []ask
-	order    []int32 // to be probed, drawn anew when used up
-	calls    []int32 // to be called though they are not up
-	fresh    []int32 // whose state is to be told
-	doubts   []int32
-	part     int
-	answers  int // in this beat
-	counts   Counts
+	sequence       uint64
+	probes         []*probe
+	indirectProbes []indirectProbe
+	probeOrder     []int32 // to be probed, drawn anew when used up
+	reconnectOrder []int32 // to be called though they are not up
+	broadcasts     []int32 // whose state is to be told
+	suspects       []int32
+	digestPart     int
+	answersInTick  int // in this beat
+	counters       Counters
 }
 
 // New makes the view of a node that starts now. now is Unix nanoseconds of the node's clock, which never goes back while
 // the node runs.
-func New(set Settings, way Way, now int64) (*Members, error) {
-	if len(set.Peers) > mostPeers {
-		return nil, fmt.Errorf("members: expected at most %d nodes, got %d", mostPeers, len(set.Peers))
+func New(set Config, way Transport, now int64) (*Members, error) {
+	if len(set.Nodes) > maxNodes {
+		return nil, fmt.Errorf("members: expected at most %d nodes, got %d", maxNodes, len(set.Nodes))
 	}
-	if set.Name == "" || set.Round <= 0 {
+	if set.Name == "" || set.RoundNs <= 0 {
 		return nil, errors.New("members: expected a name and a round above 0")
 	}
 	m := &Members{
-		set: set, way: way, draw: rand.New(rand.NewPCG(set.Seed, uint64(set.Run))), id: xxhash.Sum64String(set.Name),
-		start: uint64(max(now, 0) / 1e6), last: now,
+		config: set, transport: way, random: rand.New(rand.NewPCG(set.Seed, uint64(set.RunID))), id: xxhash.Sum64String(set.Name),
+		startMs: uint64(max(now, 0) / 1e6), lastCallAt: now,
 	}
-	m.number = m.start
-	for i, name := range set.Peers {
+	m.incarnation = m.startMs
+	for i, name := range set.Nodes {
 		if name != set.Name {
-			m.peers = append(m.peers, peer{id: xxhash.Sum64String(name), place: int32(i), since: now, prior: set.Known[name]})
+			m.peers = append(m.peers, peer{id: xxhash.Sum64String(name), place: int32(i), stateSince: now, priorStartMs: set.KnownStartsMs[name]})
 		}
 	}
-	if !slices.Contains(set.Peers, set.Name) {
+	if !slices.Contains(set.Nodes, set.Name) {
 		return nil, fmt.Errorf("members: expected %q among the names of all nodes", set.Name)
 	}
 	slices.SortFunc(m.peers, func(a, b peer) int { return cmp.Compare(a.id, b.id) })
 	for i := range m.peers {
 		if p := &m.peers[i]; p.id == m.id || i > 0 && p.id == m.peers[i-1].id {
-			return nil, fmt.Errorf("members: expected names that differ, got %q twice or two that are alike in hash", set.Peers[p.place])
+			return nil, fmt.Errorf("members: expected names that differ, got %q twice or two that are alike in hash", set.Nodes[p.place])
 		}
 	}
 	return m, nil
@@ -202,128 +202,128 @@
 	return i
 }
 
-func (m *Members) beatNs() int64 { return m.set.Round / beatsARound }
+func (m *Members) beatNs() int64 { return m.config.RoundNs / ticksPerRound }
 
 // woke notes that a call has come. Where none came for half a round this node itself stood still: what it then holds against
 // others is its own doing first.
-func (m *Members) woke(now int64) {
-	if now-m.last > m.set.Round/2 {
-		m.counts.Standstills++
-		m.strain = min(m.strain+2, mostStrain)
-		m.stood = m.beat + 3*beatsARound
-		m.probes, m.asks = nil, nil
-		for _, i := range m.doubts { // what came meanwhile is still to be read
-			m.peers[i].ends = max(m.peers[i].ends, m.stood)
+func (m *Members) noteCall(now int64) {
+	if now-m.lastCallAt > m.config.RoundNs/2 {
+		m.counters.Stalls++
+		m.healthScore = min(m.healthScore+2, maxHealthScore)
+		m.stalledUntil = m.tick + 3*ticksPerRound
+		m.probes, m.indirectProbes = nil, nil
+		for _, i := range m.suspects { // what came meanwhile is still to be read
+			m.peers[i].suspicionEnds = max(m.peers[i].suspicionEnds, m.stalledUntil)
 		}
 	}
-	m.last = now
+	m.lastCallAt = now
 }
 
 // alone tells whether none of the last probes was answered by anybody, directly or through others.
-func (m *Members) alone() bool {
-	least := min(lately, len(m.peers))
-	if len(m.ended) < least {
+func (m *Members) isIsolated() bool {
+	least := min(recentProbes, len(m.peers))
+	if len(m.probeResults) < least {
 		return false
 	}
-	return !slices.Contains(m.ended[len(m.ended)-least:], true)
+	return !slices.Contains(m.probeResults[len(m.probeResults)-least:], true)
 }
 
 // doubtful tells whether what this node sees may be its own trouble.
-func (m *Members) doubtful() bool { return m.beat < m.stood || m.alone() }
+func (m *Members) doubtful() bool { return m.tick < m.stalledUntil || m.isIsolated() }
 
 // rumour is what one node says of another.
-type rumour struct {
-	ID    uint64 `cbor:"1,keyasint"`
-	State State  `cbor:"2,keyasint"`
-	Start uint64 `cbor:"3,keyasint"`
-	Over  uint64 `cbor:"4,keyasint,omitempty"` // how far the incarnation is past the start
-	Run   uint32 `cbor:"5,keyasint"`
-	By    uint64 `cbor:"6,keyasint,omitempty"` // who doubts
+type update struct {
+	ID          uint64 `cbor:"1,keyasint"`
+	State       State  `cbor:"2,keyasint"`
+	StartMs     uint64 `cbor:"3,keyasint"`
+	PastStart   uint64 `cbor:"4,keyasint,omitempty"` // how far the incarnation is past the start
+	RunID       uint32 `cbor:"5,keyasint"`
+	SuspectedBy uint64 `cbor:"6,keyasint,omitempty"` // who doubts
 }
 
-func (r *rumour) number() uint64 { return r.Start + r.Over }
+func (r *update) incarnation() uint64 { return r.StartMs + r.PastStart }
 
 // sound tells what a node can say of another.
-func (r *rumour) sound() bool {
-	return r.State >= Up && r.State <= Left && r.Start < mostNumber && r.Over < mostNumber
+func (r *update) valid() bool {
+	return r.State >= Alive && r.State <= Left && r.StartMs < maxIncarnation && r.PastStart < maxIncarnation
 }
 
-func (m *Members) own() rumour {
-	return rumour{ID: m.id, State: Up, Start: m.start, Over: m.number - m.start, Run: m.set.Run}
+func (m *Members) selfUpdate() update {
+	return update{ID: m.id, State: Alive, StartMs: m.startMs, PastStart: m.incarnation - m.startMs, RunID: m.config.RunID}
 }
 
-func (m *Members) rumourOf(i int) rumour {
+func (m *Members) updateOf(i int) update {
 	p := &m.peers[i]
-	r := rumour{ID: p.id, State: p.state, Start: p.start, Over: p.number - p.start, Run: p.run}
-	if p.state == Doubted {
-		if r.By = p.by[0]; p.mine {
-			r.By = m.id
+	r := update{ID: p.id, State: p.state, StartMs: p.startMs, PastStart: p.incarnation - p.startMs, RunID: p.runID}
+	if p.state == Suspect {
+		if r.SuspectedBy = p.confirmedBy[0]; p.suspectedHere {
+			r.SuspectedBy = m.id
 		}
 	}
 	return r
 }
 
 // told takes in what a sender says of a node, itself or another.
-func (m *Members) told(now int64, r rumour, direct bool) {
-	if !r.sound() {
-		m.counts.Bad++
+func (m *Members) applyUpdate(now int64, r update, direct bool) {
+	if !r.valid() {
+		m.counters.Invalid++
 		return
 	}
 	if r.ID == m.id {
-		m.toldOfMe(r)
+		m.refute(r)
 		return
 	}
 	i := m.find(r.ID)
 	if i < 0 {
-		m.counts.Strangers++
+		m.counters.UnknownNodes++
 		return
 	}
 	p := &m.peers[i]
-	newer := r.number() > p.number || r.number() == p.number && r.Run > p.run
-	same := r.number() == p.number && r.Run == p.run
+	newer := r.incarnation() > p.incarnation || r.incarnation() == p.incarnation && r.RunID > p.runID
+	same := r.incarnation() == p.incarnation && r.RunID == p.runID
 	switch {
-	case p.state == Never || newer:
-		if p.state == Doubted && p.mine && r.State == Up && r.Run == p.run {
-			m.counts.FalseDoubts++
+	case p.state == Unknown || newer:
+		if p.state == Suspect && p.suspectedHere && r.State == Alive && r.RunID == p.runID {
+			m.counters.FalseSuspicions++
 		}
-		if p.state != Never && r.Run != p.run {
-			p.prior = max(p.prior, p.start)
+		if p.state != Unknown && r.RunID != p.runID {
+			p.priorStartMs = max(p.priorStartMs, p.startMs)
 		}
-		p.number, p.start, p.run = r.number(), r.Start, r.Run
-		m.take(now, i, r.State, r.By)
+		p.incarnation, p.startMs, p.runID = r.incarnation(), r.StartMs, r.RunID
+		m.adopt(now, i, r.State, r.SuspectedBy)
 	case !same:
 		if direct {
 			// An old message, or a second process of that name which does not know of the first.
-			m.counts.Old++
-			p.doubled = min(p.doubled+1, 250)
+			m.counters.Stale++
+			p.conflicts = min(p.conflicts+1, 250)
 		}
-	case p.own && r.State != p.state || r.State > p.state:
-		m.take(now, i, r.State, r.By)
-	case r.State == Doubted && p.state == Doubted:
-		m.confirm(p, r.By)
+	case p.ownViewOnly && r.State != p.state || r.State > p.state:
+		m.adopt(now, i, r.State, r.SuspectedBy)
+	case r.State == Suspect && p.state == Suspect:
+		m.confirm(p, r.SuspectedBy)
 	}
 }
 
 // take makes a state that others told of this node's own belief, and passes it on.
-func (m *Members) take(now int64, i int, s State, by uint64) {
-	m.believe(now, i, s)
-	if s == Doubted {
+func (m *Members) adopt(now int64, i int, s State, by uint64) {
+	m.setState(now, i, s)
+	if s == Suspect {
 		m.confirm(&m.peers[i], by)
 	}
-	m.tellOf(i)
+	m.broadcast(i)
 }
 
 // believe sets a state.
-func (m *Members) believe(now int64, i int, s State) {
+func (m *Members) setState(now int64, i int, s State) {
 	p := &m.peers[i]
-	if p.state == Doubted {
-		m.doubts = slices.DeleteFunc(m.doubts, func(k int32) bool { return int(k) == i })
+	if p.state == Suspect {
+		m.suspects = slices.DeleteFunc(m.suspects, func(k int32) bool { return int(k) == i })
 	}
-	p.state, p.since, p.own, p.mine, p.by = s, now, false, false, [confirmers]uint64{}
-	if s == Doubted {
-		p.began = m.beat
-		m.doubts = append(m.doubts, int32(i))
-		m.wait(p)
+	p.state, p.stateSince, p.ownViewOnly, p.suspectedHere, p.confirmedBy = s, now, false, false, [maxConfirmations]uint64{}
+	if s == Suspect {
+		p.suspicionBegan = m.tick
+		m.suspects = append(m.suspects, int32(i))
+		m.setSuspicionTimeout(p)
 	}
 }
 
@@ -332,13 +332,13 @@
 	if by == 0 || by == m.id || m.find(by) < 0 {
 		return
 	}
-	for k := range p.by {
-		if p.by[k] == by {
+	for k := range p.confirmedBy {
+		if p.confirmedBy[k] == by {
 			return
 		}
-		if p.by[k] == 0 {
-			p.by[k] = by
-			m.wait(p)
+		if p.confirmedBy[k] == 0 {
+			p.confirmedBy[k] = by
+			m.setSuspicionTimeout(p)
 			return
 		}
 	}
@@ -346,11 +346,11 @@
 
 // wait sets when a doubt becomes silence: after the longest time for a single doubt, the least one where several nodes came to
 // it by themselves (Lifeguard), never while this node's own trouble may be the cause.
-func (m *Members) wait(p *peer) {
+func (m *Members) setSuspicionTimeout(p *peer) {
 	n := len(m.peers) + 1
-	least := float64(beatsARound) * math.Ceil(2.5*math.Log10(float64(n+1)))
-	most, want, have := 3*least, min(confirmers, n-2), 0
-	for _, by := range p.by {
+	least := float64(ticksPerRound) * math.Ceil(2.5*math.Log10(float64(n+1)))
+	most, want, have := 3*least, min(maxConfirmations, n-2), 0
+	for _, by := range p.confirmedBy {
 		if by != 0 {
 			have++
 		}
@@ -359,64 +359,64 @@
 	if want > 0 {
 		span = max(least, most-(most-least)*math.Log(float64(have+1))/math.Log(float64(want+1)))
 	}
-	p.ends = max(p.began+int64(span), m.stood)
+	p.suspicionEnds = max(p.suspicionBegan+int64(span), m.stalledUntil)
 }
 
 // tellOf has a state passed on with the next datagrams, a number of times that grows with the logarithm of the fleet.
-func (m *Members) tellOf(i int) {
+func (m *Members) broadcast(i int) {
 	p := &m.peers[i]
-	if p.left = int8(4 * math.Ceil(math.Log10(float64(len(m.peers)+2)))); !p.queued {
+	if p.transmitsLeft = int8(4 * math.Ceil(math.Log10(float64(len(m.peers)+2)))); !p.queued {
 		p.queued = true
-		m.fresh = append(m.fresh, int32(i))
+		m.broadcasts = append(m.broadcasts, int32(i))
 	}
 }
 
 // toldOfMe takes back what is said of this node and is not so. Another process of the same name shows by bidding again and
 // again; the one with the higher run keeps the name, and the other goes quiet for a while.
-func (m *Members) toldOfMe(r rumour) {
+func (m *Members) refute(r update) {
 	switch {
-	case r.number() < m.number || m.beat < m.yields:
+	case r.incarnation() < m.incarnation || m.tick < m.quietUntil:
 		return
-	case r.Run == m.set.Run:
-		if r.State == Up && r.number() == m.number {
+	case r.RunID == m.config.RunID:
+		if r.State == Alive && r.incarnation() == m.incarnation {
 			return
 		}
-		m.counts.Refuted++
-		if m.strain < mostStrain && r.State == Doubted {
-			m.strain++
+		m.counters.Refutations++
+		if m.healthScore < maxHealthScore && r.State == Suspect {
+			m.healthScore++
 		}
 	default:
-		if m.rival != r.Run {
-			m.rival, m.bids, m.bid = r.Run, 0, 0
+		if m.rivalRunID != r.RunID {
+			m.rivalRunID, m.rivalBids, m.rivalIncarnation = r.RunID, 0, 0
 		}
-		if r.number() > m.bid {
-			m.bid, m.bids = r.number(), m.bids+1
+		if r.incarnation() > m.rivalIncarnation {
+			m.rivalIncarnation, m.rivalBids = r.incarnation(), m.rivalBids+1
 		}
-		if m.bids >= twiceAfter && m.set.Run < r.Run {
-			m.yields = m.beat + yieldFor
+		if m.rivalBids >= conflictThreshold && m.config.RunID < r.RunID {
+			m.quietUntil = m.tick + yieldTicks
 			return
 		}
 	}
-	m.number = r.number() + 1
+	m.incarnation = r.incarnation() + 1
 }
 
 // Carry takes a load of another part of the node to a node, once, and may lose it. Longer than MostLoad it goes nowhere.
-func (m *Members) Carry(to int, load []byte) {
-	if m.gone || m.beat < m.yields || len(load) > MostLoad {
+func (m *Members) SendPayload(to int, load []byte) {
+	if m.hasLeft || m.tick < m.quietUntil || len(load) > MaxPayloadBytes {
 		return
 	}
 	for i := range m.peers {
 		if int(m.peers[i].place) == to {
-			m.send(i, &message{Kind: carried, Load: load})
+			m.send(i, &message{Kind: payload, Payload: load})
 			return
 		}
 	}
 }
 
 // Others are the places of the nodes that may hear: all that are not silent and have not left.
-func (m *Members) Others() (out []int) {
+func (m *Members) Reachable() (out []int) {
 	for i := range m.peers {
-		if p := &m.peers[i]; p.state != Silent && p.state != Left {
+		if p := &m.peers[i]; p.state != Dead && p.state != Left {
 			out = append(out, int(p.place))
 		}
 	}
@@ -425,15 +425,15 @@
 
 // Leave tells some others that this node ends, which they pass on. Nothing is sent or taken in after it.
 func (m *Members) Leave(now int64) {
-	if m.beat < m.yields || m.gone {
+	if m.tick < m.quietUntil || m.hasLeft {
 		return
 	}
-	m.gone = true
-	r := m.own()
+	m.hasLeft = true
+	r := m.selfUpdate()
 	r.State = Left
 	for range 2 {
-		for _, i := range m.some(5, -1) {
-			m.send(i, &message{Kind: tell, Told: []rumour{r}})
+		for _, i := range m.randomAlive(5, -1) {
+			m.send(i, &message{Kind: gossip, Updates: []update{r}})
 		}
 	}
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -105,19 +105,19 @@
 	if _, err := crand.Read(random[:]); err != nil {
 		return err
 	}
-	config := members.Settings{
+	config := members.Config{
 		Name:  a.node.config.Name,
 		Key:   a.config.KeyBytes,
-		Round: a.config.RoundNs,
+		RoundNs: a.config.RoundNs,
 		Seed:  binary.LittleEndian.Uint64(random[:]),
-		Run:   binary.LittleEndian.Uint32(random[8:]),
-		Known: a.node.persistence.memberStarts(),
+		RunID:   binary.LittleEndian.Uint32(random[8:]),
+		KnownStartsMs: a.node.persistence.memberStarts(),
 	}
 	for _, node := range a.config.Nodes {
-		config.Peers = append(config.Peers, node.Name)
+		config.Nodes = append(config.Nodes, node.Name)
 	}
 	if a.node.listGossip != nil {
-		config.Take = a.node.listGossip.receive
+		config.ReceivePayload = a.node.listGossip.receive
 	}
 	if a.core, err = members.New(config, a, a.node.clock.nanos()); err != nil {
 		return err
@@ -127,13 +127,13 @@
 }
 
 func (a *memberAgent) tick() {
-	a.core.Beat(a.node.clock.nanos())
+	a.core.Tick(a.node.clock.nanos())
 	a.node.listGossip.tick()
 }
 
 func (a *memberAgent) handle(datagram []byte) {
-	a.core.Heard(a.node.clock.nanos(), datagram)
-	a.node.persistence.laterStartReported(a.core.Before())
+	a.core.Receive(a.node.clock.nanos(), datagram)
+	a.node.persistence.laterStartReported(a.core.LatestKnownStartMs())
 }
 
 // step keeps a panic in the membership from ending the process.
@@ -144,7 +144,7 @@
 
 // read reads datagrams, at most maxDatagramsPerInterval in an interval: guards against a peer that sends without end.
 func (a *memberAgent) read() {
-	buffer := make([]byte, members.Most)
+	buffer := make([]byte, members.MaxDatagramBytes)
 	count, intervalStart := 0, time.Now()
 	for {
 		length, _, err := a.socket.ReadFromUDPAddrPort(buffer)
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -254,7 +254,7 @@
 // waited for: the next interval is soon enough.
 func (p *persistence) collectEstimates() {
 	var starts map[string]uint64
-	if p.node.members.query(func(m *members.Members, _ int64) { starts = m.Starts() }) == nil {
+	if p.node.members.query(func(m *members.Members, _ int64) { starts = m.StartsMs() }) == nil {
 		p.mu.Lock()
 		p.memory.Members(p.node.clock.nanos(), starts)
 		p.mu.Unlock()
