--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -659,12 +659,12 @@
 	ask(t, n, "batch", "old", "")
 	learn := func(version int, whole bool, entries ...string) {
 		t.Helper()
-		list, _, whole, err := n.parseList([]byte(listText(version, whole, entries...)))
+		update, err := n.parseList([]byte(listText(version, whole, entries...)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		done := make(chan struct{})
-		n.loop.postList(list, whole)
+		n.loop.postEndpoints(update.entries, update.complete)
 		n.loop.post(func() { close(done) })
 		<-done
 	}
@@ -695,11 +695,11 @@
 	}, server)
 	ask(t, n, "batch", "before", "")
 	learn := func(text string) {
-		list, _, whole, err := n.parseList([]byte(text))
+		update, err := n.parseList([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.loop.postList(list, whole)
+		n.loop.postEndpoints(update.entries, update.complete)
 	}
 	learn(listText(2, false, listEntry("s-0", server, "removed")))
 	learn(listText(3, true))
@@ -715,12 +715,12 @@
 // A server is not taken off the list because its line could not be read, only because a readable list lacks it.
 func TestUnreadableEntryTakesNobodyOff(t *testing.T) {
 	n := startNode(t, nil)
-	_, _, whole, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
-	if whole || err != nil {
-		t.Errorf("whole %t, error %v", whole, err)
+	update, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
+	if update.complete || err != nil {
+		t.Errorf("complete %t, error %v", update.complete, err)
 	}
 	for _, text := range []string{"", "[]", "{}", `{"seq":"a"}`, `{"seq":1,"hosts":{}}`} {
-		if _, _, _, err := n.parseList([]byte(text)); err == nil {
+		if _, err := n.parseList([]byte(text)); err == nil {
 			t.Errorf("%q was taken for a list", text)
 		}
 	}
@@ -753,7 +753,7 @@
 	eventually(t, "answers", func() bool { return answered.Load() >= 20 })
 	stopped := make(chan struct{})
 	go func() {
-		n.stop()
+		n.shutDown()
 		close(stopped)
 	}()
 	eventually(t, "the stop", n.stopping.Load)
@@ -969,11 +969,11 @@
 		}
 		return list
 	}
-	n.loop.postList(lines(1, 4097), true)
+	n.loop.postEndpoints(lines(1, 4097), true)
 	if events := taken(); events != 9 || len(n.loop.endpoints) != 4096 {
 		t.Errorf("4,096 lines in %d events, %d servers known; want 8 slices and a last one for who is absent, and all", events, len(n.loop.endpoints))
 	}
-	n.loop.postList(lines(4001, 5001), true)
+	n.loop.postEndpoints(lines(4001, 5001), true)
 	for range 2 {
 		(<-n.loop.events)()
 	}
@@ -984,8 +984,8 @@
 	if len(n.loop.endpoints) != 1000 || n.loop.endpoints[4000].address != "" || n.loop.endpoints[5000].address == "" {
 		t.Errorf("%d servers known, want the 1,000 of the second list", len(n.loop.endpoints))
 	}
-	n.loop.postList(nil, false)
-	if n.loop.postList(nil, true); taken() != 2 || len(n.loop.endpoints) != 0 {
+	n.loop.postEndpoints(nil, false)
+	if n.loop.postEndpoints(nil, true); taken() != 2 || len(n.loop.endpoints) != 0 {
 		t.Errorf("%d servers known after a whole list of nobody", len(n.loop.endpoints))
 	}
 }
