--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -609,7 +609,7 @@
 	}
 
 	few, _ := NewSubscriber([]Selector{{Scope: "s"}}, Limits{Records: 3})
-	h := few.Hello()
+	few.Hello()
 	_, err = few.Receive(0, make([]byte, MaxFrameBytes+1))
 	refused("bytes", err, ErrBadFrame)
 	_, err = few.Receive(0, encode(frame{Session: 1, Number: 1}))
@@ -620,7 +620,7 @@
 	for i := range 10 {
 		put(t, big, "s", fmt.Sprint("k", i), ClassEndpoint, "x")
 	}
-	h = few.Hello()
+	h := few.Hello()
 	id, _ := big.Relay().Attach(0, h, 0)
 	f, _ := big.Relay().Next(0, id)
 	changes, err := few.Receive(0, f)
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -67,7 +67,7 @@
 		}
 		sum := 0
 		leaf.Each(func(r Record) {
-			if sum++; validateRecord(r.Scope, r.Key, r.Class, r.Body) != nil || !(r.Scope == "a/x" || r.Scope[:2] == "b/") {
+			if sum++; validateRecord(r.Scope, r.Key, r.Class, r.Body) != nil || r.Scope != "a/x" && r.Scope[:2] != "b/" {
 				t.Fatalf("holds %+v", r)
 			}
 		})
--- a/internal/distribution/guards_test.go
+++ b/internal/distribution/guards_test.go
@@ -1,7 +1,7 @@
 package distribution
 
-// Each guard by itself, by frames that no relay of ours would send, or seldom: what the drawn networks reach only now and then, or never
-// since another guard stands before it.
+// Each guard by itself, by frames that no relay of ours would send, or seldom: what the drawn networks reach only now
+// and then, or never since another guard stands before it.
 
 import (
 	"errors"
@@ -292,8 +292,8 @@
 	expect(t, "sent", r.Stats().SentRecords, int64(1))
 }
 
-// A subscriber goes on at a relay that is behind it; that is told anew, begin and end in one frame, and what has come and gone in
-// between it never knew.
+// A subscriber goes on at a relay that is behind it; that is told anew, begin and end in one frame, and what has come
+// and gone in between it never knew.
 func TestBehindAndToldAnew(t *testing.T) {
 	o := NewOrigin(1, Limits{Tombstones: 1})
 	behind := newInner(t, Limits{}, Selector{Prefix: true})
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -1,7 +1,8 @@
 package distribution
 
-// The network as a whole: an origin, two levels of relays and subscribers, with drops, repeats, old sessions' frames, restarts with
-// nothing, new epochs and partitions. Truth is kept aside; whoever claims to know a scope up to a version is held to it.
+// The network as a whole: an origin, two levels of relays and subscribers, with drops, repeats, old sessions' frames,
+// restarts with nothing, new epochs and partitions. Truth is kept aside; whoever claims to know a scope up to a
+// version is held to it.
 
 import (
 	"bytes"
@@ -237,8 +238,8 @@
 }
 
 // send puts up to so many frames on the way.
-func (n *network) send(e *end, most int) (sent int) {
-	for ; e.from != nil && sent < most; sent++ {
+func (n *network) send(e *end, most int) {
+	for sent := 0; e.from != nil && sent < most; sent++ {
 		f, _ := e.from.Next(n.now, e.id)
 		if f == nil {
 			break
@@ -248,7 +249,6 @@
 		}
 		e.way = append(e.way, f)
 	}
-	return sent
 }
 
 func (n *network) come(e *end, frame []byte) error {
@@ -313,7 +313,7 @@
 			t.Fatalf("%s holds %d records and was told of %d", e.name, len(holds), len(e.told))
 		}
 		for i, s := range e.wants {
-			at, _ := e.leaf.replica.position(&e.leaf.replica.interests[i])
+			at := e.leaf.replica.knownOf(&e.leaf.replica.interests[i]).position
 			n.truth.claimed(t, e.name, s, at, holds)
 		}
 	}
@@ -331,7 +331,7 @@
 
 func (n *network) act() {
 	t := n.t
-	who := func(from int) *end { return n.ends[rapid.IntRange(from, len(n.ends)-1).Draw(t, "who")] }
+	who := func() *end { return n.ends[rapid.IntRange(0, len(n.ends)-1).Draw(t, "who")] }
 	switch rapid.IntRange(0, 19).Draw(t, "act") {
 	case 0, 1, 2, 3, 4: // a change
 		name := nameOf{rapid.SampledFrom(scopesOfModel).Draw(t, "scope"), rapid.SampledFrom(keysOfModel).Draw(t, "key")}
@@ -369,27 +369,27 @@
 			n.restart(rapid.IntRange(0, 3).Draw(t, "relay"))
 		}
 	case 8, 9: // to another relay
-		e := who(0)
+		e := who()
 		n.connect(e, rapid.SampledFrom(e.ups).Draw(t, "up"))
 	case 10: // a way is cut
-		n.cut(who(0))
+		n.cut(who())
 	case 11: // a frame is lost
-		if e := who(0); len(e.way) > 0 {
+		if e := who(); len(e.way) > 0 {
 			e.way = e.way[1:]
 		}
 	case 12: // a frame comes again
-		if e := who(0); e.last != nil {
-			n.come(e, e.last)
+		if e := who(); e.last != nil {
+			_ = n.come(e, e.last) // a gap is no fault; come fails the test at any other error
 		}
 	case 13, 14: // a frame of a session before comes
-		if e := who(0); len(e.old) > 0 {
+		if e := who(); len(e.old) > 0 {
 			i := rapid.IntRange(0, len(e.old)-1).Draw(t, "old")
-			n.come(e, e.old[i])
+			_ = n.come(e, e.old[i]) // a gap is no fault; come fails the test at any other error
 		}
 	case 15:
 		n.now += int64(rapid.IntRange(1, 1200).Draw(t, "ms")) * 1e6
 	default:
-		e := who(0)
+		e := who()
 		n.send(e, rapid.IntRange(0, 3).Draw(t, "frames"))
 		for range rapid.IntRange(0, 3).Draw(t, "come") {
 			if len(e.way) == 0 || n.one(e) != nil {
--- a/internal/distribution/origin.go
+++ b/internal/distribution/origin.go
@@ -1,7 +1,5 @@
 package distribution
 
-// This file owns truth: which version a change gets. It must never give one twice, or take away what nobody said is gone.
-
 import (
 	"bytes"
 	"cmp"
@@ -10,49 +8,37 @@
 	"strings"
 )
 
-// Origin owns truth. One caller at a time, with its Relay.
+// Origin holds the truth: it gives every change of a record its version, each once.
 type Origin struct {
 	relay   *Relay
 	version uint64
 	awaited map[string]bool
 }
 
-// NewOrigin makes an origin with nothing in it. The epoch must be higher than that of any origin before, and not 0: subscribers
-// never go back to a lower one.
+// NewOrigin returns an origin without records. The epoch must be higher than that of any earlier origin, and not 0:
+// subscribers ignore a lower one than they have seen.
 func NewOrigin(epoch uint64, l Limits) *Origin {
 	o := &Origin{relay: NewRelay(l), awaited: map[string]bool{}}
-	o.relay.origin, o.relay.replica.epochSeen = o, max(1, epoch)
+	o.relay.origin = o
+	o.relay.replica.epochSeen = max(1, epoch)
 	o.relay.updateClaim()
 	return o
 }
 
-// Relay is through which the origin's subscribers are served.
+// Relay returns the relay through which the origin's subscribers are served.
 func (o *Origin) Relay() *Relay { return o.relay }
 
-// Await names kinds of which a Replace must have come before the origin claims anything to be whole: one that was started
-// without its list takes nothing away from anybody.
+// Await names kinds for which Replace must be called before the origin claims to be complete: an origin that has been
+// started without its list deletes nothing at subscribers.
 func (o *Origin) Await(kinds ...string) {
-	for _, k := range kinds {
-		o.awaited[k] = true
+	for _, kind := range kinds {
+		o.awaited[kind] = true
 	}
 	o.relay.updateClaim()
 }
 
-func validateRecord(scope, key string, class Class, body []byte) error {
-	switch {
-	case scope == "" || len(scope) > MaxNameBytes:
-		return fmt.Errorf("distribution: scope %.64q: a name of 1 to %d bytes expected, found %d", scope, MaxNameBytes, len(scope))
-	case key == "" || len(key) > MaxNameBytes:
-		return fmt.Errorf("distribution: scope %q, key %.64q: a name of 1 to %d bytes expected, found %d", scope, key, MaxNameBytes, len(key))
-	case class >= classCount:
-		return fmt.Errorf("distribution: scope %q, key %q: a class under %d expected, found %d", scope, key, classCount, class)
-	case len(body) > MaxBodyBytes:
-		return fmt.Errorf("scope %q, key %q: %w", scope, key, limitError("bytes of a body", MaxBodyBytes, len(body)))
-	}
-	return nil
-}
-
-// Put sets a record; the same again is no change. The body must not be changed afterwards.
+// Put sets a record and returns its version; setting it to what it is is no change. The body must not be changed
+// afterwards. An error says that the record is invalid or wraps ErrLimit; then nothing has changed.
 func (o *Origin) Put(now int64, scope, key string, class Class, body []byte) (version uint64, err error) {
 	version, _, err = o.put(scope, key, class, body)
 	o.relay.updateClaim()
@@ -67,14 +53,15 @@
 	if held != nil && !held.deleted && held.class == class && bytes.Equal(held.body, body) {
 		return held.version, false, nil
 	}
-	if _, err := o.relay.replica.upsert(held, scope, key, class, Position{o.relay.epoch, o.version + 1}, false, body, false); err != nil {
+	state := itemState{class: class, position: Position{o.relay.epoch, o.version + 1}, body: body}
+	if err := o.relay.replica.upsert(held, scope, key, state); err != nil {
 		return 0, false, err
 	}
 	o.version++
 	return o.version, true, nil
 }
 
-// Remove takes a record away.
+// Remove deletes a record and returns the version of its tombstone.
 func (o *Origin) Remove(now int64, scope, key string) (version uint64, removed bool) {
 	removed = o.remove(o.relay.replica.find(scope, key))
 	o.relay.updateClaim()
@@ -89,49 +76,32 @@
 		return false
 	}
 	o.version++
-	if _, err := o.relay.replica.upsert(held, held.scope.name, held.key, held.class.withdrawn(), Position{o.relay.epoch, o.version}, true, nil, false); err != nil {
+	state := itemState{class: held.class.whenDeleted(), position: Position{o.relay.epoch, o.version}, deleted: true}
+	if err := o.relay.replica.upsert(held, held.scope.name, held.key, state); err != nil {
 		panic(err) // a tombstone is never longer than the record
 	}
 	return true
 }
 
-// Replace takes in a whole list: records whose key begins with kind and a slash and that are not in it go. What goes goes first,
-// so that a list of as many others fits. A spoilt record is left out, what is held of it stays, and the error names the first.
-func (o *Origin) Replace(now int64, kind string, all []Record) (changed int, err error) {
-	type name struct{ scope, key string }
-	named := make(map[name]bool, len(all))
-	for i := range all {
-		named[name{all[i].Scope, all[i].Key}] = true
-	}
-	var out []*item
-	o.relay.replica.items.Ascend(func(it *item) bool {
-		if !it.deleted && strings.HasPrefix(it.key, kind) && strings.HasPrefix(it.key[len(kind):], "/") && !named[name{it.scope.name, it.key}] {
-			out = append(out, it)
-		}
-		return true
-	})
-	for _, it := range out {
+// Replace makes records the complete list of their kind: records whose keys begin with the kind and a slash, and that
+// are not in the list, are deleted. They are deleted first, so that a list of as many others fits the limits. An
+// invalid record is skipped, what is held of it stays, and the error describes the first of them.
+func (o *Origin) Replace(now int64, kind string, records []Record) (changed int, err error) {
+	absent := o.absentFrom(kind, records)
+	for _, it := range absent {
 		o.remove(it)
 	}
-	changed = len(out)
-	// Withdrawals first, so that they have the lower versions.
-	order := make([]int, len(all))
-	for i := range order {
-		order[i] = i
-	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(all[a].Class, all[b].Class) })
-	for _, i := range order {
-		n := &all[i]
-		if !strings.HasPrefix(n.Key, kind+"/") {
-			err = cmp.Or(err, fmt.Errorf("distribution: scope %q, key %.64q: a key that begins with %q expected", n.Scope, n.Key, kind+"/"))
-			continue
-		}
-		_, did, wrong := o.put(n.Scope, n.Key, n.Class, n.Body)
-		if wrong != nil {
-			err = cmp.Or(err, wrong)
+	changed = len(absent)
+	for _, i := range byClass(records) {
+		record := &records[i]
+		if !strings.HasPrefix(record.Key, kind+"/") {
+			err = cmp.Or(err, fmt.Errorf("distribution: scope %q, key %.64q: a key that begins with %q expected",
+				record.Scope, record.Key, kind+"/"))
 			continue
 		}
-		if did {
+		_, isChange, putErr := o.put(record.Scope, record.Key, record.Class, record.Body)
+		err = cmp.Or(err, putErr)
+		if isChange {
 			changed++
 		}
 	}
@@ -139,3 +109,31 @@
 	o.relay.updateClaim()
 	return changed, err
 }
+
+// absentFrom returns the live items of a kind that records don't name.
+func (o *Origin) absentFrom(kind string, records []Record) []*item {
+	type recordName struct{ scope, key string }
+	named := make(map[recordName]bool, len(records))
+	for i := range records {
+		named[recordName{records[i].Scope, records[i].Key}] = true
+	}
+	var absent []*item
+	prefix := kind + "/"
+	o.relay.replica.items.Ascend(func(it *item) bool {
+		if !it.deleted && strings.HasPrefix(it.key, prefix) && !named[recordName{it.scope.name, it.key}] {
+			absent = append(absent, it)
+		}
+		return true
+	})
+	return absent
+}
+
+// byClass returns the indexes of records with withdrawals first, so that these have the lower versions.
+func byClass(records []Record) []int {
+	order := make([]int, len(records))
+	for i := range order {
+		order[i] = i
+	}
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(records[a].Class, records[b].Class) })
+	return order
+}
--- a/internal/distribution/size_test.go
+++ b/internal/distribution/size_test.go
@@ -1,7 +1,7 @@
 package distribution
 
-// What things cost: bytes on the wire, memory a record and a selector, time of a change. Figures are told by benchmarks; what must hold
-// at any size is a test.
+// What things cost: bytes on the wire, memory a record and a selector, time of a change. Figures are told by
+// benchmarks; what must hold at any size is a test.
 
 import (
 	"fmt"
--- a/internal/distribution/wire.go
+++ b/internal/distribution/wire.go
@@ -1,22 +1,20 @@
 package distribution
 
-// This file owns the form of what travels. It must never hand on what it can't read, nor let one spoilt record spoil a frame.
-
 import (
 	"fmt"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-// protocol is the form of hellos and frames; a relay refuses another. Fields that a later form adds are passed over.
+// protocolVersion is the version of hellos and frames; a relay refuses another. Unknown fields are ignored.
 const protocolVersion = 1
 
-// hello is what a subscriber begins with.
+// hello is the first message of a subscriber.
 type hello struct {
 	Protocol  uint64          `cbor:"1,keyasint"`
 	Session   uint64          `cbor:"2,keyasint"`
-	EpochSeen uint64          `cbor:"3,keyasint,omitempty"` // the highest epoch heard of
-	Epoch     uint64          `cbor:"4,keyasint,omitempty"` // position of those that follow
+	EpochSeen uint64          `cbor:"3,keyasint,omitempty"` // the highest epoch seen
+	Epoch     uint64          `cbor:"4,keyasint,omitempty"` // with Through: the shared position
 	Through   uint64          `cbor:"5,keyasint,omitempty"`
 	Selectors []helloSelector `cbor:"6,keyasint"`
 }
@@ -25,30 +23,32 @@
 	_       struct{} `cbor:",toarray"`
 	Scope   string
 	Flags   uint8
-	Epoch   uint64 // its own position, where it does not follow
+	Epoch   uint64 // with Through: its own position, without flagShared
 	Through uint64
 }
 
+// Flags of a helloSelector.
 const (
 	flagPrefix = 1 << iota // the scope is a prefix
 	flagShared             // its position is the hello's
 )
 
-// frame is what a relay sends: what begins anew, records, what of it is whole, and up to where all is told, in this order.
+// frame is a message of a relay: snapshots that begin, records, snapshots that end, and up to where all is known, to be
+// applied in this order. Selectors are named by their index in the hello.
 type frame struct {
 	Session uint64        `cbor:"1,keyasint"` // as in the hello
 	Number  uint64        `cbor:"2,keyasint"` // of the frame in its session, from 1
 	Epoch   uint64        `cbor:"3,keyasint,omitempty"`
-	Begin   []uint32      `cbor:"4,keyasint,omitempty"` // selectors, by their place in the hello
+	Begin   []uint32      `cbor:"4,keyasint,omitempty"`
 	Groups  []recordGroup `cbor:"5,keyasint,omitempty"`
 	End     []uint32      `cbor:"6,keyasint,omitempty"`
-	Through uint64        `cbor:"7,keyasint,omitempty"` // what End and All say, they say up to here
-	All     bool          `cbor:"8,keyasint,omitempty"` // all selectors have been told all, but for
+	Through uint64        `cbor:"7,keyasint,omitempty"` // the version up to which End and All hold
+	All     bool          `cbor:"8,keyasint,omitempty"` // all selectors know all changes, but those in Except
 	Except  []uint32      `cbor:"9,keyasint,omitempty"`
-	Age     int64         `cbor:"10,keyasint,omitempty"` // nanoseconds since Through was known to be the origin's newest
+	Age     int64         `cbor:"10,keyasint,omitempty"` // nanoseconds since Through was the origin's newest
 }
 
-// group are records of one scope.
+// recordGroup holds records of one scope.
 type recordGroup struct {
 	_       struct{} `cbor:",toarray"`
 	Scope   string
@@ -58,18 +58,27 @@
 type record struct {
 	_       struct{} `cbor:",toarray"`
 	Key     string
-	Flags   uint8 // the class, and the two below
+	Flags   uint8 // the class in the lowest two bits, flagDeleted, flagKeyOnly
 	Version uint64
 	Body    []byte
 }
 
+// Flags of a record.
 const (
+	classMask   = 0x03
 	flagDeleted = 0x10
 	flagKeyOnly = 0x20 // the subscriber holds it: no body
-	knownFlags  = 0x33
+	knownFlags  = classMask | flagDeleted | flagKeyOnly
 )
 
-// The same frame with records not yet looked at, for one with a spoilt record in it.
+func (r *record) class() Class { return Class(r.Flags & classMask) }
+
+func (r *record) valid() bool {
+	return r.Key != "" && len(r.Key) <= MaxNameBytes && r.Flags&^knownFlags == 0 && r.class() < classCount &&
+		r.Version != 0 && len(r.Body) <= MaxBodyBytes
+}
+
+// rawFrame is a frame whose records are not decoded yet, so that one invalid record doesn't void the others.
 type rawFrame struct {
 	frame
 	Groups []cbor.RawMessage `cbor:"5,keyasint,omitempty"`
@@ -82,9 +91,9 @@
 }
 
 const (
-	maxRecordsBytes   = MaxFrameBytes - 2048 // for records; the rest is for the head, Begin, End and Except
-	maxSnapshotEvents = 256                  // Begin and End in a frame
-	maxExcept         = 32
+	maxRecordsBytes   = MaxFrameBytes - 2048 // of records in a frame; the rest is for its other fields
+	maxSnapshotEvents = 256                  // entries in Begin, and in End
+	maxExcept         = 32                   // entries in Except
 )
 
 var (
@@ -110,9 +119,9 @@
 	return out
 }
 
-// decodeFrame reads a frame. Records that can't be read are left out; spoilt is called with the scope of each, "" where not
-// even that can be read.
-func decodeFrame(b []byte, spoilt func(scope string)) (*frame, error) {
+// decodeFrame decodes a frame. Records that can't be decoded are left out; invalid is called with the scope of each,
+// or "" if not even that can be decoded. Errors wrap ErrBadFrame.
+func decodeFrame(b []byte, invalid func(scope string)) (*frame, error) {
 	if len(b) > MaxFrameBytes {
 		return nil, fmt.Errorf("%w: %w", ErrBadFrame, limitError("bytes", MaxFrameBytes, len(b)))
 	}
@@ -120,32 +129,39 @@
 	if decMode.Unmarshal(b, f) == nil {
 		return f, nil
 	}
-	loose := &rawFrame{}
-	if err := decMode.Unmarshal(b, loose); err != nil {
+	raw := &rawFrame{}
+	if err := decMode.Unmarshal(b, raw); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBadFrame, err)
 	}
-	*f = loose.frame
+	*f = raw.frame
 	f.Groups = nil
-	for _, raw := range loose.Groups {
-		var g rawGroup
-		if decMode.Unmarshal(raw, &g) != nil {
-			spoilt("")
-			continue
-		}
-		whole := recordGroup{Scope: g.Scope}
-		for _, raw := range g.Records {
-			var r record
-			if decMode.Unmarshal(raw, &r) != nil {
-				spoilt(g.Scope)
-				continue
-			}
-			whole.Records = append(whole.Records, r)
+	for _, rawGroup := range raw.Groups {
+		if group, ok := decodeGroup(rawGroup, invalid); ok {
+			f.Groups = append(f.Groups, group)
 		}
-		f.Groups = append(f.Groups, whole)
 	}
 	return f, nil
 }
 
+func decodeGroup(b cbor.RawMessage, invalid func(scope string)) (recordGroup, bool) {
+	var raw rawGroup
+	if decMode.Unmarshal(b, &raw) != nil {
+		invalid("")
+		return recordGroup{}, false
+	}
+	group := recordGroup{Scope: raw.Scope}
+	for _, rawRecord := range raw.Records {
+		var r record
+		if decMode.Unmarshal(rawRecord, &r) != nil {
+			invalid(raw.Scope)
+			continue
+		}
+		group.Records = append(group.Records, r)
+	}
+	return group, true
+}
+
+// decodeHello decodes and checks a hello. Errors wrap ErrBadHello or ErrLimit.
 func decodeHello(b []byte, l Limits) (*hello, error) {
 	if len(b) > MaxHelloBytes {
 		return nil, fmt.Errorf("%w: %w", ErrBadHello, limitError("bytes", MaxHelloBytes, len(b)))
@@ -162,10 +178,12 @@
 	}
 	prefixes := 0
 	for i, s := range h.Selectors {
-		if len(s.Scope) > MaxNameBytes || s.Scope == "" && s.Flags&flagPrefix == 0 {
-			return nil, fmt.Errorf("%w: selector %d: a name of 1 to %d bytes expected, found %d", ErrBadHello, i, MaxNameBytes, len(s.Scope))
+		isPrefix := s.Flags&flagPrefix != 0
+		if len(s.Scope) > MaxNameBytes || s.Scope == "" && !isPrefix {
+			return nil, fmt.Errorf("%w: selector %d: a name of 1 to %d bytes expected, found %d",
+				ErrBadHello, i, MaxNameBytes, len(s.Scope))
 		}
-		if s.Flags&flagPrefix != 0 {
+		if isPrefix {
 			prefixes++
 		}
 	}
