--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -186,7 +186,7 @@
 
 func (v *Virtual) Stop(node int) {
 	if s := v.nodes[node]; s.view != nil {
-		s.view.Leave(s.clock())
+		s.view.Leave()
 	}
 	v.Kill(node)
 }
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -112,7 +112,7 @@
 	case "stop":
 		n.stopping = true
 		if n.view != nil {
-			n.view.Leave(n.clock())
+			n.view.Leave()
 		}
 		d.in(frontLeaves, func() {
 			if n.life == life {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -10,6 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
+// nowhere is a transport that records what is sent.
 type nowhere struct{ sent [][]byte }
 
 func (n *nowhere) Send(_ int, datagram []byte) { n.sent = append(n.sent, datagram) }
@@ -24,16 +25,16 @@
 
 const begin = int64(1_700_000_000e9)
 
-func one(t testing.TB, name string, of int, way Transport) *Members {
+func one(t testing.TB, name string, of int, transport Transport) *Members {
 	t.Helper()
-	m, err := New(Config{Name: name, Nodes: names(of), RoundNs: 1e9, Seed: 1, RunID: 7}, way, begin)
+	m, err := New(Config{Name: name, Nodes: names(of), RoundNs: 1e9, Seed: 1, RunID: 7}, transport, begin)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return m
 }
 
-// from is a message as another node would seal it.
+// from is a message as another node would send it.
 func from(m *Members, name string, msg message) []byte {
 	other := one(nil2{}, name, len(m.peers)+1, &nowhere{})
 	msg.To = m.id
@@ -48,7 +49,7 @@
 
 func (nil2) Helper() {}
 
-func TestNothingIsKeptOfWhatCannotBeTrusted(t *testing.T) {
+func TestInvalidDatagramsAreCountedAndIgnored(t *testing.T) {
 	m := one(t, "n0", 4, &nowhere{})
 	good := from(m, "n1", message{Kind: gossip, Updates: []update{{ID: 1, State: Alive, StartMs: 5, RunID: 1}}})
 	spoilt := append([]byte(nil), good...)
@@ -66,11 +67,11 @@
 		{"spoilt", spoilt, func(c Counters) int64 { return c.Invalid }},
 		{"too long", make([]byte, MaxDatagramBytes), func(c Counters) int64 { return c.Invalid }},
 		{"a later version", later, func(c Counters) int64 { return c.UnknownVersions }},
-		{"sealed with another key", encode([]byte("k"), &message{To: m.id, Self: m.updateOf(0)}), func(c Counters) int64 { return c.Invalid }},
+		{"authenticated with another key", encode([]byte("k"), &message{To: m.id, Self: m.updateOf(0)}), func(c Counters) int64 { return c.Invalid }},
 		{"for another", from(one(t, "n2", 4, nil), "n1", message{Kind: ping}), func(c Counters) int64 { return c.Misdirected }},
-		{"a stranger", from(m, "n1", message{Kind: ping, Self: stranger}), func(c Counters) int64 { return c.UnknownNodes }},
+		{"an unknown sender", from(m, "n1", message{Kind: ping, Self: stranger}), func(c Counters) int64 { return c.UnknownNodes }},
 		{"an incarnation beyond all", from(m, "n1", message{Kind: ping, Self: update{ID: m.peers[0].id, State: Alive, StartMs: maxIncarnation}}), func(c Counters) int64 { return c.Invalid }},
-		{"a rumour of a stranger", good, func(c Counters) int64 { return c.UnknownNodes - 1 }},
+		{"an update about an unknown node", good, func(c Counters) int64 { return c.UnknownNodes - 1 }},
 	} {
 		before := c.count(m.counters)
 		m.Receive(begin, c.datagram)
@@ -83,7 +84,7 @@
 	}
 }
 
-func TestFieldsOfALaterVersionArePassedOver(t *testing.T) {
+func TestUnknownFieldsAreIgnored(t *testing.T) {
 	m := one(t, "n0", 3, &nowhere{})
 	body, _ := cbor.Marshal(message{Kind: gossip, To: m.id, Self: one(t, "n1", 3, nil).selfUpdate()})
 	var fields map[int]any
@@ -99,10 +100,10 @@
 	}
 }
 
-// TestMessagesAreBoundedAndShort has a node with thousands of changes to tell, that is asked without end.
-func TestMessagesAreBoundedAndShort(t *testing.T) {
-	way := &nowhere{}
-	m := one(t, "n0", 2000, way)
+// TestDatagramsAreBoundedInNumberAndLength has a node with thousands of updates to gossip, that is pinged without end.
+func TestDatagramsAreBoundedInNumberAndLength(t *testing.T) {
+	transport := &nowhere{}
+	m := one(t, "n0", 2000, transport)
 	draw := rand.New(rand.NewPCG(1, 1))
 	for i := range m.peers {
 		m.applyUpdate(begin, update{ID: m.peers[i].id, State: Suspect, StartMs: draw.Uint64N(maxIncarnation), PastStart: draw.Uint64N(maxIncarnation), RunID: draw.Uint32(), SuspectedBy: draw.Uint64()}, false)
@@ -112,7 +113,7 @@
 		asked = append(asked, from(m, fmt.Sprintf("n%d", 1+k), message{Kind: ping, Sequence: uint64(k), Parts: m.parts(), Part: k % m.parts(), Digest: 1}))
 	}
 	for round := range 20 {
-		way.sent = way.sent[:0]
+		transport.sent = transport.sent[:0]
 		for range ticksPerRound {
 			now += 1e8
 			m.Tick(now)
@@ -120,10 +121,10 @@
 				m.Receive(now, datagram)
 			}
 		}
-		if len(way.sent) > 26+ticksPerRound*maxAnswersPerTick {
-			t.Fatalf("round %d: %d datagrams", round, len(way.sent))
+		if len(transport.sent) > 26+ticksPerRound*maxAnswersPerTick {
+			t.Fatalf("round %d: %d datagrams", round, len(transport.sent))
 		}
-		for _, d := range way.sent {
+		for _, d := range transport.sent {
 			if len(d) >= MaxDatagramBytes {
 				t.Fatalf("a datagram of %d bytes", len(d))
 			}
@@ -134,8 +135,8 @@
 	}
 }
 
-// TestLoads carries the longest load from a node that has much to tell, to one that wants it, one that does not, and a stranger.
-func TestLoads(t *testing.T) {
+// TestPayloads sends the longest payload from a node with many updates, to one that takes payloads, one that does not, and an unknown one.
+func TestPayloads(t *testing.T) {
 	out := &nowhere{}
 	a := one(t, "n0", 300, out)
 	allUp(a)
@@ -154,11 +155,11 @@
 		t.Errorf("took %d, %+v", took, c)
 	}
 	if got := len(b.Reachable()); got != 299 {
-		t.Errorf("%d may hear", got)
+		t.Errorf("%d are reachable", got)
 	}
 	b.peers[3].state, b.peers[4].state, b.peers[5].state = Dead, Left, Suspect
 	if got := len(b.Reachable()); got != 297 {
-		t.Errorf("%d may hear", got)
+		t.Errorf("%d are reachable", got)
 	}
 }
 
@@ -182,18 +183,18 @@
 	runtime.KeepAlive(m)
 }
 
-// TestAClockThatWentBack starts a node anew with a clock a minute behind: the gossip of its life before brings it beyond.
-func TestAClockThatWentBack(t *testing.T) {
-	way := &nowhere{}
-	m := one(t, "n0", 3, way)
+// TestIncarnationExceedsThatOfAnEarlierRun restarts a node with a clock a minute behind: an update of its earlier run raises its incarnation.
+func TestIncarnationExceedsThatOfAnEarlierRun(t *testing.T) {
+	transport := &nowhere{}
+	m := one(t, "n0", 3, transport)
 	m.applyUpdate(begin, update{ID: m.id, State: Dead, StartMs: m.startMs + 60_000, RunID: 3}, false)
 	if m.incarnation <= m.startMs+60_000 {
 		t.Errorf("incarnation %d stays under that of the life before, %d", m.incarnation, m.startMs+60_000)
 	}
 }
 
-// TestTwoProcessesOfOneName bid against each other; one of them goes quiet, and says so.
-func TestTwoProcessesOfOneName(t *testing.T) {
+// TestOneOfTwoProcessesOfOneNameGoesQuiet has two processes outbid each other, and one report the conflict.
+func TestOneOfTwoProcessesOfOneNameGoesQuiet(t *testing.T) {
 	a, b := one(t, "n0", 3, &nowhere{}), one(t, "n0", 3, &nowhere{})
 	b.config.RunID = 9
 	for range 6 {
@@ -201,28 +202,28 @@
 		b.Receive(begin, encode(nil, &message{Kind: ping, To: b.id, Self: a.selfUpdate()}))
 	}
 	if !a.NameConflict() || a.quietUntil == 0 || b.quietUntil != 0 {
-		t.Errorf("a yields until beat %d, b until %d", a.quietUntil, b.quietUntil)
+		t.Errorf("a is quiet until tick %d, b until %d", a.quietUntil, b.quietUntil)
 	}
 	if a.Summary(begin).Known {
-		t.Error("one of two goes by its view")
+		t.Error("the summary of one of two processes is known")
 	}
 }
 
-// TestHearsayAloneSilencesNobody has one doubted by others who answers this node: it stays, however long the word of others stands.
-func TestHearsayAloneSilencesNobody(t *testing.T) {
-	way := &nowhere{}
-	m := one(t, "n0", 6, way)
+// TestSuspicionFromOthersAloneNeverEndsInDeath has a node suspected by others that answers this one: it stays suspect, however long.
+func TestSuspicionFromOthersAloneNeverEndsInDeath(t *testing.T) {
+	transport := &nowhere{}
+	m := one(t, "n0", 6, transport)
 	for i := range m.peers {
 		m.applyUpdate(begin, update{ID: m.peers[i].id, State: Alive, StartMs: 5, RunID: 1}, true)
 	}
 	victim := m.find(one(t, "n1", 6, nil).id)
 	m.applyUpdate(begin, update{ID: m.peers[victim].id, State: Suspect, StartMs: 5, RunID: 1, SuspectedBy: m.peers[(victim+1)%5].id}, false)
 	now := begin
-	for beat := range 600 {
-		way.sent = way.sent[:0]
+	for tick := range 600 {
+		transport.sent = transport.sent[:0]
 		now += 1e8
 		m.Tick(now)
-		for _, d := range way.sent {
+		for _, d := range transport.sent {
 			msg, err := decode(nil, d)
 			if err != nil {
 				t.Fatal(err)
@@ -233,12 +234,12 @@
 			}
 		}
 		if s := m.peers[victim].state; s != Suspect {
-			t.Fatalf("beat %d: %v", beat, s)
+			t.Fatalf("tick %d: %v", tick, s)
 		}
 	}
 }
 
-func TestWrongSettings(t *testing.T) {
+func TestNewRejectsInvalidConfigs(t *testing.T) {
 	for _, s := range []Config{
 		{Name: "", Nodes: names(2), RoundNs: 1},
 		{Name: "n0", Nodes: names(2)},
@@ -252,7 +253,7 @@
 	}
 }
 
-func FuzzHeard(f *testing.F) {
+func FuzzReceive(f *testing.F) {
 	m := one(f, "n0", 30, &nowhere{})
 	f.Add(from(m, "n1", message{Kind: ping, Sequence: 1, Parts: 2, Digest: 7}))
 	f.Add(from(m, "n2", message{Kind: pingReq, Sequence: 1, Target: m.peers[3].id}))
@@ -260,7 +261,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m := one(t, "n0", 30, &nowhere{})
 		m.Receive(begin, data)
-		if len(data) > 0 { // also past the seal
+		if len(data) > 0 { // also past the authentication
 			body := append([]byte{version}, data...)
 			m.Receive(begin, append(body, authTag(nil, body)...))
 		}
@@ -268,10 +269,10 @@
 	})
 }
 
-// upTo lets a view take beats, as if all went well with its clock.
-func upTo(m *Members, now int64, beats int) int64 {
-	for range beats {
-		now += m.beatNs()
+// upTo runs a view for some ticks without a stall.
+func upTo(m *Members, now int64, ticks int) int64 {
+	for range ticks {
+		now += m.config.RoundNs / ticksPerRound
 		m.Tick(now)
 	}
 	return now
@@ -283,25 +284,23 @@
 	}
 }
 
-// TestAStandstillCastsNoDoubt has a node stand still while it probes: whatever is not answered then and in the first probe after, is
-// its own doing first.
-func TestAStandstillCastsNoDoubt(t *testing.T) {
+// TestNoSuspicionAfterAStall stalls a node while it probes: neither that probe nor the first one after raises a suspicion.
+func TestNoSuspicionAfterAStall(t *testing.T) {
 	for phase := range ticksPerRound {
 		m := one(t, "n0", 6, &nowhere{})
 		allUp(m)
 		now := upTo(m, begin, ticksPerRound+phase)
 		if now = upTo(m, now+3e9, 3*ticksPerRound-1); m.counters.Suspicions != 0 || m.counters.Stalls != 1 {
-			t.Errorf("phase %d: %d doubts, %d standstills", phase, m.counters.Suspicions, m.counters.Stalls)
+			t.Errorf("phase %d: %d suspicions, %d stalls", phase, m.counters.Suspicions, m.counters.Stalls)
 		}
 		if upTo(m, now, 4*ticksPerRound); m.counters.Suspicions == 0 {
-			t.Error("it never doubts again")
+			t.Error("it never suspects again")
 		}
 	}
 }
 
-// TestWhatWasMissedIsFoundByDigests has a node that is told nothing any more know what another does, after one ping and its answer in
-// each part.
-func TestWhatWasMissedIsFoundByDigests(t *testing.T) {
+// TestPushPullRepairsMissedUpdates has a node that got no update learn what another knows, by one ping and its ack for each part.
+func TestPushPullRepairsMissedUpdates(t *testing.T) {
 	wayA, wayB := &nowhere{}, &nowhere{}
 	a, b := one(t, "n0", 50, wayA), one(t, "n1", 50, wayB)
 	allUp(a)
@@ -326,23 +325,23 @@
 	}
 }
 
-// TestALifeBeforeIsNotAnswered has a message of an earlier life of a node come: it is told what it is taken for, and nothing else.
-func TestALifeBeforeIsNotAnswered(t *testing.T) {
-	way := &nowhere{}
-	m := one(t, "n0", 4, way)
+// TestMessagesOfAnEarlierRunAreNotAnswered has a message of an earlier run of a node come: it is sent its known state, and nothing else.
+func TestMessagesOfAnEarlierRunAreNotAnswered(t *testing.T) {
+	transport := &nowhere{}
+	m := one(t, "n0", 4, transport)
 	old := one(t, "n1", 4, &nowhere{}).selfUpdate()
 	next := old
 	next.StartMs, next.RunID = old.StartMs+1000, 8
 	m.Receive(begin, from(m, "n1", message{Kind: gossip, Self: next}))
-	way.sent = nil
+	transport.sent = nil
 	m.Receive(begin+1e9, from(m, "n1", message{Kind: ping, Sequence: 4, Self: old}))
-	if len(way.sent) != 1 || m.peers[m.find(old.ID)].heardAt != begin || m.counters.Stale != 1 {
-		t.Fatalf("%d sent, %+v", len(way.sent), m.counters)
+	if len(transport.sent) != 1 || m.peers[m.find(old.ID)].heardAt != begin || m.counters.Stale != 1 {
+		t.Fatalf("%d sent, %+v", len(transport.sent), m.counters)
 	}
-	if msg, err := decode(nil, way.sent[0]); err != nil || msg.Kind != gossip || len(msg.Updates) == 0 || msg.Updates[0].StartMs != next.StartMs {
+	if msg, err := decode(nil, transport.sent[0]); err != nil || msg.Kind != gossip || len(msg.Updates) == 0 || msg.Updates[0].StartMs != next.StartMs {
 		t.Errorf("%+v, %v", msg, err)
 	}
 	if m.applyUpdate(begin, old, false); m.peers[m.find(old.ID)].startMs != next.StartMs {
-		t.Error("an old word is taken")
+		t.Error("an old update is applied")
 	}
 }
--- a/internal/members/probe.go
+++ b/internal/members/probe.go
@@ -1,237 +1,233 @@
 package members
 
-// This file owns what a node does by itself, beat by beat: probing, asking others to probe, calling those that are not up,
-// telling what is new. It must never send more than the bounds in the package's head, whatever it has heard.
+import "slices"
+
+// Probes: each round one node in turn is pinged. If no ack comes, it is pinged again, then others are asked to ping it
+// (ping-req). Without any ack in time the probe has failed. A node that was asked and gets no ack itself says so (nack):
+// no nack either means that this node's own link is the likely cause.
 
 const (
-	secondPing           = 2 // beats after the first ping
-	thirdPing            = 4
-	firstPingReq         = 5
-	secondPingReq        = 8
-	probeTimeout         = 13
-	nackAfter            = 3 // an asked one says that it had no answer either
-	pingReqNodes         = 3
+	maxProbes         = 2  // at a time
+	maxIndirectProbes = 64 // for others, at a time
+	pingReqNodes      = 3  // asked at each ping-req
+
+	// Ticks after a probe began.
+	secondPing    = 2
+	thirdPing     = 4
+	firstPingReq  = 5
+	secondPingReq = 8
+	probeTimeout  = 13
+
+	// Ticks after a ping-req came.
+	nackAfter            = 3
 	indirectProbeTimeout = ticksPerRound
+
+	// reconnectsPerRound is how many nodes that are not alive are pinged in a round while some are unknown; else it is
+	// one.
+	reconnectsPerRound = 3
 )
 
-// probe is a question to one node whether it is there.
+// probe is a probe of this node's own.
 type probe struct {
 	peer     int
 	sequence uint64
-	began    int64
-	step     int
-	helpers  []int
+	began    int64 // tick
+	step     int   // next in probeSteps
+	helpers  []int // peers that were sent a ping-req
 	nacks    int
 }
 
-// ask is a probe that another has asked for.
+var probeSteps = [...]int64{0, secondPing, thirdPing, firstPingReq, secondPingReq, probeTimeout}
+
+// indirectProbe is a probe that another node has asked for.
 type indirectProbe struct {
 	from            int
-	requestSequence uint64 // sequence
-	sequence        uint64
+	requestSequence uint64
+	sequence        uint64 // of the ping
 	target          uint64
-	receivedAt      int64
+	receivedAt      int64 // tick
 }
 
-var probeSteps = [...]int64{0, secondPing, thirdPing, firstPingReq, secondPingReq, probeTimeout}
-
-// Beat is to be called ten times a round. Nothing else makes this node act by itself.
-func (m *Members) Tick(now int64) {
-	if m.hasLeft {
-		return
-	}
-	m.noteCall(now)
-	m.tick++
-	m.answersInTick = 0
-	if m.tick < m.quietUntil {
-		return
-	}
-	m.continueProbes(now)
-	m.endIndirectProbes()
-	m.endSuspicions(now)
-	switch (m.tick + int64(m.id%ticksPerRound)) % ticksPerRound {
-	case 0:
-		m.beginProbe()
-	case 2, 6:
-		if len(m.broadcasts) > 0 {
-			for _, i := range m.randomAlive(1, -1) {
-				m.send(i, &message{Kind: gossip})
-			}
-		}
-	case 8:
-		m.pingSuspect()
-	case 4:
-		m.reconnect()
-		for i := range m.peers { // a second process of a name shows again and again, an old message does not
-			if m.tick%(20*ticksPerRound) < ticksPerRound {
-				m.peers[i].conflicts /= 2
-			}
-		}
-	}
-}
-
-// begin starts the round's probe.
+// beginProbe begins the round's probe.
 func (m *Members) beginProbe() {
 	if len(m.probes) >= maxProbes {
 		return
 	}
 	for range 2 * len(m.peers) {
-		if len(m.probeOrder) == 0 {
-			for i := range m.peers {
-				m.probeOrder = append(m.probeOrder, int32(i))
-			}
-			m.random.Shuffle(len(m.probeOrder), func(a, b int) { m.probeOrder[a], m.probeOrder[b] = m.probeOrder[b], m.probeOrder[a] })
-		}
-		i := int(m.probeOrder[0])
-		m.probeOrder = m.probeOrder[1:]
-		if s := m.peers[i].state; s == Alive || s == Suspect {
+		i := m.nextInOrder()
+		if m.isProbed(i) {
 			m.sequence++
 			p := &probe{peer: i, sequence: m.sequence, began: m.tick}
 			m.probes = append(m.probes, p)
-			m.ping(p)
+			m.pingFor(p)
 			return
 		}
 	}
 }
 
-func (m *Members) ping(p *probe) {
+// nextInOrder takes the next peer of the probe order, and shuffles a new order when it is used up.
+func (m *Members) nextInOrder() int {
+	if len(m.probeOrder) == 0 {
+		for i := range m.peers {
+			m.probeOrder = append(m.probeOrder, int32(i))
+		}
+		m.shuffle(m.probeOrder)
+	}
+	i := int(m.probeOrder[0])
+	m.probeOrder = m.probeOrder[1:]
+	return i
+}
+
+// probeNext makes a peer the next to be probed.
+func (m *Members) probeNext(i int) { m.probeOrder = append([]int32{int32(i)}, m.probeOrder...) }
+
+// isProbed tells whether a peer is in a state in which it is probed; others are reconnected.
+func (m *Members) isProbed(i int) bool {
+	state := m.peers[i].state
+	return state == Alive || state == Suspect
+}
+
+func (m *Members) shuffle(order []int32) {
+	m.random.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
+}
+
+func (m *Members) pingFor(p *probe) {
 	p.step++
 	m.send(p.peer, m.withDigest(&message{Kind: ping, Sequence: p.sequence}))
 }
 
-// tryAgain takes each probe its next step. A node under strain gives the others longer.
+func (m *Members) pingReqFor(p *probe) {
+	p.step++
+	for _, i := range m.randomAlive(pingReqNodes, p.peer) {
+		p.helpers = append(p.helpers, i)
+		m.send(i, &message{Kind: pingReq, Sequence: p.sequence, Target: m.peers[p.peer].id})
+	}
+}
+
+// continueProbes takes each probe its next step if that is due.
 func (m *Members) continueProbes(now int64) {
 	kept := m.probes[:0]
 	for _, p := range m.probes {
-		if s := m.peers[p.peer].state; s != Alive && s != Suspect {
-			continue
-		}
-		if m.tick < p.began+probeSteps[p.step]*(4+m.healthScore)/4 {
+		if m.isProbed(p.peer) && m.continueProbe(now, p) {
 			kept = append(kept, p)
-			continue
-		}
-		switch probeSteps[p.step] {
-		case secondPing, thirdPing:
-			m.ping(p)
-		case firstPingReq, secondPingReq:
-			if probeSteps[p.step] == secondPingReq {
-				m.send(p.peer, &message{Kind: ping, Sequence: p.sequence})
-			}
-			p.step++
-			for _, i := range m.randomAlive(pingReqNodes, p.peer) {
-				p.helpers = append(p.helpers, i)
-				m.send(i, &message{Kind: pingReq, Sequence: p.sequence, Target: m.peers[p.peer].id})
-			}
-		default:
-			m.probeFailed(now, p)
-			continue
 		}
-		kept = append(kept, p)
 	}
 	m.probes = kept
 }
 
-// warn has one that this node doubts hear of it, so that it can say otherwise in time: where much is lost and much is new, the
-// others' passing on of the doubt may come too late. 300 nodes with three in ten messages lost took 46 well ones a minute for silent.
-func (m *Members) pingSuspect() {
-	for range m.suspects {
-		i := m.suspects[0]
-		m.suspects = append(m.suspects[1:], i) // in turn
-		if m.peers[i].suspectedHere {
-			m.sequence++
-			m.send(int(i), &message{Kind: ping, Sequence: m.sequence})
-			return
-		}
+// continueProbe tells whether the probe goes on.
+func (m *Members) continueProbe(now int64, p *probe) bool {
+	due := probeSteps[p.step]
+	if m.tick < p.began+m.stretch(due) {
+		return true
 	}
-}
-
-// over notes the end of a probe.
-func (m *Members) probeEnded(now int64, answered bool) {
-	m.counters.Probes++
-	m.lastProbeAt = now
-	if m.probeResults = append(m.probeResults, answered); len(m.probeResults) > maxProbeResults {
-		m.probeResults = m.probeResults[1:]
-	}
-	if answered {
-		m.healthScore = max(m.healthScore-1, 0)
+	switch due {
+	case secondPing, thirdPing:
+		m.pingFor(p)
+	case firstPingReq:
+		m.pingReqFor(p)
+	case secondPingReq:
+		m.send(p.peer, &message{Kind: ping, Sequence: p.sequence})
+		m.pingReqFor(p)
+	default:
+		m.probeFailed(now, p)
+		return false
 	}
+	return true
 }
 
-// unanswered raises a doubt, unless this node itself has only just stood still. Where it hears nobody at all the doubt stays
-// its own: the others would have to take it back for nothing once the way is mended.
+// probeFailed takes in a probe without an ack.
 func (m *Members) probeFailed(now int64, p *probe) {
 	m.probeEnded(now, false)
 	m.counters.FailedProbes++
 	if len(p.helpers) > 0 && p.nacks == 0 {
-		m.healthScore = min(m.healthScore+1, maxHealthScore) // not even a word from those that were asked
+		m.healthScore = min(m.healthScore+1, maxHealthScore)
 	}
-	if m.tick < m.stalledUntil {
-		return
+	if !m.isStalled() {
+		m.raiseSuspicion(now, p.peer)
+	}
+}
+
+// ackReceived ends the probe that an ack belongs to, or passes it on to the node that asked for the probe.
+func (m *Members) ackReceived(now int64, from int, msg *message) {
+	acked := m.peers[from].id
+	if msg.Target != 0 {
+		acked = msg.Target
 	}
-	x, alone := &m.peers[p.peer], m.isIsolated()
-	switch x.state {
-	case Alive:
-		m.counters.Suspicions++
-		m.setState(now, p.peer, Suspect)
-		x.suspectedHere, x.ownViewOnly = true, alone
-	case Suspect:
-		if x.ownViewOnly && !alone {
-			x.ownViewOnly = false
+	for k, p := range m.probes {
+		if p.sequence == msg.Sequence && m.peers[p.peer].id == acked {
+			m.probeEnded(now, true)
+			m.probes = append(m.probes[:k], m.probes[k+1:]...)
+			return
 		}
-		x.suspectedHere = true
-	default:
-		return
 	}
-	if !x.ownViewOnly {
-		m.broadcast(p.peer)
+	for k, indirect := range m.indirectProbes {
+		if indirect.sequence == msg.Sequence && indirect.target == acked && msg.Target == 0 {
+			m.indirectProbes = append(m.indirectProbes[:k], m.indirectProbes[k+1:]...)
+			if m.mayAnswer() {
+				m.send(indirect.from, &message{Kind: ack, Sequence: indirect.requestSequence, Target: indirect.target})
+			}
+			return
+		}
 	}
 }
 
-// endDoubts has those that did not say otherwise in time taken for silent. Where this node has a doubt from others alone it looks for
-// itself first: guards against one that heard of a doubt late, and missed that it was taken back.
-func (m *Members) endSuspicions(now int64) {
-	for k := 0; k < len(m.suspects); {
-		i := int(m.suspects[k])
-		p := &m.peers[i]
-		if m.tick < p.suspicionEnds || m.tick < m.stalledUntil {
-			k++
-			continue
+// nackReceived counts a nack at the probe that it belongs to.
+func (m *Members) nackReceived(msg *message) {
+	for _, p := range m.probes {
+		if p.sequence == msg.Sequence && m.peers[p.peer].id == msg.Target {
+			p.nacks++
 		}
-		if !p.suspectedHere {
-			m.probeOrder = append([]int32{int32(i)}, m.probeOrder...)
-			p.suspicionEnds = m.tick + ticksPerRound + 2*probeTimeout
-			k++
-			continue
+	}
+}
+
+// pingReqReceived begins an indirect probe.
+func (m *Members) pingReqReceived(from int, msg *message) {
+	target := m.find(msg.Target)
+	if target < 0 || target == from || len(m.indirectProbes) >= maxIndirectProbes || !m.mayAnswer() {
+		return
+	}
+	m.sequence++
+	m.indirectProbes = append(m.indirectProbes, indirectProbe{
+		from:            from,
+		requestSequence: msg.Sequence,
+		sequence:        m.sequence,
+		target:          msg.Target,
+		receivedAt:      m.tick,
+	})
+	m.send(target, &message{Kind: ping, Sequence: m.sequence})
+}
+
+// continueIndirectProbes sends the nacks that are due, and drops indirect probes that have timed out. An ack may still
+// come after a nack.
+func (m *Members) continueIndirectProbes() {
+	kept := m.indirectProbes[:0]
+	for _, indirect := range m.indirectProbes {
+		if m.tick == indirect.receivedAt+nackAfter && m.mayAnswer() {
+			m.send(indirect.from, &message{Kind: nack, Sequence: indirect.requestSequence, Target: indirect.target})
 		}
-		m.counters.Deaths++
-		own := p.ownViewOnly || m.isIsolated()
-		m.setState(now, i, Dead) // takes it off the list
-		if p.ownViewOnly = own; !own {
-			m.broadcast(i)
+		if m.tick < indirect.receivedAt+indirectProbeTimeout {
+			kept = append(kept, indirect)
 		}
 	}
+	m.indirectProbes = kept
 }
 
-// call asks after those that are not up, in turn: they may be back, or behind a way that is mended.
+// reconnect pings nodes that are not alive, in turn: they may be back, or reachable again.
 func (m *Members) reconnect() {
-	for n := 0; n < reconnectsPerRound; n++ {
+	for pinged := 0; pinged < reconnectsPerRound; {
 		if len(m.reconnectOrder) == 0 {
-			for i := range m.peers {
-				if s := m.peers[i].state; s != Alive && s != Suspect {
-					m.reconnectOrder = append(m.reconnectOrder, int32(i))
-				}
-			}
-			m.random.Shuffle(len(m.reconnectOrder), func(a, b int) { m.reconnectOrder[a], m.reconnectOrder[b] = m.reconnectOrder[b], m.reconnectOrder[a] })
+			m.shuffleReconnects()
 		}
 		if len(m.reconnectOrder) == 0 {
 			return
 		}
 		i := int(m.reconnectOrder[0])
 		m.reconnectOrder = m.reconnectOrder[1:]
-		if s := m.peers[i].state; s == Alive || s == Suspect {
-			n--
+		if m.isProbed(i) {
 			continue
 		}
+		pinged++
 		m.sequence++
 		m.send(i, m.withDigest(&message{Kind: ping, Sequence: m.sequence}))
 		if m.peers[i].state != Unknown {
@@ -240,52 +236,36 @@
 	}
 }
 
-// some draws nodes that are up, without one.
-func (m *Members) randomAlive(want, without int) []int {
-	var out []int
+func (m *Members) shuffleReconnects() {
+	for i := range m.peers {
+		if !m.isProbed(i) {
+			m.reconnectOrder = append(m.reconnectOrder, int32(i))
+		}
+	}
+	m.shuffle(m.reconnectOrder)
+}
+
+// randomAlive draws up to so many peers that are alive, without one. A few draws find them while most are alive; after
+// that all are searched from a drawn place.
+func (m *Members) randomAlive(wanted, without int) (drawn []int) {
+	const drawsPerPeer = 4
 	if len(m.peers) == 0 {
 		return nil
 	}
-	// A few draws find enough while most are up; then all are looked through from a drawn place.
 	first := m.random.IntN(len(m.peers))
-	for k := range len(m.peers) + 4*want {
+	draws := drawsPerPeer * wanted
+	for k := range len(m.peers) + draws {
 		i := m.random.IntN(len(m.peers))
-		if k >= 4*want {
+		if k >= draws {
 			i = (first + k) % len(m.peers)
 		}
-		taken := i == without || m.peers[i].state != Alive
-		for _, o := range out {
-			taken = taken || o == i
-		}
-		if !taken {
-			if out = append(out, i); len(out) == want {
-				break
-			}
-		}
-	}
-	return out
-}
-
-// answerAsks tells those that had this node probe that it has no answer either; the answer may still come.
-func (m *Members) endIndirectProbes() {
-	kept := m.indirectProbes[:0]
-	for _, a := range m.indirectProbes {
-		if m.tick == a.receivedAt+nackAfter && m.mayAnswer() {
-			m.send(a.from, &message{Kind: nack, Sequence: a.requestSequence, Target: a.target})
+		if i == without || m.peers[i].state != Alive || slices.Contains(drawn, i) {
+			continue
 		}
-		if m.tick < a.receivedAt+indirectProbeTimeout {
-			kept = append(kept, a)
+		drawn = append(drawn, i)
+		if len(drawn) == wanted {
+			break
 		}
 	}
-	m.indirectProbes = kept
-}
-
-// mayAnswer holds what others can make this node send within the bound.
-func (m *Members) mayAnswer() bool {
-	if m.answersInTick >= maxAnswersPerTick {
-		m.counters.AnswersWithheld++
-		return false
-	}
-	m.answersInTick++
-	return true
+	return drawn
 }
--- /dev/null
+++ b/internal/members/receive.go
@@ -0,0 +1,107 @@
+package members
+
+import "errors"
+
+// Receive takes in one datagram at a time in Unix nanoseconds. The sender is the name in the datagram, whatever address
+// it came from; answers go to the configured address of that name alone.
+func (m *Members) Receive(now int64, datagram []byte) {
+	if m.hasLeft {
+		return
+	}
+	m.noteCall(now)
+	m.counters.Received++
+	m.counters.ReceivedBytes += int64(len(datagram))
+	msg, err := decode(m.config.Key, datagram)
+	if errors.Is(err, errVersion) {
+		m.counters.UnknownVersions++
+		return
+	}
+	if err != nil || !msg.valid() {
+		m.counters.Invalid++
+		return
+	}
+	from, ok := m.senderOf(msg)
+	if !ok {
+		return
+	}
+	m.applyUpdate(now, msg.Self, true)
+	for _, u := range msg.Updates {
+		m.applyUpdate(now, u, false)
+	}
+	p := &m.peers[from]
+	if p.incarnation != msg.Self.incarnation() || p.runID != msg.Self.RunID {
+		m.notifyStale(from)
+		return
+	}
+	p.heardAt = now
+	if !m.isQuiet() {
+		m.handle(now, from, msg)
+	}
+}
+
+// valid tells whether a message is one that a node can send.
+func (msg *message) valid() bool {
+	senderState := msg.Self.State == Alive || msg.Self.State == Left
+	return senderState && msg.Self.valid() && len(msg.Updates) <= maxUpdates
+}
+
+// senderOf returns the peer that has sent a message; false: the message is not for this node or from no peer.
+func (m *Members) senderOf(msg *message) (from int, ok bool) {
+	if msg.To != m.id {
+		m.counters.Misdirected++
+		return -1, false
+	}
+	if msg.Self.ID == m.id { // an echo, or another process of this name
+		m.counters.Misdirected++
+		m.refute(msg.Self)
+		return -1, false
+	}
+	from = m.find(msg.Self.ID)
+	if from < 0 {
+		m.counters.UnknownNodes++
+	}
+	return from, from >= 0
+}
+
+// notifyStale sends a node whose message came from an earlier run, or from another process of its name, the state that
+// is known of it, so that it can refute. Nothing else of the message is answered.
+func (m *Members) notifyStale(from int) {
+	if !m.isQuiet() && m.mayAnswer() {
+		m.send(from, &message{Kind: gossip, Updates: []update{m.updateOf(from)}})
+	}
+}
+
+// handle does what a message asks for.
+func (m *Members) handle(now int64, from int, msg *message) {
+	switch msg.Kind {
+	case ping:
+		m.pingReceived(from, msg)
+	case ack:
+		m.latestKnownStartMs = max(m.latestKnownStartMs, msg.KnownStartMs)
+		m.ackReceived(now, from, msg)
+		if m.differs(msg) && m.mayAnswer() {
+			m.send(from, &message{Kind: pushPull, Updates: m.partUpdates(msg.Part)})
+		}
+	case pingReq:
+		m.pingReqReceived(from, msg)
+	case nack:
+		m.nackReceived(msg)
+	case payload:
+		if m.config.ReceivePayload != nil {
+			m.config.ReceivePayload(int(m.peers[from].place), msg.Payload)
+		}
+	}
+}
+
+// pingReceived sends an ack, with the states of the part whose digests differ.
+func (m *Members) pingReceived(from int, msg *message) {
+	if !m.mayAnswer() {
+		return
+	}
+	reply := &message{Kind: ack, Sequence: msg.Sequence, KnownStartMs: m.peers[from].priorStartMs}
+	if m.differs(msg) {
+		reply.Parts, reply.Part, reply.Digest = msg.Parts, msg.Part, m.digest(msg.Part)
+		reply.Updates = m.partUpdates(msg.Part)
+	}
+	m.send(from, reply)
+}
--- /dev/null
+++ b/internal/members/refute.go
@@ -0,0 +1,65 @@
+package members
+
+// Refutation: a node that is said to be suspect, dead or left sends a higher incarnation. Two processes of one name
+// show by outbidding each other again and again; the one with the higher run ID keeps the name, and the other sends
+// nothing for yieldTicks.
+
+const (
+	conflictThreshold = 3   // bids of a rival, or conflicting datagrams, that show a second process
+	maxConflicts      = 250 // counted
+	yieldTicks        = 20 * ticksPerRound
+	conflictHalving   = 20 * ticksPerRound // after which counted conflicts are halved
+)
+
+// refute takes in an update about this node.
+func (m *Members) refute(u update) {
+	if u.incarnation() < m.incarnation || m.isQuiet() {
+		return
+	}
+	if u.RunID != m.config.RunID {
+		if m.losesNameTo(u) {
+			return
+		}
+	} else {
+		if u.State == Alive && u.incarnation() == m.incarnation {
+			return
+		}
+		m.counters.Refutations++
+		if m.healthScore < maxHealthScore && u.State == Suspect {
+			m.healthScore++
+		}
+	}
+	m.incarnation = u.incarnation() + 1
+}
+
+// losesNameTo counts the bids of another process of this name, and tells whether this one yields to it.
+func (m *Members) losesNameTo(u update) bool {
+	if m.rivalRunID != u.RunID {
+		m.rivalRunID, m.rivalBids, m.rivalIncarnation = u.RunID, 0, 0
+	}
+	if u.incarnation() > m.rivalIncarnation {
+		m.rivalIncarnation = u.incarnation()
+		m.rivalBids++
+	}
+	if m.rivalBids < conflictThreshold || m.config.RunID >= u.RunID {
+		return false
+	}
+	m.quietUntil = m.tick + yieldTicks
+	return true
+}
+
+// isQuiet tells whether this process sends nothing, as another has its name.
+func (m *Members) isQuiet() bool { return m.tick < m.quietUntil }
+
+// NameConflict tells whether another process has this node's name.
+func (m *Members) NameConflict() bool { return m.rivalBids >= conflictThreshold || m.isQuiet() }
+
+// forgetConflicts lets the conflicts of a delayed datagram fade; those of a second process come again and again.
+func (m *Members) forgetConflicts() {
+	if m.tick%conflictHalving >= ticksPerRound {
+		return
+	}
+	for i := range m.peers {
+		m.peers[i].conflicts /= 2
+	}
+}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -106,11 +106,11 @@
 		return err
 	}
 	config := members.Config{
-		Name:  a.node.config.Name,
-		Key:   a.config.KeyBytes,
-		RoundNs: a.config.RoundNs,
-		Seed:  binary.LittleEndian.Uint64(random[:]),
-		RunID:   binary.LittleEndian.Uint32(random[8:]),
+		Name:          a.node.config.Name,
+		Key:           a.config.KeyBytes,
+		RoundNs:       a.config.RoundNs,
+		Seed:          binary.LittleEndian.Uint64(random[:]),
+		RunID:         binary.LittleEndian.Uint32(random[8:]),
 		KnownStartsMs: a.node.persistence.memberStarts(),
 	}
 	for _, node := range a.config.Nodes {
@@ -205,7 +205,7 @@
 	if a == nil || a.node.hotRestart.hasYielded() {
 		return
 	}
-	if err := a.query(func(m *members.Members, now int64) { m.Leave(now) }); err != nil {
+	if err := a.query(func(m *members.Members, _ int64) { m.Leave() }); err != nil {
 		a.node.log.Warn("other nodes were not notified of the shutdown", zap.Error(err))
 	}
 }
