--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -205,7 +205,7 @@
 	if a == nil || a.node.hotRestart.hasYielded() {
 		return
 	}
-	if err := a.query(func(m *members.Members, now int64) { m.Leave(now) }); err != nil {
+	if err := a.query(func(m *members.Members, _ int64) { m.Leave() }); err != nil {
 		a.node.log.Warn("other nodes were not notified of the shutdown", zap.Error(err))
 	}
 }
