--- a/internal/classdelay/classdelay.go
+++ b/internal/classdelay/classdelay.go
@@ -1,4 +1,4 @@
-// Package classdelay tells by how much longer than others the requests of one class, or of one tenant, wait wherever
+// Package classdelay measures by how much longer than others the requests of one class, or of one tenant, wait wherever
 // they are sent, for example for a dependency of their own. Times are in nanoseconds; moments are of the caller's
 // clock.
 package classdelay
@@ -64,8 +64,8 @@
 	}
 }
 
-// isComparable tells whether a group says how others fare now. One whose requests are given up counts by what it showed
-// last: those that are not admitted must not make the late ones look like all.
+// isComparable reports whether a group says how others fare now. One whose requests are given up counts by what it
+// showed last: those that are not admitted must not make the late ones look like all.
 func (g *group) isComparable(now int64) bool {
 	return now-g.lastAnswerAt < freshNanos || g.givenUp >= answersKept
 }
@@ -133,8 +133,8 @@
 	return delays[byClass] + delays[byTenant]
 }
 
-// MayTry tells whether the groups that are delayed may be tried anew: nothing of them is in flight, nor has been for
-// more than a part of the time. So all nodes together never try with more than that part of them at once, however long
+// MayTry reports whether the groups that are delayed may be tried anew: nothing of them is in flight, nor has been for
+// more than a part of the time. So all nodes together try with no more than that part of them at once, however long
 // a try takes.
 func (c ClassAndTenant) MayTry(now int64, timeFraction float64) bool {
 	for kind, delay := range c.delays(now) {
--- a/internal/estimates/class.go
+++ b/internal/estimates/class.go
@@ -13,7 +13,7 @@
 	minSuccessRate     = 0.01
 	maxRequestCount    = 64
 	requestCountDecay  = 0.9 // part of RequestCount that is left a second later
-	workQuantile       = 0.4 // of latencies: tells the work of a class from its waiting
+	workQuantile       = 0.4 // of latencies: separates the work of a class from its waiting
 	workSamplesForMean = 8   // answers by whose mean the work is first known
 )
 
@@ -84,7 +84,7 @@
 	c.GivenUpCount = 0
 }
 
-// isValid tells whether the figures can have been learned.
+// isValid reports whether the figures can have been learned.
 func (c *ClassEstimates) isValid() bool {
 	return isPositive(c.LatencySpread, c.SuccessRate) &&
 		isNonNegative(c.TypicalWork, c.RequestCount, c.KeptShare)
--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -16,7 +16,7 @@
 	Latency ewma.Pair `json:"Own"`
 	// HighLatency is a high quantile of the latency for each unit of work.
 	HighLatency float64 `json:"High"`
-	// HasLatency and HasReport tell whether there were an answer and a report.
+	// HasLatency and HasReport report whether there were an answer and a report.
 	HasLatency bool `json:"Known"`
 	HasReport  bool `json:"Heard"`
 }
--- a/internal/estimates/snapshot.go
+++ b/internal/estimates/snapshot.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Valid tells whether all of it can have been learned of so many classes. What comes from another process is taken
-// whole or not at all.
+// Valid reports whether all of it can have been learned of so many classes. What comes from another process is taken
+// completely or not at all.
 func (s *Snapshot) Valid(classes int) bool {
 	if len(s.Classes) != classes || !s.isValidFleet() {
 		return false
@@ -76,7 +76,7 @@
 	return p != nil && isNonNegative(p.FirstSum, p.SecondSum, p.Weight)
 }
 
-// isNonNegative tells whether all values are finite and at least 0.
+// isNonNegative reports whether all values are finite and at least 0.
 func isNonNegative(values ...float64) bool {
 	for _, v := range values {
 		if !(v >= 0) || math.IsInf(v, 0) {
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Died takes in a connection that was dead after an idle time, and tells whether that is a sign, for Confirm.
+// Died takes in a connection that was dead after an idle time, and reports whether that is a sign, for Confirm.
 func (e *Estimator) Died(idle int64) bool {
 	e.lastDeadAfter = idle
 	e.deadInARow++
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -21,7 +21,7 @@
 	mustPollListOptions = []option[bool]{{"push", false}, {"ask", true}}
 	// A weight that says how full an endpoint was a while ago is ignored: its load reports say it better.
 	weightIsSizeOptions = []option[bool]{{"off", false}, {"nominal", true}, {"rough", true}, {"live", false}}
-	// reportsOnHealthChecks tells whether load reports come with health checks alone.
+	// reportsOnHealthChecks reports whether load reports come with health checks alone.
 	reportsOnHealthChecks = []option[bool]{{"inline", false}, {"on_probe", true}, {"off", false}}
 )
 
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -44,7 +44,7 @@
 	return string(word)
 }
 
-// isAbsent tells whether the next value is missing or "-", and takes it then.
+// isAbsent reports whether the next value is missing or "-", and takes it then.
 func (f *fields) isAbsent() bool {
 	if len(f.rest) == 0 {
 		return true
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -13,8 +13,8 @@
 // until the latency objective or the effective deadline, the success rate of each class, its priority weight, and the
 // tenants' quotas. While requests are rejected, those of a class that does better than the worst, of a class that earns
 // less for its work, and of a tenant beyond its quota have to be answered in a part of the time that is left. None of
-// this acts while all classes succeed, and nothing is queued: who is not admitted is rejected at once. docs/design.md:
-// "Admission: predicted in time", "Shedding load".
+// this acts while all classes succeed, and nothing is queued: a request that is not admitted is rejected at once.
+// docs/design.md: "Admission: predicted in time", "Shedding load".
 
 const (
 	// evenWorstClassWeight is the Settings.WorstClassWeight from which on what a class earns gives it no preference.
@@ -30,14 +30,14 @@
 	delays *classdelay.Tracker
 }
 
-// isInTime tells whether an endpoint is predicted to answer within the budget.
+// isInTime reports whether an endpoint is predicted to answer within the budget.
 func (e *estimator) isInTime(c *criteria, ep *endpoint, work float64) bool {
 	predicted := float64(e.predictLatency(ep, work*c.latencyFactor))
 	return predicted+c.classDelayNanos <= c.budgetNanos
 }
 
 // latencyFactor is the quantile of answers over their predictions that a prediction is raised by. It is a high one only
-// as far as requests are rejected: while there is capacity, a late answer costs nobody else.
+// as far as requests are rejected: while there is capacity, a late answer costs no other request.
 func (b *Balancer) latencyFactor(req *request) float64 {
 	spread := b.estimator.classes[req.Class].LatencySpread
 	return min(spread, 1+(spread-1)*(1-b.estimator.worstSuccessRate()))
@@ -84,7 +84,7 @@
 // work is the expected work of a request where its key is not at home, in nanoseconds.
 func (b *Balancer) work(req *request) float64 {
 	if req.CostHint > 0 {
-		// Answers to requests with hardly any work tell nothing of an endpoint.
+		// The latency of requests with hardly any work says nothing of an endpoint.
 		return max(float64(req.CostHint), minWorkFraction*b.estimator.MeanWork)
 	}
 	return cmp.Or(b.estimator.classes[req.Class].TypicalWork, b.estimator.MeanWork)
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -8,8 +8,8 @@
 // Affinity sends requests for a key to its homes, where an endpoint that served a key lately serves it for less work
 // (Settings.KeyAffinity). Homes are the first of the warm and healthy endpoints by rendezvous hashing of key and ID, so
 // nodes agree without a message; a key has as many as its part of the requests needs. Inputs: the key, how often it was
-// asked for, and the work that answers at a home took over that elsewhere, a ratio. A home is preferred but never
-// forced: it is drawn only if it is a candidate. docs/design.md: "Rules that adjust w".
+// asked for, and the work that answers at a home took over that elsewhere, a ratio. A home is preferred but not forced:
+// it is drawn only if it is a candidate. docs/design.md: "Rules that adjust w".
 
 const (
 	// homeWorkWindow is the number of answers over which homeWorkFactor is averaged.
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -35,8 +35,12 @@
 				r := &ring[i%len(ring)]
 				if r.id != "" {
 					p.AttemptEnded(now, AttemptResult{
-						Request: r.id, Endpoint: r.server, Outcome: OutcomeSucceeded, Elapsed: now.Sub(r.at) + time.Duration(i%7)*ms/4, RequestDone: true,
-						Report: LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1},
+						Request:     r.id,
+						Endpoint:    r.server,
+						Outcome:     OutcomeSucceeded,
+						Elapsed:     now.Sub(r.at) + time.Duration(i%7)*ms/4,
+						RequestDone: true,
+						Report:      LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1},
 					})
 				}
 				id := ids[i%len(ids)]
@@ -103,8 +107,10 @@
 				s.backoffUntil = now + ms
 			}
 			req := &request{
-				Request: Request{Deadline: now + 900*ms}, classSettings: &p.settings.Classes[0], effectiveDeadline: now + 900*ms,
-				delays: p.admission.delays.Of(0, 0),
+				Request:           Request{Deadline: now + 900*ms},
+				classSettings:     &p.settings.Classes[0],
+				effectiveDeadline: now + 900*ms,
+				delays:            p.admission.delays.Of(0, 0),
 			}
 			for range b.N {
 				p.selectEndpoint(now, req)
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -34,7 +34,7 @@
 	Actions map[string]int `json:"actions"`
 }
 
-// digestEvent is one event that is due at a virtual time; events of one time run in the order in which they were queued.
+// digestEvent is due at a virtual time; events of one time run in the order in which they were queued.
 type digestEvent struct {
 	at, sequence int64
 	run          func()
@@ -123,9 +123,15 @@
 			outcome = policy.OutcomeCanceled
 		}
 		answer := policy.AttemptResult{
-			Request: req, Attempt: number, Endpoint: id, Outcome: outcome, Elapsed: time.Duration(elapsed), NewConnection: fresh,
-			RequestDone: outcome == policy.OutcomeSucceeded, BodyConsumed: outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
-			Report: r.report(endpoint, outcome),
+			Request:       req,
+			Attempt:       number,
+			Endpoint:      id,
+			Outcome:       outcome,
+			Elapsed:       time.Duration(elapsed),
+			NewConnection: fresh,
+			RequestDone:   outcome == policy.OutcomeSucceeded,
+			BodyConsumed:  outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
+			Report:        r.report(endpoint, outcome),
 		}
 		if answer.RequestDone {
 			r.answered[req] = true
@@ -319,7 +325,9 @@
 func digestOf(settings policy.Settings, endpoints int, seed uint64) digestRecord {
 	r := &digestRun{
 		settings: settings, random: rand.New(rand.NewPCG(seed, uint64(endpoints))), now: digestStart,
-		attempts: map[policy.RequestID]int{}, category: map[policy.RequestID]int{}, answered: map[policy.RequestID]bool{},
+		attempts: map[policy.RequestID]int{},
+		category: map[policy.RequestID]int{},
+		answered: map[policy.RequestID]bool{},
 		recalled: map[string]bool{}, slowdown: 1, hash: fnv.New64a(), actions: map[string]int{},
 	}
 	for i := range endpoints {
@@ -393,25 +401,79 @@
 	}
 	return map[string]policy.Settings{
 		"hedging": {
-			Classes: categories, TenantShares: []float64{0.5, 0.3, 0.2}, OverQuotaFraction: 0.2, WorstClassWeight: 0.1, NodeIndex: 1, NodeCount: 3,
-			StreamsPerConnection: 1, MaxAttempts: 5, ClockResolution: 5 * millisecond, MaxPollInterval: 10 * second, SlowStartWindow: 8 * second, KeyAffinity: true,
-			MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MayGossip: true, MaxRetryAfter: 3 * second, SlowStartMinCapacity: 0.12,
-			ReportsUtilization: true, ReportsServiceTime: true,
+			Classes:              categories,
+			TenantShares:         []float64{0.5, 0.3, 0.2},
+			OverQuotaFraction:    0.2,
+			WorstClassWeight:     0.1,
+			NodeIndex:            1,
+			NodeCount:            3,
+			StreamsPerConnection: 1,
+			MaxAttempts:          5,
+			ClockResolution:      5 * millisecond,
+			MaxPollInterval:      10 * second,
+			SlowStartWindow:      8 * second,
+			KeyAffinity:          true,
+			MayHedge:             true,
+			MayCancel:            true,
+			MaySetRetryAfter:     true,
+			MayGossip:            true,
+			MaxRetryAfter:        3 * second,
+			SlowStartMinCapacity: 0.12,
+			ReportsUtilization:   true, ReportsServiceTime: true,
 		},
 		"plain": {
-			Classes: withGroup(policy.DedupZone), OverQuotaFraction: 1, NodeCount: 1, StreamsPerConnection: 8, MaxAttempts: 3, ClockResolution: millisecond,
-			MaxPollInterval: 4 * second, SlowStartWindow: 20 * second, MustPollList: true, MayCancel: true, SlowStartMinCapacity: 0.2,
+			Classes:              withGroup(policy.DedupZone),
+			OverQuotaFraction:    1,
+			NodeCount:            1,
+			StreamsPerConnection: 8,
+			MaxAttempts:          3,
+			ClockResolution:      millisecond,
+			MaxPollInterval:      4 * second,
+			SlowStartWindow:      20 * second,
+			MustPollList:         true,
+			MayCancel:            true,
+			SlowStartMinCapacity: 0.2,
 		},
 		"probes": {
-			Classes: withGroup(policy.DedupFleet), TenantShares: []float64{0.6, 0.4}, OverQuotaFraction: 0.5, WorstClassWeight: 0.5, NodeIndex: 7, NodeCount: 30,
-			StreamsPerConnection: 4, MaxAttempts: 4, ClockResolution: 2 * millisecond, MaxPollInterval: 6 * second, SlowStartWindow: 12 * second, RemovedMayServe: true,
-			WeightIsSize: true, WeightByWork: true, MayCheckHealth: true, HealthChecksReport: true, MayGossip: true, MayCancel: true, SlowStartMinCapacity: 0.3,
-			ReportsUtilization: true,
+			Classes:              withGroup(policy.DedupFleet),
+			TenantShares:         []float64{0.6, 0.4},
+			OverQuotaFraction:    0.5,
+			WorstClassWeight:     0.5,
+			NodeIndex:            7,
+			NodeCount:            30,
+			StreamsPerConnection: 4,
+			MaxAttempts:          4,
+			ClockResolution:      2 * millisecond,
+			MaxPollInterval:      6 * second,
+			SlowStartWindow:      12 * second,
+			RemovedMayServe:      true,
+			WeightIsSize:         true,
+			WeightByWork:         true,
+			MayCheckHealth:       true,
+			HealthChecksReport:   true,
+			MayGossip:            true,
+			MayCancel:            true,
+			SlowStartMinCapacity: 0.3,
+			ReportsUtilization:   true,
 		},
 		"no-cancel": {
-			Classes: categories, TenantShares: []float64{0.7, 0.2, 0.1}, OverQuotaFraction: 0.1, WorstClassWeight: 0.3, NodeIndex: 299, NodeCount: 300,
-			StreamsPerConnection: 1, MaxAttempts: 2, ClockResolution: millisecond, MaxPollInterval: 5 * second, SlowStartWindow: 5 * second, MustPollList: true, KeyAffinity: true,
-			MayHedge: true, MaySetRetryAfter: true, MaxRetryAfter: second / 20, SlowStartMinCapacity: 0.05,
+			Classes:              categories,
+			TenantShares:         []float64{0.7, 0.2, 0.1},
+			OverQuotaFraction:    0.1,
+			WorstClassWeight:     0.3,
+			NodeIndex:            299,
+			NodeCount:            300,
+			StreamsPerConnection: 1,
+			MaxAttempts:          2,
+			ClockResolution:      millisecond,
+			MaxPollInterval:      5 * second,
+			SlowStartWindow:      5 * second,
+			MustPollList:         true,
+			KeyAffinity:          true,
+			MayHedge:             true,
+			MaySetRetryAfter:     true,
+			MaxRetryAfter:        second / 20,
+			SlowStartMinCapacity: 0.05,
 		},
 	}
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// endpoint is what this node knows of one endpoint, grouped by the rule that owns it.
+// endpoint is what this node knows of one endpoint, grouped by the rule that uses it.
 type endpoint struct {
 	// The endpoint list (endpointlist.go).
 	EndpointInfo
@@ -26,7 +26,7 @@
 
 	// Attempts of this node.
 	inFlight int
-	// silentSince is its last sign of life, or when something was sent to it with nothing in flight.
+	// silentSince is when it last showed that it works, or when something was sent to it with nothing in flight.
 	silentSince Time
 
 	// Outlier ejection, by class, and backoff after rejections (outlier.go).
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -85,7 +85,7 @@
 }
 
 // reset forgets an earlier process of the endpoint. The credit for slow start begins at a random part of a request:
-// with none, hundreds of nodes that earn less than one request each would never send any, with a whole one all would
+// with none, hundreds of nodes that earn less than one request each would never send any, with a full one all would
 // send theirs at once.
 func (ep *endpoint) reset(random *rand.Rand, classes int) {
 	*ep = endpoint{
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -8,8 +8,8 @@
 )
 
 // Latency is predicted from decaying averages of the answers' latency for each unit of expected work, a ratio: that of
-// the fleet, times that of the pod over the fleet, times that of the endpoint over both. Each average counts one answer
-// that was never seen and shows nothing unusual, so that few answers say little. Inputs: the work of an attempt in
+// the fleet, times that of the pod over the fleet, times that of the endpoint over both. Each average starts with one
+// assumed answer that shows nothing unusual, so that few answers change it little. Inputs: the work of an attempt in
 // nanoseconds, its latency, the attempts of this node at the endpoint when it was sent, and, by zone, the latency that
 // an answer has however little the work. Work is in nanoseconds as float64, for speed. Answers of one endpoint alone
 // never make the whole fleet look slow. docs/design.md: "Admission: predicted in time".
@@ -31,13 +31,14 @@
 	highLatencyQuantile = 0.95
 	// initialHighLatency is what it is taken for, over one answer or over the work alone.
 	initialHighLatency = 2
-	// zoneDelayQuantile is the quantile of latency less work that tells the delay of a zone.
+	// zoneDelayQuantile is the quantile of latency less work that is taken for the delay of a zone.
 	zoneDelayQuantile = 0.1
 	// minWorkFraction is the part of the mean work that a request counts for at least.
 	minWorkFraction = 0.25
 	// maxSurprise bounds what an answer counts for in the averages of fleet and pod, over what these show.
 	maxSurprise = 3
-	// minOverdueTicks is how many ticks of the clock an answer is not overdue: this node itself may have stood still.
+	// minOverdueTicks is how many ticks of the clock an answer is not overdue: this process itself may have been
+	// paused.
 	minOverdueTicks = 4
 	// overdueFactor: an answer is overdue after its high quantile times this.
 	overdueFactor = 2
@@ -93,7 +94,7 @@
 	return max(minOverdueTicks*e.clockResolution, overdue)
 }
 
-// isSilent tells whether an endpoint has answered nothing for too long. Guards against one that takes requests and
+// isSilent reports whether an endpoint has answered nothing for too long. Guards against one that takes requests and
 // answers none, and so reports no load.
 func (e *estimator) isSilent(now Time, ep *endpoint, work float64) bool {
 	return ep.inFlight > 0 && ep.HasLatency && now.Sub(ep.silentSince) > e.overdueAfter(ep, max(work, e.MeanWork))
@@ -167,7 +168,7 @@
 	e.HighLatency = cmp.Or(sum/max(count, 1), e.HighLatency)
 }
 
-// decayEndpoint lets what was learned of an endpoint that is no longer heard of drift to what others show.
+// decayEndpoint lets what was learned of an endpoint without recent answers drift to what others show.
 func (e *estimator) decayEndpoint(ep *endpoint) {
 	unknown := 1 - min(1, ep.Latency.Weight*learningRate)
 	ep.HighLatency += (e.HighLatency - ep.HighLatency) * learningRate * unknown
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -6,7 +6,7 @@
 // flight. Inputs: the latency at which an answer of the endpoint is overdue, the time left until the effective
 // deadline, and a budget of one hedged request for every ten requests. There is none for a non-idempotent class, nor
 // where the settings forbid two attempts at once; there an overdue idempotent attempt is canceled and sent elsewhere,
-// if its endpoint has answered nobody since: one that answers others is at work on a heavy request, which would be
+// if its endpoint has answered no other since: one that answers others is at work on a heavy request, which would be
 // heavy elsewhere too. A request whose body is still coming is never overdue. docs/design.md: "Hedging".
 
 const (
@@ -64,7 +64,7 @@
 	}
 }
 
-// answeredSince tells whether an endpoint has shown a sign of life after a moment.
+// answeredSince reports whether an endpoint has shown after a moment that it works.
 func (ep *endpoint) answeredSince(at Time) bool { return ep.silentSince > at }
 
 // observeUnansweredDelay notes for the request's class and tenant that an attempt is late by an unknown time, unless
--- a/policy/idleconns.go
+++ b/policy/idleconns.go
@@ -18,7 +18,7 @@
 
 type idleConnections struct {
 	trusted    idletimeout.Estimator
-	gossipedAt Time // when other nodes were told of a dead one last
+	gossipedAt Time // of the last message about a dead one
 }
 
 // prepareConnection closes the idle connections to an endpoint that are not to be trusted, and returns for how long the
@@ -58,9 +58,9 @@
 	}
 }
 
-// foundConnectionDead takes an attempt that got no answer. It tells whether that is certainly no fault of the endpoint:
-// a reset of a connection that was dead. Silence counts before its end, or a node that sends seldom would learn too
-// late, but it may still be the endpoint's own.
+// foundConnectionDead takes an attempt that got no answer. It reports whether that is certainly no fault of the
+// endpoint: a reset of a connection that was dead. Silence counts before its end, or a node that sends seldom would
+// learn too late, but it may still be the endpoint's own.
 func (b *Balancer) foundConnectionDead(now Time, a *attempt, outcome Outcome) bool {
 	if !b.mayBeDead(a, outcome) {
 		return false
--- a/policy/load.go
+++ b/policy/load.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// loadOf returns the load that a report tells, if it tells any.
+// loadOf returns the load in a report, if there is any.
 func (s *Settings) loadOf(report *LoadReport) (load float64, reported bool) {
 	if s.ReportsUtilization && report.Utilization >= 0 {
 		if s.ReportsServiceTime && report.ServiceTime >= 0 {
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -154,13 +154,29 @@
 func newModel(seed int64) *model {
 	w := &model{
 		Rand: rand.New(rand.NewSource(seed)), requests: map[RequestID]*modelRequest{},
-		listed: map[EndpointID]EndpointInfo{}, drainedLast: map[EndpointID]bool{}, sentInSlowStart: map[EndpointID]float64{}, fairShare: map[EndpointID]float64{}, now: 5e12,
+		listed:          map[EndpointID]EndpointInfo{},
+		drainedLast:     map[EndpointID]bool{},
+		sentInSlowStart: map[EndpointID]float64{},
+		fairShare:       map[EndpointID]float64{},
+		now:             5e12,
 	}
 	w.settings = Settings{
 		MaxAttempts: 1 + w.Intn(5), MayHedge: w.Intn(2) == 0, MayCancel: w.Intn(2) == 0,
-		MaySetRetryAfter: true, MaxRetryAfter: 1e9, MustPollList: w.Intn(2) == 0, MaxPollInterval: 1e10, SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10,
-		ReportsUtilization: w.Intn(2) == 0, NodeIndex: w.Intn(9), NodeCount: 1 + w.Intn(60), StreamsPerConnection: 1 + w.Intn(2),
-		MayGossip: w.Intn(2) == 0, RemovedMayServe: w.Intn(2) == 0, KeyAffinity: w.Intn(2) == 0, MayCheckHealth: w.Intn(2) == 0, HealthChecksReport: w.Intn(2) == 0,
+		MaySetRetryAfter:     true,
+		MaxRetryAfter:        1e9,
+		MustPollList:         w.Intn(2) == 0,
+		MaxPollInterval:      1e10,
+		SlowStartMinCapacity: 0.1,
+		SlowStartWindow:      2e10,
+		ReportsUtilization:   w.Intn(2) == 0,
+		NodeIndex:            w.Intn(9),
+		NodeCount:            1 + w.Intn(60),
+		StreamsPerConnection: 1 + w.Intn(2),
+		MayGossip:            w.Intn(2) == 0,
+		RemovedMayServe:      w.Intn(2) == 0,
+		KeyAffinity:          w.Intn(2) == 0,
+		MayCheckHealth:       w.Intn(2) == 0,
+		HealthChecksReport:   w.Intn(2) == 0,
 	}
 	for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent, IdempotentByKey} {
 		w.settings.Classes = append(
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// The end of an attempt tells each rule something else. Inputs: the outcome, the time from sending to the end, and what
-// was known at sending. A connection that was dead, a class or tenant that waits at any endpoint, and an attempt that
-// was never sent are held against no endpoint. A time-out counts as a longer latency, or only quick answers would be
-// learned from. docs/design.md: "Admission: predicted in time", "Outliers".
+// Each rule learns something else from the end of an attempt. Inputs: the outcome, the time from sending to the end,
+// and what was known at sending. A connection that was dead, a class or tenant that waits at any endpoint, and an
+// attempt that was never sent count against no endpoint. A time-out counts as a longer latency, or only quick answers
+// would be learned from. docs/design.md: "Admission: predicted in time", "Outliers".
 
 // timeoutFactor is the latency that an attempt without an answer is taken for, over the time that it had.
 const timeoutFactor = 1.5
@@ -13,7 +13,7 @@
 // learnFrom takes the end of an attempt.
 func (b *Balancer) learnFrom(now Time, req *request, a *attempt, result AttemptResult) {
 	ep, class := a.endpoint, req.Class
-	if b.showsLife(ep, result.Outcome) {
+	if b.cameFromEndpoint(ep, result.Outcome) {
 		ep.silentSince = now
 	}
 	if b.isNotEndpointsFault(now, a, result.Outcome) {
@@ -36,9 +36,9 @@
 	}
 }
 
-// showsLife tells whether an outcome came from the endpoint itself. A reset did only where several connections carry
+// cameFromEndpoint reports whether an outcome came from the endpoint itself. A reset did only where several connections carry
 // one attempt each: else something between may have dropped the connection.
-func (b *Balancer) showsLife(ep *endpoint, outcome Outcome) bool {
+func (b *Balancer) cameFromEndpoint(ep *endpoint, outcome Outcome) bool {
 	switch outcome {
 	case OutcomeTimedOut, OutcomeCanceled, OutcomeNotSent:
 		return false
@@ -49,8 +49,8 @@
 	}
 }
 
-// isNotEndpointsFault tells whether an end says nothing more of the endpoint: nothing was sent, the attempt was counted
-// when it was overdue, or its connection was dead.
+// isNotEndpointsFault reports whether an end says nothing more of the endpoint: nothing was sent, the attempt was
+// counted when it was overdue, or its connection was dead.
 func (b *Balancer) isNotEndpointsFault(now Time, a *attempt, outcome Outcome) bool {
 	switch outcome {
 	case OutcomeNotSent:
@@ -62,7 +62,7 @@
 	}
 }
 
-// learnFromOutcome teaches latencies and backoffs; it tells whether the outcome counts for or against the endpoint's
+// learnFromOutcome teaches latencies and backoffs; it reports whether the outcome counts for or against the endpoint's
 // health.
 func (b *Balancer) learnFromOutcome(now Time, req *request, a *attempt, result AttemptResult) bool {
 	switch result.Outcome {
@@ -119,7 +119,7 @@
 }
 
 // learnFromRejection takes an attempt that the endpoint rejected. It counts as a late answer, unless an endpoint that
-// is well known tells of an empty queue: where most are full, trying elsewhere brings only a storm of retries.
+// is well known reports an empty queue: where most are full, trying elsewhere brings only a storm of retries.
 func (b *Balancer) learnFromRejection(now Time, req *request, a *attempt, queueLength float64) {
 	a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
 	wellKnown := a.endpoint.Latency.Weight*learningRate >= 1
@@ -128,7 +128,7 @@
 	}
 }
 
-// learnFromTimeout takes an attempt without an answer; it tells whether that counts against the endpoint.
+// learnFromTimeout takes an attempt without an answer; it reports whether that counts against the endpoint.
 func (b *Balancer) learnFromTimeout(now Time, req *request, a *attempt, tookNanos float64) bool {
 	b.observeUnansweredDelay(now, req, a)
 	if a.classDelayNanos > 0 {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -10,7 +10,7 @@
 // above a quarter, and above twice the rate of all: where everything fails together, no endpoint is an outlier. One
 // idempotent request at a time tries an ejected endpoint after half a second, which doubles to four; it is back when
 // its rate is under half of the limit. Other nodes' messages eject it only where this node has seen nothing itself, or
-// failures. Where nobody else is a candidate an ejected endpoint is used rather than rejecting, if this node knows it
+// failures. Where there is no other candidate an ejected endpoint is used rather than rejecting, if this node knows it
 // well and has nothing in flight there. An endpoint that rejects, or takes no connection, gets nothing for a time that
 // doubles. docs/design.md: "Outliers", "Gossip".
 
@@ -20,14 +20,15 @@
 	maxEjectionTime     = 4 * time.Second
 	// maxHealthSamples bounds classHealth.samples.
 	maxHealthSamples = 2 / learningRate
-	// gossipVotesToEject is how many messages, within about two seconds, eject an endpoint; one may tell of one error.
+	// gossipVotesToEject is how many messages, within about two seconds, eject an endpoint; one may be about a single
+	// error.
 	gossipVotesToEject = 3
 	// gossipEjectionTime is how long an endpoint stays ejected at least after such messages.
 	gossipEjectionTime = time.Second
 	// gossipDecayPerSecond is the part of the votes that still counts a second later.
 	gossipDecayPerSecond = 0.5
 
-	// maxRejectionBackoff is for an endpoint that was not heard of lately; the more is known of it, the shorter.
+	// maxRejectionBackoff is for an endpoint without recent answers; the more there are, the shorter.
 	maxRejectionBackoff = time.Second
 	// maxRejectionsInARow bounds the doubling of the backoff.
 	maxRejectionsInARow = 6
@@ -68,7 +69,7 @@
 		failure = 1
 	}
 	if !failed || outcome == OutcomeError {
-		// An endpoint that is seldom heard of is judged by the little there is.
+		// An endpoint with few samples is judged by these few.
 		rate = max(learningRate, 1/(health.samples+2))
 	}
 	b.outliers.record(now, health, failure, rate)
@@ -86,7 +87,7 @@
 	h.retryAt = now.Add(gossipEjectionTime)
 }
 
-// mayTryEjected tells whether an endpoint that is ejected for the request's class may get the request all the same.
+// mayTryEjected reports whether an endpoint that is ejected for the request's class may get the request all the same.
 func mayTryEjected(c *criteria, ep *endpoint, health *classHealth) bool {
 	if ep.inFlight > 0 {
 		return false
@@ -107,7 +108,7 @@
 	}
 }
 
-// isAvoided tells whether an endpoint is of little use at the moment, for any class.
+// isAvoided reports whether an endpoint is of little use at the moment, for any class.
 func (ep *endpoint) isAvoided(now Time) bool {
 	if now < ep.backoffUntil && ep.rejectionsInARow > 1 {
 		return true
@@ -123,7 +124,7 @@
 	ep.backoffUntil = now.Add(max(meanWork, shortest) << (ep.rejectionsInARow - 1))
 }
 
-// gossipFailure tells the other nodes that an endpoint fails a class.
+// gossipFailure sends the other nodes a message that an endpoint fails a class.
 func (b *Balancer) gossipFailure(now Time, ep *endpoint, class int) {
 	b.gossip(now, &ep.health[class].gossipedAt, GossipMessage{Endpoint: ep.ID, Class: class})
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -82,7 +82,8 @@
 	}
 	seldom := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
 	h := &attempt{endpoint: seldom, sentAt: b.now, inFlight: true}
-	if b.learnFrom(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed}); seldom.backoffUntil < b.now.Add(recalculationInterval/2) {
+	b.learnFrom(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed})
+	if seldom.backoffUntil < b.now.Add(recalculationInterval/2) {
 		t.Errorf("an endpoint not heard of late is asked again after %d ms", (seldom.backoffUntil-b.now)/ms)
 	}
 }
@@ -131,7 +132,7 @@
 }
 
 // With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood
-// still made all of them look silent, and idle endpoints' requests were rejected: 57 of the first 50,000 with eight.
+// still made all of them look silent, and idle endpoints' requests were rejected.
 func TestAPauseOfTheNodeRejectsNothing(t *testing.T) {
 	q := &lastSendRecorder{}
 	set := benchSettings
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -5,7 +5,7 @@
 // A fleet that has been overloaded for long gets one rest: this node gives up all requests for a while, as what all
 // endpoints depend on may recover only then. Inputs: the latency of the fleet over the work of its requests, a ratio,
 // and the success rate of the class that fares worst. Short overload, as a burst makes, and slowness in which requests
-// still succeed change nothing, and no spell gets a second rest. It acts only where reports tell utilization.
+// still succeed change nothing, and no spell gets a second rest. It acts only where load reports carry utilization.
 // docs/design.md: "Shedding load".
 
 const (
@@ -32,5 +32,5 @@
 	}
 }
 
-// rests tells whether all requests are given up at the moment.
+// rests reports whether all requests are given up at the moment.
 func (g *overloadGuard) rests(now Time) bool { return now < g.restUntil }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -197,8 +197,15 @@
 				{LatencyObjective: simulationObjective, Idempotency: Idempotent, PriorityWeight: 1},
 				{LatencyObjective: simulationObjective, Idempotency: Idempotent, PriorityWeight: 1},
 			},
-			TenantShares: []float64{0.75, 0.25}, MaxAttempts: 3, MayCancel: true, MaySetRetryAfter: true, SlowStartMinCapacity: 0.2, SlowStartWindow: 2e10, NodeIndex: at,
-			NodeCount: nodes, ClockResolution: 2 * ms,
+			TenantShares:         []float64{0.75, 0.25},
+			MaxAttempts:          3,
+			MayCancel:            true,
+			MaySetRetryAfter:     true,
+			SlowStartMinCapacity: 0.2,
+			SlowStartWindow:      2e10,
+			NodeIndex:            at,
+			NodeCount:            nodes,
+			ClockResolution:      2 * ms,
 		}, uint64(at), n)
 		w.nodes = append(w.nodes, n)
 		n.balancer.EndpointsUpdated(w.now, list, true)
--- a/policy/request.go
+++ b/policy/request.go
@@ -83,7 +83,7 @@
 		delays:            b.admission.delays.Of(arrived.Class, arrived.Tenant),
 	}
 	if arrived.StreamingBody {
-		// An endpoint begins it when its whole body is there: until then it is no load.
+		// An endpoint begins it when its body is complete: until then it is no load.
 		req.loadPerAttempt = 0
 	}
 	objective := class.LatencyObjective
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,18 +1,18 @@
 package policy
 
 // No request may run twice where that does harm. Inputs: the idempotency of the class, and of each earlier attempt
-// whether it may have run, when it was sent, and where the endpoint stood in zone and pod at that time. An attempt that
+// whether it may have run, when it was sent, and the zone and pod of its endpoint at that time. An attempt that
 // is in flight counts as one that may have run.
 //
 //   - Idempotent: the request may be sent again and rejected at any time.
-//   - Idempotent by key: it may be sent again within the deduplication window to endpoints of the same deduplication group, and
-//     rejected within the window if all endpoints form one group, as the client's retry may go to any.
+//   - Idempotent by key: it may be sent again within the deduplication window to endpoints of the same deduplication
+//     group, and rejected within the window if all endpoints form one group, as the client's retry may go to any.
 //   - Non-idempotent: nothing once an attempt may have run.
 //
-// A request that can't be sent on is given up at once: rejected, which tells the client that a retry does no harm, or
+// A request that can't be sent on is given up at once: rejected, so that the client knows that a retry does no harm, or
 // else failed. Nothing waits without an attempt in flight. docs/design.md: "Retry and giving up".
 
-// mayAttempt tells whether the request may be sent to an endpoint now.
+// mayAttempt reports whether the request may be sent to an endpoint now.
 func (b *Balancer) mayAttempt(now Time, req *request, ep *endpoint) bool {
 	if ep.State != StateActive || len(req.attempts) >= b.settings.MaxAttempts {
 		return false
@@ -29,7 +29,7 @@
 	return true
 }
 
-// mayRepeat tells whether an endpoint may run a request that an earlier attempt may have run.
+// mayRepeat reports whether an endpoint may run a request that an earlier attempt may have run.
 func (c *Class) mayRepeat(now Time, earlier *attempt, ep *endpoint) bool {
 	switch c.Idempotency {
 	case Idempotent:
@@ -41,7 +41,7 @@
 	}
 }
 
-// deduplicates tells whether endpoints still remember an attempt that was sent at sentAt.
+// deduplicates reports whether endpoints still remember an attempt that was sent at sentAt.
 func (c *Class) deduplicates(now, sentAt Time) bool {
 	return now.Sub(sentAt) < c.DedupWindow
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// MayReject tells whether a client may be told that a retry does no harm. Attempts are those of its request so far;
+// MayReject reports whether a client may be told that a retry does no harm. Attempts are those of its request so far;
 // inspect returns when one was sent, and whether it may have run, which it may also while it is in flight.
 func MayReject[A any](class *Class, now Time, attempts []A, inspect func(*A) (sentAt Time, mayHaveRun bool)) bool {
 	if class.Idempotency == Idempotent {
--- a/policy/runtime.go
+++ b/policy/runtime.go
@@ -60,7 +60,7 @@
 	}, int(o))
 }
 
-// MayHaveRun tells whether an attempt that ended so may have been executed.
+// MayHaveRun reports whether an attempt that ended so may have been executed.
 func (o Outcome) MayHaveRun() bool {
 	return o != OutcomeRejected && o != OutcomeConnectFailed && o != OutcomeNotSent
 }
@@ -88,7 +88,7 @@
 	Deadline      Time          // the client gives up
 	ClientRetry   bool          // the client says that it sent the request before
 	StreamingBody bool          // its body is still coming from the client
-	CostHint      time.Duration // expected work at an endpoint; 0: not told
+	CostHint      time.Duration // expected work at an endpoint; 0: not known
 	Key           string        // what the request concerns, for affinity; may be empty
 }
 
@@ -99,7 +99,7 @@
 	ServiceTime float64 // recent service time, in milliseconds
 }
 
-// AttemptResult tells how one attempt ended.
+// AttemptResult is how one attempt ended.
 type AttemptResult struct {
 	Request       RequestID
 	Attempt       int // which attempt of its request, from 0
@@ -112,7 +112,7 @@
 	Report        LoadReport
 }
 
-// GossipMessage is what one node tells the others: an endpoint fails a class, or a connection was dead when used.
+// GossipMessage is what one node sends to the others: an endpoint fails a class, or a connection was dead when used.
 type GossipMessage struct {
 	Endpoint EndpointID
 	Class    int
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -9,7 +9,7 @@
 // Selection draws the endpoint of an attempt. The candidates are the endpoints of the subset, and the homes of the
 // request's key, that the request may go to and that are expected to answer in time. Each has a weight w, its load with
 // some adjustments, and is drawn with a chance of (1/w) over the sum of all 1/w: formulas 2 to 6 of the paper, without
-// its sorting, which changes no chance. Where nobody is a candidate, up to three further rounds ask for less. Nothing
+// its sorting, which changes no chance. Where there is no candidate, up to three further rounds ask for less. Nothing
 // is drawn after the request's effective deadline. docs/design.md: "Selection, from the paper", "Rules that adjust w",
 // "Candidates".
 
@@ -20,6 +20,9 @@
 	weightFloorDivisor = 20
 	// preferredDivisor divides w where the endpoint should be drawn nearly always.
 	preferredDivisor = weightFloorDivisor * weightFloorDivisor
+	// settlingTime is how long ago the reports of an endpoint have to have risen first: until then a load below the
+	// mean is taken for the mean.
+	settlingTime = 3 * recalculationInterval
 	// otherZoneFactor multiplies w of an endpoint in another zone: crossing costs time, but a zone that is overloaded
 	// still spills over.
 	otherZoneFactor = 6
@@ -31,7 +34,7 @@
 const (
 	roundByObjective selectionRound = iota // answers in time for the latency objective, of the window
 	roundByDeadline                        // answers in time for the effective deadline, of the window
-	roundWholeSubset                       // the same, of the whole subset
+	roundWholeSubset                       // the same, of the complete subset
 	roundWithEjected                       // ejected endpoints that are well known too, whatever is predicted
 	numberOfSelectionRounds
 )
@@ -117,8 +120,13 @@
 	}
 }
 
+// isCandidate reports whether the rules let the request go to an endpoint, and whether that is expected to answer in
+// time.
 func (b *Balancer) isCandidate(c *criteria, ep *endpoint) bool {
-	if !b.mayAttempt(c.now, c.request, ep) || c.now < ep.backoffUntil || c.request.lastEndpoint() == ep {
+	if !b.mayAttempt(c.now, c.request, ep) || c.request.lastEndpoint() == ep {
+		return false
+	}
+	if c.now < ep.backoffUntil {
 		return false
 	}
 	if ep.slowStartCredit < 1 && b.slowStart.capacity(c.now, ep) < 1 {
@@ -216,8 +224,7 @@
 	return delay
 }
 
-// isSettling tells whether an endpoint has not sent reports long enough to trust a low one.
+// isSettling reports whether an endpoint has not sent reports long enough to trust a low one.
 func (ep *endpoint) isSettling(now Time) bool {
-	const settlingTime = 3 * recalculationInterval
 	return !ep.HasReport || ep.risingSince == 0 || now.Sub(ep.risingSince) < settlingTime
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -42,8 +42,11 @@
 
 func anyRequest(p *Balancer, now Time) *request {
 	return &request{
-		Request: Request{Deadline: now + 900*ms, CostHint: 5e6}, classSettings: &p.settings.Classes[0], effectiveDeadline: now + 900*ms, objectiveAt: now + 900*ms,
-		delays: p.admission.delays.Of(0, 0),
+		Request:           Request{Deadline: now + 900*ms, CostHint: 5e6},
+		classSettings:     &p.settings.Classes[0],
+		effectiveDeadline: now + 900*ms,
+		objectiveAt:       now + 900*ms,
+		delays:            p.admission.delays.Of(0, 0),
 	}
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -65,7 +65,7 @@
 	Zone int
 	// MaxAttempts bounds the attempts of one request, hedged ones among them.
 	MaxAttempts int
-	// ClockResolution is the least time that the caller's clock tells apart.
+	// ClockResolution is the shortest time that the caller's clock resolves.
 	ClockResolution time.Duration
 	// MaxPollInterval is the longest time between two calls for the endpoint list, where MustPollList is set.
 	MaxPollInterval time.Duration
@@ -76,11 +76,11 @@
 	// MaxRetryAfter bounds the Retry-After of a rejection; 0: none is sent.
 	MaxRetryAfter time.Duration
 
-	// MustPollList: the endpoint list is told only when asked for.
+	// MustPollList: the endpoint list has to be polled, or no update comes.
 	MustPollList bool
 	// RemovedMayServe: an endpoint that the list lacks may still be sent to; only a listing as draining binds.
 	RemovedMayServe bool
-	// WeightIsSize: EndpointInfo.Weight tells how large an endpoint is.
+	// WeightIsSize: EndpointInfo.Weight is the size of an endpoint, relative to others.
 	WeightIsSize bool
 	// KeyAffinity: an endpoint that served a key lately serves it for less work.
 	KeyAffinity bool
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -9,7 +9,7 @@
 // settings' window and least capacity, answers of warm endpoints, and the latencies of its own answers. It earns
 // credit, in requests of mean work, for each request that a warm endpoint answers, or, where less than half of the
 // subset is warm, for each arrival; it is a candidate only with credit for a whole request, saves up no more than one,
-// and pays by the work of each. So all nodes together never send it more than its part, however many they are.
+// and pays by the work of each. So all nodes together send it no more than its part, however many they are.
 // docs/design.md: "Slow start".
 
 const (
@@ -38,7 +38,7 @@
 	return s.minCapacity + (1-s.minCapacity)*float64(max(age, 0))/float64(s.window)
 }
 
-// arrivalsEarn tells whether arrivals earn credit in place of answers: the few endpoints that are warm can't set the
+// arrivalsEarn reports whether arrivals earn credit in place of answers: the few endpoints that are warm can't set the
 // pace.
 func (s *subset) arrivalsEarn() bool {
 	warm := len(s.members) - len(s.warmingUp)
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -15,8 +15,7 @@
 	return near
 }
 
-// Guards against each of hundreds of nodes holding a connection to every endpoint: endpoints took 76 to 120, and up to
-// 65% of the attempts got none.
+// Guards against each of hundreds of nodes holding a connection to every endpoint.
 func TestHundredsOfNodesSpreadOverTheEndpoints(t *testing.T) {
 	const nodes, servers = 400, 50
 	sharing, moved := map[EndpointID]int{}, 0
