--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it can do.
+// Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it
+// can do.
 func TestEjectedEndpointsAreUsedBeforeRejecting(t *testing.T) {
 	b := newTestFleet(t, 4, nil)
 	b.serve(100, answersPromptly)
@@ -129,8 +130,8 @@
 	}
 }
 
-// With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood still
-// made all of them look silent, and idle endpoints' requests were rejected: 57 of the first 50,000 with eight.
+// With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood
+// still made all of them look silent, and idle endpoints' requests were rejected: 57 of the first 50,000 with eight.
 func TestAPauseOfTheNodeRejectsNothing(t *testing.T) {
 	q := &lastSendRecorder{}
 	set := benchSettings
@@ -142,7 +143,16 @@
 		id := RequestID(fmt.Sprint("warm", i))
 		p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms})
 		now += ms / 20
-		p.AttemptEnded(now, AttemptResult{Request: id, Endpoint: q.endpoint, Outcome: OutcomeSucceeded, Elapsed: ms / 20, RequestDone: true})
+		p.AttemptEnded(
+			now,
+			AttemptResult{
+				Request:     id,
+				Endpoint:    q.endpoint,
+				Outcome:     OutcomeSucceeded,
+				Elapsed:     ms / 20,
+				RequestDone: true,
+			},
+		)
 	}
 	for i := range 8 {
 		p.RequestArrived(now, Request{ID: RequestID(fmt.Sprint("out", i)), Deadline: now + 900*ms})
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -15,8 +15,8 @@
 	return near
 }
 
-// Guards against each of hundreds of nodes holding a connection to every endpoint: endpoints took 76 to 120, and up to 65%
-// of the attempts got none.
+// Guards against each of hundreds of nodes holding a connection to every endpoint: endpoints took 76 to 120, and up to
+// 65% of the attempts got none.
 func TestHundredsOfNodesSpreadOverTheEndpoints(t *testing.T) {
 	const nodes, servers = 400, 50
 	sharing, moved := map[EndpointID]int{}, 0
@@ -47,7 +47,10 @@
 		}
 	}
 	if len(sharing) < servers || moved > 60 {
-		t.Errorf("%d of %d endpoints are drawn from; one that left moved %d connections, 32 would be even", len(sharing), servers, moved)
+		t.Errorf(
+			"%d of %d endpoints are drawn from; one that left moved %d connections, 32 would be even", len(sharing),
+			servers, moved,
+		)
 	}
 }
 
@@ -83,8 +86,8 @@
 	}
 }
 
-// TestFleetInSlowStartIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part of it, so that its
-// connections are used again.
+// TestFleetInSlowStartIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part
+// of it, so that its connections are used again.
 func TestFleetInSlowStartIsDividedToo(t *testing.T) {
 	set := benchSettings
 	set.NodeCount = 300
@@ -96,7 +99,10 @@
 	}
 	p.EndpointsUpdated(now, list, true)
 	if got := len(p.subset.members); got != warmingUpPerWarm*p.subset.size || got > 40 {
-		t.Errorf("one of 300 nodes draws from %d of 120 cold endpoints, want %d times %d", got, warmingUpPerWarm, p.subset.size)
+		t.Errorf(
+			"one of 300 nodes draws from %d of 120 cold endpoints, want %d times %d", got, warmingUpPerWarm,
+			p.subset.size,
+		)
 	}
 	for i := range list[:60] { // half of them were up long before
 		list[i].StartedAt = 0
