--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -193,19 +193,19 @@
 // readAdminCall reads the head of one call. The status is that of the answer if there is an error; 0: the connection
 // has ended, or sent nothing at all.
 func readAdminCall(c *adminConn) (request *http.Request, status int, err error) {
-	for searched := 0; !headEnds(c.pending(), searched); {
-		searched = max(0, len(c.pending())-len(headEnd)+1)
-		if len(c.pending()) > maxAdminHeadBytes {
+	for searched := 0; !headEnds(c.buffered(), searched); {
+		searched = max(0, len(c.buffered())-len(headEnd)+1)
+		if len(c.buffered()) > maxAdminHeadBytes {
 			return nil, http.StatusRequestHeaderFieldsTooLarge, errAdminHeadTooLong
 		}
 		if err := c.fill(); err != nil {
 			return nil, incompleteStatus(c, err), errAdminIncomplete
 		}
 	}
-	if end := bytes.Index(c.pending(), []byte(headEnd)); end > maxAdminHeadBytes {
+	if end := bytes.Index(c.buffered(), []byte(headEnd)); end > maxAdminHeadBytes {
 		return nil, http.StatusRequestHeaderFieldsTooLarge, errAdminHeadTooLong
 	}
-	request, err = http.ReadRequest(bufio.NewReader(bytes.NewReader(c.pending())))
+	request, err = http.ReadRequest(bufio.NewReader(bytes.NewReader(c.buffered())))
 	if err != nil {
 		return nil, http.StatusBadRequest, errAdminMalformed
 	}
@@ -214,7 +214,7 @@
 
 // incompleteStatus is the answer to a call whose connection failed before the head was complete; 0: none.
 func incompleteStatus(c *adminConn, err error) int {
-	if len(c.pending()) == 0 {
+	if len(c.buffered()) == 0 {
 		return 0
 	}
 	var timeout net.Error
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -50,7 +50,7 @@
 	n.admin.setLimit(admin)
 	n.frontend.setLimits(toClients, spare, total/activeClientShare)
 	// Each attempt has a client that waits for it, so idle clients' descriptors can be lent to upstreams.
-	n.frontend.maxLent.Store(int64(toClients-toUpstreams) / lentUpstreamsShare)
+	n.frontend.maxLentSlots.Store(int64(toClients-toUpstreams) / lentUpstreamsShare)
 }
 
 func (n *Node) divideMemory(processes int) {
