--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -16,10 +16,10 @@
 	"time"
 )
 
-// This file owns what a node has descriptors for while idle clients hold all that they can get: discovery, attempts, operators' calls,
-// another process of the node. The machine gives each process no more than its configuration says.
+// What a node has descriptors for while idle clients hold all that they can get: the list watch, attempts, admin calls,
+// another process of the node. The system gives each process no more descriptors than its configuration says.
 
-// freeAddress is one at which nobody listens now.
+// freeAddress is an address at which nobody listens now.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,15 +30,15 @@
 	return l.Addr().String()
 }
 
-// crowd is clients that connect, say nothing and come back at once when they are shut, until the test ends.
-type crowd struct {
-	standing, shut atomic.Int64
-	stop           chan struct{}
-	done           sync.WaitGroup
+// idleClients are clients that connect, send nothing and reconnect at once when they are closed, until the test ends.
+type idleClients struct {
+	open, closedByNode atomic.Int64
+	stop               chan struct{}
+	done               sync.WaitGroup
 }
 
-func gather(t *testing.T, at string, clients int) *crowd {
-	c := &crowd{stop: make(chan struct{})}
+func startIdleClients(t *testing.T, at string, clients int) *idleClients {
+	c := &idleClients{stop: make(chan struct{})}
 	for range clients {
 		c.done.Go(func() {
 			for {
@@ -51,25 +51,25 @@
 						continue
 					}
 				}
-				c.standing.Add(1)
+				c.open.Add(1)
 				go func() { <-c.stop; held.Close() }()
-				held.Read(make([]byte, 1))
+				_, _ = held.Read(make([]byte, 1)) // until either side closes it
 				held.Close()
-				c.standing.Add(-1)
+				c.open.Add(-1)
 				select {
 				case <-c.stop:
 					return
 				default:
-					c.shut.Add(1)
+					c.closedByNode.Add(1)
 				}
 			}
 		})
 	}
-	t.Cleanup(c.leave)
+	t.Cleanup(c.disconnect)
 	return c
 }
 
-func (c *crowd) leave() {
+func (c *idleClients) disconnect() {
 	select {
 	case <-c.stop:
 	default:
@@ -78,8 +78,8 @@
 	c.done.Wait()
 }
 
-// smallServer answers views after a time, and shuts a connection beyond so many with no word.
-func smallServer(t *testing.T, most int64, after time.Duration) string {
+// startUpstream starts an upstream that answers after a time, and closes connections beyond a number without a response.
+func startUpstream(t *testing.T, most int64, after time.Duration) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 	return l.Addr().String()
 }
 
-func hosts(health string, servers ...string) string {
+func listEntries(health string, servers ...string) string {
 	var list []string
 	for i, s := range servers {
 		list = append(list, fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","class":"m","block":0,"health":%q,"share":1.0,"born_ms":0}`, i+1, s, health))
@@ -124,30 +124,30 @@
 	return strings.Join(list, ",")
 }
 
-// descriptors is how many a process has open now.
-func descriptors(pid int) int {
+// openDescriptors is how many descriptors a process has open now.
+func openDescriptors(pid int) int {
 	list, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(list)
 }
 
-// crowded is one node's process among a crowd, with no more descriptors than its configuration says.
-type crowded struct {
+// limitedNode is the process of one node, with no more descriptors than its configuration says.
+type limitedNode struct {
 	*exec.Cmd
 	console string
 	log     string
 }
 
-// startCrowded starts a process of a node; door is the clients' socket where the platform holds it, else nil.
-func startCrowded(t *testing.T, sockets int, mode, listen, discovery, dir string, door *os.File, servers []string, more ...string) *crowded {
+// startLimitedNode starts a node's process; door is the listening socket for clients that it inherits, or nil.
+func startLimitedNode(t *testing.T, sockets int, mode, listen, discovery, dir string, door *os.File, servers []string, more ...string) *limitedNode {
 	t.Helper()
-	c := &crowded{console: freeAddress(t), log: filepath.Join(t.TempDir(), "log")}
+	c := &limitedNode{console: freeAddress(t), log: filepath.Join(t.TempDir(), "log")}
 	text := strings.NewReplacer(`"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"`, fmt.Sprintf(`"listen":%q,"discovery":%q`, listen, discovery),
 		`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), `"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode),
 		`"ask_within_us":10000000`, `"ask_within_us":1000000`, `"connect_timeout_us":75000`, `"connect_timeout_us":5000000`,
 		`300000`, `20000000`, `100000`, `20000000`).Replace(config) // nothing here is about time
 	from, to := strings.Index(text, `"known"`), strings.Index(text, `"settings"`)
-	text = text[:from] + fmt.Sprintf(`"known":{"seq":1,"whole":true,"hosts":[%s]},`, hosts("up", servers...)) + text[to:]
-	node := program(t, text, append([]string{"serve"}, more...)...)
+	text = text[:from] + fmt.Sprintf(`"known":{"seq":1,"whole":true,"hosts":[%s]},`, listEntries("up", servers...)) + text[to:]
+	node := command(t, text, append([]string{"serve"}, more...)...)
 	c.Cmd = exec.Command("/bin/sh", append([]string{"-c", fmt.Sprintf(`ulimit -n %d; exec "$@"`, sockets), "sh"}, node.Args...)...)
 	c.Env = append(node.Env, "TMPDIR="+dir, "NODE_CONSOLE="+c.console)
 	if door != nil {
@@ -161,15 +161,15 @@
 	if c.Stderr = log; c.Start() != nil {
 		t.Fatal("it does not start")
 	}
-	t.Cleanup(func() { c.Process.Kill(); c.Wait() })
-	until(t, "ready", func() bool { return call(c.console, "GET /ready") == 200 })
+	t.Cleanup(func() { killAndWait(c.Cmd) })
+	eventually(t, "ready", func() bool { return requestStatus(c.console, "GET /ready") == 200 })
 	return c
 }
 
-// sound ends a process and reads in its log whether it was ever short of a descriptor.
-func (c *crowded) sound(t *testing.T) {
+// stopAndCheckLog stops a process and checks by its log that it was never short of a descriptor.
+func (c *limitedNode) stopAndCheckLog(t *testing.T) {
 	t.Helper()
-	c.Process.Signal(syscall.SIGTERM)
+	sendSignal(t, c.Cmd, syscall.SIGTERM)
 	if err := c.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
@@ -193,36 +193,36 @@
 	}
 }
 
-// atOnce has so many ask at once, and tells what was not answered 200.
-func atOnce(t *testing.T, many int, ask func(i int) (what string, status int)) {
+// concurrently makes a number of requests at once and reports those that were not answered 200.
+func concurrently(t *testing.T, many int, ask func(i int) (what string, status int)) {
 	t.Helper()
 	var done sync.WaitGroup
 	for i := range many {
 		done.Go(func() {
 			if what, status := ask(i); status != 200 {
-				t.Errorf("%s in a crowd: %d", what, status)
+				t.Errorf("%s among idle clients: %d", what, status)
 			}
 		})
 	}
 	done.Wait()
 }
 
-// view asks for one answer on a connection of its own.
-func view(at, id string) (string, int) {
-	return "a request", call(at, "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
+// requestView makes one request on a connection of its own.
+func requestView(at, id string) (string, int) {
+	return "a request", requestStatus(at, "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
 }
 
-var orders = []string{"PUT /servers/disable?target=s-1", "GET /ready", "PUT /servers/enable?target=s-1", "GET /ready"}
+var adminCalls = []string{"PUT /servers/disable?target=s-1", "GET /ready", "PUT /servers/enable?target=s-1", "GET /ready"}
 
-// Twice as many idle clients as there are descriptors, who come back at once, leave one for discovery, for each attempt, and for
-// operators' calls: while discovery is down, when it is back, and behind that.
+// Twice as many idle clients as there are descriptors, which reconnect at once, leave descriptors for the list watch, for
+// each attempt and for admin calls: while the discovery service is down, when it is back, and afterwards.
 func TestDescriptorsInACrowd(t *testing.T) {
 	for _, c := range []struct {
-		sockets, tasks, calls int // the last two at once
-		mode                  string
-		state                 bool
-		most                  int64 // connections that each server takes
-		after                 time.Duration
+		sockets, requests, calls int // the last two at once
+		mode                     string
+		state                    bool
+		most                     int64 // connections that each server takes
+		after                    time.Duration
 	}{
 		{32, 2, 2, "ask", false, 64, 0},
 		{64, 8, 4, "ask", true, 64, 0},
@@ -234,20 +234,20 @@
 		t.Run(fmt.Sprintf("%d, %s, servers of %d", c.sockets, c.mode, c.most), func(t *testing.T) {
 			var servers []string
 			for range 30 {
-				servers = append(servers, smallServer(t, c.most, c.after))
+				servers = append(servers, startUpstream(t, c.most, c.after))
 			}
 			listen, discovery := freeAddress(t), freeAddress(t)
 			var more []string
 			if c.state {
 				more = []string{"--state", filepath.Join(t.TempDir(), "state")}
 			}
-			node := startCrowded(t, c.sockets, c.mode, listen, discovery, t.TempDir(), nil, servers, more...)
-			crowd := gather(t, listen, 2*c.sockets)
-			until(t, "a full house", func() bool { return crowd.shut.Load() > int64(c.sockets) })
+			node := startLimitedNode(t, c.sockets, c.mode, listen, discovery, t.TempDir(), nil, servers, more...)
+			clients := startIdleClients(t, listen, 2*c.sockets)
+			eventually(t, "the node closes idle clients", func() bool { return clients.closedByNode.Load() > int64(c.sockets) })
 			rounds := func(name string) {
 				for k := range 5 {
-					atOnce(t, c.tasks, func(i int) (string, int) { return view(listen, fmt.Sprintf("%s-%d-%d", name, k, i)) })
-					atOnce(t, c.calls, func(i int) (string, int) { return orders[i], call(node.console, orders[i]) })
+					concurrently(t, c.requests, func(i int) (string, int) { return requestView(listen, fmt.Sprintf("%s-%d-%d", name, k, i)) })
+					concurrently(t, c.calls, func(i int) (string, int) { return adminCalls[i], requestStatus(node.console, adminCalls[i]) })
 				}
 			}
 			rounds("down")
@@ -256,60 +256,60 @@
 				t.Fatal(err)
 			}
 			defer back.Close()
-			var told atomic.Int64
-			go http.Serve(back, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				fmt.Fprintf(w, `{"seq":2,"whole":true,"hosts":[%s]}`+"\n", hosts("up", servers...))
+			var watches atomic.Int64
+			serveHTTP(back, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				writef(w, `{"seq":2,"whole":true,"hosts":[%s]}`+"\n", listEntries("up", servers...))
 				w.(http.Flusher).Flush()
-				told.Add(1)
+				watches.Add(1)
 				<-r.Context().Done()
 			}))
-			until(t, "a call for the list", func() bool { return told.Load() > 0 })
+			eventually(t, "a call for the list", func() bool { return watches.Load() > 0 })
 			rounds("back")
-			if status := call(node.console, "PUT /drain"); status != 200 {
-				t.Errorf("a drain in a crowd: %d", status)
+			if status := requestStatus(node.console, "PUT /drain"); status != 200 {
+				t.Errorf("a drain among idle clients: %d", status)
 			}
-			if status := call(node.console, "PUT /undrain"); status != 200 {
+			if status := requestStatus(node.console, "PUT /undrain"); status != 200 {
 				t.Errorf("its end: %d", status)
 			}
-			crowd.leave()
-			node.sound(t)
+			clients.disconnect()
+			node.stopAndCheckLog(t)
 		})
 	}
 }
 
-// Two processes of a node, at an upgrade in the midst of a crowd, hold no more descriptors together than the node may have.
+// Two processes of a node, at an upgrade among idle clients, hold no more descriptors together than the node may have.
 func TestUpgradeInACrowd(t *testing.T) {
 	for _, sockets := range []int{64, 256} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
 			var servers []string
 			for range 4 {
-				servers = append(servers, smallServer(t, 64, 0))
+				servers = append(servers, startUpstream(t, 64, 0))
 			}
-			door, held := heldDoor(t)
+			door, held := inheritedListener(t)
 			dir, listen := t.TempDir(), door.Addr().String()
-			old := startCrowded(t, sockets, "ask", listen, "127.0.0.1:1", dir, held, servers)
-			crowd := gather(t, listen, 2*sockets)
-			until(t, "a full house", func() bool { return crowd.shut.Load() > int64(sockets) })
-			atOnce(t, 4, func(i int) (string, int) { return view(listen, fmt.Sprint("old", i)) })
-			fresh := startCrowded(t, sockets, "ask", listen, "127.0.0.1:1", dir, held, servers)
+			old := startLimitedNode(t, sockets, "ask", listen, "127.0.0.1:1", dir, held, servers)
+			clients := startIdleClients(t, listen, 2*sockets)
+			eventually(t, "the node closes idle clients", func() bool { return clients.closedByNode.Load() > int64(sockets) })
+			concurrently(t, 4, func(i int) (string, int) { return requestView(listen, fmt.Sprint("old", i)) })
+			fresh := startLimitedNode(t, sockets, "ask", listen, "127.0.0.1:1", dir, held, servers)
 			most := 0
 			for k := range 10 {
-				atOnce(t, 4, func(i int) (string, int) { return view(listen, fmt.Sprintf("both-%d-%d", k, i)) })
-				for _, one := range []*crowded{old, fresh} {
-					if status := call(one.console, "GET /ready"); status != 200 {
-						t.Errorf("ready in a crowd: %d", status)
+				concurrently(t, 4, func(i int) (string, int) { return requestView(listen, fmt.Sprintf("both-%d-%d", k, i)) })
+				for _, one := range []*limitedNode{old, fresh} {
+					if status := requestStatus(one.console, "GET /ready"); status != 200 {
+						t.Errorf("readiness among idle clients: %d", status)
 					}
 				}
-				most = max(most, descriptors(old.Process.Pid)+descriptors(fresh.Process.Pid))
+				most = max(most, openDescriptors(old.Process.Pid)+openDescriptors(fresh.Process.Pid))
 			}
 			t.Logf("%d descriptors together, of %d", most, sockets)
 			if most > sockets {
 				t.Errorf("%d descriptors together, of %d", most, sockets)
 			}
-			old.sound(t)
-			atOnce(t, 4, func(i int) (string, int) { return view(listen, fmt.Sprint("fresh", i)) })
-			crowd.leave()
-			fresh.sound(t)
+			old.stopAndCheckLog(t)
+			concurrently(t, 4, func(i int) (string, int) { return requestView(listen, fmt.Sprint("fresh", i)) })
+			clients.disconnect()
+			fresh.stopAndCheckLog(t)
 		})
 	}
 }
--- a/cmd/fawnglade/main_test.go
+++ b/cmd/fawnglade/main_test.go
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string, args ...string) *exec.Cmd {
+func command(t *testing.T, config string, args ...string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -41,7 +41,7 @@
 }
 
 func TestProcessPrintsCountersAndEndsWell(t *testing.T) {
-	c := program(t, config, "serve")
+	c := command(t, config, "serve")
 	log, err := c.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -49,14 +49,14 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Process.Kill()
+	defer kill(c)
 	next := map[string]syscall.Signal{`"serving"`: syscall.SIGUSR1, `"counters asked for"`: syscall.SIGTERM}
 	var all strings.Builder
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		all.WriteString(lines.Text() + "\n")
 		for message, signal := range next {
 			if strings.Contains(lines.Text(), message) {
-				c.Process.Signal(signal)
+				sendSignal(t, c, signal)
 				delete(next, message)
 			}
 		}
@@ -77,11 +77,11 @@
 		"{}": "expected an address and a port",
 		strings.Replace(config, `"repeat":"safe"`, `"repeat":"odd"`, 1): "profiles.0.repeat: expected one of safe keyed unsafe, got odd",
 	} {
-		for _, command := range []string{"serve", "check"} {
-			out, err := program(t, text, command).CombinedOutput()
+		for _, subcommand := range []string{"serve", "check"} {
+			out, err := command(t, text, subcommand).CombinedOutput()
 			var exit *exec.ExitError
 			if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(string(out), want) || strings.Contains(string(out), "goroutine") {
-				t.Errorf("%s with %.20q: %v, %s", command, text, err, out)
+				t.Errorf("%s with %.20q: %v, %s", subcommand, text, err, out)
 			}
 		}
 	}
@@ -95,12 +95,12 @@
 		t.Fatal(err)
 	}
 	for i := range 5 {
-		s.Put(fmt.Sprint("a/", i), []byte("value"))
+		put(t, s, fmt.Sprint("a/", i), []byte("value"))
 	}
-	s.Put("b", []byte{0xff})
+	put(t, s, "b", []byte{0xff})
 	run := func(code int, args ...string) string {
 		t.Helper()
-		c := program(t, config, append([]string{"store"}, args...)...)
+		c := command(t, config, append([]string{"store"}, args...)...)
 		out, _ := c.CombinedOutput()
 		if c.ProcessState.ExitCode() != code {
 			t.Errorf("%v: exit %d, want %d: %s", args, c.ProcessState.ExitCode(), code, out)
@@ -122,11 +122,15 @@
 	run(1, "get", dir, "c")
 	run(1, "check", filepath.Join(dir, "nowhere"))
 	run(1, "repair", dir, "--to", dir)
-	s.Close()
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
 	files, _ := filepath.Glob(filepath.Join(dir, "seg-*"))
 	text, _ := os.ReadFile(files[0])
 	text[len(text)/2] ^= 1
-	os.WriteFile(files[0], text, 0o600)
+	if err := os.WriteFile(files[0], text, 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if out := run(1, "check", dir); !strings.Contains(out, "is damaged at byte") {
 		t.Errorf("a damaged store: %q", out)
 	}
--- a/cmd/fawnglade/migrate.go
+++ b/cmd/fawnglade/migrate.go
@@ -1,8 +1,8 @@
 package main
 
-// This file owns the move of a configuration from the older shape of a deployment, a pool of nodes for all clients, to
-// a node for each client process. It must never change the file it reads nor overwrite another, and writes nothing that
-// a node would not start with.
+// The migration of a configuration from the older form of a deployment, a pool of nodes for all clients, to a node
+// beside each client process. The old file is only read, no file is overwritten, and only what a node would start
+// with is written.
 
 import (
 	"bytes"
@@ -17,153 +17,241 @@
 	"github.com/spf13/cobra"
 )
 
-// shape is what the new deployment is like and an old file cannot tell.
-type shape struct {
-	nodes, position, streams int
-	news                     string
-	peers                    []string
-	reports                  string
-	copies                   bool
+const defaultStreamsPerConn = 100
+
+// The values of settings.report.how that --reports takes.
+const (
+	reportsInline        = "inline"
+	reportsOnHealthCheck = "on_probe"
+)
+
+// deployment is what the new deployment is like and an old file cannot tell.
+type deployment struct {
+	nodes          int      // in all
+	position       int      // of this node among them, from 0
+	streamsPerConn int      // requests that an upstream connection carries at once
+	gossipAddress  string   // with port; empty: no gossip
+	gossipPeers    []string // addresses with port
+	reports        string   // where upstreams report their load
+	hedging        bool     // hedged requests stay allowed where they were
+}
+
+// migrateOptions are the flags of the command.
+type migrateOptions struct {
+	deployment
+	configPath string
+	outPath    string
+	peersPath  string // file of gossip peers; empty: none
+	dryRun     bool
 }
 
-func migrate() *cobra.Command {
-	c := &cobra.Command{Use: "migrate", Short: "Write a configuration's counterpart for a node beside each client", Args: cobra.NoArgs}
-	path := configFlag(c)
-	var s shape
-	out := c.Flags().String("out", "", "file to write; must not be there yet")
-	dry := c.Flags().Bool("dry-run", false, "change nothing, print what would be written")
-	c.Flags().IntVar(&s.nodes, "nodes", 0, "how many nodes there are together")
-	c.Flags().IntVar(&s.position, "position", 0, "which of them this one is, from 0")
-	c.Flags().IntVar(&s.streams, "streams", 100, "tasks that a connection to a server carries at once")
-	c.Flags().StringVar(&s.news, "news", "", "address with port on which this node hears the others; left out, no messages")
-	c.Flags().StringSliceVar(&s.peers, "peer", nil, "address with port of another node's news; once for each")
-	list := c.Flags().String("peers", "", "file with such addresses, one a line; this node's own may stand among them")
-	c.Flags().StringVar(&s.reports, "reports", "inline", "where servers report their load: inline, on_probe, off")
-	c.Flags().BoolVar(&s.copies, "copies", true, "second copies stay allowed where they were")
+func migrateCommand() *cobra.Command {
+	c := &cobra.Command{
+		Use:   "migrate",
+		Short: "Write a configuration's counterpart for a node beside each client",
+		Args:  cobra.NoArgs,
+	}
+	configPath := configFlag(c)
+	var o migrateOptions
+	flags := c.Flags()
+	flags.StringVar(&o.outPath, "out", "", "file to write; must not exist yet")
+	flags.BoolVar(&o.dryRun, "dry-run", false, "change nothing, print what would be written")
+	flags.IntVar(&o.nodes, "nodes", 0, "number of nodes in all")
+	flags.IntVar(&o.position, "position", 0, "which of them this one is, from 0")
+	flags.IntVar(&o.streamsPerConn, "streams", defaultStreamsPerConn,
+		"requests that a connection to an upstream carries at once")
+	flags.StringVar(&o.gossipAddress, "news", "",
+		"address with port on which this node receives gossip; left out, no gossip")
+	flags.StringSliceVar(&o.gossipPeers, "peer", nil,
+		"address with port on which another node receives gossip; once for each")
+	flags.StringVar(&o.peersPath, "peers", "",
+		"file with such addresses, one a line; this node's own may be among them")
+	flags.StringVar(&o.reports, "reports", reportsInline, "where upstreams report their load: inline, on_probe, off")
+	flags.BoolVar(&o.hedging, "copies", true, "hedged requests stay allowed where they were")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if *path == "" {
-			return errors.New("no configuration: give --config or set NODE_CONFIG")
-		}
-		if *out == "" && !*dry {
-			return errors.New("nowhere to write: give --out, or --dry-run")
-		}
-		if *list != "" {
-			addresses, err := os.ReadFile(*list)
-			if err != nil {
-				return err
-			}
-			s.peers = append(s.peers, strings.Fields(string(addresses))...)
-		}
-		text, err := os.ReadFile(*path)
-		if err != nil {
-			return err
-		}
-		if _, err := node.ParseConfig(text); err != nil {
-			return fmt.Errorf("%s: %w", *path, err)
-		}
-		moved, left, err := s.move(text)
-		if err != nil {
-			return fmt.Errorf("%s: %w", *path, err)
-		}
-		if _, err := node.ParseConfig(moved); err != nil {
-			return fmt.Errorf("%s: its counterpart would not start a node: %w", *path, err)
-		}
-		for _, l := range left {
-			fmt.Fprintln(c.ErrOrStderr(), "not carried over:", l)
-		}
-		if *dry {
-			_, err = c.OutOrStdout().Write(moved)
-			return err
-		}
-		if err := writeNew(*out, moved); err != nil {
+		o.configPath = *configPath
+		return o.run(c)
+	}
+	return c
+}
+
+// run reads the old configuration, and writes or prints its counterpart.
+func (o *migrateOptions) run(c *cobra.Command) error {
+	if o.configPath == "" {
+		return errNoConfig
+	}
+	if o.outPath == "" && !o.dryRun {
+		return errors.New("nowhere to write: give --out, or --dry-run")
+	}
+	if err := o.readPeers(); err != nil {
+		return err
+	}
+	migrated, err := o.migrate()
+	if err != nil {
+		return err
+	}
+	for _, setting := range migrated.dropped {
+		if _, err := fmt.Fprintln(c.ErrOrStderr(), "not carried over:", setting); err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%s: written, %d settings not carried over\n", *out, len(left))
+	}
+	if o.dryRun {
+		_, err := c.OutOrStdout().Write(migrated.text)
+		return err
+	}
+	if err := writeNewFile(o.outPath, migrated.text); err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(c.OutOrStdout(), "%s: written, %d settings not carried over\n",
+		o.outPath, len(migrated.dropped))
+	return err
+}
+
+// readPeers adds the addresses of the file of gossip peers.
+func (o *migrateOptions) readPeers() error {
+	if o.peersPath == "" {
 		return nil
 	}
-	return c
+	text, err := os.ReadFile(o.peersPath)
+	if err != nil {
+		return err
+	}
+	o.gossipPeers = append(o.gossipPeers, strings.Fields(string(text))...)
+	return nil
+}
+
+// migrate reads the old configuration and makes its counterpart. A node would start with either; if not, the error
+// names the old file.
+func (o *migrateOptions) migrate() (*migratedConfig, error) {
+	text, err := os.ReadFile(o.configPath)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := node.ParseConfig(text); err != nil {
+		return nil, fmt.Errorf("%s: %w", o.configPath, err)
+	}
+	migrated, err := o.migrateConfig(text)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", o.configPath, err)
+	}
+	if _, err := node.ParseConfig(migrated.text); err != nil {
+		return nil, fmt.Errorf("%s: its counterpart would not start a node: %w", o.configPath, err)
+	}
+	return migrated, nil
 }
 
-// writeNew writes a file that was not there, or leaves none behind.
-func writeNew(path string, text []byte) error {
+// writeNewFile writes a file that does not exist yet, and leaves none behind if that fails.
+func writeNewFile(path string, text []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o640)
 	if err != nil {
 		return err
 	}
 	_, err = f.Write(text)
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		os.Remove(path)
+	err = errors.Join(err, f.Sync(), f.Close())
+	if err != nil {
+		return errors.Join(err, os.Remove(path))
 	}
-	return err
+	return nil
+}
+
+// migratedConfig is the counterpart of a configuration.
+type migratedConfig struct {
+	text    []byte
+	dropped []string // the settings that are not carried over, each with the reason
 }
 
-// move makes the counterpart. What it does not know stays as it is.
-func (s *shape) move(text []byte) (moved []byte, left []string, err error) {
-	in := json.NewDecoder(bytes.NewReader(text))
-	in.UseNumber() // a number must come out as it went in
+// drop removes a setting, and notes it unless it was off.
+func (m *migratedConfig) drop(object map[string]any, path, key, reason string) {
+	value, ok := object[key]
+	if ok && value != false && value != nil {
+		m.dropped = append(m.dropped, fmt.Sprintf("%s%s: %s", path, key, reason))
+	}
+	delete(object, key)
+}
+
+// migrateConfig makes the counterpart of a configuration. Settings that it does not know stay as they are.
+func (d *deployment) migrateConfig(text []byte) (*migratedConfig, error) {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber() // a number must come out as it went in
 	var file map[string]any
-	if err := in.Decode(&file); err != nil {
-		return nil, nil, err
+	if err := decoder.Decode(&file); err != nil {
+		return nil, err
 	}
-	if s.nodes < 1 {
-		return nil, nil, errors.New("settings.group_size: give --nodes, the old file cannot tell it")
+	if d.nodes < 1 {
+		return nil, errors.New("settings.group_size: give --nodes, the old file cannot tell it")
 	}
 	settings, ok := file["settings"].(map[string]any)
 	if !ok { // a reader that takes Settings for settings has let it pass
-		return nil, nil, errors.New("settings: expected an object under this very name, got none")
+		return nil, errors.New("settings: expected an object under this very name, got none")
 	}
-	settings["group_size"], settings["position"] = s.nodes, s.position
-	limits := inside(settings, "limits")
-	limits["multiplex"], limits["peer_messages"] = s.streams, s.news != ""
-	if s.reports != "inline" {
-		inside(settings, "report")["how"] = s.reports
-		limits["probes"] = s.reports == "on_probe"
+	migrated := &migratedConfig{}
+	d.setDeployment(settings)
+	d.setGossip(file, migrated)
+	dropObsolete(settings, migrated)
+	out, err := json.MarshalIndent(file, "", "  ")
+	migrated.text = append(out, '\n')
+	return migrated, err
+}
+
+// setDeployment writes what the new deployment is like into the settings.
+func (d *deployment) setDeployment(settings map[string]any) {
+	settings["group_size"] = d.nodes
+	settings["position"] = d.position
+	limits := objectAt(settings, "limits")
+	limits["multiplex"] = d.streamsPerConn
+	limits["peer_messages"] = d.gossipAddress != ""
+	if d.reports != reportsInline {
+		objectAt(settings, "report")["how"] = d.reports
+		limits["probes"] = d.reports == reportsOnHealthCheck
 	}
-	if limits["may_duplicate"] == true && !s.copies {
+	if limits["may_duplicate"] == true && !d.hedging {
 		limits["may_duplicate"] = false
 	}
-	if _, had := file["news"]; had {
-		left = append(left, "news: the one of the old file; --news and --peers tell the new one")
+}
+
+// setGossip replaces the addresses of gossip.
+func (d *deployment) setGossip(file map[string]any, migrated *migratedConfig) {
+	if _, ok := file["news"]; ok {
+		migrated.dropped = append(migrated.dropped,
+			"news: the one of the old file; --news and --peers tell the new one")
 		delete(file, "news")
 	}
-	if s.news != "" {
-		file["news"] = map[string]any{"listen": s.news, "peers": append([]string{}, s.peers...)}
-	}
-	drop := func(of map[string]any, at, key, why string) {
-		if value, had := of[key]; had && value != false && value != nil {
-			left = append(left, fmt.Sprintf("%s%s: %s", at, key, why))
-		}
-		delete(of, key)
+	if d.gossipAddress != "" {
+		file["news"] = map[string]any{"listen": d.gossipAddress, "peers": append([]string{}, d.gossipPeers...)}
 	}
+}
+
+// dropObsolete removes the settings that nothing reads any more.
+func dropObsolete(settings map[string]any, migrated *migratedConfig) {
 	if goal, ok := settings["goal"].(map[string]any); ok {
-		drop(goal, "settings.goal.", "tail", "a borne share of misses is no longer a goal")
-		drop(goal, "settings.goal.", "borne_misses", "a borne share of misses is no longer a goal")
+		migrated.drop(goal, "settings.goal.", "tail", "a borne share of misses is no longer a goal")
+		migrated.drop(goal, "settings.goal.", "borne_misses", "a borne share of misses is no longer a goal")
 	}
 	profiles, _ := settings["profiles"].([]any)
 	for i, p := range profiles {
 		if profile, ok := p.(map[string]any); ok {
-			at := fmt.Sprintf("settings.profiles.%d.", i)
-			drop(profile, at, "aim_stretch", "soft limits no longer stretch with a task's work")
-			drop(profile, at, "streaming", "answers are passed on whole")
+			path := fmt.Sprintf("settings.profiles.%d.", i)
+			migrated.drop(profile, path, "aim_stretch", "soft limits no longer stretch with a task's work")
+			migrated.drop(profile, path, "streaming", "answers are passed on whole")
 		}
 	}
 	if settings["weights"] == "live" {
 		settings["weights"] = "off"
-		left = append(left, "settings.weights: live weights are passed over, servers' reports say it better; now off")
+		migrated.dropped = append(migrated.dropped,
+			"settings.weights: live weights are passed over, servers' reports say it better; now off")
 	}
-	if fields, _ := inside(settings, "report")["fields"].([]any); slices.Contains(fields, any("inflight")) {
-		left = append(left, "settings.report.fields: inflight is no longer read")
+	fields, _ := objectAt(settings, "report")["fields"].([]any)
+	if slices.Contains(fields, any("inflight")) {
+		migrated.dropped = append(migrated.dropped, "settings.report.fields: inflight is no longer read")
 	}
-	moved, err = json.MarshalIndent(file, "", "  ")
-	return append(moved, '\n'), left, err
 }
 
-// inside returns the object under a key, made where there is none.
-func inside(of map[string]any, key string) map[string]any {
-	inner, ok := of[key].(map[string]any)
+// objectAt returns the object under a key, and makes one where there is none.
+func objectAt(parent map[string]any, key string) map[string]any {
+	object, ok := parent[key].(map[string]any)
 	if !ok {
-		inner = map[string]any{}
-		of[key] = inner
+		object = map[string]any{}
+		parent[key] = object
 	}
-	return inner
+	return object
 }
--- a/cmd/fawnglade/pause_test.go
+++ b/cmd/fawnglade/pause_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/netip"
@@ -16,8 +15,8 @@
 	"time"
 )
 
-// A node that stands still while its clients leave, with their requests at its door, behind others, or out at a server that has failed
-// meanwhile, begins no attempt for them when it goes on.
+// A process that is stopped while its clients leave, with their requests not yet read, behind others, or in flight at an
+// upstream that has failed meanwhile, begins no attempt for them when it is continued.
 func TestClientsLeaveWhileTheNodeStands(t *testing.T) {
 	fail := make(chan struct{})
 	var begun, going atomic.Int64
@@ -45,10 +44,10 @@
 								t.Logf("%q %v, since going on %v", r.Header.Get("X-Txn"), r.URL, time.Since(time.Unix(0, going.Load())))
 							}
 							<-fail
-							io.WriteString(c, "HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n")
+							writeText(c, "HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n")
 							continue
 						}
-						io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+						writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 					}
 				}()
 			}
@@ -60,7 +59,7 @@
 		servers = append(servers, server())
 	}
 	listen := freeAddress(t)
-	node := startCrowded(t, 1024, "ask", listen, "127.0.0.1:1", t.TempDir(), nil, servers)
+	node := startLimitedNode(t, 1024, "ask", listen, "127.0.0.1:1", t.TempDir(), nil, servers)
 	request := func(id string) string { return "GET /view HTTP/1.1\r\nHost: h\r\nX-Txn: " + id + "\r\n\r\n" }
 	connect := func(text string) net.Conn {
 		c, err := net.Dial("tcp", listen)
@@ -68,7 +67,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		io.WriteString(c, text)
+		writeText(c, text)
 		return c
 	}
 	leave := func(i int, c net.Conn) {
@@ -86,9 +85,9 @@
 	for i := range 6 {
 		clients = append(clients, connect(request(fmt.Sprint("out", i)))) // out at a server
 	}
-	until(t, "all out", func() bool { return begun.Load() == 6 })
-	node.Process.Signal(syscall.SIGSTOP)
-	until(t, "all of it to stand", func() bool { return stands(node.Process.Pid) })
+	eventually(t, "all out", func() bool { return begun.Load() == 6 })
+	sendSignal(t, node.Cmd, syscall.SIGSTOP)
+	eventually(t, "all of it to stand", func() bool { return isStopped(node.Process.Pid) })
 	close(fail)
 	var many strings.Builder
 	for i := range 40 {
@@ -101,15 +100,15 @@
 	for i, c := range clients {
 		leave(i/2, c)
 	}
-	until(t, "all ends at the node's machine", func() bool { return standing(t, listen) == 0 })
+	eventually(t, "all ends at the node's machine", func() bool { return establishedConns(t, listen) == 0 })
 	time.Sleep(150 * time.Millisecond)
 	going.Store(time.Now().UnixNano())
-	node.Process.Signal(syscall.SIGCONT)
-	until(t, "an answer for a client that came last", func() bool {
-		_, status := view(listen, fmt.Sprint("last", time.Now().UnixNano()))
+	sendSignal(t, node.Cmd, syscall.SIGCONT)
+	eventually(t, "an answer for a client that came last", func() bool {
+		_, status := requestView(listen, fmt.Sprint("last", time.Now().UnixNano()))
 		return status == 200
 	})
-	node.Process.Signal(syscall.SIGTERM)
+	sendSignal(t, node.Cmd, syscall.SIGTERM)
 	if err := node.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
@@ -118,8 +117,8 @@
 	}
 }
 
-// stands tells whether all threads of a process are stopped.
-func stands(pid int) bool {
+// isStopped reports whether all threads of a process are stopped.
+func isStopped(pid int) bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, one := range threads {
 		text, _ := os.ReadFile(one)
@@ -130,8 +129,8 @@
 	return err == nil && len(threads) > 0
 }
 
-// standing is how many connections to an address neither side has ended, as far as the machine knows.
-func standing(t *testing.T, at string) (n int) {
+// establishedConns is how many connections to an address neither side has ended, as far as the kernel knows.
+func establishedConns(t *testing.T, at string) (n int) {
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/fawnglade/signals_test.go
+++ b/cmd/fawnglade/signals_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"hash/fnv"
-	"io"
 	"net"
 	"net/http"
 	"os"
@@ -15,8 +14,8 @@
 	"time"
 )
 
-// Signals that come while the node starts, held in the midst of it by an old process that says nothing, wait until it can follow
-// them: none ends it where it is, with a request already in the machine.
+// Signals that come during a start, which waits for an old process that sends nothing, are followed once that is possible:
+// none ends the process at once, with a request already accepted by the kernel.
 func TestSignalsDuringAStart(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"the end":                  {syscall.SIGTERM},
@@ -25,26 +24,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			door, held := heldDoor(t)
+			door, held := inheritedListener(t)
 			dir, err := os.MkdirTemp("", "")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer os.RemoveAll(dir)
+			defer func() { _ = os.RemoveAll(dir) }()
 			h := fnv.New64a()
-			io.WriteString(h, "n0\n"+door.Addr().String())
+			writeText(h, "n0\n"+door.Addr().String())
 			before, err := net.Listen("unix", filepath.Join(dir, fmt.Sprintf("fawnglade-%016x.sock", h.Sum64())))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer before.Close()
-			c := program(t, strings.Replace(config, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, door.Addr()), 1), "serve")
+			c := command(t, strings.Replace(config, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, door.Addr()), 1), "serve")
 			c.Env = append(c.Env, "TMPDIR="+dir, "NODE_INHERITED_FD=3")
 			c.ExtraFiles = []*os.File{held}
 			if err := c.Start(); err != nil {
 				t.Fatal(err)
 			}
-			defer c.Process.Kill()
+			defer kill(c)
 			start, err := before.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -55,14 +54,14 @@
 			}
 			defer client.Close()
 			client.SetDeadline(time.Now().Add(10 * time.Second))
-			io.WriteString(client, "GET /view HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\n\r\n")
+			writeText(client, "GET /view HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\n\r\n")
 			for _, s := range signals {
-				c.Process.Signal(s)
+				sendSignal(t, c, s)
 			}
 			start.Close()
 			r, err := http.ReadResponse(bufio.NewReader(client), nil)
 			if err != nil || r.StatusCode != http.StatusServiceUnavailable { // its one server is not there
-				t.Errorf("the task was answered %v, %v", r, err)
+				t.Errorf("the request was answered %v, %v", r, err)
 			}
 			if err := c.Wait(); err != nil {
 				t.Errorf("ended with %v", err)
--- a/cmd/fawnglade/upgrade_test.go
+++ b/cmd/fawnglade/upgrade_test.go
@@ -16,59 +16,18 @@
 	"time"
 )
 
-// call makes one call at a console; status 0 stands for no answer.
-func call(console, text string) int {
-	c, err := net.Dial("tcp", console)
-	if err != nil {
-		return 0
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: c\r\n\r\n", text)
-	r, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil {
-		return 0
-	}
-	return r.StatusCode
-}
-
-func until(t *testing.T, what string, holds func() bool) {
-	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
-		}
-	}
-}
-
-// heldDoor is the clients' listening socket as the platform holds it, and what a process inherits of it.
-func heldDoor(t *testing.T) (net.Listener, *os.File) {
-	t.Helper()
-	door, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { door.Close() })
-	held, err := door.(*net.TCPListener).File()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { held.Close() })
-	return door, held
-}
-
-// Three processes of one node in a row, under load, on a socket that outlives them: nothing ends at the door.
+// Three processes of one node in a row, under load, on a socket that outlives them: no request is lost.
 func TestUpgradeUnderLoad(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	go http.Serve(server, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	serveHTTP(server, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(3 * time.Millisecond)
-		io.WriteString(w, r.Header.Get("X-Txn"))
+		writeText(w, r.Header.Get("X-Txn"))
 	}))
-	door, held := heldDoor(t)
+	door, held := inheritedListener(t)
 	dir := t.TempDir()
 	text := strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, door.Addr()),
 		`"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, server.Addr())).Replace(config)
@@ -79,23 +38,23 @@
 		}
 		console := free.Addr().String()
 		free.Close()
-		c := program(t, text, "serve")
+		c := command(t, text, "serve")
 		c.Env = append(c.Env, "TMPDIR="+dir, "NODE_CONSOLE="+console, "NODE_INHERITED_FD=3")
 		c.ExtraFiles = []*os.File{held}
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Process.Kill() })
-		until(t, "ready", func() bool { return call(console, "GET /ready") == want })
+		t.Cleanup(func() { kill(c) })
+		eventually(t, "ready", func() bool { return requestStatus(console, "GET /ready") == want })
 		return c, console
 	}
 	old, console := start(200)
-	if status := call(console, "PUT /servers/disable?target=s-9"); status != 404 {
+	if status := requestStatus(console, "PUT /servers/disable?target=s-9"); status != 404 {
 		t.Errorf("a server never listed was taken out: %d", status)
 	}
 	var done sync.WaitGroup
 	var stop atomic.Bool
-	var tasks, lost atomic.Int64
+	var requests, lost atomic.Int64
 	for i := range 8 {
 		done.Go(func() {
 			var c net.Conn
@@ -110,8 +69,8 @@
 					in = bufio.NewReader(c)
 				}
 				id := fmt.Sprintf("t%d-%d", i, k)
-				fmt.Fprintf(c, "GET /view HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\n\r\n", id)
-				tasks.Add(1)
+				writef(c, "GET /view HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\n\r\n", id)
+				requests.Add(1)
 				r, err := http.ReadResponse(in, nil)
 				if err != nil {
 					lost.Add(1)
@@ -132,7 +91,7 @@
 	for range 2 {
 		time.Sleep(200 * time.Millisecond)
 		fresh, at := start(200)
-		old.Process.Signal(syscall.SIGTERM)
+		sendSignal(t, old, syscall.SIGTERM)
 		if err := old.Wait(); err != nil {
 			t.Errorf("the old process ended with %v", err)
 		}
@@ -141,34 +100,36 @@
 	time.Sleep(200 * time.Millisecond)
 	stop.Store(true)
 	done.Wait()
-	if lost.Load() > 0 || tasks.Load() < 100 {
-		t.Errorf("%d of %d tasks ended at the door", lost.Load(), tasks.Load())
+	if lost.Load() > 0 || requests.Load() < 100 {
+		t.Errorf("%d of %d requests were lost", lost.Load(), requests.Load())
 	}
-	if call(console, "PUT /servers/disable?target=s-1") != 200 {
+	if requestStatus(console, "PUT /servers/disable?target=s-1") != 200 {
 		t.Error("the third process does not know the server")
 	}
 	// An upgrade while the one server is out and the node is drained: the fourth process knows both, and ends both.
-	call(console, "PUT /drain")
+	requestStatus(console, "PUT /drain")
 	_, at := start(503)
-	old.Process.Signal(syscall.SIGTERM)
-	old.Wait()
-	task := func(id string) int {
-		return call(door.Addr().String(), "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
+	sendSignal(t, old, syscall.SIGTERM)
+	if err := old.Wait(); err != nil {
+		t.Errorf("the third process ended with %v", err)
+	}
+	request := func(id string) int {
+		return requestStatus(door.Addr().String(), "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
 	}
-	if status := task("out"); status != 503 {
-		t.Errorf("with its server out a task got %d", status)
+	if status := request("out"); status != 503 {
+		t.Errorf("with its server out a request got %d", status)
 	}
-	if call(at, "PUT /undrain") != 200 || call(at, "GET /ready") != 200 {
+	if requestStatus(at, "PUT /undrain") != 200 || requestStatus(at, "GET /ready") != 200 {
 		t.Error("not ready after the end of a drain that another process began")
 	}
-	if call(at, "PUT /servers/enable?target=s-1") != 200 {
+	if requestStatus(at, "PUT /servers/enable?target=s-1") != 200 {
 		t.Error("not put back")
 	}
-	until(t, "the server put back is in use", func() bool { return task(fmt.Sprint("back", time.Now().UnixNano())) == 200 })
+	eventually(t, "the server put back is in use", func() bool { return request(fmt.Sprint("back", time.Now().UnixNano())) == 200 })
 }
 
-// The console answers while clients hold all their descriptors and a thousand callers say nothing or half a call; the machine
-// gives the process no more descriptors than its configuration says.
+// The admin API answers while clients hold all their descriptors and a thousand callers send nothing or half a call; the
+// system gives the process no more descriptors than its configuration says.
 func TestConsoleAnswersInACrowd(t *testing.T) {
 	var addresses [2]string
 	for i := range addresses {
@@ -181,14 +142,14 @@
 	}
 	text := strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q,"console":%q`, addresses[0], addresses[1]),
 		`"sockets":1024`, `"sockets":96`).Replace(config)
-	node := program(t, text, "serve")
+	node := command(t, text, "serve")
 	c := exec.Command("/bin/sh", append([]string{"-c", `ulimit -n 96; exec "$@"`, "sh"}, node.Args...)...)
 	c.Env = append(node.Env, "TMPDIR="+t.TempDir())
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Process.Kill()
-	until(t, "ready", func() bool { return call(addresses[1], "GET /ready") == 200 })
+	defer kill(c)
+	eventually(t, "ready", func() bool { return requestStatus(addresses[1], "GET /ready") == 200 })
 	for i := range 1200 {
 		held, err := net.Dial("tcp", addresses[i%6/5]) // a thousand clients, two hundred callers, then the others
 		if err != nil {
@@ -196,7 +157,7 @@
 		}
 		defer held.Close()
 		if i%2 == 0 {
-			io.WriteString(held, "PUT /drain HT")
+			writeText(held, "PUT /drain HT")
 		}
 	}
 	for i := range 2000 {
@@ -209,8 +170,8 @@
 		}
 		if i%200 == 0 {
 			for _, one := range []string{"PUT /servers/disable?target=s-1", "PUT /servers/enable?target=s-1", "GET /ready"} {
-				if status := call(addresses[1], one); status != 200 {
-					t.Errorf("%s in a crowd, after %d callers: %d", one, i/2, status)
+				if status := requestStatus(addresses[1], one); status != 200 {
+					t.Errorf("%s among idle clients, after %d callers: %d", one, i/2, status)
 				}
 			}
 		}
--- a/internal/node/bufferedconn.go
+++ b/internal/node/bufferedconn.go
@@ -46,7 +46,7 @@
 			return 0, err
 		}
 	}
-	n, err := c.Conn.Read(p)
+	n, err := c.Read(p)
 	if c.pacer != nil {
 		c.pacer.end(n)
 	}
