--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -1,60 +1,78 @@
-// Package sockstate asks the machine about a connection.
+// Package sockstate reports what the kernel knows of a connection before anybody reads from it. It takes no byte, does not
+// wait and changes nothing, so that its functions may be called beside reads and writes. A net.Conn that is no socket
+// counts as open and quiet.
 package sockstate
 
-// This file owns what the machine knows of a connection before anybody reads from it. It must never take a byte, wait, or change
-// anything; what is no socket of the machine's counts as open and quiet.
-
 import (
 	"encoding/binary"
 	"net"
 	"syscall"
 )
 
-// States of a connection as Linux counts them (include/net/tcp_states.h); the others are those in which the peer has ended its side.
+// tcpState is the state of a connection as Linux numbers them (include/net/tcp_states.h).
+type tcpState byte
+
+// The states in which the peer has not ended its side.
 const (
-	tcpEstablished = 1
-	tcpFinWait1    = 4
-	tcpFinWait2    = 5
+	tcpEstablished tcpState = 1
+	tcpFinWait1    tcpState = 4
+	tcpFinWait2    tcpState = 5
 )
 
-// Ended tells whether the peer has closed, reset or half-closed the connection, also where bytes that nobody has read stand before the
-// end, which a read would come to only behind them. A connection that is closed on this side has ended. It may be called beside reads
-// and writes. Its source is TCP_INFO. It can't know an end that stands behind more bytes than the machine takes in unread: they
-// wait at the peer, and its end with them.
-func Ended(c net.Conn) (ended bool) {
-	raw, ok := c.(syscall.Conn)
+func (s tcpState) endedByPeer() bool {
+	return s != tcpEstablished && s != tcpFinWait1 && s != tcpFinWait2
+}
+
+// Ended reports whether the peer has closed, reset or half-closed the connection, also where unread bytes precede the
+// end, which a read would come to only after them. A connection that is closed on this side has ended.
+//
+// Its source is TCP_INFO. It can't know of an end that follows more bytes than the kernel takes in unread: these wait at
+// the peer, and the end with them.
+func Ended(conn net.Conn) (ended bool) {
+	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	control, err := raw.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return true
 	}
-	broken := control.Control(func(fd uintptr) {
-		info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO) // its first byte is the state
-		var b [4]byte
-		binary.NativeEndian.PutUint32(b[:], uint32(info))
-		ended = err == nil && b[0] != tcpEstablished && b[0] != tcpFinWait1 && b[0] != tcpFinWait2
+	closedHere := raw.Control(func(fd uintptr) {
+		state, err := readState(int(fd))
+		ended = err == nil && state.endedByPeer()
 	})
-	return ended || broken != nil
+	return ended || closedHere != nil
+}
+
+// readState reads a connection's state: the first byte of its TCP_INFO.
+func readState(fd int) (tcpState, error) {
+	info, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
+	if err != nil {
+		return 0, err
+	}
+	var b [4]byte
+	binary.NativeEndian.PutUint32(b[:], uint32(info))
+	return tcpState(b[0]), nil
 }
 
-// Peek tells whether a byte can be read at once, taking none: 1 is a byte, 0 without an error the peer's end, less than 1 with EAGAIN
-// that nothing has come. Of a reset only the first who asks is told as an error, later it looks like an end.
-func Peek(c net.Conn) (n int, err error) {
-	raw, ok := c.(syscall.Conn)
+// Peek reports whether a byte can be read at once, and takes none: n is 1 if it can, and 0 without an error at the peer's
+// end. The error is syscall.EAGAIN if nothing has come. A reset is reported as an error only to the first who asks, to
+// others as an end.
+func Peek(conn net.Conn) (n int, err error) {
+	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, syscall.EAGAIN
 	}
-	control, err := raw.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	var one [1]byte
-	if broken := control.Control(func(fd uintptr) {
-		n, _, err = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	}); broken != nil {
-		return 0, broken
+	var b [1]byte
+	closedHere := raw.Control(func(fd uintptr) {
+		n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	if closedHere != nil {
+		return 0, closedHere
 	}
 	return n, err
 }
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -1,6 +1,7 @@
 package sockstate
 
 import (
+	"errors"
 	"io"
 	"net"
 	"syscall"
@@ -8,55 +9,95 @@
 	"time"
 )
 
+// writeText writes to a peer whose state then shows whether that succeeded.
+func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+
+// connect returns both ends of a TCP connection.
+func connect(t *testing.T) (peer, own net.Conn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	dialed, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { dialed.Close() })
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { accepted.Close() })
+	return dialed, accepted
+}
+
 // An end is known before anybody reads to it, and what has come is known and still there.
-func TestWhatTheMachineKnows(t *testing.T) {
+func TestStateOfConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		peer  func(c *net.TCPConn)
+		act   func(peer, own net.Conn)
 		ended bool
 		n     int
 		err   error
 	}{
-		"quiet":                       {func(*net.TCPConn) {}, false, -1, syscall.EAGAIN},
-		"has come":                    {func(c *net.TCPConn) { io.WriteString(c, "xyz") }, false, 1, nil},
-		"closed":                      {func(c *net.TCPConn) { c.Close() }, true, 0, nil},
-		"half-closed":                 {func(c *net.TCPConn) { c.CloseWrite() }, true, 0, nil},
-		"closed behind bytes":         {func(c *net.TCPConn) { io.WriteString(c, "xyz"); c.Close() }, true, 1, nil},
-		"reset":                       {func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, true, -1, syscall.ECONNRESET},
-		"behind more than is taken":   {func(c *net.TCPConn) { go func() { c.Write(make([]byte, 8<<20)); c.Close() }() }, false, 1, nil},
-		"half-closed here, not there": {nil, false, -1, syscall.EAGAIN},
+		"quiet":       {func(_, _ net.Conn) {}, false, -1, syscall.EAGAIN},
+		"has input":   {func(peer, _ net.Conn) { writeText(peer, "xyz") }, false, 1, nil},
+		"closed":      {func(peer, _ net.Conn) { peer.Close() }, true, 0, nil},
+		"half-closed": {func(peer, _ net.Conn) { peer.(*net.TCPConn).CloseWrite() }, true, 0, nil},
+		"closed after bytes": {
+			func(peer, _ net.Conn) {
+				writeText(peer, "xyz")
+				peer.Close()
+			}, true, 1, nil,
+		},
+		"reset": {
+			func(peer, _ net.Conn) {
+				peer.(*net.TCPConn).SetLinger(0)
+				peer.Close()
+			}, true, -1, syscall.ECONNRESET,
+		},
+		"closed after more than the kernel takes in": {
+			func(peer, _ net.Conn) {
+				go func() {
+					writeText(peer, string(make([]byte, 8<<20)))
+					peer.Close()
+				}()
+			}, false, 1, nil,
+		},
+		"half-closed here, not there": {func(_, own net.Conn) { own.(*net.TCPConn).CloseWrite() }, false, -1, syscall.EAGAIN},
 	} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		peer, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		own, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if l.Close(); c.peer != nil {
-			c.peer(peer.(*net.TCPConn))
-		} else {
-			own.(*net.TCPConn).CloseWrite()
-		}
-		come := func() bool { n, _ := Peek(own); return n == 1 }
-		for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && (Ended(own) != c.ended || c.n == 1 && !come()); {
-			time.Sleep(time.Millisecond)
-		}
-		if n, err := Peek(own); Ended(own) != c.ended || n != c.n || err != c.err {
-			t.Errorf("%s: ended %t, %d bytes, %v", name, Ended(own), n, err)
-		}
-		if own.Close(); !Ended(own) {
-			t.Errorf("%s: closed here, and not ended", name)
-		}
-		peer.Close()
+		t.Run(name, func(t *testing.T) {
+			peer, own := connect(t)
+			c.act(peer, own)
+			reached := func() bool {
+				if Ended(own) != c.ended {
+					return false
+				}
+				if c.n != 1 {
+					return true
+				}
+				n, _ := Peek(own)
+				return n == 1
+			}
+			for deadline := time.Now().Add(5 * time.Second); !reached() && time.Now().Before(deadline); {
+				time.Sleep(time.Millisecond)
+			}
+			if n, err := Peek(own); Ended(own) != c.ended || n != c.n || !errors.Is(err, c.err) {
+				t.Errorf("ended %t, %d bytes, %v", Ended(own), n, err)
+			}
+			own.Close()
+			if !Ended(own) {
+				t.Error("closed here, and not ended")
+			}
+		})
 	}
+}
+
+func TestConnThatIsNoSocketIsOpenAndQuiet(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	if n, err := Peek(near); Ended(near) || n > 0 || err != syscall.EAGAIN {
-		t.Error("what is no socket has ended, or has something")
+	if n, err := Peek(near); Ended(near) || n > 0 || !errors.Is(err, syscall.EAGAIN) {
+		t.Errorf("ended %t, %d bytes, %v", Ended(near), n, err)
 	}
 }
