--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -101,52 +101,52 @@
 	heap.Push(&r.queue, digestEvent{r.now + max(delay, 0), r.sequence, run})
 }
 
-func (r *digestRun) Send(task policy.RequestID, server policy.EndpointID, timeout time.Duration) {
-	timeOut := int64(timeout)
-	r.note("send", task, server, timeOut)
-	number := r.attempts[task]
-	r.attempts[task]++
-	endpoint := r.endpoints[int(server)-1]
+func (r *digestRun) Send(req policy.RequestID, id policy.EndpointID, limit time.Duration) {
+	timeout := int64(limit)
+	r.note("send", req, id, timeout)
+	number := r.attempts[req]
+	r.attempts[req]++
+	endpoint := r.endpoints[int(id)-1]
 	endpoint.inFlight++
-	outcome, elapsed := r.outcome(endpoint, r.category[task], timeOut)
-	if r.settings.MayCancel || elapsed < timeOut {
-		elapsed = min(elapsed, timeOut)
+	outcome, elapsed := r.outcome(endpoint, r.category[req], timeout)
+	if r.settings.MayCancel || elapsed < timeout {
+		elapsed = min(elapsed, timeout)
 	}
 	fresh := !endpoint.connected
 	endpoint.connected = outcome != policy.OutcomeReset && outcome != policy.OutcomeConnectFailed
-	if r.recalled[fmt.Sprint(task, number)] {
+	if r.recalled[fmt.Sprint(req, number)] {
 		outcome = policy.OutcomeCanceled
 	}
 	r.after(elapsed, func() {
 		endpoint.inFlight--
-		if r.recalled[fmt.Sprint(task, number)] {
+		if r.recalled[fmt.Sprint(req, number)] {
 			outcome = policy.OutcomeCanceled
 		}
 		answer := policy.AttemptResult{
-			Request: task, Attempt: number, Endpoint: server, Outcome: outcome, Elapsed: time.Duration(elapsed), NewConnection: fresh,
+			Request: req, Attempt: number, Endpoint: id, Outcome: outcome, Elapsed: time.Duration(elapsed), NewConnection: fresh,
 			RequestDone: outcome == policy.OutcomeSucceeded, BodyConsumed: outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
 			Report: r.report(endpoint, outcome),
 		}
 		if answer.RequestDone {
-			r.answered[task] = true
+			r.answered[req] = true
 		}
-		r.instance.AttemptEnded(policy.Time(policy.Time(r.now)), answer)
+		r.instance.AttemptEnded(policy.Time(r.now), answer)
 	})
 }
 
 // outcome draws how an attempt ends and after how long.
-func (r *digestRun) outcome(endpoint *digestEndpoint, category int, timeOut int64) (policy.Outcome, int64) {
-	work := float64(8+4*category) * float64(millisecond) * (0.4 + r.random.ExpFloat64())
+func (r *digestRun) outcome(endpoint *digestEndpoint, class int, timeout int64) (policy.Outcome, int64) {
+	work := float64(8+4*class) * float64(millisecond) * (0.4 + r.random.ExpFloat64())
 	elapsed := int64(work*endpoint.speed*r.slowdown*float64(1+endpoint.inFlight)/2) + millisecond
 	dice := r.random.Float64()
 	switch {
 	case endpoint.listed.State == policy.StateRemoved && dice < 0.8:
 		return policy.OutcomeConnectFailed, 2 * millisecond
 	case endpoint.silent:
-		return policy.OutcomeTimedOut, timeOut
+		return policy.OutcomeTimedOut, timeout
 	case endpoint.full && dice < 0.9:
 		return policy.OutcomeRejected, millisecond
-	case endpoint.failing && dice < 0.7, endpoint.failsCategory == category && dice < 0.95:
+	case endpoint.failing && dice < 0.7, endpoint.failsCategory == class && dice < 0.95:
 		return policy.OutcomeError, elapsed / 4
 	case dice < 0.004:
 		return policy.OutcomeReset, elapsed / 2
@@ -156,8 +156,8 @@
 		return policy.OutcomeNotSent, 0
 	case dice < 0.010:
 		return policy.OutcomeConnectFailed, 5 * millisecond
-	case elapsed >= timeOut:
-		return policy.OutcomeTimedOut, timeOut
+	case elapsed >= timeout:
+		return policy.OutcomeTimedOut, timeout
 	}
 	return policy.OutcomeSucceeded, elapsed
 }
@@ -177,27 +177,27 @@
 	return report
 }
 
-func (r *digestRun) Cancel(task policy.RequestID, number int) {
-	r.note("cancel", task, number)
-	r.recalled[fmt.Sprint(task, number)] = true
+func (r *digestRun) Cancel(req policy.RequestID, number int) {
+	r.note("cancel", req, number)
+	r.recalled[fmt.Sprint(req, number)] = true
 }
 
-func (r *digestRun) Reject(task policy.RequestID, advice time.Duration) {
-	r.note("reject", task, int64(advice))
-	r.answered[task] = true
+func (r *digestRun) Reject(req policy.RequestID, advice time.Duration) {
+	r.note("reject", req, int64(advice))
+	r.answered[req] = true
 }
 
-func (r *digestRun) Fail(task policy.RequestID) {
-	r.note("fail", task)
-	r.answered[task] = true
+func (r *digestRun) Fail(req policy.RequestID) {
+	r.note("fail", req)
+	r.answered[req] = true
 }
 
-func (r *digestRun) SetTimer(at policy.Time, cookie uint64) {
-	r.note("timer", int64(at), cookie)
+func (r *digestRun) SetTimer(at policy.Time, timer uint64) {
+	r.note("timer", int64(at), timer)
 	instance := r.instance
 	r.after(int64(at)-r.now, func() {
 		if instance == nil || instance == r.instance { // timers end with the instance that set them
-			r.instance.TimerFired(policy.Time(policy.Time(r.now)), cookie)
+			r.instance.TimerFired(policy.Time(r.now), timer)
 		}
 	})
 }
@@ -213,42 +213,42 @@
 	})
 }
 
-func (r *digestRun) CloseIdle(server policy.EndpointID) {
-	r.note("close", server)
-	r.endpoints[int(server)-1].connected = false
+func (r *digestRun) CloseIdle(id policy.EndpointID) {
+	r.note("close", id)
+	r.endpoints[int(id)-1].connected = false
 }
 
-func (r *digestRun) CheckHealth(server policy.EndpointID) {
-	r.note("probe", server)
-	endpoint := r.endpoints[int(server)-1]
+func (r *digestRun) CheckHealth(id policy.EndpointID) {
+	r.note("probe", id)
+	endpoint := r.endpoints[int(id)-1]
 	r.after(3*millisecond, func() {
 		outcome := policy.OutcomeSucceeded
 		if endpoint.silent {
 			outcome = policy.OutcomeTimedOut
 		}
-		r.instance.HealthChecked(policy.Time(policy.Time(r.now)), server, outcome, policy.LoadReport{
+		r.instance.HealthChecked(policy.Time(r.now), id, outcome, policy.LoadReport{
 			Utilization: 0.5 * endpoint.speed,
 			QueueLength: float64(endpoint.inFlight), ServiceTime: 8 * endpoint.speed,
 		})
 	})
 }
 
-func (r *digestRun) Gossip(news policy.GossipMessage) {
-	r.note("gossip", uint32(news.Endpoint), news.Class, int64(news.IdleTime))
+func (r *digestRun) Gossip(message policy.GossipMessage) {
+	r.note("gossip", uint32(message.Endpoint), message.Class, int64(message.IdleTime))
 	for range r.random.IntN(5) { // other nodes saw the same
-		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(policy.Time(policy.Time(r.now)), news) })
+		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(policy.Time(r.now), message) })
 	}
 }
 
 // list gives the instance the whole list, without what has left, or every tenth line of it.
-func (r *digestRun) list(whole bool) {
+func (r *digestRun) list(complete bool) {
 	var lines []policy.EndpointInfo
 	for i, endpoint := range r.endpoints {
-		if whole && endpoint.listed.State != policy.StateRemoved || !whole && i%10 == r.lists%10 {
+		if complete && endpoint.listed.State != policy.StateRemoved || !complete && i%10 == r.lists%10 {
 			lines = append(lines, endpoint.listed)
 		}
 	}
-	r.instance.EndpointsUpdated(policy.Time(policy.Time(r.now)), lines, whole)
+	r.instance.EndpointsUpdated(policy.Time(r.now), lines, complete)
 }
 
 // change gives one endpoint another condition and, where the list tells of it, the instance the changed line.
@@ -275,31 +275,31 @@
 		endpoint.connected, listed = false, false
 	}
 	if listed && r.random.IntN(5) > 0 {
-		r.instance.EndpointsUpdated(policy.Time(policy.Time(r.now)), []policy.EndpointInfo{endpoint.listed}, false)
+		r.instance.EndpointsUpdated(policy.Time(r.now), []policy.EndpointInfo{endpoint.listed}, false)
 	}
 }
 
 func (r *digestRun) arrive(number int) {
 	id := policy.RequestID(fmt.Sprint("r", number))
-	category := r.random.IntN(len(r.settings.Classes))
-	task := policy.Request{
-		ID: id, Class: category, Tenant: r.random.IntN(4),
-		Deadline:    policy.Time(r.now).Add(r.settings.Classes[category].LatencyObjective * time.Duration(2+r.random.IntN(3))),
+	class := r.random.IntN(len(r.settings.Classes))
+	req := policy.Request{
+		ID: id, Class: class, Tenant: r.random.IntN(4),
+		Deadline:    policy.Time(r.now).Add(r.settings.Classes[class].LatencyObjective * time.Duration(2+r.random.IntN(3))),
 		ClientRetry: r.random.IntN(12) == 0, StreamingBody: r.random.IntN(20) == 0,
 	}
 	if r.random.IntN(2) == 0 {
-		task.CostHint = time.Duration(int64(8+4*category) * millisecond * int64(1+r.random.IntN(3)) / 2)
+		req.CostHint = time.Duration(int64(8+4*class) * millisecond * int64(1+r.random.IntN(3)) / 2)
 	}
 	if r.random.IntN(4) > 0 {
-		task.Key = fmt.Sprint("key", min(r.random.IntN(40), r.random.IntN(40)))
+		req.Key = fmt.Sprint("key", min(r.random.IntN(40), r.random.IntN(40)))
 	}
-	r.category[id] = category
-	r.instance.RequestArrived(policy.Time(policy.Time(r.now)), task)
+	r.category[id] = class
+	r.instance.RequestArrived(policy.Time(r.now), req)
 	if r.random.IntN(40) == 0 {
 		r.after(r.random.Int64N(60)*millisecond, func() {
 			if !r.answered[id] {
 				r.answered[id] = true
-				r.instance.ClientGone(policy.Time(policy.Time(r.now)), id)
+				r.instance.ClientGone(policy.Time(r.now), id)
 			}
 		})
 	}
