--- a/cmd/fawnglade/config.go
+++ b/cmd/fawnglade/config.go
@@ -35,7 +35,7 @@
 	if featuresPath == "" {
 		return config, nil
 	}
-	if err := config.Features(featuresPath); err != nil {
+	if err := config.ReadFeatures(featuresPath); err != nil {
 		return nil, err
 	}
 	return config, nil
--- a/cmd/fawnglade/fleet.go
+++ b/cmd/fawnglade/fleet.go
@@ -124,20 +124,20 @@
 // formatView is a view as a summary and a table of the members.
 func formatView(v *members.View) []byte {
 	var b bytes.Buffer // writes to it can't fail
-	f := &v.Figure
-	fmt.Fprintf(&b, "%s, incarnation %d, %d rounds, strain %d\n", v.Name, v.Incarnation, v.Rounds, v.Strain)
+	f := &v.Summary
+	fmt.Fprintf(&b, "%s, incarnation %d, %d rounds, strain %d\n", v.Name, v.Incarnation, v.Rounds, v.HealthScore)
 	if f.Known {
 		fmt.Fprintf(&b, "%d of %d nodes up, %d doubted, %d silent, %d left, %d never seen; "+
 			"%.0f%% of the last probes answered, %s ago\n",
-			f.Up, f.Nodes, f.Doubted, f.Silent, f.Left, f.Never, 100*f.Heard, formatAge(f.Age))
+			f.Alive, f.Nodes, f.Suspect, f.Dead, f.Left, f.Unknown, 100*f.ProbeSuccess, formatAge(f.AgeNs))
 	} else {
-		fmt.Fprintf(&b, "how many of %d nodes there are is unknown: %s\n", f.Nodes, f.Why)
+		fmt.Fprintf(&b, "how many of %d nodes there are is unknown: %s\n", f.Nodes, f.Reason)
 	}
 	var rows bytes.Buffer
 	fmt.Fprintln(&rows, "NODE\tSTATE\tFOR\tHEARD\tSTARTED\tINCARNATION\tREMARK")
 	for i := range v.Members {
 		m := &v.Members[i]
-		fmt.Fprintf(&rows, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.State, formatAge(m.Since), formatAge(m.Heard),
+		fmt.Fprintf(&rows, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.State, formatAge(m.StateAgeNs), formatAge(m.LastHeardNs),
 			formatStart(m), m.Incarnation, remark(v, m))
 	}
 	table := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
@@ -147,23 +147,23 @@
 }
 
 // formatStart is when a member started; empty if that is unknown.
-func formatStart(m *members.Row) string {
-	if m.Start == 0 {
+func formatStart(m *members.Member) string {
+	if m.StartMs == 0 {
 		return ""
 	}
-	return time.UnixMilli(int64(m.Start)).UTC().Format(time.DateTime)
+	return time.UnixMilli(int64(m.StartMs)).UTC().Format(time.DateTime)
 }
 
 // remark is what is unusual about a member.
-func remark(v *members.View, m *members.Row) string {
+func remark(v *members.View, m *members.Member) string {
 	switch {
-	case m.Name == v.Name && v.Twice:
+	case m.Name == v.Name && v.NameConflict:
 		return "another process has this name"
 	case m.Name == v.Name:
 		return "itself"
-	case m.Twice:
+	case m.NameConflict:
 		return "messages from another life or process of this name"
-	case m.Own:
+	case m.OwnViewOnly:
 		return "by this node's sight alone"
 	}
 	return ""
--- a/cmd/fawnglade/serve.go
+++ b/cmd/fawnglade/serve.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	if stateDir != "" {
-		if err := config.State(stateDir); err != nil {
+		if err := config.UseStateDir(stateDir); err != nil {
 			return err
 		}
 	}
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"syscall"
@@ -24,12 +23,12 @@
 	for i := range 5 { // one at work, one at the door, three in the machine
 		c, in := dial(t, n)
 		ins = append(ins, in)
-		io.WriteString(c, requestText("batch", fmt.Sprint("t", i), ""))
+		writeText(c, requestText("batch", fmt.Sprint("t", i), ""))
 		eventually(t, "the first at work and the second at the door", func() bool { return int(n.count(clientsAccepted)) == min(i+1, 2) })
 	}
 	answers.held(t, 1)
 	stopped := make(chan struct{})
-	go func() { n.stop(); close(stopped) }()
+	go func() { n.shutDown(); close(stopped) }()
 	eventually(t, "the end of taking", n.frontend.draining.Load)
 	answers.pass()
 	for i, in := range ins {
@@ -61,7 +60,7 @@
 	defer syscall.Close(held)
 	ask(t, n, "batch", "t", "") // the accept behind this one stands in the machine
 	stopped := make(chan struct{})
-	go func() { n.stop(); close(stopped) }()
+	go func() { n.shutDown(); close(stopped) }()
 	select {
 	case <-stopped:
 	case <-time.After(10 * time.Second):
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -24,7 +23,7 @@
 	for i := range 9 {
 		all += requestText("batch", fmt.Sprint("t", i), "b")
 	}
-	io.WriteString(c, all+"no message\r\n\r\n")
+	writeText(c, all+"no message\r\n\r\n")
 	for i := range 9 {
 		if status, body, _ := readAnswer(in); status != 200 || body != fmt.Sprintf("/batch t%d b", i) {
 			t.Errorf("answer %d is %d %q", i, status, body)
@@ -43,7 +42,7 @@
 	})
 	n := startNode(t, nil, server)
 	c, in := dial(t, n)
-	io.WriteString(c, requestText("batch", "t1", ""))
+	writeText(c, requestText("batch", "t1", ""))
 	eventually(t, "the hand-off", func() bool { return n.count(attemptsSent) == 1 })
 	n.frontend.mu.Lock()
 	for one := range n.frontend.open {
@@ -71,7 +70,7 @@
 	n := startNode(t, nil, server)
 	client, in := dial(t, n)
 	next := requestText("batch", "b", "body")
-	io.WriteString(client, requestText("batch", "a", "")+next[:60])
+	writeText(client, requestText("batch", "a", "")+next[:60])
 	answers.held(t, 1)
 	at := n.onlyClientConn(t)
 	eventually(t, "half of the second task", func() bool {
@@ -84,7 +83,7 @@
 	if status, _, header := readAnswer(in); status != 200 || header.Get("Connection") == "close" {
 		t.Errorf("the first was answered %d, %v", status, header)
 	}
-	io.WriteString(client, next[60:])
+	writeText(client, next[60:])
 	if status, _, _ := readAnswer(in); status != 200 {
 		t.Errorf("the second was answered %d", status)
 	}
@@ -97,12 +96,12 @@
 func TestEarlyAnswerReachesASlowSender(t *testing.T) {
 	server := listen(t, func(c net.Conn) {
 		http.ReadRequest(bufio.NewReader(c))
-		io.WriteString(c, "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
+		writeText(c, "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(50 * time.Millisecond)
 	})
 	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
-	fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nContent-Length: 9000000\r\n\r\n%s", randomBody(2*minBufferedBody))
+	writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nContent-Length: 9000000\r\n\r\n%s", randomBody(2*minBufferedBody))
 	for range 5 {
 		time.Sleep(4 * closeLinger)
 		if _, err := c.Write(randomBody(6500)); err != nil {
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -19,13 +19,13 @@
 func TestClientThatLeavesHasItsTaskRecalled(t *testing.T) {
 	closed := make(chan struct{})
 	server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		io.Copy(io.Discard, c)
+		discard(c)
 		close(closed)
 		return false
 	})
 	n := startNode(t, nil, server)
 	c, _ := dial(t, n)
-	io.WriteString(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
+	writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 	eventually(t, "the hand-off", func() bool { return tasks.Load() == 1 })
 	c.Close()
 	select {
@@ -61,7 +61,7 @@
 			n := newNode(t, nil, server)
 			client, _ := dial(t, n) // the machine takes it, nobody has yet
 			client.SetDeadline(time.Now().Add(time.Second))
-			io.WriteString(client, c.text)
+			writeText(client, c.text)
 			c.leave(client)
 			n.start()
 			eventually(t, "the connection's end", n.allClientsClosed)
@@ -80,7 +80,7 @@
 		})
 		n := startNode(t, nil, server)
 		client, _ := dial(t, n)
-		io.WriteString(client, many(20))
+		writeText(client, many(20))
 		eventually(t, "as many as are read ahead", func() bool { return tasks.Load() == n.count(attemptsSent) && tasks.Load() > maxPipelined })
 		at := n.onlyClientConn(t)
 		client.Close()
@@ -99,7 +99,7 @@
 		dials := n.holdDials(t)
 		n.start()
 		client, _ := dial(t, n)
-		io.WriteString(client, many(20))
+		writeText(client, many(20))
 		dials.held(t, maxPipelined+2) // as many as stand in turn, with the writer's and the reader's
 		at := n.onlyClientConn(t)
 		client.Close()
@@ -119,7 +119,7 @@
 		})
 		n := startNode(t, silentDiscovery(t), server, server)
 		client, _ := dial(t, n)
-		io.WriteString(client, requestText("batch", "t", ""))
+		writeText(client, requestText("batch", "t", ""))
 		errs.held(t, 1)
 		held := n.holdLoop(t)
 		errs.pass()
@@ -142,7 +142,7 @@
 		n := startNode(t, silentDiscovery(t), server)
 		held := n.holdLoop(t)
 		client, _ := dial(t, n)
-		io.WriteString(client, requestText("batch", "t", ""))
+		writeText(client, requestText("batch", "t", ""))
 		eventually(t, "the arrival in the queue", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
 		eventually(t, "the withdrawal behind it", func() bool { return len(n.loop.events) == 2 })
@@ -247,7 +247,7 @@
 				}
 				n.start()
 				client, _ := dial(t, n)
-				io.WriteString(client, s.text)
+				writeText(client, s.text)
 				if s.reach != nil {
 					s.reach(t, n, other, dials, answers)
 				}
@@ -430,7 +430,7 @@
 			}
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(10 * time.Second))
-			io.WriteString(c, text)
+			writeText(c, text)
 			if stays {
 				if status, body, _ := readAnswer(bufio.NewReader(c)); status == 0 {
 					t.Errorf("%s, who stayed, has no answer: %s", ids[0], body)
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -20,12 +19,12 @@
 	ask(t, n, "batch", "old", "")
 	learn := func(version int, whole bool, entries ...string) {
 		t.Helper()
-		list, _, whole, err := n.parseList([]byte(listText(version, whole, entries...)))
+		update, err := n.parseList([]byte(listText(version, whole, entries...)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		done := make(chan struct{})
-		n.loop.postList(list, whole)
+		n.loop.postEndpoints(update.entries, update.complete)
 		n.loop.post(func() { close(done) })
 		<-done
 	}
@@ -56,11 +55,11 @@
 	}, server)
 	ask(t, n, "batch", "before", "")
 	learn := func(text string) {
-		list, _, whole, err := n.parseList([]byte(text))
+		update, err := n.parseList([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.loop.postList(list, whole)
+		n.loop.postEndpoints(update.entries, update.complete)
 	}
 	learn(listText(2, false, listEntry("s-0", server, "removed")))
 	learn(listText(3, true))
@@ -76,12 +75,12 @@
 // A server is not taken off the list because its line could not be read, only because a readable list lacks it.
 func TestUnreadableEntryTakesNobodyOff(t *testing.T) {
 	n := startNode(t, nil)
-	_, _, whole, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
-	if whole || err != nil {
-		t.Errorf("whole %t, error %v", whole, err)
+	update, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
+	if update.complete || err != nil {
+		t.Errorf("complete %t, error %v", update.complete, err)
 	}
 	for _, text := range []string{"", "[]", "{}", `{"seq":"a"}`, `{"seq":1,"hosts":{}}`} {
-		if _, _, _, err := n.parseList([]byte(text)); err == nil {
+		if _, err := n.parseList([]byte(text)); err == nil {
 			t.Errorf("%q was taken for a list", text)
 		}
 	}
@@ -119,7 +118,7 @@
 					n.start()
 					n.updateList(t, listText(1, true, there(listEntry("s-0", first, "up"))))
 					client, answers := dial(t, n)
-					io.WriteString(client, requestText("update", "t1", "x"))
+					writeText(client, requestText("update", "t1", "x"))
 					gate.held(t, 1)
 					inGroup, want := there(listEntry("s-1", fellow, "up")), 200
 					if outside {
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -3,7 +3,6 @@
 import (
 	"fawnglade/policy"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"testing"
@@ -44,7 +43,7 @@
 	})
 	n := startNode(t, nil, server)
 	c, in := dial(t, n)
-	io.WriteString(c, requestText("batch", "same", "")+requestText("batch", "same", ""))
+	writeText(c, requestText("batch", "same", "")+requestText("batch", "same", ""))
 	first, _, _ := readAnswer(in)
 	second, _, _ := readAnswer(in)
 	if first != 200 || second != 409 || tasks.Load() != 1 {
@@ -69,11 +68,11 @@
 		}
 		return list
 	}
-	n.loop.postList(lines(1, 4097), true)
+	n.loop.postEndpoints(lines(1, 4097), true)
 	if events := taken(); events != 9 || len(n.loop.endpoints) != 4096 {
 		t.Errorf("4,096 lines in %d events, %d servers known; want 8 slices and a last one for who is absent, and all", events, len(n.loop.endpoints))
 	}
-	n.loop.postList(lines(4001, 5001), true)
+	n.loop.postEndpoints(lines(4001, 5001), true)
 	for range 2 {
 		(<-n.loop.events)()
 	}
@@ -84,8 +83,8 @@
 	if len(n.loop.endpoints) != 1000 || n.loop.endpoints[4000].address != "" || n.loop.endpoints[5000].address == "" {
 		t.Errorf("%d servers known, want the 1,000 of the second list", len(n.loop.endpoints))
 	}
-	n.loop.postList(nil, false)
-	if n.loop.postList(nil, true); taken() != 2 || len(n.loop.endpoints) != 0 {
+	n.loop.postEndpoints(nil, false)
+	if n.loop.postEndpoints(nil, true); taken() != 2 || len(n.loop.endpoints) != 0 {
 		t.Errorf("%d servers known after a whole list of nobody", len(n.loop.endpoints))
 	}
 }
--- a/internal/node/evict_test.go
+++ b/internal/node/evict_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -17,7 +16,7 @@
 		for range 5 {
 			dial(t, n)
 		}
-		io.WriteString(c, requestText("batch", fmt.Sprint("t", i), ""))
+		writeText(c, requestText("batch", fmt.Sprint("t", i), ""))
 		if status, _, _ := readAnswer(in); status != 200 {
 			t.Fatalf("task %d in the flood was answered %d", i, status)
 		}
@@ -42,7 +41,7 @@
 			n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
 			for i := range n.frontend.maxOpen + n.frontend.spareSlots {
 				c, in := dial(t, n)
-				io.WriteString(c, requestText("batch", fmt.Sprint("stays", i), ""))
+				writeText(c, requestText("batch", fmt.Sprint("stays", i), ""))
 				readAnswer(in)
 			}
 			time.Sleep(idle)
@@ -69,7 +68,7 @@
 	var ended atomic.Int64
 	for i := range 4 * ownDescriptors / 3 {
 		c, in := dial(t, n)
-		io.WriteString(c, requestText("batch", fmt.Sprint("stays", i), ""))
+		writeText(c, requestText("batch", fmt.Sprint("stays", i), ""))
 		if status, _, _ := readAnswer(in); status != 200 {
 			t.Fatalf("task %d was answered %d", i, status)
 		}
@@ -96,11 +95,11 @@
 	c, in := dial(t, n)
 	text := requestText("batch", "t1", "a")
 	for i := range 8 {
-		io.WriteString(c, text[i*len(text)/8:(i+1)*len(text)/8])
+		writeText(c, text[i*len(text)/8:(i+1)*len(text)/8])
 		for k := range 2 * n.frontend.maxOpen {
 			crowd, _ := dial(t, n)
 			if k%2 == 0 {
-				io.WriteString(crowd, "GET /batch HTT")
+				writeText(crowd, "GET /batch HTT")
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"sync"
@@ -45,7 +44,7 @@
 func TestAttemptsHaveThePlacesOfIdleClients(t *testing.T) {
 	answers := newGate(t)
 	server, _ := startUpstream(t, echo)
-	slow := listen(t, func(c net.Conn) { answers.wait(); io.Copy(io.Discard, c) })
+	slow := listen(t, func(c net.Conn) { answers.wait(); discard(c) })
 	n := startNode(t, silentDiscovery(t), server)
 	n.upstreams.setLimit(2)
 	n.frontend.setLimits(8, 0, 100)
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -53,11 +53,11 @@
 // learn has the loop go by a line of discovery's, and returns once it has.
 func (n *Node) updateList(t *testing.T, text string) {
 	t.Helper()
-	list, _, whole, err := n.parseList([]byte(text))
+	update, err := n.parseList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.loop.postList(list, whole)
+	n.loop.postEndpoints(update.entries, update.complete)
 	n.flushLoop()
 }
 
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -164,7 +164,7 @@
 	}
 	c := &Config{
 		Name: "n0", Listen: address(), Discovery: "127.0.0.1:1", Seed: "1f",
-		Known: json.RawMessage(listText(1, true, entries...)), Settings: json.RawMessage(settingsText), dir: t.TempDir(),
+		KnownList: json.RawMessage(listText(1, true, entries...)), Settings: json.RawMessage(settingsText), filesDir: t.TempDir(),
 	}
 	c.Limits.MemoryMB, c.Limits.Sockets = 192, 1024
 	if change != nil {
@@ -227,7 +227,7 @@
 	t.Helper()
 	c, in := dial(t, n)
 	defer c.Close()
-	io.WriteString(c, requestText(category, id, body))
+	writeText(c, requestText(category, id, body))
 	return readAnswer(in)
 }
 
@@ -245,9 +245,18 @@
 
 // entryOf is one server as a list words it.
 func (n *Node) entryOf(text string) (endpointEntry, error) {
-	entries, _, _, err := n.parseList([]byte(listText(1, false, text)))
-	if err != nil || len(entries) != 1 {
-		return endpointEntry{}, fmt.Errorf("%v, %d entries", err, len(entries))
+	update, err := n.parseList([]byte(listText(1, false, text)))
+	if err != nil || len(update.entries) != 1 {
+		return endpointEntry{}, fmt.Errorf("%v, %d entries", err, len(update.entries))
 	}
-	return entries[0], nil
+	return update.entries[0], nil
 }
+
+// writeText writes to a peer that may have gone; what it answers, or that it does not, shows that.
+func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+
+// writef is writeText with a format.
+func writef(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
+
+// discard reads to the end, however that comes.
+func discard(r io.Reader) { _, _ = io.Copy(io.Discard, r) }
--- a/internal/node/hotrestartrace_test.go
+++ b/internal/node/hotrestartrace_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"io"
 	"sync"
 	"testing"
 )
@@ -16,9 +15,9 @@
 	fresh.hotRestart.announceServing()
 	eventually(t, "the old one yields", old.hotRestart.hasYielded)
 	client, in := dial(t, old) // stands in the machine: the successor was to take it
-	io.WriteString(client, requestText("batch", "t", ""))
+	writeText(client, requestText("batch", "t", ""))
 	stopped := make(chan struct{})
-	go func() { old.stop(); close(stopped) }()
+	go func() { old.shutDown(); close(stopped) }()
 	eventually(t, "the stop", old.stopping.Load)
 	fresh.hotRestart.close()
 	fresh.hotRestart.mu.Lock()
@@ -43,7 +42,7 @@
 			ask("second")
 			first.start()
 			eventually(t, "the old one yields", old.hotRestart.hasYielded)
-			old.stop()
+			old.shutDown()
 			ask("first")
 		},
 		"both stop": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
@@ -52,7 +51,7 @@
 			eventually(t, "the old one yields", old.hotRestart.hasYielded)
 			var done sync.WaitGroup
 			for _, n := range []*Node{old, fresh} {
-				done.Go(n.stop)
+				done.Go(n.shutDown)
 			}
 			eventually(t, "both stop", func() bool { return old.stopping.Load() && fresh.stopping.Load() })
 			ask("while both stop")
@@ -62,7 +61,7 @@
 			fresh := next()
 			fresh.hotRestart.announceServing() // says so, and does not take yet
 			eventually(t, "the old one yields", old.hotRestart.hasYielded)
-			old.stop()
+			old.shutDown()
 			go fresh.start()
 			ask("after")
 		},
@@ -74,7 +73,7 @@
 			fresh.start()
 			eventually(t, "both know", func() bool { return old.overrides.drained() && fresh.notReady() == "drained" })
 			ask("drained")
-			old.stop()
+			old.shutDown()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/listwatch_test.go
+++ b/internal/node/listwatch_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"os"
@@ -105,9 +104,9 @@
 			return
 		}
 		if i := int(asked.Add(1)) - 1; i < len(calls) {
-			calls[i](c, func(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) })
+			calls[i](c, func(text string) { writef(c, "%x\r\n%s\r\n", len(text), text) })
 		} else {
-			io.Copy(io.Discard, c)
+			discard(c)
 		}
 	}), asked
 }
@@ -117,7 +116,7 @@
 // A watch that falls silent, or a call that gets no head, is followed by another at once, however long waits have grown and whatever
 // the settings say of asking; a half of a line counts for nothing, and a list may be broken into lines as it likes.
 func TestWatchesBreak(t *testing.T) {
-	stays := func(c net.Conn) { io.Copy(io.Discard, c) }
+	stays := func(c net.Conn) { discard(c) }
 	line := func(version int, health, server string) string {
 		return listText(version, false, listEntry("s-0", server, health)) + "\n"
 	}
@@ -126,27 +125,27 @@
 			"silent, with nothing changed": func(server string) (calls []func(net.Conn, func(string))) {
 				for range 4 {
 					calls = append(calls, func(c net.Conn, chunk func(string)) {
-						io.WriteString(c, watchBegins)
+						writeText(c, watchBegins)
 						chunk(listText(1, false) + "\n")
 						stays(c)
 					})
 				}
 				return append(calls, func(c net.Conn, chunk func(string)) {
-					io.WriteString(c, watchBegins)
+					writeText(c, watchBegins)
 					chunk(line(2, "draining", server))
 					stays(c)
 				})
 			},
 			"silent behind its head, then in the midst of a line": func(server string) []func(net.Conn, func(string)) {
 				return []func(net.Conn, func(string)){
-					func(c net.Conn, chunk func(string)) { io.WriteString(c, watchBegins); stays(c) },
+					func(c net.Conn, chunk func(string)) { writeText(c, watchBegins); stays(c) },
 					func(c net.Conn, chunk func(string)) {
-						io.WriteString(c, watchBegins)
+						writeText(c, watchBegins)
 						chunk(line(7, "up", server)[:40])
 						stays(c)
 					},
 					func(c net.Conn, chunk func(string)) {
-						io.WriteString(c, watchBegins)
+						writeText(c, watchBegins)
 						chunk(line(2, "draining", server))
 						stays(c)
 					},
@@ -154,7 +153,7 @@
 			},
 			"indented, in pieces": func(server string) []func(net.Conn, func(string)) {
 				return []func(net.Conn, func(string)){func(c net.Conn, chunk func(string)) {
-					io.WriteString(c, watchBegins)
+					writeText(c, watchBegins)
 					var tree any
 					json.Unmarshal([]byte(line(2, "draining", server)), &tree)
 					text, _ := json.MarshalIndent(tree, "", "  ")
@@ -196,7 +195,7 @@
 	}{
 		"a call without a head": {time.Hour, func(c net.Conn, _ func(string), _ string) { stays(c) }},
 		"reset in the midst of a line": {time.Millisecond, func(c net.Conn, chunk func(string), server string) {
-			io.WriteString(c, watchBegins)
+			writeText(c, watchBegins)
 			chunk(line(2, "draining", server)[:90])
 			c.(*net.TCPConn).SetLinger(0)
 		}},
@@ -232,13 +231,13 @@
 	word := newGate(t)
 	address, _ := watchOf(t, func(c net.Conn, chunk func(string)) {
 		word.wait()
-		io.WriteString(c, watchBegins)
+		writeText(c, watchBegins)
 		chunk(listText(2, false, listEntry("s-0", server, "draining")) + "\n")
-		io.Copy(io.Discard, c)
+		discard(c)
 	})
 	n := newNode(t, func(c *Config) { withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c); c.Discovery = address }, server)
 	client, in := dial(t, n)
-	io.WriteString(client, requestText("batch", "t", ""))
+	writeText(client, requestText("batch", "t", ""))
 	go n.start()
 	word.held(t, 1)
 	if n.notReady() == "" {
@@ -255,15 +254,15 @@
 	server, _ := startUpstream(t, echo)
 	late := newGate(t)
 	old, _ := watchOf(t, func(c net.Conn, chunk func(string)) {
-		io.WriteString(c, watchBegins)
+		writeText(c, watchBegins)
 		chunk(listText(50, false) + "\n")
 		late.wait()
 		chunk(listText(51, false, listEntry("s-0", server, "draining")) + "\n")
 	})
 	young, _ := watchOf(t, func(c net.Conn, chunk func(string)) {
-		io.WriteString(c, watchBegins)
+		writeText(c, watchBegins)
 		chunk(listText(3, true, listEntry("s-0", server, "up")) + "\n")
-		io.Copy(io.Discard, c)
+		discard(c)
 	})
 	n := startNode(t, func(c *Config) { c.Discovery = old }, server)
 	late.held(t, 1)
@@ -287,9 +286,9 @@
 		if i >= len(calls) {
 			return
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		writeText(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, line := range calls[i] {
-			fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(line)+1, line)
+			writef(c, "%x\r\n%s\n\r\n", len(line)+1, line)
 			time.Sleep(10 * time.Millisecond)
 		}
 		c.Read(in)
--- a/internal/node/requestread_test.go
+++ b/internal/node/requestread_test.go
@@ -16,11 +16,11 @@
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	c, in := dial(t, n)
-	io.WriteString(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
+	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	if status, _, _ := readAnswer(in); status != 100 {
 		t.Fatalf("told %d", status)
 	}
-	io.WriteString(c, "body")
+	writeText(c, "body")
 	if status, body, _ := readAnswer(in); status != 200 || body != "/batch t body" {
 		t.Errorf("answered %d %q", status, body)
 	}
@@ -50,7 +50,7 @@
 		head + "X-Txn: a\r\nX-Estimate: some\r\nX-Labels: =,\r\n\r\n":                             200,
 	} {
 		c, in := dial(t, n)
-		io.WriteString(c, text)
+		writeText(c, text)
 		if status, _, _ := readAnswer(in); status != want {
 			t.Errorf("%.60q was answered %d, want %d", text, status, want)
 		}
@@ -72,7 +72,7 @@
 		done.Go(func() {
 			began := time.Now()
 			c, in := dial(t, n)
-			io.WriteString(c, text)
+			writeText(c, text)
 			status, _, _ := readAnswer(in)
 			if took := time.Since(began); status != want || took > 2900*time.Millisecond {
 				t.Errorf("%q was answered %d after %v", text, status, took)
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	defer own.Close()
-	io.WriteString(peer, "GET "+pathReady+" HTTP/1.1\r\nHost: h\r\n\r\n")
+	writeText(peer, "GET "+pathReady+" HTTP/1.1\r\nHost: h\r\n\r\n")
 	c := &clientConn{frontend: n.frontend, conn: newBufferedConn(own), responseOrder: make(chan *pendingRequest, 1), admittedAt: time.Now().Add(-headTimeout)}
 	eventually(t, "the request", c.conn.hasInput)
 	read := make(chan error, 1)
@@ -133,14 +133,14 @@
 		"Content-Length: 60000000\r\n\r\n" + half:                                     413,
 	} {
 		c, in := dial(t, n)
-		go io.WriteString(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n"+text)
+		go writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n"+text)
 		if status, _, _ := readAnswer(in); status != want {
 			t.Errorf("%.40q: %d, want %d", text, status, want)
 		}
 		c.Close()
 	}
 	c, _ := dial(t, n)
-	io.WriteString(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nContent-Length: 9000000\r\n\r\n"+half)
+	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nContent-Length: 9000000\r\n\r\n"+half)
 	eventually(t, "its hand-off", func() bool { return n.count(requestsStreamed) >= 4 })
 	c.Close()
 	eventually(t, "the task is withdrawn", func() bool { return n.count(requestsCanceled) == 1 })
@@ -168,7 +168,7 @@
 	var all []begun
 	for i := range 16 {
 		c, in := dial(t, n)
-		fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nContent-Length: %d\r\n\r\n%s", i, len(body), body[:minBufferedBody])
+		writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nContent-Length: %d\r\n\r\n%s", i, len(body), body[:minBufferedBody])
 		all = append(all, begun{c, in})
 	}
 	eventually(t, "some flow, as they are more than there is memory for", func() bool { return n.count(requestsStreamed) > 8 })
@@ -197,14 +197,14 @@
 	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
 	for i := range 2 {
-		fmt.Fprintf(c, "HEAD /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", i)
+		writef(c, "HEAD /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", i)
 		r, err := http.ReadResponse(in, &http.Request{Method: http.MethodHead})
 		if err != nil || r.StatusCode != 200 || r.ContentLength != 9000000 {
 			t.Fatalf("%+v, %v", r, err)
 		}
 	}
 	body := randomBody(3 << 20)
-	fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t9\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", len(body))
+	writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t9\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", len(body))
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 100 {
 		t.Fatalf("%+v, %v, want the word to go on", r, err)
 	}
@@ -225,14 +225,14 @@
 	})
 	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
-	io.WriteString(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
+	writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 	eventually(t, "the answer flows", func() bool { return n.count(responsesStreamed) == 1 })
-	io.WriteString(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
+	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
 	time.Sleep(50 * time.Millisecond)
 	if _, body, _ := readAnswer(in); body != string(long) {
 		t.Errorf("an answer of %d bytes came as %d others", len(long), len(body))
 	}
-	io.WriteString(c, "abc")
+	writeText(c, "abc")
 	if _, body, _ := readAnswer(in); body != "abc" {
 		t.Errorf("the second task was answered %.40q", body)
 	}
--- a/internal/node/roundtrip_test.go
+++ b/internal/node/roundtrip_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"sync"
@@ -22,7 +21,7 @@
 	n := startNode(t, nil, server)
 	c, in := dial(t, n)
 	for i := range 3 {
-		fmt.Fprintf(c, "POST /batch/x?q=%d HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nX-Other: kept\r\nConnection: keep-alive\r\n"+
+		writef(c, "POST /batch/x?q=%d HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nX-Other: kept\r\nConnection: keep-alive\r\n"+
 			"Content-Length: 3\r\n\r\na\x00b", i, i)
 		status, body, header := readAnswer(in)
 		if want := fmt.Sprintf("/batch/x?q=%d t%d a\x00b", i, i); status != 200 || body != want {
@@ -42,13 +41,13 @@
 	closed := listen(t, func(c net.Conn) {})
 	cut := func(text string) string {
 		address, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-			io.WriteString(c, text)
+			writeText(c, text)
 			return false
 		})
 		return address
 	}
 	silent, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		io.Copy(io.Discard, c)
+		discard(c)
 		return false
 	})
 	for name, c := range map[string]struct {
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -44,7 +43,7 @@
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		case 6:
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
+			writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf")
 			return false
 		case 7:
 			time.Sleep(60 * time.Millisecond)
@@ -68,7 +67,7 @@
 		done.Go(func() {
 			c, in := dial(t, n)
 			defer c.Close()
-			io.WriteString(c, requestText(category(i), id, "b"))
+			writeText(c, requestText(category(i), id, "b"))
 			if i%10 == 9 {
 				time.Sleep(time.Duration(i) * 100 * time.Microsecond)
 				return
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -28,7 +28,7 @@
 		c, in := dial(t, n)
 		busy.Go(func() {
 			for k := 0; ; k++ {
-				io.WriteString(c, requestText("batch", fmt.Sprint(i, "-", k), ""))
+				writeText(c, requestText("batch", fmt.Sprint(i, "-", k), ""))
 				status, _, header := readAnswer(in)
 				if status == 200 {
 					answered.Add(1)
@@ -42,7 +42,7 @@
 	eventually(t, "answers", func() bool { return answered.Load() >= 20 })
 	stopped := make(chan struct{})
 	go func() {
-		n.stop()
+		n.shutDown()
 		close(stopped)
 	}()
 	eventually(t, "the stop", n.stopping.Load)
@@ -50,7 +50,7 @@
 		t.Errorf("a new connection while stopping was answered %d", status)
 	}
 	time.Sleep(acceptAfterTerm - 120*time.Millisecond)
-	io.WriteString(idle, requestText("batch", "a", "")+requestText("batch", "b", ""))
+	writeText(idle, requestText("batch", "a", "")+requestText("batch", "b", ""))
 	for range 2 {
 		if status, body, _ := readAnswer(idleIn); status != 200 {
 			t.Errorf("a task taken before the end was answered %d %s", status, body)
@@ -89,16 +89,16 @@
 		}},
 		"answering": {serve: func(g *gate, c net.Conn, in *bufio.Reader) bool {
 			http.ReadRequest(in)
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha")
+			writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha")
 			g.wait()
-			io.WriteString(c, "lf")
+			writeText(c, "lf")
 			return true
 		}},
 		"flowing": {serve: func(g *gate, c net.Conn, in *bufio.Reader) bool {
 			http.ReadRequest(in)
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[:maxBufferedResponse])
+			writef(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[:maxBufferedResponse])
 			g.wait()
-			io.WriteString(c, long[maxBufferedResponse:])
+			writeText(c, long[maxBufferedResponse:])
 			return true
 		}, there: func(n *Node) bool { return n.count(responsesStreamed) == 1 }},
 	} {
@@ -115,7 +115,7 @@
 					if err != nil {
 						return
 					}
-					io.Copy(io.Discard, r.Body)
+					discard(r.Body)
 				}
 				writeAnswer(conn, "200 OK", "whole")
 			})
@@ -128,11 +128,11 @@
 				g = c.hold(t, n)
 			}
 			client, in := dial(t, n)
-			go io.WriteString(client, requestText("batch", "t", c.body))
+			go writeText(client, requestText("batch", "t", c.body))
 			g.held(t, 1)
 			eventually(t, "there", func() bool { return c.there == nil || c.there(n) })
 			stopped := make(chan struct{})
-			go func() { n.stop(); close(stopped) }()
+			go func() { n.shutDown(); close(stopped) }()
 			eventually(t, "the end of taking", n.frontend.draining.Load)
 			select {
 			case <-stopped:
@@ -151,7 +151,7 @@
 
 // A keyed request that may have run is rejected only where every server would drop its repeat, and only for as long as they would.
 func TestDeclineOfAKeyedRequest(t *testing.T) {
-	silent, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool { io.Copy(io.Discard, c); return false })
+	silent, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool { discard(c); return false })
 	for name, c := range map[string]struct {
 		group  string
 		span   string
@@ -169,7 +169,7 @@
 			t.Parallel()
 			n := startNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, c.group), `"memory_span_us":2000000`, `"memory_span_us":`+c.span), silent)
 			client, in := dial(t, n)
-			io.WriteString(client, requestText("update", "t1", ""))
+			writeText(client, requestText("update", "t1", ""))
 			eventually(t, "it is out", func() bool { return n.count(attemptsSent) == 1 })
 			time.Sleep(5 * time.Millisecond) // longer than the short memory
 			if c.ends {
@@ -186,12 +186,12 @@
 func TestWhatIsOutAtTheEndIsGivenUp(t *testing.T) {
 	silent, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.URL.Path == "/batch" { // an answer whose end is the connection's, and that does not come
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
+			writeText(c, "HTTP/1.1 200 OK\r\n\r\n")
 			for _, err := io.WriteString(c, "x"); err == nil; _, err = io.WriteString(c, "x") {
 				time.Sleep(responseHoldBack)
 			}
 		}
-		io.Copy(io.Discard, c)
+		discard(c)
 		return false
 	})
 	n := startNode(t, withSettings(`800000`, `20000000`, `300000`, `20000000`), silent)
@@ -199,14 +199,14 @@
 	ins := map[string]*bufio.Reader{}
 	for category := range want {
 		c, in := dial(t, n)
-		io.WriteString(c, requestText(category, category, ""))
+		writeText(c, requestText(category, category, ""))
 		ins[category] = in
 	}
 	old, oldIn := dial(t, n)
-	io.WriteString(old, "GET /batch HTTP/1.0\r\nX-Txn: old\r\n\r\n")
+	writeText(old, "GET /batch HTTP/1.0\r\nX-Txn: old\r\n\r\n")
 	eventually(t, "all at the server, and an answer on its way", func() bool { return tasks.Load() == 4 && n.count(responsesStreamed) == 1 })
 	stopped := make(chan struct{})
-	go func() { n.stop(); close(stopped) }()
+	go func() { n.shutDown(); close(stopped) }()
 	<-stopped
 	if n.count(requestsRejected) != 1 || n.count(requestsFailed) != 2 {
 		t.Errorf("at the end %d tasks are declined and %d broken off, want 1 and 2", n.count(requestsRejected), n.count(requestsFailed))
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -33,9 +33,9 @@
 			body := randomBody(size)
 			head := fmt.Sprintf("POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d-%d\r\n", i, chunk)
 			if chunk > 0 {
-				io.WriteString(c, head+"Transfer-Encoding: chunked\r\n\r\n"+chunkedBody(body, chunk))
+				writeText(c, head+"Transfer-Encoding: chunked\r\n\r\n"+chunkedBody(body, chunk))
 			} else {
-				io.WriteString(c, fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, size, body))
+				writeText(c, fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, size, body))
 			}
 			if status, answer, _ := readAnswer(in); status != 200 || answer != digestOf(body) {
 				t.Fatalf("%d bytes, chunks of %d: %d %.80q, want %q", size, chunk, status, answer, digestOf(body))
@@ -55,15 +55,15 @@
 			var size int
 			fmt.Sscanf(r.URL.RawQuery, "%d", &size)
 			body := randomBody(size)
-			io.WriteString(c, "HTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
+			writeText(c, "HTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
 			switch form {
 			case "length":
 				return writeAnswer(c, "200 OK", string(body))
 			case "chunks":
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunkedBody(body, 3000))
+				writeText(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunkedBody(body, 3000))
 				return true
 			}
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
+			writeText(c, "HTTP/1.1 200 OK\r\n\r\n")
 			c.Write(body)
 			return false
 		})
@@ -71,7 +71,7 @@
 		for _, version := range []string{"1.1", "1.0"} {
 			for i, size := range []int{0, 1, maxBufferedResponse - 1, 2 * maxBufferedResponse, 5 << 20} {
 				c, in := dial(t, n)
-				fmt.Fprintf(c, "GET /batch?%d HTTP/%s\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", size, version, i)
+				writef(c, "GET /batch?%d HTTP/%s\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", size, version, i)
 				if status, body, _ := readAnswer(in); status != 200 || body != string(randomBody(size)) {
 					t.Errorf("%s, HTTP/%s, %d bytes: %d, %d bytes", form, version, size, status, len(body))
 				}
@@ -98,12 +98,12 @@
 		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\nnonsense\r\n",
 	} {
 		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
+			writeText(c, "HTTP/1.1 200 OK\r\n"+head)
 			return false
 		})
 		n := startNode(t, lenientSettings, server)
 		c, in := dial(t, n)
-		io.WriteString(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
+		writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 		r, err := http.ReadResponse(in, nil)
 		if err != nil || r.StatusCode != 200 {
 			t.Fatalf("%.30q: %v, %v", head, r, err)
@@ -134,13 +134,13 @@
 			c.(*net.TCPConn).SetLinger(0)
 		case "turns away":
 			io.CopyN(io.Discard, r.Body, 1<<20)
-			io.WriteString(c, "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
+			writeText(c, "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 			time.Sleep(50 * time.Millisecond)
 		case "faults":
-			io.WriteString(c, "HTTP/1.1 413 No\r\nContent-Length: 2\r\n\r\nno")
+			writeText(c, "HTTP/1.1 413 No\r\nContent-Length: 2\r\n\r\nno")
 			time.Sleep(50 * time.Millisecond)
 		case "fails":
-			io.Copy(io.Discard, r.Body)
+			discard(r.Body)
 			writeAnswer(c, "500 Bad", "")
 		case "early":
 			writeAnswer(c, "200 OK", "too soon")
@@ -188,7 +188,7 @@
 		c, in := dial(t, n)
 		text := fmt.Sprintf("POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nContent-Length: %d\r\n\r\n", len(body))
 		for i := range 10 {
-			io.WriteString(c, text[i*len(text)/10:(i+1)*len(text)/10])
+			writeText(c, text[i*len(text)/10:(i+1)*len(text)/10])
 			time.Sleep(200 * time.Millisecond)
 		}
 		for i := 0; i < len(body); i += 6500 {
@@ -200,7 +200,7 @@
 	}()
 	c, in := dial(t, n)
 	c.(*net.TCPConn).SetReadBuffer(64 << 10)
-	io.WriteString(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\n\r\n")
+	writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\n\r\n")
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -224,24 +224,24 @@
 	for _, head := range []string{"Content-Length: 70003\r\n\r\nyes", "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n", "\r\nyes"} {
 		seen := make(chan struct{})
 		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
+			writeText(c, "HTTP/1.1 200 OK\r\n"+head)
 			time.Sleep(2 * responseHoldBack)
 			if strings.Contains(head, "chunked") {
-				io.WriteString(c, "1\r\n,\r\n")
+				writeText(c, "1\r\n,\r\n")
 			} else {
-				io.WriteString(c, ",")
+				writeText(c, ",")
 			}
 			<-seen // the rest comes only once the client has the first bytes
 			if strings.Contains(head, "chunked") {
-				io.WriteString(c, "1116f\r\n"+strings.Repeat("x", 69999)+"\r\n0\r\n\r\n")
+				writeText(c, "1116f\r\n"+strings.Repeat("x", 69999)+"\r\n0\r\n\r\n")
 			} else {
-				io.WriteString(c, strings.Repeat("x", 69999))
+				writeText(c, strings.Repeat("x", 69999))
 			}
 			return false
 		})
 		n := startNode(t, lenientSettings, server)
 		c, in := dial(t, n)
-		io.WriteString(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
+		writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatalf("%.20q: %v", head, err)
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fawnglade/policy"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -133,7 +132,7 @@
 
 // What a connection has shown decides when it carries the next request.
 func TestConnectionRests(t *testing.T) {
-	server := listen(t, func(c net.Conn) { io.Copy(io.Discard, c) })
+	server := listen(t, func(c net.Conn) { discard(c) })
 	at := upstreamTarget{1, server}
 	for name, c := range map[string]struct {
 		strayed, turned bool
