--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -73,7 +73,7 @@
 					defer c.Close()
 					buf := make([]byte, 4096)
 					for i := left.Add(-1); i >= 0; i = left.Add(-1) {
-						fmt.Fprintf(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d-%d\r\nX-Lane: batch\r\nX-Org: acme\r\nX-Remaining-Ms: 9000\r\n"+
+						writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d-%d\r\nX-Lane: batch\r\nX-Org: acme\r\nX-Remaining-Ms: 9000\r\n"+
 							"Content-Length: 200\r\n\r\n%s", client, i, body)
 						have, err := c.Read(buf)
 						if err != nil {
