--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"cmp"
 	"fawnglade/internal/classdelay"
 	"fawnglade/internal/estimates"
 	"fawnglade/internal/quota"
@@ -54,6 +53,20 @@
 	return time.Duration(float64(remaining) * fraction)
 }
 
+// classDelay returns what the request's class and tenant wait at any endpoint, in nanoseconds. It is taken for none
+// where the delay may be tried anew: one answer in time ends it. All nodes together try with no more requests at a time
+// than there are endpoints.
+func (b *Balancer) classDelay(now Time, req *request) float64 {
+	delay := req.delays.Delay(int64(now))
+	if delay > 0 {
+		timeFraction := min(1, float64(len(b.endpoints.all))/float64(max(b.settings.NodeCount, 1)))
+		if req.delays.MayTry(int64(now), timeFraction) {
+			return 0
+		}
+	}
+	return delay
+}
+
 // updateKeptShares works out which part of its time each class keeps while requests are rejected: what its work earns
 // over what that of the best class earns, the less so the more the worst class counts for the operators.
 func (b *Balancer) updateKeptShares() {
@@ -76,20 +89,6 @@
 	return class.PriorityWeight / max(learned.TypicalWork, b.estimator.MeanWork*minWorkFraction, 1)
 }
 
-// workAt is the expected work of a request at an endpoint, in nanoseconds; 0: not known yet.
-func (b *Balancer) workAt(req *request, ep *endpoint) float64 {
-	return b.work(req) * b.affinity.workFactor(ep)
-}
-
-// work is the expected work of a request where its key is not at home, in nanoseconds.
-func (b *Balancer) work(req *request) float64 {
-	if req.CostHint > 0 {
-		// The latency of requests with hardly any work says nothing of an endpoint.
-		return max(float64(req.CostHint), minWorkFraction*b.estimator.MeanWork)
-	}
-	return cmp.Or(b.estimator.classes[req.Class].TypicalWork, b.estimator.MeanWork)
-}
-
 // retryAfter is the wait that a rejected client is advised; 0: none.
 func (b *Balancer) retryAfter(class *Class) time.Duration {
 	return min(b.settings.MaxRetryAfter, class.LatencyObjective/retryAfterDivisor)
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -31,6 +31,10 @@
 	highLatencyQuantile = 0.95
 	// initialHighLatency is what it is taken for, over one answer or over the work alone.
 	initialHighLatency = 2
+	// maxHighLatencyFactor bounds the high quantile of an endpoint, over that of its healthy peers.
+	maxHighLatencyFactor = 2
+	// ownAttemptFactor is what an attempt of this node in flight counts for in a prediction.
+	ownAttemptFactor = 2
 	// zoneDelayQuantile is the quantile of latency less work that is taken for the delay of a zone.
 	zoneDelayQuantile = 0.1
 	// minWorkFraction is the part of the mean work that a request counts for at least.
@@ -65,7 +69,7 @@
 // an endpoint draws others too, unseen.
 func (e *estimator) predictLatency(ep *endpoint, work float64) time.Duration {
 	perWork, inFlight := e.expectedLatency(ep)
-	crowding := (1 + 2*float64(ep.inFlight)) / (1 + 2*inFlight)
+	crowding := (1 + ownAttemptFactor*float64(ep.inFlight)) / (1 + ownAttemptFactor*inFlight)
 	return time.Duration(e.ZoneDelay[ep.Zone] + perWork*work*crowding)
 }
 
@@ -86,7 +90,7 @@
 func (e *estimator) overdueAfter(ep *endpoint, work float64) time.Duration {
 	high := e.HighLatency
 	if ep.HasLatency && !ep.isAvoided(ep.silentSince) {
-		high = min(2*high, ep.HighLatency)
+		high = min(maxHighLatencyFactor*high, ep.HighLatency)
 	}
 	_, inFlight := e.expectedLatency(ep)
 	work *= high * (1 + float64(ep.inFlight)) / (1 + min(inFlight, float64(ep.inFlight)))
@@ -94,10 +98,13 @@
 	return max(minOverdueTicks*e.clockResolution, overdue)
 }
 
-// isSilent reports whether an endpoint has answered nothing for too long. Guards against one that takes requests and
-// answers none, and so reports no load.
-func (e *estimator) isSilent(now Time, ep *endpoint, work float64) bool {
-	return ep.inFlight > 0 && ep.HasLatency && now.Sub(ep.silentSince) > e.overdueAfter(ep, max(work, e.MeanWork))
+// work is the expected work of a request where its key is not at home, in nanoseconds; 0: not known yet.
+func (e *estimator) work(req *request) float64 {
+	if req.CostHint > 0 {
+		// The latency of requests with hardly any work says nothing of an endpoint.
+		return max(float64(req.CostHint), minWorkFraction*e.MeanWork)
+	}
+	return cmp.Or(e.classes[req.Class].TypicalWork, e.MeanWork)
 }
 
 // relativeWork is work in requests of mean work.
@@ -153,7 +160,7 @@
 	step := estimates.QuantileStep(beyondWork >= delay, e.MeanWork*learningRate, zoneDelayQuantile)
 	delay = max(0, delay+step)
 	e.ZoneDelay[zone] = delay
-	return max(tookNanos-delay, a.work/4)
+	return max(tookNanos-delay, a.work*minWorkFraction)
 }
 
 // updateHighLatency takes the mean of the high quantiles of the endpoints that are active and healthy.
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -122,8 +122,7 @@
 // is well known reports an empty queue: where most are full, trying elsewhere brings only a storm of retries.
 func (b *Balancer) learnFromRejection(now Time, req *request, a *attempt, queueLength float64) {
 	a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
-	wellKnown := a.endpoint.Latency.Weight*learningRate >= 1
-	if queueLength != 0 || !wellKnown {
+	if queueLength != 0 || !a.endpoint.isWellKnown() {
 		b.estimator.observeLatency(a, float64(req.effectiveDeadline-a.sentAt)*timeoutFactor)
 	}
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -15,9 +15,17 @@
 // doubles. docs/design.md: "Outliers", "Gossip".
 
 const (
+	// ejectionFailureRate is the failure rate above which an endpoint may be ejected.
 	ejectionFailureRate = 0.25
-	minEjectionTime     = time.Second / 2
-	maxEjectionTime     = 4 * time.Second
+	// outlierFactor is how many times the failure rate of all endpoints makes an outlier.
+	outlierFactor = 2
+	// returnFactor is the part of the limit under which an ejected endpoint is back.
+	returnFactor = 0.5
+	// fleetLearningRate is the part of an attempt in the failure rate of all endpoints.
+	fleetLearningRate = learningRate / 2
+
+	minEjectionTime = time.Second / 2
+	maxEjectionTime = 4 * time.Second
 	// maxHealthSamples bounds classHealth.samples.
 	maxHealthSamples = 2 / learningRate
 	// gossipVotesToEject is how many messages, within about two seconds, eject an endpoint; one may be about a single
@@ -41,21 +49,21 @@
 
 // limit is the failure rate above which an endpoint is ejected.
 func (d *outlierDetector) limit() float64 {
-	return max(ejectionFailureRate, 2*d.fleetFailureRate)
+	return max(ejectionFailureRate, outlierFactor*d.fleetFailureRate)
 }
 
 // record judges an endpoint in one class by the end of an attempt, which counts for rate of what is known.
 func (d *outlierDetector) record(now Time, health *classHealth, failure, rate float64) {
 	health.samples = min(health.samples+1, maxHealthSamples)
 	health.failureRate += (failure - health.failureRate) * rate
-	d.fleetFailureRate += (failure - d.fleetFailureRate) * learningRate / 2
+	d.fleetFailureRate += (failure - d.fleetFailureRate) * fleetLearningRate
 	limit := d.limit()
 	switch {
 	case failure > 0 && (health.ejected || health.failureRate > limit):
 		health.ejected = true
 		health.ejectionTime = min(max(2*health.ejectionTime, minEjectionTime), maxEjectionTime)
 		health.retryAt = now.Add(health.ejectionTime)
-	case health.ejected && health.failureRate < limit/2:
+	case health.ejected && health.failureRate < limit*returnFactor:
 		health.ejected = false
 		health.ejectionTime = 0
 	}
@@ -93,13 +101,15 @@
 		return false
 	}
 	// Guards against a cascade: pauses eject endpoints one by one, and the rest, asked for too much, times out too.
-	wellKnown := ep.Latency.Weight*learningRate >= 1
-	if c.round == roundWithEjected && wellKnown {
+	if c.round == roundWithEjected && ep.isWellKnown() {
 		return true
 	}
 	return c.now >= health.retryAt && c.request.classSettings.Idempotency == Idempotent
 }
 
+// isWellKnown reports whether this node had many answers from an endpoint lately.
+func (ep *endpoint) isWellKnown() bool { return ep.Latency.Weight*learningRate >= 1 }
+
 // decayHealth lets what this node and others saw count for less.
 func (ep *endpoint) decayHealth() {
 	for i := range ep.health {
@@ -116,6 +126,12 @@
 	return slices.ContainsFunc(ep.health, func(health classHealth) bool { return health.ejected })
 }
 
+// isSilent reports whether an endpoint has answered nothing for too long. Guards against one that takes requests and
+// answers none, and so reports no load.
+func (e *estimator) isSilent(now Time, ep *endpoint, work float64) bool {
+	return ep.inFlight > 0 && ep.HasLatency && now.Sub(ep.silentSince) > e.overdueAfter(ep, max(work, e.MeanWork))
+}
+
 // backOff leaves an endpoint alone that rejected an attempt, or took no connection. Guards against one that rejects at
 // once using up all attempts.
 func (ep *endpoint) backOff(now Time, meanWork time.Duration) {
--- a/policy/request.go
+++ b/policy/request.go
@@ -125,7 +125,7 @@
 }
 
 func (b *Balancer) sendTo(now Time, req *request, ep *endpoint) {
-	work := b.workAt(req, ep)
+	work := b.estimator.work(req) * b.affinity.workFactor(ep)
 	idleTime := b.prepareConnection(now, ep)
 	req.attempts = append(req.attempts, attempt{
 		endpoint:        ep,
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -12,6 +12,9 @@
 // A request that can't be sent on is given up at once: rejected, so that the client knows that a retry does no harm, or
 // else failed. Nothing waits without an attempt in flight. docs/design.md: "Retry and giving up".
 
+// maxHelpfulDelay is the part of the latency objective up to which a class is helped by others giving up time for it.
+const maxHelpfulDelay = 0.5
+
 // mayAttempt reports whether the request may be sent to an endpoint now.
 func (b *Balancer) mayAttempt(now Time, req *request, ep *endpoint) bool {
 	if ep.State != StateActive || len(req.attempts) >= b.settings.MaxAttempts {
@@ -77,7 +80,7 @@
 // giveUp answers the client at once: it rejects the request if a retry does no harm, else it fails it.
 func (b *Balancer) giveUp(now Time, req *request) {
 	req.delays.CountGivenUp()
-	if req.delays.Delay(int64(now)) < float64(req.classSettings.LatencyObjective)/2 {
+	if req.delays.Delay(int64(now)) < maxHelpfulDelay*float64(req.classSettings.LatencyObjective) {
 		// A class that waits at any endpoint is not helped by others giving up time for it.
 		b.estimator.classes[req.Class].RecordResult(false)
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -68,7 +68,7 @@
 	c := criteria{
 		now:             now,
 		request:         req,
-		work:            b.work(req),
+		work:            b.estimator.work(req),
 		latencyFactor:   b.latencyFactor(req),
 		classDelayNanos: b.classDelay(now, req),
 	}
@@ -210,20 +210,6 @@
 	return cmp.Or(sum/max(reporting, 1), 1)
 }
 
-// classDelay returns what the request's class and tenant wait at any endpoint, in nanoseconds. It is taken for none
-// where the delay may be tried anew: one answer in time ends it. All nodes together try with no more requests at a time
-// than there are endpoints.
-func (b *Balancer) classDelay(now Time, req *request) float64 {
-	delay := req.delays.Delay(int64(now))
-	if delay > 0 {
-		timeFraction := min(1, float64(len(b.endpoints.all))/float64(max(b.settings.NodeCount, 1)))
-		if req.delays.MayTry(int64(now), timeFraction) {
-			return 0
-		}
-	}
-	return delay
-}
-
 // isSettling reports whether an endpoint has not sent reports long enough to trust a low one.
 func (ep *endpoint) isSettling(now Time) bool {
 	return !ep.HasReport || ep.risingSince == 0 || now.Sub(ep.risingSince) < settlingTime
