--- a/internal/classdelay/classdelay_test.go
+++ b/internal/classdelay/classdelay_test.go
@@ -7,8 +7,8 @@
 
 const second = int64(1e9)
 
-func newTracker(customers int) *Tracker {
-	tracker := New(2, customers)
+func newTracker(tenants int) *Tracker {
+	tracker := New(2, tenants)
 	tracker.AddObjective(second)
 	tracker.AddObjective(second / 2)
 	return tracker
--- a/internal/estimates/estimates_test.go
+++ b/internal/estimates/estimates_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// What comes from another process is whole, or is not taken at all.
+// What comes from another process is taken completely or not at all.
 func TestValid(t *testing.T) {
 	text, err := json.Marshal(some())
 	if err != nil {
--- a/internal/idletimeout/idletimeout_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -34,6 +34,6 @@
 	}
 	estimator.Decay() // must not wrap around
 	if estimator.Limit != New().Limit {
-		t.Errorf("whole trust aged to %d", estimator.Limit)
+		t.Errorf("full trust decayed to %d", estimator.Limit)
 	}
 }
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -74,11 +74,11 @@
 				conditions[draw.IntN(3)], clock, who,
 			)
 		case 5:
-			told := gossip.Encode(
+			message := gossip.Encode(
 				policy.GossipMessage{Endpoint: policy.EndpointID(100 + draw.IntN(6)), Class: draw.IntN(3)},
 				clock*nanosPerMicrosecond,
 			)
-			fmt.Fprintf(&b, "PEER %d %d %s\n", who, draw.IntN(5), base64.StdEncoding.EncodeToString(told))
+			fmt.Fprintf(&b, "PEER %d %d %s\n", who, draw.IntN(5), base64.StdEncoding.EncodeToString(message))
 		case 6:
 			fmt.Fprintf(&b, "OPENED %d t%d 0 100 50\n", who, n)
 		}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -16,9 +16,9 @@
 			now := Time(1e12)
 			p.EndpointsUpdated(now, endpointList(n), true)
 			type out struct {
-				id     RequestID
-				server EndpointID
-				at     Time
+				id       RequestID
+				endpoint EndpointID
+				at       Time
 			}
 			var ring [32]out
 			ids := make([]RequestID, 1<<16)
@@ -36,7 +36,7 @@
 				if r.id != "" {
 					p.AttemptEnded(now, AttemptResult{
 						Request:     r.id,
-						Endpoint:    r.server,
+						Endpoint:    r.endpoint,
 						Outcome:     OutcomeSucceeded,
 						Elapsed:     now.Sub(r.at) + time.Duration(i%7)*ms/4,
 						RequestDone: true,
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -63,7 +63,7 @@
 	speed                 float64
 	inFlight              int
 	failing, silent, full bool
-	failsCategory         int // answers this class with errors only; -1: none
+	failsClass            int // answers this class with errors only; -1: none
 	connected             bool
 }
 
@@ -77,9 +77,9 @@
 	queue     digestQueue
 	endpoints []*digestEndpoint
 	attempts  map[policy.RequestID]int
-	category  map[policy.RequestID]int
+	classOf   map[policy.RequestID]int
 	answered  map[policy.RequestID]bool
-	recalled  map[string]bool
+	canceled  map[string]bool
 	slowdown  float64
 	lists     int
 	hash      interface {
@@ -108,18 +108,18 @@
 	r.attempts[req]++
 	endpoint := r.endpoints[int(id)-1]
 	endpoint.inFlight++
-	outcome, elapsed := r.outcome(endpoint, r.category[req], timeout)
+	outcome, elapsed := r.outcome(endpoint, r.classOf[req], timeout)
 	if r.settings.MayCancel || elapsed < timeout {
 		elapsed = min(elapsed, timeout)
 	}
-	fresh := !endpoint.connected
+	newConnection := !endpoint.connected
 	endpoint.connected = outcome != policy.OutcomeReset && outcome != policy.OutcomeConnectFailed
-	if r.recalled[fmt.Sprint(req, number)] {
+	if r.canceled[fmt.Sprint(req, number)] {
 		outcome = policy.OutcomeCanceled
 	}
 	r.after(elapsed, func() {
 		endpoint.inFlight--
-		if r.recalled[fmt.Sprint(req, number)] {
+		if r.canceled[fmt.Sprint(req, number)] {
 			outcome = policy.OutcomeCanceled
 		}
 		answer := policy.AttemptResult{
@@ -128,7 +128,7 @@
 			Endpoint:      id,
 			Outcome:       outcome,
 			Elapsed:       time.Duration(elapsed),
-			NewConnection: fresh,
+			NewConnection: newConnection,
 			RequestDone:   outcome == policy.OutcomeSucceeded,
 			BodyConsumed:  outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
 			Report:        r.report(endpoint, outcome),
@@ -152,7 +152,7 @@
 		return policy.OutcomeTimedOut, timeout
 	case endpoint.full && dice < 0.9:
 		return policy.OutcomeRejected, millisecond
-	case endpoint.failing && dice < 0.7, endpoint.failsCategory == class && dice < 0.95:
+	case endpoint.failing && dice < 0.7, endpoint.failsClass == class && dice < 0.95:
 		return policy.OutcomeError, elapsed / 4
 	case dice < 0.004:
 		return policy.OutcomeReset, elapsed / 2
@@ -186,7 +186,7 @@
 
 func (r *digestRun) Cancel(req policy.RequestID, number int) {
 	r.note("cancel", req, number)
-	r.recalled[fmt.Sprint(req, number)] = true
+	r.canceled[fmt.Sprint(req, number)] = true
 }
 
 func (r *digestRun) Reject(req policy.RequestID, advice time.Duration) {
@@ -277,7 +277,7 @@
 	case 6:
 		endpoint.full, listed = !endpoint.full, false
 	case 7:
-		endpoint.failsCategory, listed = r.random.IntN(4)-1, false
+		endpoint.failsClass, listed = r.random.IntN(4)-1, false
 	case 8:
 		endpoint.connected, listed = false, false
 	}
@@ -300,7 +300,7 @@
 	if r.random.IntN(4) > 0 {
 		req.Key = fmt.Sprint("key", min(r.random.IntN(40), r.random.IntN(40)))
 	}
-	r.category[id] = class
+	r.classOf[id] = class
 	r.instance.RequestArrived(policy.Time(r.now), req)
 	if r.random.IntN(40) == 0 {
 		r.after(r.random.Int64N(60)*millisecond, func() {
@@ -326,9 +326,9 @@
 	r := &digestRun{
 		settings: settings, random: rand.New(rand.NewPCG(seed, uint64(endpoints))), now: digestStart,
 		attempts: map[policy.RequestID]int{},
-		category: map[policy.RequestID]int{},
+		classOf:  map[policy.RequestID]int{},
 		answered: map[policy.RequestID]bool{},
-		recalled: map[string]bool{}, slowdown: 1, hash: fnv.New64a(), actions: map[string]int{},
+		canceled: map[string]bool{}, slowdown: 1, hash: fnv.New64a(), actions: map[string]int{},
 	}
 	for i := range endpoints {
 		started := int64(0)
@@ -336,7 +336,7 @@
 			started = digestStart - int64(i%5)*second
 		}
 		r.endpoints = append(r.endpoints, &digestEndpoint{
-			speed: 0.5 + 1.5*r.random.Float64(), failsCategory: -1,
+			speed: 0.5 + 1.5*r.random.Float64(), failsClass: -1,
 			listed: policy.EndpointInfo{
 				ID:        policy.EndpointID(i + 1),
 				Zone:      i % 3,
@@ -382,7 +382,7 @@
 
 // digestSettings are the settings of the runs; each turns other rules on.
 func digestSettings() map[string]policy.Settings {
-	categories := []policy.Class{
+	classes := []policy.Class{
 		{LatencyObjective: 120 * millisecond, Idempotency: policy.Idempotent, PriorityWeight: 5},
 		{
 			LatencyObjective: 160 * millisecond,
@@ -395,13 +395,13 @@
 		{LatencyObjective: 200 * millisecond, Idempotency: policy.NonIdempotent, PriorityWeight: 3},
 	}
 	withGroup := func(group policy.DedupGroup) []policy.Class {
-		changed := append([]policy.Class(nil), categories...)
+		changed := append([]policy.Class(nil), classes...)
 		changed[1].DedupGroup = group
 		return changed
 	}
 	return map[string]policy.Settings{
 		"hedging": {
-			Classes:              categories,
+			Classes:              classes,
 			TenantShares:         []float64{0.5, 0.3, 0.2},
 			OverQuotaFraction:    0.2,
 			WorstClassWeight:     0.1,
@@ -457,7 +457,7 @@
 			ReportsUtilization:   true,
 		},
 		"no-cancel": {
-			Classes:              categories,
+			Classes:              classes,
 			TenantShares:         []float64{0.7, 0.2, 0.1},
 			OverQuotaFraction:    0.1,
 			WorstClassWeight:     0.3,
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -12,7 +12,7 @@
 // assumed answer that shows nothing unusual, so that few answers change it little. Inputs: the work of an attempt in
 // nanoseconds, its latency, the attempts of this node at the endpoint when it was sent, and, by zone, the latency that
 // an answer has however little the work. Work is in nanoseconds as float64, for speed. Answers of one endpoint alone
-// never make the whole fleet look slow. docs/design.md: "Admission: predicted in time".
+// never make the fleet look slow. docs/design.md: "Admission: predicted in time".
 
 const (
 	// learningRate is the part of a new value in an endpoint's running averages.
@@ -128,7 +128,7 @@
 	ep := a.endpoint
 	perWork := tookNanos / a.work
 	fleet, pod := e.Fleet.Level(), ep.podLatency.Level()
-	// Guards against a few slow endpoints making the whole fleet look late.
+	// Guards against a few slow endpoints making the fleet look late.
 	e.Fleet.Add(min(perWork, maxSurprise*fleet), a.inFlightBefore, fleetWindow)
 	ep.podLatency.Add(min(perWork/fleet, maxSurprise*pod), a.inFlightBefore, endpointWindow)
 	ep.Latency.Add(perWork/fleet/pod, a.inFlightBefore, endpointWindow)
--- a/policy/estimator_test.go
+++ b/policy/estimator_test.go
@@ -71,7 +71,7 @@
 func TestZoneDelayIsNotTakenForSlowness(t *testing.T) {
 	b := newTestFleet(t, 0, nil)
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, Zone: 1, Weight: 1}, {ID: 2, Zone: 1, Weight: 1}}, true)
-	answered := func(cost, took time.Duration, fresh bool) {
+	answered := func(cost, took time.Duration, newConnection bool) {
 		b.arrived++
 		id := RequestID(fmt.Sprint(b.arrived))
 		b.RequestArrived(b.now, Request{ID: id, Deadline: b.now + 1000*ms, CostHint: cost})
@@ -80,7 +80,7 @@
 		}
 		b.now += Time(took)
 		b.AttemptEnded(b.now, AttemptResult{
-			Request: id, Endpoint: b.last(), Outcome: OutcomeSucceeded, Elapsed: took, NewConnection: fresh,
+			Request: id, Endpoint: b.last(), Outcome: OutcomeSucceeded, Elapsed: took, NewConnection: newConnection,
 			Report: LoadReport{-1, -1, -1},
 		})
 	}
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -102,8 +102,8 @@
 }
 
 // serve plays idempotent requests one after another, each answered as its endpoint does.
-func (b *testFleet) serve(tasks int, how func(EndpointID) (Outcome, time.Duration)) {
-	for range tasks {
+func (b *testFleet) serve(requests int, how func(EndpointID) (Outcome, time.Duration)) {
+	for range requests {
 		id := b.arrive(0)
 		for b.requests.byID[id] != nil {
 			o, took := how(b.last())
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -228,7 +228,7 @@
 
 // changeList changes the fleet and enters it: drains, leavers, restarts and newcomers.
 func (w *model) changeList(complete bool) {
-	var told []EndpointInfo
+	var changed []EndpointInfo
 	for id := EndpointID(1); id <= 8; id++ {
 		l, known := w.listed[id]
 		switch {
@@ -250,9 +250,9 @@
 			continue
 		}
 		w.listed[id], w.drainedLast[id] = l, l.State == StateDraining || l.State == StateRemoved && w.drainedLast[id]
-		told = append(told, l)
+		changed = append(changed, l)
 	}
-	w.balancer.EndpointsUpdated(w.now, told, complete)
+	w.balancer.EndpointsUpdated(w.now, changed, complete)
 }
 
 func (w *model) endAttempt(t *modelRequest, number int, outcome Outcome) {
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -49,12 +49,12 @@
 
 type faultSimulation struct {
 	*rand.Rand
-	now           Time
-	events        eventHeap
-	endpoints     []*simulatedEndpoint
-	nodes         []*simulatedNode
-	extraLatency  func(category, customer int) time.Duration // what the fault adds
-	asked, inTime [simulationSeconds]float64                 // by the second in which a client first asked
+	now             Time
+	events          eventHeap
+	endpoints       []*simulatedEndpoint
+	nodes           []*simulatedNode
+	extraLatency    func(class, tenant int) time.Duration // what the fault adds
+	arrived, inTime [simulationSeconds]float64            // by the second in which a client first asked
 }
 
 func (w *faultSimulation) after(after time.Duration, what func()) {
@@ -177,16 +177,16 @@
 // arrive has requests come to a node, a second kind of either sort among four.
 func (n *simulatedNode) arrive(every time.Duration) {
 	a := &simulatedRequest{since: n.now, class: n.IntN(4) / 3, tenant: n.IntN(4) / 3}
-	n.asked[n.second(n.now)]++
+	n.arrived[n.second(n.now)]++
 	n.send(a)
 	n.after(time.Duration(n.ExpFloat64()*float64(every)), func() { n.arrive(every) })
 }
 
 func simulateFault(nodes int, waits func(class, tenant int) time.Duration) *faultSimulation {
-	const servers, rate = 12, 1500
+	const endpoints, rate = 12, 1500
 	w := &faultSimulation{Rand: rand.New(rand.NewPCG(7, uint64(nodes))), now: simulationStart, extraLatency: waits}
 	var list []EndpointInfo
-	for id := range servers {
+	for id := range endpoints {
 		w.endpoints = append(w.endpoints, &simulatedEndpoint{})
 		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id / 3, Weight: 1})
 	}
@@ -255,7 +255,7 @@
 			part := func(from, to int) float64 {
 				good, asked := 0.0, 0.0
 				for s := from; s < to; s++ {
-					good, asked = good+w.inTime[s], asked+w.asked[s]
+					good, asked = good+w.inTime[s], asked+w.arrived[s]
 				}
 				return good / asked
 			}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -15,8 +15,8 @@
 	list := endpointList(2 * n)
 	p.EndpointsUpdated(now, list[:n], true)
 	type out struct {
-		id     RequestID
-		server EndpointID
+		id       RequestID
+		endpoint EndpointID
 	}
 	var outs []out
 	arrive := func(count int) (sent int) {
@@ -33,7 +33,7 @@
 	answer := func(load float64) {
 		for _, o := range outs {
 			p.AttemptEnded(now, AttemptResult{
-				Request: o.id, Endpoint: o.server, Outcome: OutcomeSucceeded, Elapsed: 20 * ms, RequestDone: true,
+				Request: o.id, Endpoint: o.endpoint, Outcome: OutcomeSucceeded, Elapsed: 20 * ms, RequestDone: true,
 				Report: LoadReport{Utilization: -1, QueueLength: load, ServiceTime: -1},
 			})
 		}
@@ -54,8 +54,8 @@
 		t.Errorf("%d sent after another list", len(outs)-2000)
 	}
 	for _, o := range outs[2000:] {
-		if p.endpoints.byID[o.server].State != StateActive {
-			t.Fatalf("sent to %d, which is on the list no more", o.server)
+		if p.endpoints.byID[o.endpoint].State != StateActive {
+			t.Fatalf("sent to %d, which is on the list no more", o.endpoint)
 		}
 	}
 	now += 20 * ms
@@ -73,7 +73,7 @@
 		now += 20 * ms
 		arrive(100)
 		for _, o := range outs {
-			given[o.server]++
+			given[o.endpoint]++
 		}
 		answer(1)
 	}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -8,7 +8,7 @@
 // An endpoint in slow start gets the part of its fair share that it surely has the capacity for. Inputs: its age, the
 // settings' window and least capacity, answers of warm endpoints, and the latencies of its own answers. It earns
 // credit, in requests of mean work, for each request that a warm endpoint answers, or, where less than half of the
-// subset is warm, for each arrival; it is a candidate only with credit for a whole request, saves up no more than one,
+// subset is warm, for each arrival; it is a candidate only with credit for a full request, saves up no more than one,
 // and pays by the work of each. So all nodes together send it no more than its part, however many they are.
 // docs/design.md: "Slow start".
 
@@ -55,7 +55,7 @@
 }
 
 // earnCreditByArrival lets them earn their even part of an arrival, within what all nodes together may send them: the
-// first endpoints back after a loss of power would else get the requests of the whole fleet.
+// first endpoints back after a loss of power would else get the requests of the entire fleet.
 func (b *Balancer) earnCreditByArrival(now Time) {
 	if !b.subset.arrivalsEarn() {
 		return
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -17,13 +17,13 @@
 
 // Guards against each of hundreds of nodes holding a connection to every endpoint.
 func TestHundredsOfNodesSpreadOverTheEndpoints(t *testing.T) {
-	const nodes, servers = 400, 50
+	const nodes, endpoints = 400, 50
 	sharing, moved := map[EndpointID]int{}, 0
 	for at := range nodes {
 		set := benchSettings
 		set.NodeIndex, set.NodeCount = at, nodes
 		p := New(set, 1, &lastSendRecorder{})
-		p.EndpointsUpdated(1e12, endpointList(servers), true)
+		p.EndpointsUpdated(1e12, endpointList(endpoints), true)
 		before := subsetIDs(p)
 		if len(before) != minSubsetSize {
 			t.Fatalf("node %d draws from %d endpoints, want %d", at, len(before), minSubsetSize)
@@ -31,7 +31,7 @@
 		for id := range before {
 			sharing[id]++
 		}
-		gone := endpointList(servers)[7]
+		gone := endpointList(endpoints)[7]
 		gone.State = StateRemoved
 		p.EndpointsUpdated(1e12, []EndpointInfo{gone}, false)
 		for id := range subsetIDs(p) {
@@ -45,10 +45,10 @@
 			t.Errorf("endpoint %d is drawn from by %d nodes, 32 would be even", id, n)
 		}
 	}
-	if len(sharing) < servers || moved > 60 {
+	if len(sharing) < endpoints || moved > 60 {
 		t.Errorf(
 			"%d of %d endpoints are drawn from; one that left moved %d connections, 32 would be even", len(sharing),
-			servers, moved,
+			endpoints, moved,
 		)
 	}
 }
