--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -29,7 +29,7 @@
 	b := newTestFleet(t, 2, nil)
 	b.estimator.classes[0].SuccessRate = 0.01
 	for range 40 {
-		b.now += Time(recalculationInterval)
+		b.now += Time(tickInterval)
 		b.tick()
 	}
 	if got := b.allow(&request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}); got < 380*ms {
@@ -57,7 +57,7 @@
 	for range 10 {
 		b.serve(1, answersPromptly) // a request now and then must not keep the bound up while most are rejected
 		b.estimator.classes[0].GivenUpCount = 2
-		b.now += Time(recalculationInterval)
+		b.now += Time(tickInterval)
 		b.tick()
 	}
 	if b.estimator.classes[0].LatencySpread > 2.5 {
@@ -66,7 +66,7 @@
 	b.estimator.classes[0].LatencySpread = 3
 	for range 10 {
 		b.serve(1, answersPromptly)
-		b.now += Time(recalculationInterval)
+		b.now += Time(tickInterval)
 		b.tick()
 	}
 	if b.estimator.classes[0].LatencySpread < 2.5 {
--- a/policy/estimator_test.go
+++ b/policy/estimator_test.go
@@ -29,7 +29,7 @@
 	b.serve(40, func(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 450 * ms })
 	overloaded, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 	for range 20 {
-		b.now += Time(recalculationInterval)
+		b.now += Time(tickInterval)
 		b.tick()
 	}
 	if relaxed, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); relaxed > overloaded*2/3 {
@@ -59,7 +59,7 @@
 		t.Errorf("nearly all time out and an endpoint not heard yet is expected at %.1f", unit)
 	}
 	for range 60 {
-		b.now += Time(recalculationInterval)
+		b.now += Time(tickInterval)
 		b.tick()
 	}
 	if unit, _ := b.estimator.expectedLatency(unheard); unit > 1.5 {
--- a/policy/idleconns_test.go
+++ b/policy/idleconns_test.go
@@ -89,7 +89,7 @@
 		t.Errorf("trusted for %d ms", b.idleConns.trusted.Limit/ms)
 	}
 	for range 200 {
-		b.now += Time(recalculationInterval)
+		b.now += Time(tickInterval)
 		b.tick()
 	}
 	if b.idleConns.trusted.Limit < 5e9 {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// cameFromEndpoint reports whether an outcome came from the endpoint itself. A reset did only where several connections carry
-// one attempt each: else something between may have dropped the connection.
+// cameFromEndpoint reports whether an outcome came from the endpoint itself. A reset did only where several connections
+// carry one attempt each: else something between may have dropped the connection.
 func (b *Balancer) cameFromEndpoint(ep *endpoint, outcome Outcome) bool {
 	switch outcome {
 	case OutcomeTimedOut, OutcomeCanceled, OutcomeNotSent:
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -12,7 +12,7 @@
 	b.serve(40, answersPromptly)
 	for range 40 { // slow all the time, but nothing is rejected
 		b.estimator.Fleet.FirstSum, b.estimator.Fleet.Weight = 400, 40
-		b.now += Time(recalculationInterval)
+		b.now += Time(tickInterval)
 		if b.tick(); b.overload.restUntil > 0 {
 			t.Fatal("a rest though nothing was rejected")
 		}
@@ -20,7 +20,7 @@
 	rests := 0
 	for second := range 40 {
 		b.estimator.Fleet.FirstSum, b.estimator.Fleet.Weight, b.estimator.classes[0].SuccessRate = 400, 40, 0.4
-		b.now += Time(recalculationInterval)
+		b.now += Time(tickInterval)
 		b.tick()
 		if b.overload.restUntil > b.now {
 			rests++
@@ -32,8 +32,8 @@
 			}
 		}
 	}
-	if rests != int(restDuration/recalculationInterval) {
-		t.Errorf("%d s of rest in one overload, want %d", rests, restDuration/recalculationInterval)
+	if rests != int(restDuration/tickInterval) {
+		t.Errorf("%d s of rest in one overload, want %d", rests, restDuration/tickInterval)
 	}
 }
 
