--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -23,11 +23,11 @@
 
 // Call is how a watch is called for.
 type Call struct {
-	Address, Head        string        // Head is the request
-	Connect              time.Duration // within which a connection has to stand, and a request to be written
-	First, Gap, Again    time.Duration // see New
-	Silence              time.Duration // after which a watch is taken to be dead
-	Called, Failed, Said func()        // at each connection; where one call has failed and another goes on; with each word of the watch
+	Address, Request             string        // Head is the request
+	ConnectTimeout               time.Duration // within which a connection has to stand, and a request to be written
+	FirstGap, Gap, RetryInterval time.Duration // see New
+	SilenceTimeout               time.Duration // after which a watch is taken to be dead
+	OnCall, OnFailure, OnData    func()        // at each connection; where one call has failed and another goes on; with each word of the watch
 }
 
 // Watch is what an answered call says. A read waits for Silence at most and fails with os.ErrDeadlineExceeded then.
@@ -50,7 +50,7 @@
 }
 
 // Ended is what the last read failed with, if it did.
-func (w *Watch) Ended() error { return w.ended }
+func (w *Watch) Err() error { return w.ended }
 
 // Close ends the watch.
 func (w *Watch) Close() error {
@@ -79,7 +79,7 @@
 
 // Answered opens calls until one speaks, and closes the others. One that waits is kept: who calls anew begins at the queue's end. It fails
 // with the last call's error once none is out, and with the place's once that is left.
-func (k *Call) Answered(place context.Context) (*Watch, error) {
+func (k *Call) Open(place context.Context) (*Watch, error) {
 	over, leave := context.WithCancel(place)
 	defer leave()
 	out, came := map[int]net.Conn{}, make(chan reply)
@@ -90,7 +90,7 @@
 	}()
 	began := time.Now()
 	apart := func(gap time.Duration) int64 { return int64(gap) - rand.Int64N(int64(gap)/parts+1) }
-	pace := New(0, apart(k.First), apart(k.Gap), int64(k.Again))
+	pace := NewPace(0, apart(k.FirstGap), apart(k.Gap), int64(k.RetryInterval))
 	due, dials := time.NewTimer(0), false
 	defer due.Stop()
 	for last := 0; ; {
@@ -99,7 +99,7 @@
 			return nil, place.Err()
 		case <-due.C:
 			last, dials = last+1, true
-			k.Called()
+			k.OnCall()
 			go k.connect(over, last, came)
 		case r := <-came:
 			now := int64(time.Since(began))
@@ -116,14 +116,14 @@
 				if len(out) == 0 {
 					return nil, r.err
 				}
-				k.Failed()
+				k.OnFailure()
 				pace.Missed(now)
 			case begun:
-				pace.Head(now, int64(k.Silence))
+				pace.Head(now, int64(k.SilenceTimeout))
 			case speaks:
 				if c := out[r.id]; c != nil { // else it was closed as this came
 					delete(out, r.id)
-					return &Watch{conn: c, body: r.said, silence: k.Silence, said: k.Said, left: context.AfterFunc(place, func() { c.Close() })}, nil
+					return &Watch{conn: c, body: r.said, silence: k.SilenceTimeout, said: k.OnData, left: context.AfterFunc(place, func() { c.Close() })}, nil
 				}
 			case ended:
 				if out[r.id] == nil {
@@ -133,7 +133,7 @@
 				if delete(out, r.id); !pace.Ended(r.id) {
 					return nil, r.err
 				}
-				k.Failed()
+				k.OnFailure()
 			}
 			if !dials {
 				due.Reset(time.Duration(pace.Due() - now))
@@ -144,7 +144,7 @@
 
 // connect opens a connection for a call.
 func (k *Call) connect(over context.Context, id int, came chan<- reply) {
-	dialer := net.Dialer{Timeout: k.Connect}
+	dialer := net.Dialer{Timeout: k.ConnectTimeout}
 	r := reply{id: id, how: connected}
 	if r.c, r.err = dialer.DialContext(over, "tcp", k.Address); r.err != nil {
 		r.how = unconnected
@@ -172,8 +172,8 @@
 			tell(reply{how: ended, err: fmt.Errorf("panic: %v", broken)})
 		}
 	}()
-	c.SetWriteDeadline(time.Now().Add(k.Connect))
-	if _, err := io.WriteString(c, k.Head); err != nil {
+	c.SetWriteDeadline(time.Now().Add(k.ConnectTimeout))
+	if _, err := io.WriteString(c, k.Request); err != nil {
 		tell(reply{how: ended, err: err})
 		return
 	}
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -8,7 +8,7 @@
 import "slices"
 
 // Most is how many calls may be out at a time.
-const Most = 2
+const MaxCalls = 2
 
 const (
 	second = int64(1e9)
@@ -45,7 +45,7 @@
 
 // New begins with a call that is due at once. first is the time from the first call to one beside it, gap what the later go by, again the
 // first wait after a connection could not be made, all in ns.
-func New(now, first, gap, again int64) *Pace {
+func NewPace(now, first, gap, again int64) *Pace {
 	return &Pace{first: first, gap: gap, again: again, wait: again, due: now}
 }
 
@@ -57,7 +57,7 @@
 
 // Opened takes in a call whose connection stands, and tells which other has to be closed before its request goes out, if any.
 func (p *Pace) Opened(now int64, id int) (close int, any bool) {
-	if any = len(p.out) == Most; any {
+	if any = len(p.out) == MaxCalls; any {
 		at := p.victim()
 		close = p.out[at].id
 		p.out = slices.Delete(p.out, at, at+1)
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -59,13 +59,13 @@
 // However long the queue is, a call that waits in it gets to its turn, at a cost that grows far slower than the wait.
 func TestACallGetsToItsTurn(t *testing.T) {
 	for wait, most := range map[int64]int{1: 1, 2900: 1, 4000: 2, 6500: 3, 9900: 3, 20000: 5, 59000: 7, 600000: 11} {
-		w := &world{pace: New(0, gap, gap, again), answer: func(now, made int64) bool { return now-made >= wait*ms }}
-		if at, calls := w.play(1000 * second); at < wait*ms || at > (wait+10)*ms || calls > most || w.most > Most {
+		w := &world{pace: NewPace(0, gap, gap, again), answer: func(now, made int64) bool { return now-made >= wait*ms }}
+		if at, calls := w.play(1000 * second); at < wait*ms || at > (wait+10)*ms || calls > most || w.most > MaxCalls {
 			t.Errorf("a turn after %d ms: answered at %d ms with %d calls, %d at a time; want at once and %d at most", wait, at/ms, calls, w.most, most)
 		}
 	}
 	// The first call may have been lost where nobody noticed: one of the others gets to its turn all the same.
-	w := &world{pace: New(0, gap, gap, again), answer: func(now, made int64) bool { return now-made >= 30*second && made > 0 }}
+	w := &world{pace: NewPace(0, gap, gap, again), answer: func(now, made int64) bool { return now-made >= 30*second && made > 0 }}
 	if at, calls := w.play(200 * second); at < 0 || at > 100*second || calls > 9 {
 		t.Errorf("the first call is never answered: %d ms, %d calls", at/ms, calls)
 	}
@@ -81,14 +81,14 @@
 		first := []int64{gap, 2 * second}[draws.IntN(2)]
 		queue := draws.Int64N(1500 * ms)
 		w := &world{
-			pace: New(0, first, gap, again), reach: func(now int64) bool { return now < gone || now >= back },
+			pace: NewPace(0, first, gap, again), reach: func(now int64) bool { return now < gone || now >= back },
 			answer: func(now, made int64) bool { return made >= back && now-made >= queue },
 		}
 		if gone == 0 {
 			continue // then no call is out
 		}
 		at, calls := w.play(40 * second)
-		if at < 0 || at-back > 6*second || calls > 8 || w.most > Most {
+		if at < 0 || at-back > 6*second || calls > 8 || w.most > MaxCalls {
 			t.Fatalf("gone at %d ms, back at %d, a queue of %d: told %d ms after, %d calls, %d at a time", gone/ms, back/ms, queue/ms, (at-back)/ms, calls, w.most)
 		}
 	}
@@ -96,7 +96,7 @@
 
 // Where discovery can't be reached at all, tries are a second apart at most, dials aside, and whoever waits since before gives way first.
 func TestWhoeverWaitsSinceBeforeGivesWay(t *testing.T) {
-	p := New(0, gap, gap, again)
+	p := NewPace(0, gap, gap, again)
 	p.Opened(0, 1)
 	p.Opened(3*second, 2)
 	now := 6 * second
@@ -119,7 +119,7 @@
 		t.Error("who is out")
 	}
 	// One try that fails is no proof: the crowd at the door may be why.
-	p = New(0, gap, gap, again)
+	p = NewPace(0, gap, gap, again)
 	p.Opened(0, 1)
 	p.Missed(gap)
 	p.Opened(gap+second, 2)
@@ -139,7 +139,7 @@
 	paces, last, out, done := make([]*Pace, nodes), make([]int, nodes), make([]map[int]bool, nodes), make([]bool, nodes)
 	for i := range paces {
 		apart := func(g int64) int64 { return g - draws.Int64N(g/parts) }
-		paces[i], out[i] = New(up+draws.Int64N(second), apart(gap), apart(gap), again), map[int]bool{}
+		paces[i], out[i] = NewPace(up+draws.Int64N(second), apart(gap), apart(gap), again), map[int]bool{}
 	}
 	left := nodes
 	for now, free := int64(0), int64(0); left > 0 && now < 4*(up+int64(nodes)*cost)+20*second; now += ms {
@@ -212,7 +212,7 @@
 
 // Once a head is there a word is due, however far apart calls are by then.
 func TestAHeadWithoutAWord(t *testing.T) {
-	p, now := New(0, gap, gap, again), int64(0)
+	p, now := NewPace(0, gap, gap, again), int64(0)
 	for id := range 9 {
 		now = p.Due()
 		p.Opened(now, id)
--- a/internal/endpointgossip/endpointgossip.go
+++ b/internal/endpointgossip/endpointgossip.go
@@ -36,132 +36,132 @@
 
 const (
 	// MostLoad is the length that no load reaches.
-	MostLoad = 1000
+	MaxMessageBytes = 1000
 	// MostLines is how many servers a list may have.
-	MostLines = 8192
+	MaxEndpoints = 8192
 	// FreshFor is for how long after it was known to stand a list says since when its servers run, nanoseconds.
-	FreshFor = int64(5e9)
-
-	few          = 2 // asked at a time
-	asksABeat    = 4
-	answersABeat = 24
-	pagesAtOnce  = 8
-	slowest      = 10 // beats between two askings
-	quiet        = 5  // beats for which a watch that stands may still bring its first line
-	again        = 2  // beats after which pages that were asked for are asked for anew
-	patience     = 30 // beats for which a list is gathered without a page of it coming
-	pageRoom     = MostLoad - 120
-	mostPages    = 1024
-	unknown      = int64(math.MaxInt64) // as an age
-	usable       = 2                    // a list may leave one in so many on one word
-	witnesses    = 2                    // with standing watches, for more than that
+	FreshForNs = int64(5e9)
+
+	nodesPerRequest     = 2 // asked at a time
+	maxRequestsPerTick  = 4
+	maxResponsesPerTick = 24
+	maxPagesPerRequest  = 8
+	maxBackoffTicks     = 10 // beats between two askings
+	watchGraceTicks     = 5  // beats for which a watch that stands may still bring its first line
+	pageRetryTicks      = 2  // beats after which pages that were asked for are asked for anew
+	gatherTimeoutTicks  = 30 // beats for which a list is gathered without a page of it coming
+	maxPageBytes        = MaxMessageBytes - 120
+	maxPages            = 1024
+	unknownAge          = int64(math.MaxInt64) // as an age
+	minUsableShare      = 2                    // a list may leave one in so many on one word
+	requiredWitnesses   = 2                    // with standing watches, for more than that
 )
 
 // Line is one server of a list.
-type Line struct {
-	Name     string  `cbor:"1,keyasint"`
-	Address  string  `cbor:"2,keyasint"`
-	Zone     string  `cbor:"3,keyasint,omitempty"`
-	Pod      int     `cbor:"4,keyasint,omitempty"`
-	Weight   float64 `cbor:"5,keyasint,omitempty"`
-	Draining bool    `cbor:"6,keyasint,omitempty"`
-	Started  int64   `cbor:"7,keyasint,omitempty"` // Unix nanoseconds by the list; 0: long ago
+type Endpoint struct {
+	Name      string  `cbor:"1,keyasint"`
+	Address   string  `cbor:"2,keyasint"`
+	Zone      string  `cbor:"3,keyasint,omitempty"`
+	Pod       int     `cbor:"4,keyasint,omitempty"`
+	Weight    float64 `cbor:"5,keyasint,omitempty"`
+	Draining  bool    `cbor:"6,keyasint,omitempty"`
+	StartedNs int64   `cbor:"7,keyasint,omitempty"` // Unix nanoseconds by the list; 0: long ago
 }
 
-func (l *Line) sound() bool {
-	return l.Name != "" && len(l.Name) <= 256 && len(l.Address) <= 64 && len(l.Zone) <= 64 && l.Weight >= 0 && !math.IsInf(l.Weight, 0) && l.Started >= 0
+func (l *Endpoint) valid() bool {
+	return l.Name != "" && len(l.Name) <= 256 && len(l.Address) <= 64 && len(l.Zone) <= 64 && l.Weight >= 0 && !math.IsInf(l.Weight, 0) && l.StartedNs >= 0
 }
 
 // Way carries loads to other nodes, which are named by their places; it may lose them.
-type Way interface {
+type Transport interface {
 	SendPayload(to int, load []byte)
 	// Others are the nodes that may hear: all but those that are known not to.
 	Reachable() []int
 }
 
 // Counts of what has happened since the start. They only grow.
-type Counts struct {
-	Asked    int64 `json:"asked"`
-	Answered int64 `json:"answered"`
-	Held     int64 `json:"held"` // answers not given, beyond the bound
-	Bad      int64 `json:"bad"`  // loads that make no sense
-	Taken    int64 `json:"taken"`
-	Doubted  int64 `json:"doubted"` // lists that took most servers away, on one word
+type Counters struct {
+	Requests          int64 `json:"asked"`
+	Responses         int64 `json:"answered"`
+	ResponsesWithheld int64 `json:"held"` // answers not given, beyond the bound
+	Invalid           int64 `json:"bad"`  // loads that make no sense
+	Accepted          int64 `json:"taken"`
+	Unconfirmed       int64 `json:"doubted"` // lists that took most servers away, on one word
 }
 
 // list is a whole list as this node has it.
 type list struct {
-	version  int64
-	digest   uint64
-	lines    []Line // by name
-	pages    [][]Line
-	stood    int64 // when it was last known to stand with discovery, by this node's clock; 0: not known
-	recalled bool  // nobody's watch told it, as far as known
+	version     int64
+	digest      uint64
+	endpoints   []Endpoint // by name
+	pages       [][]Endpoint
+	confirmedAt int64 // when it was last known to stand with discovery, by this node's clock; 0: not known
+	remembered  bool  // nobody's watch told it, as far as known
 }
 
 // gathering is a list that comes page by page.
 type gathering struct {
-	head   message
-	pages  [][]Line
-	have   int
-	out    int   // pages asked for and not here yet
-	since  int64 // beat at which a page came last
-	asked  int64 // and at which some were asked for
-	from   int   // whom
-	vouch  []int // nodes whose own watches tell it
-	doubts bool
+	head         message
+	pages        [][]Endpoint
+	received     int
+	requested    int   // pages asked for and not here yet
+	lastPageTick int64 // beat at which a page came last
+	requestTick  int64 // and at which some were asked for
+	from         int   // whom
+	witnesses    []int // nodes whose own watches tell it
+	unconfirmed  bool
 }
 
 // Hearsay is one node's.
-type Hearsay struct {
-	way  Way
-	draw *rand.Rand
-
-	own     map[string]Line // what its own watch told, or goes on from
-	at      int64           // the version of that; 0: none
-	stands  bool
-	word    int64 // when it last said anything
-	mute    int   // beats for which it has stood without telling a list
-	strayed bool  // the node goes by gossip
-
-	best    *list // what it answers with, and goes by while its watch does not stand
-	other   *gathering
-	birth   int64
-	now     int64
-	beat    int64
-	next    int64 // beat at which it asks
-	wait    int64
-	hint    int // who said that it has a better list; -1: nobody
-	asks    int // in this beat
-	answers int
-	counts  Counts
+type Exchange struct {
+	transport Transport
+	random    *rand.Rand
+
+	watched        map[string]Endpoint // what its own watch told, or goes on from
+	watchedVersion int64               // the version of that; 0: none
+	watchUp        bool
+	watchHeardAt   int64 // when it last said anything
+	silentTicks    int   // beats for which it has stood without telling a list
+	usesGossip     bool  // the node goes by gossip
+
+	held            *list // what it answers with, and goes by while its watch does not stand
+	gathering       *gathering
+	startedAt       int64
+	now             int64
+	tick            int64
+	nextRequest     int64 // beat at which it asks
+	backoff         int64
+	betterAt        int // who said that it has a better list; -1: nobody
+	requestsInTick  int // in this beat
+	responsesInTick int
+	counters        Counters
 }
 
 // New begins with what the node knows from before, which may be nothing; base: its watch goes on from that. now is Unix nanoseconds of the node's clock, which never
 // goes back while the node runs.
-func New(seed uint64, way Way, now, version int64, remembered []Line, base bool) *Hearsay {
-	h := &Hearsay{way: way, draw: rand.New(rand.NewPCG(seed, 11)), own: map[string]Line{}, hint: -1, wait: 1, birth: now, now: now}
-	if len(remembered) > 0 && len(remembered) <= MostLines {
-		h.best = newList(version, slices.Clone(remembered), 0, true)
+func New(seed uint64, way Transport, now, version int64, remembered []Endpoint, base bool) *Exchange {
+	h := &Exchange{transport: way, random: rand.New(rand.NewPCG(seed, 11)), watched: map[string]Endpoint{}, betterAt: -1, backoff: 1, startedAt: now, now: now}
+	if len(remembered) > 0 && len(remembered) <= MaxEndpoints {
+		h.held = newList(version, slices.Clone(remembered), 0, true)
 		for _, l := range remembered {
-			h.own[l.Name] = l
+			h.watched[l.Name] = l
 		}
 		if base {
-			h.at = version
+			h.watchedVersion = version
 		}
 	}
-	h.next = 1 + h.draw.Int64N(2)
+	h.nextRequest = 1 + h.random.Int64N(2)
 	return h
 }
 
-func newList(version int64, lines []Line, stood int64, recalled bool) *list {
-	slices.SortFunc(lines, func(a, b Line) int { return cmp.Compare(a.Name, b.Name) })
-	l := &list{version: version, lines: lines, stood: stood, recalled: recalled}
-	sum, room, page := xxhash.New(), 0, []Line(nil)
+func newList(version int64, lines []Endpoint, stood int64, recalled bool) *list {
+	slices.SortFunc(lines, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
+	l := &list{version: version, endpoints: lines, confirmedAt: stood, remembered: recalled}
+	sum, room, page := xxhash.New(), 0, []Endpoint(nil)
 	for i := range lines {
 		text := encode(&lines[i])
 		sum.Write(text)
-		if room += len(text); room > pageRoom && len(page) > 0 {
+		if room += len(text); room > maxPageBytes && len(page) > 0 {
 			l.pages, page, room = append(l.pages, page), nil, len(text)
 		}
 		page = append(page, lines[i])
@@ -173,234 +173,234 @@
 
 // Listed takes what the node's own watch tells; that ends what it had from others. gone are no longer on the list. Where the node
 // went by gossip it is to go by the lines that are returned instead, as the whole list.
-func (h *Hearsay) Listed(now, version int64, lines []Line, gone []string, whole bool) []Line {
+func (h *Exchange) WatchUpdated(now, version int64, lines []Endpoint, gone []string, whole bool) []Endpoint {
 	if whole {
-		h.own = map[string]Line{}
+		h.watched = map[string]Endpoint{}
 	}
 	for _, l := range lines {
-		h.own[l.Name] = l
+		h.watched[l.Name] = l
 	}
 	for _, name := range gone {
-		delete(h.own, name)
+		delete(h.watched, name)
 	}
 	h.now = max(h.now, now)
-	h.at = version
-	return h.back(h.now)
+	h.watchedVersion = version
+	return h.watchRestored(h.now)
 }
 
 // back goes by the own watch again.
-func (h *Hearsay) back(word int64) (lines []Line) {
-	h.stands, h.word, h.mute, h.other, h.hint = true, word, 0, nil, -1
-	h.best = nil // made when it is asked for
-	if h.strayed {
-		lines = h.mine().lines
+func (h *Exchange) watchRestored(word int64) (lines []Endpoint) {
+	h.watchUp, h.watchHeardAt, h.silentTicks, h.gathering, h.betterAt = true, word, 0, nil, -1
+	h.held = nil // made when it is asked for
+	if h.usesGossip {
+		lines = h.currentList().endpoints
 	}
-	h.strayed = false
+	h.usesGossip = false
 	return lines
 }
 
 // mine is the list that this node answers with; nil: it has none.
-func (h *Hearsay) mine() *list {
-	if h.stands {
-		if h.best == nil {
-			h.best = newList(h.at, slices.Collect(maps.Values(h.own)), 0, false)
+func (h *Exchange) currentList() *list {
+	if h.watchUp {
+		if h.held == nil {
+			h.held = newList(h.watchedVersion, slices.Collect(maps.Values(h.watched)), 0, false)
 		}
-		h.best.stood = h.word
+		h.held.confirmedAt = h.watchHeardAt
 	}
-	return h.best
+	return h.held
 }
 
 // age is for how long a list has not been known to stand.
-func (h *Hearsay) age(l *list) int64 {
-	if l.stood == 0 {
-		return unknown
+func (h *Exchange) age(l *list) int64 {
+	if l.confirmedAt == 0 {
+		return unknownAge
 	}
-	return h.now - l.stood
+	return h.now - l.confirmedAt
 }
 
 // Beat is called ten times in a round. word is when the node's own watch last said anything, an empty line too; 0: it does not
 // stand. The lines that it returns are as those of Listed.
-func (h *Hearsay) Beat(now, word int64) []Line {
+func (h *Exchange) Tick(now, word int64) []Endpoint {
 	h.now = max(h.now, now)
-	h.beat++
-	h.asks, h.answers = 0, 0
-	if word > 0 && h.stands {
-		h.word = max(h.word, word)
+	h.tick++
+	h.requestsInTick, h.responsesInTick = 0, 0
+	if word > 0 && h.watchUp {
+		h.watchHeardAt = max(h.watchHeardAt, word)
 		return nil
 	}
-	if h.mute++; word == 0 {
-		h.mute = 0
+	if h.silentTicks++; word == 0 {
+		h.silentTicks = 0
 	}
-	if h.mute > quiet && h.at > 0 { // a watch that goes on from what the node had, and has nothing to add
-		return h.back(word)
+	if h.silentTicks > watchGraceTicks && h.watchedVersion > 0 { // a watch that goes on from what the node had, and has nothing to add
+		return h.watchRestored(word)
 	}
-	if h.stands {
-		h.mine()
-		h.stands, h.wait = false, 1
-		h.next = h.beat + h.draw.Int64N(slowest) // all lose discovery at one moment
+	if h.watchUp {
+		h.currentList()
+		h.watchUp, h.backoff = false, 1
+		h.nextRequest = h.tick + h.random.Int64N(maxBackoffTicks) // all lose discovery at one moment
 	}
-	if g := h.other; g != nil && h.beat-g.since > patience {
-		h.other = nil
+	if g := h.gathering; g != nil && h.tick-g.lastPageTick > gatherTimeoutTicks {
+		h.gathering = nil
 	}
-	if h.hint >= 0 {
-		h.ask(h.hint, nil)
-		h.hint = -1
+	if h.betterAt >= 0 {
+		h.request(h.betterAt, nil)
+		h.betterAt = -1
 	}
-	if g := h.other; g != nil && g.have < len(g.pages) && h.beat-g.asked >= again { // of what was asked for something is lost
-		h.askFor(g)
+	if g := h.gathering; g != nil && g.received < len(g.pages) && h.tick-g.requestTick >= pageRetryTicks { // of what was asked for something is lost
+		h.requestMissing(g)
 	}
-	if h.beat < h.next {
+	if h.tick < h.nextRequest {
 		return nil
 	}
-	others := h.way.Reachable()
-	for range min(few, len(others)) {
-		i := h.draw.IntN(len(others))
-		h.ask(others[i], nil)
+	others := h.transport.Reachable()
+	for range min(nodesPerRequest, len(others)) {
+		i := h.random.IntN(len(others))
+		h.request(others[i], nil)
 		others[i] = others[len(others)-1]
 		others = others[:len(others)-1]
 	}
-	h.wait = min(2*h.wait, slowest)
-	h.next = h.beat + 1 + h.draw.Int64N(h.wait)
+	h.backoff = min(2*h.backoff, maxBackoffTicks)
+	h.nextRequest = h.tick + 1 + h.random.Int64N(h.backoff)
 	return nil
 }
 
-func (h *Hearsay) ask(to int, pages []int) {
-	if h.asks++; h.asks > asksABeat {
+func (h *Exchange) request(to int, pages []int) {
+	if h.requestsInTick++; h.requestsInTick > maxRequestsPerTick {
 		return
 	}
-	q := message{Kind: question, Asked: h.now, Want: pages}
-	if l := h.mine(); l != nil {
-		q.Version, q.Digest, q.Recalled = l.version, l.digest, l.recalled
+	q := message{Kind: requestKind, RequestedAt: h.now, WantPages: pages}
+	if l := h.currentList(); l != nil {
+		q.Version, q.Digest, q.Remembered = l.version, l.digest, l.remembered
 	}
 	if pages != nil {
-		q.Version, q.Digest = h.other.head.Version, h.other.head.Digest
+		q.Version, q.Digest = h.gathering.head.Version, h.gathering.head.Digest
 	}
-	h.counts.Asked++
-	h.way.SendPayload(to, encode(&q))
+	h.counters.Requests++
+	h.transport.SendPayload(to, encode(&q))
 }
 
 // askFor asks for pages that are missing, who told of them last.
-func (h *Hearsay) askFor(g *gathering) {
+func (h *Exchange) requestMissing(g *gathering) {
 	pages := g.missing()
-	g.out, g.asked = len(pages), h.beat
-	h.ask(g.from, pages)
+	g.requested, g.requestTick = len(pages), h.tick
+	h.request(g.from, pages)
 }
 
 // Heard takes in a load. It returns the lines that the node is to go by from now on: those that differ from what it was told
 // before need not be the only ones, and a server that is in none of them stays as it is. Nil: nothing changes.
-func (h *Hearsay) Heard(now int64, from int, load []byte) []Line {
+func (h *Exchange) Receive(now int64, from int, load []byte) []Endpoint {
 	h.now = max(h.now, now)
 	var m message
-	if len(load) >= MostLoad || reading.Unmarshal(load, &m) != nil || !m.sound() {
-		h.counts.Bad++
+	if len(load) >= MaxMessageBytes || decMode.Unmarshal(load, &m) != nil || !m.valid() {
+		h.counters.Invalid++
 		return nil
 	}
-	if m.Kind == question {
-		h.answer(from, &m)
+	if m.Kind == requestKind {
+		h.respond(from, &m)
 		return nil
 	}
-	if h.stands {
+	if h.watchUp {
 		return nil
 	}
-	if m.Asked < h.birth || m.Asked > h.now { // of an earlier life, or to nothing that this node asked
-		h.counts.Bad++
+	if m.RequestedAt < h.startedAt || m.RequestedAt > h.now { // of an earlier life, or to nothing that this node asked
+		h.counters.Invalid++
 		return nil
 	}
-	return h.answered(from, &m)
+	return h.responseReceived(from, &m)
 }
 
 // answer says which list this node has, and sends pages of it to who has not got it.
-func (h *Hearsay) answer(to int, q *message) {
-	l := h.mine()
-	ahead := len(q.Want) == 0 && q.Digest != 0 && (l == nil || better(q, &message{Version: l.version, Recalled: l.recalled}))
-	if ahead && !h.stands {
-		h.hint = to
+func (h *Exchange) respond(to int, q *message) {
+	l := h.currentList()
+	ahead := len(q.WantPages) == 0 && q.Digest != 0 && (l == nil || preferred(q, &message{Version: l.version, Remembered: l.remembered}))
+	if ahead && !h.watchUp {
+		h.betterAt = to
 	}
 	if l == nil {
 		return
 	}
 	a := message{
-		Kind: reply, Asked: q.Asked, Version: l.version, Digest: l.digest, Pages: len(l.pages), Page: -1, Age: max(h.age(l), 0),
-		First: h.stands, Recalled: l.recalled,
+		Kind: responseKind, RequestedAt: q.RequestedAt, Version: l.version, Digest: l.digest, Pages: len(l.pages), Page: -1, AgeNs: max(h.age(l), 0),
+		WatchUp: h.watchUp, Remembered: l.remembered,
 	}
-	want := q.Want
+	want := q.WantPages
 	switch same := q.Version == l.version && q.Digest == l.digest; {
 	case len(want) > 0 && !same: // the list that it gathers is not this node's any more
 		want = nil
 	case len(want) == 0 && !same && !ahead:
-		for p := range min(pagesAtOnce, len(l.pages)) {
+		for p := range min(maxPagesPerRequest, len(l.pages)) {
 			want = append(want, p)
 		}
 	}
 	if len(want) == 0 {
 		want = []int{-1}
 	}
-	for _, p := range want[:min(len(want), pagesAtOnce)] {
+	for _, p := range want[:min(len(want), maxPagesPerRequest)] {
 		if p >= len(l.pages) {
 			continue
 		}
-		if h.answers++; h.answers > answersABeat {
-			h.counts.Held++
+		if h.responsesInTick++; h.responsesInTick > maxResponsesPerTick {
+			h.counters.ResponsesWithheld++
 			return
 		}
-		if a.Page, a.Lines = p, nil; p >= 0 {
-			a.Lines = l.pages[p]
+		if a.Page, a.Endpoints = p, nil; p >= 0 {
+			a.Endpoints = l.pages[p]
 		}
-		h.counts.Answered++
-		h.way.SendPayload(to, encode(&a))
+		h.counters.Responses++
+		h.transport.SendPayload(to, encode(&a))
 	}
 }
 
 // answered takes an answer in.
-func (h *Hearsay) answered(from int, a *message) []Line {
-	now := h.mine()
+func (h *Exchange) responseReceived(from int, a *message) []Endpoint {
+	now := h.currentList()
 	if now != nil && a.Version == now.version && a.Digest == now.digest {
-		now.stood, now.recalled = max(now.stood, a.stood()), now.recalled && a.Recalled // it stands, or did more lately than this node knew
+		now.confirmedAt, now.remembered = max(now.confirmedAt, a.confirmedAt()), now.remembered && a.Remembered // it stands, or did more lately than this node knew
 		return nil
 	}
-	if now != nil && (a.Recalled || !now.recalled) && a.Version < now.version {
+	if now != nil && (a.Remembered || !now.remembered) && a.Version < now.version {
 		return nil
 	}
-	g := h.other
-	if g == nil || better(a, &g.head) {
-		g = &gathering{head: *a, from: from, pages: make([][]Line, a.Pages), out: min(pagesAtOnce, a.Pages), since: h.beat, asked: h.beat}
-		h.other = g
+	g := h.gathering
+	if g == nil || preferred(a, &g.head) {
+		g = &gathering{head: *a, from: from, pages: make([][]Endpoint, a.Pages), requested: min(maxPagesPerRequest, a.Pages), lastPageTick: h.tick, requestTick: h.tick}
+		h.gathering = g
 	}
 	if a.Version != g.head.Version || a.Digest != g.head.Digest || a.Pages != len(g.pages) {
 		return nil // another one, when this is done
 	}
-	if a.stood() > g.head.stood() {
-		g.head.Asked, g.head.Age = a.Asked, a.Age
+	if a.confirmedAt() > g.head.confirmedAt() {
+		g.head.RequestedAt, g.head.AgeNs = a.RequestedAt, a.AgeNs
 	}
-	if a.First && !slices.Contains(g.vouch, from) && len(g.vouch) < witnesses {
-		g.vouch = append(g.vouch, from)
+	if a.WatchUp && !slices.Contains(g.witnesses, from) && len(g.witnesses) < requiredWitnesses {
+		g.witnesses = append(g.witnesses, from)
 	}
-	g.head.Recalled = g.head.Recalled && a.Recalled
+	g.head.Remembered = g.head.Remembered && a.Remembered
 	if a.Page >= 0 && g.pages[a.Page] == nil {
-		g.pages[a.Page] = append([]Line{}, a.Lines...)
-		g.have++
-		g.since, g.from = h.beat, from
-		if g.out--; g.out <= 0 && g.have < len(g.pages) {
-			h.askFor(g)
+		g.pages[a.Page] = append([]Endpoint{}, a.Endpoints...)
+		g.received++
+		g.lastPageTick, g.from = h.tick, from
+		if g.requested--; g.requested <= 0 && g.received < len(g.pages) {
+			h.requestMissing(g)
 		}
 	}
-	if g.have < len(g.pages) {
+	if g.received < len(g.pages) {
 		return nil
 	}
-	return h.take(g)
+	return h.accept(g)
 }
 
 // better tells whether a list is rather gathered than the one under way.
-func better(a, than *message) bool {
-	if a.Recalled != than.Recalled {
-		return than.Recalled
+func preferred(a, than *message) bool {
+	if a.Remembered != than.Remembered {
+		return than.Remembered
 	}
 	return a.Version > than.Version
 }
 
 func (g *gathering) missing() (out []int) {
 	for p := range g.pages {
-		if g.pages[p] == nil && len(out) < pagesAtOnce {
+		if g.pages[p] == nil && len(out) < maxPagesPerRequest {
 			out = append(out, p)
 		}
 	}
@@ -408,59 +408,59 @@
 }
 
 // take makes a gathered list the one that the node goes by, in the order that the package's head gives.
-func (h *Hearsay) take(g *gathering) []Line {
-	var lines []Line
+func (h *Exchange) accept(g *gathering) []Endpoint {
+	var lines []Endpoint
 	for _, p := range g.pages {
 		lines = append(lines, p...)
 	}
-	stood := g.head.stood()
-	fresh := newList(g.head.Version, lines, stood, g.head.Recalled)
-	if fresh.digest != g.head.Digest || len(lines) > MostLines { // pages of different makers
-		h.counts.Bad++
-		h.other = nil
+	stood := g.head.confirmedAt()
+	fresh := newList(g.head.Version, lines, stood, g.head.Remembered)
+	if fresh.digest != g.head.Digest || len(lines) > MaxEndpoints { // pages of different makers
+		h.counters.Invalid++
+		h.gathering = nil
 		return nil
 	}
-	now := h.mine()
+	now := h.currentList()
 	next := fresh
-	var absent []Line
+	var absent []Endpoint
 	if now != nil {
-		if fresh.version > now.version && (now.recalled || !fresh.recalled) {
-			absent = without(now.lines, lines)
+		if fresh.version > now.version && (now.remembered || !fresh.remembered) {
+			absent = drainingAbsent(now.endpoints, lines)
 		} else {
 			a, b := now, fresh
-			if b.recalled { // who was told knows since when servers run
+			if b.remembered { // who was told knows since when servers run
 				a, b = b, a
 			}
-			next = newList(max(a.version, b.version), join(a.lines, b.lines, a.recalled && !b.recalled), max(a.stood, b.stood), a.recalled && b.recalled)
+			next = newList(max(a.version, b.version), mergeCautious(a.endpoints, b.endpoints, a.remembered && !b.remembered), max(a.confirmedAt, b.confirmedAt), a.remembered && b.remembered)
 		}
-		if usableOf(next.lines)*usable < usableOf(now.lines) && len(g.vouch) < witnesses {
-			if !g.doubts {
-				g.doubts = true
-				h.counts.Doubted++
+		if activeCount(next.endpoints)*minUsableShare < activeCount(now.endpoints) && len(g.witnesses) < requiredWitnesses {
+			if !g.unconfirmed {
+				g.unconfirmed = true
+				h.counters.Unconfirmed++
 			}
 			return nil // until another vouches for it, or something better comes
 		}
 	}
-	h.other = nil
+	h.gathering = nil
 	if now != nil && next.version == now.version && next.digest == now.digest {
-		now.stood, now.recalled = max(now.stood, stood), now.recalled && fresh.recalled
+		now.confirmedAt, now.remembered = max(now.confirmedAt, stood), now.remembered && fresh.remembered
 		return nil
 	}
-	h.best, h.strayed = next, true
-	h.counts.Taken++
-	out := append(slices.Clone(next.lines), absent...)
-	if h.age(next) > FreshFor {
+	h.held, h.usesGossip = next, true
+	h.counters.Accepted++
+	out := append(slices.Clone(next.endpoints), absent...)
+	if h.age(next) > FreshForNs {
 		was := map[string]int64{}
 		if now != nil {
-			for _, l := range now.lines {
-				was[l.Name] = l.Started
+			for _, l := range now.endpoints {
+				was[l.Name] = l.StartedNs
 			}
 		}
 		for i := range out {
 			if before, known := was[out[i].Name]; known {
-				out[i].Started = max(out[i].Started, before)
+				out[i].StartedNs = max(out[i].StartedNs, before)
 			} else {
-				out[i].Started = h.now
+				out[i].StartedNs = h.now
 			}
 		}
 	}
@@ -468,15 +468,15 @@
 }
 
 // join is the more cautious of two lists, server by server; told: the second alone knows since when servers run.
-func join(a, b []Line, told bool) []Line {
-	of := map[string]Line{}
+func mergeCautious(a, b []Endpoint, told bool) []Endpoint {
+	of := map[string]Endpoint{}
 	for _, l := range a {
 		of[l.Name] = l
 	}
 	for _, l := range b {
 		if was, known := of[l.Name]; known {
 			if l.Draining = l.Draining || was.Draining; !told {
-				l.Started = max(l.Started, was.Started)
+				l.StartedNs = max(l.StartedNs, was.StartedNs)
 			}
 			l.Address = max(l.Address, was.Address) // any, as long as it is the same everywhere
 			l.Zone, l.Pod, l.Weight = max(l.Zone, was.Zone), max(l.Pod, was.Pod), min(l.Weight, was.Weight)
@@ -487,7 +487,7 @@
 }
 
 // without are the servers of a list that another lacks, taken for draining.
-func without(a, b []Line) (out []Line) {
+func drainingAbsent(a, b []Endpoint) (out []Endpoint) {
 	on := map[string]bool{}
 	for _, l := range b {
 		on[l.Name] = true
@@ -501,7 +501,7 @@
 	return out
 }
 
-func usableOf(lines []Line) (n int) {
+func activeCount(lines []Endpoint) (n int) {
 	for i := range lines {
 		if !lines[i].Draining {
 			n++
@@ -512,21 +512,21 @@
 
 // View is what the node has, for who asks.
 type View struct {
-	Stands   bool    `json:"watch_stands"`
-	Version  int64   `json:"version"` // of the list that it goes by
-	Servers  int     `json:"servers"`
-	Recalled bool    `json:"remembered"` // nobody's watch told it since that node started, as far as known
-	Age      float64 `json:"age_s"`      // since it was last known to stand; -1: not known
-	Counts   Counts  `json:"counts"`
+	WatchUp    bool     `json:"watch_stands"`
+	Version    int64    `json:"version"` // of the list that it goes by
+	Endpoints  int      `json:"servers"`
+	Remembered bool     `json:"remembered"` // nobody's watch told it since that node started, as far as known
+	AgeSeconds float64  `json:"age_s"`      // since it was last known to stand; -1: not known
+	Counters   Counters `json:"counts"`
 }
 
 // View tells what the node has.
-func (h *Hearsay) View() View {
-	v := View{Stands: h.stands, Age: -1, Counts: h.counts}
-	if l := h.mine(); l != nil {
-		v.Version, v.Servers, v.Recalled = l.version, len(l.lines), l.recalled
-		if l.stood > 0 {
-			v.Age = float64(h.age(l)) / 1e9
+func (h *Exchange) View() View {
+	v := View{WatchUp: h.watchUp, AgeSeconds: -1, Counters: h.counters}
+	if l := h.currentList(); l != nil {
+		v.Version, v.Endpoints, v.Remembered = l.version, len(l.endpoints), l.remembered
+		if l.confirmedAt > 0 {
+			v.AgeSeconds = float64(h.age(l)) / 1e9
 		}
 	}
 	return v
@@ -535,56 +535,56 @@
 type kind uint8
 
 const (
-	question kind = 1 + iota
-	reply
+	requestKind kind = 1 + iota
+	responseKind
 )
 
 // message is a load. Fields that a later version adds are passed over; a field is never put to another use.
 type message struct {
-	Kind     kind   `cbor:"1,keyasint"`
-	Version  int64  `cbor:"2,keyasint"`
-	Digest   uint64 `cbor:"3,keyasint"`
-	Want     []int  `cbor:"4,keyasint,omitempty"`
-	Pages    int    `cbor:"5,keyasint,omitempty"`
-	Page     int    `cbor:"6,keyasint,omitempty"` // -1: the head alone
-	Lines    []Line `cbor:"7,keyasint,omitempty"`
-	Age      int64  `cbor:"8,keyasint,omitempty"`
-	First    bool   `cbor:"9,keyasint,omitempty"` // the sender's own watch stands
-	Recalled bool   `cbor:"10,keyasint,omitempty"`
-	Asked    int64  `cbor:"11,keyasint"` // when the question went out, by the asker's clock
+	Kind        kind       `cbor:"1,keyasint"`
+	Version     int64      `cbor:"2,keyasint"`
+	Digest      uint64     `cbor:"3,keyasint"`
+	WantPages   []int      `cbor:"4,keyasint,omitempty"`
+	Pages       int        `cbor:"5,keyasint,omitempty"`
+	Page        int        `cbor:"6,keyasint,omitempty"` // -1: the head alone
+	Endpoints   []Endpoint `cbor:"7,keyasint,omitempty"`
+	AgeNs       int64      `cbor:"8,keyasint,omitempty"`
+	WatchUp     bool       `cbor:"9,keyasint,omitempty"` // the sender's own watch stands
+	Remembered  bool       `cbor:"10,keyasint,omitempty"`
+	RequestedAt int64      `cbor:"11,keyasint"` // when the question went out, by the asker's clock
 }
 
 // stood is when the list was known to stand, by the clock of who asked; 0: not known.
-func (m *message) stood() int64 {
-	if m.Age >= m.Asked {
+func (m *message) confirmedAt() int64 {
+	if m.AgeNs >= m.RequestedAt {
 		return 0
 	}
-	return m.Asked - m.Age
+	return m.RequestedAt - m.AgeNs
 }
 
-func (m *message) sound() bool {
-	if m.Version < 0 || m.Age < 0 || m.Asked < 0 || len(m.Want) > pagesAtOnce || m.Kind != question && m.Kind != reply {
+func (m *message) valid() bool {
+	if m.Version < 0 || m.AgeNs < 0 || m.RequestedAt < 0 || len(m.WantPages) > maxPagesPerRequest || m.Kind != requestKind && m.Kind != responseKind {
 		return false
 	}
-	for _, p := range m.Want {
-		if p < 0 || p >= mostPages {
+	for _, p := range m.WantPages {
+		if p < 0 || p >= maxPages {
 			return false
 		}
 	}
-	for i := range m.Lines {
-		if !m.Lines[i].sound() {
+	for i := range m.Endpoints {
+		if !m.Endpoints[i].valid() {
 			return false
 		}
 	}
-	return m.Kind == question || m.Pages >= 1 && m.Pages <= mostPages && m.Page >= -1 && m.Page < m.Pages
+	return m.Kind == requestKind || m.Pages >= 1 && m.Pages <= maxPages && m.Page >= -1 && m.Page < m.Pages
 }
 
 var (
-	reading = must(cbor.DecOptions{
+	decMode = must(cbor.DecOptions{
 		MaxArrayElements: 64, MaxMapPairs: 16, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden,
 	}.DecMode())
-	writing = must(cbor.CoreDetEncOptions().EncMode())
+	encMode = must(cbor.CoreDetEncOptions().EncMode())
 )
 
 func must[T any](v T, err error) T {
@@ -595,7 +595,7 @@
 }
 
 func encode(of any) []byte {
-	text, err := writing.Marshal(of)
+	text, err := encMode.Marshal(of)
 	if err != nil {
 		panic(err) // plain numbers and names
 	}
--- a/internal/endpointgossip/endpointgossip_test.go
+++ b/internal/endpointgossip/endpointgossip_test.go
@@ -25,9 +25,9 @@
 type node struct {
 	net   *net
 	index int
-	core  *Hearsay
+	core  *Exchange
 	word  bool
-	list  map[string]Line // as it goes by it
+	list  map[string]Endpoint // as it goes by it
 	heard int
 	sent  int // in this beat
 }
@@ -39,7 +39,7 @@
 
 func (n *node) SendPayload(to int, load []byte) {
 	s := n.net
-	if len(load) >= MostLoad {
+	if len(load) >= MaxMessageBytes {
 		s.t.Fatalf("a load of %d bytes", len(load))
 	}
 	n.sent++
@@ -57,24 +57,24 @@
 	return out
 }
 
-func (n *node) goBy(lines []Line, whole bool) {
+func (n *node) goBy(lines []Endpoint, whole bool) {
 	if lines == nil {
 		return
 	}
 	if whole {
-		n.list = map[string]Line{}
+		n.list = map[string]Endpoint{}
 	}
 	for _, l := range lines {
 		n.list[l.Name] = l
 	}
 }
 
-func newNet(t *testing.T, nodes int, seed uint64, remembered func(i int) (int64, []Line)) *net {
+func newNet(t *testing.T, nodes int, seed uint64, remembered func(i int) (int64, []Endpoint)) *net {
 	s := &net{t: t, mute: -1, now: 1_700_000_000e9, draw: rand.New(rand.NewPCG(seed, 1))}
 	for i := range nodes {
-		n := &node{net: s, index: i, list: map[string]Line{}}
+		n := &node{net: s, index: i, list: map[string]Endpoint{}}
 		var version int64
-		var lines []Line
+		var lines []Endpoint
 		if remembered != nil {
 			version, lines = remembered(i)
 			n.goBy(lines, true)
@@ -94,7 +94,7 @@
 		if n.word {
 			word = s.now
 		}
-		n.goBy(n.core.Beat(s.now, word), true)
+		n.goBy(n.core.Tick(s.now, word), true)
 	}
 	for len(s.due) > 0 {
 		var later []due
@@ -108,31 +108,31 @@
 			came = true
 			n := s.nodes[d.to]
 			n.heard++
-			n.goBy(n.core.Heard(s.now, int(d.from), d.load), false)
+			n.goBy(n.core.Receive(s.now, int(d.from), d.load), false)
 		}
 		if s.due = later; !came {
 			break
 		}
 	}
 	for _, n := range s.nodes {
-		if n.sent > asksABeat+answersABeat {
+		if n.sent > maxRequestsPerTick+maxResponsesPerTick {
 			s.t.Fatalf("n%d sent %d loads in a beat", n.index, n.sent)
 		}
 	}
 }
 
 // tell has a node's own watch tell a whole list.
-func (n *node) tell(version int64, lines []Line) {
+func (n *node) tell(version int64, lines []Endpoint) {
 	n.word = true
-	if all := n.core.Listed(n.net.now, version, lines, nil, true); all != nil {
+	if all := n.core.WatchUpdated(n.net.now, version, lines, nil, true); all != nil {
 		lines = all
 	}
 	n.goBy(lines, true)
 }
 
-func lines(count int, draining ...int) (out []Line) {
+func lines(count int, draining ...int) (out []Endpoint) {
 	for i := range count {
-		out = append(out, Line{Name: fmt.Sprintf("server-%04d", i), Address: fmt.Sprintf("10.20.%d.%d:8080", i/250, i%250), Zone: "north", Pod: i % 3, Weight: 1, Started: 1_699_999_000e9})
+		out = append(out, Endpoint{Name: fmt.Sprintf("server-%04d", i), Address: fmt.Sprintf("10.20.%d.%d:8080", i/250, i%250), Zone: "north", Pod: i % 3, Weight: 1, StartedNs: 1_699_999_000e9})
 	}
 	for _, i := range draining {
 		out[i].Draining = true
@@ -166,7 +166,7 @@
 			s.step()
 			have := 0
 			for _, n := range s.nodes {
-				if most = max(most, n.core.answers); len(n.list) == c.servers {
+				if most = max(most, n.core.responsesInTick); len(n.list) == c.servers {
 					have++
 				}
 			}
@@ -177,7 +177,7 @@
 		}
 		sent := int64(0)
 		for _, n := range s.nodes {
-			sent += n.core.counts.Asked + n.core.counts.Answered
+			sent += n.core.counters.Requests + n.core.counters.Responses
 		}
 		t.Logf("%d nodes, %d servers, loss %.1f: %d beats, %d loads, at most %d answered by one in a beat", c.nodes, c.servers, c.loss, took, sent, most)
 		if took < 0 {
@@ -192,8 +192,8 @@
 	s.step()
 	most := 0
 	for _, n := range s.nodes {
-		if most = max(most, n.heard); n.core.counts.Asked < few {
-			t.Errorf("n%d asked %d times in two beats", n.index, n.core.counts.Asked)
+		if most = max(most, n.heard); n.core.counters.Requests < nodesPerRequest {
+			t.Errorf("n%d asked %d times in two beats", n.index, n.core.counters.Requests)
 		}
 	}
 	if most > 12 {
@@ -203,7 +203,7 @@
 	s.nodes[0].tell(1, lines(3))
 	s.step()
 	s.step()
-	if got := s.nodes[0].core.counts.Answered; got > answersABeat {
+	if got := s.nodes[0].core.counters.Responses; got > maxResponsesPerTick {
 		t.Errorf("300 that wake together had one answer %d times", got)
 	}
 }
@@ -221,11 +221,11 @@
 	if got := s.nodes[1].usable(); got != 8 {
 		t.Fatalf("by its own it uses %d", got)
 	}
-	before := s.nodes[1].core.counts.Asked
+	before := s.nodes[1].core.counters.Requests
 	for range 20 {
 		s.step()
 	}
-	if s.nodes[1].core.counts.Asked != before || s.nodes[1].usable() != 8 {
+	if s.nodes[1].core.counters.Requests != before || s.nodes[1].usable() != 8 {
 		t.Error("one whose watch stands asks, or goes by others")
 	}
 	// Lost again, gossip counts; a watch that goes on without news brings its own list back.
@@ -238,7 +238,7 @@
 		t.Fatalf("without a watch it does not hear of drains: uses %d", got)
 	}
 	s.nodes[1].word = true
-	for range quiet + 1 {
+	for range watchGraceTicks + 1 {
 		s.step()
 	}
 	if got := s.nodes[1].usable(); got != 8 {
@@ -247,7 +247,7 @@
 }
 
 func TestWhatIsRememberedGoesBehind(t *testing.T) {
-	s := newNet(t, 4, 6, func(i int) (int64, []Line) {
+	s := newNet(t, 4, 6, func(i int) (int64, []Endpoint) {
 		switch i {
 		case 0:
 			return 7, lines(8, 1)
@@ -264,8 +264,8 @@
 			t.Fatalf("n%d does not know of the drain that one remembers: %v", i, n.list)
 		}
 	}
-	if l := s.nodes[3].list["server-0002"]; l.Started < s.now-60*beat {
-		t.Errorf("a server of a list of unknown age is taken for one that runs since %d", l.Started)
+	if l := s.nodes[3].list["server-0002"]; l.StartedNs < s.now-60*beat {
+		t.Errorf("a server of a list of unknown age is taken for one that runs since %d", l.StartedNs)
 	}
 	// Discovery is back with an older list: nobody is put back by it, but by the next one after the remembered.
 	s.nodes[2].tell(5, lines(9))
@@ -289,13 +289,13 @@
 }
 
 func TestOneWordDoesNotBanTheFleet(t *testing.T) {
-	s := newNet(t, 5, 7, func(int) (int64, []Line) { return 3, lines(8) })
+	s := newNet(t, 5, 7, func(int) (int64, []Endpoint) { return 3, lines(8) })
 	s.nodes[0].tell(99, lines(8, 0, 1, 2, 3, 4, 5))
 	for range 60 {
 		s.step()
 	}
 	for _, n := range s.nodes[1:] {
-		if n.usable() != 8 || n.core.counts.Doubted == 0 {
+		if n.usable() != 8 || n.core.counters.Unconfirmed == 0 {
 			t.Fatalf("n%d: one node's word left it %d of 8", n.index, n.usable())
 		}
 	}
@@ -312,7 +312,7 @@
 
 // TestTheSameWordAgainIsNoSecondOne has nodes that only repeat what one watch told.
 func TestTheSameWordAgainIsNoSecondOne(t *testing.T) {
-	s := newNet(t, 6, 7, func(i int) (int64, []Line) {
+	s := newNet(t, 6, 7, func(i int) (int64, []Endpoint) {
 		if i == 5 {
 			return 3, lines(8)
 		}
@@ -330,7 +330,7 @@
 }
 
 func TestARememberedDrainHoldsAgainstWhatWasToldBefore(t *testing.T) {
-	s := newNet(t, 3, 6, func(i int) (int64, []Line) {
+	s := newNet(t, 3, 6, func(i int) (int64, []Endpoint) {
 		if i == 0 {
 			return 7, lines(8, 1)
 		}
@@ -340,7 +340,7 @@
 	for range 30 {
 		s.step()
 	}
-	if n := s.nodes[2]; !n.list["server-0001"].Draining || n.list["server-0002"].Started > lines(8)[2].Started {
+	if n := s.nodes[2]; !n.list["server-0001"].Draining || n.list["server-0002"].StartedNs > lines(8)[2].StartedNs {
 		t.Errorf("%v", n.list)
 	}
 	s.nodes[2].word, s.nodes[1].word = false, false
@@ -348,7 +348,7 @@
 	for range 30 {
 		s.step()
 	}
-	if got := s.nodes[1].core.mine(); s.nodes[1].usable() != 8 || got.recalled {
+	if got := s.nodes[1].core.currentList(); s.nodes[1].usable() != 8 || got.remembered {
 		t.Errorf("uses %d, %+v", s.nodes[1].usable(), got)
 	}
 }
@@ -374,11 +374,11 @@
 func TestWhoHasMoreIsAskedBack(t *testing.T) {
 	s := newNet(t, 2, 12, nil)
 	n := s.nodes[1]
-	n.core.next = 1 << 60
-	n.core.Heard(s.now, 0, encode(&message{Kind: question, Version: 4, Digest: 5, Asked: s.now}))
-	n.core.Beat(s.now, 0)
-	if n.core.counts.Asked != 1 {
-		t.Errorf("asked %d times", n.core.counts.Asked)
+	n.core.nextRequest = 1 << 60
+	n.core.Receive(s.now, 0, encode(&message{Kind: requestKind, Version: 4, Digest: 5, RequestedAt: s.now}))
+	n.core.Tick(s.now, 0)
+	if n.core.counters.Requests != 1 {
+		t.Errorf("asked %d times", n.core.counters.Requests)
 	}
 }
 
@@ -386,23 +386,23 @@
 func TestNonsense(t *testing.T) {
 	s := newNet(t, 2, 12, nil)
 	n := s.nodes[1]
-	n.core.Beat(s.now, 0)
+	n.core.Tick(s.now, 0)
 	for i := range 1000 {
-		page := Line{Name: fmt.Sprint("s", i), Address: "a"}
-		if got := n.core.Heard(s.now, 0, encode(&message{Kind: reply, Version: int64(i / 2), Digest: 7, Pages: 2, Page: i % 2, Asked: s.now, Lines: []Line{page}})); got != nil {
+		page := Endpoint{Name: fmt.Sprint("s", i), Address: "a"}
+		if got := n.core.Receive(s.now, 0, encode(&message{Kind: responseKind, Version: int64(i / 2), Digest: 7, Pages: 2, Page: i % 2, RequestedAt: s.now, Endpoints: []Endpoint{page}})); got != nil {
 			t.Fatalf("taken: %v", got)
 		}
 	}
 	for i := range 1000 { // the first pages of ever better lists
-		n.core.Heard(s.now, 0, encode(&message{Kind: reply, Version: 1000 + int64(i/8), Digest: 7, Pages: 40, Page: i % 8, Asked: s.now}))
+		n.core.Receive(s.now, 0, encode(&message{Kind: responseKind, Version: 1000 + int64(i/8), Digest: 7, Pages: 40, Page: i % 8, RequestedAt: s.now}))
 	}
-	if n.core.counts.Asked > asksABeat || n.core.counts.Bad < 400 {
-		t.Errorf("%+v", n.core.counts)
+	if n.core.counters.Requests > maxRequestsPerTick || n.core.counters.Invalid < 400 {
+		t.Errorf("%+v", n.core.counters)
 	}
 }
 
 func TestAServerThatIsOffTheListGetsNothing(t *testing.T) {
-	s := newNet(t, 2, 8, func(int) (int64, []Line) { return 3, lines(8) })
+	s := newNet(t, 2, 8, func(int) (int64, []Endpoint) { return 3, lines(8) })
 	s.nodes[0].tell(4, lines(7))
 	for range 20 {
 		s.step()
@@ -423,7 +423,7 @@
 			s.step()
 		}
 		l := s.nodes[1].list["server-0000"]
-		if cold := l.Started > began; len(s.nodes[1].list) != 5 || cold != (late > 0) {
+		if cold := l.StartedNs > began; len(s.nodes[1].list) != 5 || cold != (late > 0) {
 			t.Errorf("late by %d: %v", late, l)
 		}
 	}
@@ -435,10 +435,10 @@
 	var copied []due
 	for range 5 {
 		s.now += beat
-		s.nodes[1].core.Beat(s.now, 0)
+		s.nodes[1].core.Tick(s.now, 0)
 		for k := 0; k < len(s.due); k++ {
 			if d := s.due[k]; d.to == 0 {
-				s.nodes[0].core.Heard(s.now, 1, d.load)
+				s.nodes[0].core.Receive(s.now, 1, d.load)
 			} else {
 				copied = append(copied, d)
 			}
@@ -448,12 +448,12 @@
 	s.now += beat
 	again := New(1, s.nodes[1], s.now, 0, nil, false)
 	for _, d := range copied {
-		if again.Heard(s.now, 0, d.load) != nil {
+		if again.Receive(s.now, 0, d.load) != nil {
 			t.Error("taken")
 		}
 	}
-	if len(copied) == 0 || again.counts.Bad != int64(len(copied)) {
-		t.Errorf("%d copied, %d passed over", len(copied), again.counts.Bad)
+	if len(copied) == 0 || again.counters.Invalid != int64(len(copied)) {
+		t.Errorf("%d copied, %d passed over", len(copied), again.counters.Invalid)
 	}
 }
 
@@ -466,7 +466,7 @@
 		for range tellers {
 			version := int64(rapid.IntRange(1, 3).Draw(r, "version"))
 			list := lines(6, rapid.SliceOfN(rapid.IntRange(0, 2), 0, 2).Draw(r, "draining")...)
-			list[rapid.IntRange(0, 5).Draw(r, "which")].Started += int64(rapid.IntRange(0, 2).Draw(r, "start"))
+			list[rapid.IntRange(0, 5).Draw(r, "which")].StartedNs += int64(rapid.IntRange(0, 2).Draw(r, "start"))
 			told = append(told, func(n *node) { n.tell(version, list) })
 		}
 		s := newNet(t, tellers+3, rapid.Uint64Range(1, 1000).Draw(r, "seed"), nil)
@@ -479,9 +479,9 @@
 		for range 100 {
 			s.step()
 		}
-		a := s.nodes[tellers].core.mine()
+		a := s.nodes[tellers].core.currentList()
 		for _, n := range s.nodes[tellers:] {
-			if b := n.core.mine(); b == nil || b.version != a.version || b.digest != a.digest {
+			if b := n.core.currentList(); b == nil || b.version != a.version || b.digest != a.digest {
 				r.Fatalf("two nodes that ask one another go by different lists: %+v, %+v", a, b)
 			}
 		}
@@ -489,20 +489,20 @@
 }
 
 func FuzzHeard(f *testing.F) {
-	f.Add(encode(&message{Kind: reply, Version: 3, Digest: 4, Pages: 2, Page: 1, Asked: 1_700_000_000e9, Lines: lines(2)}))
-	f.Add(encode(&message{Kind: question, Version: 3, Want: []int{0, 900}}))
-	f.Add(encode(&message{Kind: question, Version: 3, Want: []int{-5}}))
-	f.Add(encode(&message{Kind: reply, Version: 3, Digest: 4, Pages: 2, Page: 5, Asked: 1_700_000_000e9}))
-	f.Add(encode(&message{Kind: reply, Version: 3, Digest: 4, Pages: 1 << 40, Asked: 1_700_000_000e9}))
+	f.Add(encode(&message{Kind: responseKind, Version: 3, Digest: 4, Pages: 2, Page: 1, RequestedAt: 1_700_000_000e9, Endpoints: lines(2)}))
+	f.Add(encode(&message{Kind: requestKind, Version: 3, WantPages: []int{0, 900}}))
+	f.Add(encode(&message{Kind: requestKind, Version: 3, WantPages: []int{-5}}))
+	f.Add(encode(&message{Kind: responseKind, Version: 3, Digest: 4, Pages: 2, Page: 5, RequestedAt: 1_700_000_000e9}))
+	f.Add(encode(&message{Kind: responseKind, Version: 3, Digest: 4, Pages: 1 << 40, RequestedAt: 1_700_000_000e9}))
 	f.Fuzz(func(t *testing.T, load []byte) {
-		s := newNet(t, 2, 1, func(int) (int64, []Line) { return 2, lines(3) })
+		s := newNet(t, 2, 1, func(int) (int64, []Endpoint) { return 2, lines(3) })
 		n := s.nodes[1]
 		for range 3 {
-			n.core.Heard(s.now, 0, load)
-			n.core.Beat(s.now, 0)
+			n.core.Receive(s.now, 0, load)
+			n.core.Tick(s.now, 0)
 		}
-		if n.sent > 3*(asksABeat+answersABeat) || len(n.core.mine().lines) < 3 {
-			t.Errorf("%d loads, %d servers", n.sent, len(n.core.mine().lines))
+		if n.sent > 3*(maxRequestsPerTick+maxResponsesPerTick) || len(n.core.currentList().endpoints) < 3 {
+			t.Errorf("%d loads, %d servers", n.sent, len(n.core.currentList().endpoints))
 		}
 	})
 }
--- a/internal/endpointgossip/golden_test.go
+++ b/internal/endpointgossip/golden_test.go
@@ -10,16 +10,16 @@
 
 // TestGoldenMessages holds what nodes ask one another of the list, and answer, to the bytes of earlier builds.
 func TestGoldenMessages(t *testing.T) {
-	lines := []Line{{Name: "s-1", Address: "127.0.0.1:80", Zone: "a", Pod: 3, Weight: 1.5, Draining: true, Started: 1_700_000_000_000_000_000}, {Name: "s-2", Address: "127.0.0.2:80"}}
+	lines := []Endpoint{{Name: "s-1", Address: "127.0.0.1:80", Zone: "a", Pod: 3, Weight: 1.5, Draining: true, StartedNs: 1_700_000_000_000_000_000}, {Name: "s-2", Address: "127.0.0.2:80"}}
 	for name, m := range map[string]message{
-		"question.bin":       {Kind: question, Version: 7, Digest: 99, Want: []int{0, 3}, Recalled: true, Asked: 1_700_000_000_000_000_001},
-		"reply.bin":          {Kind: reply, Version: 7, Digest: 99, Pages: 2, Page: 1, Lines: lines, Age: 5e9, First: true, Asked: 1_700_000_000_000_000_001},
-		"reply-to-equal.bin": {Kind: reply, Version: 7, Digest: 99, Pages: 2, Page: -1, Recalled: true, Asked: 1},
+		"question.bin":       {Kind: requestKind, Version: 7, Digest: 99, WantPages: []int{0, 3}, Remembered: true, RequestedAt: 1_700_000_000_000_000_001},
+		"reply.bin":          {Kind: responseKind, Version: 7, Digest: 99, Pages: 2, Page: 1, Endpoints: lines, AgeNs: 5e9, WatchUp: true, RequestedAt: 1_700_000_000_000_000_001},
+		"reply-to-equal.bin": {Kind: responseKind, Version: 7, Digest: 99, Pages: 2, Page: -1, Remembered: true, RequestedAt: 1},
 	} {
 		load := encode(&m)
 		golden.Check(t, name, load)
 		var read message
-		if err := reading.Unmarshal(load, &read); err != nil || fmt.Sprint(read) != fmt.Sprint(m) {
+		if err := decMode.Unmarshal(load, &read); err != nil || fmt.Sprint(read) != fmt.Sprint(m) {
 			t.Errorf("%s: read as %+v, %v", name, read, err)
 		} else if !bytes.Equal(encode(&read), load) {
 			t.Errorf("%s: read and written again it is another load", name)
@@ -31,7 +31,7 @@
 
 // TestGoldenView holds what the console shows of the list to its form.
 func TestGoldenView(t *testing.T) {
-	v := View{Stands: true, Version: 7, Servers: 2, Recalled: true, Age: 1.5, Counts: Counts{Asked: 1, Answered: 2, Held: 3, Bad: 4, Taken: 5, Doubted: 6}}
+	v := View{WatchUp: true, Version: 7, Endpoints: 2, Remembered: true, AgeSeconds: 1.5, Counters: Counters{Requests: 1, Responses: 2, ResponsesWithheld: 3, Invalid: 4, Accepted: 5, Unconfirmed: 6}}
 	text, err := json.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/fleet/hearsay_test.go
+++ b/internal/lab/fleet/hearsay_test.go
@@ -80,7 +80,7 @@
 	}
 	stand := 0
 	for _, v := range p.heard(t) {
-		if v.Stands {
+		if v.WatchUp {
 			stand++
 		}
 	}
@@ -98,7 +98,7 @@
 	}
 	p.Mend()
 	p.asks.Most(0)
-	p.until(t, "all watches stand", func(v *endpointgossip.View) bool { return v.Stands })
+	p.until(t, "all watches stand", func(v *endpointgossip.View) bool { return v.WatchUp })
 }
 
 // TestThoseWithoutADiskServeByTheOthersMemory takes the power from all while a server drains, and half of the disks with it. Discovery
@@ -119,13 +119,13 @@
 	p.startAll(t)
 	end := p.busy()
 	defer end()
-	p.until(t, "all have the list that some remember", func(v *endpointgossip.View) bool { return v.Version == 2 && v.Recalled })
+	p.until(t, "all have the list that some remember", func(v *endpointgossip.View) bool { return v.Version == 2 && v.Remembered })
 	p.serving(t)
 	if late := p.lateAt(1, told); late > 0 {
 		t.Errorf("%d tasks came to a server that drained before the power went", late)
 	}
 	p.asks.Down(false)
-	p.until(t, "all watches stand", func(v *endpointgossip.View) bool { return v.Stands })
+	p.until(t, "all watches stand", func(v *endpointgossip.View) bool { return v.WatchUp })
 }
 
 // TestReadyOnceThereIsAList has three nodes wake with nothing: none is ready, and each says why, until one list has come to one.
@@ -160,10 +160,10 @@
 	doubted := func(views []*members.View) bool {
 		with, doubt := 0, 0
 		for _, v := range p.heard(t) {
-			if v != nil && v.Stands && v.Version == 9 {
+			if v != nil && v.WatchUp && v.Version == 9 {
 				with++
 			}
-			if v != nil && v.Counts.Doubted > 0 && v.Version == 1 {
+			if v != nil && v.Counters.Unconfirmed > 0 && v.Version == 1 {
 				doubt++
 			}
 		}
@@ -262,7 +262,7 @@
 		t.Errorf("%d of 400 by servers that may be cold", cold)
 	}
 	p.asks.Down(false)
-	p.until(t, "discovery tells it", func(v *endpointgossip.View) bool { return v.Stands })
+	p.until(t, "discovery tells it", func(v *endpointgossip.View) bool { return v.WatchUp })
 	if n := done(100); n != 100 {
 		t.Errorf("once discovery has told, %d of 100", n)
 	}
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -14,19 +14,19 @@
 	"time"
 )
 
-func remembered(from, n int) []nodestate.Server {
-	out := make([]nodestate.Server, n)
+func remembered(from, n int) []nodestate.Endpoint {
+	out := make([]nodestate.Endpoint, n)
 	for k := range out {
 		i := from + k
-		out[k] = nodestate.Server{
+		out[k] = nodestate.Endpoint{
 			Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
-			Zone: fmt.Sprintf("z%02d", i%31), Pod: i / 40, Weight: 1, Started: 1_700_000_000e9 + int64(i),
+			Zone: fmt.Sprintf("z%02d", i%31), Pod: i / 40, Weight: 1, StartedNs: 1_700_000_000e9 + int64(i),
 		}
 	}
 	return out
 }
 
-func write(to *store.Store, m *nodestate.Memory) error {
+func write(to *store.Store, m *nodestate.State) error {
 	var b store.Batch
 	for _, c := range m.Changes() {
 		if c.Value == nil {
@@ -38,7 +38,7 @@
 	return to.Apply(&b)
 }
 
-func empty() *nodestate.Memory { return nodestate.Read(func(func(string, []byte)) {}) }
+func empty() *nodestate.State { return nodestate.Load(func(func(string, []byte)) {}) }
 
 func diskProbe() Probe {
 	return Probe{
@@ -79,11 +79,11 @@
 	}()
 	// A memory takes MostServers; so many of them as it takes stand in one store, so that the store at least is seen at every size.
 	n, now := int(size), time.Now().UnixNano()
-	parts := []*nodestate.Memory(nil)
+	parts := []*nodestate.State(nil)
 	before := inUse()
-	for from := 0; from < n; from += nodestate.MostServers {
+	for from := 0; from < n; from += nodestate.MaxEndpoints {
 		m := empty()
-		m.Listed(now, remembered(from, min(nodestate.MostServers, n-from)), 1, false)
+		m.RecordList(now, remembered(from, min(nodestate.MaxEndpoints, n-from)), 1, false)
 		parts = append(parts, m)
 	}
 	v["memory"] = inUse() - before
@@ -100,9 +100,9 @@
 	}
 	v["written"] = time.Since(began).Seconds()
 	v["bytes"] = onDisk(path)
-	first := remembered(0, min(nodestate.MostServers, n))
+	first := remembered(0, min(nodestate.MaxEndpoints, n))
 	whole := remembered(0, n)
-	v["listed"] = spent(func() { parts[0].Listed(now, whole, 2, true) })
+	v["listed"] = spent(func() { parts[0].RecordList(now, whole, 2, true) })
 	changes := 50
 	if e.Quick {
 		changes = 5
@@ -111,7 +111,7 @@
 		for i := range changes {
 			one := first[i%len(first)]
 			one.State = nodestate.Draining
-			parts[0].Listed(now, []nodestate.Server{one}, int64(10+i), false)
+			parts[0].RecordList(now, []nodestate.Endpoint{one}, int64(10+i), false)
 			if err == nil {
 				err = write(at, parts[0])
 			}
@@ -126,12 +126,12 @@
 	}
 	at, parts, first = nil, nil, nil
 	before, began = inUse(), time.Now()
-	var found *nodestate.Memory
+	var found *nodestate.State
 	v["open"] = spent(func() {
 		if at, _, err = store.Open(path, store.Options{}); err != nil {
 			return
 		}
-		found = nodestate.Read(func(each func(string, []byte)) {
+		found = nodestate.Load(func(each func(string, []byte)) {
 			snap := at.Snapshot()
 			defer snap.Release()
 			err = snap.Each("", func(key string, value []byte) bool { each(key, value); return true })
@@ -141,7 +141,7 @@
 		return v, "", err
 	}
 	v["opened"] = time.Since(began).Seconds()
-	kept := found.Servers()
+	kept := found.EndpointCount()
 	found = nil
 	v["index"] = inUse() - before
 	if kept < n {
--- a/internal/lab/scale/hearsay.go
+++ b/internal/lab/scale/hearsay.go
@@ -44,7 +44,7 @@
 func hearsayProbe() Probe {
 	return Probe{
 		Name: "hearsay", Size: "servers", Sizes: []float64{512, 1200, 4096, 8000, 12000, 28000}, Quick: []float64{10, 40, 100, 200}, Least: 2,
-		At: func(d *Design) float64 { return d.Servers }, Cap: endpointgossip.MostLines,
+		At: func(d *Design) float64 { return d.Servers }, Cap: endpointgossip.MaxEndpoints,
 		Need: func(n float64) Need { return Need{Bytes: 6 * 500 * n} },
 		Figures: []Figure{
 			{Name: "taken", What: "a node that starts without discovery: until it goes by others' whole list", Unit: "s", Role: "node", Method: "virtual time, nothing lost", Limit: limitReady},
@@ -57,18 +57,18 @@
 			v = map[string]float64{}
 			now := int64(1_700_000_000e9)
 			m := &mail{boxes: make([][]letter, tellers+1)}
-			lines := make([]endpointgossip.Line, int(size))
+			lines := make([]endpointgossip.Endpoint, int(size))
 			for i := range lines {
-				lines[i] = endpointgossip.Line{
+				lines[i] = endpointgossip.Endpoint{
 					Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
 					Zone: fmt.Sprintf("z%02d", i%31), Pod: i / 40, Weight: 1,
 				}
 			}
-			var nodes []*endpointgossip.Hearsay
+			var nodes []*endpointgossip.Exchange
 			before := inUse()
 			for i := range tellers {
 				h := endpointgossip.New(uint64(i), way{m, i}, now, 0, nil, false)
-				h.Listed(now, 1, lines, nil, true)
+				h.WatchUpdated(now, 1, lines, nil, true)
 				h.View() // makes the list that it answers with
 				nodes = append(nodes, h)
 			}
@@ -88,7 +88,7 @@
 							if i == tellers {
 								seconds[len(seconds)-1] += float64(len(l.load))
 							}
-							if got := h.Heard(now, l.from, l.load); got != nil && i == tellers {
+							if got := h.Receive(now, l.from, l.load); got != nil && i == tellers {
 								v["taken"] = float64(beat+1) * float64(beatNs) / 1e9
 							}
 						}
@@ -99,7 +99,7 @@
 						if i == tellers {
 							word = 0
 						}
-						h.Beat(now, word)
+						h.Tick(now, word)
 					}
 				}
 			})
@@ -108,9 +108,9 @@
 				v["worst"] = max(v["worst"], b)
 			}
 			if v["taken"] == 0 {
-				c := nodes[tellers].View().Counts
+				c := nodes[tellers].View().Counters
 				note = fmt.Sprintf("never taken within 20 s, in which it heard %s bytes: %d loads asked for, %d passed over as making no sense; a list has %s servers at most",
-					short(v["bytes"]), c.Asked, c.Bad, count(endpointgossip.MostLines))
+					short(v["bytes"]), c.Requests, c.Invalid, count(endpointgossip.MaxEndpoints))
 				v = map[string]float64{"memory": v["memory"]}
 			}
 			return v, note, nil
--- a/internal/lab/simulation/hearsay.go
+++ b/internal/lab/simulation/hearsay.go
@@ -13,7 +13,7 @@
 
 // hearing is one life's part in it.
 type hearing struct {
-	core *endpointgossip.Hearsay
+	core *endpointgossip.Exchange
 	word int64 // when the watch last could say something
 }
 
@@ -26,7 +26,7 @@
 	n.hearing = &hearing{core: endpointgossip.New(seed, n.view, n.clock(), n.day.discovery.roster.Version(), lines, false)}
 }
 
-func (d *Day) lines(list []model.ListEntry) (lines []endpointgossip.Line, gone []string) {
+func (d *Day) lines(list []model.ListEntry) (lines []endpointgossip.Endpoint, gone []string) {
 	for _, l := range list {
 		m := d.machines[l.Endpoint]
 		name := fmt.Sprint(l.Endpoint)
@@ -34,13 +34,13 @@
 			gone = append(gone, name)
 			continue
 		}
-		lines = append(lines, endpointgossip.Line{Name: name, Zone: m.spec.Zone, Pod: m.spec.Pod, Weight: 1, Draining: l.State == model.Draining, Started: l.StartedAt})
+		lines = append(lines, endpointgossip.Endpoint{Name: name, Zone: m.spec.Zone, Pod: m.spec.Pod, Weight: 1, Draining: l.State == model.Draining, StartedNs: l.StartedAt})
 	}
 	return lines, gone
 }
 
 // goBy takes lines of others, or the node's own list again, to the decisions.
-func (n *node) goBy(lines []endpointgossip.Line, whole bool) {
+func (n *node) goBy(lines []endpointgossip.Endpoint, whole bool) {
 	if lines == nil {
 		return
 	}
@@ -52,7 +52,7 @@
 		if l.Draining {
 			health = model.Draining
 		}
-		list = append(list, n.day.discovery.entries([]model.ListEntry{{Endpoint: server, State: health, StartedAt: l.Started}})...)
+		list = append(list, n.day.discovery.entries([]model.ListEntry{{Endpoint: server, State: health, StartedAt: l.StartedNs}})...)
 	}
 	n.enter(func() {
 		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
@@ -76,12 +76,12 @@
 		}
 		word = h.word
 	}
-	n.goBy(h.core.Beat(n.clock(), word), true)
+	n.goBy(h.core.Tick(n.clock(), word), true)
 }
 
 func (h *hearing) take(n *node, from int, load []byte) {
 	if h != nil {
-		n.goBy(h.core.Heard(n.clock(), from, load), false)
+		n.goBy(h.core.Receive(n.clock(), from, load), false)
 	}
 }
 
@@ -91,7 +91,7 @@
 		return false
 	}
 	lines, gone := n.day.lines(entries)
-	all := h.core.Listed(n.clock(), version, lines, gone, whole)
+	all := h.core.WatchUpdated(n.clock(), version, lines, gone, whole)
 	n.goBy(all, true)
 	return all != nil
 }
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -198,7 +198,7 @@
 		w.versionAddress, w.version = address, 0
 	}
 	call := w.call(address)
-	stream, err := call.Answered(ctx)
+	stream, err := call.Open(ctx)
 	if err != nil {
 		return false, err
 	}
@@ -208,7 +208,7 @@
 	for {
 		update, err := w.node.readList(reader.Next)
 		if err != nil {
-			if stream.Ended() == nil { // the update came but is lost: the next call has to bring it again
+			if stream.Err() == nil { // the update came but is lost: the next call has to bring it again
 				w.node.counters.add(listEntriesSkipped)
 			}
 			return true, err
@@ -219,19 +219,19 @@
 
 func (w *endpointWatch) call(address string) discovery.Call {
 	call := discovery.Call{
-		Address: address,
-		Head:    watchHead(address, w.version),
-		Connect: listConnectTimeout,
-		First:   w.headTimeout,
-		Gap:     w.headTimeout,
-		Again:   w.retryInterval,
-		Silence: w.silenceTimeout,
-		Called:  func() { w.node.counters.add(listWatches) },
-		Failed:  func() { w.node.counters.add(listWatchesFailed) },
-		Said:    func() { w.lastHeard.Store(w.node.clock.nanos()) },
+		Address:        address,
+		Request:        watchHead(address, w.version),
+		ConnectTimeout: listConnectTimeout,
+		FirstGap:       w.headTimeout,
+		Gap:            w.headTimeout,
+		RetryInterval:  w.retryInterval,
+		SilenceTimeout: w.silenceTimeout,
+		OnCall:         func() { w.node.counters.add(listWatches) },
+		OnFailure:      func() { w.node.counters.add(listWatchesFailed) },
+		OnData:         func() { w.lastHeard.Store(w.node.clock.nanos()) },
 	}
 	if w.reopening {
-		call.First = min(w.headTimeout, reopenHeadTimeout)
+		call.FirstGap = min(w.headTimeout, reopenHeadTimeout)
 	}
 	return call
 }
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -16,7 +16,7 @@
 type listGossip struct {
 	node *Node
 	mu   sync.Mutex // keeps updates and what the loop is posted for them in one order
-	core *endpointgossip.Hearsay
+	core *endpointgossip.Exchange
 }
 
 func newListGossip(n *Node) *listGossip {
@@ -27,7 +27,7 @@
 }
 
 // begin starts the exchange over the membership, from the node's initial list.
-func (s *listGossip) begin(seed uint64, transport endpointgossip.Way) {
+func (s *listGossip) begin(seed uint64, transport endpointgossip.Transport) {
 	if s == nil {
 		return
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	endpoints, removed := s.split(update.entries)
-	all := s.core.Listed(s.node.clock.nanos(), update.version, endpoints, removed, update.complete)
+	all := s.core.WatchUpdated(s.node.clock.nanos(), update.version, endpoints, removed, update.complete)
 	if all != nil {
 		s.node.loop.postEndpoints(s.entries(all), true)
 		return
@@ -65,7 +65,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if all := s.core.Beat(s.node.clock.nanos(), s.node.listConfirmedAt()); all != nil {
+	if all := s.core.Tick(s.node.clock.nanos(), s.node.listConfirmedAt()); all != nil {
 		s.node.loop.postEndpoints(s.entries(all), true)
 	}
 }
@@ -74,7 +74,7 @@
 func (s *listGossip) receive(from int, message []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	endpoints := s.core.Heard(s.node.clock.nanos(), from, message)
+	endpoints := s.core.Receive(s.node.clock.nanos(), from, message)
 	if endpoints == nil {
 		return
 	}
@@ -103,27 +103,27 @@
 }
 
 // split converts entries, and separates the names of those that were removed.
-func (s *listGossip) split(entries []endpointEntry) (endpoints []endpointgossip.Line, removed []string) {
+func (s *listGossip) split(entries []endpointEntry) (endpoints []endpointgossip.Endpoint, removed []string) {
 	for _, e := range entries {
 		if e.State == policy.StateRemoved {
 			removed = append(removed, e.name)
 			continue
 		}
-		endpoints = append(endpoints, endpointgossip.Line{
-			Name:     e.name,
-			Address:  e.address,
-			Zone:     e.zone(s.node.settings.Zones),
-			Pod:      e.Pod,
-			Weight:   e.Weight,
-			Draining: e.State == policy.StateDraining,
-			Started:  int64(e.StartedAt),
+		endpoints = append(endpoints, endpointgossip.Endpoint{
+			Name:      e.name,
+			Address:   e.address,
+			Zone:      e.zone(s.node.settings.Zones),
+			Pod:       e.Pod,
+			Weight:    e.Weight,
+			Draining:  e.State == policy.StateDraining,
+			StartedNs: int64(e.StartedAt),
 		})
 	}
 	return endpoints, removed
 }
 
 // entries converts endpoints; an active one without a valid address is left out.
-func (s *listGossip) entries(endpoints []endpointgossip.Line) (entries []endpointEntry) {
+func (s *listGossip) entries(endpoints []endpointgossip.Endpoint) (entries []endpointEntry) {
 	for _, gossiped := range endpoints {
 		state := policy.StateActive
 		if gossiped.Draining {
@@ -139,7 +139,7 @@
 				Zone:      zoneIndex(gossiped.Zone, s.node.settings.Zones),
 				Pod:       gossiped.Pod,
 				Weight:    gossiped.Weight,
-				StartedAt: policy.Time(gossiped.Started),
+				StartedAt: policy.Time(gossiped.StartedNs),
 				State:     state,
 			},
 		})
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -36,10 +36,10 @@
 	dir  string
 
 	mu     sync.Mutex // guards memory
-	memory *nodestate.Memory
+	memory *nodestate.State
 
-	recovered nodestate.Trusted // what the start goes by
-	opened    openedStore       // of the start, then of the write loop
+	recovered nodestate.Recovered // what the start goes by
+	opened    openedStore         // of the start, then of the write loop
 	wake      chan struct{}
 	stop      chan struct{}
 	done      chan struct{}
@@ -52,7 +52,7 @@
 // openedStore is a store and the state that was found in it.
 type openedStore struct {
 	store  *store.Store // nil: not open
-	memory *nodestate.Memory
+	memory *nodestate.State
 }
 
 // openPersistence reads the state directory. If it can't be read, or not in time, the node starts without its state.
@@ -70,15 +70,15 @@
 	opened, err := p.openInTime()
 	if err != nil {
 		p.recordError("no memory of before", err)
-		opened.memory = nodestate.Read(func(func(string, []byte)) {})
+		opened.memory = nodestate.Load(func(func(string, []byte)) {})
 	}
 	now := n.clock.nanos()
 	p.opened, p.memory = opened, opened.memory
-	p.recovered = p.memory.Trust(now)
-	p.memory.Begin(now)
+	p.recovered = p.memory.Recover(now)
+	p.memory.RecordStart(now)
 	n.log.Info("persisted state recovered", zap.Uint64("epoch", p.memory.Epoch()),
-		zap.Int("endpoints", len(p.recovered.Servers)), zap.Int("unreadable values", p.memory.Bad()),
-		zap.Float64("weight of estimates", p.recovered.Part), zap.Strings("not trusted", p.recovered.Notes))
+		zap.Int("endpoints", len(p.recovered.Endpoints)), zap.Int("unreadable values", p.memory.UnreadableValues()),
+		zap.Float64("weight of estimates", p.recovered.EstimatesWeight), zap.Strings("not trusted", p.recovered.NotTrusted))
 	return p
 }
 
@@ -120,7 +120,7 @@
 			zap.Int64("bytes", recovery.TruncatedBytes))
 	}
 	var readErr error
-	memory := nodestate.Read(func(each func(string, []byte)) {
+	memory := nodestate.Load(func(each func(string, []byte)) {
 		snapshot := opened.Snapshot()
 		defer snapshot.Release()
 		readErr = snapshot.Each("", func(key string, value []byte) bool {
@@ -197,7 +197,7 @@
 	p.opened = opened
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.memory.Follow(opened.memory)
+	p.memory.MergeFound(opened.memory)
 	return true
 }
 
@@ -223,7 +223,7 @@
 	p.failed.Add(1)
 	p.recordError("a write failed", err)
 	p.mu.Lock()
-	p.memory.Again(changes)
+	p.memory.MarkChanged(changes)
 	p.mu.Unlock()
 	if errors.Is(err, store.ErrReadOnly) {
 		p.closeStore(p.opened.store)
@@ -256,13 +256,13 @@
 	var starts map[string]uint64
 	if p.node.members.query(func(m *members.Members, _ int64) { starts = m.StartsMs() }) == nil {
 		p.mu.Lock()
-		p.memory.Members(p.node.clock.nanos(), starts)
+		p.memory.RecordMemberStarts(p.node.clock.nanos(), starts)
 		p.mu.Unlock()
 	}
 	p.node.loop.tryPost(func() {
 		text := p.node.loop.encodeEstimates()
 		p.mu.Lock()
-		p.memory.Learned(p.node.clock.nanos(), text)
+		p.memory.RecordEstimates(p.node.clock.nanos(), text)
 		p.mu.Unlock()
 		p.wakeWriter()
 	})
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -17,7 +17,7 @@
 	if p == nil {
 		return nil
 	}
-	return p.node.entriesOf(p.recovered.Servers)
+	return p.node.entriesOf(p.recovered.Endpoints)
 }
 
 // version is the highest version of the persisted list; 0: none.
@@ -50,15 +50,15 @@
 
 // inheritEstimates begins with the persisted estimates, weighted by their age.
 func (p *persistence) inheritEstimates() {
-	if p == nil || p.recovered.Learned == nil {
+	if p == nil || p.recovered.Estimates == nil {
 		return
 	}
-	snapshot, err := p.node.decodeEstimates(p.recovered.Learned)
+	snapshot, err := p.node.decodeEstimates(p.recovered.Estimates)
 	if err != nil {
 		p.node.log.Warn("persisted estimates ignored", zap.Error(err))
 		return
 	}
-	snapshot.Decay(p.recovered.Part)
+	snapshot.Decay(p.recovered.EstimatesWeight)
 	loop := p.node.loop
 	loop.handle(nil, func() { loop.balancer.Inherit(snapshot) })
 }
@@ -69,9 +69,9 @@
 		return entries
 	}
 	now := p.node.clock.nanos()
-	updated := p.update(entries, func(endpoints []nodestate.Server) []nodestate.Server {
-		endpoints = p.memory.Over(endpoints, version)
-		p.memory.Listed(now, endpoints, version, complete)
+	updated := p.update(entries, func(endpoints []nodestate.Endpoint) []nodestate.Endpoint {
+		endpoints = p.memory.ApplyDrains(endpoints, version)
+		p.memory.RecordList(now, endpoints, version, complete)
 		return endpoints
 	})
 	p.wakeWriter()
@@ -80,8 +80,8 @@
 
 // applyTo applies the persisted drains to entries of a list of discovery.
 func (p *persistence) applyTo(entries []endpointEntry, version int64) []endpointEntry {
-	return p.update(entries, func(endpoints []nodestate.Server) []nodestate.Server {
-		return p.memory.Over(endpoints, version)
+	return p.update(entries, func(endpoints []nodestate.Endpoint) []nodestate.Endpoint {
+		return p.memory.ApplyDrains(endpoints, version)
 	})
 }
 
@@ -90,14 +90,14 @@
 	if p == nil {
 		return entries
 	}
-	return p.update(entries, func(endpoints []nodestate.Server) []nodestate.Server {
-		return p.memory.OverOthers(endpoints, version)
+	return p.update(entries, func(endpoints []nodestate.Endpoint) []nodestate.Endpoint {
+		return p.memory.ApplyDrainsToGossiped(endpoints, version)
 	})
 }
 
 // update returns the entries with the states that a function of the persisted state, called under its lock, gives them.
 func (p *persistence) update(
-	entries []endpointEntry, apply func([]nodestate.Server) []nodestate.Server,
+	entries []endpointEntry, apply func([]nodestate.Endpoint) []nodestate.Endpoint,
 ) []endpointEntry {
 	endpoints := p.node.persistedEndpoints(entries)
 	p.mu.Lock()
@@ -119,7 +119,7 @@
 		return
 	}
 	p.mu.Lock()
-	olderCopy := p.memory.Older(startMs)
+	olderCopy := p.memory.ReportLaterStart(startMs)
 	p.mu.Unlock()
 	if olderCopy {
 		p.node.log.Warn("the state directory is an older copy: other nodes knew a later start; the list overrides it")
@@ -133,7 +133,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.memory.Starts()
+	return p.memory.MemberStartsMs()
 }
 
 // persistenceStatus is the admin API's answer on persisted state.
@@ -152,9 +152,9 @@
 	p.mu.Lock()
 	status := persistenceStatus{
 		Epoch:      p.memory.Epoch(),
-		Endpoints:  p.memory.Servers(),
-		OlderCopy:  p.memory.IsOlder(),
-		NotTrusted: p.recovered.Notes,
+		Endpoints:  p.memory.EndpointCount(),
+		OlderCopy:  p.memory.IsOlderCopy(),
+		NotTrusted: p.recovered.NotTrusted,
 		Written:    p.written.Load(),
 		Failed:     p.failed.Load(),
 	}
@@ -172,13 +172,13 @@
 	return string(text)
 }
 
-var persistedStates = map[policy.EndpointState]nodestate.State{
-	policy.StateActive:   nodestate.Up,
+var persistedStates = map[policy.EndpointState]nodestate.EndpointState{
+	policy.StateActive:   nodestate.Active,
 	policy.StateDraining: nodestate.Draining,
 	policy.StateRemoved:  nodestate.Removed,
 }
 
-func endpointState(persisted nodestate.State) policy.EndpointState {
+func endpointState(persisted nodestate.EndpointState) policy.EndpointState {
 	switch persisted {
 	case nodestate.Draining:
 		return policy.StateDraining
@@ -189,23 +189,23 @@
 	}
 }
 
-func (n *Node) persistedEndpoints(entries []endpointEntry) []nodestate.Server {
-	endpoints := make([]nodestate.Server, len(entries))
+func (n *Node) persistedEndpoints(entries []endpointEntry) []nodestate.Endpoint {
+	endpoints := make([]nodestate.Endpoint, len(entries))
 	for i, e := range entries {
-		endpoints[i] = nodestate.Server{
-			Name:    e.name,
-			Address: e.address,
-			Zone:    e.zone(n.settings.Zones),
-			Pod:     e.Pod,
-			Weight:  e.Weight,
-			Started: int64(e.StartedAt),
-			State:   persistedStates[e.State],
+		endpoints[i] = nodestate.Endpoint{
+			Name:      e.name,
+			Address:   e.address,
+			Zone:      e.zone(n.settings.Zones),
+			Pod:       e.Pod,
+			Weight:    e.Weight,
+			StartedNs: int64(e.StartedAt),
+			State:     persistedStates[e.State],
 		}
 	}
 	return endpoints
 }
 
-func (n *Node) entriesOf(endpoints []nodestate.Server) []endpointEntry {
+func (n *Node) entriesOf(endpoints []nodestate.Endpoint) []endpointEntry {
 	entries := make([]endpointEntry, len(endpoints))
 	for i, persisted := range endpoints {
 		entries[i] = endpointEntry{
@@ -216,7 +216,7 @@
 				Zone:      zoneIndex(persisted.Zone, n.settings.Zones),
 				Pod:       persisted.Pod,
 				Weight:    persisted.Weight,
-				StartedAt: policy.Time(persisted.Started),
+				StartedAt: policy.Time(persisted.StartedNs),
 				State:     endpointState(persisted.State),
 			},
 		}
--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	plain, m := disk{}, disk{}.read()
-	var after []map[string]State // by batch
+	var after []map[string]EndpointState // by batch
 	note := func() {
 		var batch store.Batch
 		for _, c := range m.Changes() {
@@ -27,16 +27,16 @@
 		if err := at.Apply(&batch); err != nil {
 			t.Fatal(err)
 		}
-		states := map[string]State{}
-		for name, s := range plain.read().servers {
+		states := map[string]EndpointState{}
+		for name, s := range plain.read().endpoints {
 			states[name] = s.State
 		}
 		after = append(after, states)
 	}
-	m.Begin(now)
+	m.RecordStart(now)
 	note()
-	for i, s := range []State{Up, Draining, Up, Draining, Removed} {
-		m.Listed(now+int64(i), []Server{server("a", s, 5), server("b", State(i%2), int64(i))}, int64(i+1), false)
+	for i, s := range []EndpointState{Active, Draining, Active, Draining, Removed} {
+		m.RecordList(now+int64(i), []Endpoint{server("a", s, 5), server("b", EndpointState(i%2), int64(i))}, int64(i+1), false)
 		note()
 	}
 	if err := at.Close(); err != nil {
@@ -61,13 +61,13 @@
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		snap := s.Snapshot()
-		found := Read(func(each func(string, []byte)) {
+		found := Load(func(each func(string, []byte)) {
 			snap.Each("", func(k string, v []byte) bool { each(k, v); return true })
 		})
 		snap.Release()
 		s.Close()
-		states := map[string]State{}
-		for name, one := range found.servers {
+		states := map[string]EndpointState{}
+		for name, one := range found.endpoints {
 			states[name] = one.State
 		}
 		for last+1 < len(after) && maps.Equal(states, after[last+1]) {
--- a/internal/nodestate/golden_test.go
+++ b/internal/nodestate/golden_test.go
@@ -15,14 +15,14 @@
 func keptDisk() disk {
 	d := disk{}
 	m := d.read()
-	m.Begin(now)
-	m.Listed(now+1e9, []Server{
-		{Name: "s-up", Address: "127.0.0.1:80", Zone: "a", Pod: 3, Weight: 1.5, State: Up, Started: 5},
-		{Name: "s-draining", Address: "127.0.0.2:80", Zone: "b", Weight: 1, State: Draining, Started: 6},
+	m.RecordStart(now)
+	m.RecordList(now+1e9, []Endpoint{
+		{Name: "s-up", Address: "127.0.0.1:80", Zone: "a", Pod: 3, Weight: 1.5, State: Active, StartedNs: 5},
+		{Name: "s-draining", Address: "127.0.0.2:80", Zone: "b", Weight: 1, State: Draining, StartedNs: 6},
 		{Name: "s-removed", State: Removed},
 	}, 7, false)
-	m.Learned(now+2e9, []byte(`{"MeanOf":5}`))
-	m.Members(now+3e9, map[string]uint64{"n1": 1_700_000_000_000})
+	m.RecordEstimates(now+2e9, []byte(`{"MeanOf":5}`))
+	m.RecordMemberStarts(now+3e9, map[string]uint64{"n1": 1_700_000_000_000})
 	d.write(m)
 	return d
 }
@@ -65,11 +65,11 @@
 		t.Errorf("found %q, expected %q", found, want)
 	}
 	m := found.read()
-	if m.Bad() != 0 || m.Epoch() != 1 || m.Version() != 7 || m.LastClock() != now+3e9 || len(m.Starts()) != 1 {
-		t.Errorf("read: %d unreadable, epoch %d, version %d, last clock %d, starts %v", m.Bad(), m.Epoch(), m.Version(), m.LastClock(), m.Starts())
+	if m.UnreadableValues() != 0 || m.Epoch() != 1 || m.Version() != 7 || m.LastClock() != now+3e9 || len(m.MemberStartsMs()) != 1 {
+		t.Errorf("read: %d unreadable, epoch %d, version %d, last clock %d, starts %v", m.UnreadableValues(), m.Epoch(), m.Version(), m.LastClock(), m.MemberStartsMs())
 	}
-	trusted := m.Trust(now + 4e9)
-	if len(trusted.Servers) != 2 || trusted.Servers[0].State != Draining || trusted.Servers[1].Started != now+4e9 || string(trusted.Learned) != `{"MeanOf":5}` {
+	trusted := m.Recover(now + 4e9)
+	if len(trusted.Endpoints) != 2 || trusted.Endpoints[0].State != Draining || trusted.Endpoints[1].StartedNs != now+4e9 || string(trusted.Estimates) != `{"MeanOf":5}` {
 		t.Errorf("trusted: %+v", trusted)
 	}
 }
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -66,11 +66,11 @@
 // once opens a watch and follows it until it ends; it tells whether a line came.
 func (w *discoveryWatch) followOnce(ctx context.Context) (stood bool, err error) {
 	how := discovery.Call{
-		Address: w.address, Head: fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address),
-		Connect: watchConnectTimeout, First: watchResponseTimeout, Gap: watchResponseTimeout, Again: minBackoff, Silence: w.silenceTimeout, Called: func() { w.calls.Add(1) },
-		Failed: func() { w.failed.Add(1) }, Said: func() { w.heardAtNs.Store(w.clock()) },
+		Address: w.address, Request: fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address),
+		ConnectTimeout: watchConnectTimeout, FirstGap: watchResponseTimeout, Gap: watchResponseTimeout, RetryInterval: minBackoff, SilenceTimeout: w.silenceTimeout, OnCall: func() { w.calls.Add(1) },
+		OnFailure: func() { w.failed.Add(1) }, OnData: func() { w.heardAtNs.Store(w.clock()) },
 	}
-	said, err := how.Answered(ctx)
+	said, err := how.Open(ctx)
 	if err != nil {
 		return false, err
 	}
