--- a/internal/endpointgossip/endpointgossip_test.go
+++ b/internal/endpointgossip/exchange_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-const beat = int64(50e6)
+const tickNs = int64(50e6)
 
-// net is some nodes whose loads are lost or late by a draw. A load that goes out comes in within the same beat, or late later.
+// net is some nodes whose messages are lost at random, and arrive in the same tick, or late nanoseconds later.
 type net struct {
 	t     *testing.T
 	now   int64
 	draw  *rand.Rand
 	loss  float64
 	late  int64
-	mute  int // one that hears and says nothing; -1: nobody
+	mute  int // a node that receives and sends nothing; -1: none
 	nodes []*node
 	due   []due
 }
@@ -26,25 +26,25 @@
 	net   *net
 	index int
 	core  *Exchange
-	word  bool
-	list  map[string]Endpoint // as it goes by it
+	watch bool                // whether its own watch is up
+	list  map[string]Endpoint // in use
 	heard int
-	sent  int // in this beat
+	sent  int // in this tick
 }
 
 type due struct {
 	at, from, to int64
-	load         []byte
+	encoded      []byte
 }
 
-func (n *node) SendPayload(to int, load []byte) {
+func (n *node) SendPayload(to int, encoded []byte) {
 	s := n.net
-	if len(load) >= MaxMessageBytes {
-		s.t.Fatalf("a load of %d bytes", len(load))
+	if len(encoded) >= MaxMessageBytes {
+		s.t.Fatalf("a message of %d bytes", len(encoded))
 	}
 	n.sent++
 	if s.draw.Float64() >= s.loss && n.index != s.mute && to != s.mute {
-		s.due = append(s.due, due{s.now + s.late, int64(n.index), int64(to), load})
+		s.due = append(s.due, due{s.now + s.late, int64(n.index), int64(to), encoded})
 	}
 }
 
@@ -57,7 +57,7 @@
 	return out
 }
 
-func (n *node) goBy(lines []Endpoint, whole bool) {
+func (n *node) use(lines []Endpoint, whole bool) {
 	if lines == nil {
 		return
 	}
@@ -77,7 +77,7 @@
 		var lines []Endpoint
 		if remembered != nil {
 			version, lines = remembered(i)
-			n.goBy(lines, true)
+			n.use(lines, true)
 		}
 		n.core = New(seed*1000+uint64(i), n, s.now, version, lines, false)
 		s.nodes = append(s.nodes, n)
@@ -85,16 +85,16 @@
 	return s
 }
 
-// step plays one beat of all.
+// step runs one tick of all nodes.
 func (s *net) step() {
-	s.now += beat
+	s.now += tickNs
 	for _, n := range s.nodes {
 		n.sent = 0
-		word := int64(0)
-		if n.word {
-			word = s.now
+		heardAt := int64(0)
+		if n.watch {
+			heardAt = s.now
 		}
-		n.goBy(n.core.Tick(s.now, word), true)
+		n.use(n.core.Tick(s.now, heardAt), true)
 	}
 	for len(s.due) > 0 {
 		var later []due
@@ -108,7 +108,7 @@
 			came = true
 			n := s.nodes[d.to]
 			n.heard++
-			n.goBy(n.core.Receive(s.now, int(d.from), d.load), false)
+			n.use(n.core.Receive(s.now, int(d.from), d.encoded), false)
 		}
 		if s.due = later; !came {
 			break
@@ -116,21 +116,21 @@
 	}
 	for _, n := range s.nodes {
 		if n.sent > maxRequestsPerTick+maxResponsesPerTick {
-			s.t.Fatalf("n%d sent %d loads in a beat", n.index, n.sent)
+			s.t.Fatalf("n%d sent %d messages in a tick", n.index, n.sent)
 		}
 	}
 }
 
-// tell has a node's own watch tell a whole list.
-func (n *node) tell(version int64, lines []Endpoint) {
-	n.word = true
+// watched has a node's own watch send a complete list.
+func (n *node) watched(version int64, lines []Endpoint) {
+	n.watch = true
 	if all := n.core.WatchUpdated(n.net.now, version, lines, nil, true); all != nil {
 		lines = all
 	}
-	n.goBy(lines, true)
+	n.use(lines, true)
 }
 
-func lines(count int, draining ...int) (out []Endpoint) {
+func endpoints(count int, draining ...int) (out []Endpoint) {
 	for i := range count {
 		out = append(out, Endpoint{Name: fmt.Sprintf("server-%04d", i), Address: fmt.Sprintf("10.20.%d.%d:8080", i/250, i%250), Zone: "north", Pod: i % 3, Weight: 1, StartedNs: 1_699_999_000e9})
 	}
@@ -149,7 +149,7 @@
 	return count
 }
 
-func TestOneListReachesAll(t *testing.T) {
+func TestOneListReachesAllNodes(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers int
 		loss           float64
@@ -160,7 +160,7 @@
 		for range 10 {
 			s.step()
 		}
-		s.nodes[1].tell(5, lines(c.servers))
+		s.nodes[1].watched(5, endpoints(c.servers))
 		took, most := -1, 0
 		for k := range c.within {
 			s.step()
@@ -179,80 +179,80 @@
 		for _, n := range s.nodes {
 			sent += n.core.counters.Requests + n.core.counters.Responses
 		}
-		t.Logf("%d nodes, %d servers, loss %.1f: %d beats, %d loads, at most %d answered by one in a beat", c.nodes, c.servers, c.loss, took, sent, most)
+		t.Logf("%d nodes, %d endpoints, loss %.1f: %d ticks, %d messages, at most %d responses of one node in a tick", c.nodes, c.servers, c.loss, took, sent, most)
 		if took < 0 {
-			t.Errorf("%d nodes, %d servers, loss %.1f: not all within %d beats", c.nodes, c.servers, c.loss, c.within)
+			t.Errorf("%d nodes, %d endpoints, loss %.1f: not all within %d ticks", c.nodes, c.servers, c.loss, c.within)
 		}
 	}
 }
 
-func TestThoseThatWakeTogetherDoNotAskTheSame(t *testing.T) {
+func TestNodesThatStartTogetherSpreadTheirRequests(t *testing.T) {
 	s := newNet(t, 300, 4, nil)
 	s.step()
 	s.step()
 	most := 0
 	for _, n := range s.nodes {
 		if most = max(most, n.heard); n.core.counters.Requests < nodesPerRequest {
-			t.Errorf("n%d asked %d times in two beats", n.index, n.core.counters.Requests)
+			t.Errorf("n%d sent %d requests in two ticks", n.index, n.core.counters.Requests)
 		}
 	}
 	if most > 12 {
-		t.Errorf("one of 300 that woke together was asked %d times", most)
+		t.Errorf("one of 300 that started together got %d messages", most)
 	}
 	s = newNet(t, 300, 4, nil)
-	s.nodes[0].tell(1, lines(3))
+	s.nodes[0].watched(1, endpoints(3))
 	s.step()
 	s.step()
 	if got := s.nodes[0].core.counters.Responses; got > maxResponsesPerTick {
-		t.Errorf("300 that wake together had one answer %d times", got)
+		t.Errorf("300 that start together got %d responses of one", got)
 	}
 }
 
-func TestOwnWordEndsIt(t *testing.T) {
+func TestOwnWatchWinsOverGossip(t *testing.T) {
 	s := newNet(t, 3, 5, nil)
-	s.nodes[0].tell(9, lines(8, 2))
+	s.nodes[0].watched(9, endpoints(8, 2))
 	for range 20 {
 		s.step()
 	}
 	if got := s.nodes[1].usable(); got != 7 {
-		t.Fatalf("by others' word it uses %d", got)
+		t.Fatalf("by gossip it uses %d", got)
 	}
-	s.nodes[1].tell(9, lines(8))
+	s.nodes[1].watched(9, endpoints(8))
 	if got := s.nodes[1].usable(); got != 8 {
-		t.Fatalf("by its own it uses %d", got)
+		t.Fatalf("by its own watch it uses %d", got)
 	}
 	before := s.nodes[1].core.counters.Requests
 	for range 20 {
 		s.step()
 	}
 	if s.nodes[1].core.counters.Requests != before || s.nodes[1].usable() != 8 {
-		t.Error("one whose watch stands asks, or goes by others")
+		t.Error("a node whose watch is up sends requests or uses gossip")
 	}
-	// Lost again, gossip counts; a watch that goes on without news brings its own list back.
-	s.nodes[1].word = false
-	s.nodes[0].tell(10, lines(8, 2, 3))
+	// With the watch down again gossip counts; a watch that comes back without an event restores its own list.
+	s.nodes[1].watch = false
+	s.nodes[0].watched(10, endpoints(8, 2, 3))
 	for range 30 {
 		s.step()
 	}
 	if got := s.nodes[1].usable(); got != 6 {
-		t.Fatalf("without a watch it does not hear of drains: uses %d", got)
+		t.Fatalf("without a watch it does not learn of drains: uses %d", got)
 	}
-	s.nodes[1].word = true
+	s.nodes[1].watch = true
 	for range watchGraceTicks + 1 {
 		s.step()
 	}
 	if got := s.nodes[1].usable(); got != 8 {
-		t.Errorf("back with a watch that has nothing new it uses %d", got)
+		t.Errorf("back with a watch without an event it uses %d", got)
 	}
 }
 
-func TestWhatIsRememberedGoesBehind(t *testing.T) {
+func TestWatchedListWinsOverRememberedOne(t *testing.T) {
 	s := newNet(t, 4, 6, func(i int) (int64, []Endpoint) {
 		switch i {
 		case 0:
-			return 7, lines(8, 1)
+			return 7, endpoints(8, 1)
 		case 1:
-			return 3, lines(8)
+			return 3, endpoints(8)
 		}
 		return 0, nil
 	})
@@ -261,23 +261,23 @@
 	}
 	for i, n := range s.nodes {
 		if len(n.list) != 8 || !n.list["server-0001"].Draining {
-			t.Fatalf("n%d does not know of the drain that one remembers: %v", i, n.list)
+			t.Fatalf("n%d does not know the drain that one remembers: %v", i, n.list)
 		}
 	}
-	if l := s.nodes[3].list["server-0002"]; l.StartedNs < s.now-60*beat {
-		t.Errorf("a server of a list of unknown age is taken for one that runs since %d", l.StartedNs)
+	if l := s.nodes[3].list["server-0002"]; l.StartedNs < s.now-60*tickNs {
+		t.Errorf("an endpoint of a list of unknown age counts as started at %d", l.StartedNs)
 	}
-	// Discovery is back with an older list: nobody is put back by it, but by the next one after the remembered.
-	s.nodes[2].tell(5, lines(9))
+	// Discovery is back with an older list, which ends no drain; one newer than the remembered list does.
+	s.nodes[2].watched(5, endpoints(9))
 	for range 30 {
 		s.step()
 	}
 	for _, i := range []int{0, 1, 3} {
 		if n := s.nodes[i]; len(n.list) != 9 || !n.list["server-0001"].Draining {
-			t.Errorf("n%d: a list from before the drain put the server back, or told of no new one: %v", i, n.list)
+			t.Errorf("n%d: a list from before the drain ended it, or its new endpoint is missing: %v", i, n.list)
 		}
 	}
-	s.nodes[2].tell(8, lines(9))
+	s.nodes[2].watched(8, endpoints(9))
 	for range 30 {
 		s.step()
 	}
@@ -288,63 +288,63 @@
 	}
 }
 
-func TestOneWordDoesNotBanTheFleet(t *testing.T) {
-	s := newNet(t, 5, 7, func(int) (int64, []Endpoint) { return 3, lines(8) })
-	s.nodes[0].tell(99, lines(8, 0, 1, 2, 3, 4, 5))
+func TestOneNodeCannotRemoveMostEndpoints(t *testing.T) {
+	s := newNet(t, 5, 7, func(int) (int64, []Endpoint) { return 3, endpoints(8) })
+	s.nodes[0].watched(99, endpoints(8, 0, 1, 2, 3, 4, 5))
 	for range 60 {
 		s.step()
 	}
 	for _, n := range s.nodes[1:] {
 		if n.usable() != 8 || n.core.counters.Unconfirmed == 0 {
-			t.Fatalf("n%d: one node's word left it %d of 8", n.index, n.usable())
+			t.Fatalf("n%d: one node left it %d of 8", n.index, n.usable())
 		}
 	}
-	s.nodes[1].tell(99, lines(8, 0, 1, 2, 3, 4, 5))
+	s.nodes[1].watched(99, endpoints(8, 0, 1, 2, 3, 4, 5))
 	for range 60 {
 		s.step()
 	}
 	for _, n := range s.nodes {
 		if n.usable() != 2 {
-			t.Errorf("n%d uses %d though two watches say 2", n.index, n.usable())
+			t.Errorf("n%d uses %d though two watches have 2", n.index, n.usable())
 		}
 	}
 }
 
-// TestTheSameWordAgainIsNoSecondOne has nodes that only repeat what one watch told.
-func TestTheSameWordAgainIsNoSecondOne(t *testing.T) {
+// TestRepetitionIsNoSecondWitness has nodes that only pass on what one watch has sent.
+func TestRepetitionIsNoSecondWitness(t *testing.T) {
 	s := newNet(t, 6, 7, func(i int) (int64, []Endpoint) {
 		if i == 5 {
-			return 3, lines(8)
+			return 3, endpoints(8)
 		}
 		return 0, nil
 	})
-	s.nodes[0].tell(99, lines(8, 0, 1, 2, 3, 4, 5))
+	s.nodes[0].watched(99, endpoints(8, 0, 1, 2, 3, 4, 5))
 	for s.mute = 5; s.now < 1_700_000_010e9; {
 		if s.step(); s.now == 1_700_000_005e9 {
 			s.mute = -1
 		}
 	}
 	if s.nodes[1].usable() != 2 || s.nodes[5].usable() != 8 {
-		t.Errorf("who knew nothing uses %d, who knew eight %d", s.nodes[1].usable(), s.nodes[5].usable())
+		t.Errorf("without a list before %d are used, with eight %d", s.nodes[1].usable(), s.nodes[5].usable())
 	}
 }
 
-func TestARememberedDrainHoldsAgainstWhatWasToldBefore(t *testing.T) {
+func TestRememberedDrainHoldsAgainstOlderWatchedList(t *testing.T) {
 	s := newNet(t, 3, 6, func(i int) (int64, []Endpoint) {
 		if i == 0 {
-			return 7, lines(8, 1)
+			return 7, endpoints(8, 1)
 		}
 		return 0, nil
 	})
-	s.nodes[1].tell(5, lines(8))
+	s.nodes[1].watched(5, endpoints(8))
 	for range 30 {
 		s.step()
 	}
-	if n := s.nodes[2]; !n.list["server-0001"].Draining || n.list["server-0002"].StartedNs > lines(8)[2].StartedNs {
+	if n := s.nodes[2]; !n.list["server-0001"].Draining || n.list["server-0002"].StartedNs > endpoints(8)[2].StartedNs {
 		t.Errorf("%v", n.list)
 	}
-	s.nodes[2].word, s.nodes[1].word = false, false
-	s.nodes[1].tell(7, lines(8)) // as new as what is remembered
+	s.nodes[2].watch, s.nodes[1].watch = false, false
+	s.nodes[1].watched(7, endpoints(8)) // as new as the remembered list
 	for range 30 {
 		s.step()
 	}
@@ -353,15 +353,15 @@
 	}
 }
 
-// TestAnswersAfterOwnWord has a watch tell while answers to what the node had asked are still on their way.
-func TestAnswersAfterOwnWord(t *testing.T) {
+// TestResponsesAfterOwnWatchAreIgnored has a watch send a list while responses to earlier requests are in flight.
+func TestResponsesAfterOwnWatchAreIgnored(t *testing.T) {
 	s := newNet(t, 2, 12, nil)
-	s.late = 8 * beat
-	s.nodes[0].tell(9, lines(8, 1))
+	s.late = 8 * tickNs
+	s.nodes[0].watched(9, endpoints(8, 1))
 	for range 12 {
 		s.step()
 	}
-	s.nodes[1].tell(8, lines(8))
+	s.nodes[1].watched(8, endpoints(8))
 	for range 30 {
 		s.step()
 	}
@@ -370,30 +370,30 @@
 	}
 }
 
-// TestWhoHasMoreIsAskedBack has a node with a list ask one that has none, which asks back in the next beat.
-func TestWhoHasMoreIsAskedBack(t *testing.T) {
+// TestNodeWithBetterListIsAskedBack has a node with a list ask one that has none, which asks back in the next tick.
+func TestNodeWithBetterListIsAskedBack(t *testing.T) {
 	s := newNet(t, 2, 12, nil)
 	n := s.nodes[1]
 	n.core.nextRequest = 1 << 60
 	n.core.Receive(s.now, 0, encode(&message{Kind: requestKind, Version: 4, Digest: 5, RequestedAt: s.now}))
 	n.core.Tick(s.now, 0)
 	if n.core.counters.Requests != 1 {
-		t.Errorf("asked %d times", n.core.counters.Requests)
+		t.Errorf("%d requests", n.core.counters.Requests)
 	}
 }
 
-// TestNonsense has one node answer what makes no sense, a thousand times in a beat.
-func TestNonsense(t *testing.T) {
+// TestInvalidResponsesAreBounded has one node send invalid responses, a thousand in a tick.
+func TestInvalidResponsesAreBounded(t *testing.T) {
 	s := newNet(t, 2, 12, nil)
 	n := s.nodes[1]
 	n.core.Tick(s.now, 0)
 	for i := range 1000 {
 		page := Endpoint{Name: fmt.Sprint("s", i), Address: "a"}
 		if got := n.core.Receive(s.now, 0, encode(&message{Kind: responseKind, Version: int64(i / 2), Digest: 7, Pages: 2, Page: i % 2, RequestedAt: s.now, Endpoints: []Endpoint{page}})); got != nil {
-			t.Fatalf("taken: %v", got)
+			t.Fatalf("accepted: %v", got)
 		}
 	}
-	for i := range 1000 { // the first pages of ever better lists
+	for i := range 1000 { // the first pages of better and better lists
 		n.core.Receive(s.now, 0, encode(&message{Kind: responseKind, Version: 1000 + int64(i/8), Digest: 7, Pages: 40, Page: i % 8, RequestedAt: s.now}))
 	}
 	if n.core.counters.Requests > maxRequestsPerTick || n.core.counters.Invalid < 400 {
@@ -401,9 +401,9 @@
 	}
 }
 
-func TestAServerThatIsOffTheListGetsNothing(t *testing.T) {
-	s := newNet(t, 2, 8, func(int) (int64, []Endpoint) { return 3, lines(8) })
-	s.nodes[0].tell(4, lines(7))
+func TestAbsentEndpointCountsAsDraining(t *testing.T) {
+	s := newNet(t, 2, 8, func(int) (int64, []Endpoint) { return 3, endpoints(8) })
+	s.nodes[0].watched(4, endpoints(7))
 	for range 20 {
 		s.step()
 	}
@@ -412,97 +412,97 @@
 	}
 }
 
-// TestALateAnswerIsOld has answers come ten seconds after they went out: they say who serves, not since when.
-func TestALateAnswerIsOld(t *testing.T) {
+// TestLateResponseIsOld has responses come ten seconds late: they say which endpoints serve, not since when.
+func TestLateResponseIsOld(t *testing.T) {
 	for _, late := range []int64{0, 10e9} {
 		s := newNet(t, 2, 9, nil)
-		s.nodes[0].tell(1, lines(5))
+		s.nodes[0].watched(1, endpoints(5))
 		s.late = late
 		began := s.now
 		for range 500 {
 			s.step()
 		}
 		l := s.nodes[1].list["server-0000"]
-		if cold := l.StartedNs > began; len(s.nodes[1].list) != 5 || cold != (late > 0) {
+		if started := l.StartedNs > began; len(s.nodes[1].list) != 5 || started != (late > 0) {
 			t.Errorf("late by %d: %v", late, l)
 		}
 	}
 }
 
-func TestAnEarlierLifesAnswerIsPassedOver(t *testing.T) {
+func TestResponsesToAnEarlierRunAreIgnored(t *testing.T) {
 	s := newNet(t, 2, 10, nil)
-	s.nodes[0].tell(1, lines(5))
+	s.nodes[0].watched(1, endpoints(5))
 	var copied []due
 	for range 5 {
-		s.now += beat
+		s.now += tickNs
 		s.nodes[1].core.Tick(s.now, 0)
 		for k := 0; k < len(s.due); k++ {
 			if d := s.due[k]; d.to == 0 {
-				s.nodes[0].core.Receive(s.now, 1, d.load)
+				s.nodes[0].core.Receive(s.now, 1, d.encoded)
 			} else {
 				copied = append(copied, d)
 			}
 		}
 		s.due = nil
 	}
-	s.now += beat
+	s.now += tickNs
 	again := New(1, s.nodes[1], s.now, 0, nil, false)
 	for _, d := range copied {
-		if again.Receive(s.now, 0, d.load) != nil {
-			t.Error("taken")
+		if again.Receive(s.now, 0, d.encoded) != nil {
+			t.Error("accepted")
 		}
 	}
 	if len(copied) == 0 || again.counters.Invalid != int64(len(copied)) {
-		t.Errorf("%d copied, %d passed over", len(copied), again.counters.Invalid)
+		t.Errorf("%d copied, %d ignored", len(copied), again.counters.Invalid)
 	}
 }
 
-// TestTheOrderOfAnswersDoesNotMatter draws versions, drains and starts, and the order in which nodes come to hear of them. All drains
-// together leave half of the servers: lists of one version that contradict one another in more are doubted, in the order they come.
-func TestTheOrderOfAnswersDoesNotMatter(t *testing.T) {
+// TestOrderOfResponsesDoesNotMatter draws versions, drains and starts, and the order in which nodes receive them. All drains
+// together leave half of the endpoints: lists of one version that differ by more need witnesses, in the order they come.
+func TestOrderOfResponsesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		tellers := rapid.IntRange(1, 4).Draw(r, "tellers")
-		var told []func(*node)
-		for range tellers {
+		watches := rapid.IntRange(1, 4).Draw(r, "watches")
+		var events []func(*node)
+		for range watches {
 			version := int64(rapid.IntRange(1, 3).Draw(r, "version"))
-			list := lines(6, rapid.SliceOfN(rapid.IntRange(0, 2), 0, 2).Draw(r, "draining")...)
+			list := endpoints(6, rapid.SliceOfN(rapid.IntRange(0, 2), 0, 2).Draw(r, "draining")...)
 			list[rapid.IntRange(0, 5).Draw(r, "which")].StartedNs += int64(rapid.IntRange(0, 2).Draw(r, "start"))
-			told = append(told, func(n *node) { n.tell(version, list) })
+			events = append(events, func(n *node) { n.watched(version, list) })
 		}
-		s := newNet(t, tellers+3, rapid.Uint64Range(1, 1000).Draw(r, "seed"), nil)
-		for i, do := range told {
+		s := newNet(t, watches+3, rapid.Uint64Range(1, 1000).Draw(r, "seed"), nil)
+		for i, do := range events {
 			do(s.nodes[i])
-			for range rapid.IntRange(0, 5).Draw(r, "beats") {
+			for range rapid.IntRange(0, 5).Draw(r, "ticks") {
 				s.step()
 			}
 		}
 		for range 100 {
 			s.step()
 		}
-		a := s.nodes[tellers].core.currentList()
-		for _, n := range s.nodes[tellers:] {
+		a := s.nodes[watches].core.currentList()
+		for _, n := range s.nodes[watches:] {
 			if b := n.core.currentList(); b == nil || b.version != a.version || b.digest != a.digest {
-				r.Fatalf("two nodes that ask one another go by different lists: %+v, %+v", a, b)
+				r.Fatalf("two nodes use different lists: %+v, %+v", a, b)
 			}
 		}
 	})
 }
 
-func FuzzHeard(f *testing.F) {
-	f.Add(encode(&message{Kind: responseKind, Version: 3, Digest: 4, Pages: 2, Page: 1, RequestedAt: 1_700_000_000e9, Endpoints: lines(2)}))
+func FuzzReceive(f *testing.F) {
+	f.Add(encode(&message{Kind: responseKind, Version: 3, Digest: 4, Pages: 2, Page: 1, RequestedAt: 1_700_000_000e9, Endpoints: endpoints(2)}))
 	f.Add(encode(&message{Kind: requestKind, Version: 3, WantPages: []int{0, 900}}))
 	f.Add(encode(&message{Kind: requestKind, Version: 3, WantPages: []int{-5}}))
 	f.Add(encode(&message{Kind: responseKind, Version: 3, Digest: 4, Pages: 2, Page: 5, RequestedAt: 1_700_000_000e9}))
 	f.Add(encode(&message{Kind: responseKind, Version: 3, Digest: 4, Pages: 1 << 40, RequestedAt: 1_700_000_000e9}))
-	f.Fuzz(func(t *testing.T, load []byte) {
-		s := newNet(t, 2, 1, func(int) (int64, []Endpoint) { return 2, lines(3) })
+	f.Fuzz(func(t *testing.T, encoded []byte) {
+		s := newNet(t, 2, 1, func(int) (int64, []Endpoint) { return 2, endpoints(3) })
 		n := s.nodes[1]
 		for range 3 {
-			n.core.Receive(s.now, 0, load)
+			n.core.Receive(s.now, 0, encoded)
 			n.core.Tick(s.now, 0)
 		}
 		if n.sent > 3*(maxRequestsPerTick+maxResponsesPerTick) || len(n.core.currentList().endpoints) < 3 {
-			t.Errorf("%d loads, %d servers", n.sent, len(n.core.currentList().endpoints))
+			t.Errorf("%d messages, %d endpoints", n.sent, len(n.core.currentList().endpoints))
 		}
 	})
 }
--- /dev/null
+++ b/internal/endpointgossip/request.go
@@ -0,0 +1,107 @@
+package endpointgossip
+
+// Requests and responses: a request names the list that the asking node has; a response names the responder's and
+// carries a page of it if it is the better one. Further pages are requested by number.
+
+const maxPagesPerRequest = 8
+
+// requestFromRandom asks random nodes which list they have, and backs off.
+func (e *Exchange) requestFromRandom() {
+	nodes := e.transport.Reachable()
+	for range min(nodesPerRequest, len(nodes)) {
+		i := e.random.IntN(len(nodes))
+		e.request(nodes[i], nil)
+		nodes[i] = nodes[len(nodes)-1]
+		nodes = nodes[:len(nodes)-1]
+	}
+	e.backoff = min(2*e.backoff, maxBackoffTicks)
+	e.nextRequest = e.tick + 1 + e.random.Int64N(e.backoff)
+}
+
+// request asks a node for pages of the list that is being gathered, or, without pages, which list it has.
+func (e *Exchange) request(to int, pages []int) {
+	e.requestsInTick++
+	if e.requestsInTick > maxRequestsPerTick {
+		return
+	}
+	m := message{Kind: requestKind, RequestedAt: e.now, WantPages: pages}
+	if l := e.currentList(); l != nil {
+		m.Version, m.Digest, m.Remembered = l.version, l.digest, l.remembered
+	}
+	if pages != nil {
+		m.Version, m.Digest = e.gathering.head.Version, e.gathering.head.Digest
+	}
+	e.counters.Requests++
+	e.transport.SendPayload(to, encode(&m))
+}
+
+// respond sends pages of the current list, or its head alone if the asking node has it already or a better one.
+func (e *Exchange) respond(to int, request *message) {
+	l := e.currentList()
+	ahead := request.isAheadOf(l)
+	if ahead && !e.watchUp {
+		e.betterAt = to
+	}
+	if l == nil {
+		return
+	}
+	response := message{
+		Kind:        responseKind,
+		RequestedAt: request.RequestedAt,
+		Version:     l.version,
+		Digest:      l.digest,
+		Pages:       len(l.pages),
+		AgeNs:       max(e.age(l), 0),
+		WatchUp:     e.watchUp,
+		Remembered:  l.remembered,
+	}
+	for _, page := range pagesFor(request, l, ahead) {
+		if page >= len(l.pages) {
+			continue
+		}
+		e.responsesInTick++
+		if e.responsesInTick > maxResponsesPerTick {
+			e.counters.ResponsesWithheld++
+			return
+		}
+		response.Page, response.Endpoints = page, nil
+		if page != headAlone {
+			response.Endpoints = l.pages[page]
+		}
+		e.counters.Responses++
+		e.transport.SendPayload(to, encode(&response))
+	}
+}
+
+// isAheadOf tells whether a request shows that its sender has a better list.
+func (m *message) isAheadOf(l *list) bool {
+	if len(m.WantPages) > 0 || m.Digest == 0 {
+		return false
+	}
+	return l == nil || preferred(m, &message{Version: l.version, Remembered: l.remembered})
+}
+
+// pagesFor are the pages to respond with, headAlone for none.
+func pagesFor(request *message, l *list, ahead bool) []int {
+	same := l.is(request.Version, request.Digest)
+	switch {
+	case len(request.WantPages) > 0 && same:
+		return request.WantPages[:min(len(request.WantPages), maxPagesPerRequest)]
+	case len(request.WantPages) == 0 && !same && !ahead:
+		pages := make([]int, min(maxPagesPerRequest, len(l.pages)))
+		for i := range pages {
+			pages[i] = i
+		}
+		return pages
+	default:
+		return []int{headAlone}
+	}
+}
+
+// preferred tells whether a list is rather gathered than another.
+func preferred(candidate, other *message) bool {
+	if candidate.Remembered != other.Remembered {
+		return other.Remembered
+	}
+	return candidate.Version > other.Version
+}
