--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -1,6 +1,7 @@
 package nodestate
 
 import (
+	"errors"
 	"fawnglade/internal/store"
 	"maps"
 	"os"
@@ -8,9 +9,9 @@
 	"testing"
 )
 
-// TestCutAtEveryByte cuts the log of a node's store at every byte: what is then remembered is what one of the batches left, and the
-// drains of the last whole one hold.
-func TestCutAtEveryByte(t *testing.T) {
+// TestRecoveryFromALogCutAtAnyByte cuts the log of a store at every byte: what is found then is what one of the batches left, and the drains of
+// the last complete one hold.
+func TestRecoveryFromALogCutAtAnyByte(t *testing.T) {
 	dir := t.TempDir()
 	at, _, err := store.Open(dir, store.Options{ManualCompaction: true})
 	if err != nil {
@@ -61,11 +62,13 @@
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		snap := s.Snapshot()
-		found := Load(func(each func(string, []byte)) {
-			snap.Each("", func(k string, v []byte) bool { each(k, v); return true })
+		found := Load(func(take func(string, []byte)) {
+			err = snap.Each("", func(k string, v []byte) bool { take(k, v); return true })
 		})
 		snap.Release()
-		s.Close()
+		if err := errors.Join(err, s.Close()); err != nil {
+			t.Fatalf("cut at %d: %v", cut, err)
+		}
 		states := map[string]EndpointState{}
 		for name, one := range found.endpoints {
 			states[name] = one.State
@@ -73,7 +76,7 @@
 		for last+1 < len(after) && maps.Equal(states, after[last+1]) {
 			last++
 		}
-		if !maps.Equal(states, after[last]) && !(last == 0 && len(states) == 0) {
+		if !maps.Equal(states, after[last]) && (last != 0 || len(states) != 0) {
 			t.Fatalf("cut at %d: %v, want what batch %d left, %v", cut, states, last, after[last])
 		}
 	}
--- a/internal/nodestate/golden_test.go
+++ b/internal/nodestate/golden_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// keptDisk is what a life leaves that was told of servers in every state, learned something and knew other nodes.
+// keptDisk is what a run leaves that had endpoints in every state, estimates and starts of other nodes.
 func keptDisk() disk {
 	d := disk{}
 	m := d.read()
@@ -54,7 +54,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer opened.Close()
+	defer func() {
+		if err := opened.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	found := disk{}
 	snap := opened.Snapshot()
 	defer snap.Release()
@@ -68,8 +72,8 @@
 	if m.UnreadableValues() != 0 || m.Epoch() != 1 || m.Version() != 7 || m.LastClock() != now+3e9 || len(m.MemberStartsMs()) != 1 {
 		t.Errorf("read: %d unreadable, epoch %d, version %d, last clock %d, starts %v", m.UnreadableValues(), m.Epoch(), m.Version(), m.LastClock(), m.MemberStartsMs())
 	}
-	trusted := m.Recover(now + 4e9)
-	if len(trusted.Endpoints) != 2 || trusted.Endpoints[0].State != Draining || trusted.Endpoints[1].StartedNs != now+4e9 || string(trusted.Estimates) != `{"MeanOf":5}` {
-		t.Errorf("trusted: %+v", trusted)
+	recovered := m.Recover(now + 4e9)
+	if len(recovered.Endpoints) != 2 || recovered.Endpoints[0].State != Draining || recovered.Endpoints[1].StartedNs != now+4e9 || string(recovered.Estimates) != `{"MeanOf":5}` {
+		t.Errorf("recovered: %+v", recovered)
 	}
 }
