--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -10,8 +11,8 @@
 	"time"
 )
 
-// A node that stops takes what its machine has accepted, also where that has to wait for room.
-func TestStopTakesWhatTheMachineHasAccepted(t *testing.T) {
+// A node that shuts down takes the connections that the kernel has accepted, also where they have to wait for a slot.
+func TestShutdownTakesAcceptedConnections(t *testing.T) {
 	answers := newGate(t)
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
@@ -20,7 +21,7 @@
 	n := startNode(t, nil, server)
 	n.frontend.setLimits(1, 0, 100)
 	var ins []*bufio.Reader
-	for i := range 5 { // one at work, one at the door, three in the machine
+	for i := range 5 { // one at work, one at the door, three in the kernel
 		c, in := dial(t, n)
 		ins = append(ins, in)
 		writeText(c, requestText("batch", fmt.Sprint("t", i), ""))
@@ -33,7 +34,7 @@
 	answers.pass()
 	for i, in := range ins {
 		if status, body, _ := readAnswer(in); status != 200 {
-			t.Errorf("task %d was answered %d %s", i, status, body)
+			t.Errorf("request %d was answered %d %s", i, status, body)
 		}
 	}
 	<-stopped
@@ -43,8 +44,8 @@
 	}
 }
 
-// The socket that processes share turns blocking while one stands before its next accept: the end of taking reaches it all the same.
-func TestSharedSocketTurnsBlocking(t *testing.T) {
+// The socket that processes share may become a blocking one before the next accept: the shutdown still ends.
+func TestInheritedSocketBecomesBlocking(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := processes(t, server)()
 	n.start()
@@ -53,12 +54,22 @@
 		t.Fatal(err)
 	}
 	held := -1
-	raw.Control(func(fd uintptr) {
-		held, _ = syscall.Dup(int(fd))
-		syscall.SetNonblock(held, false) // and with it all that stand for the socket
+	var dupErr error
+	err = raw.Control(func(fd uintptr) {
+		held, dupErr = syscall.Dup(int(fd))
 	})
-	defer syscall.Close(held)
-	ask(t, n, "batch", "t", "") // the accept behind this one stands in the machine
+	if err = errors.Join(err, dupErr); err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = syscall.Close(held) }()
+	setNonblock := func(nonblocking bool) { // of all descriptors of the socket
+		t.Helper()
+		if err := syscall.SetNonblock(held, nonblocking); err != nil {
+			t.Error(err)
+		}
+	}
+	setNonblock(false)
+	ask(t, n, "batch", "t", "") // the accept behind this one stands in the kernel
 	stopped := make(chan struct{})
 	go func() { n.shutDown(); close(stopped) }()
 	select {
@@ -71,7 +82,7 @@
 	if <-over {
 		t.Error("the stop ended only by giving up")
 	}
-	syscall.SetNonblock(held, true) // and the accept is let go, for the end of the test
+	setNonblock(true) // and the accept is let go, for the end of the test
 	if c, err := net.Dial("tcp", n.address()); err == nil {
 		c.Close()
 	}
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-func TestHandOffErrorTellsWhatItProves(t *testing.T) {
-	for at, want := range map[attemptStage][3]policy.Outcome{ // a broken connection, time over, recalled
+func TestAttemptErrorOutcome(t *testing.T) {
+	for at, want := range map[attemptStage][3]policy.Outcome{ // a broken connection, time over, canceled
 		notConnected:    {policy.OutcomeConnectFailed, policy.OutcomeConnectFailed, policy.OutcomeNotSent},
 		partlyWritten:   {policy.OutcomeConnectFailed, policy.OutcomeConnectFailed, policy.OutcomeNotSent},
 		fullyWritten:    {policy.OutcomeReset, policy.OutcomeTimedOut, policy.OutcomeCanceled},
@@ -42,11 +42,12 @@
 	return target.Error() == "i/o timeout"
 }
 
-// What is told of a server, or of the request, while its connection comes up counts: nothing is written on it then.
-func TestWhatHappensDuringADial(t *testing.T) {
+// What happens to an endpoint, or to the request, while the connection is opened counts: the request is not written
+// then.
+func TestEventsDuringDial(t *testing.T) {
 	for name, c := range map[string]struct {
 		settings []string
-		category string
+		class    string
 		event    func(t *testing.T, n *Node, client net.Conn, server string)
 		status   int // 0: nobody is there for an answer
 	}{
@@ -87,17 +88,17 @@
 		}, 503},
 		"the client leaves": {nil, "batch", func(t *testing.T, n *Node, client net.Conn, _ string) {
 			client.Close()
-			eventually(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+			eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 		}, 0},
-		"the client leaves, and nothing may be recalled": {
+		"the client leaves, and nothing may be canceled": {
 			[]string{`"cancelling":true`, `"cancelling":false`},
 			"batch",
 			func(t *testing.T, n *Node, client net.Conn, _ string) {
 				client.Close()
-				eventually(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+				eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 			}, 0,
 		},
-		"the task has its answer, and nothing may be recalled": {
+		"the request has its answer, and nothing may be canceled": {
 			[]string{`"cancelling":true`, `"cancelling":false`},
 			"batch",
 			func(t *testing.T, n *Node, _ net.Conn, _ string) {
@@ -108,12 +109,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server, tasks := startUpstream(t, echo)
+			server, requests := startUpstream(t, echo)
 			n := newNode(t, withSettings(c.settings...), server)
 			dials := n.holdDials(t)
 			n.start()
 			client, in := dial(t, n)
-			writeText(client, requestText(c.category, "t1", ""))
+			writeText(client, requestText(c.class, "t1", ""))
 			dials.held(t, 1)
 			c.event(t, n, client, server)
 			dials.pass()
@@ -122,20 +123,21 @@
 					t.Errorf("answered %d, want %d", status, c.status)
 				}
 			}
-			eventually(t, "the end of the hand-off", func() bool {
+			eventually(t, "the end of the attempt", func() bool {
 				n.flushLoop()
 				ended := n.count(attemptsNotSent) + n.count(attemptsSucceeded) + n.count(attemptsConnectFailed)
 				return ended > 0 && ended == n.count(attemptsSent)
 			})
-			if want := int64(c.status / 200 % 2); tasks.Load() != want {
-				t.Errorf("%d tasks came to the server, want %d", tasks.Load(), want)
+			if want := int64(c.status / 200 % 2); requests.Load() != want {
+				t.Errorf("%d requests came to the server, want %d", requests.Load(), want)
 			}
 		})
 	}
 }
 
-// A request that may have run goes to its group again only while that remembers it, also where the way there takes long.
-func TestMemoryEndsDuringADial(t *testing.T) {
+// A request that may have run goes to its deduplication group again only within the window, also where a dial takes
+// long.
+func TestDedupWindowEndsDuringDial(t *testing.T) {
 	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool { return writeAnswer(c, "500 Bad", "") })
 	for name, span := range map[string]int64{"ends": 150, "lasts": 700} {
 		t.Run(name, func(t *testing.T) {
@@ -157,34 +159,36 @@
 			second.pass()
 			status, _, _ := readAnswer(in)
 			if ran := n.count(attemptsErrored); status != 502 || name == "ends" && ran != 1 || name == "lasts" && ran < 1 {
-				t.Errorf("answered %d, %d hand-offs have run", status, ran)
+				t.Errorf("answered %d, %d attempts have run", status, ran)
 			}
 		})
 	}
 }
 
-// A request is written some time after it was judged, and comes to its server later still: close before the end of the memory it stays.
-func TestMemoryIsAboutToEnd(t *testing.T) {
+// A request is written some time after the decision and arrives later still: close before the window's end it is not
+// sent.
+func TestDedupWindowIsAboutToEnd(t *testing.T) {
 	const span = 800 * time.Millisecond
-	failing, tasks := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
+	failing, requests := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 		time.Sleep(span - 20*time.Millisecond)
 		return writeAnswer(c, "500 Bad", "")
 	})
 	n := startNode(t, withSettings(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, span.Microseconds()), `800000`, `20000000`, `300000`, `20000000`),
 		failing, failing)
-	if status, _, _ := ask(t, n, "update", "t1", ""); status != 502 || tasks.Load() != 1 {
-		t.Errorf("answered %d after %d attempts, want 502 after one", status, tasks.Load())
+	if status, _, _ := ask(t, n, "update", "t1", ""); status != 502 || requests.Load() != 1 {
+		t.Errorf("answered %d after %d attempts, want 502 after one", status, requests.Load())
 	}
 }
 
-// A hedged request that is still on its way to a server when the first is answered is not written, also where none may be recalled.
-func TestAnswerCrossesACopyThatDials(t *testing.T) {
+// A hedged request that is still being dialed when the first attempt is answered is not written, also where nothing
+// may be canceled.
+func TestResponseCrossesDialOfHedgedRequest(t *testing.T) {
 	answers := newGate(t)
 	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
 		return echo(c, r, body)
 	})
-	other, tasks := startUpstream(t, echo)
+	other, requests := startUpstream(t, echo)
 	n := newNode(t, withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `"cancelling":true`, `"cancelling":false`), first)
 	dials := newGate(t)
 	n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
@@ -205,16 +209,17 @@
 		t.Fatalf("answered %d", status)
 	}
 	dials.pass()
-	eventually(t, "the end of the copy", func() bool { return n.count(attemptsNotSent) == 1 })
-	if tasks.Load() != 0 {
-		t.Error("a copy went out for a task that has its answer")
+	eventually(t, "the end of the hedged request", func() bool { return n.count(attemptsNotSent) == 1 })
+	if requests.Load() != 0 {
+		t.Error("a hedged request went out for a request that has its answer")
 	}
 }
 
-// A recall whose outcome is still out counts as out, and what is proved by an end decides who may go again.
-func TestRecallThatIsStillOut(t *testing.T) {
+// A canceled attempt counts as in flight until its outcome is known, and the outcome decides whether the request may
+// be sent again.
+func TestCanceledAttemptStillInFlight(t *testing.T) {
 	answers := newGate(t)
-	server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
 		return echo(c, r, body)
 	})
@@ -225,10 +230,10 @@
 	held := n.holdLoop(t)
 	n.loop.post(func() { n.loop.Cancel("t", 0) })
 	held.pass()
-	if status, _, _ := readAnswer(in); status != 502 || tasks.Load() != 1 {
-		t.Errorf("an exclusive task that was recalled was answered %d, %d came to servers", status, tasks.Load())
+	if status, _, _ := readAnswer(in); status != 502 || requests.Load() != 1 {
+		t.Errorf("an exclusive request that was canceled was answered %d, %d came to servers", status, requests.Load())
 	}
 	if n.count(attemptsCanceled) != 1 {
-		t.Errorf("%d recalled", n.count(attemptsCanceled))
+		t.Errorf("%d canceled", n.count(attemptsCanceled))
 	}
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// lean answers every message that ends as ours do, without reading it any closer: what is measured is the node.
+// lean answers every request that ends as the benchmark's do, without parsing it: what is measured is the node.
 func lean(c net.Conn) {
 	buf := make([]byte, 8192)
 	have := 0
@@ -58,7 +58,7 @@
 			n.start()
 			body := bytes.Repeat([]byte("x"), 196)
 			body = append(body, "!!!!"...)
-			var left, declined atomic.Int64
+			var left, rejected atomic.Int64
 			left.Store(int64(b.N))
 			var all sync.WaitGroup
 			b.ReportAllocs()
@@ -81,13 +81,13 @@
 							return
 						}
 						if !bytes.HasPrefix(buf[:have], []byte("HTTP/1.1 200")) {
-							declined.Add(1)
+							rejected.Add(1)
 						}
 					}
 				})
 			}
 			all.Wait()
-			b.ReportMetric(float64(declined.Load()), "declined")
+			b.ReportMetric(float64(rejected.Load()), "rejected")
 		})
 	}
 }
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestPipelinedTasksAreAnsweredInOrder(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasSuffix(r.Header.Get(headerRequestID), "0") {
 			time.Sleep(50 * time.Millisecond)
@@ -34,8 +34,8 @@
 	}
 }
 
-// Guards against a request that comes just as its connection is asked to leave being withdrawn while it is out.
-func TestTaskOnAConnectionThatLeavesIsAnswered(t *testing.T) {
+// Guards against canceling a request that came just as its connection was asked to close.
+func TestRequestOnEvictedConnectionIsAnswered(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(3 * closeLinger)
 		return echo(c, r, body)
@@ -43,7 +43,7 @@
 	n := startNode(t, nil, server)
 	c, in := dial(t, n)
 	writeText(c, requestText("batch", "t1", ""))
-	eventually(t, "the hand-off", func() bool { return n.count(attemptsSent) == 1 })
+	eventually(t, "the attempt", func() bool { return n.count(attemptsSent) == 1 })
 	n.frontend.mu.Lock()
 	for one := range n.frontend.open {
 		one.mu.Lock()
@@ -60,8 +60,8 @@
 	}
 }
 
-// A connection is not closed behind an answer while the next request has begun to come.
-func TestTaskBeginsAsItsConnectionIsToClose(t *testing.T) {
+// A connection is not closed after a response while the next request has begun to come.
+func TestRequestBeginsAsItsConnectionIsToClose(t *testing.T) {
 	answers := newGate(t)
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
@@ -73,7 +73,7 @@
 	writeText(client, requestText("batch", "a", "")+next[:60])
 	answers.held(t, 1)
 	at := n.onlyClientConn(t)
-	eventually(t, "half of the second task", func() bool {
+	eventually(t, "half of the second request", func() bool {
 		at.mu.Lock()
 		defer at.mu.Unlock()
 		return !at.messageBegan.IsZero() && at.pending == 1
@@ -92,10 +92,10 @@
 	}
 }
 
-// Guards against an early answer being thrown away by a reset while its client still sends its body, slowly.
-func TestEarlyAnswerReachesASlowSender(t *testing.T) {
+// Guards against a reset that discards an early response while its client still sends its body, slowly.
+func TestEarlyResponseReachesSlowSender(t *testing.T) {
 	server := listen(t, func(c net.Conn) {
-		http.ReadRequest(bufio.NewReader(c))
+		skipRequestHead(bufio.NewReader(c))
 		writeText(c, "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(50 * time.Millisecond)
 	})
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -16,9 +17,9 @@
 	"time"
 )
 
-func TestClientThatLeavesHasItsTaskRecalled(t *testing.T) {
+func TestAttemptIsCanceledWhenClientLeaves(t *testing.T) {
 	closed := make(chan struct{})
-	server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		discard(c)
 		close(closed)
 		return false
@@ -26,18 +27,18 @@
 	n := startNode(t, nil, server)
 	c, _ := dial(t, n)
 	writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
-	eventually(t, "the hand-off", func() bool { return tasks.Load() == 1 })
+	eventually(t, "the attempt", func() bool { return requests.Load() == 1 })
 	c.Close()
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second): // its latency objective is 20 s
-		t.Error("the hand-off was not recalled")
+		t.Error("the attempt was not canceled")
 	}
-	eventually(t, "the recall", func() bool { return n.count(requestsCanceled) == 1 && n.count(attemptsCanceled) == 1 })
+	eventually(t, "the cancel", func() bool { return n.count(requestsCanceled) == 1 && n.count(attemptsCanceled) == 1 })
 }
 
-// A request whose client has left while it waited, wherever that was, is written to no server.
-func TestClientLeavesWhileItsTaskWaits(t *testing.T) {
+// A request whose client has left while it waited, wherever that was, is written to no upstream.
+func TestClientLeavesWhileItsRequestWaits(t *testing.T) {
 	many := func(n int) (text string) {
 		for i := range n {
 			text += requestText("batch", fmt.Sprint("t", i), "")
@@ -51,13 +52,13 @@
 		text  string
 		leave func(net.Conn)
 	}{
-		"one task at the door": {many(1), leave}, "one, reset": {many(1), reset}, "one, half-closed": {many(1), halve},
+		"one request at the door": {many(1), leave}, "one, reset": {many(1), reset}, "one, half-closed": {many(1), halve},
 		"many at once": {many(20), leave}, "many, reset": {many(20), reset}, "more than is read at once": {many(200), leave},
 		"a long body that is half there": {strings.Replace(requestText("batch", "t", strings.Repeat("x", 900<<10)), "X-Lane: batch\r\n", "", 1)[:300<<10], leave},
 	} {
 		t.Run("before the node looks: "+name, func(t *testing.T) {
 			t.Parallel()
-			server, tasks := startUpstream(t, echo)
+			server, requests := startUpstream(t, echo)
 			n := newNode(t, nil, server)
 			client, _ := dial(t, n) // the machine takes it, nobody has yet
 			client.SetDeadline(time.Now().Add(time.Second))
@@ -66,35 +67,35 @@
 			n.start()
 			eventually(t, "the connection's end", n.allClientsClosed)
 			n.flushLoop()
-			if tasks.Load() != 0 || n.count(requestsAccepted) != 0 {
-				t.Errorf("%d tasks were taken and %d went to the server, for nobody", n.count(requestsAccepted), tasks.Load())
+			if requests.Load() != 0 || n.count(requestsAccepted) != 0 {
+				t.Errorf("%d requests were taken and %d went to the server, for nobody", n.count(requestsAccepted), requests.Load())
 			}
 		})
 	}
-	t.Run("behind tasks that are out", func(t *testing.T) {
+	t.Run("behind requests that are out", func(t *testing.T) {
 		t.Parallel()
 		answers := newGate(t)
-		server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+		server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 			answers.wait()
 			return echo(c, r, body)
 		})
 		n := startNode(t, nil, server)
 		client, _ := dial(t, n)
 		writeText(client, many(20))
-		eventually(t, "as many as are read ahead", func() bool { return tasks.Load() == n.count(attemptsSent) && tasks.Load() > maxPipelined })
+		eventually(t, "as many as are read ahead", func() bool { return requests.Load() == n.count(attemptsSent) && requests.Load() > maxPipelined })
 		at := n.onlyClientConn(t)
 		client.Close()
 		eventually(t, "its end", at.clientGone)
-		before := tasks.Load()
+		before := requests.Load()
 		answers.pass()
 		eventually(t, "the connection's end", n.allClientsClosed)
-		if n.flushLoop(); tasks.Load() != before {
-			t.Errorf("%d tasks at the server when the client left, %d in the end", before, tasks.Load())
+		if n.flushLoop(); requests.Load() != before {
+			t.Errorf("%d requests at the server when the client left, %d in the end", before, requests.Load())
 		}
 	})
 	t.Run("all dialling, and the reader sees nothing", func(t *testing.T) {
 		t.Parallel()
-		server, tasks := startUpstream(t, echo)
+		server, requests := startUpstream(t, echo)
 		n := newNode(t, silentDiscovery(t), server, server, server)
 		dials := n.holdDials(t)
 		n.start()
@@ -105,15 +106,15 @@
 		client.Close()
 		eventually(t, "its end", at.clientGone)
 		dials.pass()
-		eventually(t, "the withdrawals", func() bool { n.flushLoop(); return n.count(attemptsNotSent) == n.count(attemptsSent) })
-		if sent, taken, withdrawn := n.count(attemptsSent), n.count(requestsAccepted), n.count(requestsCanceled); tasks.Load() != 0 || sent != taken || withdrawn != taken {
-			t.Errorf("of %d tasks %d were handed off, %d withdrawn, %d came to servers", taken, sent, withdrawn, tasks.Load())
+		eventually(t, "the cancellation", func() bool { n.flushLoop(); return n.count(attemptsNotSent) == n.count(attemptsSent) })
+		if sent, taken, canceled := n.count(attemptsSent), n.count(requestsAccepted), n.count(requestsCanceled); requests.Load() != 0 || sent != taken || canceled != taken {
+			t.Errorf("of %d requests %d were sent, %d canceled, %d came to servers", taken, sent, canceled, requests.Load())
 		}
 	})
 	t.Run("in the loop's queue, behind the answer that sends it again", func(t *testing.T) {
 		t.Parallel()
 		errs := newGate(t)
-		server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+		server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 			errs.wait()
 			return writeAnswer(c, "500 Bad", "")
 		})
@@ -125,44 +126,44 @@
 		errs.pass()
 		eventually(t, "the answer in the queue", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
-		eventually(t, "the withdrawal behind it", func() bool { return len(n.loop.events) == 2 })
+		eventually(t, "the cancellation behind it", func() bool { return len(n.loop.events) == 2 })
 		held.pass()
-		eventually(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+		eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 		eventually(t, "the end", func() bool {
 			n.flushLoop()
 			return n.count(attemptsSent) == n.count(attemptsErrored)+n.count(attemptsNotSent)+n.count(attemptsCanceled)
 		})
-		if tasks.Load() != 1 {
-			t.Errorf("%d hand-offs came to servers, want the one before", tasks.Load())
+		if requests.Load() != 1 {
+			t.Errorf("%d attempts came to servers, want the one before", requests.Load())
 		}
 	})
 	t.Run("in the loop's queue, before its arrival", func(t *testing.T) {
 		t.Parallel()
-		server, tasks := startUpstream(t, echo)
+		server, requests := startUpstream(t, echo)
 		n := startNode(t, silentDiscovery(t), server)
 		held := n.holdLoop(t)
 		client, _ := dial(t, n)
 		writeText(client, requestText("batch", "t", ""))
 		eventually(t, "the arrival in the queue", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
-		eventually(t, "the withdrawal behind it", func() bool { return len(n.loop.events) == 2 })
+		eventually(t, "the cancellation behind it", func() bool { return len(n.loop.events) == 2 })
 		held.pass()
-		eventually(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+		eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 		eventually(t, "the end", func() bool { n.flushLoop(); return n.count(attemptsSent) == n.count(attemptsNotSent) })
-		if tasks.Load() != 0 {
+		if requests.Load() != 0 {
 			t.Error("it went to the server")
 		}
 	})
 }
 
-// leavings are the ways to go; the pages know no client that half-closes and waits.
+// waysToLeave are the ways in which a client leaves; the protocol knows no client that half-closes and waits.
 var waysToLeave = map[string]func(c net.Conn){
 	"close":      func(c net.Conn) { c.Close() },
 	"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 	"half-close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 }
 
-// firstBytes is a server that counts attempts as they begin, whether or not all of them comes.
+// firstBytes starts an upstream that counts attempts as they begin, whether or not they come completely.
 func firstBytes(t *testing.T, answer func(c net.Conn, r *http.Request)) (address string, begun *atomic.Int64) {
 	begun = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
@@ -183,33 +184,34 @@
 	}), begun
 }
 
-// An attempt that is anywhere before its first byte when the client leaves does not begin, however it came to be and however the client left.
-func TestNoAttemptBeginsOnceTheClientLeft(t *testing.T) {
+// An attempt that has not written its first byte when the client leaves does not begin, however it came to be and
+// however the client left.
+func TestNoAttemptBeginsAfterClientLeft(t *testing.T) {
 	type stage struct {
 		text string
 		// reach brings attempts so far that only their connection is missing; in lets answers of the first server go
-		reach func(t *testing.T, n *Node, other string, dials, answers *gate)
+		reach func(t *testing.T, n *Node, other string, answers *gate)
 		blind bool // the reader does not come to the end
 		first int  // attempts that have begun before the client leaves
 	}
-	another := func(t *testing.T, n *Node, other string, dials, answers *gate) {
+	addUpstream := func(t *testing.T, n *Node, other string, answers *gate) {
 		answers.held(t, 1)
 		n.updateList(t, listText(2, false, listEntry("s-1", other, "up")))
 	}
 	for name, s := range map[string]stage{
 		"a first attempt": {text: requestText("batch", "t0", "")},
-		"a second copy": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
-			another(t, n, other, dials, answers)
+		"a hedged request": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, answers *gate) {
+			addUpstream(t, n, other, answers)
 			n.loop.post(func() { n.loop.Send("t0", endpointID("s-1"), 20*time.Second) })
 		}},
-		"a retry behind an error": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
-			another(t, n, other, dials, answers)
+		"a retry behind an error": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, answers *gate) {
+			addUpstream(t, n, other, answers)
 			answers.pass()
 		}},
-		"a retry behind a recall": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, dials, answers *gate) {
-			another(t, n, other, dials, answers)
+		"a retry after a cancel": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, answers *gate) {
+			addUpstream(t, n, other, answers)
 			n.loop.post(func() { n.loop.Cancel("t0", 0) })
-			eventually(t, "the recall's end", func() bool { return n.count(attemptsCanceled) == 1 })
+			eventually(t, "the cancel's end", func() bool { return n.count(attemptsCanceled) == 1 })
 			n.loop.post(func() { // where the decisions have not by themselves
 				if n.count(attemptsSent) == 1 {
 					n.loop.Send("t0", endpointID("s-1"), 20*time.Second)
@@ -235,7 +237,7 @@
 				other, atOther := firstBytes(t, func(c net.Conn, r *http.Request) { echo(c, r, "") })
 				n := newNode(t, func(c *Config) {
 					withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `800000`, `8000000`, `75000`, `5000000`,
-						`"cancelling":true`, `"cancelling":false`)(c) // nothing is recalled on its way, which would do as well
+						`"cancelling":true`, `"cancelling":false`)(c) // nothing is canceled on its way, which would do as well
 					c.Discovery, _ = watchOf(t)
 				}, first)
 				dials := newGate(t)
@@ -249,14 +251,14 @@
 				client, _ := dial(t, n)
 				writeText(client, s.text)
 				if s.reach != nil {
-					s.reach(t, n, other, dials, answers)
+					s.reach(t, n, other, answers)
 				}
 				dials.held(t, 1)
 				at := n.onlyClientConn(t)
 				leave(client)
 				eventually(t, "its end", at.clientGone)
 				if !s.blind {
-					eventually(t, "the withdrawal", func() bool { return n.count(requestsCanceled) == 1 })
+					eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 				}
 				dials.pass()
 				answers.pass()
@@ -270,7 +272,7 @@
 	}
 }
 
-// stamped reads from a socket and notes when the machine had what was read last, however late the reader is.
+// timestampedReader reads from a socket and notes when the kernel had what was read last, however late the reader is.
 type timestampedReader struct {
 	raw syscall.RawConn
 	at  time.Time
@@ -281,8 +283,11 @@
 	if err != nil {
 		return nil, err
 	}
-	raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TIMESTAMPNS, 1) })
-	return &timestampedReader{raw: raw}, err
+	var optionErr error
+	err = raw.Control(func(fd uintptr) {
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TIMESTAMPNS, 1)
+	})
+	return &timestampedReader{raw: raw}, errors.Join(err, optionErr)
 }
 
 func (s *timestampedReader) Read(p []byte) (n int, err error) {
@@ -310,7 +315,8 @@
 	return n, nil
 }
 
-// attendance is what the sockets show of a day: when each client was gone, and when each attempt's first byte was at a server.
+// sessionLog is what the sockets show: when each client had left, and when each attempt's first byte was at an
+// upstream.
 type sessionLog struct {
 	mu       sync.Mutex
 	gone     map[string]time.Time
@@ -331,7 +337,7 @@
 	a.attempts[id] = append(a.attempts[id], at)
 }
 
-// troubled answers as a seed says: late, with errors, rejecting, or not at all.
+// troubled starts an upstream that answers as a seed says: late, with errors, with rejections, or not at all.
 func (a *sessionLog) troubled(t *testing.T, seed uint64) string {
 	var mu sync.Mutex
 	luck := rand.New(rand.NewPCG(seed, 1))
@@ -375,9 +381,9 @@
 	})
 }
 
-// On a day on which clients leave at any moment, from three nodes before six servers in trouble whose connections come up late, no attempt
-// begins more than 0.1 s behind the end of its client.
-func TestDayOfClientsThatLeave(t *testing.T) {
+// With clients that leave at any moment, three nodes and six faulty upstreams whose connections open late, no attempt
+// begins more than 0.1 s after its client has left.
+func TestManyClientsThatLeave(t *testing.T) {
 	day := &sessionLog{gone: map[string]time.Time{}, attempts: map[string][]time.Time{}}
 	var servers []string
 	for i := range 6 {
@@ -407,17 +413,17 @@
 	luck := rand.New(rand.NewPCG(50, 99))
 	ways := []string{"close", "reset", "half-close"}
 	for i := range 300 {
-		n, category := nodes[luck.IntN(3)], []string{"view", "update", "pay", "batch"}[luck.IntN(4)]
+		n, class := nodes[luck.IntN(3)], []string{"view", "update", "pay", "batch"}[luck.IntN(4)]
 		var text string
 		var ids []string
 		switch kind := luck.IntN(10); {
 		case kind < 2:
 			ids = []string{fmt.Sprintf("u%d", i)}
-			text = streamedRequest(category, ids[0])
+			text = streamedRequest(class, ids[0])
 		default:
 			for k := range []int{1, 1, 1, 1, 3, 12, 1, 1}[kind-2] {
 				ids = append(ids, fmt.Sprintf("t%d-%d", i, k))
-				text += requestText(category, ids[k], "")
+				text += requestText(class, ids[k], "")
 			}
 		}
 		after, leave := time.Duration(luck.IntN(600))*time.Millisecond, waysToLeave[ways[luck.IntN(3)]]
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestBadConfigurationIsToldPlainly(t *testing.T) {
+func TestBadConfigurationErrors(t *testing.T) {
 	good := func() *Config {
 		return &Config{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "a", Settings: json.RawMessage(settingsText)}
 	}
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -11,9 +11,10 @@
 	"time"
 )
 
-// Guards against the late removal of a server closing connections to the one that stands at its address, against a gone
-// server staying because another has its address, and against a connection to the old one being used for the new.
-func TestServerAtTheAddressOfOneThatHasGone(t *testing.T) {
+// Guards against a late removal that closes connections to the new endpoint at the address, against a removed
+// endpoint that stays because another has its address, and against a connection to the old one being used for the
+// new.
+func TestEndpointAtAddressOfRemovedOne(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	ask(t, n, "batch", "old", "")
@@ -47,8 +48,8 @@
 	}
 }
 
-// Where only a listing as draining binds, a server that the list drops is used on; draining ends it all the same.
-func TestAServerThatTheListDropsMayServe(t *testing.T) {
+// Where removal is not binding, an endpoint that the list drops is still used; draining ends that all the same.
+func TestRemovedEndpointMayServe(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) {
 		c.Settings = json.RawMessage(strings.Replace(settingsText, `"rules":{`, `"rules":{"removal_not_binding":true,`, 1))
@@ -72,8 +73,8 @@
 	}
 }
 
-// A server is not taken off the list because its line could not be read, only because a readable list lacks it.
-func TestUnreadableEntryTakesNobodyOff(t *testing.T) {
+// An endpoint is not removed because its entry could not be read, only because a complete readable list lacks it.
+func TestUnreadableEntryRemovesNothing(t *testing.T) {
 	n := startNode(t, nil)
 	update, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
 	if update.complete || err != nil {
@@ -86,9 +87,9 @@
 	}
 }
 
-// A keyed request that may have run stays in its group also where its server leaves the list while it is out: a whole list that lacks a
-// server, or a line that only calls it removed, tells nothing of where it stood.
-func TestServerLeavesTheListWhileARequestIsOut(t *testing.T) {
+// A request idempotent by key that may have run stays in its group also where its endpoint leaves the list while it
+// is in flight: a list without the endpoint, or an entry that only calls it removed, does not tell its zone or pod.
+func TestEndpointRemovedWhileRequestInFlight(t *testing.T) {
 	in := func(site string, block int, entry string) string {
 		return strings.NewReplacer(`"site":"a"`, fmt.Sprintf(`"site":%q`, site), `"block":1`, fmt.Sprintf(`"block":%d`, block)).Replace(entry)
 	}
@@ -135,8 +136,8 @@
 	}
 }
 
-// Where being left out of the list binds nothing, a server that is left out still stands in its zone and cell.
-func TestServerThatIsLeftOutStandsWhereItStood(t *testing.T) {
+// Where removal is not binding, a removed endpoint keeps its zone and pod.
+func TestRemovedEndpointKeepsItsGroup(t *testing.T) {
 	for group, change := range map[string]*strings.Replacer{
 		"zone": strings.NewReplacer(`"site":"a"`, `"site":"b"`),
 		"cell": strings.NewReplacer(`"block":1`, `"block":3`),
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Guards against a panic in the decisions costing the other requests or leaving its own without an answer.
-func TestPanicStopsAtItsTask(t *testing.T) {
-	server, tasks := startUpstream(t, echo)
+// Guards against a panic in the decisions that costs other requests or leaves its own without a response.
+func TestPanicFailsOnlyItsRequest(t *testing.T) {
+	server, requests := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	x := newPendingRequest()
 	x.request.ID = "bad"
@@ -20,24 +20,24 @@
 		n.loop.handle(x, func() { panic("a mistake in the decisions") })
 	})
 	if a := <-x.responses; a.status != 502 {
-		t.Errorf("its task was answered %d", a.status)
+		t.Errorf("its request was answered %d", a.status)
 	}
 	n.loop.post(func() {
 		n.loop.requests["bad"] = x
 		n.loop.Send("bad", endpointID("s-0"), time.Second)
 	})
-	eventually(t, "the end of a hand-off that came too late", func() bool { return n.count(attemptsNotSent) == 1 })
-	if tasks.Load() != 0 {
-		t.Error("a task that has its answer went to a server")
+	eventually(t, "the end of an attempt that came too late", func() bool { return n.count(attemptsNotSent) == 1 })
+	if requests.Load() != 0 {
+		t.Error("a request that has its answer went to a server")
 	}
 	if status, _, _ := ask(t, n, "batch", "next", ""); status != 200 || n.count(panics) != 1 {
-		t.Errorf("the next task was answered %d, %d panics counted", status, n.count(panics))
+		t.Errorf("the next request was answered %d, %d panics counted", status, n.count(panics))
 	}
 }
 
-// An id that is still known must not be mixed up with a second request under the same one.
-func TestIDInUseIsTurnedDown(t *testing.T) {
-	server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+// An id that is still in use must not be mixed up with a second request of the same id.
+func TestRequestIDInUseIsRejected(t *testing.T) {
+	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(50 * time.Millisecond)
 		return echo(c, r, body)
 	})
@@ -46,13 +46,14 @@
 	writeText(c, requestText("batch", "same", "")+requestText("batch", "same", ""))
 	first, _, _ := readAnswer(in)
 	second, _, _ := readAnswer(in)
-	if first != 200 || second != 409 || tasks.Load() != 1 {
-		t.Errorf("answered %d and %d, %d tasks at the server", first, second, tasks.Load())
+	if first != 200 || second != 409 || requests.Load() != 1 {
+		t.Errorf("answered %d and %d, %d requests at the server", first, second, requests.Load())
 	}
 }
 
-// A list of thousands of lines is taken in in slices, so that requests come in between; what it means is the same.
-func TestLongListIsTakenInInSlices(t *testing.T) {
+// A list of thousands of entries is applied in slices, so that requests are handled in between; the result is the
+// same.
+func TestLongListIsAppliedInSlices(t *testing.T) {
 	n := newNode(t, nil) // its loop does not run, so that what is entered can be counted
 	taken := func() (events int) {
 		for len(n.loop.events) > 0 {
--- a/internal/node/evict_test.go
+++ b/internal/node/evict_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Guards against a flood of connections that bring nothing shutting out clients at work.
+// Guards against a flood of connections without requests that shuts out clients with requests.
 func TestFloodLeavesRoomForClients(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
@@ -18,10 +18,10 @@
 		}
 		writeText(c, requestText("batch", fmt.Sprint("t", i), ""))
 		if status, _, _ := readAnswer(in); status != 200 {
-			t.Fatalf("task %d in the flood was answered %d", i, status)
+			t.Fatalf("request %d in the flood was answered %d", i, status)
 		}
 		if status, _, _ := ask(t, n, "batch", fmt.Sprint("new", i), ""); status != 200 {
-			t.Fatalf("task %d of a new client was answered %d", i, status)
+			t.Fatalf("request %d of a new client was answered %d", i, status)
 		}
 	}
 	n.frontend.mu.Lock()
@@ -31,8 +31,8 @@
 	}
 }
 
-// Guards against clients that keep their connections filling all places, so that all who come have to pass through a
-// few, each waiting until the one before is old enough to go.
+// Guards against clients that keep their connections and take all slots, so that new ones pass through a few, each
+// waiting until the one before is old enough to be evicted.
 func TestConnectionsKeptForGoodMakeRoom(t *testing.T) {
 	for name, idle := range map[string]time.Duration{"for long": evictableAfter + 100*time.Millisecond, "of late": 3 * closeLinger} {
 		t.Run(name, func(t *testing.T) {
@@ -51,18 +51,19 @@
 					dial(t, n) // says nothing
 				}
 				if status, _, _ := ask(t, n, "batch", fmt.Sprint("t", i), ""); status != 200 {
-					t.Fatalf("task %d was answered %d", i, status)
+					t.Fatalf("request %d was answered %d", i, status)
 				}
 			}
 			if took := time.Since(began); took > 400*time.Millisecond {
-				t.Errorf("20 tasks of new clients took %v", took)
+				t.Errorf("20 requests of new clients took %v", took)
 			}
 		})
 	}
 }
 
-// Guards against clients that ask once and keep their connections using up all that the front may hold to a node.
-func TestIdleConnectionsLeaveTheFrontRoom(t *testing.T) {
+// Guards against clients that ask once and keep their connection using up all connections that the load balancers in
+// front may hold to a node.
+func TestCrowdedFrontendEvictsIdleClients(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
 	var ended atomic.Int64
@@ -70,15 +71,15 @@
 		c, in := dial(t, n)
 		writeText(c, requestText("batch", fmt.Sprint("stays", i), ""))
 		if status, _, _ := readAnswer(in); status != 200 {
-			t.Fatalf("task %d was answered %d", i, status)
+			t.Fatalf("request %d was answered %d", i, status)
 		}
 		go func() {
-			in.ReadByte()
+			waitForClose(in)
 			ended.Add(1)
 		}()
 		time.Sleep(closeLinger / 5)
 	}
-	eventually(t, "room for further tasks", func() bool { return ended.Load() >= 4 })
+	eventually(t, "room for further requests", func() bool { return ended.Load() >= 4 })
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
 	if held := len(n.frontend.open); held > 4*ownDescriptors/activeClientShare+2 {
@@ -86,9 +87,9 @@
 	}
 }
 
-// Guards against a client that writes its head slowly being taken for one that has stopped half way, while a crowd of those
-// and of others that say nothing waits for room.
-func TestSlowHeadInACrowdIsServed(t *testing.T) {
+// Guards against taking a client that writes its head slowly for a stalled one, while many stalled and silent ones
+// wait for a slot.
+func TestSlowHeadAmongStalledClientsIsServed(t *testing.T) {
 	t.Parallel()
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) { lenientSettings(c); c.Limits.Sockets = 64 }, server)
@@ -109,8 +110,8 @@
 	}
 }
 
-// A node that has another process beside it lets idle clients beyond its half go, also where nobody comes to it any more.
-func TestIdleClientsBeyondTheHalfGo(t *testing.T) {
+// A node with another process beside it evicts idle clients beyond its half, also where no new clients connect.
+func TestIdleClientsBeyondLimitAreEvicted(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, silentDiscovery(t), server)
 	for range 8 {
@@ -123,7 +124,7 @@
 	}
 }
 
-// idlers is how many clients could be asked to go; the lock is held.
+// idlers is how many clients could be evicted; the frontend's lock is held.
 func (n *Node) idlers() (idle int) {
 	for c := range n.frontend.open {
 		c.mu.Lock()
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -10,8 +11,8 @@
 	"time"
 )
 
-// Guards against a connection that is closed for want of room with a request already written to it.
-func TestMoreTasksThanConnectionsAreAllAnswered(t *testing.T) {
+// Guards against closing a connection for want of a slot with a request already written to it.
+func TestMoreRequestsThanConnectionsAreAllAnswered(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(100 * time.Millisecond)
 		return echo(c, r, body)
@@ -32,16 +33,16 @@
 	}
 	done.Wait()
 	if answers[200].Load() == 0 || answers[200].Load()+answers[503].Load() != 150 || n.count(requestsOverCapacity) == 0 {
-		t.Errorf("%d satisfied, %d declined, %d of them without room", answers[200].Load(), answers[503].Load(), n.count(requestsOverCapacity))
+		t.Errorf("%d satisfied, %d rejected, %d of them without room", answers[200].Load(), answers[503].Load(), n.count(requestsOverCapacity))
 	}
 	if read := n.count(requestsAccepted) + n.count(requestsOverCapacity); read != 150 {
-		t.Errorf("%d tasks were read for 150 answers", read)
+		t.Errorf("%d requests were read for 150 answers", read)
 	}
 }
 
-// Attempts beyond their part of the descriptors have the places of clients that stand idle, no more than leaves both as many, and
-// give them back once they need them no more.
-func TestAttemptsHaveThePlacesOfIdleClients(t *testing.T) {
+// Attempts beyond their share of the descriptors get the slots of idle clients, at most until both have as many, and
+// give them back once they are not needed.
+func TestAttemptsBorrowSlotsOfIdleClients(t *testing.T) {
 	answers := newGate(t)
 	server, _ := startUpstream(t, echo)
 	slow := listen(t, func(c net.Conn) { answers.wait(); discard(c) })
@@ -69,8 +70,9 @@
 		t.Errorf("beside five attempts %d clients stand at %d places", open, places)
 	}
 	n.frontend.mu.Unlock()
-	if _, err := n.upstreams.acquire(&attempt{target: upstreamTarget{1, slow}}, time.Now().Add(time.Minute)); err != errNoConnectionSlot {
-		t.Errorf("a probe: %v", err)
+	healthCheck := &attempt{target: upstreamTarget{1, slow}}
+	if _, err := n.upstreams.acquire(healthCheck, time.Now().Add(time.Minute)); !errors.Is(err, errNoConnectionSlot) {
+		t.Errorf("a health check: %v", err)
 	}
 	for _, c := range conns[:4] {
 		n.upstreams.closeConn(c)
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// gate holds whoever comes to it until it is opened, and tells who has come.
+// gate holds whoever waits at it until it is opened, and counts them.
 type gate struct {
 	come atomic.Int64
 	open chan struct{}
@@ -32,7 +32,7 @@
 	eventually(t, fmt.Sprintf("%d at the gate", n), func() bool { return g.come.Load() >= n })
 }
 
-// holdDials has each connection to a server stand until the gate is opened, and then be made all the same.
+// holdDials holds each connection to an upstream until the gate is opened; then it is opened whatever has happened.
 func (n *Node) holdDials(t *testing.T) *gate {
 	g := newGate(t)
 	n.upstreams.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
@@ -42,7 +42,7 @@
 	return g
 }
 
-// holdLoop keeps the loop between two events until the gate is opened; what is entered meanwhile stands in order.
+// holdLoop holds the event loop between two events until the gate is opened; events posted meanwhile stay in order.
 func (n *Node) holdLoop(t *testing.T) *gate {
 	g := newGate(t)
 	n.loop.post(g.wait)
@@ -50,7 +50,7 @@
 	return g
 }
 
-// learn has the loop go by a line of discovery's, and returns once it has.
+// updateList has the loop apply a list from the discovery service, and returns once it has.
 func (n *Node) updateList(t *testing.T, text string) {
 	t.Helper()
 	update, err := n.parseList([]byte(text))
@@ -61,14 +61,14 @@
 	n.flushLoop()
 }
 
-// passed returns once the loop has handled all that stood before it.
+// flushLoop returns once the loop has handled all events posted before.
 func (n *Node) flushLoop() {
 	done := make(chan struct{})
 	n.loop.post(func() { close(done) })
 	<-done
 }
 
-// atClients finds the node's side of the one connection from a client.
+// onlyClientConn finds the node's side of the one connection from a client.
 func (n *Node) onlyClientConn(t *testing.T) (c *clientConn) {
 	t.Helper()
 	eventually(t, "the connection", func() bool {
@@ -81,14 +81,14 @@
 	return c
 }
 
-// nobodyLeft tells that clients have come, and that their connections have ended.
+// allClientsClosed reports that clients have connected, and that all their connections have ended.
 func (n *Node) allClientsClosed() bool {
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
 	return n.count(clientsAccepted) > 0 && len(n.frontend.open) == 0
 }
 
-// nobodyOut tells that all attempts have ended.
+// allAttemptsEnded reports that no attempt is in flight.
 func (n *Node) allAttemptsEnded() bool {
 	ended := int64(0)
 	for _, how := range outcomeCounters {
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// quiet gives a node a discovery that never answers, so that nothing but the test enters events.
+// silentDiscovery gives a node a discovery service that never answers, so that only the test posts events.
 func silentDiscovery(t *testing.T) func(*Config) {
 	address, _ := watchOf(t)
 	return func(c *Config) { c.Discovery = address }
@@ -40,12 +40,12 @@
 	return b
 }
 
-// unhurried keeps the decisions from taking a server for silent because noise takes a moment to make.
+// lenientSettings keeps the decisions from taking an upstream for dead because a random body takes a moment to make.
 func lenientSettings(c *Config) {
 	c.Settings = json.RawMessage(strings.Replace(settingsText, `"quantum_us":2000`, `"quantum_us":1000000`, 1))
 }
 
-// inChunks is a body in chunks of that size, with extensions and a trailer.
+// chunkedBody is a body in chunks of a size, with extensions and a trailer.
 func chunkedBody(body []byte, size int) string {
 	var b strings.Builder
 	for len(body) > 0 {
@@ -62,12 +62,13 @@
 	eventually(t, "all memory for bodies is given back", func() bool { return n.bufferedBytes.Load() == 0 })
 }
 
-// long is a request whose body flows, with so much of it as the machine takes in: an end behind more than that waits at the client.
-func streamedRequest(category, id string) string {
-	return strings.TrimSuffix(requestText(category, id, strings.Repeat("x", 2<<20)), strings.Repeat("x", 2<<20-(80<<10)))
+// streamedRequest is a request whose body is streamed, cut off after as much as the kernel takes in: an end behind
+// more would wait at the client.
+func streamedRequest(class, id string) string {
+	return strings.TrimSuffix(requestText(class, id, strings.Repeat("x", 2<<20)), strings.Repeat("x", 2<<20-(80<<10)))
 }
 
-// settingsText has an idempotent, a ticketed and an exclusive class, and one that can wait.
+// settingsText has a class that is idempotent, one by key, one that is not, and one with a long deadline.
 const settingsText = `{"discovery":"ask","family_info":{"warm_keys":true},"goal":{"whole":0.5},"group_size":1,
 "limits":{"cancelling":true,"connect_timeout_us":75000,"idle_close_us":60000000,"max_retry_after_us":1500000,
 "may_duplicate":false,"retry_after":true,"try_limit":3},"parties":[{"name":"acme","portion":1.0}],"profiles":[
@@ -89,7 +90,7 @@
 
 var addresses atomic.Int64
 
-// address is one that nobody else has had: nodes of earlier tests, here or in another process, still call theirs.
+// address is one that nothing else has used: nodes of earlier tests, here or in another process, still call theirs.
 func address() string {
 	n := addresses.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, n/250, 1+n%250)
@@ -123,9 +124,10 @@
 	return l.Addr().String()
 }
 
-// serverOf answers each request on a connection by what answer writes; it tells whether the connection goes on.
-func startUpstream(t *testing.T, answer func(c net.Conn, r *http.Request, body string) bool) (address string, tasks *atomic.Int64) {
-	tasks = new(atomic.Int64)
+// startUpstream starts an upstream that answers each request by what answer writes, which reports whether the
+// connection goes on.
+func startUpstream(t *testing.T, answer func(c net.Conn, r *http.Request, body string) bool) (address string, requests *atomic.Int64) {
+	requests = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		for {
@@ -137,12 +139,12 @@
 			if err != nil {
 				return
 			}
-			tasks.Add(1)
+			requests.Add(1)
 			if !answer(c, r, string(body)) {
 				return
 			}
 		}
-	}), tasks
+	}), requests
 }
 
 func writeAnswer(c net.Conn, head, body string) bool {
@@ -155,7 +157,7 @@
 	return writeAnswer(c, "200 OK\r\nX-Pressure: queue=1", r.RequestURI+" "+r.Header.Get(headerRequestID)+" "+body)
 }
 
-// newNode makes a node whose known list has the servers, with discovery at an address where by default nobody is.
+// newNode makes a node whose known list has the upstreams; by default nothing listens at its discovery address.
 func newNode(t *testing.T, change func(*Config), servers ...string) *Node {
 	t.Helper()
 	var entries []string
@@ -191,6 +193,7 @@
 	return n
 }
 
+// address is where the node listens for clients.
 func (n *Node) address() string { return n.frontend.listener.Addr().String() }
 
 func dial(t *testing.T, n *Node) (net.Conn, *bufio.Reader) {
@@ -204,12 +207,12 @@
 	return c, bufio.NewReader(c)
 }
 
-func requestText(category, id, body string) string {
+func requestText(class, id, body string) string {
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: acme\r\nX-Remaining-Ms: 9000\r\n"+
-		"Content-Length: %d\r\n\r\n%s", category, id, category, len(body), body)
+		"Content-Length: %d\r\n\r\n%s", class, id, class, len(body), body)
 }
 
-// answerOn reads one answer; status 0 means that the connection ended without one.
+// readAnswer reads one response; status 0 means that the connection ended without one.
 func readAnswer(in *bufio.Reader) (status int, body string, header http.Header) {
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -223,15 +226,15 @@
 }
 
 // ask sends one request on a new connection.
-func ask(t *testing.T, n *Node, category, id, body string) (status int, answer string, header http.Header) {
+func ask(t *testing.T, n *Node, class, id, body string) (status int, answer string, header http.Header) {
 	t.Helper()
 	c, in := dial(t, n)
 	defer c.Close()
-	writeText(c, requestText(category, id, body))
+	writeText(c, requestText(class, id, body))
 	return readAnswer(in)
 }
 
-// soon waits until something holds.
+// eventually waits until a condition holds, for up to 5 s.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
@@ -243,11 +246,14 @@
 
 func (n *Node) count(what counter) int64 { return n.counters[what].Load() }
 
-// entryOf is one server as a list words it.
+// entryOf parses one entry of a list.
 func (n *Node) entryOf(text string) (endpointEntry, error) {
 	update, err := n.parseList([]byte(listText(1, false, text)))
-	if err != nil || len(update.entries) != 1 {
-		return endpointEntry{}, fmt.Errorf("%v, %d entries", err, len(update.entries))
+	if err != nil {
+		return endpointEntry{}, err
+	}
+	if len(update.entries) != 1 {
+		return endpointEntry{}, fmt.Errorf("%d entries, want 1", len(update.entries))
 	}
 	return update.entries[0], nil
 }
@@ -260,3 +266,15 @@
 
 // discard reads to the end, however that comes.
 func discard(r io.Reader) { _, _ = io.Copy(io.Discard, r) }
+
+// skipRequestHead reads the head of a request, if one comes.
+func skipRequestHead(in *bufio.Reader) { _, _ = http.ReadRequest(in) }
+
+// writeBytes is writeText for bytes.
+func writeBytes(w io.Writer, b []byte) { _, _ = w.Write(b) }
+
+// waitForClose returns once something comes on a connection, or it ends.
+func waitForClose(r io.Reader) { _, _ = r.Read(make([]byte, 1)) }
+
+// discardUpTo reads a number of bytes, or fewer if the rest does not come.
+func discardUpTo(r io.Reader, n int64) { _, _ = io.CopyN(io.Discard, r, n) }
--- a/internal/node/hotrestartrace_test.go
+++ b/internal/node/hotrestartrace_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Where the successor dies while the old process is stopping, the old one takes what still comes.
+// Where the successor dies while the old process shuts down, the old one takes what still comes.
 func TestSuccessorDiesWhileTheOldProcessStops(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	next := processes(t, server)
@@ -14,7 +14,7 @@
 	fresh := next()
 	fresh.hotRestart.announceServing()
 	eventually(t, "the old one yields", old.hotRestart.hasYielded)
-	client, in := dial(t, old) // stands in the machine: the successor was to take it
+	client, in := dial(t, old) // stands in the kernel: the successor was to take it
 	writeText(client, requestText("batch", "t", ""))
 	stopped := make(chan struct{})
 	go func() { old.shutDown(); close(stopped) }()
@@ -24,12 +24,12 @@
 	fresh.hotRestart.predecessor.Close()
 	fresh.hotRestart.mu.Unlock()
 	if status, _, _ := readAnswer(in); status != 200 {
-		t.Errorf("a task that nobody else is there for was answered %d", status)
+		t.Errorf("a request that nobody else is there for was answered %d", status)
 	}
 	<-stopped
 }
 
-// Two successors at once, or both processes told to end: nobody's requests are lost over it.
+// With two successors at once, or both processes told to end, no request is lost.
 func TestHandOversCross(t *testing.T) {
 	for name, cross := range map[string]func(t *testing.T, next func() *Node, old *Node, ask func(string)){
 		"two successors": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
--- a/internal/node/httpmessage_test.go
+++ b/internal/node/httpmessage_test.go
@@ -9,7 +9,7 @@
 )
 
 // A message is the same however it is cut into reads, and what is none ends in an error.
-func TestMessagesDoNotDependOnHowTheyAreCut(t *testing.T) {
+func TestParsingIsIndependentOfSegmentation(t *testing.T) {
 	property := func(body []byte, chunkIt, spoil bool, cuts []uint8) bool {
 		text := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		if chunkIt {
@@ -54,9 +54,9 @@
 	}
 }
 
-// Where the system refuses splice and sendfile, as the standing test's filter does, a copy that tried them would depend on how
-// the library takes the refusal. So no connection offers a way round the buffers, and nothing is copied but through them.
-func TestBodiesAreCopiedByReadAndWriteAlone(t *testing.T) {
+// Where the system refuses splice and sendfile, a copy that tried them would depend on how the library takes the
+// refusal: no connection offers a way round the buffers.
+func TestBodiesAreCopiedByReadAndWriteOnly(t *testing.T) {
 	for name, c := range map[string]any{"conn": &bufferedConn{}, "serverConn": &upstreamConn{}, "source": &bodySource{}, "message": &message{}} {
 		if _, ok := c.(io.ReaderFrom); ok {
 			t.Errorf("%s copies from a reader by itself", name)
--- a/internal/node/listwatch_test.go
+++ b/internal/node/listwatch_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-func TestListMovesDrainsAndMakesNoSense(t *testing.T) {
+func TestListChangesAddressDrainsAndIsMalformed(t *testing.T) {
 	first, atFirst := startUpstream(t, echo)
 	second, atSecond := startUpstream(t, echo)
 	address, asked := discoveryOf(t,
@@ -27,14 +27,14 @@
 	n := startNode(t, func(c *Config) { c.Discovery = address }, first)
 	eventually(t, "the move", func() bool { return n.count(listUpdates) == 1 })
 	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 || atFirst.Load() != 0 || atSecond.Load() != 1 {
-		t.Errorf("after the move %d, %d tasks at the old address, %d at the new", status, atFirst.Load(), atSecond.Load())
+		t.Errorf("after the move %d, %d requests at the old address, %d at the new", status, atFirst.Load(), atSecond.Load())
 	}
 	eventually(t, "the drain", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := ask(t, n, "batch", "t2", ""); status != 503 || atSecond.Load() != 1 {
-		t.Errorf("with its only server draining a task was answered %d", status)
+		t.Errorf("with its only server draining a request was answered %d", status)
 	}
 	if n.count(listEntriesSkipped) != 3 {
-		t.Errorf("%d lines passed over, want 3", n.count(listEntriesSkipped))
+		t.Errorf("%d entries skipped, want 3", n.count(listEntriesSkipped))
 	}
 	for i, want := range []string{"after=1 ", "after=5 "} {
 		if got, _ := asked.Load(i); got == nil || !strings.Contains(got.(string), want) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// Guards against a new configuration ending the node, being told as a list that failed, or leaving it with the old list.
-func TestNewConfigurationMovesDiscoveryAtOnce(t *testing.T) {
+// Guards against a reload that ends the node, counts as a failed watch, or leaves it with the old list.
+func TestReloadMovesDiscoveryAtOnce(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	old, _ := discoveryOf(t, []string{listText(50, false)})
 	young, asked := discoveryOf(t, []string{listText(3, true, listEntry("s-1", server, "up"))})
@@ -59,7 +59,8 @@
 		}
 	}
 	n := newNode(t, func(c *Config) { c.Discovery, c.path = old, path }, "127.0.0.1:1")
-	go n.Run(Signals())
+	signals := Signals()
+	go func() { _ = n.Run(signals) }()
 	eventually(t, "the old watch", func() bool { return n.count(listUpdates) == 1 })
 	told := func(counted counter) {
 		t.Helper()
@@ -77,7 +78,7 @@
 	told(configReloads)
 	eventually(t, "the new list", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 {
-		t.Errorf("by the new list a task was answered %d", status)
+		t.Errorf("by the new list a request was answered %d", status)
 	}
 	if got, _ := asked.Load(0); got == nil || !strings.Contains(got.(string), "after=0 ") {
 		t.Errorf("the new place was asked %q, want the whole list", got)
@@ -87,7 +88,7 @@
 	}
 }
 
-func TestSilentWatchIsCalledAgain(t *testing.T) {
+func TestSilentWatchIsRepeated(t *testing.T) {
 	address, _ := discoveryOf(t, []string{listText(2, false)}, []string{listText(3, false)})
 	n := newNode(t, func(c *Config) { c.Discovery = address })
 	n.endpointWatch.silenceTimeout = 200 * time.Millisecond
@@ -95,7 +96,7 @@
 	eventually(t, "the second call", func() bool { return n.count(listUpdates) >= 2 })
 }
 
-// watchOf is a discovery whose calls each go by their own script.
+// watchOf starts a discovery service whose calls each go by their own script.
 func watchOf(t *testing.T, calls ...func(c net.Conn, chunk func(string))) (address string, asked *atomic.Int64) {
 	asked = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
@@ -113,9 +114,9 @@
 
 const watchBegins = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// A watch that falls silent, or a call that gets no head, is followed by another at once, however long waits have grown and whatever
-// the settings say of asking; a half of a line counts for nothing, and a list may be broken into lines as it likes.
-func TestWatchesBreak(t *testing.T) {
+// A watch that falls silent, or gets no head, is repeated at once, however long the backoff and whatever the settings
+// say of polling; half a line counts for nothing, and a list may be broken into lines anywhere.
+func TestBrokenWatches(t *testing.T) {
 	stays := func(c net.Conn) { discard(c) }
 	line := func(version int, health, server string) string {
 		return listText(version, false, listEntry("s-0", server, health)) + "\n"
@@ -155,8 +156,13 @@
 				return []func(net.Conn, func(string)){func(c net.Conn, chunk func(string)) {
 					writeText(c, watchBegins)
 					var tree any
-					json.Unmarshal([]byte(line(2, "draining", server)), &tree)
-					text, _ := json.MarshalIndent(tree, "", "  ")
+					if err := json.Unmarshal([]byte(line(2, "draining", server)), &tree); err != nil {
+						t.Error(err)
+					}
+					text, err := json.MarshalIndent(tree, "", "  ")
+					if err != nil {
+						t.Error(err)
+					}
 					chunk("\n")
 					chunk(string(text[:50]))
 					chunk(string(text[50:]) + "\n\n")
@@ -166,7 +172,7 @@
 		} {
 			t.Run(mode+": "+name, func(t *testing.T) {
 				t.Parallel()
-				server, tasks := startUpstream(t, echo)
+				server, requests := startUpstream(t, echo)
 				address, _ := watchOf(t, script(server)...)
 				n := newNode(t, func(c *Config) {
 					withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode), `"ask_within_us":10000000`, `"ask_within_us":3600000000`)(c)
@@ -180,8 +186,8 @@
 					defer n.upstreams.mu.Unlock()
 					return len(n.upstreams.eligible) == 0
 				})
-				if status, _, _ := ask(t, n, "batch", "t", ""); status != 503 || tasks.Load() != 0 {
-					t.Errorf("after the drain a task was answered %d, %d came to the server", status, tasks.Load())
+				if status, _, _ := ask(t, n, "batch", "t", ""); status != 503 || requests.Load() != 0 {
+					t.Errorf("after the drain a request was answered %d, %d came to the server", status, requests.Load())
 				}
 				if n.endpointWatch.version != 2 {
 					t.Errorf("the next call would ask for what came after %d", n.endpointWatch.version)
@@ -215,8 +221,8 @@
 	}
 }
 
-// Between calls there is always a wait, whatever the settings say of sends to draining servers.
-func TestWaitsBetweenCalls(t *testing.T) {
+// There is always an interval between watches, whatever the settings say of sends to draining endpoints.
+func TestRetryIntervalOfWatches(t *testing.T) {
 	for within, want := range map[int]time.Duration{0: maxRetryInterval, 1: minRetryInterval, 400000: 100 * time.Millisecond, 60000000: maxRetryInterval} {
 		n := newNode(t, withSettings(`"rules":{`, fmt.Sprintf(`"rules":{"stop_sending_within_us":%d,`, within)))
 		if n.endpointWatch.retryInterval != want {
@@ -225,9 +231,10 @@
 	}
 }
 
-// What is pushed counts from the first moment of a new process: no request goes by the list from before while the first word is due.
-func TestPushedListIsHeardBeforeTheFirstTask(t *testing.T) {
-	server, tasks := startUpstream(t, echo)
+// What is pushed counts from the first moment of a new process: no request goes by the list from before while the
+// first message is due.
+func TestPushedListArrivesBeforeFirstRequest(t *testing.T) {
+	server, requests := startUpstream(t, echo)
 	word := newGate(t)
 	address, _ := watchOf(t, func(c net.Conn, chunk func(string)) {
 		word.wait()
@@ -244,12 +251,12 @@
 		t.Error("ready before the first word")
 	}
 	word.pass()
-	if status, _, _ := readAnswer(in); status != 503 || tasks.Load() != 0 {
-		t.Errorf("answered %d, %d tasks at a server that is draining", status, tasks.Load())
+	if status, _, _ := readAnswer(in); status != 503 || requests.Load() != 0 {
+		t.Errorf("answered %d, %d requests at a server that is draining", status, requests.Load())
 	}
 }
 
-// The last line of an old place of discovery does not come after the first of the new one.
+// The last line from an old discovery address does not come after the first from the new one.
 func TestLastLineOfAnOldPlaceCrossesTheMove(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	late := newGate(t)
@@ -274,7 +281,7 @@
 	}
 }
 
-// discoveryOf plays one list of lines to each call in turn, then stays open.
+// discoveryOf starts a discovery service that sends one list of lines to each call in turn, then stays open.
 func discoveryOf(t *testing.T, calls ...[]string) (address string, asked *sync.Map) {
 	asked = new(sync.Map)
 	var number atomic.Int64
@@ -291,6 +298,6 @@
 			writef(c, "%x\r\n%s\n\r\n", len(line)+1, line)
 			time.Sleep(10 * time.Millisecond)
 		}
-		c.Read(in)
+		waitForClose(c)
 	}), asked
 }
--- a/internal/node/overrideslock_test.go
+++ b/internal/node/overrideslock_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Of many who order at once, one has the file's lock open: each open file is a descriptor, and the wait for another process's turn is
-// not spent behind one's own.
-func TestOrdersWaitWithOneFile(t *testing.T) {
+// Of several changes at once only one has the lock file open: each open file is a descriptor, and the wait for
+// another process must not come after the wait for one's own.
+func TestOverrideChangesWaitWithOneFile(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	held, err := lockFile(n.overrides.path+".lock", time.Second)
@@ -31,7 +31,10 @@
 	var done sync.WaitGroup
 	for i := range 8 {
 		done.Go(func() {
-			n.overrides.change(func(o *overrideSet) string { return o.disable(fmt.Sprint("s-", i), 1) })
+			disable := func(o *overrideSet) string { return o.disable(fmt.Sprint("s-", i), 1) }
+			if _, err := n.overrides.change(disable); err != nil {
+				t.Error(err)
+			}
 		})
 	}
 	eventually(t, "one that waits", func() bool { most = max(most, open()); return most > 0 })
--- a/internal/node/pacing_test.go
+++ b/internal/node/pacing_test.go
@@ -1,44 +1,57 @@
 package node
 
 import (
+	"errors"
 	"net"
 	"sync/atomic"
 	"testing"
 	"time"
 )
 
-// noted notes by when a write has to be over, and takes it all.
+// deadlineRecorder records the deadline of the last write, and takes every write.
 type deadlineRecorder struct {
 	net.Conn
-	end time.Time
+	deadline time.Time
 }
 
-func (c *deadlineRecorder) SetWriteDeadline(end time.Time) error { c.end = end; return nil }
+func (c *deadlineRecorder) SetWriteDeadline(deadline time.Time) error {
+	c.deadline = deadline
+	return nil
+}
 
 func (c *deadlineRecorder) Write(p []byte) (int, error) { return len(p), nil }
 
-// A stop holds that comes just before one who carries the attempt, or reads its body, sets a time of its own.
-func TestStopCrossesADeadline(t *testing.T) {
-	for _, stopped := range []bool{false, true} {
-		h := &attempt{}
-		if stopped {
-			h.cancel()
+// A cancel holds that comes just before a worker, or a reader of the attempt's body, sets a deadline of its own.
+func TestCancelCrossesDeadline(t *testing.T) {
+	for _, canceled := range []bool{false, true} {
+		a := &attempt{}
+		if canceled {
+			a.cancel()
 		}
 		var read time.Time
-		h.setDeadline(func(end time.Time) error { read = end; return nil }, time.Now().Add(time.Hour))
+		record := func(deadline time.Time) error {
+			read = deadline
+			return nil
+		}
+		if err := a.setDeadline(record, time.Now().Add(time.Hour)); err != nil {
+			t.Fatal(err)
+		}
 		c := &deadlineRecorder{}
-		writePaced(c, h, []byte("x"))
-		for name, end := range map[string]time.Time{"a read": read, "a write": c.end} {
-			if end.Before(time.Now()) != stopped {
-				t.Errorf("stopped %t: %s may last until %v", stopped, name, end)
+		if err := writePaced(c, a, []byte("x")); err != nil {
+			t.Fatal(err)
+		}
+		for name, deadline := range map[string]time.Time{"a read": read, "a write": c.deadline} {
+			if deadline.Before(time.Now()) != canceled {
+				t.Errorf("canceled %t: the deadline of %s is %v", canceled, name, deadline)
 			}
 		}
 		near, far := net.Pipe()
 		defer far.Close()
-		var given atomic.Bool
-		given.Store(stopped)
-		if err := (&readPacer{stall: time.Hour, abandoned: &given}).begin(near); (err == errBodyAbandoned) != stopped {
-			t.Errorf("given up %t: %v", stopped, err)
+		var abandoned atomic.Bool
+		abandoned.Store(canceled)
+		pacer := &readPacer{stall: time.Hour, abandoned: &abandoned}
+		if err := pacer.begin(near); errors.Is(err, errBodyAbandoned) != canceled {
+			t.Errorf("abandoned %t: %v", canceled, err)
 		}
 	}
 }
--- a/internal/node/requestread_test.go
+++ b/internal/node/requestread_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func TestClientThatHoldsItsBodyBackIsToldToGoOn(t *testing.T) {
+func TestExpectContinue(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	c, in := dial(t, n)
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestBadTasksAreAnsweredAndCounted(t *testing.T) {
+func TestMalformedRequestsAreAnsweredAndCounted(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	head := "POST /batch HTTP/1.1\r\nHost: h\r\n"
@@ -56,13 +56,13 @@
 		}
 	}
 	if status, _, _ := ask(t, n, "batch", "still", ""); status != 200 || n.count(requestsMalformed) != 15 {
-		t.Errorf("after bad tasks a good one is answered %d; %d counted as bad", status, n.count(requestsMalformed))
+		t.Errorf("after bad requests a good one is answered %d; %d counted as bad", status, n.count(requestsMalformed))
 	}
 }
 
-// Guards against connections that say nothing, or never end what they say, holding descriptors: bad clients are owed an
-// answer or a close within 3 s.
-func TestClientsThatNeverEndAMessageAreLetGo(t *testing.T) {
+// Guards against connections that are silent, or never complete a message, and hold descriptors: they are owed a
+// response or a close within 3 s.
+func TestStalledClientsAreClosed(t *testing.T) {
 	n := startNode(t, nil)
 	var done sync.WaitGroup
 	for text, want := range map[string]int{
@@ -82,8 +82,8 @@
 	done.Wait()
 }
 
-// A connection whose first bytes come just as its time for them ends is read, and is no endless loop.
-func TestFirstBytesComeAsTheirTimeEnds(t *testing.T) {
+// A connection whose first bytes come just at their deadline is read, without an endless loop.
+func TestFirstBytesComeAtTheirDeadline(t *testing.T) {
 	n := startNode(t, nil)
 	l, err := net.Listen("tcp", address())
 	if err != nil {
@@ -121,9 +121,10 @@
 	}
 }
 
-// A client that stops, lies or leaves in the middle of a long body gets an error or a close for itself alone, and its request never ran.
-func TestLongBodyThatNeverComes(t *testing.T) {
-	server, tasks := digestServer(t)
+// A client that stops, lies or leaves in the middle of a long body gets an error or a close for itself alone, and its
+// request never ran.
+func TestIncompleteRequestBody(t *testing.T) {
+	server, requests := digestServer(t)
 	n := startNode(t, lenientSettings, server)
 	half := string(randomBody(2 << 20))
 	for text, want := range map[string]int{
@@ -141,11 +142,11 @@
 	}
 	c, _ := dial(t, n)
 	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nContent-Length: 9000000\r\n\r\n"+half)
-	eventually(t, "its hand-off", func() bool { return n.count(requestsStreamed) >= 4 })
+	eventually(t, "its attempt", func() bool { return n.count(requestsStreamed) >= 4 })
 	c.Close()
-	eventually(t, "the task is withdrawn", func() bool { return n.count(requestsCanceled) == 1 })
-	if tasks.Load() != 0 {
-		t.Errorf("%d tasks ran without a whole body", tasks.Load())
+	eventually(t, "the request is canceled", func() bool { return n.count(requestsCanceled) == 1 })
+	if requests.Load() != 0 {
+		t.Errorf("%d requests ran without a whole body", requests.Load())
 	}
 	if status, _, _ := ask(t, n, "batch", "t3", "small"); status != 200 {
 		t.Errorf("another client got %d", status)
@@ -156,8 +157,8 @@
 	}
 }
 
-// Guards against the memory for bodies going to whoever sends most: beyond its share they flow.
-func TestManyLongBodiesAtOnce(t *testing.T) {
+// Guards against the memory for bodies going to whoever sends most: beyond it bodies are streamed.
+func TestMemoryOfLongBodiesIsBounded(t *testing.T) {
 	server, _ := digestServer(t)
 	n := startNode(t, func(c *Config) { lenientSettings(c); c.Limits.MemoryMB = 32 }, server)
 	body := randomBody(900 << 10)
@@ -176,7 +177,7 @@
 		t.Errorf("%d bytes held of %d", held, n.maxBufferedBytes.Load())
 	}
 	for _, one := range all {
-		one.c.Write(body[minBufferedBody:])
+		writeBytes(one.c, body[minBufferedBody:])
 	}
 	for _, one := range all { // on a machine that stands still some may be rejected, but none is mixed up
 		if status, answer, _ := readAnswer(one.in); status != 503 && answer != digestOf(body) {
@@ -186,7 +187,7 @@
 	n.returnsWhatItHeld(t)
 }
 
-func TestHeadAndWordToGoOn(t *testing.T) {
+func TestHeadRequestAndContinue(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodHead {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n")
@@ -208,15 +209,15 @@
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 100 {
 		t.Fatalf("%+v, %v, want the word to go on", r, err)
 	}
-	c.Write(body)
+	writeBytes(c, body)
 	if _, answer, _ := readAnswer(in); answer != digestOf(body) {
 		t.Errorf("got %q", answer)
 	}
 }
 
-// Guards against the word to go on landing in the middle of an answer that is still being written.
-func TestWordToGoOnWaitsForTheAnswerBefore(t *testing.T) {
-	long := randomBody(24 << 20) // more than the machine takes in for a client that does not read
+// Guards against a 100 Continue in the middle of a response that is still being written.
+func TestContinueWaitsForPrecedingResponse(t *testing.T) {
+	long := randomBody(24 << 20) // more than the kernel takes in for a client that does not read
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodGet {
 			return writeAnswer(c, "200 OK", string(long))
@@ -234,6 +235,6 @@
 	}
 	writeText(c, "abc")
 	if _, body, _ := readAnswer(in); body != "abc" {
-		t.Errorf("the second task was answered %.40q", body)
+		t.Errorf("the second request was answered %.40q", body)
 	}
 }
--- a/internal/node/roundtrip_test.go
+++ b/internal/node/roundtrip_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func TestTaskGoesThroughUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get(headerRemaining) == "" || r.Header.Get("X-Other") != "kept" || r.Header.Get("Connection") != "" {
 			return writeAnswer(c, "500 Bad", "")
@@ -32,12 +32,12 @@
 		}
 	}
 	if n.count(upstreamConnsOpened) != 1 {
-		t.Errorf("%d connections to the server for tasks one after the other, want 1", n.count(upstreamConnsOpened))
+		t.Errorf("%d connections to the server for requests one after the other, want 1", n.count(upstreamConnsOpened))
 	}
 }
 
-// What a server does decides the outcome, and with the class what the client is told.
-func TestOutcomes(t *testing.T) {
+// What an upstream does decides the outcome, and with the class the client's response.
+func TestOutcomeOfResponses(t *testing.T) {
 	closed := listen(t, func(c net.Conn) {})
 	cut := func(text string) string {
 		address, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -56,7 +56,7 @@
 		status map[string]int // by class; 503 is a reject
 	}{
 		"error":             {cut("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsErrored, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"turned away":       {cut("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), attemptsRejected, map[string]int{"view": 503, "update": 503, "pay": 503}},
+		"rejected":          {cut("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), attemptsRejected, map[string]int{"view": 503, "update": 503, "pay": 503}},
 		"503 without proof": {cut("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), attemptsErrored, map[string]int{"view": 503, "update": 502, "pay": 502}},
 		"fault with it":     {cut("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsRequestFault, map[string]int{"view": 400, "update": 400, "pay": 400}},
 		"too many":          {cut("HTTP/1.1 429 Later\r\nContent-Length: 0\r\n\r\n"), attemptsErrored, map[string]int{"view": 503, "pay": 502}},
@@ -78,22 +78,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for category, want := range c.status {
+			for class, want := range c.status {
 				n := startNode(t, nil, c.server)
-				status, _, header := ask(t, n, category, "t1", "body")
+				status, _, header := ask(t, n, class, "t1", "body")
 				if status != want || c.how < counterCount && n.count(c.how) != 1 {
-					t.Errorf("%s: answered %d, want %d; outcome counted %d times", category, status, want, n.count(min(c.how, panics)))
+					t.Errorf("%s: answered %d, want %d; outcome counted %d times", class, status, want, n.count(min(c.how, panics)))
 				}
 				if (header.Get(headerRetryAfter) != "") != (status == 503) {
-					t.Errorf("%s: %d with advice %q", category, status, header.Get(headerRetryAfter))
+					t.Errorf("%s: %d with advice %q", class, status, header.Get(headerRetryAfter))
 				}
 			}
 		})
 	}
 }
 
-// Guards against the answer to a request that timed out being taken for the next one's.
-func TestLateAnswerIsNobodys(t *testing.T) {
+// Guards against taking the response to a request that timed out for that of the next one.
+func TestLateResponseIsDiscarded(t *testing.T) {
 	var slow atomic.Bool
 	slow.Store(true)
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -104,19 +104,19 @@
 	})
 	n := startNode(t, nil, server)
 	if status, _, _ := ask(t, n, "view", "late", ""); status != 503 {
-		t.Errorf("the late task was answered %d, want 503", status)
+		t.Errorf("the late request was answered %d, want 503", status)
 	}
 	time.Sleep(100 * time.Millisecond)
 	for i := range 20 {
 		if status, body, _ := ask(t, n, "view", fmt.Sprint("t", i), ""); status == 200 && body != fmt.Sprintf("/view t%d ", i) {
-			t.Fatalf("task %d got the answer %q", i, body)
+			t.Fatalf("request %d got the answer %q", i, body)
 		}
 	}
 }
 
-// Guards against a machine that was cut off and is back: the connections from before are reset only when used, and
-// each would cost a request.
-func TestConnectionsFromBeforeAResetAreDropped(t *testing.T) {
+// Guards against an upstream that was cut off and is back: connections from before are reset only when used, and each
+// would cost a request.
+func TestConnectionsFromBeforeResetAreClosed(t *testing.T) {
 	var back atomic.Bool
 	var idle sync.WaitGroup
 	idle.Add(5)
@@ -137,7 +137,7 @@
 	done.Wait()
 	back.Store(true)
 	if status, _, _ := ask(t, n, "pay", "first", ""); status != 502 {
-		t.Errorf("the first task after the cut was answered %d", status)
+		t.Errorf("the first request after the cut was answered %d", status)
 	}
 	n.upstreams.mu.Lock()
 	defer n.upstreams.mu.Unlock()
@@ -146,8 +146,9 @@
 	}
 }
 
-// An answer that comes a second time is nobody's: neither while its connection stands idle, nor once another request is out.
-func TestSecondAnswerComesLate(t *testing.T) {
+// A response that comes a second time is passed to no client: neither while its connection is idle, nor once another
+// request is in flight.
+func TestDuplicateResponseComesLate(t *testing.T) {
 	stray := newGate(t)
 	var conns atomic.Int64
 	server := listen(t, func(c net.Conn) {
@@ -181,7 +182,7 @@
 		})
 		return c
 	}
-	t.Run("another task is out", func(t *testing.T) {
+	t.Run("another request is out", func(t *testing.T) {
 		n := newNode(t, nil, server)
 		n.upstreams.strayCooldown = time.Hour
 		n.start()
@@ -189,10 +190,10 @@
 		ask(t, n, "batch", "a", "")
 		idleOf(n)
 		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
-			t.Errorf("while the second answer is due a task got %q", body)
+			t.Errorf("while the second answer is due a request got %q", body)
 		}
 		if conns.Load() != 2 {
-			t.Errorf("%d connections, want another for the second task", conns.Load())
+			t.Errorf("%d connections, want another for the second request", conns.Load())
 		}
 	})
 	t.Run("idle", func(t *testing.T) {
@@ -203,7 +204,7 @@
 		stray.pass()
 		eventually(t, "the second answer", c.hasInput)
 		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
-			t.Errorf("once the second answer has come a task got %q", body)
+			t.Errorf("once the second answer has come a request got %q", body)
 		}
 		if n.upstreams.lastStrayAt.Load() == 0 {
 			t.Error("it was not noticed")
@@ -211,8 +212,9 @@
 	})
 }
 
-// A connection that its server closes as a request is written to it, or resets, is one on which the request may have run.
-func TestIdleConnectionEndsAsATaskIsWritten(t *testing.T) {
+// A connection that its upstream closes or resets as a request is written to it is one on which the request may have
+// run.
+func TestIdleConnectionEndsAsRequestIsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		linger bool
 		status map[string]int
@@ -222,8 +224,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for category, want := range c.status {
-				server, tasks := startUpstream(t, func(conn net.Conn, r *http.Request, body string) bool {
+			for class, want := range c.status {
+				server, requests := startUpstream(t, func(conn net.Conn, r *http.Request, body string) bool {
 					if r.Header.Get(headerRequestID) == "first" {
 						return echo(conn, r, body)
 					}
@@ -233,12 +235,12 @@
 					return false
 				})
 				n := startNode(t, nil, server)
-				ask(t, n, category, "first", "")
-				if status, _, _ := ask(t, n, category, "second", ""); status != want || tasks.Load() != 2 {
-					t.Errorf("%s: answered %d, want %d; %d tasks came", category, status, want, tasks.Load())
+				ask(t, n, class, "first", "")
+				if status, _, _ := ask(t, n, class, "second", ""); status != want || requests.Load() != 2 {
+					t.Errorf("%s: answered %d, want %d; %d requests came", class, status, want, requests.Load())
 				}
 				if n.count(attemptsReset) != 1 {
-					t.Errorf("%s: %d resets", category, n.count(attemptsReset))
+					t.Errorf("%s: %d resets", class, n.count(attemptsReset))
 				}
 			}
 		})
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Servers that fail in every way and clients that leave: each client that stays gets one answer, its own; an exclusive
-// request runs once at most; and where a reject says that nothing ran, nothing did.
-func TestRulesOnSockets(t *testing.T) {
+// With upstreams that fail in every way and clients that leave: each client that stays gets one response, its own; a
+// non-idempotent request runs once at most; and where a rejection says that nothing ran, nothing did.
+func TestInvariantsOnSockets(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
 	dice := rand.New(rand.NewPCG(1, 2))
@@ -61,19 +61,19 @@
 	n := startNode(t, func(c *Config) { c.Settings = json.RawMessage(patient) }, append(servers, "127.0.0.1:1")...)
 	var done sync.WaitGroup
 	answers := make([]int, 400)
-	category := func(i int) string { return []string{"pay", "update", "view", "pay"}[i%4] }
+	class := func(i int) string { return []string{"pay", "update", "view", "pay"}[i%4] }
 	for i := range answers {
 		id := fmt.Sprint("t", i)
 		done.Go(func() {
 			c, in := dial(t, n)
 			defer c.Close()
-			writeText(c, requestText(category(i), id, "b"))
+			writeText(c, requestText(class(i), id, "b"))
 			if i%10 == 9 {
 				time.Sleep(time.Duration(i) * 100 * time.Microsecond)
 				return
 			}
 			status, body, _ := readAnswer(in)
-			if answers[i] = status; status == 200 && body != "/"+category(i)+" "+id+" b" {
+			if answers[i] = status; status == 200 && body != "/"+class(i)+" "+id+" b" {
 				t.Errorf("%s got the answer %q", id, body)
 			}
 			c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -95,7 +95,7 @@
 	defer mu.Unlock()
 	kinds := map[int]int{}
 	for i, status := range answers {
-		id, c := fmt.Sprint("t", i), category(i)
+		id, c := fmt.Sprint("t", i), class(i)
 		kinds[status]++
 		if i%10 != 9 && status != 200 && status != 502 && status != 503 {
 			t.Errorf("%s was answered %d", id, status)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -53,22 +53,22 @@
 	writeText(idle, requestText("batch", "a", "")+requestText("batch", "b", ""))
 	for range 2 {
 		if status, body, _ := readAnswer(idleIn); status != 200 {
-			t.Errorf("a task taken before the end was answered %d %s", status, body)
+			t.Errorf("a request taken before the end was answered %d %s", status, body)
 		}
 	}
 	busy.Wait()
 	if taken := n.count(requestsAccepted); answered.Load()+3 != taken {
-		t.Errorf("%d tasks were taken and %d answered", taken, answered.Load()+3)
+		t.Errorf("%d requests were taken and %d answered", taken, answered.Load()+3)
 	}
 	select {
 	case <-stopped:
 	case <-time.After(time.Second):
-		t.Error("with every task answered the node does not end")
+		t.Error("with every request answered the node does not end")
 	}
 }
 
-// A request that is anywhere on its way when the node stops gets its whole answer.
-func TestStopWithATaskAtEveryStage(t *testing.T) {
+// A request at any stage when the node shuts down gets its complete response.
+func TestShutdownWithRequestAtEveryStage(t *testing.T) {
 	long := strings.Repeat("x", 2<<20) // more than is held, or than the machines take
 	for name, c := range map[string]struct {
 		body  string
@@ -83,19 +83,19 @@
 			there: func(n *Node) bool { return n.count(requestsStreamed) == 1 },
 		},
 		"written": {serve: func(g *gate, _ net.Conn, in *bufio.Reader) bool {
-			http.ReadRequest(in)
+			skipRequestHead(in)
 			g.wait()
 			return false
 		}},
 		"answering": {serve: func(g *gate, c net.Conn, in *bufio.Reader) bool {
-			http.ReadRequest(in)
+			skipRequestHead(in)
 			writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha")
 			g.wait()
 			writeText(c, "lf")
 			return true
 		}},
 		"flowing": {serve: func(g *gate, c net.Conn, in *bufio.Reader) bool {
-			http.ReadRequest(in)
+			skipRequestHead(in)
 			writef(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[:maxBufferedResponse])
 			g.wait()
 			writeText(c, long[maxBufferedResponse:])
@@ -136,7 +136,7 @@
 			eventually(t, "the end of taking", n.frontend.draining.Load)
 			select {
 			case <-stopped:
-				t.Error("the stop ended with a task out") // and the process with it
+				t.Error("the stop ended with a request out") // and the process with it
 			case <-time.After(100 * time.Millisecond): // rounds in which it might have
 			}
 			g.pass()
@@ -149,8 +149,9 @@
 	}
 }
 
-// A keyed request that may have run is rejected only where every server would drop its repeat, and only for as long as they would.
-func TestDeclineOfAKeyedRequest(t *testing.T) {
+// A request idempotent by key that may have run is rejected only where every endpoint would drop its repeat, and only
+// for as long as they would.
+func TestRejectionOfRequestIdempotentByKey(t *testing.T) {
 	silent, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool { discard(c); return false })
 	for name, c := range map[string]struct {
 		group  string
@@ -182,9 +183,9 @@
 	}
 }
 
-// What has no answer shortly before the platform kills a process is given up: a reject where another try does no harm.
-func TestWhatIsOutAtTheEndIsGivenUp(t *testing.T) {
-	silent, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+// What has no response shortly before the platform kills a process is given up: rejected where a retry does no harm.
+func TestShutdownGivesUpPendingRequests(t *testing.T) {
+	silent, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.URL.Path == "/batch" { // an answer whose end is the connection's, and that does not come
 			writeText(c, "HTTP/1.1 200 OK\r\n\r\n")
 			for _, err := io.WriteString(c, "x"); err == nil; _, err = io.WriteString(c, "x") {
@@ -197,23 +198,23 @@
 	n := startNode(t, withSettings(`800000`, `20000000`, `300000`, `20000000`), silent)
 	want := map[string]int{"view": 503, "update": 502, "pay": 502}
 	ins := map[string]*bufio.Reader{}
-	for category := range want {
+	for class := range want {
 		c, in := dial(t, n)
-		writeText(c, requestText(category, category, ""))
-		ins[category] = in
+		writeText(c, requestText(class, class, ""))
+		ins[class] = in
 	}
 	old, oldIn := dial(t, n)
 	writeText(old, "GET /batch HTTP/1.0\r\nX-Txn: old\r\n\r\n")
-	eventually(t, "all at the server, and an answer on its way", func() bool { return tasks.Load() == 4 && n.count(responsesStreamed) == 1 })
+	eventually(t, "all at the server, and an answer on its way", func() bool { return requests.Load() == 4 && n.count(responsesStreamed) == 1 })
 	stopped := make(chan struct{})
 	go func() { n.shutDown(); close(stopped) }()
 	<-stopped
 	if n.count(requestsRejected) != 1 || n.count(requestsFailed) != 2 {
-		t.Errorf("at the end %d tasks are declined and %d broken off, want 1 and 2", n.count(requestsRejected), n.count(requestsFailed))
+		t.Errorf("at the end %d requests are rejected and %d failed, want 1 and 2", n.count(requestsRejected), n.count(requestsFailed))
 	}
-	for category, status := range want {
-		if got, body, _ := readAnswer(ins[category]); got != status {
-			t.Errorf("%s was answered %d %s, want %d", category, got, body, status)
+	for class, status := range want {
+		if got, body, _ := readAnswer(ins[class]); got != status {
+			t.Errorf("%s was answered %d %s, want %d", class, got, body, status)
 		}
 	}
 	if text, err := io.ReadAll(oldIn); !errors.Is(err, syscall.ECONNRESET) {
@@ -223,6 +224,6 @@
 	late.request.ID = "late"
 	n.loop.post(func() { n.loop.requestArrived(late) })
 	if a := <-late.responses; a.status != 503 || n.count(requestsOverCapacity) != 1 {
-		t.Errorf("a task that came after the end was answered %d", a.status)
+		t.Errorf("a request that came after the end was answered %d", a.status)
 	}
 }
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// digestServer answers with the digest of a request's body, and counts the requests that came whole.
+// digestServer starts an upstream that answers with the digest of a request's body, and counts the complete requests.
 func digestServer(t *testing.T) (string, *atomic.Int64) {
 	return startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		return writeAnswer(c, "200 OK", fmt.Sprintf("%d %x", len(body), sha256.Sum256([]byte(body))))
@@ -23,8 +23,8 @@
 
 func digestOf(body []byte) string { return fmt.Sprintf("%d %x", len(body), sha256.Sum256(body)) }
 
-// Bodies of all sizes and forms reach the server unchanged, and the connection goes on.
-func TestBodiesOfAllSizesGoUp(t *testing.T) {
+// Bodies of all sizes and forms reach the upstream unchanged, and the connection goes on.
+func TestRequestBodiesOfAllSizes(t *testing.T) {
 	server, _ := digestServer(t)
 	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
@@ -43,17 +43,19 @@
 		}
 	}
 	if n.count(requestsStreamed) == 0 || n.count(clientsAccepted) != 1 {
-		t.Errorf("%d tasks flowed on %d connections", n.count(requestsStreamed), n.count(clientsAccepted))
+		t.Errorf("%d requests flowed on %d connections", n.count(requestsStreamed), n.count(clientsAccepted))
 	}
 	n.returnsWhatItHeld(t)
 }
 
-// Answers of all sizes and forms reach the client unchanged.
-func TestAnswersOfAllSizesGoDown(t *testing.T) {
+// Responses of all sizes and forms reach the client unchanged.
+func TestResponseBodiesOfAllSizes(t *testing.T) {
 	for _, form := range []string{"length", "chunks", "end"} {
 		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 			var size int
-			fmt.Sscanf(r.URL.RawQuery, "%d", &size)
+			if _, err := fmt.Sscanf(r.URL.RawQuery, "%d", &size); err != nil {
+				t.Error(err)
+			}
 			body := randomBody(size)
 			writeText(c, "HTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
 			switch form {
@@ -64,7 +66,7 @@
 				return true
 			}
 			writeText(c, "HTTP/1.1 200 OK\r\n\r\n")
-			c.Write(body)
+			writeBytes(c, body)
 			return false
 		})
 		n := startNode(t, lenientSettings, server)
@@ -89,8 +91,8 @@
 	}
 }
 
-// Guards against an answer that fails looking whole, whatever its form.
-func TestBrokenAnswerShows(t *testing.T) {
+// Guards against a truncated response that looks complete, whatever its form.
+func TestTruncatedResponseIsVisible(t *testing.T) {
 	part := strings.Repeat("x", 3*maxBufferedResponse)
 	for _, head := range []string{
 		"Content-Length: 9999999\r\n\r\n" + part,
@@ -117,9 +119,9 @@
 	}
 }
 
-// What a body that does not go out whole proves, and what becomes of a request whose body is held no more.
-func TestLongTaskIsSentOnce(t *testing.T) {
-	body := randomBody(36 << 20) // more than the machine takes in for a server that does not read
+// What a body proves that was not written completely, and what becomes of a request whose body is no longer buffered.
+func TestStreamedRequestIsSentOnce(t *testing.T) {
+	body := randomBody(36 << 20) // more than the kernel takes in for a server that does not read
 	var mode atomic.Value
 	seen := new(atomic.Int64)
 	serve := func(c net.Conn) {
@@ -130,10 +132,10 @@
 		}
 		switch seen.Add(1); mode.Load() {
 		case "dies":
-			io.CopyN(io.Discard, r.Body, 1<<20)
+			discardUpTo(r.Body, 1<<20)
 			c.(*net.TCPConn).SetLinger(0)
-		case "turns away":
-			io.CopyN(io.Discard, r.Body, 1<<20)
+		case "rejects":
+			discardUpTo(r.Body, 1<<20)
 			writeText(c, "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 			time.Sleep(50 * time.Millisecond)
 		case "faults":
@@ -149,29 +151,29 @@
 	}
 	one, two := listen(t, serve), listen(t, serve)
 	for how, want := range map[string]map[string]int{
-		"dies":       {"view": 503, "update": 503, "pay": 503},
-		"turns away": {"view": 503, "update": 503, "pay": 503},
-		"early":      {"pay": 503},
-		"faults":     {"pay": 413},
-		"fails":      {"view": 503, "update": 502, "pay": 502},
+		"dies":    {"view": 503, "update": 503, "pay": 503},
+		"rejects": {"view": 503, "update": 503, "pay": 503},
+		"early":   {"pay": 503},
+		"faults":  {"pay": 413},
+		"fails":   {"view": 503, "update": 502, "pay": 502},
 	} {
 		mode.Store(how)
-		for category, status := range want {
+		for class, status := range want {
 			n := startNode(t, nil, one, two)
 			before := seen.Load()
-			if got, _, _ := ask(t, n, category, "t1", string(body)); got != status {
-				t.Errorf("%s, %s: %d, want %d", how, category, got, status)
+			if got, _, _ := ask(t, n, class, "t1", string(body)); got != status {
+				t.Errorf("%s, %s: %d, want %d", how, class, got, status)
 			}
 			if seen.Load() != before+1 {
-				t.Errorf("%s, %s: sent %d times", how, category, seen.Load()-before)
+				t.Errorf("%s, %s: sent %d times", how, class, seen.Load()-before)
 			}
 			n.returnsWhatItHeld(t)
 		}
 	}
 }
 
-// Guards against slow peers being cut off: what counts is that they get on. A head takes 2 s, a body comes at 64 kB a second,
-// and an answer goes as slowly as its client reads.
+// Guards against cutting off slow peers: what counts is progress. A head takes 2 s, a body comes at 64 kB a second,
+// and a response goes as slowly as its client reads.
 func TestSlowPeersAreServed(t *testing.T) {
 	t.Parallel()
 	long := randomBody(1 << 20)
@@ -192,14 +194,16 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 		for i := 0; i < len(body); i += 6500 {
-			c.Write(body[i:min(i+6500, len(body))])
+			writeBytes(c, body[i:min(i+6500, len(body))])
 			time.Sleep(100 * time.Millisecond)
 		}
 		_, answer, _ := readAnswer(in)
 		up <- answer
 	}()
 	c, in := dial(t, n)
-	c.(*net.TCPConn).SetReadBuffer(64 << 10)
+	if err := c.(*net.TCPConn).SetReadBuffer(64 << 10); err != nil {
+		t.Fatal(err)
+	}
 	writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\n\r\n")
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -208,9 +212,13 @@
 	var got bytes.Buffer
 	for range 8 {
 		time.Sleep(400 * time.Millisecond)
-		io.CopyN(&got, r.Body, 64<<10)
+		if _, err := io.CopyN(&got, r.Body, 64<<10); err != nil {
+			t.Error(err)
+		}
+	}
+	if _, err := io.Copy(&got, r.Body); err != nil {
+		t.Error(err)
 	}
-	io.Copy(&got, r.Body)
 	if !bytes.Equal(got.Bytes(), long) {
 		t.Errorf("a slow reader got %d of %d bytes", got.Len(), len(long))
 	}
@@ -219,8 +227,8 @@
 	}
 }
 
-// Guards against the first bytes of a long answer waiting for the others, where its head does not tell that it is long.
-func TestAnswerThatComesSlowlyIsNotHeldBack(t *testing.T) {
+// Guards against holding back the first bytes of a long response where its head does not tell that it is long.
+func TestSlowResponseIsNotHeldBack(t *testing.T) {
 	for _, head := range []string{"Content-Length: 70003\r\n\r\nyes", "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n", "\r\nyes"} {
 		seen := make(chan struct{})
 		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Guards against a whole answer with more behind it being followed by another request on that connection.
-func TestConnectionWithMoreThanTheAnswerIsNotUsedAgain(t *testing.T) {
+// Guards against another request on a connection that brought more than a complete response.
+func TestConnectionWithUnaskedBytesIsNotReused(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
 		return writeAnswer(c, "200 OK", "unasked")
@@ -22,27 +22,27 @@
 	n := startNode(t, nil, server)
 	for i := range 5 {
 		if _, body, _ := ask(t, n, "batch", fmt.Sprint("t", i), ""); body != fmt.Sprintf("/batch t%d ", i) {
-			t.Fatalf("task %d got the answer %q", i, body)
+			t.Fatalf("request %d got the answer %q", i, body)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// Guards against a reset on a connection that the server had closed while it stood idle.
-func TestConnectionClosedByTheServerIsNoticed(t *testing.T) {
-	server, tasks := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+// Guards against a reset on a connection that the upstream had closed while it was idle.
+func TestConnectionClosedByUpstreamIsNoticed(t *testing.T) {
+	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
 		return false
 	})
 	n := startNode(t, nil, server)
 	for i := range 5 {
 		if status, _, _ := ask(t, n, "batch", fmt.Sprint("t", i), ""); status != 200 {
-			t.Errorf("task %d was answered %d", i, status)
+			t.Errorf("request %d was answered %d", i, status)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if tasks.Load() != 5 || n.count(attemptsReset) != 0 {
-		t.Errorf("%d tasks came to the server, %d resets", tasks.Load(), n.count(attemptsReset))
+	if requests.Load() != 5 || n.count(attemptsReset) != 0 {
+		t.Errorf("%d requests came to the server, %d resets", requests.Load(), n.count(attemptsReset))
 	}
 	n.upstreams.closeExpired()
 	if n.upstreams.open != 0 {
@@ -50,7 +50,8 @@
 	}
 }
 
-// Guards against a request written to a connection that the server is about to close, or has, for standing idle.
+// Guards against writing a request to a connection that the upstream has closed, or is about to close, for being
+// idle.
 func TestConnectionThatStoodIdleIsNotUsedAgain(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) {
@@ -61,13 +62,13 @@
 			time.Sleep(80 * time.Millisecond)
 		}
 		if ask(t, n, "batch", fmt.Sprint("t", i), ""); n.count(upstreamConnsOpened) != want {
-			t.Errorf("%d connections after task %d, want %d", n.count(upstreamConnsOpened), i, want)
+			t.Errorf("%d connections after request %d, want %d", n.count(upstreamConnsOpened), i, want)
 		}
 	}
 }
 
-// Guards against connections to servers taking more descriptors than their part, and what clients lend them of theirs.
-func TestConnectionsToServersAreBounded(t *testing.T) {
+// Guards against upstream connections taking more descriptors than their share and the slots that clients lend.
+func TestUpstreamConnectionsAreBounded(t *testing.T) {
 	for _, lent := range []int64{0, 4} {
 		var out atomic.Int64
 		hold := make(chan struct{})
@@ -97,8 +98,8 @@
 	}
 }
 
-// Room for a connection is made in place of the one that has been idle longest, whichever server it is to.
-func TestLongestIdleMakesRoom(t *testing.T) {
+// Room for a connection is made in place of the one that has been idle longest, whichever endpoint it is to.
+func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	n := newNode(t, nil)
 	s := n.upstreams
 	s.maxOpen, s.strayCooldown = 3, 0
@@ -125,13 +126,17 @@
 	if s.idleOrder.Len() != 1 || s.open != 2 {
 		t.Errorf("%d idle, %d open after a server was forgotten, want 1 and 2", s.idleOrder.Len(), s.open)
 	}
-	if s.takeIdle(conns[1].target) == nil || s.reserveSlot() && s.reserveSlot() {
-		t.Error("room was made though nothing stands idle")
+	if s.takeIdle(conns[1].target) == nil {
+		t.Error("the connection that is still idle is not there")
+	}
+	first := s.reserveSlot()
+	if first && s.reserveSlot() {
+		t.Error("a slot was freed though no connection is idle")
 	}
 }
 
-// What a connection has shown decides when it carries the next request.
-func TestConnectionRests(t *testing.T) {
+// What a connection has shown decides when it may carry the next request.
+func TestConnectionCooldown(t *testing.T) {
 	server := listen(t, func(c net.Conn) { discard(c) })
 	at := upstreamTarget{1, server}
 	for name, c := range map[string]struct {
@@ -140,7 +145,7 @@
 		taken           bool
 	}{
 		"after an answer":           {standing: true, taken: true},
-		"after one turned away":     {standing: true, turned: true},
+		"after one rejected":        {standing: true, turned: true},
 		"where answers come again":  {standing: true, strayed: true},
 		"its server is not wanted":  {},
 		"nor in any of these cases": {strayed: true, turned: true},
@@ -169,8 +174,8 @@
 	}
 }
 
-// A server that has started anew at its address is not sent to on connections from before.
-func TestServerStartsAnewWhereItStood(t *testing.T) {
+// After an endpoint has restarted at its address no request is sent on connections from before.
+func TestEndpointRestartsAtItsAddress(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	ask(t, n, "batch", "a", "")
