--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -62,7 +62,8 @@
 	arrived int
 }
 
-// newTestFleet starts a Balancer with so many endpoints and three classes: idempotent, idempotent by key in a pod, non-idempotent.
+// newTestFleet starts a Balancer with so many endpoints and three classes: idempotent, idempotent by key in a pod,
+// non-idempotent.
 func newTestFleet(t *testing.T, endpoints int, change func(*Settings)) *testFleet {
 	s := Settings{
 		MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
@@ -151,4 +152,10 @@
 	return list
 }
 
-var benchSettings = Settings{Classes: []Class{{LatencyObjective: 200 * ms}}, MayCancel: true, MaxAttempts: 4, SlowStartWindow: 20e9, SlowStartMinCapacity: 0.2}
+var benchSettings = Settings{
+	Classes:              []Class{{LatencyObjective: 200 * ms}},
+	MayCancel:            true,
+	MaxAttempts:          4,
+	SlowStartWindow:      20e9,
+	SlowStartMinCapacity: 0.2,
+}
--- a/policy/idleconns_test.go
+++ b/policy/idleconns_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// Guards against a node that comes by each endpoint seldom: it lost a request to each before it learned that they die idle.
+// Guards against a node that comes by each endpoint seldom: it lost a request to each before it learned that they die
+// idle.
 func TestSilenceOnIdleConnectionsIsASignBeforeItEnds(t *testing.T) {
 	for _, most := range []int{1, 2} { // out at once at an endpoint
 		b := newTestFleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
@@ -50,7 +51,10 @@
 			b.TimerFired(b.now, b.timers[len(b.timers)-1])
 		}
 		if learned := b.idleConns.trusted.Limit < 1e12; learned != (most == 1) {
-			t.Errorf("%d out at once at an endpoint, where a connection carries one: idle time trusted %d ms", most, b.idleConns.trusted.Limit/ms)
+			t.Errorf(
+				"%d out at once at an endpoint, where a connection carries one: idle time trusted %d ms", most,
+				b.idleConns.trusted.Limit/ms,
+			)
 		}
 	}
 }
@@ -93,8 +97,8 @@
 	}
 }
 
-// Guards against endpoints that reset requests for reasons of their own being taken for connections that die idle: closing
-// and opening connections all the time cost an incident half of its service.
+// Guards against endpoints that reset requests for reasons of their own being taken for connections that die idle:
+// closing and opening connections all the time cost an incident half of its service.
 func TestResetsAmongLongLivedConnectionsAreNoSign(t *testing.T) {
 	b := newTestFleet(t, 1, func(s *Settings) { s.StreamsPerConnection = 100 })
 	b.serve(40, answersPromptly)
@@ -108,6 +112,8 @@
 		b.end(id, 0, o, ms)
 	}
 	if b.idleConns.trusted.Limit < 1e12 {
-		t.Errorf("one reset in twelve, and connections idle for %d ms are no longer trusted", b.idleConns.trusted.Limit/ms)
+		t.Errorf(
+			"one reset in twelve, and connections idle for %d ms are no longer trusted", b.idleConns.trusted.Limit/ms,
+		)
 	}
 }
