--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -9,6 +9,7 @@
 	"container/heap"
 	"errors"
 	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
@@ -390,7 +391,7 @@
 func (r *rider) answered(t *try, rec *invariant.Request, m *message, now int64) (goesOn bool) {
 	d := r.pool.side.day
 	size := d.scenario.Load.Body
-	if d.scenario.Classes[t.task.Class].Idempotency == "rerunnable" {
+	if d.scenario.Classes[t.task.Class].Idempotency == scenario.Idempotent {
 		size = 0
 	}
 	state, advice := trace.Failed, int64(0)
@@ -437,23 +438,15 @@
 // after ends a try that did not satisfy, and sends the task again where a client would.
 func (c *clients) after(t *try, state trace.State, unreached bool, advice int64) {
 	now := c.day.now()
-	s := c.day.scenario
-	category := &s.Classes[t.task.Class]
-	may := state == trace.Rejected || unreached || category.Idempotency == "rerunnable"
-	if category.Idempotency == "ticketed" && category.DedupGroup == "fleet" && now < t.task.Due+int64(category.DedupWindow) {
-		may = true
-	}
-	wait := int64(s.Clients.Backoff) << t.n
-	if advice > 0 && t.task.HonorsRetryAfter {
-		wait = max(wait, advice)
-	}
-	last := t.task.Due + int64(category.Deadline)
-	if !may || t.n >= s.Clients.Retries || now+wait >= last {
+	retry, ok := t.task.NextRetry(c.day.scenario, t.n, now, state == trace.Rejected || unreached, advice)
+	if !ok {
 		c.settle(t, state, now)
 		return
 	}
-	next := &try{task: t.task, n: t.n + 1, due: now + wait, ticket: t.ticket, id: c.day.idOf(t.task.Index, t.n+1)}
-	next.hard = min(last, next.due+int64(float64(category.Deadline)*s.Clients.RequestTimeoutShare))
+	next := &try{
+		task: t.task, n: t.n + 1, due: now + retry.Wait, hard: retry.Deadline,
+		ticket: t.ticket, id: c.day.idOf(t.task.Index, t.n+1),
+	}
 	c.mu.Lock()
 	heap.Push(&c.again, next)
 	c.mu.Unlock()
--- a/internal/lab/emulator/day.go
+++ b/internal/lab/emulator/day.go
@@ -505,7 +505,7 @@
 	r.Reach = trace.ReachOf(d.scenario, d.between.ways, d.base)
 	rules := trace.RulesOf(d.scenario, d.between.ways, d.base, socketSlack, d.gauge.late)
 	r.Violations = d.ledger.Check(trace.Classes(d.scenario), rules)
-	r.Peaks[0], r.Peaks[1] = d.ledger.Peaks(rules)
+	r.Peaks.All, r.Peaks.Known = d.ledger.Peaks(rules)
 	for i := range r.Violations {
 		r.Violations[i].At -= d.base
 	}
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -37,7 +37,7 @@
 			d.later(long, do)
 		}
 	}
-	if scenario.FaultKinds[f.Kind] == "ways" {
+	if scenario.FaultTargets[f.Kind] == scenario.LinkTarget {
 		return nil // the relays go by the schedule
 	}
 	switch f.Kind {
--- a/internal/lab/emulator/names.go
+++ b/internal/lab/emulator/names.go
@@ -112,7 +112,7 @@
 func tryText(into []byte, s *scenario.Scenario, t *workload.Operation, id, ticket string, try int, remaining int64) []byte {
 	c := &s.Classes[t.Class]
 	method := "POST"
-	if c.Idempotency == "rerunnable" {
+	if c.Idempotency == scenario.Idempotent {
 		method = "GET"
 	}
 	into = append(into, method...)
@@ -128,7 +128,7 @@
 		into = append(into, "\r\n"+nameCustomer+": "...)
 		into = append(into, s.Tenants[t.Tenant].Name...)
 	}
-	if c.Idempotency == "ticketed" {
+	if c.Idempotency == scenario.IdempotentByKey {
 		into = append(into, "\r\n"+nameTicket+": "...)
 		into = append(into, ticket...)
 	}
--- a/internal/lab/faultsearch/faultsearch.go
+++ b/internal/lab/faultsearch/faultsearch.go
@@ -224,8 +224,8 @@
 		Kind: kinds[draw.IntN(len(kinds))], At: scenario.Duration((0.05 + 0.7*draw.Float64()) * length),
 		For: scenario.Duration((0.02 + 0.5*draw.Float64()*draw.Float64()) * length), AttemptShare: 1,
 	}
-	switch scenario.FaultKinds[f.Kind] {
-	case "servers", "nodes":
+	switch scenario.FaultTargets[f.Kind] {
+	case scenario.EndpointTarget, scenario.NodeTarget:
 		f.Share = 0.05 + 0.65*draw.Float64()*draw.Float64()
 		if draw.IntN(4) == 0 && len(o.Base.Network.Zones) > 1 {
 			f.Zone = o.Base.Network.Zones[draw.IntN(len(o.Base.Network.Zones))]
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -88,10 +88,10 @@
 }
 
 func coldOf(r *trace.Trace) *Cold {
-	if len(r.Peaks[0]) == 0 {
+	if len(r.Peaks.All) == 0 {
 		return nil
 	}
-	return &Cold{len(r.Peaks[0]), len(r.History.Crashes), worstOf(r.Peaks[0], r.StartedAt), worstOf(r.Peaks[1], r.StartedAt)}
+	return &Cold{len(r.Peaks.All), len(r.History.Crashes), worstOf(r.Peaks.All, r.StartedAt), worstOf(r.Peaks.Known, r.StartedAt)}
 }
 
 // Drawn is the same for the same scenario and seed.
@@ -300,7 +300,7 @@
 	}
 	k := r.History.Count(func(task string) (string, bool) {
 		c, known := categoryOf[task]
-		return ticketOf[task], known && s.Classes[c].Idempotency != "rerunnable"
+		return ticketOf[task], known && s.Classes[c].Idempotency != scenario.Idempotent
 	})
 	return HandOffs{k.Attempts, k.Succeeded, k.Rejected, k.Errors, k.Unanswered + k.Incomplete, k.DoubleEffects}
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,16 +1,16 @@
-// Package scenario owns what a day in the lab is told: the TOML file, its defaults and its check. It must never start
-// anything, draw anything or guess at what a file may have meant.
+// Package scenario reads scenario files: TOML, decoded strictly, with defaults and checks. Its types are the one place
+// where the words of the files meet the terms of the code.
 package scenario
 
 import (
 	"fmt"
-	"os"
 	"time"
 )
 
 // Duration is a time in whole nanoseconds, written as 1.5s or 20ms.
 type Duration int64
 
+// UnmarshalText reads a duration as time.ParseDuration does.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -20,10 +20,15 @@
 	return nil
 }
 
-func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
-func (d Duration) Std() time.Duration           { return time.Duration(d) }
+// MarshalText writes a duration as time.Duration does.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(d.Std().String()), nil }
 
-// Scenario is one day: who takes part, what comes, what breaks and when, and what must hold at its end.
+// Std returns the duration as the standard library's type.
+func (d Duration) Std() time.Duration { return time.Duration(d) }
+
+func ms(v float64) Duration { return Duration(v * float64(time.Millisecond)) }
+
+// Scenario is one run: the parts, the load, the faults, and what must hold at the end.
 type Scenario struct {
 	Name   string   `toml:"name"`
 	About  string   `toml:"about"`
@@ -44,37 +49,37 @@
 	Expect    Expect    `toml:"expect"`
 
 	Path  string         `toml:"-"`
-	lines map[string]int // of keys, to say where a fault lies
+	lines map[string]int // of keys, to say where a mistake is
 }
 
-// Network has a delay for one way between each two places. A zone's clients come through a front in their zone.
+// Network has the delays between parts, one way. Clients reach nodes through a front in their zone.
 type Network struct {
 	Zones     []string `toml:"zones"`
-	SameZone  Duration `toml:"same"`   // within a zone, one way
-	CrossZone Duration `toml:"cross"`  // between two zones, one way
-	Client    Duration `toml:"client"` // from a client to its front, one way
-	Jitter    float64  `toml:"jitter"` // up to this part more
+	SameZone  Duration `toml:"same"`
+	CrossZone Duration `toml:"cross"`
+	Client    Duration `toml:"client"` // from a client to its front
+	Jitter    float64  `toml:"jitter"` // a delay is longer by up to this part of it
 }
 
-// Nodes are real processes. Node i stands in zone i modulo the number of zones, unless Zones says otherwise.
+// Nodes are the nodes of the fleet. Node i is in zone i modulo the number of zones, unless Zones says otherwise.
 type Nodes struct {
 	Count          int      `toml:"count"`
 	Zones          []string `toml:"zones"`
-	Cores          float64  `toml:"cores"`
-	MemoryMB       int64    `toml:"memory_mb"` // past it the node is killed
+	Cores          float64  `toml:"cores"`     // in the configuration; not enforced
+	MemoryMB       int64    `toml:"memory_mb"` // beyond it a node is killed
 	Sockets        int      `toml:"sockets"`   // descriptors, set as the process's limit
-	DeathNotice    Duration `toml:"notice"`    // until the front sees that one has died
-	StaleList      bool     `toml:"old_list"`  // a node that comes back knows the list of the day's beginning
-	NoList         bool     `toml:"no_list"`   // a node that comes back knows no list, and is ready once it has one
+	DeathNotice    Duration `toml:"notice"`    // until the front notices that a node has died
+	StaleList      bool     `toml:"old_list"`  // a restarted node has the endpoint list of the run's beginning
+	NoList         bool     `toml:"no_list"`   // a restarted node has no endpoint list, and is ready once it has one
 	ClockSkew      Duration `toml:"skew"`      // clocks differ by up to this, either way; in virtual time alone
-	Gossip         bool     `toml:"news"`      // nodes may tell one another what they find out
-	PersistState   bool     `toml:"state"`     // nodes remember through a crash; on sockets alone
-	Membership     bool     `toml:"members"`   // nodes know of one another, which they can only where they may tell
-	ProtocolPeriod Duration `toml:"round"`     // of the members
-	ListGossip     bool     `toml:"list"`      // members ask one another for the list while discovery does not tell it
+	Gossip         bool     `toml:"news"`
+	PersistState   bool     `toml:"state"` // on sockets alone
+	Membership     bool     `toml:"members"`
+	ProtocolPeriod Duration `toml:"round"` // of membership
+	ListGossip     bool     `toml:"list"`  // members ask each other for the endpoint list while discovery is silent
 }
 
-// Fleet is a number of servers of one kind, spread over its zones in turn.
+// Fleet is a number of endpoints of one kind, spread over its zones in turn.
 type Fleet struct {
 	Name    string   `toml:"name"`
 	Count   int      `toml:"count"`
@@ -82,51 +87,51 @@
 	PodSize int      `toml:"pod_size"`
 
 	Cores        int     `toml:"cores"`
-	Speed        float64 `toml:"speed"`  // work done by one core in a second, in seconds of work
-	Spread       float64 `toml:"spread"` // speeds lie within this part of Speed, drawn
-	Concurrency  int     `toml:"places"` // tasks in work at a time
-	QueueLimit   int     `toml:"waiting"`
-	Slowdown     float64 `toml:"dearer"`    // part by which work gets dearer with each task a core beyond dearer_at
-	SlowdownFrom float64 `toml:"dearer_at"` // tasks in work to a core
+	Speed        float64 `toml:"speed"`   // seconds of work that one core does in a second
+	Spread       float64 `toml:"spread"`  // speeds are drawn within this part of Speed
+	Concurrency  int     `toml:"places"`  // requests in work at a time
+	QueueLimit   int     `toml:"waiting"` // requests queued
+	Slowdown     float64 `toml:"dearer"`  // part by which work grows with each request a core beyond SlowdownFrom
+	SlowdownFrom float64 `toml:"dearer_at"`
 	ErrorShare   float64 `toml:"error_share"`
-	DropExpired  bool    `toml:"drop_expired"` // turns away what has waited past its time
-	Cancel       string  `toml:"cancel"`       // what a hand-off given up on stops: nothing, waiting or work
+	DropExpired  bool    `toml:"drop_expired"` // rejects requests that were queued past their time
+	Cancel       string  `toml:"cancel"`       // what a canceled attempt stops: nothing, waiting or work
 
-	SlowStartCapacity float64  `toml:"cold_from"` // share of its capacity that a server has at its start
+	SlowStartCapacity float64  `toml:"cold_from"` // part of its capacity that an endpoint has at its start
 	SlowStartWindow   Duration `toml:"warm_for"`
-	StartsCold        bool     `toml:"cold"` // started at the day's beginning, so cold then
+	StartsCold        bool     `toml:"cold"` // started at the run's beginning
 
 	PauseEvery Duration `toml:"pause_every"` // on average; 0: never
 	PauseFor   Duration `toml:"pause_for"`
 
 	Connections     int      `toml:"connections"`     // at most
-	ConnectionWork  Duration `toml:"connection_work"` // work that a new one costs
-	ConnectionWait  Duration `toml:"connection_wait"` // time that the first task on a new one waits
-	IdleClose       Duration `toml:"idle_close"`      // closes one that has stood idle this long
-	HealthCheckWork Duration `toml:"probe_work"`      // work that a probe costs
+	ConnectionWork  Duration `toml:"connection_work"` // work of a new one
+	ConnectionWait  Duration `toml:"connection_wait"` // time that the first request on a new one waits
+	IdleClose       Duration `toml:"idle_close"`      // an idle one is closed after this
+	HealthCheckWork Duration `toml:"probe_work"`
 }
 
-// Reports are the load reports in servers' answers.
+// Reports are the load reports in responses.
 type Reports struct {
 	Fields        []string `toml:"fields"` // inflight, queue, util, latency_ms; none: no reports
-	Period        Duration `toml:"period"` // figures are taken anew this often
-	Delay         Duration `toml:"delay"`  // and seen this much later
+	Period        Duration `toml:"period"` // figures are sampled this often
+	Delay         Duration `toml:"delay"`  // and visible this much later
 	Noise         float64  `toml:"noise"`
-	HealthChecked bool     `toml:"probed"` // only probes bring them; in virtual time alone
+	HealthChecked bool     `toml:"probed"` // only health checks bring them; in virtual time alone
 }
 
-// Discovery tells nodes of servers.
+// Discovery has the endpoint list for nodes.
 type Discovery struct {
-	MustPoll       bool     `toml:"ask"`    // nodes have to ask for a watch
-	ChangeDelay    Duration `toml:"notice"` // until a change among the servers stands in the list
-	UpdateInterval Duration `toml:"period"` // between two writings to a watch
-	CallTime       Duration `toml:"call"`   // to work through one call; calls wait their turn
+	MustPoll       bool     `toml:"ask"`    // nodes have to call for a watch
+	ChangeDelay    Duration `toml:"notice"` // until a change of an endpoint is on the list
+	UpdateInterval Duration `toml:"period"` // between two writes to a watch
+	CallTime       Duration `toml:"call"`   // of one call; calls are handled in turn
 	EntryTime      Duration `toml:"per_line"`
 	CallTimeout    Duration `toml:"give_up"` // a call that waits longer fails
 	KeyAffinity    bool     `toml:"warm_keys"`
 }
 
-// Rules are what nodes are held to, and told.
+// Rules are the limits that nodes are held to, and have in their settings.
 type Rules struct {
 	StopSending    Duration `toml:"stop_sending"`
 	PollWithin     Duration `toml:"ask_within"`
@@ -137,28 +142,35 @@
 	MaxAttempts    int      `toml:"most_hand_offs"`
 	MayHedge       bool     `toml:"may_duplicate"`
 	MayCancel      bool     `toml:"may_recall"`
-	MaxRetryAfter  Duration `toml:"max_advice"` // 0: no advice may be given
+	MaxRetryAfter  Duration `toml:"max_advice"` // 0: no Retry-After is allowed
 	ConnectTimeout Duration `toml:"connect_within"`
 }
 
 // Load is what clients ask for, drawn ahead.
 type Load struct {
-	Rate        float64   `toml:"rate"`       // tasks in a second, mean of all clients
+	Rate        float64   `toml:"rate"`       // operations a second, mean of all clients
 	Shape       string    `toml:"shape"`      // steady, wave, burst or month-end
-	Swing       float64   `toml:"swing"`      // how far the rate moves from its mean, as a part of it
+	Swing       float64   `toml:"swing"`      // by which part of its mean the rate moves
 	Period      Duration  `toml:"period"`     // of a wave; between bursts
 	ZoneShare   []float64 `toml:"zone_share"` // even if left out
-	Keys        int       `toml:"keys"`       // number of keys; 0: tasks have none
-	HotKeyShare float64   `toml:"hot_key"`    // share of the tasks that have one and the same key
+	Keys        int       `toml:"keys"`       // number of keys; 0: requests have none
+	HotKeyShare float64   `toml:"hot_key"`    // part of the operations with one and the same key
 	Body        int       `toml:"body"`       // bytes
-	NodeSkew    float64   `toml:"uneven"`     // spread over the nodes of a zone: the deviation of the logarithm of a node's part; 0: all alike
+	NodeSkew    float64   `toml:"uneven"`     // deviation of the logarithm of a node's part of its zone's load
 }
 
-// Category of tasks.
+// The kinds of idempotency of a Class.
+const (
+	Idempotent      = "rerunnable"
+	IdempotentByKey = "ticketed"
+	NonIdempotent   = "exclusive"
+)
+
+// Class of requests.
 type Class struct {
 	Name             string   `toml:"name"`
-	Idempotency      string   `toml:"repeat"` // rerunnable, ticketed or exclusive
-	DedupGroup       string   `toml:"group"`  // of a ticketed one: fleet, zone or pod
+	Idempotency      string   `toml:"repeat"`
+	DedupGroup       string   `toml:"group"` // of IdempotentByKey: fleet, zone or pod
 	DedupWindow      Duration `toml:"memory"`
 	Share            float64  `toml:"share"`
 	LatencyObjective Duration `toml:"soft_limit"`
@@ -166,29 +178,29 @@
 	PriorityWeight   float64  `toml:"earnings"`
 	Work             Duration `toml:"work"`       // mean, on a core of speed 1
 	WorkSpread       float64  `toml:"vary"`       // 0: all alike; 1: exponential
-	AttemptNoise     float64  `toml:"hand_noise"` // one hand-off's work lies within this part of the task's
-	CostHint         bool     `toml:"estimate"`   // clients tell a guess at the work
+	AttemptNoise     float64  `toml:"hand_noise"` // an attempt's work is within this part of the request's
+	CostHint         bool     `toml:"estimate"`   // clients send a guess at the work
 }
 
-// Customer whose tasks these are.
+// Tenant whose requests these are.
 type Tenant struct {
 	Name  string  `toml:"name"`
-	Share float64 `toml:"share"` // of the tasks that come
+	Share float64 `toml:"share"` // of the operations
 	Quota float64 `toml:"owns"`  // of the service; as Share if left out
 }
 
-// Clients tells how they behave.
+// Clients say how clients behave.
 type Clients struct {
 	Retries             int      `toml:"retries"`
-	Backoff             Duration `toml:"backoff"`     // doubled with each
-	HonorShare          float64  `toml:"honour"`      // share that heeds advice when to come back
-	LeaveShare          float64  `toml:"leave"`       // share that may leave early
-	OneShotShare        float64  `toml:"once"`        // share that asks once and keeps its connection for good
-	RequestTimeoutShare float64  `toml:"try_share"`   // of the hard limit that one try waits
-	MaxConnections      int      `toml:"connections"` // to a node, at most; tasks beyond wait, which counts in their times
+	Backoff             Duration `toml:"backoff"`     // doubled with each retry
+	HonorShare          float64  `toml:"honour"`      // part that keeps to Retry-After
+	LeaveShare          float64  `toml:"leave"`       // part that may cancel early
+	OneShotShare        float64  `toml:"once"`        // part that sends one request and keeps its connection for good
+	RequestTimeoutShare float64  `toml:"try_share"`   // part of the deadline that one request is waited for
+	MaxConnections      int      `toml:"connections"` // to a node; operations beyond wait, which counts in their latency
 }
 
-// Fault is one trouble in the day. Who is named by Servers or Nodes, or drawn: Count of them or a Share.
+// Fault is one fault of the run. What it hits is named by Endpoints or Nodes, or drawn: Count of them or a Share.
 type Fault struct {
 	Kind         string   `toml:"kind" json:"Kind"`
 	At           Duration `toml:"at" json:"At"`
@@ -200,98 +212,58 @@
 	Share        float64  `toml:"share" json:"Share"`
 	Factor       float64  `toml:"factor" json:"Factor"`
 	Each         Duration `toml:"each" json:"Each"`          // apart, when several are hit one after another
-	AttemptShare float64  `toml:"hand_offs" json:"HandOffs"` // share of hand-offs or answers that it hits
+	AttemptShare float64  `toml:"hand_offs" json:"HandOffs"` // part of the attempts or responses that it hits
 	How          string   `toml:"how" json:"How"`
-	Rate         float64  `toml:"rate" json:"Rate"` // of bad clients, a second
+	Rate         float64  `toml:"rate" json:"Rate"` // of bad clients, a second; of a narrow link, bytes a second
 	Class        string   `toml:"category" json:"Category"`
 	Tenant       string   `toml:"customer" json:"Customer"`
-	Wait         Duration `toml:"wait" json:"Wait"` // in its place, before the work; of a way: how much later; of a clock: the step
+	Wait         Duration `toml:"wait" json:"Wait"` // before the work; of a link: the delay; of a clock: the step
 
-	// Of ways: which ends, by the names that package links resolves.
+	// Of links: the ends, by the names that package netfault resolves.
 	From   []string `toml:"from" json:"From"`
 	To     []string `toml:"to" json:"To"`
-	OneWay bool     `toml:"one_way" json:"OneWay"` // only what goes from From to To
-	Burst  int      `toml:"burst" json:"Burst"`    // so many messages in a row meet the same fate
+	OneWay bool     `toml:"one_way" json:"OneWay"` // only from From to To
+	Burst  int      `toml:"burst" json:"Burst"`    // so many messages in a row have the same fate
 
-	// Of a power loss: when what was lost is back, counted from the loss, each up to Each later; 0: not in the day.
+	// Of a power loss: when what was lost is back, counted from the loss, each up to Each later; 0: not in this run.
 	NodesBack     Duration `toml:"nodes_back" json:"NodesBack"`
 	EndpointsBack Duration `toml:"servers_back" json:"ServersBack"`
 	DiscoveryBack Duration `toml:"discovery_back" json:"DiscoveryBack"`
 }
 
-// Expect is what must hold for a run to end with exit 0. No rule may be broken, whatever stands here.
+// Expect is what must hold for a run to end with exit code 0. The rules hold whatever it says.
 type Expect struct {
-	WeightInTime       float64  `toml:"earnings_in_time_min"` // part of the earnings that came
-	Succeeded          float64  `toml:"satisfied_min"`        // part of the tasks
-	Rejected           float64  `toml:"declined_max"`
-	P99                Duration `toml:"p99_max"`
-	BadUnanswered      float64  `toml:"bad_unanswered_max"` // part of bad clients that got neither an error nor a close
-	MaxLost            int      `toml:"lost_max"`           // tasks lost with nodes that were killed
-	OfLateSeeing       float64  `toml:"seeing_part_min"`    // of what a policy keeps that sees the true state late; the gate
-	ViewsAgree         bool     `toml:"agree"`              // at the end every node knows which nodes run
-	RecoverWithin      Duration `toml:"back_within"`        // from the last loss of power until service is back at 0.95 of the earnings; 0: not asked
-	MaxSlowStartExcess *float64 `toml:"cold_over_max"`      // the most over a cold server's budget of N requests from nodes that were told, in roots of N
-	MaxBelowRandom     float64  `toml:"plain_less_max"`     // by how much less than random choice it may keep; the gate; 0: not asked
-}
-
-// Read reads and checks a file. Its errors name the line and what was expected.
-func Read(path string) (*Scenario, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, err
-	}
-	return Parse(path, text)
-}
-
-// Default returns what a file need not say. The figures are those of a small, healthy site.
-func Default() *Scenario {
-	s := &Scenario{Length: Duration(10 * time.Second), Seed: 1}
-	s.Network = Network{Zones: []string{"a"}, SameZone: ms(0.2), CrossZone: ms(5), Client: ms(0.3), Jitter: 0.1}
-	s.Nodes = Nodes{Count: 1, MemoryMB: 192, Sockets: 1024, DeathNotice: ms(1000), ProtocolPeriod: ms(500)}
-	s.Reports = Reports{Fields: []string{"queue", "inflight"}, Period: ms(400), Delay: ms(100), Noise: 0.03}
-	s.Discovery = Discovery{MustPoll: true, ChangeDelay: ms(500), UpdateInterval: ms(200), CallTime: ms(20), CallTimeout: ms(2000)}
-	s.Rules = Rules{
-		StopSending: ms(500), PollWithin: ms(10000), CrashMultiple: 3, CrashWindow: ms(1000), CrashSlack: "tight", AnswerGrace: ms(20),
-		MaxAttempts: 4, MayCancel: true, MaxRetryAfter: ms(1500), ConnectTimeout: ms(75),
-	}
-	s.Load = Load{Rate: 200, Shape: "steady", Swing: 0.3, Period: ms(5000), Body: 200}
-	s.Clients = Clients{Retries: 2, Backoff: ms(20), HonorShare: 0.8, RequestTimeoutShare: 1, MaxConnections: 200}
-	return s
-}
-
-func ms(v float64) Duration { return Duration(v * 1e6) }
-
-// fleetDefault fills what a fleet leaves out.
-func fleetDefault(f *Fleet) {
-	setDefault(&f.Name, "s")
-	setDefault(&f.PodSize, 4)
-	setDefault(&f.Cores, 2)
-	setDefault(&f.Speed, 1)
-	setDefault(&f.Concurrency, 16)
-	setDefault(&f.QueueLimit, 16)
-	setDefault(&f.SlowStartCapacity, 0.25)
-	setDefault(&f.SlowStartWindow, ms(15000))
-	setDefault(&f.Connections, 1000)
-	setDefault(&f.IdleClose, ms(60000))
-	setDefault(&f.Cancel, "nothing")
-	if f.PauseEvery > 0 {
-		setDefault(&f.PauseFor, ms(100))
-	}
+	WeightInTime  float64  `toml:"earnings_in_time_min"` // part of the priority weight answered within the objective
+	Succeeded     float64  `toml:"satisfied_min"`        // part of the operations
+	Rejected      float64  `toml:"declined_max"`
+	P99           Duration `toml:"p99_max"`
+	BadUnanswered float64  `toml:"bad_unanswered_max"` // part of bad clients that got neither an error nor a close
+	MaxLost       int      `toml:"lost_max"`           // operations lost with nodes that were killed
+	OfLateSeeing  float64  `toml:"seeing_part_min"`    // part of what a policy keeps that sees the true state late; gate
+	ViewsAgree    bool     `toml:"agree"`              // at the end every node knows which nodes run
+	// RecoverWithin is the time from the last power loss until service is back at 0.95 of the weight; 0: not checked.
+	RecoverWithin Duration `toml:"back_within"`
+	// MaxSlowStartExcess is the most over the budget of N requests of an endpoint in slow start, by nodes that knew of
+	// its start, in roots of N.
+	MaxSlowStartExcess *float64 `toml:"cold_over_max"`
+	MaxBelowRandom     float64  `toml:"plain_less_max"` // by how much less than random choice it may keep; gate; 0: not checked
 }
 
-func classDefault(c *Class) {
-	setDefault(&c.Idempotency, "rerunnable")
-	setDefault(&c.Share, 1)
-	setDefault(&c.PriorityWeight, 1)
-	if c.Idempotency == "ticketed" {
-		setDefault(&c.DedupGroup, "fleet")
-		setDefault(&c.DedupWindow, ms(5000))
+// EndpointNames lists the endpoints of the run's beginning in their order.
+func (s *Scenario) EndpointNames() []string {
+	var names []string
+	for i := range s.Fleets {
+		for n := range s.Fleets[i].Count {
+			names = append(names, fmt.Sprintf("%s-%d", s.Fleets[i].Name, n))
+		}
 	}
+	return names
 }
 
-func setDefault[T comparable](v *T, missing T) {
-	var zero T
-	if *v == zero {
-		*v = missing
+// NodeZone is the zone of a node.
+func (s *Scenario) NodeZone(node int) string {
+	if len(s.Nodes.Zones) == s.Nodes.Count {
+		return s.Nodes.Zones[node]
 	}
+	return s.Network.Zones[node%max(len(s.Network.Zones), 1)]
 }
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -182,24 +182,15 @@
 // after ends a try that did not satisfy, and sends the task again where a client would.
 func (c *clients) after(t *try, state trace.State, unreached bool, advice int64) {
 	d := c.day
-	s := d.scenario
-	category := &s.Classes[t.task.Class]
-	may := state == trace.Rejected || unreached || category.Idempotency == "rerunnable"
-	if category.Idempotency == "ticketed" && category.DedupGroup == "fleet" && d.now < t.task.Due+int64(category.DedupWindow) {
-		may = true
-	}
-	wait := int64(s.Clients.Backoff) << t.n
-	if advice > 0 && t.task.HonorsRetryAfter {
-		wait = max(wait, advice)
-	}
-	last := t.task.Due + int64(category.Deadline)
-	if !may || t.n >= s.Clients.Retries || d.now+wait >= last {
+	retry, ok := t.task.NextRetry(d.scenario, t.n, d.now, state == trace.Rejected || unreached, advice)
+	if !ok {
 		c.settle(t, state, d.now)
 		return
 	}
-	next := &try{task: t.task, n: t.n + 1, ticket: t.ticket, id: d.idOf(t.task.Index, t.n+1)}
-	next.hard = min(last, d.now+wait+int64(float64(category.Deadline)*s.Clients.RequestTimeoutShare))
-	d.in(wait, func() { c.send(next) })
+	next := &try{
+		task: t.task, n: t.n + 1, hard: retry.Deadline, ticket: t.ticket, id: d.idOf(t.task.Index, t.n+1),
+	}
+	d.in(retry.Wait, func() { c.send(next) })
 }
 
 // settle writes a task's end down.
--- a/internal/lab/simulation/day.go
+++ b/internal/lab/simulation/day.go
@@ -152,7 +152,7 @@
 	trace.ExcuseCutLinks(d.scenario, d.plan, d.ledger)
 	rules := trace.RulesOf(d.scenario, d.ways, 0, 0, nil)
 	r.Violations = d.ledger.Check(trace.Classes(d.scenario), rules)
-	r.Peaks[0], r.Peaks[1] = d.ledger.Peaks(rules)
+	r.Peaks.All, r.Peaks.Known = d.ledger.Peaks(rules)
 	for _, m := range d.machines {
 		r.Endpoints = append(r.Endpoints, m.spec.Name)
 	}
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -26,7 +26,7 @@
 		}
 	}
 	s := d.discovery
-	if scenario.FaultKinds[f.Kind] == "ways" {
+	if scenario.FaultTargets[f.Kind] == scenario.LinkTarget {
 		return // each message goes by the schedule
 	}
 	switch f.Kind {
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/machine.go
@@ -266,7 +266,7 @@
 	c := &d.scenario.Classes[task.Class]
 	work, luck := workload.AttemptWork(task.Work, c.AttemptNoise, task.Seed+uint64(try), m.spec.Seed, 0)
 	h.luck = luck
-	if c.Idempotency == "ticketed" {
+	if c.Idempotency == scenario.IdempotentByKey {
 		if h.rec.Deduplicated = d.memoryOf(m, task.Class).Seen(d.now, h.x.try.ticket); h.rec.Deduplicated {
 			work = min(work, 200_000) // it only looks the answer up
 		}
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -153,7 +153,7 @@
 func (s *datagrams) Send(to int, datagram []byte) {
 	n := (*node)(s)
 	d := n.day
-	d.count(func(t *trace.FleetActivity) { t.Members++; t.MemberBytes += len(datagram) })
+	d.count(func(t *trace.FleetActivity) { t.Members++; t.MembershipBytes += len(datagram) })
 	v := d.pass(netfault.End{Index: n.index}, netfault.End{Index: to}, len(datagram))
 	if v.Lost {
 		return
--- a/internal/lab/trace/settings.go
+++ b/internal/lab/trace/settings.go
@@ -1,76 +1,108 @@
 package trace
 
-// This file owns what nodes are told of the deployment, the same on sockets and in virtual time. It must never tell what a
-// node could not know.
-
-import "fawnglade/internal/lab/scenario"
+import (
+	"fawnglade/internal/lab/scenario"
+	"time"
+)
 
+// The words of the settings for those of a scenario file.
 var (
-	idempotencyNames = map[string]string{"rerunnable": "safe", "ticketed": "keyed", "exclusive": "unsafe"}
-	groupNames       = map[string]string{"fleet": "all", "zone": "zone", "pod": "cell"}
+	repeatNames = map[string]string{
+		scenario.Idempotent: "safe", scenario.IdempotentByKey: "keyed", scenario.NonIdempotent: "unsafe",
+	}
+	groupNames = map[string]string{"fleet": "all", "zone": "zone", "pod": "cell"}
 )
 
-// SettingsOf is what a node is told of the deployment.
+// clockResolution is what every node of the lab is told of its clock.
+const clockResolution = 2 * time.Millisecond
+
+func micros(d scenario.Duration) int64 { return d.Std().Microseconds() }
+
+// NodeSettings returns the settings of a node, as in its configuration: nothing that a node could not know.
 func NodeSettings(s *scenario.Scenario, index, zone int) map[string]any {
-	micros := func(d scenario.Duration) int64 { return int64(d) / 1000 }
-	var categories, customers []any
+	discovery := "push"
+	if s.Discovery.MustPoll {
+		discovery = "ask"
+	}
+	all := map[string]any{
+		"discovery": discovery, "domain_type": "proxy",
+		"family_info": map[string]any{"warm_keys": s.Discovery.KeyAffinity},
+		"goal":        map[string]any{"whole": 0.5, "worst_window": 0.1, "worst_class": 0.3, "worst_tenant": 0.1},
+		"group_size":  s.Nodes.Count, "layer": 0, "tiers": []string{"lab"}, "kinds": []string{"m"}, "position": index,
+		"limits":           limitSettings(s),
+		"over_share_worth": 0.05, "profiles": classSettings(s), "quantum_us": clockResolution.Microseconds(),
+		"report": map[string]any{"fields": s.Reports.Fields, "how": reportSetting(s)},
+		"rules":  ruleSettings(s),
+		"zone":   zone, "zones": s.Network.Zones, "value_by": "request", "weights": "off",
+	}
+	if len(s.Tenants) > 0 {
+		all["parties"] = tenantSettings(s)
+	}
+	return all
+}
+
+func classSettings(s *scenario.Scenario) (classes []any) {
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		one := map[string]any{
 			"name": c.Name, "objective_us": micros(c.LatencyObjective), "deadline_us": micros(c.Deadline),
-			"late_worth": 0.0, "worth": c.PriorityWeight, "repeat": idempotencyNames[c.Idempotency], "streaming": false,
+			"late_worth": 0.0, "worth": c.PriorityWeight, "repeat": repeatNames[c.Idempotency], "streaming": false,
 		}
-		if c.Idempotency == "ticketed" {
+		if c.Idempotency == scenario.IdempotentByKey {
 			one["group"], one["memory_span_us"] = groupNames[c.DedupGroup], micros(c.DedupWindow)
 		}
-		categories = append(categories, one)
+		classes = append(classes, one)
 	}
+	return classes
+}
+
+func tenantSettings(s *scenario.Scenario) (tenants []any) {
 	total := 0.0
-	for _, c := range s.Tenants {
-		total += c.Quota
+	for _, t := range s.Tenants {
+		total += t.Quota
 	}
-	for _, c := range s.Tenants {
-		customers = append(customers, map[string]any{"name": c.Name, "portion": c.Quota / total, "quota_per_s": s.Load.Rate * c.Quota / total})
+	for _, t := range s.Tenants {
+		tenants = append(tenants, map[string]any{
+			"name": t.Name, "portion": t.Quota / total, "quota_per_s": s.Load.Rate * t.Quota / total,
+		})
 	}
-	discovery, how := "push", "inline"
-	if s.Discovery.MustPoll {
-		discovery = "ask"
+	return tenants
+}
+
+func reportSetting(s *scenario.Scenario) string {
+	switch {
+	case len(s.Reports.Fields) == 0:
+		return "off"
+	case s.Reports.HealthChecked:
+		return "on_probe"
 	}
-	if s.Reports.HealthChecked {
-		how = "on_probe"
+	return "inline"
+}
+
+func limitSettings(s *scenario.Scenario) map[string]any {
+	idle := micros(s.Fleets[0].IdleClose)
+	for i := range s.Fleets {
+		idle = min(idle, micros(s.Fleets[i].IdleClose))
 	}
-	if len(s.Reports.Fields) == 0 {
-		how = "off"
+	r := &s.Rules
+	return map[string]any{
+		"cancelling": r.MayCancel, "connect_timeout_us": micros(r.ConnectTimeout), "idle_close_us": idle,
+		"max_open": 20000, "max_retry_after_us": micros(r.MaxRetryAfter), "may_duplicate": r.MayHedge, "multiplex": 1,
+		"peer_messages": s.Nodes.Gossip || s.Nodes.Membership, "probes": s.Reports.HealthChecked,
+		"retry_after": r.MaxRetryAfter > 0, "try_limit": r.MaxAttempts,
 	}
-	coldest, longest, idle := 1.0, int64(0), int64(0)
+}
+
+func ruleSettings(s *scenario.Scenario) map[string]any {
+	coldest, longest := 1.0, int64(0)
 	for i := range s.Fleets {
 		f := &s.Fleets[i]
 		coldest, longest = min(coldest, f.SlowStartCapacity), max(longest, micros(f.SlowStartWindow))
-		if idle == 0 || micros(f.IdleClose) < idle {
-			idle = micros(f.IdleClose)
-		}
 	}
 	r := &s.Rules
-	all := map[string]any{
-		"discovery": discovery, "domain_type": "proxy", "family_info": map[string]any{"warm_keys": s.Discovery.KeyAffinity},
-		"goal":       map[string]any{"whole": 0.5, "worst_window": 0.1, "worst_class": 0.3, "worst_tenant": 0.1},
-		"group_size": s.Nodes.Count, "layer": 0, "tiers": []string{"lab"}, "kinds": []string{"m"}, "position": index,
-		"limits": map[string]any{
-			"cancelling": r.MayCancel, "connect_timeout_us": micros(r.ConnectTimeout), "idle_close_us": idle,
-			"max_open": 20000, "max_retry_after_us": micros(r.MaxRetryAfter), "may_duplicate": r.MayHedge, "multiplex": 1,
-			"peer_messages": s.Nodes.Gossip || s.Nodes.Membership, "probes": s.Reports.HealthChecked, "retry_after": r.MaxRetryAfter > 0, "try_limit": r.MaxAttempts,
-		},
-		"over_share_worth": 0.05, "profiles": categories, "quantum_us": 2000,
-		"report": map[string]any{"fields": s.Reports.Fields, "how": how},
-		"rules": map[string]any{
-			"grace_to_answer_us": micros(r.AnswerGrace), "ask_within_us": micros(r.PollWithin), "cold_from": coldest,
-			"fall_multiple": r.CrashMultiple, "tip_after_us": micros(r.CrashWindow), "stop_sending_within_us": micros(r.StopSending),
-			"warm_within_us": longest,
-		},
-		"value_by": "request", "weights": "off", "zone": zone, "zones": s.Network.Zones,
-	}
-	if len(customers) > 0 {
-		all["parties"] = customers
+	return map[string]any{
+		"grace_to_answer_us": micros(r.AnswerGrace), "ask_within_us": micros(r.PollWithin), "cold_from": coldest,
+		"fall_multiple": r.CrashMultiple, "tip_after_us": micros(r.CrashWindow),
+		"stop_sending_within_us": micros(r.StopSending), "warm_within_us": longest,
 	}
-	return all
 }
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace owns what a day leaves behind, whoever played it: sockets in real time or a world in virtual time. It must
-// never play anything, nor work anything out.
+// Package trace holds what a run of a scenario leaves behind, on sockets in real time or in virtual time, before any
+// figure is worked out from it; and what both give a node and the rule checker to start from.
 package trace
 
 import (
@@ -7,34 +7,34 @@
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
-	"fawnglade/internal/members"
-	"slices"
 	"time"
 )
 
-// State is what became of a task for its client, over all its tries.
+// State is what became of an operation for its client, over all its requests.
 type State int
 
+// The states. An operation that failed had an error, or no response in its time; one that was lost went down with a
+// node that was killed, or found none; one that was canceled was given up by its client first.
 const (
 	Pending State = iota
 	Succeeded
 	Rejected
-	Failed   // failed, or no answer when its time was up
-	Lost     // went down with a node that was killed, or found none
-	Canceled // its client went first
+	Failed
+	Lost
+	Canceled
 )
 
-// StateNames in the order of the states.
+// StateNames has the word for each state in results.
 var StateNames = []string{"unsettled", "satisfied", "declined", "broken off", "lost", "left"}
 
-// Outcome is one task's end.
+// Outcome is how one operation ended.
 type Outcome struct {
 	State    State
-	Elapsed  int64 // from when it was due to when the client had its answer, or gave up
+	Elapsed  int64 // nanoseconds from when it was due until the client had its response, or gave up
 	Requests int
 }
 
-// NodeFigures is what a node used.
+// NodeUsage is what a node used.
 type NodeUsage struct {
 	Node           int     `json:"node"`
 	CPUSeconds     float64 `json:"cpu_s"`
@@ -45,184 +45,69 @@
 	LastLogLine    string  `json:"last_log,omitempty"`
 }
 
-// LoadSample is what the servers held at a moment.
+// LoadSample is how many attempts each endpoint had at a moment.
 type LoadSample struct {
-	At       int64 `json:"At"`
-	InFlight []int `json:"Held"` // by endpoint
+	At       int64 `json:"At"` // nanoseconds
+	InFlight []int `json:"Held"`
 }
 
-// BadFigures tell how bad clients were met.
+// BadClientCounts counts the clients that violated the protocol, by how a node met them.
 type BadClientCounts struct {
 	Came       int64 `json:"Came"`
-	Unanswered int64 `json:"Unanswered"`
+	Unanswered int64 `json:"Unanswered"` // got neither an error nor a close
 	Served     int64 `json:"Served"`
 }
 
-// Together counts what all nodes did together in one second of the day, beside the tasks that came.
+// FleetActivity counts what all nodes together did in one second, beside the operations that came.
 type FleetActivity struct {
-	Operations   int `json:"tasks"`
-	Attempts     int `json:"hand_offs"`
-	Retries      int `json:"resends"` // hand-offs of a task after its first, when none was out
-	Hedged       int `json:"copies"`  // and while one was out
-	Connections  int `json:"connections"`
-	ListCalls    int `json:"calls"` // for the list
-	HealthChecks int `json:"probes"`
-	Gossip       int `json:"news"`              // messages between nodes
-	Members      int `json:"members,omitempty"` // datagrams of who is there, and their bytes
-	MemberBytes  int `json:"member_bytes,omitempty"`
+	Operations      int `json:"tasks"`
+	Attempts        int `json:"hand_offs"`
+	Retries         int `json:"resends"` // attempts of a request after its first, with none in flight
+	Hedged          int `json:"copies"`  // and with one in flight
+	Connections     int `json:"connections"`
+	ListCalls       int `json:"calls"`
+	HealthChecks    int `json:"probes"`
+	Gossip          int `json:"news"` // messages
+	Members         int `json:"members,omitempty"`
+	MembershipBytes int `json:"member_bytes,omitempty"`
 }
 
-// Belief is what one node believed of the others at a moment.
-type MembershipView struct {
-	At     int64  `json:"at_ns"`
-	Node   int    `json:"node"`
-	Known  bool   `json:"known"`            // it says how many there are
-	States string `json:"of"`               // by node: . never seen, U up, ? doubted, - silent, L left
-	Strain int64  `json:"strain,omitempty"` // 0 to 8
-}
-
-// Letters of what is believed of a node, by the state's number.
-const StateLetters = ".U?-L"
-
-// Runs is which nodes ran at a moment, as a letter each: U, or - for one that did not.
-type RunningNodes struct {
-	At     int64  `json:"at_ns"`
-	States string `json:"of"`
-}
-
-// Record is a day before anything is worked out from it.
+// Trace is all that a run leaves behind.
 type Trace struct {
-	Plan       *workload.Plan // its times shifted by Base, as those of the ledger are
+	Plan       *workload.Plan // its times are shifted by StartedAt, as those of the history are
 	PlanHash   string         // of the plan as drawn
-	StartedAt  int64
-	Virtual    bool
-	Outcomes   []Outcome
+	StartedAt  int64          // the beginning of the run on the clock of all times, nanoseconds
+	Virtual    bool           // run in virtual time
+	Outcomes   []Outcome      // by operation
 	History    *invariant.History
 	Violations []invariant.Violation
-	Peaks      [2][]invariant.Peak // of servers while they were cold: of all that came, and of what came from nodes that knew
+	Peaks      Peaks
 	Nodes      []NodeUsage
 	Loads      []LoadSample
 	Activity   []FleetActivity  // by second
-	Reach      []netfault.Reach // by second, where ways are troubled
+	Reach      []netfault.Reach // by second, where links have faults
 	Views      []MembershipView
 	Running    []RunningNodes
-	Oddities   map[string]int
-	Void       bool
-	Lag        time.Duration // in all but the worst twentieth of the time no later than this
+	Oddities   map[string]int // violations of the protocol that are no rule's, by what was seen
+	Void       bool           // the lab itself ran too late for a verdict
+	Lag        time.Duration  // of the lab, in all but the worst twentieth of the time
 	BadClients BadClientCounts
-	Endpoints  []string
+	Endpoints  []string // names
 	Elapsed    time.Duration
 }
 
-// ReachOf is who could reach whom at the middle of each second of a day that begins at a moment; nothing where no way is troubled.
-func ReachOf(s *scenario.Scenario, ways *netfault.Schedule, base int64) (out []netfault.Reach) {
-	if len(ways.Changes()) == 0 {
-		return nil
-	}
-	for second := int64(0); second < (int64(s.Length)+1e9-1)/1e9; second++ {
-		out = append(out, ways.ReachAt(base+second*1e9+5e8, s.Nodes.Count))
-	}
-	return out
-}
-
-// Categories are a scenario's as the judge knows them.
-func Classes(s *scenario.Scenario) []invariant.Class {
-	var out []invariant.Class
-	for i := range s.Classes {
-		repeat, group := IdempotencyOf(&s.Classes[i])
-		out = append(out, invariant.Class{Name: s.Classes[i].Name, Idempotency: repeat, DedupGroup: group, DedupWindow: int64(s.Classes[i].DedupWindow)})
-	}
-	return out
-}
-
-// RepeatOf is what running a category's tasks twice does, and which servers drop a repeat.
-func IdempotencyOf(c *scenario.Class) (invariant.Idempotency, invariant.DedupGroup) {
-	repeat := map[string]invariant.Idempotency{"rerunnable": invariant.Idempotent, "ticketed": invariant.IdempotentByKey, "exclusive": invariant.NonIdempotent}
-	group := map[string]invariant.DedupGroup{"fleet": invariant.DedupFleet, "zone": invariant.DedupZone, "pod": invariant.DedupPod}
-	return repeat[c.Idempotency], group[c.DedupGroup]
-}
+// Peaks are the worst moments of endpoints in slow start: of all load, and of load from nodes that knew of the start.
+type Peaks struct{ All, Known []invariant.Peak }
 
-// The standing test's terms that hold whatever a day's settings allow.
-const (
-	knownWithin      = int64(6 * time.Second)
-	cancelGrace      = int64(100 * time.Millisecond)
-	readyWithin      = int64(10 * time.Second)
-	readyWithinAtEnd = int64(6 * time.Second)
-)
-
-// RulesOf is what the nodes of a day are held to, with what each time limit is longer by: a slack, how late the rig ran, and what
-// the day's ways held up. The day begins at base.
-func RulesOf(s *scenario.Scenario, ways *netfault.Schedule, base, slack int64, late func(int64) int64) invariant.Rules {
-	r := &s.Rules
-	within := int64(0)
-	if s.Discovery.MustPoll {
-		within = int64(r.PollWithin)
-	}
-	rules := invariant.Rules{
-		StopSending: int64(r.StopSending), PollWithin: within, AnswerGrace: int64(r.AnswerGrace),
-		KnownWithin: knownWithin, CancelGrace: cancelGrace, ReadyWithin: readyWithin, ReadyWithinAtEnd: readyWithinAtEnd, End: base + int64(s.Length),
-		MayHedge: r.MayHedge, ListGossip: s.Nodes.ListGossip, Slack: slack, Lag: late,
-	}
-	if len(ways.Changes()) == 0 {
-		return rules
-	}
-	rules.Lag = func(at int64) int64 {
-		by := ways.Allowance(at, netfault.Client, netfault.Node)
-		if late != nil {
-			by += late(at)
-		}
-		return by
-	}
-	rules.LinkDelay = func(at int64) int64 {
-		return ways.Allowance(at, netfault.Node, netfault.Endpoint) + ways.Allowance(at, netfault.Node, netfault.Discovery)
-	}
-	return rules
-}
-
-// BeliefOf puts a view into a line.
-func ViewOf(at int64, node int, v *members.View) MembershipView {
-	b := MembershipView{At: at, Node: node, Known: v.Figure.Known, Strain: v.Strain}
-	letters := make([]byte, len(v.Members))
-	for i, r := range v.Members {
-		letters[i] = '.'
-		for s := members.Never; s <= members.Left; s++ {
-			if s.String() == r.State {
-				letters[i] = StateLetters[s]
-			}
-		}
+// ReachOf tells which parts reach each other in the middle of each second of a run that begins at a moment; nil where no
+// link has a fault.
+func ReachOf(s *scenario.Scenario, faults *netfault.Schedule, startedAt int64) (reach []netfault.Reach) {
+	if len(faults.Changes()) == 0 {
+		return nil
 	}
-	b.States = string(letters)
-	return b
-}
-
-// Excuse tells the ledger of cuts between clients and nodes, as what is said over them reaches nobody, and of those between nodes and
-// discovery, over which nothing can be learned.
-func ExcuseCutLinks(s *scenario.Scenario, p *workload.Plan, l *invariant.History) {
-	for i := range p.Faults {
-		way, ok := s.LinkFault(&p.Faults[i].Fault)
-		if !ok || way.Kind != netfault.Cut {
-			continue
-		}
-		of := func(k netfault.EndKind) (out []int) {
-			for _, e := range append(append([]netfault.End(nil), way.From...), way.To...) {
-				if e.Kind == k {
-					out = append(out, e.Index)
-				}
-			}
-			return out
-		}
-		if len(of(netfault.Discovery)) > 0 {
-			for _, node := range of(netfault.Node) {
-				l.Outages = append(l.Outages, &invariant.Outage{Node: node, Span: invariant.Span{From: way.Begin, To: way.End}})
-			}
-		}
-		if len(of(netfault.Client)) == 0 {
-			continue
-		}
-		for _, life := range l.Processes {
-			if slices.Contains(of(netfault.Node), life.Node) {
-				life.Excused = append(life.Excused, invariant.Span{From: way.Begin, To: way.End + int64(time.Second)})
-			}
-		}
+	const second = int64(time.Second)
+	for n := range (int64(s.Length) + second - 1) / second {
+		reach = append(reach, faults.ReachAt(startedAt+n*second+second/2, s.Nodes.Count))
 	}
+	return reach
 }
