--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestPlacesWaitingAndTurnedAway(t *testing.T) {
+func TestConcurrencyQueueAndRejection(t *testing.T) {
 	s := NewEndpoint(kind(), longAgo, 0, 1)
 	accepted := 0
 	for id := range int64(10) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestWaitedPastItsTime(t *testing.T) {
+func TestExpiredInQueue(t *testing.T) {
 	k := kind()
 	k.Concurrency, k.DropExpired = 1, true
 	s := NewEndpoint(k, longAgo, 0, 1)
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestGivenUp(t *testing.T) {
+func TestCancelJob(t *testing.T) {
 	for cancel, want := range map[CancelEffect][2]bool{CancelsNothing: {false, false}, CancelsQueued: {false, true}, CancelsRunning: {true, true}} {
 		k := kind()
 		k.Concurrency, k.Cancel = 1, cancel
@@ -106,14 +106,14 @@
 	}
 }
 
-func TestStandsStill(t *testing.T) {
+func TestPause(t *testing.T) {
 	s := NewEndpoint(kind(), longAgo, 0, 1)
 	s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Deadline: Never})
 	s.Pause(5*msec, 105*msec)
 	near(t, "task over a pause", drive(s, 200*msec)[1], 110*msec)
 }
 
-func TestWarmsUp(t *testing.T) {
+func TestSlowStartCapacity(t *testing.T) {
 	s := NewEndpoint(kind(), 0, 0, 1)
 	if c := s.Capacity(); c != 0.5 {
 		t.Errorf("capacity at the start %v, want a quarter of 2", c)
@@ -129,7 +129,7 @@
 }
 
 // A cold server takes three times its capacity for a second and no more; what it turns away pushes too.
-func TestFallsOver(t *testing.T) {
+func TestCrashesInSlowStart(t *testing.T) {
 	push := func(each int64, every int64) (*Endpoint, *Crash) {
 		s := NewEndpoint(kind(), 0, 0, 1)
 		for at := int64(0); at < 1000*msec; at += every {
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestFigures(t *testing.T) {
+func TestSample(t *testing.T) {
 	s := NewEndpoint(kind(), longAgo, 0, 1)
 	for id := range int64(5) {
 		s.Arrive(0, &Job{ID: id, Work: 20 * msec, Deadline: Never})
@@ -168,14 +168,14 @@
 	}
 }
 
-func TestMemory(t *testing.T) {
+func TestDeduplicator(t *testing.T) {
 	m := NewDeduplicator(100)
 	if m.Seen(0, "a") || !m.Seen(99, "a") || m.Seen(100, "a") || !m.Seen(150, "a") {
 		t.Error("a ticket is remembered from its first time for the span, and not longer")
 	}
 }
 
-func TestRoster(t *testing.T) {
+func TestEndpointList(t *testing.T) {
 	r := NewEndpointList(40)
 	r.Set(ListEntry{Endpoint: 2, State: Up})
 	r.Set(ListEntry{Endpoint: 1, State: Up})
@@ -199,7 +199,7 @@
 
 // A budget of N = 64 requests of mean work falls at the 83rd where chance counts, at a twentieth or two requests over it elsewhere; with
 // one of N = 6,250 a twentieth is more than chance.
-func TestFallsBeyondChance(t *testing.T) {
+func TestCrashSlack(t *testing.T) {
 	falls := func(work int64, chance bool) int {
 		k := kind()
 		k.MeanWork, k.ChanceSlack, k.SlowStartWindow = float64(work)/1e9, chance, 1e15 // as cold all through
