--- a/cmd/fawnglade-lab/virtual.go
+++ b/cmd/fawnglade-lab/virtual.go
@@ -20,9 +20,9 @@
 const moduleName = "fawnglade"
 
 // makerOf finds what decides by its name.
-func makerOf(name string) (simulation.Maker, error) {
+func makerOf(name string) (simulation.NewDecider, error) {
 	if name == "" || name == moduleName {
-		return simulation.Module, nil
+		return simulation.NewBalancer, nil
 	}
 	if _, known := baseline.Kinds[name]; !known {
 		return nil, fmt.Errorf("--by %s: expected %s or one of %s", name, moduleName, strings.Join(baseline.Names(), ", "))
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	played, err := simulation.Play(ctx, simulation.Options{Scenario: s, Seed: seed, Maker: maker})
+	played, err := simulation.Run(ctx, simulation.Options{Scenario: s, Seed: seed, NewDecider: maker})
 	if err != nil {
 		return nil, fmt.Errorf("%s, seed %d, %s: %w", s.Name, seed, by, err)
 	}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -80,7 +80,7 @@
 	node    int
 	set     policy.Settings
 	host    policy.Effects
-	see     simulation.Truth
+	see     simulation.ClusterState
 	draw    *rand.Rand
 	turn    int
 	servers []*server
@@ -99,8 +99,8 @@
 }
 
 // New makes a maker of deciders of a kind.
-func New(kind string) simulation.Maker {
-	return func(node int, set policy.Settings, seed uint64, host policy.Effects, see simulation.Truth) simulation.Decider {
+func New(kind string) simulation.NewDecider {
+	return func(node int, set policy.Settings, seed uint64, host policy.Effects, see simulation.ClusterState) simulation.Decider {
 		return &Plain{
 			kind: kind, node: node, set: set, host: host, see: see, draw: rand.New(rand.NewPCG(seed, 5)), turn: int(seed % 7919),
 			byID: map[policy.EndpointID]*server{}, tasks: map[policy.RequestID]*task{}, work: slices.Repeat([]float64{20e6}, len(set.Classes)),
@@ -155,7 +155,7 @@
 func (p *Plain) look(now policy.Time) {
 	state := map[policy.EndpointID][2]float64{}
 	for _, s := range p.servers {
-		if held, can, up := p.see.Holds(p.node, s.ID); up {
+		if held, can, up := p.see.Load(p.node, s.ID); up {
 			state[s.ID] = [2]float64{float64(held), can}
 		}
 	}
@@ -335,7 +335,7 @@
 	}
 	state := func(s *server) (held, can float64, up bool) {
 		if p.kind == "all-seeing" {
-			h, c, up := p.see.Holds(p.node, s.ID)
+			h, c, up := p.see.Load(p.node, s.ID)
 			return float64(h), c, up
 		}
 		if len(p.looks) == 0 {
@@ -349,7 +349,7 @@
 		if !up || can <= 0 {
 			return math.Inf(1)
 		}
-		return float64(p.see.Way(p.node, s.ID)) + (held+1)*work*1e9/can
+		return float64(p.see.RoundTrip(p.node, s.ID)) + (held+1)*work*1e9/can
 	}
 	if p.kind == "late-seeing" {
 		return p.drawn(fit, ends, float64(t.Deadline-now))
@@ -418,8 +418,8 @@
 		s.at = now
 	}
 	if t := p.tasks[a.Request]; t != nil && a.Outcome == policy.OutcomeSucceeded {
-		if held, can, up := p.see.Holds(p.node, s.ID); up && p.kind == "all-seeing" || up && p.kind == "late-seeing" {
-			alone := (took - float64(p.see.Way(p.node, s.ID))) * can / 1e9 / float64(held+1)
+		if held, can, up := p.see.Load(p.node, s.ID); up && p.kind == "all-seeing" || up && p.kind == "late-seeing" {
+			alone := (took - float64(p.see.RoundTrip(p.node, s.ID))) * can / 1e9 / float64(held+1)
 			p.work[t.Class] += (max(alone, 0) - p.work[t.Class]) / 64
 		}
 	}
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -16,7 +16,7 @@
 			t.Fatal(err)
 		}
 		for _, kind := range Names() {
-			r, err := simulation.Play(context.Background(), simulation.Options{Scenario: s, Seed: 3, Maker: New(kind)})
+			r, err := simulation.Run(context.Background(), simulation.Options{Scenario: s, Seed: 3, NewDecider: New(kind)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -44,7 +44,7 @@
 	}
 	inTime := map[string]int{}
 	for _, kind := range []string{"all-seeing", "late-seeing", "hot-cold", "random"} {
-		r, err := simulation.Play(context.Background(), simulation.Options{Scenario: s, Seed: 3, Maker: New(kind)})
+		r, err := simulation.Run(context.Background(), simulation.Options{Scenario: s, Seed: 3, NewDecider: New(kind)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-const listenOn = int64(300 * time.Millisecond) // after a hard limit, for answers that come too late
+const lateResponseTime = int64(300 * time.Millisecond) // after a hard limit, for answers that come too late
 
 // try is one message of a client to one node; a task may take several.
-type try struct {
-	task   *workload.Operation
-	n      int
-	hard   int64
-	ticket string
-	id     string
-	x      *exchange
-	over   bool
+type clientRequest struct {
+	operation *workload.Operation
+	n         int
+	deadline  int64
+	key       string
+	id        string
+	pending   *pendingRequest
+	finished  bool
 }
 
 type clients struct {
-	day      *Day
-	byZone   [][]*node
-	turn     []int
-	choice   []workload.NodePicker // by zone; nil: in turn
-	outcomes []trace.Outcome
-	left     int
-	leftAt   int64
+	day            *Simulation
+	byZone         [][]*node
+	nextNode       []int
+	pickers        []workload.NodePicker // by zone; nil: in turn
+	outcomes       []trace.Outcome
+	unfinished     int
+	lastFinishedAt int64
 }
 
-func newClients(d *Day) *clients {
+func newClients(d *Simulation) *clients {
 	c := &clients{
-		day: d, outcomes: make([]trace.Outcome, len(d.plan.Operations)), left: len(d.plan.Operations),
-		byZone: make([][]*node, len(d.scenario.Network.Zones)), turn: make([]int, len(d.scenario.Network.Zones)),
+		day: d, outcomes: make([]trace.Outcome, len(d.plan.Operations)), unfinished: len(d.plan.Operations),
+		byZone: make([][]*node, len(d.scenario.Network.Zones)), nextNode: make([]int, len(d.scenario.Network.Zones)),
 	}
 	parts := d.plan.NodeShares(d.scenario)
 	for zone := range c.byZone {
@@ -54,14 +54,14 @@
 		for _, n := range c.byZone[zone] {
 			indexes = append(indexes, n.index)
 		}
-		c.choice = append(c.choice, workload.NewNodePicker(parts, indexes))
+		c.pickers = append(c.pickers, workload.NewNodePicker(parts, indexes))
 	}
-	c.next(0)
+	c.scheduleNext(0)
 	return c
 }
 
 // next has one task come after another, so that the heap holds few.
-func (c *clients) next(i int) {
+func (c *clients) scheduleNext(i int) {
 	if i >= len(c.day.plan.Operations) {
 		return
 	}
@@ -69,137 +69,137 @@
 	c.day.at(t.Due+int64(c.day.scenario.Network.Client), func() {
 		c.day.count(func(s *trace.FleetActivity) { s.Operations++ })
 		category := &c.day.scenario.Classes[t.Class]
-		c.send(&try{
-			task: t, hard: t.Due + int64(float64(category.Deadline)*c.day.scenario.Clients.RequestTimeoutShare), id: c.day.idOf(t.Index, 0),
-			ticket: fmt.Sprintf("%016x", t.Seed),
+		c.send(&clientRequest{
+			operation: t, deadline: t.Due + int64(float64(category.Deadline)*c.day.scenario.Clients.RequestTimeoutShare), id: c.day.requestID(t.Index, 0),
+			key: fmt.Sprintf("%016x", t.Seed),
 		})
-		c.next(i + 1)
+		c.scheduleNext(i + 1)
 	})
 }
 
 // send gives a try to the next node that the front believes in.
-func (c *clients) send(t *try) {
-	zone := c.byZone[t.task.Zone]
-	if choice := c.choice[t.task.Zone]; choice != nil {
-		c.turn[t.task.Zone] = choice.Pick(t.task, t.n) - 1 // who is next, if that one is not in
+func (c *clients) send(t *clientRequest) {
+	zone := c.byZone[t.operation.Zone]
+	if choice := c.pickers[t.operation.Zone]; choice != nil {
+		c.nextNode[t.operation.Zone] = choice.Pick(t.operation, t.n) - 1 // who is next, if that one is not in
 	}
 	for range zone {
-		c.turn[t.task.Zone]++
-		if n := zone[c.turn[t.task.Zone]%len(zone)]; n.in {
-			c.give(t, n)
+		c.nextNode[t.operation.Zone]++
+		if n := zone[c.nextNode[t.operation.Zone]%len(zone)]; n.admitted {
+			c.deliver(t, n)
 			return
 		}
 	}
 	for _, n := range c.day.nodes {
-		if n.in {
-			c.give(t, n)
+		if n.admitted {
+			c.deliver(t, n)
 			return
 		}
 	}
-	c.after(t, trace.Lost, true, 0)
+	c.finishOrRetry(t, trace.Lost, true, 0)
 }
 
-func (c *clients) give(t *try, n *node) {
+func (c *clients) deliver(t *clientRequest, n *node) {
 	d := c.day
 	if !n.alive {
-		c.after(t, trace.Lost, true, 0)
+		c.finishOrRetry(t, trace.Lost, true, 0)
 		return
 	}
-	rec := &invariant.Request{ID: t.id, Operation: t.task.Index, Node: n.index, Incarnation: n.life.Incarnation, Class: t.task.Class, SentAt: d.now, Deadline: t.hard}
+	rec := &invariant.Request{ID: t.id, Operation: t.operation.Index, Node: n.index, Incarnation: n.process.Incarnation, Class: t.operation.Class, SentAt: d.now, Deadline: t.deadline}
 	front, place := n.front(), netfault.End{Index: n.index}
-	if barred, refused := d.barred(front, place); refused {
-		c.after(t, trace.Lost, true, 0)
+	if barred, refused := d.cannotConnect(front, place); refused {
+		c.finishOrRetry(t, trace.Lost, true, 0)
 		return
-	} else if barred && !d.ways.Open(d.now, front, place) {
+	} else if barred && !d.links.Open(d.now, front, place) {
 		// The node never sees it, so the ledger does not either.
-		d.at(t.hard+int64(d.scenario.Rules.AnswerGrace)+listenOn, func() { c.after(t, trace.Failed, false, 0) })
+		d.at(t.deadline+int64(d.scenario.Rules.AnswerGrace)+lateResponseTime, func() { c.finishOrRetry(t, trace.Failed, false, 0) })
 		return
 	}
-	d.ledger.RecordRequest(rec)
-	if late := d.held(front, place); late > 0 {
+	d.history.RecordRequest(rec)
+	if late := d.linkDelay(front, place); late > 0 {
 		rec.SentAt += late
-		t.x = &exchange{node: n, life: n.life.Incarnation, try: t, rec: rec}
-		d.in(late, func() {
-			if n.alive && n.life.Incarnation == rec.Incarnation && !t.over {
-				n.arrived(t, rec)
+		t.pending = &pendingRequest{node: n, incarnation: n.process.Incarnation, request: t, record: rec}
+		d.after(late, func() {
+			if n.alive && n.process.Incarnation == rec.Incarnation && !t.finished {
+				n.receive(t, rec)
 			}
 		})
 	} else {
-		n.arrived(t, rec)
+		n.receive(t, rec)
 	}
-	until := t.hard + int64(d.scenario.Rules.AnswerGrace) + listenOn
+	until := t.deadline + int64(d.scenario.Rules.AnswerGrace) + lateResponseTime
 	leaves := int64(invariant.Never)
-	if t.task.LeavesAfter > 0 {
-		if leaves = t.task.Due + t.task.LeavesAfter; leaves < t.hard {
+	if t.operation.LeavesAfter > 0 {
+		if leaves = t.operation.Due + t.operation.LeavesAfter; leaves < t.deadline {
 			until = leaves
 		}
 	}
 	d.at(until, func() {
-		if t.over {
+		if t.finished {
 			return
 		}
-		t.over = true
+		t.finished = true
 		if until == leaves {
 			rec.CanceledAt = d.now
-			c.settle(t, trace.Canceled, d.now)
+			c.finish(t, trace.Canceled, d.now)
 		} else {
-			c.after(t, trace.Failed, false, 0)
+			c.finishOrRetry(t, trace.Failed, false, 0)
 		}
-		if n.alive && t.x.life == n.life.Incarnation {
-			n.withdrawn(t.x)
+		if n.alive && t.pending.incarnation == n.process.Incarnation {
+			n.clientGone(t.pending)
 		}
 	})
 }
 
 // answered takes a node's answer.
-func (c *clients) answered(x *exchange, status int, advice int64) {
-	t := x.try
-	if t.over {
+func (c *clients) answered(x *pendingRequest, status int, advice int64) {
+	t := x.request
+	if t.finished {
 		return
 	}
-	t.over = true
+	t.finished = true
 	now := c.day.now
-	x.rec.AnsweredAt, x.rec.Status, x.rec.RetryAfter = now, status, advice
+	x.record.AnsweredAt, x.record.Status, x.record.RetryAfter = now, status, advice
 	switch status {
 	case 200:
-		c.settle(t, trace.Succeeded, now+int64(c.day.scenario.Network.Client))
+		c.finish(t, trace.Succeeded, now+int64(c.day.scenario.Network.Client))
 	case 503:
-		c.after(t, trace.Rejected, false, advice)
+		c.finishOrRetry(t, trace.Rejected, false, advice)
 	default:
-		c.after(t, trace.Failed, false, 0)
+		c.finishOrRetry(t, trace.Failed, false, 0)
 	}
 }
 
 // lost is a connection that ended with its node.
-func (c *clients) lost(x *exchange) {
-	if t := x.try; !t.over {
-		t.over = true
-		x.rec.ClosedAt = c.day.now
-		c.after(t, trace.Lost, !x.node.in, 0)
+func (c *clients) lost(x *pendingRequest) {
+	if t := x.request; !t.finished {
+		t.finished = true
+		x.record.ClosedAt = c.day.now
+		c.finishOrRetry(t, trace.Lost, !x.node.admitted, 0)
 	}
 }
 
 // after ends a try that did not satisfy, and sends the task again where a client would.
-func (c *clients) after(t *try, state trace.State, unreached bool, advice int64) {
+func (c *clients) finishOrRetry(t *clientRequest, state trace.State, unreached bool, advice int64) {
 	d := c.day
-	retry, ok := t.task.NextRetry(d.scenario, t.n, d.now, state == trace.Rejected || unreached, advice)
+	retry, ok := t.operation.NextRetry(d.scenario, t.n, d.now, state == trace.Rejected || unreached, advice)
 	if !ok {
-		c.settle(t, state, d.now)
+		c.finish(t, state, d.now)
 		return
 	}
-	next := &try{
-		task: t.task, n: t.n + 1, hard: retry.Deadline, ticket: t.ticket, id: d.idOf(t.task.Index, t.n+1),
+	next := &clientRequest{
+		operation: t.operation, n: t.n + 1, deadline: retry.Deadline, key: t.key, id: d.requestID(t.operation.Index, t.n+1),
 	}
-	d.in(retry.Wait, func() { c.send(next) })
+	d.after(retry.Wait, func() { c.send(next) })
 }
 
 // settle writes a task's end down.
-func (c *clients) settle(t *try, state trace.State, at int64) {
-	o := &c.outcomes[t.task.Index]
+func (c *clients) finish(t *clientRequest, state trace.State, at int64) {
+	o := &c.outcomes[t.operation.Index]
 	if o.State != trace.Pending {
 		return
 	}
-	*o = trace.Outcome{State: state, Elapsed: at - t.task.Due, Requests: t.n + 1}
-	c.left--
-	c.leftAt = c.day.now
+	*o = trace.Outcome{State: state, Elapsed: at - t.operation.Due, Requests: t.n + 1}
+	c.unfinished--
+	c.lastFinishedAt = c.day.now
 }
--- a/internal/lab/simulation/clock.go
+++ b/internal/lab/simulation/clock.go
@@ -12,10 +12,10 @@
 }
 
 type clock struct {
-	now    int64
-	seq    uint64
-	events []event // a heap by at, then seq
-	done   uint64
+	now     int64
+	seq     uint64
+	events  []event // a heap by at, then seq
+	handled uint64
 }
 
 func (c *clock) before(i, j int) bool {
@@ -37,7 +37,7 @@
 	}
 }
 
-func (c *clock) in(after int64, do func()) { c.at(c.now+after, do) }
+func (c *clock) after(after int64, do func()) { c.at(c.now+after, do) }
 
 // step lets the next event happen; false if there is none before an end.
 func (c *clock) step(end int64) bool {
@@ -63,7 +63,7 @@
 		i = least
 	}
 	c.now = next.at
-	c.done++
+	c.handled++
 	next.do()
 	return true
 }
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	frontLeaves = int64(300 * time.Millisecond) // connections go on coming to a node that was told to stop
-	stillTaking = int64(450 * time.Millisecond) // it takes tasks for so long
-	thawed      = int64(200 * time.Millisecond) // everything comes at once to a node that stood still
+	frontNoticesStop = int64(300 * time.Millisecond) // connections go on coming to a node that was told to stop
+	acceptsAfterStop = int64(450 * time.Millisecond) // it takes tasks for so long
+	catchUpTime      = int64(200 * time.Millisecond) // everything comes at once to a node that stood still
 )
 
-func (d *Day) begin(f *workload.Fault) {
+func (d *Simulation) startFault(f *workload.Fault) {
 	long := int64(f.For)
 	ends := func(do func()) {
 		if long > 0 {
-			d.in(long, do)
+			d.after(long, do)
 		}
 	}
 	s := d.discovery
@@ -31,37 +31,37 @@
 	}
 	switch f.Kind {
 	case "power":
-		d.power(f)
+		d.losePower(f)
 	case "state": // there are no disks here
 	case "discovery-down":
 		s.setDown(true)
 		ends(func() { s.setDown(false) })
 	case "discovery-slow":
-		s.slow = f.Factor
-		ends(func() { s.slow = 1 })
+		s.slowdown = f.Factor
+		ends(func() { s.slowdown = 1 })
 	case "discovery-move":
 		s.move()
 	case "lists-late":
-		s.late = int64(f.Wait)
-		ends(func() { s.late = 0 })
+		s.changeDelay = int64(f.Wait)
+		ends(func() { s.changeDelay = 0 })
 	case "wait":
-		key := d.holdKey(f)
-		d.holds[key] = int64(f.Wait)
-		ends(func() { delete(d.holds, key) })
+		key := d.waitKey(f)
+		d.waits[key] = int64(f.Wait)
+		ends(func() { delete(d.waits, key) })
 	case "bad-clients":
 	case "kill", "stop", "freeze", "cut-node", "clock":
 		for i, target := range f.Targets {
-			d.in(int64(f.Each)*int64(i), func() { d.hitNode(f, d.nodes[target]) })
+			d.after(int64(f.Each)*int64(i), func() { d.faultNode(f, d.nodes[target]) })
 		}
 	default:
 		for i, target := range f.Targets {
-			d.in(int64(f.Each)*int64(i), func() { d.hitServer(f, d.machines[target]) })
+			d.after(int64(f.Each)*int64(i), func() { d.faultEndpoint(f, d.endpoints[target]) })
 		}
 	}
 }
 
 // holdKey is the category, or the customer as a negative number, that a wait strikes.
-func (d *Day) holdKey(f *workload.Fault) int {
+func (d *Simulation) waitKey(f *workload.Fault) int {
 	for i := range d.scenario.Tenants {
 		if f.Tenant != "" && d.scenario.Tenants[i].Name == f.Tenant {
 			return -1 - i
@@ -75,78 +75,78 @@
 	return len(d.scenario.Classes)
 }
 
-func (d *Day) hold(t *workload.Operation) int64 {
-	if len(d.holds) == 0 {
+func (d *Simulation) waitOf(t *workload.Operation) int64 {
+	if len(d.waits) == 0 {
 		return 0
 	}
-	return max(d.holds[t.Class], d.holds[-1-t.Tenant])
+	return max(d.waits[t.Class], d.waits[-1-t.Tenant])
 }
 
-func (d *Day) hitNode(f *workload.Fault, n *node) {
+func (d *Simulation) faultNode(f *workload.Fault, n *node) {
 	if f.Kind == "clock" {
-		n.turnClock(int64(f.Wait), f.Factor)
+		n.adjustClock(int64(f.Wait), f.Factor)
 		if long := int64(f.For); long > 0 {
-			d.in(long, func() { n.turnClock(0, 1) })
+			d.after(long, func() { n.adjustClock(0, 1) })
 		}
 		return
 	}
 	if !n.alive {
 		return
 	}
-	life := n.life
+	life := n.process
 	back := func(ended int64) {
 		if f.For > 0 {
 			d.at(max(d.now+int64(f.For), ended), func() {
-				if n.life == life && !n.alive {
+				if n.process == life && !n.alive {
 					n.start()
-					d.in(startsIn, n.admitted)
+					d.after(startDelay, n.becomeReady)
 				}
 			})
 		}
 	}
 	switch f.Kind {
 	case "kill":
-		d.ledger.Excuse(n.life, invariant.Span{From: d.now, To: invariant.Never})
-		n.end()
+		d.history.Excuse(n.process, invariant.Span{From: d.now, To: invariant.Never})
+		n.kill()
 		back(d.now)
 	case "stop":
 		n.stopping = true
-		if n.view != nil {
-			n.view.Leave(n.clock())
+		if n.membership != nil {
+			n.membership.Leave(n.clock())
 		}
-		d.in(frontLeaves, func() {
-			if n.life == life {
-				n.in = false
+		d.after(frontNoticesStop, func() {
+			if n.process == life {
+				n.admitted = false
 			}
 		})
 		var settled func()
 		settled = func() {
-			if n.life != life || !n.alive {
+			if n.process != life || !n.alive {
 				return
 			}
 			for _, x := range n.order {
-				if !x.settled {
-					d.in(int64(10*time.Millisecond), settled)
+				if !x.answered {
+					d.after(int64(10*time.Millisecond), settled)
 					return
 				}
 			}
-			d.in(nodeOut, func() {
-				if n.life == life {
-					n.end()
+			d.after(sendDelay, func() {
+				if n.process == life {
+					n.kill()
 					back(d.now)
 				}
 			})
 		}
-		d.in(stillTaking, settled)
+		d.after(acceptsAfterStop, settled)
 	case "freeze":
-		n.frozen = d.now + int64(f.For)
-		d.ledger.Excuse(n.life, invariant.Span{From: d.now, To: n.frozen + thawed})
+		n.pausedUntil = d.now + int64(f.For)
+		d.history.Excuse(n.process, invariant.Span{From: d.now, To: n.pausedUntil + catchUpTime})
 	case "cut-node":
-		for _, m := range d.machines {
+		for _, m := range d.endpoints {
 			if f.Zone == "" || m.spec.Zone == f.Zone {
-				m.sever(n.index)
+				m.cutOff(n.index)
 				if f.For > 0 {
-					d.in(int64(f.For), func() { m.heal(n.index) })
+					d.after(int64(f.For), func() { m.reconnect(n.index) })
 				}
 			}
 		}
@@ -154,12 +154,12 @@
 }
 
 // power takes nodes, servers and discovery away at one moment; each is back after a time of its own.
-func (d *Day) power(f *workload.Fault) {
+func (d *Simulation) losePower(f *workload.Fault) {
 	notice := int64(d.scenario.Discovery.ChangeDelay)
 	if f.Zone == "" && len(f.Fault.Nodes) == len(d.nodes) {
 		d.discovery.setDown(true)
 		if f.DiscoveryBack > 0 {
-			d.in(int64(f.DiscoveryBack), func() { d.discovery.setDown(false) })
+			d.after(int64(f.DiscoveryBack), func() { d.discovery.setDown(false) })
 		}
 	}
 	for i, target := range f.Fault.Nodes {
@@ -167,37 +167,37 @@
 		if !n.alive {
 			continue
 		}
-		life := n.life
-		d.ledger.Excuse(life, invariant.Span{From: d.now, To: invariant.Never})
-		n.end()
+		life := n.process
+		d.history.Excuse(life, invariant.Span{From: d.now, To: invariant.Never})
+		n.kill()
 		if f.NodesBack > 0 {
-			d.in(f.RestoredAfter(f.NodesBack, f.Seed, i), func() {
-				if n.life == life && !n.alive {
+			d.after(f.RestoredAfter(f.NodesBack, f.Seed, i), func() {
+				if n.process == life && !n.alive {
 					n.start()
-					d.in(startsIn, n.admitted)
+					d.after(startDelay, n.becomeReady)
 				}
 			})
 		}
 	}
 	for i, target := range f.Targets {
-		m := d.machines[target]
-		m.stop()
+		m := d.endpoints[target]
+		m.die()
 		d.discovery.set(m, model.Removed, notice)
 		if f.EndpointsBack > 0 {
-			d.in(f.RestoredAfter(f.EndpointsBack, f.Seed+1, i), func() { d.revive(m, notice) })
+			d.after(f.RestoredAfter(f.EndpointsBack, f.Seed+1, i), func() { d.revive(m, notice) })
 		}
 	}
 }
 
-func (d *Day) hitServer(f *workload.Fault, m *machine) {
-	long, notice, life := int64(f.For), int64(d.scenario.Discovery.ChangeDelay), m.life
+func (d *Simulation) faultEndpoint(f *workload.Fault, m *endpoint) {
+	long, notice, life := int64(f.For), int64(d.scenario.Discovery.ChangeDelay), m.incarnation
 	// change sets a trouble, and takes it away again in time, unless a new life has done so.
-	change := func(begin, end func(*trouble)) {
-		begin(&m.trouble)
+	change := func(begin, end func(*endpointFaults)) {
+		begin(&m.faults)
 		if long > 0 {
-			d.in(long, func() {
-				if m.life == life {
-					end(&m.trouble)
+			d.after(long, func() {
+				if m.incarnation == life {
+					end(&m.faults)
 				}
 			})
 		}
@@ -205,77 +205,77 @@
 	switch f.Kind {
 	case "slow":
 		m.model.SetSpeedFactor(d.now, math.Max(f.Factor, 0.001))
-		m.next = model.Never
-		m.wake()
+		m.nextWake = model.Never
+		m.scheduleWake()
 		if long > 0 {
-			d.in(long, func() {
+			d.after(long, func() {
 				m.model.SetSpeedFactor(d.now, 1)
-				m.next = model.Never
-				m.wake()
+				m.nextWake = model.Never
+				m.scheduleWake()
 			})
 		}
 	case "pause":
 		m.model.Pause(d.now, d.now+long)
-		m.wake()
+		m.scheduleWake()
 	case "silent":
-		change(func(t *trouble) { t.silent = true }, func(t *trouble) { t.silent = false })
+		change(func(t *endpointFaults) { t.silent = true }, func(t *endpointFaults) { t.silent = false })
 	case "fail":
-		change(func(t *trouble) { t.fail = f.AttemptShare }, func(t *trouble) { t.fail = 0 })
+		change(func(t *endpointFaults) { t.fail = f.AttemptShare }, func(t *endpointFaults) { t.fail = 0 })
 	case "turn-away":
-		change(func(t *trouble) { t.turn = f.AttemptShare }, func(t *trouble) { t.turn = 0 })
+		change(func(t *endpointFaults) { t.reject = f.AttemptShare }, func(t *endpointFaults) { t.reject = 0 })
 	case "reset":
-		change(func(t *trouble) { t.reset = f.AttemptShare }, func(t *trouble) { t.reset = 0 })
+		change(func(t *endpointFaults) { t.reset = f.AttemptShare }, func(t *endpointFaults) { t.reset = 0 })
 	case "spoil":
-		change(func(t *trouble) { t.spoil, t.spoilShare = f.How, f.AttemptShare }, func(t *trouble) { t.spoil = "" })
+		change(func(t *endpointFaults) { t.corrupt, t.corruptShare = f.How, f.AttemptShare }, func(t *endpointFaults) { t.corrupt = "" })
 	case "crowd":
 		places, waiting := m.model.Concurrency, m.model.QueueLimit
 		m.model.Concurrency, m.model.QueueLimit = max(1, int(float64(places)*f.Factor)), int(float64(waiting)*f.Factor)
 		if long > 0 {
-			d.in(long, func() {
-				if m.life == life {
+			d.after(long, func() {
+				if m.incarnation == life {
 					m.model.Concurrency, m.model.QueueLimit = places, waiting
 				}
 			})
 		}
 	case "cut":
-		m.sever(-1)
+		m.cutOff(-1)
 		if long > 0 {
-			d.in(long, func() { m.heal(-1) })
+			d.after(long, func() { m.reconnect(-1) })
 		}
 	case "unlisted":
 		d.discovery.set(m, model.Removed, notice)
 		if long > 0 {
-			d.in(long, func() { d.discovery.set(m, model.Up, notice) })
+			d.after(long, func() { d.discovery.set(m, model.Up, notice) })
 		}
 	case "die":
-		m.stop()
+		m.die()
 		if f.How != "unnoticed" {
 			d.discovery.set(m, model.Removed, notice)
 		}
 		if long > 0 {
-			d.in(long, func() { d.revive(m, notice) })
+			d.after(long, func() { d.revive(m, notice) })
 		}
 	case "restart-servers":
-		m.stop()
+		m.die()
 		d.revive(m, notice)
 	case "replace":
-		m.stop()
+		m.die()
 		d.discovery.set(m, model.Removed, notice)
 		spec := m.spec
 		spec.Seed += 1 << 32
-		spec.Index, spec.Name = len(d.machines), spec.Name+"r"
-		d.discovery.set(d.newMachine(spec, true), model.Up, notice)
+		spec.Index, spec.Name = len(d.endpoints), spec.Name+"r"
+		d.discovery.set(d.addEndpoint(spec, true), model.Up, notice)
 	case "drain":
 		m.draining = true
 		d.discovery.set(m, model.Draining, notice)
 		switch {
 		case f.How == "gone" && long > 0:
-			d.in(long, func() {
+			d.after(long, func() {
 				d.discovery.set(m, model.Removed, 0)
-				m.stop()
+				m.die()
 			})
 		case f.How != "gone" && long > 0:
-			d.in(long, func() {
+			d.after(long, func() {
 				m.draining = false
 				d.discovery.set(m, model.Up, notice)
 			})
@@ -284,7 +284,7 @@
 }
 
 // revive starts a server anew, cold.
-func (d *Day) revive(m *machine, notice int64) {
+func (d *Simulation) revive(m *endpoint, notice int64) {
 	if m.up {
 		return
 	}
--- a/internal/lab/simulation/hearsay.go
+++ b/internal/lab/simulation/hearsay.go
@@ -12,23 +12,23 @@
 )
 
 // hearing is one life's part in it.
-type hearing struct {
-	core *endpointgossip.Hearsay
-	word int64 // when the watch last could say something
+type listGossip struct {
+	core        *endpointgossip.Hearsay
+	confirmedAt int64 // when the watch last could say something
 }
 
-func (n *node) listen(seed uint64, list []model.ListEntry) {
-	n.hearing = nil
+func (n *node) startListGossip(seed uint64, list []model.ListEntry) {
+	n.listGossip = nil
 	if !n.day.scenario.Nodes.ListGossip {
 		return
 	}
-	lines, _ := n.day.lines(list)
-	n.hearing = &hearing{core: endpointgossip.New(seed, n.view, n.clock(), n.day.discovery.roster.Version(), lines, false)}
+	lines, _ := n.day.linesOf(list)
+	n.listGossip = &listGossip{core: endpointgossip.New(seed, n.membership, n.clock(), n.day.discovery.list.Version(), lines, false)}
 }
 
-func (d *Day) lines(list []model.ListEntry) (lines []endpointgossip.Line, gone []string) {
+func (d *Simulation) linesOf(list []model.ListEntry) (lines []endpointgossip.Line, gone []string) {
 	for _, l := range list {
-		m := d.machines[l.Endpoint]
+		m := d.endpoints[l.Endpoint]
 		name := fmt.Sprint(l.Endpoint)
 		if l.State == model.Removed {
 			gone = append(gone, name)
@@ -40,7 +40,7 @@
 }
 
 // goBy takes lines of others, or the node's own list again, to the decisions.
-func (n *node) goBy(lines []endpointgossip.Line, whole bool) {
+func (n *node) applyLines(lines []endpointgossip.Line, whole bool) {
 	if lines == nil {
 		return
 	}
@@ -54,7 +54,7 @@
 		}
 		list = append(list, n.day.discovery.entries([]model.ListEntry{{Endpoint: server, State: health, StartedAt: l.Started}})...)
 	}
-	n.enter(func() {
+	n.post(func() {
 		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
 		for _, l := range list {
 			if l.State != policy.StateActive && !n.set.Policy.RemovedMayServe {
@@ -65,33 +65,33 @@
 }
 
 // beat lets the core ask; a watch says something at every moment at which its way is sound.
-func (h *hearing) beat(n *node) {
+func (h *listGossip) tick(n *node) {
 	if h == nil {
 		return
 	}
 	word := int64(0)
-	if w := n.watch; w != nil && w.rec != nil {
-		if n.day.ways.Open(n.day.now, discoveryEnd, netfault.End{Index: n.index}) {
-			h.word = n.clock()
+	if w := n.watch; w != nil && w.record != nil {
+		if n.day.links.Open(n.day.now, discoveryEnd, netfault.End{Index: n.index}) {
+			h.confirmedAt = n.clock()
 		}
-		word = h.word
+		word = h.confirmedAt
 	}
-	n.goBy(h.core.Beat(n.clock(), word), true)
+	n.applyLines(h.core.Beat(n.clock(), word), true)
 }
 
-func (h *hearing) take(n *node, from int, load []byte) {
+func (h *listGossip) receive(n *node, from int, load []byte) {
 	if h != nil {
-		n.goBy(h.core.Heard(n.clock(), from, load), false)
+		n.applyLines(h.core.Heard(n.clock(), from, load), false)
 	}
 }
 
 // listed takes what the watch tells, and tells whether the node goes by all of the list anew.
-func (h *hearing) listed(n *node, version int64, entries []model.ListEntry, whole bool) bool {
+func (h *listGossip) listed(n *node, version int64, entries []model.ListEntry, whole bool) bool {
 	if h == nil {
 		return false
 	}
-	lines, gone := n.day.lines(entries)
+	lines, gone := n.day.linesOf(entries)
 	all := h.core.Listed(n.clock(), version, lines, gone, whole)
-	n.goBy(all, true)
+	n.applyLines(all, true)
 	return all != nil
 }
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -25,53 +25,53 @@
 var noReport = reportOf{policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}}
 
 // exchange is one try of a task at a node.
-type exchange struct {
-	node     *node
-	life     int
-	try      *try
-	rec      *invariant.Request
-	handOffs []*handOff
-	open     int
-	settled  bool
+type pendingRequest struct {
+	node        *node
+	incarnation int
+	request     *clientRequest
+	record      *invariant.Request
+	attempts    []*attempt
+	inFlight    int
+	answered    bool
 }
 
 type node struct {
-	day     *Day
-	index   int
-	zone    int
-	skew    int64   // of its clock
-	rate    float64 // of its clock, and since when
-	since   int64
-	step    int64 // of the system's clock, that the next start will see
-	set     settings.Settings
-	decider Decider
-	figures trace.NodeUsage
-
-	life     *invariant.Process
-	alive    bool
-	in       bool // the front sends to it
-	listed   bool // it has a list
-	up       bool // its process answers the front
-	stopping bool
-	frozen   int64 // stands still until then
-	busy     int64 // its processor is at work until then
-	cost     int64
-	tasks    map[policy.RequestID]*exchange
-	order    []*exchange // in the order they came
-	idle     map[*machine][]*conn
-	inbox    gossip.Inbox
-	wokenIn  int64 // the second of the day that woken counts in
-	woken    int
-	watch    *watch
-	version  int64
-	failures int   // of calls for the list
-	wait     int64 // until it calls for the list by itself again
-	view     *members.Members
-	hearing  *hearing
+	day         *Simulation
+	index       int
+	zone        int
+	clockOffset int64   // of its clock
+	clockRate   float64 // of its clock, and since when
+	rateSince   int64
+	clockStep   int64 // of the system's clock, that the next start will see
+	set         settings.Settings
+	decider     Decider
+	usage       trace.NodeUsage
+
+	process      *invariant.Process
+	alive        bool
+	admitted     bool // the front sends to it
+	hasList      bool // it has a list
+	running      bool // its process answers the front
+	stopping     bool
+	pausedUntil  int64 // stands still until then
+	busyUntil    int64 // its processor is at work until then
+	eventCost    int64
+	requests     map[policy.RequestID]*pendingRequest
+	order        []*pendingRequest // in the order they came
+	idle         map[*endpoint][]*connection
+	inbox        gossip.Inbox
+	timerSecond  int64 // the second of the day that woken counts in
+	timersAtOnce int
+	watch        *watch
+	version      int64
+	failedCalls  int   // of calls for the list
+	callBackoff  int64 // until it calls for the list by itself again
+	membership   *members.Members
+	listGossip   *listGossip
 }
 
-func newNode(d *Day, index int) (*node, error) {
-	n := &node{day: d, index: index, rate: 1, zone: index % len(d.scenario.Network.Zones), figures: trace.NodeUsage{Node: index}}
+func newNode(d *Simulation, index int) (*node, error) {
+	n := &node{day: d, index: index, clockRate: 1, zone: index % len(d.scenario.Network.Zones), usage: trace.NodeUsage{Node: index}}
 	if zones := d.scenario.Nodes.Zones; len(zones) > 0 {
 		for z, name := range d.scenario.Network.Zones {
 			if name == zones[index] {
@@ -80,10 +80,10 @@
 		}
 	}
 	if skew := int64(d.scenario.Nodes.ClockSkew); skew > 0 {
-		n.skew = int64((2*d.draw.Float64() - 1) * float64(skew))
+		n.clockOffset = int64((2*d.random.Float64() - 1) * float64(skew))
 	}
-	if n.cost = eventCost; d.scenario.Nodes.Cores > 0 && d.scenario.Nodes.Cores < 1 {
-		n.cost = int64(float64(eventCost) / d.scenario.Nodes.Cores)
+	if n.eventCost = eventCost; d.scenario.Nodes.Cores > 0 && d.scenario.Nodes.Cores < 1 {
+		n.eventCost = int64(float64(eventCost) / d.scenario.Nodes.Cores)
 	}
 	text, err := json.Marshal(trace.NodeSettings(d.scenario, index, n.zone))
 	if err != nil {
@@ -96,146 +96,146 @@
 }
 
 func (n *node) clock() int64 {
-	now := epoch(n.day.now) + n.skew
-	if n.rate != 1 {
-		now += int64(float64(n.day.now-n.since) * (n.rate - 1))
+	now := epoch(n.day.now) + n.clockOffset
+	if n.clockRate != 1 {
+		now += int64(float64(n.day.now-n.rateSince) * (n.clockRate - 1))
 	}
 	return now
 }
 
 // moment is when the node's clock will tell a time.
-func (n *node) moment(local int64) int64 {
-	if n.rate == 1 {
-		return local - epochNs - n.skew
+func (n *node) simulatedTime(local int64) int64 {
+	if n.clockRate == 1 {
+		return local - epochNs - n.clockOffset
 	}
-	return n.since + int64(float64(local-epochNs-n.skew-n.since)/n.rate)
+	return n.rateSince + int64(float64(local-epochNs-n.clockOffset-n.rateSince)/n.clockRate)
 }
 
 // turnClock changes the system's clock under a node. A step shows with its next start, as it goes by the time since this one.
-func (n *node) turnClock(step int64, rate float64) {
-	n.skew = n.clock() - epoch(n.day.now)
-	n.since, n.rate = n.day.now, rate
-	n.step += step
+func (n *node) adjustClock(step int64, rate float64) {
+	n.clockOffset = n.clock() - epoch(n.day.now)
+	n.rateSince, n.clockRate = n.day.now, rate
+	n.clockStep += step
 }
 
 // start begins a life.
 func (n *node) start() {
 	number := 1
-	if n.life != nil {
-		number = n.life.Incarnation + 1
+	if n.process != nil {
+		number = n.process.Incarnation + 1
 	}
 	d := n.day
-	n.life = &invariant.Process{Node: n.index, Incarnation: number, StartedAt: d.now}
-	d.ledger.RecordProcess(n.life)
-	n.figures.Starts++
-	n.skew, n.step = n.skew+n.step, 0
-	n.alive, n.stopping, n.frozen, n.busy, n.version, n.wait, n.watch = true, false, 0, 0, 0, int64(firstWait), nil
-	n.tasks, n.order, n.idle = map[policy.RequestID]*exchange{}, nil, map[*machine][]*conn{}
-	n.decider = d.maker(n.index, n.set.Policy, d.plan.Seed*1000003+uint64(n.index)*7919+uint64(number), n, d)
-	list := d.discovery.roster.Complete()
-	n.up, n.listed = false, number == 1 || !d.scenario.Nodes.NoList
+	n.process = &invariant.Process{Node: n.index, Incarnation: number, StartedAt: d.now}
+	d.history.RecordProcess(n.process)
+	n.usage.Starts++
+	n.clockOffset, n.clockStep = n.clockOffset+n.clockStep, 0
+	n.alive, n.stopping, n.pausedUntil, n.busyUntil, n.version, n.callBackoff, n.watch = true, false, 0, 0, 0, int64(firstCallBackoff), nil
+	n.requests, n.order, n.idle = map[policy.RequestID]*pendingRequest{}, nil, map[*endpoint][]*connection{}
+	n.decider = d.newDecider(n.index, n.set.Policy, d.plan.Seed*1000003+uint64(n.index)*7919+uint64(number), n, d)
+	list := d.discovery.list.Complete()
+	n.running, n.hasList = false, number == 1 || !d.scenario.Nodes.NoList
 	if stale := d.scenario.Nodes.StaleList && number > 1; stale {
-		list = d.discovery.first
-	} else if !n.listed {
+		list = d.discovery.initial
+	} else if !n.hasList {
 		list = nil
 	} else {
-		d.discovery.tell(n, list, true)
+		d.discovery.recordEntries(n, list, true)
 	}
-	n.enter(func() { n.decider.EndpointsUpdated(policy.Time(n.clock()), d.discovery.entries(list), true) })
+	n.post(func() { n.decider.EndpointsUpdated(policy.Time(n.clock()), d.discovery.entries(list), true) })
 	if !n.set.Policy.MustPollList {
-		n.call()
+		n.startWatch()
 	}
-	n.join(list)
+	n.startMembership(list)
 }
 
 // admitted has the front take the node in once its process says that it is ready, which it is when it runs and has a list.
-func (n *node) admitted() {
-	n.up = n.alive
-	if n.in = n.alive && n.listed; n.in {
-		n.life.ReadyAt = n.day.now
+func (n *node) becomeReady() {
+	n.running = n.alive
+	if n.admitted = n.alive && n.hasList; n.admitted {
+		n.process.ReadyAt = n.day.now
 	}
 }
 
 // enter has something handled by the loop, in turn: each event takes the processor for a moment.
-func (n *node) enter(do func()) {
-	life := n.life
-	start := max(n.day.now, n.busy, n.frozen)
-	n.busy = start + n.cost
+func (n *node) post(do func()) {
+	life := n.process
+	start := max(n.day.now, n.busyUntil, n.pausedUntil)
+	n.busyUntil = start + n.eventCost
 	n.day.at(start, func() {
-		if !n.alive || n.life != life {
+		if !n.alive || n.process != life {
 			return
 		}
-		if n.frozen > n.day.now { // held since it was queued
-			n.enter(do)
+		if n.pausedUntil > n.day.now { // held since it was queued
+			n.post(do)
 			return
 		}
-		n.figures.CPUSeconds += float64(n.cost) / 1e9
+		n.usage.CPUSeconds += float64(n.eventCost) / 1e9
 		do()
 	})
 }
 
 // end is the end of the process: what it holds is lost to its clients.
-func (n *node) end() {
+func (n *node) kill() {
 	if !n.alive {
 		return
 	}
 	d := n.day
-	n.alive, n.in = false, n.in && !n.stopping
-	n.life.EndedAt = d.now
-	n.view = nil
+	n.alive, n.admitted = false, n.admitted && !n.stopping
+	n.process.EndedAt = d.now
+	n.membership = nil
 	for _, x := range n.order {
-		if !x.settled {
-			x.settled = true
+		if !x.answered {
+			x.answered = true
 			d.clients.lost(x)
 		}
-		for _, h := range x.handOffs {
+		for _, h := range x.attempts {
 			if !h.ended {
 				h.ended = true
-				n.close(h.conn)
-				h.givenUp()
+				n.closeConnection(h.conn)
+				h.notifyCanceled()
 			}
 		}
 	}
-	for _, m := range d.machines {
+	for _, m := range d.endpoints {
 		for _, k := range n.idle[m] {
-			n.close(k)
+			n.closeConnection(k)
 		}
 	}
 	if n.watch != nil {
-		n.watch.end()
+		n.watch.close()
 	}
-	life := n.life
-	d.in(int64(d.scenario.Nodes.DeathNotice), func() {
-		if n.life == life && !n.alive {
-			n.in = false
+	life := n.process
+	d.after(int64(d.scenario.Nodes.DeathNotice), func() {
+		if n.process == life && !n.alive {
+			n.admitted = false
 		}
 	})
 }
 
 // arrived takes in a task whose last byte has come.
-func (n *node) arrived(t *try, rec *invariant.Request) {
-	x := &exchange{node: n, life: n.life.Incarnation, try: t, rec: rec}
+func (n *node) receive(t *clientRequest, rec *invariant.Request) {
+	x := &pendingRequest{node: n, incarnation: n.process.Incarnation, request: t, record: rec}
 	n.order = append(n.order, x)
-	if len(n.order) > 1024 && len(n.order) > 4*len(n.tasks) {
+	if len(n.order) > 1024 && len(n.order) > 4*len(n.requests) {
 		kept := n.order[:0]
 		for _, old := range n.order {
-			if !old.settled || old.open > 0 {
+			if !old.answered || old.inFlight > 0 {
 				kept = append(kept, old)
 			}
 		}
 		n.order = kept
 	}
-	t.x = x
-	n.day.in(nodeIn, func() {
-		n.enter(func() {
-			if x.settled {
+	t.pending = x
+	n.day.after(receiveDelay, func() {
+		n.post(func() {
+			if x.answered {
 				return
 			}
-			task := t.task
+			task := t.operation
 			id := policy.RequestID(t.id)
-			n.tasks[id] = x
+			n.requests[id] = x
 			p := policy.Request{
-				ID: id, Class: task.Class, Tenant: max(task.Tenant, 0), Deadline: policy.Time(n.clock() + t.hard - n.day.now), ClientRetry: t.n > 0,
+				ID: id, Class: task.Class, Tenant: max(task.Tenant, 0), Deadline: policy.Time(n.clock() + t.deadline - n.day.now), ClientRetry: t.n > 0,
 				CostHint: time.Duration(task.CostHint),
 			}
 			if task.Key >= 0 && n.set.Policy.KeyAffinity {
@@ -247,39 +247,39 @@
 }
 
 // withdrawn is the client's going.
-func (n *node) withdrawn(x *exchange) {
-	n.enter(func() {
-		id := policy.RequestID(x.try.id)
-		if x.settled {
+func (n *node) clientGone(x *pendingRequest) {
+	n.post(func() {
+		id := policy.RequestID(x.request.id)
+		if x.answered {
 			return
 		}
-		x.settled = true
-		if n.tasks[id] == x {
+		x.answered = true
+		if n.requests[id] == x {
 			n.decider.ClientGone(policy.Time(n.clock()), id)
 			n.release(x)
 		}
 	})
 }
 
-func (n *node) release(x *exchange) {
-	if id := policy.RequestID(x.try.id); x.settled && x.open == 0 && n.tasks[id] == x {
-		delete(n.tasks, id)
+func (n *node) release(x *pendingRequest) {
+	if id := policy.RequestID(x.request.id); x.answered && x.inFlight == 0 && n.requests[id] == x {
+		delete(n.requests, id)
 	}
 }
 
 // settle gives the task its answer.
-func (n *node) settle(x *exchange, status int, advice int64) {
-	if x.settled {
+func (n *node) respond(x *pendingRequest, status int, advice int64) {
+	if x.answered {
 		return
 	}
-	x.settled = true
+	x.answered = true
 	n.release(x)
-	life := n.life
-	n.day.in(nodeOut+n.day.held(netfault.End{Index: n.index}, n.front()), func() {
-		if n.alive && n.life == life && !n.day.ways.Open(n.day.now, netfault.End{Index: n.index}, n.front()) {
+	life := n.process
+	n.day.after(sendDelay+n.day.linkDelay(netfault.End{Index: n.index}, n.front()), func() {
+		if n.alive && n.process == life && !n.day.links.Open(n.day.now, netfault.End{Index: n.index}, n.front()) {
 			return // the client hears nothing
 		}
-		if n.alive && n.life == life {
+		if n.alive && n.process == life {
 			n.day.clients.answered(x, status, advice)
 		} else {
 			n.day.clients.lost(x)
@@ -288,30 +288,30 @@
 }
 
 // handOffEnds takes the end of a hand-off; each has exactly one.
-func (n *node) handOffEnds(h *handOff, o policy.Outcome, report policy.LoadReport, keep bool) {
+func (n *node) attemptEnded(h *attempt, o policy.Outcome, report policy.LoadReport, keep bool) {
 	if h.ended {
 		return
 	}
 	h.ended = true
-	if keep && o != policy.OutcomeConnectFailed && o != policy.OutcomeNotSent && !h.conn.over {
-		n.keep(h.conn)
+	if keep && o != policy.OutcomeConnectFailed && o != policy.OutcomeNotSent && !h.conn.overLimit {
+		n.putIdle(h.conn)
 	} else {
-		n.close(h.conn)
+		n.closeConnection(h.conn)
 	}
-	if h.x.life != n.life.Incarnation || !n.alive {
+	if h.pending.incarnation != n.process.Incarnation || !n.alive {
 		return
 	}
-	at, fresh := n.clock(), h.fresh
-	n.day.in(nodeIn/2, func() {
-		n.enter(func() {
-			x := h.x
-			x.open--
+	at, fresh := n.clock(), h.newConnection
+	n.day.after(receiveDelay/2, func() {
+		n.post(func() {
+			x := h.pending
+			x.inFlight--
 			if o == policy.OutcomeSucceeded {
-				n.settle(x, 200, 0)
+				n.respond(x, 200, 0)
 			}
 			n.decider.AttemptEnded(policy.Time(n.clock()), policy.AttemptResult{
-				Request: policy.RequestID(x.try.id), Attempt: h.number, Endpoint: h.m.id, Outcome: o,
-				Elapsed: time.Duration(max(at-h.sentAt, 0)), RequestDone: x.settled, NewConnection: fresh, Report: report,
+				Request: policy.RequestID(x.request.id), Attempt: h.number, Endpoint: h.endpoint.id, Outcome: o,
+				Elapsed: time.Duration(max(at-h.sentAt, 0)), RequestDone: x.answered, NewConnection: fresh, Report: report,
 			})
 			n.release(x)
 		})
@@ -319,71 +319,71 @@
 }
 
 // keep has a connection stand ready. It is closed before the server would.
-func (n *node) keep(k *conn) {
+func (n *node) putIdle(k *connection) {
 	if k.closed || !n.alive {
 		return
 	}
 	k.idleSince = n.day.now
-	n.idle[k.m] = append(n.idle[k.m], k)
+	n.idle[k.endpoint] = append(n.idle[k.endpoint], k)
 	since := k.idleSince
-	n.day.in(int64(n.set.IdleTimeout)*3/4, func() {
+	n.day.after(int64(n.set.IdleTimeout)*3/4, func() {
 		if k.closed || k.idleSince != since {
 			return
 		}
-		list := n.idle[k.m]
+		list := n.idle[k.endpoint]
 		for i, one := range list {
 			if one == k {
-				n.idle[k.m] = append(list[:i:i], list[i+1:]...)
-				n.close(k)
+				n.idle[k.endpoint] = append(list[:i:i], list[i+1:]...)
+				n.closeConnection(k)
 				return
 			}
 		}
 	})
 }
 
-func (n *node) close(k *conn) {
+func (n *node) closeConnection(k *connection) {
 	if k == nil || k.closed {
 		return
 	}
 	k.closed = true
-	if k.m.life == k.life && k.m.up {
-		k.m.conns--
+	if k.endpoint.incarnation == k.incarnation && k.endpoint.up {
+		k.endpoint.connections--
 	}
 }
 
 // connect takes the connection that was used last, or opens one.
-func (n *node) connect(m *machine) *conn {
+func (n *node) acquire(m *endpoint) *connection {
 	for list := n.idle[m]; len(list) > 0; list = n.idle[m] {
 		k := list[len(list)-1]
 		n.idle[m] = list[:len(list)-1]
-		if m.usable(k) || m.cut(n.index) && k.life == m.life && m.up {
+		if m.usable(k) || m.isCutFrom(n.index) && k.incarnation == m.incarnation && m.up {
 			k.idleSince = 0
 			return k
 		}
-		n.close(k)
+		n.closeConnection(k)
 	}
-	if barred, _ := n.day.barred(netfault.End{Index: n.index}, m.place()); barred || !m.up || m.cut(n.index) {
+	if barred, _ := n.day.cannotConnect(netfault.End{Index: n.index}, m.end()); barred || !m.up || m.isCutFrom(n.index) {
 		return nil
 	}
 	n.day.count(func(t *trace.FleetActivity) { t.Connections++ })
-	k := &conn{m: m, node: n.index, life: m.life, epoch: m.epochFor(n.index), fresh: true, over: m.crowded()}
-	m.conns++
+	k := &connection{endpoint: m, node: n.index, incarnation: m.incarnation, epoch: m.epochFor(n.index), isNew: true, overLimit: m.isFull()}
+	m.connections++
 	return k
 }
 
 // serverGone ends what stands open to a server: its process has ended, or what was open to a machine cut off is reset.
-func (n *node) serverGone(m *machine, healed bool) {
-	if n.tasks == nil {
+func (n *node) endpointGone(m *endpoint, healed bool) {
+	if n.requests == nil {
 		return
 	}
 	for _, x := range n.order {
-		for _, h := range x.handOffs {
-			if h.m != m || h.ended || h.conn == nil || m.cut(n.index) && !healed {
+		for _, h := range x.attempts {
+			if h.endpoint != m || h.ended || h.conn == nil || m.isCutFrom(n.index) && !healed {
 				continue
 			}
-			h.rec.ClosedAt = min(h.rec.ClosedAt, n.day.now)
-			if h.done = true; n.alive {
-				n.handOffEnds(h, policy.OutcomeReset, noReport.LoadReport, false)
+			h.record.ClosedAt = min(h.record.ClosedAt, n.day.now)
+			if h.answered = true; n.alive {
+				n.attemptEnded(h, policy.OutcomeReset, noReport.LoadReport, false)
 			}
 		}
 	}
@@ -391,114 +391,114 @@
 
 // HandOff and what follows make the node the decisions' Host.
 func (n *node) Send(id policy.RequestID, server policy.EndpointID, timeOut time.Duration) {
-	x, d := n.tasks[id], n.day
+	x, d := n.requests[id], n.day
 	if x == nil {
 		return
 	}
 	m := d.byID[server]
-	h := &handOff{x: x, number: len(x.handOffs), m: m, sentAt: n.clock()}
-	h.limit = min(d.now+int64(max(timeOut, 0)), x.try.hard)
-	x.handOffs = append(x.handOffs, h)
-	x.open++
+	h := &attempt{pending: x, number: len(x.attempts), endpoint: m, sentAt: n.clock()}
+	h.deadline = min(d.now+int64(max(timeOut, 0)), x.request.deadline)
+	x.attempts = append(x.attempts, h)
+	x.inFlight++
 	d.count(func(t *trace.FleetActivity) {
 		switch t.Attempts++; {
-		case h.number > 0 && x.open > 1:
+		case h.number > 0 && x.inFlight > 1:
 			t.Hedged++
 		case h.number > 0:
 			t.Retries++
 		}
 	})
-	if m == nil || x.settled {
-		n.day.in(0, func() { n.handOffEnds(h, policy.OutcomeNotSent, noReport.LoadReport, false) })
+	if m == nil || x.answered {
+		n.day.after(0, func() { n.attemptEnded(h, policy.OutcomeNotSent, noReport.LoadReport, false) })
 		return
 	}
-	h.life, h.way = m.life, m.oneWay(n)
-	if h.conn = n.connect(m); h.conn == nil {
+	h.incarnation, h.oneWay = m.incarnation, m.delayTo(n)
+	if h.conn = n.acquire(m); h.conn == nil {
 		after := int64(50 * time.Microsecond)
 		if m.up {
 			after = int64(n.set.ConnectTimeout) // nothing answers
 		}
-		if _, refused := d.barred(netfault.End{Index: n.index}, m.place()); refused {
+		if _, refused := d.cannotConnect(netfault.End{Index: n.index}, m.end()); refused {
 			after = int64(50 * time.Microsecond)
 		}
-		d.in(min(after, max(h.limit-d.now, 0)), func() { n.handOffEnds(h, policy.OutcomeConnectFailed, noReport.LoadReport, false) })
+		d.after(min(after, max(h.deadline-d.now, 0)), func() { n.attemptEnded(h, policy.OutcomeConnectFailed, noReport.LoadReport, false) })
 		return
 	}
-	h.rec = &invariant.Attempt{Request: x.try.id, Node: n.index, Endpoint: m.spec.Index, Incarnation: m.life, Zone: m.spec.Zone, Pod: m.spec.Pod, FirstByteAt: d.now}
-	d.ledger.RecordAttempt(h.rec)
-	h.rec.LastByteAt = d.now
-	d.at(h.limit, func() {
+	h.record = &invariant.Attempt{Request: x.request.id, Node: n.index, Endpoint: m.spec.Index, Incarnation: m.incarnation, Zone: m.spec.Zone, Pod: m.spec.Pod, FirstByteAt: d.now}
+	d.history.RecordAttempt(h.record)
+	h.record.LastByteAt = d.now
+	d.at(h.deadline, func() {
 		if !h.ended {
-			n.handOffEnds(h, policy.OutcomeTimedOut, noReport.LoadReport, false)
-			h.givenUp()
+			n.attemptEnded(h, policy.OutcomeTimedOut, noReport.LoadReport, false)
+			h.notifyCanceled()
 		}
 	})
-	if m.cut(n.index) || !d.ways.Open(d.now, netfault.End{Index: n.index}, m.place()) {
+	if m.isCutFrom(n.index) || !d.links.Open(d.now, netfault.End{Index: n.index}, m.end()) {
 		return // it never arrives; the node cannot know
 	}
-	wait := h.way + d.held(netfault.End{Index: n.index}, m.place())
-	if h.fresh = h.conn.fresh; h.fresh {
-		wait += int64(m.fleet.ConnectionWait) + 2*h.way
+	wait := h.oneWay + d.linkDelay(netfault.End{Index: n.index}, m.end())
+	if h.newConnection = h.conn.isNew; h.newConnection {
+		wait += int64(m.fleet.ConnectionWait) + 2*h.oneWay
 	}
-	d.in(wait, h.arrive)
+	d.after(wait, h.arrive)
 }
 
 func (n *node) Cancel(id policy.RequestID, number int) {
-	x := n.tasks[id]
-	if x == nil || number >= len(x.handOffs) || x.handOffs[number].ended {
+	x := n.requests[id]
+	if x == nil || number >= len(x.attempts) || x.attempts[number].ended {
 		return
 	}
-	h := x.handOffs[number]
-	if h.rec == nil {
-		n.handOffEnds(h, policy.OutcomeNotSent, noReport.LoadReport, false)
+	h := x.attempts[number]
+	if h.record == nil {
+		n.attemptEnded(h, policy.OutcomeNotSent, noReport.LoadReport, false)
 		return
 	}
-	n.handOffEnds(h, policy.OutcomeCanceled, noReport.LoadReport, false)
-	h.givenUp()
+	n.attemptEnded(h, policy.OutcomeCanceled, noReport.LoadReport, false)
+	h.notifyCanceled()
 }
 
 func (n *node) Reject(id policy.RequestID, comeBackIn time.Duration) {
-	if x := n.tasks[id]; x != nil {
-		n.settle(x, 503, int64(comeBackIn))
+	if x := n.requests[id]; x != nil {
+		n.respond(x, 503, int64(comeBackIn))
 	}
 }
 
 func (n *node) Fail(id policy.RequestID) {
-	if x := n.tasks[id]; x != nil {
-		n.settle(x, 502, 0)
+	if x := n.requests[id]; x != nil {
+		n.respond(x, 502, 0)
 	}
 }
 
 // WakeAt sets a timer. Guards against an instance that asks to be woken at one instant for ever: the day would never end.
 func (n *node) SetTimer(at policy.Time, cookie uint64) {
 	d := n.day
-	when := n.moment(int64(at))
-	if second := d.now / 1e9; n.wokenIn != second {
-		n.wokenIn, n.woken = second, 0
+	when := n.simulatedTime(int64(at))
+	if second := d.now / 1e9; n.timerSecond != second {
+		n.timerSecond, n.timersAtOnce = second, 0
 	}
 	if when = max(when, d.now); when == d.now {
-		n.woken++
+		n.timersAtOnce++
 	}
-	if n.woken > mostAtOnce {
-		if d.problem == nil {
-			d.problem = fmt.Errorf("node %d asks at %.3f s of the day to be woken at once, over and over", n.index, float64(d.now)/1e9)
+	if n.timersAtOnce > maxTimersAtOnce {
+		if d.err == nil {
+			d.err = fmt.Errorf("node %d asks at %.3f s of the day to be woken at once, over and over", n.index, float64(d.now)/1e9)
 		}
 		return
 	}
-	life := n.life
+	life := n.process
 	d.at(when, func() {
-		if n.alive && n.life == life {
-			n.enter(func() { n.decider.TimerFired(policy.Time(n.clock()), cookie) })
+		if n.alive && n.process == life {
+			n.post(func() { n.decider.TimerFired(policy.Time(n.clock()), cookie) })
 		}
 	})
 }
 
-func (n *node) WatchEndpoints() { n.call() }
+func (n *node) WatchEndpoints() { n.startWatch() }
 
 func (n *node) CloseIdle(server policy.EndpointID) {
 	if m := n.day.byID[server]; m != nil {
 		for _, k := range n.idle[m] {
-			n.close(k)
+			n.closeConnection(k)
 		}
 		delete(n.idle, m)
 	}
@@ -508,24 +508,24 @@
 func (n *node) CheckHealth(server policy.EndpointID) {
 	m, d := n.day.byID[server], n.day
 	d.count(func(t *trace.FleetActivity) { t.HealthChecks++ })
-	if m == nil || !m.up || m.cut(n.index) || m.trouble.silent || !d.ways.Open(d.now, netfault.End{Index: n.index}, m.place()) || !d.ways.Open(d.now, m.place(), netfault.End{Index: n.index}) {
-		d.in(int64(n.set.ConnectTimeout), func() {
-			n.enter(func() {
+	if m == nil || !m.up || m.isCutFrom(n.index) || m.faults.silent || !d.links.Open(d.now, netfault.End{Index: n.index}, m.end()) || !d.links.Open(d.now, m.end(), netfault.End{Index: n.index}) {
+		d.after(int64(n.set.ConnectTimeout), func() {
+			n.post(func() {
 				n.decider.HealthChecked(policy.Time(n.clock()), server, policy.OutcomeTimedOut, noReport.LoadReport)
 			})
 		})
 		return
 	}
-	way := m.oneWay(n)
-	d.in(way, func() {
+	way := m.delayTo(n)
+	d.after(way, func() {
 		if !m.up {
 			return
 		}
 		m.model.Charge(d.now, int64(m.fleet.HealthCheckWork))
-		m.wake()
+		m.scheduleWake()
 		report := m.report()
-		d.in(way, func() {
-			n.enter(func() { n.decider.HealthChecked(policy.Time(n.clock()), server, policy.OutcomeSucceeded, report) })
+		d.after(way, func() {
+			n.post(func() { n.decider.HealthChecked(policy.Time(n.clock()), server, policy.OutcomeSucceeded, report) })
 		})
 	})
 }
@@ -535,16 +535,16 @@
 	d := n.day
 	message := gossip.Encode(what, n.clock())
 	for _, other := range d.nodes {
-		if other == n || !other.alive || d.draw.Float64() < newsLost {
+		if other == n || !other.alive || d.random.Float64() < gossipLoss {
 			continue
 		}
 		d.count(func(t *trace.FleetActivity) { t.Gossip++ })
-		way := d.pass(netfault.End{Index: n.index}, netfault.End{Index: other.index}, len(message))
+		way := d.fateOf(netfault.End{Index: n.index}, netfault.End{Index: other.index}, len(message))
 		if way.Lost || way.CorruptByte >= 0 {
 			continue
 		}
-		d.in(way.Delay+int64(d.scenario.Network.CrossZone)+int64(d.draw.Float64()*float64(newsLate)), func() {
-			other.enter(func() {
+		d.after(way.Delay+int64(d.scenario.Network.CrossZone)+int64(d.random.Float64()*float64(gossipDelay)), func() {
+			other.post(func() {
 				if told, err := other.inbox.Open(n.index, message, other.clock()); err == nil {
 					other.decider.GossipReceived(policy.Time(other.clock()), told)
 				}
@@ -554,10 +554,10 @@
 }
 
 const (
-	newsLost  = 0.02
-	newsLate  = 5 * time.Millisecond
-	firstWait = 200 * time.Millisecond
-	mostWait  = 3 * time.Second
+	gossipLoss       = 0.02
+	gossipDelay      = 5 * time.Millisecond
+	firstCallBackoff = 200 * time.Millisecond
+	maxCallBackoff   = 3 * time.Second
 )
 
 var (
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -27,9 +27,9 @@
 	return s
 }
 
-func played(t *testing.T, s *scenario.Scenario, maker Maker) *trace.Trace {
+func played(t *testing.T, s *scenario.Scenario, maker NewDecider) *trace.Trace {
 	t.Helper()
-	r, err := Play(context.Background(), Options{Scenario: s, Seed: s.Seed, Maker: maker})
+	r, err := Run(context.Background(), Options{Scenario: s, Seed: s.Seed, NewDecider: maker})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 
 // Guards against a float that hangs on the order of a map, and against anything shared between days.
 func TestTheSameDayIsTheSameToTheByte(t *testing.T) {
-	day := func() string { return text(t, played(t, read(t, "month-end", 20), Module)) }
+	day := func() string { return text(t, played(t, read(t, "month-end", 20), NewBalancer)) }
 	first := day()
 	before := runtime.GOMAXPROCS(8)
 	defer runtime.GOMAXPROCS(before)
@@ -107,10 +107,10 @@
 }
 
 func TestAnInstanceThatIsWokenForEverIsNamed(t *testing.T) {
-	_, err := Play(context.Background(), Options{
+	_, err := Run(context.Background(), Options{
 		Scenario: read(t, "calm", 3), Seed: 1,
-		Maker: func(node int, set policy.Settings, seed uint64, host policy.Effects, see Truth) Decider {
-			d := Module(node, set, seed, host, see)
+		NewDecider: func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider {
+			d := NewBalancer(node, set, seed, host, see)
 			if node != 1 {
 				return d
 			}
@@ -120,7 +120,7 @@
 	if err == nil || !strings.HasPrefix(err.Error(), "node 1 asks at ") || !strings.HasSuffix(err.Error(), "to be woken at once, over and over") {
 		t.Errorf("ended with %v", err)
 	}
-	if _, err := Play(context.Background(), Options{Scenario: read(t, "calm", 3), Seed: 1, Maker: Module, Most: 1000}); err == nil {
+	if _, err := Run(context.Background(), Options{Scenario: read(t, "calm", 3), Seed: 1, NewDecider: NewBalancer, MaxEvents: 1000}); err == nil {
 		t.Error("a day of more events than allowed came to its end")
 	}
 }
@@ -142,8 +142,8 @@
 }
 
 func TestAWakeInThePastComesAtOnce(t *testing.T) {
-	r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Effects, see Truth) Decider {
-		return &once{Decider: Module(node, set, seed, host, see), host: host}
+	r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider {
+		return &once{Decider: NewBalancer(node, set, seed, host, see), host: host}
 	})
 	if len(r.Violations) > 0 || countOf(r, trace.Succeeded) < len(r.Outcomes)*99/100 {
 		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, trace.Succeeded), len(r.Outcomes), r.Violations)
@@ -165,7 +165,7 @@
 	for at := range 30 {
 		s.Faults = append(s.Faults, scenario.Fault{Kind: "kill", At: scenario.Duration(2e9 + int64(at)*2e8), For: 3e8, Nodes: []int{at % 12}})
 	}
-	r := played(t, s, Module)
+	r := played(t, s, NewBalancer)
 	if len(r.Violations) > 0 {
 		t.Errorf("rules broken: %v", r.Violations[0])
 	}
@@ -182,7 +182,7 @@
 func TestClocksOfNodesMayDiffer(t *testing.T) {
 	s := read(t, "rolling-restart", 6)
 	s.Nodes.ClockSkew = scenario.Duration(2e9)
-	if r := played(t, s, Module); len(r.Violations) > 0 || countOf(r, trace.Succeeded) < len(r.Outcomes)*95/100 {
+	if r := played(t, s, NewBalancer); len(r.Violations) > 0 || countOf(r, trace.Succeeded) < len(r.Outcomes)*95/100 {
 		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, trace.Succeeded), len(r.Outcomes), r.Violations)
 	}
 }
@@ -193,8 +193,8 @@
 		1: func(h policy.Effects) policy.Effects { return &silent{Effects: h} },
 		2: func(h policy.Effects) policy.Effects { return &twice{Effects: h} },
 	} {
-		r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Effects, see Truth) Decider {
-			return Module(node, set, seed, wrong(host), see)
+		r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider {
+			return NewBalancer(node, set, seed, wrong(host), see)
 		})
 		if len(r.Violations) == 0 || r.Violations[0].Rule != rule {
 			t.Errorf("rule %d was broken all day; the judge found %d breaks", rule, len(r.Violations))
@@ -218,14 +218,14 @@
 	s := read(t, "fail-fast", 12)
 	s.Nodes.Membership, s.Reports.HealthChecked = true, true
 	var all trace.FleetActivity
-	r := played(t, s, Module)
+	r := played(t, s, NewBalancer)
 	for _, one := range r.Activity {
 		all.HealthChecks, all.Gossip, all.Members = all.HealthChecks+one.HealthChecks, all.Gossip+one.Gossip, all.Members+one.Members
 	}
 	if all.HealthChecks == 0 || all.Gossip == 0 || all.Members == 0 || len(r.Views) == 0 {
 		t.Errorf("%d probes, %d news, %d datagrams of members, %d beliefs", all.HealthChecks, all.Gossip, all.Members, len(r.Views))
 	}
-	if again := played(t, s, Module); text(t, again) != text(t, r) {
+	if again := played(t, s, NewBalancer); text(t, again) != text(t, r) {
 		t.Error("not the same twice")
 	}
 }
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/ways.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	listConnect   = time.Second             // a node waits no longer for a connection to discovery
-	listSilence   = 3200 * time.Millisecond // nor for a watch on which nothing comes
-	believedEvery = int64(time.Second)
-	mostBelieving = 64                     // nodes of a large fleet whose beliefs are kept
-	sentAgain     = 200 * time.Millisecond // a stream's piece that was lost
-	messageSize   = 400                    // bytes of a task, or of an answer, on a narrow way
+	discoveryConnectTimeout = time.Second             // a node waits no longer for a connection to discovery
+	watchTimeout            = 3200 * time.Millisecond // nor for a watch on which nothing comes
+	viewInterval            = int64(time.Second)
+	maxViews                = 64                     // nodes of a large fleet whose beliefs are kept
+	retransmission          = 200 * time.Millisecond // a stream's piece that was lost
+	messageSize             = 400                    // bytes of a task, or of an answer, on a narrow way
 )
 
 var discoveryEnd = netfault.End{Kind: netfault.Discovery}
@@ -26,20 +26,20 @@
 func (n *node) front() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
 
 // pass is what befalls the next message of a way.
-func (d *Day) pass(from, to netfault.End, size int) netfault.Fate {
-	if len(d.ways.Changes()) == 0 {
+func (d *Simulation) fateOf(from, to netfault.End, size int) netfault.Fate {
+	if len(d.links.Changes()) == 0 {
 		return netfault.Fate{CorruptByte: -1}
 	}
 	way := [2]netfault.End{from, to}
-	d.numbers[way]++
-	return d.ways.FateOf(d.now, from, to, d.numbers[way], size)
+	d.messageCounts[way]++
+	return d.links.FateOf(d.now, from, to, d.messageCounts[way], size)
 }
 
 // held is by how much later a stream's piece comes than on a sound way.
-func (d *Day) held(from, to netfault.End) int64 {
-	v := d.pass(from, to, messageSize)
+func (d *Simulation) linkDelay(from, to netfault.End) int64 {
+	v := d.fateOf(from, to, messageSize)
 	if v.Lost {
-		v.Delay += int64(sentAgain)
+		v.Delay += int64(retransmission)
 	}
 	if v.Rate > 0 {
 		v.Delay += int64(messageSize / v.Rate * 1e9)
@@ -48,11 +48,11 @@
 }
 
 // barred tells whether no new connection comes up between two ends, and whether the one that asks is told so.
-func (d *Day) barred(a, b netfault.End) (barred, refused bool) {
+func (d *Simulation) cannotConnect(a, b netfault.End) (barred, refused bool) {
 	for _, way := range [][2]netfault.End{{a, b}, {b, a}} {
-		if !d.ways.Open(d.now, way[0], way[1]) {
+		if !d.links.Open(d.now, way[0], way[1]) {
 			barred = true
-			refused = refused || d.ways.FateOf(d.now, way[0], way[1], 0, 0).Refused
+			refused = refused || d.links.FateOf(d.now, way[0], way[1], 0, 0).Refused
 		}
 	}
 	return barred, refused
@@ -60,7 +60,7 @@
 
 // mendWays has what was held up on a stream reset once its way is mended, as the relays do on sockets; where a way refuses, at once.
 // A watch that is silent for too long is given up by the node itself.
-func (d *Day) mendWays() {
+func (d *Simulation) scheduleLinkResets() {
 	for i := range d.plan.Faults {
 		way, ok := d.scenario.LinkFault(&d.plan.Faults[i].Fault)
 		if !ok || way.Kind != netfault.Cut {
@@ -69,8 +69,8 @@
 		reset := func() {
 			for _, a := range way.From {
 				for _, b := range way.To {
-					d.resetWay(a, b)
-					d.resetWay(b, a)
+					d.resetLink(a, b)
+					d.resetLink(b, a)
 				}
 			}
 		}
@@ -79,38 +79,38 @@
 			d.at(way.Begin, reset)
 			continue
 		}
-		d.at(way.Begin+int64(listSilence), func() {
+		d.at(way.Begin+int64(watchTimeout), func() {
 			for _, a := range append(append([]netfault.End(nil), way.From...), way.To...) {
 				if a.Kind != netfault.Node {
 					continue
 				}
-				if n := d.nodes[a.Index]; n.watch != nil && n.watch.rec != nil && !d.ways.Open(d.now, discoveryEnd, a) {
-					n.watch.failed()
+				if n := d.nodes[a.Index]; n.watch != nil && n.watch.record != nil && !d.links.Open(d.now, discoveryEnd, a) {
+					n.watch.fail()
 				}
 			}
 		})
 	}
 }
 
-func (d *Day) resetWay(from, to netfault.End) {
+func (d *Simulation) resetLink(from, to netfault.End) {
 	if from.Kind != netfault.Node {
 		return
 	}
 	n := d.nodes[from.Index]
 	switch to.Kind {
 	case netfault.Endpoint:
-		m := d.machines[to.Index]
+		m := d.endpoints[to.Index]
 		m.epochs[n.index]++
-		n.serverGone(m, true)
+		n.endpointGone(m, true)
 	case netfault.Discovery:
-		if n.watch != nil && n.watch.held {
-			n.watch.failed()
+		if n.watch != nil && n.watch.blocked {
+			n.watch.fail()
 		}
 	}
 }
 
 // join begins a life's view of the others.
-func (n *node) join(list []model.ListEntry) {
+func (n *node) startMembership(list []model.ListEntry) {
 	d := n.day
 	if !d.scenario.Nodes.Membership {
 		return
@@ -119,42 +119,42 @@
 	for i := range d.scenario.Nodes.Count {
 		names = append(names, fmt.Sprintf("n%d", i))
 	}
-	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.life.Incarnation)
+	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.process.Incarnation)
 	view, err := members.New(members.Settings{
 		Name: names[n.index], Peers: names, Round: int64(d.scenario.Nodes.ProtocolPeriod), Seed: seed,
-		Run: uint32(seed*2654435761>>8) | 1, Take: func(from int, load []byte) { n.hearing.take(n, from, load) },
-	}, (*datagrams)(n), n.clock())
+		Run: uint32(seed*2654435761>>8) | 1, Take: func(from int, load []byte) { n.listGossip.receive(n, from, load) },
+	}, (*memberTransport)(n), n.clock())
 	if err != nil {
-		d.problem = fmt.Errorf("node %d: %w", n.index, err)
+		d.err = fmt.Errorf("node %d: %w", n.index, err)
 		return
 	}
-	n.view = view
-	n.listen(seed, list)
+	n.membership = view
+	n.startListGossip(seed, list)
 	beat := int64(d.scenario.Nodes.ProtocolPeriod) / 10
 	var again func()
 	again = func() {
-		if n.view != view {
+		if n.membership != view {
 			return
 		}
-		if n.frozen > d.now { // of the beats that it misses it makes up for one
-			d.at(n.frozen, again)
+		if n.pausedUntil > d.now { // of the beats that it misses it makes up for one
+			d.at(n.pausedUntil, again)
 			return
 		}
 		view.Beat(n.clock())
-		n.hearing.beat(n)
-		d.in(beat, again)
+		n.listGossip.tick(n)
+		d.after(beat, again)
 	}
-	d.in(int64(seed%uint64(beat)), again)
+	d.after(int64(seed%uint64(beat)), again)
 }
 
 // datagrams carries what a view sends.
-type datagrams node
+type memberTransport node
 
-func (s *datagrams) Send(to int, datagram []byte) {
+func (s *memberTransport) Send(to int, datagram []byte) {
 	n := (*node)(s)
 	d := n.day
 	d.count(func(t *trace.FleetActivity) { t.Members++; t.MembershipBytes += len(datagram) })
-	v := d.pass(netfault.End{Index: n.index}, netfault.End{Index: to}, len(datagram))
+	v := d.fateOf(netfault.End{Index: n.index}, netfault.End{Index: to}, len(datagram))
 	if v.Lost {
 		return
 	}
@@ -170,21 +170,21 @@
 	if v.Rate > 0 {
 		v.Delay += int64(float64(len(datagram)) / v.Rate * 1e9)
 	}
-	d.in(way+v.Delay, func() { other.heard(datagram) })
+	d.after(way+v.Delay, func() { other.receiveDatagram(datagram) })
 	if v.DuplicateAfter > 0 {
-		d.in(way+v.Delay+v.DuplicateAfter, func() { other.heard(datagram) })
+		d.after(way+v.Delay+v.DuplicateAfter, func() { other.receiveDatagram(datagram) })
 	}
 }
 
-func (n *node) heard(datagram []byte) {
-	d, view := n.day, n.view
+func (n *node) receiveDatagram(datagram []byte) {
+	d, view := n.day, n.membership
 	if view == nil {
 		return
 	}
-	if n.frozen > d.now {
-		d.at(n.frozen, func() {
-			if n.view == view {
-				n.heard(datagram)
+	if n.pausedUntil > d.now {
+		d.at(n.pausedUntil, func() {
+			if n.membership == view {
+				n.receiveDatagram(datagram)
 			}
 		})
 		return
@@ -193,27 +193,27 @@
 }
 
 // believe keeps what nodes believe, and which of them run.
-func (d *Day) believe() {
+func (d *Simulation) recordViews() {
 	runs := make([]byte, len(d.nodes))
-	step := (len(d.nodes) + mostBelieving - 1) / mostBelieving
+	step := (len(d.nodes) + maxViews - 1) / maxViews
 	for i, n := range d.nodes {
-		if runs[i] = '-'; !n.alive || n.view == nil || n.frozen > d.now {
+		if runs[i] = '-'; !n.alive || n.membership == nil || n.pausedUntil > d.now {
 			continue
 		}
 		runs[i] = 'U'
 		if i%step != 0 {
 			continue
 		}
-		b := trace.MembershipView{At: d.now, Node: i, Known: n.view.Figure(n.clock()).Known, Strain: n.view.Strain()}
+		b := trace.MembershipView{At: d.now, Node: i, Known: n.membership.Figure(n.clock()).Known, Strain: n.membership.Strain()}
 		letters := make([]byte, len(d.nodes))
-		for k, s := range n.view.States() {
+		for k, s := range n.membership.States() {
 			letters[k] = trace.StateLetters[s]
 		}
 		b.States = string(letters)
-		d.beliefs = append(d.beliefs, b)
+		d.views = append(d.views, b)
 	}
-	d.runs = append(d.runs, trace.RunningNodes{At: d.now, States: string(runs)})
+	d.running = append(d.running, trace.RunningNodes{At: d.now, States: string(runs)})
 	if d.now < int64(d.scenario.Length) {
-		d.in(believedEvery, d.believe)
+		d.after(viewInterval, d.recordViews)
 	}
 }
