--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -1,8 +1,7 @@
 package relay
 
-// This file owns the configuration of a relay's or an origin's process. It must never start anything.
-
 import (
+	"cmp"
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/tomlfile"
 	"fmt"
@@ -12,47 +11,68 @@
 	"time"
 )
 
-// Config of one process, checked.
+// Config configures the process of an origin or a relay, as its TOML file does.
 type Config struct {
-	Name           string   `toml:"name"`
-	Role           string   `toml:"role"`     // origin or relay
-	Listen         string   `toml:"listen"`   // address and port; port 0: one that is free
-	Upstream       []string `toml:"upstream"` // of a relay, the first choice first
-	Scopes         []string `toml:"scopes"`   // of a relay: region/service; a star at the end stands for all that begin so; none: all
-	BytesPerSecond int      `toml:"pace"`     // bytes a second and subscriber; 0: no bound
-	Limits         struct {
-		Records     int `toml:"records"`
-		Bytes       int `toml:"bytes"` // of names, keys and bodies
-		Subscribers int `toml:"subscribers"`
-	} `toml:"limits"`
+	// Name of the process, in its log. Of a relay it also seeds the jitter of its backoff.
+	Name string `toml:"name"`
+	// Role is origin or relay.
+	Role string `toml:"role"`
+	// Listen is the address and port for subscribers; with port 0 a free one is taken.
+	Listen string `toml:"listen"`
+	// Upstream are a relay's upstreams as addresses and ports, the first choice first.
+	Upstream []string `toml:"upstream"`
+	// Scopes are what a relay follows, region/service; a star at the end stands for all that begin so. Default: all.
+	Scopes []string `toml:"scopes"`
+	// BytesPerSecond is the pace to each subscriber; 0: not paced.
+	BytesPerSecond int `toml:"pace"`
+	// Limits bound what is held; 0 stands for the defaults of distribution.Limits.
+	Limits LimitsConfig `toml:"limits"`
+	// Origin configures an origin; nil for a relay.
 	Origin *OriginConfig `toml:"origin"`
 }
 
-// OriginConfig is where an origin's truth comes from.
+// LimitsConfig bounds what a process holds.
+type LimitsConfig struct {
+	Records     int `toml:"records"`
+	Bytes       int `toml:"bytes"` // of names, keys and bodies
+	Subscribers int `toml:"subscribers"`
+}
+
+// OriginConfig configures where an origin's records come from.
 type OriginConfig struct {
-	Discovery     string    `toml:"discovery"`     // address and port; empty: no endpoints
-	Configuration string    `toml:"configuration"` // directory; empty: no configuration
-	PollInterval  string    `toml:"every"`         // how often the directory is looked at
-	State         string    `toml:"state"`         // file that keeps the epoch, so that it grows though the machine's clock goes back
-	ScopeRule     ScopeRule `toml:"scope"`
+	// Discovery is the address and port of discovery; empty: no endpoints.
+	Discovery string `toml:"discovery"`
+	// Configuration is the directory of configuration; empty: no configuration.
+	Configuration string `toml:"configuration"`
+	// PollInterval is how often the directory is scanned, 50ms to 1h. Default: 1s.
+	PollInterval string `toml:"every"`
+	// State is the file that stores the epoch, so that it grows though the machine's clock goes back; empty: none.
+	State string `toml:"state"`
+	// Scope says which scope a host is in.
+	Scope ScopeRule `toml:"scope"`
 
+	// PollIntervalNs is PollInterval in nanoseconds, once the file has been checked.
 	PollIntervalNs int64 `toml:"-"`
 }
 
-// Scope is how a host is put into a scope, region/service.
+// ScopeRule says which scope a host is in, region/service.
 type ScopeRule struct {
-	Service     string              `toml:"service"`      // that all hosts serve
-	ServiceFrom string              `toml:"service_from"` // "host": what is before the last dash of the host's name
-	Region      string              `toml:"region"`       // of sites that no region names; empty: their hosts are passed over
-	Regions     map[string][]string `toml:"regions"`      // the sites of each
+	// Service is the service of all hosts; or empty, with ServiceFrom.
+	Service string `toml:"service"`
+	// ServiceFrom "host" takes what is before the last dash of a host's name for its service.
+	ServiceFrom string `toml:"service_from"`
+	// Region is the region of sites that Regions doesn't name; empty: their hosts are skipped.
+	Region string `toml:"region"`
+	// Regions are the sites of each region.
+	Regions map[string][]string `toml:"regions"`
 
-	sites map[string]string // the region of each
+	regionOf map[string]string // by site
 }
 
 const (
-	roleOrigin = "origin"
-	roleRelay  = "relay"
-	fromHost   = "host"
+	roleOrigin      = "origin"
+	roleRelay       = "relay"
+	serviceFromHost = "host"
 
 	configPage          = "docs/operate/relay.md"
 	defaultPollInterval = time.Second
@@ -62,9 +82,10 @@
 	maxUpstreams        = 64
 	maxScopes           = 4096
 	maxNameBytes        = 255
+	maxScopePartBytes   = maxNameBytes / 2 // of a region or service
 )
 
-// ReadConfig reads and checks a file. All that is wrong is told at once.
+// ReadConfig reads and checks a file. The error names all that is wrong.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,101 +94,131 @@
 	return ParseConfig(path, text)
 }
 
-// ParseConfig checks a file's text.
+// ParseConfig parses and checks a file's text. The error names all that is wrong; path stands in it.
 func ParseConfig(path string, text []byte) (*Config, error) {
-	f := &Config{}
-	c, err := tomlfile.Decode(path, text, f, configPage)
+	config := &Config{}
+	complaints, err := tomlfile.Decode(path, text, config, configPage)
 	if err != nil {
 		return nil, err
 	}
-	f.check(c)
-	return f, c.Err()
+	config.check(complaints)
+	return config, complaints.Err()
 }
 
-func address(c *tomlfile.Complaints, key, found string, portless bool) {
-	at, err := netip.ParseAddrPort(found)
-	c.Must(err == nil && (portless || at.Port() != 0), key, "an address and a port", fmt.Sprintf("%q", found))
+func checkAddress(c *tomlfile.Complaints, key, found string, portZero bool) {
+	address, err := netip.ParseAddrPort(found)
+	c.Must(err == nil && (portZero || address.Port() != 0), key, "an address and a port", fmt.Sprintf("%q", found))
 }
 
 func (f *Config) check(c *tomlfile.Complaints) {
-	c.Must(f.Name != "" && len(f.Name) <= maxNameBytes, "name", fmt.Sprintf("a name of up to %d bytes", maxNameBytes), fmt.Sprintf("%q", f.Name))
+	c.Must(f.Name != "" && len(f.Name) <= maxNameBytes, "name",
+		fmt.Sprintf("a name of up to %d bytes", maxNameBytes), fmt.Sprintf("%q", f.Name))
 	c.Must(f.Role == roleOrigin || f.Role == roleRelay, "role", "origin or relay", fmt.Sprintf("%q", f.Role))
-	address(c, "listen", f.Listen, true)
-	c.Must(f.BytesPerSecond == 0 || f.BytesPerSecond >= minBytesPerSecond, "pace", fmt.Sprintf("0, or at least %d bytes a second", minBytesPerSecond), f.BytesPerSecond)
-	for key, n := range map[string]int{"limits.records": f.Limits.Records, "limits.bytes": f.Limits.Bytes, "limits.subscribers": f.Limits.Subscribers} {
+	checkAddress(c, "listen", f.Listen, true)
+	c.Must(f.BytesPerSecond == 0 || f.BytesPerSecond >= minBytesPerSecond, "pace",
+		fmt.Sprintf("0, or at least %d bytes a second", minBytesPerSecond), f.BytesPerSecond)
+	limits := map[string]int{
+		"limits.records":     f.Limits.Records,
+		"limits.bytes":       f.Limits.Bytes,
+		"limits.subscribers": f.Limits.Subscribers,
+	}
+	for key, n := range limits {
 		c.Must(n >= 0, key, "a number from 0, which stands for the default", n)
 	}
 	if f.Role == roleOrigin {
-		c.Must(len(f.Upstream) == 0, "upstream", "none, as role is origin", len(f.Upstream))
-		c.Must(len(f.Scopes) == 0, "scopes", "none, as role is origin", len(f.Scopes))
-		c.Must(f.Origin != nil, "origin", "a table, as role is origin", "none")
-		if f.Origin != nil {
-			f.Origin.check(c)
-		}
-		return
+		f.checkOrigin(c)
+	} else {
+		f.checkRelay(c)
 	}
+}
+
+func (f *Config) checkOrigin(c *tomlfile.Complaints) {
+	c.Must(len(f.Upstream) == 0, "upstream", "none, as role is origin", len(f.Upstream))
+	c.Must(len(f.Scopes) == 0, "scopes", "none, as role is origin", len(f.Scopes))
+	c.Must(f.Origin != nil, "origin", "a table, as role is origin", "none")
+	if f.Origin != nil {
+		f.Origin.check(c)
+	}
+}
+
+func (f *Config) checkRelay(c *tomlfile.Complaints) {
 	c.Must(f.Origin == nil, "origin", "none, as role is not origin", "a table")
-	c.Must(len(f.Upstream) >= 1 && len(f.Upstream) <= maxUpstreams, "upstream", fmt.Sprintf("1 to %d addresses and ports", maxUpstreams), len(f.Upstream))
+	c.Must(len(f.Upstream) >= 1 && len(f.Upstream) <= maxUpstreams, "upstream",
+		fmt.Sprintf("1 to %d addresses and ports", maxUpstreams), len(f.Upstream))
 	seen := map[string]bool{}
-	for i, up := range f.Upstream {
+	for i, upstream := range f.Upstream {
 		key := fmt.Sprintf("upstream.%d", i)
-		address(c, key, up, false)
-		c.Must(!seen[up], key, "an address that is not there twice", fmt.Sprintf("%q again", up))
-		c.Must(up != f.Listen, key, "another address than listen", fmt.Sprintf("%q", up))
-		seen[up] = true
+		checkAddress(c, key, upstream, false)
+		c.Must(!seen[upstream], key, "an address that is not there twice", fmt.Sprintf("%q again", upstream))
+		c.Must(upstream != f.Listen, key, "another address than listen", fmt.Sprintf("%q", upstream))
+		seen[upstream] = true
 	}
 	if len(f.Scopes) == 0 {
-		f.Scopes = []string{"*"}
+		f.Scopes = []string{prefixMark}
 	}
 	c.Must(len(f.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(f.Scopes))
-	for i, s := range f.Scopes {
-		c.Must(s != "" && len(s) <= distribution.MaxNameBytes && !strings.Contains(strings.TrimSuffix(s, "*"), "*"), fmt.Sprintf("scopes.%d", i),
-			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", distribution.MaxNameBytes), fmt.Sprintf("%q", s))
+	for i, scope := range f.Scopes {
+		starAtEnd := !strings.Contains(strings.TrimSuffix(scope, prefixMark), prefixMark)
+		c.Must(scope != "" && len(scope) <= distribution.MaxNameBytes && starAtEnd, fmt.Sprintf("scopes.%d", i),
+			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", distribution.MaxNameBytes),
+			fmt.Sprintf("%q", scope))
 	}
 }
 
 func (o *OriginConfig) check(c *tomlfile.Complaints) {
 	c.Must(o.Discovery != "" || o.Configuration != "", "origin", "discovery, configuration or both", "neither")
-	every, err := defaultPollInterval, error(nil)
+	interval := defaultPollInterval
 	if o.PollInterval != "" {
-		every, err = time.ParseDuration(o.PollInterval)
-		c.Must(err == nil && every >= minPollInterval && every <= maxPollInterval, "origin.every", "a time from 50ms to 1h", fmt.Sprintf("%q", o.PollInterval))
-	}
-	o.PollIntervalNs = int64(every)
-	if o.Discovery == "" {
-		return
-	}
-	address(c, "origin.discovery", o.Discovery, false)
-	s := &o.ScopeRule
-	c.Must((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place", fmt.Sprintf("%q and %q", s.Service, s.ServiceFrom))
-	c.Must(s.ServiceFrom == "" || s.ServiceFrom == fromHost, "origin.scope.service_from", "host", fmt.Sprintf("%q", s.ServiceFrom))
-	c.Must(s.Region != "" || len(s.Regions) > 0, "origin.scope.region", "a region, or regions with their sites", "neither")
-	s.sites = map[string]string{}
+		var err error
+		interval, err = time.ParseDuration(o.PollInterval)
+		c.Must(err == nil && interval >= minPollInterval && interval <= maxPollInterval, "origin.every",
+			"a time from 50ms to 1h", fmt.Sprintf("%q", o.PollInterval))
+	}
+	o.PollIntervalNs = int64(interval)
+	if o.Discovery != "" {
+		checkAddress(c, "origin.discovery", o.Discovery, false)
+		o.Scope.check(c)
+	}
+}
+
+func (s *ScopeRule) check(c *tomlfile.Complaints) {
+	c.Must((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place",
+		fmt.Sprintf("%q and %q", s.Service, s.ServiceFrom))
+	c.Must(s.ServiceFrom == "" || s.ServiceFrom == serviceFromHost, "origin.scope.service_from", "host",
+		fmt.Sprintf("%q", s.ServiceFrom))
+	c.Must(s.Region != "" || len(s.Regions) > 0, "origin.scope.region",
+		"a region, or regions with their sites", "neither")
+	s.regionOf = map[string]string{}
 	for region, sites := range s.Regions {
 		for _, site := range sites {
-			c.Must(s.sites[site] == "", "origin.scope.regions."+region, "sites of one region each", fmt.Sprintf("%q, which is also of %s", site, s.sites[site]))
-			s.sites[site] = region
+			other := s.regionOf[site]
+			c.Must(other == "", "origin.scope.regions."+region, "sites of one region each",
+				fmt.Sprintf("%q, which is also of %s", site, other))
+			s.regionOf[site] = region
 		}
 	}
 	for key, name := range map[string]string{"service": s.Service, "region": s.Region} {
-		c.Must(len(name) <= maxNameBytes/2 && !strings.ContainsAny(name, "/*"), "origin.scope."+key, fmt.Sprintf("a name of up to %d bytes without / and *", maxNameBytes/2), fmt.Sprintf("%q", name))
+		c.Must(validScopePart(name), "origin.scope."+key,
+			fmt.Sprintf("a name of up to %d bytes without / and *", maxScopePartBytes), fmt.Sprintf("%q", name))
 	}
 	for region := range s.Regions {
-		c.Must(region != "" && len(region) <= maxNameBytes/2 && !strings.ContainsAny(region, "/*"), "origin.scope.regions", fmt.Sprintf("names of up to %d bytes without / and *", maxNameBytes/2), fmt.Sprintf("%q", region))
+		c.Must(region != "" && validScopePart(region), "origin.scope.regions",
+			fmt.Sprintf("names of up to %d bytes without / and *", maxScopePartBytes), fmt.Sprintf("%q", region))
 	}
 }
 
-// of is the scope of a host; empty: none.
+func validScopePart(name string) bool {
+	return len(name) <= maxScopePartBytes && !strings.ContainsAny(name, "/*")
+}
+
+// scopeOf returns the scope of a host; empty: it has none.
 func (s *ScopeRule) scopeOf(host, site string) string {
-	region, ok := s.sites[site]
-	if !ok {
-		region = s.Region
-	}
+	region := cmp.Or(s.regionOf[site], s.Region)
 	service := s.Service
-	if s.ServiceFrom == fromHost {
+	if s.ServiceFrom == serviceFromHost {
 		service = ""
-		if i := strings.LastIndexByte(host, '-'); i > 0 {
-			service = host[:i]
+		if dash := strings.LastIndexByte(host, '-'); dash > 0 {
+			service = host[:dash]
 		}
 	}
 	if region == "" || service == "" {
--- a/internal/relay/deploy_test.go
+++ b/internal/relay/deploy_test.go
@@ -42,7 +42,7 @@
 			}
 		}
 	}
-	if scope := origin.Origin.ScopeRule.scopeOf("h1", "eu1-b"); scope != "eu1/cart" {
+	if scope := origin.Origin.Scope.scopeOf("h1", "eu1-b"); scope != "eu1/cart" {
 		t.Errorf("a host of eu1-b is in %q", scope)
 	}
 }
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -1,51 +1,48 @@
 package relay
 
-// This file owns an origin's directory of configuration: each *.jsonl file holds records, one a line. A file counts whole or not at
-// all, and what can't be read takes nothing away. It must never write there.
-
 import (
-	"bufio"
 	"bytes"
-	"encoding/json"
 	"errors"
 	"fawnglade/internal/distribution"
 	"fmt"
-	"io"
 	"io/fs"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
+	"sync/atomic"
+	"syscall"
 
 	"go.uber.org/zap"
 )
 
-const (
-	recordsSuffix = ".jsonl"
-	maxLineBytes  = 4 * distribution.MaxBodyBytes // bytes of a line: names and JSON's own marks come to the body
-	maxFiles      = 100_000
-	// kindConfiguration is what the origin waits for before it claims to be whole; no record's key begins with it.
-	kindConfiguration = "configuration"
-)
+// recordName is the name of a record: its key within its scope.
+type recordName struct{ scope, key string }
 
-var errDuplicateRecord = errors.New("a record that no other file has")
+// fileStamp tells whether a file has changed.
+type fileStamp struct {
+	size       int64
+	modifiedNs int64
+	inode      uint64
+}
 
-type recordName struct{ scope, key string }
+func fileStampOf(info fs.FileInfo) fileStamp {
+	stamp := fileStamp{size: info.Size(), modifiedNs: info.ModTime().UnixNano()}
+	if sys, ok := info.Sys().(*syscall.Stat_t); ok {
+		stamp.inode = sys.Ino
+	}
+	return stamp
+}
 
-// file is one file as it counts now.
+// recordFile is a file as it was last read.
 type recordFile struct {
 	stamp     fileStamp
-	records   map[recordName]distribution.Record
-	lastError string // what was wrong with it when it was last read
-}
-
-// stamp tells whether a file is another than it was.
-type fileStamp struct {
-	size, modifiedNs int64
-	inode            uint64
+	records   map[recordName]distribution.Record // of the last time that it could be read
+	lastError string                             // "": it could be read
 }
 
-// directory is what an origin has of its files.
+// configDirectory reads an origin's directory of configuration: *.jsonl files of records, one a line. A file counts
+// as a whole or not at all, and what can't be read removes nothing. It never writes.
 type configDirectory struct {
 	path     string
 	files    map[string]*recordFile
@@ -53,29 +50,43 @@
 	log      *zap.Logger
 	warnings warnLimiter
 
-	filesRead, invalid counter
+	filesRead, filesSkipped atomic.Int64
 }
 
 func newConfigDirectory(path string, log *zap.Logger) *configDirectory {
 	return &configDirectory{path: path, files: map[string]*recordFile{}, owner: map[recordName]string{}, log: log}
 }
 
-// change is what an origin has to do.
-type change struct {
-	record distribution.Record // Gone: it is to be removed
+// scan reads the files that have changed, and returns the records that have; Deleted ones are to be removed.
+// complete: the directory could be read, and holds files or never did.
+func (d *configDirectory) scan() (changes []distribution.Record, complete bool) {
+	names, ok := d.list()
+	if !ok {
+		return nil, false
+	}
+	for old := range d.files {
+		if _, exists := slices.BinarySearch(names, old); !exists {
+			changes = append(changes, d.removeRecords(old, nil)...)
+			delete(d.files, old)
+		}
+	}
+	for _, name := range names {
+		changes = append(changes, d.scanFile(name)...)
+	}
+	return changes, true
 }
 
-// look reads what has changed, and tells what the origin has to do; whole: the directory could be read, and holds files.
-func (d *configDirectory) scan() (changes []change, whole bool) {
-	found, err := os.ReadDir(d.path)
+// list returns the names of the files of records, sorted; false: what was read of them stays.
+func (d *configDirectory) list() (names []string, ok bool) {
+	entries, err := os.ReadDir(d.path)
 	if err != nil {
-		d.warnings.warn(d.log, "directory", "the directory of configuration can't be read: what was read stays", zap.Error(err))
+		d.warnings.warn(d.log, "directory", "the directory of configuration can't be read: what was read stays",
+			zap.Error(err))
 		return nil, false
 	}
-	var names []string
-	for _, f := range found {
-		if strings.HasSuffix(f.Name(), recordsSuffix) && !strings.HasPrefix(f.Name(), ".") {
-			names = append(names, f.Name())
+	for _, entry := range entries {
+		if strings.HasSuffix(entry.Name(), recordsSuffix) && !strings.HasPrefix(entry.Name(), ".") {
+			names = append(names, entry.Name())
 		}
 	}
 	if len(names) == 0 && len(d.files) > 0 {
@@ -84,162 +95,100 @@
 		return nil, false
 	}
 	if len(names) > maxFiles {
-		d.warnings.warn(d.log, "files", "the directory of configuration has too many files: what was read stays", zap.Int("files", len(names)), zap.Int("at most", maxFiles))
+		d.warnings.warn(d.log, "files", "the directory of configuration has too many files: what was read stays",
+			zap.Int("files", len(names)), zap.Int("at most", maxFiles))
 		return nil, false
 	}
-	for old := range d.files {
-		if _, there := slices.BinarySearch(names, old); !there {
-			changes = d.removeRecords(changes, old, nil)
-		}
-	}
-	for _, n := range names {
-		changes = d.scanFile(changes, n)
-	}
-	return changes, true
+	return names, true
 }
 
-// drop removes a file's records but those that it still has.
-func (d *configDirectory) removeRecords(changes []change, from string, now map[recordName]distribution.Record) []change {
-	f := d.files[from]
-	if f == nil {
-		return changes
-	}
-	for n := range f.records {
-		if _, stays := now[n]; !stays {
-			changes = append(changes, change{distribution.Record{Scope: n.scope, Key: n.key, Deleted: true}})
-			delete(d.owner, n)
-		}
+// removeRecords returns the removal of a file's records but those that it still has.
+func (d *configDirectory) removeRecords(name string, now map[recordName]distribution.Record) []distribution.Record {
+	file := d.files[name]
+	if file == nil {
+		return nil
 	}
-	if now == nil {
-		delete(d.files, from)
+	var removed []distribution.Record
+	for record := range file.records {
+		if _, stays := now[record]; !stays {
+			removed = append(removed, distribution.Record{Scope: record.scope, Key: record.key, Deleted: true})
+			delete(d.owner, record)
+		}
 	}
-	return changes
+	return removed
 }
 
-func (d *configDirectory) scanFile(changes []change, at string) []change {
-	path := filepath.Join(d.path, at)
+// scanFile reads a file if it has changed, and returns the changes of its records.
+func (d *configDirectory) scanFile(name string) []distribution.Record {
+	path := filepath.Join(d.path, name)
 	info, err := os.Stat(path)
 	if err != nil {
-		if !errors.Is(err, fs.ErrNotExist) { // else it went since; the next look sees that
-			d.warnings.warn(d.log, "stat", "a file of configuration can't be read: what was read of it stays", zap.Error(err))
+		if !errors.Is(err, fs.ErrNotExist) { // else it went since; the next scan sees that
+			d.warnings.warn(d.log, "stat", "a file of configuration can't be read: what was read of it stays",
+				zap.Error(err))
 		}
-		return changes
+		return nil
 	}
-	is := fileStampOf(info)
-	had := d.files[at]
-	if had != nil && had.stamp == is {
-		return changes
+	stamp := fileStampOf(info)
+	previous := d.files[name]
+	if previous != nil && previous.stamp == stamp {
+		return nil
 	}
-	records, err := readRecords(path, func(n recordName) error {
-		if other := d.owner[n]; other != "" && other != at {
-			return fmt.Errorf("%w, found scope %q, key %q, which is in %s", errDuplicateRecord, n.scope, n.key, other)
+	records, err := readRecords(path, func(record recordName) error {
+		if other := d.owner[record]; other != "" && other != name {
+			return fmt.Errorf("%w, found scope %q, key %q, which is in %s",
+				errDuplicateRecord, record.scope, record.key, other)
 		}
 		return nil
 	})
 	d.filesRead.Add(1)
 	if err != nil {
-		d.invalid.Add(1)
-		if had == nil {
-			had = &recordFile{}
-			d.files[at] = had
-		}
-		if had.lastError != err.Error() {
-			d.log.Warn("file of configuration passed over: what was read of it before stays", zap.Error(err))
-		}
-		had.stamp, had.lastError = is, err.Error()
-		if errors.Is(err, errDuplicateRecord) {
-			had.stamp = fileStamp{} // the other file may let go of it
-		}
-		return changes
-	}
-	changes = d.removeRecords(changes, at, records)
-	first := len(changes)
-	for n, r := range records {
-		d.owner[n] = at
-		if had != nil {
-			if old, held := had.records[n]; held && bytes.Equal(old.Body, r.Body) {
-				continue
-			}
-		}
-		changes = append(changes, change{r})
-	}
-	slices.SortFunc(changes[first:], func(a, b change) int { // the order of versions does not hang on a map's
-		return strings.Compare(a.record.Scope+"\x00"+a.record.Key, b.record.Scope+"\x00"+b.record.Key)
-	})
-	d.files[at] = &recordFile{stamp: is, records: records}
-	return changes
-}
-
-// readRecords reads a file: one record a line, {"scope": ..., "key": ..., "body": any JSON}.
-func readRecords(path string, may func(recordName) error) (map[recordName]distribution.Record, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	records := map[recordName]distribution.Record{}
-	in := bufio.NewReaderSize(f, maxLineBytes)
-	for line := 1; ; line++ {
-		text, err := in.ReadSlice('\n')
-		if errors.Is(err, bufio.ErrBufferFull) {
-			return nil, fmt.Errorf("%s: line %d: expected at most %d bytes, found more", path, line, maxLineBytes)
-		}
-		if err != nil && err != io.EOF {
-			return nil, err
-		}
-		if rest := bytes.TrimSpace(text); len(rest) > 0 {
-			r, wrong := recordOf(rest)
-			n := recordName{r.Scope, r.Key}
-			if _, twice := records[n]; wrong == nil && twice {
-				wrong = fmt.Errorf("a record once, found scope %q, key %q again", r.Scope, r.Key)
-			}
-			if wrong == nil {
-				wrong = may(n)
-			}
-			if wrong != nil {
-				return nil, fmt.Errorf("%s: line %d: expected %w", path, line, wrong)
-			}
-			records[n] = r
-		}
-		if err == io.EOF {
-			return records, nil
-		}
+		d.skipFile(name, stamp, err)
+		return nil
 	}
+	removed := d.removeRecords(name, records)
+	changed := d.changedRecords(name, records)
+	d.files[name] = &recordFile{stamp: stamp, records: records}
+	return append(removed, changed...)
 }
 
-func recordOf(text []byte) (r distribution.Record, err error) {
-	var in struct {
-		Scope, Key string
-		Body       json.RawMessage
-	}
-	decode := json.NewDecoder(bytes.NewReader(text))
-	decode.DisallowUnknownFields()
-	if err := decode.Decode(&in); err != nil {
-		return r, fmt.Errorf("an object with scope, key and body, found %w", err)
-	}
-	if _, err := decode.Token(); err != io.EOF {
-		return r, errors.New("one object a line, found more")
-	}
-	if in.Scope == "" || len(in.Scope) > distribution.MaxNameBytes || strings.Contains(in.Scope, "*") {
-		return r, fmt.Errorf("scope: 1 to %d bytes without a star, found %.80q", distribution.MaxNameBytes, in.Scope)
+// skipFile notes a file that could not be read, and warns once of each error.
+func (d *configDirectory) skipFile(name string, stamp fileStamp, err error) {
+	d.filesSkipped.Add(1)
+	file := d.files[name]
+	if file == nil {
+		file = &recordFile{}
+		d.files[name] = file
 	}
-	if in.Scope == ScopeOrigin {
-		return r, fmt.Errorf("scope: another than %q, which is the origin's own", ScopeOrigin)
+	if file.lastError != err.Error() {
+		d.log.Warn("configuration file skipped: what was read of it before stays", zap.Error(err))
 	}
-	kind, rest, _ := strings.Cut(in.Key, "/")
-	if kind == "" || rest == "" || len(in.Key) > distribution.MaxNameBytes || kind == KindEndpoint || kind == kindConfiguration {
-		return r, fmt.Errorf("key: a kind, a slash and a name, such as route/checkout, up to %d bytes, and another kind than endpoint and configuration, found %.80q",
-			distribution.MaxNameBytes, in.Key)
+	file.lastError = err.Error()
+	file.stamp = stamp
+	if errors.Is(err, errDuplicateRecord) {
+		file.stamp = fileStamp{} // read it once more: the other file may have changed
 	}
-	var body bytes.Buffer
-	if len(in.Body) == 0 {
-		return r, errors.New("body: any JSON, found none")
-	}
-	if err := json.Compact(&body, in.Body); err != nil {
-		return r, err
-	}
-	if body.Len() > distribution.MaxBodyBytes {
-		return r, fmt.Errorf("body: at most %d bytes, found %d", distribution.MaxBodyBytes, body.Len())
+}
+
+// changedRecords returns the records of a file that are new or have changed, sorted, so that the order of versions
+// doesn't depend on a map's.
+func (d *configDirectory) changedRecords(
+	file string, records map[recordName]distribution.Record,
+) []distribution.Record {
+	var previous map[recordName]distribution.Record
+	if f := d.files[file]; f != nil {
+		previous = f.records
+	}
+	var changed []distribution.Record
+	for name, record := range records {
+		d.owner[name] = file
+		if old, held := previous[name]; held && bytes.Equal(old.Body, record.Body) {
+			continue
+		}
+		changed = append(changed, record)
 	}
-	return distribution.Record{Scope: in.Scope, Key: in.Key, Class: distribution.ClassConfiguration, Body: body.Bytes()}, nil
+	slices.SortFunc(changed, func(a, b distribution.Record) int {
+		return strings.Compare(a.Scope+"\x00"+a.Key, b.Scope+"\x00"+b.Key)
+	})
+	return changed
 }
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -1,8 +1,5 @@
 package relay
 
-// This file owns an origin's watch of discovery, in the platform's protocol. It must never take a call that failed, or a watch that
-// fell silent, for a list.
-
 import (
 	"context"
 	"errors"
@@ -12,49 +9,59 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
+	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
 )
 
 const (
-	watchConnectTimeout  = time.Second
-	watchResponseTimeout = 3 * time.Second         // a call that waits so long has another beside it, not in its place: calls are worked in turn
-	watchSilenceTimeout  = 3200 * time.Millisecond // an empty line comes every 2 s while nothing changes
-	minBackoff           = 200 * time.Millisecond  // between calls
-	maxBackoff           = 2 * time.Second         // a change is told 6 s after discovery can be reached: pause, connect and head leave room
-	pathList             = "/v1/endpoints"
+	watchConnectTimeout = time.Second
+	// watchResponseTimeout is how long a request waits before another is sent beside it, not in its place: discovery
+	// works requests in turn.
+	watchResponseTimeout = 3 * time.Second
+	// watchSilenceTimeout is how long a watch may send nothing: an empty line comes every 2 s while nothing changes.
+	watchSilenceTimeout = 3200 * time.Millisecond
+	// minBackoff and maxBackoff bound the wait between requests. A change has to reach nodes within 6 s of discovery
+	// being reachable: backoff, connecting and the response leave room for that.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	pathList   = "/v1/endpoints"
 )
 
-// watch follows the list until the context is done.
+// discoveryWatch is an origin's watch of discovery's list. A request that failed, or a watch that fell silent, is
+// never taken for a list.
 type discoveryWatch struct {
 	address        string
 	limits         endpointlist.Limits
 	silenceTimeout time.Duration
+	clock          func() int64
 	log            *zap.Logger
 	warnings       warnLimiter
 	toRecord       func(endpointlist.Entry) (distribution.Record, error)
-	apply          func(told []distribution.Record, whole, first bool)
+	apply          func(watchEvent)
+
+	version        int64        // of the list; run's alone
+	appliedVersion atomic.Int64 // of the list that the origin has
+	heardAtNs      atomic.Int64 // when the watch last sent anything; 0: not connected
 
-	version                       int64   // of run alone
-	appliedVersion                counter // the version that the origin has, once it has it
-	heardAtNs                     counter // when the watch last said anything, by the server's clock; 0: none stands
-	calls, failed, lines, skipped counter
-	clock                         func() int64
+	calls, failed, events, skipped atomic.Int64
 }
 
+// run follows the list until the context is done.
 func (w *discoveryWatch) run(ctx context.Context) {
-	for pause := minBackoff; ctx.Err() == nil; {
-		stood, err := w.followOnce(ctx)
+	for backoff := minBackoff; ctx.Err() == nil; {
+		received, err := w.follow(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		w.failed.Add(1)
-		w.warnings.warn(w.log, "watch", "watch of the list ended; what it told stays", zap.Error(err))
-		if pause = min(2*pause, maxBackoff); stood {
-			pause = minBackoff
+		w.warnings.warn(w.log, "watch", "watch of the list ended; the list stays as it is", zap.Error(err))
+		backoff = min(2*backoff, maxBackoff)
+		if received {
+			backoff = minBackoff
 		}
-		timer := time.NewTimer(pause/2 + time.Duration(rand.Int64N(int64(pause/2))))
+		timer := time.NewTimer(backoff/2 + time.Duration(rand.Int64N(int64(backoff/2))))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -63,56 +70,76 @@
 	}
 }
 
-// once opens a watch and follows it until it ends; it tells whether a line came.
-func (w *discoveryWatch) followOnce(ctx context.Context) (stood bool, err error) {
-	how := discovery.Call{
-		Address: w.address, Head: fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address),
-		Connect: watchConnectTimeout, First: watchResponseTimeout, Gap: watchResponseTimeout, Again: minBackoff, Silence: w.silenceTimeout, Called: func() { w.calls.Add(1) },
-		Failed: func() { w.failed.Add(1) }, Said: func() { w.heardAtNs.Store(w.clock()) },
+// follow opens a watch and follows it until it ends. received: it sent at least one event.
+func (w *discoveryWatch) follow(ctx context.Context) (received bool, err error) {
+	call := discovery.Call{
+		Address: w.address,
+		Head:    fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address),
+		Connect: watchConnectTimeout,
+		First:   watchResponseTimeout,
+		Gap:     watchResponseTimeout,
+		Again:   minBackoff,
+		Silence: w.silenceTimeout,
+		Called:  func() { w.calls.Add(1) },
+		Failed:  func() { w.failed.Add(1) },
+		Said:    func() { w.heardAtNs.Store(w.clock()) },
 	}
-	said, err := how.Answered(ctx)
+	body, err := call.Answered(ctx)
 	if err != nil {
 		return false, err
 	}
 	defer w.heardAtNs.Store(0)
-	defer said.Close()
-	lines := endpointlist.New(said, w.limits)
+	defer func() { _ = body.Close() }() // the watch has ended
+	lines := endpointlist.New(body, w.limits)
 	for first := w.version == 0; ; first = false {
-		var told []distribution.Record
-		line, err := lines.Next(func() { told = told[:0] }, func(e endpointlist.Entry) error {
-			r, err := w.toRecord(e)
-			if err == nil {
-				told = append(told, r)
-			}
-			return err
-		})
-		if errors.Is(err, io.EOF) && !stood {
+		err := w.receiveEvent(lines, first)
+		if errors.Is(err, io.EOF) && !received {
 			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
-			return stood, err
-		}
-		if line.Skipped > 0 {
-			w.skipped.Add(int64(line.Skipped))
-			w.warnings.warn(w.log, "entry", "entries of the list passed over", zap.Int("entries", line.Skipped), zap.Error(line.FirstErr))
+			return received, err
 		}
-		w.apply(told, line.Complete, first)
-		w.version, stood = line.Version, true
-		w.appliedVersion.Store(line.Version)
-		w.lines.Add(1)
+		received = true
 	}
 }
 
-// standing tells whether a watch stands, or has a moment ago.
-type connectionGrace struct{ lastHeardNs int64 }
+// receiveEvent reads one line of the list and applies it. first: it answers a request for the complete list.
+func (w *discoveryWatch) receiveEvent(lines *endpointlist.Reader, first bool) error {
+	var records []distribution.Record
+	line, err := lines.Next(func() { records = records[:0] }, func(entry endpointlist.Entry) error {
+		record, err := w.toRecord(entry)
+		if err == nil {
+			records = append(records, record)
+		}
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	if line.Skipped > 0 {
+		w.skipped.Add(int64(line.Skipped))
+		w.warnings.warn(w.log, "entry", "entries of the list skipped",
+			zap.Int("entries", line.Skipped), zap.Error(line.FirstErr))
+	}
+	w.apply(watchEvent{records: records, complete: line.Complete, first: first})
+	w.version = line.Version
+	w.appliedVersion.Store(line.Version)
+	w.events.Add(1)
+	return nil
+}
 
-// graceNs is how long an origin is without a watch before it says so: one that ends is most often opened anew at once. With the silence
-// by which a watch is found dead, the ways below and a node's own call it has to come within the 6 s of a change.
+// connectionGraceNs is how long an origin is without a watch before it reports that: one that ends is most often
+// opened anew at once. With watchSilenceTimeout, the hops below and a node's own request, a change has to arrive
+// within 6 s.
 const connectionGraceNs = int64(500e6)
 
-func (s *connectionGrace) connected(now, word int64) bool {
-	if word != 0 {
-		s.lastHeardNs = now
+// connectionGrace tells whether a watch is connected, or was a moment ago.
+type connectionGrace struct{ lastConnectedNs int64 }
+
+// connected takes in when the watch last sent anything; 0: it is not connected.
+func (g *connectionGrace) connected(now, heardAtNs int64) bool {
+	if heardAtNs != 0 {
+		g.lastConnectedNs = now
 	}
-	return s.lastHeardNs != 0 && now-s.lastHeardNs < connectionGraceNs
+	return g.lastConnectedNs != 0 && now-g.lastConnectedNs < connectionGraceNs
 }
--- a/internal/relay/epoch.go
+++ b/internal/relay/epoch.go
@@ -1,8 +1,5 @@
 package relay
 
-// This file owns an origin's epoch: the time of its start, and always higher than the last one that its file knows of. It must never
-// give one twice.
-
 import (
 	"errors"
 	"fmt"
@@ -13,20 +10,15 @@
 	"strings"
 )
 
-// nextEpoch draws an epoch and keeps it, before anybody hears of it. Without a file the clock alone decides: an origin whose clock
-// went back is then not believed until the clock has passed its last start.
+// nextEpoch returns the epoch of an origin that starts now, in nanoseconds of Unix time: the time, but always higher
+// than the last one in the file at path, in which it is stored before it is used. Without a file, an origin whose
+// clock has gone back is ignored by subscribers until the clock has passed its last start.
 func nextEpoch(path string, now int64) (uint64, error) {
 	if path == "" {
 		return uint64(now), nil
 	}
-	var last uint64
-	text, err := os.ReadFile(path)
-	switch {
-	case err == nil:
-		if last, err = strconv.ParseUint(strings.TrimSpace(string(text)), 10, 63); err != nil {
-			return 0, fmt.Errorf("origin.state: %s: expected a number, found %.40q", path, text)
-		}
-	case !errors.Is(err, fs.ErrNotExist):
+	last, err := readEpoch(path)
+	if err != nil {
 		return 0, fmt.Errorf("origin.state: %w", err)
 	}
 	epoch := max(uint64(now), last+1)
@@ -36,20 +28,36 @@
 	return epoch, nil
 }
 
-// replaceFile has a file hold a text, or what it held before.
-func writeFileAtomically(path, text string) (err error) {
-	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
+// readEpoch returns the epoch in a file; 0: there is no file.
+func readEpoch(path string) (uint64, error) {
+	text, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return 0, nil
+	}
 	if err != nil {
-		return err
+		return 0, err
 	}
-	defer os.Remove(f.Name())
-	_, err = f.WriteString(text)
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		return err
+	epoch, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 63)
+	if err != nil {
+		return 0, fmt.Errorf("%s: expected a number, found %.40q", path, text)
 	}
-	if err := os.Rename(f.Name(), path); err != nil {
+	return epoch, nil
+}
+
+// writeFileAtomically writes a file so that after a crash it holds the text, or what it held before.
+func writeFileAtomically(path, text string) error {
+	temporary, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
+	if err != nil {
 		return err
 	}
+	_, err = temporary.WriteString(text)
+	err = errors.Join(err, temporary.Sync(), temporary.Close())
+	if err == nil {
+		err = os.Rename(temporary.Name(), path)
+	}
+	if err != nil {
+		return errors.Join(err, os.Remove(temporary.Name()))
+	}
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return err
--- a/internal/relay/hosttable.go
+++ b/internal/relay/hosttable.go
@@ -64,7 +64,8 @@
 func (h *HostTable) applyDiscovery(record *distribution.Record, out *HostChanges) {
 	var state DiscoveryState
 	if err := json.Unmarshal(record.Body, &state); err != nil || state.Version <= 0 {
-		out.skip(fmt.Errorf("scope %q, key %q: expected a version of the list, found %.80q", record.Scope, record.Key, record.Body))
+		out.skip(fmt.Errorf("scope %q, key %q: expected a version of the list, found %.80q",
+			record.Scope, record.Key, record.Body))
 		return
 	}
 	h.discovery = state
@@ -74,7 +75,8 @@
 func (h *HostTable) put(host string, record *distribution.Record, out *HostChanges) {
 	var entry endpointlist.Entry
 	if err := json.Unmarshal(record.Body, &entry); err != nil || entry.Name != host {
-		out.skip(fmt.Errorf("scope %q, key %q: expected an endpoint of that name, found %.80q", record.Scope, record.Key, record.Body))
+		out.skip(fmt.Errorf("scope %q, key %q: expected an endpoint of that name, found %.80q",
+			record.Scope, record.Key, record.Body))
 		return
 	}
 	entries := h.byName[host]
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fawnglade/internal/distribution"
 	"fmt"
 	"net"
@@ -76,7 +77,9 @@
 		time.Sleep(time.Minute)
 		return
 	}
-	fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	if _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+		return
+	}
 	beat := time.NewTicker(300 * time.Millisecond)
 	defer beat.Stop()
 	for {
@@ -166,9 +169,11 @@
 	return r
 }
 
-func originText(listen, discovery, directory, more string) string {
-	return fmt.Sprintf("name = \"o\"\nrole = \"origin\"\nlisten = %q\n[origin]\ndiscovery = %q\nconfiguration = %q\nevery = \"50ms\"\n%s\n[origin.scope]\nservice = \"cart\"\n"+
-		"[origin.scope.regions]\neu1 = [\"a\", \"b\"]\nus1 = [\"c\"]\n", listen, discovery, directory, more)
+func originText(listen, discovery, directory string) string {
+	return fmt.Sprintf("name = \"o\"\nrole = \"origin\"\nlisten = %q\n"+
+		"[origin]\ndiscovery = %q\nconfiguration = %q\nevery = \"50ms\"\n\n"+
+		"[origin.scope]\nservice = \"cart\"\n"+
+		"[origin.scope.regions]\neu1 = [\"a\", \"b\"]\nus1 = [\"c\"]\n", listen, discovery, directory)
 }
 
 func relayText(name, listen string, scopes []string, upstream ...string) string {
@@ -184,7 +189,7 @@
 	changes []distribution.Change
 }
 
-func subscribe(t *testing.T, name string, scopes []string, set ClientConfig) *held {
+func subscribe(t *testing.T, scopes []string, config ClientConfig) *held {
 	t.Helper()
 	core, err := distribution.NewSubscriber(Selectors(scopes), distribution.Limits{})
 	if err != nil {
@@ -196,8 +201,8 @@
 		defer h.mu.Unlock()
 		h.changes = append(h.changes, changes...)
 	}, zap.NewNop())
-	set.Name = name
-	h.client = NewClient(set, h, zap.NewNop())
+	config.Name = "n1"
+	h.client = NewClient(config, h, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -259,10 +264,10 @@
 	d.set("h2", "b", "up")
 	d.set("h3", "c", "up")
 	put(t, dir, "routes.jsonl", `{"scope":"eu1/cart","key":"route/x","body":{"to": "cart"}}`)
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	top := start(t, relayText("top", "127.0.0.1:0", nil, o.Address()))
 	low := start(t, relayText("low", "127.0.0.1:0", []string{"eu1/*"}, top.Address()))
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{low.Address()}})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{low.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2", "eu1/cart route/x")
 	d.set("h1", "a", "draining")
 	d.set("h2", "b", "removed")
@@ -287,11 +292,11 @@
 	d.set("h1", "a", "up")
 	dir := t.TempDir()
 	put(t, dir, "r.jsonl", `{"scope":"eu1/cart","key":"route/x","body":1}`)
-	text := originText("127.0.0.1:0", d.at, dir, "")
+	text := originText("127.0.0.1:0", d.at, dir)
 	o := start(t, text)
 	at := o.Address()
 	r := start(t, relayText("r", "127.0.0.1:0", nil, at))
-	h := subscribe(t, "n1", []string{"eu1/*"}, ClientConfig{Upstreams: []string{r.Address()}})
+	h := subscribe(t, []string{"eu1/*"}, ClientConfig{Upstreams: []string{r.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h1", "eu1/cart route/x")
 	d.cut(true)
 	soon(t, "a second call", 5*time.Second, func() bool { return o.watch.calls.Load() >= 2 })
@@ -321,10 +326,10 @@
 	for i := range 50 {
 		d.set(fmt.Sprintf("h%02d", i), "a", "up")
 	}
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	r := start(t, relayText("r", "127.0.0.1:0", nil, o.Address()))
 	at := r.Address()
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{at}})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{at}})
 	soon(t, "all fifty", 10*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == 50 })
 	r.end(t)
 	originAt := o.Address()
@@ -336,7 +341,7 @@
 		t.Fatalf("an empty relay took something away: %d left, %d gone", len(keys), h.gone())
 	}
 	d.set("h00", "a", "removed")
-	start(t, originText(originAt, d.at, dir, ""))
+	start(t, originText(originAt, d.at, dir))
 	soon(t, "what is left", 15*time.Second, func() bool { keys, _ := h.keys(); return len(keys) == 49 })
 	if h.gone() != 1 {
 		t.Errorf("%d records gone, expected 1", h.gone())
@@ -352,7 +357,7 @@
 func TestTwoRelays(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h0", "a", "up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	a := start(t, relayText("a", "127.0.0.1:0", nil, o.Address()))
 	b := start(t, relayText("b", "127.0.0.1:0", nil, o.Address()))
 	soon(t, "both relays whole", 10*time.Second, func() bool {
@@ -363,7 +368,7 @@
 		return whole
 	})
 	way, freeze := freezing(t, b.Address())
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), way, b.Address()}})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), way, b.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h0")
 	a.end(t)
 	began := time.Now()
@@ -388,10 +393,10 @@
 func TestARelayThatBringsNothingIsLeft(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h", "a", "up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	empty := start(t, relayText("empty", "127.0.0.1:0", nil, "127.0.0.1:1"))
 	other := start(t, relayText("other", "127.0.0.1:0", nil, "127.0.0.1:1"))
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{empty.Address(), other.Address()}, MaxLag: 500 * time.Millisecond, FailbackDelay: time.Hour})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{empty.Address(), other.Address()}, MaxLag: 500 * time.Millisecond, FailbackDelay: time.Hour})
 	soon(t, "the first relay left", 10*time.Second, func() bool { return h.client.Stats().Lagging >= 2 })
 	at := other.Address()
 	other.end(t)
@@ -409,7 +414,7 @@
 		}
 	}
 	set("up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	one := start(t, relayText("one", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
 	two := start(t, relayText("two", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
 	soon(t, "both relays whole", 10*time.Second, func() bool {
@@ -419,7 +424,7 @@
 		}
 		return whole
 	})
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{one.Address(), two.Address()}, MaxLag: 500 * time.Millisecond})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{one.Address(), two.Address()}, MaxLag: 500 * time.Millisecond})
 	soon(t, "all of it", 20*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == hosts })
 	set("draining")
 	soon(t, "the burst", 20*time.Second, func() bool {
@@ -440,8 +445,8 @@
 
 func TestTheEndIsOrderly(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
-	subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{o.Address()}})
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
+	subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{o.Address()}})
 	soon(t, "a subscriber", 10*time.Second, func() bool { return o.server.Stats().Subscribers == 1 })
 	o.signals <- syscall.SIGUSR1
 	soon(t, "the counters", 5*time.Second, func() bool { return o.logs.FilterMessage("counters asked for").Len() == 1 })
@@ -475,23 +480,34 @@
 // An origin whose clock went back, without a file that keeps the epoch, is not believed; one with it is.
 func TestAnOriginWhoseClockWentBack(t *testing.T) {
 	newer, older := distribution.NewOrigin(2000, distribution.Limits{}), distribution.NewOrigin(1000, distribution.Limits{})
-	newer.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte("new"))
-	older.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte("old"))
+	for body, origin := range map[string]*distribution.Origin{"new": newer, "old": older} {
+		if _, err := origin.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte(body)); err != nil {
+			t.Fatal(err)
+		}
+	}
 	serve := func(o *distribution.Origin) (string, *Server) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		s := NewServer(o.Relay(), ServerConfig{}, zap.NewNop())
-		go s.Serve(l)
-		t.Cleanup(func() { l.Close(); s.Close(context.Background()) })
+		served := make(chan error, 1)
+		go func() { served <- s.Serve(l) }()
+		t.Cleanup(func() {
+			l.Close()
+			if err := errors.Join(s.Close(context.Background()), <-served); err != nil {
+				t.Error(err)
+			}
+		})
 		return l.Addr().String(), s
 	}
 	a, first := serve(newer)
 	b, second := serve(older)
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a, b}})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a, b}})
 	h.wait(t, "at first", "eu1/cart route/x")
-	first.Close(context.Background())
+	if err := first.Close(context.Background()); err != nil {
+		t.Fatal(err)
+	}
 	soon(t, "frames of the older", 10*time.Second, func() bool { return second.Stats().Frames >= 2 })
 	h.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
@@ -512,10 +528,10 @@
 		found := []string{}
 		for _, c := range changes {
 			sign := "+"
-			if c.record.Deleted {
+			if c.Deleted {
 				sign = "-"
 			}
-			found = append(found, sign+c.record.Key+string(c.record.Body))
+			found = append(found, sign+c.Key+string(c.Body))
 		}
 		slices.Sort(found)
 		if is != whole || !slices.Equal(found, append([]string{}, expected...)) {
@@ -606,26 +622,26 @@
 	}
 }
 
-// A host's scope comes from its site and its name; one that has none is passed over and takes nothing else with it.
+// A host's scope comes from its site and its name; one that has none is skipped, and nothing else is.
 func TestScopesOfHosts(t *testing.T) {
-	s := ScopeRule{ServiceFrom: "host", sites: map[string]string{"a": "eu1"}}
+	s := ScopeRule{ServiceFrom: "host", regionOf: map[string]string{"a": "eu1"}}
 	for in, expected := range map[[2]string]string{{"svc-12-h7", "a"}: "eu1/svc-12", {"h7", "a"}: "", {"svc-1", "z"}: "", {"-1", "a"}: ""} {
 		if got := s.scopeOf(in[0], in[1]); got != expected {
 			t.Errorf("%q: %q, expected %q", in, got, expected)
 		}
 	}
-	s = ScopeRule{Service: "cart", Region: "far", sites: map[string]string{"a": "eu1"}}
+	s = ScopeRule{Service: "cart", Region: "far", regionOf: map[string]string{"a": "eu1"}}
 	if a, z := s.scopeOf("h", "a"), s.scopeOf("h", "z"); a != "eu1/cart" || z != "far/cart" {
 		t.Errorf("%q, %q", a, z)
 	}
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h1", "a", "up")
 	d.set("h2", "unknown", "up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
-	h := subscribe(t, "n1", []string{"*"}, ClientConfig{Upstreams: []string{o.Address()}})
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
+	h := subscribe(t, []string{"*"}, ClientConfig{Upstreams: []string{o.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h1", "origin list/discovery")
 	if o.watch.skipped.Load() != 1 {
-		t.Errorf("%d entries passed over, expected 1", o.watch.skipped.Load())
+		t.Errorf("%d entries skipped, expected 1", o.watch.skipped.Load())
 	}
 	d.set("h1", "a", "removed")
 	h.wait(t, "after that", "origin list/discovery")
--- a/internal/relay/sink.go
+++ b/internal/relay/sink.go
@@ -1,138 +1,107 @@
 package relay
 
-// This file owns what a client feeds: a subscriber, or the relay that a server hands out. It must never call back under a lock that
-// the callback may want.
-
 import (
 	"fawnglade/internal/distribution"
-	"slices"
-	"strings"
 	"sync"
 
 	"go.uber.org/zap"
 )
 
-// Selectors reads scopes as they stand in a file: a star at the end stands for all that begin so.
-func Selectors(scopes []string) []distribution.Selector {
-	out := make([]distribution.Selector, len(scopes))
-	for i, scope := range scopes {
-		name, prefix := strings.CutSuffix(scope, "*")
-		out[i] = distribution.Selector{Scope: name, Prefix: prefix}
-	}
-	return out
+// Sink is what a client feeds: a subscriber, or a relay with an upstream. Only the client's goroutine calls it.
+type Sink interface {
+	// Hello returns the first message of a new connection; a new session begins.
+	Hello(now int64) []byte
+	// Receive applies a frame, which it must not keep. An error ends the connection.
+	Receive(now int64, frame []byte) error
+	// LagNs returns how old what the sink holds is, in nanoseconds; 0: not behind, or not known to be.
+	LagNs(now int64) int64
 }
 
-// WithOrigin adds what the origin tells of itself to scopes that lack it.
-func WithOrigin(scopes []string) []string {
-	for _, s := range scopes {
-		if prefix, ok := strings.CutSuffix(s, "*"); s == ScopeOrigin || ok && strings.HasPrefix(ScopeOrigin, prefix) {
-			return scopes
-		}
-	}
-	return append(slices.Clone(scopes), ScopeOrigin)
-}
+// lagCheckIntervalNs is how often a SubscriberSink looks at the ages of all its scopes, in nanoseconds.
+const lagCheckIntervalNs = int64(1e9)
 
-// Follower is a subscriber as a client's sink.
+// SubscriberSink feeds a subscriber. Its methods are safe for concurrent use.
 type SubscriberSink struct {
-	scopes   []string // exact ones, whose ages are asked; prefixes have none
-	onFrame  func(now int64, changes []distribution.Change)
-	warnings warnLimiter
-	log      *zap.Logger
+	exactScopes []string // whose ages are looked at; prefixes have none
+	onFrame     func(now int64, changes []distribution.Change)
+	warnings    warnLimiter
+	log         *zap.Logger
 
 	mu             sync.Mutex
 	subscriber     *distribution.Subscriber
 	invalidSeen    int64
-	lagCheckedAtNs int64 // when the ages were last looked at
+	lagCheckedAtNs int64
 	lagNs          int64
 	arrivals       arrivalTracker
 }
 
-// progress notes when records last came: who is told anew, at a pace, is behind and yet well served.
-type arrivalTracker struct{ records, lastNs int64 }
-
-func (p *arrivalTracker) reset(now int64) { p.lastNs = now }
-
-func (p *arrivalTracker) observe(now int64, s *distribution.Stats) {
-	if n := s.Applied + s.Repeated; n != p.records {
-		p.records, p.lastNs = n, now
-	}
-}
-
-// of is an age, as far as it counts: no more than since records last came. What is not known is as old as that.
-func (p *arrivalTracker) lagNs(now, age int64, known bool) int64 {
-	if !known {
-		return now - p.lastNs
-	}
-	return min(age, now-p.lastNs)
-}
-
-// lookEvery is how often the ages of all scopes are looked at, ns.
-const lagCheckIntervalNs = int64(1e9)
-
-// NewFollower makes one. The callback is called after each frame that was taken in, also where nothing has changed, by the client's
-// goroutine; it may call Look.
-func NewSubscriberSink(core *distribution.Subscriber, scopes []string, changed func(now int64, changes []distribution.Change), log *zap.Logger) *SubscriberSink {
-	f := &SubscriberSink{subscriber: core, onFrame: changed, log: log}
-	for _, s := range Selectors(scopes) {
-		if !s.Prefix {
-			f.scopes = append(f.scopes, s.Scope)
+// NewSubscriberSink returns a sink that feeds a subscriber of scopes. onFrame, if not nil, is called by the client's
+// goroutine after each frame, also if nothing has changed; no lock is held, so that it may call Inspect.
+func NewSubscriberSink(
+	subscriber *distribution.Subscriber, scopes []string,
+	onFrame func(now int64, changes []distribution.Change), log *zap.Logger,
+) *SubscriberSink {
+	s := &SubscriberSink{subscriber: subscriber, onFrame: onFrame, log: log}
+	for _, selector := range Selectors(scopes) {
+		if !selector.Prefix {
+			s.exactScopes = append(s.exactScopes, selector.Scope)
 		}
 	}
-	return f
+	return s
 }
 
-// Look has the subscriber looked at between two frames.
-func (f *SubscriberSink) Inspect(what func(*distribution.Subscriber)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	what(f.subscriber)
+// Inspect calls inspect with the subscriber, between two frames.
+func (s *SubscriberSink) Inspect(inspect func(*distribution.Subscriber)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	inspect(s.subscriber)
 }
 
-// Hello is what a new connection begins with.
-func (f *SubscriberSink) Hello(now int64) []byte {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.arrivals.reset(now)
-	return f.subscriber.Hello()
+// Hello returns the first message of a new connection.
+func (s *SubscriberSink) Hello(now int64) []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.arrivals.reset(now)
+	return s.subscriber.Hello()
 }
 
-// Take takes a frame in. What it brought counts, also where it ends the connection.
-func (f *SubscriberSink) Receive(now int64, frame []byte) error {
+// Receive applies a frame. Changes before an error count.
+func (s *SubscriberSink) Receive(now int64, frame []byte) error {
 	var changes []distribution.Change
-	var err error
-	spoilt, last := int64(0), ""
-	f.Inspect(func(core *distribution.Subscriber) {
-		changes, err = core.Receive(now, frame)
-		stats := core.Stats()
-		spoilt, last = stats.InvalidRecords-f.invalidSeen, stats.LastInvalid
-		f.invalidSeen = stats.InvalidRecords
-		f.arrivals.observe(now, &stats)
+	var receiveErr error
+	var stats distribution.Stats
+	invalid := int64(0)
+	s.Inspect(func(subscriber *distribution.Subscriber) {
+		changes, receiveErr = subscriber.Receive(now, frame)
+		stats = subscriber.Stats()
+		invalid = stats.InvalidRecords - s.invalidSeen
+		s.invalidSeen = stats.InvalidRecords
+		s.arrivals.observe(now, &stats)
 	})
-	if spoilt > 0 {
-		f.warnings.warn(f.log, "spoilt", "records passed over", zap.Int64("records", spoilt), zap.String("last", last))
-	}
-	if f.onFrame != nil {
-		f.onFrame(now, changes)
+	s.warnings.warnInvalid(s.log, invalid, stats.LastInvalid)
+	if s.onFrame != nil {
+		s.onFrame(now, changes)
 	}
-	return err
+	return receiveErr
 }
 
-// Behind is the age of the oldest scope, but no more than since records last came.
-func (f *SubscriberSink) LagNs(now int64) int64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if now-f.lagCheckedAtNs < lagCheckIntervalNs {
-		return f.lagNs
+// LagNs returns the age of the oldest scope, but no more than since records last arrived.
+func (s *SubscriberSink) LagNs(now int64) int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if now-s.lagCheckedAtNs < lagCheckIntervalNs {
+		return s.lagNs
 	}
-	f.lagCheckedAtNs, f.lagNs = now, 0
-	for _, scope := range f.scopes {
-		age, known := f.subscriber.Age(now, scope)
-		f.lagNs = max(f.lagNs, f.arrivals.lagNs(now, age, known))
+	s.lagCheckedAtNs = now
+	s.lagNs = 0
+	for _, scope := range s.exactScopes {
+		age, known := s.subscriber.Age(now, scope)
+		s.lagNs = max(s.lagNs, s.arrivals.lagNs(now, age, known))
 	}
-	return f.lagNs
+	return s.lagNs
 }
 
-// upstream is a relay as the sink of its own client.
+// relaySink feeds a relay from its own client.
 type relaySink struct {
 	server      *Server
 	relay       *distribution.Relay
@@ -141,32 +110,55 @@
 	arrivals    arrivalTracker
 }
 
-func (u *relaySink) Hello(int64) (hello []byte) {
-	u.server.Do(func(now int64) {
-		u.arrivals.reset(now)
-		hello = u.relay.UpstreamHello(now)
+func (s *relaySink) Hello(int64) (hello []byte) {
+	s.server.Do(func(now int64) {
+		s.arrivals.reset(now)
+		hello = s.relay.UpstreamHello(now)
 	})
 	return hello
 }
 
-func (u *relaySink) Receive(_ int64, frame []byte) (err error) {
+func (s *relaySink) Receive(_ int64, frame []byte) (err error) {
 	var stats distribution.Stats
-	u.server.Do(func(now int64) {
-		err = u.relay.Receive(now, frame)
-		stats = u.relay.Stats()
-		u.arrivals.observe(now, &stats)
+	s.server.Do(func(now int64) {
+		err = s.relay.Receive(now, frame)
+		stats = s.relay.Stats()
+		s.arrivals.observe(now, &stats)
 	})
-	if n := stats.InvalidRecords - u.invalidSeen; n > 0 {
-		u.invalidSeen = stats.InvalidRecords
-		u.warnings.warn(u.server.log, "spoilt", "records passed over", zap.Int64("records", n), zap.String("last", stats.LastInvalid))
-	}
+	s.warnings.warnInvalid(s.server.log, stats.InvalidRecords-s.invalidSeen, stats.LastInvalid)
+	s.invalidSeen = stats.InvalidRecords
 	return err
 }
 
-func (u *relaySink) LagNs(int64) (ns int64) {
-	u.server.Do(func(now int64) {
-		age, known := u.relay.Age(now)
-		ns = u.arrivals.lagNs(now, age, known)
+func (s *relaySink) LagNs(int64) (ns int64) {
+	s.server.Do(func(now int64) {
+		age, known := s.relay.Age(now)
+		ns = s.arrivals.lagNs(now, age, known)
 	})
 	return ns
 }
+
+// arrivalTracker tracks when records last arrived: a sink that receives a snapshot at a slow pace is behind, and yet
+// well served.
+type arrivalTracker struct {
+	records int64 // received
+	lastNs  int64 // when records last arrived, or the connection began
+}
+
+func (t *arrivalTracker) reset(now int64) { t.lastNs = now }
+
+func (t *arrivalTracker) observe(now int64, stats *distribution.Stats) {
+	if n := stats.Applied + stats.Repeated; n != t.records {
+		t.records = n
+		t.lastNs = now
+	}
+}
+
+// lagNs returns an age, but no more than since records last arrived. An age that is not known is as much.
+func (t *arrivalTracker) lagNs(now, ageNs int64, known bool) int64 {
+	sinceArrival := now - t.lastNs
+	if !known {
+		return sinceArrival
+	}
+	return min(ageNs, sinceArrival)
+}
--- a/internal/relay/tcp_test.go
+++ b/internal/relay/tcp_test.go
@@ -150,7 +150,7 @@
 	s.l.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	s.Close(ctx)
+	_ = s.Close(ctx) // a connection that does not end fails the test that looks at it
 }
 
 func stationAt(t *testing.T, at string, feed *counting, set ServerConfig) *station {
@@ -160,11 +160,25 @@
 		t.Fatal(err)
 	}
 	s := &station{Server: NewServer(feed, set, zap.NewNop()), feed: feed, l: l, at: l.Addr().String()}
-	go s.Serve(l)
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(l) }()
+	t.Cleanup(func() {
+		if err := <-served; err != nil {
+			t.Error(err)
+		}
+	})
 	t.Cleanup(s.stop)
 	return s
 }
 
+// sendHello sends a hello that the feed of a station takes.
+func sendHello(t *testing.T, c net.Conn) {
+	t.Helper()
+	if err := writeFrame(c, make([]byte, 8)); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func newStation(t *testing.T, set ServerConfig) *station {
 	return stationAt(t, "127.0.0.1:0", newCounting(), set)
 }
@@ -227,8 +241,8 @@
 	return l.Addr().String()
 }
 
-// freezing passes bytes between a client and an upstream until it is told to stand still: from then on it neither reads nor writes,
-// and nothing is closed.
+// freezing passes bytes between a client and an upstream until it is told to stand still: from then on it neither
+// reads nor writes, and nothing is closed.
 func freezing(t *testing.T, to string) (at string, freeze func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -249,7 +263,7 @@
 				dst.Close()
 				return
 			}
-			dst.Write(buffer[:n])
+			_, _ = dst.Write(buffer[:n]) // the other direction notices the end
 		}
 	}
 	go func() {
@@ -359,8 +373,10 @@
 		t.Fatal(err)
 	}
 	defer slow.Close()
-	slow.(*net.TCPConn).SetReadBuffer(4096)
-	writeFrame(slow, make([]byte, 8))
+	if err := slow.(*net.TCPConn).SetReadBuffer(4096); err != nil {
+		t.Fatal(err)
+	}
+	sendHello(t, slow)
 	_, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{s.at}})
 	soon(t, "both", 5*time.Second, func() bool { return s.Stats().Subscribers == 2 })
 	s.add(500) // 30 MB, of which the system holds a few hundred KB for the slow one
@@ -382,9 +398,10 @@
 			if err != nil {
 				return
 			}
-			writeFrame(c, greeting(true))
-			binary.Write(c, binary.BigEndian, uint32(1<<31))
-			io.Copy(io.Discard, c)
+			// The client ends the connection at the length, so that errors from here on are expected.
+			_ = writeFrame(c, greeting(true))
+			_ = binary.Write(c, binary.BigEndian, uint32(1<<31))
+			_, _ = io.Copy(io.Discard, c)
 			c.Close()
 		}
 	}()
@@ -402,7 +419,9 @@
 			t.Fatal(err)
 		}
 		conn.SetDeadline(time.Now().Add(5 * time.Second))
-		io.WriteString(conn, text)
+		if _, err := io.WriteString(conn, text); err != nil {
+			t.Fatal(err)
+		}
 		if all, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) || len(all) > lengthBytes+greetingBytes {
 			t.Errorf("hello %q: got %q, %v; expected the end of the connection", text, all, err)
 		}
@@ -442,7 +461,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		writeFrame(c, make([]byte, 8))
+		_ = writeFrame(c, make([]byte, 8)) // seven are refused, and may be closed by now
 	}
 	soon(t, "that all were looked at", 5*time.Second, func() bool { return s.Stats().Accepted == 10 })
 	soon(t, "three subscribers", 5*time.Second, func() bool { return s.Stats().Subscribers == 3 })
@@ -458,9 +477,11 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	writeFrame(c, make([]byte, 8))
+	sendHello(t, c)
 	soon(t, "the subscriber", 5*time.Second, func() bool { return s.Stats().Subscribers == 1 })
-	c.Write([]byte("x"))
+	if _, err := c.Write([]byte("x")); err != nil {
+		t.Fatal(err)
+	}
 	soon(t, "its end", 5*time.Second, func() bool { return s.Stats().Subscribers == 0 })
 }
 
@@ -478,7 +499,7 @@
 	ups := []string{"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"}
 	first, second := map[string]int{}, map[string]int{}
 	for i := range 4000 {
-		o := order(ClientConfig{Name: fmt.Sprintf("node-%d", i), Upstreams: ups, SpreadByName: true})
+		o := ClientConfig{Name: fmt.Sprintf("node-%d", i), Upstreams: ups, SpreadByName: true}.upstreamOrder()
 		first[o[0]]++
 		if o[0] == ups[0] {
 			second[o[1]]++
