--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -105,11 +105,11 @@
 
 	mu      sync.Mutex
 	proc    Proc
-	life    *invariant.NodeLife
+	life    *invariant.Process
 	forgets bool // its directory was tampered with since it ended
 	expects bool // its end is the day's own doing
 	in      bool // the front sends to it
-	figures trace.NodeFigures
+	figures trace.NodeUsage
 	cpuGone float64 // of earlier lives
 }
 
@@ -119,7 +119,7 @@
 	if n.life == nil {
 		return 0
 	}
-	return n.life.Life
+	return n.life.Incarnation
 }
 
 func (n *node) writeConfig(known []byte, seed uint64) error {
@@ -137,13 +137,13 @@
 	n.mu.Lock()
 	number := 1
 	if n.life != nil {
-		number = n.life.Life + 1
+		number = n.life.Incarnation + 1
 	}
 	n.mu.Unlock()
 	seed := n.day.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(number)
 	var known []byte
 	if number == 1 || !n.day.scenario.Nodes.NoList {
-		known = n.day.discovery.known(n.index, number, n.day.scenario.Nodes.OldList && number > 1)
+		known = n.day.discovery.known(n.index, number, n.day.scenario.Nodes.StaleList && number > 1)
 	}
 	if err := n.writeConfig(known, seed); err != nil {
 		return err
@@ -157,7 +157,7 @@
 	} else if features != "" {
 		env = append(env, "NODE_FEATURES="+features)
 	}
-	if n.day.scenario.Nodes.State {
+	if n.day.scenario.Nodes.PersistState {
 		env = append(env, "NODE_STATE="+filepath.Join(n.tmp(), "state"))
 	}
 	p, err := n.day.start(n.config, env, n.log)
@@ -169,9 +169,9 @@
 			n.day.odd("descriptors of a node not limited", err.Error())
 		}
 	}
-	life := &invariant.NodeLife{Node: n.index, Life: number, From: n.day.now(), Remembers: n.day.scenario.Nodes.State && !n.forgets}
+	life := &invariant.Process{Node: n.index, Incarnation: number, StartedAt: n.day.now(), Persistent: n.day.scenario.Nodes.PersistState && !n.forgets}
 	n.forgets = false
-	n.day.ledger.Live(life)
+	n.day.ledger.RecordProcess(life)
 	n.mu.Lock()
 	n.proc, n.life, n.expects = p, life, false
 	n.figures.Starts++
@@ -182,7 +182,7 @@
 }
 
 // admit has the front take the node in once it is ready.
-func (n *node) admit(p Proc, life *invariant.NodeLife) {
+func (n *node) admit(p Proc, life *invariant.Process) {
 	for {
 		select {
 		case <-n.day.over:
@@ -193,7 +193,7 @@
 		}
 		if ready(n.address) {
 			now := n.day.now()
-			n.day.ledger.Update(func() { life.Ready = now })
+			n.day.ledger.Update(func() { life.ReadyAt = now })
 			n.mu.Lock()
 			n.in = n.proc == p
 			n.mu.Unlock()
@@ -215,7 +215,7 @@
 }
 
 // watch sees a life end. The front notices somewhat later.
-func (n *node) watch(p Proc, life *invariant.NodeLife) {
+func (n *node) watch(p Proc, life *invariant.Process) {
 	var gone bool
 	select {
 	case <-p.Done():
@@ -223,7 +223,7 @@
 	case <-n.day.over:
 	}
 	now := n.day.now()
-	n.day.ledger.Update(func() { life.Until = now })
+	n.day.ledger.Update(func() { life.EndedAt = now })
 	if !gone {
 		return
 	}
@@ -237,7 +237,7 @@
 	if !expected {
 		n.day.odd("a node ended by itself", strconv.Itoa(n.index))
 	}
-	n.day.later(time.Duration(n.day.scenario.Nodes.Notice), func() {
+	n.day.later(time.Duration(n.day.scenario.Nodes.DeathNotice), func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if n.proc == p {
@@ -326,8 +326,8 @@
 	files, _ := os.ReadDir(filepath.Join(dir, "fd"))
 	n.mu.Lock()
 	n.figures.CPUSeconds = n.cpuGone + (user+system)/100
-	n.figures.MostMB = max(n.figures.MostMB, mb)
-	n.figures.MostFiles = max(n.figures.MostFiles, len(files))
+	n.figures.MaxMemoryMB = max(n.figures.MaxMemoryMB, mb)
+	n.figures.MaxDescriptors = max(n.figures.MaxDescriptors, len(files))
 	n.mu.Unlock()
 	if mb > float64(n.day.scenario.Nodes.MemoryMB) {
 		n.day.odd("a node over its memory was killed", fmt.Sprintf("node %d with %.0f MB", n.index, mb))
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -56,7 +56,7 @@
 			return
 		}
 		w.failed.Add(1)
-		w.warnings.warn(w.log, "watch", "watch of the list ended; the list stays as it is", zap.Error(err))
+		w.warnings.warn(w.log, "watch", "endpoint watch ended; the list stays as it is", zap.Error(err))
 		backoff = min(2*backoff, maxBackoff)
 		if received {
 			backoff = minBackoff
@@ -118,7 +118,7 @@
 	}
 	if line.Skipped > 0 {
 		w.skipped.Add(int64(line.Skipped))
-		w.warnings.warn(w.log, "entry", "entries of the list skipped",
+		w.warnings.warn(w.log, "entry", "entries of the endpoint list skipped",
 			zap.Int("entries", line.Skipped), zap.Error(line.FirstErr))
 	}
 	w.apply(watchEvent{records: records, complete: line.Complete, first: first})
