--- a/cmd/fawnglade/store.go
+++ b/cmd/fawnglade/store.go
@@ -160,11 +160,11 @@
 		if err != nil {
 			return err
 		}
-		batches, lost, err := store.Repair(from, into)
+		repaired, err := store.Repair(from, into)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%d batches copied to %s, %d bytes could not be read\n", batches, *to, lost)
+		fmt.Fprintf(c.OutOrStdout(), "%d batches copied to %s, %d bytes could not be read\n", repaired.Batches, *to, repaired.LostBytes)
 		return nil
 	}
 	return c
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -17,7 +17,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer s.Close()
+			defer closeStore(b, s)
 			value := make([]byte, 100)
 			var next atomic.Int64
 			var all sync.WaitGroup
@@ -56,7 +56,7 @@
 					b.Fatal(err)
 				}
 			}
-			s.Close()
+			closeStore(b, s)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -69,7 +69,7 @@
 				b.StopTimer()
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				s.Close()
+				closeStore(b, s)
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(1<<20), "MB")
@@ -84,7 +84,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer s.Close()
+	defer closeStore(b, s)
 	value := make([]byte, 1000)
 	most, start := 0.0, time.Now()
 	for i := range b.N {
--- a/internal/store/directory.go
+++ b/internal/store/directory.go
@@ -1,8 +1,5 @@
 package store
 
-// This file owns what the store asks of a file system, so that tests can stand in for a disk that fills, fails or loses
-// what was not made durable. It must never hide an error.
-
 import (
 	"errors"
 	"fmt"
@@ -13,28 +10,37 @@
 	"syscall"
 )
 
-// File is one open file.
+// What the store asks of a file system, so that tests can stand in for a disk that fills up, fails, or loses what was
+// not synced. No error may be hidden.
+
+// File is an open file.
 type File interface {
 	io.ReaderAt
-	WriteAt(p []byte, at int64) (int, error)
+	// WriteAt writes p at an offset. It may write a part only, with or without an error.
+	WriteAt(p []byte, offset int64) (int, error)
 	Truncate(size int64) error
+	// Sync makes the content durable.
 	Sync() error
 	Size() (int64, error)
 	Close() error
 }
 
-// Files is one directory.
+// Directory is a directory with the files of one store.
 type Directory interface {
-	Create(name string) (File, error) // a new file; one that is there is an error
+	// Create creates a file; one that exists is an error.
+	Create(name string) (File, error)
 	Open(name string, write bool) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
+	// List returns the names of all files, sorted.
 	List() ([]string, error)
+	// SyncDir makes the names of files durable.
 	SyncDir() error
-	Lock() (release func() error, err error)
+	// Lock locks the directory for this process. An error wraps ErrLocked if another process has locked it.
+	Lock() (unlock func() error, err error)
 }
 
-// Dir is a directory of the system's, made if it is not there.
+// SystemDirectory returns the directory at a path of the system's. With write it is created if it doesn't exist.
 func SystemDirectory(path string, write bool) (Directory, error) {
 	if write {
 		if err := os.MkdirAll(path, 0o700); err != nil {
@@ -74,11 +80,11 @@
 }
 
 func (d systemDirectory) Open(name string, write bool) (File, error) {
-	how := os.O_RDONLY
+	flag := os.O_RDONLY
 	if write {
-		how = os.O_RDWR
+		flag = os.O_RDWR
 	}
-	f, err := os.OpenFile(d.path(name), how, 0)
+	f, err := os.OpenFile(d.path(name), flag, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +117,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock takes the directory for this process alone. The system lets go of it when the process ends, however it does.
+// Lock locks the directory. The system unlocks it when the process ends, however it does.
 func (d systemDirectory) Lock() (func() error, error) {
 	f, err := os.OpenFile(d.path("LOCK"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -119,7 +125,7 @@
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
-		return nil, fmt.Errorf("%s is held by another process", string(d))
+		return nil, fmt.Errorf("%s is %w", string(d), ErrLocked)
 	}
 	return f.Close, nil
 }
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -12,8 +12,8 @@
 	f.Add(append(encodeHeader(nil), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0, 1), false)
 	f.Add([]byte(magic), true)
 	f.Fuzz(func(t *testing.T, b []byte, last bool) {
-		s, _ := scan(segmentName(1), b, last, func(_ uint64, at int64, ops []operation) {
-			for _, o := range ops {
+		s, _ := scan(segmentName(1), b, last, func(at int64, f frame) {
+			for _, o := range f.ops {
 				if !o.remove && (o.valueOffset < 0 || at+int64(o.valueOffset+len(o.value)) > int64(len(b))) {
 					t.Fatalf("a value at %d of %d bytes in %d", at+int64(o.valueOffset), len(o.value), len(b))
 				}
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -1,12 +1,9 @@
 package store
 
-// This file owns opening: reading all segments, cutting off the tail that a crash left, and clearing away what a
-// compaction had replaced. It must never change a file before every segment was found to be whole.
-
 import (
+	"cmp"
 	"errors"
 	"fmt"
-	"io"
 	"slices"
 	"strings"
 	"sync"
@@ -14,255 +11,221 @@
 	"github.com/google/btree"
 )
 
-// OpenFiles opens a directory by what is handed in for it.
-func OpenDirectory(files Directory, o Options) (s *Store, r *Recovery, err error) {
-	setDefault(&o.SegmentBytes, 4<<20)
-	setDefault(&o.MaxGarbageRatio, 0.5)
-	setDefault(&o.CompactBytesPerSecond, 8<<20)
-	s = &Store{files: files, options: o, index: btree.NewG(16, entryLess), group: &commitGroup{}, nextID: 1}
+// Recovery reads all segments, truncates the torn tail that a crash has left, and removes files that a compaction
+// replaced or did not finish. No file is changed before every segment was found to be readable.
+
+// Recovery describes what was found when a store was opened.
+type Recovery struct {
+	Segments       int
+	Batches        int
+	Keys           int
+	TruncatedBytes int64    // of a torn tail
+	TruncatedFile  string   // in which it was
+	RemovedFiles   []string // that a compaction replaced or did not finish
+}
+
+// Open opens the store in a directory, or begins one, and recovers it up to the last whole batch. Errors are a
+// *CorruptionError, wrap ErrNewerVersion or ErrLocked, or are the file system's.
+func Open(path string, o Options) (*Store, *Recovery, error) {
+	files, err := SystemDirectory(path, !o.ReadOnly)
+	if err != nil {
+		return nil, nil, err
+	}
+	return OpenDirectory(files, o)
+}
+
+// OpenDirectory opens a store like Open, in a directory that the caller provides.
+func OpenDirectory(files Directory, o Options) (*Store, *Recovery, error) {
+	s := &Store{
+		files:   files,
+		options: o.withDefaults(),
+		index:   btree.NewG(indexDegree, entryLess),
+		group:   &commitGroup{},
+		nextID:  1,
+	}
 	s.stateChanged = sync.NewCond(&s.mu)
 	if !o.ReadOnly {
-		if s.unlock, err = files.Lock(); err != nil {
-			return nil, nil, err
-		}
-	}
-	defer func() {
+		unlock, err := files.Lock()
 		if err != nil {
-			for _, seg := range s.segments {
-				seg.file.Close()
-			}
-			if s.unlock != nil {
-				s.unlock()
-			}
-			s = nil
-		}
-	}()
-	r = &Recovery{}
-	all, removed, err := s.loadSegments(r)
-	if err != nil || o.ReadOnly {
-		return s, r, err
-	}
-	for _, name := range removed {
-		if err := files.Remove(name); err != nil {
 			return nil, nil, err
 		}
-		r.RemovedFiles = append(r.RemovedFiles, name)
+		s.unlock = unlock
 	}
-	if s.active == nil {
-		return s, r, s.rollSegment()
+	recovery, err := s.recover()
+	if err != nil {
+		s.abandon()
+		return nil, nil, err
 	}
-	return s, r, s.truncateTail(all, r)
+	return s, recovery, nil
 }
 
-func setDefault[T comparable](v *T, missing T) {
-	var zero T
-	if *v == zero {
-		*v = missing
+// abandon closes what was opened of a store that can't be used. The error to report is the one before.
+func (s *Store) abandon() {
+	for _, seg := range s.segments {
+		_ = seg.file.Close()
+	}
+	if s.unlock != nil {
+		_ = s.unlock()
 	}
 }
 
-// cutTail takes off what a crash left of a batch, so that what is written next follows whole ones.
-func (s *Store) truncateTail(all []scanResult, r *Recovery) error {
-	a := s.active
-	tail := all[slices.IndexFunc(all, func(one scanResult) bool { return one.id == a.id })]
-	if tail.validBytes == tail.size && tail.validBytes > 0 {
-		return nil
+func (s *Store) recover() (*Recovery, error) {
+	recovery := &Recovery{}
+	removable, err := s.openSegments()
+	if err != nil {
+		return nil, err
 	}
-	r.TruncatedBytes, r.TruncatedFile = tail.size-tail.validBytes, a.name
-	if err := a.file.Truncate(tail.validBytes); err != nil {
-		return err
+	tail, err := s.loadSegments(recovery)
+	if err != nil {
+		return nil, err
 	}
-	if a.size = tail.validBytes; a.size == 0 {
-		head := encodeHeader(nil)
-		if _, err := a.file.WriteAt(head, 0); err != nil {
-			return err
+	if s.options.ReadOnly {
+		return recovery, nil
+	}
+	for _, name := range removable {
+		if err := s.files.Remove(name); err != nil {
+			return nil, err
 		}
-		a.size = int64(len(head))
+		recovery.RemovedFiles = append(recovery.RemovedFiles, name)
 	}
-	return errors.Join(a.file.Sync(), s.files.SyncDir())
-}
-
-// newest is the last that the log says of a key.
-type latestChange struct {
-	entry
-	removed bool
+	if s.active == nil {
+		return recovery, s.rollSegment()
+	}
+	return recovery, s.truncateTail(tail, recovery)
 }
 
-// readAll reads every segment and fills the index. It changes nothing and returns what may be removed.
-func (s *Store) loadSegments(r *Recovery) (all []scanResult, removed []string, err error) {
+// openSegments opens the segments that count, and finds the active one. removable are files that a compaction
+// replaced or did not finish.
+func (s *Store) openSegments() (removable []string, err error) {
 	names, err := s.files.List()
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	heads := map[string]scanResult{}
-	var lastLog uint64
+	var replaced []uint64
 	for _, name := range names {
 		if strings.HasSuffix(name, partSuffix) {
-			removed = append(removed, name)
+			removable = append(removable, name)
 			continue
 		}
-		id, is := segmentID(name)
-		if !is {
+		id, isSegment := segmentID(name)
+		if !isSegment {
 			continue
 		}
-		seg, b, err := s.openSegment(name, id)
+		replaces, err := s.openSegment(name, id)
 		if err != nil {
-			return nil, nil, err
-		}
-		s.segments = append(s.segments, seg)
-		s.nextID = max(s.nextID, id+1)
-		_, replaces, err := decodeHeader(b)
-		if errors.Is(err, ErrNewerVersion) {
-			return nil, nil, fmt.Errorf("%s: %w", name, err)
-		}
-		heads[name] = scanResult{id: id, replaces: replaces}
-		if seg.compacted = len(replaces) > 0; !seg.compacted {
-			lastLog = max(lastLog, id)
+			return nil, err
 		}
+		replaced = append(replaced, replaces...)
 	}
-	var replaced []uint64
-	for _, h := range heads {
-		replaced = append(replaced, h.replaces...)
-	}
-	words := map[string]latestChange{}
+	slices.SortFunc(s.segments, func(a, b *segment) int { return cmp.Compare(a.id, b.id) })
+	activeID := s.lastLogID()
 	kept := s.segments[:0]
 	for _, seg := range s.segments {
 		if slices.Contains(replaced, seg.id) {
-			seg.file.Close()
-			removed = append(removed, seg.name)
+			_ = seg.file.Close() // nothing was written to it
+			removable = append(removable, seg.name)
 			continue
 		}
 		kept = append(kept, seg)
-	}
-	s.segments = kept
-	slices.SortFunc(s.segments, byID)
-	for _, seg := range s.segments {
-		b, err := readSegment(seg)
-		if err != nil {
-			return nil, nil, err
-		}
-		one, err := scan(seg.name, b, seg.id == lastLog, func(seq uint64, at int64, ops []operation) {
-			for _, o := range ops {
-				if old, was := words[o.key]; !was || seq >= old.seq {
-					words[o.key] = latestChange{entry{o.key, seg, at + int64(o.valueOffset), len(o.value), seq}, o.remove}
-				}
-			}
-		})
-		if err != nil {
-			return nil, nil, err
-		}
-		if seg.size = one.validBytes; !seg.compacted && seg.id == lastLog {
+		if !seg.compacted && seg.id == activeID {
 			s.active = seg
 		}
-		r.Segments++
-		r.Batches += one.batches
-		s.seq = max(s.seq, one.lastSeq)
-		all = append(all, one)
-	}
-	for _, w := range words {
-		if !w.removed {
-			s.setEntry(w.entry)
-		}
 	}
-	r.Keys = s.index.Len()
-	return all, removed, nil
+	s.segments = kept
+	return removable, nil
 }
 
-func (s *Store) openSegment(name string, id uint64) (*segment, []byte, error) {
-	f, err := s.files.Open(name, !s.options.ReadOnly)
+// openSegment opens a segment and returns the ids of those that it replaces. A header that can't be read is left to
+// the scan.
+func (s *Store) openSegment(name string, id uint64) (replaces []uint64, err error) {
+	file, err := s.files.Open(name, !s.options.ReadOnly)
 	if err != nil {
-		return nil, nil, err
-	}
-	seg := &segment{id: id, name: name, file: f}
-	b, err := readSegment(seg)
-	if err != nil {
-		f.Close()
-		return nil, nil, err
+		return nil, err
 	}
-	return seg, b, nil
-}
-
-func readSegment(seg *segment) ([]byte, error) {
-	size, err := seg.file.Size()
+	seg := &segment{id: id, name: name, file: file}
+	s.segments = append(s.segments, seg)
+	s.nextID = max(s.nextID, id+1)
+	content, err := seg.readAll()
 	if err != nil {
 		return nil, err
 	}
-	b := make([]byte, size)
-	if n, err := seg.file.ReadAt(b, 0); int64(n) < size && !errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("%s: %w", seg.name, err)
+	head, err := decodeHeader(content)
+	if errors.Is(err, ErrNewerVersion) {
+		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return b, nil
+	seg.compacted = len(head.replaces) > 0
+	return head.replaces, nil
 }
 
-// Repair copies what can be read of a damaged directory into another, batch by batch in their order, and tells how many
-// bytes it had to leave. What stands between two whole batches is lost, so a key may come back that a lost batch had
-// changed or removed; nobody can tell. The damaged directory is left as it is.
-func Repair(from, to Directory) (batches int, lost int64, err error) {
-	existing, err := to.List()
-	if err != nil {
-		return 0, 0, err
-	}
-	for _, name := range existing {
-		if _, is := segmentID(name); is {
-			return 0, 0, errors.New("the directory to repair into holds a store already")
+// lastLogID returns the id of the last segment that was not written by compaction; 0: there is none.
+func (s *Store) lastLogID() uint64 {
+	last := uint64(0)
+	for _, seg := range s.segments {
+		if !seg.compacted {
+			last = max(last, seg.id)
 		}
 	}
-	names, err := from.List()
-	if err != nil {
-		return 0, 0, err
-	}
-	type batch struct {
-		seq uint64
-		ops []operation
-	}
-	var found []batch
-	for _, name := range names {
-		id, is := segmentID(name)
-		if !is {
-			continue
-		}
-		f, err := from.Open(name, false)
-		if err != nil {
-			return 0, 0, err
-		}
-		b, err := readSegment(&segment{id: id, name: name, file: f})
-		f.Close()
+	return last
+}
+
+// latestChange is the last change of a key in the log.
+type latestChange struct {
+	entry
+	removed bool
+}
+
+// loadSegments reads the segments and fills the index. tail is what was found in the active segment.
+func (s *Store) loadSegments(recovery *Recovery) (tail scanResult, err error) {
+	latest := map[string]latestChange{}
+	for _, seg := range s.segments {
+		content, err := seg.readAll()
 		if err != nil {
-			return 0, 0, err
+			return tail, err
 		}
-		at, _, err := decodeHeader(b)
+		result, err := scan(seg.name, content, seg == s.active, func(offset int64, f frame) {
+			for _, op := range f.ops {
+				if previous, exists := latest[op.key]; !exists || f.seq >= previous.seq {
+					latest[op.key] = latestChange{entryOf(op, seg, offset, f.seq), op.remove}
+				}
+			}
+		})
 		if err != nil {
-			at = 0
+			return tail, err
 		}
-		for at < len(b) {
-			n, seq, ops := decodeFrame(b[at:])
-			if n == 0 {
-				at++
-				lost++
-				continue
-			}
-			found = append(found, batch{seq, ops})
-			at += n
+		seg.size = result.validBytes
+		if seg == s.active {
+			tail = result
 		}
+		recovery.Segments++
+		recovery.Batches += result.batches
+		s.seq = max(s.seq, result.lastSeq)
 	}
-	slices.SortStableFunc(found, func(a, b batch) int {
-		if a.seq < b.seq {
-			return -1
-		} else if a.seq > b.seq {
-			return 1
+	for _, change := range latest {
+		if !change.removed {
+			s.setEntry(change.entry)
 		}
-		return 0
-	})
-	out, _, err := OpenDirectory(to, Options{ManualCompaction: true})
-	if err != nil {
-		return 0, 0, err
 	}
-	for _, one := range found {
-		b := Batch{ops: one.ops}
-		if err := out.Apply(&b); err != nil {
-			return batches, lost, errors.Join(err, out.Close())
+	recovery.Keys = s.index.Len()
+	return tail, nil
+}
+
+// truncateTail cuts a torn write off the active segment, so that what is written next follows whole batches.
+func (s *Store) truncateTail(tail scanResult, recovery *Recovery) error {
+	if !tail.torn() {
+		return nil
+	}
+	active := s.active
+	recovery.TruncatedBytes = tail.size - tail.validBytes
+	recovery.TruncatedFile = active.name
+	if err := active.file.Truncate(tail.validBytes); err != nil {
+		return err
+	}
+	if tail.validBytes == 0 {
+		head := encodeHeader(nil)
+		if _, err := active.file.WriteAt(head, 0); err != nil {
+			return err
 		}
-		batches++
+		active.size = int64(len(head))
 	}
-	return batches, lost, out.Close()
+	return errors.Join(active.file.Sync(), s.files.SyncDir())
 }
--- /dev/null
+++ b/internal/store/scan.go
@@ -0,0 +1,77 @@
+package store
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+)
+
+// scanResult is what a scan has found in a segment.
+type scanResult struct {
+	size       int64
+	validBytes int64 // up to the end of the last whole batch; 0: not even the header is whole
+	batches    int
+	lastSeq    uint64
+}
+
+// torn reports whether the segment ends in something that is no whole batch.
+func (r *scanResult) torn() bool { return r.validBytes < r.size || r.validBytes == 0 }
+
+// scan reads the content b of the segment in a file, and calls visit for each frame with its offset. What can't be
+// read is the torn write of a crash, if this is the last segment and no whole batch comes after it. Everything else
+// is a *CorruptionError.
+func scan(file string, b []byte, last bool, visit func(offset int64, f frame)) (scanResult, error) {
+	result := scanResult{size: int64(len(b))}
+	head, err := decodeHeader(b)
+	switch {
+	case errors.Is(err, ErrNewerVersion):
+		return result, fmt.Errorf("%s: %w", file, err)
+	case err != nil:
+		return result, &CorruptionError{File: file, BatchesAfter: countBatches(b, 0), Reason: err.Error()}
+	case head.length == 0 && !last:
+		return result, &CorruptionError{File: file, Reason: "head is not whole"}
+	case head.length == 0:
+		return result, nil
+	}
+	result.validBytes = int64(head.length)
+	for result.validBytes < result.size {
+		f, ok := decodeFrame(b[result.validBytes:])
+		if !ok {
+			found := countBatches(b[result.validBytes+1:], result.lastSeq)
+			if found == 0 && last {
+				return result, nil
+			}
+			return result, &CorruptionError{
+				File:         file,
+				Offset:       result.validBytes,
+				BatchesAfter: found,
+				Reason:       "a batch does not match its checksum or is cut off",
+			}
+		}
+		visit(result.validBytes, f)
+		result.batches++
+		result.lastSeq = max(result.lastSeq, f.seq)
+		result.validBytes += int64(f.length)
+	}
+	return result, nil
+}
+
+// maxSeqGap is how far the sequence number of a batch may be above the one before.
+const maxSeqGap = 1 << 32
+
+// countBatches counts whole batches anywhere in b, with sequence numbers above lastSeq.
+func countBatches(b []byte, lastSeq uint64) (found int) {
+	for offset := 0; offset+frameHeaderBytes <= len(b); {
+		// The sequence number rules nearly every place out before its checksum is computed.
+		seq := binary.LittleEndian.Uint64(b[offset+2*uint32Bytes:])
+		if seq > lastSeq && seq < lastSeq+maxSeqGap {
+			if f, ok := decodeFrame(b[offset:]); ok {
+				found++
+				offset += f.length
+				continue
+			}
+		}
+		offset++
+	}
+	return found
+}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,7 +22,6 @@
 	failAt  int // from this step on everything fails; 0: never
 	full    int // bytes that writes may still take; -1: no bound
 	noSync  bool
-	held    bool
 }
 
 type memFile struct {
@@ -199,6 +198,20 @@
 	return s, r
 }
 
+func put(t *testing.T, s *Store, key string, value []byte) {
+	t.Helper()
+	if err := s.Put(key, value); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func closeStore(t testing.TB, s *Store) {
+	t.Helper()
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
 // history writes batches of puts and deletes; states[i] is what stands after i of them.
 func history(t *testing.T, s *Store, n int, draw *rand.Rand) (states []map[string]string) {
 	t.Helper()
@@ -233,12 +246,11 @@
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
 	states := history(t, s, 40, rand.New(rand.NewPCG(1, 1)))
-	s.Close()
+	closeStore(t, s)
 	whole := d.now[segmentName(1)].data
 	ends := []int{fixedHeaderBytes}
-	if _, err := scan(segmentName(1), whole, true, func(_ uint64, at int64, _ []operation) {
-		n, _, _ := decodeFrame(whole[at:])
-		ends = append(ends, int(at)+n)
+	if _, err := scan(segmentName(1), whole, true, func(at int64, f frame) {
+		ends = append(ends, int(at)+f.length)
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -259,7 +271,7 @@
 		if err := s.Put("after", []byte("x")); err != nil {
 			t.Fatal(err)
 		}
-		s.Close()
+		closeStore(t, s)
 		if s, r := open(t, d, Options{}); contents(t, s)["after"] != "x" || r.TruncatedBytes != 0 {
 			t.Fatalf("cut at %d: what was written afterwards is gone", cut)
 		}
@@ -272,7 +284,7 @@
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true, SegmentBytes: 400})
 	states := history(t, s, 30, rand.New(rand.NewPCG(2, 2)))
-	s.Close()
+	closeStore(t, s)
 	names, _ := d.List()
 	refused := 0
 	for _, name := range names {
@@ -396,7 +408,7 @@
 	if v, found, _ := s.Get("c"); !found || string(v) != "3" {
 		t.Error("a read-only store cannot be read")
 	}
-	s.Close()
+	closeStore(t, s)
 	again, _ := open(t, d.crash(rand.New(rand.NewPCG(1, 1))), Options{})
 	if got := contents(t, again); got["a"] != "1" || got["c"] != "3" || got["b"] != "" || got["e"] != "" {
 		t.Errorf("after it all: %v", got)
@@ -409,7 +421,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Put("still", []byte("here"))
+	put(t, s, "still", []byte("here"))
 	snap := s.Snapshot()
 	var all sync.WaitGroup
 	for w := range 8 {
@@ -426,25 +438,31 @@
 			}
 		})
 	}
-	s.Put("still", []byte("changed"))
-	s.Delete("still")
+	put(t, s, "still", []byte("changed"))
+	if err := s.Delete("still"); err != nil {
+		t.Error(err)
+	}
 	all.Wait()
 	if snap.Len() != 1 {
 		t.Errorf("a snapshot of one key has %d", snap.Len())
 	}
-	snap.Each("", func(k string, v []byte) bool {
+	if err := snap.Each("", func(k string, v []byte) bool {
 		if string(v) != "here" {
 			t.Errorf("a snapshot has changed: %s %s", k, v)
 		}
 		return true
-	})
+	}); err != nil {
+		t.Error(err)
+	}
 	snap.Release()
 	if got := contents(t, s); len(got) != 40 || !strings.HasPrefix(got["w3/4"], "149") {
 		t.Errorf("%d keys, %.20q", len(got), got["w3/4"])
 	}
 	n := 0
 	again := s.Snapshot()
-	again.Each("w3/", func(string, []byte) bool { n++; return true })
+	if err := again.Each("w3/", func(string, []byte) bool { n++; return true }); err != nil {
+		t.Error(err)
+	}
 	again.Release()
 	if n != 5 {
 		t.Errorf("%d keys under a prefix, want 5", n)
@@ -460,24 +478,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(path, Options{}); err == nil || !strings.Contains(err.Error(), "held by another") {
+	if _, _, err := Open(path, Options{}); !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), path) {
 		t.Errorf("opened twice: %v", err)
 	}
-	s.Put("a", []byte("1"))
+	put(t, s, "a", []byte("1"))
 	if r, found, err := Open(path, Options{ReadOnly: true}); err != nil || found.Keys != 1 || !errors.Is(r.Put("b", nil), ErrReadOnly) {
 		t.Errorf("looked at beside its holder: %v %v", found, err)
 	}
-	s.Close()
+	closeStore(t, s)
 	name := filepath.Join(path, segmentName(1))
 	b, _ := os.ReadFile(name)
 	newer := slices.Clone(b)
-	newer[len(magic)] = version + 1
-	os.WriteFile(name, newer, 0o600)
+	newer[len(magic)] = formatVersion + 1
+	if err := os.WriteFile(name, newer, 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if _, _, err := Open(path, Options{}); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("from a newer version: %v", err)
 	}
 	file := filepath.Join(t.TempDir(), "f")
-	os.WriteFile(file, nil, 0o600)
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if _, _, err := Open(file, Options{}); err == nil {
 		t.Error("a file was opened as a directory")
 	}
@@ -488,9 +510,9 @@
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
 	for i := range 10 {
-		s.Put(fmt.Sprint("k", i), []byte("value"))
+		put(t, s, fmt.Sprint("k", i), []byte("value"))
 	}
-	s.Close()
+	closeStore(t, s)
 	data := d.now[segmentName(1)].data
 	data[len(data)/2] ^= 1
 	before := slices.Clone(data)
@@ -499,15 +521,15 @@
 		t.Fatalf("%v, want the damage told", err)
 	}
 	to := newDisk()
-	batches, lost, err := Repair(d, to)
-	if err != nil || batches != 9 || lost == 0 || !slices.Equal(before, data) {
-		t.Fatalf("%d batches, %d bytes lost, %v", batches, lost, err)
+	repaired, err := Repair(d, to)
+	if err != nil || repaired.Batches != 9 || repaired.LostBytes == 0 || !slices.Equal(before, data) {
+		t.Fatalf("%+v, %v", repaired, err)
 	}
 	out, _ := open(t, to, Options{})
 	if got := contents(t, out); len(got) != 9 {
 		t.Errorf("%d keys came over, want nine", len(got))
 	}
-	if _, _, err := Repair(d, to); err == nil {
-		t.Error("repaired into a store that is there")
+	if _, err := Repair(d, to); !errors.Is(err, ErrNotEmpty) {
+		t.Errorf("repaired into a store that is there: %v", err)
 	}
 }
