--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -1,6 +1,7 @@
 package nodestate
 
 import (
+	"errors"
 	"fawnglade/internal/store"
 	"maps"
 	"os"
@@ -8,16 +9,16 @@
 	"testing"
 )
 
-// TestCutAtEveryByte cuts the log of a node's store at every byte: what is then remembered is what one of the batches left, and the
-// drains of the last whole one hold.
-func TestCutAtEveryByte(t *testing.T) {
+// TestRecoveryFromALogCutAtAnyByte cuts the log of a store at every byte: what is found then is what one of the batches left, and the drains of
+// the last complete one hold.
+func TestRecoveryFromALogCutAtAnyByte(t *testing.T) {
 	dir := t.TempDir()
 	at, _, err := store.Open(dir, store.Options{ManualCompaction: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	plain, m := disk{}, disk{}.read()
-	var after []map[string]State // by batch
+	var after []map[string]EndpointState // by batch
 	note := func() {
 		var batch store.Batch
 		for _, c := range m.Changes() {
@@ -27,16 +28,16 @@
 		if err := at.Apply(&batch); err != nil {
 			t.Fatal(err)
 		}
-		states := map[string]State{}
-		for name, s := range plain.read().servers {
+		states := map[string]EndpointState{}
+		for name, s := range plain.read().endpoints {
 			states[name] = s.State
 		}
 		after = append(after, states)
 	}
-	m.Begin(now)
+	m.RecordStart(now)
 	note()
-	for i, s := range []State{Up, Draining, Up, Draining, Removed} {
-		m.Listed(now+int64(i), []Server{server("a", s, 5), server("b", State(i%2), int64(i))}, int64(i+1), false)
+	for i, s := range []EndpointState{Active, Draining, Active, Draining, Removed} {
+		m.RecordList(now+int64(i), []Endpoint{server("a", s, 5), server("b", EndpointState(i%2), int64(i))}, int64(i+1), false)
 		note()
 	}
 	if err := at.Close(); err != nil {
@@ -61,19 +62,21 @@
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		snap := s.Snapshot()
-		found := Read(func(each func(string, []byte)) {
-			snap.Each("", func(k string, v []byte) bool { each(k, v); return true })
+		found := Load(func(take func(string, []byte)) {
+			err = snap.Each("", func(k string, v []byte) bool { take(k, v); return true })
 		})
 		snap.Release()
-		s.Close()
-		states := map[string]State{}
-		for name, one := range found.servers {
+		if err := errors.Join(err, s.Close()); err != nil {
+			t.Fatalf("cut at %d: %v", cut, err)
+		}
+		states := map[string]EndpointState{}
+		for name, one := range found.endpoints {
 			states[name] = one.State
 		}
 		for last+1 < len(after) && maps.Equal(states, after[last+1]) {
 			last++
 		}
-		if !maps.Equal(states, after[last]) && !(last == 0 && len(states) == 0) {
+		if !maps.Equal(states, after[last]) && (last != 0 || len(states) != 0) {
 			t.Fatalf("cut at %d: %v, want what batch %d left, %v", cut, states, last, after[last])
 		}
 	}
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -34,7 +34,7 @@
 	Actions map[string]int `json:"actions"`
 }
 
-// digestEvent is one event that is due at a virtual time; events of one time run in the order in which they were queued.
+// digestEvent is due at a virtual time; events of one time run in the order in which they were queued.
 type digestEvent struct {
 	at, sequence int64
 	run          func()
@@ -63,7 +63,7 @@
 	speed                 float64
 	inFlight              int
 	failing, silent, full bool
-	failsCategory         int // answers this class with errors only; -1: none
+	failsClass            int // answers this class with errors only; -1: none
 	connected             bool
 }
 
@@ -77,9 +77,9 @@
 	queue     digestQueue
 	endpoints []*digestEndpoint
 	attempts  map[policy.RequestID]int
-	category  map[policy.RequestID]int
+	classOf   map[policy.RequestID]int
 	answered  map[policy.RequestID]bool
-	recalled  map[string]bool
+	canceled  map[string]bool
 	slowdown  float64
 	lists     int
 	hash      interface {
@@ -108,24 +108,30 @@
 	r.attempts[req]++
 	endpoint := r.endpoints[int(id)-1]
 	endpoint.inFlight++
-	outcome, elapsed := r.outcome(endpoint, r.category[req], timeout)
+	outcome, elapsed := r.outcome(endpoint, r.classOf[req], timeout)
 	if r.settings.MayCancel || elapsed < timeout {
 		elapsed = min(elapsed, timeout)
 	}
-	fresh := !endpoint.connected
+	newConnection := !endpoint.connected
 	endpoint.connected = outcome != policy.OutcomeReset && outcome != policy.OutcomeConnectFailed
-	if r.recalled[fmt.Sprint(req, number)] {
+	if r.canceled[fmt.Sprint(req, number)] {
 		outcome = policy.OutcomeCanceled
 	}
 	r.after(elapsed, func() {
 		endpoint.inFlight--
-		if r.recalled[fmt.Sprint(req, number)] {
+		if r.canceled[fmt.Sprint(req, number)] {
 			outcome = policy.OutcomeCanceled
 		}
 		answer := policy.AttemptResult{
-			Request: req, Attempt: number, Endpoint: id, Outcome: outcome, Elapsed: time.Duration(elapsed), NewConnection: fresh,
-			RequestDone: outcome == policy.OutcomeSucceeded, BodyConsumed: outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
-			Report: r.report(endpoint, outcome),
+			Request:       req,
+			Attempt:       number,
+			Endpoint:      id,
+			Outcome:       outcome,
+			Elapsed:       time.Duration(elapsed),
+			NewConnection: newConnection,
+			RequestDone:   outcome == policy.OutcomeSucceeded,
+			BodyConsumed:  outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
+			Report:        r.report(endpoint, outcome),
 		}
 		if answer.RequestDone {
 			r.answered[req] = true
@@ -146,7 +152,7 @@
 		return policy.OutcomeTimedOut, timeout
 	case endpoint.full && dice < 0.9:
 		return policy.OutcomeRejected, millisecond
-	case endpoint.failing && dice < 0.7, endpoint.failsCategory == class && dice < 0.95:
+	case endpoint.failing && dice < 0.7, endpoint.failsClass == class && dice < 0.95:
 		return policy.OutcomeError, elapsed / 4
 	case dice < 0.004:
 		return policy.OutcomeReset, elapsed / 2
@@ -180,7 +186,7 @@
 
 func (r *digestRun) Cancel(req policy.RequestID, number int) {
 	r.note("cancel", req, number)
-	r.recalled[fmt.Sprint(req, number)] = true
+	r.canceled[fmt.Sprint(req, number)] = true
 }
 
 func (r *digestRun) Reject(req policy.RequestID, advice time.Duration) {
@@ -271,7 +277,7 @@
 	case 6:
 		endpoint.full, listed = !endpoint.full, false
 	case 7:
-		endpoint.failsCategory, listed = r.random.IntN(4)-1, false
+		endpoint.failsClass, listed = r.random.IntN(4)-1, false
 	case 8:
 		endpoint.connected, listed = false, false
 	}
@@ -294,7 +300,7 @@
 	if r.random.IntN(4) > 0 {
 		req.Key = fmt.Sprint("key", min(r.random.IntN(40), r.random.IntN(40)))
 	}
-	r.category[id] = class
+	r.classOf[id] = class
 	r.instance.RequestArrived(policy.Time(r.now), req)
 	if r.random.IntN(40) == 0 {
 		r.after(r.random.Int64N(60)*millisecond, func() {
@@ -319,8 +325,10 @@
 func digestOf(settings policy.Settings, endpoints int, seed uint64) digestRecord {
 	r := &digestRun{
 		settings: settings, random: rand.New(rand.NewPCG(seed, uint64(endpoints))), now: digestStart,
-		attempts: map[policy.RequestID]int{}, category: map[policy.RequestID]int{}, answered: map[policy.RequestID]bool{},
-		recalled: map[string]bool{}, slowdown: 1, hash: fnv.New64a(), actions: map[string]int{},
+		attempts: map[policy.RequestID]int{},
+		classOf:  map[policy.RequestID]int{},
+		answered: map[policy.RequestID]bool{},
+		canceled: map[string]bool{}, slowdown: 1, hash: fnv.New64a(), actions: map[string]int{},
 	}
 	for i := range endpoints {
 		started := int64(0)
@@ -328,7 +336,7 @@
 			started = digestStart - int64(i%5)*second
 		}
 		r.endpoints = append(r.endpoints, &digestEndpoint{
-			speed: 0.5 + 1.5*r.random.Float64(), failsCategory: -1,
+			speed: 0.5 + 1.5*r.random.Float64(), failsClass: -1,
 			listed: policy.EndpointInfo{
 				ID:        policy.EndpointID(i + 1),
 				Zone:      i % 3,
@@ -374,7 +382,7 @@
 
 // digestSettings are the settings of the runs; each turns other rules on.
 func digestSettings() map[string]policy.Settings {
-	categories := []policy.Class{
+	classes := []policy.Class{
 		{LatencyObjective: 120 * millisecond, Idempotency: policy.Idempotent, PriorityWeight: 5},
 		{
 			LatencyObjective: 160 * millisecond,
@@ -387,31 +395,85 @@
 		{LatencyObjective: 200 * millisecond, Idempotency: policy.NonIdempotent, PriorityWeight: 3},
 	}
 	withGroup := func(group policy.DedupGroup) []policy.Class {
-		changed := append([]policy.Class(nil), categories...)
+		changed := append([]policy.Class(nil), classes...)
 		changed[1].DedupGroup = group
 		return changed
 	}
 	return map[string]policy.Settings{
 		"hedging": {
-			Classes: categories, TenantShares: []float64{0.5, 0.3, 0.2}, OverQuotaFraction: 0.2, WorstClassWeight: 0.1, NodeIndex: 1, NodeCount: 3,
-			StreamsPerConnection: 1, MaxAttempts: 5, ClockResolution: 5 * millisecond, MaxPollInterval: 10 * second, SlowStartWindow: 8 * second, KeyAffinity: true,
-			MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MayGossip: true, MaxRetryAfter: 3 * second, SlowStartMinCapacity: 0.12,
-			ReportsUtilization: true, ReportsServiceTime: true,
+			Classes:              classes,
+			TenantShares:         []float64{0.5, 0.3, 0.2},
+			OverQuotaFraction:    0.2,
+			WorstClassWeight:     0.1,
+			NodeIndex:            1,
+			NodeCount:            3,
+			StreamsPerConnection: 1,
+			MaxAttempts:          5,
+			ClockResolution:      5 * millisecond,
+			MaxPollInterval:      10 * second,
+			SlowStartWindow:      8 * second,
+			KeyAffinity:          true,
+			MayHedge:             true,
+			MayCancel:            true,
+			MaySetRetryAfter:     true,
+			MayGossip:            true,
+			MaxRetryAfter:        3 * second,
+			SlowStartMinCapacity: 0.12,
+			ReportsUtilization:   true, ReportsServiceTime: true,
 		},
 		"plain": {
-			Classes: withGroup(policy.DedupZone), OverQuotaFraction: 1, NodeCount: 1, StreamsPerConnection: 8, MaxAttempts: 3, ClockResolution: millisecond,
-			MaxPollInterval: 4 * second, SlowStartWindow: 20 * second, MustPollList: true, MayCancel: true, SlowStartMinCapacity: 0.2,
+			Classes:              withGroup(policy.DedupZone),
+			OverQuotaFraction:    1,
+			NodeCount:            1,
+			StreamsPerConnection: 8,
+			MaxAttempts:          3,
+			ClockResolution:      millisecond,
+			MaxPollInterval:      4 * second,
+			SlowStartWindow:      20 * second,
+			MustPollList:         true,
+			MayCancel:            true,
+			SlowStartMinCapacity: 0.2,
 		},
 		"probes": {
-			Classes: withGroup(policy.DedupFleet), TenantShares: []float64{0.6, 0.4}, OverQuotaFraction: 0.5, WorstClassWeight: 0.5, NodeIndex: 7, NodeCount: 30,
-			StreamsPerConnection: 4, MaxAttempts: 4, ClockResolution: 2 * millisecond, MaxPollInterval: 6 * second, SlowStartWindow: 12 * second, RemovedMayServe: true,
-			WeightIsSize: true, WeightByWork: true, MayCheckHealth: true, HealthChecksReport: true, MayGossip: true, MayCancel: true, SlowStartMinCapacity: 0.3,
-			ReportsUtilization: true,
+			Classes:              withGroup(policy.DedupFleet),
+			TenantShares:         []float64{0.6, 0.4},
+			OverQuotaFraction:    0.5,
+			WorstClassWeight:     0.5,
+			NodeIndex:            7,
+			NodeCount:            30,
+			StreamsPerConnection: 4,
+			MaxAttempts:          4,
+			ClockResolution:      2 * millisecond,
+			MaxPollInterval:      6 * second,
+			SlowStartWindow:      12 * second,
+			RemovedMayServe:      true,
+			WeightIsSize:         true,
+			WeightByWork:         true,
+			MayCheckHealth:       true,
+			HealthChecksReport:   true,
+			MayGossip:            true,
+			MayCancel:            true,
+			SlowStartMinCapacity: 0.3,
+			ReportsUtilization:   true,
 		},
 		"no-cancel": {
-			Classes: categories, TenantShares: []float64{0.7, 0.2, 0.1}, OverQuotaFraction: 0.1, WorstClassWeight: 0.3, NodeIndex: 299, NodeCount: 300,
-			StreamsPerConnection: 1, MaxAttempts: 2, ClockResolution: millisecond, MaxPollInterval: 5 * second, SlowStartWindow: 5 * second, MustPollList: true, KeyAffinity: true,
-			MayHedge: true, MaySetRetryAfter: true, MaxRetryAfter: second / 20, SlowStartMinCapacity: 0.05,
+			Classes:              classes,
+			TenantShares:         []float64{0.7, 0.2, 0.1},
+			OverQuotaFraction:    0.1,
+			WorstClassWeight:     0.3,
+			NodeIndex:            299,
+			NodeCount:            300,
+			StreamsPerConnection: 1,
+			MaxAttempts:          2,
+			ClockResolution:      millisecond,
+			MaxPollInterval:      5 * second,
+			SlowStartWindow:      5 * second,
+			MustPollList:         true,
+			KeyAffinity:          true,
+			MayHedge:             true,
+			MaySetRetryAfter:     true,
+			MaxRetryAfter:        second / 20,
+			SlowStartMinCapacity: 0.05,
 		},
 	}
 }
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -154,13 +154,29 @@
 func newModel(seed int64) *model {
 	w := &model{
 		Rand: rand.New(rand.NewSource(seed)), requests: map[RequestID]*modelRequest{},
-		listed: map[EndpointID]EndpointInfo{}, drainedLast: map[EndpointID]bool{}, sentInSlowStart: map[EndpointID]float64{}, fairShare: map[EndpointID]float64{}, now: 5e12,
+		listed:          map[EndpointID]EndpointInfo{},
+		drainedLast:     map[EndpointID]bool{},
+		sentInSlowStart: map[EndpointID]float64{},
+		fairShare:       map[EndpointID]float64{},
+		now:             5e12,
 	}
 	w.settings = Settings{
 		MaxAttempts: 1 + w.Intn(5), MayHedge: w.Intn(2) == 0, MayCancel: w.Intn(2) == 0,
-		MaySetRetryAfter: true, MaxRetryAfter: 1e9, MustPollList: w.Intn(2) == 0, MaxPollInterval: 1e10, SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10,
-		ReportsUtilization: w.Intn(2) == 0, NodeIndex: w.Intn(9), NodeCount: 1 + w.Intn(60), StreamsPerConnection: 1 + w.Intn(2),
-		MayGossip: w.Intn(2) == 0, RemovedMayServe: w.Intn(2) == 0, KeyAffinity: w.Intn(2) == 0, MayCheckHealth: w.Intn(2) == 0, HealthChecksReport: w.Intn(2) == 0,
+		MaySetRetryAfter:     true,
+		MaxRetryAfter:        1e9,
+		MustPollList:         w.Intn(2) == 0,
+		MaxPollInterval:      1e10,
+		SlowStartMinCapacity: 0.1,
+		SlowStartWindow:      2e10,
+		ReportsUtilization:   w.Intn(2) == 0,
+		NodeIndex:            w.Intn(9),
+		NodeCount:            1 + w.Intn(60),
+		StreamsPerConnection: 1 + w.Intn(2),
+		MayGossip:            w.Intn(2) == 0,
+		RemovedMayServe:      w.Intn(2) == 0,
+		KeyAffinity:          w.Intn(2) == 0,
+		MayCheckHealth:       w.Intn(2) == 0,
+		HealthChecksReport:   w.Intn(2) == 0,
 	}
 	for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent, IdempotentByKey} {
 		w.settings.Classes = append(
@@ -212,7 +228,7 @@
 
 // changeList changes the fleet and enters it: drains, leavers, restarts and newcomers.
 func (w *model) changeList(complete bool) {
-	var told []EndpointInfo
+	var changed []EndpointInfo
 	for id := EndpointID(1); id <= 8; id++ {
 		l, known := w.listed[id]
 		switch {
@@ -234,9 +250,9 @@
 			continue
 		}
 		w.listed[id], w.drainedLast[id] = l, l.State == StateDraining || l.State == StateRemoved && w.drainedLast[id]
-		told = append(told, l)
+		changed = append(changed, l)
 	}
-	w.balancer.EndpointsUpdated(w.now, told, complete)
+	w.balancer.EndpointsUpdated(w.now, changed, complete)
 }
 
 func (w *model) endAttempt(t *modelRequest, number int, outcome Outcome) {
