--- a/cmd/fawnglade/relay_test.go
+++ b/cmd/fawnglade/relay_test.go
@@ -34,13 +34,13 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Process.Kill() })
+	t.Cleanup(func() { kill(c) })
 	serving, all, over := make(chan string, 1), &strings.Builder{}, make(chan struct{})
 	go func() {
 		defer close(over)
 		for in := bufio.NewScanner(out); in.Scan(); {
 			var line struct{ Msg, Listen string }
-			if json.Unmarshal(in.Bytes(), &line); line.Msg == "serving" {
+			if err := json.Unmarshal(in.Bytes(), &line); err == nil && line.Msg == "serving" {
 				serving <- line.Listen
 			}
 			all.WriteString(in.Text() + "\n")
@@ -96,9 +96,8 @@
 	}
 	record(2)
 	told(2, 6*time.Second)
-	one.Process.Kill() // stopped: nothing else ends it
-	one.Wait()
-	two.Process.Signal(syscall.SIGUSR1)
+	killAndWait(one) // stopped: nothing else ends it
+	sendSignal(t, two, syscall.SIGUSR1)
 	record(3)
 	told(3, 6*time.Second)
 	for _, c := range []*exec.Cmd{two, origin} {
--- a/cmd/fawnglade/store.go
+++ b/cmd/fawnglade/store.go
@@ -1,13 +1,12 @@
 package main
 
-// This file owns the commands that look into a store's directory. None of them changes one.
-
 import (
 	"encoding/base64"
 	"encoding/json"
 	"errors"
 	"fawnglade/internal/store"
 	"fmt"
+	"io"
 	"os"
 	"unicode/utf8"
 
@@ -26,7 +25,8 @@
 	return root
 }
 
-func look(path string) (*store.Store, *store.Recovery, error) {
+// openReadOnly opens a store beside a process that may have it open.
+func openReadOnly(path string) (*store.Store, *store.Recovery, error) {
 	return store.Open(path, store.Options{ReadOnly: true})
 }
 
@@ -37,47 +37,66 @@
 	}
 	asJSON := c.Flags().Bool("json", false, "print one JSON object")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		s, r, err := look(args[0])
-		var damage *store.CorruptionError
-		if err != nil && (!*asJSON || !errors.As(err, &damage)) {
-			return err
-		}
-		if s != nil {
-			defer s.Close()
-		}
+		recovery, err := checkStore(args[0])
 		if *asJSON {
-			out := map[string]any{"whole": err == nil}
-			if damage != nil {
-				out["file"], out["offset"], out["what"], out["batches_after"] = damage.File, damage.Offset, damage.Reason, damage.BatchesAfter
-			} else {
-				out["segments"], out["batches"], out["keys"] = r.Segments, r.Batches, r.Keys
-			}
-			if broken := json.NewEncoder(c.OutOrStdout()).Encode(out); broken != nil {
-				return broken
-			}
+			return printCheckJSON(c.OutOrStdout(), recovery, err)
+		}
+		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%s: whole, %d keys in %d batches of %d segments\n", args[0], r.Keys, r.Batches, r.Segments)
-		return nil
+		_, err = fmt.Fprintf(c.OutOrStdout(), "%s: whole, %d keys in %d batches of %d segments\n",
+			args[0], recovery.Keys, recovery.Batches, recovery.Segments)
+		return err
 	}
 	return c
 }
 
-// each calls for every key of a store, in order.
-func each(path, prefix string, do func(key string, value []byte) error) error {
-	s, _, err := look(path)
+// checkStore reads all of a store. The error is a *store.CorruptionError if the store is damaged.
+func checkStore(path string) (*store.Recovery, error) {
+	s, recovery, err := openReadOnly(path)
+	if err != nil {
+		return nil, err
+	}
+	return recovery, s.Close()
+}
+
+// printCheckJSON prints the result of checkStore, unless it is an error other than damage, and returns that result's error.
+func printCheckJSON(out io.Writer, recovery *store.Recovery, checkErr error) error {
+	result := map[string]any{"whole": checkErr == nil}
+	var corruption *store.CorruptionError
+	switch {
+	case errors.As(checkErr, &corruption):
+		result["file"] = corruption.File
+		result["offset"] = corruption.Offset
+		result["what"] = corruption.Reason
+		result["batches_after"] = corruption.BatchesAfter
+	case checkErr != nil:
+		return checkErr
+	default:
+		result["segments"] = recovery.Segments
+		result["batches"] = recovery.Batches
+		result["keys"] = recovery.Keys
+	}
+	if err := json.NewEncoder(out).Encode(result); err != nil {
+		return err
+	}
+	return checkErr
+}
+
+// eachKey calls visit for every key of a store with the prefix, in order, until it returns an error.
+func eachKey(path, prefix string, visit func(key string, value []byte) error) error {
+	s, _, err := openReadOnly(path)
 	if err != nil {
 		return err
 	}
-	defer s.Close()
-	snap := s.Snapshot()
-	defer snap.Release()
-	var failed error
-	err = snap.Each(prefix, func(k string, v []byte) bool {
-		failed = do(k, v)
-		return failed == nil
+	snapshot := s.Snapshot()
+	var visitErr error
+	readErr := snapshot.Each(prefix, func(key string, value []byte) bool {
+		visitErr = visit(key, value)
+		return visitErr == nil
 	})
-	return errors.Join(err, failed)
+	snapshot.Release()
+	return errors.Join(readErr, visitErr, s.Close())
 }
 
 func storeList() *cobra.Command {
@@ -87,7 +106,7 @@
 	}
 	prefix := c.Flags().String("prefix", "", "only keys that begin so")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		return each(args[0], *prefix, func(k string, v []byte) error {
+		return eachKey(args[0], *prefix, func(k string, v []byte) error {
 			_, err := fmt.Fprintf(c.OutOrStdout(), "%d\t%s\n", len(v), k)
 			return err
 		})
@@ -100,24 +119,28 @@
 		Use: "get DIR KEY", Short: "Print one value as it is", Args: cobra.ExactArgs(2),
 		Example: "  fawnglade store get /var/lib/fawnglade list > list.cbor",
 		RunE: func(c *cobra.Command, args []string) error {
-			s, _, err := look(args[0])
+			value, err := getValue(args[0], args[1])
 			if err != nil {
 				return err
 			}
-			defer s.Close()
-			v, found, err := s.Get(args[1])
-			if err != nil {
-				return err
-			}
-			if !found {
-				return fmt.Errorf("%s: no such key", args[1])
-			}
-			_, err = c.OutOrStdout().Write(v)
+			_, err = c.OutOrStdout().Write(value)
 			return err
 		},
 	}
 }
 
+func getValue(path, key string) ([]byte, error) {
+	s, _, err := openReadOnly(path)
+	if err != nil {
+		return nil, err
+	}
+	value, found, err := s.Get(key)
+	if err == nil && !found {
+		err = fmt.Errorf("%s: no such key", key)
+	}
+	return value, errors.Join(err, s.Close())
+}
+
 func storeExport() *cobra.Command {
 	return &cobra.Command{
 		Use: "export DIR", Short: "Print all keys and values as JSON, one to a line", Args: cobra.ExactArgs(1),
@@ -125,7 +148,7 @@
 		Example: "  fawnglade store export /var/lib/fawnglade > backup.jsonl",
 		RunE: func(c *cobra.Command, args []string) error {
 			out := json.NewEncoder(c.OutOrStdout())
-			return each(args[0], "", func(k string, v []byte) error {
+			return eachKey(args[0], "", func(k string, v []byte) error {
 				if utf8.Valid(v) {
 					return out.Encode(map[string]string{"key": k, "text": string(v)})
 				}
@@ -145,27 +168,38 @@
 		Example: "  fawnglade store repair /var/lib/fawnglade --to /var/lib/fawnglade-2",
 	}
 	to := c.Flags().String("to", "", "a directory without a store, made if it is not there")
-	c.MarkFlagRequired("to")
+	requireFlag(c, "to")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		from, err := store.SystemDirectory(args[0], false)
-		if err != nil {
-			return err
-		}
-		if here, err := os.Stat(args[0]); err == nil {
-			if there, err := os.Stat(*to); err == nil && os.SameFile(here, there) {
-				return errors.New("--to: expected another directory, a store is never repaired in place")
-			}
-		}
-		into, err := store.SystemDirectory(*to, true)
-		if err != nil {
-			return err
-		}
-		repaired, err := store.Repair(from, into)
+		repaired, err := repairStore(args[0], *to)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%d batches copied to %s, %d bytes could not be read\n", repaired.Batches, *to, repaired.LostBytes)
-		return nil
+		_, err = fmt.Fprintf(c.OutOrStdout(), "%d batches copied to %s, %d bytes could not be read\n",
+			repaired.Batches, *to, repaired.LostBytes)
+		return err
 	}
 	return c
 }
+
+func repairStore(path, to string) (store.Repaired, error) {
+	var none store.Repaired
+	from, err := store.SystemDirectory(path, false)
+	if err != nil {
+		return none, err
+	}
+	if isSameFile(path, to) {
+		return none, errors.New("--to: expected another directory, a store is never repaired in place")
+	}
+	into, err := store.SystemDirectory(to, true)
+	if err != nil {
+		return none, err
+	}
+	return store.Repair(from, into)
+}
+
+// isSameFile reports whether two paths name the same file; one that doesn't exist is no other's.
+func isSameFile(a, b string) bool {
+	infoA, errA := os.Stat(a)
+	infoB, errB := os.Stat(b)
+	return errA == nil && errB == nil && os.SameFile(infoA, infoB)
+}
