--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -79,41 +79,27 @@
 }
 
 // startUpstream starts an upstream that answers after a time, and closes connections beyond a number without a response.
-func startUpstream(t *testing.T, most int64, after time.Duration) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
+func startUpstream(t *testing.T, maxConns int64, after time.Duration) string {
+	t.Helper()
 	var open atomic.Int64
-	go func() {
+	return serveConns(t, func(c net.Conn) {
+		defer open.Add(-1)
+		if open.Add(1) > maxConns {
+			return
+		}
+		in := bufio.NewReader(c)
 		for {
-			c, err := l.Accept()
+			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				defer open.Add(-1)
-				if open.Add(1) > most {
-					return
-				}
-				in := bufio.NewReader(c)
-				for {
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					time.Sleep(after)
-					id := r.Header.Get("X-Txn")
-					if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id); err != nil {
-						return
-					}
-				}
-			}()
+			time.Sleep(after)
+			id := r.Header.Get("X-Txn")
+			if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id); err != nil {
+				return
+			}
 		}
-	}()
-	return l.Addr().String()
+	})
 }
 
 func listEntries(health string, servers ...string) string {
--- a/cmd/fawnglade/helper_test.go
+++ b/cmd/fawnglade/helper_test.go
@@ -88,3 +88,26 @@
 	t.Cleanup(func() { held.Close() })
 	return door, held
 }
+
+// serveConns serves each connection to a new address until the test ends, and returns the address.
+func serveConns(t *testing.T, serve func(net.Conn)) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				serve(c)
+			}()
+		}
+	}()
+	return listener.Addr().String()
+}
--- a/cmd/fawnglade/migrate.go
+++ b/cmd/fawnglade/migrate.go
@@ -25,7 +25,7 @@
 	reportsOnHealthCheck = "on_probe"
 )
 
-// deployment is what the new deployment is like and an old file cannot tell.
+// deployment is what an old file does not say of the new deployment.
 type deployment struct {
 	nodes          int      // in all
 	position       int      // of this node among them, from 0
--- a/cmd/fawnglade/pause_test.go
+++ b/cmd/fawnglade/pause_test.go
@@ -19,44 +19,28 @@
 // upstream that has failed meanwhile, begins no attempt for them when it is continued.
 func TestClientsLeaveWhileTheNodeStands(t *testing.T) {
 	fail := make(chan struct{})
-	var begun, going atomic.Int64
-	server := func() string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { l.Close() })
-		go func() {
-			for {
-				c, err := l.Accept()
-				if err != nil {
-					return
-				}
-				go func() {
-					defer c.Close()
-					for in := bufio.NewReader(c); ; {
-						r, err := http.ReadRequest(in)
-						if err != nil {
-							return
-						}
-						if !strings.HasPrefix(r.Header.Get("X-Txn"), "last") {
-							if begun.Add(1) > 6 {
-								t.Logf("%q %v, since going on %v", r.Header.Get("X-Txn"), r.URL, time.Since(time.Unix(0, going.Load())))
-							}
-							<-fail
-							writeText(c, "HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n")
-							continue
-						}
-						writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-					}
-				}()
+	var begun, continued atomic.Int64
+	serve := func(c net.Conn) {
+		for in := bufio.NewReader(c); ; {
+			r, err := http.ReadRequest(in)
+			if err != nil {
+				return
 			}
-		}()
-		return l.Addr().String()
+			id := r.Header.Get("X-Txn")
+			if strings.HasPrefix(id, "last") {
+				writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+				continue
+			}
+			if begun.Add(1) > 6 {
+				t.Logf("%q %v, %v after it was continued", id, r.URL, time.Since(time.Unix(0, continued.Load())))
+			}
+			<-fail
+			writeText(c, "HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n")
+		}
 	}
 	var servers []string
-	for range 20 { // so that most have failed nobody
-		servers = append(servers, server())
+	for range 20 { // so that most have failed no request
+		servers = append(servers, serveConns(t, serve))
 	}
 	listen := freeAddress(t)
 	node := startLimitedNode(t, 1024, "ask", listen, "127.0.0.1:1", t.TempDir(), nil, servers)
@@ -83,11 +67,11 @@
 	}
 	var clients []net.Conn
 	for i := range 6 {
-		clients = append(clients, connect(request(fmt.Sprint("out", i)))) // out at a server
+		clients = append(clients, connect(request(fmt.Sprint("out", i)))) // in flight at an upstream
 	}
-	eventually(t, "all out", func() bool { return begun.Load() == 6 })
+	eventually(t, "all in flight", func() bool { return begun.Load() == 6 })
 	sendSignal(t, node.Cmd, syscall.SIGSTOP)
-	eventually(t, "all of it to stand", func() bool { return isStopped(node.Process.Pid) })
+	eventually(t, "the process to stop", func() bool { return isStopped(node.Process.Pid) })
 	close(fail)
 	var many strings.Builder
 	for i := range 40 {
@@ -100,9 +84,9 @@
 	for i, c := range clients {
 		leave(i/2, c)
 	}
-	eventually(t, "all ends at the node's machine", func() bool { return establishedConns(t, listen) == 0 })
+	eventually(t, "all ends to reach the node", func() bool { return establishedConns(t, listen) == 0 })
 	time.Sleep(150 * time.Millisecond)
-	going.Store(time.Now().UnixNano())
+	continued.Store(time.Now().UnixNano())
 	sendSignal(t, node.Cmd, syscall.SIGCONT)
 	eventually(t, "an answer for a client that came last", func() bool {
 		_, status := requestView(listen, fmt.Sprint("last", time.Now().UnixNano()))
@@ -113,7 +97,7 @@
 		t.Errorf("ended with %v", err)
 	}
 	if begun.Load() != 6 {
-		t.Errorf("%d attempts began, want the 6 of before", begun.Load())
+		t.Errorf("%d attempts began, want the 6 from before the stop", begun.Load())
 	}
 }
 
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -128,7 +128,7 @@
 	return &attemptError{stage: stage, canceled: a.isCanceled(), err: err}
 }
 
-// localError is why this node itself does not send a request; it tells nothing about the endpoint.
+// localError is why this node itself does not send a request; it says nothing about the endpoint.
 type localError string
 
 func (e localError) Error() string { return string(e) }
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -63,7 +63,7 @@
 		p.clientGone = c.clientGone
 		request, err := c.readRequest(p)
 		// Guards against a client that sends many requests at once and leaves: they went to upstreams one by one as
-		// those before were answered, each for nobody.
+		// those before were answered, each for a client that was gone.
 		if err != nil && !isMalformed(err) || c.clientGone() {
 			c.releaseBody(p)
 			return
@@ -101,7 +101,7 @@
 	return kept
 }
 
-// cancelRequests tells the event loop of requests whose client has gone.
+// cancelRequests posts to the event loop which requests' client has gone.
 func (c *clientConn) cancelRequests(requests []*pendingRequest) {
 	loop := c.frontend.node.loop
 	for _, p := range withoutAnswered(requests) {
--- a/internal/node/evict.go
+++ b/internal/node/evict.go
@@ -115,7 +115,7 @@
 	return now.UnixNano()-lastProgress > int64(stallUnderFlood)
 }
 
-// evict asks an idle connection to close. It wakes the read loop, which alone can tell whether a request has come
+// evict asks an idle connection to close. It wakes the read loop, which alone knows whether a request has come
 // meanwhile.
 func (c *clientConn) evict(now time.Time) {
 	c.mu.Lock()
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -34,7 +34,7 @@
 	mu         sync.Mutex
 	open       map[*clientConn]struct{}
 	maxOpen    int // slots of connections with requests
-	spareSlots int // further slots, for connections that are only told that there is no capacity
+	spareSlots int // further slots, for connections whose requests are rejected over capacity
 	crowdedAt  int // used connections from which on idle ones are closed for new ones, also with free slots
 
 	maxLentSlots atomic.Int64 // slots of maxOpen that attempts may have
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -221,7 +221,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, text)
+		writeText(c, text)
 		answer, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/httpmessage.go
+++ b/internal/node/httpmessage.go
@@ -18,7 +18,7 @@
 	maxBodyBytes   = 40 << 20 // of any body
 	headReaderSize = 4 << 10
 
-	// unknownLength is the length of a body that only its own end tells: in chunks, or until the connection ends.
+	// unknownLength is the length of a body that only its own end delimits: in chunks, or until the connection ends.
 	unknownLength = -1
 )
 
@@ -40,7 +40,7 @@
 	length int64 // of the body in bytes, or unknownLength
 }
 
-// parsedHead is what parsing a head tells of the body behind it.
+// parsedHead is the body behind a parsed head.
 type parsedHead struct {
 	body   io.Reader
 	length int64 // in bytes, or unknownLength
--- a/internal/node/requestparse.go
+++ b/internal/node/requestparse.go
@@ -51,7 +51,8 @@
 	node.loop.post(func() { node.loop.requestArrived(p) })
 }
 
-// rejectMalformed answers a request that could not be read. What follows on the connection can't be told apart from it.
+// rejectMalformed answers a request that could not be read. Where the next request on the connection begins is
+// unknown then, so that it is closed.
 func (c *clientConn) rejectMalformed(p *pendingRequest, err error) {
 	c.frontend.node.counters.add(requestsMalformed)
 	p.closeAfter = true
--- a/internal/node/requestread.go
+++ b/internal/node/requestread.go
@@ -139,7 +139,7 @@
 	return false
 }
 
-// isMalformed reports an error of reading a request that is the client's, and that it is told of.
+// isMalformed reports an error of reading a request that is the client's fault and is answered with statusFor.
 func isMalformed(err error) bool {
 	return errors.Is(err, errMalformed) || errors.Is(err, errHeadTooLong) || errors.Is(err, errBodyTooLong) ||
 		errors.Is(err, os.ErrDeadlineExceeded)
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -189,7 +189,7 @@
 	uploadTime time.Duration // of it the request's body was still coming
 }
 
-// result is what the head alone tells of the attempt.
+// result is the attempt's result as far as the head gives it.
 func (r *upstreamReply) result() attemptResult {
 	return attemptResult{
 		outcome:    outcomeOf(r.StatusCode, r.Header),
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -121,7 +121,7 @@
 
 // streamResponse writes a response's head and the part of its body that is buffered, and passes on the rest as it
 // comes. It reports whether the client got all of it. Where not, the connection must be aborted, so that the client
-// can tell.
+// sees that.
 func (c *clientConn) streamResponse(r *response, head responseHead) (complete bool) {
 	defer func() { r.stream.finish(complete) }()
 	write := func(p []byte) error { return writePaced(c.conn, nil, p) }
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -18,7 +18,7 @@
 
 const (
 	// strayCooldown is how long a connection rests after a response that may come a second time, as some do some
-	// milliseconds later: nothing on it tells whose it is, and the next request on that connection would be answered
+	// milliseconds later: nothing in it says whose it is, and the next request on that connection would be answered
 	// with it, or sent again because it says that the request never ran.
 	strayCooldown = 8 * time.Millisecond
 	strayMemory   = time.Minute          // for so long all rest once a connection has brought more than its response
