--- a/policy/estimator_test.go
+++ b/policy/estimator_test.go
@@ -29,7 +29,7 @@
 	b.serve(40, func(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 450 * ms })
 	overloaded, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 	for range 20 {
-		b.now += Time(recalculationInterval)
+		b.now += Time(tickInterval)
 		b.tick()
 	}
 	if relaxed, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); relaxed > overloaded*2/3 {
@@ -59,7 +59,7 @@
 		t.Errorf("nearly all time out and an endpoint not heard yet is expected at %.1f", unit)
 	}
 	for range 60 {
-		b.now += Time(recalculationInterval)
+		b.now += Time(tickInterval)
 		b.tick()
 	}
 	if unit, _ := b.estimator.expectedLatency(unheard); unit > 1.5 {
@@ -71,7 +71,7 @@
 func TestZoneDelayIsNotTakenForSlowness(t *testing.T) {
 	b := newTestFleet(t, 0, nil)
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, Zone: 1, Weight: 1}, {ID: 2, Zone: 1, Weight: 1}}, true)
-	answered := func(cost, took time.Duration, fresh bool) {
+	answered := func(cost, took time.Duration, newConnection bool) {
 		b.arrived++
 		id := RequestID(fmt.Sprint(b.arrived))
 		b.RequestArrived(b.now, Request{ID: id, Deadline: b.now + 1000*ms, CostHint: cost})
@@ -80,7 +80,7 @@
 		}
 		b.now += Time(took)
 		b.AttemptEnded(b.now, AttemptResult{
-			Request: id, Endpoint: b.last(), Outcome: OutcomeSucceeded, Elapsed: took, NewConnection: fresh,
+			Request: id, Endpoint: b.last(), Outcome: OutcomeSucceeded, Elapsed: took, NewConnection: newConnection,
 			Report: LoadReport{-1, -1, -1},
 		})
 	}
