--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -1,8 +1,5 @@
 package discovery
 
-// This file owns the connections of the calls for one watch, and the one that is answered. It must never read what the watch says, nor
-// call again once every call has ended: when is for the caller to know.
-
 import (
 	"bufio"
 	"context"
@@ -16,182 +13,249 @@
 )
 
 const (
-	longestHead = 64 << 10 // of an answer, in bytes
-	// Calls of nodes that were cut off together part by up to this part of their gap.
-	parts = 8
+	maxHeadBytes = 64 << 10 // of a response
+	jitterShare  = 8        // gaps are shortened at random by up to one in so many, so that nodes do not call together
 )
 
-// Call is how a watch is called for.
+// Call is how a watch is called for. The functions are called from the goroutines of Open and of the watch's reader.
 type Call struct {
-	Address, Request             string        // Head is the request
-	ConnectTimeout               time.Duration // within which a connection has to stand, and a request to be written
-	FirstGap, Gap, RetryInterval time.Duration // see New
-	SilenceTimeout               time.Duration // after which a watch is taken to be dead
-	OnCall, OnFailure, OnData    func()        // at each connection; where one call has failed and another goes on; with each word of the watch
+	Address string // address and port of discovery
+	Request string // the head of the HTTP request
+
+	ConnectTimeout time.Duration // for a connection, and for writing the request
+	FirstGap       time.Duration // between the first call and a second one beside it
+	Gap            time.Duration // that later gaps are multiples of
+	RetryInterval  time.Duration // after the first connection that fails; it doubles with each
+	SilenceTimeout time.Duration // after which a watch is taken to be dead
+
+	OnCall    func() // a connection is opened
+	OnFailure func() // a call has failed while another goes on
+	OnData    func() // the watch has received something
 }
 
-// Watch is what an answered call says. A read waits for Silence at most and fails with os.ErrDeadlineExceeded then.
+// Watch is the response to a call. Reads fail with os.ErrDeadlineExceeded after Call.SilenceTimeout without data.
 type Watch struct {
-	conn    net.Conn
-	body    *bufio.Reader
-	silence time.Duration
-	said    func()
-	left    func() bool
-	ended   error
+	conn           net.Conn
+	body           *bufio.Reader
+	silenceTimeout time.Duration
+	onData         func()
+	stopContext    func() bool
+	err            error
 }
 
+// Read reads from the body of the response.
 func (w *Watch) Read(p []byte) (n int, err error) {
-	w.conn.SetReadDeadline(time.Now().Add(w.silence))
-	if n, err = w.body.Read(p); n > 0 {
-		w.said()
+	w.conn.SetReadDeadline(time.Now().Add(w.silenceTimeout))
+	n, err = w.body.Read(p)
+	if n > 0 {
+		w.onData()
 	}
-	w.ended = err
+	w.err = err
 	return n, err
 }
 
-// Ended is what the last read failed with, if it did.
-func (w *Watch) Err() error { return w.ended }
+// Err is the error of the last Read.
+func (w *Watch) Err() error { return w.err }
 
 // Close ends the watch.
-func (w *Watch) Close() error {
-	w.left()
-	return w.conn.Close()
+func (w *Watch) Close() {
+	w.stopContext()
+	w.conn.Close()
 }
 
-// reply is how far a call has come.
-type reply struct {
-	id   int
-	how  step
-	c    net.Conn      // connected
-	said *bufio.Reader // speaks: what the watch says
-	err  error         // unconnected, ended
-}
-
-type step int
+// progress is how far a call has come.
+type progress int
 
 const (
-	connected step = iota
-	unconnected
-	begun  // its head is there
-	speaks // and something after it
-	ended
+	connected progress = iota
+	connectFailed
+	headReceived
+	bodyBegun
+	callFailed
 )
 
-// Answered opens calls until one speaks, and closes the others. One that waits is kept: who calls anew begins at the queue's end. It fails
-// with the last call's error once none is out, and with the place's once that is left.
-func (k *Call) Open(place context.Context) (*Watch, error) {
-	over, leave := context.WithCancel(place)
-	defer leave()
-	out, came := map[int]net.Conn{}, make(chan reply)
-	defer func() {
-		for _, c := range out {
-			c.Close()
-		}
-	}()
-	began := time.Now()
-	apart := func(gap time.Duration) int64 { return int64(gap) - rand.Int64N(int64(gap)/parts+1) }
-	pace := NewPace(0, apart(k.FirstGap), apart(k.Gap), int64(k.RetryInterval))
-	due, dials := time.NewTimer(0), false
+// event is a step of one call.
+type event struct {
+	id       int
+	progress progress
+	conn     net.Conn      // connected
+	body     *bufio.Reader // bodyBegun
+	err      error         // connectFailed, callFailed
+}
+
+// opening is the state of one Open.
+type opening struct {
+	call   *Call
+	ctx    context.Context // done when Open returns
+	began  time.Time
+	pace   *Pace
+	conns  map[int]net.Conn // of the calls that are out, by id
+	events chan event
+}
+
+// Open opens calls until the body of a response begins, and closes the others. A call that waits is kept, as a new one
+// begins at the end of discovery's queue. It fails with the error of the last call once none is out, and with the
+// context's error once that is done.
+func (k *Call) Open(ctx context.Context) (*Watch, error) {
+	openCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	o := &opening{
+		call:   k,
+		ctx:    openCtx,
+		began:  time.Now(),
+		pace:   NewPace(0, withJitter(k.FirstGap), withJitter(k.Gap), int64(k.RetryInterval)),
+		conns:  map[int]net.Conn{},
+		events: make(chan event),
+	}
+	defer o.closeAll()
+	due := time.NewTimer(0)
 	defer due.Stop()
-	for last := 0; ; {
+	lastID, connecting := 0, false
+	for {
 		select {
-		case <-place.Done():
-			return nil, place.Err()
+		case <-ctx.Done():
+			return nil, ctx.Err()
 		case <-due.C:
-			last, dials = last+1, true
+			lastID++
+			connecting = true
 			k.OnCall()
-			go k.connect(over, last, came)
-		case r := <-came:
-			now := int64(time.Since(began))
-			dials = dials && r.how != connected && r.how != unconnected
-			switch r.how {
-			case connected:
-				if old, any := pace.Opened(now, r.id); any {
-					out[old].Close()
-					delete(out, old)
-				}
-				out[r.id] = r.c
-				go k.ask(over, r.id, r.c, came)
-			case unconnected:
-				if len(out) == 0 {
-					return nil, r.err
-				}
-				k.OnFailure()
-				pace.Missed(now)
-			case begun:
-				pace.Head(now, int64(k.SilenceTimeout))
-			case speaks:
-				if c := out[r.id]; c != nil { // else it was closed as this came
-					delete(out, r.id)
-					return &Watch{conn: c, body: r.said, silence: k.SilenceTimeout, said: k.OnData, left: context.AfterFunc(place, func() { c.Close() })}, nil
-				}
-			case ended:
-				if out[r.id] == nil {
-					continue // closed for another
-				}
-				out[r.id].Close()
-				if delete(out, r.id); !pace.Ended(r.id) {
-					return nil, r.err
-				}
-				k.OnFailure()
+			go o.connect(lastID)
+			continue
+		case e := <-o.events:
+			if e.progress == connected || e.progress == connectFailed {
+				connecting = false
+			}
+			conn, err := o.handle(e)
+			if err != nil {
+				return nil, err
 			}
-			if !dials {
-				due.Reset(time.Duration(pace.Due() - now))
+			if conn != nil {
+				return k.newWatch(ctx, conn, e.body), nil
 			}
 		}
+		if !connecting {
+			due.Reset(time.Duration(o.pace.Due() - o.now()))
+		}
 	}
 }
 
-// connect opens a connection for a call.
-func (k *Call) connect(over context.Context, id int, came chan<- reply) {
-	dialer := net.Dialer{Timeout: k.ConnectTimeout}
-	r := reply{id: id, how: connected}
-	if r.c, r.err = dialer.DialContext(over, "tcp", k.Address); r.err != nil {
-		r.how = unconnected
+func withJitter(gap time.Duration) int64 { return int64(gap) - rand.Int64N(int64(gap)/jitterShare+1) }
+
+// now is the time of the pace.
+func (o *opening) now() int64 { return int64(time.Since(o.began)) }
+
+func (o *opening) closeAll() {
+	for _, conn := range o.conns {
+		conn.Close()
 	}
-	select {
-	case came <- r:
-	case <-over.Done():
-		if r.err == nil {
-			r.c.Close()
+}
+
+// handle takes in an event. It returns the connection of a call whose body has begun, or the error of the last call.
+func (o *opening) handle(e event) (watched net.Conn, err error) {
+	now := o.now()
+	switch e.progress {
+	case connected:
+		if replaced, ok := o.pace.ConnectionOpened(now, e.id); ok {
+			o.closeCall(replaced)
+		}
+		o.conns[e.id] = e.conn
+		go o.request(e.id, e.conn)
+	case connectFailed:
+		if len(o.conns) == 0 {
+			return nil, e.err
+		}
+		o.call.OnFailure()
+		o.pace.DialFailed(now)
+	case headReceived:
+		o.pace.HeadReceived(now, int64(o.call.SilenceTimeout))
+	case bodyBegun:
+		watched = o.conns[e.id] // nil: it was replaced meanwhile
+		delete(o.conns, e.id)
+	case callFailed:
+		if o.conns[e.id] == nil {
+			return nil, nil // it was replaced
 		}
+		o.closeCall(e.id)
+		if !o.pace.CallEnded(e.id) {
+			return nil, e.err
+		}
+		o.call.OnFailure()
 	}
+	return watched, nil
 }
 
-// ask makes a call and tells how far it comes. It waits for as long as the connection stands.
-func (k *Call) ask(over context.Context, id int, c net.Conn, came chan<- reply) {
-	tell := func(r reply) {
-		r.id = id
-		select {
-		case came <- r:
-		case <-over.Done():
+func (o *opening) closeCall(id int) {
+	o.conns[id].Close()
+	delete(o.conns, id)
+}
+
+func (k *Call) newWatch(ctx context.Context, conn net.Conn, body *bufio.Reader) *Watch {
+	return &Watch{
+		conn:           conn,
+		body:           body,
+		silenceTimeout: k.SilenceTimeout,
+		onData:         k.OnData,
+		stopContext:    context.AfterFunc(ctx, func() { conn.Close() }),
+	}
+}
+
+// connect opens the connection of a call.
+func (o *opening) connect(id int) {
+	dialer := net.Dialer{Timeout: o.call.ConnectTimeout}
+	conn, err := dialer.DialContext(o.ctx, "tcp", o.call.Address)
+	e := event{id: id, progress: connected, conn: conn}
+	if err != nil {
+		e = event{id: id, progress: connectFailed, err: err}
+	}
+	select {
+	case o.events <- e:
+	case <-o.ctx.Done():
+		if err == nil {
+			conn.Close()
 		}
 	}
+}
+
+// report sends an event unless Open has returned.
+func (o *opening) report(e event) {
+	select {
+	case o.events <- e:
+	case <-o.ctx.Done():
+	}
+}
+
+// request makes a call on its connection and reports its progress. It waits for as long as the connection is open.
+func (o *opening) request(id int, conn net.Conn) {
 	defer func() {
-		if broken := recover(); broken != nil { // by what came
-			tell(reply{how: ended, err: fmt.Errorf("panic: %v", broken)})
+		if recovered := recover(); recovered != nil { // guards against a response that breaks the parser
+			o.report(event{id: id, progress: callFailed, err: fmt.Errorf("panic: %v", recovered)})
 		}
 	}()
-	c.SetWriteDeadline(time.Now().Add(k.ConnectTimeout))
-	if _, err := io.WriteString(c, k.Request); err != nil {
-		tell(reply{how: ended, err: err})
+	body, err := o.readUntilBody(id, conn)
+	if err != nil {
+		o.report(event{id: id, progress: callFailed, err: err})
 		return
 	}
-	in := &io.LimitedReader{R: c, N: longestHead}
-	r, err := http.ReadResponse(bufio.NewReader(in), nil)
-	if err == nil && r.StatusCode != http.StatusOK {
-		err = fmt.Errorf("discovery answered %s", r.Status)
+	o.report(event{id: id, progress: bodyBegun, body: body})
+}
+
+// readUntilBody writes the request and reads until the first byte of the body.
+func (o *opening) readUntilBody(id int, conn net.Conn) (*bufio.Reader, error) {
+	conn.SetWriteDeadline(time.Now().Add(o.call.ConnectTimeout))
+	if _, err := io.WriteString(conn, o.call.Request); err != nil {
+		return nil, err
 	}
+	limited := &io.LimitedReader{R: conn, N: maxHeadBytes}
+	response, err := http.ReadResponse(bufio.NewReader(limited), nil)
 	if err != nil {
-		tell(reply{how: ended, err: err})
-		return
+		return nil, err
 	}
-	in.N = math.MaxInt64
-	tell(reply{how: begun})
-	said := bufio.NewReader(r.Body)
-	if _, err := said.Peek(1); err != nil {
-		tell(reply{how: ended, err: err})
-		return
+	if response.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("discovery answered %s", response.Status)
 	}
-	tell(reply{how: speaks, said: said})
+	limited.N = math.MaxInt64
+	o.report(event{id: id, progress: headReceived})
+	body := bufio.NewReader(response.Body)
+	_, err = body.Peek(1)
+	return body, err
 }
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -1,104 +1,110 @@
-// Package discovery decides when a node calls discovery while no watch of the list stands.
+// Package discovery opens the watch of an endpoint list at discovery: Call has the connections, Pace the rules of when
+// a further one is opened.
 package discovery
 
-// This file owns the pace of the calls that are out for one watch: when a further one is opened beside one that waits, and in whose
-// place. It must never have more than two out, nor give up the call that waits longest while there is reason to think that discovery
-// has it: discovery works calls in turn, and who begins again at the queue's end may never be answered. No I/O, clock or goroutine.
-
 import "slices"
 
-// Most is how many calls may be out at a time.
+// Pace decides when a further call is opened beside those that wait, and which of two is given up for a third. Discovery
+// answers calls in turn, also those that were given up, and a node that calls anew begins at the end of the queue: so
+// the call that waits longest is kept, unless discovery may never have received it.
+//
+// Gaps between calls: the second call comes after the first gap. The gaps after it are short for as long as most outages
+// last (14 s with a gap of 3 s), as a list binds 6 s after discovery could be reached and all calls may have gone to a
+// machine that has vanished. Then they double, as each call costs a slow discovery another turn.
+//
+// Times are nanoseconds of any one clock. A Pace is not safe for concurrent use.
+type Pace struct {
+	firstGap, gap int64
+	retryInterval int64
+	retryBackoff  int64 // after the next dial that fails
+	opened        int   // connections, in all
+	dialFailures  int   // in a row
+	due           int64
+	calls         []call // those that are out, the longest waiting first
+}
+
+// MaxCalls is how many calls may be out at a time.
 const MaxCalls = 2
 
 const (
 	second = int64(1e9)
-	// While a further connection can't be made, discovery can't be reached: it is tried again after waits that grow up to this, as
-	// what it has to tell counts as told 6 s after it can be.
-	mostAgain = second
-	// One connection that can't be made may be the crowd at the door; so many in a row tell that discovery can't be reached.
-	doubtful = 2
-	// Gaps beyond those below double, up to this part of the first; a queue may be longer than anybody thinks, and the one call that is
-	// kept in it may have been lost.
-	mostGap = 256
+	// maxRetryBackoff bounds the backoff while discovery can't be reached.
+	maxRetryBackoff = second
+	// unreachableAfter is how many failed dials in a row show that discovery can't be reached; one may be due to load.
+	unreachableAfter = 2
+	// maxGapFactor bounds the doubling of gaps: the one call that is kept may have been lost.
+	maxGapFactor = 256
 )
 
-// gaps are the times from the second call of a watch to the third and so on, in parts of the shell's gap. What discovery has to tell counts
-// as told 6 s after it could be reached, so they are short for as long as most outages last (14 s, by a gap of 3 s), in case all that is
-// out went to a machine that has vanished since and nobody noticed; then they double, as each call costs a discovery that is only slow
-// another turn, whether or not it is given up.
-var gaps = []float64{1, 4. / 3, 4. / 3}
+// gapFactors are the gaps from the second call to the third and so on, in multiples of Pace.gap; after them they double.
+var gapFactors = []float64{1, 4. / 3, 4. / 3}
 
 type call struct {
-	id      int
-	doubted bool // discovery could not be reached since
-}
-
-// Pace is the state of the calls for one watch. Times are in ns of any one clock.
-type Pace struct {
-	first, gap  int64 // first: the gap before the second call; gap: that by which the others go
-	again, wait int64 // between connections that can't be made
-	opened      int
-	missed      int   // in a row
-	due         int64 // when the next connection is to be made
-	out         []call
+	id        int
+	maybeLost bool // discovery could not be reached since it was made
 }
 
-// New begins with a call that is due at once. first is the time from the first call to one beside it, gap what the later go by, again the
-// first wait after a connection could not be made, all in ns.
-func NewPace(now, first, gap, again int64) *Pace {
-	return &Pace{first: first, gap: gap, again: again, wait: again, due: now}
+// NewPace begins with a call that is due now.
+func NewPace(now, firstGap, gap, retryInterval int64) *Pace {
+	return &Pace{firstGap: firstGap, gap: gap, retryInterval: retryInterval, retryBackoff: retryInterval, due: now}
 }
 
-// Due tells when the next connection is to be made.
+// Due is when the next connection is to be opened.
 func (p *Pace) Due() int64 { return p.due }
 
-// Out tells how many calls are out.
-func (p *Pace) Out() int { return len(p.out) }
-
-// Opened takes in a call whose connection stands, and tells which other has to be closed before its request goes out, if any.
-func (p *Pace) Opened(now int64, id int) (close int, any bool) {
-	if any = len(p.out) == MaxCalls; any {
-		at := p.victim()
-		close = p.out[at].id
-		p.out = slices.Delete(p.out, at, at+1)
+// ConnectionOpened takes in a call whose connection is open. If ok, the call replaced has to be closed before the
+// request is sent.
+func (p *Pace) ConnectionOpened(now int64, id int) (replaced int, ok bool) {
+	if len(p.calls) == MaxCalls {
+		i := p.leastWorth()
+		replaced, ok = p.calls[i].id, true
+		p.calls = slices.Delete(p.calls, i, i+1)
 	}
-	p.out = append(p.out, call{id: id})
-	if p.opened++; p.opened == 1 {
-		p.due = now + p.first
-	} else {
-		n := p.opened - 2
-		part := gaps[min(n, len(gaps)-1)] * float64(int64(1)<<min(max(n-len(gaps)+1, 0), 30))
-		p.due = now + int64(float64(p.gap)*min(part, mostGap))
+	p.calls = append(p.calls, call{id: id})
+	p.opened++
+	p.due = now + p.nextGap()
+	p.dialFailures, p.retryBackoff = 0, p.retryInterval
+	return replaced, ok
+}
+
+// nextGap is the gap after as many calls as were opened.
+func (p *Pace) nextGap() int64 {
+	const maxDoublings = 30 // far beyond maxGapFactor
+	if p.opened == 1 {
+		return p.firstGap
 	}
-	p.missed, p.wait = 0, p.again
-	return close, any
+	n := p.opened - 2
+	last := len(gapFactors) - 1
+	doublings := min(max(n-last, 0), maxDoublings)
+	factor := gapFactors[min(n, last)] * float64(int64(1)<<doublings)
+	return int64(float64(p.gap) * min(factor, maxGapFactor))
 }
 
-// victim is the call that a third takes the place of: one that most likely went to a machine that has vanished, else the one with less
-// of its turn behind it.
-func (p *Pace) victim() int {
-	if at := slices.IndexFunc(p.out, func(c call) bool { return c.doubted }); at >= 0 {
-		return at
+// leastWorth is the index of the call to give up for another: one that may be lost, else the one that has waited less.
+func (p *Pace) leastWorth() int {
+	if i := slices.IndexFunc(p.calls, func(c call) bool { return c.maybeLost }); i >= 0 {
+		return i
 	}
-	return len(p.out) - 1
+	return len(p.calls) - 1
 }
 
-// Missed takes in a connection that could not be made. After some in a row, whatever is out may wait at a machine that has vanished.
-func (p *Pace) Missed(now int64) {
-	p.missed++
-	for i := range p.out {
-		p.out[i].doubted = p.out[i].doubted || p.missed >= doubtful
+// DialFailed takes in a connection that could not be opened.
+func (p *Pace) DialFailed(now int64) {
+	p.dialFailures++
+	if p.dialFailures >= unreachableAfter {
+		for i := range p.calls {
+			p.calls[i].maybeLost = true
+		}
 	}
-	p.due = now + p.wait
-	p.wait = min(2*p.wait, max(mostAgain, p.again))
+	p.due = now + p.retryBackoff
+	p.retryBackoff = min(2*p.retryBackoff, max(maxRetryBackoff, p.retryInterval))
 }
 
-// Ended takes in a call that was ended by the other side, or by what it answered, and tells whether another is out.
-func (p *Pace) Ended(id int) bool {
-	p.out = slices.DeleteFunc(p.out, func(c call) bool { return c.id == id })
-	return len(p.out) > 0
+// CallEnded takes in a call that discovery has ended, or whose response was an error. It tells whether another is out.
+func (p *Pace) CallEnded(id int) (others bool) {
+	p.calls = slices.DeleteFunc(p.calls, func(c call) bool { return c.id == id })
+	return len(p.calls) > 0
 }
 
-// Head takes in the head of an answer: from there on discovery has a word due, within a time, and a call beside comes no later than
-// that.
-func (p *Pace) Head(now, within int64) { p.due = min(p.due, now+within) }
+// HeadReceived takes in the head of a response. The body has to begin within a time, so the next call is due no later.
+func (p *Pace) HeadReceived(now, within int64) { p.due = min(p.due, now+within) }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -39,15 +39,15 @@
 			continue
 		}
 		if !w.reach(w.now) {
-			if w.pace.Out() == 0 {
+			if len(w.pace.calls) == 0 {
 				return -1, w.last
 			}
 			w.now += second // a dial that nobody answers
-			w.pace.Missed(w.now)
+			w.pace.DialFailed(w.now)
 			continue
 		}
 		w.last++
-		if old, any := w.pace.Opened(w.now, w.last); any {
+		if old, any := w.pace.ConnectionOpened(w.now, w.last); any {
 			delete(w.out, old)
 		}
 		w.out[w.last] = w.now
@@ -97,33 +97,33 @@
 // Where discovery can't be reached at all, tries are a second apart at most, dials aside, and whoever waits since before gives way first.
 func TestWhoeverWaitsSinceBeforeGivesWay(t *testing.T) {
 	p := NewPace(0, gap, gap, again)
-	p.Opened(0, 1)
-	p.Opened(3*second, 2)
+	p.ConnectionOpened(0, 1)
+	p.ConnectionOpened(3*second, 2)
 	now := 6 * second
 	for i, want := range []int64{200, 400, 800, 1000, 1000} {
-		if p.Missed(now); p.Due()-now != want*ms {
+		if p.DialFailed(now); p.Due()-now != want*ms {
 			t.Errorf("wait %d is %d ms, want %d", i, (p.Due()-now)/ms, want)
 		}
 		now = p.Due() + second
 	}
-	if old, any := p.Opened(now, 3); !any || old != 1 {
+	if old, any := p.ConnectionOpened(now, 3); !any || old != 1 {
 		t.Errorf("%d gave way, %t", old, any)
 	}
-	if old, any := p.Opened(now+gap, 4); !any || old != 2 {
+	if old, any := p.ConnectionOpened(now+gap, 4); !any || old != 2 {
 		t.Errorf("%d gave way, %t", old, any)
 	}
-	if old, any := p.Opened(now+2*gap, 5); !any || old != 4 {
+	if old, any := p.ConnectionOpened(now+2*gap, 5); !any || old != 4 {
 		t.Errorf("%d gave way, %t; the one with more of its turn behind it stays", old, any)
 	}
-	if !p.Ended(5) || p.Ended(3) {
+	if !p.CallEnded(5) || p.CallEnded(3) {
 		t.Error("who is out")
 	}
 	// One try that fails is no proof: the crowd at the door may be why.
 	p = NewPace(0, gap, gap, again)
-	p.Opened(0, 1)
-	p.Missed(gap)
-	p.Opened(gap+second, 2)
-	if old, _ := p.Opened(2*gap, 3); old != 2 {
+	p.ConnectionOpened(0, 1)
+	p.DialFailed(gap)
+	p.ConnectionOpened(gap+second, 2)
+	if old, _ := p.ConnectionOpened(2*gap, 3); old != 2 {
 		t.Errorf("%d gave way after one try that failed", old)
 	}
 }
@@ -138,7 +138,7 @@
 	var queue []made
 	paces, last, out, done := make([]*Pace, nodes), make([]int, nodes), make([]map[int]bool, nodes), make([]bool, nodes)
 	for i := range paces {
-		apart := func(g int64) int64 { return g - draws.Int64N(g/parts) }
+		apart := func(g int64) int64 { return g - draws.Int64N(g/jitterShare) }
 		paces[i], out[i] = NewPace(up+draws.Int64N(second), apart(gap), apart(gap), again), map[int]bool{}
 	}
 	left := nodes
@@ -151,11 +151,11 @@
 			calls++
 			if !keeps { // as it was: the one that waits is given up for the next
 				for id := range out[i] {
-					p.Ended(id)
+					p.CallEnded(id)
 					delete(out[i], id)
 				}
 			}
-			if old, any := p.Opened(now, last[i]); any {
+			if old, any := p.ConnectionOpened(now, last[i]); any {
 				delete(out[i], old)
 			}
 			if !keeps {
@@ -215,15 +215,15 @@
 	p, now := NewPace(0, gap, gap, again), int64(0)
 	for id := range 9 {
 		now = p.Due()
-		p.Opened(now, id)
+		p.ConnectionOpened(now, id)
 	}
 	if p.Due() < now+60*second {
 		t.Fatalf("the next call comes %d ms later", (p.Due()-now)/ms)
 	}
-	if p.Head(now+second, 3200*ms); p.Due() != now+4200*ms {
+	if p.HeadReceived(now+second, 3200*ms); p.Due() != now+4200*ms {
 		t.Errorf("the next call comes %d ms later, want 4,200", (p.Due()-now)/ms)
 	}
-	if p.Head(now+2*second, 3200*ms); p.Due() != now+4200*ms {
+	if p.HeadReceived(now+2*second, 3200*ms); p.Due() != now+4200*ms {
 		t.Error("a second head puts the call off")
 	}
 }
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -64,11 +64,11 @@
 // TooLongError is a list that can't be held.
 type TooLongError struct {
 	What  string // entries, bytes of a line, or bytes of one value
-	Bound int64
+	Limit int64
 }
 
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("a list longer than can be held: expected at most %d %s, got more", e.Bound, e.What)
+	return fmt.Sprintf("a list longer than can be held: expected at most %d %s, got more", e.Limit, e.What)
 }
 
 // Reader reads one line after another.
@@ -81,7 +81,7 @@
 }
 
 // New reads from a stream, such as the body of a watch.
-func New(in io.Reader, limits Limits) *Reader {
+func NewReader(in io.Reader, limits Limits) *Reader {
 	b := &bounded{in: in, limits: limits}
 	return &Reader{limits: limits, in: b, values: json.NewDecoder(b), words: map[string]string{}}
 }
@@ -336,7 +336,7 @@
 
 // Parse reads a text that is one line and nothing else.
 func Parse(text []byte, limits Limits, begin func(), take func(Entry) error) (Update, error) {
-	r := New(bytes.NewReader(text), limits)
+	r := NewReader(bytes.NewReader(text), limits)
 	l, err := r.Next(begin, take)
 	if err == nil {
 		if _, err = r.values.Token(); err == io.EOF {
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -78,7 +78,7 @@
 	for name, read := range map[string]func(begin func(), take func(Entry) error) (Update, error){
 		"at once": func(begin func(), take func(Entry) error) (Update, error) { return Parse(text, limits, begin, take) },
 		"byte by byte": func(begin func(), take func(Entry) error) (Update, error) {
-			r := New(iotest.OneByteReader(bytes.NewReader(text)), limits)
+			r := NewReader(iotest.OneByteReader(bytes.NewReader(text)), limits)
 			l, err := r.Next(begin, take)
 			if err == nil {
 				if _, err = r.Next(func() {}, func(Entry) error { return nil }); err == io.EOF {
@@ -116,11 +116,11 @@
 func TestAHalfIsNothing(t *testing.T) {
 	text := seeds[0]
 	for cut := range len(text) {
-		if _, err := quick(New(strings.NewReader(text[:cut]), LimitsFor(0)).Next); err == nil || cut > 0 && err == io.EOF {
+		if _, err := quick(NewReader(strings.NewReader(text[:cut]), LimitsFor(0)).Next); err == nil || cut > 0 && err == io.EOF {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 	}
-	r := New(strings.NewReader("\n\n"+text+"\n\n\n"+seeds[3]+"\n"), LimitsFor(0))
+	r := NewReader(strings.NewReader("\n\n"+text+"\n\n\n"+seeds[3]+"\n"), LimitsFor(0))
 	for i, version := range []int64{41, 3} {
 		if got, err := quick(r.Next); err != nil || got.Line.Version != version {
 			t.Errorf("line %d: %+v, %v", i, got, err)
@@ -137,7 +137,7 @@
 	second := `{"seq":7,"hosts":[{"host":"a  b"},{"host":" "}]}`
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	r := New(io.MultiReader(strings.NewReader(seeds[0]), many, strings.NewReader(second)), Limits{ValueBytes: 64 << 10, LineBytes: 64 << 10, Endpoints: 10})
+	r := NewReader(io.MultiReader(strings.NewReader(seeds[0]), many, strings.NewReader(second)), Limits{ValueBytes: 64 << 10, LineBytes: 64 << 10, Endpoints: 10})
 	for i, version := range []int64{41, 7} {
 		if got, err := quick(r.Next); err != nil || got.Line.Version != version {
 			t.Errorf("line %d: %+v, %v", i, got, err)
@@ -148,7 +148,7 @@
 		t.Errorf("%d bytes taken", took)
 	}
 	for cut := range len(second) {
-		r := New(io.MultiReader(strings.NewReader(seeds[0]+"\n"+second[:cut]), strings.NewReader(second[cut:])), LimitsFor(0))
+		r := NewReader(io.MultiReader(strings.NewReader(seeds[0]+"\n"+second[:cut]), strings.NewReader(second[cut:])), LimitsFor(0))
 		quick(r.Next)
 		if got, err := quick(r.Next); err != nil || len(got.Entries) != 2 || got.Entries[0].Name != "a  b" || got.Entries[1].Name != " " {
 			t.Fatalf("cut at %d: %+v, %v", cut, got, err)
@@ -183,7 +183,7 @@
 	} {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		_, err := New(in, limits).Next(func() {}, func(Entry) error { return nil })
+		_, err := NewReader(in, limits).Next(func() {}, func(Entry) error { return nil })
 		runtime.ReadMemStats(&after)
 		var long *TooLongError
 		if !errors.As(err, &long) || long.What != what {
@@ -225,7 +225,7 @@
 			b.SetBytes(int64(len(text)))
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := New(strings.NewReader(text), LimitsFor(0)).Next(func() {}, func(Entry) error { return nil }); err != nil {
+				if _, err := NewReader(strings.NewReader(text), LimitsFor(0)).Next(func() {}, func(Entry) error { return nil }); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -26,10 +26,10 @@
 	List   bool   `toml:"list"`   // while discovery does not tell this node the list, it asks others; and answers them
 	Nodes  []Node `toml:"node"`
 
-	RoundNs  int64            `toml:"-"`
-	KeyBytes []byte           `toml:"-"`
-	Bind     netip.AddrPort   `toml:"-"`
-	At       []netip.AddrPort `toml:"-"` // of Nodes
+	RoundNs       int64            `toml:"-"`
+	KeyBytes      []byte           `toml:"-"`
+	ListenAddress netip.AddrPort   `toml:"-"`
+	Addresses     []netip.AddrPort `toml:"-"` // of Nodes
 }
 
 // Node is one node of the fleet.
@@ -48,18 +48,18 @@
 }
 
 const (
-	usualRound = 500 * time.Millisecond
-	leastRound = 50 * time.Millisecond
-	mostRound  = time.Minute
-	mostNodes  = 4096
-	leastKey   = 16
+	defaultRound = 500 * time.Millisecond
+	minRound     = 50 * time.Millisecond
+	maxRound     = time.Minute
+	maxNodes     = 4096
+	minKeyBytes  = 16
 
-	usualSilence = 4 * time.Second
-	leastSilence = time.Second
-	mostSilence  = time.Minute
-	mostRelays   = 64
-	mostScopes   = 4096
-	longestScope = 256
+	defaultSilence = 4 * time.Second
+	minSilence     = time.Second
+	maxSilence     = time.Minute
+	maxRelays      = 64
+	maxScopes      = 4096
+	maxScopeBytes  = 256
 )
 
 // Read reads and checks a file for the node of a name.
@@ -90,58 +90,58 @@
 	return f, nil
 }
 
-func (m *Members) check(c *tomlfile.Complaints, name string) {
+func (m *Members) check(c *tomlfile.Problems, name string) {
 	var err error
-	m.Bind, err = netip.ParseAddrPort(m.Listen)
-	c.Must(err == nil && m.Bind.Port() != 0, "members.listen", "an address and a port", fmt.Sprintf("%q", m.Listen))
-	round := usualRound
+	m.ListenAddress, err = netip.ParseAddrPort(m.Listen)
+	c.Require(err == nil && m.ListenAddress.Port() != 0, "members.listen", "an address and a port", fmt.Sprintf("%q", m.Listen))
+	round := defaultRound
 	if m.Round != "" {
 		round, err = time.ParseDuration(m.Round)
-		c.Must(err == nil && round >= leastRound && round <= mostRound, "members.round", "a time from 50ms to 1m", fmt.Sprintf("%q", m.Round))
+		c.Require(err == nil && round >= minRound && round <= maxRound, "members.round", "a time from 50ms to 1m", fmt.Sprintf("%q", m.Round))
 	}
 	m.RoundNs = int64(round)
 	m.KeyBytes, err = hex.DecodeString(m.Key)
-	c.Must(err == nil && (m.Key == "" || len(m.KeyBytes) >= leastKey), "members.key", fmt.Sprintf("nothing, or at least %d hexadecimal digits", 2*leastKey),
+	c.Require(err == nil && (m.Key == "" || len(m.KeyBytes) >= minKeyBytes), "members.key", fmt.Sprintf("nothing, or at least %d hexadecimal digits", 2*minKeyBytes),
 		fmt.Sprintf("%d characters", len(m.Key)))
 	// A list names addresses that requests go to: nobody without the key may tell one.
-	c.Must(!m.List || m.Key != "", "members.key", "a key, as members.list is true", "none")
-	c.Must(len(m.Nodes) >= 1 && len(m.Nodes) <= mostNodes, "members.node", fmt.Sprintf("1 to %d nodes", mostNodes), len(m.Nodes))
+	c.Require(!m.List || m.Key != "", "members.key", "a key, as members.list is true", "none")
+	c.Require(len(m.Nodes) >= 1 && len(m.Nodes) <= maxNodes, "members.node", fmt.Sprintf("1 to %d nodes", maxNodes), len(m.Nodes))
 	names, places, self := map[string]bool{}, map[netip.AddrPort]string{}, false
 	for i, n := range m.Nodes {
 		key := fmt.Sprintf("members.node.%d.", i)
-		c.Must(n.Name != "" && len(n.Name) <= 255, key+"name", "a name of up to 255 bytes", fmt.Sprintf("%q", n.Name))
-		c.Must(!names[n.Name], key+"name", "a name that no other node has", fmt.Sprintf("%q again", n.Name))
+		c.Require(n.Name != "" && len(n.Name) <= 255, key+"name", "a name of up to 255 bytes", fmt.Sprintf("%q", n.Name))
+		c.Require(!names[n.Name], key+"name", "a name that no other node has", fmt.Sprintf("%q again", n.Name))
 		names[n.Name] = true
 		at, err := netip.ParseAddrPort(n.Address)
-		if c.Must(err == nil && at.Port() != 0, key+"address", "an address and a port", fmt.Sprintf("%q", n.Address)); err == nil {
-			c.Must(places[at] == "", key+"address", "an address that no other node has", fmt.Sprintf("%q, which is %s's", n.Address, places[at]))
+		if c.Require(err == nil && at.Port() != 0, key+"address", "an address and a port", fmt.Sprintf("%q", n.Address)); err == nil {
+			c.Require(places[at] == "", key+"address", "an address that no other node has", fmt.Sprintf("%q, which is %s's", n.Address, places[at]))
 			places[at] = n.Name
 		}
-		m.At = append(m.At, at)
+		m.Addresses = append(m.Addresses, at)
 		self = self || n.Name == name
 	}
-	c.Must(self, "members.node", fmt.Sprintf("this node, %q, among them", name), fmt.Sprintf("%d others", len(m.Nodes)))
+	c.Require(self, "members.node", fmt.Sprintf("this node, %q, among them", name), fmt.Sprintf("%d others", len(m.Nodes)))
 }
 
-func (d *Distribution) check(c *tomlfile.Complaints) {
-	c.Must(len(d.Relays) >= 1 && len(d.Relays) <= mostRelays, "distribution.relays", fmt.Sprintf("1 to %d addresses and ports", mostRelays), len(d.Relays))
+func (d *Distribution) check(c *tomlfile.Problems) {
+	c.Require(len(d.Relays) >= 1 && len(d.Relays) <= maxRelays, "distribution.relays", fmt.Sprintf("1 to %d addresses and ports", maxRelays), len(d.Relays))
 	seen := map[string]bool{}
 	for i, address := range d.Relays {
 		key := fmt.Sprintf("distribution.relays.%d", i)
 		at, err := netip.ParseAddrPort(address)
-		c.Must(err == nil && at.Port() != 0, key, "an address and a port", fmt.Sprintf("%q", address))
-		c.Must(!seen[address], key, "an address that is not there twice", fmt.Sprintf("%q again", address))
+		c.Require(err == nil && at.Port() != 0, key, "an address and a port", fmt.Sprintf("%q", address))
+		c.Require(!seen[address], key, "an address that is not there twice", fmt.Sprintf("%q again", address))
 		seen[address] = true
 	}
-	c.Must(len(d.Scopes) >= 1 && len(d.Scopes) <= mostScopes, "distribution.scopes", fmt.Sprintf("1 to %d scopes", mostScopes), len(d.Scopes))
+	c.Require(len(d.Scopes) >= 1 && len(d.Scopes) <= maxScopes, "distribution.scopes", fmt.Sprintf("1 to %d scopes", maxScopes), len(d.Scopes))
 	for i, scope := range d.Scopes {
-		c.Must(scope != "" && len(scope) <= longestScope && !strings.Contains(strings.TrimSuffix(scope, "*"), "*"), fmt.Sprintf("distribution.scopes.%d", i),
-			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", longestScope), fmt.Sprintf("%q", scope))
+		c.Require(scope != "" && len(scope) <= maxScopeBytes && !strings.Contains(strings.TrimSuffix(scope, "*"), "*"), fmt.Sprintf("distribution.scopes.%d", i),
+			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", maxScopeBytes), fmt.Sprintf("%q", scope))
 	}
-	silence, err := usualSilence, error(nil)
+	silence, err := defaultSilence, error(nil)
 	if d.Silence != "" {
 		silence, err = time.ParseDuration(d.Silence)
-		c.Must(err == nil && silence >= leastSilence && silence <= mostSilence, "distribution.silence", "a time from 1s to 1m", fmt.Sprintf("%q", d.Silence))
+		c.Require(err == nil && silence >= minSilence && silence <= maxSilence, "distribution.silence", "a time from 1s to 1m", fmt.Sprintf("%q", d.Silence))
 	}
 	d.SilenceNs = int64(silence)
 }
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -8,7 +8,7 @@
 
 func TestTheFileThatShips(t *testing.T) {
 	f, err := Read("../../deploy/features.toml", "n0")
-	if err != nil || f.Members == nil || len(f.Members.At) != 3 || f.Members.RoundNs != 500e6 {
+	if err != nil || f.Members == nil || len(f.Members.Addresses) != 3 || f.Members.RoundNs != 500e6 {
 		t.Fatalf("%+v, %v", f, err)
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -16,19 +16,19 @@
 const MaxMessageBytes = 256
 
 const (
-	version = 1
-	idle    = 1 // microseconds
-	fails   = 2 // server, class
+	version           = 1
+	kindIdleTime      = 1 // microseconds
+	kindEndpointFails = 2 // server, class
 
 	micro, milli = int64(1e3), int64(1e6)
 
-	oldest  = 2000 * milli // how long ago, or ahead by another clock, news may have been told
-	apart   = 900 * milli  // nobody tells the same more than once a second; a millisecond is lost in writing
-	mostMet = 8192         // kept against repeats
+	maxAge        = 2000 * milli // how long ago, or ahead by another clock, news may have been told
+	minInterval   = 900 * milli  // nobody tells the same more than once a second; a millisecond is lost in writing
+	maxRemembered = 8192         // kept against repeats
 )
 
 var (
-	errNonsense = errors.New("news: expected version 1 with a known kind and its numbers")
+	errInvalid  = errors.New("news: expected version 1 with a known kind and its numbers")
 	errOld      = errors.New("news: told too long ago, or by a clock that is ahead")
 	errRepeated = errors.New("news: told before")
 	errFull     = errors.New("news: too many at once")
@@ -36,9 +36,9 @@
 
 // Encode writes down news told now.
 func Encode(n policy.GossipMessage, now int64) []byte {
-	kind, numbers := byte(fails), []uint64{uint64(now / milli), uint64(n.Endpoint), uint64(n.Class)}
+	kind, numbers := byte(kindEndpointFails), []uint64{uint64(now / milli), uint64(n.Endpoint), uint64(n.Class)}
 	if n.IdleTime > 0 {
-		kind, numbers = idle, []uint64{uint64(now / milli), uint64(n.IdleTime / time.Microsecond)}
+		kind, numbers = kindIdleTime, []uint64{uint64(now / milli), uint64(n.IdleTime / time.Microsecond)}
 	}
 	message := []byte{version, kind}
 	for _, v := range numbers {
@@ -50,38 +50,38 @@
 // decode reads news. Whether server and class are known is for the reader to see.
 func decode(message []byte) (n policy.GossipMessage, told int64, err error) {
 	if len(message) < 2 || len(message) > MaxMessageBytes || message[0] != version {
-		return n, 0, errNonsense
+		return n, 0, errInvalid
 	}
 	var numbers []uint64
 	for rest := message[2:]; len(rest) > 0; {
 		v, length := binary.Uvarint(rest)
 		if length <= 0 {
-			return n, 0, errNonsense
+			return n, 0, errInvalid
 		}
 		numbers, rest = append(numbers, v), rest[length:]
 	}
 	if len(numbers) == 0 || numbers[0] > uint64(math.MaxInt64/milli) {
-		return n, 0, errNonsense
+		return n, 0, errInvalid
 	}
 	told = int64(numbers[0]) * milli
 	switch numbers = numbers[1:]; {
-	case message[1] == idle && len(numbers) == 1 && numbers[0] > 0 && numbers[0] < 1<<32:
+	case message[1] == kindIdleTime && len(numbers) == 1 && numbers[0] > 0 && numbers[0] < 1<<32:
 		return policy.GossipMessage{IdleTime: time.Duration(numbers[0]) * time.Microsecond}, told, nil
-	case message[1] == fails && len(numbers) == 2 && numbers[0] <= math.MaxUint32 && numbers[1] < math.MaxInt32:
+	case message[1] == kindEndpointFails && len(numbers) == 2 && numbers[0] <= math.MaxUint32 && numbers[1] < math.MaxInt32:
 		return policy.GossipMessage{Endpoint: policy.EndpointID(numbers[0]), Class: int(numbers[1])}, told, nil
 	}
-	return n, 0, errNonsense
+	return n, 0, errInvalid
 }
 
 // what is what a sender told of: how long a connection stood is no other news.
-type what struct {
+type subject struct {
 	from, category int
 	server         policy.EndpointID
 	idle           bool
 }
 
 // Inbox tells news from what is old or was told before. The zero value has met nothing.
-type Inbox struct{ met map[what]int64 }
+type Inbox struct{ lastSent map[subject]int64 }
 
 // Open reads a message that has come from a sender, known by a number of its own.
 func (b *Inbox) Open(from int, message []byte, now int64) (policy.GossipMessage, error) {
@@ -89,23 +89,23 @@
 	if err != nil {
 		return n, err
 	}
-	if told < now-oldest || told > now+oldest {
+	if told < now-maxAge || told > now+maxAge {
 		return policy.GossipMessage{}, errOld
 	}
-	of := what{from, n.Class, n.Endpoint, n.IdleTime > 0}
-	if last, met := b.met[of]; met && told < last+apart {
+	of := subject{from, n.Class, n.Endpoint, n.IdleTime > 0}
+	if last, met := b.lastSent[of]; met && told < last+minInterval {
 		return policy.GossipMessage{}, errRepeated
 	}
-	if b.met == nil {
-		b.met = map[what]int64{}
+	if b.lastSent == nil {
+		b.lastSent = map[subject]int64{}
 	}
-	if len(b.met) >= mostMet {
+	if len(b.lastSent) >= maxRemembered {
 		// One that old is rejected for its age alone.
-		maps.DeleteFunc(b.met, func(_ what, told int64) bool { return told < now-oldest })
-		if len(b.met) >= mostMet {
+		maps.DeleteFunc(b.lastSent, func(_ subject, told int64) bool { return told < now-maxAge })
+		if len(b.lastSent) >= maxRemembered {
 			return policy.GossipMessage{}, errFull
 		}
 	}
-	b.met[of] = told
+	b.lastSent[of] = told
 	return n, nil
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -10,7 +10,7 @@
 
 func TestNewsComeBackAsTheyWere(t *testing.T) {
 	for _, n := range []policy.GossipMessage{{IdleTime: 1000}, {IdleTime: 2500000000}, {Endpoint: 1<<32 - 1, Class: 9}, {}} {
-		if got, err := new(Inbox).Open(3, Encode(n, now), now+oldest); got != n || err != nil || len(Encode(n, now)) > MaxMessageBytes {
+		if got, err := new(Inbox).Open(3, Encode(n, now), now+maxAge); got != n || err != nil || len(Encode(n, now)) > MaxMessageBytes {
 			t.Errorf("%+v came back as %+v, %v", n, got, err)
 		}
 	}
@@ -25,12 +25,12 @@
 		message []byte
 		want    error
 	}{
-		"nothing": {2, nil, errNonsense}, "cut off": {2, good[:len(good)-1], errNonsense}, "cut within a number": {2, good[:4], errNonsense},
-		"too much": {2, append(good[:len(good):len(good)], 0), errNonsense}, "oversized": {2, make([]byte, MaxMessageBytes+1), errNonsense},
-		"another version": {2, append([]byte{2}, good[1:]...), errNonsense}, "another kind": {2, append([]byte{1, 9}, good[2:]...), errNonsense},
-		"no idle time": {2, []byte{version, idle, 0, 0}, errNonsense}, "a server past all": {2, Encode(policy.GossipMessage{Endpoint: 1, Class: -1}, now), errNonsense},
-		"old": {2, Encode(n, now-oldest-milli), errOld}, "ahead": {2, Encode(n, now+oldest+milli), errOld},
-		"repeated": {1, good, errRepeated}, "told again at once": {1, Encode(n, now+apart-milli), errRepeated},
+		"nothing": {2, nil, errInvalid}, "cut off": {2, good[:len(good)-1], errInvalid}, "cut within a number": {2, good[:4], errInvalid},
+		"too much": {2, append(good[:len(good):len(good)], 0), errInvalid}, "oversized": {2, make([]byte, MaxMessageBytes+1), errInvalid},
+		"another version": {2, append([]byte{2}, good[1:]...), errInvalid}, "another kind": {2, append([]byte{1, 9}, good[2:]...), errInvalid},
+		"no idle time": {2, []byte{version, kindIdleTime, 0, 0}, errInvalid}, "a server past all": {2, Encode(policy.GossipMessage{Endpoint: 1, Class: -1}, now), errInvalid},
+		"old": {2, Encode(n, now-maxAge-milli), errOld}, "ahead": {2, Encode(n, now+maxAge+milli), errOld},
+		"repeated": {1, good, errRepeated}, "told again at once": {1, Encode(n, now+minInterval-milli), errRepeated},
 		"told before the last": {1, Encode(n, now-milli), errRepeated},
 		"from another":         {2, good, nil}, "a second later": {1, Encode(n, now+1000*milli), nil},
 		"of another category": {1, Encode(policy.GossipMessage{Endpoint: 7}, now), nil},
@@ -44,12 +44,12 @@
 // Guards against a peer that tells of everything filling the memory.
 func TestAFloodIsBoundedAndForgotten(t *testing.T) {
 	b := &Inbox{}
-	for i := range mostMet + 10 {
+	for i := range maxRemembered + 10 {
 		b.Open(1, Encode(policy.GossipMessage{Endpoint: policy.EndpointID(i)}, now), now)
 	}
-	later := now + oldest + milli
-	if _, err := b.Open(1, Encode(policy.GossipMessage{Endpoint: 1}, later), later); len(b.met) != 1 || err != nil {
-		t.Errorf("%d kept after a flood, %v", len(b.met), err)
+	later := now + maxAge + milli
+	if _, err := b.Open(1, Encode(policy.GossipMessage{Endpoint: 1}, later), later); len(b.lastSent) != 1 || err != nil {
+		t.Errorf("%d kept after a flood, %v", len(b.lastSent), err)
 	}
 }
 
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -204,7 +204,7 @@
 	}
 	defer w.lastHeard.Store(0)
 	defer stream.Close()
-	reader := endpointlist.New(stream, w.node.listLimits)
+	reader := endpointlist.NewReader(stream, w.node.listLimits)
 	for {
 		update, err := w.node.readList(reader.Next)
 		if err != nil {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -53,7 +53,7 @@
 		n.log.Warn("members are off, as limits.peer_messages is not true in the settings")
 		return nil, nil
 	}
-	socket, err := datagram.Listen(enabled.Members.Bind.String())
+	socket, err := datagram.Listen(enabled.Members.ListenAddress.String())
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 
 // Send sends a datagram to a node; it may be lost. It makes the agent the membership's transport.
 func (a *memberAgent) Send(to int, datagram []byte) {
-	_, _ = a.socket.WriteToUDPAddrPort(datagram, a.config.At[to]) // an error is a loss
+	_, _ = a.socket.WriteToUDPAddrPort(datagram, a.config.Addresses[to]) // an error is a loss
 }
 
 // run runs the membership until the process ends or a successor has taken over; not to be called on a nil agent.
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -84,54 +84,54 @@
 	return f, c.Err()
 }
 
-func address(c *tomlfile.Complaints, key, found string, portless bool) {
+func address(c *tomlfile.Problems, key, found string, portless bool) {
 	at, err := netip.ParseAddrPort(found)
-	c.Must(err == nil && (portless || at.Port() != 0), key, "an address and a port", fmt.Sprintf("%q", found))
+	c.Require(err == nil && (portless || at.Port() != 0), key, "an address and a port", fmt.Sprintf("%q", found))
 }
 
-func (f *Config) check(c *tomlfile.Complaints) {
-	c.Must(f.Name != "" && len(f.Name) <= maxNameBytes, "name", fmt.Sprintf("a name of up to %d bytes", maxNameBytes), fmt.Sprintf("%q", f.Name))
-	c.Must(f.Role == roleOrigin || f.Role == roleRelay, "role", "origin or relay", fmt.Sprintf("%q", f.Role))
+func (f *Config) check(c *tomlfile.Problems) {
+	c.Require(f.Name != "" && len(f.Name) <= maxNameBytes, "name", fmt.Sprintf("a name of up to %d bytes", maxNameBytes), fmt.Sprintf("%q", f.Name))
+	c.Require(f.Role == roleOrigin || f.Role == roleRelay, "role", "origin or relay", fmt.Sprintf("%q", f.Role))
 	address(c, "listen", f.Listen, true)
-	c.Must(f.BytesPerSecond == 0 || f.BytesPerSecond >= minBytesPerSecond, "pace", fmt.Sprintf("0, or at least %d bytes a second", minBytesPerSecond), f.BytesPerSecond)
+	c.Require(f.BytesPerSecond == 0 || f.BytesPerSecond >= minBytesPerSecond, "pace", fmt.Sprintf("0, or at least %d bytes a second", minBytesPerSecond), f.BytesPerSecond)
 	for key, n := range map[string]int{"limits.records": f.Limits.Records, "limits.bytes": f.Limits.Bytes, "limits.subscribers": f.Limits.Subscribers} {
-		c.Must(n >= 0, key, "a number from 0, which stands for the default", n)
+		c.Require(n >= 0, key, "a number from 0, which stands for the default", n)
 	}
 	if f.Role == roleOrigin {
-		c.Must(len(f.Upstream) == 0, "upstream", "none, as role is origin", len(f.Upstream))
-		c.Must(len(f.Scopes) == 0, "scopes", "none, as role is origin", len(f.Scopes))
-		c.Must(f.Origin != nil, "origin", "a table, as role is origin", "none")
+		c.Require(len(f.Upstream) == 0, "upstream", "none, as role is origin", len(f.Upstream))
+		c.Require(len(f.Scopes) == 0, "scopes", "none, as role is origin", len(f.Scopes))
+		c.Require(f.Origin != nil, "origin", "a table, as role is origin", "none")
 		if f.Origin != nil {
 			f.Origin.check(c)
 		}
 		return
 	}
-	c.Must(f.Origin == nil, "origin", "none, as role is not origin", "a table")
-	c.Must(len(f.Upstream) >= 1 && len(f.Upstream) <= maxUpstreams, "upstream", fmt.Sprintf("1 to %d addresses and ports", maxUpstreams), len(f.Upstream))
+	c.Require(f.Origin == nil, "origin", "none, as role is not origin", "a table")
+	c.Require(len(f.Upstream) >= 1 && len(f.Upstream) <= maxUpstreams, "upstream", fmt.Sprintf("1 to %d addresses and ports", maxUpstreams), len(f.Upstream))
 	seen := map[string]bool{}
 	for i, up := range f.Upstream {
 		key := fmt.Sprintf("upstream.%d", i)
 		address(c, key, up, false)
-		c.Must(!seen[up], key, "an address that is not there twice", fmt.Sprintf("%q again", up))
-		c.Must(up != f.Listen, key, "another address than listen", fmt.Sprintf("%q", up))
+		c.Require(!seen[up], key, "an address that is not there twice", fmt.Sprintf("%q again", up))
+		c.Require(up != f.Listen, key, "another address than listen", fmt.Sprintf("%q", up))
 		seen[up] = true
 	}
 	if len(f.Scopes) == 0 {
 		f.Scopes = []string{"*"}
 	}
-	c.Must(len(f.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(f.Scopes))
+	c.Require(len(f.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(f.Scopes))
 	for i, s := range f.Scopes {
-		c.Must(s != "" && len(s) <= distribution.MaxNameBytes && !strings.Contains(strings.TrimSuffix(s, "*"), "*"), fmt.Sprintf("scopes.%d", i),
+		c.Require(s != "" && len(s) <= distribution.MaxNameBytes && !strings.Contains(strings.TrimSuffix(s, "*"), "*"), fmt.Sprintf("scopes.%d", i),
 			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", distribution.MaxNameBytes), fmt.Sprintf("%q", s))
 	}
 }
 
-func (o *OriginConfig) check(c *tomlfile.Complaints) {
-	c.Must(o.Discovery != "" || o.Configuration != "", "origin", "discovery, configuration or both", "neither")
+func (o *OriginConfig) check(c *tomlfile.Problems) {
+	c.Require(o.Discovery != "" || o.Configuration != "", "origin", "discovery, configuration or both", "neither")
 	every, err := defaultPollInterval, error(nil)
 	if o.PollInterval != "" {
 		every, err = time.ParseDuration(o.PollInterval)
-		c.Must(err == nil && every >= minPollInterval && every <= maxPollInterval, "origin.every", "a time from 50ms to 1h", fmt.Sprintf("%q", o.PollInterval))
+		c.Require(err == nil && every >= minPollInterval && every <= maxPollInterval, "origin.every", "a time from 50ms to 1h", fmt.Sprintf("%q", o.PollInterval))
 	}
 	o.PollIntervalNs = int64(every)
 	if o.Discovery == "" {
@@ -139,21 +139,21 @@
 	}
 	address(c, "origin.discovery", o.Discovery, false)
 	s := &o.ScopeRule
-	c.Must((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place", fmt.Sprintf("%q and %q", s.Service, s.ServiceFrom))
-	c.Must(s.ServiceFrom == "" || s.ServiceFrom == fromHost, "origin.scope.service_from", "host", fmt.Sprintf("%q", s.ServiceFrom))
-	c.Must(s.Region != "" || len(s.Regions) > 0, "origin.scope.region", "a region, or regions with their sites", "neither")
+	c.Require((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place", fmt.Sprintf("%q and %q", s.Service, s.ServiceFrom))
+	c.Require(s.ServiceFrom == "" || s.ServiceFrom == fromHost, "origin.scope.service_from", "host", fmt.Sprintf("%q", s.ServiceFrom))
+	c.Require(s.Region != "" || len(s.Regions) > 0, "origin.scope.region", "a region, or regions with their sites", "neither")
 	s.sites = map[string]string{}
 	for region, sites := range s.Regions {
 		for _, site := range sites {
-			c.Must(s.sites[site] == "", "origin.scope.regions."+region, "sites of one region each", fmt.Sprintf("%q, which is also of %s", site, s.sites[site]))
+			c.Require(s.sites[site] == "", "origin.scope.regions."+region, "sites of one region each", fmt.Sprintf("%q, which is also of %s", site, s.sites[site]))
 			s.sites[site] = region
 		}
 	}
 	for key, name := range map[string]string{"service": s.Service, "region": s.Region} {
-		c.Must(len(name) <= maxNameBytes/2 && !strings.ContainsAny(name, "/*"), "origin.scope."+key, fmt.Sprintf("a name of up to %d bytes without / and *", maxNameBytes/2), fmt.Sprintf("%q", name))
+		c.Require(len(name) <= maxNameBytes/2 && !strings.ContainsAny(name, "/*"), "origin.scope."+key, fmt.Sprintf("a name of up to %d bytes without / and *", maxNameBytes/2), fmt.Sprintf("%q", name))
 	}
 	for region := range s.Regions {
-		c.Must(region != "" && len(region) <= maxNameBytes/2 && !strings.ContainsAny(region, "/*"), "origin.scope.regions", fmt.Sprintf("names of up to %d bytes without / and *", maxNameBytes/2), fmt.Sprintf("%q", region))
+		c.Require(region != "" && len(region) <= maxNameBytes/2 && !strings.ContainsAny(region, "/*"), "origin.scope.regions", fmt.Sprintf("names of up to %d bytes without / and *", maxNameBytes/2), fmt.Sprintf("%q", region))
 	}
 }
 
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -76,7 +76,7 @@
 	}
 	defer w.heardAtNs.Store(0)
 	defer said.Close()
-	lines := endpointlist.New(said, w.limits)
+	lines := endpointlist.NewReader(said, w.limits)
 	for first := w.version == 0; ; first = false {
 		var told []distribution.Record
 		line, err := lines.Next(func() { told = told[:0] }, func(e endpointlist.Entry) error {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -12,27 +12,27 @@
 )
 
 // Complaints gathers what is wrong with one file.
-type Complaints struct {
+type Problems struct {
 	path string
 	all  []error
 }
 
 // Must complains unless something holds.
-func (c *Complaints) Must(holds bool, key, want string, found any) {
+func (c *Problems) Require(holds bool, key, want string, found any) {
 	if !holds {
 		c.all = append(c.all, fmt.Errorf("%s: %s: expected %s, found %v", c.path, key, want, found))
 	}
 }
 
 // Err is all complaints, or nil.
-func (c *Complaints) Err() error { return errors.Join(c.all...) }
+func (c *Problems) Err() error { return errors.Join(c.all...) }
 
 // Decode reads a file's text. Text that is no TOML, or holds a value of another type, is an error; a key that is unknown is a
 // complaint, which names the page that tells of all keys.
-func Decode(path string, text []byte, into any, page string) (*Complaints, error) {
+func Decode(path string, text []byte, into any, page string) (*Problems, error) {
 	in := toml.NewDecoder(bytes.NewReader(text))
 	in.DisallowUnknownFields()
-	c := &Complaints{path: path}
+	c := &Problems{path: path}
 	err := in.Decode(into)
 	if err == nil {
 		return c, nil
@@ -43,7 +43,7 @@
 	case errors.As(err, &unknown):
 		for _, e := range unknown.Errors {
 			line, _ := e.Position()
-			c.Must(false, strings.Join(e.Key(), "."), "a key of "+page, fmt.Sprintf("an unknown one in line %d", line))
+			c.Require(false, strings.Join(e.Key(), "."), "a key of "+page, fmt.Sprintf("an unknown one in line %d", line))
 		}
 		return c, nil
 	case errors.As(err, &decode):
