--- /dev/null
+++ b/internal/endpointlist/encode.go
@@ -0,0 +1,23 @@
+package endpointlist
+
+import "encoding/json"
+
+// Encode is a complete list in discovery's form; nil where an entry can't be encoded.
+func Encode(version int64, entries []Entry) []byte {
+	list := struct {
+		Version  int64   `json:"seq"`
+		Complete bool    `json:"whole"`
+		Entries  []Entry `json:"hosts"`
+	}{version, true, entries}
+	if entries == nil {
+		list.Entries = []Entry{} // an empty list, not null
+	}
+	text, err := json.Marshal(list)
+	if err != nil {
+		return nil
+	}
+	return text
+}
+
+// EncodeEntry is one entry in discovery's form.
+func EncodeEntry(e Entry) ([]byte, error) { return json.Marshal(e) }
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/reader_test.go
@@ -1,7 +1,5 @@
 package endpointlist
 
-// This file owns the tests of lists as they come: the same as encoding/json says, in bounds, and never a half of one.
-
 import (
 	"bytes"
 	"encoding/json"
@@ -15,15 +13,15 @@
 	"testing/iotest"
 )
 
-type all struct {
+type result struct {
 	Line    Update
 	Entries []Entry
 }
 
-var odd = errors.New("odd")
+var errOdd = errors.New("odd")
 
-// slow is what encoding/json makes of a whole line in memory.
-func slow(text []byte) (a all, err error) {
+// decodeAtOnce is what encoding/json makes of a line.
+func decodeAtOnce(text []byte) (a result, err error) {
 	var in struct {
 		Version *int64            `json:"seq"`
 		Whole   bool              `json:"whole"`
@@ -47,10 +45,10 @@
 	return a, nil
 }
 
-func quick(read func(begin func(), take func(Entry) error) (Update, error)) (a all, err error) {
+func collect(read func(begin func(), take func(Entry) error) (Update, error)) (a result, err error) {
 	a.Line, err = read(func() { a.Entries = nil }, func(e Entry) error {
 		if e.Name == "odd" {
-			return odd
+			return errOdd
 		}
 		a.Entries = append(a.Entries, e)
 		return nil
@@ -71,9 +69,9 @@
 	`{"seq":1,"hosts":[{"host":"a"}],"hosts":null}`, `{"seq":1,"hosts":[{"x":nul}]}`, `{"seq":1,"hosts":[{"host":"a",}]}`, `{"seq":1 "whole":true}`, `{"seq":1,"hosts":[{}{}]}`,
 }
 
-// compare holds the streaming reader to encoding/json, whatever the pieces in which a text comes.
+// compare compares the streaming reader with encoding/json, whatever the pieces in which a text comes.
 func compare(t *testing.T, text []byte) {
-	want, wrong := slow(text)
+	want, wrong := decodeAtOnce(text)
 	limits := LimitsFor(0)
 	for name, read := range map[string]func(begin func(), take func(Entry) error) (Update, error){
 		"at once": func(begin func(), take func(Entry) error) (Update, error) { return Parse(text, limits, begin, take) },
@@ -81,7 +79,7 @@
 			r := NewReader(iotest.OneByteReader(bytes.NewReader(text)), limits)
 			l, err := r.Next(begin, take)
 			if err == nil {
-				if _, err = r.Next(func() {}, func(Entry) error { return nil }); err == io.EOF {
+				if _, err = r.Next(func() {}, func(Entry) error { return nil }); errors.Is(err, io.EOF) {
 					return l, nil
 				}
 				err = errors.New("more than one")
@@ -89,7 +87,7 @@
 			return l, err
 		},
 	} {
-		got, err := quick(read)
+		got, err := collect(read)
 		if (err == nil) != (wrong == nil) {
 			t.Fatalf("%s, %q: %v, encoding/json says %v", name, text, err, wrong)
 		}
@@ -112,34 +110,34 @@
 	f.Fuzz(compare)
 }
 
-// A line that ends anywhere before its end tells an error, and one failed between two lines a plain end.
-func TestAHalfIsNothing(t *testing.T) {
+// A line that is cut anywhere is an error, and the end of the stream between two lines is io.EOF.
+func TestTruncatedLineIsAnError(t *testing.T) {
 	text := seeds[0]
 	for cut := range len(text) {
-		if _, err := quick(NewReader(strings.NewReader(text[:cut]), LimitsFor(0)).Next); err == nil || cut > 0 && err == io.EOF {
+		if _, err := collect(NewReader(strings.NewReader(text[:cut]), LimitsFor(0)).Next); err == nil || cut > 0 && errors.Is(err, io.EOF) {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 	}
 	r := NewReader(strings.NewReader("\n\n"+text+"\n\n\n"+seeds[3]+"\n"), LimitsFor(0))
 	for i, version := range []int64{41, 3} {
-		if got, err := quick(r.Next); err != nil || got.Line.Version != version {
+		if got, err := collect(r.Next); err != nil || got.Line.Version != version {
 			t.Errorf("line %d: %+v, %v", i, got, err)
 		}
 	}
-	if _, err := quick(r.Next); err != io.EOF {
+	if _, err := collect(r.Next); !errors.Is(err, io.EOF) {
 		t.Errorf("after the last: %v", err)
 	}
 }
 
-// An empty line every two seconds for some weeks is neither held nor too long, and cuts between two lines fall anywhere.
-func TestEmptyLines(t *testing.T) {
+// An empty line every two seconds for some weeks is neither held nor too long, wherever reads end between two lines.
+func TestEmptyLinesAreDropped(t *testing.T) {
 	many := strings.NewReader(strings.Repeat("\r\n", 4<<20))
 	second := `{"seq":7,"hosts":[{"host":"a  b"},{"host":" "}]}`
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	r := NewReader(io.MultiReader(strings.NewReader(seeds[0]), many, strings.NewReader(second)), Limits{ValueBytes: 64 << 10, LineBytes: 64 << 10, Endpoints: 10})
 	for i, version := range []int64{41, 7} {
-		if got, err := quick(r.Next); err != nil || got.Line.Version != version {
+		if got, err := collect(r.Next); err != nil || got.Line.Version != version {
 			t.Errorf("line %d: %+v, %v", i, got, err)
 		}
 	}
@@ -149,8 +147,10 @@
 	}
 	for cut := range len(second) {
 		r := NewReader(io.MultiReader(strings.NewReader(seeds[0]+"\n"+second[:cut]), strings.NewReader(second[cut:])), LimitsFor(0))
-		quick(r.Next)
-		if got, err := quick(r.Next); err != nil || len(got.Entries) != 2 || got.Entries[0].Name != "a  b" || got.Entries[1].Name != " " {
+		if _, err := collect(r.Next); err != nil {
+			t.Fatalf("cut at %d: %v", cut, err)
+		}
+		if got, err := collect(r.Next); err != nil || len(got.Entries) != 2 || got.Entries[0].Name != "a  b" || got.Entries[1].Name != " " {
 			t.Fatalf("cut at %d: %+v, %v", cut, got, err)
 		}
 	}
@@ -173,8 +173,8 @@
 	return n, nil
 }
 
-// Each bound ends a line that goes over it, and what is held meanwhile stays small.
-func TestBounds(t *testing.T) {
+// Each limit ends a line that exceeds it, and little memory is used until then.
+func TestLimits(t *testing.T) {
 	limits := Limits{ValueBytes: 64 << 10, LineBytes: 8 << 20, Endpoints: 5000}
 	for what, in := range map[string]*endless{
 		"entries":            {head: `{"seq":1,"hosts":[`, each: `{"host":"a"},`},
