--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -90,7 +90,7 @@
 	}
 	defer w.heardAtNs.Store(0)
 	defer func() { _ = body.Close() }() // the watch has ended
-	lines := endpointlist.New(body, w.limits)
+	lines := endpointlist.NewReader(body, w.limits)
 	for first := w.version == 0; ; first = false {
 		err := w.receiveEvent(lines, first)
 		if errors.Is(err, io.EOF) && !received {
