--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/clients.go
@@ -1,20 +1,16 @@
 package simulation
 
-// This file owns the clients and the front: tasks come when they are due, to the nodes that the front believes in, and are sent
-// again as clients do. It must never hold a task back because an earlier one has not come back.
-
 import (
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 	"fmt"
 	"time"
 )
 
-const lateResponseTime = int64(300 * time.Millisecond) // after a hard limit, for answers that come too late
+const lateResponseTime = int64(300 * time.Millisecond) // after a deadline, for late responses
 
-// try is one message of a client to one node; a task may take several.
+// clientRequest is one request of a client for its operation.
 type clientRequest struct {
 	operation *workload.Operation
 	n         int
@@ -26,7 +22,7 @@
 }
 
 type clients struct {
-	day            *Simulation
+	sim            *Simulation
 	byZone         [][]*node
 	nextNode       []int
 	pickers        []workload.NodePicker // by zone; nil: in turn
@@ -37,7 +33,7 @@
 
 func newClients(d *Simulation) *clients {
 	c := &clients{
-		day: d, outcomes: make([]trace.Outcome, len(d.plan.Operations)), unfinished: len(d.plan.Operations),
+		sim: d, outcomes: make([]trace.Outcome, len(d.plan.Operations)), unfinished: len(d.plan.Operations),
 		byZone: make([][]*node, len(d.scenario.Network.Zones)), nextNode: make([]int, len(d.scenario.Network.Zones)),
 	}
 	parts := d.plan.NodeShares(d.scenario)
@@ -60,28 +56,31 @@
 	return c
 }
 
-// next has one task come after another, so that the heap holds few.
+// scheduleNext schedules one operation after another, so that the heap holds few.
 func (c *clients) scheduleNext(i int) {
-	if i >= len(c.day.plan.Operations) {
+	if i >= len(c.sim.plan.Operations) {
 		return
 	}
-	t := &c.day.plan.Operations[i]
-	c.day.at(t.Due+int64(c.day.scenario.Network.Client), func() {
-		c.day.count(func(s *trace.FleetActivity) { s.Operations++ })
-		category := &c.day.scenario.Classes[t.Class]
+	t := &c.sim.plan.Operations[i]
+	c.sim.at(t.Due+int64(c.sim.scenario.Network.Client), func() {
+		c.sim.count(func(s *trace.FleetActivity) { s.Operations++ })
+		category := &c.sim.scenario.Classes[t.Class]
 		c.send(&clientRequest{
-			operation: t, deadline: t.Due + int64(float64(category.Deadline)*c.day.scenario.Clients.RequestTimeoutShare), id: c.day.requestID(t.Index, 0),
-			key: fmt.Sprintf("%016x", t.Seed),
+			operation: t,
+			deadline:  t.Due + int64(float64(category.Deadline)*c.sim.scenario.Clients.RequestTimeoutShare),
+			id:        c.sim.requestID(t.Index, 0),
+			key:       fmt.Sprintf("%016x", t.Seed),
 		})
 		c.scheduleNext(i + 1)
 	})
 }
 
-// send gives a try to the next node that the front believes in.
+// send delivers a request to the next node that the front takes to be ready.
 func (c *clients) send(t *clientRequest) {
 	zone := c.byZone[t.operation.Zone]
 	if choice := c.pickers[t.operation.Zone]; choice != nil {
-		c.nextNode[t.operation.Zone] = choice.Pick(t.operation, t.n) - 1 // who is next, if that one is not in
+		// the next one follows if that one is not ready
+		c.nextNode[t.operation.Zone] = choice.Pick(t.operation, t.n) - 1
 	}
 	for range zone {
 		c.nextNode[t.operation.Zone]++
@@ -90,7 +89,7 @@
 			return
 		}
 	}
-	for _, n := range c.day.nodes {
+	for _, n := range c.sim.nodes {
 		if n.admitted {
 			c.deliver(t, n)
 			return
@@ -99,39 +98,57 @@
 	c.finishOrRetry(t, trace.Lost, true, 0)
 }
 
+// deliver gives a request to a node, unless the way there is cut.
 func (c *clients) deliver(t *clientRequest, n *node) {
-	d := c.day
+	d := c.sim
 	if !n.alive {
 		c.finishOrRetry(t, trace.Lost, true, 0)
 		return
 	}
-	rec := &invariant.Request{ID: t.id, Operation: t.operation.Index, Node: n.index, Incarnation: n.process.Incarnation, Class: t.operation.Class, SentAt: d.now, Deadline: t.deadline}
-	front, place := n.front(), netfault.End{Index: n.index}
-	if barred, refused := d.cannotConnect(front, place); refused {
+	front, end := n.front(), n.end()
+	blocked, refused := d.cannotConnect(front, end)
+	switch {
+	case refused:
 		c.finishOrRetry(t, trace.Lost, true, 0)
 		return
-	} else if barred && !d.links.Open(d.now, front, place) {
-		// The node never sees it, so the ledger does not either.
-		d.at(t.deadline+int64(d.scenario.Rules.AnswerGrace)+lateResponseTime, func() { c.finishOrRetry(t, trace.Failed, false, 0) })
+	case blocked && !d.links.Open(d.now, front, end):
+		// The node never sees it, so it is not in the history either.
+		d.at(c.waitsUntil(t), func() { c.finishOrRetry(t, trace.Failed, false, 0) })
 		return
 	}
-	d.history.RecordRequest(rec)
-	if late := d.linkDelay(front, place); late > 0 {
-		rec.SentAt += late
-		t.pending = &pendingRequest{node: n, incarnation: n.process.Incarnation, request: t, record: rec}
-		d.after(late, func() {
-			if n.alive && n.process.Incarnation == rec.Incarnation && !t.finished {
-				n.receive(t, rec)
+	record := &invariant.Request{
+		ID: t.id, Operation: t.operation.Index, Node: n.index, Incarnation: n.process.Incarnation,
+		Class: t.operation.Class, SentAt: d.now, Deadline: t.deadline,
+	}
+	d.history.RecordRequest(record)
+	if delay := d.linkDelay(front, end); delay > 0 {
+		record.SentAt += delay
+		t.pending = &pendingRequest{node: n, incarnation: n.process.Incarnation, request: t, record: record}
+		d.after(delay, func() {
+			if n.alive && n.process.Incarnation == record.Incarnation && !t.finished {
+				n.receive(t, record)
 			}
 		})
 	} else {
-		n.receive(t, rec)
+		n.receive(t, record)
 	}
-	until := t.deadline + int64(d.scenario.Rules.AnswerGrace) + lateResponseTime
-	leaves := int64(invariant.Never)
+	c.awaitResponse(t, n, record)
+}
+
+// waitsUntil is when a client gives up a request.
+func (c *clients) waitsUntil(t *clientRequest) int64 {
+	return t.deadline + int64(c.sim.scenario.Rules.AnswerGrace) + lateResponseTime
+}
+
+// awaitResponse ends a request that has no response in time, or whose client leaves before.
+func (c *clients) awaitResponse(t *clientRequest, n *node, record *invariant.Request) {
+	d := c.sim
+	until := c.waitsUntil(t)
+	leavesAt := int64(invariant.Never)
 	if t.operation.LeavesAfter > 0 {
-		if leaves = t.operation.Due + t.operation.LeavesAfter; leaves < t.deadline {
-			until = leaves
+		leavesAt = t.operation.Due + t.operation.LeavesAfter
+		if leavesAt < t.deadline {
+			until = leavesAt
 		}
 	}
 	d.at(until, func() {
@@ -139,8 +156,8 @@
 			return
 		}
 		t.finished = true
-		if until == leaves {
-			rec.CanceledAt = d.now
+		if until == leavesAt {
+			record.CanceledAt = d.now
 			c.finish(t, trace.Canceled, d.now)
 		} else {
 			c.finishOrRetry(t, trace.Failed, false, 0)
@@ -151,18 +168,18 @@
 	})
 }
 
-// answered takes a node's answer.
+// answered takes a node's response.
 func (c *clients) answered(x *pendingRequest, status int, advice int64) {
 	t := x.request
 	if t.finished {
 		return
 	}
 	t.finished = true
-	now := c.day.now
+	now := c.sim.now
 	x.record.AnsweredAt, x.record.Status, x.record.RetryAfter = now, status, advice
 	switch status {
 	case 200:
-		c.finish(t, trace.Succeeded, now+int64(c.day.scenario.Network.Client))
+		c.finish(t, trace.Succeeded, now+int64(c.sim.scenario.Network.Client))
 	case 503:
 		c.finishOrRetry(t, trace.Rejected, false, advice)
 	default:
@@ -170,30 +187,31 @@
 	}
 }
 
-// lost is a connection that ended with its node.
+// lost takes the end of a connection with its node.
 func (c *clients) lost(x *pendingRequest) {
 	if t := x.request; !t.finished {
 		t.finished = true
-		x.record.ClosedAt = c.day.now
+		x.record.ClosedAt = c.sim.now
 		c.finishOrRetry(t, trace.Lost, !x.node.admitted, 0)
 	}
 }
 
-// after ends a try that did not satisfy, and sends the task again where a client would.
+// finishOrRetry ends a request that did not succeed, and sends another where a client would.
 func (c *clients) finishOrRetry(t *clientRequest, state trace.State, unreached bool, advice int64) {
-	d := c.day
+	d := c.sim
 	retry, ok := t.operation.NextRetry(d.scenario, t.n, d.now, state == trace.Rejected || unreached, advice)
 	if !ok {
 		c.finish(t, state, d.now)
 		return
 	}
 	next := &clientRequest{
-		operation: t.operation, n: t.n + 1, deadline: retry.Deadline, key: t.key, id: d.requestID(t.operation.Index, t.n+1),
+		operation: t.operation, n: t.n + 1, deadline: retry.Deadline, key: t.key,
+		id: d.requestID(t.operation.Index, t.n+1),
 	}
 	d.after(retry.Wait, func() { c.send(next) })
 }
 
-// settle writes a task's end down.
+// finish records the end of an operation.
 func (c *clients) finish(t *clientRequest, state trace.State, at int64) {
 	o := &c.outcomes[t.operation.Index]
 	if o.State != trace.Pending {
@@ -201,5 +219,5 @@
 	}
 	*o = trace.Outcome{State: state, Elapsed: at - t.operation.Due, Requests: t.n + 1}
 	c.unfinished--
-	c.lastFinishedAt = c.day.now
+	c.lastFinishedAt = c.sim.now
 }
--- a/internal/lab/simulation/machine.go
+++ b/internal/lab/simulation/endpoint.go
@@ -1,8 +1,5 @@
 package simulation
 
-// This file owns servers: their lives, connections and troubles, and each hand-off at one. What a server can do and when work
-// ends is the model's; it must never be decided here.
-
 import (
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
@@ -12,26 +9,27 @@
 	"fawnglade/policy"
 	"math"
 	"math/rand/v2"
+	"net/http"
 	"strconv"
 )
 
-// trouble is what a fault does to a server, apart from what the model does.
+// endpointFaults are active faults of an endpoint that its model does not have.
 type endpointFaults struct {
 	silent              bool
-	fail, reject, reset float64 // shares of hand-offs
+	fail, reject, reset float64 // shares of attempts
 	corrupt             string
 	corruptShare        float64
 }
 
 type endpoint struct {
-	day   *Simulation
+	sim   *Simulation
 	spec  workload.Endpoint
 	fleet *scenario.Fleet
 	id    policy.EndpointID
 
 	incarnation int
 	up          bool
-	startedAt   int64 // Unix nanoseconds; 0 for long ago
+	startedAt   int64 // Unix nanoseconds; 0: long ago
 	model       *model.Endpoint
 	random      *rand.Rand
 	inWork      map[int64]*attempt
@@ -40,9 +38,9 @@
 	faults      endpointFaults
 	draining    bool
 	connections int
-	nextWake    int64 // when the model is to be asked again
+	nextWake    int64 // when the model has to be advanced
 	cutNodes    map[int]int
-	epochs      map[int]int // by node: how often it has come back after being cut off
+	epochs      map[int]int // by node: how often it was reconnected
 	cutAll      int
 	epoch       int
 }
@@ -52,7 +50,7 @@
 	figure model.LoadFigures
 }
 
-// conn is one connection of a node to a server.
+// connection is one of a node to an endpoint.
 type connection struct {
 	endpoint           *endpoint
 	node               int
@@ -64,7 +62,8 @@
 
 func (d *Simulation) addEndpoint(spec workload.Endpoint, cold bool) *endpoint {
 	m := &endpoint{
-		day: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], id: endpointID(spec.Name), random: rand.New(rand.NewPCG(spec.Seed, 3)),
+		sim: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], id: endpointID(spec.Name),
+		random:   rand.New(rand.NewPCG(spec.Seed, 3)),
 		cutNodes: map[int]int{}, epochs: map[int]int{},
 	}
 	d.endpoints = append(d.endpoints, m)
@@ -74,56 +73,63 @@
 }
 
 func (m *endpoint) start(cold bool) {
-	now := m.day.now
+	now := m.sim.now
 	m.recordSlowStart()
 	started := int64(math.MinInt64 / 2)
 	if m.startedAt = 0; cold {
-		started, m.startedAt = now, epoch(now)/1e6*1e6 // the list tells whole milliseconds
+		started, m.startedAt = now, epoch(now)/1e6*1e6 // the list has whole milliseconds
 	}
 	m.incarnation++
 	m.up = true
-	m.model = model.NewEndpoint(model.SpecOf(m.day.scenario, m.fleet, m.spec.Speed), started, now, m.spec.Seed+uint64(m.incarnation))
-	m.inWork, m.faults, m.draining, m.reports, m.connections, m.nextWake = map[int64]*attempt{}, endpointFaults{}, false, nil, 0, model.Never
-	if len(m.day.scenario.Reports.Fields) > 0 {
+	m.model = model.NewEndpoint(
+		model.SpecOf(m.sim.scenario, m.fleet, m.spec.Speed), started, now, m.spec.Seed+uint64(m.incarnation),
+	)
+	m.inWork = map[int64]*attempt{}
+	m.faults = endpointFaults{}
+	m.draining = false
+	m.reports = nil
+	m.connections = 0
+	m.nextWake = model.Never
+	if len(m.sim.scenario.Reports.Fields) > 0 {
 		m.sampleLoad(m.incarnation)
 	}
 }
 
-// warmed hands in what came to the life that ends while it was cold.
+// recordSlowStart records the slow start of the incarnation that ends.
 func (m *endpoint) recordSlowStart() {
 	if m.model != nil {
-		m.day.history.RecordSlowStart(invariant.SlowStart{
+		m.sim.history.RecordSlowStart(invariant.SlowStart{
 			Endpoint: m.spec.Index, Incarnation: m.incarnation, StartedAt: m.startedAt, MeanWork: m.model.MeanWork,
 			Window: m.model.CrashWindow, Arrivals: m.model.SlowStartArrivals(),
 		})
 	}
 }
 
-// figures takes the figures of a load report, again and again in this life.
+// sampleLoad takes the figures of load reports, periodically in this incarnation.
 func (m *endpoint) sampleLoad(life int) {
 	if !m.up || m.incarnation != life {
 		return
 	}
-	m.reports = append(m.reports, loadSample{m.day.now, m.model.Sample(m.day.now)})
+	m.reports = append(m.reports, loadSample{m.sim.now, m.model.Sample(m.sim.now)})
 	if len(m.reports) > 8 {
 		m.reports = m.reports[1:]
 	}
 	m.scheduleWake()
-	m.day.after(int64(m.day.scenario.Reports.Period), func() { m.sampleLoad(life) })
+	m.sim.after(int64(m.sim.scenario.Reports.Period), func() { m.sampleLoad(life) })
 }
 
-// report is the newest that may be seen by now.
+// report is the newest load report that is visible by now.
 func (m *endpoint) report() policy.LoadReport {
-	r, out := &m.day.scenario.Reports, noReport
+	r, out := &m.sim.scenario.Reports, noReport
 	for i := len(m.reports) - 1; i >= 0; i-- {
-		if m.reports[i].at+int64(r.Delay) > m.day.now {
+		if m.reports[i].at+int64(r.Delay) > m.sim.now {
 			continue
 		}
 		f := m.reports[i].figure.Noisy(m.random.Float64, r.Noise)
 		for _, name := range r.Fields {
 			switch name {
 			case "util":
-				out.Utilised(f.Utilization)
+				out.Utilization = f.Utilization
 			case "queue":
 				out.QueueLength = f.Queue
 			case "latency_ms":
@@ -132,10 +138,10 @@
 		}
 		break
 	}
-	return out.LoadReport
+	return out
 }
 
-// stop ends a life as a process does that dies: connections are reset, new ones refused.
+// die ends an incarnation: connections are reset, new ones refused.
 func (m *endpoint) die() {
 	if !m.up {
 		return
@@ -143,7 +149,7 @@
 	m.up = false
 	m.model.Crash()
 	m.inWork = map[int64]*attempt{}
-	for _, n := range m.day.nodes { // in order
+	for _, n := range m.sim.nodes { // in order
 		n.endpointGone(m, false)
 	}
 }
@@ -159,17 +165,20 @@
 func (m *endpoint) isFull() bool      { return m.connections >= m.fleet.Connections }
 func (m *endpoint) workRate() float64 { return m.model.Capacity() }
 func (m *endpoint) delayTo(node *node) int64 {
-	n := &m.day.scenario.Network
+	n := &m.sim.scenario.Network
 	base := n.SameZone
-	if m.day.scenario.Network.Zones[node.zone] != m.spec.Zone {
+	if m.sim.scenario.Network.Zones[node.zone] != m.spec.Zone {
 		base = n.CrossZone
 	}
 	return int64(float64(base) * (1 + n.Jitter*m.random.Float64()))
 }
 
-// sever cuts the machine off, from one node or from all (-1); heal brings it back, and what was open is reset.
+// allNodes in place of a node stands for every node.
+const allNodes = -1
+
+// cutOff makes the endpoint unreachable for one node, or for allNodes; reconnect ends that, and resets what was open.
 func (m *endpoint) cutOff(node int) {
-	if node < 0 {
+	if node == allNodes {
 		m.cutAll++
 	} else {
 		m.cutNodes[node]++
@@ -177,28 +186,28 @@
 }
 
 func (m *endpoint) reconnect(node int) {
-	if node < 0 {
+	if node == allNodes {
 		m.cutAll--
 		m.epoch++
 	} else {
 		m.cutNodes[node]--
 		m.epochs[node]++
 	}
-	for _, n := range m.day.nodes {
-		if node < 0 || n.index == node {
+	for _, n := range m.sim.nodes {
+		if node == allNodes || n.index == node {
 			n.endpointGone(m, true)
 		}
 	}
 }
 
-// wake asks the model again when it wants to be asked.
+// scheduleWake has the model advanced when its next job ends.
 func (m *endpoint) scheduleWake() {
 	next := m.model.Next()
 	if next >= m.nextWake {
 		return
 	}
 	m.nextWake = next
-	m.day.at(next, func() {
+	m.sim.at(next, func() {
 		if m.nextWake == next {
 			m.nextWake = model.Never
 			m.finishJobs()
@@ -206,9 +215,9 @@
 	})
 }
 
-// deliver hands on what the model has finished.
+// finishJobs answers the attempts that the model has finished.
 func (m *endpoint) finishJobs() {
-	for _, d := range m.model.Advance(m.day.now) {
+	for _, d := range m.model.Advance(m.sim.now) {
 		h := m.inWork[d.Job.ID]
 		if h == nil {
 			continue
@@ -224,7 +233,10 @@
 	m.scheduleWake()
 }
 
-// handOff is one sending of a task to one server, seen from both ends.
+// repeatWork is the most work of an attempt that is a repeat, in nanoseconds.
+const repeatWork = 200_000
+
+// attempt is one attempt of a request at an endpoint, seen from both ends.
 type attempt struct {
 	pending       *pendingRequest
 	number        int
@@ -234,154 +246,172 @@
 	deadline      int64
 	conn          *connection
 	newConnection bool
-	record        *invariant.Attempt // nil until its first byte was written
+	record        *invariant.Attempt // nil until its first byte is written
 	id            int64
 	oneWay        int64
 	luck          float64
-	ended         bool // the node has its end
-	answered      bool // the server has answered
+	ended         bool // the node has its result
+	answered      bool // the endpoint has answered
 }
 
-// arrive hands the work to the model, unless a trouble comes first.
+// arrive gives the work to the model, unless a fault answers first.
 func (h *attempt) arrive() {
-	m, d := h.endpoint, h.endpoint.day
-	if m.incarnation != h.incarnation || !m.up || h.ended && h.endpoint.model.Cancel == model.CancelsRunning {
+	m := h.endpoint
+	if m.incarnation != h.incarnation || !m.up || h.ended && m.model.Cancel == model.CancelsRunning {
 		return
 	}
-	t := &m.faults
-	switch {
-	case t.silent:
-		return
-	case h.conn.overLimit || m.draining || t.reject > 0 && m.random.Float64() < t.reject:
-		h.reject()
-		return
-	case t.reset > 0 && m.random.Float64() < t.reset:
-		h.reset(policy.OutcomeReset, 0)
-		return
-	case t.fail > 0 && m.random.Float64() < t.fail:
-		h.respond(policy.OutcomeError, 500)
+	if m.faults.silent || h.answeredByFault() {
 		return
 	}
-	task, try := h.pending.request.operation, h.pending.request.n
-	c := &d.scenario.Classes[task.Class]
-	work, luck := workload.AttemptWork(task.Work, c.AttemptNoise, task.Seed+uint64(try), m.spec.Seed, 0)
-	h.luck = luck
-	if c.Idempotency == scenario.IdempotentByKey {
-		if h.record.Deduplicated = d.deduplicatorOf(m, task.Class).Seen(d.now, h.pending.request.key); h.record.Deduplicated {
-			work = min(work, 200_000) // it only looks the answer up
-		}
-	}
+	d := m.sim
+	work := h.drawWork()
 	if h.conn.isNew {
 		h.conn.isNew = false
 		m.model.ConnectionOpened(d.now)
 	}
-	until := int64(model.Never)
-	if h.deadline < until {
-		until = h.deadline
-	}
 	m.lastID++
 	h.id = m.lastID
-	accepted, fall := m.model.Arrive(d.now, &model.Job{ID: h.id, Work: work, Deadline: until, Node: h.pending.node.index, Wait: d.waitOf(task)})
-	if accepted {
-		m.inWork[h.id] = h
+	job := &model.Job{
+		ID: h.id, Work: work, Deadline: min(h.deadline, model.Never), Node: h.pending.node.index,
+		Wait: d.waitOf(h.pending.request.operation),
 	}
+	accepted, crash := m.model.Arrive(d.now, job)
 	switch {
-	case fall != nil:
-		d.endpointCrashed(m, fall)
-	case !accepted:
+	case accepted:
+		m.inWork[h.id] = h
+	case crash != nil:
+		d.endpointCrashed(m, crash)
+	default:
 		h.reject()
 	}
 	m.scheduleWake()
 }
 
+// answeredByFault answers an attempt by an active fault, if one strikes it.
+func (h *attempt) answeredByFault() bool {
+	m := h.endpoint
+	f := &m.faults
+	strikes := func(share float64) bool { return share > 0 && m.random.Float64() < share }
+	switch {
+	case h.conn.overLimit || m.draining || strikes(f.reject):
+		h.reject()
+	case strikes(f.reset):
+		h.reset(policy.OutcomeReset)
+	case strikes(f.fail):
+		h.respond(policy.OutcomeError, http.StatusInternalServerError)
+	default:
+		return false
+	}
+	return true
+}
+
+// drawWork draws the work of an attempt, and whether it will fail. A repeat with a known key only looks its response
+// up.
+func (h *attempt) drawWork() int64 {
+	m, request := h.endpoint, h.pending.request
+	o := request.operation
+	c := &m.sim.scenario.Classes[o.Class]
+	work, luck := workload.AttemptWork(o.Work, c.AttemptNoise, o.Seed+uint64(request.n), m.spec.Seed, 0)
+	h.luck = luck
+	if c.Idempotency == scenario.IdempotentByKey {
+		h.record.Deduplicated = m.sim.deduplicatorOf(m, o.Class).Seen(m.sim.now, request.key)
+		if h.record.Deduplicated {
+			work = min(work, repeatWork)
+		}
+	}
+	return work
+}
+
 func (h *attempt) reject() {
 	h.record.Rejected = true
-	h.endpoint.day.after(h.returnDelay(), func() { h.respond(policy.OutcomeRejected, 503) })
+	h.endpoint.sim.after(h.returnDelay(), func() { h.respond(policy.OutcomeRejected, http.StatusServiceUnavailable) })
 }
 
-// finish answers a task that has run.
+// finish answers an attempt that has run.
 func (h *attempt) finish() {
 	m := h.endpoint
-	m.day.after(h.returnDelay(), func() {
+	m.sim.after(h.returnDelay(), func() {
 		t := &m.faults
 		switch {
 		case h.luck < m.fleet.ErrorShare:
-			h.respond(policy.OutcomeError, 500)
+			h.respond(policy.OutcomeError, http.StatusInternalServerError)
 		case t.corrupt != "" && m.random.Float64() < t.corruptShare:
 			h.corrupt(t.corrupt)
 		default:
-			h.respond(policy.OutcomeSucceeded, 200)
+			h.respond(policy.OutcomeSucceeded, http.StatusOK)
 		}
 	})
 }
 
-// wayBack is how long an answer takes.
+// returnDelay is how long a response takes.
 func (h *attempt) returnDelay() int64 {
-	return h.oneWay + h.endpoint.day.linkDelay(h.endpoint.end(), netfault.End{Index: h.pending.node.index})
+	return h.oneWay + h.endpoint.sim.linkDelay(h.endpoint.end(), h.pending.node.end())
 }
 
-// hears tells whether what the server says now comes to the node.
+// reachesNode tells whether what the endpoint sends now arrives at the node.
 func (h *attempt) reachesNode() bool {
-	return !h.endpoint.isCutFrom(h.pending.node.index) && h.endpoint.day.links.Open(h.endpoint.day.now, h.endpoint.end(), netfault.End{Index: h.pending.node.index})
+	return !h.endpoint.isCutFrom(h.pending.node.index) &&
+		h.endpoint.sim.links.Open(h.endpoint.sim.now, h.endpoint.end(), h.pending.node.end())
 }
 
-// answer comes to the node, unless the way is cut or nobody is there any more.
+// respond brings a response to the node, unless the link is cut or the incarnation has ended.
 func (h *attempt) respond(o policy.Outcome, status int) {
 	if h.answered || !h.reachesNode() || h.endpoint.incarnation != h.incarnation || !h.endpoint.up {
 		return
 	}
 	h.answered = true
-	h.record.AnsweredAt, h.record.Status = h.endpoint.day.now, status
-	report := noReport.LoadReport
-	if !h.endpoint.day.scenario.Reports.HealthChecked {
+	h.record.AnsweredAt, h.record.Status = h.endpoint.sim.now, status
+	report := noReport
+	if !h.endpoint.sim.scenario.Reports.HealthChecked {
 		report = h.endpoint.report()
 	}
 	h.pending.node.attemptEnded(h, o, report, true)
 }
 
-// back is an end without an answer that the node sees.
-func (h *attempt) reset(o policy.Outcome, _ int) {
+// reset is an end without a response that the node sees.
+func (h *attempt) reset(o policy.Outcome) {
 	h.answered = true
-	h.record.ClosedAt = min(h.record.ClosedAt, h.endpoint.day.now)
-	h.pending.node.attemptEnded(h, o, noReport.LoadReport, false)
+	h.record.ClosedAt = min(h.record.ClosedAt, h.endpoint.sim.now)
+	h.pending.node.attemptEnded(h, o, noReport, false)
 }
 
-// spoil is an answer that went wrong. Those that bring more than the answer are taken; the connection is of no further use.
+// corrupt is a response with a fault. Intact ones with something beside them succeed.
 func (h *attempt) corrupt(how string) {
 	if h.answered || !h.reachesNode() {
 		return
 	}
-	now := h.endpoint.day.now
+	now := h.endpoint.sim.now
 	h.answered = true
-	h.record.AnsweredAt, h.record.Status = now, 502
+	h.record.AnsweredAt, h.record.Status = now, http.StatusBadGateway
 	for _, k := range scenario.IntactKinds {
 		if k == how {
-			h.record.Status = 200
+			h.record.Status = http.StatusOK
 		}
 	}
-	if h.record.Status == 200 {
-		h.pending.node.attemptEnded(h, policy.OutcomeSucceeded, noReport.LoadReport, how == "interim" || how == "bad-report")
+	if h.record.Status == http.StatusOK {
+		h.pending.node.attemptEnded(h, policy.OutcomeSucceeded, noReport, how == "interim" || how == "bad-report")
 		return
 	}
 	h.record.ClosedAt = min(h.record.ClosedAt, now)
-	h.pending.node.attemptEnded(h, policy.OutcomeReset, noReport.LoadReport, false)
+	h.pending.node.attemptEnded(h, policy.OutcomeReset, noReport, false)
 }
 
-// givenUp tells the server, after the way, that nobody waits any more.
+// notifyCanceled has the endpoint notice, after the link's delay, that the attempt is canceled.
 func (h *attempt) notifyCanceled() {
 	if h.record == nil {
 		return
 	}
-	h.record.ClosedAt = min(h.record.ClosedAt, h.endpoint.day.now)
-	if h.answered || h.endpoint.isCutFrom(h.pending.node.index) || !h.endpoint.day.links.Open(h.endpoint.day.now, netfault.End{Index: h.pending.node.index}, h.endpoint.end()) {
+	h.record.ClosedAt = min(h.record.ClosedAt, h.endpoint.sim.now)
+	if h.answered || h.endpoint.isCutFrom(h.pending.node.index) ||
+		!h.endpoint.sim.links.Open(h.endpoint.sim.now, h.pending.node.end(), h.endpoint.end()) {
 		return
 	}
 	m, life := h.endpoint, h.incarnation
-	m.day.after(h.oneWay, func() {
+	m.sim.after(h.oneWay, func() {
 		if m.incarnation != life || !m.up || m.inWork[h.id] != h {
 			return
 		}
-		if stopped, _ := m.model.CancelJob(m.day.now, h.id); stopped {
+		if stopped, _ := m.model.CancelJob(m.sim.now, h.id); stopped {
 			delete(m.inWork, h.id)
 		}
 		m.scheduleWake()
--- a/internal/lab/simulation/clock.go
+++ b/internal/lab/simulation/events.go
@@ -1,10 +1,5 @@
-// Package simulation plays a day in virtual time: the lab's models of servers, discovery, network, clients and faults around real
-// instances of the decisions, one to a node, as a sequence of events. It must never read a clock, start a goroutine or let the
-// order of a map reach what happens: the same scenario and seed give the same record, byte for byte, on any number of cores.
 package simulation
 
-// This file owns time: what is to happen, in order. Two events at one instant happen in the order in which they were asked for.
-
 type event struct {
 	at  int64
 	seq uint64
@@ -23,7 +18,8 @@
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 
-// at asks for something to happen. What was asked for in the past happens now, after all that is due now already.
+// at schedules an event. One in the past happens now, after all that are due now already. Of two events at one time
+// the one that was scheduled first happens first.
 func (c *clock) at(when int64, do func()) {
 	c.seq++
 	c.events = append(c.events, event{max(when, c.now), c.seq, do})
@@ -39,7 +35,7 @@
 
 func (c *clock) after(after int64, do func()) { c.at(c.now+after, do) }
 
-// step lets the next event happen; false if there is none before an end.
+// step runs the next event; false if there is none before an end.
 func (c *clock) step(end int64) bool {
 	if len(c.events) == 0 || c.events[0].at >= end {
 		return false
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -1,7 +1,7 @@
 package simulation
 
-// This file owns what each kind of fault does in virtual time, and when it ends. Who is hit and when is the plan's; it must never
-// draw. Bad clients are not played: what a node does with bytes is for sockets to tell.
+// What each kind of fault does in virtual time. Bad clients do nothing here: what a node does with bytes shows on
+// sockets.
 
 import (
 	"fawnglade/internal/lab/invariant"
@@ -9,22 +9,19 @@
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
 	"math"
+	"slices"
 	"time"
 )
 
 const (
-	frontNoticesStop = int64(300 * time.Millisecond) // connections go on coming to a node that was told to stop
-	acceptsAfterStop = int64(450 * time.Millisecond) // it takes tasks for so long
-	catchUpTime      = int64(200 * time.Millisecond) // everything comes at once to a node that stood still
+	frontNoticesStop = int64(300 * time.Millisecond) // connections still come to a node that stops
+	acceptsAfterStop = int64(450 * time.Millisecond) // and are accepted
+	minSpeedFactor   = 0.001
+	catchUpTime      = int64(200 * time.Millisecond) // for the backlog of a node that was paused
 )
 
+// startFault starts a fault, and has it end in time.
 func (d *Simulation) startFault(f *workload.Fault) {
-	long := int64(f.For)
-	ends := func(do func()) {
-		if long > 0 {
-			d.after(long, do)
-		}
-	}
 	s := d.discovery
 	if scenario.FaultTargets[f.Kind] == scenario.LinkTarget {
 		return // each message goes by the schedule
@@ -35,19 +32,19 @@
 	case "state": // there are no disks here
 	case "discovery-down":
 		s.setDown(true)
-		ends(func() { s.setDown(false) })
+		d.afterFault(f, func() { s.setDown(false) })
 	case "discovery-slow":
 		s.slowdown = f.Factor
-		ends(func() { s.slowdown = 1 })
+		d.afterFault(f, func() { s.slowdown = 1 })
 	case "discovery-move":
 		s.move()
 	case "lists-late":
 		s.changeDelay = int64(f.Wait)
-		ends(func() { s.changeDelay = 0 })
+		d.afterFault(f, func() { s.changeDelay = 0 })
 	case "wait":
 		key := d.waitKey(f)
 		d.waits[key] = int64(f.Wait)
-		ends(func() { delete(d.waits, key) })
+		d.afterFault(f, func() { delete(d.waits, key) })
 	case "bad-clients":
 	case "kill", "stop", "freeze", "cut-node", "clock":
 		for i, target := range f.Targets {
@@ -60,7 +57,7 @@
 	}
 }
 
-// holdKey is the category, or the customer as a negative number, that a wait strikes.
+// waitKey is the class that a wait strikes, or the tenant as a negative number.
 func (d *Simulation) waitKey(f *workload.Fault) int {
 	for i := range d.scenario.Tenants {
 		if f.Tenant != "" && d.scenario.Tenants[i].Name == f.Tenant {
@@ -75,6 +72,7 @@
 	return len(d.scenario.Classes)
 }
 
+// waitOf is for how long attempts of an operation wait in their slots by a fault.
 func (d *Simulation) waitOf(t *workload.Operation) int64 {
 	if len(d.waits) == 0 {
 		return 0
@@ -85,59 +83,19 @@
 func (d *Simulation) faultNode(f *workload.Fault, n *node) {
 	if f.Kind == "clock" {
 		n.adjustClock(int64(f.Wait), f.Factor)
-		if long := int64(f.For); long > 0 {
-			d.after(long, func() { n.adjustClock(0, 1) })
-		}
+		d.afterFault(f, func() { n.adjustClock(0, 1) })
 		return
 	}
 	if !n.alive {
 		return
 	}
-	life := n.process
-	back := func(ended int64) {
-		if f.For > 0 {
-			d.at(max(d.now+int64(f.For), ended), func() {
-				if n.process == life && !n.alive {
-					n.start()
-					d.after(startDelay, n.becomeReady)
-				}
-			})
-		}
-	}
 	switch f.Kind {
 	case "kill":
 		d.history.Excuse(n.process, invariant.Span{From: d.now, To: invariant.Never})
 		n.kill()
-		back(d.now)
+		d.restartAfterFault(f, n)
 	case "stop":
-		n.stopping = true
-		if n.membership != nil {
-			n.membership.Leave(n.clock())
-		}
-		d.after(frontNoticesStop, func() {
-			if n.process == life {
-				n.admitted = false
-			}
-		})
-		var settled func()
-		settled = func() {
-			if n.process != life || !n.alive {
-				return
-			}
-			for _, x := range n.order {
-				if !x.answered {
-					d.after(int64(10*time.Millisecond), settled)
-					return
-				}
-			}
-			d.after(sendDelay, func() {
-				if n.process == life {
-					n.kill()
-					back(d.now)
-				}
-			})
-		}
-		d.after(acceptsAfterStop, settled)
+		d.stopNode(f, n)
 	case "freeze":
 		n.pausedUntil = d.now + int64(f.For)
 		d.history.Excuse(n.process, invariant.Span{From: d.now, To: n.pausedUntil + catchUpTime})
@@ -145,38 +103,84 @@
 		for _, m := range d.endpoints {
 			if f.Zone == "" || m.spec.Zone == f.Zone {
 				m.cutOff(n.index)
-				if f.For > 0 {
-					d.after(int64(f.For), func() { m.reconnect(n.index) })
-				}
+				d.afterFault(f, func() { m.reconnect(n.index) })
 			}
 		}
 	}
 }
 
-// power takes nodes, servers and discovery away at one moment; each is back after a time of its own.
+// afterFault runs when a fault that begins now ends, if it does.
+func (d *Simulation) afterFault(f *workload.Fault, do func()) {
+	if f.For > 0 {
+		d.after(int64(f.For), do)
+	}
+}
+
+// restartAfterFault starts a node again, whose process has just ended.
+func (d *Simulation) restartAfterFault(f *workload.Fault, n *node) {
+	d.afterFault(f, d.restarter(n))
+}
+
+// restarter starts a node again unless that has happened.
+func (d *Simulation) restarter(n *node) func() {
+	process := n.process
+	return func() {
+		if n.process == process && !n.alive {
+			n.start()
+			d.after(startDelay, n.becomeReady)
+		}
+	}
+}
+
+// stopNode has a node shut down gracefully: it accepts for a while, and ends once all requests have their responses.
+func (d *Simulation) stopNode(f *workload.Fault, n *node) {
+	process := n.process
+	n.stopping = true
+	if n.membership != nil {
+		n.membership.Leave(n.clock())
+	}
+	d.after(frontNoticesStop, func() {
+		if n.process == process {
+			n.admitted = false
+		}
+	})
+	var endWhenIdle func()
+	endWhenIdle = func() {
+		if n.process != process || !n.alive {
+			return
+		}
+		if slices.ContainsFunc(n.order, func(x *pendingRequest) bool { return !x.answered }) {
+			d.after(int64(10*time.Millisecond), endWhenIdle)
+			return
+		}
+		d.after(sendDelay, func() {
+			if n.process == process {
+				n.kill()
+				d.restartAfterFault(f, n)
+			}
+		})
+	}
+	d.after(acceptsAfterStop, endWhenIdle)
+}
+
+// losePower ends nodes, endpoints and discovery at one moment; each is back after a time of its own.
 func (d *Simulation) losePower(f *workload.Fault) {
 	notice := int64(d.scenario.Discovery.ChangeDelay)
-	if f.Zone == "" && len(f.Fault.Nodes) == len(d.nodes) {
+	if f.Zone == "" && len(f.Nodes) == len(d.nodes) {
 		d.discovery.setDown(true)
 		if f.DiscoveryBack > 0 {
 			d.after(int64(f.DiscoveryBack), func() { d.discovery.setDown(false) })
 		}
 	}
-	for i, target := range f.Fault.Nodes {
+	for i, target := range f.Nodes {
 		n := d.nodes[target]
 		if !n.alive {
 			continue
 		}
-		life := n.process
-		d.history.Excuse(life, invariant.Span{From: d.now, To: invariant.Never})
+		d.history.Excuse(n.process, invariant.Span{From: d.now, To: invariant.Never})
 		n.kill()
 		if f.NodesBack > 0 {
-			d.after(f.RestoredAfter(f.NodesBack, f.Seed, i), func() {
-				if n.process == life && !n.alive {
-					n.start()
-					d.after(startDelay, n.becomeReady)
-				}
-			})
+			d.after(f.RestoredAfter(f.NodesBack, f.Seed, i), d.restarter(n))
 		}
 	}
 	for i, target := range f.Targets {
@@ -190,100 +194,120 @@
 }
 
 func (d *Simulation) faultEndpoint(f *workload.Fault, m *endpoint) {
-	long, notice, life := int64(f.For), int64(d.scenario.Discovery.ChangeDelay), m.incarnation
-	// change sets a trouble, and takes it away again in time, unless a new life has done so.
-	change := func(begin, end func(*endpointFaults)) {
-		begin(&m.faults)
-		if long > 0 {
-			d.after(long, func() {
-				if m.incarnation == life {
-					end(&m.faults)
-				}
-			})
-		}
+	switch f.Kind {
+	case "slow", "pause", "crowd":
+		d.slowEndpoint(f, m)
+	case "cut":
+		m.cutOff(allNodes)
+		d.afterFault(f, func() { m.reconnect(allNodes) })
+	case "die", "restart-servers", "replace":
+		d.endEndpoint(f, m)
+	case "unlisted", "drain":
+		d.withdrawEndpoint(f, m)
+	default:
+		d.misbehave(f, m)
 	}
+}
+
+// slowEndpoint takes capacity from an endpoint.
+func (d *Simulation) slowEndpoint(f *workload.Fault, m *endpoint) {
 	switch f.Kind {
 	case "slow":
-		m.model.SetSpeedFactor(d.now, math.Max(f.Factor, 0.001))
-		m.nextWake = model.Never
-		m.scheduleWake()
-		if long > 0 {
-			d.after(long, func() {
-				m.model.SetSpeedFactor(d.now, 1)
-				m.nextWake = model.Never
-				m.scheduleWake()
-			})
-		}
+		d.setSpeed(m, math.Max(f.Factor, minSpeedFactor))
+		d.afterFault(f, func() { d.setSpeed(m, 1) })
 	case "pause":
-		m.model.Pause(d.now, d.now+long)
+		m.model.Pause(d.now, d.now+int64(f.For))
 		m.scheduleWake()
+	case "crowd":
+		concurrency, queue, incarnation := m.model.Concurrency, m.model.QueueLimit, m.incarnation
+		m.model.Concurrency = max(1, int(float64(concurrency)*f.Factor))
+		m.model.QueueLimit = int(float64(queue) * f.Factor)
+		d.afterFault(f, func() {
+			if m.incarnation == incarnation {
+				m.model.Concurrency, m.model.QueueLimit = concurrency, queue
+			}
+		})
+	}
+}
+
+func (d *Simulation) setSpeed(m *endpoint, factor float64) {
+	m.model.SetSpeedFactor(d.now, factor)
+	m.nextWake = model.Never
+	m.scheduleWake()
+}
+
+// misbehave has an endpoint answer wrongly, or not at all.
+func (d *Simulation) misbehave(f *workload.Fault, m *endpoint) {
+	incarnation := m.incarnation
+	// change sets a fault, and removes it in time, unless a new incarnation has done so.
+	change := func(begin, end func(*endpointFaults)) {
+		begin(&m.faults)
+		d.afterFault(f, func() {
+			if m.incarnation == incarnation {
+				end(&m.faults)
+			}
+		})
+	}
+	switch f.Kind {
 	case "silent":
-		change(func(t *endpointFaults) { t.silent = true }, func(t *endpointFaults) { t.silent = false })
+		change(func(e *endpointFaults) { e.silent = true }, func(e *endpointFaults) { e.silent = false })
 	case "fail":
-		change(func(t *endpointFaults) { t.fail = f.AttemptShare }, func(t *endpointFaults) { t.fail = 0 })
+		change(func(e *endpointFaults) { e.fail = f.AttemptShare }, func(e *endpointFaults) { e.fail = 0 })
 	case "turn-away":
-		change(func(t *endpointFaults) { t.reject = f.AttemptShare }, func(t *endpointFaults) { t.reject = 0 })
+		change(func(e *endpointFaults) { e.reject = f.AttemptShare }, func(e *endpointFaults) { e.reject = 0 })
 	case "reset":
-		change(func(t *endpointFaults) { t.reset = f.AttemptShare }, func(t *endpointFaults) { t.reset = 0 })
+		change(func(e *endpointFaults) { e.reset = f.AttemptShare }, func(e *endpointFaults) { e.reset = 0 })
 	case "spoil":
-		change(func(t *endpointFaults) { t.corrupt, t.corruptShare = f.How, f.AttemptShare }, func(t *endpointFaults) { t.corrupt = "" })
-	case "crowd":
-		places, waiting := m.model.Concurrency, m.model.QueueLimit
-		m.model.Concurrency, m.model.QueueLimit = max(1, int(float64(places)*f.Factor)), int(float64(waiting)*f.Factor)
-		if long > 0 {
-			d.after(long, func() {
-				if m.incarnation == life {
-					m.model.Concurrency, m.model.QueueLimit = places, waiting
-				}
-			})
-		}
-	case "cut":
-		m.cutOff(-1)
-		if long > 0 {
-			d.after(long, func() { m.reconnect(-1) })
-		}
-	case "unlisted":
-		d.discovery.set(m, model.Removed, notice)
-		if long > 0 {
-			d.after(long, func() { d.discovery.set(m, model.Up, notice) })
-		}
+		change(
+			func(e *endpointFaults) { e.corrupt, e.corruptShare = f.How, f.AttemptShare },
+			func(e *endpointFaults) { e.corrupt = "" },
+		)
+	}
+}
+
+// endEndpoint ends an endpoint's process, which comes back or is replaced.
+func (d *Simulation) endEndpoint(f *workload.Fault, m *endpoint) {
+	notice := int64(d.scenario.Discovery.ChangeDelay)
+	m.die()
+	switch f.Kind {
 	case "die":
-		m.die()
 		if f.How != "unnoticed" {
 			d.discovery.set(m, model.Removed, notice)
 		}
-		if long > 0 {
-			d.after(long, func() { d.revive(m, notice) })
-		}
+		d.afterFault(f, func() { d.revive(m, notice) })
 	case "restart-servers":
-		m.die()
 		d.revive(m, notice)
 	case "replace":
-		m.die()
 		d.discovery.set(m, model.Removed, notice)
 		spec := m.spec
 		spec.Seed += 1 << 32
 		spec.Index, spec.Name = len(d.endpoints), spec.Name+"r"
 		d.discovery.set(d.addEndpoint(spec, true), model.Up, notice)
-	case "drain":
-		m.draining = true
-		d.discovery.set(m, model.Draining, notice)
-		switch {
-		case f.How == "gone" && long > 0:
-			d.after(long, func() {
-				d.discovery.set(m, model.Removed, 0)
-				m.die()
-			})
-		case f.How != "gone" && long > 0:
-			d.after(long, func() {
-				m.draining = false
-				d.discovery.set(m, model.Up, notice)
-			})
-		}
 	}
 }
 
-// revive starts a server anew, cold.
+// withdrawEndpoint takes an endpoint off the list, or has it drain.
+func (d *Simulation) withdrawEndpoint(f *workload.Fault, m *endpoint) {
+	notice := int64(d.scenario.Discovery.ChangeDelay)
+	if f.Kind == "unlisted" {
+		d.discovery.set(m, model.Removed, notice)
+		d.afterFault(f, func() { d.discovery.set(m, model.Up, notice) })
+		return
+	}
+	m.draining = true
+	d.discovery.set(m, model.Draining, notice)
+	d.afterFault(f, func() {
+		if f.How == "gone" {
+			d.discovery.set(m, model.Removed, 0)
+			m.die()
+			return
+		}
+		m.draining = false
+		d.discovery.set(m, model.Up, notice)
+	})
+}
+
+// revive starts an endpoint anew, in slow start.
 func (d *Simulation) revive(m *endpoint, notice int64) {
 	if m.up {
 		return
--- a/internal/lab/simulation/ways.go
+++ b/internal/lab/simulation/links.go
@@ -1,8 +1,5 @@
 package simulation
 
-// This file owns what the day's ways do to messages in virtual time, and the nodes' view of one another: the same core as in the
-// node, its datagrams over the same schedule as on sockets. It must never decide what befalls a message, or what a node believes.
-
 import (
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
@@ -13,19 +10,19 @@
 )
 
 const (
-	discoveryConnectTimeout = time.Second             // a node waits no longer for a connection to discovery
-	watchTimeout            = 3200 * time.Millisecond // nor for a watch on which nothing comes
+	discoveryConnectTimeout = time.Second             // of a node
+	watchTimeout            = 3200 * time.Millisecond // of a node, for a silent watch
 	viewInterval            = int64(time.Second)
-	maxViews                = 64                     // nodes of a large fleet whose beliefs are kept
-	retransmission          = 200 * time.Millisecond // a stream's piece that was lost
-	messageSize             = 400                    // bytes of a task, or of an answer, on a narrow way
+	maxViews                = 64                     // nodes of a large fleet whose views are recorded
+	retransmission          = 200 * time.Millisecond // of a lost piece of a stream
+	messageSize             = 400                    // bytes of a request or response on a narrow link
 )
 
 var discoveryEnd = netfault.End{Kind: netfault.Discovery}
 
 func (n *node) front() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
 
-// pass is what befalls the next message of a way.
+// fateOf is the fate of the next message on a link.
 func (d *Simulation) fateOf(from, to netfault.End, size int) netfault.Fate {
 	if len(d.links.Changes()) == 0 {
 		return netfault.Fate{CorruptByte: -1}
@@ -35,7 +32,7 @@
 	return d.links.FateOf(d.now, from, to, d.messageCounts[way], size)
 }
 
-// held is by how much later a stream's piece comes than on a sound way.
+// linkDelay is by how much the next piece of a stream is delayed by faults.
 func (d *Simulation) linkDelay(from, to netfault.End) int64 {
 	v := d.fateOf(from, to, messageSize)
 	if v.Lost {
@@ -47,7 +44,7 @@
 	return v.Delay
 }
 
-// barred tells whether no new connection comes up between two ends, and whether the one that asks is told so.
+// cannotConnect tells whether no new connection comes up between two ends, and whether it is refused.
 func (d *Simulation) cannotConnect(a, b netfault.End) (barred, refused bool) {
 	for _, way := range [][2]netfault.End{{a, b}, {b, a}} {
 		if !d.links.Open(d.now, way[0], way[1]) {
@@ -58,8 +55,8 @@
 	return barred, refused
 }
 
-// mendWays has what was held up on a stream reset once its way is mended, as the relays do on sockets; where a way refuses, at once.
-// A watch that is silent for too long is given up by the node itself.
+// scheduleLinkResets has streams reset once a cut link is mended, as the proxies do on sockets; where a link refuses,
+// at once. A watch that is silent for too long is given up by the node itself.
 func (d *Simulation) scheduleLinkResets() {
 	for i := range d.plan.Faults {
 		way, ok := d.scenario.LinkFault(&d.plan.Faults[i].Fault)
@@ -84,7 +81,8 @@
 				if a.Kind != netfault.Node {
 					continue
 				}
-				if n := d.nodes[a.Index]; n.watch != nil && n.watch.record != nil && !d.links.Open(d.now, discoveryEnd, a) {
+				if n := d.nodes[a.Index]; n.watch != nil && n.watch.record != nil &&
+					!d.links.Open(d.now, discoveryEnd, a) {
 					n.watch.fail()
 				}
 			}
@@ -109,9 +107,9 @@
 	}
 }
 
-// join begins a life's view of the others.
+// startMembership begins the membership of a process.
 func (n *node) startMembership(list []model.ListEntry) {
-	d := n.day
+	d := n.sim
 	if !d.scenario.Nodes.Membership {
 		return
 	}
@@ -136,7 +134,7 @@
 		if n.membership != view {
 			return
 		}
-		if n.pausedUntil > d.now { // of the beats that it misses it makes up for one
+		if n.pausedUntil > d.now { // of the ticks that it misses it makes up for one
 			d.at(n.pausedUntil, again)
 			return
 		}
@@ -147,14 +145,15 @@
 	d.after(int64(seed%uint64(beat)), again)
 }
 
-// datagrams carries what a view sends.
+// memberTransport carries the datagrams of membership.
 type memberTransport node
 
 func (s *memberTransport) Send(to int, datagram []byte) {
 	n := (*node)(s)
-	d := n.day
+	d := n.sim
 	d.count(func(t *trace.FleetActivity) { t.Members++; t.MembershipBytes += len(datagram) })
-	v := d.fateOf(netfault.End{Index: n.index}, netfault.End{Index: to}, len(datagram))
+	other := d.nodes[to]
+	v := d.fateOf(n.end(), other.end(), len(datagram))
 	if v.Lost {
 		return
 	}
@@ -162,7 +161,6 @@
 		datagram = append([]byte(nil), datagram...)
 		datagram[v.CorruptByte] ^= 0x55
 	}
-	other := d.nodes[to]
 	way := int64(d.scenario.Network.SameZone)
 	if n.zone != other.zone {
 		way = int64(d.scenario.Network.CrossZone)
@@ -177,7 +175,7 @@
 }
 
 func (n *node) receiveDatagram(datagram []byte) {
-	d, view := n.day, n.membership
+	d, view := n.sim, n.membership
 	if view == nil {
 		return
 	}
@@ -192,7 +190,7 @@
 	view.Heard(n.clock(), datagram)
 }
 
-// believe keeps what nodes believe, and which of them run.
+// recordViews records the nodes' views of each other, and which of them run.
 func (d *Simulation) recordViews() {
 	runs := make([]byte, len(d.nodes))
 	step := (len(d.nodes) + maxViews - 1) / maxViews
@@ -204,7 +202,9 @@
 		if i%step != 0 {
 			continue
 		}
-		b := trace.MembershipView{At: d.now, Node: i, Known: n.membership.Figure(n.clock()).Known, Strain: n.membership.Strain()}
+		b := trace.MembershipView{
+			At: d.now, Node: i, Known: n.membership.Figure(n.clock()).Known, Strain: n.membership.Strain(),
+		}
 		letters := make([]byte, len(d.nodes))
 		for k, s := range n.membership.States() {
 			letters[k] = trace.StateLetters[s]
--- a/internal/lab/simulation/hearsay.go
+++ b/internal/lab/simulation/listgossip.go
@@ -1,29 +1,28 @@
 package simulation
 
-// This file owns the list by others' word in virtual time: the same core as in the node, its loads carried by the members' view. It
-// must never tell a node what no load has brought.
-
 import (
 	"fawnglade/internal/endpointgossip"
 	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/netfault"
 	"fawnglade/policy"
 	"fmt"
+	"strconv"
 )
 
-// hearing is one life's part in it.
+// listGossip is the endpoint list by gossip of one process: the node's own code over simulated membership.
 type listGossip struct {
 	core        *endpointgossip.Hearsay
-	confirmedAt int64 // when the watch last could say something
+	confirmedAt int64 // when the watch was last up
 }
 
 func (n *node) startListGossip(seed uint64, list []model.ListEntry) {
 	n.listGossip = nil
-	if !n.day.scenario.Nodes.ListGossip {
+	if !n.sim.scenario.Nodes.ListGossip {
 		return
 	}
-	lines, _ := n.day.linesOf(list)
-	n.listGossip = &listGossip{core: endpointgossip.New(seed, n.membership, n.clock(), n.day.discovery.list.Version(), lines, false)}
+	lines, _ := n.sim.linesOf(list)
+	n.listGossip = &listGossip{
+		core: endpointgossip.New(seed, n.membership, n.clock(), n.sim.discovery.list.Version(), lines, false),
+	}
 }
 
 func (d *Simulation) linesOf(list []model.ListEntry) (lines []endpointgossip.Line, gone []string) {
@@ -34,25 +33,33 @@
 			gone = append(gone, name)
 			continue
 		}
-		lines = append(lines, endpointgossip.Line{Name: name, Zone: m.spec.Zone, Pod: m.spec.Pod, Weight: 1, Draining: l.State == model.Draining, Started: l.StartedAt})
+		lines = append(lines, endpointgossip.Line{
+			Name: name, Zone: m.spec.Zone, Pod: m.spec.Pod, Weight: 1, Draining: l.State == model.Draining,
+			Started: l.StartedAt,
+		})
 	}
 	return lines, gone
 }
 
-// goBy takes lines of others, or the node's own list again, to the decisions.
+// applyLines gives the decisions entries of others, or the node's own list again.
 func (n *node) applyLines(lines []endpointgossip.Line, whole bool) {
 	if lines == nil {
 		return
 	}
 	list := make([]policy.EndpointInfo, 0, len(lines))
 	for _, l := range lines {
-		var server int
-		fmt.Sscan(l.Name, &server)
+		endpoint, err := strconv.Atoi(l.Name)
+		if err != nil {
+			n.sim.err = fmt.Errorf("node %d: an entry of no endpoint: %w", n.index, err)
+			return
+		}
 		health := model.Up
 		if l.Draining {
 			health = model.Draining
 		}
-		list = append(list, n.day.discovery.entries([]model.ListEntry{{Endpoint: server, State: health, StartedAt: l.Started}})...)
+		list = append(list, n.sim.discovery.entries([]model.ListEntry{{
+			Endpoint: endpoint, State: health, StartedAt: l.Started,
+		}})...)
 	}
 	n.post(func() {
 		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
@@ -64,14 +71,14 @@
 	})
 }
 
-// beat lets the core ask; a watch says something at every moment at which its way is sound.
+// tick lets the core ask. A watch confirms the list at every moment at which its link is open.
 func (h *listGossip) tick(n *node) {
 	if h == nil {
 		return
 	}
 	word := int64(0)
 	if w := n.watch; w != nil && w.record != nil {
-		if n.day.links.Open(n.day.now, discoveryEnd, netfault.End{Index: n.index}) {
+		if n.sim.links.Open(n.sim.now, discoveryEnd, n.end()) {
 			h.confirmedAt = n.clock()
 		}
 		word = h.confirmedAt
@@ -85,12 +92,12 @@
 	}
 }
 
-// listed takes what the watch tells, and tells whether the node goes by all of the list anew.
+// listed takes an update of the watch, and tells whether the node was given the complete list anew.
 func (h *listGossip) listed(n *node, version int64, entries []model.ListEntry, whole bool) bool {
 	if h == nil {
 		return false
 	}
-	lines, gone := n.day.linesOf(entries)
+	lines, gone := n.sim.linesOf(entries)
 	all := h.core.Listed(n.clock(), version, lines, gone, whole)
 	n.applyLines(all, true)
 	return all != nil
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -1,13 +1,9 @@
 package simulation
 
-// This file owns a node in virtual time: the decisions' Host, its connections, timers and tasks, and the delays that were
-// measured on sockets. It must never decide anything: what it does by itself is what the real node does by itself.
-
 import (
 	"encoding/json"
 	"fawnglade/internal/gossip"
 	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/members"
@@ -17,14 +13,9 @@
 	"time"
 )
 
-type reportOf struct{ policy.LoadReport }
-
-// Utilised sets the one figure whose name is also a setting's.
-func (r *reportOf) Utilised(v float64) { r.LoadReport.Utilization = v }
+var noReport = policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}
 
-var noReport = reportOf{policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}}
-
-// exchange is one try of a task at a node.
+// pendingRequest is one request at a node.
 type pendingRequest struct {
 	node        *node
 	incarnation int
@@ -36,13 +27,13 @@
 }
 
 type node struct {
-	day         *Simulation
+	sim         *Simulation
 	index       int
 	zone        int
-	clockOffset int64   // of its clock
-	clockRate   float64 // of its clock, and since when
+	clockOffset int64   // from true time
+	clockRate   float64 // of its clock, since rateSince
 	rateSince   int64
-	clockStep   int64 // of the system's clock, that the next start will see
+	clockStep   int64 // of the system's clock, which the next process sees
 	set         settings.Settings
 	decider     Decider
 	usage       trace.NodeUsage
@@ -50,28 +41,34 @@
 	process      *invariant.Process
 	alive        bool
 	admitted     bool // the front sends to it
-	hasList      bool // it has a list
+	hasList      bool // it has an endpoint list
 	running      bool // its process answers the front
 	stopping     bool
-	pausedUntil  int64 // stands still until then
-	busyUntil    int64 // its processor is at work until then
+	pausedUntil  int64 // paused until then
+	busyUntil    int64 // its processor works until then
 	eventCost    int64
 	requests     map[policy.RequestID]*pendingRequest
-	order        []*pendingRequest // in the order they came
+	order        []*pendingRequest // in order of arrival
 	idle         map[*endpoint][]*connection
 	inbox        gossip.Inbox
-	timerSecond  int64 // the second of the day that woken counts in
+	timerSecond  int64 // the second that timersAtOnce counts in
 	timersAtOnce int
 	watch        *watch
 	version      int64
 	failedCalls  int   // of calls for the list
-	callBackoff  int64 // until it calls for the list by itself again
+	callBackoff  int64 // until it calls for the list by itself
 	membership   *members.Members
 	listGossip   *listGossip
 }
 
+// end is the node's end of links.
+func (n *node) end() netfault.End { return netfault.End{Kind: netfault.Node, Index: n.index} }
+
 func newNode(d *Simulation, index int) (*node, error) {
-	n := &node{day: d, index: index, clockRate: 1, zone: index % len(d.scenario.Network.Zones), usage: trace.NodeUsage{Node: index}}
+	n := &node{
+		sim: d, index: index, clockRate: 1, zone: index % len(d.scenario.Network.Zones),
+		usage: trace.NodeUsage{Node: index},
+	}
 	if zones := d.scenario.Nodes.Zones; len(zones) > 0 {
 		for z, name := range d.scenario.Network.Zones {
 			if name == zones[index] {
@@ -95,15 +92,16 @@
 	return n, nil
 }
 
+// clock is the time by the node's clock, Unix nanoseconds.
 func (n *node) clock() int64 {
-	now := epoch(n.day.now) + n.clockOffset
+	now := epoch(n.sim.now) + n.clockOffset
 	if n.clockRate != 1 {
-		now += int64(float64(n.day.now-n.rateSince) * (n.clockRate - 1))
+		now += int64(float64(n.sim.now-n.rateSince) * (n.clockRate - 1))
 	}
 	return now
 }
 
-// moment is when the node's clock will tell a time.
+// simulatedTime is when the node's clock will show a time.
 func (n *node) simulatedTime(local int64) int64 {
 	if n.clockRate == 1 {
 		return local - epochNs - n.clockOffset
@@ -111,25 +109,29 @@
 	return n.rateSince + int64(float64(local-epochNs-n.clockOffset-n.rateSince)/n.clockRate)
 }
 
-// turnClock changes the system's clock under a node. A step shows with its next start, as it goes by the time since this one.
+// adjustClock changes the system's clock under a node. Its process goes by the monotonic clock, so a step shows at its
+// next start.
 func (n *node) adjustClock(step int64, rate float64) {
-	n.clockOffset = n.clock() - epoch(n.day.now)
-	n.rateSince, n.clockRate = n.day.now, rate
+	n.clockOffset = n.clock() - epoch(n.sim.now)
+	n.rateSince, n.clockRate = n.sim.now, rate
 	n.clockStep += step
 }
 
-// start begins a life.
+// start begins a process.
 func (n *node) start() {
 	number := 1
 	if n.process != nil {
 		number = n.process.Incarnation + 1
 	}
-	d := n.day
+	d := n.sim
 	n.process = &invariant.Process{Node: n.index, Incarnation: number, StartedAt: d.now}
 	d.history.RecordProcess(n.process)
 	n.usage.Starts++
 	n.clockOffset, n.clockStep = n.clockOffset+n.clockStep, 0
-	n.alive, n.stopping, n.pausedUntil, n.busyUntil, n.version, n.callBackoff, n.watch = true, false, 0, 0, 0, int64(firstCallBackoff), nil
+	n.alive, n.stopping = true, false
+	n.pausedUntil, n.busyUntil = 0, 0
+	n.version, n.watch = 0, nil
+	n.callBackoff = int64(firstCallBackoff)
 	n.requests, n.order, n.idle = map[policy.RequestID]*pendingRequest{}, nil, map[*endpoint][]*connection{}
 	n.decider = d.newDecider(n.index, n.set.Policy, d.plan.Seed*1000003+uint64(n.index)*7919+uint64(number), n, d)
 	list := d.discovery.list.Complete()
@@ -148,24 +150,24 @@
 	n.startMembership(list)
 }
 
-// admitted has the front take the node in once its process says that it is ready, which it is when it runs and has a list.
+// becomeReady has the front send to the node if its process is ready: it runs and has a list.
 func (n *node) becomeReady() {
 	n.running = n.alive
 	if n.admitted = n.alive && n.hasList; n.admitted {
-		n.process.ReadyAt = n.day.now
+		n.process.ReadyAt = n.sim.now
 	}
 }
 
-// enter has something handled by the loop, in turn: each event takes the processor for a moment.
+// post queues an event for the event loop; each takes the processor for eventCost.
 func (n *node) post(do func()) {
 	life := n.process
-	start := max(n.day.now, n.busyUntil, n.pausedUntil)
+	start := max(n.sim.now, n.busyUntil, n.pausedUntil)
 	n.busyUntil = start + n.eventCost
-	n.day.at(start, func() {
+	n.sim.at(start, func() {
 		if !n.alive || n.process != life {
 			return
 		}
-		if n.pausedUntil > n.day.now { // held since it was queued
+		if n.pausedUntil > n.sim.now { // paused since it was queued
 			n.post(do)
 			return
 		}
@@ -174,12 +176,12 @@
 	})
 }
 
-// end is the end of the process: what it holds is lost to its clients.
+// kill ends the process; its requests are lost to their clients.
 func (n *node) kill() {
 	if !n.alive {
 		return
 	}
-	d := n.day
+	d := n.sim
 	n.alive, n.admitted = false, n.admitted && !n.stopping
 	n.process.EndedAt = d.now
 	n.membership = nil
@@ -212,7 +214,7 @@
 	})
 }
 
-// arrived takes in a task whose last byte has come.
+// receive takes a request whose last byte has come.
 func (n *node) receive(t *clientRequest, rec *invariant.Request) {
 	x := &pendingRequest{node: n, incarnation: n.process.Incarnation, request: t, record: rec}
 	n.order = append(n.order, x)
@@ -226,27 +228,28 @@
 		n.order = kept
 	}
 	t.pending = x
-	n.day.after(receiveDelay, func() {
+	n.sim.after(receiveDelay, func() {
 		n.post(func() {
 			if x.answered {
 				return
 			}
-			task := t.operation
+			o := t.operation
 			id := policy.RequestID(t.id)
 			n.requests[id] = x
 			p := policy.Request{
-				ID: id, Class: task.Class, Tenant: max(task.Tenant, 0), Deadline: policy.Time(n.clock() + t.deadline - n.day.now), ClientRetry: t.n > 0,
-				CostHint: time.Duration(task.CostHint),
+				ID: id, Class: o.Class, Tenant: max(o.Tenant, 0),
+				Deadline: policy.Time(n.clock() + t.deadline - n.sim.now), ClientRetry: t.n > 0,
+				CostHint: time.Duration(o.CostHint),
 			}
-			if task.Key >= 0 && n.set.Policy.KeyAffinity {
-				p.Key = fmt.Sprint("k", task.Key)
+			if o.Key >= 0 && n.set.Policy.KeyAffinity {
+				p.Key = fmt.Sprint("k", o.Key)
 			}
 			n.decider.RequestArrived(policy.Time(n.clock()), p)
 		})
 	})
 }
 
-// withdrawn is the client's going.
+// clientGone takes the leaving of a client.
 func (n *node) clientGone(x *pendingRequest) {
 	n.post(func() {
 		id := policy.RequestID(x.request.id)
@@ -267,7 +270,7 @@
 	}
 }
 
-// settle gives the task its answer.
+// respond gives a request its one response.
 func (n *node) respond(x *pendingRequest, status int, advice int64) {
 	if x.answered {
 		return
@@ -275,19 +278,19 @@
 	x.answered = true
 	n.release(x)
 	life := n.process
-	n.day.after(sendDelay+n.day.linkDelay(netfault.End{Index: n.index}, n.front()), func() {
-		if n.alive && n.process == life && !n.day.links.Open(n.day.now, netfault.End{Index: n.index}, n.front()) {
-			return // the client hears nothing
+	n.sim.after(sendDelay+n.sim.linkDelay(n.end(), n.front()), func() {
+		if n.alive && n.process == life && !n.sim.links.Open(n.sim.now, n.end(), n.front()) {
+			return // the client receives nothing
 		}
 		if n.alive && n.process == life {
-			n.day.clients.answered(x, status, advice)
+			n.sim.clients.answered(x, status, advice)
 		} else {
-			n.day.clients.lost(x)
+			n.sim.clients.lost(x)
 		}
 	})
 }
 
-// handOffEnds takes the end of a hand-off; each has exactly one.
+// attemptEnded takes the result of an attempt; each has exactly one.
 func (n *node) attemptEnded(h *attempt, o policy.Outcome, report policy.LoadReport, keep bool) {
 	if h.ended {
 		return
@@ -302,7 +305,7 @@
 		return
 	}
 	at, fresh := n.clock(), h.newConnection
-	n.day.after(receiveDelay/2, func() {
+	n.sim.after(receiveDelay/2, func() {
 		n.post(func() {
 			x := h.pending
 			x.inFlight--
@@ -311,22 +314,23 @@
 			}
 			n.decider.AttemptEnded(policy.Time(n.clock()), policy.AttemptResult{
 				Request: policy.RequestID(x.request.id), Attempt: h.number, Endpoint: h.endpoint.id, Outcome: o,
-				Elapsed: time.Duration(max(at-h.sentAt, 0)), RequestDone: x.answered, NewConnection: fresh, Report: report,
+				Elapsed: time.Duration(max(at-h.sentAt, 0)), RequestDone: x.answered, NewConnection: fresh,
+				Report: report,
 			})
 			n.release(x)
 		})
 	})
 }
 
-// keep has a connection stand ready. It is closed before the server would.
+// putIdle keeps a connection for reuse. It is closed before the endpoint would.
 func (n *node) putIdle(k *connection) {
 	if k.closed || !n.alive {
 		return
 	}
-	k.idleSince = n.day.now
+	k.idleSince = n.sim.now
 	n.idle[k.endpoint] = append(n.idle[k.endpoint], k)
 	since := k.idleSince
-	n.day.after(int64(n.set.IdleTimeout)*3/4, func() {
+	n.sim.after(int64(n.set.IdleTimeout)*3/4, func() {
 		if k.closed || k.idleSince != since {
 			return
 		}
@@ -351,7 +355,7 @@
 	}
 }
 
-// connect takes the connection that was used last, or opens one.
+// acquire takes the connection that was used last, or opens one; nil if it cannot.
 func (n *node) acquire(m *endpoint) *connection {
 	for list := n.idle[m]; len(list) > 0; list = n.idle[m] {
 		k := list[len(list)-1]
@@ -362,16 +366,19 @@
 		}
 		n.closeConnection(k)
 	}
-	if barred, _ := n.day.cannotConnect(netfault.End{Index: n.index}, m.end()); barred || !m.up || m.isCutFrom(n.index) {
+	if barred, _ := n.sim.cannotConnect(n.end(), m.end()); barred || !m.up || m.isCutFrom(n.index) {
 		return nil
 	}
-	n.day.count(func(t *trace.FleetActivity) { t.Connections++ })
-	k := &connection{endpoint: m, node: n.index, incarnation: m.incarnation, epoch: m.epochFor(n.index), isNew: true, overLimit: m.isFull()}
+	n.sim.count(func(t *trace.FleetActivity) { t.Connections++ })
+	k := &connection{
+		endpoint: m, node: n.index, incarnation: m.incarnation, epoch: m.epochFor(n.index), isNew: true,
+		overLimit: m.isFull(),
+	}
 	m.connections++
 	return k
 }
 
-// serverGone ends what stands open to a server: its process has ended, or what was open to a machine cut off is reset.
+// endpointGone ends what is open to an endpoint: its process has ended, or it was cut off and is back.
 func (n *node) endpointGone(m *endpoint, healed bool) {
 	if n.requests == nil {
 		return
@@ -381,27 +388,28 @@
 			if h.endpoint != m || h.ended || h.conn == nil || m.isCutFrom(n.index) && !healed {
 				continue
 			}
-			h.record.ClosedAt = min(h.record.ClosedAt, n.day.now)
+			h.record.ClosedAt = min(h.record.ClosedAt, n.sim.now)
 			if h.answered = true; n.alive {
-				n.attemptEnded(h, policy.OutcomeReset, noReport.LoadReport, false)
+				n.attemptEnded(h, policy.OutcomeReset, noReport, false)
 			}
 		}
 	}
 }
 
-// HandOff and what follows make the node the decisions' Host.
-func (n *node) Send(id policy.RequestID, server policy.EndpointID, timeOut time.Duration) {
-	x, d := n.requests[id], n.day
+// Send implements policy.Effects, with the methods below.
+func (n *node) Send(id policy.RequestID, endpoint policy.EndpointID, timeout time.Duration) {
+	x, d := n.requests[id], n.sim
 	if x == nil {
 		return
 	}
-	m := d.byID[server]
+	m := d.byID[endpoint]
 	h := &attempt{pending: x, number: len(x.attempts), endpoint: m, sentAt: n.clock()}
-	h.deadline = min(d.now+int64(max(timeOut, 0)), x.request.deadline)
+	h.deadline = min(d.now+int64(max(timeout, 0)), x.request.deadline)
 	x.attempts = append(x.attempts, h)
 	x.inFlight++
 	d.count(func(t *trace.FleetActivity) {
-		switch t.Attempts++; {
+		t.Attempts++
+		switch {
 		case h.number > 0 && x.inFlight > 1:
 			t.Hedged++
 		case h.number > 0:
@@ -409,38 +417,53 @@
 		}
 	})
 	if m == nil || x.answered {
-		n.day.after(0, func() { n.attemptEnded(h, policy.OutcomeNotSent, noReport.LoadReport, false) })
+		d.after(0, func() { n.attemptEnded(h, policy.OutcomeNotSent, noReport, false) })
 		return
 	}
 	h.incarnation, h.oneWay = m.incarnation, m.delayTo(n)
-	if h.conn = n.acquire(m); h.conn == nil {
-		after := int64(50 * time.Microsecond)
-		if m.up {
-			after = int64(n.set.ConnectTimeout) // nothing answers
-		}
-		if _, refused := d.cannotConnect(netfault.End{Index: n.index}, m.end()); refused {
-			after = int64(50 * time.Microsecond)
-		}
-		d.after(min(after, max(h.deadline-d.now, 0)), func() { n.attemptEnded(h, policy.OutcomeConnectFailed, noReport.LoadReport, false) })
+	h.conn = n.acquire(m)
+	if h.conn == nil {
+		n.failToConnect(h)
 		return
 	}
-	h.record = &invariant.Attempt{Request: x.request.id, Node: n.index, Endpoint: m.spec.Index, Incarnation: m.incarnation, Zone: m.spec.Zone, Pod: m.spec.Pod, FirstByteAt: d.now}
+	n.write(h)
+}
+
+// failToConnect ends an attempt without a connection: at once where it is refused, else after the timeout.
+func (n *node) failToConnect(h *attempt) {
+	d := n.sim
+	after := refusedAfter
+	if _, refused := d.cannotConnect(n.end(), h.endpoint.end()); h.endpoint.up && !refused {
+		after = int64(n.set.ConnectTimeout)
+	}
+	after = min(after, max(h.deadline-d.now, 0))
+	d.after(after, func() { n.attemptEnded(h, policy.OutcomeConnectFailed, noReport, false) })
+}
+
+// write sends an attempt over its connection.
+func (n *node) write(h *attempt) {
+	d, m := n.sim, h.endpoint
+	h.record = &invariant.Attempt{
+		Request: h.pending.request.id, Node: n.index, Endpoint: m.spec.Index, Incarnation: m.incarnation,
+		Zone: m.spec.Zone, Pod: m.spec.Pod, FirstByteAt: d.now,
+	}
 	d.history.RecordAttempt(h.record)
 	h.record.LastByteAt = d.now
 	d.at(h.deadline, func() {
 		if !h.ended {
-			n.attemptEnded(h, policy.OutcomeTimedOut, noReport.LoadReport, false)
+			n.attemptEnded(h, policy.OutcomeTimedOut, noReport, false)
 			h.notifyCanceled()
 		}
 	})
-	if m.isCutFrom(n.index) || !d.links.Open(d.now, netfault.End{Index: n.index}, m.end()) {
+	if m.isCutFrom(n.index) || !d.links.Open(d.now, n.end(), m.end()) {
 		return // it never arrives; the node cannot know
 	}
-	wait := h.oneWay + d.linkDelay(netfault.End{Index: n.index}, m.end())
-	if h.newConnection = h.conn.isNew; h.newConnection {
-		wait += int64(m.fleet.ConnectionWait) + 2*h.oneWay
+	delay := h.oneWay + d.linkDelay(n.end(), m.end())
+	h.newConnection = h.conn.isNew
+	if h.newConnection {
+		delay += int64(m.fleet.ConnectionWait) + 2*h.oneWay
 	}
-	d.after(wait, h.arrive)
+	d.after(delay, h.arrive)
 }
 
 func (n *node) Cancel(id policy.RequestID, number int) {
@@ -450,10 +473,10 @@
 	}
 	h := x.attempts[number]
 	if h.record == nil {
-		n.attemptEnded(h, policy.OutcomeNotSent, noReport.LoadReport, false)
+		n.attemptEnded(h, policy.OutcomeNotSent, noReport, false)
 		return
 	}
-	n.attemptEnded(h, policy.OutcomeCanceled, noReport.LoadReport, false)
+	n.attemptEnded(h, policy.OutcomeCanceled, noReport, false)
 	h.notifyCanceled()
 }
 
@@ -469,9 +492,9 @@
 	}
 }
 
-// WakeAt sets a timer. Guards against an instance that asks to be woken at one instant for ever: the day would never end.
+// SetTimer sets a timer. Guards against a decider that sets timers for one moment for ever: the run would never end.
 func (n *node) SetTimer(at policy.Time, cookie uint64) {
-	d := n.day
+	d := n.sim
 	when := n.simulatedTime(int64(at))
 	if second := d.now / 1e9; n.timerSecond != second {
 		n.timerSecond, n.timersAtOnce = second, 0
@@ -481,7 +504,9 @@
 	}
 	if n.timersAtOnce > maxTimersAtOnce {
 		if d.err == nil {
-			d.err = fmt.Errorf("node %d asks at %.3f s of the day to be woken at once, over and over", n.index, float64(d.now)/1e9)
+			d.err = fmt.Errorf(
+				"node %d asks at %.3f s of the day to be woken at once, over and over", n.index, float64(d.now)/1e9,
+			)
 		}
 		return
 	}
@@ -495,8 +520,8 @@
 
 func (n *node) WatchEndpoints() { n.startWatch() }
 
-func (n *node) CloseIdle(server policy.EndpointID) {
-	if m := n.day.byID[server]; m != nil {
+func (n *node) CloseIdle(id policy.EndpointID) {
+	if m := n.sim.byID[id]; m != nil {
 		for _, k := range n.idle[m] {
 			n.closeConnection(k)
 		}
@@ -504,14 +529,15 @@
 	}
 }
 
-// Probe asks a server for its load beside its tasks.
-func (n *node) CheckHealth(server policy.EndpointID) {
-	m, d := n.day.byID[server], n.day
+// CheckHealth asks an endpoint for its load.
+func (n *node) CheckHealth(id policy.EndpointID) {
+	m, d := n.sim.byID[id], n.sim
 	d.count(func(t *trace.FleetActivity) { t.HealthChecks++ })
-	if m == nil || !m.up || m.isCutFrom(n.index) || m.faults.silent || !d.links.Open(d.now, netfault.End{Index: n.index}, m.end()) || !d.links.Open(d.now, m.end(), netfault.End{Index: n.index}) {
+	if m == nil || !m.up || m.isCutFrom(n.index) || m.faults.silent || !d.links.Open(d.now, n.end(), m.end()) ||
+		!d.links.Open(d.now, m.end(), n.end()) {
 		d.after(int64(n.set.ConnectTimeout), func() {
 			n.post(func() {
-				n.decider.HealthChecked(policy.Time(n.clock()), server, policy.OutcomeTimedOut, noReport.LoadReport)
+				n.decider.HealthChecked(policy.Time(n.clock()), id, policy.OutcomeTimedOut, noReport)
 			})
 		})
 		return
@@ -525,21 +551,21 @@
 		m.scheduleWake()
 		report := m.report()
 		d.after(way, func() {
-			n.post(func() { n.decider.HealthChecked(policy.Time(n.clock()), server, policy.OutcomeSucceeded, report) })
+			n.post(func() { n.decider.HealthChecked(policy.Time(n.clock()), id, policy.OutcomeSucceeded, report) })
 		})
 	})
 }
 
-// Tell sends news to every other node, late, and now and then to nobody.
+// Gossip sends a message to every other node, late, and with some loss.
 func (n *node) Gossip(what policy.GossipMessage) {
-	d := n.day
+	d := n.sim
 	message := gossip.Encode(what, n.clock())
 	for _, other := range d.nodes {
 		if other == n || !other.alive || d.random.Float64() < gossipLoss {
 			continue
 		}
 		d.count(func(t *trace.FleetActivity) { t.Gossip++ })
-		way := d.fateOf(netfault.End{Index: n.index}, netfault.End{Index: other.index}, len(message))
+		way := d.fateOf(n.end(), netfault.End{Index: other.index}, len(message))
 		if way.Lost || way.CorruptByte >= 0 {
 			continue
 		}
@@ -560,7 +586,7 @@
 	maxCallBackoff   = 3 * time.Second
 )
 
-var (
-	_ policy.Effects = (*node)(nil)
-	_                = model.Never
-)
+// refusedAfter is how long a refused connection takes.
+const refusedAfter = int64(50 * time.Microsecond)
+
+var _ policy.Effects = (*node)(nil)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -48,7 +48,7 @@
 }
 
 // Guards against a float that hangs on the order of a map, and against anything shared between days.
-func TestTheSameDayIsTheSameToTheByte(t *testing.T) {
+func TestSameSeedSameTrace(t *testing.T) {
 	day := func() string { return text(t, played(t, read(t, "month-end", 20), NewBalancer)) }
 	first := day()
 	before := runtime.GOMAXPROCS(8)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestEventsAtOneInstantComeInTheOrderAskedFor(t *testing.T) {
+func TestEventsAtOneTimeKeepTheirOrder(t *testing.T) {
 	var c clock
 	var came []int
 	for i := range 50 {
@@ -106,7 +106,7 @@
 	r.host.SetTimer(now, cookie)
 }
 
-func TestAnInstanceThatIsWokenForEverIsNamed(t *testing.T) {
+func TestEndlessTimersAreReported(t *testing.T) {
 	_, err := Run(context.Background(), Options{
 		Scenario: read(t, "calm", 3), Seed: 1,
 		NewDecider: func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider {
@@ -117,7 +117,8 @@
 			return &restless{Decider: d, host: host}
 		},
 	})
-	if err == nil || !strings.HasPrefix(err.Error(), "node 1 asks at ") || !strings.HasSuffix(err.Error(), "to be woken at once, over and over") {
+	if err == nil || !strings.HasPrefix(err.Error(), "node 1 asks at ") ||
+		!strings.HasSuffix(err.Error(), "to be woken at once, over and over") {
 		t.Errorf("ended with %v", err)
 	}
 	if _, err := Run(context.Background(), Options{Scenario: read(t, "calm", 3), Seed: 1, NewDecider: NewBalancer, MaxEvents: 1000}); err == nil {
@@ -141,8 +142,10 @@
 	o.Decider.TimerFired(now, cookie)
 }
 
-func TestAWakeInThePastComesAtOnce(t *testing.T) {
-	r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider {
+func TestTimerInThePastFiresAtOnce(t *testing.T) {
+	r := played(t, read(t, "calm", 2), func(
+		node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState,
+	) Decider {
 		return &once{Decider: NewBalancer(node, set, seed, host, see), host: host}
 	})
 	if len(r.Violations) > 0 || countOf(r, trace.Succeeded) < len(r.Outcomes)*99/100 {
@@ -159,11 +162,14 @@
 	return n
 }
 
-// A node that dies takes what it holds with it, and what was on its way to it reaches nobody; no rule is broken by that.
-func TestANodeDiesWithEventsInFlight(t *testing.T) {
+// A node that dies takes what it holds with it, and what was on its way to it reaches nobody; no rule is broken by
+// that.
+func TestNodeKilledWithEventsInFlight(t *testing.T) {
 	s := read(t, "nodes-killed", 12)
 	for at := range 30 {
-		s.Faults = append(s.Faults, scenario.Fault{Kind: "kill", At: scenario.Duration(2e9 + int64(at)*2e8), For: 3e8, Nodes: []int{at % 12}})
+		s.Faults = append(s.Faults, scenario.Fault{
+			Kind: "kill", At: scenario.Duration(2e9 + int64(at)*2e8), For: 3e8, Nodes: []int{at % 12},
+		})
 	}
 	r := played(t, s, NewBalancer)
 	if len(r.Violations) > 0 {
@@ -177,9 +183,9 @@
 	}
 }
 
-// Clocks of nodes that differ by more than any limit must not matter: a node goes by its own, and starts of servers are the
-// one moment that it is told.
-func TestClocksOfNodesMayDiffer(t *testing.T) {
+// Clocks of nodes that differ by more than any limit must not matter: a node goes by its own, and starts of servers
+// are the one moment that it is told.
+func TestClockSkew(t *testing.T) {
 	s := read(t, "rolling-restart", 6)
 	s.Nodes.ClockSkew = scenario.Duration(2e9)
 	if r := played(t, s, NewBalancer); len(r.Violations) > 0 || countOf(r, trace.Succeeded) < len(r.Outcomes)*95/100 {
@@ -188,12 +194,14 @@
 }
 
 // The judge has to be able to say no here as well: one that sends exclusive tasks twice, and one that keeps them.
-func TestTheJudgeSeesWhatANodeDoesWrong(t *testing.T) {
+func TestViolationsAreFound(t *testing.T) {
 	for rule, wrong := range map[int]func(policy.Effects) policy.Effects{
 		1: func(h policy.Effects) policy.Effects { return &silent{Effects: h} },
 		2: func(h policy.Effects) policy.Effects { return &twice{Effects: h} },
 	} {
-		r := played(t, read(t, "calm", 2), func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider {
+		r := played(t, read(t, "calm", 2), func(
+			node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState,
+		) Decider {
 			return NewBalancer(node, set, seed, wrong(host), see)
 		})
 		if len(r.Violations) == 0 || r.Violations[0].Rule != rule {
@@ -213,8 +221,8 @@
 
 func (s *silent) Send(policy.RequestID, policy.EndpointID, time.Duration) {}
 
-// TestNewsProbesAndMembersArePlayed has what nodes may say to one another, and ask of servers, be sent and heard.
-func TestNewsProbesAndMembersArePlayed(t *testing.T) {
+// TestGossipHealthChecksAndMembership has what nodes may say to one another, and ask of servers, be sent and heard.
+func TestGossipHealthChecksAndMembership(t *testing.T) {
 	s := read(t, "fail-fast", 12)
 	s.Nodes.Membership, s.Reports.HealthChecked = true, true
 	var all trace.FleetActivity
@@ -223,7 +231,10 @@
 		all.HealthChecks, all.Gossip, all.Members = all.HealthChecks+one.HealthChecks, all.Gossip+one.Gossip, all.Members+one.Members
 	}
 	if all.HealthChecks == 0 || all.Gossip == 0 || all.Members == 0 || len(r.Views) == 0 {
-		t.Errorf("%d probes, %d news, %d datagrams of members, %d beliefs", all.HealthChecks, all.Gossip, all.Members, len(r.Views))
+		t.Errorf(
+			"%d probes, %d news, %d datagrams of members, %d beliefs", all.HealthChecks, all.Gossip, all.Members,
+			len(r.Views),
+		)
 	}
 	if again := played(t, s, NewBalancer); text(t, again) != text(t, r) {
 		t.Error("not the same twice")
