--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -89,7 +89,7 @@
 		return false, err
 	}
 	defer w.heardAtNs.Store(0)
-	defer func() { _ = body.Close() }() // the watch has ended
+	defer body.Close()
 	lines := endpointlist.NewReader(body, w.limits)
 	for first := w.version == 0; ; first = false {
 		err := w.receiveEvent(lines, first)
