--- a/cmd/fawnglade/relay_test.go
+++ b/cmd/fawnglade/relay_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestRelayComplaints(t *testing.T) {
+func TestRelayConfigMistakes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "relay.toml")
 	if err := os.WriteFile(path, []byte("name = \"r\"\nrole = \"moon\"\nlisten = \"here\"\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/fawnglade/store.go
+++ b/cmd/fawnglade/store.go
@@ -60,7 +60,8 @@
 	return recovery, s.Close()
 }
 
-// printCheckJSON prints the result of checkStore, unless it is an error other than damage, and returns that result's error.
+// printCheckJSON prints the result of checkStore, unless it is an error other than damage, and returns that result's
+// error.
 func printCheckJSON(out io.Writer, recovery *store.Recovery, checkErr error) error {
 	result := map[string]any{"whole": checkErr == nil}
 	var corruption *store.CorruptionError
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -1,6 +1,6 @@
 package distribution
 
-// Helpers of the tests, and the plain cases: one by one, what a reader of the package's head expects.
+// Helpers of the tests, and the cases that the package comment describes, one by one.
 
 import (
 	"bytes"
@@ -51,7 +51,7 @@
 	return link{from, id}
 }
 
-// drain hands over all frames that may go out now.
+// drain delivers all frames that are due now.
 func (l link) drain(t testing.TB, now int64, to taker) (frames [][]byte) {
 	t.Helper()
 	for range 100000 {
@@ -145,7 +145,7 @@
 	if age, _ := s.Age(4*second, "eu1/cart"); age != 0 {
 		t.Fatal("age after a heartbeat", age)
 	}
-	// Cut off from the origin the lowest relay's heartbeats go on, and what it holds grows old.
+	// Cut off from the origin, the lowest relay goes on with heartbeats, and the age of what it holds grows.
 	for now := 5 * second; now <= 9*second; now += second {
 		b.drain(t, now, low)
 		c.drain(t, now, s)
@@ -204,7 +204,7 @@
 	expect(t, "records at the relay", o.Relay().byClass.Len(), 1)
 }
 
-func TestSameIsNoChange(t *testing.T) {
+func TestSameStateIsNoChange(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	v := put(t, o, "s", "k", ClassEndpoint, "x")
 	expect(t, "version", put(t, o, "s", "k", ClassEndpoint, "x"), v)
@@ -218,7 +218,7 @@
 		t.Fatal("one goes, two are spoilt", n, err)
 	}
 	expect(t, "what is of another kind stays", o.Relay().Stats().Records, 1)
-	// A new epoch with the same bodies tells nobody of a change.
+	// A new epoch with the same bodies is no change at a subscriber.
 	s := newLeaf(t, Selector{Scope: "s"})
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
 	s.changes = nil
@@ -229,7 +229,7 @@
 	expect(t, "position", s.Position("s"), Position{2, 1})
 }
 
-func TestResumedWithoutRecords(t *testing.T) {
+func TestResumeWithoutRecords(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
 	for i := range 100 {
@@ -247,8 +247,8 @@
 	expect(t, "records of a resumption after one change", o.Relay().Stats().SentRecords-sent, int64(1))
 }
 
-// A relay that started with nothing tells a subscriber of the same epoch what it holds by name, without the bodies.
-func TestAnewByName(t *testing.T) {
+// A relay that started empty names the records that a subscriber of the same epoch holds, without their bodies.
+func TestSnapshotNamesHeldRecords(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	s := newLeaf(t, Selector{Scope: "s"})
 	for i := range 100 {
@@ -271,7 +271,7 @@
 	}
 }
 
-func TestNameOfWhatIsNotHeld(t *testing.T) {
+func TestKeyOnlyRecordThatIsNotHeld(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	put(t, o, "s", "k", ClassEndpoint, "x")
 	s := newLeaf(t, Selector{Scope: "s"})
@@ -292,8 +292,8 @@
 	expect(t, "records", list(s.Subscriber), "s k=x\ns l=x\n")
 }
 
-// An origin without its list claims nothing, and takes nothing away.
-func TestOriginWithoutItsList(t *testing.T) {
+// An origin without its list claims nothing, and deletes nothing.
+func TestOriginAwaitsItsList(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	put(t, o, "s", "endpoint/a", ClassEndpoint, "A")
 	put(t, o, "s", "endpoint/b", ClassEndpoint, "B")
@@ -325,8 +325,8 @@
 	expect(t, "records sent, once each", o.Relay().Stats().SentRecords, int64(1))
 }
 
-// A subscriber that has heard of an epoch goes to a relay that has not: it is told nothing until that has.
-func TestRelayOfAnOldEpoch(t *testing.T) {
+// A subscriber gets nothing from a relay of an older epoch than it has seen, until the relay has reached that.
+func TestRelayOfOlderEpoch(t *testing.T) {
 	old := NewOrigin(1, Limits{})
 	put(t, old, "s", "endpoint/a", ClassEndpoint, "A")
 	behind := newInner(t, Limits{}, Selector{Prefix: true})
@@ -352,7 +352,7 @@
 	}
 }
 
-// A slow subscriber costs a relay its cursors: changes of a record that are not sent are one.
+// A slow subscriber costs a relay its cursors alone: changes of a record that are not sent yet are one.
 func TestSlowSubscriberIsBounded(t *testing.T) {
 	o := NewOrigin(1, Limits{Tombstones: 10})
 	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "quiet"})
@@ -430,7 +430,7 @@
 	if longest > second {
 		t.Fatal("silence", longest)
 	}
-	// In debt by one great body the heartbeats go on, and are small.
+	// Behind its pace by one large body, a session goes on with small heartbeats.
 	put(t, o, "s", "great", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
 	l.from.sessions[l.id].bytesPerSecond, l.from.sessions[l.id].dueNs = 1000, now
 	expect(t, "frames of a great body", len(l.drain(t, now, s)), 1)
@@ -445,8 +445,8 @@
 	expect(t, "records", s.Stats().Records, 2001)
 }
 
-// While one scope's backlog is sent, the others' ages are told.
-func TestAgesBesideABacklog(t *testing.T) {
+// While one scope's backlog is sent, the others' ages stay known.
+func TestAgesDuringBacklog(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	put(t, o, "quiet", "k", ClassEndpoint, "x")
 	s := newLeaf(t, Selector{Scope: "busy"}, Selector{Scope: "quiet"})
@@ -478,7 +478,7 @@
 	}
 }
 
-func TestSpoiltRecords(t *testing.T) {
+func TestInvalidRecords(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "t"})
 	for _, k := range []string{"a", "b", "c"} {
@@ -488,7 +488,7 @@
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
 	s.Hello()
 	raw := func(v any) cbor.RawMessage { return encode(v) }
-	// Anew, with a record of a class that this build does not know, one that is no record, and one more.
+	// A snapshot with a record of an unknown class, one that is no record, and one more.
 	f := encode(map[int]any{1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{
 		[]any{"s", []any{[]any{"a", 3, 7, []byte("x")}, "nonsense", raw([]any{"d", 1, 8, []byte("y")})}},
 		[]any{"foreign", []any{[]any{"a", 1, 9, []byte("x")}}},
@@ -496,7 +496,7 @@
 	if _, err := s.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
-	// What could not be read may have named any record of its scope: they stay. The other scope is empty.
+	// The invalid ones may have named any record of their scope: these stay. The other scope is empty.
 	expect(t, "records", list(s.Subscriber), "s a=x\ns b=x\ns c=x\ns d=y\n")
 	st := s.Stats()
 	expect(t, "spoilt", st.InvalidRecords, int64(2))
@@ -504,14 +504,14 @@
 	if !strings.Contains(st.LastInvalid, `"s"`) {
 		t.Fatal("named:", st.LastInvalid)
 	}
-	// A group that can't be read may have named anything.
+	// A group that can't be decoded may have named anything.
 	s.Hello()
 	f = encode(map[int]any{1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{"nonsense"}, 6: []int{0, 1}, 7: 10})
 	if _, err := s.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
 	expect(t, "records", s.Stats().Records, 4)
-	// And later, whole, the scope goes by what it is.
+	// A later snapshot without invalid records counts in full.
 	s.Hello()
 	f = encode(map[int]any{1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{[]any{"s", []any{[]any{"d", 0x21, 8, nil}}}}, 6: []int{0, 1}, 7: 10})
 	if _, err := s.Receive(0, f); err != nil {
@@ -520,7 +520,7 @@
 	expect(t, "records", list(s.Subscriber), "s d=y\n")
 }
 
-func TestBoundsAreNamed(t *testing.T) {
+func TestLimitsAreNamed(t *testing.T) {
 	refused := func(what string, err error, is error) {
 		t.Helper()
 		if !errors.Is(err, is) || !strings.Contains(err.Error(), what) {
@@ -630,7 +630,7 @@
 	}
 }
 
-func TestFramesThatAreWrong(t *testing.T) {
+func TestBadFrames(t *testing.T) {
 	for what, f := range map[string]frame{
 		"a number missed":     {Number: 2, Epoch: 1},
 		"begin of none":       {Number: 1, Epoch: 1, Begin: []uint32{9}},
@@ -661,7 +661,7 @@
 	}
 }
 
-func TestReadyNamesWhoHasSomething(t *testing.T) {
+func TestReadyNamesSubscribersWithFrames(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	a, b := newLeaf(t, Selector{Scope: "a"}), newLeaf(t, Selector{Scope: "b"})
 	la, lb := attach(t, 0, o.Relay(), a, 0), attach(t, 0, o.Relay(), b, 0)
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -1,14 +1,14 @@
 package distribution
 
-// What comes from outside, spoilt in any way: it must cost an error or a counter, never more.
+// Messages from outside, corrupted in any way, must cost an error or a counter, never more.
 
 import (
 	"fmt"
 	"testing"
 )
 
-// spoilable is a whole conversation: a hello, and the frames of a scope told anew, of changes and of a heartbeat.
-func spoilable(t testing.TB) (hello []byte, frames [][]byte) {
+// conversation returns a hello, and the frames of a snapshot, of changes and of a heartbeat.
+func conversation(t testing.TB) (hello []byte, frames [][]byte) {
 	o := NewOrigin(7, Limits{})
 	s := newLeaf(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
 	for i := range 5 {
@@ -37,7 +37,7 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	_, frames := spoilable(f)
+	_, frames := conversation(f)
 	for _, b := range frames {
 		f.Add(b)
 	}
@@ -92,7 +92,7 @@
 }
 
 func FuzzHello(f *testing.F) {
-	hello, _ := spoilable(f)
+	hello, _ := conversation(f)
 	f.Add(hello)
 	f.Add([]byte{0xa0})
 	f.Add(encode(helloAt(Position{9, 3})))
--- a/internal/distribution/guards_test.go
+++ b/internal/distribution/guards_test.go
@@ -49,7 +49,7 @@
 
 var first = []uint32{0}
 
-func TestRepeatedFrameIsPassedOver(t *testing.T) {
+func TestRepeatedFrameIsIgnored(t *testing.T) {
 	s := newLeaf(t, Selector{Scope: "s"})
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", 1, 5))})
@@ -60,7 +60,7 @@
 	expect(t, "old frames", s.Stats().StaleFrames, int64(1))
 }
 
-func TestLowerEpochIsPassedOver(t *testing.T) {
+func TestLowerEpochIsIgnored(t *testing.T) {
 	s := newLeaf(t, Selector{Scope: "s"})
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 2, Groups: in("s", rec("k", 1, 5))})
@@ -71,21 +71,22 @@
 	expect(t, "complete", s.Complete(), false)
 }
 
-func TestOlderRecordsAreDead(t *testing.T) {
+func TestOlderRecordsStayDeleted(t *testing.T) {
 	s := newLeaf(t, Selector{Scope: "s"})
 	e := newSession(t, s)
-	// Before the scope is whole a tombstone keeps the older state out, and goes when the position has passed it.
+	// Before the scope is complete a tombstone keeps the older state out, and is dropped once the position has passed
+	// it.
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", flagDeleted, 9), rec("l", 1, 8))})
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", 1, 5), rec("l", 1, 7))})
 	expect(t, "records", list(s.Subscriber), "s l=8\n")
 	expect(t, "tombstones", s.Stats().Tombstones, 1)
 	e.send(0, frame{Epoch: 1, End: first, Through: 10})
 	expect(t, "tombstones", s.Stats().Tombstones, 0)
-	// Once it is whole, what is not held and not newer is dead by the position alone.
+	// Once it is complete, what is not held and not newer is deleted by the position alone.
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", 1, 5), rec("m", 1, 10))})
 	expect(t, "records", list(s.Subscriber), "s l=8\n")
 	expect(t, "stale", s.Stats().Stale, int64(4))
-	// Gone, back and gone within one frame leaves one tombstone to bury.
+	// Deleted, back and deleted within one frame leaves one tombstone to drop.
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("n", flagDeleted, 11), rec("n", 1, 12), rec("n", flagDeleted, 13))})
 	e.send(0, frame{Epoch: 1, Through: 13, All: true})
 	expect(t, "records", list(s.Subscriber), "s l=8\n")
@@ -100,7 +101,7 @@
 	expect(t, "records", list(s.Subscriber), "s k=20\n")
 }
 
-func TestSessionEndsWhatItBegan(t *testing.T) {
+func TestHelloVoidsSnapshots(t *testing.T) {
 	s := newLeaf(t, Selector{Scope: "s"})
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", 1, 5))})
@@ -170,7 +171,7 @@
 	age(12*second, second)
 }
 
-func TestRecordsThatAreNone(t *testing.T) {
+func TestInvalidRecordFields(t *testing.T) {
 	s := newLeaf(t, Selector{Prefix: true})
 	long := strings.Repeat("n", MaxNameBytes+1)
 	e := newSession(t, s)
@@ -184,7 +185,7 @@
 	}
 }
 
-func TestTooLongThoughSound(t *testing.T) {
+func TestOversizedMessages(t *testing.T) {
 	s := newLeaf(t, Selector{Scope: "s"})
 	s.Hello()
 	f := frame{Session: 1, Number: 1, Epoch: 1, Groups: in("s")}
@@ -203,8 +204,8 @@
 	}
 }
 
-// A relay claims what it knows, once it does.
-func TestWhenARelayIsWhole(t *testing.T) {
+// A relay claims a position once it is complete.
+func TestWhenRelayIsComplete(t *testing.T) {
 	r := newInner(t, Limits{}, Selector{Scope: "s"}, Selector{Scope: "t"})
 	down := newLeaf(t, Selector{Scope: "s"})
 	l := attach(t, 0, r.Relay, down, 0)
@@ -243,7 +244,7 @@
 	whole("progress of a new epoch alone", false)
 	expect(t, "epoch of what is served", down.Position("s").Epoch, uint64(1))
 
-	// To who knows of a higher epoch it claims nothing, whole as it is.
+	// To a subscriber that has seen a higher epoch it claims nothing, complete as it is.
 	old := NewOrigin(1, Limits{})
 	s := newLeaf(t, Selector{Scope: "s"})
 	newSession(t, s).send(0, frame{Epoch: 2, Groups: in("s", rec("k", 1, 5))})
@@ -258,8 +259,8 @@
 	}
 }
 
-// Tombstones of what a relay can't claim to know stay over their bound: the older state may come yet.
-func TestTombstonesThatMustStay(t *testing.T) {
+// Tombstones that are newer than the claim stay beyond the limit: the older state may still come.
+func TestTombstonesBeyondClaimStay(t *testing.T) {
 	r := newInner(t, Limits{Tombstones: 1}, Selector{Scope: "s"})
 	e := newSession(t, r)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", flagDeleted, 9), rec("b", flagDeleted, 10), rec("c", flagDeleted, 11))})
@@ -280,8 +281,8 @@
 	}
 }
 
-// Records that came to a relay out of the order of versions reach who resumes, and those that it has do not come again.
-func TestResumedAtARelayOutOfOrder(t *testing.T) {
+// Records that reached a relay out of the order of versions are sent at a resumption, and those held are not.
+func TestResumeAtRelayOutOfOrder(t *testing.T) {
 	r := newInner(t, Limits{}, Selector{Scope: "s"})
 	e := newSession(t, r)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", 1, 9), rec("l", 1, 5))})
@@ -294,7 +295,7 @@
 
 // A subscriber goes on at a relay that is behind it; that is told anew, begin and end in one frame, and what has come
 // and gone in between it never knew.
-func TestBehindAndToldAnew(t *testing.T) {
+func TestRelayBehindGetsSnapshot(t *testing.T) {
 	o := NewOrigin(1, Limits{Tombstones: 1})
 	behind := newInner(t, Limits{}, Selector{Prefix: true})
 	attach(t, 0, o.Relay(), behind, 0).drain(t, 0, behind)
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -25,7 +25,8 @@
 	body    string
 }
 
-// truth is all that ever was, by epoch; loaded is the version at which an epoch's origin had its whole list.
+// truth is the history of all records, by epoch; loaded is the version at which an epoch's origin had its complete
+// list.
 type truth struct {
 	history map[uint64]map[nameOf][]entry
 	loaded  map[uint64]uint64
@@ -53,7 +54,7 @@
 	return false
 }
 
-// claimed holds someone to what it says it knows of the scopes that a selector covers.
+// claimed checks a claim to know the scopes that a selector covers against the truth.
 func (h *truth) claimed(t *rapid.T, who string, s Selector, at Position, holds map[nameOf]Record) {
 	if at.Epoch == 0 {
 		return
@@ -149,7 +150,7 @@
 	n.truth.history[n.epoch] = map[nameOf][]entry{}
 }
 
-// load has the origin take in the whole list as it is now.
+// load replaces the origin's list by what is live.
 func (n *network) load() {
 	var all []Record
 	for _, name := range slices.SortedFunc(maps.Keys(n.live), func(a, b nameOf) int { return strings.Compare(a.scope+a.key, b.scope+b.key) }) {
@@ -165,7 +166,7 @@
 	}
 }
 
-// note writes down what the origin has made of its last call.
+// note records the origin's state after its last call.
 func (n *network) note() {
 	history := n.truth.history[n.epoch]
 	n.origin.relay.replica.items.Ascend(func(it *item) bool {
@@ -206,7 +207,7 @@
 	return r == n.origin.relay || slices.ContainsFunc(n.ends, func(e *end) bool { return e.relay == r })
 }
 
-// cut ends a session; what was on its way may still come.
+// cut ends a session; frames that were on their way may still arrive.
 func (n *network) cut(e *end) {
 	if e.from != nil {
 		e.from.Detach(e.id)
@@ -237,7 +238,7 @@
 	e.from, e.id = from, id
 }
 
-// send puts up to so many frames on the way.
+// send puts up to most frames on their way.
 func (n *network) send(e *end, most int) {
 	for sent := 0; e.from != nil && sent < most; sent++ {
 		f, _ := e.from.Next(n.now, e.id)
@@ -269,7 +270,7 @@
 	return err
 }
 
-// look holds an end to all that must always be so.
+// look checks the invariants of an end.
 func (n *network) look(e *end, changes []Change) {
 	t := n.t
 	holds := map[nameOf]Record{}
@@ -404,7 +405,7 @@
 	return n.come(e, e.last)
 }
 
-// settle ends all faults: everybody is connected, and time goes on.
+// settle ends all faults: every end is connected, and time goes on.
 func (n *network) settle() {
 	t := n.t
 	if !n.loaded {
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -26,7 +26,7 @@
 
 	epoch       uint64
 	complete    bool
-	claimed     Position // what subscribers are told to know; never falls
+	claimed     Position // what is claimed to subscribers; never falls
 	floor       Position // a subscriber at a lower position gets a snapshot
 	snapshotEnd Position // the end of the last snapshot that this relay received
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// adoptEpoch takes a newer epoch for the relay's own: every feed is decided anew.
+// adoptEpoch takes a newer epoch for the relay's own: every feed is decided again.
 func (r *Relay) adoptEpoch() {
 	if r.replica.epochSeen == r.epoch {
 		return
--- a/internal/distribution/session.go
+++ b/internal/distribution/session.go
@@ -242,7 +242,7 @@
 		s.setState(f, feedWaiting, f.queued)
 	case f.position.Epoch != r.epoch || r.complete && f.position.compare(r.floor) < 0:
 		r.startSnapshot(s, index)
-	default: // also while this relay is not complete: the feed is decided anew when it is
+	default: // also while this relay is not complete: the feed is decided again when it is
 		r.startDelta(s, index)
 	}
 }
--- a/internal/distribution/size_test.go
+++ b/internal/distribution/size_test.go
@@ -1,7 +1,7 @@
 package distribution
 
-// What things cost: bytes on the wire, memory a record and a selector, time of a change. Figures are told by
-// benchmarks; what must hold at any size is a test.
+// Costs: bytes on the wire, memory of a record and a selector, time of a change. Benchmarks report figures; tests
+// check what must hold at any size.
 
 import (
 	"fmt"
@@ -54,7 +54,7 @@
 	}
 }
 
-// region is a relay's part: so many subscribers, each with some scopes of all.
+// region is a relay with subscribers, each of some of the scopes.
 func region(t testing.TB, records, scopes, subscribers, each int) (*Origin, []link, []*leaf) {
 	o := NewOrigin(1, Limits{})
 	for i := range records {
@@ -80,7 +80,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// A change wakes the subscribers of its scope alone, and is sent without a look at anything else.
+// A change makes the subscribers of its scope ready, and no others.
 func TestChangeTouchesItsSubscribersAlone(t *testing.T) {
 	o, links, leaves := region(t, 4000, 1000, 50, 20)
 	for i, l := range links {
--- a/internal/endpointsource/overlay.go
+++ b/internal/endpointsource/overlay.go
@@ -88,7 +88,10 @@
 	if !inOverlay {
 		return endpoint, endpoint.State != StateUp || endpoint.StartedAtNs > s.overlay.heardAtNs
 	}
-	order := cmp.Or(cmp.Compare(previous.StartedAtNs, endpoint.StartedAtNs), cmp.Compare(previous.State, endpoint.State))
+	order := cmp.Or(
+		cmp.Compare(previous.StartedAtNs, endpoint.StartedAtNs),
+		cmp.Compare(previous.State, endpoint.State),
+	)
 	if order > 0 {
 		return previous, true
 	}
--- a/internal/endpointsource/selector.go
+++ b/internal/endpointsource/selector.go
@@ -4,7 +4,7 @@
 	// RelayStartupWaitNs is how long a node waits for relays alone after its start, in nanoseconds.
 	RelayStartupWaitNs = int64(1e9)
 	// OverlayNs is how long the previous source's list is merged into the active source's, at most, in nanoseconds.
-	// The versions of a discovery that has been started anew may never reach the previous ones.
+	// The versions of a discovery that was restarted may never reach the previous ones.
 	OverlayNs = int64(60e9)
 )
 
@@ -77,7 +77,8 @@
 // UpdateRelays applies what relays have sent.
 func (s *Selector[V]) UpdateRelays(nowNs int64, update RelayUpdate[V]) Update[V] {
 	relays := &s.lists[SourceRelays]
-	passedRestored := s.active == SourceRelays && relays.version <= s.restoredVersion && update.Version > s.restoredVersion
+	passedRestored := s.active == SourceRelays &&
+		relays.version <= s.restoredVersion && update.Version > s.restoredVersion
 	relays.complete = update.Complete
 	relays.connected = update.Connected
 	relays.version = update.Version
--- a/internal/relay/deploy_test.go
+++ b/internal/relay/deploy_test.go
@@ -9,7 +9,7 @@
 )
 
 // The files of the worked example in docs/operate/relay.md load, and fit one another.
-func TestTheWorkedExampleLoads(t *testing.T) {
+func TestExampleConfigurationLoads(t *testing.T) {
 	dir := "../../deploy/relay/"
 	origin, err := ReadConfig(dir + "origin.toml")
 	if err != nil {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -74,7 +74,7 @@
 func (w *discoveryWatch) follow(ctx context.Context) (received bool, err error) {
 	call := discovery.Call{
 		Address:        w.address,
-		Request:        fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address),
+		Request:        w.request(),
 		ConnectTimeout: watchConnectTimeout,
 		FirstGap:       watchResponseTimeout,
 		Gap:            watchResponseTimeout,
@@ -103,6 +103,11 @@
 	}
 }
 
+// request returns the request for the list, or for what has changed in it since the origin's version.
+func (w *discoveryWatch) request() string {
+	return fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address)
+}
+
 // receiveEvent reads one line of the list and applies it. first: it answers a request for the complete list.
 func (w *discoveryWatch) receiveEvent(lines *endpointlist.Reader, first bool) error {
 	var records []distribution.Record
@@ -129,7 +134,7 @@
 }
 
 // connectionGraceNs is how long an origin is without a watch before it reports that: one that ends is most often
-// opened anew at once. With watchSilenceTimeout, the hops below and a node's own request, a change has to arrive
+// opened again at once. With watchSilenceTimeout, the hops below and a node's own request, a change has to arrive
 // within 6 s.
 const connectionGraceNs = int64(500e6)
 
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -23,7 +23,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// standIn is a discovery: it answers each watch with the whole list, then with what changes.
+// standIn stands for discovery: it answers each watch with the complete list, then with changes.
 type standIn struct {
 	at      string
 	mu      sync.Mutex
@@ -98,7 +98,7 @@
 	}
 }
 
-// set changes a host; health "removed" takes it off, as the protocol has it.
+// set changes a host; health "removed" removes it, as in the protocol.
 func (d *standIn) set(host, site, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// cut ends all watches; silent: from now on it takes calls and says nothing.
+// cut ends all watches; silent: from now on it accepts requests and sends nothing.
 func (d *standIn) cut(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -181,7 +181,7 @@
 	return fmt.Sprintf("name = %q\nrole = \"relay\"\nlisten = %q\nupstream = %s\nscopes = %s\n", name, listen, list(upstream), list(scopes))
 }
 
-// held is what a subscriber holds, and every change that it was told.
+// held is what a subscriber holds, and every change that it received.
 type held struct {
 	*SubscriberSink
 	client  *Client
@@ -258,7 +258,7 @@
 	}
 }
 
-func TestFromDiscoveryThroughTwoLevelsToANode(t *testing.T) {
+func TestDiscoveryToNodeThroughTwoRelays(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h1", "a", "up")
 	d.set("h2", "b", "up")
@@ -286,8 +286,8 @@
 	})
 }
 
-// While discovery is away nothing is withdrawn, and an origin that starts without a list takes nothing from anybody.
-func TestDiscoveryAwayTakesNothingAway(t *testing.T) {
+// While discovery is away nothing is removed, also not by an origin that starts without a list.
+func TestDiscoveryOutageRemovesNothing(t *testing.T) {
 	d := newStandIn(t)
 	d.set("h1", "a", "up")
 	dir := t.TempDir()
@@ -320,8 +320,8 @@
 	h.wait(t, "with discovery back", "eu1/cart endpoint/h2", "eu1/cart route/x", "eu1/cart route/y")
 }
 
-// A relay that starts anew with nothing brings no removals, and nothing twice, while its upstream is away.
-func TestARelayStartedAnewTakesNothingAway(t *testing.T) {
+// A relay that restarts empty while its upstream is away sends no removals, and nothing twice.
+func TestRestartedRelayRemovesNothing(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	for i := range 50 {
 		d.set(fmt.Sprintf("h%02d", i), "a", "up")
@@ -353,7 +353,7 @@
 	}
 }
 
-// Two relays: one dies, one is frozen, and the node goes on with what the origin has.
+// Of two relays one fails and one is stopped, and the node still gets the origin's changes.
 func TestTwoRelays(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h0", "a", "up")
@@ -389,8 +389,8 @@
 	}
 }
 
-// A relay that has nothing, and gets nothing, is left for one that has.
-func TestARelayThatBringsNothingIsLeft(t *testing.T) {
+// A relay that is empty, and receives nothing, is left for another.
+func TestEmptyRelayIsLeft(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h", "a", "up")
 	o := start(t, originText("127.0.0.1:0", d.at, dir))
@@ -404,8 +404,8 @@
 	h.wait(t, "what the other has", "eu1/cart endpoint/h")
 }
 
-// A relay that sends what there is, slowly, is not left, whether all is told or a burst of changes.
-func TestARelayThatSendsAtItsPaceIsNotLeft(t *testing.T) {
+// A relay that sends at its pace is not left, during a snapshot or a burst of changes.
+func TestPacedRelayIsNotLeft(t *testing.T) {
 	const hosts = 150
 	d, dir := newStandIn(t), t.TempDir()
 	set := func(health string) {
@@ -443,7 +443,7 @@
 	}
 }
 
-func TestTheEndIsOrderly(t *testing.T) {
+func TestProcessShutdown(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{o.Address()}})
@@ -477,8 +477,8 @@
 	}
 }
 
-// An origin whose clock went back, without a file that keeps the epoch, is not believed; one with it is.
-func TestAnOriginWhoseClockWentBack(t *testing.T) {
+// An origin whose clock was set back is ignored without a file that stores the epoch.
+func TestOriginWithClockSetBack(t *testing.T) {
 	newer, older := distribution.NewOrigin(2000, distribution.Limits{}), distribution.NewOrigin(1000, distribution.Limits{})
 	for body, origin := range map[string]*distribution.Origin{"new": newer, "old": older} {
 		if _, err := origin.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte(body)); err != nil {
@@ -518,7 +518,7 @@
 	})
 }
 
-func TestConfigurationFilesCountWholeOrNotAtAll(t *testing.T) {
+func TestConfigurationFilesAreAtomic(t *testing.T) {
 	dir := t.TempDir()
 	core, logs := observer.New(zapcore.WarnLevel)
 	d := newConfigDirectory(dir, zap.New(core))
@@ -580,7 +580,7 @@
 	look("no directory", false)
 }
 
-func TestAllComplaintsAtOnce(t *testing.T) {
+func TestConfigReportsAllMistakes(t *testing.T) {
 	_, err := ParseConfig("r.toml", []byte("name = \"\"\nrole = \"relay\"\nlisten = \"here\"\nupstream = [\"x\", \"127.0.0.1:1\", \"127.0.0.1:1\"]\nscopes = [\"a*b\"]\npace = 5\nwhat = 1\n[limits]\nrecords = -1\n[origin]\n"))
 	if err == nil {
 		t.Fatal("no complaint")
--- a/internal/relay/tcp_test.go
+++ b/internal/relay/tcp_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap"
 )
 
-// counting is a feed of numbered frames: frame i holds i. A subscriber's hello says which it has.
+// counting is a feed of numbered frames: frame i holds i. A subscriber's hello says which it has received.
 type counting struct {
 	last    uint64
 	subs    map[int]*place
@@ -205,7 +205,7 @@
 	return c, sink
 }
 
-func TestEachFrameComesOnceAndInOrder(t *testing.T) {
+func TestFramesArriveOnceInOrder(t *testing.T) {
 	s := newStation(t, ServerConfig{})
 	_, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{s.at}})
 	for range 20 {
@@ -214,8 +214,8 @@
 	soon(t, "all frames", 5*time.Second, func() bool { return sink.at() == 1000 })
 }
 
-// An upstream that dies is left at once, in whichever way it dies, and nothing is lost or doubled.
-func TestAnUpstreamThatDiesIsLeftForAnother(t *testing.T) {
+// An upstream that fails, in whichever way, is left at once, and no frame is lost or repeated.
+func TestFailedUpstreamIsLeft(t *testing.T) {
 	a, b := newStation(t, ServerConfig{}), newStation(t, ServerConfig{})
 	a.add(10)
 	b.add(10)
@@ -230,7 +230,7 @@
 	}
 }
 
-// frozen accepts as the system does for a process that stands still, and says nothing.
+// frozen accepts connections as the system does for a stopped process, and sends nothing.
 func frozen(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -288,13 +288,13 @@
 	return l.Addr().String(), func() { still.Store(true) }
 }
 
-func TestAFrozenUpstreamIsLeftBySilence(t *testing.T) {
+func TestStoppedUpstreamIsLeft(t *testing.T) {
 	a, b := newStation(t, ServerConfig{}), newStation(t, ServerConfig{})
 	a.add(10)
 	b.add(10)
 	still := frozen(t)
 	way, freeze := freezing(t, a.at)
-	// The second one stands still too, from the start: it is passed by as it does not greet.
+	// The second one is stopped too, from the start: it is skipped as it does not greet.
 	c, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{way, still, b.at}})
 	soon(t, "the first ten", 5*time.Second, func() bool { return sink.at() == 10 })
 	freeze()
@@ -310,7 +310,7 @@
 	}
 }
 
-func TestTheFirstChoiceIsTakenUpAgainWithoutAGap(t *testing.T) {
+func TestFailbackWithoutGap(t *testing.T) {
 	a, b := newStation(t, ServerConfig{}), newStation(t, ServerConfig{})
 	a.add(3)
 	b.add(3)
@@ -328,8 +328,8 @@
 	soon(t, "that the second one notices", 5*time.Second, func() bool { return b.Stats().Subscribers == 0 })
 }
 
-// A first choice that stands still, or says that it lacks something, is not gone back to.
-func TestAFirstChoiceThatIsOfNoUseIsLeftAlone(t *testing.T) {
+// There is no failback to a first choice that is stopped or not fresh.
+func TestNoFailbackToUnusableFirstChoice(t *testing.T) {
 	lacking := newStation(t, ServerConfig{Fresh: func() bool { return false }})
 	lacking.add(3)
 	b := newStation(t, ServerConfig{})
@@ -344,15 +344,15 @@
 	}
 }
 
-// Where no upstream has all, one that lacks something is better than none.
-func TestAnUpstreamThatLacksSomethingIsBetterThanNone(t *testing.T) {
+// Where no upstream is fresh, one that is not is better than none.
+func TestStaleUpstreamIsLastResort(t *testing.T) {
 	lacking := newStation(t, ServerConfig{Fresh: func() bool { return false }})
 	lacking.add(3)
 	_, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{"127.0.0.1:1", lacking.at}})
 	soon(t, "three by the one that lacks something", 5*time.Second, func() bool { return sink.at() == 3 })
 }
 
-func TestAnUpstreamThatIsBehindIsLeft(t *testing.T) {
+func TestLaggingUpstreamIsLeft(t *testing.T) {
 	a, b := newStation(t, ServerConfig{}), newStation(t, ServerConfig{})
 	c, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{a.at, b.at}, MaxLag: 150 * time.Millisecond})
 	soon(t, "a connection", 5*time.Second, func() bool { return a.Stats().Subscribers == 1 })
@@ -364,7 +364,7 @@
 	}
 }
 
-func TestASubscriberThatTakesNothingIsEndedAndBounded(t *testing.T) {
+func TestSlowSubscriberIsDisconnected(t *testing.T) {
 	feed := newCounting()
 	feed.padding = 60 << 10
 	s := stationAt(t, "127.0.0.1:0", feed, ServerConfig{WriteTimeout: 300 * time.Millisecond})
@@ -385,7 +385,7 @@
 }
 
 // A frame over the limit ends that connection alone.
-func TestATooLongFrameEndsItsConnectionAlone(t *testing.T) {
+func TestOversizedFrameEndsOneConnection(t *testing.T) {
 	s := newStation(t, ServerConfig{})
 	long, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -412,7 +412,7 @@
 	if st := c.Stats(); st.Oversized != 1 {
 		t.Errorf("too long = %d, expected 1", st.Oversized)
 	}
-	// The server's side: a hello over the limit, and one that makes no sense.
+	// The server's side: a hello over the limit, and invalid ones.
 	for _, text := range []string{"\xff\xff\xff\xff", "\x00\x00\x00\x02hi", "GET / HTTP/1.1\r\n\r\n"} {
 		conn, err := net.Dial("tcp", s.at)
 		if err != nil {
@@ -453,7 +453,7 @@
 	}
 }
 
-func TestSubscribersAreBoundedWithoutAWordFromTheFeed(t *testing.T) {
+func TestMaxConnectionsBoundsSubscribers(t *testing.T) {
 	s := newStation(t, ServerConfig{MaxConnections: 3})
 	for range 10 {
 		c, err := net.Dial("tcp", s.at)
@@ -470,7 +470,7 @@
 	}
 }
 
-func TestASubscriberThatSpeaksAfterItsHelloIsEnded(t *testing.T) {
+func TestSubscriberSendingAfterHelloIsDisconnected(t *testing.T) {
 	s := newStation(t, ServerConfig{})
 	c, err := net.Dial("tcp", s.at)
 	if err != nil {
@@ -485,8 +485,8 @@
 	soon(t, "its end", 5*time.Second, func() bool { return s.Stats().Subscribers == 0 })
 }
 
-// Everybody's upstream is gone: the tries are bounded.
-func TestTriesAreBounded(t *testing.T) {
+// While all upstreams are unreachable, backoff bounds the attempts.
+func TestConnectionAttemptsAreBounded(t *testing.T) {
 	c, _ := follow(t, ClientConfig{Name: "n", Upstreams: []string{"127.0.0.1:1", "127.0.0.1:2"}})
 	time.Sleep(1500 * time.Millisecond)
 	if n := c.Stats().Dials; n > 14 || n < 4 {
@@ -494,7 +494,7 @@
 	}
 }
 
-// Clients of one name order keep it; those of many names fall on all upstreams alike, also once one of them has died.
+// Clients of many names spread evenly over the upstreams, also once one of them has failed.
 func TestClientsSpreadOverUpstreams(t *testing.T) {
 	ups := []string{"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"}
 	first, second := map[string]int{}, map[string]int{}
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// BenchmarkPut is durable writes of 100 bytes by so many writers at once, on the disk of the test's directory.
+// BenchmarkPut measures durable writes of 100 bytes by several writers at once, on the disk of the test's directory.
 func BenchmarkPut(b *testing.B) {
 	for _, writers := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint(writers), func(b *testing.B) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkOpen recovers a store of so many keys, and tells the memory that it then takes.
+// BenchmarkOpen measures recovery by the number of keys, and the memory that the store then takes.
 func BenchmarkOpen(b *testing.B) {
 	for _, keys := range []int{1000, 100000, 1000000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// BenchmarkOverwrite writes the same thousand keys over and over; what the log takes, over what stands, is the space
-// amplification, and all that was written, over what was asked for, that of writing.
+// BenchmarkOverwrite overwrites the same thousand keys, and reports the space amplification: the log's size over the
+// live bytes.
 func BenchmarkOverwrite(b *testing.B) {
 	s, _, err := Open(b.TempDir(), Options{SegmentBytes: 256 << 10})
 	if err != nil {
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzScan reads whatever may stand in a file: it neither panics nor tells of more than there is.
+// FuzzScan scans any content: the scan neither panics nor reports more than there is.
 func FuzzScan(f *testing.F) {
 	whole := encodeHeader([]uint64{3})
 	whole = append(whole, encodeFrame(1, []operation{{key: "a", value: []byte("1")}, {key: "b", remove: true}})...)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,7 +13,8 @@
 	"testing"
 )
 
-// disk is a directory that tells what was made durable from what was only written, fails when told to, and can crash.
+// disk is a directory in memory that keeps what was synced apart from what was only written, fails on demand and can
+// crash.
 type disk struct {
 	mu      sync.Mutex
 	now     map[string]*memFile // as a running program sees it
@@ -36,7 +37,7 @@
 	return &disk{now: map[string]*memFile{}, durable: map[string]*memFile{}, full: -1}
 }
 
-// step counts one thing that the store asks for; the lock is held.
+// step counts an operation of the store; the lock is held.
 func (d *disk) step() error {
 	d.steps++
 	if d.failAt > 0 && d.steps >= d.failAt {
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// crash is the disk after the power went: of what was not made durable, names and bytes, a part chosen by draw.
+// crash returns the disk after a power loss: of names and bytes that were not synced it holds a random part.
 func (d *disk) crash(draw *rand.Rand) *disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -212,7 +213,7 @@
 	}
 }
 
-// history writes batches of puts and deletes; states[i] is what stands after i of them.
+// history writes batches of puts and deletes; states[i] is the content after i of them.
 func history(t *testing.T, s *Store, n int, draw *rand.Rand) (states []map[string]string) {
 	t.Helper()
 	state := map[string]string{}
@@ -241,8 +242,8 @@
 	return slices.IndexFunc(states, func(s map[string]string) bool { return maps.Equal(s, got) })
 }
 
-// A log cut off at any byte comes back as it stood after its last whole batch, and goes on from there.
-func TestCutOffAtEveryByte(t *testing.T) {
+// A log that is cut off at any byte is recovered up to its last whole batch, and can be written again.
+func TestTornWriteAtEveryByte(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
 	states := history(t, s, 40, rand.New(rand.NewPCG(1, 1)))
@@ -278,9 +279,9 @@
 	}
 }
 
-// Any byte that is wrong is refused with its place, or was in the last batch, which might have been a crash's; nothing
-// is ever made up.
-func TestEveryByteWrong(t *testing.T) {
+// A corrupted byte is reported with its place, or was in the last batch, which may be a torn write; no content is ever
+// invented.
+func TestEveryByteCorrupted(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true, SegmentBytes: 400})
 	states := history(t, s, 30, rand.New(rand.NewPCG(2, 2)))
@@ -319,9 +320,9 @@
 	}
 }
 
-// The power goes at every step of a day with compactions: what was acknowledged stands, what was not stands whole or
-// not at all, and what was removed does not come back.
-func TestPowerGoesAtEveryStep(t *testing.T) {
+// After a power loss at any step, also of a compaction, all that was acknowledged is there, what was not is there as
+// a whole batch or not at all, and what was deleted does not come back.
+func TestPowerLossAtEveryStep(t *testing.T) {
 	play := func(d *disk, seed uint64) (acknowledged, perhaps map[string]string) {
 		draw := rand.New(rand.NewPCG(seed, 3))
 		acknowledged = map[string]string{}
@@ -415,7 +416,7 @@
 	}
 }
 
-// Many write at once; a snapshot stands still meanwhile, and compaction goes on by itself.
+// Several writers at once, with compactions: a snapshot does not change meanwhile.
 func TestWritersReadersCompaction(t *testing.T) {
 	s, _, err := Open(t.TempDir(), Options{SegmentBytes: 8 << 10})
 	if err != nil {
@@ -505,7 +506,7 @@
 	}
 }
 
-// What can be read round a damage comes over whole, and the damaged directory stays as it was.
+// A repair copies all batches around a corrupted one, and leaves the damaged directory as it was.
 func TestRepair(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -24,8 +24,8 @@
 	skipLogIntervalNs = int64(10e9)
 )
 
-// Config of a node's subscription. V is an endpoint as the node describes it. Apply and WatchDiscovery are called one at
-// a time, in order, under the subscription's lock: they must not call back into it.
+// Config of a node's subscription. V is an endpoint as the node describes it. Apply and WatchDiscovery are called one
+// at a time, in order, under the subscription's lock: they must not call back into it.
 type Config[V any] struct {
 	Name            string       // of the node: decides the order in which it tries relays
 	Relays          []string     // addresses with ports
