--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -78,7 +78,8 @@
 	c.done.Wait()
 }
 
-// startUpstream starts an upstream that answers after a time, and closes connections beyond a number without a response.
+// startUpstream starts an upstream that answers after a time, and closes connections beyond a number without a
+// response.
 func startUpstream(t *testing.T, maxConns int64, after time.Duration) string {
 	t.Helper()
 	var open atomic.Int64
@@ -105,7 +106,8 @@
 func listEntries(health string, servers ...string) string {
 	var list []string
 	for i, s := range servers {
-		list = append(list, fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","class":"m","block":0,"health":%q,"share":1.0,"born_ms":0}`, i+1, s, health))
+		list = append(list, fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","class":"m","block":0,"health":%q,`+
+			`"share":1.0,"born_ms":0}`, i+1, s, health))
 	}
 	return strings.Join(list, ",")
 }
@@ -124,17 +126,24 @@
 }
 
 // startLimitedNode starts a node's process; door is the listening socket for clients that it inherits, or nil.
-func startLimitedNode(t *testing.T, sockets int, mode, listen, discovery, dir string, door *os.File, servers []string, more ...string) *limitedNode {
+func startLimitedNode(t *testing.T, sockets int, mode, listen, discovery, dir string, door *os.File, servers []string,
+	more ...string,
+) *limitedNode {
 	t.Helper()
 	c := &limitedNode{console: freeAddress(t), log: filepath.Join(t.TempDir(), "log")}
-	text := strings.NewReplacer(`"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"`, fmt.Sprintf(`"listen":%q,"discovery":%q`, listen, discovery),
-		`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), `"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode),
-		`"ask_within_us":10000000`, `"ask_within_us":1000000`, `"connect_timeout_us":75000`, `"connect_timeout_us":5000000`,
+	text := strings.NewReplacer(`"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"`,
+		fmt.Sprintf(`"listen":%q,"discovery":%q`, listen, discovery),
+		`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets),
+		`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode),
+		`"ask_within_us":10000000`, `"ask_within_us":1000000`,
+		`"connect_timeout_us":75000`, `"connect_timeout_us":5000000`,
 		`300000`, `20000000`, `100000`, `20000000`).Replace(config) // nothing here is about time
 	from, to := strings.Index(text, `"known"`), strings.Index(text, `"settings"`)
-	text = text[:from] + fmt.Sprintf(`"known":{"seq":1,"whole":true,"hosts":[%s]},`, listEntries("up", servers...)) + text[to:]
+	text = text[:from] + fmt.Sprintf(`"known":{"seq":1,"whole":true,"hosts":[%s]},`,
+		listEntries("up", servers...)) + text[to:]
 	node := command(t, text, append([]string{"serve"}, more...)...)
-	c.Cmd = exec.Command("/bin/sh", append([]string{"-c", fmt.Sprintf(`ulimit -n %d; exec "$@"`, sockets), "sh"}, node.Args...)...)
+	limit := fmt.Sprintf(`ulimit -n %d; exec "$@"`, sockets)
+	c.Cmd = exec.Command("/bin/sh", append([]string{"-c", limit, "sh"}, node.Args...)...)
 	c.Env = append(node.Env, "TMPDIR="+dir, "NODE_CONSOLE="+c.console)
 	if door != nil {
 		c.Env, c.ExtraFiles = append(c.Env, "NODE_INHERITED_FD=3"), []*os.File{door}
@@ -198,10 +207,15 @@
 	return "a request", requestStatus(at, "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
 }
 
-var adminCalls = []string{"PUT /servers/disable?target=s-1", "GET /ready", "PUT /servers/enable?target=s-1", "GET /ready"}
+var adminCalls = []string{
+	"PUT /servers/disable?target=s-1",
+	"GET /ready",
+	"PUT /servers/enable?target=s-1",
+	"GET /ready",
+}
 
-// Twice as many idle clients as there are descriptors, which reconnect at once, leave descriptors for the list watch, for
-// each attempt and for admin calls: while the discovery service is down, when it is back, and afterwards.
+// Twice as many idle clients as there are descriptors, which reconnect at once, leave descriptors for the list watch,
+// for each attempt and for admin calls: while the discovery service is down, when it is back, and afterwards.
 func TestDescriptorsInACrowd(t *testing.T) {
 	for _, c := range []struct {
 		sockets, requests, calls int // the last two at once
@@ -229,11 +243,17 @@
 			}
 			node := startLimitedNode(t, c.sockets, c.mode, listen, discovery, t.TempDir(), nil, servers, more...)
 			clients := startIdleClients(t, listen, 2*c.sockets)
-			eventually(t, "the node closes idle clients", func() bool { return clients.closedByNode.Load() > int64(c.sockets) })
+			eventually(t, "the node closes idle clients", func() bool {
+				return clients.closedByNode.Load() > int64(c.sockets)
+			})
 			rounds := func(name string) {
 				for k := range 5 {
-					concurrently(t, c.requests, func(i int) (string, int) { return requestView(listen, fmt.Sprintf("%s-%d-%d", name, k, i)) })
-					concurrently(t, c.calls, func(i int) (string, int) { return adminCalls[i], requestStatus(node.console, adminCalls[i]) })
+					concurrently(t, c.requests, func(i int) (string, int) {
+						return requestView(listen, fmt.Sprintf("%s-%d-%d", name, k, i))
+					})
+					concurrently(t, c.calls, func(i int) (string, int) {
+						return adminCalls[i], requestStatus(node.console, adminCalls[i])
+					})
 				}
 			}
 			rounds("down")
@@ -275,12 +295,16 @@
 			dir, listen := t.TempDir(), door.Addr().String()
 			old := startLimitedNode(t, sockets, "ask", listen, "127.0.0.1:1", dir, held, servers)
 			clients := startIdleClients(t, listen, 2*sockets)
-			eventually(t, "the node closes idle clients", func() bool { return clients.closedByNode.Load() > int64(sockets) })
+			eventually(t, "the node closes idle clients", func() bool {
+				return clients.closedByNode.Load() > int64(sockets)
+			})
 			concurrently(t, 4, func(i int) (string, int) { return requestView(listen, fmt.Sprint("old", i)) })
 			fresh := startLimitedNode(t, sockets, "ask", listen, "127.0.0.1:1", dir, held, servers)
 			most := 0
 			for k := range 10 {
-				concurrently(t, 4, func(i int) (string, int) { return requestView(listen, fmt.Sprintf("both-%d-%d", k, i)) })
+				concurrently(t, 4, func(i int) (string, int) {
+					return requestView(listen, fmt.Sprintf("both-%d-%d", k, i))
+				})
 				for _, one := range []*limitedNode{old, fresh} {
 					if status := requestStatus(one.console, "GET /ready"); status != 200 {
 						t.Errorf("readiness among idle clients: %d", status)
--- a/cmd/fawnglade/main_test.go
+++ b/cmd/fawnglade/main_test.go
@@ -75,12 +75,14 @@
 	for text, want := range map[string]string{
 		"{":  "unexpected end of JSON input",
 		"{}": "expected an address and a port",
-		strings.Replace(config, `"repeat":"safe"`, `"repeat":"odd"`, 1): "profiles.0.repeat: expected one of safe keyed unsafe, got odd",
+		strings.Replace(config, `"repeat":"safe"`, `"repeat":"odd"`, 1): "" +
+			"profiles.0.repeat: expected one of safe keyed unsafe, got odd",
 	} {
 		for _, subcommand := range []string{"serve", "check"} {
 			out, err := command(t, text, subcommand).CombinedOutput()
 			var exit *exec.ExitError
-			if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(string(out), want) || strings.Contains(string(out), "goroutine") {
+			if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(string(out), want) ||
+				strings.Contains(string(out), "goroutine") {
 				t.Errorf("%s with %.20q: %v, %s", subcommand, text, err, out)
 			}
 		}
--- a/cmd/fawnglade/migrate_test.go
+++ b/cmd/fawnglade/migrate_test.go
@@ -10,11 +10,15 @@
 	"github.com/spf13/cobra"
 )
 
-const oldConfig = `{"name":"n0","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8081","seed":"1f","limits":{"sockets":512},"news":{"listen":"127.0.0.1:7"},
-"note":12345678901234567890,"settings":{"discovery":"push","family_info":{"warm_keys":true},"goal":{"tail":0.3,"borne_misses":0.02,"whole":1},
+const oldConfig = `{"name":"n0","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8081","seed":"1f",
+"limits":{"sockets":512},"news":{"listen":"127.0.0.1:7"},
+"note":12345678901234567890,"settings":{"discovery":"push","family_info":{"warm_keys":true},
+"goal":{"tail":0.3,"borne_misses":0.02,"whole":1},
 "group_size":3,"limits":{"connect_timeout_us":75000,"idle_close_us":60000000,"may_duplicate":true,"try_limit":3},
-"profiles":[{"deadline_us":800000,"name":"view","objective_us":300000,"repeat":"safe","aim_stretch":2,"streaming":false}],
-"quantum_us":2000,"report":{"fields":["queue","inflight"],"how":"inline"},"rules":{"cold_from":0.2,"warm_within_us":20000000},
+"profiles":[{"deadline_us":800000,"name":"view","objective_us":300000,"repeat":"safe",
+"aim_stretch":2,"streaming":false}],
+"quantum_us":2000,"report":{"fields":["queue","inflight"],"how":"inline"},
+"rules":{"cold_from":0.2,"warm_within_us":20000000},
 "weights":"live","zone":0,"zones":["a"]}}`
 
 // run plays a command line and returns what it printed.
@@ -78,7 +82,8 @@
 		t.Fatal(err)
 	}
 	if c.Gossip.Listen != "127.0.0.1:9001" || len(c.Gossip.Peers) != 3 || !strings.Contains(dry, `"group_size": 400`) ||
-		!strings.Contains(dry, `"multiplex": 100`) || !strings.Contains(dry, "12345678901234567890") || !strings.Contains(dry, `"may_duplicate": false`) {
+		!strings.Contains(dry, `"multiplex": 100`) || !strings.Contains(dry, "12345678901234567890") ||
+		!strings.Contains(dry, `"may_duplicate": false`) {
 		t.Errorf("written:\n%s", text)
 	}
 	if _, _, err := runMigrate(arguments...); err == nil {
@@ -97,10 +102,15 @@
 		text  string
 		extra []string
 	}{
-		"settings: limits.try_limit: expected":     {strings.Replace(oldConfig, `"try_limit":3`, `"try_limit":"x"`, 1), nil},
-		"old.json: unexpected end":                 {oldConfig[:300], nil},
-		"under this very name":                     {strings.Replace(oldConfig, `"settings"`, `"Settings"`, 1), nil},
-		"settings: expected an object":             {`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"1"}`, nil},
+		"settings: limits.try_limit: expected": {
+			strings.Replace(oldConfig, `"try_limit":3`, `"try_limit":"x"`, 1), nil,
+		},
+		"old.json: unexpected end": {oldConfig[:300], nil},
+		"under this very name":     {strings.Replace(oldConfig, `"settings"`, `"Settings"`, 1), nil},
+		"settings: expected an object": {
+			`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"1"}`,
+			nil,
+		},
 		"settings.group_size: give --nodes":        {oldConfig, []string{"--nodes", "0"}},
 		"position: expected a number below":        {oldConfig, []string{"--position", "400"}},
 		"limits.multiplex: expected a number":      {oldConfig, []string{"--streams", "0"}},
@@ -110,7 +120,8 @@
 	} {
 		from := writeOldConfig(t, c.text)
 		to := filepath.Join(filepath.Dir(from), "new.json")
-		_, _, err := runMigrate(append([]string{"--config", from, "--out", to, "--nodes", "400", "--news", "127.0.0.1:9001"}, c.extra...)...)
+		arguments := []string{"--config", from, "--out", to, "--nodes", "400", "--news", "127.0.0.1:9001"}
+		_, _, err := runMigrate(append(arguments, c.extra...)...)
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "old.json") {
 			t.Errorf("%v: got %v, want %q and the file's name in it", c.extra, err, want)
 		}
--- a/cmd/fawnglade/pause_test.go
+++ b/cmd/fawnglade/pause_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// A process that is stopped while its clients leave, with their requests not yet read, behind others, or in flight at an
-// upstream that has failed meanwhile, begins no attempt for them when it is continued.
+// A process that is stopped while its clients leave, with their requests not yet read, behind others, or in flight at
+// an upstream that has failed meanwhile, begins no attempt for them when it is continued.
 func TestClientsLeaveWhileTheNodeStands(t *testing.T) {
 	fail := make(chan struct{})
 	var begun, continued atomic.Int64
@@ -78,7 +78,8 @@
 		many.WriteString(request(fmt.Sprint("many", i)))
 	}
 	for i := range 6 {
-		clients = append(clients, connect(request(fmt.Sprint("door", i))), connect(strings.ReplaceAll(many.String(), "many", fmt.Sprint("many", i, "-"))))
+		clients = append(clients, connect(request(fmt.Sprint("door", i))),
+			connect(strings.ReplaceAll(many.String(), "many", fmt.Sprint("many", i, "-"))))
 	}
 	time.Sleep(100 * time.Millisecond) // the failures are at the node before the ends are
 	for i, c := range clients {
@@ -121,7 +122,9 @@
 	}
 	port := netip.MustParseAddrPort(at).Port()
 	for line := range strings.Lines(string(text)) {
-		if f := strings.Fields(line); len(f) > 3 && strings.HasSuffix(f[1], fmt.Sprintf(":%04X", port)) && f[3] == "01" { // ESTABLISHED
+		const established = "01"
+		f := strings.Fields(line)
+		if len(f) > 3 && strings.HasSuffix(f[1], fmt.Sprintf(":%04X", port)) && f[3] == established {
 			n++
 		}
 	}
--- a/cmd/fawnglade/signals_test.go
+++ b/cmd/fawnglade/signals_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Signals that come during a start, which waits for an old process that sends nothing, are followed once that is possible:
-// none ends the process at once, with a request already accepted by the kernel.
+// Signals that come during a start, which waits for an old process that sends nothing, are followed once that is
+// possible: none ends the process at once, with a request already accepted by the kernel.
 func TestSignalsDuringAStart(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"the end":                  {syscall.SIGTERM},
@@ -37,7 +37,8 @@
 				t.Fatal(err)
 			}
 			defer before.Close()
-			c := command(t, strings.Replace(config, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, door.Addr()), 1), "serve")
+			listen := fmt.Sprintf(`"listen":%q`, door.Addr())
+			c := command(t, strings.Replace(config, `"listen":"127.0.0.1:0"`, listen, 1), "serve")
 			c.Env = append(c.Env, "TMPDIR="+dir, "NODE_INHERITED_FD=3")
 			c.ExtraFiles = []*os.File{held}
 			if err := c.Start(); err != nil {
--- a/cmd/fawnglade/upgrade_test.go
+++ b/cmd/fawnglade/upgrade_test.go
@@ -125,11 +125,13 @@
 	if requestStatus(at, "PUT /servers/enable?target=s-1") != 200 {
 		t.Error("not put back")
 	}
-	eventually(t, "the server put back is in use", func() bool { return request(fmt.Sprint("back", time.Now().UnixNano())) == 200 })
+	eventually(t, "the server put back is in use", func() bool {
+		return request(fmt.Sprint("back", time.Now().UnixNano())) == 200
+	})
 }
 
-// The admin API answers while clients hold all their descriptors and a thousand callers send nothing or half a call; the
-// system gives the process no more descriptors than its configuration says.
+// The admin API answers while clients hold all their descriptors and a thousand callers send nothing or half a call;
+// the system gives the process no more descriptors than its configuration says.
 func TestConsoleAnswersInACrowd(t *testing.T) {
 	var addresses [2]string
 	for i := range addresses {
@@ -140,7 +142,8 @@
 		addresses[i] = l.Addr().String()
 		l.Close()
 	}
-	text := strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q,"console":%q`, addresses[0], addresses[1]),
+	text := strings.NewReplacer(`"listen":"127.0.0.1:0"`,
+		fmt.Sprintf(`"listen":%q,"console":%q`, addresses[0], addresses[1]),
 		`"sockets":1024`, `"sockets":96`).Replace(config)
 	node := command(t, text, "serve")
 	c := exec.Command("/bin/sh", append([]string{"-c", `ulimit -n 96; exec "$@"`, "sh"}, node.Args...)...)
@@ -169,7 +172,10 @@
 			defer held.Close()
 		}
 		if i%200 == 0 {
-			for _, one := range []string{"PUT /servers/disable?target=s-1", "PUT /servers/enable?target=s-1", "GET /ready"} {
+			for _, one := range []string{
+				"PUT /servers/disable?target=s-1", "PUT /servers/enable?target=s-1",
+				"GET /ready",
+			} {
 				if status := requestStatus(addresses[1], one); status != 200 {
 					t.Errorf("%s among idle clients, after %d callers: %d", one, i/2, status)
 				}
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -21,16 +21,18 @@
 	n := startNode(t, nil, server)
 	n.frontend.setLimits(1, 0, 100)
 	var ins []*bufio.Reader
-	for i := range 5 { // one at work, one at the door, three in the kernel
+	for i := range 5 { // one served, one waiting for a slot, three in the kernel
 		c, in := dial(t, n)
 		ins = append(ins, in)
 		writeText(c, requestText("batch", fmt.Sprint("t", i), ""))
-		eventually(t, "the first at work and the second at the door", func() bool { return int(n.count(clientsAccepted)) == min(i+1, 2) })
+		eventually(t, "the first to be served and the second to wait", func() bool {
+			return int(n.count(clientsAccepted)) == min(i+1, 2)
+		})
 	}
 	answers.held(t, 1)
 	stopped := make(chan struct{})
 	go func() { n.shutDown(); close(stopped) }()
-	eventually(t, "the end of taking", n.frontend.draining.Load)
+	eventually(t, "the listener to drain", n.frontend.draining.Load)
 	answers.pass()
 	for i, in := range ins {
 		if status, body, _ := readAnswer(in); status != 200 {
@@ -69,18 +71,18 @@
 		}
 	}
 	setNonblock(false)
-	ask(t, n, "batch", "t", "") // the accept behind this one stands in the kernel
+	ask(t, n, "batch", "t", "") // the next accept blocks in the kernel
 	stopped := make(chan struct{})
 	go func() { n.shutDown(); close(stopped) }()
 	select {
 	case <-stopped:
 	case <-time.After(10 * time.Second):
-		t.Error("the stop stands behind an accept")
+		t.Error("the shutdown waits for an accept")
 	}
 	over := make(chan bool, 1)
 	n.loop.post(func() { over <- n.loop.stopping })
 	if <-over {
-		t.Error("the stop ended only by giving up")
+		t.Error("the shutdown ended only by giving up")
 	}
 	setNonblock(true) // and the accept is let go, for the end of the test
 	if c, err := net.Dial("tcp", n.address()); err == nil {
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -82,7 +82,8 @@
 			n.updateList(t, listText(2, false, listEntry("s-0", "127.0.0.1:1", "up")))
 		}, 503},
 		"is taken out by hand": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, _ string) {
-			if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", n.clock.now()) }); err != nil {
+			disable := func(o *overrideSet) string { return o.disable("s-0", n.clock.now()) }
+			if _, err := n.overrides.change(disable); err != nil {
 				t.Fatal(err)
 			}
 		}, 503},
@@ -138,11 +139,14 @@
 // A request that may have run goes to its deduplication group again only within the window, also where a dial takes
 // long.
 func TestDedupWindowEndsDuringDial(t *testing.T) {
-	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool { return writeAnswer(c, "500 Bad", "") })
+	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+		return writeAnswer(c, "500 Bad", "")
+	})
 	for name, span := range map[string]int64{"ends": 150, "lasts": 700} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := newNode(t, withSettings(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, span*1000)), first, first)
+			n := newNode(t, withSettings(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, span*1000)),
+				first, first)
 			second := newGate(t)
 			n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
 				if n.count(attemptsSent) > 1 {
@@ -155,10 +159,12 @@
 			client, in := dial(t, n)
 			writeText(client, requestText("update", "t1", ""))
 			second.held(t, 1)
-			time.Sleep(time.Until(n.clock.at(began.Add(200 * time.Millisecond)))) // later than the shorter memory in any case
+			// later than the shorter memory in any case
+			time.Sleep(time.Until(n.clock.at(began.Add(200 * time.Millisecond))))
 			second.pass()
 			status, _, _ := readAnswer(in)
-			if ran := n.count(attemptsErrored); status != 502 || name == "ends" && ran != 1 || name == "lasts" && ran < 1 {
+			ran := n.count(attemptsErrored)
+			if status != 502 || name == "ends" && ran != 1 || name == "lasts" && ran < 1 {
 				t.Errorf("answered %d, %d attempts have run", status, ran)
 			}
 		})
@@ -173,7 +179,8 @@
 		time.Sleep(span - 20*time.Millisecond)
 		return writeAnswer(c, "500 Bad", "")
 	})
-	n := startNode(t, withSettings(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, span.Microseconds()), `800000`, `20000000`, `300000`, `20000000`),
+	n := startNode(t, withSettings(`"memory_span_us":2000000`,
+		fmt.Sprintf(`"memory_span_us":%d`, span.Microseconds()), `800000`, `20000000`, `300000`, `20000000`),
 		failing, failing)
 	if status, _, _ := ask(t, n, "update", "t1", ""); status != 502 || requests.Load() != 1 {
 		t.Errorf("answered %d after %d attempts, want 502 after one", status, requests.Load())
@@ -189,7 +196,8 @@
 		return echo(c, r, body)
 	})
 	other, requests := startUpstream(t, echo)
-	n := newNode(t, withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `"cancelling":true`, `"cancelling":false`), first)
+	n := newNode(t, withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `"cancelling":true`,
+		`"cancelling":false`), first)
 	dials := newGate(t)
 	n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
 		if address == other {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -24,13 +24,15 @@
 			continue
 		}
 		have = 0
-		if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Pressure: queue=0\r\nContent-Length: 4\r\n\r\ndone"); err != nil {
+		const answer = "HTTP/1.1 200 OK\r\nX-Pressure: queue=0\r\nContent-Length: 4\r\n\r\ndone"
+		if _, err := io.WriteString(c, answer); err != nil {
 			return
 		}
 	}
 }
 
-// BenchmarkNode is a request of 200 bytes through the node, clients and servers in the same process, over 32 connections.
+// BenchmarkNode is a request of 200 bytes through the node, clients and servers in the same process, over 32
+// connections.
 func BenchmarkNode(b *testing.B) {
 	for _, servers := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -73,7 +75,8 @@
 					defer c.Close()
 					buf := make([]byte, 4096)
 					for i := left.Add(-1); i >= 0; i = left.Add(-1) {
-						writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d-%d\r\nX-Lane: batch\r\nX-Org: acme\r\nX-Remaining-Ms: 9000\r\n"+
+						writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d-%d\r\nX-Lane: batch\r\n"+
+							"X-Org: acme\r\nX-Remaining-Ms: 9000\r\n"+
 							"Content-Length: 200\r\n\r\n%s", client, i, body)
 						have, err := c.Read(buf)
 						if err != nil {
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -101,7 +101,8 @@
 	})
 	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
-	writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nContent-Length: 9000000\r\n\r\n%s", randomBody(2*minBufferedBody))
+	writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nContent-Length: 9000000\r\n\r\n%s",
+		randomBody(2*minBufferedBody))
 	for range 5 {
 		time.Sleep(4 * closeLinger)
 		if _, err := c.Write(randomBody(6500)); err != nil {
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -45,6 +45,7 @@
 		}
 		return text
 	}
+	longBody := requestText("batch", "t", strings.Repeat("x", 900<<10))
 	reset := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
 	leave := func(c net.Conn) { c.Close() }
 	halve := func(c net.Conn) { c.(*net.TCPConn).CloseWrite() } // the pages know no client that does so and waits
@@ -52,9 +53,13 @@
 		text  string
 		leave func(net.Conn)
 	}{
-		"one request at the door": {many(1), leave}, "one, reset": {many(1), reset}, "one, half-closed": {many(1), halve},
-		"many at once": {many(20), leave}, "many, reset": {many(20), reset}, "more than is read at once": {many(200), leave},
-		"a long body that is half there": {strings.Replace(requestText("batch", "t", strings.Repeat("x", 900<<10)), "X-Lane: batch\r\n", "", 1)[:300<<10], leave},
+		"one request not yet read":       {many(1), leave},
+		"one, reset":                     {many(1), reset},
+		"one, half-closed":               {many(1), halve},
+		"many at once":                   {many(20), leave},
+		"many, reset":                    {many(20), reset},
+		"more than is read at once":      {many(200), leave},
+		"a long body that is half there": {strings.Replace(longBody, "X-Lane: batch\r\n", "", 1)[:300<<10], leave},
 	} {
 		t.Run("before the node looks: "+name, func(t *testing.T) {
 			t.Parallel()
@@ -68,11 +73,12 @@
 			eventually(t, "the connection's end", n.allClientsClosed)
 			n.flushLoop()
 			if requests.Load() != 0 || n.count(requestsAccepted) != 0 {
-				t.Errorf("%d requests were taken and %d went to the server, for nobody", n.count(requestsAccepted), requests.Load())
+				t.Errorf("%d requests were taken and %d went to the server, for no client", n.count(requestsAccepted),
+					requests.Load())
 			}
 		})
 	}
-	t.Run("behind requests that are out", func(t *testing.T) {
+	t.Run("behind requests in flight", func(t *testing.T) {
 		t.Parallel()
 		answers := newGate(t)
 		server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -82,7 +88,9 @@
 		n := startNode(t, nil, server)
 		client, _ := dial(t, n)
 		writeText(client, many(20))
-		eventually(t, "as many as are read ahead", func() bool { return requests.Load() == n.count(attemptsSent) && requests.Load() > maxPipelined })
+		eventually(t, "as many as are read ahead", func() bool {
+			return requests.Load() == n.count(attemptsSent) && requests.Load() > maxPipelined
+		})
 		at := n.onlyClientConn(t)
 		client.Close()
 		eventually(t, "its end", at.clientGone)
@@ -93,7 +101,7 @@
 			t.Errorf("%d requests at the server when the client left, %d in the end", before, requests.Load())
 		}
 	})
-	t.Run("all dialling, and the reader sees nothing", func(t *testing.T) {
+	t.Run("all being dialed, and the reader sees no end", func(t *testing.T) {
 		t.Parallel()
 		server, requests := startUpstream(t, echo)
 		n := newNode(t, silentDiscovery(t), server, server, server)
@@ -106,12 +114,17 @@
 		client.Close()
 		eventually(t, "its end", at.clientGone)
 		dials.pass()
-		eventually(t, "the cancellation", func() bool { n.flushLoop(); return n.count(attemptsNotSent) == n.count(attemptsSent) })
-		if sent, taken, canceled := n.count(attemptsSent), n.count(requestsAccepted), n.count(requestsCanceled); requests.Load() != 0 || sent != taken || canceled != taken {
-			t.Errorf("of %d requests %d were sent, %d canceled, %d came to servers", taken, sent, canceled, requests.Load())
+		eventually(t, "the cancellation", func() bool {
+			n.flushLoop()
+			return n.count(attemptsNotSent) == n.count(attemptsSent)
+		})
+		sent, taken, canceled := n.count(attemptsSent), n.count(requestsAccepted), n.count(requestsCanceled)
+		if requests.Load() != 0 || sent != taken || canceled != taken {
+			t.Errorf("of %d requests %d were sent, %d canceled, %d came to servers", taken, sent, canceled,
+				requests.Load())
 		}
 	})
-	t.Run("in the loop's queue, behind the answer that sends it again", func(t *testing.T) {
+	t.Run("in the loop's queue, behind the result that retries it", func(t *testing.T) {
 		t.Parallel()
 		errs := newGate(t)
 		server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -149,7 +162,10 @@
 		eventually(t, "the cancellation behind it", func() bool { return len(n.loop.events) == 2 })
 		held.pass()
 		eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
-		eventually(t, "the end", func() bool { n.flushLoop(); return n.count(attemptsSent) == n.count(attemptsNotSent) })
+		eventually(t, "the end", func() bool {
+			n.flushLoop()
+			return n.count(attemptsSent) == n.count(attemptsNotSent)
+		})
 		if requests.Load() != 0 {
 			t.Error("it went to the server")
 		}
@@ -200,24 +216,33 @@
 	}
 	for name, s := range map[string]stage{
 		"a first attempt": {text: requestText("batch", "t0", "")},
-		"a hedged request": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, answers *gate) {
-			addUpstream(t, n, other, answers)
-			n.loop.post(func() { n.loop.Send("t0", endpointID("s-1"), 20*time.Second) })
-		}},
-		"a retry behind an error": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, answers *gate) {
-			addUpstream(t, n, other, answers)
-			answers.pass()
-		}},
-		"a retry after a cancel": {text: requestText("batch", "t0", ""), first: 1, reach: func(t *testing.T, n *Node, other string, answers *gate) {
-			addUpstream(t, n, other, answers)
-			n.loop.post(func() { n.loop.Cancel("t0", 0) })
-			eventually(t, "the cancel's end", func() bool { return n.count(attemptsCanceled) == 1 })
-			n.loop.post(func() { // where the decisions have not by themselves
-				if n.count(attemptsSent) == 1 {
-					n.loop.Send("t0", endpointID("s-1"), 20*time.Second)
-				}
-			})
-		}},
+		"a hedged request": {
+			text: requestText("batch", "t0", ""), first: 1,
+			reach: func(t *testing.T, n *Node, other string, answers *gate) {
+				addUpstream(t, n, other, answers)
+				n.loop.post(func() { n.loop.Send("t0", endpointID("s-1"), 20*time.Second) })
+			},
+		},
+		"a retry behind an error": {
+			text: requestText("batch", "t0", ""), first: 1,
+			reach: func(t *testing.T, n *Node, other string, answers *gate) {
+				addUpstream(t, n, other, answers)
+				answers.pass()
+			},
+		},
+		"a retry after a cancel": {
+			text: requestText("batch", "t0", ""), first: 1,
+			reach: func(t *testing.T, n *Node, other string, answers *gate) {
+				addUpstream(t, n, other, answers)
+				n.loop.post(func() { n.loop.Cancel("t0", 0) })
+				eventually(t, "the cancel's end", func() bool { return n.count(attemptsCanceled) == 1 })
+				n.loop.post(func() { // where the decisions have not by themselves
+					if n.count(attemptsSent) == 1 {
+						n.loop.Send("t0", endpointID("s-1"), 20*time.Second)
+					}
+				})
+			},
+		},
 		"an upload that flows": {text: streamedRequest("batch", "t0"), blind: true},
 		"many on one connection": {text: func() (text string) {
 			for i := range 20 {
@@ -236,8 +261,10 @@
 				})
 				other, atOther := firstBytes(t, func(c net.Conn, r *http.Request) { echo(c, r, "") })
 				n := newNode(t, func(c *Config) {
-					withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `800000`, `8000000`, `75000`, `5000000`,
-						`"cancelling":true`, `"cancelling":false`)(c) // nothing is canceled on its way, which would do as well
+					withSettings(`"may_duplicate":false`, `"may_duplicate":true`,
+						`800000`, `8000000`, `75000`, `5000000`,
+						// nothing is canceled on its way, which would do as well
+						`"cancelling":true`, `"cancelling":false`)(c)
 					c.Discovery, _ = watchOf(t)
 				}, first)
 				dials := newGate(t)
@@ -264,7 +291,8 @@
 				answers.pass()
 				eventually(t, "the end of all attempts", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
 				if atFirst.Load() != int64(s.first) || atOther.Load() != 0 || n.count(attemptsNotSent) == 0 {
-					t.Errorf("%d attempts began at the first server, want %d; %d at the other; %d did not begin", atFirst.Load(), s.first,
+					t.Errorf("%d attempts began at the first server, want %d; %d at the other; %d did not begin",
+						atFirst.Load(), s.first,
 						atOther.Load(), n.count(attemptsNotSent))
 				}
 			})
@@ -394,7 +422,8 @@
 		var mu sync.Mutex
 		luck := rand.New(rand.NewPCG(50, uint64(i)))
 		n := newNode(t, func(c *Config) {
-			withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `800000`, `3000000`, `20000000`, `3000000`, `75000`, `1500000`)(c)
+			withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `800000`, `3000000`, `20000000`, `3000000`,
+				`75000`, `1500000`)(c)
 			c.Name, c.Seed = fmt.Sprint("n", i), fmt.Sprintf("%x", 7+i)
 			c.Discovery, _ = watchOf(t)
 			c.Limits.MemoryMB = 64
@@ -474,7 +503,8 @@
 		attempts += len(list)
 		further += len(list) - 1
 	}
-	t.Logf("%d attempts, %d of them further ones, %d clients' requests left, %d of these never begun, the latest %v behind", attempts, further,
+	t.Logf("%d attempts, %d of them further ones, %d requests of clients that left, %d of these never begun, "+
+		"the latest %v behind", attempts, further,
 		len(day.gone), never, latest)
 	if late > 0 || attempts < 200 || further < 20 || never < 50 {
 		t.Errorf("%d attempts began more than 0.1 s behind, want 0", late)
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -8,7 +8,10 @@
 
 func TestBadConfigurationErrors(t *testing.T) {
 	good := func() *Config {
-		return &Config{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "a", Settings: json.RawMessage(settingsText)}
+		return &Config{
+			Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "a",
+			Settings: json.RawMessage(settingsText),
+		}
 	}
 	if err := good().check(); err != nil {
 		t.Fatal(err)
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -52,7 +52,8 @@
 func TestRemovedEndpointMayServe(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) {
-		c.Settings = json.RawMessage(strings.Replace(settingsText, `"rules":{`, `"rules":{"removal_not_binding":true,`, 1))
+		c.Settings = json.RawMessage(strings.Replace(settingsText, `"rules":{`,
+			`"rules":{"removal_not_binding":true,`, 1))
 	}, server)
 	ask(t, n, "batch", "before", "")
 	learn := func(text string) {
@@ -91,7 +92,8 @@
 // is in flight: a list without the endpoint, or an entry that only calls it removed, does not tell its zone or pod.
 func TestEndpointRemovedWhileRequestInFlight(t *testing.T) {
 	in := func(site string, block int, entry string) string {
-		return strings.NewReplacer(`"site":"a"`, fmt.Sprintf(`"site":%q`, site), `"block":1`, fmt.Sprintf(`"block":%d`, block)).Replace(entry)
+		return strings.NewReplacer(`"site":"a"`, fmt.Sprintf(`"site":%q`, site), `"block":1`,
+			fmt.Sprintf(`"block":%d`, block)).Replace(entry)
 	}
 	for group, there := range map[string]func(entry string) string{
 		"zone": func(entry string) string { return in("b", 0, entry) },
@@ -99,11 +101,15 @@
 	} {
 		other := func(entry string) string { return in("a", 0, entry) } // the first zone and cell by number
 		for name, list := range map[string]func(gone, fellow, outside string) string{
-			"a whole list without it": func(_, fellow, outside string) string { return listText(2, true, fellow, outside) },
+			"a whole list without it": func(_, fellow, outside string) string {
+				return listText(2, true, fellow, outside)
+			},
 			"a line of its own": func(gone, fellow, outside string) string {
 				return listText(2, false, `{"host":"s-0","health":"removed"}`, fellow, outside)
 			},
-			"a line, and a list": func(gone, fellow, outside string) string { return listText(2, false, fellow, outside, gone) },
+			"a line, and a list": func(gone, fellow, outside string) string {
+				return listText(2, false, fellow, outside, gone)
+			},
 			"it moves, as listed": func(_, fellow, outside string) string {
 				return listText(2, false, other(listEntry("s-0", "127.0.0.1:1", "draining")), fellow, outside)
 			},
@@ -112,7 +118,11 @@
 				t.Run(fmt.Sprintf("%s, %s, somebody else there: %t", group, name, !outside), func(t *testing.T) {
 					t.Parallel()
 					gate := newGate(t)
-					first, _ := startUpstream(t, func(net.Conn, *http.Request, string) bool { gate.wait(); return false }) // cut: it may have run
+					// cut: it may have run
+					first, _ := startUpstream(t, func(net.Conn, *http.Request, string) bool {
+						gate.wait()
+						return false
+					})
 					fellow, _ := startUpstream(t, echo)
 					elsewhere, strangers := startUpstream(t, echo)
 					n := newNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, group)))
@@ -125,10 +135,12 @@
 					if outside {
 						inGroup, want = there(listEntry("s-1", fellow, "draining")), 502
 					}
-					n.updateList(t, list(listEntry("s-0", first, "removed"), inGroup, other(listEntry("s-2", elsewhere, "up"))))
+					n.updateList(t, list(listEntry("s-0", first, "removed"), inGroup,
+						other(listEntry("s-2", elsewhere, "up"))))
 					gate.pass()
 					if status, _, _ := readAnswer(answers); status != want || strangers.Load() != 0 {
-						t.Errorf("answered %d, want %d; sent outside its group %d times", status, want, strangers.Load())
+						t.Errorf("answered %d, want %d; sent outside its group %d times", status, want,
+							strangers.Load())
 					}
 				})
 			}
@@ -142,7 +154,10 @@
 		"zone": strings.NewReplacer(`"site":"a"`, `"site":"b"`),
 		"cell": strings.NewReplacer(`"block":1`, `"block":3`),
 	} {
-		for name, list := range map[string]string{"a whole list without it": "", "a line of its own": `{"host":"s-0","health":"removed"}`} {
+		for name, list := range map[string]string{
+			"a whole list without it": "",
+			"a line of its own":       `{"host":"s-0","health":"removed"}`,
+		} {
 			t.Run(group+", "+name, func(t *testing.T) {
 				t.Parallel()
 				var mu sync.Mutex
@@ -161,7 +176,8 @@
 					mu.Unlock()
 					return echo(c, r, body)
 				})
-				n := newNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, group), `"rules":{`, `"rules":{"removal_not_binding":true,`))
+				n := newNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, group), `"rules":{`,
+					`"rules":{"removal_not_binding":true,`))
 				n.start()
 				stays := listEntry("s-1", failing, "up")
 				if group == "cell" {
@@ -179,7 +195,8 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if attempts.Load() == 0 || served.Load() == 0 || both > 0 {
-					t.Errorf("%d attempts failed, %d served where the list lacks the server, %d of them outside their group", attempts.Load(), served.Load(), both)
+					t.Errorf("%d attempts failed, %d served by the removed endpoint, %d of them outside their group",
+						attempts.Load(), served.Load(), both)
 				}
 			})
 		}
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -65,20 +65,26 @@
 	lines := func(from, to int) (list []endpointEntry) {
 		for i := from; i < to; i++ {
 			name := fmt.Sprint("s-", i)
-			list = append(list, endpointEntry{EndpointInfo: policy.EndpointInfo{ID: policy.EndpointID(i), State: policy.StateActive}, name: name, address: "127.0.0.1:1"})
+			list = append(list, endpointEntry{
+				EndpointInfo: policy.EndpointInfo{ID: policy.EndpointID(i), State: policy.StateActive},
+				name:         name,
+				address:      "127.0.0.1:1",
+			})
 		}
 		return list
 	}
 	n.loop.postEndpoints(lines(1, 4097), true)
 	if events := taken(); events != 9 || len(n.loop.endpoints) != 4096 {
-		t.Errorf("4,096 lines in %d events, %d servers known; want 8 slices and a last one for who is absent, and all", events, len(n.loop.endpoints))
+		t.Errorf("4,096 entries in %d events, %d endpoints known; want 8 slices, one event for removals, and all",
+			events, len(n.loop.endpoints))
 	}
 	n.loop.postEndpoints(lines(4001, 5001), true)
 	for range 2 {
 		(<-n.loop.events)()
 	}
 	if len(n.loop.endpoints) != 5000 {
-		t.Errorf("%d servers known before the list is through, want 5,000: nobody is taken off before", len(n.loop.endpoints))
+		t.Errorf("%d servers known before the list is through, want 5,000: nobody is taken off before",
+			len(n.loop.endpoints))
 	}
 	taken()
 	if len(n.loop.endpoints) != 1000 || n.loop.endpoints[4000].address != "" || n.loop.endpoints[5000].address == "" {
--- a/internal/node/evict_test.go
+++ b/internal/node/evict_test.go
@@ -34,7 +34,10 @@
 // Guards against clients that keep their connections and take all slots, so that new ones pass through a few, each
 // waiting until the one before is old enough to be evicted.
 func TestConnectionsKeptForGoodMakeRoom(t *testing.T) {
-	for name, idle := range map[string]time.Duration{"for long": evictableAfter + 100*time.Millisecond, "of late": 3 * closeLinger} {
+	for name, idle := range map[string]time.Duration{
+		"for long": evictableAfter + 100*time.Millisecond,
+		"of late":  3 * closeLinger,
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server, _ := startUpstream(t, echo)
@@ -117,10 +120,14 @@
 	for range 8 {
 		dial(t, n)
 	}
-	eventually(t, "all idle", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return n.idlers() == 8 })
+	eventually(t, "all clients to be idle", func() bool {
+		n.frontend.mu.Lock()
+		defer n.frontend.mu.Unlock()
+		return n.idlers() == 8
+	})
 	n.frontend.setLimits(3, 0, 100)
 	if n.count(clientsEvicted) != 5 {
-		t.Errorf("%d clients are asked to go, want 5", n.count(clientsEvicted))
+		t.Errorf("%d clients were evicted, want 5", n.count(clientsEvicted))
 	}
 }
 
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -32,8 +32,10 @@
 		})
 	}
 	done.Wait()
-	if answers[200].Load() == 0 || answers[200].Load()+answers[503].Load() != 150 || n.count(requestsOverCapacity) == 0 {
-		t.Errorf("%d satisfied, %d rejected, %d of them without room", answers[200].Load(), answers[503].Load(), n.count(requestsOverCapacity))
+	if answers[200].Load() == 0 || answers[200].Load()+answers[503].Load() != 150 ||
+		n.count(requestsOverCapacity) == 0 {
+		t.Errorf("%d satisfied, %d rejected, %d of them without room", answers[200].Load(), answers[503].Load(),
+			n.count(requestsOverCapacity))
 	}
 	if read := n.count(requestsAccepted) + n.count(requestsOverCapacity); read != 150 {
 		t.Errorf("%d requests were read for 150 answers", read)
@@ -53,11 +55,20 @@
 	for range 8 {
 		dial(t, n)
 	}
-	eventually(t, "a full house", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return len(n.frontend.open) == 8 })
-	eventually(t, "its clients idle", func() bool { n.frontend.mu.Lock(); defer n.frontend.mu.Unlock(); return n.idlers() == 8 })
+	eventually(t, "all connections to open", func() bool {
+		n.frontend.mu.Lock()
+		defer n.frontend.mu.Unlock()
+		return len(n.frontend.open) == 8
+	})
+	eventually(t, "all clients to be idle", func() bool {
+		n.frontend.mu.Lock()
+		defer n.frontend.mu.Unlock()
+		return n.idlers() == 8
+	})
 	var conns []*upstreamConn
 	for i := range 6 {
-		c, err := n.upstreams.acquire(&attempt{request: newPendingRequest(), target: upstreamTarget{1, slow}}, time.Now().Add(time.Minute))
+		c, err := n.upstreams.acquire(&attempt{request: newPendingRequest(), target: upstreamTarget{1, slow}},
+			time.Now().Add(time.Minute))
 		if (err == nil) != (i < 5) {
 			t.Fatalf("attempt %d: %v", i, err)
 		}
@@ -67,7 +78,7 @@
 	}
 	n.frontend.mu.Lock()
 	if open, places := len(n.frontend.open), n.frontend.slotsLocked(); open > 5 || places != 5 {
-		t.Errorf("beside five attempts %d clients stand at %d places", open, places)
+		t.Errorf("beside five attempts %d clients have %d slots", open, places)
 	}
 	n.frontend.mu.Unlock()
 	healthCheck := &attempt{target: upstreamTarget{1, slow}}
@@ -78,6 +89,6 @@
 		n.upstreams.closeConn(c)
 	}
 	if n.upstreams.closeExpired(); n.frontend.lentSlots.Load() != 0 || n.frontend.capacity() != 8 {
-		t.Errorf("%d places are not given back", n.frontend.lentSlots.Load())
+		t.Errorf("%d slots are not given back", n.frontend.lentSlots.Load())
 	}
 }
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -126,7 +126,9 @@
 
 // startUpstream starts an upstream that answers each request by what answer writes, which reports whether the
 // connection goes on.
-func startUpstream(t *testing.T, answer func(c net.Conn, r *http.Request, body string) bool) (address string, requests *atomic.Int64) {
+func startUpstream(
+	t *testing.T, answer func(c net.Conn, r *http.Request, body string) bool,
+) (address string, requests *atomic.Int64) {
 	requests = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -166,7 +168,9 @@
 	}
 	c := &Config{
 		Name: "n0", Listen: address(), Discovery: "127.0.0.1:1", Seed: "1f",
-		KnownList: json.RawMessage(listText(1, true, entries...)), Settings: json.RawMessage(settingsText), filesDir: t.TempDir(),
+		KnownList: json.RawMessage(listText(1, true, entries...)),
+		Settings:  json.RawMessage(settingsText),
+		filesDir:  t.TempDir(),
 	}
 	c.Limits.MemoryMB, c.Limits.Sockets = 192, 1024
 	if change != nil {
@@ -179,8 +183,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The bound on memory is a process's: the nodes of all tests share this one, and what was left of them, hundreds at the end, was over
-	// that of a single node, so that its collector stood in every request's way.
+	// Guards against the memory limit of one node for a process that holds the nodes of all tests: its collector would
+	// run all the time.
 	debug.SetMemoryLimit(math.MaxInt64)
 	t.Cleanup(func() { n.frontend.listener.Close() })
 	return n
@@ -208,7 +212,8 @@
 }
 
 func requestText(class, id, body string) string {
-	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Org: acme\r\nX-Remaining-Ms: 9000\r\n"+
+	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: %s\r\n"+
+		"X-Org: acme\r\nX-Remaining-Ms: 9000\r\n"+
 		"Content-Length: %d\r\n\r\n%s", class, id, class, len(body), body)
 }
 
--- a/internal/node/hotrestartrace_test.go
+++ b/internal/node/hotrestartrace_test.go
@@ -57,7 +57,9 @@
 			ask("while both stop")
 			done.Wait()
 		},
-		"the old one is told to end before the first accept": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
+		"the old one is told to end before the first accept": func(
+			t *testing.T, next func() *Node, old *Node, ask func(string),
+		) {
 			fresh := next()
 			fresh.hotRestart.announceServing() // says so, and does not take yet
 			eventually(t, "the old one yields", old.hotRestart.hasYielded)
--- a/internal/node/httpmessage_test.go
+++ b/internal/node/httpmessage_test.go
@@ -13,7 +13,8 @@
 	property := func(body []byte, chunkIt, spoil bool, cuts []uint8) bool {
 		text := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		if chunkIt {
-			text = fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body)
+			text = fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n",
+				len(body), body)
 			if len(body) > 0 { // else its only chunk was the last
 				text += "0\r\n\r\n"
 			}
@@ -57,7 +58,10 @@
 // Where the system refuses splice and sendfile, a copy that tried them would depend on how the library takes the
 // refusal: no connection offers a way round the buffers.
 func TestBodiesAreCopiedByReadAndWriteOnly(t *testing.T) {
-	for name, c := range map[string]any{"conn": &bufferedConn{}, "serverConn": &upstreamConn{}, "source": &bodySource{}, "message": &message{}} {
+	for name, c := range map[string]any{
+		"conn": &bufferedConn{}, "serverConn": &upstreamConn{},
+		"source": &bodySource{}, "message": &message{},
+	} {
 		if _, ok := c.(io.ReaderFrom); ok {
 			t.Errorf("%s copies from a reader by itself", name)
 		}
--- a/internal/node/listwatch_test.go
+++ b/internal/node/listwatch_test.go
@@ -27,7 +27,8 @@
 	n := startNode(t, func(c *Config) { c.Discovery = address }, first)
 	eventually(t, "the move", func() bool { return n.count(listUpdates) == 1 })
 	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 || atFirst.Load() != 0 || atSecond.Load() != 1 {
-		t.Errorf("after the move %d, %d requests at the old address, %d at the new", status, atFirst.Load(), atSecond.Load())
+		t.Errorf("after the move %d, %d requests at the old address, %d at the new", status, atFirst.Load(),
+			atSecond.Load())
 	}
 	eventually(t, "the drain", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := ask(t, n, "batch", "t2", ""); status != 503 || atSecond.Load() != 1 {
@@ -50,7 +51,10 @@
 	young, asked := discoveryOf(t, []string{listText(3, true, listEntry("s-1", server, "up"))})
 	path := t.TempDir() + "/config.json"
 	write := func(discovery, seed string) {
-		text, err := json.Marshal(Config{Listen: "127.0.0.1:1", Discovery: discovery, Seed: seed, Settings: json.RawMessage(settingsText)})
+		text, err := json.Marshal(Config{
+			Listen: "127.0.0.1:1", Discovery: discovery, Seed: seed,
+			Settings: json.RawMessage(settingsText),
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,7 +179,8 @@
 				server, requests := startUpstream(t, echo)
 				address, _ := watchOf(t, script(server)...)
 				n := newNode(t, func(c *Config) {
-					withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode), `"ask_within_us":10000000`, `"ask_within_us":3600000000`)(c)
+					withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode), `"ask_within_us":10000000`,
+						`"ask_within_us":3600000000`)(c)
 					c.Discovery = address
 				}, server)
 				n.endpointWatch.silenceTimeout, n.endpointWatch.retryInterval = 60*time.Millisecond, time.Hour
@@ -187,7 +192,8 @@
 					return len(n.upstreams.eligible) == 0
 				})
 				if status, _, _ := ask(t, n, "batch", "t", ""); status != 503 || requests.Load() != 0 {
-					t.Errorf("after the drain a request was answered %d, %d came to the server", status, requests.Load())
+					t.Errorf("after the drain a request was answered %d, %d came to the server", status,
+						requests.Load())
 				}
 				if n.endpointWatch.version != 2 {
 					t.Errorf("the next call would ask for what came after %d", n.endpointWatch.version)
@@ -210,7 +216,10 @@
 			t.Parallel()
 			server, _ := startUpstream(t, echo)
 			address, asked := watchOf(t, func(conn net.Conn, chunk func(string)) { c.first(conn, chunk, server) })
-			n := newNode(t, func(c *Config) { withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c); c.Discovery = address }, server)
+			n := newNode(t, func(c *Config) {
+				withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c)
+				c.Discovery = address
+			}, server)
 			n.endpointWatch.headTimeout, n.endpointWatch.retryInterval = 60*time.Millisecond, c.wait
 			n.start()
 			eventually(t, "the next call", func() bool { return asked.Load() >= 2 })
@@ -223,7 +232,10 @@
 
 // There is always an interval between watches, whatever the settings say of sends to draining endpoints.
 func TestRetryIntervalOfWatches(t *testing.T) {
-	for within, want := range map[int]time.Duration{0: maxRetryInterval, 1: minRetryInterval, 400000: 100 * time.Millisecond, 60000000: maxRetryInterval} {
+	for within, want := range map[int]time.Duration{
+		0: maxRetryInterval, 1: minRetryInterval,
+		400000: 100 * time.Millisecond, 60000000: maxRetryInterval,
+	} {
 		n := newNode(t, withSettings(`"rules":{`, fmt.Sprintf(`"rules":{"stop_sending_within_us":%d,`, within)))
 		if n.endpointWatch.retryInterval != want {
 			t.Errorf("sends stop within %d us: a wait of %v, want %v", within, n.endpointWatch.retryInterval, want)
@@ -242,7 +254,10 @@
 		chunk(listText(2, false, listEntry("s-0", server, "draining")) + "\n")
 		discard(c)
 	})
-	n := newNode(t, func(c *Config) { withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c); c.Discovery = address }, server)
+	n := newNode(t, func(c *Config) {
+		withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c)
+		c.Discovery = address
+	}, server)
 	client, in := dial(t, n)
 	writeText(client, requestText("batch", "t", ""))
 	go n.start()
--- a/internal/node/requestread_test.go
+++ b/internal/node/requestread_test.go
@@ -101,7 +101,10 @@
 	}
 	defer own.Close()
 	writeText(peer, "GET "+pathReady+" HTTP/1.1\r\nHost: h\r\n\r\n")
-	c := &clientConn{frontend: n.frontend, conn: newBufferedConn(own), responseOrder: make(chan *pendingRequest, 1), admittedAt: time.Now().Add(-headTimeout)}
+	c := &clientConn{
+		frontend: n.frontend, conn: newBufferedConn(own), responseOrder: make(chan *pendingRequest, 1),
+		admittedAt: time.Now().Add(-headTimeout),
+	}
 	eventually(t, "the request", c.conn.hasInput)
 	read := make(chan error, 1)
 	go func() {
@@ -169,10 +172,13 @@
 	var all []begun
 	for i := range 16 {
 		c, in := dial(t, n)
-		writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nContent-Length: %d\r\n\r\n%s", i, len(body), body[:minBufferedBody])
+		writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nContent-Length: %d\r\n\r\n%s", i, len(body),
+			body[:minBufferedBody])
 		all = append(all, begun{c, in})
 	}
-	eventually(t, "some flow, as they are more than there is memory for", func() bool { return n.count(requestsStreamed) > 8 })
+	eventually(t, "some flow, as they are more than there is memory for", func() bool {
+		return n.count(requestsStreamed) > 8
+	})
 	if held := n.bufferedBytes.Load(); held > 2*n.maxBufferedBytes.Load() {
 		t.Errorf("%d bytes held of %d", held, n.maxBufferedBytes.Load())
 	}
@@ -205,7 +211,8 @@
 		}
 	}
 	body := randomBody(3 << 20)
-	writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t9\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", len(body))
+	writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t9\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n",
+		len(body))
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 100 {
 		t.Fatalf("%+v, %v, want the word to go on", r, err)
 	}
--- a/internal/node/roundtrip_test.go
+++ b/internal/node/roundtrip_test.go
@@ -13,7 +13,8 @@
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		if r.Header.Get(headerRemaining) == "" || r.Header.Get("X-Other") != "kept" || r.Header.Get("Connection") != "" {
+		if r.Header.Get(headerRemaining) == "" || r.Header.Get("X-Other") != "kept" ||
+			r.Header.Get("Connection") != "" {
 			return writeAnswer(c, "500 Bad", "")
 		}
 		return echo(c, r, body)
@@ -55,20 +56,51 @@
 		how    counter
 		status map[string]int // by class; 503 is a reject
 	}{
-		"error":             {cut("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsErrored, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"rejected":          {cut("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), attemptsRejected, map[string]int{"view": 503, "update": 503, "pay": 503}},
-		"503 without proof": {cut("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), attemptsErrored, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"fault with it":     {cut("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsRequestFault, map[string]int{"view": 400, "update": 400, "pay": 400}},
-		"too many":          {cut("HTTP/1.1 429 Later\r\nContent-Length: 0\r\n\r\n"), attemptsErrored, map[string]int{"view": 503, "pay": 502}},
-		"refused":           {"127.0.0.1:1", attemptsConnectFailed, map[string]int{"view": 503, "update": 503, "pay": 503}},
+		"error": {
+			cut("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
+			map[string]int{"view": 503, "update": 502, "pay": 502},
+		},
+		"rejected": {
+			cut("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"),
+			attemptsRejected,
+			map[string]int{"view": 503, "update": 503, "pay": 503},
+		},
+		"503 without proof": {
+			cut("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
+			map[string]int{"view": 503, "update": 502, "pay": 502},
+		},
+		"fault with it": {
+			cut("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsRequestFault,
+			map[string]int{"view": 400, "update": 400, "pay": 400},
+		},
+		"too many": {
+			cut("HTTP/1.1 429 Later\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
+			map[string]int{"view": 503, "pay": 502},
+		},
+		"refused": {
+			"127.0.0.1:1", attemptsConnectFailed,
+			map[string]int{"view": 503, "update": 503, "pay": 503},
+		},
 		"broken before any": {cut(""), attemptsReset, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"broken in head":    {cut("HTTP/1.1 200 OK\r\nContent-Le"), attemptsReset, map[string]int{"view": 503, "pay": 502}},
-		"broken in body":    {cut("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), attemptsReset, map[string]int{"view": 503, "pay": 502}},
-		"broken in chunk":   {cut("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal"), attemptsReset, map[string]int{"pay": 502}},
-		"no answer at all":  {cut("SSH-2.0-x\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
-		"endless answer":    {cut("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
-		"silent":            {silent, attemptsTimedOut, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"closed at once":    {closed, counterCount, map[string]int{"view": 503}},
+		"broken in head": {
+			cut("HTTP/1.1 200 OK\r\nContent-Le"), attemptsReset,
+			map[string]int{"view": 503, "pay": 502},
+		},
+		"broken in body": {
+			cut("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), attemptsReset,
+			map[string]int{"view": 503, "pay": 502},
+		},
+		"broken in chunk": {
+			cut("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal"), attemptsReset,
+			map[string]int{"pay": 502},
+		},
+		"no answer at all": {cut("SSH-2.0-x\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
+		"endless answer": {
+			cut("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), attemptsReset,
+			map[string]int{"pay": 502},
+		},
+		"silent":         {silent, attemptsTimedOut, map[string]int{"view": 503, "update": 502, "pay": 502}},
+		"closed at once": {closed, counterCount, map[string]int{"view": 503}},
 		"interim, chunked": {
 			cut("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
 			attemptsSucceeded,
@@ -82,7 +114,8 @@
 				n := startNode(t, nil, c.server)
 				status, _, header := ask(t, n, class, "t1", "body")
 				if status != want || c.how < counterCount && n.count(c.how) != 1 {
-					t.Errorf("%s: answered %d, want %d; outcome counted %d times", class, status, want, n.count(min(c.how, panics)))
+					t.Errorf("%s: answered %d, want %d; outcome counted %d times", class, status, want,
+						n.count(min(c.how, panics)))
 				}
 				if (header.Get(headerRetryAfter) != "") != (status == 503) {
 					t.Errorf("%s: %d with advice %q", class, status, header.Get(headerRetryAfter))
@@ -108,7 +141,8 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	for i := range 20 {
-		if status, body, _ := ask(t, n, "view", fmt.Sprint("t", i), ""); status == 200 && body != fmt.Sprintf("/view t%d ", i) {
+		status, body, _ := ask(t, n, "view", fmt.Sprint("t", i), "")
+		if status == 200 && body != fmt.Sprintf("/view t%d ", i) {
 			t.Fatalf("request %d got the answer %q", i, body)
 		}
 	}
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -100,7 +100,9 @@
 		if i%10 != 9 && status != 200 && status != 502 && status != 503 {
 			t.Errorf("%s was answered %d", id, status)
 		}
-		if c == "pay" && runs[id] > 1 || c != "view" && status == 503 && runs[id] > 0 || status == 200 && runs[id] == 0 {
+		ranTwice := c == "pay" && runs[id] > 1
+		ranThoughRejected := c != "view" && status == 503 && runs[id] > 0
+		if ranTwice || ranThoughRejected || status == 200 && runs[id] == 0 {
 			t.Errorf("%s (%s) was answered %d and ran %d times", id, c, status, runs[id])
 		}
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -76,8 +76,11 @@
 		serve func(g *gate, c net.Conn, in *bufio.Reader) (served bool)
 		there func(n *Node) bool
 	}{
-		"in the queue": {hold: func(t *testing.T, n *Node) *gate { return n.holdLoop(t) }, there: func(n *Node) bool { return len(n.loop.events) > 0 }},
-		"dialling":     {there: func(n *Node) bool { return n.count(attemptsSent) == 1 }},
+		"in the queue": {
+			hold:  func(t *testing.T, n *Node) *gate { return n.holdLoop(t) },
+			there: func(n *Node) bool { return len(n.loop.events) > 0 },
+		},
+		"dialling": {there: func(n *Node) bool { return n.count(attemptsSent) == 1 }},
 		"partly written": {
 			body: long, serve: func(g *gate, _ net.Conn, _ *bufio.Reader) bool { g.wait(); return false },
 			there: func(n *Node) bool { return n.count(requestsStreamed) == 1 },
@@ -133,10 +136,10 @@
 			eventually(t, "there", func() bool { return c.there == nil || c.there(n) })
 			stopped := make(chan struct{})
 			go func() { n.shutDown(); close(stopped) }()
-			eventually(t, "the end of taking", n.frontend.draining.Load)
+			eventually(t, "the listener to drain", n.frontend.draining.Load)
 			select {
 			case <-stopped:
-				t.Error("the stop ended with a request out") // and the process with it
+				t.Error("the shutdown ended with a request in flight") // and the process with it
 			case <-time.After(100 * time.Millisecond): // rounds in which it might have
 			}
 			g.pass()
@@ -168,7 +171,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := startNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, c.group), `"memory_span_us":2000000`, `"memory_span_us":`+c.span), silent)
+			n := startNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, c.group),
+				`"memory_span_us":2000000`, `"memory_span_us":`+c.span), silent)
 			client, in := dial(t, n)
 			writeText(client, requestText("update", "t1", ""))
 			eventually(t, "it is out", func() bool { return n.count(attemptsSent) == 1 })
@@ -205,12 +209,15 @@
 	}
 	old, oldIn := dial(t, n)
 	writeText(old, "GET /batch HTTP/1.0\r\nX-Txn: old\r\n\r\n")
-	eventually(t, "all at the server, and an answer on its way", func() bool { return requests.Load() == 4 && n.count(responsesStreamed) == 1 })
+	eventually(t, "all at the server, and an answer on its way", func() bool {
+		return requests.Load() == 4 && n.count(responsesStreamed) == 1
+	})
 	stopped := make(chan struct{})
 	go func() { n.shutDown(); close(stopped) }()
 	<-stopped
 	if n.count(requestsRejected) != 1 || n.count(requestsFailed) != 2 {
-		t.Errorf("at the end %d requests are rejected and %d failed, want 1 and 2", n.count(requestsRejected), n.count(requestsFailed))
+		t.Errorf("at the end %d requests are rejected and %d failed, want 1 and 2", n.count(requestsRejected),
+			n.count(requestsFailed))
 	}
 	for class, status := range want {
 		if got, body, _ := readAnswer(ins[class]); got != status {
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -28,7 +28,10 @@
 	server, _ := digestServer(t)
 	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
-	for i, size := range []int{0, 1, 300, minBufferedBody, minBufferedBody + 1, maxBufferedBody, maxBufferedBody + 1, 5 << 20} {
+	for i, size := range []int{
+		0, 1, 300, minBufferedBody, minBufferedBody + 1, maxBufferedBody, maxBufferedBody + 1,
+		5 << 20,
+	} {
 		for _, chunk := range []int{0, 1 << 10, 1 << 20} {
 			body := randomBody(size)
 			head := fmt.Sprintf("POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d-%d\r\n", i, chunk)
@@ -81,7 +84,8 @@
 			}
 		}
 		if n.count(responsesStreamed) != 4 || n.count(responsesTruncated) != 0 {
-			t.Errorf("%s: %d answers flowed, %d cut; want 4, 0", form, n.count(responsesStreamed), n.count(responsesTruncated))
+			t.Errorf("%s: %d answers flowed, %d cut; want 4, 0", form, n.count(responsesStreamed),
+				n.count(responsesTruncated))
 		}
 		eventually(t, "no connection to a server at work", func() bool {
 			n.upstreams.mu.Lock()
@@ -229,7 +233,10 @@
 
 // Guards against holding back the first bytes of a long response where its head does not tell that it is long.
 func TestSlowResponseIsNotHeldBack(t *testing.T) {
-	for _, head := range []string{"Content-Length: 70003\r\n\r\nyes", "Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n", "\r\nyes"} {
+	for _, head := range []string{
+		"Content-Length: 70003\r\n\r\nyes",
+		"Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n", "\r\nyes",
+	} {
 		seen := make(chan struct{})
 		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 			writeText(c, "HTTP/1.1 200 OK\r\n"+head)
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -55,7 +55,8 @@
 func TestConnectionThatStoodIdleIsNotUsedAgain(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) {
-		c.Settings = json.RawMessage(strings.Replace(settingsText, `"idle_close_us":60000000`, `"idle_close_us":100000`, 1))
+		c.Settings = json.RawMessage(strings.Replace(settingsText, `"idle_close_us":60000000`,
+			`"idle_close_us":100000`, 1))
 	}, server)
 	for i, want := range []int64{1, 1, 2} {
 		if i == 2 {
@@ -93,7 +94,8 @@
 		close(hold)
 		done.Wait()
 		if answers[200].Load() != 3+lent || out.Load() != 3+lent || n.count(attemptsNotSent) < 7-lent {
-			t.Errorf("with %d lent: %d satisfied, %d at the server, %d never sent", lent, answers[200].Load(), out.Load(), n.count(attemptsNotSent))
+			t.Errorf("with %d lent: %d satisfied, %d at the server, %d never sent", lent, answers[200].Load(),
+				out.Load(), n.count(attemptsNotSent))
 		}
 	}
 }
@@ -106,10 +108,13 @@
 	var conns []*upstreamConn
 	for i := range 3 {
 		c, _ := net.Pipe()
-		conns = append(conns, &upstreamConn{bufferedConn: newBufferedConn(c), target: upstreamTarget{policy.EndpointID(i), "x"}})
+		conns = append(conns, &upstreamConn{
+			bufferedConn: newBufferedConn(c),
+			target:       upstreamTarget{policy.EndpointID(i), "x"},
+		})
 		s.setAddress(policy.EndpointID(i), "x", true)
 		if !s.reserveSlot() {
-			t.Fatal("no room for one of three")
+			t.Fatal("no slot for one of three")
 		}
 	}
 	for _, i := range []int{1, 0, 2} {
@@ -184,9 +189,14 @@
 		defer n.upstreams.mu.Unlock()
 		return n.upstreams.idleOrder.Len() == 1
 	})
-	born := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`, fmt.Sprintf(`"born_ms":%d`, n.clock.nanos()/milli), 1)
+	born := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`,
+		fmt.Sprintf(`"born_ms":%d`, n.clock.nanos()/milli), 1)
 	n.updateList(t, listText(2, false, born))
-	eventually(t, "its end", func() bool { n.upstreams.mu.Lock(); defer n.upstreams.mu.Unlock(); return n.upstreams.open == 0 })
+	eventually(t, "its end", func() bool {
+		n.upstreams.mu.Lock()
+		defer n.upstreams.mu.Unlock()
+		return n.upstreams.open == 0
+	})
 	n.updateList(t, listText(3, false, born))
 	ask(t, n, "batch", "b", "")
 	n.updateList(t, listText(4, false, born))
