--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -135,7 +135,7 @@
 		switch r.Verdict {
 		case result.Void:
 			return fmt.Errorf("%s: the machine ran late by %.0f ms: play it again with less beside it", r.Scenario, r.LateMs)
-		case result.Fell:
+		case result.FellShort:
 			err = fell
 		}
 	}
--- a/cmd/fawnglade-lab/weigh.go
+++ b/cmd/fawnglade-lab/weigh.go
@@ -91,7 +91,7 @@
 		if nameB == "" {
 			nameB = moduleName
 		}
-		found, err := result.Paired(s.Name, *a, nameB, as, bs)
+		found, err := result.Compare(s.Name, *a, nameB, as, bs)
 		if err != nil {
 			return err
 		}
@@ -143,9 +143,9 @@
 		if err != nil {
 			return err
 		}
-		draw := results[0].Page
+		draw := results[0].WritePage
 		if len(args) > 1 {
-			draw = func(w io.Writer) error { return result.Beside(w, args, results) }
+			draw = func(w io.Writer) error { return result.WriteSideBySide(w, args, results) }
 		}
 		if err := errors.Join(draw(f), f.Close()); err != nil {
 			return err
@@ -205,8 +205,8 @@
 			used := ownCPU() - before
 			r := result.Of(s, record)
 			one := step{
-				Rate: rate, Tasks: r.Tasks, Whole: r.Satisfied, LateMs: r.LateMs, P50: r.P50, P99: r.P99, Most: r.Most,
-				CPU: used.Seconds() * 1e6 / float64(max(r.Tasks, 1)), Held: r.Satisfied == r.Tasks && r.LateMs <= 5,
+				Rate: rate, Tasks: r.Requests, Whole: r.Succeeded, LateMs: r.LateMs, P50: r.P50, P99: r.P99, Most: r.Max,
+				CPU: used.Seconds() * 1e6 / float64(max(r.Requests, 1)), Held: r.Succeeded == r.Requests && r.LateMs <= 5,
 			}
 			steps = append(steps, one)
 			if !*asJSON {
@@ -311,8 +311,8 @@
 						return err
 					}
 					row := costRow{
-						command, n, rate, r.Tasks, r.Satisfied, r.Declined, r.P50, r.P99,
-						r.Nodes[0].CPUSeconds * 1e6 / float64(max(r.Tasks, 1)), r.Nodes[0].MaxMemoryMB, r.Verdict == result.Void,
+						command, n, rate, r.Requests, r.Succeeded, r.Rejected, r.P50, r.P99,
+						r.Nodes[0].CPUSeconds * 1e6 / float64(max(r.Requests, 1)), r.Nodes[0].MaxMemoryMB, r.Verdict == result.Void,
 					}
 					if row.Through == "" {
 						row.Through = "fawnglade"
--- a/internal/lab/result/compare.go
+++ b/internal/lab/result/compare.go
@@ -19,7 +19,7 @@
 	B     []float64 `json:"b"`
 	MeanA float64   `json:"mean_a"`
 	MeanB float64   `json:"mean_b"`
-	Mean  float64   `json:"b_less_a"`
+	MeanDifference  float64   `json:"b_less_a"`
 	Low   *float64  `json:"low"` // null with fewer than two pairs
 	High  *float64  `json:"high"`
 }
@@ -30,27 +30,27 @@
 	NameA       string       `json:"name_a"`
 	NameB       string       `json:"name_b"`
 	Pairs       int          `json:"pairs"`
-	Void        int          `json:"void"` // pairs left out, as the machine ran late
-	BrokenA     int          `json:"rules_broken_a"`
-	BrokenB     int          `json:"rules_broken_b"`
+	VoidPairs        int          `json:"void"` // pairs left out, as the machine ran late
+	ViolationsA     int          `json:"rules_broken_a"`
+	ViolationsB     int          `json:"rules_broken_b"`
 	Differences []Difference `json:"differences"`
 }
 
 // Paired works out how B differs from A. The same seed must stand at the same place of both.
-func Paired(scenario, nameA, nameB string, a, b []*Result) (*Comparison, error) {
+func Compare(scenario, nameA, nameB string, a, b []*Result) (*Comparison, error) {
 	if len(a) != len(b) {
 		return nil, fmt.Errorf("expected as many days of one as of the other, got %d and %d", len(a), len(b))
 	}
 	c := &Comparison{Scenario: scenario, NameA: nameA, NameB: nameB}
 	var goodA, goodB []*Result
 	for i := range a {
-		if a[i].Drawn != b[i].Drawn {
-			return nil, fmt.Errorf("pair %d is not of one plan: %v and %v", i, a[i].Drawn, b[i].Drawn)
+		if a[i].Plan != b[i].Plan {
+			return nil, fmt.Errorf("pair %d is not of one plan: %v and %v", i, a[i].Plan, b[i].Plan)
 		}
-		c.BrokenA += a[i].RulesBroken
-		c.BrokenB += b[i].RulesBroken
+		c.ViolationsA += a[i].ViolationCount
+		c.ViolationsB += b[i].ViolationCount
 		if a[i].Verdict == Void || b[i].Verdict == Void {
-			c.Void++
+			c.VoidPairs++
 			continue
 		}
 		goodA, goodB = append(goodA, a[i]), append(goodB, b[i])
@@ -60,15 +60,15 @@
 		name string
 		of   func(*Result) float64
 	}{
-		{"earnings_in_time", func(r *Result) float64 { return r.Part }},
-		{"worst_10s", func(r *Result) float64 { return r.Worst(10) }},
-		{"worst_category", func(r *Result) float64 { return r.WorstCategory() }},
-		{"satisfied", func(r *Result) float64 { return float64(r.Satisfied) }},
-		{"declined", func(r *Result) float64 { return float64(r.Declined) }},
-		{"broken_off", func(r *Result) float64 { return float64(r.BrokenOff) }},
+		{"earnings_in_time", func(r *Result) float64 { return r.FractionInTime }},
+		{"worst_10s", func(r *Result) float64 { return r.WorstWindow(10) }},
+		{"worst_category", func(r *Result) float64 { return r.WorstClass() }},
+		{"satisfied", func(r *Result) float64 { return float64(r.Succeeded) }},
+		{"declined", func(r *Result) float64 { return float64(r.Rejected) }},
+		{"broken_off", func(r *Result) float64 { return float64(r.Failed) }},
 		{"p50_ms", func(r *Result) float64 { return r.P50 }},
 		{"p99_ms", func(r *Result) float64 { return r.P99 }},
-		{"hand_offs", func(r *Result) float64 { return float64(r.HandOffs.Sent) }},
+		{"hand_offs", func(r *Result) float64 { return float64(r.Attempts.Sent) }},
 		{"cpu_s", func(r *Result) float64 {
 			sum := 0.0
 			for _, n := range r.Nodes {
@@ -84,11 +84,11 @@
 			d.A, d.B, diffs = append(d.A, x), append(d.B, y), append(diffs, y-x)
 		}
 		if len(diffs) > 0 {
-			d.MeanA, d.MeanB, d.Mean = stat.Mean(d.A, nil), stat.Mean(d.B, nil), stat.Mean(diffs, nil)
+			d.MeanA, d.MeanB, d.MeanDifference = stat.Mean(d.A, nil), stat.Mean(d.B, nil), stat.Mean(diffs, nil)
 		}
 		if n := float64(len(diffs)); n > 1 {
 			half := stat.StdDev(diffs, nil) / math.Sqrt(n) * distuv.StudentsT{Nu: n - 1, Sigma: 1}.Quantile(0.975)
-			low, high := d.Mean-half, d.Mean+half
+			low, high := d.MeanDifference-half, d.MeanDifference+half
 			d.Low, d.High = &low, &high
 		}
 		c.Differences = append(c.Differences, d)
@@ -98,14 +98,14 @@
 
 // Print writes the comparison as a table.
 func (c *Comparison) Print(w io.Writer) {
-	fmt.Fprintf(w, "%s: A %s, B %s, %d pairs, %d left out as the machine ran late\n", c.Scenario, c.NameA, c.NameB, c.Pairs, c.Void)
+	fmt.Fprintf(w, "%s: A %s, B %s, %d pairs, %d left out as the machine ran late\n", c.Scenario, c.NameA, c.NameB, c.Pairs, c.VoidPairs)
 	fmt.Fprintf(w, "%18s %12s %12s %12s   %s\n", "", "A", "B", "B less A", "95% interval")
 	for _, d := range c.Differences {
 		interval := "-"
 		if d.Low != nil {
 			interval = fmt.Sprintf("%.4f to %.4f", *d.Low, *d.High)
 		}
-		fmt.Fprintf(w, "%18s %12.4f %12.4f %12.4f   %s\n", d.Name, d.MeanA, d.MeanB, d.Mean, interval)
+		fmt.Fprintf(w, "%18s %12.4f %12.4f %12.4f   %s\n", d.Name, d.MeanA, d.MeanB, d.MeanDifference, interval)
 	}
-	fmt.Fprintf(w, "rules broken: A %d, B %d\n", c.BrokenA, c.BrokenB)
+	fmt.Fprintf(w, "rules broken: A %d, B %d\n", c.ViolationsA, c.ViolationsB)
 }
--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -24,7 +24,7 @@
 )
 
 // Colours that a person with any usual colour sight can tell apart.
-var colours = []color.RGBA{
+var curveColors = []color.RGBA{
 	{0, 114, 178, 255},
 	{213, 94, 0, 255},
 	{0, 158, 115, 255},
@@ -35,8 +35,8 @@
 }
 
 const (
-	mostServersDrawn = 24
-	leastHeld        = 0.1 // tasks at a server, on average, below which their spread is chance
+	maxEndpointsDrawn = 24
+	minMeanInFlight        = 0.1 // tasks at a server, on average, below which their spread is chance
 	spreadTitle      = "Spread of the tasks held over the servers"
 )
 
@@ -47,7 +47,7 @@
 }
 
 // figure draws curves with the faults as bands behind them.
-func (r *Result) figure(title, unit string, lines []line) (template.HTML, error) {
+func (r *Result) plot(title, unit string, lines []line) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
 	p.X.Min, p.X.Max, p.Y.Min = 0, math.Max(r.LengthS, 1), 0
@@ -66,7 +66,7 @@
 		if err != nil {
 			return "", err
 		}
-		c := colours[i%len(colours)]
+		c := curveColors[i%len(curveColors)]
 		band.Color, band.LineStyle.Width = color.NRGBA{c.R, c.G, c.B, 36}, 0
 		p.Add(band)
 		p.Legend.Add(fmt.Sprintf("%s (%.1f s)", f.Kind, f.FromS), band)
@@ -84,8 +84,8 @@
 		if err != nil {
 			return "", err
 		}
-		curve.Color, curve.Width = colours[i%len(colours)], vg.Points(1.4)
-		if i >= len(colours) {
+		curve.Color, curve.Width = curveColors[i%len(curveColors)], vg.Points(1.4)
+		if i >= len(curveColors) {
 			curve.Dashes = []vg.Length{vg.Points(4), vg.Points(2)}
 		}
 		p.Add(curve)
@@ -109,7 +109,7 @@
 	return template.HTML(text), nil
 }
 
-func (r *Result) bySecond(name string, of func(*Tally) float64) line {
+func (r *Result) tallyBySecond(name string, of func(*Tally) float64) line {
 	l := line{name: name}
 	for i := range r.Seconds {
 		l.x = append(l.x, float64(i)+0.5)
@@ -119,17 +119,17 @@
 }
 
 // together is one count of what all nodes did, by second.
-func (r *Result) together(name string, of func(*trace.FleetActivity) int) line {
+func (r *Result) activityBySecond(name string, of func(*trace.FleetActivity) int) line {
 	l := line{name: name}
-	for i := range r.Together {
-		l.x, l.y = append(l.x, float64(i)+0.5), append(l.y, float64(of(&r.Together[i])))
+	for i := range r.Activity {
+		l.x, l.y = append(l.x, float64(i)+0.5), append(l.y, float64(of(&r.Activity[i])))
 	}
 	return l
 }
 
 // spread is how unevenly the servers were loaded: the deviation of the tasks that each held over their mean, by second. Where many
 // nodes follow one report all at once, it rises and falls with the reports. Moments at which next to nothing was held tell nothing.
-func (r *Result) spread(name string) line {
+func (r *Result) inFlightSpread(name string) line {
 	l := line{name: name}
 	sum, n, second := 0.0, 0.0, 0
 	end := func() {
@@ -147,7 +147,7 @@
 		for i, h := range s.InFlight {
 			held[i] = float64(h)
 		}
-		if mean, deviation := stat.MeanStdDev(held, nil); len(held) > 1 && mean > leastHeld {
+		if mean, deviation := stat.MeanStdDev(held, nil); len(held) > 1 && mean > minMeanInFlight {
 			sum, n = sum+deviation/mean, n+1
 		}
 	}
@@ -156,23 +156,23 @@
 }
 
 // Beside writes one page on several results of a day, a curve for each under its name.
-func Beside(w io.Writer, names []string, results []*Result) error {
+func WriteSideBySide(w io.Writer, names []string, results []*Result) error {
 	wanted := []struct {
 		title, unit string
 		of          func(*Result, string) line
 	}{
 		{"Earnings in time, part of what came in the second", "part", func(r *Result, name string) line {
-			return r.bySecond(name, func(t *Tally) float64 { return t.Part })
+			return r.tallyBySecond(name, func(t *Tally) float64 { return t.FractionInTime })
 		}},
 		{"Answer times of satisfied tasks, 99th percentile", "ms", func(r *Result, name string) line {
-			return r.bySecond(name, func(t *Tally) float64 { return t.P99 })
+			return r.tallyBySecond(name, func(t *Tally) float64 { return t.P99 })
 		}},
-		{spreadTitle, "deviation over mean", (*Result).spread},
+		{spreadTitle, "deviation over mean", (*Result).inFlightSpread},
 		{"Connections opened by all nodes", "in the second", func(r *Result, name string) line {
-			return r.together(name, func(t *trace.FleetActivity) int { return t.Connections })
+			return r.activityBySecond(name, func(t *trace.FleetActivity) int { return t.Connections })
 		}},
 		{"Resends and second copies of all nodes", "in the second", func(r *Result, name string) line {
-			return r.together(name, func(t *trace.FleetActivity) int { return t.Retries + t.Hedged })
+			return r.activityBySecond(name, func(t *trace.FleetActivity) int { return t.Retries + t.Hedged })
 		}},
 	}
 	var plots []template.HTML
@@ -181,26 +181,26 @@
 		for i, r := range results {
 			lines = append(lines, one.of(r, names[i]))
 		}
-		svg, err := results[0].figure(one.title, one.unit, lines)
+		svg, err := results[0].plot(one.title, one.unit, lines)
 		if err != nil {
 			return fmt.Errorf("plot of %s: %w", one.title, err)
 		}
 		plots = append(plots, svg)
 	}
-	return besidePage.Execute(w, map[string]any{"Names": names, "Results": results, "Plots": plots})
+	return sideBySideTemplate.Execute(w, map[string]any{"Names": names, "Results": results, "Plots": plots})
 }
 
 // Page writes the report.
-func (r *Result) Page(w io.Writer) error {
+func (r *Result) WritePage(w io.Writer) error {
 	states := func(name string, of func(*Tally) int) line {
-		return r.bySecond(name, func(t *Tally) float64 { return float64(of(t)) })
+		return r.tallyBySecond(name, func(t *Tally) float64 { return float64(of(t)) })
 	}
 	var servers []line
-	for i, name := range r.Servers {
-		if i == mostServersDrawn {
+	for i, name := range r.Endpoints {
+		if i == maxEndpointsDrawn {
 			break
 		}
-		at, held := heldBy(r.Loads, i)
+		at, held := inFlightOf(r.Loads, i)
 		servers = append(servers, line{name, at, held})
 	}
 	if len(servers) > 8 {
@@ -213,22 +213,22 @@
 		lines       []line
 	}
 	wanted := []plotted{
-		{"Earnings in time, part of what came in the second", "part", []line{r.bySecond("", func(t *Tally) float64 { return t.Part })}},
+		{"Earnings in time, part of what came in the second", "part", []line{r.tallyBySecond("", func(t *Tally) float64 { return t.FractionInTime })}},
 		{"Answer times of satisfied tasks, from when they were due", "ms", []line{
-			r.bySecond("p50", func(t *Tally) float64 { return t.P50 }), r.bySecond("p90", func(t *Tally) float64 { return t.P90 }),
-			r.bySecond("p99", func(t *Tally) float64 { return t.P99 }),
+			r.tallyBySecond("p50", func(t *Tally) float64 { return t.P50 }), r.tallyBySecond("p90", func(t *Tally) float64 { return t.P90 }),
+			r.tallyBySecond("p99", func(t *Tally) float64 { return t.P99 }),
 		}},
 		{"Tasks by their end", "tasks due in the second", []line{
-			states("satisfied", func(t *Tally) int { return t.Satisfied }), states("declined", func(t *Tally) int { return t.Declined }),
-			states("broken off", func(t *Tally) int { return t.BrokenOff }), states("lost", func(t *Tally) int { return t.Lost }),
+			states("satisfied", func(t *Tally) int { return t.Succeeded }), states("declined", func(t *Tally) int { return t.Rejected }),
+			states("broken off", func(t *Tally) int { return t.Failed }), states("lost", func(t *Tally) int { return t.Lost }),
 		}},
 		{"Tasks held by each server", "tasks", servers},
 	}
 	if len(r.Loads) > 0 {
-		wanted = append(wanted, plotted{spreadTitle, "deviation over mean", []line{r.spread("")}})
+		wanted = append(wanted, plotted{spreadTitle, "deviation over mean", []line{r.inFlightSpread("")}})
 	}
-	if len(r.Together) > 0 {
-		all := r.together
+	if len(r.Activity) > 0 {
+		all := r.activityBySecond
 		wanted = append(wanted, plotted{"What all nodes do together, beside the tasks", "in the second", []line{
 			all("resends", func(t *trace.FleetActivity) int { return t.Retries }), all("copies", func(t *trace.FleetActivity) int { return t.Hedged }),
 			all("connections", func(t *trace.FleetActivity) int { return t.Connections }), all("calls for the list", func(t *trace.FleetActivity) int { return t.ListCalls }),
@@ -239,7 +239,7 @@
 		by := func(name string, of []int) line {
 			l := line{name: name}
 			for i, n := range of {
-				l.x, l.y = append(l.x, float64(r.Runs[i].At)/1e9), append(l.y, float64(n))
+				l.x, l.y = append(l.x, float64(r.Running[i].At)/1e9), append(l.y, float64(n))
 			}
 			return l
 		}
@@ -247,7 +247,7 @@
 	}
 	var plots []template.HTML
 	for _, one := range wanted {
-		svg, err := r.figure(one.title, one.unit, one.lines)
+		svg, err := r.plot(one.title, one.unit, one.lines)
 		if err != nil {
 			return fmt.Errorf("plot of %s: %w", one.title, err)
 		}
@@ -258,43 +258,43 @@
 		*Tally
 	}
 	var rows []row
-	for _, name := range slices.Sorted(maps.Keys(r.Categories)) {
-		rows = append(rows, row{name, r.Categories[name]})
+	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
+		rows = append(rows, row{name, r.Classes[name]})
 	}
 	rows = append(rows, row{"all", &r.Tally})
-	return page.Execute(w, map[string]any{"R": r, "Rows": rows, "Plots": plots, "Reach": reachLines(r.Reach)})
+	return pageTemplate.Execute(w, map[string]any{"Result": r, "Rows": rows, "Plots": plots, "Reach": reachLines(r.Reach)})
 }
 
-var besidePage = template.Must(template.New("beside").Parse(`<!DOCTYPE html>
+var sideBySideTemplate = template.Must(template.New("beside").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>Side by side</title><style>
 body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.25em .8em;text-align:right;border-bottom:1px solid #ddd}
 td:first-child,th:first-child{text-align:left}svg{width:100%;height:auto;margin:.6em 0}
 </style></head><body><h1>{{(index .Results 0).Scenario}}, side by side</h1>
 <table><tr><th></th><th>tasks</th><th>satisfied</th><th>earnings in time</th><th>p50 ms</th><th>p99 ms</th><th>rules broken</th></tr>
-{{range $i, $r := .Results}}<tr><td>{{index $.Names $i}}</td>{{with $r}}<td>{{.Tasks}}</td><td>{{.Satisfied}}</td><td>{{printf "%.4f" .Part}}</td><td>{{printf "%.1f" .P50}}</td><td>{{printf "%.1f" .P99}}</td><td>{{.RulesBroken}}</td>{{end}}</tr>
+{{range $i, $r := .Results}}<tr><td>{{index $.Names $i}}</td>{{with $r}}<td>{{.Requests}}</td><td>{{.Succeeded}}</td><td>{{printf "%.4f" .FractionInTime}}</td><td>{{printf "%.1f" .P50}}</td><td>{{printf "%.1f" .P99}}</td><td>{{.ViolationCount}}</td>{{end}}</tr>
 {{end}}</table>{{range .Plots}}{{.}}{{end}}</body></html>
 `))
 
-var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
-<html lang="en"><head><meta charset="utf-8"><title>{{.R.Scenario}}</title><style>
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+<html lang="en"><head><meta charset="utf-8"><title>{{.Result.Scenario}}</title><style>
 body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.25em .8em;text-align:right;border-bottom:1px solid #ddd}
 td:first-child,th:first-child{text-align:left}svg{width:100%;height:auto;margin:.6em 0}.bad{color:#b00020}
 </style></head><body>
-<h1>{{.R.Scenario}}: {{.R.Verdict}}</h1><p>{{.R.About}}</p>
-<p>Seed {{.R.Drawn.Seed}}, plan {{.R.Drawn.Plan}}, {{.R.LengthS}} s, {{len .R.Servers}} servers, {{len .R.Nodes}} nodes. The rig itself ran late by
-{{printf "%.1f" .R.LateMs}} ms at most in all but a twentieth of the time.</p>
-{{range .R.Missed}}<p class="bad">Not as expected: {{.}}</p>{{end}}
+<h1>{{.Result.Scenario}}: {{.Result.Verdict}}</h1><p>{{.Result.About}}</p>
+<p>Seed {{.Result.Plan.Seed}}, plan {{.Result.Plan.Hash}}, {{.Result.LengthS}} s, {{len .Result.Endpoints}} servers, {{len .Result.Nodes}} nodes. The rig itself ran late by
+{{printf "%.1f" .Result.LateMs}} ms at most in all but a twentieth of the time.</p>
+{{range .Result.Missed}}<p class="bad">Not as expected: {{.}}</p>{{end}}
 <table><tr><th></th><th>tasks</th><th>satisfied</th><th>declined</th><th>broken off</th><th>lost</th><th>left</th><th>earnings in time</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
-{{range .Rows}}<tr><td>{{.Name}}</td><td>{{.Tasks}}</td><td>{{.Satisfied}}</td><td>{{.Declined}}</td><td>{{.BrokenOff}}</td><td>{{.Lost}}</td><td>{{.Left}}</td><td>{{printf "%.4f" .Part}}</td><td>{{printf "%.1f" .P50}}</td><td>{{printf "%.1f" .P99}}</td><td>{{printf "%.1f" .P999}}</td></tr>
+{{range .Rows}}<tr><td>{{.Name}}</td><td>{{.Requests}}</td><td>{{.Succeeded}}</td><td>{{.Rejected}}</td><td>{{.Failed}}</td><td>{{.Lost}}</td><td>{{.Canceled}}</td><td>{{printf "%.4f" .FractionInTime}}</td><td>{{printf "%.1f" .P50}}</td><td>{{printf "%.1f" .P99}}</td><td>{{printf "%.1f" .P999}}</td></tr>
 {{end}}</table>
 {{range .Plots}}{{.}}{{end}}
 {{if .Reach}}<h2>Who could reach whom</h2><ul>{{range .Reach}}<li>{{.}}</li>{{end}}</ul>{{end}}
-<h2>Rules broken: {{.R.RulesBroken}}</h2><ul>{{range .R.Breaks}}<li class="bad">{{.}}</li>{{end}}</ul>
-<h2>Hand-offs</h2><p>{{with .R.HandOffs}}{{.Sent}} sent: {{.Satisfied}} satisfied, {{.TurnedAway}} turned away, {{.Errors}} errors, {{.Unanswered}} unanswered; double effects {{.Twice}}{{end}}</p>
+<h2>Rules broken: {{.Result.ViolationCount}}</h2><ul>{{range .Result.Violations}}<li class="bad">{{.}}</li>{{end}}</ul>
+<h2>Hand-offs</h2><p>{{with .Result.Attempts}}{{.Sent}} sent: {{.Succeeded}} satisfied, {{.Rejected}} turned away, {{.Errors}} errors, {{.Unanswered}} unanswered; double effects {{.DoubleEffects}}{{end}}</p>
 <h2>Nodes</h2><table><tr><th>node</th><th>CPU s</th><th>MB at most</th><th>descriptors at most</th><th>starts</th><th>crashes</th></tr>
-{{range .R.Nodes}}<tr><td>{{.Node}}</td><td>{{printf "%.2f" .CPUSeconds}}</td><td>{{printf "%.0f" .MaxMemoryMB}}</td><td>{{.MaxDescriptors}}</td><td>{{.Starts}}</td><td>{{.Crashes}}</td></tr>{{end}}</table>
-{{if .R.Odd}}<h2>Seen besides</h2><ul>{{range $what, $n := .R.Odd}}<li>{{$what}}: {{$n}}</li>{{end}}</ul>{{end}}
+{{range .Result.Nodes}}<tr><td>{{.Node}}</td><td>{{printf "%.2f" .CPUSeconds}}</td><td>{{printf "%.0f" .MaxMemoryMB}}</td><td>{{.MaxDescriptors}}</td><td>{{.Starts}}</td><td>{{.Crashes}}</td></tr>{{end}}</table>
+{{if .Result.Oddities}}<h2>Seen besides</h2><ul>{{range $what, $n := .Result.Oddities}}<li>{{$what}}: {{$n}}</li>{{end}}</ul>{{end}}
 </body></html>
 `))
