--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Latency is predicted from decaying averages of the answers' latency for each unit of expected work, a ratio: that of the
-// fleet, times that of the pod over the fleet, times that of the endpoint over both. Each average counts one answer that
-// was never seen and shows nothing unusual, so that few answers say little. Inputs: the work of an attempt in nanoseconds,
-// its latency, the attempts of this node at the endpoint when it was sent, and, by zone, the latency that an answer has
-// however little the work. Work is in nanoseconds as float64, for speed. Answers of one endpoint alone never make
-// the whole fleet look slow. docs/design.md: "Predicted in time", "The way to a zone", "What teaches it".
+// Latency is predicted from decaying averages of the answers' latency for each unit of expected work, a ratio: that of
+// the fleet, times that of the pod over the fleet, times that of the endpoint over both. Each average starts with one
+// assumed answer that shows nothing unusual, so that few answers change it little. Inputs: the work of an attempt in
+// nanoseconds, its latency, the attempts of this node at the endpoint when it was sent, and, by zone, the latency that
+// an answer has however little the work. Work is in nanoseconds as float64, for speed. Answers of one endpoint alone
+// never make the fleet look slow. docs/design.md: "Admission: predicted in time".
 
 const (
 	// learningRate is the part of a new value in an endpoint's running averages.
 	learningRate = 1.0 / 12
-	// fleetWindow and endpointWindow are the weights in answers at which the averages of the fleet, and those of a pod and
-	// of an endpoint, stay.
+	// fleetWindow and endpointWindow are the weights in answers at which the averages of the fleet, and those of a pod
+	// and of an endpoint, stay.
 	fleetWindow    = 64
 	endpointWindow = 2 / learningRate
 	// meanWorkWindow is the number of answers over which the mean work is averaged.
@@ -26,24 +26,30 @@
 	// fleetDecayPerSecond is the part of what answers showed of the fleet that still counts a second later.
 	fleetDecayPerSecond = 0.5
 
-	// highLatencyQuantile is the quantile of the latency for each unit of work by which an endpoint is overdue or silent.
+	// highLatencyQuantile is the quantile of the latency for each unit of work by which an endpoint is overdue or
+	// silent.
 	highLatencyQuantile = 0.95
 	// initialHighLatency is what it is taken for, over one answer or over the work alone.
 	initialHighLatency = 2
-	// zoneDelayQuantile is the quantile of latency less work that tells the delay of a zone.
+	// maxHighLatencyFactor bounds the high quantile of an endpoint, over that of its healthy peers.
+	maxHighLatencyFactor = 2
+	// ownAttemptFactor is what an attempt of this node in flight counts for in a prediction.
+	ownAttemptFactor = 2
+	// zoneDelayQuantile is the quantile of latency less work that is taken for the delay of a zone.
 	zoneDelayQuantile = 0.1
 	// minWorkFraction is the part of the mean work that a request counts for at least.
 	minWorkFraction = 0.25
 	// maxSurprise bounds what an answer counts for in the averages of fleet and pod, over what these show.
 	maxSurprise = 3
-	// minOverdueTicks is how many ticks of the clock an answer is not overdue: this node itself may have stood still.
+	// minOverdueTicks is how many ticks of the clock an answer is not overdue: this process itself may have been
+	// paused.
 	minOverdueTicks = 4
 	// overdueFactor: an answer is overdue after its high quantile times this.
 	overdueFactor = 2
 )
 
-// estimator holds what was learned of latency and work of the fleet and of each class. What was learned of an endpoint is
-// in the endpoint.
+// estimator holds what was learned of latency and work of the fleet and of each class. What was learned of an endpoint
+// is in the endpoint.
 type estimator struct {
 	estimates.FleetEstimates
 	classes         []estimates.ClassEstimates
@@ -59,11 +65,11 @@
 	}
 }
 
-// predictLatency is the expected latency of so much work. Attempts of this node count double: what draws this node to an
-// endpoint draws others too, unseen.
+// predictLatency is the expected latency of so much work. Attempts of this node count double: what draws this node to
+// an endpoint draws others too, unseen.
 func (e *estimator) predictLatency(ep *endpoint, work float64) time.Duration {
 	perWork, inFlight := e.expectedLatency(ep)
-	crowding := (1 + 2*float64(ep.inFlight)) / (1 + 2*inFlight)
+	crowding := (1 + ownAttemptFactor*float64(ep.inFlight)) / (1 + ownAttemptFactor*inFlight)
 	return time.Duration(e.ZoneDelay[ep.Zone] + perWork*work*crowding)
 }
 
@@ -84,7 +90,7 @@
 func (e *estimator) overdueAfter(ep *endpoint, work float64) time.Duration {
 	high := e.HighLatency
 	if ep.HasLatency && !ep.isAvoided(ep.silentSince) {
-		high = min(2*high, ep.HighLatency)
+		high = min(maxHighLatencyFactor*high, ep.HighLatency)
 	}
 	_, inFlight := e.expectedLatency(ep)
 	work *= high * (1 + float64(ep.inFlight)) / (1 + min(inFlight, float64(ep.inFlight)))
@@ -92,10 +98,13 @@
 	return max(minOverdueTicks*e.clockResolution, overdue)
 }
 
-// isSilent tells whether an endpoint has answered nothing for too long. Guards against one that takes requests and answers
-// none, and so reports no load.
-func (e *estimator) isSilent(now Time, ep *endpoint, work float64) bool {
-	return ep.inFlight > 0 && ep.HasLatency && now.Sub(ep.silentSince) > e.overdueAfter(ep, max(work, e.MeanWork))
+// work is the expected work of a request where its key is not at home, in nanoseconds; 0: not known yet.
+func (e *estimator) work(req *request) float64 {
+	if req.CostHint > 0 {
+		// The latency of requests with hardly any work says nothing of an endpoint.
+		return max(float64(req.CostHint), minWorkFraction*e.MeanWork)
+	}
+	return cmp.Or(e.classes[req.Class].TypicalWork, e.MeanWork)
 }
 
 // relativeWork is work in requests of mean work.
@@ -119,7 +128,7 @@
 	ep := a.endpoint
 	perWork := tookNanos / a.work
 	fleet, pod := e.Fleet.Level(), ep.podLatency.Level()
-	// Guards against a few slow endpoints making the whole fleet look late.
+	// Guards against a few slow endpoints making the fleet look late.
 	e.Fleet.Add(min(perWork, maxSurprise*fleet), a.inFlightBefore, fleetWindow)
 	ep.podLatency.Add(min(perWork/fleet, maxSurprise*pod), a.inFlightBefore, endpointWindow)
 	ep.Latency.Add(perWork/fleet/pod, a.inFlightBefore, endpointWindow)
@@ -151,7 +160,7 @@
 	step := estimates.QuantileStep(beyondWork >= delay, e.MeanWork*learningRate, zoneDelayQuantile)
 	delay = max(0, delay+step)
 	e.ZoneDelay[zone] = delay
-	return max(tookNanos-delay, a.work/4)
+	return max(tookNanos-delay, a.work*minWorkFraction)
 }
 
 // updateHighLatency takes the mean of the high quantiles of the endpoints that are active and healthy.
@@ -166,7 +175,7 @@
 	e.HighLatency = cmp.Or(sum/max(count, 1), e.HighLatency)
 }
 
-// decayEndpoint lets what was learned of an endpoint that is no longer heard of drift to what others show.
+// decayEndpoint lets what was learned of an endpoint without recent answers drift to what others show.
 func (e *estimator) decayEndpoint(ep *endpoint) {
 	unknown := 1 - min(1, ep.Latency.Weight*learningRate)
 	ep.HighLatency += (e.HighLatency - ep.HighLatency) * learningRate * unknown
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -62,7 +62,8 @@
 	arrived int
 }
 
-// newTestFleet starts a Balancer with so many endpoints and three classes: idempotent, idempotent by key in a pod, non-idempotent.
+// newTestFleet starts a Balancer with so many endpoints and three classes: idempotent, idempotent by key in a pod,
+// non-idempotent.
 func newTestFleet(t *testing.T, endpoints int, change func(*Settings)) *testFleet {
 	s := Settings{
 		MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
@@ -101,8 +102,8 @@
 }
 
 // serve plays idempotent requests one after another, each answered as its endpoint does.
-func (b *testFleet) serve(tasks int, how func(EndpointID) (Outcome, time.Duration)) {
-	for range tasks {
+func (b *testFleet) serve(requests int, how func(EndpointID) (Outcome, time.Duration)) {
+	for range requests {
 		id := b.arrive(0)
 		for b.requests.byID[id] != nil {
 			o, took := how(b.last())
@@ -151,4 +152,10 @@
 	return list
 }
 
-var benchSettings = Settings{Classes: []Class{{LatencyObjective: 200 * ms}}, MayCancel: true, MaxAttempts: 4, SlowStartWindow: 20e9, SlowStartMinCapacity: 0.2}
+var benchSettings = Settings{
+	Classes:              []Class{{LatencyObjective: 200 * ms}},
+	MayCancel:            true,
+	MaxAttempts:          4,
+	SlowStartWindow:      20e9,
+	SlowStartMinCapacity: 0.2,
+}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -82,7 +82,8 @@
 	}
 	seldom := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
 	h := &attempt{endpoint: seldom, sentAt: b.now, inFlight: true}
-	if b.learnFrom(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed}); seldom.backoffUntil < b.now.Add(recalculationInterval/2) {
+	b.learnFrom(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed})
+	if seldom.backoffUntil < b.now.Add(recalculationInterval/2) {
 		t.Errorf("an endpoint not heard of late is asked again after %d ms", (seldom.backoffUntil-b.now)/ms)
 	}
 }
@@ -98,7 +99,8 @@
 	}
 }
 
-// Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it can do.
+// Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it
+// can do.
 func TestEjectedEndpointsAreUsedBeforeRejecting(t *testing.T) {
 	b := newTestFleet(t, 4, nil)
 	b.serve(100, answersPromptly)
@@ -129,8 +131,8 @@
 	}
 }
 
-// With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood still
-// made all of them look silent, and idle endpoints' requests were rejected: 57 of the first 50,000 with eight.
+// With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood
+// still made all of them look silent, and idle endpoints' requests were rejected.
 func TestAPauseOfTheNodeRejectsNothing(t *testing.T) {
 	q := &lastSendRecorder{}
 	set := benchSettings
@@ -142,7 +144,16 @@
 		id := RequestID(fmt.Sprint("warm", i))
 		p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms})
 		now += ms / 20
-		p.AttemptEnded(now, AttemptResult{Request: id, Endpoint: q.endpoint, Outcome: OutcomeSucceeded, Elapsed: ms / 20, RequestDone: true})
+		p.AttemptEnded(
+			now,
+			AttemptResult{
+				Request:     id,
+				Endpoint:    q.endpoint,
+				Outcome:     OutcomeSucceeded,
+				Elapsed:     ms / 20,
+				RequestDone: true,
+			},
+		)
 	}
 	for i := range 8 {
 		p.RequestArrived(now, Request{ID: RequestID(fmt.Sprint("out", i)), Deadline: now + 900*ms})
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -15,16 +15,15 @@
 	return near
 }
 
-// Guards against each of hundreds of nodes holding a connection to every endpoint: endpoints took 76 to 120, and up to 65%
-// of the attempts got none.
+// Guards against each of hundreds of nodes holding a connection to every endpoint.
 func TestHundredsOfNodesSpreadOverTheEndpoints(t *testing.T) {
-	const nodes, servers = 400, 50
+	const nodes, endpoints = 400, 50
 	sharing, moved := map[EndpointID]int{}, 0
 	for at := range nodes {
 		set := benchSettings
 		set.NodeIndex, set.NodeCount = at, nodes
 		p := New(set, 1, &lastSendRecorder{})
-		p.EndpointsUpdated(1e12, endpointList(servers), true)
+		p.EndpointsUpdated(1e12, endpointList(endpoints), true)
 		before := subsetIDs(p)
 		if len(before) != minSubsetSize {
 			t.Fatalf("node %d draws from %d endpoints, want %d", at, len(before), minSubsetSize)
@@ -32,7 +31,7 @@
 		for id := range before {
 			sharing[id]++
 		}
-		gone := endpointList(servers)[7]
+		gone := endpointList(endpoints)[7]
 		gone.State = StateRemoved
 		p.EndpointsUpdated(1e12, []EndpointInfo{gone}, false)
 		for id := range subsetIDs(p) {
@@ -46,8 +45,11 @@
 			t.Errorf("endpoint %d is drawn from by %d nodes, 32 would be even", id, n)
 		}
 	}
-	if len(sharing) < servers || moved > 60 {
-		t.Errorf("%d of %d endpoints are drawn from; one that left moved %d connections, 32 would be even", len(sharing), servers, moved)
+	if len(sharing) < endpoints || moved > 60 {
+		t.Errorf(
+			"%d of %d endpoints are drawn from; one that left moved %d connections, 32 would be even", len(sharing),
+			endpoints, moved,
+		)
 	}
 }
 
@@ -83,8 +85,8 @@
 	}
 }
 
-// TestFleetInSlowStartIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part of it, so that its
-// connections are used again.
+// TestFleetInSlowStartIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part
+// of it, so that its connections are used again.
 func TestFleetInSlowStartIsDividedToo(t *testing.T) {
 	set := benchSettings
 	set.NodeCount = 300
@@ -96,7 +98,10 @@
 	}
 	p.EndpointsUpdated(now, list, true)
 	if got := len(p.subset.members); got != warmingUpPerWarm*p.subset.size || got > 40 {
-		t.Errorf("one of 300 nodes draws from %d of 120 cold endpoints, want %d times %d", got, warmingUpPerWarm, p.subset.size)
+		t.Errorf(
+			"one of 300 nodes draws from %d of 120 cold endpoints, want %d times %d", got, warmingUpPerWarm,
+			p.subset.size,
+		)
 	}
 	for i := range list[:60] { // half of them were up long before
 		list[i].StartedAt = 0
