--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,4 +1,4 @@
-// Package datagram owns sockets for messages between nodes. It must never hold an address for itself alone.
+// Package datagram opens UDP sockets for messages between nodes.
 package datagram
 
 import (
@@ -10,18 +10,21 @@
 
 const soReusePort = 0xf // on Linux; package syscall lacks it
 
-// Listen binds a socket. Another process of this node may hold the same address during an upgrade; who hears
-// which message then is left to the machine, as news may be lost.
+// Listen opens a socket. Another process of the node may have the same address open during a hot restart; the system
+// then delivers each datagram to one of them.
 func Listen(address string) (*net.UDPConn, error) {
-	how := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
-		broken := raw.Control(func(fd uintptr) {
-			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
-		})
-		return errors.Join(broken, err)
-	}}
-	socket, err := how.ListenPacket(context.Background(), "udp", address)
+	config := net.ListenConfig{Control: reusePort}
+	socket, err := config.ListenPacket(context.Background(), "udp", address)
 	if err != nil {
 		return nil, err
 	}
 	return socket.(*net.UDPConn), nil
 }
+
+func reusePort(_, _ string, raw syscall.RawConn) error {
+	var optErr error
+	err := raw.Control(func(fd uintptr) {
+		optErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
+	})
+	return errors.Join(err, optErr)
+}
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-func TestTheFileThatShips(t *testing.T) {
+func TestExampleFileIsValid(t *testing.T) {
 	f, err := Read("../../deploy/features.toml", "n0")
 	if err != nil || f.Members == nil || len(f.Members.Addresses) != 3 || f.Members.RoundNs != 500e6 {
 		t.Fatalf("%+v, %v", f, err)
 	}
 }
 
-func TestAllComplaintsAtOnce(t *testing.T) {
+func TestAllProblemsAreReportedAtOnce(t *testing.T) {
 	_, err := Parse("f.toml", "n9", []byte(`
 [members]
 listen = "nowhere"
@@ -32,14 +32,14 @@
 address = "x"
 `))
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("no error")
 	}
 	for _, want := range []string{
 		"members.colour", "members.listen", "members.round", "members.key", "members.node.1.name", "members.node.1.address",
 		"members.node.2.name", "members.node.2.address", `"n9", among them`,
 	} {
 		if !strings.Contains(err.Error(), "f.toml: "+want) && !strings.Contains(err.Error(), want) {
-			t.Errorf("no word of %s in:\n%v", want, err)
+			t.Errorf("%s is missing in:\n%v", want, err)
 		}
 	}
 	for _, line := range strings.Split(err.Error(), "\n") {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestNoToml(t *testing.T) {
+func TestInvalidEmptyAndMissingFiles(t *testing.T) {
 	if _, err := Parse("f.toml", "n0", []byte("[members")); err == nil || !strings.Contains(err.Error(), "line 1") {
 		t.Error(err)
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestAListNeedsAKey(t *testing.T) {
+func TestListExchangeRequiresAKey(t *testing.T) {
 	const text = "[members]\nlisten = \"127.0.0.1:1\"\nlist = true\n%s[[members.node]]\nname = \"n0\"\naddress = \"127.0.0.1:1\"\n"
 	if _, err := Parse("f.toml", "n0", []byte(strings.Replace(text, "%s", "", 1))); err == nil || !strings.Contains(err.Error(), "members.key: expected a key") {
 		t.Error(err)
--- /dev/null
+++ b/internal/features/members.go
@@ -0,0 +1,97 @@
+package features
+
+import (
+	"encoding/hex"
+	"fawnglade/internal/tomlfile"
+	"fmt"
+	"net/netip"
+	"time"
+)
+
+const (
+	defaultRound = 500 * time.Millisecond
+	minRound     = 50 * time.Millisecond
+	maxRound     = time.Minute
+	maxNodes     = 4096
+	maxNameBytes = 255
+	minKeyBytes  = 16
+)
+
+// Members configures the membership of package members.
+type Members struct {
+	// Listen is the address and port for datagrams. Required.
+	Listen string `toml:"listen"`
+	// Round is the length of a round, 50ms to 1m: shorter ones detect failures sooner and cost more datagrams. Default:
+	// 500ms.
+	Round string `toml:"round"`
+	// Key authenticates datagrams: at least 32 hexadecimal digits, alike at all nodes. Default: empty, a checksum alone.
+	Key string `toml:"key"`
+	// List turns on the exchange of endpoint lists while discovery is down. It requires a key. Default: false.
+	List bool `toml:"list"`
+	// Nodes are all nodes of the fleet, this one included.
+	Nodes []Node `toml:"node"`
+
+	// The following are set by Parse.
+
+	RoundNs       int64            `toml:"-"`
+	KeyBytes      []byte           `toml:"-"`
+	ListenAddress netip.AddrPort   `toml:"-"`
+	Addresses     []netip.AddrPort `toml:"-"` // of Nodes
+}
+
+// Node is one node of the fleet.
+type Node struct {
+	// Name is the name of the node's configuration.
+	Name string `toml:"name"`
+	// Address is the address and port where this node reaches it.
+	Address string `toml:"address"`
+}
+
+func (m *Members) check(p *tomlfile.Problems, name string) {
+	var err error
+	m.ListenAddress, err = netip.ParseAddrPort(m.Listen)
+	p.Require(err == nil && m.ListenAddress.Port() != 0, "members.listen", "an address and a port", quoted(m.Listen))
+	m.RoundNs = int64(parseDuration(p, "members.round", m.Round, durationRange{defaultRound, minRound, maxRound}))
+	m.checkKey(p)
+	m.checkNodes(p, name)
+}
+
+func (m *Members) checkKey(p *tomlfile.Problems) {
+	var err error
+	m.KeyBytes, err = hex.DecodeString(m.Key)
+	want := fmt.Sprintf("nothing, or at least %d hexadecimal digits", 2*minKeyBytes)
+	p.Require(err == nil && (m.Key == "" || len(m.KeyBytes) >= minKeyBytes), "members.key", want,
+		fmt.Sprintf("%d characters", len(m.Key)))
+	// A list names addresses that requests go to, so it must not be accepted from anybody.
+	p.Require(!m.List || m.Key != "", "members.key", "a key, as members.list is true", "none")
+}
+
+func (m *Members) checkNodes(p *tomlfile.Problems, self string) {
+	count := len(m.Nodes)
+	p.Require(count >= 1 && count <= maxNodes, "members.node", fmt.Sprintf("1 to %d nodes", maxNodes), count)
+	names := map[string]bool{}
+	nameAt := map[netip.AddrPort]string{}
+	for i, node := range m.Nodes {
+		key := fmt.Sprintf("members.node.%d.", i)
+		nameValid := node.Name != "" && len(node.Name) <= maxNameBytes
+		p.Require(nameValid, key+"name", fmt.Sprintf("a name of up to %d bytes", maxNameBytes), quoted(node.Name))
+		p.Require(!names[node.Name], key+"name", "a name that no other node has", quoted(node.Name)+" again")
+		names[node.Name] = true
+		m.Addresses = append(m.Addresses, node.checkAddress(p, key+"address", nameAt))
+	}
+	p.Require(names[self], "members.node", fmt.Sprintf("this node, %q, among them", self),
+		fmt.Sprintf("%d others", count))
+}
+
+// checkAddress parses a node's address, and notes it in nameAt.
+func (n *Node) checkAddress(p *tomlfile.Problems, key string, nameAt map[netip.AddrPort]string) netip.AddrPort {
+	address, err := netip.ParseAddrPort(n.Address)
+	p.Require(err == nil && address.Port() != 0, key, "an address and a port", quoted(n.Address))
+	if err != nil {
+		return address
+	}
+	other := nameAt[address]
+	p.Require(other == "", key, "an address that no other node has", fmt.Sprintf("%q, which is %s's", n.Address, other))
+	nameAt[address] = n.Name
+	return address
+}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,13 +1,14 @@
-// Package gossip owns the form in which instances' news travel, and which of what comes is news at all: a version, a kind,
-// when it was told in milliseconds, and whole numbers, at most Most bytes together. It must never decide what to make of
-// news; what makes no sense, is old or was told before is an error.
+// Package gossip encodes the messages that the decisions of nodes send one another, and rejects received ones that are
+// invalid, old or repeated. What a message means is for package policy to decide.
+//
+// A message is a version, a kind, the time when it was sent in Unix milliseconds, and the kind's numbers as varints;
+// together at most MaxMessageBytes.
 package gossip
 
 import (
 	"encoding/binary"
 	"errors"
 	"fawnglade/policy"
-	"maps"
 	"math"
 	"time"
 )
@@ -17,95 +18,73 @@
 
 const (
 	version           = 1
-	kindIdleTime      = 1 // microseconds
-	kindEndpointFails = 2 // server, class
+	kindIdleTime      = 1 // idle time in microseconds
+	kindEndpointFails = 2 // endpoint, class
 
-	micro, milli = int64(1e3), int64(1e6)
-
-	maxAge        = 2000 * milli // how long ago, or ahead by another clock, news may have been told
-	minInterval   = 900 * milli  // nobody tells the same more than once a second; a millisecond is lost in writing
-	maxRemembered = 8192         // kept against repeats
+	milli = int64(time.Millisecond)
 )
 
 var (
-	errInvalid  = errors.New("news: expected version 1 with a known kind and its numbers")
-	errOld      = errors.New("news: told too long ago, or by a clock that is ahead")
-	errRepeated = errors.New("news: told before")
-	errFull     = errors.New("news: too many at once")
+	errInvalid  = errors.New("gossip: expected version 1 with a known kind and its numbers")
+	errOld      = errors.New("gossip: sent too long ago, or by a clock that is ahead")
+	errRepeated = errors.New("gossip: repeated")
+	errFull     = errors.New("gossip: too many messages at once")
 )
 
-// Encode writes down news told now.
-func Encode(n policy.GossipMessage, now int64) []byte {
-	kind, numbers := byte(kindEndpointFails), []uint64{uint64(now / milli), uint64(n.Endpoint), uint64(n.Class)}
-	if n.IdleTime > 0 {
-		kind, numbers = kindIdleTime, []uint64{uint64(now / milli), uint64(n.IdleTime / time.Microsecond)}
-	}
-	message := []byte{version, kind}
-	for _, v := range numbers {
-		message = binary.AppendUvarint(message, v)
+// Encode encodes a message that is sent now, in Unix nanoseconds.
+func Encode(m policy.GossipMessage, now int64) []byte {
+	sentMs := uint64(now / milli)
+	if m.IdleTime > 0 {
+		return encode(kindIdleTime, sentMs, uint64(m.IdleTime/time.Microsecond))
 	}
-	return message
+	return encode(kindEndpointFails, sentMs, uint64(m.Endpoint), uint64(m.Class))
 }
 
-// decode reads news. Whether server and class are known is for the reader to see.
-func decode(message []byte) (n policy.GossipMessage, told int64, err error) {
-	if len(message) < 2 || len(message) > MaxMessageBytes || message[0] != version {
-		return n, 0, errInvalid
+func encode(kind byte, numbers ...uint64) []byte {
+	encoded := []byte{version, kind}
+	for _, number := range numbers {
+		encoded = binary.AppendUvarint(encoded, number)
 	}
-	var numbers []uint64
-	for rest := message[2:]; len(rest) > 0; {
-		v, length := binary.Uvarint(rest)
-		if length <= 0 {
-			return n, 0, errInvalid
-		}
-		numbers, rest = append(numbers, v), rest[length:]
+	return encoded
+}
+
+// decode decodes a message and the time when it was sent, in Unix nanoseconds. It does not know which endpoints and
+// classes there are.
+func decode(encoded []byte) (m policy.GossipMessage, sentAt int64, err error) {
+	if len(encoded) < 2 || len(encoded) > MaxMessageBytes || encoded[0] != version {
+		return m, 0, errInvalid
 	}
-	if len(numbers) == 0 || numbers[0] > uint64(math.MaxInt64/milli) {
-		return n, 0, errInvalid
+	numbers, ok := decodeNumbers(encoded[2:])
+	if !ok || len(numbers) == 0 || numbers[0] > uint64(math.MaxInt64/milli) {
+		return m, 0, errInvalid
 	}
-	told = int64(numbers[0]) * milli
-	switch numbers = numbers[1:]; {
-	case message[1] == kindIdleTime && len(numbers) == 1 && numbers[0] > 0 && numbers[0] < 1<<32:
-		return policy.GossipMessage{IdleTime: time.Duration(numbers[0]) * time.Microsecond}, told, nil
-	case message[1] == kindEndpointFails && len(numbers) == 2 && numbers[0] <= math.MaxUint32 && numbers[1] < math.MaxInt32:
-		return policy.GossipMessage{Endpoint: policy.EndpointID(numbers[0]), Class: int(numbers[1])}, told, nil
+	if m, ok = fromNumbers(encoded[1], numbers[1:]); !ok {
+		return m, 0, errInvalid
 	}
-	return n, 0, errInvalid
+	return m, int64(numbers[0]) * milli, nil
 }
 
-// what is what a sender told of: how long a connection stood is no other news.
-type subject struct {
-	from, category int
-	server         policy.EndpointID
-	idle           bool
+func decodeNumbers(encoded []byte) (numbers []uint64, ok bool) {
+	for len(encoded) > 0 {
+		number, length := binary.Uvarint(encoded)
+		if length <= 0 {
+			return nil, false
+		}
+		numbers = append(numbers, number)
+		encoded = encoded[length:]
+	}
+	return numbers, true
 }
 
-// Inbox tells news from what is old or was told before. The zero value has met nothing.
-type Inbox struct{ lastSent map[subject]int64 }
-
-// Open reads a message that has come from a sender, known by a number of its own.
-func (b *Inbox) Open(from int, message []byte, now int64) (policy.GossipMessage, error) {
-	n, told, err := decode(message)
-	if err != nil {
-		return n, err
-	}
-	if told < now-maxAge || told > now+maxAge {
-		return policy.GossipMessage{}, errOld
-	}
-	of := subject{from, n.Class, n.Endpoint, n.IdleTime > 0}
-	if last, met := b.lastSent[of]; met && told < last+minInterval {
-		return policy.GossipMessage{}, errRepeated
-	}
-	if b.lastSent == nil {
-		b.lastSent = map[subject]int64{}
-	}
-	if len(b.lastSent) >= maxRemembered {
-		// One that old is rejected for its age alone.
-		maps.DeleteFunc(b.lastSent, func(_ subject, told int64) bool { return told < now-maxAge })
-		if len(b.lastSent) >= maxRemembered {
-			return policy.GossipMessage{}, errFull
-		}
+func fromNumbers(kind byte, numbers []uint64) (m policy.GossipMessage, ok bool) {
+	const maxIdleMicroseconds = 1<<32 - 1
+	switch {
+	case kind == kindIdleTime && len(numbers) == 1 && numbers[0] > 0 && numbers[0] <= maxIdleMicroseconds:
+		m.IdleTime = time.Duration(numbers[0]) * time.Microsecond
+		return m, true
+	case kind == kindEndpointFails && len(numbers) == 2 && numbers[0] <= math.MaxUint32 && numbers[1] < math.MaxInt32:
+		m.Endpoint, m.Class = policy.EndpointID(numbers[0]), int(numbers[1])
+		return m, true
 	}
-	b.lastSent[of] = told
-	return n, nil
+	return m, false
 }
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,4 +1,4 @@
-// Package loadreport owns the form in which a server tells its load. It must never take for a load what can't be one.
+// Package loadreport parses the load reports that endpoints send with their answers and to health checks.
 package loadreport
 
 import (
@@ -8,23 +8,31 @@
 	"strings"
 )
 
-// Parse reads a load report and skips what it does not know or cannot be a load.
+const unknown = -1 // a load that is not reported
+
+// Parse reads a report such as "util=0.4,queue=2,latency_ms=3.5". Unknown names and invalid values are skipped.
 func Parse(text string) policy.LoadReport {
-	r := policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}
+	report := policy.LoadReport{Utilization: unknown, QueueLength: unknown, ServiceTime: unknown}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
+		load, ok := parseLoad(value)
+		if !ok {
 			continue
 		}
 		switch strings.TrimSpace(name) {
 		case "util":
-			r.Utilization = v
+			report.Utilization = load
 		case "queue":
-			r.QueueLength = v
+			report.QueueLength = load
 		case "latency_ms":
-			r.ServiceTime = v
+			report.ServiceTime = load
 		}
 	}
-	return r
+	return report
+}
+
+// parseLoad reads a number that is finite and not negative.
+func parseLoad(text string) (load float64, ok bool) {
+	load, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
+	return load, err == nil && load >= 0 && !math.IsInf(load, 0)
 }
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,4 +1,5 @@
-// Package timerqueue is a queue of what is to be done when. It has no clock: times are told. It must never give what is not due.
+// Package timerqueue is a queue of timers ordered by time. It has no clock: the caller passes the time to each call, in
+// nanoseconds of any one clock. A Queue is not safe for concurrent use.
 package timerqueue
 
 import "container/heap"
@@ -8,9 +9,10 @@
 	cookie uint64
 }
 
-// Queue holds timers; the zero value holds none.
-type Queue struct{ all byTime }
+// Queue holds timers; the zero value is an empty queue.
+type Queue struct{ timers byTime }
 
+// byTime is a heap of timers, the earliest first.
 type byTime []timer
 
 func (t byTime) Len() int           { return len(t) }
@@ -23,21 +25,21 @@
 	return last
 }
 
-// Set adds a timer.
-func (q *Queue) Set(at int64, cookie uint64) { heap.Push(&q.all, timer{at, cookie}) }
+// Set adds a timer, which Due returns by its cookie.
+func (q *Queue) Set(at int64, cookie uint64) { heap.Push(&q.timers, timer{at, cookie}) }
 
-// Due takes out the earliest timer if its time has come.
+// Due removes the earliest timer if its time has come.
 func (q *Queue) Due(now int64) (cookie uint64, due bool) {
-	if len(q.all) == 0 || q.all[0].at > now {
+	if len(q.timers) == 0 || q.timers[0].at > now {
 		return 0, false
 	}
-	return heap.Pop(&q.all).(timer).cookie, true
+	return heap.Pop(&q.timers).(timer).cookie, true
 }
 
-// Wait is how long it is until the earliest timer, at most a while.
-func (q *Queue) Wait(now, most int64) int64 {
-	if len(q.all) == 0 {
-		return most
+// Wait is the time until the earliest timer; ifEmpty without any.
+func (q *Queue) Wait(now, ifEmpty int64) int64 {
+	if len(q.timers) == 0 {
+		return ifEmpty
 	}
-	return q.all[0].at - now
+	return q.timers[0].at - now
 }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestTimersComeInTheirOrderAndNotTooEarly(t *testing.T) {
+func TestTimersAreDueInOrderAndNotBeforeTheirTime(t *testing.T) {
 	var q Queue
 	if _, due := q.Due(1 << 60); due || q.Wait(5, 100) != 100 {
 		t.Error("an empty queue has something due")
@@ -21,7 +21,7 @@
 	for now := int64(0); now < 1000; now++ {
 		for cookie, due := q.Due(now); due; cookie, due = q.Due(now) {
 			if int64(cookie) != now {
-				t.Fatalf("at %d came what was set for %d", now, cookie)
+				t.Fatalf("at %d a timer for %d is due", now, cookie)
 			}
 			came = append(came, cookie)
 		}
@@ -31,6 +31,6 @@
 	}
 	slices.Sort(set)
 	if !slices.Equal(set, came) {
-		t.Error("not all came")
+		t.Error("not all timers were due")
 	}
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile owns how a TOML file of ours is read: unknown keys are complaints, and all complaints are told at once, with file,
-// key, what was expected and what was found. It must never guess at a mistake.
+// Package tomlfile decodes the program's TOML files strictly, and reports all problems of a file at once, each with the
+// file, the key, what was expected and what was found.
 package tomlfile
 
 import (
@@ -11,44 +11,46 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Complaints gathers what is wrong with one file.
+// Problems collects what is wrong with one file.
 type Problems struct {
-	path string
-	all  []error
+	path     string
+	problems []error
 }
 
-// Must complains unless something holds.
-func (c *Problems) Require(holds bool, key, want string, found any) {
+// Require adds a problem unless a condition holds.
+func (p *Problems) Require(holds bool, key, want string, found any) {
 	if !holds {
-		c.all = append(c.all, fmt.Errorf("%s: %s: expected %s, found %v", c.path, key, want, found))
+		p.problems = append(p.problems, fmt.Errorf("%s: %s: expected %s, found %v", p.path, key, want, found))
 	}
 }
 
-// Err is all complaints, or nil.
-func (c *Problems) Err() error { return errors.Join(c.all...) }
+// Err is all problems, one a line, or nil.
+func (p *Problems) Err() error { return errors.Join(p.problems...) }
 
-// Decode reads a file's text. Text that is no TOML, or holds a value of another type, is an error; a key that is unknown is a
-// complaint, which names the page that tells of all keys.
+// Decode decodes a file's text. Text that is no TOML, or has a value of another type, is an error; an unknown key is a
+// problem, which refers to the page that documents all keys.
 func Decode(path string, text []byte, into any, page string) (*Problems, error) {
-	in := toml.NewDecoder(bytes.NewReader(text))
-	in.DisallowUnknownFields()
-	c := &Problems{path: path}
-	err := in.Decode(into)
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	problems := &Problems{path: path}
+	err := decoder.Decode(into)
 	if err == nil {
-		return c, nil
+		return problems, nil
 	}
-	var unknown *toml.StrictMissingError
-	var decode *toml.DecodeError
+	var unknownKeys *toml.StrictMissingError
+	var invalid *toml.DecodeError
 	switch {
-	case errors.As(err, &unknown):
-		for _, e := range unknown.Errors {
-			line, _ := e.Position()
-			c.Require(false, strings.Join(e.Key(), "."), "a key of "+page, fmt.Sprintf("an unknown one in line %d", line))
+	case errors.As(err, &unknownKeys):
+		for _, key := range unknownKeys.Errors {
+			line, _ := key.Position()
+			problems.Require(false, strings.Join(key.Key(), "."), "a key of "+page,
+				fmt.Sprintf("an unknown one in line %d", line))
 		}
-		return c, nil
-	case errors.As(err, &decode):
-		line, _ := decode.Position()
-		return nil, fmt.Errorf("%s: line %d: expected TOML, found: %s", path, line, strings.TrimPrefix(decode.Error(), "toml: "))
+		return problems, nil
+	case errors.As(err, &invalid):
+		line, _ := invalid.Position()
+		reason := strings.TrimPrefix(invalid.Error(), "toml: ")
+		return nil, fmt.Errorf("%s: line %d: expected TOML, found: %s", path, line, reason)
 	default:
 		return nil, fmt.Errorf("%s: expected TOML, found: %w", path, err)
 	}
