--- a/internal/estimates/class.go
+++ b/internal/estimates/class.go
@@ -26,8 +26,8 @@
 	// SuccessRate is the part of recent requests that were answered; RequestCount is how many they were, fading.
 	SuccessRate  float64 `json:"Fares"`
 	RequestCount float64 `json:"Asked"`
-	// KeptShare is the part of its time that the class keeps while requests are rejected.
-	KeptShare float64 `json:"Due"`
+	// PriorityFactor is the part of its time that the class keeps while requests are rejected.
+	PriorityFactor float64 `json:"Due"`
 	// AnsweredCount and GivenUpCount are of the current second, WorkSamples counts answers ever.
 	AnsweredCount int `json:"Taken"`
 	GivenUpCount  int `json:"Away"`
@@ -36,7 +36,7 @@
 
 // NewClass returns what is known of a class before its first request.
 func NewClass() ClassEstimates {
-	return ClassEstimates{LatencySpread: initialSpread, SuccessRate: 1, KeptShare: 1}
+	return ClassEstimates{LatencySpread: initialSpread, SuccessRate: 1, PriorityFactor: 1}
 }
 
 // RecordResult takes in that a request was answered, or given up.
@@ -87,5 +87,5 @@
 // isValid reports whether the figures can have been learned.
 func (c *ClassEstimates) isValid() bool {
 	return isPositive(c.LatencySpread, c.SuccessRate) &&
-		isNonNegative(c.TypicalWork, c.RequestCount, c.KeptShare)
+		isNonNegative(c.TypicalWork, c.RequestCount, c.PriorityFactor)
 }
--- a/internal/estimates/estimates_test.go
+++ b/internal/estimates/estimates_test.go
@@ -15,7 +15,7 @@
 			MeanWork:    5,
 			HighLatency: 2,
 		},
-		Classes: []ClassEstimates{{TypicalWork: 4, LatencySpread: 2, SuccessRate: 1, KeptShare: 1}},
+		Classes: []ClassEstimates{{TypicalWork: 4, LatencySpread: 2, SuccessRate: 1, PriorityFactor: 1}},
 		Endpoints: map[uint32]Endpoint{7: {
 			EndpointEstimates{Load: 1, Latency: ewma.Pair{FirstSum: 2, Weight: 2}, HasLatency: true}, 9,
 		}},
--- a/internal/estimates/golden_test.go
+++ b/internal/estimates/golden_test.go
@@ -21,16 +21,16 @@
 		},
 		Classes: []ClassEstimates{
 			{
-				TypicalWork:   12,
-				LatencySpread: 13,
-				SuccessRate:   0.14,
-				RequestCount:  15,
-				KeptShare:     0.16,
-				AnsweredCount: 17,
-				GivenUpCount:  18,
-				WorkSamples:   19,
+				TypicalWork:    12,
+				LatencySpread:  13,
+				SuccessRate:    0.14,
+				RequestCount:   15,
+				PriorityFactor: 0.16,
+				AnsweredCount:  17,
+				GivenUpCount:   18,
+				WorkSamples:    19,
 			},
-			{TypicalWork: 20, LatencySpread: 21, SuccessRate: 0.22, RequestCount: 23, KeptShare: 0.24},
+			{TypicalWork: 20, LatencySpread: 21, SuccessRate: 0.22, RequestCount: 23, PriorityFactor: 0.24},
 		},
 		Endpoints: map[uint32]Endpoint{
 			7: {
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -9,10 +9,10 @@
 	deadInARowToConfirm = 2
 	// trustedNumerator over trustedDenominator is the part of the idle time of a dead connection that is trusted still.
 	trustedNumerator, trustedDenominator = 3, 4
-	// signDecayPerSecond is the part of the signs that still counts a second later.
-	signDecayPerSecond = 0.5
-	// nodesPerSign: where nodes exchange signs, it takes one from one node in so many.
-	nodesPerSign = 25
+	// confirmationDecayPerSecond is the part of the signs that still counts a second later.
+	confirmationDecayPerSecond = 0.5
+	// nodesPerConfirmation: where nodes exchange signs, it takes one from one node in so many.
+	nodesPerConfirmation = 25
 	// growthDivisor: the trusted time grows by this part of itself a second.
 	growthDivisor = 32
 )
@@ -23,7 +23,7 @@
 	Limit         int64
 	lastDeadAfter int64 // idle time of the last one that was dead
 	deadInARow    int   // since one survived about as long
-	signs         float64
+	confirmations float64
 }
 
 // New returns an estimator that trusts every connection.
@@ -51,13 +51,13 @@
 
 // Confirm counts a sign of this node or of another one, for an idle time. Where nodes exchange them, it acts on signs
 // of a part of the nodes only.
-func (e *Estimator) Confirm(idle int64, exchanged bool, nodes int) {
+func (e *Estimator) Confirm(idle int64, gossiped bool, nodes int) {
 	needed := 1.0
-	if exchanged {
-		needed = float64(nodes) / nodesPerSign
+	if gossiped {
+		needed = float64(nodes) / nodesPerConfirmation
 	}
-	e.signs++
-	if e.signs >= needed {
+	e.confirmations++
+	if e.confirmations >= needed {
 		trusted := float64(trustedNumerator) / trustedDenominator * float64(idle)
 		e.Limit = min(e.Limit, int64(trusted))
 	}
@@ -65,6 +65,6 @@
 
 // Decay lets signs fade and the trusted time grow back. The caller invokes it once a second.
 func (e *Estimator) Decay() {
-	e.signs *= signDecayPerSecond
+	e.confirmations *= confirmationDecayPerSecond
 	e.Limit += min(e.Limit/growthDivisor, math.MaxInt64-e.Limit)
 }
--- a/internal/idletimeout/idletimeout_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -17,10 +17,10 @@
 	if !estimator.Died(8 * second) {
 		t.Error("two in a row are not believed")
 	}
-	if estimator.Confirm(8*second, true, 2*nodesPerSign); estimator.Limit < 1e15 {
+	if estimator.Confirm(8*second, true, 2*nodesPerConfirmation); estimator.Limit < 1e15 {
 		t.Error("one of two messages acts")
 	}
-	if estimator.Confirm(8*second, true, 2*nodesPerSign); estimator.Limit != 6*second {
+	if estimator.Confirm(8*second, true, 2*nodesPerConfirmation); estimator.Limit != 6*second {
 		t.Errorf("trusted for %d ns, expected three quarters of eight seconds", estimator.Limit)
 	}
 	for range 100 {
@@ -29,7 +29,7 @@
 	if estimator.Limit < 60*second {
 		t.Errorf("100 s later trusted for %d ns", estimator.Limit)
 	}
-	if estimator.Reset(); estimator != (Estimator{Limit: New().Limit, lastDeadAfter: 8 * second, signs: estimator.signs}) {
+	if estimator.Reset(); estimator != (Estimator{Limit: New().Limit, lastDeadAfter: 8 * second, confirmations: estimator.confirmations}) {
 		t.Errorf("restored to %+v", estimator)
 	}
 	estimator.Decay() // must not wrap around
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -16,10 +16,10 @@
 // docs/design.md: "Admission: predicted in time", "Shedding load".
 
 const (
-	// evenWorstClassWeight is the Settings.WorstClassWeight from which on what a class earns gives it no preference.
-	evenWorstClassWeight = 0.4
-	// minRelativeEarnings is the least that a class earns in the comparison, over what the best one earns.
-	minRelativeEarnings = 0.01
+	// priorityFreeWorstClassWeight is the Settings.WorstClassWeight from which on what a class earns gives it no preference.
+	priorityFreeWorstClassWeight = 0.4
+	// minRelativePriority is the least that a class earns in the comparison, over what the best one earns.
+	minRelativePriority = 0.01
 	// retryAfterDivisor: the advised wait of a rejection is the latency objective over this.
 	retryAfterDivisor = 4
 )
@@ -46,7 +46,7 @@
 func (b *Balancer) latencyBudget(req *request, remaining time.Duration) time.Duration {
 	class := &b.estimator.classes[req.Class]
 	worst := b.estimator.worstSuccessRate()
-	fraction := worst / class.SuccessRate * (1 - (1-class.KeptShare)*(1-worst))
+	fraction := worst / class.SuccessRate * (1 - (1-class.PriorityFactor)*(1-worst))
 	if req.overQuota {
 		fraction *= max(worst*worst, b.settings.OverQuotaFraction)
 	}
@@ -67,22 +67,22 @@
 	return delay
 }
 
-// updateKeptShares works out which part of its time each class keeps while requests are rejected: what its work earns
+// updatePriorityFactors works out which part of its time each class keeps while requests are rejected: what its work earns
 // over what that of the best class earns, the less so the more the worst class counts for the operators.
-func (b *Balancer) updateKeptShares() {
+func (b *Balancer) updatePriorityFactors() {
 	classes := b.estimator.classes
 	best := math.SmallestNonzeroFloat64
 	for i := range classes {
-		classes[i].KeptShare = b.earningsPerWork(&classes[i], &b.settings.Classes[i])
-		best = max(best, classes[i].KeptShare)
+		classes[i].PriorityFactor = b.priorityPerWork(&classes[i], &b.settings.Classes[i])
+		best = max(best, classes[i].PriorityFactor)
 	}
-	preference := max(0, 1-b.settings.WorstClassWeight/evenWorstClassWeight)
+	preference := max(0, 1-b.settings.WorstClassWeight/priorityFreeWorstClassWeight)
 	for i := range classes {
-		classes[i].KeptShare = math.Pow(max(classes[i].KeptShare/best, minRelativeEarnings), preference)
+		classes[i].PriorityFactor = math.Pow(max(classes[i].PriorityFactor/best, minRelativePriority), preference)
 	}
 }
 
-func (b *Balancer) earningsPerWork(learned *estimates.ClassEstimates, class *Class) float64 {
+func (b *Balancer) priorityPerWork(learned *estimates.ClassEstimates, class *Class) float64 {
 	if b.settings.WeightByWork {
 		return class.PriorityWeight
 	}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -19,7 +19,7 @@
 
 // Numbers of the timers that belong to no request; the timers of requests follow.
 const (
-	pollTimer = iota
+	watchTimer = iota
 	tickTimer
 	firstRequestTimer
 )
@@ -70,7 +70,7 @@
 // The first call starts the periodic work and, where the list has to be polled, the polling.
 func (b *Balancer) EndpointsUpdated(now Time, list []EndpointInfo, complete bool) {
 	b.start(now)
-	b.endpoints.pollBackoff = 0
+	b.endpoints.watchBackoff = 0
 	if complete {
 		b.endpoints.delistAll(b.settings.RemovedMayServe)
 	}
@@ -94,8 +94,8 @@
 
 // WatchFailed takes the failure of a call for the endpoint list; the next call follows after a backoff.
 func (b *Balancer) WatchFailed(now Time) {
-	backoff := b.endpoints.nextPollBackoff(b.settings.MaxPollInterval)
-	b.effects.SetTimer(now.Add(backoff), pollTimer)
+	backoff := b.endpoints.nextWatchBackoff(b.settings.MaxPollInterval)
+	b.effects.SetTimer(now.Add(backoff), watchTimer)
 }
 
 // RequestArrived takes a new request. It is sent, rejected or failed before the call returns.
@@ -109,7 +109,7 @@
 	}
 	b.checkHealthInTurn()
 	b.earnCreditByArrival(now)
-	b.hedging.earn()
+	b.hedging.refill()
 	b.sendOrGiveUp(now, req)
 }
 
@@ -142,7 +142,7 @@
 // TimerFired takes a timer that was set by Effects.SetTimer.
 func (b *Balancer) TimerFired(now Time, timer uint64) {
 	switch timer {
-	case pollTimer:
+	case watchTimer:
 		b.effects.WatchEndpoints()
 	case tickTimer:
 		b.effects.SetTimer(now.Add(tickInterval), tickTimer)
@@ -219,7 +219,7 @@
 	b.affinity.keys.Decay()
 	b.subset.updateRequestRate()
 	b.idleConns.trusted.Decay()
-	b.updateKeptShares()
+	b.updatePriorityFactors()
 	b.updateSubset(now)
 	b.estimator.decayClasses()
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -26,8 +26,8 @@
 
 	// Attempts of this node.
 	inFlight int
-	// silentSince is when it last showed that it works, or when something was sent to it with nothing in flight.
-	silentSince Time
+	// lastActiveAt is when it last showed that it works, or when something was sent to it with nothing in flight.
+	lastActiveAt Time
 
 	// Outlier ejection, by class, and backoff after rejections (outlier.go).
 	health           []classHealth
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -17,15 +17,15 @@
 
 // After a failed call for the list the next waits for a backoff that doubles between these parts of MaxPollInterval.
 const (
-	minPollBackoffDivisor = 64
-	maxPollBackoffDivisor = 8
+	minBackoffDivisor = 64
+	maxBackoffDivisor = 8
 )
 
 // endpointTable holds all endpoints that were ever listed, the first by this node's rank first.
 type endpointTable struct {
-	all         []*endpoint
-	byID        map[EndpointID]*endpoint
-	pollBackoff time.Duration // the last one; 0 after a success
+	all          []*endpoint
+	byID         map[EndpointID]*endpoint
+	watchBackoff time.Duration // the last one; 0 after a success
 }
 
 func newEndpointTable() endpointTable {
@@ -49,10 +49,10 @@
 	slices.SortFunc(t.all, func(a, b *endpoint) int { return cmp.Compare(b.rank, a.rank) })
 }
 
-func (t *endpointTable) nextPollBackoff(maxInterval time.Duration) time.Duration {
-	t.pollBackoff = max(2*t.pollBackoff, maxInterval/minPollBackoffDivisor)
-	t.pollBackoff = min(t.pollBackoff, maxInterval/maxPollBackoffDivisor)
-	return t.pollBackoff
+func (t *endpointTable) nextWatchBackoff(maxInterval time.Duration) time.Duration {
+	t.watchBackoff = max(2*t.watchBackoff, maxInterval/minBackoffDivisor)
+	t.watchBackoff = min(t.watchBackoff, maxInterval/maxBackoffDivisor)
+	return t.watchBackoff
 }
 
 // updateEndpoint takes one line of the list.
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -10,10 +10,10 @@
 	last := time.Duration(10e9 / 128)
 	for range 10 {
 		p.WatchFailed(0)
-		if p.endpoints.pollBackoff != min(2*last, 125e7) {
-			t.Fatalf("waits %d after %d", p.endpoints.pollBackoff, last)
+		if p.endpoints.watchBackoff != min(2*last, 125e7) {
+			t.Fatalf("waits %d after %d", p.endpoints.watchBackoff, last)
 		}
-		last = p.endpoints.pollBackoff
+		last = p.endpoints.watchBackoff
 	}
 }
 
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -89,7 +89,7 @@
 // overdueAfter is how long an answer may take, by the high quantile of the endpoint or of its healthy peers.
 func (e *estimator) overdueAfter(ep *endpoint, work float64) time.Duration {
 	high := e.HighLatency
-	if ep.HasLatency && !ep.isAvoided(ep.silentSince) {
+	if ep.HasLatency && !ep.isAvoided(ep.lastActiveAt) {
 		high = min(maxHighLatencyFactor*high, ep.HighLatency)
 	}
 	_, inFlight := e.expectedLatency(ep)
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -19,7 +19,7 @@
 	available float64
 }
 
-func (h *hedgeBudget) earn() {
+func (h *hedgeBudget) refill() {
 	h.available = min(h.available+hedgesPerRequest, maxHedgeBudget)
 }
 
@@ -41,7 +41,7 @@
 	a := &req.attempts[number]
 	b.foundConnectionDead(now, a, OutcomeTimedOut)
 	b.observeUnansweredDelay(now, req, a)
-	if a.endpoint.answeredSince(a.sentAt) && !a.heldAgainstClass {
+	if a.endpoint.wasActiveAfter(a.sentAt) && !a.heldAgainstClass {
 		// Guards against endpoints that leave one class unanswered and serve the others.
 		a.heldAgainstClass = true
 		b.recordOutcome(now, a.endpoint, req, true, OutcomeError)
@@ -51,7 +51,7 @@
 	case b.settings.MayHedge && class.Idempotency != NonIdempotent:
 		b.hedge(now, req)
 	case len(req.attempts) < b.settings.MaxAttempts && b.settings.MayCancel &&
-		class.Idempotency == Idempotent && !a.endpoint.answeredSince(a.sentAt):
+		class.Idempotency == Idempotent && !a.endpoint.wasActiveAfter(a.sentAt):
 		b.effects.Cancel(req.ID, number)
 	}
 }
@@ -64,8 +64,8 @@
 	}
 }
 
-// answeredSince reports whether an endpoint has shown after a moment that it works.
-func (ep *endpoint) answeredSince(at Time) bool { return ep.silentSince > at }
+// wasActiveAfter reports whether an endpoint has shown after a moment that it works.
+func (ep *endpoint) wasActiveAfter(at Time) bool { return ep.lastActiveAt > at }
 
 // observeUnansweredDelay notes for the request's class and tenant that an attempt is late by an unknown time, unless
 // its connection was dead.
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -72,13 +72,13 @@
 func TestHedgeBudgetIsBounded(t *testing.T) {
 	var budget hedgeBudget
 	for range 9 {
-		budget.earn()
+		budget.refill()
 	}
 	if budget.available >= 1 {
 		t.Errorf("nine requests earn %g hedged ones", budget.available)
 	}
 	for range 100 {
-		budget.earn()
+		budget.refill()
 	}
 	if budget.available != maxHedgeBudget {
 		t.Errorf("%g hedged requests are saved up, expected %d", budget.available, maxHedgeBudget)
--- a/policy/idleconns.go
+++ b/policy/idleconns.go
@@ -26,7 +26,7 @@
 func (b *Balancer) prepareConnection(now Time, ep *endpoint) time.Duration {
 	idleTime := time.Duration(0)
 	if ep.inFlight == 0 {
-		ep.silentSince = now
+		ep.lastActiveAt = now
 		idleTime = now.Sub(cmp.Or(ep.lastUsedAt, now))
 		if int64(idleTime) > b.idleConns.trusted.Limit {
 			idleTime = 0
@@ -83,7 +83,7 @@
 		return false
 	}
 	knownConnection := a.endpoint.maxInFlight <= b.settings.StreamsPerConnection
-	return a.idleTime >= minDeadIdleTime && !a.endpoint.answeredSince(a.sentAt) && knownConnection
+	return a.idleTime >= minDeadIdleTime && !a.endpoint.wasActiveAfter(a.sentAt) && knownConnection
 }
 
 // connectionDied takes a connection that was dead when used. Two in a row count, if none between lived about as long.
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -14,7 +14,7 @@
 func (b *Balancer) learnFrom(now Time, req *request, a *attempt, result AttemptResult) {
 	ep, class := a.endpoint, req.Class
 	if b.cameFromEndpoint(ep, result.Outcome) {
-		ep.silentSince = now
+		ep.lastActiveAt = now
 	}
 	if b.isNotEndpointsFault(now, a, result.Outcome) {
 		if a.heldAgainstClass && result.Outcome == OutcomeTimedOut {
@@ -80,7 +80,7 @@
 	case OutcomeCanceled:
 		// Guards against a silent endpoint that looks healthy because hedged requests always overtake it.
 		wasOverdue := result.Elapsed >= b.estimator.overdueAfter(a.endpoint, a.work)
-		return wasOverdue && !a.endpoint.answeredSince(a.sentAt) && a.classDelayNanos <= 0
+		return wasOverdue && !a.endpoint.wasActiveAfter(a.sentAt) && a.classDelayNanos <= 0
 	case OutcomeTimedOut:
 		return b.learnFromTimeout(now, req, a, float64(result.Elapsed))
 	}
@@ -135,7 +135,7 @@
 	}
 	// Guards against a silent endpoint raising the spread of its class, and so requests to others being rejected.
 	isUsual := maxSurprise*b.estimator.Fleet.Level()*a.work > tookNanos
-	if a.endpoint.answeredSince(a.sentAt) || isUsual {
+	if a.endpoint.wasActiveAfter(a.sentAt) || isUsual {
 		b.estimator.classes[req.Class].Calibrate(tookNanos*timeoutFactor, a.predictedNanos)
 	}
 	b.estimator.observeLatency(a, tookNanos*timeoutFactor)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -101,7 +101,7 @@
 		return false
 	}
 	// Guards against a cascade: pauses eject endpoints one by one, and the rest, asked for too much, times out too.
-	if c.round == roundWithEjected && ep.isWellKnown() {
+	if c.round == roundLastResort && ep.isWellKnown() {
 		return true
 	}
 	return c.now >= health.retryAt && c.request.classSettings.Idempotency == Idempotent
@@ -129,7 +129,7 @@
 // isSilent reports whether an endpoint has answered nothing for too long. Guards against one that takes requests and
 // answers none, and so reports no load.
 func (e *estimator) isSilent(now Time, ep *endpoint, work float64) bool {
-	return ep.inFlight > 0 && ep.HasLatency && now.Sub(ep.silentSince) > e.overdueAfter(ep, max(work, e.MeanWork))
+	return ep.inFlight > 0 && ep.HasLatency && now.Sub(ep.lastActiveAt) > e.overdueAfter(ep, max(work, e.MeanWork))
 }
 
 // backOff leaves an endpoint alone that rejected an attempt, or took no connection. Guards against one that rejects at
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -35,7 +35,7 @@
 	roundByObjective selectionRound = iota // answers in time for the latency objective, of the window
 	roundByDeadline                        // answers in time for the effective deadline, of the window
 	roundWholeSubset                       // the same, of the complete subset
-	roundWithEjected                       // ejected endpoints that are well known too, whatever is predicted
+	roundLastResort                        // ejected endpoints that are well known too, whatever is predicted
 	numberOfSelectionRounds
 )
 
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -205,7 +205,7 @@
 		},
 		"too late": func(s *endpoint, i int, now Time) { s.Latency.FirstSum, s.Latency.Weight = 1e6, 20 },
 		"cold":     func(s *endpoint, i int, now Time) { s.StartedAt, s.slowStartCredit = now, 0 },
-		"silent":   func(s *endpoint, i int, now Time) { s.inFlight, s.HasLatency, s.silentSince = 1, true, now-1e9 },
+		"silent":   func(s *endpoint, i int, now Time) { s.inFlight, s.HasLatency, s.lastActiveAt = 1, true, now-1e9 },
 	} {
 		for _, fit := range []int{0, 1} {
 			p := New(benchSettings, 1, &lastSendRecorder{})
