--- a/policy/admission.go
+++ b/policy/admission.go
@@ -10,15 +10,16 @@
 
 // A request is admitted if an endpoint is predicted to answer it in time. Inputs: the predicted latency, the time left
 // until the latency objective or the effective deadline, the success rate of each class, its priority weight, and the
-// tenants' quotas. While requests are rejected, those of a class that does better than the worst, of a class that earns
-// less for its work, and of a tenant beyond its quota have to be answered in a part of the time that is left. None of
-// this acts while all classes succeed, and nothing is queued: a request that is not admitted is rejected at once.
-// docs/design.md: "Admission: predicted in time", "Shedding load".
+// tenants' quotas. While requests are given up, those of a class that does better than the worst, of a class with less
+// priority weight for its work, and of a tenant beyond its quota have to be answered in a part of the time that is left
+// (latencyBudget). None of this acts while all classes succeed, and nothing is queued: a request that is not admitted
+// is given up at once. docs/design.md: "Admission: predicted in time", "Shedding load".
 
 const (
-	// priorityFreeWorstClassWeight is the Settings.WorstClassWeight from which on what a class earns gives it no preference.
+	// priorityFreeWorstClassWeight is the Settings.WorstClassWeight from which on the priority weight of a class gives
+	// it no preference.
 	priorityFreeWorstClassWeight = 0.4
-	// minRelativePriority is the least that a class earns in the comparison, over what the best one earns.
+	// minRelativePriority is the least that the priority of a class counts for, over that of the best one.
 	minRelativePriority = 0.01
 	// retryAfterDivisor: the advised wait of a rejection is the latency objective over this.
 	retryAfterDivisor = 4
@@ -35,14 +36,21 @@
 	return predicted+c.classDelayNanos <= c.budgetNanos
 }
 
-// latencyFactor is the quantile of answers over their predictions that a prediction is raised by. It is a high one only
-// as far as requests are rejected: while there is capacity, a late answer costs no other request.
+// latencyFactor is what a prediction is multiplied by: 1 while all requests succeed, up to the class's LatencySpread,
+// the more requests of the worst class are given up. While there is capacity, a late answer costs no other request.
 func (b *Balancer) latencyFactor(req *request) float64 {
 	spread := b.estimator.classes[req.Class].LatencySpread
 	return min(spread, 1+(spread-1)*(1-b.estimator.worstSuccessRate()))
 }
 
-// latencyBudget is the part of the remaining time that a prediction may take.
+// latencyBudget is the time that a prediction may take. It is the remaining time, multiplied by
+//
+//   - the success rate of the worst class over that of the request's class: a class that does better makes room;
+//   - 1 - (1 - priority factor of the class) x (1 - success rate of the worst class), so that priority acts only as far
+//     as requests are given up;
+//   - for a request beyond its tenant's quota, the square of the success rate of the worst class, but no less than the
+//     value that such a request has (OverQuotaFraction). The square, so that it falls faster than the first factor does
+//     for requests within their quotas.
 func (b *Balancer) latencyBudget(req *request, remaining time.Duration) time.Duration {
 	class := &b.estimator.classes[req.Class]
 	worst := b.estimator.worstSuccessRate()
@@ -53,9 +61,9 @@
 	return time.Duration(float64(remaining) * fraction)
 }
 
-// classDelay returns what the request's class and tenant wait at any endpoint, in nanoseconds. It is taken for none
-// where the delay may be tried anew: one answer in time ends it. All nodes together try with no more requests at a time
-// than there are endpoints.
+// classDelay returns what the request's class and tenant wait at any endpoint, in nanoseconds. It is 0 where the
+// request may test whether the delay is over: one answer in time ends it. All nodes together test with no more requests
+// at a time than there are endpoints.
 func (b *Balancer) classDelay(now Time, req *request) float64 {
 	delay := req.delays.Delay(int64(now))
 	if delay > 0 {
@@ -67,8 +75,8 @@
 	return delay
 }
 
-// updatePriorityFactors works out which part of its time each class keeps while requests are rejected: what its work earns
-// over what that of the best class earns, the less so the more the worst class counts for the operators.
+// updatePriorityFactors calculates the priority factor of each class: its priority weight for its work, over that of
+// the best class, to a power that falls from 1 to 0 as the worst class counts more for the operators.
 func (b *Balancer) updatePriorityFactors() {
 	classes := b.estimator.classes
 	best := math.SmallestNonzeroFloat64
@@ -82,6 +90,7 @@
 	}
 }
 
+// priorityPerWork is the priority weight of a class for a unit of its work.
 func (b *Balancer) priorityPerWork(learned *estimates.ClassEstimates, class *Class) float64 {
 	if b.settings.WeightByWork {
 		return class.PriorityWeight
@@ -89,7 +98,7 @@
 	return class.PriorityWeight / max(learned.TypicalWork, b.estimator.MeanWork*minWorkFraction, 1)
 }
 
-// retryAfter is the wait that a rejected client is advised; 0: none.
+// retryAfter is the wait that a rejected client is advised; 0: none. MaxRetryAfter is 0 where none may be sent.
 func (b *Balancer) retryAfter(class *Class) time.Duration {
 	return min(b.settings.MaxRetryAfter, class.LatencyObjective/retryAfterDivisor)
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -3,6 +3,13 @@
 // A Balancer gets its settings, a seed and the Effects that carry out what it decides. The caller invokes one method
 // for each event, in the order of events, from one goroutine, with the time of the event. A Balancer reads no clock,
 // starts nothing and does no I/O. Each rule has a file of its own; docs/design.md gives their reasons.
+//
+// "The paper" in this package is Stapp and Zgadzaj, "Building well-balanced CDN". Its random draw by load selects the
+// endpoint of every attempt; all other rules adjust an endpoint's weight in the draw or say which endpoints take part.
+//
+// A request that no endpoint may get is given up: it ends at once, either with Effects.Reject, where a retry by the
+// client does no harm, or with Effects.Fail. To reject a request is always that answer to the client; an endpoint that
+// rejects an attempt is OutcomeRejected.
 package policy
 
 import (
@@ -19,7 +26,7 @@
 
 // Numbers of the timers that belong to no request; the timers of requests follow.
 const (
-	watchTimer = iota
+	watchTimer = iota // asks for the endpoint list again after a failed watch
 	tickTimer
 	firstRequestTimer
 )
@@ -67,7 +74,7 @@
 }
 
 // EndpointsUpdated takes the endpoint list, or what changed in it. An endpoint that a complete list lacks is removed.
-// The first call starts the periodic work and, where the list has to be polled, the polling.
+// The first call starts the periodic work and, where the list has to be polled, asks for the first watch.
 func (b *Balancer) EndpointsUpdated(now Time, list []EndpointInfo, complete bool) {
 	b.start(now)
 	b.endpoints.watchBackoff = 0
@@ -92,7 +99,7 @@
 	}
 }
 
-// WatchFailed takes the failure of a call for the endpoint list; the next call follows after a backoff.
+// WatchFailed takes the failure of a watch of the endpoint list; the next one is asked for after a backoff.
 func (b *Balancer) WatchFailed(now Time) {
 	backoff := b.endpoints.nextWatchBackoff(b.settings.MaxPollInterval)
 	b.effects.SetTimer(now.Add(backoff), watchTimer)
@@ -132,7 +139,7 @@
 	b.proceed(now, req, result)
 }
 
-// ClientGone takes the departure of a client: the attempts of its request are canceled, as no answer can earn anything.
+// ClientGone takes the departure of a client: the attempts of its request are canceled, as no answer reaches it.
 func (b *Balancer) ClientGone(_ Time, id RequestID) {
 	if req := b.requests.byID[id]; req != nil && !req.done {
 		b.finish(req)
@@ -193,7 +200,9 @@
 }
 
 // Inherit takes over what an earlier instance learned of the fleet and of endpoints that have not restarted since. It
-// is called after the first endpoint list, with a valid snapshot.
+// is called after the first endpoint list, with a valid snapshot. An endpoint's estimates are taken only if its start
+// time is the same. After a crash of this node none is taken: its active endpoints then count as just started, since
+// what crashed the node may have crashed them too (internal/nodestate).
 func (b *Balancer) Inherit(snapshot *estimates.Snapshot) {
 	b.estimator.TakeOver(&snapshot.FleetEstimates)
 	copy(b.estimator.classes, snapshot.Classes)
@@ -205,7 +214,7 @@
 	}
 }
 
-// tick does the periodic work: estimates fade, and what is derived from them is worked out anew.
+// tick does the periodic work: estimates decay, and what is derived from them is calculated anew.
 func (b *Balancer) tick(now Time) {
 	b.estimator.updateHighLatency(now, b.endpoints.all)
 	for _, ep := range b.endpoints.all {
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -20,13 +20,14 @@
 	// Load and latency; Load, LastReport and RisePerSend are load.go's, Latency and HighLatency estimator.go's.
 	estimates.EndpointEstimates
 	sendsSinceReport int
-	recalculateAt    Time       // when the load is worked out anew if no report comes before
+	recalculateAt    Time       // when the load is recalculated if no report comes before
 	risingSince      Time       // when its reports rose for the first time; 0: they have not
-	podLatency       *ewma.Pair // shared by the pod: this node hears of one endpoint too seldom to judge it alone
+	podLatency       *ewma.Pair // shared by the pod: this node uses one endpoint too seldom to judge it alone
 
 	// Attempts of this node.
 	inFlight int
-	// lastActiveAt is when it last showed that it works, or when something was sent to it with nothing in flight.
+	// lastActiveAt is the last sign that it works, or the last time that something was sent to it with nothing in
+	// flight, whichever is later: silence counts from here.
 	lastActiveAt Time
 
 	// Outlier ejection, by class, and backoff after rejections (outlier.go).
@@ -44,11 +45,11 @@
 
 // classHealth is how an endpoint did lately with one class of requests.
 type classHealth struct {
-	failureRate  float64 // running part of attempts that failed, 0 to 1
-	samples      float64 // fading count of the attempts in failureRate
+	failureRate  float64 // exponentially weighted average of attempts that failed (1) or did not (0)
+	samples      float64 // decayed count of the attempts in failureRate
 	ejected      bool
 	ejectionTime time.Duration // doubles while it stays ejected
 	retryAt      Time          // when one idempotent request may try it again
-	gossipVotes  float64       // fading count of messages of other nodes that it fails this class
+	gossipVotes  float64       // decayed count of messages of other nodes that it fails this class
 	gossipedAt   Time          // when this node sent such a message last
 }
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -10,12 +10,13 @@
 )
 
 // The endpoint list names the endpoints that requests may go to. Inputs: the list or its changes, and the failures of
-// calls for it. Nothing is sent to an endpoint that is draining or removed; where the settings say that removal is not
+// watches of it. Nothing is sent to an endpoint that is draining or removed; where the settings say that removal is not
 // binding, a removed endpoint serves until an attempt on it fails. A new start time of an endpoint discards all that
 // was learned of its previous process, but for its attempts in flight. docs/design.md: "Candidates", "Polling the
 // list".
 
-// After a failed call for the list the next waits for a backoff that doubles between these parts of MaxPollInterval.
+// After a failed watch the next waits for a backoff that doubles from MaxPollInterval over minBackoffDivisor to
+// MaxPollInterval over maxBackoffDivisor.
 const (
 	minBackoffDivisor = 64
 	maxBackoffDivisor = 8
@@ -55,7 +56,7 @@
 	return t.watchBackoff
 }
 
-// updateEndpoint takes one line of the list.
+// updateEndpoint takes one entry of the list.
 func (b *Balancer) updateEndpoint(info EndpointInfo) {
 	ep := b.endpoints.byID[info.ID]
 	if ep == nil {
@@ -85,7 +86,7 @@
 }
 
 // reset forgets an earlier process of the endpoint. The credit for slow start begins at a random part of a request:
-// with none, hundreds of nodes that earn less than one request each would never send any, with a full one all would
+// with none, hundreds of nodes that gain less than one request each would never send any, with a full one all would
 // send theirs at once.
 func (ep *endpoint) reset(random *rand.Rand, classes int) {
 	*ep = endpoint{
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -15,7 +15,7 @@
 // never make the fleet look slow. docs/design.md: "Admission: predicted in time".
 
 const (
-	// learningRate is the part of a new value in an endpoint's running averages.
+	// learningRate is the part of a new value in an endpoint's exponentially weighted averages.
 	learningRate = 1.0 / 12
 	// fleetWindow and endpointWindow are the weights in answers at which the averages of the fleet, and those of a pod
 	// and of an endpoint, stay.
@@ -39,7 +39,7 @@
 	zoneDelayQuantile = 0.1
 	// minWorkFraction is the part of the mean work that a request counts for at least.
 	minWorkFraction = 0.25
-	// maxSurprise bounds what an answer counts for in the averages of fleet and pod, over what these show.
+	// maxSurprise bounds what an answer counts for in the averages of fleet and pod, over the averages themselves.
 	maxSurprise = 3
 	// minOverdueTicks is how many ticks of the clock an answer is not overdue: this process itself may have been
 	// paused.
@@ -73,7 +73,8 @@
 	return time.Duration(e.ZoneDelay[ep.Zone] + perWork*work*crowding)
 }
 
-// expectedLatency is the latency for each unit of work, and the attempts in flight at which it was measured.
+// expectedLatency is the latency for each unit of work, and the attempts in flight at which it was measured. The mean
+// of each level is the prior of the next, so an endpoint without answers is expected to be as the fleet and its pod.
 func (e *estimator) expectedLatency(ep *endpoint) (perWork, inFlight float64) {
 	fleet, inFlight := e.Fleet.Means(1, 0)
 	pod, inFlight := ep.podLatency.Means(1, inFlight)
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -14,7 +14,7 @@
 	maxHedgeBudget   = 4 // hedged requests that may be saved up
 )
 
-// hedgeBudget bounds the hedged requests.
+// hedgeBudget bounds the hedged requests: a token bucket that each arrival refills.
 type hedgeBudget struct {
 	available float64
 }
@@ -64,7 +64,8 @@
 	}
 }
 
-// wasActiveAfter reports whether an endpoint has shown after a moment that it works.
+// wasActiveAfter reports whether an endpoint has shown after a moment that it works, or got an attempt with nothing in
+// flight. With an attempt in flight since that moment only the first can be, unless its body was still coming.
 func (ep *endpoint) wasActiveAfter(at Time) bool { return ep.lastActiveAt > at }
 
 // observeUnansweredDelay notes for the request's class and tenant that an attempt is late by an unknown time, unless
--- a/policy/idleconns.go
+++ b/policy/idleconns.go
@@ -9,8 +9,8 @@
 // A connection that was idle for long may have been dropped unseen by something between this node and the endpoint;
 // what is sent on it is lost. Inputs: for how long a connection had been idle when an attempt on it was reset, or got
 // no answer in time, and messages of other nodes. internal/idletimeout learns from them for how long an idle connection
-// can be trusted; one that was idle for longer is closed before use. A connection that was used lately is never taken
-// for dead, nor one of an endpoint that has answered since, nor one of several where it is not known which it was.
+// can be trusted; one that was idle for longer is closed before use. Not taken for dead are a connection that was used
+// lately, one of an endpoint that has answered since, and one of several where it is not known which it was.
 // docs/design.md: "Idle connections".
 
 // minDeadIdleTime is the shortest idle time after which a connection may be taken for dead.
--- a/policy/load.go
+++ b/policy/load.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// The load of an endpoint is the paper's transmit rate, taken from its load reports: utilization (a fraction) times
-// service time (milliseconds), utilization alone, or one plus the queue length, whichever the deployment offers first.
-// Between reports each send of this node adds the last rise over the number of sends in which it came about; a load
-// that fell, or rose with nothing sent, adds nothing. An unchanged report is the same report again. docs/design.md:
-// "Load: what w is made of".
+// The load of an endpoint is the paper's transmit rate (section VI.A), taken from its load reports: utilization (a
+// fraction) times service time (milliseconds), utilization alone, or one plus the queue length, whichever the
+// deployment offers first. Between reports each send of this node adds the last rise over the number of sends in which
+// it came about (the paper's drift, formula 1); a load that fell, or rose with nothing sent, adds nothing. A report
+// that repeats the last value is taken for the same report, carried by another answer. docs/design.md: "Load: what w is
+// made of".
 
 const (
 	// recalculationInterval is the longest time between two recalculations of a load.
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Each rule learns something else from the end of an attempt. Inputs: the outcome, the time from sending to the end,
+// The end of an attempt teaches each rule something: the latency of its endpoint, the health of the endpoint in the
+// class, its backoff, idle connections, slow start and affinity. Inputs: the outcome, the time from sending to the end,
 // and what was known at sending. A connection that was dead, a class or tenant that waits at any endpoint, and an
 // attempt that was never sent count against no endpoint. A time-out counts as a longer latency, or only quick answers
 // would be learned from. docs/design.md: "Admission: predicted in time", "Outliers".
@@ -62,7 +63,7 @@
 	}
 }
 
-// learnFromOutcome teaches latencies and backoffs; it reports whether the outcome counts for or against the endpoint's
+// learnFromOutcome updates latencies and backoffs; it reports whether the outcome counts for or against the endpoint's
 // health.
 func (b *Balancer) learnFromOutcome(now Time, req *request, a *attempt, result AttemptResult) bool {
 	switch result.Outcome {
@@ -105,7 +106,7 @@
 	if a.atHome && a.work > 0 {
 		perWork, _ := b.estimator.expectedLatency(ep)
 		b.affinity.learnHomeWork(tookNanos, perWork*a.work)
-		// From here on as elsewhere, so that what is learned is of the endpoint.
+		// Converted to what it would be elsewhere, so that the endpoint does not look quick for its cached keys.
 		tookNanos /= b.affinity.homeWorkFactor
 		a.work /= b.affinity.homeWorkFactor
 	}
@@ -118,8 +119,9 @@
 	b.earnCreditByAnswer(now, ep, a.work)
 }
 
-// learnFromRejection takes an attempt that the endpoint rejected. It counts as a late answer, unless an endpoint that
-// is well known reports an empty queue: where most are full, trying elsewhere brings only a storm of retries.
+// learnFromRejection takes an attempt that the endpoint rejected (OutcomeRejected). It counts as a late answer, unless
+// an endpoint that is well known reports an empty queue: where most are full, trying elsewhere brings only a storm of
+// retries.
 func (b *Balancer) learnFromRejection(now Time, req *request, a *attempt, queueLength float64) {
 	a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
 	if queueLength != 0 || !a.endpoint.isWellKnown() {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -6,13 +6,22 @@
 )
 
 // An endpoint that fails much of one class is ejected for that class. Inputs: the failure rate of the endpoint in the
-// class, a running part from 0 to 1, the failure rate of all endpoints, and messages of other nodes. It is ejected
-// above a quarter, and above twice the rate of all: where everything fails together, no endpoint is an outlier. One
-// idempotent request at a time tries an ejected endpoint after half a second, which doubles to four; it is back when
-// its rate is under half of the limit. Other nodes' messages eject it only where this node has seen nothing itself, or
-// failures. Where there is no other candidate an ejected endpoint is used rather than rejecting, if this node knows it
-// well and has nothing in flight there. An endpoint that rejects, or takes no connection, gets nothing for a time that
-// doubles. docs/design.md: "Outliers", "Gossip".
+// class and that of all endpoints, both exponentially weighted averages from 0 to 1, and messages of other nodes.
+//
+//   - Ejection: above a failure rate of a quarter, and above twice the rate of all endpoints: where everything fails
+//     together, no endpoint is an outlier.
+//   - Trial: after half a second, which doubles up to four seconds with each failure, one idempotent request at a time
+//     may go to an ejected endpoint, whatever latency is predicted.
+//   - Return: when its failure rate is under half of the limit.
+//   - Gossip: messages of other nodes that it fails the class are votes. Three eject it where this node has seen
+//     nothing itself, or failures. Its failure rate is then at least twice the ejection rate, so that it returns after
+//     some successes only, and its first trial follows after a second.
+//   - Last resort: where there is no other candidate, an ejected endpoint is used for any class, if this node knows it
+//     well and has nothing in flight there.
+//   - Backoff: an endpoint that rejects an attempt, or takes no connection, gets nothing for a time that doubles. This
+//     is no ejection, and holds for all classes.
+//
+// docs/design.md: "Outliers", "Gossip".
 
 const (
 	// ejectionFailureRate is the failure rate above which an endpoint may be ejected.
@@ -21,6 +30,10 @@
 	outlierFactor = 2
 	// returnFactor is the part of the limit under which an ejected endpoint is back.
 	returnFactor = 0.5
+	// maxHealthyFailureRate is the failure rate up to which an endpoint that this node has used is not ejected by votes.
+	maxHealthyFailureRate = ejectionFailureRate / 2
+	// gossipFailureRate is the failure rate that votes raise an endpoint to at least.
+	gossipFailureRate = 2 * ejectionFailureRate
 	// fleetLearningRate is the part of an attempt in the failure rate of all endpoints.
 	fleetLearningRate = learningRate / 2
 
@@ -28,10 +41,10 @@
 	maxEjectionTime = 4 * time.Second
 	// maxHealthSamples bounds classHealth.samples.
 	maxHealthSamples = 2 / learningRate
-	// gossipVotesToEject is how many messages, within about two seconds, eject an endpoint; one may be about a single
+	// gossipVotesToEject is how many votes, within about two seconds, eject an endpoint; one may be about a single
 	// error.
 	gossipVotesToEject = 3
-	// gossipEjectionTime is how long an endpoint stays ejected at least after such messages.
+	// gossipEjectionTime is the time from an ejection by votes to the first trial.
 	gossipEjectionTime = time.Second
 	// gossipDecayPerSecond is the part of the votes that still counts a second later.
 	gossipDecayPerSecond = 0.5
@@ -44,7 +57,7 @@
 
 // outlierDetector judges endpoints against all others.
 type outlierDetector struct {
-	fleetFailureRate float64 // running part of the attempts at any endpoint that failed
+	fleetFailureRate float64 // exponentially weighted average over the attempts at all endpoints
 }
 
 // limit is the failure rate above which an endpoint is ejected.
@@ -52,7 +65,7 @@
 	return max(ejectionFailureRate, outlierFactor*d.fleetFailureRate)
 }
 
-// record judges an endpoint in one class by the end of an attempt, which counts for rate of what is known.
+// record judges an endpoint in one class by the end of an attempt: failure is 1 or 0, rate its part in the average.
 func (d *outlierDetector) record(now Time, health *classHealth, failure, rate float64) {
 	health.samples = min(health.samples+1, maxHealthSamples)
 	health.failureRate += (failure - health.failureRate) * rate
@@ -83,19 +96,21 @@
 	b.outliers.record(now, health, failure, rate)
 }
 
-// takeGossip counts a message of another node that the endpoint fails the class. What this node saw itself goes first.
+// takeGossip counts the vote of another node that the endpoint fails the class. What this node saw itself goes first.
+// The ejection time stays as it is: only failures at this node double it.
 func (h *classHealth) takeGossip(now Time) {
 	h.gossipVotes++
-	sawItWork := h.samples >= 1 && h.failureRate <= ejectionFailureRate/2
+	sawItWork := h.samples >= 1 && h.failureRate <= maxHealthyFailureRate
 	if h.gossipVotes < gossipVotesToEject || h.ejected || sawItWork {
 		return
 	}
 	h.ejected = true
-	h.failureRate = max(h.failureRate, 2*ejectionFailureRate)
+	h.failureRate = max(h.failureRate, gossipFailureRate)
 	h.retryAt = now.Add(gossipEjectionTime)
 }
 
-// mayTryEjected reports whether an endpoint that is ejected for the request's class may get the request all the same.
+// mayTryEjected reports whether an endpoint that is ejected for the request's class may get the request all the same:
+// as a trial in any round, or as a last resort in the last one. Neither asks for a prediction in time.
 func mayTryEjected(c *criteria, ep *endpoint, health *classHealth) bool {
 	if ep.inFlight > 0 {
 		return false
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -4,23 +4,29 @@
 
 // A fleet that has been overloaded for long gets one rest: this node gives up all requests for a while, as what all
 // endpoints depend on may recover only then. Inputs: the latency of the fleet over the work of its requests, a ratio,
-// and the success rate of the class that fares worst. Short overload, as a burst makes, and slowness in which requests
-// still succeed change nothing, and no spell gets a second rest. It acts only where load reports carry utilization.
+// and the success rate of the class that does worst. Short overload, as a burst makes, and slowness in which requests
+// still succeed change nothing, and an overload gets no second rest. It acts only where load reports carry utilization.
 // docs/design.md: "Shedding load".
 
 const (
-	overloadedFleetLevel    = 2.5
-	overloadedSuccessRate   = 0.7
+	// overloadedFleetLevel: from here on answers take two and a half times their work, so most of it is waiting.
+	overloadedFleetLevel = 2.5
+	// overloadedSuccessRate: above it most requests of every class still succeed, which a rest would give up.
+	overloadedSuccessRate = 0.7
+	// overloadedSecondsToRest is longer than bursts and short overloads last, which end without a rest.
 	overloadedSecondsToRest = 9
-	restDuration            = 5 * time.Second
+	// restDuration is for queues at the endpoints, and at what they depend on, to empty.
+	restDuration = 5 * time.Second
 )
 
+// overloadGuard decides when this node rests.
 type overloadGuard struct {
 	seconds   int // for how long the fleet has been overloaded
 	restUntil Time
 }
 
-// tick takes the state of the fleet, once a second.
+// tick takes the state of the fleet, once a second. The rest begins when the count reaches its limit, and the count
+// goes on until the overload ends: so there is one rest for each.
 func (g *overloadGuard) tick(now Time, fleetLevel, worstSuccessRate float64) {
 	if fleetLevel < overloadedFleetLevel || worstSuccessRate > overloadedSuccessRate {
 		g.seconds = 0
--- a/policy/request.go
+++ b/policy/request.go
@@ -13,8 +13,9 @@
 type request struct {
 	Request
 	classSettings *Class
-	// effectiveDeadline is the last moment at which an answer has any worth, objectiveAt the last at which it has its
-	// full worth. They are equal where a late answer is worth nothing.
+	// objectiveAt is the last moment at which an answer has its full value, the priority weight of the class: the
+	// latency objective, less a margin. effectiveDeadline is the last at which it has any: the client's deadline, or
+	// objectiveAt where a late answer has no value (Class.LateFraction is 0). No attempt goes on for longer.
 	effectiveDeadline, objectiveAt Time
 	attempts                       []attempt
 	inFlight                       int    // attempts
@@ -115,7 +116,7 @@
 	req.delays.CountInFlight(int64(now), -1)
 }
 
-// sendOrGiveUp sends the request to a drawn endpoint; if no endpoint may get it, it is given up at once.
+// sendOrGiveUp sends the request to a drawn endpoint, or gives it up if no endpoint may get it.
 func (b *Balancer) sendOrGiveUp(now Time, req *request) {
 	if ep := b.selectEndpoint(now, req); ep != nil {
 		b.sendTo(now, req, ep)
@@ -149,7 +150,8 @@
 	b.setOverdueTimer(now, req, ep, work)
 }
 
-// proceed continues a request after the end of one of its attempts.
+// proceed continues a request after the end of one of its attempts: it is done, cannot be sent again, or is sent again
+// once nothing of it is in flight.
 func (b *Balancer) proceed(now Time, req *request, result AttemptResult) {
 	switch {
 	case req.done:
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -4,16 +4,18 @@
 // whether it may have run, when it was sent, and the zone and pod of its endpoint at that time. An attempt that
 // is in flight counts as one that may have run.
 //
-//   - Idempotent: the request may be sent again and rejected at any time.
+//   - Idempotent: the request may be sent again, and rejected to the client, at any time.
 //   - Idempotent by key: it may be sent again within the deduplication window to endpoints of the same deduplication
 //     group, and rejected within the window if all endpoints form one group, as the client's retry may go to any.
-//   - Non-idempotent: nothing once an attempt may have run.
+//   - Non-idempotent: neither, once an attempt may have run.
 //
-// A request that can't be sent on is given up at once: rejected, so that the client knows that a retry does no harm, or
-// else failed. Nothing waits without an attempt in flight. docs/design.md: "Retry and giving up".
+// To give up a request is to end it now: with Effects.Reject (503) where the client may retry, else with Effects.Fail
+// (502). A request that no endpoint may get is given up at once; nothing waits without an attempt in flight.
+// docs/design.md: "Retry and giving up".
 
-// maxHelpfulDelay is the part of the latency objective up to which a class is helped by others giving up time for it.
-const maxHelpfulDelay = 0.5
+// maxSharedDelay is the part of its latency objective that a class may wait at any endpoint for a cause of its own and
+// still count for the success rate by which the other classes make room for it (latencyBudget).
+const maxSharedDelay = 0.5
 
 // mayAttempt reports whether the request may be sent to an endpoint now.
 func (b *Balancer) mayAttempt(now Time, req *request, ep *endpoint) bool {
@@ -61,7 +63,7 @@
 }
 
 // MayReject reports whether a client may be told that a retry does no harm. Attempts are those of its request so far;
-// inspect returns when one was sent, and whether it may have run, which it may also while it is in flight.
+// inspect returns when one was sent, and whether it may have run; one in flight may.
 func MayReject[A any](class *Class, now Time, attempts []A, inspect func(*A) (sentAt Time, mayHaveRun bool)) bool {
 	if class.Idempotency == Idempotent {
 		return true
@@ -80,8 +82,9 @@
 // giveUp answers the client at once: it rejects the request if a retry does no harm, else it fails it.
 func (b *Balancer) giveUp(now Time, req *request) {
 	req.delays.CountGivenUp()
-	if req.delays.Delay(int64(now)) < maxHelpfulDelay*float64(req.classSettings.LatencyObjective) {
-		// A class that waits at any endpoint is not helped by others giving up time for it.
+	if req.delays.Delay(int64(now)) < maxSharedDelay*float64(req.classSettings.LatencyObjective) {
+		// Guards against other classes being shed in vain: one that waits for a cause of its own, such as a slow
+		// dependency, would not succeed on endpoints with less load either.
 		b.estimator.classes[req.Class].RecordResult(false)
 	}
 	if MayReject(req.classSettings, now, req.attempts, (*attempt).ranSince) {
--- a/policy/runtime.go
+++ b/policy/runtime.go
@@ -45,7 +45,7 @@
 	OutcomeUnknown       Outcome = iota
 	OutcomeSucceeded             // a complete answer
 	OutcomeError                 // the endpoint answered with an error
-	OutcomeRejected              // the endpoint refused it unseen: its queue is full, or it drains
+	OutcomeRejected              // the endpoint refused it without running it: its queue is full, or it drains
 	OutcomeTimedOut              // no answer in time
 	OutcomeConnectFailed         // no connection in time
 	OutcomeReset                 // the connection ended with the attempt in flight
@@ -126,13 +126,15 @@
 	Send(request RequestID, endpoint EndpointID, timeout time.Duration)
 	// Cancel ends an attempt in flight, named by its number from 0; its AttemptResult still follows.
 	Cancel(request RequestID, attempt int)
-	// Reject answers the client that a retry does no harm, after retryAfter; 0: no advice.
+	// Reject answers the client (503) that a retry does no harm, after retryAfter; 0: no advice.
 	Reject(request RequestID, retryAfter time.Duration)
-	// Fail answers the client that the request may have run.
+	// Fail answers the client (502) that the request may have run.
 	Fail(request RequestID)
 	// SetTimer has Balancer.TimerFired called with the number at a moment.
 	SetTimer(at Time, timer uint64)
-	// WatchEndpoints asks for the endpoint list and what changes in it.
+	// WatchEndpoints asks for a watch: a long-lived call for the endpoint list and what changes in it. Where the list
+	// has to be polled (Settings.MustPollList), the caller watches only when asked; where updates are pushed, it
+	// watches by itself. A watch that fails is reported to Balancer.WatchFailed.
 	WatchEndpoints()
 	// CloseIdle closes the connections to an endpoint that are idle.
 	CloseIdle(endpoint EndpointID)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -8,34 +8,37 @@
 
 // Selection draws the endpoint of an attempt. The candidates are the endpoints of the subset, and the homes of the
 // request's key, that the request may go to and that are expected to answer in time. Each has a weight w, its load with
-// some adjustments, and is drawn with a chance of (1/w) over the sum of all 1/w: formulas 2 to 6 of the paper, without
-// its sorting, which changes no chance. Where there is no candidate, up to three further rounds ask for less. Nothing
-// is drawn after the request's effective deadline. docs/design.md: "Selection, from the paper", "Rules that adjust w",
-// "Candidates".
+// some adjustments, and is drawn with a chance of (1/w) over the sum of all 1/w: the paper's formulas 2 to 6 (section
+// VIII.A; the package comment names the paper), without its sorting, which changes no chance. Where there is no
+// candidate, up to three further rounds ask for less. Nothing is drawn after the request's effective deadline.
+// docs/design.md: "Selection, from the paper", "Rules that adjust w", "Candidates".
 
 const (
 	// selectionWindow bounds the endpoints that are weighed, so that a request costs no more in a large fleet.
 	selectionWindow = 32
 	// weightFloorDivisor: w is at least the mean load over this.
 	weightFloorDivisor = 20
-	// preferredDivisor divides w where the endpoint should be drawn nearly always.
+	// preferredDivisor divides w where the endpoint should be drawn nearly always: in slow start with credit, and at
+	// the home of the key. It is the product of the floors of load and slowness, so an endpoint with the mean load and
+	// the usual latency gets the w of one at both floors.
 	preferredDivisor = weightFloorDivisor * weightFloorDivisor
 	// settlingTime is how long ago the reports of an endpoint have to have risen first: until then a load below the
 	// mean is taken for the mean.
 	settlingTime = 3 * recalculationInterval
 	// otherZoneFactor multiplies w of an endpoint in another zone: crossing costs time, but a zone that is overloaded
-	// still spills over.
+	// still spills over. Half of it or twice as much made little difference (docs/design.md: "Figures of the rules").
 	otherZoneFactor = 6
 )
 
-// selectionRound says how much is asked of a candidate.
+// selectionRound says how much is asked of a candidate. An endpoint that is ejected for the class is not held to the
+// prediction in any round: it is a candidate for a trial, or in the last round as a last resort (mayTryEjected).
 type selectionRound int
 
 const (
-	roundByObjective selectionRound = iota // answers in time for the latency objective, of the window
-	roundByDeadline                        // answers in time for the effective deadline, of the window
+	roundByObjective selectionRound = iota // predicted in time for the latency objective, of the window
+	roundByDeadline                        // predicted in time for the effective deadline, of the window
 	roundWholeSubset                       // the same, of the complete subset
-	roundLastResort                        // ejected endpoints that are well known too, whatever is predicted
+	roundLastResort                        // the same, and ejected endpoints that this node knows well
 	numberOfSelectionRounds
 )
 
@@ -121,7 +124,7 @@
 }
 
 // isCandidate reports whether the rules let the request go to an endpoint, and whether that is expected to answer in
-// time.
+// time. An ejected endpoint is held to the rules alone, as what is predicted of it may be what ejected it.
 func (b *Balancer) isCandidate(c *criteria, ep *endpoint) bool {
 	if !b.mayAttempt(c.now, c.request, ep) || c.request.lastEndpoint() == ep {
 		return false
@@ -157,19 +160,29 @@
 	}
 }
 
+// weight returns w, the cost of drawing an endpoint; the lowest are drawn most often. It is the product of
+//
+//	load          its load, at least a twentieth of the mean; at least the mean until its reports are trusted
+//	slowness²     its latency for each unit of work over that of the fleet; the square is at least a twentieth
+//	1/size        where the endpoint list states sizes
+//	1/400         in slow start; only one with credit is a candidate
+//	1/400         at a home of the request's key
+//	(1+n)²        n: attempts of this node in flight there
+//	6             in another zone
 func (b *Balancer) weight(now Time, ep *endpoint, meanLoad float64) float64 {
 	w := max(ep.Load, meanLoad/weightFloorDivisor)
 	if ep.isSettling(now) {
 		w = max(w, meanLoad)
 	}
-	// Load reports do not show that an endpoint is slow. The square, as one that is loaded by its speed is still late.
+	// Load reports do not show that an endpoint is slow. The square, as a slow one that gets its part by speed would
+	// still answer too late.
 	slowness := ep.podLatency.Level() * ep.Latency.Level()
 	w *= max(slowness*slowness, 1.0/weightFloorDivisor)
 	if b.settings.WeightIsSize && ep.Weight > 0 {
 		w /= ep.Weight
 	}
 	if b.slowStart.capacity(now, ep) < 1 {
-		w /= preferredDivisor // it has credit for this attempt, and would hardly be drawn by its load
+		w /= preferredDivisor // by its load it would hardly be drawn, and so not warm up
 	}
 	if ep.isHome {
 		w /= preferredDivisor
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -33,7 +33,7 @@
 
 // Class is what the settings say of one class of requests.
 type Class struct {
-	// LatencyObjective is the time after arrival within which an answer has its full worth.
+	// LatencyObjective is the time after arrival within which an answer has its full value.
 	LatencyObjective time.Duration
 	// Idempotency decides whether a request that may have run can be sent again.
 	Idempotency Idempotency
@@ -41,7 +41,8 @@
 	// first attempt that may have run.
 	DedupGroup  DedupGroup
 	DedupWindow time.Duration
-	// PriorityWeight is the worth of a request, or of a unit of its work where Settings.WeightByWork is set.
+	// PriorityWeight is the value of an answer within the objective: of each request, or of each unit of its work where
+	// Settings.WeightByWork is set. Values are relative to those of other classes.
 	PriorityWeight float64
 	// LateFraction is the part of PriorityWeight that an answer between objective and deadline still has; 0: none.
 	LateFraction float64
@@ -51,14 +52,19 @@
 type Settings struct {
 	// Classes of requests; Request.Class is an index into them.
 	Classes []Class
-	// TenantShares is the part of all requests that each tenant may send at full worth; Request.Tenant is an index.
+	// TenantShares is the part of all requests that each tenant may send at their full value; Request.Tenant is an
+	// index.
 	TenantShares []float64
-	// OverQuotaFraction is the part of its worth that a request beyond its tenant's share has.
+	// OverQuotaFraction is the part of its value that a request beyond its tenant's share has.
 	OverQuotaFraction float64
-	// WorstClassWeight is how much the class that fares worst counts in the operators' goal, 0 to 1.
+	// WorstClassWeight is how much the class with the lowest success rate counts in the operators' goal, 0 to 1.
 	WorstClassWeight float64
-	// NodeIndex is this node's place among NodeCount nodes.
-	NodeIndex, NodeCount int
+	// NodeIndex is this node's place among all nodes, from 0, which ranks the endpoints for its subset. It and
+	// NodeCount are static: nothing follows nodes that join or fail.
+	NodeIndex int
+	// NodeCount is the number of nodes. It sizes the subset and bounds what this node may do as its part of all nodes:
+	// slow start in a cold fleet, tests of a class delay, and dead connections that nodes have to confirm.
+	NodeCount int
 	// StreamsPerConnection is how many attempts one connection carries at once.
 	StreamsPerConnection int
 	// Zone of this node; EndpointInfo.Zone is compared with it.
@@ -67,13 +73,14 @@
 	MaxAttempts int
 	// ClockResolution is the shortest time that the caller's clock resolves.
 	ClockResolution time.Duration
-	// MaxPollInterval is the longest time between two calls for the endpoint list, where MustPollList is set.
+	// MaxPollInterval is the longest time between two calls for the endpoint list, where MustPollList is set. The
+	// backoff after a failed watch is a part of it.
 	MaxPollInterval time.Duration
 	// SlowStartWindow is how long after its start an endpoint has its full capacity at the latest.
 	SlowStartWindow time.Duration
 	// SlowStartMinCapacity is the part of its capacity that an endpoint has from its start.
 	SlowStartMinCapacity float64
-	// MaxRetryAfter bounds the Retry-After of a rejection; 0: none is sent.
+	// MaxRetryAfter bounds the Retry-After of a rejection to the client; 0: none is sent. The Balancer reads it alone.
 	MaxRetryAfter time.Duration
 
 	// MustPollList: the endpoint list has to be polled, or no update comes.
@@ -90,7 +97,8 @@
 	MayHedge bool
 	// MayCancel: an attempt in flight may be canceled.
 	MayCancel bool
-	// MaySetRetryAfter: a rejection may carry a Retry-After.
+	// MaySetRetryAfter: a rejection may carry a Retry-After. Where it is not set, MaxRetryAfter is 0. The Balancer does
+	// not read it; the node does, for the rejections that it sends before the Balancer is asked.
 	MaySetRetryAfter bool
 	// MayGossip: messages to other nodes are allowed.
 	MayGossip bool
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -5,19 +5,25 @@
 	"time"
 )
 
-// An endpoint in slow start gets the part of its fair share that it surely has the capacity for. Inputs: its age, the
-// settings' window and least capacity, answers of warm endpoints, and the latencies of its own answers. It earns
+// An endpoint in slow start gets the part of its fair share that a lower bound of its capacity allows. Inputs: its age,
+// the settings' window and least capacity, answers of warm endpoints, and the latencies of its own answers. It earns
 // credit, in requests of mean work, for each request that a warm endpoint answers, or, where less than half of the
 // subset is warm, for each arrival; it is a candidate only with credit for a full request, saves up no more than one,
-// and pays by the work of each. So all nodes together send it no more than its part, however many they are.
-// docs/design.md: "Slow start".
+// and pays by the work of each.
+//
+// The sum over all nodes stays within the endpoint's share, however many nodes there are: in each node
+//
+//	credit = creditPart(capacity) x answers of warm endpoints / number of warm endpoints in the subset,
+//
+// which is proportional to the node's own traffic. Summed over the nodes it is creditPart(capacity) times what an
+// average warm endpoint answers, and no warm endpoint answers more than it can carry. docs/design.md: "Slow start".
 
 const (
-	// slowStartSafety is the part of its fair share that the coldest endpoint gets; it rises to all of it.
+	// slowStartSafety is the part of its capacity that the coldest endpoint is used for; it rises to all of it.
 	slowStartSafety = 0.75
-	// maxSlowStartRaise bounds what quick answers may raise the capacity to, over what is sure.
+	// maxSlowStartRaise bounds what quick answers may raise the capacity to, over its lower bound.
 	maxSlowStartRaise = 2
-	// warmConcurrency is how many requests a warm endpoint surely works on at a time.
+	// warmConcurrency is a lower bound of the requests that a warm endpoint works on at a time.
 	warmConcurrency = 8
 	// unknownWorkDivisor: until the work of a request is known it is taken for the latency objective over this.
 	unknownWorkDivisor = 4
@@ -29,7 +35,7 @@
 	lastArrivalAt Time    // of a request that earned credit; 0: none has
 }
 
-// capacity returns the part of its capacity that an endpoint surely has; 1 when it is warm.
+// capacity returns a lower bound of an endpoint's capacity, over that when it is warm; 1 when it is.
 func (s *slowStart) capacity(now Time, ep *endpoint) float64 {
 	age := now.Sub(ep.StartedAt)
 	if ep.StartedAt == 0 || age >= s.window {
@@ -54,14 +60,17 @@
 	b.earnCredit(now, min(b.estimator.relativeWork(work), 1)/float64(warm))
 }
 
-// earnCreditByArrival lets them earn their even part of an arrival, within what all nodes together may send them: the
-// first endpoints back after a loss of power would else get the requests of the entire fleet.
+// earnCreditByArrival lets them earn their even part of an arrival. It is bounded by this node's part of what a warm
+// endpoint carries at least since the last arrival: warmConcurrency x time / work, over the mean number of nodes that
+// use an endpoint, members x nodes / active endpoints. Guards against the first endpoints back after a loss of power
+// getting the requests of the entire fleet.
 func (b *Balancer) earnCreditByArrival(now Time) {
 	if !b.subset.arrivalsEarn() {
 		return
 	}
 	s := &b.slowStart
 	members := len(b.subset.members)
+	// Read only until the first answer tells the mean work; any class would do as an estimate.
 	objective := float64(b.settings.Classes[0].LatencyObjective)
 	work := cmp.Or(b.estimator.MeanWork, objective/unknownWorkDivisor)
 	sinceLast := float64(now - cmp.Or(s.lastArrivalAt, now))
@@ -71,7 +80,7 @@
 	b.earnCredit(now, min(1/float64(members), most))
 }
 
-// earnCredit gives each endpoint in slow start its part of a share, in requests.
+// earnCredit gives each endpoint in slow start its part of a warm endpoint's share, in requests.
 func (b *Balancer) earnCredit(now Time, share float64) {
 	for _, ep := range b.subset.warmingUp {
 		capacity := b.slowStart.capacity(now, ep)
@@ -84,7 +93,7 @@
 // creditPart is the part of its share that an endpoint earns. Answers quicker than those of others raise it, as far as
 // there is evidence; late answers take the raise back.
 func creditPart(capacity float64, ep *endpoint) float64 {
-	sure := capacity * (slowStartSafety + (1-slowStartSafety)*capacity)
+	lowerBound := capacity * (slowStartSafety + (1-slowStartSafety)*capacity)
 	evidence := ep.Latency.Weight * learningRate
-	return max(sure, min(maxSlowStartRaise*capacity, evidence, 1/ep.Latency.Level()))
+	return max(lowerBound, min(maxSlowStartRaise*capacity, evidence, 1/ep.Latency.Level()))
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -3,8 +3,8 @@
 // Each node sends to a subset of the endpoints: the first by its own rank, a hash of the node's index and the
 // endpoint's ID. Inputs: how many endpoints are active, how many nodes there are, and this node's requests per second.
 // The subset is as large as these ask for, counted in endpoints that are warm and healthy, and shrinks by one endpoint
-// a second at most. An endpoint that the list does not name as active is no member. Without it hundreds of nodes
-// would each hold a connection to every endpoint and get few answers from any. docs/design.md: "Candidates".
+// a second at most. An endpoint that the list does not name as active is no member. Guards against hundreds of nodes
+// that each hold a connection to every endpoint and get few answers from any. docs/design.md: "Candidates".
 
 const (
 	minSubsetSize = 4
