--- a/internal/classdelay/classdelay.go
+++ b/internal/classdelay/classdelay.go
@@ -6,11 +6,12 @@
 import "math"
 
 const (
-	// answersKept is how many answers of a group count: all have to be late for a delay to be seen.
+	// answersKept is how many answers of a group count: all have to be late for a delay to be seen, since a single late
+	// answer may be its endpoint's.
 	answersKept = 3
-	// freshNanos is for how long the answers of a group say how others fare.
+	// freshNanos is for how long the last answers of a group are compared with those of others.
 	freshNanos = int64(4e9)
-	// minDelayFraction is the part of the shortest latency objective below which a delay is no group's own.
+	// minDelayFraction is the part of the shortest latency objective up to which a delay is ignored.
 	minDelayFraction = 0.25
 	// latencyWindow is the number of answers over which a group's unloaded latency is averaged.
 	latencyWindow = 8
@@ -34,14 +35,14 @@
 	answers  [answersKept]answer
 	next     int     // of answers, to be replaced
 	lateness float64 // the least of answers: it rises once all are late, and falls with one in time
-	unloaded float64 // running mean of the latency with nothing else at the endpoint
+	unloaded float64 // exponentially weighted average of the latency with nothing else at the endpoint
 
 	lastAnswerAt int64
 	givenUp      int // requests given up since
 
 	inFlight      int
 	changedAt     int64 // when inFlight became or ceased to be 0
-	lastTryLasted int64 // for how long something was in flight before
+	lastTryLasted int64 // for how long something was in flight before changedAt
 }
 
 // add takes in an attempt, or the late answer of one that was taken in as overdue.
@@ -64,8 +65,9 @@
 	}
 }
 
-// isComparable reports whether a group says how others fare now. One whose requests are given up counts by what it
-// showed last: those that are not admitted must not make the late ones look like all.
+// isComparable reports whether other groups are compared with a group now: it had an answer lately, or its requests are
+// given up. Guards against a group that is in time but not admitted dropping out, so that only late ones are left to
+// compare with.
 func (g *group) isComparable(now int64) bool {
 	return now-g.lastAnswerAt < freshNanos || g.givenUp >= answersKept
 }
@@ -107,8 +109,8 @@
 	}}
 }
 
-// delays returns by how much each group is later than the one of its kind that fares best, or would be with as much
-// work: under overload heavy requests are later than light ones.
+// delays returns by how much each group is later than the group of its kind that is the least late, whose lateness is
+// first scaled up to as much work: under overload heavy requests are later than light ones.
 func (c ClassAndTenant) delays(now int64) (delays [numberOfKinds]float64) {
 	for kind, own := range c.groups {
 		best := own.lateness
@@ -133,9 +135,9 @@
 	return delays[byClass] + delays[byTenant]
 }
 
-// MayTry reports whether the groups that are delayed may be tried anew: nothing of them is in flight, nor has been for
-// more than a part of the time. So all nodes together try with no more than that part of them at once, however long
-// a try takes.
+// MayTry reports whether a request may be sent to test whether the delay of its groups is over: nothing of them is in
+// flight, nor has been for more than timeFraction of the time. So of all nodes no more than that part tests at once,
+// however long a test takes.
 func (c ClassAndTenant) MayTry(now int64, timeFraction float64) bool {
 	for kind, delay := range c.delays(now) {
 		own := c.groups[kind]
--- a/internal/estimates/class.go
+++ b/internal/estimates/class.go
@@ -1,7 +1,7 @@
 package estimates
 
 const (
-	// learningRate is the part of a new value in a class's running quantiles.
+	// learningRate is the size of a step of a class's quantiles (QuantileStep), over the quantile itself.
 	learningRate = 1.0 / 12
 
 	// spreadQuantile is the quantile of latencies over their predictions that LatencySpread follows, from minSpread to
@@ -23,12 +23,13 @@
 	TypicalWork float64 `json:"Typical"`
 	// LatencySpread is a high quantile of latencies over their predictions.
 	LatencySpread float64 `json:"Spread"`
-	// SuccessRate is the part of recent requests that were answered; RequestCount is how many they were, fading.
+	// SuccessRate is the part of recent requests that were answered; RequestCount is the decayed count of them.
 	SuccessRate  float64 `json:"Fares"`
 	RequestCount float64 `json:"Asked"`
-	// PriorityFactor is the part of its time that the class keeps while requests are rejected.
+	// PriorityFactor is the part of its time that the class keeps while requests are given up, 0 to 1: by its priority
+	// weight over that of the best class.
 	PriorityFactor float64 `json:"Due"`
-	// AnsweredCount and GivenUpCount are of the current second, WorkSamples counts answers ever.
+	// AnsweredCount and GivenUpCount are of the current second, WorkSamples counts all answers.
 	AnsweredCount int `json:"Taken"`
 	GivenUpCount  int `json:"Away"`
 	WorkSamples   int `json:"Met"`
@@ -39,7 +40,8 @@
 	return ClassEstimates{LatencySpread: initialSpread, SuccessRate: 1, PriorityFactor: 1}
 }
 
-// RecordResult takes in that a request was answered, or given up.
+// RecordResult takes in that a request was answered, or given up. Only requests that are given up are counted in the
+// current second here; answers are, by Calibrate.
 func (c *ClassEstimates) RecordResult(answered bool) {
 	c.RequestCount = min(c.RequestCount+1, maxRequestCount)
 	success := 0.0
@@ -72,7 +74,7 @@
 	}
 }
 
-// Decay ends a second. A class that is no longer asked for drifts to success, so that it holds no other back.
+// Decay ends a second. The success rate of a class without requests drifts to 1, so that it holds no other back.
 func (c *ClassEstimates) Decay() {
 	if c.AnsweredCount <= c.GivenUpCount {
 		// Guards against a lock-out: a spread so high that hardly any request is admitted would not be measured again.
--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -1,6 +1,23 @@
 // Package estimates holds the figures that an instance of the decisions learns of its endpoints, its fleet and its
 // classes of requests, and the form in which another instance at the same place takes them over. Work and latencies are
 // in nanoseconds.
+//
+// The JSON names are those of earlier builds, in whose words they were chosen. They stay, as an instance reads what
+// another build handed over or stored:
+//
+//	Load, Reported, Drift   Load, LastReport, RisePerSend
+//	Own                     Latency, of the endpoint alone
+//	High                    HighLatency
+//	Known, Heard            HasLatency, HasReport
+//	Way                     ZoneDelay
+//	MeanOf                  MeanWork
+//	Typical, Spread         TypicalWork, LatencySpread
+//	Fares, Asked            SuccessRate, RequestCount
+//	Due                     PriorityFactor
+//	Taken, Away, Met        AnsweredCount, GivenUpCount, WorkSamples
+//	Categories, Servers     Classes, Endpoints
+//	Started                 StartedAt
+//	A, B, N                 ewma.Pair: FirstSum, SecondSum, Weight
 package estimates
 
 import "fawnglade/internal/ewma"
@@ -12,20 +29,21 @@
 	LastReport float64 `json:"Reported"`
 	// RisePerSend is what each send since the last report adds to Load.
 	RisePerSend float64 `json:"Drift"`
-	// Latency holds latencies for each unit of work, over those of pod and fleet, and what was in flight at sending.
+	// Latency holds latencies for each unit of work, over those of pod and fleet (first), and the attempts in flight at
+	// sending (second).
 	Latency ewma.Pair `json:"Own"`
 	// HighLatency is a high quantile of the latency for each unit of work.
 	HighLatency float64 `json:"High"`
-	// HasLatency and HasReport report whether there were an answer and a report.
+	// HasLatency and HasReport report whether there was an answer, and a report, since the endpoint started.
 	HasLatency bool `json:"Known"`
 	HasReport  bool `json:"Heard"`
 }
 
 // FleetEstimates is what was learned of all endpoints together.
 type FleetEstimates struct {
-	// Pods holds, by pod, latencies over those of the fleet, and what was in flight at sending.
+	// Pods holds, by pod, latencies over those of the fleet (first), and the attempts in flight at sending (second).
 	Pods map[int]*ewma.Pair `json:"Pods"`
-	// Fleet holds latencies for each unit of work, and what was in flight at sending.
+	// Fleet holds latencies for each unit of work (first), and the attempts in flight at sending (second).
 	Fleet ewma.Pair `json:"Fleet"`
 	// ZoneDelay is, by zone, the latency that an answer has however little the work.
 	ZoneDelay map[int]float64 `json:"Way"`
@@ -61,8 +79,9 @@
 	f.HighLatency = from.HighLatency
 }
 
-// QuantileStep returns the step of a running quantile, from 0 to 1: up where a value was above it, else down. Size is
-// the sum of the two steps.
+// QuantileStep returns the step of an estimate that follows a quantile (0 to 1) of a stream of values: up by size times
+// quantile where a value was above the estimate, else down by size times one less quantile. The steps balance where the
+// part of the values above the estimate is one less quantile.
 func QuantileStep(above bool, size, quantile float64) float64 {
 	if above {
 		return size * quantile
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -1,17 +1,20 @@
 // Package idletimeout learns for how long a connection may have been idle and still be trusted, from those that were
-// dead when they were used. Times are in nanoseconds.
+// dead when they were used. A single dead connection may have a cause of its own, so a node confirms an idle time only
+// after several in a row, and where nodes exchange confirmations, a quorum of them is needed to lower the limit: what
+// drops idle connections does so for many nodes. Times are in nanoseconds.
 package idletimeout
 
 import "math"
 
 const (
-	// deadInARowToConfirm is how many dead connections in a row are a sign.
+	// deadInARowToConfirm is how many dead connections in a row confirm that idle ones are dropped.
 	deadInARowToConfirm = 2
 	// trustedNumerator over trustedDenominator is the part of the idle time of a dead connection that is trusted still.
 	trustedNumerator, trustedDenominator = 3, 4
-	// confirmationDecayPerSecond is the part of the signs that still counts a second later.
+	// confirmationDecayPerSecond is the part of the confirmations that still counts a second later.
 	confirmationDecayPerSecond = 0.5
-	// nodesPerConfirmation: where nodes exchange signs, it takes one from one node in so many.
+	// nodesPerConfirmation: the quorum is one confirmation for so many nodes, within about two seconds. It is a
+	// small part of the nodes, as each meets a dead connection seldom.
 	nodesPerConfirmation = 25
 	// growthDivisor: the trusted time grows by this part of itself a second.
 	growthDivisor = 32
@@ -21,9 +24,9 @@
 type Estimator struct {
 	// Limit is the idle time beyond which a connection is not to be used.
 	Limit         int64
-	lastDeadAfter int64 // idle time of the last one that was dead
-	deadInARow    int   // since one survived about as long
-	confirmations float64
+	lastDeadAfter int64   // idle time of the last one that was dead
+	deadInARow    int     // since one survived about as long
+	confirmations float64 // decayed count, of this node and of others
 }
 
 // New returns an estimator that trusts every connection.
@@ -42,15 +45,16 @@
 	}
 }
 
-// Died takes in a connection that was dead after an idle time, and reports whether that is a sign, for Confirm.
+// Died takes in a connection that was dead after an idle time, and reports whether that confirms that connections of
+// this idle time are dropped; the caller then calls Confirm, and may tell other nodes.
 func (e *Estimator) Died(idle int64) bool {
 	e.lastDeadAfter = idle
 	e.deadInARow++
 	return e.deadInARow >= deadInARowToConfirm
 }
 
-// Confirm counts a sign of this node or of another one, for an idle time. Where nodes exchange them, it acts on signs
-// of a part of the nodes only.
+// Confirm counts a confirmation of this node or of another one, for an idle time, and lowers the limit once there is a
+// quorum: where nodes exchange them (gossiped), one for each nodesPerConfirmation of the nodes, else this one.
 func (e *Estimator) Confirm(idle int64, gossiped bool, nodes int) {
 	needed := 1.0
 	if gossiped {
@@ -63,7 +67,7 @@
 	}
 }
 
-// Decay lets signs fade and the trusted time grow back. The caller invokes it once a second.
+// Decay lets confirmations count for less and the limit grow back. The caller invokes it once a second.
 func (e *Estimator) Decay() {
 	e.confirmations *= confirmationDecayPerSecond
 	e.Limit += min(e.Limit/growthDivisor, math.MaxInt64-e.Limit)
--- a/internal/idletimeout/idletimeout_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -4,10 +4,10 @@
 
 const second = int64(1e9)
 
-func TestTrustFallsWithTwoSignsInARow(t *testing.T) {
+func TestTrustFallsWithTwoDeadConnectionsInARow(t *testing.T) {
 	estimator := New()
 	if estimator.Died(10 * second) {
-		t.Error("one sign is believed")
+		t.Error("one dead connection confirms")
 	}
 	estimator.Survived(9 * second)
 	if estimator.Died(8 * second) {
@@ -15,10 +15,10 @@
 	}
 	estimator.Survived(second)
 	if !estimator.Died(8 * second) {
-		t.Error("two in a row are not believed")
+		t.Error("two in a row do not confirm")
 	}
 	if estimator.Confirm(8*second, true, 2*nodesPerConfirmation); estimator.Limit < 1e15 {
-		t.Error("one of two messages acts")
+		t.Error("one of two confirmations acts")
 	}
 	if estimator.Confirm(8*second, true, 2*nodesPerConfirmation); estimator.Limit != 6*second {
 		t.Errorf("trusted for %d ns, expected three quarters of eight seconds", estimator.Limit)
--- a/internal/keyfreq/keyfreq.go
+++ b/internal/keyfreq/keyfreq.go
@@ -10,15 +10,15 @@
 	minCount       = 0.1     // a lower one is dropped
 	// homesFactor is the number of homes over the key's part of all requests times the endpoints.
 	homesFactor = 1.5
-	// repeatLearningRate is the part of a request in the running fraction of repeated keys.
+	// repeatLearningRate is the part of a request in the exponentially weighted average of repeated keys.
 	repeatLearningRate = 1.0 / 32
 )
 
 // Counter counts keys. The zero value has counted nothing. It is not safe for concurrent use.
 type Counter struct {
-	counts         map[uint64]float64 // by the hash of the key
-	total          float64
-	repeatFraction float64 // running part of requests whose key was known
+	counts         map[uint64]float64 // decayed counts of requests, by the hash of the key
+	total          float64            // decayed count of all requests
+	repeatFraction float64            // average of requests whose key was known (1) or not (0)
 }
 
 // Observe counts a request for a key. It returns the key's hash, never 0, and at how many of so many endpoints it is at
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,5 +1,6 @@
 // Package quota decides which requests are within their tenant's share of a node's own traffic. Measured so, a share
-// needs no guess at how traffic is spread over the nodes. A Quotas is a token bucket for each tenant, in requests.
+// needs no guess at how traffic is spread over the nodes. A Quotas is a token bucket for each tenant, in requests, that
+// arrivals of all tenants refill. It is not safe for concurrent use.
 package quota
 
 // maxSavedRequests bounds the requests that a tenant may send at once after it sent less than its share.
@@ -15,8 +16,8 @@
 	return Quotas{shares: shares, available: make([]float64, len(shares))}
 }
 
-// Exceeded counts a request and reports whether it is beyond its tenant's quota; tenants without a share have none. A
-// client's retry neither adds nor takes, as the request was counted when it came first.
+// Exceeded counts a request and reports whether it is beyond its tenant's quota; a tenant without a share has no quota
+// to exceed. A client's retry neither adds nor takes, as the request was counted when it came first.
 func (q *Quotas) Exceeded(tenant int, isRetry bool) bool {
 	if tenant >= len(q.available) {
 		return false
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
 // Package rendezvous orders endpoints by a hash of a key and each endpoint's ID, the highest first, so that all nodes
-// agree on the first choices for a key without talking (Thaler and Ravishankar, "Using name-based mappings to increase
+// agree on the first choices for a key without messages (Thaler and Ravishankar, "Using name-based mappings to increase
 // hit rates", 1998). The hashes are the same in every build, or nodes of two builds would disagree.
 package rendezvous
 
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -7,8 +7,47 @@
 	"time"
 )
 
-// The names of the settings and of their values, mapped to the field's terms. Operators and simulators write them, so
-// they are fixed. The order of reading is the order in which errors are found.
+// The names of the settings and of their values, mapped to the fields of Settings and policy.Settings. Operators and
+// simulators write them, so they are fixed; an array of objects is PATH.count and PATH.0, PATH.1 and so on. Settings
+// are read in the order in which errors are found.
+//
+//	profiles.N.name                Classes
+//	profiles.N.deadline_us         Deadlines, microseconds
+//	profiles.N.objective_us        Class.LatencyObjective, microseconds
+//	profiles.N.worth               Class.PriorityWeight; 1 if missing
+//	profiles.N.late_worth          Class.LateFraction, 0 to 1; 0 if missing
+//	profiles.N.repeat              Class.Idempotency: safe, keyed (idempotent by key) or unsafe (non-idempotent)
+//	profiles.N.group               Class.DedupGroup, where keyed: all (fleet), zone or cell (pod)
+//	profiles.N.memory_span_us      Class.DedupWindow, where keyed, microseconds
+//	parties.N.name                 Tenants
+//	parties.N.portion              TenantShares, part of all requests
+//	over_share_worth               OverQuotaFraction; 1 if missing
+//	goal.worst_class               WorstClassWeight, 0 to 1; 1 if missing
+//	value_by                       WeightByWork: work, or request (false)
+//	zones                          Zones; the others refer to them by number
+//	zone                           Zone, the node's
+//	position, group_size           NodeIndex, NodeCount
+//	limits.multiplex               StreamsPerConnection
+//	quantum_us                     ClockResolution, microseconds
+//	discovery                      MustPollList: ask, or push (false)
+//	rules.ask_within_us            MaxPollInterval, where ask, microseconds
+//	weights                        WeightIsSize: nominal or rough, else off or live (false)
+//	report.how                     HealthChecksReport: on_probe; inline (false), or off: no load reports at all
+//	report.fields                  ReportsUtilization (util) and ReportsServiceTime (latency_ms), with commas
+//	rules.removal_not_binding      RemovedMayServe
+//	family_info.warm_keys          KeyAffinity
+//	limits.may_duplicate           MayHedge
+//	limits.peer_messages           MayGossip
+//	limits.probes                  MayCheckHealth
+//	limits.cancelling              MayCancel
+//	limits.retry_after             MaySetRetryAfter
+//	limits.max_retry_after_us      MaxRetryAfter, where that is set, microseconds
+//	limits.try_limit               MaxAttempts
+//	rules.cold_from                SlowStartMinCapacity, part of the full capacity
+//	rules.warm_within_us           SlowStartWindow, microseconds
+//	limits.connect_timeout_us      ConnectTimeout, microseconds
+//	limits.idle_close_us           IdleTimeout, microseconds
+//	rules.stop_sending_within_us   DrainGrace, microseconds
 
 var (
 	idempotencyOptions = []option[policy.Idempotency]{
@@ -96,7 +135,7 @@
 func readGoal(v *values, s *policy.Settings) {
 	s.OverQuotaFraction = v.numberOr("over_share_worth", 0, 1)
 	s.WorstClassWeight = v.numberOr("goal.worst_class", 0, 1)
-	// Nothing reads these two, but what is no number is an error.
+	// Nothing reads these two, but a value that is not a number is an error.
 	v.numberOr("goal.nines_part", 0, 0)
 	v.numberOr("goal.top_nines", 0, 0)
 	if v.has("value_by") {
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -18,7 +18,7 @@
 	err    error
 }
 
-// option is a word that a setting may have, and what it means.
+// option is a word that is allowed as the value of a setting, and the value that it stands for.
 type option[T any] struct {
 	word  string
 	value T
@@ -84,7 +84,7 @@
 	return v.duration(path, 0)
 }
 
-// flag reads a truth value; a missing one is false.
+// flag reads a boolean; a missing one is false.
 func (v *values) flag(path string) bool {
 	switch v.byPath[path] {
 	case "true":
