--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -109,11 +109,11 @@
 
 // takeList reads an endpoint list, for the instances that are referred to it later.
 func (s *session) takeList(f *fields) error {
-	number, count := f.sheet(), f.unsigned(fieldListLength, 32)
+	number, count := f.listNumber(), f.unsigned(fieldListLength, 32)
 	if f.err != nil {
 		return f.err
 	}
-	list := s.sheets[number].endpoints[:0]
+	list := s.endpointLists[number].endpoints[:0]
 	for ; count > 0; count-- {
 		text, err := s.readLine()
 		if err != nil {
@@ -125,7 +125,7 @@
 		}
 		list = append(list, listed)
 	}
-	s.sheets[number] = sheet{endpoints: list, given: true}
+	s.endpointLists[number] = endpointList{endpoints: list, given: true}
 	return nil
 }
 
@@ -172,13 +172,13 @@
 	default:
 		return fmt.Errorf("%s: expected INCREMENTAL, FULL, SAVED or FAILED, got %q", fieldUpdateForm, form)
 	}
-	number := f.sheet()
+	number := f.listNumber()
 	if f.err != nil {
 		return f.err
 	}
-	list := i.session.sheets[number]
+	list := i.session.endpointLists[number]
 	if !list.given {
-		return fmt.Errorf("%s: expected a list that was given, got %d", fieldSheet, number)
+		return fmt.Errorf("%s: expected a list that was given, got %d", fieldListNumber, number)
 	}
 	i.balancer.EndpointsUpdated(i.session.now, list.endpoints, form != updateIncremental)
 	return nil
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -12,7 +12,7 @@
 // nanosPerMicrosecond converts the protocol's times.
 const nanosPerMicrosecond = 1000
 
-// fields takes the values of one line in turn and keeps the first complaint.
+// fields takes the values of one line in turn and keeps the first error.
 type fields struct {
 	rest []byte
 	err  error
@@ -109,10 +109,10 @@
 	return len(word) == 1 && word[0] == '1'
 }
 
-func (f *fields) sheet() uint64 {
-	v := f.unsigned(fieldSheet, 31)
-	if v >= numberOfSheets {
-		f.fail("%s: expected a number from 0 to %d, got %d", fieldSheet, numberOfSheets-1, v)
+func (f *fields) listNumber() uint64 {
+	v := f.unsigned(fieldListNumber, 31)
+	if v >= maxEndpointLists {
+		f.fail("%s: expected a number from 0 to %d, got %d", fieldListNumber, maxEndpointLists-1, v)
 		return 0
 	}
 	return v
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -94,14 +94,14 @@
 // TestGoldenConversation holds the replies to the simulator to the bytes of earlier builds, with every event and both
 // kinds of settings.
 func TestGoldenConversation(t *testing.T) {
-	out, complaint, code := serve(conversation(53))
+	out, errorText, code := serve(conversation(53))
 	if code != 0 {
-		t.Fatalf("exit %d: %s", code, complaint)
+		t.Fatalf("exit %d: %s", code, errorText)
 	}
 	for _, action := range []string{"ISSUE", "RECALL", "BUSY", "FINISH_ERROR", "AFTER", "OBSERVE", "ANNOUNCE", "TEST", "RELEASE"} {
 		if !strings.Contains(out, action+" ") {
 			t.Errorf("no %s among the replies", action)
 		}
 	}
-	golden.Check(t, "conversation.txt", []byte(out+complaint))
+	golden.Check(t, "conversation.txt", []byte(out+errorText))
 }
--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -44,14 +44,14 @@
 	watchOn     = 1
 )
 
-// Fields, by which complaints name them.
+// Fields, by the names that error messages use.
 const (
 	fieldMessage       = "message"
 	fieldClock         = "clock"
 	fieldInstance      = "who"
 	fieldSeed          = "entropy"
 	fieldSettings      = "profile_data"
-	fieldSheet         = "sheet"
+	fieldListNumber    = "sheet"
 	fieldListLength    = "nodes_list"
 	fieldEndpoint      = "server"
 	fieldZone          = "site"
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	maxLineBytes   = 8 << 20
-	inputBuffer    = 1 << 20
-	outputBuffer   = 1 << 18
-	numberOfSheets = 16 // endpoint lists that the simulator may refer to
+	maxLineBytes     = 8 << 20
+	inputBuffer      = 1 << 20
+	outputBuffer     = 1 << 18
+	maxEndpointLists = 16 // endpoint lists that the simulator may refer to
 
 	// collectorPercent trades memory, of which little is used, for the collector's time, which counts as the nodes'.
 	collectorPercent = 400
@@ -25,27 +25,27 @@
 
 // session is one conversation with a simulator.
 type session struct {
-	in        *bufio.Reader
-	out       *bufio.Writer
-	instances map[string]*instance // by the simulator's number
-	sheets    [numberOfSheets]sheet
-	now       policy.Time
-	line      int // of the input, for complaints
+	in            *bufio.Reader
+	out           *bufio.Writer
+	instances     map[string]*instance // by the simulator's number
+	endpointLists [maxEndpointLists]endpointList
+	now           policy.Time
+	line          int // of the input, for error messages
 
 	ignoredMessages int    // between instances, that were no valid gossip
 	actionLine      []byte // memory of the action that is written
 	longLine        []byte // memory of a line that exceeds the input buffer
 }
 
-// sheet is an endpoint list under one of the simulator's numbers.
-type sheet struct {
+// endpointList is an endpoint list under one of the simulator's numbers.
+type endpointList struct {
 	endpoints []policy.EndpointInfo
 	given     bool
 }
 
-// Run serves the protocol until the input ends and returns the exit code of the process: 0, or 1 after a complaint
-// about the input or a failed write.
-func Run(in io.Reader, out, complaints io.Writer) int {
+// Run serves the protocol until the input ends and returns the exit code of the process: 0, or 1 after an error
+// in the input or a failed write.
+func Run(in io.Reader, out, errorOutput io.Writer) int {
 	debug.SetGCPercent(collectorPercent)
 	s := &session{
 		in:        bufio.NewReaderSize(in, inputBuffer),
@@ -59,18 +59,18 @@
 		}
 		if errors.Is(err, io.EOF) {
 			if s.ignoredMessages > 0 {
-				complain(complaints, "%d messages passed over", s.ignoredMessages)
+				printError(errorOutput, "%d messages passed over", s.ignoredMessages)
 			}
 			return 0
 		}
-		s.out.Flush() //nolint:errcheck // the complaint about the first error follows
-		complain(complaints, "line %d: %v", s.line, err)
+		s.out.Flush() //nolint:errcheck // the first error is printed next
+		printError(errorOutput, "line %d: %v", s.line, err)
 		return 1
 	}
 }
 
-func complain(to io.Writer, format string, arguments ...any) {
-	fmt.Fprintf(to, "benchlink: "+format+"\n", arguments...) //nolint:errcheck // there is no other place to complain
+func printError(to io.Writer, format string, arguments ...any) {
+	fmt.Fprintf(to, "benchlink: "+format+"\n", arguments...) //nolint:errcheck // there is no other output for errors
 }
 
 // batch handles one batch of events; it returns io.EOF at the end of the input.
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -20,11 +20,11 @@
 const start = "BEGIN_BATCH 1000000\nCONFIGURE 3 42 " + settingsLine + "\nCATALOG 0 1\nSERVER 51530247 0 0 0 active 1 -\n" +
 	"REGISTRY 3 SAVED 41 0\nEOB\n"
 
-// serve runs the adapter on the input and returns its replies, its complaint and its exit code.
+// serve runs the adapter on the input and returns its replies, its error output and its exit code.
 func serve(input string) (string, string, int) {
-	var out, complaint bytes.Buffer
-	code := Run(strings.NewReader(input), &out, &complaint)
-	return out.String(), complaint.String(), code
+	var out, errorText bytes.Buffer
+	code := Run(strings.NewReader(input), &out, &errorText)
+	return out.String(), errorText.String(), code
 }
 
 func TestLines(t *testing.T) {
@@ -66,8 +66,8 @@
 			began + "AFTER 3 1156250 0\nOBSERVE 3 1\nDONE\n",
 		},
 	} {
-		if out, complaint, code := serve(c.in); out != c.out || complaint != "" || code != 0 {
-			t.Errorf("%s: exit %d, complaint %q, replies\n%swant\n%s", name, code, complaint, out, c.out)
+		if out, errorText, code := serve(c.in); out != c.out || errorText != "" || code != 0 {
+			t.Errorf("%s: exit %d, error output %q, replies\n%swant\n%s", name, code, errorText, out, c.out)
 		}
 	}
 }
@@ -98,9 +98,9 @@
 		batch + "CONFIGURE 4 1 " + settingsLine + " weights=heavy\n":  "weights: expected one of off nominal rough live, got heavy",
 		batch + "CONFIGURE 4 1 " + settingsLine + " discovery=call\n": "discovery: expected one of push ask, got call",
 	} {
-		_, complaint, code := serve(in)
-		if code == 0 || !strings.Contains(complaint, want) || strings.Count(complaint, "\n") != 1 {
-			t.Errorf("%q: exit %d, complaint %q, want %q", in[max(0, len(in)-40):], code, complaint, want)
+		_, errorText, code := serve(in)
+		if code == 0 || !strings.Contains(errorText, want) || strings.Count(errorText, "\n") != 1 {
+			t.Errorf("%q: exit %d, error output %q, want %q", in[max(0, len(in)-40):], code, errorText, want)
 		}
 	}
 }
@@ -111,8 +111,8 @@
 		policy.GossipMessage{Endpoint: 51530247}, 1000000*nanosPerMicrosecond,
 	))
 	in := start + "BEGIN_BATCH 1000001\nPEER 3 1 " + message + "\nPEER 3 1 " + message + "\nPEER 3 2 aGk=\nPEER 3 1 -\nEOB\n"
-	out, complaint, code := serve(in)
-	if !strings.HasSuffix(out, "DONE\n") || complaint != "benchlink: 3 messages passed over\n" || code != 0 {
-		t.Errorf("exit %d, complaint %q", code, complaint)
+	out, errorText, code := serve(in)
+	if !strings.HasSuffix(out, "DONE\n") || errorText != "benchlink: 3 messages passed over\n" || code != 0 {
+		t.Errorf("exit %d, error output %q", code, errorText)
 	}
 }
