--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -215,7 +215,7 @@
 		t.Fatal(n, err)
 	}
 	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "f/1"}, {Scope: "s", Key: "e/2", Class: 9}}); n != 1 || err == nil {
-		t.Fatal("one goes, two are spoilt", n, err)
+		t.Fatal("one removed, two invalid", n, err)
 	}
 	expect(t, "what is of another kind stays", o.Relay().Stats().Records, 1)
 	// A new epoch with the same bodies is no change at a subscriber.
@@ -276,7 +276,7 @@
 	put(t, o, "s", "k", ClassEndpoint, "x")
 	s := newLeaf(t, Selector{Scope: "s"})
 	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
-	s.replica.remove(s.replica.find("s", "k")) // as if it had been spoilt on its way
+	s.replica.remove(s.replica.find("s", "k")) // as if it had been lost
 	r := newInner(t, Limits{}, Selector{Prefix: true})
 	put(t, o, "s", "l", ClassEndpoint, "x")
 	attach(t, 0, o.Relay(), r, 0).drain(t, 0, r)
@@ -499,7 +499,7 @@
 	// The invalid ones may have named any record of their scope: these stay. The other scope is empty.
 	expect(t, "records", list(s.Subscriber), "s a=x\ns b=x\ns c=x\ns d=y\n")
 	st := s.Stats()
-	expect(t, "spoilt", st.InvalidRecords, int64(2))
+	expect(t, "invalid", st.InvalidRecords, int64(2))
 	expect(t, "foreign", st.ForeignRecords, int64(1))
 	if !strings.Contains(st.LastInvalid, `"s"`) {
 		t.Fatal("named:", st.LastInvalid)
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -115,7 +115,7 @@
 				if f == nil {
 					break
 				}
-				if _, err := decodeFrame(f, func(string) { t.Fatal("spoilt") }); err != nil || n > 100 {
+				if _, err := decodeFrame(f, func(string) { t.Fatal("an invalid record") }); err != nil || n > 100 {
 					t.Fatal(err, n)
 				}
 			}
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -26,13 +26,13 @@
 	if err != nil || fmt.Sprint(*gotHello) != fmt.Sprint(h) || !bytes.Equal(encode(gotHello), encode(&h)) {
 		t.Errorf("the hello is read as %+v, %v", gotHello, err)
 	}
-	gotFrame, err := decodeFrame(encode(&f), func(scope string) { t.Errorf("spoilt in %q", scope) })
+	gotFrame, err := decodeFrame(encode(&f), func(scope string) { t.Errorf("an invalid record in %q", scope) })
 	if err != nil || fmt.Sprint(*gotFrame) != fmt.Sprint(f) || !bytes.Equal(encode(gotFrame), encode(&f)) {
 		t.Errorf("the frame is read as %+v, %v", gotFrame, err)
 	}
 }
 
-// TestGoldenStats holds the counters that are told as JSON to their names.
+// TestGoldenStats holds the names of the counters in JSON.
 func TestGoldenStats(t *testing.T) {
 	text, err := json.Marshal(Stats{
 		Epoch: 1, Through: 2, Complete: true, Records: 3, Tombstones: 4, Scopes: 5, Bytes: 6, Subscribers: 7, Selectors: 8, Floor: 9,
--- a/internal/distribution/guards_test.go
+++ b/internal/distribution/guards_test.go
@@ -1,7 +1,6 @@
 package distribution
 
-// Each guard by itself, by frames that no relay of ours would send, or seldom: what the drawn networks reach only now
-// and then, or never since another guard stands before it.
+// Each guard alone, by frames that relays send seldom or never: what the random networks of model_test.go hardly reach.
 
 import (
 	"errors"
@@ -124,8 +123,8 @@
 	}
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 1, Through: 20, All: true})
-	at("progress before anything was whole", 0, 0, 0)
-	expect(t, "whole", s.Stats().Complete, false)
+	at("progress before anything was complete", 0, 0, 0)
+	expect(t, "complete", s.Stats().Complete, false)
 	e.send(0, frame{Epoch: 1, Begin: []uint32{0, 1}, End: []uint32{0, 1}, Through: 30})
 	at("ends", 1030, 1030, 0)
 	e.send(0, frame{Epoch: 1, Through: 25, All: true})
@@ -137,7 +136,7 @@
 	e.send(0, frame{Epoch: 1, Through: 35, All: true})
 	at("progress that falls back", 1041, 1041, 0)
 	e.send(0, frame{Epoch: 1, Begin: first, Through: 50, All: true})
-	at("progress while one is told anew", 1041, 1050, 0)
+	at("progress during a snapshot", 1041, 1050, 0)
 	e.send(0, frame{Epoch: 1, End: first, Through: 33})
 	at("an end that falls back", 1041, 1050, 0)
 	e.send(0, frame{Epoch: 1, Through: 60, All: true})
@@ -180,7 +179,7 @@
 		in("", rec("k", 1, 1)), in(long, rec("k", 1, 1)), in("s", record{Key: "k", Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes+1)}),
 	} {
 		e.send(0, frame{Epoch: 1, Groups: g})
-		expect(t, fmt.Sprint("spoilt ", i), s.Stats().InvalidRecords, int64(i+1))
+		expect(t, fmt.Sprint("invalid ", i), s.Stats().InvalidRecords, int64(i+1))
 		expect(t, fmt.Sprint("records ", i), s.replica.items.Len(), 0)
 	}
 }
@@ -210,7 +209,7 @@
 	down := newLeaf(t, Selector{Scope: "s"})
 	l := attach(t, 0, r.Relay, down, 0)
 	now := int64(0)
-	whole := func(what string, want bool) {
+	expectComplete := func(what string, want bool) {
 		t.Helper()
 		expect(t, what, r.Complete(), want)
 		now += second
@@ -224,24 +223,24 @@
 		}
 	}
 	e := newSession(t, r)
-	whole("nothing heard", false)
+	expectComplete("nothing received", false)
 	e.send(0, frame{Epoch: 1, Begin: []uint32{0, 1}, Groups: in("s", rec("k", 1, 5))})
-	whole("begun", false)
+	expectComplete("begun", false)
 	e.send(0, frame{Epoch: 1, End: []uint32{0}, Through: 100})
-	whole("one of two has ended", false)
+	expectComplete("one of two has ended", false)
 	e.send(0, frame{Epoch: 1, End: []uint32{1}, Through: 150})
-	whole("the first is known up to less than the second", false)
+	expectComplete("the first is known up to less than the second", false)
 	e.send(0, frame{Epoch: 1, Through: 150, All: true})
-	whole("all is known", true)
+	expectComplete("all is known", true)
 	expect(t, "through", r.Stats().Through, uint64(150))
 	e.send(0, frame{Epoch: 1, Begin: []uint32{0}})
-	whole("told anew", false)
+	expectComplete("a snapshot has begun", false)
 	e.send(0, frame{Epoch: 1, End: []uint32{0}, Groups: in("s", rec("k", 1|flagKeyOnly, 5)), Through: 150})
-	whole("told anew to its end", true)
+	expectComplete("the snapshot has ended", true)
 	e.send(0, frame{Epoch: 2, Groups: in("s", rec("k", 1, 1))})
-	whole("a new epoch", false)
+	expectComplete("a new epoch", false)
 	e.send(0, frame{Epoch: 2, Through: 200, All: true})
-	whole("progress of a new epoch alone", false)
+	expectComplete("progress of a new epoch alone", false)
 	expect(t, "epoch of what is served", down.Position("s").Epoch, uint64(1))
 
 	// To a subscriber that has seen a higher epoch it claims nothing, complete as it is.
@@ -269,7 +268,7 @@
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", 1, 4))})
 	expect(t, "records", r.Stats().Records, 0)
 	e.send(0, frame{Epoch: 1, End: first, Through: 20})
-	expect(t, "tombstones once it is whole", r.Stats().Tombstones, 1)
+	expect(t, "tombstones once it is complete", r.Stats().Tombstones, 1)
 	expect(t, "floor", r.Stats().Floor, uint64(20))
 	o := NewOrigin(1, Limits{})
 	for i := range 5000 {
@@ -293,8 +292,8 @@
 	expect(t, "sent", r.Stats().SentRecords, int64(1))
 }
 
-// A subscriber goes on at a relay that is behind it; that is told anew, begin and end in one frame, and what has come
-// and gone in between it never knew.
+// A subscriber resumes at a relay that is behind it. Then the relay gets a snapshot, begin and end in one frame: what
+// came and went in between it has never known.
 func TestRelayBehindGetsSnapshot(t *testing.T) {
 	o := NewOrigin(1, Limits{Tombstones: 1})
 	behind := newInner(t, Limits{}, Selector{Prefix: true})
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -88,19 +88,19 @@
 
 // end is a relay or a subscriber, with whom it may be connected to and the frames that are on their way to it.
 type end struct {
-	name  string
-	relay *Relay      // either
-	leaf  *Subscriber // or
-	wants []Selector
-	ups   []int // by place among the ends; -1 is the origin
-	from  *Relay
-	id    int
-	way   [][]byte // frames of this session that have not come yet
-	old   [][]byte // frames of sessions before
-	last  []byte
-	known map[nameOf]Position // a subscriber's: never falls
-	told  map[nameOf]string   // the same by its changes
-	pace  int
+	name    string
+	relay   *Relay      // either
+	leaf    *Subscriber // or
+	wants   []Selector
+	ups     []int // by place among the ends; -1 is the origin
+	from    *Relay
+	id      int
+	way     [][]byte // frames of this session that have not come yet
+	old     [][]byte // frames of sessions before
+	last    []byte
+	known   map[nameOf]Position // a subscriber's: never falls
+	changed map[nameOf]string   // the same, by its changes
+	pace    int
 }
 
 type network struct {
@@ -129,7 +129,7 @@
 		n.restart(len(n.ends) - 1)
 	}
 	leaf := func(name string, ups []int, s ...Selector) {
-		e := &end{name: name, wants: s, ups: ups, pace: pace, known: map[nameOf]Position{}, told: map[nameOf]string{}}
+		e := &end{name: name, wants: s, ups: ups, pace: pace, known: map[nameOf]Position{}, changed: map[nameOf]string{}}
 		e.leaf, _ = NewSubscriber(s, Limits{})
 		n.ends = append(n.ends, e)
 	}
@@ -290,13 +290,13 @@
 		for _, c := range changes {
 			name := nameOf{c.Scope, c.Key}
 			if c.Deleted {
-				if _, ok := e.told[name]; !ok {
-					t.Fatalf("%s was told that %v is gone, twice or never there", e.name, name)
+				if _, ok := e.changed[name]; !ok {
+					t.Fatalf("%s got a deletion of %v, which it did not hold", e.name, name)
 				}
-				delete(e.told, name)
+				delete(e.changed, name)
 				e.known[name] = Position{c.Epoch, c.Version}
 			} else {
-				e.told[name] = fmt.Sprint(c.Class, string(c.Body))
+				e.changed[name] = fmt.Sprint(c.Class, string(c.Body))
 			}
 		}
 		e.leaf.Each(func(r Record) { holds[nameOf{r.Scope, r.Key}] = r })
@@ -306,12 +306,12 @@
 				t.Fatalf("%s went back from %v to %v with %v", e.name, e.known[name], at, name)
 			}
 			e.known[name] = at
-			if e.told[name] != fmt.Sprint(r.Class, string(r.Body)) {
-				t.Fatalf("%s holds %+v and was told %q", e.name, r, e.told[name])
+			if e.changed[name] != fmt.Sprint(r.Class, string(r.Body)) {
+				t.Fatalf("%s holds %+v, its changes gave %q", e.name, r, e.changed[name])
 			}
 		}
-		if len(e.told) != len(holds) {
-			t.Fatalf("%s holds %d records and was told of %d", e.name, len(holds), len(e.told))
+		if len(e.changed) != len(holds) {
+			t.Fatalf("%s holds %d records, its changes gave %d", e.name, len(holds), len(e.changed))
 		}
 		for i, s := range e.wants {
 			at := e.leaf.replica.knownOf(&e.leaf.replica.interests[i]).position
@@ -352,11 +352,11 @@
 			}
 		}
 		n.note()
-	case 5: // a whole list, without a drawn scope
+	case 5: // a complete list, without a random scope
 		gone := rapid.SampledFrom(scopesOfModel).Draw(t, "emptied")
 		maps.DeleteFunc(n.live, func(name nameOf, _ entry) bool { return name.scope == gone })
 		n.load()
-	case 6: // the origin starts anew; its list comes with one of the next acts
+	case 6: // the origin restarts; its list comes with one of the next acts
 		if rapid.IntRange(0, 3).Draw(t, "really") == 0 {
 			n.newOrigin()
 			for _, e := range n.ends {
@@ -365,7 +365,7 @@
 				}
 			}
 		}
-	case 7: // a relay starts anew with nothing
+	case 7: // a relay restarts empty
 		if rapid.IntRange(0, 1).Draw(t, "really") == 0 {
 			n.restart(rapid.IntRange(0, 3).Draw(t, "relay"))
 		}
@@ -457,7 +457,7 @@
 		}
 		if e.leaf == nil {
 			if at := e.relay.claimed; !e.relay.Complete() || at != (Position{n.epoch, n.origin.version}) || tombs > n.limits.Tombstones {
-				t.Fatalf("%s ends whole %v at %v of %d with %d tombstones", e.name, e.relay.Complete(), at, n.origin.version, tombs)
+				t.Fatalf("%s ends complete %v at %v of %d with %d tombstones", e.name, e.relay.Complete(), at, n.origin.version, tombs)
 			}
 			continue
 		}
--- a/internal/distribution/size_test.go
+++ b/internal/distribution/size_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// A change at a relay with 530 subscribers of 500 scopes each: told to it and sent to all that subscribe.
+// A change at a relay with 530 subscribers of 500 scopes each: received, and sent to all that subscribe.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{1200, 12000, 120000} {
 		b.Run(fmt.Sprint("records-", size), func(b *testing.B) {
@@ -215,7 +215,7 @@
 	runtime.KeepAlive(o)
 }
 
-// A subscriber of 500 scopes and 1,200 records comes: its hello, and what it is told from nothing, at both ends.
+// A subscriber of 500 scopes and 1,200 records attaches: its hello and its first snapshot, at both ends.
 func BenchmarkStart(b *testing.B) {
 	for _, kind := range []string{"from-nothing", "resumed"} {
 		b.Run(kind, func(b *testing.B) {
--- a/internal/endpointsource/selector_test.go
+++ b/internal/endpointsource/selector_test.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	second  = int64(1e9)
-	silence = 4 * second
-	began   = 1000 * second // after all that ever started, where a test does not say otherwise
+	second     = int64(1e9)
+	staleAfter = 4 * second
+	startNs    = 1000 * second // after all that ever started, where a test does not say otherwise
 )
 
-type server = Endpoint[int]
+type testEndpoint = Endpoint[int]
 
 // node applies updates as the event loop does.
 type node struct {
-	s     *Selector[int]
-	now   int64
-	force map[string]server
+	selector *Selector[int]
+	now      int64
+	current  map[string]testEndpoint
 }
 
 func newNode() *node {
-	return &node{s: New[int](began, silence, 0), now: began, force: map[string]server{}}
+	return &node{selector: New[int](startNs, staleAfter, 0), now: startNs, current: map[string]testEndpoint{}}
 }
 
-func (n *node) by(t Update[int]) Update[int] {
+func (n *node) apply(t Update[int]) Update[int] {
 	if t.Complete {
-		clear(n.force)
+		clear(n.current)
 	}
 	for _, e := range t.Endpoints {
 		if e.State == StateRemoved {
-			delete(n.force, e.Name)
+			delete(n.current, e.Name)
 		} else {
-			n.force[e.Name] = e
+			n.current[e.Name] = e
 		}
 	}
 	return t
 }
 
 // servers reads "a b- c+3 d!": a and c are up, b drains, c started at 3, d is removed.
-func servers(text string) (out []server) {
+func parseEndpoints(text string) (out []testEndpoint) {
 	for word := range strings.FieldsSeq(text) {
-		e := server{Name: word[:1]}
+		e := testEndpoint{Name: word[:1]}
 		if i := strings.IndexByte(word, '+'); i > 0 {
 			if _, err := fmt.Sscan(word[i+1:], &e.StartedAtNs); err != nil {
 				panic(err)
@@ -65,8 +65,8 @@
 
 func (n *node) String() string {
 	var words []string
-	for _, name := range slices.Sorted(maps.Keys(n.force)) {
-		e := n.force[name]
+	for _, name := range slices.Sorted(maps.Keys(n.current)) {
+		e := n.current[name]
 		if e.State == StateDraining {
 			name += "-"
 		}
@@ -75,34 +75,34 @@
 	return strings.Join(words, " ")
 }
 
-func relayUpdate(changes []server, complete, connected bool, asOfNs, version int64) RelayUpdate[int] {
+func relayUpdate(changes []testEndpoint, complete, connected bool, asOfNs, version int64) RelayUpdate[int] {
 	return RelayUpdate[int]{Changes: changes, Complete: complete, Connected: connected, AsOfNs: asOfNs, Version: version}
 }
 
-func (n *node) relays(text string, stands bool, version int64) {
-	n.by(n.s.UpdateRelays(n.now, relayUpdate(servers(text), true, stands, n.now, version)))
+func (n *node) relays(text string, connected bool, version int64) {
+	n.apply(n.selector.UpdateRelays(n.now, relayUpdate(parseEndpoints(text), true, connected, n.now, version)))
 }
 
-func (n *node) discovery(text string, whole bool, version int64) {
-	n.by(n.s.UpdateDiscovery(n.now, servers(text), whole, version))
+func (n *node) discovery(text string, complete bool, version int64) {
+	n.apply(n.selector.UpdateDiscovery(n.now, parseEndpoints(text), complete, version))
 }
 
 func (n *node) pass(ns int64) {
 	n.now += ns
-	n.by(n.s.Tick(n.now))
+	n.apply(n.selector.Tick(n.now))
 }
 
 func (n *node) expect(t *testing.T, what string, by Source, force string, watch bool) {
 	t.Helper()
-	if n.s.Active() != by || n.String() != force || n.s.WantsDiscovery(n.now) != watch {
-		t.Errorf("%s: source %v %q, discovery watched: %v; expected %v %q, %v", what, n.s.Active(), n, n.s.WantsDiscovery(n.now), by, force, watch)
+	if n.selector.Active() != by || n.String() != force || n.selector.WantsDiscovery(n.now) != watch {
+		t.Errorf("%s: source %v %q, discovery watched: %v; expected %v %q, %v", what, n.selector.Active(), n, n.selector.WantsDiscovery(n.now), by, force, watch)
 	}
 }
 
 func TestRelaysActiveWhileTheyAnswer(t *testing.T) {
 	n := newNode()
 	n.expect(t, "at first", SourceNone, "", false)
-	n.by(n.s.UpdateRelays(n.now, relayUpdate(servers("a"), false, true, n.now, 1)))
+	n.apply(n.selector.UpdateRelays(n.now, relayUpdate(parseEndpoints("a"), false, true, n.now, 1)))
 	n.expect(t, "not yet complete", SourceNone, "", false)
 	n.relays("b", true, 7)
 	n.expect(t, "complete", SourceRelays, "a b", false)
@@ -122,14 +122,14 @@
 	n.discovery("a!", false, 6)
 	n.expect(t, "a change", SourceDiscovery, "b", true)
 	n = newNode()
-	n.by(n.s.RelaysUnreachable(n.now))
+	n.apply(n.selector.RelaysUnreachable(n.now))
 	n.expect(t, "no relay to be reached", SourceNone, "", true)
 }
 
 func TestDiscoveryTakesOverFromStaleRelaysAndBack(t *testing.T) {
 	n := newNode()
 	n.relays("a b c-", true, 10)
-	n.pass(silence)
+	n.pass(staleAfter)
 	n.expect(t, "silence", SourceRelays, "a b c-", true)
 	n.discovery("a d", true, 12) // b and c were removed
 	n.expect(t, "discovery, which knows more", SourceDiscovery, "a d", true)
@@ -138,8 +138,8 @@
 	n.expect(t, "relays that have not caught up", SourceDiscovery, "a d", true)
 	n.relays("b! c! d", true, 12)
 	n.expect(t, "relays that have", SourceRelays, "a d", false)
-	if n.s.Switches != 2 {
-		t.Errorf("%d moves, expected 2", n.s.Switches)
+	if n.selector.Switches != 2 {
+		t.Errorf("%d moves, expected 2", n.selector.Switches)
 	}
 }
 
@@ -158,7 +158,7 @@
 	n := newNode()
 	n.relays("a b c- d", true, 10)
 	n.relays("d!", true, 11)
-	n.pass(silence)
+	n.pass(staleAfter)
 	n.discovery("a c d", true, 8) // before b came, before c drained, before d went
 	n.expect(t, "an older list", SourceDiscovery, "a b c-", true)
 	n.discovery("c+3", false, 9) // it restarted: another incarnation
@@ -168,7 +168,7 @@
 
 	n = newNode()
 	n.relays("a b", true, 10)
-	n.pass(silence)
+	n.pass(staleAfter)
 	n.discovery("a", true, 3)
 	n.expect(t, "discovery that counts from the start again", SourceDiscovery, "a b", true)
 	n.pass(OverlayNs)
@@ -178,15 +178,15 @@
 // Relays that pass the version restored from before the start send their list once more as a complete one.
 func TestRelaysPassRestoredVersion(t *testing.T) {
 	n := newNode()
-	n.s = New[int](began, silence, 10)
+	n.selector = New[int](startNs, staleAfter, 10)
 	for i, step := range []struct {
 		version int64
 		whole   bool
 		servers int
 	}{{10, true, 2}, {10, false, 1}, {11, true, 2}, {12, false, 1}} {
-		told := n.by(n.s.UpdateRelays(n.now, relayUpdate(servers([]string{"a- b", "a", "", "b"}[i]), true, true, n.now, step.version)))
-		if told.Complete != step.whole || len(told.Endpoints) != step.servers {
-			t.Errorf("step %d: %+v, expected whole %v and %d servers", i, told, step.whole, step.servers)
+		update := n.apply(n.selector.UpdateRelays(n.now, relayUpdate(parseEndpoints([]string{"a- b", "a", "", "b"}[i]), true, true, n.now, step.version)))
+		if update.Complete != step.whole || len(update.Endpoints) != step.servers {
+			t.Errorf("step %d: %+v, expected whole %v and %d servers", i, update, step.whole, step.servers)
 		}
 	}
 }
@@ -195,9 +195,9 @@
 func TestRelaysWithOldListAreStale(t *testing.T) {
 	n := newNode()
 	n.relays("a b", true, 10)
-	n.pass(silence - second)
-	n.by(n.s.UpdateRelays(n.now, relayUpdate(nil, true, true, n.now-silence/2, 10)))
-	n.pass(silence/2 - 1)
+	n.pass(staleAfter - second)
+	n.apply(n.selector.UpdateRelays(n.now, relayUpdate(nil, true, true, n.now-staleAfter/2, 10)))
+	n.pass(staleAfter/2 - 1)
 	n.expect(t, "old, but not too old", SourceRelays, "a b", false)
 	n.pass(1)
 	n.expect(t, "too old", SourceRelays, "a b", true)
@@ -207,10 +207,10 @@
 func TestOverlayKeptAcrossSecondSwitch(t *testing.T) {
 	n := newNode()
 	n.relays("a b-", true, 10)
-	n.pass(silence)
+	n.pass(staleAfter)
 	n.discovery("a b", true, 8)
 	n.expect(t, "an older list", SourceDiscovery, "a b-", true)
-	n.by(n.s.SetDiscoveryConnected(n.now, false))
+	n.apply(n.selector.SetDiscoveryConnected(n.now, false))
 	n.relays("b", true, 9) // from another origin, which is behind the first
 	n.expect(t, "relays behind what relays had sent", SourceRelays, "a b-", false)
 	n.relays("", true, 10)
@@ -221,10 +221,10 @@
 func TestOlderRelaysBringNothingBack(t *testing.T) {
 	n := newNode()
 	n.relays("a b c", true, 10)
-	n.pass(silence)
+	n.pass(staleAfter)
 	n.discovery("a b- c", true, 12)
 	n.discovery("c!", false, 13)
-	n.by(n.s.SetDiscoveryConnected(n.now, false))
+	n.apply(n.selector.SetDiscoveryConnected(n.now, false))
 	n.relays("", true, 10)
 	n.expect(t, "stale relays", SourceRelays, "a b-", false)
 	n.relays("e", true, 11)
@@ -235,11 +235,11 @@
 
 // truth is the history of discovery's list, version by version.
 type truth struct {
-	versions []map[string]server
-	births   int64
+	versions []map[string]testEndpoint
+	starts   int64
 }
 
-func (w *truth) now() map[string]server { return w.versions[len(w.versions)-1] }
+func (w *truth) now() map[string]testEndpoint { return w.versions[len(w.versions)-1] }
 
 func (w *truth) change(t *rapid.T) {
 	next := maps.Clone(w.now())
@@ -247,8 +247,8 @@
 	e, there := next[name]
 	switch {
 	case !there || rapid.IntRange(0, 3).Draw(t, "restart") == 0:
-		w.births++
-		next[name] = server{Name: name, StartedAtNs: w.births}
+		w.starts++
+		next[name] = testEndpoint{Name: name, StartedAtNs: w.starts}
 	case e.State == StateUp:
 		e.State = StateDraining
 		next[name] = e
@@ -258,17 +258,17 @@
 	w.versions = append(w.versions, next)
 }
 
-func all(of map[string]server) (out []server) {
+func all(of map[string]testEndpoint) (out []testEndpoint) {
 	for _, name := range slices.Sorted(maps.Keys(of)) {
 		out = append(out, of[name])
 	}
 	return out
 }
 
-func changes(from, to map[string]server) (out []server) {
+func changes(from, to map[string]testEndpoint) (out []testEndpoint) {
 	for _, name := range slices.Sorted(maps.Keys(from)) {
 		if _, stays := to[name]; !stays {
-			out = append(out, server{Name: name, State: StateRemoved})
+			out = append(out, testEndpoint{Name: name, State: StateRemoved})
 		}
 	}
 	for _, e := range all(to) {
@@ -284,53 +284,53 @@
 // never removed; and in the end the node's list is discovery's.
 func TestNothingComesBackAndNothingIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &truth{versions: []map[string]server{{}}}
+		w := &truth{versions: []map[string]testEndpoint{{}}}
 		for range 4 {
 			w.change(t)
 		}
 		n := newNode()
 		at := map[Source]int{SourceRelays: 0, SourceDiscovery: 0}
-		told := map[Source]map[string]server{SourceRelays: {}, SourceDiscovery: {}}
+		sent := map[Source]map[string]testEndpoint{SourceRelays: {}, SourceDiscovery: {}}
 		withdrawn := map[string]int64{} // the last incarnation that the node knew to drain
 		known := 0                      // the highest version that an active source has had
-		tell := func(who Source, to int) {
-			if to < at[who] {
-				to = at[who]
+		send := func(source Source, to int) {
+			if to < at[source] {
+				to = at[source]
 			}
-			if who == SourceRelays {
-				n.by(n.s.UpdateRelays(n.now, relayUpdate(changes(told[who], w.versions[to]), true, true, n.now, int64(to))))
-			} else if rapid.Bool().Draw(t, "whole") || at[who] == 0 {
-				n.by(n.s.UpdateDiscovery(n.now, all(w.versions[to]), true, int64(to)))
+			if source == SourceRelays {
+				n.apply(n.selector.UpdateRelays(n.now, relayUpdate(changes(sent[source], w.versions[to]), true, true, n.now, int64(to))))
+			} else if rapid.Bool().Draw(t, "whole") || at[source] == 0 {
+				n.apply(n.selector.UpdateDiscovery(n.now, all(w.versions[to]), true, int64(to)))
 			} else {
-				n.by(n.s.UpdateDiscovery(n.now, changes(told[who], w.versions[to]), false, int64(to)))
+				n.apply(n.selector.UpdateDiscovery(n.now, changes(sent[source], w.versions[to]), false, int64(to)))
 			}
-			at[who], told[who] = to, w.versions[to]
+			at[source], sent[source] = to, w.versions[to]
 		}
 		check := func() {
-			known = max(known, at[n.s.Active()])
-			for _, e := range n.force {
+			known = max(known, at[n.selector.Active()])
+			for _, e := range n.current {
 				if e.State == StateUp && e.StartedAtNs <= withdrawn[e.Name] {
-					t.Fatalf("%s, incarnation %d, is up again after it drained: source %v at %v", e.Name, e.StartedAtNs, n.s.Active(), at)
+					t.Fatalf("%s, incarnation %d, is up again after it drained: source %v at %v", e.Name, e.StartedAtNs, n.selector.Active(), at)
 				}
-				if was, there := w.versions[known][e.Name]; e.State == StateUp && (!there || was.State == StateDraining) && e.StartedAtNs <= max(was.StartedAtNs, w.births) &&
-					!slices.ContainsFunc(w.versions[known:], func(v map[string]server) bool { return v[e.Name] == e }) {
-					t.Fatalf("%s, incarnation %d, is up again after it was removed at %d: source %v at %v", e.Name, e.StartedAtNs, known, n.s.Active(), at)
+				if was, there := w.versions[known][e.Name]; e.State == StateUp && (!there || was.State == StateDraining) && e.StartedAtNs <= max(was.StartedAtNs, w.starts) &&
+					!slices.ContainsFunc(w.versions[known:], func(v map[string]testEndpoint) bool { return v[e.Name] == e }) {
+					t.Fatalf("%s, incarnation %d, is up again after it was removed at %d: source %v at %v", e.Name, e.StartedAtNs, known, n.selector.Active(), at)
 				}
 				if e.State == StateDraining {
 					withdrawn[e.Name] = max(withdrawn[e.Name], e.StartedAtNs)
 				}
 			}
-			if n.s.Active() == SourceNone {
+			if n.selector.Active() == SourceNone {
 				return
 			}
 			steady := maps.Clone(w.now())
-			low := at[n.s.Active()]
+			low := at[n.selector.Active()]
 			for _, v := range w.versions[low:] {
-				maps.DeleteFunc(steady, func(name string, e server) bool { return v[name] != e || e.State != StateUp })
+				maps.DeleteFunc(steady, func(name string, e testEndpoint) bool { return v[name] != e || e.State != StateUp })
 			}
 			for name := range steady {
-				if n.force[name].State != StateUp || n.force[name].Name == "" {
-					t.Fatalf("%s is up in all versions since %d, and is missing: source %v at %v, %v", name, low, n.s.Active(), at, n)
+				if n.current[name].State != StateUp || n.current[name].Name == "" {
+					t.Fatalf("%s is up in all versions since %d, and is missing: source %v at %v, %v", name, low, n.selector.Active(), at, n)
 				}
 			}
 		}
@@ -339,30 +339,30 @@
 			case 0, 1:
 				w.change(t)
 			case 2:
-				tell(SourceRelays, rapid.IntRange(1, len(w.versions)-1).Draw(t, "relays at"))
+				send(SourceRelays, rapid.IntRange(1, len(w.versions)-1).Draw(t, "relays at"))
 			case 3:
-				if n.s.WantsDiscovery(n.now) {
-					tell(SourceDiscovery, rapid.IntRange(1, len(w.versions)-1).Draw(t, "discovery at"))
+				if n.selector.WantsDiscovery(n.now) {
+					send(SourceDiscovery, rapid.IntRange(1, len(w.versions)-1).Draw(t, "discovery at"))
 				}
 			case 4:
-				n.pass(rapid.Int64Range(0, silence+second).Draw(t, "pass"))
+				n.pass(rapid.Int64Range(0, staleAfter+second).Draw(t, "pass"))
 			case 5:
-				n.by(n.s.SetDiscoveryConnected(n.now, false))
+				n.apply(n.selector.SetDiscoveryConnected(n.now, false))
 			case 6:
-				n.by(n.s.RelaysUnreachable(n.now))
+				n.apply(n.selector.RelaysUnreachable(n.now))
 			}
-			if n.now-began < OverlayNs/2 {
+			if n.now-startNs < OverlayNs/2 {
 				check()
 			}
 		}
-		n.pass(silence)
-		tell(SourceDiscovery, len(w.versions)-1)
-		tell(SourceRelays, len(w.versions)-1)
+		n.pass(staleAfter)
+		send(SourceDiscovery, len(w.versions)-1)
+		send(SourceRelays, len(w.versions)-1)
 		n.pass(OverlayNs)
-		tell(SourceDiscovery, len(w.versions)-1)
-		tell(SourceRelays, len(w.versions)-1)
-		if !maps.Equal(n.force, w.now()) {
-			t.Fatalf("in the end %v, expected %v", n.force, w.now())
+		send(SourceDiscovery, len(w.versions)-1)
+		send(SourceRelays, len(w.versions)-1)
+		if !maps.Equal(n.current, w.now()) {
+			t.Fatalf("in the end %v, expected %v", n.current, w.now())
 		}
 	})
 }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestGoldenStats holds the counters that are told as JSON to their names.
+// TestGoldenStats holds the names of the counters in JSON.
 func TestGoldenStats(t *testing.T) {
 	var text []byte
 	for _, stats := range []any{ClientStats{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, ServerStats{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}} {
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -23,7 +23,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// standIn stands for discovery: it answers each watch with the complete list, then with changes.
+// standIn replaces discovery: it answers each watch with the complete list, then with changes.
 type standIn struct {
 	at      string
 	mu      sync.Mutex
@@ -349,7 +349,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.changes) != 51 {
-		t.Errorf("%d changes told, expected 51: fifty that came, one that went", len(h.changes))
+		t.Errorf("%d changes, expected 51: fifty put, one removed", len(h.changes))
 	}
 }
 
@@ -360,12 +360,12 @@
 	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	a := start(t, relayText("a", "127.0.0.1:0", nil, o.Address()))
 	b := start(t, relayText("b", "127.0.0.1:0", nil, o.Address()))
-	soon(t, "both relays whole", 10*time.Second, func() bool {
-		whole := true
+	soon(t, "both relays fresh", 10*time.Second, func() bool {
+		fresh := true
 		for _, r := range []*running{a, b} {
-			r.server.Do(func(now int64) { whole = whole && r.isFresh(now) })
+			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) })
 		}
-		return whole
+		return fresh
 	})
 	way, freeze := freezing(t, b.Address())
 	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), way, b.Address()}})
@@ -375,14 +375,14 @@
 	d.set("h1", "a", "up")
 	h.wait(t, "by the second", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1")
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("told %v after the first one's death, expected a second at most", took)
+		t.Errorf("received %v after the first one was killed, expected a second at most", took)
 	}
 	freeze()
 	began = time.Now()
 	d.set("h2", "a", "up")
 	h.wait(t, "by the third way", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2")
 	if took := time.Since(began); took > 6*time.Second {
-		t.Errorf("told %v after the second one froze, expected 6 s at most", took)
+		t.Errorf("received %v after the second one was stopped, expected 6 s at most", took)
 	}
 	if h.gone() != 0 || len(h.changes) != 3 {
 		t.Errorf("%d changes, %d of them gone; expected 3 and none", len(h.changes), h.gone())
@@ -417,12 +417,12 @@
 	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	one := start(t, relayText("one", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
 	two := start(t, relayText("two", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
-	soon(t, "both relays whole", 10*time.Second, func() bool {
-		whole := true
+	soon(t, "both relays fresh", 10*time.Second, func() bool {
+		fresh := true
 		for _, r := range []*running{one, two} {
-			r.server.Do(func(now int64) { whole = whole && r.isFresh(now) && r.relay.Stats().Records > hosts })
+			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) && r.relay.Stats().Records > hosts })
 		}
-		return whole
+		return fresh
 	})
 	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{one.Address(), two.Address()}, MaxLag: 500 * time.Millisecond})
 	soon(t, "all of it", 20*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == hosts })
@@ -470,7 +470,7 @@
 		t.Fatal(err)
 	}
 	if _, err := nextEpoch(path, 4000); err == nil || !strings.Contains(err.Error(), "expected a number") {
-		t.Errorf("a spoilt file: %v", err)
+		t.Errorf("an invalid file: %v", err)
 	}
 	if _, err := nextEpoch(filepath.Join(path, "none"), 1); err == nil {
 		t.Error("a file that can't be written gave an epoch")
@@ -522,7 +522,7 @@
 	dir := t.TempDir()
 	core, logs := observer.New(zapcore.WarnLevel)
 	d := newConfigDirectory(dir, zap.New(core))
-	look := func(what string, whole bool, expected ...string) {
+	look := func(what string, complete bool, expected ...string) {
 		t.Helper()
 		changes, is := d.scan()
 		found := []string{}
@@ -534,8 +534,8 @@
 			found = append(found, sign+c.Key+string(c.Body))
 		}
 		slices.Sort(found)
-		if is != whole || !slices.Equal(found, append([]string{}, expected...)) {
-			t.Errorf("%s: %v %q, expected %v %q", what, is, found, whole, expected)
+		if is != complete || !slices.Equal(found, append([]string{}, expected...)) {
+			t.Errorf("%s: %v %q, expected %v %q", what, is, found, complete, expected)
 		}
 	}
 	look("nothing there", true)
--- a/internal/relay/tcp_test.go
+++ b/internal/relay/tcp_test.go
@@ -241,8 +241,8 @@
 	return l.Addr().String()
 }
 
-// freezing passes bytes between a client and an upstream until it is told to stand still: from then on it neither
-// reads nor writes, and nothing is closed.
+// freezing passes bytes between a client and an upstream until it is stopped: from then on it neither reads nor
+// writes, and closes nothing.
 func freezing(t *testing.T, to string) (at string, freeze func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -303,7 +303,7 @@
 	b.add(5)
 	soon(t, "what came since, by the third", 10*time.Second, func() bool { return sink.at() == 15 })
 	if took := time.Since(began); took > 6*time.Second {
-		t.Errorf("told after %v, expected 6 s at most", took)
+		t.Errorf("received after %v, expected 6 s at most", took)
 	}
 	if s := c.Stats(); s.Silent != 1 {
 		t.Errorf("silent = %d, expected 1", s.Silent)
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -4,11 +4,11 @@
 
 // FuzzScan scans any content: the scan neither panics nor reports more than there is.
 func FuzzScan(f *testing.F) {
-	whole := encodeHeader([]uint64{3})
-	whole = append(whole, encodeFrame(1, []operation{{key: "a", value: []byte("1")}, {key: "b", remove: true}})...)
-	whole = append(whole, encodeFrame(2, []operation{{key: "a", value: nil}})...)
-	f.Add(whole, true)
-	f.Add(whole[:len(whole)-3], true)
+	log := encodeHeader([]uint64{3})
+	log = append(log, encodeFrame(1, []operation{{key: "a", value: []byte("1")}, {key: "b", remove: true}})...)
+	log = append(log, encodeFrame(2, []operation{{key: "a", value: nil}})...)
+	f.Add(log, true)
+	f.Add(log[:len(log)-3], true)
 	f.Add(append(encodeHeader(nil), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0, 1), false)
 	f.Add([]byte(magic), true)
 	f.Fuzz(func(t *testing.T, b []byte, last bool) {
@@ -20,7 +20,7 @@
 			}
 		})
 		if s.validBytes > int64(len(b)) {
-			t.Fatalf("%d whole bytes of %d", s.validBytes, len(b))
+			t.Fatalf("%d valid bytes of %d", s.validBytes, len(b))
 		}
 	})
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -248,16 +248,16 @@
 	s, _ := open(t, d, Options{ManualCompaction: true})
 	states := history(t, s, 40, rand.New(rand.NewPCG(1, 1)))
 	closeStore(t, s)
-	whole := d.now[segmentName(1)].data
+	log := d.now[segmentName(1)].data
 	ends := []int{fixedHeaderBytes}
-	if _, err := scan(segmentName(1), whole, true, func(at int64, f frame) {
+	if _, err := scan(segmentName(1), log, true, func(at int64, f frame) {
 		ends = append(ends, int(at)+f.length)
 	}); err != nil {
 		t.Fatal(err)
 	}
-	for cut := range len(whole) + 1 {
+	for cut := range len(log) + 1 {
 		d := newDisk()
-		d.now[segmentName(1)] = &memFile{d: d, data: slices.Clone(whole[:cut])}
+		d.now[segmentName(1)] = &memFile{d: d, data: slices.Clone(log[:cut])}
 		s, r := open(t, d, Options{ManualCompaction: true})
 		want := 0
 		for want+1 < len(ends) && ends[want+1] <= cut {
@@ -267,7 +267,7 @@
 			t.Fatalf("cut at %d: %v, want the state after %d batches, %v", cut, got, want, states[want])
 		}
 		if kept := ends[want]; cut > kept && r.TruncatedBytes != int64(cut-kept) {
-			t.Fatalf("cut at %d: %d bytes told as dropped, want %d", cut, r.TruncatedBytes, cut-kept)
+			t.Fatalf("cut at %d: %d bytes reported as truncated, want %d", cut, r.TruncatedBytes, cut-kept)
 		}
 		if err := s.Put("after", []byte("x")); err != nil {
 			t.Fatal(err)
@@ -353,12 +353,12 @@
 		}
 		return acknowledged, acknowledged
 	}
-	whole := newDisk()
-	play(whole, 1)
-	if whole.steps < 120 {
-		t.Fatalf("%d steps, too few to prove anything", whole.steps)
+	complete := newDisk()
+	play(complete, 1)
+	if complete.steps < 120 {
+		t.Fatalf("%d steps, too few to prove anything", complete.steps)
 	}
-	for at := 1; at <= whole.steps+1; at++ {
+	for at := 1; at <= complete.steps+1; at++ {
 		for seed := range uint64(3) {
 			d := newDisk()
 			d.failAt = at
@@ -519,7 +519,7 @@
 	before := slices.Clone(data)
 	var damage *CorruptionError
 	if _, _, err := OpenDirectory(d, Options{}); !errors.As(err, &damage) || damage.BatchesAfter < 3 || damage.Offset == 0 {
-		t.Fatalf("%v, want the damage told", err)
+		t.Fatalf("%v, want the corruption reported", err)
 	}
 	to := newDisk()
 	repaired, err := Repair(d, to)
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 )
 
-// node stands for the node that subscribes.
+// node is a node that subscribes.
 type node struct {
 	panics  atomic.Int64
 	watch   atomic.Bool
@@ -173,7 +173,7 @@
 	s.UpdateDiscovery([]entry{{name: "good", by: "by discovery"}}, 4, true)
 	soon(t, "discovery's list", func() bool { return n.has("good") == "by discovery" })
 	if s.RelaysHeardAt() != 0 {
-		t.Error("relays still count as heard")
+		t.Error("relays still count as the source")
 	}
 	if text := s.StatusJSON(); text == "" {
 		t.Error("no status")
