--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -1,7 +1,7 @@
 package simulation
 
-// This file owns what each kind of fault does in virtual time, and when it ends. Who is hit and when is the plan's; it must never
-// draw. Bad clients are not played: what a node does with bytes is for sockets to tell.
+// What each kind of fault does in virtual time. Bad clients do nothing here: what a node does with bytes shows on
+// sockets.
 
 import (
 	"fawnglade/internal/lab/invariant"
@@ -9,59 +9,56 @@
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
 	"math"
+	"slices"
 	"time"
 )
 
 const (
-	frontLeaves = int64(300 * time.Millisecond) // connections go on coming to a node that was told to stop
-	stillTaking = int64(450 * time.Millisecond) // it takes tasks for so long
-	thawed      = int64(200 * time.Millisecond) // everything comes at once to a node that stood still
+	frontNoticesStop = int64(300 * time.Millisecond) // connections still come to a node that stops
+	acceptsAfterStop = int64(450 * time.Millisecond) // and are accepted
+	minSpeedFactor   = 0.001
+	catchUpTime      = int64(200 * time.Millisecond) // for the backlog of a node that was paused
 )
 
-func (d *Day) begin(f *workload.Fault) {
-	long := int64(f.For)
-	ends := func(do func()) {
-		if long > 0 {
-			d.in(long, do)
-		}
-	}
+// startFault starts a fault, and has it end in time.
+func (d *Simulation) startFault(f *workload.Fault) {
 	s := d.discovery
-	if scenario.FaultKinds[f.Kind] == "ways" {
+	if scenario.FaultTargets[f.Kind] == scenario.LinkTarget {
 		return // each message goes by the schedule
 	}
 	switch f.Kind {
 	case "power":
-		d.power(f)
+		d.losePower(f)
 	case "state": // there are no disks here
 	case "discovery-down":
 		s.setDown(true)
-		ends(func() { s.setDown(false) })
+		d.afterFault(f, func() { s.setDown(false) })
 	case "discovery-slow":
-		s.slow = f.Factor
-		ends(func() { s.slow = 1 })
+		s.slowdown = f.Factor
+		d.afterFault(f, func() { s.slowdown = 1 })
 	case "discovery-move":
 		s.move()
 	case "lists-late":
-		s.late = int64(f.Wait)
-		ends(func() { s.late = 0 })
+		s.changeDelay = int64(f.Wait)
+		d.afterFault(f, func() { s.changeDelay = 0 })
 	case "wait":
-		key := d.holdKey(f)
-		d.holds[key] = int64(f.Wait)
-		ends(func() { delete(d.holds, key) })
+		key := d.waitKey(f)
+		d.waits[key] = int64(f.Wait)
+		d.afterFault(f, func() { delete(d.waits, key) })
 	case "bad-clients":
 	case "kill", "stop", "freeze", "cut-node", "clock":
 		for i, target := range f.Targets {
-			d.in(int64(f.Each)*int64(i), func() { d.hitNode(f, d.nodes[target]) })
+			d.after(int64(f.Each)*int64(i), func() { d.faultNode(f, d.nodes[target]) })
 		}
 	default:
 		for i, target := range f.Targets {
-			d.in(int64(f.Each)*int64(i), func() { d.hitServer(f, d.machines[target]) })
+			d.after(int64(f.Each)*int64(i), func() { d.faultEndpoint(f, d.endpoints[target]) })
 		}
 	}
 }
 
-// holdKey is the category, or the customer as a negative number, that a wait strikes.
-func (d *Day) holdKey(f *workload.Fault) int {
+// waitKey is the class that a wait strikes, or the tenant as a negative number.
+func (d *Simulation) waitKey(f *workload.Fault) int {
 	for i := range d.scenario.Tenants {
 		if f.Tenant != "" && d.scenario.Tenants[i].Name == f.Tenant {
 			return -1 - i
@@ -75,216 +72,243 @@
 	return len(d.scenario.Classes)
 }
 
-func (d *Day) hold(t *workload.Operation) int64 {
-	if len(d.holds) == 0 {
+// waitOf is for how long attempts of an operation wait in their slots by a fault.
+func (d *Simulation) waitOf(t *workload.Operation) int64 {
+	if len(d.waits) == 0 {
 		return 0
 	}
-	return max(d.holds[t.Class], d.holds[-1-t.Tenant])
+	return max(d.waits[t.Class], d.waits[-1-t.Tenant])
 }
 
-func (d *Day) hitNode(f *workload.Fault, n *node) {
+func (d *Simulation) faultNode(f *workload.Fault, n *node) {
 	if f.Kind == "clock" {
-		n.turnClock(int64(f.Wait), f.Factor)
-		if long := int64(f.For); long > 0 {
-			d.in(long, func() { n.turnClock(0, 1) })
-		}
+		n.adjustClock(int64(f.Wait), f.Factor)
+		d.afterFault(f, func() { n.adjustClock(0, 1) })
 		return
 	}
 	if !n.alive {
 		return
 	}
-	life := n.life
-	back := func(ended int64) {
-		if f.For > 0 {
-			d.at(max(d.now+int64(f.For), ended), func() {
-				if n.life == life && !n.alive {
-					n.start()
-					d.in(startsIn, n.admitted)
-				}
-			})
-		}
-	}
 	switch f.Kind {
 	case "kill":
-		d.ledger.Excuse(n.life, invariant.Span{From: d.now, To: invariant.Never})
-		n.end()
-		back(d.now)
+		d.history.Excuse(n.process, invariant.Span{From: d.now, To: invariant.Never})
+		n.kill()
+		d.restartAfterFault(f, n)
 	case "stop":
-		n.stopping = true
-		if n.view != nil {
-			n.view.Leave()
-		}
-		d.in(frontLeaves, func() {
-			if n.life == life {
-				n.in = false
-			}
-		})
-		var settled func()
-		settled = func() {
-			if n.life != life || !n.alive {
-				return
-			}
-			for _, x := range n.order {
-				if !x.settled {
-					d.in(int64(10*time.Millisecond), settled)
-					return
-				}
-			}
-			d.in(nodeOut, func() {
-				if n.life == life {
-					n.end()
-					back(d.now)
-				}
-			})
-		}
-		d.in(stillTaking, settled)
+		d.stopNode(f, n)
 	case "freeze":
-		n.frozen = d.now + int64(f.For)
-		d.ledger.Excuse(n.life, invariant.Span{From: d.now, To: n.frozen + thawed})
+		n.pausedUntil = d.now + int64(f.For)
+		d.history.Excuse(n.process, invariant.Span{From: d.now, To: n.pausedUntil + catchUpTime})
 	case "cut-node":
-		for _, m := range d.machines {
+		for _, m := range d.endpoints {
 			if f.Zone == "" || m.spec.Zone == f.Zone {
-				m.sever(n.index)
-				if f.For > 0 {
-					d.in(int64(f.For), func() { m.heal(n.index) })
-				}
+				m.cutOff(n.index)
+				d.afterFault(f, func() { m.reconnect(n.index) })
 			}
 		}
 	}
 }
 
-// power takes nodes, servers and discovery away at one moment; each is back after a time of its own.
-func (d *Day) power(f *workload.Fault) {
+// afterFault runs when a fault that begins now ends, if it does.
+func (d *Simulation) afterFault(f *workload.Fault, do func()) {
+	if f.For > 0 {
+		d.after(int64(f.For), do)
+	}
+}
+
+// restartAfterFault starts a node again, whose process has just ended.
+func (d *Simulation) restartAfterFault(f *workload.Fault, n *node) {
+	d.afterFault(f, d.restarter(n))
+}
+
+// restarter starts a node again unless that has happened.
+func (d *Simulation) restarter(n *node) func() {
+	process := n.process
+	return func() {
+		if n.process == process && !n.alive {
+			n.start()
+			d.after(startDelay, n.becomeReady)
+		}
+	}
+}
+
+// stopNode has a node shut down gracefully: it accepts for a while, and ends once all requests have their responses.
+func (d *Simulation) stopNode(f *workload.Fault, n *node) {
+	process := n.process
+	n.stopping = true
+	if n.membership != nil {
+		n.membership.Leave()
+	}
+	d.after(frontNoticesStop, func() {
+		if n.process == process {
+			n.admitted = false
+		}
+	})
+	var endWhenIdle func()
+	endWhenIdle = func() {
+		if n.process != process || !n.alive {
+			return
+		}
+		if slices.ContainsFunc(n.order, func(x *pendingRequest) bool { return !x.answered }) {
+			d.after(int64(10*time.Millisecond), endWhenIdle)
+			return
+		}
+		d.after(sendDelay, func() {
+			if n.process == process {
+				n.kill()
+				d.restartAfterFault(f, n)
+			}
+		})
+	}
+	d.after(acceptsAfterStop, endWhenIdle)
+}
+
+// losePower ends nodes, endpoints and discovery at one moment; each is back after a time of its own.
+func (d *Simulation) losePower(f *workload.Fault) {
 	notice := int64(d.scenario.Discovery.ChangeDelay)
-	if f.Zone == "" && len(f.Fault.Nodes) == len(d.nodes) {
+	if f.Zone == "" && len(f.Nodes) == len(d.nodes) {
 		d.discovery.setDown(true)
 		if f.DiscoveryBack > 0 {
-			d.in(int64(f.DiscoveryBack), func() { d.discovery.setDown(false) })
+			d.after(int64(f.DiscoveryBack), func() { d.discovery.setDown(false) })
 		}
 	}
-	for i, target := range f.Fault.Nodes {
+	for i, target := range f.Nodes {
 		n := d.nodes[target]
 		if !n.alive {
 			continue
 		}
-		life := n.life
-		d.ledger.Excuse(life, invariant.Span{From: d.now, To: invariant.Never})
-		n.end()
+		d.history.Excuse(n.process, invariant.Span{From: d.now, To: invariant.Never})
+		n.kill()
 		if f.NodesBack > 0 {
-			d.in(f.RestoredAfter(f.NodesBack, f.Seed, i), func() {
-				if n.life == life && !n.alive {
-					n.start()
-					d.in(startsIn, n.admitted)
-				}
-			})
+			d.after(f.RestoredAfter(f.NodesBack, f.Seed, i), d.restarter(n))
 		}
 	}
 	for i, target := range f.Targets {
-		m := d.machines[target]
-		m.stop()
+		m := d.endpoints[target]
+		m.die()
 		d.discovery.set(m, model.Removed, notice)
 		if f.EndpointsBack > 0 {
-			d.in(f.RestoredAfter(f.EndpointsBack, f.Seed+1, i), func() { d.revive(m, notice) })
+			d.after(f.RestoredAfter(f.EndpointsBack, f.Seed+1, i), func() { d.revive(m, notice) })
 		}
 	}
 }
 
-func (d *Day) hitServer(f *workload.Fault, m *machine) {
-	long, notice, life := int64(f.For), int64(d.scenario.Discovery.ChangeDelay), m.life
-	// change sets a trouble, and takes it away again in time, unless a new life has done so.
-	change := func(begin, end func(*trouble)) {
-		begin(&m.trouble)
-		if long > 0 {
-			d.in(long, func() {
-				if m.life == life {
-					end(&m.trouble)
-				}
-			})
-		}
+func (d *Simulation) faultEndpoint(f *workload.Fault, m *endpoint) {
+	switch f.Kind {
+	case "slow", "pause", "crowd":
+		d.slowEndpoint(f, m)
+	case "cut":
+		m.cutOff(allNodes)
+		d.afterFault(f, func() { m.reconnect(allNodes) })
+	case "die", "restart-servers", "replace":
+		d.endEndpoint(f, m)
+	case "unlisted", "drain":
+		d.withdrawEndpoint(f, m)
+	default:
+		d.misbehave(f, m)
 	}
+}
+
+// slowEndpoint takes capacity from an endpoint.
+func (d *Simulation) slowEndpoint(f *workload.Fault, m *endpoint) {
 	switch f.Kind {
 	case "slow":
-		m.model.SetSpeedFactor(d.now, math.Max(f.Factor, 0.001))
-		m.next = model.Never
-		m.wake()
-		if long > 0 {
-			d.in(long, func() {
-				m.model.SetSpeedFactor(d.now, 1)
-				m.next = model.Never
-				m.wake()
-			})
-		}
+		d.setSpeed(m, math.Max(f.Factor, minSpeedFactor))
+		d.afterFault(f, func() { d.setSpeed(m, 1) })
 	case "pause":
-		m.model.Pause(d.now, d.now+long)
-		m.wake()
+		m.model.Pause(d.now, d.now+int64(f.For))
+		m.scheduleWake()
+	case "crowd":
+		concurrency, queue, incarnation := m.model.Concurrency, m.model.QueueLimit, m.incarnation
+		m.model.Concurrency = max(1, int(float64(concurrency)*f.Factor))
+		m.model.QueueLimit = int(float64(queue) * f.Factor)
+		d.afterFault(f, func() {
+			if m.incarnation == incarnation {
+				m.model.Concurrency, m.model.QueueLimit = concurrency, queue
+			}
+		})
+	}
+}
+
+func (d *Simulation) setSpeed(m *endpoint, factor float64) {
+	m.model.SetSpeedFactor(d.now, factor)
+	m.nextWake = model.Never
+	m.scheduleWake()
+}
+
+// misbehave has an endpoint answer wrongly, or not at all.
+func (d *Simulation) misbehave(f *workload.Fault, m *endpoint) {
+	incarnation := m.incarnation
+	// change sets a fault, and removes it in time, unless a new incarnation has done so.
+	change := func(begin, end func(*endpointFaults)) {
+		begin(&m.faults)
+		d.afterFault(f, func() {
+			if m.incarnation == incarnation {
+				end(&m.faults)
+			}
+		})
+	}
+	switch f.Kind {
 	case "silent":
-		change(func(t *trouble) { t.silent = true }, func(t *trouble) { t.silent = false })
+		change(func(e *endpointFaults) { e.silent = true }, func(e *endpointFaults) { e.silent = false })
 	case "fail":
-		change(func(t *trouble) { t.fail = f.AttemptShare }, func(t *trouble) { t.fail = 0 })
+		change(func(e *endpointFaults) { e.fail = f.AttemptShare }, func(e *endpointFaults) { e.fail = 0 })
 	case "turn-away":
-		change(func(t *trouble) { t.turn = f.AttemptShare }, func(t *trouble) { t.turn = 0 })
+		change(func(e *endpointFaults) { e.reject = f.AttemptShare }, func(e *endpointFaults) { e.reject = 0 })
 	case "reset":
-		change(func(t *trouble) { t.reset = f.AttemptShare }, func(t *trouble) { t.reset = 0 })
+		change(func(e *endpointFaults) { e.reset = f.AttemptShare }, func(e *endpointFaults) { e.reset = 0 })
 	case "spoil":
-		change(func(t *trouble) { t.spoil, t.spoilShare = f.How, f.AttemptShare }, func(t *trouble) { t.spoil = "" })
-	case "crowd":
-		places, waiting := m.model.Concurrency, m.model.QueueLimit
-		m.model.Concurrency, m.model.QueueLimit = max(1, int(float64(places)*f.Factor)), int(float64(waiting)*f.Factor)
-		if long > 0 {
-			d.in(long, func() {
-				if m.life == life {
-					m.model.Concurrency, m.model.QueueLimit = places, waiting
-				}
-			})
-		}
-	case "cut":
-		m.sever(-1)
-		if long > 0 {
-			d.in(long, func() { m.heal(-1) })
-		}
-	case "unlisted":
-		d.discovery.set(m, model.Removed, notice)
-		if long > 0 {
-			d.in(long, func() { d.discovery.set(m, model.Up, notice) })
-		}
+		change(
+			func(e *endpointFaults) { e.corrupt, e.corruptShare = f.How, f.AttemptShare },
+			func(e *endpointFaults) { e.corrupt = "" },
+		)
+	}
+}
+
+// endEndpoint ends an endpoint's process, which comes back or is replaced.
+func (d *Simulation) endEndpoint(f *workload.Fault, m *endpoint) {
+	notice := int64(d.scenario.Discovery.ChangeDelay)
+	m.die()
+	switch f.Kind {
 	case "die":
-		m.stop()
 		if f.How != "unnoticed" {
 			d.discovery.set(m, model.Removed, notice)
 		}
-		if long > 0 {
-			d.in(long, func() { d.revive(m, notice) })
-		}
+		d.afterFault(f, func() { d.revive(m, notice) })
 	case "restart-servers":
-		m.stop()
 		d.revive(m, notice)
 	case "replace":
-		m.stop()
 		d.discovery.set(m, model.Removed, notice)
 		spec := m.spec
 		spec.Seed += 1 << 32
-		spec.Index, spec.Name = len(d.machines), spec.Name+"r"
-		d.discovery.set(d.newMachine(spec, true), model.Up, notice)
-	case "drain":
-		m.draining = true
-		d.discovery.set(m, model.Draining, notice)
-		switch {
-		case f.How == "gone" && long > 0:
-			d.in(long, func() {
-				d.discovery.set(m, model.Removed, 0)
-				m.stop()
-			})
-		case f.How != "gone" && long > 0:
-			d.in(long, func() {
-				m.draining = false
-				d.discovery.set(m, model.Up, notice)
-			})
-		}
+		spec.Index, spec.Name = len(d.endpoints), spec.Name+"r"
+		d.discovery.set(d.addEndpoint(spec, true), model.Up, notice)
+	}
+}
+
+// withdrawEndpoint takes an endpoint off the list, or has it drain.
+func (d *Simulation) withdrawEndpoint(f *workload.Fault, m *endpoint) {
+	notice := int64(d.scenario.Discovery.ChangeDelay)
+	if f.Kind == "unlisted" {
+		d.discovery.set(m, model.Removed, notice)
+		d.afterFault(f, func() { d.discovery.set(m, model.Up, notice) })
+		return
 	}
+	m.draining = true
+	d.discovery.set(m, model.Draining, notice)
+	d.afterFault(f, func() {
+		if f.How == "gone" {
+			d.discovery.set(m, model.Removed, 0)
+			m.die()
+			return
+		}
+		m.draining = false
+		d.discovery.set(m, model.Up, notice)
+	})
 }
 
-// revive starts a server anew, cold.
-func (d *Day) revive(m *machine, notice int64) {
+// revive starts an endpoint anew, in slow start.
+func (d *Simulation) revive(m *endpoint, notice int64) {
 	if m.up {
 		return
 	}
