--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -137,7 +137,7 @@
 	process := n.process
 	n.stopping = true
 	if n.membership != nil {
-		n.membership.Leave(n.clock())
+		n.membership.Leave()
 	}
 	d.after(frontNoticesStop, func() {
 		if n.process == process {
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -118,9 +118,9 @@
 		names = append(names, fmt.Sprintf("n%d", i))
 	}
 	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.process.Incarnation)
-	view, err := members.New(members.Settings{
-		Name: names[n.index], Peers: names, Round: int64(d.scenario.Nodes.ProtocolPeriod), Seed: seed,
-		Run: uint32(seed*2654435761>>8) | 1, Take: func(from int, load []byte) { n.listGossip.receive(n, from, load) },
+	view, err := members.New(members.Config{
+		Name: names[n.index], Nodes: names, RoundNs: int64(d.scenario.Nodes.ProtocolPeriod), Seed: seed,
+		RunID: uint32(seed*2654435761>>8) | 1, ReceivePayload: func(from int, load []byte) { n.listGossip.receive(n, from, load) },
 	}, (*memberTransport)(n), n.clock())
 	if err != nil {
 		d.err = fmt.Errorf("node %d: %w", n.index, err)
@@ -138,7 +138,7 @@
 			d.at(n.pausedUntil, again)
 			return
 		}
-		view.Beat(n.clock())
+		view.Tick(n.clock())
 		n.listGossip.tick(n)
 		d.after(beat, again)
 	}
@@ -187,7 +187,7 @@
 		})
 		return
 	}
-	view.Heard(n.clock(), datagram)
+	view.Receive(n.clock(), datagram)
 }
 
 // recordViews records the nodes' views of each other, and which of them run.
@@ -203,7 +203,7 @@
 			continue
 		}
 		b := trace.MembershipView{
-			At: d.now, Node: i, Known: n.membership.Figure(n.clock()).Known, Strain: n.membership.Strain(),
+			At: d.now, Node: i, Known: n.membership.Summary(n.clock()).Known, Strain: n.membership.HealthScore(),
 		}
 		letters := make([]byte, len(d.nodes))
 		for k, s := range n.membership.States() {
--- a/internal/lab/simulation/listgossip.go
+++ b/internal/lab/simulation/listgossip.go
@@ -10,7 +10,7 @@
 
 // listGossip is the endpoint list by gossip of one process: the node's own code over simulated membership.
 type listGossip struct {
-	core        *endpointgossip.Hearsay
+	core        *endpointgossip.Exchange
 	confirmedAt int64 // when the watch was last up
 }
 
@@ -25,7 +25,7 @@
 	}
 }
 
-func (d *Simulation) linesOf(list []model.ListEntry) (lines []endpointgossip.Line, gone []string) {
+func (d *Simulation) linesOf(list []model.ListEntry) (lines []endpointgossip.Endpoint, gone []string) {
 	for _, l := range list {
 		m := d.endpoints[l.Endpoint]
 		name := fmt.Sprint(l.Endpoint)
@@ -33,16 +33,16 @@
 			gone = append(gone, name)
 			continue
 		}
-		lines = append(lines, endpointgossip.Line{
+		lines = append(lines, endpointgossip.Endpoint{
 			Name: name, Zone: m.spec.Zone, Pod: m.spec.Pod, Weight: 1, Draining: l.State == model.Draining,
-			Started: l.StartedAt,
+			StartedNs: l.StartedAt,
 		})
 	}
 	return lines, gone
 }
 
 // applyLines gives the decisions entries of others, or the node's own list again.
-func (n *node) applyLines(lines []endpointgossip.Line, whole bool) {
+func (n *node) applyLines(lines []endpointgossip.Endpoint, whole bool) {
 	if lines == nil {
 		return
 	}
@@ -58,7 +58,7 @@
 			health = model.Draining
 		}
 		list = append(list, n.sim.discovery.entries([]model.ListEntry{{
-			Endpoint: endpoint, State: health, StartedAt: l.Started,
+			Endpoint: endpoint, State: health, StartedAt: l.StartedNs,
 		}})...)
 	}
 	n.post(func() {
@@ -83,12 +83,12 @@
 		}
 		word = h.confirmedAt
 	}
-	n.applyLines(h.core.Beat(n.clock(), word), true)
+	n.applyLines(h.core.Tick(n.clock(), word), true)
 }
 
 func (h *listGossip) receive(n *node, from int, load []byte) {
 	if h != nil {
-		n.applyLines(h.core.Heard(n.clock(), from, load), false)
+		n.applyLines(h.core.Receive(n.clock(), from, load), false)
 	}
 }
 
@@ -98,7 +98,7 @@
 		return false
 	}
 	lines, gone := n.sim.linesOf(entries)
-	all := h.core.Listed(n.clock(), version, lines, gone, whole)
+	all := h.core.WatchUpdated(n.clock(), version, lines, gone, whole)
 	n.applyLines(all, true)
 	return all != nil
 }
--- a/internal/lab/trace/views.go
+++ b/internal/lab/trace/views.go
@@ -26,14 +26,14 @@
 	for i, row := range v.Members {
 		letters[i] = letterOf(row.State)
 	}
-	return MembershipView{At: at, Node: node, Known: v.Figure.Known, States: string(letters), Strain: v.Strain}
+	return MembershipView{At: at, Node: node, Known: v.Summary.Known, States: string(letters), Strain: v.HealthScore}
 }
 
 func letterOf(state string) byte {
-	for s := members.Never; s <= members.Left; s++ {
+	for s := members.Unknown; s <= members.Left; s++ {
 		if s.String() == state {
 			return StateLetters[s]
 		}
 	}
-	return StateLetters[members.Never]
+	return StateLetters[members.Unknown]
 }
--- /dev/null
+++ b/internal/node/accept_test.go
@@ -0,0 +1,89 @@
+package node
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// A node that shuts down takes the connections that the kernel has accepted, also where they have to wait for a slot.
+func TestShutdownTakesAcceptedConnections(t *testing.T) {
+	answers := newGate(t)
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+		answers.wait()
+		return echo(c, r, body)
+	})
+	n := startNode(t, nil, server)
+	n.frontend.setLimits(1, 0, 100)
+	var ins []*bufio.Reader
+	for i := range 5 { // one at work, one at the door, three in the kernel
+		c, in := dial(t, n)
+		ins = append(ins, in)
+		writeText(c, requestText("batch", fmt.Sprint("t", i), ""))
+		eventually(t, "the first at work and the second at the door", func() bool { return int(n.count(clientsAccepted)) == min(i+1, 2) })
+	}
+	answers.held(t, 1)
+	stopped := make(chan struct{})
+	go func() { n.shutDown(); close(stopped) }()
+	eventually(t, "the end of taking", n.frontend.draining.Load)
+	answers.pass()
+	for i, in := range ins {
+		if status, body, _ := readAnswer(in); status != 200 {
+			t.Errorf("request %d was answered %d %s", i, status, body)
+		}
+	}
+	<-stopped
+	if c, err := net.Dial("tcp", n.address()); err == nil {
+		c.Close()
+		t.Error("it still listens")
+	}
+}
+
+// The socket that processes share may become a blocking one before the next accept: the shutdown still ends.
+func TestInheritedSocketBecomesBlocking(t *testing.T) {
+	server, _ := startUpstream(t, echo)
+	n := processes(t, server)()
+	n.start()
+	raw, err := n.frontend.listener.(*net.TCPListener).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	held := -1
+	var dupErr error
+	err = raw.Control(func(fd uintptr) {
+		held, dupErr = syscall.Dup(int(fd))
+	})
+	if err = errors.Join(err, dupErr); err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = syscall.Close(held) }()
+	setNonblock := func(nonblocking bool) { // of all descriptors of the socket
+		t.Helper()
+		if err := syscall.SetNonblock(held, nonblocking); err != nil {
+			t.Error(err)
+		}
+	}
+	setNonblock(false)
+	ask(t, n, "batch", "t", "") // the accept behind this one stands in the kernel
+	stopped := make(chan struct{})
+	go func() { n.shutDown(); close(stopped) }()
+	select {
+	case <-stopped:
+	case <-time.After(10 * time.Second):
+		t.Error("the stop stands behind an accept")
+	}
+	over := make(chan bool, 1)
+	n.loop.post(func() { over <- n.loop.stopping })
+	if <-over {
+		t.Error("the stop ended only by giving up")
+	}
+	setNonblock(true) // and the accept is let go, for the end of the test
+	if c, err := net.Dial("tcp", n.address()); err == nil {
+		c.Close()
+	}
+}
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-func withConsole(c *Config) { c.Console = address() }
+func withConsole(c *Config) { c.AdminListen = address() }
 
 // callOn makes one call at the console and returns what it says.
 func callOn(t *testing.T, n *Node, text string) (status int, body string, header http.Header) {
@@ -43,19 +43,19 @@
 	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	for text, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
-		"GET /ready HTTP/1.1\r\nHost: c\r\nX: " + strings.Repeat("x", maxAdminHead) + "\r\n\r\n": 431,
-		strings.Repeat("x", 3*maxAdminHead):                             431,
-		callText("GET /"):                                               404,
-		callText("PUT /ready"):                                          405,
-		callText("GET /drain"):                                          405,
-		callText("POST /servers/disable?target=s-0"):                    405,
-		callText("PUT /servers/disable"):                                400,
-		callText("PUT /servers/disable?target="):                        400,
-		callText("PUT /servers/disable?target=s-0&target=s-0"):          400,
-		callText("PUT /servers/disable?target=%zz"):                     400,
-		callText("PUT /servers/disable?target=s-9"):                     404,
-		callText("PUT /servers/enable?target=s-9"):                      404,
-		"PUT /servers/disable?target=s-0 HTTP/1.1\r\nHost: c\r\nno end": 408,
+		"GET /ready HTTP/1.1\r\nHost: c\r\nX: " + strings.Repeat("x", maxAdminHeadBytes) + "\r\n\r\n": 431,
+		strings.Repeat("x", 3*maxAdminHeadBytes):                                                      431,
+		callText("GET /"):                                                                             404,
+		callText("PUT /ready"):                                                                        405,
+		callText("GET /drain"):                                                                        405,
+		callText("POST /servers/disable?target=s-0"):                                                  405,
+		callText("PUT /servers/disable"):                                                              400,
+		callText("PUT /servers/disable?target="):                                                      400,
+		callText("PUT /servers/disable?target=s-0&target=s-0"):                                        400,
+		callText("PUT /servers/disable?target=%zz"):                                                   400,
+		callText("PUT /servers/disable?target=s-9"):                                                   404,
+		callText("PUT /servers/enable?target=s-9"):                                                    404,
+		"PUT /servers/disable?target=s-0 HTTP/1.1\r\nHost: c\r\nno end":                               408,
 	} {
 		status, body, header := callOn(t, n, text)
 		if status != want || strings.Count(body, "\n") != 1 {
@@ -182,8 +182,8 @@
 func TestOrdersAreSharedAndOutliveAProcess(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	var dir, at string
-	n := startNode(t, func(c *Config) { withConsole(c); dir, at = c.dir, c.Listen }, server)
-	other := newNode(t, func(c *Config) { withConsole(c); c.dir, c.Listen = dir, at }, server)
+	n := startNode(t, func(c *Config) { withConsole(c); dir, at = c.filesDir, c.Listen }, server)
+	other := newNode(t, func(c *Config) { withConsole(c); c.filesDir, c.Listen = dir, at }, server)
 	other.start()
 	eventually(t, "both ready", func() bool { return n.call(t, "GET /ready") == 200 && other.call(t, "GET /ready") == 200 })
 	n.call(t, "PUT /servers/disable?target=s-0")
@@ -191,7 +191,7 @@
 	eventually(t, "the other knows", func() bool {
 		return other.overrides.isDisabled(endpointID("s-0")) && other.call(t, "GET /ready") == 503
 	})
-	later := newNode(t, func(c *Config) { c.dir, c.Listen = dir, at })
+	later := newNode(t, func(c *Config) { c.filesDir, c.Listen = dir, at })
 	if !later.overrides.isDisabled(endpointID("s-0")) || !later.overrides.drained() || !later.overrides.isKnown("s-0") {
 		t.Error("a later process does not know the orders")
 	}
@@ -222,14 +222,14 @@
 // What lies in the folder is not trusted: the node starts, says so, and keeps what could be read of servers taken out.
 func TestOrdersThatMakeNoSense(t *testing.T) {
 	n := newNode(t, withConsole)
-	good := "fawnglade-orders 1 " + n.overrides.owner() + "\n"
+	good := "fawnglade-orders 1 " + n.identity() + "\n"
 	for text, kept := range map[string]int{
 		"":               0,
 		"fawnglade-ord":  0,
 		"\x00\xff\n\x00": 0,
 		good:             0,
 		"fawnglade-orders 1 \"n9\" 127.0.0.1:9\nserver \"s-0\" 1 0\nend\n":                         0,
-		"fawnglade-orders 7 " + n.overrides.owner() + "\nserver \"s-0\" 1 0\nfuture things\nend\n": 1,
+		"fawnglade-orders 7 " + n.identity() + "\nserver \"s-0\" 1 0\nfuture things\nend\n":        1,
 		good + "server \"s-0\" 1 0\nserver \"s-1\" 2":                                              1,
 		good + "server \"s-0\" 1 0\nserver s-1 2 0\nserver \"s-2\" 9 x\nserver \"s-3\" 9 0\nend\n": 2,
 		good + strings.Repeat("nonsense\n", 1<<18):                                                 0,
@@ -237,12 +237,12 @@
 		if err := os.WriteFile(n.overrides.path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		again := newNode(t, func(c *Config) { c.dir, c.Listen = n.config.dir, n.config.Listen })
+		again := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
 		if got := len(again.overrides.current.Load().disabled); got != kept || again.count(overridesUnreadable) != 1 {
 			t.Errorf("%.80q: %d servers out, want %d; counted %d times", text, got, kept, again.count(overridesUnreadable))
 		}
 	}
-	running := newNode(t, func(c *Config) { c.dir, c.Listen = n.config.dir, n.config.Listen })
+	running := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
 	running.overrides.publish(&overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-7": {disabledAt: 1}}})
 	os.WriteFile(n.overrides.path, []byte(good+"server \"s-0\" 1"), 0o600)
 	if running.overrides.reload(); !running.overrides.drained() || !running.overrides.isDisabled(endpointID("s-7")) {
@@ -250,7 +250,7 @@
 	}
 	os.Remove(n.overrides.path)
 	os.Mkdir(n.overrides.path, 0o700)
-	if again := newNode(t, func(c *Config) { c.dir, c.Listen = n.config.dir, n.config.Listen }); again.count(overridesUnreadable) != 1 {
+	if again := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen }); again.count(overridesUnreadable) != 1 {
 		t.Error("a folder in the place of the file is not told")
 	}
 	if n.overrides.rememberNames("s-0"); true {
@@ -307,9 +307,9 @@
 // hear has the node take in a list as if discovery had told it.
 func (n *Node) hear(t *testing.T, text string) {
 	t.Helper()
-	entries, _, whole, err := n.parseList([]byte(text))
+	update, err := n.parseList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.loop.postList(entries, whole)
+	n.loop.postEndpoints(update.entries, update.complete)
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,34 +6,6 @@
 	"time"
 )
 
-// quiet is a host that only notes the last attempt.
-type lastSendRecorder struct {
-	server EndpointID
-	sent   bool
-}
-
-func (q *lastSendRecorder) Send(_ RequestID, s EndpointID, _ time.Duration) {
-	q.server, q.sent = s, true
-}
-func (*lastSendRecorder) Cancel(RequestID, int)           {}
-func (*lastSendRecorder) Reject(RequestID, time.Duration) {}
-func (*lastSendRecorder) Fail(RequestID)                  {}
-func (*lastSendRecorder) SetTimer(Time, uint64)           {}
-func (*lastSendRecorder) WatchEndpoints()                 {}
-func (*lastSendRecorder) CloseIdle(EndpointID)            {}
-func (*lastSendRecorder) Gossip(GossipMessage)            {}
-func (*lastSendRecorder) CheckHealth(EndpointID)          {}
-
-func listOf(n int) []EndpointInfo {
-	list := make([]EndpointInfo, n)
-	for i := range list {
-		list[i] = EndpointInfo{ID: EndpointID(uint32(i+1) * 2654435761), Zone: i % 3, Pod: i / 8, Weight: 1}
-	}
-	return list
-}
-
-var benchSettings = Settings{Classes: []Class{{LatencyObjective: 200 * ms}}, MayCancel: true, MaxAttempts: 4, SlowStartWindow: 20e9, SlowStartMinCapacity: 0.2}
-
 // BenchmarkTask is a request from its arrival to its answer, with 32 others out, a tick of the clock each second of
 // 20,000 requests, and answers that bring a report and take their time.
 func BenchmarkTask(b *testing.B) {
@@ -42,18 +14,18 @@
 			q := &lastSendRecorder{}
 			p := New(benchSettings, 1, q)
 			now := Time(1e12)
-			p.EndpointsUpdated(now, listOf(n), true)
+			p.EndpointsUpdated(now, endpointList(n), true)
 			type out struct {
-				id     RequestID
-				server EndpointID
-				at     Time
+				id       RequestID
+				endpoint EndpointID
+				at       Time
 			}
 			var ring [32]out
 			ids := make([]RequestID, 1<<16)
 			for i := range ids {
 				ids[i] = RequestID(fmt.Sprint("t", i))
 			}
-			declined, tick := 0, now
+			rejected, tick := 0, now
 			one := func(i int) {
 				now += 50e3
 				if now-tick > 1e9 {
@@ -63,16 +35,20 @@
 				r := &ring[i%len(ring)]
 				if r.id != "" {
 					p.AttemptEnded(now, AttemptResult{
-						Request: r.id, Endpoint: r.server, Outcome: OutcomeSucceeded, Elapsed: now.Sub(r.at) + time.Duration(i%7)*ms/4, RequestDone: true,
-						Report: LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1},
+						Request:     r.id,
+						Endpoint:    r.endpoint,
+						Outcome:     OutcomeSucceeded,
+						Elapsed:     now.Sub(r.at) + time.Duration(i%7)*ms/4,
+						RequestDone: true,
+						Report:      LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1},
 					})
 				}
 				id := ids[i%len(ids)]
 				q.sent = false
 				p.RequestArrived(now, Request{ID: id, Deadline: now + 600*ms})
-				if *r = (out{id, q.server, now}); !q.sent {
+				if *r = (out{id, q.endpoint, now}); !q.sent {
 					r.id = ""
-					declined++
+					rejected++
 				}
 			}
 			for i := range 50000 {
@@ -80,20 +56,20 @@
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
-			declined = 0
+			rejected = 0
 			for i := range b.N {
 				one(i + 50000)
 			}
-			b.ReportMetric(float64(declined)/float64(b.N), "declined/op")
+			b.ReportMetric(float64(rejected)/float64(b.N), "rejected/op")
 		})
 	}
 }
 
-// BenchmarkSlice is 512 lines of a list taken in by a node that holds so many servers.
-func BenchmarkSlice(b *testing.B) {
+// BenchmarkListChange is 512 lines of a list taken in by a node that holds so many endpoints.
+func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := listOf(n)
+			list := endpointList(n)
 			p := New(benchSettings, 1, &lastSendRecorder{})
 			p.EndpointsUpdated(1e12, list, true)
 			for i := range b.N {
@@ -108,7 +84,7 @@
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := listOf(2 * n)
+			list := endpointList(2 * n)
 			for i := range b.N {
 				b.StopTimer()
 				p := New(benchSettings, 1, &lastSendRecorder{})
@@ -120,22 +96,24 @@
 	}
 }
 
-// BenchmarkNobody is a draw in which nobody takes part: the worst case, 32 tries and two passes.
-func BenchmarkNobody(b *testing.B) {
+// BenchmarkNoCandidate is a draw in which no endpoint takes part: the worst case, 32 tries and two passes.
+func BenchmarkNoCandidate(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := New(benchSettings, 1, &lastSendRecorder{})
 			now := Time(1e12)
-			p.EndpointsUpdated(now, listOf(n), true)
+			p.EndpointsUpdated(now, endpointList(n), true)
 			for _, s := range p.endpoints.all {
 				s.backoffUntil = now + ms
 			}
-			task := &request{
-				Request: Request{Deadline: now + 900*ms}, classSettings: &p.settings.Classes[0], effectiveDeadline: now + 900*ms,
-				delays: p.admission.delays.Of(0, 0),
+			req := &request{
+				Request:           Request{Deadline: now + 900*ms},
+				classSettings:     &p.settings.Classes[0],
+				effectiveDeadline: now + 900*ms,
+				delays:            p.admission.delays.Of(0, 0),
 			}
 			for range b.N {
-				p.selectEndpoint(now, task)
+				p.selectEndpoint(now, req)
 			}
 		})
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -22,7 +22,7 @@
 	overdueTimer                   uint64 // 0: none was set
 	done                           bool   // it has its final answer
 	overQuota                      bool
-	delays                         classdelay.Pair // of its class and its tenant
+	delays                         classdelay.ClassAndTenant // of its class and its tenant
 	keyHash                        uint64
 	homeCount                      int // endpoints at which its key is at home; 0: no affinity
 }
@@ -83,7 +83,7 @@
 		delays:            b.admission.delays.Of(arrived.Class, arrived.Tenant),
 	}
 	if arrived.StreamingBody {
-		// An endpoint begins it when its whole body is there: until then it is no load.
+		// An endpoint begins it when its body is complete: until then it is no load.
 		req.loadPerAttempt = 0
 	}
 	objective := class.LatencyObjective
@@ -125,7 +125,7 @@
 }
 
 func (b *Balancer) sendTo(now Time, req *request, ep *endpoint) {
-	work := b.workAt(req, ep)
+	work := b.estimator.work(req) * b.affinity.workFactor(ep)
 	idleTime := b.prepareConnection(now, ep)
 	req.attempts = append(req.attempts, attempt{
 		endpoint:        ep,
