--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -294,7 +294,7 @@
 <h2>Rules broken: {{.R.RulesBroken}}</h2><ul>{{range .R.Breaks}}<li class="bad">{{.}}</li>{{end}}</ul>
 <h2>Hand-offs</h2><p>{{with .R.HandOffs}}{{.Sent}} sent: {{.Satisfied}} satisfied, {{.TurnedAway}} turned away, {{.Errors}} errors, {{.Unanswered}} unanswered; double effects {{.Twice}}{{end}}</p>
 <h2>Nodes</h2><table><tr><th>node</th><th>CPU s</th><th>MB at most</th><th>descriptors at most</th><th>starts</th><th>crashes</th></tr>
-{{range .R.Nodes}}<tr><td>{{.Node}}</td><td>{{printf "%.2f" .CPUSeconds}}</td><td>{{printf "%.0f" .MostMB}}</td><td>{{.MostFiles}}</td><td>{{.Starts}}</td><td>{{.Crashes}}</td></tr>{{end}}</table>
+{{range .R.Nodes}}<tr><td>{{.Node}}</td><td>{{printf "%.2f" .CPUSeconds}}</td><td>{{printf "%.0f" .MaxMemoryMB}}</td><td>{{.MaxDescriptors}}</td><td>{{.Starts}}</td><td>{{.Crashes}}</td></tr>{{end}}</table>
 {{if .R.Odd}}<h2>Seen besides</h2><ul>{{range $what, $n := .R.Odd}}<li>{{$what}}: {{$n}}</li>{{end}}</ul>{{end}}
 </body></html>
 `))
