--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fawnglade/policy"
 	"fmt"
 	"io"
@@ -14,9 +15,9 @@
 	"time"
 )
 
-func withConsole(c *Config) { c.AdminListen = address() }
+func withAdmin(c *Config) { c.AdminListen = address() }
 
-// callOn makes one call at the console and returns what it says.
+// callOn makes one admin call and returns the answer.
 func callOn(t *testing.T, n *Node, text string) (status int, body string, header http.Header) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.admin.listener.Addr().String())
@@ -25,7 +26,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	io.WriteString(c, text)
+	writeText(c, text)
 	return readAnswer(bufio.NewReader(c))
 }
 
@@ -37,9 +38,9 @@
 	return status
 }
 
-func TestConsoleTurnsDownWhatItCannotUse(t *testing.T) {
+func TestAdminRejectsInvalidCalls(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	n := startNode(t, withConsole, server)
+	n := startNode(t, withAdmin, server)
 	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	for text, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
@@ -66,40 +67,39 @@
 		}
 	}
 	if n.overrides.isDisabled(endpointID("s-0")) || n.count(adminCallsBad) != 14 {
-		t.Errorf("a bad call took a server out, or is not counted: %d", n.count(adminCallsBad))
+		t.Errorf("an invalid call disabled an endpoint, or is not counted: %d", n.count(adminCallsBad))
 	}
 }
 
-// Guards against callers that say nothing, or half a call, keeping the others out.
-func TestSilentCallersMakeRoom(t *testing.T) {
-	n := startNode(t, withConsole)
-	var silent []net.Conn
+// Guards against connections without a call, or with half a call, that keep others out.
+func TestSilentAdminConnectionsAreEvicted(t *testing.T) {
+	n := startNode(t, withAdmin)
 	for i := range 6 * maxAdminConns {
 		c, err := net.Dial("tcp", n.admin.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if silent = append(silent, c); i%2 == 0 {
-			io.WriteString(c, "PUT /drain HTTP/1.1\r\nHo")
+		if i%2 == 0 {
+			writeText(c, "PUT /drain HTTP/1.1\r\nHo")
 		}
 	}
 	for _, call := range []string{"GET /ready", "PUT /drain", "PUT /undrain"} {
 		if status := n.call(t, call); status != 200 {
-			t.Errorf("%s among callers that say nothing: %d", call, status)
+			t.Errorf("%s among silent connections: %d", call, status)
 		}
 	}
 	n.admin.mu.Lock()
 	defer n.admin.mu.Unlock()
 	if n.admin.open > n.admin.maxOpen {
-		t.Errorf("%d callers at once, bound %d", n.admin.open, n.admin.maxOpen)
+		t.Errorf("%d connections at once, limit %d", n.admin.open, n.admin.maxOpen)
 	}
 }
 
-// Guards against a console that answers only when the loop has time.
-func TestConsoleDoesNotWaitForTheLoop(t *testing.T) {
+// Guards against an admin API that answers only when the loop is free.
+func TestAdminDoesNotWaitForTheLoop(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	n := startNode(t, withConsole, server)
+	n := startNode(t, withAdmin, server)
 	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	held := make(chan struct{})
 	n.loop.post(func() { <-held })
@@ -118,7 +118,7 @@
 func TestServerTakenOut(t *testing.T) {
 	one, first := startUpstream(t, echo)
 	two, _ := startUpstream(t, echo)
-	n := startNode(t, withConsole, one, two)
+	n := startNode(t, withAdmin, one, two)
 	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	ask20 := func(round string) int64 {
 		before := first.Load()
@@ -147,7 +147,7 @@
 			t.Errorf("%d tasks for a server that is out, after %d listings", got, i)
 		}
 		if i < len(listings) {
-			n.hear(t, listings[i])
+			n.postList(t, listings[i])
 		}
 	}
 	if got := n.count(attemptsNotSent); got != 0 {
@@ -157,33 +157,35 @@
 	if n.call(t, "PUT /servers/enable?target=s-0") != 200 {
 		t.Fatal("not put back")
 	}
-	eventually(t, "the server is in use again", func() bool { return ask20(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
+	eventually(t, "the endpoint is in use again", func() bool { return ask20(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
 	cold := make(chan policy.Time, 1)
 	n.loop.post(func() { cold <- n.overrides.applied.apply(*n.overrides.entries["s-0"]).StartedAt })
 	if started := <-cold; started < before {
-		t.Errorf("put back as started at %d, before it was put back at %d", started, before)
+		t.Errorf("enabled as started at %d, before it was enabled at %d", started, before)
 	}
 }
 
-// The last look before an attempt is written stands by itself: the decisions may not know of the order yet.
-func TestHandOffLooksOnceMore(t *testing.T) {
-	server, tasks := startUpstream(t, echo)
-	n := newNode(t, withConsole, server)
+// An attempt checks overrides itself before it is written, as the decisions may not have seen them yet.
+func TestAttemptChecksOverridesBeforeItIsSent(t *testing.T) {
+	server, requests := startUpstream(t, echo)
+	n := newNode(t, withAdmin, server)
 	n.overrides.rememberNames("s-0")
-	n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) })
+	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err != nil {
+		t.Fatal(err)
+	}
 	h := &attempt{request: newPendingRequest(), target: upstreamTarget{endpointID("s-0"), server}, deadline: n.clock.now().Add(time.Second)}
 	_, err := n.upstreams.roundTrip(h)
-	if err == nil || err.outcome() != policy.OutcomeNotSent || tasks.Load() != 0 {
-		t.Errorf("%v, %d tasks came to a server that is out", err, tasks.Load())
+	if err == nil || err.outcome() != policy.OutcomeNotSent || requests.Load() != 0 {
+		t.Errorf("%v, %d requests reached a disabled endpoint", err, requests.Load())
 	}
 }
 
-// Orders outlive the process, and both processes of a node go by them.
-func TestOrdersAreSharedAndOutliveAProcess(t *testing.T) {
+// Overrides outlive the process, and both processes of a node obey them.
+func TestOverridesAreSharedAndOutliveAProcess(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	var dir, at string
-	n := startNode(t, func(c *Config) { withConsole(c); dir, at = c.filesDir, c.Listen }, server)
-	other := newNode(t, func(c *Config) { withConsole(c); c.filesDir, c.Listen = dir, at }, server)
+	n := startNode(t, func(c *Config) { withAdmin(c); dir, at = c.filesDir, c.Listen }, server)
+	other := newNode(t, func(c *Config) { withAdmin(c); c.filesDir, c.Listen = dir, at }, server)
 	other.start()
 	eventually(t, "both ready", func() bool { return n.call(t, "GET /ready") == 200 && other.call(t, "GET /ready") == 200 })
 	n.call(t, "PUT /servers/disable?target=s-0")
@@ -193,12 +195,12 @@
 	})
 	later := newNode(t, func(c *Config) { c.filesDir, c.Listen = dir, at })
 	if !later.overrides.isDisabled(endpointID("s-0")) || !later.overrides.drained() || !later.overrides.isKnown("s-0") {
-		t.Error("a later process does not know the orders")
+		t.Error("a later process does not know the overrides")
 	}
 	other.call(t, "PUT /servers/enable?target=s-0")
 	eventually(t, "the first knows", func() bool { return !n.overrides.isDisabled(endpointID("s-0")) })
 	if !n.overrides.drained() {
-		t.Error("an order of one process undid one of the other")
+		t.Error("a change by one process undid one by the other")
 	}
 	var done sync.WaitGroup
 	for i := range 20 {
@@ -215,13 +217,13 @@
 	done.Wait()
 	n.overrides.reload()
 	if out := len(n.overrides.current.Load().disabled); out != 40 {
-		t.Errorf("%d of 40 orders stand after both processes were called at once", out)
+		t.Errorf("%d of 40 overrides hold after both processes were called at once", out)
 	}
 }
 
-// What lies in the folder is not trusted: the node starts, says so, and keeps what could be read of servers taken out.
-func TestOrdersThatMakeNoSense(t *testing.T) {
-	n := newNode(t, withConsole)
+// The overrides file is not trusted: the node starts, counts what can't be read, and obeys the rest.
+func TestUnreadableOverrides(t *testing.T) {
+	n := newNode(t, withAdmin)
 	good := "fawnglade-orders 1 " + n.identity() + "\n"
 	for text, kept := range map[string]int{
 		"":               0,
@@ -239,55 +241,59 @@
 		}
 		again := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
 		if got := len(again.overrides.current.Load().disabled); got != kept || again.count(overridesUnreadable) != 1 {
-			t.Errorf("%.80q: %d servers out, want %d; counted %d times", text, got, kept, again.count(overridesUnreadable))
+			t.Errorf("%.80q: %d disabled, want %d; counted %d times", text, got, kept, again.count(overridesUnreadable))
 		}
 	}
 	running := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
 	running.overrides.publish(&overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-7": {disabledAt: 1}}})
-	os.WriteFile(n.overrides.path, []byte(good+"server \"s-0\" 1"), 0o600)
-	if running.overrides.reload(); !running.overrides.drained() || !running.overrides.isDisabled(endpointID("s-7")) {
-		t.Error("a file that was damaged meanwhile ends a drain, or puts a server back")
+	if err := os.WriteFile(n.overrides.path, []byte(good+"server \"s-0\" 1"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	running.overrides.reload()
+	if !running.overrides.drained() || !running.overrides.isDisabled(endpointID("s-7")) {
+		t.Error("a file that was damaged meanwhile ends a drain, or enables an endpoint")
+	}
+	if err := errors.Join(os.Remove(n.overrides.path), os.Mkdir(n.overrides.path, 0o700)); err != nil {
+		t.Fatal(err)
 	}
-	os.Remove(n.overrides.path)
-	os.Mkdir(n.overrides.path, 0o700)
 	if again := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen }); again.count(overridesUnreadable) != 1 {
-		t.Error("a folder in the place of the file is not told")
+		t.Error("a directory in the place of the file is not counted")
 	}
-	if n.overrides.rememberNames("s-0"); true {
-		if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err == nil || n.overrides.isDisabled(endpointID("s-0")) {
-			t.Error("an order that can't be kept was said yes to, or counts")
-		}
+	n.overrides.rememberNames("s-0")
+	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err == nil || n.overrides.isDisabled(endpointID("s-0")) {
+		t.Error("an override that can't be written was confirmed, or has effect")
 	}
 }
 
-// While drained the node says no, ends connections with their next answer or when they stand idle, and serves who comes.
-func TestDrainEmptiesTheNode(t *testing.T) {
+// While drained the node is not ready, closes connections with their next response or when they are idle, and serves
+// requests.
+func TestDrainedNodeClosesConnections(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	n := startNode(t, withConsole, server)
+	n := startNode(t, withAdmin, server)
 	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	used, in := dial(t, n)
-	io.WriteString(used, requestText("batch", "t1", ""))
+	writeText(used, requestText("batch", "t1", ""))
 	readAnswer(in)
 	idle, idleIn := dial(t, n)
-	io.WriteString(idle, requestText("batch", "t2", ""))
+	writeText(idle, requestText("batch", "t2", ""))
 	readAnswer(idleIn)
 	if n.call(t, "PUT /drain") != 200 || n.call(t, "GET /ready") != 503 {
 		t.Fatal("ready while drained")
 	}
 	c, cIn := dial(t, n)
-	io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
+	writeText(c, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	if status, _, _ := readAnswer(cIn); status != 503 {
-		t.Errorf("where clients connect it says %d", status)
+		t.Errorf("/ready for clients is %d", status)
 	}
-	io.WriteString(used, requestText("batch", "t3", ""))
+	writeText(used, requestText("batch", "t3", ""))
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 200 || !r.Close {
-		t.Errorf("%v, %v on a connection in use, want an answer that closes it", r, err)
+		t.Errorf("%v, %v on a connection in use, want a response that closes it", r, err)
 	}
 	if status, _, _ := ask(t, n, "batch", "t4", ""); status != 200 {
 		t.Errorf("a client that came in the next moment got %d", status)
 	}
 	idle.SetReadDeadline(time.Now().Add(4 * time.Second))
-	if _, err := idleIn.ReadByte(); err != io.EOF {
+	if _, err := idleIn.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("an idle connection is held: %v", err)
 	}
 	for range 2 {
@@ -296,7 +302,7 @@
 		}
 	}
 	if status, _, _ := ask(t, n, "batch", "t5", ""); status != 200 {
-		t.Errorf("after the drain a task got %d", status)
+		t.Errorf("after the drain a request got %d", status)
 	}
 }
 
@@ -304,8 +310,8 @@
 	return policy.EndpointInfo{ID: endpointID(name), State: policy.StateActive, Weight: 1}
 }
 
-// hear has the node take in a list as if discovery had told it.
-func (n *Node) hear(t *testing.T, text string) {
+// postList posts a list as if discovery had sent it.
+func (n *Node) postList(t *testing.T, text string) {
 	t.Helper()
 	update, err := n.parseList([]byte(text))
 	if err != nil {
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -16,24 +16,25 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// This file owns the tests of a discovery that is slow, crowded, gone or long of word. Its times are a tenth of the real ones.
+// Tests of a discovery that is slow, overloaded, unreachable, or has a long list. Times are a tenth of the real ones.
 
 const (
 	tenthHead    = listHeadTimeout / 10
 	tenthSilence = listSilenceTimeout / 10
 )
 
-// turns is a discovery that works calls in turn, one at a time and also those that were given up, and then lets the watch stand.
-type turns struct {
-	address     string
-	calls       atomic.Int64
-	now, most   atomic.Int64 // calls that wait for their turn, of one node at a time
-	queue       chan func()
-	fromThisOne int64 // calls before this one are never answered, and their connections never end
+// serialDiscovery answers calls in turn, one at a time and also those that were given up, and then keeps the watch
+// open.
+type serialDiscovery struct {
+	address       string
+	calls         atomic.Int64
+	now, most     atomic.Int64 // calls that wait for their turn, of one node at a time
+	queue         chan func()
+	firstAnswered int64 // calls before this one are never answered, and their connections never end
 }
 
-func turnsOf(t *testing.T, cost time.Duration, from int64, text string) *turns {
-	q := &turns{queue: make(chan func(), 10000), fromThisOne: from}
+func startSerialDiscovery(t *testing.T, cost time.Duration, from int64, text string) *serialDiscovery {
+	q := &serialDiscovery{queue: make(chan func(), 10000), firstAnswered: from}
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
 	go func() {
@@ -55,17 +56,17 @@
 		for now := q.now.Add(1); now > q.most.Load(); {
 			q.most.Store(now)
 		}
-		if number >= q.fromThisOne {
-			q.queue <- func() { fmt.Fprintf(c, "%s%x\r\n%s\n\r\n", watchBegins, len(text)+1, text) }
+		if number >= q.firstAnswered {
+			q.queue <- func() { writef(c, "%s%x\r\n%s\n\r\n", watchBegins, len(text)+1, text) }
 		}
-		io.Copy(io.Discard, c)
+		discard(c)
 		q.now.Add(-1)
 	})
 	return q
 }
 
-// atATenth makes a node without a list whose times are a tenth.
-func atATenth(t *testing.T, mode, discovery string) *Node {
+// newNodeAtTenthTimes makes a node without a list whose times are a tenth.
+func newNodeAtTenthTimes(t *testing.T, mode, discovery string) *Node {
 	n := newNode(t, func(c *Config) {
 		withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
 		c.Discovery, c.KnownList = discovery, nil
@@ -74,15 +75,16 @@
 	return n
 }
 
-// A discovery that works calls in turn gets to each in the end: a call that waits is not given up to begin again at the queue's end.
-func TestASlowDiscoveryIsWaitedFor(t *testing.T) {
+// A discovery that answers calls in turn answers each in the end: a call that waits is not given up for one at the end
+// of the queue.
+func TestSlowDiscoveryIsWaitedFor(t *testing.T) {
 	text := listText(2, true, listEntry("s-0", "127.0.0.1:1", "up"))
 	for _, mode := range []string{"push", "ask"} {
 		for turn, most := range map[time.Duration]int64{400 * time.Millisecond: 2, 600 * time.Millisecond: 2, 950 * time.Millisecond: 4} {
 			t.Run(fmt.Sprint(mode, ": a turn of ", turn), func(t *testing.T) {
 				t.Parallel()
-				q := turnsOf(t, turn, 0, text)
-				n := atATenth(t, mode, q.address)
+				q := startSerialDiscovery(t, turn, 0, text)
+				n := newNodeAtTenthTimes(t, mode, q.address)
 				go n.start()
 				eventually(t, "ready", func() bool { return n.notReady() == "" && n.hasList.Load() })
 				if calls := q.calls.Load(); calls > most+1 { // one more where the machine is slow
@@ -93,13 +95,14 @@
 	}
 }
 
-// Calls that were lost, as a machine vanished that had taken them, hold nobody up: another goes beside, and never a third.
-func TestCallsThatAreLost(t *testing.T) {
+// Calls that were lost with the machine that had accepted them delay nothing: another is made beside them, and never a
+// third.
+func TestLostCallsAreReplaced(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			q := turnsOf(t, time.Millisecond, 4, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
-			n := atATenth(t, mode, q.address)
+			q := startSerialDiscovery(t, time.Millisecond, 4, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
+			n := newNodeAtTenthTimes(t, mode, q.address)
 			go n.start()
 			eventually(t, "ready", func() bool { return n.notReady() == "" })
 			if calls, most := q.calls.Load(), q.most.Load(); calls > 5 || most > 3 { // the third until the node's close has come
@@ -110,14 +113,14 @@
 	}
 }
 
-// Nodes that start together before a discovery whose queue is far longer than a call used to wait are all ready by the queue's end, and
-// cost it few calls beside.
-func TestAFleetBeforeOneDiscovery(t *testing.T) {
+// Nodes that start together before a discovery with a long queue are all ready by the queue's end, with few calls
+// beside.
+func TestFleetStartsBeforeASlowDiscovery(t *testing.T) {
 	const nodes = 40
-	q := turnsOf(t, 20*time.Millisecond, 0, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
+	q := startSerialDiscovery(t, 20*time.Millisecond, 0, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
 	var all []*Node
 	for i := range nodes {
-		n := atATenth(t, []string{"push", "ask"}[i%2], q.address)
+		n := newNodeAtTenthTimes(t, []string{"push", "ask"}[i%2], q.address)
 		all = append(all, n)
 		go n.start()
 	}
@@ -134,15 +137,16 @@
 	}
 }
 
-// However long the decisions would wait after a failed call, a change counts as told 6 s after discovery could be reached again.
-func TestTheWaitAfterAFailedCallIsBounded(t *testing.T) {
+// However long the decisions would back off after a failed call, a list binds 6 s after discovery could be reached
+// again.
+func TestBackoffAfterAFailedCallIsBounded(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	address, _ := watchOf(t, func(c net.Conn, _ func(string)) {
-		io.WriteString(c, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+		writeText(c, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 	}, func(c net.Conn, chunk func(string)) {
-		io.WriteString(c, watchBegins)
+		writeText(c, watchBegins)
 		chunk(listText(2, true, listEntry("s-0", server, "up")) + "\n")
-		io.Copy(io.Discard, c)
+		discard(c)
 	})
 	n := startNode(t, func(c *Config) {
 		withSettings(`"ask_within_us":10000000`, `"ask_within_us":3600000000`)(c)
@@ -151,25 +155,26 @@
 	eventually(t, "the list", func() bool { return n.count(listUpdates) == 1 })
 }
 
-// A watch whose head comes at once and whose first word comes in its turn is no dead one, and one that never says a word is.
-func TestAHeadBeforeItsTurn(t *testing.T) {
-	told := func(c net.Conn, chunk func(string)) {
+// A watch whose head comes at once and whose first event comes in its turn is not dead, and one whose first event never
+// comes is.
+func TestWatchWithAnEarlyHead(t *testing.T) {
+	answer := func(c net.Conn, chunk func(string)) {
 		chunk(listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")) + "\n")
-		io.Copy(io.Discard, c)
+		discard(c)
 	}
-	silent := func(c net.Conn, chunk func(string)) { io.WriteString(c, watchBegins); io.Copy(io.Discard, c) }
+	silent := func(c net.Conn, chunk func(string)) { writeText(c, watchBegins); discard(c) }
 	for name, script := range map[string][]func(net.Conn, func(string)){
 		"in its turn": {func(c net.Conn, chunk func(string)) {
-			io.WriteString(c, watchBegins)
+			writeText(c, watchBegins)
 			time.Sleep(2 * tenthSilence)
-			told(c, chunk)
+			answer(c, chunk)
 		}, silent, silent, silent},
-		"never": {silent, silent, func(c net.Conn, chunk func(string)) { io.WriteString(c, watchBegins); told(c, chunk) }},
+		"never": {silent, silent, func(c net.Conn, chunk func(string)) { writeText(c, watchBegins); answer(c, chunk) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			address, asked := watchOf(t, script...)
-			n := atATenth(t, "push", address)
+			n := newNodeAtTenthTimes(t, "push", address)
 			n.endpointWatch.silenceTimeout = tenthSilence
 			go n.start()
 			eventually(t, "ready", func() bool { return n.notReady() == "" })
@@ -180,8 +185,9 @@
 	}
 }
 
-// A list that can't be held gets one complaint and few calls, leaves the one from before in place, and counts once it can be held.
-func TestAListThatCantBeHeld(t *testing.T) {
+// A list that is too long is logged once and asked for seldom, leaves the old one in use, and counts once it is short
+// enough.
+func TestListTooLongToBeHeld(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
@@ -189,44 +195,44 @@
 			var short atomic.Bool
 			var asked atomic.Int64
 			address := listen(t, func(c net.Conn) {
-				http.ReadRequest(bufio.NewReader(c))
+				skipRequestHead(bufio.NewReader(c))
 				asked.Add(1)
 				text := listText(2, true, listEntry("s-1", server, "up"))
 				if !short.Load() {
 					text = listText(2, true, strings.Repeat(listEntry("s-1", server, "up")+",", 20)+listEntry("s-2", server, "up"))
 				}
-				fmt.Fprintf(c, "%s%x\r\n%s\n\r\n", watchBegins, len(text)+1, text)
-				io.Copy(io.Discard, c)
+				writef(c, "%s%x\r\n%s\n\r\n", watchBegins, len(text)+1, text)
+				discard(c)
 			})
 			n := newNode(t, func(c *Config) {
 				withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
 				c.Discovery = address
 			}, server)
-			core, said := observer.New(zap.InfoLevel)
+			core, logged := observer.New(zap.InfoLevel)
 			n.log = zap.New(core)
 			n.listLimits = endpointlist.Limits{ValueBytes: 1 << 16, LineBytes: 1 << 20, Endpoints: 20}
 			n.start()
 			time.Sleep(1500 * time.Millisecond)
 			if calls := asked.Load(); calls < 2 || calls > 4 {
-				t.Errorf("%d calls in 1.5 s, want 2 to 4: waits grow from 0.2 s", calls)
+				t.Errorf("%d calls in 1.5 s, want 2 to 4: the backoff grows from 0.2 s", calls)
 			}
 			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 || !n.overrides.isKnown("s-0") || n.overrides.isKnown("s-1") {
-				t.Errorf("%d by the list from before", status)
+				t.Errorf("%d by the old list", status)
 			}
-			if complaints := said.FilterLevelExact(zap.ErrorLevel).Len(); complaints != 1 || said.FilterMessage("endpoint watch ended").Len() != 0 {
-				t.Errorf("%d complaints: %v", complaints, said.All())
+			if complaints := logged.FilterLevelExact(zap.ErrorLevel).Len(); complaints != 1 || logged.FilterMessage("endpoint watch ended").Len() != 0 {
+				t.Errorf("%d errors logged: %v", complaints, logged.All())
 			}
 			short.Store(true)
 			eventually(t, "the list", func() bool { return n.overrides.isKnown("s-1") })
 			if n.endpointWatch.oversizedBackoff != 0 && n.count(listUpdates) == 0 {
-				t.Error("not held yet")
+				t.Error("not accepted yet")
 			}
 		})
 	}
 }
 
-// A node of default settings takes in a list of 120,000 servers in one line.
-func TestAListOf120000(t *testing.T) {
+// A node of default settings takes in a list of 120,000 endpoints in one line.
+func TestListOf120000Endpoints(t *testing.T) {
 	const servers = 120000
 	var b strings.Builder
 	for i := range servers {
@@ -239,9 +245,9 @@
 	text := `{"seq":2,"whole":true,"hosts":[` + b.String() + `]}`
 	var asked atomic.Int64
 	address := listen(t, func(c net.Conn) {
-		http.ReadRequest(bufio.NewReader(c))
+		skipRequestHead(bufio.NewReader(c))
 		asked.Add(1)
-		fmt.Fprintf(c, "%s%x\r\n%s\n\r\n", watchBegins, len(text)+1, text)
+		writef(c, "%s%x\r\n%s\n\r\n", watchBegins, len(text)+1, text)
 		for {
 			time.Sleep(time.Second)
 			if _, err := io.WriteString(c, "1\r\n\n\r\n"); err != nil {
@@ -262,27 +268,27 @@
 	known := make(chan int)
 	n.loop.post(func() { known <- len(n.loop.endpoints) })
 	if fleet := <-known; fleet != servers || asked.Load() != 1 {
-		t.Errorf("%d servers known after %d calls", fleet, asked.Load())
+		t.Errorf("%d endpoints known after %d calls", fleet, asked.Load())
 	}
 	if !n.overrides.isKnown("s-00000000") || !n.overrides.isKnown(fmt.Sprintf("s-%08x", servers-1)) {
-		t.Error("operators can't take out a server that is on the list")
+		t.Error("operators can't disable an endpoint that is on the list")
 	}
 	n.endpointWatch.move("127.0.0.1:1")
-	n.updateList(t, listText(3, true)) // what stays of it costs the tests after it nothing
+	n.updateList(t, listText(3, true)) // so that the tests after it do not pay for it
 }
 
-// A new address is called at once while a call to the old one waits, and that one is let go.
+// A new address is called at once while a call to the old one waits, which is closed.
 func TestMoveWhileACallWaits(t *testing.T) {
 	text := listText(2, true, listEntry("s-0", "127.0.0.1:1", "up"))
-	old, young := turnsOf(t, 0, 1000, text), turnsOf(t, 0, 0, text)
-	n := atATenth(t, "push", old.address)
+	old, young := startSerialDiscovery(t, 0, 1000, text), startSerialDiscovery(t, 0, 0, text)
+	n := newNodeAtTenthTimes(t, "push", old.address)
 	n.endpointWatch.headTimeout, n.endpointWatch.retryInterval = time.Hour, time.Hour
 	go n.start()
 	eventually(t, "the call that waits", func() bool { return old.now.Load() == 1 })
 	n.endpointWatch.move(young.address)
-	eventually(t, "the list of the new place", func() bool { return n.count(listUpdates) == 1 })
-	eventually(t, "the old place let go", func() bool { return old.now.Load() == 0 })
+	eventually(t, "the list of the new address", func() bool { return n.count(listUpdates) == 1 })
+	eventually(t, "the old call closed", func() bool { return old.now.Load() == 0 })
 	if n.count(listWatchesFailed) != 0 || old.calls.Load() != 1 || young.calls.Load() != 1 {
-		t.Errorf("%d calls at the old place, %d at the new, %d failed", old.calls.Load(), young.calls.Load(), n.count(listWatchesFailed))
+		t.Errorf("%d calls at the old address, %d at the new, %d failed", old.calls.Load(), young.calls.Load(), n.count(listWatchesFailed))
 	}
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -124,7 +124,7 @@
 	golden.Check(t, "read.txt", b.Bytes())
 }
 
-// TestGoldenHandover holds what two processes of a node tell one another to the bytes of earlier builds.
+// TestGoldenHandover compares the hot restart protocol with the bytes of earlier builds.
 func TestGoldenHandover(t *testing.T) {
 	var b bytes.Buffer
 	who := restartHello{Version: hotRestartVersion, Node: `"n0" 127.0.0.1:80`}
@@ -151,7 +151,7 @@
 	golden.Check(t, "entries.txt", fmt.Appendln(ids, err))
 }
 
-// TestGoldenOrders holds the file of what operators ordered to its form, and a file of an earlier build to its meaning.
+// TestGoldenOrders compares the overrides file with that of an earlier build, and reads that.
 func TestGoldenOrders(t *testing.T) {
 	n := newNode(t, func(c *Config) { c.Name, c.Listen = "n0", "127.0.0.1:0" })
 	s := &overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-1": {disabledAt: 5}, "s \"2\"": {disabledAt: 6, enabledAt: 7}}}
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestGoldenConsole holds the console's answers to the bytes of earlier builds.
+// TestGoldenConsole compares the admin API's answers with the bytes of earlier builds.
 func TestGoldenConsole(t *testing.T) {
-	n := startNode(t, withConsole, "127.0.0.1:1")
+	n := startNode(t, withAdmin, "127.0.0.1:1")
 	var b bytes.Buffer
 	for _, c := range []string{
 		"GET /ready", "PUT /ready", "GET /nothing", "GET /members", "GET /state", "GET /relays", "PUT /servers/disable", "PUT /servers/disable?target=s-0&target=s-1",
@@ -205,7 +205,7 @@
 	golden.Check(t, "state-fields.txt", fmt.Appendln(nil, names))
 }
 
-// TestGoldenRefusals holds the answers that a client gets from the node itself to the bytes of earlier builds.
+// TestGoldenRefusals compares the responses that the node itself makes with the bytes of earlier builds.
 func TestGoldenRefusals(t *testing.T) {
 	n := startNode(t, nil)
 	var b bytes.Buffer
@@ -221,7 +221,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, text)
+		writeText(c, text)
 		answer, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// withNews gives a node a place for news and peers; its settings allow messages and probes.
-func withNews(at int, peers ...string) func(*Config) {
+// withGossip configures gossip with peers; the settings allow messages and health checks.
+func withGossip(at int, peers ...string) func(*Config) {
 	return func(c *Config) {
 		c.Gossip.Listen, c.Gossip.Peers = "127.0.0.1:0", peers
 		text := strings.Replace(settingsText, `"group_size":1`, fmt.Sprintf(`"group_size":3,"position":%d,"value_by":"work"`, at), 1)
@@ -22,43 +22,45 @@
 	}
 }
 
-func TestNewsGoFromNodeToNode(t *testing.T) {
+func TestGossipBetweenNodes(t *testing.T) {
 	listener, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
-	n := startNode(t, withNews(1, listener.LocalAddr().String()))
+	t.Cleanup(func() { check(t, listener.Close()) })
+	n := startNode(t, withGossip(1, listener.LocalAddr().String()))
 	t.Cleanup(n.gossiper.close)
-	told := policy.GossipMessage{Endpoint: endpointID("s-0"), Class: 2}
-	n.loop.post(func() { n.loop.Gossip(told) })
+	sent := policy.GossipMessage{Endpoint: endpointID("s-0"), Class: 2}
+	n.loop.post(func() { n.loop.Gossip(sent) })
 	buffer := make([]byte, 300)
-	listener.SetReadDeadline(time.Now().Add(5 * time.Second))
+	check(t, listener.SetReadDeadline(time.Now().Add(5*time.Second)))
 	length, _, err := listener.ReadFrom(buffer)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := new(gossip.Inbox).Open(0, buffer[:length], n.clock.nanos()); got != told || err != nil {
-		t.Errorf("the peer heard %+v, %v", got, err)
+	if got, err := new(gossip.Inbox).Open(0, buffer[:length], n.clock.nanos()); got != sent || err != nil {
+		t.Errorf("the peer received %+v, %v", got, err)
 	}
 	own := n.gossiper.socket.LocalAddr()
-	message := gossip.Encode(told, n.clock.nanos())
-	for _, message := range [][]byte{message, message, gossip.Encode(told, n.clock.nanos()-5*second), nil, {1, 2, 3}, make([]byte, 2000)} {
-		listener.WriteTo(message, own)
+	message := gossip.Encode(sent, n.clock.nanos())
+	for _, message := range [][]byte{message, message, gossip.Encode(sent, n.clock.nanos()-5*second), nil, {1, 2, 3}, make([]byte, 2000)} {
+		if _, err := listener.WriteTo(message, own); err != nil {
+			t.Fatal(err)
+		}
 	}
-	eventually(t, "a message heard, five passed over", func() bool { return n.count(gossipReceived) == 1 && n.count(gossipIgnored) == 5 })
-	stranger, err := net.Dial("udp", own.String())
+	eventually(t, "one message received, five ignored", func() bool { return n.count(gossipReceived) == 1 && n.count(gossipIgnored) == 5 })
+	unknownPeer, err := net.Dial("udp", own.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stranger.Close()
-	stranger.Write(message)
-	eventually(t, "a stranger passed over", func() bool { return n.count(gossipIgnored) == 6 })
+	defer unknownPeer.Close()
+	writeBytes(unknownPeer, message)
+	eventually(t, "a message of an unknown peer ignored", func() bool { return n.count(gossipIgnored) == 6 })
 }
 
-// Guards against news holding up the loop when nobody takes them from it.
-func TestNewsBeyondWhatWaitsAreDropped(t *testing.T) {
-	n := newNode(t, withNews(0))
+// Guards against gossip that holds up the loop when nothing sends it.
+func TestGossipBeyondTheOutboxIsDropped(t *testing.T) {
+	n := newNode(t, withGossip(0))
 	t.Cleanup(n.gossiper.close)
 	for range maxGossipOutbox + 5 {
 		n.loop.Gossip(policy.GossipMessage{IdleTime: time.Second})
@@ -68,11 +70,11 @@
 	}
 }
 
-func TestProbesBringLoads(t *testing.T) {
-	var probes, answered atomic.Int64
+func TestHealthChecksBringLoadReports(t *testing.T) {
+	var checks, answered atomic.Int64
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.URL.Path == pathLoad {
-			if probes.Add(1) == 3 {
+			if checks.Add(1) == 3 {
 				return writeAnswer(c, "503 Service Unavailable", "")
 			}
 			return writeAnswer(c, "200 OK", "queue=7,qps=3")
@@ -80,20 +82,20 @@
 		answered.Add(1)
 		return echo(c, r, body)
 	})
-	n := startNode(t, withNews(0), server)
+	n := startNode(t, withGossip(0), server)
 	t.Cleanup(n.gossiper.close)
 	for i := range 3 * 32 {
 		if status, _, _ := ask(t, n, "view", fmt.Sprint("t", i), ""); status != 200 {
-			t.Fatalf("task %d: %d", i, status)
+			t.Fatalf("request %d: %d", i, status)
 		}
 	}
-	eventually(t, "three probes, one of them failed", func() bool { return n.count(healthChecksAnswered) == 2 && n.count(healthChecksFailed) == 1 })
-	if probes.Load() != 3 || answered.Load() != 96 {
-		t.Errorf("%d probes and %d tasks came to the server", probes.Load(), answered.Load())
+	eventually(t, "three health checks, one of them failed", func() bool { return n.count(healthChecksAnswered) == 2 && n.count(healthChecksFailed) == 1 })
+	if checks.Load() != 3 || answered.Load() != 96 {
+		t.Errorf("%d health checks and %d requests reached the upstream", checks.Load(), answered.Load())
 	}
 }
 
-func TestReleaseClosesWhatIsIdle(t *testing.T) {
+func TestCloseIdleClosesIdleConnections(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	ask(t, n, "view", "a", "")
@@ -105,7 +107,7 @@
 	}
 }
 
-func TestNewsConfigurationIsChecked(t *testing.T) {
+func TestGossipConfigurationIsChecked(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"news.listen: expected an address and a port, as limits.peer": func(c *Config) { c.Gossip.Listen = "" },
 		"news.listen: expected an address and a port, got":            func(c *Config) { c.Gossip.Listen = "nowhere" },
@@ -119,7 +121,7 @@
 		},
 	} {
 		c := &Config{Name: "n", Listen: address(), Discovery: "127.0.0.1:1", Seed: "1"}
-		withNews(0)(c)
+		withGossip(0)(c)
 		change(c)
 		if err := c.check(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q", err, want)
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fawnglade/internal/estimates"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"os"
@@ -15,7 +14,7 @@
 	"time"
 )
 
-// processes makes nodes that are processes of one and the same: they share a folder, an address and the socket there.
+// processes makes processes of one node: they share a directory, an address and its socket.
 func processes(t *testing.T, servers ...string) (next func() *Node) {
 	t.Helper()
 	held, err := net.Listen("tcp", address())
@@ -26,7 +25,7 @@
 	dir := t.TempDir()
 	return func() *Node {
 		n := newNode(t, func(c *Config) {
-			withConsole(c)
+			withAdmin(c)
 			file, err := held.(*net.TCPListener).File()
 			if err != nil {
 				t.Fatal(err)
@@ -49,37 +48,38 @@
 	return n.upstreams.maxOpen
 }
 
-// learned is what the decisions have learned, as it would be told.
-func (n *Node) learned() (all estimates.Snapshot) {
+// estimates are the estimates of the decisions, as a successor would get them.
+func (n *Node) estimates(t *testing.T) (all estimates.Snapshot) {
+	t.Helper()
 	text := make(chan json.RawMessage, 1)
 	n.loop.post(func() { text <- n.loop.encodeEstimates() })
-	json.Unmarshal(<-text, &all)
+	check(t, json.Unmarshal(<-text, &all))
 	return all
 }
 
-// The new process knows what the old one did, takes all new connections, and both keep within one node's limits.
-func TestNewProcessTakesOver(t *testing.T) {
+// The successor has the predecessor's state, takes all new connections, and both keep within one node's limits.
+func TestSuccessorTakesOver(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	next := processes(t)
 	old := next()
 	old.start()
-	old.hear(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: listedHere("s-7")}}, []string{"a"})))
-	old.hear(t, listText(8, false, listEntry("s-8", server, "up")))
-	old.hear(t, listText(9, false, listEntry("s-8", server, "removed")))
+	old.postList(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: listedHere("s-7")}}, []string{"a"})))
+	old.postList(t, listText(8, false, listEntry("s-8", server, "up")))
+	old.postList(t, listText(9, false, listEntry("s-8", server, "removed")))
 	eventually(t, "the list", func() bool { return old.overrides.isKnown("s-8") })
 	kept, keptIn := dial(t, old)
-	io.WriteString(kept, requestText("batch", "t1", "a"))
+	writeText(kept, requestText("batch", "t1", "a"))
 	if status, _, _ := readAnswer(keptIn); status != 200 {
 		t.Fatalf("the old process answered %d", status)
 	}
 	alone := old.mostOpen()
 	fresh := next()
 	if fresh.predecessor == nil || !fresh.overrides.isKnown("s-7") && len(fresh.chooseInitialList().entries) != 1 {
-		t.Fatalf("the old process was not found, or told nothing: %+v", fresh.predecessor)
+		t.Fatalf("the predecessor was not found, or has sent nothing: %+v", fresh.predecessor)
 	}
 	eventually(t, "the old one has given up its half", func() bool { return old.mostOpen() < alone })
 	if both := old.mostOpen() + fresh.mostOpen(); both > alone+1 {
-		t.Errorf("both together may open %d connections to servers, one alone %d", both, alone)
+		t.Errorf("both together may open %d connections to upstreams, one alone %d", both, alone)
 	}
 	if fresh.notReady() == "" {
 		t.Error("ready before it serves")
@@ -90,21 +90,21 @@
 	if !fresh.overrides.isKnown("s-8") {
 		t.Error("a name that was listed once is not known any more")
 	}
-	if l := fresh.learned(); !l.Endpoints[uint32(endpointID("s-7"))].HasLatency || l.MeanWork == 0 || l.Classes[3].WorkSamples == 0 {
-		t.Errorf("not what the old process had learned: %+v", l)
+	if l := fresh.estimates(t); !l.Endpoints[uint32(endpointID("s-7"))].HasLatency || l.MeanWork == 0 || l.Classes[3].WorkSamples == 0 {
+		t.Errorf("not the estimates of the predecessor: %+v", l)
 	}
 	taken := old.count(clientsAccepted)
 	for i := range 30 {
 		if status, _, _ := ask(t, fresh, "batch", fmt.Sprint("new", i), ""); status != 200 {
-			t.Errorf("task %d on a new connection was answered %d", i, status)
+			t.Errorf("request %d on a new connection was answered %d", i, status)
 		}
 	}
 	if old.count(clientsAccepted) != taken {
-		t.Error("the old process takes new connections")
+		t.Error("the predecessor takes new connections")
 	}
-	io.WriteString(kept, requestText("batch", "t2", "a"))
+	writeText(kept, requestText("batch", "t2", "a"))
 	if r, err := http.ReadResponse(keptIn, nil); err != nil || r.StatusCode != 200 || !r.Close {
-		t.Errorf("%v, %v on a kept connection, want an answer that closes it", r, err)
+		t.Errorf("%v, %v on a kept connection, want a response that closes it", r, err)
 	}
 	old.shutDown()
 	old.hotRestart.closeSuccessor()
@@ -115,8 +115,8 @@
 	}
 }
 
-// Guards against an upgrade that fails taking the node with it.
-func TestOldProcessGoesOnWhereTheNewOneDies(t *testing.T) {
+// Guards against an upgrade whose failure ends the node.
+func TestPredecessorGoesOnWhenTheSuccessorDies(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	next := processes(t, server)
 	old := next()
@@ -137,19 +137,20 @@
 		eventually(t, "all is as before", func() bool { return old.mostOpen() == alone && !old.hotRestart.hasYielded() })
 		for i := range 10 {
 			if status, _, _ := ask(t, old, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
-				t.Errorf("after the new process died a task was answered %d", status)
+				t.Errorf("after the successor died a request was answered %d", status)
 			}
 		}
 	}
 }
 
-// What stands where the old process should be is not trusted, and holds up no start for long.
-func TestNobodyToTakeOverFrom(t *testing.T) {
+// Whatever is at the predecessor's path is not trusted, and delays no start for long.
+func TestInvalidPredecessorIsIgnored(t *testing.T) {
 	for name, place := range map[string]func(path string){
-		"a file":   func(path string) { os.WriteFile(path, []byte("x"), 0o600) },
-		"a folder": func(path string) { os.Mkdir(path, 0o700) },
+		"a file":   func(path string) { check(t, os.WriteFile(path, []byte("x"), 0o600)) },
+		"a folder": func(path string) { check(t, os.Mkdir(path, 0o700)) },
 		"left over": func(path string) {
-			l, _ := net.ListenUnix("unix", &net.UnixAddr{Name: path})
+			l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path})
+			check(t, err)
 			l.SetUnlinkOnClose(false)
 			l.Close()
 		},
@@ -176,17 +177,25 @@
 	}
 }
 
-// answerAt is a process of nobody's that says the same to all.
+// answerAt listens at a path and sends the same text to all.
 func answerAt(t *testing.T, path, text string) {
 	listenAt(t, "unix", path, func(c net.Conn) {
 		if text != "close" {
-			io.WriteString(c, text)
-			io.Copy(io.Discard, c)
+			writeText(c, text)
+			discard(c)
 		}
 	})
 }
 
-func TestAddressesOfOperatorsAreChecked(t *testing.T) {
+// check fails the test on an error of its preparation.
+func check(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestAdminAddressesAreChecked(t *testing.T) {
 	pipe, _, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// badDisk is a directory whose syncs hang until they are let go, or fail.
+// badDisk is a directory whose syncs hang until hangs is unlocked, or fail.
 type badDisk struct {
 	store.Directory
-	hangs sync.Mutex // held: no sync comes back
+	hangs sync.Mutex // locked: no sync returns
 	fails atomic.Bool
 	syncs atomic.Int64
 }
@@ -56,8 +56,9 @@
 	}
 }
 
-// TestADiskThatHangsOrFails has no sync come back while requests are done; let go, all is written; failing, it is told and requests go on.
-func TestADiskThatHangsOrFails(t *testing.T) {
+// TestDiskThatHangsOrFails has no sync return while requests are served; when they do, all is written; a failure is
+// reported, and requests go on.
+func TestDiskThatHangsOrFails(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	disk, dir := &badDisk{}, t.TempDir()
 	n := startNode(t, onDisk(t, disk, dir), server)
@@ -65,15 +66,15 @@
 	disk.hangs.Lock()
 	before, written := disk.syncs.Load(), n.persistence.written.Load()
 	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
-	tasks := func(first string) {
+	requests := func(first string) {
 		for _, id := range []string{"1", "2", "3"} {
 			if status, _, _ := ask(t, n, "view", first+id, ""); status != 200 {
-				t.Errorf("task %s%s: %d", first, id, status)
+				t.Errorf("request %s%s: %d", first, id, status)
 			}
 		}
 	}
 	eventually(t, "a sync that hangs", func() bool { return disk.syncs.Load() > before })
-	tasks("hanging")
+	requests("hanging")
 	if n.persistence.written.Load() != written || strings.Contains(n.persistence.statusJSON(), `"write_under_way_s":0,`) {
 		t.Error(n.persistence.statusJSON())
 	}
@@ -81,13 +82,13 @@
 	eventually(t, "written", func() bool { return n.persistence.written.Load() > written })
 	disk.fails.Store(true)
 	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
-	eventually(t, "a failure that is told", func() bool { return strings.Contains(n.persistence.statusJSON(), "a write failed") })
-	tasks("failing")
+	eventually(t, "a failure that is reported", func() bool { return strings.Contains(n.persistence.statusJSON(), "a write failed") })
+	requests("failing")
 }
 
-// TestTheKnownListGivesWayToTheMemory starts twice on one directory: the second life begins with what the first was told.
-func TestTheKnownListGivesWayToTheMemory(t *testing.T) {
-	server, tasks := startUpstream(t, echo)
+// TestPersistedListIsUsedAfterARestart starts twice on one directory: the second run begins with the list of the first.
+func TestPersistedListIsUsedAfterARestart(t *testing.T) {
+	server, requests := startUpstream(t, echo)
 	whole := &badDisk{}
 	dir := t.TempDir()
 	n := startNode(t, onDisk(t, whole, dir))
@@ -99,29 +100,29 @@
 	n.persistence.close()
 	again := startNode(t, onDisk(t, whole, dir))
 	asked := 0
-	eventually(t, "a task at the server, which is taken for cold", func() bool {
+	eventually(t, "a request at the upstream, which counts as just started", func() bool {
 		asked++
 		status, _, _ := ask(t, again, "view", fmt.Sprint(asked), "")
-		return status == 200 && tasks.Load() == 1
+		return status == 200 && requests.Load() == 1
 	})
 	if again.persistence.memory.Epoch() != 2 {
 		t.Errorf("epoch %d", again.persistence.memory.Epoch())
 	}
 }
 
-// TestAKnownListAndTheMemory sets the list of a configuration against what is remembered: the newer one goes first, and an older one
-// puts nobody back who drains.
-func TestAKnownListAndTheMemory(t *testing.T) {
+// TestConfiguredAndPersistedList starts with the list of a configuration and a persisted one: the newer one wins, and
+// an older one ends no drain.
+func TestConfiguredAndPersistedList(t *testing.T) {
 	drains, drained := startUpstream(t, echo)
 	serves, served := startUpstream(t, echo)
 	dir := t.TempDir()
-	life := func(version int) *Node {
+	start := func(version int) *Node {
 		return startNode(t, func(c *Config) {
 			onDisk(t, &badDisk{}, dir)(c)
 			c.KnownList = []byte(listText(version, true, listEntry("s-0", drains, "up"), listEntry("s-1", serves, "up")))
 		})
 	}
-	n := life(3)
+	n := start(3)
 	out, err := n.entryOf(listEntry("s-0", drains, "draining"))
 	if err != nil {
 		t.Fatal(err)
@@ -130,15 +131,15 @@
 	n.persistence.close()
 	for _, version := range []int{4, 6} {
 		want := version > 5
-		again := life(version)
+		again := start(version)
 		before, asked := drained.Load(), 0
-		eventually(t, "tasks at servers, which are taken for cold", func() bool {
+		eventually(t, "requests at upstreams, which count as just started", func() bool {
 			asked++ // most are rejected
 			ask(t, again, "view", fmt.Sprint(version, "-", asked), "")
 			return asked > 40 && served.Load() > 2 && (!want || drained.Load() > before)
 		})
 		if (drained.Load() > before) != want {
-			t.Errorf("a known list of version %d after one of 5: %d tasks to the server that drained, %d to the other", version, drained.Load()-before, served.Load())
+			t.Errorf("a configured list of version %d after one of 5: %d requests to the draining upstream, %d to the other", version, drained.Load()-before, served.Load())
 		}
 		again.persistence.close()
 		if version == 4 && !again.persistence.isOlderThan(6) {
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -10,12 +10,10 @@
 	"fawnglade/internal/relay"
 	"fawnglade/policy"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"os"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -24,7 +22,7 @@
 	"go.uber.org/zap"
 )
 
-// serveOrigin serves an origin; stop ends it as a process does that is killed.
+// serveOrigin serves an origin; stop ends it like a process that is killed.
 func serveOrigin(t *testing.T, o *distribution.Origin) (address string, s *relay.Server, stop func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,20 +30,34 @@
 		t.Fatal(err)
 	}
 	s = relay.NewServer(o.Relay(), relay.ServerConfig{}, zap.NewNop())
-	go s.Serve(l)
+	go serve(s, l)
 	stop = func() {
 		l.Close()
 		limit, done := context.WithTimeout(context.Background(), 5*time.Second)
 		defer done()
-		s.Close(limit)
+		closeServer(limit, s)
 	}
 	t.Cleanup(stop)
 	return l.Addr().String(), s, stop
 }
 
+// serve serves until the listener is closed, which is an error of Serve.
+func serve(s *relay.Server, l net.Listener) { _ = s.Serve(l) }
+
+// closeServer closes a server; connections that are still open by then are cut.
+func closeServer(ctx context.Context, s *relay.Server) { _ = s.Close(ctx) }
+
 const testScope = "eu1/cart"
 
-func endpoint(s *relay.Server, o *distribution.Origin, name, dial, health string) {
+// put stores a record at an origin.
+func put(o *distribution.Origin, now int64, scope, key string, class distribution.Class, value string) {
+	if _, err := o.Put(now, scope, key, class, []byte(value)); err != nil {
+		panic(err)
+	}
+}
+
+// putEndpoint puts an endpoint into an origin's scope.
+func putEndpoint(s *relay.Server, o *distribution.Origin, name, dial, health string) {
 	s.Do(func(now int64) {
 		if health == "removed" {
 			o.Remove(now, testScope, relay.EndpointKey(name))
@@ -55,13 +67,14 @@
 		if health == "draining" {
 			class = distribution.ClassWithdrawal
 		}
-		o.Put(now, testScope, relay.EndpointKey(name), class, []byte(listEntry(name, dial, health)))
+		put(o, now, testScope, relay.EndpointKey(name), class, listEntry(name, dial, health))
 	})
 }
 
-func heardList(s *relay.Server, o *distribution.Origin, seq int, stands bool) {
+// putListVersion reports discovery's list of a version, with the origin's watch up.
+func putListVersion(s *relay.Server, o *distribution.Origin, seq int) {
 	s.Do(func(now int64) {
-		o.Put(now, relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, fmt.Appendf(nil, `{"seq":%d,"stands":%t}`, seq, stands))
+		put(o, now, relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, fmt.Sprintf(`{"seq":%d,"stands":true}`, seq))
 	})
 }
 
@@ -82,8 +95,8 @@
 	}
 }
 
-// discoveryTelling answers each watch with a whole list, then keeps still but for its heartbeats, and counts the calls.
-func discoveryTelling(t *testing.T, list func(call int64) string) (address string, calls *atomic.Int64, open *atomic.Int64) {
+// startDiscovery answers each watch with a complete list and empty lines after it, and counts the calls.
+func startDiscovery(t *testing.T, list func(call int64) string) (address string, calls *atomic.Int64, open *atomic.Int64) {
 	calls, open = new(atomic.Int64), new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
@@ -93,15 +106,15 @@
 		open.Add(1)
 		defer open.Add(-1)
 		text := list(call) + "\n"
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
+		writef(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
 		gone := make(chan struct{})
-		go func() { io.Copy(io.Discard, c); close(gone) }()
+		go func() { discard(c); close(gone) }()
 		for {
 			select {
 			case <-gone:
 				return
 			case <-time.After(300 * time.Millisecond):
-				fmt.Fprint(c, "1\r\n\n\r\n")
+				writeText(c, "1\r\n\n\r\n")
 			}
 		}
 	}), calls, open
@@ -126,53 +139,53 @@
 	return status == 200 && strings.HasSuffix(body, server)
 }
 
-// naming answers with the server's own name.
-func naming(t *testing.T, name string) (address string, tasks *atomic.Int64) {
+// startNamedUpstream starts an upstream that answers with its name.
+func startNamedUpstream(t *testing.T, name string) (address string, tasks *atomic.Int64) {
 	return startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 		return writeAnswer(c, "200 OK\r\nX-Pressure: queue=1", name)
 	})
 }
 
-func TestANodeGoesByRelays(t *testing.T) {
-	a, tasksA := naming(t, "a")
-	b, tasksB := naming(t, "b")
-	discovery, calls, _ := discoveryTelling(t, func(int64) string { return listText(1, true) })
+func TestNodeFollowsRelays(t *testing.T) {
+	a, tasksA := startNamedUpstream(t, "a")
+	b, tasksB := startNamedUpstream(t, "b")
+	discovery, calls, _ := startDiscovery(t, func(int64) string { return listText(1, true) })
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	first, s, stop := serveOrigin(t, o)
-	endpoint(s, o, "a", a, "up")
-	heardList(s, o, 7, true)
+	putEndpoint(s, o, "a", a, "up")
+	putListVersion(s, o, 7)
 	n := startNode(t, withRelays(discovery, first))
 	eventually(t, "ready", func() bool { return n.notReady() == "" })
 	for i := range 10 {
 		if !answers(t, n, fmt.Sprint("one", i), "a") {
-			t.Fatal("not served by the one that relays told")
+			t.Fatal("not served by the endpoint of the relays")
 		}
 	}
-	endpoint(s, o, "b", b, "up")
-	endpoint(s, o, "a", a, "draining")
-	heardList(s, o, 9, true)
+	putEndpoint(s, o, "b", b, "up")
+	putEndpoint(s, o, "a", a, "draining")
+	putListVersion(s, o, 9)
 	eventually(t, "the drain", func() bool { return relaySeq(t, n) == 9 })
 	before := tasksA.Load()
 	for i := range 10 {
 		if !answers(t, n, fmt.Sprint("two", i), "b") {
-			t.Fatal("not served by the one that was told since")
+			t.Fatal("not served by the endpoint that was added")
 		}
 	}
 	if tasksA.Load() != before || tasksB.Load() < 10 {
-		t.Errorf("a drained server had %d tasks since", tasksA.Load()-before)
+		t.Errorf("a drained endpoint had %d requests since", tasksA.Load()-before)
 	}
-	// A spoilt record, and one that nobody knows, take nothing with them.
+	// An invalid record, and one of an unknown kind, change nothing else.
 	s.Do(func(now int64) {
-		o.Put(now, testScope, relay.EndpointKey("b"), distribution.ClassEndpoint, []byte(`{"host":"b","dial":"nowhere","health":"up"}`))
-		o.Put(now, testScope, "moon/phase", distribution.ClassConfiguration, []byte("full"))
+		put(o, now, testScope, relay.EndpointKey("b"), distribution.ClassEndpoint, `{"host":"b","dial":"nowhere","health":"up"}`)
+		put(o, now, testScope, "moon/phase", distribution.ClassConfiguration, "full")
 	})
-	heardList(s, o, 10, true)
-	eventually(t, "the spoilt record", func() bool { return n.count(listEntriesSkipped) == 1 && relaySeq(t, n) == 10 })
+	putListVersion(s, o, 10)
+	eventually(t, "the invalid record", func() bool { return n.count(listEntriesSkipped) == 1 && relaySeq(t, n) == 10 })
 	if !answers(t, n, "three", "b") {
-		t.Error("a spoilt record took a server off")
+		t.Error("an invalid record removed an endpoint")
 	}
 	if calls.Load() != 0 {
-		t.Errorf("discovery was called %d times while relays told the list", calls.Load())
+		t.Errorf("discovery was called %d times while relays sent the list", calls.Load())
 	}
 	if v := relayView(t, n); v.By != "relays" || v.Relay != first || v.Watch || !v.Whole {
 		t.Errorf("the view: %+v", v)
@@ -181,12 +194,13 @@
 }
 
 func relaySeq(t *testing.T, n *Node) (seq int64) {
+	t.Helper()
 	var v struct{ Seq int64 }
-	json.Unmarshal([]byte(n.relays.StatusJSON()), &v)
+	check(t, json.Unmarshal([]byte(n.relays.StatusJSON()), &v))
 	return v.Seq
 }
 
-func TestStatesOfServersAreTheSameEverywhere(t *testing.T) {
+func TestEndpointStatesMatchThoseOfSources(t *testing.T) {
 	for here, there := range map[policy.EndpointState]endpointsource.EndpointState{policy.StateActive: endpointsource.StateUp, policy.StateDraining: endpointsource.StateDraining, policy.StateRemoved: endpointsource.StateRemoved} {
 		if policy.EndpointState(there) != here {
 			t.Errorf("%v and %v differ, and are turned into one another", here, there)
@@ -194,18 +208,19 @@
 	}
 }
 
-// Relays go, discovery is watched; they come back, and it is left. Neither takes off or brings back what the other knew better.
-func TestANodeWithoutRelaysWatchesDiscovery(t *testing.T) {
-	a, tasksA := naming(t, "a")
-	b, _ := naming(t, "b")
+// Without relays discovery is watched; when they are back it is not. Neither removes or restores what the other knew
+// better.
+func TestNodeWatchesDiscoveryWhileRelaysAreGone(t *testing.T) {
+	a, tasksA := startNamedUpstream(t, "a")
+	b, _ := startNamedUpstream(t, "b")
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	first, s, stop := serveOrigin(t, o)
-	endpoint(s, o, "a", a, "draining")
-	endpoint(s, o, "b", b, "up")
-	heardList(s, o, 20, true)
+	putEndpoint(s, o, "a", a, "draining")
+	putEndpoint(s, o, "b", b, "up")
+	putListVersion(s, o, 20)
 	var version atomic.Int64
 	version.Store(15) // an older copy: a serves there, and b is not known
-	discovery, calls, open := discoveryTelling(t, func(int64) string {
+	discovery, calls, open := startDiscovery(t, func(int64) string {
 		if v := version.Load(); v < 20 {
 			return listText(int(v), true, listEntry("a", a, "up"))
 		}
@@ -214,7 +229,7 @@
 	n := startNode(t, withRelaysSilent("20s", discovery, first)) // that no relay can be reached is known sooner
 	eventually(t, "ready", func() bool { return n.notReady() == "" })
 	if !answers(t, n, "one", "b") {
-		t.Fatal("not served by what relays told")
+		t.Fatal("not served by the list of the relays")
 	}
 	stop()
 	eventually(t, "a call to discovery", func() bool { return calls.Load() == 1 })
@@ -222,11 +237,11 @@
 	before := tasksA.Load()
 	for i := range 10 {
 		if !answers(t, n, fmt.Sprint("two", i), "b") {
-			t.Fatal("a discovery that knows less took a server off")
+			t.Fatal("an older list of discovery removed an endpoint")
 		}
 	}
 	if tasksA.Load() != before {
-		t.Error("a discovery that knows less brought a drained server back")
+		t.Error("an older list of discovery ended a drain")
 	}
 	// Another origin, later than the first, and as far as discovery.
 	again := distribution.NewOrigin(2, distribution.Limits{})
@@ -236,20 +251,20 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	s = relay.NewServer(again.Relay(), relay.ServerConfig{}, zap.NewNop())
-	t.Cleanup(func() { s.Close(context.Background()) })
-	endpoint(s, again, "a", a, "up")
-	heardList(s, again, 25, true)
-	go s.Serve(l)
+	t.Cleanup(func() { closeServer(context.Background(), s) })
+	putEndpoint(s, again, "a", a, "up")
+	putListVersion(s, again, 25)
+	go serve(s, l)
 	eventually(t, "relays again", func() bool { v := relayView(t, n); return v.By == "relays" && !v.Watch })
 	eventually(t, "the end of the watch", func() bool { return open.Load() == 0 })
 	eventually(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("three", addresses.Add(1)), "a") })
 }
 
 // Where no relay answers at the start, discovery is watched as without any.
-func TestANodeStartsWithoutARelay(t *testing.T) {
-	a, _ := naming(t, "a")
-	discovery, _, _ := discoveryTelling(t, func(int64) string { return listText(3, true, listEntry("a", a, "up")) })
-	still := listen(t, func(c net.Conn) { time.Sleep(20 * time.Second) }) // it takes connections and says nothing
+func TestNodeStartsWithoutARelay(t *testing.T) {
+	a, _ := startNamedUpstream(t, "a")
+	discovery, _, _ := startDiscovery(t, func(int64) string { return listText(3, true, listEntry("a", a, "up")) })
+	still := listen(t, func(c net.Conn) { time.Sleep(20 * time.Second) }) // it accepts connections and sends nothing
 	for name, at := range map[string]string{"nobody there": "127.0.0.1:1", "a frozen one": still} {
 		began := time.Now()
 		n := startNode(t, withRelays(discovery, at))
@@ -263,13 +278,13 @@
 	}
 }
 
-// An origin without a list is not gone by, however whole it is otherwise.
-func TestAnOriginWithoutAListTakesNothingOff(t *testing.T) {
-	a, _ := naming(t, "a")
-	discovery, _, _ := discoveryTelling(t, func(int64) string { return listText(3, true, listEntry("a", a, "up")) })
+// An origin without a list is not used, however complete it is otherwise.
+func TestOriginWithoutAListRemovesNothing(t *testing.T) {
+	a, _ := startNamedUpstream(t, "a")
+	discovery, _, _ := startDiscovery(t, func(int64) string { return listText(3, true, listEntry("a", a, "up")) })
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	first, s, _ := serveOrigin(t, o)
-	s.Do(func(now int64) { o.Put(now, testScope, "route/x", distribution.ClassConfiguration, []byte("1")) })
+	s.Do(func(now int64) { put(o, now, testScope, "route/x", distribution.ClassConfiguration, "1") })
 	n := startNode(t, withRelays(discovery, first))
 	eventually(t, "ready", func() bool { return n.notReady() == "" })
 	if v := relayView(t, n); v.By != "discovery" || !v.Whole {
@@ -280,8 +295,8 @@
 	}
 }
 
-// relayProcess runs an origin or a relay until it is told to end.
-func relayProcess(t *testing.T, text string) (p *relay.Process, end func()) {
+// relayProcess runs an origin or a relay until the test ends.
+func relayProcess(t *testing.T, text string) (p *relay.Process) {
 	t.Helper()
 	config, err := relay.ParseConfig("t.toml", []byte(text))
 	if err != nil {
@@ -292,24 +307,25 @@
 	}
 	signals, done := make(chan os.Signal, 1), make(chan struct{})
 	go func() {
-		p.Run(signals)
+		if err := p.Run(signals); err != nil {
+			t.Error(err)
+		}
 		close(done)
 	}()
-	end = sync.OnceFunc(func() { signals <- syscall.SIGTERM; <-done })
-	t.Cleanup(end)
-	return p, end
+	t.Cleanup(func() { signals <- syscall.SIGTERM; <-done })
+	return p
 }
 
-// The only relay goes on to be heard, but is cut off from above: what it tells grows old, and discovery is watched.
-func TestARelayThatIsCutOffFromAbove(t *testing.T) {
-	a, _ := naming(t, "a")
-	b, _ := naming(t, "b")
-	discovery, _, _ := discoveryTelling(t, func(int64) string { return listText(9, true, listEntry("b", b, "up")) })
+// The only relay is reachable, but cut off from the origin: its list grows stale, and discovery is watched.
+func TestStaleRelayIsReplacedByDiscovery(t *testing.T) {
+	a, _ := startNamedUpstream(t, "a")
+	b, _ := startNamedUpstream(t, "b")
+	discovery, _, _ := startDiscovery(t, func(int64) string { return listText(9, true, listEntry("b", b, "up")) })
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	first, s, stop := serveOrigin(t, o)
-	endpoint(s, o, "a", a, "up")
-	heardList(s, o, 8, true)
-	low, _ := relayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", first))
+	putEndpoint(s, o, "a", a, "up")
+	putListVersion(s, o, 8)
+	low := relayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", first))
 	n := startNode(t, withRelaysSilent("2s", discovery, low.Address()))
 	eventually(t, "the list by relays", func() bool { return n.notReady() == "" && relayView(t, n).By == "relays" })
 	stop()
@@ -320,10 +336,10 @@
 	}
 }
 
-// The origin's way to discovery falls silent while the node's own stands: a change is told within 6 s all the same.
-func TestAChangeIsToldThoughTheOriginDoesNotHearDiscovery(t *testing.T) {
-	a, _ := naming(t, "a")
-	b, _ := naming(t, "b")
+// The origin loses discovery while the node can reach it: a change reaches the node within 6 s all the same.
+func TestChangeArrivesWhileTheOriginHasLostDiscovery(t *testing.T) {
+	a, _ := startNamedUpstream(t, "a")
+	b, _ := startNamedUpstream(t, "b")
 	var frozen atomic.Bool
 	half := listen(t, func(c net.Conn) { // discovery as the origin has it
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
@@ -331,36 +347,36 @@
 		}
 		if !frozen.Load() {
 			text := listText(5, true, listEntry("a", a, "up")) + "\n"
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
+			writef(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
 		}
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
 			if !frozen.Load() {
-				fmt.Fprint(c, "1\r\n\n\r\n")
+				writeText(c, "1\r\n\n\r\n")
 			}
 		}
 	})
-	discovery, calls, _ := discoveryTelling(t, func(int64) string {
+	discovery, calls, _ := startDiscovery(t, func(int64) string {
 		return listText(6, true, listEntry("a", a, "draining"), listEntry("b", b, "up"))
 	})
-	origin, _ := relayProcess(t, fmt.Sprintf("name=\"o\"\nrole=\"origin\"\nlisten=\"127.0.0.1:0\"\n[origin]\ndiscovery=%q\n[origin.scope]\nservice=\"cart\"\nregion=\"eu1\"\n", half))
-	low, _ := relayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", origin.Address()))
+	origin := relayProcess(t, fmt.Sprintf("name=\"o\"\nrole=\"origin\"\nlisten=\"127.0.0.1:0\"\n[origin]\ndiscovery=%q\n[origin.scope]\nservice=\"cart\"\nregion=\"eu1\"\n", half))
+	low := relayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", origin.Address()))
 	n := startNode(t, withRelaysSilent("4s", discovery, low.Address()))
 	eventually(t, "the list by relays", func() bool { return n.notReady() == "" && relayView(t, n).By == "relays" })
 	if !answers(t, n, "one", "a") {
-		t.Fatal("not served by what relays told")
+		t.Fatal("not served by the list of the relays")
 	}
 	before := calls.Load()
 	frozen.Store(true)
 	began := time.Now()
 	for relayView(t, n).By != "discovery" {
 		if time.Since(began) > 6*time.Second {
-			t.Fatal("not told within 6 s")
+			t.Fatal("not within 6 s")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if !answers(t, n, "two", "b") {
-		t.Error("not served by what discovery told")
+		t.Error("not served by the list of discovery")
 	}
 	if calls.Load() == before {
 		t.Error("discovery was not called")
