--- a/internal/node/listwatch_test.go
+++ b/internal/node/listwatch_test.go
@@ -271,7 +271,8 @@
 	}
 }
 
-// The last line from an old discovery address does not come after the first from the new one.
+// The last line from an old discovery address does not come after the first from the new one: once the new list is
+// there, it counts.
 func TestLastLineOfAnOldPlaceCrossesTheMove(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	late := newGate(t)
@@ -283,14 +284,22 @@
 	})
 	young, _ := watchOf(t, func(c net.Conn, chunk func(string)) {
 		writeText(c, watchBegins)
-		chunk(listText(3, true, listEntry("s-0", server, "up")) + "\n")
+		chunk(listText(3, true, listEntry("s-0", server, "up"), listEntry("s-1", server, "draining")) + "\n")
 		discard(c)
 	})
 	n := startNode(t, func(c *Config) { c.Discovery = old }, server)
 	late.held(t, 1)
+	eventually(t, "the old list", func() bool { return n.count(listUpdates) == 1 })
 	n.endpointWatch.move(young)
 	late.pass()
-	eventually(t, "the new list", func() bool { return n.count(listUpdates) >= 2 })
+	eventually(t, "the new list", func() bool {
+		known := make(chan bool)
+		n.loop.post(func() {
+			_, ok := n.loop.endpoints[endpointID("s-1")]
+			known <- ok
+		})
+		return <-known
+	})
 	if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
 		t.Errorf("answered %d by a list that was left", status)
 	}
