--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -25,7 +25,8 @@
 	body    string
 }
 
-// truth is all that ever was, by epoch; loaded is the version at which an epoch's origin had its whole list.
+// truth is the history of all records, by epoch; loaded is the version at which an epoch's origin had its complete
+// list.
 type truth struct {
 	history map[uint64]map[nameOf][]entry
 	loaded  map[uint64]uint64
@@ -53,7 +54,7 @@
 	return false
 }
 
-// claimed holds someone to what it says it knows of the scopes that a selector covers.
+// claimed checks a claim to know the scopes that a selector covers against the truth.
 func (h *truth) claimed(t *rapid.T, who string, s Selector, at Position, holds map[nameOf]Record) {
 	if at.Epoch == 0 {
 		return
@@ -87,19 +88,19 @@
 
 // end is a relay or a subscriber, with whom it may be connected to and the frames that are on their way to it.
 type end struct {
-	name  string
-	relay *Relay      // either
-	leaf  *Subscriber // or
-	wants []Selector
-	ups   []int // by place among the ends; -1 is the origin
-	from  *Relay
-	id    int
-	way   [][]byte // frames of this session that have not come yet
-	old   [][]byte // frames of sessions before
-	last  []byte
-	known map[nameOf]Position // a subscriber's: never falls
-	told  map[nameOf]string   // the same by its changes
-	pace  int
+	name    string
+	relay   *Relay      // either
+	leaf    *Subscriber // or
+	wants   []Selector
+	ups     []int // by place among the ends; -1 is the origin
+	from    *Relay
+	id      int
+	way     [][]byte // frames of this session that have not come yet
+	old     [][]byte // frames of sessions before
+	last    []byte
+	known   map[nameOf]Position // a subscriber's: never falls
+	changed map[nameOf]string   // the same, by its changes
+	pace    int
 }
 
 type network struct {
@@ -128,7 +129,7 @@
 		n.restart(len(n.ends) - 1)
 	}
 	leaf := func(name string, ups []int, s ...Selector) {
-		e := &end{name: name, wants: s, ups: ups, pace: pace, known: map[nameOf]Position{}, told: map[nameOf]string{}}
+		e := &end{name: name, wants: s, ups: ups, pace: pace, known: map[nameOf]Position{}, changed: map[nameOf]string{}}
 		e.leaf, _ = NewSubscriber(s, Limits{})
 		n.ends = append(n.ends, e)
 	}
@@ -149,7 +150,7 @@
 	n.truth.history[n.epoch] = map[nameOf][]entry{}
 }
 
-// load has the origin take in the whole list as it is now.
+// load replaces the origin's list by what is live.
 func (n *network) load() {
 	var all []Record
 	for _, name := range slices.SortedFunc(maps.Keys(n.live), func(a, b nameOf) int { return strings.Compare(a.scope+a.key, b.scope+b.key) }) {
@@ -165,7 +166,7 @@
 	}
 }
 
-// note writes down what the origin has made of its last call.
+// note records the origin's state after its last call.
 func (n *network) note() {
 	history := n.truth.history[n.epoch]
 	n.origin.relay.replica.items.Ascend(func(it *item) bool {
@@ -206,7 +207,7 @@
 	return r == n.origin.relay || slices.ContainsFunc(n.ends, func(e *end) bool { return e.relay == r })
 }
 
-// cut ends a session; what was on its way may still come.
+// cut ends a session; frames that were on their way may still arrive.
 func (n *network) cut(e *end) {
 	if e.from != nil {
 		e.from.Detach(e.id)
@@ -237,7 +238,7 @@
 	e.from, e.id = from, id
 }
 
-// send puts up to so many frames on the way.
+// send puts up to most frames on their way.
 func (n *network) send(e *end, most int) {
 	for sent := 0; e.from != nil && sent < most; sent++ {
 		f, _ := e.from.Next(n.now, e.id)
@@ -269,7 +270,7 @@
 	return err
 }
 
-// look holds an end to all that must always be so.
+// look checks the invariants of an end.
 func (n *network) look(e *end, changes []Change) {
 	t := n.t
 	holds := map[nameOf]Record{}
@@ -289,13 +290,13 @@
 		for _, c := range changes {
 			name := nameOf{c.Scope, c.Key}
 			if c.Deleted {
-				if _, ok := e.told[name]; !ok {
-					t.Fatalf("%s was told that %v is gone, twice or never there", e.name, name)
+				if _, ok := e.changed[name]; !ok {
+					t.Fatalf("%s got a deletion of %v, which it did not hold", e.name, name)
 				}
-				delete(e.told, name)
+				delete(e.changed, name)
 				e.known[name] = Position{c.Epoch, c.Version}
 			} else {
-				e.told[name] = fmt.Sprint(c.Class, string(c.Body))
+				e.changed[name] = fmt.Sprint(c.Class, string(c.Body))
 			}
 		}
 		e.leaf.Each(func(r Record) { holds[nameOf{r.Scope, r.Key}] = r })
@@ -305,12 +306,12 @@
 				t.Fatalf("%s went back from %v to %v with %v", e.name, e.known[name], at, name)
 			}
 			e.known[name] = at
-			if e.told[name] != fmt.Sprint(r.Class, string(r.Body)) {
-				t.Fatalf("%s holds %+v and was told %q", e.name, r, e.told[name])
+			if e.changed[name] != fmt.Sprint(r.Class, string(r.Body)) {
+				t.Fatalf("%s holds %+v, its changes gave %q", e.name, r, e.changed[name])
 			}
 		}
-		if len(e.told) != len(holds) {
-			t.Fatalf("%s holds %d records and was told of %d", e.name, len(holds), len(e.told))
+		if len(e.changed) != len(holds) {
+			t.Fatalf("%s holds %d records, its changes gave %d", e.name, len(holds), len(e.changed))
 		}
 		for i, s := range e.wants {
 			at := e.leaf.replica.knownOf(&e.leaf.replica.interests[i]).position
@@ -351,11 +352,11 @@
 			}
 		}
 		n.note()
-	case 5: // a whole list, without a drawn scope
+	case 5: // a complete list, without a random scope
 		gone := rapid.SampledFrom(scopesOfModel).Draw(t, "emptied")
 		maps.DeleteFunc(n.live, func(name nameOf, _ entry) bool { return name.scope == gone })
 		n.load()
-	case 6: // the origin starts anew; its list comes with one of the next acts
+	case 6: // the origin restarts; its list comes with one of the next acts
 		if rapid.IntRange(0, 3).Draw(t, "really") == 0 {
 			n.newOrigin()
 			for _, e := range n.ends {
@@ -364,7 +365,7 @@
 				}
 			}
 		}
-	case 7: // a relay starts anew with nothing
+	case 7: // a relay restarts empty
 		if rapid.IntRange(0, 1).Draw(t, "really") == 0 {
 			n.restart(rapid.IntRange(0, 3).Draw(t, "relay"))
 		}
@@ -404,7 +405,7 @@
 	return n.come(e, e.last)
 }
 
-// settle ends all faults: everybody is connected, and time goes on.
+// settle ends all faults: every end is connected, and time goes on.
 func (n *network) settle() {
 	t := n.t
 	if !n.loaded {
@@ -456,7 +457,7 @@
 		}
 		if e.leaf == nil {
 			if at := e.relay.claimed; !e.relay.Complete() || at != (Position{n.epoch, n.origin.version}) || tombs > n.limits.Tombstones {
-				t.Fatalf("%s ends whole %v at %v of %d with %d tombstones", e.name, e.relay.Complete(), at, n.origin.version, tombs)
+				t.Fatalf("%s ends complete %v at %v of %d with %d tombstones", e.name, e.relay.Complete(), at, n.origin.version, tombs)
 			}
 			continue
 		}
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fawnglade/internal/distribution"
 	"fmt"
 	"net"
@@ -22,7 +23,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// standIn is a discovery: it answers each watch with the whole list, then with what changes.
+// standIn replaces discovery: it answers each watch with the complete list, then with changes.
 type standIn struct {
 	at      string
 	mu      sync.Mutex
@@ -76,7 +77,9 @@
 		time.Sleep(time.Minute)
 		return
 	}
-	fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	if _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+		return
+	}
 	beat := time.NewTicker(300 * time.Millisecond)
 	defer beat.Stop()
 	for {
@@ -95,7 +98,7 @@
 	}
 }
 
-// set changes a host; health "removed" takes it off, as the protocol has it.
+// set changes a host; health "removed" removes it, as in the protocol.
 func (d *standIn) set(host, site, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,7 +116,7 @@
 	}
 }
 
-// cut ends all watches; silent: from now on it takes calls and says nothing.
+// cut ends all watches; silent: from now on it accepts requests and sends nothing.
 func (d *standIn) cut(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -166,9 +169,11 @@
 	return r
 }
 
-func originText(listen, discovery, directory, more string) string {
-	return fmt.Sprintf("name = \"o\"\nrole = \"origin\"\nlisten = %q\n[origin]\ndiscovery = %q\nconfiguration = %q\nevery = \"50ms\"\n%s\n[origin.scope]\nservice = \"cart\"\n"+
-		"[origin.scope.regions]\neu1 = [\"a\", \"b\"]\nus1 = [\"c\"]\n", listen, discovery, directory, more)
+func originText(listen, discovery, directory string) string {
+	return fmt.Sprintf("name = \"o\"\nrole = \"origin\"\nlisten = %q\n"+
+		"[origin]\ndiscovery = %q\nconfiguration = %q\nevery = \"50ms\"\n\n"+
+		"[origin.scope]\nservice = \"cart\"\n"+
+		"[origin.scope.regions]\neu1 = [\"a\", \"b\"]\nus1 = [\"c\"]\n", listen, discovery, directory)
 }
 
 func relayText(name, listen string, scopes []string, upstream ...string) string {
@@ -176,7 +181,7 @@
 	return fmt.Sprintf("name = %q\nrole = \"relay\"\nlisten = %q\nupstream = %s\nscopes = %s\n", name, listen, list(upstream), list(scopes))
 }
 
-// held is what a subscriber holds, and every change that it was told.
+// held is what a subscriber holds, and every change that it received.
 type held struct {
 	*SubscriberSink
 	client  *Client
@@ -184,7 +189,7 @@
 	changes []distribution.Change
 }
 
-func subscribe(t *testing.T, name string, scopes []string, set ClientConfig) *held {
+func subscribe(t *testing.T, scopes []string, config ClientConfig) *held {
 	t.Helper()
 	core, err := distribution.NewSubscriber(Selectors(scopes), distribution.Limits{})
 	if err != nil {
@@ -196,8 +201,8 @@
 		defer h.mu.Unlock()
 		h.changes = append(h.changes, changes...)
 	}, zap.NewNop())
-	set.Name = name
-	h.client = NewClient(set, h, zap.NewNop())
+	config.Name = "n1"
+	h.client = NewClient(config, h, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -253,16 +258,16 @@
 	}
 }
 
-func TestFromDiscoveryThroughTwoLevelsToANode(t *testing.T) {
+func TestDiscoveryToNodeThroughTwoRelays(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h1", "a", "up")
 	d.set("h2", "b", "up")
 	d.set("h3", "c", "up")
 	put(t, dir, "routes.jsonl", `{"scope":"eu1/cart","key":"route/x","body":{"to": "cart"}}`)
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	top := start(t, relayText("top", "127.0.0.1:0", nil, o.Address()))
 	low := start(t, relayText("low", "127.0.0.1:0", []string{"eu1/*"}, top.Address()))
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{low.Address()}})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{low.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2", "eu1/cart route/x")
 	d.set("h1", "a", "draining")
 	d.set("h2", "b", "removed")
@@ -281,17 +286,17 @@
 	})
 }
 
-// While discovery is away nothing is withdrawn, and an origin that starts without a list takes nothing from anybody.
-func TestDiscoveryAwayTakesNothingAway(t *testing.T) {
+// While discovery is away nothing is removed, also not by an origin that starts without a list.
+func TestDiscoveryOutageRemovesNothing(t *testing.T) {
 	d := newStandIn(t)
 	d.set("h1", "a", "up")
 	dir := t.TempDir()
 	put(t, dir, "r.jsonl", `{"scope":"eu1/cart","key":"route/x","body":1}`)
-	text := originText("127.0.0.1:0", d.at, dir, "")
+	text := originText("127.0.0.1:0", d.at, dir)
 	o := start(t, text)
 	at := o.Address()
 	r := start(t, relayText("r", "127.0.0.1:0", nil, at))
-	h := subscribe(t, "n1", []string{"eu1/*"}, ClientConfig{Upstreams: []string{r.Address()}})
+	h := subscribe(t, []string{"eu1/*"}, ClientConfig{Upstreams: []string{r.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h1", "eu1/cart route/x")
 	d.cut(true)
 	soon(t, "a second call", 5*time.Second, func() bool { return o.watch.calls.Load() >= 2 })
@@ -315,16 +320,16 @@
 	h.wait(t, "with discovery back", "eu1/cart endpoint/h2", "eu1/cart route/x", "eu1/cart route/y")
 }
 
-// A relay that starts anew with nothing brings no removals, and nothing twice, while its upstream is away.
-func TestARelayStartedAnewTakesNothingAway(t *testing.T) {
+// A relay that restarts empty while its upstream is away sends no removals, and nothing twice.
+func TestRestartedRelayRemovesNothing(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	for i := range 50 {
 		d.set(fmt.Sprintf("h%02d", i), "a", "up")
 	}
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	r := start(t, relayText("r", "127.0.0.1:0", nil, o.Address()))
 	at := r.Address()
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{at}})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{at}})
 	soon(t, "all fifty", 10*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == 50 })
 	r.end(t)
 	originAt := o.Address()
@@ -336,7 +341,7 @@
 		t.Fatalf("an empty relay took something away: %d left, %d gone", len(keys), h.gone())
 	}
 	d.set("h00", "a", "removed")
-	start(t, originText(originAt, d.at, dir, ""))
+	start(t, originText(originAt, d.at, dir))
 	soon(t, "what is left", 15*time.Second, func() bool { keys, _ := h.keys(); return len(keys) == 49 })
 	if h.gone() != 1 {
 		t.Errorf("%d records gone, expected 1", h.gone())
@@ -344,54 +349,54 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.changes) != 51 {
-		t.Errorf("%d changes told, expected 51: fifty that came, one that went", len(h.changes))
+		t.Errorf("%d changes, expected 51: fifty put, one removed", len(h.changes))
 	}
 }
 
-// Two relays: one dies, one is frozen, and the node goes on with what the origin has.
+// Of two relays one fails and one is stopped, and the node still gets the origin's changes.
 func TestTwoRelays(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h0", "a", "up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	a := start(t, relayText("a", "127.0.0.1:0", nil, o.Address()))
 	b := start(t, relayText("b", "127.0.0.1:0", nil, o.Address()))
-	soon(t, "both relays whole", 10*time.Second, func() bool {
-		whole := true
+	soon(t, "both relays fresh", 10*time.Second, func() bool {
+		fresh := true
 		for _, r := range []*running{a, b} {
-			r.server.Do(func(now int64) { whole = whole && r.isFresh(now) })
+			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) })
 		}
-		return whole
+		return fresh
 	})
 	way, freeze := freezing(t, b.Address())
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), way, b.Address()}})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), way, b.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h0")
 	a.end(t)
 	began := time.Now()
 	d.set("h1", "a", "up")
 	h.wait(t, "by the second", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1")
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("told %v after the first one's death, expected a second at most", took)
+		t.Errorf("received %v after the first one was killed, expected a second at most", took)
 	}
 	freeze()
 	began = time.Now()
 	d.set("h2", "a", "up")
 	h.wait(t, "by the third way", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2")
 	if took := time.Since(began); took > 6*time.Second {
-		t.Errorf("told %v after the second one froze, expected 6 s at most", took)
+		t.Errorf("received %v after the second one was stopped, expected 6 s at most", took)
 	}
 	if h.gone() != 0 || len(h.changes) != 3 {
 		t.Errorf("%d changes, %d of them gone; expected 3 and none", len(h.changes), h.gone())
 	}
 }
 
-// A relay that has nothing, and gets nothing, is left for one that has.
-func TestARelayThatBringsNothingIsLeft(t *testing.T) {
+// A relay that is empty, and receives nothing, is left for another.
+func TestEmptyRelayIsLeft(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h", "a", "up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	empty := start(t, relayText("empty", "127.0.0.1:0", nil, "127.0.0.1:1"))
 	other := start(t, relayText("other", "127.0.0.1:0", nil, "127.0.0.1:1"))
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{empty.Address(), other.Address()}, MaxLag: 500 * time.Millisecond, FailbackDelay: time.Hour})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{empty.Address(), other.Address()}, MaxLag: 500 * time.Millisecond, FailbackDelay: time.Hour})
 	soon(t, "the first relay left", 10*time.Second, func() bool { return h.client.Stats().Lagging >= 2 })
 	at := other.Address()
 	other.end(t)
@@ -399,8 +404,8 @@
 	h.wait(t, "what the other has", "eu1/cart endpoint/h")
 }
 
-// A relay that sends what there is, slowly, is not left, whether all is told or a burst of changes.
-func TestARelayThatSendsAtItsPaceIsNotLeft(t *testing.T) {
+// A relay that sends at its pace is not left, during a snapshot or a burst of changes.
+func TestPacedRelayIsNotLeft(t *testing.T) {
 	const hosts = 150
 	d, dir := newStandIn(t), t.TempDir()
 	set := func(health string) {
@@ -409,17 +414,17 @@
 		}
 	}
 	set("up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	one := start(t, relayText("one", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
 	two := start(t, relayText("two", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
-	soon(t, "both relays whole", 10*time.Second, func() bool {
-		whole := true
+	soon(t, "both relays fresh", 10*time.Second, func() bool {
+		fresh := true
 		for _, r := range []*running{one, two} {
-			r.server.Do(func(now int64) { whole = whole && r.isFresh(now) && r.relay.Stats().Records > hosts })
+			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) && r.relay.Stats().Records > hosts })
 		}
-		return whole
+		return fresh
 	})
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{one.Address(), two.Address()}, MaxLag: 500 * time.Millisecond})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{one.Address(), two.Address()}, MaxLag: 500 * time.Millisecond})
 	soon(t, "all of it", 20*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == hosts })
 	set("draining")
 	soon(t, "the burst", 20*time.Second, func() bool {
@@ -438,10 +443,10 @@
 	}
 }
 
-func TestTheEndIsOrderly(t *testing.T) {
+func TestProcessShutdown(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
-	subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{o.Address()}})
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
+	subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{o.Address()}})
 	soon(t, "a subscriber", 10*time.Second, func() bool { return o.server.Stats().Subscribers == 1 })
 	o.signals <- syscall.SIGUSR1
 	soon(t, "the counters", 5*time.Second, func() bool { return o.logs.FilterMessage("counters asked for").Len() == 1 })
@@ -465,33 +470,44 @@
 		t.Fatal(err)
 	}
 	if _, err := nextEpoch(path, 4000); err == nil || !strings.Contains(err.Error(), "expected a number") {
-		t.Errorf("a spoilt file: %v", err)
+		t.Errorf("an invalid file: %v", err)
 	}
 	if _, err := nextEpoch(filepath.Join(path, "none"), 1); err == nil {
 		t.Error("a file that can't be written gave an epoch")
 	}
 }
 
-// An origin whose clock went back, without a file that keeps the epoch, is not believed; one with it is.
-func TestAnOriginWhoseClockWentBack(t *testing.T) {
+// An origin whose clock was set back is ignored without a file that stores the epoch.
+func TestOriginWithClockSetBack(t *testing.T) {
 	newer, older := distribution.NewOrigin(2000, distribution.Limits{}), distribution.NewOrigin(1000, distribution.Limits{})
-	newer.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte("new"))
-	older.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte("old"))
+	for body, origin := range map[string]*distribution.Origin{"new": newer, "old": older} {
+		if _, err := origin.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte(body)); err != nil {
+			t.Fatal(err)
+		}
+	}
 	serve := func(o *distribution.Origin) (string, *Server) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		s := NewServer(o.Relay(), ServerConfig{}, zap.NewNop())
-		go s.Serve(l)
-		t.Cleanup(func() { l.Close(); s.Close(context.Background()) })
+		served := make(chan error, 1)
+		go func() { served <- s.Serve(l) }()
+		t.Cleanup(func() {
+			l.Close()
+			if err := errors.Join(s.Close(context.Background()), <-served); err != nil {
+				t.Error(err)
+			}
+		})
 		return l.Addr().String(), s
 	}
 	a, first := serve(newer)
 	b, second := serve(older)
-	h := subscribe(t, "n1", []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a, b}})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a, b}})
 	h.wait(t, "at first", "eu1/cart route/x")
-	first.Close(context.Background())
+	if err := first.Close(context.Background()); err != nil {
+		t.Fatal(err)
+	}
 	soon(t, "frames of the older", 10*time.Second, func() bool { return second.Stats().Frames >= 2 })
 	h.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
@@ -502,24 +518,24 @@
 	})
 }
 
-func TestConfigurationFilesCountWholeOrNotAtAll(t *testing.T) {
+func TestConfigurationFilesAreAtomic(t *testing.T) {
 	dir := t.TempDir()
 	core, logs := observer.New(zapcore.WarnLevel)
 	d := newConfigDirectory(dir, zap.New(core))
-	look := func(what string, whole bool, expected ...string) {
+	look := func(what string, complete bool, expected ...string) {
 		t.Helper()
 		changes, is := d.scan()
 		found := []string{}
 		for _, c := range changes {
 			sign := "+"
-			if c.record.Deleted {
+			if c.Deleted {
 				sign = "-"
 			}
-			found = append(found, sign+c.record.Key+string(c.record.Body))
+			found = append(found, sign+c.Key+string(c.Body))
 		}
 		slices.Sort(found)
-		if is != whole || !slices.Equal(found, append([]string{}, expected...)) {
-			t.Errorf("%s: %v %q, expected %v %q", what, is, found, whole, expected)
+		if is != complete || !slices.Equal(found, append([]string{}, expected...)) {
+			t.Errorf("%s: %v %q, expected %v %q", what, is, found, complete, expected)
 		}
 	}
 	look("nothing there", true)
@@ -564,7 +580,7 @@
 	look("no directory", false)
 }
 
-func TestAllComplaintsAtOnce(t *testing.T) {
+func TestConfigReportsAllMistakes(t *testing.T) {
 	_, err := ParseConfig("r.toml", []byte("name = \"\"\nrole = \"relay\"\nlisten = \"here\"\nupstream = [\"x\", \"127.0.0.1:1\", \"127.0.0.1:1\"]\nscopes = [\"a*b\"]\npace = 5\nwhat = 1\n[limits]\nrecords = -1\n[origin]\n"))
 	if err == nil {
 		t.Fatal("no complaint")
@@ -606,26 +622,26 @@
 	}
 }
 
-// A host's scope comes from its site and its name; one that has none is passed over and takes nothing else with it.
+// A host's scope comes from its site and its name; one that has none is skipped, and nothing else is.
 func TestScopesOfHosts(t *testing.T) {
-	s := ScopeRule{ServiceFrom: "host", sites: map[string]string{"a": "eu1"}}
+	s := ScopeRule{ServiceFrom: "host", regionOf: map[string]string{"a": "eu1"}}
 	for in, expected := range map[[2]string]string{{"svc-12-h7", "a"}: "eu1/svc-12", {"h7", "a"}: "", {"svc-1", "z"}: "", {"-1", "a"}: ""} {
 		if got := s.scopeOf(in[0], in[1]); got != expected {
 			t.Errorf("%q: %q, expected %q", in, got, expected)
 		}
 	}
-	s = ScopeRule{Service: "cart", Region: "far", sites: map[string]string{"a": "eu1"}}
+	s = ScopeRule{Service: "cart", Region: "far", regionOf: map[string]string{"a": "eu1"}}
 	if a, z := s.scopeOf("h", "a"), s.scopeOf("h", "z"); a != "eu1/cart" || z != "far/cart" {
 		t.Errorf("%q, %q", a, z)
 	}
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h1", "a", "up")
 	d.set("h2", "unknown", "up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir, ""))
-	h := subscribe(t, "n1", []string{"*"}, ClientConfig{Upstreams: []string{o.Address()}})
+	o := start(t, originText("127.0.0.1:0", d.at, dir))
+	h := subscribe(t, []string{"*"}, ClientConfig{Upstreams: []string{o.Address()}})
 	h.wait(t, "at first", "eu1/cart endpoint/h1", "origin list/discovery")
 	if o.watch.skipped.Load() != 1 {
-		t.Errorf("%d entries passed over, expected 1", o.watch.skipped.Load())
+		t.Errorf("%d entries skipped, expected 1", o.watch.skipped.Load())
 	}
 	d.set("h1", "a", "removed")
 	h.wait(t, "after that", "origin list/discovery")
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// BenchmarkPut is durable writes of 100 bytes by so many writers at once, on the disk of the test's directory.
+// BenchmarkPut measures durable writes of 100 bytes by several writers at once, on the disk of the test's directory.
 func BenchmarkPut(b *testing.B) {
 	for _, writers := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint(writers), func(b *testing.B) {
@@ -17,7 +17,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer s.Close()
+			defer closeStore(b, s)
 			value := make([]byte, 100)
 			var next atomic.Int64
 			var all sync.WaitGroup
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkOpen recovers a store of so many keys, and tells the memory that it then takes.
+// BenchmarkOpen measures recovery by the number of keys, and the memory that the store then takes.
 func BenchmarkOpen(b *testing.B) {
 	for _, keys := range []int{1000, 100000, 1000000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
@@ -56,7 +56,7 @@
 					b.Fatal(err)
 				}
 			}
-			s.Close()
+			closeStore(b, s)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -69,7 +69,7 @@
 				b.StopTimer()
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				s.Close()
+				closeStore(b, s)
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(1<<20), "MB")
@@ -77,14 +77,14 @@
 	}
 }
 
-// BenchmarkOverwrite writes the same thousand keys over and over; what the log takes, over what stands, is the space
-// amplification, and all that was written, over what was asked for, that of writing.
+// BenchmarkOverwrite overwrites the same thousand keys, and reports the space amplification: the log's size over the
+// live bytes.
 func BenchmarkOverwrite(b *testing.B) {
 	s, _, err := Open(b.TempDir(), Options{SegmentBytes: 256 << 10})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer s.Close()
+	defer closeStore(b, s)
 	value := make([]byte, 1000)
 	most, start := 0.0, time.Now()
 	for i := range b.N {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,7 +13,8 @@
 	"testing"
 )
 
-// disk is a directory that tells what was made durable from what was only written, fails when told to, and can crash.
+// disk is a directory in memory that keeps what was synced apart from what was only written, fails on demand and can
+// crash.
 type disk struct {
 	mu      sync.Mutex
 	now     map[string]*memFile // as a running program sees it
@@ -22,7 +23,6 @@
 	failAt  int // from this step on everything fails; 0: never
 	full    int // bytes that writes may still take; -1: no bound
 	noSync  bool
-	held    bool
 }
 
 type memFile struct {
@@ -37,7 +37,7 @@
 	return &disk{now: map[string]*memFile{}, durable: map[string]*memFile{}, full: -1}
 }
 
-// step counts one thing that the store asks for; the lock is held.
+// step counts an operation of the store; the lock is held.
 func (d *disk) step() error {
 	d.steps++
 	if d.failAt > 0 && d.steps >= d.failAt {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// crash is the disk after the power went: of what was not made durable, names and bytes, a part chosen by draw.
+// crash returns the disk after a power loss: of names and bytes that were not synced it holds a random part.
 func (d *disk) crash(draw *rand.Rand) *disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -199,7 +199,21 @@
 	return s, r
 }
 
-// history writes batches of puts and deletes; states[i] is what stands after i of them.
+func put(t *testing.T, s *Store, key string, value []byte) {
+	t.Helper()
+	if err := s.Put(key, value); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func closeStore(t testing.TB, s *Store) {
+	t.Helper()
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// history writes batches of puts and deletes; states[i] is the content after i of them.
 func history(t *testing.T, s *Store, n int, draw *rand.Rand) (states []map[string]string) {
 	t.Helper()
 	state := map[string]string{}
@@ -228,23 +242,22 @@
 	return slices.IndexFunc(states, func(s map[string]string) bool { return maps.Equal(s, got) })
 }
 
-// A log cut off at any byte comes back as it stood after its last whole batch, and goes on from there.
-func TestCutOffAtEveryByte(t *testing.T) {
+// A log that is cut off at any byte is recovered up to its last whole batch, and can be written again.
+func TestTornWriteAtEveryByte(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
 	states := history(t, s, 40, rand.New(rand.NewPCG(1, 1)))
-	s.Close()
-	whole := d.now[segmentName(1)].data
+	closeStore(t, s)
+	log := d.now[segmentName(1)].data
 	ends := []int{fixedHeaderBytes}
-	if _, err := scan(segmentName(1), whole, true, func(_ uint64, at int64, _ []operation) {
-		n, _, _ := decodeFrame(whole[at:])
-		ends = append(ends, int(at)+n)
+	if _, err := scan(segmentName(1), log, true, func(at int64, f frame) {
+		ends = append(ends, int(at)+f.length)
 	}); err != nil {
 		t.Fatal(err)
 	}
-	for cut := range len(whole) + 1 {
+	for cut := range len(log) + 1 {
 		d := newDisk()
-		d.now[segmentName(1)] = &memFile{d: d, data: slices.Clone(whole[:cut])}
+		d.now[segmentName(1)] = &memFile{d: d, data: slices.Clone(log[:cut])}
 		s, r := open(t, d, Options{ManualCompaction: true})
 		want := 0
 		for want+1 < len(ends) && ends[want+1] <= cut {
@@ -254,25 +267,25 @@
 			t.Fatalf("cut at %d: %v, want the state after %d batches, %v", cut, got, want, states[want])
 		}
 		if kept := ends[want]; cut > kept && r.TruncatedBytes != int64(cut-kept) {
-			t.Fatalf("cut at %d: %d bytes told as dropped, want %d", cut, r.TruncatedBytes, cut-kept)
+			t.Fatalf("cut at %d: %d bytes reported as truncated, want %d", cut, r.TruncatedBytes, cut-kept)
 		}
 		if err := s.Put("after", []byte("x")); err != nil {
 			t.Fatal(err)
 		}
-		s.Close()
+		closeStore(t, s)
 		if s, r := open(t, d, Options{}); contents(t, s)["after"] != "x" || r.TruncatedBytes != 0 {
 			t.Fatalf("cut at %d: what was written afterwards is gone", cut)
 		}
 	}
 }
 
-// Any byte that is wrong is refused with its place, or was in the last batch, which might have been a crash's; nothing
-// is ever made up.
-func TestEveryByteWrong(t *testing.T) {
+// A corrupted byte is reported with its place, or was in the last batch, which may be a torn write; no content is ever
+// invented.
+func TestEveryByteCorrupted(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true, SegmentBytes: 400})
 	states := history(t, s, 30, rand.New(rand.NewPCG(2, 2)))
-	s.Close()
+	closeStore(t, s)
 	names, _ := d.List()
 	refused := 0
 	for _, name := range names {
@@ -307,9 +320,9 @@
 	}
 }
 
-// The power goes at every step of a day with compactions: what was acknowledged stands, what was not stands whole or
-// not at all, and what was removed does not come back.
-func TestPowerGoesAtEveryStep(t *testing.T) {
+// After a power loss at any step, also of a compaction, all that was acknowledged is there, what was not is there as
+// a whole batch or not at all, and what was deleted does not come back.
+func TestPowerLossAtEveryStep(t *testing.T) {
 	play := func(d *disk, seed uint64) (acknowledged, perhaps map[string]string) {
 		draw := rand.New(rand.NewPCG(seed, 3))
 		acknowledged = map[string]string{}
@@ -340,12 +353,12 @@
 		}
 		return acknowledged, acknowledged
 	}
-	whole := newDisk()
-	play(whole, 1)
-	if whole.steps < 120 {
-		t.Fatalf("%d steps, too few to prove anything", whole.steps)
+	complete := newDisk()
+	play(complete, 1)
+	if complete.steps < 120 {
+		t.Fatalf("%d steps, too few to prove anything", complete.steps)
 	}
-	for at := 1; at <= whole.steps+1; at++ {
+	for at := 1; at <= complete.steps+1; at++ {
 		for seed := range uint64(3) {
 			d := newDisk()
 			d.failAt = at
@@ -396,20 +409,20 @@
 	if v, found, _ := s.Get("c"); !found || string(v) != "3" {
 		t.Error("a read-only store cannot be read")
 	}
-	s.Close()
+	closeStore(t, s)
 	again, _ := open(t, d.crash(rand.New(rand.NewPCG(1, 1))), Options{})
 	if got := contents(t, again); got["a"] != "1" || got["c"] != "3" || got["b"] != "" || got["e"] != "" {
 		t.Errorf("after it all: %v", got)
 	}
 }
 
-// Many write at once; a snapshot stands still meanwhile, and compaction goes on by itself.
+// Several writers at once, with compactions: a snapshot does not change meanwhile.
 func TestWritersReadersCompaction(t *testing.T) {
 	s, _, err := Open(t.TempDir(), Options{SegmentBytes: 8 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Put("still", []byte("here"))
+	put(t, s, "still", []byte("here"))
 	snap := s.Snapshot()
 	var all sync.WaitGroup
 	for w := range 8 {
@@ -426,25 +439,31 @@
 			}
 		})
 	}
-	s.Put("still", []byte("changed"))
-	s.Delete("still")
+	put(t, s, "still", []byte("changed"))
+	if err := s.Delete("still"); err != nil {
+		t.Error(err)
+	}
 	all.Wait()
 	if snap.Len() != 1 {
 		t.Errorf("a snapshot of one key has %d", snap.Len())
 	}
-	snap.Each("", func(k string, v []byte) bool {
+	if err := snap.Each("", func(k string, v []byte) bool {
 		if string(v) != "here" {
 			t.Errorf("a snapshot has changed: %s %s", k, v)
 		}
 		return true
-	})
+	}); err != nil {
+		t.Error(err)
+	}
 	snap.Release()
 	if got := contents(t, s); len(got) != 40 || !strings.HasPrefix(got["w3/4"], "149") {
 		t.Errorf("%d keys, %.20q", len(got), got["w3/4"])
 	}
 	n := 0
 	again := s.Snapshot()
-	again.Each("w3/", func(string, []byte) bool { n++; return true })
+	if err := again.Each("w3/", func(string, []byte) bool { n++; return true }); err != nil {
+		t.Error(err)
+	}
 	again.Release()
 	if n != 5 {
 		t.Errorf("%d keys under a prefix, want 5", n)
@@ -460,54 +479,58 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(path, Options{}); err == nil || !strings.Contains(err.Error(), "held by another") {
+	if _, _, err := Open(path, Options{}); !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), path) {
 		t.Errorf("opened twice: %v", err)
 	}
-	s.Put("a", []byte("1"))
+	put(t, s, "a", []byte("1"))
 	if r, found, err := Open(path, Options{ReadOnly: true}); err != nil || found.Keys != 1 || !errors.Is(r.Put("b", nil), ErrReadOnly) {
 		t.Errorf("looked at beside its holder: %v %v", found, err)
 	}
-	s.Close()
+	closeStore(t, s)
 	name := filepath.Join(path, segmentName(1))
 	b, _ := os.ReadFile(name)
 	newer := slices.Clone(b)
-	newer[len(magic)] = version + 1
-	os.WriteFile(name, newer, 0o600)
+	newer[len(magic)] = formatVersion + 1
+	if err := os.WriteFile(name, newer, 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if _, _, err := Open(path, Options{}); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("from a newer version: %v", err)
 	}
 	file := filepath.Join(t.TempDir(), "f")
-	os.WriteFile(file, nil, 0o600)
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if _, _, err := Open(file, Options{}); err == nil {
 		t.Error("a file was opened as a directory")
 	}
 }
 
-// What can be read round a damage comes over whole, and the damaged directory stays as it was.
+// A repair copies all batches around a corrupted one, and leaves the damaged directory as it was.
 func TestRepair(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
 	for i := range 10 {
-		s.Put(fmt.Sprint("k", i), []byte("value"))
+		put(t, s, fmt.Sprint("k", i), []byte("value"))
 	}
-	s.Close()
+	closeStore(t, s)
 	data := d.now[segmentName(1)].data
 	data[len(data)/2] ^= 1
 	before := slices.Clone(data)
 	var damage *CorruptionError
 	if _, _, err := OpenDirectory(d, Options{}); !errors.As(err, &damage) || damage.BatchesAfter < 3 || damage.Offset == 0 {
-		t.Fatalf("%v, want the damage told", err)
+		t.Fatalf("%v, want the corruption reported", err)
 	}
 	to := newDisk()
-	batches, lost, err := Repair(d, to)
-	if err != nil || batches != 9 || lost == 0 || !slices.Equal(before, data) {
-		t.Fatalf("%d batches, %d bytes lost, %v", batches, lost, err)
+	repaired, err := Repair(d, to)
+	if err != nil || repaired.Batches != 9 || repaired.LostBytes == 0 || !slices.Equal(before, data) {
+		t.Fatalf("%+v, %v", repaired, err)
 	}
 	out, _ := open(t, to, Options{})
 	if got := contents(t, out); len(got) != 9 {
 		t.Errorf("%d keys came over, want nine", len(got))
 	}
-	if _, _, err := Repair(d, to); err == nil {
-		t.Error("repaired into a store that is there")
+	if _, err := Repair(d, to); !errors.Is(err, ErrNotEmpty) {
+		t.Errorf("repaired into a store that is there: %v", err)
 	}
 }
