--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Guards against overload of work that earns next to nothing holding up what earns fifty times as much.
-func TestClassThatEarnsLittleGivesUpTime(t *testing.T) {
+// Guards against overload of work with hardly any priority weight holding up work with fifty times as much.
+func TestClassOfLowPriorityGetsLessTime(t *testing.T) {
 	for worst, kept := range map[float64]time.Duration{0.2: 225, 0.4: 400} { // of 400 ms, with half rejected
 		b := newTestFleet(t, 2, func(s *Settings) {
 			s.WorstClassWeight, s.WeightByWork = worst, true
@@ -115,7 +115,7 @@
 			t.Errorf("where the worst weighs %g it may take %d ms, want %d", worst, got/ms, kept)
 		}
 		if got := b.allow(&request{Request: Request{Class: 2}, effectiveDeadline: b.now + 400*ms}); got != 400*ms {
-			t.Errorf("what earns most may take %d of 400 ms", got/ms)
+			t.Errorf("the class with the highest priority weight may take %d of 400 ms", got/ms)
 		}
 	}
 }
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -53,7 +53,8 @@
 	return 1
 }
 
-// learnHomeWork takes in an answer that took so long at a home, where it was expected to take so long.
+// learnHomeWork updates homeWorkFactor by the latency of an answer at a home and the latency that was expected, which
+// has the factor in it already.
 func (a *affinity) learnHomeWork(tookNanos, expectedNanos float64) {
 	sample := min(tookNanos*a.homeWorkFactor/expectedNanos, maxHomeWorkSample)
 	a.homeWorkFactor += (sample - a.homeWorkFactor) / homeWorkWindow
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -21,8 +21,12 @@
 	"time"
 )
 
-// tickInterval is the time between two runs of the periodic work.
-const tickInterval = time.Second
+const (
+	// tickInterval is the time between two runs of the periodic work.
+	tickInterval = time.Second
+	// gossipInterval is the shortest time between two gossip messages for one cause.
+	gossipInterval = time.Second
+)
 
 // Numbers of the timers that belong to no request; the timers of requests follow.
 const (
@@ -241,5 +245,3 @@
 		b.effects.Gossip(message)
 	}
 }
-
-const gossipInterval = time.Second
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestPollBackoffGrows(t *testing.T) {
+func TestWatchBackoffGrows(t *testing.T) {
 	p := New(Settings{MustPollList: true, MaxPollInterval: 10e9}, 1, &recorder{})
 	last := time.Duration(10e9 / 128)
 	for range 10 {
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -29,7 +29,8 @@
 	// highLatencyQuantile is the quantile of the latency for each unit of work by which an endpoint is overdue or
 	// silent.
 	highLatencyQuantile = 0.95
-	// initialHighLatency is what it is taken for, over one answer or over the work alone.
+	// initialHighLatency is that quantile until it is learned: over an endpoint's first answer, and for the fleet over
+	// the work alone.
 	initialHighLatency = 2
 	// maxHighLatencyFactor bounds the high quantile of an endpoint, over that of its healthy peers.
 	maxHighLatencyFactor = 2
@@ -113,7 +114,7 @@
 	return cmp.Or(work, e.MeanWork, 1) / cmp.Or(e.MeanWork, work, 1)
 }
 
-// worstSuccessRate is the success rate of the class that fares worst.
+// worstSuccessRate is the success rate of the class that does worst.
 func (e *estimator) worstSuccessRate() float64 {
 	worst := slices.MinFunc(e.classes, func(a, b estimates.ClassEstimates) int {
 		return cmp.Compare(a.SuccessRate, b.SuccessRate)
@@ -144,13 +145,13 @@
 
 // observeMeanWork learns from the work of a request that was answered.
 func (e *estimator) observeMeanWork(work float64) {
-	// Guards against other classes being compared with next to nothing.
+	// The first answer counts in full. Guards against other classes being compared with next to nothing.
 	e.MeanWork = cmp.Or(e.MeanWork, work)
 	e.MeanWork += (work - e.MeanWork) / meanWorkWindow
 }
 
-// withoutZoneDelay takes off a latency what answers of the zone take however little the work, and learns it. Guards
-// against requests with little work making another zone look slow.
+// withoutZoneDelay subtracts from a latency the delay of the endpoint's zone, and learns that delay. Guards against
+// requests with little work making another zone look slow.
 func (e *estimator) withoutZoneDelay(a *attempt, tookNanos float64) float64 {
 	zone := a.endpoint.Zone
 	beyondWork := tookNanos - a.work
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -64,8 +64,9 @@
 	}
 }
 
-// wasActiveAfter reports whether an endpoint has shown after a moment that it works, or got an attempt with nothing in
-// flight. With an attempt in flight since that moment only the first can be, unless its body was still coming.
+// wasActiveAfter reports whether an endpoint has shown after a moment that it works. It is asked for moments at which
+// an attempt was sent to it; while that is in flight a further send does not count (endpoint.lastActiveAt), unless the
+// body of the attempt is still coming, as it is then not counted as in flight.
 func (ep *endpoint) wasActiveAfter(at Time) bool { return ep.lastActiveAt > at }
 
 // observeUnansweredDelay notes for the request's class and tenant that an attempt is late by an unknown time, unless
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -29,7 +29,7 @@
 	arrivals        int         // requests since the last tick
 }
 
-// updateSubset chooses the members anew.
+// updateSubset chooses the members again, by rank, and closes the connections to those that are none any more.
 func (b *Balancer) updateSubset(now Time) {
 	b.subset.resize(b.endpoints.countActive(), max(b.settings.NodeCount, 1))
 	s := &b.subset
@@ -99,7 +99,7 @@
 	}
 }
 
-// updateRequestRate takes in the second that has ended.
+// updateRequestRate adds the second that has ended to the average.
 func (s *subset) updateRequestRate() {
 	s.requestRate += (float64(s.arrivals) - s.requestRate) / requestRateWindow
 	s.arrivals = 0
