--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -4,13 +4,13 @@
 
 import "slices"
 
-// Pace decides when a further call is opened beside those that wait, and which of two is given up for a third. Discovery
-// answers calls in turn, also those that were given up, and a node that calls anew begins at the end of the queue: so
-// the call that waits longest is kept, unless discovery may never have received it.
+// Pace decides when a further call is opened beside those that wait, and which of two is given up for a third.
+// Discovery answers calls in turn, also those that were given up, and a node that calls anew begins at the end of the
+// queue: so the call that waits longest is kept, unless discovery may never have received it.
 //
-// Gaps between calls: the second call comes after the first gap. The gaps after it are short for as long as most outages
-// last (14 s with a gap of 3 s), as a list binds 6 s after discovery could be reached and all calls may have gone to a
-// machine that has vanished. Then they double, as each call costs a slow discovery another turn.
+// Gaps between calls: the second call comes after the first gap. The gaps after it are short for as long as most
+// outages last (14 s with a gap of 3 s), as a list binds 6 s after discovery could be reached and all calls may have
+// gone to a machine that has vanished. Then they double, as each call costs a slow discovery another turn.
 //
 // Times are nanoseconds of any one clock. A Pace is not safe for concurrent use.
 type Pace struct {
@@ -36,7 +36,8 @@
 	maxGapFactor = 256
 )
 
-// gapFactors are the gaps from the second call to the third and so on, in multiples of Pace.gap; after them they double.
+// gapFactors are the gaps from the second call to the third and so on, in multiples of Pace.gap; after them they
+// double.
 var gapFactors = []float64{1, 4. / 3, 4. / 3}
 
 type call struct {
@@ -100,7 +101,8 @@
 	p.retryBackoff = min(2*p.retryBackoff, max(maxRetryBackoff, p.retryInterval))
 }
 
-// CallEnded takes in a call that discovery has ended, or whose response was an error. It tells whether another is out.
+// CallEnded takes in a call that discovery has ended, or whose response was an error. It reports whether another is
+// out.
 func (p *Pace) CallEnded(id int) (others bool) {
 	p.calls = slices.DeleteFunc(p.calls, func(c call) bool { return c.id == id })
 	return len(p.calls) > 0
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -1,7 +1,5 @@
 package discovery
 
-// This file owns the tests of the pace of calls, in a time of its own.
-
 import (
 	"math/rand/v2"
 	"testing"
@@ -13,8 +11,8 @@
 	again = 200 * ms
 )
 
-// world is a discovery and one node's calls to it, on a clock that jumps from one thing to the next.
-type world struct {
+// simulation is a discovery and one node's calls to it in simulated time.
+type simulation struct {
 	pace   *Pace
 	now    int64
 	last   int
@@ -24,8 +22,8 @@
 	answer func(now, made int64) bool // whether a call that was made then is answered by now
 }
 
-// play goes on until a call is answered, or to the end, and tells when and after how many calls.
-func (w *world) play(end int64) (answered int64, calls int) {
+// run runs until a call is answered, or to the end, and returns when that was and after how many calls.
+func (w *simulation) run(end int64) (answered int64, calls int) {
 	if w.out = map[int]int64{}; w.reach == nil {
 		w.reach = func(int64) bool { return true }
 	}
@@ -42,7 +40,7 @@
 			if len(w.pace.calls) == 0 {
 				return -1, w.last
 			}
-			w.now += second // a dial that nobody answers
+			w.now += second // a dial without an answer
 			w.pace.DialFailed(w.now)
 			continue
 		}
@@ -56,46 +54,46 @@
 	return -1, w.last
 }
 
-// However long the queue is, a call that waits in it gets to its turn, at a cost that grows far slower than the wait.
-func TestACallGetsToItsTurn(t *testing.T) {
+// However long the queue is, a call that waits in it is answered, at a cost that grows far slower than the wait.
+func TestWaitingCallIsAnswered(t *testing.T) {
 	for wait, most := range map[int64]int{1: 1, 2900: 1, 4000: 2, 6500: 3, 9900: 3, 20000: 5, 59000: 7, 600000: 11} {
-		w := &world{pace: NewPace(0, gap, gap, again), answer: func(now, made int64) bool { return now-made >= wait*ms }}
-		if at, calls := w.play(1000 * second); at < wait*ms || at > (wait+10)*ms || calls > most || w.most > MaxCalls {
+		w := &simulation{pace: NewPace(0, gap, gap, again), answer: func(now, made int64) bool { return now-made >= wait*ms }}
+		if at, calls := w.run(1000 * second); at < wait*ms || at > (wait+10)*ms || calls > most || w.most > MaxCalls {
 			t.Errorf("a turn after %d ms: answered at %d ms with %d calls, %d at a time; want at once and %d at most", wait, at/ms, calls, w.most, most)
 		}
 	}
-	// The first call may have been lost where nobody noticed: one of the others gets to its turn all the same.
-	w := &world{pace: NewPace(0, gap, gap, again), answer: func(now, made int64) bool { return now-made >= 30*second && made > 0 }}
-	if at, calls := w.play(200 * second); at < 0 || at > 100*second || calls > 9 {
+	// The first call may be lost without an error: one of the others is answered all the same.
+	w := &simulation{pace: NewPace(0, gap, gap, again), answer: func(now, made int64) bool { return now-made >= 30*second && made > 0 }}
+	if at, calls := w.run(200 * second); at < 0 || at > 100*second || calls > 9 {
 		t.Errorf("the first call is never answered: %d ms, %d calls", at/ms, calls)
 	}
 }
 
-// A machine that vanishes leaves connections open and silent, whether or not anybody tried to reach it meanwhile: what it has is told
-// 6 s after it can be reached again, by a discovery that answers within 1.5 s.
-func TestAMachineThatVanishes(t *testing.T) {
+// A machine that vanishes leaves connections open and silent, whether or not a dial has failed meanwhile: a call is
+// answered within 6 s after it can be reached again, by a discovery that answers within 1.5 s.
+func TestMachineThatVanishes(t *testing.T) {
 	draws := rand.New(rand.NewPCG(3, 4))
 	for range 4000 {
-		gone := draws.Int64N(12 * second) // whatever was open by then is silent for ever
+		gone := draws.Int64N(12 * second) // whatever is open by then stays silent
 		back := gone + draws.Int64N(8*second)
 		first := []int64{gap, 2 * second}[draws.IntN(2)]
 		queue := draws.Int64N(1500 * ms)
-		w := &world{
+		w := &simulation{
 			pace: NewPace(0, first, gap, again), reach: func(now int64) bool { return now < gone || now >= back },
 			answer: func(now, made int64) bool { return made >= back && now-made >= queue },
 		}
 		if gone == 0 {
 			continue // then no call is out
 		}
-		at, calls := w.play(40 * second)
+		at, calls := w.run(40 * second)
 		if at < 0 || at-back > 6*second || calls > 8 || w.most > MaxCalls {
-			t.Fatalf("gone at %d ms, back at %d, a queue of %d: told %d ms after, %d calls, %d at a time", gone/ms, back/ms, queue/ms, (at-back)/ms, calls, w.most)
+			t.Fatalf("gone at %d ms, back at %d, a queue of %d: answered %d ms after, %d calls, %d at a time", gone/ms, back/ms, queue/ms, (at-back)/ms, calls, w.most)
 		}
 	}
 }
 
-// Where discovery can't be reached at all, tries are a second apart at most, dials aside, and whoever waits since before gives way first.
-func TestWhoeverWaitsSinceBeforeGivesWay(t *testing.T) {
+// While discovery can't be reached, dials are a second apart at most, and calls from before are replaced first.
+func TestCallsFromBeforeAnOutageAreReplacedFirst(t *testing.T) {
 	p := NewPace(0, gap, gap, again)
 	p.ConnectionOpened(0, 1)
 	p.ConnectionOpened(3*second, 2)
@@ -107,28 +105,28 @@
 		now = p.Due() + second
 	}
 	if old, any := p.ConnectionOpened(now, 3); !any || old != 1 {
-		t.Errorf("%d gave way, %t", old, any)
+		t.Errorf("%d was replaced, %t", old, any)
 	}
 	if old, any := p.ConnectionOpened(now+gap, 4); !any || old != 2 {
-		t.Errorf("%d gave way, %t", old, any)
+		t.Errorf("%d was replaced, %t", old, any)
 	}
 	if old, any := p.ConnectionOpened(now+2*gap, 5); !any || old != 4 {
-		t.Errorf("%d gave way, %t; the one with more of its turn behind it stays", old, any)
+		t.Errorf("%d was replaced, %t; the one that has waited longer stays", old, any)
 	}
 	if !p.CallEnded(5) || p.CallEnded(3) {
-		t.Error("who is out")
+		t.Error("the wrong calls are out")
 	}
-	// One try that fails is no proof: the crowd at the door may be why.
+	// One dial that fails may be due to load.
 	p = NewPace(0, gap, gap, again)
 	p.ConnectionOpened(0, 1)
 	p.DialFailed(gap)
 	p.ConnectionOpened(gap+second, 2)
 	if old, _ := p.ConnectionOpened(2*gap, 3); old != 2 {
-		t.Errorf("%d gave way after one try that failed", old)
+		t.Errorf("%d was replaced after one dial that failed", old)
 	}
 }
 
-// fleet is many nodes before a discovery that works calls in turn, one at a time, also those that were given up.
+// fleet is many nodes before a discovery that answers calls in turn, one at a time, also those that were given up.
 func fleet(nodes int, cost, up int64, keeps bool) (ready []int64, calls int) {
 	type made struct {
 		node, id int
@@ -149,7 +147,7 @@
 			}
 			last[i]++
 			calls++
-			if !keeps { // as it was: the one that waits is given up for the next
+			if !keeps { // the call that waits is given up for the next, for comparison
 				for id := range out[i] {
 					p.CallEnded(id)
 					delete(out[i], id)
@@ -177,9 +175,9 @@
 	return ready, calls
 }
 
-// Many nodes that start together before a discovery that works calls in turn, also those given up, are ready as soon as it can answer a
-// call of each; the calls that it has beside those stay few.
-func TestAFleetBeforeAQueue(t *testing.T) {
+// Many nodes that start together before a discovery that answers calls in turn, also those given up, are ready as soon
+// as it can answer one of each; further calls stay few.
+func TestFleetBeforeASlowDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
 		cost  int64
@@ -210,8 +208,8 @@
 	}
 }
 
-// Once a head is there a word is due, however far apart calls are by then.
-func TestAHeadWithoutAWord(t *testing.T) {
+// Once a head has come its body is due, however far apart calls are by then.
+func TestHeadWithoutABody(t *testing.T) {
 	p, now := NewPace(0, gap, gap, again), int64(0)
 	for id := range 9 {
 		now = p.Due()
--- a/internal/endpointgossip/exchange.go
+++ b/internal/endpointgossip/exchange.go
@@ -60,7 +60,7 @@
 	ResponsesWithheld int64 `json:"held"` // beyond maxResponsesPerTick
 	Invalid           int64 `json:"bad"`  // messages
 	Accepted          int64 `json:"taken"`
-	Unconfirmed       int64 `json:"doubted"` // lists that would have removed most endpoints on one node's word
+	Unconfirmed       int64 `json:"doubted"` // lists that would have removed most endpoints with too few witnesses
 }
 
 // Exchange is one node's part in the exchange of endpoint lists.
@@ -90,8 +90,8 @@
 	counters        Counters
 }
 
-// New begins with the list that the node remembers, which may be empty. watchResumes: the node's watch goes on from that
-// list. now is in Unix nanoseconds of the node's clock, which never goes back while the node runs.
+// New begins with the list that the node remembers, which may be empty. watchResumes: the node's watch goes on from
+// that list. now is in Unix nanoseconds of the node's clock, which never goes back while the node runs.
 func New(
 	seed uint64, transport Transport, now, version int64, remembered []Endpoint, watchResumes bool,
 ) *Exchange {
--- a/internal/endpointgossip/exchange_test.go
+++ b/internal/endpointgossip/exchange_test.go
@@ -457,8 +457,9 @@
 	}
 }
 
-// TestOrderOfResponsesDoesNotMatter draws versions, drains and starts, and the order in which nodes receive them. All drains
-// together leave half of the endpoints: lists of one version that differ by more need witnesses, in the order they come.
+// TestOrderOfResponsesDoesNotMatter draws versions, drains and starts, and the order in which nodes receive them. All
+// drains together leave half of the endpoints: lists of one version that differ by more need witnesses, in the order
+// they come.
 func TestOrderOfResponsesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		watches := rapid.IntRange(1, 4).Draw(r, "watches")
--- a/internal/endpointgossip/list.go
+++ b/internal/endpointgossip/list.go
@@ -80,7 +80,7 @@
 	return l.endpoints
 }
 
-// is tells whether a list is the one of a version and digest.
+// is reports whether a list is the one of a version and digest.
 func (l *list) is(version int64, digest uint64) bool {
 	return l.version == version && l.digest == digest
 }
--- a/internal/endpointgossip/merge.go
+++ b/internal/endpointgossip/merge.go
@@ -62,7 +62,8 @@
 	return activeCount(next)*minUsableShare < activeCount(current)
 }
 
-// markNewAsStarted counts endpoints that are new in a list as just started, and others as started no earlier than known.
+// markNewAsStarted counts endpoints that are new in a list as just started, and others as started no earlier than
+// known.
 func (e *Exchange) markNewAsStarted(used, known []Endpoint) {
 	startedNs := map[string]int64{}
 	for _, endpoint := range known {
--- a/internal/endpointgossip/message.go
+++ b/internal/endpointgossip/message.go
@@ -14,8 +14,8 @@
 	headAlone = -1 // as a page: the response carries no endpoints
 )
 
-// message is a request or a response, as CBOR with whole-number keys. Unknown fields are ignored, so that later versions
-// can add some; a key is never reused.
+// message is a request or a response, as CBOR with whole-number keys. Unknown fields are ignored, so that later
+// versions can add some; a key is never reused.
 type message struct {
 	Kind        kind       `cbor:"1,keyasint"`
 	Version     int64      `cbor:"2,keyasint"`
--- a/internal/endpointgossip/request.go
+++ b/internal/endpointgossip/request.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// isAheadOf tells whether a request shows that its sender has a better list.
+// isAheadOf reports whether a request shows that its sender has a better list.
 func (m *message) isAheadOf(l *list) bool {
 	if len(m.WantPages) > 0 || m.Digest == 0 {
 		return false
@@ -98,7 +98,7 @@
 	}
 }
 
-// preferred tells whether a list is rather gathered than another.
+// preferred reports whether a list is rather gathered than another.
 func preferred(candidate, other *message) bool {
 	if candidate.Remembered != other.Remembered {
 		return other.Remembered
--- a/internal/endpointlist/flat.go
+++ b/internal/endpointlist/flat.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// A fast parser for an entry as discovery usually writes it: a flat object without escapes in its strings, each field of
-// its own kind. Any other entry is left to encoding/json.
+// A fast parser for an entry as discovery usually writes it: a flat object without escapes in its strings, each field
+// of its own kind. Any other entry is left to encoding/json.
 
 const (
 	maxInterned      = 256 // strings, and bytes of one
@@ -133,7 +133,7 @@
 
 var fieldNames = []string{"host", "dial", "site", "health", "block", "share", "born_ms"}
 
-// isUnknownField tells whether a name is that of no field; encoding/json ignores the case of names.
+// isUnknownField reports whether a name is that of no field; encoding/json ignores the case of names.
 func isUnknownField(name []byte) bool {
 	for _, field := range fieldNames {
 		if len(field) == len(name) && bytes.EqualFold(name, []byte(field)) {
--- a/internal/endpointlist/golden_test.go
+++ b/internal/endpointlist/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestGoldenList holds a written list to discovery's form, and the reading of one as discovery writes it.
+// TestGoldenList compares an encoded list with discovery's form, and parses one as discovery writes it.
 func TestGoldenList(t *testing.T) {
 	entries := []Entry{{Name: "s-1", Address: "127.0.0.1:80", Zone: "a", Pod: 3, State: "draining", Weight: 1.5, StartedMs: 1_700_000_000_123}, {Name: "s-2", State: "removed"}}
 	golden.Check(t, "list.json", Encode(9, entries))
--- a/internal/endpointlist/reader.go
+++ b/internal/endpointlist/reader.go
@@ -62,8 +62,8 @@
 }
 
 // Next reads a line. It calls begin where entries begin, and take with each entry; an entry that take returns an error
-// for is skipped. If begin is called again, the entries before it do not count; if Next fails, none do, and nothing more
-// can be read. It fails with io.EOF at the end of the stream, if that is between two lines.
+// for is skipped. If begin is called again, the entries before it do not count; if Next fails, none do, and nothing
+// more can be read. It fails with io.EOF at the end of the stream, if that is between two lines.
 func (r *Reader) Next(begin func(), take func(Entry) error) (update Update, err error) {
 	r.in.lineBytes, r.in.valueBytes = 0, 0
 	r.in.betweenLines = r.restIsBlank()
@@ -112,7 +112,7 @@
 	return err
 }
 
-// restIsBlank tells whether nothing of the next line was read together with the last one.
+// restIsBlank reports whether nothing of the next line was read together with the last one.
 func (r *Reader) restIsBlank() bool {
 	buffered := r.values.Buffered().(io.ByteReader)
 	for {
--- a/internal/features/distribution.go
+++ b/internal/features/distribution.go
@@ -23,7 +23,7 @@
 	Relays []string `toml:"relays"`
 	// Scopes are what the node follows, as region/service; a star at the end stands for any rest. 1 to 4096.
 	Scopes []string `toml:"scopes"`
-	// Silence is after how long without word from any relay discovery is watched too, 1s to 1m. Default: 4s.
+	// Silence is after how long without a message of any relay discovery is watched too, 1s to 1m. Default: 4s.
 	Silence string `toml:"silence"`
 
 	// SilenceNs is set by Parse.
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestGoldenMessages holds the messages between nodes to the bytes that earlier builds send and read.
+// TestGoldenMessages compares the messages between nodes with the bytes that earlier builds send and read.
 func TestGoldenMessages(t *testing.T) {
 	const now = 1_700_000_000_123 * milli
 	for name, sent := range map[string]policy.GossipMessage{
@@ -17,12 +17,12 @@
 	} {
 		message := Encode(sent, now)
 		golden.Check(t, name, message)
-		read, told, err := decode(message)
-		if err != nil || read != sent || told != now {
-			t.Errorf("%s: read as %+v of %d, %v", name, read, told, err)
+		read, sentAt, err := decode(message)
+		if err != nil || read != sent || sentAt != now {
+			t.Errorf("%s: decoded as %+v of %d, %v", name, read, sentAt, err)
 		}
-		if !bytes.Equal(Encode(read, told), message) {
-			t.Errorf("%s: read and written again it is another message", name)
+		if !bytes.Equal(Encode(read, sentAt), message) {
+			t.Errorf("%s: decoded and encoded again it is another message", name)
 		}
 	}
 }
--- a/internal/members/awareness.go
+++ b/internal/members/awareness.go
@@ -29,10 +29,10 @@
 	m.lastCallAt = now
 }
 
-// isStalled tells whether a stall of this process may be the cause of what it sees.
+// isStalled reports whether a stall of this process may be the cause of what it sees.
 func (m *Members) isStalled() bool { return m.tick < m.stalledUntil }
 
-// isIsolated tells whether none of the last probes was answered, directly or indirectly.
+// isIsolated reports whether none of the last probes was answered, directly or indirectly.
 func (m *Members) isIsolated() bool {
 	wanted := min(recentProbes, len(m.peers))
 	if len(m.probeResults) < wanted {
--- a/internal/members/golden_test.go
+++ b/internal/members/golden_test.go
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-// TestGoldenMessages holds the datagrams of membership to the bytes that earlier builds send and read.
+// TestGoldenMessages compares datagrams with the bytes that earlier builds send and read.
 func TestGoldenMessages(t *testing.T) {
 	key := []byte("a key of 16 bytes")
 	self := update{ID: 0x1122334455667788, State: Alive, StartMs: 1_700_000_000_000, PastStart: 3, RunID: 77}
-	told := []update{{ID: 5, State: Suspect, StartMs: 9, PastStart: 1, RunID: 6, SuspectedBy: 42}, {ID: 6, State: Dead, StartMs: 10, RunID: 7}, {ID: 7, State: Left, StartMs: 11, RunID: 8}}
+	updates := []update{{ID: 5, State: Suspect, StartMs: 9, PastStart: 1, RunID: 6, SuspectedBy: 42}, {ID: 6, State: Dead, StartMs: 10, RunID: 7}, {ID: 7, State: Left, StartMs: 11, RunID: 8}}
 	for name, m := range map[string]message{
-		"ping.bin":    {Kind: ping, To: 9, Self: self, Sequence: 12, Parts: 4, Part: 2, Digest: 0xabcdef, Updates: told},
+		"ping.bin":    {Kind: ping, To: 9, Self: self, Sequence: 12, Parts: 4, Part: 2, Digest: 0xabcdef, Updates: updates},
 		"ack.bin":     {Kind: ack, To: 9, Self: self, Sequence: 12, Target: 8, KnownStartMs: 1_600_000_000_000},
 		"please.bin":  {Kind: pingReq, To: 9, Self: self, Sequence: 13, Target: 8},
 		"nack.bin":    {Kind: nack, To: 9, Self: self, Sequence: 13, Target: 8},
-		"tell.bin":    {Kind: gossip, To: 9, Self: self, Updates: told[:1]},
-		"part.bin":    {Kind: pushPull, To: 9, Self: self, Updates: told},
+		"tell.bin":    {Kind: gossip, To: 9, Self: self, Updates: updates[:1]},
+		"part.bin":    {Kind: pushPull, To: 9, Self: self, Updates: updates},
 		"carried.bin": {Kind: payload, To: 9, Self: self, Payload: []byte("a load")},
 	} {
 		datagram := encode(key, &m)
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestGoldenView holds what the console shows of the members to its form.
+// TestGoldenView compares the view of the admin API with that of earlier builds.
 func TestGoldenView(t *testing.T) {
 	m := one(t, "n0", 4, &nowhere{})
 	m.Receive(begin+1e9, from(m, "n1", message{Kind: gossip}))
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -44,7 +44,7 @@
 	return encode(nil, &msg)
 }
 
-// nil2 stands for a test where none can fail.
+// nil2 stands for a test where nothing can fail.
 type nil2 struct{ testing.TB }
 
 func (nil2) Helper() {}
@@ -135,7 +135,8 @@
 	}
 }
 
-// TestPayloads sends the longest payload from a node with many updates, to one that takes payloads, one that does not, and an unknown one.
+// TestPayloads sends the longest payload from a node with many updates, to one that takes payloads, one that does not,
+// and an unknown one.
 func TestPayloads(t *testing.T) {
 	out := &nowhere{}
 	a := one(t, "n0", 300, out)
@@ -183,13 +184,14 @@
 	runtime.KeepAlive(m)
 }
 
-// TestIncarnationExceedsThatOfAnEarlierRun restarts a node with a clock a minute behind: an update of its earlier run raises its incarnation.
+// TestIncarnationExceedsThatOfAnEarlierRun restarts a node with a clock a minute behind: an update of its earlier run
+// raises its incarnation.
 func TestIncarnationExceedsThatOfAnEarlierRun(t *testing.T) {
 	transport := &nowhere{}
 	m := one(t, "n0", 3, transport)
 	m.applyUpdate(begin, update{ID: m.id, State: Dead, StartMs: m.startMs + 60_000, RunID: 3}, false)
 	if m.incarnation <= m.startMs+60_000 {
-		t.Errorf("incarnation %d stays under that of the life before, %d", m.incarnation, m.startMs+60_000)
+		t.Errorf("incarnation %d is below that of the earlier run, %d", m.incarnation, m.startMs+60_000)
 	}
 }
 
@@ -209,7 +211,8 @@
 	}
 }
 
-// TestSuspicionFromOthersAloneNeverEndsInDeath has a node suspected by others that answers this one: it stays suspect, however long.
+// TestSuspicionFromOthersAloneNeverEndsInDeath has a node suspected by others that answers this one: it stays suspect,
+// however long.
 func TestSuspicionFromOthersAloneNeverEndsInDeath(t *testing.T) {
 	transport := &nowhere{}
 	m := one(t, "n0", 6, transport)
@@ -284,7 +287,8 @@
 	}
 }
 
-// TestNoSuspicionAfterAStall stalls a node while it probes: neither that probe nor the first one after raises a suspicion.
+// TestNoSuspicionAfterAStall stalls a node while it probes: neither that probe nor the first one after raises a
+// suspicion.
 func TestNoSuspicionAfterAStall(t *testing.T) {
 	for phase := range ticksPerRound {
 		m := one(t, "n0", 6, &nowhere{})
@@ -299,7 +303,8 @@
 	}
 }
 
-// TestPushPullRepairsMissedUpdates has a node that got no update learn what another knows, by one ping and its ack for each part.
+// TestPushPullRepairsMissedUpdates has a node that got no update learn what another knows, by one ping and its ack for
+// each part.
 func TestPushPullRepairsMissedUpdates(t *testing.T) {
 	wayA, wayB := &nowhere{}, &nowhere{}
 	a, b := one(t, "n0", 50, wayA), one(t, "n1", 50, wayB)
@@ -325,7 +330,8 @@
 	}
 }
 
-// TestMessagesOfAnEarlierRunAreNotAnswered has a message of an earlier run of a node come: it is sent its known state, and nothing else.
+// TestMessagesOfAnEarlierRunAreNotAnswered has a message of an earlier run of a node come: it is sent its known state,
+// and nothing else.
 func TestMessagesOfAnEarlierRunAreNotAnswered(t *testing.T) {
 	transport := &nowhere{}
 	m := one(t, "n0", 4, transport)
--- a/internal/members/probe.go
+++ b/internal/members/probe.go
@@ -3,8 +3,8 @@
 import "slices"
 
 // Probes: each round one node in turn is pinged. If no ack comes, it is pinged again, then others are asked to ping it
-// (ping-req). Without any ack in time the probe has failed. A node that was asked and gets no ack itself says so (nack):
-// no nack either means that this node's own link is the likely cause.
+// (ping-req). Without any ack in time the probe has failed. A node that was asked and gets no ack itself says so
+// (nack): no nack either means that this node's own link is the likely cause.
 
 const (
 	maxProbes         = 2  // at a time
@@ -81,7 +81,7 @@
 // probeNext makes a peer the next to be probed.
 func (m *Members) probeNext(i int) { m.probeOrder = append([]int32{int32(i)}, m.probeOrder...) }
 
-// isProbed tells whether a peer is in a state in which it is probed; others are reconnected.
+// isProbed reports whether a peer is in a state in which it is probed; others are reconnected.
 func (m *Members) isProbed(i int) bool {
 	state := m.peers[i].state
 	return state == Alive || state == Suspect
@@ -115,7 +115,7 @@
 	m.probes = kept
 }
 
-// continueProbe tells whether the probe goes on.
+// continueProbe reports whether the probe goes on.
 func (m *Members) continueProbe(now int64, p *probe) bool {
 	due := probeSteps[p.step]
 	if m.tick < p.began+m.stretch(due) {
--- a/internal/members/pushpull.go
+++ b/internal/members/pushpull.go
@@ -58,7 +58,7 @@
 	return msg
 }
 
-// differs tells whether the sender has other states of the part that its message names.
+// differs reports whether the sender has other states of the part that its message names.
 func (m *Members) differs(msg *message) bool {
 	return msg.Parts == m.parts() && msg.Part >= 0 && msg.Part < msg.Parts && m.digest(msg.Part) != msg.Digest
 }
--- a/internal/members/receive.go
+++ b/internal/members/receive.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// valid tells whether a message is one that a node can send.
+// valid reports whether a message is one that a node can send.
 func (msg *message) valid() bool {
 	senderState := msg.Self.State == Alive || msg.Self.State == Left
 	return senderState && msg.Self.valid() && len(msg.Updates) <= maxUpdates
--- a/internal/members/refute.go
+++ b/internal/members/refute.go
@@ -32,7 +32,7 @@
 	m.incarnation = u.incarnation() + 1
 }
 
-// losesNameTo counts the bids of another process of this name, and tells whether this one yields to it.
+// losesNameTo counts the bids of another process of this name, and reports whether this one yields to it.
 func (m *Members) losesNameTo(u update) bool {
 	if m.rivalRunID != u.RunID {
 		m.rivalRunID, m.rivalBids, m.rivalIncarnation = u.RunID, 0, 0
@@ -48,10 +48,10 @@
 	return true
 }
 
-// isQuiet tells whether this process sends nothing, as another has its name.
+// isQuiet reports whether this process sends nothing, as another has its name.
 func (m *Members) isQuiet() bool { return m.tick < m.quietUntil }
 
-// NameConflict tells whether another process has this node's name.
+// NameConflict reports whether another process has this node's name.
 func (m *Members) NameConflict() bool { return m.rivalBids >= conflictThreshold || m.isQuiet() }
 
 // forgetConflicts lets the conflicts of a delayed datagram fade; those of a second process come again and again.
--- a/internal/members/state.go
+++ b/internal/members/state.go
@@ -63,7 +63,7 @@
 // incarnation begins at a node's start and grows with each refutation, so a later run has a higher one.
 func (u *update) incarnation() uint64 { return u.StartMs + u.PastStart }
 
-// valid tells whether the update is one that a node can send.
+// valid reports whether the update is one that a node can send.
 func (u *update) valid() bool {
 	return u.State >= Alive && u.State <= Left && u.StartMs < maxIncarnation && u.PastStart < maxIncarnation
 }
--- a/internal/members/suspicion.go
+++ b/internal/members/suspicion.go
@@ -59,8 +59,8 @@
 	p.suspicion.ends = max(p.suspicion.began+int64(timeout), m.stalledUntil)
 }
 
-// raiseSuspicion takes in a probe that failed. While this node reaches nobody, the suspicion stays its own: others would
-// have to refute it for nothing once the network is back.
+// raiseSuspicion takes in a probe that failed. While this node reaches nobody, the suspicion stays its own: others
+// would have to refute it for nothing once the network is back.
 func (m *Members) raiseSuspicion(now int64, i int) {
 	p := &m.peers[i]
 	isolated := m.isIsolated()
@@ -111,8 +111,8 @@
 	}
 }
 
-// pingSuspect pings one of the suspects of this node, in turn, so that it learns of the suspicion and can refute it even
-// if gossip about it is lost.
+// pingSuspect pings one of the suspects of this node, in turn, so that it learns of the suspicion and can refute it
+// even if gossip about it is lost.
 func (m *Members) pingSuspect() {
 	for range m.suspects {
 		i := m.suspects[0]
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// forgetLocked removes a connection from those that wait, and frees its place; it tells whether it was among them. mu
+// forgetLocked removes a connection from those that wait, and frees its place; it reports whether it was among them. mu
 // is held.
 func (s *adminServer) forgetLocked(c *adminConn) bool {
 	for i, waiting := range s.waiting {
--- a/internal/node/admincommands.go
+++ b/internal/node/admincommands.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// offers tells whether the part of the node that a path reports on is on.
+// offers reports whether the part of the node that a path reports on is on.
 func (s *adminServer) offers(path string) bool {
 	switch path {
 	case pathMembers:
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -89,7 +89,7 @@
 	l.handle(nil, func() { l.balancer.EndpointsUpdated(l.now, list, complete) })
 }
 
-// keepsRemoved tells whether a removed endpoint stays known with its connections, as it may still be sent to.
+// keepsRemoved reports whether a removed endpoint stays known with its connections, as it may still be sent to.
 func (l *eventLoop) keepsRemoved() bool {
 	return l.node.settings.Policy.RemovedMayServe && len(l.endpoints) <= maxRemovedKept
 }
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -40,7 +40,7 @@
 // post queues an event. It waits while the queue is full, so it must not be called from within the loop.
 func (l *eventLoop) post(event func()) { l.events <- event }
 
-// tryPost queues an event unless the queue is full, and tells whether it did.
+// tryPost queues an event unless the queue is full, and reports whether it did.
 func (l *eventLoop) tryPost(event func()) bool {
 	select {
 	case l.events <- event:
@@ -97,8 +97,8 @@
 	l.handle(request, func() { l.balancer.RequestArrived(l.now, request.request) })
 }
 
-// giveUpAll answers whatever still has no answer, and from here on all that comes: the process is about to end, and what it leaves
-// without an answer is lost.
+// giveUpAll answers every request that has no answer, rejected if policy.MayReject allows it and failed otherwise, and
+// rejects those that still come: the process is about to end.
 func (l *eventLoop) giveUpAll() {
 	l.stopping = true
 	for id, x := range l.requests {
@@ -160,7 +160,7 @@
 	l.release(request)
 }
 
-// provesNotRun tells whether after an outcome the attempt can't have run.
+// provesNotRun reports whether after an outcome the attempt can't have run.
 func provesNotRun(outcome policy.Outcome) bool {
 	switch outcome {
 	case policy.OutcomeRejected, policy.OutcomeConnectFailed, policy.OutcomeNotSent:
@@ -211,7 +211,7 @@
 	policy.OutcomeUnknown:       attemptsReset,
 }
 
-// finish gives the request its answer, and tells whether it had none before.
+// finish gives the request its answer, and reports whether it had none before.
 func (l *eventLoop) finish(request *pendingRequest, how counter, answer response) bool {
 	if !request.answer(answer) {
 		return false
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -256,7 +256,7 @@
 	return state
 }
 
-// hasYielded tells whether a successor takes the new connections.
+// hasYielded reports whether a successor takes the new connections.
 func (h *hotRestart) hasYielded() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/hotrestartproto.go
+++ b/internal/node/hotrestartproto.go
@@ -47,7 +47,7 @@
 	Estimates  json.RawMessage `json:"learned"` // of the decisions
 }
 
-// check tells whether a hello comes from a process of the same node that speaks the same version.
+// check reports whether a hello comes from a process of the same node that speaks the same version.
 func (h restartHello) check(other restartHello) error {
 	if other != h {
 		return fmt.Errorf("expected version %d of node %s, got %d of %.80q", h.Version, h.Node, other.Version, other.Node)
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -14,9 +14,9 @@
 // carries its messages and to the loop. An update of the node's own watch is never held up, and no gossiped list is
 // posted after a newer one of the watch. It is nil where nodes do not exchange lists.
 type listGossip struct {
-	node *Node
-	mu   sync.Mutex // keeps updates and what the loop is posted for them in one order
-	core *endpointgossip.Exchange
+	node     *Node
+	mu       sync.Mutex // keeps updates and what the loop is posted for them in one order
+	exchange *endpointgossip.Exchange
 }
 
 func newListGossip(n *Node) *listGossip {
@@ -35,7 +35,8 @@
 	defer s.mu.Unlock()
 	initial := s.node.initialList
 	endpoints, _ := s.split(initial.entries)
-	s.core = endpointgossip.New(seed, transport, s.node.clock.nanos(), initial.version, endpoints, initial.watchResumes)
+	now := s.node.clock.nanos()
+	s.exchange = endpointgossip.New(seed, transport, now, initial.version, endpoints, initial.watchResumes)
 }
 
 // watchUpdated takes in an update of the node's own list and posts it. If the node went by a gossiped list, the whole
@@ -43,14 +44,14 @@
 func (s *listGossip) watchUpdated(update listUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.core == nil { // the membership has not started yet: begin starts from this
+	if s.exchange == nil { // the membership has not started yet: begin starts from this
 		initial := &s.node.initialList
 		*initial = initialList{initial.merge(update), update.version, true}
 		s.node.loop.postEndpoints(update.entries, update.complete)
 		return
 	}
 	endpoints, removed := s.split(update.entries)
-	all := s.core.WatchUpdated(s.node.clock.nanos(), update.version, endpoints, removed, update.complete)
+	all := s.exchange.WatchUpdated(s.node.clock.nanos(), update.version, endpoints, removed, update.complete)
 	if all != nil {
 		s.node.loop.postEndpoints(s.entries(all), true)
 		return
@@ -65,7 +66,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if all := s.core.Tick(s.node.clock.nanos(), s.node.listConfirmedAt()); all != nil {
+	if all := s.exchange.Tick(s.node.clock.nanos(), s.node.listConfirmedAt()); all != nil {
 		s.node.loop.postEndpoints(s.entries(all), true)
 	}
 }
@@ -74,11 +75,11 @@
 func (s *listGossip) receive(from int, message []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	endpoints := s.core.Receive(s.node.clock.nanos(), from, message)
+	endpoints := s.exchange.Receive(s.node.clock.nanos(), from, message)
 	if endpoints == nil {
 		return
 	}
-	entries, view := s.entries(endpoints), s.core.View()
+	entries, view := s.entries(endpoints), s.exchange.View()
 	s.node.loop.postEndpoints(s.node.persistence.applyToGossiped(entries, view.Version), false)
 	s.node.hasList.Store(true)
 	s.node.log.Info("endpoint list taken from another node",
@@ -92,10 +93,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.core == nil {
+	if s.exchange == nil {
 		return nil
 	}
-	text, err := json.Marshal(s.core.View())
+	text, err := json.Marshal(s.exchange.View())
 	if err != nil {
 		s.node.log.Error("state of the list exchange can't be encoded", zap.Error(err))
 	}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -32,14 +32,14 @@
 // view of other nodes, never a request. It is nil where the settings don't allow messages between nodes, or the
 // features file names no members; its methods may then be called, unless they say otherwise.
 type memberAgent struct {
-	node     *Node
-	config   *features.Members
-	core     *members.Members // of run's goroutine alone
-	socket   *net.UDPConn
-	received chan []byte
-	queries  chan func()
-	done     chan struct{}
-	ended    sync.Once
+	node       *Node
+	config     *features.Members
+	membership *members.Members // of run's goroutine alone
+	socket     *net.UDPConn
+	received   chan []byte
+	queries    chan func()
+	done       chan struct{}
+	ended      sync.Once
 }
 
 // newMemberAgent binds the socket. The features file alone turns nothing on: the platform's settings must allow
@@ -119,21 +119,21 @@
 	if a.node.listGossip != nil {
 		config.ReceivePayload = a.node.listGossip.receive
 	}
-	if a.core, err = members.New(config, a, a.node.clock.nanos()); err != nil {
+	if a.membership, err = members.New(config, a, a.node.clock.nanos()); err != nil {
 		return err
 	}
-	a.node.listGossip.begin(config.Seed, a.core)
+	a.node.listGossip.begin(config.Seed, a.membership)
 	return nil
 }
 
 func (a *memberAgent) tick() {
-	a.core.Tick(a.node.clock.nanos())
+	a.membership.Tick(a.node.clock.nanos())
 	a.node.listGossip.tick()
 }
 
 func (a *memberAgent) handle(datagram []byte) {
-	a.core.Receive(a.node.clock.nanos(), datagram)
-	a.node.persistence.laterStartReported(a.core.LatestKnownStartMs())
+	a.membership.Receive(a.node.clock.nanos(), datagram)
+	a.node.persistence.laterStartReported(a.membership.LatestKnownStartMs())
 }
 
 // step keeps a panic in the membership from ending the process.
@@ -174,7 +174,7 @@
 	answered := make(chan struct{})
 	query := func() {
 		defer close(answered)
-		what(a.core, a.node.clock.nanos())
+		what(a.membership, a.node.clock.nanos())
 	}
 	select {
 	case a.queries <- query:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -149,7 +149,7 @@
 	return ""
 }
 
-// closesConnections tells whether connections of clients end with their next answer.
+// closesConnections reports whether connections of clients end with their next answer.
 func (n *Node) closesConnections() bool {
 	return n.stopping.Load() || n.overrides.drained() || n.hotRestart.hasYielded()
 }
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -133,12 +133,12 @@
 // identity names the node in its files and between its processes.
 func (n *Node) identity() string { return strconv.Quote(n.config.Name) + " " + n.config.Listen }
 
-// isDisabled tells whether an endpoint is disabled. It is asked just before an attempt is written.
+// isDisabled reports whether an endpoint is disabled. It is asked just before an attempt is written.
 func (o *overrides) isDisabled(id policy.EndpointID) bool { return o.current.Load().disabled[id] }
 
 func (o *overrides) drained() bool { return o.current.Load().drained }
 
-// isKnown tells whether an endpoint has ever been on the list, or has an override.
+// isKnown reports whether an endpoint has ever been on the list, or has an override.
 func (o *overrides) isKnown(name string) bool {
 	_, exists := o.current.Load().endpoints[name]
 	return exists || o.known.contains(name)
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -35,8 +35,8 @@
 	node *Node
 	dir  string
 
-	mu     sync.Mutex // guards memory
-	memory *nodestate.State
+	mu    sync.Mutex // guards memory
+	state *nodestate.State
 
 	recovered nodestate.Recovered // what the start goes by
 	opened    openedStore         // of the start, then of the write loop
@@ -51,8 +51,8 @@
 
 // openedStore is a store and the state that was found in it.
 type openedStore struct {
-	store  *store.Store // nil: not open
-	memory *nodestate.State
+	store *store.Store // nil: not open
+	state *nodestate.State
 }
 
 // openPersistence reads the state directory. If it can't be read, or not in time, the node starts without its state.
@@ -70,14 +70,14 @@
 	opened, err := p.openInTime()
 	if err != nil {
 		p.recordError("no memory of before", err)
-		opened.memory = nodestate.Load(func(func(string, []byte)) {})
+		opened.state = nodestate.Load(func(func(string, []byte)) {})
 	}
 	now := n.clock.nanos()
-	p.opened, p.memory = opened, opened.memory
-	p.recovered = p.memory.Recover(now)
-	p.memory.RecordStart(now)
-	n.log.Info("persisted state recovered", zap.Uint64("epoch", p.memory.Epoch()),
-		zap.Int("endpoints", len(p.recovered.Endpoints)), zap.Int("unreadable values", p.memory.UnreadableValues()),
+	p.opened, p.state = opened, opened.state
+	p.recovered = p.state.Recover(now)
+	p.state.RecordStart(now)
+	n.log.Info("persisted state recovered", zap.Uint64("epoch", p.state.Epoch()),
+		zap.Int("endpoints", len(p.recovered.Endpoints)), zap.Int("unreadable values", p.state.UnreadableValues()),
 		zap.Float64("weight of estimates", p.recovered.EstimatesWeight), zap.Strings("not trusted", p.recovered.NotTrusted))
 	return p
 }
@@ -120,7 +120,7 @@
 			zap.Int64("bytes", recovery.TruncatedBytes))
 	}
 	var readErr error
-	memory := nodestate.Load(func(each func(string, []byte)) {
+	state := nodestate.Load(func(each func(string, []byte)) {
 		snapshot := opened.Snapshot()
 		defer snapshot.Release()
 		readErr = snapshot.Each("", func(key string, value []byte) bool {
@@ -132,7 +132,7 @@
 		p.closeStore(opened)
 		return openedStore{}, readErr
 	}
-	return openedStore{opened, memory}, nil
+	return openedStore{opened, state}, nil
 }
 
 func (p *persistence) closeStore(s *store.Store) {
@@ -187,7 +187,7 @@
 	}
 }
 
-// reopen opens a store that has failed, and tells whether it is open.
+// reopen opens a store that has failed, and reports whether it is open.
 func (p *persistence) reopen() bool {
 	opened, err := p.open()
 	if err != nil {
@@ -197,7 +197,7 @@
 	p.opened = opened
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.memory.MergeFound(opened.memory)
+	p.state.MergeFound(opened.state)
 	return true
 }
 
@@ -207,7 +207,7 @@
 		return
 	}
 	p.mu.Lock()
-	changes := p.memory.Changes()
+	changes := p.state.Changes()
 	p.mu.Unlock()
 	if len(changes) == 0 {
 		return
@@ -223,7 +223,7 @@
 	p.failed.Add(1)
 	p.recordError("a write failed", err)
 	p.mu.Lock()
-	p.memory.MarkChanged(changes)
+	p.state.MarkChanged(changes)
 	p.mu.Unlock()
 	if errors.Is(err, store.ErrReadOnly) {
 		p.closeStore(p.opened.store)
@@ -256,13 +256,13 @@
 	var starts map[string]uint64
 	if p.node.members.query(func(m *members.Members, _ int64) { starts = m.StartsMs() }) == nil {
 		p.mu.Lock()
-		p.memory.RecordMemberStarts(p.node.clock.nanos(), starts)
+		p.state.RecordMemberStarts(p.node.clock.nanos(), starts)
 		p.mu.Unlock()
 	}
 	p.node.loop.tryPost(func() {
 		text := p.node.loop.encodeEstimates()
 		p.mu.Lock()
-		p.memory.RecordEstimates(p.node.clock.nanos(), text)
+		p.state.RecordEstimates(p.node.clock.nanos(), text)
 		p.mu.Unlock()
 		p.wakeWriter()
 	})
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -105,8 +105,8 @@
 		status, _, _ := ask(t, again, "view", fmt.Sprint(asked), "")
 		return status == 200 && requests.Load() == 1
 	})
-	if again.persistence.memory.Epoch() != 2 {
-		t.Errorf("epoch %d", again.persistence.memory.Epoch())
+	if again.persistence.state.Epoch() != 2 {
+		t.Errorf("epoch %d", again.persistence.state.Epoch())
 	}
 }
 
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -27,10 +27,10 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.memory.Version()
+	return p.state.Version()
 }
 
-// isOlderThan tells whether a list is newer than the persisted one.
+// isOlderThan reports whether a list is newer than the persisted one.
 func (p *persistence) isOlderThan(version int64) bool { return p == nil || version > p.version() }
 
 // addOlder adds to the persisted endpoints those that only an older list has, unless they were removed since.
@@ -70,8 +70,8 @@
 	}
 	now := p.node.clock.nanos()
 	updated := p.update(entries, func(endpoints []nodestate.Endpoint) []nodestate.Endpoint {
-		endpoints = p.memory.ApplyDrains(endpoints, version)
-		p.memory.RecordList(now, endpoints, version, complete)
+		endpoints = p.state.ApplyDrains(endpoints, version)
+		p.state.RecordList(now, endpoints, version, complete)
 		return endpoints
 	})
 	p.wakeWriter()
@@ -81,7 +81,7 @@
 // applyTo applies the persisted drains to entries of a list of discovery.
 func (p *persistence) applyTo(entries []endpointEntry, version int64) []endpointEntry {
 	return p.update(entries, func(endpoints []nodestate.Endpoint) []nodestate.Endpoint {
-		return p.memory.ApplyDrains(endpoints, version)
+		return p.state.ApplyDrains(endpoints, version)
 	})
 }
 
@@ -91,7 +91,7 @@
 		return entries
 	}
 	return p.update(entries, func(endpoints []nodestate.Endpoint) []nodestate.Endpoint {
-		return p.memory.ApplyDrainsToGossiped(endpoints, version)
+		return p.state.ApplyDrainsToGossiped(endpoints, version)
 	})
 }
 
@@ -119,7 +119,7 @@
 		return
 	}
 	p.mu.Lock()
-	olderCopy := p.memory.ReportLaterStart(startMs)
+	olderCopy := p.state.ReportLaterStart(startMs)
 	p.mu.Unlock()
 	if olderCopy {
 		p.node.log.Warn("the state directory is an older copy: other nodes knew a later start; the list overrides it")
@@ -133,7 +133,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.memory.MemberStartsMs()
+	return p.state.MemberStartsMs()
 }
 
 // persistenceStatus is the admin API's answer on persisted state.
@@ -151,9 +151,9 @@
 func (p *persistence) statusJSON() string {
 	p.mu.Lock()
 	status := persistenceStatus{
-		Epoch:      p.memory.Epoch(),
-		Endpoints:  p.memory.EndpointCount(),
-		OlderCopy:  p.memory.IsOlderCopy(),
+		Epoch:      p.state.Epoch(),
+		Endpoints:  p.state.EndpointCount(),
+		OlderCopy:  p.state.IsOlderCopy(),
 		NotTrusted: p.recovered.NotTrusted,
 		Written:    p.written.Load(),
 		Failed:     p.failed.Load(),
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -66,7 +66,7 @@
 	n.frontend.abortStreams()
 }
 
-// awaitClients waits until no client connection is left, or until a time; it tells whether none is left.
+// awaitClients waits until no client connection is left, or until a time; it reports whether none is left.
 func (n *Node) awaitClients(until time.Time) bool {
 	for ; time.Now().Before(until); time.Sleep(clientPollInterval) {
 		if n.frontend.evictAllIdle() == 0 {
--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestRecoveryFromALogCutAtAnyByte cuts the log of a store at every byte: what is found then is what one of the batches left, and the drains of
-// the last complete one hold.
+// TestRecoveryFromALogCutAtAnyByte cuts the log of a store at every byte: what is found then is what one of the batches
+// left, and the drains of the last complete one hold.
 func TestRecoveryFromALogCutAtAnyByte(t *testing.T) {
 	dir := t.TempDir()
 	at, _, err := store.Open(dir, store.Options{ManualCompaction: true})
--- a/internal/nodestate/golden_test.go
+++ b/internal/nodestate/golden_test.go
@@ -27,7 +27,7 @@
 	return d
 }
 
-// TestGoldenRecords holds the stored records to the bytes of earlier builds.
+// TestGoldenRecords compares the stored records with the bytes of earlier builds.
 func TestGoldenRecords(t *testing.T) {
 	var text []byte
 	for key, value := range keptDisk() {
@@ -40,7 +40,7 @@
 	golden.Check(t, "keys.txt", text)
 }
 
-// TestGoldenStore opens a store that an earlier build wrote, and finds in it what that build kept.
+// TestGoldenStore opens a store that an earlier build wrote, and finds in it what that build stored.
 func TestGoldenStore(t *testing.T) {
 	kept := filepath.Join("testdata", "golden", "store")
 	if _, err := os.Stat(kept); err != nil {
--- a/internal/nodestate/state.go
+++ b/internal/nodestate/state.go
@@ -57,7 +57,7 @@
 		e.Weight >= 0 && !math.IsInf(e.Weight, 0) && e.StartedNs >= 0 && e.ListedAt >= 0
 }
 
-// sameEntry tells whether a list has an endpoint unchanged.
+// sameEntry reports whether a list has an endpoint unchanged.
 func (e *Endpoint) sameEntry(listed *Endpoint) bool {
 	return e.State == listed.State && e.StartedNs == listed.StartedNs && e.Address == listed.Address
 }
@@ -171,7 +171,7 @@
 	}
 }
 
-// dropOldestRemoved drops the endpoint that was removed longest ago, and tells whether there was one.
+// dropOldestRemoved drops the endpoint that was removed longest ago, and reports whether there was one.
 func (s *State) dropOldestRemoved() bool {
 	var oldest *Endpoint
 	for _, endpoint := range s.endpoints {
--- a/internal/nodestate/state_test.go
+++ b/internal/nodestate/state_test.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestDrainsSurviveAnyCrash has lists, crashes between batches and restarts in any order: no drain that was written is lost, or
-// ended by a list that does not come after it.
+// TestDrainsSurviveAnyCrash has lists, crashes between batches and restarts in any order: no drain that was written is
+// lost, or ended by a list that does not come after it.
 func TestDrainsSurviveAnyCrash(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := disk{}
--- a/internal/nodestate/trust.go
+++ b/internal/nodestate/trust.go
@@ -72,8 +72,8 @@
 	r.Estimates, r.EstimatesWeight = s.estimates.Text, weight
 }
 
-// ReportLaterStart takes in a start of this node that others know, in milliseconds of its clock. It tells whether that
-// shows, for the first time, that the state is an older copy.
+// ReportLaterStart takes in a start of this node that others know, in milliseconds of its clock. It reports whether
+// that shows, for the first time, that the state is an older copy.
 func (s *State) ReportLaterStart(startMs uint64) bool {
 	if s.olderCopy || s.found.Clock == 0 || startMs <= uint64(s.found.Clock/1e6) {
 		return false
@@ -82,7 +82,7 @@
 	return true
 }
 
-// IsOlderCopy tells whether the state was found to be an older copy.
+// IsOlderCopy reports whether the state was found to be an older copy.
 func (s *State) IsOlderCopy() bool { return s.olderCopy }
 
 // ApplyDrains returns entries of a list of discovery with the drains and removals that hold against it.
@@ -109,7 +109,7 @@
 	return applied
 }
 
-// holdsAgainst tells whether a drain or removal from before this start holds against an entry of an older list.
+// holdsAgainst reports whether a drain or removal from before this start holds against an entry of an older list.
 func (e *Endpoint) holdsAgainst(entry *Endpoint) bool {
 	return e.State != Active && entry.State == Active && entry.StartedNs <= e.StartedNs && !e.sinceStart
 }
