--- a/cmd/fawnglade-lab/distribution.go
+++ b/cmd/fawnglade-lab/distribution.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the command of the run of the distribution tree, and of the origin's process in it.
-
 import (
 	"errors"
 	"fawnglade/internal/lab/distsim"
@@ -14,7 +12,15 @@
 
 const originCommand = "distribution-origin"
 
-func distribution() *cobra.Command {
+// distributionFlags are those of the distribution command.
+type distributionFlags struct {
+	size   distsim.Size
+	quick  bool
+	relay  string
+	asJSON bool
+}
+
+func newDistributionCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "distribution",
 		Short: "Play the distribution tree at size: an origin, relays as processes, hollow nodes",
@@ -26,77 +32,96 @@
 		Example: "  fawnglade-lab distribution --quick\n  fawnglade-lab distribution --nodes 5300 --json > distribution.json",
 		Args:    cobra.NoArgs,
 	}
-	full, small := distsim.Full(), distsim.Quick()
-	size := full
-	f := c.Flags()
-	quick := f.Bool("quick", false, "the small form: 300 nodes in 3 regions, under a minute")
-	f.IntVar(&size.Nodes, "nodes", full.Nodes, "hollow nodes")
-	f.IntVar(&size.Regions, "regions", full.Regions, "regions")
-	f.IntVar(&size.Zones, "zones", full.Zones, "zones in all")
-	f.IntVar(&size.Upper, "upper", full.Upper, "relays that follow the origin")
-	f.IntVar(&size.Lower, "lower", full.Lower, "relays that nodes follow")
-	f.IntVar(&size.Services, "services", full.Services, "services, in every region")
-	f.IntVar(&size.Endpoints, "endpoints", full.Endpoints, "endpoints over all scopes")
-	f.IntVar(&size.Take, "take", full.Take, "services of its region that a node follows")
-	f.IntVar(&size.Routes, "routes", full.Routes, "routes, as records of configuration")
-	f.IntVar(&size.Tenants, "tenants", full.Tenants, "tenants, as records of configuration")
-	f.IntVar(&size.Shared, "shared", full.Shared, "services whose configuration every node follows; all its changes fall there")
-	f.Float64Var(&size.Pace, "pace", full.Pace, "times an ordinary day's changes")
-	f.DurationVar(&size.True, "true", full.True, "how long a true day's pace is played")
-	f.DurationVar(&size.Day, "day", full.Day, "how long the faster pace is played, alone and under each fault")
-	f.IntVar(&size.Burst, "burst", full.Burst, "endpoints of one zone that go at once")
-	f.IntVar(&size.Bytes, "bytes", full.Bytes, "pace of relays, bytes a second a subscriber; 0: no bound")
-	f.BoolVar(&size.Share, "share", full.Share, "hollow nodes hold equal names and bodies once, for a machine with less memory; what a node holds is not told by it")
-	f.Uint64Var(&size.Seed, "seed", full.Seed, "of all that is drawn")
-	relay := f.String("relay", "", "the program with the relay; by default fawnglade beside this one")
-	asJSON := f.Bool("json", false, "print one JSON object")
+	f := distributionFlags{size: distsim.Full()}
+	c.Flags().BoolVar(&f.quick, "quick", false, "the small form: 300 nodes in 3 regions, under a minute")
+	addSizeFlags(c, &f.size)
+	c.Flags().StringVar(&f.relay, "relay", "", "the program with the relay; by default fawnglade beside this one")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if *quick {
-			set := size
-			size = small
-			for name, keep := range map[string]func(){
-				"nodes": func() { size.Nodes = set.Nodes }, "endpoints": func() { size.Endpoints = set.Endpoints }, "seed": func() { size.Seed = set.Seed },
-				"day": func() { size.Day = set.Day }, "pace": func() { size.Pace = set.Pace }, "bytes": func() { size.Bytes = set.Bytes },
-			} {
-				if f.Changed(name) {
-					keep()
-				}
-			}
+		if f.quick {
+			f.size = quickSize(c, f.size)
 		}
-		words := []string{*relay, "relay"}
-		if *relay == "" {
-			serve, err := nodeCommand("")
-			if err != nil {
-				return err
-			}
-			words[0] = serve[0]
+		return playDistribution(c, f)
+	}
+	return c
+}
+
+// addSizeFlags adds a flag for each field of a size, whose values are the defaults.
+func addSizeFlags(c *cobra.Command, size *distsim.Size) {
+	flags := c.Flags()
+	flags.IntVar(&size.Nodes, "nodes", size.Nodes, "hollow nodes")
+	flags.IntVar(&size.Regions, "regions", size.Regions, "regions")
+	flags.IntVar(&size.Zones, "zones", size.Zones, "zones in all")
+	flags.IntVar(&size.Upper, "upper", size.Upper, "relays that follow the origin")
+	flags.IntVar(&size.Lower, "lower", size.Lower, "relays that nodes follow")
+	flags.IntVar(&size.Services, "services", size.Services, "services, in every region")
+	flags.IntVar(&size.Endpoints, "endpoints", size.Endpoints, "endpoints over all scopes")
+	flags.IntVar(&size.Take, "take", size.Take, "services of its region that a node follows")
+	flags.IntVar(&size.Routes, "routes", size.Routes, "routes, as records of configuration")
+	flags.IntVar(&size.Tenants, "tenants", size.Tenants, "tenants, as records of configuration")
+	flags.IntVar(&size.Shared, "shared", size.Shared, "services whose configuration every node follows; all its changes fall there")
+	flags.Float64Var(&size.Pace, "pace", size.Pace, "times an ordinary day's changes")
+	flags.DurationVar(&size.True, "true", size.True, "how long a true day's pace is played")
+	flags.DurationVar(&size.Day, "day", size.Day, "how long the faster pace is played, alone and under each fault")
+	flags.IntVar(&size.Burst, "burst", size.Burst, "endpoints of one zone that go at once")
+	flags.IntVar(&size.Bytes, "bytes", size.Bytes, "pace of relays, bytes a second a subscriber; 0: no bound")
+	flags.BoolVar(&size.Share, "share", size.Share, "hollow nodes hold equal names and bodies once, for a machine with less memory; what a node holds is not told by it")
+	flags.Uint64Var(&size.Seed, "seed", size.Seed, "of all that is drawn")
+}
+
+// quickSize is the small size, with the fields that were given by flags and may be combined with it.
+func quickSize(c *cobra.Command, given distsim.Size) distsim.Size {
+	size := distsim.Quick()
+	for name, set := range map[string]func(){
+		"nodes":     func() { size.Nodes = given.Nodes },
+		"endpoints": func() { size.Endpoints = given.Endpoints },
+		"seed":      func() { size.Seed = given.Seed },
+		"day":       func() { size.Day = given.Day },
+		"pace":      func() { size.Pace = given.Pace },
+		"bytes":     func() { size.Bytes = given.Bytes },
+	} {
+		if c.Flags().Changed(name) {
+			set()
 		}
-		self, err := os.Executable()
+	}
+	return size
+}
+
+func playDistribution(c *cobra.Command, f distributionFlags) error {
+	relay := f.relay
+	if relay == "" {
+		node, err := nodeCommand("")
 		if err != nil {
 			return err
 		}
-		began := time.Now()
-		say := func(format string, args ...any) {
-			fmt.Fprintf(c.ErrOrStderr(), "%5.1fs "+format+"\n", append([]any{time.Since(began).Seconds()}, args...)...)
-		}
-		result, err := distsim.Play(c.Context(), size, distsim.Programs{Relay: words, Origin: []string{self, originCommand}}, say)
-		if result == nil {
-			return err
-		}
-		if *asJSON {
-			err = errors.Join(err, printJSON(c.OutOrStdout(), result))
-		} else {
-			fmt.Fprint(c.OutOrStdout(), result.Table())
-		}
-		if err == nil && !result.Held() {
-			return fell
-		}
+		relay = node[0]
+	}
+	self, err := os.Executable()
+	if err != nil {
 		return err
 	}
-	return c
+	programs := distsim.Programs{Relay: []string{relay, "relay"}, Origin: []string{self, originCommand}}
+	began := time.Now()
+	progress := func(format string, args ...any) {
+		c.PrintErrf("%5.1fs %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
+	}
+	result, err := distsim.Play(c.Context(), f.size, programs, progress)
+	if result == nil {
+		return err
+	}
+	if f.asJSON {
+		err = errors.Join(err, printJSON(c.OutOrStdout(), result))
+	} else {
+		err = errors.Join(err, printf(c.OutOrStdout(), "%s", result.Table()))
+	}
+	if err == nil && !result.Held() {
+		return errFellShort
+	}
+	return err
 }
 
-func distributionOrigin() *cobra.Command {
+// newDistributionOriginCommand runs the origin of a distribution run in a process of its own.
+func newDistributionOriginCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    originCommand,
 		Short:  "The origin's process of distribution",
--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -1,8 +1,5 @@
 package main
 
-// This file owns the gate: days at size, played in virtual time by the decisions, by a policy that sees the true state late, and
-// by random choice, and one line at the end that says whether all held.
-
 import (
 	"fawnglade/internal/lab/result"
 	"fawnglade/internal/lab/scenario"
@@ -14,12 +11,41 @@
 	"github.com/spf13/cobra"
 )
 
+// The baselines that the gate compares with: one sees the true state late, one chooses at random.
 const (
-	seeingName = "late-seeing"
-	plainName  = "random"
+	lateSeeingName = "late-seeing"
+	randomName     = "random"
 )
 
-func gate() *cobra.Command {
+// gateFlags are those of the gate command.
+type gateFlags struct {
+	nodes  int
+	seeds  int
+	by     string
+	asJSON bool
+}
+
+// gateReport is the JSON of the gate command.
+type gateReport struct {
+	Runs   []gateRun `json:"days"`
+	Passed bool      `json:"passed"`
+}
+
+// gateRun is one scenario with one seed at the gate.
+type gateRun struct {
+	Scenario    string   `json:"day"`
+	Seed        uint64   `json:"seed"`
+	InTime      float64  `json:"in_time"` // fraction of weight
+	LateSeeing  float64  `json:"late_seeing"`
+	Random      float64  `json:"random"`
+	Worst10s    float64  `json:"worst_10s"`
+	Connections float64  `json:"connections_a_task"`
+	ListCalls   int      `json:"calls"`
+	Violations  int      `json:"rules_broken"`
+	Missed      []string `json:"missed,omitempty"`
+}
+
+func newGateCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "gate SCENARIO...",
 		Short: "Play days in virtual time and pass or fail them, with one line at the end",
@@ -32,105 +58,111 @@
 			"  fawnglade-lab gate lab/scenarios/fleet/*.toml --nodes 30 --seeds 3",
 		Args: cobra.MinimumNArgs(1),
 	}
-	nodes := c.Flags().Int("nodes", 0, "number of nodes in place of the scenarios'")
-	seeds := c.Flags().Int("seeds", 1, "seeds of each day, from the scenario's on")
-	by := c.Flags().String("by", moduleName, "what is judged")
-	asJSON := c.Flags().Bool("json", false, "print one JSON object")
-	c.RunE = func(c *cobra.Command, args []string) error {
-		if *seeds < 1 || *seeds > 1000 {
-			return fmt.Errorf("--seeds: expected 1 to 1,000, got %d", *seeds)
-		}
-		var days []dayOf
-		for _, path := range args {
-			s, err := scenario.Read(path)
-			if err != nil {
-				return err
-			}
-			if *nodes != 0 {
-				if err := s.WithNodes(*nodes); err != nil {
-					return err
-				}
-			}
-			for n := range *seeds {
-				for _, who := range []string{*by, seeingName, plainName} {
-					days = append(days, dayOf{s, s.Seed + uint64(n), who})
-				}
-			}
-		}
-		results, err := all(c.Context(), days)
+	var f gateFlags
+	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes in place of the scenarios'")
+	c.Flags().IntVar(&f.seeds, "seeds", 1, "seeds of each day, from the scenario's on")
+	c.Flags().StringVar(&f.by, "by", moduleName, "what is judged")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object")
+	c.RunE = func(c *cobra.Command, paths []string) error { return runGate(c, f, paths) }
+	return c
+}
+
+func runGate(c *cobra.Command, f gateFlags, paths []string) error {
+	if f.seeds < 1 || f.seeds > 1000 {
+		return fmt.Errorf("--seeds: expected 1 to 1,000, got %d", f.seeds)
+	}
+	deciders := []string{f.by, lateSeeingName, randomName}
+	var runs []virtualRun
+	for _, path := range paths {
+		s, err := readScenario(path, f.nodes)
 		if err != nil {
 			return err
 		}
-		var judged []judgedDay
-		for i := 0; i < len(days); i += 3 {
-			judged = append(judged, judge(days[i].scenario, results[i], results[i+1], results[i+2]))
-		}
-		failed := ""
-		for _, d := range judged {
-			if len(d.Missed) > 0 && failed == "" {
-				failed = fmt.Sprintf("%s, seed %d: %s", d.Day, d.Seed, d.Missed[0])
+		for n := range f.seeds {
+			for _, by := range deciders {
+				runs = append(runs, virtualRun{s, s.Seed + uint64(n), by})
 			}
 		}
-		if *asJSON {
-			err = printJSON(c.OutOrStdout(), map[string]any{"passed": failed == "", "days": judged})
-		} else {
-			printGate(c.OutOrStdout(), judged, failed)
-		}
-		if err == nil && failed != "" {
-			err = fell
-		}
+	}
+	results, err := playAllVirtual(c.Context(), runs)
+	if err != nil {
 		return err
 	}
-	return c
-}
-
-// judgedDay is one day at the gate.
-type judgedDay struct {
-	Day         string   `json:"day"`
-	Seed        uint64   `json:"seed"`
-	InTime      float64  `json:"in_time"`
-	Seeing      float64  `json:"late_seeing"`
-	Plain       float64  `json:"random"`
-	Worst10s    float64  `json:"worst_10s"`
-	Connections float64  `json:"connections_a_task"`
-	Calls       int      `json:"calls"`
-	Broken      int      `json:"rules_broken"`
-	Missed      []string `json:"missed,omitempty"`
+	var judged []gateRun
+	for i := 0; i < len(runs); i += len(deciders) {
+		judged = append(judged, judge(&runs[i].scenario.Expect, results[i], results[i+1], results[i+2]))
+	}
+	failure := firstFailure(judged)
+	if f.asJSON {
+		err = printJSON(c.OutOrStdout(), gateReport{judged, failure == ""})
+	} else {
+		err = printGate(c.OutOrStdout(), judged, failure)
+	}
+	if err == nil && failure != "" {
+		return errFellShort
+	}
+	return err
 }
 
-func judge(s *scenario.Scenario, own, seeing, plain *result.Result) judgedDay {
-	d := judgedDay{
-		Day: s.Name, Seed: own.Plan.Seed, InTime: own.FractionInTime, Seeing: seeing.FractionInTime, Plain: plain.FractionInTime, Worst10s: own.WorstWindow(10),
-		Broken: own.ViolationCount, Missed: own.Missed,
+// judge sets a run beside those of the baselines on the same seed.
+func judge(expect *scenario.Expect, own, lateSeeing, random *result.Result) gateRun {
+	g := gateRun{
+		Scenario: own.Scenario, Seed: own.Plan.Seed,
+		InTime: own.FractionInTime, LateSeeing: lateSeeing.FractionInTime, Random: random.FractionInTime,
+		Worst10s: own.WorstWindow(10), Violations: own.ViolationCount, Missed: own.Missed,
 	}
-	for _, t := range own.Activity {
-		d.Connections += float64(t.Connections) / float64(max(own.Requests, 1))
-		d.Calls += t.ListCalls
+	for _, second := range own.Activity {
+		g.Connections += float64(second.Connections) / float64(max(own.Requests, 1))
+		g.ListCalls += second.ListCalls
 	}
-	if least := s.Expect.OfLateSeeing * seeing.FractionInTime; own.FractionInTime < least {
-		d.Missed = append(d.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f of what %s keeps", own.FractionInTime, least, s.Expect.OfLateSeeing, seeingName))
+	if least := expect.OfLateSeeing * g.LateSeeing; g.InTime < least {
+		g.Missed = append(g.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f of what %s keeps",
+			g.InTime, least, expect.OfLateSeeing, lateSeeingName))
 	}
-	if least := plain.FractionInTime - s.Expect.MaxBelowRandom; s.Expect.MaxBelowRandom > 0 && own.FractionInTime < least {
-		d.Missed = append(d.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f under %s", own.FractionInTime, least, s.Expect.MaxBelowRandom, plainName))
+	if least := g.Random - expect.MaxBelowRandom; expect.MaxBelowRandom > 0 && g.InTime < least {
+		g.Missed = append(g.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f under %s",
+			g.InTime, least, expect.MaxBelowRandom, randomName))
 	}
-	return d
+	return g
 }
 
-func printGate(w io.Writer, days []judgedDay, failed string) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "day\tseed\tin time\tlate-seeing\trandom\tworst 10 s\tconnections a task\tcalls\trules broken\t")
-	for _, d := range days {
-		fmt.Fprintf(t, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t\n", d.Day, d.Seed, d.InTime, d.Seeing, d.Plain, d.Worst10s, d.Connections, d.Calls, d.Broken)
-	}
-	t.Flush()
-	for _, d := range days {
-		for _, m := range d.Missed {
-			fmt.Fprintf(w, "%s, seed %d: %s\n", d.Day, d.Seed, m)
+// firstFailure describes the first run that did not pass; empty if all did.
+func firstFailure(runs []gateRun) string {
+	for i := range runs {
+		if g := &runs[i]; len(g.Missed) > 0 {
+			return g.failure(g.Missed[0])
+		}
+	}
+	return ""
+}
+
+func (g *gateRun) failure(missed string) string {
+	return fmt.Sprintf("%s, seed %d: %s", g.Scenario, g.Seed, missed)
+}
+
+func printGate(w io.Writer, runs []gateRun, failure string) error {
+	var rows, out strings.Builder
+	rows.WriteString("day\tseed\tin time\tlate-seeing\trandom\tworst 10 s\tconnections a task\tcalls\trules broken\t\n")
+	for _, g := range runs {
+		fmt.Fprintf(&rows, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t\n",
+			g.Scenario, g.Seed, g.InTime, g.LateSeeing, g.Random, g.Worst10s, g.Connections, g.ListCalls, g.Violations)
+	}
+	table := tabwriter.NewWriter(&out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	if _, err := io.WriteString(table, rows.String()); err != nil {
+		return err
+	}
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	for i := range runs {
+		for _, missed := range runs[i].Missed {
+			fmt.Fprintln(&out, runs[i].failure(missed))
 		}
 	}
-	if failed != "" {
-		fmt.Fprintf(w, "gate failed: %s\n", strings.TrimSpace(failed))
-		return
+	if failure != "" {
+		fmt.Fprintf(&out, "gate failed: %s\n", strings.TrimSpace(failure))
+	} else {
+		fmt.Fprintf(&out, "gate passed: %d days\n", len(runs))
 	}
-	fmt.Fprintf(w, "gate passed: %d days\n", len(days))
+	return printf(w, "%s", out.String())
 }
--- a/cmd/fawnglade-lab/main.go
+++ b/cmd/fawnglade-lab/main.go
@@ -1,4 +1,5 @@
-// Fawnglade-lab is the emulator of the platform: it plays days around real nodes and judges them.
+// Fawnglade-lab emulates the platform around fawnglade nodes: it plays scenarios with faults, on sockets or in virtual time, and
+// judges the nodes by them. Each command has a file; program.go finds the node under test.
 package main
 
 import (
@@ -14,13 +15,13 @@
 
 // Exit codes.
 const (
-	exitHeld  = 0
-	exitFell  = 1 // an expectation did not hold or a rule was broken
-	exitNoRun = 2 // it could not run, or the machine ran late
+	exitHeld      = 0
+	exitFellShort = 1 // an expectation did not hold or a rule was broken
+	exitNotRun    = 2 // it could not run, or the machine ran late
 )
 
-// fell is the error of a run that was played and did not hold.
-var fell = errors.New("not as expected")
+// errFellShort ends a command whose runs were played and did not hold.
+var errFellShort = errors.New("not as expected")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -29,7 +30,22 @@
 	os.Exit(code)
 }
 
+// run executes a command line and returns the exit code.
 func run(ctx context.Context, args []string) int {
+	root := newRootCommand()
+	root.SetArgs(args)
+	switch err := root.ExecuteContext(ctx); {
+	case err == nil:
+		return exitHeld
+	case errors.Is(err, errFellShort):
+		return exitFellShort
+	default:
+		fmt.Fprintln(os.Stderr, "fawnglade-lab:", err)
+		return exitNotRun
+	}
+}
+
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "fawnglade-lab",
 		Short: "Play days around real fawnglade nodes, with faults, and judge them",
@@ -41,15 +57,10 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(demo(), play(), compare(), report(), checkFiles(), proxy(), capacity(), cost(), gate(), huntDays(), sweepGrid(), measureMembers(), measureScale(), distribution(), distributionOrigin())
-	root.SetArgs(args)
-	switch err := root.ExecuteContext(ctx); {
-	case err == nil:
-		return exitHeld
-	case errors.Is(err, fell):
-		return exitFell
-	default:
-		fmt.Fprintln(os.Stderr, "fawnglade-lab:", err)
-		return exitNoRun
-	}
+	root.AddCommand(
+		newDemoCommand(), newRunCommand(), newCompareCommand(), newReportCommand(), newCheckCommand(), newProxyCommand(),
+		newCapacityCommand(), newCostCommand(), newGateCommand(), newHuntCommand(), newSweepCommand(), newMembersCommand(),
+		newScaleCommand(), newDistributionCommand(), newDistributionOriginCommand(),
+	)
+	return root
 }
--- a/cmd/fawnglade-lab/main_test.go
+++ b/cmd/fawnglade-lab/main_test.go
@@ -29,11 +29,13 @@
 	if err := build.Run(); err == nil {
 		code = m.Run()
 	}
-	os.RemoveAll(dir)
+	if err := os.RemoveAll(dir); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+	}
 	os.Exit(code)
 }
 
-// lab runs the program and returns its exit code and what it wrote.
+// lab runs the program, and returns its exit code and what it wrote to standard output and standard error.
 func lab(t *testing.T, args ...string) (code int, out, complaint string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -56,7 +58,7 @@
 	return path
 }
 
-func TestWhatCannotRun(t *testing.T) {
+func TestExitCodeOfWhatCannotRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		args []string
 		want string
@@ -74,18 +76,18 @@
 		"no relay there":   {[]string{"distribution", "--quick", "--relay", "/nowhere/fawnglade"}, "/nowhere/fawnglade"},
 		"no result there":  {[]string{"report", t.TempDir()}, "no such file"},
 	} {
-		if code, out, complaint := lab(t, c.args...); code != exitNoRun || out != "" || !strings.Contains(complaint, c.want) {
+		if code, out, complaint := lab(t, c.args...); code != exitNotRun || out != "" || !strings.Contains(complaint, c.want) {
 			t.Errorf("%s: exit %d, %q on standard output, %q; want exit 2 and %q", name, code, out, complaint, c.want)
 		}
 	}
 }
 
-// The newcomer's command, around a real node: a fault, a drain, a table, exit 0. Then its report.
+// The demo around a real node: a fault, a drain, a result, exit 0. Then its report.
 func TestDemo(t *testing.T) {
 	var code int
 	var out, complaint string
 	for range 3 {
-		if code, out, complaint = lab(t, "demo", "--seconds", "6", "--json"); code != exitNoRun {
+		if code, out, complaint = lab(t, "demo", "--seconds", "6", "--json"); code != exitNotRun {
 			break
 		}
 	}
@@ -98,7 +100,7 @@
 	}
 	for _, name := range []string{"satisfied", "declined", "broken_off", "lost", "rules_broken", "earnings_in_time", "p50_ms", "p99_ms"} {
 		if _, there := r[name].(float64); !there {
-			t.Errorf("%s is not told", name)
+			t.Errorf("%s is not in the result", name)
 		}
 	}
 	if r["satisfied"].(float64) < 1000 {
@@ -117,13 +119,13 @@
 	}
 }
 
-// Two policies on one day in virtual time, and the page that shows both.
-func TestSideBySide(t *testing.T) {
+// Two baselines on one scenario in virtual time, and the page that shows both.
+func TestReportOfRunsSideBySide(t *testing.T) {
 	dir, day := t.TempDir(), filepath.Join("..", "..", "lab", "scenarios", "slow.toml")
 	dirs := []string{filepath.Join(dir, "random", "slow"), filepath.Join(dir, "round-robin", "slow")}
 	for _, d := range dirs {
 		by := filepath.Base(filepath.Dir(d))
-		if code, _, complaint := lab(t, "run", day, "--virtual", "--by", by, "--out", filepath.Dir(d)); code == exitNoRun {
+		if code, _, complaint := lab(t, "run", day, "--virtual", "--by", by, "--out", filepath.Dir(d)); code == exitNotRun {
 			t.Fatal(complaint)
 		}
 	}
@@ -138,12 +140,12 @@
 	if err := os.WriteFile(filepath.Join(dir, "result.json"), []byte(`{"scenario": "calm"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, complaint := lab(t, "report", dirs[0], dir); code != exitNoRun || !strings.Contains(complaint, "a run of calm, expected one of slow") {
+	if code, _, complaint := lab(t, "report", dirs[0], dir); code != exitNotRun || !strings.Contains(complaint, "a run of calm, expected one of slow") {
 		t.Errorf("another day beside it: exit %d, %s", code, complaint)
 	}
 }
 
-// A handful of the shipped days around the real node.
+// Some of the shipped scenarios around real nodes.
 func TestScenarios(t *testing.T) {
 	var paths []string
 	for _, name := range []string{"calm", "drained", "fail-fast", "nodes-killed", "bad-clients", "between/halves", "between/to-servers"} {
@@ -159,7 +161,7 @@
 }
 
 // An expectation that does not hold is exit 1, and is named.
-func TestFellShort(t *testing.T) {
+func TestMissedExpectationIsNamed(t *testing.T) {
 	text, err := os.ReadFile("demo.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +171,7 @@
 	if strings.Contains(complaint, "ran late") {
 		t.Skip(complaint)
 	}
-	if code != exitFell || !strings.Contains(out, "not as expected: 99th percentile") {
+	if code != exitFellShort || !strings.Contains(out, "not as expected: 99th percentile") {
 		t.Errorf("exit %d: %s %s", code, out, complaint)
 	}
 }
@@ -200,8 +202,8 @@
 	}
 }
 
-// Whatever ends the rig, its nodes end too.
-func TestNodesEndWithTheRig(t *testing.T) {
+// Whatever ends the lab, its nodes end too.
+func TestNodesEndWithTheLab(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
 		c := exec.Command(filepath.Join(bin, "fawnglade-lab"), "demo", "--seconds", "60")
 		if err := c.Start(); err != nil {
@@ -218,13 +220,18 @@
 				node += strings.TrimSpace(string(text))
 			}
 		}
-		c.Process.Signal(s)
-		c.Wait()
-		if s == syscall.SIGINT && c.ProcessState.ExitCode() != exitNoRun {
+		if err := c.Process.Signal(s); err != nil {
+			t.Fatal(err)
+		}
+		var exit *exec.ExitError
+		if err := c.Wait(); err != nil && !errors.As(err, &exit) {
+			t.Fatal(err)
+		}
+		if s == syscall.SIGINT && c.ProcessState.ExitCode() != exitNotRun {
 			t.Errorf("interrupted: exit %d, want 2", c.ProcessState.ExitCode())
 		}
 		for end := time.Now().Add(5 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-			// One that has ended and that nobody waits for stands there as a zombie, where the system reaps slowly.
+			// A process that has ended is a zombie until it is reaped, which some systems do slowly.
 			stat, err := os.ReadFile("/proc/" + node + "/stat")
 			if err != nil || strings.Contains(string(stat), ") Z ") {
 				break
@@ -236,8 +243,8 @@
 	}
 }
 
-// The gate at a small size: a fixed verdict, as nothing in it hangs on real time.
-func TestTheGate(t *testing.T) {
+// The gate at a small size has a fixed verdict, as nothing in it depends on real time.
+func TestGate(t *testing.T) {
 	days, err := filepath.Glob("../../lab/scenarios/fleet/*.toml")
 	if err != nil || len(days) < 7 {
 		t.Fatal(days, err)
@@ -248,7 +255,7 @@
 		t.Errorf("exit %d, %s\n%s", code, complaint, first)
 	}
 	if _, again, _ := lab(t, append([]string{"gate", "--nodes", "12"}, days...)...); again != first {
-		t.Errorf("the same days came out another way:\n%s\n%s", first, again)
+		t.Errorf("a second run differs:\n%s\n%s", first, again)
 	}
 	text, err := os.ReadFile("../../lab/scenarios/fleet/calm.toml")
 	if err != nil {
@@ -257,11 +264,11 @@
 	strict := strings.Replace(string(text), "seeing_part_min = 0.95", "seeing_part_min = 1", 1)
 	code, out, _ := lab(t, "gate", "--nodes", "12", "--by", "random", file(t, strict))
 	if code != 1 || !strings.Contains(out, "gate failed: calm, seed 1: in time") {
-		t.Errorf("one that takes no heed passes: exit %d\n%s", code, out)
+		t.Errorf("a random choice passes: exit %d\n%s", code, out)
 	}
 }
 
-func TestDaysInVirtualTime(t *testing.T) {
+func TestRunsInVirtualTime(t *testing.T) {
 	dir := t.TempDir()
 	for name, c := range map[string]struct {
 		args []string
--- a/cmd/fawnglade-lab/members.go
+++ b/cmd/fawnglade-lab/members.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the measuring of who is there, over sizes and losses. It must never mix processes' figures with virtual time's.
-
 import (
 	"encoding/json"
 	"errors"
@@ -14,22 +12,34 @@
 	"github.com/spf13/cobra"
 )
 
-func readFigures(paths []string) (all []*fleet.Figures, err error) {
-	for _, path := range paths {
-		text, err := os.ReadFile(path)
-		if err != nil {
-			return nil, err
-		}
-		var some []*fleet.Figures
-		if err := json.Unmarshal(text, &some); err != nil {
-			return nil, fmt.Errorf("%s: %w", path, err)
-		}
-		all = append(all, some...)
-	}
-	return all, nil
+const (
+	minMembers         = 3
+	maxMembers         = 4096
+	maxMemberProcesses = 64
+	maxMemberLoss      = 0.9
+	measureMaxRounds   = 400 // after which a death that is not known everywhere is an error
+	minMembersRound    = 50 * time.Millisecond
+	minMembersWatched  = time.Second
+)
+
+// membersFlags are those of the members command.
+type membersFlags struct {
+	nodes         []int
+	losses        []float64
+	burst         int
+	watch         time.Duration
+	deaths        int
+	round         time.Duration
+	seed          uint64
+	processes     bool
+	node          string
+	asJSON        bool
+	plot          string
+	from          []string
+	fromProcesses []string
 }
 
-func measureMembers() *cobra.Command {
+func newMembersCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "members",
 		Short: "Measure how nodes find out which of them are there",
@@ -40,92 +50,149 @@
 			"  fawnglade-lab members --nodes 12 --loss 0.3 --processes --watch 30s",
 		Args: cobra.NoArgs,
 	}
-	nodes := c.Flags().IntSlice("nodes", []int{12, 40, 300}, "sizes of the fleet")
-	losses := c.Flags().Float64Slice("loss", []float64{0, 0.1, 0.3}, "parts of the messages that are lost")
-	burst := c.Flags().Int("burst", 1, "so many messages of a way in a row meet the same fate")
-	watch := c.Flags().Duration("watch", time.Minute, "how long well nodes are watched")
-	deaths := c.Flags().Int("deaths", 5, "nodes killed one after another")
-	round := c.Flags().Duration("round", 500*time.Millisecond, "of the members")
-	seed := c.Flags().Uint64("seed", 1, "of all that is drawn, in virtual time")
-	real := c.Flags().Bool("processes", false, "with processes on loopback, 64 at most")
-	node := c.Flags().String("node", "", "the node's command; by default the program beside this one")
-	asJSON := c.Flags().Bool("json", false, "print a list of JSON objects")
-	picture := c.Flags().String("plot", "", "leave a picture, as PNG or SVG; with --from of figures that were kept")
-	from := c.Flags().StringSlice("from", nil, "measure nothing: files of --json, in virtual time")
-	fromReal := c.Flags().StringSlice("from-processes", nil, "and with processes")
+	var f membersFlags
+	c.Flags().IntSliceVar(&f.nodes, "nodes", []int{12, 40, 300}, "sizes of the fleet")
+	c.Flags().Float64SliceVar(&f.losses, "loss", []float64{0, 0.1, 0.3}, "parts of the messages that are lost")
+	c.Flags().IntVar(&f.burst, "burst", 1, "so many messages of a way in a row meet the same fate")
+	c.Flags().DurationVar(&f.watch, "watch", time.Minute, "how long well nodes are watched")
+	c.Flags().IntVar(&f.deaths, "deaths", 5, "nodes killed one after another")
+	c.Flags().DurationVar(&f.round, "round", 500*time.Millisecond, "of the members")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "of all that is drawn, in virtual time")
+	c.Flags().BoolVar(&f.processes, "processes", false, "with processes on loopback, 64 at most")
+	c.Flags().StringVar(&f.node, "node", "", "the node's command; by default the program beside this one")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print a list of JSON objects")
+	c.Flags().StringVar(&f.plot, "plot", "", "leave a picture, as PNG or SVG; with --from of figures that were kept")
+	c.Flags().StringSliceVar(&f.from, "from", nil, "measure nothing: files of --json, in virtual time")
+	c.Flags().StringSliceVar(&f.fromProcesses, "from-processes", nil, "and with processes")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if len(*from)+len(*fromReal) > 0 {
-			virtual, err := readFigures(*from)
-			measured, err2 := readFigures(*fromReal)
-			if err = errors.Join(err, err2); err == nil && *picture == "" {
-				err = errors.New("--from: expected --plot beside it")
-			}
-			if err != nil {
-				return err
-			}
-			return fleet.Plot(*picture, virtual, measured)
+		if len(f.from)+len(f.fromProcesses) > 0 {
+			return f.plotStored()
 		}
-		for _, n := range *nodes {
-			if n < 3 || n > 4096 || *real && n > 64 {
-				return fmt.Errorf("--nodes: expected 3 to 4,096, 64 at most with --processes, got %d", n)
-			}
+		return measureMembers(c, f)
+	}
+	return c
+}
+
+// plotStored plots figures of earlier measurements.
+func (f *membersFlags) plotStored() error {
+	virtual, err := readFigures(f.from)
+	processes, errProcesses := readFigures(f.fromProcesses)
+	if err := errors.Join(err, errProcesses); err != nil {
+		return err
+	}
+	if f.plot == "" {
+		return errors.New("--from: expected --plot beside it")
+	}
+	return fleet.Plot(f.plot, virtual, processes)
+}
+
+func readFigures(paths []string) ([]*fleet.Figures, error) {
+	var all []*fleet.Figures
+	for _, path := range paths {
+		text, err := os.ReadFile(path)
+		if err != nil {
+			return nil, err
 		}
-		for _, l := range *losses {
-			if l < 0 || l >= 0.9 {
-				return fmt.Errorf("--loss: expected a part from 0 to under 0.9, got %g", l)
-			}
+		var figures []*fleet.Figures
+		if err := json.Unmarshal(text, &figures); err != nil {
+			return nil, fmt.Errorf("%s: %w", path, err)
+		}
+		all = append(all, figures...)
+	}
+	return all, nil
+}
+
+func (f *membersFlags) check() error {
+	for _, n := range f.nodes {
+		if n < minMembers || n > maxMembers || f.processes && n > maxMemberProcesses {
+			return fmt.Errorf("--nodes: expected 3 to 4,096, 64 at most with --processes, got %d", n)
 		}
-		if *watch < time.Second || *deaths < 1 || *round < 50*time.Millisecond || *burst < 1 {
-			return errors.New("--watch, --deaths, --round, --burst: expected 1s, 1, 50ms and 1 at least")
+	}
+	for _, loss := range f.losses {
+		if loss < 0 || loss >= maxMemberLoss {
+			return fmt.Errorf("--loss: expected a part from 0 to under 0.9, got %g", loss)
 		}
-		words, err := nodeCommand(*node)
-		if *real && err != nil {
+	}
+	if f.watch < minMembersWatched || f.deaths < 1 || f.round < minMembersRound || f.burst < 1 {
+		return errors.New("--watch, --deaths, --round, --burst: expected 1s, 1, 50ms and 1 at least")
+	}
+	return nil
+}
+
+func measureMembers(c *cobra.Command, f membersFlags) error {
+	if err := f.check(); err != nil {
+		return err
+	}
+	command, err := nodeCommand(f.node)
+	if f.processes && err != nil {
+		return err
+	}
+	if !f.asJSON {
+		err := printf(c.OutOrStdout(), "%6s %5s %10s %10s %12s %12s %10s %8s %10s %10s\n",
+			"nodes", "loss", "death s", "worst s", "doubts/h", "silences/h", "sent/s", "most/s", "bytes/s", "watched s")
+		if err != nil {
 			return err
 		}
-		var all []*fleet.Figures
-		if !*asJSON {
-			fmt.Fprintf(c.OutOrStdout(), "%6s %5s %10s %10s %12s %12s %10s %8s %10s %10s\n", "nodes", "loss", "death s", "worst s", "doubts/h", "silences/h", "sent/s", "most/s", "bytes/s", "watched s")
+	}
+	all, err := f.measureAll(c, command)
+	if err != nil {
+		return err
+	}
+	if f.plot != "" {
+		var virtual, processes []*fleet.Figures
+		if f.processes {
+			processes = all
+		} else {
+			virtual = all
 		}
-		for _, n := range *nodes {
-			for _, loss := range *losses {
-				var f *fleet.Figures
-				if *real {
-					p, err := fleet.NewProcesses(words, n, *round, nil)
-					if err != nil {
-						return err
-					}
-					f, err = fleet.Measure(p, loss, *burst, *watch, *deaths, 400)
-					if err = errors.Join(err, p.Close()); err != nil {
-						return err
-					}
-				} else {
-					v := fleet.NewVirtual(n, *seed)
-					v.Round = int64(*round)
-					var err error
-					if f, err = fleet.Measure(v, loss, *burst, *watch, *deaths, 400); err != nil {
-						return err
-					}
-				}
-				all = append(all, f)
-				if !*asJSON {
-					known := slices.Sorted(slices.Values(f.DeathKnown))
-					fmt.Fprintf(c.OutOrStdout(), "%6d %5.2f %10.1f %10.1f %12.0f %12.1f %10.1f %8.1f %10.0f %10.0f\n", n, loss, known[len(known)/2], known[len(known)-1], f.Doubts, f.Silences, f.Sent, f.Most, f.Bytes, f.Watched)
-				}
-			}
+		if err := fleet.Plot(f.plot, virtual, processes); err != nil {
+			return err
 		}
-		if *picture != "" {
-			virtual, measured := all, []*fleet.Figures(nil)
-			if *real {
-				virtual, measured = nil, all
+	}
+	if f.asJSON {
+		return printJSON(c.OutOrStdout(), all)
+	}
+	return nil
+}
+
+// measureAll measures each size with each loss, and prints a line after each.
+func (f *membersFlags) measureAll(c *cobra.Command, command []string) ([]*fleet.Figures, error) {
+	var all []*fleet.Figures
+	for _, nodes := range f.nodes {
+		for _, loss := range f.losses {
+			figures, err := f.measure(command, nodes, loss)
+			if err != nil {
+				return nil, err
 			}
-			if err := fleet.Plot(*picture, virtual, measured); err != nil {
-				return err
+			all = append(all, figures)
+			if f.asJSON {
+				continue
+			}
+			if err := printf(c.OutOrStdout(), "%s\n", membersLine(nodes, loss, figures)); err != nil {
+				return nil, err
 			}
 		}
-		if *asJSON {
-			return printJSON(c.OutOrStdout(), all)
-		}
-		return nil
 	}
-	return c
+	return all, nil
+}
+
+func (f *membersFlags) measure(command []string, nodes int, loss float64) (*fleet.Figures, error) {
+	if !f.processes {
+		virtual := fleet.NewVirtual(nodes, f.seed)
+		virtual.Round = int64(f.round)
+		return fleet.Measure(virtual, loss, f.burst, f.watch, f.deaths, measureMaxRounds)
+	}
+	processes, err := fleet.NewProcesses(command, nodes, f.round, nil)
+	if err != nil {
+		return nil, err
+	}
+	figures, err := fleet.Measure(processes, loss, f.burst, f.watch, f.deaths, measureMaxRounds)
+	return figures, errors.Join(err, processes.Close())
+}
+
+func membersLine(nodes int, loss float64, f *fleet.Figures) string {
+	known := slices.Sorted(slices.Values(f.DeathKnown))
+	median, worst := known[len(known)/2], known[len(known)-1]
+	return fmt.Sprintf("%6d %5.2f %10.1f %10.1f %12.0f %12.1f %10.1f %8.1f %10.0f %10.0f",
+		nodes, loss, median, worst, f.Doubts, f.Silences, f.Sent, f.Most, f.Bytes, f.Watched)
 }
--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -1,134 +1,53 @@
 package main
 
-// This file owns the commands that play days.
-
 import (
 	"context"
 	_ "embed"
-	"encoding/json"
 	"errors"
 	"fawnglade/internal/lab/baseline"
 	"fawnglade/internal/lab/emulator"
 	"fawnglade/internal/lab/result"
 	"fawnglade/internal/lab/scenario"
 	"fmt"
-	"io"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
-	"go.uber.org/zap"
-	"go.uber.org/zap/zapcore"
 )
 
 //go:embed demo.toml
 var demoText []byte
 
-// nodeCommand finds the node to play around: what was told, else the one beside this program, in bin/, or on the path.
-func nodeCommand(told string) ([]string, error) {
-	if told != "" {
-		return commandOf(told)
-	}
-	if self, err := os.Executable(); err == nil {
-		if beside := filepath.Join(filepath.Dir(self), "fawnglade"); executable(beside) {
-			return []string{beside, "serve"}, nil
-		}
-	}
-	if inBin, err := filepath.Abs("bin/fawnglade"); err == nil && executable(inBin) {
-		return []string{inBin, "serve"}, nil
-	}
-	if onPath, err := exec.LookPath("fawnglade"); err == nil {
-		return []string{onPath, "serve"}, nil
-	}
-	return nil, errors.New("no node found beside this program, in bin/ or on the path: build it with make build or give --node")
-}
-
-// commandOf turns what a user calls a node into its command: plain:KIND for a built-in proxy, the path of a node's
-// program, or a whole command line.
-func commandOf(text string) ([]string, error) {
-	if kind, plain := strings.CutPrefix(text, "plain:"); plain {
-		self, err := os.Executable()
-		if err != nil {
-			return nil, err
-		}
-		for _, k := range append([]string{relayKind}, emulator.PlainKinds...) {
-			if k == kind {
-				return []string{self, "proxy", "--kind", kind}, nil
-			}
-		}
-		return nil, fmt.Errorf("%s: expected plain: and one of %s", text, strings.Join(emulator.PlainKinds, ", "))
-	}
-	words := strings.Fields(text)
-	if len(words) == 0 {
-		return nil, errors.New("expected a command, got none")
-	}
-	path, err := exec.LookPath(words[0])
-	if err != nil {
-		return nil, err
-	}
-	if words[0], err = filepath.Abs(path); err != nil {
-		return nil, err
-	}
-	if len(words) == 1 {
-		words = append(words, "serve")
-	}
-	return words, nil
-}
-
-func executable(path string) bool {
-	info, err := os.Stat(path)
-	return err == nil && info.Mode().IsRegular() && info.Mode()&0o111 != 0
-}
-
-// terminal tells whether a file is one, so that progress goes there and nowhere else.
-func terminal(f *os.File) bool {
-	info, err := f.Stat()
-	return err == nil && info.Mode()&os.ModeCharDevice != 0 && os.Getenv("TERM") != "dumb" && os.Getenv("TERM") != ""
-}
-
-func logger(verbose bool) *zap.Logger {
-	if !verbose {
-		return zap.NewNop()
-	}
-	c := zap.NewDevelopmentConfig()
-	c.DisableStacktrace, c.DisableCaller = true, true
-	c.EncoderConfig.EncodeTime = zapcore.TimeEncoderOfLayout("15:04:05.000")
-	log, err := c.Build()
-	if err != nil {
-		return zap.NewNop()
-	}
-	return log
+// playOptions are those of one run on sockets.
+type playOptions struct {
+	scenario *scenario.Scenario
+	seed     uint64
+	node     []string // the command line of the node under test
+	out      string   // directory for the nodes' logs; empty: none are kept
+	verbose  bool
 }
 
-// once plays one scenario once.
-func once(ctx context.Context, s *scenario.Scenario, seed uint64, node []string, out string, verbose bool) (*result.Result, error) {
-	o := emulator.Options{Scenario: s, Seed: seed, Start: emulator.Command(node), Out: out, Log: logger(verbose)}
-	if terminal(os.Stderr) {
-		o.Progress = func(at, length time.Duration, settled, tasks int) {
-			fmt.Fprintf(os.Stderr, "\r\033[K%s: %.0f of %.0f s, %d of %d tasks settled", s.Name, min(at, length).Seconds(), length.Seconds(), settled, tasks)
+// playOnSockets plays a scenario once around processes of the node under test.
+func playOnSockets(ctx context.Context, o playOptions) (*result.Result, error) {
+	s := o.scenario
+	options := emulator.Options{Scenario: s, Seed: o.seed, Start: emulator.Command(o.node), Out: o.out, Log: newLogger(o.verbose)}
+	if isTerminal(os.Stderr) {
+		options.Progress = func(at, length time.Duration, settled, requests int) {
+			fmt.Fprintf(os.Stderr, "\r\033[K%s: %.0f of %.0f s, %d of %d tasks settled",
+				s.Name, min(at, length).Seconds(), length.Seconds(), settled, requests)
 		}
 		defer fmt.Fprint(os.Stderr, "\r\033[K")
 	}
-	record, err := emulator.Play(ctx, o)
+	trace, err := emulator.Play(ctx, options)
 	if err != nil {
 		return nil, err
 	}
-	return result.Of(s, record), nil
+	return result.FromTrace(s, trace), nil
 }
 
-func printJSON(w io.Writer, v any) error {
-	text, err := json.MarshalIndent(v, "", " ")
-	if err != nil {
-		return err
-	}
-	_, err = fmt.Fprintf(w, "%s\n", text)
-	return err
-}
-
-// verdictError turns verdicts into the program's end.
+// verdictError returns the error of a command by the verdicts of its runs; nil if all held.
 func verdictError(results []*result.Result) error {
 	var err error
 	for _, r := range results {
@@ -136,13 +55,33 @@
 		case result.Void:
 			return fmt.Errorf("%s: the machine ran late by %.0f ms: play it again with less beside it", r.Scenario, r.LateMs)
 		case result.FellShort:
-			err = fell
+			err = errFellShort
 		}
 	}
 	return err
 }
 
-func demo() *cobra.Command {
+// readScenario reads a scenario file; nodes replaces the number of its nodes unless it is 0.
+func readScenario(path string, nodes int) (*scenario.Scenario, error) {
+	s, err := scenario.Read(path)
+	if err != nil {
+		return nil, err
+	}
+	if nodes != 0 {
+		if err := s.WithNodes(nodes); err != nil {
+			return nil, err
+		}
+	}
+	return s, nil
+}
+
+// The shortest and the longest demo, seconds.
+const (
+	minDemoSeconds = 6
+	maxDemoSeconds = 600
+)
+
+func newDemoCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "demo",
 		Short: "Play a short day with one fault and a drain, without any file",
@@ -154,34 +93,46 @@
 	asJSON := c.Flags().Bool("json", false, "print one JSON object")
 	node := c.Flags().String("node", "", "the node's program; by default the one beside this program")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if *seconds < 6 || *seconds > 600 {
-			return fmt.Errorf("--seconds: expected 6 to 600, got %d", *seconds)
+		if *seconds < minDemoSeconds || *seconds > maxDemoSeconds {
+			return fmt.Errorf("--seconds: expected %d to %d, got %d", minDemoSeconds, maxDemoSeconds, *seconds)
 		}
 		s, err := scenario.Parse("demo", demoText)
 		if err != nil {
 			return err
 		}
 		s.Length = scenario.Duration(*seconds) * scenario.Duration(time.Second)
-		words, err := nodeCommand(*node)
+		command, err := nodeCommand(*node)
 		if err != nil {
 			return err
 		}
-		r, err := once(c.Context(), s, s.Seed, words, "", false)
+		r, err := playOnSockets(c.Context(), playOptions{scenario: s, seed: s.Seed, node: command})
 		if err != nil {
 			return err
 		}
 		if *asJSON {
 			err = printJSON(c.OutOrStdout(), r)
 		} else {
-			fmt.Fprintln(c.OutOrStdout(), s.About)
-			r.Print(c.OutOrStdout())
+			err = errors.Join(printf(c.OutOrStdout(), "%s\n", s.About), r.Print(c.OutOrStdout()))
 		}
 		return errors.Join(err, verdictError([]*result.Result{r}))
 	}
 	return c
 }
 
-func play() *cobra.Command {
+// runFlags are those of the run command.
+type runFlags struct {
+	seed    uint64
+	out     string
+	asJSON  bool
+	node    string
+	verbose bool
+	retries int
+	virtual bool
+	by      string
+	nodes   int
+}
+
+func newRunCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "run SCENARIO...",
 		Short: "Play scenarios and say whether they hold",
@@ -196,135 +147,139 @@
 			"  fawnglade-lab run lab/scenarios/slow.toml --virtual --by two-choices --nodes 30",
 		Args: cobra.MinimumNArgs(1),
 	}
-	seed := c.Flags().Uint64("seed", 0, "seed of all that is drawn; 0: the scenario's")
-	out := c.Flags().String("out", "", "directory for results and logs")
-	asJSON := c.Flags().Bool("json", false, "print one JSON object, or a list of them for several scenarios")
-	node := c.Flags().String("node", "", "the node's command, or plain:KIND; by default the program beside this one")
-	verbose := c.Flags().Bool("verbose", false, "say on standard error what the rig sees")
-	retry := c.Flags().Int("retry", 1, "how often to play again where the machine ran late")
-	inVirtual := c.Flags().Bool("virtual", false, "play in virtual time: no sockets, no processes, the same figures each time")
-	by := c.Flags().String("by", moduleName, "what decides in virtual time: "+moduleName+" or "+strings.Join(baseline.Names(), ", "))
-	nodes := c.Flags().Int("nodes", 0, "number of nodes in place of the scenario's; its load stays")
-	c.RunE = func(c *cobra.Command, args []string) error {
-		var days []*scenario.Scenario
-		for _, path := range args { // all are read before anything starts
-			s, err := scenario.Read(path)
-			if err != nil {
-				return err
-			}
-			days = append(days, s)
+	var f runFlags
+	c.Flags().Uint64Var(&f.seed, "seed", 0, "seed of all that is drawn; 0: the scenario's")
+	c.Flags().StringVar(&f.out, "out", "", "directory for results and logs")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object, or a list of them for several scenarios")
+	c.Flags().StringVar(&f.node, "node", "", "the node's command, or plain:KIND; by default the program beside this one")
+	c.Flags().BoolVar(&f.verbose, "verbose", false, "say on standard error what the rig sees")
+	c.Flags().IntVar(&f.retries, "retry", 1, "how often to play again where the machine ran late")
+	c.Flags().BoolVar(&f.virtual, "virtual", false, "play in virtual time: no sockets, no processes, the same figures each time")
+	c.Flags().StringVar(&f.by, "by", moduleName, "what decides in virtual time: "+moduleName+" or "+strings.Join(baseline.Names(), ", "))
+	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes in place of the scenario's; its load stays")
+	c.RunE = func(c *cobra.Command, paths []string) error { return runScenarios(c, f, paths) }
+	return c
+}
+
+// runScenarios plays scenarios in turn, after it has read all of them.
+func runScenarios(c *cobra.Command, f runFlags, paths []string) error {
+	scenarios, err := readScenarios(paths, f.nodes)
+	if err != nil {
+		return err
+	}
+	var command []string
+	if !f.virtual {
+		command, err = nodeCommand(f.node)
+		if err != nil {
+			return err
 		}
-		for _, s := range days {
-			if *nodes != 0 {
-				if err := s.WithNodes(*nodes); err != nil {
-					return err
-				}
-			}
+	}
+	var results []*result.Result
+	for _, s := range scenarios {
+		r, err := f.play(c.Context(), s, command)
+		if err != nil {
+			return err
 		}
-		var words []string
-		if !*inVirtual {
-			var err error
-			if words, err = nodeCommand(*node); err != nil {
-				return err
-			}
+		results = append(results, r)
+		if f.asJSON {
+			continue
 		}
-		var results []*result.Result
-		for _, s := range days {
-			with := s.Seed
-			if *seed != 0 {
-				with = *seed
-			}
-			dir := ""
-			if *out != "" {
-				dir = filepath.Join(*out, s.Name)
-			}
-			var r *result.Result
-			var err error
-			if *inVirtual {
-				if r, err = virtual(c.Context(), s, with, *by); err != nil {
-					return err
-				}
-			}
-			for tried := 0; !*inVirtual; tried++ {
-				if r, err = once(c.Context(), s, with, words, dir, *verbose); err != nil {
-					return fmt.Errorf("%s: %w", s.Name, err)
-				}
-				if r.Verdict != result.Void || tried >= *retry {
-					break
-				}
-			}
-			if dir != "" {
-				if err := r.Write(dir); err != nil {
-					return err
-				}
-			}
-			results = append(results, r)
-			if !*asJSON {
-				r.Print(c.OutOrStdout())
-				fmt.Fprintln(c.OutOrStdout())
-			}
+		if err := errors.Join(r.Print(c.OutOrStdout()), printf(c.OutOrStdout(), "\n")); err != nil {
+			return err
 		}
-		if *asJSON {
-			var v any = results
-			if len(results) == 1 {
-				v = results[0]
-			}
-			if err := printJSON(c.OutOrStdout(), v); err != nil {
-				return err
-			}
+	}
+	if f.asJSON {
+		var v any = results
+		if len(results) == 1 {
+			v = results[0]
+		}
+		if err := printJSON(c.OutOrStdout(), v); err != nil {
+			return err
 		}
-		return verdictError(results)
 	}
-	return c
+	return verdictError(results)
 }
 
-func checkFiles() *cobra.Command {
+// readScenarios reads all files before it changes any number of nodes, so that a file with an error is named first.
+func readScenarios(paths []string, nodes int) ([]*scenario.Scenario, error) {
+	var scenarios []*scenario.Scenario
+	for _, path := range paths {
+		s, err := scenario.Read(path)
+		if err != nil {
+			return nil, err
+		}
+		scenarios = append(scenarios, s)
+	}
+	if nodes == 0 {
+		return scenarios, nil
+	}
+	for _, s := range scenarios {
+		if err := s.WithNodes(nodes); err != nil {
+			return nil, err
+		}
+	}
+	return scenarios, nil
+}
+
+// play plays one scenario, and stores its result if a directory is given.
+func (f *runFlags) play(ctx context.Context, s *scenario.Scenario, command []string) (*result.Result, error) {
+	seed := s.Seed
+	if f.seed != 0 {
+		seed = f.seed
+	}
+	dir := ""
+	if f.out != "" {
+		dir = filepath.Join(f.out, s.Name)
+	}
+	var r *result.Result
+	var err error
+	if f.virtual {
+		r, err = playVirtual(ctx, virtualRun{s, seed, f.by})
+	} else {
+		r, err = f.playWithRetries(ctx, playOptions{scenario: s, seed: seed, node: command, out: dir, verbose: f.verbose})
+	}
+	if err != nil {
+		return nil, err
+	}
+	if dir != "" {
+		if err := r.Write(dir); err != nil {
+			return nil, err
+		}
+	}
+	return r, nil
+}
+
+// playWithRetries plays again while the machine runs late.
+func (f *runFlags) playWithRetries(ctx context.Context, o playOptions) (*result.Result, error) {
+	for retry := 0; ; retry++ {
+		r, err := playOnSockets(ctx, o)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", o.scenario.Name, err)
+		}
+		if r.Verdict != result.Void || retry >= f.retries {
+			return r, nil
+		}
+	}
+}
+
+func newCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check SCENARIO...",
 		Short:   "Check scenario files without starting anything",
 		Example: "  fawnglade-lab check lab/scenarios/*.toml",
 		Args:    cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(c *cobra.Command, paths []string) error {
 			var problems []error
-			for _, path := range args {
+			for _, path := range paths {
 				s, err := scenario.Read(path)
 				if err != nil {
 					problems = append(problems, err)
 					continue
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %v, %d servers, %d nodes, %d faults\n", path, s.Name, s.Length.Std(),
-					len(s.EndpointNames()), s.Nodes.Count, len(s.Faults))
+				problems = append(problems, printf(c.OutOrStdout(), "%s: %s, %v, %d servers, %d nodes, %d faults\n",
+					path, s.Name, s.Length.Std(), len(s.EndpointNames()), s.Nodes.Count, len(s.Faults)))
 			}
 			return errors.Join(problems...)
 		},
 	}
 }
-
-// relayKind is the relay that reads nothing, for the measure of a node's cost.
-const relayKind = "relay"
-
-// proxy is a plain proxy in a process of its own, to be played around like a node.
-func proxy() *cobra.Command {
-	c := &cobra.Command{Use: "proxy", Short: "Run a plain proxy to measure against", Hidden: true, Args: cobra.NoArgs}
-	kind := c.Flags().String("kind", "random", strings.Join(emulator.PlainKinds, ", "))
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		if *kind == relayKind {
-			go func() {
-				<-c.Context().Done()
-				os.Exit(exitHeld)
-			}()
-			return emulator.Relay(os.Getenv("NODE_CONFIG"))
-		}
-		p, err := emulator.NewPlain(os.Getenv("NODE_CONFIG"), *kind, "")
-		if err != nil {
-			return err
-		}
-		go func() {
-			<-c.Context().Done()
-			p.Stop()
-		}()
-		p.Run()
-		return nil
-	}
-	return c
-}
--- /dev/null
+++ b/cmd/fawnglade-lab/program.go
@@ -0,0 +1,81 @@
+package main
+
+import (
+	"errors"
+	"fawnglade/internal/lab/emulator"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+)
+
+// nodeProgram is the file name of a node's program, and the name of the project's own decisions in virtual time.
+const nodeProgram = "fawnglade"
+
+// serveArgument is what a node's program is started with unless a whole command line is given.
+const serveArgument = "serve"
+
+// relayProxy is the kind of proxy that reads nothing of what it passes on, as a base for a node's cost.
+const relayProxy = "relay"
+
+// nodeCommand returns the command line of the node under test: the given one, else the program beside this one, in bin/, or on
+// the path.
+func nodeCommand(given string) ([]string, error) {
+	if given != "" {
+		return parseCommand(given)
+	}
+	if self, err := os.Executable(); err == nil {
+		if beside := filepath.Join(filepath.Dir(self), nodeProgram); isExecutable(beside) {
+			return []string{beside, serveArgument}, nil
+		}
+	}
+	if inBin, err := filepath.Abs("bin/" + nodeProgram); err == nil && isExecutable(inBin) {
+		return []string{inBin, serveArgument}, nil
+	}
+	if onPath, err := exec.LookPath(nodeProgram); err == nil {
+		return []string{onPath, serveArgument}, nil
+	}
+	return nil, errors.New("no node found beside this program, in bin/ or on the path: build it with make build or give --node")
+}
+
+// parseCommand returns the command line of what a user calls a node: plain:KIND for a built-in proxy, the path of a node's
+// program, or a whole command line.
+func parseCommand(text string) ([]string, error) {
+	if kind, plain := strings.CutPrefix(text, "plain:"); plain {
+		return proxyCommand(text, kind)
+	}
+	words := strings.Fields(text)
+	if len(words) == 0 {
+		return nil, errors.New("expected a command, got none")
+	}
+	path, err := exec.LookPath(words[0])
+	if err != nil {
+		return nil, err
+	}
+	words[0], err = filepath.Abs(path)
+	if err != nil {
+		return nil, err
+	}
+	if len(words) == 1 {
+		words = append(words, serveArgument)
+	}
+	return words, nil
+}
+
+func proxyCommand(text, kind string) ([]string, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	if kind != relayProxy && !slices.Contains(emulator.PlainKinds, kind) {
+		return nil, fmt.Errorf("%s: expected plain: and one of %s", text, strings.Join(emulator.PlainKinds, ", "))
+	}
+	return []string{self, "proxy", "--kind", kind}, nil
+}
+
+func isExecutable(path string) bool {
+	info, err := os.Stat(path)
+	return err == nil && info.Mode().IsRegular() && info.Mode()&0o111 != 0
+}
--- a/cmd/fawnglade-lab/scale.go
+++ b/cmd/fawnglade-lab/scale.go
@@ -1,7 +1,5 @@
 package main
 
-// This file owns the command that measures slopes. It must never start a size that the package refuses.
-
 import (
 	"encoding/json"
 	"errors"
@@ -15,37 +13,36 @@
 	"github.com/spf13/cobra"
 )
 
-// figures are those of the design and the limits that have a flag.
-func figures(d *scale.Design, l *scale.Limits) map[string]*float64 {
-	return map[string]*float64{
-		"design-nodes": &d.Nodes, "design-servers": &d.Servers, "design-tenants": &d.Tenants, "limit-cores": &l.Cores, "limit-bytes": &l.Bytes,
-		"limit-bytes-s": &l.Network,
-	}
+// scaleFlags are those of the scale command.
+type scaleFlags struct {
+	only       []string
+	sizes      []float64
+	quick      bool
+	node       string
+	jsonPath   string // "-": standard output
+	plotPath   string
+	designPath string
+	from       []string
+	design     scale.Design
+	limits     scale.Limits
 }
 
-// commandLine is how a run is done again: without where its result went, which is each machine's own.
-func commandLine(c *cobra.Command) string {
-	out := "fawnglade-lab scale"
-	for _, name := range []string{"only", "sizes", "quick", "design", "design-nodes", "design-servers", "design-tenants", "limit-cores", "limit-bytes", "limit-bytes-s"} {
-		if !c.Flags().Changed(name) {
-			continue
-		}
-		switch value := strings.Trim(c.Flags().Lookup(name).Value.String(), "[]"); name {
-		case "quick":
-			out += " --quick"
-		case "design":
-			out += " --design " + filepath.Base(value)
-		default:
-			out += " --" + name + " " + value
-		}
+// figureFlags are the fields of the design and the limits that have a flag, by its name.
+func (f *scaleFlags) figureFlags() map[string]*float64 {
+	return map[string]*float64{
+		"design-nodes":   &f.design.Nodes,
+		"design-servers": &f.design.Servers,
+		"design-tenants": &f.design.Tenants,
+		"limit-cores":    &f.limits.Cores,
+		"limit-bytes":    &f.limits.Bytes,
+		"limit-bytes-s":  &f.limits.Network,
 	}
-	return out
 }
 
-func measureScale() *cobra.Command {
-	var names []string
+func newScaleCommand() *cobra.Command {
+	var probes []string
 	for _, p := range scale.Probes() {
-		names = append(names, p.Name)
+		probes = append(probes, p.Name)
 	}
 	c := &cobra.Command{
 		Use:   "scale",
@@ -53,103 +50,172 @@
 		Long: `Measure how the costs of a node's control grow with servers, services, classes, tenants and nodes. A line is fitted to each figure, and
 drawn out to the size that the operators design for; where the line breaks, the table says beyond which size.
 
-What can be measured: ` + strings.Join(names, ", ") + `.
+What can be measured: ` + strings.Join(probes, ", ") + `.
 Sizes that would take over half of the machine's memory, or more than 200 processes, are refused.`,
 		Example: "  fawnglade-lab scale --json slopes.json --plot slopes.png\n" +
 			"  fawnglade-lab scale --only decisions --sizes 1200,4000,12000,40000",
 		Args: cobra.NoArgs,
 	}
-	only := c.Flags().StringSlice("only", nil, "measure these alone")
-	sizes := c.Flags().Float64Slice("sizes", nil, "at these sizes; four at least, the last ten times the first")
-	quick := c.Flags().Bool("quick", false, "small sizes and short watches: a look, not a figure")
-	node := c.Flags().String("node", "", "the node's command; by default the program beside this one")
-	asJSON := c.Flags().String("json", "", "leave the result in a file as JSON; - prints it in place of the table")
-	picture := c.Flags().String("plot", "", "leave a picture as PNG, with the limits drawn in")
-	file := c.Flags().String("design", "", "TOML with [design] and [limits] that go before the operators' figures")
-	from := c.Flags().StringSlice("from", nil, "measure nothing: show files of --json, the later going before the earlier")
-	design, limits := scale.TheDesign, scale.TheLimits
-	c.Flags().Float64Var(&design.Nodes, "design-nodes", design.Nodes, "nodes to design for")
-	c.Flags().Float64Var(&design.Servers, "design-servers", design.Servers, "servers to design for")
-	c.Flags().Float64Var(&design.Tenants, "design-tenants", design.Tenants, "tenants to design for")
-	c.Flags().Float64Var(&limits.Cores, "limit-cores", limits.Cores, "part of a core that control may use of a node")
-	c.Flags().Float64Var(&limits.Bytes, "limit-bytes", limits.Bytes, "bytes of memory that it may use")
-	c.Flags().Float64Var(&limits.Network, "limit-bytes-s", limits.Network, "bytes a second that it may send and receive")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		flags := map[string]float64{} // go before the file
-		for name, v := range figures(&design, &limits) {
-			if c.Flags().Changed(name) {
-				if flags[name] = *v; !(*v > 0) {
-					return fmt.Errorf("--%s: expected a number above 0, got %g", name, *v)
-				}
-			}
+	f := &scaleFlags{design: scale.TheDesign, limits: scale.TheLimits}
+	f.addTo(c)
+	c.RunE = func(c *cobra.Command, _ []string) error { return runScale(c, f) }
+	c.AddCommand(&cobra.Command{
+		Use: "hollow FILE", Short: "Run the hollow nodes of a file; scale starts this by itself", Hidden: true, Args: cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error { return scale.Hollow(args[0], c.OutOrStdout()) },
+	})
+	return c
+}
+
+func (f *scaleFlags) addTo(c *cobra.Command) {
+	flags := c.Flags()
+	flags.StringSliceVar(&f.only, "only", nil, "measure these alone")
+	flags.Float64SliceVar(&f.sizes, "sizes", nil, "at these sizes; four at least, the last ten times the first")
+	flags.BoolVar(&f.quick, "quick", false, "small sizes and short watches: a look, not a figure")
+	flags.StringVar(&f.node, "node", "", "the node's command; by default the program beside this one")
+	flags.StringVar(&f.jsonPath, "json", "", "leave the result in a file as JSON; - prints it in place of the table")
+	flags.StringVar(&f.plotPath, "plot", "", "leave a picture as PNG, with the limits drawn in")
+	flags.StringVar(&f.designPath, "design", "", "TOML with [design] and [limits] that go before the operators' figures")
+	flags.StringSliceVar(&f.from, "from", nil, "measure nothing: show files of --json, the later going before the earlier")
+	flags.Float64Var(&f.design.Nodes, "design-nodes", f.design.Nodes, "nodes to design for")
+	flags.Float64Var(&f.design.Servers, "design-servers", f.design.Servers, "servers to design for")
+	flags.Float64Var(&f.design.Tenants, "design-tenants", f.design.Tenants, "tenants to design for")
+	flags.Float64Var(&f.limits.Cores, "limit-cores", f.limits.Cores, "part of a core that control may use of a node")
+	flags.Float64Var(&f.limits.Bytes, "limit-bytes", f.limits.Bytes, "bytes of memory that it may use")
+	flags.Float64Var(&f.limits.Network, "limit-bytes-s", f.limits.Network, "bytes a second that it may send and receive")
+	// A stored result is shown as it was measured.
+	for _, name := range append([]string{"node"}, measurementFlags...) {
+		c.MarkFlagsMutuallyExclusive("from", name)
+	}
+}
+
+// measurementFlags decide what is measured, in the order in which the command line of a result names them.
+var measurementFlags = []string{
+	"only", "sizes", "quick", "design", "design-nodes", "design-servers", "design-tenants", "limit-cores", "limit-bytes", "limit-bytes-s",
+}
+
+// commandLine returns the command that repeats a measurement, without the places of this machine's files.
+func commandLine(c *cobra.Command) string {
+	line := "fawnglade-lab scale"
+	for _, name := range measurementFlags {
+		if !c.Flags().Changed(name) {
+			continue
 		}
-		if *file != "" {
-			if err := scale.Read(*file, &design, &limits); err != nil {
-				return err
-			}
-			for name, v := range flags {
-				*figures(&design, &limits)[name] = v
-			}
+		value := strings.Trim(c.Flags().Lookup(name).Value.String(), "[]")
+		switch name {
+		case "quick":
+			line += " --quick"
+		case "design":
+			line += " --design " + filepath.Base(value)
+		default:
+			line += " --" + name + " " + value
 		}
-		var r *scale.Result
-		var problems []error
-		if len(*from) > 0 {
-			for _, path := range *from {
-				text, err := os.ReadFile(path)
-				if err != nil {
-					return err
-				}
-				one := &scale.Result{}
-				if err := json.Unmarshal(text, one); err != nil {
-					return fmt.Errorf("%s: %w", path, err)
-				}
-				r = scale.Join(r, one)
-			}
-		} else {
-			machine, err := scale.ThisMachine()
-			if err != nil {
-				return err
-			}
-			words, _ := nodeCommand(*node) // probes that want a process say so
-			var hollow []string
-			if self, err := os.Executable(); err == nil {
-				hollow = []string{self, "scale", "hollow"}
-			}
-			dir, err := os.MkdirTemp("", "fawnglade-scale-")
-			if err != nil {
-				return err
-			}
-			defer os.RemoveAll(dir)
-			r, err = scale.Run(c.Context(), scale.Options{
-				Only: *only, Sizes: *sizes, Command: commandLine(c),
-				Env: scale.Env{Node: words, Hollow: hollow, Quick: *quick, Log: os.Stderr, Dir: dir}, Day: time.Now(), Design: design, Limits: limits, Machine: machine,
-			})
-			if r == nil {
-				return err
-			}
-			problems = append(problems, err)
+	}
+	return line
+}
+
+func runScale(c *cobra.Command, f *scaleFlags) error {
+	if err := f.readDesign(c); err != nil {
+		return err
+	}
+	var result *scale.Result
+	var problems []error
+	var err error
+	if len(f.from) > 0 {
+		result, err = f.loadResults()
+		if err != nil {
+			return err
 		}
-		if *picture != "" {
-			problems = append(problems, scale.Plot(*picture, r))
+	} else {
+		result, err = f.measure(c) // a result may come with an error: what was measured before it is shown
+		if result == nil {
+			return err
 		}
-		if *asJSON == "-" {
-			return errors.Join(append(problems, printJSON(c.OutOrStdout(), r))...)
+		problems = append(problems, err)
+	}
+	problems = append(problems, f.write(c, result))
+	return errors.Join(problems...)
+}
+
+// readDesign reads the design file; flags that are given go before it.
+func (f *scaleFlags) readDesign(c *cobra.Command) error {
+	given := map[string]float64{}
+	for name, figure := range f.figureFlags() {
+		if !c.Flags().Changed(name) {
+			continue
 		}
-		if *asJSON != "" {
-			text, err := json.MarshalIndent(r, "", " ")
-			if err == nil {
-				err = os.WriteFile(*asJSON, append(text, '\n'), 0o644)
-			}
-			problems = append(problems, err)
+		if !(*figure > 0) {
+			return fmt.Errorf("--%s: expected a number above 0, got %g", name, *figure)
 		}
-		return errors.Join(append(problems, scale.Print(c.OutOrStdout(), r))...)
+		given[name] = *figure
 	}
-	for _, name := range []string{"only", "sizes", "quick", "node", "design", "design-nodes", "design-servers", "design-tenants", "limit-cores", "limit-bytes", "limit-bytes-s"} {
-		c.MarkFlagsMutuallyExclusive("from", name) // what was kept is shown as it was measured
+	if f.designPath == "" {
+		return nil
 	}
-	c.AddCommand(&cobra.Command{
-		Use: "hollow FILE", Short: "Run the hollow nodes of a file; scale starts this by itself", Hidden: true, Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return scale.Hollow(args[0], c.OutOrStdout()) },
+	if err := scale.Read(f.designPath, &f.design, &f.limits); err != nil {
+		return err
+	}
+	figures := f.figureFlags()
+	for name, value := range given {
+		*figures[name] = value
+	}
+	return nil
+}
+
+func (f *scaleFlags) loadResults() (*scale.Result, error) {
+	var joined *scale.Result
+	for _, path := range f.from {
+		text, err := os.ReadFile(path)
+		if err != nil {
+			return nil, err
+		}
+		result := &scale.Result{}
+		if err := json.Unmarshal(text, result); err != nil {
+			return nil, fmt.Errorf("%s: %w", path, err)
+		}
+		joined = scale.Join(joined, result)
+	}
+	return joined, nil
+}
+
+// measure runs the probes. It may return what was measured beside an error.
+func (f *scaleFlags) measure(c *cobra.Command) (result *scale.Result, err error) {
+	machine, err := scale.ThisMachine()
+	if err != nil {
+		return nil, err
+	}
+	node, err := nodeCommand(f.node)
+	if err != nil {
+		node = nil // probes that need a process say so
+	}
+	var hollow []string
+	if self, err := os.Executable(); err == nil {
+		hollow = []string{self, "scale", "hollow"}
+	}
+	dir, err := os.MkdirTemp("", "fawnglade-scale-")
+	if err != nil {
+		return nil, err
+	}
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	return scale.Run(c.Context(), scale.Options{
+		Only: f.only, Sizes: f.sizes, Command: commandLine(c),
+		Env: scale.Env{Node: node, Hollow: hollow, Quick: f.quick, Log: os.Stderr, Dir: dir},
+		Day: time.Now(), Design: f.design, Limits: f.limits, Machine: machine,
 	})
-	return c
+}
+
+// write writes a result in the forms that were asked for; one that fails keeps none of the others back.
+func (f *scaleFlags) write(c *cobra.Command, result *scale.Result) error {
+	var problems []error
+	if f.plotPath != "" {
+		problems = append(problems, scale.Plot(f.plotPath, result))
+	}
+	if f.jsonPath == "-" {
+		problems = append(problems, printJSON(c.OutOrStdout(), result))
+		return errors.Join(problems...)
+	}
+	if f.jsonPath != "" {
+		problems = append(problems, writeJSON(f.jsonPath, result))
+	}
+	problems = append(problems, scale.Print(c.OutOrStdout(), result))
+	return errors.Join(problems...)
 }
--- a/cmd/fawnglade-lab/scale_test.go
+++ b/cmd/fawnglade-lab/scale_test.go
@@ -91,7 +91,7 @@
 		{"--limit-cores 0", "--limit-cores: expected a number above 0, got 0"},
 	} {
 		code, out, complaint := lab(t, append([]string{"scale"}, strings.Fields(c.args)...)...)
-		if code != exitNoRun || out != "" || !strings.Contains(complaint, c.want) || strings.Count(complaint, "\n") != 1 {
+		if code != exitNotRun || out != "" || !strings.Contains(complaint, c.want) || strings.Count(complaint, "\n") != 1 {
 			t.Errorf("%s: %d, %q, %q, want one line with %q", c.args, code, out, complaint, c.want)
 		}
 	}
@@ -112,7 +112,7 @@
 	if code != exitHeld || complaint != "" || !strings.Contains(out, "services.memory ") || !strings.Contains(out, "an instance of the decisions with 24 servers stands for one") {
 		t.Error(code, out, complaint)
 	}
-	if code, _, complaint := lab(t, "scale", "--from", path, "--design-servers", "5"); code != exitNoRun || !strings.Contains(complaint, "from") {
+	if code, _, complaint := lab(t, "scale", "--from", path, "--design-servers", "5"); code != exitNotRun || !strings.Contains(complaint, "from") {
 		t.Error("other figures beside --from: ", code, complaint)
 	}
 	if info, err := os.Stat(picture); err != nil || info.Size() < 10_000 {
--- /dev/null
+++ b/cmd/fawnglade-lab/sweep.go
@@ -0,0 +1,136 @@
+package main
+
+import (
+	"errors"
+	"fawnglade/internal/lab/result"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/sweep"
+	"fmt"
+	"os"
+
+	"github.com/spf13/cobra"
+)
+
+// sweepFlags are those of the sweep command.
+type sweepFlags struct {
+	out     string
+	seed    uint64
+	repeats int
+	by      []string
+}
+
+func newSweepCommand() *cobra.Command {
+	c := &cobra.Command{
+		Use:   "sweep SCENARIO KEY=a,b,c [KEY=a,b]",
+		Short: "Play a grid over one or two figures of a scenario, with repeats",
+		Long: `Play a grid over one or two figures of a scenario, with repeats, in virtual time and on all cores.
+
+KEY is a key of the file, such as load.rate, nodes.count or fault.0.share. --out holds sweep.csv, a row for each day as
+it ends, and a plot for each figure: lines with their 95% intervals for one key, a heat map of the first decider for
+two. A sweep that was ended goes on where it stood.`,
+		Example: "  fawnglade-lab sweep lab/scenarios/fleet/calm.toml nodes.count=3,30,300 --by fawnglade,two-choices --repeats 5 --out swept",
+		Args:    cobra.RangeArgs(2, 3),
+	}
+	var f sweepFlags
+	c.Flags().StringVar(&f.out, "out", "swept", "directory for the table and the plots")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "first seed")
+	c.Flags().IntVar(&f.repeats, "repeats", 3, "days of each cell")
+	c.Flags().StringSliceVar(&f.by, "by", []string{moduleName}, "what decides, several with commas")
+	c.RunE = func(c *cobra.Command, args []string) error { return runSweep(c, f, args[0], args[1:]) }
+	return c
+}
+
+func runSweep(c *cobra.Command, f sweepFlags, path string, keys []string) error {
+	if f.repeats < 1 || f.repeats > 10000 {
+		return fmt.Errorf("--repeats: expected 1 to 10,000, got %d", f.repeats)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	axes, err := parseAxes(keys)
+	if err != nil {
+		return err
+	}
+	for _, name := range f.by {
+		if _, err := deciderByName(name); err != nil {
+			return err
+		}
+	}
+	cells := sweep.Grid(axes, f.by, f.seed, f.repeats)
+	scenarios, err := scenariosOf(cells, path, text, axes)
+	if err != nil {
+		return err
+	}
+	table, err := sweep.Open(f.out, axes)
+	if err != nil {
+		return err
+	}
+	if err := errors.Join(playCells(c, table, cells, scenarios), table.Close()); err != nil {
+		return err
+	}
+	rows := table.Rows()
+	if err := sweep.Plot(f.out, axes, f.by, rows); err != nil {
+		return err
+	}
+	return sweep.Print(c.OutOrStdout(), axes, rows)
+}
+
+func parseAxes(keys []string) ([]sweep.Axis, error) {
+	var axes []sweep.Axis
+	for _, key := range keys {
+		axis, err := sweep.ParseAxis(key)
+		if err != nil {
+			return nil, err
+		}
+		axes = append(axes, axis)
+	}
+	return axes, nil
+}
+
+// valuesKey identifies the scenario of a cell; cells that differ in decider or seed share it.
+func valuesKey(c sweep.Cell) string { return fmt.Sprint(c.Values) }
+
+// scenariosOf returns the scenarios of all cells by valuesKey, so that a wrong value is found before any run.
+func scenariosOf(cells []sweep.Cell, path string, text []byte, axes []sweep.Axis) (map[string]*scenario.Scenario, error) {
+	scenarios := map[string]*scenario.Scenario{}
+	for _, cell := range cells {
+		key := valuesKey(cell)
+		if scenarios[key] != nil {
+			continue
+		}
+		s, err := sweep.Scenario(path, text, axes, cell)
+		if err != nil {
+			return nil, err
+		}
+		scenarios[key] = s
+	}
+	return scenarios, nil
+}
+
+// playCells plays the cells that are not in the table yet, and adds them.
+func playCells(c *cobra.Command, table *sweep.Table, cells []sweep.Cell, scenarios map[string]*scenario.Scenario) error {
+	unplayed := table.Unplayed(cells)
+	fmt.Fprintf(os.Stderr, "%d days, %d of them played before\n", len(cells), len(cells)-len(unplayed))
+	return onAllCores(c.Context(), len(unplayed), func(i int) error {
+		cell := unplayed[i]
+		r, err := playVirtual(c.Context(), virtualRun{scenarios[valuesKey(cell)], cell.Seed, cell.By})
+		if err != nil {
+			return err
+		}
+		return table.Add(cell, figuresOf(r))
+	})
+}
+
+// figuresOf returns the figures of a run in the order of sweep.Columns.
+func figuresOf(r *result.Result) sweep.Figures {
+	connections := 0
+	for _, second := range r.Activity {
+		connections += second.Connections
+	}
+	requests := float64(max(r.Requests, 1))
+	return sweep.Figures{
+		r.FractionInTime, float64(r.Rejected) / requests, r.P50, r.P99, r.WorstWindow(10), r.WorstClass(),
+		float64(connections) / requests, float64(r.ViolationCount),
+	}
+}
--- a/cmd/fawnglade-lab/virtual.go
+++ b/cmd/fawnglade-lab/virtual.go
@@ -1,8 +1,5 @@
 package main
 
-// This file owns the playing of days in virtual time, and of many at once: what decides is called by name, and each day is one
-// goroutine's from its beginning to its end.
-
 import (
 	"context"
 	"fawnglade/internal/lab/baseline"
@@ -16,11 +13,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// moduleName is what the project's own decisions are called.
-const moduleName = "fawnglade"
+// moduleName is the name of the project's own decisions among the deciders.
+const moduleName = nodeProgram
 
-// makerOf finds what decides by its name.
-func makerOf(name string) (simulation.NewDecider, error) {
+// deciderByName returns the constructor of a decider: the project's own decisions, or a baseline.
+func deciderByName(name string) (simulation.NewDecider, error) {
 	if name == "" || name == moduleName {
 		return simulation.NewBalancer, nil
 	}
@@ -30,49 +27,51 @@
 	return baseline.New(name), nil
 }
 
-// virtual plays one day in virtual time.
-func virtual(ctx context.Context, s *scenario.Scenario, seed uint64, by string) (*result.Result, error) {
-	maker, err := makerOf(by)
+// virtualRun is one run of a scenario in virtual time.
+type virtualRun struct {
+	scenario *scenario.Scenario
+	seed     uint64
+	by       string // name of the decider
+}
+
+// playVirtual plays one run in this goroutine.
+func playVirtual(ctx context.Context, run virtualRun) (*result.Result, error) {
+	decider, err := deciderByName(run.by)
 	if err != nil {
 		return nil, err
 	}
-	played, err := simulation.Run(ctx, simulation.Options{Scenario: s, Seed: seed, NewDecider: maker})
+	trace, err := simulation.Run(ctx, simulation.Options{Scenario: run.scenario, Seed: run.seed, NewDecider: decider})
 	if err != nil {
-		return nil, fmt.Errorf("%s, seed %d, %s: %w", s.Name, seed, by, err)
+		return nil, fmt.Errorf("%s, seed %d, %s: %w", run.scenario.Name, run.seed, run.by, err)
 	}
-	return result.Of(s, played), nil
+	return result.FromTrace(run.scenario, trace), nil
 }
 
-// dayOf is one day of many.
-type dayOf struct {
-	scenario *scenario.Scenario
-	seed     uint64
-	by       string
-}
-
-// all plays days on as many cores as there are, and returns their results in the order asked for.
-func all(ctx context.Context, days []dayOf) ([]*result.Result, error) {
-	results := make([]*result.Result, len(days))
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(runtime.GOMAXPROCS(0))
-	for i, d := range days {
-		g.Go(func() (err error) {
-			results[i], err = virtual(ctx, d.scenario, d.seed, d.by)
+// playAllVirtual plays runs on all cores, and returns their results in the order of the runs.
+func playAllVirtual(ctx context.Context, runs []virtualRun) ([]*result.Result, error) {
+	results := make([]*result.Result, len(runs))
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	for i, run := range runs {
+		group.Go(func() (err error) {
+			results[i], err = playVirtual(ctx, run)
 			return err
 		})
 	}
-	return results, g.Wait()
+	return results, group.Wait()
 }
 
-// virtualPairs plays two deciders on the same seeds.
-func virtualPairs(ctx context.Context, s *scenario.Scenario, pairs int, a, b string) (as, bs []*result.Result, err error) {
-	var days []dayOf
-	for i := range pairs {
-		days = append(days, dayOf{s, s.Seed + uint64(i), a}, dayOf{s, s.Seed + uint64(i), b})
-	}
-	results, err := all(ctx, days)
-	for i := 0; err == nil && i < len(results); i += 2 {
-		as, bs = append(as, results[i]), append(bs, results[i+1])
+// onAllCores calls do for each index, as many at once as there are cores, and stops at the first error.
+func onAllCores(ctx context.Context, n int, do func(i int) error) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	for i := range n {
+		group.Go(func() error {
+			if ctx.Err() != nil {
+				return ctx.Err()
+			}
+			return do(i)
+		})
 	}
-	return as, bs, err
+	return group.Wait()
 }
--- a/internal/lab/faultsearch/faultsearch_test.go
+++ b/internal/lab/faultsearch/faultsearch_test.go
@@ -7,6 +7,7 @@
 	"fawnglade/internal/lab/scenario"
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 )
@@ -20,23 +21,25 @@
 	return s
 }
 
-// costly loses by how much of the fleet is silent, for how long, and a little where any is slow; everything else is worth nothing.
-func costly(_ context.Context, s *scenario.Scenario, _ uint64) (loss float64, broken int, err error) {
+// costly loses by the part of the fleet that is silent and for how long, a little where any is slow, and by nothing else.
+func costly(_ context.Context, s *scenario.Scenario, _ uint64) (Score, error) {
+	var score Score
 	for _, f := range s.Faults {
 		if f.Kind == "silent" {
-			loss = max(loss, f.Share*min(float64(f.For)/1e9, 2))
+			score.Loss = max(score.Loss, f.Share*min(float64(f.For)/1e9, 2))
 		}
 		if f.Kind == "slow" {
-			loss = max(loss, 0.15)
+			score.Loss = max(score.Loss, 0.15)
 		}
 		if f.Kind == "cut-node" && f.Share > 0.3 {
-			broken = 1
+			score.Violations = 1
 		}
 	}
-	return loss, broken, nil
+	return score, nil
 }
 
-func one(ctx context.Context, n int, do func(int) error) error {
+// inTurn is a ForEach without concurrency.
+func inTurn(ctx context.Context, n int, do func(int) error) error {
 	for i := range n {
 		if err := do(i); err != nil {
 			return err
@@ -46,59 +49,60 @@
 }
 
 func options(t *testing.T, dir string, play Play) Options {
-	return Options{Base: base(t), Seed: 4, Draws: 60, Keep: 8, Dir: dir, Play: play, Each: one}
+	return Options{Base: base(t), Seed: 4, Draws: 60, Keep: 8, Dir: dir, Play: play, ForEach: inTurn}
 }
 
-func TestAHuntFindsWhatLosesAndCutsItDown(t *testing.T) {
+func TestSearchFindsAndReducesCostlyFaults(t *testing.T) {
 	dir := t.TempDir()
-	noRules := func(ctx context.Context, s *scenario.Scenario, seed uint64) (float64, int, error) {
-		loss, _, err := costly(ctx, s, seed)
-		return loss, 0, err
+	withoutViolations := func(ctx context.Context, s *scenario.Scenario, seed uint64) (Score, error) {
+		score, err := costly(ctx, s, seed)
+		return Score{Loss: score.Loss}, err
 	}
-	st, err := Run(context.Background(), options(t, dir, noRules))
+	state, err := Run(t.Context(), options(t, dir, withoutViolations))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, kind := range []string{"silent", "slow"} {
-		if d := st.Shrunk[i]; len(d.Faults) != 1 || d.Faults[0].Kind != kind || d.Faults[0].Zone != "" || d.Faults[0].Each != 0 || d.Loss < 0.1 {
-			t.Errorf("find %d is not cut down to %s, which matters: %+v", i, kind, d)
+		if d := state.Finds[i]; len(d.Faults) != 1 || d.Faults[0].Kind != kind || d.Faults[0].Zone != "" || d.Faults[0].Each != 0 || d.Loss < 0.1 {
+			t.Errorf("find %d is not reduced to %s, which matters: %+v", i, kind, d)
 		}
 	}
-	if len(st.Shrunk) != 3 || includes(st.Shrunk[2], st.Shrunk[0]) || includes(st.Shrunk[2], st.Shrunk[1]) {
-		t.Errorf("three finds are not three causes: %+v", st.Shrunk)
+	if len(state.Finds) != 3 || includesKinds(state.Finds[2], state.Finds[0]) || includesKinds(state.Finds[2], state.Finds[1]) {
+		t.Errorf("the three finds do not have three causes: %+v", state.Finds)
 	}
 	s, err := scenario.Read(filepath.Join(dir, "calm-found-1.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if loss, _, _ := noRules(nil, s, s.Seed); loss != st.Shrunk[0].Loss {
-		t.Errorf("the kept file loses %.3f, the day lost %.3f", loss, st.Shrunk[0].Loss)
+	score, err := withoutViolations(t.Context(), s, s.Seed)
+	if err != nil || score.Loss != state.Finds[0].Loss {
+		t.Errorf("the stored file loses %.3f, the candidate lost %.3f, %v", score.Loss, state.Finds[0].Loss, err)
 	}
 }
 
-func TestABrokenRuleComesBeforeAnyLoss(t *testing.T) {
-	st, err := Run(context.Background(), options(t, t.TempDir(), costly))
+func TestViolationsComeBeforeAnyLoss(t *testing.T) {
+	state, err := Run(t.Context(), options(t, t.TempDir(), costly))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := st.Shrunk[0]; d.Broken == 0 || len(d.Faults) != 1 || d.Faults[0].Kind != "cut-node" {
+	if d := state.Finds[0]; d.Violations == 0 || len(d.Faults) != 1 || d.Faults[0].Kind != "cut-node" {
 		t.Errorf("the worst is %+v", d)
 	}
 }
 
-// A hunt that is ended at any moment goes on and finds what an undisturbed one finds.
-func TestAHuntThatIsEndedGoesOn(t *testing.T) {
-	whole := t.TempDir()
-	if _, err := Run(context.Background(), options(t, whole, costly)); err != nil {
+// A search that is ended at any moment is resumed, and finds what an undisturbed one finds.
+func TestSearchResumesAfterAnyInterruption(t *testing.T) {
+	undisturbed := t.TempDir()
+	if _, err := Run(t.Context(), options(t, undisturbed, costly)); err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	enough := errors.New("ended")
+	errEnded := errors.New("ended")
 	for most, runs := 70, 0; ; runs++ {
 		left := most
-		_, err := Run(context.Background(), options(t, dir, func(ctx context.Context, s *scenario.Scenario, seed uint64) (float64, int, error) {
+		_, err := Run(t.Context(), options(t, dir, func(ctx context.Context, s *scenario.Scenario, seed uint64) (Score, error) {
 			if left--; left < 0 {
-				return 0, 0, enough
+				return Score{}, errEnded
 			}
 			return costly(ctx, s, seed)
 		}))
@@ -108,28 +112,28 @@
 			}
 			break
 		}
-		if !errors.Is(err, enough) {
+		if !errors.Is(err, errEnded) {
 			t.Fatal(err)
 		}
 	}
-	read := func(dir string) (st State) {
+	read := func(dir string) State {
+		t.Helper()
 		text, err := os.ReadFile(filepath.Join(dir, "hunt.json"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := json.Unmarshal(text, &st); err != nil {
+		var state State
+		if err := json.Unmarshal(text, &state); err != nil {
 			t.Fatal(err)
 		}
-		return st
+		return state
 	}
-	a, _ := json.Marshal(read(whole))
-	b, _ := json.Marshal(read(dir))
-	if string(a) != string(b) {
-		t.Errorf("one that was ended found something else:\n%s\n%s", a, b)
+	if got, want := read(dir), read(undisturbed); !reflect.DeepEqual(got, want) {
+		t.Errorf("one that was ended found something else:\n%+v\n%+v", got, want)
 	}
 	o := options(t, dir, costly)
 	o.Seed = 5
-	if _, err := Run(context.Background(), o); err == nil || !strings.Contains(err.Error(), "another directory") {
-		t.Errorf("another hunt in the same directory: %v", err)
+	if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), "another directory") {
+		t.Errorf("another search in the same directory: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/lab/result/analysis.go
@@ -0,0 +1,165 @@
+package result
+
+import (
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
+	"fmt"
+	"time"
+)
+
+// spanLength is that of Result.Spans, in nanoseconds.
+const spanLength = int64(5 * time.Second)
+
+// FromTrace derives the figures and the verdict of a run.
+func FromTrace(s *scenario.Scenario, r *trace.Trace) *Result {
+	out := &Result{
+		Scenario: s.Name, About: s.About, LengthS: s.Length.Std().Seconds(), LateMs: float64(r.Lag) / 1e6,
+		Plan:           Plan{r.Plan.Seed, r.PlanHash, len(r.Plan.Operations)},
+		ViolationCount: len(r.Violations), Violations: r.Violations,
+		Classes: map[string]*Tally{}, Tenants: map[string]*Tally{},
+		Attempts: countAttempts(s, r), Nodes: r.Nodes, BadClients: r.BadClients, Oddities: r.Oddities,
+		SlowStart: slowStartOf(r), Endpoints: r.Endpoints, Loads: r.Loads,
+		Virtual: r.Virtual, Activity: r.Activity, Reach: r.Reach,
+		Views: viewsOf(r.Views, r.Running), MembershipViews: r.Views, Running: r.Running,
+	}
+	out.tallyRequests(s, r)
+	out.addFaults(s, r)
+	out.checkExpectations(s, r.BadClients)
+	out.Verdict = out.verdict(r.Void)
+	return out
+}
+
+// tallyRequests counts each request in all of the tallies that it belongs to.
+func (r *Result) tallyRequests(s *scenario.Scenario, run *trace.Trace) {
+	all := newTally()
+	spans := newTallies(int64(s.Length), spanLength)
+	seconds := newTallies(int64(s.Length), int64(time.Second))
+	for i := range run.Plan.Operations {
+		operation := &run.Plan.Operations[i]
+		class := &s.Classes[operation.Class]
+		due := operation.Due - run.StartedAt
+		tallies := []*Tally{all, tallyNamed(r.Classes, class.Name), spans[due/spanLength], seconds[due/int64(time.Second)]}
+		if operation.Tenant >= 0 {
+			tallies = append(tallies, tallyNamed(r.Tenants, s.Tenants[operation.Tenant].Name))
+		}
+		for _, t := range tallies {
+			t.add(run.Outcomes[i], class)
+		}
+	}
+	r.Tally = all.finish()
+	for _, t := range r.Classes {
+		t.finish()
+	}
+	for _, t := range r.Tenants {
+		t.finish()
+	}
+	r.Spans = finishAll(spans)
+	r.Seconds = finishAll(seconds)
+}
+
+func finishAll(tallies []*Tally) []Tally {
+	var finished []Tally
+	for _, t := range tallies {
+		finished = append(finished, t.finish())
+	}
+	return finished
+}
+
+// addFaults lists the faults, and computes the recovery after the last power loss.
+func (r *Result) addFaults(s *scenario.Scenario, run *trace.Trace) {
+	for i := range run.Plan.Faults {
+		fault := &run.Plan.Faults[i]
+		from := float64(int64(fault.At)-run.StartedAt) / 1e9
+		if fault.Kind == "power" {
+			r.RecoveryS = r.recoveryAfter(from)
+		}
+		targets := len(fault.Targets)
+		if links, ok := s.LinkFault(&fault.Fault); ok {
+			targets = len(links.From) * len(links.To)
+		}
+		r.Faults = append(r.Faults, FaultSpan{fault.Kind, from, from + fault.For.Std().Seconds(), targets})
+	}
+}
+
+// countAttempts counts attempts from the history that the endpoints recorded.
+func countAttempts(s *scenario.Scenario, r *trace.Trace) Attempts {
+	classOf := map[string]int{}
+	operationOf := map[string]string{}
+	for _, request := range r.History.Requests {
+		classOf[request.ID] = request.Class
+		operationOf[request.ID] = fmt.Sprint(request.Operation)
+	}
+	counts := r.History.Count(func(id string) (string, bool) {
+		class, known := classOf[id]
+		return operationOf[id], known && s.Classes[class].Idempotency != scenario.Idempotent
+	})
+	return Attempts{
+		Sent: counts.Attempts, Succeeded: counts.Succeeded, Rejected: counts.Rejected, Errors: counts.Errors,
+		Unanswered: counts.Unanswered + counts.Incomplete, DoubleEffects: counts.DoubleEffects,
+	}
+}
+
+// SlowStart tells how much load endpoints got at most within a window after a start, against their slow-start budget N of
+// requests of mean work.
+type SlowStart struct {
+	Starts  int           `json:"lives"`
+	Crashes int           `json:"falls"` // endpoints that were overloaded in slow start
+	All     SlowStartPeak `json:"all"`   // the worst peak of all load
+	Known   SlowStartPeak `json:"told"`  // of moments at which over two thirds came from nodes that knew of the start
+}
+
+// SlowStartPeak is the worst peak over a number of starts.
+type SlowStartPeak struct {
+	Starts   int     `json:"lives"`
+	Excess   float64 `json:"over"` // over the budget N, in square roots of N; negative: within the budget
+	Load     float64 `json:"got"`  // requests of mean work
+	Budget   float64 `json:"budget"`
+	Endpoint int     `json:"server"`
+	AtS      float64 `json:"at_s"` // seconds since the start of the run
+}
+
+// slowStartOf returns nil if no endpoint was in slow start.
+func slowStartOf(r *trace.Trace) *SlowStart {
+	if len(r.Peaks.All) == 0 {
+		return nil
+	}
+	return &SlowStart{
+		Starts: len(r.Peaks.All), Crashes: len(r.History.Crashes),
+		All: worstPeak(r.Peaks.All, r.StartedAt), Known: worstPeak(r.Peaks.Known, r.StartedAt),
+	}
+}
+
+// worstPeak returns the first of those with the largest excess.
+func worstPeak(peaks []invariant.Peak, startedAt int64) SlowStartPeak {
+	var worst SlowStartPeak
+	for i, p := range peaks {
+		if i == 0 || p.Excess > worst.Excess {
+			worst = SlowStartPeak{Excess: p.Excess, Load: p.Load, Budget: p.Budget, Endpoint: p.Endpoint, AtS: float64(p.At-startedAt) / 1e9}
+		}
+	}
+	worst.Starts = len(peaks)
+	return worst
+}
+
+// Service has recovered once this part of the weight is in time, in so many seconds on end.
+const (
+	recoveredFraction = 0.95
+	recoveredSeconds  = 2
+)
+
+// recoveryAfter returns the seconds from a moment until service had recovered; -1: not by the end.
+func (r *Result) recoveryAfter(from float64) float64 {
+	good := 0
+	for i := int(from); i < len(r.Seconds); i++ {
+		if t := &r.Seconds[i]; t.Weight > 0 && t.WeightInTime >= recoveredFraction*t.Weight {
+			good++
+		} else {
+			good = 0
+		}
+		if good == recoveredSeconds {
+			return float64(i-1) - from
+		}
+	}
+	return -1
+}
--- a/internal/lab/result/compare.go
+++ b/internal/lab/result/compare.go
@@ -1,48 +1,73 @@
 package result
 
-// This file owns the comparison of two builds on the same seeds. It must never mix pairs, nor count one whose machine
-// ran late.
-
 import (
 	"fmt"
 	"io"
 	"math"
+	"strings"
 
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Difference is a paired one, with the interval that holds its mean with 95% where differences are normal.
+// Difference of one figure between two builds, over pairs of runs. Low and High are the 95% confidence interval of
+// MeanDifference, under normally distributed differences; nil with fewer than two pairs.
 type Difference struct {
-	Name  string    `json:"name"`
-	A     []float64 `json:"a"`
-	B     []float64 `json:"b"`
-	MeanA float64   `json:"mean_a"`
-	MeanB float64   `json:"mean_b"`
-	MeanDifference  float64   `json:"b_less_a"`
-	Low   *float64  `json:"low"` // null with fewer than two pairs
-	High  *float64  `json:"high"`
+	Name           string    `json:"name"`
+	A              []float64 `json:"a"`
+	B              []float64 `json:"b"`
+	MeanA          float64   `json:"mean_a"`
+	MeanB          float64   `json:"mean_b"`
+	MeanDifference float64   `json:"b_less_a"`
+	Low            *float64  `json:"low"`
+	High           *float64  `json:"high"`
 }
 
-// Comparison of two builds.
+// Comparison of two builds over pairs of runs, each pair with one seed.
 type Comparison struct {
 	Scenario    string       `json:"scenario"`
 	NameA       string       `json:"name_a"`
 	NameB       string       `json:"name_b"`
 	Pairs       int          `json:"pairs"`
-	VoidPairs        int          `json:"void"` // pairs left out, as the machine ran late
-	ViolationsA     int          `json:"rules_broken_a"`
-	ViolationsB     int          `json:"rules_broken_b"`
+	VoidPairs   int          `json:"void"` // left out, as the machine ran late
+	ViolationsA int          `json:"rules_broken_a"`
+	ViolationsB int          `json:"rules_broken_b"`
 	Differences []Difference `json:"differences"`
 }
 
-// Paired works out how B differs from A. The same seed must stand at the same place of both.
+// comparedFigures are those of a Comparison, in its order.
+var comparedFigures = []struct {
+	name  string
+	value func(*Result) float64
+}{
+	{"earnings_in_time", func(r *Result) float64 { return r.FractionInTime }},
+	{"worst_10s", func(r *Result) float64 { return r.WorstWindow(10) }},
+	{"worst_category", (*Result).WorstClass},
+	{"satisfied", func(r *Result) float64 { return float64(r.Succeeded) }},
+	{"declined", func(r *Result) float64 { return float64(r.Rejected) }},
+	{"broken_off", func(r *Result) float64 { return float64(r.Failed) }},
+	{"p50_ms", func(r *Result) float64 { return r.P50 }},
+	{"p99_ms", func(r *Result) float64 { return r.P99 }},
+	{"hand_offs", func(r *Result) float64 { return float64(r.Attempts.Sent) }},
+	{"cpu_s", (*Result).cpuSeconds},
+}
+
+func (r *Result) cpuSeconds() float64 {
+	sum := 0.0
+	for _, n := range r.Nodes {
+		sum += n.CPUSeconds
+	}
+	return sum
+}
+
+// Compare tells how build B differs from build A. Results at one index are of one plan, else it returns an error. Pairs in which
+// the machine ran late are counted and left out of the differences.
 func Compare(scenario, nameA, nameB string, a, b []*Result) (*Comparison, error) {
 	if len(a) != len(b) {
 		return nil, fmt.Errorf("expected as many days of one as of the other, got %d and %d", len(a), len(b))
 	}
 	c := &Comparison{Scenario: scenario, NameA: nameA, NameB: nameB}
-	var goodA, goodB []*Result
+	var validA, validB []*Result
 	for i := range a {
 		if a[i].Plan != b[i].Plan {
 			return nil, fmt.Errorf("pair %d is not of one plan: %v and %v", i, a[i].Plan, b[i].Plan)
@@ -53,59 +78,52 @@
 			c.VoidPairs++
 			continue
 		}
-		goodA, goodB = append(goodA, a[i]), append(goodB, b[i])
+		validA = append(validA, a[i])
+		validB = append(validB, b[i])
 	}
-	c.Pairs = len(goodA)
-	for _, one := range []struct {
-		name string
-		of   func(*Result) float64
-	}{
-		{"earnings_in_time", func(r *Result) float64 { return r.FractionInTime }},
-		{"worst_10s", func(r *Result) float64 { return r.WorstWindow(10) }},
-		{"worst_category", func(r *Result) float64 { return r.WorstClass() }},
-		{"satisfied", func(r *Result) float64 { return float64(r.Succeeded) }},
-		{"declined", func(r *Result) float64 { return float64(r.Rejected) }},
-		{"broken_off", func(r *Result) float64 { return float64(r.Failed) }},
-		{"p50_ms", func(r *Result) float64 { return r.P50 }},
-		{"p99_ms", func(r *Result) float64 { return r.P99 }},
-		{"hand_offs", func(r *Result) float64 { return float64(r.Attempts.Sent) }},
-		{"cpu_s", func(r *Result) float64 {
-			sum := 0.0
-			for _, n := range r.Nodes {
-				sum += n.CPUSeconds
-			}
-			return sum
-		}},
-	} {
-		d := Difference{Name: one.name}
-		var diffs []float64
-		for i := range goodA {
-			x, y := one.of(goodA[i]), one.of(goodB[i])
-			d.A, d.B, diffs = append(d.A, x), append(d.B, y), append(diffs, y-x)
-		}
-		if len(diffs) > 0 {
-			d.MeanA, d.MeanB, d.MeanDifference = stat.Mean(d.A, nil), stat.Mean(d.B, nil), stat.Mean(diffs, nil)
-		}
-		if n := float64(len(diffs)); n > 1 {
-			half := stat.StdDev(diffs, nil) / math.Sqrt(n) * distuv.StudentsT{Nu: n - 1, Sigma: 1}.Quantile(0.975)
-			low, high := d.MeanDifference-half, d.MeanDifference+half
-			d.Low, d.High = &low, &high
-		}
-		c.Differences = append(c.Differences, d)
+	c.Pairs = len(validA)
+	for _, figure := range comparedFigures {
+		c.Differences = append(c.Differences, differenceOf(figure.name, figure.value, validA, validB))
 	}
 	return c, nil
 }
 
+func differenceOf(name string, value func(*Result) float64, a, b []*Result) Difference {
+	d := Difference{Name: name}
+	var differences []float64
+	for i := range a {
+		valueA, valueB := value(a[i]), value(b[i])
+		d.A = append(d.A, valueA)
+		d.B = append(d.B, valueB)
+		differences = append(differences, valueB-valueA)
+	}
+	if len(differences) == 0 {
+		return d
+	}
+	d.MeanA = stat.Mean(d.A, nil)
+	d.MeanB = stat.Mean(d.B, nil)
+	d.MeanDifference = stat.Mean(differences, nil)
+	if n := float64(len(differences)); n > 1 {
+		half := stat.StdDev(differences, nil) / math.Sqrt(n) * distuv.StudentsT{Nu: n - 1, Sigma: 1}.Quantile(0.975)
+		low, high := d.MeanDifference-half, d.MeanDifference+half
+		d.Low, d.High = &low, &high
+	}
+	return d
+}
+
 // Print writes the comparison as a table.
-func (c *Comparison) Print(w io.Writer) {
-	fmt.Fprintf(w, "%s: A %s, B %s, %d pairs, %d left out as the machine ran late\n", c.Scenario, c.NameA, c.NameB, c.Pairs, c.VoidPairs)
-	fmt.Fprintf(w, "%18s %12s %12s %12s   %s\n", "", "A", "B", "B less A", "95% interval")
+func (c *Comparison) Print(w io.Writer) error {
+	var out strings.Builder
+	fmt.Fprintf(&out, "%s: A %s, B %s, %d pairs, %d left out as the machine ran late\n", c.Scenario, c.NameA, c.NameB, c.Pairs, c.VoidPairs)
+	fmt.Fprintf(&out, "%18s %12s %12s %12s   %s\n", "", "A", "B", "B less A", "95% interval")
 	for _, d := range c.Differences {
 		interval := "-"
 		if d.Low != nil {
 			interval = fmt.Sprintf("%.4f to %.4f", *d.Low, *d.High)
 		}
-		fmt.Fprintf(w, "%18s %12.4f %12.4f %12.4f   %s\n", d.Name, d.MeanA, d.MeanB, d.MeanDifference, interval)
+		fmt.Fprintf(&out, "%18s %12.4f %12.4f %12.4f   %s\n", d.Name, d.MeanA, d.MeanB, d.MeanDifference, interval)
 	}
-	fmt.Fprintf(w, "rules broken: A %d, B %d\n", c.ViolationsA, c.ViolationsB)
+	fmt.Fprintf(&out, "rules broken: A %d, B %d\n", c.ViolationsA, c.ViolationsB)
+	_, err := io.WriteString(w, out.String())
+	return err
 }
--- /dev/null
+++ b/internal/lab/result/expectations.go
@@ -0,0 +1,71 @@
+package result
+
+import (
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
+	"fmt"
+)
+
+// expect notes an expectation that did not hold.
+func (r *Result) expect(holds bool, format string, args ...any) {
+	if !holds {
+		r.Missed = append(r.Missed, fmt.Sprintf(format, args...))
+	}
+}
+
+// checkExpectations holds the run against what its scenario expects.
+func (r *Result) checkExpectations(s *scenario.Scenario, bad trace.BadClientCounts) {
+	e := &s.Expect
+	r.expect(r.ViolationCount == 0, "rules broken %d times, expected never", r.ViolationCount)
+	r.checkOutcomes(e)
+	if bad.Came > 0 {
+		unanswered := float64(bad.Unanswered) / float64(bad.Came)
+		r.expect(unanswered <= e.BadUnanswered, "%.4f of the bad clients got neither an error nor a close, expected %.4f at most", unanswered, e.BadUnanswered)
+		r.expect(bad.Served == 0, "%d bad clients were served, expected none", bad.Served)
+	}
+	r.expect(r.Lost <= e.MaxLost, "%d tasks lost, expected %d at most", r.Lost, e.MaxLost)
+	for _, n := range r.Nodes {
+		r.expect(n.Crashes == 0, "node %d ended by itself %d times", n.Node, n.Crashes)
+	}
+	if e.RecoverWithin > 0 {
+		r.expect(r.RecoveryS >= 0 && r.RecoveryS <= e.RecoverWithin.Std().Seconds(),
+			"service back at %.2f of the earnings after %.0f s (-1: not by the end), expected %v at most",
+			recoveredFraction, r.RecoveryS, e.RecoverWithin.Std())
+	}
+	if e.MaxSlowStartExcess != nil && r.SlowStart != nil {
+		peak := &r.SlowStart.Known
+		r.expect(peak.Excess <= *e.MaxSlowStartExcess,
+			"a cold server got %.1f requests of mean work, over two thirds from nodes that had been told, where N = %.1f: %.2f times the root of N over it, expected %.2f at most",
+			peak.Load, peak.Budget, peak.Excess, *e.MaxSlowStartExcess)
+	}
+	r.expect(!e.ViewsAgree || r.Views != nil && r.Views.AgreeFromS >= 0,
+		"at the end nodes believe wrongly which of them run, expected that all know")
+}
+
+// checkOutcomes checks the outcomes of requests; those that clients canceled count for nothing.
+func (r *Result) checkOutcomes(e *scenario.Expect) {
+	requests := float64(max(r.Requests-r.Canceled, 1))
+	r.expect(r.FractionInTime >= e.WeightInTime, "earnings in time %.4f, expected %.4f at least", r.FractionInTime, e.WeightInTime)
+	if e.Succeeded > 0 {
+		succeeded := float64(r.Succeeded) / requests
+		r.expect(succeeded >= e.Succeeded, "satisfied %.4f of the tasks, expected %.4f at least", succeeded, e.Succeeded)
+	}
+	if e.Rejected > 0 {
+		rejected := float64(r.Rejected) / requests
+		r.expect(rejected <= e.Rejected, "declined %.4f of the tasks, expected %.4f at most", rejected, e.Rejected)
+	}
+	if e.P99 > 0 {
+		r.expect(r.P99 <= float64(e.P99)/1e6, "99th percentile %.1f ms, expected %v at most", r.P99, e.P99.Std())
+	}
+}
+
+func (r *Result) verdict(void bool) Verdict {
+	switch {
+	case void:
+		return Void
+	case len(r.Missed) == 0:
+		return Held
+	default:
+		return FellShort
+	}
+}
--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -1,268 +1,162 @@
 package result
 
-// This file owns the report's page: one file with its plots inside, for a browser without a network. It must never
-// fetch anything, nor draw a figure that the result does not hold.
-
 import (
-	"bytes"
 	"fawnglade/internal/lab/trace"
 	"fmt"
 	"html/template"
-	"image/color"
 	"io"
 	"maps"
-	"math"
 	"slices"
-	"strings"
-
-	"gonum.org/v1/gonum/stat"
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/vg"
-	"gonum.org/v1/plot/vg/draw"
-	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Colours that a person with any usual colour sight can tell apart.
-var curveColors = []color.RGBA{
-	{0, 114, 178, 255},
-	{213, 94, 0, 255},
-	{0, 158, 115, 255},
-	{204, 121, 167, 255},
-	{230, 159, 0, 255},
-	{86, 180, 233, 255},
-	{90, 90, 90, 255},
-}
-
 const (
 	maxEndpointsDrawn = 24
-	minMeanInFlight        = 0.1 // tasks at a server, on average, below which their spread is chance
-	spreadTitle      = "Spread of the tasks held over the servers"
+	maxCurvesNamed    = 8 // with more, the legend would hide the curves
 )
 
-// line is one curve of a plot.
-type line struct {
-	name string
-	x, y []float64
+const (
+	inTimeTitle = "Earnings in time, part of what came in the second"
+	spreadTitle = "Spread of the tasks held over the servers"
+)
+
+// chart is one plot of a page.
+type chart struct {
+	title  string
+	unit   string // of the vertical axis
+	curves []curve
 }
 
-// figure draws curves with the faults as bands behind them.
-func (r *Result) plot(title, unit string, lines []line) (template.HTML, error) {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
-	p.X.Min, p.X.Max, p.Y.Min = 0, math.Max(r.LengthS, 1), 0
-	top := 0.0
-	for _, l := range lines {
-		for _, v := range l.y {
-			top = math.Max(top, v)
-		}
-	}
-	if top == 0 {
-		top = 1
-	}
-	for i, f := range r.Faults {
-		to := math.Min(math.Max(f.ToS, f.FromS+r.LengthS/400), r.LengthS)
-		band, err := plotter.NewPolygon(plotter.XYs{{X: f.FromS, Y: 0}, {X: to, Y: 0}, {X: to, Y: top * 1.05}, {X: f.FromS, Y: top * 1.05}})
-		if err != nil {
-			return "", err
-		}
-		c := curveColors[i%len(curveColors)]
-		band.Color, band.LineStyle.Width = color.NRGBA{c.R, c.G, c.B, 36}, 0
-		p.Add(band)
-		p.Legend.Add(fmt.Sprintf("%s (%.1f s)", f.Kind, f.FromS), band)
-	}
-	p.Add(plotter.NewGrid())
-	for i, l := range lines {
-		points := make(plotter.XYs, len(l.x))
-		for n := range l.x {
-			points[n] = plotter.XY{X: l.x[n], Y: l.y[n]}
-		}
-		if len(points) == 0 {
-			continue
-		}
-		curve, err := plotter.NewLine(points)
+// drawAll draws charts with the faults of a run.
+func (r *Result) drawAll(charts []chart) ([]template.HTML, error) {
+	var plots []template.HTML
+	for _, c := range charts {
+		svg, err := r.draw(c)
 		if err != nil {
-			return "", err
-		}
-		curve.Color, curve.Width = curveColors[i%len(curveColors)], vg.Points(1.4)
-		if i >= len(curveColors) {
-			curve.Dashes = []vg.Length{vg.Points(4), vg.Points(2)}
+			return nil, fmt.Errorf("plot of %s: %w", c.title, err)
 		}
-		p.Add(curve)
-		if l.name != "" {
-			p.Legend.Add(l.name, curve)
-		}
-	}
-	p.Legend.Top, p.Legend.Left = true, true
-	p.Legend.TextStyle.Font.Size = vg.Points(8)
-	p.Y.Max = top * 1.25
-	canvas := vgsvg.New(9*vg.Inch, 3*vg.Inch)
-	p.Draw(draw.New(canvas))
-	var out bytes.Buffer
-	if _, err := canvas.WriteTo(&out); err != nil {
-		return "", err
-	}
-	text := out.String()
-	if at := strings.Index(text, "<svg"); at > 0 {
-		text = text[at:] // the XML head has no place within a page
-	}
-	return template.HTML(text), nil
-}
-
-func (r *Result) tallyBySecond(name string, of func(*Tally) float64) line {
-	l := line{name: name}
-	for i := range r.Seconds {
-		l.x = append(l.x, float64(i)+0.5)
-		l.y = append(l.y, of(&r.Seconds[i]))
+		plots = append(plots, svg)
 	}
-	return l
+	return plots, nil
 }
 
-// together is one count of what all nodes did, by second.
-func (r *Result) activityBySecond(name string, of func(*trace.FleetActivity) int) line {
-	l := line{name: name}
-	for i := range r.Activity {
-		l.x, l.y = append(l.x, float64(i)+0.5), append(l.y, float64(of(&r.Activity[i])))
-	}
-	return l
+// sideBySideCharts are the figures that WriteSideBySide draws, a curve for each result.
+var sideBySideCharts = []struct {
+	title, unit string
+	curve       func(r *Result, name string) curve
+}{
+	{inTimeTitle, "part", func(r *Result, name string) curve {
+		return r.tallyBySecond(name, func(t *Tally) float64 { return t.FractionInTime })
+	}},
+	{"Answer times of satisfied tasks, 99th percentile", "ms", func(r *Result, name string) curve {
+		return r.tallyBySecond(name, func(t *Tally) float64 { return t.P99 })
+	}},
+	{spreadTitle, "deviation over mean", (*Result).inFlightSpread},
+	{"Connections opened by all nodes", "in the second", func(r *Result, name string) curve {
+		return r.activityBySecond(name, func(a *trace.FleetActivity) int { return a.Connections })
+	}},
+	{"Resends and second copies of all nodes", "in the second", func(r *Result, name string) curve {
+		return r.activityBySecond(name, func(a *trace.FleetActivity) int { return a.Retries + a.Hedged })
+	}},
 }
 
-// spread is how unevenly the servers were loaded: the deviation of the tasks that each held over their mean, by second. Where many
-// nodes follow one report all at once, it rises and falls with the reports. Moments at which next to nothing was held tell nothing.
-func (r *Result) inFlightSpread(name string) line {
-	l := line{name: name}
-	sum, n, second := 0.0, 0.0, 0
-	end := func() {
-		if n > 0 {
-			l.x, l.y = append(l.x, float64(second)+0.5), append(l.y, sum/n)
+// WriteSideBySide writes one HTML page on several results of a scenario, one at least, with a curve for each under its name.
+// Faults are drawn as of the first.
+func WriteSideBySide(w io.Writer, names []string, results []*Result) error {
+	var charts []chart
+	for _, wanted := range sideBySideCharts {
+		c := chart{title: wanted.title, unit: wanted.unit}
+		for i, r := range results {
+			c.curves = append(c.curves, wanted.curve(r, names[i]))
 		}
-		sum, n = 0, 0
+		charts = append(charts, c)
 	}
-	for _, s := range r.Loads {
-		if int(s.At/1e9) != second {
-			end()
-			second = int(s.At / 1e9)
-		}
-		held := make([]float64, len(s.InFlight))
-		for i, h := range s.InFlight {
-			held[i] = float64(h)
-		}
-		if mean, deviation := stat.MeanStdDev(held, nil); len(held) > 1 && mean > minMeanInFlight {
-			sum, n = sum+deviation/mean, n+1
-		}
+	plots, err := results[0].drawAll(charts)
+	if err != nil {
+		return err
 	}
-	end()
-	return l
+	return sideBySideTemplate.Execute(w, sideBySideData{names, results, plots})
 }
 
-// Beside writes one page on several results of a day, a curve for each under its name.
-func WriteSideBySide(w io.Writer, names []string, results []*Result) error {
-	wanted := []struct {
-		title, unit string
-		of          func(*Result, string) line
-	}{
-		{"Earnings in time, part of what came in the second", "part", func(r *Result, name string) line {
-			return r.tallyBySecond(name, func(t *Tally) float64 { return t.FractionInTime })
-		}},
-		{"Answer times of satisfied tasks, 99th percentile", "ms", func(r *Result, name string) line {
-			return r.tallyBySecond(name, func(t *Tally) float64 { return t.P99 })
-		}},
-		{spreadTitle, "deviation over mean", (*Result).inFlightSpread},
-		{"Connections opened by all nodes", "in the second", func(r *Result, name string) line {
-			return r.activityBySecond(name, func(t *trace.FleetActivity) int { return t.Connections })
-		}},
-		{"Resends and second copies of all nodes", "in the second", func(r *Result, name string) line {
-			return r.activityBySecond(name, func(t *trace.FleetActivity) int { return t.Retries + t.Hedged })
-		}},
+// WritePage writes the report as one HTML page that fetches nothing.
+func (r *Result) WritePage(w io.Writer) error {
+	plots, err := r.drawAll(r.charts())
+	if err != nil {
+		return err
 	}
-	var plots []template.HTML
-	for _, one := range wanted {
-		var lines []line
-		for i, r := range results {
-			lines = append(lines, one.of(r, names[i]))
-		}
-		svg, err := results[0].plot(one.title, one.unit, lines)
-		if err != nil {
-			return fmt.Errorf("plot of %s: %w", one.title, err)
-		}
-		plots = append(plots, svg)
+	var rows []tallyRow
+	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
+		rows = append(rows, tallyRow{name, r.Classes[name]})
 	}
-	return sideBySideTemplate.Execute(w, map[string]any{"Names": names, "Results": results, "Plots": plots})
+	rows = append(rows, tallyRow{"all", &r.Tally})
+	return pageTemplate.Execute(w, pageData{r, rows, plots, reachLines(r.Reach)})
 }
 
-// Page writes the report.
-func (r *Result) WritePage(w io.Writer) error {
-	states := func(name string, of func(*Tally) int) line {
+func (r *Result) charts() []chart {
+	count := func(name string, of func(*Tally) int) curve {
 		return r.tallyBySecond(name, func(t *Tally) float64 { return float64(of(t)) })
 	}
-	var servers []line
-	for i, name := range r.Endpoints {
-		if i == maxEndpointsDrawn {
-			break
-		}
-		at, held := inFlightOf(r.Loads, i)
-		servers = append(servers, line{name, at, held})
-	}
-	if len(servers) > 8 {
-		for i := range servers {
-			servers[i].name = "" // the legend would hide the curves
-		}
-	}
-	type plotted struct {
-		title, unit string
-		lines       []line
-	}
-	wanted := []plotted{
-		{"Earnings in time, part of what came in the second", "part", []line{r.tallyBySecond("", func(t *Tally) float64 { return t.FractionInTime })}},
-		{"Answer times of satisfied tasks, from when they were due", "ms", []line{
-			r.tallyBySecond("p50", func(t *Tally) float64 { return t.P50 }), r.tallyBySecond("p90", func(t *Tally) float64 { return t.P90 }),
+	charts := []chart{
+		{inTimeTitle, "part", []curve{
+			r.tallyBySecond("", func(t *Tally) float64 { return t.FractionInTime }),
+		}},
+		{"Answer times of satisfied tasks, from when they were due", "ms", []curve{
+			r.tallyBySecond("p50", func(t *Tally) float64 { return t.P50 }),
+			r.tallyBySecond("p90", func(t *Tally) float64 { return t.P90 }),
 			r.tallyBySecond("p99", func(t *Tally) float64 { return t.P99 }),
 		}},
-		{"Tasks by their end", "tasks due in the second", []line{
-			states("satisfied", func(t *Tally) int { return t.Succeeded }), states("declined", func(t *Tally) int { return t.Rejected }),
-			states("broken off", func(t *Tally) int { return t.Failed }), states("lost", func(t *Tally) int { return t.Lost }),
+		{"Tasks by their end", "tasks due in the second", []curve{
+			count("satisfied", func(t *Tally) int { return t.Succeeded }),
+			count("declined", func(t *Tally) int { return t.Rejected }),
+			count("broken off", func(t *Tally) int { return t.Failed }),
+			count("lost", func(t *Tally) int { return t.Lost }),
 		}},
-		{"Tasks held by each server", "tasks", servers},
+		{"Tasks held by each server", "tasks", r.inFlightByEndpoint()},
 	}
 	if len(r.Loads) > 0 {
-		wanted = append(wanted, plotted{spreadTitle, "deviation over mean", []line{r.inFlightSpread("")}})
+		charts = append(charts, chart{spreadTitle, "deviation over mean", []curve{r.inFlightSpread("")}})
 	}
 	if len(r.Activity) > 0 {
-		all := r.activityBySecond
-		wanted = append(wanted, plotted{"What all nodes do together, beside the tasks", "in the second", []line{
-			all("resends", func(t *trace.FleetActivity) int { return t.Retries }), all("copies", func(t *trace.FleetActivity) int { return t.Hedged }),
-			all("connections", func(t *trace.FleetActivity) int { return t.Connections }), all("calls for the list", func(t *trace.FleetActivity) int { return t.ListCalls }),
-			all("probes", func(t *trace.FleetActivity) int { return t.HealthChecks }), all("messages", func(t *trace.FleetActivity) int { return t.Gossip }),
+		charts = append(charts, r.activityChart())
+	}
+	if r.Views != nil {
+		charts = append(charts, chart{"What nodes believe of one another", "in the sample", []curve{
+			r.viewsBySample("wrong beliefs", r.Views.Wrong),
+			r.viewsBySample("views that say unknown", r.Views.Unknown),
 		}})
 	}
-	if v := r.Views; v != nil {
-		by := func(name string, of []int) line {
-			l := line{name: name}
-			for i, n := range of {
-				l.x, l.y = append(l.x, float64(r.Running[i].At)/1e9), append(l.y, float64(n))
-			}
-			return l
-		}
-		wanted = append(wanted, plotted{"What nodes believe of one another", "in the sample", []line{by("wrong beliefs", v.Wrong), by("views that say unknown", v.Unknown)}})
+	return charts
+}
+
+func (r *Result) activityChart() chart {
+	return chart{"What all nodes do together, beside the tasks", "in the second", []curve{
+		r.activityBySecond("resends", func(a *trace.FleetActivity) int { return a.Retries }),
+		r.activityBySecond("copies", func(a *trace.FleetActivity) int { return a.Hedged }),
+		r.activityBySecond("connections", func(a *trace.FleetActivity) int { return a.Connections }),
+		r.activityBySecond("calls for the list", func(a *trace.FleetActivity) int { return a.ListCalls }),
+		r.activityBySecond("probes", func(a *trace.FleetActivity) int { return a.HealthChecks }),
+		r.activityBySecond("messages", func(a *trace.FleetActivity) int { return a.Gossip }),
+	}}
+}
+
+// inFlightByEndpoint returns a curve for each of the first endpoints.
+func (r *Result) inFlightByEndpoint() []curve {
+	var curves []curve
+	for i, name := range r.Endpoints[:min(len(r.Endpoints), maxEndpointsDrawn)] {
+		curves = append(curves, inFlightOf(r.Loads, i, name))
 	}
-	var plots []template.HTML
-	for _, one := range wanted {
-		svg, err := r.plot(one.title, one.unit, one.lines)
-		if err != nil {
-			return fmt.Errorf("plot of %s: %w", one.title, err)
+	if len(curves) > maxCurvesNamed {
+		for i := range curves {
+			curves[i].name = ""
 		}
-		plots = append(plots, svg)
-	}
-	type row struct {
-		Name string
-		*Tally
 	}
-	var rows []row
-	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
-		rows = append(rows, row{name, r.Classes[name]})
-	}
-	rows = append(rows, row{"all", &r.Tally})
-	return pageTemplate.Execute(w, map[string]any{"Result": r, "Rows": rows, "Plots": plots, "Reach": reachLines(r.Reach)})
+	return curves
+}
+
+// sideBySideData is what sideBySideTemplate shows.
+type sideBySideData struct {
+	Names   []string
+	Results []*Result
+	Plots   []template.HTML
 }
 
 var sideBySideTemplate = template.Must(template.New("beside").Parse(`<!DOCTYPE html>
@@ -276,6 +170,20 @@
 {{end}}</table>{{range .Plots}}{{.}}{{end}}</body></html>
 `))
 
+// tallyRow is a line of the table of requests.
+type tallyRow struct {
+	Name string
+	*Tally
+}
+
+// pageData is what pageTemplate shows.
+type pageData struct {
+	Result *Result
+	Rows   []tallyRow
+	Plots  []template.HTML
+	Reach  []string
+}
+
 var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Result.Scenario}}</title><style>
 body{font:15px/1.45 sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
--- a/internal/lab/result/page_test.go
+++ b/internal/lab/result/page_test.go
@@ -1,19 +1,40 @@
 package result
 
 import (
+	"bytes"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
-	"math"
+	"strings"
 	"testing"
 )
 
-func TestSpreadOfLoadOverServers(t *testing.T) {
-	r := &Result{Loads: []trace.LoadSample{
-		{At: 0.1e9, InFlight: []int{4, 4, 4, 4}}, {At: 0.6e9, InFlight: []int{0, 0, 0, 16}}, // one second: even, then all at one
-		{At: 2.2e9, InFlight: []int{0, 0, 0, 0}}, // tells nothing
-		{At: 3.2e9, InFlight: []int{2, 2, 2, 2}},
-	}}
-	got, want := r.inFlightSpread(""), []float64{1, 0}
-	if len(got.y) != 2 || math.Abs(got.y[0]-want[0]) > 1e-9 || got.y[1] != 0 || got.x[0] != 0.5 || got.x[1] != 3.5 {
-		t.Errorf("spread %v at %v, want %v at 0.5 and 3.5", got.y, got.x, want)
+// The templates name fields as text: a renamed field fails here.
+func TestPagesShowAllSections(t *testing.T) {
+	r := &Result{
+		Scenario: "calm", Verdict: FellShort, Missed: []string{"too slow"}, LengthS: 2, ViolationCount: 1,
+		Violations: make([]invariant.Violation, 1), Classes: map[string]*Tally{"view": newTally()}, Seconds: make([]Tally, 2),
+		Nodes: make([]trace.NodeUsage, 1), Oddities: map[string]int{"late": 3}, Faults: []FaultSpan{{Kind: "slow", FromS: 1, ToS: 2}},
+		Endpoints: []string{"a"}, Loads: make([]trace.LoadSample, 1), Activity: make([]trace.FleetActivity, 2),
+		Reach: make([]netfault.Reach, 1), Views: &Views{Wrong: []int{0}, Unknown: []int{0}}, Running: make([]trace.RunningNodes, 1),
+	}
+	var page, sideBySide bytes.Buffer
+	if err := r.WritePage(&page); err != nil {
+		t.Error(err)
+	}
+	if err := WriteSideBySide(&sideBySide, []string{"one", "two"}, []*Result{r, r}); err != nil {
+		t.Error(err)
+	}
+	for _, c := range []struct {
+		name, page string
+		plots      int
+		end        string
+	}{
+		{"page", page.String(), 7, "<li>late: 3</li></ul>\n</body></html>\n"},
+		{"side by side", sideBySide.String(), 5, "</body></html>\n"},
+	} {
+		if n := strings.Count(c.page, "<svg"); n != c.plots || !strings.HasSuffix(c.page, c.end) {
+			t.Errorf("%s: %d plots, want %d, and at its end %q", c.name, n, c.plots, c.end)
+		}
 	}
 }
--- /dev/null
+++ b/internal/lab/result/tally.go
@@ -0,0 +1,126 @@
+package result
+
+import (
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const (
+	maxElapsedUs      = int64(10 * time.Minute / time.Microsecond) // longer times are recorded as this
+	significantDigits = 3                                          // of recorded times
+)
+
+// Tally counts requests by outcome. Quantiles are of the latencies of those that succeeded, from when they were due.
+type Tally struct {
+	Requests       int     `json:"tasks"`
+	Succeeded      int     `json:"satisfied"`
+	InTime         int     `json:"in_time"` // succeeded within the latency objective
+	Rejected       int     `json:"declined"`
+	Failed         int     `json:"broken_off"`
+	Lost           int     `json:"lost"` // without an answer
+	Canceled       int     `json:"left"` // by their clients; in no other figure but Requests
+	Weight         float64 `json:"earnings"`
+	WeightInTime   float64 `json:"earned_in_time"`
+	FractionInTime float64 `json:"earnings_in_time"` // WeightInTime over Weight; 1 if there is none
+	P50            float64 `json:"p50_ms"`
+	P90            float64 `json:"p90_ms"`
+	P99            float64 `json:"p99_ms"`
+	P999           float64 `json:"p999_ms"`
+	Max            float64 `json:"most_ms"`
+
+	histogram *hdrhistogram.Histogram // microseconds
+}
+
+func newTally() *Tally {
+	return &Tally{histogram: hdrhistogram.New(1, maxElapsedUs, significantDigits)}
+}
+
+// newTallies returns one tally for each span of a run; both lengths are in nanoseconds.
+func newTallies(length, span int64) []*Tally {
+	tallies := make([]*Tally, (length-1)/span+1)
+	for i := range tallies {
+		tallies[i] = newTally()
+	}
+	return tallies
+}
+
+// tallyNamed returns the tally of a name, and creates it at its first use.
+func tallyNamed(tallies map[string]*Tally, name string) *Tally {
+	if tallies[name] == nil {
+		tallies[name] = newTally()
+	}
+	return tallies[name]
+}
+
+// add counts one request. Outcomes without an end by the end of the run count as failed.
+func (t *Tally) add(outcome trace.Outcome, class *scenario.Class) {
+	t.Requests++
+	if outcome.State == trace.Canceled {
+		t.Canceled++
+		return
+	}
+	t.Weight += class.PriorityWeight
+	switch outcome.State {
+	case trace.Succeeded:
+		t.addSuccess(outcome.Elapsed, class)
+	case trace.Rejected:
+		t.Rejected++
+	case trace.Lost:
+		t.Lost++
+	default:
+		t.Failed++
+	}
+}
+
+// addSuccess counts a request that succeeded after so many nanoseconds.
+func (t *Tally) addSuccess(elapsed int64, class *scenario.Class) {
+	t.Succeeded++
+	microseconds := max(min(elapsed/int64(time.Microsecond), maxElapsedUs), 1)
+	_ = t.histogram.RecordValue(microseconds) // fails for values out of its range only
+	if elapsed <= int64(class.LatencyObjective) {
+		t.InTime++
+		t.WeightInTime += class.PriorityWeight
+	}
+}
+
+// finish computes the fraction and the quantiles once all requests are counted.
+func (t *Tally) finish() Tally {
+	t.FractionInTime = 1
+	if t.Weight > 0 {
+		t.FractionInTime = t.WeightInTime / t.Weight
+	}
+	milliseconds := func(percentile float64) float64 {
+		return float64(t.histogram.ValueAtQuantile(percentile)) / 1000
+	}
+	t.P50, t.P90, t.P99, t.P999 = milliseconds(50), milliseconds(90), milliseconds(99), milliseconds(99.9)
+	t.Max = float64(t.histogram.Max()) / 1000
+	return *t
+}
+
+// WorstWindow returns the fraction of weight in time of the worst stretch of so many whole seconds.
+func (r *Result) WorstWindow(seconds int) float64 {
+	worst := 1.0
+	for i := 0; i+seconds <= len(r.Seconds); i++ {
+		inTime, weight := 0.0, 0.0
+		for _, t := range r.Seconds[i : i+seconds] {
+			inTime += t.WeightInTime
+			weight += t.Weight
+		}
+		if weight > 0 {
+			worst = min(worst, inTime/weight)
+		}
+	}
+	return worst
+}
+
+// WorstClass returns the fraction of weight in time of the class that fares worst.
+func (r *Result) WorstClass() float64 {
+	worst := 1.0
+	for _, t := range r.Classes {
+		worst = min(worst, t.FractionInTime)
+	}
+	return worst
+}
--- a/internal/lab/result/text.go
+++ b/internal/lab/result/text.go
@@ -1,71 +1,112 @@
 package result
 
-// This file owns a result as a person reads it in a terminal.
-
 import (
 	"fawnglade/internal/lab/trace"
 	"fmt"
 	"io"
 	"maps"
 	"slices"
+	"strings"
 	"text/tabwriter"
 )
 
-// mostNodes are shown one by one.
-const maxNodesPrinted = 8
+const (
+	maxNodesPrinted      = 8
+	maxViolationsPrinted = 10
+)
 
-// Print writes the table of a run.
-func (r *Result) Print(w io.Writer) {
-	fmt.Fprintf(w, "%s, seed %d: %s\n", r.Scenario, r.Plan.Seed, r.Verdict)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "\ttasks\tsatisfied\tdeclined\tbroken off\tlost\tin time\tp50 ms\tp99 ms\tmost ms\t")
-	row := func(name string, a *Tally) {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t\n", name, a.Requests-a.Canceled, a.Succeeded, a.Rejected, a.Failed, a.Lost, a.FractionInTime, a.P50, a.P99, a.Max)
+// Print writes the result as text, for a terminal.
+func (r *Result) Print(w io.Writer) error {
+	var out strings.Builder
+	fmt.Fprintf(&out, "%s, seed %d: %s\n", r.Scenario, r.Plan.Seed, r.Verdict)
+	if err := r.printTallies(&out); err != nil {
+		return err
+	}
+	a := r.Attempts
+	fmt.Fprintf(&out, "hand-offs %d: satisfied %d, turned away %d, errors %d, unanswered %d; double effects %d\n",
+		a.Sent, a.Succeeded, a.Rejected, a.Errors, a.Unanswered, a.DoubleEffects)
+	r.printActivity(&out)
+	r.printSlowStart(&out)
+	r.printNodes(&out)
+	if b := r.BadClients; b.Came > 0 {
+		fmt.Fprintf(&out, "bad clients %d: %d got neither an error nor a close, %d were served\n", b.Came, b.Unanswered, b.Served)
+	}
+	for _, what := range slices.Sorted(maps.Keys(r.Oddities)) {
+		fmt.Fprintf(&out, "seen: %s, %d times\n", what, r.Oddities[what])
+	}
+	r.printReachability(&out)
+	r.printVerdict(&out)
+	_, err := io.WriteString(w, out.String())
+	return err
+}
+
+func (r *Result) printTallies(w io.Writer) error {
+	rows := []string{"\ttasks\tsatisfied\tdeclined\tbroken off\tlost\tin time\tp50 ms\tp99 ms\tmost ms\t\n"}
+	add := func(name string, t *Tally) {
+		rows = append(rows, fmt.Sprintf("%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t\n",
+			name, t.Requests-t.Canceled, t.Succeeded, t.Rejected, t.Failed, t.Lost, t.FractionInTime, t.P50, t.P99, t.Max))
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
-		row(name, r.Classes[name])
+		add(name, r.Classes[name])
 	}
-	row("all", &r.Tally)
-	t.Flush()
-	h := r.Attempts
-	fmt.Fprintf(w, "hand-offs %d: satisfied %d, turned away %d, errors %d, unanswered %d; double effects %d\n",
-		h.Sent, h.Succeeded, h.Rejected, h.Errors, h.Unanswered, h.DoubleEffects)
-	if len(r.Activity) > 0 {
-		var sum, most trace.FleetActivity
-		for _, t := range r.Activity {
-			sum.Connections, sum.ListCalls, sum.HealthChecks = sum.Connections+t.Connections, sum.ListCalls+t.ListCalls, sum.HealthChecks+t.HealthChecks
-			sum.Retries, sum.Hedged, sum.Gossip = sum.Retries+t.Retries, sum.Hedged+t.Hedged, sum.Gossip+t.Gossip+t.Members
-			most.Connections, most.ListCalls = max(most.Connections, t.Connections), max(most.ListCalls, t.ListCalls)
-		}
-		fmt.Fprintf(w, "all nodes together: %d connections (%d in the worst second), %d calls for the list (%d), %d resends, %d copies, %d probes, %d messages\n",
-			sum.Connections, most.Connections, sum.ListCalls, most.ListCalls, sum.Retries, sum.Hedged, sum.HealthChecks, sum.Gossip)
+	add("all", &r.Tally)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	if _, err := io.WriteString(table, strings.Join(rows, "")); err != nil {
+		return err
 	}
-	if c := r.SlowStart; c != nil {
-		fmt.Fprintf(w, "cold servers %d, %d pushed over: the worst got %.1f requests of mean work where N = %.1f, %+.2f times the root of N over it; of those pushed by nodes that were told %.1f where N = %.1f, %+.2f\n",
-			c.Starts, c.Crashes, c.All.Load, c.All.Budget, c.All.Excess, c.Known.Load, c.Known.Budget, c.Known.Excess)
+	return table.Flush()
+}
+
+// printActivity writes the sums over the run, and of some figures the worst second.
+func (r *Result) printActivity(out *strings.Builder) {
+	if len(r.Activity) == 0 {
+		return
 	}
-	for _, n := range r.Nodes[:min(len(r.Nodes), maxNodesPrinted)] {
-		fmt.Fprintf(w, "node %d: %.2f s of CPU, %.0f MB and %d descriptors at most, started %d times\n", n.Node, n.CPUSeconds, n.MaxMemoryMB, n.MaxDescriptors, n.Starts)
+	var sum, most trace.FleetActivity
+	for _, a := range r.Activity {
+		sum.Connections += a.Connections
+		sum.ListCalls += a.ListCalls
+		sum.HealthChecks += a.HealthChecks
+		sum.Retries += a.Retries
+		sum.Hedged += a.Hedged
+		sum.Gossip += a.Gossip + a.Members
+		most.Connections = max(most.Connections, a.Connections)
+		most.ListCalls = max(most.ListCalls, a.ListCalls)
 	}
-	if b := r.BadClients; b.Came > 0 {
-		fmt.Fprintf(w, "bad clients %d: %d got neither an error nor a close, %d were served\n", b.Came, b.Unanswered, b.Served)
+	fmt.Fprintf(out, "all nodes together: %d connections (%d in the worst second), %d calls for the list (%d), %d resends, %d copies, %d probes, %d messages\n",
+		sum.Connections, most.Connections, sum.ListCalls, most.ListCalls, sum.Retries, sum.Hedged, sum.HealthChecks, sum.Gossip)
+}
+
+func (r *Result) printSlowStart(out *strings.Builder) {
+	s := r.SlowStart
+	if s == nil {
+		return
 	}
-	for _, what := range slices.Sorted(maps.Keys(r.Oddities)) {
-		fmt.Fprintf(w, "seen: %s, %d times\n", what, r.Oddities[what])
+	fmt.Fprintf(out, "cold servers %d, %d pushed over: the worst got %.1f requests of mean work where N = %.1f, %+.2f times the root of N over it; "+
+		"of those pushed by nodes that were told %.1f where N = %.1f, %+.2f\n",
+		s.Starts, s.Crashes, s.All.Load, s.All.Budget, s.All.Excess, s.Known.Load, s.Known.Budget, s.Known.Excess)
+}
+
+func (r *Result) printNodes(out *strings.Builder) {
+	for _, n := range r.Nodes[:min(len(r.Nodes), maxNodesPrinted)] {
+		fmt.Fprintf(out, "node %d: %.2f s of CPU, %.0f MB and %d descriptors at most, started %d times\n",
+			n.Node, n.CPUSeconds, n.MaxMemoryMB, n.MaxDescriptors, n.Starts)
 	}
-	r.printReachability(w)
-	fmt.Fprintf(w, "rules broken: %d\n", r.ViolationCount)
-	for i, b := range r.Violations {
-		if i == 10 {
-			fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-i)
+}
+
+func (r *Result) printVerdict(out *strings.Builder) {
+	fmt.Fprintf(out, "rules broken: %d\n", r.ViolationCount)
+	for i, v := range r.Violations {
+		if i == maxViolationsPrinted {
+			fmt.Fprintf(out, "  and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintf(w, "  %s\n", b)
+		fmt.Fprintf(out, "  %s\n", v)
 	}
-	for _, m := range r.Missed {
-		fmt.Fprintf(w, "not as expected: %s\n", m)
+	for _, missed := range r.Missed {
+		fmt.Fprintf(out, "not as expected: %s\n", missed)
 	}
 	if r.Verdict == Void {
-		fmt.Fprintf(w, "the machine ran late, by %.0f ms in a twentieth of the time or more: nothing can be said\n", r.LateMs)
+		fmt.Fprintf(out, "the machine ran late, by %.0f ms in a twentieth of the time or more: nothing can be said\n", r.LateMs)
 	}
 }
--- a/internal/lab/sweep/plot.go
+++ b/internal/lab/sweep/plot.go
@@ -1,21 +1,12 @@
 package sweep
 
-// This file owns how a sweep is shown: means with intervals as lines, two keys as a heat map, and a table. It must never leave a
-// row out.
-
 import (
 	"errors"
 	"fmt"
-	"io"
 	"math"
 	"path/filepath"
-	"slices"
 	"strconv"
-	"strings"
-	"text/tabwriter"
 
-	"gonum.org/v1/gonum/stat"
-	"gonum.org/v1/gonum/stat/distuv"
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/palette/moreland"
 	"gonum.org/v1/plot/plotter"
@@ -23,143 +14,117 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// mean and half its 95% interval, of the rows of one cell; no interval with one row.
-func mean(rows []Row, column int) (m, half float64) {
-	var v []float64
-	for _, r := range rows {
-		v = append(v, r.Figures[column])
-	}
-	if len(v) < 2 {
-		return stat.Mean(v, nil), 0
-	}
-	n := float64(len(v))
-	return stat.Mean(v, nil), stat.StdDev(v, nil) / math.Sqrt(n) * distuv.StudentsT{Nu: n - 1, Sigma: 1}.Quantile(0.975)
-}
-
-func of(rows []Row, by string, values ...string) []Row {
-	var out []Row
-	for _, r := range rows {
-		if r.By == by && slices.Equal(r.Values, values) {
-			out = append(out, r)
-		}
-	}
-	return out
-}
-
-// place is where a value stands on its axis: at its number, or in turn if it is none.
-func place(a Axis, i int) float64 {
-	if v, err := strconv.ParseFloat(a.Values[i], 64); err == nil {
-		return v
-	}
-	return float64(i)
-}
+const heatMapColors = 64
 
-// Plot leaves a picture of each figure.
-func Plot(dir string, axes []Axis, by []string, rows []Row) error {
+// Plot writes a PNG for each figure into a directory: over one axis, a line with 95% intervals for each decider; over two, a heat
+// map of the first decider.
+func Plot(dir string, axes []Axis, deciders []string, rows []Row) error {
 	var problems []error
 	for column, name := range Columns {
 		path := filepath.Join(dir, name+".png")
 		if len(axes) == 2 {
-			problems = append(problems, heat(path, name, axes, by[0], rows, column))
+			problems = append(problems, plotHeatMap(path, axes, deciders[0], rows, column))
 		} else {
-			problems = append(problems, lines(path, name, axes[0], by, rows, column))
+			problems = append(problems, plotLines(path, axes[0], deciders, rows, column))
 		}
 	}
 	return errors.Join(problems...)
 }
 
-type points struct {
+// estimates are the points of one line.
+type estimates struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-func lines(path, name string, a Axis, by []string, rows []Row, column int) error {
+func plotLines(path string, axis Axis, deciders []string, rows []Row, column int) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = name, a.Key, name
-	for n, who := range by {
-		var pts points
-		for i, v := range a.Values {
-			if cell := of(rows, who, v); len(cell) > 0 {
-				m, half := mean(cell, column)
-				pts.XYs = append(pts.XYs, plotter.XY{X: place(a, i), Y: m})
-				pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{half, half})
-			}
-		}
-		line, dots, err := plotter.NewLinePoints(pts.XYs)
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = Columns[column], axis.Key, Columns[column]
+	for i, by := range deciders {
+		points := estimatesOf(axis, by, rows, column)
+		line, dots, err := plotter.NewLinePoints(points.XYs)
 		if err != nil {
 			return err
 		}
-		bars, err := plotter.NewYErrorBars(pts)
+		bars, err := plotter.NewYErrorBars(points)
 		if err != nil {
 			return err
 		}
-		line.Color, dots.Color, bars.Color = plotutil.Color(n), plotutil.Color(n), plotutil.Color(n)
+		color := plotutil.Color(i)
+		line.Color, dots.Color, bars.Color = color, color, color
 		p.Add(line, dots, bars)
-		p.Legend.Add(who, line)
+		p.Legend.Add(by, line)
 	}
 	p.Legend.Top = true
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
-type grid struct {
-	axes []Axis
-	z    [][]float64
+// estimatesOf returns the estimates along an axis, without values that were not played.
+func estimatesOf(axis Axis, by string, rows []Row, column int) estimates {
+	var points estimates
+	for i, value := range axis.Values {
+		repeats := selectRows(rows, by, value)
+		if len(repeats) == 0 {
+			continue
+		}
+		e := estimateOf(repeats, column)
+		points.XYs = append(points.XYs, plotter.XY{X: axis.position(i), Y: e.mean})
+		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{e.half, e.half})
+	}
+	return points
+}
+
+// position returns where a value is drawn: at its number, or at its index if it is not a number.
+func (a Axis) position(index int) float64 {
+	if v, err := strconv.ParseFloat(a.Values[index], 64); err == nil {
+		return v
+	}
+	return float64(index)
+}
+
+// heatMap holds the means of two axes' cells.
+type heatMap struct {
+	axes  []Axis
+	means [][]float64 // by index on the first axis, then on the second
 }
 
-func (g grid) Dims() (c, r int)   { return len(g.axes[0].Values), len(g.axes[1].Values) }
-func (g grid) X(c int) float64    { return float64(c) }
-func (g grid) Y(r int) float64    { return float64(r) }
-func (g grid) Z(c, r int) float64 { return g.z[c][r] }
+// Dims implements plotter.GridXYZ.
+func (h heatMap) Dims() (columns, rows int) { return len(h.axes[0].Values), len(h.axes[1].Values) }
+
+// X implements plotter.GridXYZ.
+func (h heatMap) X(column int) float64 { return float64(column) }
+
+// Y implements plotter.GridXYZ.
+func (h heatMap) Y(row int) float64 { return float64(row) }
 
-func heat(path, name string, axes []Axis, by string, rows []Row, column int) error {
-	g := grid{axes: axes}
+// Z implements plotter.GridXYZ.
+func (h heatMap) Z(column, row int) float64 { return h.means[column][row] }
+
+func plotHeatMap(path string, axes []Axis, by string, rows []Row, column int) error {
+	grid := heatMap{axes: axes}
 	low, high := math.Inf(1), math.Inf(-1)
 	for _, x := range axes[0].Values {
-		var line []float64
+		var means []float64
 		for _, y := range axes[1].Values {
-			m, _ := mean(of(rows, by, x, y), column)
-			line, low, high = append(line, m), math.Min(low, m), math.Max(high, m)
+			mean := estimateOf(selectRows(rows, by, x, y), column).mean
+			means = append(means, mean)
+			low, high = math.Min(low, mean), math.Max(high, mean)
 		}
-		g.z = append(g.z, line)
+		grid.means = append(grid.means, means)
 	}
-	if !(low < high) { // one colour for all
+	if !(low < high) { // all equal: the color scale needs a width
 		high = low + 1e-9
 	}
-	colours := moreland.SmoothBlueRed()
-	colours.SetMin(low)
-	colours.SetMax(high)
-	h := plotter.NewHeatMap(g, colours.Palette(64))
-	h.Min, h.Max = low, high
+	colors := moreland.SmoothBlueRed()
+	colors.SetMin(low)
+	colors.SetMax(high)
+	cells := plotter.NewHeatMap(grid, colors.Palette(heatMapColors))
+	cells.Min, cells.Max = low, high
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s of %s, %.3f (blue) to %.3f (red)", name, by, low, high)
+	p.Title.Text = fmt.Sprintf("%s of %s, %.3f (blue) to %.3f (red)", Columns[column], by, low, high)
 	p.X.Label.Text, p.Y.Label.Text = axes[0].Key, axes[1].Key
 	p.NominalX(axes[0].Values...)
 	p.NominalY(axes[1].Values...)
-	p.Add(h)
+	p.Add(cells)
 	return p.Save(14*vg.Centimeter, 12*vg.Centimeter, path)
 }
-
-// Print writes the means of all cells as a table.
-func Print(w io.Writer, axes []Axis, rows []Row) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	for _, a := range axes {
-		fmt.Fprintf(t, "%s\t", a.Key)
-	}
-	fmt.Fprintf(t, "by\tdays\t%s\t\n", strings.Join(Columns, "\t"))
-	seen := map[string]bool{}
-	for _, r := range rows {
-		key := strings.Join(append(slices.Clone(r.Values), r.By), "\t")
-		if seen[key] {
-			continue
-		}
-		seen[key] = true
-		cell := of(rows, r.By, r.Values...)
-		fmt.Fprintf(t, "%s\t%d", key, len(cell))
-		for column := range Columns {
-			m, half := mean(cell, column)
-			fmt.Fprintf(t, "\t%.3f +- %.3f", m, half)
-		}
-		fmt.Fprintln(t, "\t")
-	}
-	t.Flush()
-}
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestKeysAreSetWhereTheyStand(t *testing.T) {
+func TestScenarioSetsKeys(t *testing.T) {
 	text, err := os.ReadFile("../../../lab/scenarios/slow.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -36,8 +36,8 @@
 	}
 }
 
-// A sweep that was killed in the middle of a line goes on: no cell is played twice, none is lost.
-func TestASweepGoesOn(t *testing.T) {
+// A sweep that was killed in the middle of a line is resumed: no cell is played twice, none is lost.
+func TestSweepResumesAfterAnInterruptedWrite(t *testing.T) {
 	dir := t.TempDir()
 	axes := []Axis{{"a.b", []string{"1", "2"}}, {"c", []string{"x", "y, z"}}}
 	cells := Grid(axes, []string{"one", "two"}, 5, 3)
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i, c := range table.Left(cells) {
+		for i, c := range table.Unplayed(cells) {
 			if i == 7 && run < 3 {
 				break
 			}
@@ -64,27 +64,40 @@
 				t.Fatal(err)
 			}
 		}
-		table.Close()
+		if err := table.Close(); err != nil {
+			t.Fatal(err)
+		}
 		path := filepath.Join(dir, "sweep.csv")
-		text, _ := os.ReadFile(path)
-		if run < 3 { // as a kill in the middle of a write leaves it
-			os.WriteFile(path, append(text, `2,"y, z",one`...), 0o644)
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if run == 3 {
+			break
+		}
+		interrupted := append(text, `2,"y, z",one`...) // as a kill in the middle of a write leaves it
+		if err := os.WriteFile(path, interrupted, 0o644); err != nil {
+			t.Fatal(err)
 		}
 	}
 	table, err := Open(dir, axes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer table.Close()
-	if len(table.Rows) != len(cells) || len(table.Left(cells)) != 0 {
-		t.Errorf("%d rows, %d cells left", len(table.Rows), len(table.Left(cells)))
+	t.Cleanup(func() {
+		if err := table.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	if len(table.Rows()) != len(cells) || len(table.Unplayed(cells)) != 0 {
+		t.Errorf("%d rows, %d cells left", len(table.Rows()), len(table.Unplayed(cells)))
 	}
 	for name, n := range played {
 		if n != 1 {
 			t.Errorf("%s played %d times", name, n)
 		}
 	}
-	if err := Plot(dir, axes, []string{"one"}, table.Rows); err != nil {
+	if err := Plot(dir, axes, []string{"one"}, table.Rows()); err != nil {
 		t.Error(err)
 	}
 	if _, err := Open(dir, axes[:1]); err == nil || !strings.Contains(err.Error(), "another directory") {
