--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -105,17 +105,17 @@
 	return config, complaints.Err()
 }
 
-func checkAddress(c *tomlfile.Complaints, key, found string, portZero bool) {
+func checkAddress(c *tomlfile.Problems, key, found string, portZero bool) {
 	address, err := netip.ParseAddrPort(found)
-	c.Must(err == nil && (portZero || address.Port() != 0), key, "an address and a port", fmt.Sprintf("%q", found))
+	c.Require(err == nil && (portZero || address.Port() != 0), key, "an address and a port", fmt.Sprintf("%q", found))
 }
 
-func (f *Config) check(c *tomlfile.Complaints) {
-	c.Must(f.Name != "" && len(f.Name) <= maxNameBytes, "name",
+func (f *Config) check(c *tomlfile.Problems) {
+	c.Require(f.Name != "" && len(f.Name) <= maxNameBytes, "name",
 		fmt.Sprintf("a name of up to %d bytes", maxNameBytes), fmt.Sprintf("%q", f.Name))
-	c.Must(f.Role == roleOrigin || f.Role == roleRelay, "role", "origin or relay", fmt.Sprintf("%q", f.Role))
+	c.Require(f.Role == roleOrigin || f.Role == roleRelay, "role", "origin or relay", fmt.Sprintf("%q", f.Role))
 	checkAddress(c, "listen", f.Listen, true)
-	c.Must(f.BytesPerSecond == 0 || f.BytesPerSecond >= minBytesPerSecond, "pace",
+	c.Require(f.BytesPerSecond == 0 || f.BytesPerSecond >= minBytesPerSecond, "pace",
 		fmt.Sprintf("0, or at least %d bytes a second", minBytesPerSecond), f.BytesPerSecond)
 	limits := map[string]int{
 		"limits.records":     f.Limits.Records,
@@ -123,7 +123,7 @@
 		"limits.subscribers": f.Limits.Subscribers,
 	}
 	for key, n := range limits {
-		c.Must(n >= 0, key, "a number from 0, which stands for the default", n)
+		c.Require(n >= 0, key, "a number from 0, which stands for the default", n)
 	}
 	if f.Role == roleOrigin {
 		f.checkOrigin(c)
@@ -132,46 +132,46 @@
 	}
 }
 
-func (f *Config) checkOrigin(c *tomlfile.Complaints) {
-	c.Must(len(f.Upstream) == 0, "upstream", "none, as role is origin", len(f.Upstream))
-	c.Must(len(f.Scopes) == 0, "scopes", "none, as role is origin", len(f.Scopes))
-	c.Must(f.Origin != nil, "origin", "a table, as role is origin", "none")
+func (f *Config) checkOrigin(c *tomlfile.Problems) {
+	c.Require(len(f.Upstream) == 0, "upstream", "none, as role is origin", len(f.Upstream))
+	c.Require(len(f.Scopes) == 0, "scopes", "none, as role is origin", len(f.Scopes))
+	c.Require(f.Origin != nil, "origin", "a table, as role is origin", "none")
 	if f.Origin != nil {
 		f.Origin.check(c)
 	}
 }
 
-func (f *Config) checkRelay(c *tomlfile.Complaints) {
-	c.Must(f.Origin == nil, "origin", "none, as role is not origin", "a table")
-	c.Must(len(f.Upstream) >= 1 && len(f.Upstream) <= maxUpstreams, "upstream",
+func (f *Config) checkRelay(c *tomlfile.Problems) {
+	c.Require(f.Origin == nil, "origin", "none, as role is not origin", "a table")
+	c.Require(len(f.Upstream) >= 1 && len(f.Upstream) <= maxUpstreams, "upstream",
 		fmt.Sprintf("1 to %d addresses and ports", maxUpstreams), len(f.Upstream))
 	seen := map[string]bool{}
 	for i, upstream := range f.Upstream {
 		key := fmt.Sprintf("upstream.%d", i)
 		checkAddress(c, key, upstream, false)
-		c.Must(!seen[upstream], key, "an address that is not there twice", fmt.Sprintf("%q again", upstream))
-		c.Must(upstream != f.Listen, key, "another address than listen", fmt.Sprintf("%q", upstream))
+		c.Require(!seen[upstream], key, "an address that is not there twice", fmt.Sprintf("%q again", upstream))
+		c.Require(upstream != f.Listen, key, "another address than listen", fmt.Sprintf("%q", upstream))
 		seen[upstream] = true
 	}
 	if len(f.Scopes) == 0 {
 		f.Scopes = []string{prefixMark}
 	}
-	c.Must(len(f.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(f.Scopes))
+	c.Require(len(f.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(f.Scopes))
 	for i, scope := range f.Scopes {
 		starAtEnd := !strings.Contains(strings.TrimSuffix(scope, prefixMark), prefixMark)
-		c.Must(scope != "" && len(scope) <= distribution.MaxNameBytes && starAtEnd, fmt.Sprintf("scopes.%d", i),
+		c.Require(scope != "" && len(scope) <= distribution.MaxNameBytes && starAtEnd, fmt.Sprintf("scopes.%d", i),
 			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", distribution.MaxNameBytes),
 			fmt.Sprintf("%q", scope))
 	}
 }
 
-func (o *OriginConfig) check(c *tomlfile.Complaints) {
-	c.Must(o.Discovery != "" || o.Configuration != "", "origin", "discovery, configuration or both", "neither")
+func (o *OriginConfig) check(c *tomlfile.Problems) {
+	c.Require(o.Discovery != "" || o.Configuration != "", "origin", "discovery, configuration or both", "neither")
 	interval := defaultPollInterval
 	if o.PollInterval != "" {
 		var err error
 		interval, err = time.ParseDuration(o.PollInterval)
-		c.Must(err == nil && interval >= minPollInterval && interval <= maxPollInterval, "origin.every",
+		c.Require(err == nil && interval >= minPollInterval && interval <= maxPollInterval, "origin.every",
 			"a time from 50ms to 1h", fmt.Sprintf("%q", o.PollInterval))
 	}
 	o.PollIntervalNs = int64(interval)
@@ -181,28 +181,28 @@
 	}
 }
 
-func (s *ScopeRule) check(c *tomlfile.Complaints) {
-	c.Must((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place",
+func (s *ScopeRule) check(c *tomlfile.Problems) {
+	c.Require((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place",
 		fmt.Sprintf("%q and %q", s.Service, s.ServiceFrom))
-	c.Must(s.ServiceFrom == "" || s.ServiceFrom == serviceFromHost, "origin.scope.service_from", "host",
+	c.Require(s.ServiceFrom == "" || s.ServiceFrom == serviceFromHost, "origin.scope.service_from", "host",
 		fmt.Sprintf("%q", s.ServiceFrom))
-	c.Must(s.Region != "" || len(s.Regions) > 0, "origin.scope.region",
+	c.Require(s.Region != "" || len(s.Regions) > 0, "origin.scope.region",
 		"a region, or regions with their sites", "neither")
 	s.regionOf = map[string]string{}
 	for region, sites := range s.Regions {
 		for _, site := range sites {
 			other := s.regionOf[site]
-			c.Must(other == "", "origin.scope.regions."+region, "sites of one region each",
+			c.Require(other == "", "origin.scope.regions."+region, "sites of one region each",
 				fmt.Sprintf("%q, which is also of %s", site, other))
 			s.regionOf[site] = region
 		}
 	}
 	for key, name := range map[string]string{"service": s.Service, "region": s.Region} {
-		c.Must(validScopePart(name), "origin.scope."+key,
+		c.Require(validScopePart(name), "origin.scope."+key,
 			fmt.Sprintf("a name of up to %d bytes without / and *", maxScopePartBytes), fmt.Sprintf("%q", name))
 	}
 	for region := range s.Regions {
-		c.Must(region != "" && validScopePart(region), "origin.scope.regions",
+		c.Require(region != "" && validScopePart(region), "origin.scope.regions",
 			fmt.Sprintf("names of up to %d bytes without / and *", maxScopePartBytes), fmt.Sprintf("%q", region))
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,7 +13,8 @@
 	"testing"
 )
 
-// disk is a directory that tells what was made durable from what was only written, fails when told to, and can crash.
+// disk is a directory in memory that keeps what was synced apart from what was only written, fails on demand and can
+// crash.
 type disk struct {
 	mu      sync.Mutex
 	now     map[string]*memFile // as a running program sees it
@@ -36,7 +37,7 @@
 	return &disk{now: map[string]*memFile{}, durable: map[string]*memFile{}, full: -1}
 }
 
-// step counts one thing that the store asks for; the lock is held.
+// step counts an operation of the store; the lock is held.
 func (d *disk) step() error {
 	d.steps++
 	if d.failAt > 0 && d.steps >= d.failAt {
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// crash is the disk after the power went: of what was not made durable, names and bytes, a part chosen by draw.
+// crash returns the disk after a power loss: of names and bytes that were not synced it holds a random part.
 func (d *disk) crash(draw *rand.Rand) *disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -212,7 +213,7 @@
 	}
 }
 
-// history writes batches of puts and deletes; states[i] is what stands after i of them.
+// history writes batches of puts and deletes; states[i] is the content after i of them.
 func history(t *testing.T, s *Store, n int, draw *rand.Rand) (states []map[string]string) {
 	t.Helper()
 	state := map[string]string{}
@@ -241,22 +242,22 @@
 	return slices.IndexFunc(states, func(s map[string]string) bool { return maps.Equal(s, got) })
 }
 
-// A log cut off at any byte comes back as it stood after its last whole batch, and goes on from there.
-func TestCutOffAtEveryByte(t *testing.T) {
+// A log that is cut off at any byte is recovered up to its last whole batch, and can be written again.
+func TestTornWriteAtEveryByte(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
 	states := history(t, s, 40, rand.New(rand.NewPCG(1, 1)))
 	closeStore(t, s)
-	whole := d.now[segmentName(1)].data
+	log := d.now[segmentName(1)].data
 	ends := []int{fixedHeaderBytes}
-	if _, err := scan(segmentName(1), whole, true, func(at int64, f frame) {
+	if _, err := scan(segmentName(1), log, true, func(at int64, f frame) {
 		ends = append(ends, int(at)+f.length)
 	}); err != nil {
 		t.Fatal(err)
 	}
-	for cut := range len(whole) + 1 {
+	for cut := range len(log) + 1 {
 		d := newDisk()
-		d.now[segmentName(1)] = &memFile{d: d, data: slices.Clone(whole[:cut])}
+		d.now[segmentName(1)] = &memFile{d: d, data: slices.Clone(log[:cut])}
 		s, r := open(t, d, Options{ManualCompaction: true})
 		want := 0
 		for want+1 < len(ends) && ends[want+1] <= cut {
@@ -266,7 +267,7 @@
 			t.Fatalf("cut at %d: %v, want the state after %d batches, %v", cut, got, want, states[want])
 		}
 		if kept := ends[want]; cut > kept && r.TruncatedBytes != int64(cut-kept) {
-			t.Fatalf("cut at %d: %d bytes told as dropped, want %d", cut, r.TruncatedBytes, cut-kept)
+			t.Fatalf("cut at %d: %d bytes reported as truncated, want %d", cut, r.TruncatedBytes, cut-kept)
 		}
 		if err := s.Put("after", []byte("x")); err != nil {
 			t.Fatal(err)
@@ -278,9 +279,9 @@
 	}
 }
 
-// Any byte that is wrong is refused with its place, or was in the last batch, which might have been a crash's; nothing
-// is ever made up.
-func TestEveryByteWrong(t *testing.T) {
+// A corrupted byte is reported with its place, or was in the last batch, which may be a torn write; no content is ever
+// invented.
+func TestEveryByteCorrupted(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true, SegmentBytes: 400})
 	states := history(t, s, 30, rand.New(rand.NewPCG(2, 2)))
@@ -319,9 +320,9 @@
 	}
 }
 
-// The power goes at every step of a day with compactions: what was acknowledged stands, what was not stands whole or
-// not at all, and what was removed does not come back.
-func TestPowerGoesAtEveryStep(t *testing.T) {
+// After a power loss at any step, also of a compaction, all that was acknowledged is there, what was not is there as
+// a whole batch or not at all, and what was deleted does not come back.
+func TestPowerLossAtEveryStep(t *testing.T) {
 	play := func(d *disk, seed uint64) (acknowledged, perhaps map[string]string) {
 		draw := rand.New(rand.NewPCG(seed, 3))
 		acknowledged = map[string]string{}
@@ -352,12 +353,12 @@
 		}
 		return acknowledged, acknowledged
 	}
-	whole := newDisk()
-	play(whole, 1)
-	if whole.steps < 120 {
-		t.Fatalf("%d steps, too few to prove anything", whole.steps)
+	complete := newDisk()
+	play(complete, 1)
+	if complete.steps < 120 {
+		t.Fatalf("%d steps, too few to prove anything", complete.steps)
 	}
-	for at := 1; at <= whole.steps+1; at++ {
+	for at := 1; at <= complete.steps+1; at++ {
 		for seed := range uint64(3) {
 			d := newDisk()
 			d.failAt = at
@@ -415,7 +416,7 @@
 	}
 }
 
-// Many write at once; a snapshot stands still meanwhile, and compaction goes on by itself.
+// Several writers at once, with compactions: a snapshot does not change meanwhile.
 func TestWritersReadersCompaction(t *testing.T) {
 	s, _, err := Open(t.TempDir(), Options{SegmentBytes: 8 << 10})
 	if err != nil {
@@ -505,7 +506,7 @@
 	}
 }
 
-// What can be read round a damage comes over whole, and the damaged directory stays as it was.
+// A repair copies all batches around a corrupted one, and leaves the damaged directory as it was.
 func TestRepair(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
@@ -518,7 +519,7 @@
 	before := slices.Clone(data)
 	var damage *CorruptionError
 	if _, _, err := OpenDirectory(d, Options{}); !errors.As(err, &damage) || damage.BatchesAfter < 3 || damage.Offset == 0 {
-		t.Fatalf("%v, want the damage told", err)
+		t.Fatalf("%v, want the corruption reported", err)
 	}
 	to := newDisk()
 	repaired, err := Repair(d, to)
