--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,465 +1,300 @@
-// Package baseline owns plain ways to choose a server, to measure the decisions against in virtual time. They keep to the same
-// rules on resends, drains and cold servers. It must never be part of a node.
+// Package baseline implements well-known load balancing policies as deciders for runs in virtual time, to compare the decisions
+// with. They keep the same rules on retries, draining endpoints and slow start, and differ in how they select an endpoint. Two of
+// them read the true state of the cluster, which no node can.
 package baseline
 
 import (
 	"fawnglade/internal/lab/simulation"
-	"fawnglade/internal/rendezvous"
 	"fawnglade/policy"
-	"math"
 	"math/rand/v2"
 	"slices"
-	"sort"
+	"time"
 )
 
-// Kinds are the baselines by name, and where each is from.
+// The names of the baselines, as the lab's commands take them.
+const (
+	random      = "random"
+	roundRobin  = "round-robin"
+	least       = "least"
+	twoChoices  = "two-choices"
+	peakEWMA    = "peak-ewma"
+	hotCold     = "hot-cold"
+	boundedHash = "bounded-hash"
+	allSeeing   = "all-seeing"
+	lateSeeing  = "late-seeing"
+)
+
+// Kinds are the baselines by name, with what they do and where they are from.
 var Kinds = map[string]string{
-	"random":       "an even draw",
-	"round-robin":  "one after another",
-	"least":        "fewest own hand-offs out",
-	"two-choices":  "the one with fewer out of two drawn (Mitzenmacher, 2001)",
-	"peak-ewma":    "the lower of two by peak-sensitive answer time times hand-offs out (Finagle's balancer, as its documentation tells it)",
-	"hot-cold":     "the quickest of those not hot by reported load, from a pool of reports (Wydrowski et al., Prequal, NSDI 2024)",
-	"bounded-hash": "consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018)",
-	"all-seeing":   "the earliest end by the true state of all servers; it declines what would be late",
-	"late-seeing":  "the same by the state of half a second ago, drawn by how soon each would end",
+	random:      "an even draw",
+	roundRobin:  "one after another",
+	least:       "fewest own attempts in flight",
+	twoChoices:  "the one with fewer out of two drawn (Mitzenmacher, 2001)",
+	peakEWMA:    "the lower of two by peak-sensitive latency times attempts in flight (Finagle's balancer, by its documentation)",
+	hotCold:     "the quickest of those not hot by reported load, from a pool of reports (Wydrowski et al., Prequal, NSDI 2024)",
+	boundedHash: "consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018)",
+	allSeeing:   "the earliest end by the true state of all endpoints; it rejects what would be late",
+	lateSeeing:  "the same by the state of half a second ago, drawn by how soon each would end",
 }
 
-// Names in order.
+// Names returns the names of the baselines in order.
 func Names() []string {
 	var names []string
 	for name := range Kinds {
 		names = append(names, name)
 	}
-	sort.Strings(names)
+	slices.Sort(names)
 	return names
 }
 
 const (
-	second    = 1_000_000_000 // nanoseconds
-	lookEach  = second / 4
-	lateBy    = second / 2
-	decay     = 10e9 // of peak-ewma, nanoseconds
-	poolMost  = 16
-	poolAge   = second
-	hot       = 0.84 // quantile of reported load from which a server is hot
-	bound     = 1.25
-	listAgain = second
-	askLess   = 0.75 // part of what a cold server surely can do that it is offered
+	retryWatchAfter = policy.Time(time.Second)
+	// slowStartOffer is the part that an endpoint in slow start is offered of the capacity that it surely has.
+	slowStartOffer = 0.75
+	healthChecks   = 2 // per request, by hotCold
+)
 
-	listCookie, lookCookie = 0, 1
+// Cookies of timers.
+const (
+	watchTimer    = 0
+	snapshotTimer = 1
 )
 
-type server struct {
+// randomStream separates the deciders' random draws from other users of the seed.
+const randomStream = 5
+
+// endpoint as one node knows it.
+type endpoint struct {
 	policy.EndpointInfo
-	out          int
-	cost         float64 // peak-ewma
-	at           policy.Time
-	held, worked float64 // late-seeing: as it was then
-	up           bool
+	inFlight  int         // own attempts
+	latency   float64     // peak-sensitive average for peakEWMA, nanoseconds; 0: unknown
+	updatedAt policy.Time // of latency
 }
 
-type task struct {
+// request is one that has not ended.
+type request struct {
 	policy.Request
-	tried      []policy.EndpointID
-	open       int
+	attempts   []policy.EndpointID
+	inFlight   int
 	mayHaveRun bool
-	over       bool
+	done       bool
 }
 
-type seen struct {
-	at   policy.Time
-	of   policy.EndpointID
-	load float64
-	took float64
+// Decider is a baseline at one node. Like the module's decisions it is called from one goroutine at a time.
+type Decider struct {
+	kind      string
+	node      int
+	settings  policy.Settings
+	effects   policy.Effects
+	cluster   simulation.ClusterState
+	random    *rand.Rand
+	turn      int // of roundRobin
+	endpoints []*endpoint
+	byID      map[policy.EndpointID]*endpoint
+	requests  map[policy.RequestID]*request
+	reports   []pooledReport // of hotCold, the oldest first
+	work      []float64      // by class: running mean, nanoseconds of a core; of allSeeing and lateSeeing
+	snapshots []snapshot     // of lateSeeing, the oldest first
+	started   bool
 }
 
-// Plain is one node's.
-type Plain struct {
-	kind    string
-	node    int
-	set     policy.Settings
-	host    policy.Effects
-	see     simulation.ClusterState
-	draw    *rand.Rand
-	turn    int
-	servers []*server
-	byID    map[policy.EndpointID]*server
-	tasks   map[policy.RequestID]*task
-	pool    []seen
-	work    []float64 // by category: running mean of work, in nanoseconds of a core
-	looks   []look
-	begun   bool
-	asked   int
-}
+var _ simulation.Decider = (*Decider)(nil)
 
-type look struct {
-	at    policy.Time
-	state map[policy.EndpointID][2]float64 // held, capacity; absent if it is not up
-}
+// initialWork is assumed of a class until a request of it has ended, nanoseconds of a core.
+const initialWork = float64(20 * time.Millisecond)
 
-// New makes a maker of deciders of a kind.
+// New returns the constructor of a baseline, by one of Names.
 func New(kind string) simulation.NewDecider {
-	return func(node int, set policy.Settings, seed uint64, host policy.Effects, see simulation.ClusterState) simulation.Decider {
-		return &Plain{
-			kind: kind, node: node, set: set, host: host, see: see, draw: rand.New(rand.NewPCG(seed, 5)), turn: int(seed % 7919),
-			byID: map[policy.EndpointID]*server{}, tasks: map[policy.RequestID]*task{}, work: slices.Repeat([]float64{20e6}, len(set.Classes)),
+	return func(node int, settings policy.Settings, seed uint64, effects policy.Effects, cluster simulation.ClusterState) simulation.Decider {
+		return &Decider{
+			kind: kind, node: node, settings: settings, effects: effects, cluster: cluster,
+			random:   rand.New(rand.NewPCG(seed, randomStream)),
+			turn:     int(seed % 7919), // so that nodes do not go in step
+			byID:     map[policy.EndpointID]*endpoint{},
+			requests: map[policy.RequestID]*request{},
+			work:     slices.Repeat([]float64{initialWork}, len(settings.Classes)),
 		}
 	}
 }
 
-// ListLearned takes the list, or what has changed in it.
-func (p *Plain) EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, whole bool) {
-	if whole {
-		for _, s := range p.servers {
-			s.State = policy.StateRemoved
+// EndpointsUpdated takes the endpoint list; if it is not complete, what has changed in it.
+func (d *Decider) EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, complete bool) {
+	if complete {
+		for _, e := range d.endpoints {
+			e.State = policy.StateRemoved
 		}
 	}
-	for _, l := range list {
-		s := p.byID[l.ID]
-		if s == nil {
-			s = &server{}
-			p.byID[l.ID] = s
-			p.servers = append(p.servers, s)
+	for _, info := range list {
+		e := d.byID[info.ID]
+		if e == nil {
+			e = &endpoint{}
+			d.byID[info.ID] = e
+			d.endpoints = append(d.endpoints, e)
 		}
-		if l.StartedAt > s.StartedAt {
-			s.cost = 0
+		if info.StartedAt > e.StartedAt {
+			e.latency = 0
 		}
-		s.EndpointInfo = l
+		e.EndpointInfo = info
 	}
-	slices.SortFunc(p.servers, func(a, b *server) int { return int(a.ID) - int(b.ID) })
-	if !p.begun {
-		p.begun = true
-		if p.set.MustPollList {
-			p.host.WatchEndpoints()
-		}
-		if p.kind == "late-seeing" {
-			p.look(now)
-		}
-	}
-}
-
-// ListFailed asks again a second later.
-func (p *Plain) WatchFailed(now policy.Time) { p.host.SetTimer(now+listAgain, listCookie) }
-
-// Woken takes a timer.
-func (p *Plain) TimerFired(now policy.Time, cookie uint64) {
-	if cookie == listCookie {
-		p.host.WatchEndpoints()
-		return
+	slices.SortFunc(d.endpoints, func(a, b *endpoint) int { return int(a.ID) - int(b.ID) })
+	if !d.started {
+		d.start(now)
 	}
-	p.look(now)
 }
 
-// look notes the true state, to be used later.
-func (p *Plain) look(now policy.Time) {
-	state := map[policy.EndpointID][2]float64{}
-	for _, s := range p.servers {
-		if held, can, up := p.see.Load(p.node, s.ID); up {
-			state[s.ID] = [2]float64{float64(held), can}
-		}
-	}
-	p.looks = append(p.looks, look{now, state})
-	for len(p.looks) > 1 && p.looks[1].at <= now-lateBy {
-		p.looks = p.looks[1:]
+// start begins what goes on from the first list on.
+func (d *Decider) start(now policy.Time) {
+	d.started = true
+	if d.settings.MustPollList {
+		d.effects.WatchEndpoints()
 	}
-	p.host.SetTimer(now+lookEach, lookCookie)
-}
-
-// TaskArrived sends a task.
-func (p *Plain) RequestArrived(now policy.Time, arrived policy.Request) {
-	t := &task{Request: arrived}
-	p.tasks[t.ID] = t
-	if p.kind == "hot-cold" && p.set.MayCheckHealth && len(p.servers) > 0 {
-		for range 2 {
-			p.host.CheckHealth(p.servers[p.draw.IntN(len(p.servers))].ID)
-		}
+	if d.kind == lateSeeing {
+		d.takeSnapshot(now)
 	}
-	p.send(now, t)
 }
 
-// cold is the part of its capacity that a server surely has.
-func (p *Plain) cold(now policy.Time, s *server) float64 {
-	if age := now - s.StartedAt; s.StartedAt != 0 && age < policy.Time(p.set.SlowStartWindow) {
-		return p.set.SlowStartMinCapacity + (1-p.set.SlowStartMinCapacity)*float64(max(age, 0))/float64(p.set.SlowStartWindow)
-	}
-	return 1
-}
+// WatchFailed watches again a second later.
+func (d *Decider) WatchFailed(now policy.Time) { d.effects.SetTimer(now+retryWatchAfter, watchTimer) }
 
-func (p *Plain) send(now policy.Time, t *task) {
-	c := &p.set.Classes[t.Class]
-	limit := t.Deadline
-	var fit []*server
-	if now < limit && len(t.tried) < p.set.MaxAttempts && (!t.mayHaveRun || c.Idempotency == policy.Idempotent) {
-		for _, s := range p.servers {
-			if s.State == policy.StateActive && (len(t.tried) == 0 || t.tried[len(t.tried)-1] != s.ID) {
-				if part := p.cold(now, s); part == 1 || p.draw.Float64() < askLess*part {
-					fit = append(fit, s)
-				}
-			}
-		}
-	}
-	s := p.pick(now, t, fit)
-	if s == nil {
-		t.over = true
-		if c.Idempotency == policy.Idempotent || !t.mayHaveRun {
-			p.host.Reject(t.ID, min(p.set.MaxRetryAfter, c.LatencyObjective/4))
-		} else {
-			p.host.Fail(t.ID)
-		}
-		delete(p.tasks, t.ID)
+// TimerFired continues what the timer was set for.
+func (d *Decider) TimerFired(now policy.Time, cookie uint64) {
+	if cookie == watchTimer {
+		d.effects.WatchEndpoints()
 		return
 	}
-	t.tried = append(t.tried, s.ID)
-	t.open++
-	s.out++
-	p.host.Send(t.ID, s.ID, limit.Sub(now))
+	d.takeSnapshot(now)
 }
 
-func (p *Plain) pick(now policy.Time, t *task, fit []*server) *server {
-	if len(fit) == 0 {
-		return nil
-	}
-	any := func() *server { return fit[p.draw.IntN(len(fit))] }
-	lower := func(cost func(*server) float64) *server {
-		a, b := any(), any()
-		if cost(b) < cost(a) {
-			return b
-		}
-		return a
-	}
-	out := func(s *server) float64 { return float64(s.out) }
-	switch p.kind {
-	case "round-robin":
-		p.turn++
-		return fit[p.turn%len(fit)]
-	case "least":
-		return p.least(fit, out)
-	case "two-choices":
-		return lower(out)
-	case "peak-ewma":
-		return lower(func(s *server) float64 { return p.decayed(now, s) * float64(s.out+1) })
-	case "hot-cold":
-		return p.hotCold(now, fit, any)
-	case "bounded-hash":
-		return p.hashed(t, fit)
-	case "all-seeing", "late-seeing":
-		return p.seeing(now, t, fit)
-	}
-	return any()
-}
-
-// least is the lowest, one of those drawn where several are.
-func (p *Plain) least(fit []*server, cost func(*server) float64) *server {
-	var best *server
-	lowest, alike := math.Inf(1), 0
-	for _, s := range fit {
-		switch v := cost(s); {
-		case v < lowest:
-			best, lowest, alike = s, v, 1
-		case v == lowest:
-			if alike++; p.draw.IntN(alike) == 0 {
-				best = s
-			}
+// RequestArrived starts the first attempt of a request.
+func (d *Decider) RequestArrived(now policy.Time, arrived policy.Request) {
+	r := &request{Request: arrived}
+	d.requests[r.ID] = r
+	if d.kind == hotCold && d.settings.MayCheckHealth && len(d.endpoints) > 0 {
+		for range healthChecks {
+			d.effects.CheckHealth(d.endpoints[d.random.IntN(len(d.endpoints))].ID)
 		}
 	}
-	return best
+	d.startAttempt(now, r)
 }
 
-func (p *Plain) decayed(now policy.Time, s *server) float64 {
-	if s.cost == 0 {
-		return 1e6 // unheard: quick, until it shows otherwise
+// startAttempt sends a request to an endpoint, or ends it if none is selected.
+func (d *Decider) startAttempt(now policy.Time, r *request) {
+	class := &d.settings.Classes[r.Class]
+	e := d.pick(now, r, d.candidates(now, r, class))
+	if e == nil {
+		d.giveUp(r, class)
+		return
 	}
-	return s.cost * math.Exp(-float64(now-s.at)/decay)
+	r.attempts = append(r.attempts, e.ID)
+	r.inFlight++
+	e.inFlight++
+	d.effects.Send(r.ID, e.ID, r.Deadline.Sub(now))
 }
 
-func (p *Plain) hotCold(now policy.Time, fit []*server, any func() *server) *server {
-	for len(p.pool) > 0 && now-p.pool[0].at > poolAge {
-		p.pool = p.pool[1:]
-	}
-	var loads []float64
-	for _, r := range p.pool {
-		loads = append(loads, r.load)
+// candidates returns the endpoints that a request may go to now: none after its deadline, with its attempts used up, or if it is
+// not idempotent and may have run. The endpoint of the last attempt is left out, those in slow start are drawn.
+func (d *Decider) candidates(now policy.Time, r *request, class *policy.Class) []*endpoint {
+	if now >= r.Deadline || len(r.attempts) >= d.settings.MaxAttempts {
+		return nil
 	}
-	if len(loads) < 2 {
-		return any()
+	if r.mayHaveRun && class.Idempotency != policy.Idempotent {
+		return nil
 	}
-	sort.Float64s(loads)
-	limit := loads[int(hot*float64(len(loads)-1))]
-	best, at, lowest := (*server)(nil), -1, math.Inf(1)
-	for i, r := range p.pool {
-		s := p.byID[r.of]
-		if s == nil || !slices.Contains(fit, s) {
+	var candidates []*endpoint
+	for _, e := range d.endpoints {
+		if e.State != policy.StateActive {
 			continue
 		}
-		v := r.took + float64(s.out)
-		if r.load > limit {
-			v = 1e9 + r.load // hot ones only if there is no other, the least loaded first
+		if len(r.attempts) > 0 && r.attempts[len(r.attempts)-1] == e.ID {
+			continue
 		}
-		if v < lowest {
-			best, at, lowest = s, i, v
+		if part := d.warmCapacity(now, e); part == 1 || d.random.Float64() < slowStartOffer*part {
+			candidates = append(candidates, e)
 		}
 	}
-	if best == nil {
-		return any()
-	}
-	p.pool = append(p.pool[:at:at], p.pool[at+1:]...) // a report is used once, against herding
-	return best
+	return candidates
 }
 
-func (p *Plain) hashed(t *task, fit []*server) *server {
-	name := t.Key
-	if name == "" {
-		name = string(t.ID)
-	}
-	key, sum := rendezvous.HashKey(name), 1
-	for _, s := range fit {
-		sum += s.out
-	}
-	most := int(math.Ceil(bound * float64(sum) / float64(len(fit))))
-	var best *server
-	highest := uint64(0)
-	for _, s := range fit {
-		if r := rendezvous.Score(key, uint32(s.ID)); s.out < most && (best == nil || r > highest) {
-			best, highest = s, r
-		}
-	}
-	return best
+// warmCapacity is the part of its capacity that an endpoint surely has: 1 unless it is in slow start.
+func (d *Decider) warmCapacity(now policy.Time, e *endpoint) float64 {
+	age := now - e.StartedAt
+	if e.StartedAt == 0 || age >= policy.Time(d.settings.SlowStartWindow) {
+		return 1
+	}
+	least := d.settings.SlowStartMinCapacity
+	return least + (1-least)*float64(max(age, 0))/float64(d.settings.SlowStartWindow)
 }
 
-// seeing is the earliest end by the true state, unless that is too late.
-func (p *Plain) seeing(now policy.Time, t *task, fit []*server) *server {
-	work := p.work[t.Class]
-	if t.CostHint > 0 {
-		work = float64(t.CostHint)
-	}
-	state := func(s *server) (held, can float64, up bool) {
-		if p.kind == "all-seeing" {
-			h, c, up := p.see.Load(p.node, s.ID)
-			return float64(h), c, up
-		}
-		if len(p.looks) == 0 {
-			return 0, 1e9, true
-		}
-		v, up := p.looks[0].state[s.ID]
-		return v[0] + float64(s.out), v[1], up
-	}
-	ends := func(s *server) float64 {
-		held, can, up := state(s)
-		if !up || can <= 0 {
-			return math.Inf(1)
-		}
-		return float64(p.see.RoundTrip(p.node, s.ID)) + (held+1)*work*1e9/can
-	}
-	if p.kind == "late-seeing" {
-		return p.drawn(fit, ends, float64(t.Deadline-now))
-	}
-	best := p.least(fit, ends)
-	if best == nil || ends(best) > float64(t.Deadline-now) {
-		return nil
-	}
-	return best
+// giveUp rejects a request if a retry by the client does no harm, else it fails it.
+func (d *Decider) giveUp(r *request, class *policy.Class) {
+	r.done = true
+	if class.Idempotency == policy.Idempotent || !r.mayHaveRun {
+		d.effects.Reject(r.ID, min(d.settings.MaxRetryAfter, class.LatencyObjective/4))
+	} else {
+		d.effects.Fail(r.ID)
+	}
+	delete(d.requests, r.ID)
 }
 
-// drawn takes one with a chance by how soon it ends: nodes that see one and the same old state and all took its
-// best would pile up there.
-func (p *Plain) drawn(fit []*server, ends func(*server) float64, most float64) *server {
-	var chances []float64
-	sum := 0.0
-	for _, s := range fit {
-		chance := 0.0
-		if at := ends(s); at <= most {
-			chance = 1 / at
-		}
-		sum += chance
-		chances = append(chances, chance)
-	}
-	dice := p.draw.Float64() * sum
-	for i, chance := range chances {
-		if dice -= chance; dice < 0 {
-			return fit[i]
-		}
-	}
-	return nil
-}
-
-// HandOffAnswered takes the end of a hand-off.
-func (p *Plain) AttemptEnded(now policy.Time, a policy.AttemptResult) {
-	if s := p.byID[a.Endpoint]; s != nil {
-		s.out--
-		p.heard(now, s, a)
-	}
-	t := p.tasks[a.Request]
-	if t == nil {
+// AttemptEnded takes the end of an attempt, and retries unless the request is done.
+func (d *Decider) AttemptEnded(now policy.Time, a policy.AttemptResult) {
+	if e := d.byID[a.Endpoint]; e != nil {
+		e.inFlight--
+		d.observe(now, e, a)
+	}
+	r := d.requests[a.Request]
+	if r == nil {
 		return
 	}
-	t.open--
-	if a.Outcome != policy.OutcomeRejected && a.Outcome != policy.OutcomeConnectFailed && a.Outcome != policy.OutcomeNotSent {
-		t.mayHaveRun = true
-	}
-	switch {
-	case t.over || a.RequestDone || a.Outcome == policy.OutcomeSucceeded:
-		delete(p.tasks, t.ID)
+	r.inFlight--
+	switch a.Outcome {
+	case policy.OutcomeRejected, policy.OutcomeConnectFailed, policy.OutcomeNotSent:
 	default:
-		p.send(now, t)
+		r.mayHaveRun = true
 	}
+	if r.done || a.RequestDone || a.Outcome == policy.OutcomeSucceeded {
+		delete(d.requests, r.ID)
+		return
+	}
+	d.startAttempt(now, r)
 }
 
-func (p *Plain) heard(now policy.Time, s *server, a policy.AttemptResult) {
-	took := float64(a.Elapsed)
+// observe learns from the end of an attempt.
+func (d *Decider) observe(now policy.Time, e *endpoint, a policy.AttemptResult) {
 	if a.Outcome == policy.OutcomeSucceeded || a.Outcome == policy.OutcomeTimedOut {
-		old := p.decayed(now, s)
-		if s.cost == 0 || took > old {
-			s.cost = took // peaks count at once
-		} else {
-			w := math.Exp(-float64(now-s.at) / decay)
-			s.cost = s.cost*w + took*(1-w)
-		}
-		s.at = now
+		e.observeLatency(now, float64(a.Elapsed))
 	}
-	if t := p.tasks[a.Request]; t != nil && a.Outcome == policy.OutcomeSucceeded {
-		if held, can, up := p.see.Load(p.node, s.ID); up && p.kind == "all-seeing" || up && p.kind == "late-seeing" {
-			alone := (took - float64(p.see.RoundTrip(p.node, s.ID))) * can / 1e9 / float64(held+1)
-			p.work[t.Class] += (max(alone, 0) - p.work[t.Class]) / 64
-		}
+	if a.Outcome == policy.OutcomeSucceeded {
+		d.observeWork(e, a)
 	}
 	if a.Report.QueueLength >= 0 || a.Report.Utilization >= 0 {
-		p.reported(now, s, a.Report, took)
-	}
-}
-
-func (p *Plain) reported(now policy.Time, s *server, r policy.LoadReport, took float64) {
-	load := max(r.QueueLength, 0) + max(r.Utilization, 0) + float64(s.out)
-	if r.ServiceTime >= 0 {
-		took = r.ServiceTime * 1e6
-	}
-	if p.pool = append(p.pool, seen{now, s.ID, load, took}); len(p.pool) > poolMost {
-		p.pool = p.pool[1:]
+		d.addReport(now, e, a.Report, float64(a.Elapsed))
 	}
 }
 
-// TaskWithdrawn takes the news that the client has gone.
-func (p *Plain) ClientGone(_ policy.Time, id policy.RequestID) {
-	t := p.tasks[id]
-	if t == nil {
+// ClientGone cancels the attempts of a request whose client has gone.
+func (d *Decider) ClientGone(_ policy.Time, id policy.RequestID) {
+	r := d.requests[id]
+	if r == nil {
 		return
 	}
-	if t.over = true; p.set.MayCancel {
-		for n := range t.tried {
-			p.host.Cancel(id, n)
+	r.done = true
+	if d.settings.MayCancel {
+		for n := range r.attempts {
+			d.effects.Cancel(id, n)
 		}
 	}
-	if t.open == 0 {
-		delete(p.tasks, id)
+	if r.inFlight == 0 {
+		delete(d.requests, id)
 	}
 }
 
-// Probed takes what a probe brought.
-func (p *Plain) HealthChecked(now policy.Time, id policy.EndpointID, o policy.Outcome, r policy.LoadReport) {
-	if s := p.byID[id]; s != nil && o == policy.OutcomeSucceeded {
-		p.reported(now, s, r, s.cost)
+// HealthChecked takes the load report of a health check.
+func (d *Decider) HealthChecked(now policy.Time, id policy.EndpointID, outcome policy.Outcome, report policy.LoadReport) {
+	if e := d.byID[id]; e != nil && outcome == policy.OutcomeSucceeded {
+		d.addReport(now, e, report, e.latency)
 	}
 }
 
-// Told passes news over: no baseline heeds any.
-func (p *Plain) GossipReceived(policy.Time, policy.GossipMessage) {}
+// GossipReceived ignores gossip: no baseline uses any.
+func (d *Decider) GossipReceived(policy.Time, policy.GossipMessage) {}
