--- a/cmd/fawnglade/relay_test.go
+++ b/cmd/fawnglade/relay_test.go
@@ -131,7 +131,8 @@
 	}
 	c = exec.Command(os.Args[0], "relay", "--check", "--config", "../../deploy/relay/origin.toml")
 	c.Env = append(os.Environ(), "RUN_FAWNGLADE=1")
-	if text, err = c.CombinedOutput(); err != nil || !strings.Contains(string(text), "origin-1, role origin on 127.0.0.1:7400") {
+	if text, err = c.CombinedOutput(); err != nil ||
+		!strings.Contains(string(text), "origin-1, role origin on 127.0.0.1:7400") {
 		t.Errorf("%v: %s", err, text)
 	}
 }
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -208,13 +208,20 @@
 	o := NewOrigin(1, Limits{})
 	v := put(t, o, "s", "k", ClassEndpoint, "x")
 	expect(t, "version", put(t, o, "s", "k", ClassEndpoint, "x"), v)
-	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "e/1", Class: ClassEndpoint, Body: []byte("1")}}); n != 1 || err != nil {
+	if n, err := o.Replace(0, "e", []Record{{
+		Scope: "s", Key: "e/1", Class: ClassEndpoint,
+		Body: []byte("1"),
+	}}); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
-	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "e/1", Class: ClassEndpoint, Body: []byte("1")}}); n != 0 || err != nil {
+	if n, err := o.Replace(0, "e", []Record{{
+		Scope: "s", Key: "e/1", Class: ClassEndpoint,
+		Body: []byte("1"),
+	}}); n != 0 || err != nil {
 		t.Fatal(n, err)
 	}
-	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "f/1"}, {Scope: "s", Key: "e/2", Class: 9}}); n != 1 || err == nil {
+	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "f/1"}, {Scope: "s", Key: "e/2", Class: 9}}); n != 1 ||
+		err == nil {
 		t.Fatal("one removed, two invalid", n, err)
 	}
 	expect(t, "what is of another kind stays", o.Relay().Stats().Records, 1)
@@ -316,7 +323,10 @@
 	}
 	l.drain(t, 5*second, s)
 	expect(t, "position with one list of two", s.Position("s").Epoch, uint64(1))
-	if _, err := o.Replace(0, "endpoint", []Record{{Scope: "s", Key: "endpoint/b", Class: ClassEndpoint, Body: []byte("B2")}}); err != nil {
+	if _, err := o.Replace(0, "endpoint", []Record{{
+		Scope: "s", Key: "endpoint/b", Class: ClassEndpoint,
+		Body: []byte("B2"),
+	}}); err != nil {
 		t.Fatal(err)
 	}
 	l.drain(t, 5*second, s)
@@ -506,14 +516,20 @@
 	}
 	// A group that can't be decoded may have named anything.
 	s.Hello()
-	f = encode(map[int]any{1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{"nonsense"}, 6: []int{0, 1}, 7: 10})
+	f = encode(map[int]any{
+		1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{"nonsense"}, 6: []int{0, 1},
+		7: 10,
+	})
 	if _, err := s.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
 	expect(t, "records", s.Stats().Records, 4)
 	// A later snapshot without invalid records counts in full.
 	s.Hello()
-	f = encode(map[int]any{1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{[]any{"s", []any{[]any{"d", 0x21, 8, nil}}}}, 6: []int{0, 1}, 7: 10})
+	f = encode(map[int]any{
+		1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1},
+		5: []any{[]any{"s", []any{[]any{"d", 0x21, 8, nil}}}}, 6: []int{0, 1}, 7: 10,
+	})
 	if _, err := s.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
@@ -598,7 +614,12 @@
 	attach(t, 0, o.Relay(), s, 0)
 
 	narrow := newInner(t, Limits{}, Selector{Scope: "eu1/", Prefix: true}, Selector{Scope: "x"})
-	for _, sel := range []Selector{{Scope: "us1/cart"}, {Scope: "", Prefix: true}, {Scope: "eu", Prefix: true}, {Scope: "x", Prefix: true}} {
+	for _, sel := range []Selector{
+		{Scope: "us1/cart"},
+		{Scope: "", Prefix: true},
+		{Scope: "eu", Prefix: true},
+		{Scope: "x", Prefix: true},
+	} {
 		_, err = narrow.Attach(0, newLeaf(t, sel).Hello(), 0)
 		refused(sel.Scope, err, ErrNotFollowed)
 	}
@@ -653,7 +674,10 @@
 	}
 	s := newLeaf(t, Selector{Scope: "s"})
 	s.Hello()
-	if _, err := s.Receive(100, encode(frame{Session: 1, Number: 1, Epoch: 1, Begin: []uint32{0}, End: []uint32{0}, Age: -50})); err != nil {
+	if _, err := s.Receive(100, encode(frame{
+		Session: 1, Number: 1, Epoch: 1, Begin: []uint32{0}, End: []uint32{0},
+		Age: -50,
+	})); err != nil {
 		t.Fatal(err)
 	}
 	if age, known := s.Age(100, "s"); age != 0 || !known {
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -43,10 +43,17 @@
 	}
 	f.Add([]byte{})
 	f.Add([]byte{0xa0})
-	f.Add(encode(map[int]any{1: 1, 2: 1, 3: 9, 4: []int{0, 1}, 5: []any{[]any{"a/x", []any{[]any{"k", 0x21, 5, nil}}}}, 6: []int{1}, 7: 9, 8: true, 9: []int{0}, 11: "later"}))
-	f.Add(encode(map[int]any{1: 1, 2: 1, 3: 9, 5: []any{[]any{"a/x", []any{[]any{"k", 1, 5, "text"}, 3, []any{"l", 1, 6, []byte("x")}}}, 7}}))
+	f.Add(encode(map[int]any{
+		1: 1, 2: 1, 3: 9, 4: []int{0, 1},
+		5: []any{[]any{"a/x", []any{[]any{"k", 0x21, 5, nil}}}}, 6: []int{1}, 7: 9, 8: true, 9: []int{0}, 11: "later",
+	}))
+	f.Add(encode(map[int]any{1: 1, 2: 1, 3: 9, 5: []any{[]any{
+		"a/x",
+		[]any{[]any{"k", 1, 5, "text"}, 3, []any{"l", 1, 6, []byte("x")}},
+	}, 7}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		relay := newInner(t, Limits{Records: 64, Bytes: 64 << 10}, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
+		relay := newInner(t, Limits{Records: 64, Bytes: 64 << 10}, Selector{Scope: "a/x"},
+			Selector{Scope: "b/", Prefix: true})
 		leaf := newLeaf(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
 		down := newLeaf(t, Selector{Scope: "a/x"})
 		down.Hello()
@@ -67,7 +74,9 @@
 		}
 		sum := 0
 		leaf.Each(func(r Record) {
-			if sum++; validateRecord(r.Scope, r.Key, r.Class, r.Body) != nil || r.Scope != "a/x" && r.Scope[:2] != "b/" {
+			sum++
+			foreign := r.Scope != "a/x" && r.Scope[:2] != "b/"
+			if foreign || validateRecord(r.Scope, r.Key, r.Class, r.Body) != nil {
 				t.Fatalf("holds %+v", r)
 			}
 		})
@@ -128,7 +137,13 @@
 }
 
 func helloAt(at Position) hello {
-	return hello{Protocol: protocolVersion, Session: 3, EpochSeen: at.Epoch, Epoch: at.Epoch, Through: at.Through, Selectors: []helloSelector{
-		{Scope: "b/1", Flags: flagShared}, {Scope: "b/1", Epoch: 8, Through: 1}, {Scope: "b/1", Flags: flagPrefix | flagShared}, {Scope: "b/none", Epoch: 11},
-	}}
+	return hello{
+		Protocol: protocolVersion, Session: 3, EpochSeen: at.Epoch, Epoch: at.Epoch, Through: at.Through,
+		Selectors: []helloSelector{
+			{Scope: "b/1", Flags: flagShared},
+			{Scope: "b/1", Epoch: 8, Through: 1},
+			{Scope: "b/1", Flags: flagPrefix | flagShared},
+			{Scope: "b/none", Epoch: 11},
+		},
+	}
 }
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -15,7 +15,9 @@
 	}}
 	f := frame{
 		Session: 3, Number: 2, Epoch: 5, Begin: []uint32{0}, Groups: []recordGroup{{Scope: "eu/web", Records: []record{
-			{Key: "host/a", Flags: 1, Version: 41, Body: []byte(`{"host":"a"}`)}, {Key: "host/b", Flags: flagDeleted, Version: 42}, {Key: "host/c", Flags: flagKeyOnly, Version: 40},
+			{Key: "host/a", Flags: 1, Version: 41, Body: []byte(`{"host":"a"}`)},
+			{Key: "host/b", Flags: flagDeleted, Version: 42},
+			{Key: "host/c", Flags: flagKeyOnly, Version: 40},
 		}}},
 		End: []uint32{0, 1}, Through: 42, All: true, Except: []uint32{1}, Age: 12345,
 	}
--- a/internal/distribution/guards_test.go
+++ b/internal/distribution/guards_test.go
@@ -105,7 +105,10 @@
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", 1, 5))})
 	s.Hello()
-	if _, err := s.Receive(0, encode(frame{Session: s.replica.session, Number: 1, Epoch: 1, End: first, Through: 10})); !errors.Is(err, ErrBadFrame) {
+	if _, err := s.Receive(0, encode(frame{
+		Session: s.replica.session, Number: 1, Epoch: 1, End: first,
+		Through: 10,
+	})); !errors.Is(err, ErrBadFrame) {
 		t.Fatal(err)
 	}
 	expect(t, "records", list(s.Subscriber), "s k=5\n")
@@ -143,7 +146,10 @@
 	at("progress", 1060, 1060, 0)
 	e.send(0, frame{Epoch: 2, Through: 5, All: true})
 	at("progress of a new epoch alone", 1060, 1060, 0)
-	e.send(0, frame{Epoch: 2, Begin: []uint32{0, 1, 2}, End: []uint32{0, 2}, Through: 6, All: true, Except: []uint32{1}})
+	e.send(0, frame{
+		Epoch: 2, Begin: []uint32{0, 1, 2}, End: []uint32{0, 2}, Through: 6, All: true,
+		Except: []uint32{1},
+	})
 	at("ends of a new epoch", 2006, 1060, 2006)
 	expect(t, "complete", s.Complete(), true)
 }
@@ -175,8 +181,14 @@
 	long := strings.Repeat("n", MaxNameBytes+1)
 	e := newSession(t, s)
 	for i, g := range [][]recordGroup{
-		in("s", rec("k", 0x41, 1)), in("s", rec("k", 0x03, 1)), in("s", rec("k", 1, 0)), in("s", rec("", 1, 1)), in("s", rec(long, 1, 1)),
-		in("", rec("k", 1, 1)), in(long, rec("k", 1, 1)), in("s", record{Key: "k", Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes+1)}),
+		in("s", rec("k", 0x41, 1)),
+		in("s", rec("k", 0x03, 1)),
+		in("s", rec("k", 1, 0)),
+		in("s", rec("", 1, 1)),
+		in("s", rec(long, 1, 1)),
+		in("", rec("k", 1, 1)),
+		in(long, rec("k", 1, 1)),
+		in("s", record{Key: "k", Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes+1)}),
 	} {
 		e.send(0, frame{Epoch: 1, Groups: g})
 		expect(t, fmt.Sprint("invalid ", i), s.Stats().InvalidRecords, int64(i+1))
@@ -189,7 +201,8 @@
 	s.Hello()
 	f := frame{Session: 1, Number: 1, Epoch: 1, Groups: in("s")}
 	for i := range 5 {
-		f.Groups[0].Records = append(f.Groups[0].Records, record{Key: fmt.Sprint(i), Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes)})
+		f.Groups[0].Records = append(f.Groups[0].Records,
+			record{Key: fmt.Sprint(i), Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes)})
 	}
 	if _, err := s.Receive(0, encode(f)); !errors.Is(err, ErrBadFrame) || s.replica.items.Len() > 0 {
 		t.Fatal(err)
@@ -262,7 +275,8 @@
 func TestTombstonesBeyondClaimStay(t *testing.T) {
 	r := newInner(t, Limits{Tombstones: 1}, Selector{Scope: "s"})
 	e := newSession(t, r)
-	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", flagDeleted, 9), rec("b", flagDeleted, 10), rec("c", flagDeleted, 11))})
+	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", flagDeleted, 9), rec("b", flagDeleted, 10),
+		rec("c", flagDeleted, 11))})
 	expect(t, "tombstones", r.Stats().Tombstones, 3)
 	e = newSession(t, r)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", 1, 4))})
@@ -286,7 +300,10 @@
 	e := newSession(t, r)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", 1, 9), rec("l", 1, 5))})
 	s := newLeaf(t, Selector{Scope: "s"})
-	newSession(t, s).send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("l", 1, 5)), End: first, Through: 7, All: true})
+	newSession(t, s).send(0, frame{
+		Epoch: 1, Begin: first, Groups: in("s", rec("l", 1, 5)), End: first, Through: 7,
+		All: true,
+	})
 	attach(t, 0, r.Relay, s, 0).drain(t, 0, s)
 	expect(t, "records", list(s.Subscriber), "s k=9\ns l=5\n")
 	expect(t, "sent", r.Stats().SentRecords, int64(1))
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -118,8 +118,10 @@
 
 func newNetwork(t *rapid.T) *network {
 	n := &network{
-		t: t, truth: truth{map[uint64]map[nameOf][]entry{}, map[uint64]uint64{}}, limits: Limits{Tombstones: rapid.IntRange(1, 4).Draw(t, "tombstones")},
-		live: map[nameOf]entry{},
+		t:      t,
+		truth:  truth{map[uint64]map[nameOf][]entry{}, map[uint64]uint64{}},
+		limits: Limits{Tombstones: rapid.IntRange(1, 4).Draw(t, "tombstones")},
+		live:   map[nameOf]entry{},
 	}
 	n.newOrigin()
 	n.load()
@@ -129,7 +131,10 @@
 		n.restart(len(n.ends) - 1)
 	}
 	leaf := func(name string, ups []int, s ...Selector) {
-		e := &end{name: name, wants: s, ups: ups, pace: pace, known: map[nameOf]Position{}, changed: map[nameOf]string{}}
+		e := &end{
+			name: name, wants: s, ups: ups, pace: pace, known: map[nameOf]Position{},
+			changed: map[nameOf]string{},
+		}
 		e.leaf, _ = NewSubscriber(s, Limits{})
 		n.ends = append(n.ends, e)
 	}
@@ -153,7 +158,8 @@
 // load replaces the origin's list by what is live.
 func (n *network) load() {
 	var all []Record
-	for _, name := range slices.SortedFunc(maps.Keys(n.live), func(a, b nameOf) int { return strings.Compare(a.scope+a.key, b.scope+b.key) }) {
+	for _, name := range slices.SortedFunc(maps.Keys(n.live),
+		func(a, b nameOf) int { return strings.Compare(a.scope+a.key, b.scope+b.key) }) {
 		e := n.live[name]
 		all = append(all, Record{Scope: name.scope, Key: name.key, Class: e.class, Body: []byte(e.body)})
 	}
@@ -178,11 +184,13 @@
 	})
 	for name, list := range history {
 		if n.origin.relay.replica.find(name.scope, name.key) == nil && !list[len(list)-1].gone {
-			history[name] = append(list, entry{version: n.origin.version, gone: true}) // its tombstone is over the bound
+			// Its tombstone was dropped, as it is over the limit.
+			history[name] = append(list, entry{version: n.origin.version, gone: true})
 		}
 	}
 	for name, e := range n.live {
-		if list := history[name]; n.loaded && (len(list) == 0 || list[len(list)-1].body != e.body || list[len(list)-1].gone) {
+		if list := history[name]; n.loaded && (len(list) == 0 || list[len(list)-1].body != e.body ||
+			list[len(list)-1].gone) {
 			n.t.Fatalf("the origin lacks %v", name)
 		}
 	}
@@ -343,7 +351,10 @@
 			}
 		} else {
 			n.bodies++
-			e := entry{class: Class(rapid.IntRange(0, 2).Draw(t, "class")), body: fmt.Sprintf("%d%s", n.bodies, strings.Repeat("x", 250))}
+			e := entry{
+				class: Class(rapid.IntRange(0, 2).Draw(t, "class")),
+				body:  fmt.Sprintf("%d%s", n.bodies, strings.Repeat("x", 250)),
+			}
 			n.live[name] = e
 			if n.loaded {
 				if _, err := n.origin.Put(n.now, name.scope, name.key, e.class, []byte(e.body)); err != nil {
@@ -456,8 +467,10 @@
 			t.Fatalf("%s holds in the end\n%sand true is\n%s", e.name, &held, &real)
 		}
 		if e.leaf == nil {
-			if at := e.relay.claimed; !e.relay.Complete() || at != (Position{n.epoch, n.origin.version}) || tombs > n.limits.Tombstones {
-				t.Fatalf("%s ends complete %v at %v of %d with %d tombstones", e.name, e.relay.Complete(), at, n.origin.version, tombs)
+			if at := e.relay.claimed; !e.relay.Complete() || at != (Position{n.epoch, n.origin.version}) ||
+				tombs > n.limits.Tombstones {
+				t.Fatalf("%s ends complete %v at %v of %d with %d tombstones", e.name, e.relay.Complete(), at,
+					n.origin.version, tombs)
 			}
 			continue
 		}
--- a/internal/distribution/size_test.go
+++ b/internal/distribution/size_test.go
@@ -48,7 +48,8 @@
 	put(t, o, "eu1/service-0000", "endpoint/h000000", ClassWithdrawal, string(bodyOf(0)))
 	change := l.drain(t, 0, s)
 	beat := l.drain(t, 2*second, s)
-	t.Logf("one change %d bytes, of them %d its content; a heartbeat %d", len(change[0]), 16+16+len(bodyOf(0)), len(beat[0]))
+	t.Logf("one change %d bytes, of them %d its content; a heartbeat %d", len(change[0]), 16+16+len(bodyOf(0)),
+		len(beat[0]))
 	if len(change[0]) > 32+len(bodyOf(0))+48 || len(beat[0]) > 32 {
 		t.Error("a change or a heartbeat is too long")
 	}
@@ -58,13 +59,15 @@
 func region(t testing.TB, records, scopes, subscribers, each int) (*Origin, []link, []*leaf) {
 	o := NewOrigin(1, Limits{})
 	for i := range records {
-		put(t, o, fmt.Sprintf("eu1/service-%05d", i%scopes), fmt.Sprintf("endpoint/h%06d", i), ClassEndpoint, string(bodyOf(i)))
+		put(t, o, fmt.Sprintf("eu1/service-%05d", i%scopes), fmt.Sprintf("endpoint/h%06d", i), ClassEndpoint,
+			string(bodyOf(i)))
 	}
 	links, leaves := make([]link, subscribers), make([]*leaf, subscribers)
 	for i := range subscribers {
 		var selectors []Selector
 		for k := range each {
-			selectors = append(selectors, Selector{Scope: fmt.Sprintf("eu1/service-%05d", (i*37+k*(scopes/each))%scopes)})
+			selectors = append(selectors, Selector{Scope: fmt.Sprintf("eu1/service-%05d",
+				(i*37+k*(scopes/each))%scopes)})
 		}
 		leaves[i] = newLeaf(t, selectors...)
 		links[i] = attach(t, 0, o.Relay(), leaves[i], 0)
@@ -194,7 +197,8 @@
 			b.ResetTimer()
 			for i := range b.N {
 				k := i * 7919 % size
-				put(b, o, fmt.Sprintf("eu1/service-%05d", k%(size*5/12)), fmt.Sprintf("endpoint/h%06d", k), ClassEndpoint, fmt.Sprint("changed", i))
+				put(b, o, fmt.Sprintf("eu1/service-%05d", k%(size*5/12)), fmt.Sprintf("endpoint/h%06d", k),
+					ClassEndpoint, fmt.Sprint("changed", i))
 				for _, id := range o.Relay().Ready() {
 					o.Relay().Next(0, id)
 				}
--- a/internal/endpointsource/selector_test.go
+++ b/internal/endpointsource/selector_test.go
@@ -76,7 +76,13 @@
 }
 
 func relayUpdate(changes []testEndpoint, complete, connected bool, asOfNs, version int64) RelayUpdate[int] {
-	return RelayUpdate[int]{Changes: changes, Complete: complete, Connected: connected, AsOfNs: asOfNs, Version: version}
+	return RelayUpdate[int]{
+		Changes:   changes,
+		Complete:  complete,
+		Connected: connected,
+		AsOfNs:    asOfNs,
+		Version:   version,
+	}
 }
 
 func (n *node) relays(text string, connected bool, version int64) {
@@ -95,7 +101,8 @@
 func (n *node) expect(t *testing.T, what string, by Source, force string, watch bool) {
 	t.Helper()
 	if n.selector.Active() != by || n.String() != force || n.selector.WantsDiscovery(n.now) != watch {
-		t.Errorf("%s: source %v %q, discovery watched: %v; expected %v %q, %v", what, n.selector.Active(), n, n.selector.WantsDiscovery(n.now), by, force, watch)
+		t.Errorf("%s: source %v %q, discovery watched: %v; expected %v %q, %v", what, n.selector.Active(), n,
+			n.selector.WantsDiscovery(n.now), by, force, watch)
 	}
 }
 
@@ -184,7 +191,8 @@
 		whole   bool
 		servers int
 	}{{10, true, 2}, {10, false, 1}, {11, true, 2}, {12, false, 1}} {
-		update := n.apply(n.selector.UpdateRelays(n.now, relayUpdate(parseEndpoints([]string{"a- b", "a", "", "b"}[i]), true, true, n.now, step.version)))
+		update := n.apply(n.selector.UpdateRelays(n.now,
+			relayUpdate(parseEndpoints([]string{"a- b", "a", "", "b"}[i]), true, true, n.now, step.version)))
 		if update.Complete != step.whole || len(update.Endpoints) != step.servers {
 			t.Errorf("step %d: %+v, expected whole %v and %d servers", i, update, step.whole, step.servers)
 		}
@@ -298,7 +306,8 @@
 				to = at[source]
 			}
 			if source == SourceRelays {
-				n.apply(n.selector.UpdateRelays(n.now, relayUpdate(changes(sent[source], w.versions[to]), true, true, n.now, int64(to))))
+				n.apply(n.selector.UpdateRelays(n.now,
+					relayUpdate(changes(sent[source], w.versions[to]), true, true, n.now, int64(to))))
 			} else if rapid.Bool().Draw(t, "whole") || at[source] == 0 {
 				n.apply(n.selector.UpdateDiscovery(n.now, all(w.versions[to]), true, int64(to)))
 			} else {
@@ -310,11 +319,15 @@
 			known = max(known, at[n.selector.Active()])
 			for _, e := range n.current {
 				if e.State == StateUp && e.StartedAtNs <= withdrawn[e.Name] {
-					t.Fatalf("%s, incarnation %d, is up again after it drained: source %v at %v", e.Name, e.StartedAtNs, n.selector.Active(), at)
+					t.Fatalf("%s, incarnation %d, is up again after it drained: source %v at %v", e.Name,
+						e.StartedAtNs, n.selector.Active(), at)
 				}
-				if was, there := w.versions[known][e.Name]; e.State == StateUp && (!there || was.State == StateDraining) && e.StartedAtNs <= max(was.StartedAtNs, w.starts) &&
-					!slices.ContainsFunc(w.versions[known:], func(v map[string]testEndpoint) bool { return v[e.Name] == e }) {
-					t.Fatalf("%s, incarnation %d, is up again after it was removed at %d: source %v at %v", e.Name, e.StartedAtNs, known, n.selector.Active(), at)
+				if was, there := w.versions[known][e.Name]; e.State == StateUp &&
+					(!there || was.State == StateDraining) && e.StartedAtNs <= max(was.StartedAtNs, w.starts) &&
+					!slices.ContainsFunc(w.versions[known:],
+						func(v map[string]testEndpoint) bool { return v[e.Name] == e }) {
+					t.Fatalf("%s, incarnation %d, is up again after it was removed at %d: source %v at %v", e.Name,
+						e.StartedAtNs, known, n.selector.Active(), at)
 				}
 				if e.State == StateDraining {
 					withdrawn[e.Name] = max(withdrawn[e.Name], e.StartedAtNs)
@@ -326,11 +339,14 @@
 			steady := maps.Clone(w.now())
 			low := at[n.selector.Active()]
 			for _, v := range w.versions[low:] {
-				maps.DeleteFunc(steady, func(name string, e testEndpoint) bool { return v[name] != e || e.State != StateUp })
+				maps.DeleteFunc(steady, func(name string, e testEndpoint) bool {
+					return v[name] != e || e.State != StateUp
+				})
 			}
 			for name := range steady {
 				if n.current[name].State != StateUp || n.current[name].Name == "" {
-					t.Fatalf("%s is up in all versions since %d, and is missing: source %v at %v, %v", name, low, n.selector.Active(), at, n)
+					t.Fatalf("%s is up in all versions since %d, and is missing: source %v at %v, %v", name, low,
+						n.selector.Active(), at, n)
 				}
 			}
 		}
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -31,7 +31,10 @@
 
 // TestGoldenRecords holds what an origin tells of hosts to what nodes of earlier builds read.
 func TestGoldenRecords(t *testing.T) {
-	e := endpointlist.Entry{Name: "s-1", Address: "127.0.0.1:80", Zone: "a", State: "draining", Pod: 3, Weight: 1.5, StartedMs: 1_700_000_000_123}
+	e := endpointlist.Entry{
+		Name: "s-1", Address: "127.0.0.1:80", Zone: "a", State: "draining", Pod: 3, Weight: 1.5,
+		StartedMs: 1_700_000_000_123,
+	}
 	body, err := endpointlist.EncodeEntry(e)
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +59,10 @@
 // TestGoldenStats holds the names of the counters in JSON.
 func TestGoldenStats(t *testing.T) {
 	var text []byte
-	for _, stats := range []any{ClientStats{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, ServerStats{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}} {
+	for _, stats := range []any{
+		ClientStats{1, 2, 3, 4, 5, 6, 7, 8, 9, 10},
+		ServerStats{1, 2, 3, 4, 5, 6, 7, 8, 9, 10},
+	} {
 		one, err := json.Marshal(stats)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -34,7 +34,8 @@
 }
 
 func hostEntry(host, site, health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":%q,"block":1,"health":%q,"share":1,"born_ms":5}`, host, site, health)
+	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":%q,"block":1,"health":%q,"share":1,"born_ms":5}`, host,
+		site, health)
 }
 
 func newStandIn(t *testing.T) *standIn {
@@ -178,7 +179,8 @@
 
 func relayText(name, listen string, scopes []string, upstream ...string) string {
 	list := func(all []string) string { text, _ := json.Marshal(append([]string{}, all...)); return string(text) }
-	return fmt.Sprintf("name = %q\nrole = \"relay\"\nlisten = %q\nupstream = %s\nscopes = %s\n", name, listen, list(upstream), list(scopes))
+	return fmt.Sprintf("name = %q\nrole = \"relay\"\nlisten = %q\nupstream = %s\nscopes = %s\n", name, listen,
+		list(upstream), list(scopes))
 }
 
 // held is what a subscriber holds, and every change that it received.
@@ -279,7 +281,8 @@
 	h.wait(t, "after a move", "eu1/cart endpoint/h1", "eu1/cart route/y")
 	h.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
-			if r.Key == "endpoint/h1" && (r.Class != distribution.ClassWithdrawal || !strings.Contains(string(r.Body), `"health":"draining"`)) {
+			if r.Key == "endpoint/h1" && (r.Class != distribution.ClassWithdrawal ||
+				!strings.Contains(string(r.Body), `"health":"draining"`)) {
 				t.Errorf("a draining host came as %+v %s", r, r.Body)
 			}
 		})
@@ -302,7 +305,8 @@
 	soon(t, "a second call", 5*time.Second, func() bool { return o.watch.calls.Load() >= 2 })
 	o.end(t)
 	again := start(t, strings.Replace(text, "127.0.0.1:0", at, 1))
-	soon(t, "the relay at the origin's second life", 10*time.Second, func() bool { return again.server.Stats().Subscribers == 1 })
+	soon(t, "the relay at the origin's second life", 10*time.Second,
+		func() bool { return again.server.Stats().Subscribers == 1 })
 	put(t, dir, "s.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`) // what it does know comes through
 	soon(t, "a record of the second life", 10*time.Second, func() bool {
 		keys, _ := h.keys()
@@ -396,7 +400,10 @@
 	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	empty := start(t, relayText("empty", "127.0.0.1:0", nil, "127.0.0.1:1"))
 	other := start(t, relayText("other", "127.0.0.1:0", nil, "127.0.0.1:1"))
-	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{empty.Address(), other.Address()}, MaxLag: 500 * time.Millisecond, FailbackDelay: time.Hour})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{
+		Upstreams: []string{empty.Address(), other.Address()},
+		MaxLag:    500 * time.Millisecond, FailbackDelay: time.Hour,
+	})
 	soon(t, "the first relay left", 10*time.Second, func() bool { return h.client.Stats().Lagging >= 2 })
 	at := other.Address()
 	other.end(t)
@@ -424,8 +431,14 @@
 		}
 		return fresh
 	})
-	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{one.Address(), two.Address()}, MaxLag: 500 * time.Millisecond})
-	soon(t, "all of it", 20*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == hosts })
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{
+		Upstreams: []string{one.Address(), two.Address()},
+		MaxLag:    500 * time.Millisecond,
+	})
+	soon(t, "all of it", 20*time.Second, func() bool {
+		keys, complete := h.keys()
+		return complete && len(keys) == hosts
+	})
 	set("draining")
 	soon(t, "the burst", 20*time.Second, func() bool {
 		drains := 0
@@ -479,7 +492,8 @@
 
 // An origin whose clock was set back is ignored without a file that stores the epoch.
 func TestOriginWithClockSetBack(t *testing.T) {
-	newer, older := distribution.NewOrigin(2000, distribution.Limits{}), distribution.NewOrigin(1000, distribution.Limits{})
+	newer := distribution.NewOrigin(2000, distribution.Limits{})
+	older := distribution.NewOrigin(1000, distribution.Limits{})
 	for body, origin := range map[string]*distribution.Origin{"new": newer, "old": older} {
 		if _, err := origin.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte(body)); err != nil {
 			t.Fatal(err)
@@ -539,7 +553,8 @@
 		}
 	}
 	look("nothing there", true)
-	put(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b": 1}}`, "", `{"scope":"s","key":"route/2","body":2}`)
+	put(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b": 1}}`, "",
+		`{"scope":"s","key":"route/2","body":2}`)
 	put(t, dir, "b.txt", "not ours")
 	look("a file", true, `+route/1{"b":1}`, "+route/22")
 	look("the same", true)
@@ -548,7 +563,8 @@
 	for i, bad := range []string{
 		`{"scope":"s","key":"route/1"`, `[]`, `{"scope":"","key":"route/1","body":1}`, `{"scope":"s","key":"endpoint/1","body":1}`,
 		`{"scope":"s","key":"route/1","body":1,"extra":2}`, `{"scope":"s","key":"route/1","body":1} {}`, `{"scope":"s","key":"route/1"}`,
-		`{"scope":"s","key":"route","body":1}`, `{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBodyBytes) + `"}`,
+		`{"scope":"s","key":"route","body":1}`,
+		`{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBodyBytes) + `"}`,
 		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`, strings.Repeat("x", maxLineBytes+1),
 	} {
 		put(t, dir, "a.jsonl", bad)
@@ -558,7 +574,8 @@
 		if n := logs.Len() - before; n != 1 {
 			t.Errorf("bad %d: %d complaints, expected one", i, n)
 		}
-		if e := logs.All()[logs.Len()-1].ContextMap()["error"].(string); !strings.Contains(e, "a.jsonl: line ") || !strings.Contains(e, ": expected ") {
+		if e := logs.All()[logs.Len()-1].ContextMap()["error"].(string); !strings.Contains(e, "a.jsonl: line ") ||
+			!strings.Contains(e, ": expected ") {
 			t.Errorf("bad %d: complaint without file, line and what was expected: %s", i, e)
 		}
 	}
@@ -617,7 +634,8 @@
 			t.Errorf("lacks %q in\n%v", part, err)
 		}
 	}
-	if _, err := ParseConfig("o.toml", []byte("name = [")); err == nil || !strings.Contains(err.Error(), "o.toml: line 1: expected TOML, found: ") {
+	if _, err := ParseConfig("o.toml", []byte("name = [")); err == nil ||
+		!strings.Contains(err.Error(), "o.toml: line 1: expected TOML, found: ") {
 		t.Errorf("no TOML: %v", err)
 	}
 }
@@ -625,7 +643,10 @@
 // A host's scope comes from its site and its name; one that has none is skipped, and nothing else is.
 func TestScopesOfHosts(t *testing.T) {
 	s := ScopeRule{ServiceFrom: "host", regionOf: map[string]string{"a": "eu1"}}
-	for in, expected := range map[[2]string]string{{"svc-12-h7", "a"}: "eu1/svc-12", {"h7", "a"}: "", {"svc-1", "z"}: "", {"-1", "a"}: ""} {
+	for in, expected := range map[[2]string]string{
+		{"svc-12-h7", "a"}: "eu1/svc-12", {"h7", "a"}: "",
+		{"svc-1", "z"}: "", {"-1", "a"}: "",
+	} {
 		if got := s.scopeOf(in[0], in[1]); got != expected {
 			t.Errorf("%q: %q, expected %q", in, got, expected)
 		}
--- a/internal/relay/tcp_test.go
+++ b/internal/relay/tcp_test.go
@@ -314,7 +314,10 @@
 	a, b := newStation(t, ServerConfig{}), newStation(t, ServerConfig{})
 	a.add(3)
 	b.add(3)
-	c, sink := follow(t, ClientConfig{Name: "n", Upstreams: []string{a.at, b.at}, FailbackDelay: 200 * time.Millisecond})
+	c, sink := follow(t, ClientConfig{
+		Name: "n", Upstreams: []string{a.at, b.at},
+		FailbackDelay: 200 * time.Millisecond,
+	})
 	soon(t, "the first three", 5*time.Second, func() bool { return sink.at() == 3 })
 	at := a.at
 	a.stop()
@@ -335,7 +338,10 @@
 	b := newStation(t, ServerConfig{})
 	b.add(3)
 	for name, first := range map[string]string{"frozen": frozen(t), "lacking": lacking.at} {
-		c, sink := follow(t, ClientConfig{Name: name, Upstreams: []string{first, b.at}, FailbackDelay: 100 * time.Millisecond})
+		c, sink := follow(t, ClientConfig{
+			Name: name, Upstreams: []string{first, b.at},
+			FailbackDelay: 100 * time.Millisecond,
+		})
 		soon(t, "three by the second", 5*time.Second, func() bool { return sink.at() == 3 })
 		soon(t, "tries to go back", 10*time.Second, func() bool { return c.Stats().Dials >= 4 })
 		if s := c.Stats(); s.Failbacks != 0 || s.Connects != 1 {
@@ -381,7 +387,8 @@
 	soon(t, "both", 5*time.Second, func() bool { return s.Stats().Subscribers == 2 })
 	s.add(500) // 30 MB, of which the system holds a few hundred KB for the slow one
 	soon(t, "all frames at the other", 10*time.Second, func() bool { return sink.at() == 500 })
-	soon(t, "the end of the slow one", 10*time.Second, func() bool { st := s.Stats(); return st.Slow == 1 && st.Subscribers == 1 })
+	soon(t, "the end of the slow one", 10*time.Second,
+		func() bool { st := s.Stats(); return st.Slow == 1 && st.Subscribers == 1 })
 }
 
 // A frame over the limit ends that connection alone.
@@ -422,7 +429,8 @@
 		if _, err := io.WriteString(conn, text); err != nil {
 			t.Fatal(err)
 		}
-		if all, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) || len(all) > lengthBytes+greetingBytes {
+		if all, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) ||
+			len(all) > lengthBytes+greetingBytes {
 			t.Errorf("hello %q: got %q, %v; expected the end of the connection", text, all, err)
 		}
 		conn.Close()
@@ -447,7 +455,10 @@
 	}
 	s.add(3)
 	soon(t, "three frames in the flood", 5*time.Second, func() bool { return sink.at() == 3 })
-	soon(t, "the flood's end", 5*time.Second, func() bool { st := s.Stats(); return st.PendingHellos == 0 && st.Ended >= 10 })
+	soon(t, "the flood's end", 5*time.Second, func() bool {
+		st := s.Stats()
+		return st.PendingHellos == 0 && st.Ended >= 10
+	})
 	for _, c := range conns {
 		c.Close()
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -299,7 +299,8 @@
 			s, _, err := OpenDirectory(bad, Options{ManualCompaction: true})
 			if err != nil {
 				var damage *CorruptionError
-				if !errors.As(err, &damage) && !errors.Is(err, ErrNewerVersion) || damage != nil && damage.File != name {
+				if !errors.As(err, &damage) && !errors.Is(err, ErrNewerVersion) || damage != nil &&
+					damage.File != name {
 					t.Fatalf("%s at %d: %v", name, at, err)
 				}
 				if !slices.Equal(before, bad.now[name].data) {
@@ -428,7 +429,8 @@
 	for w := range 8 {
 		all.Go(func() {
 			for i := range 150 {
-				if err := s.Put(fmt.Sprintf("w%d/%d", w, i%5), fmt.Append(nil, i, strings.Repeat("z", 200))); err != nil {
+				if err := s.Put(fmt.Sprintf("w%d/%d", w, i%5),
+					fmt.Append(nil, i, strings.Repeat("z", 200))); err != nil {
 					t.Error(err)
 				}
 				if i%50 == 49 {
@@ -483,7 +485,8 @@
 		t.Errorf("opened twice: %v", err)
 	}
 	put(t, s, "a", []byte("1"))
-	if r, found, err := Open(path, Options{ReadOnly: true}); err != nil || found.Keys != 1 || !errors.Is(r.Put("b", nil), ErrReadOnly) {
+	if r, found, err := Open(path, Options{ReadOnly: true}); err != nil || found.Keys != 1 ||
+		!errors.Is(r.Put("b", nil), ErrReadOnly) {
 		t.Errorf("looked at beside its holder: %v %v", found, err)
 	}
 	closeStore(t, s)
@@ -518,7 +521,8 @@
 	data[len(data)/2] ^= 1
 	before := slices.Clone(data)
 	var damage *CorruptionError
-	if _, _, err := OpenDirectory(d, Options{}); !errors.As(err, &damage) || damage.BatchesAfter < 3 || damage.Offset == 0 {
+	if _, _, err := OpenDirectory(d, Options{}); !errors.As(err, &damage) || damage.BatchesAfter < 3 ||
+		damage.Offset == 0 {
 		t.Fatalf("%v, want the corruption reported", err)
 	}
 	to := newDisk()
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -108,7 +108,8 @@
 	o.t.Helper()
 	o.server.Do(func(now int64) {
 		for _, host := range hosts {
-			if _, err := o.origin.Put(now, "eu1/cart", relay.EndpointKey(host), distribution.ClassEndpoint, endpoint(host)); err != nil {
+			if _, err := o.origin.Put(now, "eu1/cart", relay.EndpointKey(host), distribution.ClassEndpoint,
+				endpoint(host)); err != nil {
 				o.t.Error(err)
 			}
 		}
@@ -183,18 +184,25 @@
 // A host in two scopes stays until neither has it, in whatever order the changes come.
 func TestHostInTwoScopes(t *testing.T) {
 	put := func(scope, host string, gone bool) distribution.Change {
-		return distribution.Change{Record: distribution.Record{Scope: scope, Key: relay.EndpointKey(host), Deleted: gone, Body: endpoint(host)}}
+		return distribution.Change{Record: distribution.Record{
+			Scope: scope, Key: relay.EndpointKey(host),
+			Deleted: gone, Body: endpoint(host),
+		}}
 	}
 	h := relay.NewHostTable()
 	for i, step := range []struct {
 		change distribution.Change
 		health string
-	}{{put("a", "h", false), "up"}, {put("b", "h", false), "up"}, {put("a", "h", true), "up"}, {put("b", "h", true), "removed"}, {put("b", "h", true), ""}} {
+	}{{put("a", "h", false), "up"}, {put("b", "h", false), "up"}, {put("a", "h", true), "up"}, {
+		put("b", "h", true),
+		"removed",
+	}, {put("b", "h", true), ""}} {
 		hosts := h.Apply([]distribution.Change{step.change})
 		if step.health == "" && len(hosts.Entries) == 0 {
 			continue
 		}
-		if hosts.LastErr != nil || hosts.Skipped != 0 || len(hosts.Entries) != 1 || hosts.Entries[0].State != step.health {
+		if hosts.LastErr != nil || hosts.Skipped != 0 || len(hosts.Entries) != 1 ||
+			hosts.Entries[0].State != step.health {
 			t.Errorf("step %d: %+v; expected %q", i, hosts, step.health)
 		}
 	}
