--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-func TestPollBackoffGrows(t *testing.T) {
+func TestWatchBackoffGrows(t *testing.T) {
 	p := New(Settings{MustPollList: true, MaxPollInterval: 10e9}, 1, &recorder{})
 	last := time.Duration(10e9 / 128)
 	for range 10 {
 		p.WatchFailed(0)
-		if p.endpoints.pollBackoff != min(2*last, 125e7) {
-			t.Fatalf("waits %d after %d", p.endpoints.pollBackoff, last)
+		if p.endpoints.watchBackoff != min(2*last, 125e7) {
+			t.Fatalf("waits %d after %d", p.endpoints.watchBackoff, last)
 		}
-		last = p.endpoints.pollBackoff
+		last = p.endpoints.watchBackoff
 	}
 }
 
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -3,8 +3,8 @@
 // Each node sends to a subset of the endpoints: the first by its own rank, a hash of the node's index and the
 // endpoint's ID. Inputs: how many endpoints are active, how many nodes there are, and this node's requests per second.
 // The subset is as large as these ask for, counted in endpoints that are warm and healthy, and shrinks by one endpoint
-// a second at most. An endpoint that the list does not name as active is no member. Without it hundreds of nodes
-// would each hold a connection to every endpoint and get few answers from any. docs/design.md: "Candidates".
+// a second at most. An endpoint that the list does not name as active is no member. Guards against hundreds of nodes
+// that each hold a connection to every endpoint and get few answers from any. docs/design.md: "Candidates".
 
 const (
 	minSubsetSize = 4
@@ -29,7 +29,7 @@
 	arrivals        int         // requests since the last tick
 }
 
-// updateSubset chooses the members anew.
+// updateSubset chooses the members again, by rank, and closes the connections to those that are none any more.
 func (b *Balancer) updateSubset(now Time) {
 	b.subset.resize(b.endpoints.countActive(), max(b.settings.NodeCount, 1))
 	s := &b.subset
@@ -99,7 +99,7 @@
 	}
 }
 
-// updateRequestRate takes in the second that has ended.
+// updateRequestRate adds the second that has ended to the average.
 func (s *subset) updateRequestRate() {
 	s.requestRate += (float64(s.arrivals) - s.requestRate) / requestRateWindow
 	s.arrivals = 0
