--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -100,18 +100,18 @@
 
 func judge(s *scenario.Scenario, own, seeing, plain *result.Result) judgedDay {
 	d := judgedDay{
-		Day: s.Name, Seed: own.Drawn.Seed, InTime: own.Part, Seeing: seeing.Part, Plain: plain.Part, Worst10s: own.Worst(10),
-		Broken: own.RulesBroken, Missed: own.Missed,
+		Day: s.Name, Seed: own.Drawn.Seed, InTime: own.WeightShare, Seeing: seeing.WeightShare, Plain: plain.WeightShare, Worst10s: own.Worst(10),
+		Broken: own.ViolationCount, Missed: own.Missed,
 	}
-	for _, t := range own.Together {
-		d.Connections += float64(t.Connections) / float64(max(own.Tasks, 1))
+	for _, t := range own.Activity {
+		d.Connections += float64(t.Connections) / float64(max(own.Operations, 1))
 		d.Calls += t.ListCalls
 	}
-	if least := s.Expect.OfLateSeeing * seeing.Part; own.Part < least {
-		d.Missed = append(d.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f of what %s keeps", own.Part, least, s.Expect.OfLateSeeing, seeingName))
+	if least := s.Expect.OfLateSeeing * seeing.WeightShare; own.WeightShare < least {
+		d.Missed = append(d.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f of what %s keeps", own.WeightShare, least, s.Expect.OfLateSeeing, seeingName))
 	}
-	if least := plain.Part - s.Expect.MaxBelowRandom; s.Expect.MaxBelowRandom > 0 && own.Part < least {
-		d.Missed = append(d.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f under %s", own.Part, least, s.Expect.MaxBelowRandom, plainName))
+	if least := plain.WeightShare - s.Expect.MaxBelowRandom; s.Expect.MaxBelowRandom > 0 && own.WeightShare < least {
+		d.Missed = append(d.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f under %s", own.WeightShare, least, s.Expect.MaxBelowRandom, plainName))
 	}
 	return d
 }
--- a/cmd/fawnglade-lab/members.go
+++ b/cmd/fawnglade-lab/members.go
@@ -108,8 +108,8 @@
 				}
 				all = append(all, f)
 				if !*asJSON {
-					known := slices.Sorted(slices.Values(f.DeathKnown))
-					fmt.Fprintf(c.OutOrStdout(), "%6d %5.2f %10.1f %10.1f %12.0f %12.1f %10.1f %8.1f %10.0f %10.0f\n", n, loss, known[len(known)/2], known[len(known)-1], f.Doubts, f.Silences, f.Sent, f.Most, f.Bytes, f.Watched)
+					known := slices.Sorted(slices.Values(f.DeathKnownS))
+					fmt.Fprintf(c.OutOrStdout(), "%6d %5.2f %10.1f %10.1f %12.0f %12.1f %10.1f %8.1f %10.0f %10.0f\n", n, loss, known[len(known)/2], known[len(known)-1], f.SuspicionsPerHour, f.FailuresPerHour, f.SentPerS, f.MaxSentPerS, f.BytesPerS, f.WatchedS)
 				}
 			}
 		}
--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -134,7 +134,7 @@
 	for _, r := range results {
 		switch r.Verdict {
 		case result.Void:
-			return fmt.Errorf("%s: the machine ran late by %.0f ms: play it again with less beside it", r.Scenario, r.LateMs)
+			return fmt.Errorf("%s: the machine ran late by %.0f ms: play it again with less beside it", r.Scenario, r.LagMs)
 		case result.Fell:
 			err = fell
 		}
--- a/cmd/fawnglade-lab/search.go
+++ b/cmd/fawnglade-lab/search.go
@@ -76,7 +76,7 @@
 				if err != nil {
 					return 0, 0, err
 				}
-				return other.Part - own.Part, own.RulesBroken, nil
+				return other.WeightShare - own.WeightShare, own.ViolationCount, nil
 			},
 		})
 		if err != nil {
@@ -176,9 +176,9 @@
 // figuresOf are a day's in the order of sweep.Columns.
 func figuresOf(r *result.Result) sweep.Figures {
 	connections := 0
-	for _, t := range r.Together {
+	for _, t := range r.Activity {
 		connections += t.Connections
 	}
-	tasks := float64(max(r.Tasks, 1))
-	return sweep.Figures{r.Part, float64(r.Declined) / tasks, r.P50, r.P99, r.Worst(10), r.WorstCategory(), float64(connections) / tasks, float64(r.RulesBroken)}
+	tasks := float64(max(r.Operations, 1))
+	return sweep.Figures{r.WeightShare, float64(r.Rejected) / tasks, r.P50Ms, r.P99Ms, r.Worst(10), r.WorstClass(), float64(connections) / tasks, float64(r.ViolationCount)}
 }
--- a/cmd/fawnglade-lab/weigh.go
+++ b/cmd/fawnglade-lab/weigh.go
@@ -143,9 +143,9 @@
 		if err != nil {
 			return err
 		}
-		draw := results[0].Page
+		draw := results[0].WritePage
 		if len(args) > 1 {
-			draw = func(w io.Writer) error { return result.Beside(w, args, results) }
+			draw = func(w io.Writer) error { return result.WriteComparisonPage(w, args, results) }
 		}
 		if err := errors.Join(draw(f), f.Close()); err != nil {
 			return err
@@ -205,8 +205,8 @@
 			used := ownCPU() - before
 			r := result.Of(s, record)
 			one := step{
-				Rate: rate, Tasks: r.Tasks, Whole: r.Satisfied, LateMs: r.LateMs, P50: r.P50, P99: r.P99, Most: r.Most,
-				CPU: used.Seconds() * 1e6 / float64(max(r.Tasks, 1)), Held: r.Satisfied == r.Tasks && r.LateMs <= 5,
+				Rate: rate, Tasks: r.Operations, Whole: r.Succeeded, LateMs: r.LagMs, P50: r.P50Ms, P99: r.P99Ms, Most: r.MaxMs,
+				CPU: used.Seconds() * 1e6 / float64(max(r.Operations, 1)), Held: r.Succeeded == r.Operations && r.LagMs <= 5,
 			}
 			steps = append(steps, one)
 			if !*asJSON {
@@ -311,8 +311,8 @@
 						return err
 					}
 					row := costRow{
-						command, n, rate, r.Tasks, r.Satisfied, r.Declined, r.P50, r.P99,
-						r.Nodes[0].CPUSeconds * 1e6 / float64(max(r.Tasks, 1)), r.Nodes[0].MaxMemoryMB, r.Verdict == result.Void,
+						command, n, rate, r.Operations, r.Succeeded, r.Rejected, r.P50Ms, r.P99Ms,
+						r.Nodes[0].CPUSeconds * 1e6 / float64(max(r.Operations, 1)), r.Nodes[0].MaxMemoryMB, r.Verdict == result.Void,
 					}
 					if row.Through == "" {
 						row.Through = "fawnglade"
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -50,50 +50,50 @@
 	listCookie, lookCookie = 0, 1
 )
 
-type server struct {
+type endpoint struct {
 	policy.EndpointInfo
-	out          int
-	cost         float64 // peak-ewma
-	at           policy.Time
-	held, worked float64 // late-seeing: as it was then
-	up           bool
+	inFlight                   int
+	latencyPeak                float64 // peak-ewma
+	updatedAt                  policy.Time
+	seenInFlight, seenCapacity float64 // late-seeing: as it was then
+	up                         bool
 }
 
-type task struct {
+type request struct {
 	policy.Request
 	tried      []policy.EndpointID
-	open       int
+	inFlight   int
 	mayHaveRun bool
-	over       bool
+	done       bool
 }
 
-type seen struct {
-	at   policy.Time
-	of   policy.EndpointID
-	load float64
-	took float64
+type loadSample struct {
+	at       policy.Time
+	endpoint policy.EndpointID
+	load     float64
+	latency  float64
 }
 
 // Plain is one node's.
-type Plain struct {
-	kind    string
-	node    int
-	set     policy.Settings
-	host    policy.Effects
-	see     simulation.ClusterState
-	draw    *rand.Rand
-	turn    int
-	servers []*server
-	byID    map[policy.EndpointID]*server
-	tasks   map[policy.RequestID]*task
-	pool    []seen
-	work    []float64 // by category: running mean of work, in nanoseconds of a core
-	looks   []look
-	begun   bool
-	asked   int
+type Policy struct {
+	kind        string
+	node        int
+	set         policy.Settings
+	host        policy.Effects
+	cluster     simulation.ClusterState
+	random      *rand.Rand
+	nextInOrder int
+	endpoints   []*endpoint
+	byID        map[policy.EndpointID]*endpoint
+	requests    map[policy.RequestID]*request
+	samples     []loadSample
+	meanWork    []float64 // by category: running mean of work, in nanoseconds of a core
+	snapshots   []snapshot
+	started     bool
+	asked       int
 }
 
-type look struct {
+type snapshot struct {
 	at    policy.Time
 	state map[policy.EndpointID][2]float64 // held, capacity; absent if it is not up
 }
@@ -101,99 +101,99 @@
 // New makes a maker of deciders of a kind.
 func New(kind string) simulation.NewDecider {
 	return func(node int, set policy.Settings, seed uint64, host policy.Effects, see simulation.ClusterState) simulation.Decider {
-		return &Plain{
-			kind: kind, node: node, set: set, host: host, see: see, draw: rand.New(rand.NewPCG(seed, 5)), turn: int(seed % 7919),
-			byID: map[policy.EndpointID]*server{}, tasks: map[policy.RequestID]*task{}, work: slices.Repeat([]float64{20e6}, len(set.Classes)),
+		return &Policy{
+			kind: kind, node: node, set: set, host: host, cluster: see, random: rand.New(rand.NewPCG(seed, 5)), nextInOrder: int(seed % 7919),
+			byID: map[policy.EndpointID]*endpoint{}, requests: map[policy.RequestID]*request{}, meanWork: slices.Repeat([]float64{20e6}, len(set.Classes)),
 		}
 	}
 }
 
 // ListLearned takes the list, or what has changed in it.
-func (p *Plain) EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, whole bool) {
+func (p *Policy) EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, whole bool) {
 	if whole {
-		for _, s := range p.servers {
+		for _, s := range p.endpoints {
 			s.State = policy.StateRemoved
 		}
 	}
 	for _, l := range list {
 		s := p.byID[l.ID]
 		if s == nil {
-			s = &server{}
+			s = &endpoint{}
 			p.byID[l.ID] = s
-			p.servers = append(p.servers, s)
+			p.endpoints = append(p.endpoints, s)
 		}
 		if l.StartedAt > s.StartedAt {
-			s.cost = 0
+			s.latencyPeak = 0
 		}
 		s.EndpointInfo = l
 	}
-	slices.SortFunc(p.servers, func(a, b *server) int { return int(a.ID) - int(b.ID) })
-	if !p.begun {
-		p.begun = true
+	slices.SortFunc(p.endpoints, func(a, b *endpoint) int { return int(a.ID) - int(b.ID) })
+	if !p.started {
+		p.started = true
 		if p.set.MustPollList {
 			p.host.WatchEndpoints()
 		}
 		if p.kind == "late-seeing" {
-			p.look(now)
+			p.takeSnapshot(now)
 		}
 	}
 }
 
 // ListFailed asks again a second later.
-func (p *Plain) WatchFailed(now policy.Time) { p.host.SetTimer(now+listAgain, listCookie) }
+func (p *Policy) WatchFailed(now policy.Time) { p.host.SetTimer(now+listAgain, listCookie) }
 
 // Woken takes a timer.
-func (p *Plain) TimerFired(now policy.Time, cookie uint64) {
+func (p *Policy) TimerFired(now policy.Time, cookie uint64) {
 	if cookie == listCookie {
 		p.host.WatchEndpoints()
 		return
 	}
-	p.look(now)
+	p.takeSnapshot(now)
 }
 
 // look notes the true state, to be used later.
-func (p *Plain) look(now policy.Time) {
+func (p *Policy) takeSnapshot(now policy.Time) {
 	state := map[policy.EndpointID][2]float64{}
-	for _, s := range p.servers {
-		if held, can, up := p.see.Load(p.node, s.ID); up {
+	for _, s := range p.endpoints {
+		if held, can, up := p.cluster.Load(p.node, s.ID); up {
 			state[s.ID] = [2]float64{float64(held), can}
 		}
 	}
-	p.looks = append(p.looks, look{now, state})
-	for len(p.looks) > 1 && p.looks[1].at <= now-lateBy {
-		p.looks = p.looks[1:]
+	p.snapshots = append(p.snapshots, snapshot{now, state})
+	for len(p.snapshots) > 1 && p.snapshots[1].at <= now-lateBy {
+		p.snapshots = p.snapshots[1:]
 	}
 	p.host.SetTimer(now+lookEach, lookCookie)
 }
 
 // TaskArrived sends a task.
-func (p *Plain) RequestArrived(now policy.Time, arrived policy.Request) {
-	t := &task{Request: arrived}
-	p.tasks[t.ID] = t
-	if p.kind == "hot-cold" && p.set.MayCheckHealth && len(p.servers) > 0 {
+func (p *Policy) RequestArrived(now policy.Time, arrived policy.Request) {
+	t := &request{Request: arrived}
+	p.requests[t.ID] = t
+	if p.kind == "hot-cold" && p.set.MayCheckHealth && len(p.endpoints) > 0 {
 		for range 2 {
-			p.host.CheckHealth(p.servers[p.draw.IntN(len(p.servers))].ID)
+			p.host.CheckHealth(p.endpoints[p.random.IntN(len(p.endpoints))].ID)
 		}
 	}
 	p.send(now, t)
 }
 
 // cold is the part of its capacity that a server surely has.
-func (p *Plain) cold(now policy.Time, s *server) float64 {
+func (p *Policy) capacityShare(now policy.Time, s *endpoint) float64 {
 	if age := now - s.StartedAt; s.StartedAt != 0 && age < policy.Time(p.set.SlowStartWindow) {
 		return p.set.SlowStartMinCapacity + (1-p.set.SlowStartMinCapacity)*float64(max(age, 0))/float64(p.set.SlowStartWindow)
 	}
 	return 1
 }
 
-func (p *Plain) send(now policy.Time, t *task) {
+func (p *Policy) send(now policy.Time, t *request) {
 	c := &p.set.Classes[t.Class]
 	limit := t.Deadline
-	var fit []*server
+	var fit []*endpoint
 	if now < limit && len(t.tried) < p.set.MaxAttempts && (!t.mayHaveRun || c.Idempotency == policy.Idempotent) {
-		for _, s := range p.servers {
+		for _, s := range p.endpoints {
 			if s.State == policy.StateActive && (len(t.tried) == 0 || t.tried[len(t.tried)-1] != s.ID) {
-				if part := p.cold(now, s); part == 1 || p.draw.Float64() < askLess*part {
+				if part := p.capacityShare(now, s); part == 1 || p.random.Float64() < askLess*part {
 					fit = append(fit, s)
 				}
 			}
@@ -201,64 +201,64 @@
 	}
 	s := p.pick(now, t, fit)
 	if s == nil {
-		t.over = true
+		t.done = true
 		if c.Idempotency == policy.Idempotent || !t.mayHaveRun {
 			p.host.Reject(t.ID, min(p.set.MaxRetryAfter, c.LatencyObjective/4))
 		} else {
 			p.host.Fail(t.ID)
 		}
-		delete(p.tasks, t.ID)
+		delete(p.requests, t.ID)
 		return
 	}
 	t.tried = append(t.tried, s.ID)
-	t.open++
-	s.out++
+	t.inFlight++
+	s.inFlight++
 	p.host.Send(t.ID, s.ID, limit.Sub(now))
 }
 
-func (p *Plain) pick(now policy.Time, t *task, fit []*server) *server {
+func (p *Policy) pick(now policy.Time, t *request, fit []*endpoint) *endpoint {
 	if len(fit) == 0 {
 		return nil
 	}
-	any := func() *server { return fit[p.draw.IntN(len(fit))] }
-	lower := func(cost func(*server) float64) *server {
+	any := func() *endpoint { return fit[p.random.IntN(len(fit))] }
+	lower := func(cost func(*endpoint) float64) *endpoint {
 		a, b := any(), any()
 		if cost(b) < cost(a) {
 			return b
 		}
 		return a
 	}
-	out := func(s *server) float64 { return float64(s.out) }
+	out := func(s *endpoint) float64 { return float64(s.inFlight) }
 	switch p.kind {
 	case "round-robin":
-		p.turn++
-		return fit[p.turn%len(fit)]
+		p.nextInOrder++
+		return fit[p.nextInOrder%len(fit)]
 	case "least":
-		return p.least(fit, out)
+		return p.cheapest(fit, out)
 	case "two-choices":
 		return lower(out)
 	case "peak-ewma":
-		return lower(func(s *server) float64 { return p.decayed(now, s) * float64(s.out+1) })
+		return lower(func(s *endpoint) float64 { return p.decayed(now, s) * float64(s.inFlight+1) })
 	case "hot-cold":
 		return p.hotCold(now, fit, any)
 	case "bounded-hash":
-		return p.hashed(t, fit)
+		return p.boundedHash(t, fit)
 	case "all-seeing", "late-seeing":
-		return p.seeing(now, t, fit)
+		return p.byClusterState(now, t, fit)
 	}
 	return any()
 }
 
 // least is the lowest, one of those drawn where several are.
-func (p *Plain) least(fit []*server, cost func(*server) float64) *server {
-	var best *server
+func (p *Policy) cheapest(fit []*endpoint, cost func(*endpoint) float64) *endpoint {
+	var best *endpoint
 	lowest, alike := math.Inf(1), 0
 	for _, s := range fit {
 		switch v := cost(s); {
 		case v < lowest:
 			best, lowest, alike = s, v, 1
 		case v == lowest:
-			if alike++; p.draw.IntN(alike) == 0 {
+			if alike++; p.random.IntN(alike) == 0 {
 				best = s
 			}
 		}
@@ -266,19 +266,19 @@
 	return best
 }
 
-func (p *Plain) decayed(now policy.Time, s *server) float64 {
-	if s.cost == 0 {
+func (p *Policy) decayed(now policy.Time, s *endpoint) float64 {
+	if s.latencyPeak == 0 {
 		return 1e6 // unheard: quick, until it shows otherwise
 	}
-	return s.cost * math.Exp(-float64(now-s.at)/decay)
+	return s.latencyPeak * math.Exp(-float64(now-s.updatedAt)/decay)
 }
 
-func (p *Plain) hotCold(now policy.Time, fit []*server, any func() *server) *server {
-	for len(p.pool) > 0 && now-p.pool[0].at > poolAge {
-		p.pool = p.pool[1:]
+func (p *Policy) hotCold(now policy.Time, fit []*endpoint, any func() *endpoint) *endpoint {
+	for len(p.samples) > 0 && now-p.samples[0].at > poolAge {
+		p.samples = p.samples[1:]
 	}
 	var loads []float64
-	for _, r := range p.pool {
+	for _, r := range p.samples {
 		loads = append(loads, r.load)
 	}
 	if len(loads) < 2 {
@@ -286,13 +286,13 @@
 	}
 	sort.Float64s(loads)
 	limit := loads[int(hot*float64(len(loads)-1))]
-	best, at, lowest := (*server)(nil), -1, math.Inf(1)
-	for i, r := range p.pool {
-		s := p.byID[r.of]
+	best, at, lowest := (*endpoint)(nil), -1, math.Inf(1)
+	for i, r := range p.samples {
+		s := p.byID[r.endpoint]
 		if s == nil || !slices.Contains(fit, s) {
 			continue
 		}
-		v := r.took + float64(s.out)
+		v := r.latency + float64(s.inFlight)
 		if r.load > limit {
 			v = 1e9 + r.load // hot ones only if there is no other, the least loaded first
 		}
@@ -303,24 +303,24 @@
 	if best == nil {
 		return any()
 	}
-	p.pool = append(p.pool[:at:at], p.pool[at+1:]...) // a report is used once, against herding
+	p.samples = append(p.samples[:at:at], p.samples[at+1:]...) // a report is used once, against herding
 	return best
 }
 
-func (p *Plain) hashed(t *task, fit []*server) *server {
+func (p *Policy) boundedHash(t *request, fit []*endpoint) *endpoint {
 	name := t.Key
 	if name == "" {
 		name = string(t.ID)
 	}
 	key, sum := rendezvous.HashKey(name), 1
 	for _, s := range fit {
-		sum += s.out
+		sum += s.inFlight
 	}
 	most := int(math.Ceil(bound * float64(sum) / float64(len(fit))))
-	var best *server
+	var best *endpoint
 	highest := uint64(0)
 	for _, s := range fit {
-		if r := rendezvous.Score(key, uint32(s.ID)); s.out < most && (best == nil || r > highest) {
+		if r := rendezvous.Score(key, uint32(s.ID)); s.inFlight < most && (best == nil || r > highest) {
 			best, highest = s, r
 		}
 	}
@@ -328,33 +328,33 @@
 }
 
 // seeing is the earliest end by the true state, unless that is too late.
-func (p *Plain) seeing(now policy.Time, t *task, fit []*server) *server {
-	work := p.work[t.Class]
+func (p *Policy) byClusterState(now policy.Time, t *request, fit []*endpoint) *endpoint {
+	work := p.meanWork[t.Class]
 	if t.CostHint > 0 {
 		work = float64(t.CostHint)
 	}
-	state := func(s *server) (held, can float64, up bool) {
+	state := func(s *endpoint) (held, can float64, up bool) {
 		if p.kind == "all-seeing" {
-			h, c, up := p.see.Load(p.node, s.ID)
+			h, c, up := p.cluster.Load(p.node, s.ID)
 			return float64(h), c, up
 		}
-		if len(p.looks) == 0 {
+		if len(p.snapshots) == 0 {
 			return 0, 1e9, true
 		}
-		v, up := p.looks[0].state[s.ID]
-		return v[0] + float64(s.out), v[1], up
+		v, up := p.snapshots[0].state[s.ID]
+		return v[0] + float64(s.inFlight), v[1], up
 	}
-	ends := func(s *server) float64 {
+	ends := func(s *endpoint) float64 {
 		held, can, up := state(s)
 		if !up || can <= 0 {
 			return math.Inf(1)
 		}
-		return float64(p.see.RoundTrip(p.node, s.ID)) + (held+1)*work*1e9/can
+		return float64(p.cluster.RoundTrip(p.node, s.ID)) + (held+1)*work*1e9/can
 	}
 	if p.kind == "late-seeing" {
-		return p.drawn(fit, ends, float64(t.Deadline-now))
+		return p.drawWeighted(fit, ends, float64(t.Deadline-now))
 	}
-	best := p.least(fit, ends)
+	best := p.cheapest(fit, ends)
 	if best == nil || ends(best) > float64(t.Deadline-now) {
 		return nil
 	}
@@ -363,7 +363,7 @@
 
 // drawn takes one with a chance by how soon it ends: nodes that see one and the same old state and all took its
 // best would pile up there.
-func (p *Plain) drawn(fit []*server, ends func(*server) float64, most float64) *server {
+func (p *Policy) drawWeighted(fit []*endpoint, ends func(*endpoint) float64, most float64) *endpoint {
 	var chances []float64
 	sum := 0.0
 	for _, s := range fit {
@@ -374,7 +374,7 @@
 		sum += chance
 		chances = append(chances, chance)
 	}
-	dice := p.draw.Float64() * sum
+	dice := p.random.Float64() * sum
 	for i, chance := range chances {
 		if dice -= chance; dice < 0 {
 			return fit[i]
@@ -384,82 +384,82 @@
 }
 
 // HandOffAnswered takes the end of a hand-off.
-func (p *Plain) AttemptEnded(now policy.Time, a policy.AttemptResult) {
+func (p *Policy) AttemptEnded(now policy.Time, a policy.AttemptResult) {
 	if s := p.byID[a.Endpoint]; s != nil {
-		s.out--
-		p.heard(now, s, a)
+		s.inFlight--
+		p.observeLatency(now, s, a)
 	}
-	t := p.tasks[a.Request]
+	t := p.requests[a.Request]
 	if t == nil {
 		return
 	}
-	t.open--
+	t.inFlight--
 	if a.Outcome != policy.OutcomeRejected && a.Outcome != policy.OutcomeConnectFailed && a.Outcome != policy.OutcomeNotSent {
 		t.mayHaveRun = true
 	}
 	switch {
-	case t.over || a.RequestDone || a.Outcome == policy.OutcomeSucceeded:
-		delete(p.tasks, t.ID)
+	case t.done || a.RequestDone || a.Outcome == policy.OutcomeSucceeded:
+		delete(p.requests, t.ID)
 	default:
 		p.send(now, t)
 	}
 }
 
-func (p *Plain) heard(now policy.Time, s *server, a policy.AttemptResult) {
+func (p *Policy) observeLatency(now policy.Time, s *endpoint, a policy.AttemptResult) {
 	took := float64(a.Elapsed)
 	if a.Outcome == policy.OutcomeSucceeded || a.Outcome == policy.OutcomeTimedOut {
 		old := p.decayed(now, s)
-		if s.cost == 0 || took > old {
-			s.cost = took // peaks count at once
+		if s.latencyPeak == 0 || took > old {
+			s.latencyPeak = took // peaks count at once
 		} else {
-			w := math.Exp(-float64(now-s.at) / decay)
-			s.cost = s.cost*w + took*(1-w)
+			w := math.Exp(-float64(now-s.updatedAt) / decay)
+			s.latencyPeak = s.latencyPeak*w + took*(1-w)
 		}
-		s.at = now
+		s.updatedAt = now
 	}
-	if t := p.tasks[a.Request]; t != nil && a.Outcome == policy.OutcomeSucceeded {
-		if held, can, up := p.see.Load(p.node, s.ID); up && p.kind == "all-seeing" || up && p.kind == "late-seeing" {
-			alone := (took - float64(p.see.RoundTrip(p.node, s.ID))) * can / 1e9 / float64(held+1)
-			p.work[t.Class] += (max(alone, 0) - p.work[t.Class]) / 64
+	if t := p.requests[a.Request]; t != nil && a.Outcome == policy.OutcomeSucceeded {
+		if held, can, up := p.cluster.Load(p.node, s.ID); up && p.kind == "all-seeing" || up && p.kind == "late-seeing" {
+			alone := (took - float64(p.cluster.RoundTrip(p.node, s.ID))) * can / 1e9 / float64(held+1)
+			p.meanWork[t.Class] += (max(alone, 0) - p.meanWork[t.Class]) / 64
 		}
 	}
 	if a.Report.QueueLength >= 0 || a.Report.Utilization >= 0 {
-		p.reported(now, s, a.Report, took)
+		p.observeLoad(now, s, a.Report, took)
 	}
 }
 
-func (p *Plain) reported(now policy.Time, s *server, r policy.LoadReport, took float64) {
-	load := max(r.QueueLength, 0) + max(r.Utilization, 0) + float64(s.out)
+func (p *Policy) observeLoad(now policy.Time, s *endpoint, r policy.LoadReport, took float64) {
+	load := max(r.QueueLength, 0) + max(r.Utilization, 0) + float64(s.inFlight)
 	if r.ServiceTime >= 0 {
 		took = r.ServiceTime * 1e6
 	}
-	if p.pool = append(p.pool, seen{now, s.ID, load, took}); len(p.pool) > poolMost {
-		p.pool = p.pool[1:]
+	if p.samples = append(p.samples, loadSample{now, s.ID, load, took}); len(p.samples) > poolMost {
+		p.samples = p.samples[1:]
 	}
 }
 
 // TaskWithdrawn takes the news that the client has gone.
-func (p *Plain) ClientGone(_ policy.Time, id policy.RequestID) {
-	t := p.tasks[id]
+func (p *Policy) ClientGone(_ policy.Time, id policy.RequestID) {
+	t := p.requests[id]
 	if t == nil {
 		return
 	}
-	if t.over = true; p.set.MayCancel {
+	if t.done = true; p.set.MayCancel {
 		for n := range t.tried {
 			p.host.Cancel(id, n)
 		}
 	}
-	if t.open == 0 {
-		delete(p.tasks, id)
+	if t.inFlight == 0 {
+		delete(p.requests, id)
 	}
 }
 
 // Probed takes what a probe brought.
-func (p *Plain) HealthChecked(now policy.Time, id policy.EndpointID, o policy.Outcome, r policy.LoadReport) {
+func (p *Policy) HealthChecked(now policy.Time, id policy.EndpointID, o policy.Outcome, r policy.LoadReport) {
 	if s := p.byID[id]; s != nil && o == policy.OutcomeSucceeded {
-		p.reported(now, s, r, s.cost)
+		p.observeLoad(now, s, r, s.latencyPeak)
 	}
 }
 
 // Told passes news over: no baseline heeds any.
-func (p *Plain) GossipReceived(policy.Time, policy.GossipMessage) {}
+func (p *Policy) GossipReceived(policy.Time, policy.GossipMessage) {}
--- a/internal/lab/emulator/links.go
+++ b/internal/lab/emulator/links.go
@@ -27,7 +27,7 @@
 // links is all proxies of a run.
 type links struct {
 	run      *Emulation
-	faults   *faultproxy.Board
+	faults   *faultproxy.Proxies
 	schedule *netfault.Schedule // as planned; in force from the day's beginning
 	members  *faultproxy.Mesh
 	gossip   *faultproxy.Mesh
@@ -35,7 +35,7 @@
 }
 
 func newLinks(d *Emulation) (*links, error) {
-	b := &links{run: d, faults: faultproxy.NewBoard(d.now), schedule: d.plan.LinkFaults(d.scenario)}
+	b := &links{run: d, faults: faultproxy.NewProxies(d.now), schedule: d.plan.LinkFaults(d.scenario)}
 	talk := func(port int) (*faultproxy.Mesh, error) {
 		var listen []string
 		for i := range d.scenario.Nodes.Count {
--- a/internal/lab/faultproxy/mesh.go
+++ b/internal/lab/faultproxy/datagrams.go
@@ -21,28 +21,28 @@
 
 // Mesh joins nodes by messages.
 type Mesh struct {
-	board   *Board
-	real    []netip.AddrPort // where nodes listen
-	sockets [][]*net.UDPConn // [i][j]: where i reaches j
-	numbers [][]atomic.Uint64
-	busy    [][]atomic.Int64 // a narrow way is taken until then
-	late    atomic.Int64
+	proxies       *Proxies
+	targets       []netip.AddrPort // where nodes listen
+	sockets       [][]*net.UDPConn // [i][j]: where i reaches j
+	messageCounts [][]atomic.Uint64
+	busyUntil     [][]atomic.Int64 // a narrow way is taken until then
+	delayed       atomic.Int64
 
 	mu     sync.Mutex
 	copied map[[2]int][]byte
 }
 
 // NewMesh opens the relays between nodes that listen at some addresses.
-func NewMesh(board *Board, listen []string) (*Mesh, error) {
+func NewMesh(board *Proxies, listen []string) (*Mesh, error) {
 	n := len(listen)
-	m := &Mesh{board: board, copied: map[[2]int][]byte{}, numbers: make([][]atomic.Uint64, n), busy: make([][]atomic.Int64, n)}
+	m := &Mesh{proxies: board, copied: map[[2]int][]byte{}, messageCounts: make([][]atomic.Uint64, n), busyUntil: make([][]atomic.Int64, n)}
 	for i, at := range listen {
 		real, err := netip.ParseAddrPort(at)
 		if err != nil {
 			return nil, err
 		}
-		m.real = append(m.real, real)
-		m.numbers[i], m.busy[i] = make([]atomic.Uint64, n), make([]atomic.Int64, n)
+		m.targets = append(m.targets, real)
+		m.messageCounts[i], m.busyUntil[i] = make([]atomic.Uint64, n), make([]atomic.Int64, n)
 		m.sockets = append(m.sockets, make([]*net.UDPConn, n))
 	}
 	for i := range n {
@@ -61,7 +61,7 @@
 	for i := range n {
 		for j := range n {
 			if i != j {
-				go m.carry(i, j)
+				go m.forward(i, j)
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 // Address is where one node reaches another; its own for itself.
 func (m *Mesh) Address(from, to int) string {
 	if from == to {
-		return m.real[to].String()
+		return m.targets[to].String()
 	}
 	return m.sockets[from][to].LocalAddr().String()
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-func (m *Mesh) carry(from, to int) {
+func (m *Mesh) forward(from, to int) {
 	buffer := make([]byte, longest)
 	for {
 		length, _, err := m.sockets[from][to].ReadFromUDPAddrPort(buffer)
@@ -97,19 +97,19 @@
 		if err != nil {
 			continue
 		}
-		m.pass(from, to, append([]byte(nil), buffer[:length]...))
+		m.applyFaults(from, to, append([]byte(nil), buffer[:length]...))
 	}
 }
 
-func (m *Mesh) pass(from, to int, datagram []byte) {
-	number := m.numbers[from][to].Add(1)
+func (m *Mesh) applyFaults(from, to int, datagram []byte) {
+	number := m.messageCounts[from][to].Add(1)
 	if number == 1 {
 		m.mu.Lock()
 		m.copied[[2]int{from, to}] = datagram
 		m.mu.Unlock()
 	}
-	now := m.board.now()
-	v := m.board.schedule.Load().FateOf(now, netfault.End{Index: from}, netfault.End{Index: to}, number, len(datagram))
+	now := m.proxies.now()
+	v := m.proxies.schedule.Load().FateOf(now, netfault.End{Index: from}, netfault.End{Index: to}, number, len(datagram))
 	if v.Lost {
 		return
 	}
@@ -118,40 +118,40 @@
 		datagram[v.CorruptByte] ^= 0x55
 	}
 	if v.Rate > 0 {
-		ready := max(m.busy[from][to].Load(), now) + int64(float64(len(datagram))/v.Rate*1e9)
+		ready := max(m.busyUntil[from][to].Load(), now) + int64(float64(len(datagram))/v.Rate*1e9)
 		if ready-now > mostBehind {
 			return // the queue before a narrow way is full
 		}
-		m.busy[from][to].Store(ready)
+		m.busyUntil[from][to].Store(ready)
 		v.Delay += ready - now
 	}
-	m.later(v.Delay, func() { m.deliver(from, to, datagram) })
+	m.deliverLater(v.Delay, func() { m.deliver(from, to, datagram) })
 	if v.DuplicateAfter > 0 {
-		m.later(v.Delay+v.DuplicateAfter, func() { m.deliver(from, to, datagram) })
+		m.deliverLater(v.Delay+v.DuplicateAfter, func() { m.deliver(from, to, datagram) })
 	}
 }
 
-func (m *Mesh) later(after int64, do func()) {
+func (m *Mesh) deliverLater(after int64, do func()) {
 	if after <= 0 {
 		do()
 		return
 	}
-	if m.late.Add(1) > mostLate {
-		m.late.Add(-1)
+	if m.delayed.Add(1) > mostLate {
+		m.delayed.Add(-1)
 		return
 	}
 	time.AfterFunc(time.Duration(after), func() {
-		m.late.Add(-1)
+		m.delayed.Add(-1)
 		do()
 	})
 }
 
 func (m *Mesh) deliver(from, to int, datagram []byte) {
-	m.sockets[to][from].WriteToUDPAddrPort(datagram, m.real[to])
+	m.sockets[to][from].WriteToUDPAddrPort(datagram, m.targets[to])
 }
 
 // Throw has a message come to a node, as from another if that is one.
-func (m *Mesh) Throw(from, to int, datagram []byte) { m.deliver(from, to, datagram) }
+func (m *Mesh) Inject(from, to int, datagram []byte) { m.deliver(from, to, datagram) }
 
 // Copied is the first message that went from one node to another; nil if none did.
 func (m *Mesh) Copied(from, to int) []byte {
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -40,7 +40,7 @@
 	return netfault.Fault{Kind: t, From: []netfault.End{node}, To: []netfault.End{server}, Begin: 0, End: 1 << 62, Seed: 1}
 }
 
-func set(b *Board, s *Stream, want state, faults ...netfault.Fault) {
+func set(b *Proxies, s *Stream, want state, faults ...netfault.Fault) {
 	b.Set(netfault.New(faults))
 	for {
 		s.mu.Lock()
@@ -68,7 +68,7 @@
 
 func TestAStreamIsCutMendedAndRefused(t *testing.T) {
 	begin := time.Now()
-	b := NewBoard(func() int64 { return int64(time.Since(begin)) })
+	b := NewProxies(func() int64 { return int64(time.Since(begin)) })
 	defer b.Close()
 	s, err := NewStream(b, "127.0.0.1:0", node, server, func() string { return at })
 	if at = echo(t); err != nil {
@@ -114,7 +114,7 @@
 // TestAStreamKeepsItsBytes has loss, delay and a narrow way at once: all comes, in order.
 func TestAStreamKeepsItsBytes(t *testing.T) {
 	begin := time.Now()
-	b := NewBoard(func() int64 { return int64(time.Since(begin)) })
+	b := NewProxies(func() int64 { return int64(time.Since(begin)) })
 	defer b.Close()
 	to := echo(t)
 	s, err := NewStream(b, "127.0.0.1:0", node, server, func() string { return to })
--- a/internal/lab/faultproxy/board.go
+++ b/internal/lab/faultproxy/proxies.go
@@ -10,52 +10,52 @@
 )
 
 // Board is what is wrong with the ways now, for all relays of a day.
-type Board struct {
+type Proxies struct {
 	now      func() int64
 	schedule atomic.Pointer[netfault.Schedule]
 
-	mu      sync.Mutex
-	streams []*Stream
-	over    chan struct{}
-	ended   sync.Once
+	mu        sync.Mutex
+	streams   []*Stream
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 const lookEvery = 5 * time.Millisecond
 
 // NewBoard makes a board on which nothing is wrong. now is nanoseconds of the day.
-func NewBoard(now func() int64) *Board {
-	b := &Board{now: now, over: make(chan struct{})}
+func NewProxies(now func() int64) *Proxies {
+	b := &Proxies{now: now, done: make(chan struct{})}
 	b.schedule.Store(netfault.New(nil))
-	go b.look()
+	go b.applySchedule()
 	return b
 }
 
 // Set puts a schedule in force.
-func (b *Board) Set(s *netfault.Schedule) { b.schedule.Store(s) }
+func (b *Proxies) Set(s *netfault.Schedule) { b.schedule.Store(s) }
 
 // Close ends the watching of streams.
-func (b *Board) Close() { b.ended.Do(func() { close(b.over) }) }
+func (b *Proxies) Close() { b.closeOnce.Do(func() { close(b.done) }) }
 
-func (b *Board) add(s *Stream) {
+func (b *Proxies) add(s *Stream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.streams = append(b.streams, s)
 }
 
 // look has streams notice that a way is cut, or mended.
-func (b *Board) look() {
+func (b *Proxies) applySchedule() {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for {
 		select {
-		case <-b.over:
+		case <-b.done:
 			return
 		case <-tick.C:
 		}
 		now, s := b.now(), b.schedule.Load()
 		b.mu.Lock()
 		for _, one := range b.streams {
-			one.follow(s, now)
+			one.applySchedule(s, now)
 		}
 		b.mu.Unlock()
 	}
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -26,17 +26,17 @@
 
 // Stream is one relay: connections from one end to another.
 type Stream struct {
-	board    *Board
+	proxies  *Proxies
 	from, to netfault.End
 	address  string
 	target   func() string
 
-	mu       sync.Mutex
-	listener net.Listener
-	plugs    []net.Conn
-	open     map[*joint]struct{}
-	state    state
-	closed   bool
+	mu           sync.Mutex
+	listener     net.Listener
+	queueFillers []net.Conn
+	pairs        map[*connPair]struct{}
+	state        state
+	closed       bool
 }
 
 type state uint8
@@ -48,14 +48,14 @@
 )
 
 // joint is one connection through a relay.
-type joint struct {
-	here, there net.Conn
-	numbers     [2]atomic.Uint64
+type connPair struct {
+	client, server net.Conn
+	pieceCounts    [2]atomic.Uint64
 }
 
 // NewStream opens a relay at an address with port 0, or a port of its own. target is asked with each connection.
-func NewStream(board *Board, address string, from, to netfault.End, target func() string) (*Stream, error) {
-	s := &Stream{board: board, from: from, to: to, address: address, target: target, open: map[*joint]struct{}{}}
+func NewStream(board *Proxies, address string, from, to netfault.End, target func() string) (*Stream, error) {
+	s := &Stream{proxies: board, from: from, to: to, address: address, target: target, pairs: map[*connPair]struct{}{}}
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
@@ -82,18 +82,18 @@
 		if err != nil {
 			return
 		}
-		go s.join(c)
+		go s.connect(c)
 	}
 }
 
 // join opens the way on, and carries both directions until either end is gone.
-func (s *Stream) join(here net.Conn) {
+func (s *Stream) connect(here net.Conn) {
 	there, err := net.DialTimeout("tcp", s.target(), reachWithin)
 	if err != nil {
 		Reset(here)
 		return
 	}
-	j := &joint{here: here, there: there}
+	j := &connPair{client: here, server: there}
 	s.mu.Lock()
 	if s.closed || s.state != whole {
 		s.mu.Unlock()
@@ -101,17 +101,17 @@
 		Reset(there)
 		return
 	}
-	s.open[j] = struct{}{}
+	s.pairs[j] = struct{}{}
 	s.mu.Unlock()
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); s.carry(j, 0, here, there) }()
-	go func() { defer both.Done(); s.carry(j, 1, there, here) }()
+	go func() { defer both.Done(); s.copy(j, 0, here, there) }()
+	go func() { defer both.Done(); s.copy(j, 1, there, here) }()
 	both.Wait()
 	here.Close()
 	there.Close()
 	s.mu.Lock()
-	delete(s.open, j)
+	delete(s.pairs, j)
 	s.mu.Unlock()
 }
 
@@ -122,7 +122,7 @@
 }
 
 // carry brings one direction over, each piece when it is due and in order.
-func (s *Stream) carry(j *joint, direction int, in, out net.Conn) {
+func (s *Stream) copy(j *connPair, direction int, in, out net.Conn) {
 	from, to := s.from, s.to
 	if direction == 1 {
 		from, to = to, from
@@ -135,9 +135,9 @@
 		for {
 			data := make([]byte, piece)
 			n, err := in.Read(data)
-			now := s.board.now()
-			v := s.board.schedule.Load().FateOf(now, from, to, j.numbers[direction].Add(1), n)
-			if v.Lost && !s.board.schedule.Load().Open(now, from, to) {
+			now := s.proxies.now()
+			v := s.proxies.schedule.Load().FateOf(now, from, to, j.pieceCounts[direction].Add(1), n)
+			if v.Lost && !s.proxies.schedule.Load().Open(now, from, to) {
 				held.Store(true)
 				return // it is reset when the way is mended
 			}
@@ -151,7 +151,7 @@
 			last = at
 			select {
 			case way <- chunk{at, data[:n], err}:
-			case <-s.board.over:
+			case <-s.proxies.done:
 				return
 			}
 			if err != nil {
@@ -160,10 +160,10 @@
 		}
 	}()
 	for c := range way {
-		if wait := c.at - s.board.now(); wait > 0 {
+		if wait := c.at - s.proxies.now(); wait > 0 {
 			select {
 			case <-time.After(time.Duration(wait)):
-			case <-s.board.over:
+			case <-s.proxies.done:
 				return
 			}
 		}
@@ -184,27 +184,27 @@
 	}
 	// Held up: nothing more comes this way, and the other end sees nothing until the way is mended.
 	for held.Load() {
-		if s.board.schedule.Load().Open(s.board.now(), from, to) || s.ended() {
-			Reset(j.here)
-			Reset(j.there)
+		if s.proxies.schedule.Load().Open(s.proxies.now(), from, to) || s.isClosed() {
+			Reset(j.client)
+			Reset(j.server)
 			return
 		}
 		select {
 		case <-time.After(lookEvery):
-		case <-s.board.over:
+		case <-s.proxies.done:
 			return
 		}
 	}
 }
 
-func (s *Stream) ended() bool {
+func (s *Stream) isClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed
 }
 
 // follow notices what the schedule says of this way now.
-func (s *Stream) follow(schedule *netfault.Schedule, now int64) {
+func (s *Stream) applySchedule(schedule *netfault.Schedule, now int64) {
 	want := whole
 	for _, way := range [][2]netfault.End{{s.from, s.to}, {s.to, s.from}} {
 		if !schedule.Open(now, way[0], way[1]) {
@@ -219,31 +219,31 @@
 	if want == s.state || s.closed {
 		return
 	}
-	s.shut()
+	s.reset()
 	s.state = want
 	switch want {
 	case whole:
 		s.listen()
 	case cut:
-		s.listener, s.plugs, _ = ListenFull(s.address)
+		s.listener, s.queueFillers, _ = ListenFull(s.address)
 	case refusing:
-		for j := range s.open {
-			Reset(j.here)
-			Reset(j.there)
+		for j := range s.pairs {
+			Reset(j.client)
+			Reset(j.server)
 		}
 	}
 }
 
 // shut closes the door; the lock is held.
-func (s *Stream) shut() {
+func (s *Stream) reset() {
 	if s.listener != nil {
 		s.listener.Close()
 		s.listener = nil
 	}
-	for _, p := range s.plugs {
+	for _, p := range s.queueFillers {
 		p.Close()
 	}
-	s.plugs = nil
+	s.queueFillers = nil
 }
 
 // Close ends the relay and all that goes through it.
@@ -251,10 +251,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.shut()
-	for j := range s.open {
-		j.here.Close()
-		j.there.Close()
+	s.reset()
+	for j := range s.pairs {
+		j.client.Close()
+		j.server.Close()
 	}
 }
 
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -13,7 +13,7 @@
 type Case struct {
 	Name  string
 	Nodes int
-	Play  func(f Fleet) error
+	Run   func(f Fleet) error
 }
 
 const (
@@ -25,7 +25,7 @@
 )
 
 // first runs the steps of a case up to the first that fails.
-func first(steps ...func() error) error {
+func inOrder(steps ...func() error) error {
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return err
@@ -66,7 +66,7 @@
 }
 
 // neverSilent tells that nobody of some is taken for silent or gone by any of some.
-func neverSilent(by, of []int) func([]*members.View) bool {
+func neverFailed(by, of []int) func([]*members.View) bool {
 	return func(views []*members.View) bool {
 		for _, i := range by {
 			if views[i] == nil {
@@ -120,30 +120,30 @@
 var Cases = []Case{
 	{"half of twelve cut off and back: two views, then one", 12, func(f Fleet) error {
 		a, b := Numbers(0, 6), Numbers(6, 12)
-		return first(startAll(f),
-			do(func() { f.Break(cut(a, b, false)) }),
+		return inOrder(startAll(f),
+			do(func() { f.AddFaults(cut(a, b, false)) }),
 			until(f, notice, "the first half sees itself alone", Agree(a, sides(a))),
 			until(f, notice, "the second half sees itself alone", Agree(b, sides(b))),
-			do(f.Mend),
+			do(f.ClearFaults),
 			until(f, rejoin, "one view again", Agree(Numbers(0, 12), Each("up"))),
-			hold(f, calm, "nobody is lost afterwards", neverSilent(Numbers(0, 12), Numbers(0, 12))))
+			hold(f, calm, "nobody is lost afterwards", neverFailed(Numbers(0, 12), Numbers(0, 12))))
 	}},
 	{"one of twelve cut off and back: the others take nothing back", 12, func(f Fleet) error {
 		rest := Numbers(1, 12)
 		var before [12]uint64
-		return first(startAll(f),
+		return inOrder(startAll(f),
 			do(func() {
 				for i, v := range f.Views() {
 					before[i] = v.Incarnation
 				}
-				f.Break(cut([]int{0}, rest, false))
+				f.AddFaults(cut([]int{0}, rest, false))
 			}),
 			until(f, notice, "the others know", Agree(rest, without(0))),
 			until(f, notice, "it knows that it hears nobody, and says that nothing is known", func(views []*members.View) bool {
 				v := views[0]
 				return v != nil && !v.Summary.Known && v.Summary.Reason == "this node hears nobody" && v.Summary.Dead == 11
 			}),
-			do(f.Mend),
+			do(f.ClearFaults),
 			until(f, rejoin, "one view again", Agree(Numbers(0, 12), Each("up"))),
 			func() error {
 				for i, v := range f.Views() {
@@ -156,33 +156,33 @@
 	}},
 	{"one-way loss: others vouch for who is heard one way only", 6, func(f Fleet) error {
 		all := Numbers(0, 6)
-		return first(startAll(f),
-			do(func() { f.Break(cut([]int{0}, []int{1}, true)) }),
-			hold(f, 2*calm, "nobody is taken for silent", neverSilent(all, all)),
-			do(f.Mend),
+		return inOrder(startAll(f),
+			do(func() { f.AddFaults(cut([]int{0}, []int{1}, true)) }),
+			hold(f, 2*calm, "nobody is taken for silent", neverFailed(all, all)),
+			do(f.ClearFaults),
 			until(f, rejoin, "one view", Agree(all, Each("up"))))
 	}},
 	{"a node that is heard by nobody, and hears all", 6, func(f Fleet) error {
 		rest := Numbers(1, 6)
-		return first(startAll(f),
-			do(func() { f.Break(cut([]int{0}, rest, true)) }),
+		return inOrder(startAll(f),
+			do(func() { f.AddFaults(cut([]int{0}, rest, true)) }),
 			until(f, notice, "the others take it for silent", Agree(rest, without(0))),
-			do(f.Mend),
+			do(f.ClearFaults),
 			until(f, rejoin, "one view", Agree(Numbers(0, 6), Each("up"))))
 	}},
 	{"three in ten datagrams lost, in bursts", 12, func(f Fleet) error {
 		all := Numbers(0, 12)
-		return first(startAll(f),
-			do(func() { f.Break(drop(12, 0.3, 4)) }),
-			hold(f, 2*calm, "nobody is taken for silent", neverSilent(all, all)),
+		return inOrder(startAll(f),
+			do(func() { f.AddFaults(drop(12, 0.3, 4)) }),
+			hold(f, 2*calm, "nobody is taken for silent", neverFailed(all, all)),
 			do(func() { f.Kill(11) }),
 			until(f, rough, "a death is known all the same", Agree(Numbers(0, 11), without(11))),
-			do(f.Mend),
+			do(f.ClearFaults),
 			until(f, rejoin, "one view", Agree(Numbers(0, 11), without(11))))
 	}},
 	{"a node frozen among well ones sows no doubt when it wakes", 8, func(f Fleet) error {
 		rest, doubts := Numbers(1, 8), int64(0)
-		return first(startAll(f),
+		return inOrder(startAll(f),
 			do(func() { f.Freeze(0) }),
 			until(f, notice, "the others know", Agree(rest, without(0))),
 			do(func() {
@@ -194,7 +194,7 @@
 				}
 			}),
 			until(f, rejoin, "it is back", Agree(Numbers(0, 8), Each("up"))),
-			hold(f, calm, "nobody is doubted", neverSilent(Numbers(0, 8), rest)),
+			hold(f, calm, "nobody is doubted", neverFailed(Numbers(0, 8), rest)),
 			func() error {
 				after := int64(0)
 				for _, i := range rest {
@@ -210,7 +210,7 @@
 	}},
 	{"a restart that is faster than anybody notices", 6, func(f Fleet) error {
 		var start uint64
-		return first(startAll(f),
+		return inOrder(startAll(f),
 			do(func() { start = f.Views()[3].StartMs; f.Kill(3); f.Step() }),
 			func() error { return f.Start(3) },
 			until(f, meet, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 3, start) }),
@@ -223,7 +223,7 @@
 			}
 			return "up"
 		}
-		return first(startAll(f),
+		return inOrder(startAll(f),
 			do(func() { f.Stop(2) }),
 			until(f, meet, "the others know that it left", Agree([]int{0, 1, 3, 4, 5}, left)),
 			func() error { return f.Start(2) },
@@ -232,12 +232,12 @@
 	{"an old copy of a message comes again", 6, func(f Fleet) error {
 		var old []byte
 		var start uint64
-		return first(startAll(f),
+		return inOrder(startAll(f),
 			until(f, meet, "a message to be copied", func([]*members.View) bool { old = f.Copied(2, 1); return old != nil }),
 			do(func() { start = f.Views()[2].StartMs; f.Kill(2); f.Step() }),
 			func() error { return f.Start(2) },
 			until(f, meet, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 2, start) }),
-			do(func() { f.Throw(1, old) }),
+			do(func() { f.Inject(1, old) }),
 			hold(f, calm, "the old message changes nothing", Agree([]int{0, 1, 3, 4, 5}, func(k int) string {
 				if k == 2 {
 					return "up"
@@ -255,7 +255,7 @@
 		return startAll(f)()
 	}},
 	{"all killed but one", 12, func(f Fleet) error {
-		return first(startAll(f),
+		return inOrder(startAll(f),
 			do(func() {
 				for i := 1; i < 12; i++ {
 					f.Kill(i)
@@ -280,11 +280,11 @@
 		way := func(t netfault.Kind, share float64, wait int64) netfault.Fault {
 			return netfault.Fault{Kind: t, From: all, To: all, Share: share, Wait: wait, Seed: 3}
 		}
-		return first(startAll(f),
+		return inOrder(startAll(f),
 			do(func() {
-				f.Break(way(netfault.Duplicate, 0.3, 2e9), way(netfault.Reorder, 0.2, 60e6), way(netfault.Corrupt, 0.1, 0), way(netfault.Delay, 0, 10e6))
+				f.AddFaults(way(netfault.Duplicate, 0.3, 2e9), way(netfault.Reorder, 0.2, 60e6), way(netfault.Corrupt, 0.1, 0), way(netfault.Delay, 0, 10e6))
 			}),
-			hold(f, 2*calm, "nobody is taken for silent", neverSilent(Numbers(0, 8), Numbers(0, 8))),
+			hold(f, 2*calm, "nobody is taken for silent", neverFailed(Numbers(0, 8), Numbers(0, 8))),
 			func() error {
 				bad := int64(0)
 				for _, v := range f.Views() {
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -60,7 +60,7 @@
 }
 
 func (r *relayed) way(from, to int, target func() string) string {
-	s, err := faultproxy.NewStream(r.board, "127.0.0.1:0", end(from), end(to), target)
+	s, err := faultproxy.NewStream(r.proxies, "127.0.0.1:0", end(from), end(to), target)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -85,10 +85,10 @@
 		Processes: processes(t, 3), t: t, ways: map[[2]int]*faultproxy.Stream{}, files: map[string]string{}, addr: map[string]string{},
 		procs: map[string]emulator.Process{}, book: &invariant.History{}, open: map[handOff]*invariant.Attempt{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{},
 	}
-	for i := range r.plain {
+	for i := range r.endpoints {
 		r.state[i] = "up"
 	}
-	discovery := func() string { return r.asks.Address() }
+	discovery := func() string { return r.discovery.Address() }
 	r.DiscoveryFor = func(node int) string { return r.ways[[2]int{node, theirs}].Address() }
 	for i := range 3 {
 		r.way(i, theirs, discovery)
@@ -103,7 +103,7 @@
 		for i := range 3 {
 			to[i] = [2]string{r.way(i, relayA, at("a")), r.way(i, relayB, at("b"))}
 		}
-		r.More = func(node int) string {
+		r.ExtraFeatures = func(node int) string {
 			return fmt.Sprintf("[distribution]\nrelays = [%q, %q]\nscopes = [\"eu/web\"]\n", to[node][0], to[node][1])
 		}
 		for _, name := range []string{"origin", "a", "b"} {
@@ -115,21 +115,21 @@
 			}
 		})
 	}
-	for i, s := range r.plain {
-		s.Note(func(a Arrival) {
+	for i, s := range r.endpoints {
+		s.Observe(func(a Arrival) {
 			var task int
-			if fmt.Sscanf(a.Task, "%x", &task); task == 0 {
+			if fmt.Sscanf(a.Request, "%x", &task); task == 0 {
 				return
 			}
-			if !a.Closed.IsZero() {
-				r.book.Update(func() { r.open[handOff{a.Task, i, a.Came}].ClosedAt = r.at(a.Closed) })
+			if !a.ClosedAt.IsZero() {
+				r.book.Update(func() { r.open[handOff{a.Request, i, a.ArrivedAt}].ClosedAt = r.at(a.ClosedAt) })
 				return
 			}
-			h := &invariant.Attempt{Request: a.Task, Node: task / perNode, Endpoint: i, Incarnation: 1, Zone: "a"}
+			h := &invariant.Attempt{Request: a.Request, Node: task / perNode, Endpoint: i, Incarnation: 1, Zone: "a"}
 			r.book.RecordAttempt(h)
 			r.book.Update(func() {
-				r.open[handOff{a.Task, i, a.Came}] = h
-				h.FirstByteAt, h.LastByteAt, h.AnsweredAt, h.Status, h.Executed = r.at(a.Came), r.at(a.Came), r.at(a.Answered), 200, true
+				r.open[handOff{a.Request, i, a.ArrivedAt}] = h
+				h.FirstByteAt, h.LastByteAt, h.AnsweredAt, h.Status, h.Executed = r.at(a.ArrivedAt), r.at(a.ArrivedAt), r.at(a.AnsweredAt), 200, true
 			})
 		})
 	}
@@ -175,12 +175,12 @@
 	r.state[server] = health
 	r.version++
 	version := r.version
-	var list []Listing
-	for i, s := range r.plain {
-		list = append(list, Listing{Server: s, Health: r.state[i]})
+	var list []ListEntry
+	for i, s := range r.endpoints {
+		list = append(list, ListEntry{Endpoint: s, State: r.state[i]})
 	}
 	r.mu.Unlock()
-	r.asks.Tell(version, list...)
+	r.discovery.SetList(version, list...)
 	for node := range 3 {
 		if !apart || node != apartOne {
 			r.hear(node, server, health)
@@ -432,7 +432,7 @@
 	time.Sleep(500 * time.Millisecond)
 
 	// Ways are lossy and late; a server drains, for longer than it may take to be told.
-	r.Break(append(lossy(nodes, relays, 1), lossy(relays, origin, 3)...)...)
+	r.AddFaults(append(lossy(nodes, relays, 1), lossy(relays, origin, 3)...)...)
 	set(0, "draining", false)
 	time.Sleep(2 * time.Second)
 	// A relay is killed; a second later it is there again, with nothing.
@@ -441,7 +441,7 @@
 	set(1, "draining", false)
 	r.begin("a")
 	time.Sleep(4500 * time.Millisecond)
-	r.Mend()
+	r.ClearFaults()
 	set(0, "up", false)
 	// The other one stands still, and then the first is killed again: no relay answers, so that discovery has to tell.
 	r.procs["b"].Signal(syscall.SIGSTOP)
@@ -457,14 +457,14 @@
 	here := []netfault.End{end(0), end(1), end(relayA), end(theOne), end(theirs)}
 	there := []netfault.End{end(apartOne), end(relayB)}
 	cut := netfault.Fault{Kind: netfault.Cut, From: here, To: there, Seed: 5}
-	r.Break(cut)
-	plain.Break(netfault.Fault{Kind: netfault.Cut, From: []netfault.End{end(theirs)}, To: []netfault.End{end(apartOne)}, Seed: 5})
+	r.AddFaults(cut)
+	plain.AddFaults(netfault.Fault{Kind: netfault.Cut, From: []netfault.End{end(theirs)}, To: []netfault.End{end(apartOne)}, Seed: 5})
 	time.Sleep(time.Second)
 	set(2, "up", true)
 	set(3, "draining", true)
 	time.Sleep(7 * time.Second)
 	for _, one := range both {
-		one.Mend()
+		one.ClearFaults()
 		one.hear(apartOne, 2, "up")
 		one.hear(apartOne, 3, "draining")
 	}
@@ -478,7 +478,7 @@
 	for name, one := range map[string]*relayed{"relays": r, "discovery": plain} {
 		for node := range 3 {
 			used := one.used(node, last)
-			for server, n := range used[:len(one.plain)] {
+			for server, n := range used[:len(one.endpoints)] {
 				if up := one.state[server] == "up"; up != (n > 0) {
 					t.Errorf("%s: in the end n%d sent %d tasks to s%d, which is %s; all: %v; to it by seconds of the test: %v", name, node, n, server, one.state[server], used, one.history(node, server))
 				}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -22,14 +22,14 @@
 	Freeze(node int)
 	Thaw(node int)
 	// Break puts troubles on ways until Mend. Times of a fault are counted from now; End 0: until Mend.
-	Break(faults ...netfault.Fault)
-	Mend()
+	AddFaults(faults ...netfault.Fault)
+	ClearFaults()
 	// Views asks every node what it believes; nil for one that does not say. The second process of a name is not asked.
 	Views() []*members.View
 	// Step lets something like a fifth of a round pass.
 	Step()
 	// Throw has a datagram come to a node as if from a wire.
-	Throw(to int, datagram []byte)
+	Inject(to int, datagram []byte)
 	// Copied returns a datagram that once went from one node to another; nil if none did.
 	Copied(from, to int) []byte
 }
--- a/internal/lab/fleet/hearsay_test.go
+++ b/internal/lab/fleet/hearsay_test.go
@@ -16,7 +16,7 @@
 func listening(t *testing.T, nodes int, state bool) *Processes {
 	t.Helper()
 	p := processes(t, nodes)
-	p.State, p.List, p.Key = state, true, listKey
+	p.PersistState, p.ListGossip, p.Key = state, true, listKey
 	p.startAll(t)
 	p.serving(t)
 	if _, err := Until(p, meet, "all know one another", Agree(Numbers(0, nodes), Each("up"))); err != nil {
@@ -55,7 +55,7 @@
 // lateAt tells how many tasks come to a server while all nodes are busy, from the grace after a moment on.
 func (p *Processes) lateAt(server int, told time.Time) (late int) {
 	time.Sleep(time.Until(told.Add(grace)) + 300*time.Millisecond)
-	for _, at := range p.plain[server].Came() {
+	for _, at := range p.endpoints[server].Arrivals() {
 		if at.After(told.Add(grace)) {
 			late++
 		}
@@ -67,10 +67,10 @@
 // to a server that drains, and send to it again once it is up.
 func TestADrainReachesThoseWithoutAWatch(t *testing.T) {
 	p := listening(t, 6, false)
-	p.asks.Down(true)
-	p.asks.Most(1)
-	p.asks.Down(false)
-	p.Break(drop(6, 0.3, 1))
+	p.discovery.SetDown(true)
+	p.discovery.LimitWatches(1)
+	p.discovery.SetDown(false)
+	p.AddFaults(drop(6, 0.3, 1))
 	end := p.busy()
 	defer end()
 	p.lists(2, 1)
@@ -87,17 +87,17 @@
 	if stand > 1 {
 		t.Errorf("%d watches stand", stand)
 	}
-	before := len(p.plain[1].Came())
+	before := len(p.endpoints[1].Arrivals())
 	p.lists(3, -1)
 	p.until(t, "all know that it is up", func(v *endpointgossip.View) bool { return v.Version == 3 })
-	for tries := 0; len(p.plain[1].Came()) == before; tries++ {
+	for tries := 0; len(p.endpoints[1].Arrivals()) == before; tries++ {
 		if tries > 3000 {
 			t.Fatal("it gets nothing")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	p.Mend()
-	p.asks.Most(0)
+	p.ClearFaults()
+	p.discovery.LimitWatches(0)
 	p.until(t, "all watches stand", func(v *endpointgossip.View) bool { return v.WatchUp })
 }
 
@@ -109,7 +109,7 @@
 	p.until(t, "all are told", func(v *endpointgossip.View) bool { return v.Version == 2 })
 	told := time.Now()
 	time.Sleep(200 * time.Millisecond) // until it is on the disks
-	p.asks.Down(true)
+	p.discovery.SetDown(true)
 	p.killAll()
 	for i := range 3 {
 		if err := os.RemoveAll(p.StateDir(i)); err != nil {
@@ -124,15 +124,15 @@
 	if late := p.lateAt(1, told); late > 0 {
 		t.Errorf("%d tasks came to a server that drained before the power went", late)
 	}
-	p.asks.Down(false)
+	p.discovery.SetDown(false)
 	p.until(t, "all watches stand", func(v *endpointgossip.View) bool { return v.WatchUp })
 }
 
 // TestReadyOnceThereIsAList has three nodes wake with nothing: none is ready, and each says why, until one list has come to one.
 func TestReadyOnceThereIsAList(t *testing.T) {
 	p := processes(t, 3)
-	p.List, p.Key = true, listKey
-	p.asks.Down(true)
+	p.ListGossip, p.Key = true, listKey
+	p.discovery.SetDown(true)
 	p.startAll(t)
 	if _, err := Until(p, meet, "all know one another", Agree(Numbers(0, 3), Each("up"))); err != nil {
 		t.Fatal(err)
@@ -144,19 +144,19 @@
 			t.Errorf("n%d without a list answers %d, and its console %d %s; %v", i, front, status, text, err)
 		}
 	}
-	p.asks.Most(1)
-	p.asks.Down(false)
+	p.discovery.LimitWatches(1)
+	p.discovery.SetDown(false)
 	p.serving(t)
 }
 
 // TestOneNodesListBansNobody has one node alone hear from a discovery that takes nearly all servers away; the others go on.
 func TestOneNodesListBansNobody(t *testing.T) {
 	p := listening(t, 4, false)
-	p.asks.Down(true)
-	p.asks.Most(1)
-	p.asks.Tell(9, Listing{Server: p.plain[0], Health: "up"}, Listing{Server: p.plain[1], Health: "draining"},
-		Listing{Server: p.plain[2], Health: "draining"}, Listing{Server: p.plain[3], Health: "draining"})
-	p.asks.Down(false)
+	p.discovery.SetDown(true)
+	p.discovery.LimitWatches(1)
+	p.discovery.SetList(9, ListEntry{Endpoint: p.endpoints[0], State: "up"}, ListEntry{Endpoint: p.endpoints[1], State: "draining"},
+		ListEntry{Endpoint: p.endpoints[2], State: "draining"}, ListEntry{Endpoint: p.endpoints[3], State: "draining"})
+	p.discovery.SetDown(false)
 	doubted := func(views []*members.View) bool {
 		with, doubt := 0, 0
 		for _, v := range p.heard(t) {
@@ -172,7 +172,7 @@
 	if _, err := Until(p, notice, "three doubt what one says", doubted); err != nil {
 		t.Fatalf("%v\n%+v", err, p.heard(t))
 	}
-	p.asks.Most(2)
+	p.discovery.LimitWatches(2)
 	p.until(t, "two watches are believed", func(v *endpointgossip.View) bool { return v.Version == 9 })
 }
 
@@ -181,29 +181,29 @@
 // server that drained, and all serve in the end.
 func TestPowerIsBackInEveryOrder(t *testing.T) {
 	p := listening(t, 4, true)
-	p.Break(drop(4, 0.3, 2))
+	p.AddFaults(drop(4, 0.3, 2))
 	parts := map[byte]func(){
 		'n': func() { p.startAll(t) },
 		's': func() {
-			for _, s := range p.plain {
-				s.Down(false)
+			for _, s := range p.endpoints {
+				s.SetDown(false)
 			}
 		},
-		'd': func() { p.asks.Down(false) },
+		'd': func() { p.discovery.SetDown(false) },
 	}
 	end := p.busy()
 	defer end()
 	version := int64(1)
 	for k, order := range []string{"nsd", "nds", "snd", "sdn", "dns", "dsn"} {
-		draining := k % len(p.plain)
+		draining := k % len(p.endpoints)
 		version++
 		p.lists(version, draining)
 		p.until(t, order+": all are told", func(v *endpointgossip.View) bool { return v.Version == version })
 		told := time.Now()
 		time.Sleep(150 * time.Millisecond) // until it is on the disks
-		p.asks.Down(true)
-		for _, s := range p.plain {
-			s.Down(true)
+		p.discovery.SetDown(true)
+		for _, s := range p.endpoints {
+			s.SetDown(true)
 		}
 		p.killAll()
 		for i := range order {
@@ -224,14 +224,14 @@
 // of nobody, serves what cold servers surely can, and all once discovery tells that they never went.
 func TestANodeAloneWhereHundredsAreExpected(t *testing.T) {
 	p := processes(t, 2)
-	p.State, p.List, p.Key = true, true, listKey
+	p.PersistState, p.ListGossip, p.Key = true, true, listKey
 	p.Settings = strings.NewReplacer("\"group_size\":%d", "\"group_size\":300", "\"position\":%d", "\"position\":%[2]d").Replace(p.Settings)
 	if err := p.Start(0); err != nil {
 		t.Fatal(err)
 	}
 	done := func(tasks int) (n int) {
 		for i := range tasks {
-			if p.Task(0, 1000+i) == nil {
+			if p.SendRequest(0, 1000+i) == nil {
 				n++
 			}
 		}
@@ -246,7 +246,7 @@
 	if n := done(100); n != 100 {
 		t.Fatalf("in calm %d of 100", n)
 	}
-	p.asks.Down(true)
+	p.discovery.SetDown(true)
 	p.Kill(0)
 	if err := p.Start(0); err != nil {
 		t.Fatal(err)
@@ -261,7 +261,7 @@
 	if cold == 0 || cold == 400 {
 		t.Errorf("%d of 400 by servers that may be cold", cold)
 	}
-	p.asks.Down(false)
+	p.discovery.SetDown(false)
 	p.until(t, "discovery tells it", func(v *endpointgossip.View) bool { return v.WatchUp })
 	if n := done(100); n != 100 {
 		t.Errorf("once discovery has told, %d of 100", n)
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -12,30 +12,30 @@
 
 // Figures of one fleet at one loss.
 type Figures struct {
-	Nodes       int       `json:"nodes"`
-	Loss        float64   `json:"loss"`
-	Burst       int       `json:"burst"`
-	Watched     float64   `json:"watched_s"`   // of all nodes well, with the loss
-	Doubts      float64   `json:"doubts_h"`    // raised against well nodes, by the whole fleet in an hour
-	Silences    float64   `json:"silences_h"`  // that came of them
-	Sent        float64   `json:"sent_s"`      // datagrams a node a second, over that time
-	Bytes       float64   `json:"bytes_s"`     // of those
-	Most        float64   `json:"most_sent_s"` // of the node that sent most
-	DeathKnown  []float64 `json:"death_known_s"`
-	DeathRounds []int64   `json:"death_rounds"` // of the slowest node
+	Nodes             int       `json:"nodes"`
+	Loss              float64   `json:"loss"`
+	Burst             int       `json:"burst"`
+	WatchedS          float64   `json:"watched_s"`   // of all nodes well, with the loss
+	SuspicionsPerHour float64   `json:"doubts_h"`    // raised against well nodes, by the whole fleet in an hour
+	FailuresPerHour   float64   `json:"silences_h"`  // that came of them
+	SentPerS          float64   `json:"sent_s"`      // datagrams a node a second, over that time
+	BytesPerS         float64   `json:"bytes_s"`     // of those
+	MaxSentPerS       float64   `json:"most_sent_s"` // of the node that sent most
+	DeathKnownS       []float64 `json:"death_known_s"`
+	DeathRounds       []int64   `json:"death_rounds"` // of the slowest node
 }
 
 // timed is a fleet with a clock.
-type timed interface {
+type measurable interface {
 	Fleet
 	Now() int64
 	// Counts of every node that runs, and what it believes of one.
 	Counts() []*members.Counters
-	Holds(of int, state members.State) (all bool)
+	AllSee(of int, state members.State) (all bool)
 }
 
 // Now is the time since the fleet was made, nanoseconds.
-func (p *Processes) Now() int64 { return int64(time.Since(p.began)) }
+func (p *Processes) Now() int64 { return int64(time.Since(p.startedAt)) }
 
 func (p *Processes) Counts() []*members.Counters {
 	out := make([]*members.Counters, len(p.nodes))
@@ -47,7 +47,7 @@
 	return out
 }
 
-func (p *Processes) Holds(of int, state members.State) bool {
+func (p *Processes) AllSee(of int, state members.State) bool {
 	for i, v := range p.Views() {
 		if i != of && (v == nil || v.Members[of].State != state.String()) {
 			return false
@@ -59,17 +59,17 @@
 func (v *Virtual) Counts() []*members.Counters {
 	out := make([]*members.Counters, len(v.nodes))
 	for i, s := range v.nodes {
-		if s.view != nil {
-			c := s.view.Counters()
+		if s.membership != nil {
+			c := s.membership.Counters()
 			out[i] = &c
 		}
 	}
 	return out
 }
 
-func (v *Virtual) Holds(of int, state members.State) bool {
+func (v *Virtual) AllSee(of int, state members.State) bool {
 	for i, s := range v.nodes {
-		if i != of && (s.view == nil || s.view.StateOf(of) != state) {
+		if i != of && (s.membership == nil || s.membership.StateOf(of) != state) {
 			return false
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 // Measure starts a fleet, watches it for a time with a loss, and kills nodes one after another. rounds bounds each wait.
-func Measure(f timed, loss float64, burst int, watch time.Duration, deaths int, rounds int64) (*Figures, error) {
+func Measure(f measurable, loss float64, burst int, watch time.Duration, deaths int, rounds int64) (*Figures, error) {
 	out := &Figures{Nodes: f.Len(), Loss: loss, Burst: burst}
 	for i := range f.Len() {
 		if err := f.Start(i); err != nil {
@@ -85,7 +85,7 @@
 		}
 	}
 	all := func(node int, state members.State, what string) (steps int64, err error) {
-		for ; !f.Holds(node, state); steps++ {
+		for ; !f.AllSee(node, state); steps++ {
 			if steps > 5*rounds {
 				return steps, fmt.Errorf("%d nodes, loss %.2f: n%d not %s for all within %d rounds", f.Len(), loss, node, what, rounds)
 			}
@@ -100,24 +100,24 @@
 	}
 	everybody := Ends(Numbers(0, f.Len()))
 	if loss > 0 {
-		f.Break(netfault.Fault{Kind: netfault.Drop, From: everybody, To: everybody, Share: loss, Burst: burst, Seed: 11})
+		f.AddFaults(netfault.Fault{Kind: netfault.Drop, From: everybody, To: everybody, Share: loss, Burst: burst, Seed: 11})
 	}
 	before, from := f.Counts(), f.Now()
 	for f.Now() < from+int64(watch) {
 		f.Step()
 	}
 	long := float64(f.Now()-from) / 1e9
-	out.Watched = long
+	out.WatchedS = long
 	for i, c := range f.Counts() {
 		if c == nil || before[i] == nil {
 			continue
 		}
-		out.Doubts += float64(c.Suspicions-before[i].Suspicions) / long * 3600
-		out.Silences += float64(c.Deaths-before[i].Deaths) / long * 3600
+		out.SuspicionsPerHour += float64(c.Suspicions-before[i].Suspicions) / long * 3600
+		out.FailuresPerHour += float64(c.Deaths-before[i].Deaths) / long * 3600
 		sent := float64(c.Sent-before[i].Sent) / long
-		out.Sent += sent / float64(f.Len())
-		out.Bytes += float64(c.SentBytes-before[i].SentBytes) / long / float64(f.Len())
-		out.Most = max(out.Most, sent)
+		out.SentPerS += sent / float64(f.Len())
+		out.BytesPerS += float64(c.SentBytes-before[i].SentBytes) / long / float64(f.Len())
+		out.MaxSentPerS = max(out.MaxSentPerS, sent)
 	}
 	for n := range deaths {
 		victim := (1 + 7*n) % f.Len()
@@ -127,7 +127,7 @@
 		if err != nil {
 			return nil, err
 		}
-		out.DeathKnown = append(out.DeathKnown, float64(f.Now()-killed)/1e9)
+		out.DeathKnownS = append(out.DeathKnownS, float64(f.Now()-killed)/1e9)
 		out.DeathRounds = append(out.DeathRounds, (steps+4)/5)
 		if err := f.Start(victim); err != nil {
 			return nil, err
--- a/internal/lab/fleet/plot.go
+++ b/internal/lab/fleet/plot.go
@@ -40,7 +40,7 @@
 			}
 			slices.SortFunc(by[loss], func(a, b *Figures) int { return cmp.Compare(a.Nodes, b.Nodes) })
 			for _, f := range by[loss] {
-				known := slices.Sorted(slices.Values(f.DeathKnown))
+				known := slices.Sorted(slices.Values(f.DeathKnownS))
 				if len(known) == 0 {
 					continue
 				}
--- a/internal/lab/fleet/power_test.go
+++ b/internal/lab/fleet/power_test.go
@@ -20,7 +20,7 @@
 func remembering(t *testing.T, nodes int) *Processes {
 	t.Helper()
 	p := processes(t, nodes)
-	p.State = true
+	p.PersistState = true
 	for i := range nodes {
 		if err := p.Start(i); err != nil {
 			t.Fatal(err)
@@ -36,7 +36,7 @@
 	for i := range p.nodes {
 		for tries := 0; ; tries++ {
 			status, _, err := Ask(p.Listen(i), "GET", "/ready")
-			if err == nil && status == 200 && p.Task(i, 0) == nil {
+			if err == nil && status == 200 && p.SendRequest(i, 0) == nil {
 				break
 			}
 			if tries > 2000 {
@@ -60,7 +60,7 @@
 				case <-over:
 					return
 				case <-time.After(4 * time.Millisecond):
-					p.task(i, "pay", int(numbers.Add(1)))
+					p.sendRequest(i, "pay", int(numbers.Add(1)))
 				}
 			}
 		})
@@ -70,15 +70,15 @@
 
 // lists has discovery tell all servers, but one that drains.
 func (p *Processes) lists(version int64, draining int) {
-	var list []Listing
-	for i, s := range p.plain {
+	var list []ListEntry
+	for i, s := range p.endpoints {
 		health := "up"
 		if i == draining {
 			health = "draining"
 		}
-		list = append(list, Listing{Server: s, Health: health})
+		list = append(list, ListEntry{Endpoint: s, State: health})
 	}
-	p.asks.Tell(version, list...)
+	p.discovery.SetList(version, list...)
 }
 
 func (p *Processes) killAll() {
@@ -100,9 +100,9 @@
 // doubles are tasks that must run once and came to servers more often.
 func (p *Processes) doubles() (out []string) {
 	of := map[string]int{}
-	for _, s := range p.plain {
+	for _, s := range p.endpoints {
 		s.mu.Lock()
-		for task, n := range s.tasks {
+		for task, n := range s.requests {
 			of[task] += n
 		}
 		s.mu.Unlock()
@@ -126,16 +126,16 @@
 	draw := rand.New(rand.NewPCG(4, uint64(rounds)))
 	version := int64(1)
 	for round := range rounds {
-		draining := round % len(p.plain)
+		draining := round % len(p.endpoints)
 		end := p.busy()
-		for p.asks.Watches() < nodes { // who has no watch is not told
+		for p.discovery.Watches() < nodes { // who has no watch is not told
 			time.Sleep(2 * time.Millisecond)
 		}
 		version++
 		p.lists(version, draining)
 		told := time.Now()
 		time.Sleep(time.Duration(30+draw.IntN(200)) * time.Millisecond)
-		p.asks.Down(true)
+		p.discovery.SetDown(true)
 		p.killAll()
 		p.startAll(t)
 		p.serving(t)
@@ -144,7 +144,7 @@
 		}
 		time.Sleep(time.Duration(100+draw.IntN(200)) * time.Millisecond)
 		late := 0
-		for _, at := range p.plain[draining].Came() {
+		for _, at := range p.endpoints[draining].Arrivals() {
 			if at.After(told.Add(grace)) {
 				late++
 			}
@@ -152,11 +152,11 @@
 		if late > 0 {
 			t.Fatalf("round %d: %d tasks came to a draining server after the grace", round, late)
 		}
-		p.asks.Down(false)
+		p.discovery.SetDown(false)
 		version++
 		p.lists(version, -1)
-		before := len(p.plain[draining].Came())
-		for tries := 0; len(p.plain[draining].Came()) == before; tries++ {
+		before := len(p.endpoints[draining].Arrivals())
+		for tries := 0; len(p.endpoints[draining].Arrivals()) == before; tries++ {
 			if tries > 3000 {
 				t.Fatalf("round %d: a server that is up again gets nothing", round)
 			}
@@ -181,14 +181,14 @@
 	end := p.busy()
 	p.serving(t)
 	time.Sleep(time.Until(told.Add(grace)) + 400*time.Millisecond)
-	for _, at := range p.plain[1].Came() {
+	for _, at := range p.endpoints[1].Arrivals() {
 		if at.After(told.Add(grace)) {
 			t.Fatal("a task came to a server that only an older list calls up")
 		}
 	}
 	p.lists(8, -1)
-	before := len(p.plain[1].Came())
-	for tries := 0; len(p.plain[1].Came()) == before; tries++ {
+	before := len(p.endpoints[1].Arrivals())
+	for tries := 0; len(p.endpoints[1].Arrivals()) == before; tries++ {
 		if tries > 3000 {
 			t.Fatal("a later list does not put it back")
 		}
@@ -211,7 +211,7 @@
 	if _, err := Until(p, meet, "all know one another", Agree(Numbers(0, 5), Each("up"))); err != nil {
 		t.Fatal(err)
 	}
-	p.asks.Down(true)
+	p.discovery.SetDown(true)
 	for i := range 4 { // the last one goes on, and knows who started when
 		p.Kill(i)
 	}
@@ -240,7 +240,7 @@
 		}
 	}
 	for _, i := range []int{1, 4} { // of n2 the cut may have taken all
-		for tries := 0; p.Task(i, 0) != nil; tries++ {
+		for tries := 0; p.SendRequest(i, 0) != nil; tries++ {
 			if tries > 2000 {
 				t.Fatalf("n%d with a memory does not serve while discovery is down", i)
 			}
@@ -256,7 +256,7 @@
 	}); err != nil {
 		t.Error(err)
 	}
-	p.asks.Down(false)
+	p.discovery.SetDown(false)
 	p.serving(t)
 }
 
@@ -265,7 +265,7 @@
 func TestTheFleetComesBackInHalves(t *testing.T) {
 	p := remembering(t, 6)
 	a, b := Numbers(0, 3), Numbers(3, 6)
-	for p.asks.Watches() < 6 {
+	for p.discovery.Watches() < 6 {
 		time.Sleep(2 * time.Millisecond)
 	}
 	end := p.busy()
@@ -273,8 +273,8 @@
 	p.lists(2, 1)
 	told := time.Now()
 	time.Sleep(150 * time.Millisecond)
-	p.asks.Down(true)
-	p.Break(cut(a, b, false))
+	p.discovery.SetDown(true)
+	p.AddFaults(cut(a, b, false))
 	for range 2 { // the second time while they are coming back
 		p.killAll()
 		p.startAll(t)
@@ -294,12 +294,12 @@
 	}); err != nil {
 		t.Error(err)
 	}
-	p.Mend()
+	p.ClearFaults()
 	if _, err := Until(p, rejoin, "one view", Agree(Numbers(0, 6), Each("up"))); err != nil {
 		t.Error(err)
 	}
 	time.Sleep(time.Until(told.Add(grace)))
-	for _, at := range p.plain[1].Came() {
+	for _, at := range p.endpoints[1].Arrivals() {
 		if at.After(told.Add(grace)) {
 			t.Fatal("a task came to a draining server after the grace")
 		}
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -34,42 +34,42 @@
 
 // Processes is a fleet of real processes.
 type Processes struct {
-	Program  []string      // the node's command, with serve
-	Round    time.Duration // of the members
-	Key      string
-	Settings string    // of every node, with its number of nodes and position to be filled in
-	State    bool      // nodes remember through a crash
-	List     bool      // nodes ask one another for the list
-	Log      io.Writer // of all nodes
-
-	More         func(node int) string // beside the members in a node's features file
-	DiscoveryFor func(node int) string // where a node reaches discovery; nil: directly
-
-	dir   string
-	board *faultproxy.Board
-	mesh  *faultproxy.Mesh
-	began time.Time
-	nodes []*process
-	asks  *Discovery
-	plain []*Server
+	Program      []string      // the node's command, with serve
+	Round        time.Duration // of the members
+	Key          string
+	Settings     string    // of every node, with its number of nodes and position to be filled in
+	PersistState bool      // nodes remember through a crash
+	ListGossip   bool      // nodes ask one another for the list
+	Log          io.Writer // of all nodes
+
+	ExtraFeatures func(node int) string // beside the members in a node's features file
+	DiscoveryFor  func(node int) string // where a node reaches discovery; nil: directly
+
+	dir       string
+	proxies   *faultproxy.Proxies
+	mesh      *faultproxy.Mesh
+	startedAt time.Time
+	nodes     []*node
+	discovery *Discovery
+	endpoints []*Endpoint
 }
 
 const servers = 4
 
-type process struct {
-	fleet  *Processes
-	index  int
-	mu     sync.Mutex
-	lives  []emulator.Process // all that run under this name, the last started last
-	starts int
-	held   bool
+type node struct {
+	fleet     *Processes
+	index     int
+	mu        sync.Mutex
+	processes []emulator.Process // all that run under this name, the last started last
+	starts    int
+	frozen    bool
 }
 
 var fleets atomic.Int64
 
 // NewProcesses makes a fleet of which nobody runs yet. Close ends it.
 func NewProcesses(program []string, nodes int, round time.Duration, log io.Writer) (p *Processes, err error) {
-	p = &Processes{Program: program, Round: round, Log: log, Settings: settingsOf, began: time.Now()}
+	p = &Processes{Program: program, Round: round, Log: log, Settings: settingsOf, startedAt: time.Now()}
 	if p.Log == nil {
 		p.Log = io.Discard
 	}
@@ -81,27 +81,27 @@
 	if p.dir, err = os.MkdirTemp("", "fawnglade-fleet-"); err != nil {
 		return nil, err
 	}
-	if p.asks, err = newDiscovery(); err != nil {
+	if p.discovery, err = newDiscovery(); err != nil {
 		return nil, err
 	}
-	var up []Listing
+	var up []ListEntry
 	for i := range servers {
-		s, err := newServer(fmt.Sprintf("s%d", i))
+		s, err := newEndpoint(fmt.Sprintf("s%d", i))
 		if err != nil {
 			return nil, err
 		}
-		p.plain = append(p.plain, s)
-		up = append(up, Listing{Server: s, Health: "up"})
+		p.endpoints = append(p.endpoints, s)
+		up = append(up, ListEntry{Endpoint: s, State: "up"})
 	}
-	p.asks.Tell(1, up...)
-	p.board = faultproxy.NewBoard(func() int64 { return int64(time.Since(p.began)) })
+	p.discovery.SetList(1, up...)
+	p.proxies = faultproxy.NewProxies(func() int64 { return int64(time.Since(p.startedAt)) })
 	net := (os.Getpid()*67 + int(fleets.Add(1))) % (120 * 250)
 	var listen []string
 	for i := range nodes {
-		p.nodes = append(p.nodes, &process{fleet: p, index: i})
+		p.nodes = append(p.nodes, &node{fleet: p, index: i})
 		listen = append(listen, fmt.Sprintf("127.%d.%d.%d:7946", 130+net/250, 1+net%250, 1+i))
 	}
-	p.mesh, err = faultproxy.NewMesh(p.board, listen)
+	p.mesh, err = faultproxy.NewMesh(p.proxies, listen)
 	return p, err
 }
 
@@ -122,24 +122,24 @@
 	return l, nil
 }
 
-func (p *Processes) at(node, port int) string {
+func (p *Processes) address(node, port int) string {
 	host, _, _ := net.SplitHostPort(p.mesh.Address(node, node))
 	return fmt.Sprintf("%s:%d", host, port)
 }
 
 // Listen is where a node takes tasks; Console where it answers staff.
-func (p *Processes) Listen(node int) string  { return p.at(node, 8443) }
-func (p *Processes) Console(node int) string { return p.at(node, 9443) }
+func (p *Processes) Listen(node int) string  { return p.address(node, 8443) }
+func (p *Processes) Console(node int) string { return p.address(node, 9443) }
 
 // Features is the text of a node's features file.
 func (p *Processes) Features(node int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "[members]\nlisten = %q\nround = %q\nkey = %q\nlist = %v\n", p.mesh.Address(node, node), p.Round, p.Key, p.List)
+	fmt.Fprintf(&b, "[members]\nlisten = %q\nround = %q\nkey = %q\nlist = %v\n", p.mesh.Address(node, node), p.Round, p.Key, p.ListGossip)
 	for k := range p.nodes {
 		fmt.Fprintf(&b, "[[members.node]]\nname = \"n%d\"\naddress = %q\n", k, p.mesh.Address(node, k))
 	}
-	if p.More != nil {
-		b.WriteString(p.More(node))
+	if p.ExtraFeatures != nil {
+		b.WriteString(p.ExtraFeatures(node))
 	}
 	return b.String()
 }
@@ -150,8 +150,8 @@
 }
 
 // Discovery and Servers are what stands outside the nodes.
-func (p *Processes) Discovery() *Discovery { return p.asks }
-func (p *Processes) Servers() []*Server    { return p.plain }
+func (p *Processes) Discovery() *Discovery  { return p.discovery }
+func (p *Processes) Endpoints() []*Endpoint { return p.endpoints }
 
 func (p *Processes) Len() int { return len(p.nodes) }
 
@@ -164,10 +164,10 @@
 	n.reap()
 	n.starts++
 	listen, console := p.Listen(node), p.Console(node)
-	if len(n.lives) > 0 {
-		listen, console = p.at(node, 8443+n.starts), p.at(node, 9443+n.starts)
+	if len(n.processes) > 0 {
+		listen, console = p.address(node, 8443+n.starts), p.address(node, 9443+n.starts)
 	}
-	discovery := p.asks.Address()
+	discovery := p.discovery.Address()
 	if p.DiscoveryFor != nil {
 		discovery = p.DiscoveryFor(node)
 	}
@@ -184,34 +184,34 @@
 		return err
 	}
 	env := []string{"NODE_CONFIG=" + base + ".json", "NODE_FEATURES=" + base + ".toml", "TMPDIR=" + tmp, "NODE_CONSOLE="}
-	if p.State {
+	if p.PersistState {
 		env = append(env, "NODE_STATE="+p.StateDir(node))
 	}
 	proc, err := emulator.Command(p.Program)("", env, p.Log)
 	if err == nil {
-		n.lives, n.held = append(n.lives, proc), false
+		n.processes, n.frozen = append(n.processes, proc), false
 	}
 	return err
 }
 
 // reap forgets processes that have ended; the lock is held.
-func (n *process) reap() {
-	kept := n.lives[:0]
-	for _, l := range n.lives {
+func (n *node) reap() {
+	kept := n.processes[:0]
+	for _, l := range n.processes {
 		select {
 		case <-l.Done():
 		default:
 			kept = append(kept, l)
 		}
 	}
-	n.lives = kept
+	n.processes = kept
 }
 
 func (p *Processes) signal(node int, s syscall.Signal, wait bool) {
 	n := p.nodes[node]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.lives {
+	for _, l := range n.processes {
 		l.Signal(s)
 		if wait {
 			<-l.Done()
@@ -225,23 +225,23 @@
 
 func (p *Processes) Freeze(node int) {
 	p.signal(node, syscall.SIGSTOP, false)
-	p.nodes[node].held = true
+	p.nodes[node].frozen = true
 }
 
 func (p *Processes) Thaw(node int) {
 	p.signal(node, syscall.SIGCONT, false)
-	p.nodes[node].held = false
+	p.nodes[node].frozen = false
 }
 
-func (p *Processes) Break(faults ...netfault.Fault) {
-	p.board.Set(netfault.New(from(int64(time.Since(p.began)), faults)))
+func (p *Processes) AddFaults(faults ...netfault.Fault) {
+	p.proxies.Set(netfault.New(from(int64(time.Since(p.startedAt)), faults)))
 }
 
-func (p *Processes) Mend() { p.board.Set(netfault.New(nil)) }
+func (p *Processes) ClearFaults() { p.proxies.Set(netfault.New(nil)) }
 
 func (p *Processes) Step() { time.Sleep(p.Round / 5) }
 
-func (p *Processes) Throw(to int, datagram []byte) { p.mesh.Throw((to+1)%len(p.nodes), to, datagram) }
+func (p *Processes) Inject(to int, datagram []byte) { p.mesh.Inject((to+1)%len(p.nodes), to, datagram) }
 
 func (p *Processes) Copied(from, to int) []byte { return p.mesh.Copied(from, to) }
 
@@ -250,10 +250,10 @@
 	n := p.nodes[node]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.lives) == 0 {
+	if len(n.processes) == 0 {
 		return 0
 	}
-	return n.lives[len(n.lives)-1].PID()
+	return n.processes[len(n.processes)-1].PID()
 }
 
 const askWithin = 2 * time.Second
@@ -285,7 +285,7 @@
 	for i, n := range p.nodes {
 		n.mu.Lock()
 		n.reap()
-		runs := len(n.lives) > 0 && !n.held
+		runs := len(n.processes) > 0 && !n.frozen
 		n.mu.Unlock()
 		if !runs {
 			continue
@@ -302,9 +302,9 @@
 }
 
 // Task has a node do one task, and tells how it was answered.
-func (p *Processes) Task(node, number int) error { return p.task(node, "view", number) }
+func (p *Processes) SendRequest(node, number int) error { return p.sendRequest(node, "view", number) }
 
-func (p *Processes) task(node int, category string, number int) error {
+func (p *Processes) sendRequest(node int, category string, number int) error {
 	c, err := net.DialTimeout("tcp", p.Listen(node), askWithin)
 	if err != nil {
 		return err
@@ -331,13 +331,13 @@
 	if p.mesh != nil {
 		p.mesh.Close()
 	}
-	if p.board != nil {
-		p.board.Close()
+	if p.proxies != nil {
+		p.proxies.Close()
 	}
-	if p.asks != nil {
-		p.asks.Close()
+	if p.discovery != nil {
+		p.discovery.Close()
 	}
-	for _, s := range p.plain {
+	for _, s := range p.endpoints {
 		s.l.Close()
 	}
 	if p.dir == "" {
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -79,7 +79,7 @@
 	for _, c := range Cases {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			if err := c.Play(processes(t, c.Nodes)); err != nil {
+			if err := c.Run(processes(t, c.Nodes)); err != nil {
 				t.Error(err)
 			}
 		})
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Error(err)
 	}
-	if err := Hold(p, calm, "the others lose nobody", neverSilent([]int{0, 1, 3, 4}, []int{0, 1, 3, 4})); err != nil {
+	if err := Hold(p, calm, "the others lose nobody", neverFailed([]int{0, 1, 3, 4}, []int{0, 1, 3, 4})); err != nil {
 		t.Error(err)
 	}
 }
@@ -152,12 +152,12 @@
 		}
 	}()
 	for n := range 200 {
-		if err := p.Task(0, n); err != nil {
+		if err := p.SendRequest(0, n); err != nil {
 			t.Errorf("task %d: %v", n, err)
 			break
 		}
 	}
-	err = Hold(p, 2*calm, "nobody is taken for silent", neverSilent(Numbers(0, 4), Numbers(0, 4)))
+	err = Hold(p, 2*calm, "nobody is taken for silent", neverFailed(Numbers(0, 4), Numbers(0, 4)))
 	close(over)
 	if sent := <-done; err != nil {
 		t.Error(err)
@@ -170,7 +170,7 @@
 func TestTheCommandShowsAView(t *testing.T) {
 	p := processes(t, 3)
 	p.Key = strings.Repeat("5a", 16)
-	if err := first(startAll(p), do(func() { p.Kill(2) }), until(p, notice, "the others know", Agree([]int{0, 1}, without(2)))); err != nil {
+	if err := inOrder(startAll(p), do(func() { p.Kill(2) }), until(p, notice, "the others know", Agree([]int{0, 1}, without(2)))); err != nil {
 		t.Fatal(err)
 	}
 	show := func(args ...string) string {
--- a/internal/lab/fleet/outside.go
+++ b/internal/lab/fleet/standins.go
@@ -15,35 +15,35 @@
 )
 
 // Server answers every task at once, and notes when each came.
-type Server struct {
+type Endpoint struct {
 	Name string
 
-	l     net.Listener
-	mu    sync.Mutex
-	came  []time.Time
-	tasks map[string]int
-	open  map[net.Conn]bool
-	down  bool
-	note  func(Arrival)
+	l        net.Listener
+	mu       sync.Mutex
+	arrivals []time.Time
+	requests map[string]int
+	open     map[net.Conn]bool
+	down     bool
+	observer func(Arrival)
 }
 
 // Arrival is one task as a server saw it.
 type Arrival struct {
-	Task           string
-	Came, Answered time.Time
-	Closed         time.Time // when the connection was seen to end, for the last task on it
+	Request               string
+	ArrivedAt, AnsweredAt time.Time
+	ClosedAt              time.Time // when the connection was seen to end, for the last task on it
 }
 
 // Note has every task told to a function once it is answered, by the server's goroutine, and the last one of a connection again when
 // that has ended.
-func (s *Server) Note(one func(Arrival)) {
+func (s *Endpoint) Observe(one func(Arrival)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.note = one
+	s.observer = one
 }
 
 // Down has the server close all connections, and every new one at once, or brings it back.
-func (s *Server) Down(down bool) {
+func (s *Endpoint) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
@@ -53,42 +53,42 @@
 }
 
 // begin notes a connection; false: the server is down.
-func (s *Server) begin(c net.Conn) bool {
+func (s *Endpoint) begin(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[c] = true
 	return !s.down
 }
 
-func (s *Server) end(c net.Conn) {
+func (s *Endpoint) end(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, c)
 }
 
 // Came are the moments at which tasks came, in order.
-func (s *Server) Came() []time.Time {
+func (s *Endpoint) Arrivals() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]time.Time(nil), s.came...)
+	return append([]time.Time(nil), s.arrivals...)
 }
 
-func newServer(name string) (*Server, error) {
-	s := &Server{Name: name, tasks: map[string]int{}, open: map[net.Conn]bool{}}
+func newEndpoint(name string) (*Endpoint, error) {
+	s := &Endpoint{Name: name, requests: map[string]int{}, open: map[net.Conn]bool{}}
 	var err error
 	s.l, err = serve(s.answer)
 	return s, err
 }
 
-func (s *Server) answer(c net.Conn) {
+func (s *Endpoint) answer(c net.Conn) {
 	defer s.end(c)
 	if !s.begin(c) {
 		return
 	}
 	var last Arrival
 	defer func() {
-		if last.Closed = time.Now(); last.Task != "" {
-			s.tell(last)
+		if last.ClosedAt = time.Now(); last.Request != "" {
+			s.notify(last)
 		}
 	}()
 	for in := bufio.NewReader(c); ; {
@@ -97,22 +97,22 @@
 			return
 		}
 		io.Copy(io.Discard, r.Body)
-		last = Arrival{Task: r.Header.Get("X-Txn"), Came: time.Now()}
+		last = Arrival{Request: r.Header.Get("X-Txn"), ArrivedAt: time.Now()}
 		s.mu.Lock()
-		s.came = append(s.came, last.Came)
-		s.tasks[last.Task]++
+		s.arrivals = append(s.arrivals, last.ArrivedAt)
+		s.requests[last.Request]++
 		s.mu.Unlock()
-		last.Answered = time.Now() // before the answer is written, so that nobody can know of it earlier
-		s.tell(last)
+		last.AnsweredAt = time.Now() // before the answer is written, so that nobody can know of it earlier
+		s.notify(last)
 		if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Pressure: queue=0\r\nContent-Length: 2\r\n\r\nok"); err != nil {
 			return
 		}
 	}
 }
 
-func (s *Server) tell(a Arrival) {
+func (s *Endpoint) notify(a Arrival) {
 	s.mu.Lock()
-	note := s.note
+	note := s.observer
 	s.mu.Unlock()
 	if note != nil {
 		note(a)
@@ -120,32 +120,32 @@
 }
 
 // Listing is one server as discovery tells it.
-type Listing struct {
-	Server  *Server
-	Health  string // up, draining or removed
-	Started int64  // milliseconds; 0: long ago
+type ListEntry struct {
+	Endpoint  *Endpoint
+	State     string // up, draining or removed
+	StartedMs int64  // milliseconds; 0: long ago
 }
 
 // Discovery tells every watch the same list, whole each time.
 type Discovery struct {
 	l net.Listener
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	version int64
-	list    []Listing
-	down    bool
-	over    bool
-	most    int // watches at a time; 0: any number
-	conns   map[net.Conn]bool
+	mu         sync.Mutex
+	changed    *sync.Cond
+	version    int64
+	list       []ListEntry
+	down       bool
+	closed     bool
+	maxWatches int // watches at a time; 0: any number
+	conns      map[net.Conn]bool
 }
 
 func newDiscovery() (*Discovery, error) {
 	d := &Discovery{conns: map[net.Conn]bool{}}
 	d.changed = sync.NewCond(&d.mu)
 	var err error
-	d.l, err = serve(d.follow)
-	go d.remind()
+	d.l, err = serve(d.serveWatch)
+	go d.sendKeepAlives()
 	return d, err
 }
 
@@ -153,7 +153,7 @@
 func (d *Discovery) Address() string { return d.l.Addr().String() }
 
 // Tell has all watches told a list of a version, which may be lower than one before.
-func (d *Discovery) Tell(version int64, list ...Listing) {
+func (d *Discovery) SetList(version int64, list ...ListEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version, d.list = version, list
@@ -161,7 +161,7 @@
 }
 
 // Down ends all watches and takes no call, or brings discovery back.
-func (d *Discovery) Down(down bool) {
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
@@ -172,17 +172,17 @@
 }
 
 // Most has discovery take no call while so many follow it; 0: any number.
-func (d *Discovery) Most(watches int) {
+func (d *Discovery) LimitWatches(watches int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.most = watches
+	d.maxWatches = watches
 }
 
 // remind has every watch told an empty line now and then, until discovery's socket is closed.
-func (d *Discovery) remind() {
+func (d *Discovery) sendKeepAlives() {
 	for ; ; time.Sleep(time.Second) {
 		d.mu.Lock()
-		over := d.over
+		over := d.closed
 		d.mu.Unlock()
 		if over {
 			return
@@ -193,9 +193,9 @@
 
 // Close ends it.
 func (d *Discovery) Close() {
-	d.Down(true)
+	d.SetDown(true)
 	d.mu.Lock()
-	d.over = true
+	d.closed = true
 	d.mu.Unlock()
 	d.l.Close()
 }
@@ -207,21 +207,21 @@
 	return len(d.conns)
 }
 
-func (d *Discovery) text() string {
+func (d *Discovery) encodeList() string {
 	var hosts []string
 	for _, l := range d.list {
-		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,"health":%q,"share":1.0,"born_ms":%d}`, l.Server.Name, l.Server.l.Addr(), l.Health, l.Started))
+		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,"health":%q,"share":1.0,"born_ms":%d}`, l.Endpoint.Name, l.Endpoint.l.Addr(), l.State, l.StartedMs))
 	}
 	return fmt.Sprintf("{\"seq\":%d,\"whole\":true,\"hosts\":[%s]}\n", d.version, strings.Join(hosts, ","))
 }
 
-func (d *Discovery) follow(c net.Conn) {
+func (d *Discovery) serveWatch(c net.Conn) {
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.down || d.most > 0 && len(d.conns) >= d.most {
+	if d.down || d.maxWatches > 0 && len(d.conns) >= d.maxWatches {
 		return
 	}
 	d.conns[c] = true
@@ -235,7 +235,7 @@
 		return
 	}
 	for told := ""; !d.down; d.changed.Wait() {
-		text := d.text()
+		text := d.encodeList()
 		if text == told {
 			text = "\n"
 		} else {
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -14,21 +14,21 @@
 // mostCopied nodes at most have a message of each way kept: in a large fleet these would be most of the memory.
 const mostCopied = 64
 
-type happening struct {
+type event struct {
 	at  int64
 	seq uint64
 	do  func()
 }
 
-type happenings []happening
+type eventQueue []event
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
+func (h eventQueue) Len() int { return len(h) }
+func (h eventQueue) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventQueue) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
@@ -36,57 +36,57 @@
 
 // Virtual is a fleet in virtual time.
 type Virtual struct {
-	Round   int64
-	Way     int64 // of a datagram, nanoseconds
-	Skew    []int64
-	Skip    func(to int, datagram []byte) []byte // what a later or earlier version would make of a datagram; nil: nothing
-	now     int64
-	seq     uint64
-	due     happenings
-	nodes   []*simulated
-	names   []string
-	faults  *netfault.Schedule
-	numbers map[[2]int]uint64
-	copied  map[[2]int][]byte
-	draw    *rand.Rand
-}
-
-type simulated struct {
-	fleet  *Virtual
-	index  int
-	lives  int
-	view   *members.Members
-	frozen bool
-	missed bool     // a beat while it was frozen
-	waits  []func() // what came then
+	Round         int64
+	LinkDelay     int64 // of a datagram, nanoseconds
+	ClockOffsets  []int64
+	Transform     func(to int, datagram []byte) []byte // what a later or earlier version would make of a datagram; nil: nothing
+	now           int64
+	seq           uint64
+	events        eventQueue
+	nodes         []*simulatedNode
+	names         []string
+	faults        *netfault.Schedule
+	messageCounts map[[2]int]uint64
+	copied        map[[2]int][]byte
+	random        *rand.Rand
+}
+
+type simulatedNode struct {
+	fleet        *Virtual
+	index        int
+	incarnations int
+	membership   *members.Members
+	frozen       bool
+	missedTick   bool     // a beat while it was frozen
+	backlog      []func() // what came then
 }
 
 // NewVirtual makes a fleet of which nobody runs yet.
 func NewVirtual(nodes int, seed uint64) *Virtual {
 	v := &Virtual{
-		Round: 500e6, Way: 500e3, Skew: make([]int64, nodes), now: 1_700_000_000e9, numbers: map[[2]int]uint64{}, copied: map[[2]int][]byte{},
-		faults: netfault.New(nil), draw: rand.New(rand.NewPCG(seed, 5)),
+		Round: 500e6, LinkDelay: 500e3, ClockOffsets: make([]int64, nodes), now: 1_700_000_000e9, messageCounts: map[[2]int]uint64{}, copied: map[[2]int][]byte{},
+		faults: netfault.New(nil), random: rand.New(rand.NewPCG(seed, 5)),
 	}
 	for i := range nodes {
 		v.names = append(v.names, fmt.Sprintf("n%d", i))
-		v.nodes = append(v.nodes, &simulated{fleet: v, index: i})
+		v.nodes = append(v.nodes, &simulatedNode{fleet: v, index: i})
 	}
 	return v
 }
 
 func (v *Virtual) at(when int64, do func()) {
 	v.seq++
-	heap.Push(&v.due, happening{when, v.seq, do})
+	heap.Push(&v.events, event{when, v.seq, do})
 }
 
 // Run lets time pass.
 func (v *Virtual) Run(long int64) {
 	for end := v.now + long; ; {
-		if len(v.due) == 0 || v.due[0].at > end {
+		if len(v.events) == 0 || v.events[0].at > end {
 			v.now = end
 			return
 		}
-		next := heap.Pop(&v.due).(happening)
+		next := heap.Pop(&v.events).(event)
 		v.now = next.at
 		next.do()
 	}
@@ -96,44 +96,44 @@
 func (v *Virtual) Now() int64 { return v.now }
 
 // Members of one node; nil if it does not run.
-func (v *Virtual) Members(node int) *members.Members { return v.nodes[node].view }
+func (v *Virtual) Members(node int) *members.Members { return v.nodes[node].membership }
 
 func (v *Virtual) Len() int { return len(v.nodes) }
 func (v *Virtual) Step()    { v.Run(v.Round / 5) }
 
-func (s *simulated) clock() int64 { return s.fleet.now + s.fleet.Skew[s.index] }
+func (s *simulatedNode) clock() int64 { return s.fleet.now + s.fleet.ClockOffsets[s.index] }
 
 func (v *Virtual) Start(node int) error {
 	s := v.nodes[node]
-	if s.view != nil {
+	if s.membership != nil {
 		return fmt.Errorf("n%d: two processes of a name are for sockets", node)
 	}
-	s.lives++
+	s.incarnations++
 	var err error
-	s.view, err = members.New(members.Config{Name: v.names[node], Nodes: v.names, RoundNs: v.Round, Seed: v.draw.Uint64(), RunID: uint32(v.draw.Uint32())}, s, s.clock())
+	s.membership, err = members.New(members.Config{Name: v.names[node], Nodes: v.names, RoundNs: v.Round, Seed: v.random.Uint64(), RunID: uint32(v.random.Uint32())}, s, s.clock())
 	if err != nil {
 		return err
 	}
-	life := s.lives
+	life := s.incarnations
 	var beat func()
 	beat = func() {
-		if s.lives != life || s.view == nil {
+		if s.incarnations != life || s.membership == nil {
 			return
 		}
-		if s.missed = s.frozen; !s.frozen {
-			s.view.Tick(s.clock())
+		if s.missedTick = s.frozen; !s.frozen {
+			s.membership.Tick(s.clock())
 		}
 		v.at(v.now+v.Round/10, beat)
 	}
-	v.at(v.now+int64(v.draw.Uint64()%uint64(v.Round/10)), beat)
+	v.at(v.now+int64(v.random.Uint64()%uint64(v.Round/10)), beat)
 	return nil
 }
 
 // enter has a node do something, once it is not held any more.
-func (s *simulated) enter(do func()) {
+func (s *simulatedNode) run(do func()) {
 	if s.frozen {
-		if len(s.waits) < 256 {
-			s.waits = append(s.waits, do)
+		if len(s.backlog) < 256 {
+			s.backlog = append(s.backlog, do)
 		}
 		return
 	}
@@ -141,17 +141,17 @@
 }
 
 // Send carries a datagram over the ways as they are.
-func (s *simulated) Send(to int, datagram []byte) {
+func (s *simulatedNode) Send(to int, datagram []byte) {
 	v := s.fleet
 	way := [2]int{s.index, to}
-	v.numbers[way]++
-	if v.Skip != nil {
-		datagram = v.Skip(to, datagram)
+	v.messageCounts[way]++
+	if v.Transform != nil {
+		datagram = v.Transform(to, datagram)
 	}
 	if len(v.nodes) <= mostCopied && v.copied[way] == nil {
 		v.copied[way] = datagram
 	}
-	p := v.faults.FateOf(v.now, netfault.End{Index: s.index}, netfault.End{Index: to}, v.numbers[way], len(datagram))
+	p := v.faults.FateOf(v.now, netfault.End{Index: s.index}, netfault.End{Index: to}, v.messageCounts[way], len(datagram))
 	if p.Lost {
 		return
 	}
@@ -159,19 +159,19 @@
 		datagram = append([]byte(nil), datagram...)
 		datagram[p.CorruptByte] ^= 0x55
 	}
-	after := v.Way + int64(v.draw.Uint64()%uint64(v.Way/4+1)) + p.Delay
-	v.at(v.now+after, func() { v.Throw(to, datagram) })
+	after := v.LinkDelay + int64(v.random.Uint64()%uint64(v.LinkDelay/4+1)) + p.Delay
+	v.at(v.now+after, func() { v.Inject(to, datagram) })
 	if p.DuplicateAfter > 0 {
-		v.at(v.now+after+p.DuplicateAfter, func() { v.Throw(to, datagram) })
+		v.at(v.now+after+p.DuplicateAfter, func() { v.Inject(to, datagram) })
 	}
 }
 
-func (v *Virtual) Throw(to int, datagram []byte) {
-	if s := v.nodes[to]; s.view != nil {
-		view := s.view
-		s.enter(func() {
-			if s.view == view {
-				s.view.Receive(s.clock(), datagram)
+func (v *Virtual) Inject(to int, datagram []byte) {
+	if s := v.nodes[to]; s.membership != nil {
+		view := s.membership
+		s.run(func() {
+			if s.membership == view {
+				s.membership.Receive(s.clock(), datagram)
 			}
 		})
 	}
@@ -181,12 +181,12 @@
 
 func (v *Virtual) Kill(node int) {
 	s := v.nodes[node]
-	s.view, s.waits, s.frozen, s.missed = nil, nil, false, false
+	s.membership, s.backlog, s.frozen, s.missedTick = nil, nil, false, false
 }
 
 func (v *Virtual) Stop(node int) {
-	if s := v.nodes[node]; s.view != nil {
-		s.view.Leave()
+	if s := v.nodes[node]; s.membership != nil {
+		s.membership.Leave()
 	}
 	v.Kill(node)
 }
@@ -195,19 +195,19 @@
 
 func (v *Virtual) Thaw(node int) {
 	s := v.nodes[node]
-	waits, missed := s.waits, s.missed
-	s.frozen, s.missed, s.waits = false, false, nil
-	if missed && s.view != nil { // of the beats that a ticker missed it makes up for one
-		s.view.Tick(s.clock())
+	waits, missed := s.backlog, s.missedTick
+	s.frozen, s.missedTick, s.backlog = false, false, nil
+	if missed && s.membership != nil { // of the beats that a ticker missed it makes up for one
+		s.membership.Tick(s.clock())
 	}
 	for _, do := range waits {
-		if s.view != nil {
+		if s.membership != nil {
 			do()
 		}
 	}
 }
 
-func (v *Virtual) Break(faults ...netfault.Fault) {
+func (v *Virtual) AddFaults(faults ...netfault.Fault) {
 	v.faults = netfault.New(from(v.now, faults))
 }
 
@@ -224,13 +224,13 @@
 	return out
 }
 
-func (v *Virtual) Mend() { v.faults = netfault.New(nil) }
+func (v *Virtual) ClearFaults() { v.faults = netfault.New(nil) }
 
 func (v *Virtual) Views() []*members.View {
 	out := make([]*members.View, len(v.nodes))
 	for i, s := range v.nodes {
-		if s.view != nil && !s.frozen {
-			view := s.view.View(s.clock())
+		if s.membership != nil && !s.frozen {
+			view := s.membership.View(s.clock())
 			out[i] = &view
 		}
 	}
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -11,7 +11,7 @@
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 5; seed++ {
-				if err := c.Play(NewVirtual(c.Nodes, seed)); err != nil {
+				if err := c.Run(NewVirtual(c.Nodes, seed)); err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
 			}
@@ -22,10 +22,10 @@
 // TestClocksAMinuteOff has clocks a minute apart, one of which is set back by two minutes before its node starts anew.
 func TestClocksAMinuteOff(t *testing.T) {
 	f := NewVirtual(6, 1)
-	f.Skew[1], f.Skew[2] = 60e9, -60e9
+	f.ClockOffsets[1], f.ClockOffsets[2] = 60e9, -60e9
 	var start uint64
-	err := first(startAll(f),
-		do(func() { start = f.Views()[1].Incarnation; f.Kill(1); f.Skew[1] = -60e9; f.Step() }),
+	err := inOrder(startAll(f),
+		do(func() { start = f.Views()[1].Incarnation; f.Kill(1); f.ClockOffsets[1] = -60e9; f.Step() }),
 		func() error { return f.Start(1) },
 		until(f, meet, "the new start goes before the old, though its clock is behind", func(views []*members.View) bool {
 			for _, v := range views {
@@ -35,7 +35,7 @@
 			}
 			return true
 		}),
-		hold(f, calm, "nobody is taken for silent", neverSilent(Numbers(0, 6), Numbers(0, 6))))
+		hold(f, calm, "nobody is taken for silent", neverFailed(Numbers(0, 6), Numbers(0, 6))))
 	if err != nil {
 		t.Error(err)
 	}
@@ -46,10 +46,10 @@
 	const n = 120
 	f := NewVirtual(n, 2)
 	a, b := Numbers(0, n/2), Numbers(n/2, n)
-	err := first(startAll(f),
-		do(func() { f.Break(cut(a, b, false)) }),
+	err := inOrder(startAll(f),
+		do(func() { f.AddFaults(cut(a, b, false)) }),
 		until(f, notice, "two views", func(views []*members.View) bool { return Agree(a, sides(a))(views) && Agree(b, sides(b))(views) }),
-		do(f.Mend),
+		do(f.ClearFaults),
 		until(f, rejoin, "one view", Agree(Numbers(0, n), Each("up"))))
 	if err != nil {
 		t.Error(err)
@@ -62,7 +62,7 @@
 		if err := startAll(f)(); err != nil {
 			t.Fatal(err)
 		}
-		f.Break(drop(20, 0.3, 2))
+		f.AddFaults(drop(20, 0.3, 2))
 		f.Run(20e9)
 		out := ""
 		for _, v := range f.Views() {
@@ -81,7 +81,7 @@
 	if err := startAll(f)(); err != nil {
 		t.Fatal(err)
 	}
-	f.Break(cut([]int{0}, []int{1}, true))
+	f.AddFaults(cut([]int{0}, []int{1}, true))
 	f.Run(60 * f.Round)
 	for i, c := range f.Counts() {
 		if c.Suspicions != 0 {
--- a/internal/lab/result/compare.go
+++ b/internal/lab/result/compare.go
@@ -31,8 +31,8 @@
 	NameB       string       `json:"name_b"`
 	Pairs       int          `json:"pairs"`
 	Void        int          `json:"void"` // pairs left out, as the machine ran late
-	BrokenA     int          `json:"rules_broken_a"`
-	BrokenB     int          `json:"rules_broken_b"`
+	ViolationsA int          `json:"rules_broken_a"`
+	ViolationsB int          `json:"rules_broken_b"`
 	Differences []Difference `json:"differences"`
 }
 
@@ -47,8 +47,8 @@
 		if a[i].Drawn != b[i].Drawn {
 			return nil, fmt.Errorf("pair %d is not of one plan: %v and %v", i, a[i].Drawn, b[i].Drawn)
 		}
-		c.BrokenA += a[i].RulesBroken
-		c.BrokenB += b[i].RulesBroken
+		c.ViolationsA += a[i].ViolationCount
+		c.ViolationsB += b[i].ViolationCount
 		if a[i].Verdict == Void || b[i].Verdict == Void {
 			c.Void++
 			continue
@@ -60,15 +60,15 @@
 		name string
 		of   func(*Result) float64
 	}{
-		{"earnings_in_time", func(r *Result) float64 { return r.Part }},
+		{"earnings_in_time", func(r *Result) float64 { return r.WeightShare }},
 		{"worst_10s", func(r *Result) float64 { return r.Worst(10) }},
-		{"worst_category", func(r *Result) float64 { return r.WorstCategory() }},
-		{"satisfied", func(r *Result) float64 { return float64(r.Satisfied) }},
-		{"declined", func(r *Result) float64 { return float64(r.Declined) }},
-		{"broken_off", func(r *Result) float64 { return float64(r.BrokenOff) }},
-		{"p50_ms", func(r *Result) float64 { return r.P50 }},
-		{"p99_ms", func(r *Result) float64 { return r.P99 }},
-		{"hand_offs", func(r *Result) float64 { return float64(r.HandOffs.Sent) }},
+		{"worst_category", func(r *Result) float64 { return r.WorstClass() }},
+		{"satisfied", func(r *Result) float64 { return float64(r.Succeeded) }},
+		{"declined", func(r *Result) float64 { return float64(r.Rejected) }},
+		{"broken_off", func(r *Result) float64 { return float64(r.Failed) }},
+		{"p50_ms", func(r *Result) float64 { return r.P50Ms }},
+		{"p99_ms", func(r *Result) float64 { return r.P99Ms }},
+		{"hand_offs", func(r *Result) float64 { return float64(r.Attempts.Sent) }},
 		{"cpu_s", func(r *Result) float64 {
 			sum := 0.0
 			for _, n := range r.Nodes {
@@ -107,5 +107,5 @@
 		}
 		fmt.Fprintf(w, "%18s %12.4f %12.4f %12.4f   %s\n", d.Name, d.MeanA, d.MeanB, d.Mean, interval)
 	}
-	fmt.Fprintf(w, "rules broken: A %d, B %d\n", c.BrokenA, c.BrokenB)
+	fmt.Fprintf(w, "rules broken: A %d, B %d\n", c.ViolationsA, c.ViolationsB)
 }
--- a/internal/lab/result/ways.go
+++ b/internal/lab/result/links.go
@@ -75,7 +75,7 @@
 }
 
 // printWays writes both for a terminal.
-func (r *Result) printWays(w io.Writer) {
+func (r *Result) printLinks(w io.Writer) {
 	for _, line := range reachLines(r.Reach) {
 		fmt.Fprintf(w, "reach %s\n", line)
 	}
--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -35,9 +35,9 @@
 }
 
 const (
-	mostServersDrawn = 24
-	leastHeld        = 0.1 // tasks at a server, on average, below which their spread is chance
-	spreadTitle      = "Spread of the tasks held over the servers"
+	maxEndpointsDrawn = 24
+	minInFlight       = 0.1 // tasks at a server, on average, below which their spread is chance
+	spreadTitle       = "Spread of the tasks held over the servers"
 )
 
 // line is one curve of a plot.
@@ -119,10 +119,10 @@
 }
 
 // together is one count of what all nodes did, by second.
-func (r *Result) together(name string, of func(*trace.FleetActivity) int) line {
+func (r *Result) activity(name string, of func(*trace.FleetActivity) int) line {
 	l := line{name: name}
-	for i := range r.Together {
-		l.x, l.y = append(l.x, float64(i)+0.5), append(l.y, float64(of(&r.Together[i])))
+	for i := range r.Activity {
+		l.x, l.y = append(l.x, float64(i)+0.5), append(l.y, float64(of(&r.Activity[i])))
 	}
 	return l
 }
@@ -147,7 +147,7 @@
 		for i, h := range s.InFlight {
 			held[i] = float64(h)
 		}
-		if mean, deviation := stat.MeanStdDev(held, nil); len(held) > 1 && mean > leastHeld {
+		if mean, deviation := stat.MeanStdDev(held, nil); len(held) > 1 && mean > minInFlight {
 			sum, n = sum+deviation/mean, n+1
 		}
 	}
@@ -156,23 +156,23 @@
 }
 
 // Beside writes one page on several results of a day, a curve for each under its name.
-func Beside(w io.Writer, names []string, results []*Result) error {
+func WriteComparisonPage(w io.Writer, names []string, results []*Result) error {
 	wanted := []struct {
 		title, unit string
 		of          func(*Result, string) line
 	}{
 		{"Earnings in time, part of what came in the second", "part", func(r *Result, name string) line {
-			return r.bySecond(name, func(t *Tally) float64 { return t.Part })
+			return r.bySecond(name, func(t *Tally) float64 { return t.WeightShare })
 		}},
 		{"Answer times of satisfied tasks, 99th percentile", "ms", func(r *Result, name string) line {
-			return r.bySecond(name, func(t *Tally) float64 { return t.P99 })
+			return r.bySecond(name, func(t *Tally) float64 { return t.P99Ms })
 		}},
 		{spreadTitle, "deviation over mean", (*Result).spread},
 		{"Connections opened by all nodes", "in the second", func(r *Result, name string) line {
-			return r.together(name, func(t *trace.FleetActivity) int { return t.Connections })
+			return r.activity(name, func(t *trace.FleetActivity) int { return t.Connections })
 		}},
 		{"Resends and second copies of all nodes", "in the second", func(r *Result, name string) line {
-			return r.together(name, func(t *trace.FleetActivity) int { return t.Retries + t.Hedged })
+			return r.activity(name, func(t *trace.FleetActivity) int { return t.Retries + t.Hedged })
 		}},
 	}
 	var plots []template.HTML
@@ -191,16 +191,16 @@
 }
 
 // Page writes the report.
-func (r *Result) Page(w io.Writer) error {
+func (r *Result) WritePage(w io.Writer) error {
 	states := func(name string, of func(*Tally) int) line {
 		return r.bySecond(name, func(t *Tally) float64 { return float64(of(t)) })
 	}
 	var servers []line
-	for i, name := range r.Servers {
-		if i == mostServersDrawn {
+	for i, name := range r.Endpoints {
+		if i == maxEndpointsDrawn {
 			break
 		}
-		at, held := heldBy(r.Loads, i)
+		at, held := inFlightAt(r.Loads, i)
 		servers = append(servers, line{name, at, held})
 	}
 	if len(servers) > 8 {
@@ -213,22 +213,22 @@
 		lines       []line
 	}
 	wanted := []plotted{
-		{"Earnings in time, part of what came in the second", "part", []line{r.bySecond("", func(t *Tally) float64 { return t.Part })}},
+		{"Earnings in time, part of what came in the second", "part", []line{r.bySecond("", func(t *Tally) float64 { return t.WeightShare })}},
 		{"Answer times of satisfied tasks, from when they were due", "ms", []line{
-			r.bySecond("p50", func(t *Tally) float64 { return t.P50 }), r.bySecond("p90", func(t *Tally) float64 { return t.P90 }),
-			r.bySecond("p99", func(t *Tally) float64 { return t.P99 }),
+			r.bySecond("p50", func(t *Tally) float64 { return t.P50Ms }), r.bySecond("p90", func(t *Tally) float64 { return t.P90Ms }),
+			r.bySecond("p99", func(t *Tally) float64 { return t.P99Ms }),
 		}},
 		{"Tasks by their end", "tasks due in the second", []line{
-			states("satisfied", func(t *Tally) int { return t.Satisfied }), states("declined", func(t *Tally) int { return t.Declined }),
-			states("broken off", func(t *Tally) int { return t.BrokenOff }), states("lost", func(t *Tally) int { return t.Lost }),
+			states("satisfied", func(t *Tally) int { return t.Succeeded }), states("declined", func(t *Tally) int { return t.Rejected }),
+			states("broken off", func(t *Tally) int { return t.Failed }), states("lost", func(t *Tally) int { return t.Lost }),
 		}},
 		{"Tasks held by each server", "tasks", servers},
 	}
 	if len(r.Loads) > 0 {
 		wanted = append(wanted, plotted{spreadTitle, "deviation over mean", []line{r.spread("")}})
 	}
-	if len(r.Together) > 0 {
-		all := r.together
+	if len(r.Activity) > 0 {
+		all := r.activity
 		wanted = append(wanted, plotted{"What all nodes do together, beside the tasks", "in the second", []line{
 			all("resends", func(t *trace.FleetActivity) int { return t.Retries }), all("copies", func(t *trace.FleetActivity) int { return t.Hedged }),
 			all("connections", func(t *trace.FleetActivity) int { return t.Connections }), all("calls for the list", func(t *trace.FleetActivity) int { return t.ListCalls }),
@@ -239,7 +239,7 @@
 		by := func(name string, of []int) line {
 			l := line{name: name}
 			for i, n := range of {
-				l.x, l.y = append(l.x, float64(r.Runs[i].At)/1e9), append(l.y, float64(n))
+				l.x, l.y = append(l.x, float64(r.Running[i].At)/1e9), append(l.y, float64(n))
 			}
 			return l
 		}
@@ -258,8 +258,8 @@
 		*Tally
 	}
 	var rows []row
-	for _, name := range slices.Sorted(maps.Keys(r.Categories)) {
-		rows = append(rows, row{name, r.Categories[name]})
+	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
+		rows = append(rows, row{name, r.Classes[name]})
 	}
 	rows = append(rows, row{"all", &r.Tally})
 	return page.Execute(w, map[string]any{"R": r, "Rows": rows, "Plots": plots, "Reach": reachLines(r.Reach)})
@@ -272,7 +272,7 @@
 td:first-child,th:first-child{text-align:left}svg{width:100%;height:auto;margin:.6em 0}
 </style></head><body><h1>{{(index .Results 0).Scenario}}, side by side</h1>
 <table><tr><th></th><th>tasks</th><th>satisfied</th><th>earnings in time</th><th>p50 ms</th><th>p99 ms</th><th>rules broken</th></tr>
-{{range $i, $r := .Results}}<tr><td>{{index $.Names $i}}</td>{{with $r}}<td>{{.Tasks}}</td><td>{{.Satisfied}}</td><td>{{printf "%.4f" .Part}}</td><td>{{printf "%.1f" .P50}}</td><td>{{printf "%.1f" .P99}}</td><td>{{.RulesBroken}}</td>{{end}}</tr>
+{{range $i, $r := .Results}}<tr><td>{{index $.Names $i}}</td>{{with $r}}<td>{{.Operations}}</td><td>{{.Succeeded}}</td><td>{{printf "%.4f" .WeightShare}}</td><td>{{printf "%.1f" .P50Ms}}</td><td>{{printf "%.1f" .P99Ms}}</td><td>{{.ViolationCount}}</td>{{end}}</tr>
 {{end}}</table>{{range .Plots}}{{.}}{{end}}</body></html>
 `))
 
@@ -283,18 +283,18 @@
 td:first-child,th:first-child{text-align:left}svg{width:100%;height:auto;margin:.6em 0}.bad{color:#b00020}
 </style></head><body>
 <h1>{{.R.Scenario}}: {{.R.Verdict}}</h1><p>{{.R.About}}</p>
-<p>Seed {{.R.Drawn.Seed}}, plan {{.R.Drawn.Plan}}, {{.R.LengthS}} s, {{len .R.Servers}} servers, {{len .R.Nodes}} nodes. The rig itself ran late by
-{{printf "%.1f" .R.LateMs}} ms at most in all but a twentieth of the time.</p>
+<p>Seed {{.R.Drawn.Seed}}, plan {{.R.Drawn.Plan}}, {{.R.LengthS}} s, {{len .R.Endpoints}} servers, {{len .R.Nodes}} nodes. The rig itself ran late by
+{{printf "%.1f" .R.LagMs}} ms at most in all but a twentieth of the time.</p>
 {{range .R.Missed}}<p class="bad">Not as expected: {{.}}</p>{{end}}
 <table><tr><th></th><th>tasks</th><th>satisfied</th><th>declined</th><th>broken off</th><th>lost</th><th>left</th><th>earnings in time</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
-{{range .Rows}}<tr><td>{{.Name}}</td><td>{{.Tasks}}</td><td>{{.Satisfied}}</td><td>{{.Declined}}</td><td>{{.BrokenOff}}</td><td>{{.Lost}}</td><td>{{.Left}}</td><td>{{printf "%.4f" .Part}}</td><td>{{printf "%.1f" .P50}}</td><td>{{printf "%.1f" .P99}}</td><td>{{printf "%.1f" .P999}}</td></tr>
+{{range .Rows}}<tr><td>{{.Name}}</td><td>{{.Operations}}</td><td>{{.Succeeded}}</td><td>{{.Rejected}}</td><td>{{.Failed}}</td><td>{{.Lost}}</td><td>{{.Canceled}}</td><td>{{printf "%.4f" .WeightShare}}</td><td>{{printf "%.1f" .P50Ms}}</td><td>{{printf "%.1f" .P99Ms}}</td><td>{{printf "%.1f" .P999Ms}}</td></tr>
 {{end}}</table>
 {{range .Plots}}{{.}}{{end}}
 {{if .Reach}}<h2>Who could reach whom</h2><ul>{{range .Reach}}<li>{{.}}</li>{{end}}</ul>{{end}}
-<h2>Rules broken: {{.R.RulesBroken}}</h2><ul>{{range .R.Breaks}}<li class="bad">{{.}}</li>{{end}}</ul>
-<h2>Hand-offs</h2><p>{{with .R.HandOffs}}{{.Sent}} sent: {{.Satisfied}} satisfied, {{.TurnedAway}} turned away, {{.Errors}} errors, {{.Unanswered}} unanswered; double effects {{.Twice}}{{end}}</p>
+<h2>Rules broken: {{.R.ViolationCount}}</h2><ul>{{range .R.Violations}}<li class="bad">{{.}}</li>{{end}}</ul>
+<h2>Hand-offs</h2><p>{{with .R.Attempts}}{{.Sent}} sent: {{.Succeeded}} satisfied, {{.Rejected}} turned away, {{.Errors}} errors, {{.Unanswered}} unanswered; double effects {{.DoubleEffects}}{{end}}</p>
 <h2>Nodes</h2><table><tr><th>node</th><th>CPU s</th><th>MB at most</th><th>descriptors at most</th><th>starts</th><th>crashes</th></tr>
 {{range .R.Nodes}}<tr><td>{{.Node}}</td><td>{{printf "%.2f" .CPUSeconds}}</td><td>{{printf "%.0f" .MaxMemoryMB}}</td><td>{{.MaxDescriptors}}</td><td>{{.Starts}}</td><td>{{.Crashes}}</td></tr>{{end}}</table>
-{{if .R.Odd}}<h2>Seen besides</h2><ul>{{range $what, $n := .R.Odd}}<li>{{$what}}: {{$n}}</li>{{end}}</ul>{{end}}
+{{if .R.Oddities}}<h2>Seen besides</h2><ul>{{range $what, $n := .R.Oddities}}<li>{{$what}}: {{$n}}</li>{{end}}</ul>{{end}}
 </body></html>
 `))
--- a/internal/lab/result/text.go
+++ b/internal/lab/result/text.go
@@ -20,19 +20,19 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\ttasks\tsatisfied\tdeclined\tbroken off\tlost\tin time\tp50 ms\tp99 ms\tmost ms\t")
 	row := func(name string, a *Tally) {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t\n", name, a.Tasks-a.Left, a.Satisfied, a.Declined, a.BrokenOff, a.Lost, a.Part, a.P50, a.P99, a.Most)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t\n", name, a.Operations-a.Canceled, a.Succeeded, a.Rejected, a.Failed, a.Lost, a.WeightShare, a.P50Ms, a.P99Ms, a.MaxMs)
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.Categories)) {
-		row(name, r.Categories[name])
+	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
+		row(name, r.Classes[name])
 	}
 	row("all", &r.Tally)
 	t.Flush()
-	h := r.HandOffs
+	h := r.Attempts
 	fmt.Fprintf(w, "hand-offs %d: satisfied %d, turned away %d, errors %d, unanswered %d; double effects %d\n",
-		h.Sent, h.Satisfied, h.TurnedAway, h.Errors, h.Unanswered, h.Twice)
-	if len(r.Together) > 0 {
+		h.Sent, h.Succeeded, h.Rejected, h.Errors, h.Unanswered, h.DoubleEffects)
+	if len(r.Activity) > 0 {
 		var sum, most trace.FleetActivity
-		for _, t := range r.Together {
+		for _, t := range r.Activity {
 			sum.Connections, sum.ListCalls, sum.HealthChecks = sum.Connections+t.Connections, sum.ListCalls+t.ListCalls, sum.HealthChecks+t.HealthChecks
 			sum.Retries, sum.Hedged, sum.Gossip = sum.Retries+t.Retries, sum.Hedged+t.Hedged, sum.Gossip+t.Gossip+t.Members
 			most.Connections, most.ListCalls = max(most.Connections, t.Connections), max(most.ListCalls, t.ListCalls)
@@ -40,9 +40,9 @@
 		fmt.Fprintf(w, "all nodes together: %d connections (%d in the worst second), %d calls for the list (%d), %d resends, %d copies, %d probes, %d messages\n",
 			sum.Connections, most.Connections, sum.ListCalls, most.ListCalls, sum.Retries, sum.Hedged, sum.HealthChecks, sum.Gossip)
 	}
-	if c := r.Cold; c != nil {
+	if c := r.SlowStart; c != nil {
 		fmt.Fprintf(w, "cold servers %d, %d pushed over: the worst got %.1f requests of mean work where N = %.1f, %+.2f times the root of N over it; of those pushed by nodes that were told %.1f where N = %.1f, %+.2f\n",
-			c.Lives, c.Falls, c.All.Got, c.All.Budget, c.All.Over, c.Told.Got, c.Told.Budget, c.Told.Over)
+			c.Incarnations, c.Crashes, c.All.Load, c.All.Budget, c.All.Excess, c.Known.Load, c.Known.Budget, c.Known.Excess)
 	}
 	for _, n := range r.Nodes[:min(len(r.Nodes), mostNodes)] {
 		fmt.Fprintf(w, "node %d: %.2f s of CPU, %.0f MB and %d descriptors at most, started %d times\n", n.Node, n.CPUSeconds, n.MaxMemoryMB, n.MaxDescriptors, n.Starts)
@@ -50,14 +50,14 @@
 	if b := r.BadClients; b.Came > 0 {
 		fmt.Fprintf(w, "bad clients %d: %d got neither an error nor a close, %d were served\n", b.Came, b.Unanswered, b.Served)
 	}
-	for _, what := range slices.Sorted(maps.Keys(r.Odd)) {
-		fmt.Fprintf(w, "seen: %s, %d times\n", what, r.Odd[what])
+	for _, what := range slices.Sorted(maps.Keys(r.Oddities)) {
+		fmt.Fprintf(w, "seen: %s, %d times\n", what, r.Oddities[what])
 	}
-	r.printWays(w)
-	fmt.Fprintf(w, "rules broken: %d\n", r.RulesBroken)
-	for i, b := range r.Breaks {
+	r.printLinks(w)
+	fmt.Fprintf(w, "rules broken: %d\n", r.ViolationCount)
+	for i, b := range r.Violations {
 		if i == 10 {
-			fmt.Fprintf(w, "  and %d more\n", len(r.Breaks)-i)
+			fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-i)
 			break
 		}
 		fmt.Fprintf(w, "  %s\n", b)
@@ -66,6 +66,6 @@
 		fmt.Fprintf(w, "not as expected: %s\n", m)
 	}
 	if r.Verdict == Void {
-		fmt.Fprintf(w, "the machine ran late, by %.0f ms in a twentieth of the time or more: nothing can be said\n", r.LateMs)
+		fmt.Fprintf(w, "the machine ran late, by %.0f ms in a twentieth of the time or more: nothing can be said\n", r.LagMs)
 	}
 }
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -78,7 +78,7 @@
 				}
 			}
 			everybody := fleet.Ends(fleet.Numbers(0, n))
-			v.Break(netfault.Fault{Kind: netfault.Drop, From: everybody, To: everybody, Share: lost, Burst: 1, Seed: 11})
+			v.AddFaults(netfault.Fault{Kind: netfault.Drop, From: everybody, To: everybody, Share: lost, Burst: 1, Seed: 11})
 			began := v.Now()
 			for !allUp(v) {
 				if v.Now()-began > upWithin {
