--- a/cmd/fawnglade-lab/members.go
+++ b/cmd/fawnglade-lab/members.go
@@ -191,8 +191,8 @@
 }
 
 func membersLine(nodes int, loss float64, f *fleet.Figures) string {
-	known := slices.Sorted(slices.Values(f.DeathKnown))
+	known := slices.Sorted(slices.Values(f.DeathKnownS))
 	median, worst := known[len(known)/2], known[len(known)-1]
 	return fmt.Sprintf("%6d %5.2f %10.1f %10.1f %12.0f %12.1f %10.1f %8.1f %10.0f %10.0f",
-		nodes, loss, median, worst, f.Doubts, f.Silences, f.Sent, f.Most, f.Bytes, f.Watched)
+		nodes, loss, median, worst, f.SuspicionsPerHour, f.FailuresPerHour, f.SentPerS, f.MaxSentPerS, f.BytesPerS, f.WatchedS)
 }
