--- a/cmd/fawnglade-lab/scale.go
+++ b/cmd/fawnglade-lab/scale.go
@@ -31,11 +31,11 @@
 func (f *scaleFlags) figureFlags() map[string]*float64 {
 	return map[string]*float64{
 		"design-nodes":   &f.design.Nodes,
-		"design-servers": &f.design.Servers,
+		"design-servers": &f.design.Endpoints,
 		"design-tenants": &f.design.Tenants,
 		"limit-cores":    &f.limits.Cores,
-		"limit-bytes":    &f.limits.Bytes,
-		"limit-bytes-s":  &f.limits.Network,
+		"limit-bytes":    &f.limits.MemoryBytes,
+		"limit-bytes-s":  &f.limits.BytesPerSecond,
 	}
 }
 
@@ -56,12 +56,12 @@
 			"  fawnglade-lab scale --only decisions --sizes 1200,4000,12000,40000",
 		Args: cobra.NoArgs,
 	}
-	f := &scaleFlags{design: scale.TheDesign, limits: scale.TheLimits}
+	f := &scaleFlags{design: scale.DefaultDesign, limits: scale.DefaultLimits}
 	f.addTo(c)
 	c.RunE = func(c *cobra.Command, _ []string) error { return runScale(c, f) }
 	c.AddCommand(&cobra.Command{
 		Use: "hollow FILE", Short: "Run the hollow nodes of a file; scale starts this by itself", Hidden: true, Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return scale.Hollow(args[0], c.OutOrStdout()) },
+		RunE: func(c *cobra.Command, args []string) error { return scale.RunHollow(args[0], c.OutOrStdout()) },
 	})
 	return c
 }
@@ -77,11 +77,11 @@
 	flags.StringVar(&f.designPath, "design", "", "TOML with [design] and [limits] that go before the operators' figures")
 	flags.StringSliceVar(&f.from, "from", nil, "measure nothing: show files of --json, the later going before the earlier")
 	flags.Float64Var(&f.design.Nodes, "design-nodes", f.design.Nodes, "nodes to design for")
-	flags.Float64Var(&f.design.Servers, "design-servers", f.design.Servers, "servers to design for")
+	flags.Float64Var(&f.design.Endpoints, "design-servers", f.design.Endpoints, "servers to design for")
 	flags.Float64Var(&f.design.Tenants, "design-tenants", f.design.Tenants, "tenants to design for")
 	flags.Float64Var(&f.limits.Cores, "limit-cores", f.limits.Cores, "part of a core that control may use of a node")
-	flags.Float64Var(&f.limits.Bytes, "limit-bytes", f.limits.Bytes, "bytes of memory that it may use")
-	flags.Float64Var(&f.limits.Network, "limit-bytes-s", f.limits.Network, "bytes a second that it may send and receive")
+	flags.Float64Var(&f.limits.MemoryBytes, "limit-bytes", f.limits.MemoryBytes, "bytes of memory that it may use")
+	flags.Float64Var(&f.limits.BytesPerSecond, "limit-bytes-s", f.limits.BytesPerSecond, "bytes a second that it may send and receive")
 	// A stored result is shown as it was measured.
 	for _, name := range append([]string{"node"}, measurementFlags...) {
 		c.MarkFlagsMutuallyExclusive("from", name)
@@ -151,7 +151,7 @@
 	if f.designPath == "" {
 		return nil
 	}
-	if err := scale.Read(f.designPath, &f.design, &f.limits); err != nil {
+	if err := scale.ReadDesign(f.designPath, &f.design, &f.limits); err != nil {
 		return err
 	}
 	figures := f.figureFlags()
@@ -198,8 +198,8 @@
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	return scale.Run(c.Context(), scale.Options{
 		Only: f.only, Sizes: f.sizes, Command: commandLine(c),
-		Env: scale.Env{Node: node, Hollow: hollow, Quick: f.quick, Log: os.Stderr, Dir: dir},
-		Day: time.Now(), Design: f.design, Limits: f.limits, Machine: machine,
+		Env:  scale.Env{NodeCommand: node, HollowCommand: hollow, Quick: f.quick, Log: os.Stderr, Dir: dir},
+		Time: time.Now(), Design: f.design, Limits: f.limits, Machine: machine,
 	})
 }
 
--- a/cmd/fawnglade-lab/scale_test.go
+++ b/cmd/fawnglade-lab/scale_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	// By what the stand-in wrote and the node says it remembers, not by time.
-	if f := all["process.list"].Fit; math.Abs(f.Slope-124) > 5 || f.Breaks != 0 {
+	if f := all["process.list"].Fit; math.Abs(f.Slope-124) > 5 || f.BreaksBeyond != 0 {
 		t.Errorf("a list of %v bytes a server", f.Slope)
 	}
 	for _, p := range all["process.remembered"].Points {
--- a/internal/lab/scale/design.go
+++ b/internal/lab/scale/design.go
@@ -1,8 +1,5 @@
 package scale
 
-// This file owns the size to design for and what the operators allow there. Both are the letter's of the operators who asked for
-// this page; a file or a flag may put others in their place. It must never hold a measured figure.
-
 import (
 	"bytes"
 	"errors"
@@ -13,118 +10,131 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Design is the deployment that figures are drawn out to.
+// Design is the size of deployment that figures are extrapolated to.
 type Design struct {
-	Nodes          float64 `toml:"nodes" json:"nodes"`
-	Servers        float64 `toml:"servers" json:"servers"`
-	Services       float64 `toml:"services" json:"services"`
-	Routes         float64 `toml:"routes" json:"routes"`
-	Tenants        float64 `toml:"tenants" json:"tenants"`
-	Regions        float64 `toml:"regions" json:"regions"`
-	Zones          float64 `toml:"zones" json:"zones"`
-	Requests       float64 `toml:"requests_s" json:"requests_s"`                 // a second, of the fleet at its peak
-	Configurations float64 `toml:"configurations_day" json:"configurations_day"` // changes of configuration a day
-	Failures       float64 `toml:"failures_day" json:"failures_day"`             // machines that fail on an ordinary day
-	Restarts       float64 `toml:"restarts_day" json:"restarts_day"`             // machines that are restarted or replaced
-	ZoneServers    float64 `toml:"zone_servers" json:"zone_servers"`             // that go at once with a zone
+	Nodes                      float64 `toml:"nodes" json:"nodes"`
+	Endpoints                  float64 `toml:"servers" json:"servers"`
+	Services                   float64 `toml:"services" json:"services"`
+	Routes                     float64 `toml:"routes" json:"routes"`
+	Tenants                    float64 `toml:"tenants" json:"tenants"`
+	Regions                    float64 `toml:"regions" json:"regions"`
+	Zones                      float64 `toml:"zones" json:"zones"`
+	RequestsPerSecond          float64 `toml:"requests_s" json:"requests_s"` // of the fleet at its peak
+	ConfigurationChangesPerDay float64 `toml:"configurations_day" json:"configurations_day"`
+	FailuresPerDay             float64 `toml:"failures_day" json:"failures_day"` // of endpoints, on an ordinary day
+	RestartsPerDay             float64 `toml:"restarts_day" json:"restarts_day"` // of endpoints, with replacements
+	ZoneEndpoints              float64 `toml:"zone_servers" json:"zone_servers"` // that are lost at once with a zone
 }
 
 // Limits are what control may cost a node, and how soon and how little it may be felt.
 type Limits struct {
-	Cores    float64 `toml:"cores" json:"cores"`           // of a node's, for control
-	Bytes    float64 `toml:"bytes" json:"bytes"`           // of a node's memory, for control
-	Network  float64 `toml:"bytes_s" json:"bytes_s"`       // a second a node
-	Machines float64 `toml:"machines" json:"machines"`     // set aside for control
-	InForce  float64 `toml:"in_force_s" json:"in_force_s"` // until a change is in force everywhere, seconds
-	Ready    float64 `toml:"ready_s" json:"ready_s"`       // until nine in ten of restarted nodes are ready, seconds: of the terms, not of the letter
-	Added    float64 `toml:"added_s" json:"added_s"`       // to 99 in 100 requests, seconds
+	Cores          float64 `toml:"cores" json:"cores"`           // for control, of a node's
+	MemoryBytes    float64 `toml:"bytes" json:"bytes"`           // for control, of a node's
+	BytesPerSecond float64 `toml:"bytes_s" json:"bytes_s"`       // for control, of a node
+	Machines       float64 `toml:"machines" json:"machines"`     // set aside for control
+	PropagationS   float64 `toml:"in_force_s" json:"in_force_s"` // until a change is in force everywhere, seconds
+	ReadyS         float64 `toml:"ready_s" json:"ready_s"`       // until nine in ten of restarted nodes are ready, seconds
+	AddedLatencyS  float64 `toml:"added_s" json:"added_s"`       // to 99 in 100 requests, seconds
 }
 
-// TheDesign and TheLimits are the letter's figures.
+// DefaultDesign and DefaultLimits hold unless a file or a flag replaces them.
 var (
-	TheDesign = Design{
-		Nodes: 5300, Servers: 120_000, Services: 5000, Routes: 86_000, Tenants: 980_000, Regions: 10, Zones: 31, Requests: 3.9e6,
-		Configurations: 72_000, Failures: 260, Restarts: 16_000, ZoneServers: 3900,
+	DefaultDesign = Design{
+		Nodes: 5300, Endpoints: 120_000, Services: 5000, Routes: 86_000, Tenants: 980_000, Regions: 10, Zones: 31,
+		RequestsPerSecond: 3.9e6, ConfigurationChangesPerDay: 72_000, FailuresPerDay: 260, RestartsPerDay: 16_000, ZoneEndpoints: 3900,
+	}
+	DefaultLimits = Limits{
+		Cores: 0.027, MemoryBytes: 128e6, BytesPerSecond: 22e3, Machines: 19, PropagationS: 5, ReadyS: 10, AddedLatencyS: 1.3e-3,
 	}
-	TheLimits = Limits{Cores: 0.027, Bytes: 128e6, Network: 22e3, Machines: 19, InForce: 5, Ready: 10, Added: 1.3e-3}
 )
 
-// listChanges are what the list tells of one restart: it drains, it is up anew.
-const listChanges = 2
+const (
+	daySeconds        = 86_400
+	changesPerRestart = 2 // of the endpoint list: it drains, it is active again
+)
 
-// Endpoints is how often a second the list of servers changes on an ordinary day: two lines for a machine that is restarted or
-// replaced, one for one that fails.
-func (d *Design) Endpoints() float64 { return (listChanges*d.Restarts + d.Failures) / 86_400 }
+// EndpointChangesPerSecond is how often the endpoint list changes on an ordinary day, where a failure is one change.
+func (d *Design) EndpointChangesPerSecond() float64 {
+	return (changesPerRestart*d.RestartsPerDay + d.FailuresPerDay) / daySeconds
+}
 
-// Changes is how often a second anything changes on an ordinary day.
-func (d *Design) Changes() float64 { return d.Endpoints() + d.Configurations/86_400 }
+// configurationChangesPerSecond is how often configuration changes on an ordinary day.
+func (d *Design) configurationChangesPerSecond() float64 {
+	return d.ConfigurationChangesPerDay / daySeconds
+}
 
-// Read puts a file's [design] and [limits] in place of what stands.
-func Read(path string, d *Design, l *Limits) error {
+// ReadDesign reads a TOML file with [design] and [limits] over the given values; keys that are not in the file keep theirs.
+func ReadDesign(path string, d *Design, l *Limits) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	in := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := in.Decode(&struct {
+	file := struct {
 		Design *Design `toml:"design"`
 		Limits *Limits `toml:"limits"`
-	}{d, l}); err != nil {
-		var strict *toml.StrictMissingError
-		if errors.As(err, &strict) {
-			var all []error
-			for _, one := range strict.Errors {
-				all = append(all, fmt.Errorf("%s: %s: expected a key of [design] or [limits], found none of that name", path, strings.Join(one.Key(), ".")))
-			}
-			return errors.Join(all...)
-		}
+	}{d, l}
+	err = toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&file)
+	var unknown *toml.StrictMissingError
+	if errors.As(err, &unknown) {
+		return unknownKeys(path, unknown)
+	}
+	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return check(path, d, l)
 }
 
-// check tells every figure that makes no sense at once.
+// unknownKeys names every key that there is not.
+func unknownKeys(path string, unknown *toml.StrictMissingError) error {
+	var problems []error
+	for _, e := range unknown.Errors {
+		problems = append(problems, fmt.Errorf("%s: %s: expected a key of [design] or [limits], found none of that name",
+			path, strings.Join(e.Key(), ".")))
+	}
+	return errors.Join(problems...)
+}
+
+// check names every figure that is not positive.
 func check(path string, d *Design, l *Limits) error {
-	var all []error
+	var problems []error
 	for _, f := range []struct {
 		key   string
 		value float64
 	}{
 		{"design.nodes", d.Nodes},
-		{"design.servers", d.Servers},
+		{"design.servers", d.Endpoints},
 		{"design.services", d.Services},
 		{"design.routes", d.Routes},
 		{"design.tenants", d.Tenants},
 		{"design.regions", d.Regions},
 		{"design.zones", d.Zones},
-		{"design.requests_s", d.Requests},
-		{"design.configurations_day", d.Configurations},
-		{"design.failures_day", d.Failures},
-		{"design.restarts_day", d.Restarts},
-		{"design.zone_servers", d.ZoneServers},
+		{"design.requests_s", d.RequestsPerSecond},
+		{"design.configurations_day", d.ConfigurationChangesPerDay},
+		{"design.failures_day", d.FailuresPerDay},
+		{"design.restarts_day", d.RestartsPerDay},
+		{"design.zone_servers", d.ZoneEndpoints},
 		{"limits.cores", l.Cores},
-		{"limits.bytes", l.Bytes},
-		{"limits.bytes_s", l.Network},
+		{"limits.bytes", l.MemoryBytes},
+		{"limits.bytes_s", l.BytesPerSecond},
 		{"limits.machines", l.Machines},
-		{"limits.in_force_s", l.InForce},
-		{"limits.ready_s", l.Ready},
-		{"limits.added_s", l.Added},
+		{"limits.in_force_s", l.PropagationS},
+		{"limits.ready_s", l.ReadyS},
+		{"limits.added_s", l.AddedLatencyS},
 	} {
 		if !(f.value > 0) {
-			all = append(all, fmt.Errorf("%s: %s: expected a number above 0, found %v", path, f.key, f.value))
+			problems = append(problems, fmt.Errorf("%s: %s: expected a number above 0, found %v", path, f.key, f.value))
 		}
 	}
-	return errors.Join(all...)
+	return errors.Join(problems...)
 }
 
 // The limits, in the units that figures have.
-func limitBytes(_ *Design, l *Limits) float64    { return l.Bytes }
-func limitCores(_ *Design, l *Limits) float64    { return 100 * l.Cores } // per cent of a core
-func limitNetwork(_ *Design, l *Limits) float64  { return l.Network }
-func limitReady(_ *Design, l *Limits) float64    { return l.Ready }
-func limitInForce(_ *Design, l *Limits) float64  { return l.InForce }
-func limitAdded(_ *Design, l *Limits) float64    { return l.Added * 1e6 } // microseconds
-func limitMachines(_ *Design, l *Limits) float64 { return l.Machines }
+func limitMemory(_ *Design, l *Limits) float64      { return l.MemoryBytes }
+func limitCores(_ *Design, l *Limits) float64       { return 100 * l.Cores } // percent of a core
+func limitNetwork(_ *Design, l *Limits) float64     { return l.BytesPerSecond }
+func limitReady(_ *Design, l *Limits) float64       { return l.ReadyS }
+func limitPropagation(_ *Design, l *Limits) float64 { return l.PropagationS }
+func limitAdded(_ *Design, l *Limits) float64       { return l.AddedLatencyS * 1e6 } // microseconds
 
-// limitChange is what one change of an endpoint may take where an ordinary day's take all that control may, milliseconds.
-func limitChange(d *Design, l *Limits) float64 { return 1e3 * l.Cores / d.Endpoints() }
+// limitChange is what one change of an endpoint may take if an ordinary day's changes take all that control may, milliseconds.
+func limitChange(d *Design, l *Limits) float64 { return 1e3 * l.Cores / d.EndpointChangesPerSecond() }
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -1,10 +1,8 @@
 package scale
 
-// This file owns what a memory costs on disk and at a start: the node's own memory and store, without a node. It must never count what
-// the system's cache spares as what a disk after a power loss would give.
-
 import (
 	"context"
+	"errors"
 	"fawnglade/internal/nodestate"
 	"fawnglade/internal/store"
 	"fmt"
@@ -14,139 +12,194 @@
 	"time"
 )
 
-func remembered(from, n int) []nodestate.Endpoint {
-	out := make([]nodestate.Endpoint, n)
-	for k := range out {
-		i := from + k
-		out[k] = nodestate.Endpoint{
-			Name: fmt.Sprintf("srv-%06d.eu1", i), Address: fmt.Sprintf("10.%d.%d.%d:8443", i>>16&255, i>>8&255, i&255),
-			Zone: fmt.Sprintf("z%02d", i%31), Pod: i / 40, Weight: 1, StartedNs: 1_700_000_000e9 + int64(i),
-		}
-	}
-	return out
-}
-
-func write(to *store.Store, m *nodestate.State) error {
-	var b store.Batch
-	for _, c := range m.Changes() {
-		if c.Value == nil {
-			b.Delete(c.Key)
-		} else {
-			b.Put(c.Key, c.Value)
-		}
-	}
-	return to.Apply(&b)
-}
+// Probe of the persisted state: the node's own state and store, without a node. Files are read from the system's cache, not from a
+// disk after a power loss.
 
-func empty() *nodestate.State { return nodestate.Load(func(func(string, []byte)) {}) }
+const methodClock = "a clock"
 
 func diskProbe() Probe {
 	return Probe{
-		Name: "disk", Size: "servers", Sizes: []float64{1200, 4000, 12000, 40000, 120000}, Quick: []float64{50, 100, 200, 500}, Least: 10,
-		At:   func(d *Design) float64 { return d.Servers },
-		Need: func(n float64) Need { return Need{Bytes: 3000 * n} },
+		Name: "disk", SizeUnit: "servers", MinSize: 10,
+		Sizes: []float64{1200, 4000, 12000, 40000, 120000}, QuickSizes: []float64{50, 100, 200, 500},
+		DesignSize: func(d *Design) float64 { return d.Endpoints },
+		Need:       func(n float64) Need { return Need{Bytes: 3000 * n} },
 		Figures: []Figure{
-			{Name: "bytes", What: "on disk, as they were first written", Unit: "bytes", Role: "node", Method: "sizes of files"},
-			{Name: "index", What: "memory of the open store", Unit: "bytes", Role: "node", Method: onHeap, Limit: limitBytes},
-			{Name: "memory", What: "memory of what is remembered", Unit: "bytes", Role: "node", Method: onHeap, Limit: limitBytes},
-			{Name: "write", What: "a whole list written, with its sync", Unit: "s", Role: "node", Method: processor},
-			{Name: "written", What: "until it is durable", Unit: "s", Role: "node", Method: "a clock"},
-			{Name: "change", What: "one change noted and written", Unit: "ms", Role: "node", Method: processor, Limit: limitChange},
-			{Name: "listed", What: "a whole list told to one memory, which keeps 8,192", Unit: "s", Role: "node", Method: processor, Limit: limitInForce},
-			{Name: "open", What: "store opened and all of it read", Unit: "s", Role: "node", Method: processor},
-			{Name: "opened", What: "until that is done, files in the system's cache", Unit: "s", Role: "node", Method: "a clock", Limit: limitReady},
+			{Name: "bytes", Description: "on disk, as they were first written", Unit: "bytes", Role: "node", Method: "sizes of files"},
+			{Name: "index", Description: "memory of the open store", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
+			{Name: "memory", Description: "memory of what is remembered", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
+			{Name: "write", Description: "a whole list written, with its sync", Unit: "s", Role: "node", Method: methodProcessor},
+			{Name: "written", Description: "until it is durable", Unit: "s", Role: "node", Method: methodClock},
+			{Name: "change", Description: "one change noted and written", Unit: "ms", Role: "node", Method: methodProcessor, Limit: limitChange},
+			{Name: "listed", Description: "a whole list told to one memory, which keeps 8,192", Unit: "s", Role: "node", Method: methodProcessor, Limit: limitPropagation},
+			{Name: "open", Description: "store opened and all of it read", Unit: "s", Role: "node", Method: methodProcessor},
+			{Name: "opened", Description: "until that is done, files in the system's cache", Unit: "s", Role: "node", Method: methodClock, Limit: limitReady},
 		},
 		Measure: measureDisk,
 	}
 }
 
-func measureDisk(_ context.Context, e *Env, size float64) (v map[string]float64, note string, err error) {
-	v = map[string]float64{}
+func measureDisk(_ context.Context, e *Env, size float64) (m Measurement, err error) {
+	d := &diskMeasurement{env: e, endpoints: int(size), now: time.Now().UnixNano(), values: Values{}}
+	m.Values = d.values
 	dir, err := os.MkdirTemp(e.Dir, "disk-")
 	if err != nil {
-		return v, "", err
+		return m, err
+	}
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	d.path = filepath.Join(dir, "memory")
+	if err := d.measureWrites(); err != nil {
+		return m, err
 	}
-	defer os.RemoveAll(dir)
-	path := filepath.Join(dir, "memory")
-	at, _, err := store.Open(path, store.Options{})
+	kept, err := d.measureOpen()
 	if err != nil {
-		return v, "", err
+		return m, err
 	}
-	defer func() {
-		if at != nil {
-			at.Close()
-		}
-	}()
-	// A memory takes MostServers; so many of them as it takes stand in one store, so that the store at least is seen at every size.
-	n, now := int(size), time.Now().UnixNano()
-	parts := []*nodestate.State(nil)
-	before := inUse()
-	for from := 0; from < n; from += nodestate.MaxEndpoints {
-		m := empty()
-		m.RecordList(now, remembered(from, min(nodestate.MaxEndpoints, n-from)), 1, false)
-		parts = append(parts, m)
+	if kept < d.endpoints {
+		m.Note = fmt.Sprintf("a memory keeps %s of them: what stands for more is several memories in one store", formatCount(float64(kept)))
 	}
-	v["memory"] = inUse() - before
+	return m, nil
+}
+
+// diskMeasurement is a store with the states of a number of endpoints.
+type diskMeasurement struct {
+	env       *Env
+	endpoints int
+	now       int64 // Unix nanoseconds
+	path      string
+	values    Values
+}
+
+// measureWrites measures a new store, and closes it.
+func (d *diskMeasurement) measureWrites() (err error) {
+	to, _, err := store.Open(d.path, store.Options{})
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, to.Close()) }()
+	before := heapInUse()
+	states := d.states()
+	d.values["memory"] = heapInUse() - before
+	if err := d.measureFirstWrite(to, states); err != nil {
+		return err
+	}
+	all := stateEndpoints(0, d.endpoints)
+	d.values["listed"] = spent(func() { states[0].RecordList(d.now, all, 2, true) })
+	if err := d.measureChanges(to, states[0]); err != nil {
+		return err
+	}
+	runtime.KeepAlive(states)
+	return nil
+}
+
+// states returns so many states as are needed for all endpoints: one keeps nodestate.MaxEndpoints, and the store is to be measured
+// at every size.
+func (d *diskMeasurement) states() []*nodestate.State {
+	var states []*nodestate.State
+	for from := 0; from < d.endpoints; from += nodestate.MaxEndpoints {
+		state := nodestate.Load(func(func(string, []byte)) {})
+		state.RecordList(d.now, stateEndpoints(from, min(nodestate.MaxEndpoints, d.endpoints-from)), 1, false)
+		states = append(states, state)
+	}
+	return states
+}
+
+func (d *diskMeasurement) measureFirstWrite(to *store.Store, states []*nodestate.State) error {
+	var err error
 	began := time.Now()
-	v["write"] = spent(func() {
-		for _, m := range parts {
+	d.values["write"] = spent(func() {
+		for _, state := range states {
 			if err == nil {
-				err = write(at, m)
+				err = writeChanges(to, state)
 			}
 		}
 	})
 	if err != nil {
-		return v, "", err
-	}
-	v["written"] = time.Since(began).Seconds()
-	v["bytes"] = onDisk(path)
-	first := remembered(0, min(nodestate.MaxEndpoints, n))
-	whole := remembered(0, n)
-	v["listed"] = spent(func() { parts[0].RecordList(now, whole, 2, true) })
-	changes := 50
-	if e.Quick {
-		changes = 5
+		return err
 	}
-	v["change"] = 1e3 * spent(func() {
+	d.values["written"] = time.Since(began).Seconds()
+	d.values["bytes"] = sizeOfFiles(d.path)
+	return nil
+}
+
+// measureChanges drains endpoints one by one, and writes after each.
+func (d *diskMeasurement) measureChanges(to *store.Store, state *nodestate.State) error {
+	list := stateEndpoints(0, min(nodestate.MaxEndpoints, d.endpoints))
+	changes := pick(d.env, 50, 5)
+	var err error
+	d.values["change"] = 1e3 * spent(func() {
 		for i := range changes {
-			one := first[i%len(first)]
-			one.State = nodestate.Draining
-			parts[0].RecordList(now, []nodestate.Endpoint{one}, int64(10+i), false)
+			changed := list[i%len(list)]
+			changed.State = nodestate.Draining
+			state.RecordList(d.now, []nodestate.Endpoint{changed}, int64(10+i), false)
 			if err == nil {
-				err = write(at, parts[0])
+				err = writeChanges(to, state)
 			}
 		}
 	}) / float64(changes)
-	if err != nil {
-		return v, "", err
+	return err
+}
+
+// measureOpen measures a start from the store, and returns how many endpoints the state keeps.
+func (d *diskMeasurement) measureOpen() (kept int, err error) {
+	before := heapInUse()
+	began := time.Now()
+	var from *store.Store
+	var state *nodestate.State
+	d.values["open"] = spent(func() {
+		from, _, err = store.Open(d.path, store.Options{})
+		if err == nil {
+			state, err = loadState(from)
+		}
+	})
+	if from != nil {
+		defer func() { err = errors.Join(err, from.Close()) }()
 	}
-	runtime.KeepAlive(parts)
-	if err := at.Close(); err != nil {
-		return v, "", err
+	if err != nil {
+		return 0, err
 	}
-	at, parts, first = nil, nil, nil
-	before, began = inUse(), time.Now()
-	var found *nodestate.State
-	v["open"] = spent(func() {
-		if at, _, err = store.Open(path, store.Options{}); err != nil {
-			return
-		}
-		found = nodestate.Load(func(each func(string, []byte)) {
-			snap := at.Snapshot()
-			defer snap.Release()
-			err = snap.Each("", func(key string, value []byte) bool { each(key, value); return true })
+	d.values["opened"] = time.Since(began).Seconds()
+	kept = state.EndpointCount()
+	state = nil // its memory is not the store's
+	d.values["index"] = heapInUse() - before
+	runtime.KeepAlive(from)
+	return kept, nil
+}
+
+func loadState(from *store.Store) (*nodestate.State, error) {
+	var err error
+	state := nodestate.Load(func(load func(string, []byte)) {
+		snapshot := from.Snapshot()
+		defer snapshot.Release()
+		err = snapshot.Each("", func(key string, value []byte) bool {
+			load(key, value)
+			return true
 		})
 	})
-	if err != nil {
-		return v, "", err
+	return state, err
+}
+
+// writeChanges writes what has changed in a state.
+func writeChanges(to *store.Store, state *nodestate.State) error {
+	var batch store.Batch
+	for _, change := range state.Changes() {
+		if change.Value == nil {
+			batch.Delete(change.Key)
+		} else {
+			batch.Put(change.Key, change.Value)
+		}
 	}
-	v["opened"] = time.Since(began).Seconds()
-	kept := found.EndpointCount()
-	found = nil
-	v["index"] = inUse() - before
-	if kept < n {
-		note = fmt.Sprintf("a memory keeps %s of them: what stands for more is several memories in one store", count(float64(kept)))
+	return to.Apply(&batch)
+}
+
+// stateEndpoints returns n endpoints from a number on.
+func stateEndpoints(from, n int) []nodestate.Endpoint {
+	list := make([]nodestate.Endpoint, n)
+	for k := range list {
+		i := from + k
+		list[k] = nodestate.Endpoint{
+			Name: endpointName(i), Address: endpointAddress(i), Zone: zoneName(i), Pod: i / podSize, Weight: 1,
+			StartedNs: 1_700_000_000e9 + int64(i),
+		}
 	}
-	runtime.KeepAlive(at)
-	return v, note, nil
+	return list
 }
--- /dev/null
+++ b/internal/lab/scale/endpointgossip.go
@@ -0,0 +1,154 @@
+package scale
+
+import (
+	"context"
+	"fawnglade/internal/endpointgossip"
+	"fmt"
+)
+
+// Probe of the endpoint list by gossip: one node without discovery asks nodes that have it. Virtual time, nothing is lost. The
+// node's own bounds hold.
+
+const (
+	informedNodes  = 4                // with a list from discovery
+	gossipTick     = 50 * millisecond // ten in a round of 0.5 s
+	ticksPerSecond = int(second / gossipTick)
+	maxGossipTicks = 20 * ticksPerSecond
+	gossipStart    = int64(1_700_000_000e9) // Unix nanoseconds
+)
+
+// mailbox holds payloads until their receiver's next tick.
+type mailbox struct {
+	payloads [][]payload // by receiver
+}
+
+type payload struct {
+	from int
+	data []byte
+}
+
+// gossipLink is one node's access to the others.
+type gossipLink struct {
+	mailbox *mailbox
+	self    int
+}
+
+// SendPayload implements endpointgossip.Transport.
+func (l gossipLink) SendPayload(to int, data []byte) {
+	l.mailbox.payloads[to] = append(l.mailbox.payloads[to], payload{l.self, data})
+}
+
+// Reachable implements endpointgossip.Transport.
+func (l gossipLink) Reachable() []int {
+	var others []int
+	for i := range l.mailbox.payloads {
+		if i != l.self {
+			others = append(others, i)
+		}
+	}
+	return others
+}
+
+func endpointGossipProbe() Probe {
+	return Probe{
+		Name: "hearsay", SizeUnit: "servers", MinSize: 2, NodeMax: endpointgossip.MaxEndpoints,
+		Sizes: []float64{512, 1200, 4096, 8000, 12000, 28000}, QuickSizes: []float64{10, 40, 100, 200},
+		DesignSize: func(d *Design) float64 { return d.Endpoints },
+		Need:       func(n float64) Need { return Need{Bytes: 6 * 500 * n} },
+		Figures: []Figure{
+			{Name: "taken", Description: "a node that starts without discovery: until it goes by others' whole list", Unit: "s", Role: "node", Method: "virtual time, nothing lost", Limit: limitReady},
+			{Name: "bytes", Description: "heard until then", Unit: "bytes", Role: "node", Method: "bytes of loads"},
+			{Name: "worst", Description: "heard in the worst second", Unit: "bytes/s", Role: "node", Method: "bytes of loads", Limit: limitNetwork},
+			{Name: "cpu", Description: "of all five nodes until then", Unit: "s", Role: "node", Method: methodProcessor},
+			{Name: "memory", Description: "of a node that has the list", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
+		},
+		Measure: measureEndpointGossip,
+	}
+}
+
+// gossipGroup is informed nodes and, as the last, one without discovery.
+type gossipGroup struct {
+	now       int64
+	mailbox   *mailbox
+	exchanges []*endpointgossip.Exchange
+	bytes     []float64 // to the last node, by second
+}
+
+func measureEndpointGossip(_ context.Context, _ *Env, size float64) (Measurement, error) {
+	g := &gossipGroup{now: gossipStart, mailbox: &mailbox{payloads: make([][]payload, informedNodes+1)}}
+	list := gossipEndpoints(int(size))
+	v := Values{}
+	before := heapInUse()
+	g.addInformed(list)
+	v["memory"] = (heapInUse() - before) / informedNodes
+	g.exchanges = append(g.exchanges, endpointgossip.New(informedNodes, gossipLink{g.mailbox, informedNodes}, g.now, 0, nil, false))
+	var ticks int
+	v["cpu"] = spent(func() { ticks = g.runUntilTaken() })
+	for _, bytes := range g.bytes {
+		v["bytes"] += bytes
+		v["worst"] = max(v["worst"], bytes)
+	}
+	if ticks > 0 {
+		v["taken"] = float64(ticks) * float64(gossipTick) / 1e9
+		return Measurement{Values: v}, nil
+	}
+	counters := g.exchanges[informedNodes].View().Counters
+	note := fmt.Sprintf("never taken within 20 s, in which it heard %s bytes: %d loads asked for, %d passed over as making no sense; a list has %s servers at most",
+		formatShort(v["bytes"]), counters.Requests, counters.Invalid, formatCount(endpointgossip.MaxEndpoints))
+	return Measurement{Values: Values{"memory": v["memory"]}, Note: note}, nil
+}
+
+func gossipEndpoints(n int) []endpointgossip.Endpoint {
+	list := make([]endpointgossip.Endpoint, n)
+	for i := range list {
+		list[i] = endpointgossip.Endpoint{Name: endpointName(i), Address: endpointAddress(i), Zone: zoneName(i), Pod: i / podSize, Weight: 1}
+	}
+	return list
+}
+
+// addInformed adds the nodes with a list, which they are ready to answer with.
+func (g *gossipGroup) addInformed(list []endpointgossip.Endpoint) {
+	for i := range informedNodes {
+		exchange := endpointgossip.New(uint64(i), gossipLink{g.mailbox, i}, g.now, 0, nil, false)
+		exchange.WatchUpdated(g.now, 1, list, nil, true)
+		exchange.View()
+		g.exchanges = append(g.exchanges, exchange)
+	}
+}
+
+// runUntilTaken lets time pass until the last node has taken a list, and returns after how many ticks; 0: it has not.
+func (g *gossipGroup) runUntilTaken() int {
+	for ticks := range maxGossipTicks {
+		g.now += gossipTick
+		if ticks%ticksPerSecond == 0 {
+			g.bytes = append(g.bytes, 0)
+		}
+		for i, exchange := range g.exchanges {
+			if g.receive(i) {
+				return ticks + 1
+			}
+			heardFromDiscovery := g.now
+			if i == informedNodes {
+				heardFromDiscovery = 0
+			}
+			exchange.Tick(g.now, heardFromDiscovery)
+		}
+	}
+	return 0
+}
+
+// receive has a node take its payloads, and tells whether it is the last one and has taken a list.
+func (g *gossipGroup) receive(node int) (taken bool) {
+	payloads := g.mailbox.payloads[node]
+	g.mailbox.payloads[node] = nil
+	for _, p := range payloads {
+		if node == informedNodes {
+			g.bytes[len(g.bytes)-1] += float64(len(p.data))
+		}
+		list := g.exchanges[node].Receive(g.now, p.from, p.data)
+		if list != nil && node == informedNodes {
+			taken = true
+		}
+	}
+	return taken
+}
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -1,74 +1,91 @@
 package scale
 
-// This file owns the line through measured points, and where it stops being one. It must never draw a line out
-// beyond a break.
-
 import (
 	"math"
 
 	"gonum.org/v1/gonum/stat"
 )
 
-// Off is how far, of its own value, a point may lie off the line before the line counts as broken.
-const Off = 0.25
+// maxDeviation from a line, of its own value, up to which a point is on it.
+const maxDeviation = 0.25
+
+// smallest values that are divided by, or taken the logarithm of.
+const (
+	minSquare = 1e-24
+	minValue  = 1e-12
+)
 
-// Fit is a least-squares line of relative errors: each point weighs by one over its value squared, so that the small sizes count as
-// the large ones do. Values are in the figure's unit, Slope in that for one more of what the size counts.
+// Fit is a line through measured points by least squares of relative errors: each point has a weight of one over its value squared,
+// so that small sizes count as much as large ones. Values are in the unit of the figure.
 type Fit struct {
-	Slope     float64 `json:"slope"`
-	Intercept float64 `json:"intercept"`
-	Residual  float64 `json:"residual"`                // root mean square of the points' distances from the line, each over the point's value
-	Breaks    float64 `json:"breaks_beyond,omitempty"` // the last size at which a line through all up to it is within Off everywhere; 0: it holds
-	Power     float64 `json:"power,omitempty"`         // beyond a break: the exponent with which the last two points grow
-	Level     float64 `json:"level,omitempty"`         // and the value at size 1 that goes with it
+	Slope        float64 `json:"slope"` // for one more of the size
+	Intercept    float64 `json:"intercept"`
+	Residual     float64 `json:"residual"`                // root mean square of the relative errors
+	BreaksBeyond float64 `json:"breaks_beyond,omitempty"` // last size up to which all points are within maxDeviation of a line; 0: it holds
+	Power        float64 `json:"power,omitempty"`         // beyond a break: the exponent with which the last two points grow
+	Level        float64 `json:"level,omitempty"`         // beyond a break: the value at size 1 by that exponent
+}
+
+// regression is a weighted line with the relative errors of its points.
+type regression struct {
+	slope, intercept float64
+	residual, worst  float64 // root mean square, and largest
 }
 
-func line(points []Point) (slope, intercept, residual, worst float64) {
-	var x, y, w []float64
+func regress(points []Point) regression {
+	var sizes, values, weights []float64
 	for _, p := range points {
-		x, y, w = append(x, p.Size), append(y, p.Value), append(w, 1/math.Max(p.Value*p.Value, 1e-24))
+		sizes = append(sizes, p.Size)
+		values = append(values, p.Value)
+		weights = append(weights, 1/math.Max(p.Value*p.Value, minSquare))
 	}
-	intercept, slope = stat.LinearRegression(x, y, w, false)
+	var r regression
+	r.intercept, r.slope = stat.LinearRegression(sizes, values, weights, false)
 	sum := 0.0
 	for _, p := range points {
-		d := math.Abs(intercept+slope*p.Size-p.Value) / math.Max(math.Abs(p.Value), 1e-12)
-		sum, worst = sum+d*d, math.Max(worst, d)
+		deviation := math.Abs(r.intercept+r.slope*p.Size-p.Value) / math.Max(math.Abs(p.Value), minValue)
+		sum += deviation * deviation
+		r.worst = math.Max(r.worst, deviation)
 	}
-	return slope, intercept, math.Sqrt(sum / float64(len(points))), worst
+	r.residual = math.Sqrt(sum / float64(len(points)))
+	return r
 }
 
-// FitOf draws the line. With fewer than two points there is none.
-func FitOf(points []Point) (f Fit) {
+// fitLine fits a line, and finds where it breaks; with fewer than two points there is none.
+func fitLine(points []Point) Fit {
 	if len(points) < 2 {
-		return f
+		return Fit{}
 	}
-	var worst float64
-	f.Slope, f.Intercept, f.Residual, worst = line(points)
-	if worst <= Off {
-		return f
+	line := regress(points)
+	fit := Fit{Slope: line.slope, Intercept: line.intercept, Residual: line.residual}
+	if line.worst <= maxDeviation {
+		return fit
 	}
-	// Where does it break? Three points at least make a line that can be off.
-	held := 2
+	fit.BreaksBeyond = points[pointsOnLine(points)-1].Size
+	// The last two alone: an earlier point would mix growth before the break with growth beyond it.
+	var logSizes, logValues []float64
+	for _, p := range points[len(points)-2:] {
+		logSizes = append(logSizes, math.Log(p.Size))
+		logValues = append(logValues, math.Log(math.Max(p.Value, minValue)))
+	}
+	logLevel, power := stat.LinearRegression(logSizes, logValues, nil, false)
+	fit.Level, fit.Power = math.Exp(logLevel), power
+	return fit
+}
+
+// pointsOnLine returns how many of the first points are on one line, two at least, where all of them are not.
+func pointsOnLine(points []Point) int {
 	for n := 3; n < len(points); n++ {
-		if _, _, _, worst := line(points[:n]); worst > Off {
-			break
+		if regress(points[:n]).worst > maxDeviation {
+			return n - 1
 		}
-		held = n
-	}
-	f.Breaks = points[held-1].Size
-	last := points[len(points)-2:] // an earlier one would mix what was before the break with what is behind it
-	var x, y []float64
-	for _, p := range last {
-		x, y = append(x, math.Log(p.Size)), append(y, math.Log(math.Max(p.Value, 1e-12)))
 	}
-	level, power := stat.LinearRegression(x, y, nil, false)
-	f.Level, f.Power = math.Exp(level), power
-	return f
+	return max(2, len(points)-1)
 }
 
-// at is the value at a size, and how it was come by: measured there or between two sizes, by the line, where that is broken by the
-// power with which the last two points grow, and where it falls below nothing the last point's own.
-func (f *Fit) at(points []Point, size float64) (float64, string) {
+// at returns the value at a size and its source: measured, there or between two sizes; by the line; where the line breaks, by the
+// power with which the last two points grow; where the line falls below zero, the last point's own.
+func (f *Fit) at(points []Point, size float64) (value float64, source string) {
 	if len(points) == 0 {
 		return 0, "not measured"
 	}
@@ -77,18 +94,19 @@
 			return p.Value, "measured"
 		}
 		if i > 0 && points[i-1].Size < size && size < p.Size {
-			part := (size - points[i-1].Size) / (p.Size - points[i-1].Size)
-			return points[i-1].Value + part*(p.Value-points[i-1].Value), "measured"
+			previous := points[i-1]
+			part := (size - previous.Size) / (p.Size - previous.Size)
+			return previous.Value + part*(p.Value-previous.Value), "measured"
 		}
 	}
 	switch {
 	case len(points) < 2:
 		return points[0].Value, "one point"
-	case f.Breaks > 0:
+	case f.BreaksBeyond > 0:
 		return f.Level * math.Pow(size, f.Power), "power"
 	}
 	if v := f.Intercept + f.Slope*size; v > 0 {
 		return v, "line"
 	}
-	return points[len(points)-1].Value, "last size" // it falls or stands, and noise would take it below nothing
+	return points[len(points)-1].Value, "last size"
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -1,282 +1,235 @@
 package scale
 
-// This file owns hollow nodes: many in one process, each the node's own code as it stands (list, members, memory) that no client ever
-// calls, and one real process beside them, so that the same run tells how far the two differ. A hollow node must never be a copy of
-// what a node does.
-
 import (
-	"bufio"
 	"context"
-	"encoding/json"
 	"errors"
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/fleet"
-	"fawnglade/internal/node"
 	"fmt"
-	"io"
-	"net"
 	"os"
-	"path/filepath"
-	"strings"
 	"time"
-
-	"go.uber.org/zap"
 )
 
-// hollowNode is where one of them is.
-type hollowNode struct {
-	Name    string
-	Listen  string
-	Console string
-	Members string
-}
-
-// hollowFleet is what the process of hollow nodes is told, as JSON in a file.
-type hollowFleet struct {
-	Discovery string
-	Nodes     []hollowNode // the last is the real one
-	Dir       string
-}
+const methodNodeCount = "the node's own count"
 
-// places finds addresses that nobody listens at, for connections or datagrams, all at once, so that none comes twice.
-func places(n int) (out []string, err error) {
-	for len(out) < n {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			return nil, err
-		}
-		defer l.Close()
-		at := l.Addr().String()
-		if c, err := net.ListenPacket("udp", at); err == nil {
-			defer c.Close()
-			out = append(out, at)
-		}
+func hollowProbe() Probe {
+	return Probe{
+		Name: "hollow", SizeUnit: "hollow nodes", MinSize: 2, MaxSize: maxMembers - 1,
+		Sizes: []float64{10, 30, 100, 200}, QuickSizes: []float64{2, 4, 10, 20},
+		DesignSize: func(d *Design) float64 { return d.Nodes },
+		Need:       func(n float64) Need { return Need{Bytes: 60e6 + n*(8e6+500*n), Processes: 2} },
+		Figures: []Figure{
+			{Name: "memory", Description: "memory of the process of so many, each before 1,200 servers", Unit: "bytes", Role: "lab", Method: methodResident},
+			{Name: "real", Description: "memory of the real one beside them", Unit: "bytes", Role: "node", Method: methodResident, Limit: limitMemory},
+			{Name: "memoryratio", Description: "hollow over real, memory: a real one has a runtime of its own", Unit: "1", Role: "lab", Method: "memory over its nodes / real"},
+			{Name: "idle", Description: "a hollow one, nothing happening", Unit: "% of a core", Role: "lab", Method: "processor time of the process over its nodes"},
+			{Name: "realidle", Description: "the real one, nothing happening", Unit: "% of a core", Role: "node", Method: "processor time of the process", Limit: limitCores},
+			{Name: "idleratio", Description: "hollow over real, nothing happening", Unit: "1", Role: "lab", Method: "idle / realidle"},
+			{Name: "change", Description: "one change told to a hollow one", Unit: "ms", Role: "lab", Method: methodNodeWork + ", over its nodes"},
+			{Name: "realchange", Description: "one change told to the real one", Unit: "ms", Role: "node", Method: methodNodeWork, Limit: limitChange},
+			{Name: "changeratio", Description: "hollow over real, one change", Unit: "1", Role: "lab", Method: "change / realchange"},
+			{Name: "bytes", Description: "datagrams that a hollow one sends", Unit: "bytes/s", Role: "lab", Method: methodNodeCount},
+			{Name: "realbytes", Description: "datagrams that the real one sends", Unit: "bytes/s", Role: "node", Method: methodNodeCount, Limit: limitNetwork},
+			{Name: "bytesratio", Description: "hollow over real, bytes", Unit: "1", Role: "lab", Method: "bytes / realbytes"},
+		},
+		Measure: measureHollow,
 	}
-	return out, nil
 }
 
-// features writes the file of what a node does beyond the platform's protocol.
-func (f *hollowFleet) features(i int) (string, error) {
-	var b strings.Builder
-	fmt.Fprintf(&b, "[members]\nlisten = %q\nround = \"500ms\"\nkey = %q\nlist = true\n", f.Nodes[i].Members, strings.Repeat("5a", 16))
-	for _, n := range f.Nodes {
-		fmt.Fprintf(&b, "[[members.node]]\nname = %q\naddress = %q\n", n.Name, n.Members)
+func measureHollow(ctx context.Context, e *Env, size float64) (m Measurement, err error) {
+	h := &hollowMeasurement{env: e, size: size, endpoints: pick(e, fewEndpoints, 50), values: Values{}}
+	m.Values = h.values
+	if len(e.NodeCommand) == 0 || len(e.HollowCommand) == 0 {
+		m.Note = "no node program found"
+		return m, nil
+	}
+	h.fleet.Dir, err = os.MkdirTemp(e.Dir, "hollow-")
+	if err != nil {
+		return m, err
+	}
+	defer func() { err = errors.Join(err, os.RemoveAll(h.fleet.Dir)) }()
+	h.discovery, err = newDiscovery(h.endpoints)
+	if err != nil {
+		return m, err
+	}
+	defer h.discovery.close()
+	if err := h.place(); err != nil {
+		return m, err
+	}
+	h.hollow, err = startHollow(e, &h.fleet)
+	if err != nil {
+		return m, err
+	}
+	defer h.hollow.kill()
+	h.real, err = h.startReal()
+	if err != nil {
+		return m, err
+	}
+	defer h.real.kill()
+	if _, err := h.real.waitUntilReady(ctx, readyTimeout); err != nil {
+		return m, err
 	}
-	path := filepath.Join(f.Dir, f.Nodes[i].Name+".toml")
-	return path, os.WriteFile(path, []byte(b.String()), 0o600)
+	// Until the nodes have told one another of their start.
+	time.Sleep(pick(e, 5*time.Second+time.Duration(size)*100*time.Millisecond, 0))
+	return m, h.measure()
 }
 
-func (f *hollowFleet) state(i int) string { return filepath.Join(f.Dir, f.Nodes[i].Name+".state") }
+// hollowMeasurement is a process of hollow nodes with a real one beside it.
+type hollowMeasurement struct {
+	env       *Env
+	size      float64 // hollow nodes
+	endpoints int
+	fleet     hollowFleet
+	discovery *discovery
+	hollow    *nodeProcess
+	real      *nodeProcess
+	values    Values
+}
 
-// Hollow is the life of a process of hollow nodes: it starts all but the last of a file, and says so once each is ready. It ends by
-// being killed, which the system does too when who began it has ended.
-func Hollow(path string, out io.Writer) error {
-	text, err := os.ReadFile(path)
+// place finds addresses for all nodes.
+func (h *hollowMeasurement) place() error {
+	const addressesOfNode = 3
+	nodes := int(h.size) + 1
+	addresses, err := freeAddresses(addressesOfNode * nodes)
 	if err != nil {
 		return err
 	}
-	var f hollowFleet
-	if err := json.Unmarshal(text, &f); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
-	}
-	ended := make(chan error, len(f.Nodes))
-	hollow := f.Nodes[:len(f.Nodes)-1]
-	for i, h := range hollow {
-		c, err := node.ParseConfig([]byte(nodeConfig(i, h.Listen, h.Console, f.Discovery, true)))
-		if err != nil {
-			return err
-		}
-		features, err := f.features(i)
-		if err != nil {
-			return err
-		}
-		if err := errors.Join(c.ReadFeatures(features), c.UseStateDir(f.state(i))); err != nil {
-			return err
-		}
-		n, err := node.New(c, zap.NewNop())
-		if err != nil {
-			return err
-		}
-		go func() { ended <- n.Run(nil) }()
-	}
-	for _, h := range hollow {
-		for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-			if status, _, err := fleet.Ask(h.Console, "GET", "/ready"); err == nil && status == 200 {
-				break
-			}
-			if time.Since(began) > readyWithin {
-				return fmt.Errorf("%s not ready within %v", h.Name, readyWithin)
-			}
-		}
+	h.fleet.Discovery = h.discovery.address()
+	for i := range nodes {
+		own := addresses[addressesOfNode*i:]
+		h.fleet.Nodes = append(h.fleet.Nodes, nodePlace{fmt.Sprintf("n%d", i), own[0], own[1], own[2]})
 	}
-	fmt.Fprintln(out, "ready")
-	return <-ended
+	return nil
 }
 
-// startHollow starts that process, and waits for it to be ready.
-func startHollow(e *Env, f *hollowFleet) (*process, error) {
-	text, err := json.Marshal(f)
+func (h *hollowMeasurement) startReal() (*nodeProcess, error) {
+	index := int(h.size)
+	features, err := h.fleet.writeFeatures(index)
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(f.Dir, "hollow.json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		return nil, err
-	}
-	read, write := io.Pipe()
-	p := &process{began: time.Now()}
-	if p.Proc, err = emulator.Command(append(append([]string(nil), e.Hollow...), path))("", []string{"TMPDIR=" + f.Dir}, write); err != nil {
-		return nil, err
+	return startNode(h.env, nodeOptions{
+		dir: h.fleet.Dir, discovery: h.fleet.Discovery, index: index, place: h.fleet.Nodes[index],
+		stateDir: h.fleet.stateDir(index), features: features,
+	})
+}
+
+func (h *hollowMeasurement) measure() error {
+	for _, part := range []func() error{h.measureRest, h.measureMemory, h.measureChanges} {
+		if err := part(); err != nil {
+			return err
+		}
 	}
-	said := make(chan string, 1)
-	go func() {
-		line, _ := bufio.NewReader(read).ReadString('\n')
-		said <- line
-		io.Copy(io.Discard, read)
-	}()
-	go func() { <-p.Done(); write.Close() }()
-	select {
-	case line := <-said:
-		if line == "ready\n" {
-			return p, nil
+	for ratio, figures := range map[string]struct{ hollow, real string }{
+		"idleratio":   {"idle", "realidle"},
+		"changeratio": {"change", "realchange"},
+		"bytesratio":  {"bytes", "realbytes"},
+	} {
+		if h.values[figures.real] > 0 {
+			h.values[ratio] = h.values[figures.hollow] / h.values[figures.real]
 		}
-		p.kill()
-		return nil, fmt.Errorf("hollow nodes: %s", strings.TrimSpace(line))
-	case <-time.After(2 * readyWithin):
-		p.kill()
-		return nil, fmt.Errorf("hollow nodes: not ready within %v", 2*readyWithin)
 	}
+	return nil
 }
 
-func hollowProbe() Probe {
-	return Probe{
-		Name: "hollow", Size: "hollow nodes", Sizes: []float64{10, 30, 100, 200}, Quick: []float64{2, 4, 10, 20}, Least: 2, Most: mostMembers - 1,
-		At:   func(d *Design) float64 { return d.Nodes },
-		Need: func(n float64) Need { return Need{Bytes: 60e6 + n*(8e6+500*n), Processes: 2} },
-		Figures: []Figure{
-			{Name: "memory", What: "memory of the process of so many, each before 1,200 servers", Unit: "bytes", Role: "lab", Method: residentNow},
-			{Name: "real", What: "memory of the real one beside them", Unit: "bytes", Role: "node", Method: residentNow, Limit: limitBytes},
-			{Name: "memoryratio", What: "hollow over real, memory: a real one has a runtime of its own", Unit: "1", Role: "lab", Method: "memory over its nodes / real"},
-			{Name: "idle", What: "a hollow one, nothing happening", Unit: "% of a core", Role: "lab", Method: "processor time of the process over its nodes"},
-			{Name: "realidle", What: "the real one, nothing happening", Unit: "% of a core", Role: "node", Method: "processor time of the process", Limit: limitCores},
-			{Name: "idleratio", What: "hollow over real, nothing happening", Unit: "1", Role: "lab", Method: "idle / realidle"},
-			{Name: "change", What: "one change told to a hollow one", Unit: "ms", Role: "lab", Method: rusage + ", over its nodes"},
-			{Name: "realchange", What: "one change told to the real one", Unit: "ms", Role: "node", Method: rusage, Limit: limitChange},
-			{Name: "changeratio", What: "hollow over real, one change", Unit: "1", Role: "lab", Method: "change / realchange"},
-			{Name: "bytes", What: "datagrams that a hollow one sends", Unit: "bytes/s", Role: "lab", Method: "the node's own count"},
-			{Name: "realbytes", What: "datagrams that the real one sends", Unit: "bytes/s", Role: "node", Method: "the node's own count", Limit: limitNetwork},
-			{Name: "bytesratio", What: "hollow over real, bytes", Unit: "1", Role: "lab", Method: "bytes / realbytes"},
-		},
-		Measure: measureHollow,
-	}
+// usage is what both processes used over a time, seconds.
+type usage struct {
+	hollow, real float64 // processor time
+	elapsed      float64
+}
+
+// during measures both processes while something is done.
+func (h *hollowMeasurement) during(do func() error) (usage, error) {
+	u := usage{hollow: -h.hollow.processorSeconds(), real: -h.real.processorSeconds()}
+	began := time.Now()
+	err := do()
+	u.hollow += h.hollow.processorSeconds()
+	u.real += h.real.processorSeconds()
+	u.elapsed = time.Since(began).Seconds()
+	return u, err
 }
 
-// sentBy is what a node has sent in datagrams so far, bytes.
-func sentBy(console string) (float64, error) {
-	status, text, err := fleet.Ask(console, "GET", "/members")
+// sentBytes are those that a hollow node and the real one have sent in datagrams so far.
+type sentBytes struct {
+	hollow, real float64
+}
+
+func (h *hollowMeasurement) sent() (sentBytes, error) {
+	hollow, errHollow := nodeSentBytes(h.fleet.Nodes[0].Admin)
+	real, errReal := nodeSentBytes(h.real.admin)
+	return sentBytes{hollow, real}, errors.Join(errHollow, errReal)
+}
+
+func nodeSentBytes(admin string) (float64, error) {
 	var view struct {
 		Counts struct {
 			Sent float64 `json:"sent_bytes"`
 		} `json:"counts"`
 	}
-	if err == nil && status != 200 {
-		err = fmt.Errorf("members: answered %d", status)
-	}
-	if err == nil {
-		err = json.Unmarshal(text, &view)
-	}
+	err := adminGet(admin, "/members", &view)
 	return view.Counts.Sent, err
 }
 
-func measureHollow(ctx context.Context, e *Env, size float64) (v map[string]float64, note string, err error) {
-	v = map[string]float64{}
-	if len(e.Node) == 0 || len(e.Hollow) == 0 {
-		return v, "no node program found", nil
-	}
-	servers, rest, watch, changes := fewServers, 5*time.Second+time.Duration(size)*100*time.Millisecond, 5*time.Second, 100
-	if e.Quick {
-		servers, rest, watch, changes = 50, 0, 500*time.Millisecond, 10
-	}
-	n := int(size)
-	f := &hollowFleet{}
-	if f.Dir, err = os.MkdirTemp(e.Dir, "hollow-"); err != nil {
-		return v, "", err
-	}
-	defer os.RemoveAll(f.Dir)
-	d, err := newDiscovery(servers)
+// measureRest watches the nodes while nothing happens.
+func (h *hollowMeasurement) measureRest() error {
+	before, err := h.sent()
 	if err != nil {
-		return v, "", err
+		return err
 	}
-	defer d.close()
-	f.Discovery = d.address()
-	at, err := places(3 * (n + 1))
+	used, err := h.during(func() error {
+		time.Sleep(pick(h.env, 5*time.Second, 500*time.Millisecond))
+		return nil
+	})
 	if err != nil {
-		return v, "", err
-	}
-	for i := range n + 1 {
-		f.Nodes = append(f.Nodes, hollowNode{fmt.Sprintf("n%d", i), at[3*i], at[3*i+1], at[3*i+2]})
+		return err
 	}
-	features, err := f.features(n)
+	after, err := h.sent()
 	if err != nil {
-		return v, "", err
+		return err
 	}
-	hollow, err := startHollow(e, f)
+	h.values["idle"] = 100 * used.hollow / used.elapsed / h.size
+	h.values["realidle"] = 100 * used.real / used.elapsed
+	h.values["bytes"] = (after.hollow - before.hollow) / used.elapsed
+	h.values["realbytes"] = (after.real - before.real) / used.elapsed
+	return nil
+}
+
+func (h *hollowMeasurement) measureMemory() error {
+	hollow, err := readResident(h.hollow.PID())
 	if err != nil {
-		return v, "", err
+		return err
 	}
-	defer hollow.kill()
-	real, err := startAt(e, f.Dir, f.Discovery, f.state(n), features, n, f.Nodes[n].Listen, f.Nodes[n].Console)
+	real, err := readResident(h.real.PID())
 	if err != nil {
-		return v, "", err
-	}
-	defer real.kill()
-	if _, err := real.ready(ctx, readyWithin); err != nil {
-		return v, "", err
-	}
-	time.Sleep(rest) // what is new is told
-	both := func(do func() error) (a, b float64, took float64, err error) {
-		a, b, from := -hollow.cpu(), -real.cpu(), time.Now()
-		err = do()
-		return a + hollow.cpu(), b + real.cpu(), time.Since(from).Seconds(), err
-	}
-	sentHollow, err := sentBy(f.Nodes[0].Console)
-	sentReal, err2 := sentBy(f.Nodes[n].Console)
-	a, b, took, _ := both(func() error { time.Sleep(watch); return nil })
-	v["idle"], v["realidle"] = 100*a/took/size, 100*b/took
-	toHollow, err3 := sentBy(f.Nodes[0].Console)
-	toReal, err4 := sentBy(f.Nodes[n].Console)
-	if err := errors.Join(err, err2, err3, err4); err != nil {
-		return v, "", err
-	}
-	v["bytes"], v["realbytes"] = (toHollow-sentHollow)/took, (toReal-sentReal)/took
-	if v["memory"], _, err = resident(hollow.PID()); err != nil {
-		return v, "", err
-	}
-	if v["real"], _, err = resident(real.PID()); err != nil {
-		return v, "", err
+		return err
 	}
-	v["memoryratio"] = v["memory"] / size / v["real"]
-	hollowIdle, realIdle := v["idle"]/100*size, v["realidle"]/100
-	a, b, took, err = both(func() error {
+	h.values["memory"], h.values["real"] = hollow.now, real.now
+	h.values["memoryratio"] = hollow.now / h.size / real.now
+	return nil
+}
+
+// measureChanges sends changes of the endpoint list to all nodes.
+func (h *hollowMeasurement) measureChanges() error {
+	changes := pick(h.env, 100, 10)
+	used, err := h.during(func() error {
 		for i := range changes {
-			entry := entryText(nil, i/2*7919%servers, []string{"draining", "up"}[i%2], int64(i%2)*time.Now().UnixMilli())
-			if err := d.tell(lineText(int64(2+i), false, entry)); err != nil {
+			health, startedMs := "draining", int64(0)
+			if i%2 == 1 {
+				health, startedMs = "up", time.Now().UnixMilli()
+			}
+			entry := entryText(i/2*scatter%h.endpoints, health, startedMs)
+			if err := h.discovery.send(updateText(int64(2+i), false, entry)); err != nil {
 				return err
 			}
-			time.Sleep(20 * time.Millisecond)
+			time.Sleep(changePause)
 		}
 		time.Sleep(100 * time.Millisecond)
 		return nil
 	})
 	if err != nil {
-		return v, "", err
-	}
-	v["change"] = 1e3 * max(a-hollowIdle*took, 0) / float64(changes) / size
-	v["realchange"] = 1e3 * max(b-realIdle*took, 0) / float64(changes)
-	for name, of := range map[string][2]string{"idleratio": {"idle", "realidle"}, "changeratio": {"change", "realchange"}, "bytesratio": {"bytes", "realbytes"}} {
-		if v[of[1]] > 0 {
-			v[name] = v[of[0]] / v[of[1]]
-		}
+		return err
 	}
-	return v, "", nil
+	hollowIdle := h.values["idle"] / 100 * h.size * used.elapsed
+	realIdle := h.values["realidle"] / 100 * used.elapsed
+	h.values["change"] = 1e3 * max(used.hollow-hollowIdle, 0) / float64(changes) / h.size
+	h.values["realchange"] = 1e3 * max(used.real-realIdle, 0) / float64(changes)
+	return nil
 }
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -1,8 +1,5 @@
 package scale
 
-// This file owns what it costs nodes to know of one another, in virtual time: the members' own code, many times in this process, and a
-// network that loses some. It must never count as known what a node does not hold itself.
-
 import (
 	"context"
 	"fawnglade/internal/lab/fleet"
@@ -12,153 +9,219 @@
 	"runtime"
 )
 
+// Probe of membership: the members' own code for all nodes in virtual time, on a network that loses some datagrams.
+
 const (
-	lost        = 0.05
-	second      = int64(1e9)
-	mostMembers = 4096 // internal/members takes no more
-	upWithin    = 300 * second
-	deathWithin = 200 * second
-	quietWithin = 600 * second
-	// shortDatagram is longer, in bytes, than datagrams are on the mean in which next to nothing is told.
-	shortDatagram = 100
-	watchMembers  = 20 * second
-	countEvery    = 100 * ms
-	virtual       = "virtual time, 5% of datagrams lost"
+	datagramLoss  = 0.05
+	maxMembers    = 4096 // that internal/members takes
+	maxUpTime     = 300 * second
+	maxDeathTime  = 200 * second
+	maxSettleTime = 600 * second
+	// restDatagram is longer, in bytes, than the mean datagram of a fleet at rest.
+	restDatagram   = 100
+	membersWatch   = 20 * second
+	deathPoll      = 100 * millisecond
+	methodMembers  = "virtual time, 5% of datagrams lost"
+	membersVirtual = 1 // seed of the fleet
 )
 
-// holding is how many nodes hold one in a state; all but itself.
-func holding(v *fleet.Virtual, of int, state members.State) (n int) {
-	for i := range v.Len() {
-		if m := v.Members(i); i != of && m != nil && m.StateOf(of) == state {
-			n++
+func membersProbe() Probe {
+	return Probe{
+		Name: "members", SizeUnit: "nodes", MinSize: 3, MaxSize: maxMembers, NodeMax: maxMembers,
+		Sizes: []float64{100, 200, 400, 1000}, QuickSizes: []float64{4, 8, 20, 40},
+		DesignSize: func(d *Design) float64 { return d.Nodes },
+		Need:       func(n float64) Need { return Need{Bytes: 400*n*n + 20e6} },
+		Figures: []Figure{
+			{Name: "memory", Description: "memory of one node's view", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
+			{Name: "cpu", Description: "one node's view, nothing happening", Unit: "% of a core", Role: "node", Method: methodProcessor + ", the virtual network's too", Limit: limitCores},
+			{Name: "bytes", Description: "sent, and as much heard, a node", Unit: "bytes/s", Role: "node", Method: methodMembers, Limit: limitNetwork},
+			{Name: "datagrams", Description: "sent a node", Unit: "1/s", Role: "node", Method: methodMembers},
+			{Name: "up", Description: "all nodes start at once: until each knows all", Unit: "s", Role: "node", Method: methodMembers, Limit: limitReady},
+			{Name: "told", Description: "until the start is no longer told, and the fleet is at rest", Unit: "s", Role: "node", Method: methodMembers},
+			{Name: "busy50", Description: "a node dies while the start is still told: until half of the others hold it silent", Unit: "s", Role: "node", Method: methodMembers},
+			{Name: "busy90", Description: "until 90 in 100 do", Unit: "s", Role: "node", Method: methodMembers},
+			{Name: "busy99", Description: "until 99 in 100 do", Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation},
+			{Name: "busy100", Description: "until all do", Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation},
+			{Name: "death50", Description: "a node dies, the fleet at rest: until half of the others hold it silent", Unit: "s", Role: "node", Method: methodMembers},
+			{Name: "death90", Description: "until 90 in 100 do", Unit: "s", Role: "node", Method: methodMembers},
+			{Name: "death99", Description: "until 99 in 100 do", Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation},
+			{Name: "death100", Description: "until all do", Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation},
+		},
+		Measure: func(ctx context.Context, e *Env, size float64) (Measurement, error) {
+			m := &membersMeasurement{ctx: ctx, env: e, size: size, values: Values{}}
+			note, err := m.measure()
+			return Measurement{m.values, note}, err
+		},
+	}
+}
+
+// membersMeasurement is a fleet in virtual time.
+type membersMeasurement struct {
+	ctx    context.Context
+	env    *Env
+	size   float64
+	values Values
+	fleet  *fleet.Virtual
+	began  int64 // when all nodes had been started, nanoseconds
+}
+
+// measure returns a note where something did not happen in time; what was measured before stays.
+func (m *membersMeasurement) measure() (note string, err error) {
+	before := heapInUse()
+	if err := m.start(); err != nil {
+		return "", err
+	}
+	defer runtime.KeepAlive(m)
+	for _, part := range []func() (string, error){
+		m.waitUntilUp,
+		func() (string, error) { return m.measureDeath(1, "busy") },
+		m.waitUntilAtRest,
+	} {
+		if note, err := part(); err != nil || note != "" {
+			return note, err
 		}
 	}
-	return n
+	m.values["memory"] = (heapInUse() - before) / m.size
+	m.measureRest()
+	return m.measureDeath(2, "death")
 }
 
-func allUp(v *fleet.Virtual) bool {
-	for i := range v.Len() {
-		for _, s := range v.Members(i).States() {
-			if s != members.Alive {
-				return false
-			}
+// start starts all nodes at once.
+func (m *membersMeasurement) start() error {
+	n := int(m.size)
+	m.fleet = fleet.NewVirtual(n, membersVirtual)
+	for i := range n {
+		if err := m.fleet.Start(i); err != nil {
+			return err
 		}
 	}
-	return true
+	all := fleet.Ends(fleet.Numbers(0, n))
+	m.fleet.Break(netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: datagramLoss, Burst: 1, Seed: 11})
+	m.began = m.fleet.Now()
+	return nil
 }
 
-func membersProbe() Probe {
-	return Probe{
-		Name: "members", Size: "nodes", Sizes: []float64{100, 200, 400, 1000}, Quick: []float64{4, 8, 20, 40}, Least: 3, Most: mostMembers,
-		At: func(d *Design) float64 { return d.Nodes }, Cap: mostMembers,
-		Need: func(n float64) Need { return Need{Bytes: 400*n*n + 20e6} },
-		Figures: []Figure{
-			{Name: "memory", What: "memory of one node's view", Unit: "bytes", Role: "node", Method: onHeap, Limit: limitBytes},
-			{Name: "cpu", What: "one node's view, nothing happening", Unit: "% of a core", Role: "node", Method: processor + ", the virtual network's too", Limit: limitCores},
-			{Name: "bytes", What: "sent, and as much heard, a node", Unit: "bytes/s", Role: "node", Method: virtual, Limit: limitNetwork},
-			{Name: "datagrams", What: "sent a node", Unit: "1/s", Role: "node", Method: virtual},
-			{Name: "up", What: "all nodes start at once: until each knows all", Unit: "s", Role: "node", Method: virtual, Limit: limitReady},
-			{Name: "told", What: "until the start is no longer told, and the fleet is at rest", Unit: "s", Role: "node", Method: virtual},
-			{Name: "busy50", What: "a node dies while the start is still told: until half of the others hold it silent", Unit: "s", Role: "node", Method: virtual},
-			{Name: "busy90", What: "until 90 in 100 do", Unit: "s", Role: "node", Method: virtual},
-			{Name: "busy99", What: "until 99 in 100 do", Unit: "s", Role: "node", Method: virtual, Limit: limitInForce},
-			{Name: "busy100", What: "until all do", Unit: "s", Role: "node", Method: virtual, Limit: limitInForce},
-			{Name: "death50", What: "a node dies, the fleet at rest: until half of the others hold it silent", Unit: "s", Role: "node", Method: virtual},
-			{Name: "death90", What: "until 90 in 100 do", Unit: "s", Role: "node", Method: virtual},
-			{Name: "death99", What: "until 99 in 100 do", Unit: "s", Role: "node", Method: virtual, Limit: limitInForce},
-			{Name: "death100", What: "until all do", Unit: "s", Role: "node", Method: virtual, Limit: limitInForce},
-		},
-		Measure: func(ctx context.Context, e *Env, size float64) (map[string]float64, string, error) {
-			n, values := int(size), map[string]float64{}
-			before := inUse()
-			v := fleet.NewVirtual(n, 1)
-			for i := range n {
-				if err := v.Start(i); err != nil {
-					return values, "", err
-				}
-			}
-			everybody := fleet.Ends(fleet.Numbers(0, n))
-			v.Break(netfault.Fault{Kind: netfault.Drop, From: everybody, To: everybody, Share: lost, Burst: 1, Seed: 11})
-			began := v.Now()
-			for !allUp(v) {
-				if v.Now()-began > upWithin {
-					return values, fmt.Sprintf("not all knew all within %d s", upWithin/second), nil
-				}
-				if err := ctx.Err(); err != nil {
-					return values, "", err
-				}
-				v.Run(second / 2)
-			}
-			values["up"] = float64(v.Now()-began) / 1e9
-			e.say("  all up after %.1f s", values["up"])
-			// While the start is still being told, and once it is not.
-			note, err := death(ctx, e, v, 1, "busy", values)
-			if err != nil || note != "" {
-				return values, note, err
-			}
-			for bytes, sent := 1.0, 0.0; bytes > shortDatagram*sent; {
-				if v.Now()-began > quietWithin {
-					return values, fmt.Sprintf("still telling of the start after %d s, so nothing was measured of a fleet at rest", quietWithin/second), nil
-				}
-				if err := ctx.Err(); err != nil {
-					return values, "", err
-				}
-				sent, bytes = traffic(v, 5*second)
-			}
-			values["told"] = float64(v.Now()-began) / 1e9
-			e.say("  told after %.1f s", values["told"])
-			values["memory"] = (inUse() - before) / size
-			watch := watchMembers
-			if e.Quick {
-				watch /= 4
-			}
-			var sent, bytes float64
-			values["cpu"] = 100 * spent(func() { sent, bytes = traffic(v, watch) }) / size / (float64(watch) / 1e9)
-			values["datagrams"], values["bytes"] = sent/size/(float64(watch)/1e9), bytes/size/(float64(watch)/1e9)
-			note, err = death(ctx, e, v, 2, "death", values)
-			runtime.KeepAlive(v)
-			return values, note, err
-		},
+// sinceStart returns seconds.
+func (m *membersMeasurement) sinceStart() float64 { return float64(m.fleet.Now()-m.began) / 1e9 }
+
+func (m *membersMeasurement) waitUntilUp() (note string, err error) {
+	for !allKnowAll(m.fleet) {
+		if m.fleet.Now()-m.began > maxUpTime {
+			return fmt.Sprintf("not all knew all within %d s", maxUpTime/second), nil
+		}
+		if err := m.ctx.Err(); err != nil {
+			return "", err
+		}
+		m.fleet.Run(second / 2)
 	}
+	m.values["up"] = m.sinceStart()
+	m.env.logf("  all up after %.1f s", m.values["up"])
+	return "", nil
 }
 
-// traffic lets time pass, and returns the datagrams and bytes that were sent meanwhile by all.
-func traffic(v *fleet.Virtual, long int64) (sent, bytes float64) {
-	for _, sign := range []float64{-1, 1} {
-		for i := range v.Len() {
-			if m := v.Members(i); m != nil {
-				c := m.Counters()
-				sent, bytes = sent+sign*float64(c.Sent), bytes+sign*float64(c.SentBytes)
+// waitUntilAtRest waits until datagrams carry next to no updates.
+func (m *membersMeasurement) waitUntilAtRest() (note string, err error) {
+	for atRest := false; !atRest; {
+		if m.fleet.Now()-m.began > maxSettleTime {
+			return fmt.Sprintf("still telling of the start after %d s, so nothing was measured of a fleet at rest", maxSettleTime/second), nil
+		}
+		if err := m.ctx.Err(); err != nil {
+			return "", err
+		}
+		sent := m.watchTraffic(5 * second)
+		atRest = sent.bytes <= restDatagram*sent.datagrams
+	}
+	m.values["told"] = m.sinceStart()
+	m.env.logf("  told after %.1f s", m.values["told"])
+	return "", nil
+}
+
+// measureRest measures the fleet while nothing happens.
+func (m *membersMeasurement) measureRest() {
+	watch := pick(m.env, membersWatch, membersWatch/4)
+	seconds := float64(watch) / 1e9
+	var sent traffic
+	m.values["cpu"] = 100 * spent(func() { sent = m.watchTraffic(watch) }) / m.size / seconds
+	m.values["datagrams"] = sent.datagrams / m.size / seconds
+	m.values["bytes"] = sent.bytes / m.size / seconds
+}
+
+// measureDeath kills a node, and enters after how long 50, 90, 99 and 100 in 100 of the others hold it dead.
+func (m *membersMeasurement) measureDeath(victim int, name string) (note string, err error) {
+	m.fleet.Kill(victim)
+	killed := m.fleet.Now()
+	others := float64(running(m.fleet))
+	for _, percent := range []int{50, 90, 99, 100} {
+		figure := fmt.Sprint(name, percent)
+		for float64(knownAs(m.fleet, victim, members.Dead)) < float64(percent)/100*others || m.fleet.Now() == killed {
+			if m.fleet.Now()-killed > maxDeathTime {
+				return fmt.Sprintf("%s: %d of %.0f held it silent after %d s",
+					figure, knownAs(m.fleet, victim, members.Dead), others, maxDeathTime/second), nil
+			}
+			if err := m.ctx.Err(); err != nil {
+				return "", err
 			}
+			m.fleet.Run(deathPoll)
 		}
-		if sign < 0 {
-			v.Run(long)
+		m.values[figure] = float64(m.fleet.Now()-killed) / 1e9
+		m.env.logf("  %s: %d in 100 know after %.1f s", name, percent, m.values[figure])
+	}
+	return "", nil
+}
+
+// traffic is what all nodes sent over a time.
+type traffic struct {
+	datagrams, bytes float64
+}
+
+func (t *traffic) add(v *fleet.Virtual, sign float64) {
+	for i := range v.Len() {
+		if one := v.Members(i); one != nil {
+			counters := one.Counters()
+			t.datagrams += sign * float64(counters.Sent)
+			t.bytes += sign * float64(counters.SentBytes)
 		}
 	}
-	return sent, bytes
 }
 
-// death kills a node, and notes after how long 50, 90, 99 and 100 in 100 of the others hold it silent.
-func death(ctx context.Context, e *Env, v *fleet.Virtual, victim int, name string, values map[string]float64) (note string, err error) {
-	v.Kill(victim)
-	killed, others := v.Now(), 0.0
+// watchTraffic lets time pass, and returns what was sent meanwhile.
+func (m *membersMeasurement) watchTraffic(duration int64) traffic {
+	var sent traffic
+	sent.add(m.fleet, -1)
+	m.fleet.Run(duration)
+	sent.add(m.fleet, 1)
+	return sent
+}
+
+// running counts the nodes that run.
+func running(v *fleet.Virtual) int {
+	n := 0
 	for i := range v.Len() {
 		if v.Members(i) != nil {
-			others++
+			n++
 		}
 	}
-	for parts := []int{50, 90, 99, 100}; len(parts) > 0; {
-		if v.Now()-killed > deathWithin {
-			return fmt.Sprintf("%s%d: %d of %.0f held it silent after %d s", name, parts[0], holding(v, victim, members.Dead), others, deathWithin/second), nil
-		}
-		if err := ctx.Err(); err != nil {
-			return "", err
+	return n
+}
+
+// knownAs counts the nodes that hold another one in a state.
+func knownAs(v *fleet.Virtual, node int, state members.State) int {
+	n := 0
+	for i := range v.Len() {
+		if one := v.Members(i); i != node && one != nil && one.StateOf(node) == state {
+			n++
 		}
-		v.Run(countEvery)
-		for have := float64(holding(v, victim, members.Dead)); len(parts) > 0 && have >= float64(parts[0])/100*others; parts = parts[1:] {
-			values[fmt.Sprint(name, parts[0])] = float64(v.Now()-killed) / 1e9
-			e.say("  %s: %d in 100 know after %.1f s", name, parts[0], values[fmt.Sprint(name, parts[0])])
+	}
+	return n
+}
+
+func allKnowAll(v *fleet.Virtual) bool {
+	for i := range v.Len() {
+		for _, state := range v.Members(i).States() {
+			if state != members.Alive {
+				return false
+			}
 		}
 	}
-	return "", nil
+	return true
 }
--- /dev/null
+++ b/internal/lab/scale/nodeprocess.go
@@ -0,0 +1,221 @@
+package scale
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/fleet"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+)
+
+const (
+	readyTimeout      = 20 * time.Second
+	quickReadyTimeout = 5 * time.Second
+	readyPoll         = 5 * time.Millisecond
+)
+
+// nodeSettings are those of one node of a large fleet, with its zones.
+func nodeSettings(nodes, index int, gossip bool) string {
+	var names []string
+	for i := range zones {
+		names = append(names, fmt.Sprintf("%q", zoneName(i)))
+	}
+	return fmt.Sprintf(`{"discovery":"push","family_info":{},"goal":{"whole":0.5},"group_size":%d,"position":%d,
+"limits":{"cancelling":true,"connect_timeout_us":75000,"idle_close_us":60000000,"max_retry_after_us":1500000,"peer_messages":%t,
+"may_duplicate":false,"retry_after":true,"try_limit":3},"profiles":[{"deadline_us":2000000,"name":"view","objective_us":1000000,"repeat":"safe"},
+{"deadline_us":2000000,"name":"pay","objective_us":1000000,"repeat":"unsafe"}],
+"quantum_us":2000,"report":{"fields":["queue"],"how":"inline"},"rules":{"stop_sending_within_us":500000,"ask_within_us":10000000,"cold_from":0.2,"warm_within_us":20000000},
+"weights":"off","zone":0,"zones":[%s]}`, nodes, index, gossip, strings.Join(names, ","))
+}
+
+// nodePlace is where one node runs. Its tags are of the file that the process of hollow nodes reads.
+type nodePlace struct {
+	Name    string `json:"Name"`
+	Listen  string `json:"Listen"`
+	Admin   string `json:"Console"`
+	Members string `json:"Members"`
+}
+
+// nodeConfig is a node's configuration; with gossip it may send to other nodes.
+func nodeConfig(index int, place nodePlace, discovery string, gossip bool) string {
+	gossipConfig := "{}"
+	if gossip {
+		gossipConfig = `{"listen":"127.0.0.1:0"}`
+	}
+	return fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"console":%q,"seed":"%x","news":%s,"settings":%s}`,
+		index, place.Listen, discovery, place.Admin, index+1, gossipConfig, nodeSettings(int(DefaultDesign.Nodes), index, gossip))
+}
+
+// freeAddresses returns addresses that nothing listens at, for connections or datagrams. All are held until the last is found, so
+// that none comes twice.
+func freeAddresses(n int) ([]string, error) {
+	var addresses []string
+	for len(addresses) < n {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			return nil, err
+		}
+		defer listener.Close()
+		address := listener.Addr().String()
+		if packets, err := net.ListenPacket("udp", address); err == nil {
+			defer func() { _ = packets.Close() }() // nothing was sent or received
+			addresses = append(addresses, address)
+		}
+	}
+	return addresses, nil
+}
+
+// nodeProcess is one real node.
+type nodeProcess struct {
+	emulator.Proc
+	admin string // address
+	began time.Time
+}
+
+// nodeOptions are those of a node's start.
+type nodeOptions struct {
+	dir       string // for configuration and log
+	discovery string // address
+	index     int
+	place     nodePlace
+	stateDir  string // empty: none
+	features  string // path of the features file; empty: none, and no gossip
+}
+
+// startAnywhere starts a node at free addresses.
+func startAnywhere(e *Env, dir, discovery, stateDir string) (*nodeProcess, error) {
+	addresses, err := freeAddresses(2)
+	if err != nil {
+		return nil, err
+	}
+	return startNode(e, nodeOptions{
+		dir: dir, discovery: discovery, index: probeNode, place: nodePlace{Listen: addresses[0], Admin: addresses[1]}, stateDir: stateDir,
+	})
+}
+
+func startNode(e *Env, o nodeOptions) (*nodeProcess, error) {
+	config := filepath.Join(o.dir, "node.json")
+	text := nodeConfig(o.index, o.place, o.discovery, o.features != "")
+	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		return nil, err
+	}
+	log, err := os.Create(filepath.Join(o.dir, "node.log"))
+	if err != nil {
+		return nil, err
+	}
+	defer log.Close()
+	env := []string{"NODE_CONFIG=" + config, "NODE_FEATURES=" + o.features, "NODE_STATE=" + o.stateDir, "NODE_CONSOLE=", "TMPDIR=" + o.dir}
+	p := &nodeProcess{admin: o.place.Admin, began: time.Now()}
+	p.Proc, err = emulator.Command(e.NodeCommand)("", env, log)
+	return p, err
+}
+
+// kill ends the process, and waits for its end.
+func (p *nodeProcess) kill() {
+	_ = p.Signal(syscall.SIGKILL) // fails only if it has ended
+	<-p.Done()
+}
+
+// isReady tells whether a node takes requests.
+func isReady(admin string) bool {
+	status, _, err := fleet.Ask(admin, http.MethodGet, "/ready")
+	return err == nil && status == http.StatusOK
+}
+
+// waitUntilReady returns the seconds from the start until the node takes requests; an error if it does not in time.
+func (p *nodeProcess) waitUntilReady(ctx context.Context, timeout time.Duration) (float64, error) {
+	for time.Since(p.began) < timeout {
+		if isReady(p.admin) {
+			return time.Since(p.began).Seconds(), nil
+		}
+		select {
+		case <-ctx.Done():
+			return 0, ctx.Err()
+		case <-p.Done():
+			return 0, errors.New("the node ended by itself")
+		case <-time.After(readyPoll):
+		}
+	}
+	return 0, fmt.Errorf("not ready within %v", timeout)
+}
+
+// adminGet reads a JSON answer of a node's admin API.
+func adminGet(admin, path string, into any) error {
+	status, text, err := fleet.Ask(admin, http.MethodGet, path)
+	if err != nil {
+		return err
+	}
+	if status != http.StatusOK {
+		return fmt.Errorf("%s: answered %d", strings.TrimPrefix(path, "/"), status)
+	}
+	return json.Unmarshal(text, into)
+}
+
+// processorSeconds returns what the process has used so far; 0 if it cannot be read.
+func (p *nodeProcess) processorSeconds() float64 {
+	seconds, err := processorTime(p.PID())
+	if err != nil {
+		return 0
+	}
+	return seconds
+}
+
+// idleShare watches a process to which nothing happens, and returns its processor time, seconds a second.
+func (p *nodeProcess) idleShare(watch time.Duration) float64 {
+	before, began := p.processorSeconds(), time.Now()
+	time.Sleep(watch)
+	return (p.processorSeconds() - before) / time.Since(began).Seconds()
+}
+
+// work is what a process did with what it was given.
+type work struct {
+	processor float64 // seconds, beyond what it takes idle
+	elapsed   float64 // seconds until it was idle again
+}
+
+const (
+	quietStep       = 20 * time.Millisecond
+	quietSteps      = 50    // without work: on a busy machine a process may be kept from the processor for a while
+	quickQuietSteps = 5     // in a quick run
+	quietProcessor  = 0.003 // seconds over those steps that count as no work
+)
+
+// workMeter begins before a process is given something to do.
+type workMeter struct {
+	process *nodeProcess
+	idle    float64 // its share while nothing happens
+	before  float64 // processor time
+	began   time.Time
+}
+
+func (p *nodeProcess) newWorkMeter(idle float64) workMeter {
+	return workMeter{p, idle, p.processorSeconds(), time.Now()}
+}
+
+// waitUntilIdle waits until the process has done what it was given.
+func (m *workMeter) waitUntilIdle(timeout time.Duration) work {
+	steps := quietSteps
+	if timeout <= quickReadyTimeout {
+		steps = quickQuietSteps
+	}
+	window := float64(steps) * quietStep.Seconds()
+	quiet := max(quietProcessor, 2*m.idle*window)
+	var seen []float64
+	for {
+		seen = append(seen, m.process.processorSeconds())
+		since := time.Since(m.began).Seconds()
+		last := len(seen) - 1
+		if last >= steps && seen[last]-seen[last-steps] < quiet || since > timeout.Seconds() {
+			return work{max(seen[last]-m.before-m.idle*since, 0), max(since-window, 0)}
+		}
+		time.Sleep(quietStep)
+	}
+}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -22,10 +22,10 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*math.Max(math.Abs(a), math.Abs(b)) }
 
-func TestALineIsFound(t *testing.T) {
+func TestFitOfALine(t *testing.T) {
 	p := points(func(x float64) float64 { return 1000 + 5*x }, 10, 100, 1000, 10000)
-	f := FitOf(p)
-	if !near(f.Slope, 5) || !near(f.Intercept, 1000) || f.Residual > 1e-9 || f.Breaks != 0 {
+	f := fitLine(p)
+	if !near(f.Slope, 5) || !near(f.Intercept, 1000) || f.Residual > 1e-9 || f.BreaksBeyond != 0 {
 		t.Errorf("%+v, want 1000 + 5 x that holds", f)
 	}
 	if v, how := f.at(p, 100000); !near(v, 501000) || how != "line" {
@@ -40,15 +40,15 @@
 }
 
 // Where the small sizes did not count, their errors would be past telling: a root mean square of relative errors has to be small.
-func TestSmallSizesCountAsLargeOnesDo(t *testing.T) {
+func TestSmallSizesCountAsMuchAsLargeOnes(t *testing.T) {
 	p := points(func(x float64) float64 { return 100 + x }, 10, 100, 1000, 10000)
 	p[3].Value *= 1.1
-	if f := FitOf(p); f.Residual > 0.06 || f.Breaks != 0 {
+	if f := fitLine(p); f.Residual > 0.06 || f.BreaksBeyond != 0 {
 		t.Errorf("%+v, want a line within 6%%", f)
 	}
 }
 
-func TestABreakIsTold(t *testing.T) {
+func TestFitFindsABreak(t *testing.T) {
 	for name, c := range map[string]struct {
 		of     func(x float64) float64
 		breaks float64
@@ -59,9 +59,9 @@
 		"held":            {func(x float64) float64 { return 3 + x }, 0, 0},
 	} {
 		p := points(c.of, 10, 20, 100, 1000, 5000, 20000)
-		f := FitOf(p)
-		if f.Breaks != c.breaks || c.power > 0 && math.Abs(f.Power-c.power) > 0.01 {
-			t.Errorf("%s: breaks beyond %v with power %.2f, want %v and %v", name, f.Breaks, f.Power, c.breaks, c.power)
+		f := fitLine(p)
+		if f.BreaksBeyond != c.breaks || c.power > 0 && math.Abs(f.Power-c.power) > 0.01 {
+			t.Errorf("%s: breaks beyond %v with power %.2f, want %v and %v", name, f.BreaksBeyond, f.Power, c.breaks, c.power)
 		}
 		v, how := f.at(p, 200000)
 		if want := c.of(200000); c.breaks > 0 && (how != "power" || v < want/3 || v > want*3) {
@@ -71,18 +71,18 @@
 }
 
 // A figure drawn out beyond what the node's own code takes has to say so, or a page would promise it.
-func TestACapIsTold(t *testing.T) {
+func TestSourceNamesTheNodesMaximum(t *testing.T) {
 	p := points(func(x float64) float64 { return x }, 10, 20, 50, 100)
 	for cap, want := range map[float64]string{0: "line", 2000: "line", 500: "line, but nothing beyond 500"} {
-		if s := (Slope{Points: p, Design: 1000, Cap: cap}).fitted(); s.How != want || !near(s.At, 1000) {
-			t.Errorf("cap %v: %v by %q, want %q", cap, s.At, s.How, want)
+		if s := (Slope{Points: p, DesignSize: 1000, NodeMax: cap}).withFit(); s.Source != want || !near(s.DesignValue, 1000) {
+			t.Errorf("cap %v: %v by %q, want %q", cap, s.DesignValue, s.Source, want)
 		}
 	}
 }
 
-func TestWhatFallsIsNotDrawnBelowNothing(t *testing.T) {
+func TestFallingFitIsNotBelowZero(t *testing.T) {
 	p := points(func(x float64) float64 { return 10 - x/100 }, 10, 50, 100, 200)
-	f := FitOf(p)
+	f := fitLine(p)
 	if v, how := f.at(p, 1e6); v != 8 || how != "last size" {
 		t.Errorf("%v by %s, want the last point", v, how)
 	}
@@ -91,9 +91,9 @@
 	}
 }
 
-func TestSizesThatTheMachineHasNoRoomForAreRefused(t *testing.T) {
+func TestCheckRefusesSizes(t *testing.T) {
 	m := Machine{MemoryBytes: 10e9}
-	p := Probe{Name: "x", Size: "servers", Least: 10, Most: 1e6, Need: func(n float64) Need { return Need{Bytes: 1e6 * n, Processes: int(n) / 20} }}
+	p := Probe{Name: "x", SizeUnit: "servers", MinSize: 10, MaxSize: 1e6, Need: func(n float64) Need { return Need{Bytes: 1e6 * n, Processes: int(n) / 20} }}
 	for _, c := range []struct {
 		sizes []float64
 		want  string
@@ -123,9 +123,9 @@
 }
 
 // A refusal comes before any work, also where the probe that is refused is the last.
-func TestNothingBeginsWhereOneIsRefused(t *testing.T) {
+func TestRunRefusesBeforeAnyWork(t *testing.T) {
 	var log bytes.Buffer
-	_, err := Run(t.Context(), Options{Sizes: []float64{1200, 4000, 12000, 1e9}, Machine: Machine{MemoryBytes: 16e9}, Env: Env{Log: &log}, Design: TheDesign, Limits: TheLimits})
+	_, err := Run(t.Context(), Options{Sizes: []float64{1200, 4000, 12000, 1e9}, Machine: Machine{MemoryBytes: 16e9}, Env: Env{Log: &log}, Design: DefaultDesign, Limits: DefaultLimits})
 	if err == nil || strings.Contains(err.Error(), "\n") || log.Len() > 0 {
 		t.Errorf("%v, log %q, want one line and no work", err, log.String())
 	}
@@ -136,25 +136,25 @@
 }
 
 // Each probe can do what it is asked for when nobody names sizes, on a machine as the operators' is.
-func TestTheUsualSizesAreTaken(t *testing.T) {
+func TestProbesTakeTheirOwnSizes(t *testing.T) {
 	m := Machine{MemoryBytes: 24e9}
 	seen := map[string]bool{}
 	for _, p := range Probes() {
-		for _, sizes := range [][]float64{p.Sizes, p.Quick} {
+		for _, sizes := range [][]float64{p.Sizes, p.QuickSizes} {
 			if err := p.Check(sizes, m); err != nil {
 				t.Error(err)
 			}
 		}
-		if seen[p.Name] || p.At(&TheDesign) <= 0 || len(p.Figures) == 0 {
+		if seen[p.Name] || p.DesignSize(&DefaultDesign) <= 0 || len(p.Figures) == 0 {
 			t.Errorf("%s: twice, of no size or with no figure", p.Name)
 		}
 		seen[p.Name] = true
 		for _, f := range p.Figures {
-			if seen[p.Name+"."+f.Name] || f.What == "" || f.Unit == "" || f.Role == "" || f.Method == "" {
+			if seen[p.Name+"."+f.Name] || f.Description == "" || f.Unit == "" || f.Role == "" || f.Method == "" {
 				t.Errorf("%s.%s: twice, or lacks a word", p.Name, f.Name)
 			}
 			seen[p.Name+"."+f.Name] = true
-			if f.Limit != nil && !(f.Limit(&TheDesign, &TheLimits) > 0) {
+			if f.Limit != nil && !(f.Limit(&DefaultDesign, &DefaultLimits) > 0) {
 				t.Errorf("%s.%s: a limit of nothing", p.Name, f.Name)
 			}
 		}
@@ -164,8 +164,8 @@
 func quick(t *testing.T, names ...string) *Result {
 	t.Helper()
 	r, err := Run(t.Context(), Options{
-		Only: names, Env: Env{Quick: true, Dir: t.TempDir()}, Command: "fawnglade-lab scale --quick", Day: time.Now(), Design: TheDesign,
-		Limits: TheLimits, Machine: Machine{Cores: 1, MemoryBytes: 16e9, Go: "go"},
+		Only: names, Env: Env{Quick: true, Dir: t.TempDir()}, Command: "fawnglade-lab scale --quick", Time: time.Now(), Design: DefaultDesign,
+		Limits: DefaultLimits, Machine: Machine{Cores: 1, MemoryBytes: 16e9, Go: "go"},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -173,8 +173,8 @@
 	return r
 }
 
-// TestAQuickRun measures all that needs no process, shows it, and has it read again.
-func TestAQuickRun(t *testing.T) {
+// TestQuickRun measures all that needs no process, shows it, and has it read again.
+func TestQuickRun(t *testing.T) {
 	r := quick(t, "decisions", "tenants", "classes", "services", "members", "disk", "endpoints", "routes", "subscribers", "inforce", "hearsay")
 	for _, s := range r.Slopes {
 		if len(s.Points) != 4 {
@@ -185,8 +185,8 @@
 				t.Errorf("%s: %v at %v", s.Name, p.Value, p.Size)
 			}
 		}
-		if s.Limit > 0 && !near(s.Factor, s.At/s.Limit) {
-			t.Errorf("%s: %v of %v is not %v times", s.Name, s.At, s.Limit, s.Factor)
+		if s.Limit > 0 && !near(s.LimitFactor, s.DesignValue/s.Limit) {
+			t.Errorf("%s: %v of %v is not %v times", s.Name, s.DesignValue, s.Limit, s.LimitFactor)
 		}
 	}
 	// What is sure on any machine: a server more takes memory; so does a tenant.
@@ -267,13 +267,13 @@
 	}
 }
 
-func TestRunsJoin(t *testing.T) {
+func TestJoin(t *testing.T) {
 	of := func(command string, limit float64, p ...Point) *Result {
-		return &Result{Command: command, Slopes: []Slope{Slope{Name: "a.b", Points: p, Design: 1000, Limit: limit, Command: command}.fitted()}}
+		return &Result{Command: command, Slopes: []Slope{Slope{Name: "a.b", Points: p, DesignSize: 1000, Limit: limit, Command: command}.withFit()}}
 	}
 	r := Join(Join(nil, of("one", 50, Point{1, 1}, Point{10, 10}, Point{20, 21})), of("two", 100, Point{20, 20}, Point{50, 50}))
 	s := one(t, r, "a.b")
-	if len(s.Points) != 4 || s.Points[2] != (Point{20, 20}) || !near(s.Fit.Slope, 1) || !near(s.At, 1000) || !near(s.Factor, 10) || s.Command != "one; two" {
+	if len(s.Points) != 4 || s.Points[2] != (Point{20, 20}) || !near(s.Fit.Slope, 1) || !near(s.DesignValue, 1000) || !near(s.LimitFactor, 10) || s.Command != "one; two" {
 		t.Errorf("%+v", s)
 	}
 	r.Slopes[0].Name = "a.c"
@@ -282,29 +282,29 @@
 	}
 }
 
-func TestAFilePutsOtherFiguresInPlace(t *testing.T) {
+func TestReadDesign(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "design.toml")
-	read := func(text string) (Design, Limits, error) {
+	read := func(text string) error {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d, l := TheDesign, TheLimits
-		return d, l, Read(path, &d, &l)
+		d, l := DefaultDesign, DefaultLimits
+		return ReadDesign(path, &d, &l)
 	}
-	d, l := TheDesign, TheLimits
+	d, l := DefaultDesign, DefaultLimits
 	if err := os.WriteFile(path, []byte("[design]\nservers = 5\n[limits]\nbytes = 7.0\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := Read(path, &d, &l); err != nil || d.Servers != 5 || l.Bytes != 7 || d.Nodes != TheDesign.Nodes || l.Cores != TheLimits.Cores {
+	if err := ReadDesign(path, &d, &l); err != nil || d.Endpoints != 5 || l.MemoryBytes != 7 || d.Nodes != DefaultDesign.Nodes || l.Cores != DefaultLimits.Cores {
 		t.Errorf("%v: %+v %+v", err, d, l)
 	}
-	_, _, err := read("[design]\nservers = 0\nnodes = -1\n[limits]\ncores = nan\n")
+	err := read("[design]\nservers = 0\nnodes = -1\n[limits]\ncores = nan\n")
 	for _, want := range []string{"design.servers: expected a number above 0, found 0", "design.nodes: expected a number above 0, found -1", "limits.cores"} {
 		if !strings.Contains(errText(err), path+": "+want) {
 			t.Errorf("%v, want %q too", err, want)
 		}
 	}
-	_, _, err = read("[design]\nservants = 1\nmodes = 2\n")
+	err = read("[design]\nservants = 1\nmodes = 2\n")
 	for _, want := range []string{"servants", "modes"} {
 		if !strings.Contains(errText(err), want) {
 			t.Errorf("%v, want %q too", err, want)
@@ -313,7 +313,7 @@
 }
 
 // The example of the page is the operators' own figures, whole.
-func TestThePagesExampleIsTheDesign(t *testing.T) {
+func TestExampleOfThePageIsTheDefaultDesign(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operate/scale.md")
 	if err != nil {
 		t.Fatal(err)
@@ -325,7 +325,7 @@
 	}
 	var d Design
 	var l Limits
-	if err := Read(path, &d, &l); err != nil || d != TheDesign || l != TheLimits {
+	if err := ReadDesign(path, &d, &l); err != nil || d != DefaultDesign || l != DefaultLimits {
 		t.Errorf("%v: %+v %+v", err, d, l)
 	}
 	for _, p := range Probes() {
@@ -336,16 +336,16 @@
 }
 
 // What a probe could not measure at a size is told, and the others go on.
-func TestASizeThatFailsIsTold(t *testing.T) {
+func TestRunNotesSizesThatFail(t *testing.T) {
 	r := quick(t, "process", "hollow") // no program is given
 	for _, s := range r.Slopes {
-		if len(s.Points) != 0 || s.How != "not measured" || s.Factor != 0 || len(s.Notes) != 4 || !strings.Contains(s.Notes[0], "no node program found") {
+		if len(s.Points) != 0 || s.Source != "not measured" || s.LimitFactor != 0 || len(s.Notes) != 4 || !strings.Contains(s.Notes[0], "no node program found") {
 			t.Errorf("%+v", s)
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	r, err := Run(ctx, Options{Only: []string{"disk"}, Env: Env{Quick: true, Dir: t.TempDir()}, Design: TheDesign, Limits: TheLimits, Machine: Machine{MemoryBytes: 16e9}})
+	r, err := Run(ctx, Options{Only: []string{"disk"}, Env: Env{Quick: true, Dir: t.TempDir()}, Design: DefaultDesign, Limits: DefaultLimits, Machine: Machine{MemoryBytes: 16e9}})
 	if err == nil || r == nil || len(r.Slopes) == 0 || !strings.Contains(strings.Join(r.Slopes[0].Notes, " "), "the run was ended") {
 		t.Errorf("%v, %+v: want what there is, with the error", err, r)
 	}
@@ -361,7 +361,7 @@
 	if idle := spent(func() { time.Sleep(50 * time.Millisecond) }); took <= 0 || idle > 0.045 {
 		t.Errorf("work took %v s and sleep %v s (%v)", took, idle, sum)
 	}
-	if now, most, err := resident(0); err != nil || now < 1e6 || most < now {
-		t.Errorf("%v, %v bytes now, %v at most", err, now, most)
+	if memory, err := readResident(0); err != nil || memory.now < 1e6 || memory.peak < memory.now {
+		t.Errorf("%v, %+v", err, memory)
 	}
 }
--- /dev/null
+++ b/internal/lab/scale/tree.go
@@ -0,0 +1,305 @@
+package scale
+
+import (
+	"container/heap"
+	"errors"
+	"fawnglade/internal/distribution"
+	"math"
+)
+
+// A distribution tree in virtual time: an origin, relays in two levels and subscribers. Frames take the delay of their link, and
+// relays send at the pace of a subscriber. Processors take no time here; other probes measure them.
+
+const (
+	upperRelays = 3
+	lowerRelays = 15
+	farDelay    = 40 * millisecond // of links between regions
+	nearDelay   = 1 * millisecond
+	second      = int64(1e9)
+	maxWait     = 120 * second
+)
+
+// settingsScope is followed by all nodes.
+const settingsScope = "all/settings"
+
+// event is something due; those due at one time happen in the order in which they were added.
+type event struct {
+	at     int64
+	number int
+	do     func()
+}
+
+// eventQueue implements heap.Interface.
+type eventQueue []event
+
+// Len implements heap.Interface.
+func (q eventQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].number < q[j].number
+}
+
+// Swap implements heap.Interface.
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop implements heap.Interface.
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+// tree is an origin, its relays and their subscribers.
+type tree struct {
+	now         int64
+	events      int // so far
+	queue       eventQueue
+	endpoints   int // in all scopes
+	origin      *distribution.Origin
+	relays      []*treeRelay // the origin's own first, then the upper, then the lower ones
+	subscribers []*treeSubscriber
+	received    []int // subscribers that a frame came to since waitFor looked
+	err         error
+}
+
+// treeRelay is a relay with what follows it.
+type treeRelay struct {
+	relay *distribution.Relay
+	links map[int]*treeLink // by ID at the relay
+}
+
+// treeLink leads from a relay to one that follows it.
+type treeLink struct {
+	receive func(frame []byte) // after the delay
+	delay   int64
+	pollAt  int64 // when the relay is asked for frames again; 0: not
+}
+
+// treeSubscriber is one node.
+type treeSubscriber struct {
+	subscriber *distribution.Subscriber
+	changes    int               // records that changed, since it was last set to 0
+	bytes      map[int64]float64 // by second of virtual time
+}
+
+func (t *tree) schedule(at int64, do func()) {
+	t.events++
+	heap.Push(&t.queue, event{at, t.events, do})
+}
+
+func (t *tree) fail(err error) { t.err = errors.Join(t.err, err) }
+
+// poll has a relay send what it has on one link.
+func (t *tree) poll(r *treeRelay, id int) {
+	link := r.links[id]
+	for range maxFrames {
+		frame, next := r.relay.Next(t.now, id)
+		if frame == nil {
+			t.pollLater(r, id, max(next, t.now+1))
+			return
+		}
+		t.schedule(t.now+link.delay, func() { link.receive(frame) })
+	}
+	t.fail(errEndlessFrames)
+}
+
+// pollLater polls a link at a time, unless it is polled before.
+func (t *tree) pollLater(r *treeRelay, id int, at int64) {
+	link := r.links[id]
+	if link.pollAt > t.now && link.pollAt <= at {
+		return
+	}
+	link.pollAt = at
+	t.schedule(at, func() {
+		if link.pollAt == at {
+			link.pollAt = 0
+			t.poll(r, id)
+		}
+	})
+}
+
+// pollReady polls the links for which a relay has something.
+func (t *tree) pollReady(r *treeRelay) {
+	for _, id := range r.relay.Ready() {
+		t.poll(r, id)
+	}
+}
+
+// attach adds a link to a relay, with a pace in bytes a second; 0: no bound.
+func (t *tree) attach(r *treeRelay, hello []byte, pace int, delay int64, receive func(frame []byte)) {
+	id, err := r.relay.Attach(t.now, hello, pace)
+	if err != nil {
+		t.fail(err)
+		return
+	}
+	r.links[id] = &treeLink{receive: receive, delay: delay}
+	t.pollReady(r)
+}
+
+// addRelay adds a relay that follows another.
+func (t *tree) addRelay(upstream *treeRelay) {
+	r := &treeRelay{relay: distribution.NewRelay(distribution.Limits{}), links: map[int]*treeLink{}}
+	if err := r.relay.Follow(everything()); err != nil {
+		t.fail(err)
+	}
+	t.attach(upstream, r.relay.UpstreamHello(t.now), 0, farDelay, func(frame []byte) {
+		if err := r.relay.Receive(t.now, frame); err != nil {
+			t.fail(err)
+		}
+		t.pollReady(r)
+	})
+	t.relays = append(t.relays, r)
+}
+
+// addSubscriber adds a node that follows one of the lower relays.
+func (t *tree) addSubscriber(node, pace int) error {
+	subscriber, err := distribution.NewSubscriber(t.selectors(node), distribution.Limits{})
+	if err != nil {
+		return err
+	}
+	s := &treeSubscriber{subscriber: subscriber, bytes: map[int64]float64{}}
+	t.subscribers = append(t.subscribers, s)
+	t.attach(t.relays[1+upperRelays+node%lowerRelays], subscriber.Hello(), pace, nearDelay, func(frame []byte) {
+		changes, err := subscriber.Receive(t.now, frame)
+		if err != nil {
+			t.fail(err)
+		}
+		s.changes += len(changes)
+		s.bytes[t.now/second] += float64(len(frame)) + frameOverhead
+		t.received = append(t.received, node)
+	})
+	return nil
+}
+
+// selectors of one node: some services of its region, and what all nodes follow.
+func (t *tree) selectors(node int) []distribution.Selector {
+	selectors := []distribution.Selector{{Scope: settingsScope}}
+	services := t.endpoints / serviceEndpoints / regions
+	for i := range min(scopesOfNode, services) {
+		service := (node*7 + i) % services
+		selectors = append(selectors, distribution.Selector{Scope: scopeOf((service*regions + node%regions) * serviceEndpoints)})
+	}
+	return selectors
+}
+
+// newTree makes a tree whose relays hold all records, and attaches the nodes, with a pace of bytes a second to each.
+func newTree(nodes, endpoints, pace int) (*tree, error) {
+	t := &tree{now: probeStart, endpoints: endpoints, origin: distribution.NewOrigin(1, distribution.Limits{})}
+	if _, err := t.origin.Replace(t.now, "endpoint", makeRecords(endpoints, endpointRecord)); err != nil {
+		return nil, err
+	}
+	if err := t.putSettings("0"); err != nil {
+		return nil, err
+	}
+	t.relays = append(t.relays, &treeRelay{relay: t.origin.Relay(), links: map[int]*treeLink{}})
+	for range upperRelays {
+		t.addRelay(t.relays[0])
+	}
+	for i := range lowerRelays {
+		t.addRelay(t.relays[1+i%upperRelays])
+	}
+	if !t.run(maxWait, t.relaysComplete) {
+		return nil, errors.Join(t.err, errors.New("relays are not complete"))
+	}
+	for i := range nodes {
+		if err := t.addSubscriber(i, pace); err != nil {
+			return nil, err
+		}
+	}
+	return t, t.err
+}
+
+// putSettings changes the record that all nodes follow.
+func (t *tree) putSettings(body string) error {
+	_, err := t.origin.Put(t.now, settingsScope, "route/0", distribution.ClassConfiguration, []byte(body))
+	return err
+}
+
+func (t *tree) relaysComplete() bool {
+	for _, r := range t.relays {
+		if !r.relay.Complete() {
+			return false
+		}
+	}
+	return true
+}
+
+// run lets time pass until a condition holds; false: it did not within a time, or there was an error.
+func (t *tree) run(atMost int64, holds func() bool) bool {
+	end := t.now + atMost
+	for t.err == nil {
+		if holds() {
+			return true
+		}
+		if len(t.queue) == 0 || t.queue[0].at > end {
+			t.now = end
+			return holds()
+		}
+		next := heap.Pop(&t.queue).(event)
+		t.now = next.at
+		next.do()
+	}
+	return false
+}
+
+// sleep lets time pass.
+func (t *tree) sleep(duration int64) {
+	t.run(duration, func() bool { return false })
+}
+
+// waitFor lets time pass until a part of the nodes has fulfilled a condition once, and returns how many have.
+func (t *tree) waitFor(w *treeWait, part float64) (fulfilled int, inTime bool) {
+	inTime = t.run(maxWait, func() bool {
+		for _, i := range t.received {
+			if !w.done[i] && w.holds(i, t.subscribers[i]) {
+				w.done[i] = true
+				w.fulfilled++
+			}
+		}
+		t.received = t.received[:0]
+		return float64(w.fulfilled) >= part*float64(len(t.subscribers))
+	})
+	return w.fulfilled, inTime
+}
+
+// treeWait is a condition with the nodes that have fulfilled it.
+type treeWait struct {
+	holds     func(node int, s *treeSubscriber) bool
+	done      []bool
+	fulfilled int
+}
+
+// newWait makes a condition that is looked at for all nodes at first, and then for those that receive something.
+func (t *tree) newWait(holds func(node int, s *treeSubscriber) bool) *treeWait {
+	t.received = t.received[:0]
+	for i := range t.subscribers {
+		t.received = append(t.received, i)
+	}
+	return &treeWait{holds: holds, done: make([]bool, len(t.subscribers))}
+}
+
+// rateWindow is over how many seconds the worst rate is taken.
+const rateWindow = 10
+
+// takeWorstRate returns the highest rate to any node over rateWindow since the last call, bytes a second.
+func (t *tree) takeWorstRate() float64 {
+	worst := 0.0
+	for _, s := range t.subscribers {
+		for first := range s.bytes {
+			sum := 0.0
+			for at := first; at < first+rateWindow; at++ {
+				sum += s.bytes[at]
+			}
+			worst = math.Max(worst, sum/rateWindow)
+		}
+		clear(s.bytes)
+	}
+	return worst
+}
