--- a/cmd/fawnglade-lab/distribution.go
+++ b/cmd/fawnglade-lab/distribution.go
@@ -52,20 +52,20 @@
 	flags.IntVar(&size.Nodes, "nodes", size.Nodes, "hollow nodes")
 	flags.IntVar(&size.Regions, "regions", size.Regions, "regions")
 	flags.IntVar(&size.Zones, "zones", size.Zones, "zones in all")
-	flags.IntVar(&size.Upper, "upper", size.Upper, "relays that follow the origin")
-	flags.IntVar(&size.Lower, "lower", size.Lower, "relays that nodes follow")
+	flags.IntVar(&size.UpperRelays, "upper", size.UpperRelays, "relays that follow the origin")
+	flags.IntVar(&size.LowerRelays, "lower", size.LowerRelays, "relays that nodes follow")
 	flags.IntVar(&size.Services, "services", size.Services, "services, in every region")
 	flags.IntVar(&size.Endpoints, "endpoints", size.Endpoints, "endpoints over all scopes")
-	flags.IntVar(&size.Take, "take", size.Take, "services of its region that a node follows")
+	flags.IntVar(&size.ServicesPerNode, "take", size.ServicesPerNode, "services of its region that a node follows")
 	flags.IntVar(&size.Routes, "routes", size.Routes, "routes, as records of configuration")
 	flags.IntVar(&size.Tenants, "tenants", size.Tenants, "tenants, as records of configuration")
-	flags.IntVar(&size.Shared, "shared", size.Shared, "services whose configuration every node follows; all its changes fall there")
-	flags.Float64Var(&size.Pace, "pace", size.Pace, "times an ordinary day's changes")
-	flags.DurationVar(&size.True, "true", size.True, "how long a true day's pace is played")
-	flags.DurationVar(&size.Day, "day", size.Day, "how long the faster pace is played, alone and under each fault")
-	flags.IntVar(&size.Burst, "burst", size.Burst, "endpoints of one zone that go at once")
-	flags.IntVar(&size.Bytes, "bytes", size.Bytes, "pace of relays, bytes a second a subscriber; 0: no bound")
-	flags.BoolVar(&size.Share, "share", size.Share, "hollow nodes hold equal names and bodies once, for a machine with less memory; what a node holds is not told by it")
+	flags.IntVar(&size.SharedServices, "shared", size.SharedServices, "services whose configuration every node follows; all its changes fall there")
+	flags.Float64Var(&size.Speedup, "pace", size.Speedup, "times an ordinary day's changes")
+	flags.DurationVar(&size.OrdinaryTime, "true", size.OrdinaryTime, "how long a true day's pace is played")
+	flags.DurationVar(&size.PhaseTime, "day", size.PhaseTime, "how long the faster pace is played, alone and under each fault")
+	flags.IntVar(&size.ZoneLoss, "burst", size.ZoneLoss, "endpoints of one zone that go at once")
+	flags.IntVar(&size.BytesPerSecond, "bytes", size.BytesPerSecond, "pace of relays, bytes a second a subscriber; 0: no bound")
+	flags.BoolVar(&size.ShareMemory, "share", size.ShareMemory, "hollow nodes hold equal names and bodies once, for a machine with less memory; what a node holds is not told by it")
 	flags.Uint64Var(&size.Seed, "seed", size.Seed, "of all that is drawn")
 }
 
@@ -76,9 +76,9 @@
 		"nodes":     func() { size.Nodes = given.Nodes },
 		"endpoints": func() { size.Endpoints = given.Endpoints },
 		"seed":      func() { size.Seed = given.Seed },
-		"day":       func() { size.Day = given.Day },
-		"pace":      func() { size.Pace = given.Pace },
-		"bytes":     func() { size.Bytes = given.Bytes },
+		"day":       func() { size.PhaseTime = given.PhaseTime },
+		"pace":      func() { size.Speedup = given.Speedup },
+		"bytes":     func() { size.BytesPerSecond = given.BytesPerSecond },
 	} {
 		if c.Flags().Changed(name) {
 			set()
@@ -114,7 +114,7 @@
 	} else {
 		err = errors.Join(err, printf(c.OutOrStdout(), "%s", result.Table()))
 	}
-	if err == nil && !result.Held() {
+	if err == nil && !result.Holds() {
 		return errFellShort
 	}
 	return err
--- a/internal/lab/distsim/config.go
+++ b/internal/lab/distsim/config.go
@@ -5,8 +5,8 @@
 import "fmt"
 
 // relayText is the configuration of a relay that follows others.
-func relayText(s Size, name, listen string, upstream, scopes []string, pace int) string {
+func relayConfig(s Size, name, listen string, upstream, scopes []string, pace int) string {
 	records := 2 * (s.Endpoints + s.Routes + s.Tenants)
 	return fmt.Sprintf("name = %q\nlisten = %q\nrole = \"relay\"\nupstream = %s\nscopes = %s\npace = %d\n[limits]\nrecords = %d\nsubscribers = %d\n",
-		name, listen, list(upstream), list(scopes), pace, records, s.Nodes+s.Upper+s.Lower+16)
+		name, listen, tomlList(upstream), tomlList(scopes), pace, records, s.Nodes+s.UpperRelays+s.LowerRelays+16)
 }
--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -18,11 +18,11 @@
 		change func(*Size)
 		expect string
 	}{
-		"memory":      {func(s *Size) { s.Take = 5000; s.Shared = 500 }, "MB at most, half of the machine's memory"},
-		"processes":   {func(s *Size) { s.Lower = 300 }, "expected 200 at most"},
-		"descriptors": {func(s *Size) { s.Nodes, s.Take, s.Shared = 19_900, 50, 1 }, "expected 20000 at most"},
-		"failover":    {func(s *Size) { s.Lower = 9 }, "expected 10 at least"},
-		"take":        {func(s *Size) { s.Take = 0 }, "expected 1 to 5000"},
+		"memory":      {func(s *Size) { s.ServicesPerNode = 5000; s.SharedServices = 500 }, "MB at most, half of the machine's memory"},
+		"processes":   {func(s *Size) { s.LowerRelays = 300 }, "expected 200 at most"},
+		"descriptors": {func(s *Size) { s.Nodes, s.ServicesPerNode, s.SharedServices = 19_900, 50, 1 }, "expected 20000 at most"},
+		"failover":    {func(s *Size) { s.LowerRelays = 9 }, "expected 10 at least"},
+		"take":        {func(s *Size) { s.ServicesPerNode = 0 }, "expected 1 to 5000"},
 		"none":        {func(s *Size) { s.Nodes = 0 }, "expected one node"},
 		"zones":       {func(s *Size) { s.Zones = 3 }, "a zone for each region"},
 	} {
@@ -38,7 +38,7 @@
 		}
 	}
 	s := Full()
-	s.Nodes, s.Take, s.Shared = 28_000, 10, 1
+	s.Nodes, s.ServicesPerNode, s.SharedServices = 28_000, 10, 1
 	if err := s.check(half, 100_000); err == nil || !strings.Contains(err.Error(), "ports") {
 		t.Error(err)
 	}
@@ -66,25 +66,25 @@
 	}
 	records := map[string]int{}
 	q := Quick()
-	q.each(func(scope, key, class, body string) {
+	q.forEachRecord(func(scope, key, class, body string) {
 		records[class]++
-		if numberOf([]byte(body)) != 0 || !json.Valid([]byte(body)) {
+		if changeNumber([]byte(body)) != 0 || !json.Valid([]byte(body)) {
 			t.Fatalf("%s: %s", key, body)
 		}
 	})
-	if records[endpoint] != q.Endpoints || records[configuration] != q.Routes+q.Tenants {
+	if records[classEndpoint] != q.Endpoints || records[classConfiguration] != q.Routes+q.Tenants {
 		t.Error(records)
 	}
 	for _, s := range []Size{s, q} {
 		for _, node := range []int{0, 1, s.Nodes - 1} {
 			seen := map[string]bool{}
-			for _, scope := range s.follows(node) {
+			for _, scope := range s.scopesOf(node) {
 				if seen[scope] {
 					t.Errorf("node %d follows %s twice", node, scope)
 				}
 				seen[scope] = true
 			}
-			if len(seen) != s.Take+s.Shared {
+			if len(seen) != s.ServicesPerNode+s.SharedServices {
 				t.Errorf("node %d follows %d scopes", node, len(seen))
 			}
 		}
@@ -95,21 +95,21 @@
 	play := func(seed uint64) (all []Change) {
 		s := Quick()
 		s.Seed = seed
-		w := newWorld(s)
+		w := newTruth(s)
 		for range 50 {
 			all = append(all, w.configure())
-			all = append(all, w.drain())
-			all = append(all, w.back(all[len(all)-1].mend))
-			all = append(all, w.fail())
-			all = append(all, w.back(all[len(all)-1].mend))
+			all = append(all, w.drainRandom())
+			all = append(all, w.restore(all[len(all)-1].endpoint))
+			all = append(all, w.removeRandom())
+			all = append(all, w.restore(all[len(all)-1].endpoint))
 		}
-		return append(all, w.zone(1, 100)...)
+		return append(all, w.removeZone(1, 100)...)
 	}
 	if !reflect.DeepEqual(play(1), play(1)) || reflect.DeepEqual(play(1), play(2)) {
 		t.Error("the same seed must give the same changes, and another one others")
 	}
 	for i, c := range play(1) {
-		if c.n != i+1 || !c.Gone && numberOf([]byte(c.Body)) != c.n {
+		if c.number != i+1 || !c.Removed && changeNumber([]byte(c.Body)) != c.number {
 			t.Fatalf("change %d: %+v", i+1, c)
 		}
 	}
@@ -117,7 +117,7 @@
 
 func TestNumbers(t *testing.T) {
 	for text, expect := range map[string]int{`{"n":12}`: 12, `{"a":1,"n":0}`: 0, `{"n":"x"}`: -1, ``: -1, `12}`: -1, `{"n":7`: -1} {
-		if got := numberOf([]byte(text)); got != expect {
+		if got := changeNumber([]byte(text)); got != expect {
 			t.Errorf("%s: %d, expected %d", text, got, expect)
 		}
 	}
@@ -125,7 +125,7 @@
 
 // fake is a subscriber that holds what it is given.
 type fake struct {
-	records map[dead]distribution.Record
+	records map[recordKey]distribution.Record
 	next    []distribution.Change
 }
 
@@ -134,7 +134,7 @@
 
 func (f *fake) Receive(int64, []byte) ([]distribution.Change, error) {
 	for _, c := range f.next {
-		f.records[dead{c.Scope, c.Key}] = c.Record
+		f.records[recordKey{c.Scope, c.Key}] = c.Record
 	}
 	out := f.next
 	f.next = nil
@@ -150,29 +150,29 @@
 }
 
 // playFake plays changes into one node with a subscriber that is spoilt in a way, and judges.
-func playFake(t *testing.T, spoil func(all []distribution.Change, f *fake) []distribution.Change) *Act {
+func playFake(t *testing.T, spoil func(all []distribution.Change, f *fake) []distribution.Change) *Phase {
 	t.Helper()
 	s := Quick()
-	s.Nodes, s.Settle = 1, 0
-	r := &Run{size: s, began: time.Now(), sent: []int64{0}, what: []Change{{}}, count: map[string]int{}, world: newWorld(s)}
+	s.Nodes, s.SettleTimeout = 1, 0
+	r := &run{size: s, began: time.Now(), sentAt: []int64{0}, changes: []Change{{}}, followers: map[string]int{}, world: newTruth(s)}
 	r.nodes = newNodes(s, r.began, nil)
 	h := r.nodes.all[0]
-	f := &fake{records: map[dead]distribution.Record{}}
-	h.sub, h.gone = f, map[dead]uint64{}
+	f := &fake{records: map[recordKey]distribution.Record{}}
+	h.subscriber, h.removedAt = f, map[recordKey]uint64{}
 	follows := map[string]bool{}
-	h.scopes = slices.Sorted(slices.Values(s.follows(0)))
+	h.scopes = slices.Sorted(slices.Values(s.scopesOf(0)))
 	for _, scope := range h.scopes {
-		r.count[scope] = 1
+		r.followers[scope] = 1
 		follows[scope] = true
 		for key, is := range r.world.scopes[scope] {
-			f.records[dead{scope, key}] = distribution.Record{Scope: scope, Key: key, Version: 1, Body: []byte(is.body)}
+			f.records[recordKey{scope, key}] = distribution.Record{Scope: scope, Key: key, Version: 1, Body: []byte(is.body)}
 		}
 	}
 	var all []distribution.Change
 	note := func(c Change) {
-		r.sent, r.what = append(r.sent, 0), append(r.what, c)
+		r.sentAt, r.changes = append(r.sentAt, 0), append(r.changes, c)
 		if follows[c.Scope] {
-			all = append(all, distribution.Change{Record: distribution.Record{Scope: c.Scope, Key: c.Key, Version: uint64(1 + c.n), Deleted: c.Gone, Body: []byte(c.Body)}})
+			all = append(all, distribution.Change{Record: distribution.Record{Scope: c.Scope, Key: c.Key, Version: uint64(1 + c.number), Deleted: c.Removed, Body: []byte(c.Body)}})
 		}
 	}
 	for range 5 {
@@ -180,16 +180,16 @@
 	}
 	for i := range s.Endpoints {
 		if follows[s.endpointScope(i)] && i%7 == 0 {
-			note(r.world.gone(i))
+			note(r.world.remove(i))
 		}
 	}
 	f.next = spoil(all, f)
 	if err := h.Receive(1000, nil); err != nil {
 		t.Fatal(err)
 	}
-	a := &Act{}
+	a := &Phase{}
 	r.settle(context.Background(), a)
-	r.harvest(a, 1)
+	r.addDeliveries(a, 1)
 	return a
 }
 
@@ -198,36 +198,40 @@
 	last := func(all []distribution.Change) distribution.Change { return all[len(all)-1] }
 	for name, one := range map[string]struct {
 		spoil  func([]distribution.Change, *fake) []distribution.Change
-		expect func(*Act) bool
+		expect func(*Phase) bool
 	}{
-		"all is well": {func(all []distribution.Change, _ *fake) []distribution.Change { return all }, (*Act).Held},
+		"all is well": {func(all []distribution.Change, _ *fake) []distribution.Change { return all }, (*Phase).Holds},
 		"one end is lost": {
 			func(all []distribution.Change, _ *fake) []distribution.Change { return all[:len(all)-1] },
-			func(a *Act) bool {
-				return a.Wrong == 1 && a.Missing == 1 && strings.Contains(a.Example, "which is gone")
+			func(a *Phase) bool {
+				return a.WrongNodes == 1 && a.Missing == 1 && strings.Contains(a.Example, "which is gone")
 			},
 		},
 		"one is told twice": {
 			func(all []distribution.Change, _ *fake) []distribution.Change { return append(all, all[0]) },
-			func(a *Act) bool { return a.Doubled == 1 && a.Wrong == 0 },
+			func(a *Phase) bool { return a.Duplicates == 1 && a.WrongNodes == 0 },
 		},
 		"one comes back from the dead": {func(all []distribution.Change, f *fake) []distribution.Change {
 			old := last(all)
 			old.Deleted, old.Version, old.Body = false, old.Version-1, []byte(`{"n":0}`)
 			return append(all, old)
-		}, func(a *Act) bool { return a.Revived == 1 && a.Wrong == 1 }},
+		}, func(a *Phase) bool { return a.Revived == 1 && a.WrongNodes == 1 }},
 		"one that is there is taken away": {func(all []distribution.Change, f *fake) []distribution.Change {
 			c := all[0]
 			c.Deleted, c.Version, c.Body = true, 1e6, nil
 			back := all[0]
 			back.Version = 1e6 + 1
 			return append(append(all[1:], c), back)
-		}, func(a *Act) bool { return a.Taken == 1 && a.Wrong == 0 && strings.Contains(a.Example, "is gone") }},
+		}, func(a *Phase) bool {
+			return a.WrongRemovals == 1 && a.WrongNodes == 0 && strings.Contains(a.Example, "is gone")
+		}},
 		"an older body is kept": {func(all []distribution.Change, f *fake) []distribution.Change {
 			c := all[0]
 			c.Body = []byte(`{"n":0}`)
 			return append(all[1:], c)
-		}, func(a *Act) bool { return a.Wrong == 1 && a.Missing == 1 && strings.Contains(a.Example, "and it is") }},
+		}, func(a *Phase) bool {
+			return a.WrongNodes == 1 && a.Missing == 1 && strings.Contains(a.Example, "and it is")
+		}},
 		"one too few": {func(all []distribution.Change, f *fake) []distribution.Change {
 			for k, r := range f.records {
 				if r.Class != distribution.ClassConfiguration && strings.HasPrefix(k.scope, "r00/") && r.Version == 1 {
@@ -242,11 +246,11 @@
 				}
 			}
 			return all
-		}, func(a *Act) bool { return a.Wrong == 1 && strings.Contains(a.Example, "records of") }},
+		}, func(a *Phase) bool { return a.WrongNodes == 1 && strings.Contains(a.Example, "records of") }},
 		"one of a scope that nobody asked for": {func(all []distribution.Change, f *fake) []distribution.Change {
-			f.records[dead{"r01/s0000", "endpoint/x"}] = distribution.Record{Scope: "r01/s0000", Key: "endpoint/x"}
+			f.records[recordKey{"r01/s0000", "endpoint/x"}] = distribution.Record{Scope: "r01/s0000", Key: "endpoint/x"}
 			return all
-		}, func(a *Act) bool { return a.Wrong == 1 && strings.Contains(a.Example, "does not follow") }},
+		}, func(a *Phase) bool { return a.WrongNodes == 1 && strings.Contains(a.Example, "does not follow") }},
 	} {
 		if a := playFake(t, one.spoil); !one.expect(a) {
 			t.Errorf("%s: %+v", name, a)
@@ -259,13 +263,13 @@
 	for i := range 200 {
 		all = append(all, float64(200-i)/100)
 	}
-	if got, expect := timesOf(all, 200), (Times{1, 1.98, 2}); got != expect {
+	if got, expect := delaysOf(all, 200), (Delays{1, 1.98, 2}); got != expect {
 		t.Errorf("%v, expected %v", got, expect)
 	}
-	if got, expect := timesOf(all[:150], 200), (Times{Half: 1.5, Most: -1, All: -1}); got.Most != expect.Most || got.All != expect.All {
+	if got, expect := delaysOf(all[:150], 200), (Delays{Half: 1.5, P99: -1, All: -1}); got.P99 != expect.P99 || got.All != expect.All {
 		t.Errorf("%v, expected %v", got, expect)
 	}
-	if got := fmt.Sprint(Times{-1, 0.5, 2}.text()); got != "never 0.500 2.000" {
+	if got := fmt.Sprint(Delays{-1, 0.5, 2}.String()); got != "never 0.500 2.000" {
 		t.Error(got)
 	}
 }
--- a/internal/lab/distsim/nodes.go
+++ b/internal/lab/distsim/nodes.go
@@ -17,38 +17,38 @@
 )
 
 // told is one change that came to a node.
-type told struct {
-	n  int32 // its number
-	at int32 // microseconds since the run began, on the run's clock
+type delivery struct {
+	change int32 // its number
+	atUs   int32 // microseconds since the run began, on the run's clock
 }
 
 // dead is a record that a node was told has gone; its end carries no number.
-type dead struct{ scope, key string }
+type recordKey struct{ scope, key string }
 
-type end struct {
-	dead
-	at int32
+type removal struct {
+	recordKey
+	atUs int32
 }
 
 // hollow is one node. What one life holds ends with it; the faults it saw stay.
-type hollow struct {
+type hollowNode struct {
 	index  int
-	run    *nodes
+	run    *hollowNodes
 	scopes []string // that it follows, in order
 
-	mu      sync.Mutex
-	sub     subscriber
-	came    []told
-	ended   []end
-	gone    map[dead]uint64 // with the version it went in
-	whole   int64           // when all its scopes were complete, since the run began in ns; 0: not yet
-	revived int             // records told again in a version that is not newer than their end
-	spoilt  int             // frames that its subscriber refused
+	mu            sync.Mutex
+	subscriber    subscriber
+	deliveries    []delivery
+	removals      []removal
+	removedAt     map[recordKey]uint64 // with the version it went in
+	completeAt    int64                // when all its scopes were complete, since the run began in ns; 0: not yet
+	revived       int                  // records told again in a version that is not newer than their end
+	invalidFrames int                  // frames that its subscriber refused
 
-	client *relay.Client
-	before relay.ClientStats // of clients before this one
-	cancel context.CancelFunc
-	done   chan struct{}
+	client       *relay.Client
+	earlierStats relay.ClientStats // of clients before this one
+	cancel       context.CancelFunc
+	done         chan struct{}
 
 	bytes atomic.Int64
 	marks []int64 // bytes at the ends of the seconds of an act
@@ -63,22 +63,22 @@
 }
 
 // nodes are all of them.
-type nodes struct {
-	size  Size
-	began time.Time
-	lower func(node int) []string
-	all   []*hollow
-	log   *zap.Logger
-
-	one    sync.Mutex
+type hollowNodes struct {
+	size      Size
+	began     time.Time
+	upstreams func(node int) []string
+	all       []*hollowNode
+	log       *zap.Logger
+
+	mu     sync.Mutex
 	texts  map[string]string
 	bodies map[string][]byte
 }
 
 // text and body are the same values for all nodes of the process, where they share.
-func (n *nodes) text(s string) string {
-	n.one.Lock()
-	defer n.one.Unlock()
+func (n *hollowNodes) shareText(s string) string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if is, ok := n.texts[s]; ok {
 		return is
 	}
@@ -86,9 +86,9 @@
 	return s
 }
 
-func (n *nodes) body(b []byte) []byte {
-	n.one.Lock()
-	defer n.one.Unlock()
+func (n *hollowNodes) shareBody(b []byte) []byte {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if is, ok := n.bodies[string(b)]; ok {
 		return is
 	}
@@ -96,45 +96,45 @@
 	return b
 }
 
-func newNodes(size Size, began time.Time, lower func(int) []string) *nodes {
-	n := &nodes{size: size, began: began, lower: lower, log: zap.NewNop(), texts: map[string]string{}, bodies: map[string][]byte{}}
+func newNodes(size Size, began time.Time, lower func(int) []string) *hollowNodes {
+	n := &hollowNodes{size: size, began: began, upstreams: lower, log: zap.NewNop(), texts: map[string]string{}, bodies: map[string][]byte{}}
 	for i := range size.Nodes {
-		n.all = append(n.all, &hollow{index: i, run: n})
+		n.all = append(n.all, &hollowNode{index: i, run: n})
 	}
 	return n
 }
 
-func (n *nodes) now() int64 { return int64(time.Since(n.began)) }
+func (n *hollowNodes) now() int64 { return int64(time.Since(n.began)) }
 
 // start begins a life with nothing.
-func (h *hollow) start() {
+func (h *hollowNode) start() {
 	var selectors []distribution.Selector
-	h.scopes = slices.Sorted(slices.Values(h.run.size.follows(h.index)))
+	h.scopes = slices.Sorted(slices.Values(h.run.size.scopesOf(h.index)))
 	for _, scope := range h.scopes {
 		selectors = append(selectors, distribution.Selector{Scope: scope})
 	}
 	h.mu.Lock()
-	sub, err := distribution.NewSubscriber(selectors, distribution.Limits{Records: 4 * h.run.size.perNode(), Selectors: len(selectors)})
+	sub, err := distribution.NewSubscriber(selectors, distribution.Limits{Records: 4 * h.run.size.recordsPerNode(), Selectors: len(selectors)})
 	if err != nil {
 		panic(err) // a size that Check lets through makes no such selectors
 	}
-	if h.run.size.Share {
-		sub.SetInterner(distribution.Interner{Text: h.run.text, Body: h.run.body})
+	if h.run.size.ShareMemory {
+		sub.SetInterner(distribution.Interner{Text: h.run.shareText, Body: h.run.shareBody})
 	}
-	h.sub, h.whole, h.gone = sub, 0, map[dead]uint64{}
+	h.subscriber, h.completeAt, h.removedAt = sub, 0, map[recordKey]uint64{}
 	h.mu.Unlock()
 	h.connect()
 }
 
 // connect runs the client on what the node holds.
-func (h *hollow) connect() {
+func (h *hollowNode) connect() {
 	ctx, cancel := context.WithCancel(context.Background())
-	h.before = h.stats()
+	h.earlierStats = h.stats()
 	h.cancel, h.done = cancel, make(chan struct{})
 	dialer := &net.Dialer{KeepAlive: -1}
 	h.client = relay.NewClient(relay.ClientConfig{
 		Name:         "h" + serviceName(h.index),
-		Upstreams:    h.run.lower(h.index),
+		Upstreams:    h.run.upstreams(h.index),
 		SpreadByName: true,
 		Clock:        h.run.now,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
@@ -142,7 +142,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &counted{c, &h.bytes}, nil
+			return &countingConn{c, &h.bytes}, nil
 		},
 	}, h, h.run.log)
 	go func() {
@@ -152,14 +152,14 @@
 }
 
 // stats are the counters of the node's clients, in all its lives.
-func (h *hollow) stats() relay.ClientStats {
+func (h *hollowNode) stats() relay.ClientStats {
 	if h.client == nil {
 		return relay.ClientStats{}
 	}
-	return add(h.before, h.client.Stats())
+	return addStats(h.earlierStats, h.client.Stats())
 }
 
-func add(a, b relay.ClientStats) relay.ClientStats {
+func addStats(a, b relay.ClientStats) relay.ClientStats {
 	a.Connects += b.Connects
 	a.Failbacks += b.Failbacks
 	a.Silent += b.Silent
@@ -170,7 +170,7 @@
 }
 
 // stop ends the client; what the node holds stays.
-func (h *hollow) stop() {
+func (h *hollowNode) stop() {
 	if h.cancel != nil {
 		h.cancel()
 		<-h.done
@@ -178,69 +178,69 @@
 }
 
 // counted is a connection of which every byte counts, in both directions.
-type counted struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Hello, Receive and LagNs make it a relay.Sink.
-func (h *hollow) Hello(now int64) []byte {
+func (h *hollowNode) Hello(now int64) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.sub.Hello()
+	return h.subscriber.Hello()
 }
 
-func (h *hollow) Receive(now int64, frame []byte) error {
+func (h *hollowNode) Receive(now int64, frame []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	changes, err := h.sub.Receive(now, frame)
+	changes, err := h.subscriber.Receive(now, frame)
 	if err != nil {
-		h.spoilt++
+		h.invalidFrames++
 	}
 	for _, c := range changes {
 		h.note(now, c)
 	}
-	if h.whole == 0 && h.sub.Complete() {
-		h.whole = now
+	if h.completeAt == 0 && h.subscriber.Complete() {
+		h.completeAt = now
 	}
 	return err
 }
 
-func (h *hollow) LagNs(now int64) int64 { return 0 }
+func (h *hollowNode) LagNs(now int64) int64 { return 0 }
 
 // note enters one change; the lock is held.
-func (h *hollow) note(now int64, c distribution.Change) {
-	is := dead{c.Scope, c.Key}
+func (h *hollowNode) note(now int64, c distribution.Change) {
+	is := recordKey{c.Scope, c.Key}
 	if c.Deleted {
-		h.gone[is] = c.Version
-		h.ended = append(h.ended, end{is, int32(now / 1000)})
+		h.removedAt[is] = c.Version
+		h.removals = append(h.removals, removal{is, int32(now / 1000)})
 		return
 	}
-	if v, was := h.gone[is]; was {
+	if v, was := h.removedAt[is]; was {
 		if c.Version <= v {
 			h.revived++
 		}
-		delete(h.gone, is)
+		delete(h.removedAt, is)
 	}
-	if n := numberOf(c.Body); n > 0 {
-		h.came = append(h.came, told{int32(n), int32(now / 1000)})
+	if n := changeNumber(c.Body); n > 0 {
+		h.deliveries = append(h.deliveries, delivery{int32(n), int32(now / 1000)})
 	}
 }
 
 // each does something with nodes, many at a time.
-func each(all []*hollow, do func(*hollow)) {
+func forEachNode(all []*hollowNode, do func(*hollowNode)) {
 	var group sync.WaitGroup
 	next := atomic.Int64{}
 	for range 8 {
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -19,20 +19,20 @@
 )
 
 // originLine is one line of the origin's on its standard output.
-type originLine struct {
+type originReply struct {
 	Address string `json:"address,omitempty"`
-	Through uint64 `json:"through"`
+	Version uint64 `json:"through"`
 	Records int    `json:"records,omitempty"`
 }
 
-const longestOrder = 16 << 20
+const maxRequestBytes = 16 << 20
 
-var classes = map[string]distribution.Class{withdrawal: distribution.ClassWithdrawal, endpoint: distribution.ClassEndpoint, configuration: distribution.ClassConfiguration}
+var classesByName = map[string]distribution.Class{classWithdrawal: distribution.ClassWithdrawal, classEndpoint: distribution.ClassEndpoint, classConfiguration: distribution.ClassConfiguration}
 
 // Origin is that process: the first line in is a Size, every other a list of changes. It ends with its input.
 func Origin(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, longestOrder)
+	lines.Buffer(nil, maxRequestBytes)
 	var size Size
 	if !lines.Scan() {
 		return fmt.Errorf("expected a size: %w", io.ErrUnexpectedEOF)
@@ -42,20 +42,20 @@
 	}
 	clock := relay.NewClock()
 	records := size.Endpoints + size.Routes + size.Tenants
-	origin := distribution.NewOrigin(uint64(time.Now().UnixNano()), distribution.Limits{Records: 2 * records, Bytes: 2 * records * relayRecord})
+	origin := distribution.NewOrigin(uint64(time.Now().UnixNano()), distribution.Limits{Records: 2 * records, Bytes: 2 * records * relayRecordBytes})
 	var through uint64
 	var wrong error
 	put := func(now int64, c Change) {
-		if c.Gone {
+		if c.Removed {
 			through, _ = origin.Remove(now, c.Scope, c.Key)
 			return
 		}
-		v, err := origin.Put(now, c.Scope, c.Key, classes[c.Class], []byte(c.Body))
+		v, err := origin.Put(now, c.Scope, c.Key, classesByName[c.Class], []byte(c.Body))
 		if through = v; err != nil && wrong == nil {
 			wrong = fmt.Errorf("%s %s: %w", c.Scope, c.Key, err)
 		}
 	}
-	size.each(func(scope, key, class, body string) {
+	size.forEachRecord(func(scope, key, class, body string) {
 		put(clock(), Change{Scope: scope, Key: key, Class: class, Body: body})
 	})
 	if wrong != nil {
@@ -74,7 +74,7 @@
 		server.Close(end)
 	}()
 	say := json.NewEncoder(out)
-	if err := say.Encode(originLine{Address: l.Addr().String(), Through: through, Records: records}); err != nil {
+	if err := say.Encode(originReply{Address: l.Addr().String(), Version: through, Records: records}); err != nil {
 		return err
 	}
 	for ctx.Err() == nil && lines.Scan() {
@@ -90,7 +90,7 @@
 		if wrong != nil {
 			return wrong
 		}
-		if err := say.Encode(originLine{Through: through}); err != nil {
+		if err := say.Encode(originReply{Version: through}); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/distsim/processes.go
+++ b/internal/lab/distsim/processes.go
@@ -33,9 +33,9 @@
 	address string
 	config  string
 	log     *os.File
-	read    int64         // of the log
-	proc    emulator.Proc // nil: none runs
-	held    bool          // by a signal
+	logRead int64         // of the log
+	process emulator.Proc // nil: none runs
+	frozen  bool          // by a signal
 }
 
 type processes struct {
@@ -45,28 +45,28 @@
 	upper    []*relayProcess
 	lower    []*relayProcess
 	origin   *exec.Cmd
-	orders   io.WriteCloser
-	answers  *bufio.Scanner
+	input    io.WriteCloser
+	output   *bufio.Scanner
 	through  uint64
 }
 
 const (
-	answerWithin = 60 * time.Second
-	upWithin     = 10 * time.Second
-	mostTries    = 3
+	replyTimeout     = 60 * time.Second
+	startTimeout     = 10 * time.Second
+	maxStartAttempts = 3
 )
 
 // newProcesses starts the origin and waits until it has all records.
 func newProcesses(size Size, programs Programs) (*processes, error) {
 	p := &processes{size: size, programs: programs}
-	if err := p.begin(); err != nil {
+	if err := p.startAll(); err != nil {
 		p.close()
 		return nil, err
 	}
 	return p, nil
 }
 
-func (p *processes) begin() (err error) {
+func (p *processes) startAll() (err error) {
 	size, programs := p.size, p.programs
 	if p.dir, err = os.MkdirTemp("", "fawnglade-tree-"); err != nil {
 		return err
@@ -74,7 +74,7 @@
 	p.origin = exec.Command(programs.Origin[0], programs.Origin[1:]...)
 	p.origin.Stderr = os.Stderr
 	p.origin.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if p.orders, err = p.origin.StdinPipe(); err != nil {
+	if p.input, err = p.origin.StdinPipe(); err != nil {
 		return err
 	}
 	out, err := p.origin.StdoutPipe()
@@ -85,21 +85,21 @@
 		p.origin = nil
 		return err
 	}
-	p.answers = bufio.NewScanner(out)
-	line, err := p.order(size)
+	p.output = bufio.NewScanner(out)
+	line, err := p.send(size)
 	if err != nil {
 		return fmt.Errorf("origin: %w", err)
 	}
 	var up []string
-	for i := range size.Upper {
-		r, err := p.place(fmt.Sprintf("u%d", i), []string{line.Address}, []string{"*"}, 0)
+	for i := range size.UpperRelays {
+		r, err := p.prepareRelay(fmt.Sprintf("u%d", i), []string{line.Address}, []string{"*"}, 0)
 		if err != nil {
 			return err
 		}
 		p.upper, up = append(p.upper, r), append(up, r.address)
 	}
-	for i := range size.Lower {
-		r, err := p.place(fmt.Sprintf("l%d", i), append(append([]string(nil), up[i%len(up):]...), up[:i%len(up)]...), p.scopes(i), size.Bytes)
+	for i := range size.LowerRelays {
+		r, err := p.prepareRelay(fmt.Sprintf("l%d", i), append(append([]string(nil), up[i%len(up):]...), up[:i%len(up)]...), p.relayScopes(i), size.BytesPerSecond)
 		if err != nil {
 			return err
 		}
@@ -114,22 +114,22 @@
 }
 
 // scopes of lower relay i: its regions whole, and the configuration that its nodes follow.
-func (p *processes) scopes(i int) (all []string) {
+func (p *processes) relayScopes(i int) (all []string) {
 	for region := range p.size.Regions {
-		if region/2 == i%p.size.pairs() {
+		if region/2 == i%p.size.relayGroups() {
 			all = append(all, regionName(region)+"/*")
 		}
 	}
-	for s := range p.size.Shared {
+	for s := range p.size.SharedServices {
 		all = append(all, configScope(s))
 	}
 	return all
 }
 
 // group are the lower relays of a node.
-func (p *processes) group(node int) (all []string) {
+func (p *processes) relaysOf(node int) (all []string) {
 	for i, r := range p.lower {
-		if i%p.size.pairs() == node%p.size.Regions/2 {
+		if i%p.size.relayGroups() == node%p.size.Regions/2 {
 			all = append(all, r.address)
 		}
 	}
@@ -137,26 +137,26 @@
 }
 
 // order sends the origin one line and waits for its answer.
-func (p *processes) order(what any) (line originLine, err error) {
+func (p *processes) send(what any) (line originReply, err error) {
 	text, err := json.Marshal(what)
 	if err != nil {
 		return line, err
 	}
-	overdue := time.AfterFunc(answerWithin, func() { p.origin.Process.Kill() })
+	overdue := time.AfterFunc(replyTimeout, func() { p.origin.Process.Kill() })
 	defer overdue.Stop()
-	if _, err := p.orders.Write(append(text, '\n')); err != nil {
+	if _, err := p.input.Write(append(text, '\n')); err != nil {
 		return line, err
 	}
-	if !p.answers.Scan() {
+	if !p.output.Scan() {
 		return line, errors.New("the origin's process ended, or did not answer in time")
 	}
-	err = json.Unmarshal(p.answers.Bytes(), &line)
-	p.through = line.Through
+	err = json.Unmarshal(p.output.Bytes(), &line)
+	p.through = line.Version
 	return line, err
 }
 
 // place takes a port that the system chooses and writes a relay's configuration.
-func (p *processes) place(name string, upstream, scopes []string, pace int) (*relayProcess, error) {
+func (p *processes) prepareRelay(name string, upstream, scopes []string, pace int) (*relayProcess, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -166,10 +166,10 @@
 	if r.log, err = os.Create(filepath.Join(p.dir, name+".log")); err != nil {
 		return nil, err
 	}
-	return r, os.WriteFile(r.config, []byte(relayText(p.size, name, r.address, upstream, scopes, pace)), 0o600)
+	return r, os.WriteFile(r.config, []byte(relayConfig(p.size, name, r.address, upstream, scopes, pace)), 0o600)
 }
 
-func list(words []string) string {
+func tomlList(words []string) string {
 	var quoted []string
 	for _, w := range words {
 		quoted = append(quoted, strconv.Quote(w))
@@ -179,16 +179,16 @@
 
 // start begins a relay's life, with nothing, and waits until it takes connections.
 func (p *processes) start(r *relayProcess) (err error) {
-	for try := 0; try < mostTries; try++ {
+	for try := 0; try < maxStartAttempts; try++ {
 		words := append(append([]string(nil), p.programs.Relay...), "--config", r.config)
-		if r.proc, err = emulator.Command(words)("", nil, r.log); err != nil {
-			r.proc = nil
+		if r.process, err = emulator.Command(words)("", nil, r.log); err != nil {
+			r.process = nil
 			return err
 		}
-		r.held = false
-		for end := time.Now().Add(upWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		r.frozen = false
+		for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 			select {
-			case <-r.proc.Done():
+			case <-r.process.Done():
 				end = time.Time{}
 				continue
 			default:
@@ -205,19 +205,19 @@
 }
 
 func (p *processes) kill(r *relayProcess) {
-	if r.proc != nil {
-		r.proc.Signal(syscall.SIGKILL)
-		<-r.proc.Done()
-		r.proc, r.held = nil, false
+	if r.process != nil {
+		r.process.Signal(syscall.SIGKILL)
+		<-r.process.Done()
+		r.process, r.frozen = nil, false
 	}
 }
 
-func (p *processes) freeze(r *relayProcess) { r.proc.Signal(syscall.SIGSTOP); r.held = true }
-func (p *processes) thaw(r *relayProcess)   { r.proc.Signal(syscall.SIGCONT); r.held = false }
+func (p *processes) freeze(r *relayProcess) { r.process.Signal(syscall.SIGSTOP); r.frozen = true }
+func (p *processes) thaw(r *relayProcess)   { r.process.Signal(syscall.SIGCONT); r.frozen = false }
 
 func (p *processes) running() (all []*relayProcess) {
 	for _, r := range append(append([]*relayProcess(nil), p.upper...), p.lower...) {
-		if r.proc != nil {
+		if r.process != nil {
 			all = append(all, r)
 		}
 	}
@@ -225,14 +225,14 @@
 }
 
 // complaints are the kinds of warnings in the relays' logs since the last call.
-func (p *processes) complaints() map[string]int {
+func (p *processes) warnings() map[string]int {
 	all := map[string]int{}
 	for _, r := range append(append([]*relayProcess(nil), p.upper...), p.lower...) {
 		text, err := os.ReadFile(r.log.Name())
-		if err != nil || int64(len(text)) <= r.read {
+		if err != nil || int64(len(text)) <= r.logRead {
 			continue
 		}
-		for line := range strings.Lines(string(text[r.read:])) {
+		for line := range strings.Lines(string(text[r.logRead:])) {
 			var is struct{ Level, Msg, Why string }
 			if json.Unmarshal([]byte(line), &is) != nil {
 				all[strings.TrimSpace(line)]++
@@ -240,7 +240,7 @@
 				all[strings.TrimSpace(is.Msg+" "+is.Why)]++
 			}
 		}
-		r.read = int64(len(text))
+		r.logRead = int64(len(text))
 	}
 	return all
 }
@@ -253,7 +253,7 @@
 	}
 	group.Wait()
 	if p.origin != nil {
-		p.orders.Close()
+		p.input.Close()
 		overdue := time.AfterFunc(2*time.Second, func() { p.origin.Process.Kill() })
 		p.origin.Wait()
 		overdue.Stop()
@@ -267,7 +267,7 @@
 }
 
 // cpuOf is what a process has used, ns.
-func cpuOf(pid int) int64 {
+func processorTime(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -282,7 +282,7 @@
 }
 
 // memoryOf is what a process holds now, bytes.
-func memoryOf(pid int) int64 {
+func residentMemory(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
--- a/internal/lab/distsim/world.go
+++ b/internal/lab/distsim/world.go
@@ -12,40 +12,40 @@
 
 // Change is one change at the origin, as it goes to it on one line.
 type Change struct {
-	Scope string `json:"scope"`
-	Key   string `json:"key"`
-	Class string `json:"class,omitempty"` // withdrawal, endpoint or configuration
-	Body  string `json:"body,omitempty"`
-	Gone  bool   `json:"gone,omitempty"`
-	n     int    // its number
-	mend  int    // an endpoint that this change leaves draining or gone
+	Scope    string `json:"scope"`
+	Key      string `json:"key"`
+	Class    string `json:"class,omitempty"` // withdrawal, endpoint or configuration
+	Body     string `json:"body,omitempty"`
+	Removed  bool   `json:"gone,omitempty"`
+	number   int    // its number
+	endpoint int    // an endpoint that this change leaves draining or gone
 }
 
 const (
-	withdrawal    = "withdrawal"
-	endpoint      = "endpoint"
-	configuration = "configuration"
+	classWithdrawal    = "withdrawal"
+	classEndpoint      = "endpoint"
+	classConfiguration = "configuration"
 )
 
 // held is one record as it should be.
-type held struct {
-	body string
-	n    int // the change that made it so
-	gone bool
+type truthRecord struct {
+	body    string
+	change  int // the change that made it so
+	removed bool
 }
 
 // world is the truth.
-type world struct {
-	size   Size
-	random *rand.Rand
-	scopes map[string]map[string]*held
-	there  map[string]int // records of a scope that are not gone
-	hosts  []string       // the name that endpoint i has now
-	last   int            // change
-	then   map[int]int    // a change and the one that took its place
-	born   int
-	shared []string // keys of the shared configuration, scope by scope in step
-	where  []string
+type truth struct {
+	size                Size
+	random              *rand.Rand
+	scopes              map[string]map[string]*truthRecord
+	present             map[string]int // records of a scope that are not gone
+	names               []string       // the name that endpoint i has now
+	lastChange          int            // change
+	successor           map[int]int    // a change and the one that took its place
+	starts              int
+	configurationKeys   []string // keys of the shared configuration, scope by scope in step
+	configurationScopes []string
 }
 
 func regionName(i int) string  { return fmt.Sprintf("r%02d", i) }
@@ -72,7 +72,7 @@
 }
 
 // plainRecords are routes and tenants: record i of all, its scope, key and body after change n.
-func (s Size) plainRecord(i, n int) (scope, key, body string) {
+func (s Size) configurationRecord(i, n int) (scope, key, body string) {
 	service := i % s.Services
 	if i < s.Routes {
 		return configScope(service), fmt.Sprintf("route/%06d", i),
@@ -82,129 +82,129 @@
 }
 
 // each tells all records at the beginning, for the origin and for the truth alike.
-func (s Size) each(one func(scope, key, class, body string)) {
+func (s Size) forEachRecord(one func(scope, key, class, body string)) {
 	for i := range s.Endpoints {
-		host := hostName(i, 0)
-		one(s.endpointScope(i), "endpoint/"+host, endpoint, s.endpointBody(i, host, "up", 0, 0))
+		host := endpointName(i, 0)
+		one(s.endpointScope(i), "endpoint/"+host, classEndpoint, s.endpointBody(i, host, "up", 0, 0))
 	}
 	for i := range s.Routes + s.Tenants {
-		scope, key, body := s.plainRecord(i, 0)
-		one(scope, key, configuration, body)
+		scope, key, body := s.configurationRecord(i, 0)
+		one(scope, key, classConfiguration, body)
 	}
 }
 
-func hostName(i, life int) string {
+func endpointName(i, life int) string {
 	if life == 0 {
 		return fmt.Sprintf("e%06d", i)
 	}
 	return fmt.Sprintf("e%06d-%d", i, life)
 }
 
-func newWorld(s Size) *world {
-	w := &world{size: s, random: rand.New(rand.NewPCG(s.Seed, 50)), scopes: map[string]map[string]*held{}, there: map[string]int{}, then: map[int]int{}}
+func newTruth(s Size) *truth {
+	w := &truth{size: s, random: rand.New(rand.NewPCG(s.Seed, 50)), scopes: map[string]map[string]*truthRecord{}, present: map[string]int{}, successor: map[int]int{}}
 	follows := map[string]bool{}
-	for i := range s.Shared {
+	for i := range s.SharedServices {
 		follows[configScope(i)] = true
 	}
-	s.each(func(scope, key, class, body string) {
-		if class == configuration && !follows[scope] {
+	s.forEachRecord(func(scope, key, class, body string) {
+		if class == classConfiguration && !follows[scope] {
 			return
 		}
 		in := w.scopes[scope]
 		if in == nil {
-			in = map[string]*held{}
+			in = map[string]*truthRecord{}
 			w.scopes[scope] = in
 		}
-		in[key] = &held{body: body}
-		w.there[scope]++
-		if class == configuration {
-			w.shared, w.where = append(w.shared, key), append(w.where, scope)
+		in[key] = &truthRecord{body: body}
+		w.present[scope]++
+		if class == classConfiguration {
+			w.configurationKeys, w.configurationScopes = append(w.configurationKeys, key), append(w.configurationScopes, scope)
 		}
 	})
 	for i := range s.Endpoints {
-		w.hosts = append(w.hosts, hostName(i, 0))
+		w.names = append(w.names, endpointName(i, 0))
 	}
 	return w
 }
 
 // put makes a change true.
-func (w *world) put(c Change) Change {
+func (w *truth) put(c Change) Change {
 	in := w.scopes[c.Scope]
 	if in == nil {
-		in = map[string]*held{}
+		in = map[string]*truthRecord{}
 		w.scopes[c.Scope] = in
 	}
 	was := in[c.Key]
 	if was != nil {
-		w.then[was.n] = c.n
+		w.successor[was.change] = c.number
 	}
-	if was != nil && !was.gone {
-		w.there[c.Scope]--
+	if was != nil && !was.removed {
+		w.present[c.Scope]--
 	}
-	if !c.Gone {
-		w.there[c.Scope]++
+	if !c.Removed {
+		w.present[c.Scope]++
 	}
-	in[c.Key] = &held{body: c.Body, n: c.n, gone: c.Gone}
+	in[c.Key] = &truthRecord{body: c.Body, change: c.number, removed: c.Removed}
 	return c
 }
 
-func (w *world) number() int {
-	w.last++
-	return w.last
+func (w *truth) nextNumber() int {
+	w.lastChange++
+	return w.lastChange
 }
 
 // configure changes a route or a tenant that every node follows.
-func (w *world) configure() Change {
-	i, n := w.random.IntN(len(w.shared)), w.number()
-	was := w.scopes[w.where[i]][w.shared[i]].body
+func (w *truth) configure() Change {
+	i, n := w.random.IntN(len(w.configurationKeys)), w.nextNumber()
+	was := w.scopes[w.configurationScopes[i]][w.configurationKeys[i]].body
 	body := was[:bytes.LastIndexByte([]byte(was), ':')+1] + strconv.Itoa(n) + "}"
-	return w.put(Change{Scope: w.where[i], Key: w.shared[i], Class: configuration, Body: body, n: n, mend: -1})
+	return w.put(Change{Scope: w.configurationScopes[i], Key: w.configurationKeys[i], Class: classConfiguration, Body: body, number: n, endpoint: -1})
 }
 
-func (w *world) endpointIs(i int, health, class string) Change {
-	n := w.number()
+func (w *truth) setEndpoint(i int, health, class string) Change {
+	n := w.nextNumber()
 	return w.put(Change{
-		Scope: w.size.endpointScope(i), Key: "endpoint/" + w.hosts[i], Class: class,
-		Body: w.size.endpointBody(i, w.hosts[i], health, w.born, n), n: n, mend: -1,
+		Scope: w.size.endpointScope(i), Key: "endpoint/" + w.names[i], Class: class,
+		Body: w.size.endpointBody(i, w.names[i], health, w.starts, n), number: n, endpoint: -1,
 	})
 }
 
 // drain begins a restart; back ends one, or puts another machine in a failed one's place.
-func (w *world) drain() Change {
-	i := w.random.IntN(len(w.hosts))
-	c := w.endpointIs(i, "draining", withdrawal)
-	c.mend = i
+func (w *truth) drainRandom() Change {
+	i := w.random.IntN(len(w.names))
+	c := w.setEndpoint(i, "draining", classWithdrawal)
+	c.endpoint = i
 	return c
 }
 
-func (w *world) gone(i int) Change {
-	c := w.put(Change{Scope: w.size.endpointScope(i), Key: "endpoint/" + w.hosts[i], Gone: true, n: w.number()})
-	c.mend = i
+func (w *truth) remove(i int) Change {
+	c := w.put(Change{Scope: w.size.endpointScope(i), Key: "endpoint/" + w.names[i], Removed: true, number: w.nextNumber()})
+	c.endpoint = i
 	return c
 }
 
-func (w *world) fail() Change { return w.gone(w.random.IntN(len(w.hosts))) }
+func (w *truth) removeRandom() Change { return w.remove(w.random.IntN(len(w.names))) }
 
-func (w *world) back(i int) Change {
-	w.born++
-	if now := w.scopes[w.size.endpointScope(i)]["endpoint/"+w.hosts[i]]; now.gone {
-		w.hosts[i] = hostName(i, w.born)
+func (w *truth) restore(i int) Change {
+	w.starts++
+	if now := w.scopes[w.size.endpointScope(i)]["endpoint/"+w.names[i]]; now.removed {
+		w.names[i] = endpointName(i, w.starts)
 	}
-	return w.endpointIs(i, "up", endpoint)
+	return w.setEndpoint(i, "up", classEndpoint)
 }
 
 // zone has up to most endpoints of a zone go; most at once is what the letter calls a zone's loss.
-func (w *world) zone(zone, most int) (all []Change) {
-	for i := range w.hosts {
-		if len(all) < most && w.size.zoneOf(i) == zone && !w.scopes[w.size.endpointScope(i)]["endpoint/"+w.hosts[i]].gone {
-			all = append(all, w.gone(i))
+func (w *truth) removeZone(zone, most int) (all []Change) {
+	for i := range w.names {
+		if len(all) < most && w.size.zoneOf(i) == zone && !w.scopes[w.size.endpointScope(i)]["endpoint/"+w.names[i]].removed {
+			all = append(all, w.remove(i))
 		}
 	}
 	return all
 }
 
 // numberOf reads a body's number; -1 without one.
-func numberOf(body []byte) int {
+func changeNumber(body []byte) int {
 	at := bytes.LastIndexByte(body, ':')
 	if at < 0 || !bytes.HasSuffix(body, []byte("}")) {
 		return -1
@@ -217,17 +217,17 @@
 }
 
 // follows are the scopes of a node: its services in its region, and the shared configuration.
-func (s Size) follows(node int) (scopes []string) {
+func (s Size) scopesOf(node int) (scopes []string) {
 	region := regionName(node % s.Regions)
 	first := int(uint64(node/s.Regions) * 2654435761 % uint64(s.Services))
 	step := 1
 	if s.Services%7 != 0 {
 		step = 7 // spread, and no service twice as 7 is no divisor
 	}
-	for k := range s.Take {
+	for k := range s.ServicesPerNode {
 		scopes = append(scopes, region+"/"+serviceName((first+k*step)%s.Services))
 	}
-	for i := range s.Shared {
+	for i := range s.SharedServices {
 		scopes = append(scopes, configScope(i))
 	}
 	return scopes
