--- a/internal/lab/distsim/processes.go
+++ b/internal/lab/distsim/processes.go
@@ -33,9 +33,9 @@
 	address string
 	config  string
 	log     *os.File
-	logRead int64         // of the log
+	logRead int64            // of the log
 	process emulator.Process // nil: none runs
-	frozen  bool          // by a signal
+	frozen  bool             // by a signal
 }
 
 type processes struct {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -103,8 +103,11 @@
 	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
 	held := make(chan struct{})
 	n.loop.post(func() { <-held })
-	for range cap(n.loop.events) {
-		n.loop.post(func() {})
+	for len(n.loop.events) < cap(n.loop.events) {
+		select {
+		case n.loop.events <- func() {}:
+		default: // the endpoint watch posts too, and has taken the last place
+		}
 	}
 	for _, call := range []string{"PUT /servers/disable?target=s-0", "PUT /drain", "PUT /undrain", "PUT /servers/enable?target=s-0", "GET /ready"} {
 		if status := n.call(t, call); status != 200 {
