--- a/internal/endpointgossip/merge.go
+++ b/internal/endpointgossip/merge.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// minUsableShare: a list may leave one in so many of the usable endpoints without further witnesses.
-const minUsableShare = 2
+// minUsableDivisor: a list may leave one in so many of the usable endpoints without further witnesses.
+const minUsableDivisor = 2
 
 // accept takes a gathered list into use, by the order between lists in the package comment. It returns the endpoints to
 // use; nil: nothing changes.
@@ -59,7 +59,7 @@
 }
 
 func removesMost(current, next []Endpoint) bool {
-	return activeCount(next)*minUsableShare < activeCount(current)
+	return activeCount(next)*minUsableDivisor < activeCount(current)
 }
 
 // markNewAsStarted counts endpoints that are new in a list as just started, and others as started no earlier than
--- a/internal/features/members.go
+++ b/internal/features/members.go
@@ -26,8 +26,8 @@
 	Round string `toml:"round"`
 	// Key authenticates datagrams: at least 32 hexadecimal digits, alike at all nodes. Default: empty, a checksum alone.
 	Key string `toml:"key"`
-	// List turns on the exchange of endpoint lists while discovery is down. It requires a key. Default: false.
-	List bool `toml:"list"`
+	// ShareEndpointList turns on the exchange of endpoint lists while discovery is down. It requires a key. Default: false.
+	ShareEndpointList bool `toml:"list"`
 	// Nodes are all nodes of the fleet, this one included.
 	Nodes []Node `toml:"node"`
 
@@ -63,7 +63,7 @@
 	p.Require(err == nil && (m.Key == "" || len(m.KeyBytes) >= minKeyBytes), "members.key", want,
 		fmt.Sprintf("%d characters", len(m.Key)))
 	// A list names addresses that requests go to, so it must not be accepted from anybody.
-	p.Require(!m.List || m.Key != "", "members.key", "a key, as members.list is true", "none")
+	p.Require(!m.ShareEndpointList || m.Key != "", "members.key", "a key, as members.list is true", "none")
 }
 
 func (m *Members) checkNodes(p *tomlfile.Problems, self string) {
--- a/internal/members/awareness.go
+++ b/internal/members/awareness.go
@@ -8,7 +8,7 @@
 const (
 	maxHealthScore  = 8
 	stallPenalty    = 2
-	stallTicks      = 3 * ticksPerRound // after a stall, in which no suspicion is raised or ends
+	stallTicks      = 3 * TicksPerRound // after a stall, in which no suspicion is raised or ends
 	recentProbes    = 8                 // that show whether this node reaches anybody
 	maxProbeResults = 32
 )
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	ticksPerRound = 10
+	TicksPerRound = 10
 	maxNodes      = 4096
 )
 
@@ -92,7 +92,7 @@
 
 	// Another process of this name.
 	rivalRunID         uint32
-	rivalBids          int    // incarnations above this node's
+	rivalClaims        int    // incarnations above this node's
 	rivalIncarnation   uint64 // the highest bid
 	quietUntil         int64  // tick until which this process sends nothing
 	latestKnownStartMs uint64 // of earlier runs of this node, as other nodes know it
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -114,14 +114,14 @@
 	}
 	for round := range 20 {
 		transport.sent = transport.sent[:0]
-		for range ticksPerRound {
+		for range TicksPerRound {
 			now += 1e8
 			m.Tick(now)
 			for _, datagram := range asked {
 				m.Receive(now, datagram)
 			}
 		}
-		if len(transport.sent) > 26+ticksPerRound*maxAnswersPerTick {
+		if len(transport.sent) > 26+TicksPerRound*maxAnswersPerTick {
 			t.Fatalf("round %d: %d datagrams", round, len(transport.sent))
 		}
 		for _, d := range transport.sent {
@@ -275,7 +275,7 @@
 // upTo runs a view for some ticks without a stall.
 func upTo(m *Members, now int64, ticks int) int64 {
 	for range ticks {
-		now += m.config.RoundNs / ticksPerRound
+		now += m.config.RoundNs / TicksPerRound
 		m.Tick(now)
 	}
 	return now
@@ -290,14 +290,14 @@
 // TestNoSuspicionAfterAStall stalls a node while it probes: neither that probe nor the first one after raises a
 // suspicion.
 func TestNoSuspicionAfterAStall(t *testing.T) {
-	for phase := range ticksPerRound {
+	for phase := range TicksPerRound {
 		m := one(t, "n0", 6, &nowhere{})
 		allUp(m)
-		now := upTo(m, begin, ticksPerRound+phase)
-		if now = upTo(m, now+3e9, 3*ticksPerRound-1); m.counters.Suspicions != 0 || m.counters.Stalls != 1 {
+		now := upTo(m, begin, TicksPerRound+phase)
+		if now = upTo(m, now+3e9, 3*TicksPerRound-1); m.counters.Suspicions != 0 || m.counters.Stalls != 1 {
 			t.Errorf("phase %d: %d suspicions, %d stalls", phase, m.counters.Suspicions, m.counters.Stalls)
 		}
-		if upTo(m, now, 4*ticksPerRound); m.counters.Suspicions == 0 {
+		if upTo(m, now, 4*TicksPerRound); m.counters.Suspicions == 0 {
 			t.Error("it never suspects again")
 		}
 	}
--- a/internal/members/probe.go
+++ b/internal/members/probe.go
@@ -20,7 +20,7 @@
 
 	// Ticks after a ping-req came.
 	nackAfter            = 3
-	indirectProbeTimeout = ticksPerRound
+	indirectProbeTimeout = TicksPerRound
 
 	// reconnectsPerRound is how many nodes that are not alive are pinged in a round while some are unknown; else it is
 	// one.
--- a/internal/members/refute.go
+++ b/internal/members/refute.go
@@ -2,13 +2,13 @@
 
 // Refutation: a node that is said to be suspect, dead or left sends a higher incarnation. Two processes of one name
 // show by outbidding each other again and again; the one with the higher run ID keeps the name, and the other sends
-// nothing for yieldTicks.
+// nothing for conflictQuietTicks.
 
 const (
-	conflictThreshold = 3   // bids of a rival, or conflicting datagrams, that show a second process
-	maxConflicts      = 250 // counted
-	yieldTicks        = 20 * ticksPerRound
-	conflictHalving   = 20 * ticksPerRound // after which counted conflicts are halved
+	conflictThreshold  = 3   // bids of a rival, or conflicting datagrams, that show a second process
+	maxConflicts       = 250 // counted
+	conflictQuietTicks = 20 * TicksPerRound
+	conflictHalving    = 20 * TicksPerRound // after which counted conflicts are halved
 )
 
 // refute takes in an update about this node.
@@ -35,16 +35,16 @@
 // losesNameTo counts the bids of another process of this name, and reports whether this one yields to it.
 func (m *Members) losesNameTo(u update) bool {
 	if m.rivalRunID != u.RunID {
-		m.rivalRunID, m.rivalBids, m.rivalIncarnation = u.RunID, 0, 0
+		m.rivalRunID, m.rivalClaims, m.rivalIncarnation = u.RunID, 0, 0
 	}
 	if u.incarnation() > m.rivalIncarnation {
 		m.rivalIncarnation = u.incarnation()
-		m.rivalBids++
+		m.rivalClaims++
 	}
-	if m.rivalBids < conflictThreshold || m.config.RunID >= u.RunID {
+	if m.rivalClaims < conflictThreshold || m.config.RunID >= u.RunID {
 		return false
 	}
-	m.quietUntil = m.tick + yieldTicks
+	m.quietUntil = m.tick + conflictQuietTicks
 	return true
 }
 
@@ -52,11 +52,11 @@
 func (m *Members) isQuiet() bool { return m.tick < m.quietUntil }
 
 // NameConflict reports whether another process has this node's name.
-func (m *Members) NameConflict() bool { return m.rivalBids >= conflictThreshold || m.isQuiet() }
+func (m *Members) NameConflict() bool { return m.rivalClaims >= conflictThreshold || m.isQuiet() }
 
 // forgetConflicts lets the conflicts of a delayed datagram fade; those of a second process come again and again.
 func (m *Members) forgetConflicts() {
-	if m.tick%conflictHalving >= ticksPerRound {
+	if m.tick%conflictHalving >= TicksPerRound {
 		return
 	}
 	for i := range m.peers {
--- a/internal/members/suspicion.go
+++ b/internal/members/suspicion.go
@@ -49,7 +49,7 @@
 // setSuspicionTimeout sets when a suspicion ends, by the number of nodes that have confirmed it.
 func (m *Members) setSuspicionTimeout(p *peer) {
 	nodes := len(m.peers) + 1
-	least := float64(ticksPerRound) * math.Ceil(suspicionFactor*math.Log10(float64(nodes+1)))
+	least := float64(TicksPerRound) * math.Ceil(suspicionFactor*math.Log10(float64(nodes+1)))
 	most := suspicionMaxMultiple * least
 	timeout := least
 	if wanted := min(maxConfirmations, nodes-2); wanted > 0 {
@@ -92,7 +92,7 @@
 			k++
 		case !p.suspicion.own:
 			m.probeNext(i) // guards against a refutation that was lost on its way here
-			p.suspicion.ends = m.tick + ticksPerRound + 2*probeTimeout
+			p.suspicion.ends = m.tick + TicksPerRound + 2*probeTimeout
 			k++
 		default:
 			m.declareDead(now, i) // which removes it from suspects
--- a/internal/members/tick.go
+++ b/internal/members/tick.go
@@ -26,11 +26,11 @@
 	m.continueProbes(now)
 	m.continueIndirectProbes()
 	m.endSuspicions(now)
-	switch (m.tick + int64(m.id%ticksPerRound)) % ticksPerRound {
+	switch (m.tick + int64(m.id%TicksPerRound)) % TicksPerRound {
 	case probePhase:
 		m.beginProbe()
 	case firstGossipPhase, nextGossipPhase:
-		m.gossipNews()
+		m.gossipUpdates()
 	case reconnectPhase:
 		m.reconnect()
 		m.forgetConflicts()
@@ -39,8 +39,8 @@
 	}
 }
 
-// gossipNews sends a random node the states that changed last, if any did.
-func (m *Members) gossipNews() {
+// gossipUpdates sends a random node the states that changed last, if any did.
+func (m *Members) gossipUpdates() {
 	if len(m.broadcasts) == 0 {
 		return
 	}
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -109,7 +109,7 @@
 func (m *Members) LatestKnownStartMs() uint64 { return m.latestKnownStartMs }
 
 // Rounds is how many rounds have passed since the start.
-func (m *Members) Rounds() int64 { return m.tick / ticksPerRound }
+func (m *Members) Rounds() int64 { return m.tick / TicksPerRound }
 
 // States are the states of all nodes by their index; this node's own is Alive.
 func (m *Members) States() []State {
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	acceptPoll        = 5 * time.Millisecond   // for connections that the kernel has accepted, when the listener drains
-	acceptStuckAfter  = 200 * time.Millisecond // without progress: then an accept is blocked in the kernel
-	acceptRetryDelay  = 5 * time.Millisecond   // after an accept that failed, mostly for want of a descriptor
-	admissionInterval = time.Millisecond       // between looks for a slot
+	acceptPoll       = 5 * time.Millisecond   // for connections that the kernel has accepted, when the listener drains
+	acceptStuckAfter = 200 * time.Millisecond // without progress: then an accept is blocked in the kernel
+	acceptRetryDelay = 5 * time.Millisecond   // after an accept that failed, mostly for want of a descriptor
+	slotPollInterval = time.Millisecond       // between looks for a slot
 )
 
 // setAcceptDeadline sets by when an accept returns.
@@ -61,7 +61,7 @@
 			return
 		case <-time.After(acceptPoll):
 		}
-		if f.waitingAdmission.Load() > 0 {
+		if f.waitingForSlot.Load() > 0 {
 			lastProgress = time.Now()
 		}
 	}
@@ -81,7 +81,7 @@
 		switch {
 		case err == nil:
 			f.node.counters.add(clientsAccepted)
-			f.admit(conn)
+			f.serveWithSlot(conn)
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -104,24 +104,24 @@
 	return true
 }
 
-// admit takes a connection in, if need be in place of an idle one. Where none is idle it waits for a slot: a request
+// serveWithSlot serves a connection once it has a slot, if need be in place of an idle one. Where none is idle it waits for a slot: a request
 // may already be written to this connection, so that it can't be closed without a response.
-func (f *frontend) admit(raw net.Conn) {
+func (f *frontend) serveWithSlot(raw net.Conn) {
 	c := newClientConn(f, raw)
-	f.waitingAdmission.Add(1)
-	defer f.waitingAdmission.Add(-1)
-	if !f.tryAdmit(c) {
+	f.waitingForSlot.Add(1)
+	defer f.waitingForSlot.Add(-1)
+	if !f.tryTakeSlot(c) {
 		f.node.counters.add(clientsQueued)
-		for !f.tryAdmit(c) {
-			time.Sleep(admissionInterval)
+		for !f.tryTakeSlot(c) {
+			time.Sleep(slotPollInterval)
 		}
 	}
-	c.admittedAt = time.Now()
+	c.slotTakenAt = time.Now()
 	go c.writeLoop()
 	go c.readLoop()
 }
 
-func (f *frontend) tryAdmit(c *clientConn) bool {
+func (f *frontend) tryTakeSlot(c *clientConn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.open) >= f.slotsLocked() || f.crowdedLocked() {
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -80,7 +80,7 @@
 		t.Error("the shutdown waits for an accept")
 	}
 	over := make(chan bool, 1)
-	n.loop.post(func() { over <- n.loop.stopping })
+	n.loop.post(func() { over <- n.loop.rejectsAll })
 	if <-over {
 		t.Error("the shutdown ended only by giving up")
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -20,7 +20,7 @@
 	adminWriteTimeout  = time.Second
 	maxAdminHeadBytes  = 8 << 10
 	maxAdminConns      = 64
-	adminConnShare     = 12 // of the descriptors one in so many is for the admin API, if that is fewer
+	adminConnDivisor   = 12 // of the descriptors one in so many is for the admin API, if that is fewer
 	headEnd            = "\r\n\r\n"
 	admitRetryInterval = adminEvictAfter / 4
 )
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -174,7 +174,7 @@
 		t.Fatal(err)
 	}
 	h := &attempt{request: newPendingRequest(), target: upstreamTarget{endpointID("s-0"), server}, deadline: n.clock.now().Add(time.Second)}
-	_, err := n.upstreams.roundTrip(h)
+	_, err := n.upstreams.runRoundTrip(h)
 	if err == nil || err.outcome() != policy.OutcomeNotSent || requests.Load() != 0 {
 		t.Errorf("%v, %d requests reached a disabled endpoint", err, requests.Load())
 	}
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -21,7 +21,7 @@
 	frontend      *frontend
 	conn          *bufferedConn
 	responseOrder chan *pendingRequest // in the order of the requests; closed by the read loop
-	admittedAt    time.Time            // when it got its slot; written before the loops start
+	slotTakenAt   time.Time            // when it got its slot; written before the loops start
 
 	lingerUntil atomic.Int64 // Unix time in ns until which input is discarded; 0 until the last response is written
 	streaming   atomic.Bool  // a response is being passed on as it comes
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -78,7 +78,7 @@
 		defer at.mu.Unlock()
 		return !at.messageBegan.IsZero() && at.pending == 1
 	})
-	n.stopping.Store(true)
+	n.shuttingDown.Store(true)
 	answers.pass()
 	if status, _, header := readAnswer(in); status != 200 || header.Get("Connection") == "close" {
 		t.Errorf("the first was answered %d, %v", status, header)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -49,7 +49,7 @@
 
 	path           string // of the configuration file, for a reload
 	filesDir       string // holds small files that outlive a process
-	inherited      string // $NODE_INHERITED_FD
+	inheritedFD    string // $NODE_INHERITED_FD
 	seed           uint64
 	parsedSettings settings.Settings
 	stateDir       string // where state is persisted; empty: it is not
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{path: path, filesDir: os.TempDir(), inherited: os.Getenv(envInherited)}
+	c := &Config{path: path, filesDir: os.TempDir(), inheritedFD: os.Getenv(envInherited)}
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -184,12 +184,12 @@
 }
 
 func (c *Config) checkInherited() error {
-	if c.inherited == "" {
+	if c.inheritedFD == "" {
 		return nil
 	}
-	fd, err := strconv.ParseUint(c.inherited, 10, 31)
+	fd, err := strconv.ParseUint(c.inheritedFD, 10, 31)
 	if err != nil {
-		return fmt.Errorf("%s: expected a descriptor's number, got %q", envInherited, c.inherited)
+		return fmt.Errorf("%s: expected a descriptor's number, got %q", envInherited, c.inheritedFD)
 	}
 	listens, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil || listens == 0 {
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -25,9 +25,9 @@
 	// listSilenceTimeout ends a watch. Discovery sends an empty line every 2 s while nothing changes.
 	listSilenceTimeout = 3200 * time.Millisecond
 	// maxRetryInterval and minRetryInterval bound the time between calls where the list is pushed.
-	maxRetryInterval = 200 * time.Millisecond
-	minRetryInterval = 20 * time.Millisecond
-	drainGraceShare  = 4 // of the time within which sends to a drained endpoint have to stop, if that is less
+	maxRetryInterval  = 200 * time.Millisecond
+	minRetryInterval  = 20 * time.Millisecond
+	drainGraceDivisor = 4 // of the time within which sends to a drained endpoint have to stop, if that is less
 	// reopenHeadTimeout is listHeadTimeout for the first call after a silence: what a silent watch has missed binds 6 s
 	// later.
 	reopenHeadTimeout = 2 * time.Second
@@ -74,7 +74,7 @@
 		firstEvent:     make(chan struct{}),
 	}
 	if grace := time.Duration(n.settings.DrainGrace); grace > 0 {
-		w.retryInterval = max(min(w.retryInterval, grace/drainGraceShare), minRetryInterval)
+		w.retryInterval = max(min(w.retryInterval, grace/drainGraceDivisor), minRetryInterval)
 	}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	return w
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -16,14 +16,14 @@
 // eventLoop is the one goroutine that owns the decisions, their clock and timers, and the requests and endpoints that
 // they know. Events enter through post, one at a time. Nothing in it does I/O or waits for a peer.
 type eventLoop struct {
-	node      *Node
-	balancer  *policy.Balancer
-	events    chan func()
-	now       policy.Time // when the event at hand began
-	timers    timerqueue.Queue
-	requests  map[policy.RequestID]*pendingRequest
-	endpoints map[policy.EndpointID]knownEndpoint
-	stopping  bool // new requests are rejected: the process is about to end
+	node       *Node
+	balancer   *policy.Balancer
+	events     chan func()
+	now        policy.Time // when the event at hand began
+	timers     timerqueue.Queue
+	requests   map[policy.RequestID]*pendingRequest
+	endpoints  map[policy.EndpointID]knownEndpoint
+	rejectsAll bool // new requests are rejected: the process is about to end
 }
 
 func newEventLoop(n *Node) *eventLoop {
@@ -87,7 +87,7 @@
 		request.answer(response{status: http.StatusConflict})
 		return
 	}
-	if l.stopping {
+	if l.rejectsAll {
 		l.node.counters.add(requestsOverCapacity)
 		request.answer(l.node.overCapacity())
 		return
@@ -100,10 +100,10 @@
 // giveUpAll answers every request that has no answer, rejected if policy.MayReject allows it and failed otherwise, and
 // rejects those that still come: the process is about to end.
 func (l *eventLoop) giveUpAll() {
-	l.stopping = true
-	for id, x := range l.requests {
-		class := &l.node.settings.Policy.Classes[x.request.Class]
-		if policy.MayReject(class, l.now, x.attempts, ranSince) {
+	l.rejectsAll = true
+	for id, pending := range l.requests {
+		class := &l.node.settings.Policy.Classes[pending.request.Class]
+		if policy.MayReject(class, l.now, pending.attempts, ranSince) {
 			l.Reject(id, 0)
 		} else {
 			l.Fail(id)
@@ -185,13 +185,13 @@
 
 // resultFor is the end of an attempt as the decisions see it. Time in which the client was slow to upload is not the
 // endpoint's latency.
-func (h *attempt) resultFor(request *pendingRequest, result attemptResult) policy.AttemptResult {
+func (a *attempt) resultFor(request *pendingRequest, result attemptResult) policy.AttemptResult {
 	return policy.AttemptResult{
 		Request:       request.request.ID,
-		Attempt:       h.number,
-		Endpoint:      h.target.endpoint,
+		Attempt:       a.number,
+		Endpoint:      a.target.endpoint,
 		Outcome:       result.outcome,
-		Elapsed:       max(result.endedAt.Sub(h.sentAt)-result.uploadTime, 0),
+		Elapsed:       max(result.endedAt.Sub(a.sentAt)-result.uploadTime, 0),
 		RequestDone:   request.answered.Load(),
 		BodyConsumed:  request.bodyConsumed(),
 		NewConnection: result.newConnection,
--- a/internal/node/evict.go
+++ b/internal/node/evict.go
@@ -72,7 +72,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.evictIdleLocked(len(f.open))
-	return len(f.open) + int(f.waitingAdmission.Load())
+	return len(f.open) + int(f.waitingForSlot.Load())
 }
 
 // abortStreams resets the connections on which a response is being streamed. Guards against an incomplete response that
--- a/internal/node/evict_test.go
+++ b/internal/node/evict_test.go
@@ -85,7 +85,7 @@
 	eventually(t, "room for further requests", func() bool { return ended.Load() >= 4 })
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
-	if held := len(n.frontend.open); held > 4*ownDescriptors/activeClientShare+2 {
+	if held := len(n.frontend.open); held > 4*ownDescriptors/activeClientDivisor+2 {
 		t.Errorf("%d connections are held, more than a quarter of the descriptors", held)
 	}
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -21,15 +21,15 @@
 
 // frontend is the set of client connections. Each connection has a slot; some slots may be lent to attempts.
 type frontend struct {
-	node             *Node
-	listener         net.Listener  // closed by accept when it ends
-	acceptWake       chan struct{} // holds one value once accept is to go on after a pause
-	paused           atomic.Bool   // another process takes new connections from the same socket
-	draining         atomic.Bool   // what the kernel has accepted is still taken, then the listener is closed
-	acceptDone       chan struct{} // closed when accept has ended
-	usedConns        atomic.Int64  // open connections that have brought a request
-	activeConns      atomic.Int64  // open connections with a request that has no response yet
-	waitingAdmission atomic.Int64  // accepted connections that wait for a slot
+	node           *Node
+	listener       net.Listener  // closed by accept when it ends
+	acceptWake     chan struct{} // holds one value once accept is to go on after a pause
+	paused         atomic.Bool   // another process takes new connections from the same socket
+	draining       atomic.Bool   // what the kernel has accepted is still taken, then the listener is closed
+	acceptDone     chan struct{} // closed when accept has ended
+	usedConns      atomic.Int64  // open connections that have brought a request
+	activeConns    atomic.Int64  // open connections with a request that has no response yet
+	waitingForSlot atomic.Int64  // accepted connections that wait for a slot
 
 	mu         sync.Mutex
 	open       map[*clientConn]struct{}
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -205,7 +205,7 @@
 	h.mu.Unlock()
 	h.node.divideLimits()
 	h.node.frontend.resume()
-	if !h.node.stopping.Load() {
+	if !h.node.shuttingDown.Load() {
 		h.node.log.Warn("hot restart: the successor has ended, this process goes on")
 		h.open()
 	}
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -35,7 +35,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.filesDir, c.Listen, c.inherited = dir, held.Addr().String(), strconv.Itoa(fd)
+			c.filesDir, c.Listen, c.inheritedFD = dir, held.Addr().String(), strconv.Itoa(fd)
 		}, servers...)
 		t.Cleanup(n.hotRestart.close)
 		return n
@@ -74,8 +74,8 @@
 	}
 	alone := old.mostOpen()
 	fresh := next()
-	if fresh.predecessor == nil || !fresh.overrides.isKnown("s-7") && len(fresh.chooseInitialList().entries) != 1 {
-		t.Fatalf("the predecessor was not found, or has sent nothing: %+v", fresh.predecessor)
+	if fresh.inherited == nil || !fresh.overrides.isKnown("s-7") && len(fresh.chooseInitialList().entries) != 1 {
+		t.Fatalf("the predecessor was not found, or has sent nothing: %+v", fresh.inherited)
 	}
 	eventually(t, "the old one has given up its half", func() bool { return old.mostOpen() < alone })
 	if both := old.mostOpen() + fresh.mostOpen(); both > alone+1 {
@@ -110,7 +110,7 @@
 	old.hotRestart.closeSuccessor()
 	eventually(t, "the new one has the whole limits", func() bool { return fresh.mostOpen() == alone })
 	third := next()
-	if third.predecessor == nil {
+	if third.inherited == nil {
 		t.Error("a third process does not find the second")
 	}
 }
@@ -168,8 +168,8 @@
 			place(probe.hotRestart.path)
 			began := time.Now()
 			n := next()
-			if n.predecessor != nil || n.count(hotRestartsIgnored) != 1 || time.Since(began) > 2*hotRestartTimeout {
-				t.Errorf("took over %+v after %v, counted %d times", n.predecessor, time.Since(began), n.count(hotRestartsIgnored))
+			if n.inherited != nil || n.count(hotRestartsIgnored) != 1 || time.Since(began) > 2*hotRestartTimeout {
+				t.Errorf("took over %+v after %v, counted %d times", n.inherited, time.Since(began), n.count(hotRestartsIgnored))
 			}
 			n.start()
 			eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
@@ -204,11 +204,11 @@
 	for want, change := range map[string]func(*Config){
 		`console: expected an address and a port, got "here"`:         func(c *Config) { c.AdminListen = "here" },
 		"console: expected another address than listen, got":          func(c *Config) { c.Listen = "127.0.0.1:9"; c.AdminListen = c.Listen },
-		`NODE_INHERITED_FD: expected a descriptor's number, got "-1"`: func(c *Config) { c.inherited = "-1" },
-		`expected a descriptor's number, got "five"`:                  func(c *Config) { c.inherited = "five" },
-		"expected a listening socket, got descriptor 999999":          func(c *Config) { c.inherited = "999999" },
+		`NODE_INHERITED_FD: expected a descriptor's number, got "-1"`: func(c *Config) { c.inheritedFD = "-1" },
+		`expected a descriptor's number, got "five"`:                  func(c *Config) { c.inheritedFD = "five" },
+		"expected a listening socket, got descriptor 999999":          func(c *Config) { c.inheritedFD = "999999" },
 		"expected a listening socket, got descriptor " + strconv.Itoa(int(pipe.Fd())): func(c *Config) {
-			c.inherited = strconv.Itoa(int(pipe.Fd()))
+			c.inheritedFD = strconv.Itoa(int(pipe.Fd()))
 		},
 	} {
 		c := &Config{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "1", Settings: []byte(settingsText)}
--- a/internal/node/hotrestartrace_test.go
+++ b/internal/node/hotrestartrace_test.go
@@ -18,7 +18,7 @@
 	writeText(client, requestText("batch", "t", ""))
 	stopped := make(chan struct{})
 	go func() { old.shutDown(); close(stopped) }()
-	eventually(t, "the stop", old.stopping.Load)
+	eventually(t, "the stop", old.shuttingDown.Load)
 	fresh.hotRestart.close()
 	fresh.hotRestart.mu.Lock()
 	fresh.hotRestart.predecessor.Close()
@@ -35,7 +35,7 @@
 		"two successors": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
 			first := next()
 			second := next() // finds the place taken, and makes a plain start
-			if first.predecessor == nil || second.predecessor != nil {
+			if first.inherited == nil || second.inherited != nil {
 				t.Error("one of them is to take over, the other is not")
 			}
 			second.start()
@@ -53,7 +53,7 @@
 			for _, n := range []*Node{old, fresh} {
 				done.Go(n.shutDown)
 			}
-			eventually(t, "both stop", func() bool { return old.stopping.Load() && fresh.stopping.Load() })
+			eventually(t, "both stop", func() bool { return old.shuttingDown.Load() && fresh.shuttingDown.Load() })
 			ask("while both stop")
 			done.Wait()
 		},
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -26,7 +26,7 @@
 }
 
 func (n *Node) chooseInitialList() initialList {
-	if n.predecessor != nil {
+	if n.inherited != nil {
 		if list, ok := n.predecessorList(); ok {
 			return list
 		}
@@ -41,7 +41,7 @@
 		n.log.Warn("endpoint list of the configuration ignored", zap.Error(err))
 		return persisted
 	}
-	if len(persisted.entries) > 0 && !n.persistence.isOlderThan(configured.version) {
+	if len(persisted.entries) > 0 && !n.persistence.precedes(configured.version) {
 		persisted.entries = n.persistence.addOlder(persisted.entries, configured.entries, configured.version)
 		return persisted
 	}
@@ -52,8 +52,8 @@
 
 // predecessorList is the list that the predecessor has handed over, if it can be read.
 func (n *Node) predecessorList() (initialList, bool) {
-	n.overrides.rememberNames(n.predecessor.KnownNames...)
-	update, err := n.parseList(n.predecessor.Endpoints)
+	n.overrides.rememberNames(n.inherited.KnownNames...)
+	update, err := n.parseList(n.inherited.Endpoints)
 	if err != nil {
 		n.counters.add(hotRestartsIgnored)
 		n.log.Warn("endpoint list of the predecessor ignored", zap.Error(err))
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -13,18 +13,18 @@
 
 	// ownDescriptors are standard files, poller, listeners with a connection each, discovery, overrides, state,
 	// gossip and the runtime.
-	ownDescriptors       = 24
-	spareDescriptorShare = 16 // of all descriptors, to answer clients that there is no room for
-	activeClientShare    = 4  // of all descriptors, for clients with a request; clients hold a third at most
-	upstreamShare        = 3  // of what is left, for upstreams: clients keep their connections while idle
+	ownDescriptors         = 24
+	spareDescriptorDivisor = 16 // of all descriptors, to answer clients that there is no room for
+	activeClientDivisor    = 4  // of all descriptors, for clients with a request; clients hold a third at most
+	upstreamDivisor        = 3  // of what is left, for upstreams: clients keep their connections while idle
 
-	bodyMemoryShare    = 8 // of the memory, for bodies in flight; connections' buffers need as much
-	defaultBodyMemory  = 64 << 20
-	heapLimitPercent   = 60  // of the memory
-	garbagePercent     = 400 // the heap is small, its collection takes time from requests
-	bytesPerMiB        = 1 << 20
-	minOwnDescriptors  = 4 // beside half of the descriptors, where those are few
-	lentUpstreamsShare = 2
+	bodyMemoryDivisor = 8 // of the memory, for bodies in flight; connections' buffers need as much
+	defaultBodyMemory = 64 << 20
+	heapLimitPercent  = 60  // of the memory
+	garbagePercent    = 400 // the heap is small, its collection takes time from requests
+	bytesPerMiB       = 1 << 20
+	minOwnDescriptors = 4 // beside half of the descriptors, where those are few
+	lentSlotDivisor   = 2
 )
 
 // divideLimits sets the limits of connections and memory. It is called at the start, and whenever the node's other
@@ -41,22 +41,22 @@
 		total = defaultDescriptors
 	}
 	available := total / processes
-	spare := available / spareDescriptorShare
-	admin := min(maxAdminConns, available/adminConnShare)
+	spare := available / spareDescriptorDivisor
+	admin := min(maxAdminConns, available/adminConnDivisor)
 	rest := available - min(ownDescriptors, available/2+minOwnDescriptors) - spare - admin
-	toUpstreams := max(rest/upstreamShare, 1)
+	toUpstreams := max(rest/upstreamDivisor, 1)
 	toClients := max(rest-toUpstreams, 1)
 	n.upstreams.setLimit(toUpstreams)
 	n.admin.setLimit(admin)
-	n.frontend.setLimits(toClients, spare, total/activeClientShare)
+	n.frontend.setLimits(toClients, spare, total/activeClientDivisor)
 	// Each attempt has a client that waits for it, so idle clients' descriptors can be lent to upstreams.
-	n.frontend.maxLentSlots.Store(int64(toClients-toUpstreams) / lentUpstreamsShare)
+	n.frontend.maxLentSlots.Store(int64(toClients-toUpstreams) / lentSlotDivisor)
 }
 
 func (n *Node) divideMemory(processes int) {
 	bodies := int64(defaultBodyMemory)
 	if mb := n.config.Limits.MemoryMB; mb > 0 {
-		bodies = mb * bytesPerMiB / bodyMemoryShare
+		bodies = mb * bytesPerMiB / bodyMemoryDivisor
 		debug.SetMemoryLimit(mb * bytesPerMiB * heapLimitPercent / 100 / int64(processes))
 	}
 	n.maxBufferedBytes.Store(bodies / int64(processes))
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -20,7 +20,7 @@
 }
 
 func newListGossip(n *Node) *listGossip {
-	if n.members == nil || !n.members.config.List {
+	if n.members == nil || !n.members.config.ShareEndpointList {
 		return nil
 	}
 	return &listGossip{node: n}
@@ -39,9 +39,9 @@
 	s.exchange = endpointgossip.New(seed, transport, now, initial.version, endpoints, initial.watchResumes)
 }
 
-// watchUpdated takes in an update of the node's own list and posts it. If the node went by a gossiped list, the whole
+// primaryListUpdated takes in an update of the node's own list and posts it. If the node went by a gossiped list, the whole
 // own list is posted.
-func (s *listGossip) watchUpdated(update listUpdate) {
+func (s *listGossip) primaryListUpdated(update listUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.exchange == nil { // the membership has not started yet: begin starts from this
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,7 +23,7 @@
 	clock            clock
 	counters         counters
 	serving          atomic.Bool // the endpoint list, the overrides and the loop are in place
-	stopping         atomic.Bool
+	shuttingDown     atomic.Bool
 	bufferedBytes    atomic.Int64 // bytes of bodies of requests without an answer
 	maxBufferedBytes atomic.Int64
 	listLimits       endpointlist.Limits
@@ -45,7 +45,7 @@
 
 	initialList initialList   // set by start, then owned by listGossip
 	hasList     atomic.Bool   // an endpoint list has come, or was there
-	predecessor *restartState // received from the process before; nil at a plain start
+	inherited   *restartState // received from the process before; nil at a plain start
 }
 
 // New makes a node that listens; nothing runs before Run.
@@ -70,7 +70,7 @@
 	}
 	n.listGossip = newListGossip(n)
 	n.hotRestart = newHotRestart(n)
-	n.predecessor = n.hotRestart.connectPredecessor()
+	n.inherited = n.hotRestart.connectPredecessor()
 	n.divideLimits()
 	return n, nil
 }
@@ -114,10 +114,10 @@
 
 // listenForClients returns the socket that the platform has passed in, else one that this process opens.
 func (n *Node) listenForClients() (net.Listener, error) {
-	if n.config.inherited == "" {
+	if n.config.inheritedFD == "" {
 		return bind(n.config.Listen)
 	}
-	fd, err := strconv.Atoi(n.config.inherited)
+	fd, err := strconv.Atoi(n.config.inheritedFD)
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 // notReady is the admin API's reason why the node takes no new clients now; empty if it does.
 func (n *Node) notReady() string {
 	switch {
-	case n.stopping.Load():
+	case n.shuttingDown.Load():
 		return "stopping"
 	case n.overrides.drained():
 		return "drained"
@@ -151,7 +151,7 @@
 
 // closesConnections reports whether connections of clients end with their next answer.
 func (n *Node) closesConnections() bool {
-	return n.stopping.Load() || n.overrides.drained() || n.hotRestart.hasYielded()
+	return n.shuttingDown.Load() || n.overrides.drained() || n.hotRestart.hasYielded()
 }
 
 func indexByName(names []string) map[string]int {
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -35,7 +35,7 @@
 	node *Node
 	dir  string
 
-	mu    sync.Mutex // guards memory
+	mu    sync.Mutex // guards state
 	state *nodestate.State
 
 	recovered nodestate.Recovered // what the start goes by
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -142,7 +142,7 @@
 			t.Errorf("a configured list of version %d after one of 5: %d requests to the draining upstream, %d to the other", version, drained.Load()-before, served.Load())
 		}
 		again.persistence.close()
-		if version == 4 && !again.persistence.isOlderThan(6) {
+		if version == 4 && !again.persistence.precedes(6) {
 			t.Error("6 is not newer than 5")
 		}
 	}
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -30,8 +30,8 @@
 	return p.state.Version()
 }
 
-// isOlderThan reports whether a list is newer than the persisted one.
-func (p *persistence) isOlderThan(version int64) bool { return p == nil || version > p.version() }
+// precedes reports whether the persisted list is older than a list of a version.
+func (p *persistence) precedes(version int64) bool { return p == nil || version > p.version() }
 
 // addOlder adds to the persisted endpoints those that only an older list has, unless they were removed since.
 func (p *persistence) addOlder(persisted, older []endpointEntry, version int64) []endpointEntry {
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -68,7 +68,7 @@
 	if n.listGossip == nil {
 		n.loop.postEndpoints(entries, complete)
 	} else {
-		n.listGossip.watchUpdated(listUpdate{entries, version, complete})
+		n.listGossip.primaryListUpdated(listUpdate{entries, version, complete})
 	}
 	n.hasList.Store(true)
 	n.endpointWatch.markFirstEvent()
--- a/internal/node/requestread.go
+++ b/internal/node/requestread.go
@@ -50,7 +50,7 @@
 	for len(c.conn.buffered()) == 0 {
 		timeout := clientIdleTimeout
 		if first { // at least closeLinger, so that what has come is read also where the time has just ended
-			timeout = max(time.Until(c.admittedAt.Add(headTimeout)), closeLinger)
+			timeout = max(time.Until(c.slotTakenAt.Add(headTimeout)), closeLinger)
 		}
 		c.setReadTimeout(timeout)
 		err := c.conn.fill()
@@ -72,7 +72,7 @@
 	c.messageBegan = time.Now()
 	began := c.messageBegan
 	if first {
-		began = c.admittedAt
+		began = c.slotTakenAt
 	}
 	c.conn.SetReadDeadline(began.Add(headTimeout))
 	return began
--- a/internal/node/requestread_test.go
+++ b/internal/node/requestread_test.go
@@ -103,7 +103,7 @@
 	writeText(peer, "GET "+pathReady+" HTTP/1.1\r\nHost: h\r\n\r\n")
 	c := &clientConn{
 		frontend: n.frontend, conn: newBufferedConn(own), responseOrder: make(chan *pendingRequest, 1),
-		admittedAt: time.Now().Add(-headTimeout),
+		slotTakenAt: time.Now().Add(-headTimeout),
 	}
 	eventually(t, "the request", c.conn.hasInput)
 	read := make(chan error, 1)
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	idleWorkerShare   = 4  // a quarter as many workers may be idle as there may be upstream connections
+	idleWorkerDivisor = 4  // a quarter as many workers may be idle as there may be upstream connections
 	maxIdleWorkersCap = 64 // and no more than this
 )
 
@@ -55,7 +55,7 @@
 func (u *upstreams) resultOf(a *attempt) (result attemptResult) {
 	result = attemptResult{outcome: policy.OutcomeUnknown, report: parseLoadReport("")}
 	defer u.node.recoverPanic("attempt", func() {})
-	answered, err := u.roundTrip(a)
+	answered, err := u.runRoundTrip(a)
 	if err == nil {
 		return answered
 	}
@@ -87,7 +87,7 @@
 }
 
 // roundTrip sends a request to its target and reads the response, or the first part of one that is streamed.
-func (u *upstreams) roundTrip(a *attempt) (attemptResult, *attemptError) {
+func (u *upstreams) runRoundTrip(a *attempt) (attemptResult, *attemptError) {
 	deadline := u.node.clock.at(a.deadline)
 	conn, err := u.acquire(a, deadline)
 	if err != nil {
@@ -170,7 +170,7 @@
 	}
 	m.end()
 	unasked := complete && len(t.conn.buffered()) > 0
-	t.upstreams.noteStray(unasked)
+	t.upstreams.noteExtraInput(unasked)
 	t.conn.lastRejected = result.outcome == policy.OutcomeRejected
 	if wanted && complete && !unasked && reusable {
 		t.putIdle()
--- a/internal/node/roundtrip_test.go
+++ b/internal/node/roundtrip_test.go
@@ -218,9 +218,9 @@
 	}
 	t.Run("another request is out", func(t *testing.T) {
 		n := newNode(t, nil, server)
-		n.upstreams.strayCooldown = time.Hour
+		n.upstreams.extraInputCooldown = time.Hour
 		n.start()
-		n.upstreams.noteStray(true) // such have been seen here
+		n.upstreams.noteExtraInput(true) // such have been seen here
 		ask(t, n, "batch", "a", "")
 		idleOf(n)
 		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
@@ -240,7 +240,7 @@
 		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
 			t.Errorf("once the second answer has come a request got %q", body)
 		}
-		if n.upstreams.lastStrayAt.Load() == 0 {
+		if n.upstreams.lastExtraInputAt.Load() == 0 {
 			t.Error("it was not noticed")
 		}
 	})
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -48,7 +48,7 @@
 func (n *Node) shutDown() {
 	n.log.Info("shutting down")
 	killAt := time.Now().Add(n.killTimeout())
-	n.stopping.Store(true)
+	n.shuttingDown.Store(true)
 	if n.hotRestart.hasYielded() {
 		time.Sleep(min(acceptAfterTermReplaced, time.Until(killAt)-2*answerMargin))
 	} else {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -45,7 +45,7 @@
 		n.shutDown()
 		close(stopped)
 	}()
-	eventually(t, "the stop", n.stopping.Load)
+	eventually(t, "the stop", n.shuttingDown.Load)
 	if status, _, _ := ask(t, n, "batch", "new", ""); status != 200 {
 		t.Errorf("a new connection while stopping was answered %d", status)
 	}
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -13,7 +13,7 @@
 func (n *Node) start() {
 	n.loop.now = n.clock.now()
 	n.initialList = n.chooseInitialList()
-	n.hasList.Store(n.initialList.watchResumes || len(n.initialList.entries) > 0 || n.predecessor != nil)
+	n.hasList.Store(n.initialList.watchResumes || len(n.initialList.entries) > 0 || n.inherited != nil)
 	n.loop.endpointsUpdated(n.initialList.entries, true)
 	n.inheritEstimates()
 	n.startGoroutines()
@@ -24,8 +24,8 @@
 
 // inheritEstimates takes over the estimates of the process before, else the persisted ones.
 func (n *Node) inheritEstimates() {
-	if n.predecessor != nil {
-		n.loop.inherit(n.predecessor.Estimates)
+	if n.inherited != nil {
+		n.loop.inherit(n.inherited.Estimates)
 	} else {
 		n.persistence.inheritEstimates()
 	}
@@ -45,7 +45,7 @@
 // awaitFirstWatchEvent waits, for listConnectTimeout at most, until the watch has brought an event or has failed. A
 // pushed list binds from the first moment of a process, so it is taken in before the first request.
 func (n *Node) awaitFirstWatchEvent() {
-	if n.settings.Policy.MustPollList || n.predecessor != nil {
+	if n.settings.Policy.MustPollList || n.inherited != nil {
 		return
 	}
 	select {
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// strayCooldown is how long a connection rests after a response that may come a second time, as some do some
+	// extraInputCooldown is how long a connection rests after a response that may come a second time, as some do some
 	// milliseconds later: nothing in it says whose it is, and the next request on that connection would be answered
 	// with it, or sent again because it says that the request never ran.
-	strayCooldown = 8 * time.Millisecond
-	strayMemory   = time.Minute          // for so long all rest once a connection has brought more than its response
-	lentSlotPoll  = 2 * time.Millisecond // between looks for the slot of a client that has been asked to leave
+	extraInputCooldown = 8 * time.Millisecond
+	extraInputWindow   = time.Minute          // for so long all rest once a connection has brought more than its response
+	lentSlotPoll       = 2 * time.Millisecond // between looks for the slot of a client that has been asked to leave
 )
 
 // upstreamConn is a connection to an upstream. One attempt or health check uses it at a time; while it is idle it is
@@ -50,20 +50,20 @@
 	open      int                                // connections open or being opened
 	maxOpen   int                                // beside the slots that the frontend lends
 
-	strayCooldown time.Duration // as the constant, but for tests
-	lastStrayAt   atomic.Int64  // Unix time in nanoseconds at which more than a response came last; 0: never
+	extraInputCooldown time.Duration // as the constant, but for tests
+	lastExtraInputAt   atomic.Int64  // Unix time in nanoseconds at which more than a response came last; 0: never
 
 	healthChecks chan struct{} // holds one value for each health check in flight
 }
 
 func newUpstreams(n *Node) *upstreams {
 	u := &upstreams{
-		node:          n,
-		work:          make(chan *attempt),
-		eligible:      map[policy.EndpointID]string{},
-		idleConns:     map[upstreamTarget][]*upstreamConn{},
-		strayCooldown: strayCooldown,
-		healthChecks:  make(chan struct{}, maxHealthChecks),
+		node:               n,
+		work:               make(chan *attempt),
+		eligible:           map[policy.EndpointID]string{},
+		idleConns:          map[upstreamTarget][]*upstreamConn{},
+		extraInputCooldown: extraInputCooldown,
+		healthChecks:       make(chan struct{}, maxHealthChecks),
 	}
 	u.dial = u.connect
 	return u
@@ -82,7 +82,7 @@
 
 // setLimit sets how many connections there may be, and closes idle ones beyond that.
 func (u *upstreams) setLimit(maxOpen int) {
-	u.maxIdleWorkers.Store(int64(min(maxIdleWorkersCap, max(maxOpen/idleWorkerShare, 1))))
+	u.maxIdleWorkers.Store(int64(min(maxIdleWorkersCap, max(maxOpen/idleWorkerDivisor, 1))))
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.maxOpen = maxOpen
@@ -160,7 +160,7 @@
 		if !expired && conn.isQuiet() {
 			return conn
 		}
-		u.noteStray(conn.hasInput())
+		u.noteExtraInput(conn.hasInput())
 		u.closeConn(conn)
 		if !expired {
 			u.node.counters.add(upstreamConnsFoundClosed)
@@ -169,18 +169,18 @@
 }
 
 // takeIdle takes the connection that was used last, so that the others may expire. One that still rests after a
-// response that may come again is skipped. All rest once more than a response has come within strayMemory; opening
+// response that may come again is skipped. All rest once more than a response has come within extraInputWindow; opening
 // another connection instead costs more than a rest, so otherwise only those rest whose last response was a
 // rejection.
 func (u *upstreams) takeIdle(target upstreamTarget) *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
-	straysSeen := now.UnixNano()-u.lastStrayAt.Load() < int64(strayMemory)
+	extraInputSeen := now.UnixNano()-u.lastExtraInputAt.Load() < int64(extraInputWindow)
 	idle := u.idleConns[target]
 	for i, conn := range slices.Backward(idle) {
-		mayRepeat := straysSeen || conn.lastRejected
-		if mayRepeat && now.Sub(conn.idleSince) < u.strayCooldown {
+		mayRepeat := extraInputSeen || conn.lastRejected
+		if mayRepeat && now.Sub(conn.idleSince) < u.extraInputCooldown {
 			continue
 		}
 		u.idleConns[target] = slices.Delete(idle, i, i+1)
@@ -190,10 +190,10 @@
 	return nil
 }
 
-// noteStray notes whether more than a request's response has come on a connection.
-func (u *upstreams) noteStray(stray bool) {
-	if stray {
-		u.lastStrayAt.Store(time.Now().UnixNano())
+// noteExtraInput notes whether more than a request's response has come on a connection.
+func (u *upstreams) noteExtraInput(came bool) {
+	if came {
+		u.lastExtraInputAt.Store(time.Now().UnixNano())
 	}
 }
 
@@ -315,7 +315,7 @@
 				kept = append(kept, conn)
 				continue
 			}
-			u.noteStray(conn.hasInput())
+			u.noteExtraInput(conn.hasInput())
 			u.closeIdleLocked(conn)
 		}
 		u.idleConns[target] = kept
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -104,7 +104,7 @@
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	n := newNode(t, nil)
 	s := n.upstreams
-	s.maxOpen, s.strayCooldown = 3, 0
+	s.maxOpen, s.extraInputCooldown = 3, 0
 	var conns []*upstreamConn
 	for i := range 3 {
 		c, _ := net.Pipe()
@@ -156,9 +156,9 @@
 		"nor in any of these cases": {strayed: true, turned: true},
 	} {
 		n := newNode(t, nil)
-		n.upstreams.strayCooldown = time.Hour
+		n.upstreams.extraInputCooldown = time.Hour
 		n.upstreams.setAddress(1, server, c.standing)
-		n.upstreams.noteStray(c.strayed)
+		n.upstreams.noteExtraInput(c.strayed)
 		raw, err := net.Dial("tcp", server)
 		if err != nil {
 			t.Fatal(err)
@@ -171,7 +171,7 @@
 		if got := n.upstreams.takeIdle(at); got != nil != c.taken {
 			t.Errorf("%s: taken %t", name, got != nil)
 		}
-		n.upstreams.strayCooldown = 0
+		n.upstreams.extraInputCooldown = 0
 		if got := n.upstreams.takeIdle(at); got != nil != (c.standing && !c.taken) {
 			t.Errorf("%s: taken %t once it has rested", name, got != nil)
 		}
--- a/internal/nodestate/state.go
+++ b/internal/nodestate/state.go
@@ -49,7 +49,7 @@
 	ListedAt  int64         `cbor:"8,keyasint"` // when the list had it so
 	Version   int64         `cbor:"9,keyasint"` // of that list
 
-	sinceStart bool // the list had it so after this start
+	listedSinceStart bool // the list had it so after this start
 }
 
 func (e *Endpoint) valid() bool {
@@ -77,10 +77,10 @@
 
 // State is the persisted state of one node.
 type State struct {
-	found     header // before this start
-	olderCopy bool   // other nodes know a later start of this node
+	beforeStart header // before this start
+	olderCopy   bool   // other nodes know a later start of this node
 
-	head         header
+	current      header
 	endpoints    map[string]*Endpoint // by name
 	estimates    savedEstimates
 	memberStarts map[string]uint64 // of other nodes by name, milliseconds of their clocks
@@ -97,7 +97,7 @@
 			s.unreadable++
 		}
 	})
-	s.head = s.found
+	s.current = s.beforeStart
 	return s
 }
 
@@ -105,13 +105,13 @@
 func (s *State) UnreadableValues() int { return s.unreadable }
 
 // Epoch is the number of this start of the node with this state, from 1; 0 before RecordStart.
-func (s *State) Epoch() uint64 { return s.head.Epoch }
+func (s *State) Epoch() uint64 { return s.current.Epoch }
 
 // LastClock is the latest time that was recorded before this start; 0: none.
-func (s *State) LastClock() int64 { return s.found.Clock }
+func (s *State) LastClock() int64 { return s.beforeStart.Clock }
 
 // Version is the highest version of the list before this start; 0: none.
-func (s *State) Version() int64 { return s.found.Version }
+func (s *State) Version() int64 { return s.beforeStart.Version }
 
 // EndpointCount is how many endpoints are kept, removed ones included.
 func (s *State) EndpointCount() int { return len(s.endpoints) }
@@ -122,12 +122,12 @@
 
 // RecordStart records a start of the node.
 func (s *State) RecordStart(now int64) {
-	s.head.Epoch = s.found.Epoch + 1
+	s.current.Epoch = s.beforeStart.Epoch + 1
 	s.recordTime(now)
 }
 
 func (s *State) recordTime(now int64) {
-	s.head.Clock = max(s.head.Clock, now)
+	s.current.Clock = max(s.current.Clock, now)
 	s.changed[keyHead] = true
 }
 
@@ -143,7 +143,7 @@
 	if complete {
 		s.recordRemovals(now, listed, version)
 	}
-	s.head.Version = max(s.head.Version, version)
+	s.current.Version = max(s.current.Version, version)
 	s.recordTime(now)
 }
 
@@ -157,7 +157,7 @@
 		return
 	}
 	entry.ListedAt, entry.Version = now, version
-	entry.sinceStart = true // not told by ListedAt, as the clock may have gone back
+	entry.listedSinceStart = true // not told by ListedAt, as the clock may have gone back
 	s.endpoints[entry.Name] = &entry
 	s.changed[endpointPrefix+entry.Name] = true
 }
@@ -165,7 +165,7 @@
 func (s *State) recordRemovals(now int64, listed map[string]bool, version int64) {
 	for name, endpoint := range s.endpoints {
 		if !listed[name] && endpoint.State != Removed {
-			endpoint.State, endpoint.ListedAt, endpoint.Version, endpoint.sinceStart = Removed, now, version, true
+			endpoint.State, endpoint.ListedAt, endpoint.Version, endpoint.listedSinceStart = Removed, now, version, true
 			s.changed[endpointPrefix+name] = true
 		}
 	}
@@ -213,7 +213,7 @@
 // MergeFound goes on with a store that was opened late and held some state: everything is written anew, the epochs go
 // on, and endpoints that only the store has are kept.
 func (s *State) MergeFound(found *State) {
-	s.head.Epoch = max(s.head.Epoch, found.head.Epoch+1)
+	s.current.Epoch = max(s.current.Epoch, found.current.Epoch+1)
 	for name, endpoint := range found.endpoints {
 		if s.endpoints[name] == nil && len(s.endpoints) < MaxEndpoints {
 			s.endpoints[name] = endpoint
@@ -266,7 +266,7 @@
 	}
 	switch key {
 	case keyHead:
-		return cbor.Unmarshal(value, &s.found)
+		return cbor.Unmarshal(value, &s.beforeStart)
 	case keyEstimates:
 		return cbor.Unmarshal(value, &s.estimates)
 	case keyMembers:
@@ -299,7 +299,7 @@
 	case isEndpoint:
 		record = s.endpoints[name]
 	case key == keyHead:
-		record = &s.head
+		record = &s.current
 	case key == keyMembers:
 		record = s.memberStarts
 	default:
--- a/internal/nodestate/state_test.go
+++ b/internal/nodestate/state_test.go
@@ -133,8 +133,8 @@
 	d := diskOfARun()
 	m.MergeFound(d.read())
 	d.write(m)
-	if again := d.read(); again.EndpointCount() != 4 || again.head.Epoch != 2 || len(again.Recover(now).Endpoints) != 3 {
-		t.Errorf("epoch %d, %+v", again.head.Epoch, again.Recover(now))
+	if again := d.read(); again.EndpointCount() != 4 || again.current.Epoch != 2 || len(again.Recover(now).Endpoints) != 3 {
+		t.Errorf("epoch %d, %+v", again.current.Epoch, again.Recover(now))
 	}
 }
 
--- a/internal/nodestate/trust.go
+++ b/internal/nodestate/trust.go
@@ -36,7 +36,7 @@
 // Recover returns what a start at a time may use.
 func (s *State) Recover(now int64) Recovered {
 	var r Recovered
-	clockBehind := s.found.Clock > now
+	clockBehind := s.beforeStart.Clock > now
 	if clockBehind {
 		r.NotTrusted = append(r.NotTrusted, "the clock is behind the memory: no age is known")
 	}
@@ -75,7 +75,7 @@
 // ReportLaterStart takes in a start of this node that others know, in milliseconds of its clock. It reports whether
 // that shows, for the first time, that the state is an older copy.
 func (s *State) ReportLaterStart(startMs uint64) bool {
-	if s.olderCopy || s.found.Clock == 0 || startMs <= uint64(s.found.Clock/1e6) {
+	if s.olderCopy || s.beforeStart.Clock == 0 || startMs <= uint64(s.beforeStart.Clock/1e6) {
 		return false
 	}
 	s.olderCopy = true
@@ -87,7 +87,7 @@
 
 // ApplyDrains returns entries of a list of discovery with the drains and removals that hold against it.
 func (s *State) ApplyDrains(entries []Endpoint, version int64) []Endpoint {
-	startedLater := func(entry Endpoint) bool { return entry.StartedNs > s.found.Clock }
+	startedLater := func(entry Endpoint) bool { return entry.StartedNs > s.beforeStart.Clock }
 	if s.olderCopy || slices.ContainsFunc(entries, startedLater) {
 		return entries
 	}
@@ -97,19 +97,19 @@
 // ApplyDrainsToGossiped is ApplyDrains for a list of another node. It is newer by its version alone: a start on it may
 // be that node's guess.
 func (s *State) ApplyDrainsToGossiped(entries []Endpoint, version int64) []Endpoint {
-	if version > s.found.Version || s.found.Clock == 0 {
+	if version > s.beforeStart.Version || s.beforeStart.Clock == 0 {
 		return entries
 	}
 	applied := slices.Clone(entries)
 	for i := range applied {
-		if known := s.endpoints[applied[i].Name]; known != nil && known.holdsAgainst(&applied[i]) {
+		if known := s.endpoints[applied[i].Name]; known != nil && known.overridesListed(&applied[i]) {
 			applied[i].State = known.State
 		}
 	}
 	return applied
 }
 
-// holdsAgainst reports whether a drain or removal from before this start holds against an entry of an older list.
-func (e *Endpoint) holdsAgainst(entry *Endpoint) bool {
-	return e.State != Active && entry.State == Active && entry.StartedNs <= e.StartedNs && !e.sinceStart
+// overridesListed reports whether a drain or removal from before this start holds against an entry of an older list.
+func (e *Endpoint) overridesListed(entry *Endpoint) bool {
+	return e.State != Active && entry.State == Active && entry.StartedNs <= e.StartedNs && !e.listedSinceStart
 }
