--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -1,14 +1,14 @@
 package distribution
 
-// What comes from outside, spoilt in any way: it must cost an error or a counter, never more.
+// Messages from outside, corrupted in any way, must cost an error or a counter, never more.
 
 import (
 	"fmt"
 	"testing"
 )
 
-// spoilable is a whole conversation: a hello, and the frames of a scope told anew, of changes and of a heartbeat.
-func spoilable(t testing.TB) (hello []byte, frames [][]byte) {
+// conversation returns a hello, and the frames of a snapshot, of changes and of a heartbeat.
+func conversation(t testing.TB) (hello []byte, frames [][]byte) {
 	o := NewOrigin(7, Limits{})
 	s := newLeaf(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
 	for i := range 5 {
@@ -37,16 +37,23 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	_, frames := spoilable(f)
+	_, frames := conversation(f)
 	for _, b := range frames {
 		f.Add(b)
 	}
 	f.Add([]byte{})
 	f.Add([]byte{0xa0})
-	f.Add(encode(map[int]any{1: 1, 2: 1, 3: 9, 4: []int{0, 1}, 5: []any{[]any{"a/x", []any{[]any{"k", 0x21, 5, nil}}}}, 6: []int{1}, 7: 9, 8: true, 9: []int{0}, 11: "later"}))
-	f.Add(encode(map[int]any{1: 1, 2: 1, 3: 9, 5: []any{[]any{"a/x", []any{[]any{"k", 1, 5, "text"}, 3, []any{"l", 1, 6, []byte("x")}}}, 7}}))
+	f.Add(encode(map[int]any{
+		1: 1, 2: 1, 3: 9, 4: []int{0, 1},
+		5: []any{[]any{"a/x", []any{[]any{"k", 0x21, 5, nil}}}}, 6: []int{1}, 7: 9, 8: true, 9: []int{0}, 11: "later",
+	}))
+	f.Add(encode(map[int]any{1: 1, 2: 1, 3: 9, 5: []any{[]any{
+		"a/x",
+		[]any{[]any{"k", 1, 5, "text"}, 3, []any{"l", 1, 6, []byte("x")}},
+	}, 7}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		relay := newInner(t, Limits{Records: 64, Bytes: 64 << 10}, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
+		relay := newInner(t, Limits{Records: 64, Bytes: 64 << 10}, Selector{Scope: "a/x"},
+			Selector{Scope: "b/", Prefix: true})
 		leaf := newLeaf(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
 		down := newLeaf(t, Selector{Scope: "a/x"})
 		down.Hello()
@@ -67,7 +74,9 @@
 		}
 		sum := 0
 		leaf.Each(func(r Record) {
-			if sum++; validateRecord(r.Scope, r.Key, r.Class, r.Body) != nil || r.Scope != "a/x" && r.Scope[:2] != "b/" {
+			sum++
+			foreign := r.Scope != "a/x" && r.Scope[:2] != "b/"
+			if foreign || validateRecord(r.Scope, r.Key, r.Class, r.Body) != nil {
 				t.Fatalf("holds %+v", r)
 			}
 		})
@@ -92,7 +101,7 @@
 }
 
 func FuzzHello(f *testing.F) {
-	hello, _ := spoilable(f)
+	hello, _ := conversation(f)
 	f.Add(hello)
 	f.Add([]byte{0xa0})
 	f.Add(encode(helloAt(Position{9, 3})))
@@ -115,7 +124,7 @@
 				if f == nil {
 					break
 				}
-				if _, err := decodeFrame(f, func(string) { t.Fatal("spoilt") }); err != nil || n > 100 {
+				if _, err := decodeFrame(f, func(string) { t.Fatal("an invalid record") }); err != nil || n > 100 {
 					t.Fatal(err, n)
 				}
 			}
@@ -128,7 +137,13 @@
 }
 
 func helloAt(at Position) hello {
-	return hello{Protocol: protocolVersion, Session: 3, EpochSeen: at.Epoch, Epoch: at.Epoch, Through: at.Through, Selectors: []helloSelector{
-		{Scope: "b/1", Flags: flagShared}, {Scope: "b/1", Epoch: 8, Through: 1}, {Scope: "b/1", Flags: flagPrefix | flagShared}, {Scope: "b/none", Epoch: 11},
-	}}
+	return hello{
+		Protocol: protocolVersion, Session: 3, EpochSeen: at.Epoch, Epoch: at.Epoch, Through: at.Through,
+		Selectors: []helloSelector{
+			{Scope: "b/1", Flags: flagShared},
+			{Scope: "b/1", Epoch: 8, Through: 1},
+			{Scope: "b/1", Flags: flagPrefix | flagShared},
+			{Scope: "b/none", Epoch: 11},
+		},
+	}
 }
--- a/internal/distribution/guards_test.go
+++ b/internal/distribution/guards_test.go
@@ -1,7 +1,6 @@
 package distribution
 
-// Each guard by itself, by frames that no relay of ours would send, or seldom: what the drawn networks reach only now
-// and then, or never since another guard stands before it.
+// Each guard alone, by frames that relays send seldom or never: what the random networks of model_test.go hardly reach.
 
 import (
 	"errors"
@@ -49,7 +48,7 @@
 
 var first = []uint32{0}
 
-func TestRepeatedFrameIsPassedOver(t *testing.T) {
+func TestRepeatedFrameIsIgnored(t *testing.T) {
 	s := newLeaf(t, Selector{Scope: "s"})
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", 1, 5))})
@@ -60,7 +59,7 @@
 	expect(t, "old frames", s.Stats().StaleFrames, int64(1))
 }
 
-func TestLowerEpochIsPassedOver(t *testing.T) {
+func TestLowerEpochIsIgnored(t *testing.T) {
 	s := newLeaf(t, Selector{Scope: "s"})
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 2, Groups: in("s", rec("k", 1, 5))})
@@ -71,21 +70,22 @@
 	expect(t, "complete", s.Complete(), false)
 }
 
-func TestOlderRecordsAreDead(t *testing.T) {
+func TestOlderRecordsStayDeleted(t *testing.T) {
 	s := newLeaf(t, Selector{Scope: "s"})
 	e := newSession(t, s)
-	// Before the scope is whole a tombstone keeps the older state out, and goes when the position has passed it.
+	// Before the scope is complete a tombstone keeps the older state out, and is dropped once the position has passed
+	// it.
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", flagDeleted, 9), rec("l", 1, 8))})
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", 1, 5), rec("l", 1, 7))})
 	expect(t, "records", list(s.Subscriber), "s l=8\n")
 	expect(t, "tombstones", s.Stats().Tombstones, 1)
 	e.send(0, frame{Epoch: 1, End: first, Through: 10})
 	expect(t, "tombstones", s.Stats().Tombstones, 0)
-	// Once it is whole, what is not held and not newer is dead by the position alone.
+	// Once it is complete, what is not held and not newer is deleted by the position alone.
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("k", 1, 5), rec("m", 1, 10))})
 	expect(t, "records", list(s.Subscriber), "s l=8\n")
 	expect(t, "stale", s.Stats().Stale, int64(4))
-	// Gone, back and gone within one frame leaves one tombstone to bury.
+	// Deleted, back and deleted within one frame leaves one tombstone to drop.
 	e.send(0, frame{Epoch: 1, Groups: in("s", rec("n", flagDeleted, 11), rec("n", 1, 12), rec("n", flagDeleted, 13))})
 	e.send(0, frame{Epoch: 1, Through: 13, All: true})
 	expect(t, "records", list(s.Subscriber), "s l=8\n")
@@ -100,12 +100,15 @@
 	expect(t, "records", list(s.Subscriber), "s k=20\n")
 }
 
-func TestSessionEndsWhatItBegan(t *testing.T) {
+func TestHelloVoidsSnapshots(t *testing.T) {
 	s := newLeaf(t, Selector{Scope: "s"})
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", 1, 5))})
 	s.Hello()
-	if _, err := s.Receive(0, encode(frame{Session: s.replica.session, Number: 1, Epoch: 1, End: first, Through: 10})); !errors.Is(err, ErrBadFrame) {
+	if _, err := s.Receive(0, encode(frame{
+		Session: s.replica.session, Number: 1, Epoch: 1, End: first,
+		Through: 10,
+	})); !errors.Is(err, ErrBadFrame) {
 		t.Fatal(err)
 	}
 	expect(t, "records", list(s.Subscriber), "s k=5\n")
@@ -123,8 +126,8 @@
 	}
 	e := newSession(t, s)
 	e.send(0, frame{Epoch: 1, Through: 20, All: true})
-	at("progress before anything was whole", 0, 0, 0)
-	expect(t, "whole", s.Stats().Complete, false)
+	at("progress before anything was complete", 0, 0, 0)
+	expect(t, "complete", s.Stats().Complete, false)
 	e.send(0, frame{Epoch: 1, Begin: []uint32{0, 1}, End: []uint32{0, 1}, Through: 30})
 	at("ends", 1030, 1030, 0)
 	e.send(0, frame{Epoch: 1, Through: 25, All: true})
@@ -136,14 +139,17 @@
 	e.send(0, frame{Epoch: 1, Through: 35, All: true})
 	at("progress that falls back", 1041, 1041, 0)
 	e.send(0, frame{Epoch: 1, Begin: first, Through: 50, All: true})
-	at("progress while one is told anew", 1041, 1050, 0)
+	at("progress during a snapshot", 1041, 1050, 0)
 	e.send(0, frame{Epoch: 1, End: first, Through: 33})
 	at("an end that falls back", 1041, 1050, 0)
 	e.send(0, frame{Epoch: 1, Through: 60, All: true})
 	at("progress", 1060, 1060, 0)
 	e.send(0, frame{Epoch: 2, Through: 5, All: true})
 	at("progress of a new epoch alone", 1060, 1060, 0)
-	e.send(0, frame{Epoch: 2, Begin: []uint32{0, 1, 2}, End: []uint32{0, 2}, Through: 6, All: true, Except: []uint32{1}})
+	e.send(0, frame{
+		Epoch: 2, Begin: []uint32{0, 1, 2}, End: []uint32{0, 2}, Through: 6, All: true,
+		Except: []uint32{1},
+	})
 	at("ends of a new epoch", 2006, 1060, 2006)
 	expect(t, "complete", s.Complete(), true)
 }
@@ -170,26 +176,33 @@
 	age(12*second, second)
 }
 
-func TestRecordsThatAreNone(t *testing.T) {
+func TestInvalidRecordFields(t *testing.T) {
 	s := newLeaf(t, Selector{Prefix: true})
 	long := strings.Repeat("n", MaxNameBytes+1)
 	e := newSession(t, s)
 	for i, g := range [][]recordGroup{
-		in("s", rec("k", 0x41, 1)), in("s", rec("k", 0x03, 1)), in("s", rec("k", 1, 0)), in("s", rec("", 1, 1)), in("s", rec(long, 1, 1)),
-		in("", rec("k", 1, 1)), in(long, rec("k", 1, 1)), in("s", record{Key: "k", Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes+1)}),
+		in("s", rec("k", 0x41, 1)),
+		in("s", rec("k", 0x03, 1)),
+		in("s", rec("k", 1, 0)),
+		in("s", rec("", 1, 1)),
+		in("s", rec(long, 1, 1)),
+		in("", rec("k", 1, 1)),
+		in(long, rec("k", 1, 1)),
+		in("s", record{Key: "k", Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes+1)}),
 	} {
 		e.send(0, frame{Epoch: 1, Groups: g})
-		expect(t, fmt.Sprint("spoilt ", i), s.Stats().InvalidRecords, int64(i+1))
+		expect(t, fmt.Sprint("invalid ", i), s.Stats().InvalidRecords, int64(i+1))
 		expect(t, fmt.Sprint("records ", i), s.replica.items.Len(), 0)
 	}
 }
 
-func TestTooLongThoughSound(t *testing.T) {
+func TestOversizedMessages(t *testing.T) {
 	s := newLeaf(t, Selector{Scope: "s"})
 	s.Hello()
 	f := frame{Session: 1, Number: 1, Epoch: 1, Groups: in("s")}
 	for i := range 5 {
-		f.Groups[0].Records = append(f.Groups[0].Records, record{Key: fmt.Sprint(i), Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes)})
+		f.Groups[0].Records = append(f.Groups[0].Records,
+			record{Key: fmt.Sprint(i), Flags: 1, Version: 1, Body: make([]byte, MaxBodyBytes)})
 	}
 	if _, err := s.Receive(0, encode(f)); !errors.Is(err, ErrBadFrame) || s.replica.items.Len() > 0 {
 		t.Fatal(err)
@@ -203,13 +216,13 @@
 	}
 }
 
-// A relay claims what it knows, once it does.
-func TestWhenARelayIsWhole(t *testing.T) {
+// A relay claims a position once it is complete.
+func TestWhenRelayIsComplete(t *testing.T) {
 	r := newInner(t, Limits{}, Selector{Scope: "s"}, Selector{Scope: "t"})
 	down := newLeaf(t, Selector{Scope: "s"})
 	l := attach(t, 0, r.Relay, down, 0)
 	now := int64(0)
-	whole := func(what string, want bool) {
+	expectComplete := func(what string, want bool) {
 		t.Helper()
 		expect(t, what, r.Complete(), want)
 		now += second
@@ -223,27 +236,27 @@
 		}
 	}
 	e := newSession(t, r)
-	whole("nothing heard", false)
+	expectComplete("nothing received", false)
 	e.send(0, frame{Epoch: 1, Begin: []uint32{0, 1}, Groups: in("s", rec("k", 1, 5))})
-	whole("begun", false)
+	expectComplete("begun", false)
 	e.send(0, frame{Epoch: 1, End: []uint32{0}, Through: 100})
-	whole("one of two has ended", false)
+	expectComplete("one of two has ended", false)
 	e.send(0, frame{Epoch: 1, End: []uint32{1}, Through: 150})
-	whole("the first is known up to less than the second", false)
+	expectComplete("the first is known up to less than the second", false)
 	e.send(0, frame{Epoch: 1, Through: 150, All: true})
-	whole("all is known", true)
+	expectComplete("all is known", true)
 	expect(t, "through", r.Stats().Through, uint64(150))
 	e.send(0, frame{Epoch: 1, Begin: []uint32{0}})
-	whole("told anew", false)
+	expectComplete("a snapshot has begun", false)
 	e.send(0, frame{Epoch: 1, End: []uint32{0}, Groups: in("s", rec("k", 1|flagKeyOnly, 5)), Through: 150})
-	whole("told anew to its end", true)
+	expectComplete("the snapshot has ended", true)
 	e.send(0, frame{Epoch: 2, Groups: in("s", rec("k", 1, 1))})
-	whole("a new epoch", false)
+	expectComplete("a new epoch", false)
 	e.send(0, frame{Epoch: 2, Through: 200, All: true})
-	whole("progress of a new epoch alone", false)
+	expectComplete("progress of a new epoch alone", false)
 	expect(t, "epoch of what is served", down.Position("s").Epoch, uint64(1))
 
-	// To who knows of a higher epoch it claims nothing, whole as it is.
+	// To a subscriber that has seen a higher epoch it claims nothing, complete as it is.
 	old := NewOrigin(1, Limits{})
 	s := newLeaf(t, Selector{Scope: "s"})
 	newSession(t, s).send(0, frame{Epoch: 2, Groups: in("s", rec("k", 1, 5))})
@@ -258,17 +271,18 @@
 	}
 }
 
-// Tombstones of what a relay can't claim to know stay over their bound: the older state may come yet.
-func TestTombstonesThatMustStay(t *testing.T) {
+// Tombstones that are newer than the claim stay beyond the limit: the older state may still come.
+func TestTombstonesBeyondClaimStay(t *testing.T) {
 	r := newInner(t, Limits{Tombstones: 1}, Selector{Scope: "s"})
 	e := newSession(t, r)
-	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", flagDeleted, 9), rec("b", flagDeleted, 10), rec("c", flagDeleted, 11))})
+	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", flagDeleted, 9), rec("b", flagDeleted, 10),
+		rec("c", flagDeleted, 11))})
 	expect(t, "tombstones", r.Stats().Tombstones, 3)
 	e = newSession(t, r)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("a", 1, 4))})
 	expect(t, "records", r.Stats().Records, 0)
 	e.send(0, frame{Epoch: 1, End: first, Through: 20})
-	expect(t, "tombstones once it is whole", r.Stats().Tombstones, 1)
+	expect(t, "tombstones once it is complete", r.Stats().Tombstones, 1)
 	expect(t, "floor", r.Stats().Floor, uint64(20))
 	o := NewOrigin(1, Limits{})
 	for i := range 5000 {
@@ -280,21 +294,24 @@
 	}
 }
 
-// Records that came to a relay out of the order of versions reach who resumes, and those that it has do not come again.
-func TestResumedAtARelayOutOfOrder(t *testing.T) {
+// Records that reached a relay out of the order of versions are sent at a resumption, and those held are not.
+func TestResumeAtRelayOutOfOrder(t *testing.T) {
 	r := newInner(t, Limits{}, Selector{Scope: "s"})
 	e := newSession(t, r)
 	e.send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("k", 1, 9), rec("l", 1, 5))})
 	s := newLeaf(t, Selector{Scope: "s"})
-	newSession(t, s).send(0, frame{Epoch: 1, Begin: first, Groups: in("s", rec("l", 1, 5)), End: first, Through: 7, All: true})
+	newSession(t, s).send(0, frame{
+		Epoch: 1, Begin: first, Groups: in("s", rec("l", 1, 5)), End: first, Through: 7,
+		All: true,
+	})
 	attach(t, 0, r.Relay, s, 0).drain(t, 0, s)
 	expect(t, "records", list(s.Subscriber), "s k=9\ns l=5\n")
 	expect(t, "sent", r.Stats().SentRecords, int64(1))
 }
 
-// A subscriber goes on at a relay that is behind it; that is told anew, begin and end in one frame, and what has come
-// and gone in between it never knew.
-func TestBehindAndToldAnew(t *testing.T) {
+// A subscriber resumes at a relay that is behind it. Then the relay gets a snapshot, begin and end in one frame: what
+// came and went in between it has never known.
+func TestRelayBehindGetsSnapshot(t *testing.T) {
 	o := NewOrigin(1, Limits{Tombstones: 1})
 	behind := newInner(t, Limits{}, Selector{Prefix: true})
 	attach(t, 0, o.Relay(), behind, 0).drain(t, 0, behind)
--- a/internal/distribution/size_test.go
+++ b/internal/distribution/size_test.go
@@ -1,7 +1,7 @@
 package distribution
 
-// What things cost: bytes on the wire, memory a record and a selector, time of a change. Figures are told by
-// benchmarks; what must hold at any size is a test.
+// Costs: bytes on the wire, memory of a record and a selector, time of a change. Benchmarks report figures; tests
+// check what must hold at any size.
 
 import (
 	"fmt"
@@ -48,23 +48,26 @@
 	put(t, o, "eu1/service-0000", "endpoint/h000000", ClassWithdrawal, string(bodyOf(0)))
 	change := l.drain(t, 0, s)
 	beat := l.drain(t, 2*second, s)
-	t.Logf("one change %d bytes, of them %d its content; a heartbeat %d", len(change[0]), 16+16+len(bodyOf(0)), len(beat[0]))
+	t.Logf("one change %d bytes, of them %d its content; a heartbeat %d", len(change[0]), 16+16+len(bodyOf(0)),
+		len(beat[0]))
 	if len(change[0]) > 32+len(bodyOf(0))+48 || len(beat[0]) > 32 {
 		t.Error("a change or a heartbeat is too long")
 	}
 }
 
-// region is a relay's part: so many subscribers, each with some scopes of all.
+// region is a relay with subscribers, each of some of the scopes.
 func region(t testing.TB, records, scopes, subscribers, each int) (*Origin, []link, []*leaf) {
 	o := NewOrigin(1, Limits{})
 	for i := range records {
-		put(t, o, fmt.Sprintf("eu1/service-%05d", i%scopes), fmt.Sprintf("endpoint/h%06d", i), ClassEndpoint, string(bodyOf(i)))
+		put(t, o, fmt.Sprintf("eu1/service-%05d", i%scopes), fmt.Sprintf("endpoint/h%06d", i), ClassEndpoint,
+			string(bodyOf(i)))
 	}
 	links, leaves := make([]link, subscribers), make([]*leaf, subscribers)
 	for i := range subscribers {
 		var selectors []Selector
 		for k := range each {
-			selectors = append(selectors, Selector{Scope: fmt.Sprintf("eu1/service-%05d", (i*37+k*(scopes/each))%scopes)})
+			selectors = append(selectors, Selector{Scope: fmt.Sprintf("eu1/service-%05d",
+				(i*37+k*(scopes/each))%scopes)})
 		}
 		leaves[i] = newLeaf(t, selectors...)
 		links[i] = attach(t, 0, o.Relay(), leaves[i], 0)
@@ -80,7 +83,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// A change wakes the subscribers of its scope alone, and is sent without a look at anything else.
+// A change makes the subscribers of its scope ready, and no others.
 func TestChangeTouchesItsSubscribersAlone(t *testing.T) {
 	o, links, leaves := region(t, 4000, 1000, 50, 20)
 	for i, l := range links {
@@ -180,7 +183,7 @@
 	}
 }
 
-// A change at a relay with 530 subscribers of 500 scopes each: told to it and sent to all that subscribe.
+// A change at a relay with 530 subscribers of 500 scopes each: received, and sent to all that subscribe.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{1200, 12000, 120000} {
 		b.Run(fmt.Sprint("records-", size), func(b *testing.B) {
@@ -194,7 +197,8 @@
 			b.ResetTimer()
 			for i := range b.N {
 				k := i * 7919 % size
-				put(b, o, fmt.Sprintf("eu1/service-%05d", k%(size*5/12)), fmt.Sprintf("endpoint/h%06d", k), ClassEndpoint, fmt.Sprint("changed", i))
+				put(b, o, fmt.Sprintf("eu1/service-%05d", k%(size*5/12)), fmt.Sprintf("endpoint/h%06d", k),
+					ClassEndpoint, fmt.Sprint("changed", i))
 				for _, id := range o.Relay().Ready() {
 					o.Relay().Next(0, id)
 				}
@@ -215,7 +219,7 @@
 	runtime.KeepAlive(o)
 }
 
-// A subscriber of 500 scopes and 1,200 records comes: its hello, and what it is told from nothing, at both ends.
+// A subscriber of 500 scopes and 1,200 records attaches: its hello and its first snapshot, at both ends.
 func BenchmarkStart(b *testing.B) {
 	for _, kind := range []string{"from-nothing", "resumed"} {
 		b.Run(kind, func(b *testing.B) {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -32,14 +32,14 @@
 // view of other nodes, never a request. It is nil where the settings don't allow messages between nodes, or the
 // features file names no members; its methods may then be called, unless they say otherwise.
 type memberAgent struct {
-	node     *Node
-	config   *features.Members
-	core     *members.Members // of run's goroutine alone
-	socket   *net.UDPConn
-	received chan []byte
-	queries  chan func()
-	done     chan struct{}
-	ended    sync.Once
+	node       *Node
+	config     *features.Members
+	membership *members.Members // of run's goroutine alone
+	socket     *net.UDPConn
+	received   chan []byte
+	queries    chan func()
+	done       chan struct{}
+	ended      sync.Once
 }
 
 // newMemberAgent binds the socket. The features file alone turns nothing on: the platform's settings must allow
@@ -53,7 +53,7 @@
 		n.log.Warn("members are off, as limits.peer_messages is not true in the settings")
 		return nil, nil
 	}
-	socket, err := datagram.Listen(enabled.Members.Bind.String())
+	socket, err := datagram.Listen(enabled.Members.ListenAddress.String())
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 
 // Send sends a datagram to a node; it may be lost. It makes the agent the membership's transport.
 func (a *memberAgent) Send(to int, datagram []byte) {
-	_, _ = a.socket.WriteToUDPAddrPort(datagram, a.config.At[to]) // an error is a loss
+	_, _ = a.socket.WriteToUDPAddrPort(datagram, a.config.Addresses[to]) // an error is a loss
 }
 
 // run runs the membership until the process ends or a successor has taken over; not to be called on a nil agent.
@@ -119,21 +119,21 @@
 	if a.node.listGossip != nil {
 		config.ReceivePayload = a.node.listGossip.receive
 	}
-	if a.core, err = members.New(config, a, a.node.clock.nanos()); err != nil {
+	if a.membership, err = members.New(config, a, a.node.clock.nanos()); err != nil {
 		return err
 	}
-	a.node.listGossip.begin(config.Seed, a.core)
+	a.node.listGossip.begin(config.Seed, a.membership)
 	return nil
 }
 
 func (a *memberAgent) tick() {
-	a.core.Tick(a.node.clock.nanos())
+	a.membership.Tick(a.node.clock.nanos())
 	a.node.listGossip.tick()
 }
 
 func (a *memberAgent) handle(datagram []byte) {
-	a.core.Receive(a.node.clock.nanos(), datagram)
-	a.node.persistence.laterStartReported(a.core.LatestKnownStartMs())
+	a.membership.Receive(a.node.clock.nanos(), datagram)
+	a.node.persistence.laterStartReported(a.membership.LatestKnownStartMs())
 }
 
 // step keeps a panic in the membership from ending the process.
@@ -174,7 +174,7 @@
 	answered := make(chan struct{})
 	query := func() {
 		defer close(answered)
-		what(a.core, a.node.clock.nanos())
+		what(a.membership, a.node.clock.nanos())
 	}
 	select {
 	case a.queries <- query:
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -23,7 +23,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// standIn is a discovery: it answers each watch with the whole list, then with what changes.
+// standIn replaces discovery: it answers each watch with the complete list, then with changes.
 type standIn struct {
 	at      string
 	mu      sync.Mutex
@@ -34,7 +34,8 @@
 }
 
 func hostEntry(host, site, health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":%q,"block":1,"health":%q,"share":1,"born_ms":5}`, host, site, health)
+	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":%q,"block":1,"health":%q,"share":1,"born_ms":5}`, host,
+		site, health)
 }
 
 func newStandIn(t *testing.T) *standIn {
@@ -98,7 +99,7 @@
 	}
 }
 
-// set changes a host; health "removed" takes it off, as the protocol has it.
+// set changes a host; health "removed" removes it, as in the protocol.
 func (d *standIn) set(host, site, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,7 +117,7 @@
 	}
 }
 
-// cut ends all watches; silent: from now on it takes calls and says nothing.
+// cut ends all watches; silent: from now on it accepts requests and sends nothing.
 func (d *standIn) cut(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -178,10 +179,11 @@
 
 func relayText(name, listen string, scopes []string, upstream ...string) string {
 	list := func(all []string) string { text, _ := json.Marshal(append([]string{}, all...)); return string(text) }
-	return fmt.Sprintf("name = %q\nrole = \"relay\"\nlisten = %q\nupstream = %s\nscopes = %s\n", name, listen, list(upstream), list(scopes))
+	return fmt.Sprintf("name = %q\nrole = \"relay\"\nlisten = %q\nupstream = %s\nscopes = %s\n", name, listen,
+		list(upstream), list(scopes))
 }
 
-// held is what a subscriber holds, and every change that it was told.
+// held is what a subscriber holds, and every change that it received.
 type held struct {
 	*SubscriberSink
 	client  *Client
@@ -258,7 +260,7 @@
 	}
 }
 
-func TestFromDiscoveryThroughTwoLevelsToANode(t *testing.T) {
+func TestDiscoveryToNodeThroughTwoRelays(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h1", "a", "up")
 	d.set("h2", "b", "up")
@@ -279,15 +281,16 @@
 	h.wait(t, "after a move", "eu1/cart endpoint/h1", "eu1/cart route/y")
 	h.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
-			if r.Key == "endpoint/h1" && (r.Class != distribution.ClassWithdrawal || !strings.Contains(string(r.Body), `"health":"draining"`)) {
+			if r.Key == "endpoint/h1" && (r.Class != distribution.ClassWithdrawal ||
+				!strings.Contains(string(r.Body), `"health":"draining"`)) {
 				t.Errorf("a draining host came as %+v %s", r, r.Body)
 			}
 		})
 	})
 }
 
-// While discovery is away nothing is withdrawn, and an origin that starts without a list takes nothing from anybody.
-func TestDiscoveryAwayTakesNothingAway(t *testing.T) {
+// While discovery is away nothing is removed, also not by an origin that starts without a list.
+func TestDiscoveryOutageRemovesNothing(t *testing.T) {
 	d := newStandIn(t)
 	d.set("h1", "a", "up")
 	dir := t.TempDir()
@@ -302,7 +305,8 @@
 	soon(t, "a second call", 5*time.Second, func() bool { return o.watch.calls.Load() >= 2 })
 	o.end(t)
 	again := start(t, strings.Replace(text, "127.0.0.1:0", at, 1))
-	soon(t, "the relay at the origin's second life", 10*time.Second, func() bool { return again.server.Stats().Subscribers == 1 })
+	soon(t, "the relay at the origin's second life", 10*time.Second,
+		func() bool { return again.server.Stats().Subscribers == 1 })
 	put(t, dir, "s.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`) // what it does know comes through
 	soon(t, "a record of the second life", 10*time.Second, func() bool {
 		keys, _ := h.keys()
@@ -320,8 +324,8 @@
 	h.wait(t, "with discovery back", "eu1/cart endpoint/h2", "eu1/cart route/x", "eu1/cart route/y")
 }
 
-// A relay that starts anew with nothing brings no removals, and nothing twice, while its upstream is away.
-func TestARelayStartedAnewTakesNothingAway(t *testing.T) {
+// A relay that restarts empty while its upstream is away sends no removals, and nothing twice.
+func TestRestartedRelayRemovesNothing(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	for i := range 50 {
 		d.set(fmt.Sprintf("h%02d", i), "a", "up")
@@ -342,30 +346,34 @@
 	}
 	d.set("h00", "a", "removed")
 	start(t, originText(originAt, d.at, dir))
-	soon(t, "what is left", 15*time.Second, func() bool { keys, _ := h.keys(); return len(keys) == 49 })
+	// The subscriber's keys change a moment before the change is recorded, so both are awaited.
+	soon(t, "what is left", 15*time.Second, func() bool {
+		keys, _ := h.keys()
+		return len(keys) == 49 && h.gone() >= 1
+	})
 	if h.gone() != 1 {
 		t.Errorf("%d records gone, expected 1", h.gone())
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.changes) != 51 {
-		t.Errorf("%d changes told, expected 51: fifty that came, one that went", len(h.changes))
+		t.Errorf("%d changes, expected 51: fifty put, one removed", len(h.changes))
 	}
 }
 
-// Two relays: one dies, one is frozen, and the node goes on with what the origin has.
+// Of two relays one fails and one is stopped, and the node still gets the origin's changes.
 func TestTwoRelays(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h0", "a", "up")
 	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	a := start(t, relayText("a", "127.0.0.1:0", nil, o.Address()))
 	b := start(t, relayText("b", "127.0.0.1:0", nil, o.Address()))
-	soon(t, "both relays whole", 10*time.Second, func() bool {
-		whole := true
+	soon(t, "both relays fresh", 10*time.Second, func() bool {
+		fresh := true
 		for _, r := range []*running{a, b} {
-			r.server.Do(func(now int64) { whole = whole && r.isFresh(now) })
+			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) })
 		}
-		return whole
+		return fresh
 	})
 	way, freeze := freezing(t, b.Address())
 	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), way, b.Address()}})
@@ -375,28 +383,31 @@
 	d.set("h1", "a", "up")
 	h.wait(t, "by the second", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1")
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("told %v after the first one's death, expected a second at most", took)
+		t.Errorf("received %v after the first one was killed, expected a second at most", took)
 	}
 	freeze()
 	began = time.Now()
 	d.set("h2", "a", "up")
 	h.wait(t, "by the third way", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2")
 	if took := time.Since(began); took > 6*time.Second {
-		t.Errorf("told %v after the second one froze, expected 6 s at most", took)
+		t.Errorf("received %v after the second one was stopped, expected 6 s at most", took)
 	}
 	if h.gone() != 0 || len(h.changes) != 3 {
 		t.Errorf("%d changes, %d of them gone; expected 3 and none", len(h.changes), h.gone())
 	}
 }
 
-// A relay that has nothing, and gets nothing, is left for one that has.
-func TestARelayThatBringsNothingIsLeft(t *testing.T) {
+// A relay that is empty, and receives nothing, is left for another.
+func TestEmptyRelayIsLeft(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	d.set("h", "a", "up")
 	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	empty := start(t, relayText("empty", "127.0.0.1:0", nil, "127.0.0.1:1"))
 	other := start(t, relayText("other", "127.0.0.1:0", nil, "127.0.0.1:1"))
-	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{empty.Address(), other.Address()}, MaxLag: 500 * time.Millisecond, FailbackDelay: time.Hour})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{
+		Upstreams: []string{empty.Address(), other.Address()},
+		MaxLag:    500 * time.Millisecond, FailbackDelay: time.Hour,
+	})
 	soon(t, "the first relay left", 10*time.Second, func() bool { return h.client.Stats().Lagging >= 2 })
 	at := other.Address()
 	other.end(t)
@@ -404,8 +415,8 @@
 	h.wait(t, "what the other has", "eu1/cart endpoint/h")
 }
 
-// A relay that sends what there is, slowly, is not left, whether all is told or a burst of changes.
-func TestARelayThatSendsAtItsPaceIsNotLeft(t *testing.T) {
+// A relay that sends at its pace is not left, during a snapshot or a burst of changes.
+func TestPacedRelayIsNotLeft(t *testing.T) {
 	const hosts = 150
 	d, dir := newStandIn(t), t.TempDir()
 	set := func(health string) {
@@ -417,15 +428,21 @@
 	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	one := start(t, relayText("one", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
 	two := start(t, relayText("two", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
-	soon(t, "both relays whole", 10*time.Second, func() bool {
-		whole := true
+	soon(t, "both relays fresh", 10*time.Second, func() bool {
+		fresh := true
 		for _, r := range []*running{one, two} {
-			r.server.Do(func(now int64) { whole = whole && r.isFresh(now) && r.relay.Stats().Records > hosts })
+			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) && r.relay.Stats().Records > hosts })
 		}
-		return whole
+		return fresh
+	})
+	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{
+		Upstreams: []string{one.Address(), two.Address()},
+		MaxLag:    500 * time.Millisecond,
+	})
+	soon(t, "all of it", 20*time.Second, func() bool {
+		keys, complete := h.keys()
+		return complete && len(keys) == hosts
 	})
-	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{one.Address(), two.Address()}, MaxLag: 500 * time.Millisecond})
-	soon(t, "all of it", 20*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == hosts })
 	set("draining")
 	soon(t, "the burst", 20*time.Second, func() bool {
 		drains := 0
@@ -443,7 +460,7 @@
 	}
 }
 
-func TestTheEndIsOrderly(t *testing.T) {
+func TestProcessShutdown(t *testing.T) {
 	d, dir := newStandIn(t), t.TempDir()
 	o := start(t, originText("127.0.0.1:0", d.at, dir))
 	subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{o.Address()}})
@@ -470,16 +487,17 @@
 		t.Fatal(err)
 	}
 	if _, err := nextEpoch(path, 4000); err == nil || !strings.Contains(err.Error(), "expected a number") {
-		t.Errorf("a spoilt file: %v", err)
+		t.Errorf("an invalid file: %v", err)
 	}
 	if _, err := nextEpoch(filepath.Join(path, "none"), 1); err == nil {
 		t.Error("a file that can't be written gave an epoch")
 	}
 }
 
-// An origin whose clock went back, without a file that keeps the epoch, is not believed; one with it is.
-func TestAnOriginWhoseClockWentBack(t *testing.T) {
-	newer, older := distribution.NewOrigin(2000, distribution.Limits{}), distribution.NewOrigin(1000, distribution.Limits{})
+// An origin whose clock was set back is ignored without a file that stores the epoch.
+func TestOriginWithClockSetBack(t *testing.T) {
+	newer := distribution.NewOrigin(2000, distribution.Limits{})
+	older := distribution.NewOrigin(1000, distribution.Limits{})
 	for body, origin := range map[string]*distribution.Origin{"new": newer, "old": older} {
 		if _, err := origin.Put(0, "eu1/cart", "route/x", distribution.ClassConfiguration, []byte(body)); err != nil {
 			t.Fatal(err)
@@ -518,11 +536,11 @@
 	})
 }
 
-func TestConfigurationFilesCountWholeOrNotAtAll(t *testing.T) {
+func TestConfigurationFilesAreAtomic(t *testing.T) {
 	dir := t.TempDir()
 	core, logs := observer.New(zapcore.WarnLevel)
 	d := newConfigDirectory(dir, zap.New(core))
-	look := func(what string, whole bool, expected ...string) {
+	look := func(what string, complete bool, expected ...string) {
 		t.Helper()
 		changes, is := d.scan()
 		found := []string{}
@@ -534,12 +552,13 @@
 			found = append(found, sign+c.Key+string(c.Body))
 		}
 		slices.Sort(found)
-		if is != whole || !slices.Equal(found, append([]string{}, expected...)) {
-			t.Errorf("%s: %v %q, expected %v %q", what, is, found, whole, expected)
+		if is != complete || !slices.Equal(found, append([]string{}, expected...)) {
+			t.Errorf("%s: %v %q, expected %v %q", what, is, found, complete, expected)
 		}
 	}
 	look("nothing there", true)
-	put(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b": 1}}`, "", `{"scope":"s","key":"route/2","body":2}`)
+	put(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b": 1}}`, "",
+		`{"scope":"s","key":"route/2","body":2}`)
 	put(t, dir, "b.txt", "not ours")
 	look("a file", true, `+route/1{"b":1}`, "+route/22")
 	look("the same", true)
@@ -548,7 +567,8 @@
 	for i, bad := range []string{
 		`{"scope":"s","key":"route/1"`, `[]`, `{"scope":"","key":"route/1","body":1}`, `{"scope":"s","key":"endpoint/1","body":1}`,
 		`{"scope":"s","key":"route/1","body":1,"extra":2}`, `{"scope":"s","key":"route/1","body":1} {}`, `{"scope":"s","key":"route/1"}`,
-		`{"scope":"s","key":"route","body":1}`, `{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBodyBytes) + `"}`,
+		`{"scope":"s","key":"route","body":1}`,
+		`{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBodyBytes) + `"}`,
 		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`, strings.Repeat("x", maxLineBytes+1),
 	} {
 		put(t, dir, "a.jsonl", bad)
@@ -558,7 +578,8 @@
 		if n := logs.Len() - before; n != 1 {
 			t.Errorf("bad %d: %d complaints, expected one", i, n)
 		}
-		if e := logs.All()[logs.Len()-1].ContextMap()["error"].(string); !strings.Contains(e, "a.jsonl: line ") || !strings.Contains(e, ": expected ") {
+		if e := logs.All()[logs.Len()-1].ContextMap()["error"].(string); !strings.Contains(e, "a.jsonl: line ") ||
+			!strings.Contains(e, ": expected ") {
 			t.Errorf("bad %d: complaint without file, line and what was expected: %s", i, e)
 		}
 	}
@@ -580,7 +601,7 @@
 	look("no directory", false)
 }
 
-func TestAllComplaintsAtOnce(t *testing.T) {
+func TestConfigReportsAllMistakes(t *testing.T) {
 	_, err := ParseConfig("r.toml", []byte("name = \"\"\nrole = \"relay\"\nlisten = \"here\"\nupstream = [\"x\", \"127.0.0.1:1\", \"127.0.0.1:1\"]\nscopes = [\"a*b\"]\npace = 5\nwhat = 1\n[limits]\nrecords = -1\n[origin]\n"))
 	if err == nil {
 		t.Fatal("no complaint")
@@ -617,7 +638,8 @@
 			t.Errorf("lacks %q in\n%v", part, err)
 		}
 	}
-	if _, err := ParseConfig("o.toml", []byte("name = [")); err == nil || !strings.Contains(err.Error(), "o.toml: line 1: expected TOML, found: ") {
+	if _, err := ParseConfig("o.toml", []byte("name = [")); err == nil ||
+		!strings.Contains(err.Error(), "o.toml: line 1: expected TOML, found: ") {
 		t.Errorf("no TOML: %v", err)
 	}
 }
@@ -625,7 +647,10 @@
 // A host's scope comes from its site and its name; one that has none is skipped, and nothing else is.
 func TestScopesOfHosts(t *testing.T) {
 	s := ScopeRule{ServiceFrom: "host", regionOf: map[string]string{"a": "eu1"}}
-	for in, expected := range map[[2]string]string{{"svc-12-h7", "a"}: "eu1/svc-12", {"h7", "a"}: "", {"svc-1", "z"}: "", {"-1", "a"}: ""} {
+	for in, expected := range map[[2]string]string{
+		{"svc-12-h7", "a"}: "eu1/svc-12", {"h7", "a"}: "",
+		{"svc-1", "z"}: "", {"-1", "a"}: "",
+	} {
 		if got := s.scopeOf(in[0], in[1]); got != expected {
 			t.Errorf("%q: %q, expected %q", in, got, expected)
 		}
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -15,7 +15,7 @@
 // never make the fleet look slow. docs/design.md: "Admission: predicted in time".
 
 const (
-	// learningRate is the part of a new value in an endpoint's running averages.
+	// learningRate is the part of a new value in an endpoint's exponentially weighted averages.
 	learningRate = 1.0 / 12
 	// fleetWindow and endpointWindow are the weights in answers at which the averages of the fleet, and those of a pod
 	// and of an endpoint, stay.
@@ -29,7 +29,8 @@
 	// highLatencyQuantile is the quantile of the latency for each unit of work by which an endpoint is overdue or
 	// silent.
 	highLatencyQuantile = 0.95
-	// initialHighLatency is what it is taken for, over one answer or over the work alone.
+	// initialHighLatency is that quantile until it is learned: over an endpoint's first answer, and for the fleet over
+	// the work alone.
 	initialHighLatency = 2
 	// maxHighLatencyFactor bounds the high quantile of an endpoint, over that of its healthy peers.
 	maxHighLatencyFactor = 2
@@ -39,7 +40,7 @@
 	zoneDelayQuantile = 0.1
 	// minWorkFraction is the part of the mean work that a request counts for at least.
 	minWorkFraction = 0.25
-	// maxSurprise bounds what an answer counts for in the averages of fleet and pod, over what these show.
+	// maxSurprise bounds what an answer counts for in the averages of fleet and pod, over the averages themselves.
 	maxSurprise = 3
 	// minOverdueTicks is how many ticks of the clock an answer is not overdue: this process itself may have been
 	// paused.
@@ -73,7 +74,8 @@
 	return time.Duration(e.ZoneDelay[ep.Zone] + perWork*work*crowding)
 }
 
-// expectedLatency is the latency for each unit of work, and the attempts in flight at which it was measured.
+// expectedLatency is the latency for each unit of work, and the attempts in flight at which it was measured. The mean
+// of each level is the prior of the next, so an endpoint without answers is expected to be as the fleet and its pod.
 func (e *estimator) expectedLatency(ep *endpoint) (perWork, inFlight float64) {
 	fleet, inFlight := e.Fleet.Means(1, 0)
 	pod, inFlight := ep.podLatency.Means(1, inFlight)
@@ -89,7 +91,7 @@
 // overdueAfter is how long an answer may take, by the high quantile of the endpoint or of its healthy peers.
 func (e *estimator) overdueAfter(ep *endpoint, work float64) time.Duration {
 	high := e.HighLatency
-	if ep.HasLatency && !ep.isAvoided(ep.silentSince) {
+	if ep.HasLatency && !ep.isAvoided(ep.lastActiveAt) {
 		high = min(maxHighLatencyFactor*high, ep.HighLatency)
 	}
 	_, inFlight := e.expectedLatency(ep)
@@ -112,7 +114,7 @@
 	return cmp.Or(work, e.MeanWork, 1) / cmp.Or(e.MeanWork, work, 1)
 }
 
-// worstSuccessRate is the success rate of the class that fares worst.
+// worstSuccessRate is the success rate of the class that does worst.
 func (e *estimator) worstSuccessRate() float64 {
 	worst := slices.MinFunc(e.classes, func(a, b estimates.ClassEstimates) int {
 		return cmp.Compare(a.SuccessRate, b.SuccessRate)
@@ -143,13 +145,13 @@
 
 // observeMeanWork learns from the work of a request that was answered.
 func (e *estimator) observeMeanWork(work float64) {
-	// Guards against other classes being compared with next to nothing.
+	// The first answer counts in full. Guards against other classes being compared with next to nothing.
 	e.MeanWork = cmp.Or(e.MeanWork, work)
 	e.MeanWork += (work - e.MeanWork) / meanWorkWindow
 }
 
-// withoutZoneDelay takes off a latency what answers of the zone take however little the work, and learns it. Guards
-// against requests with little work making another zone look slow.
+// withoutZoneDelay subtracts from a latency the delay of the endpoint's zone, and learns that delay. Guards against
+// requests with little work making another zone look slow.
 func (e *estimator) withoutZoneDelay(a *attempt, tookNanos float64) float64 {
 	zone := a.endpoint.Zone
 	beyondWork := tookNanos - a.work
