--- a/internal/lab/distsim/nodes.go
+++ b/internal/lab/distsim/nodes.go
@@ -1,6 +1,6 @@
 package distsim
 
-// This file owns the hollow nodes: the node's own subscriber and client, without clients or servers of requests behind them. Each
+// This file owns the hollow nodes: the node's own subscriber and client, without clients or endpoints of requests behind them. Each
 // notes what it was told and when; what is right is judged elsewhere. It must never look at the truth.
 
 import (
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -67,11 +67,11 @@
 	}
 	defer l.Close()
 	server := relay.NewServer(origin.Relay(), relay.ServerConfig{Clock: clock}, zap.NewNop())
-	go server.Serve(l)
+	go func() { _ = server.Serve(l) }()
 	defer func() {
 		end, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		server.Close(end)
+		_ = server.Close(end)
 	}()
 	say := json.NewEncoder(out)
 	if err := say.Encode(originLine{Address: l.Addr().String(), Through: through, Records: records}); err != nil {
--- a/internal/lab/distsim/processes.go
+++ b/internal/lab/distsim/processes.go
@@ -142,7 +142,7 @@
 	if err != nil {
 		return line, err
 	}
-	overdue := time.AfterFunc(answerWithin, func() { p.origin.Process.Kill() })
+	overdue := time.AfterFunc(answerWithin, func() { _ = p.origin.Process.Kill() })
 	defer overdue.Stop()
 	if _, err := p.orders.Write(append(text, '\n')); err != nil {
 		return line, err
@@ -206,14 +206,14 @@
 
 func (p *processes) kill(r *relayProcess) {
 	if r.proc != nil {
-		r.proc.Signal(syscall.SIGKILL)
+		_ = r.proc.Signal(syscall.SIGKILL)
 		<-r.proc.Done()
 		r.proc, r.held = nil, false
 	}
 }
 
-func (p *processes) freeze(r *relayProcess) { r.proc.Signal(syscall.SIGSTOP); r.held = true }
-func (p *processes) thaw(r *relayProcess)   { r.proc.Signal(syscall.SIGCONT); r.held = false }
+func (p *processes) freeze(r *relayProcess) { _ = r.proc.Signal(syscall.SIGSTOP); r.held = true }
+func (p *processes) thaw(r *relayProcess)   { _ = r.proc.Signal(syscall.SIGCONT); r.held = false }
 
 func (p *processes) running() (all []*relayProcess) {
 	for _, r := range append(append([]*relayProcess(nil), p.upper...), p.lower...) {
@@ -254,15 +254,15 @@
 	group.Wait()
 	if p.origin != nil {
 		p.orders.Close()
-		overdue := time.AfterFunc(2*time.Second, func() { p.origin.Process.Kill() })
-		p.origin.Wait()
+		overdue := time.AfterFunc(2*time.Second, func() { _ = p.origin.Process.Kill() })
+		_ = p.origin.Wait()
 		overdue.Stop()
 	}
 	for _, r := range append(append([]*relayProcess(nil), p.upper...), p.lower...) {
 		r.log.Close()
 	}
 	if p.dir != "" {
-		os.RemoveAll(p.dir)
+		_ = os.RemoveAll(p.dir)
 	}
 }
 
--- a/internal/lab/distsim/run.go
+++ b/internal/lab/distsim/run.go
@@ -34,7 +34,7 @@
 const (
 	mostRun  = 230 * time.Second
 	beat     = 20 * time.Millisecond  // changes go to the origin so often
-	restarts = time.Second            // a server is back so long after its drain began
+	restarts = time.Second            // an endpoint is back so long after its drain began
 	replaced = 3 * time.Second        // and another machine in a failed one's place
 	lookAt   = 250 * time.Millisecond // at the nodes, while an act settles
 	worstOf  = 10                     // seconds
@@ -380,13 +380,13 @@
 func load() (l float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err == nil {
-		fmt.Sscan(string(text), &l)
+		_, _ = fmt.Sscan(string(text), &l)
 	}
 	return l
 }
 
 func selfCPU() int64 {
 	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return u.Utime.Nano() + u.Stime.Nano()
 }
--- a/internal/lab/faultproxy/datagrams.go
+++ b/internal/lab/faultproxy/datagrams.go
@@ -81,7 +81,7 @@
 	for _, row := range m.sockets {
 		for _, s := range row {
 			if s != nil {
-				s.Close()
+				_ = s.Close()
 			}
 		}
 	}
@@ -147,10 +147,10 @@
 }
 
 func (m *Mesh) deliver(from, to int, datagram []byte) {
-	m.sockets[to][from].WriteToUDPAddrPort(datagram, m.targets[to])
+	_, _ = m.sockets[to][from].WriteToUDPAddrPort(datagram, m.targets[to])
 }
 
-// Throw has a message come to a node, as from another if that is one.
+// Inject has a message come to a node, as from another if that is one.
 func (m *Mesh) Inject(from, to int, datagram []byte) { m.deliver(from, to, datagram) }
 
 // Copied is the first message that went from one node to another; nil if none did.
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				return
 			}
-			go func() { io.Copy(c, c); c.Close() }()
+			go func() { _, _ = io.Copy(c, c); c.Close() }()
 		}
 	}()
 	return l.Addr().String()
@@ -86,7 +86,7 @@
 		if c, err = net.Dial("tcp", s.Address()); err != nil {
 			t.Fatal(err)
 		}
-		ask(c, 5*time.Second)
+		_ = ask(c, 5*time.Second)
 		f := fault(netfault.Cut)
 		f.OneWay = oneWay
 		set(b, s, cut, f)
@@ -132,7 +132,7 @@
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
 	go func() {
 		for rest := sent; len(rest) > 0; rest = rest[min(4096, len(rest)):] {
-			c.Write(rest[:min(4096, len(rest))])
+			_, _ = c.Write(rest[:min(4096, len(rest))])
 		}
 		c.(*net.TCPConn).CloseWrite()
 	}()
--- a/internal/lab/faultproxy/proxies.go
+++ b/internal/lab/faultproxy/proxies.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Board is what is wrong with the ways now, for all relays of a day.
+// Proxies holds the schedule of link faults for all proxies of a run.
 type Proxies struct {
 	now      func() int64
 	schedule atomic.Pointer[netfault.Schedule]
@@ -22,7 +22,7 @@
 
 const lookEvery = 5 * time.Millisecond
 
-// NewBoard makes a board on which nothing is wrong. now is nanoseconds of the day.
+// NewProxies begins without faults. now is the run's clock, in nanoseconds.
 func NewProxies(now func() int64) *Proxies {
 	b := &Proxies{now: now, done: make(chan struct{})}
 	b.schedule.Store(netfault.New(nil))
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -223,7 +223,7 @@
 	s.state = want
 	switch want {
 	case whole:
-		s.listen()
+		_ = s.listen()
 	case cut:
 		s.listener, s.queueFillers, _ = ListenFull(s.address)
 	case refusing:
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// Who is who on the ways: nodes from 0, then these.
+// Who is who on the links: nodes from 0, then these.
 const (
 	relayA   = 100 // of region a, where discovery and the origin are
 	relayB   = 101
@@ -118,7 +118,7 @@
 	for i, s := range r.endpoints {
 		s.Observe(func(a Arrival) {
 			var task int
-			if fmt.Sscanf(a.Request, "%x", &task); task == 0 {
+			if _, _ = fmt.Sscanf(a.Request, "%x", &task); task == 0 {
 				return
 			}
 			if !a.ClosedAt.IsZero() {
@@ -143,7 +143,7 @@
 	return r
 }
 
-const perNode = 1 << 20 // numbers of tasks
+const perNode = 1 << 20 // numbers of requests
 
 func (r *relayed) at(t time.Time) int64 { return int64(t.Sub(r.from)) }
 
@@ -165,11 +165,11 @@
 }
 
 func (r *relayed) finish(name string) {
-	r.procs[name].Signal(syscall.SIGKILL)
+	_ = r.procs[name].Signal(syscall.SIGKILL)
 	<-r.procs[name].Done()
 }
 
-// set has discovery list a server otherwise. Who has a way to be told counts as told six seconds later.
+// set has discovery list an endpoint otherwise. Who has a way to be told counts as told six seconds later.
 func (r *relayed) set(server int, health string, apart bool) {
 	r.mu.Lock()
 	r.state[server] = health
@@ -216,7 +216,7 @@
 	}
 }
 
-// load sends tasks to all nodes until it is told to end.
+// load sends requests to all nodes until it is told to end.
 func (r *relayed) load() (end func()) {
 	over := make(chan struct{})
 	var all sync.WaitGroup
@@ -239,7 +239,7 @@
 
 var kinds = []invariant.Class{{Name: "view", Idempotency: invariant.Idempotent}, {Name: "pay", Idempotency: invariant.NonIdempotent}}
 
-// ask sends one task and enters what became of it.
+// ask sends one request and enters what became of it.
 func (r *relayed) ask(node, number, kind int) {
 	now := r.at(time.Now())
 	try := &invariant.Request{ID: fmt.Sprintf("%016x", number), Operation: number, Node: node, Incarnation: 1, Class: kind, SentAt: now, Deadline: now + int64(2*time.Second)}
@@ -268,7 +268,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(3 * time.Second))
-	fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", category, id, category)
+	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", category, id, category)
 	in, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, err
@@ -298,7 +298,7 @@
 	return says.By
 }
 
-// gauge is how late this process runs: what servers and clients note here is as late.
+// gauge is how late this process runs: what endpoints and clients note here is as late.
 type gauge struct {
 	mu    sync.Mutex
 	slots map[int64]int64
@@ -333,7 +333,7 @@
 	return worst
 }
 
-// used are the servers that a node sent to after a moment, by what came to servers.
+// used are the endpoints that a node sent to after a moment, by what came to endpoints.
 func (r *relayed) used(node int, after time.Time) (servers [8]int) {
 	r.book.Update(func() {
 		for _, h := range r.book.Attempts {
@@ -345,9 +345,9 @@
 	return servers
 }
 
-// order puts attempts of one task right that servers read in one moment, as this process had stood still: which of them came first was
+// order puts attempts of one request right that endpoints read in one moment, as this process had stood still: which of them came first was
 // lost, so the one whose connection the node closed unanswered, before the server read it, counts as the first. One that is not closed by
-// then stays where it was, and is a second copy.
+// then stays where it was, and is a hedged request.
 func (r *relayed) order(late func(int64) int64) {
 	r.book.Update(func() {
 		of := map[string][]*invariant.Attempt{}
@@ -367,7 +367,7 @@
 	})
 }
 
-// story is what became of a task, for who reads a failure.
+// story is what became of a request, for who reads a failure.
 func (r *relayed) story(task string) string {
 	text := "nothing known"
 	for _, t := range r.book.Requests {
@@ -383,7 +383,7 @@
 	return text
 }
 
-// history is how many tasks a node sent to a server in each second, for who reads a failure.
+// history is how many requests a node sent to an endpoint in each second, for who reads a failure.
 func (r *relayed) history(node, server int) (all [64]int) {
 	r.book.Update(func() {
 		for _, h := range r.book.Attempts {
@@ -395,8 +395,8 @@
 	return all
 }
 
-// TestRelaysWithFaults has three nodes follow two relays while ways are lossy, late and cut, a relay is killed and started anew with
-// nothing, the other frozen while none is left, and two regions lose each other: no rule is broken, all nodes end with the same servers, and tasks are served as
+// TestRelaysWithFaults has three nodes follow two relays while links are lossy, late and cut, a relay is killed and started anew with
+// nothing, the other frozen while none is left, and two regions lose each other: no rule is broken, all nodes end with the same endpoints, and requests are served as
 // by nodes that watch discovery themselves.
 func TestRelaysWithFaults(t *testing.T) {
 	r, plain := newRelayed(t, false), newRelayed(t, true)
@@ -431,7 +431,7 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 
-	// Ways are lossy and late; a server drains, for longer than it may take to be told.
+	// Links are lossy and late; an endpoint drains, for longer than it may take to be told.
 	r.AddFaults(append(lossy(nodes, relays, 1), lossy(relays, origin, 3)...)...)
 	set(0, "draining", false)
 	time.Sleep(2 * time.Second)
@@ -444,14 +444,14 @@
 	r.ClearFaults()
 	set(0, "up", false)
 	// The other one stands still, and then the first is killed again: no relay answers, so that discovery has to tell.
-	r.procs["b"].Signal(syscall.SIGSTOP)
+	_ = r.procs["b"].Signal(syscall.SIGSTOP)
 	time.Sleep(time.Second)
 	r.finish("a")
 	set(1, "up", false)
 	set(2, "draining", false)
 	time.Sleep(toldWithin + 1500*time.Millisecond)
 	r.begin("a")
-	r.procs["b"].Signal(syscall.SIGCONT)
+	_ = r.procs["b"].Signal(syscall.SIGCONT)
 	time.Sleep(3 * time.Second)
 	// Two regions lose each other: relay b and one node on one side, all others on the other.
 	here := []netfault.End{end(0), end(1), end(relayA), end(theOne), end(theirs)}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet owns fleets of nodes for tests and measurements: start some, break and mend the ways between them, ask each what
+// Package fleet owns fleets of nodes for tests and measurements: start some, break and mend the links between them, ask each what
 // it believes, wait for a statement to hold. The same cases play in virtual time and with processes of the built program. A wait
 // is bounded by rounds that the nodes themselves have been through, so that no verdict hangs on a slow machine; it must never
 // be bounded by time alone.
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Fleet is some nodes and the ways between them. A node is named by its number.
+// Fleet is some nodes and the links between them. A node is named by its number.
 type Fleet interface {
 	Len() int
 	// Start begins a node's process, or one more of its name where one runs already.
@@ -21,14 +21,14 @@
 	Stop(node int)
 	Freeze(node int)
 	Thaw(node int)
-	// Break puts troubles on ways until Mend. Times of a fault are counted from now; End 0: until Mend.
+	// AddFaults puts faults on links until ClearFaults. Times of a fault are counted from now; End 0: until ClearFaults.
 	AddFaults(faults ...netfault.Fault)
 	ClearFaults()
 	// Views asks every node what it believes; nil for one that does not say. The second process of a name is not asked.
 	Views() []*members.View
 	// Step lets something like a fifth of a round pass.
 	Step()
-	// Throw has a datagram come to a node as if from a wire.
+	// Inject has a datagram come to a node as if from a wire.
 	Inject(to int, datagram []byte)
 	// Copied returns a datagram that once went from one node to another; nil if none did.
 	Copied(from, to int) []byte
@@ -134,7 +134,7 @@
 	return out
 }
 
-// Ends names nodes as ends of ways.
+// Ends names nodes as ends of links.
 func Ends(nodes []int) []netfault.End {
 	out := make([]netfault.End, len(nodes))
 	for i, n := range nodes {
--- a/internal/lab/fleet/hearsay_test.go
+++ b/internal/lab/fleet/hearsay_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// lateAt tells how many tasks come to a server while all nodes are busy, from the grace after a moment on.
+// lateAt tells how many requests come to an endpoint while all nodes are busy, from the grace after a moment on.
 func (p *Processes) lateAt(server int, told time.Time) (late int) {
 	time.Sleep(time.Until(told.Add(grace)) + 300*time.Millisecond)
 	for _, at := range p.endpoints[server].Arrivals() {
@@ -64,7 +64,7 @@
 }
 
 // TestADrainReachesThoseWithoutAWatch leaves one node alone with a watch, with a third of all datagrams lost: the others stop sending
-// to a server that drains, and send to it again once it is up.
+// to an endpoint that drains, and send to it again once it is up.
 func TestADrainReachesThoseWithoutAWatch(t *testing.T) {
 	p := listening(t, 6, false)
 	p.discovery.SetDown(true)
@@ -101,7 +101,7 @@
 	p.until(t, "all watches stand", func(v *endpointgossip.View) bool { return v.WatchUp })
 }
 
-// TestThoseWithoutADiskServeByTheOthersMemory takes the power from all while a server drains, and half of the disks with it. Discovery
+// TestThoseWithoutADiskServeByTheOthersMemory takes the power from all while an endpoint drains, and half of the disks with it. Discovery
 // does not come back: all serve, and none sends to the server that drained.
 func TestThoseWithoutADiskServeByTheOthersMemory(t *testing.T) {
 	p := listening(t, 6, true)
@@ -149,7 +149,7 @@
 	p.serving(t)
 }
 
-// TestOneNodesListBansNobody has one node alone hear from a discovery that takes nearly all servers away; the others go on.
+// TestOneNodesListBansNobody has one node alone hear from a discovery that takes nearly all endpoints away; the others go on.
 func TestOneNodesListBansNobody(t *testing.T) {
 	p := listening(t, 4, false)
 	p.discovery.SetDown(true)
@@ -176,8 +176,8 @@
 	p.until(t, "two watches are believed", func(v *endpointgossip.View) bool { return v.Version == 9 })
 }
 
-// TestPowerIsBackInEveryOrder takes the power from nodes, servers and discovery while a server drains, and brings them back in each of
-// the six orders, with exclusive tasks coming all the time and a third of the datagrams lost: none runs twice, none comes to the
+// TestPowerIsBackInEveryOrder takes the power from nodes, endpoints and discovery while an endpoint drains, and brings them back in each of
+// the six orders, with exclusive requests coming all the time and a third of the datagrams lost: none runs twice, none comes to the
 // server that drained, and all serve in the end.
 func TestPowerIsBackInEveryOrder(t *testing.T) {
 	p := listening(t, 4, true)
@@ -221,7 +221,7 @@
 }
 
 // TestANodeAloneWhereHundredsAreExpected has one of 300 come back alone with its memory while discovery is down: it says that it knows
-// of nobody, serves what cold servers surely can, and all once discovery tells that they never went.
+// of nobody, serves what cold endpoints surely can, and all once discovery tells that they never went.
 func TestANodeAloneWhereHundredsAreExpected(t *testing.T) {
 	p := processes(t, 2)
 	p.PersistState, p.ListGossip, p.Key = true, true, listKey
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the measuring of who is there: how long a death takes to be known by all, how often well nodes are doubted, and
+// This file owns the measuring of who is there: how long a death takes to be known by all, how often well nodes are suspected, and
 // what it costs in messages. It must never count as known what a node did not say itself.
 
 import (
@@ -37,6 +37,7 @@
 // Now is the time since the fleet was made, nanoseconds.
 func (p *Processes) Now() int64 { return int64(time.Since(p.startedAt)) }
 
+// Counts implements measurable.
 func (p *Processes) Counts() []*members.Counters {
 	out := make([]*members.Counters, len(p.nodes))
 	for i, v := range p.Views() {
@@ -47,6 +48,7 @@
 	return out
 }
 
+// AllSee implements measurable.
 func (p *Processes) AllSee(of int, state members.State) bool {
 	for i, v := range p.Views() {
 		if i != of && (v == nil || v.Members[of].State != state.String()) {
@@ -56,6 +58,7 @@
 	return true
 }
 
+// Counts implements measurable.
 func (v *Virtual) Counts() []*members.Counters {
 	out := make([]*members.Counters, len(v.nodes))
 	for i, s := range v.nodes {
@@ -67,6 +70,7 @@
 	return out
 }
 
+// AllSee implements measurable.
 func (v *Virtual) AllSee(of int, state members.State) bool {
 	for i, s := range v.nodes {
 		if i != of && (s.membership == nil || s.membership.StateOf(of) != state) {
--- a/internal/lab/fleet/order_test.go
+++ b/internal/lab/fleet/order_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestTheOrderThatAStallLost has two attempts of a task read in one moment: a second copy only where the node had closed neither.
+// TestTheOrderThatAStallLost has two attempts of a request read in one moment: a hedged request only where the node had closed neither.
 func TestTheOrderThatAStallLost(t *testing.T) {
 	const ms = int64(time.Millisecond)
 	for name, one := range map[string]struct {
--- a/internal/lab/fleet/power_test.go
+++ b/internal/lab/fleet/power_test.go
@@ -16,7 +16,7 @@
 
 const grace = 550 * time.Millisecond // to stop sending, with what a socket may hold up
 
-// remembering is a fleet whose nodes keep a memory and know their servers.
+// remembering is a fleet whose nodes keep a memory and know their endpoints.
 func remembering(t *testing.T, nodes int) *Processes {
 	t.Helper()
 	p := processes(t, nodes)
@@ -30,7 +30,7 @@
 	return p
 }
 
-// serving waits until every node is ready, and has done a task.
+// serving waits until every node is ready, and has done a request.
 func (p *Processes) serving(t *testing.T) {
 	t.Helper()
 	for i := range p.nodes {
@@ -49,7 +49,7 @@
 
 var numbers atomic.Int64
 
-// busy sends exclusive tasks to all nodes until it is told to end.
+// busy sends exclusive requests to all nodes until it is told to end.
 func (p *Processes) busy() (end func()) {
 	over := make(chan struct{})
 	var all sync.WaitGroup
@@ -60,7 +60,7 @@
 				case <-over:
 					return
 				case <-time.After(4 * time.Millisecond):
-					p.sendRequest(i, "pay", int(numbers.Add(1)))
+					_ = p.sendRequest(i, "pay", int(numbers.Add(1)))
 				}
 			}
 		})
@@ -68,7 +68,7 @@
 	return func() { close(over); all.Wait() }
 }
 
-// lists has discovery tell all servers, but one that drains.
+// lists has discovery tell all endpoints, but one that drains.
 func (p *Processes) lists(version int64, draining int) {
 	var list []ListEntry
 	for i, s := range p.endpoints {
@@ -97,7 +97,7 @@
 	}
 }
 
-// doubles are tasks that must run once and came to servers more often.
+// doubles are requests that must run once and came to endpoints more often.
 func (p *Processes) doubles() (out []string) {
 	of := map[string]int{}
 	for _, s := range p.endpoints {
@@ -115,8 +115,8 @@
 	return out
 }
 
-// TestDrainsHoldWhenAllAreKilled takes the power from all nodes at drawn moments while a server drains, and brings them back while
-// nobody can tell them: the server gets nothing after the grace, no task runs twice. FAWNGLADE_ROUNDS plays it longer.
+// TestDrainsHoldWhenAllAreKilled takes the power from all nodes at drawn moments while an endpoint drains, and brings them back while
+// nobody can tell them: the server gets nothing after the grace, no request runs twice. FAWNGLADE_ROUNDS plays it longer.
 func TestDrainsHoldWhenAllAreKilled(t *testing.T) {
 	nodes, rounds := 6, 6
 	if n, err := strconv.Atoi(os.Getenv("FAWNGLADE_ROUNDS")); err == nil {
@@ -198,7 +198,7 @@
 }
 
 // TestWhatBecomesOfDisks has some nodes lose their disk, one find an older copy, one a log cut in the middle, one a file where its
-// directory should be: all serve, those with a memory before anybody tells them of servers.
+// directory should be: all serve, those with a memory before anybody tells them of endpoints.
 func TestWhatBecomesOfDisks(t *testing.T) {
 	p := remembering(t, 5)
 	time.Sleep(300 * time.Millisecond)
@@ -260,8 +260,8 @@
 	p.serving(t)
 }
 
-// TestTheFleetComesBackInHalves has all killed while a server drains, come back in two halves that can't hear each other, lose power
-// again in the middle of that, and join: no drain is broken, no task runs twice, and in the end there is one view.
+// TestTheFleetComesBackInHalves has all killed while an endpoint drains, come back in two halves that can't hear each other, lose power
+// again in the middle of that, and join: no drain is broken, no request runs twice, and in the end there is one view.
 func TestTheFleetComesBackInHalves(t *testing.T) {
 	p := remembering(t, 6)
 	a, b := Numbers(0, 3), Numbers(3, 6)
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -75,7 +75,7 @@
 	}
 	defer func() {
 		if err != nil {
-			p.Close()
+			_ = p.Close()
 		}
 	}()
 	if p.dir, err = os.MkdirTemp("", "fawnglade-fleet-"); err != nil {
@@ -127,8 +127,10 @@
 	return fmt.Sprintf("%s:%d", host, port)
 }
 
-// Listen is where a node takes tasks; Console where it answers staff.
-func (p *Processes) Listen(node int) string  { return p.address(node, 8443) }
+// Listen is where a node takes requests; Console where it answers staff.
+func (p *Processes) Listen(node int) string { return p.address(node, 8443) }
+
+// Console is the admin address of a node.
 func (p *Processes) Console(node int) string { return p.address(node, 9443) }
 
 // Features is the text of a node's features file.
@@ -149,13 +151,16 @@
 	return filepath.Join(p.dir, fmt.Sprintf("n%d.state", node))
 }
 
-// Discovery and Servers are what stands outside the nodes.
-func (p *Processes) Discovery() *Discovery  { return p.discovery }
+// Discovery and Endpoints are what stands outside the nodes.
+func (p *Processes) Discovery() *Discovery { return p.discovery }
+
+// Endpoints are those that discovery lists first.
 func (p *Processes) Endpoints() []*Endpoint { return p.endpoints }
 
+// Len implements Fleet.
 func (p *Processes) Len() int { return len(p.nodes) }
 
-// Start begins a process. A second one of a name takes tasks at an address of its own, and shares the socket for datagrams, as
+// Start begins a process. A second one of a name takes requests at an address of its own, and shares the socket for datagrams, as
 // two processes do that were started by mistake.
 func (p *Processes) Start(node int) error {
 	n := p.nodes[node]
@@ -212,7 +217,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.processes {
-		l.Signal(s)
+		_ = l.Signal(s)
 		if wait {
 			<-l.Done()
 		}
@@ -220,29 +225,39 @@
 	n.reap()
 }
 
+// Kill implements Fleet.
 func (p *Processes) Kill(node int) { p.signal(node, syscall.SIGKILL, true) }
+
+// Stop implements Fleet.
 func (p *Processes) Stop(node int) { p.signal(node, syscall.SIGTERM, true) }
 
+// Freeze implements Fleet.
 func (p *Processes) Freeze(node int) {
 	p.signal(node, syscall.SIGSTOP, false)
 	p.nodes[node].frozen = true
 }
 
+// Thaw implements Fleet.
 func (p *Processes) Thaw(node int) {
 	p.signal(node, syscall.SIGCONT, false)
 	p.nodes[node].frozen = false
 }
 
+// AddFaults implements Fleet.
 func (p *Processes) AddFaults(faults ...netfault.Fault) {
 	p.proxies.Set(netfault.New(from(int64(time.Since(p.startedAt)), faults)))
 }
 
+// ClearFaults implements Fleet.
 func (p *Processes) ClearFaults() { p.proxies.Set(netfault.New(nil)) }
 
+// Step implements Fleet.
 func (p *Processes) Step() { time.Sleep(p.Round / 5) }
 
+// Inject implements Fleet.
 func (p *Processes) Inject(to int, datagram []byte) { p.mesh.Inject((to+1)%len(p.nodes), to, datagram) }
 
+// Copied implements Fleet.
 func (p *Processes) Copied(from, to int) []byte { return p.mesh.Copied(from, to) }
 
 // PID of a node's newest process; 0 without one.
@@ -301,7 +316,7 @@
 	return out
 }
 
-// Task has a node do one task, and tells how it was answered.
+// SendRequest has a node do one request, and tells how it was answered.
 func (p *Processes) SendRequest(node, number int) error { return p.sendRequest(node, "view", number) }
 
 func (p *Processes) sendRequest(node int, category string, number int) error {
@@ -311,7 +326,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(askWithin))
-	fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %016x\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", category, number, category)
+	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %016x\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", category, number, category)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return err
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -31,7 +31,7 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if path, err := program(); err == nil {
-		os.RemoveAll(filepath.Dir(path))
+		_ = os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		p.Close()
+		_ = p.Close()
 		if strings.Contains(log.String(), "panic stopped") || t.Failed() {
 			t.Error("logs of the nodes: ", log.String())
 		}
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestAPeerThatSendsNonsense has ten thousand datagrams a second come to one node, of all lengths and some that begin well: tasks are
+// TestAPeerThatSendsNonsense has ten thousand datagrams a second come to one node, of all lengths and some that begin well: requests are
 // answered as before, and nobody is taken for silent.
 func TestAPeerThatSendsNonsense(t *testing.T) {
 	p := processes(t, 4)
@@ -146,7 +146,7 @@
 			}
 			for range 10 {
 				buffer[0] = byte(1 + sent%4)
-				to.Write(buffer[:draw.IntN(len(buffer))])
+				_, _ = to.Write(buffer[:draw.IntN(len(buffer))])
 				sent++
 			}
 		}
@@ -214,5 +214,5 @@
 	if err != nil {
 		t.Fatal("the address is taken: ", err)
 	}
-	l.Close()
+	_ = l.Close()
 }
--- a/internal/lab/fleet/standins.go
+++ b/internal/lab/fleet/standins.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns what stands outside the nodes in a fleet of processes: servers that note every task that comes, and a discovery that
+// This file owns what stands outside the nodes in a fleet of processes: endpoints that note every request that comes, and a discovery that
 // tells what it is told to. What a node did is read here, from what came over sockets, never from what the node says.
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Server answers every task at once, and notes when each came.
+// Endpoint answers every request at once, and notes when each came.
 type Endpoint struct {
 	Name string
 
@@ -27,14 +27,14 @@
 	observer func(Arrival)
 }
 
-// Arrival is one task as a server saw it.
+// Arrival is one request as an endpoint saw it.
 type Arrival struct {
 	Request               string
 	ArrivedAt, AnsweredAt time.Time
-	ClosedAt              time.Time // when the connection was seen to end, for the last task on it
+	ClosedAt              time.Time // when the connection was seen to end, for the last request on it
 }
 
-// Note has every task told to a function once it is answered, by the server's goroutine, and the last one of a connection again when
+// Observe has every request told to a function once it is answered, by the endpoint's goroutine, and the last one of a connection again when
 // that has ended.
 func (s *Endpoint) Observe(one func(Arrival)) {
 	s.mu.Lock()
@@ -42,7 +42,7 @@
 	s.observer = one
 }
 
-// Down has the server close all connections, and every new one at once, or brings it back.
+// SetDown has the server close all connections, and every new one at once, or brings it back.
 func (s *Endpoint) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +66,7 @@
 	delete(s.open, c)
 }
 
-// Came are the moments at which tasks came, in order.
+// Arrivals are the moments at which requests came, in order.
 func (s *Endpoint) Arrivals() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +96,7 @@
 		if err != nil {
 			return
 		}
-		io.Copy(io.Discard, r.Body)
+		_, _ = io.Copy(io.Discard, r.Body)
 		last = Arrival{Request: r.Header.Get("X-Txn"), ArrivedAt: time.Now()}
 		s.mu.Lock()
 		s.arrivals = append(s.arrivals, last.ArrivedAt)
@@ -119,7 +119,7 @@
 	}
 }
 
-// Listing is one server as discovery tells it.
+// ListEntry is one server as discovery tells it.
 type ListEntry struct {
 	Endpoint  *Endpoint
 	State     string // up, draining or removed
@@ -152,7 +152,7 @@
 // Address is where it takes calls.
 func (d *Discovery) Address() string { return d.l.Addr().String() }
 
-// Tell has all watches told a list of a version, which may be lower than one before.
+// SetList has all watches told a list of a version, which may be lower than one before.
 func (d *Discovery) SetList(version int64, list ...ListEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,7 +160,7 @@
 	d.changed.Broadcast()
 }
 
-// Down ends all watches and takes no call, or brings discovery back.
+// SetDown ends all watches and takes no call, or brings discovery back.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,7 +171,7 @@
 	d.changed.Broadcast()
 }
 
-// Most has discovery take no call while so many follow it; 0: any number.
+// LimitWatches has discovery take no call while so many follow it; 0: any number.
 func (d *Discovery) LimitWatches(watches int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -227,7 +227,7 @@
 	d.conns[c] = true
 	defer delete(d.conns, c)
 	go func() { // wakes the watch below when its caller is gone
-		io.Copy(io.Discard, c)
+		_, _ = io.Copy(io.Discard, c)
 		c.Close()
 		d.changed.Broadcast()
 	}()
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns a fleet in virtual time: the members' core alone, hundreds of times, and the ways between. It must never read a
+// This file owns a fleet in virtual time: the members' core alone, hundreds of times, and the links between. It must never read a
 // clock: the same calls give the same views.
 
 import (
@@ -98,11 +98,15 @@
 // Members of one node; nil if it does not run.
 func (v *Virtual) Members(node int) *members.Members { return v.nodes[node].membership }
 
+// Len implements Fleet.
 func (v *Virtual) Len() int { return len(v.nodes) }
-func (v *Virtual) Step()    { v.Run(v.Round / 5) }
+
+// Step implements Fleet.
+func (v *Virtual) Step() { v.Run(v.Round / 5) }
 
 func (s *simulatedNode) clock() int64 { return s.fleet.now + s.fleet.ClockOffsets[s.index] }
 
+// Start implements Fleet.
 func (v *Virtual) Start(node int) error {
 	s := v.nodes[node]
 	if s.membership != nil {
@@ -140,7 +144,7 @@
 	do()
 }
 
-// Send carries a datagram over the ways as they are.
+// Send carries a datagram over the links as they are.
 func (s *simulatedNode) Send(to int, datagram []byte) {
 	v := s.fleet
 	way := [2]int{s.index, to}
@@ -166,6 +170,7 @@
 	}
 }
 
+// Inject implements Fleet.
 func (v *Virtual) Inject(to int, datagram []byte) {
 	if s := v.nodes[to]; s.membership != nil {
 		view := s.membership
@@ -177,13 +182,16 @@
 	}
 }
 
+// Copied implements Fleet.
 func (v *Virtual) Copied(from, to int) []byte { return v.copied[[2]int{from, to}] }
 
+// Kill implements Fleet.
 func (v *Virtual) Kill(node int) {
 	s := v.nodes[node]
 	s.membership, s.backlog, s.frozen, s.missedTick = nil, nil, false, false
 }
 
+// Stop implements Fleet.
 func (v *Virtual) Stop(node int) {
 	if s := v.nodes[node]; s.membership != nil {
 		s.membership.Leave()
@@ -191,13 +199,15 @@
 	v.Kill(node)
 }
 
+// Freeze implements Fleet.
 func (v *Virtual) Freeze(node int) { v.nodes[node].frozen = true }
 
+// Thaw implements Fleet.
 func (v *Virtual) Thaw(node int) {
 	s := v.nodes[node]
 	waits, missed := s.backlog, s.missedTick
 	s.frozen, s.missedTick, s.backlog = false, false, nil
-	if missed && s.membership != nil { // of the beats that a ticker missed it makes up for one
+	if missed && s.membership != nil { // of the ticks that a ticker missed it makes up for one
 		s.membership.Tick(s.clock())
 	}
 	for _, do := range waits {
@@ -207,6 +217,7 @@
 	}
 }
 
+// AddFaults implements Fleet.
 func (v *Virtual) AddFaults(faults ...netfault.Fault) {
 	v.faults = netfault.New(from(v.now, faults))
 }
@@ -224,8 +235,10 @@
 	return out
 }
 
+// ClearFaults implements Fleet.
 func (v *Virtual) ClearFaults() { v.faults = netfault.New(nil) }
 
+// Views implements Fleet.
 func (v *Virtual) Views() []*members.View {
 	out := make([]*members.View, len(v.nodes))
 	for i, s := range v.nodes {
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestOthersVouch has one node hear another no more, though all others do: nobody doubts anybody, as the others are asked first.
+// TestOthersVouch has one node hear another no more, though all others do: nobody suspects anybody, as the others are asked first.
 func TestOthersVouch(t *testing.T) {
 	f := NewVirtual(6, 1)
 	if err := startAll(f)(); err != nil {
--- a/internal/lab/scale/design.go
+++ b/internal/lab/scale/design.go
@@ -52,7 +52,7 @@
 // listChanges are what the list tells of one restart: it drains, it is up anew.
 const listChanges = 2
 
-// Endpoints is how often a second the list of servers changes on an ordinary day: two lines for a machine that is restarted or
+// Endpoints is how often a second the list of endpoints changes on an ordinary day: two lines for a machine that is restarted or
 // replaced, one for one that fails.
 func (d *Design) Endpoints() float64 { return (listChanges*d.Restarts + d.Failures) / 86_400 }
 
@@ -118,13 +118,12 @@
 }
 
 // The limits, in the units that figures have.
-func limitBytes(_ *Design, l *Limits) float64    { return l.Bytes }
-func limitCores(_ *Design, l *Limits) float64    { return 100 * l.Cores } // per cent of a core
-func limitNetwork(_ *Design, l *Limits) float64  { return l.Network }
-func limitReady(_ *Design, l *Limits) float64    { return l.Ready }
-func limitInForce(_ *Design, l *Limits) float64  { return l.InForce }
-func limitAdded(_ *Design, l *Limits) float64    { return l.Added * 1e6 } // microseconds
-func limitMachines(_ *Design, l *Limits) float64 { return l.Machines }
+func limitBytes(_ *Design, l *Limits) float64   { return l.Bytes }
+func limitCores(_ *Design, l *Limits) float64   { return 100 * l.Cores } // per cent of a core
+func limitNetwork(_ *Design, l *Limits) float64 { return l.Network }
+func limitReady(_ *Design, l *Limits) float64   { return l.Ready }
+func limitInForce(_ *Design, l *Limits) float64 { return l.InForce }
+func limitAdded(_ *Design, l *Limits) float64   { return l.Added * 1e6 } // microseconds
 
 // limitChange is what one change of an endpoint may take where an ordinary day's take all that control may, milliseconds.
 func limitChange(d *Design, l *Limits) float64 { return 1e3 * l.Cores / d.Endpoints() }
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return v, "", err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	path := filepath.Join(dir, "memory")
 	at, _, err := store.Open(path, store.Options{})
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	defer func() {
 		if at != nil {
-			at.Close()
+			_ = at.Close()
 		}
 	}()
 	// A memory takes MostServers; so many of them as it takes stand in one store, so that the store at least is seen at every size.
--- a/internal/lab/scale/hearsay.go
+++ b/internal/lab/scale/hearsay.go
@@ -1,6 +1,6 @@
 package scale
 
-// This file owns what a whole list by others' word costs: one node without discovery asks nodes that have it. Virtual time, nothing
+// This file owns what a whole list by gossip costs: one node without discovery asks nodes that have it. Virtual time, nothing
 // lost. It must never help the one that asks to what its own code would not take.
 
 import (
@@ -12,7 +12,7 @@
 const (
 	tellers     = 4
 	beatNs      = 50 * ms // ten in a round of 0.5 s
-	hearsayLong = 400     // beats: 20 s
+	hearsayLong = 400     // ticks: 20 s
 )
 
 // mail carries loads between nodes of one list, to be opened at the next beat.
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -48,7 +48,7 @@
 		defer l.Close()
 		at := l.Addr().String()
 		if c, err := net.ListenPacket("udp", at); err == nil {
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			out = append(out, at)
 		}
 	}
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	fmt.Fprintln(out, "ready")
+	_, _ = fmt.Fprintln(out, "ready")
 	return <-ended
 }
 
@@ -132,9 +132,9 @@
 	go func() {
 		line, _ := bufio.NewReader(read).ReadString('\n')
 		said <- line
-		io.Copy(io.Discard, read)
+		_, _ = io.Copy(io.Discard, read)
 	}()
-	go func() { <-p.Done(); write.Close() }()
+	go func() { <-p.Done(); _ = write.Close() }()
 	select {
 	case line := <-said:
 		if line == "ready\n" {
@@ -202,7 +202,7 @@
 	if f.Dir, err = os.MkdirTemp(e.Dir, "hollow-"); err != nil {
 		return v, "", err
 	}
-	defer os.RemoveAll(f.Dir)
+	defer func() { _ = os.RemoveAll(f.Dir) }()
 	d, err := newDiscovery(servers)
 	if err != nil {
 		return v, "", err
--- a/internal/lab/scale/outside.go
+++ b/internal/lab/scale/outside.go
@@ -111,7 +111,7 @@
 	}
 	over := make(chan struct{})
 	c.SetReadDeadline(time.Time{})
-	go func() { io.Copy(io.Discard, c); close(over) }()
+	go func() { _, _ = io.Copy(io.Discard, c); close(over) }()
 	for {
 		select {
 		case <-over:
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -75,7 +75,7 @@
 }
 
 func (p *process) kill() {
-	p.Signal(syscall.SIGKILL)
+	_ = p.Signal(syscall.SIGKILL)
 	<-p.Done()
 }
 
@@ -179,7 +179,7 @@
 	if err != nil {
 		return v, "", err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	d, err := newDiscovery(int(size))
 	if err != nil {
 		return v, "", err
@@ -295,7 +295,7 @@
 
 // onDisk is the length of all files below a directory.
 func onDisk(dir string) (sum float64) {
-	filepath.WalkDir(dir, func(_ string, f os.DirEntry, err error) error {
+	_ = filepath.WalkDir(dir, func(_ string, f os.DirEntry, err error) error {
 		if err == nil && f.Type().IsRegular() {
 			if info, err := f.Info(); err == nil {
 				sum += float64(info.Size())
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -40,7 +40,7 @@
 // Probe measures figures at one size after another.
 type Probe struct {
 	Name        string
-	Size        string // what a size counts: servers, tenants, nodes
+	Size        string // what a size counts: endpoints, tenants, nodes
 	Sizes       []float64
 	Quick       []float64 // for a look, and for tests
 	Least, Most float64   // that it can be asked for; Most 0: no bound but the machine's
@@ -65,7 +65,7 @@
 
 func (e *Env) say(format string, a ...any) {
 	if e.Log != nil {
-		fmt.Fprintf(e.Log, "%s  "+format+"\n", append([]any{time.Now().Format("15:04:05")}, a...)...)
+		_, _ = fmt.Fprintf(e.Log, "%s  "+format+"\n", append([]any{time.Now().Format("15:04:05")}, a...)...)
 	}
 }
 
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -189,7 +189,7 @@
 			t.Errorf("%s: %v of %v is not %v times", s.Name, s.At, s.Limit, s.Factor)
 		}
 	}
-	// What is sure on any machine: a server more takes memory; so does a tenant.
+	// What is sure on any machine: an endpoint more takes memory; so does a tenant.
 	for _, name := range []string{"decisions.memory", "tenants.memory", "services.memory", "disk.bytes"} {
 		if f := one(t, r, name).Fit; f.Slope < 20 || f.Slope > 100e3 {
 			t.Errorf("%s: %v bytes for one more", name, f.Slope)
--- a/internal/lab/scale/show.go
+++ b/internal/lab/scale/show.go
@@ -41,7 +41,7 @@
 // Print writes the table: what was measured at each size, the fit, and the figure at the design size beside its limit.
 func Print(w io.Writer, r *Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "figure\tunit\tsizes: measured\tslope\tintercept\tresidual\tline holds to\tat design\tby\tlimit\tfactor\t")
+	_, _ = fmt.Fprintln(t, "figure\tunit\tsizes: measured\tslope\tintercept\tresidual\tline holds to\tat design\tby\tlimit\tfactor\t")
 	for _, s := range r.Slopes {
 		var points []string
 		for _, p := range s.Points {
@@ -54,7 +54,7 @@
 		if s.Limit > 0 {
 			limit, factor = short(s.Limit), short(s.Factor)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%.0f%%\t%s\t%s at %s %s\t%s\t%s\t%s\t\n", s.Name, s.Unit, strings.Join(points, " "), short(s.Fit.Slope), short(s.Fit.Intercept),
+		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%.0f%%\t%s\t%s at %s %s\t%s\t%s\t%s\t\n", s.Name, s.Unit, strings.Join(points, " "), short(s.Fit.Slope), short(s.Fit.Intercept),
 			100*s.Fit.Residual, holds, short(s.At), short(s.Design), s.SizeOf, s.How, limit, factor)
 	}
 	if err := t.Flush(); err != nil {
@@ -66,7 +66,7 @@
 			probe, _, _ := strings.Cut(s.Name, ".")
 			if text := probe + ": " + note; note != "" && !told[text] {
 				told[text] = true
-				fmt.Fprintln(w, text)
+				_, _ = fmt.Fprintln(w, text)
 			}
 		}
 	}
--- a/internal/lab/scale/virtual_test.go
+++ b/internal/lab/scale/virtual_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// A list longer than the nodes take by others' word is told as one that never came, not as a figure.
+// A list longer than the nodes take by gossip is told as one that never came, not as a figure.
 func TestAListThatIsNeverTakenIsTold(t *testing.T) {
 	p := probe(t, "hearsay")
 	v, note, err := p.Measure(t.Context(), &Env{}, 500)
