--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -1,10 +1,8 @@
 package distsim
 
 import (
-	"context"
 	"encoding/json"
 	"fawnglade/internal/distribution"
-	"fmt"
 	"reflect"
 	"slices"
 	"strings"
@@ -12,7 +10,7 @@
 	"time"
 )
 
-func TestSizesThatCanNotBePlayedAreRefusedInOneLine(t *testing.T) {
+func TestCheckRefusesSizes(t *testing.T) {
 	const half, files = 12 << 30, 20_000
 	for name, one := range map[string]struct {
 		change func(*Size)
@@ -44,8 +42,8 @@
 	}
 }
 
-// TestTheWorldIsTheLetters has the numbers of the operators' letter come out of the full size.
-func TestTheWorldIsTheLetters(t *testing.T) {
+// TestRecordsOfTheFullSize has the design's numbers come out of the full size.
+func TestRecordsOfTheFullSize(t *testing.T) {
 	s := Full()
 	zones, regions := map[int]int{}, map[int]int{}
 	for i := range s.Endpoints {
@@ -66,10 +64,10 @@
 	}
 	records := map[string]int{}
 	q := Quick()
-	q.forEachRecord(func(scope, key, class, body string) {
-		records[class]++
-		if changeNumber([]byte(body)) != 0 || !json.Valid([]byte(body)) {
-			t.Fatalf("%s: %s", key, body)
+	q.forEachRecord(func(c Change) {
+		records[c.Class]++
+		if changeNumber([]byte(c.Body)) != 0 || !json.Valid([]byte(c.Body)) {
+			t.Fatalf("%s: %s", c.Key, c.Body)
 		}
 	})
 	if records[classEndpoint] != q.Endpoints || records[classConfiguration] != q.Routes+q.Tenants {
@@ -91,7 +89,7 @@
 	}
 }
 
-func TestTheSameSeedGivesTheSameChanges(t *testing.T) {
+func TestSameSeedGivesSameChanges(t *testing.T) {
 	play := func(seed uint64) (all []Change) {
 		s := Quick()
 		s.Seed = seed
@@ -115,7 +113,7 @@
 	}
 }
 
-func TestNumbers(t *testing.T) {
+func TestChangeNumber(t *testing.T) {
 	for text, expect := range map[string]int{`{"n":12}`: 12, `{"a":1,"n":0}`: 0, `{"n":"x"}`: -1, ``: -1, `12}`: -1, `{"n":7`: -1} {
 		if got := changeNumber([]byte(text)); got != expect {
 			t.Errorf("%s: %d, expected %d", text, got, expect)
@@ -154,8 +152,8 @@
 	t.Helper()
 	s := Quick()
 	s.Nodes, s.SettleTimeout = 1, 0
-	r := &run{size: s, began: time.Now(), sentAt: []int64{0}, changes: []Change{{}}, followers: map[string]int{}, world: newTruth(s)}
-	r.nodes = newNodes(s, r.began, nil)
+	r := &run{size: s, began: time.Now(), changes: make([]sentChange, 1), followers: map[string]int{}, truth: newTruth(s)}
+	r.nodes = newHollowNodes(s, r.began, nil)
 	h := r.nodes.all[0]
 	f := &fake{records: map[recordKey]distribution.Record{}}
 	h.subscriber, h.removedAt = f, map[recordKey]uint64{}
@@ -164,23 +162,23 @@
 	for _, scope := range h.scopes {
 		r.followers[scope] = 1
 		follows[scope] = true
-		for key, is := range r.world.scopes[scope] {
+		for key, is := range r.truth.scopes[scope] {
 			f.records[recordKey{scope, key}] = distribution.Record{Scope: scope, Key: key, Version: 1, Body: []byte(is.body)}
 		}
 	}
 	var all []distribution.Change
 	note := func(c Change) {
-		r.sentAt, r.changes = append(r.sentAt, 0), append(r.changes, c)
+		r.noteSent(c, 0)
 		if follows[c.Scope] {
 			all = append(all, distribution.Change{Record: distribution.Record{Scope: c.Scope, Key: c.Key, Version: uint64(1 + c.number), Deleted: c.Removed, Body: []byte(c.Body)}})
 		}
 	}
 	for range 5 {
-		note(r.world.configure())
+		note(r.truth.configure())
 	}
 	for i := range s.Endpoints {
 		if follows[s.endpointScope(i)] && i%7 == 0 {
-			note(r.world.remove(i))
+			note(r.truth.remove(i))
 		}
 	}
 	f.next = spoil(all, f)
@@ -188,13 +186,13 @@
 		t.Fatal(err)
 	}
 	a := &Phase{}
-	r.settle(context.Background(), a)
+	r.settle(t.Context(), a)
 	r.addDeliveries(a, 1)
 	return a
 }
 
-// TestTheVerdictSeesEachFault has a node that is told what is true once in each way that the tree could go wrong.
-func TestTheVerdictSeesEachFault(t *testing.T) {
+// TestVerdictSeesEachFault has a node receive the truth with one error, in each way that the tree could go wrong.
+func TestVerdictSeesEachFault(t *testing.T) {
 	last := func(all []distribution.Change) distribution.Change { return all[len(all)-1] }
 	for name, one := range map[string]struct {
 		spoil  func([]distribution.Change, *fake) []distribution.Change
@@ -258,7 +256,7 @@
 	}
 }
 
-func TestTimesOfThoseConcerned(t *testing.T) {
+func TestDelays(t *testing.T) {
 	var all []float64
 	for i := range 200 {
 		all = append(all, float64(200-i)/100)
@@ -269,7 +267,7 @@
 	if got, expect := delaysOf(all[:150], 200), (Delays{Half: 1.5, P99: -1, All: -1}); got.P99 != expect.P99 || got.All != expect.All {
 		t.Errorf("%v, expected %v", got, expect)
 	}
-	if got := fmt.Sprint(Delays{-1, 0.5, 2}.String()); got != "never 0.500 2.000" {
+	if got := (Delays{-1, 0.5, 2}).String(); got != "never 0.500 2.000" {
 		t.Error(got)
 	}
 }
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -1,9 +1,5 @@
 package distsim
 
-// This file owns the origin's process: the module's origin behind the server that relays connect to, with a control on its standard
-// input in the place of discovery and a directory, so that the run knows when each change was made and under which number. It must
-// never change a record on its own.
-
 import (
 	"bufio"
 	"context"
@@ -18,81 +14,115 @@
 	"go.uber.org/zap"
 )
 
-// originLine is one line of the origin's on its standard output.
+// originReply is one line of the origin's process on its standard output.
 type originReply struct {
-	Address string `json:"address,omitempty"`
-	Version uint64 `json:"through"`
-	Records int    `json:"records,omitempty"`
+	Address string `json:"address,omitempty"` // in the first line
+	Version uint64 `json:"through"`           // of the last change
+	Records int    `json:"records,omitempty"` // in the first line
 }
 
-const maxRequestBytes = 16 << 20
+const (
+	maxRequestBytes    = 16 << 20 // of one line
+	originCloseTimeout = time.Second
+)
 
-var classesByName = map[string]distribution.Class{classWithdrawal: distribution.ClassWithdrawal, classEndpoint: distribution.ClassEndpoint, classConfiguration: distribution.ClassConfiguration}
+var classesByName = map[string]distribution.Class{
+	classWithdrawal:    distribution.ClassWithdrawal,
+	classEndpoint:      distribution.ClassEndpoint,
+	classConfiguration: distribution.ClassConfiguration,
+}
 
-// Origin is that process: the first line in is a Size, every other a list of changes. It ends with its input.
+// Origin is the origin's process: the module's origin behind the server that relays connect to. In place of endpoint sources it
+// reads its input, so that the run knows when each change was made: the first line is a Size, every other a list of changes. Each
+// line is replied to. It ends with its input.
 func Origin(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxRequestBytes)
-	var size Size
 	if !lines.Scan() {
 		return fmt.Errorf("expected a size: %w", io.ErrUnexpectedEOF)
 	}
+	var size Size
 	if err := json.Unmarshal(lines.Bytes(), &size); err != nil {
 		return err
 	}
 	clock := relay.NewClock()
-	records := size.Endpoints + size.Routes + size.Tenants
-	origin := distribution.NewOrigin(uint64(time.Now().UnixNano()), distribution.Limits{Records: 2 * records, Bytes: 2 * records * relayRecordBytes})
-	var through uint64
-	var wrong error
-	put := func(now int64, c Change) {
-		if c.Removed {
-			through, _ = origin.Remove(now, c.Scope, c.Key)
-			return
-		}
-		v, err := origin.Put(now, c.Scope, c.Key, classesByName[c.Class], []byte(c.Body))
-		if through = v; err != nil && wrong == nil {
-			wrong = fmt.Errorf("%s %s: %w", c.Scope, c.Key, err)
-		}
-	}
-	size.forEachRecord(func(scope, key, class, body string) {
-		put(clock(), Change{Scope: scope, Key: key, Class: class, Body: body})
-	})
-	if wrong != nil {
-		return wrong
+	o, err := newOriginRecords(size, clock)
+	if err != nil {
+		return err
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	defer l.Close()
-	server := relay.NewServer(origin.Relay(), relay.ServerConfig{Clock: clock}, zap.NewNop())
-	go server.Serve(l)
+	server := relay.NewServer(o.origin.Relay(), relay.ServerConfig{Clock: clock}, zap.NewNop())
+	defer listener.Close()
+	go func() {
+		_ = server.Serve(listener) // ends with the listener; until then it logs
+	}()
 	defer func() {
-		end, cancel := context.WithTimeout(context.Background(), time.Second)
+		end, cancel := context.WithTimeout(context.Background(), originCloseTimeout)
 		defer cancel()
-		server.Close(end)
+		_ = server.Close(end) // connections that are left end with the process
 	}()
-	say := json.NewEncoder(out)
-	if err := say.Encode(originReply{Address: l.Addr().String(), Version: through, Records: records}); err != nil {
+	replies := json.NewEncoder(out)
+	if err := replies.Encode(originReply{Address: listener.Addr().String(), Version: o.version, Records: size.records()}); err != nil {
 		return err
 	}
 	for ctx.Err() == nil && lines.Scan() {
-		var all []Change
-		if err := json.Unmarshal(lines.Bytes(), &all); err != nil {
+		var changes []Change
+		if err := json.Unmarshal(lines.Bytes(), &changes); err != nil {
 			return err
 		}
-		server.Do(func(now int64) {
-			for _, c := range all {
-				put(now, c)
-			}
-		})
-		if wrong != nil {
-			return wrong
+		server.Do(func(now int64) { err = o.apply(now, changes) })
+		if err != nil {
+			return err
 		}
-		if err := say.Encode(originReply{Version: through}); err != nil {
+		if err := replies.Encode(originReply{Version: o.version}); err != nil {
 			return err
 		}
 	}
 	return lines.Err()
 }
+
+// originRecords is the origin with the version of its last change.
+type originRecords struct {
+	origin  *distribution.Origin
+	version uint64
+}
+
+// newOriginRecords makes an origin that holds all records as they are at first.
+func newOriginRecords(size Size, clock func() int64) (*originRecords, error) {
+	most := 2 * size.records()
+	o := &originRecords{
+		origin: distribution.NewOrigin(uint64(time.Now().UnixNano()), distribution.Limits{Records: most, Bytes: most * relayRecordBytes}),
+	}
+	var problem error
+	size.forEachRecord(func(c Change) {
+		if problem == nil {
+			problem = o.put(clock(), c)
+		}
+	})
+	return o, problem
+}
+
+func (o *originRecords) apply(now int64, changes []Change) error {
+	for _, c := range changes {
+		if err := o.put(now, c); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (o *originRecords) put(now int64, c Change) error {
+	if c.Removed {
+		o.version, _ = o.origin.Remove(now, c.Scope, c.Key)
+		return nil
+	}
+	version, err := o.origin.Put(now, c.Scope, c.Key, classesByName[c.Class], []byte(c.Body))
+	if err != nil {
+		return fmt.Errorf("%s %s: %w", c.Scope, c.Key, err)
+	}
+	o.version = version
+	return nil
+}
