--- a/internal/lab/distsim/processes.go
+++ b/internal/lab/distsim/processes.go
@@ -167,7 +167,7 @@
 	var entry struct {
 		Level   string `json:"level"`
 		Message string `json:"msg"`
-		Why     string `json:"why"`
+		Reason  string `json:"reason"`
 	}
 	if json.Unmarshal([]byte(line), &entry) != nil {
 		return strings.TrimSpace(line)
@@ -175,7 +175,7 @@
 	if entry.Level == "info" {
 		return ""
 	}
-	return strings.TrimSpace(entry.Message + " " + entry.Why)
+	return strings.TrimSpace(entry.Message + " " + entry.Reason)
 }
 
 // close ends all processes, and removes their files.
