--- a/cmd/fawnglade-lab/capacity.go
+++ b/cmd/fawnglade-lab/capacity.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return capacityStep{}, err
 	}
-	trace, err := emulator.Play(ctx, emulator.Options{Scenario: s, Seed: 1, Direct: true})
+	trace, err := emulator.Run(ctx, emulator.Options{Scenario: s, Seed: 1, Direct: true})
 	if err != nil {
 		return capacityStep{}, err
 	}
--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -32,7 +32,7 @@
 // playOnSockets plays a scenario once around processes of the node under test.
 func playOnSockets(ctx context.Context, o playOptions) (*result.Result, error) {
 	s := o.scenario
-	options := emulator.Options{Scenario: s, Seed: o.seed, Start: emulator.Command(o.node), Out: o.out, Log: newLogger(o.verbose)}
+	options := emulator.Options{Scenario: s, Seed: o.seed, Start: emulator.Command(o.node), LogDir: o.out, Log: newLogger(o.verbose)}
 	if isTerminal(os.Stderr) {
 		options.Progress = func(at, length time.Duration, settled, requests int) {
 			fmt.Fprintf(os.Stderr, "\r\033[K%s: %.0f of %.0f s, %d of %d tasks settled",
@@ -40,7 +40,7 @@
 		}
 		defer fmt.Fprint(os.Stderr, "\r\033[K")
 	}
-	trace, err := emulator.Play(ctx, options)
+	trace, err := emulator.Run(ctx, options)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/fawnglade-lab/proxy.go
+++ b/cmd/fawnglade-lab/proxy.go
@@ -19,9 +19,9 @@
 				<-c.Context().Done()
 				os.Exit(exitHeld)
 			}()
-			return emulator.Relay(configuration)
+			return emulator.PassThrough(configuration)
 		}
-		proxy, err := emulator.NewPlain(configuration, *kind, "")
+		proxy, err := emulator.NewReferenceProxy(configuration, *kind, "")
 		if err != nil {
 			return err
 		}
--- a/internal/lab/distsim/relays.go
+++ b/internal/lab/distsim/relays.go
@@ -27,8 +27,8 @@
 	address string
 	config  string // path
 	log     *os.File
-	logRead int64         // bytes of the log that were looked at
-	process emulator.Proc // nil: none runs
+	logRead int64            // bytes of the log that were looked at
+	process emulator.Process // nil: none runs
 }
 
 // prepareRelay takes an address that the system chooses, and writes the relay's configuration.
--- a/internal/lab/scale/hollownodes.go
+++ b/internal/lab/scale/hollownodes.go
@@ -109,7 +109,7 @@
 	output, input := io.Pipe()
 	p := &nodeProcess{began: time.Now()}
 	command := append(slices.Clone(e.HollowCommand), path)
-	p.Proc, err = emulator.Command(command)("", []string{"TMPDIR=" + f.Dir}, input)
+	p.Process, err = emulator.Command(command)("", []string{"TMPDIR=" + f.Dir}, input)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -96,7 +96,7 @@
 		}
 	}
 	all := fleet.Ends(fleet.Numbers(0, n))
-	m.fleet.Break(netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: datagramLoss, Burst: 1, Seed: 11})
+	m.fleet.AddFaults(netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: datagramLoss, Burst: 1, Seed: 11})
 	m.began = m.fleet.Now()
 	return nil
 }
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -75,7 +75,7 @@
 
 // nodeProcess is one real node.
 type nodeProcess struct {
-	emulator.Proc
+	emulator.Process
 	admin string // address
 	began time.Time
 }
@@ -114,7 +114,7 @@
 	defer log.Close()
 	env := []string{"NODE_CONFIG=" + config, "NODE_FEATURES=" + o.features, "NODE_STATE=" + o.stateDir, "NODE_CONSOLE=", "TMPDIR=" + o.dir}
 	p := &nodeProcess{admin: o.place.Admin, began: time.Now()}
-	p.Proc, err = emulator.Command(e.NodeCommand)("", env, log)
+	p.Process, err = emulator.Command(e.NodeCommand)("", env, log)
 	return p, err
 }
 
--- a/internal/members/awareness.go
+++ b/internal/members/awareness.go
@@ -8,7 +8,7 @@
 const (
 	maxHealthScore  = 8
 	stallPenalty    = 2
-	stallTicks      = 3 * ticksPerRound // after a stall, in which no suspicion is raised or ends
+	stallTicks      = 3 * TicksPerRound // after a stall, in which no suspicion is raised or ends
 	recentProbes    = 8                 // that show whether this node reaches anybody
 	maxProbeResults = 32
 )
@@ -29,10 +29,10 @@
 	m.lastCallAt = now
 }
 
-// isStalled tells whether a stall of this process may be the cause of what it sees.
+// isStalled reports whether a stall of this process may be the cause of what it sees.
 func (m *Members) isStalled() bool { return m.tick < m.stalledUntil }
 
-// isIsolated tells whether none of the last probes was answered, directly or indirectly.
+// isIsolated reports whether none of the last probes was answered, directly or indirectly.
 func (m *Members) isIsolated() bool {
 	wanted := min(recentProbes, len(m.peers))
 	if len(m.probeResults) < wanted {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -44,7 +44,7 @@
 	return encode(nil, &msg)
 }
 
-// nil2 stands for a test where none can fail.
+// nil2 stands for a test where nothing can fail.
 type nil2 struct{ testing.TB }
 
 func (nil2) Helper() {}
@@ -114,14 +114,14 @@
 	}
 	for round := range 20 {
 		transport.sent = transport.sent[:0]
-		for range ticksPerRound {
+		for range TicksPerRound {
 			now += 1e8
 			m.Tick(now)
 			for _, datagram := range asked {
 				m.Receive(now, datagram)
 			}
 		}
-		if len(transport.sent) > 26+ticksPerRound*maxAnswersPerTick {
+		if len(transport.sent) > 26+TicksPerRound*maxAnswersPerTick {
 			t.Fatalf("round %d: %d datagrams", round, len(transport.sent))
 		}
 		for _, d := range transport.sent {
@@ -135,7 +135,8 @@
 	}
 }
 
-// TestPayloads sends the longest payload from a node with many updates, to one that takes payloads, one that does not, and an unknown one.
+// TestPayloads sends the longest payload from a node with many updates, to one that takes payloads, one that does not,
+// and an unknown one.
 func TestPayloads(t *testing.T) {
 	out := &nowhere{}
 	a := one(t, "n0", 300, out)
@@ -183,13 +184,14 @@
 	runtime.KeepAlive(m)
 }
 
-// TestIncarnationExceedsThatOfAnEarlierRun restarts a node with a clock a minute behind: an update of its earlier run raises its incarnation.
+// TestIncarnationExceedsThatOfAnEarlierRun restarts a node with a clock a minute behind: an update of its earlier run
+// raises its incarnation.
 func TestIncarnationExceedsThatOfAnEarlierRun(t *testing.T) {
 	transport := &nowhere{}
 	m := one(t, "n0", 3, transport)
 	m.applyUpdate(begin, update{ID: m.id, State: Dead, StartMs: m.startMs + 60_000, RunID: 3}, false)
 	if m.incarnation <= m.startMs+60_000 {
-		t.Errorf("incarnation %d stays under that of the life before, %d", m.incarnation, m.startMs+60_000)
+		t.Errorf("incarnation %d is below that of the earlier run, %d", m.incarnation, m.startMs+60_000)
 	}
 }
 
@@ -209,7 +211,8 @@
 	}
 }
 
-// TestSuspicionFromOthersAloneNeverEndsInDeath has a node suspected by others that answers this one: it stays suspect, however long.
+// TestSuspicionFromOthersAloneNeverEndsInDeath has a node suspected by others that answers this one: it stays suspect,
+// however long.
 func TestSuspicionFromOthersAloneNeverEndsInDeath(t *testing.T) {
 	transport := &nowhere{}
 	m := one(t, "n0", 6, transport)
@@ -272,7 +275,7 @@
 // upTo runs a view for some ticks without a stall.
 func upTo(m *Members, now int64, ticks int) int64 {
 	for range ticks {
-		now += m.config.RoundNs / ticksPerRound
+		now += m.config.RoundNs / TicksPerRound
 		m.Tick(now)
 	}
 	return now
@@ -284,22 +287,24 @@
 	}
 }
 
-// TestNoSuspicionAfterAStall stalls a node while it probes: neither that probe nor the first one after raises a suspicion.
+// TestNoSuspicionAfterAStall stalls a node while it probes: neither that probe nor the first one after raises a
+// suspicion.
 func TestNoSuspicionAfterAStall(t *testing.T) {
-	for phase := range ticksPerRound {
+	for phase := range TicksPerRound {
 		m := one(t, "n0", 6, &nowhere{})
 		allUp(m)
-		now := upTo(m, begin, ticksPerRound+phase)
-		if now = upTo(m, now+3e9, 3*ticksPerRound-1); m.counters.Suspicions != 0 || m.counters.Stalls != 1 {
+		now := upTo(m, begin, TicksPerRound+phase)
+		if now = upTo(m, now+3e9, 3*TicksPerRound-1); m.counters.Suspicions != 0 || m.counters.Stalls != 1 {
 			t.Errorf("phase %d: %d suspicions, %d stalls", phase, m.counters.Suspicions, m.counters.Stalls)
 		}
-		if upTo(m, now, 4*ticksPerRound); m.counters.Suspicions == 0 {
+		if upTo(m, now, 4*TicksPerRound); m.counters.Suspicions == 0 {
 			t.Error("it never suspects again")
 		}
 	}
 }
 
-// TestPushPullRepairsMissedUpdates has a node that got no update learn what another knows, by one ping and its ack for each part.
+// TestPushPullRepairsMissedUpdates has a node that got no update learn what another knows, by one ping and its ack for
+// each part.
 func TestPushPullRepairsMissedUpdates(t *testing.T) {
 	wayA, wayB := &nowhere{}, &nowhere{}
 	a, b := one(t, "n0", 50, wayA), one(t, "n1", 50, wayB)
@@ -325,7 +330,8 @@
 	}
 }
 
-// TestMessagesOfAnEarlierRunAreNotAnswered has a message of an earlier run of a node come: it is sent its known state, and nothing else.
+// TestMessagesOfAnEarlierRunAreNotAnswered has a message of an earlier run of a node come: it is sent its known state,
+// and nothing else.
 func TestMessagesOfAnEarlierRunAreNotAnswered(t *testing.T) {
 	transport := &nowhere{}
 	m := one(t, "n0", 4, transport)
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -20,7 +20,7 @@
 	adminWriteTimeout  = time.Second
 	maxAdminHeadBytes  = 8 << 10
 	maxAdminConns      = 64
-	adminConnShare     = 12 // of the descriptors one in so many is for the admin API, if that is fewer
+	adminConnDivisor   = 12 // of the descriptors one in so many is for the admin API, if that is fewer
 	headEnd            = "\r\n\r\n"
 	admitRetryInterval = adminEvictAfter / 4
 )
@@ -126,7 +126,7 @@
 	}
 }
 
-// forgetLocked removes a connection from those that wait, and frees its place; it tells whether it was among them. mu
+// forgetLocked removes a connection from those that wait, and frees its place; it reports whether it was among them. mu
 // is held.
 func (s *adminServer) forgetLocked(c *adminConn) bool {
 	for i, waiting := range s.waiting {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -205,7 +205,7 @@
 	h.mu.Unlock()
 	h.node.divideLimits()
 	h.node.frontend.resume()
-	if !h.node.stopping.Load() {
+	if !h.node.shuttingDown.Load() {
 		h.node.log.Warn("hot restart: the successor has ended, this process goes on")
 		h.open()
 	}
@@ -256,7 +256,7 @@
 	return state
 }
 
-// hasYielded tells whether a successor takes the new connections.
+// hasYielded reports whether a successor takes the new connections.
 func (h *hotRestart) hasYielded() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -48,7 +48,7 @@
 func (n *Node) shutDown() {
 	n.log.Info("shutting down")
 	killAt := time.Now().Add(n.killTimeout())
-	n.stopping.Store(true)
+	n.shuttingDown.Store(true)
 	if n.hotRestart.hasYielded() {
 		time.Sleep(min(acceptAfterTermReplaced, time.Until(killAt)-2*answerMargin))
 	} else {
@@ -66,7 +66,7 @@
 	n.frontend.abortStreams()
 }
 
-// awaitClients waits until no client connection is left, or until a time; it tells whether none is left.
+// awaitClients waits until no client connection is left, or until a time; it reports whether none is left.
 func (n *Node) awaitClients(until time.Time) bool {
 	for ; time.Now().Before(until); time.Sleep(clientPollInterval) {
 		if n.frontend.evictAllIdle() == 0 {
--- a/internal/nodestate/state_test.go
+++ b/internal/nodestate/state_test.go
@@ -133,8 +133,8 @@
 	d := diskOfARun()
 	m.MergeFound(d.read())
 	d.write(m)
-	if again := d.read(); again.EndpointCount() != 4 || again.head.Epoch != 2 || len(again.Recover(now).Endpoints) != 3 {
-		t.Errorf("epoch %d, %+v", again.head.Epoch, again.Recover(now))
+	if again := d.read(); again.EndpointCount() != 4 || again.current.Epoch != 2 || len(again.Recover(now).Endpoints) != 3 {
+		t.Errorf("epoch %d, %+v", again.current.Epoch, again.Recover(now))
 	}
 }
 
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestDrainsSurviveAnyCrash has lists, crashes between batches and restarts in any order: no drain that was written is lost, or
-// ended by a list that does not come after it.
+// TestDrainsSurviveAnyCrash has lists, crashes between batches and restarts in any order: no drain that was written is
+// lost, or ended by a list that does not come after it.
 func TestDrainsSurviveAnyCrash(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := disk{}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -3,6 +3,13 @@
 // A Balancer gets its settings, a seed and the Effects that carry out what it decides. The caller invokes one method
 // for each event, in the order of events, from one goroutine, with the time of the event. A Balancer reads no clock,
 // starts nothing and does no I/O. Each rule has a file of its own; docs/design.md gives their reasons.
+//
+// "The paper" in this package is Stapp and Zgadzaj, "Building well-balanced CDN". Its random draw by load selects the
+// endpoint of every attempt; all other rules adjust an endpoint's weight in the draw or say which endpoints take part.
+//
+// A request that no endpoint may get is given up: it ends at once, either with Effects.Reject, where a retry by the
+// client does no harm, or with Effects.Fail. To reject a request is always that answer to the client; an endpoint that
+// rejects an attempt is OutcomeRejected.
 package policy
 
 import (
@@ -14,12 +21,16 @@
 	"time"
 )
 
-// tickInterval is the time between two runs of the periodic work.
-const tickInterval = time.Second
+const (
+	// tickInterval is the time between two runs of the periodic work.
+	tickInterval = time.Second
+	// gossipInterval is the shortest time between two gossip messages for one cause.
+	gossipInterval = time.Second
+)
 
 // Numbers of the timers that belong to no request; the timers of requests follow.
 const (
-	pollTimer = iota
+	watchTimer = iota // asks for the endpoint list again after a failed watch
 	tickTimer
 	firstRequestTimer
 )
@@ -67,10 +78,10 @@
 }
 
 // EndpointsUpdated takes the endpoint list, or what changed in it. An endpoint that a complete list lacks is removed.
-// The first call starts the periodic work and, where the list has to be polled, the polling.
+// The first call starts the periodic work and, where the list has to be polled, asks for the first watch.
 func (b *Balancer) EndpointsUpdated(now Time, list []EndpointInfo, complete bool) {
 	b.start(now)
-	b.endpoints.pollBackoff = 0
+	b.endpoints.watchBackoff = 0
 	if complete {
 		b.endpoints.delistAll(b.settings.RemovedMayServe)
 	}
@@ -92,10 +103,10 @@
 	}
 }
 
-// WatchFailed takes the failure of a call for the endpoint list; the next call follows after a backoff.
+// WatchFailed takes the failure of a watch of the endpoint list; the next one is asked for after a backoff.
 func (b *Balancer) WatchFailed(now Time) {
-	backoff := b.endpoints.nextPollBackoff(b.settings.MaxPollInterval)
-	b.effects.SetTimer(now.Add(backoff), pollTimer)
+	backoff := b.endpoints.nextWatchBackoff(b.settings.MaxPollInterval)
+	b.effects.SetTimer(now.Add(backoff), watchTimer)
 }
 
 // RequestArrived takes a new request. It is sent, rejected or failed before the call returns.
@@ -109,7 +120,7 @@
 	}
 	b.checkHealthInTurn()
 	b.earnCreditByArrival(now)
-	b.hedging.earn()
+	b.hedging.refill()
 	b.sendOrGiveUp(now, req)
 }
 
@@ -132,7 +143,7 @@
 	b.proceed(now, req, result)
 }
 
-// ClientGone takes the departure of a client: the attempts of its request are canceled, as no answer can earn anything.
+// ClientGone takes the departure of a client: the attempts of its request are canceled, as no answer reaches it.
 func (b *Balancer) ClientGone(_ Time, id RequestID) {
 	if req := b.requests.byID[id]; req != nil && !req.done {
 		b.finish(req)
@@ -142,7 +153,7 @@
 // TimerFired takes a timer that was set by Effects.SetTimer.
 func (b *Balancer) TimerFired(now Time, timer uint64) {
 	switch timer {
-	case pollTimer:
+	case watchTimer:
 		b.effects.WatchEndpoints()
 	case tickTimer:
 		b.effects.SetTimer(now.Add(tickInterval), tickTimer)
@@ -193,7 +204,9 @@
 }
 
 // Inherit takes over what an earlier instance learned of the fleet and of endpoints that have not restarted since. It
-// is called after the first endpoint list, with a valid snapshot.
+// is called after the first endpoint list, with a valid snapshot. An endpoint's estimates are taken only if its start
+// time is the same. After a crash of this node none is taken: its active endpoints then count as just started, since
+// what crashed the node may have crashed them too (internal/nodestate).
 func (b *Balancer) Inherit(snapshot *estimates.Snapshot) {
 	b.estimator.TakeOver(&snapshot.FleetEstimates)
 	copy(b.estimator.classes, snapshot.Classes)
@@ -205,7 +218,7 @@
 	}
 }
 
-// tick does the periodic work: estimates fade, and what is derived from them is worked out anew.
+// tick does the periodic work: estimates decay, and what is derived from them is calculated anew.
 func (b *Balancer) tick(now Time) {
 	b.estimator.updateHighLatency(now, b.endpoints.all)
 	for _, ep := range b.endpoints.all {
@@ -219,7 +232,7 @@
 	b.affinity.keys.Decay()
 	b.subset.updateRequestRate()
 	b.idleConns.trusted.Decay()
-	b.updateKeptShares()
+	b.updatePriorityFactors()
 	b.updateSubset(now)
 	b.estimator.decayClasses()
 }
@@ -232,5 +245,3 @@
 		b.effects.Gossip(message)
 	}
 }
-
-const gossipInterval = time.Second
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -10,22 +10,23 @@
 )
 
 // The endpoint list names the endpoints that requests may go to. Inputs: the list or its changes, and the failures of
-// calls for it. Nothing is sent to an endpoint that is draining or removed; where the settings say that removal is not
+// watches of it. Nothing is sent to an endpoint that is draining or removed; where the settings say that removal is not
 // binding, a removed endpoint serves until an attempt on it fails. A new start time of an endpoint discards all that
 // was learned of its previous process, but for its attempts in flight. docs/design.md: "Candidates", "Polling the
 // list".
 
-// After a failed call for the list the next waits for a backoff that doubles between these parts of MaxPollInterval.
+// After a failed watch the next waits for a backoff that doubles from MaxPollInterval over minBackoffDivisor to
+// MaxPollInterval over maxBackoffDivisor.
 const (
-	minPollBackoffDivisor = 64
-	maxPollBackoffDivisor = 8
+	minBackoffDivisor = 64
+	maxBackoffDivisor = 8
 )
 
 // endpointTable holds all endpoints that were ever listed, the first by this node's rank first.
 type endpointTable struct {
-	all         []*endpoint
-	byID        map[EndpointID]*endpoint
-	pollBackoff time.Duration // the last one; 0 after a success
+	all          []*endpoint
+	byID         map[EndpointID]*endpoint
+	watchBackoff time.Duration // the last one; 0 after a success
 }
 
 func newEndpointTable() endpointTable {
@@ -49,13 +50,13 @@
 	slices.SortFunc(t.all, func(a, b *endpoint) int { return cmp.Compare(b.rank, a.rank) })
 }
 
-func (t *endpointTable) nextPollBackoff(maxInterval time.Duration) time.Duration {
-	t.pollBackoff = max(2*t.pollBackoff, maxInterval/minPollBackoffDivisor)
-	t.pollBackoff = min(t.pollBackoff, maxInterval/maxPollBackoffDivisor)
-	return t.pollBackoff
+func (t *endpointTable) nextWatchBackoff(maxInterval time.Duration) time.Duration {
+	t.watchBackoff = max(2*t.watchBackoff, maxInterval/minBackoffDivisor)
+	t.watchBackoff = min(t.watchBackoff, maxInterval/maxBackoffDivisor)
+	return t.watchBackoff
 }
 
-// updateEndpoint takes one line of the list.
+// updateEndpoint takes one entry of the list.
 func (b *Balancer) updateEndpoint(info EndpointInfo) {
 	ep := b.endpoints.byID[info.ID]
 	if ep == nil {
@@ -85,7 +86,7 @@
 }
 
 // reset forgets an earlier process of the endpoint. The credit for slow start begins at a random part of a request:
-// with none, hundreds of nodes that earn less than one request each would never send any, with a full one all would
+// with none, hundreds of nodes that gain less than one request each would never send any, with a full one all would
 // send theirs at once.
 func (ep *endpoint) reset(random *rand.Rand, classes int) {
 	*ep = endpoint{
--- a/policy/idleconns.go
+++ b/policy/idleconns.go
@@ -9,8 +9,8 @@
 // A connection that was idle for long may have been dropped unseen by something between this node and the endpoint;
 // what is sent on it is lost. Inputs: for how long a connection had been idle when an attempt on it was reset, or got
 // no answer in time, and messages of other nodes. internal/idletimeout learns from them for how long an idle connection
-// can be trusted; one that was idle for longer is closed before use. A connection that was used lately is never taken
-// for dead, nor one of an endpoint that has answered since, nor one of several where it is not known which it was.
+// can be trusted; one that was idle for longer is closed before use. Not taken for dead are a connection that was used
+// lately, one of an endpoint that has answered since, and one of several where it is not known which it was.
 // docs/design.md: "Idle connections".
 
 // minDeadIdleTime is the shortest idle time after which a connection may be taken for dead.
@@ -26,7 +26,7 @@
 func (b *Balancer) prepareConnection(now Time, ep *endpoint) time.Duration {
 	idleTime := time.Duration(0)
 	if ep.inFlight == 0 {
-		ep.silentSince = now
+		ep.lastActiveAt = now
 		idleTime = now.Sub(cmp.Or(ep.lastUsedAt, now))
 		if int64(idleTime) > b.idleConns.trusted.Limit {
 			idleTime = 0
@@ -83,7 +83,7 @@
 		return false
 	}
 	knownConnection := a.endpoint.maxInFlight <= b.settings.StreamsPerConnection
-	return a.idleTime >= minDeadIdleTime && !a.endpoint.answeredSince(a.sentAt) && knownConnection
+	return a.idleTime >= minDeadIdleTime && !a.endpoint.wasActiveAfter(a.sentAt) && knownConnection
 }
 
 // connectionDied takes a connection that was dead when used. Two in a row count, if none between lived about as long.
