--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -89,6 +89,11 @@
 	clientGone    bool          // the request was not written, as its client has gone
 }
 
+// isRequestFault reports a response that goes to the client without being a success (see isRequestFault of a status).
+func (r *attemptResult) isRequestFault() bool {
+	return r.outcome != policy.OutcomeSucceeded && r.response.status != 0
+}
+
 // attemptStage is how far an attempt has come.
 type attemptStage int
 
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -155,7 +155,8 @@
 	ended.neverRan = provesNotRun(result.outcome)
 	request.inFlight--
 	ended.cancel()
-	l.countAttempt(request, result)
+	l.passOnResponse(request, result)
+	l.node.counters.add(attemptCounter(result))
 	l.handle(request, func() { l.balancer.AttemptEnded(l.now, ended.resultFor(request, result)) })
 	l.release(request)
 }
@@ -169,18 +170,22 @@
 	return false
 }
 
-// countAttempt counts an attempt and answers the request if the attempt brought its answer: a success, or an error
-// that any endpoint would have answered.
-func (l *eventLoop) countAttempt(request *pendingRequest, result attemptResult) {
-	how := outcomeCounters[result.outcome]
+// passOnResponse answers the request if the attempt brought its answer: a success, or a request fault.
+func (l *eventLoop) passOnResponse(request *pendingRequest, result attemptResult) {
 	switch {
 	case result.outcome == policy.OutcomeSucceeded:
 		l.finish(request, requestsSucceeded, result.response)
-	case result.response.status != 0:
-		how = attemptsRequestFault
+	case result.isRequestFault():
 		l.finish(request, requestsFailed, result.response)
 	}
-	l.node.counters.add(how)
+}
+
+// attemptCounter is the counter of an attempt's end.
+func attemptCounter(result attemptResult) counter {
+	if result.isRequestFault() {
+		return attemptsRequestFault
+	}
+	return outcomeCounters[result.outcome]
 }
 
 // resultFor is the end of an attempt as the decisions see it. Time in which the client was slow to upload is not the
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -20,7 +20,6 @@
 	maxDatagramsPerInterval = 2000                   // read in readInterval
 	readInterval            = 100 * time.Millisecond // of the bound above
 	queryTimeout            = 500 * time.Millisecond
-	ticksPerRound           = 10 // as package members wants it
 )
 
 var (
@@ -80,7 +79,7 @@
 		return
 	}
 	go a.read()
-	ticks := time.NewTicker(time.Duration(a.config.RoundNs / ticksPerRound))
+	ticks := time.NewTicker(time.Duration(a.config.RoundNs / members.TicksPerRound))
 	defer ticks.Stop()
 	for {
 		select {
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -42,17 +42,39 @@
 func sourceEndpoint(e endpointEntry) endpointsource.Endpoint[endpointEntry] {
 	return endpointsource.Endpoint[endpointEntry]{
 		Name:        e.name,
-		State:       endpointsource.EndpointState(e.State),
+		State:       sourceState(e.State),
 		StartedAtNs: int64(e.StartedAt),
 		Value:       e,
 	}
 }
 
 func withSourceState(e endpointEntry, state endpointsource.EndpointState) endpointEntry {
-	e.State = policy.EndpointState(state)
+	e.State = stateFromSource(state)
 	return e
 }
 
+func sourceState(state policy.EndpointState) endpointsource.EndpointState {
+	switch state {
+	case policy.StateDraining:
+		return endpointsource.StateDraining
+	case policy.StateRemoved:
+		return endpointsource.StateRemoved
+	default:
+		return endpointsource.StateUp
+	}
+}
+
+func stateFromSource(state endpointsource.EndpointState) policy.EndpointState {
+	switch state {
+	case endpointsource.StateDraining:
+		return policy.StateDraining
+	case endpointsource.StateRemoved:
+		return policy.StateRemoved
+	default:
+		return policy.StateActive
+	}
+}
+
 // discoveryUpdated takes in an event of discovery's watch.
 func (n *Node) discoveryUpdated(entries []endpointEntry, version int64, complete bool) {
 	if n.relays == nil {
--- a/internal/nodestate/trust.go
+++ b/internal/nodestate/trust.go
@@ -30,7 +30,7 @@
 	Endpoints       []Endpoint // by name, draining ones included
 	Estimates       []byte     // nil: none
 	EstimatesWeight float64    // 0 to 1, by their age
-	NotTrusted      []string   // what is not used, and why
+	NotTrusted      []string   // what is not used, and why; the admin API shows these texts, so they stay
 }
 
 // Recover returns what a start at a time may use.
@@ -110,6 +110,10 @@
 }
 
 // overridesListed reports whether a drain or removal from before this start holds against an entry of an older list.
-func (e *Endpoint) overridesListed(entry *Endpoint) bool {
-	return e.State != Active && entry.State == Active && entry.StartedNs <= e.StartedNs && !e.listedSinceStart
+func (e *Endpoint) overridesListed(listed *Endpoint) bool {
+	withdrawn := e.State != Active
+	fromBeforeStart := !e.listedSinceStart
+	listedActive := listed.State == Active
+	restarted := listed.StartedNs > e.StartedNs
+	return withdrawn && fromBeforeStart && listedActive && !restarted
 }
