--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -10,8 +10,8 @@
 
 const soReusePort = 0xf // on Linux; package syscall lacks it
 
-// Listen opens a socket. Another process of the node may have the same address open during a hot restart; the system
-// then delivers each datagram to one of them.
+// Listen opens a socket. Another process of the node may have the same address open during a hot restart; each
+// sets SO_REUSEPORT, and the kernel picks which of them receives a datagram.
 func Listen(address string) (*net.UDPConn, error) {
 	config := net.ListenConfig{Control: reusePort}
 	socket, err := config.ListenPacket(context.Background(), "udp", address)
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -9,8 +9,9 @@
 // queue: so the call that waits longest is kept, unless discovery may never have received it.
 //
 // Gaps between calls: the second call comes after the first gap. The gaps after it are short for as long as most
-// outages last (14 s with a gap of 3 s), as a list binds 6 s after discovery could be reached and all calls may have
-// gone to a machine that has vanished. Then they double, as each call costs a slow discovery another turn.
+// outages last (14 s with a gap of 3 s): by the contract with discovery a change counts as known to the node 6 s after
+// discovery could be reached, and all calls may have gone to a machine that has vanished. Then they double, as each
+// call costs a slow discovery another turn.
 //
 // Times are nanoseconds of any one clock. A Pace is not safe for concurrent use.
 type Pace struct {
--- a/internal/endpointgossip/exchange.go
+++ b/internal/endpointgossip/exchange.go
@@ -4,17 +4,23 @@
 // The package has no I/O, clock or goroutine: the caller passes the time to each call, messages go out through a
 // Transport, and the same calls give the same lists. An Exchange is not safe for concurrent use.
 //
+// Two other packages exchange messages between nodes: package members which nodes are alive (it carries the messages of
+// this one), and package gossip those of the decisions.
+//
+// The terms: a list is watched if some node's own watch of discovery has sent it since that node started, and
+// remembered if it is only known from before a start (persisted, or configured). It is confirmed whenever a watch that
+// has sent it receives anything. A witness is a node whose own watch is up and that sends the list to this one.
+//
 // Which of two lists wins:
 //
 //   - An update of the node's own watch ends the use of gossiped lists.
-//   - A list that some node's watch has sent since that node started wins over one that is only remembered from before.
+//   - A watched list wins over a remembered one.
 //   - Of two such lists, or two remembered ones, the higher version wins. Two of the same version, or a remembered one
 //     with a higher version than a watched one, are merged with caution: more endpoints, more of them draining, later
 //     starts. So nodes come to the same list in whatever order responses come, unless lists of one version differ so
 //     much that together they leave less than half of the endpoints.
 //   - An endpoint that was known and is not on a newer list counts as draining, not as removed.
-//   - A list that leaves less than half of the endpoints that the node could use is accepted once two nodes send it
-//     whose own watches are up.
+//   - A list that leaves less than half of the endpoints that the node could use is accepted once it has two witnesses.
 //   - A list that was not confirmed within FreshForNs says which endpoints serve, not since when: endpoints that are new
 //     in it count as just started. Its age is counted from when the request went out.
 //
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,9 @@
 // Package gossip encodes the messages that the decisions of nodes send one another, and rejects received ones that are
 // invalid, old or repeated. What a message means is for package policy to decide.
 //
+// Two other packages exchange messages between nodes: package members which nodes are alive, and package endpointgossip
+// endpoint lists.
+//
 // A message is a version, a kind, the time when it was sent in Unix milliseconds, and the kind's numbers as varints;
 // together at most MaxMessageBytes.
 package gossip
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -2,6 +2,9 @@
 // with its start and incarnation. The protocol is SWIM (Das, Gupta and Motivala 2002) with local health awareness and
 // suspicion timeouts of Lifeguard (Dadgar, Phillips and Currey 2017); docs/design/members.md lists the differences.
 //
+// Its gossip is about the nodes themselves. Two other packages exchange messages between nodes: package gossip those of
+// the decisions, and package endpointgossip endpoint lists, as payloads of this one.
+//
 // The package has no I/O, clock or goroutine: the caller passes the time to each call, and the same calls give the same
 // view. A Members is not safe for concurrent use. No decision about requests or endpoints is made here, and nothing is
 // kept of a node that is not in Config.Nodes.
@@ -26,6 +29,7 @@
 )
 
 const (
+	// TicksPerRound is how often Tick is to be called in a round.
 	TicksPerRound = 10
 	maxNodes      = 4096
 )
@@ -42,7 +46,7 @@
 	RoundNs int64
 	// Seed is that of all random draws.
 	Seed uint64
-	// RunID tells this process from others of the same name.
+	// RunID distinguishes this process from others of the same name.
 	RunID uint32
 	// KnownStartsMs are the starts of other nodes, in milliseconds of their clocks by name, from an earlier run. May be
 	// nil.
@@ -92,7 +96,7 @@
 
 	// Another process of this name.
 	rivalRunID         uint32
-	rivalClaims        int    // incarnations above this node's
+	rivalClaims        int    // how often it has raised its incarnation above this node's
 	rivalIncarnation   uint64 // the highest bid
 	quietUntil         int64  // tick until which this process sends nothing
 	latestKnownStartMs uint64 // of earlier runs of this node, as other nodes know it
--- a/internal/members/refute.go
+++ b/internal/members/refute.go
@@ -1,11 +1,11 @@
 package members
 
 // Refutation: a node that is said to be suspect, dead or left sends a higher incarnation. Two processes of one name
-// show by outbidding each other again and again; the one with the higher run ID keeps the name, and the other sends
-// nothing for conflictQuietTicks.
+// (a name conflict) each raise their incarnation above the other's again and again. After conflictThreshold such claims
+// the one with the higher run ID keeps the name, and the other sends nothing for conflictQuietTicks.
 
 const (
-	conflictThreshold  = 3   // bids of a rival, or conflicting datagrams, that show a second process
+	conflictThreshold  = 3   // claims of another process, or conflicting datagrams, that show a second process
 	maxConflicts       = 250 // counted
 	conflictQuietTicks = 20 * TicksPerRound
 	conflictHalving    = 20 * TicksPerRound // after which counted conflicts are halved
@@ -32,7 +32,7 @@
 	m.incarnation = u.incarnation() + 1
 }
 
-// losesNameTo counts the bids of another process of this name, and reports whether this one yields to it.
+// losesNameTo counts the claims of another process of this name, and reports whether this one has to give up the name.
 func (m *Members) losesNameTo(u update) bool {
 	if m.rivalRunID != u.RunID {
 		m.rivalRunID, m.rivalClaims, m.rivalIncarnation = u.RunID, 0, 0
--- a/internal/members/state.go
+++ b/internal/members/state.go
@@ -17,6 +17,7 @@
 	Left    // has notified others that it ends
 )
 
+// stateNames are the names on the admin API, whose format they are part of.
 var stateNames = [...]string{"never seen", "up", "doubted", "silent", "left"}
 
 // String is the state's name in views and on consoles.
--- a/internal/members/suspicion.go
+++ b/internal/members/suspicion.go
@@ -10,7 +10,7 @@
 const (
 	maxConfirmations     = 3   // independent suspicions that shorten the timeout to its least
 	suspicionFactor      = 2.5 // rounds of the least timeout, for each factor of ten in the number of nodes
-	suspicionMaxMultiple = 3   // the timeout of a suspicion that nobody confirms, in least ones
+	suspicionMaxMultiple = 3   // the timeout of a suspicion that no other node confirms, in least ones
 )
 
 // suspicion is the state of one suspicion.
@@ -59,7 +59,7 @@
 	p.suspicion.ends = max(p.suspicion.began+int64(timeout), m.stalledUntil)
 }
 
-// raiseSuspicion takes in a probe that failed. While this node reaches nobody, the suspicion stays its own: others
+// raiseSuspicion takes in a probe that failed. While this node reaches no other node, the suspicion stays its own: others
 // would have to refute it for nothing once the network is back.
 func (m *Members) raiseSuspicion(now int64, i int) {
 	p := &m.peers[i]
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -104,8 +104,8 @@
 	return true
 }
 
-// serveWithSlot serves a connection once it has a slot, if need be in place of an idle one. Where none is idle it waits for a slot: a request
-// may already be written to this connection, so that it can't be closed without a response.
+// serveWithSlot serves a connection once it has a slot, if need be in place of an idle one. Where none is idle it waits
+// for a slot: a request may already be written to this connection, so that it can't be closed without a response.
 func (f *frontend) serveWithSlot(raw net.Conn) {
 	c := newClientConn(f, raw)
 	f.waitingForSlot.Add(1)
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -31,7 +31,7 @@
 	errAdminMalformed   = errors.New("a call that cannot be read")
 )
 
-// adminServer owns the admin API's listener and connections.
+// adminServer holds the admin API's listener and connections.
 type adminServer struct {
 	node     *Node
 	listener net.Listener // nil: no admin API
--- a/internal/node/bufferedconn.go
+++ b/internal/node/bufferedconn.go
@@ -145,7 +145,7 @@
 	return len(c.buffered()) == 0 && errors.Is(err, syscall.EAGAIN)
 }
 
-// hasInput reports whether the kernel holds bytes that nobody has read yet. It may be called beside a read.
+// hasInput reports whether the kernel holds bytes that have not been read yet. It may be called beside a read.
 func (c *bufferedConn) hasInput() bool {
 	n, err := sockstate.Peek(c.Conn)
 	return n > 0 && err == nil
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -33,16 +33,18 @@
 		// Sockets is how many file descriptors there are. Default 0: 1024.
 		Sockets int `json:"sockets"`
 	} `json:"limits"`
-	// Gossip is how nodes reach one another, where the settings allow messages between them.
+	// Gossip (key news) is how the decisions of nodes send messages to one another, where the settings allow messages
+	// between them.
 	Gossip struct {
 		// Listen is the address and port of the UDP socket. Default: empty, no gossip.
 		Listen string `json:"listen"`
 		// Peers are the addresses and ports of the nodes; this node's own may be among them. At most 4096.
 		Peers []string `json:"peers"`
 	} `json:"news"`
-	// AdminListen is the address and port of the admin API; $NODE_CONSOLE takes precedence. Default: empty, none.
+	// AdminListen (key console) is the address and port of the admin API; $NODE_CONSOLE takes precedence. Default:
+	// empty, none.
 	AdminListen string `json:"console"`
-	// KnownList is an endpoint list in discovery's form to start from. Default: none.
+	// KnownList (key known) is the initial endpoint list, in discovery's form. Default: none.
 	KnownList json.RawMessage `json:"known"`
 	// Settings are the platform's settings of the decisions. Required.
 	Settings json.RawMessage `json:"settings"`
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -59,14 +59,16 @@
 	}
 }
 
-// Reject answers a request that has not run; retryAfter goes to the client as Retry-After, 0: without one.
+// Reject answers with 503: the client may retry without harm, as the request has not run, or running it again is
+// harmless (policy.MayReject).
+// retryAfter goes to the client as Retry-After, 0: without one.
 func (l *eventLoop) Reject(id policy.RequestID, retryAfter time.Duration) {
 	if request := l.requests[id]; request != nil {
 		l.finish(request, requestsRejected, response{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
 	}
 }
 
-// Fail answers a request that may have run.
+// Fail answers with 502: the request may have run, and running it again may do harm.
 func (l *eventLoop) Fail(id policy.RequestID) {
 	if request := l.requests[id]; request != nil {
 		l.finish(request, requestsFailed, response{status: http.StatusBadGateway})
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -16,6 +16,9 @@
 // The watch of the endpoint list at discovery. A watch that has fallen silent is followed by a call at once, one that
 // failed by a call after a backoff, or sooner if the decisions ask for one: where the platform has nodes poll, they do
 // (policy.Effects.WatchEndpoints). Package discovery has the rules of the calls for one watch.
+//
+// By the contract with discovery a change of the list counts as known to a node 6 s after the node could have reached
+// discovery, whether or not it has called: "the list binds" from then on. The times below keep calls within that.
 
 const (
 	listConnectTimeout = time.Second
@@ -34,13 +37,13 @@
 	// maxPollGap bounds the time between calls where nodes poll: a list binds 6 s after discovery could be reached.
 	maxPollGap = 2 * time.Second
 	// maxOversizedBackoff bounds the time between calls for a list that is too long to be held: each costs discovery
-	// the whole list.
+	// the complete list.
 	maxOversizedBackoff = 4 * time.Second
 )
 
 var errWatchPanicked = errors.New("panic")
 
-// endpointWatch owns the connection to discovery. Fields without a mutex belong to run's goroutine.
+// endpointWatch holds the connection to discovery. Fields without a mutex belong to run's goroutine.
 type endpointWatch struct {
 	node             *Node
 	version          int64         // of the list; the next call asks for what came after it
@@ -81,7 +84,7 @@
 }
 
 // move leaves the address for another at once. Versions of different addresses can't be compared, so the next call
-// asks for the whole list.
+// asks for the complete list.
 func (w *endpointWatch) move(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -159,7 +162,7 @@
 	w.requestCall()
 }
 
-// backoff takes in why a watch has failed, and tells how long to wait before the next call.
+// backoff takes in why a watch has failed, and returns how long to wait before the next call.
 func (w *endpointWatch) backoff(opened bool, err error, lasted time.Duration) time.Duration {
 	var tooLong *endpointlist.TooLongError
 	oversized := errors.As(err, &tooLong)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -2,6 +2,12 @@
 
 // The client side: the listener and the set of client connections, with the limits of their number. Accepting is in
 // accept.go, the choice of connections to close in evict.go, one connection in clientconn.go.
+//
+// Lent slots. The node's descriptors are divided between clients and upstreams (limits.go). Each attempt has a client
+// that waits for it, so where the upstreams' part is used up an attempt may have the descriptor of an idle client:
+// upstreams.waitForSlot asks lendSlot, which lends a free slot, or has idle clients closed (evict.go) and has the
+// attempt ask again. At most maxLentSlots are lent. They are given back by upstreams.trimIdleLocked once upstreams have
+// fewer connections again.
 
 import (
 	"fmt"
@@ -77,7 +83,7 @@
 
 // crowdedLocked reports that many clients hold connections which they have used. Guards against clients that ask once
 // and keep their connection: the load balancers in front of a node hold only so many to it, and with all of them idle
-// nobody else could ask.
+// no other client could ask.
 func (f *frontend) crowdedLocked() bool { return int(f.usedConns.Load()) >= f.crowdedAt }
 
 // slotOffer is the answer to an attempt that needs the slot of a client.
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -21,7 +21,7 @@
 	maxGossipOutbox = 64 // messages that wait to be sent; more are dropped
 )
 
-// gossiper owns the socket for gossip. Without a socket nothing is sent or received.
+// gossiper holds the socket for gossip. Without a socket nothing is sent or received.
 type gossiper struct {
 	node   *Node
 	socket *net.UDPConn           // nil: no gossip
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -1,7 +1,7 @@
 package node
 
-// Health checks: one short request to an endpoint for its load report, outside any client's request. A health check is
-// never repeated here; the decisions ask for the next.
+// Health checks. A health check only reads an endpoint's load report, with one short request outside any client's
+// request; no other test of health is made. It is not repeated here: the decisions ask for the next.
 
 import (
 	"errors"
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -19,10 +19,17 @@
 // once it serves. Until one of them has ended each has half of the limits. If the successor ends first, the
 // predecessor takes new connections again. A start never waits longer than hotRestartTimeout for the other process:
 // one that does not answer in time, or not correctly, is ignored.
+//
+// Both processes have the node's ports open at once:
+//
+//   - The listener for clients is one socket, whose descriptor both inherit from the platform (NODE_INHERITED_FD). One
+//     process at a time accepts from it.
+//   - The UDP sockets of gossip and membership are bound by each process with SO_REUSEPORT (package datagram).
+//   - The admin API has an address of its own in each process, set by NODE_CONSOLE: the second can't bind the same.
 
 const acceptRetryInterval = 5 * time.Millisecond
 
-// hotRestart owns the socket that a successor connects to and the connections to the node's other process.
+// hotRestart holds the socket that a successor connects to and the connections to the node's other process.
 type hotRestart struct {
 	node *Node
 	path string
@@ -90,7 +97,7 @@
 	h.open()
 }
 
-// awaitPredecessorEnd takes the whole limits once the predecessor has ended.
+// awaitPredecessorEnd takes the full limits once the predecessor has ended.
 func (h *hotRestart) awaitPredecessorEnd(predecessor net.Conn) {
 	awaitClose(predecessor)
 	predecessor.Close()
@@ -197,7 +204,7 @@
 	awaitClose(in)
 }
 
-// successorEnded takes the whole limits and new connections again, also while this process is shutting down: there is
+// successorEnded takes the full limits and new connections again, also while this process is shutting down: there is
 // no other that would.
 func (h *hotRestart) successorEnded() {
 	h.mu.Lock()
--- a/internal/node/hotrestartproto.go
+++ b/internal/node/hotrestartproto.go
@@ -15,8 +15,8 @@
 
 // The protocol between a node's two processes at a hot restart, over a Unix socket that only the node's user may open.
 // The successor connects and sends a restartHello as one line of JSON; the predecessor answers with a restartState as
-// another. The successor sends readyMessage once it serves. From then on the connection carries nothing: its end tells
-// either process that the other has ended.
+// another. The successor sends readyMessage once it serves. From then on the connection carries nothing: its end means
+// to either process that the other has ended.
 
 const (
 	hotRestartVersion = 2
@@ -93,7 +93,7 @@
 	return own.check(other)
 }
 
-// awaitReady waits, for as long as the connection stands, until the successor serves.
+// awaitReady waits, for as long as the connection is open, until the successor serves.
 func awaitReady(c net.Conn, in *bufio.Reader) error {
 	c.SetDeadline(time.Time{})
 	line, err := readLine(in, len(readyMessage))
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -9,7 +9,7 @@
 
 // Which endpoint list the node starts from: the predecessor's at a hot restart, else the newer of the configuration's
 // and the persisted one. Of an older list in the configuration only endpoints are added that the persisted one lacks.
-// The watch asks for the whole list, unless the node starts from the configuration's.
+// The watch asks for the complete list, unless the node starts from the configuration's.
 
 // listUpdate is an endpoint list, or what has changed in one.
 type listUpdate struct {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -6,7 +6,8 @@
 )
 
 // How a node's file descriptors and memory are divided. Config.Limits holds for the node, so while a hot restart has
-// two processes running each takes half. The shares are one in so many.
+// two processes running each takes half. A Divisor
+// constant gives one in so many of an amount, a Percent constant so many hundredths of it.
 const (
 	defaultDescriptors = 1024
 	minDescriptors     = 32 // with fewer a node can't serve
@@ -24,7 +25,7 @@
 	garbagePercent    = 400 // the heap is small, its collection takes time from requests
 	bytesPerMiB       = 1 << 20
 	minOwnDescriptors = 4 // beside half of the descriptors, where those are few
-	lentSlotDivisor   = 2
+	lentSlotDivisor   = 2 // of what clients have more than upstreams, for slots that may be lent (frontend.go)
 )
 
 // divideLimits sets the limits of connections and memory. It is called at the start, and whenever the node's other
@@ -49,7 +50,7 @@
 	n.upstreams.setLimit(toUpstreams)
 	n.admin.setLimit(admin)
 	n.frontend.setLimits(toClients, spare, total/activeClientDivisor)
-	// Each attempt has a client that waits for it, so idle clients' descriptors can be lent to upstreams.
+	// frontend.go has the rule of lent slots.
 	n.frontend.maxLentSlots.Store(int64(toClients-toUpstreams) / lentSlotDivisor)
 }
 
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -39,8 +39,8 @@
 	s.exchange = endpointgossip.New(seed, transport, now, initial.version, endpoints, initial.watchResumes)
 }
 
-// primaryListUpdated takes in an update of the node's own list and posts it. If the node went by a gossiped list, the whole
-// own list is posted.
+// primaryListUpdated takes in an update of the list from discovery or relays and posts it. If the node went by a
+// gossiped list, that list is posted completely.
 func (s *listGossip) primaryListUpdated(update listUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -2,7 +2,21 @@
 
 // The names that the protocol uses on sockets: headers, paths, states and the status codes' meaning. They are mapped to
 // the terms of the code here and nowhere else in this package; the field names of an endpoint list are in
-// internal/endpointlist.
+// internal/endpointlist. The wire has its own words for what the code calls by the field's terms:
+//
+//	header, cookie         meaning                                    field of policy.Request
+//	X-Txn                  identifies the request                     ID
+//	X-Lane                 class; "category" in error texts           Class
+//	X-Org                  tenant; "customer" in error texts          Tenant
+//	X-Remaining-Ms         time until the deadline, milliseconds      Deadline
+//	X-Resent               the client has sent the request before     ClientRetry
+//	X-Estimate             expected work at an endpoint               CostHint
+//	cookie "key"           what the request concerns                  Key
+//	X-Pressure             load report, in responses                  (policy.LoadReport)
+//	X-Turned-Away          the request was rejected, in responses     (policy.OutcomeRejected)
+//
+// In the settings classes are "profiles" and tenants "parties"; a pod is "cell" or "block". Error texts for clients keep
+// the wire's words, as clients may match them.
 
 import (
 	"errors"
@@ -88,8 +102,8 @@
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", pathLoad, address)
 }
 
-// isRequestFault reports a status that finds fault with the request itself. Any endpoint would, so it is the request's
-// response and says nothing about the endpoint.
+// isRequestFault reports a status that finds fault with the request itself. Any endpoint would, so the response is
+// passed on to the client and says nothing about the endpoint.
 func isRequestFault(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
@@ -98,8 +112,10 @@
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError
 }
 
-// outcomeOf maps the head of a complete response to its outcome. A rejection is proof that the request did not run, and
-// needs its header besides the status.
+// outcomeOf maps the head of a complete response to its outcome, as the protocol defines it: 200 is the only success,
+// any other 2xx and a 3xx are errors. A rejection is proof that the request did not run, and needs its header besides
+// the status. A request fault was sent and answered, but counts as OutcomeNotSent: the decisions are to draw no
+// conclusion about the endpoint from it.
 func outcomeOf(status int, h http.Header) policy.Outcome {
 	unavailable := status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 	switch {
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -19,7 +19,8 @@
 )
 
 // Overrides are what operators have set by hand: endpoints that are disabled, and whether the node is drained. They
-// outlive processes in one file, which both processes of a hot restart read and replace. A change is confirmed to the
+// outlive processes in one file, which both processes of a hot restart read and replace. Its name ends with .orders, as
+// in earlier builds, whose overrides are so kept at an upgrade. A change is confirmed to the
 // operator only once it is in the file. Attempts obey it from then on; the decisions see it as soon as the loop comes
 // to it, as an endpoint that is draining.
 
@@ -94,7 +95,7 @@
 	}
 }
 
-// overrides owns the file and the current set. Its methods are safe for concurrent use unless they say otherwise.
+// overrides holds the file's path and the current set. Its methods are safe for concurrent use unless they say otherwise.
 type overrides struct {
 	node *Node
 	path string
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -24,12 +24,12 @@
 	estimatesInterval = 5 * time.Second       // between writes of the estimates
 	reopenInterval    = 5 * time.Second       // between attempts to open a store that failed
 	lastWriteTimeout  = time.Second           // at shutdown
-	storeDir          = "memory"
+	storeDir          = "memory"              // as earlier builds named it, whose state is there
 )
 
 var errOpenTimeout = fmt.Errorf("not open within %v", openTimeout)
 
-// persistence owns the persisted state and its store. It is nil where the node has no state directory; its methods
+// persistence holds the persisted state and its store. It is nil where the node has no state directory; its methods
 // may then be called all the same.
 type persistence struct {
 	node *Node
@@ -69,7 +69,7 @@
 	}
 	opened, err := p.openInTime()
 	if err != nil {
-		p.recordError("no memory of before", err)
+		p.recordError("no memory of before", err) // the admin API shows this text, so it stays
 		opened.state = nodestate.Load(func(func(string, []byte)) {})
 	}
 	now := n.clock.nanos()
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -15,7 +15,7 @@
 // Signals subscribes to the signals that Run handles. It is to be called early: a SIGTERM before the call ends the
 // process even if connections already wait in the listener's backlog.
 func Signals() chan os.Signal {
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more is no reason to end
+	signal.Ignore(syscall.SIGPIPE) // a log that is no longer read is no reason to end
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	return signals
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -7,23 +7,30 @@
 
 // Graceful shutdown after SIGTERM or SIGINT, in order:
 //
-//  1. The node reports itself as not ready, notifies the other members, and tells clients with each answer that their
-//     connection ends. It still accepts connections and requests for acceptAfterTerm, as load balancers need that long.
+//  1. The node reports itself as not ready, notifies the other members, and announces to clients with each answer that
+//     their connection ends. It still accepts connections and requests for acceptAfterTerm, as load balancers need that
+//     long.
 //  2. The listener is closed once its backlog is drained, idle client connections are closed, and requests in flight
 //     run on, with retries, until they have their answers.
 //  3. answerMargin before the platform may kill the process, each request without an answer gets one: rejected if no
 //     attempt may have run or if the class is idempotent, failed otherwise (eventLoop.giveUpAll).
-//  4. exitMargin before that moment, streams that still flow are cut off, state is written, and the process ends.
+//  4. exitMargin before that moment, streams that still flow are cut off. Then state is written, and the process ends.
 //
-// The platform kills the process no sooner than killDelay after the longest deadline, which counts as maxDrain at most.
+// The platform is whoever runs the process: it sends SIGTERM and, if the process has not ended by then, SIGKILL. By the
+// deployment's contract SIGKILL comes no sooner than killDelay after the longest deadline of the settings, which counts
+// as maxDrain at most. The answers to clients keep to this bound. The last write of state does not: it may take up to
+// lastWriteTimeout, which is longer than exitMargin. If SIGKILL comes first, the batch that is being written is lost;
+// the next start finds the state as of the batch before.
 const (
-	acceptAfterTerm         = 450 * time.Millisecond
+	// Of the deployment's contract.
+	maxDrain  = 3 * time.Second
+	killDelay = 700 * time.Millisecond
+
+	acceptAfterTerm         = 450 * time.Millisecond // until load balancers have seen that the node is not ready
 	acceptAfterTermReplaced = 700 * time.Millisecond // a successor takes new connections; idle ones here stay so long
-	maxDrain                = 3 * time.Second
-	killDelay               = 700 * time.Millisecond
-	answerMargin            = 150 * time.Millisecond
-	exitMargin              = 40 * time.Millisecond
-	clientPollInterval      = 10 * time.Millisecond
+	answerMargin            = 150 * time.Millisecond // before SIGKILL, for the last answers to reach their clients
+	exitMargin              = 40 * time.Millisecond  // before SIGKILL, to reset streams and end the process
+	clientPollInterval      = 10 * time.Millisecond  // between looks at whether clients are left
 )
 
 // beginShutdown starts the graceful shutdown; the channel is closed when clients have their answers.
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// extraInputCooldown is how long a connection rests after a response that may come a second time, as some do some
-	// milliseconds later: nothing in it says whose it is, and the next request on that connection would be answered
-	// with it, or sent again because it says that the request never ran.
+	// extraInputCooldown is how long a connection is not used again after a response that may come twice. Guards
+	// against response desynchronization: some upstreams send a duplicate some milliseconds later, and on a kept
+	// connection it would be taken for the response to the next request.
 	extraInputCooldown = 8 * time.Millisecond
-	extraInputWindow   = time.Minute          // for so long all rest once a connection has brought more than its response
+	extraInputWindow   = time.Minute          // after input beyond a response, all have a cooldown
 	lentSlotPoll       = 2 * time.Millisecond // between looks for the slot of a client that has been asked to leave
 )
 
@@ -168,10 +168,9 @@
 	}
 }
 
-// takeIdle takes the connection that was used last, so that the others may expire. One that still rests after a
-// response that may come again is skipped. All rest once more than a response has come within extraInputWindow; opening
-// another connection instead costs more than a rest, so otherwise only those rest whose last response was a
-// rejection.
+// takeIdle takes the connection that was used last, so that the others may expire. One in its cooldown is skipped. All
+// connections have a cooldown if extra input has come within extraInputWindow. Otherwise only those have one whose last
+// response was a rejection, as opening another connection costs more than the wait.
 func (u *upstreams) takeIdle(target upstreamTarget) *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -197,8 +196,8 @@
 	}
 }
 
-// waitForSlot reserves a slot for a connection, up to lendTimeout in place of an idle client. It returns
-// errNoConnectionSlot if there is none.
+// waitForSlot reserves a slot for a connection, if need be one that the frontend lends (frontend.go), within
+// lendTimeout. It returns errNoConnectionSlot if there is none.
 func (u *upstreams) waitForSlot(a *attempt) error {
 	giveUp := time.Now().Add(lendTimeout)
 	for !u.reserveSlot() {
--- a/internal/nodestate/state.go
+++ b/internal/nodestate/state.go
@@ -77,10 +77,10 @@
 
 // State is the persisted state of one node.
 type State struct {
-	beforeStart header // before this start
+	beforeStart header // as found in the store
 	olderCopy   bool   // other nodes know a later start of this node
 
-	current      header
+	current      header               // with what this process has recorded
 	endpoints    map[string]*Endpoint // by name
 	estimates    savedEstimates
 	memberStarts map[string]uint64 // of other nodes by name, milliseconds of their clocks
@@ -157,7 +157,7 @@
 		return
 	}
 	entry.ListedAt, entry.Version = now, version
-	entry.listedSinceStart = true // not told by ListedAt, as the clock may have gone back
+	entry.listedSinceStart = true // not derived from ListedAt, as the clock may have gone back
 	s.endpoints[entry.Name] = &entry
 	s.changed[endpointPrefix+entry.Name] = true
 }
