--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				return
 			}
-			go func() { io.Copy(c, c); c.Close() }()
+			go func() { _, _ = io.Copy(c, c); c.Close() }()
 		}
 	}()
 	return l.Addr().String()
@@ -40,7 +40,7 @@
 	return netfault.Fault{Kind: t, From: []netfault.End{node}, To: []netfault.End{server}, Begin: 0, End: 1 << 62, Seed: 1}
 }
 
-func set(b *Board, s *Stream, want state, faults ...netfault.Fault) {
+func set(b *Proxies, s *Stream, want state, faults ...netfault.Fault) {
 	b.Set(netfault.New(faults))
 	for {
 		s.mu.Lock()
@@ -68,7 +68,7 @@
 
 func TestAStreamIsCutMendedAndRefused(t *testing.T) {
 	begin := time.Now()
-	b := NewBoard(func() int64 { return int64(time.Since(begin)) })
+	b := NewProxies(func() int64 { return int64(time.Since(begin)) })
 	defer b.Close()
 	s, err := NewStream(b, "127.0.0.1:0", node, server, func() string { return at })
 	if at = echo(t); err != nil {
@@ -86,7 +86,7 @@
 		if c, err = net.Dial("tcp", s.Address()); err != nil {
 			t.Fatal(err)
 		}
-		ask(c, 5*time.Second)
+		_ = ask(c, 5*time.Second)
 		f := fault(netfault.Cut)
 		f.OneWay = oneWay
 		set(b, s, cut, f)
@@ -114,7 +114,7 @@
 // TestAStreamKeepsItsBytes has loss, delay and a narrow way at once: all comes, in order.
 func TestAStreamKeepsItsBytes(t *testing.T) {
 	begin := time.Now()
-	b := NewBoard(func() int64 { return int64(time.Since(begin)) })
+	b := NewProxies(func() int64 { return int64(time.Since(begin)) })
 	defer b.Close()
 	to := echo(t)
 	s, err := NewStream(b, "127.0.0.1:0", node, server, func() string { return to })
@@ -132,7 +132,7 @@
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
 	go func() {
 		for rest := sent; len(rest) > 0; rest = rest[min(4096, len(rest)):] {
-			c.Write(rest[:min(4096, len(rest))])
+			_, _ = c.Write(rest[:min(4096, len(rest))])
 		}
 		c.(*net.TCPConn).CloseWrite()
 	}()
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -31,7 +31,7 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if path, err := program(); err == nil {
-		os.RemoveAll(filepath.Dir(path))
+		_ = os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		p.Close()
+		_ = p.Close()
 		if strings.Contains(log.String(), "panic stopped") || t.Failed() {
 			t.Error("logs of the nodes: ", log.String())
 		}
@@ -79,7 +79,7 @@
 	for _, c := range Cases {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			if err := c.Play(processes(t, c.Nodes)); err != nil {
+			if err := c.Run(processes(t, c.Nodes)); err != nil {
 				t.Error(err)
 			}
 		})
@@ -107,12 +107,12 @@
 	if err != nil {
 		t.Error(err)
 	}
-	if err := Hold(p, calm, "the others lose nobody", neverSilent([]int{0, 1, 3, 4}, []int{0, 1, 3, 4})); err != nil {
+	if err := Hold(p, calm, "the others lose nobody", neverFailed([]int{0, 1, 3, 4}, []int{0, 1, 3, 4})); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestAPeerThatSendsNonsense has ten thousand datagrams a second come to one node, of all lengths and some that begin well: tasks are
+// TestAPeerThatSendsNonsense has ten thousand datagrams a second come to one node, of all lengths and some that begin well: requests are
 // answered as before, and nobody is taken for silent.
 func TestAPeerThatSendsNonsense(t *testing.T) {
 	p := processes(t, 4)
@@ -146,18 +146,18 @@
 			}
 			for range 10 {
 				buffer[0] = byte(1 + sent%4)
-				to.Write(buffer[:draw.IntN(len(buffer))])
+				_, _ = to.Write(buffer[:draw.IntN(len(buffer))])
 				sent++
 			}
 		}
 	}()
 	for n := range 200 {
-		if err := p.Task(0, n); err != nil {
+		if err := p.SendRequest(0, n); err != nil {
 			t.Errorf("task %d: %v", n, err)
 			break
 		}
 	}
-	err = Hold(p, 2*calm, "nobody is taken for silent", neverSilent(Numbers(0, 4), Numbers(0, 4)))
+	err = Hold(p, 2*calm, "nobody is taken for silent", neverFailed(Numbers(0, 4), Numbers(0, 4)))
 	close(over)
 	if sent := <-done; err != nil {
 		t.Error(err)
@@ -170,7 +170,7 @@
 func TestTheCommandShowsAView(t *testing.T) {
 	p := processes(t, 3)
 	p.Key = strings.Repeat("5a", 16)
-	if err := first(startAll(p), do(func() { p.Kill(2) }), until(p, notice, "the others know", Agree([]int{0, 1}, without(2)))); err != nil {
+	if err := inOrder(startAll(p), do(func() { p.Kill(2) }), until(p, notice, "the others know", Agree([]int{0, 1}, without(2)))); err != nil {
 		t.Fatal(err)
 	}
 	show := func(args ...string) string {
@@ -214,5 +214,5 @@
 	if err != nil {
 		t.Fatal("the address is taken: ", err)
 	}
-	l.Close()
+	_ = l.Close()
 }
