--- a/cmd/fawnglade-lab/main.go
+++ b/cmd/fawnglade-lab/main.go
@@ -1,5 +1,5 @@
-// Fawnglade-lab emulates the platform around fawnglade nodes: it plays scenarios with faults, on sockets or in virtual time, and
-// judges the nodes by them. Each command has a file; program.go finds the node under test.
+// Fawnglade-lab emulates the platform around fawnglade nodes: it plays scenarios with faults, on sockets or in virtual
+// time, and judges the nodes by them. Each command has a file; program.go finds the node under test.
 package main
 
 import (
--- a/cmd/fawnglade-lab/program.go
+++ b/cmd/fawnglade-lab/program.go
@@ -20,8 +20,8 @@
 // relayProxy is the kind of proxy that reads nothing of what it passes on, as a base for a node's cost.
 const relayProxy = "relay"
 
-// nodeCommand returns the command line of the node under test: the given one, else the program beside this one, in bin/, or on
-// the path.
+// nodeCommand returns the command line of the node under test: the given one, else the program beside this one, in
+// bin/, or on the path.
 func nodeCommand(given string) ([]string, error) {
 	if given != "" {
 		return parseCommand(given)
@@ -40,8 +40,8 @@
 	return nil, errors.New("no node found beside this program, in bin/ or on the path: build it with make build or give --node")
 }
 
-// parseCommand returns the command line of what a user calls a node: plain:KIND for a built-in proxy, the path of a node's
-// program, or a whole command line.
+// parseCommand returns the command line of what a user calls a node: plain:KIND for a built-in proxy, the path of a
+// node's program, or a whole command line.
 func parseCommand(text string) ([]string, error) {
 	if kind, plain := strings.CutPrefix(text, "plain:"); plain {
 		return proxyCommand(text, kind)
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline implements well-known load balancing policies as deciders for runs in virtual time, to compare the decisions
-// with. They keep the same rules on retries, draining endpoints and slow start, and differ in how they select an endpoint. Two of
-// them read the true state of the cluster, which no node can.
+// Package baseline implements well-known load balancing policies as deciders for runs in virtual time, to compare the
+// decisions with. They keep the same rules on retries, draining endpoints and slow start, and differ in how they select
+// an endpoint. Two of them read the true state of the cluster, which no node can.
 package baseline
 
 import (
@@ -191,8 +191,9 @@
 	d.effects.Send(r.ID, e.ID, r.Deadline.Sub(now))
 }
 
-// candidates returns the endpoints that a request may go to now: none after its deadline, with its attempts used up, or if it is
-// not idempotent and may have run. The endpoint of the last attempt is left out, those in slow start are drawn.
+// candidates returns the endpoints that a request may go to now: none after its deadline, with its attempts used up, or
+// if it is not idempotent and may have run. The endpoint of the last attempt is left out, those in slow start are
+// drawn.
 func (d *Decider) candidates(now policy.Time, r *request, class *policy.Class) []*endpoint {
 	if now >= r.Deadline || len(r.attempts) >= d.settings.MaxAttempts {
 		return nil
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A comparison with a baseline that violates invariants says nothing; in a calm run each has to serve nearly all requests.
+// A comparison with a baseline that violates invariants says nothing; in a calm run each has to serve nearly all
+// requests.
 func TestBaselinesKeepInvariants(t *testing.T) {
 	for _, name := range []string{"calm", "drained", "nodes-killed", "replaced"} {
 		s, err := scenario.Read("../../../lab/scenarios/" + name + ".toml")
--- a/internal/lab/baseline/hotcold.go
+++ b/internal/lab/baseline/hotcold.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// hotCold keeps a small pool of recent load reports. Endpoints above a quantile of reported load are hot; it selects the quickest
-// that is not hot, and a hot one only if there is no other.
+// hotCold keeps a small pool of recent load reports. Endpoints above a quantile of reported load are hot; it selects
+// the quickest that is not hot, and a hot one only if there is no other.
 
 const (
 	maxPooledReports = 16
@@ -37,7 +37,8 @@
 	}
 }
 
-// pickHotCold selects from the pool, at random while it has fewer than two reports. A report is used once, against herding.
+// pickHotCold selects from the pool, at random while it has fewer than two reports. A report is used once, against
+// herding.
 func (d *Decider) pickHotCold(now policy.Time, candidates []*endpoint) *endpoint {
 	for len(d.reports) > 0 && now-d.reports[0].at > maxReportAge {
 		d.reports = d.reports[1:]
--- a/internal/lab/baseline/truestate.go
+++ b/internal/lab/baseline/truestate.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// allSeeing and lateSeeing read the true state of all endpoints, now or half a second ago. They tell how much a policy could gain.
+// allSeeing and lateSeeing read the true state of all endpoints, now or half a second ago. They tell how much a policy
+// could gain.
 
 const (
 	snapshotPeriod = policy.Time(time.Second / 4)
@@ -54,8 +55,8 @@
 	return best
 }
 
-// pickLateSeeing draws by how soon each would end by an old state: many nodes that all took the best of one and the same state
-// would overload it.
+// pickLateSeeing draws by how soon each would end by an old state: many nodes that all took the best of one and the
+// same state would overload it.
 func (d *Decider) pickLateSeeing(now policy.Time, r *request, candidates []*endpoint) *endpoint {
 	var chances []float64
 	sum := 0.0
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// lateLoad is the state of an endpoint in the oldest snapshot, with the own attempts since; any is idle before the first.
+// lateLoad is the state of an endpoint in the oldest snapshot, with the own attempts since; any is idle before the
+// first.
 func (d *Decider) lateLoad(e *endpoint) (load trueLoad, up bool) {
 	if len(d.snapshots) == 0 {
 		return trueLoad{capacity: 1e9}, true
--- a/internal/lab/distsim/hollownodes.go
+++ b/internal/lab/distsim/hollownodes.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 )
 
-// Hollow nodes run the node's own subscriber and client, without requests. Each notes what it received and when; the verdict is
-// made elsewhere.
+// Hollow nodes run the node's own subscriber and client, without requests. Each notes what it received and when; the
+// verdict is made elsewhere.
 
 // delivery is one change that came to a node.
 type delivery struct {
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -32,9 +32,9 @@
 	classConfiguration: distribution.ClassConfiguration,
 }
 
-// Origin is the origin's process: the module's origin behind the server that relays connect to. In place of endpoint sources it
-// reads its input, so that the run knows when each change was made: the first line is a Size, every other a list of changes. Each
-// line is replied to. It ends with its input.
+// Origin is the origin's process: the module's origin behind the server that relays connect to. In place of endpoint
+// sources it reads its input, so that the run knows when each change was made: the first line is a Size, every other a
+// list of changes. Each line is replied to. It ends with its input.
 func Origin(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxRequestBytes)
--- a/internal/lab/distsim/phases.go
+++ b/internal/lab/distsim/phases.go
@@ -13,7 +13,8 @@
 	afterZoneLoss    = 5 * time.Second
 	completePoll     = 50 * time.Millisecond
 	completeTimeouts = 3 // times Size.SettleTimeout, until nodes are complete
-	// emptyRelayTime leaves nodes time to come to a relay that holds nothing, and is less than makes a relay leave its upstream.
+	// emptyRelayTime leaves nodes time to come to a relay that holds nothing, and is less than makes a relay leave its
+	// upstream.
 	emptyRelayTime = 1200 * time.Millisecond
 )
 
@@ -87,8 +88,8 @@
 	}
 }
 
-// startEmptyRelay starts a relay and kills another, so that nodes come to the first while it holds nothing: its upstreams are frozen
-// for a moment.
+// startEmptyRelay starts a relay and kills another, so that nodes come to the first while it holds nothing: its
+// upstreams are frozen for a moment.
 func (r *run) startEmptyRelay(empty, killed *relayProcess) error {
 	for _, upper := range r.processes.upper {
 		upper.freeze()
@@ -279,8 +280,8 @@
 	return r.waitUntilComplete(ctx, figures, nodes, from)
 }
 
-// waitUntilComplete waits until nodes have been complete once, and no longer than completeTimeouts: the verdict names those that
-// are not.
+// waitUntilComplete waits until nodes have been complete once, and no longer than completeTimeouts: the verdict names
+// those that are not.
 func (r *run) waitUntilComplete(ctx context.Context, figures *Phase, nodes []*hollowNode, from int64) error {
 	timeout := int64(completeTimeouts * r.size.SettleTimeout)
 	for {
--- a/internal/lab/distsim/records.go
+++ b/internal/lab/distsim/records.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// The records of a run, as they follow from its size: their scopes, keys and bodies. The last field of each body is the number of
-// the change that made it.
+// The records of a run, as they follow from its size: their scopes, keys and bodies. The last field of each body is the
+// number of the change that made it.
 
 // Classes of records, as changes name them.
 const (
--- a/internal/lab/distsim/resources.go
+++ b/internal/lab/distsim/resources.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// What processes and the machine use, by the system's account. A figure that cannot be read is 0: the process has ended.
+// What processes and the machine use, by the system's account. A figure that cannot be read is 0: the process has
+// ended.
 
 // ticksPerSecond is the unit of processor time in /proc: USER_HZ.
 const ticksPerSecond = 100
--- a/internal/lab/distsim/run.go
+++ b/internal/lab/distsim/run.go
@@ -15,7 +15,8 @@
 const (
 	maxRunTime  = 230 * time.Second
 	worstWindow = 10 // seconds, over which the worst rate to a node is taken
-	// gcPercent while a run plays: most of what this process holds lives long, and the usual heap would be half garbage.
+	// gcPercent while a run plays: most of what this process holds lives long, and the usual heap would be half
+	// garbage.
 	gcPercent = 40
 )
 
@@ -54,8 +55,8 @@
 	return r
 }
 
-// Play plays a run, and calls logf with lines of progress. If a phase cannot be played, it returns the result so far beside the
-// error; the result is nil if no phase could begin.
+// Play plays a run, and calls logf with lines of progress. If a phase cannot be played, it returns the result so far
+// beside the error; the result is nil if no phase could begin.
 func Play(ctx context.Context, size Size, programs Programs, logf func(format string, args ...any)) (result *Result, err error) {
 	if err := size.Check(); err != nil {
 		return nil, err
--- a/internal/lab/distsim/size.go
+++ b/internal/lab/distsim/size.go
@@ -1,7 +1,7 @@
-// Package distsim runs the distribution tree on one machine: an origin, relays in two levels as processes, and hollow nodes over TCP
-// on loopback, through phases with ordinary changes, faults and mass starts. After each phase the records of every hollow node are
-// compared with what the run itself changed, never with what a relay or a node says. All addresses are in 127.0.0.0/8, and no
-// process outlives a run.
+// Package distsim runs the distribution tree on one machine: an origin, relays in two levels as processes, and hollow
+// nodes over TCP on loopback, through phases with ordinary changes, faults and mass starts. After each phase the
+// records of every hollow node are compared with what the run itself changed, never with what a relay or a node says.
+// All addresses are in 127.0.0.0/8, and no process outlives a run.
 package distsim
 
 import (
@@ -42,7 +42,8 @@
 	daySeconds                 = 86_400.0
 )
 
-// Full is the design size on one machine, where a node follows a part of the routes and tenants, as all do not fit into memory.
+// Full is the design size on one machine, where a node follows a part of the routes and tenants, as all do not fit into
+// memory.
 func Full() Size {
 	return Size{
 		Nodes: 5300, Regions: 10, Zones: 31, UpperRelays: 3, LowerRelays: 15,
@@ -85,7 +86,8 @@
 
 func (s Size) sharedRecords() int { return (s.Routes + s.Tenants) * s.SharedServices / s.Services }
 
-// relayGroups is how many groups of lower relays there are, one for each two regions; each has several relays, for failover.
+// relayGroups is how many groups of lower relays there are, one for each two regions; each has several relays, for
+// failover.
 func (s Size) relayGroups() int { return (s.Regions + 1) / 2 }
 
 // Memory is what the run is expected to take, bytes.
--- a/internal/lab/distsim/truth.go
+++ b/internal/lab/distsim/truth.go
@@ -20,8 +20,9 @@
 	removed bool
 }
 
-// truth draws the changes of a run, and holds what every record should be after them. It depends on the size alone: on no clock, and
-// on nothing that a relay or a node says. Routes and tenants that no node follows never change and are not held.
+// truth draws the changes of a run, and holds what every record should be after them. It depends on the size alone: on
+// no clock, and on nothing that a relay or a node says. Routes and tenants that no node follows never change and are
+// not held.
 type truth struct {
 	size              Size
 	random            *rand.Rand
--- a/internal/lab/distsim/verdict.go
+++ b/internal/lab/distsim/verdict.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// The verdict of a phase: the records of every node against the truth, byte by byte, and every change against the nodes that follow
-// its scope. Times are figures, and no part of the verdict.
+// The verdict of a phase: the records of every node against the truth, byte by byte, and every change against the nodes
+// that follow its scope. Times are figures, and no part of the verdict.
 
 // settlePoll is how often the nodes are compared while a phase settles.
 const settlePoll = 250 * time.Millisecond
@@ -117,7 +117,8 @@
 	figures.addDelays(changes)
 }
 
-// takeDeliveries enters the counts of one node, returns its deliveries of changes from a number on, each once, and forgets them.
+// takeDeliveries enters the counts of one node, returns its deliveries of changes from a number on, each once, and
+// forgets them.
 func (r *run) takeDeliveries(figures *Phase, h *hollowNode, removedBy map[recordKey]int32, first int) []delivery {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -146,7 +147,8 @@
 	return deliveries
 }
 
-// checkRemoval enters the removal of a record that is present: no removed endpoint comes back under its name, so it always was.
+// checkRemoval enters the removal of a record that is present: no removed endpoint comes back under its name, so it
+// always was.
 func (r *run) checkRemoval(figures *Phase, node int, key recordKey) {
 	record := r.truth.scopes[key.scope][key.key]
 	if record == nil || record.removed {
@@ -158,8 +160,8 @@
 	}
 }
 
-// expectedDeliveries enters how many of a change's deliveries came, and returns how many should have; those that a later change of
-// the record replaced should not.
+// expectedDeliveries enters how many of a change's deliveries came, and returns how many should have; those that a
+// later change of the record replaced should not.
 func (r *run) expectedDeliveries(figures *Phase, change, came int) int {
 	followers := r.followers[r.changes[change].Scope]
 	if followers == 0 {
@@ -222,7 +224,8 @@
 	}
 }
 
-// addTraffic enters the bytes of a node, the mean and of the worst one in its worst seconds, which may have begun before the phase.
+// addTraffic enters the bytes of a node, the mean and of the worst one in its worst seconds, which may have begun
+// before the phase.
 func (r *run) addTraffic(figures *Phase, bytes int64) {
 	figures.BytesPerSecond = float64(bytes) / figures.Seconds / float64(len(r.nodes.all))
 	for _, h := range r.nodes.all {
--- a/internal/lab/faultsearch/faultsearch.go
+++ b/internal/lab/faultsearch/faultsearch.go
@@ -1,10 +1,11 @@
-// Package faultsearch searches for fault timelines under which the decisions lose most against a baseline, or violate an
-// invariant. It draws timelines at random, changes the worst of them over some rounds, and reduces the worst to the faults that
-// matter. The caller plays the runs.
+// Package faultsearch searches for fault timelines under which the decisions lose most against a baseline, or violate
+// an invariant. It draws timelines at random, changes the worst of them over some rounds, and reduces the worst to the
+// faults that matter. The caller plays the runs.
 //
-// Random draws come first: faults are of many separate kinds, and the loss has no slope between them. The worst candidates are
-// then changed a little at a time, in each round half as many and each twice as often (successive halving), as the loss does have
-// a slope within one kind of fault. Of candidates with the same kinds of fault few stay, so that the finds have separate causes.
+// Random draws come first: faults are of many separate kinds, and the loss has no slope between them. The worst
+// candidates are then changed a little at a time, in each round half as many and each twice as often (successive
+// halving), as the loss does have a slope within one kind of fault. Of candidates with the same kinds of fault few
+// stay, so that the finds have separate causes.
 package faultsearch
 
 import (
@@ -103,8 +104,8 @@
 	return state.save(o.Dir)
 }
 
-// candidatesOf draws the candidates of the next round: at random in the first, then changes of the worst, in each round half as
-// many and each changed twice as often.
+// candidatesOf draws the candidates of the next round: at random in the first, then changes of the worst, in each round
+// half as many and each changed twice as often.
 func (o *Options) candidatesOf(state *State) []Candidate {
 	random := rand.New(rand.NewPCG(o.Seed, seedStream+uint64(state.Round)))
 	var candidates []Candidate
@@ -159,7 +160,8 @@
 	return errors.Join(state.save(o.Dir), o.writeFind(len(state.Finds), reduced))
 }
 
-// diversify keeps the worst candidates, given the worst first, and no more than maxSameKinds with the same kinds of fault.
+// diversify keeps the worst candidates, given the worst first, and no more than maxSameKinds with the same kinds of
+// fault.
 func diversify(candidates []Candidate, most int) []Candidate {
 	count := map[string]int{}
 	candidates = slices.DeleteFunc(candidates, func(c Candidate) bool {
--- a/internal/lab/faultsearch/faultsearch_test.go
+++ b/internal/lab/faultsearch/faultsearch_test.go
@@ -21,7 +21,8 @@
 	return s
 }
 
-// costly loses by the part of the fleet that is silent and for how long, a little where any is slow, and by nothing else.
+// costly loses by the part of the fleet that is silent and for how long, a little where any is slow, and by nothing
+// else.
 func costly(_ context.Context, s *scenario.Scenario, _ uint64) (Score, error) {
 	var score Score
 	for _, f := range s.Faults {
--- a/internal/lab/faultsearch/mutation.go
+++ b/internal/lab/faultsearch/mutation.go
@@ -27,7 +27,8 @@
 	return c
 }
 
-// drawFault draws a fault that begins in the first three quarters of the run. Products of two draws make small values likelier.
+// drawFault draws a fault that begins in the first three quarters of the run. Products of two draws make small values
+// likelier.
 func (o *Options) drawFault(random *rand.Rand) scenario.Fault {
 	length := float64(o.Base.Length)
 	f := scenario.Fault{
--- a/internal/lab/faultsearch/reduction.go
+++ b/internal/lab/faultsearch/reduction.go
@@ -25,8 +25,8 @@
 	played    int
 }
 
-// reduce removes what does not matter: whole faults, then parts of their duration and of their targets. It returns the reduced
-// candidate and how many runs were played.
+// reduce removes what does not matter: whole faults, then parts of their duration and of their targets. It returns the
+// reduced candidate and how many runs were played.
 func (o *Options) reduce(ctx context.Context, c Candidate) (Candidate, int, error) {
 	r := &reduction{Options: o, candidate: c, minLoss: c.Loss * keptLossFactor}
 	if c.Violations > 0 {
--- a/internal/lab/faultsearch/state.go
+++ b/internal/lab/faultsearch/state.go
@@ -15,7 +15,8 @@
 // stateFile of a search in its directory.
 const stateFile = "hunt.json"
 
-// State is the progress of a search. It is stored after each round and each find, so that a search that was ended is resumed.
+// State is the progress of a search. It is stored after each round and each find, so that a search that was ended is
+// resumed.
 type State struct {
 	Seed       uint64      `json:"seed"`
 	Base       string      `json:"base"` // name of the scenario
--- a/internal/lab/result/analysis.go
+++ b/internal/lab/result/analysis.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// SlowStart tells how much load endpoints got at most within a window after a start, against their slow-start budget N of
-// requests of mean work.
+// SlowStart tells how much load endpoints got at most within a window after a start, against their slow-start budget N
+// of requests of mean work.
 type SlowStart struct {
 	Starts  int           `json:"lives"`
 	Crashes int           `json:"falls"` // endpoints that were overloaded in slow start
--- a/internal/lab/result/compare.go
+++ b/internal/lab/result/compare.go
@@ -60,8 +60,8 @@
 	return sum
 }
 
-// Compare tells how build B differs from build A. Results at one index are of one plan, else it returns an error. Pairs in which
-// the machine ran late are counted and left out of the differences.
+// Compare tells how build B differs from build A. Results at one index are of one plan, else it returns an error. Pairs
+// in which the machine ran late are counted and left out of the differences.
 func Compare(scenario, nameA, nameB string, a, b []*Result) (*Comparison, error) {
 	if len(a) != len(b) {
 		return nil, fmt.Errorf("expected as many days of one as of the other, got %d and %d", len(a), len(b))
--- a/internal/lab/result/curves.go
+++ b/internal/lab/result/curves.go
@@ -59,9 +59,9 @@
 	return c
 }
 
-// inFlightSpread returns how unevenly load was spread over the endpoints: by second, the standard deviation of their requests in
-// flight over the mean. Many nodes that follow one load report make it rise and fall with the reports. Samples with next to
-// nothing in flight are skipped.
+// inFlightSpread returns how unevenly load was spread over the endpoints: by second, the standard deviation of their
+// requests in flight over the mean. Many nodes that follow one load report make it rise and fall with the reports.
+// Samples with next to nothing in flight are skipped.
 func (r *Result) inFlightSpread(name string) curve {
 	c := curve{name: name}
 	sum, samples, second := 0.0, 0.0, 0
--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -59,8 +59,8 @@
 	}},
 }
 
-// WriteSideBySide writes one HTML page on several results of a scenario, one at least, with a curve for each under its name.
-// Faults are drawn as of the first.
+// WriteSideBySide writes one HTML page on several results of a scenario, one at least, with a curve for each under its
+// name. Faults are drawn as of the first.
 func WriteSideBySide(w io.Writer, names []string, results []*Result) error {
 	var charts []chart
 	for _, wanted := range sideBySideCharts {
--- a/internal/lab/result/reachability.go
+++ b/internal/lab/result/reachability.go
@@ -18,8 +18,8 @@
 	Unknown    []int   `json:"unknown_by_1s"`
 }
 
-// viewsOf compares the views of each sample with what ran at that moment; nil without samples. A sample in which no node gave
-// its view is not one in which all agree.
+// viewsOf compares the views of each sample with what ran at that moment; nil without samples. A sample in which no
+// node gave its view is not one in which all agree.
 func viewsOf(views []trace.MembershipView, running []trace.RunningNodes) *Views {
 	if len(running) == 0 {
 		return nil
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -1,6 +1,6 @@
 // Package result derives the figures of one run of a scenario from its trace: what became of the requests, whether the
-// scenario's expectations held, and how two runs compare. It prints them as text and as an HTML page with plots. Its JSON keeps
-// the words of the scenario files; the tags map them to the field's terms.
+// scenario's expectations held, and how two runs compare. It prints them as text and as an HTML page with plots. Its
+// JSON keeps the words of the scenario files; the tags map them to the field's terms.
 package result
 
 import (
@@ -26,8 +26,8 @@
 // fileName of a result in its directory.
 const fileName = "result.json"
 
-// Result holds the figures of a run. Plan depends on the scenario and the seed alone; in a run on sockets all else depends on
-// real time too.
+// Result holds the figures of a run. Plan depends on the scenario and the seed alone; in a run on sockets all else
+// depends on real time too.
 type Result struct {
 	Scenario string   `json:"scenario"`
 	About    string   `json:"about,omitempty"`
--- a/internal/lab/scale/balancer.go
+++ b/internal/lab/scale/balancer.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// What the probes of the decisions have in common: an instance without sockets, whose effects do nothing, and requests to it. What
-// the node around the decisions costs is not in these figures.
+// What the probes of the decisions have in common: an instance without sockets, whose effects do nothing, and requests
+// to it. What the node around the decisions costs is not in these figures.
 
 const (
 	tickTimer = 1                        // cookie of the decisions' own timer, each second
@@ -130,8 +130,8 @@
 	sum    float64
 }
 
-// requestCosts has the instance take requests at a node's part of the peak rate, with a timer each second, and returns the processor
-// time of each: of so many, or of as many as fit into a time, but of minRequests at least.
+// requestCosts has the instance take requests at a node's part of the peak rate, with a timer each second, and returns
+// the processor time of each: of so many, or of as many as fit into a time, but of minRequests at least.
 func (in *instance) requestCosts(d *Design, requests int, seconds float64) requestCosts {
 	var inFlight [requestsInFlight]pendingRequest
 	ids := make([]policy.RequestID, requests)
--- a/internal/lab/scale/decisions.go
+++ b/internal/lab/scale/decisions.go
@@ -22,16 +22,43 @@
 		DesignSize: func(d *Design) float64 { return d.Endpoints },
 		Need:       func(n float64) Need { return Need{Bytes: 1500 * n} },
 		Figures: []Figure{
-			{Name: "memory", Description: "memory of one instance", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
-			{Name: "change", Description: "one change of one server", Unit: "ms", Role: "node", Method: methodProcessor, Limit: limitChange},
-			{Name: "day", Description: "an ordinary day's changes of servers, one by one", Unit: "% of a core", Role: "node", Method: "change x their rate", Limit: limitCores},
-			{Name: "burst", Description: "3,900 changes told at once", Unit: "s", Role: "node", Method: methodProcessor, Limit: limitPropagation},
-			{Name: "singly", Description: "3,900 changes told one by one", Unit: "s", Role: "node", Method: "3,900 x change", Limit: limitPropagation},
-			{Name: "whole", Description: "a whole list taken in by a node that holds it", Unit: "s", Role: "node", Method: methodProcessor},
-			{Name: "tick", Description: "the tick of each second", Unit: "% of a core", Role: "node", Method: methodProcessor, Limit: limitCores},
+			{
+				Name: "memory", Description: "memory of one instance",
+				Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory,
+			},
+			{
+				Name: "change", Description: "one change of one server",
+				Unit: "ms", Role: "node", Method: methodProcessor, Limit: limitChange,
+			},
+			{
+				Name: "day", Description: "an ordinary day's changes of servers, one by one",
+				Unit: "% of a core", Role: "node", Method: "change x their rate", Limit: limitCores,
+			},
+			{
+				Name: "burst", Description: "3,900 changes told at once",
+				Unit: "s", Role: "node", Method: methodProcessor, Limit: limitPropagation,
+			},
+			{
+				Name: "singly", Description: "3,900 changes told one by one",
+				Unit: "s", Role: "node", Method: "3,900 x change", Limit: limitPropagation,
+			},
+			{
+				Name: "whole", Description: "a whole list taken in by a node that holds it",
+				Unit: "s", Role: "node", Method: methodProcessor,
+			},
+			{
+				Name: "tick", Description: "the tick of each second",
+				Unit: "% of a core", Role: "node", Method: methodProcessor, Limit: limitCores,
+			},
 			{Name: "request", Description: "one request, mean", Unit: "us", Role: "node", Method: methodThread},
-			{Name: "request99", Description: "one request, 99 in 100", Unit: "us", Role: "node", Method: methodThread, Limit: limitAdded},
-			{Name: "added99", Description: "the same, and the tick's end that the worst in 100 wait for", Unit: "us", Role: "node", Method: "request99 + tick less 10 ms", Limit: limitAdded},
+			{
+				Name: "request99", Description: "one request, 99 in 100",
+				Unit: "us", Role: "node", Method: methodThread, Limit: limitAdded,
+			},
+			{
+				Name: "added99", Description: "the same, and the tick's end that the worst in 100 wait for",
+				Unit: "us", Role: "node", Method: "request99 + tick less 10 ms", Limit: limitAdded,
+			},
 		},
 		Measure: measureDecisions,
 	}
@@ -58,8 +85,8 @@
 	v["tick"] = in.tickCost(5, seconds/2)
 	costs := in.requestCosts(&e.Design, pick(e, 10000, 2000), 4)
 	v["request"], v["request99"] = costs.mean(), costs.quantile(0.99)
-	// One loop does all: a request that comes during a tick waits for it. Of requests spread evenly over a second, the worst in 100
-	// come in the first 10 ms of the tick, or in all of it if it is shorter.
+	// One loop does all: a request that comes during a tick waits for it. Of requests spread evenly over a second, the
+	// worst in 100 come in the first 10 ms of the tick, or in all of it if it is shorter.
 	v["added99"] = v["request99"] + max(1e4*v["tick"]-1e4, 0)
 	runtime.KeepAlive(in)
 	return Measurement{Values: v}, nil
--- a/internal/lab/scale/design.go
+++ b/internal/lab/scale/design.go
@@ -63,7 +63,8 @@
 	return d.ConfigurationChangesPerDay / daySeconds
 }
 
-// ReadDesign reads a TOML file with [design] and [limits] over the given values; keys that are not in the file keep theirs.
+// ReadDesign reads a TOML file with [design] and [limits] over the given values; keys that are not in the file keep
+// theirs.
 func ReadDesign(path string, d *Design, l *Limits) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -136,5 +137,6 @@
 func limitPropagation(_ *Design, l *Limits) float64 { return l.PropagationS }
 func limitAdded(_ *Design, l *Limits) float64       { return l.AddedLatencyS * 1e6 } // microseconds
 
-// limitChange is what one change of an endpoint may take if an ordinary day's changes take all that control may, milliseconds.
+// limitChange is what one change of an endpoint may take if an ordinary day's changes take all that control may,
+// milliseconds.
 func limitChange(d *Design, l *Limits) float64 { return 1e3 * l.Cores / d.EndpointChangesPerSecond() }
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// A stand-in for discovery on loopback, which sends a measured node the updates that the probe gives it, and counts the bytes.
+// A stand-in for discovery on loopback, which sends a measured node the updates that the probe gives it, and counts the
+// bytes.
 
 const (
 	discoveryReadTimeout  = 5 * time.Second
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Probe of the persisted state: the node's own state and store, without a node. Files are read from the system's cache, not from a
-// disk after a power loss.
+// Probe of the persisted state: the node's own state and store, without a node. Files are read from the system's cache,
+// not from a disk after a power loss.
 
 const methodClock = "a clock"
 
@@ -24,15 +24,39 @@
 		DesignSize: func(d *Design) float64 { return d.Endpoints },
 		Need:       func(n float64) Need { return Need{Bytes: 3000 * n} },
 		Figures: []Figure{
-			{Name: "bytes", Description: "on disk, as they were first written", Unit: "bytes", Role: "node", Method: "sizes of files"},
-			{Name: "index", Description: "memory of the open store", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
-			{Name: "memory", Description: "memory of what is remembered", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
-			{Name: "write", Description: "a whole list written, with its sync", Unit: "s", Role: "node", Method: methodProcessor},
+			{
+				Name: "bytes", Description: "on disk, as they were first written",
+				Unit: "bytes", Role: "node", Method: "sizes of files",
+			},
+			{
+				Name: "index", Description: "memory of the open store",
+				Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory,
+			},
+			{
+				Name: "memory", Description: "memory of what is remembered",
+				Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory,
+			},
+			{
+				Name: "write", Description: "a whole list written, with its sync",
+				Unit: "s", Role: "node", Method: methodProcessor,
+			},
 			{Name: "written", Description: "until it is durable", Unit: "s", Role: "node", Method: methodClock},
-			{Name: "change", Description: "one change noted and written", Unit: "ms", Role: "node", Method: methodProcessor, Limit: limitChange},
-			{Name: "listed", Description: "a whole list told to one memory, which keeps 8,192", Unit: "s", Role: "node", Method: methodProcessor, Limit: limitPropagation},
-			{Name: "open", Description: "store opened and all of it read", Unit: "s", Role: "node", Method: methodProcessor},
-			{Name: "opened", Description: "until that is done, files in the system's cache", Unit: "s", Role: "node", Method: methodClock, Limit: limitReady},
+			{
+				Name: "change", Description: "one change noted and written",
+				Unit: "ms", Role: "node", Method: methodProcessor, Limit: limitChange,
+			},
+			{
+				Name: "listed", Description: "a whole list told to one memory, which keeps 8,192",
+				Unit: "s", Role: "node", Method: methodProcessor, Limit: limitPropagation,
+			},
+			{
+				Name: "open", Description: "store opened and all of it read",
+				Unit: "s", Role: "node", Method: methodProcessor,
+			},
+			{
+				Name: "opened", Description: "until that is done, files in the system's cache",
+				Unit: "s", Role: "node", Method: methodClock, Limit: limitReady,
+			},
 		},
 		Measure: measureDisk,
 	}
@@ -91,8 +115,8 @@
 	return nil
 }
 
-// states returns so many states as are needed for all endpoints: one keeps nodestate.MaxEndpoints, and the store is to be measured
-// at every size.
+// states returns so many states as are needed for all endpoints: one keeps nodestate.MaxEndpoints, and the store is to
+// be measured at every size.
 func (d *diskMeasurement) states() []*nodestate.State {
 	var states []*nodestate.State
 	for from := 0; from < d.endpoints; from += nodestate.MaxEndpoints {
--- a/internal/lab/scale/endpointgossip.go
+++ b/internal/lab/scale/endpointgossip.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// Probe of the endpoint list by gossip: one node without discovery asks nodes that have it. Virtual time, nothing is lost. The
-// node's own bounds hold.
+// Probe of the endpoint list by gossip: one node without discovery asks nodes that have it. Virtual time, nothing is
+// lost. The node's own bounds hold.
 
 const (
 	informedNodes  = 4                // with a list from discovery
@@ -56,11 +56,23 @@
 		DesignSize: func(d *Design) float64 { return d.Endpoints },
 		Need:       func(n float64) Need { return Need{Bytes: 6 * 500 * n} },
 		Figures: []Figure{
-			{Name: "taken", Description: "a node that starts without discovery: until it goes by others' whole list", Unit: "s", Role: "node", Method: "virtual time, nothing lost", Limit: limitReady},
+			{
+				Name: "taken", Description: "a node that starts without discovery: until it goes by others' whole list",
+				Unit: "s", Role: "node", Method: "virtual time, nothing lost", Limit: limitReady,
+			},
 			{Name: "bytes", Description: "heard until then", Unit: "bytes", Role: "node", Method: "bytes of loads"},
-			{Name: "worst", Description: "heard in the worst second", Unit: "bytes/s", Role: "node", Method: "bytes of loads", Limit: limitNetwork},
-			{Name: "cpu", Description: "of all five nodes until then", Unit: "s", Role: "node", Method: methodProcessor},
-			{Name: "memory", Description: "of a node that has the list", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
+			{
+				Name: "worst", Description: "heard in the worst second",
+				Unit: "bytes/s", Role: "node", Method: "bytes of loads", Limit: limitNetwork,
+			},
+			{
+				Name: "cpu", Description: "of all five nodes until then",
+				Unit: "s", Role: "node", Method: methodProcessor,
+			},
+			{
+				Name: "memory", Description: "of a node that has the list",
+				Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory,
+			},
 		},
 		Measure: measureEndpointGossip,
 	}
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -15,8 +15,8 @@
 	minValue  = 1e-12
 )
 
-// Fit is a line through measured points by least squares of relative errors: each point has a weight of one over its value squared,
-// so that small sizes count as much as large ones. Values are in the unit of the figure.
+// Fit is a line through measured points by least squares of relative errors: each point has a weight of one over its
+// value squared, so that small sizes count as much as large ones. Values are in the unit of the figure.
 type Fit struct {
 	Slope        float64 `json:"slope"` // for one more of the size
 	Intercept    float64 `json:"intercept"`
@@ -83,8 +83,8 @@
 	return max(2, len(points)-1)
 }
 
-// at returns the value at a size and its source: measured, there or between two sizes; by the line; where the line breaks, by the
-// power with which the last two points grow; where the line falls below zero, the last point's own.
+// at returns the value at a size and its source: measured, there or between two sizes; by the line; where the line
+// breaks, by the power with which the last two points grow; where the line falls below zero, the last point's own.
 func (f *Fit) at(points []Point, size float64) (value float64, source string) {
 	if len(points) == 0 {
 		return 0, "not measured"
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -17,18 +17,54 @@
 		DesignSize: func(d *Design) float64 { return d.Nodes },
 		Need:       func(n float64) Need { return Need{Bytes: 60e6 + n*(8e6+500*n), Processes: 2} },
 		Figures: []Figure{
-			{Name: "memory", Description: "memory of the process of so many, each before 1,200 servers", Unit: "bytes", Role: "lab", Method: methodResident},
-			{Name: "real", Description: "memory of the real one beside them", Unit: "bytes", Role: "node", Method: methodResident, Limit: limitMemory},
-			{Name: "memoryratio", Description: "hollow over real, memory: a real one has a runtime of its own", Unit: "1", Role: "lab", Method: "memory over its nodes / real"},
-			{Name: "idle", Description: "a hollow one, nothing happening", Unit: "% of a core", Role: "lab", Method: "processor time of the process over its nodes"},
-			{Name: "realidle", Description: "the real one, nothing happening", Unit: "% of a core", Role: "node", Method: "processor time of the process", Limit: limitCores},
-			{Name: "idleratio", Description: "hollow over real, nothing happening", Unit: "1", Role: "lab", Method: "idle / realidle"},
-			{Name: "change", Description: "one change told to a hollow one", Unit: "ms", Role: "lab", Method: methodNodeWork + ", over its nodes"},
-			{Name: "realchange", Description: "one change told to the real one", Unit: "ms", Role: "node", Method: methodNodeWork, Limit: limitChange},
-			{Name: "changeratio", Description: "hollow over real, one change", Unit: "1", Role: "lab", Method: "change / realchange"},
-			{Name: "bytes", Description: "datagrams that a hollow one sends", Unit: "bytes/s", Role: "lab", Method: methodNodeCount},
-			{Name: "realbytes", Description: "datagrams that the real one sends", Unit: "bytes/s", Role: "node", Method: methodNodeCount, Limit: limitNetwork},
-			{Name: "bytesratio", Description: "hollow over real, bytes", Unit: "1", Role: "lab", Method: "bytes / realbytes"},
+			{
+				Name: "memory", Description: "memory of the process of so many, each before 1,200 servers",
+				Unit: "bytes", Role: "lab", Method: methodResident,
+			},
+			{
+				Name: "real", Description: "memory of the real one beside them",
+				Unit: "bytes", Role: "node", Method: methodResident, Limit: limitMemory,
+			},
+			{
+				Name: "memoryratio", Description: "hollow over real, memory: a real one has a runtime of its own",
+				Unit: "1", Role: "lab", Method: "memory over its nodes / real",
+			},
+			{
+				Name: "idle", Description: "a hollow one, nothing happening",
+				Unit: "% of a core", Role: "lab", Method: "processor time of the process over its nodes",
+			},
+			{
+				Name: "realidle", Description: "the real one, nothing happening",
+				Unit: "% of a core", Role: "node", Method: "processor time of the process", Limit: limitCores,
+			},
+			{
+				Name: "idleratio", Description: "hollow over real, nothing happening",
+				Unit: "1", Role: "lab", Method: "idle / realidle",
+			},
+			{
+				Name: "change", Description: "one change told to a hollow one",
+				Unit: "ms", Role: "lab", Method: methodNodeWork + ", over its nodes",
+			},
+			{
+				Name: "realchange", Description: "one change told to the real one",
+				Unit: "ms", Role: "node", Method: methodNodeWork, Limit: limitChange,
+			},
+			{
+				Name: "changeratio", Description: "hollow over real, one change",
+				Unit: "1", Role: "lab", Method: "change / realchange",
+			},
+			{
+				Name: "bytes", Description: "datagrams that a hollow one sends",
+				Unit: "bytes/s", Role: "lab", Method: methodNodeCount,
+			},
+			{
+				Name: "realbytes", Description: "datagrams that the real one sends",
+				Unit: "bytes/s", Role: "node", Method: methodNodeCount, Limit: limitNetwork,
+			},
+			{
+				Name: "bytesratio", Description: "hollow over real, bytes",
+				Unit: "1", Role: "lab", Method: "bytes / realbytes",
+			},
 		},
 		Measure: measureHollow,
 	}
--- a/internal/lab/scale/hollownodes.go
+++ b/internal/lab/scale/hollownodes.go
@@ -17,8 +17,8 @@
 	"go.uber.org/zap"
 )
 
-// Hollow nodes are many nodes in one process. Each is the node's own code with its endpoint list, membership and state, but without
-// requests. One real process beside them shows how far the two differ.
+// Hollow nodes are many nodes in one process. Each is the node's own code with its endpoint list, membership and state,
+// but without requests. One real process beside them shows how far the two differ.
 
 // readyLine is what the process of hollow nodes prints once all are ready.
 const readyLine = "ready\n"
@@ -49,8 +49,8 @@
 	return filepath.Join(f.Dir, f.Nodes[index].Name+".state")
 }
 
-// RunHollow runs the hollow nodes of a file in this process, and prints a line once all are ready. It returns if one of them ends;
-// otherwise the process is killed, which the system does too if its parent ends.
+// RunHollow runs the hollow nodes of a file in this process, and prints a line once all are ready. It returns if one of
+// them ends; otherwise the process is killed, which the system does too if its parent ends.
 func RunHollow(path string, out io.Writer) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/scale/instances.go
+++ b/internal/lab/scale/instances.go
@@ -20,10 +20,19 @@
 		DesignSize: func(d *Design) float64 { return d.Tenants },
 		Need:       func(n float64) Need { return Need{Bytes: 2000*n + 20e6} },
 		Figures: []Figure{
-			{Name: "memory", Description: "memory of one instance, before 1,200 servers", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
-			{Name: "tick", Description: "the tick of each second", Unit: "% of a core", Role: "node", Method: methodProcessor, Limit: limitCores},
+			{
+				Name: "memory", Description: "memory of one instance, before 1,200 servers",
+				Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory,
+			},
+			{
+				Name: "tick", Description: "the tick of each second",
+				Unit: "% of a core", Role: "node", Method: methodProcessor, Limit: limitCores,
+			},
 			{Name: "request", Description: "one request, mean", Unit: "us", Role: "node", Method: methodThread},
-			{Name: "request99", Description: "one request, 99 in 100", Unit: "us", Role: "node", Method: methodThread, Limit: limitAdded},
+			{
+				Name: "request99", Description: "one request, 99 in 100",
+				Unit: "us", Role: "node", Method: methodThread, Limit: limitAdded,
+			},
 		},
 		Measure: func(_ context.Context, e *Env, size float64) (Measurement, error) {
 			return measureInstance(e, 3, int(size)), nil
@@ -39,9 +48,18 @@
 		DesignSize: func(d *Design) float64 { return d.Routes },
 		Need:       func(n float64) Need { return Need{Bytes: 200*n*fewEndpoints + 20e6} },
 		Figures: []Figure{
-			{Name: "memory", Description: "memory of one instance, before 1,200 servers", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
-			{Name: "tick", Description: "the tick of each second", Unit: "% of a core", Role: "node", Method: methodProcessor, Limit: limitCores},
-			{Name: "request99", Description: "one request, 99 in 100", Unit: "us", Role: "node", Method: methodThread, Limit: limitAdded},
+			{
+				Name: "memory", Description: "memory of one instance, before 1,200 servers",
+				Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory,
+			},
+			{
+				Name: "tick", Description: "the tick of each second",
+				Unit: "% of a core", Role: "node", Method: methodProcessor, Limit: limitCores,
+			},
+			{
+				Name: "request99", Description: "one request, 99 in 100",
+				Unit: "us", Role: "node", Method: methodThread, Limit: limitAdded,
+			},
 		},
 		Measure: func(_ context.Context, e *Env, size float64) (Measurement, error) {
 			return measureInstance(e, int(size), 0), nil
@@ -70,9 +88,18 @@
 		DesignSize: func(d *Design) float64 { return d.Services },
 		Need:       func(n float64) Need { return Need{Bytes: 30e3 * n} },
 		Figures: []Figure{
-			{Name: "memory", Description: "memory of so many instances", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
-			{Name: "tick", Description: "their ticks of each second", Unit: "% of a core", Role: "node", Method: methodProcessor, Limit: limitCores},
-			{Name: "change", Description: "one change of one server of one of them", Unit: "ms", Role: "node", Method: methodProcessor, Limit: limitChange},
+			{
+				Name: "memory", Description: "memory of so many instances",
+				Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory,
+			},
+			{
+				Name: "tick", Description: "their ticks of each second",
+				Unit: "% of a core", Role: "node", Method: methodProcessor, Limit: limitCores,
+			},
+			{
+				Name: "change", Description: "one change of one server of one of them",
+				Unit: "ms", Role: "node", Method: methodProcessor, Limit: limitChange,
+			},
 		},
 		Measure: measureServices,
 	}
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -32,20 +32,53 @@
 		DesignSize: func(d *Design) float64 { return d.Nodes },
 		Need:       func(n float64) Need { return Need{Bytes: 400*n*n + 20e6} },
 		Figures: []Figure{
-			{Name: "memory", Description: "memory of one node's view", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
-			{Name: "cpu", Description: "one node's view, nothing happening", Unit: "% of a core", Role: "node", Method: methodProcessor + ", the virtual network's too", Limit: limitCores},
-			{Name: "bytes", Description: "sent, and as much heard, a node", Unit: "bytes/s", Role: "node", Method: methodMembers, Limit: limitNetwork},
+			{
+				Name: "memory", Description: "memory of one node's view",
+				Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory,
+			},
+			{
+				Name: "cpu", Description: "one node's view, nothing happening",
+				Unit: "% of a core", Role: "node", Method: methodProcessor + ", the virtual network's too", Limit: limitCores,
+			},
+			{
+				Name: "bytes", Description: "sent, and as much heard, a node",
+				Unit: "bytes/s", Role: "node", Method: methodMembers, Limit: limitNetwork,
+			},
 			{Name: "datagrams", Description: "sent a node", Unit: "1/s", Role: "node", Method: methodMembers},
-			{Name: "up", Description: "all nodes start at once: until each knows all", Unit: "s", Role: "node", Method: methodMembers, Limit: limitReady},
-			{Name: "told", Description: "until the start is no longer told, and the fleet is at rest", Unit: "s", Role: "node", Method: methodMembers},
-			{Name: "busy50", Description: "a node dies while the start is still told: until half of the others hold it silent", Unit: "s", Role: "node", Method: methodMembers},
+			{
+				Name: "up", Description: "all nodes start at once: until each knows all",
+				Unit: "s", Role: "node", Method: methodMembers, Limit: limitReady,
+			},
+			{
+				Name: "told", Description: "until the start is no longer told, and the fleet is at rest",
+				Unit: "s", Role: "node", Method: methodMembers,
+			},
+			{
+				Name: "busy50", Description: "a node dies while the start is still told: until half of the others hold it silent",
+				Unit: "s", Role: "node", Method: methodMembers,
+			},
 			{Name: "busy90", Description: "until 90 in 100 do", Unit: "s", Role: "node", Method: methodMembers},
-			{Name: "busy99", Description: "until 99 in 100 do", Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation},
-			{Name: "busy100", Description: "until all do", Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation},
-			{Name: "death50", Description: "a node dies, the fleet at rest: until half of the others hold it silent", Unit: "s", Role: "node", Method: methodMembers},
+			{
+				Name: "busy99", Description: "until 99 in 100 do",
+				Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation,
+			},
+			{
+				Name: "busy100", Description: "until all do",
+				Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation,
+			},
+			{
+				Name: "death50", Description: "a node dies, the fleet at rest: until half of the others hold it silent",
+				Unit: "s", Role: "node", Method: methodMembers,
+			},
 			{Name: "death90", Description: "until 90 in 100 do", Unit: "s", Role: "node", Method: methodMembers},
-			{Name: "death99", Description: "until 99 in 100 do", Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation},
-			{Name: "death100", Description: "until all do", Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation},
+			{
+				Name: "death99", Description: "until 99 in 100 do",
+				Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation,
+			},
+			{
+				Name: "death100", Description: "until all do",
+				Unit: "s", Role: "node", Method: methodMembers, Limit: limitPropagation,
+			},
 		},
 		Measure: func(ctx context.Context, e *Env, size float64) (Measurement, error) {
 			m := &membersMeasurement{ctx: ctx, env: e, size: size, values: Values{}}
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -54,8 +54,8 @@
 		index, place.Listen, discovery, place.Admin, index+1, gossipConfig, nodeSettings(int(DefaultDesign.Nodes), index, gossip))
 }
 
-// freeAddresses returns addresses that nothing listens at, for connections or datagrams. All are held until the last is found, so
-// that none comes twice.
+// freeAddresses returns addresses that nothing listens at, for connections or datagrams. All are held until the last is
+// found, so that none comes twice.
 func freeAddresses(n int) ([]string, error) {
 	var addresses []string
 	for len(addresses) < n {
--- a/internal/lab/scale/plot.go
+++ b/internal/lab/scale/plot.go
@@ -24,8 +24,8 @@
 	fitPlotPoints = 40   // of a line from the first to the last size
 )
 
-// Plot writes a PNG with a panel for each slope that has points and a limit, or, where none has a limit, for each with points. Both
-// axes are logarithmic; the value at the design size is a ring, the limit a red line.
+// Plot writes a PNG with a panel for each slope that has points and a limit, or, where none has a limit, for each with
+// points. Both axes are logarithmic; the value at the design size is a ring, the limit a red line.
 func Plot(path string, r *Result) (err error) {
 	panels, err := r.panels()
 	if err != nil {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Probe of one real node process that gets its endpoint list from a stand-in for discovery. Processor time and memory are the
-// system's figures, not the node's own.
+// Probe of one real node process that gets its endpoint list from a stand-in for discovery. Processor time and memory
+// are the system's figures, not the node's own.
 
 const (
 	methodResident  = "VmRSS of the process"
@@ -34,24 +34,72 @@
 		DesignSize: func(d *Design) float64 { return d.Endpoints },
 		Need:       func(n float64) Need { return Need{Bytes: 30e6 + 8000*n, Processes: 1} },
 		Figures: []Figure{
-			{Name: "memory", Description: "memory of a node before a list of servers", Unit: "bytes", Role: "node", Method: methodResident, Limit: limitMemory},
-			{Name: "peak", Description: "memory at most until it is ready", Unit: "bytes", Role: "node", Method: "VmHWM of the process", Limit: limitMemory},
-			{Name: "ready", Description: "start from nothing until ready", Unit: "s", Role: "node", Method: methodSinceBoot, Limit: limitReady},
-			{Name: "readycpu", Description: "processor time until ready", Unit: "s", Role: "node", Method: methodNodeWork},
-			{Name: "idle", Description: "while nothing happens", Unit: "% of a core", Role: "node", Method: "processor time of the process", Limit: limitCores},
-			{Name: "change", Description: "one change told, singly", Unit: "ms", Role: "node", Method: methodNodeWork, Limit: limitChange},
-			{Name: "day", Description: "an ordinary day's changes of servers, and idling", Unit: "% of a core", Role: "node", Method: "change x their rate + idle", Limit: limitCores},
-			{Name: "burst", Description: "3,900 changes in one line; with fewer servers, all of them in a line, and so many times as much", Unit: "s", Role: "node", Method: methodNodeWork, Limit: limitPropagation},
-			{Name: "burstdone", Description: "until a line of 3,900 is taken in, or of all servers", Unit: "s", Role: "node", Method: "a clock, until the process is idle again", Limit: limitPropagation},
-			{Name: "singly", Description: "3,900 changes, a line each", Unit: "s", Role: "node", Method: methodNodeWork, Limit: limitPropagation},
+			{
+				Name: "memory", Description: "memory of a node before a list of servers",
+				Unit: "bytes", Role: "node", Method: methodResident, Limit: limitMemory,
+			},
+			{
+				Name: "peak", Description: "memory at most until it is ready",
+				Unit: "bytes", Role: "node", Method: "VmHWM of the process", Limit: limitMemory,
+			},
+			{
+				Name: "ready", Description: "start from nothing until ready",
+				Unit: "s", Role: "node", Method: methodSinceBoot, Limit: limitReady,
+			},
+			{
+				Name: "readycpu", Description: "processor time until ready",
+				Unit: "s", Role: "node", Method: methodNodeWork,
+			},
+			{
+				Name: "idle", Description: "while nothing happens",
+				Unit: "% of a core", Role: "node", Method: "processor time of the process", Limit: limitCores,
+			},
+			{
+				Name: "change", Description: "one change told, singly",
+				Unit: "ms", Role: "node", Method: methodNodeWork, Limit: limitChange,
+			},
+			{
+				Name: "day", Description: "an ordinary day's changes of servers, and idling",
+				Unit: "% of a core", Role: "node", Method: "change x their rate + idle", Limit: limitCores,
+			},
+			{
+				Name: "burst", Description: "3,900 changes in one line; with fewer servers, all of them in a line, and so many times as much",
+				Unit: "s", Role: "node", Method: methodNodeWork, Limit: limitPropagation,
+			},
+			{
+				Name: "burstdone", Description: "until a line of 3,900 is taken in, or of all servers",
+				Unit: "s", Role: "node", Method: "a clock, until the process is idle again", Limit: limitPropagation,
+			},
+			{
+				Name: "singly", Description: "3,900 changes, a line each",
+				Unit: "s", Role: "node", Method: methodNodeWork, Limit: limitPropagation,
+			},
 			{Name: "list", Description: "a whole list", Unit: "bytes", Role: "node", Method: methodWire},
-			{Name: "changebytes", Description: "one change told, singly", Unit: "bytes", Role: "node", Method: methodWire},
-			{Name: "daybytes", Description: "an ordinary day's changes of servers", Unit: "bytes/s", Role: "node", Method: "changebytes x their rate, and an empty line each 2 s", Limit: limitNetwork},
+			{
+				Name: "changebytes", Description: "one change told, singly",
+				Unit: "bytes", Role: "node", Method: methodWire,
+			},
+			{
+				Name: "daybytes", Description: "an ordinary day's changes of servers",
+				Unit: "bytes/s", Role: "node", Method: "changebytes x their rate, and an empty line each 2 s", Limit: limitNetwork,
+			},
 			{Name: "disk", Description: "memory on disk", Unit: "bytes", Role: "node", Method: "sizes of files"},
-			{Name: "remembered", Description: "servers remembered", Unit: "servers", Role: "node", Method: "the node's console"},
-			{Name: "diskready", Description: "start from disk, without discovery, until ready", Unit: "s", Role: "node", Method: methodSinceBoot, Limit: limitReady},
-			{Name: "diskcpu", Description: "processor time until ready from disk", Unit: "s", Role: "node", Method: methodNodeWork},
-			{Name: "diskmemory", Description: "memory after a start from disk", Unit: "bytes", Role: "node", Method: methodResident, Limit: limitMemory},
+			{
+				Name: "remembered", Description: "servers remembered",
+				Unit: "servers", Role: "node", Method: "the node's console",
+			},
+			{
+				Name: "diskready", Description: "start from disk, without discovery, until ready",
+				Unit: "s", Role: "node", Method: methodSinceBoot, Limit: limitReady,
+			},
+			{
+				Name: "diskcpu", Description: "processor time until ready from disk",
+				Unit: "s", Role: "node", Method: methodNodeWork,
+			},
+			{
+				Name: "diskmemory", Description: "memory after a start from disk",
+				Unit: "bytes", Role: "node", Method: methodResident, Limit: limitMemory,
+			},
 		},
 		Measure: measureProcess,
 	}
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -18,13 +18,34 @@
 		DesignSize: func(d *Design) float64 { return d.Nodes },
 		Need:       func(n float64) Need { return Need{Bytes: 300e3*n + 200e6} },
 		Figures: []Figure{
-			{Name: "start99", Description: "all nodes start at once with 20 scopes of 24 endpoints each, paced: until 99 in 100 hold theirs", Unit: "s", Role: "node", Method: methodTree, Limit: limitReady},
-			{Name: "start100", Description: "until all do", Unit: "s", Role: "node", Method: methodTree, Limit: limitReady},
-			{Name: "change99", Description: "one change that all nodes follow: until 99 in 100 have it", Unit: "s", Role: "node", Method: methodTree, Limit: limitPropagation},
-			{Name: "change100", Description: "until all have", Unit: "s", Role: "node", Method: methodTree, Limit: limitPropagation},
-			{Name: "burst99", Description: "3,900 of 12,000 endpoints drain at once: until 99 in 100 nodes have all of theirs", Unit: "s", Role: "node", Method: methodTree, Limit: limitPropagation},
-			{Name: "burst100", Description: "until all have", Unit: "s", Role: "node", Method: methodTree, Limit: limitPropagation},
-			{Name: "worst", Description: "sent to a node in its worst 10 s of all that", Unit: "bytes/s", Role: "node", Method: methodTree, Limit: limitNetwork},
+			{
+				Name: "start99", Description: "all nodes start at once with 20 scopes of 24 endpoints each, paced: until 99 in 100 hold theirs",
+				Unit: "s", Role: "node", Method: methodTree, Limit: limitReady,
+			},
+			{
+				Name: "start100", Description: "until all do",
+				Unit: "s", Role: "node", Method: methodTree, Limit: limitReady,
+			},
+			{
+				Name: "change99", Description: "one change that all nodes follow: until 99 in 100 have it",
+				Unit: "s", Role: "node", Method: methodTree, Limit: limitPropagation,
+			},
+			{
+				Name: "change100", Description: "until all have",
+				Unit: "s", Role: "node", Method: methodTree, Limit: limitPropagation,
+			},
+			{
+				Name: "burst99", Description: "3,900 of 12,000 endpoints drain at once: until 99 in 100 nodes have all of theirs",
+				Unit: "s", Role: "node", Method: methodTree, Limit: limitPropagation,
+			},
+			{
+				Name: "burst100", Description: "until all have",
+				Unit: "s", Role: "node", Method: methodTree, Limit: limitPropagation,
+			},
+			{
+				Name: "worst", Description: "sent to a node in its worst 10 s of all that",
+				Unit: "bytes/s", Role: "node", Method: methodTree, Limit: limitNetwork,
+			},
 		},
 		Measure: measurePropagation,
 	}
--- a/internal/lab/scale/records.go
+++ b/internal/lab/scale/records.go
@@ -8,8 +8,8 @@
 	"runtime"
 )
 
-// Probes of distribution over the number of records: an origin, a relay and a subscriber in this process and in virtual time, one
-// after the other, so that each part's cost is its own.
+// Probes of distribution over the number of records: an origin, a relay and a subscriber in this process and in virtual
+// time, one after the other, so that each part's cost is its own.
 
 const (
 	regions       = 10
@@ -130,19 +130,52 @@
 		Need:       func(n float64) Need { return Need{Bytes: 6000 * n} },
 		Figures: []Figure{
 			{Name: "origin", Description: "memory of an origin", Unit: "bytes", Role: "origin", Method: methodHeap},
-			{Name: "replace", Description: "an origin takes a whole list, all of it new", Unit: "s", Role: "origin", Method: methodProcessor},
-			{Name: "replacesame", Description: "an origin takes a whole list in which nothing has changed", Unit: "s", Role: "origin", Method: methodProcessor},
-			{Name: "put", Description: "an origin takes one change", Unit: "ms", Role: "origin", Method: methodProcessor},
+			{
+				Name: "replace", Description: "an origin takes a whole list, all of it new",
+				Unit: "s", Role: "origin", Method: methodProcessor,
+			},
+			{
+				Name: "replacesame", Description: "an origin takes a whole list in which nothing has changed",
+				Unit: "s", Role: "origin", Method: methodProcessor,
+			},
+			{
+				Name: "put", Description: "an origin takes one change",
+				Unit: "ms", Role: "origin", Method: methodProcessor,
+			},
 			{Name: "relay", Description: "memory of a relay", Unit: "bytes", Role: "relay", Method: methodHeap},
-			{Name: "relaytake", Description: "a relay takes all from the origin, whose sending is in it", Unit: "s", Role: "relay", Method: methodProcessor},
+			{
+				Name: "relaytake", Description: "a relay takes all from the origin, whose sending is in it",
+				Unit: "s", Role: "relay", Method: methodProcessor,
+			},
 			{Name: "wire", Description: "all records on the wire", Unit: "bytes", Role: "relay", Method: methodFrames},
-			{Name: "subscriber", Description: "memory of a subscriber that takes all", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
-			{Name: "subscribertake", Description: "such a subscriber takes all from a relay, whose sending is in it", Unit: "s", Role: "node", Method: methodProcessor},
-			{Name: "change", Description: "one change through origin, relay and subscriber", Unit: "ms", Role: "node", Method: methodProcessor, Limit: limitChange},
-			{Name: "changewire", Description: "one change on the wire to a subscriber", Unit: "bytes", Role: "node", Method: methodFrames},
-			{Name: "daybytes", Description: "an ordinary day's changes of these, to a node that takes all", Unit: "bytes/s", Role: "node", Method: "changewire x their rate", Limit: limitNetwork},
-			{Name: "burst", Description: "3,900 changes (of all, where there are fewer) through origin, relay and subscriber", Unit: "s", Role: "node", Method: methodProcessor, Limit: limitPropagation},
-			{Name: "burstwire", Description: "the same on the wire to a subscriber", Unit: "bytes", Role: "relay", Method: methodFrames},
+			{
+				Name: "subscriber", Description: "memory of a subscriber that takes all",
+				Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory,
+			},
+			{
+				Name: "subscribertake", Description: "such a subscriber takes all from a relay, whose sending is in it",
+				Unit: "s", Role: "node", Method: methodProcessor,
+			},
+			{
+				Name: "change", Description: "one change through origin, relay and subscriber",
+				Unit: "ms", Role: "node", Method: methodProcessor, Limit: limitChange,
+			},
+			{
+				Name: "changewire", Description: "one change on the wire to a subscriber",
+				Unit: "bytes", Role: "node", Method: methodFrames,
+			},
+			{
+				Name: "daybytes", Description: "an ordinary day's changes of these, to a node that takes all",
+				Unit: "bytes/s", Role: "node", Method: "changewire x their rate", Limit: limitNetwork,
+			},
+			{
+				Name: "burst", Description: "3,900 changes (of all, where there are fewer) through origin, relay and subscriber",
+				Unit: "s", Role: "node", Method: methodProcessor, Limit: limitPropagation,
+			},
+			{
+				Name: "burstwire", Description: "the same on the wire to a subscriber",
+				Unit: "bytes", Role: "relay", Method: methodFrames,
+			},
 		},
 		Measure: func(_ context.Context, e *Env, size float64) (Measurement, error) {
 			c := &recordChain{kind: kind, env: e, size: int(size), now: probeStart, values: Values{}}
--- a/internal/lab/scale/resources.go
+++ b/internal/lab/scale/resources.go
@@ -54,8 +54,8 @@
 // maxRepetitions of one call by meanSpent.
 const maxRepetitions = 1 << 20
 
-// meanSpent repeats a call at least so often, and until it has taken so many seconds, and returns the mean processor time of one,
-// seconds.
+// meanSpent repeats a call at least so often, and until it has taken so many seconds, and returns the mean processor
+// time of one, seconds.
 func meanSpent(atLeast int, seconds float64, do func(i int)) float64 {
 	done, sum := 0, 0.0
 	for done < atLeast || sum < seconds && done < maxRepetitions {
@@ -70,7 +70,8 @@
 	return sum / float64(done)
 }
 
-// heapInUse returns the bytes of heap and stacks in use after a collection. The second collection frees what finalizers held.
+// heapInUse returns the bytes of heap and stacks in use after a collection. The second collection frees what finalizers
+// held.
 func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -59,8 +59,8 @@
 	return s
 }
 
-// Join adds a later result to an earlier one, which may be nil. Slopes of one name get the points of both, the later's where both
-// have a size. The design and the limits are the later's.
+// Join adds a later result to an earlier one, which may be nil. Slopes of one name get the points of both, the later's
+// where both have a size. The design and the limits are the later's.
 func Join(earlier, later *Result) *Result {
 	if earlier == nil {
 		return later
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// Run measures what was asked for. If a probe fails at a size, the others go on, and its slopes have a note. If the context ends
-// first, what was measured until then is returned with its error.
+// Run measures what was asked for. If a probe fails at a size, the others go on, and its slopes have a note. If the
+// context ends first, what was measured until then is returned with its error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	probes, err := o.probes()
 	if err != nil {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,6 +1,7 @@
-// Package scale measures how the costs of a node's control grow with the size of the deployment. Each probe measures its figures at
-// several sizes, a line is fitted to each figure, and its value at the design size is set beside its limit, with how it was come by.
-// Sizes that the machine has no room for are refused before any work; sizes that could not be measured are noted.
+// Package scale measures how the costs of a node's control grow with the size of the deployment. Each probe measures
+// its figures at several sizes, a line is fitted to each figure, and its value at the design size is set beside its
+// limit, with how it was come by. Sizes that the machine has no room for are refused before any work; sizes that could
+// not be measured are noted.
 package scale
 
 import (
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// Where the small sizes did not count, their errors would be past telling: a root mean square of relative errors has to be small.
+// Where the small sizes did not count, their errors would be past telling: a root mean square of relative errors has to
+// be small.
 func TestSmallSizesCountAsMuchAsLargeOnes(t *testing.T) {
 	p := points(func(x float64) float64 { return 100 + x }, 10, 100, 1000, 10000)
 	p[3].Value *= 1.1
--- a/internal/lab/scale/subscribers.go
+++ b/internal/lab/scale/subscribers.go
@@ -15,18 +15,54 @@
 		DesignSize: func(d *Design) float64 { return d.Nodes },
 		Need:       func(n float64) Need { return Need{Bytes: 1e6*n + 200e6} },
 		Figures: []Figure{
-			{Name: "relay", Description: "memory of a relay for so many, each with 20 scopes of 24 endpoints, of 12,000", Unit: "bytes", Role: "relay", Method: methodHeap},
-			{Name: "subscriber", Description: "memory of one of them", Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory},
-			{Name: "start", Description: "a relay starts them all from nothing", Unit: "s", Role: "relay", Method: methodProcessor},
-			{Name: "startwire", Description: "what it sends to each for that", Unit: "bytes", Role: "relay", Method: methodFrames},
-			{Name: "startnode", Description: "one of them takes its scopes", Unit: "s", Role: "node", Method: methodProcessor},
-			{Name: "resume", Description: "a relay takes them all on anew, each after its position", Unit: "s", Role: "relay", Method: methodProcessor},
-			{Name: "resumewire", Description: "what it sends to each for that", Unit: "bytes", Role: "relay", Method: methodFrames},
-			{Name: "beat", Description: "a relay's heartbeats to all, each second", Unit: "% of a core", Role: "relay", Method: methodProcessor},
-			{Name: "beatwire", Description: "heartbeats to each", Unit: "bytes/s", Role: "node", Method: methodFrames, Limit: limitNetwork},
-			{Name: "beatnode", Description: "one of them takes its heartbeats", Unit: "% of a core", Role: "node", Method: methodProcessor, Limit: limitCores},
-			{Name: "fan", Description: "one change that all of them follow, sent to all", Unit: "ms", Role: "relay", Method: methodProcessor},
-			{Name: "day", Description: "an ordinary day's changes of servers, if all of them followed each", Unit: "% of a core", Role: "relay", Method: "fan x their rate"},
+			{
+				Name: "relay", Description: "memory of a relay for so many, each with 20 scopes of 24 endpoints, of 12,000",
+				Unit: "bytes", Role: "relay", Method: methodHeap,
+			},
+			{
+				Name: "subscriber", Description: "memory of one of them",
+				Unit: "bytes", Role: "node", Method: methodHeap, Limit: limitMemory,
+			},
+			{
+				Name: "start", Description: "a relay starts them all from nothing",
+				Unit: "s", Role: "relay", Method: methodProcessor,
+			},
+			{
+				Name: "startwire", Description: "what it sends to each for that",
+				Unit: "bytes", Role: "relay", Method: methodFrames,
+			},
+			{
+				Name: "startnode", Description: "one of them takes its scopes",
+				Unit: "s", Role: "node", Method: methodProcessor,
+			},
+			{
+				Name: "resume", Description: "a relay takes them all on anew, each after its position",
+				Unit: "s", Role: "relay", Method: methodProcessor,
+			},
+			{
+				Name: "resumewire", Description: "what it sends to each for that",
+				Unit: "bytes", Role: "relay", Method: methodFrames,
+			},
+			{
+				Name: "beat", Description: "a relay's heartbeats to all, each second",
+				Unit: "% of a core", Role: "relay", Method: methodProcessor,
+			},
+			{
+				Name: "beatwire", Description: "heartbeats to each",
+				Unit: "bytes/s", Role: "node", Method: methodFrames, Limit: limitNetwork,
+			},
+			{
+				Name: "beatnode", Description: "one of them takes its heartbeats",
+				Unit: "% of a core", Role: "node", Method: methodProcessor, Limit: limitCores,
+			},
+			{
+				Name: "fan", Description: "one change that all of them follow, sent to all",
+				Unit: "ms", Role: "relay", Method: methodProcessor,
+			},
+			{
+				Name: "day", Description: "an ordinary day's changes of servers, if all of them followed each",
+				Unit: "% of a core", Role: "relay", Method: "fan x their rate",
+			},
 		},
 		Measure: func(_ context.Context, e *Env, size float64) (Measurement, error) {
 			s := &subscribers{env: e, size: size, now: probeStart, values: Values{}}
--- a/internal/lab/scale/text.go
+++ b/internal/lab/scale/text.go
@@ -39,7 +39,8 @@
 	return strconv.FormatFloat(v, 'g', 3, 64)
 }
 
-// Print writes a table of what was measured at each size, the fit, and the value at the design size beside its limit; then the notes.
+// Print writes a table of what was measured at each size, the fit, and the value at the design size beside its limit;
+// then the notes.
 func Print(w io.Writer, r *Result) error {
 	var rows, notes strings.Builder
 	rows.WriteString("figure\tunit\tsizes: measured\tslope\tintercept\tresidual\tline holds to\tat design\tby\tlimit\tfactor\t\n")
--- a/internal/lab/scale/tree.go
+++ b/internal/lab/scale/tree.go
@@ -7,8 +7,8 @@
 	"math"
 )
 
-// A distribution tree in virtual time: an origin, relays in two levels and subscribers. Frames take the delay of their link, and
-// relays send at the pace of a subscriber. Processors take no time here; other probes measure them.
+// A distribution tree in virtual time: an origin, relays in two levels and subscribers. Frames take the delay of their
+// link, and relays send at the pace of a subscriber. Processors take no time here; other probes measure them.
 
 const (
 	upperRelays = 3
--- a/internal/lab/scale/virtual_test.go
+++ b/internal/lab/scale/virtual_test.go
@@ -69,7 +69,8 @@
 	}
 	v := m.Values
 	for _, name := range []string{"busy", "death"} {
-		// Nobody can hold a node silent before a probe has ended and the least time of a doubt has passed: some rounds of 0.5 s.
+		// Nobody can hold a node silent before a probe has ended and the least time of a doubt has passed: some rounds
+		// of 0.5 s.
 		if !(v[name+"50"] >= 1.5 && v[name+"50"] <= v[name+"90"] && v[name+"90"] <= v[name+"99"] && v[name+"99"] <= v[name+"100"] && v[name+"100"] < 30) {
 			t.Errorf("%s: %v", name, v)
 		}
--- a/internal/lab/sweep/plot.go
+++ b/internal/lab/sweep/plot.go
@@ -16,8 +16,8 @@
 
 const heatMapColors = 64
 
-// Plot writes a PNG for each figure into a directory: over one axis, a line with 95% intervals for each decider; over two, a heat
-// map of the first decider.
+// Plot writes a PNG for each figure into a directory: over one axis, a line with 95% intervals for each decider; over
+// two, a heat map of the first decider.
 func Plot(dir string, axes []Axis, deciders []string, rows []Row) error {
 	var problems []error
 	for column, name := range Columns {
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -1,6 +1,6 @@
-// Package sweep plays a scenario over a grid of values: it enumerates the cells, sets their values in the scenario's text, keeps the
-// figures of the cells in a CSV table that an interrupted sweep resumes from, and shows their means as text and as plots. The
-// caller plays the runs.
+// Package sweep plays a scenario over a grid of values: it enumerates the cells, sets their values in the scenario's
+// text, keeps the figures of the cells in a CSV table that an interrupted sweep resumes from, and shows their means as
+// text and as plots. The caller plays the runs.
 package sweep
 
 import (
@@ -82,8 +82,8 @@
 	return s, nil
 }
 
-// setKey returns a TOML text with one key set. Tables on the way are created; a part of the key that is a number is the index of
-// one of several tables.
+// setKey returns a TOML text with one key set. Tables on the way are created; a part of the key that is a number is the
+// index of one of several tables.
 func setKey(text []byte, key, value string) ([]byte, error) {
 	var root map[string]any
 	if err := toml.Unmarshal(text, &root); err != nil {
--- a/internal/lab/sweep/table.go
+++ b/internal/lab/sweep/table.go
@@ -40,8 +40,8 @@
 	played map[string]bool // by Cell.name
 }
 
-// Open opens the table in a directory, which it creates if needed, and reads the rows of earlier runs. An incomplete last line, as
-// an interrupted write leaves it, is removed. A table of other axes is an error.
+// Open opens the table in a directory, which it creates if needed, and reads the rows of earlier runs. An incomplete
+// last line, as an interrupted write leaves it, is removed. A table of other axes is an error.
 func Open(dir string, axes []Axis) (*Table, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
