--- a/cmd/fawnglade-lab/capacity.go
+++ b/cmd/fawnglade-lab/capacity.go
@@ -83,7 +83,8 @@
 		}
 		steps = append(steps, step)
 		if !f.asJSON {
-			err := printf(c.OutOrStdout(), "%8.0f a second: %d of %d satisfied, late %.2f ms, p50 %.2f ms, p99 %.2f ms, %.1f us of CPU a task\n",
+			err := printf(c.OutOrStdout(), "%8.0f a second: %d of %d satisfied, late %.2f ms, "+
+				"p50 %.2f ms, p99 %.2f ms, %.1f us of CPU a task\n",
 				step.Rate, step.Succeeded, step.Requests, step.LateMs, step.P50, step.P99, step.CPU)
 			if err != nil {
 				return err
--- a/cmd/fawnglade-lab/cost.go
+++ b/cmd/fawnglade-lab/cost.go
@@ -55,7 +55,8 @@
 	var f costFlags
 	c.Flags().IntSliceVar(&f.endpoints, "servers", []int{8, 64, 512, 4096}, "numbers of servers")
 	c.Flags().Float64SliceVar(&f.rates, "rates", []float64{5000}, "tasks a second")
-	c.Flags().StringSliceVar(&f.through, "through", []string{"", "plain:relay"}, "nodes' commands or plain:KIND; empty: the node beside this program")
+	c.Flags().StringSliceVar(&f.through, "through", []string{"", "plain:relay"},
+		"nodes' commands or plain:KIND; empty: the node beside this program")
 	c.Flags().IntVar(&f.seconds, "seconds", 4, "how long each is measured")
 	c.Flags().Float64Var(&f.cores, "cores", 1, "cores that the node is told it may use; 0: no bound")
 	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object")
@@ -120,7 +121,8 @@
 	if r.Void {
 		late = ", the machine ran late"
 	}
-	return fmt.Sprintf("%5d servers, %6.0f a second, %-12s %6d of %d satisfied, %d declined, p50 %.2f ms, p99 %.2f ms, %.1f us of CPU a task, %.0f MB%s",
+	return fmt.Sprintf("%5d servers, %6.0f a second, %-12s %6d of %d satisfied, %d declined, "+
+		"p50 %.2f ms, p99 %.2f ms, %.1f us of CPU a task, %.0f MB%s",
 		r.Endpoints, r.Rate, r.Through+":", r.Succeeded, r.Requests, r.Rejected, r.P50, r.P99, r.CPU, r.MB, late)
 }
 
--- a/cmd/fawnglade-lab/distribution.go
+++ b/cmd/fawnglade-lab/distribution.go
@@ -59,13 +59,15 @@
 	flags.IntVar(&size.ServicesPerNode, "take", size.ServicesPerNode, "services of its region that a node follows")
 	flags.IntVar(&size.Routes, "routes", size.Routes, "routes, as records of configuration")
 	flags.IntVar(&size.Tenants, "tenants", size.Tenants, "tenants, as records of configuration")
-	flags.IntVar(&size.SharedServices, "shared", size.SharedServices, "services whose configuration every node follows; all its changes fall there")
+	flags.IntVar(&size.SharedServices, "shared", size.SharedServices,
+		"services whose configuration every node follows; all its changes fall there")
 	flags.Float64Var(&size.Speedup, "pace", size.Speedup, "times an ordinary day's changes")
 	flags.DurationVar(&size.OrdinaryTime, "true", size.OrdinaryTime, "how long a true day's pace is played")
 	flags.DurationVar(&size.PhaseTime, "day", size.PhaseTime, "how long the faster pace is played, alone and under each fault")
 	flags.IntVar(&size.ZoneLoss, "burst", size.ZoneLoss, "endpoints of one zone that go at once")
 	flags.IntVar(&size.BytesPerSecond, "bytes", size.BytesPerSecond, "pace of relays, bytes a second a subscriber; 0: no bound")
-	flags.BoolVar(&size.ShareMemory, "share", size.ShareMemory, "hollow nodes hold equal names and bodies once, for a machine with less memory; what a node holds is not told by it")
+	flags.BoolVar(&size.ShareMemory, "share", size.ShareMemory,
+		"hollow nodes hold equal names and bodies once, for a machine with less memory; what a node holds is not told by it")
 	flags.Uint64Var(&size.Seed, "seed", size.Seed, "of all that is drawn")
 }
 
--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -155,7 +155,8 @@
 	c.Flags().BoolVar(&f.verbose, "verbose", false, "say on standard error what the rig sees")
 	c.Flags().IntVar(&f.retries, "retry", 1, "how often to play again where the machine ran late")
 	c.Flags().BoolVar(&f.virtual, "virtual", false, "play in virtual time: no sockets, no processes, the same figures each time")
-	c.Flags().StringVar(&f.by, "by", moduleName, "what decides in virtual time: "+moduleName+" or "+strings.Join(baseline.Names(), ", "))
+	c.Flags().StringVar(&f.by, "by", moduleName,
+		"what decides in virtual time: "+moduleName+" or "+strings.Join(baseline.Names(), ", "))
 	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes in place of the scenario's; its load stays")
 	c.RunE = func(c *cobra.Command, paths []string) error { return runScenarios(c, f, paths) }
 	return c
--- a/cmd/fawnglade-lab/report.go
+++ b/cmd/fawnglade-lab/report.go
@@ -25,7 +25,8 @@
 			"  fawnglade-lab report out/slow older/slow --page beside.html",
 		Args: cobra.RangeArgs(1, 7),
 	}
-	page := c.Flags().String("page", "", "where the page goes (default report.html in the directory, beside.html here if there are several)")
+	page := c.Flags().String("page", "",
+		"where the page goes (default report.html in the directory, beside.html here if there are several)")
 	c.RunE = func(c *cobra.Command, dirs []string) error {
 		results, err := loadResults(dirs)
 		if err != nil {
--- a/cmd/fawnglade-lab/scale.go
+++ b/cmd/fawnglade-lab/scale.go
@@ -60,7 +60,8 @@
 	f.addTo(c)
 	c.RunE = func(c *cobra.Command, _ []string) error { return runScale(c, f) }
 	c.AddCommand(&cobra.Command{
-		Use: "hollow FILE", Short: "Run the hollow nodes of a file; scale starts this by itself", Hidden: true, Args: cobra.ExactArgs(1),
+		Use: "hollow FILE", Short: "Run the hollow nodes of a file; scale starts this by itself",
+		Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error { return scale.RunHollow(args[0], c.OutOrStdout()) },
 	})
 	return c
@@ -81,7 +82,8 @@
 	flags.Float64Var(&f.design.Tenants, "design-tenants", f.design.Tenants, "tenants to design for")
 	flags.Float64Var(&f.limits.Cores, "limit-cores", f.limits.Cores, "part of a core that control may use of a node")
 	flags.Float64Var(&f.limits.MemoryBytes, "limit-bytes", f.limits.MemoryBytes, "bytes of memory that it may use")
-	flags.Float64Var(&f.limits.BytesPerSecond, "limit-bytes-s", f.limits.BytesPerSecond, "bytes a second that it may send and receive")
+	flags.Float64Var(&f.limits.BytesPerSecond, "limit-bytes-s", f.limits.BytesPerSecond,
+		"bytes a second that it may send and receive")
 	// A stored result is shown as it was measured.
 	for _, name := range append([]string{"node"}, measurementFlags...) {
 		c.MarkFlagsMutuallyExclusive("from", name)
@@ -90,7 +92,8 @@
 
 // measurementFlags decide what is measured, in the order in which the command line of a result names them.
 var measurementFlags = []string{
-	"only", "sizes", "quick", "design", "design-nodes", "design-servers", "design-tenants", "limit-cores", "limit-bytes", "limit-bytes-s",
+	"only", "sizes", "quick", "design", "design-nodes", "design-servers", "design-tenants",
+	"limit-cores", "limit-bytes", "limit-bytes-s",
 }
 
 // commandLine returns the command that repeats a measurement, without the places of this machine's files.
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -65,7 +65,8 @@
 		_ = server.Close(end) // connections that are left end with the process
 	}()
 	replies := json.NewEncoder(out)
-	if err := replies.Encode(originReply{Address: listener.Addr().String(), Version: o.version, Records: size.records()}); err != nil {
+	first := originReply{Address: listener.Addr().String(), Version: o.version, Records: size.records()}
+	if err := replies.Encode(first); err != nil {
 		return err
 	}
 	for ctx.Err() == nil && lines.Scan() {
--- a/internal/lab/distsim/relays.go
+++ b/internal/lab/distsim/relays.go
@@ -48,7 +48,8 @@
 
 func relayConfig(s Size, r *relayProcess, upstreams, scopes []string, bytesPerSecond int) string {
 	const spareSubscribers = 16
-	return fmt.Sprintf("name = %q\nlisten = %q\nrole = \"relay\"\nupstream = %s\nscopes = %s\npace = %d\n[limits]\nrecords = %d\nsubscribers = %d\n",
+	return fmt.Sprintf("name = %q\nlisten = %q\nrole = \"relay\"\nupstream = %s\nscopes = %s\npace = %d\n"+
+		"[limits]\nrecords = %d\nsubscribers = %d\n",
 		r.name, r.address, tomlList(upstreams), tomlList(scopes), bytesPerSecond,
 		2*s.records(), s.Nodes+s.UpperRelays+s.LowerRelays+spareSubscribers)
 }
--- a/internal/lab/distsim/result.go
+++ b/internal/lab/distsim/result.go
@@ -139,7 +139,8 @@
 	s := r.Size
 	fmt.Fprintf(&b, "%d hollow nodes in %d regions, %d zones; an origin, %d upper and %d lower relays; seed %d\n",
 		s.Nodes, s.Regions, s.Zones, s.UpperRelays, s.LowerRelays, s.Seed)
-	fmt.Fprintf(&b, "%d endpoints in %d services (%d scopes), %d routes, %d tenants; a node follows %d services of its region and the configuration of %d: %d records\n\n",
+	fmt.Fprintf(&b, "%d endpoints in %d services (%d scopes), %d routes, %d tenants; "+
+		"a node follows %d services of its region and the configuration of %d: %d records\n\n",
 		s.Endpoints, s.Services, s.Services*s.Regions, s.Routes, s.Tenants, s.ServicesPerNode, s.SharedServices, s.recordsPerNode())
 	fmt.Fprintf(&b, headFormat+"\n", "", "", "", "", "in force: 50% 99% 100%", "",
 		"bytes/s", "worst", "node", "node", "relay", "worst", "relay", "")
@@ -150,7 +151,8 @@
 	}
 	fmt.Fprintf(&b, "\nplayed %s in %.0f s on %d cores; the machine's load was %.1f as it began and %.1f as it ended\n",
 		r.Day, r.Seconds, r.Cores, r.Load.Begin, r.Load.End)
-	fmt.Fprintf(&b, "aims: in force for all within %g s at a true day's pace; %g bytes/s a node in the worst 10 s; %g%% of a core and %g MB a node\n",
+	fmt.Fprintf(&b, "aims: in force for all within %g s at a true day's pace; "+
+		"%g bytes/s a node in the worst 10 s; %g%% of a core and %g MB a node\n",
 		targetPropagationS, targetBytesPerSecond, targetCPUPercent, targetMB)
 	return b.String()
 }
--- a/internal/lab/result/analysis.go
+++ b/internal/lab/result/analysis.go
@@ -135,7 +135,10 @@
 	var worst SlowStartPeak
 	for i, p := range peaks {
 		if i == 0 || p.Excess > worst.Excess {
-			worst = SlowStartPeak{Excess: p.Excess, Load: p.Load, Budget: p.Budget, Endpoint: p.Endpoint, AtS: float64(p.At-startedAt) / 1e9}
+			worst = SlowStartPeak{
+				Excess: p.Excess, Load: p.Load, Budget: p.Budget, Endpoint: p.Endpoint,
+				AtS: float64(p.At-startedAt) / 1e9,
+			}
 		}
 	}
 	worst.Starts = len(peaks)
--- a/internal/lab/result/compare.go
+++ b/internal/lab/result/compare.go
@@ -114,7 +114,8 @@
 // Print writes the comparison as a table.
 func (c *Comparison) Print(w io.Writer) error {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%s: A %s, B %s, %d pairs, %d left out as the machine ran late\n", c.Scenario, c.NameA, c.NameB, c.Pairs, c.VoidPairs)
+	fmt.Fprintf(&out, "%s: A %s, B %s, %d pairs, %d left out as the machine ran late\n",
+		c.Scenario, c.NameA, c.NameB, c.Pairs, c.VoidPairs)
 	fmt.Fprintf(&out, "%18s %12s %12s %12s   %s\n", "", "A", "B", "B less A", "95% interval")
 	for _, d := range c.Differences {
 		interval := "-"
--- a/internal/lab/result/expectations.go
+++ b/internal/lab/result/expectations.go
@@ -20,7 +20,9 @@
 	r.checkOutcomes(e)
 	if bad.Came > 0 {
 		unanswered := float64(bad.Unanswered) / float64(bad.Came)
-		r.expect(unanswered <= e.BadUnanswered, "%.4f of the bad clients got neither an error nor a close, expected %.4f at most", unanswered, e.BadUnanswered)
+		r.expect(unanswered <= e.BadUnanswered,
+			"%.4f of the bad clients got neither an error nor a close, expected %.4f at most",
+			unanswered, e.BadUnanswered)
 		r.expect(bad.Served == 0, "%d bad clients were served, expected none", bad.Served)
 	}
 	r.expect(r.Lost <= e.MaxLost, "%d tasks lost, expected %d at most", r.Lost, e.MaxLost)
@@ -35,7 +37,8 @@
 	if e.MaxSlowStartExcess != nil && r.SlowStart != nil {
 		peak := &r.SlowStart.Known
 		r.expect(peak.Excess <= *e.MaxSlowStartExcess,
-			"a cold server got %.1f requests of mean work, over two thirds from nodes that had been told, where N = %.1f: %.2f times the root of N over it, expected %.2f at most",
+			"a cold server got %.1f requests of mean work, over two thirds from nodes that had been told, "+
+				"where N = %.1f: %.2f times the root of N over it, expected %.2f at most",
 			peak.Load, peak.Budget, peak.Excess, *e.MaxSlowStartExcess)
 	}
 	r.expect(!e.ViewsAgree || r.Views != nil && r.Views.AgreeFromS >= 0,
--- a/internal/lab/result/text.go
+++ b/internal/lab/result/text.go
@@ -73,7 +73,8 @@
 		most.Connections = max(most.Connections, a.Connections)
 		most.ListCalls = max(most.ListCalls, a.ListCalls)
 	}
-	fmt.Fprintf(out, "all nodes together: %d connections (%d in the worst second), %d calls for the list (%d), %d resends, %d copies, %d probes, %d messages\n",
+	fmt.Fprintf(out, "all nodes together: %d connections (%d in the worst second), %d calls for the list (%d), "+
+		"%d resends, %d copies, %d probes, %d messages\n",
 		sum.Connections, most.Connections, sum.ListCalls, most.ListCalls, sum.Retries, sum.Hedged, sum.HealthChecks, sum.Gossip)
 }
 
@@ -82,7 +83,8 @@
 	if s == nil {
 		return
 	}
-	fmt.Fprintf(out, "cold servers %d, %d pushed over: the worst got %.1f requests of mean work where N = %.1f, %+.2f times the root of N over it; "+
+	fmt.Fprintf(out, "cold servers %d, %d pushed over: the worst got %.1f requests of mean work where N = %.1f, "+
+		"%+.2f times the root of N over it; "+
 		"of those pushed by nodes that were told %.1f where N = %.1f, %+.2f\n",
 		s.Starts, s.Crashes, s.All.Load, s.All.Budget, s.All.Excess, s.Known.Load, s.Known.Budget, s.Known.Excess)
 }
--- a/internal/lab/scale/endpointgossip.go
+++ b/internal/lab/scale/endpointgossip.go
@@ -105,7 +105,8 @@
 		return Measurement{Values: v}, nil
 	}
 	counters := g.exchanges[informedNodes].View().Counters
-	note := fmt.Sprintf("never taken within 20 s, in which it heard %s bytes: %d loads asked for, %d passed over as making no sense; a list has %s servers at most",
+	note := fmt.Sprintf("never taken within 20 s, in which it heard %s bytes: %d loads asked for, %d passed over as making no sense; "+
+		"a list has %s servers at most",
 		formatShort(v["bytes"]), counters.Requests, counters.Invalid, formatCount(endpointgossip.MaxEndpoints))
 	return Measurement{Values: Values{"memory": v["memory"]}, Note: note}, nil
 }
@@ -113,7 +114,9 @@
 func gossipEndpoints(n int) []endpointgossip.Endpoint {
 	list := make([]endpointgossip.Endpoint, n)
 	for i := range list {
-		list[i] = endpointgossip.Endpoint{Name: endpointName(i), Address: endpointAddress(i), Zone: zoneName(i), Pod: i / podSize, Weight: 1}
+		list[i] = endpointgossip.Endpoint{
+			Name: endpointName(i), Address: endpointAddress(i), Zone: zoneName(i), Pod: i / podSize, Weight: 1,
+		}
 	}
 	return list
 }
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -97,7 +97,8 @@
 		return nil, err
 	}
 	return startNode(e, nodeOptions{
-		dir: dir, discovery: discovery, index: probeNode, place: nodePlace{Listen: addresses[0], Admin: addresses[1]}, stateDir: stateDir,
+		dir: dir, discovery: discovery, index: probeNode, stateDir: stateDir,
+		place: nodePlace{Listen: addresses[0], Admin: addresses[1]},
 	})
 }
 
@@ -112,7 +113,9 @@
 		return nil, err
 	}
 	defer log.Close()
-	env := []string{"NODE_CONFIG=" + config, "NODE_FEATURES=" + o.features, "NODE_STATE=" + o.stateDir, "NODE_CONSOLE=", "TMPDIR=" + o.dir}
+	env := []string{
+		"NODE_CONFIG=" + config, "NODE_FEATURES=" + o.features, "NODE_STATE=" + o.stateDir, "NODE_CONSOLE=", "TMPDIR=" + o.dir,
+	}
 	p := &nodeProcess{admin: o.place.Admin, began: time.Now()}
 	p.Process, err = emulator.Command(e.NodeCommand)("", env, log)
 	return p, err
--- a/internal/lab/scale/records.go
+++ b/internal/lab/scale/records.go
@@ -75,7 +75,9 @@
 }
 
 // passFrames passes all frames that a relay has for one subscriber on to it, and returns their bytes on the wire.
-func passFrames(now int64, r *distribution.Relay, id int, receive func(now int64, frame []byte) error) (bytes float64, err error) {
+func passFrames(
+	now int64, r *distribution.Relay, id int, receive func(now int64, frame []byte) error,
+) (bytes float64, err error) {
 	for range maxFrames {
 		frame, _ := r.Next(now, id)
 		if frame == nil {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -76,7 +76,8 @@
 	}
 	o.Env.Design = o.Design
 	result := &Result{
-		Day: o.Time.Format(time.DateOnly), Command: o.Command, Machine: o.Machine, Quick: o.Env.Quick, Design: o.Design, Limits: o.Limits,
+		Day: o.Time.Format(time.DateOnly), Command: o.Command, Machine: o.Machine, Quick: o.Env.Quick,
+		Design: o.Design, Limits: o.Limits,
 	}
 	for i := range probes {
 		position := fmt.Sprintf("%d of %d", i+1, len(probes))
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -59,7 +59,8 @@
 func Probes() []Probe {
 	return []Probe{
 		decisionsProbe(), tenantsProbe(), classesProbe(), servicesProbe(), processProbe(), membersProbe(), diskProbe(),
-		endpointsProbe(), routesProbe(), tenantRecordsProbe(), subscribersProbe(), propagationProbe(), endpointGossipProbe(), hollowProbe(),
+		endpointsProbe(), routesProbe(), tenantRecordsProbe(), subscribersProbe(),
+		propagationProbe(), endpointGossipProbe(), hollowProbe(),
 	}
 }
 
@@ -120,7 +121,8 @@
 		if p.MaxSize > 0 {
 			most = formatCount(p.MaxSize)
 		}
-		return fmt.Errorf("%s: expected sizes from %s to %s %s, got %s", p.Name, formatCount(least), most, p.SizeUnit, formatCount(size))
+		return fmt.Errorf("%s: expected sizes from %s to %s %s, got %s",
+			p.Name, formatCount(least), most, p.SizeUnit, formatCount(size))
 	}
 	need := p.Need(size)
 	if need.Bytes > m.MemoryBytes/2 {
--- a/internal/lab/sweep/table.go
+++ b/internal/lab/sweep/table.go
@@ -22,7 +22,9 @@
 type Figures []float64
 
 // Columns are the names of the figures.
-var Columns = []string{"in_time", "declined", "p50_ms", "p99_ms", "worst_10s", "worst_category", "connections_a_task", "rules_broken"}
+var Columns = []string{
+	"in_time", "declined", "p50_ms", "p99_ms", "worst_10s", "worst_category", "connections_a_task", "rules_broken",
+}
 
 // Row is a cell that was played.
 type Row struct {
@@ -79,7 +81,8 @@
 		}
 		if line == 1 {
 			if header := t.header(); !slices.Equal(fields, header) {
-				return fmt.Errorf("holds another sweep, of %s: expected %s, or another directory", strings.Join(fields, ","), strings.Join(header, ","))
+				return fmt.Errorf("holds another sweep, of %s: expected %s, or another directory",
+					strings.Join(fields, ","), strings.Join(header, ","))
 			}
 			continue
 		}
