--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -32,9 +32,9 @@
 	classConfiguration: distribution.ClassConfiguration,
 }
 
-// Origin is the origin's process: the module's origin behind the server that relays connect to. In place of endpoint sources it
-// reads its input, so that the run knows when each change was made: the first line is a Size, every other a list of changes. Each
-// line is replied to. It ends with its input.
+// Origin is the origin's process: the module's origin behind the server that relays connect to. In place of endpoint
+// sources it reads its input, so that the run knows when each change was made: the first line is a Size, every other a
+// list of changes. Each line is replied to. It ends with its input.
 func Origin(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxRequestBytes)
@@ -65,7 +65,8 @@
 		_ = server.Close(end) // connections that are left end with the process
 	}()
 	replies := json.NewEncoder(out)
-	if err := replies.Encode(originReply{Address: listener.Addr().String(), Version: o.version, Records: size.records()}); err != nil {
+	first := originReply{Address: listener.Addr().String(), Version: o.version, Records: size.records()}
+	if err := replies.Encode(first); err != nil {
 		return err
 	}
 	for ctx.Err() == nil && lines.Scan() {
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -54,8 +54,8 @@
 		index, place.Listen, discovery, place.Admin, index+1, gossipConfig, nodeSettings(int(DefaultDesign.Nodes), index, gossip))
 }
 
-// freeAddresses returns addresses that nothing listens at, for connections or datagrams. All are held until the last is found, so
-// that none comes twice.
+// freeAddresses returns addresses that nothing listens at, for connections or datagrams. All are held until the last is
+// found, so that none comes twice.
 func freeAddresses(n int) ([]string, error) {
 	var addresses []string
 	for len(addresses) < n {
@@ -97,7 +97,8 @@
 		return nil, err
 	}
 	return startNode(e, nodeOptions{
-		dir: dir, discovery: discovery, index: probeNode, place: nodePlace{Listen: addresses[0], Admin: addresses[1]}, stateDir: stateDir,
+		dir: dir, discovery: discovery, index: probeNode, stateDir: stateDir,
+		place: nodePlace{Listen: addresses[0], Admin: addresses[1]},
 	})
 }
 
@@ -112,7 +113,9 @@
 		return nil, err
 	}
 	defer log.Close()
-	env := []string{"NODE_CONFIG=" + config, "NODE_FEATURES=" + o.features, "NODE_STATE=" + o.stateDir, "NODE_CONSOLE=", "TMPDIR=" + o.dir}
+	env := []string{
+		"NODE_CONFIG=" + config, "NODE_FEATURES=" + o.features, "NODE_STATE=" + o.stateDir, "NODE_CONSOLE=", "TMPDIR=" + o.dir,
+	}
 	p := &nodeProcess{admin: o.place.Admin, began: time.Now()}
 	p.Process, err = emulator.Command(e.NodeCommand)("", env, log)
 	return p, err
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,6 +1,7 @@
-// Package scale measures how the costs of a node's control grow with the size of the deployment. Each probe measures its figures at
-// several sizes, a line is fitted to each figure, and its value at the design size is set beside its limit, with how it was come by.
-// Sizes that the machine has no room for are refused before any work; sizes that could not be measured are noted.
+// Package scale measures how the costs of a node's control grow with the size of the deployment. Each probe measures
+// its figures at several sizes, a line is fitted to each figure, and its value at the design size is set beside its
+// limit, with how it was come by. Sizes that the machine has no room for are refused before any work; sizes that could
+// not be measured are noted.
 package scale
 
 import (
@@ -58,7 +59,8 @@
 func Probes() []Probe {
 	return []Probe{
 		decisionsProbe(), tenantsProbe(), classesProbe(), servicesProbe(), processProbe(), membersProbe(), diskProbe(),
-		endpointsProbe(), routesProbe(), tenantRecordsProbe(), subscribersProbe(), propagationProbe(), endpointGossipProbe(), hollowProbe(),
+		endpointsProbe(), routesProbe(), tenantRecordsProbe(), subscribersProbe(),
+		propagationProbe(), endpointGossipProbe(), hollowProbe(),
 	}
 }
 
@@ -119,7 +121,8 @@
 		if p.MaxSize > 0 {
 			most = formatCount(p.MaxSize)
 		}
-		return fmt.Errorf("%s: expected sizes from %s to %s %s, got %s", p.Name, formatCount(least), most, p.SizeUnit, formatCount(size))
+		return fmt.Errorf("%s: expected sizes from %s to %s %s, got %s",
+			p.Name, formatCount(least), most, p.SizeUnit, formatCount(size))
 	}
 	need := p.Need(size)
 	if need.Bytes > m.MemoryBytes/2 {
--- a/internal/lab/sweep/table.go
+++ b/internal/lab/sweep/table.go
@@ -22,7 +22,9 @@
 type Figures []float64
 
 // Columns are the names of the figures.
-var Columns = []string{"in_time", "declined", "p50_ms", "p99_ms", "worst_10s", "worst_category", "connections_a_task", "rules_broken"}
+var Columns = []string{
+	"in_time", "declined", "p50_ms", "p99_ms", "worst_10s", "worst_category", "connections_a_task", "rules_broken",
+}
 
 // Row is a cell that was played.
 type Row struct {
@@ -40,8 +42,8 @@
 	played map[string]bool // by Cell.name
 }
 
-// Open opens the table in a directory, which it creates if needed, and reads the rows of earlier runs. An incomplete last line, as
-// an interrupted write leaves it, is removed. A table of other axes is an error.
+// Open opens the table in a directory, which it creates if needed, and reads the rows of earlier runs. An incomplete
+// last line, as an interrupted write leaves it, is removed. A table of other axes is an error.
 func Open(dir string, axes []Axis) (*Table, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -79,7 +81,8 @@
 		}
 		if line == 1 {
 			if header := t.header(); !slices.Equal(fields, header) {
-				return fmt.Errorf("holds another sweep, of %s: expected %s, or another directory", strings.Join(fields, ","), strings.Join(header, ","))
+				return fmt.Errorf("holds another sweep, of %s: expected %s, or another directory",
+					strings.Join(fields, ","), strings.Join(header, ","))
 			}
 			continue
 		}
