--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -27,7 +27,7 @@
 	streaming   atomic.Bool  // a response is being passed on as it comes
 
 	mu            sync.Mutex
-	pending       int           // requests without a written response
+	pendingCount  int           // requests without a written response
 	closed        bool          // takes no more requests
 	evicting      bool          // is to close unless a request has come
 	used          bool          // has brought a request; written by the read loop alone
@@ -59,31 +59,31 @@
 	}()
 	defer node.recoverPanic("client connection", func() {})
 	for {
-		p := newPendingRequest()
-		p.clientGone = c.clientGone
-		request, err := c.readRequest(p)
+		pending := newPendingRequest()
+		pending.clientGone = c.clientGone
+		request, err := c.readRequest(pending)
 		// Guards against a client that sends many requests at once and leaves: they went to upstreams one by one as
 		// those before were answered, each for a client that was gone.
 		if err != nil && !isMalformed(err) || c.clientGone() {
-			c.releaseBody(p)
+			c.releaseBody(pending)
 			return
 		}
 		if !c.beginRequest() {
-			c.releaseBody(p)
+			c.releaseBody(pending)
 			c.discardInput()
 			return
 		}
-		unanswered = append(withoutAnswered(unanswered), p)
+		unanswered = append(withoutAnswered(unanswered), pending)
 		if err != nil {
-			c.rejectMalformed(p, err)
+			c.rejectMalformed(pending, err)
 		} else {
 			// The end of a response by HTTP/1.0 may be the end of its connection.
-			p.closeAfter = request.Close || p.http10
-			c.handle(p, request)
+			pending.closeAfter = request.Close || pending.http10
+			c.handle(pending, request)
 		}
-		c.responseOrder <- p
-		bodyBroken := p.source != nil && !c.awaitBody(p)
-		if bodyBroken || p.closeAfter {
+		c.responseOrder <- pending
+		bodyBroken := pending.source != nil && !c.awaitBody(pending)
+		if bodyBroken || pending.closeAfter {
 			c.discardInput()
 			return
 		}
@@ -93,9 +93,9 @@
 // withoutAnswered removes the requests that have their response, in place.
 func withoutAnswered(requests []*pendingRequest) []*pendingRequest {
 	kept := requests[:0]
-	for _, p := range requests {
-		if !p.answered.Load() {
-			kept = append(kept, p)
+	for _, pending := range requests {
+		if !pending.answered.Load() {
+			kept = append(kept, pending)
 		}
 	}
 	return kept
@@ -104,8 +104,8 @@
 // cancelRequests posts to the event loop which requests' client has gone.
 func (c *clientConn) cancelRequests(requests []*pendingRequest) {
 	loop := c.frontend.node.loop
-	for _, p := range withoutAnswered(requests) {
-		loop.post(func() { loop.clientGone(p) })
+	for _, pending := range withoutAnswered(requests) {
+		loop.post(func() { loop.clientGone(pending) })
 	}
 }
 
@@ -116,8 +116,8 @@
 	if c.closed {
 		return false
 	}
-	c.pending++
-	if c.pending == 1 {
+	c.pendingCount++
+	if c.pendingCount == 1 {
 		c.frontend.activeConns.Add(1)
 	}
 	if !c.used {
@@ -132,8 +132,8 @@
 func (c *clientConn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pending--
-	if c.pending == 0 {
+	c.pendingCount--
+	if c.pendingCount == 0 {
 		c.frontend.activeConns.Add(-1)
 	}
 	c.lastUsedAt = time.Now()
@@ -143,20 +143,20 @@
 func (c *clientConn) hasNoPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pending == 0
+	return c.pendingCount == 0
 }
 
 // closesAfter reports whether the connection is to be closed after a response, and if so takes no more requests. It
 // is not closed while it holds further requests, nor, unless it must be closed, once the next has begun to come: they
 // would be lost.
-func (c *clientConn) closesAfter(p *pendingRequest) bool {
+func (c *clientConn) closesAfter(pending *pendingRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pending > 1 {
+	if c.pendingCount > 1 {
 		return false
 	}
-	bodyIncomplete := p.bodyIncomplete()
-	if !p.closeAfter && !bodyIncomplete {
+	bodyIncomplete := pending.bodyIncomplete()
+	if !pending.closeAfter && !bodyIncomplete {
 		wanted := c.evicting || c.frontend.node.closesConnections()
 		if !wanted || !c.messageBegan.IsZero() || c.conn.hasInput() {
 			return false
@@ -176,7 +176,7 @@
 func (c *clientConn) keepsOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pending > 0 && !c.closed
+	return c.pendingCount > 0 && !c.closed
 }
 
 // setReadTimeout sets how long the next reads may last: shorter than asked after the last response, and once the
@@ -184,7 +184,7 @@
 func (c *clientConn) setReadTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.evicting && c.pending == 0 {
+	if c.closed || c.evicting && c.pendingCount == 0 {
 		timeout = max(c.lingerTimeout, closeLinger)
 	}
 	c.conn.SetReadDeadline(time.Now().Add(timeout))
@@ -218,35 +218,35 @@
 		c.frontend.remove(c)
 	}()
 	ended := false
-	for p := range c.responseOrder {
-		r := <-p.responses
-		ended = ended || r.status == 0
+	for pending := range c.responseOrder {
+		answer := <-pending.responses
+		ended = ended || answer.status == 0
 		if !ended {
-			ended = !c.writeResponse(p, &r, c.closesAfter(p))
+			ended = !c.writeResponse(pending, &answer, c.closesAfter(pending))
 		}
-		r.discard()
-		if p.source != nil {
-			p.source.abandon()
+		answer.discard()
+		if pending.source != nil {
+			pending.source.abandon()
 		}
-		c.releaseBody(p)
+		c.releaseBody(pending)
 		c.endRequest()
 	}
 }
 
 // writeResponse writes one response and reports whether the connection goes on. After the last it ends the sending
 // side; the read loop then lingers for the client to close.
-func (c *clientConn) writeResponse(p *pendingRequest, r *response, last bool) (goesOn bool) {
+func (c *clientConn) writeResponse(pending *pendingRequest, answer *response, last bool) (goesOn bool) {
 	defer c.frontend.node.recoverPanic("response", func() { c.conn.Close() })
-	head := r.encodeHead(p, last)
+	head := answer.encodeHead(pending, last)
 	complete := false
-	if r.stream != nil {
+	if answer.stream != nil {
 		c.streaming.Store(true)
-		complete = c.streamResponse(r, head)
+		complete = c.streamResponse(answer, head)
 		c.streaming.Store(false)
 	} else {
 		text := head.text
-		if allowsResponseBody(p.method) {
-			text = append(text, r.body...)
+		if allowsResponseBody(pending.method) {
+			text = append(text, answer.body...)
 		}
 		complete = writePaced(c.conn, nil, text) == nil
 	}
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -76,7 +76,7 @@
 	eventually(t, "half of the second request", func() bool {
 		at.mu.Lock()
 		defer at.mu.Unlock()
-		return !at.messageBegan.IsZero() && at.pending == 1
+		return !at.messageBegan.IsZero() && at.pendingCount == 1
 	})
 	n.shuttingDown.Store(true)
 	answers.pass()
--- a/internal/node/evict.go
+++ b/internal/node/evict.go
@@ -105,7 +105,7 @@
 
 // idleLocked reports that the connection has no request and none is being read, or one whose client has stopped within.
 func (c *clientConn) idleLocked(now time.Time) bool {
-	if c.pending > 0 || c.closed || c.evicting || now.Sub(c.lastUsedAt) <= closeLinger {
+	if c.pendingCount > 0 || c.closed || c.evicting || now.Sub(c.lastUsedAt) <= closeLinger {
 		return false
 	}
 	if c.messageBegan.IsZero() {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -70,16 +70,16 @@
 		return nil, err
 	}
 	defer release()
-	c, err := net.DialTimeout("unix", address, hotRestartTimeout)
+	conn, err := net.DialTimeout("unix", address, hotRestartTimeout)
 	if err != nil {
 		return nil, err
 	}
-	state, err := requestState(c, h.hello())
+	state, err := requestState(conn, h.hello())
 	if err != nil {
-		c.Close()
+		conn.Close()
 		return nil, err
 	}
-	h.predecessor = c
+	h.predecessor = conn
 	return state, nil
 }
 
@@ -168,7 +168,7 @@
 
 func (h *hotRestart) serve(listener *net.UnixListener) {
 	for {
-		c, err := listener.Accept()
+		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -176,16 +176,16 @@
 			time.Sleep(acceptRetryInterval)
 			continue
 		}
-		go h.serveSuccessor(c)
+		go h.serveSuccessor(conn)
 	}
 }
 
 // serveSuccessor hands the state to a successor and yields new connections to it, until it ends.
-func (h *hotRestart) serveSuccessor(c net.Conn) {
-	defer c.Close()
+func (h *hotRestart) serveSuccessor(conn net.Conn) {
+	defer conn.Close()
 	defer h.node.recoverPanic("hot restart", func() {})
-	in := bufio.NewReader(c)
-	if err := h.sendState(c, in); err != nil {
+	in := bufio.NewReader(conn)
+	if err := h.sendState(conn, in); err != nil {
 		h.node.counters.add(hotRestartsIgnored)
 		h.node.log.Warn("hot restart: a successor was ignored", zap.Error(err))
 		return
@@ -193,7 +193,7 @@
 	h.node.log.Info("hot restart: state handed to a successor")
 	h.node.divideLimits()
 	defer h.successorEnded()
-	if err := awaitReady(c, in); err != nil {
+	if err := awaitReady(conn, in); err != nil {
 		return
 	}
 	h.mu.Lock()
@@ -219,14 +219,14 @@
 }
 
 // sendState makes the caller the successor, if there is none, and sends it the state.
-func (h *hotRestart) sendState(c net.Conn, in *bufio.Reader) error {
-	if err := readHello(c, in, h.hello()); err != nil {
+func (h *hotRestart) sendState(conn net.Conn, in *bufio.Reader) error {
+	if err := readHello(conn, in, h.hello()); err != nil {
 		return err
 	}
-	if !h.claimSuccessor(c) {
+	if !h.claimSuccessor(conn) {
 		return errRestartInProgress
 	}
-	if err := json.NewEncoder(c).Encode(h.state()); err != nil {
+	if err := json.NewEncoder(conn).Encode(h.state()); err != nil {
 		h.mu.Lock()
 		h.successor = nil
 		h.mu.Unlock()
@@ -235,13 +235,13 @@
 	return nil
 }
 
-func (h *hotRestart) claimSuccessor(c net.Conn) bool {
+func (h *hotRestart) claimSuccessor(conn net.Conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.successor != nil {
 		return false
 	}
-	h.successor = c
+	h.successor = conn
 	return true
 }
 
--- a/internal/node/hotrestartproto.go
+++ b/internal/node/hotrestartproto.go
@@ -56,15 +56,15 @@
 }
 
 // requestState is the successor's side of the protocol up to the state.
-func requestState(c net.Conn, own restartHello) (*restartState, error) {
-	if err := checkSameUser(c); err != nil {
+func requestState(conn net.Conn, own restartHello) (*restartState, error) {
+	if err := checkSameUser(conn); err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(hotRestartTimeout))
-	if err := json.NewEncoder(c).Encode(own); err != nil {
+	conn.SetDeadline(time.Now().Add(hotRestartTimeout))
+	if err := json.NewEncoder(conn).Encode(own); err != nil {
 		return nil, err
 	}
-	line, err := readLine(bufio.NewReader(c), maxRestartState)
+	line, err := readLine(bufio.NewReader(conn), maxRestartState)
 	if err != nil {
 		return nil, err
 	}
@@ -72,16 +72,16 @@
 	if err := json.Unmarshal(line, &state); err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Time{})
+	conn.SetDeadline(time.Time{})
 	return &state, own.check(state.restartHello)
 }
 
 // readHello is the predecessor's first step.
-func readHello(c net.Conn, in *bufio.Reader, own restartHello) error {
-	if err := checkSameUser(c); err != nil {
+func readHello(conn net.Conn, in *bufio.Reader, own restartHello) error {
+	if err := checkSameUser(conn); err != nil {
 		return err
 	}
-	c.SetDeadline(time.Now().Add(hotRestartTimeout))
+	conn.SetDeadline(time.Now().Add(hotRestartTimeout))
 	line, err := readLine(in, maxRestartHello)
 	if err != nil {
 		return err
@@ -94,8 +94,8 @@
 }
 
 // awaitReady waits, for as long as the connection is open, until the successor serves.
-func awaitReady(c net.Conn, in *bufio.Reader) error {
-	c.SetDeadline(time.Time{})
+func awaitReady(conn net.Conn, in *bufio.Reader) error {
+	conn.SetDeadline(time.Time{})
 	line, err := readLine(in, len(readyMessage))
 	if err == nil && string(line) != readyMessage {
 		return errNotReady
@@ -141,8 +141,8 @@
 }
 
 // checkSameUser guards against another user's process at the node's path: the directory may be open to anybody.
-func checkSameUser(c net.Conn) error {
-	raw, err := c.(*net.UnixConn).SyscallConn()
+func checkSameUser(conn net.Conn) error {
+	raw, err := conn.(*net.UnixConn).SyscallConn()
 	if err != nil {
 		return err
 	}
--- a/internal/node/requestparse.go
+++ b/internal/node/requestparse.go
@@ -20,49 +20,49 @@
 
 // handle passes a request to the event loop, or answers at once what needs no decision: a readiness check, a request
 // beyond the node's capacity, or one that can't be read.
-func (c *clientConn) handle(p *pendingRequest, r *http.Request) {
+func (c *clientConn) handle(pending *pendingRequest, r *http.Request) {
 	node := c.frontend.node
 	if r.URL.Path == pathReady {
-		p.answer(response{status: node.readyStatus()})
+		pending.answer(response{status: node.readyStatus()})
 		return
 	}
 	if int(c.frontend.activeConns.Load()) > c.frontend.capacity() {
-		p.closeAfter = true
-		c.rejectOverCapacity(p)
+		pending.closeAfter = true
+		c.rejectOverCapacity(pending)
 		return
 	}
 	request, err := node.parseRequest(r, node.clock.now())
 	if err != nil {
 		node.counters.add(requestsMalformed)
-		p.answer(response{status: http.StatusBadRequest, body: []byte(err.Error() + "\n")})
+		pending.answer(response{status: http.StatusBadRequest, body: []byte(err.Error() + "\n")})
 		return
 	}
 	overMemory := node.bufferedBytes.Load() > bodyMemoryFactor*node.maxBufferedBytes.Load()
-	if len(p.body) > 0 && overMemory { // a streamed body holds its first part
-		c.rejectOverCapacity(p)
+	if len(pending.body) > 0 && overMemory { // a streamed body holds its first part
+		c.rejectOverCapacity(pending)
 		return
 	}
-	request.StreamingBody = p.source != nil
+	request.StreamingBody = pending.source != nil
 	if request.StreamingBody {
 		node.counters.add(requestsStreamed)
 	}
-	p.request = request
-	p.bufferHead(r)
-	node.loop.post(func() { node.loop.requestArrived(p) })
+	pending.request = request
+	pending.bufferHead(r)
+	node.loop.post(func() { node.loop.requestArrived(pending) })
 }
 
 // rejectMalformed answers a request that could not be read. Where the next request on the connection begins is
 // unknown then, so that it is closed.
-func (c *clientConn) rejectMalformed(p *pendingRequest, err error) {
+func (c *clientConn) rejectMalformed(pending *pendingRequest, err error) {
 	c.frontend.node.counters.add(requestsMalformed)
-	p.closeAfter = true
-	p.answer(response{status: statusFor(err)})
+	pending.closeAfter = true
+	pending.answer(response{status: statusFor(err)})
 }
 
-func (c *clientConn) rejectOverCapacity(p *pendingRequest) {
+func (c *clientConn) rejectOverCapacity(pending *pendingRequest) {
 	node := c.frontend.node
 	node.counters.add(requestsOverCapacity)
-	p.answer(node.overCapacity())
+	pending.answer(node.overCapacity())
 }
 
 // readyStatus answers a readiness check.
--- a/internal/node/requestread.go
+++ b/internal/node/requestread.go
@@ -22,7 +22,7 @@
 // readRequest reads one request, or as much of a long one as is buffered; the rest is then p.source. A client may
 // take its time before a request begins, but not within, nor before its first one: a silent connection holds a
 // descriptor. An error for which isMalformed holds is to be answered, any other ends the connection.
-func (c *clientConn) readRequest(p *pendingRequest) (*http.Request, error) {
+func (c *clientConn) readRequest(pending *pendingRequest) (*http.Request, error) {
 	first := !c.used
 	if err := c.awaitFirstByte(first); err != nil {
 		return nil, err
@@ -32,16 +32,16 @@
 	if err != nil {
 		return nil, err
 	}
-	p.method = request.Method
-	p.http10 = !request.ProtoAtLeast(1, 1)
+	pending.method = request.Method
+	pending.http10 = !request.ProtoAtLeast(1, 1)
 	c.conn.pacer = &readPacer{start: began, grace: bodyGrace, stall: bodyStall, minRate: minBodyRate}
-	complete, err := c.readBody(p, m)
+	complete, err := c.readBody(pending, m)
 	if err != nil || complete {
 		c.conn.pacer = nil
 		m.end()
 		return request, err
 	}
-	p.source = newBodySource(c.conn, m)
+	pending.source = newBodySource(c.conn, m)
 	return request, nil
 }
 
@@ -79,25 +79,25 @@
 }
 
 // readBody reads a body into memory, or as much of a long one as there is memory for, and reports whether that is all.
-func (c *clientConn) readBody(p *pendingRequest, m *message) (complete bool, err error) {
+func (c *clientConn) readBody(pending *pendingRequest, m *message) (complete bool, err error) {
 	if m.length == 0 {
 		return true, nil
 	}
 	limit := firstBodyRead
 	switch {
-	case m.length > minBufferedBody && m.length <= maxBufferedBody && c.reserveBody(p, int(m.length), false):
+	case m.length > minBufferedBody && m.length <= maxBufferedBody && c.reserveBody(pending, int(m.length), false):
 		limit = int(m.length)
 	case m.length > 0:
 		limit = int(min(m.length, minBufferedBody))
 	}
-	c.reserveBody(p, limit, true)
+	c.reserveBody(pending, limit, true)
 	for {
-		p.body, complete, err = m.readUpTo(p.body, limit)
+		pending.body, complete, err = m.readUpTo(pending.body, limit)
 		if complete || err != nil || m.length > 0 {
 			return complete, err
 		}
 		limit *= 2
-		if limit > maxBufferedBody || !c.reserveBody(p, limit, limit <= minBufferedBody) {
+		if limit > maxBufferedBody || !c.reserveBody(pending, limit, limit <= minBufferedBody) {
 			return false, nil
 		}
 	}
@@ -105,9 +105,9 @@
 
 // reserveBody makes room for a number of bytes of a request's body and reports whether there is memory for it; forced,
 // there always is. releaseBody gives the memory back.
-func (c *clientConn) reserveBody(p *pendingRequest, size int, force bool) bool {
+func (c *clientConn) reserveBody(pending *pendingRequest, size int, force bool) bool {
 	node := c.frontend.node
-	more := int64(size - cap(p.body))
+	more := int64(size - cap(pending.body))
 	if more <= 0 {
 		return true
 	}
@@ -115,27 +115,27 @@
 		node.bufferedBytes.Add(-more)
 		return false
 	}
-	grown := make([]byte, len(p.body), size)
-	copy(grown, p.body)
-	p.body = grown
+	grown := make([]byte, len(pending.body), size)
+	copy(grown, pending.body)
+	pending.body = grown
 	return true
 }
 
 // releaseBody gives back the memory that was reserved for a request's body.
-func (c *clientConn) releaseBody(p *pendingRequest) {
-	c.frontend.node.bufferedBytes.Add(-int64(cap(p.body)))
+func (c *clientConn) releaseBody(pending *pendingRequest) {
+	c.frontend.node.bufferedBytes.Add(-int64(cap(pending.body)))
 }
 
 // awaitBody waits until a streamed body has been read by its attempt, and reports whether the connection goes on.
-func (c *clientConn) awaitBody(p *pendingRequest) bool {
-	<-p.source.ended
-	p.source.message.end()
+func (c *clientConn) awaitBody(pending *pendingRequest) bool {
+	<-pending.source.ended
+	pending.source.message.end()
 	c.conn.pacer = nil
-	if !p.bodyIncomplete() {
+	if !pending.bodyIncomplete() {
 		return true
 	}
 	loop := c.frontend.node.loop
-	loop.post(func() { loop.bodyBroken(p) })
+	loop.post(func() { loop.bodyBroken(pending) })
 	return false
 }
 
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -122,23 +122,23 @@
 // streamResponse writes a response's head and the part of its body that is buffered, and passes on the rest as it
 // comes. It reports whether the client got all of it. Where not, the connection must be aborted, so that the client
 // sees that.
-func (c *clientConn) streamResponse(r *response, head responseHead) (complete bool) {
-	defer func() { r.stream.finish(complete) }()
-	write := func(p []byte) error { return writePaced(c.conn, nil, p) }
+func (c *clientConn) streamResponse(answer *response, head responseHead) (complete bool) {
+	defer func() { answer.stream.finish(complete) }()
+	write := func(pending []byte) error { return writePaced(c.conn, nil, pending) }
 	writePart := write
 	if head.chunked {
-		writePart = func(p []byte) error { return writeChunk(c.conn, nil, p) }
+		writePart = func(pending []byte) error { return writeChunk(c.conn, nil, pending) }
 	}
 	if write(head.text) != nil {
 		return false
 	}
-	if len(r.body) > 0 && writePart(r.body) != nil {
+	if len(answer.body) > 0 && writePart(answer.body) != nil {
 		return false
 	}
 	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
 	defer streamBuffers.Put(buffer)
-	for total := int64(len(r.body)); total != r.stream.length; {
-		n, err := r.stream.message.Read(buffer[:])
+	for total := int64(len(answer.body)); total != answer.stream.length; {
+		n, err := answer.stream.message.Read(buffer[:])
 		total += int64(n)
 		if total > maxBodyBytes {
 			return false
@@ -146,7 +146,7 @@
 		if n > 0 && writePart(buffer[:n]) != nil {
 			return false
 		}
-		if errors.Is(err, io.EOF) && (r.stream.length < 0 || total == r.stream.length) {
+		if errors.Is(err, io.EOF) && (answer.stream.length < 0 || total == answer.stream.length) {
 			break // the last bytes may come together with the end
 		}
 		if err != nil {
