--- a/internal/lab/result/analysis.go
+++ b/internal/lab/result/analysis.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// SlowStart tells how much load endpoints got at most within a window after a start, against their slow-start budget N of
-// requests of mean work.
+// SlowStart tells how much load endpoints got at most within a window after a start, against their slow-start budget N
+// of requests of mean work.
 type SlowStart struct {
 	Starts  int           `json:"lives"`
 	Crashes int           `json:"falls"` // endpoints that were overloaded in slow start
@@ -135,7 +135,10 @@
 	var worst SlowStartPeak
 	for i, p := range peaks {
 		if i == 0 || p.Excess > worst.Excess {
-			worst = SlowStartPeak{Excess: p.Excess, Load: p.Load, Budget: p.Budget, Endpoint: p.Endpoint, AtS: float64(p.At-startedAt) / 1e9}
+			worst = SlowStartPeak{
+				Excess: p.Excess, Load: p.Load, Budget: p.Budget, Endpoint: p.Endpoint,
+				AtS: float64(p.At-startedAt) / 1e9,
+			}
 		}
 	}
 	worst.Starts = len(peaks)
--- a/internal/lab/result/compare.go
+++ b/internal/lab/result/compare.go
@@ -60,8 +60,8 @@
 	return sum
 }
 
-// Compare tells how build B differs from build A. Results at one index are of one plan, else it returns an error. Pairs in which
-// the machine ran late are counted and left out of the differences.
+// Compare tells how build B differs from build A. Results at one index are of one plan, else it returns an error. Pairs
+// in which the machine ran late are counted and left out of the differences.
 func Compare(scenario, nameA, nameB string, a, b []*Result) (*Comparison, error) {
 	if len(a) != len(b) {
 		return nil, fmt.Errorf("expected as many days of one as of the other, got %d and %d", len(a), len(b))
@@ -114,7 +114,8 @@
 // Print writes the comparison as a table.
 func (c *Comparison) Print(w io.Writer) error {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%s: A %s, B %s, %d pairs, %d left out as the machine ran late\n", c.Scenario, c.NameA, c.NameB, c.Pairs, c.VoidPairs)
+	fmt.Fprintf(&out, "%s: A %s, B %s, %d pairs, %d left out as the machine ran late\n",
+		c.Scenario, c.NameA, c.NameB, c.Pairs, c.VoidPairs)
 	fmt.Fprintf(&out, "%18s %12s %12s %12s   %s\n", "", "A", "B", "B less A", "95% interval")
 	for _, d := range c.Differences {
 		interval := "-"
