--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -60,12 +60,16 @@
 	return netfault.Fault{Kind: netfault.Cut, From: Ends(a), To: Ends(b), OneWay: oneWay}
 }
 
-func drop(nodes int, share float64, burst int) netfault.Fault {
+// dropShare is the part of the datagrams that drop loses.
+const dropShare = 0.3
+
+// drop loses datagrams between all nodes, in bursts of so many on average.
+func drop(nodes, burst int) netfault.Fault {
 	all := Ends(Numbers(0, nodes))
-	return netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: share, Burst: burst, Seed: 7}
+	return netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: dropShare, Burst: burst, Seed: 7}
 }
 
-// neverSilent tells that nobody of some is taken for silent or gone by any of some.
+// neverFailed tells that none of some nodes takes one of others for failed or gone.
 func neverFailed(by, of []int) func([]*members.View) bool {
 	return func(views []*members.View) bool {
 		for _, i := range by {
@@ -173,7 +177,7 @@
 	{"three in ten datagrams lost, in bursts", 12, func(f Fleet) error {
 		all := Numbers(0, 12)
 		return inOrder(startAll(f),
-			do(func() { f.AddFaults(drop(12, 0.3, 4)) }),
+			do(func() { f.AddFaults(drop(12, 4)) }),
 			hold(f, 2*calm, "nobody is taken for silent", neverFailed(all, all)),
 			do(func() { f.Kill(11) }),
 			until(f, rough, "a death is known all the same", Agree(Numbers(0, 11), without(11))),
--- a/internal/lab/fleet/hearsay_test.go
+++ b/internal/lab/fleet/listgossip_test.go
@@ -26,7 +26,7 @@
 }
 
 // heard is what the nodes say of the list that they go by; nil for one that does not say.
-func (p *Processes) heard(t *testing.T) []*endpointgossip.View {
+func (p *Processes) heard() []*endpointgossip.View {
 	out := make([]*endpointgossip.View, len(p.nodes))
 	for i := range p.nodes {
 		var v struct{ List *endpointgossip.View }
@@ -41,14 +41,14 @@
 func (p *Processes) until(t *testing.T, what string, holds func(*endpointgossip.View) bool) {
 	t.Helper()
 	if _, err := Until(p, notice, what, func([]*members.View) bool {
-		for i, v := range p.heard(t) {
+		for i, v := range p.heard() {
 			if p.nodes[i].starts > 0 && (v == nil || !holds(v)) {
 				return false
 			}
 		}
 		return true
 	}); err != nil {
-		t.Fatalf("%v\n%+v", err, p.heard(t))
+		t.Fatalf("%v\n%+v", err, p.heard())
 	}
 }
 
@@ -70,7 +70,7 @@
 	p.discovery.SetDown(true)
 	p.discovery.LimitWatches(1)
 	p.discovery.SetDown(false)
-	p.AddFaults(drop(6, 0.3, 1))
+	p.AddFaults(drop(6, 1))
 	end := p.busy()
 	defer end()
 	p.lists(2, 1)
@@ -79,7 +79,7 @@
 		t.Errorf("%d tasks came to a server that drains after all knew it", late)
 	}
 	stand := 0
-	for _, v := range p.heard(t) {
+	for _, v := range p.heard() {
 		if v.WatchUp {
 			stand++
 		}
@@ -159,7 +159,7 @@
 	p.discovery.SetDown(false)
 	doubted := func(views []*members.View) bool {
 		with, doubt := 0, 0
-		for _, v := range p.heard(t) {
+		for _, v := range p.heard() {
 			if v != nil && v.WatchUp && v.Version == 9 {
 				with++
 			}
@@ -170,7 +170,7 @@
 		return with == 1 && doubt == 3
 	}
 	if _, err := Until(p, notice, "three doubt what one says", doubted); err != nil {
-		t.Fatalf("%v\n%+v", err, p.heard(t))
+		t.Fatalf("%v\n%+v", err, p.heard())
 	}
 	p.discovery.LimitWatches(2)
 	p.until(t, "two watches are believed", func(v *endpointgossip.View) bool { return v.Version == 9 })
@@ -181,7 +181,7 @@
 // server that drained, and all serve in the end.
 func TestPowerIsBackInEveryOrder(t *testing.T) {
 	p := listening(t, 4, true)
-	p.AddFaults(drop(4, 0.3, 2))
+	p.AddFaults(drop(4, 2))
 	parts := map[byte]func(){
 		'n': func() { p.startAll(t) },
 		's': func() {
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -62,7 +62,7 @@
 		if err := startAll(f)(); err != nil {
 			t.Fatal(err)
 		}
-		f.AddFaults(drop(20, 0.3, 2))
+		f.AddFaults(drop(20, 2))
 		f.Run(20e9)
 		out := ""
 		for _, v := range f.Views() {
@@ -70,7 +70,8 @@
 		}
 		return out
 	}
-	if play() != play() {
+	first, second := play(), play()
+	if first != second {
 		t.Error("two plays of one fleet differ")
 	}
 }
