--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -2,8 +2,9 @@
 package main
 
 import (
-	"fawnglade/internal/simadapter"
 	"os"
+
+	"fawnglade/internal/simadapter"
 )
 
 func main() {
--- a/cmd/fawnglade-lab/capacity.go
+++ b/cmd/fawnglade-lab/capacity.go
@@ -3,14 +3,15 @@
 import (
 	"context"
 	"errors"
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/result"
-	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"runtime"
 	"syscall"
 	"time"
 
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/result"
+	"fawnglade/internal/lab/scenario"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade-lab/compare.go
+++ b/cmd/fawnglade-lab/compare.go
@@ -3,11 +3,12 @@
 import (
 	"context"
 	"errors"
+	"fmt"
+	"strings"
+
 	"fawnglade/internal/lab/emulator"
 	"fawnglade/internal/lab/result"
 	"fawnglade/internal/lab/scenario"
-	"fmt"
-	"strings"
 
 	"github.com/spf13/cobra"
 )
--- a/cmd/fawnglade-lab/cost.go
+++ b/cmd/fawnglade-lab/cost.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"errors"
+	"fmt"
+
 	"fawnglade/internal/lab/result"
 	"fawnglade/internal/lab/scenario"
-	"fmt"
 
 	"github.com/spf13/cobra"
 )
--- a/cmd/fawnglade-lab/distribution.go
+++ b/cmd/fawnglade-lab/distribution.go
@@ -2,11 +2,12 @@
 
 import (
 	"errors"
-	"fawnglade/internal/lab/distsim"
 	"fmt"
 	"os"
 	"time"
 
+	"fawnglade/internal/lab/distsim"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -1,13 +1,14 @@
 package main
 
 import (
-	"fawnglade/internal/lab/result"
-	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"io"
 	"strings"
 	"text/tabwriter"
 
+	"fawnglade/internal/lab/result"
+	"fawnglade/internal/lab/scenario"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade-lab/hunt.go
+++ b/cmd/fawnglade-lab/hunt.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"fawnglade/internal/lab/faultsearch"
-	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"io"
 	"os"
@@ -12,6 +10,9 @@
 	"strings"
 	"time"
 
+	"fawnglade/internal/lab/faultsearch"
+	"fawnglade/internal/lab/scenario"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade-lab/members.go
+++ b/cmd/fawnglade-lab/members.go
@@ -3,12 +3,13 @@
 import (
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/lab/fleet"
 	"fmt"
 	"os"
 	"slices"
 	"time"
 
+	"fawnglade/internal/lab/fleet"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -4,16 +4,17 @@
 	"context"
 	_ "embed"
 	"errors"
-	"fawnglade/internal/lab/baseline"
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/result"
-	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"time"
 
+	"fawnglade/internal/lab/baseline"
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/result"
+	"fawnglade/internal/lab/scenario"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade-lab/program.go
+++ b/cmd/fawnglade-lab/program.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
-	"fawnglade/internal/lab/emulator"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
+
+	"fawnglade/internal/lab/emulator"
 )
 
 // nodeProgram is the file name of a node's program, and the name of the project's own decisions in virtual time.
--- a/cmd/fawnglade-lab/proxy.go
+++ b/cmd/fawnglade-lab/proxy.go
@@ -1,10 +1,11 @@
 package main
 
 import (
-	"fawnglade/internal/lab/emulator"
 	"os"
 	"strings"
 
+	"fawnglade/internal/lab/emulator"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade-lab/report.go
+++ b/cmd/fawnglade-lab/report.go
@@ -3,12 +3,13 @@
 import (
 	"cmp"
 	"errors"
-	"fawnglade/internal/lab/result"
 	"fmt"
 	"io"
 	"os"
 	"path/filepath"
 
+	"fawnglade/internal/lab/result"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade-lab/scale.go
+++ b/cmd/fawnglade-lab/scale.go
@@ -3,13 +3,14 @@
 import (
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/lab/scale"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"time"
 
+	"fawnglade/internal/lab/scale"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade-lab/scale_test.go
+++ b/cmd/fawnglade-lab/scale_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"encoding/json"
-	"fawnglade/internal/lab/scale"
 	"math"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"fawnglade/internal/lab/scale"
 )
 
 func slopes(t *testing.T, text []byte) map[string]scale.Slope {
--- a/cmd/fawnglade-lab/sweep.go
+++ b/cmd/fawnglade-lab/sweep.go
@@ -2,11 +2,12 @@
 
 import (
 	"errors"
+	"fmt"
+	"os"
+
 	"fawnglade/internal/lab/result"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/sweep"
-	"fmt"
-	"os"
 
 	"github.com/spf13/cobra"
 )
--- a/cmd/fawnglade-lab/virtual.go
+++ b/cmd/fawnglade-lab/virtual.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
+	"fmt"
+	"runtime"
+	"strings"
+
 	"fawnglade/internal/lab/baseline"
 	"fawnglade/internal/lab/result"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/simulation"
-	"fmt"
-	"runtime"
-	"strings"
 
 	"golang.org/x/sync/errgroup"
 )
--- a/cmd/fawnglade/config.go
+++ b/cmd/fawnglade/config.go
@@ -2,9 +2,10 @@
 
 import (
 	"errors"
-	"fawnglade/internal/node"
 	"os"
 
+	"fawnglade/internal/node"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade/fleet.go
+++ b/cmd/fawnglade/fleet.go
@@ -7,7 +7,6 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/members"
 	"fmt"
 	"io"
 	"net"
@@ -16,6 +15,8 @@
 	"text/tabwriter"
 	"time"
 
+	"fawnglade/internal/members"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade/helper_test.go
+++ b/cmd/fawnglade/helper_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"fawnglade/internal/store"
 	"fmt"
 	"io"
 	"net"
@@ -11,6 +10,8 @@
 	"os/exec"
 	"testing"
 	"time"
+
+	"fawnglade/internal/store"
 )
 
 // writeText writes to a peer that may have gone; what it answers shows that.
--- a/cmd/fawnglade/main_test.go
+++ b/cmd/fawnglade/main_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"errors"
-	"fawnglade/internal/store"
 	"fmt"
 	"os"
 	"os/exec"
@@ -11,6 +10,8 @@
 	"strings"
 	"syscall"
 	"testing"
+
+	"fawnglade/internal/store"
 )
 
 const config = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
--- a/cmd/fawnglade/migrate.go
+++ b/cmd/fawnglade/migrate.go
@@ -8,12 +8,13 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/node"
 	"fmt"
 	"os"
 	"slices"
 	"strings"
 
+	"fawnglade/internal/node"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade/migrate_test.go
+++ b/cmd/fawnglade/migrate_test.go
@@ -1,12 +1,13 @@
 package main
 
 import (
-	"fawnglade/internal/node"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"fawnglade/internal/node"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade/relay.go
+++ b/cmd/fawnglade/relay.go
@@ -1,9 +1,10 @@
 package main
 
 import (
-	"fawnglade/internal/relay"
 	"fmt"
 
+	"fawnglade/internal/relay"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade/relay_test.go
+++ b/cmd/fawnglade/relay_test.go
@@ -4,8 +4,6 @@
 	"bufio"
 	"context"
 	"encoding/json"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/relay"
 	"fmt"
 	"os"
 	"os/exec"
@@ -15,6 +13,9 @@
 	"testing"
 	"time"
 
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/relay"
+
 	"go.uber.org/zap"
 )
 
--- a/cmd/fawnglade/serve.go
+++ b/cmd/fawnglade/serve.go
@@ -1,9 +1,10 @@
 package main
 
 import (
-	"fawnglade/internal/node"
 	"os"
 
+	"fawnglade/internal/node"
+
 	"github.com/spf13/cobra"
 )
 
--- a/cmd/fawnglade/store.go
+++ b/cmd/fawnglade/store.go
@@ -4,12 +4,13 @@
 	"encoding/base64"
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/store"
 	"fmt"
 	"io"
 	"os"
 	"unicode/utf8"
 
+	"fawnglade/internal/store"
+
 	"github.com/spf13/cobra"
 )
 
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -3,9 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fawnglade/internal/golden"
 	"fmt"
 	"testing"
+
+	"fawnglade/internal/golden"
 )
 
 // TestGoldenFrames holds hellos and frames to the bytes that earlier builds send and read.
--- a/internal/endpointgossip/golden_test.go
+++ b/internal/endpointgossip/golden_test.go
@@ -3,9 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fawnglade/internal/golden"
 	"fmt"
 	"testing"
+
+	"fawnglade/internal/golden"
 )
 
 // TestGoldenMessages compares requests and responses with the bytes of earlier builds.
--- a/internal/endpointlist/golden_test.go
+++ b/internal/endpointlist/golden_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"bytes"
-	"fawnglade/internal/golden"
 	"fmt"
 	"testing"
+
+	"fawnglade/internal/golden"
 )
 
 // TestGoldenList compares an encoded list with discovery's form, and parses one as discovery writes it.
--- a/internal/estimates/estimates_test.go
+++ b/internal/estimates/estimates_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"encoding/json"
-	"fawnglade/internal/ewma"
 	"math"
 	"testing"
+
+	"fawnglade/internal/ewma"
 )
 
 func some() Snapshot {
--- a/internal/estimates/golden_test.go
+++ b/internal/estimates/golden_test.go
@@ -3,9 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
+	"testing"
+
 	"fawnglade/internal/ewma"
 	"fawnglade/internal/golden"
-	"testing"
 )
 
 // TestGoldenJSON holds what one process tells the next, and what a state directory keeps, to the names of earlier
--- a/internal/estimates/snapshot.go
+++ b/internal/estimates/snapshot.go
@@ -1,8 +1,9 @@
 package estimates
 
 import (
-	"fawnglade/internal/ewma"
 	"math"
+
+	"fawnglade/internal/ewma"
 )
 
 // Snapshot is what one instance hands to another.
--- a/internal/features/distribution.go
+++ b/internal/features/distribution.go
@@ -1,11 +1,12 @@
 package features
 
 import (
-	"fawnglade/internal/tomlfile"
 	"fmt"
 	"net/netip"
 	"strings"
 	"time"
+
+	"fawnglade/internal/tomlfile"
 )
 
 const (
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -3,8 +3,9 @@
 package features
 
 import (
-	"fawnglade/internal/tomlfile"
 	"os"
+
+	"fawnglade/internal/tomlfile"
 )
 
 const keysPage = "docs/operate/members.md or docs/operate/relay.md"
--- a/internal/features/members.go
+++ b/internal/features/members.go
@@ -2,10 +2,11 @@
 
 import (
 	"encoding/hex"
-	"fawnglade/internal/tomlfile"
 	"fmt"
 	"net/netip"
 	"time"
+
+	"fawnglade/internal/tomlfile"
 )
 
 const (
--- a/internal/features/values.go
+++ b/internal/features/values.go
@@ -1,10 +1,11 @@
 package features
 
 import (
-	"fawnglade/internal/tomlfile"
 	"fmt"
 	"strings"
 	"time"
+
+	"fawnglade/internal/tomlfile"
 )
 
 // durationRange is what a duration may be, and what it is where the file has none.
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"bytes"
-	"fawnglade/internal/golden"
-	"fawnglade/policy"
 	"testing"
 	"time"
+
+	"fawnglade/internal/golden"
+	"fawnglade/policy"
 )
 
 // TestGoldenMessages compares the messages between nodes with the bytes that earlier builds send and read.
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -11,9 +11,10 @@
 import (
 	"encoding/binary"
 	"errors"
-	"fawnglade/policy"
 	"math"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // MaxMessageBytes is the length of the longest message.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"errors"
-	"fawnglade/policy"
 	"testing"
+
+	"fawnglade/policy"
 )
 
 const now = int64(5e12)
--- a/internal/gossip/inbox.go
+++ b/internal/gossip/inbox.go
@@ -1,8 +1,9 @@
 package gossip
 
 import (
-	"fawnglade/policy"
 	"maps"
+
+	"fawnglade/policy"
 )
 
 const (
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -4,11 +4,12 @@
 package baseline
 
 import (
-	"fawnglade/internal/lab/simulation"
-	"fawnglade/policy"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"fawnglade/internal/lab/simulation"
+	"fawnglade/policy"
 )
 
 // The names of the baselines, as the lab's commands take them.
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -1,10 +1,11 @@
 package baseline
 
 import (
+	"testing"
+
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/simulation"
 	"fawnglade/internal/lab/trace"
-	"testing"
 )
 
 // A comparison with a baseline that violates invariants says nothing; in a calm run each has to serve nearly all
--- a/internal/lab/baseline/hotcold.go
+++ b/internal/lab/baseline/hotcold.go
@@ -1,10 +1,11 @@
 package baseline
 
 import (
-	"fawnglade/policy"
 	"math"
 	"slices"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // hotCold keeps a small pool of recent load reports. Endpoints above a quantile of reported load are hot; it selects
--- a/internal/lab/baseline/selection.go
+++ b/internal/lab/baseline/selection.go
@@ -1,10 +1,11 @@
 package baseline
 
 import (
-	"fawnglade/internal/rendezvous"
-	"fawnglade/policy"
 	"math"
 	"time"
+
+	"fawnglade/internal/rendezvous"
+	"fawnglade/policy"
 )
 
 const (
--- a/internal/lab/baseline/truestate.go
+++ b/internal/lab/baseline/truestate.go
@@ -1,9 +1,10 @@
 package baseline
 
 import (
-	"fawnglade/policy"
 	"math"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // allSeeing and lateSeeing read the true state of all endpoints, now or half a second ago. They tell how much a policy
--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"encoding/json"
-	"fawnglade/internal/distribution"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"fawnglade/internal/distribution"
 )
 
 func TestCheckRefusesSizes(t *testing.T) {
--- a/internal/lab/distsim/hollownodes.go
+++ b/internal/lab/distsim/hollownodes.go
@@ -2,14 +2,15 @@
 
 import (
 	"context"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/relay"
 	"net"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/relay"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -4,13 +4,14 @@
 	"bufio"
 	"context"
 	"encoding/json"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/relay"
 	"fmt"
 	"io"
 	"net"
 	"time"
 
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/relay"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/lab/distsim/relays.go
+++ b/internal/lab/distsim/relays.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fawnglade/internal/lab/emulator"
 	"fmt"
 	"net"
 	"os"
@@ -12,6 +11,8 @@
 	"strings"
 	"syscall"
 	"time"
+
+	"fawnglade/internal/lab/emulator"
 )
 
 const (
--- a/internal/lab/distsim/run.go
+++ b/internal/lab/distsim/run.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 	"errors"
-	"fawnglade/internal/relay"
 	"fmt"
 	"os"
 	"runtime"
 	"runtime/debug"
 	"sync"
 	"time"
+
+	"fawnglade/internal/relay"
 )
 
 const (
--- a/internal/lab/distsim/verdict.go
+++ b/internal/lab/distsim/verdict.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/relay"
 	"fmt"
 	"math"
 	"slices"
 	"sync"
 	"time"
+
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/relay"
 )
 
 // The verdict of a phase: the records of every node against the truth, byte by byte, and every change against the nodes
--- a/internal/lab/emulator/badclients.go
+++ b/internal/lab/emulator/badclients.go
@@ -5,13 +5,14 @@
 import (
 	"bytes"
 	"errors"
-	"fawnglade/internal/lab/workload"
 	"fmt"
 	"io"
 	"net"
 	"strings"
 	"sync/atomic"
 	"time"
+
+	"fawnglade/internal/lab/workload"
 )
 
 const (
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -8,11 +8,6 @@
 	"cmp"
 	"container/heap"
 	"errors"
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/trace"
-	"fawnglade/internal/lab/workload"
 	"fmt"
 	"io"
 	"net"
@@ -20,6 +15,12 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
+	"fawnglade/internal/lab/workload"
 )
 
 const (
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -4,14 +4,15 @@
 
 import (
 	"errors"
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/netfault"
 	"fmt"
 	"io"
 	"net"
 	"sync"
 	"time"
+
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 )
 
 const (
--- a/internal/lab/emulator/emulation.go
+++ b/internal/lab/emulator/emulation.go
@@ -5,11 +5,6 @@
 import (
 	"context"
 	"errors"
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/trace"
-	"fawnglade/internal/lab/workload"
 	"fmt"
 	"io"
 	"os"
@@ -19,6 +14,12 @@
 	"sync/atomic"
 	"time"
 
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
+	"fawnglade/internal/lab/workload"
+
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 )
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -4,10 +4,6 @@
 	"bufio"
 	"context"
 	"errors"
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/trace"
-	"fawnglade/internal/lab/workload"
 	"fmt"
 	"io"
 	"net"
@@ -18,6 +14,11 @@
 	"testing"
 	"time"
 
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
+	"fawnglade/internal/lab/workload"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/lab/emulator/endpoint.go
+++ b/internal/lab/emulator/endpoint.go
@@ -5,12 +5,6 @@
 
 import (
 	"errors"
-	"fawnglade/internal/lab/faultproxy"
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/workload"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -21,6 +15,13 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"fawnglade/internal/lab/faultproxy"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 )
 
 // endpointFaults are active faults of an endpoint that its model does not have.
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -3,13 +3,14 @@
 // What each kind of fault does on sockets.
 
 import (
-	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/workload"
 	"fmt"
 	"math"
 	"syscall"
 	"time"
+
+	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/workload"
 )
 
 // frontLeaves is how long connections still come to a node that stops.
--- a/internal/lab/emulator/links.go
+++ b/internal/lab/emulator/links.go
@@ -5,16 +5,17 @@
 
 import (
 	"encoding/json"
-	"fawnglade/internal/lab/faultproxy"
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/trace"
-	"fawnglade/internal/members"
 	"fmt"
 	"net"
 	"os"
 	"path/filepath"
 	"strings"
 	"time"
+
+	"fawnglade/internal/lab/faultproxy"
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/trace"
+	"fawnglade/internal/members"
 )
 
 const (
--- a/internal/lab/emulator/message.go
+++ b/internal/lab/emulator/message.go
@@ -5,12 +5,13 @@
 import (
 	"bytes"
 	"errors"
-	"fawnglade/internal/lab/faultproxy"
 	"fmt"
 	"io"
 	"net"
 	"strconv"
 	"syscall"
+
+	"fawnglade/internal/lab/faultproxy"
 )
 
 const (
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -4,8 +4,6 @@
 
 import (
 	"errors"
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/trace"
 	"fmt"
 	"io"
 	"net"
@@ -19,6 +17,9 @@
 	"syscall"
 	"time"
 	"unsafe"
+
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/trace"
 )
 
 // Process is one running node.
--- a/internal/lab/emulator/protocol.go
+++ b/internal/lab/emulator/protocol.go
@@ -7,13 +7,14 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
+	"strconv"
+	"strings"
+
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
-	"fmt"
-	"strconv"
-	"strings"
 )
 
 const (
--- a/internal/lab/faultproxy/datagrams.go
+++ b/internal/lab/faultproxy/datagrams.go
@@ -5,12 +5,13 @@
 
 import (
 	"errors"
-	"fawnglade/internal/lab/netfault"
 	"net"
 	"net/netip"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"fawnglade/internal/lab/netfault"
 )
 
 const (
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -3,12 +3,13 @@
 import (
 	"bytes"
 	"errors"
-	"fawnglade/internal/lab/netfault"
 	"io"
 	"net"
 	"os"
 	"testing"
 	"time"
+
+	"fawnglade/internal/lab/netfault"
 )
 
 // echo serves connections that get back what they send.
--- a/internal/lab/faultproxy/proxies.go
+++ b/internal/lab/faultproxy/proxies.go
@@ -3,10 +3,11 @@
 package faultproxy
 
 import (
-	"fawnglade/internal/lab/netfault"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"fawnglade/internal/lab/netfault"
 )
 
 // Proxies holds the schedule of link faults for all proxies of a run.
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -6,7 +6,6 @@
 
 import (
 	"errors"
-	"fawnglade/internal/lab/netfault"
 	"fmt"
 	"io"
 	"net"
@@ -15,6 +14,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"fawnglade/internal/lab/netfault"
 )
 
 const (
--- a/internal/lab/faultsearch/faultsearch.go
+++ b/internal/lab/faultsearch/faultsearch.go
@@ -12,12 +12,13 @@
 	"cmp"
 	"context"
 	"errors"
-	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"math/bits"
 	"math/rand/v2"
 	"slices"
 	"strings"
+
+	"fawnglade/internal/lab/scenario"
 )
 
 // Candidate is a run that was tried: the base scenario with this seed and these faults.
--- a/internal/lab/faultsearch/faultsearch_test.go
+++ b/internal/lab/faultsearch/faultsearch_test.go
@@ -4,12 +4,13 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/lab/scenario"
 	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
+
+	"fawnglade/internal/lab/scenario"
 )
 
 func base(t *testing.T) *scenario.Scenario {
--- a/internal/lab/faultsearch/mutation.go
+++ b/internal/lab/faultsearch/mutation.go
@@ -1,9 +1,10 @@
 package faultsearch
 
 import (
-	"fawnglade/internal/lab/scenario"
 	"math/rand/v2"
 	"slices"
+
+	"fawnglade/internal/lab/scenario"
 )
 
 const (
--- a/internal/lab/faultsearch/reduction.go
+++ b/internal/lab/faultsearch/reduction.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
-	"fawnglade/internal/lab/scenario"
 	"reflect"
 	"slices"
+
+	"fawnglade/internal/lab/scenario"
 )
 
 // simplifications of a fault, each tried in turn.
--- a/internal/lab/faultsearch/state.go
+++ b/internal/lab/faultsearch/state.go
@@ -3,12 +3,13 @@
 import (
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"io/fs"
 	"os"
 	"path/filepath"
 
+	"fawnglade/internal/lab/scenario"
+
 	"github.com/pelletier/go-toml/v2"
 )
 
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -4,9 +4,10 @@
 // never look at a clock; what it allows is told in rounds.
 
 import (
+	"fmt"
+
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
-	"fmt"
 )
 
 // Case is one hard case.
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -3,11 +3,6 @@
 import (
 	"bufio"
 	"encoding/json"
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/faultproxy"
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/model"
-	"fawnglade/internal/lab/netfault"
 	"fmt"
 	"net"
 	"net/http"
@@ -17,6 +12,12 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/faultproxy"
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/model"
+	"fawnglade/internal/lab/netfault"
 )
 
 // Who is who on the links: nodes from 0, then these.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -5,10 +5,11 @@
 package fleet
 
 import (
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/members"
 	"fmt"
 	"strings"
+
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/members"
 )
 
 // Fleet is some nodes and the links between them. A node is named by its number.
--- a/internal/lab/fleet/listgossip_test.go
+++ b/internal/lab/fleet/listgossip_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"encoding/json"
-	"fawnglade/internal/endpointgossip"
-	"fawnglade/internal/members"
 	"os"
 	"strings"
 	"testing"
 	"time"
+
+	"fawnglade/internal/endpointgossip"
+	"fawnglade/internal/members"
 )
 
 const listKey = "00112233445566778899aabbccddeeff"
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -4,10 +4,11 @@
 // what it costs in messages. It must never count as known what a node did not say itself.
 
 import (
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/members"
 	"fmt"
 	"time"
+
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/members"
 )
 
 // Figures of one fleet at one loss.
--- a/internal/lab/fleet/order_test.go
+++ b/internal/lab/fleet/order_test.go
@@ -1,9 +1,10 @@
 package fleet
 
 import (
-	"fawnglade/internal/lab/invariant"
 	"testing"
 	"time"
+
+	"fawnglade/internal/lab/invariant"
 )
 
 // TestTheOrderThatAStallLost has two attempts of a request read in one moment: a hedged request only where the node had closed neither.
--- a/internal/lab/fleet/power_test.go
+++ b/internal/lab/fleet/power_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"fawnglade/internal/members"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -12,6 +11,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fawnglade/internal/members"
 )
 
 const grace = 550 * time.Millisecond // to stop sending, with what a socket may hold up
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -7,10 +7,6 @@
 	"bufio"
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/faultproxy"
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/members"
 	"fmt"
 	"io"
 	"net"
@@ -22,6 +18,11 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/faultproxy"
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/members"
 )
 
 // settingsOf is a small deployment whose nodes may talk.
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fawnglade/internal/members"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -13,6 +12,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"fawnglade/internal/members"
 )
 
 // program is the node, built once for all tests.
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -5,10 +5,11 @@
 
 import (
 	"container/heap"
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/members"
 	"fmt"
 	"math/rand/v2"
+
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/members"
 )
 
 // mostCopied nodes at most have a message of each way kept: in a large fleet these would be most of the memory.
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -1,9 +1,10 @@
 package fleet
 
 import (
-	"fawnglade/internal/members"
 	"fmt"
 	"testing"
+
+	"fawnglade/internal/members"
 )
 
 func TestCasesInVirtualTime(t *testing.T) {
--- a/internal/lab/invariant/check_test.go
+++ b/internal/lab/invariant/check_test.go
@@ -1,9 +1,10 @@
 package invariant
 
 import (
-	"fawnglade/internal/lab/model"
 	"strings"
 	"testing"
+
+	"fawnglade/internal/lab/model"
 )
 
 const ms = int64(1e6)
--- a/internal/lab/invariant/drain.go
+++ b/internal/lab/invariant/drain.go
@@ -1,9 +1,10 @@
 package invariant
 
 import (
-	"fawnglade/internal/lab/model"
 	"fmt"
 	"slices"
+
+	"fawnglade/internal/lab/model"
 )
 
 // Rule 3: no attempt begins at an endpoint that the node knows, or is presumed to know, to be draining or removed for
--- a/internal/lab/invariant/history.go
+++ b/internal/lab/invariant/history.go
@@ -8,8 +8,9 @@
 package invariant
 
 import (
-	"fawnglade/internal/lab/model"
 	"sync"
+
+	"fawnglade/internal/lab/model"
 )
 
 // Never is a time that did not come.
--- a/internal/lab/invariant/knowledge_test.go
+++ b/internal/lab/invariant/knowledge_test.go
@@ -1,9 +1,10 @@
 package invariant
 
 import (
-	"fawnglade/internal/lab/model"
 	"strings"
 	"testing"
+
+	"fawnglade/internal/lab/model"
 )
 
 // standingTestRules are the rules with the later terms of the standing test.
--- a/internal/lab/invariant/listknowledge.go
+++ b/internal/lab/invariant/listknowledge.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"fawnglade/internal/lab/model"
 	"slices"
+
+	"fawnglade/internal/lab/model"
 )
 
 // What a process of a node knows of each endpoint: entries that were written to it; changes that it is presumed to know,
--- a/internal/lab/invariant/slowstart.go
+++ b/internal/lab/invariant/slowstart.go
@@ -1,9 +1,10 @@
 package invariant
 
 import (
-	"fawnglade/internal/lab/model"
 	"fmt"
 	"math"
+
+	"fawnglade/internal/lab/model"
 )
 
 // Rule 4: an endpoint in slow start is not overloaded until it crashes. Nodes answer for a crash if two thirds of the
--- a/internal/lab/result/analysis.go
+++ b/internal/lab/result/analysis.go
@@ -1,11 +1,12 @@
 package result
 
 import (
+	"fmt"
+	"time"
+
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/trace"
-	"fmt"
-	"time"
 )
 
 // spanLength is that of Result.Spans, in nanoseconds.
--- a/internal/lab/result/curves.go
+++ b/internal/lab/result/curves.go
@@ -1,9 +1,10 @@
 package result
 
 import (
-	"fawnglade/internal/lab/trace"
 	"time"
 
+	"fawnglade/internal/lab/trace"
+
 	"gonum.org/v1/gonum/stat"
 )
 
--- a/internal/lab/result/curves_test.go
+++ b/internal/lab/result/curves_test.go
@@ -1,9 +1,10 @@
 package result
 
 import (
-	"fawnglade/internal/lab/trace"
 	"math"
 	"testing"
+
+	"fawnglade/internal/lab/trace"
 )
 
 func TestSpreadOfLoadOverEndpoints(t *testing.T) {
--- a/internal/lab/result/expectations.go
+++ b/internal/lab/result/expectations.go
@@ -1,9 +1,10 @@
 package result
 
 import (
+	"fmt"
+
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/trace"
-	"fmt"
 )
 
 // expect notes an expectation that did not hold.
--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -1,12 +1,13 @@
 package result
 
 import (
-	"fawnglade/internal/lab/trace"
 	"fmt"
 	"html/template"
 	"io"
 	"maps"
 	"slices"
+
+	"fawnglade/internal/lab/trace"
 )
 
 const (
--- a/internal/lab/result/page_test.go
+++ b/internal/lab/result/page_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"bytes"
+	"strings"
+	"testing"
+
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
-	"strings"
-	"testing"
 )
 
 // The templates name fields as text: a renamed field fails here.
--- a/internal/lab/result/reachability.go
+++ b/internal/lab/result/reachability.go
@@ -1,11 +1,12 @@
 package result
 
 import (
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/trace"
 	"fmt"
 	"slices"
 	"strings"
+
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/trace"
 )
 
 // maxGroupsPrinted is how many groups of nodes that reach one another are named one by one.
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -5,12 +5,13 @@
 
 import (
 	"encoding/json"
-	"fawnglade/internal/lab/invariant"
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/trace"
 	"fmt"
 	"os"
 	"path/filepath"
+
+	"fawnglade/internal/lab/invariant"
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/trace"
 )
 
 // Verdict of a run.
--- a/internal/lab/result/tally.go
+++ b/internal/lab/result/tally.go
@@ -1,9 +1,10 @@
 package result
 
 import (
+	"time"
+
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/trace"
-	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
--- a/internal/lab/result/text.go
+++ b/internal/lab/result/text.go
@@ -1,13 +1,14 @@
 package result
 
 import (
-	"fawnglade/internal/lab/trace"
 	"fmt"
 	"io"
 	"maps"
 	"slices"
 	"strings"
 	"text/tabwriter"
+
+	"fawnglade/internal/lab/trace"
 )
 
 const (
--- a/internal/lab/scale/balancer.go
+++ b/internal/lab/scale/balancer.go
@@ -1,11 +1,12 @@
 package scale
 
 import (
-	"fawnglade/policy"
 	"fmt"
 	"runtime"
 	"slices"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // What the probes of the decisions have in common: an instance without sockets, whose effects do nothing, and requests
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 	"errors"
-	"fawnglade/internal/nodestate"
-	"fawnglade/internal/store"
 	"fmt"
 	"os"
 	"path/filepath"
 	"runtime"
 	"time"
+
+	"fawnglade/internal/nodestate"
+	"fawnglade/internal/store"
 )
 
 // Probe of the persisted state: the node's own state and store, without a node. Files are read from the system's cache,
--- a/internal/lab/scale/endpointgossip.go
+++ b/internal/lab/scale/endpointgossip.go
@@ -2,8 +2,9 @@
 
 import (
 	"context"
-	"fawnglade/internal/endpointgossip"
 	"fmt"
+
+	"fawnglade/internal/endpointgossip"
 )
 
 // Probe of the endpoint list by gossip: one node without discovery asks nodes that have it. Virtual time, nothing is
--- a/internal/lab/scale/hollownodes.go
+++ b/internal/lab/scale/hollownodes.go
@@ -4,8 +4,6 @@
 	"bufio"
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/node"
 	"fmt"
 	"io"
 	"os"
@@ -14,6 +12,9 @@
 	"strings"
 	"time"
 
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/node"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/lab/scale/instances.go
+++ b/internal/lab/scale/instances.go
@@ -2,8 +2,9 @@
 
 import (
 	"context"
-	"fawnglade/policy"
 	"runtime"
+
+	"fawnglade/policy"
 )
 
 // Probes of the decisions over tenants, classes and services.
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
+	"fmt"
+	"runtime"
+
 	"fawnglade/internal/lab/fleet"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/members"
-	"fmt"
-	"runtime"
 )
 
 // Probe of membership: the members' own code for all nodes in virtual time, on a network that loses some datagrams.
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -4,8 +4,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/lab/emulator"
-	"fawnglade/internal/lab/fleet"
 	"fmt"
 	"net"
 	"net/http"
@@ -14,6 +12,9 @@
 	"strings"
 	"syscall"
 	"time"
+
+	"fawnglade/internal/lab/emulator"
+	"fawnglade/internal/lab/fleet"
 )
 
 const (
--- a/internal/lab/scale/records.go
+++ b/internal/lab/scale/records.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"errors"
-	"fawnglade/internal/distribution"
 	"fmt"
 	"runtime"
+
+	"fawnglade/internal/distribution"
 )
 
 // Probes of distribution over the number of records: an origin, a relay and a subscriber in this process and in virtual
--- a/internal/lab/scale/subscribers.go
+++ b/internal/lab/scale/subscribers.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"errors"
-	"fawnglade/internal/distribution"
 	"fmt"
 	"runtime"
+
+	"fawnglade/internal/distribution"
 )
 
 func subscribersProbe() Probe {
--- a/internal/lab/scale/tree.go
+++ b/internal/lab/scale/tree.go
@@ -3,8 +3,9 @@
 import (
 	"container/heap"
 	"errors"
-	"fawnglade/internal/distribution"
 	"math"
+
+	"fawnglade/internal/distribution"
 )
 
 // A distribution tree in virtual time: an origin, relays in two levels and subscribers. Frames take the delay of their
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -1,9 +1,10 @@
 package scenario
 
 import (
-	"fawnglade/internal/lab/netfault"
 	"strings"
 	"time"
+
+	"fawnglade/internal/lab/netfault"
 )
 
 // Default returns what a file need not say: a small, healthy site.
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -1,10 +1,11 @@
 package scenario
 
 import (
-	"fawnglade/internal/lab/netfault"
 	"fmt"
 	"strings"
 	"time"
+
+	"fawnglade/internal/lab/netfault"
 )
 
 const (
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -1,11 +1,12 @@
 package simulation
 
 import (
+	"fmt"
+	"time"
+
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
-	"fmt"
-	"time"
 )
 
 const lateResponseTime = int64(300 * time.Millisecond) // after a deadline, for late responses
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -1,11 +1,12 @@
 package simulation
 
 import (
+	"time"
+
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/policy"
-	"time"
 )
 
 const (
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -1,16 +1,17 @@
 package simulation
 
 import (
+	"math"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
 	"fawnglade/policy"
-	"math"
-	"math/rand/v2"
-	"net/http"
-	"strconv"
 )
 
 // endpointFaults are active faults of an endpoint that its model does not have.
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -4,13 +4,14 @@
 // sockets.
 
 import (
+	"math"
+	"slices"
+	"time"
+
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
-	"math"
-	"slices"
-	"time"
 )
 
 const (
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -1,12 +1,13 @@
 package simulation
 
 import (
+	"fmt"
+	"time"
+
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/members"
-	"fmt"
-	"time"
 )
 
 const (
--- a/internal/lab/simulation/listgossip.go
+++ b/internal/lab/simulation/listgossip.go
@@ -1,11 +1,12 @@
 package simulation
 
 import (
+	"fmt"
+	"strconv"
+
 	"fawnglade/internal/endpointgossip"
 	"fawnglade/internal/lab/model"
 	"fawnglade/policy"
-	"fmt"
-	"strconv"
 )
 
 // listGossip is the endpoint list by gossip of one process: the node's own code over simulated membership.
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -2,6 +2,9 @@
 
 import (
 	"encoding/json"
+	"fmt"
+	"time"
+
 	"fawnglade/internal/gossip"
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/netfault"
@@ -9,8 +12,6 @@
 	"fawnglade/internal/members"
 	"fawnglade/internal/settings"
 	"fawnglade/policy"
-	"fmt"
-	"time"
 )
 
 var noReport = policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -5,6 +5,12 @@
 
 import (
 	"context"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"strconv"
+	"time"
+
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/model"
 	"fawnglade/internal/lab/netfault"
@@ -12,11 +18,6 @@
 	"fawnglade/internal/lab/trace"
 	"fawnglade/internal/lab/workload"
 	"fawnglade/policy"
-	"fmt"
-	"hash/fnv"
-	"math/rand/v2"
-	"strconv"
-	"time"
 )
 
 // Decider decides at one node: policy.Balancer, or a baseline. Times are of the node's own clock.
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -3,14 +3,15 @@
 import (
 	"context"
 	"encoding/json"
-	"fawnglade/internal/lab/scenario"
-	"fawnglade/internal/lab/trace"
-	"fawnglade/policy"
 	"runtime"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"fawnglade/internal/lab/scenario"
+	"fawnglade/internal/lab/trace"
+	"fawnglade/policy"
 )
 
 func read(t *testing.T, name string, nodes int) *scenario.Scenario {
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -4,12 +4,13 @@
 package sweep
 
 import (
-	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"slices"
 	"strconv"
 	"strings"
 
+	"fawnglade/internal/lab/scenario"
+
 	"github.com/pelletier/go-toml/v2"
 )
 
--- a/internal/lab/trace/rules.go
+++ b/internal/lab/trace/rules.go
@@ -1,12 +1,13 @@
 package trace
 
 import (
+	"slices"
+	"time"
+
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
-	"slices"
-	"time"
 )
 
 // What the rule checker needs to know of a scenario.
--- a/internal/lab/trace/settings.go
+++ b/internal/lab/trace/settings.go
@@ -1,8 +1,9 @@
 package trace
 
 import (
-	"fawnglade/internal/lab/scenario"
 	"time"
+
+	"fawnglade/internal/lab/scenario"
 )
 
 // The words of the settings for those of a scenario file.
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -3,11 +3,12 @@
 package trace
 
 import (
+	"time"
+
 	"fawnglade/internal/lab/invariant"
 	"fawnglade/internal/lab/netfault"
 	"fawnglade/internal/lab/scenario"
 	"fawnglade/internal/lab/workload"
-	"time"
 )
 
 // State is what became of an operation for its client, over all its requests.
--- a/internal/lab/workload/faults.go
+++ b/internal/lab/workload/faults.go
@@ -1,10 +1,11 @@
 package workload
 
 import (
-	"fawnglade/internal/lab/scenario"
 	"math"
 	"math/rand/v2"
 	"slices"
+
+	"fawnglade/internal/lab/scenario"
 )
 
 // Fault is one fault of the scenario with what it hits.
--- a/internal/lab/workload/nodepicker.go
+++ b/internal/lab/workload/nodepicker.go
@@ -1,10 +1,11 @@
 package workload
 
 import (
-	"fawnglade/internal/lab/scenario"
 	"math"
 	"math/rand/v2"
 	"sort"
+
+	"fawnglade/internal/lab/scenario"
 )
 
 // NodeShares returns how much of its zone's load each node gets, over the mean; nil where all get the same. They have
--- a/internal/lab/workload/operations.go
+++ b/internal/lab/workload/operations.go
@@ -1,9 +1,10 @@
 package workload
 
 import (
-	"fawnglade/internal/lab/scenario"
 	"math"
 	"math/rand/v2"
+
+	"fawnglade/internal/lab/scenario"
 )
 
 // Operation is one thing that a client wants. The requests that it sends for it have IDs of their own.
--- a/internal/lab/workload/plan.go
+++ b/internal/lab/workload/plan.go
@@ -6,11 +6,12 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
-	"fawnglade/internal/lab/netfault"
-	"fawnglade/internal/lab/scenario"
 	"fmt"
 	"hash/fnv"
 	"math/rand/v2"
+
+	"fawnglade/internal/lab/netfault"
+	"fawnglade/internal/lab/scenario"
 )
 
 // Endpoint is one machine of the run's beginning, or one that a fault adds or puts in place of another.
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -1,10 +1,11 @@
 package workload
 
 import (
-	"fawnglade/internal/lab/scenario"
 	"math"
 	"slices"
 	"testing"
+
+	"fawnglade/internal/lab/scenario"
 )
 
 func drawn(t *testing.T, load string, seed uint64) *Plan {
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -2,10 +2,11 @@
 package loadreport
 
 import (
-	"fawnglade/policy"
 	"math"
 	"strconv"
 	"strings"
+
+	"fawnglade/policy"
 )
 
 const unknown = -1 // a load that is not reported
--- a/internal/members/golden_test.go
+++ b/internal/members/golden_test.go
@@ -3,9 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fawnglade/internal/golden"
 	"fmt"
 	"testing"
+
+	"fawnglade/internal/golden"
 )
 
 // TestGoldenMessages compares datagrams with the bytes that earlier builds send and read.
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"errors"
-	"fawnglade/policy"
 	"fmt"
 	"io"
 	"net"
@@ -13,6 +12,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"fawnglade/policy"
 )
 
 func withAdmin(c *Config) { c.AdminListen = address() }
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -4,11 +4,12 @@
 
 import (
 	"errors"
-	"fawnglade/policy"
 	"fmt"
 	"os"
 	"sync"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // upstreamTarget is an endpoint and its address. An address alone would not do: a new endpoint may have the address of
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"fawnglade/policy"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"testing"
 	"time"
+
+	"fawnglade/policy"
 )
 
 func TestAttemptErrorOutcome(t *testing.T) {
--- a/internal/node/bufferedconn.go
+++ b/internal/node/bufferedconn.go
@@ -5,12 +5,13 @@
 
 import (
 	"errors"
-	"fawnglade/internal/sockstate"
 	"io"
 	"net"
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"fawnglade/internal/sockstate"
 )
 
 const (
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -1,8 +1,9 @@
 package node
 
 import (
-	"fawnglade/policy"
 	"time"
+
+	"fawnglade/policy"
 )
 
 const (
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -3,14 +3,15 @@
 import (
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/features"
-	"fawnglade/internal/settings"
-	"fawnglade/internal/store"
 	"fmt"
 	"net/netip"
 	"os"
 	"strconv"
 	"syscall"
+
+	"fawnglade/internal/features"
+	"fawnglade/internal/settings"
+	"fawnglade/internal/store"
 )
 
 // Config is what a node is started with. ReadConfig and ParseConfig return checked ones.
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -2,9 +2,10 @@
 
 import (
 	"cmp"
-	"fawnglade/policy"
 	"net/http"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // The event loop implements policy.Effects: the decisions call these methods from within an event, on the loop's own
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"fawnglade/policy"
 	"slices"
+
+	"fawnglade/policy"
 )
 
 // How the endpoint list enters the decisions: in slices, with the operators' overrides applied, and with connections
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 	"errors"
-	"fawnglade/internal/discovery"
-	"fawnglade/internal/endpointlist"
 	"os"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"fawnglade/internal/discovery"
+	"fawnglade/internal/endpointlist"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"fawnglade/internal/endpointlist"
 	"fmt"
 	"io"
 	"net"
@@ -12,6 +11,8 @@
 	"testing"
 	"time"
 
+	"fawnglade/internal/endpointlist"
+
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 )
--- a/internal/node/estimates.go
+++ b/internal/node/estimates.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+
 	"fawnglade/internal/estimates"
 
 	"go.uber.org/zap"
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -2,10 +2,11 @@
 
 import (
 	"errors"
-	"fawnglade/internal/timerqueue"
-	"fawnglade/policy"
 	"net/http"
 	"time"
+
+	"fawnglade/internal/timerqueue"
+	"fawnglade/policy"
 )
 
 const (
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -1,12 +1,13 @@
 package node
 
 import (
-	"fawnglade/policy"
 	"fmt"
 	"net"
 	"net/http"
 	"testing"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // Guards against a panic in the decisions that costs other requests or leaves its own without a response.
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -4,9 +4,6 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"fawnglade/internal/endpointlist"
-	"fawnglade/internal/golden"
-	"fawnglade/policy"
 	"fmt"
 	"io"
 	"net"
@@ -17,6 +14,10 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/golden"
+	"fawnglade/policy"
 )
 
 // TestGoldenHeads holds the heads of requests, answers, watches and health checks to the bytes of earlier builds.
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
-	"fawnglade/internal/datagram"
-	"fawnglade/internal/gossip"
-	"fawnglade/policy"
 	"fmt"
 	"net"
 	"net/netip"
 
+	"fawnglade/internal/datagram"
+	"fawnglade/internal/gossip"
+	"fawnglade/policy"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -1,8 +1,6 @@
 package node
 
 import (
-	"fawnglade/internal/gossip"
-	"fawnglade/policy"
 	"fmt"
 	"net"
 	"net/http"
@@ -10,6 +8,9 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fawnglade/internal/gossip"
+	"fawnglade/policy"
 )
 
 // withGossip configures gossip with peers; the settings allow messages and health checks.
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -5,9 +5,10 @@
 
 import (
 	"errors"
-	"fawnglade/policy"
 	"net/http"
 	"time"
+
+	"fawnglade/policy"
 )
 
 const (
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fawnglade/internal/estimates"
 	"fmt"
 	"net"
 	"net/http"
@@ -12,6 +11,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"fawnglade/internal/estimates"
 )
 
 // processes makes processes of one node: they share a directory, an address and its socket.
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -2,11 +2,12 @@
 
 import (
 	"encoding/json"
-	"fawnglade/internal/endpointgossip"
-	"fawnglade/policy"
 	"net/netip"
 	"sync"
 
+	"fawnglade/internal/endpointgossip"
+	"fawnglade/policy"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -5,13 +5,14 @@
 	"encoding/binary"
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/datagram"
-	"fawnglade/internal/features"
-	"fawnglade/internal/members"
 	"net"
 	"sync"
 	"time"
 
+	"fawnglade/internal/datagram"
+	"fawnglade/internal/features"
+	"fawnglade/internal/members"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -20,15 +20,16 @@
 
 import (
 	"errors"
-	"fawnglade/internal/endpointlist"
-	"fawnglade/internal/loadreport"
-	"fawnglade/policy"
 	"fmt"
 	"hash/fnv"
 	"net/http"
 	"net/netip"
 	"slices"
 	"strings"
+
+	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/loadreport"
+	"fawnglade/policy"
 )
 
 const (
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -4,14 +4,15 @@
 
 import (
 	"context"
-	"fawnglade/internal/endpointlist"
-	"fawnglade/internal/settings"
 	"fmt"
 	"net"
 	"os"
 	"strconv"
 	"sync/atomic"
 
+	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/settings"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"fawnglade/policy"
 	"fmt"
 	"hash/fnv"
 	"io"
@@ -15,6 +14,8 @@
 	"syscall"
 	"time"
 
+	"fawnglade/policy"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/node/overridesfile.go
+++ b/internal/node/overridesfile.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"errors"
-	"fawnglade/policy"
 	"fmt"
 	"io"
 	"maps"
@@ -15,6 +14,8 @@
 	"strings"
 	"syscall"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // The overrides file, one line each:
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -5,11 +5,12 @@
 
 import (
 	"bytes"
-	"fawnglade/policy"
 	"net/http"
 	"strconv"
 	"sync/atomic"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // pendingRequest is a request until its response has been written. The read loop of its client connection fills it in
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -2,15 +2,16 @@
 
 import (
 	"errors"
-	"fawnglade/internal/members"
-	"fawnglade/internal/nodestate"
-	"fawnglade/internal/store"
 	"fmt"
 	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"fawnglade/internal/members"
+	"fawnglade/internal/nodestate"
+	"fawnglade/internal/store"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"errors"
-	"fawnglade/internal/store"
 	"fmt"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
+
+	"fawnglade/internal/store"
 )
 
 // badDisk is a directory whose syncs hang until hangs is unlocked, or fail.
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -2,9 +2,10 @@
 
 import (
 	"encoding/json"
+	"slices"
+
 	"fawnglade/internal/nodestate"
 	"fawnglade/policy"
-	"slices"
 
 	"go.uber.org/zap"
 )
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -4,11 +4,6 @@
 	"bufio"
 	"context"
 	"encoding/json"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointsource"
-	"fawnglade/internal/features"
-	"fawnglade/internal/relay"
-	"fawnglade/policy"
 	"fmt"
 	"net"
 	"net/http"
@@ -19,6 +14,12 @@
 	"testing"
 	"time"
 
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointsource"
+	"fawnglade/internal/features"
+	"fawnglade/internal/relay"
+	"fawnglade/policy"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+
 	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/endpointsource"
 	"fawnglade/internal/subscription"
--- a/internal/node/requestparse.go
+++ b/internal/node/requestparse.go
@@ -4,12 +4,13 @@
 
 import (
 	"errors"
-	"fawnglade/policy"
 	"fmt"
 	"net/http"
 	"strconv"
 	"strings"
 	"time"
+
+	"fawnglade/policy"
 )
 
 const (
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -5,10 +5,11 @@
 
 import (
 	"errors"
-	"fawnglade/policy"
 	"net"
 	"net/http"
 	"time"
+
+	"fawnglade/policy"
 )
 
 const (
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -7,13 +7,14 @@
 	"container/list"
 	"context"
 	"errors"
-	"fawnglade/policy"
 	"net"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"fawnglade/policy"
 )
 
 const (
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fawnglade/policy"
 	"fmt"
 	"net"
 	"net/http"
@@ -11,6 +10,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // Guards against another request on a connection that brought more than a complete response.
--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"errors"
-	"fawnglade/internal/store"
 	"maps"
 	"os"
 	"path/filepath"
 	"testing"
+
+	"fawnglade/internal/store"
 )
 
 // TestRecoveryFromALogCutAtAnyByte cuts the log of a store at every byte: what is found then is what one of the batches
--- a/internal/nodestate/golden_test.go
+++ b/internal/nodestate/golden_test.go
@@ -1,14 +1,15 @@
 package nodestate
 
 import (
-	"fawnglade/internal/golden"
-	"fawnglade/internal/store"
 	"fmt"
 	"maps"
 	"os"
 	"path/filepath"
 	"slices"
 	"testing"
+
+	"fawnglade/internal/golden"
+	"fawnglade/internal/store"
 )
 
 // keptDisk is what a run leaves that had endpoints in every state, estimates and starts of other nodes.
--- a/internal/relay/clientconfig.go
+++ b/internal/relay/clientconfig.go
@@ -3,11 +3,12 @@
 import (
 	"cmp"
 	"context"
-	"fawnglade/internal/distribution"
 	"net"
 	"slices"
 	"time"
 
+	"fawnglade/internal/distribution"
+
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -2,13 +2,14 @@
 
 import (
 	"cmp"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/tomlfile"
 	"fmt"
 	"net/netip"
 	"os"
 	"strings"
 	"time"
+
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/tomlfile"
 )
 
 // Config configures the process of an origin or a relay, as its TOML file does.
--- a/internal/relay/deploy_test.go
+++ b/internal/relay/deploy_test.go
@@ -1,11 +1,12 @@
 package relay
 
 import (
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/features"
 	"path/filepath"
 	"slices"
 	"testing"
+
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/features"
 )
 
 // The files of the worked example in docs/operate/relay.md load, and fit one another.
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fawnglade/internal/distribution"
 	"fmt"
 	"io/fs"
 	"os"
@@ -13,6 +12,8 @@
 	"sync/atomic"
 	"syscall"
 
+	"fawnglade/internal/distribution"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -3,15 +3,16 @@
 import (
 	"context"
 	"errors"
-	"fawnglade/internal/discovery"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointlist"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"sync/atomic"
 	"time"
 
+	"fawnglade/internal/discovery"
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointlist"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -2,9 +2,10 @@
 
 import (
 	"errors"
-	"fawnglade/internal/distribution"
 	"maps"
 	"slices"
+
+	"fawnglade/internal/distribution"
 )
 
 // hostRecords are the records of hosts as an origin has them, by key. A host is removed only if discovery says so.
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -3,11 +3,12 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
+	"testing"
+
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/golden"
-	"fmt"
-	"testing"
 )
 
 // TestGoldenFraming holds greetings and the framing to the bytes of earlier builds.
--- a/internal/relay/hosttable.go
+++ b/internal/relay/hosttable.go
@@ -2,10 +2,11 @@
 
 import (
 	"encoding/json"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointlist"
 	"fmt"
 	"slices"
+
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointlist"
 )
 
 // HostTable turns the records of a node's scopes back into hosts. A host that several scopes have is removed once none
--- a/internal/relay/originsources.go
+++ b/internal/relay/originsources.go
@@ -2,8 +2,9 @@
 
 import (
 	"context"
-	"fawnglade/internal/distribution"
 	"time"
+
+	"fawnglade/internal/distribution"
 )
 
 const (
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointlist"
 	"fmt"
 	"net"
 	"os"
@@ -13,6 +11,9 @@
 	"syscall"
 	"time"
 
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointlist"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/distribution"
 	"fmt"
 	"net"
 	"net/http"
@@ -18,6 +17,8 @@
 	"testing"
 	"time"
 
+	"fawnglade/internal/distribution"
+
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
--- a/internal/relay/recordfile.go
+++ b/internal/relay/recordfile.go
@@ -5,11 +5,12 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"fawnglade/internal/distribution"
 	"fmt"
 	"io"
 	"os"
 	"strings"
+
+	"fawnglade/internal/distribution"
 )
 
 const (
--- a/internal/relay/records.go
+++ b/internal/relay/records.go
@@ -1,10 +1,11 @@
 package relay
 
 import (
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointlist"
 	"fmt"
 	"strings"
+
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointlist"
 )
 
 // KindEndpoint begins the keys of endpoints' records: endpoint/<host>.
--- a/internal/relay/scopes.go
+++ b/internal/relay/scopes.go
@@ -1,9 +1,10 @@
 package relay
 
 import (
-	"fawnglade/internal/distribution"
 	"slices"
 	"strings"
+
+	"fawnglade/internal/distribution"
 )
 
 const prefixMark = "*" // at the end of a scope: all scopes that begin so
--- a/internal/relay/serverconfig.go
+++ b/internal/relay/serverconfig.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"fawnglade/internal/distribution"
 	"time"
+
+	"fawnglade/internal/distribution"
 )
 
 // Feed is what a server sends to subscribers; *distribution.Relay is one. Times are nanoseconds of the server's
--- a/internal/relay/sink.go
+++ b/internal/relay/sink.go
@@ -1,9 +1,10 @@
 package relay
 
 import (
-	"fawnglade/internal/distribution"
 	"sync"
 
+	"fawnglade/internal/distribution"
+
 	"go.uber.org/zap"
 )
 
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -1,10 +1,11 @@
 package settings
 
 import (
-	"fawnglade/policy"
 	"fmt"
 	"strings"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // The names of the settings and of their values, mapped to the fields of Settings and policy.Settings. Operators and
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -6,11 +6,12 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fawnglade/policy"
 	"fmt"
 	"strconv"
 	"strings"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // Settings holds what the decisions read, and what a node needs besides.
--- a/internal/simadapter/actions.go
+++ b/internal/simadapter/actions.go
@@ -2,10 +2,11 @@
 
 import (
 	"encoding/base64"
-	"fawnglade/internal/gossip"
-	"fawnglade/policy"
 	"strconv"
 	"time"
+
+	"fawnglade/internal/gossip"
+	"fawnglade/policy"
 )
 
 // action builds the line of one action in the session's memory.
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -3,12 +3,13 @@
 import (
 	"bytes"
 	"encoding/base64"
-	"fawnglade/internal/gossip"
-	"fawnglade/internal/settings"
-	"fawnglade/policy"
 	"fmt"
 	"strconv"
 	"time"
+
+	"fawnglade/internal/gossip"
+	"fawnglade/internal/settings"
+	"fawnglade/policy"
 )
 
 // instance is the decisions of one simulated node.
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -3,10 +3,11 @@
 import (
 	"bytes"
 	"errors"
-	"fawnglade/policy"
 	"fmt"
 	"math"
 	"strconv"
+
+	"fawnglade/policy"
 )
 
 // nanosPerMicrosecond converts the protocol's times.
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"encoding/base64"
-	"fawnglade/internal/golden"
-	"fawnglade/internal/gossip"
-	"fawnglade/policy"
 	"fmt"
 	"math/rand/v2"
 	"strings"
 	"testing"
+
+	"fawnglade/internal/golden"
+	"fawnglade/internal/gossip"
+	"fawnglade/policy"
 )
 
 // settingsLines turn on what one line can't hold at once.
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -7,10 +7,11 @@
 	"bufio"
 	"bytes"
 	"errors"
-	"fawnglade/policy"
 	"fmt"
 	"io"
 	"runtime/debug"
+
+	"fawnglade/policy"
 )
 
 const (
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -3,10 +3,11 @@
 import (
 	"bytes"
 	"encoding/base64"
-	"fawnglade/internal/gossip"
-	"fawnglade/policy"
 	"strings"
 	"testing"
+
+	"fawnglade/internal/gossip"
+	"fawnglade/policy"
 )
 
 const settingsLine = "profiles.count=3 profiles.0.deadline_us=8000000 profiles.0.objective_us=2000000 profiles.0.repeat=safe " +
--- a/internal/subscription/status.go
+++ b/internal/subscription/status.go
@@ -2,9 +2,10 @@
 
 import (
 	"encoding/json"
+	"time"
+
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/relay"
-	"time"
 )
 
 // unknownAgeSeconds stands for an age that is not known.
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -6,13 +6,14 @@
 
 import (
 	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
 	"fawnglade/internal/distribution"
 	"fawnglade/internal/endpointlist"
 	"fawnglade/internal/endpointsource"
 	"fawnglade/internal/relay"
-	"sync"
-	"sync/atomic"
-	"time"
 
 	"go.uber.org/zap"
 )
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -3,10 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fawnglade/internal/distribution"
-	"fawnglade/internal/endpointlist"
-	"fawnglade/internal/endpointsource"
-	"fawnglade/internal/relay"
 	"fmt"
 	"net"
 	"sync"
@@ -14,6 +10,11 @@
 	"testing"
 	"time"
 
+	"fawnglade/internal/distribution"
+	"fawnglade/internal/endpointlist"
+	"fawnglade/internal/endpointsource"
+	"fawnglade/internal/relay"
+
 	"go.uber.org/zap"
 )
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,11 +1,12 @@
 package policy
 
 import (
+	"math"
+	"time"
+
 	"fawnglade/internal/classdelay"
 	"fawnglade/internal/estimates"
 	"fawnglade/internal/quota"
-	"math"
-	"time"
 )
 
 // A request is admitted if an endpoint is predicted to answer it in time. Inputs: the predicted latency, the time left
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -13,12 +13,13 @@
 package policy
 
 import (
+	"math/rand/v2"
+	"time"
+
 	"fawnglade/internal/classdelay"
 	"fawnglade/internal/estimates"
 	"fawnglade/internal/idletimeout"
 	"fawnglade/internal/quota"
-	"math/rand/v2"
-	"time"
 )
 
 const (
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -3,7 +3,6 @@
 import (
 	"container/heap"
 	"encoding/json"
-	"fawnglade/policy"
 	"flag"
 	"fmt"
 	"hash/fnv"
@@ -12,6 +11,8 @@
 	"path/filepath"
 	"testing"
 	"time"
+
+	"fawnglade/policy"
 )
 
 // writeDigests rewrites testdata/digests.json. Only for a change that is meant to decide something anew: the kept
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -1,9 +1,10 @@
 package policy
 
 import (
+	"time"
+
 	"fawnglade/internal/estimates"
 	"fawnglade/internal/ewma"
-	"time"
 )
 
 // endpoint is what this node knows of one endpoint, grouped by the rule that uses it.
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -2,11 +2,12 @@
 
 import (
 	"cmp"
-	"fawnglade/internal/ewma"
-	"fawnglade/internal/rendezvous"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"fawnglade/internal/ewma"
+	"fawnglade/internal/rendezvous"
 )
 
 // The endpoint list names the endpoints that requests may go to. Inputs: the list or its changes, and the failures of
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -2,9 +2,10 @@
 
 import (
 	"cmp"
-	"fawnglade/internal/estimates"
 	"slices"
 	"time"
+
+	"fawnglade/internal/estimates"
 )
 
 // Latency is predicted from decaying averages of the answers' latency for each unit of expected work, a ratio: that of
--- a/policy/estimator_test.go
+++ b/policy/estimator_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"encoding/json"
-	"fawnglade/internal/estimates"
-	"fawnglade/internal/ewma"
 	"fmt"
 	"testing"
 	"time"
+
+	"fawnglade/internal/estimates"
+	"fawnglade/internal/ewma"
 )
 
 func TestTimeoutsRaiseTheExpectedLatency(t *testing.T) {
--- a/policy/idleconns.go
+++ b/policy/idleconns.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"fawnglade/internal/idletimeout"
 	"time"
+
+	"fawnglade/internal/idletimeout"
 )
 
 // A connection that was idle for long may have been dropped unseen by something between this node and the endpoint;
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -1,10 +1,11 @@
 package policy
 
 import (
-	"fawnglade/internal/ewma"
 	"fmt"
 	"testing"
 	"time"
+
+	"fawnglade/internal/ewma"
 )
 
 func TestFailingEndpointIsEjectedAndReturns(t *testing.T) {
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,9 +1,10 @@
 package policy
 
 import (
-	"fawnglade/internal/classdelay"
 	"slices"
 	"time"
+
+	"fawnglade/internal/classdelay"
 )
 
 // objectiveMarginDivisor is the part of a latency objective that is kept for the way back to the client.
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -1,11 +1,12 @@
 package policy
 
 import (
-	"fawnglade/internal/ewma"
 	"math"
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"fawnglade/internal/ewma"
 )
 
 // TestDrawFollowsTheFormula compares the draw's frequencies with shares worked by hand: for w of 1, 2 and 4
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -1,12 +1,13 @@
 package policy
 
 import (
-	"fawnglade/internal/ewma"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"fawnglade/internal/ewma"
 )
 
 func TestHundredsOfNodesGiveAnEndpointInSlowStartItsShare(t *testing.T) {
