--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -61,8 +61,7 @@
 }
 
 // Reject answers with 503: the client may retry without harm, as the request has not run, or running it again is
-// harmless (policy.MayReject).
-// retryAfter goes to the client as Retry-After, 0: without one.
+// harmless (policy.MayReject). retryAfter goes to the client as Retry-After; 0: without one.
 func (l *eventLoop) Reject(id policy.RequestID, retryAfter time.Duration) {
 	if request := l.requests[id]; request != nil {
 		l.finish(request, requestsRejected, response{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -153,7 +153,7 @@
 	if result.clientGone {
 		l.clientGone(request)
 	}
-	ended.neverRan = provesNotRun(result.outcome)
+	ended.neverRan = !result.outcome.MayHaveRun()
 	request.inFlight--
 	ended.cancel()
 	l.passOnResponse(request, result)
@@ -162,15 +162,6 @@
 	l.release(request)
 }
 
-// provesNotRun reports whether after an outcome the attempt can't have run.
-func provesNotRun(outcome policy.Outcome) bool {
-	switch outcome {
-	case policy.OutcomeRejected, policy.OutcomeConnectFailed, policy.OutcomeNotSent:
-		return true
-	}
-	return false
-}
-
 // passOnResponse answers the request if the attempt brought its answer: a success, or a request fault.
 func (l *eventLoop) passOnResponse(request *pendingRequest, result attemptResult) {
 	switch {
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -87,7 +87,7 @@
 	released  bool // the connection is idle again or has another owner; otherwise close closes it
 }
 
-// roundTrip sends a request to its target and reads the response, or the first part of one that is streamed.
+// runRoundTrip sends a request to its target and reads the response, or the first part of one that is streamed.
 func (u *upstreams) runRoundTrip(a *attempt) (attemptResult, *attemptError) {
 	deadline := u.node.clock.at(a.deadline)
 	conn, err := u.acquire(a, deadline)
