--- a/internal/lab/faultproxy/datagrams.go
+++ b/internal/lab/faultproxy/datagrams.go
@@ -1,7 +1,7 @@
 package faultproxy
 
-// This file owns relays of single messages between nodes: for each two nodes a socket on which the one reaches the other, from which
-// also comes what that other sends, so that each sees the other at one address. It must never keep more than mostLate messages.
+// Datagram relays between nodes: for each pair of nodes one socket, on which the one reaches the other and from which the
+// other's messages come, so that each sees the other at one address. At most mostLate delayed messages are held.
 
 import (
 	"errors"
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -1,8 +1,8 @@
 package faultproxy
 
-// This file owns relays of streams: connections of one part of a day to another. Where a way is cut, what is open stays open and
-// silent, nobody gets through anew, and what was held up is reset once the way is mended. A lost piece is a late one, as the
-// systems at both ends send it again. It must never change a byte or deliver pieces out of order.
+// Stream relays: TCP connections from one participant to another. While a link is cut, open connections stay open and
+// silent and new ones are not accepted; what was held back is reset once the link is restored. Lost data arrives late, as
+// both systems retransmit. Bytes are never changed or reordered.
 
 import (
 	"errors"
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -1,7 +1,7 @@
 package fleet
 
-// This file owns the hard cases of who is there: each is played in virtual time and with processes by the same words. A case must
-// never look at a clock; what it allows is told in rounds.
+// Hard cases of membership. Each is run in virtual time and with processes from the same description; what it allows is
+// counted in protocol rounds, never in clock time.
 
 import (
 	"fmt"
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -1,7 +1,7 @@
 package fleet
 
-// This file owns the measuring of who is there: how long a death takes to be known by all, how often well nodes are suspected, and
-// what it costs in messages. It must never count as known what a node did not say itself.
+// Measurements of membership: how long until all nodes know of a death, how often nodes that are up are suspected, and the
+// messages that this costs. A node counts as knowing only what it has reported itself.
 
 import (
 	"fmt"
--- a/internal/lab/fleet/plot.go
+++ b/internal/lab/fleet/plot.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the picture of measurements. It must never leave a figure out.
+// The plot of measurements; it shows every figure.
 
 import (
 	"cmp"
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -1,7 +1,7 @@
 package fleet
 
-// This file owns a fleet of real processes of the built program on loopback, with relays between them. It must leave no process
-// and no socket behind, and send to no address outside 127.0.0.0/8.
+// A fleet of real processes of the built program on loopback, with fault proxies between them. It leaves no process or
+// socket behind and sends to no address outside 127.0.0.0/8.
 
 import (
 	"bufio"
--- a/internal/lab/fleet/standins.go
+++ b/internal/lab/fleet/standins.go
@@ -1,7 +1,7 @@
 package fleet
 
-// This file owns what stands outside the nodes in a fleet of processes: endpoints that note every request that comes, and a discovery that
-// tells what it is told to. What a node did is read here, from what came over sockets, never from what the node says.
+// Stand-ins around a fleet of processes: endpoints that record every request, and a discovery that serves a given list.
+// What a node did is read from what came over the sockets, never from what it reports.
 
 import (
 	"bufio"
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -1,7 +1,7 @@
 package fleet
 
-// This file owns a fleet in virtual time: the members' core alone, hundreds of times, and the links between. It must never read a
-// clock: the same calls give the same views.
+// A fleet in virtual time: hundreds of instances of the membership core with the links between them. No clock is read:
+// the same calls give the same views.
 
 import (
 	"container/heap"
