--- a/policy/admission.go
+++ b/policy/admission.go
@@ -54,10 +54,10 @@
 //     for requests within their quotas.
 func (b *Balancer) latencyBudget(req *request, remaining time.Duration) time.Duration {
 	class := &b.estimator.classes[req.Class]
-	worst := b.estimator.worstSuccessRate()
-	fraction := worst / class.SuccessRate * (1 - (1-class.PriorityFactor)*(1-worst))
+	worstRate := b.estimator.worstSuccessRate()
+	fraction := worstRate / class.SuccessRate * (1 - (1-class.PriorityFactor)*(1-worstRate))
 	if req.overQuota {
-		fraction *= max(worst*worst, b.settings.OverQuotaFraction)
+		fraction *= max(worstRate*worstRate, b.settings.OverQuotaFraction)
 	}
 	return time.Duration(float64(remaining) * fraction)
 }
@@ -80,23 +80,23 @@
 // the best class, to a power that falls from 1 to 0 as the worst class counts more for the operators.
 func (b *Balancer) updatePriorityFactors() {
 	classes := b.estimator.classes
-	best := math.SmallestNonzeroFloat64
+	highest := math.SmallestNonzeroFloat64
 	for i := range classes {
 		classes[i].PriorityFactor = b.priorityPerWork(&classes[i], &b.settings.Classes[i])
-		best = max(best, classes[i].PriorityFactor)
+		highest = max(highest, classes[i].PriorityFactor)
 	}
 	preference := max(0, 1-b.settings.WorstClassWeight/worstClassWeightDisablingPriority)
 	for i := range classes {
-		classes[i].PriorityFactor = math.Pow(max(classes[i].PriorityFactor/best, minRelativePriority), preference)
+		classes[i].PriorityFactor = math.Pow(max(classes[i].PriorityFactor/highest, minRelativePriority), preference)
 	}
 }
 
 // priorityPerWork is the priority weight of a class for a unit of its work.
-func (b *Balancer) priorityPerWork(learned *estimates.ClassEstimates, class *Class) float64 {
+func (b *Balancer) priorityPerWork(classEstimates *estimates.ClassEstimates, class *Class) float64 {
 	if b.settings.WeightByWork {
 		return class.PriorityWeight
 	}
-	return class.PriorityWeight / max(learned.TypicalWork, b.estimator.MeanWork*minWorkFraction, 1)
+	return class.PriorityWeight / max(classEstimates.TypicalWork, b.estimator.MeanWork*minWorkFraction, 1)
 }
 
 // retryAfter is the wait that a rejected client is advised; 0: none. MaxRetryAfter is 0 where none may be sent.
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -55,8 +55,8 @@
 
 // updateWorkFactor updates workFactorWithAffinity by the latency of an answer at a home and the latency that was expected, which
 // has the factor in it already.
-func (a *affinity) updateWorkFactor(tookNanos, expectedNanos float64) {
-	sample := min(tookNanos*a.workFactorWithAffinity/expectedNanos, maxAffinityWorkSample)
+func (a *affinity) updateWorkFactor(latencyNanos, expectedNanos float64) {
+	sample := min(latencyNanos*a.workFactorWithAffinity/expectedNanos, maxAffinityWorkSample)
 	a.workFactorWithAffinity += (sample - a.workFactorWithAffinity) / affinityWorkWindow
 	a.workFactorWithAffinity = min(max(a.workFactorWithAffinity, minAffinityWorkFactor), 1)
 }
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -8,57 +8,57 @@
 // Guards against each of many nodes gathering a key at endpoints of its own, so that no node saves work.
 func TestNodesAgreeOnAffinityEndpoint(t *testing.T) {
 	const keys = 40
-	at := map[string]map[EndpointID]int{}
+	requestsByKey := map[string]map[EndpointID]int{}
 	for node := range 5 {
-		b := newTestFleet(t, 12, func(s *Settings) { s.KeyAffinity, s.NodeIndex, s.NodeCount = true, node, 5 })
+		fleet := newTestFleet(t, 12, func(settings *Settings) { settings.KeyAffinity, settings.NodeIndex, settings.NodeCount = true, node, 5 })
 		for i := range 3 * keys {
 			key := fmt.Sprint(i % keys)
-			b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: b.now + 1000*ms, Key: key})
-			if at[key] == nil {
-				at[key] = map[EndpointID]int{}
+			fleet.RequestArrived(fleet.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: fleet.now + 1000*ms, Key: key})
+			if requestsByKey[key] == nil {
+				requestsByKey[key] = map[EndpointID]int{}
 			}
-			at[key][b.lastSent()]++
-			b.endAttempt(RequestID(fmt.Sprint(i)), 0, OutcomeSucceeded, 40*ms)
-			b.now += 40 * ms
+			requestsByKey[key][fleet.lastSent()]++
+			fleet.endAttempt(RequestID(fmt.Sprint(i)), 0, OutcomeSucceeded, 40*ms)
+			fleet.now += 40 * ms
 		}
 	}
-	kept := 0
-	for _, endpoints := range at {
+	atMostUsed := 0
+	for _, endpoints := range requestsByKey {
 		most := 0
-		for _, n := range endpoints {
-			most = max(most, n)
+		for _, count := range endpoints {
+			most = max(most, count)
 		}
-		kept += most
+		atMostUsed += most
 	}
-	if kept < 5*3*keys*9/10 {
-		t.Errorf("%d of %d requests went where most of their key's go", kept, 5*3*keys)
+	if atMostUsed < 5*3*keys*9/10 {
+		t.Errorf("%d of %d requests went where most of their key's go", atMostUsed, 5*3*keys)
 	}
 }
 
 // Guards against a home that is cold, ejected or overloaded getting its keys' requests all the same.
 func TestAffinityYieldsToLoadAndSlowStart(t *testing.T) {
-	b := newTestFleet(t, 8, func(s *Settings) { s.KeyAffinity, s.Classes[0].LatencyObjective = true, 200*ms })
-	b.serve(40, respondPromptly)
+	fleet := newTestFleet(t, 8, func(settings *Settings) { settings.KeyAffinity, settings.Classes[0].LatencyObjective = true, 200*ms })
+	fleet.serve(40, respondPromptly)
 	for i := range 200 {
-		b.affinity.keys.Observe(fmt.Sprint("another", i), 8)
+		fleet.affinity.keys.Observe(fmt.Sprint("another", i), 8)
 	}
-	ask := func() EndpointID {
-		b.requestCount++
-		b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(b.requestCount)), Deadline: b.now + 1000*ms, Key: "k"})
-		return b.lastSent()
+	sendRequest := func() EndpointID {
+		fleet.requestCount++
+		fleet.RequestArrived(fleet.now, Request{ID: RequestID(fmt.Sprint(fleet.requestCount)), Deadline: fleet.now + 1000*ms, Key: "k"})
+		return fleet.lastSent()
 	}
-	home := ask()
-	if next := ask(); next != home {
-		t.Errorf("with one out at its home the key goes to %d, not %d", next, home)
+	affinityEndpoint := sendRequest()
+	if next := sendRequest(); next != affinityEndpoint {
+		t.Errorf("with one out at its home the key goes to %d, not %d", next, affinityEndpoint)
 	}
 	for range 12 {
-		ask()
+		sendRequest()
 	}
-	if n := b.endpoints.byID[home].inFlight; n > 8 {
-		t.Errorf("%d out at the home, 7 elsewhere stand idle", n)
+	if inFlight := fleet.endpoints.byID[affinityEndpoint].inFlight; inFlight > 8 {
+		t.Errorf("%d out at the home, 7 elsewhere stand idle", inFlight)
 	}
-	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: home, Pod: 9, StartedAt: b.now}}, false)
-	if ask(); len(b.affinity.endpoints) == 0 || b.affinity.endpoints[0].ID == home {
+	fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: affinityEndpoint, Pod: 9, StartedAt: fleet.now}}, false)
+	if sendRequest(); len(fleet.affinity.endpoints) == 0 || fleet.affinity.endpoints[0].ID == affinityEndpoint {
 		t.Error("a cold endpoint is a home, and nodes do not agree on the next")
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -222,10 +222,10 @@
 // tick does the periodic work: estimates decay, and what is derived from them is calculated anew.
 func (b *Balancer) tick(now Time) {
 	b.estimator.updateHighLatency(now, b.endpoints.all)
-	givesUpAll := b.estimator.gaveUpAllRequests()
+	gaveUpAll := b.estimator.gaveUpAllRequests()
 	for _, ep := range b.endpoints.all {
 		b.estimator.decayEndpoint(ep)
-		if givesUpAll && ep.inFlight == 0 {
+		if gaveUpAll && ep.inFlight == 0 {
 			// Guards against a lock-out: what is not measured any more keeps requests from measuring it.
 			ep.Latency.Decay(fleetDecayPerSecond)
 		}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -11,54 +11,54 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			q := &lastSendRecorder{}
-			p := New(benchSettings, 1, q)
+			effects := &lastSendRecorder{}
+			balancer := New(benchSettings, 1, effects)
 			now := Time(1e12)
-			p.EndpointsUpdated(now, endpointList(n), true)
-			type out struct {
+			balancer.EndpointsUpdated(now, endpointList(n), true)
+			type inFlightRequest struct {
 				id       RequestID
 				endpoint EndpointID
-				at       Time
+				sentAt   Time
 			}
-			var ring [32]out
+			var ring [32]inFlightRequest
 			ids := make([]RequestID, 1<<16)
 			for i := range ids {
 				ids[i] = RequestID(fmt.Sprint("t", i))
 			}
-			rejected, tick := 0, now
-			one := func(i int) {
+			rejected, lastTick := 0, now
+			runRequest := func(i int) {
 				now += 50e3
-				if now-tick > 1e9 {
-					tick = now
-					p.TimerFired(now, 1)
+				if now-lastTick > 1e9 {
+					lastTick = now
+					balancer.TimerFired(now, 1)
 				}
-				r := &ring[i%len(ring)]
-				if r.id != "" {
-					p.AttemptEnded(now, AttemptResult{
-						Request:     r.id,
-						Endpoint:    r.endpoint,
+				slot := &ring[i%len(ring)]
+				if slot.id != "" {
+					balancer.AttemptEnded(now, AttemptResult{
+						Request:     slot.id,
+						Endpoint:    slot.endpoint,
 						Outcome:     OutcomeSucceeded,
-						Elapsed:     now.Sub(r.at) + time.Duration(i%7)*ms/4,
+						Elapsed:     now.Sub(slot.sentAt) + time.Duration(i%7)*ms/4,
 						RequestDone: true,
 						Report:      LoadReport{Utilization: -1, QueueLength: float64(i % 3), ServiceTime: -1},
 					})
 				}
 				id := ids[i%len(ids)]
-				q.sent = false
-				p.RequestArrived(now, Request{ID: id, Deadline: now + 600*ms})
-				if *r = (out{id, q.endpoint, now}); !q.sent {
-					r.id = ""
+				effects.sent = false
+				balancer.RequestArrived(now, Request{ID: id, Deadline: now + 600*ms})
+				if *slot = (inFlightRequest{id, effects.endpoint, now}); !effects.sent {
+					slot.id = ""
 					rejected++
 				}
 			}
 			for i := range 50000 {
-				one(i)
+				runRequest(i)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			rejected = 0
 			for i := range b.N {
-				one(i + 50000)
+				runRequest(i + 50000)
 			}
 			b.ReportMetric(float64(rejected)/float64(b.N), "rejected/op")
 		})
@@ -70,11 +70,11 @@
 	for _, n := range []int{512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list := endpointList(n)
-			p := New(benchSettings, 1, &lastSendRecorder{})
-			p.EndpointsUpdated(1e12, list, true)
+			balancer := New(benchSettings, 1, &lastSendRecorder{})
+			balancer.EndpointsUpdated(1e12, list, true)
 			for i := range b.N {
 				from := i * 512 % n
-				p.EndpointsUpdated(1e12+Time(i), list[from:from+512], false)
+				balancer.EndpointsUpdated(1e12+Time(i), list[from:from+512], false)
 			}
 		})
 	}
@@ -87,10 +87,10 @@
 			list := endpointList(2 * n)
 			for i := range b.N {
 				b.StopTimer()
-				p := New(benchSettings, 1, &lastSendRecorder{})
-				p.EndpointsUpdated(1e12, list[:n], true)
+				balancer := New(benchSettings, 1, &lastSendRecorder{})
+				balancer.EndpointsUpdated(1e12, list[:n], true)
 				b.StartTimer()
-				p.EndpointsUpdated(1e12+Time(i), list[n:], true)
+				balancer.EndpointsUpdated(1e12+Time(i), list[n:], true)
 			}
 		})
 	}
@@ -100,20 +100,20 @@
 func BenchmarkNoCandidate(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := New(benchSettings, 1, &lastSendRecorder{})
+			balancer := New(benchSettings, 1, &lastSendRecorder{})
 			now := Time(1e12)
-			p.EndpointsUpdated(now, endpointList(n), true)
-			for _, s := range p.endpoints.all {
-				s.backoffUntil = now + ms
+			balancer.EndpointsUpdated(now, endpointList(n), true)
+			for _, ep := range balancer.endpoints.all {
+				ep.backoffUntil = now + ms
 			}
 			req := &request{
 				Request:           Request{Deadline: now + 900*ms},
-				classSettings:     &p.settings.Classes[0],
+				classSettings:     &balancer.settings.Classes[0],
 				effectiveDeadline: now + 900*ms,
-				delayGroups:       p.admission.delays.Of(0, 0),
+				delayGroups:       balancer.admission.delays.Of(0, 0),
 			}
 			for range b.N {
-				p.selectEndpoint(now, req)
+				balancer.selectEndpoint(now, req)
 			}
 		})
 	}
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -102,8 +102,8 @@
 	heap.Push(&r.queue, digestEvent{r.now + max(delay, 0), r.sequence, run})
 }
 
-func (r *digestRun) Send(req policy.RequestID, id policy.EndpointID, limit time.Duration) {
-	timeout := int64(limit)
+func (r *digestRun) Send(req policy.RequestID, id policy.EndpointID, timeoutDuration time.Duration) {
+	timeout := int64(timeoutDuration)
 	r.record("send", req, id, timeout)
 	number := r.attempts[req]
 	r.attempts[req]++
@@ -123,7 +123,7 @@
 		if r.canceled[fmt.Sprint(req, number)] {
 			outcome = policy.OutcomeCanceled
 		}
-		answer := policy.AttemptResult{
+		result := policy.AttemptResult{
 			Request:       req,
 			Attempt:       number,
 			Endpoint:      id,
@@ -134,10 +134,10 @@
 			BodyConsumed:  outcome != policy.OutcomeSucceeded && r.random.IntN(25) == 0,
 			Report:        r.report(endpoint, outcome),
 		}
-		if answer.RequestDone {
+		if result.RequestDone {
 			r.answered[req] = true
 		}
-		r.instance.AttemptEnded(policy.Time(r.now), answer)
+		r.instance.AttemptEnded(policy.Time(r.now), result)
 	})
 }
 
@@ -145,23 +145,23 @@
 func (r *digestRun) drawOutcome(endpoint *digestEndpoint, class int, timeout int64) (policy.Outcome, int64) {
 	work := float64(8+4*class) * float64(millisecond) * (0.4 + r.random.ExpFloat64())
 	elapsed := int64(work*endpoint.speed*r.slowdown*float64(1+endpoint.inFlight)/2) + millisecond
-	dice := r.random.Float64()
+	draw := r.random.Float64()
 	switch {
-	case endpoint.info.State == policy.StateRemoved && dice < 0.8:
+	case endpoint.info.State == policy.StateRemoved && draw < 0.8:
 		return policy.OutcomeConnectFailed, 2 * millisecond
 	case endpoint.silent:
 		return policy.OutcomeTimedOut, timeout
-	case endpoint.queueFull && dice < 0.9:
+	case endpoint.queueFull && draw < 0.9:
 		return policy.OutcomeRejected, millisecond
-	case endpoint.failing && dice < 0.7, endpoint.failsClass == class && dice < 0.95:
+	case endpoint.failing && draw < 0.7, endpoint.failsClass == class && draw < 0.95:
 		return policy.OutcomeError, elapsed / 4
-	case dice < 0.004:
+	case draw < 0.004:
 		return policy.OutcomeReset, elapsed / 2
-	case dice < 0.006:
+	case draw < 0.006:
 		return policy.OutcomeUnknown, elapsed / 2
-	case dice < 0.008:
+	case draw < 0.008:
 		return policy.OutcomeNotSent, 0
-	case dice < 0.010:
+	case draw < 0.010:
 		return policy.OutcomeConnectFailed, 5 * millisecond
 	case elapsed >= timeout:
 		return policy.OutcomeTimedOut, timeout
@@ -190,8 +190,8 @@
 	r.canceled[fmt.Sprint(req, number)] = true
 }
 
-func (r *digestRun) Reject(req policy.RequestID, advice time.Duration, _ policy.Reason) {
-	r.record("reject", req, int64(advice))
+func (r *digestRun) Reject(req policy.RequestID, retryAfter time.Duration, _ policy.Reason) {
+	r.record("reject", req, int64(retryAfter))
 	r.answered[req] = true
 }
 
@@ -262,7 +262,7 @@
 // change gives one endpoint another condition and, where the list tells of it, the instance the changed line.
 func (r *digestRun) changeEndpoint() {
 	endpoint := r.endpoints[r.random.IntN(len(r.endpoints))]
-	listed := true
+	inUpdate := true
 	switch r.random.IntN(9) {
 	case 0:
 		endpoint.info.State = policy.StateDraining
@@ -272,17 +272,17 @@
 		endpoint.info.State, endpoint.info.StartedAt = policy.StateActive, policy.Time(r.now-50*millisecond)
 		endpoint.failing, endpoint.silent, endpoint.queueFull, endpoint.connected = false, false, false, false
 	case 4:
-		endpoint.failing, listed = !endpoint.failing, false
+		endpoint.failing, inUpdate = !endpoint.failing, false
 	case 5:
-		endpoint.silent, listed = !endpoint.silent, false
+		endpoint.silent, inUpdate = !endpoint.silent, false
 	case 6:
-		endpoint.queueFull, listed = !endpoint.queueFull, false
+		endpoint.queueFull, inUpdate = !endpoint.queueFull, false
 	case 7:
-		endpoint.failsClass, listed = r.random.IntN(4)-1, false
+		endpoint.failsClass, inUpdate = r.random.IntN(4)-1, false
 	case 8:
-		endpoint.connected, listed = false, false
+		endpoint.connected, inUpdate = false, false
 	}
-	if listed && r.random.IntN(5) > 0 {
+	if inUpdate && r.random.IntN(5) > 0 {
 		r.instance.EndpointsUpdated(policy.Time(r.now), []policy.EndpointInfo{endpoint.info}, false)
 	}
 }
@@ -316,10 +316,10 @@
 // replace ends the instance, as at a hot restart, and begins another with what it learned; requests in flight are gone
 // with the old one, and answers that come for them are not known to the new one.
 func (r *digestRun) hotRestart(seed uint64) {
-	learned := r.instance.Estimates()
+	estimates := r.instance.Estimates()
 	r.instance = policy.New(r.settings, seed, r)
 	r.sendList(true)
-	r.instance.Inherit(&learned)
+	r.instance.Inherit(&estimates)
 	clear(r.attempts)
 }
 
@@ -349,7 +349,7 @@
 	}
 	r.instance = policy.New(settings, seed, r)
 	r.sendList(true)
-	gap := 16 * millisecond * 8 / int64(min(endpoints, 64))
+	meanInterval := 16 * millisecond * 8 / int64(min(endpoints, 64))
 	number := 0
 	var next func()
 	next = func() {
@@ -358,7 +358,7 @@
 		}
 		number++
 		r.sendRequest(number)
-		r.schedule(int64(r.random.ExpFloat64()*float64(gap)), next)
+		r.schedule(int64(r.random.ExpFloat64()*float64(meanInterval)), next)
 	}
 	r.schedule(millisecond, next)
 	for at := int64(second); at < digestDuration; at += 300 * millisecond * 16 / int64(min(endpoints, 128)) {
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -6,41 +6,41 @@
 )
 
 func TestWatchBackoffGrows(t *testing.T) {
-	p := New(Settings{MustPollList: true, MaxPollInterval: 10e9}, 1, &recorder{})
-	last := time.Duration(10e9 / 128)
+	balancer := New(Settings{MustPollList: true, MaxPollInterval: 10e9}, 1, &recorder{})
+	previous := time.Duration(10e9 / 128)
 	for range 10 {
-		p.WatchFailed(0)
-		if p.endpoints.watchBackoff != min(2*last, 125e7) {
-			t.Fatalf("waits %d after %d", p.endpoints.watchBackoff, last)
+		balancer.WatchFailed(0)
+		if balancer.endpoints.watchBackoff != min(2*previous, 125e7) {
+			t.Fatalf("waits %d after %d", balancer.endpoints.watchBackoff, previous)
 		}
-		last = p.endpoints.watchBackoff
+		previous = balancer.endpoints.watchBackoff
 	}
 }
 
 // Guards against a list that says too much: where being left out binds nothing, who still answers is still used.
 func TestRemovedEndpointsServeUntilTheyFail(t *testing.T) {
-	for _, keep := range []bool{false, true} {
-		b := newTestFleet(t, 3, func(s *Settings) { s.RemovedMayServe = keep })
-		b.serve(20, respondPromptly)
-		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, State: StateDraining}}, false)
-		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, State: StateRemoved}, {ID: 2, State: StateRemoved}}, false)
-		b.EndpointsUpdated(b.now, nil, true)
-		b.sent = nil
-		b.serve(30, respondPromptly)
-		if b.sentTo(1) > 0 || b.sentTo(2)+b.sentTo(3) > 0 != keep {
+	for _, mayServe := range []bool{false, true} {
+		fleet := newTestFleet(t, 3, func(settings *Settings) { settings.RemovedMayServe = mayServe })
+		fleet.serve(20, respondPromptly)
+		fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: 1, State: StateDraining}}, false)
+		fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: 1, State: StateRemoved}, {ID: 2, State: StateRemoved}}, false)
+		fleet.EndpointsUpdated(fleet.now, nil, true)
+		fleet.sent = nil
+		fleet.serve(30, respondPromptly)
+		if fleet.sentTo(1) > 0 || fleet.sentTo(2)+fleet.sentTo(3) > 0 != mayServe {
 			t.Errorf(
-				"kept %t: %d to the one that had drained, %d and %d to the others", keep, b.sentTo(1), b.sentTo(2),
-				b.sentTo(3),
+				"kept %t: %d to the one that had drained, %d and %d to the others", mayServe, fleet.sentTo(1), fleet.sentTo(2),
+				fleet.sentTo(3),
 			)
 		}
-		if !keep {
+		if !mayServe {
 			continue
 		}
-		id := b.arrive(0)
-		failing := b.lastSent()
-		b.endAttempt(id, 0, OutcomeConnectFailed, ms)
-		b.sent = nil
-		if b.serve(30, respondPromptly); b.sentTo(failing) > 0 {
+		id := fleet.arrive(0)
+		failing := fleet.lastSent()
+		fleet.endAttempt(id, 0, OutcomeConnectFailed, ms)
+		fleet.sent = nil
+		if fleet.serve(30, respondPromptly); fleet.sentTo(failing) > 0 {
 			t.Error("one that the list lacks and that failed is used on")
 		}
 	}
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -61,10 +61,10 @@
 }
 
 func newEstimator(settings *Settings) estimator {
-	unknown := []estimates.ClassEstimates{estimates.NewClass()}
+	initial := []estimates.ClassEstimates{estimates.NewClass()}
 	return estimator{
 		FleetEstimates:  estimates.NewFleet(initialHighLatency),
-		classes:         slices.Repeat(unknown, len(settings.Classes)),
+		classes:         slices.Repeat(initial, len(settings.Classes)),
 		clockResolution: settings.ClockResolution,
 	}
 }
@@ -73,8 +73,8 @@
 // an endpoint draws others too, unseen.
 func (e *estimator) predictLatency(ep *endpoint, work float64) time.Duration {
 	perWork, inFlight := e.expectedLatency(ep)
-	crowding := (1 + ownAttemptFactor*float64(ep.inFlight)) / (1 + ownAttemptFactor*inFlight)
-	return time.Duration(e.ZoneDelay[ep.Zone] + perWork*work*crowding)
+	inFlightFactor := (1 + ownAttemptFactor*float64(ep.inFlight)) / (1 + ownAttemptFactor*inFlight)
+	return time.Duration(e.ZoneDelay[ep.Zone] + perWork*work*inFlightFactor)
 }
 
 // expectedLatency is the latency for each unit of work, and the attempts in flight at which it was measured. The mean
@@ -143,12 +143,12 @@
 }
 
 // observeLatency learns of an endpoint, its pod and the fleet from how long an attempt took.
-func (e *estimator) observeLatency(a *attempt, tookNanos float64) {
+func (e *estimator) observeLatency(a *attempt, latencyNanos float64) {
 	if a.work == 0 {
 		return
 	}
 	ep := a.endpoint
-	perWork := tookNanos / a.work
+	perWork := latencyNanos / a.work
 	fleet, pod := e.Fleet.Level(), ep.podLatency.Level()
 	// Guards against a few slow endpoints making the fleet look late.
 	e.Fleet.Add(min(perWork, maxSampleFactor*fleet), a.inFlightBefore, fleetWindow)
@@ -172,9 +172,9 @@
 
 // subtractZoneDelay subtracts from a latency the delay of the endpoint's zone, and learns that delay. Guards against
 // requests with little work making another zone look slow.
-func (e *estimator) subtractZoneDelay(a *attempt, tookNanos float64) float64 {
+func (e *estimator) subtractZoneDelay(a *attempt, latencyNanos float64) float64 {
 	zone := a.endpoint.Zone
-	beyondWork := tookNanos - a.work
+	beyondWork := latencyNanos - a.work
 	delay, known := e.ZoneDelay[zone]
 	if !known {
 		delay = beyondWork
@@ -182,7 +182,7 @@
 	step := estimates.QuantileStep(beyondWork >= delay, e.MeanWork*smoothingFactor, zoneDelayQuantile)
 	delay = max(0, delay+step)
 	e.ZoneDelay[zone] = delay
-	return max(tookNanos-delay, a.work*minWorkFraction)
+	return max(latencyNanos-delay, a.work*minWorkFraction)
 }
 
 // updateHighLatency takes the mean of the high quantiles of the endpoints that are active and healthy.
@@ -199,8 +199,8 @@
 
 // decayEndpoint lets what was learned of an endpoint without recent answers drift to what others show.
 func (e *estimator) decayEndpoint(ep *endpoint) {
-	unknown := 1 - min(1, ep.Latency.Weight*smoothingFactor)
-	ep.HighLatency += (e.HighLatency - ep.HighLatency) * smoothingFactor * unknown
+	uncertainty := 1 - min(1, ep.Latency.Weight*smoothingFactor)
+	ep.HighLatency += (e.HighLatency - ep.HighLatency) * smoothingFactor * uncertainty
 	ep.Latency.Decay(1 - smoothingFactor)
 }
 
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -5,104 +5,104 @@
 )
 
 func TestOverdueRequestIsHedgedAndCountsAgainstEndpoint(t *testing.T) {
-	b := newTestFleet(t, 3, nil)
-	b.serve(60, respondPromptly)
-	b.tick()
-	id := b.arrive(0)
-	b.now += 200 * ms
-	b.TimerFired(b.now, b.timers[len(b.timers)-1])
-	req := b.requests.byID[id]
+	fleet := newTestFleet(t, 3, nil)
+	fleet.serve(60, respondPromptly)
+	fleet.tick()
+	id := fleet.arrive(0)
+	fleet.now += 200 * ms
+	fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
+	req := fleet.requests.byID[id]
 	if req.inFlight != 2 || req.attempts[0].endpoint == req.attempts[1].endpoint {
 		t.Fatalf("the overdue request has %d attempts out", req.inFlight)
 	}
 	slow := req.attempts[0].endpoint
-	b.endAttempt(id, 1, OutcomeSucceeded, 40*ms)
-	if b.canceled != 1 {
-		t.Errorf("%d attempts were canceled after the copy's answer", b.canceled)
+	fleet.endAttempt(id, 1, OutcomeSucceeded, 40*ms)
+	if fleet.canceled != 1 {
+		t.Errorf("%d attempts were canceled after the copy's answer", fleet.canceled)
 	}
-	if b.endAttempt(id, 0, OutcomeCanceled, 240*ms); slow.health[0].failureRate == 0 {
+	if fleet.endAttempt(id, 0, OutcomeCanceled, 240*ms); slow.health[0].failureRate == 0 {
 		t.Error("the overtaken endpoint still looks as good as the others")
 	}
 }
 
 // Guards against an idempotent request waiting for a silent endpoint to its end where no hedged request is allowed.
 func TestOverdueRequestIsCanceledWithoutHedging(t *testing.T) {
-	b := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
-	b.serve(60, respondPromptly)
-	b.tick()
-	id := b.arrive(0)
-	first := b.lastSent()
-	b.now += 200 * ms
-	b.TimerFired(b.now, b.timers[len(b.timers)-1])
-	if b.canceled != 1 {
-		t.Fatalf("%d canceled", b.canceled)
+	fleet := newTestFleet(t, 3, func(settings *Settings) { settings.MayHedge = false })
+	fleet.serve(60, respondPromptly)
+	fleet.tick()
+	id := fleet.arrive(0)
+	first := fleet.lastSent()
+	fleet.now += 200 * ms
+	fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
+	if fleet.canceled != 1 {
+		t.Fatalf("%d canceled", fleet.canceled)
 	}
-	if b.endAttempt(id, 0, OutcomeCanceled, 200*ms); b.lastSent() == first || b.requests.byID[id].inFlight != 1 {
+	if fleet.endAttempt(id, 0, OutcomeCanceled, 200*ms); fleet.lastSent() == first || fleet.requests.byID[id].inFlight != 1 {
 		t.Error("the canceled request did not go to another endpoint")
 	}
-	exclusive := b.requests.byID[b.arrive(2)]
-	b.now += 200 * ms
-	b.handleOverdueAttempt(b.now, exclusive, 0)
-	if b.canceled != 1 {
+	nonIdempotent := fleet.requests.byID[fleet.arrive(2)]
+	fleet.now += 200 * ms
+	fleet.handleOverdueAttempt(fleet.now, nonIdempotent, 0)
+	if fleet.canceled != 1 {
 		t.Error("a non-idempotent request was canceled")
 	}
 }
 
 // Guards against heavy requests being begun again and again: an endpoint that has answered others meanwhile is at work.
 func TestOverdueRequestIsNotCanceledAtRespondingEndpoint(t *testing.T) {
-	for _, answers := range []bool{false, true} {
-		b := newTestFleet(t, 2, func(s *Settings) { s.MayHedge = false })
-		b.serve(40, respondPromptly)
-		id := b.arrive(0)
-		timer, endpoint := b.timers[len(b.timers)-1], b.lastSent()
-		b.now += 50 * ms
-		for atSameEndpoint := false; answers && !atSameEndpoint; {
-			other := b.arrive(0)
-			atSameEndpoint = b.lastSent() == endpoint
-			b.endAttempt(other, 0, OutcomeSucceeded, 50*ms)
+	for _, responds := range []bool{false, true} {
+		fleet := newTestFleet(t, 2, func(settings *Settings) { settings.MayHedge = false })
+		fleet.serve(40, respondPromptly)
+		id := fleet.arrive(0)
+		timer, endpoint := fleet.timers[len(fleet.timers)-1], fleet.lastSent()
+		fleet.now += 50 * ms
+		for atSameEndpoint := false; responds && !atSameEndpoint; {
+			other := fleet.arrive(0)
+			atSameEndpoint = fleet.lastSent() == endpoint
+			fleet.endAttempt(other, 0, OutcomeSucceeded, 50*ms)
 		}
-		b.now += 300 * ms
-		b.canceled = 0
-		if b.TimerFired(b.now, timer); b.canceled > 0 == answers {
-			t.Errorf("its endpoint answers others: %t; canceled %d times", answers, b.canceled)
+		fleet.now += 300 * ms
+		fleet.canceled = 0
+		if fleet.TimerFired(fleet.now, timer); fleet.canceled > 0 == responds {
+			t.Errorf("its endpoint answers others: %t; canceled %d times", responds, fleet.canceled)
 		}
-		b.ClientGone(b.now, id)
+		fleet.ClientGone(fleet.now, id)
 	}
 }
 
 // Guards against a request being given up with time left, since it was canceled at the only endpoint that could answer.
 func TestOverdueRequestIsNotCanceledWithoutAlternative(t *testing.T) {
-	for name, leaveOne := range map[string]func(*testFleet, *endpoint){
+	for name, excludeOther := range map[string]func(*testFleet, *endpoint){
 		"others drain": func(_ *testFleet, other *endpoint) { other.State = StateDraining },
-		"others eject": func(b *testFleet, other *endpoint) {
+		"others eject": func(fleet *testFleet, other *endpoint) {
 			other.health[0].ejected = true
-			other.health[0].nextTrialAt = b.now.Add(10e9)
+			other.health[0].nextTrialAt = fleet.now.Add(10e9)
 		},
-		"others back off": func(b *testFleet, other *endpoint) { other.backoffUntil = b.now.Add(10e9) },
-		"others are in slow start": func(b *testFleet, other *endpoint) {
-			other.StartedAt, other.slowStartCredit = b.now, 0
+		"others back off": func(fleet *testFleet, other *endpoint) { other.backoffUntil = fleet.now.Add(10e9) },
+		"others are in slow start": func(fleet *testFleet, other *endpoint) {
+			other.StartedAt, other.slowStartCredit = fleet.now, 0
 		},
 		"others are late":                    func(_ *testFleet, other *endpoint) { other.Latency.FirstSum = 1e6 },
-		"the request is at its last attempt": func(b *testFleet, _ *endpoint) { b.settings.MaxAttempts = 1 },
+		"the request is at its last attempt": func(fleet *testFleet, _ *endpoint) { fleet.settings.MaxAttempts = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
-			b.serve(60, respondPromptly)
-			b.tick()
-			id := b.arrive(0)
-			for _, other := range b.endpoints.all {
-				if other.ID != b.lastSent() {
-					leaveOne(b, other)
+			fleet := newTestFleet(t, 3, func(settings *Settings) { settings.MayHedge = false })
+			fleet.serve(60, respondPromptly)
+			fleet.tick()
+			id := fleet.arrive(0)
+			for _, other := range fleet.endpoints.all {
+				if other.ID != fleet.lastSent() {
+					excludeOther(fleet, other)
 				}
 			}
-			b.now += 200 * ms
-			b.TimerFired(b.now, b.timers[len(b.timers)-1])
-			if b.canceled != 0 {
-				t.Fatalf("%d attempts were canceled with no endpoint to go to", b.canceled)
+			fleet.now += 200 * ms
+			fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
+			if fleet.canceled != 0 {
+				t.Fatalf("%d attempts were canceled with no endpoint to go to", fleet.canceled)
 			}
-			b.endAttempt(id, 0, OutcomeSucceeded, 240*ms)
-			if b.rejected+b.failed > 0 {
-				t.Errorf("%d rejected, %d failed", b.rejected, b.failed)
+			fleet.endAttempt(id, 0, OutcomeSucceeded, 240*ms)
+			if fleet.rejected+fleet.failed > 0 {
+				t.Errorf("%d rejected, %d failed", fleet.rejected, fleet.failed)
 			}
 		})
 	}
@@ -110,18 +110,18 @@
 
 // Guards against a request waiting until its deadline on a connection that something between has dropped.
 func TestOverdueRequestOnDeadConnectionIsResentToOnlyEndpoint(t *testing.T) {
-	b := newTestFleet(t, 1, func(s *Settings) { s.MayHedge = false; s.StreamsPerConnection = 1 })
-	b.serve(60, respondPromptly)
-	b.tick()
-	b.endpoints.all[0].maxInFlight = 1
-	b.now = b.now.Add(2 * minDeadIdleTime)
-	id := b.arrive(0)
-	b.now += 200 * ms
-	b.TimerFired(b.now, b.timers[len(b.timers)-1])
-	if b.canceled != 1 {
-		t.Fatalf("%d attempts were canceled on a connection that may be dead", b.canceled)
+	fleet := newTestFleet(t, 1, func(settings *Settings) { settings.MayHedge = false; settings.StreamsPerConnection = 1 })
+	fleet.serve(60, respondPromptly)
+	fleet.tick()
+	fleet.endpoints.all[0].maxInFlight = 1
+	fleet.now = fleet.now.Add(2 * minDeadIdleTime)
+	id := fleet.arrive(0)
+	fleet.now += 200 * ms
+	fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
+	if fleet.canceled != 1 {
+		t.Fatalf("%d attempts were canceled on a connection that may be dead", fleet.canceled)
 	}
-	if b.endAttempt(id, 0, OutcomeCanceled, 200*ms); b.rejected > 0 || b.requests.byID[id].inFlight != 1 {
+	if fleet.endAttempt(id, 0, OutcomeCanceled, 200*ms); fleet.rejected > 0 || fleet.requests.byID[id].inFlight != 1 {
 		t.Error("the request did not go to its only endpoint again")
 	}
 }
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -22,14 +22,14 @@
 	reason           Reason // of the last request that was given up
 }
 
-func (r *recorder) Send(_ RequestID, s EndpointID, wait time.Duration) {
-	r.sent, r.timeouts = append(r.sent, s), append(r.timeouts, wait)
+func (r *recorder) Send(_ RequestID, endpoint EndpointID, timeout time.Duration) {
+	r.sent, r.timeouts = append(r.sent, endpoint), append(r.timeouts, timeout)
 }
 
 func (r *recorder) Cancel(RequestID, int) { r.canceled++ }
 
-func (r *recorder) Reject(_ RequestID, advice time.Duration, reason Reason) {
-	r.rejected, r.retryAfter, r.reason = r.rejected+1, advice, reason
+func (r *recorder) Reject(_ RequestID, retryAfter time.Duration, reason Reason) {
+	r.rejected, r.retryAfter, r.reason = r.rejected+1, retryAfter, reason
 }
 
 func (r *recorder) Fail(_ RequestID, reason Reason) { r.failed, r.reason = r.failed+1, reason }
@@ -38,17 +38,19 @@
 
 func (r *recorder) WatchEndpoints() {}
 
-func (r *recorder) CloseIdle(s EndpointID) { r.closedIdle = append(r.closedIdle, s) }
+func (r *recorder) CloseIdle(endpoint EndpointID) { r.closedIdle = append(r.closedIdle, endpoint) }
 
 func (r *recorder) Gossip(message GossipMessage) { r.gossiped = append(r.gossiped, message) }
 
-func (r *recorder) CheckHealth(s EndpointID) { r.healthChecked = append(r.healthChecked, s) }
+func (r *recorder) CheckHealth(endpoint EndpointID) {
+	r.healthChecked = append(r.healthChecked, endpoint)
+}
 
 func (r *recorder) lastSent() EndpointID { return r.sent[len(r.sent)-1] }
 
 func (r *recorder) sentTo(id EndpointID) (count int) {
-	for _, s := range r.sent {
-		if s == id {
+	for _, endpoint := range r.sent {
+		if endpoint == id {
 			count++
 		}
 	}
@@ -66,7 +68,7 @@
 // newTestFleet starts a Balancer with so many endpoints and three classes: idempotent, idempotent by key in a pod,
 // non-idempotent.
 func newTestFleet(t *testing.T, endpoints int, change func(*Settings)) *testFleet {
-	s := Settings{
+	settings := Settings{
 		MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
 		SlowStartMinCapacity: 0.1, SlowStartWindow: 2e10, Classes: []Class{
 			{LatencyObjective: 500 * ms, Idempotency: Idempotent},
@@ -75,49 +77,49 @@
 		},
 	}
 	if change != nil {
-		change(&s)
+		change(&settings)
 	}
-	r := &recorder{}
-	b := &testFleet{T: t, Balancer: New(s, 1, r), recorder: r, now: 1e12}
+	effects := &recorder{}
+	fleet := &testFleet{T: t, Balancer: New(settings, 1, effects), recorder: effects, now: 1e12}
 	var list []EndpointInfo
 	for id := range endpoints {
 		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id / 2, Weight: 1})
 	}
-	b.EndpointsUpdated(b.now, list, true)
-	return b
+	fleet.EndpointsUpdated(fleet.now, list, true)
+	return fleet
 }
 
-func (b *testFleet) arrive(class int) RequestID {
-	b.requestCount++
-	id := RequestID(fmt.Sprint(b.requestCount))
-	b.RequestArrived(b.now, Request{ID: id, Class: class, Deadline: b.now + 1000*ms})
+func (f *testFleet) arrive(class int) RequestID {
+	f.requestCount++
+	id := RequestID(fmt.Sprint(f.requestCount))
+	f.RequestArrived(f.now, Request{ID: id, Class: class, Deadline: f.now + 1000*ms})
 	return id
 }
 
-func (b *testFleet) endAttempt(id RequestID, number int, o Outcome, took time.Duration) {
-	t := b.requests.byID[id]
-	b.AttemptEnded(b.now, AttemptResult{
-		Request: id, Attempt: number, Endpoint: t.attempts[number].endpoint.ID, Outcome: o,
-		Elapsed: took, RequestDone: o == OutcomeSucceeded, Report: LoadReport{-1, -1, -1},
+func (f *testFleet) endAttempt(id RequestID, number int, outcome Outcome, elapsed time.Duration) {
+	req := f.requests.byID[id]
+	f.AttemptEnded(f.now, AttemptResult{
+		Request: id, Attempt: number, Endpoint: req.attempts[number].endpoint.ID, Outcome: outcome,
+		Elapsed: elapsed, RequestDone: outcome == OutcomeSucceeded, Report: LoadReport{-1, -1, -1},
 	})
 }
 
 // serve plays idempotent requests one after another, each answered as its endpoint does.
-func (b *testFleet) serve(requests int, how func(EndpointID) (Outcome, time.Duration)) {
+func (f *testFleet) serve(requests int, respond func(EndpointID) (Outcome, time.Duration)) {
 	for range requests {
-		id := b.arrive(0)
-		for b.requests.byID[id] != nil {
-			o, took := how(b.lastSent())
-			b.now += Time(took)
-			b.endAttempt(id, len(b.requests.byID[id].attempts)-1, o, took)
+		id := f.arrive(0)
+		for f.requests.byID[id] != nil {
+			outcome, latency := respond(f.lastSent())
+			f.now += Time(latency)
+			f.endAttempt(id, len(f.requests.byID[id].attempts)-1, outcome, latency)
 		}
-		b.now += ms
+		f.now += ms
 	}
 }
 
 func respondPromptly(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 40 * ms }
 
-func (b *testFleet) tick() { b.TimerFired(b.now, tickTimer) }
+func (f *testFleet) tick() { f.TimerFired(f.now, tickTimer) }
 
 // lastSendRecorder only notes the last attempt.
 type lastSendRecorder struct {
@@ -125,8 +127,8 @@
 	sent     bool
 }
 
-func (q *lastSendRecorder) Send(_ RequestID, s EndpointID, _ time.Duration) {
-	q.endpoint, q.sent = s, true
+func (r *lastSendRecorder) Send(_ RequestID, endpoint EndpointID, _ time.Duration) {
+	r.endpoint, r.sent = endpoint, true
 }
 
 func (*lastSendRecorder) Cancel(RequestID, int) {}
--- a/policy/idleconns.go
+++ b/policy/idleconns.go
@@ -83,8 +83,8 @@
 	default:
 		return false
 	}
-	knownConnection := a.endpoint.maxInFlight <= b.settings.StreamsPerConnection
-	return a.idleTime >= minDeadIdleTime && !a.endpoint.wasActiveAfter(a.sentAt) && knownConnection
+	isConnectionKnown := a.endpoint.maxInFlight <= b.settings.StreamsPerConnection
+	return a.idleTime >= minDeadIdleTime && !a.endpoint.wasActiveAfter(a.sentAt) && isConnectionKnown
 }
 
 // recordDeadConnection takes a connection that was dead when used. Two in a row count, if none between lived about as long.
--- a/policy/load.go
+++ b/policy/load.go
@@ -80,6 +80,6 @@
 	if b.healthChecks.requestCount%requestsPerHealthCheck != 0 || len(b.subset.members) == 0 {
 		return
 	}
-	turn := b.healthChecks.requestCount / requestsPerHealthCheck % len(b.subset.members)
-	b.effects.CheckHealth(b.subset.members[turn].ID)
+	index := b.healthChecks.requestCount / requestsPerHealthCheck % len(b.subset.members)
+	b.effects.CheckHealth(b.subset.members[index].ID)
 }
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -41,118 +41,118 @@
 	fairShare          map[EndpointID]float64 // and its even part of all attempts, times what it surely can do
 }
 
-func (w *model) violation(format string, a ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(format, a...))
+func (m *model) violation(format string, args ...any) {
+	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
-func (w *model) Send(id RequestID, target EndpointID, timeout time.Duration) {
-	t := w.requests[id]
-	if t == nil || t.done {
-		w.violation("rule 1: attempt of a request that is over")
+func (m *model) Send(id RequestID, target EndpointID, timeout time.Duration) {
+	req := m.requests[id]
+	if req == nil || req.done {
+		m.violation("rule 1: attempt of a request that is over")
 		return
 	}
-	c := &w.settings.Classes[t.request.Class]
-	if timeout <= 0 || w.now.Add(timeout) > t.request.Deadline {
-		w.violation("rule 1: time-out %d leaves the deadline", timeout)
+	class := &m.settings.Classes[req.request.Class]
+	if timeout <= 0 || m.now.Add(timeout) > req.request.Deadline {
+		m.violation("rule 1: time-out %d leaves the deadline", timeout)
 	}
-	to, known := w.listed[target]
-	if !known || to.State == StateDraining || to.State == StateRemoved && (!w.settings.RemovedMayServe ||
-		w.drainedSinceActive[target]) {
-		w.violation("rule 3: attempt to an endpoint that drains, is gone or was never listed")
+	to, known := m.listed[target]
+	if !known || to.State == StateDraining || to.State == StateRemoved && (!m.settings.RemovedMayServe ||
+		m.drainedSinceActive[target]) {
+		m.violation("rule 3: attempt to an endpoint that drains, is gone or was never listed")
 	}
-	if len(t.attempts) >= w.settings.MaxAttempts {
-		w.violation("more attempts than allowed")
+	if len(req.attempts) >= m.settings.MaxAttempts {
+		m.violation("more attempts than allowed")
 	}
-	for _, h := range t.attempts {
-		if h.inFlight && !w.settings.MayHedge {
-			w.violation("rule 2: two attempts at once")
+	for _, earlier := range req.attempts {
+		if earlier.inFlight && !m.settings.MayHedge {
+			m.violation("rule 2: two attempts at once")
 		}
-		if h.neverRan || c.Idempotency == Idempotent {
+		if earlier.neverRan || class.Idempotency == Idempotent {
 			continue
 		}
-		from := w.listed[h.endpoint]
-		inGroup := c.DedupGroup == DedupFleet || c.DedupGroup == DedupZone && from.Zone == to.Zone ||
-			c.DedupGroup == DedupPod && from.Pod == to.Pod
-		if c.Idempotency == NonIdempotent || !inGroup || w.now.Sub(h.sentAt) >= c.DedupWindow {
-			w.violation("rule 2: %d may run twice", c.Idempotency)
+		from := m.listed[earlier.endpoint]
+		inGroup := class.DedupGroup == DedupFleet || class.DedupGroup == DedupZone && from.Zone == to.Zone ||
+			class.DedupGroup == DedupPod && from.Pod == to.Pod
+		if class.Idempotency == NonIdempotent || !inGroup || m.now.Sub(earlier.sentAt) >= class.DedupWindow {
+			m.violation("rule 2: %d may run twice", class.Idempotency)
 		}
 	}
-	if w.capacity(to) < 1 {
-		w.sentInSlowStart[target]++
+	if m.capacity(to) < 1 {
+		m.sentInSlowStart[target]++
 	}
-	t.attempts = append(t.attempts, modelAttempt{endpoint: target, sentAt: w.now, inFlight: true})
+	req.attempts = append(req.attempts, modelAttempt{endpoint: target, sentAt: m.now, inFlight: true})
 }
 
-func (w *model) Cancel(id RequestID, number int) {
-	if t := w.requests[id]; !w.settings.MayCancel || t == nil || number >= len(t.attempts) {
-		w.violation("cancellation of an attempt that was never made, or not allowed")
+func (m *model) Cancel(id RequestID, number int) {
+	if req := m.requests[id]; !m.settings.MayCancel || req == nil || number >= len(req.attempts) {
+		m.violation("cancellation of an attempt that was never made, or not allowed")
 	}
 }
 
-func (w *model) recordFinalResponse(id RequestID) *modelRequest {
-	t := w.requests[id]
-	if t == nil || t.done {
-		w.violation("rule 1: second final answer")
+func (m *model) recordFinalResponse(id RequestID) *modelRequest {
+	req := m.requests[id]
+	if req == nil || req.done {
+		m.violation("rule 1: second final answer")
 		return nil
 	}
-	t.done = true
-	t.finalResponses++
-	return t
+	req.done = true
+	req.finalResponses++
+	return req
 }
 
-func (w *model) Reject(id RequestID, comeBackIn time.Duration, _ Reason) {
-	t := w.recordFinalResponse(id)
-	if t == nil {
+func (m *model) Reject(id RequestID, retryAfter time.Duration, _ Reason) {
+	req := m.recordFinalResponse(id)
+	if req == nil {
 		return
 	}
-	c := w.settings.Classes[t.request.Class]
-	for _, h := range t.attempts {
-		if !h.neverRan && c.Idempotency != Idempotent && (c.Idempotency == NonIdempotent ||
-			c.DedupGroup != DedupFleet || w.now.Sub(h.sentAt) >= c.DedupWindow) {
-			w.violation(
+	class := m.settings.Classes[req.request.Class]
+	for _, earlier := range req.attempts {
+		if !earlier.neverRan && class.Idempotency != Idempotent && (class.Idempotency == NonIdempotent ||
+			class.DedupGroup != DedupFleet || m.now.Sub(earlier.sentAt) >= class.DedupWindow) {
+			m.violation(
 				"rule 2: rejected though it may have run, after %d of a deduplication window of %d",
-				w.now.Sub(h.sentAt), c.DedupWindow,
+				m.now.Sub(earlier.sentAt), class.DedupWindow,
 			)
 		}
 	}
-	if comeBackIn < 0 || comeBackIn > w.settings.MaxRetryAfter {
-		w.violation("advice %d out of bounds", comeBackIn)
+	if retryAfter < 0 || retryAfter > m.settings.MaxRetryAfter {
+		m.violation("advice %d out of bounds", retryAfter)
 	}
 }
 
-func (w *model) Fail(id RequestID, _ Reason) { w.recordFinalResponse(id) }
+func (m *model) Fail(id RequestID, _ Reason) { m.recordFinalResponse(id) }
 
-func (w *model) SetTimer(at Time, timer uint64) {
-	if at < w.now {
-		w.violation("timer in the past")
+func (m *model) SetTimer(at Time, timer uint64) {
+	if at < m.now {
+		m.violation("timer in the past")
 	}
-	w.timers = append(w.timers, timer)
+	m.timers = append(m.timers, timer)
 }
 
-func (w *model) WatchEndpoints() {}
+func (m *model) WatchEndpoints() {}
 
-func (w *model) Gossip(message GossipMessage) {
-	if !w.settings.MayGossip || message.IdleTime == 0 && w.listed[message.Endpoint].ID != message.Endpoint {
-		w.violation("gossip %+v, allowed: %v", message, w.settings.MayGossip)
+func (m *model) Gossip(message GossipMessage) {
+	if !m.settings.MayGossip || message.IdleTime == 0 && m.listed[message.Endpoint].ID != message.Endpoint {
+		m.violation("gossip %+v, allowed: %v", message, m.settings.MayGossip)
 	}
-	w.gossiped = append(w.gossiped, message)
+	m.gossiped = append(m.gossiped, message)
 }
 
-func (w *model) CheckHealth(id EndpointID) {
-	if l, known := w.listed[id]; !w.settings.MayCheckHealth || !known || l.State == StateDraining ||
-		l.State == StateRemoved && (!w.settings.RemovedMayServe || w.drainedSinceActive[id]) {
-		w.violation("a health check that is not allowed")
+func (m *model) CheckHealth(id EndpointID) {
+	if info, known := m.listed[id]; !m.settings.MayCheckHealth || !known || info.State == StateDraining ||
+		info.State == StateRemoved && (!m.settings.RemovedMayServe || m.drainedSinceActive[id]) {
+		m.violation("a health check that is not allowed")
 	}
 }
 
-func (w *model) CloseIdle(id EndpointID) {
-	if _, known := w.listed[id]; !known {
-		w.violation("close of an endpoint that was never listed")
+func (m *model) CloseIdle(id EndpointID) {
+	if _, known := m.listed[id]; !known {
+		m.violation("close of an endpoint that was never listed")
 	}
 }
 
 func newModel(seed int64) *model {
-	w := &model{
+	m := &model{
 		Rand: rand.New(rand.NewSource(seed)), requests: map[RequestID]*modelRequest{},
 		listed:             map[EndpointID]EndpointInfo{},
 		drainedSinceActive: map[EndpointID]bool{},
@@ -160,190 +160,190 @@
 		fairShare:          map[EndpointID]float64{},
 		now:                5e12,
 	}
-	w.settings = Settings{
-		MaxAttempts: 1 + w.Intn(5), MayHedge: w.Intn(2) == 0, MayCancel: w.Intn(2) == 0,
+	m.settings = Settings{
+		MaxAttempts: 1 + m.Intn(5), MayHedge: m.Intn(2) == 0, MayCancel: m.Intn(2) == 0,
 		MaySetRetryAfter:     true,
 		MaxRetryAfter:        1e9,
-		MustPollList:         w.Intn(2) == 0,
+		MustPollList:         m.Intn(2) == 0,
 		MaxPollInterval:      1e10,
 		SlowStartMinCapacity: 0.1,
 		SlowStartWindow:      2e10,
-		ReportsUtilization:   w.Intn(2) == 0,
-		NodeIndex:            w.Intn(9),
-		NodeCount:            1 + w.Intn(60),
-		StreamsPerConnection: 1 + w.Intn(2),
-		MayGossip:            w.Intn(2) == 0,
-		RemovedMayServe:      w.Intn(2) == 0,
-		KeyAffinity:          w.Intn(2) == 0,
-		MayCheckHealth:       w.Intn(2) == 0,
-		HealthChecksReport:   w.Intn(2) == 0,
-	}
-	for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent, IdempotentByKey} {
-		w.settings.Classes = append(
-			w.settings.Classes,
+		ReportsUtilization:   m.Intn(2) == 0,
+		NodeIndex:            m.Intn(9),
+		NodeCount:            1 + m.Intn(60),
+		StreamsPerConnection: 1 + m.Intn(2),
+		MayGossip:            m.Intn(2) == 0,
+		RemovedMayServe:      m.Intn(2) == 0,
+		KeyAffinity:          m.Intn(2) == 0,
+		MayCheckHealth:       m.Intn(2) == 0,
+		HealthChecksReport:   m.Intn(2) == 0,
+	}
+	for _, idempotency := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent, IdempotentByKey} {
+		m.settings.Classes = append(
+			m.settings.Classes,
 			Class{
-				LatencyObjective: 2e8 + time.Duration(w.Int63n(1e9)),
-				Idempotency:      repeat,
-				DedupGroup:       DedupGroup(w.Intn(3)),
-				DedupWindow:      1e8 + time.Duration(w.Int63n(2e9)),
-				LateFraction:     float64(w.Intn(2)),
+				LatencyObjective: 2e8 + time.Duration(m.Int63n(1e9)),
+				Idempotency:      idempotency,
+				DedupGroup:       DedupGroup(m.Intn(3)),
+				DedupWindow:      1e8 + time.Duration(m.Int63n(2e9)),
+				LateFraction:     float64(m.Intn(2)),
 			},
 		)
 	}
-	w.balancer = New(w.settings, uint64(seed), w)
-	w.updateList(true)
-	return w
+	m.balancer = New(m.settings, uint64(seed), m)
+	m.updateList(true)
+	return m
 }
 
-func (w *model) capacity(l EndpointInfo) float64 {
-	if age := w.now - l.StartedAt; l.StartedAt > 0 && time.Duration(age) < w.settings.SlowStartWindow {
-		return 0.1 + 0.9*float64(age)/float64(w.settings.SlowStartWindow)
+func (m *model) capacity(info EndpointInfo) float64 {
+	if age := m.now - info.StartedAt; info.StartedAt > 0 && time.Duration(age) < m.settings.SlowStartWindow {
+		return 0.1 + 0.9*float64(age)/float64(m.settings.SlowStartWindow)
 	}
 	return 1
 }
 
 // addFairShares adds to each cold endpoint's part what a warm peer satisfied, or an arrival where none is warm.
-func (w *model) addFairShares(by EndpointID) {
+func (m *model) addFairShares(answeredBy EndpointID) {
 	active, warm := 0.0, 0.0
-	for _, l := range w.listed {
-		if l.State == StateActive {
+	for _, info := range m.listed {
+		if info.State == StateActive {
 			active++
-			if w.capacity(l) == 1 {
+			if m.capacity(info) == 1 {
 				warm++
 			}
 		}
 	}
-	if by == 0 && warm > 0 || by != 0 && w.capacity(w.listed[by]) < 1 {
+	if answeredBy == 0 && warm > 0 || answeredBy != 0 && m.capacity(m.listed[answeredBy]) < 1 {
 		return
 	}
-	if by == 0 || warm == 0 {
+	if answeredBy == 0 || warm == 0 {
 		warm = active
 	}
-	for id, l := range w.listed {
-		if part := w.capacity(l); part < 1 {
-			w.fairShare[id] += part / max(warm, 1)
+	for id, info := range m.listed {
+		if capacity := m.capacity(info); capacity < 1 {
+			m.fairShare[id] += capacity / max(warm, 1)
 		}
 	}
 }
 
 // updateList changes the fleet and enters it: drains, leavers, restarts and newcomers.
-func (w *model) updateList(complete bool) {
+func (m *model) updateList(complete bool) {
 	var changed []EndpointInfo
 	for id := EndpointID(1); id <= 8; id++ {
-		l, known := w.listed[id]
+		info, known := m.listed[id]
 		switch {
 		case !known:
-			l = EndpointInfo{ID: id, Zone: int(id) % 2, Pod: int(id) % 3, Weight: 1}
-		case w.Intn(6) == 0:
-			l.State = EndpointState(w.Intn(3))
-		case w.Intn(12) == 0:
-			l.State, l.StartedAt = StateActive, w.now-1
-			w.sentInSlowStart[id], w.fairShare[id] = 0, 0
+			info = EndpointInfo{ID: id, Zone: int(id) % 2, Pod: int(id) % 3, Weight: 1}
+		case m.Intn(6) == 0:
+			info.State = EndpointState(m.Intn(3))
+		case m.Intn(12) == 0:
+			info.State, info.StartedAt = StateActive, m.now-1
+			m.sentInSlowStart[id], m.fairShare[id] = 0, 0
 		default:
 			if !complete {
 				continue
 			}
 		}
-		if complete && l.State == StateRemoved || complete && known && w.Intn(10) == 0 {
-			l.State = StateRemoved // missing from a whole list
-			w.listed[id] = l
+		if complete && info.State == StateRemoved || complete && known && m.Intn(10) == 0 {
+			info.State = StateRemoved // missing from a whole list
+			m.listed[id] = info
 			continue
 		}
-		w.listed[id], w.drainedSinceActive[id] = l, l.State == StateDraining || l.State == StateRemoved && w.drainedSinceActive[id]
-		changed = append(changed, l)
+		m.listed[id], m.drainedSinceActive[id] = info, info.State == StateDraining || info.State == StateRemoved && m.drainedSinceActive[id]
+		changed = append(changed, info)
 	}
-	w.balancer.EndpointsUpdated(w.now, changed, complete)
+	m.balancer.EndpointsUpdated(m.now, changed, complete)
 }
 
-func (w *model) endAttempt(t *modelRequest, number int, outcome Outcome) {
-	h := &t.attempts[number]
-	h.inFlight = false
-	h.neverRan = outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent
-	a := AttemptResult{
-		Request: t.request.ID, Attempt: number, Endpoint: h.endpoint, Outcome: outcome, Elapsed: w.now.Sub(h.sentAt),
-		Report: LoadReport{Utilization: w.Float64(), QueueLength: float64(w.Intn(3)), ServiceTime: -1},
-	}
-	if outcome == OutcomeSucceeded && !t.done {
-		t.done = true
-		t.finalResponses++
-	}
-	a.RequestDone = t.done
+func (m *model) endAttempt(req *modelRequest, number int, outcome Outcome) {
+	ended := &req.attempts[number]
+	ended.inFlight = false
+	ended.neverRan = outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent
+	result := AttemptResult{
+		Request: req.request.ID, Attempt: number, Endpoint: ended.endpoint, Outcome: outcome, Elapsed: m.now.Sub(ended.sentAt),
+		Report: LoadReport{Utilization: m.Float64(), QueueLength: float64(m.Intn(3)), ServiceTime: -1},
+	}
+	if outcome == OutcomeSucceeded && !req.done {
+		req.done = true
+		req.finalResponses++
+	}
+	result.RequestDone = req.done
 	if outcome == OutcomeSucceeded {
-		w.addFairShares(h.endpoint)
+		m.addFairShares(ended.endpoint)
 	}
-	w.balancer.AttemptEnded(w.now, a)
-	w.checkInFlight(t)
+	m.balancer.AttemptEnded(m.now, result)
+	m.checkInFlight(req)
 }
 
 // owed checks that a request which is not over has work out: nothing else would ever answer it in time.
-func (w *model) checkInFlight(t *modelRequest) {
-	if t.done {
+func (m *model) checkInFlight(req *modelRequest) {
+	if req.done {
 		return
 	}
-	for _, h := range t.attempts {
-		if h.inFlight {
+	for _, a := range req.attempts {
+		if a.inFlight {
 			return
 		}
 	}
-	w.violation("rule 1: a request is held with nothing out")
+	m.violation("rule 1: a request is held with nothing out")
 }
 
-func (w *model) step() {
-	w.now += Time(w.Int63n(2e7))
-	switch w.Intn(10) {
+func (m *model) step() {
+	m.now += Time(m.Int63n(2e7))
+	switch m.Intn(10) {
 	case 0, 1, 2, 3:
-		t := &modelRequest{request: Request{
-			ID: RequestID(fmt.Sprint(len(w.ids))), Class: w.Intn(4),
-			Deadline: w.now + 1e8 + Time(w.Int63n(2e9)),
+		req := &modelRequest{request: Request{
+			ID: RequestID(fmt.Sprint(len(m.ids))), Class: m.Intn(4),
+			Deadline: m.now + 1e8 + Time(m.Int63n(2e9)),
 		}}
-		w.requests[t.request.ID] = t
-		w.ids = append(w.ids, t.request.ID)
-		w.addFairShares(0)
-		w.balancer.RequestArrived(w.now, t.request)
-		w.checkInFlight(t)
+		m.requests[req.request.ID] = req
+		m.ids = append(m.ids, req.request.ID)
+		m.addFairShares(0)
+		m.balancer.RequestArrived(m.now, req.request)
+		m.checkInFlight(req)
 	case 4:
 		// What others tell, whatever it is and however often, must never break a rule.
 		message := GossipMessage{
-			Endpoint: EndpointID(w.Intn(10)),
-			Class:    w.Intn(8) - 2,
-			IdleTime: time.Duration(w.Int63n(3)*w.Int63n(1e10) - 1e9),
+			Endpoint: EndpointID(m.Intn(10)),
+			Class:    m.Intn(8) - 2,
+			IdleTime: time.Duration(m.Int63n(3)*m.Int63n(1e10) - 1e9),
 		}
-		if len(w.gossiped) > 0 && w.Intn(2) == 0 {
-			message = w.gossiped[w.Intn(len(w.gossiped))]
+		if len(m.gossiped) > 0 && m.Intn(2) == 0 {
+			message = m.gossiped[m.Intn(len(m.gossiped))]
 		}
-		w.balancer.GossipReceived(w.now, message)
-		w.balancer.HealthChecked(
-			w.now, EndpointID(w.Intn(10)), Outcome(w.Intn(9)), LoadReport{w.Float64(), float64(w.Intn(3)), -1},
+		m.balancer.GossipReceived(m.now, message)
+		m.balancer.HealthChecked(
+			m.now, EndpointID(m.Intn(10)), Outcome(m.Intn(9)), LoadReport{m.Float64(), float64(m.Intn(3)), -1},
 		)
-		if w.Intn(4) == 0 {
-			w.updateList(w.Intn(3) == 0)
+		if m.Intn(4) == 0 {
+			m.updateList(m.Intn(3) == 0)
 		}
 	case 5:
-		if len(w.ids) > 0 {
-			if t := w.requests[w.ids[w.Intn(len(w.ids))]]; !t.done && w.Intn(3) == 0 {
-				t.done = true
-				w.balancer.ClientGone(w.now, t.request.ID)
+		if len(m.ids) > 0 {
+			if req := m.requests[m.ids[m.Intn(len(m.ids))]]; !req.done && m.Intn(3) == 0 {
+				req.done = true
+				m.balancer.ClientGone(m.now, req.request.ID)
 			}
 		}
 	case 6:
-		if len(w.timers) > 0 {
-			at := w.Intn(len(w.timers))
-			timer := w.timers[at]
-			w.timers = append(w.timers[:at], w.timers[at+1:]...)
-			w.balancer.TimerFired(w.now, timer)
+		if len(m.timers) > 0 {
+			index := m.Intn(len(m.timers))
+			timer := m.timers[index]
+			m.timers = append(m.timers[:index], m.timers[index+1:]...)
+			m.balancer.TimerFired(m.now, timer)
 		}
 	default:
 		for range 3 {
-			if len(w.ids) == 0 {
+			if len(m.ids) == 0 {
 				return
 			}
-			t := w.requests[w.ids[max(0, len(w.ids)-1-w.Intn(30))]]
-			for n := range t.attempts {
-				if t.attempts[n].inFlight {
-					w.endAttempt(t, n, Outcome(w.Intn(int(OutcomeNotSent)+1)))
-					if w.Intn(8) == 0 { // the same gossip twice must change nothing
-						w.balancer.AttemptEnded(
-							w.now, AttemptResult{Request: t.request.ID, Attempt: n, Endpoint: t.attempts[n].endpoint},
+			req := m.requests[m.ids[max(0, len(m.ids)-1-m.Intn(30))]]
+			for number := range req.attempts {
+				if req.attempts[number].inFlight {
+					m.endAttempt(req, number, Outcome(m.Intn(int(OutcomeNotSent)+1)))
+					if m.Intn(8) == 0 { // the same gossip twice must change nothing
+						m.balancer.AttemptEnded(
+							m.now, AttemptResult{Request: req.request.ID, Attempt: number, Endpoint: req.attempts[number].endpoint},
 						)
 					}
 					break
@@ -351,42 +351,42 @@
 			}
 		}
 	}
-	for id, given := range w.sentInSlowStart {
-		if given > w.fairShare[id]+3 && !w.settings.RemovedMayServe { // else the list does not tell who is warm
-			w.violation("rule 4: cold endpoint %d was given %g, its part is %g", id, given, w.fairShare[id])
+	for id, sent := range m.sentInSlowStart {
+		if sent > m.fairShare[id]+3 && !m.settings.RemovedMayServe { // else the list does not tell who is warm
+			m.violation("rule 4: cold endpoint %d was given %g, its part is %g", id, sent, m.fairShare[id])
 		}
 	}
 }
 
 func TestRandomEventsKeepModelInvariants(t *testing.T) {
 	play := func(seed int64) bool {
-		w := newModel(seed)
+		m := newModel(seed)
 		for range 600 {
-			w.step()
+			m.step()
 		}
-		w.now += 4e9
-		for _, id := range w.ids {
-			for n := 0; n < len(w.requests[id].attempts); n++ {
-				if w.requests[id].attempts[n].inFlight {
-					w.endAttempt(w.requests[id], n, OutcomeTimedOut)
+		m.now += 4e9
+		for _, id := range m.ids {
+			for number := 0; number < len(m.requests[id].attempts); number++ {
+				if m.requests[id].attempts[number].inFlight {
+					m.endAttempt(m.requests[id], number, OutcomeTimedOut)
 				}
 			}
-			if !w.requests[id].done || w.requests[id].finalResponses > 1 {
-				w.violation("rule 1: request with %d final answers", w.requests[id].finalResponses)
+			if !m.requests[id].done || m.requests[id].finalResponses > 1 {
+				m.violation("rule 1: request with %d final answers", m.requests[id].finalResponses)
 			}
 		}
-		if len(w.balancer.requests.byID) > 0 {
-			w.violation("%d requests are kept after their end", len(w.balancer.requests.byID))
+		if len(m.balancer.requests.byID) > 0 {
+			m.violation("%d requests are kept after their end", len(m.balancer.requests.byID))
 		}
-		for _, s := range w.balancer.endpoints.all {
-			if s.inFlight != 0 {
-				w.violation("%d attempts are counted out after all have ended", s.inFlight)
+		for _, ep := range m.balancer.endpoints.all {
+			if ep.inFlight != 0 {
+				m.violation("%d attempts are counted out after all have ended", ep.inFlight)
 			}
 		}
-		if len(w.violations) > 0 {
-			t.Logf("seed %d: %s", seed, w.violations[0])
+		if len(m.violations) > 0 {
+			t.Logf("seed %d: %s", seed, m.violations[0])
 		}
-		return len(w.violations) == 0
+		return len(m.violations) == 0
 	}
 	config := &quick.Config{MaxCount: 300, Rand: rand.New(rand.NewSource(1))}
 	if err := quick.Check(play, config); err != nil {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -89,34 +89,34 @@
 }
 
 // recordSuccess takes an answer.
-func (b *Balancer) recordSuccess(now Time, req *request, a *attempt, tookNanos float64, newConnection bool) {
+func (b *Balancer) recordSuccess(now Time, req *request, a *attempt, latencyNanos float64, newConnection bool) {
 	ep, class := a.endpoint, &b.estimator.classes[req.Class]
 	ep.rejectionsInARow = 0
 	b.idleConns.timeout.Survived(int64(a.idleTime))
-	req.delayGroups.Observe(int64(now), int64(a.sentAt), tookNanos, a.unloadedNanos)
-	class.Calibrate(tookNanos, a.predictedNanos)
+	req.delayGroups.Observe(int64(now), int64(a.sentAt), latencyNanos, a.unloadedNanos)
+	class.Calibrate(latencyNanos, a.predictedNanos)
 	if newConnection && a.work > 0 {
 		// Guards against the opening of a connection making its endpoint look slow.
 		b.grantCreditForResponse(now, ep, a.work)
 		return
 	}
 	if req.CostHint > 0 {
-		tookNanos = b.estimator.subtractZoneDelay(a, tookNanos)
+		latencyNanos = b.estimator.subtractZoneDelay(a, latencyNanos)
 	}
 	if a.hadAffinity && a.work > 0 {
 		perWork, _ := b.estimator.expectedLatency(ep)
-		b.affinity.updateWorkFactor(tookNanos, perWork*a.work)
+		b.affinity.updateWorkFactor(latencyNanos, perWork*a.work)
 		// Converted to what it would be elsewhere, so that the endpoint does not look quick for its cached keys.
-		tookNanos /= b.affinity.workFactorWithAffinity
+		latencyNanos /= b.affinity.workFactorWithAffinity
 		a.work /= b.affinity.workFactorWithAffinity
 	}
-	class.ObserveWork(tookNanos)
+	class.ObserveWork(latencyNanos)
 	if a.work == 0 || a.workIsProvisional {
 		// Guards against the latencies of a start being compared with the work of the first, lightest answers.
 		a.work = class.TypicalWork
 	}
 	b.estimator.observeMeanWork(a.work)
-	b.estimator.observeLatency(a, tookNanos)
+	b.estimator.observeLatency(a, latencyNanos)
 	b.grantCreditForResponse(now, ep, a.work)
 }
 
@@ -131,16 +131,16 @@
 }
 
 // recordTimeout takes an attempt without an answer; it reports whether that counts against the endpoint.
-func (b *Balancer) recordTimeout(now Time, req *request, a *attempt, tookNanos float64) bool {
+func (b *Balancer) recordTimeout(now Time, req *request, a *attempt, elapsedNanos float64) bool {
 	b.observeUnansweredDelay(now, req, a)
 	if a.classDelayNanos > 0 {
 		return false
 	}
 	// Guards against a silent endpoint raising the spread of its class, and so requests to others being rejected.
-	isUsual := maxSampleFactor*b.estimator.Fleet.Level()*a.work > tookNanos
+	isUsual := maxSampleFactor*b.estimator.Fleet.Level()*a.work > elapsedNanos
 	if a.endpoint.wasActiveAfter(a.sentAt) || isUsual {
-		b.estimator.classes[req.Class].Calibrate(tookNanos*timeoutLatencyFactor, a.predictedNanos)
+		b.estimator.classes[req.Class].Calibrate(elapsedNanos*timeoutLatencyFactor, a.predictedNanos)
 	}
-	b.estimator.observeLatency(a, tookNanos*timeoutLatencyFactor)
+	b.estimator.observeLatency(a, elapsedNanos*timeoutLatencyFactor)
 	return true
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -68,17 +68,17 @@
 }
 
 // record judges an endpoint in one class by the end of an attempt: failure is 1 or 0, rate its part in the average.
-func (d *outlierDetector) record(now Time, health *classHealth, failure, rate float64) {
+func (d *outlierDetector) record(now Time, health *classHealth, failure, smoothing float64) {
 	health.samples = min(health.samples+1, maxHealthSamples)
-	health.failureRate += (failure - health.failureRate) * rate
+	health.failureRate += (failure - health.failureRate) * smoothing
 	d.fleetFailureRate += (failure - d.fleetFailureRate) * fleetSmoothingFactor
-	limit := d.ejectionThreshold()
+	threshold := d.ejectionThreshold()
 	switch {
-	case failure > 0 && (health.ejected || health.failureRate > limit):
+	case failure > 0 && (health.ejected || health.failureRate > threshold):
 		health.ejected = true
 		health.ejectionTime = min(max(2*health.ejectionTime, minEjectionTime), maxEjectionTime)
 		health.nextTrialAt = now.Add(health.ejectionTime)
-	case health.ejected && health.failureRate < limit*reinstatementFactor:
+	case health.ejected && health.failureRate < threshold*reinstatementFactor:
 		health.ejected = false
 		health.ejectionTime = 0
 	}
@@ -87,23 +87,23 @@
 // updateHealth judges the endpoint of an attempt in the class of its request.
 func (b *Balancer) updateHealth(now Time, ep *endpoint, req *request, failed bool, outcome Outcome) {
 	health := &ep.health[req.Class]
-	rate, failure := smoothingFactor, 0.0
+	smoothing, failure := smoothingFactor, 0.0
 	if failed {
 		failure = 1
 	}
 	if !failed || outcome == OutcomeError {
 		// An endpoint with few samples is judged by these few.
-		rate = max(smoothingFactor, 1/(health.samples+2))
+		smoothing = max(smoothingFactor, 1/(health.samples+2))
 	}
-	b.outliers.record(now, health, failure, rate)
+	b.outliers.record(now, health, failure, smoothing)
 }
 
 // applyGossip counts the vote of another node that the endpoint fails the class. What this node saw itself goes first.
 // The ejection time stays as it is: only failures at this node double it.
 func (h *classHealth) applyGossip(now Time) {
 	h.gossipVotes++
-	sawItWork := h.samples >= 1 && h.failureRate <= maxHealthyFailureRate
-	if h.gossipVotes < gossipVotesToEject || h.ejected || sawItWork {
+	observedHealthy := h.samples >= 1 && h.failureRate <= maxHealthyFailureRate
+	if h.gossipVotes < gossipVotesToEject || h.ejected || observedHealthy {
 		return
 	}
 	h.ejected = true
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -9,38 +9,38 @@
 )
 
 func TestFailingEndpointIsEjectedAndReinstated(t *testing.T) {
-	b := newTestFleet(t, 4, nil)
-	bad := EndpointID(2)
-	how := func(s EndpointID) (Outcome, time.Duration) {
-		if s == bad {
+	fleet := newTestFleet(t, 4, nil)
+	failing := EndpointID(2)
+	respond := func(endpoint EndpointID) (Outcome, time.Duration) {
+		if endpoint == failing {
 			return OutcomeError, ms
 		}
 		return OutcomeSucceeded, 40 * ms
 	}
-	b.serve(100, how)
-	b.sent = nil
-	b.serve(100, how)
-	if n := b.sentTo(bad); n > 8 {
-		t.Errorf("a failing endpoint got %d of %d attempts", n, len(b.sent))
+	fleet.serve(100, respond)
+	fleet.sent = nil
+	fleet.serve(100, respond)
+	if n := fleet.sentTo(failing); n > 8 {
+		t.Errorf("a failing endpoint got %d of %d attempts", n, len(fleet.sent))
 	}
-	b.arrive(2)
-	if bad = 0; b.rejected+b.failed > 0 {
-		t.Errorf("%d requests were given up beside three good endpoints", b.rejected+b.failed)
+	fleet.arrive(2)
+	if failing = 0; fleet.rejected+fleet.failed > 0 {
+		t.Errorf("%d requests were given up beside three good endpoints", fleet.rejected+fleet.failed)
 	}
-	b.serve(800, how)
-	b.sent = nil
-	if b.serve(100, how); b.sentTo(2) < 10 || b.endpoints.byID[2].health[0].ejected {
-		t.Errorf("a mended endpoint got %d of 100 attempts", b.sentTo(2))
+	fleet.serve(800, respond)
+	fleet.sent = nil
+	if fleet.serve(100, respond); fleet.sentTo(2) < 10 || fleet.endpoints.byID[2].health[0].ejected {
+		t.Errorf("a mended endpoint got %d of 100 attempts", fleet.sentTo(2))
 	}
 }
 
 func TestNoOutlierWhenAllFail(t *testing.T) {
-	b := newTestFleet(t, 4, nil)
-	b.serve(20, respondPromptly)
-	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeError, ms })
+	fleet := newTestFleet(t, 4, nil)
+	fleet.serve(20, respondPromptly)
+	fleet.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeError, ms })
 	ejected := 0
-	for _, s := range b.endpoints.all {
-		if s.health[0].ejected {
+	for _, ep := range fleet.endpoints.all {
+		if ep.health[0].ejected {
 			ejected++
 		}
 	}
@@ -50,84 +50,84 @@
 }
 
 func TestSilentEndpointGetsNoMoreRequests(t *testing.T) {
-	b := newTestFleet(t, 3, nil)
-	b.serve(60, respondPromptly)
-	b.tick()
-	id := b.arrive(2)
-	silent := b.lastSent()
-	b.now += 400 * ms
-	b.sent = nil
-	b.serve(30, respondPromptly)
-	if b.sentTo(silent) > 0 {
-		t.Errorf("an endpoint silent for ten answer times got %d more requests", b.sentTo(silent))
-	}
-	b.now += 80 * ms
-	b.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
-	if b.failed != 1 || b.rejected != 0 {
-		t.Errorf("the non-idempotent request was rejected %d and failed %d times", b.rejected, b.failed)
+	fleet := newTestFleet(t, 3, nil)
+	fleet.serve(60, respondPromptly)
+	fleet.tick()
+	id := fleet.arrive(2)
+	silent := fleet.lastSent()
+	fleet.now += 400 * ms
+	fleet.sent = nil
+	fleet.serve(30, respondPromptly)
+	if fleet.sentTo(silent) > 0 {
+		t.Errorf("an endpoint silent for ten answer times got %d more requests", fleet.sentTo(silent))
+	}
+	fleet.now += 80 * ms
+	fleet.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
+	if fleet.failed != 1 || fleet.rejected != 0 {
+		t.Errorf("the non-idempotent request was rejected %d and failed %d times", fleet.rejected, fleet.failed)
 	}
 }
 
 func TestBackoffGrowsAtRejectingEndpoint(t *testing.T) {
-	b := newTestFleet(t, 3, nil)
-	b.serve(30, respondPromptly)
-	b.sent = nil
-	b.serve(60, func(s EndpointID) (Outcome, time.Duration) {
-		if s == 1 {
+	fleet := newTestFleet(t, 3, nil)
+	fleet.serve(30, respondPromptly)
+	fleet.sent = nil
+	fleet.serve(60, func(endpoint EndpointID) (Outcome, time.Duration) {
+		if endpoint == 1 {
 			return OutcomeRejected, ms
 		}
 		return OutcomeSucceeded, 10 * ms
 	})
-	if n := b.sentTo(1); n > 8 {
+	if n := fleet.sentTo(1); n > 8 {
 		t.Errorf("a full endpoint was asked %d times during 60 requests", n)
 	}
-	seldom := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
-	h := &attempt{endpoint: seldom, sentAt: b.now, inFlight: true}
-	b.recordAttempt(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed})
-	if seldom.backoffUntil < b.now.Add(recalculationInterval/2) {
-		t.Errorf("an endpoint not heard of late is asked again after %d ms", (seldom.backoffUntil-b.now)/ms)
+	unmeasured := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
+	a := &attempt{endpoint: unmeasured, sentAt: fleet.now, inFlight: true}
+	fleet.recordAttempt(fleet.now, &request{}, a, AttemptResult{Outcome: OutcomeConnectFailed})
+	if unmeasured.backoffUntil < fleet.now.Add(recalculationInterval/2) {
+		t.Errorf("an endpoint not heard of late is asked again after %d ms", (unmeasured.backoffUntil-fleet.now)/ms)
 	}
 }
 
 func TestOneErrorEjectsEndpointWithFewSamples(t *testing.T) {
-	b := newTestFleet(t, 40, nil)
-	b.serve(20, respondPromptly)
-	id := b.arrive(2)
-	s := b.endpoints.byID[b.lastSent()]
-	s.Latency, s.health[2] = ewma.Pair{}, classHealth{}
-	if b.endAttempt(id, 0, OutcomeError, ms); !s.health[2].ejected {
-		t.Errorf("its failing part is taken for %.2f", s.health[2].failureRate)
+	fleet := newTestFleet(t, 40, nil)
+	fleet.serve(20, respondPromptly)
+	id := fleet.arrive(2)
+	ep := fleet.endpoints.byID[fleet.lastSent()]
+	ep.Latency, ep.health[2] = ewma.Pair{}, classHealth{}
+	if fleet.endAttempt(id, 0, OutcomeError, ms); !ep.health[2].ejected {
+		t.Errorf("its failing part is taken for %.2f", ep.health[2].failureRate)
 	}
 }
 
 // Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it
 // can do.
 func TestEjectedEndpointsAreLastResort(t *testing.T) {
-	b := newTestFleet(t, 4, nil)
-	b.serve(100, respondPromptly)
-	for _, s := range b.endpoints.all {
-		s.health[2] = classHealth{ejected: s.ID > 1, failureRate: 0.3, nextTrialAt: b.now + Time(1e9)}
+	fleet := newTestFleet(t, 4, nil)
+	fleet.serve(100, respondPromptly)
+	for _, ep := range fleet.endpoints.all {
+		ep.health[2] = classHealth{ejected: ep.ID > 1, failureRate: 0.3, nextTrialAt: fleet.now + Time(1e9)}
 	}
-	b.endpoints.byID[1].State = StateDraining
-	b.sent = nil
+	fleet.endpoints.byID[1].State = StateDraining
+	fleet.sent = nil
 	for range 3 {
-		b.arrive(2)
+		fleet.arrive(2)
 	}
-	if b.sentTo(2) != 1 || b.sentTo(3) != 1 || b.sentTo(4) != 1 || b.rejected != 0 {
-		t.Errorf("three requests went to %v, %d were rejected", b.sent, b.rejected)
+	if fleet.sentTo(2) != 1 || fleet.sentTo(3) != 1 || fleet.sentTo(4) != 1 || fleet.rejected != 0 {
+		t.Errorf("three requests went to %v, %d were rejected", fleet.sent, fleet.rejected)
 	}
-	if b.arrive(2); b.rejected != 1 {
+	if fleet.arrive(2); fleet.rejected != 1 {
 		t.Error("an ejected endpoint was given a second request while it had one")
 	}
-	b.endpoints.byID[1].State, b.sent = StateActive, nil
-	if b.arrive(2); b.sentTo(1) != 1 {
-		t.Errorf("with a fit endpoint a request went to %v", b.sent)
+	fleet.endpoints.byID[1].State, fleet.sent = StateActive, nil
+	if fleet.arrive(2); fleet.sentTo(1) != 1 {
+		t.Errorf("with a fit endpoint a request went to %v", fleet.sent)
 	}
-	for _, s := range b.endpoints.all {
-		s.inFlight, s.Latency.Weight = 0, 1
+	for _, ep := range fleet.endpoints.all {
+		ep.inFlight, ep.Latency.Weight = 0, 1
 	}
-	b.endpoints.byID[1].State, b.sent = StateDraining, nil
-	if b.arrive(2); len(b.sent) != 0 {
+	fleet.endpoints.byID[1].State, fleet.sent = StateDraining, nil
+	if fleet.arrive(2); len(fleet.sent) != 0 {
 		t.Error("an endpoint seldom heard, whose state nobody here knows, was tried")
 	}
 }
@@ -135,21 +135,21 @@
 // With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood
 // still made all of them look silent, and idle endpoints' requests were rejected.
 func TestNodePauseDoesNotRejectRequests(t *testing.T) {
-	q := &lastSendRecorder{}
-	set := benchSettings
-	set.ClockResolution = 2 * ms
-	p := New(set, 1, q)
+	effects := &lastSendRecorder{}
+	settings := benchSettings
+	settings.ClockResolution = 2 * ms
+	balancer := New(settings, 1, effects)
 	now := Time(1e12)
-	p.EndpointsUpdated(now, endpointList(2), true)
+	balancer.EndpointsUpdated(now, endpointList(2), true)
 	for i := range 100 {
 		id := RequestID(fmt.Sprint("warm", i))
-		p.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms})
+		balancer.RequestArrived(now, Request{ID: id, Deadline: now + 900*ms})
 		now += ms / 20
-		p.AttemptEnded(
+		balancer.AttemptEnded(
 			now,
 			AttemptResult{
 				Request:     id,
-				Endpoint:    q.endpoint,
+				Endpoint:    effects.endpoint,
 				Outcome:     OutcomeSucceeded,
 				Elapsed:     ms / 20,
 				RequestDone: true,
@@ -157,85 +157,85 @@
 		)
 	}
 	for i := range 8 {
-		p.RequestArrived(now, Request{ID: RequestID(fmt.Sprint("out", i)), Deadline: now + 900*ms})
+		balancer.RequestArrived(now, Request{ID: RequestID(fmt.Sprint("out", i)), Deadline: now + 900*ms})
 	}
 	now += 6 * ms
-	q.sent = false
-	if p.RequestArrived(now, Request{ID: "next", Deadline: now + 900*ms}); !q.sent {
+	effects.sent = false
+	if balancer.RequestArrived(now, Request{ID: "next", Deadline: now + 900*ms}); !effects.sent {
 		t.Error("rejected after 6 ms of stillness, three ticks of the clock")
 	}
 	now += 60 * ms
-	q.sent = false
-	if p.RequestArrived(now, Request{ID: "later", Deadline: now + 900*ms}); q.sent {
+	effects.sent = false
+	if balancer.RequestArrived(now, Request{ID: "later", Deadline: now + 900*ms}); effects.sent {
 		t.Error("sent to endpoints that were silent for 66 ms and answer in 0.05")
 	}
 }
 
 // Guards against endpoints that leave one class unanswered and serve the others as usual.
 func TestEndpointIsEjectedForUnansweredClassOnly(t *testing.T) {
-	b := newTestFleet(t, 1, nil)
-	b.serve(60, respondPromptly)
-	b.tick()
-	b.arrive(2)
-	woken, silent := b.timers[len(b.timers)-1], b.endpoints.all[0]
-	b.now += 100 * ms
-	if b.TimerFired(b.now, woken); silent.health[2].ejected {
+	fleet := newTestFleet(t, 1, nil)
+	fleet.serve(60, respondPromptly)
+	fleet.tick()
+	fleet.arrive(2)
+	overdueTimer, silent := fleet.timers[len(fleet.timers)-1], fleet.endpoints.all[0]
+	fleet.now += 100 * ms
+	if fleet.TimerFired(fleet.now, overdueTimer); silent.health[2].ejected {
 		t.Error("struck though nothing else was answered since")
 	}
-	b.serve(1, respondPromptly)
-	if b.TimerFired(b.now, woken); !silent.health[2].ejected || silent.health[0].failureRate > 0.01 {
+	fleet.serve(1, respondPromptly)
+	if fleet.TimerFired(fleet.now, overdueTimer); !silent.health[2].ejected || silent.health[0].failureRate > 0.01 {
 		t.Errorf("health by class: %+v", silent.health)
 	}
 }
 
 func TestOwnObservationsOverrideFailureGossip(t *testing.T) {
-	b := newTestFleet(t, 12, manyNodesSettings)
-	b.serve(60, respondPromptly)
-	var seen, unseen *endpoint
-	for _, s := range b.endpoints.all {
-		if s.inSubset && s.health[0].samples > 1 {
-			seen = s
-		} else if !s.inSubset {
-			unseen = s
+	fleet := newTestFleet(t, 12, manyNodesSettings)
+	fleet.serve(60, respondPromptly)
+	var used, unused *endpoint
+	for _, ep := range fleet.endpoints.all {
+		if ep.inSubset && ep.health[0].samples > 1 {
+			used = ep
+		} else if !ep.inSubset {
+			unused = ep
 		}
 	}
-	tell := func(s *endpoint) {
-		b.GossipReceived(b.now, GossipMessage{Endpoint: s.ID})
+	receiveGossip := func(ep *endpoint) {
+		fleet.GossipReceived(fleet.now, GossipMessage{Endpoint: ep.ID})
 	}
-	unseen.State = StateDraining
+	unused.State = StateDraining
 	for range 3 {
-		tell(unseen)
+		receiveGossip(unused)
 	}
-	if unseen.State, unseen.health[0].gossipVotes = StateActive, 0; unseen.health[0].ejected {
+	if unused.State, unused.health[0].gossipVotes = StateActive, 0; unused.health[0].ejected {
 		t.Error("gossip of a draining endpoint was heeded")
 	}
-	tell(unseen)
-	tell(unseen)
-	if unseen.health[0].ejected {
+	receiveGossip(unused)
+	receiveGossip(unused)
+	if unused.health[0].ejected {
 		t.Error("two messages put an endpoint out")
 	}
-	if tell(unseen); !unseen.health[0].ejected || unseen.health[1].ejected {
-		t.Errorf("after three messages %+v", unseen.health)
+	if receiveGossip(unused); !unused.health[0].ejected || unused.health[1].ejected {
+		t.Errorf("after three messages %+v", unused.health)
 	}
 	for range 20 {
-		tell(seen)
+		receiveGossip(used)
 	}
-	if seen.health[0].ejected {
+	if used.health[0].ejected {
 		t.Error("gossip overruled what was seen")
 	}
 }
 
 func TestInvalidGossipIsIgnored(t *testing.T) {
-	b := newTestFleet(t, 4, manyNodesSettings)
+	fleet := newTestFleet(t, 4, manyNodesSettings)
 	for _, message := range []GossipMessage{{}, {Endpoint: 77}, {Endpoint: 1, Class: 3}, {Endpoint: 1, Class: -1}, {IdleTime: -5}, {IdleTime: ms}} {
 		for range 100 {
-			b.GossipReceived(b.now, message)
+			fleet.GossipReceived(fleet.now, message)
 		}
 	}
-	for _, s := range b.endpoints.all {
-		for _, st := range s.health {
-			if st.ejected || b.idleConns.timeout.Limit < 1e12 {
-				t.Fatalf("idle %d, standing %+v", b.idleConns.timeout.Limit, st)
+	for _, ep := range fleet.endpoints.all {
+		for _, health := range ep.health {
+			if health.ejected || fleet.idleConns.timeout.Limit < 1e12 {
+				t.Fatalf("idle %d, standing %+v", fleet.idleConns.timeout.Limit, health)
 			}
 		}
 	}
@@ -243,20 +243,20 @@
 
 // A node tells what it saw, and no more often than once a second.
 func TestFailureGossipIsRateLimited(t *testing.T) {
-	b := newTestFleet(t, 4, manyNodesSettings)
-	b.serve(20, respondPromptly)
-	bad := EndpointID(0)
-	b.serve(40, func(s EndpointID) (Outcome, time.Duration) {
-		if bad == 0 {
-			bad = s
+	fleet := newTestFleet(t, 4, manyNodesSettings)
+	fleet.serve(20, respondPromptly)
+	failing := EndpointID(0)
+	fleet.serve(40, func(endpoint EndpointID) (Outcome, time.Duration) {
+		if failing == 0 {
+			failing = endpoint
 		}
-		if s == bad {
+		if endpoint == failing {
 			return OutcomeError, ms
 		}
 		return OutcomeSucceeded, ms
 	})
-	if len(b.gossiped) != 1 || b.gossiped[0] != (GossipMessage{Endpoint: bad}) {
-		t.Errorf("gossiped %v", b.gossiped)
+	if len(fleet.gossiped) != 1 || fleet.gossiped[0] != (GossipMessage{Endpoint: failing}) {
+		t.Errorf("gossiped %v", fleet.gossiped)
 	}
 }
 
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -27,8 +27,8 @@
 
 // tick takes the state of the fleet, once a second. The rest begins when the count reaches its limit, and the count
 // goes on until the overload ends: so there is one rest for each.
-func (g *overloadGuard) tick(now Time, fleetLevel, worstSuccessRate float64) {
-	if fleetLevel < overloadedLatencyRatio || worstSuccessRate > overloadedSuccessRate {
+func (g *overloadGuard) tick(now Time, latencyRatio, worstSuccessRate float64) {
+	if latencyRatio < overloadedLatencyRatio || worstSuccessRate > overloadedSuccessRate {
 		g.overloadedSeconds = 0
 		return
 	}
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -57,24 +57,24 @@
 	arrived, inTime [simulationSeconds]float64            // by the second in which a client first asked
 }
 
-func (w *faultSimulation) schedule(schedule time.Duration, what func()) {
-	heap.Push(&w.events, simulatedEvent{w.now.Add(schedule), what})
+func (sim *faultSimulation) delay(delay time.Duration, run func()) {
+	heap.Push(&sim.events, simulatedEvent{sim.now.Add(delay), run})
 }
 
-func (w *faultSimulation) secondOf(at Time) int { return int((at - simulationStart) / 1e9) }
+func (sim *faultSimulation) secondOf(at Time) int { return int((at - simulationStart) / 1e9) }
 
 const simulationStart = Time(1e12)
 
-func (w *faultSimulation) startWork(s *simulatedEndpoint, j *simulatedWork) {
-	s.busy++
-	w.schedule(j.work, func() {
-		if s.busy--; !j.ended {
-			j.onDone()
+func (sim *faultSimulation) startWork(ep *simulatedEndpoint, work *simulatedWork) {
+	ep.busy++
+	sim.delay(work.work, func() {
+		if ep.busy--; !work.ended {
+			work.onDone()
 		}
-		for len(s.queue) > 0 && s.busy < endpointConcurrency {
-			next := s.queue[0]
-			if s.queue = s.queue[1:]; !next.ended {
-				w.startWork(s, next)
+		for len(ep.queue) > 0 && ep.busy < endpointConcurrency {
+			next := ep.queue[0]
+			if ep.queue = ep.queue[1:]; !next.ended {
+				sim.startWork(ep, next)
 			}
 		}
 	})
@@ -95,79 +95,79 @@
 	endpoints                []EndpointID
 }
 
-func (n *simulatedNode) send(a *simulatedRequest) {
+func (n *simulatedNode) send(req *simulatedRequest) {
 	id := RequestID(fmt.Sprint(n.Uint64()))
-	a.deadline, a.sendCount = n.now+1000*ms, a.sendCount+1
-	a.attempts, a.sentAt, a.endpoints = nil, nil, nil
-	n.openRequests[id] = a
+	req.deadline, req.sendCount = n.now+1000*ms, req.sendCount+1
+	req.attempts, req.sentAt, req.endpoints = nil, nil, nil
+	n.openRequests[id] = req
 	n.balancer.RequestArrived(
-		n.now, Request{ID: id, Class: a.class, Tenant: a.tenant, Deadline: a.deadline, ClientRetry: a.sendCount > 1},
+		n.now, Request{ID: id, Class: req.class, Tenant: req.tenant, Deadline: req.deadline, ClientRetry: req.sendCount > 1},
 	)
 }
 
-func (n *simulatedNode) endAttempt(id RequestID, number int, o Outcome) {
-	a := n.openRequests[id]
-	final := a == nil
-	if o == OutcomeSucceeded && !final {
-		if delete(n.openRequests, id); n.now.Sub(a.firstSentAt) <= simulationObjective {
-			n.inTime[n.secondOf(a.firstSentAt)]++
+func (n *simulatedNode) endAttempt(id RequestID, number int, outcome Outcome) {
+	req := n.openRequests[id]
+	final := req == nil
+	if outcome == OutcomeSucceeded && !final {
+		if delete(n.openRequests, id); n.now.Sub(req.firstSentAt) <= simulationObjective {
+			n.inTime[n.secondOf(req.firstSentAt)]++
 		}
 		final = true
 	}
-	t := n.balancer.requests.byID[id]
-	if t == nil || number >= len(t.attempts) {
+	balancerRequest := n.balancer.requests.byID[id]
+	if balancerRequest == nil || number >= len(balancerRequest.attempts) {
 		return
 	}
-	h := t.attempts[number]
+	ended := balancerRequest.attempts[number]
 	n.balancer.AttemptEnded(n.now, AttemptResult{
-		Request: id, Attempt: number, Endpoint: h.endpoint.ID, Outcome: o, Elapsed: n.now.Sub(h.sentAt),
+		Request: id, Attempt: number, Endpoint: ended.endpoint.ID, Outcome: outcome, Elapsed: n.now.Sub(ended.sentAt),
 		RequestDone: final, Report: LoadReport{-1, -1, -1},
 	})
 }
 
-func (n *simulatedNode) Send(id RequestID, to EndpointID, timeout time.Duration) {
-	a, s := n.openRequests[id], n.endpoints[to-1]
-	number, j := len(a.attempts), &simulatedWork{work: time.Duration(n.ExpFloat64() * float64(meanWork))}
-	s.workSent[n.secondOf(n.now)] += j.work
-	if at := n.secondOf(n.now); at >= faultStartSecond && at < faultEndSecond {
-		j.work += n.extraLatency(a.class, a.tenant)
+func (n *simulatedNode) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
+	req, ep := n.openRequests[id], n.endpoints[endpoint-1]
+	number, work := len(req.attempts), &simulatedWork{work: time.Duration(n.ExpFloat64() * float64(meanWork))}
+	ep.workSent[n.secondOf(n.now)] += work.work
+	if second := n.secondOf(n.now); second >= faultStartSecond && second < faultEndSecond {
+		work.work += n.extraLatency(req.class, req.tenant)
 	}
-	a.attempts = append(a.attempts, j)
-	j.onDone = func() { j.ended = true; n.endAttempt(id, number, OutcomeSucceeded) }
-	n.schedule(timeout, func() {
-		if !j.ended {
-			j.ended = true
+	req.attempts = append(req.attempts, work)
+	work.onDone = func() { work.ended = true; n.endAttempt(id, number, OutcomeSucceeded) }
+	n.delay(timeout, func() {
+		if !work.ended {
+			work.ended = true
 			n.endAttempt(id, number, OutcomeTimedOut)
 		}
 	})
 	switch {
-	case s.busy < endpointConcurrency:
-		n.startWork(s, j)
-	case len(s.queue) < endpointQueueLimit:
-		s.queue = append(s.queue, j)
+	case ep.busy < endpointConcurrency:
+		n.startWork(ep, work)
+	case len(ep.queue) < endpointQueueLimit:
+		ep.queue = append(ep.queue, work)
 	default:
-		j.ended = true
-		n.schedule(ms, func() { n.endAttempt(id, number, OutcomeRejected) })
+		work.ended = true
+		n.delay(ms, func() { n.endAttempt(id, number, OutcomeRejected) })
 	}
 }
 
 func (n *simulatedNode) Cancel(id RequestID, number int) {
-	if a := n.openRequests[id]; a != nil && !a.attempts[number].ended {
-		a.attempts[number].ended = true
-		n.schedule(0, func() { n.endAttempt(id, number, OutcomeCanceled) })
+	if req := n.openRequests[id]; req != nil && !req.attempts[number].ended {
+		req.attempts[number].ended = true
+		n.delay(0, func() { n.endAttempt(id, number, OutcomeCanceled) })
 	}
 }
 
 func (n *simulatedNode) Reject(id RequestID, _ time.Duration, _ Reason) {
-	a := n.openRequests[id]
-	if delete(n.openRequests, id); a.sendCount < 3 {
-		n.schedule(ms, func() { n.send(a) })
+	req := n.openRequests[id]
+	if delete(n.openRequests, id); req.sendCount < 3 {
+		n.delay(ms, func() { n.send(req) })
 	}
 }
 
 func (n *simulatedNode) Fail(id RequestID, _ Reason) { delete(n.openRequests, id) }
 func (n *simulatedNode) SetTimer(at Time, timer uint64) {
-	n.schedule(max(at.Sub(n.now), 1), func() { n.balancer.TimerFired(n.now, timer) })
+	n.delay(max(at.Sub(n.now), 1), func() { n.balancer.TimerFired(n.now, timer) })
 }
 func (n *simulatedNode) WatchEndpoints()        {}
 func (n *simulatedNode) CloseIdle(EndpointID)   {}
@@ -175,23 +175,23 @@
 func (n *simulatedNode) Gossip(GossipMessage)   {}
 
 // arrive has requests come to a node, a second kind of either sort among four.
-func (n *simulatedNode) arrive(every time.Duration) {
-	a := &simulatedRequest{firstSentAt: n.now, class: n.IntN(4) / 3, tenant: n.IntN(4) / 3}
+func (n *simulatedNode) arrive(meanInterval time.Duration) {
+	req := &simulatedRequest{firstSentAt: n.now, class: n.IntN(4) / 3, tenant: n.IntN(4) / 3}
 	n.arrived[n.secondOf(n.now)]++
-	n.send(a)
-	n.schedule(time.Duration(n.ExpFloat64()*float64(every)), func() { n.arrive(every) })
+	n.send(req)
+	n.delay(time.Duration(n.ExpFloat64()*float64(meanInterval)), func() { n.arrive(meanInterval) })
 }
 
-func simulateFault(nodes int, waits func(class, tenant int) time.Duration) *faultSimulation {
+func simulateFault(nodes int, extraLatency func(class, tenant int) time.Duration) *faultSimulation {
 	const endpoints, rate = 12, 1500
-	w := &faultSimulation{Rand: rand.New(rand.NewPCG(7, uint64(nodes))), now: simulationStart, extraLatency: waits}
+	sim := &faultSimulation{Rand: rand.New(rand.NewPCG(7, uint64(nodes))), now: simulationStart, extraLatency: extraLatency}
 	var list []EndpointInfo
 	for id := range endpoints {
-		w.endpoints = append(w.endpoints, &simulatedEndpoint{})
+		sim.endpoints = append(sim.endpoints, &simulatedEndpoint{})
 		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id / 3, Weight: 1})
 	}
-	for at := range nodes {
-		n := &simulatedNode{faultSimulation: w, openRequests: map[RequestID]*simulatedRequest{}}
+	for index := range nodes {
+		n := &simulatedNode{faultSimulation: sim, openRequests: map[RequestID]*simulatedRequest{}}
 		n.balancer = New(Settings{
 			Classes: []Class{
 				{LatencyObjective: simulationObjective, Idempotency: Idempotent, PriorityWeight: 1},
@@ -203,43 +203,43 @@
 			MaySetRetryAfter:     true,
 			SlowStartMinCapacity: 0.2,
 			SlowStartWindow:      2e10,
-			NodeIndex:            at,
+			NodeIndex:            index,
 			NodeCount:            nodes,
 			ClockResolution:      2 * ms,
-		}, uint64(at), n)
-		w.nodes = append(w.nodes, n)
-		n.balancer.EndpointsUpdated(w.now, list, true)
-		w.schedule(time.Duration(w.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
+		}, uint64(index), n)
+		sim.nodes = append(sim.nodes, n)
+		n.balancer.EndpointsUpdated(sim.now, list, true)
+		sim.delay(time.Duration(sim.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
 	}
-	w.schedule(faultEndSecond*1e9, func() { // one starts anew as the fault ends
-		list[restartedEndpoint-1].StartedAt = w.now
-		for _, n := range w.nodes {
-			n.balancer.EndpointsUpdated(w.now, list[restartedEndpoint-1:restartedEndpoint], false)
+	sim.delay(faultEndSecond*1e9, func() { // one starts anew as the fault ends
+		list[restartedEndpoint-1].StartedAt = sim.now
+		for _, n := range sim.nodes {
+			n.balancer.EndpointsUpdated(sim.now, list[restartedEndpoint-1:restartedEndpoint], false)
 		}
 	})
-	for len(w.events) > 0 && w.events[0].at < simulationStart+simulationSeconds*1e9 {
-		next := heap.Pop(&w.events).(simulatedEvent)
-		w.now = next.at
+	for len(sim.events) > 0 && sim.events[0].at < simulationStart+simulationSeconds*1e9 {
+		next := heap.Pop(&sim.events).(simulatedEvent)
+		sim.now = next.at
 		next.run()
 	}
-	return w
+	return sim
 }
 
 // Guards against estimates that outlive their cause, and against the fault of some being read as that of all: requests
 // were rejected by nine in ten for as long as a day lasted, for a class that had waited and no longer did.
 func TestServiceRecoversAfterFault(t *testing.T) {
 	for name, c := range map[string]struct {
-		nodes, within int // seconds after its end
-		others        float64
-		waits         func(class, tenant int) time.Duration
+		nodes, recoverySeconds int // seconds after its end
+		minDuring              float64
+		extraLatency           func(class, tenant int) time.Duration
 	}{
 		"a class, one node": {1, 2, 0.7, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
 		"a class, 100 nodes": {
 			100, 4, 0.4, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms },
 		},
-		"a tenant, one node": {1, 2, 0.7, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms }},
+		"a tenant, one node": {1, 2, 0.7, func(_, tenant int) time.Duration { return time.Duration(tenant) * 600 * ms }},
 		"a tenant, 100 nodes": {
-			100, 4, 0.4, func(_, u int) time.Duration { return time.Duration(u) * 600 * ms },
+			100, 4, 0.4, func(_, tenant int) time.Duration { return time.Duration(tenant) * 600 * ms },
 		},
 		"every endpoint's, one node":  {1, 3, 0, func(int, int) time.Duration { return 600 * ms }},
 		"every endpoint's, 100 nodes": {100, 5, 0, func(int, int) time.Duration { return 600 * ms }},
@@ -251,32 +251,32 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := simulateFault(c.nodes, c.waits)
-			part := func(from, to int) float64 {
-				good, asked := 0.0, 0.0
-				for s := from; s < to; s++ {
-					good, asked = good+w.inTime[s], asked+w.arrived[s]
+			sim := simulateFault(c.nodes, c.extraLatency)
+			inTimeFraction := func(from, to int) float64 {
+				inTime, arrived := 0.0, 0.0
+				for second := from; second < to; second++ {
+					inTime, arrived = inTime+sim.inTime[second], arrived+sim.arrived[second]
 				}
-				return good / asked
+				return inTime / arrived
 			}
-			before, during, after := part(1, faultStartSecond), part(faultStartSecond+2, faultEndSecond), part(faultEndSecond+c.within, simulationSeconds-2)
-			t.Logf(name+": in time %.3f before, %.3f in it, %.3f from %d s after it; by second %.2f", before, during, after, c.within,
-				func() (by []float64) {
-					for s := range simulationSeconds - 2 {
-						by = append(by, part(s, s+1))
+			before, during, after := inTimeFraction(1, faultStartSecond), inTimeFraction(faultStartSecond+2, faultEndSecond), inTimeFraction(faultEndSecond+c.recoverySeconds, simulationSeconds-2)
+			t.Logf(name+": in time %.3f before, %.3f in it, %.3f from %d s after it; by second %.2f", before, during, after, c.recoverySeconds,
+				func() (bySecond []float64) {
+					for second := range simulationSeconds - 2 {
+						bySecond = append(bySecond, inTimeFraction(second, second+1))
 					}
-					return by
+					return bySecond
 				}())
 			if after < before-0.02 {
-				t.Errorf("in time %.3f before, %.3f from %d s after its end", before, after, c.within)
+				t.Errorf("in time %.3f before, %.3f from %d s after its end", before, after, c.recoverySeconds)
 			}
-			if during < c.others {
-				t.Errorf("in time %.3f while it lasts, at least %.2f are not struck", during, c.others)
+			if during < c.minDuring {
+				t.Errorf("in time %.3f while it lasts, at least %.2f are not struck", during, c.minDuring)
 			}
-			for s := faultEndSecond; s < simulationSeconds; s++ {
-				can := endpointConcurrency * 1e9 * (0.2 + 0.8*min(1, float64(s-faultEndSecond)/20))
-				if sent := float64(w.endpoints[restartedEndpoint-1].workSent[s]); sent > 3*can {
-					t.Errorf("second %d: a cold endpoint is sent %.1f times what it can do", s, sent/can)
+			for second := faultEndSecond; second < simulationSeconds; second++ {
+				capacity := endpointConcurrency * 1e9 * (0.2 + 0.8*min(1, float64(second-faultEndSecond)/20))
+				if sent := float64(sim.endpoints[restartedEndpoint-1].workSent[second]); sent > 3*capacity {
+					t.Errorf("second %d: a cold endpoint is sent %.1f times what it can do", second, sent/capacity)
 				}
 			}
 		})
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -8,32 +8,32 @@
 // Guards against a request whose body still comes being judged as a slow endpoint's, counted as its crowd, or sent
 // again when part of its body is held no more.
 func TestStreamingBody(t *testing.T) {
-	for class, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
-		for _, o := range []Outcome{OutcomeConnectFailed, OutcomeError} {
-			b := newTestFleet(t, 4, nil)
-			b.serve(40, respondPromptly)
-			b.timers = nil
-			b.RequestArrived(b.now, Request{ID: "long", Class: class, Deadline: b.now + 1000*ms, StreamingBody: true})
-			s := b.endpoints.byID[b.lastSent()]
-			if len(b.timers) != 0 || s.inFlight != 0 {
-				t.Errorf("%d timers wait for it, %d out at its endpoint", len(b.timers), s.inFlight)
+	for class, idempotency := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
+		for _, outcome := range []Outcome{OutcomeConnectFailed, OutcomeError} {
+			fleet := newTestFleet(t, 4, nil)
+			fleet.serve(40, respondPromptly)
+			fleet.timers = nil
+			fleet.RequestArrived(fleet.now, Request{ID: "long", Class: class, Deadline: fleet.now + 1000*ms, StreamingBody: true})
+			ep := fleet.endpoints.byID[fleet.lastSent()]
+			if len(fleet.timers) != 0 || ep.inFlight != 0 {
+				t.Errorf("%d timers wait for it, %d out at its endpoint", len(fleet.timers), ep.inFlight)
 			}
-			sent := len(b.sent)
-			b.AttemptEnded(
-				b.now+ms,
+			sent := len(fleet.sent)
+			fleet.AttemptEnded(
+				fleet.now+ms,
 				AttemptResult{
 					Request:      "long",
-					Endpoint:     s.ID,
-					Outcome:      o,
+					Endpoint:     ep.ID,
+					Outcome:      outcome,
 					BodyConsumed: true,
 					Report:       LoadReport{-1, -1, -1},
 				},
 			)
-			rejected := repeat == Idempotent || o == OutcomeConnectFailed
-			if len(b.sent) != sent || s.inFlight != 0 || (b.rejected == 1) != rejected || (b.failed == 1) == rejected {
+			rejected := idempotency == Idempotent || outcome == OutcomeConnectFailed
+			if len(fleet.sent) != sent || ep.inFlight != 0 || (fleet.rejected == 1) != rejected || (fleet.failed == 1) == rejected {
 				t.Errorf(
-					"repeat %d, outcome %d: %d more attempts, %d out, %d rejected, %d failed", repeat, o,
-					len(b.sent)-sent, s.inFlight, b.rejected, b.failed,
+					"repeat %d, outcome %d: %d more attempts, %d out, %d rejected, %d failed", idempotency, outcome,
+					len(fleet.sent)-sent, ep.inFlight, fleet.rejected, fleet.failed,
 				)
 			}
 		}
@@ -53,7 +53,7 @@
 	samePod := &endpoint{EndpointInfo: EndpointInfo{ID: 2, Zone: 1, Pod: 1}}
 	sameZone := &endpoint{EndpointInfo: EndpointInfo{ID: 3, Zone: 1, Pod: 2}}
 	elsewhere := &endpoint{EndpointInfo: EndpointInfo{ID: 4, Zone: 2, Pod: 3}}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		class                                              Class
 		reject, repeatInPod, repeatInZone, repeatElsewhere bool
 	}{
@@ -65,19 +65,19 @@
 		"non-idempotent":         {Class{Idempotency: NonIdempotent}, false, false, false, false},
 		"group without a window": {Class{Idempotency: IdempotentByKey}, false, false, false, false},
 	} {
-		class := &c.class
+		class := &test.class
 		earlier := attempt{endpoint: here, zone: here.Zone, pod: here.Pod, sentAt: now - 500*ms, mayHaveRun: true}
-		if got := MayReject(class, now, []attempt{earlier}, (*attempt).executionInfo); got != c.reject {
-			t.Errorf("%s: may be rejected %t, expected %t", name, got, c.reject)
+		if got := MayReject(class, now, []attempt{earlier}, (*attempt).executionInfo); got != test.reject {
+			t.Errorf("%s: may be rejected %t, expected %t", name, got, test.reject)
 		}
-		for ep, want := range map[*endpoint]bool{samePod: c.repeatInPod, sameZone: c.repeatInZone, elsewhere: c.repeatElsewhere} {
+		for ep, want := range map[*endpoint]bool{samePod: test.repeatInPod, sameZone: test.repeatInZone, elsewhere: test.repeatElsewhere} {
 			if got := class.mayRepeat(now, &earlier, ep); got != want {
 				t.Errorf("%s: endpoint %d may repeat it %t, expected %t", name, ep.ID, got, want)
 			}
 		}
 		earlier.mayHaveRun, earlier.inFlight = false, true
-		if got := MayReject(class, now, []attempt{earlier}, (*attempt).executionInfo); got != c.reject {
-			t.Errorf("%s, in flight: may be rejected %t, expected %t", name, got, c.reject)
+		if got := MayReject(class, now, []attempt{earlier}, (*attempt).executionInfo); got != test.reject {
+			t.Errorf("%s, in flight: may be rejected %t, expected %t", name, got, test.reject)
 		}
 		earlier.inFlight = false
 		if !MayReject(class, now, []attempt{earlier}, (*attempt).executionInfo) {
@@ -88,7 +88,7 @@
 
 // Guards against a request being given up with time left because the connection to its only endpoint broke.
 func TestRetryAtOnlyEndpoint(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class    int
 		outcomes []Outcome
 		sent     int
@@ -105,15 +105,15 @@
 		{2, []Outcome{OutcomeReset}, 1, false}, // may have run: failed
 		{2, []Outcome{OutcomeNotSent}, 2, false},
 	} {
-		b := newTestFleet(t, 1, nil)
-		b.serve(60, respondPromptly)
-		b.sent = nil
-		id := b.arrive(c.class)
-		for number, outcome := range c.outcomes {
-			b.endAttempt(id, number, outcome, 10*ms)
+		fleet := newTestFleet(t, 1, nil)
+		fleet.serve(60, respondPromptly)
+		fleet.sent = nil
+		id := fleet.arrive(test.class)
+		for number, outcome := range test.outcomes {
+			fleet.endAttempt(id, number, outcome, 10*ms)
 		}
-		if len(b.sent) != c.sent || (b.rejected == 1) != c.rejected || b.failed > 0 != (c.class == 2 && c.sent == 1) {
-			t.Errorf("class %d after %v: %d attempts, %d rejected, %d failed", c.class, c.outcomes, len(b.sent), b.rejected, b.failed)
+		if len(fleet.sent) != test.sent || (fleet.rejected == 1) != test.rejected || fleet.failed > 0 != (test.class == 2 && test.sent == 1) {
+			t.Errorf("class %d after %v: %d attempts, %d rejected, %d failed", test.class, test.outcomes, len(fleet.sent), fleet.rejected, fleet.failed)
 		}
 	}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -76,20 +76,20 @@
 	b.findAffinityEndpoints(now, req)
 	c := b.criteriaFor(now, req)
 	for c.round = range selectionRoundCount {
-		answerBy, from := req.effectiveDeadline, window
+		answerBy, pool := req.effectiveDeadline, window
 		if c.round == roundByObjective {
 			answerBy = req.objectiveAt
 		}
 		if c.round >= roundWholeSubset {
-			from = all
+			pool = all
 		}
 		if c.round == roundLastResort {
 			c.onlyActive = onlyActiveEndpoint(all)
 		}
 		c.budgetNanos = float64(b.latencyBudget(req, answerBy.Sub(now)))
-		b.findCandidates(&c, from)
+		b.findCandidates(&c, pool)
 		if len(b.selector.candidates) > 0 {
-			b.computeWeights(now, from)
+			b.computeWeights(now, pool)
 			return b.selector.draw(b.random), ReasonNone
 		}
 	}
@@ -139,11 +139,11 @@
 	return all, all[first : first+selectionWindow]
 }
 
-func (b *Balancer) findCandidates(c *criteria, from []*endpoint) {
+func (b *Balancer) findCandidates(c *criteria, pool []*endpoint) {
 	s := &b.selector
 	s.candidates = s.candidates[:0]
 	s.reason = ReasonNoEndpoint
-	for _, ep := range from {
+	for _, ep := range pool {
 		b.considerCandidate(c, ep)
 	}
 	for _, ep := range b.affinity.endpoints {
@@ -212,8 +212,8 @@
 }
 
 // computeWeights works out w of the candidates, against the mean load of the endpoints that they were taken from.
-func (b *Balancer) computeWeights(now Time, from []*endpoint) {
-	mean := meanLoad(from)
+func (b *Balancer) computeWeights(now Time, pool []*endpoint) {
+	mean := meanLoad(pool)
 	s := &b.selector
 	s.weights = s.weights[:0]
 	for _, ep := range s.candidates {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -73,11 +73,11 @@
 	// Read only until the first answer tells the mean work; any class would do as an estimate.
 	objective := float64(b.settings.Classes[0].LatencyObjective)
 	work := cmp.Or(b.estimator.MeanWork, objective/unknownWorkDivisor)
-	sinceLast := float64(now - cmp.Or(s.lastArrivalAt, now))
+	nanosSinceLast := float64(now - cmp.Or(s.lastArrivalAt, now))
 	nodes := max(b.settings.NodeCount, 1)
-	most := minWarmConcurrency * b.subset.activeEndpoints * sinceLast / work / float64(members*nodes)
+	maxCredit := minWarmConcurrency * b.subset.activeEndpoints * nanosSinceLast / work / float64(members*nodes)
 	s.lastArrivalAt = now
-	b.grantCredit(now, min(1/float64(members), most))
+	b.grantCredit(now, min(1/float64(members), maxCredit))
 }
 
 // grantCredit gives each endpoint in slow start its part of a warm endpoint's share, in requests.
--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -46,121 +46,123 @@
 	closedLoopSeconds   = 10
 )
 
-func (w *closedLoop) schedule(delay time.Duration, run func()) {
-	heap.Push(&w.events, simulatedEvent{w.now.Add(delay), run})
+func (loop *closedLoop) schedule(delay time.Duration, run func()) {
+	heap.Push(&loop.events, simulatedEvent{loop.now.Add(delay), run})
 }
 
 // send has a client send its next request; every second one is of class 1.
-func (w *closedLoop) sendRequest() {
-	second := int((w.now - simulationStart) / 1e9)
-	w.requestCount++
-	r := &closedLoopRequest{id: RequestID(fmt.Sprint(w.requestCount)), class: w.requestCount % 2, second: second}
-	w.seconds[second].sent[r.class]++
-	w.openRequests[r.id] = r
-	w.balancer.RequestArrived(w.now, Request{ID: r.id, Class: r.class, Deadline: w.now + closedLoopDeadline})
+func (loop *closedLoop) sendRequest() {
+	second := int((loop.now - simulationStart) / 1e9)
+	loop.requestCount++
+	r := &closedLoopRequest{id: RequestID(fmt.Sprint(loop.requestCount)), class: loop.requestCount % 2, second: second}
+	loop.seconds[second].sent[r.class]++
+	loop.openRequests[r.id] = r
+	loop.balancer.RequestArrived(loop.now, Request{ID: r.id, Class: r.class, Deadline: loop.now + closedLoopDeadline})
 }
 
 // answer ends a request for its client, which thinks and sends another.
-func (w *closedLoop) finishRequest(r *closedLoopRequest, reason Reason) {
-	if w.openRequests[r.id] == nil {
-		w.Errorf("request %s was answered twice", r.id)
+func (loop *closedLoop) finishRequest(r *closedLoopRequest, reason Reason) {
+	if loop.openRequests[r.id] == nil {
+		loop.Errorf("request %s was answered twice", r.id)
 	}
-	delete(w.openRequests, r.id)
-	w.seconds[r.second].reasons[reason]++
+	delete(loop.openRequests, r.id)
+	loop.seconds[r.second].reasons[reason]++
 	if reason == ReasonNone {
-		w.seconds[r.second].answered[r.class]++
+		loop.seconds[r.second].answered[r.class]++
 	}
-	w.schedule(closedLoopThinkTime, w.sendRequest)
+	loop.schedule(closedLoopThinkTime, loop.sendRequest)
 }
 
-func (w *closedLoop) endAttempt(r *closedLoopRequest, number int, outcome Outcome) {
+func (loop *closedLoop) endAttempt(r *closedLoopRequest, number int, outcome Outcome) {
 	a := r.attempts[number]
 	if a.ended {
 		return
 	}
 	a.ended = true
-	done := w.openRequests[r.id] == nil
+	done := loop.openRequests[r.id] == nil
 	if outcome == OutcomeSucceeded && !done {
-		w.finishRequest(r, ReasonNone)
+		loop.finishRequest(r, ReasonNone)
 		done = true
 	}
-	w.balancer.AttemptEnded(w.now, AttemptResult{
-		Request: r.id, Attempt: number, Endpoint: a.endpoint, Outcome: outcome, Elapsed: w.now.Sub(a.sentAt),
+	loop.balancer.AttemptEnded(loop.now, AttemptResult{
+		Request: r.id, Attempt: number, Endpoint: a.endpoint, Outcome: outcome, Elapsed: loop.now.Sub(a.sentAt),
 		RequestDone: done, Report: LoadReport{-1, -1, -1},
 	})
 }
 
-func (w *closedLoop) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
-	r := w.openRequests[id]
+func (loop *closedLoop) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
+	r := loop.openRequests[id]
 	number := len(r.attempts)
-	r.attempts = append(r.attempts, &closedLoopAttempt{endpoint: endpoint, sentAt: w.now})
-	latency := time.Duration(w.ExpFloat64() * float64(w.meanLatency))
-	w.schedule(min(latency, timeout), func() {
+	r.attempts = append(r.attempts, &closedLoopAttempt{endpoint: endpoint, sentAt: loop.now})
+	latency := time.Duration(loop.ExpFloat64() * float64(loop.meanLatency))
+	loop.schedule(min(latency, timeout), func() {
 		if latency > timeout {
-			w.endAttempt(r, number, OutcomeTimedOut)
+			loop.endAttempt(r, number, OutcomeTimedOut)
 			return
 		}
-		w.endAttempt(r, number, OutcomeSucceeded)
+		loop.endAttempt(r, number, OutcomeSucceeded)
 	})
 }
 
-func (w *closedLoop) Cancel(id RequestID, number int) {
-	if r := w.openRequests[id]; r != nil {
-		w.schedule(0, func() { w.endAttempt(r, number, OutcomeCanceled) })
+func (loop *closedLoop) Cancel(id RequestID, number int) {
+	if r := loop.openRequests[id]; r != nil {
+		loop.schedule(0, func() { loop.endAttempt(r, number, OutcomeCanceled) })
 	}
 }
 
-func (w *closedLoop) Reject(id RequestID, _ time.Duration, reason Reason) {
-	w.finishRequest(w.openRequests[id], reason)
+func (loop *closedLoop) Reject(id RequestID, _ time.Duration, reason Reason) {
+	loop.finishRequest(loop.openRequests[id], reason)
 }
-func (w *closedLoop) Fail(id RequestID, reason Reason) { w.finishRequest(w.openRequests[id], reason) }
-func (w *closedLoop) SetTimer(at Time, timer uint64) {
-	w.schedule(max(at.Sub(w.now), 1), func() { w.balancer.TimerFired(w.now, timer) })
+func (loop *closedLoop) Fail(id RequestID, reason Reason) {
+	loop.finishRequest(loop.openRequests[id], reason)
 }
-func (w *closedLoop) WatchEndpoints()        {}
-func (w *closedLoop) CloseIdle(EndpointID)   {}
-func (w *closedLoop) CheckHealth(EndpointID) {}
-func (w *closedLoop) Gossip(GossipMessage)   {}
+func (loop *closedLoop) SetTimer(at Time, timer uint64) {
+	loop.schedule(max(at.Sub(loop.now), 1), func() { loop.balancer.TimerFired(loop.now, timer) })
+}
+func (loop *closedLoop) WatchEndpoints()        {}
+func (loop *closedLoop) CloseIdle(EndpointID)   {}
+func (loop *closedLoop) CheckHealth(EndpointID) {}
+func (loop *closedLoop) Gossip(GossipMessage)   {}
 
 // runClosedLoop plays so many clients, every second request of a class with an idempotency.
 func runClosedLoop(
-	t *testing.T, seed uint64, endpoints, clients int, mean time.Duration, every2nd Idempotency,
+	t *testing.T, seed uint64, endpoints, clients int, meanLatency time.Duration, oddIdempotency Idempotency,
 ) *closedLoop {
-	w := &closedLoop{
-		T: t, Rand: rand.New(rand.NewPCG(seed, 2)), now: simulationStart, meanLatency: mean,
+	loop := &closedLoop{
+		T: t, Rand: rand.New(rand.NewPCG(seed, 2)), now: simulationStart, meanLatency: meanLatency,
 		openRequests: map[RequestID]*closedLoopRequest{}, seconds: make([]closedLoopSecond, closedLoopSeconds+1),
 	}
-	w.balancer = New(Settings{
+	loop.balancer = New(Settings{
 		Classes: []Class{
 			{LatencyObjective: 1000 * ms, Idempotency: Idempotent, PriorityWeight: 1},
 			{
-				LatencyObjective: 1000 * ms, Idempotency: every2nd, DedupGroup: DedupZone, DedupWindow: 5000 * ms,
+				LatencyObjective: 1000 * ms, Idempotency: oddIdempotency, DedupGroup: DedupZone, DedupWindow: 5000 * ms,
 				PriorityWeight: 1,
 			},
 		},
 		TenantShares: []float64{1}, MaxAttempts: 3, MayCancel: true, NodeCount: 1, StreamsPerConnection: 1,
 		ClockResolution: 2 * ms, MaySetRetryAfter: true, MaxRetryAfter: 1000 * ms,
 		SlowStartMinCapacity: 0.2, SlowStartWindow: 20000 * ms,
-	}, seed, w)
+	}, seed, loop)
 	var list []EndpointInfo
 	for id := range endpoints {
 		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id, Weight: 1})
 	}
-	w.balancer.EndpointsUpdated(w.now, list, true)
+	loop.balancer.EndpointsUpdated(loop.now, list, true)
 	for range clients {
-		w.schedule(time.Duration(w.Float64()*closedLoopThinkTime), w.sendRequest)
+		loop.schedule(time.Duration(loop.Float64()*closedLoopThinkTime), loop.sendRequest)
 	}
-	for end := w.now.Add(closedLoopSeconds * time.Second); w.events[0].at < end; {
-		next := heap.Pop(&w.events).(simulatedEvent)
-		w.now = next.at
+	for end := loop.now.Add(closedLoopSeconds * time.Second); loop.events[0].at < end; {
+		next := heap.Pop(&loop.events).(simulatedEvent)
+		loop.now = next.at
 		next.run()
 	}
-	return w
+	return loop
 }
 
 // String is what became of the requests of each second.
-func (w *closedLoop) String() (text string) {
-	for number, second := range w.seconds {
+func (loop *closedLoop) String() (text string) {
+	for number, second := range loop.seconds {
 		if second.sent[0]+second.sent[1] == 0 {
 			continue
 		}
@@ -177,25 +179,25 @@
 
 // checkAnswered asks that of the requests of all but the last seconds hardly any is given up: as many as a latency that is
 // exponentially distributed makes late by itself.
-func (w *closedLoop) checkAnswered(seed uint64) {
+func (loop *closedLoop) checkAnswered(seed uint64) {
 	const mayStayUnanswered = 0.01
 	sent, answered := 0, 0
-	for _, second := range w.seconds[:closedLoopSeconds-2] { // the last requests may still be in flight
+	for _, second := range loop.seconds[:closedLoopSeconds-2] { // the last requests may still be in flight
 		sent += second.sent[0] + second.sent[1]
 		answered += second.answered[0] + second.answered[1]
 	}
 	if unanswered := sent - answered; float64(unanswered) > mayStayUnanswered*float64(sent) {
-		w.Errorf("seed %d: %d of %d requests were given up:%s", seed, unanswered, sent, w)
+		loop.Errorf("seed %d: %d of %d requests were given up:%s", seed, unanswered, sent, loop)
 	}
 }
 
 // Guards against a fresh node that rejects nearly all requests for seconds at endpoints that are healthy and not busy.
 func TestNewNodeServesHealthyEndpoints(t *testing.T) {
 	const seeds = 60
-	for _, c := range []struct {
+	for _, test := range []struct {
 		endpoints, clients int
-		mean               time.Duration
-		every2nd           Idempotency
+		meanLatency        time.Duration
+		oddIdempotency     Idempotency
 	}{
 		{1, 16, 50 * ms, Idempotent},
 		{1, 16, 50 * ms, IdempotentByKey},
@@ -206,10 +208,10 @@
 		{3, 24, 160 * ms, IdempotentByKey},
 		{8, 24, 50 * ms, NonIdempotent},
 	} {
-		name := fmt.Sprintf("%d endpoints of %s, %d clients, %s", c.endpoints, c.mean, c.clients, c.every2nd)
+		name := fmt.Sprintf("%d endpoints of %s, %d clients, %s", test.endpoints, test.meanLatency, test.clients, test.oddIdempotency)
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
-				runClosedLoop(t, seed, c.endpoints, c.clients, c.mean, c.every2nd).checkAnswered(seed)
+				runClosedLoop(t, seed, test.endpoints, test.clients, test.meanLatency, test.oddIdempotency).checkAnswered(seed)
 			}
 		})
 	}
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -35,13 +35,13 @@
 	s := &b.subset
 	s.members = s.members[:0]
 	s.warmingUp = s.warmingUp[:0]
-	places := s.targetSize
+	freePlaces := s.targetSize
 	replacements := s.targetSize/2 + 1 // further places for members that are of no use at the moment
 	for _, ep := range b.endpoints.all {
 		wasMember := ep.inSubset
 		isWarmingUp := b.slowStart.capacity(now, ep) < 1
 		tooManyWarmingUp := isWarmingUp && len(s.warmingUp) >= maxWarmingUpFactor*s.targetSize
-		ep.inSubset = ep.State == StateActive && places > 0 && !tooManyWarmingUp
+		ep.inSubset = ep.State == StateActive && freePlaces > 0 && !tooManyWarmingUp
 		if !ep.inSubset {
 			if wasMember {
 				b.closeUnusedConnections(ep)
@@ -53,9 +53,9 @@
 			s.warmingUp = append(s.warmingUp, ep)
 			continue
 		}
-		places--
+		freePlaces--
 		if ep.isUnhealthy(now) && replacements > 0 {
-			places++
+			freePlaces++
 			replacements--
 		}
 	}
