--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -77,7 +77,7 @@
 }
 
 func TestTenantOverQuotaIsShedFirst(t *testing.T) {
-	fleet := newTestFleet(t, 2, func(settings *Settings) { settings.TenantShares, settings.OverQuotaFraction = []float64{0.7, 0.3}, 0.2 })
+	fleet := newTestFleet(t, 2, func(s *Settings) { s.TenantShares, s.OverQuotaFraction = []float64{0.7, 0.3}, 0.2 })
 	exceeded := [2]int{}
 	for tenant := range 1000 { // both ask for as much
 		if fleet.admission.quotas.Exceeded(tenant%2, false) {
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -10,7 +10,7 @@
 	const keys = 40
 	requestsByKey := map[string]map[EndpointID]int{}
 	for node := range 5 {
-		fleet := newTestFleet(t, 12, func(settings *Settings) { settings.KeyAffinity, settings.NodeIndex, settings.NodeCount = true, node, 5 })
+		fleet := newTestFleet(t, 12, func(s *Settings) { s.KeyAffinity, s.NodeIndex, s.NodeCount = true, node, 5 })
 		for i := range 3 * keys {
 			key := fmt.Sprint(i % keys)
 			fleet.RequestArrived(fleet.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: fleet.now + 1000*ms, Key: key})
@@ -37,7 +37,7 @@
 
 // Guards against a home that is cold, ejected or overloaded getting its keys' requests all the same.
 func TestAffinityYieldsToLoadAndSlowStart(t *testing.T) {
-	fleet := newTestFleet(t, 8, func(settings *Settings) { settings.KeyAffinity, settings.Classes[0].LatencyObjective = true, 200*ms })
+	fleet := newTestFleet(t, 8, func(s *Settings) { s.KeyAffinity, s.Classes[0].LatencyObjective = true, 200*ms })
 	fleet.serve(40, respondPromptly)
 	for i := range 200 {
 		fleet.affinity.keys.Observe(fmt.Sprint("another", i), 8)
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -20,7 +20,7 @@
 // Guards against a list that says too much: where being left out binds nothing, who still answers is still used.
 func TestRemovedEndpointsServeUntilTheyFail(t *testing.T) {
 	for _, mayServe := range []bool{false, true} {
-		fleet := newTestFleet(t, 3, func(settings *Settings) { settings.RemovedMayServe = mayServe })
+		fleet := newTestFleet(t, 3, func(s *Settings) { s.RemovedMayServe = mayServe })
 		fleet.serve(20, respondPromptly)
 		fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: 1, State: StateDraining}}, false)
 		fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: 1, State: StateRemoved}, {ID: 2, State: StateRemoved}}, false)
--- a/policy/estimator_test.go
+++ b/policy/estimator_test.go
@@ -103,9 +103,7 @@
 // A new instance predicts as the one before did, and does not take a restarted endpoint for the old one.
 func TestInheritRestoresEstimatesExceptOfRestartedEndpoints(t *testing.T) {
 	fleet := newTestFleet(t, 4, nil)
-	fleet.serve(200, func(endpoint EndpointID) (Outcome, time.Duration) {
-		return OutcomeSucceeded, time.Duration(endpoint) * 20 * ms
-	})
+	fleet.serve(200, func(id EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, time.Duration(id) * 20 * ms })
 	encoded, err := json.Marshal(fleet.Estimates())
 	if err != nil {
 		t.Fatal(err)
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -27,7 +27,7 @@
 
 // Guards against an idempotent request waiting for a silent endpoint to its end where no hedged request is allowed.
 func TestOverdueRequestIsCanceledWithoutHedging(t *testing.T) {
-	fleet := newTestFleet(t, 3, func(settings *Settings) { settings.MayHedge = false })
+	fleet := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
 	fleet.serve(60, respondPromptly)
 	fleet.tick()
 	id := fleet.arrive(0)
@@ -51,7 +51,7 @@
 // Guards against heavy requests being begun again and again: an endpoint that has answered others meanwhile is at work.
 func TestOverdueRequestIsNotCanceledAtRespondingEndpoint(t *testing.T) {
 	for _, responds := range []bool{false, true} {
-		fleet := newTestFleet(t, 2, func(settings *Settings) { settings.MayHedge = false })
+		fleet := newTestFleet(t, 2, func(s *Settings) { s.MayHedge = false })
 		fleet.serve(40, respondPromptly)
 		id := fleet.arrive(0)
 		timer, endpoint := fleet.timers[len(fleet.timers)-1], fleet.lastSent()
@@ -86,7 +86,7 @@
 		"the request is at its last attempt": func(fleet *testFleet, _ *endpoint) { fleet.settings.MaxAttempts = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			fleet := newTestFleet(t, 3, func(settings *Settings) { settings.MayHedge = false })
+			fleet := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
 			fleet.serve(60, respondPromptly)
 			fleet.tick()
 			id := fleet.arrive(0)
@@ -110,7 +110,7 @@
 
 // Guards against a request waiting until its deadline on a connection that something between has dropped.
 func TestOverdueRequestOnDeadConnectionIsResentToOnlyEndpoint(t *testing.T) {
-	fleet := newTestFleet(t, 1, func(settings *Settings) { settings.MayHedge = false; settings.StreamsPerConnection = 1 })
+	fleet := newTestFleet(t, 1, func(s *Settings) { s.MayHedge = false; s.StreamsPerConnection = 1 })
 	fleet.serve(60, respondPromptly)
 	fleet.tick()
 	fleet.endpoints.all[0].maxInFlight = 1
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -38,13 +38,11 @@
 
 func (r *recorder) WatchEndpoints() {}
 
-func (r *recorder) CloseIdle(endpoint EndpointID) { r.closedIdle = append(r.closedIdle, endpoint) }
+func (r *recorder) CloseIdle(id EndpointID) { r.closedIdle = append(r.closedIdle, id) }
 
 func (r *recorder) Gossip(message GossipMessage) { r.gossiped = append(r.gossiped, message) }
 
-func (r *recorder) CheckHealth(endpoint EndpointID) {
-	r.healthChecked = append(r.healthChecked, endpoint)
-}
+func (r *recorder) CheckHealth(id EndpointID) { r.healthChecked = append(r.healthChecked, id) }
 
 func (r *recorder) lastSent() EndpointID { return r.sent[len(r.sent)-1] }
 
--- a/policy/idleconns_test.go
+++ b/policy/idleconns_test.go
@@ -6,7 +6,7 @@
 
 // Guards against connections that something between drops unseen: what is sent on one is lost, and the endpoint blamed.
 func TestIdleConnectionsPastTimeoutAreClosedBeforeUse(t *testing.T) {
-	fleet := newTestFleet(t, 4, func(settings *Settings) { settings.StreamsPerConnection = 100 })
+	fleet := newTestFleet(t, 4, func(s *Settings) { s.StreamsPerConnection = 100 })
 	fleet.serve(40, respondPromptly)
 	for n := 0; n < 20 && fleet.idleConns.timeout.Limit > 1e12; n++ {
 		fleet.now += 2e9
@@ -39,7 +39,7 @@
 // idle.
 func TestOverdueAttemptsOnIdleConnectionsLowerIdleTimeout(t *testing.T) {
 	for _, maxInFlight := range []int{1, 2} { // out at once at an endpoint
-		fleet := newTestFleet(t, 6, func(settings *Settings) { settings.StreamsPerConnection = 1 })
+		fleet := newTestFleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
 		fleet.serve(60, respondPromptly)
 		for _, ep := range fleet.endpoints.byID {
 			ep.maxInFlight = maxInFlight
@@ -61,7 +61,7 @@
 
 // Guards against closing what stands open while new connections are slow or can't be had: the belief ends there.
 func TestConnectFailureResetsIdleTimeout(t *testing.T) {
-	fleet := newTestFleet(t, 3, func(settings *Settings) { settings.StreamsPerConnection = 1 })
+	fleet := newTestFleet(t, 3, func(s *Settings) { s.StreamsPerConnection = 1 })
 	fleet.serve(30, respondPromptly)
 	fleet.confirmDeadConnection(1e9)
 	fleet.now += 5e9
@@ -100,7 +100,7 @@
 // Guards against endpoints that reset requests for reasons of their own being taken for connections that die idle:
 // closing and opening connections all the time cost an incident half of its service.
 func TestOccasionalResetsDoNotLowerIdleTimeout(t *testing.T) {
-	fleet := newTestFleet(t, 1, func(settings *Settings) { settings.StreamsPerConnection = 100 })
+	fleet := newTestFleet(t, 1, func(s *Settings) { s.StreamsPerConnection = 100 })
 	fleet.serve(40, respondPromptly)
 	for n := range 60 {
 		fleet.now += 2e9
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -8,7 +8,7 @@
 // Guards against a spell that ends only once the endpoints have rested: in a long overload a node gives up all requests
 // for a while, once; a short one, as a burst makes, changes nothing.
 func TestLongOverloadShedsAllRequestsOnce(t *testing.T) {
-	fleet := newTestFleet(t, 4, func(settings *Settings) { settings.ReportsUtilization = true })
+	fleet := newTestFleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
 	fleet.serve(40, respondPromptly)
 	for range 40 { // slow all the time, but nothing is rejected
 		fleet.estimator.Fleet.FirstSum, fleet.estimator.Fleet.Weight = 400, 40
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -118,10 +118,8 @@
 		selected, _ := balancer.selectEndpoint(now, req)
 		got[selected]++
 	}
-	chiSquare, cells, restWant, restGot := 0.0, 0.0, 0.0, 0
-	add := func(want float64, got int) {
-		chiSquare, cells = chiSquare+(float64(got)-want)*(float64(got)-want)/want, cells+1
-	}
+	chi2, cells, restWant, restGot := 0.0, 0.0, 0.0, 0
+	add := func(want float64, got int) { chi2, cells = chi2+(float64(got)-want)*(float64(got)-want)/want, cells+1 }
 	for ep, w := range want {
 		if expected := float64(draws) / w / sum; expected >= 8 {
 			add(expected, got[ep])
@@ -136,8 +134,8 @@
 	for ep := range got {
 		t.Errorf("%s: drew %v, who does not take part", name, ep)
 	}
-	if degreesOfFreedom := max(cells-1, 1); chiSquare > degreesOfFreedom+5*math.Sqrt(2*degreesOfFreedom) {
-		t.Errorf("%s: chi-square %.1f over %v kinds of outcome", name, chiSquare, cells)
+	if degreesOfFreedom := max(cells-1, 1); chi2 > degreesOfFreedom+5*math.Sqrt(2*degreesOfFreedom) {
+		t.Errorf("%s: chi-square %.1f over %v kinds of outcome", name, chi2, cells)
 	}
 }
 
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -59,9 +59,7 @@
 func TestFirstEndpointsAfterOutageAreNotOverloaded(t *testing.T) {
 	creditPerSecond := func(nodes int) float64 {
 		fleet := newTestFleet(
-			t, 0, func(settings *Settings) {
-				settings.NodeCount, settings.SlowStartWindow, settings.SlowStartMinCapacity = nodes, 20e9, 0.2
-			},
+			t, 0, func(s *Settings) { s.NodeCount, s.SlowStartWindow, s.SlowStartMinCapacity = nodes, 20e9, 0.2 },
 		)
 		for id := EndpointID(1); id <= 4; id++ {
 			fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: id, Weight: 1, StartedAt: fleet.now}}, false)
@@ -97,7 +95,7 @@
 // arrivals count.
 func TestSlowStartCreditSourceDependsOnWarmEndpoints(t *testing.T) {
 	for _, warm := range []EndpointID{1, 5} {
-		fleet := newTestFleet(t, int(warm), func(settings *Settings) { settings.NodeCount = 1 })
+		fleet := newTestFleet(t, int(warm), func(s *Settings) { s.NodeCount = 1 })
 		for id := warm + 1; id <= 8; id++ {
 			fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: id, Weight: 1, StartedAt: fleet.now}}, false)
 		}
--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -46,83 +46,81 @@
 	closedLoopSeconds   = 10
 )
 
-func (loop *closedLoop) schedule(delay time.Duration, run func()) {
-	heap.Push(&loop.events, simulatedEvent{loop.now.Add(delay), run})
+func (c *closedLoop) schedule(delay time.Duration, run func()) {
+	heap.Push(&c.events, simulatedEvent{c.now.Add(delay), run})
 }
 
 // send has a client send its next request; every second one is of class 1.
-func (loop *closedLoop) sendRequest() {
-	second := int((loop.now - simulationStart) / 1e9)
-	loop.requestCount++
-	r := &closedLoopRequest{id: RequestID(fmt.Sprint(loop.requestCount)), class: loop.requestCount % 2, second: second}
-	loop.seconds[second].sent[r.class]++
-	loop.openRequests[r.id] = r
-	loop.balancer.RequestArrived(loop.now, Request{ID: r.id, Class: r.class, Deadline: loop.now + closedLoopDeadline})
+func (c *closedLoop) sendRequest() {
+	second := int((c.now - simulationStart) / 1e9)
+	c.requestCount++
+	r := &closedLoopRequest{id: RequestID(fmt.Sprint(c.requestCount)), class: c.requestCount % 2, second: second}
+	c.seconds[second].sent[r.class]++
+	c.openRequests[r.id] = r
+	c.balancer.RequestArrived(c.now, Request{ID: r.id, Class: r.class, Deadline: c.now + closedLoopDeadline})
 }
 
 // answer ends a request for its client, which thinks and sends another.
-func (loop *closedLoop) finishRequest(r *closedLoopRequest, reason Reason) {
-	if loop.openRequests[r.id] == nil {
-		loop.Errorf("request %s was answered twice", r.id)
+func (c *closedLoop) finishRequest(r *closedLoopRequest, reason Reason) {
+	if c.openRequests[r.id] == nil {
+		c.Errorf("request %s was answered twice", r.id)
 	}
-	delete(loop.openRequests, r.id)
-	loop.seconds[r.second].reasons[reason]++
+	delete(c.openRequests, r.id)
+	c.seconds[r.second].reasons[reason]++
 	if reason == ReasonNone {
-		loop.seconds[r.second].answered[r.class]++
+		c.seconds[r.second].answered[r.class]++
 	}
-	loop.schedule(closedLoopThinkTime, loop.sendRequest)
+	c.schedule(closedLoopThinkTime, c.sendRequest)
 }
 
-func (loop *closedLoop) endAttempt(r *closedLoopRequest, number int, outcome Outcome) {
+func (c *closedLoop) endAttempt(r *closedLoopRequest, number int, outcome Outcome) {
 	a := r.attempts[number]
 	if a.ended {
 		return
 	}
 	a.ended = true
-	done := loop.openRequests[r.id] == nil
+	done := c.openRequests[r.id] == nil
 	if outcome == OutcomeSucceeded && !done {
-		loop.finishRequest(r, ReasonNone)
+		c.finishRequest(r, ReasonNone)
 		done = true
 	}
-	loop.balancer.AttemptEnded(loop.now, AttemptResult{
-		Request: r.id, Attempt: number, Endpoint: a.endpoint, Outcome: outcome, Elapsed: loop.now.Sub(a.sentAt),
+	c.balancer.AttemptEnded(c.now, AttemptResult{
+		Request: r.id, Attempt: number, Endpoint: a.endpoint, Outcome: outcome, Elapsed: c.now.Sub(a.sentAt),
 		RequestDone: done, Report: LoadReport{-1, -1, -1},
 	})
 }
 
-func (loop *closedLoop) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
-	r := loop.openRequests[id]
+func (c *closedLoop) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
+	r := c.openRequests[id]
 	number := len(r.attempts)
-	r.attempts = append(r.attempts, &closedLoopAttempt{endpoint: endpoint, sentAt: loop.now})
-	latency := time.Duration(loop.ExpFloat64() * float64(loop.meanLatency))
-	loop.schedule(min(latency, timeout), func() {
+	r.attempts = append(r.attempts, &closedLoopAttempt{endpoint: endpoint, sentAt: c.now})
+	latency := time.Duration(c.ExpFloat64() * float64(c.meanLatency))
+	c.schedule(min(latency, timeout), func() {
 		if latency > timeout {
-			loop.endAttempt(r, number, OutcomeTimedOut)
+			c.endAttempt(r, number, OutcomeTimedOut)
 			return
 		}
-		loop.endAttempt(r, number, OutcomeSucceeded)
+		c.endAttempt(r, number, OutcomeSucceeded)
 	})
 }
 
-func (loop *closedLoop) Cancel(id RequestID, number int) {
-	if r := loop.openRequests[id]; r != nil {
-		loop.schedule(0, func() { loop.endAttempt(r, number, OutcomeCanceled) })
+func (c *closedLoop) Cancel(id RequestID, number int) {
+	if r := c.openRequests[id]; r != nil {
+		c.schedule(0, func() { c.endAttempt(r, number, OutcomeCanceled) })
 	}
 }
 
-func (loop *closedLoop) Reject(id RequestID, _ time.Duration, reason Reason) {
-	loop.finishRequest(loop.openRequests[id], reason)
+func (c *closedLoop) Reject(id RequestID, _ time.Duration, reason Reason) {
+	c.finishRequest(c.openRequests[id], reason)
 }
-func (loop *closedLoop) Fail(id RequestID, reason Reason) {
-	loop.finishRequest(loop.openRequests[id], reason)
+func (c *closedLoop) Fail(id RequestID, reason Reason) { c.finishRequest(c.openRequests[id], reason) }
+func (c *closedLoop) SetTimer(at Time, timer uint64) {
+	c.schedule(max(at.Sub(c.now), 1), func() { c.balancer.TimerFired(c.now, timer) })
 }
-func (loop *closedLoop) SetTimer(at Time, timer uint64) {
-	loop.schedule(max(at.Sub(loop.now), 1), func() { loop.balancer.TimerFired(loop.now, timer) })
-}
-func (loop *closedLoop) WatchEndpoints()        {}
-func (loop *closedLoop) CloseIdle(EndpointID)   {}
-func (loop *closedLoop) CheckHealth(EndpointID) {}
-func (loop *closedLoop) Gossip(GossipMessage)   {}
+func (c *closedLoop) WatchEndpoints()        {}
+func (c *closedLoop) CloseIdle(EndpointID)   {}
+func (c *closedLoop) CheckHealth(EndpointID) {}
+func (c *closedLoop) Gossip(GossipMessage)   {}
 
 // runClosedLoop plays so many clients, every second request of a class with an idempotency.
 func runClosedLoop(
@@ -161,8 +159,8 @@
 }
 
 // String is what became of the requests of each second.
-func (loop *closedLoop) String() (text string) {
-	for number, second := range loop.seconds {
+func (c *closedLoop) String() (text string) {
+	for number, second := range c.seconds {
 		if second.sent[0]+second.sent[1] == 0 {
 			continue
 		}
@@ -179,15 +177,15 @@
 
 // checkAnswered asks that of the requests of all but the last seconds hardly any is given up: as many as a latency that is
 // exponentially distributed makes late by itself.
-func (loop *closedLoop) checkAnswered(seed uint64) {
+func (c *closedLoop) checkAnswered(seed uint64) {
 	const mayStayUnanswered = 0.01
 	sent, answered := 0, 0
-	for _, second := range loop.seconds[:closedLoopSeconds-2] { // the last requests may still be in flight
+	for _, second := range c.seconds[:closedLoopSeconds-2] { // the last requests may still be in flight
 		sent += second.sent[0] + second.sent[1]
 		answered += second.answered[0] + second.answered[1]
 	}
 	if unanswered := sent - answered; float64(unanswered) > mayStayUnanswered*float64(sent) {
-		loop.Errorf("seed %d: %d of %d requests were given up:%s", seed, unanswered, sent, loop)
+		c.Errorf("seed %d: %d of %d requests were given up:%s", seed, unanswered, sent, c)
 	}
 }
 
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestFewNodesUseAllEndpoints(t *testing.T) {
-	fleet := newTestFleet(t, 19, func(settings *Settings) { settings.NodeIndex, settings.NodeCount = 2, 4 })
+	fleet := newTestFleet(t, 19, func(s *Settings) { s.NodeIndex, s.NodeCount = 2, 4 })
 	if members := len(subsetIDs(fleet.Balancer)); members != 19 {
 		t.Errorf("one of four nodes draws from %d of 19 endpoints", members)
 	}
