--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -110,7 +110,7 @@
 				Request:           Request{Deadline: now + 900*ms},
 				classSettings:     &balancer.settings.Classes[0],
 				effectiveDeadline: now + 900*ms,
-				delayGroups:       balancer.admission.delays.Of(0, 0),
+				delayGroups:       balancer.admission.delays.GroupsOf(0, 0),
 			}
 			for range b.N {
 				balancer.selectEndpoint(now, req)
--- a/policy/idleconns.go
+++ b/policy/idleconns.go
@@ -89,7 +89,7 @@
 
 // recordDeadConnection takes a connection that was dead when used. Two in a row count, if none between lived about as long.
 func (b *Balancer) recordDeadConnection(now Time, idleTime time.Duration) {
-	if b.idleConns.timeout.Died(int64(idleTime)) {
+	if b.idleConns.timeout.RecordDead(int64(idleTime)) {
 		b.confirmDeadConnection(idleTime)
 		b.gossip(now, &b.idleConns.gossipedAt, GossipMessage{IdleTime: idleTime})
 	}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -92,7 +92,7 @@
 func (b *Balancer) recordSuccess(now Time, req *request, a *attempt, latencyNanos float64, newConnection bool) {
 	ep, class := a.endpoint, &b.estimator.classes[req.Class]
 	ep.rejectionsInARow = 0
-	b.idleConns.timeout.Survived(int64(a.idleTime))
+	b.idleConns.timeout.RecordAlive(int64(a.idleTime))
 	req.delayGroups.Observe(int64(now), int64(a.sentAt), latencyNanos, a.unloadedNanos)
 	class.Calibrate(latencyNanos, a.predictedNanos)
 	if newConnection && a.work > 0 {
@@ -137,7 +137,7 @@
 		return false
 	}
 	// Guards against a silent endpoint raising the spread of its class, and so requests to others being rejected.
-	isUsual := maxSampleFactor*b.estimator.Fleet.Level()*a.work > elapsedNanos
+	isUsual := maxSampleFactor*b.estimator.Fleet.MeanRatio()*a.work > elapsedNanos
 	if a.endpoint.wasActiveAfter(a.sentAt) || isUsual {
 		b.estimator.classes[req.Class].Calibrate(elapsedNanos*timeoutLatencyFactor, a.predictedNanos)
 	}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -47,7 +47,7 @@
 		classSettings:     &balancer.settings.Classes[0],
 		effectiveDeadline: now + 900*ms,
 		objectiveAt:       now + 900*ms,
-		delayGroups:       balancer.admission.delays.Of(0, 0),
+		delayGroups:       balancer.admission.delays.GroupsOf(0, 0),
 	}
 }
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -95,5 +95,5 @@
 func creditFraction(capacity float64, ep *endpoint) float64 {
 	lowerBound := capacity * (slowStartSafetyFactor + (1-slowStartSafetyFactor)*capacity)
 	evidence := ep.Latency.Weight * smoothingFactor
-	return max(lowerBound, min(maxSlowStartBoost*capacity, evidence, 1/ep.Latency.Level()))
+	return max(lowerBound, min(maxSlowStartBoost*capacity, evidence, 1/ep.Latency.MeanRatio()))
 }
