--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,20 +9,24 @@
 	"fawnglade/internal/quota"
 )
 
-// A request is admitted if an endpoint is predicted to answer it in time. Inputs: the predicted latency, the time left
-// until the latency objective or the effective deadline, the success rate of each class, its priority weight, and the
-// tenants' quotas. While requests are given up, those of a class that does better than the worst, of a class with less
-// priority weight for its work, and of a tenant beyond its quota have to be answered in a part of the time that is left
-// (latencyBudget). None of this acts while all classes succeed, and nothing is queued: a request that is not admitted
-// is given up at once. docs/design.md: "Admission: predicted in time", "Shedding load".
+// Admission control: a request is admitted only if at least one endpoint is predicted to respond in time. Inputs are
+// the predicted latency, the time remaining until the latency objective or the effective deadline, the success rate and
+// priority weight of each class, and the tenant quotas.
+//
+// While requests are being given up, the latency budget (latencyBudget) shrinks for requests of a class with a higher
+// success rate than the worst class, of a class with less priority weight per unit of work, and of a tenant over its
+// quota. While all classes succeed, none of these rules applies. Requests are never queued: one that is not admitted is
+// given up at once.
+//
+// See docs/design.md: "Admission: predicted in time", "Shedding load".
 
 const (
-	// worstClassWeightDisablingPriority is the Settings.WorstClassWeight from which on the priority weight of a class gives
-	// it no preference.
+	// worstClassWeightDisablingPriority is the Settings.WorstClassWeight at and above which the priority weight of a
+	// class has no effect.
 	worstClassWeightDisablingPriority = 0.4
-	// minRelativePriority is the least that the priority of a class counts for, over that of the best one.
+	// minRelativePriority is the lower bound of a class's priority relative to the class with the highest priority.
 	minRelativePriority = 0.01
-	// retryAfterDivisor: the advised wait of a rejection is the latency objective over this.
+	// retryAfterDivisor divides the latency objective to get the Retry-After of a rejection.
 	retryAfterDivisor = 4
 )
 
@@ -31,27 +35,30 @@
 	delays *classdelay.Tracker
 }
 
-// isInTime reports whether an endpoint is predicted to answer within the budget.
+// isInTime reports whether an endpoint is predicted to respond within the latency budget.
 func (e *estimator) isInTime(c *criteria, ep *endpoint, work float64) bool {
 	predicted := float64(e.predictLatency(ep, work*c.latencyFactor))
 	return predicted+c.classDelayNanos <= c.budgetNanos
 }
 
-// latencyFactor is what a prediction is multiplied by: 1 while all requests succeed, up to the class's LatencySpread,
-// the more requests of the worst class are given up. While there is capacity, a late answer costs no other request.
+// latencyFactor returns the factor that predicted latencies are multiplied by. It is 1 while all requests succeed and
+// rises to the class's LatencySpread as more requests of the worst class are given up: while there is spare capacity, a
+// late response costs no other request.
 func (b *Balancer) latencyFactor(req *request) float64 {
 	spread := b.estimator.classes[req.Class].LatencySpread
 	return min(spread, 1+(spread-1)*(1-b.estimator.worstSuccessRate()))
 }
 
-// latencyBudget is the time that a prediction may take. It is the remaining time, multiplied by
+// latencyBudget returns the maximum predicted latency at which the request is admitted. It is the remaining time,
+// multiplied by
 //
-//   - the success rate of the worst class over that of the request's class: a class that does better makes room;
-//   - 1 - (1 - priority factor of the class) x (1 - success rate of the worst class), so that priority acts only as far
-//     as requests are given up;
-//   - for a request beyond its tenant's quota, the square of the success rate of the worst class, but no less than the
-//     value that such a request has (OverQuotaFraction). The square, so that it falls faster than the first factor does
-//     for requests within their quotas.
+//   - the success rate of the worst class divided by that of the request's class, so that classes with a higher success
+//     rate leave capacity to the worst one;
+//   - 1 - (1 - priority factor of the class) x (1 - success rate of the worst class), so that priority matters only to
+//     the extent that requests are given up;
+//   - for a request over its tenant's quota, the square of the success rate of the worst class, but at least
+//     OverQuotaFraction, the relative value of such a request. The square makes it fall faster than the first factor
+//     does for requests within their quota.
 func (b *Balancer) latencyBudget(req *request, remaining time.Duration) time.Duration {
 	class := &b.estimator.classes[req.Class]
 	worstRate := b.estimator.worstSuccessRate()
@@ -62,9 +69,9 @@
 	return time.Duration(float64(remaining) * fraction)
 }
 
-// classDelay returns what the request's class and tenant wait at any endpoint, in nanoseconds. It is 0 where the
-// request may test whether the delay is over: one answer in time ends it. All nodes together test with no more requests
-// at a time than there are endpoints.
+// classDelay returns the delay, in nanoseconds, that requests of this class and tenant have at every endpoint. It
+// returns 0 if the request may test whether the delay has ended: a single response in time ends it. At most one test
+// per endpoint runs at a time, counted over all nodes.
 func (b *Balancer) classDelay(now Time, req *request) float64 {
 	delay := req.delayGroups.Delay(int64(now))
 	if delay > 0 {
@@ -76,8 +83,8 @@
 	return delay
 }
 
-// updatePriorityFactors calculates the priority factor of each class: its priority weight for its work, over that of
-// the best class, to a power that falls from 1 to 0 as the worst class counts more for the operators.
+// updatePriorityFactors recalculates the priority factor of each class: its priority weight per unit of work relative
+// to the highest one, raised to an exponent that falls from 1 to 0 as WorstClassWeight grows.
 func (b *Balancer) updatePriorityFactors() {
 	classes := b.estimator.classes
 	highest := math.SmallestNonzeroFloat64
@@ -91,7 +98,7 @@
 	}
 }
 
-// priorityPerWork is the priority weight of a class for a unit of its work.
+// priorityPerWork returns the priority weight of a class per unit of work.
 func (b *Balancer) priorityPerWork(classEstimates *estimates.ClassEstimates, class *Class) float64 {
 	if b.settings.WeightByWork {
 		return class.PriorityWeight
@@ -99,7 +106,7 @@
 	return class.PriorityWeight / max(classEstimates.TypicalWork, b.estimator.MeanWork*minWorkFraction, 1)
 }
 
-// retryAfter is the wait that a rejected client is advised; 0: none. MaxRetryAfter is 0 where none may be sent.
+// retryAfter returns the Retry-After of a rejection; 0 means that none is sent, as where MaxRetryAfter is 0.
 func (b *Balancer) retryAfter(class *Class) time.Duration {
 	return min(b.settings.MaxRetryAfter, class.LatencyObjective/retryAfterDivisor)
 }
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -5,27 +5,32 @@
 	"fawnglade/internal/rendezvous"
 )
 
-// Affinity sends requests for a key to its homes, where an endpoint that served a key lately serves it for less work
-// (Settings.KeyAffinity). Homes are the first of the warm and healthy endpoints by rendezvous hashing of key and ID, so
-// nodes agree without a message; a key has as many as its part of the requests needs. Inputs: the key, how often it was
-// asked for, and the work that answers at a home took over that elsewhere, a ratio. A home is preferred but not forced:
-// it is drawn only if it is a candidate. docs/design.md: "Rules that adjust w".
+// Key affinity sends requests for a key to a few affinity endpoints, because an endpoint that served a key recently
+// needs less work to serve it again (Settings.KeyAffinity). The affinity endpoints of a key are the first of the warm
+// and healthy endpoints by rendezvous hashing of key and endpoint ID, so nodes agree on them without exchanging
+// messages. A key has as many as its fraction of all requests requires. Inputs are the key, its request frequency, and
+// the ratio of the work of requests at an affinity endpoint to that at other endpoints. Affinity is a preference: an
+// affinity endpoint is selected only if it is a candidate.
+//
+// See docs/design.md: "Rules that adjust w".
 
 const (
-	// affinityWorkWindow is the number of answers over which workFactorWithAffinity is averaged.
+	// affinityWorkWindow is the number of responses over which workFactorWithAffinity is averaged.
 	affinityWorkWindow = 64
-	// minAffinityWorkFactor and 1 bound workFactorWithAffinity; one answer counts for at most maxAffinityWorkSample.
+	// workFactorWithAffinity is kept between minAffinityWorkFactor and 1; one response counts as at most
+	// maxAffinityWorkSample.
 	minAffinityWorkFactor = 0.25
 	maxAffinityWorkSample = 2
 )
 
 type affinity struct {
 	keys                   keyfreq.Counter
-	endpoints              []*endpoint // of the key of the request that is being placed, the first choice first
-	workFactorWithAffinity float64     // work of a request at its key's home, over that elsewhere; 0.25 to 1
+	endpoints              []*endpoint // affinity endpoints of the current request's key, in order of preference
+	workFactorWithAffinity float64     // work of a request at an affinity endpoint relative to others; 0.25 to 1
 }
 
-// findAffinityEndpoints sets the homes of the request's key. A key that needs more than rendezvous.MaxTop has none.
+// findAffinityEndpoints sets the affinity endpoints of the request's key. A key that needs more than rendezvous.MaxTop
+// has none.
 func (b *Balancer) findAffinityEndpoints(now Time, req *request) {
 	a := &b.affinity
 	for _, ep := range a.endpoints {
@@ -45,7 +50,8 @@
 	}
 }
 
-// workFactor is the work of the request that is being placed at an endpoint, over that where its key is not at home.
+// workFactor returns the work of the current request at an endpoint, relative to an endpoint without affinity for its
+// key.
 func (a *affinity) workFactor(ep *endpoint) float64 {
 	if ep.hasAffinity {
 		return a.workFactorWithAffinity
@@ -53,8 +59,8 @@
 	return 1
 }
 
-// updateWorkFactor updates workFactorWithAffinity by the latency of an answer at a home and the latency that was expected, which
-// has the factor in it already.
+// updateWorkFactor updates workFactorWithAffinity from the latency of a response of an affinity endpoint. The expected
+// latency already includes the factor.
 func (a *affinity) updateWorkFactor(latencyNanos, expectedNanos float64) {
 	sample := min(latencyNanos*a.workFactorWithAffinity/expectedNanos, maxAffinityWorkSample)
 	a.workFactorWithAffinity += (sample - a.workFactorWithAffinity) / affinityWorkWindow
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,15 +1,17 @@
-// Package policy decides which endpoint gets each request, and when a request is sent again, rejected or failed.
+// Package policy decides which endpoint each request is sent to, and when a request is retried, rejected or failed.
 //
-// A Balancer gets its settings, a seed and the Effects that carry out what it decides. The caller invokes one method
-// for each event, in the order of events, from one goroutine, with the time of the event. A Balancer reads no clock,
-// starts nothing and does no I/O. Each rule has a file of its own; docs/design.md gives their reasons.
+// A Balancer is created with its settings, a random seed and the Effects that carry out its decisions. The caller calls
+// one method per event, in the order of the events, from one goroutine, and passes the time of the event. A Balancer
+// reads no clock, starts no goroutine and does no I/O. Each rule has its own file; docs/design.md gives the reasons for
+// the rules.
 //
-// "The paper" in this package is Stapp and Zgadzaj, "Building well-balanced CDN". Its random draw by load selects the
-// endpoint of every attempt; all other rules adjust an endpoint's weight in the draw or say which endpoints take part.
+// "The paper" in this package is Stapp and Zgadzaj, "Building well-balanced CDN". Its random selection weighted by load
+// chooses the endpoint of every attempt. All other rules adjust an endpoint's weight or decide which endpoints are
+// candidates.
 //
-// A request that no endpoint may get is given up: it ends at once, either with Effects.Reject, where a retry by the
-// client does no harm, or with Effects.Fail. To reject a request is always that answer to the client; an endpoint that
-// rejects an attempt is OutcomeRejected.
+// A request that may be sent to no endpoint is given up at once: with Effects.Reject if a retry by the client is
+// harmless, otherwise with Effects.Fail. "Rejecting a request" always means this response to the client. An attempt
+// that an endpoint rejects has OutcomeRejected.
 package policy
 
 import (
@@ -23,24 +25,24 @@
 )
 
 const (
-	// tickInterval is the time between two runs of the periodic work.
+	// tickInterval is the interval of the periodic work.
 	tickInterval = time.Second
-	// gossipInterval is the shortest time between two gossip messages for one cause.
+	// gossipInterval is the minimum interval between two gossip messages for the same cause.
 	gossipInterval = time.Second
 )
 
-// Numbers of the timers that belong to no request; the timers of requests follow.
+// IDs of the timers that belong to no request. The IDs of request timers start at firstRequestTimer.
 const (
-	watchTimer = iota // asks for the endpoint list again after a failed watch
+	watchTimer = iota // starts the next watch of the endpoint list after one failed
 	tickTimer
 	firstRequestTimer
 )
 
-// Balancer is one instance of the decisions. Its methods are not safe for concurrent use.
+// Balancer selects endpoints for the requests of one node. Its methods are not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	effects  Effects
-	random   *rand.Rand // the order of its draws is part of what the digest test compares
+	random   *rand.Rand // TestDigests depends on the order in which numbers are drawn
 	started  bool
 
 	endpoints    endpointTable
@@ -58,7 +60,7 @@
 	healthChecks healthChecks
 }
 
-// New returns a Balancer that knows nothing but its settings. Equal seeds and events give equal decisions.
+// New returns a Balancer without endpoints. The same seed and events lead to the same decisions.
 func New(settings Settings, seed uint64, effects Effects) *Balancer {
 	delays := classdelay.New(len(settings.Classes), len(settings.TenantShares))
 	for _, class := range settings.Classes {
@@ -78,8 +80,9 @@
 	}
 }
 
-// EndpointsUpdated takes the endpoint list, or what changed in it. An endpoint that a complete list lacks is removed.
-// The first call starts the periodic work and, where the list has to be polled, asks for the first watch.
+// EndpointsUpdated applies a complete endpoint list or the changed entries of it. An endpoint that is missing from a
+// complete list is removed. The first call starts the periodic work and, where the list must be polled, the first
+// watch.
 func (b *Balancer) EndpointsUpdated(now Time, list []EndpointInfo, complete bool) {
 	b.start(now)
 	b.endpoints.watchBackoff = 0
@@ -104,13 +107,13 @@
 	}
 }
 
-// WatchFailed takes the failure of a watch of the endpoint list; the next one is asked for after a backoff.
+// WatchFailed handles the failure of a watch of the endpoint list. The next watch starts after a backoff.
 func (b *Balancer) WatchFailed(now Time) {
 	backoff := b.endpoints.nextWatchBackoff(b.settings.MaxPollInterval)
 	b.effects.SetTimer(now.Add(backoff), watchTimer)
 }
 
-// RequestArrived takes a new request. It is sent, rejected or failed before the call returns.
+// RequestArrived handles a new request. The request is sent, rejected or failed before the call returns.
 func (b *Balancer) RequestArrived(now Time, arrived Request) {
 	req := b.newRequest(now, arrived)
 	b.requests.byID[req.ID] = req
@@ -125,7 +128,7 @@
 	b.sendOrGiveUp(now, req)
 }
 
-// AttemptEnded takes the end of an attempt. The end of an attempt that is not in flight brings its load report alone.
+// AttemptEnded handles the end of an attempt. If the attempt is no longer in flight, only its load report is used.
 func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
 	if ep := b.endpoints.byID[result.Endpoint]; ep != nil {
 		b.applyReport(now, ep, &result.Report)
@@ -144,14 +147,15 @@
 	b.continueRequest(now, req, result)
 }
 
-// ClientGone takes the departure of a client: the attempts of its request are canceled, as no answer reaches it.
+// ClientGone handles a client that disconnected. The attempts of its request are canceled, since no response can reach
+// the client.
 func (b *Balancer) ClientGone(_ Time, id RequestID) {
 	if req := b.requests.byID[id]; req != nil && !req.done {
 		b.finish(req)
 	}
 }
 
-// TimerFired takes a timer that was set by Effects.SetTimer.
+// TimerFired handles the expiry of a timer set by Effects.SetTimer.
 func (b *Balancer) TimerFired(now Time, timer uint64) {
 	switch timer {
 	case watchTimer:
@@ -166,14 +170,15 @@
 	}
 }
 
-// HealthChecked takes the result of a health check that Effects.CheckHealth asked for.
+// HealthChecked handles the result of a health check started by Effects.CheckHealth.
 func (b *Balancer) HealthChecked(now Time, id EndpointID, outcome Outcome, report LoadReport) {
 	if ep := b.endpoints.byID[id]; ep != nil && outcome == OutcomeSucceeded {
 		b.applyReport(now, ep, &report)
 	}
 }
 
-// GossipReceived takes a message of another node. Messages that make no sense are ignored.
+// GossipReceived handles a message of another node. It ignores messages about an endpoint that is not listed as active,
+// with a class out of range, or with an idle time below minDeadIdleTime.
 func (b *Balancer) GossipReceived(now Time, message GossipMessage) {
 	if message.IdleTime != 0 {
 		if message.IdleTime >= minDeadIdleTime {
@@ -187,7 +192,7 @@
 	}
 }
 
-// Estimates returns what this instance has learned. The snapshot shares memory with the Balancer: it is to be encoded
+// Estimates returns the estimates of this instance. The snapshot shares memory with the Balancer and must be encoded
 // before the next event.
 func (b *Balancer) Estimates() estimates.Snapshot {
 	snapshot := estimates.Snapshot{
@@ -204,10 +209,10 @@
 	return snapshot
 }
 
-// Inherit takes over what an earlier instance learned of the fleet and of endpoints that have not restarted since. It
-// is called after the first endpoint list, with a valid snapshot. An endpoint's estimates are taken only if its start
-// time is the same. After a crash of this node none is taken: its active endpoints then count as just started, since
-// what crashed the node may have crashed them too (internal/nodestate).
+// Inherit restores the estimates of an earlier instance: those of the fleet, and those of endpoints that have the same
+// start time as in the snapshot. It must be called with a valid snapshot, after the first endpoint list. After a crash
+// of this node nothing is inherited and its active endpoints count as just started, since the cause of the crash may
+// have crashed them too (internal/nodestate).
 func (b *Balancer) Inherit(snapshot *estimates.Snapshot) {
 	b.estimator.RestoreFrom(&snapshot.FleetEstimates)
 	copy(b.estimator.classes, snapshot.Classes)
@@ -219,14 +224,15 @@
 	}
 }
 
-// tick does the periodic work: estimates decay, and what is derived from them is calculated anew.
+// tick does the periodic work: it decays estimates and recalculates the values derived from them.
 func (b *Balancer) tick(now Time) {
 	b.estimator.updateHighLatency(now, b.endpoints.all)
 	gaveUpAll := b.estimator.gaveUpAllRequests()
 	for _, ep := range b.endpoints.all {
 		b.estimator.decayEndpoint(ep)
 		if gaveUpAll && ep.inFlight == 0 {
-			// Guards against a lock-out: what is not measured any more keeps requests from measuring it.
+			// Prevents a deadlock in which requests are given up because of an old latency estimate, which then no
+			// response can correct.
 			ep.Latency.Decay(fleetDecayPerSecond)
 		}
 		ep.decayHealth()
@@ -243,8 +249,8 @@
 	b.estimator.decayClasses()
 }
 
-// gossip sends a message to the other nodes, at most once in gossipInterval for each cause; sentAt is the cause's last
-// time.
+// gossip sends a message to the other nodes if gossipInterval has passed since the last message for the same cause.
+// sentAt is the time of that message; gossip updates it.
 func (b *Balancer) gossip(now Time, sentAt *Time, message GossipMessage) {
 	if b.settings.MayGossip && now.Sub(*sentAt) >= gossipInterval {
 		*sentAt = now
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -7,28 +7,29 @@
 	"fawnglade/internal/ewma"
 )
 
-// endpoint is what this node knows of one endpoint, grouped by the rule that uses it.
+// endpoint is the state that this node keeps of one endpoint, grouped by the rule that uses it.
 type endpoint struct {
-	// The endpoint list (endpointlist.go).
+	// Entry of the endpoint list (endpointlist.go).
 	EndpointInfo
-	rank     uint64 // this node's order of preference, the highest first
-	delisted bool   // the list lacks it, and no attempt on it has failed since
+	rank     uint64 // endpoints are ordered by rank, the highest first; the order differs between nodes
+	delisted bool   // missing from the list, but still used because no attempt has failed since
 
-	// The subset and key affinity (subset.go, affinity.go).
+	// Subset and key affinity (subset.go, affinity.go).
 	inSubset    bool
-	hasAffinity bool // of the key of the request that is being placed
+	hasAffinity bool // an affinity endpoint of the current request's key
 
-	// Load and latency; Load, LastReport and RisePerSend are load.go's, Latency and HighLatency estimator.go's.
+	// Load and latency. load.go maintains Load, LastReport and RisePerSend; estimator.go maintains Latency and
+	// HighLatency.
 	estimates.EndpointEstimates
 	sendsSinceReport int
-	recalculateAt    Time       // when the load is recalculated if no report comes before
-	firstRiseAt      Time       // when its reports rose for the first time; 0: they have not
-	podLatency       *ewma.Pair // shared by the pod: this node uses one endpoint too seldom to judge it alone
+	recalculateAt    Time       // when the load is recalculated if no report arrives before
+	firstRiseAt      Time       // when the reported load rose for the first time; 0: never
+	podLatency       *ewma.Pair // shared by the pod, since this node may send too little to a single endpoint
 
-	// Attempts of this node.
+	// Attempts of this node in flight.
 	inFlight int
-	// lastActiveAt is the last sign that it works, or the last time that something was sent to it with nothing in
-	// flight, whichever is later: silence counts from here.
+	// lastActiveAt is the time of the last response or other sign of activity, or of the last send with nothing else in
+	// flight, whichever is later. The silence of an endpoint is measured from this time.
 	lastActiveAt Time
 
 	// Outlier ejection, by class, and backoff after rejections (outlier.go).
@@ -37,21 +38,21 @@
 	backoffUntil     Time
 
 	// Slow start (slowstart.go).
-	slowStartCredit float64 // requests of mean work that may be sent to it while it warms up
+	slowStartCredit float64 // requests of mean work that may be sent while it warms up
 
 	// Idle connections (idleconns.go).
-	lastUsedAt  Time // last use of a connection to it; 0: none is open
-	maxInFlight int  // since its idle connections were last closed
+	lastUsedAt  Time // last use of a connection; 0: no open connection
+	maxInFlight int  // maximum of inFlight since the idle connections were last closed
 }
 
-// classHealth is how an endpoint did lately with one class of requests.
+// classHealth is the recent health of an endpoint for one class of requests.
 type classHealth struct {
-	failureRate  float64 // exponentially weighted average of attempts that failed (1) or did not (0)
+	failureRate  float64 // exponentially weighted average of failed (1) and other (0) attempts
 	inFlight     int     // attempts of this node
-	samples      float64 // decayed count of the attempts in failureRate
+	samples      float64 // decayed number of attempts in failureRate
 	ejected      bool
-	ejectionTime time.Duration // doubles while it stays ejected
-	nextTrialAt  Time          // when one idempotent request may try it again
-	gossipVotes  float64       // decayed count of messages of other nodes that it fails this class
-	gossipedAt   Time          // when this node sent such a message last
+	ejectionTime time.Duration // doubles with each further failure
+	nextTrialAt  Time          // when one idempotent request may be sent as a trial
+	gossipVotes  float64       // decayed number of messages from other nodes that report failures of this class
+	gossipedAt   Time          // when this node last sent such a message
 }
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -10,24 +10,25 @@
 	"fawnglade/internal/rendezvous"
 )
 
-// The endpoint list names the endpoints that requests may go to. Inputs: the list or its changes, and the failures of
-// watches of it. Nothing is sent to an endpoint that is draining or removed; where the settings say that removal is not
-// binding, a removed endpoint serves until an attempt on it fails. A new start time of an endpoint discards all that
-// was learned of its previous process, but for its attempts in flight. docs/design.md: "Candidates", "Polling the
-// list".
+// The endpoint list contains the endpoints that requests may be sent to. Inputs are complete lists, changed entries,
+// and failures of watches of the list. Nothing is sent to an endpoint that is draining or removed, except that with
+// Settings.RemovedMayServe a removed endpoint serves until an attempt on it fails. A new start time of an endpoint
+// discards all state of its previous process except for the attempts in flight.
+//
+// See docs/design.md: "Candidates", "Polling the list".
 
-// After a failed watch the next waits for a backoff that doubles from MaxPollInterval over minBackoffDivisor to
-// MaxPollInterval over maxBackoffDivisor.
+// The backoff after a failed watch doubles from MaxPollInterval / minBackoffDivisor up to MaxPollInterval /
+// maxBackoffDivisor.
 const (
 	minBackoffDivisor = 64
 	maxBackoffDivisor = 8
 )
 
-// endpointTable holds all endpoints that were ever listed, the first by this node's rank first.
+// endpointTable contains all endpoints that were ever listed, in descending order of rank.
 type endpointTable struct {
 	all          []*endpoint
 	byID         map[EndpointID]*endpoint
-	watchBackoff time.Duration // the last one; 0 after a success
+	watchBackoff time.Duration // current backoff; 0 after a success
 }
 
 func newEndpointTable() endpointTable {
@@ -57,7 +58,7 @@
 	return t.watchBackoff
 }
 
-// updateEndpoint takes one entry of the list.
+// updateEndpoint applies one entry of the list.
 func (b *Balancer) updateEndpoint(info EndpointInfo) {
 	ep := b.endpoints.byID[info.ID]
 	if ep == nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-// podLatency returns the estimates that the endpoints of a pod share.
+// podLatency returns the latency estimates shared by the endpoints of a pod.
 func (b *Balancer) podLatency(pod int) *ewma.Pair {
 	if b.estimator.Pods[pod] == nil {
 		b.estimator.Pods[pod] = &ewma.Pair{}
@@ -86,9 +87,9 @@
 	return b.estimator.Pods[pod]
 }
 
-// reset forgets an earlier process of the endpoint. The credit for slow start begins at a random part of a request:
-// with none, hundreds of nodes that gain less than one request each would never send any, with a full one all would
-// send theirs at once.
+// reset discards the state of an earlier process of the endpoint. The slow start credit starts at a random fraction of
+// a request: starting at none, hundreds of nodes that each earn less than one request would never send any; starting at
+// a full request, all nodes would send one at once.
 func (ep *endpoint) reset(random *rand.Rand, classes int) {
 	health := make([]classHealth, classes)
 	for class := range ep.health {
@@ -102,7 +103,8 @@
 	}
 }
 
-// delist takes off an endpoint that the list lacks. With mayServe an active one is used until an attempt on it fails.
+// delist handles an endpoint that is missing from the list. With mayServe an active endpoint is used until an attempt
+// on it fails.
 func (ep *endpoint) delist(mayServe bool) {
 	ep.delisted = mayServe && ep.State == StateActive
 	if !ep.delisted {
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -8,52 +8,55 @@
 	"fawnglade/internal/estimates"
 )
 
-// Latency is predicted from decaying averages of the answers' latency for each unit of expected work, a ratio: that of
-// the fleet, times that of the pod over the fleet, times that of the endpoint over both. Each average starts with one
-// assumed answer that shows nothing unusual, so that few answers change it little. Inputs: the work of an attempt in
-// nanoseconds, its latency, the attempts of this node at the endpoint when it was sent, and, by zone, the latency that
-// an answer has however little the work. Work is in nanoseconds as float64, for speed. Answers of one endpoint alone
-// never make the fleet look slow. docs/design.md: "Admission: predicted in time".
+// Latency is predicted from exponentially weighted averages of the latency per unit of expected work. The prediction is
+// a product of ratios: the average of the fleet, that of the pod relative to the fleet, and that of the endpoint
+// relative to both. Each average starts with one assumed sample at the prior, so that a few responses change it little.
+// Inputs are the expected work of an attempt in nanoseconds, its latency, the number of attempts of this node at the
+// endpoint when it was sent, and the delay of each zone, which does not depend on the work. Work is kept in nanoseconds
+// as float64 for speed. Responses of a single endpoint never make the whole fleet look slow.
+//
+// See docs/design.md: "Admission: predicted in time".
 
 const (
-	// smoothingFactor is the part of a new value in an endpoint's exponentially weighted averages.
+	// smoothingFactor is the weight of a new sample in an endpoint's exponentially weighted averages.
 	smoothingFactor = 1.0 / 12
-	// fleetWindow and endpointWindow are the weights in answers at which the averages of the fleet, and those of a pod
-	// and of an endpoint, stay.
+	// fleetWindow and endpointWindow are the maximum weights, in responses, of the averages of the fleet and of those
+	// of a pod or an endpoint.
 	fleetWindow    = 64
 	endpointWindow = 2 / smoothingFactor
-	// meanWorkWindow is the number of answers over which the mean work is averaged.
+	// meanWorkWindow is the number of responses over which the mean work is averaged.
 	meanWorkWindow = 32
-	// fleetDecayPerSecond is the part of what answers showed of the fleet that still counts a second later.
+	// fleetDecayPerSecond is the fraction of the weight of the fleet's average that remains after one second.
 	fleetDecayPerSecond = 0.5
 
-	// highLatencyQuantile is the quantile of the latency for each unit of work by which an endpoint is overdue or
-	// silent.
+	// highLatencyQuantile is the quantile of the latency per unit of work that decides whether an attempt is overdue or
+	// an endpoint is silent.
 	highLatencyQuantile = 0.95
-	// initialHighLatency is that quantile until it is learned: over an endpoint's first answer, and for the fleet over
-	// the work alone.
+	// initialHighLatency is the initial value of that quantile, relative to the first latency of an endpoint, and for
+	// the fleet relative to the work.
 	initialHighLatency = 2
-	// maxHighLatencyFactor bounds the high quantile of an endpoint, over that of its healthy peers.
+	// maxHighLatencyFactor bounds the high quantile of an endpoint relative to that of its healthy peers.
 	maxHighLatencyFactor = 2
-	// ownAttemptFactor is what an attempt of this node in flight counts for in a prediction.
+	// ownAttemptFactor is the weight of an attempt of this node in flight in a prediction.
 	ownAttemptFactor = 2
-	// zoneDelayQuantile is the quantile of latency less work that is taken for the delay of a zone.
+	// zoneDelayQuantile is the quantile of latency minus work that is used as the delay of a zone.
 	zoneDelayQuantile = 0.1
-	// minWorkFraction is the part of the mean work that a request counts for at least.
+	// minWorkFraction is the lower bound of a request's work, relative to the mean work.
 	minWorkFraction = 0.25
-	// maxSampleFactor bounds what an answer counts for in the averages of fleet and pod, over the averages themselves.
+	// maxSampleFactor bounds a latency sample in the averages of fleet and pod, relative to the current average.
 	maxSampleFactor = 3
-	// minOverdueTicks is how many ticks of the clock an answer is not overdue: this process itself may have been
-	// paused.
+	// minOverdueTicks is the minimum time, in ticks of the clock, before an attempt is overdue: this process itself may
+	// have been paused.
 	minOverdueTicks = 4
-	// minSamplesForOverdue is how many answers tell what is late.
+	// minSamplesForOverdue is the number of responses from which on the time until an attempt is overdue is not
+	// extended.
 	minSamplesForOverdue = 1 / smoothingFactor
-	// overdueFactor: an answer is overdue after its high quantile times this.
+	// overdueFactor is applied to the high quantile of the latency: an attempt is overdue after the product.
 	overdueFactor = 2
 )
 
-// estimator holds what was learned of latency and work of the fleet and of each class. What was learned of an endpoint
-// is in the endpoint.
+// estimator holds the latency and work estimates of the fleet and of each class. Estimates of a single endpoint are
+// stored in the endpoint.
 type estimator struct {
 	estimates.FleetEstimates
 	classes         []estimates.ClassEstimates
@@ -69,16 +72,16 @@
 	}
 }
 
-// predictLatency is the expected latency of so much work. Attempts of this node count double: what draws this node to
-// an endpoint draws others too, unseen.
+// predictLatency returns the expected latency of a request with the given work. Attempts of this node in flight count
+// twice, since whatever makes this node prefer an endpoint makes other nodes prefer it too.
 func (e *estimator) predictLatency(ep *endpoint, work float64) time.Duration {
 	perWork, inFlight := e.expectedLatency(ep)
 	inFlightFactor := (1 + ownAttemptFactor*float64(ep.inFlight)) / (1 + ownAttemptFactor*inFlight)
 	return time.Duration(e.ZoneDelay[ep.Zone] + perWork*work*inFlightFactor)
 }
 
-// expectedLatency is the latency for each unit of work, and the attempts in flight at which it was measured. The mean
-// of each level is the prior of the next, so an endpoint without answers is expected to be as the fleet and its pod.
+// expectedLatency returns the latency per unit of work, and the attempts in flight at which it was measured. The mean
+// of each level is the prior of the next one, so an endpoint without responses is predicted from its pod and the fleet.
 func (e *estimator) expectedLatency(ep *endpoint) (perWork, inFlight float64) {
 	fleet, inFlight := e.Fleet.Means(1, 0)
 	pod, inFlight := ep.podLatency.Means(1, inFlight)
@@ -86,12 +89,13 @@
 	return fleet * pod * own, inFlight
 }
 
-// unloadedNanos is the latency of so much work with nothing else at the endpoint and the fleet at rest.
+// unloadedNanos returns the latency of the given work with no other request at the endpoint and an unloaded fleet.
 func (e *estimator) unloadedNanos(ep *endpoint, work float64) float64 {
 	return e.ZoneDelay[ep.Zone] + work*ep.podLatency.MeanRatio()*ep.Latency.MeanRatio()
 }
 
-// overdueAfter is how long an answer may take, by the high quantile of the endpoint or of its healthy peers.
+// overdueAfter returns the time after which an attempt is overdue, from the high quantile of the endpoint or of its
+// healthy peers.
 func (e *estimator) overdueAfter(ep *endpoint, work float64) time.Duration {
 	high := e.usualHighLatency()
 	if ep.HasLatency && !ep.isUnhealthy(ep.lastActiveAt) {
@@ -103,7 +107,8 @@
 	return max(minOverdueTicks*e.clockResolution, overdue)
 }
 
-// patience is how many times longer an answer may take while few have come, of any class, to tell what is late.
+// fewSamplesFactor extends the time until an attempt is overdue while fewer than minSamplesForOverdue responses of any
+// class have arrived.
 func (e *estimator) fewSamplesFactor() float64 {
 	answers := 0
 	for i := range e.classes {
@@ -112,29 +117,30 @@
 	return max(1, minSamplesForOverdue/float64(max(answers, 1)))
 }
 
-// usualHighLatency is the mean of the endpoints' high quantiles of the latency for each unit of work.
+// usualHighLatency returns the mean of the endpoints' high quantiles of the latency per unit of work.
 func (e *estimator) usualHighLatency() float64 {
-	if e.HighLatency == initialHighLatency { // not learned yet
+	if e.HighLatency == initialHighLatency { // not measured yet
 		return initialHighLatency * e.Fleet.MeanRatio()
 	}
 	return e.HighLatency
 }
 
-// work is the expected work of a request where its key is not at home, in nanoseconds; 0: not known yet.
+// expectedWork returns the expected work of a request at an endpoint without affinity for its key, in nanoseconds; 0 if
+// it is not known yet.
 func (e *estimator) expectedWork(req *request) float64 {
 	if req.CostHint > 0 {
-		// The latency of requests with hardly any work says nothing of an endpoint.
+		// The latency of requests with very little work says nothing about an endpoint.
 		return max(float64(req.CostHint), minWorkFraction*e.MeanWork)
 	}
 	return cmp.Or(e.classes[req.Class].TypicalWork, e.MeanWork)
 }
 
-// relativeWork is work in requests of mean work.
+// relativeWork returns work relative to the mean work of a request.
 func (e *estimator) relativeWork(work float64) float64 {
 	return cmp.Or(work, e.MeanWork, 1) / cmp.Or(e.MeanWork, work, 1)
 }
 
-// worstSuccessRate is the success rate of the class that does worst.
+// worstSuccessRate returns the lowest success rate of all classes.
 func (e *estimator) worstSuccessRate() float64 {
 	worst := slices.MinFunc(e.classes, func(a, b estimates.ClassEstimates) int {
 		return cmp.Compare(a.SuccessRate, b.SuccessRate)
@@ -142,7 +148,7 @@
 	return worst.SuccessRate
 }
 
-// observeLatency learns of an endpoint, its pod and the fleet from how long an attempt took.
+// observeLatency updates the latency estimates of an endpoint, its pod and the fleet with the latency of an attempt.
 func (e *estimator) observeLatency(a *attempt, latencyNanos float64) {
 	if a.work == 0 {
 		return
@@ -150,7 +156,7 @@
 	ep := a.endpoint
 	perWork := latencyNanos / a.work
 	fleet, pod := e.Fleet.MeanRatio(), ep.podLatency.MeanRatio()
-	// Guards against a few slow endpoints making the fleet look late.
+	// Prevents a few slow endpoints from making the fleet look slow.
 	e.Fleet.Add(min(perWork, maxSampleFactor*fleet), a.inFlightBefore, fleetWindow)
 	ep.podLatency.Add(min(perWork/fleet, maxSampleFactor*pod), a.inFlightBefore, endpointWindow)
 	ep.Latency.Add(perWork/fleet/pod, a.inFlightBefore, endpointWindow)
@@ -163,15 +169,15 @@
 	ep.HighLatency = max(mean, ep.HighLatency+step)
 }
 
-// observeMeanWork learns from the work of a request that was answered.
+// observeMeanWork updates the mean work with the work of an answered request.
 func (e *estimator) observeMeanWork(work float64) {
-	// The first answer counts in full. Guards against other classes being compared with next to nothing.
+	// The first response counts in full. Otherwise other classes would be compared with a mean work near zero.
 	e.MeanWork = cmp.Or(e.MeanWork, work)
 	e.MeanWork += (work - e.MeanWork) / meanWorkWindow
 }
 
-// subtractZoneDelay subtracts from a latency the delay of the endpoint's zone, and learns that delay. Guards against
-// requests with little work making another zone look slow.
+// subtractZoneDelay returns a latency without the delay of the endpoint's zone and updates that delay. Without it,
+// requests with little work would make other zones look slow.
 func (e *estimator) subtractZoneDelay(a *attempt, latencyNanos float64) float64 {
 	zone := a.endpoint.Zone
 	beyondWork := latencyNanos - a.work
@@ -185,7 +191,7 @@
 	return max(latencyNanos-delay, a.work*minWorkFraction)
 }
 
-// updateHighLatency takes the mean of the high quantiles of the endpoints that are active and healthy.
+// updateHighLatency sets the fleet's high latency to the mean over the active and healthy endpoints.
 func (e *estimator) updateHighLatency(now Time, endpoints []*endpoint) {
 	sum, count := 0.0, 0.0
 	for _, ep := range endpoints {
@@ -197,14 +203,14 @@
 	e.HighLatency = cmp.Or(sum/max(count, 1), e.HighLatency)
 }
 
-// decayEndpoint lets what was learned of an endpoint without recent answers drift to what others show.
+// decayEndpoint moves the estimates of an endpoint without recent responses toward those of its peers.
 func (e *estimator) decayEndpoint(ep *endpoint) {
 	uncertainty := 1 - min(1, ep.Latency.Weight*smoothingFactor)
 	ep.HighLatency += (e.HighLatency - ep.HighLatency) * smoothingFactor * uncertainty
 	ep.Latency.Decay(1 - smoothingFactor)
 }
 
-// gaveUpAllRequests reports whether this node gave up requests, and none was answered, in the second that ends.
+// gaveUpAllRequests reports whether, in the second that ends, this node gave up requests and none was answered.
 func (e *estimator) gaveUpAllRequests() bool {
 	answered, givenUp := 0, 0
 	for i := range e.classes {
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -2,21 +2,24 @@
 
 import "math"
 
-// An attempt that is overdue may get a hedged request: a second attempt at another endpoint while the first is in
-// flight. Inputs: the latency at which an answer of the endpoint is overdue, the time left until the effective
-// deadline, and a budget of one hedged request for every ten requests. There is none for a non-idempotent class, nor
-// where the settings forbid two attempts at once; there an overdue idempotent attempt is canceled and sent elsewhere,
-// if another endpoint may take it now, and if its own has answered no other since: one that answers others is at work
-// on a heavy request, which would be heavy elsewhere too. On a connection that may be dead it is canceled even where
-// its own endpoint is the only one, for a new connection there. A request whose body is still coming is never overdue.
-// docs/design.md: "Hedging".
+// A hedged request is a second attempt at another endpoint that is sent while the first one is overdue. Inputs are the
+// latency at which an attempt is overdue, the time left until the effective deadline, and a budget of one hedged
+// request per ten requests. There is none for a non-idempotent class or without Settings.MayHedge.
+//
+// Without MayHedge, an overdue idempotent attempt is canceled and sent elsewhere if another endpoint may take it now
+// and its own endpoint has answered no other request since: an endpoint that responds to others is busy with a heavy
+// request, which would take as long elsewhere. On a connection that may be dead the attempt is canceled even if its
+// endpoint is the only one, to retry it there on a new connection. A request whose body is still being received is
+// never overdue.
+//
+// See docs/design.md: "Hedging".
 
 const (
 	hedgesPerRequest = 0.1
-	maxHedgeBudget   = 4 // hedged requests that may be saved up
+	maxHedgeBudget   = 4 // maximum number of hedged requests in the budget
 )
 
-// hedgeBudget bounds the hedged requests: a token bucket that each arrival refills.
+// hedgeBudget is a token bucket that limits hedged requests. Each arriving request refills it.
 type hedgeBudget struct {
 	available float64
 }
@@ -25,7 +28,8 @@
 	h.available = min(h.available+hedgesPerRequest, maxHedgeBudget)
 }
 
-// setOverdueTimer sets the timer of a request that has one attempt in flight, if time is left then for another.
+// setOverdueTimer sets the overdue timer of a request with one attempt in flight, if enough time would remain for
+// another attempt.
 func (b *Balancer) setOverdueTimer(now Time, req *request, ep *endpoint, work float64) {
 	overdueAfter := b.estimator.overdueAfter(ep, work)
 	if work <= 0 || req.inFlight != 1 || req.StreamingBody {
@@ -37,8 +41,8 @@
 	}
 }
 
-// handleOverdueAttempt takes an attempt that should have been answered: its endpoint is judged, and the request hedged or
-// moved.
+// handleOverdueAttempt handles an attempt without a response in the expected time: it updates the health of the
+// endpoint and hedges or moves the request.
 func (b *Balancer) handleOverdueAttempt(now Time, req *request, number int) {
 	a := &req.attempts[number]
 	b.detectDeadConnection(now, a, OutcomeTimedOut)
@@ -57,9 +61,9 @@
 	}
 }
 
-// recordOverdue judges an endpoint that answers others by an attempt that is overdue. Guards against endpoints that
-// leave one class unanswered: where none of the class was answered lately, one is judged like an error. Where some
-// were, a single late answer says little.
+// recordOverdue counts an overdue attempt against an endpoint that responds to other requests. This detects endpoints
+// that leave one class unanswered: without recent samples of the class, the attempt counts like an error. With recent
+// samples, a single late response says little.
 func (b *Balancer) recordOverdue(now Time, req *request, a *attempt) {
 	outcome := OutcomeTimedOut
 	if a.endpoint.health[req.Class].samples < 1 {
@@ -68,7 +72,8 @@
 	b.updateHealth(now, a.endpoint, req, true, outcome)
 }
 
-// mayRetryAfterCancel reports whether a request with one attempt in flight may have another, after a cancel of the first.
+// mayRetryAfterCancel reports whether a request with one attempt in flight may be sent again after that attempt is
+// canceled.
 func (b *Balancer) mayRetryAfterCancel(now Time, req *request) bool {
 	return now < req.effectiveDeadline && len(req.attempts) < b.settings.MaxAttempts && len(req.attempts) == 1
 }
@@ -81,13 +86,13 @@
 	}
 }
 
-// wasActiveAfter reports whether an endpoint has shown after a moment that it works. It is asked for moments at which
-// an attempt was sent to it; while that is in flight a further send does not count (endpoint.lastActiveAt), unless the
-// body of the attempt is still coming, as it is then not counted as in flight.
+// wasActiveAfter reports whether an endpoint has shown activity after a time, usually the time at which an attempt was
+// sent to it. While that attempt is in flight, another send does not count as activity (endpoint.lastActiveAt), unless
+// the body of the attempt is still being received: then the attempt does not count as in flight.
 func (ep *endpoint) wasActiveAfter(at Time) bool { return ep.lastActiveAt > at }
 
-// observeUnansweredDelay notes for the request's class and tenant that an attempt is late by an unknown time, unless
-// its connection was dead.
+// observeUnansweredDelay records, for the class and tenant of the request, that an attempt is late by an unknown time.
+// Attempts on a dead connection are not recorded.
 func (b *Balancer) observeUnansweredDelay(now Time, req *request, a *attempt) {
 	if !a.connectionDead {
 		req.delayGroups.Observe(int64(now), int64(a.sentAt), math.Inf(1), a.unloadedNanos)
--- a/policy/idleconns.go
+++ b/policy/idleconns.go
@@ -7,23 +7,26 @@
 	"fawnglade/internal/idletimeout"
 )
 
-// A connection that was idle for long may have been dropped unseen by something between this node and the endpoint;
-// what is sent on it is lost. Inputs: for how long a connection had been idle when an attempt on it was reset, or got
-// no answer in time, and messages of other nodes. internal/idletimeout learns from them for how long an idle connection
-// can be trusted; one that was idle for longer is closed before use. Not taken for dead are a connection that was used
-// lately, one of an endpoint that has answered since, and one of several where it is not known which it was.
-// docs/design.md: "Idle connections".
+// A connection that was idle for a long time may have been dropped silently by a device between this node and the
+// endpoint. Requests sent on it are lost. Inputs are the idle time of connections on which an attempt was reset or got
+// no response in time, and messages from other nodes. internal/idletimeout estimates from them how long a connection
+// may be idle and still be used; connections that were idle for longer are closed before use.
+//
+// A connection does not count as dead if it was used recently, if its endpoint has responded since, or if the attempt
+// may have used any of several connections.
+//
+// See docs/design.md: "Idle connections".
 
-// minDeadIdleTime is the shortest idle time after which a connection may be taken for dead.
+// minDeadIdleTime is the minimum idle time of a connection that may count as dead.
 const minDeadIdleTime = 300 * time.Millisecond
 
 type idleConnections struct {
 	timeout    idletimeout.Estimator
-	gossipedAt Time // of the last message about a dead one
+	gossipedAt Time // when the last message about a dead connection was sent
 }
 
-// prepareConnection closes the idle connections to an endpoint that are not to be trusted, and returns for how long the
-// one that is used had been idle; 0: a new one, or not known which.
+// prepareConnection closes the idle connections to an endpoint if they exceed the idle timeout. It returns the idle
+// time of the connection that will be used; 0 if it is new or not known which one it is.
 func (b *Balancer) prepareConnection(now Time, ep *endpoint) time.Duration {
 	idleTime := time.Duration(0)
 	if ep.inFlight == 0 {
@@ -38,14 +41,15 @@
 	return idleTime
 }
 
-// closeIdle closes what is idle to an endpoint.
+// closeIdle closes the idle connections to an endpoint.
 func (b *Balancer) closeIdle(ep *endpoint) {
 	ep.lastUsedAt = 0
 	ep.maxInFlight = ep.inFlight
 	b.effects.CloseIdle(ep.ID)
 }
 
-// updateConnectionUse follows the connection of an attempt that ended: some outcomes end the connection too.
+// updateConnectionUse records the last use of a connection when an attempt ends. Some outcomes also close the
+// connection.
 func (ep *endpoint) updateConnectionUse(now Time, outcome Outcome, streamsPerConnection int) {
 	closed := outcome == OutcomeReset || outcome == OutcomeConnectFailed
 	if streamsPerConnection < 2 && (outcome == OutcomeTimedOut || outcome == OutcomeCanceled) {
@@ -59,9 +63,10 @@
 	}
 }
 
-// detectDeadConnection takes an attempt that got no answer. It reports whether that is certainly no fault of the
-// endpoint: a reset of a connection that was dead. Silence counts before its end, or a node that sends seldom would
-// learn too late, but it may still be the endpoint's own.
+// detectDeadConnection records an attempt without a response as a dead connection if that is the likely cause. It
+// returns true only if the outcome is certainly not the endpoint's fault, that is for a reset of a connection that was
+// dead. An overdue attempt counts before it ends, since a node that sends few requests would otherwise detect dead
+// connections too late, but it may still be the endpoint's fault.
 func (b *Balancer) detectDeadConnection(now Time, a *attempt, outcome Outcome) bool {
 	if !b.isConnectionSuspect(a, outcome) {
 		return false
@@ -70,7 +75,8 @@
 		a.connectionDead = true
 		b.recordDeadConnection(now, a.idleTime)
 		if b.settings.StreamsPerConnection > 1 {
-			// A connection of one attempt ends with it, and opening others in vain may be what is slow.
+			// With one stream per connection, the connection is closed with its attempt. Closing the others too would
+			// require new ones, and opening connections may be what is slow.
 			b.closeIdle(a.endpoint)
 		}
 	}
@@ -87,7 +93,8 @@
 	return a.idleTime >= minDeadIdleTime && !a.endpoint.wasActiveAfter(a.sentAt) && isConnectionKnown
 }
 
-// recordDeadConnection takes a connection that was dead when used. Two in a row count, if none between lived about as long.
+// recordDeadConnection handles a connection that was dead when used. Two in a row are a confirmation, if no connection
+// with about the same idle time worked in between.
 func (b *Balancer) recordDeadConnection(now Time, idleTime time.Duration) {
 	if b.idleConns.timeout.RecordDead(int64(idleTime)) {
 		b.confirmDeadConnection(idleTime)
@@ -95,7 +102,7 @@
 	}
 }
 
-// confirmDeadConnection counts a dead connection that this node or another is sure of.
+// confirmDeadConnection counts a dead connection confirmed by this node or by another one.
 func (b *Balancer) confirmDeadConnection(idleTime time.Duration) {
 	b.idleConns.timeout.Confirm(int64(idleTime), b.settings.MayGossip, b.settings.NodeCount)
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -2,21 +2,24 @@
 
 import "time"
 
-// The load of an endpoint is the paper's transmit rate (section VI.A), taken from its load reports: utilization (a
-// fraction) times service time (milliseconds), utilization alone, or one plus the queue length, whichever the
-// deployment offers first. Between reports each send of this node adds the last rise over the number of sends in which
-// it came about (the paper's drift, formula 1); a load that fell, or rose with nothing sent, adds nothing. A report
-// that repeats the last value is taken for the same report, carried by another answer. docs/design.md: "Load: what w is
-// made of".
+// The load of an endpoint is the paper's transmit rate (section VI.A), derived from load reports. It is the first of
+// these that the deployment offers: utilization (a fraction) times service time (milliseconds); utilization; or one
+// plus the queue length. Between reports, each send of this node adds to the load the last rise divided by the number
+// of sends during which it occurred (the paper's drift, formula 1). If the load fell, or rose without a send, a send
+// adds nothing. A report with the same value as the previous one counts as the same report, received with another
+// response.
+//
+// See docs/design.md: "Load: what w is made of".
 
 const (
-	// recalculationInterval is the longest time between two recalculations of a load.
+	// recalculationInterval is the maximum time between two recalculations of a load.
 	recalculationInterval = time.Second
-	// requestsPerHealthCheck: where reports come with health checks alone, one check goes out for so many requests.
+	// requestsPerHealthCheck is the number of requests per health check, where load reports come with health checks
+	// only.
 	requestsPerHealthCheck = 32
 )
 
-// applyReport takes the load values that came with an answer or a health check.
+// applyReport applies the load report of a response or a health check.
 func (b *Balancer) applyReport(now Time, ep *endpoint, report *LoadReport) {
 	load, reported := b.settings.loadOf(report)
 	if reported && (!ep.HasReport || load != ep.LastReport) {
@@ -24,11 +27,11 @@
 	}
 }
 
-// loadOf returns the load in a report, if there is any.
+// loadOf returns the load in a report. reported is false if the report has no usable value.
 func (s *Settings) loadOf(report *LoadReport) (load float64, reported bool) {
 	if s.ReportsUtilization && report.Utilization >= 0 {
 		if s.ReportsServiceTime && report.ServiceTime >= 0 {
-			// The same utilization of a slower endpoint is a greater load.
+			// The same utilization means a higher load at a slower endpoint.
 			return report.Utilization * report.ServiceTime, true
 		}
 		return report.Utilization, true
@@ -36,7 +39,7 @@
 	return 1 + report.QueueLength, report.QueueLength >= 0
 }
 
-// updateLoad recalculates the load and what each send from here on adds to it.
+// updateLoad sets the load from a report, and the rise that each later send adds to it.
 func (ep *endpoint) updateLoad(now Time, load float64) {
 	rise := load - ep.LastReport
 	ep.RisePerSend = 0
@@ -53,9 +56,9 @@
 	ep.recalculateAt = now.Add(recalculationInterval)
 }
 
-// countSend adds an attempt to the load and to what is in flight.
+// countSend counts an attempt in the load and in the attempts in flight.
 func (ep *endpoint) countSend(now Time, inFlight int) {
-	if now >= ep.recalculateAt { // no report came for the longest time
+	if now >= ep.recalculateAt { // no report within the interval
 		ep.RisePerSend = 0
 		ep.sendsSinceReport = 0
 		ep.recalculateAt = now.Add(recalculationInterval)
@@ -66,12 +69,13 @@
 	ep.Load += ep.RisePerSend
 }
 
-// healthChecks says which endpoint is checked next.
+// healthChecks determines which endpoint is checked next.
 type healthChecks struct {
-	requestCount int // arrived ever
+	requestCount int // requests that have arrived so far
 }
 
-// checkHealthRoundRobin asks one endpoint of the subset after another for its load, where answers bring none.
+// checkHealthRoundRobin sends health checks to the endpoints of the subset in turn, where responses carry no load
+// reports.
 func (b *Balancer) checkHealthRoundRobin() {
 	b.healthChecks.requestCount++
 	if !b.settings.MayCheckHealth || !b.settings.HealthChecksReport {
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -220,8 +220,8 @@
 		warm = active
 	}
 	for id, info := range m.listed {
-		if capacity := m.capacity(info); capacity < 1 {
-			m.fairShare[id] += capacity / max(warm, 1)
+		if relativeCapacity := m.capacity(info); relativeCapacity < 1 {
+			m.fairShare[id] += relativeCapacity / max(warm, 1)
 		}
 	}
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,16 +2,20 @@
 
 import "time"
 
-// The end of an attempt teaches each rule something: the latency of its endpoint, the health of the endpoint in the
-// class, its backoff, idle connections, slow start and affinity. Inputs: the outcome, the time from sending to the end,
-// and what was known at sending. A connection that was dead, a class or tenant that waits at any endpoint, and an
-// attempt that was never sent count against no endpoint. A time-out counts as a longer latency, or only quick answers
-// would be learned from. docs/design.md: "Admission: predicted in time", "Outliers".
+// The end of an attempt updates the estimates of several rules: the latency of the endpoint, its health for the class,
+// its backoff, and the state of idle connections, slow start and affinity. Inputs are the outcome, the time from the
+// send to the end, and the estimates at the time of the send.
+//
+// Three kinds of attempts do not count against their endpoint: those on a dead connection, those of a class or tenant
+// that is delayed at every endpoint, and those that were never sent. A timeout counts as a latency above the timeout.
+// Otherwise the estimates would be based on fast responses only.
+//
+// See docs/design.md: "Admission: predicted in time", "Outliers".
 
-// timeoutLatencyFactor is the latency that an attempt without an answer is taken for, over the time that it had.
+// timeoutLatencyFactor is the assumed latency of an attempt without a response, relative to the time that it was given.
 const timeoutLatencyFactor = 1.5
 
-// recordAttempt takes the end of an attempt.
+// recordAttempt updates estimates and health with the end of an attempt.
 func (b *Balancer) recordAttempt(now Time, req *request, a *attempt, result AttemptResult) {
 	ep, class := a.endpoint, req.Class
 	if b.cameFromEndpoint(ep, result.Outcome) {
@@ -37,8 +41,8 @@
 	}
 }
 
-// cameFromEndpoint reports whether an outcome came from the endpoint itself. A reset did only where several connections
-// carry one attempt each: else something between may have dropped the connection.
+// cameFromEndpoint reports whether an outcome was caused by the endpoint itself. A reset counts as such only if several
+// connections carry one attempt each; otherwise a device on the path may have dropped the connection.
 func (b *Balancer) cameFromEndpoint(ep *endpoint, outcome Outcome) bool {
 	switch outcome {
 	case OutcomeTimedOut, OutcomeCanceled, OutcomeNotSent:
@@ -50,8 +54,8 @@
 	}
 }
 
-// isNotEndpointFault reports whether an end says nothing more of the endpoint: nothing was sent, the attempt was
-// counted when it was overdue, or its connection was dead.
+// isNotEndpointFault reports whether an outcome must not count against the endpoint: nothing was sent, the attempt
+// already counted when it became overdue, or its connection was dead.
 func (b *Balancer) isNotEndpointFault(now Time, a *attempt, outcome Outcome) bool {
 	switch outcome {
 	case OutcomeNotSent:
@@ -63,8 +67,8 @@
 	}
 }
 
-// updateEstimates updates latencies and backoffs; it reports whether the outcome counts for or against the endpoint's
-// health.
+// updateEstimates updates latencies and backoffs. It reports whether the outcome also counts for or against the
+// endpoint's health.
 func (b *Balancer) updateEstimates(now Time, req *request, a *attempt, result AttemptResult) bool {
 	switch result.Outcome {
 	case OutcomeSucceeded:
@@ -74,12 +78,13 @@
 		return false
 	case OutcomeConnectFailed:
 		if a.idleTime == 0 {
-			// Guards against closing the connections that are open while no new one can be had.
+			// Idle connections must not be closed while no new one can be opened.
 			b.idleConns.timeout.Reset()
 		}
 		a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
 	case OutcomeCanceled:
-		// Guards against a silent endpoint that looks healthy because hedged requests always overtake it.
+		// Detects a silent endpoint that would otherwise look healthy because hedged requests are always answered
+		// first.
 		wasOverdue := result.Elapsed >= b.estimator.overdueAfter(a.endpoint, a.work)
 		return wasOverdue && !a.endpoint.wasActiveAfter(a.sentAt) && a.classDelayNanos <= 0
 	case OutcomeTimedOut:
@@ -88,7 +93,7 @@
 	return true
 }
 
-// recordSuccess takes an answer.
+// recordSuccess updates the estimates with a successful response.
 func (b *Balancer) recordSuccess(now Time, req *request, a *attempt, latencyNanos float64, newConnection bool) {
 	ep, class := a.endpoint, &b.estimator.classes[req.Class]
 	ep.rejectionsInARow = 0
@@ -96,7 +101,7 @@
 	req.delayGroups.Observe(int64(now), int64(a.sentAt), latencyNanos, a.unloadedNanos)
 	class.Calibrate(latencyNanos, a.predictedNanos)
 	if newConnection && a.work > 0 {
-		// Guards against the opening of a connection making its endpoint look slow.
+		// The time to open a connection must not make the endpoint look slow.
 		b.grantCreditForResponse(now, ep, a.work)
 		return
 	}
@@ -106,13 +111,14 @@
 	if a.hadAffinity && a.work > 0 {
 		perWork, _ := b.estimator.expectedLatency(ep)
 		b.affinity.updateWorkFactor(latencyNanos, perWork*a.work)
-		// Converted to what it would be elsewhere, so that the endpoint does not look quick for its cached keys.
+		// Converted to the latency at other endpoints, so that cached keys do not make the endpoint look fast.
 		latencyNanos /= b.affinity.workFactorWithAffinity
 		a.work /= b.affinity.workFactorWithAffinity
 	}
 	class.ObserveWork(latencyNanos)
 	if a.work == 0 || a.workIsProvisional {
-		// Guards against the latencies of a start being compared with the work of the first, lightest answers.
+		// At startup the typical work is known from the first, lightest responses only. Comparing all latencies with it
+		// would make endpoints look slow.
 		a.work = class.TypicalWork
 	}
 	b.estimator.observeMeanWork(a.work)
@@ -120,9 +126,9 @@
 	b.grantCreditForResponse(now, ep, a.work)
 }
 
-// recordRejection takes an attempt that the endpoint rejected (OutcomeRejected). It counts as a late answer, unless
-// an endpoint that is well known reports an empty queue: where most are full, trying elsewhere brings only a storm of
-// retries.
+// recordRejection handles an attempt that the endpoint rejected (OutcomeRejected). The rejection counts as a late
+// response, unless a well-measured endpoint reports an empty queue: where most endpoints are full, trying others only
+// leads to a retry storm.
 func (b *Balancer) recordRejection(now Time, req *request, a *attempt, queueLength float64) {
 	a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
 	if queueLength != 0 || !a.endpoint.isWellMeasured() {
@@ -130,13 +136,15 @@
 	}
 }
 
-// recordTimeout takes an attempt without an answer; it reports whether that counts against the endpoint.
+// recordTimeout handles an attempt without a response. It reports whether the timeout counts against the endpoint's
+// health.
 func (b *Balancer) recordTimeout(now Time, req *request, a *attempt, elapsedNanos float64) bool {
 	b.observeUnansweredDelay(now, req, a)
 	if a.classDelayNanos > 0 {
 		return false
 	}
-	// Guards against a silent endpoint raising the spread of its class, and so requests to others being rejected.
+	// A silent endpoint must not raise the latency spread of its class, since requests to other endpoints would then be
+	// rejected.
 	isUsual := maxSampleFactor*b.estimator.Fleet.MeanRatio()*a.work > elapsedNanos
 	if a.endpoint.wasActiveAfter(a.sentAt) || isUsual {
 		b.estimator.classes[req.Class].Calibrate(elapsedNanos*timeoutLatencyFactor, a.predictedNanos)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -5,69 +5,73 @@
 	"time"
 )
 
-// An endpoint that fails much of one class is ejected for that class. Inputs: the failure rate of the endpoint in the
-// class and that of all endpoints, both exponentially weighted averages from 0 to 1, and messages of other nodes.
+// Outlier ejection: an endpoint that fails many requests of a class is ejected for that class. Inputs are the failure
+// rates of the endpoint for the class and of all endpoints, both exponentially weighted averages from 0 to 1, and
+// messages from other nodes.
 //
-//   - Ejection: above a failure rate of a quarter, and above twice the rate of all endpoints: where everything fails
-//     together, no endpoint is an outlier.
-//   - Trial: after half a second, which doubles up to four seconds with each failure, one idempotent request at a time
-//     may go to an ejected endpoint, whatever latency is predicted; one that may not be repeated much later, so that
-//     all nodes together try an endpoint with one in maxEjectionTime at most.
-//   - Return: when its failure rate is under half of the limit.
-//   - Gossip: messages of other nodes that it fails the class are votes. Three eject it where this node has seen
-//     nothing itself, or failures. Its failure rate is then at least twice the ejection rate, so that it returns after
-//     some successes only, and its first trial follows after a second.
-//   - Last resort: where there is no other candidate, an ejected endpoint is used for any class, if this node knows it
-//     well and has nothing in flight there; from its trial time on, nothing of the class. The only active endpoint
-//     counts as not ejected.
-//   - Backoff: an endpoint that rejects an attempt, or takes no connection, gets nothing for a time that doubles. This
-//     is no ejection, and holds for all classes.
+//   - Ejection: the failure rate is above a quarter and above twice the rate of all endpoints. If all endpoints fail
+//     alike, none is an outlier.
+//   - Trial: after half a second, a time that doubles with each failure up to four seconds, one idempotent request at a
+//     time may be sent to an ejected endpoint, whatever its predicted latency. A request that may not be repeated is
+//     used for a trial much later, so that all nodes together send at most one per maxEjectionTime.
+//   - Reinstatement: the failure rate falls below half of the ejection threshold.
+//   - Gossip: a message of another node that the endpoint fails the class is a vote. Three votes eject the endpoint if
+//     this node has no samples of its own or has seen failures. Its failure rate is then set to at least twice the
+//     ejection rate, so that it takes several successes to reinstate it, and its first trial follows after one second.
+//   - Last resort: if there is no other candidate, an ejected endpoint may get a request of any class if this node has
+//     measured it well and has nothing in flight there. From its trial time on, only requests of the same class must
+//     not be in flight there. The only active endpoint is treated as not ejected.
+//   - Backoff: an endpoint that rejects an attempt or refuses a connection gets no requests for a time that doubles.
+//     This is not an ejection, and it applies to all classes.
 //
-// docs/design.md: "Outliers", "Gossip".
+// See docs/design.md: "Outliers", "Gossip".
 
 const (
 	// ejectionFailureRate is the failure rate above which an endpoint may be ejected.
 	ejectionFailureRate = 0.25
-	// outlierFactor is how many times the failure rate of all endpoints makes an outlier.
+	// outlierFactor is the ratio to the failure rate of all endpoints above which an endpoint is an outlier.
 	outlierFactor = 2
-	// reinstatementFactor is the part of the limit under which an ejected endpoint is back.
+	// reinstatementFactor is the fraction of the ejection threshold below which an ejected endpoint is reinstated.
 	reinstatementFactor = 0.5
-	// maxHealthyFailureRate is the failure rate up to which an endpoint that this node has used is not ejected by votes.
+	// maxHealthyFailureRate is the failure rate up to which an endpoint that this node has used is not ejected by
+	// votes.
 	maxHealthyFailureRate = ejectionFailureRate / 2
-	// gossipFailureRate is the failure rate that votes raise an endpoint to at least.
+	// gossipFailureRate is the minimum failure rate of an endpoint after an ejection by votes.
 	gossipFailureRate = 2 * ejectionFailureRate
-	// fleetSmoothingFactor is the part of an attempt in the failure rate of all endpoints.
+	// fleetSmoothingFactor is the weight of an attempt in the failure rate of all endpoints.
 	fleetSmoothingFactor = smoothingFactor / 2
 
 	minEjectionTime = time.Second / 2
 	maxEjectionTime = 4 * time.Second
-	// maxHealthSamples bounds classHealth.samples.
+	// maxHealthSamples is the upper bound of classHealth.samples.
 	maxHealthSamples = 2 / smoothingFactor
-	// gossipVotesToEject is how many votes, within about two seconds, eject an endpoint; one may be about a single
-	// error.
+	// gossipVotesToEject is the number of votes within about two seconds that ejects an endpoint. A single vote may be
+	// caused by a single error.
 	gossipVotesToEject = 3
 	// gossipEjectionTime is the time from an ejection by votes to the first trial.
 	gossipEjectionTime = time.Second
-	// gossipDecayPerSecond is the part of the votes that still counts a second later.
+	// gossipDecayPerSecond is the fraction of the votes that remains after one second.
 	gossipDecayPerSecond = 0.5
 
-	// maxRejectionBackoff is for an endpoint without recent answers; the more there are, the shorter.
+	// maxRejectionBackoff is the first backoff of an endpoint without recent responses. It is shorter for an endpoint
+	// with more recent responses.
 	maxRejectionBackoff = time.Second
-	// maxRejectionsInARow bounds the doubling of the backoff.
+	// maxRejectionsInARow limits how often the backoff doubles.
 	maxRejectionsInARow = 6
 )
 
-// outlierDetector judges endpoints against all others.
+// outlierDetector compares the failure rate of an endpoint with that of all endpoints.
 type outlierDetector struct {
 	fleetFailureRate float64 // exponentially weighted average over the attempts at all endpoints
 }
 
-// limit is the failure rate above which an endpoint is ejected.
+// ejectionThreshold returns the failure rate above which an endpoint is ejected.
 func (d *outlierDetector) ejectionThreshold() float64 {
 	return max(ejectionFailureRate, outlierFactor*d.fleetFailureRate)
 }
 
-// record judges an endpoint in one class by the end of an attempt: failure is 1 or 0, rate its part in the average.
+// record updates the health of an endpoint for one class with an attempt and ejects or reinstates the endpoint. failure
+// is 1 for a failed attempt, otherwise 0; smoothing is its weight in the failure rate.
 func (d *outlierDetector) record(now Time, health *classHealth, failure, smoothing float64) {
 	health.samples = min(health.samples+1, maxHealthSamples)
 	health.failureRate += (failure - health.failureRate) * smoothing
@@ -84,7 +88,7 @@
 	}
 }
 
-// updateHealth judges the endpoint of an attempt in the class of its request.
+// updateHealth records the outcome of an attempt in the health of its endpoint for the class of the request.
 func (b *Balancer) updateHealth(now Time, ep *endpoint, req *request, failed bool, outcome Outcome) {
 	health := &ep.health[req.Class]
 	smoothing, failure := smoothingFactor, 0.0
@@ -92,14 +96,14 @@
 		failure = 1
 	}
 	if !failed || outcome == OutcomeError {
-		// An endpoint with few samples is judged by these few.
+		// With few samples each one has more weight.
 		smoothing = max(smoothingFactor, 1/(health.samples+2))
 	}
 	b.outliers.record(now, health, failure, smoothing)
 }
 
-// applyGossip counts the vote of another node that the endpoint fails the class. What this node saw itself goes first.
-// The ejection time stays as it is: only failures at this node double it.
+// applyGossip counts a vote of another node that the endpoint fails the class. The samples of this node take
+// precedence. The ejection time does not change: only failures at this node double it.
 func (h *classHealth) applyGossip(now Time) {
 	h.gossipVotes++
 	observedHealthy := h.samples >= 1 && h.failureRate <= maxHealthyFailureRate
@@ -111,33 +115,35 @@
 	h.nextTrialAt = now.Add(gossipEjectionTime)
 }
 
-// mayTryEjected reports whether an endpoint that is ejected for the request's class may get the request all the same:
-// as a trial in any round, or as a last resort in the last one, with nothing in flight there; from its trial time on
-// the last resort asks for nothing of the class alone. Neither asks for a prediction in time.
+// mayTryEjected reports whether an endpoint that is ejected for the request's class may still get the request: as a
+// trial in any round, or as a last resort in the last round, if nothing is in flight there. From its trial time on, the
+// last resort only requires that nothing of the class is in flight. Neither depends on the predicted latency.
 func (b *Balancer) mayTryEjected(c *criteria, ep *endpoint, health *classHealth) bool {
 	if health.inFlight > 0 {
 		return false
 	}
 	isLastResort := c.round == roundLastResort && ep.isWellMeasured()
 	if ep.inFlight > 0 {
-		// Guards against a class that is out for ever while other classes keep its endpoints busy.
+		// Otherwise other classes that keep the endpoint busy could keep it ejected for this class forever.
 		return isLastResort && c.now >= health.nextTrialAt
 	}
-	// Guards against a cascade: pauses eject endpoints one by one, and the rest, asked for too much, times out too.
+	// Prevents cascading ejections: pauses eject endpoints one after another, and the remaining ones, overloaded, time
+	// out as well.
 	if isLastResort {
 		return true
 	}
 	wait := time.Duration(0)
 	if c.request.classSettings.Idempotency != Idempotent {
-		// Guards against an endpoint that is out for ever for a class that may not be retried. All nodes together try an
-		// endpoint with one such request in maxEjectionTime at most, as a failure reaches its client.
+		// A trial for a class that must not be retried is rare, but without any the endpoint would stay ejected
+		// forever. All nodes together send at most one such request per maxEjectionTime to an endpoint, since the
+		// client sees its failure.
 		wait = maxEjectionTime * time.Duration(max(b.settings.NodeCount, 1))
 	}
 	return c.now >= health.nextTrialAt.Add(wait)
 }
 
-// onlyActiveEndpoint returns the only active endpoint among some; nil if there are several, or none. Guards against a class
-// being given up because of an endpoint that has no peers to be told apart from.
+// onlyActiveEndpoint returns the only active endpoint of a list, or nil if there are none or several. It prevents a
+// class from being given up because of an endpoint that has no peers to be compared with.
 func onlyActiveEndpoint(endpoints []*endpoint) *endpoint {
 	var only *endpoint
 	for _, ep := range endpoints {
@@ -152,10 +158,10 @@
 	return only
 }
 
-// isWellMeasured reports whether this node had many answers from an endpoint lately.
+// isWellMeasured reports whether this node has had many recent responses from an endpoint.
 func (ep *endpoint) isWellMeasured() bool { return ep.Latency.Weight*smoothingFactor >= 1 }
 
-// decayHealth lets what this node and others saw count for less.
+// decayHealth reduces the weight of the samples of this node and of the votes of others.
 func (ep *endpoint) decayHealth() {
 	for i := range ep.health {
 		ep.health[i].samples *= 1 - smoothingFactor
@@ -163,7 +169,7 @@
 	}
 }
 
-// isUnhealthy reports whether an endpoint is of little use at the moment, for any class.
+// isUnhealthy reports whether an endpoint is ejected for any class or has rejected several attempts in a row.
 func (ep *endpoint) isUnhealthy(now Time) bool {
 	if now < ep.backoffUntil && ep.rejectionsInARow > 1 {
 		return true
@@ -171,20 +177,21 @@
 	return slices.ContainsFunc(ep.health, func(health classHealth) bool { return health.ejected })
 }
 
-// isSilent reports whether an endpoint has answered nothing for too long. Guards against one that takes requests and
-// answers none, and so reports no load.
+// isSilent reports whether an endpoint with attempts in flight has not responded for too long. This detects an endpoint
+// that accepts requests but never responds, and so sends no load reports.
 func (e *estimator) isSilent(now Time, ep *endpoint, work float64) bool {
 	return ep.inFlight > 0 && ep.HasLatency && now.Sub(ep.lastActiveAt) > e.overdueAfter(ep, max(work, e.MeanWork))
 }
 
-// hasUsualInFlight reports whether an endpoint has no more attempts of this node in flight than it answered lately.
+// hasUsualInFlight reports whether this node has no more attempts in flight at an endpoint than the endpoint recently
+// served at a time.
 func (e *estimator) hasUsualInFlight(ep *endpoint) bool {
 	_, usualInFlight := e.expectedLatency(ep)
 	return float64(ep.inFlight) < usualInFlight+1
 }
 
-// backOff leaves an endpoint alone that rejected an attempt, or took no connection. Guards against one that rejects at
-// once using up all attempts.
+// backOff stops sending to an endpoint that rejected an attempt or refused a connection. Otherwise an endpoint that
+// rejects quickly would use up all attempts.
 func (ep *endpoint) backOff(now Time, meanWork time.Duration) {
 	ep.rejectionsInARow = min(ep.rejectionsInARow+1, maxRejectionsInARow)
 	shortest := time.Duration(float64(maxRejectionBackoff) / (2*ep.Latency.Weight + 1))
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -2,31 +2,35 @@
 
 import "time"
 
-// A fleet that has been overloaded for long gets one rest: this node gives up all requests for a while, as what all
-// endpoints depend on may recover only then. Inputs: the latency of the fleet over the work of its requests, a ratio,
-// and the success rate of the class that does worst. Short overload, as a burst makes, and slowness in which requests
-// still succeed change nothing, and an overload gets no second rest. It acts only where load reports carry utilization.
-// docs/design.md: "Shedding load".
+// After a long overload of the fleet, this node sheds all load once: it gives up all requests for a while, since a
+// resource that all endpoints depend on may recover only without load. Inputs are the ratio of the fleet's latency to
+// the work of its requests, and the success rate of the worst class. Neither short overloads, such as bursts, nor slow
+// responses while requests still succeed trigger it, and it happens only once per overload. It applies only where load
+// reports contain utilization.
+//
+// See docs/design.md: "Shedding load".
 
 const (
-	// overloadedLatencyRatio: from here on answers take two and a half times their work, so most of it is waiting.
+	// overloadedLatencyRatio is the ratio of latency to work from which on the fleet counts as overloaded. At two and a
+	// half times the work, most of the latency is waiting.
 	overloadedLatencyRatio = 2.5
-	// overloadedSuccessRate: above it most requests of every class still succeed, which a rest would give up.
+	// overloadedSuccessRate is the success rate of the worst class above which the fleet does not count as overloaded:
+	// most requests of every class still succeed, and shedding all load would give them up.
 	overloadedSuccessRate = 0.7
-	// overloadedSecondsToShedAll is longer than bursts and short overloads last, which end without a rest.
+	// overloadedSecondsToShedAll is longer than bursts and short overloads, which end without shedding all load.
 	overloadedSecondsToShedAll = 9
-	// shedAllDuration is for queues at the endpoints, and at what they depend on, to empty.
+	// shedAllDuration allows queues at the endpoints and at their dependencies to empty.
 	shedAllDuration = 5 * time.Second
 )
 
-// overloadGuard decides when this node rests.
+// overloadGuard decides when this node gives up all requests.
 type overloadGuard struct {
-	overloadedSeconds int // for how long the fleet has been overloaded
+	overloadedSeconds int // how long the fleet has been overloaded
 	shedAllUntil      Time
 }
 
-// tick takes the state of the fleet, once a second. The rest begins when the count reaches its limit, and the count
-// goes on until the overload ends: so there is one rest for each.
+// tick updates the guard once a second with the state of the fleet. Shedding starts when the count reaches
+// overloadedSecondsToShedAll. The count continues until the overload ends, so that shedding happens once per overload.
 func (g *overloadGuard) tick(now Time, latencyRatio, worstSuccessRate float64) {
 	if latencyRatio < overloadedLatencyRatio || worstSuccessRate > overloadedSuccessRate {
 		g.overloadedSeconds = 0
@@ -38,5 +42,5 @@
 	}
 }
 
-// rests reports whether all requests are given up at the moment.
+// shedsAll reports whether all requests are given up at this time.
 func (g *overloadGuard) shedsAll(now Time) bool { return now < g.shedAllUntil }
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -1,33 +1,34 @@
 package policy
 
-// Reason says why a request was given up (Effects.Reject, Effects.Fail). Those that concern single endpoints are in the
-// order of how close an endpoint came to getting the request: a request that several endpoints could not get for
-// different reasons is given up for the last of these. docs/oncall.md says what to do for each.
+// Reason is the cause for which a request was given up (Effects.Reject, Effects.Fail). Reasons that apply to single
+// endpoints are ordered by how close the endpoint came to getting the request. If several endpoints are excluded for
+// different reasons, the request is given up for the last of these reasons. docs/oncall.md describes what to do for
+// each reason.
 type Reason uint8
 
-// The reasons.
+// Reasons for giving up a request.
 const (
-	ReasonNone Reason = iota // none: the request may go on
+	ReasonNone Reason = iota // the request was not given up
 
-	// Of the request, whatever the endpoints.
-	ReasonDeadline     // its effective deadline has passed: no endpoint answered in time
-	ReasonBodyConsumed // its body is held no more, so that it can't be sent again
+	// Reasons that apply to the request, whatever the endpoints.
+	ReasonDeadline     // the effective deadline passed before an endpoint responded
+	ReasonBodyConsumed // the body is no longer buffered, so that the request cannot be sent again
 	ReasonShedAll      // this node gives up all requests, to end a long overload
-	ReasonShutdown     // the process is about to end; only the caller of a Balancer gives up for this
+	ReasonShutdown     // the process is about to exit; used by the caller of the Balancer only
 
-	// Of endpoints, from the furthest to the closest.
+	// Reasons that apply to endpoints, ordered from furthest to closest.
 	ReasonNoEndpoint   // no endpoint is listed as active
 	ReasonAttemptsUsed // the request has had Settings.MaxAttempts attempts
-	ReasonMayHaveRun   // an earlier attempt may have run, and the endpoint may not run it again
-	ReasonLastTried    // it was sent to the endpoint last, and goes elsewhere after that
-	ReasonBackoff      // the endpoint rejected an attempt, or took no connection, a moment ago
+	ReasonMayHaveRun   // an earlier attempt may have run, and the endpoint must not run it again
+	ReasonLastTried    // the last attempt went to the endpoint, and the next one has to go to another
+	ReasonBackoff      // the endpoint recently rejected an attempt or refused a connection
 	ReasonSlowStart    // the endpoint is in slow start and has no credit
 	ReasonEjected      // the endpoint is ejected for the class
-	ReasonSilent       // the endpoint has attempts in flight and has answered nothing for too long
-	ReasonOverQuota    // the tenant is over its quota, and has less time left for it while requests are given up
-	ReasonNotInTime    // the endpoint is not predicted to answer in time
+	ReasonSilent       // the endpoint has attempts in flight and has not responded for too long
+	ReasonOverQuota    // the tenant is over its quota, which shortens its latency budget while requests are given up
+	ReasonNotInTime    // the endpoint is not predicted to respond in time
 
-	// ReasonCount is the number of reasons, ReasonNone among them.
+	// ReasonCount is the number of reasons, including ReasonNone.
 	ReasonCount
 )
 
@@ -49,7 +50,7 @@
 	ReasonNotInTime:    "not in time",
 }
 
-// isLoadRelated reports whether less load on the endpoints, or more of them, would have helped the request.
+// isLoadRelated reports whether less load or more endpoints would have helped the request.
 func (r Reason) isLoadRelated() bool {
 	switch r {
 	case ReasonBodyConsumed, ReasonAttemptsUsed, ReasonMayHaveRun, ReasonLastTried, ReasonEjected:
@@ -59,5 +60,5 @@
 	}
 }
 
-// String names the reason for logs, counters and reports.
+// String returns the name of the reason as used in logs, counters and reports.
 func (r Reason) String() string { return enumName(reasonNames[:], int(r)) }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -65,11 +65,11 @@
 
 const simulationStart = Time(1e12)
 
-func (sim *faultSimulation) startWork(ep *simulatedEndpoint, work *simulatedWork) {
+func (sim *faultSimulation) startWork(ep *simulatedEndpoint, job *simulatedWork) {
 	ep.busy++
-	sim.delay(work.work, func() {
-		if ep.busy--; !work.ended {
-			work.onDone()
+	sim.delay(job.work, func() {
+		if ep.busy--; !job.ended {
+			job.onDone()
 		}
 		for len(ep.queue) > 0 && ep.busy < endpointConcurrency {
 			next := ep.queue[0]
@@ -127,26 +127,26 @@
 
 func (n *simulatedNode) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
 	req, ep := n.openRequests[id], n.endpoints[endpoint-1]
-	number, work := len(req.attempts), &simulatedWork{work: time.Duration(n.ExpFloat64() * float64(meanWork))}
-	ep.workSent[n.secondOf(n.now)] += work.work
+	number, job := len(req.attempts), &simulatedWork{work: time.Duration(n.ExpFloat64() * float64(meanWork))}
+	ep.workSent[n.secondOf(n.now)] += job.work
 	if second := n.secondOf(n.now); second >= faultStartSecond && second < faultEndSecond {
-		work.work += n.extraLatency(req.class, req.tenant)
+		job.work += n.extraLatency(req.class, req.tenant)
 	}
-	req.attempts = append(req.attempts, work)
-	work.onDone = func() { work.ended = true; n.endAttempt(id, number, OutcomeSucceeded) }
+	req.attempts = append(req.attempts, job)
+	job.onDone = func() { job.ended = true; n.endAttempt(id, number, OutcomeSucceeded) }
 	n.delay(timeout, func() {
-		if !work.ended {
-			work.ended = true
+		if !job.ended {
+			job.ended = true
 			n.endAttempt(id, number, OutcomeTimedOut)
 		}
 	})
 	switch {
 	case ep.busy < endpointConcurrency:
-		n.startWork(ep, work)
+		n.startWork(ep, job)
 	case len(ep.queue) < endpointQueueLimit:
-		ep.queue = append(ep.queue, work)
+		ep.queue = append(ep.queue, job)
 	default:
-		work.ended = true
+		job.ended = true
 		n.delay(ms, func() { n.endAttempt(id, number, OutcomeRejected) })
 	}
 }
@@ -253,11 +253,11 @@
 		t.Run(name, func(t *testing.T) {
 			sim := simulateFault(c.nodes, c.extraLatency)
 			inTimeFraction := func(from, to int) float64 {
-				inTime, arrived := 0.0, 0.0
+				inTimeCount, arrivedCount := 0.0, 0.0
 				for second := from; second < to; second++ {
-					inTime, arrived = inTime+sim.inTime[second], arrived+sim.arrived[second]
+					inTimeCount, arrivedCount = inTimeCount+sim.inTime[second], arrivedCount+sim.arrived[second]
 				}
-				return inTime / arrived
+				return inTimeCount / arrivedCount
 			}
 			before, during, after := inTimeFraction(1, faultStartSecond), inTimeFraction(faultStartSecond+2, faultEndSecond), inTimeFraction(faultEndSecond+c.recoverySeconds, simulationSeconds-2)
 			t.Logf(name+": in time %.3f before, %.3f in it, %.3f from %d s after it; by second %.2f", before, during, after, c.recoverySeconds,
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,52 +7,52 @@
 	"fawnglade/internal/classdelay"
 )
 
-// objectiveMarginDivisor is the part of a latency objective that is kept for the way back to the client.
+// objectiveMarginDivisor divides a latency objective to get the time reserved for sending the response to the client.
 const objectiveMarginDivisor = 64
 
-// request is a request from its arrival until no attempt of it is in flight any more.
+// request is the state of a request from its arrival until its last attempt has ended.
 type request struct {
 	Request
 	classSettings *Class
-	// objectiveAt is the last moment at which an answer has its full value, the priority weight of the class: the
-	// latency objective, less a margin. effectiveDeadline is the last at which it has any: the client's deadline, or
-	// objectiveAt where a late answer has no value (Class.LateFraction is 0). No attempt goes on for longer.
+	// objectiveAt is the latest time for a response of full value (the priority weight of the class): the latency
+	// objective, less a margin. effectiveDeadline is the latest time for a response of any value: the client's
+	// deadline, or objectiveAt if late responses have no value (Class.LateFraction is 0). No attempt lasts longer.
 	effectiveDeadline, objectiveAt Time
 	attempts                       []attempt
-	inFlight                       int    // attempts
-	loadPerAttempt                 int    // what one adds to endpoint.inFlight
-	overdueTimer                   uint64 // 0: none was set
-	done                           bool   // it has its final answer
+	inFlight                       int    // number of attempts in flight
+	loadPerAttempt                 int    // what an attempt adds to endpoint.inFlight
+	overdueTimer                   uint64 // timer ID; 0: not set
+	done                           bool   // the client has its final response
 	overQuota                      bool
-	delayGroups                    classdelay.RequestGroups // of its class and its tenant
+	delayGroups                    classdelay.RequestGroups // of its class and tenant
 	keyHash                        uint64
-	affinityCount                  int // endpoints at which its key is at home; 0: no affinity
+	affinityCount                  int // number of affinity endpoints of its key; 0: no affinity
 }
 
 // attempt is one send of a request to an endpoint.
 type attempt struct {
 	endpoint       *endpoint
-	zone, pod      int // of the endpoint when it was sent: the list may have changed since
+	zone, pod      int // of the endpoint at the time of the send; the list may have changed since
 	sentAt         Time
-	idleTime       time.Duration // for how long the connection had been idle; 0: not known or a new one
-	inFlightBefore float64       // attempts of this node at the endpoint when it was sent
+	idleTime       time.Duration // how long the connection was idle; 0: unknown or new
+	inFlightBefore float64       // attempts of this node at the endpoint at the time of the send
 
-	// Estimates at the time of sending, in nanoseconds.
+	// Estimates at the time of the send, in nanoseconds.
 	work            float64
 	predictedNanos  float64
-	unloadedNanos   float64 // its latency with nothing else at the endpoint
-	classDelayNanos float64 // what its class and tenant wait at any endpoint
+	unloadedNanos   float64 // latency with no other request at the endpoint
+	classDelayNanos float64 // delay of the class and tenant at every endpoint
 
-	workIsProvisional bool // work is from fewer answers than tell the work of its class
+	workIsProvisional bool // work is from too few responses to know the work of its class
 	inFlight          bool
-	outcome           Outcome // once it has ended
-	mayHaveRun        bool    // it ended, and may have been executed
-	hadAffinity       bool    // of its key
-	countedOverdue    bool    // overdue at an endpoint that answered others, and counted so
-	connectionDead    bool    // its connection was dead when used
+	outcome           Outcome // valid after the end
+	mayHaveRun        bool    // the attempt ended and may have been executed
+	hadAffinity       bool    // sent to an affinity endpoint of its key
+	countedOverdue    bool    // overdue at an endpoint that answered others, and counted against it
+	connectionDead    bool    // the connection was dead when used
 }
 
-// requestTable holds the requests that are not at their end.
+// requestTable contains the requests that have not ended.
 type requestTable struct {
 	byID           map[RequestID]*request
 	byOverdueTimer map[uint64]*request
@@ -67,7 +67,7 @@
 	}
 }
 
-// overdueTimer returns the number of the request's timer, a new one at its first use.
+// overdueTimer returns the ID of the request's timer and allocates it on first use.
 func (t *requestTable) overdueTimer(req *request) uint64 {
 	if req.overdueTimer == 0 {
 		req.overdueTimer = t.nextTimer
@@ -87,7 +87,7 @@
 		delayGroups:       b.admission.delays.GroupsOf(arrived.Class, arrived.Tenant),
 	}
 	if arrived.StreamingBody {
-		// An endpoint begins it when its body is complete: until then it is no load.
+		// The endpoint starts processing when the body is complete; until then the attempt is no load.
 		req.loadPerAttempt = 0
 	}
 	objective := class.LatencyObjective
@@ -99,7 +99,7 @@
 	return req
 }
 
-// attemptInFlight returns the attempt with this number, or nil if none is in flight.
+// attemptInFlight returns the attempt with this number, or nil if it is not in flight.
 func (req *request) attemptInFlight(number int) *attempt {
 	if number < 0 || number >= len(req.attempts) || !req.attempts[number].inFlight {
 		return nil
@@ -121,7 +121,7 @@
 	req.delayGroups.AddInFlight(int64(now), -1)
 }
 
-// sendOrGiveUp sends the request to a drawn endpoint, or gives it up if no endpoint may get it.
+// sendOrGiveUp sends the request to a selected endpoint, or gives it up if there is no candidate.
 func (b *Balancer) sendOrGiveUp(now Time, req *request) {
 	ep, reason := b.selectEndpoint(now, req)
 	if ep == nil {
@@ -158,8 +158,8 @@
 	b.setOverdueTimer(now, req, ep, work)
 }
 
-// proceed continues a request after the end of one of its attempts: it is done, cannot be sent again, or is sent again
-// once nothing of it is in flight.
+// continueRequest handles a request after the end of an attempt: the request is finished, given up, or sent again once
+// it has no other attempt in flight.
 func (b *Balancer) continueRequest(now Time, req *request, result AttemptResult) {
 	switch {
 	case req.done:
@@ -176,7 +176,7 @@
 	}
 }
 
-// finish cancels the attempts that are still in flight for a request that has its final answer.
+// finish ends a request that has its final response and cancels its attempts in flight.
 func (b *Balancer) finish(req *request) {
 	req.done = true
 	for number := range req.attempts {
@@ -188,7 +188,7 @@
 	b.requests.removeIfIdle(req)
 }
 
-// forget drops a request that is done once nothing of it is in flight.
+// removeIfIdle removes a finished request once it has no attempt in flight.
 func (t *requestTable) removeIfIdle(req *request) {
 	if req.inFlight == 0 {
 		delete(t.byID, req.ID)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,23 +1,26 @@
 package policy
 
-// No request may run twice where that does harm. Inputs: the idempotency of the class, and of each earlier attempt
-// whether it may have run, when it was sent, and the zone and pod of its endpoint at that time. An attempt that
-// is in flight counts as one that may have run.
+// Retry rules: no request may run twice where that does harm. Inputs are the idempotency of the class and, for each
+// earlier attempt, whether it may have run, when it was sent, and the zone and pod of its endpoint at that time. An
+// attempt in flight counts as one that may have run.
 //
-//   - Idempotent: the request may be sent again, and rejected to the client, at any time.
-//   - Idempotent by key: it may be sent again within the deduplication window to endpoints of the same deduplication
-//     group, and rejected within the window if all endpoints form one group, as the client's retry may go to any.
-//   - Non-idempotent: neither, once an attempt may have run.
+//   - Idempotent: the request may be sent again, or rejected to the client, at any time.
+//   - Idempotent by key: within the deduplication window it may be sent again to endpoints of the same deduplication
+//     group. Within the window it may be rejected only if all endpoints form one group, since the client's retry may
+//     reach any endpoint.
+//   - Non-idempotent: it may be neither sent again nor rejected once an attempt may have run.
 //
-// To give up a request is to end it now: with Effects.Reject (503) where the client may retry, else with Effects.Fail
-// (502). A request that no endpoint may get is given up at once; nothing waits without an attempt in flight.
-// docs/design.md: "Retry and giving up".
+// Giving up a request ends it at once: with Effects.Reject (503) if the client may retry, otherwise with Effects.Fail
+// (502). A request without a candidate endpoint is given up immediately; no request waits without an attempt in flight.
+//
+// See docs/design.md: "Retry and giving up".
 
-// maxClassDelayFraction is the part of its latency objective that a class may wait at any endpoint for a cause of its own and
-// still count for the success rate by which the other classes make room for it (latencyBudget).
+// maxClassDelayFraction is the maximum delay of a class at every endpoint, relative to its latency objective, at which
+// its requests that are given up still lower its success rate. Other classes reduce their latency budget for a class
+// with a low success rate (latencyBudget).
 const maxClassDelayFraction = 0.5
 
-// forbiddenReason returns why the request must not be sent to an endpoint now; ReasonNone: it may.
+// forbiddenReason returns why the request must not be sent to an endpoint now, or ReasonNone if it may.
 func (b *Balancer) forbiddenReason(now Time, req *request, ep *endpoint) Reason {
 	if ep.State != StateActive {
 		return ReasonNoEndpoint
@@ -37,8 +40,9 @@
 	return ReasonNone
 }
 
-// mayReuseLastEndpoint reports whether a request may go to the endpoint of its last attempt once more, where no other may get it. It
-// may if that attempt ended by what became of its connection, or was never sent: that says little of the endpoint.
+// mayReuseLastEndpoint reports whether a request may be sent again to the endpoint of its last attempt if no other
+// endpoint may get it. It may, once, if that attempt was never sent, was canceled or lost its connection, since such
+// outcomes say little about the endpoint.
 func (req *request) mayReuseLastEndpoint() bool {
 	last := len(req.attempts) - 1
 	if last > 0 && req.attempts[last-1].endpoint == req.attempts[last].endpoint {
@@ -64,7 +68,7 @@
 	}
 }
 
-// deduplicates reports whether endpoints still remember an attempt that was sent at sentAt.
+// deduplicates reports whether the deduplication window of an attempt sent at sentAt is still open.
 func (c *Class) deduplicates(now, sentAt Time) bool {
 	return now.Sub(sentAt) < c.DedupWindow
 }
@@ -80,8 +84,8 @@
 	}
 }
 
-// MayReject reports whether a client may be told that a retry does no harm. Attempts are those of its request so far;
-// inspect returns when one was sent, and whether it may have run; one in flight may.
+// MayReject reports whether the client may be told that a retry is harmless. attempts are the attempts of the request
+// so far; inspect returns when an attempt was sent and whether it may have run, which is true for an attempt in flight.
 func MayReject[A any](class *Class, now Time, attempts []A, inspect func(*A) (sentAt Time, mayHaveRun bool)) bool {
 	if class.Idempotency == Idempotent {
 		return true
@@ -97,12 +101,12 @@
 	return true
 }
 
-// giveUp answers the client at once: it rejects the request if a retry does no harm, else it fails it.
+// giveUp ends the request with a response to the client: a rejection if a retry is harmless, otherwise a failure.
 func (b *Balancer) giveUp(now Time, req *request, reason Reason) {
 	req.delayGroups.CountGivenUp()
 	if reason.isLoadRelated() && req.delayGroups.Delay(int64(now)) < maxClassDelayFraction*float64(req.classSettings.LatencyObjective) {
-		// Guards against other classes being shed in vain: one that waits for a cause of its own, such as a slow
-		// dependency, would not succeed on endpoints with less load either.
+		// A class that is delayed for a reason of its own, such as a slow dependency, would not succeed at less loaded
+		// endpoints either. Other classes must not be shed in vain for it.
 		b.estimator.classes[req.Class].RecordResult(false)
 	}
 	if MayReject(req.classSettings, now, req.attempts, (*attempt).executionInfo) {
@@ -113,7 +117,7 @@
 	b.finish(req)
 }
 
-// executionInfo returns when an attempt was sent, and whether it may have run.
+// executionInfo returns when an attempt was sent and whether it may have run.
 func (a *attempt) executionInfo() (sentAt Time, mayHaveRun bool) {
 	return a.sentAt, a.inFlight || a.mayHaveRun
 }
--- a/policy/runtime.go
+++ b/policy/runtime.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// Time is a moment of the caller's clock, in nanoseconds since the Unix epoch. The clock never goes back while an
-// instance runs; start times of endpoints are moments of the same clock.
+// Time is a time of the caller's clock, in nanoseconds since the Unix epoch. The clock never goes back during the
+// lifetime of a Balancer. Start times of endpoints are on the same clock.
 type Time int64
 
-// Add returns the moment so long after t.
+// Add returns the time t+d.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
 
-// Sub returns the time from u to t.
+// Sub returns the duration t-u.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// RequestID names a request at this node, as the client does.
+// RequestID identifies a request at this node.
 type RequestID string
 
-// EndpointID names an endpoint, alike at every node.
+// EndpointID identifies an endpoint; it is the same on every node.
 type EndpointID uint32
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState uint8
 
-// The states. Nothing new is sent to one that is draining or removed.
+// States of an endpoint. A draining or removed endpoint gets no new attempts.
 const (
 	StateActive EndpointState = iota
 	StateDraining
 	StateRemoved
 )
 
-// String names the state for logs and tests.
+// String returns the name of the state for logs and tests.
 func (s EndpointState) String() string {
 	return enumName([]string{"active", "draining", "removed"}, int(s))
 }
 
-// Outcome is how an attempt or a health check ended.
+// Outcome is the result of an attempt or a health check.
 type Outcome uint8
 
-// The outcomes. OutcomeRejected, OutcomeConnectFailed and OutcomeNotSent prove that the attempt never ran; after all
-// others, OutcomeUnknown among them, it may have run.
+// Outcomes. OutcomeRejected, OutcomeConnectFailed and OutcomeNotSent prove that the attempt was not executed. After any
+// other outcome, including OutcomeUnknown, it may have been executed.
 const (
 	OutcomeUnknown       Outcome = iota
-	OutcomeSucceeded             // a complete answer
-	OutcomeError                 // the endpoint answered with an error
-	OutcomeRejected              // the endpoint refused it without running it: its queue is full, or it drains
-	OutcomeTimedOut              // no answer in time
+	OutcomeSucceeded             // complete response
+	OutcomeError                 // error response of the endpoint
+	OutcomeRejected              // refused by the endpoint without being executed: its queue is full, or it is draining
+	OutcomeTimedOut              // no response in time
 	OutcomeConnectFailed         // no connection in time
-	OutcomeReset                 // the connection ended with the attempt in flight
+	OutcomeReset                 // connection closed while the attempt was in flight
 	OutcomeCanceled              // canceled by Effects.Cancel
 	OutcomeNotSent               // never sent
 )
 
-// String names the outcome for logs and tests.
+// String returns the name of the outcome for logs and tests.
 func (o Outcome) String() string {
 	return enumName([]string{
 		"unknown", "succeeded", "error", "rejected", "timed out", "connect failed", "reset", "canceled", "not sent",
 	}, int(o))
 }
 
-// MayHaveRun reports whether an attempt that ended so may have been executed.
+// MayHaveRun reports whether an attempt with this outcome may have been executed.
 func (o Outcome) MayHaveRun() bool {
 	return o != OutcomeRejected && o != OutcomeConnectFailed && o != OutcomeNotSent
 }
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("%d", i)
 }
 
-// EndpointInfo is one line of the endpoint list.
+// EndpointInfo is one entry of the endpoint list.
 type EndpointInfo struct {
 	ID        EndpointID
 	Zone, Pod int
@@ -81,66 +81,67 @@
 	StartedAt Time // 0: long ago
 }
 
-// Request is one request as it arrives.
+// Request is a request as it arrives from a client.
 type Request struct {
 	ID            RequestID
 	Class, Tenant int
-	Deadline      Time          // the client gives up
-	ClientRetry   bool          // the client says that it sent the request before
-	StreamingBody bool          // its body is still coming from the client
-	CostHint      time.Duration // expected work at an endpoint; 0: not known
-	Key           string        // what the request concerns, for affinity; may be empty
+	Deadline      Time          // when the client gives up
+	ClientRetry   bool          // the client marked the request as a retry
+	StreamingBody bool          // the body is still being received from the client
+	CostHint      time.Duration // expected work at an endpoint; 0: unknown
+	Key           string        // affinity key; may be empty
 }
 
-// LoadReport holds the load values that came with an answer or a health check; a negative one was not sent.
+// LoadReport contains the load values of a response or a health check. A negative value means that it was not reported.
 type LoadReport struct {
-	Utilization float64 // part of the endpoint's processors in use
-	QueueLength float64 // requests queued
+	Utilization float64 // fraction of the endpoint's processors in use
+	QueueLength float64 // number of queued requests
 	ServiceTime float64 // recent service time, in milliseconds
 }
 
-// AttemptResult is how one attempt ended.
+// AttemptResult describes the end of one attempt.
 type AttemptResult struct {
 	Request       RequestID
-	Attempt       int // which attempt of its request, from 0
+	Attempt       int // index of the attempt within its request, from 0
 	Endpoint      EndpointID
 	Outcome       Outcome
 	Elapsed       time.Duration
-	RequestDone   bool // the request has its final answer
-	BodyConsumed  bool // the request can't be sent again, as its body is held no more
-	NewConnection bool // a connection was opened for the attempt, which takes a time of its own
+	RequestDone   bool // the client has its final response
+	BodyConsumed  bool // the request cannot be sent again, since its body is no longer buffered
+	NewConnection bool // a connection was opened for the attempt, which adds to its latency
 	Report        LoadReport
 }
 
-// GossipMessage is what one node sends to the others: an endpoint fails a class, or a connection was dead when used.
+// GossipMessage is a message to other nodes: an endpoint fails a class, or a connection was dead when used.
 type GossipMessage struct {
 	Endpoint EndpointID
 	Class    int
-	IdleTime time.Duration // for how long the dead connection had been idle; 0: an endpoint fails Class
+	IdleTime time.Duration // how long the dead connection had been idle; 0: Endpoint fails Class
 }
 
-// Effects carries out what the decisions ask for. Its methods are called from within the Balancer's event methods, take
-// effect at the time of the event, and must not call back.
+// Effects carries out the decisions of a Balancer. Its methods are called from within the Balancer's event methods,
+// take effect at the time of the event, and must not call back into the Balancer.
 type Effects interface {
-	// Send starts the next attempt of a request; an AttemptResult follows, by the end of timeout at the latest.
+	// Send starts the next attempt of a request. Its AttemptResult follows no later than after timeout.
 	Send(request RequestID, endpoint EndpointID, timeout time.Duration)
-	// Cancel ends an attempt in flight, named by its number from 0; its AttemptResult still follows.
+	// Cancel cancels an attempt in flight, given by its index. Its AttemptResult still follows.
 	Cancel(request RequestID, attempt int)
-	// Reject answers the client (503) that a retry does no harm, after retryAfter; 0: no advice. The reason is for
-	// operators alone.
+	// Reject sends the client a 503 response, which says that a retry after retryAfter is harmless; 0 means no
+	// Retry-After. The reason is for operators only.
 	Reject(request RequestID, retryAfter time.Duration, reason Reason)
-	// Fail answers the client (502) that the request may have run. The reason is for operators alone.
+	// Fail sends the client a 502 response, which says that the request may have been executed. The reason is for
+	// operators only.
 	Fail(request RequestID, reason Reason)
-	// SetTimer has Balancer.TimerFired called with the number at a moment.
+	// SetTimer calls Balancer.TimerFired with the timer's ID at the given time.
 	SetTimer(at Time, timer uint64)
-	// WatchEndpoints asks for a watch: a long-lived call for the endpoint list and what changes in it. Where the list
-	// has to be polled (Settings.MustPollList), the caller watches only when asked; where updates are pushed, it
-	// watches by itself. A watch that fails is reported to Balancer.WatchFailed.
+	// WatchEndpoints starts a watch: a long-lived call that returns the endpoint list and its changes. Where the list
+	// must be polled (Settings.MustPollList), the caller watches only after this call; where updates are pushed, it
+	// watches on its own. A failed watch must be reported to Balancer.WatchFailed.
 	WatchEndpoints()
-	// CloseIdle closes the connections to an endpoint that are idle.
+	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle(endpoint EndpointID)
-	// CheckHealth asks an endpoint for its load; Balancer.HealthChecked follows.
+	// CheckHealth requests the load of an endpoint. Balancer.HealthChecked follows.
 	CheckHealth(endpoint EndpointID)
-	// Gossip sends a message to every other node; it may be lost.
+	// Gossip sends a message to every other node. Messages may be lost.
 	Gossip(GossipMessage)
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -6,62 +6,67 @@
 	"slices"
 )
 
-// Selection draws the endpoint of an attempt. The candidates are the endpoints of the subset, and the homes of the
-// request's key, that the request may go to and that are expected to answer in time. Each has a weight w, its load with
-// some adjustments, and is drawn with a chance of (1/w) over the sum of all 1/w: the paper's formulas 2 to 6 (section
-// VIII.A; the package comment names the paper), without its sorting, which changes no chance. Where there is no
-// candidate, up to three further rounds ask for less. Nothing is drawn after the request's effective deadline.
-// docs/design.md: "Selection, from the paper", "Rules that adjust w", "Candidates".
+// Selection draws the endpoint of an attempt at random. Candidates are the endpoints of the subset, and the affinity
+// endpoints of the request's key, that the retry rules allow and that are predicted to respond in time. Each candidate
+// has a weight w, its adjusted load, and is drawn with probability (1/w) / (sum of all 1/w). These are the paper's
+// formulas 2 to 6 (section VIII.A; see the package comment) without its sorting, which does not change the
+// probabilities. If a round finds no candidate, up to three more rounds with weaker criteria follow. Nothing is
+// selected after the effective deadline of the request.
+//
+// See docs/design.md: "Selection, from the paper", "Rules that adjust w", "Candidates".
 
 const (
-	// selectionWindow bounds the endpoints that are weighed, so that a request costs no more in a large fleet.
+	// selectionWindow is the maximum number of endpoints considered in the first rounds, which bounds the cost per
+	// request in a large fleet.
 	selectionWindow = 32
-	// weightFloorDivisor: w is at least the mean load over this.
+	// weightFloorDivisor divides the mean load to get the lower bound of w.
 	weightFloorDivisor = 20
-	// preferredWeightDivisor divides w where the endpoint should be drawn nearly always: in slow start with credit, and at
-	// the home of the key. It is the product of the floors of load and slowness, so an endpoint with the mean load and
-	// the usual latency gets the w of one at both floors.
+	// preferredWeightDivisor divides w of an endpoint that should nearly always be drawn: one in slow start with
+	// credit, or an affinity endpoint. It is the product of the divisors of the lower bounds of load and slowness, so
+	// that an endpoint with the mean load and usual latency gets the same w as one at both lower bounds.
 	preferredWeightDivisor = weightFloorDivisor * weightFloorDivisor
-	// settlingTime is how long ago the reports of an endpoint have to have risen first: until then a load below the
-	// mean is taken for the mean.
+	// settlingTime is the time since the first rise of the reported load after which a load below the mean is trusted.
+	// Before, it counts as the mean load.
 	settlingTime = 3 * recalculationInterval
-	// otherZoneFactor multiplies w of an endpoint in another zone: crossing costs time, but a zone that is overloaded
-	// still spills over. Half of it or twice as much made little difference (docs/design.md: "Figures of the rules").
+	// otherZoneFactor multiplies w of an endpoint in another zone. Crossing zones takes time, but an overloaded zone
+	// can still spill over. Half or twice the value made little difference (docs/design.md: "Figures of the rules").
 	otherZoneFactor = 6
 )
 
-// selectionRound says how much is asked of a candidate. An endpoint that is ejected for the class is not held to the
-// prediction in any round: it is a candidate for a trial, or in the last round as a last resort (mayTryEjected).
+// selectionRound determines the criteria for candidates. In any round, an endpoint that is ejected for the class does
+// not need to be predicted in time: it may be a candidate for a trial, or in the last round as a last resort
+// (mayTryEjected).
 type selectionRound int
 
 const (
-	roundByObjective selectionRound = iota // predicted in time for the latency objective, of the window
-	roundByDeadline                        // predicted in time for the effective deadline, of the window
-	roundWholeSubset                       // the same, of the complete subset
-	roundLastResort                        // the same, ejected endpoints that this node knows well, and the last one again
+	roundByObjective selectionRound = iota // window; predicted in time for the latency objective
+	roundByDeadline                        // window; predicted in time for the effective deadline
+	roundWholeSubset                       // whole subset; predicted in time for the effective deadline
+	roundLastResort                        // as before, plus well-measured ejected endpoints and the last one
 	selectionRoundCount
 )
 
-// selector holds the candidates of the draw at hand and their weights; its memory is used again.
+// selector holds the candidates and weights of the current draw. Its memory is reused.
 type selector struct {
 	candidates []*endpoint
 	weights    []float64
-	reason     Reason // why the endpoint that came closest is no candidate
+	reason     Reason // why the endpoint that came closest is not a candidate
 }
 
-// criteria is what makes an endpoint a candidate for a request in one round.
+// criteria are the conditions under which an endpoint is a candidate for a request in one round.
 type criteria struct {
 	now     Time
 	request *request
 	round   selectionRound
-	work    float64 // of the request where its key is not at home, in nanoseconds
+	work    float64 // of the request without affinity, in nanoseconds
 
-	// A candidate's predicted latency, for latencyFactor times the work, and classDelayNanos end within the budget.
+	// A candidate is predicted in time if its latency for latencyFactor times the work, plus classDelayNanos, is within
+	// budgetNanos.
 	latencyFactor   float64
-	classDelayNanos float64 // what the class and the tenant wait at any endpoint
+	classDelayNanos float64 // delay of the class and tenant at every endpoint
 	budgetNanos     float64
-	overQuota       bool      // the tenant is over its quota, and that shortens the budget
-	onlyActive      *endpoint // in the last round: the only active one, which has no peers to be judged by; nil: none
+	overQuota       bool      // the tenant is over its quota, which shortens the budget
+	onlyActive      *endpoint // in the last round, the only active endpoint, which has no peers for comparison; otherwise nil
 }
 
 // selectEndpoint returns the endpoint for the request's next attempt, or nil and the reason if there is none.
@@ -96,7 +101,7 @@
 	return nil, b.selector.reason
 }
 
-// criteriaFor returns what all rounds share of the criteria for a request.
+// criteriaFor returns the criteria for a request that are the same in all rounds.
 func (b *Balancer) criteriaFor(now Time, req *request) criteria {
 	return criteria{
 		now:             now,
@@ -108,8 +113,8 @@
 	}
 }
 
-// hasAlternative reports whether an endpoint other than that of the request's last attempt would be a candidate if that
-// attempt ended now. It is asked for idempotent requests with one attempt in flight. Endpoints of last resort are none.
+// hasAlternative reports whether an endpoint other than that of the last attempt would be a candidate if that attempt
+// ended now. It is called for idempotent requests with one attempt in flight. Endpoints of last resort do not count.
 func (b *Balancer) hasAlternative(now Time, req *request) bool {
 	if now >= req.effectiveDeadline || b.overload.shedsAll(now) || len(req.attempts) >= b.settings.MaxAttempts {
 		return false
@@ -124,9 +129,9 @@
 	return slices.ContainsFunc(b.subset.members, isAlternative) || slices.ContainsFunc(b.affinity.endpoints, isAlternative)
 }
 
-// selectionPool returns the endpoints that the request is drawn from, and the window of them that the first rounds
-// weigh. A window is a run of neighbors by rank, which says nothing of their load. A retry that is idempotent by key is
-// drawn from all endpoints, as its deduplication group may lie outside the subset.
+// selectionPool returns the endpoints that may be selected for the request, and the window of them that the first
+// rounds consider. A window is a range of neighbors by rank; rank is independent of load. A retry of a request that is
+// idempotent by key may go to any endpoint, since its deduplication group may lie outside the subset.
 func (b *Balancer) selectionPool(req *request) (all, window []*endpoint) {
 	if len(req.attempts) > 0 && req.classSettings.Idempotency == IdempotentByKey {
 		return b.endpoints.all, b.endpoints.all
@@ -161,8 +166,8 @@
 	b.selector.reason = max(b.selector.reason, reason)
 }
 
-// exclusion returns why an endpoint is no candidate: the rules do not let the request go to it, or it is not expected to
-// answer in time. ReasonNone: it is one.
+// exclusionReason returns why an endpoint is not a candidate: the retry rules forbid it, or it is not expected to
+// respond in time. It returns ReasonNone for a candidate.
 func (b *Balancer) exclusionReason(c *criteria, ep *endpoint) Reason {
 	if reason := b.forbiddenReason(c.now, c.request, ep); reason != ReasonNone {
 		return reason
@@ -173,8 +178,9 @@
 	return b.unavailableReason(c, ep)
 }
 
-// unpromising returns why an endpoint is not expected to answer in time, whatever the earlier attempts of the request.
-// An ejected endpoint is held to no prediction, as what is predicted of it may be what ejected it.
+// unavailableReason returns why an endpoint is not expected to respond in time, regardless of the earlier attempts of
+// the request. The prediction is not applied to an ejected endpoint, since the cause of the ejection may also have
+// raised it.
 func (b *Balancer) unavailableReason(c *criteria, ep *endpoint) Reason {
 	if c.now < ep.backoffUntil {
 		return ReasonBackoff
@@ -202,8 +208,8 @@
 	}
 }
 
-// lastEndpoint returns the endpoint of the last attempt, to which the next one goes as a last resort only (mayReuseLastEndpoint); nil
-// before the first.
+// lastEndpoint returns the endpoint of the last attempt, or nil before the first one. The next attempt goes to it only
+// as a last resort (mayReuseLastEndpoint).
 func (req *request) lastEndpoint() *endpoint {
 	if len(req.attempts) == 0 {
 		return nil
@@ -211,7 +217,7 @@
 	return req.attempts[len(req.attempts)-1].endpoint
 }
 
-// computeWeights works out w of the candidates, against the mean load of the endpoints that they were taken from.
+// computeWeights calculates w of the candidates, relative to the mean load of the pool that they were taken from.
 func (b *Balancer) computeWeights(now Time, pool []*endpoint) {
 	mean := meanLoad(pool)
 	s := &b.selector
@@ -221,13 +227,13 @@
 	}
 }
 
-// weight returns w, the cost of drawing an endpoint; the lowest are drawn most often. It is the product of
+// weight returns w of an endpoint; the endpoints with the lowest w are drawn most often. It is the product of
 //
 //	load          its load, at least a twentieth of the mean; at least the mean until its reports are trusted
-//	slowness²     its latency for each unit of work over that of the fleet; the square is at least a twentieth
-//	1/size        where the endpoint list states sizes
-//	1/400         in slow start; only one with credit is a candidate
-//	1/400         at a home of the request's key
+//	slowness²     its latency per unit of work relative to the fleet's; the square is at least a twentieth
+//	1/size        where the endpoint list contains sizes
+//	1/400         in slow start; only an endpoint with credit is a candidate
+//	1/400         for an affinity endpoint of the request's key
 //	(1+n)²        n: attempts of this node in flight there
 //	6             in another zone
 func (b *Balancer) weight(now Time, ep *endpoint, meanLoad float64) float64 {
@@ -235,20 +241,20 @@
 	if ep.isLoadSettling(now) {
 		w = max(w, meanLoad)
 	}
-	// Load reports do not show that an endpoint is slow. The square, as a slow one that gets its part by speed would
-	// still answer too late.
+	// Load reports do not show that an endpoint is slow. Slowness is squared because a slow endpoint would still
+	// respond too late if it got requests in proportion to its speed.
 	slowness := ep.podLatency.MeanRatio() * ep.Latency.MeanRatio()
 	w *= max(slowness*slowness, 1.0/weightFloorDivisor)
 	if b.settings.WeightIsSize && ep.Weight > 0 {
 		w /= ep.Weight
 	}
 	if b.slowStart.capacity(now, ep) < 1 {
-		w /= preferredWeightDivisor // by its load it would hardly be drawn, and so not warm up
+		w /= preferredWeightDivisor // its load alone would rarely select it, and it would not warm up
 	}
 	if ep.hasAffinity {
 		w /= preferredWeightDivisor
 	}
-	// Guards against all requests going to one endpoint between two of its reports, or to the home of a key.
+	// Prevents all requests from going to one endpoint between two of its reports, or to a single affinity endpoint.
 	w *= (1 + float64(ep.inFlight)) * (1 + float64(ep.inFlight))
 	if ep.Zone != b.settings.Zone {
 		w *= otherZoneFactor
@@ -256,7 +262,7 @@
 	return w
 }
 
-// draw returns a candidate with a chance proportional to 1/w.
+// draw returns a candidate with a probability proportional to 1/w.
 func (s *selector) draw(random *rand.Rand) *endpoint {
 	sum := 0.0
 	for _, w := range s.weights {
@@ -272,7 +278,7 @@
 	return s.candidates[len(s.candidates)-1]
 }
 
-// meanLoad is the mean load of the endpoints that have sent a report; 1 if none has, or all are idle.
+// meanLoad returns the mean load of the endpoints that have sent a report; 1 if none has, or if all are idle.
 func meanLoad(endpoints []*endpoint) float64 {
 	sum, reporting := 0.0, 0.0
 	for _, ep := range endpoints {
@@ -284,7 +290,8 @@
 	return cmp.Or(sum/max(reporting, 1), 1)
 }
 
-// isLoadSettling reports whether an endpoint has not sent reports long enough to trust a low one.
+// isLoadSettling reports whether a low load of an endpoint cannot be trusted yet, since its reported load has not risen
+// for the first time or only recently.
 func (ep *endpoint) isLoadSettling(now Time) bool {
 	return !ep.HasReport || ep.firstRiseAt == 0 || now.Sub(ep.firstRiseAt) < settlingTime
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,110 +2,114 @@
 
 import "time"
 
-// Idempotency says what running a request twice does.
+// Idempotency is the effect of running a request twice.
 type Idempotency uint8
 
-// The kinds of idempotency. A request that is idempotent by key is run once by endpoints that share a deduplication
-// group, for the deduplication window of its class.
+// Kinds of idempotency. A request that is idempotent by key runs only once at endpoints that share a deduplication
+// group, within the deduplication window of its class.
 const (
 	Idempotent Idempotency = iota
 	IdempotentByKey
 	NonIdempotent
 )
 
-// String names the kind for logs and tests.
+// String returns the name of the kind for logs and tests.
 func (i Idempotency) String() string {
 	return enumName([]string{"idempotent", "idempotent by key", "non-idempotent"}, int(i))
 }
 
-// DedupGroup says which endpoints drop a repeat of a request that is idempotent by key.
+// DedupGroup is the set of endpoints that drop duplicates of a request that is idempotent by key.
 type DedupGroup uint8
 
-// The deduplication groups: every endpoint, those of one zone, or those of one pod.
+// Deduplication groups: all endpoints, those of one zone, or those of one pod.
 const (
 	DedupFleet DedupGroup = iota
 	DedupZone
 	DedupPod
 )
 
-// String names the group for logs and tests.
+// String returns the name of the group for logs and tests.
 func (g DedupGroup) String() string { return enumName([]string{"fleet", "zone", "pod"}, int(g)) }
 
-// Class is what the settings say of one class of requests.
+// Class contains the settings of one class of requests.
 type Class struct {
-	// LatencyObjective is the time after arrival within which an answer has its full value.
+	// LatencyObjective is the time after arrival within which a response has its full value.
 	LatencyObjective time.Duration
-	// Idempotency decides whether a request that may have run can be sent again.
+	// Idempotency determines whether a request that may have run can be sent again.
 	Idempotency Idempotency
-	// DedupGroup and DedupWindow are read for IdempotentByKey alone: who drops a repeat, and for how long after the
-	// first attempt that may have run.
+	// DedupGroup and DedupWindow apply to IdempotentByKey only: which endpoints drop a duplicate, and for how long
+	// after the first attempt that may have run.
 	DedupGroup  DedupGroup
 	DedupWindow time.Duration
-	// PriorityWeight is the value of an answer within the objective: of each request, or of each unit of its work where
+	// PriorityWeight is the value of a response within the objective, per request, or per unit of work if
 	// Settings.WeightByWork is set. Values are relative to those of other classes.
 	PriorityWeight float64
-	// LateFraction is the part of PriorityWeight that an answer between objective and deadline still has; 0: none.
+	// LateFraction is the fraction of PriorityWeight that a response between objective and deadline has, 0 to 1; with
+	// 0, late responses have no value.
 	LateFraction float64
 }
 
-// Settings are what the decisions read of the deployment. They are decoded once, at the start of an instance.
+// Settings are the properties of the deployment that a Balancer depends on. They do not change during its lifetime.
 type Settings struct {
-	// Classes of requests; Request.Class is an index into them.
+	// Classes are the classes of requests. Request.Class is an index into them.
 	Classes []Class
-	// TenantShares is the part of all requests that each tenant may send at their full value; Request.Tenant is an
-	// index.
+	// TenantShares is the fraction of all requests that each tenant may send at full value. Request.Tenant is an index
+	// into it.
 	TenantShares []float64
-	// OverQuotaFraction is the part of its value that a request beyond its tenant's share has.
+	// OverQuotaFraction is the relative value of a request over its tenant's share, 0 to 1.
 	OverQuotaFraction float64
-	// WorstClassWeight is how much the class with the lowest success rate counts in the operators' goal, 0 to 1.
+	// WorstClassWeight is the weight of the class with the lowest success rate in the operators' goal, 0 to 1.
 	WorstClassWeight float64
-	// NodeIndex is this node's place among all nodes, from 0, which ranks the endpoints for its subset. It and
-	// NodeCount are static: nothing follows nodes that join or fail.
+	// NodeIndex is the index of this node among all nodes, from 0. It determines the rank of the endpoints for the
+	// subset. NodeIndex and NodeCount are static: they do not change when nodes join or fail.
 	NodeIndex int
-	// NodeCount is the number of nodes. It sizes the subset and bounds what this node may do as its part of all nodes:
-	// slow start in a cold fleet, tests of a class delay, and dead connections that nodes have to confirm.
+	// NodeCount is the number of nodes. It affects the subset size and limits this node's share of actions that all
+	// nodes take: slow start in a cold fleet, tests of a class delay, and the number of nodes that must confirm dead
+	// connections.
 	NodeCount int
-	// StreamsPerConnection is how many attempts one connection carries at once.
+	// StreamsPerConnection is the maximum number of concurrent attempts on one connection.
 	StreamsPerConnection int
-	// Zone of this node; EndpointInfo.Zone is compared with it.
+	// Zone is the zone of this node. It is compared with EndpointInfo.Zone.
 	Zone int
-	// MaxAttempts bounds the attempts of one request, hedged ones among them.
+	// MaxAttempts is the maximum number of attempts of one request, including hedged ones.
 	MaxAttempts int
-	// ClockResolution is the shortest time that the caller's clock resolves.
+	// ClockResolution is the resolution of the caller's clock.
 	ClockResolution time.Duration
-	// MaxPollInterval is the longest time between two calls for the endpoint list, where MustPollList is set. The
-	// backoff after a failed watch is a part of it.
+	// MaxPollInterval is the maximum time between two polls of the endpoint list if MustPollList is set. The backoff
+	// after a failed watch is a fraction of it.
 	MaxPollInterval time.Duration
-	// SlowStartWindow is how long after its start an endpoint has its full capacity at the latest.
+	// SlowStartWindow is the time after its start after which an endpoint has its full capacity.
 	SlowStartWindow time.Duration
-	// SlowStartMinCapacity is the part of its capacity that an endpoint has from its start.
+	// SlowStartMinCapacity is the fraction of its full capacity that an endpoint has when it starts, 0 to 1.
 	SlowStartMinCapacity float64
-	// MaxRetryAfter bounds the Retry-After of a rejection to the client; 0: none is sent. The Balancer reads it alone.
+	// MaxRetryAfter is the maximum Retry-After of a rejection; with 0, none is sent. The Balancer uses it without
+	// reading MaySetRetryAfter.
 	MaxRetryAfter time.Duration
 
-	// MustPollList: the endpoint list has to be polled, or no update comes.
+	// MustPollList means that the endpoint list must be polled. Otherwise updates are pushed.
 	MustPollList bool
-	// RemovedMayServe: an endpoint that the list lacks may still be sent to; only a listing as draining binds.
+	// RemovedMayServe means that an endpoint missing from the list may still get requests. Only the draining state is
+	// binding.
 	RemovedMayServe bool
-	// WeightIsSize: EndpointInfo.Weight is the size of an endpoint, relative to others.
+	// WeightIsSize means that EndpointInfo.Weight is the size of an endpoint relative to others.
 	WeightIsSize bool
-	// KeyAffinity: an endpoint that served a key lately serves it for less work.
+	// KeyAffinity means that an endpoint that served a key recently needs less work to serve it again.
 	KeyAffinity bool
-	// WeightByWork: PriorityWeight is of a unit of work, not of a request.
+	// WeightByWork means that PriorityWeight is per unit of work instead of per request.
 	WeightByWork bool
-	// MayHedge: two attempts of a request may be in flight at once.
+	// MayHedge allows two attempts of a request in flight at once.
 	MayHedge bool
-	// MayCancel: an attempt in flight may be canceled.
+	// MayCancel allows attempts in flight to be canceled.
 	MayCancel bool
-	// MaySetRetryAfter: a rejection may carry a Retry-After. Where it is not set, MaxRetryAfter is 0. The Balancer does
-	// not read it; the node does, for the rejections that it sends before the Balancer is asked.
+	// MaySetRetryAfter allows a Retry-After in rejections. If it is not set, MaxRetryAfter must be 0. The Balancer does
+	// not read it; the node does, for rejections that it sends without asking the Balancer.
 	MaySetRetryAfter bool
-	// MayGossip: messages to other nodes are allowed.
+	// MayGossip allows messages to other nodes.
 	MayGossip bool
-	// MayCheckHealth: health checks are allowed.
+	// MayCheckHealth allows health checks.
 	MayCheckHealth bool
-	// HealthChecksReport: load reports come with health checks alone.
+	// HealthChecksReport means that load reports are sent with health checks only, not with responses.
 	HealthChecksReport bool
-	// ReportsUtilization and ReportsServiceTime: load reports carry these values.
+	// ReportsUtilization and ReportsServiceTime mean that load reports contain these values.
 	ReportsUtilization, ReportsServiceTime bool
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -5,37 +5,40 @@
 	"time"
 )
 
-// An endpoint in slow start gets the part of its fair share that a lower bound of its capacity allows. Inputs: its age,
-// the settings' window and least capacity, answers of warm endpoints, and the latencies of its own answers. It earns
-// credit, in requests of mean work, for each request that a warm endpoint answers, or, where less than half of the
-// subset is warm, for each arrival; it is a candidate only with credit for a full request, saves up no more than one,
-// and pays by the work of each.
+// An endpoint in slow start gets a fraction of its fair share of the requests, according to a lower bound of its
+// capacity. Inputs are its age, the window and minimum capacity in the settings, responses of warm endpoints, and the
+// latencies of its own responses. It earns credit, counted in requests of mean work, for each response of a warm
+// endpoint or, if less than half of the subset is warm, for each arriving request. It is a candidate only with credit
+// for a full request, accumulates no more than one, and spends credit according to the work of each request sent to it.
 //
-// The sum over all nodes stays within the endpoint's share, however many nodes there are: in each node
+// The sum over all nodes stays within the endpoint's share, whatever the number of nodes. In each node
 //
-//	credit = creditFraction(capacity) x answers of warm endpoints / number of warm endpoints in the subset,
+//	credit = creditFraction(capacity) x responses of warm endpoints / number of warm endpoints in the subset,
 //
-// which is proportional to the node's own traffic. Summed over the nodes it is creditFraction(capacity) times what an
-// average warm endpoint answers, and no warm endpoint answers more than it can carry. docs/design.md: "Slow start".
+// which is proportional to the node's own traffic. Summed over the nodes, this is creditFraction(capacity) times the
+// responses of an average warm endpoint, and no warm endpoint responds to more requests than it can handle.
+//
+// See docs/design.md: "Slow start".
 
 const (
-	// slowStartSafetyFactor is the part of its capacity that the coldest endpoint is used for; it rises to all of it.
+	// slowStartSafetyFactor is the fraction of its capacity that an endpoint is used for just after its start. The
+	// fraction rises to 1 with the capacity.
 	slowStartSafetyFactor = 0.75
-	// maxSlowStartBoost bounds what quick answers may raise the capacity to, over its lower bound.
+	// maxSlowStartBoost bounds how far fast responses can raise the capacity above its lower bound.
 	maxSlowStartBoost = 2
-	// minWarmConcurrency is a lower bound of the requests that a warm endpoint works on at a time.
+	// minWarmConcurrency is a lower bound of the number of requests that a warm endpoint processes concurrently.
 	minWarmConcurrency = 8
-	// unknownWorkDivisor: until the work of a request is known it is taken for the latency objective over this.
+	// unknownWorkDivisor divides the latency objective to get the assumed work of a request until the work is measured.
 	unknownWorkDivisor = 4
 )
 
 type slowStart struct {
 	window        time.Duration
-	minCapacity   float64 // part of the capacity at the start, 0 to 1
-	lastArrivalAt Time    // of a request that earned credit; 0: none has
+	minCapacity   float64 // fraction of the full capacity at the start, 0 to 1
+	lastArrivalAt Time    // last arrival that earned credit; 0: none
 }
 
-// capacity returns a lower bound of an endpoint's capacity, over that when it is warm; 1 when it is.
+// capacity returns a lower bound of an endpoint's capacity relative to its full capacity; 1 for a warm endpoint.
 func (s *slowStart) capacity(now Time, ep *endpoint) float64 {
 	age := now.Sub(ep.StartedAt)
 	if ep.StartedAt == 0 || age >= s.window {
@@ -44,14 +47,14 @@
 	return s.minCapacity + (1-s.minCapacity)*float64(max(age, 0))/float64(s.window)
 }
 
-// creditsArrivals reports whether arrivals earn credit in place of answers: the few endpoints that are warm can't set the
-// pace.
+// creditsArrivals reports whether credit is granted for arrivals instead of responses, because too few endpoints are
+// warm to be the reference.
 func (s *subset) creditsArrivals() bool {
 	warm := len(s.members) - len(s.warmingUp)
 	return 2*warm < len(s.members)
 }
 
-// grantCreditForResponse lets the endpoints in slow start earn their even part of a request that a warm endpoint answered.
+// grantCreditForResponse grants the endpoints in slow start an even share of a request that a warm endpoint answered.
 func (b *Balancer) grantCreditForResponse(now Time, answered *endpoint, work float64) {
 	if b.subset.creditsArrivals() || b.slowStart.capacity(now, answered) < 1 {
 		return
@@ -60,17 +63,17 @@
 	b.grantCredit(now, min(b.estimator.relativeWork(work), 1)/float64(warm))
 }
 
-// grantCreditForArrival lets them earn their even part of an arrival. It is bounded by this node's part of what a warm
-// endpoint carries at least since the last arrival: minWarmConcurrency x time / work, over the mean number of nodes that
-// use an endpoint, members x nodes / active endpoints. Guards against the first endpoints back after a loss of power
-// getting the requests of the entire fleet.
+// grantCreditForArrival grants the endpoints in slow start an even share of an arriving request. The share is limited
+// to this node's part of the requests that a warm endpoint can at least handle in the time since the last arrival:
+// minWarmConcurrency x time / work, divided by the mean number of nodes that use an endpoint, members x nodes / active
+// endpoints. This prevents the first endpoints back after a power outage from getting the requests of the entire fleet.
 func (b *Balancer) grantCreditForArrival(now Time) {
 	if !b.subset.creditsArrivals() {
 		return
 	}
 	s := &b.slowStart
 	members := len(b.subset.members)
-	// Read only until the first answer tells the mean work; any class would do as an estimate.
+	// Used only until the first response provides the mean work; the objective of any class would do.
 	objective := float64(b.settings.Classes[0].LatencyObjective)
 	work := cmp.Or(b.estimator.MeanWork, objective/unknownWorkDivisor)
 	nanosSinceLast := float64(now - cmp.Or(s.lastArrivalAt, now))
@@ -80,7 +83,7 @@
 	b.grantCredit(now, min(1/float64(members), maxCredit))
 }
 
-// grantCredit gives each endpoint in slow start its part of a warm endpoint's share, in requests.
+// grantCredit grants each endpoint in slow start its fraction of a warm endpoint's share, given in requests.
 func (b *Balancer) grantCredit(now Time, share float64) {
 	for _, ep := range b.subset.warmingUp {
 		capacity := b.slowStart.capacity(now, ep)
@@ -90,8 +93,9 @@
 	}
 }
 
-// creditFraction is the part of its share that an endpoint earns. Answers quicker than those of others raise it, as far as
-// there is evidence; late answers take the raise back.
+// creditFraction returns the fraction of a warm endpoint's share that an endpoint earns. Responses faster than those of
+// its peers raise it, to the extent that there are enough samples; slower responses reduce it again, down to the lower
+// bound.
 func creditFraction(capacity float64, ep *endpoint) float64 {
 	lowerBound := capacity * (slowStartSafetyFactor + (1-slowStartSafetyFactor)*capacity)
 	evidence := ep.Latency.Weight * smoothingFactor
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -1,42 +1,45 @@
 package policy
 
-// Each node sends to a subset of the endpoints: the first by its own rank, a hash of the node's index and the
-// endpoint's ID. Inputs: how many endpoints are active, how many nodes there are, and this node's requests per second.
-// The subset is as large as these ask for, counted in endpoints that are warm and healthy, and shrinks by one endpoint
-// a second at most. An endpoint that the list does not name as active is no member. Guards against hundreds of nodes
-// that each hold a connection to every endpoint and get few answers from any. docs/design.md: "Candidates".
+// Each node sends requests to a subset of the endpoints: the first ones by its own rank, a hash of the node's index and
+// the endpoint's ID. This avoids that each of hundreds of nodes holds a connection to every endpoint and gets few
+// responses from any. Inputs are the number of active endpoints, the number of nodes, and the requests per second of
+// this node. These determine the number of warm and healthy endpoints in the subset. It shrinks by at most one endpoint
+// per second. Endpoints that are not listed as active are not members.
+//
+// See docs/design.md: "Candidates".
 
 const (
 	minSubsetSize = 4
-	// requestRatePerEndpoint is how many requests a second make the subset larger by one endpoint.
+	// requestRatePerEndpoint is the number of requests per second for which the subset grows by one endpoint.
 	requestRatePerEndpoint = 8.0
-	// minNodesPerEndpoint is how many nodes use an endpoint at least, so that a few nodes use all.
+	// minNodesPerEndpoint is the minimum mean number of nodes that use an endpoint, so that a small number of nodes
+	// uses all endpoints.
 	minNodesPerEndpoint = 16
-	// maxWarmingUpFactor bounds the endpoints that are warming up, for each place in the subset: in a fleet that is cold
-	// as a whole each send would open a connection.
+	// maxWarmingUpFactor limits the members that are warming up, relative to the target size. Without the limit, in a
+	// fleet that is cold as a whole, every send would open a new connection.
 	maxWarmingUpFactor = 4
-	// requestRateWindowSeconds is over how many seconds the request rate is averaged.
+	// requestRateWindowSeconds is the window of the average request rate.
 	requestRateWindowSeconds = 8
 )
 
-// subset is the endpoints that this node uses.
+// subset contains the endpoints that this node uses.
 type subset struct {
 	members         []*endpoint // by rank
-	warmingUp       []*endpoint // those of members that are in slow start
-	targetSize      int         // how many warm and healthy members are wanted
+	warmingUp       []*endpoint // members in slow start
+	targetSize      int         // wanted number of warm and healthy members
 	activeEndpoints float64     // on the list
-	requestRate     float64     // requests a second, averaged
+	requestRate     float64     // average requests per second
 	arrivals        int         // requests since the last tick
 }
 
-// updateSubset chooses the members again, by rank, and closes the connections to those that are none any more.
+// updateSubset recalculates the members by rank and closes the connections to endpoints that are no longer members.
 func (b *Balancer) updateSubset(now Time) {
 	b.subset.resize(b.endpoints.countActive(), max(b.settings.NodeCount, 1))
 	s := &b.subset
 	s.members = s.members[:0]
 	s.warmingUp = s.warmingUp[:0]
 	freePlaces := s.targetSize
-	replacements := s.targetSize/2 + 1 // further places for members that are of no use at the moment
+	replacements := s.targetSize/2 + 1 // extra members that make up for unhealthy ones
 	for _, ep := range b.endpoints.all {
 		wasMember := ep.inSubset
 		isWarmingUp := b.slowStart.capacity(now, ep) < 1
@@ -61,7 +64,8 @@
 	}
 }
 
-// resize follows what is wanted: up at once, down by one each time, as connections would be closed and opened again.
+// resize adjusts the target size: it grows immediately but shrinks by one per call, to avoid closing connections that
+// are soon opened again.
 func (s *subset) resize(activeEndpoints float64, nodes int) {
 	s.activeEndpoints = activeEndpoints
 	wanted := max(minSubsetSize+s.requestRate/requestRatePerEndpoint, minNodesPerEndpoint*activeEndpoints/float64(nodes))
@@ -80,16 +84,17 @@
 	return count
 }
 
-// closeUnusedConnections closes the idle connections to an endpoint that has left the subset. A connection that carries one
-// attempt at a time is left to age: that of a key's home would be closed each time.
+// closeUnusedConnections closes the idle connections to an endpoint that has left the subset. Connections that carry
+// one attempt at a time are left to expire. Otherwise those to an affinity endpoint outside the subset would be closed
+// each time.
 func (b *Balancer) closeUnusedConnections(ep *endpoint) {
 	if ep.lastUsedAt > 0 && ep.inFlight == 0 && b.settings.StreamsPerConnection > 1 {
 		b.closeIdle(ep)
 	}
 }
 
-// countArrival counts a request. The subset of a node that suddenly gets many grows before the second is over, or they
-// would overload its few endpoints.
+// countArrival counts a request. If the request rate of a node rises suddenly, its subset grows before the second is
+// over. Otherwise the node would overload its few endpoints.
 func (b *Balancer) countArrival(now Time) {
 	s := &b.subset
 	s.arrivals++
