--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// allow is the time that a request with so much left may be predicted to take.
+// remainingLatencyBudget returns the latency budget of a request for the time until its effective deadline.
 func (f *testFleet) remainingLatencyBudget(req *request) time.Duration {
 	return f.latencyBudget(req, req.effectiveDeadline.Sub(f.now))
 }
@@ -18,10 +18,10 @@
 		effectiveDeadline: fleet.now + 400*ms,
 	}
 	if got := fleet.remainingLatencyBudget(worstClassRequest); got != 400*ms {
-		t.Errorf("the starved class may take %d", got)
+		t.Errorf("got latency budget %v for the worst class, want 400ms", got)
 	}
 	if got := fleet.remainingLatencyBudget(betterClassRequest); got != 100*ms {
-		t.Errorf("the other may take %d, want a quarter of 400 ms", got)
+		t.Errorf("got latency budget %v for the class with the higher success rate, want 100ms", got)
 	}
 }
 
@@ -33,7 +33,7 @@
 		fleet.tick()
 	}
 	if got := fleet.remainingLatencyBudget(&request{Request: Request{Class: 1}, effectiveDeadline: fleet.now + 400*ms}); got < 380*ms {
-		t.Errorf("another class may take %d of 400 ms", got)
+		t.Errorf("got latency budget %v of 400ms with an idle class at success rate 0.01, want at least 380ms", got)
 	}
 }
 
@@ -47,7 +47,7 @@
 		return OutcomeSucceeded, 20 * ms
 	})
 	if fleet.rejected > 0 {
-		t.Errorf("%d of 600 requests were rejected on idle endpoints for the heavy ones among them", fleet.rejected)
+		t.Errorf("%d of 600 requests were rejected at idle endpoints because some were heavy, want 0", fleet.rejected)
 	}
 }
 
@@ -55,13 +55,13 @@
 	fleet := newTestFleet(t, 2, nil)
 	fleet.estimator.classes[0].LatencySpread = 5
 	for range 10 {
-		fleet.serve(1, respondPromptly) // a request now and then must not keep the bound up while most are rejected
+		fleet.serve(1, respondPromptly) // an occasional response must not keep the spread high while most requests are rejected
 		fleet.estimator.classes[0].GivenUpCount = 2
 		fleet.now += Time(tickInterval)
 		fleet.tick()
 	}
 	if fleet.estimator.classes[0].LatencySpread > 2.5 {
-		t.Errorf("the bound of an idle node is still %.1f of 5", fleet.estimator.classes[0].LatencySpread)
+		t.Errorf("got latency spread %.1f after ten seconds of rejections, starting at 5, want at most 2.5", fleet.estimator.classes[0].LatencySpread)
 	}
 	fleet.estimator.classes[0].LatencySpread = 3
 	for range 10 {
@@ -71,7 +71,7 @@
 	}
 	if fleet.estimator.classes[0].LatencySpread < 2.5 {
 		t.Errorf(
-			"the bound of a node that mostly has nothing out fell to %.1f of 3", fleet.estimator.classes[0].LatencySpread,
+			"got latency spread %.1f after ten seconds without rejections, starting at 3, want at least 2.5", fleet.estimator.classes[0].LatencySpread,
 		)
 	}
 }
@@ -79,13 +79,13 @@
 func TestTenantOverQuotaIsShedFirst(t *testing.T) {
 	fleet := newTestFleet(t, 2, func(s *Settings) { s.TenantShares, s.OverQuotaFraction = []float64{0.7, 0.3}, 0.2 })
 	exceeded := [2]int{}
-	for tenant := range 1000 { // both ask for as much
-		if fleet.admission.quotas.Exceeded(tenant%2, false) {
-			exceeded[tenant%2]++
+	for i := range 1000 { // both tenants send the same number of requests
+		if fleet.admission.quotas.Exceeded(i%2, false) {
+			exceeded[i%2]++
 		}
 	}
 	if exceeded[0] > 20 || exceeded[1] < 150 {
-		t.Errorf("beyond their shares: %d of the one below it, %d of the one above", exceeded[0], exceeded[1])
+		t.Errorf("got %d requests over quota below the share, want at most 20; got %d above it, want at least 150", exceeded[0], exceeded[1])
 	}
 	fleet.estimator.classes[0].SuccessRate = 0.5
 	within, over := &request{effectiveDeadline: fleet.now + 400*ms}, &request{
@@ -93,29 +93,29 @@
 		overQuota:         true,
 	}
 	if withinBudget, overBudget := fleet.remainingLatencyBudget(within), fleet.remainingLatencyBudget(over); withinBudget != 400*ms || overBudget != 100*ms {
-		t.Errorf("with half rejected a request within may take %d, one beyond %d", withinBudget, overBudget)
+		t.Errorf("got latency budget %v within quota and %v over quota, want 400ms and 100ms", withinBudget, overBudget)
 	}
 }
 
-// Guards against overload of work with hardly any priority weight holding up work with fifty times as much.
+// Guards against an overload of requests with little priority weight delaying requests with many times as much.
 func TestLowPriorityClassGetsSmallerLatencyBudget(t *testing.T) {
-	for worstClassWeight, wantMs := range map[float64]time.Duration{0.2: 225, 0.4: 400} { // of 400 ms, with half rejected
+	for worstClassWeight, wantMs := range map[float64]time.Duration{0.2: 225, 0.4: 400} { // budget of 400 ms, with half of the requests given up
 		fleet := newTestFleet(t, 2, func(settings *Settings) {
 			settings.WorstClassWeight, settings.WeightByWork = worstClassWeight, true
 			settings.Classes[0].PriorityWeight, settings.Classes[1].PriorityWeight, settings.Classes[2].PriorityWeight = 1, 4, 64
 		})
 		fleet.tick()
 		if got := fleet.remainingLatencyBudget(&request{effectiveDeadline: fleet.now + 400*ms}); got != 400*ms {
-			t.Errorf("with nothing rejected it may take %d of 400 ms", got/ms)
+			t.Errorf("got latency budget %d ms with all requests answered, want 400 ms", got/ms)
 		}
 		for i := range fleet.estimator.classes {
 			fleet.estimator.classes[i].SuccessRate = 0.5
 		}
 		if got := fleet.remainingLatencyBudget(&request{effectiveDeadline: fleet.now + 400*ms}); got/ms != wantMs {
-			t.Errorf("where the worst weighs %g it may take %d ms, want %d", worstClassWeight, got/ms, wantMs)
+			t.Errorf("worst class weight %g: got latency budget %d ms, want %d ms", worstClassWeight, got/ms, wantMs)
 		}
 		if got := fleet.remainingLatencyBudget(&request{Request: Request{Class: 2}, effectiveDeadline: fleet.now + 400*ms}); got != 400*ms {
-			t.Errorf("the class with the highest priority weight may take %d of 400 ms", got/ms)
+			t.Errorf("got latency budget %d ms for the class with the highest priority weight, want 400 ms", got/ms)
 		}
 	}
 }
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against each of many nodes gathering a key at endpoints of its own, so that no node saves work.
+// Guards against nodes that use different affinity endpoints for the same key, so that caching saves no work.
 func TestNodesAgreeOnAffinityEndpoint(t *testing.T) {
 	const keys = 40
 	requestsByKey := map[string]map[EndpointID]int{}
@@ -31,11 +31,11 @@
 		atMostUsed += most
 	}
 	if atMostUsed < 5*3*keys*9/10 {
-		t.Errorf("%d of %d requests went where most of their key's go", atMostUsed, 5*3*keys)
+		t.Errorf("%d of %d requests went to the endpoint used most for their key, want at least 90 %%", atMostUsed, 5*3*keys)
 	}
 }
 
-// Guards against a home that is cold, ejected or overloaded getting its keys' requests all the same.
+// Guards against sending requests for a key to its affinity endpoint even if that is in slow start or overloaded.
 func TestAffinityYieldsToLoadAndSlowStart(t *testing.T) {
 	fleet := newTestFleet(t, 8, func(s *Settings) { s.KeyAffinity, s.Classes[0].LatencyObjective = true, 200*ms })
 	fleet.serve(40, respondPromptly)
@@ -49,16 +49,16 @@
 	}
 	affinityEndpoint := sendRequest()
 	if next := sendRequest(); next != affinityEndpoint {
-		t.Errorf("with one out at its home the key goes to %d, not %d", next, affinityEndpoint)
+		t.Errorf("with one request in flight at the affinity endpoint: got endpoint %d for the next, want %d", next, affinityEndpoint)
 	}
 	for range 12 {
 		sendRequest()
 	}
 	if inFlight := fleet.endpoints.byID[affinityEndpoint].inFlight; inFlight > 8 {
-		t.Errorf("%d out at the home, 7 elsewhere stand idle", inFlight)
+		t.Errorf("got %d requests in flight at the affinity endpoint beside 7 idle endpoints, want at most 8", inFlight)
 	}
 	fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: affinityEndpoint, Pod: 9, StartedAt: fleet.now}}, false)
 	if sendRequest(); len(fleet.affinity.endpoints) == 0 || fleet.affinity.endpoints[0].ID == affinityEndpoint {
-		t.Error("a cold endpoint is a home, and nodes do not agree on the next")
+		t.Error("the endpoint in slow start is still an affinity endpoint, or the key has none")
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkRequest is a request from its arrival to its answer, with 32 others out, a tick of the clock each second of
-// 20,000 requests, and answers that bring a report and take their time.
+// BenchmarkRequest measures a request from its arrival to its response, with 32 other requests in flight. Ticks follow
+// each second at 20,000 requests per second, and responses carry a load report and have a latency.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkListUpdate is 512 lines of a list taken in by a node that holds so many endpoints.
+// BenchmarkListUpdate measures applying 512 changed entries to a list of n endpoints.
 func BenchmarkListUpdate(b *testing.B) {
 	for _, n := range []int{512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkCompleteList is a whole list taken in by a node that holds another.
+// BenchmarkCompleteList measures replacing a list of n endpoints by a complete list of n others.
 func BenchmarkCompleteList(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -96,7 +96,8 @@
 	}
 }
 
-// BenchmarkNoCandidate is a draw in which no endpoint takes part: the worst case, 32 tries and two passes.
+// BenchmarkNoCandidate measures a selection without any candidate, which is the worst case: two rounds over the window
+// of 32 endpoints and two over the whole subset.
 func BenchmarkNoCandidate(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -15,8 +15,8 @@
 	"fawnglade/policy"
 )
 
-// writeDigests rewrites testdata/digests.json. Only for a change that is meant to decide something anew: the kept
-// digests were written before the decisions were split into files, and show that the split changed nothing.
+// writeDigests rewrites testdata/digests.json. Use it only for an intended change of decisions. The stored digests are
+// older than the split of the decisions into files and show that it changed none.
 var writeDigests = flag.Bool("write-digests", false, "rewrite policy/testdata/digests.json")
 
 const (
@@ -25,17 +25,17 @@
 
 	digestStart     = 1000 * second
 	digestDuration  = 40 * second
-	digestDrainTime = 20 * second // after the last arrival, for what is still in flight
+	digestDrainTime = 20 * second // after the last arrival, for requests still in flight
 )
 
-// digestRecord is what is kept of one generated run: the digest of every action, and how often each occurred, so that a
-// run in which an action never occurs is seen.
+// digestRecord is the stored result of one generated run: the digest of all actions, and the number of each action,
+// which shows whether one never occurs.
 type digestRecord struct {
 	Digest  string         `json:"digest"`
 	Actions map[string]int `json:"actions"`
 }
 
-// digestEvent is due at a virtual time; events of one time run in the order in which they were queued.
+// digestEvent is an event at a virtual time. Events at the same time run in the order in which they were queued.
 type digestEvent struct {
 	at, sequence int64
 	run          func()
@@ -58,17 +58,17 @@
 	return last
 }
 
-// digestEndpoint is a generated endpoint: how fast it is, and what it does wrong at the moment.
+// digestEndpoint is a generated endpoint with its speed and current faults.
 type digestEndpoint struct {
 	info                       policy.EndpointInfo
 	speed                      float64
 	inFlight                   int
 	failing, silent, queueFull bool
-	failsClass                 int // answers this class with errors only; -1: none
+	failsClass                 int // class that it answers with errors only; -1: none
 	connected                  bool
 }
 
-// digestRun drives one instance of the decisions with generated events and hashes all that it does.
+// digestRun sends generated events to a Balancer and hashes all its actions.
 type digestRun struct {
 	settings   policy.Settings
 	instance   *policy.Balancer
@@ -93,7 +93,7 @@
 func (r *digestRun) record(action string, arguments ...any) {
 	r.actions[action]++
 	if _, err := fmt.Fprintln(r.hash, r.now, action, arguments); err != nil {
-		panic(err) // a hash takes all
+		panic(err) // a hash never returns an error
 	}
 }
 
@@ -141,7 +141,7 @@
 	})
 }
 
-// outcome draws how an attempt ends and after how long.
+// drawOutcome draws the outcome and duration of an attempt.
 func (r *digestRun) drawOutcome(endpoint *digestEndpoint, class int, timeout int64) (policy.Outcome, int64) {
 	work := float64(8+4*class) * float64(millisecond) * (0.4 + r.random.ExpFloat64())
 	elapsed := int64(work*endpoint.speed*r.slowdown*float64(1+endpoint.inFlight)/2) + millisecond
@@ -243,23 +243,24 @@
 
 func (r *digestRun) Gossip(message policy.GossipMessage) {
 	r.record("gossip", uint32(message.Endpoint), message.Class, int64(message.IdleTime))
-	for range r.random.IntN(5) { // other nodes saw the same
+	for range r.random.IntN(5) { // other nodes observed the same
 		r.schedule(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(policy.Time(r.now), message) })
 	}
 }
 
-// list gives the instance the whole list, without what has left, or every tenth line of it.
+// sendList sends the instance the complete list without removed endpoints, or every tenth entry of it.
 func (r *digestRun) sendList(complete bool) {
-	var lines []policy.EndpointInfo
+	var entries []policy.EndpointInfo
 	for i, endpoint := range r.endpoints {
 		if complete && endpoint.info.State != policy.StateRemoved || !complete && i%10 == r.watchCount%10 {
-			lines = append(lines, endpoint.info)
+			entries = append(entries, endpoint.info)
 		}
 	}
-	r.instance.EndpointsUpdated(policy.Time(r.now), lines, complete)
+	r.instance.EndpointsUpdated(policy.Time(r.now), entries, complete)
 }
 
-// change gives one endpoint another condition and, where the list tells of it, the instance the changed line.
+// changeEndpoint changes the condition of one endpoint and, if the list contains the change, sends the instance the
+// changed entry.
 func (r *digestRun) changeEndpoint() {
 	endpoint := r.endpoints[r.random.IntN(len(r.endpoints))]
 	inUpdate := true
@@ -313,8 +314,8 @@
 	}
 }
 
-// replace ends the instance, as at a hot restart, and begins another with what it learned; requests in flight are gone
-// with the old one, and answers that come for them are not known to the new one.
+// hotRestart replaces the instance by a new one with its estimates, as a hot restart does. Requests in flight end with
+// the old instance, and the new one does not know the responses to them.
 func (r *digestRun) hotRestart(seed uint64) {
 	estimates := r.instance.Estimates()
 	r.instance = policy.New(r.settings, seed, r)
@@ -364,7 +365,7 @@
 	for at := int64(second); at < digestDuration; at += 300 * millisecond * 16 / int64(min(endpoints, 128)) {
 		r.schedule(at, r.changeEndpoint)
 	}
-	for at := int64(5 * second); at < digestDuration; at += 5 * second { // whole lists, which mend what a lost change left
+	for at := int64(5 * second); at < digestDuration; at += 5 * second { // complete lists, which restore lost changes
 		r.schedule(at, func() { r.sendList(true) })
 	}
 	r.schedule(12*second, func() { r.slowdown = 12 }) // overload
@@ -373,7 +374,7 @@
 	for len(r.queue) > 0 {
 		event := heap.Pop(&r.queue).(digestEvent)
 		if event.at > digestStart+digestDuration+digestDrainTime {
-			break // the instance's own clock tick never ends
+			break // the instance's tick timer never ends
 		}
 		r.now = event.at
 		event.run()
@@ -381,7 +382,7 @@
 	return digestRecord{fmt.Sprintf("%016x", r.hash.Sum64()), r.actions}
 }
 
-// digestSettings are the settings of the runs; each turns other rules on.
+// digestSettings returns the settings of the runs. Each enables different rules.
 func digestSettings() map[string]policy.Settings {
 	classes := []policy.Class{
 		{LatencyObjective: 120 * millisecond, Idempotency: policy.Idempotent, PriorityWeight: 5},
@@ -479,13 +480,13 @@
 	}
 }
 
-// TestDigests holds the decisions to the actions, with their arguments and times, that they took when the digests were
-// written: bit for bit, so that a change of names or shape is shown to decide nothing anew.
+// TestDigests checks that the decisions, including their arguments and times, are exactly those recorded when the
+// digests were written. It shows that a refactoring changes no decision.
 func TestDigests(t *testing.T) {
 	path := filepath.Join("testdata", "digests.json")
-	kept := map[string]digestRecord{}
+	stored := map[string]digestRecord{}
 	if text, err := os.ReadFile(path); err == nil {
-		if err := json.Unmarshal(text, &kept); err != nil {
+		if err := json.Unmarshal(text, &stored); err != nil {
 			t.Fatal(err)
 		}
 	} else if !*writeDigests {
@@ -496,11 +497,11 @@
 		for _, endpoints := range []int{8, 64, 512} {
 			run := fmt.Sprint(name, "/", endpoints)
 			got[run] = digestOf(settings, endpoints, 53)
-			want := kept[run]
+			want := stored[run]
 			if !*writeDigests && (got[run].Digest != want.Digest ||
 				fmt.Sprint(got[run].Actions) != fmt.Sprint(want.Actions)) {
 				t.Errorf(
-					"%s: digest %s with actions %v, expected %s with %v", run, got[run].Digest, got[run].Actions,
+					"%s: got digest %s with actions %v, want %s with %v", run, got[run].Digest, got[run].Actions,
 					want.Digest, want.Actions,
 				)
 			}
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -11,13 +11,13 @@
 	for range 10 {
 		balancer.WatchFailed(0)
 		if balancer.endpoints.watchBackoff != min(2*previous, 125e7) {
-			t.Fatalf("waits %d after %d", balancer.endpoints.watchBackoff, previous)
+			t.Fatalf("got backoff %v after %v, want twice as much, at most 1.25s", balancer.endpoints.watchBackoff, previous)
 		}
 		previous = balancer.endpoints.watchBackoff
 	}
 }
 
-// Guards against a list that says too much: where being left out binds nothing, who still answers is still used.
+// Guards against an incomplete list: if removal is not binding, removed endpoints that still respond stay in use.
 func TestRemovedEndpointsServeUntilTheyFail(t *testing.T) {
 	for _, mayServe := range []bool{false, true} {
 		fleet := newTestFleet(t, 3, func(s *Settings) { s.RemovedMayServe = mayServe })
@@ -29,7 +29,7 @@
 		fleet.serve(30, respondPromptly)
 		if fleet.sentTo(1) > 0 || fleet.sentTo(2)+fleet.sentTo(3) > 0 != mayServe {
 			t.Errorf(
-				"kept %t: %d to the one that had drained, %d and %d to the others", mayServe, fleet.sentTo(1), fleet.sentTo(2),
+				"removed may serve %t: got %d attempts at the formerly draining endpoint, want 0; got %d and %d at the others", mayServe, fleet.sentTo(1), fleet.sentTo(2),
 				fleet.sentTo(3),
 			)
 		}
@@ -41,7 +41,7 @@
 		fleet.endAttempt(id, 0, OutcomeConnectFailed, ms)
 		fleet.sent = nil
 		if fleet.serve(30, respondPromptly); fleet.sentTo(failing) > 0 {
-			t.Error("one that the list lacks and that failed is used on")
+			t.Error("got attempts at a removed endpoint after a failed attempt, want none")
 		}
 	}
 }
--- a/policy/estimator_test.go
+++ b/policy/estimator_test.go
@@ -20,7 +20,7 @@
 		fleet.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
 	}
 	if after, _ := fleet.estimator.expectedLatency(fleet.endpoints.byID[1]); after < 2*before {
-		t.Errorf("after four time-outs the endpoint is expected at %.1f, before at %.1f", after, before)
+		t.Errorf("got latency per work %.1f after four timeouts, %.1f before, want at least twice as much", after, before)
 	}
 }
 
@@ -34,11 +34,11 @@
 		fleet.tick()
 	}
 	if decayed, _ := fleet.estimator.expectedLatency(fleet.endpoints.byID[1]); decayed > overloaded*2/3 {
-		t.Errorf("answer times expected at %.1f under overload are still expected at %.1f", overloaded, decayed)
+		t.Errorf("got latency per work %.1f under overload and %.1f after 20 idle seconds, want at most two thirds", overloaded, decayed)
 	}
 	fleet.rejected = 0
 	if fleet.serve(20, respondPromptly); fleet.rejected > 0 {
-		t.Errorf("%d of 20 requests were rejected twenty idle seconds after overload", fleet.rejected)
+		t.Errorf("%d of 20 requests were rejected after 20 idle seconds following an overload, want 0", fleet.rejected)
 	}
 }
 
@@ -52,23 +52,24 @@
 		return OutcomeSucceeded, 40 * ms
 	})
 	if perWork, _ := fleet.estimator.Fleet.Means(1, 0); perWork > 3 {
-		t.Errorf("one endpoint in five times out and the whole fleet is expected at %.1f", perWork)
+		t.Errorf("got latency per work %.1f for the fleet with timeouts at one endpoint in five, want at most 3", perWork)
 	}
 	fleet.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeTimedOut, 450 * ms })
 	unmeasured := &endpoint{EndpointInfo: EndpointInfo{ID: 101}, podLatency: &ewma.Pair{}}
 	if perWork, _ := fleet.estimator.expectedLatency(unmeasured); perWork < 5 {
-		t.Errorf("nearly all time out and an endpoint not heard yet is expected at %.1f", perWork)
+		t.Errorf("got latency per work %.1f for an unmeasured endpoint while nearly all time out, want at least 5", perWork)
 	}
 	for range 60 {
 		fleet.now += Time(tickInterval)
 		fleet.tick()
 	}
 	if perWork, _ := fleet.estimator.expectedLatency(unmeasured); perWork > 1.5 {
-		t.Errorf("a minute later it is still expected at %.1f", perWork)
+		t.Errorf("got latency per work %.1f for an unmeasured endpoint after an idle minute, want at most 1.5", perWork)
 	}
 }
 
-// Guards against the way to another zone, the same for any request, being taken for slowness in proportion to the work.
+// Guards against the delay to another zone, which is the same for every request, being counted as slowness in
+// proportion to the work.
 func TestZoneDelayDoesNotRaiseLatencyEstimate(t *testing.T) {
 	fleet := newTestFleet(t, 0, nil)
 	fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: 1, Zone: 1, Weight: 1}, {ID: 2, Zone: 1, Weight: 1}}, true)
@@ -77,7 +78,7 @@
 		id := RequestID(fmt.Sprint(fleet.requestCount))
 		fleet.RequestArrived(fleet.now, Request{ID: id, Deadline: fleet.now + 1000*ms, CostHint: costHint})
 		if fleet.requests.byID[id] == nil {
-			t.Fatalf("request %d of %d ms was given up beside idle endpoints", fleet.requestCount, costHint/ms)
+			t.Fatalf("request %d with %d ms of work was given up with idle endpoints, want it sent", fleet.requestCount, costHint/ms)
 		}
 		fleet.now += Time(latency)
 		fleet.AttemptEnded(fleet.now, AttemptResult{
@@ -92,15 +93,15 @@
 	}
 	for _, ep := range fleet.endpoints.all {
 		if got := fleet.estimator.predictLatency(ep, float64(20*ms)); got < 25*ms || got > 50*ms {
-			t.Errorf("20 ms of work 15 ms away are expected to take %d ms", got/ms)
+			t.Errorf("got predicted latency %d ms for 20 ms of work at a zone delay of 15 ms, want 25 to 50 ms", got/ms)
 		}
 		if ep.HighLatency > 4 {
-			t.Errorf("its high quantile is %.1f times the work", ep.HighLatency)
+			t.Errorf("got high quantile of %.1f times the work, want at most 4", ep.HighLatency)
 		}
 	}
 }
 
-// A new instance predicts as the one before did, and does not take a restarted endpoint for the old one.
+// A new instance must make the same predictions as the previous one, except for endpoints that have restarted.
 func TestInheritRestoresEstimatesExceptOfRestartedEndpoints(t *testing.T) {
 	fleet := newTestFleet(t, 4, nil)
 	fleet.serve(200, func(id EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, time.Duration(id) * 20 * ms })
@@ -110,7 +111,7 @@
 	}
 	var snapshot estimates.Snapshot
 	if err := json.Unmarshal(encoded, &snapshot); err != nil || !snapshot.Valid(3) {
-		t.Fatalf("%v, sound %t", err, snapshot.Valid(3))
+		t.Fatalf("decoding the estimates: error %v, valid %t, want no error and valid", err, snapshot.Valid(3))
 	}
 	next := newTestFleet(t, 4, nil)
 	next.EndpointsUpdated(next.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: 1}}, false)
@@ -118,7 +119,7 @@
 	for id := EndpointID(1); id <= 4; id++ {
 		original, inherited := fleet.estimator.predictLatency(fleet.endpoints.byID[id], 1e8), next.estimator.predictLatency(next.endpoints.byID[id], 1e8)
 		if (original == inherited) != (id != 4) {
-			t.Errorf("endpoint %d: predicted %d by the one before, %d by the next", id, original, inherited)
+			t.Errorf("endpoint %d: got predicted latency %v, then %v by the new instance, want a change only for endpoint 4", id, original, inherited)
 		}
 	}
 }
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -13,19 +13,19 @@
 	fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
 	req := fleet.requests.byID[id]
 	if req.inFlight != 2 || req.attempts[0].endpoint == req.attempts[1].endpoint {
-		t.Fatalf("the overdue request has %d attempts out", req.inFlight)
+		t.Fatalf("got %d attempts in flight for an overdue request, want 2 at different endpoints", req.inFlight)
 	}
 	slow := req.attempts[0].endpoint
 	fleet.endAttempt(id, 1, OutcomeSucceeded, 40*ms)
 	if fleet.canceled != 1 {
-		t.Errorf("%d attempts were canceled after the copy's answer", fleet.canceled)
+		t.Errorf("got %d attempts canceled after the response to the hedged request, want 1", fleet.canceled)
 	}
 	if fleet.endAttempt(id, 0, OutcomeCanceled, 240*ms); slow.health[0].failureRate == 0 {
-		t.Error("the overtaken endpoint still looks as good as the others")
+		t.Error("got failure rate 0 for the endpoint of the overdue attempt, want more")
 	}
 }
 
-// Guards against an idempotent request waiting for a silent endpoint to its end where no hedged request is allowed.
+// Guards against an idempotent request waiting for a silent endpoint until its deadline if hedging is not allowed.
 func TestOverdueRequestIsCanceledWithoutHedging(t *testing.T) {
 	fleet := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
 	fleet.serve(60, respondPromptly)
@@ -35,10 +35,10 @@
 	fleet.now += 200 * ms
 	fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
 	if fleet.canceled != 1 {
-		t.Fatalf("%d canceled", fleet.canceled)
+		t.Fatalf("got %d attempts canceled, want 1", fleet.canceled)
 	}
 	if fleet.endAttempt(id, 0, OutcomeCanceled, 200*ms); fleet.lastSent() == first || fleet.requests.byID[id].inFlight != 1 {
-		t.Error("the canceled request did not go to another endpoint")
+		t.Error("the canceled request was not sent to another endpoint")
 	}
 	nonIdempotent := fleet.requests.byID[fleet.arrive(2)]
 	fleet.now += 200 * ms
@@ -48,7 +48,8 @@
 	}
 }
 
-// Guards against heavy requests being begun again and again: an endpoint that has answered others meanwhile is at work.
+// Guards against restarting heavy requests again and again: an endpoint that has responded to others is still working
+// on its own.
 func TestOverdueRequestIsNotCanceledAtRespondingEndpoint(t *testing.T) {
 	for _, responds := range []bool{false, true} {
 		fleet := newTestFleet(t, 2, func(s *Settings) { s.MayHedge = false })
@@ -64,26 +65,26 @@
 		fleet.now += 300 * ms
 		fleet.canceled = 0
 		if fleet.TimerFired(fleet.now, timer); fleet.canceled > 0 == responds {
-			t.Errorf("its endpoint answers others: %t; canceled %d times", responds, fleet.canceled)
+			t.Errorf("endpoint responds to others %t: got %d attempts canceled, want one only if it does not", responds, fleet.canceled)
 		}
 		fleet.ClientGone(fleet.now, id)
 	}
 }
 
-// Guards against a request being given up with time left, since it was canceled at the only endpoint that could answer.
+// Guards against giving up a request with time left because it was canceled at the only endpoint that could respond.
 func TestOverdueRequestIsNotCanceledWithoutAlternative(t *testing.T) {
 	for name, excludeOther := range map[string]func(*testFleet, *endpoint){
-		"others drain": func(_ *testFleet, other *endpoint) { other.State = StateDraining },
-		"others eject": func(fleet *testFleet, other *endpoint) {
+		"others are draining": func(_ *testFleet, other *endpoint) { other.State = StateDraining },
+		"others are ejected": func(fleet *testFleet, other *endpoint) {
 			other.health[0].ejected = true
 			other.health[0].nextTrialAt = fleet.now.Add(10e9)
 		},
-		"others back off": func(fleet *testFleet, other *endpoint) { other.backoffUntil = fleet.now.Add(10e9) },
+		"others are in backoff": func(fleet *testFleet, other *endpoint) { other.backoffUntil = fleet.now.Add(10e9) },
 		"others are in slow start": func(fleet *testFleet, other *endpoint) {
 			other.StartedAt, other.slowStartCredit = fleet.now, 0
 		},
-		"others are late":                    func(_ *testFleet, other *endpoint) { other.Latency.FirstSum = 1e6 },
-		"the request is at its last attempt": func(fleet *testFleet, _ *endpoint) { fleet.settings.MaxAttempts = 1 },
+		"others are too slow":              func(_ *testFleet, other *endpoint) { other.Latency.FirstSum = 1e6 },
+		"request has had its last attempt": func(fleet *testFleet, _ *endpoint) { fleet.settings.MaxAttempts = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
@@ -98,17 +99,17 @@
 			fleet.now += 200 * ms
 			fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
 			if fleet.canceled != 0 {
-				t.Fatalf("%d attempts were canceled with no endpoint to go to", fleet.canceled)
+				t.Fatalf("got %d attempts canceled without another endpoint to send to, want 0", fleet.canceled)
 			}
 			fleet.endAttempt(id, 0, OutcomeSucceeded, 240*ms)
 			if fleet.rejected+fleet.failed > 0 {
-				t.Errorf("%d rejected, %d failed", fleet.rejected, fleet.failed)
+				t.Errorf("got %d requests rejected and %d failed, want 0", fleet.rejected, fleet.failed)
 			}
 		})
 	}
 }
 
-// Guards against a request waiting until its deadline on a connection that something between has dropped.
+// Guards against a request waiting until its deadline on a connection that was dropped silently on the path.
 func TestOverdueRequestOnDeadConnectionIsResentToOnlyEndpoint(t *testing.T) {
 	fleet := newTestFleet(t, 1, func(s *Settings) { s.MayHedge = false; s.StreamsPerConnection = 1 })
 	fleet.serve(60, respondPromptly)
@@ -119,10 +120,10 @@
 	fleet.now += 200 * ms
 	fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
 	if fleet.canceled != 1 {
-		t.Fatalf("%d attempts were canceled on a connection that may be dead", fleet.canceled)
+		t.Fatalf("got %d attempts canceled on a connection that may be dead, want 1", fleet.canceled)
 	}
 	if fleet.endAttempt(id, 0, OutcomeCanceled, 200*ms); fleet.rejected > 0 || fleet.requests.byID[id].inFlight != 1 {
-		t.Error("the request did not go to its only endpoint again")
+		t.Error("the request was not sent to its only endpoint again")
 	}
 }
 
@@ -132,12 +133,12 @@
 		budget.refill()
 	}
 	if budget.available >= 1 {
-		t.Errorf("nine requests earn %g hedged ones", budget.available)
+		t.Errorf("got a budget of %g hedged requests after nine requests, want less than 1", budget.available)
 	}
 	for range 100 {
 		budget.refill()
 	}
 	if budget.available != maxHedgeBudget {
-		t.Errorf("%g hedged requests are saved up, expected %d", budget.available, maxHedgeBudget)
+		t.Errorf("got a budget of %g hedged requests, want %d", budget.available, maxHedgeBudget)
 	}
 }
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -8,7 +8,7 @@
 
 const ms = 1_000_000 // nanoseconds
 
-// recorder is Effects that note what they are asked for, for the small tests of single failures.
+// recorder is an Effects that records the calls, for tests of single rules.
 type recorder struct {
 	sent             []EndpointID
 	timeouts         []time.Duration
@@ -19,7 +19,7 @@
 	gossiped         []GossipMessage
 	healthChecked    []EndpointID
 	retryAfter       time.Duration
-	reason           Reason // of the last request that was given up
+	reason           Reason // of the last request given up
 }
 
 func (r *recorder) Send(_ RequestID, endpoint EndpointID, timeout time.Duration) {
@@ -63,8 +63,8 @@
 	requestCount int
 }
 
-// newTestFleet starts a Balancer with so many endpoints and three classes: idempotent, idempotent by key in a pod,
-// non-idempotent.
+// newTestFleet creates a Balancer with the given number of endpoints and three classes: idempotent, idempotent by key
+// within a pod, and non-idempotent.
 func newTestFleet(t *testing.T, endpoints int, change func(*Settings)) *testFleet {
 	settings := Settings{
 		MaxAttempts: 5, MayHedge: true, MayCancel: true, MaySetRetryAfter: true, MaxRetryAfter: 1e9,
@@ -102,7 +102,7 @@
 	})
 }
 
-// serve plays idempotent requests one after another, each answered as its endpoint does.
+// serve sends idempotent requests one after another. respond returns the outcome and latency of each attempt.
 func (f *testFleet) serve(requests int, respond func(EndpointID) (Outcome, time.Duration)) {
 	for range requests {
 		id := f.arrive(0)
@@ -119,7 +119,7 @@
 
 func (f *testFleet) tick() { f.TimerFired(f.now, tickTimer) }
 
-// lastSendRecorder only notes the last attempt.
+// lastSendRecorder is an Effects that records only the last send.
 type lastSendRecorder struct {
 	endpoint EndpointID
 	sent     bool
--- a/policy/idleconns_test.go
+++ b/policy/idleconns_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// Guards against connections that something between drops unseen: what is sent on one is lost, and the endpoint blamed.
+// Guards against idle connections that are dropped silently on the path: requests sent on them are lost and count
+// against the endpoint.
 func TestIdleConnectionsPastTimeoutAreClosedBeforeUse(t *testing.T) {
 	fleet := newTestFleet(t, 4, func(s *Settings) { s.StreamsPerConnection = 100 })
 	fleet.serve(40, respondPromptly)
@@ -18,12 +19,12 @@
 			continue
 		}
 		if fleet.endAttempt(id, 0, OutcomeReset, ms); ep.health[0].failureRate > 0.01 {
-			t.Errorf("a reset after idleness counts against the endpoint: %+v", ep.health[0])
+			t.Errorf("a reset on an idle connection counts against the endpoint: got health %+v, want failure rate 0", ep.health[0])
 		}
 		fleet.endAttempt(id, 1, OutcomeSucceeded, 40*ms)
 	}
 	if fleet.idleConns.timeout.Limit > 8e9 {
-		t.Fatalf("connections idle for %d ms are still trusted", fleet.idleConns.timeout.Limit/ms)
+		t.Fatalf("got idle timeout %d ms after resets of connections idle for 2 s, want at most 8000 ms", fleet.idleConns.timeout.Limit/ms)
 	}
 	fleet.closedIdle = nil
 	for range 8 {
@@ -31,14 +32,14 @@
 		fleet.serve(1, respondPromptly)
 	}
 	if len(fleet.closedIdle) < 4 {
-		t.Errorf("of connections idle for 9 s and more %d were closed before use", len(fleet.closedIdle))
+		t.Errorf("got %d connections closed that were idle for 9 s or more, want at least 4", len(fleet.closedIdle))
 	}
 }
 
-// Guards against a node that comes by each endpoint seldom: it lost a request to each before it learned that they die
-// idle.
+// Guards against a node that sends few requests to each endpoint and loses one request per endpoint before it detects
+// that idle connections are dead: overdue attempts must count before they end.
 func TestOverdueAttemptsOnIdleConnectionsLowerIdleTimeout(t *testing.T) {
-	for _, maxInFlight := range []int{1, 2} { // out at once at an endpoint
+	for _, maxInFlight := range []int{1, 2} { // maximum number of attempts in flight per endpoint
 		fleet := newTestFleet(t, 6, func(s *Settings) { s.StreamsPerConnection = 1 })
 		fleet.serve(60, respondPromptly)
 		for _, ep := range fleet.endpoints.byID {
@@ -52,14 +53,15 @@
 		}
 		if lowered := fleet.idleConns.timeout.Limit < 1e12; lowered != (maxInFlight == 1) {
 			t.Errorf(
-				"%d out at once at an endpoint, where a connection carries one: idle time trusted %d ms", maxInFlight,
+				"up to %d attempts in flight per endpoint: got idle timeout %d ms, want it lowered only with 1", maxInFlight,
 				fleet.idleConns.timeout.Limit/ms,
 			)
 		}
 	}
 }
 
-// Guards against closing what stands open while new connections are slow or can't be had: the belief ends there.
+// Guards against closing open connections while new ones are slow to open or cannot be opened: a failed connect resets
+// the idle timeout.
 func TestConnectFailureResetsIdleTimeout(t *testing.T) {
 	fleet := newTestFleet(t, 3, func(s *Settings) { s.StreamsPerConnection = 1 })
 	fleet.serve(30, respondPromptly)
@@ -67,38 +69,38 @@
 	fleet.now += 5e9
 	id := fleet.arrive(0)
 	if len(fleet.closedIdle) == 0 {
-		t.Fatal("a connection idle for 5 s was used")
+		t.Fatal("a connection idle for 5 s was used, want it closed")
 	}
 	fleet.endAttempt(id, 0, OutcomeConnectFailed, 75*ms)
 	if fleet.idleConns.timeout.Limit < 1e12 {
-		t.Errorf("idle time trusted %d ms, and no new connection can be had", fleet.idleConns.timeout.Limit/ms)
+		t.Errorf("got idle timeout %d ms after a failed connect, want none", fleet.idleConns.timeout.Limit/ms)
 	}
 }
 
-// Guards against a slow answer or two closing connections everywhere: it takes signs from one node in 25.
+// Guards against one or two slow responses closing connections on all nodes: messages from one node in 25 are required.
 func TestGossipLowersIdleTimeoutOnlyWithQuorum(t *testing.T) {
 	fleet := newTestFleet(t, 4, manyNodesSettings)
 	message := GossipMessage{IdleTime: 1200 * ms}
 	for received := range 40 {
 		if unlimited := fleet.idleConns.timeout.Limit > 1e12; unlimited != (received < 12) {
-			t.Fatalf("after %d messages of 300 connections are trusted: %v", received, unlimited)
+			t.Fatalf("after %d messages among 300 nodes: got no idle timeout %v, want one from 12 messages on", received, unlimited)
 		}
 		fleet.GossipReceived(fleet.now, message)
 	}
 	if fleet.idleConns.timeout.Limit != 900*ms {
-		t.Errorf("trusted for %d ms", fleet.idleConns.timeout.Limit/ms)
+		t.Errorf("got idle timeout %d ms, want 900 ms", fleet.idleConns.timeout.Limit/ms)
 	}
 	for range 200 {
 		fleet.now += Time(tickInterval)
 		fleet.tick()
 	}
 	if fleet.idleConns.timeout.Limit < 5e9 {
-		t.Errorf("200 s later connections are trusted for %d ms only", fleet.idleConns.timeout.Limit/ms)
+		t.Errorf("got idle timeout %d ms after 200 s without messages, want at least 5000 ms", fleet.idleConns.timeout.Limit/ms)
 	}
 }
 
-// Guards against endpoints that reset requests for reasons of their own being taken for connections that die idle:
-// closing and opening connections all the time cost an incident half of its service.
+// Guards against resets that endpoints cause for other reasons being attributed to idle connections. In an incident,
+// constantly closing and reopening connections cost half of the service.
 func TestOccasionalResetsDoNotLowerIdleTimeout(t *testing.T) {
 	fleet := newTestFleet(t, 1, func(s *Settings) { s.StreamsPerConnection = 100 })
 	fleet.serve(40, respondPromptly)
@@ -110,13 +112,13 @@
 		}
 		fleet.now += ms
 		fleet.endAttempt(id, 0, outcome, ms)
-		if outcome == OutcomeReset { // the request goes to its only endpoint again
+		if outcome == OutcomeReset { // the request is retried at its only endpoint
 			fleet.endAttempt(id, 1, OutcomeSucceeded, ms)
 		}
 	}
 	if fleet.idleConns.timeout.Limit < 1e12 {
 		t.Errorf(
-			"one reset in twelve, and connections idle for %d ms are no longer trusted", fleet.idleConns.timeout.Limit/ms,
+			"got idle timeout %d ms with one reset in twelve attempts, want none", fleet.idleConns.timeout.Limit/ms,
 		)
 	}
 }
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// sentOut is one attempt as the plain model sees it.
+// modelAttempt is the model's record of one attempt.
 type modelAttempt struct {
 	endpoint EndpointID
 	sentAt   Time
 	inFlight bool
-	neverRan bool // provably never ran
+	neverRan bool // proven not to have been executed
 }
 
 type modelRequest struct {
@@ -23,8 +23,10 @@
 	finalResponses int
 }
 
-// world is the plain model: it plays events at random, keeps what the wire would know and checks each call of
-// the Balancer against the four rules.
+// model generates random events, records which attempts could have been executed, and checks each call of the Balancer
+// against four rules: every request gets exactly one final response in time (1); no request runs twice where that does
+// harm (2); nothing is sent to endpoints that are draining or removed (3); and an endpoint in slow start gets no more
+// than its share (4).
 type model struct {
 	*rand.Rand
 	balancer           *Balancer
@@ -33,12 +35,12 @@
 	requests           map[RequestID]*modelRequest
 	ids                []RequestID
 	listed             map[EndpointID]EndpointInfo
-	drainedSinceActive map[EndpointID]bool // listed as draining since it was last listed as active
+	drainedSinceActive map[EndpointID]bool // listed as draining since last listed as active
 	violations         []string
 	timers             []uint64
 	gossiped           []GossipMessage
-	sentInSlowStart    map[EndpointID]float64 // attempts given to an endpoint since it started cold
-	fairShare          map[EndpointID]float64 // and its even part of all attempts, times what it surely can do
+	sentInSlowStart    map[EndpointID]float64 // attempts sent to an endpoint since its start
+	fairShare          map[EndpointID]float64 // its even share of all requests, times its capacity
 }
 
 func (m *model) violation(format string, args ...any) {
@@ -48,24 +50,24 @@
 func (m *model) Send(id RequestID, target EndpointID, timeout time.Duration) {
 	req := m.requests[id]
 	if req == nil || req.done {
-		m.violation("rule 1: attempt of a request that is over")
+		m.violation("rule 1: attempt of a request that is unknown or has its final response")
 		return
 	}
 	class := &m.settings.Classes[req.request.Class]
 	if timeout <= 0 || m.now.Add(timeout) > req.request.Deadline {
-		m.violation("rule 1: time-out %d leaves the deadline", timeout)
+		m.violation("rule 1: timeout %v is not positive or ends after the deadline", timeout)
 	}
 	to, known := m.listed[target]
 	if !known || to.State == StateDraining || to.State == StateRemoved && (!m.settings.RemovedMayServe ||
 		m.drainedSinceActive[target]) {
-		m.violation("rule 3: attempt to an endpoint that drains, is gone or was never listed")
+		m.violation("rule 3: attempt at an endpoint that is draining, removed or was never listed")
 	}
 	if len(req.attempts) >= m.settings.MaxAttempts {
-		m.violation("more attempts than allowed")
+		m.violation("more attempts than the settings allow")
 	}
 	for _, earlier := range req.attempts {
 		if earlier.inFlight && !m.settings.MayHedge {
-			m.violation("rule 2: two attempts at once")
+			m.violation("rule 2: two attempts in flight without hedging")
 		}
 		if earlier.neverRan || class.Idempotency == Idempotent {
 			continue
@@ -74,7 +76,7 @@
 		inGroup := class.DedupGroup == DedupFleet || class.DedupGroup == DedupZone && from.Zone == to.Zone ||
 			class.DedupGroup == DedupPod && from.Pod == to.Pod
 		if class.Idempotency == NonIdempotent || !inGroup || m.now.Sub(earlier.sentAt) >= class.DedupWindow {
-			m.violation("rule 2: %d may run twice", class.Idempotency)
+			m.violation("rule 2: request of idempotency %v may run twice", class.Idempotency)
 		}
 	}
 	if m.capacity(to) < 1 {
@@ -85,14 +87,14 @@
 
 func (m *model) Cancel(id RequestID, number int) {
 	if req := m.requests[id]; !m.settings.MayCancel || req == nil || number >= len(req.attempts) {
-		m.violation("cancellation of an attempt that was never made, or not allowed")
+		m.violation("cancel of an unknown attempt, or cancel not allowed")
 	}
 }
 
 func (m *model) recordFinalResponse(id RequestID) *modelRequest {
 	req := m.requests[id]
 	if req == nil || req.done {
-		m.violation("rule 1: second final answer")
+		m.violation("rule 1: second final response")
 		return nil
 	}
 	req.done = true
@@ -110,13 +112,13 @@
 		if !earlier.neverRan && class.Idempotency != Idempotent && (class.Idempotency == NonIdempotent ||
 			class.DedupGroup != DedupFleet || m.now.Sub(earlier.sentAt) >= class.DedupWindow) {
 			m.violation(
-				"rule 2: rejected though it may have run, after %d of a deduplication window of %d",
+				"rule 2: rejected though it may have run, %v after an attempt with a deduplication window of %v",
 				m.now.Sub(earlier.sentAt), class.DedupWindow,
 			)
 		}
 	}
 	if retryAfter < 0 || retryAfter > m.settings.MaxRetryAfter {
-		m.violation("advice %d out of bounds", retryAfter)
+		m.violation("Retry-After %v out of range", retryAfter)
 	}
 }
 
@@ -124,7 +126,7 @@
 
 func (m *model) SetTimer(at Time, timer uint64) {
 	if at < m.now {
-		m.violation("timer in the past")
+		m.violation("timer set in the past")
 	}
 	m.timers = append(m.timers, timer)
 }
@@ -133,7 +135,7 @@
 
 func (m *model) Gossip(message GossipMessage) {
 	if !m.settings.MayGossip || message.IdleTime == 0 && m.listed[message.Endpoint].ID != message.Endpoint {
-		m.violation("gossip %+v, allowed: %v", message, m.settings.MayGossip)
+		m.violation("unexpected gossip %+v, allowed: %t", message, m.settings.MayGossip)
 	}
 	m.gossiped = append(m.gossiped, message)
 }
@@ -141,13 +143,13 @@
 func (m *model) CheckHealth(id EndpointID) {
 	if info, known := m.listed[id]; !m.settings.MayCheckHealth || !known || info.State == StateDraining ||
 		info.State == StateRemoved && (!m.settings.RemovedMayServe || m.drainedSinceActive[id]) {
-		m.violation("a health check that is not allowed")
+		m.violation("health check is not allowed or of an endpoint that gets no requests")
 	}
 }
 
 func (m *model) CloseIdle(id EndpointID) {
 	if _, known := m.listed[id]; !known {
-		m.violation("close of an endpoint that was never listed")
+		m.violation("idle connections closed at an endpoint that was never listed")
 	}
 }
 
@@ -202,7 +204,8 @@
 	return 1
 }
 
-// addFairShares adds to each cold endpoint's part what a warm peer satisfied, or an arrival where none is warm.
+// addFairShares adds to the share of each endpoint in slow start: for a response of a warm endpoint, or for an arrival
+// (answeredBy 0) if none is warm.
 func (m *model) addFairShares(answeredBy EndpointID) {
 	active, warm := 0.0, 0.0
 	for _, info := range m.listed {
@@ -226,7 +229,7 @@
 	}
 }
 
-// updateList changes the fleet and enters it: drains, leavers, restarts and newcomers.
+// updateList randomly drains, removes, restarts and adds endpoints and passes the list to the Balancer.
 func (m *model) updateList(complete bool) {
 	var changed []EndpointInfo
 	for id := EndpointID(1); id <= 8; id++ {
@@ -245,7 +248,7 @@
 			}
 		}
 		if complete && info.State == StateRemoved || complete && known && m.Intn(10) == 0 {
-			info.State = StateRemoved // missing from a whole list
+			info.State = StateRemoved // missing from a complete list
 			m.listed[id] = info
 			continue
 		}
@@ -275,7 +278,8 @@
 	m.checkInFlight(req)
 }
 
-// owed checks that a request which is not over has work out: nothing else would ever answer it in time.
+// checkInFlight checks that a request without a final response has an attempt in flight. Otherwise nothing would
+// trigger a response in time.
 func (m *model) checkInFlight(req *modelRequest) {
 	if req.done {
 		return
@@ -285,7 +289,7 @@
 			return
 		}
 	}
-	m.violation("rule 1: a request is held with nothing out")
+	m.violation("rule 1: request without a final response has no attempt in flight")
 }
 
 func (m *model) step() {
@@ -302,7 +306,7 @@
 		m.balancer.RequestArrived(m.now, req.request)
 		m.checkInFlight(req)
 	case 4:
-		// What others tell, whatever it is and however often, must never break a rule.
+		// Gossip must not break a rule, whatever its content and however often it arrives.
 		message := GossipMessage{
 			Endpoint: EndpointID(m.Intn(10)),
 			Class:    m.Intn(8) - 2,
@@ -341,7 +345,7 @@
 			for number := range req.attempts {
 				if req.attempts[number].inFlight {
 					m.endAttempt(req, number, Outcome(m.Intn(int(OutcomeNotSent)+1)))
-					if m.Intn(8) == 0 { // the same gossip twice must change nothing
+					if m.Intn(8) == 0 { // ending the same attempt twice must change nothing
 						m.balancer.AttemptEnded(
 							m.now, AttemptResult{Request: req.request.ID, Attempt: number, Endpoint: req.attempts[number].endpoint},
 						)
@@ -352,14 +356,14 @@
 		}
 	}
 	for id, sent := range m.sentInSlowStart {
-		if sent > m.fairShare[id]+3 && !m.settings.RemovedMayServe { // else the list does not tell who is warm
-			m.violation("rule 4: cold endpoint %d was given %g, its part is %g", id, sent, m.fairShare[id])
+		if sent > m.fairShare[id]+3 && !m.settings.RemovedMayServe { // removed endpoints that serve are not counted as warm
+			m.violation("rule 4: endpoint %d in slow start got %g attempts, want at most 3 more than its share of %g", id, sent, m.fairShare[id])
 		}
 	}
 }
 
 func TestRandomEventsKeepModelInvariants(t *testing.T) {
-	play := func(seed int64) bool {
+	run := func(seed int64) bool {
 		m := newModel(seed)
 		for range 600 {
 			m.step()
@@ -372,15 +376,15 @@
 				}
 			}
 			if !m.requests[id].done || m.requests[id].finalResponses > 1 {
-				m.violation("rule 1: request with %d final answers", m.requests[id].finalResponses)
+				m.violation("rule 1: got a request with %d final responses, want one", m.requests[id].finalResponses)
 			}
 		}
 		if len(m.balancer.requests.byID) > 0 {
-			m.violation("%d requests are kept after their end", len(m.balancer.requests.byID))
+			m.violation("got %d requests in the table after all have ended, want 0", len(m.balancer.requests.byID))
 		}
 		for _, ep := range m.balancer.endpoints.all {
 			if ep.inFlight != 0 {
-				m.violation("%d attempts are counted out after all have ended", ep.inFlight)
+				m.violation("got %d attempts in flight at an endpoint after all have ended, want 0", ep.inFlight)
 			}
 		}
 		if len(m.violations) > 0 {
@@ -389,7 +393,7 @@
 		return len(m.violations) == 0
 	}
 	config := &quick.Config{MaxCount: 300, Rand: rand.New(rand.NewSource(1))}
-	if err := quick.Check(play, config); err != nil {
+	if err := quick.Check(run, config); err != nil {
 		t.Error(err)
 	}
 }
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -15,7 +15,7 @@
 		fleet.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
 	}
 	if fleet.estimator.classes[2].LatencySpread > before {
-		t.Errorf("the bound rose from %.2f to %.2f", before, fleet.estimator.classes[2].LatencySpread)
+		t.Errorf("latency spread rose from %.2f to %.2f after timeouts at a silent endpoint, want no rise", before, fleet.estimator.classes[2].LatencySpread)
 	}
 }
 
@@ -25,11 +25,11 @@
 	fleet.sent = nil
 	fleet.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeRejected, ms })
 	if len(fleet.sent) > 120 {
-		t.Errorf("%d attempts for 60 requests while every endpoint is full", len(fleet.sent))
+		t.Errorf("got %d attempts for 60 requests while every endpoint rejects, want at most 120", len(fleet.sent))
 	}
 }
 
-// Guards against an endpoint that rejects a part of its requests, idle as it is, being taken for a crowded one.
+// Guards against an idle endpoint that rejects some requests being treated as an overloaded one.
 func TestRejectionWithEmptyQueueKeepsLatencyEstimate(t *testing.T) {
 	for queueLength, raised := range map[float64]bool{0: false, 3: true, -1: true} {
 		fleet := newTestFleet(t, 1, nil)
@@ -50,7 +50,7 @@
 			fleet.now = fleet.endpoints.byID[1].backoffUntil
 		}
 		if after, _ := fleet.estimator.expectedLatency(fleet.endpoints.byID[1]); (after > 2*before) != raised {
-			t.Errorf("with a queue of %g the endpoint is expected at %.1f, before at %.1f", queueLength, after, before)
+			t.Errorf("queue length %g: got latency per work %.1f after rejections, %.1f before, want a rise unless 0", queueLength, after, before)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -21,16 +21,16 @@
 	fleet.sent = nil
 	fleet.serve(100, respond)
 	if n := fleet.sentTo(failing); n > 8 {
-		t.Errorf("a failing endpoint got %d of %d attempts", n, len(fleet.sent))
+		t.Errorf("got %d of %d attempts at a failing endpoint, want at most 8", n, len(fleet.sent))
 	}
 	fleet.arrive(2)
 	if failing = 0; fleet.rejected+fleet.failed > 0 {
-		t.Errorf("%d requests were given up beside three good endpoints", fleet.rejected+fleet.failed)
+		t.Errorf("got %d requests given up with three healthy endpoints, want 0", fleet.rejected+fleet.failed)
 	}
 	fleet.serve(800, respond)
 	fleet.sent = nil
 	if fleet.serve(100, respond); fleet.sentTo(2) < 10 || fleet.endpoints.byID[2].health[0].ejected {
-		t.Errorf("a mended endpoint got %d of 100 attempts", fleet.sentTo(2))
+		t.Errorf("got %d of 100 attempts at an endpoint that no longer fails, want at least 10 and no ejection", fleet.sentTo(2))
 	}
 }
 
@@ -45,7 +45,7 @@
 		}
 	}
 	if ejected > 2 {
-		t.Errorf("%d of 4 endpoints were ejected when all failed alike", ejected)
+		t.Errorf("got %d of 4 endpoints ejected while all fail alike, want at most 2", ejected)
 	}
 }
 
@@ -59,12 +59,12 @@
 	fleet.sent = nil
 	fleet.serve(30, respondPromptly)
 	if fleet.sentTo(silent) > 0 {
-		t.Errorf("an endpoint silent for ten answer times got %d more requests", fleet.sentTo(silent))
+		t.Errorf("got %d requests at an endpoint silent for ten times its latency, want 0", fleet.sentTo(silent))
 	}
 	fleet.now += 80 * ms
 	fleet.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
 	if fleet.failed != 1 || fleet.rejected != 0 {
-		t.Errorf("the non-idempotent request was rejected %d and failed %d times", fleet.rejected, fleet.failed)
+		t.Errorf("non-idempotent request: got %d rejections and %d failures, want 0 and 1", fleet.rejected, fleet.failed)
 	}
 }
 
@@ -79,13 +79,13 @@
 		return OutcomeSucceeded, 10 * ms
 	})
 	if n := fleet.sentTo(1); n > 8 {
-		t.Errorf("a full endpoint was asked %d times during 60 requests", n)
+		t.Errorf("got %d of 60 requests at an endpoint that rejects, want at most 8", n)
 	}
 	unmeasured := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
 	a := &attempt{endpoint: unmeasured, sentAt: fleet.now, inFlight: true}
 	fleet.recordAttempt(fleet.now, &request{}, a, AttemptResult{Outcome: OutcomeConnectFailed})
 	if unmeasured.backoffUntil < fleet.now.Add(recalculationInterval/2) {
-		t.Errorf("an endpoint not heard of late is asked again after %d ms", (unmeasured.backoffUntil-fleet.now)/ms)
+		t.Errorf("got backoff of %d ms for an endpoint without recent responses, want at least 500 ms", (unmeasured.backoffUntil-fleet.now)/ms)
 	}
 }
 
@@ -96,12 +96,12 @@
 	ep := fleet.endpoints.byID[fleet.lastSent()]
 	ep.Latency, ep.health[2] = ewma.Pair{}, classHealth{}
 	if fleet.endAttempt(id, 0, OutcomeError, ms); !ep.health[2].ejected {
-		t.Errorf("its failing part is taken for %.2f", ep.health[2].failureRate)
+		t.Errorf("endpoint with few samples was not ejected after an error, failure rate %.2f", ep.health[2].failureRate)
 	}
 }
 
-// Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it
-// can do.
+// Guards against cascading ejections: pauses eject most endpoints one after another, and the remaining ones are
+// overloaded.
 func TestEjectedEndpointsAreLastResort(t *testing.T) {
 	fleet := newTestFleet(t, 4, nil)
 	fleet.serve(100, respondPromptly)
@@ -114,26 +114,26 @@
 		fleet.arrive(2)
 	}
 	if fleet.sentTo(2) != 1 || fleet.sentTo(3) != 1 || fleet.sentTo(4) != 1 || fleet.rejected != 0 {
-		t.Errorf("three requests went to %v, %d were rejected", fleet.sent, fleet.rejected)
+		t.Errorf("got three requests at %v and %d rejected, want one at each ejected endpoint and none rejected", fleet.sent, fleet.rejected)
 	}
 	if fleet.arrive(2); fleet.rejected != 1 {
-		t.Error("an ejected endpoint was given a second request while it had one")
+		t.Error("an ejected endpoint got a second request with one in flight, want a rejection")
 	}
 	fleet.endpoints.byID[1].State, fleet.sent = StateActive, nil
 	if fleet.arrive(2); fleet.sentTo(1) != 1 {
-		t.Errorf("with a fit endpoint a request went to %v", fleet.sent)
+		t.Errorf("got a request at %v with a healthy endpoint, want it at 1", fleet.sent)
 	}
 	for _, ep := range fleet.endpoints.all {
 		ep.inFlight, ep.Latency.Weight = 0, 1
 	}
 	fleet.endpoints.byID[1].State, fleet.sent = StateDraining, nil
 	if fleet.arrive(2); len(fleet.sent) != 0 {
-		t.Error("an endpoint seldom heard, whose state nobody here knows, was tried")
+		t.Error("got a request at an ejected endpoint with few samples, want none")
 	}
 }
 
-// With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood
-// still made all of them look silent, and idle endpoints' requests were rejected.
+// Guards against a pause of the node itself making endpoints look silent: with one request in flight at each of a few
+// endpoints and latencies of microseconds, requests were rejected though the endpoints were idle.
 func TestNodePauseDoesNotRejectRequests(t *testing.T) {
 	effects := &lastSendRecorder{}
 	settings := benchSettings
@@ -162,16 +162,16 @@
 	now += 6 * ms
 	effects.sent = false
 	if balancer.RequestArrived(now, Request{ID: "next", Deadline: now + 900*ms}); !effects.sent {
-		t.Error("rejected after 6 ms of stillness, three ticks of the clock")
+		t.Error("request was rejected after a pause of 6 ms, three ticks of the clock, want it sent")
 	}
 	now += 60 * ms
 	effects.sent = false
 	if balancer.RequestArrived(now, Request{ID: "later", Deadline: now + 900*ms}); effects.sent {
-		t.Error("sent to endpoints that were silent for 66 ms and answer in 0.05")
+		t.Error("request was sent to endpoints with a latency of 0.05 ms that were silent for 66 ms, want a rejection")
 	}
 }
 
-// Guards against endpoints that leave one class unanswered and serve the others as usual.
+// Guards against endpoints that leave one class unanswered and serve the others normally.
 func TestEndpointIsEjectedForUnansweredClassOnly(t *testing.T) {
 	fleet := newTestFleet(t, 1, nil)
 	fleet.serve(60, respondPromptly)
@@ -180,11 +180,11 @@
 	overdueTimer, silent := fleet.timers[len(fleet.timers)-1], fleet.endpoints.all[0]
 	fleet.now += 100 * ms
 	if fleet.TimerFired(fleet.now, overdueTimer); silent.health[2].ejected {
-		t.Error("struck though nothing else was answered since")
+		t.Error("endpoint was ejected without having responded to other requests since")
 	}
 	fleet.serve(1, respondPromptly)
 	if fleet.TimerFired(fleet.now, overdueTimer); !silent.health[2].ejected || silent.health[0].failureRate > 0.01 {
-		t.Errorf("health by class: %+v", silent.health)
+		t.Errorf("got health %+v by class, want an ejection for class 2 only", silent.health)
 	}
 }
 
@@ -207,21 +207,21 @@
 		receiveGossip(unused)
 	}
 	if unused.State, unused.health[0].gossipVotes = StateActive, 0; unused.health[0].ejected {
-		t.Error("gossip of a draining endpoint was heeded")
+		t.Error("gossip about a draining endpoint was counted")
 	}
 	receiveGossip(unused)
 	receiveGossip(unused)
 	if unused.health[0].ejected {
-		t.Error("two messages put an endpoint out")
+		t.Error("endpoint was ejected after two messages, want three")
 	}
 	if receiveGossip(unused); !unused.health[0].ejected || unused.health[1].ejected {
-		t.Errorf("after three messages %+v", unused.health)
+		t.Errorf("got health %+v by class after three messages, want an ejection for class 0 only", unused.health)
 	}
 	for range 20 {
 		receiveGossip(used)
 	}
 	if used.health[0].ejected {
-		t.Error("gossip overruled what was seen")
+		t.Error("gossip ejected an endpoint that this node has seen respond")
 	}
 }
 
@@ -235,13 +235,13 @@
 	for _, ep := range fleet.endpoints.all {
 		for _, health := range ep.health {
 			if health.ejected || fleet.idleConns.timeout.Limit < 1e12 {
-				t.Fatalf("idle %d, standing %+v", fleet.idleConns.timeout.Limit, health)
+				t.Fatalf("got idle timeout %d and health %+v after invalid gossip, want no change", fleet.idleConns.timeout.Limit, health)
 			}
 		}
 	}
 }
 
-// A node tells what it saw, and no more often than once a second.
+// A node sends a failure message only for errors that it has observed itself, at most once per second.
 func TestFailureGossipIsRateLimited(t *testing.T) {
 	fleet := newTestFleet(t, 4, manyNodesSettings)
 	fleet.serve(20, respondPromptly)
@@ -256,7 +256,7 @@
 		return OutcomeSucceeded, ms
 	})
 	if len(fleet.gossiped) != 1 || fleet.gossiped[0] != (GossipMessage{Endpoint: failing}) {
-		t.Errorf("gossiped %v", fleet.gossiped)
+		t.Errorf("got messages %v, want one about the failing endpoint", fleet.gossiped)
 	}
 }
 
@@ -267,17 +267,17 @@
 	for _, ejection := range []time.Duration{minEjectionTime, 2 * minEjectionTime, 4 * minEjectionTime, maxEjectionTime, maxEjectionTime} {
 		detector.record(now, &health, 1, 0.5)
 		if !health.ejected || health.nextTrialAt != now.Add(ejection) {
-			t.Fatalf("after a failure %+v, expected an ejection for %v", health, ejection)
+			t.Fatalf("got health %+v after a failure, want an ejection for %v", health, ejection)
 		}
 	}
 	for range 20 {
 		detector.record(now, &health, 0, 0.5)
 	}
 	if health.ejected || health.ejectionTime != 0 {
-		t.Errorf("after twenty successes %+v", health)
+		t.Errorf("got health %+v after twenty successes, want a reinstatement", health)
 	}
-	detector.fleetFailureRate = 0.5 // all fail alike
+	detector.fleetFailureRate = 0.5 // all endpoints fail alike
 	if detector.record(now, &health, 1, 0.5); health.ejected {
-		t.Errorf("ejected at a failure rate of %g where that of all is half", health.failureRate)
+		t.Errorf("ejected at failure rate %g with a fleet failure rate of 0.5, want no ejection", health.failureRate)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Guards against a spell that ends only once the endpoints have rested: in a long overload a node gives up all requests
-// for a while, once; a short one, as a burst makes, changes nothing.
+// Guards against an overload that ends only after the endpoints have had no load for a while. In a long overload a node
+// gives up all requests for a while, once. A short overload, such as a burst, has no effect.
 func TestLongOverloadShedsAllRequestsOnce(t *testing.T) {
 	fleet := newTestFleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
 	fleet.serve(40, respondPromptly)
-	for range 40 { // slow all the time, but nothing is rejected
+	for range 40 { // slow for a long time, but without rejections
 		fleet.estimator.Fleet.FirstSum, fleet.estimator.Fleet.Weight = 400, 40
 		fleet.now += Time(tickInterval)
 		if fleet.tick(); fleet.overload.shedAllUntil > 0 {
-			t.Fatal("a rest though nothing was rejected")
+			t.Fatal("shedding all requests without rejections")
 		}
 	}
 	shedSeconds := 0
@@ -25,15 +25,15 @@
 		if fleet.overload.shedAllUntil > fleet.now {
 			shedSeconds++
 			if second < overloadedSecondsToShedAll-1 {
-				t.Fatalf("a rest after %d s of overload", second+1)
+				t.Fatalf("shedding all requests after %d s of overload, want later", second+1)
 			}
 			if fleet.rejected = 0; fleet.arrive(0) == "" || fleet.rejected != 1 {
-				t.Error("a request was taken while the fleet rests")
+				t.Error("a request was sent while all are shed")
 			}
 		}
 	}
 	if shedSeconds != int(shedAllDuration/tickInterval) {
-		t.Errorf("%d s of rest in one overload, want %d", shedSeconds, shedAllDuration/tickInterval)
+		t.Errorf("got %d s of shedding all requests in one overload, want %d", shedSeconds, shedAllDuration/tickInterval)
 	}
 }
 
@@ -47,22 +47,22 @@
 	for range overloadedSecondsToShedAll - 1 {
 		tick(overloadedLatencyRatio, overloadedSuccessRate)
 	}
-	tick(overloadedLatencyRatio-0.1, overloadedSuccessRate) // the spell ends
+	tick(overloadedLatencyRatio-0.1, overloadedSuccessRate) // the overload ends
 	for range overloadedSecondsToShedAll - 1 {
 		tick(overloadedLatencyRatio, overloadedSuccessRate)
 		if guard.shedsAll(now) {
-			t.Fatal("rests before its time")
+			t.Fatal("shedding all requests before the overload has lasted long enough")
 		}
 	}
 	tick(overloadedLatencyRatio, overloadedSuccessRate)
 	if !guard.shedsAll(now.Add(shedAllDuration-1)) || guard.shedsAll(now.Add(shedAllDuration)) {
-		t.Errorf("rests until %d ns, now %d", guard.shedAllUntil, now)
+		t.Errorf("got shedding until %d ns at %d ns, want for shedAllDuration", guard.shedAllUntil, now)
 	}
 	firstShedAllUntil := guard.shedAllUntil
 	for range 3 * overloadedSecondsToShedAll {
 		tick(overloadedLatencyRatio, overloadedSuccessRate)
 	}
 	if guard.shedAllUntil != firstShedAllUntil {
-		t.Error("a second rest in one spell")
+		t.Error("shedding all requests twice in one overload")
 	}
 }
--- a/policy/reason_test.go
+++ b/policy/reason_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Guards against a rejection or failure of which operators can't tell the cause.
+// Guards against rejections and failures whose cause operators cannot identify.
 func TestGiveUpReasons(t *testing.T) {
 	everyEndpoint := func(change func(*testFleet, *endpoint)) func(*testFleet) {
 		return func(fleet *testFleet) {
@@ -21,7 +21,7 @@
 		}
 	}
 	for want, test := range map[Reason]struct {
-		prepare, play func(*testFleet)
+		prepare, run func(*testFleet)
 	}{
 		ReasonNoEndpoint: {everyEndpoint(func(_ *testFleet, ep *endpoint) { ep.State = StateDraining }), arrive},
 		ReasonBackoff:    {everyEndpoint(func(fleet *testFleet, ep *endpoint) { ep.backoffUntil = fleet.now + 1 }), arrive},
@@ -67,9 +67,9 @@
 			fleet := newTestFleet(t, 3, nil)
 			fleet.serve(40, respondPromptly)
 			test.prepare(fleet)
-			test.play(fleet)
+			test.run(fleet)
 			if fleet.rejected+fleet.failed != 1 || fleet.reason != want {
-				t.Errorf("%d rejected, %d failed, the last for %q, expected %q", fleet.rejected, fleet.failed, fleet.reason, want)
+				t.Errorf("got %d rejected and %d failed, last reason %q, want one with reason %q", fleet.rejected, fleet.failed, fleet.reason, want)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 	for reason := range ReasonCount {
 		name := reason.String()
 		if other, taken := seen[name]; name == "" || taken {
-			t.Errorf("reason %d is named %q, as is %d", reason, name, other)
+			t.Errorf("reason %d has the name %q, which is empty or also that of reason %d", reason, name, other)
 		}
 		seen[name] = reason
 	}
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A small world of endpoints, clients and nodes in which a fault comes and goes. An endpoint works on so many requests
-// at once and keeps others waiting; a client that is rejected asks again at once, twice at most.
+// A simulation of clients, nodes and endpoints with a temporary fault. An endpoint processes endpointConcurrency
+// requests at a time and queues up to endpointQueueLimit more. A client whose request is rejected retries immediately,
+// at most twice.
 const (
 	endpointConcurrency, endpointQueueLimit = 8, 40
 	meanWork                                = 20 * ms
@@ -44,7 +45,7 @@
 type simulatedEndpoint struct {
 	busy     int
 	queue    []*simulatedWork
-	workSent [simulationSeconds]time.Duration // work that reached it, by second
+	workSent [simulationSeconds]time.Duration // work received, by second
 }
 
 type faultSimulation struct {
@@ -53,11 +54,11 @@
 	events          eventHeap
 	endpoints       []*simulatedEndpoint
 	nodes           []*simulatedNode
-	extraLatency    func(class, tenant int) time.Duration // what the fault adds
-	arrived, inTime [simulationSeconds]float64            // by the second in which a client first asked
+	extraLatency    func(class, tenant int) time.Duration // added by the fault
+	arrived, inTime [simulationSeconds]float64            // by the second in which the client sent the request first
 }
 
-func (sim *faultSimulation) delay(delay time.Duration, run func()) {
+func (sim *faultSimulation) schedule(delay time.Duration, run func()) {
 	heap.Push(&sim.events, simulatedEvent{sim.now.Add(delay), run})
 }
 
@@ -67,7 +68,7 @@
 
 func (sim *faultSimulation) startWork(ep *simulatedEndpoint, job *simulatedWork) {
 	ep.busy++
-	sim.delay(job.work, func() {
+	sim.schedule(job.work, func() {
 		if ep.busy--; !job.ended {
 			job.onDone()
 		}
@@ -80,7 +81,7 @@
 	})
 }
 
-// simulatedNode is the Effects of one instance.
+// simulatedNode is the Effects of one Balancer.
 type simulatedNode struct {
 	*faultSimulation
 	balancer     *Balancer
@@ -134,7 +135,7 @@
 	}
 	req.attempts = append(req.attempts, job)
 	job.onDone = func() { job.ended = true; n.endAttempt(id, number, OutcomeSucceeded) }
-	n.delay(timeout, func() {
+	n.schedule(timeout, func() {
 		if !job.ended {
 			job.ended = true
 			n.endAttempt(id, number, OutcomeTimedOut)
@@ -147,39 +148,40 @@
 		ep.queue = append(ep.queue, job)
 	default:
 		job.ended = true
-		n.delay(ms, func() { n.endAttempt(id, number, OutcomeRejected) })
+		n.schedule(ms, func() { n.endAttempt(id, number, OutcomeRejected) })
 	}
 }
 
 func (n *simulatedNode) Cancel(id RequestID, number int) {
 	if req := n.openRequests[id]; req != nil && !req.attempts[number].ended {
 		req.attempts[number].ended = true
-		n.delay(0, func() { n.endAttempt(id, number, OutcomeCanceled) })
+		n.schedule(0, func() { n.endAttempt(id, number, OutcomeCanceled) })
 	}
 }
 
 func (n *simulatedNode) Reject(id RequestID, _ time.Duration, _ Reason) {
 	req := n.openRequests[id]
 	if delete(n.openRequests, id); req.sendCount < 3 {
-		n.delay(ms, func() { n.send(req) })
+		n.schedule(ms, func() { n.send(req) })
 	}
 }
 
 func (n *simulatedNode) Fail(id RequestID, _ Reason) { delete(n.openRequests, id) }
 func (n *simulatedNode) SetTimer(at Time, timer uint64) {
-	n.delay(max(at.Sub(n.now), 1), func() { n.balancer.TimerFired(n.now, timer) })
+	n.schedule(max(at.Sub(n.now), 1), func() { n.balancer.TimerFired(n.now, timer) })
 }
 func (n *simulatedNode) WatchEndpoints()        {}
 func (n *simulatedNode) CloseIdle(EndpointID)   {}
 func (n *simulatedNode) CheckHealth(EndpointID) {}
 func (n *simulatedNode) Gossip(GossipMessage)   {}
 
-// arrive has requests come to a node, a second kind of either sort among four.
+// arrive sends a request to the node and schedules the next arrival. One request in four is of class 1 and,
+// independently, one in four of tenant 1.
 func (n *simulatedNode) arrive(meanInterval time.Duration) {
 	req := &simulatedRequest{firstSentAt: n.now, class: n.IntN(4) / 3, tenant: n.IntN(4) / 3}
 	n.arrived[n.secondOf(n.now)]++
 	n.send(req)
-	n.delay(time.Duration(n.ExpFloat64()*float64(meanInterval)), func() { n.arrive(meanInterval) })
+	n.schedule(time.Duration(n.ExpFloat64()*float64(meanInterval)), func() { n.arrive(meanInterval) })
 }
 
 func simulateFault(nodes int, extraLatency func(class, tenant int) time.Duration) *faultSimulation {
@@ -209,9 +211,9 @@
 		}, uint64(index), n)
 		sim.nodes = append(sim.nodes, n)
 		n.balancer.EndpointsUpdated(sim.now, list, true)
-		sim.delay(time.Duration(sim.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
+		sim.schedule(time.Duration(sim.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
 	}
-	sim.delay(faultEndSecond*1e9, func() { // one starts anew as the fault ends
+	sim.schedule(faultEndSecond*1e9, func() { // one endpoint restarts when the fault ends
 		list[restartedEndpoint-1].StartedAt = sim.now
 		for _, n := range sim.nodes {
 			n.balancer.EndpointsUpdated(sim.now, list[restartedEndpoint-1:restartedEndpoint], false)
@@ -225,33 +227,34 @@
 	return sim
 }
 
-// Guards against estimates that outlive their cause, and against the fault of some being read as that of all: requests
-// were rejected by nine in ten for as long as a day lasted, for a class that had waited and no longer did.
+// Guards against estimates that stay bad after their cause has ended, and against a fault of one class or tenant being
+// attributed to all. In a failure of this kind, nine in ten requests were rejected for the rest of a day because of a
+// class whose delay had ended.
 func TestServiceRecoversAfterFault(t *testing.T) {
-	for name, c := range map[string]struct {
-		nodes, recoverySeconds int // seconds after its end
+	for name, test := range map[string]struct {
+		nodes, recoverySeconds int // recoverySeconds is counted from the end of the fault
 		minDuring              float64
 		extraLatency           func(class, tenant int) time.Duration
 	}{
-		"a class, one node": {1, 2, 0.7, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms }},
-		"a class, 100 nodes": {
-			100, 4, 0.4, func(c, _ int) time.Duration { return time.Duration(c) * 600 * ms },
+		"delayed class, one node": {1, 2, 0.7, func(class, _ int) time.Duration { return time.Duration(class) * 600 * ms }},
+		"delayed class, 100 nodes": {
+			100, 4, 0.4, func(class, _ int) time.Duration { return time.Duration(class) * 600 * ms },
 		},
-		"a tenant, one node": {1, 2, 0.7, func(_, tenant int) time.Duration { return time.Duration(tenant) * 600 * ms }},
-		"a tenant, 100 nodes": {
+		"delayed tenant, one node": {1, 2, 0.7, func(_, tenant int) time.Duration { return time.Duration(tenant) * 600 * ms }},
+		"delayed tenant, 100 nodes": {
 			100, 4, 0.4, func(_, tenant int) time.Duration { return time.Duration(tenant) * 600 * ms },
 		},
-		"every endpoint's, one node":  {1, 3, 0, func(int, int) time.Duration { return 600 * ms }},
-		"every endpoint's, 100 nodes": {100, 5, 0, func(int, int) time.Duration { return 600 * ms }},
-		"most of the work, one node": {
-			1, 2, 0.08, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms },
+		"all delayed, one node":  {1, 3, 0, func(int, int) time.Duration { return 600 * ms }},
+		"all delayed, 100 nodes": {100, 5, 0, func(int, int) time.Duration { return 600 * ms }},
+		"most requests delayed, one node": {
+			1, 2, 0.08, func(class, _ int) time.Duration { return time.Duration(1-class) * 600 * ms },
 		},
-		"most of the work, 100 nodes": {
-			100, 4, 0.12, func(c, _ int) time.Duration { return time.Duration(1-c) * 600 * ms },
+		"most requests delayed, 100 nodes": {
+			100, 4, 0.12, func(class, _ int) time.Duration { return time.Duration(1-class) * 600 * ms },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			sim := simulateFault(c.nodes, c.extraLatency)
+			sim := simulateFault(test.nodes, test.extraLatency)
 			inTimeFraction := func(from, to int) float64 {
 				inTimeCount, arrivedCount := 0.0, 0.0
 				for second := from; second < to; second++ {
@@ -259,8 +262,8 @@
 				}
 				return inTimeCount / arrivedCount
 			}
-			before, during, after := inTimeFraction(1, faultStartSecond), inTimeFraction(faultStartSecond+2, faultEndSecond), inTimeFraction(faultEndSecond+c.recoverySeconds, simulationSeconds-2)
-			t.Logf(name+": in time %.3f before, %.3f in it, %.3f from %d s after it; by second %.2f", before, during, after, c.recoverySeconds,
+			before, during, after := inTimeFraction(1, faultStartSecond), inTimeFraction(faultStartSecond+2, faultEndSecond), inTimeFraction(faultEndSecond+test.recoverySeconds, simulationSeconds-2)
+			t.Logf(name+": fraction in time %.3f before the fault, %.3f during it, %.3f from %d s after it; by second %.2f", before, during, after, test.recoverySeconds,
 				func() (bySecond []float64) {
 					for second := range simulationSeconds - 2 {
 						bySecond = append(bySecond, inTimeFraction(second, second+1))
@@ -268,15 +271,15 @@
 					return bySecond
 				}())
 			if after < before-0.02 {
-				t.Errorf("in time %.3f before, %.3f from %d s after its end", before, after, c.recoverySeconds)
+				t.Errorf("got fraction in time %.3f before the fault, %.3f from %d s after it, want a difference below 0.02", before, after, test.recoverySeconds)
 			}
-			if during < c.minDuring {
-				t.Errorf("in time %.3f while it lasts, at least %.2f are not struck", during, c.minDuring)
+			if during < test.minDuring {
+				t.Errorf("got fraction in time %.3f during the fault, want at least %.2f, as other requests are not affected", during, test.minDuring)
 			}
 			for second := faultEndSecond; second < simulationSeconds; second++ {
 				capacity := endpointConcurrency * 1e9 * (0.2 + 0.8*min(1, float64(second-faultEndSecond)/20))
 				if sent := float64(sim.endpoints[restartedEndpoint-1].workSent[second]); sent > 3*capacity {
-					t.Errorf("second %d: a cold endpoint is sent %.1f times what it can do", second, sent/capacity)
+					t.Errorf("second %d: the restarted endpoint got %.1f times the work that it can do, want at most 3", second, sent/capacity)
 				}
 			}
 		})
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// What comes all at once: reports, another list, every endpoint restarted, with 10,000 requests out.
+// Guards against overload after simultaneous changes: load reports, another list and a restart of every endpoint, with
+// up to 10,000 requests in flight.
 func TestSimultaneousChangesUnderLoad(t *testing.T) {
 	const n = 1024
 	effects := &lastSendRecorder{}
@@ -30,7 +31,7 @@
 		}
 		return sent
 	}
-	answer := func(load float64) {
+	respond := func(load float64) {
 		for _, req := range inFlight {
 			balancer.AttemptEnded(now, AttemptResult{
 				Request: req.id, Endpoint: req.endpoint, Outcome: OutcomeSucceeded, Elapsed: 20 * ms, RequestDone: true,
@@ -40,33 +41,33 @@
 		inFlight = nil
 	}
 	if sent := arrive(10000); sent < 9000 {
-		t.Fatalf("%d of 10,000 requests sent to %d idle endpoints", sent, n)
+		t.Fatalf("got %d of 10,000 requests sent to %d idle endpoints, want at least 9,000", sent, n)
 	}
 	now += 20 * ms
-	answer(50)
-	answer(0)
+	respond(50)
+	respond(0)
 	arrive(2000)
 	balancer.EndpointsUpdated(now, list[n:], true)
 	if got := len(candidateWeights(balancer, now)); got != selectionWindow {
-		t.Errorf("%d take part after another list, want a window of %d", got, selectionWindow)
+		t.Errorf("got %d candidates after another list, want a window of %d", got, selectionWindow)
 	}
 	if arrive(500); len(inFlight) < 2000 {
-		t.Errorf("%d sent after another list", len(inFlight)-2000)
+		t.Errorf("got %d requests sent after another list, want some", len(inFlight)-2000)
 	}
 	for _, req := range inFlight[2000:] {
 		if balancer.endpoints.byID[req.endpoint].State != StateActive {
-			t.Fatalf("sent to %d, which is on the list no more", req.endpoint)
+			t.Fatalf("request sent to endpoint %d, which is no longer listed", req.endpoint)
 		}
 	}
 	now += 20 * ms
-	answer(1)
+	respond(1)
 	restarted := list[n:]
 	for i := range restarted {
 		restarted[i].StartedAt = now
 	}
 	balancer.EndpointsUpdated(now, restarted, true)
 	if got := len(candidateWeights(balancer, now)); got > n/10 {
-		t.Errorf("%d of %d cold endpoints may be given a request at once", got, n)
+		t.Errorf("got %d of %d endpoints in slow start as candidates, want at most a tenth", got, n)
 	}
 	sentTo := map[EndpointID]int{}
 	for range 50 {
@@ -75,19 +76,19 @@
 		for _, req := range inFlight {
 			sentTo[req.endpoint]++
 		}
-		answer(1)
+		respond(1)
 	}
 	for id, sentCount := range sentTo {
 		if sentCount > 8 {
-			t.Errorf("cold endpoint %d was given %d of 5,000 requests, one in %d would be its even part", id, sentCount, n)
+			t.Errorf("endpoint %d in slow start got %d of 5,000 requests, want at most 8 (an even share is one in %d)", id, sentCount, n)
 		}
 	}
 	if len(balancer.requests.byID) != 0 {
-		t.Errorf("%d requests are held that have their end", len(balancer.requests.byID))
+		t.Errorf("got %d requests in the table after all have ended, want 0", len(balancer.requests.byID))
 	}
 }
 
-// 100,000 requests held at once, then none.
+// 100,000 requests in flight at the same time, until all have ended.
 func TestManyRequestsInFlight(t *testing.T) {
 	effects := &lastSendRecorder{}
 	balancer := New(benchSettings, 1, effects)
@@ -102,7 +103,7 @@
 		}
 	}
 	if len(balancer.requests.byID) != len(endpoints) || len(endpoints) < 90000 {
-		t.Errorf("%d held, %d sent", len(balancer.requests.byID), len(endpoints))
+		t.Errorf("got %d requests in the table for %d sent, want the same number and at least 90,000", len(balancer.requests.byID), len(endpoints))
 	}
 	for id, endpoint := range endpoints {
 		balancer.AttemptEnded(
@@ -110,6 +111,6 @@
 		)
 	}
 	if len(balancer.requests.byID) != 0 {
-		t.Errorf("%d held after all have their end", len(balancer.requests.byID))
+		t.Errorf("got %d requests in the table after all have ended, want 0", len(balancer.requests.byID))
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -9,8 +9,8 @@
 	"fawnglade/internal/ewma"
 )
 
-// TestDrawFollowsTheFormula compares the draw's frequencies with shares worked by hand: for w of 1, 2 and 4
-// the sum is 7, x is 7, 3.5 and 1.75, and the shares are 4/7, 2/7 and 1/7.
+// TestDrawFollowsTheFormula compares the frequencies of the draw with probabilities calculated by hand. For w of 1, 2
+// and 4 the sum is 7, x is 7, 3.5 and 1.75, and the probabilities are 4/7, 2/7 and 1/7.
 func TestDrawFollowsTheFormula(t *testing.T) {
 	balancer := New(Settings{}, 7, nil)
 	weight1, weight2, weight4 := &endpoint{}, &endpoint{}, &endpoint{}
@@ -23,7 +23,7 @@
 	}
 	for ep, want := range map[*endpoint]float64{weight1: 4. / 7, weight2: 2. / 7, weight4: 1. / 7} {
 		if got := float64(count[ep]) / draws; math.Abs(got-want) > 0.01 {
-			t.Errorf("share %.3f, want %.3f", got, want)
+			t.Errorf("got frequency %.3f, want %.3f", got, want)
 		}
 	}
 }
@@ -37,7 +37,7 @@
 		return OutcomeSucceeded, 40 * ms
 	})
 	if n := fleet.sentTo(1); n > 40 {
-		t.Errorf("an endpoint three times as slow got %d of 400 attempts, by speed it would be 40", n)
+		t.Errorf("got %d of 400 attempts at an endpoint three times as slow, want at most 40, its share by speed", n)
 	}
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// taking returns who takes part in a draw, with w.
+// candidateWeights returns the candidates of a selection and their weights w.
 func candidateWeights(balancer *Balancer, now Time) map[*endpoint]float64 {
 	weights := map[*endpoint]float64{}
 	if ep, _ := balancer.selectEndpoint(now, anyRequest(balancer, now)); ep != nil {
@@ -62,31 +62,31 @@
 	return weights
 }
 
-// w of one endpoint with each exception in turn, beside one with a load of 2 that has been heard to rise; worked by
-// hand.
+// The weight w of one endpoint for each rule that adjusts it, beside another endpoint with a load of 2 that has risen
+// before. The values were calculated by hand.
 func TestEndpointWeight(t *testing.T) {
 	const now = Time(1e12)
 	for name, test := range map[string]struct {
 		change func(ep *endpoint)
 		want   float64
 	}{
-		"as reported": {func(ep *endpoint) { ep.Load = 4 }, 4},
-		"idle":        {func(ep *endpoint) { ep.Load = 0 }, 1. / 20}, // a twentieth of the mean, which is 1
-		"never heard": {func(ep *endpoint) { ep.Load, ep.HasReport = 0, false }, 2},
-		"rising for two": {
+		"load above the mean": {func(ep *endpoint) { ep.Load = 4 }, 4},
+		"idle":                {func(ep *endpoint) { ep.Load = 0 }, 1. / 20}, // a twentieth of the mean, which is 1
+		"no report yet":       {func(ep *endpoint) { ep.Load, ep.HasReport = 0, false }, 2},
+		"first rise two intervals ago, load below the mean": {
 			func(ep *endpoint) { ep.Load, ep.firstRiseAt = 1, now.Add(-2*recalculationInterval) }, 1.5,
 		},
-		"above while rising": {
+		"first rise two intervals ago, load above the mean": {
 			func(ep *endpoint) { ep.Load, ep.firstRiseAt = 6, now.Add(-2*recalculationInterval) }, 6,
 		},
 		"twice as slow": {func(ep *endpoint) { ep.Load, ep.Latency.FirstSum, ep.Latency.Weight = 1, 3, 1 }, 4},
-		"in a pod twice slower": {
+		"in a pod twice as slow": {
 			func(ep *endpoint) { ep.Load, ep.podLatency = 1, &ewma.Pair{FirstSum: 3, Weight: 1} }, 4,
 		},
-		"of twice the size": {func(ep *endpoint) { ep.Load, ep.Weight = 4, 2 }, 2},
-		"with two out":      {func(ep *endpoint) { ep.Load, ep.inFlight = 2, 2 }, 18},
-		"in another zone":   {func(ep *endpoint) { ep.Load, ep.Zone = 2, 1 }, 12},
-		"cold, and has earned": {
+		"twice the size":         {func(ep *endpoint) { ep.Load, ep.Weight = 4, 2 }, 2},
+		"two attempts in flight": {func(ep *endpoint) { ep.Load, ep.inFlight = 2, 2 }, 18},
+		"in another zone":        {func(ep *endpoint) { ep.Load, ep.Zone = 2, 1 }, 12},
+		"slow start with credit": {
 			func(ep *endpoint) { ep.Load, ep.StartedAt, ep.slowStartCredit = 4, now-1e9, 1 }, 4. / 400,
 		},
 	} {
@@ -99,13 +99,13 @@
 		}
 		test.change(balancer.endpoints.all[0])
 		if got := candidateWeights(balancer, now)[balancer.endpoints.all[0]]; math.Abs(got/test.want-1) > 1e-9 {
-			t.Errorf("%s: w is %g, want %g", name, got, test.want)
+			t.Errorf("%s: got w %g, want %g", name, got, test.want)
 		}
 	}
 }
 
-// worked compares how often each is drawn with 1/w over the sum, by chi-square: for k kinds
-// of outcome it lies about k-1, and under that plus five of its own deviations all but once in a million.
+// checkFrequencies compares how often each endpoint is drawn with its probability by a chi-square test. For k cells
+// chi-square is about k-1, and below that plus five of its own standard deviations in all but one in a million tests.
 func checkFrequencies(t *testing.T, name string, balancer *Balancer, now Time, draws int) {
 	t.Helper()
 	req := anyRequest(balancer, now)
@@ -132,10 +132,10 @@
 		add(restWant, restGot)
 	}
 	for ep := range got {
-		t.Errorf("%s: drew %v, who does not take part", name, ep)
+		t.Errorf("%s: selected %v, which is not a candidate", name, ep)
 	}
 	if degreesOfFreedom := max(cells-1, 1); chi2 > degreesOfFreedom+5*math.Sqrt(2*degreesOfFreedom) {
-		t.Errorf("%s: chi-square %.1f over %v kinds of outcome", name, chi2, cells)
+		t.Errorf("%s: got chi-square %.1f for %v cells, which is too high for the expected frequencies", name, chi2, cells)
 	}
 }
 
@@ -149,25 +149,26 @@
 			ep.Load, ep.LastReport, ep.HasReport, ep.firstRiseAt = math.Pow(10, 5*random.Float64()-3), 1, true, 1
 			ep.inFlight = random.IntN(3)
 		}
-		checkFrequencies(t, "w over five orders", balancer, now, 40000)
+		checkFrequencies(t, "loads over five orders of magnitude", balancer, now, 40000)
 		for i, ep := range balancer.endpoints.all {
 			ep.backoffUntil = now + Time(i%(n/3+1))*ms
 		}
-		checkFrequencies(t, "most just rejected", balancer, now, 40000)
+		checkFrequencies(t, "most in backoff", balancer, now, 40000)
 		for i, ep := range balancer.endpoints.all {
 			if ep.backoffUntil = 0; i != n/2 {
 				ep.backoffUntil = now + ms
 			}
 		}
-		checkFrequencies(t, "one left", balancer, now, 200)
+		checkFrequencies(t, "one candidate", balancer, now, 200)
 		balancer.endpoints.all[n/2].backoffUntil = now + ms
 		if ep, _ := balancer.selectEndpoint(now, anyRequest(balancer, now)); ep != nil {
-			t.Errorf("drew %v with none left", ep)
+			t.Errorf("selected %v with all endpoints in backoff, want none", ep)
 		}
 	}
 }
 
-// In a fleet larger than the window chances still fall as 1/w, since any part of the ranks is like any other.
+// In a fleet larger than the window, probabilities are still proportional to 1/w, since the window is independent of
+// the load.
 func TestSelectionInLargeFleetIsProportionalToInverseWeight(t *testing.T) {
 	balancer := New(benchSettings, 3, &lastSendRecorder{})
 	now := Time(1e12)
@@ -186,12 +187,12 @@
 	}
 	for _, w := range []float64{2, 4} {
 		if ratio := drawnByLoad[1] / endpointsByLoad[1] / (drawnByLoad[w] / endpointsByLoad[w]); math.Abs(ratio/w-1) > 0.06 {
-			t.Errorf("w of 1 is drawn %.2f times as often as w of %g", ratio, w)
+			t.Errorf("got w of 1 drawn %.2f times as often as w of %g, want the ratio of the weights", ratio, w)
 		}
 	}
 }
 
-// counted counts what is drawn.
+// countingSource counts the random numbers drawn.
 type countingSource struct {
 	rand.Source
 	count int
@@ -199,14 +200,15 @@
 
 func (c *countingSource) Uint64() uint64 { c.count++; return c.Source.Uint64() }
 
-// Where next to nobody is fit the draw ends after its passes; it must not spin, nor miss the one.
+// With no or one usable endpoint, a selection must find it if there is one, and must not draw random numbers until it
+// hits one.
 func TestSelectionDrawsFewRandomNumbers(t *testing.T) {
 	for name, exclude := range map[string]func(ep *endpoint, i int, now Time){
-		"just rejected": func(ep *endpoint, i int, now Time) { ep.backoffUntil = now + ms },
+		"in backoff": func(ep *endpoint, i int, now Time) { ep.backoffUntil = now + ms },
 		"ejected": func(ep *endpoint, i int, now Time) {
 			ep.health[0], ep.inFlight = classHealth{ejected: true, nextTrialAt: now + ms}, 1
 		},
-		"too late": func(ep *endpoint, i int, now Time) { ep.Latency.FirstSum, ep.Latency.Weight = 1e6, 20 },
+		"too slow": func(ep *endpoint, i int, now Time) { ep.Latency.FirstSum, ep.Latency.Weight = 1e6, 20 },
 		"cold":     func(ep *endpoint, i int, now Time) { ep.StartedAt, ep.slowStartCredit = now, 0 },
 		"silent":   func(ep *endpoint, i int, now Time) { ep.inFlight, ep.HasLatency, ep.lastActiveAt = 1, true, now-1e9 },
 	} {
@@ -224,10 +226,10 @@
 			balancer.random = rand.New(source)
 			ep, _ := balancer.selectEndpoint(now, anyRequest(balancer, now))
 			if (ep != nil) != (usable == 1) || ep != nil && ep != balancer.endpoints.all[0] {
-				t.Errorf("%s, %d fit: drew %v", name, usable, ep)
+				t.Errorf("%s, %d usable endpoints: selected %v, want the usable one or none", name, usable, ep)
 			}
 			if source.count > 4 {
-				t.Errorf("%s, %d fit: %d numbers drawn, want four at most", name, usable, source.count)
+				t.Errorf("%s, %d usable endpoints: got %d random numbers drawn, want at most 4", name, usable, source.count)
 			}
 		}
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -18,15 +18,15 @@
 		fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: 21, Weight: 1, StartedAt: fleet.now - 4e9}}, false)
 		fleet.serve(8, respondPromptly)
 		sent += fleet.sentTo(21)
-		maxSent += 8 * 0.28 / 20 // what it surely can do four of twenty seconds after its start
+		maxSent += 8 * 0.28 / 20 // its share of 20 endpoints, times its capacity 4 s into a slow start of 20 s
 	}
 	if float64(sent) < maxSent/4 || float64(sent) > maxSent {
-		t.Errorf("400 nodes with eight requests each gave it %d attempts, it surely can do %.0f", sent, maxSent)
+		t.Errorf("got %d attempts from 400 nodes with eight requests each, want a quarter of %.0f to all of them", sent, maxSent)
 	}
 }
 
-// Guards against a fleet that is mostly cold being used no further than its endpoints surely can: one whose answers
-// show more earns more, up to twice; one that shows nothing, or that it is slow, earns what it did.
+// Guards against using a mostly cold fleet only up to the lower bound of its capacity. An endpoint with fast responses
+// earns up to twice as much credit; one without responses or with slow ones earns the credit of the lower bound.
 func TestSlowStartCreditFollowsMeasuredLatency(t *testing.T) {
 	maxCredit := 0.0
 	creditFor := func(latency ewma.Pair) float64 {
@@ -34,28 +34,28 @@
 		fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: fleet.now}}, false)
 		fleet.now += 5e9
 		fleet.EndpointsUpdated(fleet.now, nil, false)
-		fleet.serve(1, respondPromptly) // so that the cost of a request is known
+		fleet.serve(1, respondPromptly) // to measure the work of a request
 		ep := fleet.endpoints.byID[4]
 		ep.slowStartCredit, ep.Latency = 0, latency
 		fleet.grantCreditForResponse(fleet.now, fleet.endpoints.byID[1], fleet.estimator.MeanWork)
-		maxCredit = 2 * fleet.slowStart.capacity(fleet.now, ep) / 3 // of the even part of three warm ones
+		maxCredit = 2 * fleet.slowStart.capacity(fleet.now, ep) / 3 // of the even share of three warm endpoints
 		return ep.slowStartCredit
 	}
 	unmeasured := creditFor(ewma.Pair{})
 	quick := creditFor(ewma.Pair{FirstSum: 12, SecondSum: 0, Weight: 24})
 	if slow := creditFor(ewma.Pair{FirstSum: 240, SecondSum: 0, Weight: 24}); unmeasured <= 0 || slow != unmeasured {
-		t.Errorf("earns %g where nothing is known, %g where its answers are slow", unmeasured, slow)
+		t.Errorf("got credit %g without responses and %g with slow ones, want the same and more than 0", unmeasured, slow)
 	}
 	if quick <= 1.5*unmeasured || quick > maxCredit+1e-9 {
-		t.Errorf("earns %g where its answers are quick, %g where nothing is known, bound %g", quick, unmeasured, maxCredit)
+		t.Errorf("got credit %g with fast responses, want at least 1.5 times %g (without responses) and at most %g", quick, unmeasured, maxCredit)
 	}
 	if oneSample := creditFor(ewma.Pair{FirstSum: 0.5, SecondSum: 0, Weight: 1}); oneSample != unmeasured {
-		t.Errorf("earns %g by a single answer, %g without", oneSample, unmeasured)
+		t.Errorf("got credit %g with a single response and %g without, want the same", oneSample, unmeasured)
 	}
 }
 
-// Guards against the first endpoints back after a loss of power being pushed over: hundreds of nodes that find none
-// warm share their requests out among those few, whatever these can do.
+// Guards against overloading the first endpoints that are back after a power outage: hundreds of nodes without any warm
+// endpoint would divide all their requests among these few.
 func TestFirstEndpointsAfterOutageAreNotOverloaded(t *testing.T) {
 	creditPerSecond := func(nodes int) float64 {
 		fleet := newTestFleet(
@@ -65,34 +65,34 @@
 			fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: id, Weight: 1, StartedAt: fleet.now}}, false)
 		}
 		sum := 0.0
-		for i := range 200 { // ten a second, that all get nothing
+		for i := range 200 { // 10 requests per second, all given up
 			ep := fleet.endpoints.byID[1]
 			ep.slowStartCredit = 0
 			fleet.RequestArrived(fleet.now, Request{ID: RequestID(fmt.Sprint(i)), Deadline: fleet.now + 1})
 			if sum += ep.slowStartCredit; i == 0 && ep.slowStartCredit > 0.25 {
-				t.Errorf("%g by one request", ep.slowStartCredit)
+				t.Errorf("got credit %g for one request, want at most 0.25", ep.slowStartCredit)
 			}
 			fleet.now += 100 * ms
 		}
-		return sum / 20 // a second
+		return sum / 20 // per second
 	}
 	oneNode, perNode := creditPerSecond(1), creditPerSecond(300)
-	// In the 20 s the sure part is 0.6 in the mean. A warm endpoint does minWarmConcurrency requests at a time, each taken
-	// for a quarter of the latency objective.
-	const meanWorkSeconds = 0.125 // s
+	// Over the slow start of 20 s the mean capacity is 0.6. A warm endpoint is assumed to process minWarmConcurrency
+	// requests at a time, each with a quarter of the latency objective as its work.
+	const meanWorkSeconds = 0.125
 	if concurrency := perNode * 300 * meanWorkSeconds; concurrency > minWarmConcurrency*0.6 {
 		t.Errorf(
-			"all nodes together give a cold endpoint %g of its time, no more than %g of what it surely does", concurrency,
+			"got %g concurrent requests at a cold endpoint from all nodes together, want at most %g", concurrency,
 			minWarmConcurrency*0.6,
 		)
 	}
 	if oneNode < 4*perNode {
-		t.Errorf("a node alone gives %g a second, one of 300 %g", oneNode, perNode)
+		t.Errorf("got credit %g per second with one node and %g for one of 300 nodes, want at least 4 times as much with one", oneNode, perNode)
 	}
 }
 
-// Guards against the first warm endpoints bearing all, and the cold ones starving as those fail: where few are warm
-// arrivals count.
+// Guards against the first warm endpoints getting all requests, failing under them, and leaving the cold ones without
+// credit: if few endpoints are warm, credit is granted for arrivals.
 func TestSlowStartCreditSourceDependsOnWarmEndpoints(t *testing.T) {
 	for _, warm := range []EndpointID{1, 5} {
 		fleet := newTestFleet(t, int(warm), func(s *Settings) { s.NodeCount = 1 })
@@ -112,7 +112,7 @@
 		fleet.grantCreditForResponse(fleet.now, fleet.endpoints.byID[1], 1e6)
 		byResponse = ep.slowStartCredit
 		if fewWarm := warm == 1; (byArrivals > 0) != fewWarm || (byResponse > 0) == fewWarm {
-			t.Errorf("%d of 8 warm: %g by arrivals, %g by an answer", warm, byArrivals, byResponse)
+			t.Errorf("%d of 8 endpoints warm: got credit %g for arrivals and %g for a response, want one of them", warm, byArrivals, byResponse)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	} {
 		ep := &endpoint{EndpointInfo: EndpointInfo{StartedAt: test.startedAt}}
 		if got := s.capacity(started.Add(test.age), ep); math.Abs(got-test.want) > 1e-12 {
-			t.Errorf("started at %d, %v later: capacity %g, expected %g", test.startedAt, test.age, got, test.want)
+			t.Errorf("started at %d, %v later: got capacity %g, want %g", test.startedAt, test.age, got, test.want)
 		}
 	}
 }
--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// closedLoop is a fresh instance in front of healthy endpoints that answer after exponentially distributed times, and
-// clients that each send the next request a while after the answer to the last. Nothing in it is overloaded.
+// closedLoop simulates a new instance with healthy endpoints whose latency is exponentially distributed, and clients
+// that each send the next request some time after the response to the last. No endpoint is overloaded.
 type closedLoop struct {
 	*testing.T
 	*rand.Rand
@@ -50,7 +50,7 @@
 	heap.Push(&c.events, simulatedEvent{c.now.Add(delay), run})
 }
 
-// send has a client send its next request; every second one is of class 1.
+// sendRequest sends the next request of a client. Every second request is of class 1.
 func (c *closedLoop) sendRequest() {
 	second := int((c.now - simulationStart) / 1e9)
 	c.requestCount++
@@ -60,10 +60,10 @@
 	c.balancer.RequestArrived(c.now, Request{ID: r.id, Class: r.class, Deadline: c.now + closedLoopDeadline})
 }
 
-// answer ends a request for its client, which thinks and sends another.
+// finishRequest ends a request for its client, which sends the next one after closedLoopThinkTime.
 func (c *closedLoop) finishRequest(r *closedLoopRequest, reason Reason) {
 	if c.openRequests[r.id] == nil {
-		c.Errorf("request %s was answered twice", r.id)
+		c.Errorf("request %s got two final responses", r.id)
 	}
 	delete(c.openRequests, r.id)
 	c.seconds[r.second].reasons[reason]++
@@ -122,7 +122,7 @@
 func (c *closedLoop) CheckHealth(EndpointID) {}
 func (c *closedLoop) Gossip(GossipMessage)   {}
 
-// runClosedLoop plays so many clients, every second request of a class with an idempotency.
+// runClosedLoop runs the given number of clients. Every second request is of a class with oddIdempotency.
 func runClosedLoop(
 	t *testing.T, seed uint64, endpoints, clients int, meanLatency time.Duration, oddIdempotency Idempotency,
 ) *closedLoop {
@@ -158,7 +158,7 @@
 	return loop
 }
 
-// String is what became of the requests of each second.
+// String returns the results of the requests of each second.
 func (c *closedLoop) String() (text string) {
 	for number, second := range c.seconds {
 		if second.sent[0]+second.sent[1] == 0 {
@@ -175,21 +175,21 @@
 	return text
 }
 
-// checkAnswered asks that of the requests of all but the last seconds hardly any is given up: as many as a latency that is
-// exponentially distributed makes late by itself.
+// checkAnswered checks that hardly any request was given up, except in the last seconds: only the few that are late
+// with an exponentially distributed latency anyway.
 func (c *closedLoop) checkAnswered(seed uint64) {
-	const mayStayUnanswered = 0.01
+	const maxUnansweredFraction = 0.01
 	sent, answered := 0, 0
 	for _, second := range c.seconds[:closedLoopSeconds-2] { // the last requests may still be in flight
 		sent += second.sent[0] + second.sent[1]
 		answered += second.answered[0] + second.answered[1]
 	}
-	if unanswered := sent - answered; float64(unanswered) > mayStayUnanswered*float64(sent) {
-		c.Errorf("seed %d: %d of %d requests were given up:%s", seed, unanswered, sent, c)
+	if unanswered := sent - answered; float64(unanswered) > maxUnansweredFraction*float64(sent) {
+		c.Errorf("seed %d: %d of %d requests were given up, want at most 1 %%:%s", seed, unanswered, sent, c)
 	}
 }
 
-// Guards against a fresh node that rejects nearly all requests for seconds at endpoints that are healthy and not busy.
+// Guards against a new node that rejects nearly all requests for seconds though the endpoints are healthy and not busy.
 func TestNewNodeServesHealthyEndpoints(t *testing.T) {
 	const seeds = 60
 	for _, test := range []struct {
@@ -206,7 +206,7 @@
 		{3, 24, 160 * ms, IdempotentByKey},
 		{8, 24, 50 * ms, NonIdempotent},
 	} {
-		name := fmt.Sprintf("%d endpoints of %s, %d clients, %s", test.endpoints, test.meanLatency, test.clients, test.oddIdempotency)
+		name := fmt.Sprintf("%d endpoints with mean latency %s, %d clients, %s", test.endpoints, test.meanLatency, test.clients, test.oddIdempotency)
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				runClosedLoop(t, seed, test.endpoints, test.clients, test.meanLatency, test.oddIdempotency).checkAnswered(seed)
@@ -215,7 +215,7 @@
 	}
 }
 
-// The one play of 3,200 in a longer run, 400 seeds of each case above, in which a fresh node gives up more than it may.
+// The one run of 3,200 (400 seeds of each case above) in which a new node gives up more requests than allowed.
 func TestNewNodeServesHealthyEndpointsSeed171(t *testing.T) {
 	runClosedLoop(t, 171, 3, 24, 160*ms, NonIdempotent).checkAnswered(171)
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -26,7 +26,7 @@
 		balancer.EndpointsUpdated(1e12, endpointList(endpoints), true)
 		before := subsetIDs(balancer)
 		if len(before) != minSubsetSize {
-			t.Fatalf("node %d draws from %d endpoints, want %d", node, len(before), minSubsetSize)
+			t.Fatalf("node %d: got a subset of %d endpoints, want %d", node, len(before), minSubsetSize)
 		}
 		for id := range before {
 			nodesByEndpoint[id]++
@@ -42,12 +42,12 @@
 	}
 	for id, nodesUsing := range nodesByEndpoint {
 		if nodesUsing < 12 || nodesUsing > 60 {
-			t.Errorf("endpoint %d is drawn from by %d nodes, 32 would be even", id, nodesUsing)
+			t.Errorf("endpoint %d is in the subsets of %d nodes, want 12 to 60 (32 is even)", id, nodesUsing)
 		}
 	}
 	if len(nodesByEndpoint) < endpoints || replaced > 60 {
 		t.Errorf(
-			"%d of %d endpoints are drawn from; one that left moved %d connections, 32 would be even", len(nodesByEndpoint),
+			"got %d of %d endpoints in subsets, want all; a removal replaced %d members, want at most 60", len(nodesByEndpoint),
 			endpoints, replaced,
 		)
 	}
@@ -56,7 +56,7 @@
 func TestFewNodesUseAllEndpoints(t *testing.T) {
 	fleet := newTestFleet(t, 19, func(s *Settings) { s.NodeIndex, s.NodeCount = 2, 4 })
 	if members := len(subsetIDs(fleet.Balancer)); members != 19 {
-		t.Errorf("one of four nodes draws from %d of 19 endpoints", members)
+		t.Errorf("got a subset of %d endpoints at one of four nodes, want all 19", members)
 	}
 }
 
@@ -71,7 +71,7 @@
 		fleet.endpoints.byID[id].health[0].ejected = true
 	}
 	if fleet.tick(); len(subsetIDs(fleet.Balancer)) != minSubsetSize+minSubsetSize/2+1 {
-		t.Errorf("with %d endpoints ejected a node draws from %d", minSubsetSize, len(subsetIDs(fleet.Balancer)))
+		t.Errorf("with %d endpoints ejected: got a subset of %d, want half of them and one more in addition", minSubsetSize, len(subsetIDs(fleet.Balancer)))
 	}
 	for id := range before {
 		fleet.endpoints.byID[id].health[0].ejected = false
@@ -81,12 +81,12 @@
 		fleet.arrive(0)
 	}
 	if members := len(subsetIDs(fleet.Balancer)); members < 8 {
-		t.Errorf("asked for 60 requests in a moment a node draws from %d endpoints", members)
+		t.Errorf("got a subset of %d endpoints after 60 requests within a second, want at least 8", members)
 	}
 }
 
-// TestSubsetIsBoundedInColdFleet has hundreds of nodes before a fleet that is cold as a whole: each draws from a part
-// of it, so that its connections are used again.
+// TestSubsetIsBoundedInColdFleet checks that in a fleet that is cold as a whole each of hundreds of nodes uses only
+// some of the endpoints, so that connections are reused.
 func TestSubsetIsBoundedInColdFleet(t *testing.T) {
 	settings := benchSettings
 	settings.NodeCount = 300
@@ -99,15 +99,15 @@
 	balancer.EndpointsUpdated(now, list, true)
 	if got := len(balancer.subset.members); got != maxWarmingUpFactor*balancer.subset.targetSize || got > 40 {
 		t.Errorf(
-			"one of 300 nodes draws from %d of 120 cold endpoints, want %d times %d", got, maxWarmingUpFactor,
+			"got a subset of %d of 120 cold endpoints at one of 300 nodes, want %d times %d and at most 40", got, maxWarmingUpFactor,
 			balancer.subset.targetSize,
 		)
 	}
-	for i := range list[:60] { // half of them were up long before
+	for i := range list[:60] { // half of them started long ago
 		list[i].StartedAt = 0
 	}
 	balancer.EndpointsUpdated(now, list, true)
 	if warm := len(balancer.subset.members) - len(balancer.subset.warmingUp); warm < balancer.subset.targetSize {
-		t.Errorf("draws from %d warm ones, want %d", warm, balancer.subset.targetSize)
+		t.Errorf("got %d warm endpoints in the subset, want at least %d", warm, balancer.subset.targetSize)
 	}
 }
