--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// remainingLatencyBudget returns the latency budget of a request for the time until its effective deadline.
-func (f *testFleet) remainingLatencyBudget(req *request) time.Duration {
+// budgetOf returns the latency budget of a request for the time until its effective deadline.
+func (f *testFleet) budgetOf(req *request) time.Duration {
 	return f.latencyBudget(req, req.effectiveDeadline.Sub(f.now))
 }
 
@@ -17,10 +17,10 @@
 		Request:           Request{Class: 1},
 		effectiveDeadline: fleet.now + 400*ms,
 	}
-	if got := fleet.remainingLatencyBudget(worstClassRequest); got != 400*ms {
+	if got := fleet.budgetOf(worstClassRequest); got != 400*ms {
 		t.Errorf("got latency budget %v for the worst class, want 400ms", got)
 	}
-	if got := fleet.remainingLatencyBudget(betterClassRequest); got != 100*ms {
+	if got := fleet.budgetOf(betterClassRequest); got != 100*ms {
 		t.Errorf("got latency budget %v for the class with the higher success rate, want 100ms", got)
 	}
 }
@@ -32,7 +32,7 @@
 		fleet.now += Time(tickInterval)
 		fleet.tick()
 	}
-	if got := fleet.remainingLatencyBudget(&request{Request: Request{Class: 1}, effectiveDeadline: fleet.now + 400*ms}); got < 380*ms {
+	if got := fleet.budgetOf(&request{Request: Request{Class: 1}, effectiveDeadline: fleet.now + 400*ms}); got < 380*ms {
 		t.Errorf("got latency budget %v of 400ms with an idle class at success rate 0.01, want at least 380ms", got)
 	}
 }
@@ -92,7 +92,7 @@
 		effectiveDeadline: fleet.now + 400*ms,
 		overQuota:         true,
 	}
-	if withinBudget, overBudget := fleet.remainingLatencyBudget(within), fleet.remainingLatencyBudget(over); withinBudget != 400*ms || overBudget != 100*ms {
+	if withinBudget, overBudget := fleet.budgetOf(within), fleet.budgetOf(over); withinBudget != 400*ms || overBudget != 100*ms {
 		t.Errorf("got latency budget %v within quota and %v over quota, want 400ms and 100ms", withinBudget, overBudget)
 	}
 }
@@ -105,16 +105,16 @@
 			settings.Classes[0].PriorityWeight, settings.Classes[1].PriorityWeight, settings.Classes[2].PriorityWeight = 1, 4, 64
 		})
 		fleet.tick()
-		if got := fleet.remainingLatencyBudget(&request{effectiveDeadline: fleet.now + 400*ms}); got != 400*ms {
+		if got := fleet.budgetOf(&request{effectiveDeadline: fleet.now + 400*ms}); got != 400*ms {
 			t.Errorf("got latency budget %d ms with all requests answered, want 400 ms", got/ms)
 		}
 		for i := range fleet.estimator.classes {
 			fleet.estimator.classes[i].SuccessRate = 0.5
 		}
-		if got := fleet.remainingLatencyBudget(&request{effectiveDeadline: fleet.now + 400*ms}); got/ms != wantMs {
+		if got := fleet.budgetOf(&request{effectiveDeadline: fleet.now + 400*ms}); got/ms != wantMs {
 			t.Errorf("worst class weight %g: got latency budget %d ms, want %d ms", worstClassWeight, got/ms, wantMs)
 		}
-		if got := fleet.remainingLatencyBudget(&request{Request: Request{Class: 2}, effectiveDeadline: fleet.now + 400*ms}); got != 400*ms {
+		if got := fleet.budgetOf(&request{Request: Request{Class: 2}, effectiveDeadline: fleet.now + 400*ms}); got != 400*ms {
 			t.Errorf("got latency budget %d ms for the class with the highest priority weight, want 400 ms", got/ms)
 		}
 	}
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -157,9 +157,9 @@
 	perWork := latencyNanos / a.work
 	fleet, pod := e.Fleet.MeanRatio(), ep.podLatency.MeanRatio()
 	// Prevents a few slow endpoints from making the fleet look slow.
-	e.Fleet.Add(min(perWork, maxSampleFactor*fleet), a.inFlightBefore, fleetWindow)
-	ep.podLatency.Add(min(perWork/fleet, maxSampleFactor*pod), a.inFlightBefore, endpointWindow)
-	ep.Latency.Add(perWork/fleet/pod, a.inFlightBefore, endpointWindow)
+	e.Fleet.Add(min(perWork, maxSampleFactor*fleet), a.inFlightAtSend, fleetWindow)
+	ep.podLatency.Add(min(perWork/fleet, maxSampleFactor*pod), a.inFlightAtSend, endpointWindow)
+	ep.Latency.Add(perWork/fleet/pod, a.inFlightAtSend, endpointWindow)
 	if !ep.HasLatency {
 		ep.HasLatency = true
 		ep.HighLatency = initialHighLatency * perWork
--- a/policy/request.go
+++ b/policy/request.go
@@ -35,7 +35,7 @@
 	zone, pod      int // of the endpoint at the time of the send; the list may have changed since
 	sentAt         Time
 	idleTime       time.Duration // how long the connection was idle; 0: unknown or new
-	inFlightBefore float64       // attempts of this node at the endpoint at the time of the send
+	inFlightAtSend float64       // attempts of this node at the endpoint at the time of the send
 
 	// Estimates at the time of the send, in nanoseconds.
 	work            float64
@@ -140,7 +140,7 @@
 		pod:               ep.Pod,
 		sentAt:            now,
 		idleTime:          idleTime,
-		inFlightBefore:    float64(ep.inFlight),
+		inFlightAtSend:    float64(ep.inFlight),
 		work:              work,
 		predictedNanos:    float64(b.estimator.predictLatency(ep, work)),
 		unloadedNanos:     b.estimator.unloadedNanos(ep, work),
