--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -55,13 +55,16 @@
 	fleet := newTestFleet(t, 2, nil)
 	fleet.estimator.classes[0].LatencySpread = 5
 	for range 10 {
-		fleet.serve(1, respondPromptly) // an occasional response must not keep the spread high while most requests are rejected
+		fleet.serve(1, respondPromptly) // an occasional response must not keep the spread high
 		fleet.estimator.classes[0].GivenUpCount = 2
 		fleet.now += Time(tickInterval)
 		fleet.tick()
 	}
 	if fleet.estimator.classes[0].LatencySpread > 2.5 {
-		t.Errorf("got latency spread %.1f after ten seconds of rejections, starting at 5, want at most 2.5", fleet.estimator.classes[0].LatencySpread)
+		t.Errorf(
+			"got latency spread %.1f after ten seconds of rejections, starting at 5, want at most 2.5",
+			fleet.estimator.classes[0].LatencySpread,
+		)
 	}
 	fleet.estimator.classes[0].LatencySpread = 3
 	for range 10 {
@@ -71,7 +74,8 @@
 	}
 	if fleet.estimator.classes[0].LatencySpread < 2.5 {
 		t.Errorf(
-			"got latency spread %.1f after ten seconds without rejections, starting at 3, want at least 2.5", fleet.estimator.classes[0].LatencySpread,
+			"got latency spread %.1f after ten seconds without rejections, starting at 3, want at least 2.5",
+			fleet.estimator.classes[0].LatencySpread,
 		)
 	}
 }
@@ -85,7 +89,10 @@
 		}
 	}
 	if exceeded[0] > 20 || exceeded[1] < 150 {
-		t.Errorf("got %d requests over quota below the share, want at most 20; got %d above it, want at least 150", exceeded[0], exceeded[1])
+		t.Errorf(
+			"got %d requests over quota below the share, want at most 20; got %d above it, want at least 150",
+			exceeded[0], exceeded[1],
+		)
 	}
 	fleet.estimator.classes[0].SuccessRate = 0.5
 	within, over := &request{effectiveDeadline: fleet.now + 400*ms}, &request{
@@ -99,7 +106,8 @@
 
 // Guards against an overload of requests with little priority weight delaying requests with many times as much.
 func TestLowPriorityClassGetsSmallerLatencyBudget(t *testing.T) {
-	for worstClassWeight, wantMs := range map[float64]time.Duration{0.2: 225, 0.4: 400} { // budget of 400 ms, with half of the requests given up
+	// Wanted budgets of 400 ms, with half of the requests given up.
+	for worstClassWeight, wantMs := range map[float64]time.Duration{0.2: 225, 0.4: 400} {
 		fleet := newTestFleet(t, 2, func(settings *Settings) {
 			settings.WorstClassWeight, settings.WeightByWork = worstClassWeight, true
 			settings.Classes[0].PriorityWeight, settings.Classes[1].PriorityWeight, settings.Classes[2].PriorityWeight = 1, 4, 64
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -31,7 +31,9 @@
 		atMostUsed += most
 	}
 	if atMostUsed < 5*3*keys*9/10 {
-		t.Errorf("%d of %d requests went to the endpoint used most for their key, want at least 90 %%", atMostUsed, 5*3*keys)
+		t.Errorf(
+			"%d of %d requests went to the endpoint used most for their key, want at least 90 %%", atMostUsed, 5*3*keys,
+		)
 	}
 }
 
@@ -44,12 +46,18 @@
 	}
 	sendRequest := func() EndpointID {
 		fleet.requestCount++
-		fleet.RequestArrived(fleet.now, Request{ID: RequestID(fmt.Sprint(fleet.requestCount)), Deadline: fleet.now + 1000*ms, Key: "k"})
+		fleet.RequestArrived(
+			fleet.now,
+			Request{ID: RequestID(fmt.Sprint(fleet.requestCount)), Deadline: fleet.now + 1000*ms, Key: "k"},
+		)
 		return fleet.lastSent()
 	}
 	affinityEndpoint := sendRequest()
 	if next := sendRequest(); next != affinityEndpoint {
-		t.Errorf("with one request in flight at the affinity endpoint: got endpoint %d for the next, want %d", next, affinityEndpoint)
+		t.Errorf(
+			"with one request in flight at the affinity endpoint: got endpoint %d for the next, want %d",
+			next, affinityEndpoint,
+		)
 	}
 	for range 12 {
 		sendRequest()
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -11,7 +11,9 @@
 	for range 10 {
 		balancer.WatchFailed(0)
 		if balancer.endpoints.watchBackoff != min(2*previous, 125e7) {
-			t.Fatalf("got backoff %v after %v, want twice as much, at most 1.25s", balancer.endpoints.watchBackoff, previous)
+			t.Fatalf(
+				"got backoff %v after %v, want twice as much, at most 1.25s", balancer.endpoints.watchBackoff, previous,
+			)
 		}
 		previous = balancer.endpoints.watchBackoff
 	}
@@ -29,7 +31,8 @@
 		fleet.serve(30, respondPromptly)
 		if fleet.sentTo(1) > 0 || fleet.sentTo(2)+fleet.sentTo(3) > 0 != mayServe {
 			t.Errorf(
-				"removed may serve %t: got %d attempts at the formerly draining endpoint, want 0; got %d and %d at the others", mayServe, fleet.sentTo(1), fleet.sentTo(2),
+				"removed may serve %t: got %d attempts at the formerly draining endpoint, want 0; got %d and %d at the others",
+				mayServe, fleet.sentTo(1), fleet.sentTo(2),
 				fleet.sentTo(3),
 			)
 		}
--- a/policy/estimator_test.go
+++ b/policy/estimator_test.go
@@ -20,7 +20,9 @@
 		fleet.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
 	}
 	if after, _ := fleet.estimator.expectedLatency(fleet.endpoints.byID[1]); after < 2*before {
-		t.Errorf("got latency per work %.1f after four timeouts, %.1f before, want at least twice as much", after, before)
+		t.Errorf(
+			"got latency per work %.1f after four timeouts, %.1f before, want at least twice as much", after, before,
+		)
 	}
 }
 
@@ -34,7 +36,10 @@
 		fleet.tick()
 	}
 	if decayed, _ := fleet.estimator.expectedLatency(fleet.endpoints.byID[1]); decayed > overloaded*2/3 {
-		t.Errorf("got latency per work %.1f under overload and %.1f after 20 idle seconds, want at most two thirds", overloaded, decayed)
+		t.Errorf(
+			"got latency per work %.1f under overload and %.1f after 20 idle seconds, want at most two thirds",
+			overloaded, decayed,
+		)
 	}
 	fleet.rejected = 0
 	if fleet.serve(20, respondPromptly); fleet.rejected > 0 {
@@ -52,12 +57,16 @@
 		return OutcomeSucceeded, 40 * ms
 	})
 	if perWork, _ := fleet.estimator.Fleet.Means(1, 0); perWork > 3 {
-		t.Errorf("got latency per work %.1f for the fleet with timeouts at one endpoint in five, want at most 3", perWork)
+		t.Errorf(
+			"got latency per work %.1f for the fleet with timeouts at one endpoint in five, want at most 3", perWork,
+		)
 	}
 	fleet.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeTimedOut, 450 * ms })
 	unmeasured := &endpoint{EndpointInfo: EndpointInfo{ID: 101}, podLatency: &ewma.Pair{}}
 	if perWork, _ := fleet.estimator.expectedLatency(unmeasured); perWork < 5 {
-		t.Errorf("got latency per work %.1f for an unmeasured endpoint while nearly all time out, want at least 5", perWork)
+		t.Errorf(
+			"got latency per work %.1f for an unmeasured endpoint while nearly all time out, want at least 5", perWork,
+		)
 	}
 	for range 60 {
 		fleet.now += Time(tickInterval)
@@ -78,12 +87,16 @@
 		id := RequestID(fmt.Sprint(fleet.requestCount))
 		fleet.RequestArrived(fleet.now, Request{ID: id, Deadline: fleet.now + 1000*ms, CostHint: costHint})
 		if fleet.requests.byID[id] == nil {
-			t.Fatalf("request %d with %d ms of work was given up with idle endpoints, want it sent", fleet.requestCount, costHint/ms)
+			t.Fatalf(
+				"request %d with %d ms of work was given up with idle endpoints, want it sent",
+				fleet.requestCount, costHint/ms,
+			)
 		}
 		fleet.now += Time(latency)
 		fleet.AttemptEnded(fleet.now, AttemptResult{
-			Request: id, Endpoint: fleet.lastSent(), Outcome: OutcomeSucceeded, Elapsed: latency, NewConnection: newConnection,
-			Report: LoadReport{-1, -1, -1},
+			Request: id, Endpoint: fleet.lastSent(), Outcome: OutcomeSucceeded, Elapsed: latency,
+			NewConnection: newConnection,
+			Report:        LoadReport{-1, -1, -1},
 		})
 	}
 	sendAndRespond(20*ms, 95*ms, true)
@@ -117,9 +130,13 @@
 	next.EndpointsUpdated(next.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: 1}}, false)
 	next.Inherit(&snapshot)
 	for id := EndpointID(1); id <= 4; id++ {
-		original, inherited := fleet.estimator.predictLatency(fleet.endpoints.byID[id], 1e8), next.estimator.predictLatency(next.endpoints.byID[id], 1e8)
+		original, inherited := fleet.estimator.predictLatency(fleet.endpoints.byID[id], 1e8),
+			next.estimator.predictLatency(next.endpoints.byID[id], 1e8)
 		if (original == inherited) != (id != 4) {
-			t.Errorf("endpoint %d: got predicted latency %v, then %v by the new instance, want a change only for endpoint 4", id, original, inherited)
+			t.Errorf(
+				"endpoint %d: got predicted latency %v, then %v by the new instance, want a change only for endpoint 4",
+				id, original, inherited,
+			)
 		}
 	}
 }
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -65,7 +65,10 @@
 		fleet.now += 300 * ms
 		fleet.canceled = 0
 		if fleet.TimerFired(fleet.now, timer); fleet.canceled > 0 == responds {
-			t.Errorf("endpoint responds to others %t: got %d attempts canceled, want one only if it does not", responds, fleet.canceled)
+			t.Errorf(
+				"endpoint responds to others %t: got %d attempts canceled, want one only if it does not",
+				responds, fleet.canceled,
+			)
 		}
 		fleet.ClientGone(fleet.now, id)
 	}
--- a/policy/idleconns_test.go
+++ b/policy/idleconns_test.go
@@ -19,12 +19,18 @@
 			continue
 		}
 		if fleet.endAttempt(id, 0, OutcomeReset, ms); ep.health[0].failureRate > 0.01 {
-			t.Errorf("a reset on an idle connection counts against the endpoint: got health %+v, want failure rate 0", ep.health[0])
+			t.Errorf(
+				"a reset on an idle connection counts against the endpoint: got health %+v, want failure rate 0",
+				ep.health[0],
+			)
 		}
 		fleet.endAttempt(id, 1, OutcomeSucceeded, 40*ms)
 	}
 	if fleet.idleConns.timeout.Limit > 8e9 {
-		t.Fatalf("got idle timeout %d ms after resets of connections idle for 2 s, want at most 8000 ms", fleet.idleConns.timeout.Limit/ms)
+		t.Fatalf(
+			"got idle timeout %d ms after resets of connections idle for 2 s, want at most 8000 ms",
+			fleet.idleConns.timeout.Limit/ms,
+		)
 	}
 	fleet.closedIdle = nil
 	for range 8 {
@@ -53,7 +59,8 @@
 		}
 		if lowered := fleet.idleConns.timeout.Limit < 1e12; lowered != (maxInFlight == 1) {
 			t.Errorf(
-				"up to %d attempts in flight per endpoint: got idle timeout %d ms, want it lowered only with 1", maxInFlight,
+				"up to %d attempts in flight per endpoint: got idle timeout %d ms, want it lowered only with 1",
+				maxInFlight,
 				fleet.idleConns.timeout.Limit/ms,
 			)
 		}
@@ -83,7 +90,10 @@
 	message := GossipMessage{IdleTime: 1200 * ms}
 	for received := range 40 {
 		if unlimited := fleet.idleConns.timeout.Limit > 1e12; unlimited != (received < 12) {
-			t.Fatalf("after %d messages among 300 nodes: got no idle timeout %v, want one from 12 messages on", received, unlimited)
+			t.Fatalf(
+				"after %d messages among 300 nodes: got no idle timeout %v, want one from 12 messages on",
+				received, unlimited,
+			)
 		}
 		fleet.GossipReceived(fleet.now, message)
 	}
@@ -95,7 +105,10 @@
 		fleet.tick()
 	}
 	if fleet.idleConns.timeout.Limit < 5e9 {
-		t.Errorf("got idle timeout %d ms after 200 s without messages, want at least 5000 ms", fleet.idleConns.timeout.Limit/ms)
+		t.Errorf(
+			"got idle timeout %d ms after 200 s without messages, want at least 5000 ms",
+			fleet.idleConns.timeout.Limit/ms,
+		)
 	}
 }
 
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -252,7 +252,8 @@
 			m.listed[id] = info
 			continue
 		}
-		m.listed[id], m.drainedSinceActive[id] = info, info.State == StateDraining || info.State == StateRemoved && m.drainedSinceActive[id]
+		m.listed[id], m.drainedSinceActive[id] = info, info.State == StateDraining ||
+			info.State == StateRemoved && m.drainedSinceActive[id]
 		changed = append(changed, info)
 	}
 	m.balancer.EndpointsUpdated(m.now, changed, complete)
@@ -263,8 +264,9 @@
 	ended.inFlight = false
 	ended.neverRan = outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent
 	result := AttemptResult{
-		Request: req.request.ID, Attempt: number, Endpoint: ended.endpoint, Outcome: outcome, Elapsed: m.now.Sub(ended.sentAt),
-		Report: LoadReport{Utilization: m.Float64(), QueueLength: float64(m.Intn(3)), ServiceTime: -1},
+		Request: req.request.ID, Attempt: number, Endpoint: ended.endpoint, Outcome: outcome,
+		Elapsed: m.now.Sub(ended.sentAt),
+		Report:  LoadReport{Utilization: m.Float64(), QueueLength: float64(m.Intn(3)), ServiceTime: -1},
 	}
 	if outcome == OutcomeSucceeded && !req.done {
 		req.done = true
@@ -347,7 +349,10 @@
 					m.endAttempt(req, number, Outcome(m.Intn(int(OutcomeNotSent)+1)))
 					if m.Intn(8) == 0 { // ending the same attempt twice must change nothing
 						m.balancer.AttemptEnded(
-							m.now, AttemptResult{Request: req.request.ID, Attempt: number, Endpoint: req.attempts[number].endpoint},
+							m.now,
+							AttemptResult{
+								Request: req.request.ID, Attempt: number, Endpoint: req.attempts[number].endpoint,
+							},
 						)
 					}
 					break
@@ -357,7 +362,10 @@
 	}
 	for id, sent := range m.sentInSlowStart {
 		if sent > m.fairShare[id]+3 && !m.settings.RemovedMayServe { // removed endpoints that serve are not counted as warm
-			m.violation("rule 4: endpoint %d in slow start got %g attempts, want at most 3 more than its share of %g", id, sent, m.fairShare[id])
+			m.violation(
+				"rule 4: endpoint %d in slow start got %g attempts, want at most 3 more than its share of %g",
+				id, sent, m.fairShare[id],
+			)
 		}
 	}
 }
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -15,7 +15,10 @@
 		fleet.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
 	}
 	if fleet.estimator.classes[2].LatencySpread > before {
-		t.Errorf("latency spread rose from %.2f to %.2f after timeouts at a silent endpoint, want no rise", before, fleet.estimator.classes[2].LatencySpread)
+		t.Errorf(
+			"latency spread rose from %.2f to %.2f after timeouts at a silent endpoint, want no rise",
+			before, fleet.estimator.classes[2].LatencySpread,
+		)
 	}
 }
 
@@ -50,7 +53,10 @@
 			fleet.now = fleet.endpoints.byID[1].backoffUntil
 		}
 		if after, _ := fleet.estimator.expectedLatency(fleet.endpoints.byID[1]); (after > 2*before) != raised {
-			t.Errorf("queue length %g: got latency per work %.1f after rejections, %.1f before, want a rise unless 0", queueLength, after, before)
+			t.Errorf(
+				"queue length %g: got latency per work %.1f after rejections, %.1f before, want a rise unless 0",
+				queueLength, after, before,
+			)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -30,7 +30,10 @@
 	fleet.serve(800, respond)
 	fleet.sent = nil
 	if fleet.serve(100, respond); fleet.sentTo(2) < 10 || fleet.endpoints.byID[2].health[0].ejected {
-		t.Errorf("got %d of 100 attempts at an endpoint that no longer fails, want at least 10 and no ejection", fleet.sentTo(2))
+		t.Errorf(
+			"got %d of 100 attempts at an endpoint that no longer fails, want at least 10 and no ejection",
+			fleet.sentTo(2),
+		)
 	}
 }
 
@@ -64,7 +67,9 @@
 	fleet.now += 80 * ms
 	fleet.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
 	if fleet.failed != 1 || fleet.rejected != 0 {
-		t.Errorf("non-idempotent request: got %d rejections and %d failures, want 0 and 1", fleet.rejected, fleet.failed)
+		t.Errorf(
+			"non-idempotent request: got %d rejections and %d failures, want 0 and 1", fleet.rejected, fleet.failed,
+		)
 	}
 }
 
@@ -85,7 +90,10 @@
 	a := &attempt{endpoint: unmeasured, sentAt: fleet.now, inFlight: true}
 	fleet.recordAttempt(fleet.now, &request{}, a, AttemptResult{Outcome: OutcomeConnectFailed})
 	if unmeasured.backoffUntil < fleet.now.Add(recalculationInterval/2) {
-		t.Errorf("got backoff of %d ms for an endpoint without recent responses, want at least 500 ms", (unmeasured.backoffUntil-fleet.now)/ms)
+		t.Errorf(
+			"got backoff of %d ms for an endpoint without recent responses, want at least 500 ms",
+			(unmeasured.backoffUntil-fleet.now)/ms,
+		)
 	}
 }
 
@@ -96,7 +104,9 @@
 	ep := fleet.endpoints.byID[fleet.lastSent()]
 	ep.Latency, ep.health[2] = ewma.Pair{}, classHealth{}
 	if fleet.endAttempt(id, 0, OutcomeError, ms); !ep.health[2].ejected {
-		t.Errorf("endpoint with few samples was not ejected after an error, failure rate %.2f", ep.health[2].failureRate)
+		t.Errorf(
+			"endpoint with few samples was not ejected after an error, failure rate %.2f", ep.health[2].failureRate,
+		)
 	}
 }
 
@@ -114,7 +124,10 @@
 		fleet.arrive(2)
 	}
 	if fleet.sentTo(2) != 1 || fleet.sentTo(3) != 1 || fleet.sentTo(4) != 1 || fleet.rejected != 0 {
-		t.Errorf("got three requests at %v and %d rejected, want one at each ejected endpoint and none rejected", fleet.sent, fleet.rejected)
+		t.Errorf(
+			"got three requests at %v and %d rejected, want one at each ejected endpoint and none rejected",
+			fleet.sent, fleet.rejected,
+		)
 	}
 	if fleet.arrive(2); fleet.rejected != 1 {
 		t.Error("an ejected endpoint got a second request with one in flight, want a rejection")
@@ -227,7 +240,9 @@
 
 func TestInvalidGossipIsIgnored(t *testing.T) {
 	fleet := newTestFleet(t, 4, manyNodesSettings)
-	for _, message := range []GossipMessage{{}, {Endpoint: 77}, {Endpoint: 1, Class: 3}, {Endpoint: 1, Class: -1}, {IdleTime: -5}, {IdleTime: ms}} {
+	for _, message := range []GossipMessage{
+		{}, {Endpoint: 77}, {Endpoint: 1, Class: 3}, {Endpoint: 1, Class: -1}, {IdleTime: -5}, {IdleTime: ms},
+	} {
 		for range 100 {
 			fleet.GossipReceived(fleet.now, message)
 		}
@@ -235,7 +250,10 @@
 	for _, ep := range fleet.endpoints.all {
 		for _, health := range ep.health {
 			if health.ejected || fleet.idleConns.timeout.Limit < 1e12 {
-				t.Fatalf("got idle timeout %d and health %+v after invalid gossip, want no change", fleet.idleConns.timeout.Limit, health)
+				t.Fatalf(
+					"got idle timeout %d and health %+v after invalid gossip, want no change",
+					fleet.idleConns.timeout.Limit, health,
+				)
 			}
 		}
 	}
@@ -264,7 +282,9 @@
 	const now = Time(1e12)
 	var detector outlierDetector
 	var health classHealth
-	for _, ejection := range []time.Duration{minEjectionTime, 2 * minEjectionTime, 4 * minEjectionTime, maxEjectionTime, maxEjectionTime} {
+	for _, ejection := range []time.Duration{
+		minEjectionTime, 2 * minEjectionTime, 4 * minEjectionTime, maxEjectionTime, maxEjectionTime,
+	} {
 		detector.record(now, &health, 1, 0.5)
 		if !health.ejected || health.nextTrialAt != now.Add(ejection) {
 			t.Fatalf("got health %+v after a failure, want an ejection for %v", health, ejection)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -33,7 +33,9 @@
 		}
 	}
 	if shedSeconds != int(shedAllDuration/tickInterval) {
-		t.Errorf("got %d s of shedding all requests in one overload, want %d", shedSeconds, shedAllDuration/tickInterval)
+		t.Errorf(
+			"got %d s of shedding all requests in one overload, want %d", shedSeconds, shedAllDuration/tickInterval,
+		)
 	}
 }
 
--- a/policy/reason_test.go
+++ b/policy/reason_test.go
@@ -69,7 +69,10 @@
 			test.prepare(fleet)
 			test.run(fleet)
 			if fleet.rejected+fleet.failed != 1 || fleet.reason != want {
-				t.Errorf("got %d rejected and %d failed, last reason %q, want one with reason %q", fleet.rejected, fleet.failed, fleet.reason, want)
+				t.Errorf(
+					"got %d rejected and %d failed, last reason %q, want one with reason %q",
+					fleet.rejected, fleet.failed, fleet.reason, want,
+				)
 			}
 		})
 	}
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -240,7 +240,9 @@
 		"delayed class, 100 nodes": {
 			100, 4, 0.4, func(class, _ int) time.Duration { return time.Duration(class) * 600 * ms },
 		},
-		"delayed tenant, one node": {1, 2, 0.7, func(_, tenant int) time.Duration { return time.Duration(tenant) * 600 * ms }},
+		"delayed tenant, one node": {
+			1, 2, 0.7, func(_, tenant int) time.Duration { return time.Duration(tenant) * 600 * ms },
+		},
 		"delayed tenant, 100 nodes": {
 			100, 4, 0.4, func(_, tenant int) time.Duration { return time.Duration(tenant) * 600 * ms },
 		},
@@ -262,24 +264,38 @@
 				}
 				return inTimeCount / arrivedCount
 			}
-			before, during, after := inTimeFraction(1, faultStartSecond), inTimeFraction(faultStartSecond+2, faultEndSecond), inTimeFraction(faultEndSecond+test.recoverySeconds, simulationSeconds-2)
-			t.Logf(name+": fraction in time %.3f before the fault, %.3f during it, %.3f from %d s after it; by second %.2f", before, during, after, test.recoverySeconds,
+			before, during, after := inTimeFraction(1, faultStartSecond),
+				inTimeFraction(faultStartSecond+2, faultEndSecond),
+				inTimeFraction(faultEndSecond+test.recoverySeconds, simulationSeconds-2)
+			t.Logf(
+				name+": fraction in time %.3f before the fault, %.3f during it, %.3f from %d s after it; by second %.2f",
+				before, during, after, test.recoverySeconds,
 				func() (bySecond []float64) {
 					for second := range simulationSeconds - 2 {
 						bySecond = append(bySecond, inTimeFraction(second, second+1))
 					}
 					return bySecond
-				}())
+				}(),
+			)
 			if after < before-0.02 {
-				t.Errorf("got fraction in time %.3f before the fault, %.3f from %d s after it, want a difference below 0.02", before, after, test.recoverySeconds)
+				t.Errorf(
+					"got fraction in time %.3f before the fault, %.3f from %d s after it, want a difference below 0.02",
+					before, after, test.recoverySeconds,
+				)
 			}
 			if during < test.minDuring {
-				t.Errorf("got fraction in time %.3f during the fault, want at least %.2f, as other requests are not affected", during, test.minDuring)
+				t.Errorf(
+					"got fraction in time %.3f during the fault, want at least %.2f, as other requests are not affected",
+					during, test.minDuring,
+				)
 			}
 			for second := faultEndSecond; second < simulationSeconds; second++ {
 				capacity := endpointConcurrency * 1e9 * (0.2 + 0.8*min(1, float64(second-faultEndSecond)/20))
 				if sent := float64(sim.endpoints[restartedEndpoint-1].workSent[second]); sent > 3*capacity {
-					t.Errorf("second %d: the restarted endpoint got %.1f times the work that it can do, want at most 3", second, sent/capacity)
+					t.Errorf(
+						"second %d: the restarted endpoint got %.1f times the work that it can do, want at most 3",
+						second, sent/capacity,
+					)
 				}
 			}
 		})
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -104,7 +104,8 @@
 // giveUp ends the request with a response to the client: a rejection if a retry is harmless, otherwise a failure.
 func (b *Balancer) giveUp(now Time, req *request, reason Reason) {
 	req.delayGroups.CountGivenUp()
-	if reason.isLoadRelated() && req.delayGroups.Delay(int64(now)) < maxClassDelayFraction*float64(req.classSettings.LatencyObjective) {
+	if reason.isLoadRelated() &&
+		req.delayGroups.Delay(int64(now)) < maxClassDelayFraction*float64(req.classSettings.LatencyObjective) {
 		// A class that is delayed for a reason of its own, such as a slow dependency, would not succeed at less loaded
 		// endpoints either. Other classes must not be shed in vain for it.
 		b.estimator.classes[req.Class].RecordResult(false)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -13,10 +13,15 @@
 			fleet := newTestFleet(t, 4, nil)
 			fleet.serve(40, respondPromptly)
 			fleet.timers = nil
-			fleet.RequestArrived(fleet.now, Request{ID: "long", Class: class, Deadline: fleet.now + 1000*ms, StreamingBody: true})
+			fleet.RequestArrived(
+				fleet.now, Request{ID: "long", Class: class, Deadline: fleet.now + 1000*ms, StreamingBody: true},
+			)
 			ep := fleet.endpoints.byID[fleet.lastSent()]
 			if len(fleet.timers) != 0 || ep.inFlight != 0 {
-				t.Errorf("got %d timers for the request and %d attempts in flight at its endpoint, want 0", len(fleet.timers), ep.inFlight)
+				t.Errorf(
+					"got %d timers for the request and %d attempts in flight at its endpoint, want 0",
+					len(fleet.timers), ep.inFlight,
+				)
 			}
 			sent := len(fleet.sent)
 			fleet.AttemptEnded(
@@ -32,7 +37,8 @@
 			rejected := idempotency == Idempotent || outcome == OutcomeConnectFailed
 			if len(fleet.sent) != sent || ep.inFlight != 0 || (fleet.rejected == 1) != rejected || (fleet.failed == 1) == rejected {
 				t.Errorf(
-					"idempotency %v, outcome %v: got %d retries, %d in flight, %d rejected, %d failed, want no retry", idempotency, outcome,
+					"idempotency %v, outcome %v: got %d retries, %d in flight, %d rejected, %d failed, want no retry",
+					idempotency, outcome,
 					len(fleet.sent)-sent, ep.inFlight, fleet.rejected, fleet.failed,
 				)
 			}
@@ -70,7 +76,9 @@
 		if got := MayReject(class, now, []attempt{earlier}, (*attempt).executionInfo); got != test.reject {
 			t.Errorf("%s: got may reject %t, want %t", name, got, test.reject)
 		}
-		for ep, want := range map[*endpoint]bool{samePod: test.repeatInPod, sameZone: test.repeatInZone, elsewhere: test.repeatElsewhere} {
+		for ep, want := range map[*endpoint]bool{
+			samePod: test.repeatInPod, sameZone: test.repeatInZone, elsewhere: test.repeatElsewhere,
+		} {
 			if got := class.mayRepeat(now, &earlier, ep); got != want {
 				t.Errorf("%s: endpoint %d: got may repeat %t, want %t", name, ep.ID, got, want)
 			}
@@ -112,8 +120,12 @@
 		for number, outcome := range test.outcomes {
 			fleet.endAttempt(id, number, outcome, 10*ms)
 		}
-		if len(fleet.sent) != test.sent || (fleet.rejected == 1) != test.rejected || fleet.failed > 0 != (test.class == 2 && test.sent == 1) {
-			t.Errorf("class %d after %v: got %d attempts, %d rejected, %d failed", test.class, test.outcomes, len(fleet.sent), fleet.rejected, fleet.failed)
+		if len(fleet.sent) != test.sent || (fleet.rejected == 1) != test.rejected ||
+			fleet.failed > 0 != (test.class == 2 && test.sent == 1) {
+			t.Errorf(
+				"class %d after %v: got %d attempts, %d rejected, %d failed",
+				test.class, test.outcomes, len(fleet.sent), fleet.rejected, fleet.failed,
+			)
 		}
 	}
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -80,7 +80,10 @@
 	}
 	for id, sentCount := range sentTo {
 		if sentCount > 8 {
-			t.Errorf("endpoint %d in slow start got %d of 5,000 requests, want at most 8 (an even share is one in %d)", id, sentCount, n)
+			t.Errorf(
+				"endpoint %d in slow start got %d of 5,000 requests, want at most 8 (an even share is one in %d)",
+				id, sentCount, n,
+			)
 		}
 	}
 	if len(balancer.requests.byID) != 0 {
@@ -103,7 +106,10 @@
 		}
 	}
 	if len(balancer.requests.byID) != len(endpoints) || len(endpoints) < 90000 {
-		t.Errorf("got %d requests in the table for %d sent, want the same number and at least 90,000", len(balancer.requests.byID), len(endpoints))
+		t.Errorf(
+			"got %d requests in the table for %d sent, want the same number and at least 90,000",
+			len(balancer.requests.byID), len(endpoints),
+		)
 	}
 	for id, endpoint := range endpoints {
 		balancer.AttemptEnded(
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -66,7 +66,7 @@
 	classDelayNanos float64 // delay of the class and tenant at every endpoint
 	budgetNanos     float64
 	overQuota       bool      // the tenant is over its quota, which shortens the budget
-	onlyActive      *endpoint // in the last round, the only active endpoint, which has no peers for comparison; otherwise nil
+	onlyActive      *endpoint // last round: the only active endpoint, which has no peers for comparison
 }
 
 // selectEndpoint returns the endpoint for the request's next attempt, or nil and the reason if there is none.
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -135,7 +135,9 @@
 		t.Errorf("%s: selected %v, which is not a candidate", name, ep)
 	}
 	if degreesOfFreedom := max(cells-1, 1); chi2 > degreesOfFreedom+5*math.Sqrt(2*degreesOfFreedom) {
-		t.Errorf("%s: got chi-square %.1f for %v cells, which is too high for the expected frequencies", name, chi2, cells)
+		t.Errorf(
+			"%s: got chi-square %.1f for %v cells, which is too high for the expected frequencies", name, chi2, cells,
+		)
 	}
 }
 
@@ -229,7 +231,9 @@
 				t.Errorf("%s, %d usable endpoints: selected %v, want the usable one or none", name, usable, ep)
 			}
 			if source.count > 4 {
-				t.Errorf("%s, %d usable endpoints: got %d random numbers drawn, want at most 4", name, usable, source.count)
+				t.Errorf(
+					"%s, %d usable endpoints: got %d random numbers drawn, want at most 4", name, usable, source.count,
+				)
 			}
 		}
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -21,7 +21,10 @@
 		maxSent += 8 * 0.28 / 20 // its share of 20 endpoints, times its capacity 4 s into a slow start of 20 s
 	}
 	if float64(sent) < maxSent/4 || float64(sent) > maxSent {
-		t.Errorf("got %d attempts from 400 nodes with eight requests each, want a quarter of %.0f to all of them", sent, maxSent)
+		t.Errorf(
+			"got %d attempts from 400 nodes with eight requests each, want a quarter of %.0f to all of them",
+			sent, maxSent,
+		)
 	}
 }
 
@@ -44,10 +47,15 @@
 	unmeasured := creditFor(ewma.Pair{})
 	quick := creditFor(ewma.Pair{FirstSum: 12, SecondSum: 0, Weight: 24})
 	if slow := creditFor(ewma.Pair{FirstSum: 240, SecondSum: 0, Weight: 24}); unmeasured <= 0 || slow != unmeasured {
-		t.Errorf("got credit %g without responses and %g with slow ones, want the same and more than 0", unmeasured, slow)
+		t.Errorf(
+			"got credit %g without responses and %g with slow ones, want the same and more than 0", unmeasured, slow,
+		)
 	}
 	if quick <= 1.5*unmeasured || quick > maxCredit+1e-9 {
-		t.Errorf("got credit %g with fast responses, want at least 1.5 times %g (without responses) and at most %g", quick, unmeasured, maxCredit)
+		t.Errorf(
+			"got credit %g with fast responses, want at least 1.5 times %g (without responses) and at most %g",
+			quick, unmeasured, maxCredit,
+		)
 	}
 	if oneSample := creditFor(ewma.Pair{FirstSum: 0.5, SecondSum: 0, Weight: 1}); oneSample != unmeasured {
 		t.Errorf("got credit %g with a single response and %g without, want the same", oneSample, unmeasured)
@@ -87,7 +95,10 @@
 		)
 	}
 	if oneNode < 4*perNode {
-		t.Errorf("got credit %g per second with one node and %g for one of 300 nodes, want at least 4 times as much with one", oneNode, perNode)
+		t.Errorf(
+			"got credit %g per second with one node and %g for one of 300 nodes, want at least 4 times as much with one",
+			oneNode, perNode,
+		)
 	}
 }
 
@@ -112,7 +123,10 @@
 		fleet.grantCreditForResponse(fleet.now, fleet.endpoints.byID[1], 1e6)
 		byResponse = ep.slowStartCredit
 		if fewWarm := warm == 1; (byArrivals > 0) != fewWarm || (byResponse > 0) == fewWarm {
-			t.Errorf("%d of 8 endpoints warm: got credit %g for arrivals and %g for a response, want one of them", warm, byArrivals, byResponse)
+			t.Errorf(
+				"%d of 8 endpoints warm: got credit %g for arrivals and %g for a response, want one of them",
+				warm, byArrivals, byResponse,
+			)
 		}
 	}
 }
--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -206,7 +206,10 @@
 		{3, 24, 160 * ms, IdempotentByKey},
 		{8, 24, 50 * ms, NonIdempotent},
 	} {
-		name := fmt.Sprintf("%d endpoints with mean latency %s, %d clients, %s", test.endpoints, test.meanLatency, test.clients, test.oddIdempotency)
+		name := fmt.Sprintf(
+			"%d endpoints with mean latency %s, %d clients, %s",
+			test.endpoints, test.meanLatency, test.clients, test.oddIdempotency,
+		)
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				runClosedLoop(t, seed, test.endpoints, test.clients, test.meanLatency, test.oddIdempotency).checkAnswered(seed)
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -47,7 +47,8 @@
 	}
 	if len(nodesByEndpoint) < endpoints || replaced > 60 {
 		t.Errorf(
-			"got %d of %d endpoints in subsets, want all; a removal replaced %d members, want at most 60", len(nodesByEndpoint),
+			"got %d of %d endpoints in subsets, want all; a removal replaced %d members, want at most 60",
+			len(nodesByEndpoint),
 			endpoints, replaced,
 		)
 	}
@@ -71,7 +72,10 @@
 		fleet.endpoints.byID[id].health[0].ejected = true
 	}
 	if fleet.tick(); len(subsetIDs(fleet.Balancer)) != minSubsetSize+minSubsetSize/2+1 {
-		t.Errorf("with %d endpoints ejected: got a subset of %d, want half of them and one more in addition", minSubsetSize, len(subsetIDs(fleet.Balancer)))
+		t.Errorf(
+			"with %d endpoints ejected: got a subset of %d, want half of them and one more in addition",
+			minSubsetSize, len(subsetIDs(fleet.Balancer)),
+		)
 	}
 	for id := range before {
 		fleet.endpoints.byID[id].health[0].ejected = false
@@ -99,7 +103,8 @@
 	balancer.EndpointsUpdated(now, list, true)
 	if got := len(balancer.subset.members); got != maxWarmingUpFactor*balancer.subset.targetSize || got > 40 {
 		t.Errorf(
-			"got a subset of %d of 120 cold endpoints at one of 300 nodes, want %d times %d and at most 40", got, maxWarmingUpFactor,
+			"got a subset of %d of 120 cold endpoints at one of 300 nodes, want %d times %d and at most 40",
+			got, maxWarmingUpFactor,
 			balancer.subset.targetSize,
 		)
 	}
