--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkRequest measures a request from its arrival to its response, with 32 other requests in flight. Ticks follow
-// each second at 20,000 requests per second, and responses carry a load report and have a latency.
+// BenchmarkRequest measures a request from its arrival to its response, with 32 other requests in flight. The clock
+// ticks every 20,000 requests, that is once per second. Responses take some time and carry a load report.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -55,6 +55,7 @@
 	return count
 }
 
+// testFleet is a Balancer with a simulated clock, its recorded effects and the test that it belongs to.
 type testFleet struct {
 	*testing.T
 	*Balancer
--- a/policy/idleconns_test.go
+++ b/policy/idleconns_test.go
@@ -20,7 +20,7 @@
 		}
 		if fleet.endAttempt(id, 0, OutcomeReset, ms); ep.health[0].failureRate > 0.01 {
 			t.Errorf(
-				"a reset on an idle connection counts against the endpoint: got health %+v, want failure rate 0",
+				"a reset on an idle connection counts against the endpoint: got health %+v, want a failure rate of at most 0.01",
 				ep.health[0],
 			)
 		}
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -361,7 +361,8 @@
 		}
 	}
 	for id, sent := range m.sentInSlowStart {
-		if sent > m.fairShare[id]+3 && !m.settings.RemovedMayServe { // removed endpoints that serve are not counted as warm
+		// With RemovedMayServe, removed endpoints may serve and be warm, but do not count as such in the model.
+		if sent > m.fairShare[id]+3 && !m.settings.RemovedMayServe {
 			m.violation(
 				"rule 4: endpoint %d in slow start got %g attempts, want at most 3 more than its share of %g",
 				id, sent, m.fairShare[id],
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -78,7 +78,7 @@
 	// MaxPollInterval is the maximum time between two polls of the endpoint list if MustPollList is set. The backoff
 	// after a failed watch is a fraction of it.
 	MaxPollInterval time.Duration
-	// SlowStartWindow is the time after its start after which an endpoint has its full capacity.
+	// SlowStartWindow is the maximum time from its start until an endpoint has its full capacity.
 	SlowStartWindow time.Duration
 	// SlowStartMinCapacity is the fraction of its full capacity that an endpoint has when it starts, 0 to 1.
 	SlowStartMinCapacity float64
--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -113,7 +113,9 @@
 func (c *closedLoop) Reject(id RequestID, _ time.Duration, reason Reason) {
 	c.finishRequest(c.openRequests[id], reason)
 }
+
 func (c *closedLoop) Fail(id RequestID, reason Reason) { c.finishRequest(c.openRequests[id], reason) }
+
 func (c *closedLoop) SetTimer(at Time, timer uint64) {
 	c.schedule(max(at.Sub(c.now), 1), func() { c.balancer.TimerFired(c.now, timer) })
 }
