--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -221,6 +221,6 @@
 }
 
 // The one run of 3,200 (400 seeds of each case above) in which a new node gives up more requests than allowed.
-func TestNewNodeServesHealthyEndpointsSeed171(t *testing.T) {
+func TestNewNodeServesSeed171(t *testing.T) {
 	runClosedLoop(t, 171, 3, 24, 160*ms, NonIdempotent).checkAnswered(171)
 }
