--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -5,124 +5,128 @@
 )
 
 func TestOverdueRequestIsHedgedAndCountsAgainstEndpoint(t *testing.T) {
-	b := newTestFleet(t, 3, nil)
-	b.serve(60, respondPromptly)
-	b.tick()
-	id := b.arrive(0)
-	b.now += 200 * ms
-	b.TimerFired(b.now, b.timers[len(b.timers)-1])
-	req := b.requests.byID[id]
+	fleet := newTestFleet(t, 3, nil)
+	fleet.serve(60, respondPromptly)
+	fleet.tick()
+	id := fleet.arrive(0)
+	fleet.now += 200 * ms
+	fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
+	req := fleet.requests.byID[id]
 	if req.inFlight != 2 || req.attempts[0].endpoint == req.attempts[1].endpoint {
-		t.Fatalf("the overdue request has %d attempts out", req.inFlight)
+		t.Fatalf("got %d attempts in flight for an overdue request, want 2 at different endpoints", req.inFlight)
 	}
 	slow := req.attempts[0].endpoint
-	b.endAttempt(id, 1, OutcomeSucceeded, 40*ms)
-	if b.canceled != 1 {
-		t.Errorf("%d attempts were canceled after the copy's answer", b.canceled)
+	fleet.endAttempt(id, 1, OutcomeSucceeded, 40*ms)
+	if fleet.canceled != 1 {
+		t.Errorf("got %d attempts canceled after the response to the hedged request, want 1", fleet.canceled)
 	}
-	if b.endAttempt(id, 0, OutcomeCanceled, 240*ms); slow.health[0].failureRate == 0 {
-		t.Error("the overtaken endpoint still looks as good as the others")
+	if fleet.endAttempt(id, 0, OutcomeCanceled, 240*ms); slow.health[0].failureRate == 0 {
+		t.Error("got failure rate 0 for the endpoint of the overdue attempt, want more")
 	}
 }
 
-// Guards against an idempotent request waiting for a silent endpoint to its end where no hedged request is allowed.
+// Guards against an idempotent request waiting for a silent endpoint until its deadline if hedging is not allowed.
 func TestOverdueRequestIsCanceledWithoutHedging(t *testing.T) {
-	b := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
-	b.serve(60, respondPromptly)
-	b.tick()
-	id := b.arrive(0)
-	first := b.lastSent()
-	b.now += 200 * ms
-	b.TimerFired(b.now, b.timers[len(b.timers)-1])
-	if b.canceled != 1 {
-		t.Fatalf("%d canceled", b.canceled)
+	fleet := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
+	fleet.serve(60, respondPromptly)
+	fleet.tick()
+	id := fleet.arrive(0)
+	first := fleet.lastSent()
+	fleet.now += 200 * ms
+	fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
+	if fleet.canceled != 1 {
+		t.Fatalf("got %d attempts canceled, want 1", fleet.canceled)
 	}
-	if b.endAttempt(id, 0, OutcomeCanceled, 200*ms); b.lastSent() == first || b.requests.byID[id].inFlight != 1 {
-		t.Error("the canceled request did not go to another endpoint")
+	if fleet.endAttempt(id, 0, OutcomeCanceled, 200*ms); fleet.lastSent() == first || fleet.requests.byID[id].inFlight != 1 {
+		t.Error("the canceled request was not sent to another endpoint")
 	}
-	exclusive := b.requests.byID[b.arrive(2)]
-	b.now += 200 * ms
-	b.handleOverdueAttempt(b.now, exclusive, 0)
-	if b.canceled != 1 {
+	nonIdempotent := fleet.requests.byID[fleet.arrive(2)]
+	fleet.now += 200 * ms
+	fleet.handleOverdueAttempt(fleet.now, nonIdempotent, 0)
+	if fleet.canceled != 1 {
 		t.Error("a non-idempotent request was canceled")
 	}
 }
 
-// Guards against heavy requests being begun again and again: an endpoint that has answered others meanwhile is at work.
+// Guards against restarting heavy requests again and again: an endpoint that has responded to others is still working
+// on its own.
 func TestOverdueRequestIsNotCanceledAtRespondingEndpoint(t *testing.T) {
-	for _, answers := range []bool{false, true} {
-		b := newTestFleet(t, 2, func(s *Settings) { s.MayHedge = false })
-		b.serve(40, respondPromptly)
-		id := b.arrive(0)
-		timer, endpoint := b.timers[len(b.timers)-1], b.lastSent()
-		b.now += 50 * ms
-		for atSameEndpoint := false; answers && !atSameEndpoint; {
-			other := b.arrive(0)
-			atSameEndpoint = b.lastSent() == endpoint
-			b.endAttempt(other, 0, OutcomeSucceeded, 50*ms)
+	for _, responds := range []bool{false, true} {
+		fleet := newTestFleet(t, 2, func(s *Settings) { s.MayHedge = false })
+		fleet.serve(40, respondPromptly)
+		id := fleet.arrive(0)
+		timer, endpoint := fleet.timers[len(fleet.timers)-1], fleet.lastSent()
+		fleet.now += 50 * ms
+		for atSameEndpoint := false; responds && !atSameEndpoint; {
+			other := fleet.arrive(0)
+			atSameEndpoint = fleet.lastSent() == endpoint
+			fleet.endAttempt(other, 0, OutcomeSucceeded, 50*ms)
 		}
-		b.now += 300 * ms
-		b.canceled = 0
-		if b.TimerFired(b.now, timer); b.canceled > 0 == answers {
-			t.Errorf("its endpoint answers others: %t; canceled %d times", answers, b.canceled)
+		fleet.now += 300 * ms
+		fleet.canceled = 0
+		if fleet.TimerFired(fleet.now, timer); fleet.canceled > 0 == responds {
+			t.Errorf(
+				"endpoint responds to others %t: got %d attempts canceled, want one only if it does not",
+				responds, fleet.canceled,
+			)
 		}
-		b.ClientGone(b.now, id)
+		fleet.ClientGone(fleet.now, id)
 	}
 }
 
-// Guards against a request being given up with time left, since it was canceled at the only endpoint that could answer.
+// Guards against giving up a request with time left because it was canceled at the only endpoint that could respond.
 func TestOverdueRequestIsNotCanceledWithoutAlternative(t *testing.T) {
-	for name, leaveOne := range map[string]func(*testFleet, *endpoint){
-		"others drain": func(_ *testFleet, other *endpoint) { other.State = StateDraining },
-		"others eject": func(b *testFleet, other *endpoint) {
+	for name, excludeOther := range map[string]func(*testFleet, *endpoint){
+		"others are draining": func(_ *testFleet, other *endpoint) { other.State = StateDraining },
+		"others are ejected": func(fleet *testFleet, other *endpoint) {
 			other.health[0].ejected = true
-			other.health[0].nextTrialAt = b.now.Add(10e9)
+			other.health[0].nextTrialAt = fleet.now.Add(10e9)
 		},
-		"others back off": func(b *testFleet, other *endpoint) { other.backoffUntil = b.now.Add(10e9) },
-		"others are in slow start": func(b *testFleet, other *endpoint) {
-			other.StartedAt, other.slowStartCredit = b.now, 0
+		"others are in backoff": func(fleet *testFleet, other *endpoint) { other.backoffUntil = fleet.now.Add(10e9) },
+		"others are in slow start": func(fleet *testFleet, other *endpoint) {
+			other.StartedAt, other.slowStartCredit = fleet.now, 0
 		},
-		"others are late":                    func(_ *testFleet, other *endpoint) { other.Latency.FirstSum = 1e6 },
-		"the request is at its last attempt": func(b *testFleet, _ *endpoint) { b.settings.MaxAttempts = 1 },
+		"others are too slow":              func(_ *testFleet, other *endpoint) { other.Latency.FirstSum = 1e6 },
+		"request has had its last attempt": func(fleet *testFleet, _ *endpoint) { fleet.settings.MaxAttempts = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
-			b.serve(60, respondPromptly)
-			b.tick()
-			id := b.arrive(0)
-			for _, other := range b.endpoints.all {
-				if other.ID != b.lastSent() {
-					leaveOne(b, other)
+			fleet := newTestFleet(t, 3, func(s *Settings) { s.MayHedge = false })
+			fleet.serve(60, respondPromptly)
+			fleet.tick()
+			id := fleet.arrive(0)
+			for _, other := range fleet.endpoints.all {
+				if other.ID != fleet.lastSent() {
+					excludeOther(fleet, other)
 				}
 			}
-			b.now += 200 * ms
-			b.TimerFired(b.now, b.timers[len(b.timers)-1])
-			if b.canceled != 0 {
-				t.Fatalf("%d attempts were canceled with no endpoint to go to", b.canceled)
+			fleet.now += 200 * ms
+			fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
+			if fleet.canceled != 0 {
+				t.Fatalf("got %d attempts canceled without another endpoint to send to, want 0", fleet.canceled)
 			}
-			b.endAttempt(id, 0, OutcomeSucceeded, 240*ms)
-			if b.rejected+b.failed > 0 {
-				t.Errorf("%d rejected, %d failed", b.rejected, b.failed)
+			fleet.endAttempt(id, 0, OutcomeSucceeded, 240*ms)
+			if fleet.rejected+fleet.failed > 0 {
+				t.Errorf("got %d requests rejected and %d failed, want 0", fleet.rejected, fleet.failed)
 			}
 		})
 	}
 }
 
-// Guards against a request waiting until its deadline on a connection that something between has dropped.
+// Guards against a request waiting until its deadline on a connection that was dropped silently on the path.
 func TestOverdueRequestOnDeadConnectionIsResentToOnlyEndpoint(t *testing.T) {
-	b := newTestFleet(t, 1, func(s *Settings) { s.MayHedge = false; s.StreamsPerConnection = 1 })
-	b.serve(60, respondPromptly)
-	b.tick()
-	b.endpoints.all[0].maxInFlight = 1
-	b.now = b.now.Add(2 * minDeadIdleTime)
-	id := b.arrive(0)
-	b.now += 200 * ms
-	b.TimerFired(b.now, b.timers[len(b.timers)-1])
-	if b.canceled != 1 {
-		t.Fatalf("%d attempts were canceled on a connection that may be dead", b.canceled)
+	fleet := newTestFleet(t, 1, func(s *Settings) { s.MayHedge = false; s.StreamsPerConnection = 1 })
+	fleet.serve(60, respondPromptly)
+	fleet.tick()
+	fleet.endpoints.all[0].maxInFlight = 1
+	fleet.now = fleet.now.Add(2 * minDeadIdleTime)
+	id := fleet.arrive(0)
+	fleet.now += 200 * ms
+	fleet.TimerFired(fleet.now, fleet.timers[len(fleet.timers)-1])
+	if fleet.canceled != 1 {
+		t.Fatalf("got %d attempts canceled on a connection that may be dead, want 1", fleet.canceled)
 	}
-	if b.endAttempt(id, 0, OutcomeCanceled, 200*ms); b.rejected > 0 || b.requests.byID[id].inFlight != 1 {
-		t.Error("the request did not go to its only endpoint again")
+	if fleet.endAttempt(id, 0, OutcomeCanceled, 200*ms); fleet.rejected > 0 || fleet.requests.byID[id].inFlight != 1 {
+		t.Error("the request was not sent to its only endpoint again")
 	}
 }
 
@@ -132,12 +136,12 @@
 		budget.refill()
 	}
 	if budget.available >= 1 {
-		t.Errorf("nine requests earn %g hedged ones", budget.available)
+		t.Errorf("got a budget of %g hedged requests after nine requests, want less than 1", budget.available)
 	}
 	for range 100 {
 		budget.refill()
 	}
 	if budget.available != maxHedgeBudget {
-		t.Errorf("%g hedged requests are saved up, expected %d", budget.available, maxHedgeBudget)
+		t.Errorf("got a budget of %g hedged requests, want %d", budget.available, maxHedgeBudget)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -5,64 +5,66 @@
 	"time"
 )
 
-// Guards against a spell that ends only once the endpoints have rested: in a long overload a node gives up all requests
-// for a while, once; a short one, as a burst makes, changes nothing.
+// Guards against an overload that ends only after the endpoints have had no load for a while. In a long overload a node
+// gives up all requests for a while, once. A short overload, such as a burst, has no effect.
 func TestLongOverloadShedsAllRequestsOnce(t *testing.T) {
-	b := newTestFleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
-	b.serve(40, respondPromptly)
-	for range 40 { // slow all the time, but nothing is rejected
-		b.estimator.Fleet.FirstSum, b.estimator.Fleet.Weight = 400, 40
-		b.now += Time(tickInterval)
-		if b.tick(); b.overload.shedAllUntil > 0 {
-			t.Fatal("a rest though nothing was rejected")
+	fleet := newTestFleet(t, 4, func(s *Settings) { s.ReportsUtilization = true })
+	fleet.serve(40, respondPromptly)
+	for range 40 { // slow for a long time, but without rejections
+		fleet.estimator.Fleet.FirstSum, fleet.estimator.Fleet.Weight = 400, 40
+		fleet.now += Time(tickInterval)
+		if fleet.tick(); fleet.overload.shedAllUntil > 0 {
+			t.Fatal("shedding all requests without rejections")
 		}
 	}
-	rests := 0
+	shedSeconds := 0
 	for second := range 40 {
-		b.estimator.Fleet.FirstSum, b.estimator.Fleet.Weight, b.estimator.classes[0].SuccessRate = 400, 40, 0.4
-		b.now += Time(tickInterval)
-		b.tick()
-		if b.overload.shedAllUntil > b.now {
-			rests++
+		fleet.estimator.Fleet.FirstSum, fleet.estimator.Fleet.Weight, fleet.estimator.classes[0].SuccessRate = 400, 40, 0.4
+		fleet.now += Time(tickInterval)
+		fleet.tick()
+		if fleet.overload.shedAllUntil > fleet.now {
+			shedSeconds++
 			if second < overloadedSecondsToShedAll-1 {
-				t.Fatalf("a rest after %d s of overload", second+1)
+				t.Fatalf("shedding all requests after %d s of overload, want later", second+1)
 			}
-			if b.rejected = 0; b.arrive(0) == "" || b.rejected != 1 {
-				t.Error("a request was taken while the fleet rests")
+			if fleet.rejected = 0; fleet.arrive(0) == "" || fleet.rejected != 1 {
+				t.Error("a request was sent while all are shed")
 			}
 		}
 	}
-	if rests != int(shedAllDuration/tickInterval) {
-		t.Errorf("%d s of rest in one overload, want %d", rests, shedAllDuration/tickInterval)
+	if shedSeconds != int(shedAllDuration/tickInterval) {
+		t.Errorf(
+			"got %d s of shedding all requests in one overload, want %d", shedSeconds, shedAllDuration/tickInterval,
+		)
 	}
 }
 
 func TestOverloadGuardShedsAllOncePerOverload(t *testing.T) {
 	var guard overloadGuard
 	now := Time(1e12)
-	tick := func(level, success float64) {
+	tick := func(latencyRatio, successRate float64) {
 		now = now.Add(time.Second)
-		guard.tick(now, level, success)
+		guard.tick(now, latencyRatio, successRate)
 	}
 	for range overloadedSecondsToShedAll - 1 {
 		tick(overloadedLatencyRatio, overloadedSuccessRate)
 	}
-	tick(overloadedLatencyRatio-0.1, overloadedSuccessRate) // the spell ends
+	tick(overloadedLatencyRatio-0.1, overloadedSuccessRate) // the overload ends
 	for range overloadedSecondsToShedAll - 1 {
 		tick(overloadedLatencyRatio, overloadedSuccessRate)
 		if guard.shedsAll(now) {
-			t.Fatal("rests before its time")
+			t.Fatal("shedding all requests before the overload has lasted long enough")
 		}
 	}
 	tick(overloadedLatencyRatio, overloadedSuccessRate)
 	if !guard.shedsAll(now.Add(shedAllDuration-1)) || guard.shedsAll(now.Add(shedAllDuration)) {
-		t.Errorf("rests until %d ns, now %d", guard.shedAllUntil, now)
+		t.Errorf("got shedding until %d ns at %d ns, want for shedAllDuration", guard.shedAllUntil, now)
 	}
-	until := guard.shedAllUntil
+	firstShedAllUntil := guard.shedAllUntil
 	for range 3 * overloadedSecondsToShedAll {
 		tick(overloadedLatencyRatio, overloadedSuccessRate)
 	}
-	if guard.shedAllUntil != until {
-		t.Error("a second rest in one spell")
+	if guard.shedAllUntil != firstShedAllUntil {
+		t.Error("shedding all requests twice in one overload")
 	}
 }
--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// closedLoop is a fresh instance in front of healthy endpoints that answer after exponentially distributed times, and
-// clients that each send the next request a while after the answer to the last. Nothing in it is overloaded.
+// closedLoop simulates a new instance with healthy endpoints whose latency is exponentially distributed, and clients
+// that each send the next request some time after the response to the last. No endpoint is overloaded.
 type closedLoop struct {
 	*testing.T
 	*rand.Rand
@@ -46,121 +46,123 @@
 	closedLoopSeconds   = 10
 )
 
-func (w *closedLoop) schedule(delay time.Duration, run func()) {
-	heap.Push(&w.events, simulatedEvent{w.now.Add(delay), run})
+func (c *closedLoop) schedule(delay time.Duration, run func()) {
+	heap.Push(&c.events, simulatedEvent{c.now.Add(delay), run})
 }
 
-// send has a client send its next request; every second one is of class 1.
-func (w *closedLoop) sendRequest() {
-	second := int((w.now - simulationStart) / 1e9)
-	w.requestCount++
-	r := &closedLoopRequest{id: RequestID(fmt.Sprint(w.requestCount)), class: w.requestCount % 2, second: second}
-	w.seconds[second].sent[r.class]++
-	w.openRequests[r.id] = r
-	w.balancer.RequestArrived(w.now, Request{ID: r.id, Class: r.class, Deadline: w.now + closedLoopDeadline})
+// sendRequest sends the next request of a client. Every second request is of class 1.
+func (c *closedLoop) sendRequest() {
+	second := int((c.now - simulationStart) / 1e9)
+	c.requestCount++
+	r := &closedLoopRequest{id: RequestID(fmt.Sprint(c.requestCount)), class: c.requestCount % 2, second: second}
+	c.seconds[second].sent[r.class]++
+	c.openRequests[r.id] = r
+	c.balancer.RequestArrived(c.now, Request{ID: r.id, Class: r.class, Deadline: c.now + closedLoopDeadline})
 }
 
-// answer ends a request for its client, which thinks and sends another.
-func (w *closedLoop) finishRequest(r *closedLoopRequest, reason Reason) {
-	if w.openRequests[r.id] == nil {
-		w.Errorf("request %s was answered twice", r.id)
+// finishRequest ends a request for its client, which sends the next one after closedLoopThinkTime.
+func (c *closedLoop) finishRequest(r *closedLoopRequest, reason Reason) {
+	if c.openRequests[r.id] == nil {
+		c.Errorf("request %s got two final responses", r.id)
 	}
-	delete(w.openRequests, r.id)
-	w.seconds[r.second].reasons[reason]++
+	delete(c.openRequests, r.id)
+	c.seconds[r.second].reasons[reason]++
 	if reason == ReasonNone {
-		w.seconds[r.second].answered[r.class]++
+		c.seconds[r.second].answered[r.class]++
 	}
-	w.schedule(closedLoopThinkTime, w.sendRequest)
+	c.schedule(closedLoopThinkTime, c.sendRequest)
 }
 
-func (w *closedLoop) endAttempt(r *closedLoopRequest, number int, outcome Outcome) {
+func (c *closedLoop) endAttempt(r *closedLoopRequest, number int, outcome Outcome) {
 	a := r.attempts[number]
 	if a.ended {
 		return
 	}
 	a.ended = true
-	done := w.openRequests[r.id] == nil
+	done := c.openRequests[r.id] == nil
 	if outcome == OutcomeSucceeded && !done {
-		w.finishRequest(r, ReasonNone)
+		c.finishRequest(r, ReasonNone)
 		done = true
 	}
-	w.balancer.AttemptEnded(w.now, AttemptResult{
-		Request: r.id, Attempt: number, Endpoint: a.endpoint, Outcome: outcome, Elapsed: w.now.Sub(a.sentAt),
+	c.balancer.AttemptEnded(c.now, AttemptResult{
+		Request: r.id, Attempt: number, Endpoint: a.endpoint, Outcome: outcome, Elapsed: c.now.Sub(a.sentAt),
 		RequestDone: done, Report: LoadReport{-1, -1, -1},
 	})
 }
 
-func (w *closedLoop) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
-	r := w.openRequests[id]
+func (c *closedLoop) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
+	r := c.openRequests[id]
 	number := len(r.attempts)
-	r.attempts = append(r.attempts, &closedLoopAttempt{endpoint: endpoint, sentAt: w.now})
-	latency := time.Duration(w.ExpFloat64() * float64(w.meanLatency))
-	w.schedule(min(latency, timeout), func() {
+	r.attempts = append(r.attempts, &closedLoopAttempt{endpoint: endpoint, sentAt: c.now})
+	latency := time.Duration(c.ExpFloat64() * float64(c.meanLatency))
+	c.schedule(min(latency, timeout), func() {
 		if latency > timeout {
-			w.endAttempt(r, number, OutcomeTimedOut)
+			c.endAttempt(r, number, OutcomeTimedOut)
 			return
 		}
-		w.endAttempt(r, number, OutcomeSucceeded)
+		c.endAttempt(r, number, OutcomeSucceeded)
 	})
 }
 
-func (w *closedLoop) Cancel(id RequestID, number int) {
-	if r := w.openRequests[id]; r != nil {
-		w.schedule(0, func() { w.endAttempt(r, number, OutcomeCanceled) })
+func (c *closedLoop) Cancel(id RequestID, number int) {
+	if r := c.openRequests[id]; r != nil {
+		c.schedule(0, func() { c.endAttempt(r, number, OutcomeCanceled) })
 	}
 }
 
-func (w *closedLoop) Reject(id RequestID, _ time.Duration, reason Reason) {
-	w.finishRequest(w.openRequests[id], reason)
+func (c *closedLoop) Reject(id RequestID, _ time.Duration, reason Reason) {
+	c.finishRequest(c.openRequests[id], reason)
 }
-func (w *closedLoop) Fail(id RequestID, reason Reason) { w.finishRequest(w.openRequests[id], reason) }
-func (w *closedLoop) SetTimer(at Time, timer uint64) {
-	w.schedule(max(at.Sub(w.now), 1), func() { w.balancer.TimerFired(w.now, timer) })
+
+func (c *closedLoop) Fail(id RequestID, reason Reason) { c.finishRequest(c.openRequests[id], reason) }
+
+func (c *closedLoop) SetTimer(at Time, timer uint64) {
+	c.schedule(max(at.Sub(c.now), 1), func() { c.balancer.TimerFired(c.now, timer) })
 }
-func (w *closedLoop) WatchEndpoints()        {}
-func (w *closedLoop) CloseIdle(EndpointID)   {}
-func (w *closedLoop) CheckHealth(EndpointID) {}
-func (w *closedLoop) Gossip(GossipMessage)   {}
+func (c *closedLoop) WatchEndpoints()        {}
+func (c *closedLoop) CloseIdle(EndpointID)   {}
+func (c *closedLoop) CheckHealth(EndpointID) {}
+func (c *closedLoop) Gossip(GossipMessage)   {}
 
-// runClosedLoop plays so many clients, every second request of a class with an idempotency.
+// runClosedLoop runs the given number of clients. Every second request is of a class with oddIdempotency.
 func runClosedLoop(
-	t *testing.T, seed uint64, endpoints, clients int, mean time.Duration, every2nd Idempotency,
+	t *testing.T, seed uint64, endpoints, clients int, meanLatency time.Duration, oddIdempotency Idempotency,
 ) *closedLoop {
-	w := &closedLoop{
-		T: t, Rand: rand.New(rand.NewPCG(seed, 2)), now: simulationStart, meanLatency: mean,
+	loop := &closedLoop{
+		T: t, Rand: rand.New(rand.NewPCG(seed, 2)), now: simulationStart, meanLatency: meanLatency,
 		openRequests: map[RequestID]*closedLoopRequest{}, seconds: make([]closedLoopSecond, closedLoopSeconds+1),
 	}
-	w.balancer = New(Settings{
+	loop.balancer = New(Settings{
 		Classes: []Class{
 			{LatencyObjective: 1000 * ms, Idempotency: Idempotent, PriorityWeight: 1},
 			{
-				LatencyObjective: 1000 * ms, Idempotency: every2nd, DedupGroup: DedupZone, DedupWindow: 5000 * ms,
+				LatencyObjective: 1000 * ms, Idempotency: oddIdempotency, DedupGroup: DedupZone, DedupWindow: 5000 * ms,
 				PriorityWeight: 1,
 			},
 		},
 		TenantShares: []float64{1}, MaxAttempts: 3, MayCancel: true, NodeCount: 1, StreamsPerConnection: 1,
 		ClockResolution: 2 * ms, MaySetRetryAfter: true, MaxRetryAfter: 1000 * ms,
 		SlowStartMinCapacity: 0.2, SlowStartWindow: 20000 * ms,
-	}, seed, w)
+	}, seed, loop)
 	var list []EndpointInfo
 	for id := range endpoints {
 		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id, Weight: 1})
 	}
-	w.balancer.EndpointsUpdated(w.now, list, true)
+	loop.balancer.EndpointsUpdated(loop.now, list, true)
 	for range clients {
-		w.schedule(time.Duration(w.Float64()*closedLoopThinkTime), w.sendRequest)
+		loop.schedule(time.Duration(loop.Float64()*closedLoopThinkTime), loop.sendRequest)
 	}
-	for end := w.now.Add(closedLoopSeconds * time.Second); w.events[0].at < end; {
-		next := heap.Pop(&w.events).(simulatedEvent)
-		w.now = next.at
+	for end := loop.now.Add(closedLoopSeconds * time.Second); loop.events[0].at < end; {
+		next := heap.Pop(&loop.events).(simulatedEvent)
+		loop.now = next.at
 		next.run()
 	}
-	return w
+	return loop
 }
 
-// String is what became of the requests of each second.
-func (w *closedLoop) String() (text string) {
-	for number, second := range w.seconds {
+// String returns the results of the requests of each second.
+func (c *closedLoop) String() (text string) {
+	for number, second := range c.seconds {
 		if second.sent[0]+second.sent[1] == 0 {
 			continue
 		}
@@ -175,27 +177,27 @@
 	return text
 }
 
-// checkAnswered asks that of the requests of all but the last seconds hardly any is given up: as many as a latency that is
-// exponentially distributed makes late by itself.
-func (w *closedLoop) checkAnswered(seed uint64) {
-	const mayStayUnanswered = 0.01
+// checkAnswered checks that hardly any request was given up, except in the last seconds: only the few that are late
+// with an exponentially distributed latency anyway.
+func (c *closedLoop) checkAnswered(seed uint64) {
+	const maxUnansweredFraction = 0.01
 	sent, answered := 0, 0
-	for _, second := range w.seconds[:closedLoopSeconds-2] { // the last requests may still be in flight
+	for _, second := range c.seconds[:closedLoopSeconds-2] { // the last requests may still be in flight
 		sent += second.sent[0] + second.sent[1]
 		answered += second.answered[0] + second.answered[1]
 	}
-	if unanswered := sent - answered; float64(unanswered) > mayStayUnanswered*float64(sent) {
-		w.Errorf("seed %d: %d of %d requests were given up:%s", seed, unanswered, sent, w)
+	if unanswered := sent - answered; float64(unanswered) > maxUnansweredFraction*float64(sent) {
+		c.Errorf("seed %d: %d of %d requests were given up, want at most 1 %%:%s", seed, unanswered, sent, c)
 	}
 }
 
-// Guards against a fresh node that rejects nearly all requests for seconds at endpoints that are healthy and not busy.
+// Guards against a new node that rejects nearly all requests for seconds though the endpoints are healthy and not busy.
 func TestNewNodeServesHealthyEndpoints(t *testing.T) {
 	const seeds = 60
-	for _, c := range []struct {
+	for _, test := range []struct {
 		endpoints, clients int
-		mean               time.Duration
-		every2nd           Idempotency
+		meanLatency        time.Duration
+		oddIdempotency     Idempotency
 	}{
 		{1, 16, 50 * ms, Idempotent},
 		{1, 16, 50 * ms, IdempotentByKey},
@@ -206,16 +208,19 @@
 		{3, 24, 160 * ms, IdempotentByKey},
 		{8, 24, 50 * ms, NonIdempotent},
 	} {
-		name := fmt.Sprintf("%d endpoints of %s, %d clients, %s", c.endpoints, c.mean, c.clients, c.every2nd)
+		name := fmt.Sprintf(
+			"%d endpoints with mean latency %s, %d clients, %s",
+			test.endpoints, test.meanLatency, test.clients, test.oddIdempotency,
+		)
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
-				runClosedLoop(t, seed, c.endpoints, c.clients, c.mean, c.every2nd).checkAnswered(seed)
+				runClosedLoop(t, seed, test.endpoints, test.clients, test.meanLatency, test.oddIdempotency).checkAnswered(seed)
 			}
 		})
 	}
 }
 
-// The one play of 3,200 in a longer run, 400 seeds of each case above, in which a fresh node gives up more than it may.
+// The one run of 3,200 (400 seeds of each case above) in which a new node gives up more requests than allowed.
 func TestNewNodeServesSeed171(t *testing.T) {
 	runClosedLoop(t, 171, 3, 24, 160*ms, NonIdempotent).checkAnswered(171)
 }
