--- a/internal/classdelay/classdelay.go
+++ b/internal/classdelay/classdelay.go
@@ -46,17 +46,17 @@
 }
 
 // add takes in an attempt, or the late answer of one that was taken in as overdue.
-func (g *group) addSample(now, sentAt int64, late float64) {
-	at := g.nextSample
+func (g *group) addSample(now, sentAt int64, lateness float64) {
+	index := g.nextSample
 	for i := range g.samples {
 		if g.samples[i].sentAt == sentAt && math.IsInf(g.samples[i].lateness, 1) {
-			at = i
+			index = i
 		}
 	}
-	if at == g.nextSample {
+	if index == g.nextSample {
 		g.nextSample = (g.nextSample + 1) % samplesKept
 	}
-	g.samples[at] = latenessSample{sentAt: sentAt, lateness: max(late, 0)}
+	g.samples[index] = latenessSample{sentAt: sentAt, lateness: max(lateness, 0)}
 	g.lastSampleAt = now
 	g.givenUpSinceSample = 0
 	g.minLateness = math.Inf(1)
@@ -138,14 +138,14 @@
 // AllowsTrial reports whether a request may be sent to test whether the delay of its groups is over: nothing of them is in
 // flight, nor has been for more than timeFraction of the time. So of all nodes no more than that part tests at once,
 // however long a test takes.
-func (c RequestGroups) AllowsTrial(now int64, timeFraction float64) bool {
+func (c RequestGroups) AllowsTrial(now int64, trialTimeFraction float64) bool {
 	for kind, delay := range c.delays(now) {
 		own := c.groups[kind]
 		if delay <= 0 {
 			continue
 		}
-		paused := float64(now - own.idleChangedAt)
-		if own.inFlight > 0 || paused*timeFraction < float64(own.lastTrialNanos)*(1-timeFraction) {
+		idleNanos := float64(now - own.idleChangedAt)
+		if own.inFlight > 0 || idleNanos*trialTimeFraction < float64(own.lastTrialNanos)*(1-trialTimeFraction) {
 			return false
 		}
 	}
@@ -153,14 +153,14 @@
 }
 
 // AddInFlight counts an attempt that is sent, by 1, or one that ends, by -1.
-func (c RequestGroups) AddInFlight(now int64, by int) {
+func (c RequestGroups) AddInFlight(now int64, delta int) {
 	for _, own := range c.groups {
-		own.inFlight += by
+		own.inFlight += delta
 		switch own.inFlight {
 		case 0:
 			own.lastTrialNanos = now - own.idleChangedAt
 			own.idleChangedAt = now
-		case by:
+		case delta:
 			own.idleChangedAt = now
 		}
 	}
@@ -176,12 +176,12 @@
 // Observe takes in the latency of an attempt, infinite while it is overdue, and what it is with nothing else at the
 // endpoint. What one group is known to wait for does not count against the other.
 func (c RequestGroups) Observe(now, sentAt int64, latency, unloaded float64) {
-	delays, late := c.delays(now), latency-unloaded
+	delays, lateness := c.delays(now), latency-unloaded
 	for kind, own := range c.groups {
 		own.unloadedLatency += (unloaded - own.unloadedLatency) / latencyWindow
 		other := delays[numberOfKinds-1-kind]
 		if !math.IsInf(other, 1) {
-			own.addSample(now, sentAt, late-other)
+			own.addSample(now, sentAt, lateness-other)
 		}
 	}
 }
--- a/internal/classdelay/classdelay_test.go
+++ b/internal/classdelay/classdelay_test.go
@@ -15,11 +15,11 @@
 }
 
 // observeEveryGroup lets every class and tenant have an answer each tenth of a second for so long, late by what late says.
-func observeEveryGroup(tracker *Tracker, from, to int64, late func(class, tenant int) float64) {
+func observeEveryGroup(tracker *Tracker, from, to int64, lateness func(class, tenant int) float64) {
 	for now := from; now < to; now += second / 10 {
 		for class := range tracker.groups[0] {
 			for tenant := range tracker.groups[1] {
-				tracker.GroupsOf(class, tenant).Observe(now, now-second/20, 1e7+late(class, tenant), 1e7)
+				tracker.GroupsOf(class, tenant).Observe(now, now-second/20, 1e7+lateness(class, tenant), 1e7)
 			}
 		}
 	}
@@ -27,7 +27,7 @@
 
 func TestDelayAttributedToClassOrTenant(t *testing.T) {
 	for name, c := range map[string]struct {
-		late func(class, tenant int) float64
+		lateness func(class, tenant int) float64
 		want func(class, tenant int) float64
 	}{
 		"all": {func(int, int) float64 { return 1e9 }, func(int, int) float64 { return 0 }},
@@ -40,7 +40,7 @@
 		"little": {func(c, _ int) float64 { return 1e7 * float64(c) }, func(int, int) float64 { return 0 }},
 	} {
 		tracker := newTracker(3)
-		observeEveryGroup(tracker, second, 4*second, c.late)
+		observeEveryGroup(tracker, second, 4*second, c.lateness)
 		for class := range 2 {
 			for tenant := range 3 {
 				if got, want := tracker.GroupsOf(class, tenant).Delay(4*second), c.want(class, tenant); math.Abs(got-want) > 1e7 {
@@ -60,8 +60,8 @@
 		tracker.GroupsOf(0, 0).Observe(now, now, 2e8, 2e7)
 		tracker.GroupsOf(1, 0).Observe(now, now, 8e8, 8e7)
 	}
-	if w := tracker.GroupsOf(1, 0).Delay(4 * second); w > 0 {
-		t.Errorf("all take ten times their work, and the heavy wait %.0f ms", w/1e6)
+	if delay := tracker.GroupsOf(1, 0).Delay(4 * second); delay > 0 {
+		t.Errorf("all take ten times their work, and the heavy wait %.0f ms", delay/1e6)
 	}
 }
 
@@ -98,8 +98,8 @@
 	for n := range int64(samplesKept) {
 		slow.Observe(2*second+n, n, math.Inf(1), 1e7)
 	}
-	if w := slow.Delay(2*second + samplesKept); !math.IsInf(w, 1) {
-		t.Errorf("three overdue and none answered: waits %g", w)
+	if delay := slow.Delay(2*second + samplesKept); !math.IsInf(delay, 1) {
+		t.Errorf("three overdue and none answered: waits %g", delay)
 	}
 	if slow.Observe(3*second, 1, 31e7, 1e7); slow.Delay(3*second) != 3e8 {
 		t.Errorf("one of them late by 300 ms: waits %g", slow.Delay(3*second))
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -96,29 +96,29 @@
 // Open opens calls until the body of a response begins, and closes the others. A call that waits is kept, as a new one
 // begins at the end of discovery's queue. It fails with the error of the last call once none is out, and with the
 // context's error once that is done.
-func (k *Call) Open(ctx context.Context) (*Watch, error) {
+func (c *Call) Open(ctx context.Context) (*Watch, error) {
 	openCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	o := &opening{
-		call:      k,
+		call:      c,
 		ctx:       openCtx,
 		startedAt: time.Now(),
-		pacer:     NewPacer(0, withJitter(k.FirstGap), withJitter(k.Gap), int64(k.RetryInterval)),
+		pacer:     NewPacer(0, withJitter(c.FirstGap), withJitter(c.Gap), int64(c.RetryInterval)),
 		conns:     map[int]net.Conn{},
 		events:    make(chan event),
 	}
 	defer o.closeAll()
-	due := time.NewTimer(0)
-	defer due.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	lastID, connecting := 0, false
 	for {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-due.C:
+		case <-timer.C:
 			lastID++
 			connecting = true
-			k.OnCall()
+			c.OnCall()
 			go o.connect(lastID)
 			continue
 		case e := <-o.events:
@@ -130,11 +130,11 @@
 				return nil, err
 			}
 			if conn != nil {
-				return k.newWatch(ctx, conn, e.body), nil
+				return c.newWatch(ctx, conn, e.body), nil
 			}
 		}
 		if !connecting {
-			due.Reset(time.Duration(o.pacer.Due() - o.now()))
+			timer.Reset(time.Duration(o.pacer.Due() - o.now()))
 		}
 	}
 }
@@ -151,7 +151,7 @@
 }
 
 // handle takes in an event. It returns the connection of a call whose body has begun, or the error of the last call.
-func (o *opening) handle(e event) (watched net.Conn, err error) {
+func (o *opening) handle(e event) (watchConn net.Conn, err error) {
 	now := o.now()
 	switch e.kind {
 	case connected:
@@ -169,7 +169,7 @@
 	case headReceived:
 		o.pacer.HeadReceived(now, int64(o.call.SilenceTimeout))
 	case bodyStarted:
-		watched = o.conns[e.callID] // nil: it was replaced meanwhile
+		watchConn = o.conns[e.callID] // nil: it was replaced meanwhile
 		delete(o.conns, e.callID)
 	case callFailed:
 		if o.conns[e.callID] == nil {
@@ -181,7 +181,7 @@
 		}
 		o.call.OnFailure()
 	}
-	return watched, nil
+	return watchConn, nil
 }
 
 func (o *opening) closeCall(id int) {
@@ -189,12 +189,12 @@
 	delete(o.conns, id)
 }
 
-func (k *Call) newWatch(ctx context.Context, conn net.Conn, body *bufio.Reader) *Watch {
+func (c *Call) newWatch(ctx context.Context, conn net.Conn, body *bufio.Reader) *Watch {
 	return &Watch{
 		conn:           conn,
 		body:           body,
-		silenceTimeout: k.SilenceTimeout,
-		onData:         k.OnData,
+		silenceTimeout: c.SilenceTimeout,
+		onData:         c.OnData,
 		stopContext:    context.AfterFunc(ctx, func() { conn.Close() }),
 	}
 }
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -104,10 +104,10 @@
 
 // CallEnded takes in a call that discovery has ended, or whose response was an error. It reports whether another is
 // out.
-func (p *Pacer) CallEnded(id int) (others bool) {
+func (p *Pacer) CallEnded(id int) (othersInFlight bool) {
 	p.calls = slices.DeleteFunc(p.calls, func(c call) bool { return c.id == id })
 	return len(p.calls) > 0
 }
 
 // HeadReceived takes in the head of a response. The body has to begin within a time, so the next call is due no later.
-func (p *Pacer) HeadReceived(now, within int64) { p.due = min(p.due, now+within) }
+func (p *Pacer) HeadReceived(now, bodyTimeout int64) { p.due = min(p.due, now+bodyTimeout) }
--- a/internal/endpointlist/flat.go
+++ b/internal/endpointlist/flat.go
@@ -51,11 +51,11 @@
 
 // number returns the text of the number that begins here.
 func (s *scanner) number() []byte {
-	from := s.pos
+	start := s.pos
 	for s.pos < len(s.text) && isNumberByte(s.text[s.pos]) {
 		s.pos++
 	}
-	return s.text[from:s.pos]
+	return s.text[start:s.pos]
 }
 
 func isNumberByte(c byte) bool {
@@ -135,8 +135,8 @@
 
 // isUnknownField reports whether a name is that of no field; encoding/json ignores the case of names.
 func isUnknownField(name []byte) bool {
-	for _, field := range fieldNames {
-		if len(field) == len(name) && bytes.EqualFold(name, []byte(field)) {
+	for _, known := range fieldNames {
+		if len(known) == len(name) && bytes.EqualFold(name, []byte(known)) {
 			return false
 		}
 	}
@@ -145,8 +145,8 @@
 
 // intern returns one string for all equal values. The bound guards against a list whose values all differ.
 func (r *Reader) intern(value []byte) string {
-	if known, ok := r.interned[string(value)]; ok {
-		return known
+	if interned, ok := r.interned[string(value)]; ok {
+		return interned
 	}
 	text := string(value)
 	if len(r.interned) < maxInterned && len(text) <= maxInterned {
--- a/internal/endpointlist/golden_test.go
+++ b/internal/endpointlist/golden_test.go
@@ -19,11 +19,11 @@
 	golden.Check(t, "entry.json", body)
 	text := []byte(`{"seq": 12, "whole": false, "later": [1], "hosts": [{"host": "s-1", "dial": "127.0.0.1:80", "site": "a", "class": "m", "block": 3,
 		"health": "up", "share": 0.5, "born_ms": 1700000000123.5, "later": {"a": 1}}, {"host": "s-2", "health": "removed"}]}`)
-	var read bytes.Buffer
-	line, err := Parse(text, LimitsFor(0), func() { read.Reset() }, func(e Entry) error {
-		fmt.Fprintf(&read, "%q %q %q %d %q %v %v\n", e.Name, e.Address, e.Zone, e.Pod, e.State, e.Weight, e.StartedMs)
+	var parsed bytes.Buffer
+	update, err := Parse(text, LimitsFor(0), func() { parsed.Reset() }, func(e Entry) error {
+		fmt.Fprintf(&parsed, "%q %q %q %d %q %v %v\n", e.Name, e.Address, e.Zone, e.Pod, e.State, e.Weight, e.StartedMs)
 		return nil
 	})
-	fmt.Fprintf(&read, "version %d, whole %v, passed over %d, %v\n", line.Version, line.Complete, line.Skipped, err)
-	golden.Check(t, "read.txt", read.Bytes())
+	fmt.Fprintf(&parsed, "version %d, whole %v, passed over %d, %v\n", update.Version, update.Complete, update.Skipped, err)
+	golden.Check(t, "read.txt", parsed.Bytes())
 }
--- a/internal/endpointlist/reader.go
+++ b/internal/endpointlist/reader.go
@@ -64,7 +64,7 @@
 // Next reads a line. It calls begin where entries begin, and take with each entry; an entry that take returns an error
 // for is skipped. If begin is called again, the entries before it do not count; if Next fails, none do, and nothing
 // more can be read. It fails with io.EOF at the end of the stream, if that is between two lines.
-func (r *Reader) Next(begin func(), take func(Entry) error) (update Update, err error) {
+func (r *Reader) Next(begin func(), accept func(Entry) error) (update Update, err error) {
 	r.in.lineBytes, r.in.valueBytes = 0, 0
 	r.in.betweenLines = r.bufferIsBlank()
 	if err = r.expectDelim('{'); err != nil {
@@ -73,7 +73,7 @@
 	r.in.betweenLines = false
 	var version *int64
 	for r.values.More() {
-		if err := r.readField(&update, &version, begin, take); err != nil {
+		if err := r.readField(&update, &version, begin, accept); err != nil {
 			return update, unexpectedEOF(err)
 		}
 	}
@@ -90,7 +90,7 @@
 }
 
 // readField reads one field of a line.
-func (r *Reader) readField(update *Update, version **int64, begin func(), take func(Entry) error) (err error) {
+func (r *Reader) readField(update *Update, version **int64, begin func(), accept func(Entry) error) (err error) {
 	token, err := r.values.Token()
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 	case strings.EqualFold(name, "hosts"):
 		begin()
 		update.Skipped, update.FirstErr = 0, nil
-		err = r.readEntries(update, take)
+		err = r.readEntries(update, accept)
 	default:
 		err = r.values.Decode(&r.raw)
 	}
@@ -142,7 +142,7 @@
 	return err
 }
 
-func (r *Reader) readEntries(update *Update, take func(Entry) error) error {
+func (r *Reader) readEntries(update *Update, accept func(Entry) error) error {
 	token, err := r.values.Token()
 	if err != nil || token == nil {
 		return err
@@ -158,7 +158,7 @@
 		if err := r.values.Decode(&r.raw); err != nil {
 			return err
 		}
-		if err := r.handleEntry(take); err != nil {
+		if err := r.handleEntry(accept); err != nil {
 			update.Skipped++
 			if update.FirstErr == nil {
 				update.FirstErr = err
@@ -169,7 +169,7 @@
 }
 
 // handleEntry parses the entry in raw and passes it on.
-func (r *Reader) handleEntry(take func(Entry) error) error {
+func (r *Reader) handleEntry(accept func(Entry) error) error {
 	entry, ok := r.parseFlat(r.raw)
 	if !ok {
 		entry = Entry{}
@@ -177,13 +177,13 @@
 			return err
 		}
 	}
-	return take(entry)
+	return accept(entry)
 }
 
 // Parse reads a text that has one line and nothing else.
-func Parse(text []byte, limits Limits, begin func(), take func(Entry) error) (Update, error) {
+func Parse(text []byte, limits Limits, begin func(), accept func(Entry) error) (Update, error) {
 	r := NewReader(bytes.NewReader(text), limits)
-	update, err := r.Next(begin, take)
+	update, err := r.Next(begin, accept)
 	if err != nil {
 		return update, err
 	}
--- a/internal/endpointlist/reader_test.go
+++ b/internal/endpointlist/reader_test.go
@@ -21,40 +21,40 @@
 var errRejectedEntry = errors.New("odd")
 
 // decodeWithEncodingJSON is what encoding/json makes of a line.
-func decodeWithEncodingJSON(text []byte) (a result, err error) {
+func decodeWithEncodingJSON(text []byte) (decoded result, err error) {
 	var in struct {
 		Version *int64            `json:"seq"`
-		Whole   bool              `json:"whole"`
+		Complete   bool              `json:"whole"`
 		Entries []json.RawMessage `json:"hosts"`
 	}
 	if err := json.Unmarshal(text, &in); err != nil {
-		return a, err
+		return decoded, err
 	}
 	if in.Version == nil {
-		return a, errors.New("no version")
+		return decoded, errors.New("no version")
 	}
-	for _, one := range in.Entries {
+	for _, raw := range in.Entries {
 		var e Entry
-		if err := json.Unmarshal(one, &e); err != nil || e.Name == "odd" {
-			a.Update.Skipped++
+		if err := json.Unmarshal(raw, &e); err != nil || e.Name == "odd" {
+			decoded.Update.Skipped++
 			continue
 		}
-		a.Entries = append(a.Entries, e)
+		decoded.Entries = append(decoded.Entries, e)
 	}
-	a.Update.Version, a.Update.Complete = *in.Version, in.Whole && a.Update.Skipped == 0
-	return a, nil
+	decoded.Update.Version, decoded.Update.Complete = *in.Version, in.Complete && decoded.Update.Skipped == 0
+	return decoded, nil
 }
 
-func collect(read func(begin func(), take func(Entry) error) (Update, error)) (a result, err error) {
-	a.Update, err = read(func() { a.Entries = nil }, func(e Entry) error {
+func collect(read func(begin func(), accept func(Entry) error) (Update, error)) (decoded result, err error) {
+	decoded.Update, err = read(func() { decoded.Entries = nil }, func(e Entry) error {
 		if e.Name == "odd" {
 			return errRejectedEntry
 		}
-		a.Entries = append(a.Entries, e)
+		decoded.Entries = append(decoded.Entries, e)
 		return nil
 	})
-	a.Update.FirstErr = nil
-	return a, err
+	decoded.Update.FirstErr = nil
+	return decoded, err
 }
 
 var testLines = []string{
@@ -71,25 +71,25 @@
 
 // compare compares the streaming reader with encoding/json, whatever the pieces in which a text comes.
 func compareWithEncodingJSON(t *testing.T, text []byte) {
-	want, wrong := decodeWithEncodingJSON(text)
+	want, wantErr := decodeWithEncodingJSON(text)
 	limits := LimitsFor(0)
-	for name, read := range map[string]func(begin func(), take func(Entry) error) (Update, error){
-		"at once": func(begin func(), take func(Entry) error) (Update, error) { return Parse(text, limits, begin, take) },
-		"byte by byte": func(begin func(), take func(Entry) error) (Update, error) {
+	for name, read := range map[string]func(begin func(), accept func(Entry) error) (Update, error){
+		"at once": func(begin func(), accept func(Entry) error) (Update, error) { return Parse(text, limits, begin, accept) },
+		"byte by byte": func(begin func(), accept func(Entry) error) (Update, error) {
 			r := NewReader(iotest.OneByteReader(bytes.NewReader(text)), limits)
-			l, err := r.Next(begin, take)
+			update, err := r.Next(begin, accept)
 			if err == nil {
 				if _, err = r.Next(func() {}, func(Entry) error { return nil }); errors.Is(err, io.EOF) {
-					return l, nil
+					return update, nil
 				}
 				err = errors.New("more than one")
 			}
-			return l, err
+			return update, err
 		},
 	} {
 		got, err := collect(read)
-		if (err == nil) != (wrong == nil) {
-			t.Fatalf("%s, %q: %v, encoding/json says %v", name, text, err, wrong)
+		if (err == nil) != (wantErr == nil) {
+			t.Fatalf("%s, %q: %v, encoding/json says %v", name, text, err, wantErr)
 		}
 		if err == nil && !reflect.DeepEqual(got, want) {
 			t.Fatalf("%s, %q: %+v, encoding/json says %+v", name, text, got, want)
@@ -131,22 +131,22 @@
 
 // An empty line every two seconds for some weeks is neither held nor too long, wherever reads end between two lines.
 func TestEmptyLinesUseNoMemory(t *testing.T) {
-	many := strings.NewReader(strings.Repeat("\r\n", 4<<20))
-	second := `{"seq":7,"hosts":[{"host":"a  b"},{"host":" "}]}`
+	emptyLines := strings.NewReader(strings.Repeat("\r\n", 4<<20))
+	secondLine := `{"seq":7,"hosts":[{"host":"a  b"},{"host":" "}]}`
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	r := NewReader(io.MultiReader(strings.NewReader(testLines[0]), many, strings.NewReader(second)), Limits{ValueBytes: 64 << 10, LineBytes: 64 << 10, Endpoints: 10})
+	r := NewReader(io.MultiReader(strings.NewReader(testLines[0]), emptyLines, strings.NewReader(secondLine)), Limits{ValueBytes: 64 << 10, LineBytes: 64 << 10, Endpoints: 10})
 	for i, version := range []int64{41, 7} {
 		if got, err := collect(r.Next); err != nil || got.Update.Version != version {
 			t.Errorf("line %d: %+v, %v", i, got, err)
 		}
 	}
 	runtime.ReadMemStats(&after)
-	if took := after.TotalAlloc - before.TotalAlloc; took > 1<<20 {
-		t.Errorf("%d bytes taken", took)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
+		t.Errorf("%d bytes taken", allocated)
 	}
-	for cut := range len(second) {
-		r := NewReader(io.MultiReader(strings.NewReader(testLines[0]+"\n"+second[:cut]), strings.NewReader(second[cut:])), LimitsFor(0))
+	for cut := range len(secondLine) {
+		r := NewReader(io.MultiReader(strings.NewReader(testLines[0]+"\n"+secondLine[:cut]), strings.NewReader(secondLine[cut:])), LimitsFor(0))
 		if _, err := collect(r.Next); err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
@@ -176,7 +176,7 @@
 // Each limit ends a line that exceeds it, and little memory is used until then.
 func TestLimitsAreEnforced(t *testing.T) {
 	limits := Limits{ValueBytes: 64 << 10, LineBytes: 8 << 20, Endpoints: 5000}
-	for what, in := range map[string]*endlessLine{
+	for unit, in := range map[string]*endlessLine{
 		"entries":            {head: `{"seq":1,"hosts":[`, repeated: `{"host":"a"},`},
 		"bytes of a line":    {head: `{"seq":1,"hosts":[`, repeated: strings.Repeat(" ", 60<<10) + `{"host":"a"},`},
 		"bytes of one value": {head: `{"seq":1,"hosts":[{"host":"`, repeated: "x"},
@@ -185,12 +185,12 @@
 		runtime.ReadMemStats(&before)
 		_, err := NewReader(in, limits).Next(func() {}, func(Entry) error { return nil })
 		runtime.ReadMemStats(&after)
-		var long *TooLongError
-		if !errors.As(err, &long) || long.Unit != what {
-			t.Errorf("%s: %v", what, err)
+		var tooLong *TooLongError
+		if !errors.As(err, &tooLong) || tooLong.Unit != unit {
+			t.Errorf("%s: %v", unit, err)
 		}
-		if took := after.TotalAlloc - before.TotalAlloc; took > 4<<20 {
-			t.Errorf("%s: %d bytes taken", what, took)
+		if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 4<<20 {
+			t.Errorf("%s: %d bytes taken", unit, allocated)
 		}
 	}
 	if l := LimitsFor(0); l.Endpoints < 240000 || l.LineBytes < 60<<20 {
--- a/internal/endpointsource/overlay.go
+++ b/internal/endpointsource/overlay.go
@@ -50,10 +50,10 @@
 }
 
 // buildUpdate resolves the named endpoints, brings current up to date and returns the update.
-func (s *Selector[V]) buildUpdate(touched []string, complete bool) Update[V] {
+func (s *Selector[V]) buildUpdate(changedNames []string, complete bool) Update[V] {
 	update := Update[V]{Version: s.lists[s.active].version, Complete: complete, Changed: true}
-	slices.Sort(touched)
-	for _, name := range slices.Compact(touched) {
+	slices.Sort(changedNames)
+	for _, name := range slices.Compact(changedNames) {
 		endpoint, exists := s.resolve(name)
 		if exists {
 			s.current[name] = endpoint
--- a/internal/endpointsource/selector.go
+++ b/internal/endpointsource/selector.go
@@ -134,7 +134,7 @@
 
 // reselect selects the active source after a source has sent endpoints, by name, or a complete list, and returns what
 // has changed.
-func (s *Selector[V]) reselect(nowNs int64, from Source, touched []string, complete bool) Update[V] {
+func (s *Selector[V]) reselect(nowNs int64, from Source, changedNames []string, complete bool) Update[V] {
 	fresh := s.relaysFresh(nowNs)
 	if fresh && !s.relaysWereFresh {
 		s.takeoverVersion = s.lists[SourceDiscovery].version
@@ -144,7 +144,7 @@
 		s.switchTo(nowNs, next)
 		complete = true
 	} else if from != s.active {
-		touched, complete = nil, false
+		changedNames, complete = nil, false
 	}
 	if s.active == SourceNone {
 		return Update[V]{}
@@ -154,11 +154,11 @@
 		complete = true
 	}
 	if complete {
-		touched = s.allNames()
-	} else if len(touched) == 0 {
+		changedNames = s.allNames()
+	} else if len(changedNames) == 0 {
 		return Update[V]{}
 	}
-	return s.buildUpdate(touched, complete)
+	return s.buildUpdate(changedNames, complete)
 }
 
 // nextActive is the rule in the package's comment.
--- a/internal/endpointsource/selector_test.go
+++ b/internal/endpointsource/selector_test.go
@@ -29,18 +29,18 @@
 	return &testNode{selector: New[int](startNs, staleAfter, 0), now: startNs, current: map[string]testEndpoint{}}
 }
 
-func (n *testNode) apply(t Update[int]) Update[int] {
-	if t.Complete {
+func (n *testNode) apply(update Update[int]) Update[int] {
+	if update.Complete {
 		clear(n.current)
 	}
-	for _, e := range t.Endpoints {
+	for _, e := range update.Endpoints {
 		if e.State == StateRemoved {
 			delete(n.current, e.Name)
 		} else {
 			n.current[e.Name] = e
 		}
 	}
-	return t
+	return update
 }
 
 // servers reads "a b- c+3 d!": a and c are up, b drains, c started at 3, d is removed.
@@ -98,11 +98,11 @@
 	n.apply(n.selector.Tick(n.now))
 }
 
-func (n *testNode) expect(t *testing.T, what string, by Source, force string, watch bool) {
+func (n *testNode) expect(t *testing.T, step string, source Source, endpoints string, wantsDiscovery bool) {
 	t.Helper()
-	if n.selector.Active() != by || n.String() != force || n.selector.WantsDiscovery(n.now) != watch {
-		t.Errorf("%s: source %v %q, discovery watched: %v; expected %v %q, %v", what, n.selector.Active(), n,
-			n.selector.WantsDiscovery(n.now), by, force, watch)
+	if n.selector.Active() != source || n.String() != endpoints || n.selector.WantsDiscovery(n.now) != wantsDiscovery {
+		t.Errorf("%s: source %v %q, discovery watched: %v; expected %v %q, %v", step, n.selector.Active(), n,
+			n.selector.WantsDiscovery(n.now), source, endpoints, wantsDiscovery)
 	}
 }
 
@@ -188,13 +188,13 @@
 	n.selector = New[int](startNs, staleAfter, 10)
 	for i, step := range []struct {
 		version int64
-		whole   bool
-		servers int
+		complete   bool
+		endpoints int
 	}{{10, true, 2}, {10, false, 1}, {11, true, 2}, {12, false, 1}} {
 		update := n.apply(n.selector.UpdateRelays(n.now,
 			relayUpdate(parseEndpoints([]string{"a- b", "a", "", "b"}[i]), true, true, n.now, step.version)))
-		if update.Complete != step.whole || len(update.Endpoints) != step.servers {
-			t.Errorf("step %d: %+v, expected whole %v and %d servers", i, update, step.whole, step.servers)
+		if update.Complete != step.complete || len(update.Endpoints) != step.endpoints {
+			t.Errorf("step %d: %+v, expected whole %v and %d servers", i, update, step.complete, step.endpoints)
 		}
 	}
 }
@@ -247,28 +247,28 @@
 	startCount int64
 }
 
-func (w *listHistory) latest() map[string]testEndpoint { return w.versions[len(w.versions)-1] }
+func (h *listHistory) latest() map[string]testEndpoint { return h.versions[len(h.versions)-1] }
 
-func (w *listHistory) change(t *rapid.T) {
-	next := maps.Clone(w.latest())
+func (h *listHistory) change(t *rapid.T) {
+	next := maps.Clone(h.latest())
 	name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "server")
-	e, there := next[name]
+	e, listed := next[name]
 	switch {
-	case !there || rapid.IntRange(0, 3).Draw(t, "restart") == 0:
-		w.startCount++
-		next[name] = testEndpoint{Name: name, StartedAtNs: w.startCount}
+	case !listed || rapid.IntRange(0, 3).Draw(t, "restart") == 0:
+		h.startCount++
+		next[name] = testEndpoint{Name: name, StartedAtNs: h.startCount}
 	case e.State == StateUp:
 		e.State = StateDraining
 		next[name] = e
 	default:
 		delete(next, name)
 	}
-	w.versions = append(w.versions, next)
+	h.versions = append(h.versions, next)
 }
 
-func all(of map[string]testEndpoint) (out []testEndpoint) {
-	for _, name := range slices.Sorted(maps.Keys(of)) {
-		out = append(out, of[name])
+func all(endpoints map[string]testEndpoint) (out []testEndpoint) {
+	for _, name := range slices.Sorted(maps.Keys(endpoints)) {
+		out = append(out, endpoints[name])
 	}
 	return out
 }
@@ -292,73 +292,73 @@
 // never removed; and in the end the node's list is discovery's.
 func TestSwitchesNeverRestoreOrLoseEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &listHistory{versions: []map[string]testEndpoint{{}}}
+		history := &listHistory{versions: []map[string]testEndpoint{{}}}
 		for range 4 {
-			w.change(t)
+			history.change(t)
 		}
 		n := newNode()
-		at := map[Source]int{SourceRelays: 0, SourceDiscovery: 0}
-		sent := map[Source]map[string]testEndpoint{SourceRelays: {}, SourceDiscovery: {}}
-		withdrawn := map[string]int64{} // the last incarnation that the node knew to drain
-		known := 0                      // the highest version that an active source has had
-		send := func(source Source, to int) {
-			if to < at[source] {
-				to = at[source]
+		sentVersions := map[Source]int{SourceRelays: 0, SourceDiscovery: 0}
+		sentLists := map[Source]map[string]testEndpoint{SourceRelays: {}, SourceDiscovery: {}}
+		drainedStarts := map[string]int64{} // the last incarnation that the node knew to drain
+		highestVersion := 0                      // the highest version that an active source has had
+		send := func(source Source, version int) {
+			if version < sentVersions[source] {
+				version = sentVersions[source]
 			}
 			if source == SourceRelays {
 				n.apply(n.selector.UpdateRelays(n.now,
-					relayUpdate(changes(sent[source], w.versions[to]), true, true, n.now, int64(to))))
-			} else if rapid.Bool().Draw(t, "whole") || at[source] == 0 {
-				n.apply(n.selector.UpdateDiscovery(n.now, all(w.versions[to]), true, int64(to)))
+					relayUpdate(changes(sentLists[source], history.versions[version]), true, true, n.now, int64(version))))
+			} else if rapid.Bool().Draw(t, "whole") || sentVersions[source] == 0 {
+				n.apply(n.selector.UpdateDiscovery(n.now, all(history.versions[version]), true, int64(version)))
 			} else {
-				n.apply(n.selector.UpdateDiscovery(n.now, changes(sent[source], w.versions[to]), false, int64(to)))
+				n.apply(n.selector.UpdateDiscovery(n.now, changes(sentLists[source], history.versions[version]), false, int64(version)))
 			}
-			at[source], sent[source] = to, w.versions[to]
+			sentVersions[source], sentLists[source] = version, history.versions[version]
 		}
 		check := func() {
-			known = max(known, at[n.selector.Active()])
+			highestVersion = max(highestVersion, sentVersions[n.selector.Active()])
 			for _, e := range n.current {
-				if e.State == StateUp && e.StartedAtNs <= withdrawn[e.Name] {
+				if e.State == StateUp && e.StartedAtNs <= drainedStarts[e.Name] {
 					t.Fatalf("%s, incarnation %d, is up again after it drained: source %v at %v", e.Name,
-						e.StartedAtNs, n.selector.Active(), at)
+						e.StartedAtNs, n.selector.Active(), sentVersions)
 				}
-				if was, there := w.versions[known][e.Name]; e.State == StateUp &&
-					(!there || was.State == StateDraining) && e.StartedAtNs <= max(was.StartedAtNs, w.startCount) &&
-					!slices.ContainsFunc(w.versions[known:],
+				if highest, listed := history.versions[highestVersion][e.Name]; e.State == StateUp &&
+					(!listed || highest.State == StateDraining) && e.StartedAtNs <= max(highest.StartedAtNs, history.startCount) &&
+					!slices.ContainsFunc(history.versions[highestVersion:],
 						func(v map[string]testEndpoint) bool { return v[e.Name] == e }) {
 					t.Fatalf("%s, incarnation %d, is up again after it was removed at %d: source %v at %v", e.Name,
-						e.StartedAtNs, known, n.selector.Active(), at)
+						e.StartedAtNs, highestVersion, n.selector.Active(), sentVersions)
 				}
 				if e.State == StateDraining {
-					withdrawn[e.Name] = max(withdrawn[e.Name], e.StartedAtNs)
+					drainedStarts[e.Name] = max(drainedStarts[e.Name], e.StartedAtNs)
 				}
 			}
 			if n.selector.Active() == SourceNone {
 				return
 			}
-			steady := maps.Clone(w.latest())
-			low := at[n.selector.Active()]
-			for _, v := range w.versions[low:] {
-				maps.DeleteFunc(steady, func(name string, e testEndpoint) bool {
+			alwaysUp := maps.Clone(history.latest())
+			activeVersion := sentVersions[n.selector.Active()]
+			for _, v := range history.versions[activeVersion:] {
+				maps.DeleteFunc(alwaysUp, func(name string, e testEndpoint) bool {
 					return v[name] != e || e.State != StateUp
 				})
 			}
-			for name := range steady {
+			for name := range alwaysUp {
 				if n.current[name].State != StateUp || n.current[name].Name == "" {
-					t.Fatalf("%s is up in all versions since %d, and is missing: source %v at %v, %v", name, low,
-						n.selector.Active(), at, n)
+					t.Fatalf("%s is up in all versions since %d, and is missing: source %v at %v, %v", name, activeVersion,
+						n.selector.Active(), sentVersions, n)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
-				w.change(t)
+				history.change(t)
 			case 2:
-				send(SourceRelays, rapid.IntRange(1, len(w.versions)-1).Draw(t, "relays at"))
+				send(SourceRelays, rapid.IntRange(1, len(history.versions)-1).Draw(t, "relays at"))
 			case 3:
 				if n.selector.WantsDiscovery(n.now) {
-					send(SourceDiscovery, rapid.IntRange(1, len(w.versions)-1).Draw(t, "discovery at"))
+					send(SourceDiscovery, rapid.IntRange(1, len(history.versions)-1).Draw(t, "discovery at"))
 				}
 			case 4:
 				n.advance(rapid.Int64Range(0, staleAfter+second).Draw(t, "pass"))
@@ -372,13 +372,13 @@
 			}
 		}
 		n.advance(staleAfter)
-		send(SourceDiscovery, len(w.versions)-1)
-		send(SourceRelays, len(w.versions)-1)
+		send(SourceDiscovery, len(history.versions)-1)
+		send(SourceRelays, len(history.versions)-1)
 		n.advance(OverlayNs)
-		send(SourceDiscovery, len(w.versions)-1)
-		send(SourceRelays, len(w.versions)-1)
-		if !maps.Equal(n.current, w.latest()) {
-			t.Fatalf("in the end %v, expected %v", n.current, w.latest())
+		send(SourceDiscovery, len(history.versions)-1)
+		send(SourceRelays, len(history.versions)-1)
+		if !maps.Equal(n.current, history.latest()) {
+			t.Fatalf("in the end %v, expected %v", n.current, history.latest())
 		}
 	})
 }
@@ -386,7 +386,7 @@
 func TestStringMethods(t *testing.T) {
 	for _, c := range []struct {
 		value    fmt.Stringer
-		expected string
+		want string
 	}{
 		{SourceNone, "nobody"},
 		{SourceRelays, "relays"},
@@ -397,8 +397,8 @@
 		{StateRemoved, "removed"},
 		{EndpointState(7), "EndpointState(7)"},
 	} {
-		if found := c.value.String(); found != c.expected {
-			t.Errorf("expected %q, found %q", c.expected, found)
+		if got := c.value.String(); got != c.want {
+			t.Errorf("expected %q, found %q", c.want, got)
 		}
 	}
 }
--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -59,11 +59,11 @@
 }
 
 // Decay leaves a part of the weight of what answers showed of the pods, and one of what they showed of the fleet.
-func (f *FleetEstimates) Decay(pods, fleet float64) {
+func (f *FleetEstimates) Decay(podFraction, fleetFraction float64) {
 	for _, pod := range f.Pods {
-		pod.Decay(pods)
+		pod.Decay(podFraction)
 	}
-	f.Fleet.Decay(fleet)
+	f.Fleet.Decay(fleetFraction)
 }
 
 // RestoreFrom takes the estimates of another instance. Pods that are not known here are left out.
--- a/internal/estimates/estimates_test.go
+++ b/internal/estimates/estimates_test.go
@@ -29,23 +29,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all Snapshot
-	if err := json.Unmarshal(text, &all); err != nil || !all.Valid(1) || all.Endpoints[7] != sampleSnapshot().Endpoints[7] ||
-		*all.Pods[1] != *sampleSnapshot().Pods[1] {
-		t.Errorf("%v, came back as %+v", err, all)
+	var decoded Snapshot
+	if err := json.Unmarshal(text, &decoded); err != nil || !decoded.Valid(1) || decoded.Endpoints[7] != sampleSnapshot().Endpoints[7] ||
+		*decoded.Pods[1] != *sampleSnapshot().Pods[1] {
+		t.Errorf("%v, came back as %+v", err, decoded)
 	}
-	for name, spoil := range map[string]func(*Snapshot){
-		"another count of classes":   func(a *Snapshot) { a.Classes = append(a.Classes, a.Classes[0]) },
-		"no zone delays":             func(a *Snapshot) { a.ZoneDelay = nil },
-		"a pod that is nothing":      func(a *Snapshot) { a.Pods[2] = nil },
-		"a load below 0":             func(a *Snapshot) { a.Endpoints[7] = Endpoint{EndpointEstimates{Load: -1}, 9} },
-		"a cost without bound":       func(a *Snapshot) { a.MeanWork = math.Inf(1) },
-		"a spread that is no number": func(a *Snapshot) { a.Classes[0].LatencySpread = math.NaN() },
-		"a zone delay below 0":       func(a *Snapshot) { a.ZoneDelay[0] = -1 },
-		"a fleet that is no number":  func(a *Snapshot) { a.Fleet.FirstSum = math.NaN() },
+	for name, corrupt := range map[string]func(*Snapshot){
+		"another count of classes":   func(s *Snapshot) { s.Classes = append(s.Classes, s.Classes[0]) },
+		"no zone delays":             func(s *Snapshot) { s.ZoneDelay = nil },
+		"a pod that is nothing":      func(s *Snapshot) { s.Pods[2] = nil },
+		"a load below 0":             func(s *Snapshot) { s.Endpoints[7] = Endpoint{EndpointEstimates{Load: -1}, 9} },
+		"a cost without bound":       func(s *Snapshot) { s.MeanWork = math.Inf(1) },
+		"a spread that is no number": func(s *Snapshot) { s.Classes[0].LatencySpread = math.NaN() },
+		"a zone delay below 0":       func(s *Snapshot) { s.ZoneDelay[0] = -1 },
+		"a fleet that is no number":  func(s *Snapshot) { s.Fleet.FirstSum = math.NaN() },
 	} {
-		a := sampleSnapshot()
-		if spoil(&a); a.Valid(1) {
+		s := sampleSnapshot()
+		if corrupt(&s); s.Valid(1) {
 			t.Errorf("%s is taken for valid", name)
 		}
 	}
--- a/internal/estimates/golden_test.go
+++ b/internal/estimates/golden_test.go
@@ -12,7 +12,7 @@
 // TestGoldenJSON holds what one process tells the next, and what a state directory keeps, to the names of earlier
 // builds.
 func TestGoldenJSON(t *testing.T) {
-	all := Snapshot{
+	snapshot := Snapshot{
 		FleetEstimates: FleetEstimates{
 			Pods:        map[int]*ewma.Pair{1: {FirstSum: 1, SecondSum: 2, Weight: 3}, 2: {FirstSum: 4}},
 			Fleet:       ewma.Pair{FirstSum: 5, SecondSum: 6, Weight: 7},
@@ -49,16 +49,16 @@
 			8: {StartedAt: 33},
 		},
 	}
-	text, err := json.Marshal(all)
+	text, err := json.Marshal(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "learned.json", text)
-	var read Snapshot
-	if err := json.Unmarshal(text, &read); err != nil || !read.Valid(2) {
-		t.Errorf("read as %+v, %v", read, err)
+	var decoded Snapshot
+	if err := json.Unmarshal(text, &decoded); err != nil || !decoded.Valid(2) {
+		t.Errorf("read as %+v, %v", decoded, err)
 	}
-	if again, err := json.Marshal(read); err != nil || !bytes.Equal(again, text) {
-		t.Errorf("read and written again it is %s, %v", again, err)
+	if reencoded, err := json.Marshal(decoded); err != nil || !bytes.Equal(reencoded, text) {
+		t.Errorf("read and written again it is %s, %v", reencoded, err)
 	}
 }
--- a/internal/estimates/snapshot.go
+++ b/internal/estimates/snapshot.go
@@ -20,16 +20,16 @@
 }
 
 // Decay leaves a part of the weight of all that was learned: old estimates say less.
-func (s *Snapshot) Decay(part float64) {
-	s.FleetEstimates.Decay(part, part)
+func (s *Snapshot) Decay(fraction float64) {
+	s.FleetEstimates.Decay(fraction, fraction)
 	for id, endpoint := range s.Endpoints {
-		endpoint.Latency.Decay(part)
+		endpoint.Latency.Decay(fraction)
 		s.Endpoints[id] = endpoint
 	}
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		class.RequestCount *= part
-		class.SuccessRate += (1 - class.SuccessRate) * (1 - part)
+		class.RequestCount *= fraction
+		class.SuccessRate += (1 - class.SuccessRate) * (1 - fraction)
 	}
 }
 
--- a/internal/ewma/ewma.go
+++ b/internal/ewma/ewma.go
@@ -19,10 +19,10 @@
 }
 
 // Decay multiplies the weight of all observations by a part from 0 to 1.
-func (p *Pair) Decay(part float64) {
-	p.FirstSum *= part
-	p.SecondSum *= part
-	p.Weight *= part
+func (p *Pair) Decay(fraction float64) {
+	p.FirstSum *= fraction
+	p.SecondSum *= fraction
+	p.Weight *= fraction
 }
 
 // Means returns the mean of each value; the priors count as one observation.
--- a/internal/ewma/ewma_test.go
+++ b/internal/ewma/ewma_test.go
@@ -7,12 +7,12 @@
 
 func TestPair(t *testing.T) {
 	var p Pair
-	if a, b := p.Means(3, 4); a != 3 || b != 4 || p.MeanRatio() != 1 {
-		t.Errorf("nothing seen: %v %v %v, want the prior", a, b, p.MeanRatio())
+	if first, second := p.Means(3, 4); first != 3 || second != 4 || p.MeanRatio() != 1 {
+		t.Errorf("nothing seen: %v %v %v, want the prior", first, second, p.MeanRatio())
 	}
 	p.Add(5, 0, 10)
-	if a, b := p.Means(1, 4); a != 3 || b != 2 || p.MeanRatio() != 3 {
-		t.Errorf("one sighting of 5 and 0: %v %v %v, want half way to the prior", a, b, p.MeanRatio())
+	if first, second := p.Means(1, 4); first != 3 || second != 2 || p.MeanRatio() != 3 {
+		t.Errorf("one sighting of 5 and 0: %v %v %v, want half way to the prior", first, second, p.MeanRatio())
 	}
 	for range 1000 {
 		p.Add(7, 1, 10)
--- a/internal/features/distribution.go
+++ b/internal/features/distribution.go
@@ -34,8 +34,8 @@
 func (d *Distribution) check(p *tomlfile.Problems) {
 	d.checkRelays(p)
 	d.checkScopes(p)
-	silence := parseDuration(p, "distribution.silence", d.RelayTimeout, durationRange{defaultRelayTimeout, minRelayTimeout, maxRelayTimeout})
-	d.RelayTimeoutNs = int64(silence)
+	relayTimeout := parseDuration(p, "distribution.silence", d.RelayTimeout, durationRange{defaultRelayTimeout, minRelayTimeout, maxRelayTimeout})
+	d.RelayTimeoutNs = int64(relayTimeout)
 }
 
 func (d *Distribution) checkRelays(p *tomlfile.Problems) {
--- a/internal/keyfreq/keyfreq.go
+++ b/internal/keyfreq/keyfreq.go
@@ -23,7 +23,7 @@
 
 // Observe counts a request for a key. It returns the key's hash, never 0, and at how many of so many endpoints it is at
 // home: as many as its part of the requests needs, since a popular key would overload a single one.
-func (c *Counter) Observe(key string, endpoints int) (hash uint64, homes int) {
+func (c *Counter) Observe(key string, endpoints int) (hash uint64, affinityCount int) {
 	if c.counts == nil {
 		c.counts = map[uint64]float64{}
 	}
--- a/internal/keyfreq/keyfreq_test.go
+++ b/internal/keyfreq/keyfreq_test.go
@@ -7,21 +7,21 @@
 
 func TestAffinityCountFollowsRequestFraction(t *testing.T) {
 	var counter Counter
-	homes := map[string]int{}
+	affinityCounts := map[string]int{}
 	for i := range 4000 {
 		key := fmt.Sprint("rare", i)
 		if i%2 == 0 {
 			key = "half"
 		}
-		_, homes[key] = counter.Observe(key, 100)
+		_, affinityCounts[key] = counter.Observe(key, 100)
 		if i%100 == 99 {
 			counter.Decay()
 		}
 	}
-	if n := homes["half"]; n < 70 || n > 80 {
+	if n := affinityCounts["half"]; n < 70 || n > 80 {
 		t.Errorf("half of all requests and 100 endpoints: at home at %d, expected three quarters", n)
 	}
-	if n := homes["rare3999"]; n != 1 {
+	if n := affinityCounts["rare3999"]; n != 1 {
 		t.Errorf("a key met once: at home at %d, expected one", n)
 	}
 	for range 100 {
@@ -35,8 +35,8 @@
 func TestKeyCountIsBounded(t *testing.T) {
 	var counter Counter
 	for i := range maxKeys + 10 {
-		if hash, homes := counter.Observe(fmt.Sprint(i), 10); hash == 0 || homes < 1 {
-			t.Fatalf("key %d: hash %d, %d homes", i, hash, homes)
+		if hash, affinityCount := counter.Observe(fmt.Sprint(i), 10); hash == 0 || affinityCount < 1 {
+			t.Fatalf("key %d: hash %d, %d homes", i, hash, affinityCount)
 		}
 	}
 	if len(counter.counts) > maxKeys {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -4,15 +4,15 @@
 
 func TestQuotaExceeded(t *testing.T) {
 	quotas := New([]float64{0.25, 0.75})
-	within := [2]int{}
+	withinQuota := [2]int{}
 	for i := range 4000 {
 		tenant := i % 2 // each asks for half
 		if !quotas.Exceeded(tenant, false) {
-			within[tenant]++
+			withinQuota[tenant]++
 		}
 	}
-	if within[0] < 990 || within[0] > 1010 || within[1] < 1990 {
-		t.Errorf("%v of 2,000 each within shares of a quarter and three quarters, want 1,000 and all", within)
+	if withinQuota[0] < 990 || withinQuota[0] > 1010 || withinQuota[1] < 1990 {
+		t.Errorf("%v of 2,000 each within shares of a quarter and three quarters, want 1,000 and all", withinQuota)
 	}
 	before := quotas.available[0]
 	for range 100 {
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -52,13 +52,13 @@
 			count++
 			found = append(found, item)
 		}
-		at := count - 1
-		for ; at > 0 && scores[at-1] < s; at-- {
-			scores[at] = scores[at-1]
-			found[first+at] = found[first+at-1]
+		pos := count - 1
+		for ; pos > 0 && scores[pos-1] < s; pos-- {
+			scores[pos] = scores[pos-1]
+			found[first+pos] = found[first+pos-1]
 		}
-		scores[at] = s
-		found[first+at] = item
+		scores[pos] = s
+		found[first+pos] = item
 	}
 	return found
 }
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -80,56 +80,56 @@
 
 func decode(byPath map[string]string) (Settings, error) {
 	v := &values{byPath: byPath}
-	var all Settings
-	all.readClasses(v)
-	all.readTenants(v)
-	readGoal(v, &all.Policy)
-	readNode(v, &all.Policy)
-	readEndpointList(v, &all.Policy)
-	readLoadReports(v, &all.Policy)
-	readPermissions(v, &all.Policy)
+	var s Settings
+	s.readClasses(v)
+	s.readTenants(v)
+	readGoal(v, &s.Policy)
+	readNode(v, &s.Policy)
+	readEndpointList(v, &s.Policy)
+	readLoadReports(v, &s.Policy)
+	readPermissions(v, &s.Policy)
 	if zones := byPath["zones"]; zones != "" {
-		all.Zones = strings.Split(zones, ",")
+		s.Zones = strings.Split(zones, ",")
 	}
 	// A simulator opens connections itself and may leave these out; a node checks that it has them.
-	all.ConnectTimeout = v.durationOrZero("limits.connect_timeout_us")
-	all.IdleTimeout = v.durationOrZero("limits.idle_close_us")
-	all.DrainGrace = v.durationOrZero("rules.stop_sending_within_us")
-	return all, v.err
+	s.ConnectTimeout = v.durationOrZero("limits.connect_timeout_us")
+	s.IdleTimeout = v.durationOrZero("limits.idle_close_us")
+	s.DrainGrace = v.durationOrZero("rules.stop_sending_within_us")
+	return s, v.err
 }
 
-func (all *Settings) readClasses(v *values) {
+func (s *Settings) readClasses(v *values) {
 	for i := range v.count("profiles.count", 1) {
-		at := fmt.Sprintf("profiles.%d.", i)
-		all.Policy.Classes = append(all.Policy.Classes, readClass(v, at))
-		all.Classes = append(all.Classes, v.byPath[at+"name"])
-		all.Deadlines = append(all.Deadlines, v.duration(at+"deadline_us", 1))
+		prefix := fmt.Sprintf("profiles.%d.", i)
+		s.Policy.Classes = append(s.Policy.Classes, readClass(v, prefix))
+		s.Classes = append(s.Classes, v.byPath[prefix+"name"])
+		s.Deadlines = append(s.Deadlines, v.duration(prefix+"deadline_us", 1))
 	}
 }
 
-func readClass(v *values, at string) policy.Class {
+func readClass(v *values, prefix string) policy.Class {
 	class := policy.Class{
-		LatencyObjective: v.duration(at+"objective_us", 1),
-		PriorityWeight:   v.numberOr(at+"worth", 1e-6, 1),
-		LateFraction:     v.numberOr(at+"late_worth", 0, 0),
-		Idempotency:      readOption(v, at+"repeat", idempotencyOptions),
+		LatencyObjective: v.duration(prefix+"objective_us", 1),
+		PriorityWeight:   v.numberOr(prefix+"worth", 1e-6, 1),
+		LateFraction:     v.numberOr(prefix+"late_worth", 0, 0),
+		Idempotency:      readOption(v, prefix+"repeat", idempotencyOptions),
 	}
 	if class.Idempotency == policy.IdempotentByKey {
-		class.DedupGroup = readOption(v, at+"group", dedupGroupOptions)
-		window := v.duration(at+"memory_span_us", 0)
+		class.DedupGroup = readOption(v, prefix+"group", dedupGroupOptions)
+		window := v.duration(prefix+"memory_span_us", 0)
 		class.DedupWindow = window - min(window/dedupMarginDivisor, maxDedupMargin)
 	}
 	return class
 }
 
-func (all *Settings) readTenants(v *values) {
+func (s *Settings) readTenants(v *values) {
 	if !v.has("parties.count") {
 		return
 	}
 	for i := range v.count("parties.count", 0) {
-		at := fmt.Sprintf("parties.%d.", i)
-		all.Policy.TenantShares = append(all.Policy.TenantShares, v.number(at+"portion", 0))
-		all.Tenants = append(all.Tenants, v.byPath[at+"name"])
+		prefix := fmt.Sprintf("parties.%d.", i)
+		s.Policy.TenantShares = append(s.Policy.TenantShares, v.number(prefix+"portion", 0))
+		s.Tenants = append(s.Tenants, v.byPath[prefix+"name"])
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -46,10 +46,10 @@
 
 // FromJSON decodes the nested form of the same settings. Its error names the first setting that is wrong.
 func FromJSON(text []byte) (Settings, error) {
-	in := json.NewDecoder(bytes.NewReader(text))
-	in.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
 	var tree map[string]any
-	if err := in.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		return Settings{}, fmt.Errorf("expected an object: %w", err)
 	}
 	values := map[string]string{}
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -41,25 +41,25 @@
 }
 
 // number reads a number that has to be there.
-func (v *values) number(path string, low float64) float64 {
+func (v *values) number(path string, minimum float64) float64 {
 	n, err := strconv.ParseFloat(v.byPath[path], 64)
-	if err != nil || !(n >= low) || n > maxNumber {
-		v.fail(path, fmt.Sprintf("a number of at least %g", low))
-		return low
+	if err != nil || !(n >= minimum) || n > maxNumber {
+		v.fail(path, fmt.Sprintf("a number of at least %g", minimum))
+		return minimum
 	}
 	return n
 }
 
-func (v *values) numberOr(path string, low, missing float64) float64 {
+func (v *values) numberOr(path string, minimum, fallback float64) float64 {
 	if !v.has(path) {
-		return missing
+		return fallback
 	}
-	return v.number(path, low)
+	return v.number(path, minimum)
 }
 
 // count reads the length of an array.
-func (v *values) count(path string, low float64) int {
-	n := v.number(path, low)
+func (v *values) count(path string, minimum float64) int {
+	n := v.number(path, minimum)
 	if n > maxCount {
 		v.fail(path, "a count of at most 10000")
 		return 0
@@ -68,8 +68,8 @@
 }
 
 // duration reads a time in microseconds.
-func (v *values) duration(path string, low float64) time.Duration {
-	n := v.number(path, low)
+func (v *values) duration(path string, minimum float64) time.Duration {
+	n := v.number(path, minimum)
 	if n > maxMicroseconds {
 		v.fail(path, "a time in microseconds")
 		return 0
@@ -102,7 +102,7 @@
 func readOption[T any](v *values, path string, options []option[T]) T {
 	want := "one of"
 	for _, o := range options {
-		if word, ok := v.byPath[path]; ok && word == o.name {
+		if name, ok := v.byPath[path]; ok && name == o.name {
 			return o.value
 		}
 		want += " " + o.name
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -135,27 +135,27 @@
 	if name := f.token(fieldMessage); string(name) != lineEndpoint {
 		return policy.EndpointInfo{}, fmt.Errorf("%s: expected %s, got %q", fieldMessage, lineEndpoint, name)
 	}
-	listed := policy.EndpointInfo{
+	endpoint := policy.EndpointInfo{
 		ID:   policy.EndpointID(f.unsigned(fieldEndpoint, 32)),
 		Zone: int(f.unsigned(fieldZone, 31)),
 	}
 	f.unsigned(fieldHostKind, 31) // nothing is decided on kinds of machines
-	listed.Pod = int(f.unsigned(fieldPod, 31))
+	endpoint.Pod = int(f.unsigned(fieldPod, 31))
 	state := f.token(fieldState)
 	var known bool
-	listed.State, known = endpointStates[string(state)]
-	listed.Weight = f.decimalOrZero(fieldWeight)
-	listed.StartedAt = policy.Time(f.timeOrZero(fieldStartedAt))
+	endpoint.State, known = endpointStates[string(state)]
+	endpoint.Weight = f.decimalOrZero(fieldWeight)
+	endpoint.StartedAt = policy.Time(f.timeOrZero(fieldStartedAt))
 	if !known {
 		f.fail("%s: expected active, leaving or left, got %q", fieldState, state)
 	}
-	return listed, f.err
+	return endpoint, f.err
 }
 
 // reportPanic, when deferred, reports a panic in the decisions as the simulator wants it.
 func (i *instance) reportPanic() {
-	if broken := recover(); broken != nil {
-		text := bytes.ReplaceAll(fmt.Append(nil, broken), []byte{'\n'}, []byte{' '})
+	if recovered := recover(); recovered != nil {
+		text := bytes.ReplaceAll(fmt.Append(nil, recovered), []byte{'\n'}, []byte{' '})
 		i.action(actionPanicked).text(string(text)).write()
 	}
 }
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -27,22 +27,22 @@
 
 // word takes the next value, which must not be empty.
 func (f *fields) token(field string) []byte {
-	word, rest, _ := bytes.Cut(f.rest, []byte{' '})
-	if len(word) == 0 {
+	token, rest, _ := bytes.Cut(f.rest, []byte{' '})
+	if len(token) == 0 {
 		f.fail("%s: expected a value, got none", field)
 	}
 	f.rest = rest
-	return word
+	return token
 }
 
 // optional takes the next value; "" if it is missing or "-".
 func (f *fields) optionalToken() string {
-	word, rest, _ := bytes.Cut(f.rest, []byte{' '})
+	token, rest, _ := bytes.Cut(f.rest, []byte{' '})
 	f.rest = rest
-	if string(word) == "-" {
+	if string(token) == "-" {
 		return ""
 	}
-	return string(word)
+	return string(token)
 }
 
 // skipAbsent reports whether the next value is missing or "-", and takes it then.
@@ -58,10 +58,10 @@
 }
 
 func (f *fields) unsigned(field string, bits int) uint64 {
-	word := f.token(field)
-	v, err := strconv.ParseUint(string(word), 10, bits)
+	token := f.token(field)
+	v, err := strconv.ParseUint(string(token), 10, bits)
 	if err != nil {
-		f.fail("%s: expected a whole number below 2^%d, got %q", field, bits, word)
+		f.fail("%s: expected a whole number below 2^%d, got %q", field, bits, token)
 	}
 	return v
 }
@@ -75,10 +75,10 @@
 
 // time takes a time in microseconds and returns it in nanoseconds.
 func (f *fields) time(field string) int64 {
-	word := f.token(field)
-	v, err := strconv.ParseInt(string(word), 10, 64)
+	token := f.token(field)
+	v, err := strconv.ParseInt(string(token), 10, 64)
 	if err != nil || v < math.MinInt64/nanosPerMicrosecond || v > math.MaxInt64/nanosPerMicrosecond {
-		f.fail("%s: expected a time in microseconds, got %q", field, word)
+		f.fail("%s: expected a time in microseconds, got %q", field, token)
 	}
 	return v * nanosPerMicrosecond
 }
@@ -94,20 +94,20 @@
 	if f.skipAbsent() {
 		return 0
 	}
-	word := f.token(field)
-	v, err := strconv.ParseFloat(string(word), 64)
+	token := f.token(field)
+	v, err := strconv.ParseFloat(string(token), 64)
 	if err != nil || !(v >= 0) || math.IsInf(v, 0) {
-		f.fail("%s: expected a number of at least 0, got %q", field, word)
+		f.fail("%s: expected a number of at least 0, got %q", field, token)
 	}
 	return v
 }
 
 func (f *fields) boolean(field string) bool {
-	word := f.token(field)
-	if len(word) != 1 || word[0] != '0' && word[0] != '1' {
-		f.fail("%s: expected 1 or 0, got %q", field, word)
+	token := f.token(field)
+	if len(token) != 1 || token[0] != '0' && token[0] != '1' {
+		f.fail("%s: expected 1 or 0, got %q", field, token)
 	}
-	return len(word) == 1 && word[0] == '1'
+	return len(token) == 1 && token[0] == '1'
 }
 
 func (f *fields) listNumber() uint64 {
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -25,7 +25,7 @@
 
 // conversation draws what a simulator would say to instances, whatever they answer.
 func simulatorInput(seed uint64) string {
-	draw := rand.New(rand.NewPCG(seed, 1))
+	random := rand.New(rand.NewPCG(seed, 1))
 	var b strings.Builder
 	clock := int64(1_000_000)
 	fmt.Fprintf(&b, "BEGIN_BATCH %d\n", clock)
@@ -43,48 +43,48 @@
 		"Ok", "Ok", "Ok", "Ok", "Failed", "QueueFull", "TimedOut", "ConnectError", "ResetByPeer", "Canceled", "Ignored",
 		"Other",
 	}
-	conditions := []string{"active", "leaving", "left"}
+	states := []string{"active", "leaving", "left"}
 	for n := range 600 {
-		clock += draw.Int64N(20_000)
+		clock += random.Int64N(20_000)
 		fmt.Fprintf(&b, "BEGIN_BATCH %d\n", clock)
-		who := n % 2
+		instanceIndex := n % 2
 		id := fmt.Sprint("t", n)
 		fmt.Fprintf(
-			&b, "REQ %d %s %d %d %d %d %d key%d\n", who, id, draw.IntN(3), draw.IntN(2), clock+4_000_000, draw.IntN(4),
-			1000+draw.IntN(20_000), draw.IntN(9),
+			&b, "REQ %d %s %d %d %d %d %d key%d\n", instanceIndex, id, random.IntN(3), random.IntN(2), clock+4_000_000, random.IntN(4),
+			1000+random.IntN(20_000), random.IntN(9),
 		)
-		for shot := range draw.IntN(3) {
-			fmt.Fprintf(&b, "RESOLVED %d t%d %d %d 0 %s %d latency_ms:%d,util:0.%d,queue:%d,new:1\n", who, max(0, n-2*draw.IntN(3)), 500+draw.IntN(40_000), 100+draw.IntN(6),
-				outcomes[draw.IntN(len(outcomes))], shot, 1+draw.IntN(30), draw.IntN(10), draw.IntN(4))
+		for attempt := range random.IntN(3) {
+			fmt.Fprintf(&b, "RESOLVED %d t%d %d %d 0 %s %d latency_ms:%d,util:0.%d,queue:%d,new:1\n", instanceIndex, max(0, n-2*random.IntN(3)), 500+random.IntN(40_000), 100+random.IntN(6),
+				outcomes[random.IntN(len(outcomes))], attempt, 1+random.IntN(30), random.IntN(10), random.IntN(4))
 		}
-		for shot := range 3 { // whatever is still out of an earlier one is ended
-			fmt.Fprintf(&b, "RESOLVED %d t%d 30000 %d 0 Ok %d -\n", who, max(0, n-8), 100+draw.IntN(6), shot)
+		for attempt := range 3 { // whatever is still out of an earlier one is ended
+			fmt.Fprintf(&b, "RESOLVED %d t%d 30000 %d 0 Ok %d -\n", instanceIndex, max(0, n-8), 100+random.IntN(6), attempt)
 		}
-		switch draw.IntN(12) {
+		switch random.IntN(12) {
 		case 0:
-			fmt.Fprintf(&b, "WITHDRAWN %d t%d\n", who, max(0, n-4))
+			fmt.Fprintf(&b, "WITHDRAWN %d t%d\n", instanceIndex, max(0, n-4))
 		case 1:
-			fmt.Fprintf(&b, "WAKEUP %d %d\n", who, draw.IntN(40))
+			fmt.Fprintf(&b, "WAKEUP %d %d\n", instanceIndex, random.IntN(40))
 		case 2:
-			fmt.Fprintf(&b, "HEALTH_RESULT %d %d Ok 700 util:0.4,latency_ms:9\n", who, 100+draw.IntN(6))
+			fmt.Fprintf(&b, "HEALTH_RESULT %d %d Ok 700 util:0.4,latency_ms:9\n", instanceIndex, 100+random.IntN(6))
 		case 3:
-			fmt.Fprintf(&b, "REGISTRY %d FAILED 41 -\n", who)
+			fmt.Fprintf(&b, "REGISTRY %d FAILED 41 -\n", instanceIndex)
 		case 4:
 			fmt.Fprintf(
-				&b, "CATALOG 5 1\nSERVER %d 1 0 2 %s 1 %d\nREGISTRY %d INCREMENTAL 42 5\n", 100+draw.IntN(6),
-				conditions[draw.IntN(3)], clock, who,
+				&b, "CATALOG 5 1\nSERVER %d 1 0 2 %s 1 %d\nREGISTRY %d INCREMENTAL 42 5\n", 100+random.IntN(6),
+				states[random.IntN(3)], clock, instanceIndex,
 			)
 		case 5:
 			message := gossip.Encode(
-				policy.GossipMessage{Endpoint: policy.EndpointID(100 + draw.IntN(6)), Class: draw.IntN(3)},
+				policy.GossipMessage{Endpoint: policy.EndpointID(100 + random.IntN(6)), Class: random.IntN(3)},
 				clock*nanosPerMicrosecond,
 			)
-			fmt.Fprintf(&b, "PEER %d %d %s\n", who, draw.IntN(5), base64.StdEncoding.EncodeToString(message))
+			fmt.Fprintf(&b, "PEER %d %d %s\n", instanceIndex, random.IntN(5), base64.StdEncoding.EncodeToString(message))
 		case 6:
-			fmt.Fprintf(&b, "OPENED %d t%d 0 100 50\n", who, n)
+			fmt.Fprintf(&b, "OPENED %d t%d 0 100 50\n", instanceIndex, n)
 		}
 		if n%40 == 39 {
-			fmt.Fprintf(&b, "WAKEUP 0 1\nWAKEUP 1 1\nREGISTRY %d FULL 43 3\n", who)
+			fmt.Fprintf(&b, "WAKEUP 0 1\nWAKEUP 1 1\nREGISTRY %d FULL 43 3\n", instanceIndex)
 		}
 		b.WriteString("EOB\n")
 	}
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -70,8 +70,8 @@
 	}
 }
 
-func printError(to io.Writer, format string, arguments ...any) {
-	fmt.Fprintf(to, "benchlink: "+format+"\n", arguments...) //nolint:errcheck // there is no other output for errors
+func printError(out io.Writer, format string, arguments ...any) {
+	fmt.Fprintf(out, "benchlink: "+format+"\n", arguments...) //nolint:errcheck // there is no other output for errors
 }
 
 // batch handles one batch of events; it returns io.EOF at the end of the input.
@@ -133,13 +133,13 @@
 
 // readLongLine reads the rest of a line that exceeds the input buffer; it returns bufio.ErrBufferFull for one that is
 // too long.
-func (s *session) readLongLine(begin []byte) ([]byte, error) {
-	s.longLine = append(s.longLine[:0], begin...)
+func (s *session) readLongLine(start []byte) ([]byte, error) {
+	s.longLine = append(s.longLine[:0], start...)
 	err := bufio.ErrBufferFull
 	for errors.Is(err, bufio.ErrBufferFull) && len(s.longLine) <= maxLineBytes {
-		var part []byte
-		part, err = s.in.ReadSlice('\n')
-		s.longLine = append(s.longLine, part...)
+		var chunk []byte
+		chunk, err = s.in.ReadSlice('\n')
+		s.longLine = append(s.longLine, chunk...)
 	}
 	if len(s.longLine) > maxLineBytes {
 		return nil, bufio.ErrBufferFull
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -29,42 +29,42 @@
 }
 
 func TestReplies(t *testing.T) {
-	const began = "AFTER 3 2000000 1\nOBSERVE 3 1\nDONE\n"
-	const task = "BEGIN_BATCH 1000000\nREQ 3 aa 0 0 9000000 2 - acct/k\nEOB\n"
-	hinted := strings.Replace(task, "aa 0 0 9000000 2 -", "aa 2 0 9000000 1 12000", 1)
+	const startReplies = "AFTER 3 2000000 1\nOBSERVE 3 1\nDONE\n"
+	const request = "BEGIN_BATCH 1000000\nREQ 3 aa 0 0 9000000 2 - acct/k\nEOB\n"
+	requestWithCostHint := strings.Replace(request, "aa 0 0 9000000 2 -", "aa 2 0 9000000 1 12000", 1)
 	for name, c := range map[string]struct{ in, out string }{
 		"empty batch": {"BEGIN_BATCH 8412250\nEOB\n", "DONE\n"},
-		"start":       {startBatch, began},
+		"start":       {startBatch, startReplies},
 		"killed and started again in one batch": {
 			startBatch + "BEGIN_BATCH 1500000\nSTOP 3\nCONFIGURE 3 43 " + settingsLine + "\nREGISTRY 3 SAVED 41 0\nEOB\n",
-			began + "AFTER 3 2500000 1\nOBSERVE 3 1\nDONE\n",
+			startReplies + "AFTER 3 2500000 1\nOBSERVE 3 1\nDONE\n",
 		},
 		"a request goes out and is answered": {
-			startBatch + task + "BEGIN_BATCH 1020000\nRESOLVED 3 aa 18500 51530247 1 Ok 0 latency_ms:14.5,util:0.6,new:1\nEOB\n",
-			began + "ISSUE 3 aa 51530247 1958750\nDONE\nDONE\n",
+			startBatch + request + "BEGIN_BATCH 1020000\nRESOLVED 3 aa 18500 51530247 1 Ok 0 latency_ms:14.5,util:0.6,new:1\nEOB\n",
+			startReplies + "ISSUE 3 aa 51530247 1958750\nDONE\nDONE\n",
 		},
 		"a rejection proves harmless after a full queue": {
-			startBatch + task + "BEGIN_BATCH 1020000\nRESOLVED 3 aa 500 51530247 0 QueueFull 0 -\nEOB\n",
-			began + "ISSUE 3 aa 51530247 1958750\nDONE\nBUSY 3 aa 500000\nDONE\n",
+			startBatch + request + "BEGIN_BATCH 1020000\nRESOLVED 3 aa 500 51530247 0 QueueFull 0 -\nEOB\n",
+			startReplies + "ISSUE 3 aa 51530247 1958750\nDONE\nBUSY 3 aa 500000\nDONE\n",
 		},
 		"an unknown outcome may have run": {
-			startBatch + hinted +
+			startBatch + requestWithCostHint +
 				"BEGIN_BATCH 1020000\nRESOLVED 3 aa 500 51530247 0 Melted 0 util:-1,latency_ms:NaN\nEOB\n",
-			began + "ISSUE 3 aa 51530247 1466562\nDONE\nFINISH_ERROR 3 aa\nDONE\n",
+			startReplies + "ISSUE 3 aa 51530247 1466562\nDONE\nFINISH_ERROR 3 aa\nDONE\n",
 		},
 		"a stream, a withdrawal and an answer began for a request no longer held": {
-			startBatch + hinted +
+			startBatch + requestWithCostHint +
 				"BEGIN_BATCH 1020000\nOPENED 3 aa 0 51530247 100\nWITHDRAWN 3 aa\nWITHDRAWN 3 aa\nOPENED 3 bb 0 1 1\nEOB\n",
-			began + "ISSUE 3 aa 51530247 1466562\nDONE\nRECALL 3 aa 0\nDONE\n",
+			startReplies + "ISSUE 3 aa 51530247 1466562\nDONE\nRECALL 3 aa 0\nDONE\n",
 		},
 		"a list number used again within a batch": {
 			startBatch + "BEGIN_BATCH 1000000\nCATALOG 0 1\nSERVER 51530247 0 0 0 left 1 -\nREGISTRY 3 INCREMENTAL 42 0\n" +
 				"CATALOG 0 1\nSERVER 7 0 0 0 active 1.5 -\nREGISTRY 3 INCREMENTAL 43 0\nREQ 3 aa 0 - 9000000 - - -\nEOB\n",
-			began + "ISSUE 3 aa 7 1958750\nDONE\n",
+			startReplies + "ISSUE 3 aa 7 1958750\nDONE\n",
 		},
 		"a failed list call, a timer and a health check": {
 			startBatch + "BEGIN_BATCH 1000000\nREGISTRY 3 FAILED 41 -\nWAKEUP 3 0\nHEALTH_RESULT 3 7 Ok 5 util:0.5\nEOB\n",
-			began + "AFTER 3 1156250 0\nOBSERVE 3 1\nDONE\n",
+			startReplies + "AFTER 3 1156250 0\nOBSERVE 3 1\nDONE\n",
 		},
 	} {
 		if out, errorText, code := serve(c.in); out != c.out || errorText != "" || code != 0 {
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -26,10 +26,10 @@
 }
 
 // Set adds a timer, which Due returns by its cookie.
-func (q *Queue) Add(at int64, cookie uint64) { heap.Push(&q.timers, timer{at, cookie}) }
+func (q *Queue) Add(at int64, id uint64) { heap.Push(&q.timers, timer{at, id}) }
 
 // Due removes the earliest timer if its time has come.
-func (q *Queue) PopDue(now int64) (cookie uint64, due bool) {
+func (q *Queue) PopDue(now int64) (id uint64, due bool) {
 	if len(q.timers) == 0 || q.timers[0].at > now {
 		return 0, false
 	}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -18,8 +18,8 @@
 }
 
 // Require adds a problem unless a condition holds.
-func (p *Problems) Require(holds bool, key, want string, found any) {
-	if !holds {
+func (p *Problems) Require(condition bool, key, want string, found any) {
+	if !condition {
 		p.problems = append(p.problems, fmt.Errorf("%s: %s: expected %s, found %v", p.path, key, want, found))
 	}
 }
