--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -37,12 +37,12 @@
 	done               sync.WaitGroup
 }
 
-func startIdleClients(t *testing.T, at string, clients int) *idleClients {
+func startIdleClients(t *testing.T, address string, count int) *idleClients {
 	c := &idleClients{stop: make(chan struct{})}
-	for range clients {
+	for range count {
 		c.done.Go(func() {
 			for {
-				held, err := net.Dial("tcp", at)
+				conn, err := net.Dial("tcp", address)
 				if err != nil {
 					select {
 					case <-c.stop:
@@ -52,9 +52,9 @@
 					}
 				}
 				c.open.Add(1)
-				go func() { <-c.stop; held.Close() }()
-				_, _ = held.Read(make([]byte, 1)) // until either side closes it
-				held.Close()
+				go func() { <-c.stop; conn.Close() }()
+				_, _ = conn.Read(make([]byte, 1)) // until either side closes it
+				conn.Close()
 				c.open.Add(-1)
 				select {
 				case <-c.stop:
@@ -80,7 +80,7 @@
 
 // startUpstream starts an upstream that answers after a time, and closes connections beyond a number without a
 // response.
-func startUpstream(t *testing.T, maxConns int64, after time.Duration) string {
+func startUpstream(t *testing.T, maxConns int64, delay time.Duration) string {
 	t.Helper()
 	var open atomic.Int64
 	return startTCPServer(t, func(c net.Conn) {
@@ -94,7 +94,7 @@
 			if err != nil {
 				return
 			}
-			time.Sleep(after)
+			time.Sleep(delay)
 			id := r.Header.Get("X-Txn")
 			if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id); err != nil {
 				return
@@ -103,19 +103,19 @@
 	})
 }
 
-func listEntries(health string, servers ...string) string {
-	var list []string
-	for i, s := range servers {
-		list = append(list, fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","class":"m","block":0,"health":%q,`+
-			`"share":1.0,"born_ms":0}`, i+1, s, health))
+func listEntries(health string, addresses ...string) string {
+	var entries []string
+	for i, address := range addresses {
+		entries = append(entries, fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","class":"m","block":0,"health":%q,`+
+			`"share":1.0,"born_ms":0}`, i+1, address, health))
 	}
-	return strings.Join(list, ",")
+	return strings.Join(entries, ",")
 }
 
 // openDescriptors is how many descriptors a process has open now.
 func openDescriptors(pid int) int {
-	list, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	return len(list)
+	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	return len(entries)
 }
 
 // limitedNode is the process of one node, with no more descriptors than its configuration says.
@@ -126,27 +126,27 @@
 }
 
 // startLimitedNode starts a node's process; door is the listening socket for clients that it inherits, or nil.
-func startLimitedNode(t *testing.T, sockets int, mode, listen, discovery, dir string, door *os.File, servers []string,
-	more ...string,
+func startLimitedNode(t *testing.T, descriptorLimit int, discoveryMode, listen, discovery, tempDir string, listenerFile *os.File, upstreams []string,
+	extraArgs ...string,
 ) *limitedNode {
 	t.Helper()
 	c := &limitedNode{adminAddress: freeAddress(t), logPath: filepath.Join(t.TempDir(), "log")}
 	text := strings.NewReplacer(`"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"`,
 		fmt.Sprintf(`"listen":%q,"discovery":%q`, listen, discovery),
-		`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets),
-		`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode),
+		`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptorLimit),
+		`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, discoveryMode),
 		`"ask_within_us":10000000`, `"ask_within_us":1000000`,
 		`"connect_timeout_us":75000`, `"connect_timeout_us":5000000`,
 		`300000`, `20000000`, `100000`, `20000000`).Replace(config) // nothing here is about time
 	from, to := strings.Index(text, `"known"`), strings.Index(text, `"settings"`)
 	text = text[:from] + fmt.Sprintf(`"known":{"seq":1,"whole":true,"hosts":[%s]},`,
-		listEntries("up", servers...)) + text[to:]
-	node := nodeCommand(t, text, append([]string{"serve"}, more...)...)
-	limit := fmt.Sprintf(`ulimit -n %d; exec "$@"`, sockets)
+		listEntries("up", upstreams...)) + text[to:]
+	node := nodeCommand(t, text, append([]string{"serve"}, extraArgs...)...)
+	limit := fmt.Sprintf(`ulimit -n %d; exec "$@"`, descriptorLimit)
 	c.Cmd = exec.Command("/bin/sh", append([]string{"-c", limit, "sh"}, node.Args...)...)
-	c.Env = append(node.Env, "TMPDIR="+dir, "NODE_CONSOLE="+c.adminAddress)
-	if door != nil {
-		c.Env, c.ExtraFiles = append(c.Env, "NODE_INHERITED_FD=3"), []*os.File{door}
+	c.Env = append(node.Env, "TMPDIR="+tempDir, "NODE_CONSOLE="+c.adminAddress)
+	if listenerFile != nil {
+		c.Env, c.ExtraFiles = append(c.Env, "NODE_INHERITED_FD=3"), []*os.File{listenerFile}
 	}
 	log, err := os.Create(c.logPath)
 	if err != nil {
@@ -162,40 +162,40 @@
 }
 
 // stopAndCheckLog stops a process and checks by its log that it was never short of a descriptor.
-func (c *limitedNode) stopAndCheckLog(t *testing.T) {
+func (n *limitedNode) stopAndCheckLog(t *testing.T) {
 	t.Helper()
-	sendSignal(t, c.Cmd, syscall.SIGTERM)
-	if err := c.Wait(); err != nil {
+	sendSignal(t, n.Cmd, syscall.SIGTERM)
+	if err := n.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	said, err := os.ReadFile(c.logPath)
+	logText, err := os.ReadFile(n.logPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	short, first := 0, ""
-	for line := range strings.Lines(string(said)) {
+	failures, first := 0, ""
+	for line := range strings.Lines(string(logText)) {
 		if strings.Contains(line, "too many open files") {
-			if short++; short == 1 {
+			if failures++; failures == 1 {
 				first = line
 			}
 		}
 	}
-	if short > 0 {
-		t.Errorf("short of a descriptor %d times, first: %s", short, first)
+	if failures > 0 {
+		t.Errorf("short of a descriptor %d times, first: %s", failures, first)
 	}
-	if !strings.Contains(string(said), `"attempts not sent":0,`) {
-		t.Errorf("attempts found no descriptor: %s", said[strings.LastIndex(string(said), `"attempts sent"`):])
+	if !strings.Contains(string(logText), `"attempts not sent":0,`) {
+		t.Errorf("attempts found no descriptor: %s", logText[strings.LastIndex(string(logText), `"attempts sent"`):])
 	}
 }
 
 // concurrently makes a number of requests at once and reports those that were not answered 200.
-func checkConcurrentRequests(t *testing.T, many int, ask func(i int) (what string, status int)) {
+func checkConcurrentRequests(t *testing.T, count int, send func(i int) (name string, status int)) {
 	t.Helper()
 	var done sync.WaitGroup
-	for i := range many {
+	for i := range count {
 		done.Go(func() {
-			if what, status := ask(i); status != 200 {
-				t.Errorf("%s among idle clients: %d", what, status)
+			if name, status := send(i); status != 200 {
+				t.Errorf("%s among idle clients: %d", name, status)
 			}
 		})
 	}
@@ -203,8 +203,8 @@
 }
 
 // sendViewRequest makes one request on a connection of its own.
-func sendViewRequest(at, id string) (string, int) {
-	return "a request", requestStatus(at, "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
+func sendViewRequest(address, id string) (string, int) {
+	return "a request", requestStatus(address, "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
 }
 
 var adminCalls = []string{
@@ -218,11 +218,11 @@
 // for each attempt and for admin calls: while the discovery service is down, when it is back, and afterwards.
 func TestDescriptorsSufficeAmongIdleClients(t *testing.T) {
 	for _, c := range []struct {
-		sockets, requests, calls int // the last two at once
-		mode                     string
-		state                    bool
-		most                     int64 // connections that each server takes
-		after                    time.Duration
+		descriptorLimit, requests, adminCalls int // the last two at once
+		discoveryMode                     string
+		keepState                    bool
+		maxConns                     int64 // connections that each server takes
+		delay                    time.Duration
 	}{
 		{32, 2, 2, "ask", false, 64, 0},
 		{64, 8, 4, "ask", true, 64, 0},
@@ -231,46 +231,46 @@
 		{256, 90, 4, "push", true, 64, 200 * time.Millisecond},
 		{1024, 16, 4, "ask", true, 64, 0},
 	} {
-		t.Run(fmt.Sprintf("%d, %s, servers of %d", c.sockets, c.mode, c.most), func(t *testing.T) {
-			var servers []string
+		t.Run(fmt.Sprintf("%d, %s, servers of %d", c.descriptorLimit, c.discoveryMode, c.maxConns), func(t *testing.T) {
+			var upstreams []string
 			for range 30 {
-				servers = append(servers, startUpstream(t, c.most, c.after))
+				upstreams = append(upstreams, startUpstream(t, c.maxConns, c.delay))
 			}
 			listen, discovery := freeAddress(t), freeAddress(t)
-			var more []string
-			if c.state {
-				more = []string{"--state", filepath.Join(t.TempDir(), "state")}
+			var extraArgs []string
+			if c.keepState {
+				extraArgs = []string{"--state", filepath.Join(t.TempDir(), "state")}
 			}
-			node := startLimitedNode(t, c.sockets, c.mode, listen, discovery, t.TempDir(), nil, servers, more...)
-			clients := startIdleClients(t, listen, 2*c.sockets)
+			node := startLimitedNode(t, c.descriptorLimit, c.discoveryMode, listen, discovery, t.TempDir(), nil, upstreams, extraArgs...)
+			clients := startIdleClients(t, listen, 2*c.descriptorLimit)
 			eventually(t, "the node closes idle clients", func() bool {
-				return clients.closedByNode.Load() > int64(c.sockets)
+				return clients.closedByNode.Load() > int64(c.descriptorLimit)
 			})
-			rounds := func(name string) {
+			runRounds := func(name string) {
 				for k := range 5 {
 					checkConcurrentRequests(t, c.requests, func(i int) (string, int) {
 						return sendViewRequest(listen, fmt.Sprintf("%s-%d-%d", name, k, i))
 					})
-					checkConcurrentRequests(t, c.calls, func(i int) (string, int) {
+					checkConcurrentRequests(t, c.adminCalls, func(i int) (string, int) {
 						return adminCalls[i], requestStatus(node.adminAddress, adminCalls[i])
 					})
 				}
 			}
-			rounds("down")
-			back, err := net.Listen("tcp", discovery)
+			runRounds("down")
+			discoveryListener, err := net.Listen("tcp", discovery)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer back.Close()
+			defer discoveryListener.Close()
 			var watches atomic.Int64
-			serveHTTP(back, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				writef(w, `{"seq":2,"whole":true,"hosts":[%s]}`+"\n", listEntries("up", servers...))
+			serveHTTP(discoveryListener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				writef(w, `{"seq":2,"whole":true,"hosts":[%s]}`+"\n", listEntries("up", upstreams...))
 				w.(http.Flusher).Flush()
 				watches.Add(1)
 				<-r.Context().Done()
 			}))
 			eventually(t, "a call for the list", func() bool { return watches.Load() > 0 })
-			rounds("back")
+			runRounds("back")
 			if status := requestStatus(node.adminAddress, "PUT /drain"); status != 200 {
 				t.Errorf("a drain among idle clients: %d", status)
 			}
@@ -285,41 +285,41 @@
 
 // Two processes of a node, at an upgrade among idle clients, hold no more descriptors together than the node may have.
 func TestUpgradeSharesDescriptorLimit(t *testing.T) {
-	for _, sockets := range []int{64, 256} {
-		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
-			var servers []string
+	for _, descriptorLimit := range []int{64, 256} {
+		t.Run(fmt.Sprint(descriptorLimit), func(t *testing.T) {
+			var upstreams []string
 			for range 4 {
-				servers = append(servers, startUpstream(t, 64, 0))
+				upstreams = append(upstreams, startUpstream(t, 64, 0))
 			}
-			door, held := inheritedListener(t)
-			dir, listen := t.TempDir(), door.Addr().String()
-			old := startLimitedNode(t, sockets, "ask", listen, "127.0.0.1:1", dir, held, servers)
-			clients := startIdleClients(t, listen, 2*sockets)
+			listener, listenerFile := inheritedListener(t)
+			dir, listen := t.TempDir(), listener.Addr().String()
+			oldNode := startLimitedNode(t, descriptorLimit, "ask", listen, "127.0.0.1:1", dir, listenerFile, upstreams)
+			clients := startIdleClients(t, listen, 2*descriptorLimit)
 			eventually(t, "the node closes idle clients", func() bool {
-				return clients.closedByNode.Load() > int64(sockets)
+				return clients.closedByNode.Load() > int64(descriptorLimit)
 			})
 			checkConcurrentRequests(t, 4, func(i int) (string, int) { return sendViewRequest(listen, fmt.Sprint("old", i)) })
-			fresh := startLimitedNode(t, sockets, "ask", listen, "127.0.0.1:1", dir, held, servers)
-			most := 0
+			newNode := startLimitedNode(t, descriptorLimit, "ask", listen, "127.0.0.1:1", dir, listenerFile, upstreams)
+			maxDescriptors := 0
 			for k := range 10 {
 				checkConcurrentRequests(t, 4, func(i int) (string, int) {
 					return sendViewRequest(listen, fmt.Sprintf("both-%d-%d", k, i))
 				})
-				for _, one := range []*limitedNode{old, fresh} {
-					if status := requestStatus(one.adminAddress, "GET /ready"); status != 200 {
+				for _, node := range []*limitedNode{oldNode, newNode} {
+					if status := requestStatus(node.adminAddress, "GET /ready"); status != 200 {
 						t.Errorf("readiness among idle clients: %d", status)
 					}
 				}
-				most = max(most, openDescriptors(old.Process.Pid)+openDescriptors(fresh.Process.Pid))
+				maxDescriptors = max(maxDescriptors, openDescriptors(oldNode.Process.Pid)+openDescriptors(newNode.Process.Pid))
 			}
-			t.Logf("%d descriptors together, of %d", most, sockets)
-			if most > sockets {
-				t.Errorf("%d descriptors together, of %d", most, sockets)
+			t.Logf("%d descriptors together, of %d", maxDescriptors, descriptorLimit)
+			if maxDescriptors > descriptorLimit {
+				t.Errorf("%d descriptors together, of %d", maxDescriptors, descriptorLimit)
 			}
-			old.stopAndCheckLog(t)
+			oldNode.stopAndCheckLog(t)
 			checkConcurrentRequests(t, 4, func(i int) (string, int) { return sendViewRequest(listen, fmt.Sprint("fresh", i)) })
 			clients.disconnect()
-			fresh.stopAndCheckLog(t)
+			newNode.stopAndCheckLog(t)
 		})
 	}
 }
--- a/cmd/fawnglade/fleet.go
+++ b/cmd/fawnglade/fleet.go
@@ -123,23 +123,23 @@
 }
 
 // formatView is a view as a summary and a table of the members.
-func formatView(v *members.View) []byte {
+func formatView(view *members.View) []byte {
 	var b bytes.Buffer // writes to it can't fail
-	f := &v.Summary
-	fmt.Fprintf(&b, "%s, incarnation %d, %d rounds, strain %d\n", v.Name, v.Incarnation, v.Rounds, v.HealthScore)
-	if f.Known {
+	summary := &view.Summary
+	fmt.Fprintf(&b, "%s, incarnation %d, %d rounds, strain %d\n", view.Name, view.Incarnation, view.Rounds, view.HealthScore)
+	if summary.Known {
 		fmt.Fprintf(&b, "%d of %d nodes up, %d doubted, %d silent, %d left, %d never seen; "+
 			"%.0f%% of the last probes answered, %s ago\n",
-			f.Alive, f.Nodes, f.Suspect, f.Dead, f.Left, f.Unknown, 100*f.ProbeSuccess, formatAge(f.AgeNs))
+			summary.Alive, summary.Nodes, summary.Suspect, summary.Dead, summary.Left, summary.Unknown, 100*summary.ProbeSuccess, formatAge(summary.AgeNs))
 	} else {
-		fmt.Fprintf(&b, "how many of %d nodes there are is unknown: %s\n", f.Nodes, f.Reason)
+		fmt.Fprintf(&b, "how many of %d nodes there are is unknown: %s\n", summary.Nodes, summary.Reason)
 	}
 	var rows bytes.Buffer
 	fmt.Fprintln(&rows, "NODE\tSTATE\tFOR\tHEARD\tSTARTED\tINCARNATION\tREMARK")
-	for i := range v.Members {
-		m := &v.Members[i]
-		fmt.Fprintf(&rows, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.State, formatAge(m.StateAgeNs), formatAge(m.LastHeardNs),
-			formatStart(m), m.Incarnation, memberRemark(v, m))
+	for i := range view.Members {
+		member := &view.Members[i]
+		fmt.Fprintf(&rows, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", member.Name, member.State, formatAge(member.StateAgeNs), formatAge(member.LastHeardNs),
+			formatStart(member), member.Incarnation, memberRemark(view, member))
 	}
 	table := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	_, _ = table.Write(rows.Bytes())
@@ -148,23 +148,23 @@
 }
 
 // formatStart is when a member started; empty if that is unknown.
-func formatStart(m *members.Member) string {
-	if m.StartMs == 0 {
+func formatStart(member *members.Member) string {
+	if member.StartMs == 0 {
 		return ""
 	}
-	return time.UnixMilli(int64(m.StartMs)).UTC().Format(time.DateTime)
+	return time.UnixMilli(int64(member.StartMs)).UTC().Format(time.DateTime)
 }
 
 // remark is what is unusual about a member.
-func memberRemark(v *members.View, m *members.Member) string {
+func memberRemark(view *members.View, member *members.Member) string {
 	switch {
-	case m.Name == v.Name && v.NameConflict:
+	case member.Name == view.Name && view.NameConflict:
 		return "another process has this name"
-	case m.Name == v.Name:
+	case member.Name == view.Name:
 		return "itself"
-	case m.NameConflict:
+	case member.NameConflict:
 		return "messages from another life or process of this name"
-	case m.OwnViewOnly:
+	case member.OwnViewOnly:
 		return "by this node's sight alone"
 	}
 	return ""
--- a/cmd/fawnglade/helper_test.go
+++ b/cmd/fawnglade/helper_test.go
@@ -15,7 +15,7 @@
 )
 
 // writeText writes to a peer that may have gone; what it answers shows that.
-func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+func writeText(peer io.Writer, text string) { _, _ = io.WriteString(peer, text) }
 
 // writef is writeText with a format.
 func writef(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
@@ -49,14 +49,14 @@
 }
 
 // requestStatus makes one request of an admin API or a node and returns the status; 0 is no response.
-func requestStatus(console, text string) int {
-	c, err := net.Dial("tcp", console)
+func requestStatus(address, requestHead string) int {
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return 0
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	writef(c, "%s HTTP/1.1\r\nHost: c\r\n\r\n", text)
+	writef(c, "%s HTTP/1.1\r\nHost: c\r\n\r\n", requestHead)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0
@@ -65,11 +65,11 @@
 }
 
 // eventually waits until a condition holds, for up to 10 s.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never happened: %s", what)
+			t.Fatalf("never happened: %s", condition)
 		}
 	}
 }
@@ -77,17 +77,17 @@
 // inheritedListener is the listening socket for clients as the platform opens it, and the file that a process inherits.
 func inheritedListener(t *testing.T) (net.Listener, *os.File) {
 	t.Helper()
-	door, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { door.Close() })
-	held, err := door.(*net.TCPListener).File()
+	t.Cleanup(func() { listener.Close() })
+	listenerFile, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { held.Close() })
-	return door, held
+	t.Cleanup(func() { listenerFile.Close() })
+	return listener, listenerFile
 }
 
 // startTCPServer serves each connection to a new address until the test ends, and returns the address.
--- a/cmd/fawnglade/main_test.go
+++ b/cmd/fawnglade/main_test.go
@@ -51,14 +51,14 @@
 		t.Fatal(err)
 	}
 	defer killProcess(c)
-	next := map[string]syscall.Signal{`"serving"`: syscall.SIGUSR1, `"counters asked for"`: syscall.SIGTERM}
-	var all strings.Builder
+	signalAfter := map[string]syscall.Signal{`"serving"`: syscall.SIGUSR1, `"counters asked for"`: syscall.SIGTERM}
+	var logText strings.Builder
 	for lines := bufio.NewScanner(log); lines.Scan(); {
-		all.WriteString(lines.Text() + "\n")
-		for message, signal := range next {
+		logText.WriteString(lines.Text() + "\n")
+		for message, signal := range signalAfter {
 			if strings.Contains(lines.Text(), message) {
 				sendSignal(t, c, signal)
-				delete(next, message)
+				delete(signalAfter, message)
 			}
 		}
 	}
@@ -66,8 +66,8 @@
 		t.Errorf("ended with %v", err)
 	}
 	for _, want := range []string{`"counters asked for"`, `"counters at exit"`, `"list entries skipped":1`} {
-		if !strings.Contains(all.String(), want) {
-			t.Errorf("no %s in the log:\n%s", want, all.String())
+		if !strings.Contains(logText.String(), want) {
+			t.Errorf("no %s in the log:\n%s", want, logText.String())
 		}
 	}
 }
@@ -137,11 +137,11 @@
 	if out := run(1, "check", dir); !strings.Contains(out, "is damaged at byte") {
 		t.Errorf("a damaged store: %q", out)
 	}
-	to := filepath.Join(t.TempDir(), "mended")
-	if out := run(0, "repair", dir, "--to", to); !strings.Contains(out, "5 batches copied") {
+	repairedDir := filepath.Join(t.TempDir(), "mended")
+	if out := run(0, "repair", dir, "--to", repairedDir); !strings.Contains(out, "5 batches copied") {
 		t.Errorf("repaired: %q", out)
 	}
-	if out := run(0, "check", to); !strings.Contains(out, "whole, 5 keys") {
+	if out := run(0, "check", repairedDir); !strings.Contains(out, "whole, 5 keys") {
 		t.Errorf("mended: %q", out)
 	}
 }
--- a/cmd/fawnglade/migrate_test.go
+++ b/cmd/fawnglade/migrate_test.go
@@ -23,15 +23,15 @@
 "weights":"live","zone":0,"zones":["a"]}}`
 
 // run plays a command line and returns what it printed.
-func runMigrate(arguments ...string) (out, complaints string, err error) {
+func runMigrate(arguments ...string) (out, errorOutput string, err error) {
 	root := &cobra.Command{Use: "fawnglade", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(migrateCommand())
-	var o, e strings.Builder
-	root.SetOut(&o)
-	root.SetErr(&e)
+	var stdout, stderr strings.Builder
+	root.SetOut(&stdout)
+	root.SetErr(&stderr)
 	root.SetArgs(append([]string{"migrate"}, arguments...))
 	err = root.Execute()
-	return o.String(), e.String(), err
+	return stdout.String(), stderr.String(), err
 }
 
 func writeOldConfig(t *testing.T, text string) string {
@@ -43,57 +43,57 @@
 }
 
 func TestMigrateWritesValidConfiguration(t *testing.T) {
-	from := writeOldConfig(t, oldConfig)
-	to := filepath.Join(filepath.Dir(from), "new.json")
-	all := filepath.Join(filepath.Dir(from), "all")
-	if err := os.WriteFile(all, []byte("127.0.0.1:9001\n127.0.0.1:9002\n"), 0o600); err != nil {
+	oldPath := writeOldConfig(t, oldConfig)
+	newPath := filepath.Join(filepath.Dir(oldPath), "new.json")
+	peersPath := filepath.Join(filepath.Dir(oldPath), "all")
+	if err := os.WriteFile(peersPath, []byte("127.0.0.1:9001\n127.0.0.1:9002\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	arguments := []string{
-		"--config", from, "--out", to, "--nodes", "400", "--position", "7", "--news", "127.0.0.1:9001",
-		"--peers", all, "--peer", "127.0.0.1:9003", "--reports", "on_probe", "--copies=false",
+		"--config", oldPath, "--out", newPath, "--nodes", "400", "--position", "7", "--news", "127.0.0.1:9001",
+		"--peers", peersPath, "--peer", "127.0.0.1:9003", "--reports", "on_probe", "--copies=false",
 	}
-	dry, left, err := runMigrate(append(arguments, "--dry-run")...)
+	dryRunOutput, dropped, err := runMigrate(append(arguments, "--dry-run")...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := os.Stat(to); err == nil {
+	if _, err := os.Stat(newPath); err == nil {
 		t.Fatal("a dry run wrote the file")
 	}
 	for _, want := range []string{
 		"goal.tail", "goal.borne_misses", "profiles.0.aim_stretch",
 		"settings.weights", "news:", "report.fields: inflight",
 	} {
-		if !strings.Contains(left, want) {
-			t.Errorf("%s is not told as not carried over in\n%s", want, left)
+		if !strings.Contains(dropped, want) {
+			t.Errorf("%s is not told as not carried over in\n%s", want, dropped)
 		}
 	}
-	if strings.Contains(left, "streaming") {
+	if strings.Contains(dropped, "streaming") {
 		t.Error("a category that does not stream lost nothing")
 	}
 	if _, _, err := runMigrate(arguments...); err != nil {
 		t.Fatal(err)
 	}
-	text, _ := os.ReadFile(to)
-	if string(text) != dry {
+	text, _ := os.ReadFile(newPath)
+	if string(text) != dryRunOutput {
 		t.Error("the dry run printed something else than was written")
 	}
-	c, err := node.ReadConfig(to)
+	c, err := node.ReadConfig(newPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Gossip.Listen != "127.0.0.1:9001" || len(c.Gossip.Peers) != 3 || !strings.Contains(dry, `"group_size": 400`) ||
-		!strings.Contains(dry, `"multiplex": 100`) || !strings.Contains(dry, "12345678901234567890") ||
-		!strings.Contains(dry, `"may_duplicate": false`) {
+	if c.Gossip.Listen != "127.0.0.1:9001" || len(c.Gossip.Peers) != 3 || !strings.Contains(dryRunOutput, `"group_size": 400`) ||
+		!strings.Contains(dryRunOutput, `"multiplex": 100`) || !strings.Contains(dryRunOutput, "12345678901234567890") ||
+		!strings.Contains(dryRunOutput, `"may_duplicate": false`) {
 		t.Errorf("written:\n%s", text)
 	}
 	if _, _, err := runMigrate(arguments...); err == nil {
 		t.Error("it wrote over a file")
 	}
-	if again, _ := os.ReadFile(to); string(again) != string(text) {
+	if afterSecondRun, _ := os.ReadFile(newPath); string(afterSecondRun) != string(text) {
 		t.Error("the file that was there has changed")
 	}
-	if same, _ := os.ReadFile(from); string(same) != oldConfig {
+	if oldText, _ := os.ReadFile(oldPath); string(oldText) != oldConfig {
 		t.Error("the old file has changed")
 	}
 }
@@ -101,7 +101,7 @@
 func TestMigrateErrorsNameFileAndKey(t *testing.T) {
 	for want, c := range map[string]struct {
 		text  string
-		extra []string
+		extraArgs []string
 	}{
 		"settings: limits.try_limit: expected": {
 			strings.Replace(oldConfig, `"try_limit":3`, `"try_limit":"x"`, 1), nil,
@@ -119,15 +119,15 @@
 		"report.how: expected one of":              {oldConfig, []string{"--reports", "sometimes"}},
 		"settings: report.how: expected one of in": {oldConfig, []string{"--reports", ""}},
 	} {
-		from := writeOldConfig(t, c.text)
-		to := filepath.Join(filepath.Dir(from), "new.json")
-		arguments := []string{"--config", from, "--out", to, "--nodes", "400", "--news", "127.0.0.1:9001"}
-		_, _, err := runMigrate(append(arguments, c.extra...)...)
+		oldPath := writeOldConfig(t, c.text)
+		newPath := filepath.Join(filepath.Dir(oldPath), "new.json")
+		arguments := []string{"--config", oldPath, "--out", newPath, "--nodes", "400", "--news", "127.0.0.1:9001"}
+		_, _, err := runMigrate(append(arguments, c.extraArgs...)...)
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "old.json") {
-			t.Errorf("%v: got %v, want %q and the file's name in it", c.extra, err, want)
+			t.Errorf("%v: got %v, want %q and the file's name in it", c.extraArgs, err, want)
 		}
-		if _, err := os.Stat(to); err == nil {
-			t.Errorf("%v: something was written", c.extra)
+		if _, err := os.Stat(newPath); err == nil {
+			t.Errorf("%v: something was written", c.extraArgs)
 		}
 	}
 	if _, _, err := runMigrate("--config", writeOldConfig(t, oldConfig), "--nodes", "3"); err == nil {
--- a/cmd/fawnglade/pause_test.go
+++ b/cmd/fawnglade/pause_test.go
@@ -18,8 +18,8 @@
 // A process that is stopped while its clients leave, with their requests not yet read, behind others, or in flight at
 // an upstream that has failed meanwhile, begins no attempt for them when it is continued.
 func TestNoAttemptsForClientsThatLeftWhileStopped(t *testing.T) {
-	fail := make(chan struct{})
-	var begun, continued atomic.Int64
+	failUpstreams := make(chan struct{})
+	var attempts, continuedAt atomic.Int64
 	serve := func(c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
@@ -31,19 +31,19 @@
 				writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
-			if begun.Add(1) > 6 {
-				t.Logf("%q %v, %v after it was continued", id, r.URL, time.Since(time.Unix(0, continued.Load())))
+			if attempts.Add(1) > 6 {
+				t.Logf("%q %v, %v after it was continued", id, r.URL, time.Since(time.Unix(0, continuedAt.Load())))
 			}
-			<-fail
+			<-failUpstreams
 			writeText(c, "HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n")
 		}
 	}
-	var servers []string
+	var upstreams []string
 	for range 20 { // so that most have failed no request
-		servers = append(servers, startTCPServer(t, serve))
+		upstreams = append(upstreams, startTCPServer(t, serve))
 	}
 	listen := freeAddress(t)
-	node := startLimitedNode(t, 1024, "ask", listen, "127.0.0.1:1", t.TempDir(), nil, servers)
+	node := startLimitedNode(t, 1024, "ask", listen, "127.0.0.1:1", t.TempDir(), nil, upstreams)
 	request := func(id string) string { return "GET /view HTTP/1.1\r\nHost: h\r\nX-Txn: " + id + "\r\n\r\n" }
 	connect := func(text string) net.Conn {
 		c, err := net.Dial("tcp", listen)
@@ -54,7 +54,7 @@
 		writeText(c, text)
 		return c
 	}
-	leave := func(i int, c net.Conn) {
+	disconnect := func(i int, c net.Conn) {
 		switch i % 3 {
 		case 0:
 			c.Close()
@@ -69,25 +69,25 @@
 	for i := range 6 {
 		clients = append(clients, connect(request(fmt.Sprint("out", i)))) // in flight at an upstream
 	}
-	eventually(t, "all in flight", func() bool { return begun.Load() == 6 })
+	eventually(t, "all in flight", func() bool { return attempts.Load() == 6 })
 	sendSignal(t, node.Cmd, syscall.SIGSTOP)
 	eventually(t, "the process to stop", func() bool { return isStopped(node.Process.Pid) })
-	close(fail)
-	var many strings.Builder
+	close(failUpstreams)
+	var pipelined strings.Builder
 	for i := range 40 {
-		many.WriteString(request(fmt.Sprint("many", i)))
+		pipelined.WriteString(request(fmt.Sprint("many", i)))
 	}
 	for i := range 6 {
 		clients = append(clients, connect(request(fmt.Sprint("door", i))),
-			connect(strings.ReplaceAll(many.String(), "many", fmt.Sprint("many", i, "-"))))
+			connect(strings.ReplaceAll(pipelined.String(), "many", fmt.Sprint("many", i, "-"))))
 	}
 	time.Sleep(100 * time.Millisecond) // the failures are at the node before the ends are
 	for i, c := range clients {
-		leave(i/2, c)
+		disconnect(i/2, c)
 	}
 	eventually(t, "all ends to reach the node", func() bool { return establishedConns(t, listen) == 0 })
 	time.Sleep(150 * time.Millisecond)
-	continued.Store(time.Now().UnixNano())
+	continuedAt.Store(time.Now().UnixNano())
 	sendSignal(t, node.Cmd, syscall.SIGCONT)
 	eventually(t, "an answer for a client that came last", func() bool {
 		_, status := sendViewRequest(listen, fmt.Sprint("last", time.Now().UnixNano()))
@@ -97,16 +97,16 @@
 	if err := node.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if begun.Load() != 6 {
-		t.Errorf("%d attempts began, want the 6 from before the stop", begun.Load())
+	if attempts.Load() != 6 {
+		t.Errorf("%d attempts began, want the 6 from before the stop", attempts.Load())
 	}
 }
 
 // isStopped reports whether all threads of a process are stopped.
 func isStopped(pid int) bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
-	for _, one := range threads {
-		text, _ := os.ReadFile(one)
+	for _, thread := range threads {
+		text, _ := os.ReadFile(thread)
 		if _, state, _ := strings.Cut(string(text), ") "); !strings.HasPrefix(state, "T") {
 			return false
 		}
@@ -115,12 +115,12 @@
 }
 
 // establishedConns is how many connections to an address neither side has ended, as far as the kernel knows.
-func establishedConns(t *testing.T, at string) (n int) {
+func establishedConns(t *testing.T, address string) (n int) {
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		t.Fatal(err)
 	}
-	port := netip.MustParseAddrPort(at).Port()
+	port := netip.MustParseAddrPort(address).Port()
 	for line := range strings.Lines(string(text)) {
 		const established = "01"
 		f := strings.Fields(line)
--- a/cmd/fawnglade/relay_test.go
+++ b/cmd/fawnglade/relay_test.go
@@ -20,7 +20,7 @@
 )
 
 // startRelayProcess starts a process and tells where it serves.
-func startRelayProcess(t *testing.T, text string) (c *exec.Cmd, at string, log func() string) {
+func startRelayProcess(t *testing.T, text string) (c *exec.Cmd, address string, log func() string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "relay.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -36,28 +36,28 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { killProcess(c) })
-	serving, all, over := make(chan string, 1), &strings.Builder{}, make(chan struct{})
+	serving, logText, logDone := make(chan string, 1), &strings.Builder{}, make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(logDone)
 		for in := bufio.NewScanner(out); in.Scan(); {
 			var line struct{ Msg, Listen string }
 			if err := json.Unmarshal(in.Bytes(), &line); err == nil && line.Msg == "serving" {
 				serving <- line.Listen
 			}
-			all.WriteString(in.Text() + "\n")
+			logText.WriteString(in.Text() + "\n")
 		}
 	}()
 	select {
-	case at = <-serving:
+	case address = <-serving:
 	case <-time.After(10 * time.Second):
 		t.Fatal("does not serve")
 	}
-	return c, at, func() string { <-over; return all.String() }
+	return c, address, func() string { <-logDone; return logText.String() }
 }
 
 func TestRelayProcessesFailOver(t *testing.T) {
 	dir := t.TempDir()
-	record := func(n int) {
+	writeRecord := func(n int) {
 		text := fmt.Sprintf(`{"scope":"all/tenants","key":"tenant/a","body":%d}`, n)
 		if err := os.WriteFile(filepath.Join(dir, "new"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -66,52 +66,52 @@
 			t.Fatal(err)
 		}
 	}
-	record(1)
-	origin, at, originLog := startRelayProcess(t, fmt.Sprintf("name = \"o\"\nrole = \"origin\"\nlisten = \"127.0.0.1:0\"\n[origin]\nconfiguration = %q\nevery = \"50ms\"\nstate = %q\n", dir, filepath.Join(t.TempDir(), "epoch")))
+	writeRecord(1)
+	origin, originAddress, originLog := startRelayProcess(t, fmt.Sprintf("name = \"o\"\nrole = \"origin\"\nlisten = \"127.0.0.1:0\"\n[origin]\nconfiguration = %q\nevery = \"50ms\"\nstate = %q\n", dir, filepath.Join(t.TempDir(), "epoch")))
 	relayText := "name = %q\nrole = \"relay\"\nlisten = \"127.0.0.1:0\"\nupstream = [%q]\n"
-	one, first, _ := startRelayProcess(t, fmt.Sprintf(relayText, "one", at))
-	two, second, twoLog := startRelayProcess(t, fmt.Sprintf(relayText, "two", at))
+	relayOne, addressOne, _ := startRelayProcess(t, fmt.Sprintf(relayText, "one", originAddress))
+	relayTwo, addressTwo, relayTwoLog := startRelayProcess(t, fmt.Sprintf(relayText, "two", originAddress))
 
-	core, err := distribution.NewSubscriber(relay.Selectors([]string{"all/tenants"}), distribution.Limits{})
+	subscriber, err := distribution.NewSubscriber(relay.Selectors([]string{"all/tenants"}), distribution.Limits{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := relay.NewSubscriberSink(core, []string{"all/tenants"}, nil, zap.NewNop())
-	client := relay.NewClient(relay.ClientConfig{Name: "n", Upstreams: []string{first, second}}, f, zap.NewNop())
+	sink := relay.NewSubscriberSink(subscriber, []string{"all/tenants"}, nil, zap.NewNop())
+	client := relay.NewClient(relay.ClientConfig{Name: "n", Upstreams: []string{addressOne, addressTwo}}, sink, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go client.Run(ctx)
-	told := func(n int, within time.Duration) {
+	expectRecord := func(n int, timeout time.Duration) {
 		t.Helper()
-		began := time.Now()
-		for found := ""; found != fmt.Sprint(n); time.Sleep(5 * time.Millisecond) {
-			if time.Since(began) > within {
-				t.Fatalf("%q after %v, expected %d", found, within, n)
+		startedAt := time.Now()
+		for got := ""; got != fmt.Sprint(n); time.Sleep(5 * time.Millisecond) {
+			if time.Since(startedAt) > timeout {
+				t.Fatalf("%q after %v, expected %d", got, timeout, n)
 			}
-			f.Inspect(func(s *distribution.Subscriber) { s.Each(func(r distribution.Record) { found = string(r.Body) }) })
+			sink.Inspect(func(s *distribution.Subscriber) { s.Each(func(r distribution.Record) { got = string(r.Body) }) })
 		}
 	}
-	told(1, 10*time.Second)
-	if err := one.Process.Signal(syscall.SIGSTOP); err != nil {
+	expectRecord(1, 10*time.Second)
+	if err := relayOne.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	record(2)
-	told(2, 6*time.Second)
-	killAndWait(one) // stopped: nothing else ends it
-	sendSignal(t, two, syscall.SIGUSR1)
-	record(3)
-	told(3, 6*time.Second)
-	for _, c := range []*exec.Cmd{two, origin} {
+	writeRecord(2)
+	expectRecord(2, 6*time.Second)
+	killAndWait(relayOne) // stopped: nothing else ends it
+	sendSignal(t, relayTwo, syscall.SIGUSR1)
+	writeRecord(3)
+	expectRecord(3, 6*time.Second)
+	for _, c := range []*exec.Cmd{relayTwo, origin} {
 		if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for what, log := range map[string]string{"two": twoLog(), "origin": originLog()} {
-		if !strings.Contains(log, "counters at exit") || what == "two" && !strings.Contains(log, "counters asked for") {
-			t.Errorf("%s: no counters in %s", what, log)
+	for name, log := range map[string]string{"two": relayTwoLog(), "origin": originLog()} {
+		if !strings.Contains(log, "counters at exit") || name == "two" && !strings.Contains(log, "counters asked for") {
+			t.Errorf("%s: no counters in %s", name, log)
 		}
 	}
-	for _, c := range []*exec.Cmd{two, origin} {
+	for _, c := range []*exec.Cmd{relayTwo, origin} {
 		if err := c.Wait(); err != nil {
 			t.Errorf("ended with %v", err)
 		}
--- a/cmd/fawnglade/signals_test.go
+++ b/cmd/fawnglade/signals_test.go
@@ -24,32 +24,32 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			door, held := inheritedListener(t)
+			listener, listenerFile := inheritedListener(t)
 			dir, err := os.MkdirTemp("", "")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer func() { _ = os.RemoveAll(dir) }()
 			h := fnv.New64a()
-			writeText(h, "n0\n"+door.Addr().String())
-			before, err := net.Listen("unix", filepath.Join(dir, fmt.Sprintf("fawnglade-%016x.sock", h.Sum64())))
+			writeText(h, "n0\n"+listener.Addr().String())
+			oldProcess, err := net.Listen("unix", filepath.Join(dir, fmt.Sprintf("fawnglade-%016x.sock", h.Sum64())))
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer before.Close()
-			listen := fmt.Sprintf(`"listen":%q`, door.Addr())
+			defer oldProcess.Close()
+			listen := fmt.Sprintf(`"listen":%q`, listener.Addr())
 			c := nodeCommand(t, strings.Replace(config, `"listen":"127.0.0.1:0"`, listen, 1), "serve")
 			c.Env = append(c.Env, "TMPDIR="+dir, "NODE_INHERITED_FD=3")
-			c.ExtraFiles = []*os.File{held}
+			c.ExtraFiles = []*os.File{listenerFile}
 			if err := c.Start(); err != nil {
 				t.Fatal(err)
 			}
 			defer killProcess(c)
-			start, err := before.Accept()
+			handoverConn, err := oldProcess.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			client, err := net.Dial("tcp", door.Addr().String())
+			client, err := net.Dial("tcp", listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -59,7 +59,7 @@
 			for _, s := range signals {
 				sendSignal(t, c, s)
 			}
-			start.Close()
+			handoverConn.Close()
 			r, err := http.ReadResponse(bufio.NewReader(client), nil)
 			if err != nil || r.StatusCode != http.StatusServiceUnavailable { // its one server is not there
 				t.Errorf("the request was answered %v, %v", r, err)
--- a/cmd/fawnglade/upgrade_test.go
+++ b/cmd/fawnglade/upgrade_test.go
@@ -18,38 +18,38 @@
 
 // Three processes of one node in a row, under load, on a socket that outlives them: no request is lost.
 func TestUpgradeUnderLoadLosesNoRequest(t *testing.T) {
-	server, err := net.Listen("tcp", "127.0.0.1:0")
+	upstream, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer server.Close()
-	serveHTTP(server, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	defer upstream.Close()
+	serveHTTP(upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(3 * time.Millisecond)
 		writeText(w, r.Header.Get("X-Txn"))
 	}))
-	door, held := inheritedListener(t)
+	listener, listenerFile := inheritedListener(t)
 	dir := t.TempDir()
-	text := strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, door.Addr()),
-		`"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, server.Addr())).Replace(config)
+	text := strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, listener.Addr()),
+		`"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, upstream.Addr())).Replace(config)
 	start := func(want int) (*exec.Cmd, string) {
-		free, err := net.Listen("tcp", "127.0.0.1:0")
+		adminListener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		console := free.Addr().String()
-		free.Close()
+		adminAddress := adminListener.Addr().String()
+		adminListener.Close()
 		c := nodeCommand(t, text, "serve")
-		c.Env = append(c.Env, "TMPDIR="+dir, "NODE_CONSOLE="+console, "NODE_INHERITED_FD=3")
-		c.ExtraFiles = []*os.File{held}
+		c.Env = append(c.Env, "TMPDIR="+dir, "NODE_CONSOLE="+adminAddress, "NODE_INHERITED_FD=3")
+		c.ExtraFiles = []*os.File{listenerFile}
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { killProcess(c) })
-		eventually(t, "ready", func() bool { return requestStatus(console, "GET /ready") == want })
-		return c, console
+		eventually(t, "ready", func() bool { return requestStatus(adminAddress, "GET /ready") == want })
+		return c, adminAddress
 	}
-	old, console := start(200)
-	if status := requestStatus(console, "PUT /servers/disable?target=s-9"); status != 404 {
+	oldProcess, adminAddress := start(200)
+	if status := requestStatus(adminAddress, "PUT /servers/disable?target=s-9"); status != 404 {
 		t.Errorf("a server never listed was taken out: %d", status)
 	}
 	var done sync.WaitGroup
@@ -62,7 +62,7 @@
 			var in *bufio.Reader
 			for k := 0; !stop.Load(); k++ {
 				if c == nil {
-					if c, err = net.Dial("tcp", door.Addr().String()); err != nil {
+					if c, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 						lost.Add(1)
 						return
 					}
@@ -90,12 +90,12 @@
 	}
 	for range 2 {
 		time.Sleep(200 * time.Millisecond)
-		fresh, at := start(200)
-		sendSignal(t, old, syscall.SIGTERM)
-		if err := old.Wait(); err != nil {
+		newProcess, newAddress := start(200)
+		sendSignal(t, oldProcess, syscall.SIGTERM)
+		if err := oldProcess.Wait(); err != nil {
 			t.Errorf("the old process ended with %v", err)
 		}
-		old, console = fresh, at
+		oldProcess, adminAddress = newProcess, newAddress
 	}
 	time.Sleep(200 * time.Millisecond)
 	stop.Store(true)
@@ -103,26 +103,26 @@
 	if lost.Load() > 0 || requests.Load() < 100 {
 		t.Errorf("%d of %d requests were lost", lost.Load(), requests.Load())
 	}
-	if requestStatus(console, "PUT /servers/disable?target=s-1") != 200 {
+	if requestStatus(adminAddress, "PUT /servers/disable?target=s-1") != 200 {
 		t.Error("the third process does not know the server")
 	}
 	// An upgrade while the one server is out and the node is drained: the fourth process knows both, and ends both.
-	requestStatus(console, "PUT /drain")
-	_, at := start(503)
-	sendSignal(t, old, syscall.SIGTERM)
-	if err := old.Wait(); err != nil {
+	requestStatus(adminAddress, "PUT /drain")
+	_, newAddress := start(503)
+	sendSignal(t, oldProcess, syscall.SIGTERM)
+	if err := oldProcess.Wait(); err != nil {
 		t.Errorf("the third process ended with %v", err)
 	}
 	request := func(id string) int {
-		return requestStatus(door.Addr().String(), "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
+		return requestStatus(listener.Addr().String(), "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
 	}
 	if status := request("out"); status != 503 {
 		t.Errorf("with its server out a request got %d", status)
 	}
-	if requestStatus(at, "PUT /undrain") != 200 || requestStatus(at, "GET /ready") != 200 {
+	if requestStatus(newAddress, "PUT /undrain") != 200 || requestStatus(newAddress, "GET /ready") != 200 {
 		t.Error("not ready after the end of a drain that another process began")
 	}
-	if requestStatus(at, "PUT /servers/enable?target=s-1") != 200 {
+	if requestStatus(newAddress, "PUT /servers/enable?target=s-1") != 200 {
 		t.Error("not put back")
 	}
 	eventually(t, "the server put back is in use", func() bool {
@@ -154,30 +154,30 @@
 	defer killProcess(c)
 	eventually(t, "ready", func() bool { return requestStatus(addresses[1], "GET /ready") == 200 })
 	for i := range 1200 {
-		held, err := net.Dial("tcp", addresses[i%6/5]) // a thousand clients, two hundred callers, then the others
+		conn, err := net.Dial("tcp", addresses[i%6/5]) // a thousand clients, two hundred callers, then the others
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer held.Close()
+		defer conn.Close()
 		if i%2 == 0 {
-			writeText(held, "PUT /drain HT")
+			writeText(conn, "PUT /drain HT")
 		}
 	}
 	for i := range 2000 {
 		if i%2 == 0 {
-			held, err := net.Dial("tcp", addresses[1])
+			conn, err := net.Dial("tcp", addresses[1])
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer held.Close()
+			defer conn.Close()
 		}
 		if i%200 == 0 {
-			for _, one := range []string{
+			for _, call := range []string{
 				"PUT /servers/disable?target=s-1", "PUT /servers/enable?target=s-1",
 				"GET /ready",
 			} {
-				if status := requestStatus(addresses[1], one); status != 200 {
-					t.Errorf("%s among idle clients, after %d callers: %d", one, i/2, status)
+				if status := requestStatus(addresses[1], call); status != 200 {
+					t.Errorf("%s among idle clients, after %d callers: %d", call, i/2, status)
 				}
 			}
 		}
