--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -219,10 +219,10 @@
 func TestDescriptorsSufficeAmongIdleClients(t *testing.T) {
 	for _, c := range []struct {
 		descriptorLimit, requests, adminCalls int // the last two at once
-		discoveryMode                     string
-		keepState                    bool
-		maxConns                     int64 // connections that each server takes
-		delay                    time.Duration
+		discoveryMode                         string
+		keepState                             bool
+		maxConns                              int64 // connections that each server takes
+		delay                                 time.Duration
 	}{
 		{32, 2, 2, "ask", false, 64, 0},
 		{64, 8, 4, "ask", true, 64, 0},
--- a/cmd/fawnglade/migrate_test.go
+++ b/cmd/fawnglade/migrate_test.go
@@ -100,7 +100,7 @@
 
 func TestMigrateErrorsNameFileAndKey(t *testing.T) {
 	for want, c := range map[string]struct {
-		text  string
+		text      string
 		extraArgs []string
 	}{
 		"settings: limits.try_limit: expected": {
--- a/internal/classdelay/classdelay.go
+++ b/internal/classdelay/classdelay.go
@@ -1,19 +1,19 @@
-// Package classdelay measures by how much longer than others the requests of one class, or of one tenant, wait wherever
-// they are sent, for example for a dependency of their own. Times are in nanoseconds; moments are of the caller's
-// clock.
+// Package classdelay estimates the delay that all requests of one class, or of one tenant, have at every endpoint beyond
+// that of the other classes or tenants, for example because a dependency that only they use is slow. Durations are in
+// nanoseconds; points in time are nanoseconds of the caller's clock.
 package classdelay
 
 import "math"
 
 const (
-	// samplesKept is how many answers of a group count: all have to be late for a delay to be seen, since a single late
-	// answer may be its endpoint's.
+	// samplesKept is the number of recent responses that are compared. All of them must be late before a delay is
+	// reported, since a single late response may be due to its endpoint.
 	samplesKept = 3
-	// freshWindowNanos is for how long the last answers of a group are compared with those of others.
+	// freshWindowNanos is the time after its last response during which a group is compared with others.
 	freshWindowNanos = int64(4e9)
-	// minDelayFraction is the part of the shortest latency objective up to which a delay is ignored.
+	// minDelayFraction is the fraction of the shortest latency objective up to which a delay is ignored.
 	minDelayFraction = 0.25
-	// latencyWindow is the number of answers over which a group's unloaded latency is averaged.
+	// latencyWindow is the number of responses over which a group's unloaded latency is averaged.
 	latencyWindow = 8
 )
 
@@ -24,28 +24,29 @@
 	numberOfKinds
 )
 
-// answer is how late one attempt was; sentAt identifies the attempt.
+// latenessSample is the lateness of one attempt; sentAt identifies the attempt.
 type latenessSample struct {
 	sentAt   int64
-	lateness float64 // infinite while it is overdue
+	lateness float64 // nanoseconds beyond the unloaded latency; infinite while the attempt is overdue
 }
 
-// group is the requests of one class or of one tenant.
+// group holds the state for the requests of one class or of one tenant.
 type group struct {
 	samples         [samplesKept]latenessSample
-	nextSample      int     // of answers, to be replaced
-	minLateness     float64 // the least of answers: it rises once all are late, and falls with one in time
-	unloadedLatency float64 // exponentially weighted average of the latency with nothing else at the endpoint
+	nextSample      int     // index in samples of the one to replace next
+	minLateness     float64 // minimum of samples: rises only once all are late, falls with one that is on time
+	unloadedLatency float64 // exponentially weighted average of the latency at an otherwise idle endpoint
 
 	lastSampleAt       int64
-	givenUpSinceSample int // requests given up since
+	givenUpSinceSample int // requests given up since lastSampleAt
 
 	inFlight       int
-	idleChangedAt  int64 // when inFlight became or ceased to be 0
-	lastTrialNanos int64 // for how long something was in flight before idleChangedAt
+	idleChangedAt  int64 // when inFlight last changed to or from 0
+	lastTrialNanos int64 // how long inFlight was above 0 before it last returned to 0
 }
 
-// add takes in an attempt, or the late answer of one that was taken in as overdue.
+// addSample records the lateness of an attempt. The response to an attempt that was recorded as overdue replaces that
+// sample.
 func (g *group) addSample(now, sentAt int64, lateness float64) {
 	index := g.nextSample
 	for i := range g.samples {
@@ -65,9 +66,9 @@
 	}
 }
 
-// isComparable reports whether other groups are compared with a group now: it had an answer lately, or its requests are
-// given up. Guards against a group that is in time but not admitted dropping out, so that only late ones are left to
-// compare with.
+// isComparable reports whether other groups are compared with this one: it had a response within freshWindowNanos, or
+// its requests are given up. The second condition keeps a group that is on time but not admitted in the comparison;
+// otherwise only late groups would be left to compare with.
 func (g *group) isComparable(now int64) bool {
 	return now-g.lastSampleAt < freshWindowNanos || g.givenUpSinceSample >= samplesKept
 }
@@ -78,7 +79,7 @@
 	minDelay float64
 }
 
-// New returns a tracker that has seen no answer.
+// New returns a tracker without samples for the given numbers of classes and tenants.
 func New(classes, tenants int) *Tracker {
 	return &Tracker{
 		groups: [numberOfKinds][]group{
@@ -89,18 +90,19 @@
 	}
 }
 
-// AddObjective takes in the latency objective of a class.
+// AddObjective adds the latency objective of a class. Delays that are short compared with the shortest objective are
+// ignored.
 func (t *Tracker) AddObjective(objective int64) {
 	t.minDelay = min(t.minDelay, minDelayFraction*float64(objective))
 }
 
-// RequestGroups is the two groups that a request belongs to.
+// RequestGroups holds the two groups that a request belongs to: its class and its tenant.
 type RequestGroups struct {
 	tracker *Tracker
 	groups  [numberOfKinds]*group
 }
 
-// Of returns the groups of a request; tenants beyond the known ones share the last group.
+// GroupsOf returns the groups of a request. Tenants beyond the number given to New share the last group.
 func (t *Tracker) GroupsOf(class, tenant int) RequestGroups {
 	tenants := t.groups[byTenant]
 	return RequestGroups{t, [numberOfKinds]*group{
@@ -109,8 +111,9 @@
 	}}
 }
 
-// delays returns by how much each group is later than the group of its kind that is the least late, whose lateness is
-// first scaled up to as much work: under overload heavy requests are later than light ones.
+// delays returns, for the class and the tenant, how much later the group is than the least late group of its kind. The
+// lateness of the other group is first scaled up by the ratio of the unloaded latencies, since under overload heavy
+// requests are later than light ones.
 func (c RequestGroups) delays(now int64) (delays [numberOfKinds]float64) {
 	for kind, own := range c.groups {
 		best := own.minLateness
@@ -128,16 +131,16 @@
 	return delays
 }
 
-// Delay returns by how much the request is later than others anywhere; infinite while nothing but overdue attempts is
-// known.
+// Delay returns how much later the request is expected to be than others at any endpoint. It is infinite while all
+// samples of a group are overdue attempts.
 func (c RequestGroups) Delay(now int64) float64 {
 	delays := c.delays(now)
 	return delays[byClass] + delays[byTenant]
 }
 
-// AllowsTrial reports whether a request may be sent to test whether the delay of its groups is over: nothing of them is in
-// flight, nor has been for more than timeFraction of the time. So of all nodes no more than that part tests at once,
-// however long a test takes.
+// AllowsTrial reports whether a request may be sent as a trial of whether the delay of its groups is over: none of their
+// attempts is in flight, and the previous trial took at most trialTimeFraction of the time since it began. This limits
+// the fraction of nodes that run a trial at the same time, however long a trial takes.
 func (c RequestGroups) AllowsTrial(now int64, trialTimeFraction float64) bool {
 	for kind, delay := range c.delays(now) {
 		own := c.groups[kind]
@@ -152,7 +155,7 @@
 	return true
 }
 
-// AddInFlight counts an attempt that is sent, by 1, or one that ends, by -1.
+// AddInFlight adds delta to the attempts in flight: 1 when an attempt is sent, -1 when it ends.
 func (c RequestGroups) AddInFlight(now int64, delta int) {
 	for _, own := range c.groups {
 		own.inFlight += delta
@@ -166,15 +169,15 @@
 	}
 }
 
-// CountGivenUp counts a request that was given up.
+// CountGivenUp records that a request was given up.
 func (c RequestGroups) CountGivenUp() {
 	for _, own := range c.groups {
 		own.givenUpSinceSample++
 	}
 }
 
-// Observe takes in the latency of an attempt, infinite while it is overdue, and what it is with nothing else at the
-// endpoint. What one group is known to wait for does not count against the other.
+// Observe records the latency of an attempt, infinite while it is overdue, and its expected latency at an otherwise idle
+// endpoint (unloaded). A delay that is already attributed to one of the two groups is not counted against the other.
 func (c RequestGroups) Observe(now, sentAt int64, latency, unloaded float64) {
 	delays, lateness := c.delays(now), latency-unloaded
 	for kind, own := range c.groups {
--- a/internal/classdelay/classdelay_test.go
+++ b/internal/classdelay/classdelay_test.go
@@ -14,7 +14,8 @@
 	return tracker
 }
 
-// observeEveryGroup lets every class and tenant have an answer each tenth of a second for so long, late by what late says.
+// observeEveryGroup records a response of every class and tenant each tenth of a second between two times, with the
+// lateness that the callback returns.
 func observeEveryGroup(tracker *Tracker, from, to int64, lateness func(class, tenant int) float64) {
 	for now := from; now < to; now += second / 10 {
 		for class := range tracker.groups[0] {
@@ -28,7 +29,7 @@
 func TestDelayAttributedToClassOrTenant(t *testing.T) {
 	for name, c := range map[string]struct {
 		lateness func(class, tenant int) float64
-		want func(class, tenant int) float64
+		want     func(class, tenant int) float64
 	}{
 		"all": {func(int, int) float64 { return 1e9 }, func(int, int) float64 { return 0 }},
 		"class": {
@@ -45,7 +46,7 @@
 			for tenant := range 3 {
 				if got, want := tracker.GroupsOf(class, tenant).Delay(4*second), c.want(class, tenant); math.Abs(got-want) > 1e7 {
 					t.Errorf(
-						"%s: class %d of tenant %d waits %.0f ms, expected %.0f", name, class, tenant, got/1e6,
+						"%s: class %d of tenant %d: got a delay of %.0f ms, want %.0f", name, class, tenant, got/1e6,
 						want/1e6,
 					)
 				}
@@ -61,7 +62,7 @@
 		tracker.GroupsOf(1, 0).Observe(now, now, 8e8, 8e7)
 	}
 	if delay := tracker.GroupsOf(1, 0).Delay(4 * second); delay > 0 {
-		t.Errorf("all take ten times their work, and the heavy wait %.0f ms", delay/1e6)
+		t.Errorf("all classes take ten times their unloaded latency: got a delay of %.0f ms for the heavy class, want 0", delay/1e6)
 	}
 }
 
@@ -69,25 +70,25 @@
 	tracker := newTracker(1)
 	observeEveryGroup(tracker, second, 4*second, func(c, _ int) float64 { return 2e9 * float64(c) })
 	slow, quick := tracker.GroupsOf(1, 0), tracker.GroupsOf(0, 0)
-	now := 20 * second // nobody was answered for long
+	now := 20 * second // sixteen seconds after the last response
 	if slow.Delay(now) > 0 {
-		t.Error("set against answers of sixteen seconds ago")
+		t.Error("got a delay relative to responses of sixteen seconds ago, want none")
 	}
 	for range samplesKept {
 		quick.CountGivenUp()
 	}
 	if slow.Delay(now) == 0 {
-		t.Error("others are given up, and their last answers do not count")
+		t.Error("got no delay while requests of the other class are given up, want their last samples to stay in the comparison")
 	}
 	if slow.AddInFlight(now, 1); slow.AllowsTrial(now, 1) || !quick.AllowsTrial(now, 1) {
-		t.Error("one is out of what waits")
+		t.Error("with one attempt of the delayed class in flight: want no trial for it, and no limit for the other class")
 	}
 	slow.AddInFlight(now+second, -1)
 	if now += second; !slow.AllowsTrial(now, 1) || slow.AllowsTrial(now+2*second, 0.25) || !slow.AllowsTrial(now+4*second, 0.25) {
-		t.Error("a try took a second, and a quarter of the time may be spent on them")
+		t.Error("after a trial of 1 s: want a trial with fraction 1, and with fraction 0.25 one after 4 s but not after 2 s")
 	}
 	if slow.Observe(now, now-second, 1e7, 1e7); slow.Delay(now) != 0 {
-		t.Error("an answer in time leaves the delay as it was")
+		t.Error("got a delay after a response on time, want none")
 	}
 }
 
@@ -99,9 +100,9 @@
 		slow.Observe(2*second+n, n, math.Inf(1), 1e7)
 	}
 	if delay := slow.Delay(2*second + samplesKept); !math.IsInf(delay, 1) {
-		t.Errorf("three overdue and none answered: waits %g", delay)
+		t.Errorf("three overdue attempts without a response: got a delay of %g, want infinity", delay)
 	}
 	if slow.Observe(3*second, 1, 31e7, 1e7); slow.Delay(3*second) != 3e8 {
-		t.Errorf("one of them late by 300 ms: waits %g", slow.Delay(3*second))
+		t.Errorf("one of them answered 300 ms late: got a delay of %g, want 3e8", slow.Delay(3*second))
 	}
 }
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,4 +1,4 @@
-// Package datagram opens UDP sockets for messages between nodes.
+// Package datagram opens the UDP sockets for messages between nodes.
 package datagram
 
 import (
@@ -8,10 +8,10 @@
 	"syscall"
 )
 
-const soReusePort = 0xf // on Linux; package syscall lacks it
+const soReusePort = 0xf // SO_REUSEPORT on Linux, which package syscall does not define
 
-// Listen opens a socket. Another process of the node may have the same address open during a hot restart; each
-// sets SO_REUSEPORT, and the kernel picks which of them receives a datagram.
+// Listen opens a UDP socket. During a hot restart another process of the node may have the same address open. Both set
+// SO_REUSEPORT, and the kernel selects which of them receives a datagram.
 func Listen(address string) (*net.UDPConn, error) {
 	config := net.ListenConfig{Control: setReusePort}
 	socket, err := config.ListenPacket(context.Background(), "udp", address)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	maxHeadBytes  = 64 << 10 // of a response
-	jitterDivisor = 8        // gaps are shortened at random by up to one in so many, so that nodes do not call together
+	maxHeadBytes  = 64 << 10 // of a response head, status line included
+	jitterDivisor = 8        // gaps are randomly shortened by up to 1/jitterDivisor, so that nodes do not call in step
 )
 
-// Call is how a watch is called for. The functions are called from the goroutines of Open and of the watch's reader.
+// Call configures how a watch is opened. The callbacks run on the goroutines of Open and of the watch's reader.
 type Call struct {
 	Address string // address and port of discovery
-	Request string // the head of the HTTP request
+	Request string // the HTTP request up to and including the empty line
 
-	ConnectTimeout time.Duration // for a connection, and for writing the request
-	FirstGap       time.Duration // between the first call and a second one beside it
-	Gap            time.Duration // that later gaps are multiples of
-	RetryInterval  time.Duration // after the first connection that fails; it doubles with each
-	SilenceTimeout time.Duration // after which a watch is taken to be dead
+	ConnectTimeout time.Duration // for opening a connection, and for writing the request
+	FirstGap       time.Duration // between the first call and a second one in parallel
+	Gap            time.Duration // the unit of later gaps, which are multiples of it
+	RetryInterval  time.Duration // after the first failed dial; it doubles with each further one
+	SilenceTimeout time.Duration // without data, after which a watch is considered dead
 
-	OnCall    func() // a connection is opened
-	OnFailure func() // a call has failed while another goes on
-	OnData    func() // the watch has received something
+	OnCall    func() // before a connection is dialed
+	OnFailure func() // after a call has failed while another is in flight
+	OnData    func() // after the watch has received data
 }
 
-// Watch is the response to a call. Reads fail with os.ErrDeadlineExceeded after Call.SilenceTimeout without data.
+// Watch is an open watch. Reads fail with os.ErrDeadlineExceeded after Call.SilenceTimeout without data.
 type Watch struct {
 	conn           net.Conn
 	body           *bufio.Reader
@@ -43,7 +43,7 @@
 	err            error
 }
 
-// Read reads from the body of the response.
+// Read reads from the body of the watch's response.
 func (w *Watch) Read(p []byte) (n int, err error) {
 	w.conn.SetReadDeadline(time.Now().Add(w.silenceTimeout))
 	n, err = w.body.Read(p)
@@ -54,16 +54,16 @@
 	return n, err
 }
 
-// Err is the error of the last Read.
+// Err returns the error of the last Read.
 func (w *Watch) Err() error { return w.err }
 
-// Close ends the watch.
+// Close closes the watch and its connection.
 func (w *Watch) Close() {
 	w.stopContext()
 	w.conn.Close()
 }
 
-// progress is how far a call has come.
+// eventKind is the kind of an event of a call.
 type eventKind int
 
 const (
@@ -74,7 +74,7 @@
 	callFailed
 )
 
-// event is a step of one call.
+// event reports the progress of one call.
 type event struct {
 	callID int
 	kind   eventKind
@@ -83,19 +83,19 @@
 	err    error         // connectFailed, callFailed
 }
 
-// opening is the state of one Open.
+// opening is the state of one call of Open.
 type opening struct {
 	call      *Call
-	ctx       context.Context // done when Open returns
+	ctx       context.Context // canceled when Open returns
 	startedAt time.Time
 	pacer     *Pacer
-	conns     map[int]net.Conn // of the calls that are out, by id
+	conns     map[int]net.Conn // connections of the calls in flight, by call ID
 	events    chan event
 }
 
-// Open opens calls until the body of a response begins, and closes the others. A call that waits is kept, as a new one
-// begins at the end of discovery's queue. It fails with the error of the last call once none is out, and with the
-// context's error once that is done.
+// Open makes calls until the body of one response starts, returns that as the watch and closes the other calls. A waiting
+// call is kept while further ones are made, since a new call starts at the end of discovery's queue. Open returns the
+// error of the last call once no call is in flight, and the context's error once the context is done.
 func (c *Call) Open(ctx context.Context) (*Watch, error) {
 	openCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -141,7 +141,7 @@
 
 func withJitter(gap time.Duration) int64 { return int64(gap) - rand.Int64N(int64(gap)/jitterDivisor+1) }
 
-// now is the time of the pace.
+// now returns the pacer's time: nanoseconds since Open was called.
 func (o *opening) now() int64 { return int64(time.Since(o.startedAt)) }
 
 func (o *opening) closeAll() {
@@ -150,7 +150,7 @@
 	}
 }
 
-// handle takes in an event. It returns the connection of a call whose body has begun, or the error of the last call.
+// handle processes an event. It returns the connection of a call whose body has started, or the error of the last call.
 func (o *opening) handle(e event) (watchConn net.Conn, err error) {
 	now := o.now()
 	switch e.kind {
@@ -169,11 +169,11 @@
 	case headReceived:
 		o.pacer.HeadReceived(now, int64(o.call.SilenceTimeout))
 	case bodyStarted:
-		watchConn = o.conns[e.callID] // nil: it was replaced meanwhile
+		watchConn = o.conns[e.callID] // nil if the call was replaced in the meantime
 		delete(o.conns, e.callID)
 	case callFailed:
 		if o.conns[e.callID] == nil {
-			return nil, nil // it was replaced
+			return nil, nil // the call was replaced
 		}
 		o.closeCall(e.callID)
 		if !o.pacer.CallEnded(e.callID) {
@@ -216,7 +216,7 @@
 	}
 }
 
-// report sends an event unless Open has returned.
+// report sends an event to Open, unless that has returned.
 func (o *opening) report(e event) {
 	select {
 	case o.events <- e:
@@ -224,10 +224,11 @@
 	}
 }
 
-// request makes a call on its connection and reports its progress. It waits for as long as the connection is open.
+// request makes a call on its connection and reports its progress. It blocks until the body starts or the connection
+// fails or is closed.
 func (o *opening) request(id int, conn net.Conn) {
 	defer func() {
-		if recovered := recover(); recovered != nil { // guards against a response that breaks the parser
+		if recovered := recover(); recovered != nil { // a malformed response must not crash the process
 			o.report(event{callID: id, kind: callFailed, err: fmt.Errorf("panic: %v", recovered)})
 		}
 	}()
@@ -239,7 +240,7 @@
 	o.report(event{callID: id, kind: bodyStarted, body: body})
 }
 
-// readUntilBody writes the request and reads until the first byte of the body.
+// readUntilBody writes the request and reads the response up to the first byte of the body.
 func (o *opening) readUntilBody(id int, conn net.Conn) (*bufio.Reader, error) {
 	conn.SetWriteDeadline(time.Now().Add(o.call.ConnectTimeout))
 	if _, err := io.WriteString(conn, o.call.Request); err != nil {
@@ -251,7 +252,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("discovery answered %s", response.Status)
+		return nil, fmt.Errorf("discovery: expected status 200 OK, got %s", response.Status)
 	}
 	limited.N = math.MaxInt64
 	o.report(event{callID: id, kind: headReceived})
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -1,61 +1,62 @@
-// Package discovery opens the watch of an endpoint list at discovery: Call has the connections, Pace the rules of when
-// a further one is opened.
+// Package discovery opens a watch of the endpoint list at the discovery service. Call manages the connections, and Pacer
+// decides when a further one is opened.
 package discovery
 
 import "slices"
 
-// Pace decides when a further call is opened beside those that wait, and which of two is given up for a third.
-// Discovery answers calls in turn, also those that were given up, and a node that calls anew begins at the end of the
-// queue: so the call that waits longest is kept, unless discovery may never have received it.
+// Pacer decides when a further call is made while others are waiting for a response, and which of two waiting calls is
+// abandoned for a third. Discovery answers calls in order of arrival, including abandoned ones, and a new call starts at
+// the end of its queue. So the call that has waited longest is kept, unless discovery may never have received it.
 //
-// Gaps between calls: the second call comes after the first gap. The gaps after it are short for as long as most
-// outages last (14 s with a gap of 3 s): by the contract with discovery a change counts as known to the node 6 s after
-// discovery could be reached, and all calls may have gone to a machine that has vanished. Then they double, as each
-// call costs a slow discovery another turn.
+// The second call is made after the first gap. Later gaps stay short for the duration of most outages (14 s with a gap of
+// 3 s): by the contract with discovery the node must know a change 6 s after discovery has become reachable, and all
+// calls may have been sent to a host that has since vanished. After that the gaps double, since each call takes a slow
+// discovery the time of one more response.
 //
-// Times are nanoseconds of any one clock. A Pace is not safe for concurrent use.
+// Times are in nanoseconds of one clock of the caller's choice. A Pacer is not safe for concurrent use.
 type Pacer struct {
 	firstGap, gap           int64
 	retryInterval           int64
-	retryBackoff            int64 // after the next dial that fails
-	openedCount             int   // connections, in all
-	consecutiveDialFailures int   // in a row
-	due                     int64
-	calls                   []call // those that are out, the longest waiting first
+	retryBackoff            int64 // delay after the next failed dial
+	openedCount             int   // connections opened so far
+	consecutiveDialFailures int
+	due                     int64  // when the next connection is to be opened
+	calls                   []call // in flight, the longest waiting first
 }
 
-// MaxCalls is how many calls may be out at a time.
+// MaxCalls is the maximum number of calls in flight.
 const MaxCalls = 2
 
 const (
 	second = int64(1e9)
 	// maxRetryBackoff bounds the backoff while discovery can't be reached.
 	maxRetryBackoff = second
-	// unreachableAfter is how many failed dials in a row show that discovery can't be reached; one may be due to load.
+	// unreachableAfter is the number of failed dials in a row after which discovery counts as unreachable. A single one
+	// may be due to load.
 	unreachableAfter = 2
-	// maxGapFactor bounds the doubling of gaps: the one call that is kept may have been lost.
+	// maxGapFactor bounds the doubling of gaps, since the call that is kept may have been lost.
 	maxGapFactor = 256
 )
 
-// gapFactors are the gaps from the second call to the third and so on, in multiples of Pace.gap; after them they
-// double.
+// gapFactors are the gaps after the second and later calls, in multiples of Pacer.gap. After the last one, gaps double.
 var gapFactors = []float64{1, 4. / 3, 4. / 3}
 
+// call is a call in flight.
 type call struct {
 	id           int
-	possiblyLost bool // discovery could not be reached since it was made
+	possiblyLost bool // discovery has been unreachable since the call was made
 }
 
-// NewPacer begins with a call that is due now.
+// NewPacer returns a pacer whose first call is due now.
 func NewPacer(now, firstGap, gap, retryInterval int64) *Pacer {
 	return &Pacer{firstGap: firstGap, gap: gap, retryInterval: retryInterval, retryBackoff: retryInterval, due: now}
 }
 
-// Due is when the next connection is to be opened.
+// Due returns the time when the next connection is to be opened.
 func (p *Pacer) Due() int64 { return p.due }
 
-// ConnectionOpened takes in a call whose connection is open. If ok, the call replaced has to be closed before the
-// request is sent.
+// ConnectionOpened records that the connection of a call is open. If ok, the caller must close the call with the ID
+// replaced before it sends the request.
 func (p *Pacer) ConnectionOpened(now int64, id int) (replaced int, ok bool) {
 	if len(p.calls) == MaxCalls {
 		i := p.indexToReplace()
@@ -69,7 +70,7 @@
 	return replaced, ok
 }
 
-// nextGap is the gap after as many calls as were opened.
+// nextGap returns the gap after the call that was opened last.
 func (p *Pacer) nextGap() int64 {
 	const maxDoublings = 30 // far beyond maxGapFactor
 	if p.openedCount == 1 {
@@ -82,7 +83,8 @@
 	return int64(float64(p.gap) * min(factor, maxGapFactor))
 }
 
-// indexToReplace is the index of the call to give up for another: one that may be lost, else the one that has waited less.
+// indexToReplace returns the index of the call to abandon for a new one: a possibly lost one, otherwise the one that has
+// waited the shortest time.
 func (p *Pacer) indexToReplace() int {
 	if i := slices.IndexFunc(p.calls, func(c call) bool { return c.possiblyLost }); i >= 0 {
 		return i
@@ -90,7 +92,7 @@
 	return len(p.calls) - 1
 }
 
-// DialFailed takes in a connection that could not be opened.
+// DialFailed records that a connection could not be opened.
 func (p *Pacer) DialFailed(now int64) {
 	p.consecutiveDialFailures++
 	if p.consecutiveDialFailures >= unreachableAfter {
@@ -102,12 +104,13 @@
 	p.retryBackoff = min(2*p.retryBackoff, max(maxRetryBackoff, p.retryInterval))
 }
 
-// CallEnded takes in a call that discovery has ended, or whose response was an error. It reports whether another is
-// out.
+// CallEnded records that discovery closed a call or responded with an error. It reports whether another call is in
+// flight.
 func (p *Pacer) CallEnded(id int) (othersInFlight bool) {
 	p.calls = slices.DeleteFunc(p.calls, func(c call) bool { return c.id == id })
 	return len(p.calls) > 0
 }
 
-// HeadReceived takes in the head of a response. The body has to begin within a time, so the next call is due no later.
+// HeadReceived records that the head of a response was received. The body must start within bodyTimeout, so the next call
+// is due no later than that.
 func (p *Pacer) HeadReceived(now, bodyTimeout int64) { p.due = min(p.due, now+bodyTimeout) }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -11,18 +11,19 @@
 	testRetryInterval = 200 * ms
 )
 
-// simulation is a discovery and one node's calls to it in simulated time.
+// simulation simulates discovery and the calls of one node to it.
 type simulation struct {
 	pacer       *Pacer
 	now         int64
 	lastID      int
-	madeAt      map[int]int64 // by call: when it was made
+	madeAt      map[int]int64 // time of the calls in flight, by ID
 	maxInFlight int
 	reachable   func(now int64) bool
-	answered    func(now, made int64) bool // whether a call that was made then is answered by now
+	answered    func(now, made int64) bool // whether a call made at the given time is answered by now
 }
 
-// run runs until a call is answered, or to the end, and returns when that was and after how many calls.
+// run simulates until a call is answered or the end is reached. It returns the time of the response, or -1, and the
+// number of calls.
 func (s *simulation) run(end int64) (answered int64, calls int) {
 	if s.madeAt = map[int]int64{}; s.reachable == nil {
 		s.reachable = func(int64) bool { return true }
@@ -40,7 +41,7 @@
 			if len(s.pacer.calls) == 0 {
 				return -1, s.lastID
 			}
-			s.now += second // a dial without an answer
+			s.now += second // the dial times out
 			s.pacer.DialFailed(s.now)
 			continue
 		}
@@ -54,27 +55,28 @@
 	return -1, s.lastID
 }
 
-// However long the queue is, a call that waits in it is answered, at a cost that grows far slower than the wait.
+// A call that waits in discovery's queue is answered however long the queue is, and the number of further calls grows far
+// slower than the waiting time.
 func TestQueuedCallIsAnswered(t *testing.T) {
 	for queueDelay, maxCalls := range map[int64]int{1: 1, 2900: 1, 4000: 2, 6500: 3, 9900: 3, 20000: 5, 59000: 7, 600000: 11} {
 		s := &simulation{pacer: NewPacer(0, testGap, testGap, testRetryInterval), answered: func(now, made int64) bool { return now-made >= queueDelay*ms }}
 		if answeredAt, calls := s.run(1000 * second); answeredAt < queueDelay*ms || answeredAt > (queueDelay+10)*ms || calls > maxCalls || s.maxInFlight > MaxCalls {
-			t.Errorf("a turn after %d ms: answered at %d ms with %d calls, %d at a time; want at once and %d at most", queueDelay, answeredAt/ms, calls, s.maxInFlight, maxCalls)
+			t.Errorf("queue of %d ms: got a response at %d ms after %d calls, at most %d in flight; want it within 10 ms of the end of the queue and at most %d calls", queueDelay, answeredAt/ms, calls, s.maxInFlight, maxCalls)
 		}
 	}
-	// The first call may be lost without an error: one of the others is answered all the same.
+	// If the first call is lost without an error, one of the others is answered.
 	s := &simulation{pacer: NewPacer(0, testGap, testGap, testRetryInterval), answered: func(now, made int64) bool { return now-made >= 30*second && made > 0 }}
 	if answeredAt, calls := s.run(200 * second); answeredAt < 0 || answeredAt > 100*second || calls > 9 {
-		t.Errorf("the first call is never answered: %d ms, %d calls", answeredAt/ms, calls)
+		t.Errorf("first call lost: got a response at %d ms after %d calls, want one by 100 s and at most 9 calls", answeredAt/ms, calls)
 	}
 }
 
-// A machine that vanishes leaves connections open and silent, whether or not a dial has failed meanwhile: a call is
-// answered within 6 s after it can be reached again, by a discovery that answers within 1.5 s.
+// If the host of discovery vanishes, connections stay open without data, whether or not a dial has failed since. Once the
+// host is reachable again and answers within 1.5 s, a call must be answered within 6 s.
 func TestAnsweredSoonAfterDiscoveryHostReturns(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 4000 {
-		vanishedAt := random.Int64N(12 * second) // whatever is open by then stays silent
+		vanishedAt := random.Int64N(12 * second) // calls made before are never answered
 		returnedAt := vanishedAt + random.Int64N(8*second)
 		firstGap := []int64{testGap, 2 * second}[random.IntN(2)]
 		queueDelay := random.Int64N(1500 * ms)
@@ -83,16 +85,17 @@
 			answered: func(now, made int64) bool { return made >= returnedAt && now-made >= queueDelay },
 		}
 		if vanishedAt == 0 {
-			continue // then no call is out
+			continue // then no call is in flight
 		}
 		answeredAt, calls := s.run(40 * second)
 		if answeredAt < 0 || answeredAt-returnedAt > 6*second || calls > 8 || s.maxInFlight > MaxCalls {
-			t.Fatalf("gone at %d ms, back at %d, a queue of %d: answered %d ms after, %d calls, %d at a time", vanishedAt/ms, returnedAt/ms, queueDelay/ms, (answeredAt-returnedAt)/ms, calls, s.maxInFlight)
+			t.Fatalf("host vanished at %d ms, returned at %d ms, queue of %d ms: got a response %d ms after the return, %d calls, at most %d in flight; want one within 6 s, at most 8 calls and MaxCalls in flight", vanishedAt/ms, returnedAt/ms, queueDelay/ms, (answeredAt-returnedAt)/ms, calls, s.maxInFlight)
 		}
 	}
 }
 
-// While discovery can't be reached, dials are a second apart at most, and calls from before are replaced first.
+// While discovery can't be reached, the retry backoff is at most a second. Calls made before the outage are replaced
+// first.
 func TestPossiblyLostCallsAreReplacedFirst(t *testing.T) {
 	p := NewPacer(0, testGap, testGap, testRetryInterval)
 	p.ConnectionOpened(0, 1)
@@ -100,33 +103,34 @@
 	now := 6 * second
 	for i, want := range []int64{200, 400, 800, 1000, 1000} {
 		if p.DialFailed(now); p.Due()-now != want*ms {
-			t.Errorf("wait %d is %d ms, want %d", i, (p.Due()-now)/ms, want)
+			t.Errorf("retry %d: got a backoff of %d ms, want %d", i, (p.Due()-now)/ms, want)
 		}
 		now = p.Due() + second
 	}
 	if replaced, ok := p.ConnectionOpened(now, 3); !ok || replaced != 1 {
-		t.Errorf("%d was replaced, %t", replaced, ok)
+		t.Errorf("opening call 3: got call %d replaced, %t; want call 1", replaced, ok)
 	}
 	if replaced, ok := p.ConnectionOpened(now+testGap, 4); !ok || replaced != 2 {
-		t.Errorf("%d was replaced, %t", replaced, ok)
+		t.Errorf("opening call 4: got call %d replaced, %t; want call 2", replaced, ok)
 	}
 	if replaced, ok := p.ConnectionOpened(now+2*testGap, 5); !ok || replaced != 4 {
-		t.Errorf("%d was replaced, %t; the one that has waited longer stays", replaced, ok)
+		t.Errorf("opening call 5: got call %d replaced, %t; want call 4, as call 3 has waited longer", replaced, ok)
 	}
 	if !p.CallEnded(5) || p.CallEnded(3) {
-		t.Error("the wrong calls are out")
+		t.Error("want call 3 in flight after call 5 ended, and none after call 3 ended")
 	}
-	// One dial that fails may be due to load.
+	// A single failed dial may be due to load, so it does not mark calls as possibly lost.
 	p = NewPacer(0, testGap, testGap, testRetryInterval)
 	p.ConnectionOpened(0, 1)
 	p.DialFailed(testGap)
 	p.ConnectionOpened(testGap+second, 2)
 	if replaced, _ := p.ConnectionOpened(2*testGap, 3); replaced != 2 {
-		t.Errorf("%d was replaced after one dial that failed", replaced)
+		t.Errorf("after a single failed dial: got call %d replaced, want call 2", replaced)
 	}
 }
 
-// fleet is many nodes before a discovery that answers calls in turn, one at a time, also those that were given up.
+// simulateFleetStart simulates many nodes that start together, and a discovery that answers calls in order of arrival, one
+// at a time, including abandoned ones. It returns the delays until nodes were ready, and the number of calls.
 func simulateFleetStart(nodes int, callCost, reachableAt int64, keepWaiting bool) (ready []int64, calls int) {
 	type queuedCall struct {
 		node, id int
@@ -147,7 +151,7 @@
 			}
 			lastIDs[i]++
 			calls++
-			if !keepWaiting { // the call that waits is given up for the next, for comparison
+			if !keepWaiting { // for comparison: abandon the waiting call for each new one
 				for id := range inFlight[i] {
 					p.CallEnded(id)
 					delete(inFlight[i], id)
@@ -175,40 +179,41 @@
 	return ready, calls
 }
 
-// Many nodes that start together before a discovery that answers calls in turn, also those given up, are ready as soon
-// as it can answer one of each; further calls stay few.
+// When many nodes start together, and discovery answers calls in order, including abandoned ones, all nodes must be ready
+// as soon as discovery can have answered one call of each. Further calls must stay few.
 func TestFleetStartWithSlowDiscovery(t *testing.T) {
 	for _, c := range []struct {
-		nodes int
-		callCost  int64
+		nodes    int
+		callCost int64
 	}{{300, 20 * ms}, {90, 100 * ms}, {400, 20 * ms}, {3000, 20 * ms}} {
 		ready, calls := simulateFleetStart(c.nodes, c.callCost, second/2, true)
 		limit := int64(c.nodes)*c.callCost + second
 		if len(ready) != c.nodes {
-			t.Errorf("%d nodes, %d ms a call: %d ready", c.nodes, c.callCost/ms, len(ready))
+			t.Errorf("%d nodes, %d ms per call: got %d nodes ready, want all", c.nodes, c.callCost/ms, len(ready))
 			continue
 		}
 		if ready[c.nodes*9/10] > limit || ready[c.nodes-1] > limit {
-			t.Errorf("%d nodes, %d ms a call: nine in ten ready by %d ms, all by %d; the queue alone is %d ms", c.nodes, c.callCost/ms, ready[c.nodes*9/10]/ms,
+			t.Errorf("%d nodes, %d ms per call: got 90%% ready by %d ms and all by %d ms, want all by %d ms", c.nodes, c.callCost/ms, ready[c.nodes*9/10]/ms,
 				ready[len(ready)-1]/ms, limit/ms)
 		}
 		if calls > c.nodes*8 || limit < 7*second && calls > c.nodes*3 {
-			t.Errorf("%d nodes: %d calls", c.nodes, calls)
+			t.Errorf("%d nodes: got %d calls, want at most 8 per node, and 3 with a queue below 7 s", c.nodes, calls)
 		}
-		t.Logf("%d nodes, %d ms a call: nine in ten ready by %.1f s, all by %.1f s, %d calls", c.nodes, c.callCost/ms, float64(ready[c.nodes*9/10])/1e9,
+		t.Logf("%d nodes, %d ms per call: 90%% ready by %.1f s, all by %.1f s, %d calls", c.nodes, c.callCost/ms, float64(ready[c.nodes*9/10])/1e9,
 			float64(ready[c.nodes-1])/1e9, calls)
 		if c.nodes > 100 {
 			continue
 		}
 		readyWithoutKeeping, callsWithoutKeeping := simulateFleetStart(c.nodes, c.callCost, second/2, false)
-		t.Logf("   where a call that waits is given up for the next: %d ready in the end, %d calls", len(readyWithoutKeeping), callsWithoutKeeping)
+		t.Logf("   if waiting calls are abandoned for new ones: %d nodes ready at the end, %d calls", len(readyWithoutKeeping), callsWithoutKeeping)
 		if len(readyWithoutKeeping) > c.nodes/2 {
-			t.Error("the queue is too short to tell the two apart")
+			t.Error("more than half of the nodes are ready even if waiting calls are abandoned: the queue is too short for the comparison")
 		}
 	}
 }
 
-// Once a head has come its body is due, however far apart calls are by then.
+// After the head of a response was received, the next call is due when its body is overdue, however long the gap between
+// calls has become.
 func TestHeadReceivedBoundsNextCall(t *testing.T) {
 	p, now := NewPacer(0, testGap, testGap, testRetryInterval), int64(0)
 	for id := range 9 {
@@ -216,12 +221,12 @@
 		p.ConnectionOpened(now, id)
 	}
 	if p.Due() < now+60*second {
-		t.Fatalf("the next call comes %d ms later", (p.Due()-now)/ms)
+		t.Fatalf("got the next call due after %d ms, want at least 60 s", (p.Due()-now)/ms)
 	}
 	if p.HeadReceived(now+second, 3200*ms); p.Due() != now+4200*ms {
-		t.Errorf("the next call comes %d ms later, want 4,200", (p.Due()-now)/ms)
+		t.Errorf("got the next call due after %d ms, want 4200", (p.Due()-now)/ms)
 	}
 	if p.HeadReceived(now+2*second, 3200*ms); p.Due() != now+4200*ms {
-		t.Error("a second head puts the call off")
+		t.Error("a second head: got the next call later, want it unchanged")
 	}
 }
--- a/internal/endpointlist/encode.go
+++ b/internal/endpointlist/encode.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Encode is a complete list in discovery's form; nil where an entry can't be encoded.
+// Encode returns a complete list in discovery's format, or nil if an entry can't be encoded.
 func Encode(version int64, entries []Entry) []byte {
 	list := struct {
 		Version  int64   `json:"seq"`
@@ -19,5 +19,5 @@
 	return text
 }
 
-// EncodeEntry is one entry in discovery's form.
+// EncodeEntry returns one entry in discovery's format.
 func EncodeEntry(e Entry) ([]byte, error) { return json.Marshal(e) }
--- a/internal/endpointlist/encode_test.go
+++ b/internal/endpointlist/encode_test.go
@@ -10,6 +10,6 @@
 	var out []Entry
 	update, err := Parse(Encode(9, in), LimitsFor(0), func() { out = nil }, func(e Entry) error { out = append(out, e); return nil })
 	if err != nil || update.Version != 9 || !update.Complete || !slices.Equal(in, out) {
-		t.Errorf("%+v %v: %+v, expected %+v", update, err, out, in)
+		t.Errorf("parsing the encoded list: got %+v, error %v, entries %+v; want version 9, a complete list and entries %+v", update, err, out, in)
 	}
 }
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,10 +1,10 @@
-// Package endpointlist reads and writes endpoint lists in discovery's form: lines of JSON, each a complete list or what
-// has changed in one. Lists are read as they come, within bounds of memory, however long they are.
+// Package endpointlist reads and writes endpoint lists in discovery's format: lines of JSON, each with a complete list or
+// the changes to one. Lists are decoded as a stream with bounded memory, however long they are.
 package endpointlist
 
 import "fmt"
 
-// Entry is one endpoint as discovery writes it; the order of the fields is that of an encoded entry.
+// Entry is one endpoint in discovery's format. The order of the fields is that of an encoded entry.
 type Entry struct {
 	Name      string  `json:"host"`
 	Address   string  `json:"dial"`
@@ -15,33 +15,33 @@
 	StartedMs float64 `json:"born_ms"` // Unix milliseconds
 }
 
-// Update is a line without its entries.
+// Update describes a line, without its entries.
 type Update struct {
 	Version  int64
-	Complete bool  // names all endpoints, and all of its entries were valid
-	Skipped  int   // invalid entries
-	FirstErr error // of the first of these
+	Complete bool  // the line has all endpoints, and all of its entries were valid
+	Skipped  int   // number of invalid entries
+	FirstErr error // of the first invalid entry
 }
 
-// Limits bound what is read.
+// Limits bounds the size of a list and the memory for reading it.
 type Limits struct {
-	ValueBytes int   // of one entry, or of one unknown field: as much is held at a time
-	LineBytes  int64 // of a line, white space included
-	Endpoints  int   // entries of a line
+	ValueBytes int   // of one entry, or of one unknown field; this much is held in memory
+	LineBytes  int64 // of a line, including white space
+	Endpoints  int   // number of entries of a line
 }
 
 const (
 	defaultMemory          = 1 << 30
-	lineMemoryDivisor      = 4 // of the memory: a line is not held, but the names on it are
+	lineMemoryDivisor      = 4 // of the memory; a line is not held in memory, but the names in it are
 	valueLineDivisor       = 64
-	minValueBytes          = 64 << 10 // also of a line
-	endpointsMemoryDivisor = 2        // of the memory: near 0.6 of it in use, garbage collection would not rest
+	minValueBytes          = 64 << 10 // also the minimum for a line
+	endpointsMemoryDivisor = 2        // of the memory; with about 0.6 of it in use, garbage collection would run all the time
 
-	// EndpointBytes is what an endpoint costs a node in memory, over all its parts, garbage included.
+	// EndpointBytes is the memory that a node needs per endpoint, over all packages and including garbage.
 	EndpointBytes = 1500
 )
 
-// LimitsFor returns the limits for a node that may use so much memory, in bytes; 0: 1 GiB.
+// LimitsFor returns the limits for a node that may use the given memory, in bytes; 0: 1 GiB.
 func LimitsFor(memory int64) Limits {
 	if memory <= 0 {
 		memory = defaultMemory
@@ -54,12 +54,12 @@
 	}
 }
 
-// TooLongError is the error of a list that exceeds the limits.
+// TooLongError is returned for a list that exceeds one of the limits.
 type TooLongError struct {
 	Unit  string // "entries", "bytes of a line" or "bytes of one value"
 	Limit int64
 }
 
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("a list longer than can be held: expected at most %d %s, got more", e.Limit, e.Unit)
+	return fmt.Sprintf("endpoint list exceeds a limit: expected at most %d %s, got more", e.Limit, e.Unit)
 }
--- a/internal/endpointlist/flat.go
+++ b/internal/endpointlist/flat.go
@@ -5,17 +5,17 @@
 	"strconv"
 )
 
-// A fast parser for an entry as discovery usually writes it: a flat object without escapes in its strings, each field
-// of its own kind. Any other entry is left to encoding/json.
+// This file has a fast parser for the usual form of an entry: a flat object with strings and numbers of the right type,
+// without escapes in the strings. Entries of any other form are decoded by encoding/json.
 
 const (
-	maxInterned      = 256 // strings, and bytes of one
+	maxInterned      = 256 // number of strings, and length of each in bytes
 	firstNonASCII    = 0x80
 	lowerCaseBit     = 0x20 // of an ASCII letter
 	exponentOfNumber = 'e'
 )
 
-// scanner is a position in the text of one valid JSON value.
+// scanner reads the text of one valid JSON value from a position on.
 type scanner struct {
 	text []byte
 	pos  int
@@ -23,7 +23,7 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\n' || c == '\t' || c == '\r' }
 
-// peek skips white space and returns the byte after it; 0: the end.
+// peek skips white space and returns the next byte, or 0 at the end.
 func (s *scanner) peek() byte {
 	for s.pos < len(s.text) && isSpace(s.text[s.pos]) {
 		s.pos++
@@ -34,7 +34,7 @@
 	return s.text[s.pos]
 }
 
-// string returns the string that begins here; false: it has escapes or other characters than ASCII.
+// string returns the string at the position, or false if it has escapes or non-ASCII characters.
 func (s *scanner) string() ([]byte, bool) {
 	for end := s.pos + 1; end < len(s.text); end++ {
 		switch c := s.text[end]; {
@@ -49,7 +49,7 @@
 	return nil, false
 }
 
-// number returns the text of the number that begins here.
+// number returns the text of the number at the position.
 func (s *scanner) number() []byte {
 	start := s.pos
 	for s.pos < len(s.text) && isNumberByte(s.text[s.pos]) {
@@ -62,14 +62,14 @@
 	return c >= '0' && c <= '9' || c == '-' || c == '+' || c == '.' || c|lowerCaseBit == exponentOfNumber
 }
 
-// parseFlat parses an entry. If it returns false, the entry is not of the usual form.
+// parseFlat parses an entry. It returns false if the entry is not of the usual form.
 func (r *Reader) parseFlat(text []byte) (entry Entry, ok bool) {
 	s := scanner{text: text}
 	if s.peek() != '{' {
 		return entry, false
 	}
 	for {
-		s.pos++ // the brace or comma
+		s.pos++ // skip the brace or comma
 		if s.peek() != '"' {
 			return entry, s.peek() == '}'
 		}
@@ -82,7 +82,7 @@
 	}
 }
 
-// parseField parses a name and its value.
+// parseField parses one field, name and value, into entry. It returns false if the field is not of the usual form.
 func (r *Reader) parseField(s *scanner, entry *Entry) bool {
 	name, ok := s.string()
 	if !ok || s.peek() != ':' {
@@ -133,7 +133,7 @@
 
 var fieldNames = []string{"host", "dial", "site", "health", "block", "share", "born_ms"}
 
-// isUnknownField reports whether a name is that of no field; encoding/json ignores the case of names.
+// isUnknownField reports whether a name is not that of a field. Like encoding/json it ignores case.
 func isUnknownField(name []byte) bool {
 	for _, known := range fieldNames {
 		if len(known) == len(name) && bytes.EqualFold(name, []byte(known)) {
@@ -143,7 +143,7 @@
 	return true
 }
 
-// intern returns one string for all equal values. The bound guards against a list whose values all differ.
+// intern returns the same string for all equal values. The cache is bounded, in case all values of a list differ.
 func (r *Reader) intern(value []byte) string {
 	if interned, ok := r.interned[string(value)]; ok {
 		return interned
--- a/internal/endpointlist/golden_test.go
+++ b/internal/endpointlist/golden_test.go
@@ -8,7 +8,7 @@
 	"fawnglade/internal/golden"
 )
 
-// TestGoldenList compares an encoded list with discovery's form, and parses one as discovery writes it.
+// TestGoldenList compares an encoded list, and the result of parsing a list from discovery, with golden files.
 func TestGoldenList(t *testing.T) {
 	entries := []Entry{{Name: "s-1", Address: "127.0.0.1:80", Zone: "a", Pod: 3, State: "draining", Weight: 1.5, StartedMs: 1_700_000_000_123}, {Name: "s-2", State: "removed"}}
 	golden.Check(t, "list.json", Encode(9, entries))
--- a/internal/endpointlist/reader.go
+++ b/internal/endpointlist/reader.go
@@ -10,31 +10,31 @@
 )
 
 var (
-	errNoVersion    = errors.New("a list without a version")
-	errSeveralLists = errors.New("more than one list")
+	errNoVersion    = errors.New("endpoint list: expected a version (seq), got none")
+	errSeveralLists = errors.New("endpoint list: expected a single line, got more data after it")
 )
 
-// Reader reads one line after another. It holds one value of a line at a time.
+// Reader reads lines one after another. It holds one value of a line in memory at a time.
 type Reader struct {
 	limits   Limits
 	in       *boundedInput
 	values   *json.Decoder
 	raw      json.RawMessage
-	interned map[string]string // zones and states, of which there are few
+	interned map[string]string // zones and states, of which there are few distinct ones
 }
 
-// NewReader reads from a stream, such as the body of a watch.
+// NewReader returns a reader for a stream, such as the body of a watch.
 func NewReader(in io.Reader, limits Limits) *Reader {
 	bounded := &boundedInput{in: in, limits: limits}
 	return &Reader{limits: limits, in: bounded, values: json.NewDecoder(bounded), interned: map[string]string{}}
 }
 
-// boundedInput fails when a line or a value grows too long. Between two lines it drops white space: an empty line comes
-// every 2 s on a watch that may be open for weeks.
+// boundedInput returns an error if a line or a value exceeds its limit. It drops white space between lines, since a watch
+// may be open for weeks and receives an empty line every 2 s.
 type boundedInput struct {
 	in                    io.Reader
 	limits                Limits
-	lineBytes, valueBytes int64 // since the last line or value ended
+	lineBytes, valueBytes int64 // read since the end of the last line or value
 	betweenLines          bool
 }
 
@@ -61,9 +61,10 @@
 	return n, err
 }
 
-// Next reads a line. It calls begin where entries begin, and take with each entry; an entry that take returns an error
-// for is skipped. If begin is called again, the entries before it do not count; if Next fails, none do, and nothing
-// more can be read. It fails with io.EOF at the end of the stream, if that is between two lines.
+// Next reads a line. It calls begin before the first entry and accept with each entry; an entry for which accept returns
+// an error is skipped. If begin is called again (a repeated field), the caller must discard the entries before it. If Next
+// returns an error, the caller must discard all entries, and the reader can't be used any more. Next returns io.EOF at
+// the end of the stream between two lines.
 func (r *Reader) Next(begin func(), accept func(Entry) error) (update Update, err error) {
 	r.in.lineBytes, r.in.valueBytes = 0, 0
 	r.in.betweenLines = r.bufferIsBlank()
@@ -84,12 +85,12 @@
 		return update, errNoVersion
 	}
 	update.Version = *version
-	// An endpoint must not be removed because its entry could not be read.
+	// Otherwise endpoints whose entries were invalid would be removed.
 	update.Complete = update.Complete && update.Skipped == 0
 	return update, nil
 }
 
-// readField reads one field of a line.
+// readField reads one field of a line into update or version, or skips it if it is unknown.
 func (r *Reader) readField(update *Update, version **int64, begin func(), accept func(Entry) error) (err error) {
 	token, err := r.values.Token()
 	if err != nil {
@@ -112,7 +113,7 @@
 	return err
 }
 
-// bufferIsBlank reports whether nothing of the next line was read together with the last one.
+// bufferIsBlank reports whether the decoder has buffered nothing of the next line but white space.
 func (r *Reader) bufferIsBlank() bool {
 	buffered := r.values.Buffered().(io.ByteReader)
 	for {
@@ -126,7 +127,7 @@
 	}
 }
 
-// unexpectedEOF distinguishes an end within a line from one between two.
+// unexpectedEOF turns io.EOF, which stands for the end between two lines, into io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -137,7 +138,7 @@
 func (r *Reader) expectDelim(want json.Delim) error {
 	token, err := r.values.Token()
 	if err == nil && token != want {
-		err = fmt.Errorf("a list: expected %v, got %.40q", want, fmt.Sprint(token))
+		err = fmt.Errorf("endpoint list: expected %v, got %.40q", want, fmt.Sprint(token))
 	}
 	return err
 }
@@ -148,7 +149,7 @@
 		return err
 	}
 	if token != json.Delim('[') {
-		return fmt.Errorf("hosts: expected a list, got %.40q", fmt.Sprint(token))
+		return fmt.Errorf("endpoint list: hosts: expected an array, got %.40q", fmt.Sprint(token))
 	}
 	for n := 0; r.values.More(); n++ {
 		r.in.valueBytes = 0
@@ -168,7 +169,7 @@
 	return r.expectDelim(']')
 }
 
-// handleEntry parses the entry in raw and passes it on.
+// handleEntry parses the entry in raw and passes it to accept.
 func (r *Reader) handleEntry(accept func(Entry) error) error {
 	entry, ok := r.parseFlat(r.raw)
 	if !ok {
@@ -180,7 +181,7 @@
 	return accept(entry)
 }
 
-// Parse reads a text that has one line and nothing else.
+// Parse parses a text that consists of a single line. See Reader.Next for the callbacks.
 func Parse(text []byte, limits Limits, begin func(), accept func(Entry) error) (Update, error) {
 	r := NewReader(bytes.NewReader(text), limits)
 	update, err := r.Next(begin, accept)
--- a/internal/endpointlist/reader_test.go
+++ b/internal/endpointlist/reader_test.go
@@ -20,12 +20,12 @@
 
 var errRejectedEntry = errors.New("odd")
 
-// decodeWithEncodingJSON is what encoding/json makes of a line.
+// decodeWithEncodingJSON decodes a line by encoding/json, as the reference for the reader.
 func decodeWithEncodingJSON(text []byte) (decoded result, err error) {
 	var in struct {
-		Version *int64            `json:"seq"`
-		Complete   bool              `json:"whole"`
-		Entries []json.RawMessage `json:"hosts"`
+		Version  *int64            `json:"seq"`
+		Complete bool              `json:"whole"`
+		Entries  []json.RawMessage `json:"hosts"`
 	}
 	if err := json.Unmarshal(text, &in); err != nil {
 		return decoded, err
@@ -69,12 +69,15 @@
 	`{"seq":1,"hosts":[{"host":"a"}],"hosts":null}`, `{"seq":1,"hosts":[{"x":nul}]}`, `{"seq":1,"hosts":[{"host":"a",}]}`, `{"seq":1 "whole":true}`, `{"seq":1,"hosts":[{}{}]}`,
 }
 
-// compare compares the streaming reader with encoding/json, whatever the pieces in which a text comes.
+// compareWithEncodingJSON checks that the streaming reader gives the same result as encoding/json, whether the text is
+// read at once or byte by byte.
 func compareWithEncodingJSON(t *testing.T, text []byte) {
 	want, wantErr := decodeWithEncodingJSON(text)
 	limits := LimitsFor(0)
 	for name, read := range map[string]func(begin func(), accept func(Entry) error) (Update, error){
-		"at once": func(begin func(), accept func(Entry) error) (Update, error) { return Parse(text, limits, begin, accept) },
+		"at once": func(begin func(), accept func(Entry) error) (Update, error) {
+			return Parse(text, limits, begin, accept)
+		},
 		"byte by byte": func(begin func(), accept func(Entry) error) (Update, error) {
 			r := NewReader(iotest.OneByteReader(bytes.NewReader(text)), limits)
 			update, err := r.Next(begin, accept)
@@ -89,10 +92,10 @@
 	} {
 		got, err := collect(read)
 		if (err == nil) != (wantErr == nil) {
-			t.Fatalf("%s, %q: %v, encoding/json says %v", name, text, err, wantErr)
+			t.Fatalf("%s, %q: got error %v, encoding/json returns %v", name, text, err, wantErr)
 		}
 		if err == nil && !reflect.DeepEqual(got, want) {
-			t.Fatalf("%s, %q: %+v, encoding/json says %+v", name, text, got, want)
+			t.Fatalf("%s, %q: got %+v, encoding/json returns %+v", name, text, got, want)
 		}
 	}
 }
@@ -110,12 +113,12 @@
 	f.Fuzz(compareWithEncodingJSON)
 }
 
-// A line that is cut anywhere is an error, and the end of the stream between two lines is io.EOF.
+// A line truncated at any byte is an error, but not io.EOF, which stands for the end of the stream between two lines.
 func TestTruncatedLineError(t *testing.T) {
 	text := testLines[0]
 	for cut := range len(text) {
 		if _, err := collect(NewReader(strings.NewReader(text[:cut]), LimitsFor(0)).Next); err == nil || cut > 0 && errors.Is(err, io.EOF) {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("truncated at byte %d: got error %v, want one other than io.EOF", cut, err)
 		}
 	}
 	r := NewReader(strings.NewReader("\n\n"+text+"\n\n\n"+testLines[3]+"\n"), LimitsFor(0))
@@ -125,11 +128,12 @@
 		}
 	}
 	if _, err := collect(r.Next); !errors.Is(err, io.EOF) {
-		t.Errorf("after the last: %v", err)
+		t.Errorf("after the last line: got error %v, want io.EOF", err)
 	}
 }
 
-// An empty line every two seconds for some weeks is neither held nor too long, wherever reads end between two lines.
+// Empty lines, which a watch receives every two seconds for weeks, use no memory and don't count towards the line limit,
+// wherever reads end between two lines.
 func TestEmptyLinesUseNoMemory(t *testing.T) {
 	emptyLines := strings.NewReader(strings.Repeat("\r\n", 4<<20))
 	secondLine := `{"seq":7,"hosts":[{"host":"a  b"},{"host":" "}]}`
@@ -143,7 +147,7 @@
 	}
 	runtime.ReadMemStats(&after)
 	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
-		t.Errorf("%d bytes taken", allocated)
+		t.Errorf("got %d bytes allocated, want at most 1 MiB", allocated)
 	}
 	for cut := range len(secondLine) {
 		r := NewReader(io.MultiReader(strings.NewReader(testLines[0]+"\n"+secondLine[:cut]), strings.NewReader(secondLine[cut:])), LimitsFor(0))
@@ -151,12 +155,12 @@
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		if got, err := collect(r.Next); err != nil || len(got.Entries) != 2 || got.Entries[0].Name != "a  b" || got.Entries[1].Name != " " {
-			t.Fatalf("cut at %d: %+v, %v", cut, got, err)
+			t.Fatalf("second line split at byte %d: got %+v, error %v; want two entries with their blanks", cut, got, err)
 		}
 	}
 }
 
-// endless is a line that never ends, made as it is read.
+// endlessLine is a reader of a line that never ends: head once, then repeated again and again.
 type endlessLine struct {
 	head, repeated string
 	pending        string
@@ -173,7 +177,7 @@
 	return n, nil
 }
 
-// Each limit ends a line that exceeds it, and little memory is used until then.
+// Reading a line that exceeds a limit must fail, and use little memory until then.
 func TestLimitsAreEnforced(t *testing.T) {
 	limits := Limits{ValueBytes: 64 << 10, LineBytes: 8 << 20, Endpoints: 5000}
 	for unit, in := range map[string]*endlessLine{
@@ -187,17 +191,17 @@
 		runtime.ReadMemStats(&after)
 		var tooLong *TooLongError
 		if !errors.As(err, &tooLong) || tooLong.Unit != unit {
-			t.Errorf("%s: %v", unit, err)
+			t.Errorf("%s: got error %v, want a TooLongError with this unit", unit, err)
 		}
 		if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 4<<20 {
-			t.Errorf("%s: %d bytes taken", unit, allocated)
+			t.Errorf("%s: got %d bytes allocated, want at most 4 MiB", unit, allocated)
 		}
 	}
 	if l := LimitsFor(0); l.Endpoints < 240000 || l.LineBytes < 60<<20 {
-		t.Errorf("without a limit %+v", l)
+		t.Errorf("LimitsFor(0): got %+v, want at least 240000 endpoints and 60 MiB per line", l)
 	}
 	if l := LimitsFor(128 << 20); l.Endpoints > 64<<20/1000 || l.LineBytes > 64<<20 {
-		t.Errorf("with 128 MB %+v", l)
+		t.Errorf("LimitsFor(128 MiB): got %+v, want at most 67108 endpoints and 64 MiB per line", l)
 	}
 }
 
--- a/internal/endpointsource/overlay.go
+++ b/internal/endpointsource/overlay.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// switchTo makes another source active. Where its list may be older than the one in use, the latter becomes the
+// switchTo makes another source active. If its list may be older than the list in use, the list in use becomes the
 // overlay.
 func (s *Selector[V]) switchTo(nowNs int64, next Source) {
 	previous := s.active
@@ -16,7 +16,7 @@
 	}
 	s.Switches++
 	previousVersion := s.lists[previous].version
-	if s.overlay != nil { // the list in use held more than the previous source's own
+	if s.overlay != nil { // the list in use may be newer than the previous source's list
 		previousVersion = max(previousVersion, s.overlay.version)
 	}
 	s.overlay = nil
@@ -31,13 +31,14 @@
 	}
 }
 
-// overlayExpired reports whether the active source has caught up with the overlay, or had its time to do so.
+// overlayExpired reports whether the active source has caught up with the overlay's version, or OverlayNs have passed.
 func (s *Selector[V]) overlayExpired(nowNs int64) bool {
 	caughtUp := s.overlay.version > 0 && s.lists[s.active].version >= s.overlay.version
 	return caughtUp || nowNs >= s.overlayUntilNs
 }
 
-// allNames returns the names of all endpoints that are in use or may be, with duplicates and in any order.
+// allNames returns the names of all endpoints in the current list, the active source's list and the overlay, in any order
+// and possibly with duplicates.
 func (s *Selector[V]) allNames() []string {
 	active := s.lists[s.active].endpoints
 	all := make([]string, 0, len(s.current)+len(active))
@@ -49,7 +50,7 @@
 	return all
 }
 
-// buildUpdate resolves the named endpoints, brings current up to date and returns the update.
+// buildUpdate resolves the named endpoints, updates current with them and returns the changes.
 func (s *Selector[V]) buildUpdate(changedNames []string, complete bool) Update[V] {
 	update := Update[V]{Version: s.lists[s.active].version, Complete: complete, Changed: true}
 	slices.Sort(changedNames)
@@ -70,12 +71,13 @@
 	return update
 }
 
-// resolve returns an endpoint as the node is to use it; false: not at all. With an overlay, endpoint by endpoint:
+// resolve returns an endpoint as the node must use it, or false if the endpoint is not in use. With an overlay, it decides
+// by these rules:
 //
-//   - of two starts the later one counts; of one start, draining counts over up;
-//   - an endpoint that only the overlay has stays;
-//   - one that only the active source has counts if it drains, or started after the previous source was last heard.
-//     Otherwise the previous source may have removed it.
+//   - if both lists have the endpoint, the later start wins; for the same start, draining wins over up;
+//   - an endpoint that only the overlay has stays in use;
+//   - an endpoint that only the active source has is used if it is not up, or started after the overlay was last
+//     current. Otherwise the previous source may have removed it.
 func (s *Selector[V]) resolve(name string) (Endpoint[V], bool) {
 	endpoint, exists := s.lists[s.active].endpoints[name]
 	if s.overlay == nil {
--- a/internal/endpointsource/selector.go
+++ b/internal/endpointsource/selector.go
@@ -1,14 +1,15 @@
 package endpointsource
 
 const (
-	// RelayStartupWaitNs is how long a node waits for relays alone after its start, in nanoseconds.
+	// RelayStartupWaitNs is the time, in nanoseconds, after its start during which a node waits for relays and doesn't
+	// watch discovery.
 	RelayStartupWaitNs = int64(1e9)
-	// OverlayNs is how long the previous source's list is merged into the active source's, at most, in nanoseconds.
-	// The versions of a discovery that was restarted may never reach the previous ones.
+	// OverlayNs is the maximum time, in nanoseconds, for which the previous source's list is merged into the active
+	// source's. It is bounded because the versions of a restarted discovery may never reach the previous ones.
 	OverlayNs = int64(60e9)
 )
 
-// Selector holds the lists of both sources and selects the active one. It is not safe for concurrent use.
+// Selector holds the lists of both sources and selects the active source. It is not safe for concurrent use.
 type Selector[V any] struct {
 	staleAfterNs    int64
 	startedAtNs     int64
@@ -16,23 +17,23 @@
 
 	active  Source
 	lists   [sourceCount]list[V]
-	current map[string]Endpoint[V] // what the node uses, without removed endpoints
+	current map[string]Endpoint[V] // the list in use, without removed endpoints
 
-	overlay        *list[V] // the previous source's list, merged into the active one; nil: none
+	overlay        *list[V] // the list in use at the last switch, merged into the active source's; nil: none
 	overlayUntilNs int64
 
 	relaysWereFresh   bool
-	takeoverVersion   int64 // discovery's version when relays became fresh
+	takeoverVersion   int64 // version of discovery's list when relays became fresh
 	relaysUnreachable bool
 
-	Switches int64 // from one source to the other, since the start
+	Switches int64 // number of switches from one source to the other
 }
 
-// New returns a selector without a list at nowNs, a time of the clock that all later calls use. Relays are stale once
-// what they sent was last current staleAfterNs ago. restoredVersion is the version of the list that the node has kept
-// from before its start: a list at no higher version does not count against it. As the version that relays report may
-// lag a moment behind their list, the list of relays is given once more as a complete one when they have passed
-// restoredVersion.
+// New returns a selector without a list. nowNs is the current time of the clock that all later calls use. Relays become
+// stale when their list was last current staleAfterNs ago. restoredVersion is the version of the list that the node
+// restored from before its start, which a list with no higher version does not override. Since the version that relays
+// report may briefly lag behind their list, the relays' list is returned once more as a complete one when its version
+// first exceeds restoredVersion.
 func New[V any](nowNs, staleAfterNs, restoredVersion int64) *Selector[V] {
 	s := &Selector[V]{
 		staleAfterNs:    staleAfterNs,
@@ -49,7 +50,7 @@
 // Active returns the active source.
 func (s *Selector[V]) Active() Source { return s.active }
 
-// WantsDiscovery reports whether the node is to watch discovery now.
+// WantsDiscovery reports whether the node should watch discovery now.
 func (s *Selector[V]) WantsDiscovery(nowNs int64) bool {
 	switch s.active {
 	case SourceNone:
@@ -65,16 +66,16 @@
 	return relays.complete && relays.connected && nowNs-relays.asOfNs < s.staleAfterNs
 }
 
-// RelayUpdate is what relays have sent.
+// RelayUpdate holds the changes that relays have sent, and their state.
 type RelayUpdate[V any] struct {
 	Changes   []Endpoint[V]
-	Complete  bool  // relays have sent all there is, at least once
+	Complete  bool  // relays have sent a complete list at least once
 	Connected bool  // the origin's own watch of discovery is connected
-	AsOfNs    int64 // when what relays sent was known to be current
-	Version   int64 // of discovery's list, that the origin has at least; 0: not known
+	AsOfNs    int64 // when the relays' list was last known to be current
+	Version   int64 // minimum version of discovery's list that the origin has; 0: unknown
 }
 
-// UpdateRelays applies what relays have sent.
+// UpdateRelays applies an update from relays.
 func (s *Selector[V]) UpdateRelays(nowNs int64, update RelayUpdate[V]) Update[V] {
 	relays := &s.lists[SourceRelays]
 	passedRestored := s.active == SourceRelays &&
@@ -97,7 +98,7 @@
 	return s.reselect(nowNs, SourceRelays, nil, false)
 }
 
-// UpdateDiscovery applies a watch event of discovery. complete: it holds the complete list.
+// UpdateDiscovery applies a watch event of discovery. complete says whether endpoints is the complete list.
 func (s *Selector[V]) UpdateDiscovery(nowNs int64, endpoints []Endpoint[V], complete bool, version int64) Update[V] {
 	discovery := &s.lists[SourceDiscovery]
 	if complete {
@@ -111,7 +112,8 @@
 	return s.reselect(nowNs, SourceDiscovery, names(endpoints), complete)
 }
 
-// SetDiscoveryConnected records whether the watch of discovery is connected, which it is from its first byte on.
+// SetDiscoveryConnected records whether the watch of discovery is connected. The watch counts as connected once its first
+// byte was received.
 func (s *Selector[V]) SetDiscoveryConnected(nowNs int64, connected bool) Update[V] {
 	discovery := &s.lists[SourceDiscovery]
 	discovery.connected = connected
@@ -121,7 +123,7 @@
 	return s.reselect(nowNs, SourceDiscovery, nil, false)
 }
 
-// Tick lets time pass: relays may have become stale, or the overlay may have expired.
+// Tick updates the list after time has passed: relays may have become stale, or the overlay may have expired.
 func (s *Selector[V]) Tick(nowNs int64) Update[V] { return s.reselect(nowNs, SourceNone, nil, false) }
 
 func names[V any](endpoints []Endpoint[V]) []string {
@@ -132,8 +134,8 @@
 	return out
 }
 
-// reselect selects the active source after a source has sent endpoints, by name, or a complete list, and returns what
-// has changed.
+// reselect selects the active source after an update of a source, and returns the resulting changes to the list in use.
+// changedNames are the endpoints that the source has sent; complete: all endpoints may have changed.
 func (s *Selector[V]) reselect(nowNs int64, from Source, changedNames []string, complete bool) Update[V] {
 	fresh := s.relaysFresh(nowNs)
 	if fresh && !s.relaysWereFresh {
@@ -161,7 +163,7 @@
 	return s.buildUpdate(changedNames, complete)
 }
 
-// nextActive is the rule in the package's comment.
+// nextActive returns the source that should be active, by the rules in the package comment.
 func (s *Selector[V]) nextActive(relaysFresh bool) Source {
 	relays, discovery := &s.lists[SourceRelays], &s.lists[SourceDiscovery]
 	discoveryUsable := discovery.connected && discovery.complete
--- a/internal/endpointsource/selector_test.go
+++ b/internal/endpointsource/selector_test.go
@@ -13,12 +13,12 @@
 const (
 	second     = int64(1e9)
 	staleAfter = 4 * second
-	startNs    = 1000 * second // after all that ever started, where a test does not say otherwise
+	startNs    = 1000 * second // later than the starts of all endpoints, unless a test sets them otherwise
 )
 
 type testEndpoint = Endpoint[int]
 
-// node applies updates as the event loop does.
+// testNode applies updates to its list as a node does.
 type testNode struct {
 	selector *Selector[int]
 	now      int64
@@ -43,7 +43,7 @@
 	return update
 }
 
-// servers reads "a b- c+3 d!": a and c are up, b drains, c started at 3, d is removed.
+// parseEndpoints parses a list such as "a b- c+3 d!": a and c are up, b is draining, c started at 3, d is removed.
 func parseEndpoints(text string) (out []testEndpoint) {
 	for word := range strings.FieldsSeq(text) {
 		e := testEndpoint{Name: word[:1]}
@@ -101,16 +101,16 @@
 func (n *testNode) expect(t *testing.T, step string, source Source, endpoints string, wantsDiscovery bool) {
 	t.Helper()
 	if n.selector.Active() != source || n.String() != endpoints || n.selector.WantsDiscovery(n.now) != wantsDiscovery {
-		t.Errorf("%s: source %v %q, discovery watched: %v; expected %v %q, %v", step, n.selector.Active(), n,
+		t.Errorf("%s: got source %v, endpoints %q, wants discovery %v; want %v, %q, %v", step, n.selector.Active(), n,
 			n.selector.WantsDiscovery(n.now), source, endpoints, wantsDiscovery)
 	}
 }
 
 func TestRelaysActiveWhileFresh(t *testing.T) {
 	n := newNode()
-	n.expect(t, "at first", SourceNone, "", false)
+	n.expect(t, "at the start", SourceNone, "", false)
 	n.apply(n.selector.UpdateRelays(n.now, relayUpdate(parseEndpoints("a"), false, true, n.now, 1)))
-	n.expect(t, "not yet complete", SourceNone, "", false)
+	n.expect(t, "relays without a complete list", SourceNone, "", false)
 	n.relays("b", true, 7)
 	n.expect(t, "complete", SourceRelays, "a b", false)
 	n.advance(3 * second)
@@ -123,14 +123,14 @@
 func TestDiscoveryWatchedWhenNoRelayAnswers(t *testing.T) {
 	n := newNode()
 	n.advance(RelayStartupWaitNs)
-	n.expect(t, "a second without an answer", SourceNone, "", true)
+	n.expect(t, "after a second without relays", SourceNone, "", true)
 	n.discovery("a b", true, 5)
 	n.expect(t, "the list", SourceDiscovery, "a b", true)
 	n.discovery("a!", false, 6)
 	n.expect(t, "a change", SourceDiscovery, "b", true)
 	n = newNode()
 	n.apply(n.selector.RelaysUnreachable(n.now))
-	n.expect(t, "no relay to be reached", SourceNone, "", true)
+	n.expect(t, "no relay is reachable", SourceNone, "", true)
 }
 
 func TestSwitchToDiscoveryAndBack(t *testing.T) {
@@ -139,18 +139,18 @@
 	n.advance(staleAfter)
 	n.expect(t, "silence", SourceRelays, "a b c-", true)
 	n.discovery("a d", true, 12) // b and c were removed
-	n.expect(t, "discovery, which knows more", SourceDiscovery, "a d", true)
+	n.expect(t, "a newer list from discovery", SourceDiscovery, "a d", true)
 	n.advance(second)
 	n.relays("", true, 11)
 	n.expect(t, "relays that have not caught up", SourceDiscovery, "a d", true)
 	n.relays("b! c! d", true, 12)
-	n.expect(t, "relays that have", SourceRelays, "a d", false)
+	n.expect(t, "relays that have caught up", SourceRelays, "a d", false)
 	if n.selector.Switches != 2 {
-		t.Errorf("%d moves, expected 2", n.selector.Switches)
+		t.Errorf("got %d switches, want 2", n.selector.Switches)
 	}
 }
 
-// Discovery is watched while the origin behind the relays has lost its own watch.
+// Discovery is watched while the origin of the relays has lost its own watch.
 func TestDiscoveryWatchedWhileOriginIsDisconnected(t *testing.T) {
 	n := newNode()
 	n.relays("a b", true, 10)
@@ -166,40 +166,41 @@
 	n.relays("a b c- d", true, 10)
 	n.relays("d!", true, 11)
 	n.advance(staleAfter)
-	n.discovery("a c d", true, 8) // before b came, before c drained, before d went
+	n.discovery("a c d", true, 8) // a version before b was added, c drained and d was removed
 	n.expect(t, "an older list", SourceDiscovery, "a b c-", true)
-	n.discovery("c+3", false, 9) // it restarted: another incarnation
+	n.discovery("c+3", false, 9) // c was restarted
 	n.expect(t, "a later start", SourceDiscovery, "a b c", true)
 	n.discovery("d b", false, 11)
-	n.expect(t, "it has caught up", SourceDiscovery, "a b c d", true)
+	n.expect(t, "discovery has caught up", SourceDiscovery, "a b c d", true)
 
 	n = newNode()
 	n.relays("a b", true, 10)
 	n.advance(staleAfter)
 	n.discovery("a", true, 3)
-	n.expect(t, "discovery that counts from the start again", SourceDiscovery, "a b", true)
+	n.expect(t, "discovery whose versions start anew", SourceDiscovery, "a b", true)
 	n.advance(OverlayNs)
 	n.expect(t, "the overlay expired", SourceDiscovery, "a", true)
 }
 
-// Relays that pass the version restored from before the start send their list once more as a complete one.
+// When the version of the relays' list first exceeds the restored version, the list is returned once more as a complete
+// one.
 func TestCompleteListOncePastRestoredVersion(t *testing.T) {
 	n := newNode()
 	n.selector = New[int](startNs, staleAfter, 10)
 	for i, step := range []struct {
-		version int64
-		complete   bool
+		version   int64
+		complete  bool
 		endpoints int
 	}{{10, true, 2}, {10, false, 1}, {11, true, 2}, {12, false, 1}} {
 		update := n.apply(n.selector.UpdateRelays(n.now,
 			relayUpdate(parseEndpoints([]string{"a- b", "a", "", "b"}[i]), true, true, n.now, step.version)))
 		if update.Complete != step.complete || len(update.Endpoints) != step.endpoints {
-			t.Errorf("step %d: %+v, expected whole %v and %d servers", i, update, step.complete, step.endpoints)
+			t.Errorf("step %d: got %+v, want complete %v and %d endpoints", i, update, step.complete, step.endpoints)
 		}
 	}
 }
 
-// Relays that answer with an old list are not fresh.
+// Relays whose list was last current too long ago are stale, even if they respond.
 func TestRelaysWithOldListAreStale(t *testing.T) {
 	n := newNode()
 	n.relays("a b", true, 10)
@@ -211,7 +212,7 @@
 	n.expect(t, "too old", SourceRelays, "a b", true)
 }
 
-// The overlay is kept across a second switch.
+// If the source switches again while there is an overlay, the overlay's endpoints and version still apply.
 func TestOverlayKeptAcrossSecondSwitch(t *testing.T) {
 	n := newNode()
 	n.relays("a b-", true, 10)
@@ -219,13 +220,13 @@
 	n.discovery("a b", true, 8)
 	n.expect(t, "an older list", SourceDiscovery, "a b-", true)
 	n.apply(n.selector.SetDiscoveryConnected(n.now, false))
-	n.relays("b", true, 9) // from another origin, which is behind the first
-	n.expect(t, "relays behind what relays had sent", SourceRelays, "a b-", false)
+	n.relays("b", true, 9) // from another origin, whose list is older
+	n.expect(t, "relays with an older list than before", SourceRelays, "a b-", false)
 	n.relays("", true, 10)
 	n.expect(t, "they have caught up", SourceRelays, "a b", false)
 }
 
-// Relays that return with an older list do not bring back what discovery had drained or removed.
+// Relays that become active again with an older list don't restore endpoints that discovery had drained or removed.
 func TestOlderRelayListRestoresNothing(t *testing.T) {
 	n := newNode()
 	n.relays("a b c", true, 10)
@@ -236,12 +237,12 @@
 	n.relays("", true, 10)
 	n.expect(t, "stale relays", SourceRelays, "a b-", false)
 	n.relays("e", true, 11)
-	n.expect(t, "one that may have been removed since", SourceRelays, "a b-", false)
+	n.expect(t, "an endpoint that may have been removed since", SourceRelays, "a b-", false)
 	n.relays("b", true, 13)
 	n.expect(t, "they have caught up", SourceRelays, "a b c e", false)
 }
 
-// truth is the history of discovery's list, version by version.
+// listHistory holds all versions of discovery's list.
 type listHistory struct {
 	versions   []map[string]testEndpoint
 	startCount int64
@@ -287,9 +288,9 @@
 	return out
 }
 
-// Whatever the sources know, and in whatever order they switch: an endpoint that the node knew to drain or to be
-// removed does not come back in the same incarnation; one that is up in every version that a source may still send is
-// never removed; and in the end the node's list is discovery's.
+// Whatever versions the sources have, and in whatever order the node switches between them: an endpoint that was draining
+// or removed in the node's list is not up again without a restart; an endpoint that is up in every version since the
+// active source's is never removed; and in the end the node's list equals discovery's.
 func TestSwitchesNeverRestoreOrLoseEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := &listHistory{versions: []map[string]testEndpoint{{}}}
@@ -299,8 +300,8 @@
 		n := newNode()
 		sentVersions := map[Source]int{SourceRelays: 0, SourceDiscovery: 0}
 		sentLists := map[Source]map[string]testEndpoint{SourceRelays: {}, SourceDiscovery: {}}
-		drainedStarts := map[string]int64{} // the last incarnation that the node knew to drain
-		highestVersion := 0                      // the highest version that an active source has had
+		drainedStarts := map[string]int64{} // latest start of each endpoint that was draining in the node's list
+		highestVersion := 0                 // highest version that an active source has sent
 		send := func(source Source, version int) {
 			if version < sentVersions[source] {
 				version = sentVersions[source]
@@ -319,14 +320,14 @@
 			highestVersion = max(highestVersion, sentVersions[n.selector.Active()])
 			for _, e := range n.current {
 				if e.State == StateUp && e.StartedAtNs <= drainedStarts[e.Name] {
-					t.Fatalf("%s, incarnation %d, is up again after it drained: source %v at %v", e.Name,
+					t.Fatalf("%s, started at %d, is up again after it was draining: active source %v, versions sent %v", e.Name,
 						e.StartedAtNs, n.selector.Active(), sentVersions)
 				}
 				if highest, listed := history.versions[highestVersion][e.Name]; e.State == StateUp &&
 					(!listed || highest.State == StateDraining) && e.StartedAtNs <= max(highest.StartedAtNs, history.startCount) &&
 					!slices.ContainsFunc(history.versions[highestVersion:],
 						func(v map[string]testEndpoint) bool { return v[e.Name] == e }) {
-					t.Fatalf("%s, incarnation %d, is up again after it was removed at %d: source %v at %v", e.Name,
+					t.Fatalf("%s, started at %d, is up again after it was removed in version %d: active source %v, versions sent %v", e.Name,
 						e.StartedAtNs, highestVersion, n.selector.Active(), sentVersions)
 				}
 				if e.State == StateDraining {
@@ -345,7 +346,7 @@
 			}
 			for name := range alwaysUp {
 				if n.current[name].State != StateUp || n.current[name].Name == "" {
-					t.Fatalf("%s is up in all versions since %d, and is missing: source %v at %v, %v", name, activeVersion,
+					t.Fatalf("%s is up in all versions since %d, but missing on the node: active source %v, versions sent %v, node %v", name, activeVersion,
 						n.selector.Active(), sentVersions, n)
 				}
 			}
@@ -378,15 +379,15 @@
 		send(SourceDiscovery, len(history.versions)-1)
 		send(SourceRelays, len(history.versions)-1)
 		if !maps.Equal(n.current, history.latest()) {
-			t.Fatalf("in the end %v, expected %v", n.current, history.latest())
+			t.Fatalf("at the end: got the list %v, want %v", n.current, history.latest())
 		}
 	})
 }
 
 func TestStringMethods(t *testing.T) {
 	for _, c := range []struct {
-		value    fmt.Stringer
-		want string
+		value fmt.Stringer
+		want  string
 	}{
 		{SourceNone, "nobody"},
 		{SourceRelays, "relays"},
@@ -398,7 +399,7 @@
 		{EndpointState(7), "EndpointState(7)"},
 	} {
 		if got := c.value.String(); got != c.want {
-			t.Errorf("expected %q, found %q", c.want, got)
+			t.Errorf("want %q, got %q", c.want, got)
 		}
 	}
 }
--- a/internal/endpointsource/source.go
+++ b/internal/endpointsource/source.go
@@ -1,21 +1,21 @@
 // Package endpointsource decides which of two sources of the endpoint list is active on a node: the relays of the
-// distribution tree, or discovery's own watch. It is pure: no I/O, no clock and no goroutine. The caller passes the
-// time in, and the same calls give the same updates.
+// distribution tree, or the node's own watch of discovery. It does no I/O, reads no clock and starts no goroutines. The
+// caller passes the time to each call, and the same calls return the same updates.
 //
-// Both sources carry the endpoint list at versions counted by discovery; relays pass the origin's version on. The
-// rule:
+// Both sources send the endpoint list with versions that discovery assigns; relays forward the origin's version. The
+// rules are:
 //
 //   - No source is active until one has sent a complete list. Discovery is not watched for the first
 //     RelayStartupWaitNs, as relays may answer.
-//   - Relays are active while they are fresh: they have sent a complete list, what they sent was current less than
-//     the configured time ago, and the origin's own watch of discovery is connected. They take over from a connected
-//     discovery watch once they have reached the version that discovery had when they became fresh.
+//   - Relays are active while they are fresh: they have sent a complete list, their list was current less than the
+//     configured time ago, and the origin's watch of discovery is connected. They take over from a connected discovery
+//     watch once they have reached the version that discovery had when they became fresh.
 //   - Otherwise discovery is active, as soon as its watch is connected and has sent a complete list. Until then the
 //     current list stays in use.
 //
-// A source that takes over with a lower version, or an unknown one, may know less than the previous source. Its list
-// is then merged with the previous list (the overlay, see Selector.resolve), so that no endpoint is lost and none
-// that was draining or removed comes back.
+// The list of a source that takes over with a lower or unknown version may be older than the previous list. It is then
+// merged with the previous list (the overlay, see Selector.resolve), so that no endpoint is lost, and none that was
+// draining or removed is used again.
 package endpointsource
 
 import "fmt"
@@ -31,11 +31,11 @@
 	sourceCount
 )
 
-// String returns the name that the admin API shows.
+// String returns the name of the source in the admin API.
 func (s Source) String() string {
 	switch s {
 	case SourceNone:
-		return "nobody" // a value that clients of the admin API know
+		return "nobody" // kept for clients of the admin API
 	case SourceRelays:
 		return "relays"
 	case SourceDiscovery:
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("Source(%d)", int(s))
 }
 
-// EndpointState is the state of an endpoint in a list. A higher value is further withdrawn from service.
+// EndpointState is the state of an endpoint in a list. Higher values are closer to removal.
 type EndpointState uint8
 
 // The states of an endpoint.
@@ -71,25 +71,25 @@
 type Endpoint[V any] struct {
 	Name        string
 	State       EndpointState
-	StartedAtNs int64 // Unix time in nanoseconds; 0: long ago
-	Value       V     // the caller's own description, passed through
+	StartedAtNs int64 // start of the endpoint's process, Unix time in nanoseconds; 0: long ago
+	Value       V     // data of the caller, passed through unchanged
 }
 
-// Update is what has changed in the list that the node uses. The zero value says that nothing has.
+// Update holds the changes to the list in use. The zero value stands for no change.
 type Update[V any] struct {
 	Endpoints []Endpoint[V] // sorted by name
-	Complete  bool          // endpoints that are not in Endpoints are removed
-	Version   int64         // of the active source's list; 0: not known
-	Changed   bool          // there is something to apply, be it an empty complete list
+	Complete  bool          // Endpoints is the complete list; all others are removed
+	Version   int64         // of the active source's list; 0: unknown
+	Changed   bool          // the update must be applied, even if it is an empty complete list
 }
 
 // list is the endpoint list as one source has sent it.
 type list[V any] struct {
 	endpoints map[string]Endpoint[V]
 	complete  bool  // the source has sent a complete list at least once
-	version   int64 // 0: not known
-	connected bool  // the source sends changes
-	asOfNs    int64 // when it last sent anything, or when what it sent was current
+	version   int64 // 0: unknown
+	connected bool  // the source is connected and sends changes
+	asOfNs    int64 // when the list was last known to be current
 }
 
 func (l *list[V]) apply(endpoints []Endpoint[V]) {
--- a/internal/estimates/class.go
+++ b/internal/estimates/class.go
@@ -1,47 +1,48 @@
 package estimates
 
 const (
-	// learningRate is the size of a step of a class's quantiles (QuantileStep), over the quantile itself.
+	// learningRate is the step size of a class's quantile estimates (QuantileStep), relative to the estimate.
 	learningRate = 1.0 / 12
 
-	// spreadQuantile is the quantile of latencies over their predictions that LatencySpread follows, from minSpread to
-	// maxSpread: heavy requests whose work was not announced are late at any endpoint and say nothing of waiting.
+	// spreadQuantile is the quantile of the ratio of latency to predicted latency that LatencySpread follows, bounded
+	// by minSpread and maxSpread. Heavy requests without a cost hint are late at any endpoint, so their latency says
+	// nothing about queueing.
 	spreadQuantile     = 0.9
 	minSpread          = 0.5
 	maxSpread          = 5
 	initialSpread      = 2
 	minSuccessRate     = 0.01
 	maxRequestCount    = 64
-	requestCountDecay  = 0.9 // part of RequestCount that is left a second later
-	workQuantile       = 0.4 // of latencies: separates the work of a class from its waiting
-	workSamplesForMean = 8   // answers by whose mean the work is first known
+	requestCountDecay  = 0.9 // fraction of RequestCount that is left after a second
+	workQuantile       = 0.4 // of latencies; low, to separate the work of a class from its queueing time
+	workSamplesForMean = 8   // responses whose mean latency is the first estimate of the work
 )
 
-// ClassEstimates is what was learned of one class of requests.
+// ClassEstimates holds the estimates for one class of requests.
 type ClassEstimates struct {
-	// TypicalWork is a low quantile of latencies, to compare requests that bring no hint of their work; 0: not known.
+	// TypicalWork is a low quantile of latencies, used for requests without a cost hint; 0: unknown.
 	TypicalWork float64 `json:"Typical"`
-	// LatencySpread is a high quantile of latencies over their predictions.
+	// LatencySpread is a high quantile of the ratio of latency to predicted latency.
 	LatencySpread float64 `json:"Spread"`
-	// SuccessRate is the part of recent requests that were answered; RequestCount is the decayed count of them.
+	// SuccessRate is the fraction of recent requests that were answered; RequestCount is their decayed count.
 	SuccessRate  float64 `json:"Fares"`
 	RequestCount float64 `json:"Asked"`
-	// PriorityFactor is the part of its time that the class keeps while requests are given up, 0 to 1: by its priority
-	// weight over that of the best class.
+	// PriorityFactor is the fraction, 0 to 1, of its time that the class keeps while requests are given up: its
+	// priority weight over the highest of all classes.
 	PriorityFactor float64 `json:"Due"`
-	// AnsweredCount and GivenUpCount are of the current second, WorkSamples counts all answers.
+	// AnsweredCount and GivenUpCount count requests of the current second; WorkSamples counts all responses.
 	AnsweredCount int `json:"Taken"`
 	GivenUpCount  int `json:"Away"`
 	WorkSamples   int `json:"Met"`
 }
 
-// NewClass returns what is known of a class before its first request.
+// NewClass returns the estimates of a class before its first request.
 func NewClass() ClassEstimates {
 	return ClassEstimates{LatencySpread: initialSpread, SuccessRate: 1, PriorityFactor: 1}
 }
 
-// RecordResult takes in that a request was answered, or given up. Only requests that are given up are counted in the
-// current second here; answers are, by Calibrate.
+// RecordResult records whether a request was answered or given up. In the counts of the current second it includes only
+// requests that were given up; Calibrate counts those that were answered.
 func (c *ClassEstimates) RecordResult(answered bool) {
 	c.RequestCount = min(c.RequestCount+1, maxRequestCount)
 	success := 0.0
@@ -53,7 +54,7 @@
 	c.SuccessRate = max(c.SuccessRate+(success-c.SuccessRate)/(c.RequestCount+1), minSuccessRate)
 }
 
-// Calibrate learns how far a latency was above its prediction; 0: there was no prediction.
+// Calibrate updates LatencySpread with a latency and its prediction; 0: there was no prediction.
 func (c *ClassEstimates) Calibrate(latency, predicted float64) {
 	c.AnsweredCount++
 	if predicted <= 0 {
@@ -63,8 +64,9 @@
 	c.LatencySpread = min(max(c.LatencySpread, minSpread), maxSpread)
 }
 
-// ObserveWork learns the work of the class from a latency. Guards against a lock-out: by the mean, overload would make
-// idle endpoints look late, and so would one small first answer.
+// ObserveWork updates TypicalWork with a latency. It starts with the mean of workSamplesForMean samples and then follows
+// a low quantile: a running mean would rise under overload, and a single short first response would set it too low.
+// Either would make idle endpoints look late, so that the class was no longer admitted.
 func (c *ClassEstimates) ObserveWork(latency float64) {
 	c.WorkSamples++
 	if c.WorkSamples <= workSamplesForMean {
@@ -74,13 +76,14 @@
 	}
 }
 
-// IsWorkKnown reports whether enough answers came to know the work of the class.
+// IsWorkKnown reports whether there were enough responses to estimate the work of the class.
 func (c *ClassEstimates) IsWorkKnown() bool { return c.WorkSamples >= workSamplesForMean }
 
-// Decay ends a second. The success rate of a class without requests drifts to 1, so that it holds no other back.
+// Decay ends a second of counting. The success rate of a class without requests drifts to 1, so that it does not hold
+// back other classes.
 func (c *ClassEstimates) Decay() {
 	if c.AnsweredCount <= c.GivenUpCount {
-		// Guards against a lock-out: a spread so high that hardly any request is admitted would not be measured again.
+		// A spread so high that hardly any request is admitted would never be measured again.
 		c.LatencySpread = max(1, c.LatencySpread*(1-learningRate))
 	}
 	c.RequestCount *= requestCountDecay
@@ -89,7 +92,7 @@
 	c.GivenUpCount = 0
 }
 
-// isValid reports whether the figures can have been learned.
+// isValid reports whether all values are in the ranges that estimates can have.
 func (c *ClassEstimates) isValid() bool {
 	return isPositive(c.LatencySpread, c.SuccessRate) &&
 		isNonNegative(c.TypicalWork, c.RequestCount, c.PriorityFactor)
--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -1,9 +1,9 @@
-// Package estimates holds the figures that an instance of the decisions learns of its endpoints, its fleet and its
-// classes of requests, and the form in which another instance at the same place takes them over. Work and latencies are
-// in nanoseconds.
+// Package estimates holds the values that a balancer estimates about its endpoints, the fleet and its classes of
+// requests, and the snapshot by which a later process of the same node restores them. Work and latencies are in
+// nanoseconds.
 //
-// The JSON names are those of earlier builds, in whose words they were chosen. They stay, as an instance reads what
-// another build handed over or stored:
+// The JSON names are kept from earlier builds, because a process reads snapshots that another build has handed over or
+// stored:
 //
 //	Load, Reported, Drift   Load, LastReport, RisePerSend
 //	Own                     Latency, of the endpoint alone
@@ -22,43 +22,45 @@
 
 import "fawnglade/internal/ewma"
 
-// EndpointEstimates is what was learned of one endpoint.
+// EndpointEstimates holds the estimates for one endpoint.
 type EndpointEstimates struct {
-	// Load is its load between reports; LastReport is the load that it reported last.
+	// Load is the estimated current load, updated between load reports; LastReport is the load last reported.
 	Load       float64 `json:"Load"`
 	LastReport float64 `json:"Reported"`
-	// RisePerSend is what each send since the last report adds to Load.
+	// RisePerSend is the increase of Load per attempt sent since the last report.
 	RisePerSend float64 `json:"Drift"`
-	// Latency holds latencies for each unit of work, over those of pod and fleet (first), and the attempts in flight at
-	// sending (second).
+	// Latency averages the latency per unit of work relative to that of the pod and the fleet (first value), and the
+	// attempts in flight at the time of sending (second value).
 	Latency ewma.Pair `json:"Own"`
-	// HighLatency is a high quantile of the latency for each unit of work.
+	// HighLatency is a high quantile of the latency per unit of work.
 	HighLatency float64 `json:"High"`
-	// HasLatency and HasReport report whether there was an answer, and a report, since the endpoint started.
+	// HasLatency and HasReport report whether there was a response, and a load report, since the endpoint started.
 	HasLatency bool `json:"Known"`
 	HasReport  bool `json:"Heard"`
 }
 
-// FleetEstimates is what was learned of all endpoints together.
+// FleetEstimates holds the estimates for all endpoints together.
 type FleetEstimates struct {
-	// Pods holds, by pod, latencies over those of the fleet (first), and the attempts in flight at sending (second).
+	// Pods averages, by pod, the latency relative to that of the fleet (first value), and the attempts in flight at the
+	// time of sending (second value).
 	Pods map[int]*ewma.Pair `json:"Pods"`
-	// Fleet holds latencies for each unit of work (first), and the attempts in flight at sending (second).
+	// Fleet averages the latency per unit of work (first value), and the attempts in flight at the time of sending
+	// (second value).
 	Fleet ewma.Pair `json:"Fleet"`
-	// ZoneDelay is, by zone, the latency that an answer has however little the work.
+	// ZoneDelay is, by zone, the latency of a response that does not depend on the work.
 	ZoneDelay map[int]float64 `json:"Way"`
-	// MeanWork is the mean work of a request; 0: not known.
+	// MeanWork is the mean work of a request; 0: unknown.
 	MeanWork float64 `json:"MeanOf"`
 	// HighLatency is the mean of the endpoints' HighLatency.
 	HighLatency float64 `json:"High"`
 }
 
-// NewFleet returns what is known of a fleet before its first answer.
+// NewFleet returns the estimates of a fleet before its first response.
 func NewFleet(highLatency float64) FleetEstimates {
 	return FleetEstimates{Pods: map[int]*ewma.Pair{}, ZoneDelay: map[int]float64{}, HighLatency: highLatency}
 }
 
-// Decay leaves a part of the weight of what answers showed of the pods, and one of what they showed of the fleet.
+// Decay multiplies the weight of the latency samples of the pods by podFraction and of the fleet by fleetFraction.
 func (f *FleetEstimates) Decay(podFraction, fleetFraction float64) {
 	for _, pod := range f.Pods {
 		pod.Decay(podFraction)
@@ -66,7 +68,7 @@
 	f.Fleet.Decay(fleetFraction)
 }
 
-// RestoreFrom takes the estimates of another instance. Pods that are not known here are left out.
+// RestoreFrom replaces the estimates by those of a snapshot. Pods that are not known here are left out.
 func (f *FleetEstimates) RestoreFrom(from *FleetEstimates) {
 	for id, pod := range from.Pods {
 		if own := f.Pods[id]; own != nil {
@@ -79,9 +81,9 @@
 	f.HighLatency = from.HighLatency
 }
 
-// QuantileStep returns the step of an estimate that follows a quantile (0 to 1) of a stream of values: up by size times
-// quantile where a value was above the estimate, else down by size times one less quantile. The steps balance where the
-// part of the values above the estimate is one less quantile.
+// QuantileStep returns the step for an estimate that follows a quantile (0 to 1) of a stream of values: up by
+// size*quantile if the value is above the estimate, down by size*(1-quantile) otherwise. The steps balance where the
+// fraction of values above the estimate is 1-quantile.
 func QuantileStep(above bool, size, quantile float64) float64 {
 	if above {
 		return size * quantile
--- a/internal/estimates/estimates_test.go
+++ b/internal/estimates/estimates_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// What comes from another process is taken completely or not at all.
+// A snapshot of another process must survive a JSON round trip, and is rejected as a whole if any value is invalid.
 func TestSnapshotValid(t *testing.T) {
 	text, err := json.Marshal(sampleSnapshot())
 	if err != nil {
@@ -32,21 +32,21 @@
 	var decoded Snapshot
 	if err := json.Unmarshal(text, &decoded); err != nil || !decoded.Valid(1) || decoded.Endpoints[7] != sampleSnapshot().Endpoints[7] ||
 		*decoded.Pods[1] != *sampleSnapshot().Pods[1] {
-		t.Errorf("%v, came back as %+v", err, decoded)
+		t.Errorf("after a JSON round trip: got error %v, snapshot %+v; want it valid and unchanged", err, decoded)
 	}
 	for name, corrupt := range map[string]func(*Snapshot){
-		"another count of classes":   func(s *Snapshot) { s.Classes = append(s.Classes, s.Classes[0]) },
-		"no zone delays":             func(s *Snapshot) { s.ZoneDelay = nil },
-		"a pod that is nothing":      func(s *Snapshot) { s.Pods[2] = nil },
-		"a load below 0":             func(s *Snapshot) { s.Endpoints[7] = Endpoint{EndpointEstimates{Load: -1}, 9} },
-		"a cost without bound":       func(s *Snapshot) { s.MeanWork = math.Inf(1) },
-		"a spread that is no number": func(s *Snapshot) { s.Classes[0].LatencySpread = math.NaN() },
-		"a zone delay below 0":       func(s *Snapshot) { s.ZoneDelay[0] = -1 },
-		"a fleet that is no number":  func(s *Snapshot) { s.Fleet.FirstSum = math.NaN() },
+		"a different number of classes": func(s *Snapshot) { s.Classes = append(s.Classes, s.Classes[0]) },
+		"no zone delays":                func(s *Snapshot) { s.ZoneDelay = nil },
+		"a null pod":                    func(s *Snapshot) { s.Pods[2] = nil },
+		"a negative load":               func(s *Snapshot) { s.Endpoints[7] = Endpoint{EndpointEstimates{Load: -1}, 9} },
+		"an infinite mean work":         func(s *Snapshot) { s.MeanWork = math.Inf(1) },
+		"a spread of NaN":               func(s *Snapshot) { s.Classes[0].LatencySpread = math.NaN() },
+		"a negative zone delay":         func(s *Snapshot) { s.ZoneDelay[0] = -1 },
+		"a fleet latency of NaN":        func(s *Snapshot) { s.Fleet.FirstSum = math.NaN() },
 	} {
 		s := sampleSnapshot()
 		if corrupt(&s); s.Valid(1) {
-			t.Errorf("%s is taken for valid", name)
+			t.Errorf("a snapshot with %s: got valid, want invalid", name)
 		}
 	}
 }
--- a/internal/estimates/golden_test.go
+++ b/internal/estimates/golden_test.go
@@ -9,8 +9,8 @@
 	"fawnglade/internal/golden"
 )
 
-// TestGoldenJSON holds what one process tells the next, and what a state directory keeps, to the names of earlier
-// builds.
+// TestGoldenJSON checks that snapshots, which are handed over at a hot restart and stored in the state directory, keep
+// the JSON names of earlier builds.
 func TestGoldenJSON(t *testing.T) {
 	snapshot := Snapshot{
 		FleetEstimates: FleetEstimates{
@@ -56,9 +56,9 @@
 	golden.Check(t, "learned.json", text)
 	var decoded Snapshot
 	if err := json.Unmarshal(text, &decoded); err != nil || !decoded.Valid(2) {
-		t.Errorf("read as %+v, %v", decoded, err)
+		t.Errorf("decoding the snapshot: got %+v, error %v; want a valid one and no error", decoded, err)
 	}
 	if reencoded, err := json.Marshal(decoded); err != nil || !bytes.Equal(reencoded, text) {
-		t.Errorf("read and written again it is %s, %v", reencoded, err)
+		t.Errorf("encoding the decoded snapshot: got %s, error %v; want the same text", reencoded, err)
 	}
 }
--- a/internal/estimates/snapshot.go
+++ b/internal/estimates/snapshot.go
@@ -6,20 +6,21 @@
 	"fawnglade/internal/ewma"
 )
 
-// Snapshot is what one instance hands to another.
+// Snapshot holds all estimates that one process hands to the next.
 type Snapshot struct {
 	FleetEstimates
 	Classes   []ClassEstimates    `json:"Categories"`
 	Endpoints map[uint32]Endpoint `json:"Servers"`
 }
 
-// Endpoint is the estimates of one endpoint, and the start of its process that they are of, in nanoseconds.
+// Endpoint holds the estimates for one endpoint. StartedAt is the start of the endpoint's process that they apply to, in
+// nanoseconds.
 type Endpoint struct {
 	EndpointEstimates
 	StartedAt int64 `json:"Started"`
 }
 
-// Decay leaves a part of the weight of all that was learned: old estimates say less.
+// Decay multiplies the weight of all estimates by a fraction, as old estimates are less reliable.
 func (s *Snapshot) Decay(fraction float64) {
 	s.FleetEstimates.Decay(fraction, fraction)
 	for id, endpoint := range s.Endpoints {
@@ -33,8 +34,8 @@
 	}
 }
 
-// Valid reports whether all of it can have been learned of so many classes. What comes from another process is taken
-// completely or not at all.
+// Valid reports whether all values are in the ranges that estimates can have, for the given number of classes. A
+// snapshot that is not valid must be discarded as a whole.
 func (s *Snapshot) Valid(classes int) bool {
 	if len(s.Classes) != classes || !s.isValidFleet() {
 		return false
--- a/internal/features/distribution.go
+++ b/internal/features/distribution.go
@@ -18,16 +18,18 @@
 	maxScopeBytes       = 256
 )
 
-// Distribution has a node follow relays for its endpoints and configuration.
+// Distribution configures the subscription to relays for the endpoint list and configuration records.
 type Distribution struct {
-	// Relays are addresses and ports, 1 to 64; each node tries them in an order of its own.
+	// Relays are the addresses and ports of 1 to 64 relays. Each node tries them in an order of its own.
 	Relays []string `toml:"relays"`
-	// Scopes are what the node follows, as region/service; a star at the end stands for any rest. 1 to 4096.
+	// Scopes are the 1 to 4096 scopes that the node subscribes to, such as region/service. A star at the end matches
+	// any suffix.
 	Scopes []string `toml:"scopes"`
-	// Silence is after how long without a message of any relay discovery is watched too, 1s to 1m. Default: 4s.
+	// RelayTimeout is the time without a message from any relay after which the node also watches discovery, 1s to 1m.
+	// Default: 4s.
 	RelayTimeout string `toml:"silence"`
 
-	// RelayTimeoutNs is set by Parse.
+	// RelayTimeoutNs is RelayTimeout in nanoseconds, set by Parse.
 	RelayTimeoutNs int64 `toml:"-"`
 }
 
@@ -47,7 +49,7 @@
 		key := fmt.Sprintf("distribution.relays.%d", i)
 		address, err := netip.ParseAddrPort(relay)
 		p.Require(err == nil && address.Port() != 0, key, "an address and a port", quoted(relay))
-		p.Require(!seen[relay], key, "an address that is not there twice", quoted(relay)+" again")
+		p.Require(!seen[relay], key, "an address that is listed once", quoted(relay)+" again")
 		seen[relay] = true
 	}
 }
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -1,5 +1,5 @@
-// Package features reads the features file: what a node does beyond the platform's protocol. Without a file all of it is
-// off. All problems of a file are reported at once.
+// Package features reads the features file, which turns on optional features of a node beyond the platform's protocol.
+// Without a file all of them are off. All problems of a file are reported at once.
 package features
 
 import (
@@ -10,15 +10,15 @@
 
 const keysPage = "docs/operate/members.md or docs/operate/relay.md"
 
-// Features are the features of one node. Read and Parse return checked ones.
+// Features holds the features of one node, as validated by Read and Parse.
 type Features struct {
-	// Members turns on the membership of nodes. Nil: off.
+	// Members turns on the membership protocol. Nil: off.
 	Members *Members `toml:"members"`
-	// Distribution has the node follow relays. Nil: off.
+	// Distribution turns on the subscription to relays. Nil: off.
 	Distribution *Distribution `toml:"distribution"`
 }
 
-// Read reads and checks a file for the node of a name; errors name the file and the key.
+// Read reads and validates the file of the node with the given name. Errors name the file and the key.
 func Read(path, name string) (*Features, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return Parse(path, name, text)
 }
 
-// Parse checks a file's text.
+// Parse parses and validates the text of a file. Errors name path and the key.
 func Parse(path, name string, text []byte) (*Features, error) {
 	f := &Features{}
 	problems, err := tomlfile.Decode(path, text, f, keysPage)
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -9,7 +9,7 @@
 func TestExampleFileIsValid(t *testing.T) {
 	f, err := Read("../../deploy/features.toml", "n0")
 	if err != nil || f.Members == nil || len(f.Members.Addresses) != 3 || f.Members.ProtocolPeriodNs != 500e6 {
-		t.Fatalf("%+v, %v", f, err)
+		t.Fatalf("got %+v, error %v; want 3 members and a protocol period of 500 ms", f, err)
 	}
 }
 
@@ -32,19 +32,19 @@
 address = "x"
 `))
 	if err == nil {
-		t.Fatal("no error")
+		t.Fatal("got no error, want one for each invalid key")
 	}
 	for _, want := range []string{
 		"members.colour", "members.listen", "members.round", "members.key", "members.node.1.name", "members.node.1.address",
 		"members.node.2.name", "members.node.2.address", `"n9", among them`,
 	} {
 		if !strings.Contains(err.Error(), "f.toml: "+want) && !strings.Contains(err.Error(), want) {
-			t.Errorf("%s is missing in:\n%v", want, err)
+			t.Errorf("got the following error, want %s in it:\n%v", want, err)
 		}
 	}
 	for _, line := range strings.Split(err.Error(), "\n") {
 		if !strings.Contains(line, "expected") || !strings.Contains(line, "found") {
-			t.Errorf("%q", line)
+			t.Errorf("got the error line %q, want the expected and the found value in it", line)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		t.Error(err)
 	}
 	if f, err := Parse("f.toml", "n0", nil); err != nil || f.Members != nil {
-		t.Error("an empty file turns something on", err)
+		t.Error("an empty file: want no features and no error, got error", err)
 	}
 	if _, err := Read("no-such-file", "n0"); !os.IsNotExist(err) {
 		t.Error(err)
--- a/internal/features/members.go
+++ b/internal/features/members.go
@@ -18,18 +18,19 @@
 	minKeyBytes           = 16
 )
 
-// Members configures the membership of package members.
+// Members configures the membership protocol (package members).
 type Members struct {
-	// Listen is the address and port for datagrams. Required.
+	// Listen is the address and port on which the node receives datagrams. Required.
 	Listen string `toml:"listen"`
-	// Round is the length of a round, 50ms to 1m: shorter ones detect failures sooner and cost more datagrams. Default:
-	// 500ms.
+	// ProtocolPeriod is the interval between probes, 50ms to 1m. Shorter ones detect failures sooner and cost more
+	// datagrams. Default: 500ms.
 	ProtocolPeriod string `toml:"round"`
-	// Key authenticates datagrams: at least 32 hexadecimal digits, alike at all nodes. Default: empty, a checksum alone.
+	// Key authenticates datagrams: at least 32 hexadecimal digits, the same on all nodes. Default: empty, datagrams have
+	// only a checksum.
 	Key string `toml:"key"`
-	// ShareEndpointList turns on the exchange of endpoint lists while discovery is down. It requires a key. Default: false.
+	// ShareEndpointList turns on the exchange of endpoint lists while discovery is down. It requires Key. Default: false.
 	ShareEndpointList bool `toml:"list"`
-	// Nodes are all nodes of the fleet, this one included.
+	// Nodes are all nodes of the fleet, including this one.
 	Nodes []Node `toml:"node"`
 
 	// The following are set by Parse.
@@ -37,14 +38,14 @@
 	ProtocolPeriodNs int64            `toml:"-"`
 	KeyBytes         []byte           `toml:"-"`
 	ListenAddress    netip.AddrPort   `toml:"-"`
-	Addresses        []netip.AddrPort `toml:"-"` // of Nodes
+	Addresses        []netip.AddrPort `toml:"-"` // of Nodes, in the same order
 }
 
 // Node is one node of the fleet.
 type Node struct {
-	// Name is the name of the node's configuration.
+	// Name is the name in the node's configuration.
 	Name string `toml:"name"`
-	// Address is the address and port where this node reaches it.
+	// Address is the address and port by which this node reaches it.
 	Address string `toml:"address"`
 }
 
@@ -60,11 +61,11 @@
 func (m *Members) checkKey(p *tomlfile.Problems) {
 	var err error
 	m.KeyBytes, err = hex.DecodeString(m.Key)
-	want := fmt.Sprintf("nothing, or at least %d hexadecimal digits", 2*minKeyBytes)
+	want := fmt.Sprintf("an empty key or at least %d hexadecimal digits", 2*minKeyBytes)
 	p.Require(err == nil && (m.Key == "" || len(m.KeyBytes) >= minKeyBytes), "members.key", want,
 		fmt.Sprintf("%d characters", len(m.Key)))
-	// A list names addresses that requests go to, so it must not be accepted from anybody.
-	p.Require(!m.ShareEndpointList || m.Key != "", "members.key", "a key, as members.list is true", "none")
+	// Requests are sent to the addresses in a list, so unauthenticated lists must not be accepted.
+	p.Require(!m.ShareEndpointList || m.Key != "", "members.key", "a key, because members.list is true", "none")
 }
 
 func (m *Members) checkNodes(p *tomlfile.Problems, self string) {
@@ -84,7 +85,8 @@
 		fmt.Sprintf("%d others", count))
 }
 
-// checkAddress parses a node's address, and notes it in nameAt.
+// checkAddress parses a node's address, and reports a problem if another node in nameAt has it. It adds the address to
+// nameAt.
 func (n *Node) checkAddress(p *tomlfile.Problems, key string, nameAt map[netip.AddrPort]string) netip.AddrPort {
 	address, err := netip.ParseAddrPort(n.Address)
 	p.Require(err == nil && address.Port() != 0, key, "an address and a port", quoted(n.Address))
@@ -92,7 +94,7 @@
 		return address
 	}
 	other := nameAt[address]
-	p.Require(other == "", key, "an address that no other node has", fmt.Sprintf("%q, which is %s's", n.Address, other))
+	p.Require(other == "", key, "an address that no other node has", fmt.Sprintf("%q, the address of %s", n.Address, other))
 	nameAt[address] = n.Name
 	return address
 }
--- a/internal/features/values.go
+++ b/internal/features/values.go
@@ -8,7 +8,7 @@
 	"fawnglade/internal/tomlfile"
 )
 
-// durationRange is what a duration may be, and what it is where the file has none.
+// durationRange holds the bounds of a duration, and its default.
 type durationRange struct{ defaultValue, min, max time.Duration }
 
 func parseDuration(p *tomlfile.Problems, key, text string, allowed durationRange) time.Duration {
@@ -16,12 +16,12 @@
 		return allowed.defaultValue
 	}
 	d, err := time.ParseDuration(text)
-	want := fmt.Sprintf("a time from %s to %s", formatDuration(allowed.min), formatDuration(allowed.max))
+	want := fmt.Sprintf("a duration from %s to %s", formatDuration(allowed.min), formatDuration(allowed.max))
 	p.Require(err == nil && d >= allowed.min && d <= allowed.max, key, want, quoted(text))
 	return d
 }
 
-// short is a duration without zero units: 1m rather than 1m0s.
+// formatDuration formats a duration without zero seconds: 1m rather than 1m0s.
 func formatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden holds what a test produced against a file under testdata/golden that an earlier build wrote, so that a
-// message, a record or an output keeps its bytes while the code around it changes. Only tests import it.
+// Package golden compares the output of a test with a golden file under testdata/golden that an earlier build wrote. It
+// ensures that the bytes of a message, record or output don't change unintentionally. Only tests import it.
 package golden
 
 import (
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// update writes the files anew. Only for a format that is meant to change, or for a new message.
+// update rewrites the golden files. Use it only for an intended change of a format, or for a new one.
 var update = flag.Bool("update-golden", false, "rewrite the files under testdata/golden")
 
 // Check compares got with the file of that name under testdata/golden of the package under test.
@@ -31,6 +31,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: the bytes differ from those of an earlier build\ngot  %q\nwant %q", path, got, want)
+		t.Errorf("%s: the output differs from the golden file\ngot  %q\nwant %q", path, got, want)
 	}
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -9,7 +9,7 @@
 	"fawnglade/policy"
 )
 
-// TestGoldenMessages compares the messages between nodes with the bytes that earlier builds send and read.
+// TestGoldenMessages compares encoded gossip messages with the golden files, since nodes of earlier builds read them.
 func TestGoldenMessages(t *testing.T) {
 	const now = 1_700_000_000_123 * nanosPerMilli
 	for name, message := range map[string]policy.GossipMessage{
@@ -20,10 +20,10 @@
 		golden.Check(t, name, encoded)
 		decoded, sentAt, err := decode(encoded)
 		if err != nil || decoded != message || sentAt != now {
-			t.Errorf("%s: decoded as %+v of %d, %v", name, decoded, sentAt, err)
+			t.Errorf("%s: decoded: got %+v, sent at %d, error %v; want the original message and time", name, decoded, sentAt, err)
 		}
 		if !bytes.Equal(Encode(decoded, sentAt), encoded) {
-			t.Errorf("%s: decoded and encoded again it is another message", name)
+			t.Errorf("%s: encoding the decoded message gives other bytes", name)
 		}
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,11 +1,11 @@
-// Package gossip encodes the messages that the decisions of nodes send one another, and rejects received ones that are
-// invalid, old or repeated. What a message means is for package policy to decide.
+// Package gossip encodes and decodes the messages that the balancers of nodes exchange, and rejects received messages
+// that are invalid, old or repeated. Package policy defines what a message means.
 //
-// Two other packages exchange messages between nodes: package members which nodes are alive, and package endpointgossip
-// endpoint lists.
+// Two other packages also exchange messages between nodes: package members for the membership, and package
+// endpointgossip for endpoint lists.
 //
-// A message is a version, a kind, the time when it was sent in Unix milliseconds, and the kind's numbers as varints;
-// together at most MaxMessageBytes.
+// A message consists of a version byte, a kind byte, and varints: the time of sending in Unix milliseconds, and the
+// numbers of the kind. It has at most MaxMessageBytes.
 package gossip
 
 import (
@@ -17,7 +17,7 @@
 	"fawnglade/policy"
 )
 
-// MaxMessageBytes is the length of the longest message.
+// MaxMessageBytes is the maximum length of a message.
 const MaxMessageBytes = 256
 
 const (
@@ -30,12 +30,12 @@
 
 var (
 	errInvalid  = errors.New("gossip: expected version 1 with a known kind and its numbers")
-	errOld      = errors.New("gossip: sent too long ago, or by a clock that is ahead")
-	errRepeated = errors.New("gossip: repeated")
-	errFull     = errors.New("gossip: too many messages at once")
+	errOld      = errors.New("gossip: expected a time of sending within 2 s of this node's clock")
+	errRepeated = errors.New("gossip: expected a message that was not received before")
+	errFull     = errors.New("gossip: too many messages within 2 s")
 )
 
-// Encode encodes a message that is sent now, in Unix nanoseconds.
+// Encode encodes a message. now is the time of sending, in Unix nanoseconds.
 func Encode(m policy.GossipMessage, now int64) []byte {
 	sentMs := uint64(now / nanosPerMilli)
 	if m.IdleTime > 0 {
@@ -52,8 +52,8 @@
 	return encoded
 }
 
-// decode decodes a message and the time when it was sent, in Unix nanoseconds. It does not know which endpoints and
-// classes there are.
+// decode decodes a message and its time of sending, in Unix nanoseconds. It does not check whether the endpoint and the
+// class exist.
 func decode(encoded []byte) (m policy.GossipMessage, sentAt int64, err error) {
 	if len(encoded) < 2 || len(encoded) > MaxMessageBytes || encoded[0] != version {
 		return m, 0, errInvalid
--- a/internal/gossip/inbox.go
+++ b/internal/gossip/inbox.go
@@ -7,24 +7,23 @@
 )
 
 const (
-	maxAge        = 2000 * nanosPerMilli // of a message, and how far another clock may be ahead
-	minInterval   = 900 * nanosPerMilli  // between messages of one key, which are sent every second at most
+	maxAge        = 2000 * nanosPerMilli // of a message; also how far the sender's clock may be ahead
+	minInterval   = 900 * nanosPerMilli  // between messages of one key; a node sends one per second at most
 	maxRemembered = 8192                 // keys
 )
 
-// messageKey is what a message is about and who sent it. Idle times of a sender have one key, whatever their
-// length.
+// messageKey identifies the sender and the subject of a message. All idle times of a sender have the same key.
 type messageKey struct {
 	from, class int
 	endpoint    policy.EndpointID
 	idleTime    bool
 }
 
-// Inbox accepts each message once. The zero value has accepted none. An Inbox is not safe for concurrent use.
+// Inbox accepts each message once. The zero value is ready for use. An Inbox is not safe for concurrent use.
 type Inbox struct{ lastSent map[messageKey]int64 }
 
-// Open decodes a message that has come from a sender, which is known by a number, at a time in Unix nanoseconds. It
-// fails if the message is invalid, old or repeated.
+// Open decodes a message that was received from the sender with the given number, at a time in Unix nanoseconds. It
+// returns an error if the message is invalid, old or repeated, or if too many messages are remembered.
 func (b *Inbox) Open(from int, encoded []byte, now int64) (policy.GossipMessage, error) {
 	m, sentAt, err := decode(encoded)
 	if err != nil {
@@ -44,8 +43,8 @@
 	return m, nil
 }
 
-// makeRoom forgets keys whose messages would be rejected for their age alone, if there are too many; false: there
-// still are.
+// makeRoom ensures that another key can be remembered, if necessary by deleting keys whose messages would now be rejected
+// for their age. It returns false if there are still too many.
 func (b *Inbox) makeRoom(now int64) bool {
 	if b.lastSent == nil {
 		b.lastSent = map[messageKey]int64{}
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -1,60 +1,61 @@
-// Package idletimeout learns for how long a connection may have been idle and still be trusted, from those that were
-// dead when they were used. A single dead connection may have a cause of its own, so a node confirms an idle time only
-// after several in a row, and where nodes exchange confirmations, a quorum of them is needed to lower the limit: what
-// drops idle connections does so for many nodes. Times are in nanoseconds.
+// Package idletimeout estimates how long a connection may be idle and still be reused, from connections that turned out
+// to be dead when they were used. A single dead connection may have another cause, so a node confirms an idle time only
+// after several dead connections in a row. Where nodes exchange confirmations, lowering the limit takes a quorum of
+// them, because a middlebox or endpoint that drops idle connections does so for many nodes. Times are in nanoseconds.
 package idletimeout
 
 import "math"
 
 const (
-	// consecutiveDeadToConfirm is how many dead connections in a row confirm that idle ones are dropped.
+	// consecutiveDeadToConfirm is the number of dead connections in a row that confirm that idle ones are dropped.
 	consecutiveDeadToConfirm = 2
-	// trustedNumerator over trustedDenominator is the part of the idle time of a dead connection that is trusted still.
+	// trustedNumerator over trustedDenominator is the fraction of a dead connection's idle time that is still allowed.
 	trustedNumerator, trustedDenominator = 3, 4
-	// confirmationDecayPerSecond is the part of the confirmations that still counts a second later.
+	// confirmationDecayPerSecond is the fraction of the confirmations that still counts after a second.
 	confirmationDecayPerSecond = 0.5
-	// nodesPerConfirmation: the quorum is one confirmation for so many nodes, within about two seconds. It is a
-	// small part of the nodes, as each meets a dead connection seldom.
+	// nodesPerConfirmation is the number of nodes per confirmation needed for the quorum, within about two seconds. The
+	// quorum is a small fraction of the nodes, since each of them rarely encounters a dead connection.
 	nodesPerConfirmation = 25
-	// growthDivisor: the trusted time grows by this part of itself a second.
+	// growthDivisor: the limit grows by 1/growthDivisor of itself per second.
 	growthDivisor = 32
 )
 
-// Estimator is what one node knows. It starts with New and is not safe for concurrent use.
+// Estimator holds the estimate of one node. Create it with New. It is not safe for concurrent use.
 type Estimator struct {
-	// Limit is the idle time beyond which a connection is not to be used.
+	// Limit is the idle time in nanoseconds beyond which a connection must not be reused.
 	Limit           int64
-	lastDeadIdle    int64   // idle time of the last one that was dead
-	consecutiveDead int     // since one survived about as long
-	confirmations   float64 // decayed count, of this node and of others
+	lastDeadIdle    int64   // idle time of the last dead connection
+	consecutiveDead int     // dead connections since one was alive after a similar idle time
+	confirmations   float64 // decayed count, from this node and others
 }
 
-// New returns an estimator that trusts every connection.
+// New returns an estimator without a limit.
 func New() Estimator { return Estimator{Limit: math.MaxInt64} }
 
-// Reset trusts every connection again, for when new ones can't be opened.
+// Reset removes the limit, for use when new connections can't be opened.
 func (e *Estimator) Reset() {
 	e.Limit = math.MaxInt64
 	e.consecutiveDead = 0
 }
 
-// Survived takes in a connection that worked after an idle time; 0: it was not idle.
+// RecordAlive records that a connection worked after an idle time; 0: it was not idle.
 func (e *Estimator) RecordAlive(idle int64) {
 	if idle > 0 && idle >= e.lastDeadIdle/trustedDenominator*trustedNumerator {
 		e.consecutiveDead = 0
 	}
 }
 
-// Died takes in a connection that was dead after an idle time, and reports whether that confirms that connections of
-// this idle time are dropped; the caller then calls Confirm, and may tell other nodes.
+// RecordDead records that a connection was dead after an idle time, and reports whether this confirms that connections
+// of this idle time are dropped. If so, the caller calls Confirm and may send the confirmation to other nodes.
 func (e *Estimator) RecordDead(idle int64) bool {
 	e.lastDeadIdle = idle
 	e.consecutiveDead++
 	return e.consecutiveDead >= consecutiveDeadToConfirm
 }
 
-// Confirm counts a confirmation of this node or of another one, for an idle time, and lowers the limit once there is a
-// quorum: where nodes exchange them (gossiped), one for each nodesPerConfirmation of the nodes, else this one.
+// Confirm counts a confirmation for an idle time, of this node or another one, and lowers the limit once there is a
+// quorum. If nodes exchange confirmations (gossiped), the quorum is one for every nodesPerConfirmation nodes; otherwise
+// a single confirmation is enough.
 func (e *Estimator) Confirm(idle int64, gossiped bool, nodes int) {
 	needed := 1.0
 	if gossiped {
@@ -67,7 +68,7 @@
 	}
 }
 
-// Decay lets confirmations count for less and the limit grow back. The caller invokes it once a second.
+// Decay reduces the weight of confirmations and lets the limit grow back. The caller invokes it once a second.
 func (e *Estimator) Decay() {
 	e.confirmations *= confirmationDecayPerSecond
 	e.Limit += min(e.Limit/growthDivisor, math.MaxInt64-e.Limit)
--- a/internal/idletimeout/idletimeout_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -7,33 +7,33 @@
 func TestLimitLoweredByConsecutiveDeadConnections(t *testing.T) {
 	estimator := New()
 	if estimator.RecordDead(10 * second) {
-		t.Error("one dead connection confirms")
+		t.Error("one dead connection: got a confirmation, want none")
 	}
 	estimator.RecordAlive(9 * second)
 	if estimator.RecordDead(8 * second) {
-		t.Error("one lived nine seconds between two that were dead after ten and eight")
+		t.Error("a connection alive after 9 s of idle time between two dead ones: got a confirmation, want none")
 	}
 	estimator.RecordAlive(second)
 	if !estimator.RecordDead(8 * second) {
-		t.Error("two in a row do not confirm")
+		t.Error("two dead connections in a row: got no confirmation, want one")
 	}
 	if estimator.Confirm(8*second, true, 2*nodesPerConfirmation); estimator.Limit < 1e15 {
-		t.Error("one of two confirmations acts")
+		t.Error("one of the two confirmations of the quorum: got a lower limit, want it unchanged")
 	}
 	if estimator.Confirm(8*second, true, 2*nodesPerConfirmation); estimator.Limit != 6*second {
-		t.Errorf("trusted for %d ns, expected three quarters of eight seconds", estimator.Limit)
+		t.Errorf("after the quorum: got a limit of %d ns, want three quarters of 8 s", estimator.Limit)
 	}
 	for range 100 {
 		estimator.Decay()
 	}
 	if estimator.Limit < 60*second {
-		t.Errorf("100 s later trusted for %d ns", estimator.Limit)
+		t.Errorf("100 s later: got a limit of %d ns, want at least 60 s", estimator.Limit)
 	}
 	if estimator.Reset(); estimator != (Estimator{Limit: New().Limit, lastDeadIdle: 8 * second, confirmations: estimator.confirmations}) {
-		t.Errorf("restored to %+v", estimator)
+		t.Errorf("after Reset: got %+v, want no limit and no dead connections in a row", estimator)
 	}
-	estimator.Decay() // must not wrap around
+	estimator.Decay() // must not overflow
 	if estimator.Limit != New().Limit {
-		t.Errorf("full trust decayed to %d", estimator.Limit)
+		t.Errorf("Decay without a limit: got a limit of %d, want it unchanged", estimator.Limit)
 	}
 }
--- a/internal/keyfreq/keyfreq.go
+++ b/internal/keyfreq/keyfreq.go
@@ -1,16 +1,17 @@
-// Package keyfreq counts how often each key was asked for lately, and says at how many endpoints a key should be at
-// home.
+// Package keyfreq counts how often each affinity key was requested recently, and computes how many endpoints the
+// requests for a key should be spread over.
 package keyfreq
 
 import "fawnglade/internal/rendezvous"
 
 const (
-	maxKeys        = 1 << 16 // counted at once; any other counts as asked for once
-	decayPerSecond = 0.9     // part of a count that is left a second later
-	minCount       = 0.1     // a lower one is dropped
-	// affinityFactor is the number of homes over the key's part of all requests times the endpoints.
+	maxKeys        = 1 << 16 // counted at the same time; further keys are treated as requested once
+	decayPerSecond = 0.9     // fraction of a count that is left after a second
+	minCount       = 0.1     // keys with a lower count are dropped
+	// affinityFactor is the number of endpoints for a key, relative to the key's fraction of all requests times the
+	// number of endpoints.
 	affinityFactor = 1.5
-	// repeatLearningRate is the part of a request in the exponentially weighted average of repeated keys.
+	// repeatLearningRate is the weight of one request in the exponentially weighted average repeatFraction.
 	repeatLearningRate = 1.0 / 32
 )
 
@@ -18,11 +19,12 @@
 type Counter struct {
 	counts         map[uint64]float64 // decayed counts of requests, by the hash of the key
 	total          float64            // decayed count of all requests
-	repeatFraction float64            // average of requests whose key was known (1) or not (0)
+	repeatFraction float64            // moving average of whether the key of a request was counted already (1) or not (0)
 }
 
-// Observe counts a request for a key. It returns the key's hash, never 0, and at how many of so many endpoints it is at
-// home: as many as its part of the requests needs, since a popular key would overload a single one.
+// Observe counts a request for a key. It returns the key's hash, never 0, and the number of endpoints, out of the given
+// number, that requests for the key should go to. It is in proportion to the key's fraction of all requests, since a
+// popular key would overload a single endpoint.
 func (c *Counter) Observe(key string, endpoints int) (hash uint64, affinityCount int) {
 	if c.counts == nil {
 		c.counts = map[uint64]float64{}
@@ -37,11 +39,11 @@
 	if known || len(c.counts) < maxKeys {
 		c.counts[hash] = before + 1
 	}
-	// A key asked for once says little of its part; how many keys are repeated says how much.
+	// One request says little about a key's fraction of requests, so it counts by the fraction of keys that repeat.
 	return hash, 1 + int(affinityFactor*float64(endpoints)*(before+c.repeatFraction)/c.total)
 }
 
-// Decay lets earlier requests count for less. The caller invokes it once a second.
+// Decay reduces the weight of earlier requests. The caller invokes it once a second.
 func (c *Counter) Decay() {
 	c.total *= decayPerSecond
 	for key, count := range c.counts {
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,4 +1,4 @@
-// Package loadreport parses the load reports that endpoints send with their answers and to health checks.
+// Package loadreport parses the load reports that endpoints send in responses to requests and to health checks.
 package loadreport
 
 import (
@@ -9,9 +9,9 @@
 	"fawnglade/policy"
 )
 
-const unknown = -1 // a load that is not reported
+const unknown = -1 // value of a field that the endpoint did not report
 
-// Parse reads a report such as "util=0.4,queue=2,latency_ms=3.5". Unknown names and invalid values are skipped.
+// Parse parses a report such as "util=0.4,queue=2,latency_ms=3.5". Unknown names and invalid values are skipped.
 func Parse(text string) policy.LoadReport {
 	report := policy.LoadReport{Utilization: unknown, QueueLength: unknown, ServiceTime: unknown}
 	for pair := range strings.SplitSeq(text, ",") {
@@ -32,7 +32,7 @@
 	return report
 }
 
-// parseLoad reads a number that is finite and not negative.
+// parseLoad parses a number that is finite and not negative.
 func parseLoad(text string) (load float64, ok bool) {
 	load, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	return load, err == nil && load >= 0 && !math.IsInf(load, 0)
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,9 +1,10 @@
-// Package rendezvous orders endpoints by a hash of a key and each endpoint's ID, the highest first, so that all nodes
-// agree on the first choices for a key without messages (Thaler and Ravishankar, "Using name-based mappings to increase
-// hit rates", 1998). The hashes are the same in every build, or nodes of two builds would disagree.
+// Package rendezvous implements rendezvous hashing: endpoints are ordered by a hash of a key and the endpoint's ID, the
+// highest first, so that all nodes agree on the endpoints for a key without exchanging messages (Thaler and Ravishankar,
+// "Using name-based mappings to increase hit rates", 1998). The hashes must not change between builds, or nodes of
+// different builds would disagree.
 package rendezvous
 
-// FNV-1a and the finalizer of a 64-bit mixing function.
+// Constants of FNV-1a and of the finalizer of a 64-bit mixing function.
 const (
 	fnvOffset    = 14695981039346656037
 	fnvPrime     = 1099511628211
@@ -21,27 +22,27 @@
 	return h
 }
 
-// HashNumber returns a key hash for a number; small ones lie too close together to be hashes themselves.
+// HashNumber returns a key hash for a number. Small numbers lie too close together to be used as hashes themselves.
 func HashNumber(number int) uint64 { return uint64(number+1) * goldenRatio }
 
-// Score returns the order of an endpoint for a key hash, the higher the earlier.
+// Score returns the score of an endpoint for a key hash. Endpoints with a higher score are preferred.
 func Score(keyHash uint64, endpointID uint32) uint64 {
 	h := (keyHash ^ uint64(endpointID)*goldenRatio) * mixingFirst
 	h = (h ^ h>>31) * mixingSecond
 	return h ^ h>>29
 }
 
-// MaxTop is the most that Top finds.
+// MaxTop is the maximum number of items that Top finds.
 const MaxTop = 32
 
 // Top appends to found the n items with the highest scores, the highest first, and returns the result. It skips items
-// with a score of 0, and finds MaxTop at most.
+// with a score of 0 and appends at most MaxTop items.
 func Top[T any](found, items []T, n int, score func(T) uint64) []T {
 	n = min(n, MaxTop)
 	if n <= 0 {
 		return found
 	}
-	var scores [MaxTop]uint64 // of those found, in order
+	var scores [MaxTop]uint64 // of the items found so far, in descending order
 	count, first := 0, len(found)
 	for _, item := range items {
 		s := score(item)
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The first of ten endpoints is each one for a tenth of the keys, and never changes.
+// Each of ten endpoints must have the highest score for about a tenth of the keys, and scores must not change between
+// builds.
 func TestScoreIsEvenAndStable(t *testing.T) {
 	firstCounts := map[uint32]int{}
 	for i := range 10000 {
@@ -21,11 +22,11 @@
 	}
 	for id := range uint32(10) {
 		if firstCounts[id] < 850 || firstCounts[id] > 1150 {
-			t.Errorf("endpoint %d is first for %d of 10,000 keys, want about 1,000", id, firstCounts[id])
+			t.Errorf("endpoint %d: got the highest score for %d of 10,000 keys, want about 1,000", id, firstCounts[id])
 		}
 	}
 	if got := Score(HashKey("k"), 7); got != 9491779577457108501 {
-		t.Errorf("rank %d has changed: nodes of two builds would disagree", got)
+		t.Errorf("got score %d, want the one of earlier builds, as nodes of two builds would disagree", got)
 	}
 }
 
@@ -34,7 +35,7 @@
 	identity := func(r uint64) uint64 { return r }
 	for n, want := range [][]uint64{{3}, {3, 9}, {3, 9, 9}, {3, 9, 9, 7}, {3, 9, 9, 7, 5}, {3, 9, 9, 7, 5, 2}, {3, 9, 9, 7, 5, 2, 1}, {3, 9, 9, 7, 5, 2, 1}} {
 		if got := Top([]uint64{3}, scores, n, identity); !slices.Equal(got, want) {
-			t.Errorf("the first %d: %v, expected %v", n, got, want)
+			t.Errorf("Top with n=%d: got %v, want %v", n, got, want)
 		}
 	}
 }
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -8,9 +8,9 @@
 	"fawnglade/policy"
 )
 
-// The names of the settings and of their values, mapped to the fields of Settings and policy.Settings. Operators and
-// simulators write them, so they are fixed; an array of objects is PATH.count and PATH.0, PATH.1 and so on. Settings
-// are read in the order in which errors are found.
+// The names of the settings and of their values, mapped to the fields of Settings and policy.Settings. The names are
+// fixed, as operators and simulators write them. An array of objects consists of PATH.count, PATH.0, PATH.1 and so on.
+// Settings are read in a fixed order, and the first invalid one is reported.
 //
 //	profiles.N.name                Classes
 //	profiles.N.deadline_us         Deadlines, microseconds
@@ -21,7 +21,7 @@
 //	profiles.N.group               Class.DedupGroup, where keyed: all (fleet), zone or cell (pod)
 //	profiles.N.memory_span_us      Class.DedupWindow, where keyed, microseconds
 //	parties.N.name                 Tenants
-//	parties.N.portion              TenantShares, part of all requests
+//	parties.N.portion              TenantShares, fraction of all requests
 //	over_share_worth               OverQuotaFraction; 1 if missing
 //	goal.worst_class               WorstClassWeight, 0 to 1; 1 if missing
 //	value_by                       WeightByWork: work, or request (false)
@@ -44,7 +44,7 @@
 //	limits.retry_after             MaySetRetryAfter
 //	limits.max_retry_after_us      MaxRetryAfter, where that is set, microseconds
 //	limits.try_limit               MaxAttempts
-//	rules.cold_from                SlowStartMinCapacity, part of the full capacity
+//	rules.cold_from                SlowStartMinCapacity, fraction of the full capacity
 //	rules.warm_within_us           SlowStartWindow, microseconds
 //	limits.connect_timeout_us      ConnectTimeout, microseconds
 //	limits.idle_close_us           IdleTimeout, microseconds
@@ -59,9 +59,9 @@
 	}
 	weightByWorkOptions = []option[bool]{{"request", false}, {"work", true}}
 	mustPollListOptions = []option[bool]{{"push", false}, {"ask", true}}
-	// A weight that says how full an endpoint was a while ago is ignored: its load reports say it better.
+	// A weight that reflects an earlier load of the endpoint (live) is ignored, as load reports are more current.
 	weightIsSizeOptions = []option[bool]{{"off", false}, {"nominal", true}, {"rough", true}, {"live", false}}
-	// healthChecksReportOptions reports whether load reports come with health checks alone.
+	// healthChecksReportOptions says whether load reports come only in responses to health checks.
 	healthChecksReportOptions = []option[bool]{{"inline", false}, {"on_probe", true}, {"off", false}}
 )
 
@@ -71,8 +71,8 @@
 	reportedServiceTime = "latency_ms"
 )
 
-// The deduplication window is taken for shorter by this part of it, at most by maxDedupMargin: an attempt is judged
-// here and comes to its endpoint later.
+// The deduplication window is shortened by 1/dedupMarginDivisor of its length, at most by maxDedupMargin, since an
+// attempt reaches its endpoint later than this node decides to send it.
 const (
 	dedupMarginDivisor = 16
 	maxDedupMargin     = 50 * time.Millisecond
@@ -91,7 +91,7 @@
 	if zones := byPath["zones"]; zones != "" {
 		s.Zones = strings.Split(zones, ",")
 	}
-	// A simulator opens connections itself and may leave these out; a node checks that it has them.
+	// These are optional here, since a simulator opens connections itself; a node checks that they are set.
 	s.ConnectTimeout = v.durationOrZero("limits.connect_timeout_us")
 	s.IdleTimeout = v.durationOrZero("limits.idle_close_us")
 	s.DrainGrace = v.durationOrZero("rules.stop_sending_within_us")
@@ -136,7 +136,7 @@
 func readGoal(v *values, s *policy.Settings) {
 	s.OverQuotaFraction = v.numberOr("over_share_worth", 0, 1)
 	s.WorstClassWeight = v.numberOr("goal.worst_class", 0, 1)
-	// Nothing reads these two, but a value that is not a number is an error.
+	// Nothing uses these two settings, but a value that is not a number is an error.
 	v.numberOr("goal.nines_part", 0, 0)
 	v.numberOr("goal.top_nines", 0, 0)
 	if v.has("value_by") {
@@ -145,7 +145,7 @@
 }
 
 func readNode(v *values, s *policy.Settings) {
-	s.Zone = int(v.numberOr("zone", 0, 0)) // a deployment may have no zones
+	s.Zone = int(v.numberOr("zone", 0, 0)) // optional: a deployment may have no zones
 	s.NodeIndex = int(v.numberOr("position", 0, 0))
 	s.NodeCount = int(v.numberOr("group_size", 1, 1))
 	s.StreamsPerConnection = int(v.numberOr("limits.multiplex", 1, 1))
@@ -174,7 +174,7 @@
 	}
 }
 
-// readPermissions reads what the decisions may do, and the bounds of it.
+// readPermissions reads which actions the balancer may take, and their limits.
 func readPermissions(v *values, s *policy.Settings) {
 	s.RemovedMayServe = v.flag("rules.removal_not_binding")
 	s.KeyAffinity = v.flag("family_info.warm_keys")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings decodes the settings of a deployment, which come as a line of path=value pairs from a simulator and
-// as nested JSON at a node. It maps their names to the fields of the decisions (names.go). A setting that the decisions
-// need and that is missing is an error, as is a value that makes no sense; names that are not known are ignored.
+// Package settings decodes the settings of a deployment, which a simulator sends as a line of path=value pairs and a node
+// reads as nested JSON. It maps their names to the fields of policy.Settings (names.go). A missing required setting and
+// an invalid value are errors; unknown names are ignored.
 package settings
 
 import (
@@ -14,24 +14,23 @@
 	"fawnglade/policy"
 )
 
-// Settings holds what the decisions read, and what a node needs besides.
+// Settings holds the settings of the balancer, and those that a node needs in addition.
 type Settings struct {
-	// Policy is what the decisions read.
+	// Policy holds the settings of the balancer.
 	Policy policy.Settings
-	// Classes, Tenants and Zones are the names of what Policy refers to by number.
+	// Classes, Tenants and Zones are the names of the classes, tenants and zones that Policy refers to by number.
 	Classes, Tenants, Zones []string
-	// Deadlines is, by class, the time after its arrival at which the client of a request that states no deadline gives
-	// up.
+	// Deadlines holds, by class, the deadline of a request that states none, relative to its arrival.
 	Deadlines []time.Duration
-	// ConnectTimeout bounds the opening of a connection to an endpoint; 0: not stated.
+	// ConnectTimeout bounds the time to open a connection to an endpoint; 0: not set.
 	ConnectTimeout time.Duration
-	// IdleTimeout is the time after which an endpoint closes an idle connection; 0: not stated.
+	// IdleTimeout is the time after which an endpoint closes an idle connection; 0: not set.
 	IdleTimeout time.Duration
-	// DrainGrace is the time within which sends to a draining endpoint have to stop; 0: not stated.
+	// DrainGrace is the time within which attempts to a draining endpoint must stop; 0: not set.
 	DrainGrace time.Duration
 }
 
-// FromLine decodes path=value pairs that are separated by spaces. Its error names the first setting that is wrong.
+// FromLine decodes path=value pairs separated by spaces. The error names the first invalid setting.
 func FromLine(text string) (Settings, error) {
 	values := map[string]string{}
 	for _, pair := range strings.Fields(text) {
@@ -44,7 +43,7 @@
 	return decode(values)
 }
 
-// FromJSON decodes the nested form of the same settings. Its error names the first setting that is wrong.
+// FromJSON decodes the same settings from nested JSON. The error names the first invalid setting.
 func FromJSON(text []byte) (Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -57,7 +56,7 @@
 	return decode(values)
 }
 
-// flatten adds the leaves of a JSON value by their paths, as they are in the form of one line.
+// flatten adds the leaves of a JSON value under their paths, as FromLine reads them.
 func flatten(into map[string]string, path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -72,7 +71,7 @@
 	}
 }
 
-// flattenArray adds an array of objects by number, with its count, and any other as one value with commas.
+// flattenArray adds an array of objects as numbered paths and a count, and any other array as one comma-separated value.
 func flattenArray(into map[string]string, path string, array []any) {
 	var simple []string
 	for i, inner := range array {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,7 +22,7 @@
 	"profiles.1.repeat=keyed quantum_us=2000 report.fields=queue,util report.how=inline rules.ask_within_us=10000000 " +
 	"rules.cold_from=0.14 rules.warm_within_us=22000000 weights=off zone=1 zones=a,b"
 
-// Guards against a simulator and a node reading the same settings differently.
+// A simulator and a node must decode the same settings equally.
 func TestLineAndJSONDecodeEqually(t *testing.T) {
 	fromLine, err := FromLine(pathValueLine)
 	if err != nil {
@@ -33,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(fromLine, fromJSON) {
-		t.Errorf("the line gives\n%+v, the object\n%+v", fromLine, fromJSON)
+		t.Errorf("FromLine returned\n%+v\nFromJSON returned\n%+v\nwant equal settings", fromLine, fromJSON)
 	}
 	if len(fromJSON.Tenants) != 2 || fromJSON.Zones[1] != "b" || fromJSON.Deadlines[1] != 1500000000 || !fromJSON.Policy.ReportsUtilization ||
 		fromJSON.Policy.SlowStartMinCapacity != 0.14 || fromJSON.Policy.MaxRetryAfter != 1500*time.Millisecond {
-		t.Errorf("decoded %+v", fromJSON)
+		t.Errorf("got %+v, want the values of the JSON text", fromJSON)
 	}
 }
 
@@ -51,19 +51,19 @@
 		"":   "expected an object",
 	} {
 		if _, err := FromJSON([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q in it", err, want)
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
-// Guards against a deployment without zones, or one that does not say how soon sends have to stop, being refused.
+// Zones and the drain grace period are optional.
 func TestOptionalSettings(t *testing.T) {
 	got, err := FromJSON([]byte(strings.NewReplacer(`"zone":1,"zones":["a","b"],`, "").Replace(nestedJSON)))
 	if err != nil || got.Policy.Zone != 0 || got.Zones != nil || got.DrainGrace != 0 {
-		t.Errorf("%v, zone %d of %v, stop within %d", err, got.Policy.Zone, got.Zones, got.DrainGrace)
+		t.Errorf("without zones: got error %v, zone %d of %v, drain grace %d; want no error and zero values", err, got.Policy.Zone, got.Zones, got.DrainGrace)
 	}
 	got, err = FromJSON([]byte(strings.Replace(nestedJSON, `"rules":{`, `"rules":{"stop_sending_within_us":250000,`, 1)))
 	if err != nil || got.DrainGrace != 250e6 {
-		t.Errorf("%v, stop within %d", err, got.DrainGrace)
+		t.Errorf("got error %v, drain grace %d, want 250 ms", err, got.DrainGrace)
 	}
 }
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -8,17 +8,17 @@
 
 const (
 	maxNumber       = 1e18
-	maxMicroseconds = 9e15 // fits in nanoseconds
+	maxMicroseconds = 9e15 // such a time still fits in an int64 of nanoseconds
 	maxCount        = 10000
 )
 
-// values reads settings by their paths and keeps the first error.
+// values reads settings by path and keeps the first error.
 type values struct {
 	byPath map[string]string
 	err    error
 }
 
-// option is a word that is allowed as the value of a setting, and the value that it stands for.
+// option is one allowed text of a setting, and the value that it stands for.
 type option[T any] struct {
 	name  string
 	value T
@@ -40,7 +40,7 @@
 	return ok
 }
 
-// number reads a number that has to be there.
+// number reads a required number of at least minimum.
 func (v *values) number(path string, minimum float64) float64 {
 	n, err := strconv.ParseFloat(v.byPath[path], 64)
 	if err != nil || !(n >= minimum) || n > maxNumber {
@@ -57,7 +57,7 @@
 	return v.number(path, minimum)
 }
 
-// count reads the length of an array.
+// count reads the required length of an array.
 func (v *values) count(path string, minimum float64) int {
 	n := v.number(path, minimum)
 	if n > maxCount {
@@ -67,7 +67,7 @@
 	return int(n)
 }
 
-// duration reads a time in microseconds.
+// duration reads a required time in microseconds.
 func (v *values) duration(path string, minimum float64) time.Duration {
 	n := v.number(path, minimum)
 	if n > maxMicroseconds {
@@ -84,7 +84,7 @@
 	return v.duration(path, 0)
 }
 
-// flag reads a boolean; a missing one is false.
+// flag reads an optional boolean; the default is false.
 func (v *values) flag(path string) bool {
 	switch v.byPath[path] {
 	case "true":
@@ -98,7 +98,7 @@
 	return false
 }
 
-// choice reads one of a few words.
+// readOption reads a required setting that must be one of the options.
 func readOption[T any](v *values, path string, options []option[T]) T {
 	want := "one of"
 	for _, o := range options {
--- a/internal/simadapter/actions.go
+++ b/internal/simadapter/actions.go
@@ -9,7 +9,7 @@
 	"fawnglade/policy"
 )
 
-// action builds the line of one action in the session's memory.
+// action builds the line of one action in the session's buffer.
 type action struct{ session *session }
 
 func (i *instance) action(name string) action {
@@ -31,10 +31,10 @@
 
 func (a action) write() {
 	a.session.actionLine = append(a.session.actionLine, '\n')
-	a.session.out.Write(a.session.actionLine) //nolint:errcheck // the writer keeps its error until the batch is flushed
+	a.session.out.Write(a.session.actionLine) //nolint:errcheck // the writer keeps the error and returns it when the batch is flushed
 }
 
-// roundUpToMicroseconds makes no timer early and no wait zero.
+// roundUpToMicroseconds rounds up so that a timer is never early and a positive delay never becomes zero.
 func roundUpToMicroseconds(nanos int64) int64 {
 	return (nanos + nanosPerMicrosecond - 1) / nanosPerMicrosecond
 }
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -12,7 +12,7 @@
 	"fawnglade/policy"
 )
 
-// instance is the decisions of one simulated node.
+// instance is the balancer of one simulated node. It implements policy.Effects by writing actions to the simulator.
 type instance struct {
 	number   []byte
 	session  *session
@@ -21,8 +21,8 @@
 	inbox    gossip.Inbox
 }
 
-// instanceEvents are the events for one instance that has been configured. Each takes its fields, and nothing happens
-// if one of them is wrong.
+// instanceEvents maps the events for a configured instance to their handlers. A handler parses the fields of the event,
+// and has no effect if one of them is invalid.
 var instanceEvents = map[string]func(*instance, *fields) error{
 	eventEndpointsUpdate: (*instance).endpointsUpdated,
 	eventRequestArrived:  (*instance).requestArrived,
@@ -45,7 +45,7 @@
 	}
 	handle, known := instanceEvents[string(name)]
 	if !known {
-		return fmt.Errorf("%s: expected an event of the wire, got %q", fieldMessage, name)
+		return fmt.Errorf("%s: expected an event of the simulator protocol, got %q", fieldMessage, name)
 	}
 	i, err := s.findInstance(f)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return handle(i, f)
 }
 
-// instanceNumber takes the number of an instance.
+// instanceNumber parses the number of an instance.
 func instanceNumber(f *fields) ([]byte, error) {
 	number := f.token(fieldInstance)
 	if f.err != nil {
@@ -74,12 +74,12 @@
 	}
 	i := s.instances[string(number)]
 	if i == nil {
-		return nil, fmt.Errorf("%s: expected an instance that was configured, got %q", fieldInstance, number)
+		return nil, fmt.Errorf("%s: expected the number of a configured instance, got %q", fieldInstance, number)
 	}
 	return i, nil
 }
 
-// configure starts an instance, in place of an earlier one with its number.
+// configure creates an instance. It replaces an earlier one with the same number.
 func (s *session) configure(f *fields) error {
 	number, err := instanceNumber(f)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// readEndpointList reads an endpoint list, for the instances that are referred to it later.
+// readEndpointList reads an endpoint list, which later updates of instances refer to by its number.
 func (s *session) readEndpointList(f *fields) error {
 	number, count := f.listNumber(), f.unsigned(fieldListLength, 32)
 	if f.err != nil {
@@ -139,7 +139,7 @@
 		ID:   policy.EndpointID(f.unsigned(fieldEndpoint, 32)),
 		Zone: int(f.unsigned(fieldZone, 31)),
 	}
-	f.unsigned(fieldHostKind, 31) // nothing is decided on kinds of machines
+	f.unsigned(fieldHostKind, 31) // the balancer does not use the kind of the host
 	endpoint.Pod = int(f.unsigned(fieldPod, 31))
 	state := f.token(fieldState)
 	var known bool
@@ -152,7 +152,7 @@
 	return endpoint, f.err
 }
 
-// reportPanic, when deferred, reports a panic in the decisions as the simulator wants it.
+// reportPanic, when deferred, recovers from a panic in the balancer and reports it to the simulator.
 func (i *instance) reportPanic() {
 	if recovered := recover(); recovered != nil {
 		text := bytes.ReplaceAll(fmt.Append(nil, recovered), []byte{'\n'}, []byte{' '})
@@ -179,7 +179,7 @@
 	}
 	list := i.session.endpointLists[number]
 	if !list.defined {
-		return fmt.Errorf("%s: expected a list that was given, got %d", fieldListNumber, number)
+		return fmt.Errorf("%s: expected the number of a defined list, got %d", fieldListNumber, number)
 	}
 	i.balancer.EndpointsUpdated(i.session.now, list.endpoints, form != updateIncremental)
 	return nil
@@ -202,13 +202,13 @@
 		return f.err
 	}
 	if request.Class >= i.classes {
-		return fmt.Errorf("%s: expected a category of the settings, got %d", fieldClass, request.Class)
+		return fmt.Errorf("%s: expected the number of a class in the settings, got %d", fieldClass, request.Class)
 	}
 	i.balancer.RequestArrived(i.session.now, request)
 	return nil
 }
 
-// responseStarted ignores the begin of an answer, which decides nothing.
+// responseStarted ignores the start of a response, which the balancer does not use.
 func (i *instance) responseStarted(f *fields) error { return f.err }
 
 func (i *instance) attemptEnded(f *fields) error {
@@ -266,7 +266,7 @@
 	}
 	message, err := i.inbox.Open(peer, encoded, int64(i.session.now))
 	if err != nil {
-		i.session.ignoredGossip++ // no message of a peer may end this process
+		i.session.ignoredGossip++ // an invalid message from a peer must not end this process
 		return nil
 	}
 	i.balancer.GossipReceived(i.session.now, message)
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -10,10 +10,10 @@
 	"fawnglade/policy"
 )
 
-// nanosPerMicrosecond converts the protocol's times.
+// nanosPerMicrosecond converts the times of the protocol, which are in microseconds.
 const nanosPerMicrosecond = 1000
 
-// fields takes the values of one line in turn and keeps the first error.
+// fields parses the values of one line in order and keeps the first error.
 type fields struct {
 	rest []byte
 	err  error
@@ -25,7 +25,7 @@
 	}
 }
 
-// word takes the next value, which must not be empty.
+// token returns the next value, which must not be empty.
 func (f *fields) token(field string) []byte {
 	token, rest, _ := bytes.Cut(f.rest, []byte{' '})
 	if len(token) == 0 {
@@ -35,7 +35,7 @@
 	return token
 }
 
-// optional takes the next value; "" if it is missing or "-".
+// optionalToken returns the next value, or "" if it is missing or "-".
 func (f *fields) optionalToken() string {
 	token, rest, _ := bytes.Cut(f.rest, []byte{' '})
 	f.rest = rest
@@ -45,7 +45,7 @@
 	return string(token)
 }
 
-// skipAbsent reports whether the next value is missing or "-", and takes it then.
+// skipAbsent reports whether the next value is missing or "-", and if so skips it.
 func (f *fields) skipAbsent() bool {
 	if len(f.rest) == 0 {
 		return true
@@ -73,7 +73,7 @@
 	return f.unsigned(field, bits)
 }
 
-// time takes a time in microseconds and returns it in nanoseconds.
+// time parses a time in microseconds and returns it in nanoseconds.
 func (f *fields) time(field string) int64 {
 	token := f.token(field)
 	v, err := strconv.ParseInt(string(token), 10, 64)
@@ -119,7 +119,7 @@
 	return v
 }
 
-// loadReport takes a load report; it skips names that it doesn't know and values that can't be a load.
+// loadReport parses a load report. It skips unknown names, and values that are negative or not finite.
 func (f *fields) loadReport() policy.LoadReport {
 	report := policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}
 	if f.skipAbsent() {
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -12,7 +12,7 @@
 	"fawnglade/policy"
 )
 
-// settingsLines turn on what one line can't hold at once.
+// settingsLines together cover settings that exclude each other in one line.
 var settingsLines = []string{
 	settingsLine,
 	strings.NewReplacer(
@@ -23,7 +23,7 @@
 		" rules.removal_not_binding=true profiles.0.late_worth=0.5 profiles.0.worth=5.0 profiles.1.worth=8.0 zones=x,y limits.idle_close_us=5000000",
 }
 
-// conversation draws what a simulator would say to instances, whatever they answer.
+// simulatorInput generates random events of a simulator. It does not depend on the replies.
 func simulatorInput(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var b strings.Builder
@@ -57,7 +57,7 @@
 			fmt.Fprintf(&b, "RESOLVED %d t%d %d %d 0 %s %d latency_ms:%d,util:0.%d,queue:%d,new:1\n", instanceIndex, max(0, n-2*random.IntN(3)), 500+random.IntN(40_000), 100+random.IntN(6),
 				outcomes[random.IntN(len(outcomes))], attempt, 1+random.IntN(30), random.IntN(10), random.IntN(4))
 		}
-		for attempt := range 3 { // whatever is still out of an earlier one is ended
+		for attempt := range 3 { // end all attempts of an earlier request that are still in flight
 			fmt.Fprintf(&b, "RESOLVED %d t%d 30000 %d 0 Ok %d -\n", instanceIndex, max(0, n-8), 100+random.IntN(6), attempt)
 		}
 		switch random.IntN(12) {
@@ -92,8 +92,8 @@
 	return b.String()
 }
 
-// TestGoldenReplies holds the replies to the simulator to the bytes of earlier builds, with every event and both
-// kinds of settings.
+// TestGoldenReplies compares the replies to the simulator with the golden file, for every event and both lines of
+// settings.
 func TestGoldenReplies(t *testing.T) {
 	out, errorText, code := serve(simulatorInput(53))
 	if code != 0 {
@@ -101,7 +101,7 @@
 	}
 	for _, action := range []string{"ISSUE", "RECALL", "BUSY", "FINISH_ERROR", "AFTER", "OBSERVE", "ANNOUNCE", "TEST", "RELEASE"} {
 		if !strings.Contains(out, action+" ") {
-			t.Errorf("no %s among the replies", action)
+			t.Errorf("got no %s among the replies, want the input to lead to every action", action)
 		}
 	}
 	golden.Check(t, "conversation.txt", []byte(out+errorText))
--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -2,7 +2,7 @@
 
 import "fawnglade/policy"
 
-// The words of the simulator's protocol, in the field's terms. They are fixed by the simulator.
+// The names in the simulator's protocol, which the simulator defines. The constants are named in the terms of this project.
 
 // Messages that frame a batch.
 const (
@@ -15,8 +15,8 @@
 const (
 	eventConfigure       = "CONFIGURE"
 	eventStop            = "STOP"
-	eventList            = "CATALOG" // an endpoint list, in lines that follow
-	lineEndpoint         = "SERVER"  // one line of it
+	eventList            = "CATALOG" // an endpoint list; its entries follow, one per line
+	lineEndpoint         = "SERVER"  // one entry of an endpoint list
 	eventEndpointsUpdate = "REGISTRY"
 	eventRequestArrived  = "REQ"
 	eventResponseStarted = "OPENED"
@@ -44,7 +44,7 @@
 	watchOn     = 1
 )
 
-// Fields, by the names that error messages use.
+// Names of fields, for error messages.
 const (
 	fieldMessage       = "message"
 	fieldClock         = "clock"
@@ -84,7 +84,8 @@
 	flagClientRetry = 2
 )
 
-// Forms of eventEndpointsUpdate: the complete list, what changed, the list that the node kept on disk, or no list.
+// Forms of eventEndpointsUpdate: the complete list, the changed entries, the list that the node had stored on disk, or a
+// failed call without a list.
 const (
 	updateComplete    = "FULL"
 	updateIncremental = "INCREMENTAL"
@@ -99,7 +100,7 @@
 	reportServiceTime = "latency_ms"
 )
 
-// outcomes by their words; any other is policy.OutcomeUnknown.
+// outcomes maps the protocol's outcomes; any other is policy.OutcomeUnknown.
 var outcomes = map[string]policy.Outcome{
 	"Ok":           policy.OutcomeSucceeded,
 	"Failed":       policy.OutcomeError,
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -1,6 +1,6 @@
-// Package simadapter runs many independent instances of the decisions for a simulator, which it talks to in lines on
-// its standard input and output. The simulator sends batches of events with a clock and reads the actions that they
-// lead to. The words of that protocol, its microseconds and its list numbers end here.
+// Package simadapter runs many independent balancers for a simulator, over a line-based protocol on standard input and
+// output. The simulator sends batches of events with the current time, and reads the resulting actions. The package
+// translates the protocol's names, microseconds and list numbers, so that no other package depends on them.
 package simadapter
 
 import (
@@ -18,27 +18,28 @@
 	maxLineBytes     = 8 << 20
 	inputBuffer      = 1 << 20
 	outputBuffer     = 1 << 18
-	maxEndpointLists = 16 // endpoint lists that the simulator may refer to
+	maxEndpointLists = 16 // list numbers that the simulator may use
 
-	// gcPercent trades memory, of which little is used, for the collector's time, which counts as the nodes'.
+	// gcPercent trades memory, of which little is used, for less time in garbage collection, which the simulator counts
+	// as processor time of the nodes.
 	gcPercent = 400
 )
 
-// session is one conversation with a simulator.
+// session is the connection to one simulator.
 type session struct {
 	in            *bufio.Reader
 	out           *bufio.Writer
-	instances     map[string]*instance // by the simulator's number
+	instances     map[string]*instance // by the simulator's number for them
 	endpointLists [maxEndpointLists]endpointList
 	now           policy.Time
-	line          int // of the input, for error messages
+	line          int // number of the last line read, for error messages
 
-	ignoredGossip int    // between instances, that were no valid gossip
-	actionLine    []byte // memory of the action that is written
-	longLine      []byte // memory of a line that exceeds the input buffer
+	ignoredGossip int    // gossip messages that were invalid, old or repeated
+	actionLine    []byte // buffer for the action being written
+	longLine      []byte // buffer for a line that exceeds the input buffer
 }
 
-// endpointList is an endpoint list under one of the simulator's numbers.
+// endpointList is an endpoint list that the simulator has sent; not defined: none was sent under this number.
 type endpointList struct {
 	endpoints []policy.EndpointInfo
 	defined   bool
@@ -74,7 +75,7 @@
 	fmt.Fprintf(out, "benchlink: "+format+"\n", arguments...) //nolint:errcheck // there is no other output for errors
 }
 
-// batch handles one batch of events; it returns io.EOF at the end of the input.
+// handleBatch handles one batch of events. It returns io.EOF at the end of the input.
 func (s *session) handleBatch() error {
 	text, err := s.readLine()
 	if err != nil {
@@ -91,7 +92,7 @@
 	for {
 		text, err = s.readLine()
 		if errors.Is(err, io.EOF) {
-			return fmt.Errorf("%s: expected %s, the input ends within a batch", fieldMessage, messageEndOfBatch)
+			return fmt.Errorf("%s: expected %s, got the end of the input within a batch", fieldMessage, messageEndOfBatch)
 		}
 		if err != nil {
 			return err
@@ -111,7 +112,7 @@
 	return s.out.Flush()
 }
 
-// readLine returns the next line without its end. It is valid until the next call.
+// readLine returns the next line without its line break. The slice is valid until the next call.
 func (s *session) readLine() ([]byte, error) {
 	line, err := s.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -123,7 +124,7 @@
 	}
 	s.line++
 	if errors.Is(err, io.EOF) && len(line) > 0 {
-		return nil, errors.New("expected a whole line, the input ends within it")
+		return nil, errors.New("expected a complete line, got the end of the input within it")
 	}
 	if err != nil {
 		return nil, err
@@ -131,8 +132,8 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte{'\r'}), nil
 }
 
-// readLongLine reads the rest of a line that exceeds the input buffer; it returns bufio.ErrBufferFull for one that is
-// too long.
+// readLongLine reads the rest of a line that exceeds the input buffer. It returns bufio.ErrBufferFull if the line is
+// longer than maxLineBytes.
 func (s *session) readLongLine(start []byte) ([]byte, error) {
 	s.longLine = append(s.longLine[:0], start...)
 	err := bufio.ErrBufferFull
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -35,29 +35,29 @@
 	for name, c := range map[string]struct{ in, out string }{
 		"empty batch": {"BEGIN_BATCH 8412250\nEOB\n", "DONE\n"},
 		"start":       {startBatch, startReplies},
-		"killed and started again in one batch": {
+		"stopped and configured again in one batch": {
 			startBatch + "BEGIN_BATCH 1500000\nSTOP 3\nCONFIGURE 3 43 " + settingsLine + "\nREGISTRY 3 SAVED 41 0\nEOB\n",
 			startReplies + "AFTER 3 2500000 1\nOBSERVE 3 1\nDONE\n",
 		},
-		"a request goes out and is answered": {
+		"a request is sent and answered": {
 			startBatch + request + "BEGIN_BATCH 1020000\nRESOLVED 3 aa 18500 51530247 1 Ok 0 latency_ms:14.5,util:0.6,new:1\nEOB\n",
 			startReplies + "ISSUE 3 aa 51530247 1958750\nDONE\nDONE\n",
 		},
-		"a rejection proves harmless after a full queue": {
+		"a request is rejected after a full queue, as it was not executed": {
 			startBatch + request + "BEGIN_BATCH 1020000\nRESOLVED 3 aa 500 51530247 0 QueueFull 0 -\nEOB\n",
 			startReplies + "ISSUE 3 aa 51530247 1958750\nDONE\nBUSY 3 aa 500000\nDONE\n",
 		},
-		"an unknown outcome may have run": {
+		"a request with an unknown outcome fails, as it may have been executed": {
 			startBatch + requestWithCostHint +
 				"BEGIN_BATCH 1020000\nRESOLVED 3 aa 500 51530247 0 Melted 0 util:-1,latency_ms:NaN\nEOB\n",
 			startReplies + "ISSUE 3 aa 51530247 1466562\nDONE\nFINISH_ERROR 3 aa\nDONE\n",
 		},
-		"a stream, a withdrawal and an answer began for a request no longer held": {
+		"a client leaves, and responses start for unknown requests": {
 			startBatch + requestWithCostHint +
 				"BEGIN_BATCH 1020000\nOPENED 3 aa 0 51530247 100\nWITHDRAWN 3 aa\nWITHDRAWN 3 aa\nOPENED 3 bb 0 1 1\nEOB\n",
 			startReplies + "ISSUE 3 aa 51530247 1466562\nDONE\nRECALL 3 aa 0\nDONE\n",
 		},
-		"a list number used again within a batch": {
+		"a list number reused within a batch": {
 			startBatch + "BEGIN_BATCH 1000000\nCATALOG 0 1\nSERVER 51530247 0 0 0 left 1 -\nREGISTRY 3 INCREMENTAL 42 0\n" +
 				"CATALOG 0 1\nSERVER 7 0 0 0 active 1.5 -\nREGISTRY 3 INCREMENTAL 43 0\nREQ 3 aa 0 - 9000000 - - -\nEOB\n",
 			startReplies + "ISSUE 3 aa 7 1958750\nDONE\n",
@@ -68,7 +68,7 @@
 		},
 	} {
 		if out, errorText, code := serve(c.in); out != c.out || errorText != "" || code != 0 {
-			t.Errorf("%s: exit %d, error output %q, replies\n%swant\n%s", name, code, errorText, out, c.out)
+			t.Errorf("%s: got exit code %d, error output %q, replies\n%swant replies\n%s", name, code, errorText, out, c.out)
 		}
 	}
 }
@@ -78,18 +78,18 @@
 	for in, want := range map[string]string{
 		"HELLO\n":                    "line 1: message: expected BEGIN_BATCH",
 		"BEGIN_BATCH soon\n":         "line 1: clock: expected a time",
-		"BEGIN_BATCH 1\n":            "expected EOB, the input ends",
-		"BEGIN_BATCH 1":              "expected a whole line",
+		"BEGIN_BATCH 1\n":            "expected EOB, got the end of the input",
+		"BEGIN_BATCH 1":              "expected a complete line",
 		batch + "MAIL 3\n":           "line 8: message: expected an event",
 		batch + "STOP x\n":           "line 8: who: expected a whole number",
-		batch + "STOP 4\n":           "line 8: who: expected an instance",
+		batch + "STOP 4\n":           "line 8: who: expected the number of a configured instance",
 		batch + "REQ 3 aa\n":         "line 8: band: expected",
-		batch + "REQ 3 aa 9 0 1\n":   "line 8: band: expected a category",
+		batch + "REQ 3 aa 9 0 1\n":   "line 8: band: expected the number of a class",
 		batch + "REQ 3 aa 0 0 x\n":   "line 8: client_deadline_us: expected",
 		batch + "CATALOG 16 0\n":     "line 8: sheet: expected a number from 0 to 15",
 		batch + "CATALOG 1 1\nEOB\n": "line 9: message: expected SERVER",
 		batch + "CATALOG 1 1\nSERVER 1 0 0 0 asleep 1 -\n":            "line 9: condition: expected active",
-		batch + "REGISTRY 3 FULL 1 5\n":                               "line 8: sheet: expected a list that was given, got 5",
+		batch + "REGISTRY 3 FULL 1 5\n":                               "line 8: sheet: expected the number of a defined list, got 5",
 		batch + "REGISTRY 3 SOME 1 0\n":                               "line 8: form: expected",
 		batch + "PEER 3 1 a%k\n":                                      "line 8: octets: expected base64",
 		batch + "RESOLVED 3 aa 1 1 2 Ok 0 -\n":                        "line 8: over: expected 1 or 0",
@@ -101,12 +101,12 @@
 	} {
 		_, errorText, code := serve(in)
 		if code == 0 || !strings.Contains(errorText, want) || strings.Count(errorText, "\n") != 1 {
-			t.Errorf("%q: exit %d, error output %q, want %q", in[max(0, len(in)-40):], code, errorText, want)
+			t.Errorf("%q: got exit code %d, error output %q; want an error with %q on one line", in[max(0, len(in)-40):], code, errorText, want)
 		}
 	}
 }
 
-// Guards against a peer ending this process, or invalid gossip passing unseen.
+// Invalid or repeated gossip must not end the process, and is counted in the error output.
 func TestInvalidGossipIsCounted(t *testing.T) {
 	message := base64.StdEncoding.EncodeToString(gossip.Encode(
 		policy.GossipMessage{Endpoint: 51530247}, 1000000*nanosPerMicrosecond,
@@ -114,6 +114,6 @@
 	in := startBatch + "BEGIN_BATCH 1000001\nPEER 3 1 " + message + "\nPEER 3 1 " + message + "\nPEER 3 2 aGk=\nPEER 3 1 -\nEOB\n"
 	out, errorText, code := serve(in)
 	if !strings.HasSuffix(out, "DONE\n") || errorText != "benchlink: 3 messages passed over\n" || code != 0 {
-		t.Errorf("exit %d, error output %q", code, errorText)
+		t.Errorf("got exit code %d, error output %q; want 0 and 3 ignored messages", code, errorText)
 	}
 }
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package timerqueue is a queue of timers ordered by time. It has no clock: the caller passes the time to each call, in
-// nanoseconds of any one clock. A Queue is not safe for concurrent use.
+// Package timerqueue implements a priority queue of timers ordered by time. It reads no clock: the caller passes the
+// time to each call, in nanoseconds of one clock of its choice. A Queue is not safe for concurrent use.
 package timerqueue
 
 import "container/heap"
@@ -25,10 +25,10 @@
 	return last
 }
 
-// Set adds a timer, which Due returns by its cookie.
+// Add adds a timer that is due at the given time. PopDue returns its ID.
 func (q *Queue) Add(at int64, id uint64) { heap.Push(&q.timers, timer{at, id}) }
 
-// Due removes the earliest timer if its time has come.
+// PopDue removes the earliest timer if it is due, and returns its ID.
 func (q *Queue) PopDue(now int64) (id uint64, due bool) {
 	if len(q.timers) == 0 || q.timers[0].at > now {
 		return 0, false
@@ -36,7 +36,7 @@
 	return heap.Pop(&q.timers).(timer).id, true
 }
 
-// Wait is the time until the earliest timer; ifEmpty without any.
+// UntilNext returns the nanoseconds until the earliest timer is due, or ifEmpty if there are no timers.
 func (q *Queue) UntilNext(now, ifEmpty int64) int64 {
 	if len(q.timers) == 0 {
 		return ifEmpty
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -9,7 +9,7 @@
 func TestPopDueReturnsTimersInOrder(t *testing.T) {
 	var q Queue
 	if _, due := q.PopDue(1 << 60); due || q.UntilNext(5, 100) != 100 {
-		t.Error("an empty queue has something due")
+		t.Error("an empty queue: want no timer due and ifEmpty from UntilNext")
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	var added, popped []uint64
@@ -21,16 +21,16 @@
 	for now := int64(0); now < 1000; now++ {
 		for id, due := q.PopDue(now); due; id, due = q.PopDue(now) {
 			if int64(id) != now {
-				t.Fatalf("at %d a timer for %d is due", now, id)
+				t.Fatalf("at %d: got a timer set for %d", now, id)
 			}
 			popped = append(popped, id)
 		}
 		if wait := q.UntilNext(now, 1<<40); wait <= 0 {
-			t.Fatalf("at %d a wait of %d", now, wait)
+			t.Fatalf("at %d: got %d until the next timer, want more than 0", now, wait)
 		}
 	}
 	slices.Sort(added)
 	if !slices.Equal(added, popped) {
-		t.Error("not all timers were due")
+		t.Error("the timers popped differ from the timers added")
 	}
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile decodes the program's TOML files strictly, and reports all problems of a file at once, each with the
-// file, the key, what was expected and what was found.
+// Package tomlfile decodes TOML files strictly. It reports all problems of a file at once, each with the file, the key,
+// the expected and the actual value.
 package tomlfile
 
 import (
@@ -11,24 +11,24 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Problems collects what is wrong with one file.
+// Problems collects the problems of one file.
 type Problems struct {
 	path     string
 	problems []error
 }
 
-// Require adds a problem unless a condition holds.
+// Require adds a problem with a key unless the condition is true.
 func (p *Problems) Require(condition bool, key, want string, found any) {
 	if !condition {
 		p.problems = append(p.problems, fmt.Errorf("%s: %s: expected %s, found %v", p.path, key, want, found))
 	}
 }
 
-// Err is all problems, one a line, or nil.
+// Err returns all problems joined, one per line, or nil if there are none.
 func (p *Problems) Err() error { return errors.Join(p.problems...) }
 
-// Decode decodes a file's text. Text that is no TOML, or has a value of another type, is an error; an unknown key is a
-// problem, which refers to the page that documents all keys.
+// Decode decodes a file's text into a value. Invalid TOML and a value of the wrong type are errors. Unknown keys are added
+// to the returned problems, with a reference to the page that documents all keys.
 func Decode(path string, text []byte, into any, page string) (*Problems, error) {
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
