--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,4 @@
-// Benchlink runs the decisions for a simulator that speaks to it on standard input and output.
+// Benchlink runs balancers for a simulator, which controls it over standard input and output.
 package main
 
 import (
--- a/cmd/fawnglade/check.go
+++ b/cmd/fawnglade/check.go
@@ -7,7 +7,7 @@
 )
 
 func checkCommand() *cobra.Command {
-	c := &cobra.Command{Use: "check", Short: "Check a configuration without starting", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "check", Short: "Check a configuration without starting a node", Args: cobra.NoArgs}
 	configPath := configFlag(c)
 	featuresPath := featuresFlag(c)
 	c.RunE = func(c *cobra.Command, _ []string) error {
--- a/cmd/fawnglade/config.go
+++ b/cmd/fawnglade/config.go
@@ -9,22 +9,22 @@
 	"github.com/spf13/cobra"
 )
 
-var errNoConfig = errors.New("no configuration: give --config or set NODE_CONFIG")
+var errNoConfig = errors.New("no configuration file: expected --config or NODE_CONFIG")
 
-// configFlag adds --config to a command and returns its value, which is there once the command runs.
+// configFlag adds --config to a command and returns a pointer to its value, which is set when the command runs.
 func configFlag(c *cobra.Command) *string {
 	return c.Flags().String("config", os.Getenv("NODE_CONFIG"),
-		"configuration file; by default the one that NODE_CONFIG names")
+		"configuration file (default: the value of NODE_CONFIG)")
 }
 
-// featuresFlag adds --features to a command, likewise.
+// featuresFlag adds --features to a command and returns a pointer to its value, which is set when the command runs.
 func featuresFlag(c *cobra.Command) *string {
 	return c.Flags().String("features", os.Getenv("NODE_FEATURES"),
-		"file of the features beyond the platform's protocol, as deploy/features.toml; "+
-			"by default the one that NODE_FEATURES names, if any")
+		"file that turns on optional features, see deploy/features.toml "+
+			"(default: the value of NODE_FEATURES, if set)")
 }
 
-// readConfig reads and checks a node's configuration, and its features file unless that path is empty.
+// readConfig reads and checks a node's configuration, and its features file unless featuresPath is empty.
 func readConfig(path, featuresPath string) (*node.Config, error) {
 	if path == "" {
 		return nil, errNoConfig
--- a/cmd/fawnglade/deploy_test.go
+++ b/cmd/fawnglade/deploy_test.go
@@ -8,8 +8,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The standing test loads a library of its own into the node, which a statically linked one would never notice: it
-// would serve in real time, on sockets where nobody calls. So what is built has to be one program everywhere.
+// The platform's acceptance test loads a shared library into the node that replaces its clock and sockets. A statically
+// linked node would ignore the library: it would run in real time, on sockets that receive no requests. So the build
+// command must link against the C library, and must be the same in all files.
 func TestBuildCommandIsTheSameEverywhere(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -20,14 +21,14 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(deploy.Build, "CGO_ENABLED=1 go build -ldflags=-linkmode=external ") {
-		t.Errorf("build = %q: not linked against the C library", deploy.Build)
+		t.Errorf("got build = %q, want it linked against the C library", deploy.Build)
 	}
 	if !strings.HasPrefix(deploy.Run, "exec ") || strings.ContainsAny(deploy.Run, ";|&") {
-		t.Errorf("run = %q: does not end in one process by exec", deploy.Run)
+		t.Errorf("got run = %q, want a single command that is started by exec", deploy.Run)
 	}
 	for _, file := range []string{"../../README.md", "../../Makefile", "../../.ci/run", "../../docs/operate/lab.md"} {
 		if text, err := os.ReadFile(file); err != nil || !strings.Contains(string(text), deploy.Build) {
-			t.Errorf("%s does not build as the deploy file does (%v): %s", file, err, deploy.Build)
+			t.Errorf("%s: want the build command of deploy/balancer.toml in it (%v): %s", file, err, deploy.Build)
 		}
 	}
 }
--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -16,10 +16,11 @@
 	"time"
 )
 
-// What a node has descriptors for while idle clients hold all that they can get: the list watch, attempts, admin calls,
-// another process of the node. The system gives each process no more descriptors than its configuration says.
+// The tests in this file check that a node has file descriptors left for the list watch, attempts, admin calls and a
+// second process of the node while idle clients use all that they can get. The processes run with a descriptor limit
+// (ulimit) equal to the configured one.
 
-// freeAddress is an address at which nobody listens now.
+// freeAddress returns an address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +31,8 @@
 	return l.Addr().String()
 }
 
-// idleClients are clients that connect, send nothing and reconnect at once when they are closed, until the test ends.
+// idleClients are clients that connect, send nothing, and reconnect immediately when their connection is closed, until
+// the test ends.
 type idleClients struct {
 	open, closedByNode atomic.Int64
 	stop               chan struct{}
@@ -78,7 +80,7 @@
 	c.done.Wait()
 }
 
-// startUpstream starts an upstream that answers after a time, and closes connections beyond a number without a
+// startUpstream starts an upstream that responds after a delay, and closes connections beyond maxConns without a
 // response.
 func startUpstream(t *testing.T, maxConns int64, delay time.Duration) string {
 	t.Helper()
@@ -112,20 +114,21 @@
 	return strings.Join(entries, ",")
 }
 
-// openDescriptors is how many descriptors a process has open now.
+// openDescriptors returns the number of file descriptors that a process has open.
 func openDescriptors(pid int) int {
 	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(entries)
 }
 
-// limitedNode is the process of one node, with no more descriptors than its configuration says.
+// limitedNode is a node's process whose descriptor limit is that of its configuration.
 type limitedNode struct {
 	*exec.Cmd
 	adminAddress string
 	logPath      string
 }
 
-// startLimitedNode starts a node's process; door is the listening socket for clients that it inherits, or nil.
+// startLimitedNode starts a node's process and waits until it is ready. listenerFile is the listening socket for clients
+// that it inherits, or nil.
 func startLimitedNode(t *testing.T, descriptorLimit int, discoveryMode, listen, discovery, tempDir string, listenerFile *os.File, upstreams []string,
 	extraArgs ...string,
 ) *limitedNode {
@@ -137,7 +140,7 @@
 		`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, discoveryMode),
 		`"ask_within_us":10000000`, `"ask_within_us":1000000`,
 		`"connect_timeout_us":75000`, `"connect_timeout_us":5000000`,
-		`300000`, `20000000`, `100000`, `20000000`).Replace(config) // nothing here is about time
+		`300000`, `20000000`, `100000`, `20000000`).Replace(config) // timeouts that these tests never reach
 	from, to := strings.Index(text, `"known"`), strings.Index(text, `"settings"`)
 	text = text[:from] + fmt.Sprintf(`"known":{"seq":1,"whole":true,"hosts":[%s]},`,
 		listEntries("up", upstreams...)) + text[to:]
@@ -154,19 +157,19 @@
 	}
 	defer log.Close()
 	if c.Stderr = log; c.Start() != nil {
-		t.Fatal("it does not start")
+		t.Fatal("the node's process could not be started")
 	}
 	t.Cleanup(func() { killAndWait(c.Cmd) })
 	eventually(t, "ready", func() bool { return requestStatus(c.adminAddress, "GET /ready") == 200 })
 	return c
 }
 
-// stopAndCheckLog stops a process and checks by its log that it was never short of a descriptor.
+// stopAndCheckLog stops the node and checks in its log that it never ran out of descriptors.
 func (n *limitedNode) stopAndCheckLog(t *testing.T) {
 	t.Helper()
 	sendSignal(t, n.Cmd, syscall.SIGTERM)
 	if err := n.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the node exited with %v, want exit code 0", err)
 	}
 	logText, err := os.ReadFile(n.logPath)
 	if err != nil {
@@ -181,28 +184,28 @@
 		}
 	}
 	if failures > 0 {
-		t.Errorf("short of a descriptor %d times, first: %s", failures, first)
+		t.Errorf("the node ran out of descriptors %d times, first: %s", failures, first)
 	}
 	if !strings.Contains(string(logText), `"attempts not sent":0,`) {
-		t.Errorf("attempts found no descriptor: %s", logText[strings.LastIndex(string(logText), `"attempts sent"`):])
+		t.Errorf("want no attempts without a descriptor, got %s", logText[strings.LastIndex(string(logText), `"attempts sent"`):])
 	}
 }
 
-// concurrently makes a number of requests at once and reports those that were not answered 200.
+// checkConcurrentRequests sends a number of requests at the same time and checks that all get status 200.
 func checkConcurrentRequests(t *testing.T, count int, send func(i int) (name string, status int)) {
 	t.Helper()
 	var done sync.WaitGroup
 	for i := range count {
 		done.Go(func() {
 			if name, status := send(i); status != 200 {
-				t.Errorf("%s among idle clients: %d", name, status)
+				t.Errorf("%s among idle clients: got status %d, want 200", name, status)
 			}
 		})
 	}
 	done.Wait()
 }
 
-// sendViewRequest makes one request on a connection of its own.
+// sendViewRequest sends one request on a connection of its own.
 func sendViewRequest(address, id string) (string, int) {
 	return "a request", requestStatus(address, "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
 }
@@ -214,14 +217,14 @@
 	"GET /ready",
 }
 
-// Twice as many idle clients as there are descriptors, which reconnect at once, leave descriptors for the list watch,
-// for each attempt and for admin calls: while the discovery service is down, when it is back, and afterwards.
+// With twice as many idle clients as descriptors, which reconnect immediately, the node must have descriptors left for the
+// list watch, for each attempt and for admin calls: while discovery is down, when it returns, and afterwards.
 func TestDescriptorsSufficeAmongIdleClients(t *testing.T) {
 	for _, c := range []struct {
-		descriptorLimit, requests, adminCalls int // the last two at once
+		descriptorLimit, requests, adminCalls int // requests and adminCalls are concurrent
 		discoveryMode                         string
 		keepState                             bool
-		maxConns                              int64 // connections that each server takes
+		maxConns                              int64 // per upstream
 		delay                                 time.Duration
 	}{
 		{32, 2, 2, "ask", false, 64, 0},
@@ -231,7 +234,7 @@
 		{256, 90, 4, "push", true, 64, 200 * time.Millisecond},
 		{1024, 16, 4, "ask", true, 64, 0},
 	} {
-		t.Run(fmt.Sprintf("%d, %s, servers of %d", c.descriptorLimit, c.discoveryMode, c.maxConns), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d descriptors, discovery %s, %d connections per upstream", c.descriptorLimit, c.discoveryMode, c.maxConns), func(t *testing.T) {
 			var upstreams []string
 			for range 30 {
 				upstreams = append(upstreams, startUpstream(t, c.maxConns, c.delay))
@@ -269,13 +272,13 @@
 				watches.Add(1)
 				<-r.Context().Done()
 			}))
-			eventually(t, "a call for the list", func() bool { return watches.Load() > 0 })
+			eventually(t, "a list watch", func() bool { return watches.Load() > 0 })
 			runRounds("back")
 			if status := requestStatus(node.adminAddress, "PUT /drain"); status != 200 {
-				t.Errorf("a drain among idle clients: %d", status)
+				t.Errorf("PUT /drain among idle clients: got status %d, want 200", status)
 			}
 			if status := requestStatus(node.adminAddress, "PUT /undrain"); status != 200 {
-				t.Errorf("its end: %d", status)
+				t.Errorf("PUT /undrain among idle clients: got status %d, want 200", status)
 			}
 			clients.disconnect()
 			node.stopAndCheckLog(t)
@@ -283,7 +286,8 @@
 	}
 }
 
-// Two processes of a node, at an upgrade among idle clients, hold no more descriptors together than the node may have.
+// During an upgrade among idle clients, the two processes of a node together must not use more descriptors than the node's
+// limit.
 func TestUpgradeSharesDescriptorLimit(t *testing.T) {
 	for _, descriptorLimit := range []int{64, 256} {
 		t.Run(fmt.Sprint(descriptorLimit), func(t *testing.T) {
@@ -307,14 +311,14 @@
 				})
 				for _, node := range []*limitedNode{oldNode, newNode} {
 					if status := requestStatus(node.adminAddress, "GET /ready"); status != 200 {
-						t.Errorf("readiness among idle clients: %d", status)
+						t.Errorf("GET /ready among idle clients: got status %d, want 200", status)
 					}
 				}
 				maxDescriptors = max(maxDescriptors, openDescriptors(oldNode.Process.Pid)+openDescriptors(newNode.Process.Pid))
 			}
-			t.Logf("%d descriptors together, of %d", maxDescriptors, descriptorLimit)
+			t.Logf("both processes used up to %d descriptors, the limit is %d", maxDescriptors, descriptorLimit)
 			if maxDescriptors > descriptorLimit {
-				t.Errorf("%d descriptors together, of %d", maxDescriptors, descriptorLimit)
+				t.Errorf("both processes: got %d open descriptors, want at most %d", maxDescriptors, descriptorLimit)
 			}
 			oldNode.stopAndCheckLog(t)
 			checkConcurrentRequests(t, 4, func(i int) (string, int) { return sendViewRequest(listen, fmt.Sprint("fresh", i)) })
--- a/cmd/fawnglade/fleet.go
+++ b/cmd/fawnglade/fleet.go
@@ -1,6 +1,6 @@
 package main
 
-// The commands that ask nodes for their view of the fleet, by their admin APIs. None of them changes anything.
+// The commands that query the admin APIs of nodes for their view of the fleet. They only read.
 
 import (
 	"bufio"
@@ -21,18 +21,18 @@
 )
 
 const (
-	adminTimeout     = 3 * time.Second // for a call, its connection included
-	maxAdminResponse = 4 << 20         // bytes that are read of a response
+	adminTimeout     = 3 * time.Second // for a call, including connecting
+	maxAdminResponse = 4 << 20         // bytes; the rest of a response is ignored
 	membersPath      = "/members"
 )
 
 func fleetCommands() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "fleet",
-		Short: "Ask nodes for their view of one another",
-		Long: `Ask nodes for their view of one another.
+		Short: "Query nodes for their view of the fleet",
+		Long: `Query nodes for their view of the fleet.
 
-A node answers by its admin API (the console), if its features file has [members] and the settings allow messages
+A node responds on its admin API (the console) if its features file has [members] and the settings allow messages
 between nodes.`,
 	}
 	root.AddCommand(fleetViewCommand())
@@ -42,11 +42,11 @@
 func fleetViewCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "view --console ADDRESS...",
-		Short: "Show which nodes a node counts as members",
+		Short: "Show the members of the fleet as a node sees them",
 		Args:  cobra.NoArgs,
-		Long: `Show which nodes a node counts as members, and by what. Several consoles are asked in turn.
+		Long: `Show the members of the fleet as a node sees them, with their states. Several consoles are queried one after another.
 
-Exit code 0: every node asked has answered. 1: one did not, or members are off there.`,
+Exit code 0: every node has responded. 1: a node did not respond, or membership is off there.`,
 		Example: "  fawnglade fleet view --console 127.0.0.1:9000\n" +
 			"  fawnglade fleet view --console 127.0.0.1:9000 --console 127.0.0.2:9000 --json",
 	}
@@ -55,11 +55,11 @@
 		defaults = []string{own}
 	}
 	consoles := c.Flags().StringArray("console", defaults,
-		"address of a node's console; may be given several times; by default NODE_CONSOLE's")
-	asJSON := c.Flags().Bool("json", false, "print one JSON object for each node, as it came")
+		"address of a node's console; may be repeated (default: the value of NODE_CONSOLE)")
+	asJSON := c.Flags().Bool("json", false, "print the JSON response of each node, unchanged")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if len(*consoles) == 0 {
-			return errors.New("no console: give --console or set NODE_CONSOLE")
+			return errors.New("no console address: expected --console or NODE_CONSOLE")
 		}
 		var failed error
 		for _, console := range *consoles {
@@ -72,7 +72,7 @@
 	return c
 }
 
-// showView prints one node's view of the members.
+// showView prints the view of one node.
 func showView(w io.Writer, console string, asJSON bool) error {
 	text, err := callAdmin(console, http.MethodGet, membersPath)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return err
 }
 
-// callAdmin makes one call of a node's admin API and returns the response's text; any status but 200 is an error.
+// callAdmin calls a node's admin API and returns the body of the response. Any status other than 200 is an error.
 func callAdmin(console, method, path string) ([]byte, error) {
 	conn, err := net.DialTimeout("tcp", console, adminTimeout)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return text, err
 }
 
-// formatAge is an age in nanoseconds for people; below 0 it is that of what never happened.
+// formatAge formats an age in nanoseconds. A negative age stands for an event that never happened.
 func formatAge(ns int64) string {
 	if ns < 0 {
 		return "never"
@@ -122,9 +122,9 @@
 	return time.Duration(ns).Round(100 * time.Millisecond).String()
 }
 
-// formatView is a view as a summary and a table of the members.
+// formatView formats a view as a summary and a table of the members.
 func formatView(view *members.View) []byte {
-	var b bytes.Buffer // writes to it can't fail
+	var b bytes.Buffer // writing to it can't fail
 	summary := &view.Summary
 	fmt.Fprintf(&b, "%s, incarnation %d, %d rounds, strain %d\n", view.Name, view.Incarnation, view.Rounds, view.HealthScore)
 	if summary.Known {
@@ -132,7 +132,7 @@
 			"%.0f%% of the last probes answered, %s ago\n",
 			summary.Alive, summary.Nodes, summary.Suspect, summary.Dead, summary.Left, summary.Unknown, 100*summary.ProbeSuccess, formatAge(summary.AgeNs))
 	} else {
-		fmt.Fprintf(&b, "how many of %d nodes there are is unknown: %s\n", summary.Nodes, summary.Reason)
+		fmt.Fprintf(&b, "the number of live nodes, of %d, is unknown: %s\n", summary.Nodes, summary.Reason)
 	}
 	var rows bytes.Buffer
 	fmt.Fprintln(&rows, "NODE\tSTATE\tFOR\tHEARD\tSTARTED\tINCARNATION\tREMARK")
@@ -147,7 +147,7 @@
 	return b.Bytes()
 }
 
-// formatStart is when a member started; empty if that is unknown.
+// formatStart formats the start time of a member, or returns "" if it is unknown.
 func formatStart(member *members.Member) string {
 	if member.StartMs == 0 {
 		return ""
@@ -155,17 +155,17 @@
 	return time.UnixMilli(int64(member.StartMs)).UTC().Format(time.DateTime)
 }
 
-// remark is what is unusual about a member.
+// memberRemark returns a remark on what is unusual about a member, or "".
 func memberRemark(view *members.View, member *members.Member) string {
 	switch {
 	case member.Name == view.Name && view.NameConflict:
-		return "another process has this name"
+		return "another process uses this name"
 	case member.Name == view.Name:
 		return "itself"
 	case member.NameConflict:
-		return "messages from another life or process of this name"
+		return "messages from an earlier run, or another process, with this name"
 	case member.OwnViewOnly:
-		return "by this node's sight alone"
+		return "not confirmed by other nodes"
 	}
 	return ""
 }
--- a/cmd/fawnglade/helper_test.go
+++ b/cmd/fawnglade/helper_test.go
@@ -14,16 +14,16 @@
 	"fawnglade/internal/store"
 )
 
-// writeText writes to a peer that may have gone; what it answers shows that.
+// writeText writes to a peer and ignores errors: if the peer has closed the connection, reading the response fails.
 func writeText(peer io.Writer, text string) { _, _ = io.WriteString(peer, text) }
 
-// writef is writeText with a format.
+// writef is writeText with formatting.
 func writef(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
-// kill ends a process that may have ended by itself.
+// killProcess kills a process. It ignores the error if the process has exited already.
 func killProcess(c *exec.Cmd) { _ = c.Process.Kill() }
 
-// killAndWait ends a process and returns once it has ended; how it ended is of no interest.
+// killAndWait kills a process and waits until it has exited, with any status.
 func killAndWait(c *exec.Cmd) {
 	killProcess(c)
 	_ = c.Wait()
@@ -32,11 +32,11 @@
 func sendSignal(t *testing.T, c *exec.Cmd, signal os.Signal) {
 	t.Helper()
 	if err := c.Process.Signal(signal); err != nil {
-		t.Errorf("%v: %v", signal, err)
+		t.Errorf("sending signal %v: got error %v", signal, err)
 	}
 }
 
-// serveHTTP serves until the listener is closed.
+// serveHTTP serves HTTP in the background until the listener is closed.
 func serveHTTP(listener net.Listener, handler http.Handler) {
 	go func() { _ = http.Serve(listener, handler) }()
 }
@@ -48,7 +48,7 @@
 	}
 }
 
-// requestStatus makes one request of an admin API or a node and returns the status; 0 is no response.
+// requestStatus sends one request to an admin API or a node and returns the status, or 0 if there is no response.
 func requestStatus(address, requestHead string) int {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -64,17 +64,18 @@
 	return r.StatusCode
 }
 
-// eventually waits until a condition holds, for up to 10 s.
+// eventually polls until holds returns true, and fails the test after 10 s.
 func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never happened: %s", condition)
+			t.Fatalf("after 10 s the condition is still not met: %s", condition)
 		}
 	}
 }
 
-// inheritedListener is the listening socket for clients as the platform opens it, and the file that a process inherits.
+// inheritedListener opens the listening socket for clients, as the platform does, and returns it with the file that a
+// process inherits.
 func inheritedListener(t *testing.T) (net.Listener, *os.File) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -90,7 +91,8 @@
 	return listener, listenerFile
 }
 
-// startTCPServer serves each connection to a new address until the test ends, and returns the address.
+// startTCPServer listens on a new address until the test ends, and calls serve for each connection. It returns the
+// address.
 func startTCPServer(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/fawnglade/main.go
+++ b/cmd/fawnglade/main.go
@@ -36,10 +36,10 @@
 	return root
 }
 
-// newLog is the log of a process that runs in the foreground: JSON lines on standard error.
+// newLog returns a logger that writes JSON lines to standard error.
 func newLog() (*zap.Logger, error) {
 	config := zap.NewProductionConfig()
 	config.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
-	config.DisableStacktrace = true // a panic brings its own
+	config.DisableStacktrace = true // panics include their own stack trace
 	return config.Build()
 }
--- a/cmd/fawnglade/main_test.go
+++ b/cmd/fawnglade/main_test.go
@@ -21,7 +21,7 @@
 {"deadline_us":300000,"name":"view","objective_us":100000,"repeat":"safe"}],"quantum_us":2000,"report":{"how":"off"},
 "rules":{"ask_within_us":10000000,"cold_from":0.2,"warm_within_us":20000000},"weights":"off","zone":0,"zones":["a"]}}`
 
-// TestMain runs the program itself when a test asks for it.
+// TestMain runs the program itself in a process that a test has started with RUN_FAWNGLADE.
 func TestMain(m *testing.M) {
 	if os.Getenv("RUN_FAWNGLADE") != "" {
 		main()
@@ -63,11 +63,11 @@
 		}
 	}
 	if err := c.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the process exited with %v, want exit code 0", err)
 	}
 	for _, want := range []string{`"counters asked for"`, `"counters at exit"`, `"list entries skipped":1`} {
 		if !strings.Contains(logText.String(), want) {
-			t.Errorf("no %s in the log:\n%s", want, logText.String())
+			t.Errorf("want %s in the log, got:\n%s", want, logText.String())
 		}
 	}
 }
@@ -84,13 +84,13 @@
 			var exit *exec.ExitError
 			if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(string(out), want) ||
 				strings.Contains(string(out), "goroutine") {
-				t.Errorf("%s with %.20q: %v, %s", subcommand, text, err, out)
+				t.Errorf("%s with the configuration %.20q: got %v; want exit code 1, and an error without a stack trace; output: %s", subcommand, text, err, out)
 			}
 		}
 	}
 }
 
-// The store's commands on a whole directory, then on a damaged one.
+// The store commands work on an intact directory, and check and repair on a damaged one.
 func TestStoreCommands(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	s, _, err := store.Open(dir, store.Options{})
@@ -106,12 +106,12 @@
 		c := nodeCommand(t, config, append([]string{"store"}, args...)...)
 		out, _ := c.CombinedOutput()
 		if c.ProcessState.ExitCode() != code {
-			t.Errorf("%v: exit %d, want %d: %s", args, c.ProcessState.ExitCode(), code, out)
+			t.Errorf("%v: got exit code %d, want %d; output: %s", args, c.ProcessState.ExitCode(), code, out)
 		}
 		return string(out)
 	}
 	for want, args := range map[string][]string{
-		"whole, 6 keys":                {"check", dir}, // beside its holder
+		"whole, 6 keys":                {"check", dir}, // while another process has it open
 		`"whole":true`:                 {"check", dir, "--json"},
 		"5\ta/4\n":                     {"list", dir, "--prefix", "a/"},
 		"value":                        {"get", dir, "a/3"},
@@ -119,7 +119,7 @@
 		`{"key":"a/0","text":"value"}`: {"export", dir},
 	} {
 		if out := run(0, args...); !strings.Contains(out, want) {
-			t.Errorf("%v: %q, want %q in it", args, out, want)
+			t.Errorf("%v: got output %q, want %q in it", args, out, want)
 		}
 	}
 	run(1, "get", dir, "c")
@@ -135,13 +135,13 @@
 		t.Fatal(err)
 	}
 	if out := run(1, "check", dir); !strings.Contains(out, "is damaged at byte") {
-		t.Errorf("a damaged store: %q", out)
+		t.Errorf("checking the damaged store: got output %q, want the position of the damage in it", out)
 	}
 	repairedDir := filepath.Join(t.TempDir(), "mended")
 	if out := run(0, "repair", dir, "--to", repairedDir); !strings.Contains(out, "5 batches copied") {
-		t.Errorf("repaired: %q", out)
+		t.Errorf("repairing the store: got output %q, want 5 batches copied", out)
 	}
 	if out := run(0, "check", repairedDir); !strings.Contains(out, "whole, 5 keys") {
-		t.Errorf("mended: %q", out)
+		t.Errorf("checking the repaired store: got output %q, want it whole with 5 keys", out)
 	}
 }
--- a/cmd/fawnglade/migrate.go
+++ b/cmd/fawnglade/migrate.go
@@ -1,8 +1,8 @@
 package main
 
-// The migration of a configuration from the older form of a deployment, a pool of nodes for all clients, to a node
-// beside each client process. The old file is only read, no file is overwritten, and only what a node would start
-// with is written.
+// The migration of a configuration from the older kind of deployment, with a pool of nodes for all clients, to the newer
+// kind with one node for each client process. The old file is only read, no existing file is overwritten, and only a
+// configuration that a node accepts is written.
 
 import (
 	"bytes"
@@ -20,55 +20,55 @@
 
 const defaultStreamsPerConn = 100
 
-// The values of settings.report.how that --reports takes.
+// Values of settings.report.how that --reports accepts, in addition to off.
 const (
 	reportsInline        = "inline"
 	reportsOnHealthCheck = "on_probe"
 )
 
-// deployment is what an old file does not say of the new deployment.
+// deployment holds the properties of the new deployment that the old file does not contain.
 type deployment struct {
-	nodes          int      // in all
-	position       int      // of this node among them, from 0
-	streamsPerConn int      // requests that an upstream connection carries at once
-	gossipAddress  string   // with port; empty: no gossip
+	nodes          int      // number of nodes in total
+	position       int      // index of this node, from 0
+	streamsPerConn int      // maximum number of concurrent requests on an upstream connection
+	gossipAddress  string   // address with port; empty: no gossip
 	gossipPeers    []string // addresses with port
-	reports        string   // where upstreams report their load
-	hedging        bool     // hedged requests stay allowed where they were
+	reports        string   // how upstreams send load reports: inline, on_probe or off
+	hedging        bool     // hedged requests stay enabled if they were
 }
 
-// migrateOptions are the flags of the command.
+// migrateOptions holds the flags of the command.
 type migrateOptions struct {
 	deployment
 	configPath string
 	outPath    string
-	peersPath  string // file of gossip peers; empty: none
+	peersPath  string // file with addresses of gossip peers; empty: none
 	dryRun     bool
 }
 
 func migrateCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "migrate",
-		Short: "Write a configuration's counterpart for a node beside each client",
+		Short: "Migrate a configuration to one node for each client process",
 		Args:  cobra.NoArgs,
 	}
 	configPath := configFlag(c)
 	var o migrateOptions
 	flags := c.Flags()
-	flags.StringVar(&o.outPath, "out", "", "file to write; must not exist yet")
-	flags.BoolVar(&o.dryRun, "dry-run", false, "change nothing, print what would be written")
-	flags.IntVar(&o.nodes, "nodes", 0, "number of nodes in all")
-	flags.IntVar(&o.position, "position", 0, "which of them this one is, from 0")
+	flags.StringVar(&o.outPath, "out", "", "file to write; must not exist")
+	flags.BoolVar(&o.dryRun, "dry-run", false, "write no file, print the migrated configuration")
+	flags.IntVar(&o.nodes, "nodes", 0, "total number of nodes")
+	flags.IntVar(&o.position, "position", 0, "index of this node, from 0")
 	flags.IntVar(&o.streamsPerConn, "streams", defaultStreamsPerConn,
-		"requests that a connection to an upstream carries at once")
+		"maximum number of concurrent requests on an upstream connection")
 	flags.StringVar(&o.gossipAddress, "news", "",
-		"address with port on which this node receives gossip; left out, no gossip")
+		"address with port on which this node receives gossip; empty: no gossip")
 	flags.StringSliceVar(&o.gossipPeers, "peer", nil,
-		"address with port on which another node receives gossip; once for each")
+		"address with port on which another node receives gossip; may be repeated")
 	flags.StringVar(&o.peersPath, "peers", "",
-		"file with such addresses, one a line; this node's own may be among them")
-	flags.StringVar(&o.reports, "reports", reportsInline, "where upstreams report their load: inline, on_probe, off")
-	flags.BoolVar(&o.hedging, "copies", true, "hedged requests stay allowed where they were")
+		"file with addresses as for --peer, one per line; may include this node's own")
+	flags.StringVar(&o.reports, "reports", reportsInline, "how upstreams send load reports: inline, on_probe or off")
+	flags.BoolVar(&o.hedging, "copies", true, "keep hedged requests enabled if they were")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		o.configPath = *configPath
 		return o.run(c)
@@ -76,13 +76,13 @@
 	return c
 }
 
-// run reads the old configuration, and writes or prints its counterpart.
+// run reads the old configuration, and writes or prints the migrated one.
 func (o *migrateOptions) run(c *cobra.Command) error {
 	if o.configPath == "" {
 		return errNoConfig
 	}
 	if o.outPath == "" && !o.dryRun {
-		return errors.New("nowhere to write: give --out, or --dry-run")
+		return errors.New("no output: expected --out or --dry-run")
 	}
 	if err := o.readPeers(); err != nil {
 		return err
@@ -108,7 +108,7 @@
 	return err
 }
 
-// readPeers adds the addresses of the file of gossip peers.
+// readPeers adds the addresses in the file of gossip peers.
 func (o *migrateOptions) readPeers() error {
 	if o.peersPath == "" {
 		return nil
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// migrate reads the old configuration and makes its counterpart. A node would start with either; if not, the error
-// names the old file.
+// migrate reads the old configuration and returns the migrated one. It is an error if a node would not accept both; the
+// error names the old file.
 func (o *migrateOptions) migrate() (*migratedConfig, error) {
 	text, err := os.ReadFile(o.configPath)
 	if err != nil {
@@ -136,12 +136,12 @@
 		return nil, fmt.Errorf("%s: %w", o.configPath, err)
 	}
 	if _, err := node.ParseConfig(migrated.text); err != nil {
-		return nil, fmt.Errorf("%s: its counterpart would not start a node: %w", o.configPath, err)
+		return nil, fmt.Errorf("%s: the migrated configuration is invalid: %w", o.configPath, err)
 	}
 	return migrated, nil
 }
 
-// writeNewFile writes a file that does not exist yet, and leaves none behind if that fails.
+// writeNewFile writes a file that must not exist. If writing fails, it removes the file.
 func writeNewFile(path string, text []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o640)
 	if err != nil {
@@ -155,13 +155,13 @@
 	return nil
 }
 
-// migratedConfig is the counterpart of a configuration.
+// migratedConfig is the result of a migration.
 type migratedConfig struct {
 	text    []byte
-	dropped []string // the settings that are not carried over, each with the reason
+	dropped []string // settings that are not carried over, each with the reason
 }
 
-// drop removes a setting, and notes it unless it was off.
+// drop removes a setting, and adds it to dropped unless it was false or null.
 func (m *migratedConfig) drop(object map[string]any, path, key, reason string) {
 	value, ok := object[key]
 	if ok && value != false && value != nil {
@@ -170,20 +170,20 @@
 	delete(object, key)
 }
 
-// migrateConfig makes the counterpart of a configuration. Settings that it does not know stay as they are.
+// migrateConfig returns the migrated configuration. Unknown settings stay unchanged.
 func (d *deployment) migrateConfig(text []byte) (*migratedConfig, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	decoder.UseNumber() // a number must come out as it went in
+	decoder.UseNumber() // numbers must be written as they were read
 	var file map[string]any
 	if err := decoder.Decode(&file); err != nil {
 		return nil, err
 	}
 	if d.nodes < 1 {
-		return nil, errors.New("settings.group_size: give --nodes, the old file cannot tell it")
+		return nil, errors.New("settings.group_size: give --nodes: expected a number of at least 1, which the old file does not contain")
 	}
 	settings, ok := file["settings"].(map[string]any)
-	if !ok { // a reader that takes Settings for settings has let it pass
-		return nil, errors.New("settings: expected an object under this very name, got none")
+	if !ok { // node.ParseConfig ignores case and accepts Settings, too
+		return nil, errors.New("settings: expected an object under exactly this name (case matters), got none")
 	}
 	migrated := &migratedConfig{}
 	d.setDeployment(settings)
@@ -194,7 +194,7 @@
 	return migrated, err
 }
 
-// setDeployment writes what the new deployment is like into the settings.
+// setDeployment writes the properties of the new deployment to the settings.
 func (d *deployment) setDeployment(settings map[string]any) {
 	settings["group_size"] = d.nodes
 	settings["position"] = d.position
@@ -210,11 +210,11 @@
 	}
 }
 
-// setGossip replaces the addresses of gossip.
+// setGossip replaces the gossip addresses.
 func (d *deployment) setGossip(file map[string]any, migrated *migratedConfig) {
 	if _, ok := file["news"]; ok {
 		migrated.dropped = append(migrated.dropped,
-			"news: the one of the old file; --news and --peers tell the new one")
+			"news: the old addresses; --news, --peer and --peers set the new ones")
 		delete(file, "news")
 	}
 	if d.gossipAddress != "" {
@@ -222,24 +222,24 @@
 	}
 }
 
-// dropObsolete removes the settings that nothing reads any more.
+// dropObsolete removes settings that are no longer supported.
 func dropObsolete(settings map[string]any, migrated *migratedConfig) {
 	if goal, ok := settings["goal"].(map[string]any); ok {
-		migrated.drop(goal, "settings.goal.", "tail", "a borne share of misses is no longer a goal")
-		migrated.drop(goal, "settings.goal.", "borne_misses", "a borne share of misses is no longer a goal")
+		migrated.drop(goal, "settings.goal.", "tail", "a tolerated fraction of missed objectives is no longer supported")
+		migrated.drop(goal, "settings.goal.", "borne_misses", "a tolerated fraction of missed objectives is no longer supported")
 	}
 	profiles, _ := settings["profiles"].([]any)
 	for i, p := range profiles {
 		if profile, ok := p.(map[string]any); ok {
 			path := fmt.Sprintf("settings.profiles.%d.", i)
-			migrated.drop(profile, path, "aim_stretch", "soft limits no longer stretch with a task's work")
-			migrated.drop(profile, path, "streaming", "answers are passed on whole")
+			migrated.drop(profile, path, "aim_stretch", "latency objectives no longer grow with the work of a request")
+			migrated.drop(profile, path, "streaming", "responses are forwarded only when complete")
 		}
 	}
 	if settings["weights"] == "live" {
 		settings["weights"] = "off"
 		migrated.dropped = append(migrated.dropped,
-			"settings.weights: live weights are passed over, servers' reports say it better; now off")
+			"settings.weights: live weights are ignored, as load reports are more current; set to off")
 	}
 	fields, _ := objectAt(settings, "report")["fields"].([]any)
 	if slices.Contains(fields, any("inflight")) {
@@ -247,7 +247,7 @@
 	}
 }
 
-// objectAt returns the object under a key, and makes one where there is none.
+// objectAt returns the object under a key. If there is none, it adds an empty one.
 func objectAt(parent map[string]any, key string) map[string]any {
 	object, ok := parent[key].(map[string]any)
 	if !ok {
--- a/cmd/fawnglade/migrate_test.go
+++ b/cmd/fawnglade/migrate_test.go
@@ -22,7 +22,7 @@
 "rules":{"cold_from":0.2,"warm_within_us":20000000},
 "weights":"live","zone":0,"zones":["a"]}}`
 
-// run plays a command line and returns what it printed.
+// runMigrate runs the migrate command and returns its standard output, error output and error.
 func runMigrate(arguments ...string) (out, errorOutput string, err error) {
 	root := &cobra.Command{Use: "fawnglade", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(migrateCommand())
@@ -58,25 +58,25 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(newPath); err == nil {
-		t.Fatal("a dry run wrote the file")
+		t.Fatal("--dry-run wrote the output file, want none")
 	}
 	for _, want := range []string{
 		"goal.tail", "goal.borne_misses", "profiles.0.aim_stretch",
 		"settings.weights", "news:", "report.fields: inflight",
 	} {
 		if !strings.Contains(dropped, want) {
-			t.Errorf("%s is not told as not carried over in\n%s", want, dropped)
+			t.Errorf("want %s among the settings not carried over, got\n%s", want, dropped)
 		}
 	}
 	if strings.Contains(dropped, "streaming") {
-		t.Error("a category that does not stream lost nothing")
+		t.Error("got streaming, which was false, among the settings not carried over")
 	}
 	if _, _, err := runMigrate(arguments...); err != nil {
 		t.Fatal(err)
 	}
 	text, _ := os.ReadFile(newPath)
 	if string(text) != dryRunOutput {
-		t.Error("the dry run printed something else than was written")
+		t.Error("the output of --dry-run differs from the file written")
 	}
 	c, err := node.ReadConfig(newPath)
 	if err != nil {
@@ -85,16 +85,16 @@
 	if c.Gossip.Listen != "127.0.0.1:9001" || len(c.Gossip.Peers) != 3 || !strings.Contains(dryRunOutput, `"group_size": 400`) ||
 		!strings.Contains(dryRunOutput, `"multiplex": 100`) || !strings.Contains(dryRunOutput, "12345678901234567890") ||
 		!strings.Contains(dryRunOutput, `"may_duplicate": false`) {
-		t.Errorf("written:\n%s", text)
+		t.Errorf("got the following file, want the settings given by the flags, and unknown settings unchanged:\n%s", text)
 	}
 	if _, _, err := runMigrate(arguments...); err == nil {
-		t.Error("it wrote over a file")
+		t.Error("got no error for an existing output file")
 	}
 	if afterSecondRun, _ := os.ReadFile(newPath); string(afterSecondRun) != string(text) {
-		t.Error("the file that was there has changed")
+		t.Error("an existing output file was changed")
 	}
 	if oldText, _ := os.ReadFile(oldPath); string(oldText) != oldConfig {
-		t.Error("the old file has changed")
+		t.Error("the old configuration file was changed")
 	}
 }
 
@@ -107,7 +107,7 @@
 			strings.Replace(oldConfig, `"try_limit":3`, `"try_limit":"x"`, 1), nil,
 		},
 		"old.json: unexpected end": {oldConfig[:300], nil},
-		"under this very name":     {strings.Replace(oldConfig, `"settings"`, `"Settings"`, 1), nil},
+		"under exactly this name":  {strings.Replace(oldConfig, `"settings"`, `"Settings"`, 1), nil},
 		"settings: expected an object": {
 			`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"1"}`,
 			nil,
@@ -124,13 +124,13 @@
 		arguments := []string{"--config", oldPath, "--out", newPath, "--nodes", "400", "--news", "127.0.0.1:9001"}
 		_, _, err := runMigrate(append(arguments, c.extraArgs...)...)
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "old.json") {
-			t.Errorf("%v: got %v, want %q and the file's name in it", c.extraArgs, err, want)
+			t.Errorf("%v: got error %v, want one with %q and the name of the old file", c.extraArgs, err, want)
 		}
 		if _, err := os.Stat(newPath); err == nil {
-			t.Errorf("%v: something was written", c.extraArgs)
+			t.Errorf("%v: an output file was written, want none", c.extraArgs)
 		}
 	}
 	if _, _, err := runMigrate("--config", writeOldConfig(t, oldConfig), "--nodes", "3"); err == nil {
-		t.Error("neither --out nor --dry-run, and no complaint")
+		t.Error("got no error without --out and --dry-run")
 	}
 }
--- a/cmd/fawnglade/pause_test.go
+++ b/cmd/fawnglade/pause_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// A process that is stopped while its clients leave, with their requests not yet read, behind others, or in flight at
-// an upstream that has failed meanwhile, begins no attempt for them when it is continued.
+// A process is stopped (SIGSTOP) while its clients disconnect. Their requests are not yet read, pipelined behind others,
+// or in flight at an upstream that fails in the meantime. After SIGCONT the node must not begin attempts for them.
 func TestNoAttemptsForClientsThatLeftWhileStopped(t *testing.T) {
 	failUpstreams := make(chan struct{})
 	var attempts, continuedAt atomic.Int64
@@ -32,14 +32,14 @@
 				continue
 			}
 			if attempts.Add(1) > 6 {
-				t.Logf("%q %v, %v after it was continued", id, r.URL, time.Since(time.Unix(0, continuedAt.Load())))
+				t.Logf("unexpected attempt %q %v, %v after SIGCONT", id, r.URL, time.Since(time.Unix(0, continuedAt.Load())))
 			}
 			<-failUpstreams
 			writeText(c, "HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n")
 		}
 	}
 	var upstreams []string
-	for range 20 { // so that most have failed no request
+	for range 20 { // enough that most have not failed a request
 		upstreams = append(upstreams, startTCPServer(t, serve))
 	}
 	listen := freeAddress(t)
@@ -69,9 +69,9 @@
 	for i := range 6 {
 		clients = append(clients, connect(request(fmt.Sprint("out", i)))) // in flight at an upstream
 	}
-	eventually(t, "all in flight", func() bool { return attempts.Load() == 6 })
+	eventually(t, "all requests are in flight", func() bool { return attempts.Load() == 6 })
 	sendSignal(t, node.Cmd, syscall.SIGSTOP)
-	eventually(t, "the process to stop", func() bool { return isStopped(node.Process.Pid) })
+	eventually(t, "the process is stopped", func() bool { return isStopped(node.Process.Pid) })
 	close(failUpstreams)
 	var pipelined strings.Builder
 	for i := range 40 {
@@ -81,24 +81,24 @@
 		clients = append(clients, connect(request(fmt.Sprint("door", i))),
 			connect(strings.ReplaceAll(pipelined.String(), "many", fmt.Sprint("many", i, "-"))))
 	}
-	time.Sleep(100 * time.Millisecond) // the failures are at the node before the ends are
+	time.Sleep(100 * time.Millisecond) // the failures reach the node before the clients disconnect
 	for i, c := range clients {
 		disconnect(i/2, c)
 	}
-	eventually(t, "all ends to reach the node", func() bool { return establishedConns(t, listen) == 0 })
+	eventually(t, "all disconnects have reached the node", func() bool { return establishedConns(t, listen) == 0 })
 	time.Sleep(150 * time.Millisecond)
 	continuedAt.Store(time.Now().UnixNano())
 	sendSignal(t, node.Cmd, syscall.SIGCONT)
-	eventually(t, "an answer for a client that came last", func() bool {
+	eventually(t, "a response to a new client", func() bool {
 		_, status := sendViewRequest(listen, fmt.Sprint("last", time.Now().UnixNano()))
 		return status == 200
 	})
 	sendSignal(t, node.Cmd, syscall.SIGTERM)
 	if err := node.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the node exited with %v, want exit code 0", err)
 	}
 	if attempts.Load() != 6 {
-		t.Errorf("%d attempts began, want the 6 from before the stop", attempts.Load())
+		t.Errorf("got %d attempts, want only the 6 from before SIGSTOP", attempts.Load())
 	}
 }
 
@@ -114,7 +114,7 @@
 	return err == nil && len(threads) > 0
 }
 
-// establishedConns is how many connections to an address neither side has ended, as far as the kernel knows.
+// establishedConns returns the number of connections to an address that the kernel lists as established.
 func establishedConns(t *testing.T, address string) (n int) {
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
--- a/cmd/fawnglade/relay.go
+++ b/cmd/fawnglade/relay.go
@@ -14,12 +14,12 @@
 		Short: "Run one origin or relay in the foreground",
 		Long: `Run one origin or relay in the foreground.
 
-An origin takes discovery's list and a directory of configuration, relays pass on what is of their scopes, and nodes follow relays by
-[distribution] in their features file: docs/operate/relay.md.`,
+An origin reads the endpoint list of discovery and a directory of configuration records. Relays forward the records of
+their scopes, and nodes subscribe to relays by [distribution] in their features file. See docs/operate/relay.md.`,
 		Args: cobra.NoArgs,
 	}
-	path := c.Flags().String("config", "", "configuration file, as deploy/relay/relay.toml")
-	checkOnly := c.Flags().Bool("check", false, "check the configuration without starting")
+	path := c.Flags().String("config", "", "configuration file, see deploy/relay/relay.toml")
+	checkOnly := c.Flags().Bool("check", false, "check the configuration and exit")
 	requireFlag(c, "config")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if *checkOnly {
@@ -39,9 +39,9 @@
 	return err
 }
 
-// runRelay runs an origin or a relay until a signal ends it.
+// runRelay runs an origin or a relay until it is stopped by a signal.
 func runRelay(path string) error {
-	signals := relay.Signals() // first, so that a signal during the start does not end the process at once
+	signals := relay.Signals() // first, so that a signal during the start does not kill the process
 	config, err := relay.ReadConfig(path)
 	if err != nil {
 		return err
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // standard error may be a pipe, which can't be synced
+	defer func() { _ = log.Sync() }() // fails if standard error is a pipe, which can't be synced
 	process, err := relay.NewProcess(config, log)
 	if err != nil {
 		return err
@@ -61,6 +61,6 @@
 // requireFlag marks a flag of the command as required.
 func requireFlag(c *cobra.Command, name string) {
 	if err := c.MarkFlagRequired(name); err != nil {
-		panic(err) // the command has no such flag
+		panic(err) // programming error: the command has no such flag
 	}
 }
--- a/cmd/fawnglade/relay_test.go
+++ b/cmd/fawnglade/relay_test.go
@@ -19,7 +19,8 @@
 	"go.uber.org/zap"
 )
 
-// startRelayProcess starts a process and tells where it serves.
+// startRelayProcess starts an origin or relay and returns its address. log waits until the process has closed its error
+// output, and returns that.
 func startRelayProcess(t *testing.T, text string) (c *exec.Cmd, address string, log func() string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "relay.toml")
@@ -50,7 +51,7 @@
 	select {
 	case address = <-serving:
 	case <-time.After(10 * time.Second):
-		t.Fatal("does not serve")
+		t.Fatal("the process is not serving after 10 s")
 	}
 	return c, address, func() string { <-logDone; return logText.String() }
 }
@@ -86,7 +87,7 @@
 		startedAt := time.Now()
 		for got := ""; got != fmt.Sprint(n); time.Sleep(5 * time.Millisecond) {
 			if time.Since(startedAt) > timeout {
-				t.Fatalf("%q after %v, expected %d", got, timeout, n)
+				t.Fatalf("got the record %q after %v, want %d", got, timeout, n)
 			}
 			sink.Inspect(func(s *distribution.Subscriber) { s.Each(func(r distribution.Record) { got = string(r.Body) }) })
 		}
@@ -97,7 +98,7 @@
 	}
 	writeRecord(2)
 	expectRecord(2, 6*time.Second)
-	killAndWait(relayOne) // stopped: nothing else ends it
+	killAndWait(relayOne) // SIGKILL, as the process is stopped and would not handle SIGTERM
 	sendSignal(t, relayTwo, syscall.SIGUSR1)
 	writeRecord(3)
 	expectRecord(3, 6*time.Second)
@@ -108,12 +109,12 @@
 	}
 	for name, log := range map[string]string{"two": relayTwoLog(), "origin": originLog()} {
 		if !strings.Contains(log, "counters at exit") || name == "two" && !strings.Contains(log, "counters asked for") {
-			t.Errorf("%s: no counters in %s", name, log)
+			t.Errorf("%s: want the counters in the log, got %s", name, log)
 		}
 	}
 	for _, c := range []*exec.Cmd{relayTwo, origin} {
 		if err := c.Wait(); err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the process exited with %v, want exit code 0", err)
 		}
 	}
 }
@@ -128,12 +129,12 @@
 	text, err := c.CombinedOutput()
 	if err == nil || !strings.Contains(string(text), "relay.toml: role: expected origin or relay, found \"moon\"") ||
 		!strings.Contains(string(text), "relay.toml: listen: expected an address and a port, found \"here\"") {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("invalid configuration: got %v, want an error with both keys; output: %s", err, text)
 	}
 	c = exec.Command(os.Args[0], "relay", "--check", "--config", "../../deploy/relay/origin.toml")
 	c.Env = append(os.Environ(), "RUN_FAWNGLADE=1")
 	if text, err = c.CombinedOutput(); err != nil ||
 		!strings.Contains(string(text), "origin-1, role origin on 127.0.0.1:7400") {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("deploy/relay/origin.toml: got %v, want it valid; output: %s", err, text)
 	}
 }
--- a/cmd/fawnglade/serve.go
+++ b/cmd/fawnglade/serve.go
@@ -13,14 +13,14 @@
 	configPath := configFlag(c)
 	featuresPath := featuresFlag(c)
 	stateDir := c.Flags().String("state", os.Getenv("NODE_STATE"),
-		"directory of the state that survives a crash; by default the one that NODE_STATE names, if any")
+		"directory for persisted state (default: the value of NODE_STATE, if set)")
 	c.RunE = func(*cobra.Command, []string) error { return serve(*configPath, *featuresPath, *stateDir) }
 	return c
 }
 
-// serve runs a node until a signal ends it.
+// serve runs a node until it is stopped by a signal.
 func serve(configPath, featuresPath, stateDir string) error {
-	signals := node.Signals() // first, so that a signal during the start does not end the process at once
+	signals := node.Signals() // first, so that a signal during the start does not kill the process
 	config, err := readConfig(configPath, featuresPath)
 	if err != nil {
 		return err
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // standard error may not support it, and there is nowhere else to log that
+	defer func() { _ = log.Sync() }() // standard error may not support it, and there is nowhere else to log the error
 	n, err := node.New(config, log)
 	if err != nil {
 		return err
--- a/cmd/fawnglade/signals_test.go
+++ b/cmd/fawnglade/signals_test.go
@@ -14,13 +14,13 @@
 	"time"
 )
 
-// Signals that come during a start, which waits for an old process that sends nothing, are followed once that is
-// possible: none ends the process at once, with a request already accepted by the kernel.
+// Signals that arrive during the start, while the process waits for the handover of an old process that sends nothing,
+// must be handled after the start. They must not kill the process, since the kernel has already accepted a request.
 func TestSignalsDuringStart(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
-		"the end":                  {syscall.SIGTERM},
-		"all others, then the end": {syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM},
-		"the end twice, then a new configuration": {syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1},
+		"a single SIGTERM":                       {syscall.SIGTERM},
+		"all others, then SIGTERM":               {syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM},
+		"SIGTERM twice, then SIGHUP and SIGUSR1": {syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -61,11 +61,11 @@
 			}
 			handoverConn.Close()
 			r, err := http.ReadResponse(bufio.NewReader(client), nil)
-			if err != nil || r.StatusCode != http.StatusServiceUnavailable { // its one server is not there
-				t.Errorf("the request was answered %v, %v", r, err)
+			if err != nil || r.StatusCode != http.StatusServiceUnavailable { // the only endpoint is unreachable
+				t.Errorf("got response %v, error %v; want status 503", r, err)
 			}
 			if err := c.Wait(); err != nil {
-				t.Errorf("ended with %v", err)
+				t.Errorf("the process exited with %v, want exit code 0", err)
 			}
 		})
 	}
--- a/cmd/fawnglade/store.go
+++ b/cmd/fawnglade/store.go
@@ -17,23 +17,23 @@
 func storeCommands() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "store",
-		Short: "Look into the directory of a store, and copy what can be read of a damaged one",
-		Long: `Look into the directory of a store, and copy what can be read of a damaged one.
+		Short: "Inspect the directory of a store, and copy the readable part of a damaged one",
+		Long: `Inspect the directory of a store, and copy the readable part of a damaged one.
 
-Nothing here changes a directory that is there. Exit code 0: done. 1: it could not be done, or "check" found damage.`,
+No command changes an existing store. Exit code 0: success. 1: failure, or "check" found damage.`,
 	}
 	root.AddCommand(storeCheck(), storeList(), storeGet(), storeExport(), storeRepair())
 	return root
 }
 
-// openReadOnly opens a store beside a process that may have it open.
+// openReadOnly opens a store for reading. Another process may have it open.
 func openReadOnly(path string) (*store.Store, *store.Recovery, error) {
 	return store.Open(path, store.Options{ReadOnly: true})
 }
 
 func storeCheck() *cobra.Command {
 	c := &cobra.Command{
-		Use: "check DIR", Short: "Read all of a store and say whether it is whole", Args: cobra.ExactArgs(1),
+		Use: "check DIR", Short: "Read all of a store and report damage", Args: cobra.ExactArgs(1),
 		Example: "  fawnglade store check /var/lib/fawnglade\n  fawnglade store check /var/lib/fawnglade --json",
 	}
 	asJSON := c.Flags().Bool("json", false, "print one JSON object")
@@ -52,7 +52,7 @@
 	return c
 }
 
-// checkStore reads all of a store. The error is a *store.CorruptionError if the store is damaged.
+// checkStore reads all of a store. It returns a *store.CorruptionError if the store is damaged.
 func checkStore(path string) (*store.Recovery, error) {
 	s, recovery, err := openReadOnly(path)
 	if err != nil {
@@ -61,8 +61,8 @@
 	return recovery, s.Close()
 }
 
-// printCheckJSON prints the result of checkStore, unless it is an error other than damage, and returns that result's
-// error.
+// printCheckJSON prints the result of checkStore as JSON and returns checkErr. If checkErr is an error other than damage,
+// it prints nothing.
 func printCheckJSON(out io.Writer, recovery *store.Recovery, checkErr error) error {
 	result := map[string]any{"whole": checkErr == nil}
 	var corruption *store.CorruptionError
@@ -85,7 +85,7 @@
 	return checkErr
 }
 
-// eachKey calls visit for every key of a store with the prefix, in order, until it returns an error.
+// eachKey calls visit for every key of a store with the prefix, in order, until visit returns an error.
 func eachKey(path, prefix string, visit func(key string, value []byte) error) error {
 	s, _, err := openReadOnly(path)
 	if err != nil {
@@ -106,7 +106,7 @@
 		Use: "list DIR", Short: "List keys and the sizes of their values", Args: cobra.ExactArgs(1),
 		Example: "  fawnglade store list /var/lib/fawnglade --prefix drain/",
 	}
-	prefix := c.Flags().String("prefix", "", "only keys that begin so")
+	prefix := c.Flags().String("prefix", "", "list only keys with this prefix")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		return eachKey(args[0], *prefix, func(k string, v []byte) error {
 			_, err := fmt.Fprintf(c.OutOrStdout(), "%d\t%s\n", len(v), k)
@@ -118,7 +118,7 @@
 
 func storeGet() *cobra.Command {
 	return &cobra.Command{
-		Use: "get DIR KEY", Short: "Print one value as it is", Args: cobra.ExactArgs(2),
+		Use: "get DIR KEY", Short: "Print the value of a key unchanged", Args: cobra.ExactArgs(2),
 		Example: "  fawnglade store get /var/lib/fawnglade list > list.cbor",
 		RunE: func(c *cobra.Command, args []string) error {
 			value, err := getValue(args[0], args[1])
@@ -145,8 +145,8 @@
 
 func storeExport() *cobra.Command {
 	return &cobra.Command{
-		Use: "export DIR", Short: "Print all keys and values as JSON, one to a line", Args: cobra.ExactArgs(1),
-		Long:    "Print all keys and values as JSON, one to a line: key, and the value as text, or in base64 where it is none.",
+		Use: "export DIR", Short: "Print all keys and values as JSON, one object per line", Args: cobra.ExactArgs(1),
+		Long:    "Print all keys and values as JSON, one object per line, with the value as text if it is UTF-8, else as base64.",
 		Example: "  fawnglade store export /var/lib/fawnglade > backup.jsonl",
 		RunE: func(c *cobra.Command, args []string) error {
 			out := json.NewEncoder(c.OutOrStdout())
@@ -162,14 +162,14 @@
 
 func storeRepair() *cobra.Command {
 	c := &cobra.Command{
-		Use: "repair DIR --to DIR2", Short: "Copy what can be read of a damaged store into a new one", Args: cobra.ExactArgs(1),
-		Long: `Copy what can be read of a damaged store into a new one.
+		Use: "repair DIR --to DIR2", Short: "Copy the readable part of a damaged store to a new one", Args: cobra.ExactArgs(1),
+		Long: `Copy the readable part of a damaged store to a new one.
 
-DIR stays as it is. What stood between two whole batches is lost, and a key that it had changed or removed comes back as
-it was before: look at what comes out before a node is started on it.`,
+DIR is not changed. Damaged batches are lost, so a key that they had changed or removed has its earlier value in the new
+store: inspect the new store before starting a node on it.`,
 		Example: "  fawnglade store repair /var/lib/fawnglade --to /var/lib/fawnglade-2",
 	}
-	to := c.Flags().String("to", "", "a directory without a store, made if it is not there")
+	to := c.Flags().String("to", "", "directory without a store; created if it does not exist")
 	requireFlag(c, "to")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		repaired, err := repairStore(args[0], *to)
@@ -190,7 +190,7 @@
 		return none, err
 	}
 	if isSameFile(path, to) {
-		return none, errors.New("--to: expected another directory, a store is never repaired in place")
+		return none, errors.New("--to: expected a directory other than DIR, as a store is never repaired in place")
 	}
 	into, err := store.SystemDirectory(to, true)
 	if err != nil {
@@ -199,7 +199,7 @@
 	return store.Repair(from, into)
 }
 
-// isSameFile reports whether two paths name the same file; one that doesn't exist is no other's.
+// isSameFile reports whether two paths refer to the same file. It returns false if one of them doesn't exist.
 func isSameFile(a, b string) bool {
 	infoA, errA := os.Stat(a)
 	infoB, errB := os.Stat(b)
--- a/cmd/fawnglade/upgrade_test.go
+++ b/cmd/fawnglade/upgrade_test.go
@@ -16,7 +16,8 @@
 	"time"
 )
 
-// Three processes of one node in a row, under load, on a socket that outlives them: no request is lost.
+// Three processes of one node replace each other under load, on a listening socket that they inherit. No request may be
+// lost, and overrides and the drain state must be handed over.
 func TestUpgradeUnderLoadLosesNoRequest(t *testing.T) {
 	upstream, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +51,7 @@
 	}
 	oldProcess, adminAddress := start(200)
 	if status := requestStatus(adminAddress, "PUT /servers/disable?target=s-9"); status != 404 {
-		t.Errorf("a server never listed was taken out: %d", status)
+		t.Errorf("disabling an unknown endpoint: got status %d, want 404", status)
 	}
 	var done sync.WaitGroup
 	var stop atomic.Bool
@@ -58,7 +59,7 @@
 	for i := range 8 {
 		done.Go(func() {
 			var c net.Conn
-			var err error // its own: the clients run side by side
+			var err error // not shared, as the clients run concurrently
 			var in *bufio.Reader
 			for k := 0; !stop.Load(); k++ {
 				if c == nil {
@@ -81,7 +82,7 @@
 				if err != nil || r.StatusCode == 200 && string(body) != id {
 					lost.Add(1)
 				}
-				if r.Close || i%2 == 0 { // half of them connect anew for each request
+				if r.Close || i%2 == 0 { // half of the clients use a new connection for each request
 					c.Close()
 					c = nil
 				}
@@ -93,7 +94,7 @@
 		newProcess, newAddress := start(200)
 		sendSignal(t, oldProcess, syscall.SIGTERM)
 		if err := oldProcess.Wait(); err != nil {
-			t.Errorf("the old process ended with %v", err)
+			t.Errorf("the old process exited with %v, want exit code 0", err)
 		}
 		oldProcess, adminAddress = newProcess, newAddress
 	}
@@ -101,37 +102,38 @@
 	stop.Store(true)
 	done.Wait()
 	if lost.Load() > 0 || requests.Load() < 100 {
-		t.Errorf("%d of %d requests were lost", lost.Load(), requests.Load())
+		t.Errorf("got %d of %d requests lost, want none of at least 100", lost.Load(), requests.Load())
 	}
 	if requestStatus(adminAddress, "PUT /servers/disable?target=s-1") != 200 {
-		t.Error("the third process does not know the server")
+		t.Error("disabling an endpoint in the third process failed, want status 200")
 	}
-	// An upgrade while the one server is out and the node is drained: the fourth process knows both, and ends both.
+	// Upgrade while the only endpoint is disabled and the node is drained: the fourth process takes over both states, and
+	// can end them.
 	requestStatus(adminAddress, "PUT /drain")
 	_, newAddress := start(503)
 	sendSignal(t, oldProcess, syscall.SIGTERM)
 	if err := oldProcess.Wait(); err != nil {
-		t.Errorf("the third process ended with %v", err)
+		t.Errorf("the third process exited with %v, want exit code 0", err)
 	}
 	request := func(id string) int {
 		return requestStatus(listener.Addr().String(), "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
 	}
 	if status := request("out"); status != 503 {
-		t.Errorf("with its server out a request got %d", status)
+		t.Errorf("with the only endpoint disabled: got status %d, want 503", status)
 	}
 	if requestStatus(newAddress, "PUT /undrain") != 200 || requestStatus(newAddress, "GET /ready") != 200 {
-		t.Error("not ready after the end of a drain that another process began")
+		t.Error("the node is not ready after /undrain in the process that took over the drain")
 	}
 	if requestStatus(newAddress, "PUT /servers/enable?target=s-1") != 200 {
-		t.Error("not put back")
+		t.Error("enabling the endpoint failed, want status 200")
 	}
-	eventually(t, "the server put back is in use", func() bool {
+	eventually(t, "the enabled endpoint is in use", func() bool {
 		return request(fmt.Sprint("back", time.Now().UnixNano())) == 200
 	})
 }
 
-// The admin API answers while clients hold all their descriptors and a thousand callers send nothing or half a call;
-// the system gives the process no more descriptors than its configuration says.
+// The admin API must respond while idle clients use all descriptors that they can get, and a thousand callers of the
+// admin API send nothing or an incomplete call. The process runs with a descriptor limit equal to the configured one.
 func TestAdminAPIAnswersAmongIdleClients(t *testing.T) {
 	var addresses [2]string
 	for i := range addresses {
@@ -154,7 +156,7 @@
 	defer killProcess(c)
 	eventually(t, "ready", func() bool { return requestStatus(addresses[1], "GET /ready") == 200 })
 	for i := range 1200 {
-		conn, err := net.Dial("tcp", addresses[i%6/5]) // a thousand clients, two hundred callers, then the others
+		conn, err := net.Dial("tcp", addresses[i%6/5]) // five in six are clients, the others callers of the admin API
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -177,7 +179,7 @@
 				"GET /ready",
 			} {
 				if status := requestStatus(addresses[1], call); status != 200 {
-					t.Errorf("%s among idle clients, after %d callers: %d", call, i/2, status)
+					t.Errorf("%s among idle clients, after %d admin callers: got status %d, want 200", call, i/2, status)
 				}
 			}
 		}
