--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -221,7 +221,7 @@
 // list watch, for each attempt and for admin calls: while discovery is down, when it returns, and afterwards.
 func TestDescriptorsSufficeAmongIdleClients(t *testing.T) {
 	for _, c := range []struct {
-		descriptorLimit, requests, adminCalls int // requests and adminCalls are concurrent
+		descriptorLimit, requests, adminCallCount int // requests and adminCalls are concurrent
 		discoveryMode                         string
 		keepState                             bool
 		maxConns                              int64 // per upstream
@@ -254,7 +254,7 @@
 					checkConcurrentRequests(t, c.requests, func(i int) (string, int) {
 						return sendViewRequest(listen, fmt.Sprintf("%s-%d-%d", name, k, i))
 					})
-					checkConcurrentRequests(t, c.adminCalls, func(i int) (string, int) {
+					checkConcurrentRequests(t, c.adminCallCount, func(i int) (string, int) {
 						return adminCalls[i], requestStatus(node.adminAddress, adminCalls[i])
 					})
 				}
--- a/cmd/fawnglade/fleet.go
+++ b/cmd/fawnglade/fleet.go
@@ -165,7 +165,7 @@
 	case member.NameConflict:
 		return "messages from an earlier run, or another process, with this name"
 	case member.OwnViewOnly:
-		return "not confirmed by other nodes"
+		return "judged while this node reached no other node"
 	}
 	return ""
 }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -24,7 +24,7 @@
 
 // run simulates until a call is answered or the end is reached. It returns the time of the response, or -1, and the
 // number of calls.
-func (s *simulation) run(end int64) (answered int64, calls int) {
+func (s *simulation) run(end int64) (answeredAt int64, calls int) {
 	if s.madeAt = map[int]int64{}; s.reachable == nil {
 		s.reachable = func(int64) bool { return true }
 	}
--- a/internal/endpointlist/flat.go
+++ b/internal/endpointlist/flat.go
@@ -145,8 +145,8 @@
 
 // intern returns the same string for all equal values. The cache is bounded, in case all values of a list differ.
 func (r *Reader) intern(value []byte) string {
-	if interned, ok := r.interned[string(value)]; ok {
-		return interned
+	if shared, ok := r.interned[string(value)]; ok {
+		return shared
 	}
 	text := string(value)
 	if len(r.interned) < maxInterned && len(text) <= maxInterned {
--- a/internal/endpointlist/reader_test.go
+++ b/internal/endpointlist/reader_test.go
@@ -74,13 +74,11 @@
 func compareWithEncodingJSON(t *testing.T, text []byte) {
 	want, wantErr := decodeWithEncodingJSON(text)
 	limits := LimitsFor(0)
-	for name, read := range map[string]func(begin func(), accept func(Entry) error) (Update, error){
-		"at once": func(begin func(), accept func(Entry) error) (Update, error) {
-			return Parse(text, limits, begin, accept)
-		},
-		"byte by byte": func(begin func(), accept func(Entry) error) (Update, error) {
+	for name, read := range map[string]func(begin func(), each func(Entry) error) (Update, error){
+		"at once": func(begin func(), each func(Entry) error) (Update, error) { return Parse(text, limits, begin, each) },
+		"byte by byte": func(begin func(), each func(Entry) error) (Update, error) {
 			r := NewReader(iotest.OneByteReader(bytes.NewReader(text)), limits)
-			update, err := r.Next(begin, accept)
+			update, err := r.Next(begin, each)
 			if err == nil {
 				if _, err = r.Next(func() {}, func(Entry) error { return nil }); errors.Is(err, io.EOF) {
 					return update, nil
