--- a/cmd/fawnglade/fleet.go
+++ b/cmd/fawnglade/fleet.go
@@ -126,11 +126,11 @@
 func formatView(view *members.View) []byte {
 	var b bytes.Buffer // writing to it can't fail
 	summary := &view.Summary
-	fmt.Fprintf(&b, "%s, incarnation %d, %d rounds, strain %d\n", view.Name, view.Incarnation, view.Rounds, view.HealthScore)
-	if summary.Known {
+	fmt.Fprintf(&b, "%s, incarnation %d, %d rounds, strain %d\n", view.Name, view.Incarnation, view.Periods, view.HealthScore)
+	if summary.Reliable {
 		fmt.Fprintf(&b, "%d of %d nodes up, %d doubted, %d silent, %d left, %d never seen; "+
 			"%.0f%% of the last probes answered, %s ago\n",
-			summary.Alive, summary.Nodes, summary.Suspect, summary.Dead, summary.Left, summary.Unknown, 100*summary.ProbeSuccess, formatAge(summary.AgeNs))
+			summary.Alive, summary.Nodes, summary.Suspect, summary.Dead, summary.Left, summary.Unknown, 100*summary.ProbeSuccessRate, formatAge(summary.AgeNs))
 	} else {
 		fmt.Fprintf(&b, "the number of live nodes, of %d, is unknown: %s\n", summary.Nodes, summary.Reason)
 	}
@@ -138,7 +138,7 @@
 	fmt.Fprintln(&rows, "NODE\tSTATE\tFOR\tHEARD\tSTARTED\tINCARNATION\tREMARK")
 	for i := range view.Members {
 		member := &view.Members[i]
-		fmt.Fprintf(&rows, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", member.Name, member.State, formatAge(member.StateAgeNs), formatAge(member.LastHeardNs),
+		fmt.Fprintf(&rows, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", member.Name, member.State, formatAge(member.StateAgeNs), formatAge(member.LastReceivedAgeNs),
 			formatStart(member), member.Incarnation, memberRemark(view, member))
 	}
 	table := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
@@ -164,7 +164,7 @@
 		return "itself"
 	case member.NameConflict:
 		return "messages from an earlier run, or another process, with this name"
-	case member.OwnViewOnly:
+	case member.LocalOnly:
 		return "judged while this node reached no other node"
 	}
 	return ""
