--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -221,11 +221,11 @@
 // list watch, for each attempt and for admin calls: while discovery is down, when it returns, and afterwards.
 func TestDescriptorsSufficeAmongIdleClients(t *testing.T) {
 	for _, c := range []struct {
-		descriptorLimit, requests, adminCallCount int // requests and adminCalls are concurrent
-		discoveryMode                         string
-		keepState                             bool
-		maxConns                              int64 // per upstream
-		delay                                 time.Duration
+		descriptorLimit, requests, adminCallCount int // the requests, and the admin calls, are concurrent
+		discoveryMode                             string
+		keepState                                 bool
+		maxConns                                  int64 // per upstream
+		delay                                     time.Duration
 	}{
 		{32, 2, 2, "ask", false, 64, 0},
 		{64, 8, 4, "ask", true, 64, 0},
