--- a/cmd/fawnglade/descriptors_test.go
+++ b/cmd/fawnglade/descriptors_test.go
@@ -127,8 +127,8 @@
 	logPath      string
 }
 
-// startLimitedNode starts a node's process and waits until it is ready. listenerFile is the listening socket for clients
-// that it inherits, or nil.
+// startLimitedNode starts a node's process and waits until it is ready. listenerFile is the listening socket for
+// clients that it inherits, or nil.
 func startLimitedNode(t *testing.T, descriptorLimit int, discoveryMode, listen, discovery, tempDir string, listenerFile *os.File, upstreams []string,
 	extraArgs ...string,
 ) *limitedNode {
@@ -217,8 +217,8 @@
 	"GET /ready",
 }
 
-// With twice as many idle clients as descriptors, which reconnect immediately, the node must have descriptors left for the
-// list watch, for each attempt and for admin calls: while discovery is down, when it returns, and afterwards.
+// With twice as many idle clients as descriptors, which reconnect immediately, the node must have descriptors left for
+// the list watch, for each attempt and for admin calls: while discovery is down, when it returns, and afterwards.
 func TestDescriptorsSufficeAmongIdleClients(t *testing.T) {
 	for _, c := range []struct {
 		descriptorLimit, requests, adminCallCount int // the requests, and the admin calls, are concurrent
@@ -286,8 +286,8 @@
 	}
 }
 
-// During an upgrade among idle clients, the two processes of a node together must not use more descriptors than the node's
-// limit.
+// During an upgrade among idle clients, the two processes of a node together must not use more descriptors than the
+// node's limit.
 func TestUpgradeSharesDescriptorLimit(t *testing.T) {
 	for _, descriptorLimit := range []int{64, 256} {
 		t.Run(fmt.Sprint(descriptorLimit), func(t *testing.T) {
--- a/cmd/fawnglade/migrate.go
+++ b/cmd/fawnglade/migrate.go
@@ -1,8 +1,8 @@
 package main
 
-// The migration of a configuration from the older kind of deployment, with a pool of nodes for all clients, to the newer
-// kind with one node for each client process. The old file is only read, no existing file is overwritten, and only a
-// configuration that a node accepts is written.
+// The migration of a configuration from the older kind of deployment, with a pool of nodes for all clients, to the
+// newer kind with one node for each client process. The old file is only read, no existing file is overwritten, and
+// only a configuration that a node accepts is written.
 
 import (
 	"bytes"
--- a/cmd/fawnglade/pause_test.go
+++ b/cmd/fawnglade/pause_test.go
@@ -15,8 +15,9 @@
 	"time"
 )
 
-// A process is stopped (SIGSTOP) while its clients disconnect. Their requests are not yet read, pipelined behind others,
-// or in flight at an upstream that fails in the meantime. After SIGCONT the node must not begin attempts for them.
+// A process is stopped (SIGSTOP) while its clients disconnect. Their requests are not yet read, pipelined behind
+// others, or in flight at an upstream that fails in the meantime. After SIGCONT the node must not begin attempts for
+// them.
 func TestNoAttemptsForClientsThatLeftWhileStopped(t *testing.T) {
 	failUpstreams := make(chan struct{})
 	var attempts, continuedAt atomic.Int64
--- a/cmd/fawnglade/relay_test.go
+++ b/cmd/fawnglade/relay_test.go
@@ -56,6 +56,7 @@
 	return c, address, func() string { <-logDone; return logText.String() }
 }
 
+// When a relay is stopped, its subscriber must receive records through another relay within 6 s.
 func TestRelayProcessesFailOver(t *testing.T) {
 	dir := t.TempDir()
 	writeRecord := func(n int) {
--- a/cmd/fawnglade/store.go
+++ b/cmd/fawnglade/store.go
@@ -61,8 +61,8 @@
 	return recovery, s.Close()
 }
 
-// printCheckJSON prints the result of checkStore as JSON and returns checkErr. If checkErr is an error other than damage,
-// it prints nothing.
+// printCheckJSON prints the result of checkStore as JSON and returns checkErr. If checkErr is an error other than
+// damage, it prints nothing.
 func printCheckJSON(out io.Writer, recovery *store.Recovery, checkErr error) error {
 	result := map[string]any{"whole": checkErr == nil}
 	var corruption *store.CorruptionError
--- a/cmd/fawnglade/upgrade_test.go
+++ b/cmd/fawnglade/upgrade_test.go
@@ -107,8 +107,8 @@
 	if requestStatus(adminAddress, "PUT /servers/disable?target=s-1") != 200 {
 		t.Error("disabling an endpoint in the third process failed, want status 200")
 	}
-	// Upgrade while the only endpoint is disabled and the node is drained: the fourth process takes over both states, and
-	// can end them.
+	// Upgrade while the only endpoint is disabled and the node is drained: the fourth process takes over both states,
+	// and can end them.
 	requestStatus(adminAddress, "PUT /drain")
 	_, newAddress := start(503)
 	sendSignal(t, oldProcess, syscall.SIGTERM)
@@ -156,7 +156,7 @@
 	defer killProcess(c)
 	eventually(t, "ready", func() bool { return requestStatus(addresses[1], "GET /ready") == 200 })
 	for i := range 1200 {
-		conn, err := net.Dial("tcp", addresses[i%6/5]) // five in six are clients, the others callers of the admin API
+		conn, err := net.Dial("tcp", addresses[i%6/5]) // 1,000 clients and 200 admin callers; 1,000 more callers follow
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/classdelay/classdelay.go
+++ b/internal/classdelay/classdelay.go
@@ -1,6 +1,6 @@
-// Package classdelay estimates the delay that all requests of one class, or of one tenant, have at every endpoint beyond
-// that of the other classes or tenants, for example because a dependency that only they use is slow. Durations are in
-// nanoseconds; points in time are nanoseconds of the caller's clock.
+// Package classdelay estimates the delay that all requests of one class, or of one tenant, have at every endpoint
+// beyond that of the other classes or tenants, for example because a dependency that only they use is slow. Durations
+// are in nanoseconds; points in time are nanoseconds of the caller's clock.
 package classdelay
 
 import "math"
@@ -138,9 +138,9 @@
 	return delays[byClass] + delays[byTenant]
 }
 
-// AllowsTrial reports whether a request may be sent as a trial of whether the delay of its groups is over: none of their
-// attempts is in flight, and the previous trial took at most trialTimeFraction of the time since it began. This limits
-// the fraction of nodes that run a trial at the same time, however long a trial takes.
+// AllowsTrial reports whether a request may be sent as a trial of whether the delay of its groups is over: none of
+// their attempts is in flight, and the previous trial took at most trialTimeFraction of the time since it began. This
+// limits the fraction of nodes that run a trial at the same time, however long a trial takes.
 func (c RequestGroups) AllowsTrial(now int64, trialTimeFraction float64) bool {
 	for kind, delay := range c.delays(now) {
 		own := c.groups[kind]
@@ -176,8 +176,9 @@
 	}
 }
 
-// Observe records the latency of an attempt, infinite while it is overdue, and its expected latency at an otherwise idle
-// endpoint (unloaded). A delay that is already attributed to one of the two groups is not counted against the other.
+// Observe records the latency of an attempt, infinite while it is overdue, and its expected latency at an otherwise
+// idle endpoint (unloaded). A delay that is already attributed to one of the two groups is not counted against the
+// other.
 func (c RequestGroups) Observe(now, sentAt int64, latency, unloaded float64) {
 	delays, lateness := c.delays(now), latency-unloaded
 	for kind, own := range c.groups {
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -93,9 +93,9 @@
 	events    chan event
 }
 
-// Open makes calls until the body of one response starts, returns that as the watch and closes the other calls. A waiting
-// call is kept while further ones are made, since a new call starts at the end of discovery's queue. Open returns the
-// error of the last call once no call is in flight, and the context's error once the context is done.
+// Open makes calls until the body of one response starts, returns that as the watch and closes the other calls. A
+// waiting call is kept while further ones are made, since a new call starts at the end of discovery's queue. Open
+// returns the error of the last call once no call is in flight, and the context's error once the context is done.
 func (c *Call) Open(ctx context.Context) (*Watch, error) {
 	openCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -1,15 +1,15 @@
-// Package discovery opens a watch of the endpoint list at the discovery service. Call manages the connections, and Pacer
-// decides when a further one is opened.
+// Package discovery opens a watch of the endpoint list at the discovery service. Call manages the connections, and
+// Pacer decides when a further one is opened.
 package discovery
 
 import "slices"
 
 // Pacer decides when a further call is made while others are waiting for a response, and which of two waiting calls is
-// abandoned for a third. Discovery answers calls in order of arrival, including abandoned ones, and a new call starts at
-// the end of its queue. So the call that has waited longest is kept, unless discovery may never have received it.
+// abandoned for a third. Discovery answers calls in order of arrival, including abandoned ones, and a new call starts
+// at the end of its queue. So the call that has waited longest is kept, unless discovery may never have received it.
 //
-// The second call is made after the first gap. Later gaps stay short for the duration of most outages (14 s with a gap of
-// 3 s): by the contract with discovery the node must know a change 6 s after discovery has become reachable, and all
+// The second call is made after the first gap. Later gaps stay short for the duration of most outages (14 s with a gap
+// of 3 s): by the contract with discovery the node must know a change 6 s after discovery has become reachable, and all
 // calls may have been sent to a host that has since vanished. After that the gaps double, since each call takes a slow
 // discovery the time of one more response.
 //
@@ -83,8 +83,8 @@
 	return int64(float64(p.gap) * min(factor, maxGapFactor))
 }
 
-// indexToReplace returns the index of the call to abandon for a new one: a possibly lost one, otherwise the one that has
-// waited the shortest time.
+// indexToReplace returns the index of the call to abandon for a new one: a possibly lost one, otherwise the one that
+// has waited the shortest time.
 func (p *Pacer) indexToReplace() int {
 	if i := slices.IndexFunc(p.calls, func(c call) bool { return c.possiblyLost }); i >= 0 {
 		return i
@@ -111,6 +111,6 @@
 	return len(p.calls) > 0
 }
 
-// HeadReceived records that the head of a response was received. The body must start within bodyTimeout, so the next call
-// is due no later than that.
+// HeadReceived records that the head of a response was received. The body must start within bodyTimeout, so the next
+// call is due no later than that.
 func (p *Pacer) HeadReceived(now, bodyTimeout int64) { p.due = min(p.due, now+bodyTimeout) }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -55,8 +55,8 @@
 	return -1, s.lastID
 }
 
-// A call that waits in discovery's queue is answered however long the queue is, and the number of further calls grows far
-// slower than the waiting time.
+// A call that waits in discovery's queue is answered however long the queue is, and the number of further calls grows
+// far slower than the waiting time.
 func TestQueuedCallIsAnswered(t *testing.T) {
 	for queueDelay, maxCalls := range map[int64]int{1: 1, 2900: 1, 4000: 2, 6500: 3, 9900: 3, 20000: 5, 59000: 7, 600000: 11} {
 		s := &simulation{pacer: NewPacer(0, testGap, testGap, testRetryInterval), answered: func(now, made int64) bool { return now-made >= queueDelay*ms }}
@@ -71,8 +71,8 @@
 	}
 }
 
-// If the host of discovery vanishes, connections stay open without data, whether or not a dial has failed since. Once the
-// host is reachable again and answers within 1.5 s, a call must be answered within 6 s.
+// If the host of discovery vanishes, connections stay open without data, whether or not a dial has failed since. Once
+// the host is reachable again and answers within 1.5 s, a call must be answered within 6 s.
 func TestAnsweredSoonAfterDiscoveryHostReturns(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 4000 {
@@ -129,8 +129,8 @@
 	}
 }
 
-// simulateFleetStart simulates many nodes that start together, and a discovery that answers calls in order of arrival, one
-// at a time, including abandoned ones. It returns the delays until nodes were ready, and the number of calls.
+// simulateFleetStart simulates many nodes that start together, and a discovery that answers calls in order of arrival,
+// one at a time, including abandoned ones. It returns the delays until nodes were ready, and the number of calls.
 func simulateFleetStart(nodes int, callCost, reachableAt int64, keepWaiting bool) (ready []int64, calls int) {
 	type queuedCall struct {
 		node, id int
@@ -179,8 +179,8 @@
 	return ready, calls
 }
 
-// When many nodes start together, and discovery answers calls in order, including abandoned ones, all nodes must be ready
-// as soon as discovery can have answered one call of each. Further calls must stay few.
+// When many nodes start together, and discovery answers calls in order, including abandoned ones, all nodes must be
+// ready as soon as discovery can have answered one call of each. Further calls must stay few.
 func TestFleetStartWithSlowDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		nodes    int
@@ -212,8 +212,8 @@
 	}
 }
 
-// After the head of a response was received, the next call is due when its body is overdue, however long the gap between
-// calls has become.
+// After the head of a response was received, the next call is due when its body is overdue, however long the gap
+// between calls has become.
 func TestHeadReceivedBoundsNextCall(t *testing.T) {
 	p, now := NewPacer(0, testGap, testGap, testRetryInterval), int64(0)
 	for id := range 9 {
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,5 +1,5 @@
-// Package endpointlist reads and writes endpoint lists in discovery's format: lines of JSON, each with a complete list or
-// the changes to one. Lists are decoded as a stream with bounded memory, however long they are.
+// Package endpointlist reads and writes endpoint lists in discovery's format: lines of JSON, each with a complete list
+// or the changes to one. Lists are decoded as a stream with bounded memory, however long they are.
 package endpointlist
 
 import "fmt"
@@ -35,7 +35,7 @@
 	lineMemoryDivisor      = 4 // of the memory; a line is not held in memory, but the names in it are
 	valueLineDivisor       = 64
 	minValueBytes          = 64 << 10 // also the minimum for a line
-	endpointsMemoryDivisor = 2        // of the memory; with about 0.6 of it in use, garbage collection would run all the time
+	endpointsMemoryDivisor = 2        // of the memory; at 0.6 of it in use, garbage collection would run all the time
 
 	// EndpointBytes is the memory that a node needs per endpoint, over all packages and including garbage.
 	EndpointBytes = 1500
--- a/internal/endpointlist/reader.go
+++ b/internal/endpointlist/reader.go
@@ -29,8 +29,8 @@
 	return &Reader{limits: limits, in: bounded, values: json.NewDecoder(bounded), interned: map[string]string{}}
 }
 
-// boundedInput returns an error if a line or a value exceeds its limit. It drops white space between lines, since a watch
-// may be open for weeks and receives an empty line every 2 s.
+// boundedInput returns an error if a line or a value exceeds its limit. It drops white space between lines, since a
+// watch may be open for weeks and receives an empty line every 2 s.
 type boundedInput struct {
 	in                    io.Reader
 	limits                Limits
@@ -61,10 +61,10 @@
 	return n, err
 }
 
-// Next reads a line. It calls begin before the first entry and accept with each entry; an entry for which accept returns
-// an error is skipped. If begin is called again (a repeated field), the caller must discard the entries before it. If Next
-// returns an error, the caller must discard all entries, and the reader can't be used any more. Next returns io.EOF at
-// the end of the stream between two lines.
+// Next reads a line. It calls begin before the first entry and accept with each entry; an entry for which accept
+// returns an error is skipped. If begin is called again (a repeated field), the caller must discard the entries before
+// it. If Next returns an error, the caller must discard all entries, and the reader can't be used any more. Next
+// returns io.EOF at the end of the stream between two lines.
 func (r *Reader) Next(begin func(), accept func(Entry) error) (update Update, err error) {
 	r.in.lineBytes, r.in.valueBytes = 0, 0
 	r.in.betweenLines = r.bufferIsBlank()
--- a/internal/endpointlist/reader_test.go
+++ b/internal/endpointlist/reader_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// Empty lines, which a watch receives every two seconds for weeks, use no memory and don't count towards the line limit,
-// wherever reads end between two lines.
+// Empty lines, which a watch receives every two seconds for weeks, use no memory and don't count towards the line
+// limit, wherever reads end between two lines.
 func TestEmptyLinesUseNoMemory(t *testing.T) {
 	emptyLines := strings.NewReader(strings.Repeat("\r\n", 4<<20))
 	secondLine := `{"seq":7,"hosts":[{"host":"a  b"},{"host":" "}]}`
--- a/internal/endpointsource/overlay.go
+++ b/internal/endpointsource/overlay.go
@@ -37,8 +37,8 @@
 	return caughtUp || nowNs >= s.overlayUntilNs
 }
 
-// allNames returns the names of all endpoints in the current list, the active source's list and the overlay, in any order
-// and possibly with duplicates.
+// allNames returns the names of all endpoints in the current list, the active source's list and the overlay, in any
+// order and possibly with duplicates.
 func (s *Selector[V]) allNames() []string {
 	active := s.lists[s.active].endpoints
 	all := make([]string, 0, len(s.current)+len(active))
@@ -71,8 +71,8 @@
 	return update
 }
 
-// resolve returns an endpoint as the node must use it, or false if the endpoint is not in use. With an overlay, it decides
-// by these rules:
+// resolve returns an endpoint as the node must use it, or false if the endpoint is not in use. With an overlay, it
+// decides by these rules:
 //
 //   - if both lists have the endpoint, the later start wins; for the same start, draining wins over up;
 //   - an endpoint that only the overlay has stays in use;
--- a/internal/endpointsource/selector.go
+++ b/internal/endpointsource/selector.go
@@ -112,8 +112,8 @@
 	return s.reselect(nowNs, SourceDiscovery, names(endpoints), complete)
 }
 
-// SetDiscoveryConnected records whether the watch of discovery is connected. The watch counts as connected once its first
-// byte was received.
+// SetDiscoveryConnected records whether the watch of discovery is connected. The watch counts as connected once its
+// first byte was received.
 func (s *Selector[V]) SetDiscoveryConnected(nowNs int64, connected bool) Update[V] {
 	discovery := &s.lists[SourceDiscovery]
 	discovery.connected = connected
--- a/internal/endpointsource/selector_test.go
+++ b/internal/endpointsource/selector_test.go
@@ -288,9 +288,9 @@
 	return out
 }
 
-// Whatever versions the sources have, and in whatever order the node switches between them: an endpoint that was draining
-// or removed in the node's list is not up again without a restart; an endpoint that is up in every version since the
-// active source's is never removed; and in the end the node's list equals discovery's.
+// Whatever versions the sources have, and in whatever order the node switches between them: an endpoint that was
+// draining or removed in the node's list is not up again without a restart; an endpoint that is up in every version
+// since the active source's is never removed; and in the end the node's list equals discovery's.
 func TestSwitchesNeverRestoreOrLoseEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := &listHistory{versions: []map[string]testEndpoint{{}}}
--- a/internal/estimates/class.go
+++ b/internal/estimates/class.go
@@ -64,9 +64,9 @@
 	c.LatencySpread = min(max(c.LatencySpread, minSpread), maxSpread)
 }
 
-// ObserveWork updates TypicalWork with a latency. It starts with the mean of workSamplesForMean samples and then follows
-// a low quantile: a running mean would rise under overload, and a single short first response would set it too low.
-// Either would make idle endpoints look late, so that the class was no longer admitted.
+// ObserveWork updates TypicalWork with a latency. It starts with the mean of workSamplesForMean samples and then
+// follows a low quantile: a running mean would rise under overload, and a single short first response would set it too
+// low. Either would make idle endpoints look late, so that the class was no longer admitted.
 func (c *ClassEstimates) ObserveWork(latency float64) {
 	c.WorkSamples++
 	if c.WorkSamples <= workSamplesForMean {
--- a/internal/estimates/snapshot.go
+++ b/internal/estimates/snapshot.go
@@ -13,8 +13,8 @@
 	Endpoints map[uint32]Endpoint `json:"Servers"`
 }
 
-// Endpoint holds the estimates for one endpoint. StartedAt is the start of the endpoint's process that they apply to, in
-// nanoseconds.
+// Endpoint holds the estimates for one endpoint. StartedAt is the start of the endpoint's process that they apply to,
+// in nanoseconds.
 type Endpoint struct {
 	EndpointEstimates
 	StartedAt int64 `json:"Started"`
--- a/internal/features/members.go
+++ b/internal/features/members.go
@@ -25,10 +25,11 @@
 	// ProtocolPeriod is the interval between probes, 50ms to 1m. Shorter ones detect failures sooner and cost more
 	// datagrams. Default: 500ms.
 	ProtocolPeriod string `toml:"round"`
-	// Key authenticates datagrams: at least 32 hexadecimal digits, the same on all nodes. Default: empty, datagrams have
-	// only a checksum.
+	// Key authenticates datagrams: at least 32 hexadecimal digits, the same on all nodes. Default: empty, datagrams
+	// have only a checksum.
 	Key string `toml:"key"`
-	// ShareEndpointList turns on the exchange of endpoint lists while discovery is down. It requires Key. Default: false.
+	// ShareEndpointList turns on the exchange of endpoint lists while discovery is down. It requires Key. Default:
+	// false.
 	ShareEndpointList bool `toml:"list"`
 	// Nodes are all nodes of the fleet, including this one.
 	Nodes []Node `toml:"node"`
--- a/internal/gossip/inbox.go
+++ b/internal/gossip/inbox.go
@@ -43,8 +43,8 @@
 	return m, nil
 }
 
-// makeRoom ensures that another key can be remembered, if necessary by deleting keys whose messages would now be rejected
-// for their age. It returns false if there are still too many.
+// makeRoom ensures that another key can be remembered, if necessary by deleting keys whose messages would now be
+// rejected for their age. It returns false if there are still too many.
 func (b *Inbox) makeRoom(now int64) bool {
 	if b.lastSent == nil {
 		b.lastSent = map[messageKey]int64{}
--- a/internal/keyfreq/keyfreq.go
+++ b/internal/keyfreq/keyfreq.go
@@ -19,7 +19,7 @@
 type Counter struct {
 	counts         map[uint64]float64 // decayed counts of requests, by the hash of the key
 	total          float64            // decayed count of all requests
-	repeatFraction float64            // moving average of whether the key of a request was counted already (1) or not (0)
+	repeatFraction float64            // moving average of whether a request's key was counted before (1) or not (0)
 }
 
 // Observe counts a request for a key. It returns the key's hash, never 0, and the number of endpoints, out of the given
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -5,8 +5,8 @@
 // maxSavedRequests bounds the burst of requests that a tenant may send after it has sent less than its share.
 const maxSavedRequests = 8
 
-// Quotas holds one token bucket per tenant, counted in requests. Each arriving request of any tenant refills all buckets
-// by their tenants' shares. It is not safe for concurrent use.
+// Quotas holds one token bucket per tenant, counted in requests. Each arriving request of any tenant refills all
+// buckets by their tenants' shares. It is not safe for concurrent use.
 type Quotas struct {
 	shares, available []float64
 }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,7 +1,7 @@
 // Package rendezvous implements rendezvous hashing: endpoints are ordered by a hash of a key and the endpoint's ID, the
-// highest first, so that all nodes agree on the endpoints for a key without exchanging messages (Thaler and Ravishankar,
-// "Using name-based mappings to increase hit rates", 1998). The hashes must not change between builds, or nodes of
-// different builds would disagree.
+// highest first, so that all nodes agree on the endpoints for a key without exchanging messages (Thaler and
+// Ravishankar, "Using name-based mappings to increase hit rates", 1998). The hashes must not change between builds, or
+// nodes of different builds would disagree.
 package rendezvous
 
 // Constants of FNV-1a and of the finalizer of a 64-bit mixing function.
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -18,8 +18,8 @@
 //	profiles.N.worth               Class.PriorityWeight; 1 if missing
 //	profiles.N.late_worth          Class.LateFraction, 0 to 1; 0 if missing
 //	profiles.N.repeat              Class.Idempotency: safe, keyed (idempotent by key) or unsafe (non-idempotent)
-//	profiles.N.group               Class.DedupGroup, where keyed: all (fleet), zone or cell (pod)
-//	profiles.N.memory_span_us      Class.DedupWindow, where keyed, microseconds
+//	profiles.N.group               Class.DedupGroup, if keyed: all (fleet), zone or cell (pod)
+//	profiles.N.memory_span_us      Class.DedupWindow, if keyed, microseconds
 //	parties.N.name                 Tenants
 //	parties.N.portion              TenantShares, fraction of all requests
 //	over_share_worth               OverQuotaFraction; 1 if missing
@@ -31,7 +31,7 @@
 //	limits.multiplex               StreamsPerConnection
 //	quantum_us                     ClockResolution, microseconds
 //	discovery                      MustPollList: ask, or push (false)
-//	rules.ask_within_us            MaxPollInterval, where ask, microseconds
+//	rules.ask_within_us            MaxPollInterval, if discovery is ask, microseconds
 //	weights                        WeightIsSize: nominal or rough, else off or live (false)
 //	report.how                     HealthChecksReport: on_probe; inline (false), or off: no load reports at all
 //	report.fields                  ReportsUtilization (util) and ReportsServiceTime (latency_ms), with commas
@@ -42,7 +42,7 @@
 //	limits.probes                  MayCheckHealth
 //	limits.cancelling              MayCancel
 //	limits.retry_after             MaySetRetryAfter
-//	limits.max_retry_after_us      MaxRetryAfter, where that is set, microseconds
+//	limits.max_retry_after_us      MaxRetryAfter, if limits.retry_after is set, microseconds
 //	limits.try_limit               MaxAttempts
 //	rules.cold_from                SlowStartMinCapacity, fraction of the full capacity
 //	rules.warm_within_us           SlowStartWindow, microseconds
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings decodes the settings of a deployment, which a simulator sends as a line of path=value pairs and a node
-// reads as nested JSON. It maps their names to the fields of policy.Settings (names.go). A missing required setting and
-// an invalid value are errors; unknown names are ignored.
+// Package settings decodes the settings of a deployment, which a simulator sends as a line of path=value pairs and a
+// node reads as nested JSON. It maps their names to the fields of policy.Settings (names.go). A missing required
+// setting and an invalid value are errors; unknown names are ignored.
 package settings
 
 import (
@@ -71,7 +71,8 @@
 	}
 }
 
-// flattenArray adds an array of objects as numbered paths and a count, and any other array as one comma-separated value.
+// flattenArray adds an array of objects as numbered paths and a count, and any other array as one comma-separated
+// value.
 func flattenArray(into map[string]string, path string, array []any) {
 	var simple []string
 	for i, inner := range array {
--- a/internal/simadapter/actions.go
+++ b/internal/simadapter/actions.go
@@ -31,7 +31,7 @@
 
 func (a action) write() {
 	a.session.actionLine = append(a.session.actionLine, '\n')
-	a.session.out.Write(a.session.actionLine) //nolint:errcheck // the writer keeps the error and returns it when the batch is flushed
+	a.session.out.Write(a.session.actionLine) //nolint:errcheck // Flush returns the error
 }
 
 // roundUpToMicroseconds rounds up so that a timer is never early and a positive delay never becomes zero.
--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -2,7 +2,8 @@
 
 import "fawnglade/policy"
 
-// The names in the simulator's protocol, which the simulator defines. The constants are named in the terms of this project.
+// The names in the simulator's protocol, which the simulator defines. The constants are named in the terms of this
+// project.
 
 // Messages that frame a batch.
 const (
@@ -84,8 +85,8 @@
 	flagClientRetry = 2
 )
 
-// Forms of eventEndpointsUpdate: the complete list, the changed entries, the list that the node had stored on disk, or a
-// failed call without a list.
+// Forms of eventEndpointsUpdate: the complete list, the changed entries, the list that the node had stored on disk, or
+// a failed call without a list.
 const (
 	updateComplete    = "FULL"
 	updateIncremental = "INCREMENTAL"
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -27,8 +27,8 @@
 // Err returns all problems joined, one per line, or nil if there are none.
 func (p *Problems) Err() error { return errors.Join(p.problems...) }
 
-// Decode decodes a file's text into a value. Invalid TOML and a value of the wrong type are errors. Unknown keys are added
-// to the returned problems, with a reference to the page that documents all keys.
+// Decode decodes a file's text into a value. Invalid TOML and a value of the wrong type are errors. Unknown keys are
+// added to the returned problems, with a reference to the page that documents all keys.
 func Decode(path string, text []byte, into any, page string) (*Problems, error) {
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
