--- a/cmd/fawnglade/upgrade_test.go
+++ b/cmd/fawnglade/upgrade_test.go
@@ -16,41 +16,42 @@
 	"time"
 )
 
-// Three processes of one node in a row, under load, on a socket that outlives them: no request is lost.
+// Three processes of one node replace each other under load, on a listening socket that they inherit. No request may be
+// lost, and overrides and the drain state must be handed over.
 func TestUpgradeUnderLoadLosesNoRequest(t *testing.T) {
-	server, err := net.Listen("tcp", "127.0.0.1:0")
+	upstream, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer server.Close()
-	serveHTTP(server, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	defer upstream.Close()
+	serveHTTP(upstream, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(3 * time.Millisecond)
 		writeText(w, r.Header.Get("X-Txn"))
 	}))
-	door, held := inheritedListener(t)
+	listener, listenerFile := inheritedListener(t)
 	dir := t.TempDir()
-	text := strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, door.Addr()),
-		`"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, server.Addr())).Replace(config)
+	text := strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, listener.Addr()),
+		`"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, upstream.Addr())).Replace(config)
 	start := func(want int) (*exec.Cmd, string) {
-		free, err := net.Listen("tcp", "127.0.0.1:0")
+		adminListener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		console := free.Addr().String()
-		free.Close()
+		adminAddress := adminListener.Addr().String()
+		adminListener.Close()
 		c := nodeCommand(t, text, "serve")
-		c.Env = append(c.Env, "TMPDIR="+dir, "NODE_CONSOLE="+console, "NODE_INHERITED_FD=3")
-		c.ExtraFiles = []*os.File{held}
+		c.Env = append(c.Env, "TMPDIR="+dir, "NODE_CONSOLE="+adminAddress, "NODE_INHERITED_FD=3")
+		c.ExtraFiles = []*os.File{listenerFile}
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { killProcess(c) })
-		eventually(t, "ready", func() bool { return requestStatus(console, "GET /ready") == want })
-		return c, console
+		eventually(t, "ready", func() bool { return requestStatus(adminAddress, "GET /ready") == want })
+		return c, adminAddress
 	}
-	old, console := start(200)
-	if status := requestStatus(console, "PUT /servers/disable?target=s-9"); status != 404 {
-		t.Errorf("a server never listed was taken out: %d", status)
+	oldProcess, adminAddress := start(200)
+	if status := requestStatus(adminAddress, "PUT /servers/disable?target=s-9"); status != 404 {
+		t.Errorf("disabling an unknown endpoint: got status %d, want 404", status)
 	}
 	var done sync.WaitGroup
 	var stop atomic.Bool
@@ -58,11 +59,11 @@
 	for i := range 8 {
 		done.Go(func() {
 			var c net.Conn
-			var err error // its own: the clients run side by side
+			var err error // not shared, as the clients run concurrently
 			var in *bufio.Reader
 			for k := 0; !stop.Load(); k++ {
 				if c == nil {
-					if c, err = net.Dial("tcp", door.Addr().String()); err != nil {
+					if c, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 						lost.Add(1)
 						return
 					}
@@ -81,7 +82,7 @@
 				if err != nil || r.StatusCode == 200 && string(body) != id {
 					lost.Add(1)
 				}
-				if r.Close || i%2 == 0 { // half of them connect anew for each request
+				if r.Close || i%2 == 0 { // half of the clients use a new connection for each request
 					c.Close()
 					c = nil
 				}
@@ -90,48 +91,49 @@
 	}
 	for range 2 {
 		time.Sleep(200 * time.Millisecond)
-		fresh, at := start(200)
-		sendSignal(t, old, syscall.SIGTERM)
-		if err := old.Wait(); err != nil {
-			t.Errorf("the old process ended with %v", err)
+		newProcess, newAddress := start(200)
+		sendSignal(t, oldProcess, syscall.SIGTERM)
+		if err := oldProcess.Wait(); err != nil {
+			t.Errorf("the old process exited with %v, want exit code 0", err)
 		}
-		old, console = fresh, at
+		oldProcess, adminAddress = newProcess, newAddress
 	}
 	time.Sleep(200 * time.Millisecond)
 	stop.Store(true)
 	done.Wait()
 	if lost.Load() > 0 || requests.Load() < 100 {
-		t.Errorf("%d of %d requests were lost", lost.Load(), requests.Load())
+		t.Errorf("got %d of %d requests lost, want none of at least 100", lost.Load(), requests.Load())
 	}
-	if requestStatus(console, "PUT /servers/disable?target=s-1") != 200 {
-		t.Error("the third process does not know the server")
+	if requestStatus(adminAddress, "PUT /servers/disable?target=s-1") != 200 {
+		t.Error("disabling an endpoint in the third process failed, want status 200")
 	}
-	// An upgrade while the one server is out and the node is drained: the fourth process knows both, and ends both.
-	requestStatus(console, "PUT /drain")
-	_, at := start(503)
-	sendSignal(t, old, syscall.SIGTERM)
-	if err := old.Wait(); err != nil {
-		t.Errorf("the third process ended with %v", err)
+	// Upgrade while the only endpoint is disabled and the node is drained: the fourth process takes over both states,
+	// and can end them.
+	requestStatus(adminAddress, "PUT /drain")
+	_, newAddress := start(503)
+	sendSignal(t, oldProcess, syscall.SIGTERM)
+	if err := oldProcess.Wait(); err != nil {
+		t.Errorf("the third process exited with %v, want exit code 0", err)
 	}
 	request := func(id string) int {
-		return requestStatus(door.Addr().String(), "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
+		return requestStatus(listener.Addr().String(), "GET /view HTTP/1.1\r\nX-Txn: "+id+"\r\nX-Rest:")
 	}
 	if status := request("out"); status != 503 {
-		t.Errorf("with its server out a request got %d", status)
+		t.Errorf("with the only endpoint disabled: got status %d, want 503", status)
 	}
-	if requestStatus(at, "PUT /undrain") != 200 || requestStatus(at, "GET /ready") != 200 {
-		t.Error("not ready after the end of a drain that another process began")
+	if requestStatus(newAddress, "PUT /undrain") != 200 || requestStatus(newAddress, "GET /ready") != 200 {
+		t.Error("the node is not ready after /undrain in the process that took over the drain")
 	}
-	if requestStatus(at, "PUT /servers/enable?target=s-1") != 200 {
-		t.Error("not put back")
+	if requestStatus(newAddress, "PUT /servers/enable?target=s-1") != 200 {
+		t.Error("enabling the endpoint failed, want status 200")
 	}
-	eventually(t, "the server put back is in use", func() bool {
+	eventually(t, "the enabled endpoint is in use", func() bool {
 		return request(fmt.Sprint("back", time.Now().UnixNano())) == 200
 	})
 }
 
-// The admin API answers while clients hold all their descriptors and a thousand callers send nothing or half a call;
-// the system gives the process no more descriptors than its configuration says.
+// The admin API must respond while idle clients use all descriptors that they can get, and a thousand callers of the
+// admin API send nothing or an incomplete call. The process runs with a descriptor limit equal to the configured one.
 func TestAdminAPIAnswersAmongIdleClients(t *testing.T) {
 	var addresses [2]string
 	for i := range addresses {
@@ -154,30 +156,30 @@
 	defer killProcess(c)
 	eventually(t, "ready", func() bool { return requestStatus(addresses[1], "GET /ready") == 200 })
 	for i := range 1200 {
-		held, err := net.Dial("tcp", addresses[i%6/5]) // a thousand clients, two hundred callers, then the others
+		conn, err := net.Dial("tcp", addresses[i%6/5]) // 1,000 clients and 200 admin callers; 1,000 more callers follow
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer held.Close()
+		defer conn.Close()
 		if i%2 == 0 {
-			writeText(held, "PUT /drain HT")
+			writeText(conn, "PUT /drain HT")
 		}
 	}
 	for i := range 2000 {
 		if i%2 == 0 {
-			held, err := net.Dial("tcp", addresses[1])
+			conn, err := net.Dial("tcp", addresses[1])
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer held.Close()
+			defer conn.Close()
 		}
 		if i%200 == 0 {
-			for _, one := range []string{
+			for _, call := range []string{
 				"PUT /servers/disable?target=s-1", "PUT /servers/enable?target=s-1",
 				"GET /ready",
 			} {
-				if status := requestStatus(addresses[1], one); status != 200 {
-					t.Errorf("%s among idle clients, after %d callers: %d", one, i/2, status)
+				if status := requestStatus(addresses[1], call); status != 200 {
+					t.Errorf("%s among idle clients, after %d admin callers: got status %d, want 200", call, i/2, status)
 				}
 			}
 		}
--- a/internal/endpointlist/reader_test.go
+++ b/internal/endpointlist/reader_test.go
@@ -20,41 +20,41 @@
 
 var errRejectedEntry = errors.New("odd")
 
-// decodeWithEncodingJSON is what encoding/json makes of a line.
-func decodeWithEncodingJSON(text []byte) (a result, err error) {
+// decodeWithEncodingJSON decodes a line by encoding/json, as the reference for the reader.
+func decodeWithEncodingJSON(text []byte) (decoded result, err error) {
 	var in struct {
-		Version *int64            `json:"seq"`
-		Whole   bool              `json:"whole"`
-		Entries []json.RawMessage `json:"hosts"`
+		Version  *int64            `json:"seq"`
+		Complete bool              `json:"whole"`
+		Entries  []json.RawMessage `json:"hosts"`
 	}
 	if err := json.Unmarshal(text, &in); err != nil {
-		return a, err
+		return decoded, err
 	}
 	if in.Version == nil {
-		return a, errors.New("no version")
+		return decoded, errors.New("no version")
 	}
-	for _, one := range in.Entries {
+	for _, raw := range in.Entries {
 		var e Entry
-		if err := json.Unmarshal(one, &e); err != nil || e.Name == "odd" {
-			a.Update.Skipped++
+		if err := json.Unmarshal(raw, &e); err != nil || e.Name == "odd" {
+			decoded.Update.Skipped++
 			continue
 		}
-		a.Entries = append(a.Entries, e)
+		decoded.Entries = append(decoded.Entries, e)
 	}
-	a.Update.Version, a.Update.Complete = *in.Version, in.Whole && a.Update.Skipped == 0
-	return a, nil
+	decoded.Update.Version, decoded.Update.Complete = *in.Version, in.Complete && decoded.Update.Skipped == 0
+	return decoded, nil
 }
 
-func collect(read func(begin func(), take func(Entry) error) (Update, error)) (a result, err error) {
-	a.Update, err = read(func() { a.Entries = nil }, func(e Entry) error {
+func collect(read func(begin func(), accept func(Entry) error) (Update, error)) (decoded result, err error) {
+	decoded.Update, err = read(func() { decoded.Entries = nil }, func(e Entry) error {
 		if e.Name == "odd" {
 			return errRejectedEntry
 		}
-		a.Entries = append(a.Entries, e)
+		decoded.Entries = append(decoded.Entries, e)
 		return nil
 	})
-	a.Update.FirstErr = nil
-	return a, err
+	decoded.Update.FirstErr = nil
+	return decoded, err
 }
 
 var testLines = []string{
@@ -69,30 +69,31 @@
 	`{"seq":1,"hosts":[{"host":"a"}],"hosts":null}`, `{"seq":1,"hosts":[{"x":nul}]}`, `{"seq":1,"hosts":[{"host":"a",}]}`, `{"seq":1 "whole":true}`, `{"seq":1,"hosts":[{}{}]}`,
 }
 
-// compare compares the streaming reader with encoding/json, whatever the pieces in which a text comes.
+// compareWithEncodingJSON checks that the streaming reader gives the same result as encoding/json, whether the text is
+// read at once or byte by byte.
 func compareWithEncodingJSON(t *testing.T, text []byte) {
-	want, wrong := decodeWithEncodingJSON(text)
+	want, wantErr := decodeWithEncodingJSON(text)
 	limits := LimitsFor(0)
-	for name, read := range map[string]func(begin func(), take func(Entry) error) (Update, error){
-		"at once": func(begin func(), take func(Entry) error) (Update, error) { return Parse(text, limits, begin, take) },
-		"byte by byte": func(begin func(), take func(Entry) error) (Update, error) {
+	for name, read := range map[string]func(begin func(), each func(Entry) error) (Update, error){
+		"at once": func(begin func(), each func(Entry) error) (Update, error) { return Parse(text, limits, begin, each) },
+		"byte by byte": func(begin func(), each func(Entry) error) (Update, error) {
 			r := NewReader(iotest.OneByteReader(bytes.NewReader(text)), limits)
-			l, err := r.Next(begin, take)
+			update, err := r.Next(begin, each)
 			if err == nil {
 				if _, err = r.Next(func() {}, func(Entry) error { return nil }); errors.Is(err, io.EOF) {
-					return l, nil
+					return update, nil
 				}
 				err = errors.New("more than one")
 			}
-			return l, err
+			return update, err
 		},
 	} {
 		got, err := collect(read)
-		if (err == nil) != (wrong == nil) {
-			t.Fatalf("%s, %q: %v, encoding/json says %v", name, text, err, wrong)
+		if (err == nil) != (wantErr == nil) {
+			t.Fatalf("%s, %q: got error %v, encoding/json returns %v", name, text, err, wantErr)
 		}
 		if err == nil && !reflect.DeepEqual(got, want) {
-			t.Fatalf("%s, %q: %+v, encoding/json says %+v", name, text, got, want)
+			t.Fatalf("%s, %q: got %+v, encoding/json returns %+v", name, text, got, want)
 		}
 	}
 }
@@ -110,12 +111,12 @@
 	f.Fuzz(compareWithEncodingJSON)
 }
 
-// A line that is cut anywhere is an error, and the end of the stream between two lines is io.EOF.
+// A line truncated at any byte is an error, but not io.EOF, which stands for the end of the stream between two lines.
 func TestTruncatedLineError(t *testing.T) {
 	text := testLines[0]
 	for cut := range len(text) {
 		if _, err := collect(NewReader(strings.NewReader(text[:cut]), LimitsFor(0)).Next); err == nil || cut > 0 && errors.Is(err, io.EOF) {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("truncated at byte %d: got error %v, want one other than io.EOF", cut, err)
 		}
 	}
 	r := NewReader(strings.NewReader("\n\n"+text+"\n\n\n"+testLines[3]+"\n"), LimitsFor(0))
@@ -125,38 +126,39 @@
 		}
 	}
 	if _, err := collect(r.Next); !errors.Is(err, io.EOF) {
-		t.Errorf("after the last: %v", err)
+		t.Errorf("after the last line: got error %v, want io.EOF", err)
 	}
 }
 
-// An empty line every two seconds for some weeks is neither held nor too long, wherever reads end between two lines.
+// Empty lines, which a watch receives every two seconds for weeks, use no memory and don't count towards the line
+// limit, wherever reads end between two lines.
 func TestEmptyLinesUseNoMemory(t *testing.T) {
-	many := strings.NewReader(strings.Repeat("\r\n", 4<<20))
-	second := `{"seq":7,"hosts":[{"host":"a  b"},{"host":" "}]}`
+	emptyLines := strings.NewReader(strings.Repeat("\r\n", 4<<20))
+	secondLine := `{"seq":7,"hosts":[{"host":"a  b"},{"host":" "}]}`
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	r := NewReader(io.MultiReader(strings.NewReader(testLines[0]), many, strings.NewReader(second)), Limits{ValueBytes: 64 << 10, LineBytes: 64 << 10, Endpoints: 10})
+	r := NewReader(io.MultiReader(strings.NewReader(testLines[0]), emptyLines, strings.NewReader(secondLine)), Limits{ValueBytes: 64 << 10, LineBytes: 64 << 10, Endpoints: 10})
 	for i, version := range []int64{41, 7} {
 		if got, err := collect(r.Next); err != nil || got.Update.Version != version {
 			t.Errorf("line %d: %+v, %v", i, got, err)
 		}
 	}
 	runtime.ReadMemStats(&after)
-	if took := after.TotalAlloc - before.TotalAlloc; took > 1<<20 {
-		t.Errorf("%d bytes taken", took)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
+		t.Errorf("got %d bytes allocated, want at most 1 MiB", allocated)
 	}
-	for cut := range len(second) {
-		r := NewReader(io.MultiReader(strings.NewReader(testLines[0]+"\n"+second[:cut]), strings.NewReader(second[cut:])), LimitsFor(0))
+	for cut := range len(secondLine) {
+		r := NewReader(io.MultiReader(strings.NewReader(testLines[0]+"\n"+secondLine[:cut]), strings.NewReader(secondLine[cut:])), LimitsFor(0))
 		if _, err := collect(r.Next); err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		if got, err := collect(r.Next); err != nil || len(got.Entries) != 2 || got.Entries[0].Name != "a  b" || got.Entries[1].Name != " " {
-			t.Fatalf("cut at %d: %+v, %v", cut, got, err)
+			t.Fatalf("second line split at byte %d: got %+v, error %v; want two entries with their blanks", cut, got, err)
 		}
 	}
 }
 
-// endless is a line that never ends, made as it is read.
+// endlessLine is a reader of a line that never ends: head once, then repeated again and again.
 type endlessLine struct {
 	head, repeated string
 	pending        string
@@ -173,10 +175,10 @@
 	return n, nil
 }
 
-// Each limit ends a line that exceeds it, and little memory is used until then.
+// Reading a line that exceeds a limit must fail, and use little memory until then.
 func TestLimitsAreEnforced(t *testing.T) {
 	limits := Limits{ValueBytes: 64 << 10, LineBytes: 8 << 20, Endpoints: 5000}
-	for what, in := range map[string]*endlessLine{
+	for unit, in := range map[string]*endlessLine{
 		"entries":            {head: `{"seq":1,"hosts":[`, repeated: `{"host":"a"},`},
 		"bytes of a line":    {head: `{"seq":1,"hosts":[`, repeated: strings.Repeat(" ", 60<<10) + `{"host":"a"},`},
 		"bytes of one value": {head: `{"seq":1,"hosts":[{"host":"`, repeated: "x"},
@@ -185,19 +187,19 @@
 		runtime.ReadMemStats(&before)
 		_, err := NewReader(in, limits).Next(func() {}, func(Entry) error { return nil })
 		runtime.ReadMemStats(&after)
-		var long *TooLongError
-		if !errors.As(err, &long) || long.Unit != what {
-			t.Errorf("%s: %v", what, err)
+		var tooLong *TooLongError
+		if !errors.As(err, &tooLong) || tooLong.Unit != unit {
+			t.Errorf("%s: got error %v, want a TooLongError with this unit", unit, err)
 		}
-		if took := after.TotalAlloc - before.TotalAlloc; took > 4<<20 {
-			t.Errorf("%s: %d bytes taken", what, took)
+		if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 4<<20 {
+			t.Errorf("%s: got %d bytes allocated, want at most 4 MiB", unit, allocated)
 		}
 	}
 	if l := LimitsFor(0); l.Endpoints < 240000 || l.LineBytes < 60<<20 {
-		t.Errorf("without a limit %+v", l)
+		t.Errorf("LimitsFor(0): got %+v, want at least 240000 endpoints and 60 MiB per line", l)
 	}
 	if l := LimitsFor(128 << 20); l.Endpoints > 64<<20/1000 || l.LineBytes > 64<<20 {
-		t.Errorf("with 128 MB %+v", l)
+		t.Errorf("LimitsFor(128 MiB): got %+v, want at most 67108 endpoints and 64 MiB per line", l)
 	}
 }
 
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -8,17 +8,17 @@
 
 const (
 	maxNumber       = 1e18
-	maxMicroseconds = 9e15 // fits in nanoseconds
+	maxMicroseconds = 9e15 // such a time still fits in an int64 of nanoseconds
 	maxCount        = 10000
 )
 
-// values reads settings by their paths and keeps the first error.
+// values reads settings by path and keeps the first error.
 type values struct {
 	byPath map[string]string
 	err    error
 }
 
-// option is a word that is allowed as the value of a setting, and the value that it stands for.
+// option is one allowed text of a setting, and the value that it stands for.
 type option[T any] struct {
 	name  string
 	value T
@@ -40,26 +40,26 @@
 	return ok
 }
 
-// number reads a number that has to be there.
-func (v *values) number(path string, low float64) float64 {
+// number reads a required number of at least minimum.
+func (v *values) number(path string, minimum float64) float64 {
 	n, err := strconv.ParseFloat(v.byPath[path], 64)
-	if err != nil || !(n >= low) || n > maxNumber {
-		v.fail(path, fmt.Sprintf("a number of at least %g", low))
-		return low
+	if err != nil || !(n >= minimum) || n > maxNumber {
+		v.fail(path, fmt.Sprintf("a number of at least %g", minimum))
+		return minimum
 	}
 	return n
 }
 
-func (v *values) numberOr(path string, low, missing float64) float64 {
+func (v *values) numberOr(path string, minimum, fallback float64) float64 {
 	if !v.has(path) {
-		return missing
+		return fallback
 	}
-	return v.number(path, low)
+	return v.number(path, minimum)
 }
 
-// count reads the length of an array.
-func (v *values) count(path string, low float64) int {
-	n := v.number(path, low)
+// count reads the required length of an array.
+func (v *values) count(path string, minimum float64) int {
+	n := v.number(path, minimum)
 	if n > maxCount {
 		v.fail(path, "a count of at most 10000")
 		return 0
@@ -67,9 +67,9 @@
 	return int(n)
 }
 
-// duration reads a time in microseconds.
-func (v *values) duration(path string, low float64) time.Duration {
-	n := v.number(path, low)
+// duration reads a required time in microseconds.
+func (v *values) duration(path string, minimum float64) time.Duration {
+	n := v.number(path, minimum)
 	if n > maxMicroseconds {
 		v.fail(path, "a time in microseconds")
 		return 0
@@ -84,7 +84,7 @@
 	return v.duration(path, 0)
 }
 
-// flag reads a boolean; a missing one is false.
+// flag reads an optional boolean; the default is false.
 func (v *values) flag(path string) bool {
 	switch v.byPath[path] {
 	case "true":
@@ -98,11 +98,11 @@
 	return false
 }
 
-// choice reads one of a few words.
+// readOption reads a required setting that must be one of the options.
 func readOption[T any](v *values, path string, options []option[T]) T {
 	want := "one of"
 	for _, o := range options {
-		if word, ok := v.byPath[path]; ok && word == o.name {
+		if name, ok := v.byPath[path]; ok && name == o.name {
 			return o.value
 		}
 		want += " " + o.name
