--- a/internal/endpointgossip/exchange.go
+++ b/internal/endpointgossip/exchange.go
@@ -99,7 +99,7 @@
 // New begins with the list that the node remembers, which may be empty. watchResumes: the node's watch goes on from
 // that list. now is in Unix nanoseconds of the node's clock, which never goes back while the node runs.
 func New(
-	seed uint64, transport Transport, now, version int64, remembered []Endpoint, watchResumes bool,
+	seed uint64, transport Transport, now, version int64, restored []Endpoint, watchResumes bool,
 ) *Exchange {
 	e := &Exchange{
 		transport:        transport,
@@ -110,9 +110,9 @@
 		startedAt:        now,
 		now:              now,
 	}
-	if len(remembered) > 0 && len(remembered) <= MaxEndpoints {
-		e.current = newList(version, slices.Clone(remembered), 0, true)
-		for _, endpoint := range remembered {
+	if len(restored) > 0 && len(restored) <= MaxEndpoints {
+		e.current = newList(version, slices.Clone(restored), 0, true)
+		for _, endpoint := range restored {
 			e.watchedEndpoints[endpoint.Name] = endpoint
 		}
 		if watchResumes {
--- a/internal/endpointgossip/gathering.go
+++ b/internal/endpointgossip/gathering.go
@@ -23,23 +23,23 @@
 
 // continueTransfer gives up a list whose pages have stopped coming, and requests what is missing.
 func (e *Exchange) continueTransfer() {
-	if g := e.transfer; g != nil && e.tick-g.lastPageTick > transferTimeoutTicks {
+	if t := e.transfer; t != nil && e.tick-t.lastPageTick > transferTimeoutTicks {
 		e.transfer = nil
 	}
 	if e.betterListNode >= 0 {
 		e.request(e.betterListNode, nil)
 		e.betterListNode = -1
 	}
-	if g := e.transfer; g != nil && !g.complete() && e.tick-g.lastRequestTick >= pageRetryTicks {
-		e.requestMissing(g)
+	if t := e.transfer; t != nil && !t.complete() && e.tick-t.lastRequestTick >= pageRetryTicks {
+		e.requestMissing(t)
 	}
 }
 
 // requestMissing requests missing pages from the node that sent one last.
-func (e *Exchange) requestMissing(g *transfer) {
-	pages := g.missingPages()
-	g.outstandingPages, g.lastRequestTick = len(pages), e.tick
-	e.request(g.lastSender, pages)
+func (e *Exchange) requestMissing(t *transfer) {
+	pages := t.missingPages()
+	t.outstandingPages, t.lastRequestTick = len(pages), e.tick
+	e.request(t.lastSender, pages)
 }
 
 // handleResponse takes in a response; it returns endpoints as Receive does.
@@ -56,18 +56,18 @@
 	if e.transfer == nil || isPreferred(response, &e.transfer.head) {
 		e.transfer = e.newTransfer(from, response)
 	}
-	g := e.transfer
-	if !g.matches(response) {
+	t := e.transfer
+	if !t.matches(response) {
 		return nil // of another list, which is asked for when this one is done
 	}
-	g.addConfirmation(from, response)
-	if response.Page != headOnly && g.pages[response.Page] == nil {
-		e.addPage(g, from, response)
+	t.addConfirmation(from, response)
+	if response.Page != headOnly && t.pages[response.Page] == nil {
+		e.addPage(t, from, response)
 	}
-	if !g.complete() {
+	if !t.complete() {
 		return nil
 	}
-	return e.accept(g)
+	return e.accept(t)
 }
 
 func (e *Exchange) newTransfer(from int, head *message) *transfer {
@@ -81,38 +81,38 @@
 	}
 }
 
-func (g *transfer) matches(m *message) bool {
-	return m.Version == g.head.Version && m.Digest == g.head.Digest && m.Pages == len(g.pages)
+func (t *transfer) matches(m *message) bool {
+	return m.Version == t.head.Version && m.Digest == t.head.Digest && m.Pages == len(t.pages)
 }
 
 // addConfirmation takes in what a response says of the list as a whole.
-func (g *transfer) addConfirmation(from int, response *message) {
-	if response.confirmedAt() > g.head.confirmedAt() {
-		g.head.RequestedAt, g.head.AgeNs = response.RequestedAt, response.AgeNs
+func (t *transfer) addConfirmation(from int, response *message) {
+	if response.confirmedAt() > t.head.confirmedAt() {
+		t.head.RequestedAt, t.head.AgeNs = response.RequestedAt, response.AgeNs
 	}
-	if response.WatchUp && !slices.Contains(g.witnesses, from) && len(g.witnesses) < requiredWitnesses {
-		g.witnesses = append(g.witnesses, from)
+	if response.WatchUp && !slices.Contains(t.witnesses, from) && len(t.witnesses) < requiredWitnesses {
+		t.witnesses = append(t.witnesses, from)
 	}
-	g.head.Restored = g.head.Restored && response.Restored
+	t.head.Restored = t.head.Restored && response.Restored
 }
 
 // addPage keeps a page, and requests more once those that were requested have come.
-func (e *Exchange) addPage(g *transfer, from int, response *message) {
-	g.pages[response.Page] = append([]Endpoint{}, response.Endpoints...)
-	g.receivedPages++
-	g.lastPageTick, g.lastSender = e.tick, from
-	g.outstandingPages--
-	if g.outstandingPages <= 0 && !g.complete() {
-		e.requestMissing(g)
+func (e *Exchange) addPage(t *transfer, from int, response *message) {
+	t.pages[response.Page] = append([]Endpoint{}, response.Endpoints...)
+	t.receivedPages++
+	t.lastPageTick, t.lastSender = e.tick, from
+	t.outstandingPages--
+	if t.outstandingPages <= 0 && !t.complete() {
+		e.requestMissing(t)
 	}
 }
 
-func (g *transfer) complete() bool { return g.receivedPages >= len(g.pages) }
+func (t *transfer) complete() bool { return t.receivedPages >= len(t.pages) }
 
 // missing are the first pages that are missing, as many as one request can name.
-func (g *transfer) missingPages() (pages []int) {
-	for page := range g.pages {
-		if g.pages[page] == nil && len(pages) < maxPagesPerRequest {
+func (t *transfer) missingPages() (pages []int) {
+	for page := range t.pages {
+		if t.pages[page] == nil && len(pages) < maxPagesPerRequest {
 			pages = append(pages, page)
 		}
 	}
@@ -120,4 +120,4 @@
 }
 
 // endpoints are those of all pages.
-func (g *transfer) endpoints() []Endpoint { return slices.Concat(g.pages...) }
+func (t *transfer) endpoints() []Endpoint { return slices.Concat(t.pages...) }
--- a/internal/endpointgossip/list.go
+++ b/internal/endpointgossip/list.go
@@ -27,9 +27,9 @@
 	StartedNs int64   `cbor:"7,keyasint,omitempty"` // Unix nanoseconds; 0: long ago
 }
 
-func (p *Endpoint) valid() bool {
-	return p.Name != "" && len(p.Name) <= maxNameBytes && len(p.Address) <= maxAddressBytes &&
-		len(p.Zone) <= maxZoneBytes && p.Weight >= 0 && !math.IsInf(p.Weight, 0) && p.StartedNs >= 0
+func (e *Endpoint) valid() bool {
+	return e.Name != "" && len(e.Name) <= maxNameBytes && len(e.Address) <= maxAddressBytes &&
+		len(e.Zone) <= maxZoneBytes && e.Weight >= 0 && !math.IsInf(e.Weight, 0) && e.StartedNs >= 0
 }
 
 // list is a complete list.
@@ -43,9 +43,9 @@
 }
 
 // newList sorts the endpoints by name and divides them into pages.
-func newList(version int64, endpoints []Endpoint, confirmedAt int64, remembered bool) *list {
+func newList(version int64, endpoints []Endpoint, confirmedAt int64, restored bool) *list {
 	slices.SortFunc(endpoints, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
-	l := &list{version: version, endpoints: endpoints, confirmedAt: confirmedAt, restored: remembered}
+	l := &list{version: version, endpoints: endpoints, confirmedAt: confirmedAt, restored: restored}
 	hash := xxhash.New()
 	var page []Endpoint
 	pageBytes := 0
@@ -86,9 +86,9 @@
 }
 
 // confirm takes in that another node has the same list.
-func (l *list) confirm(confirmedAt int64, remembered bool) {
+func (l *list) confirm(confirmedAt int64, restored bool) {
 	l.confirmedAt = max(l.confirmedAt, confirmedAt)
-	l.restored = l.restored && remembered
+	l.restored = l.restored && restored
 }
 
 func countActive(endpoints []Endpoint) (n int) {
--- a/internal/endpointgossip/merge.go
+++ b/internal/endpointgossip/merge.go
@@ -10,46 +10,46 @@
 
 // accept takes a gathered list into use, by the order between lists in the package comment. It returns the endpoints to
 // use; nil: nothing changes.
-func (e *Exchange) accept(g *transfer) []Endpoint {
-	endpoints := g.endpoints()
-	gathered := newList(g.head.Version, endpoints, g.head.confirmedAt(), g.head.Restored)
-	if gathered.digest != g.head.Digest || len(endpoints) > MaxEndpoints { // pages of different lists
+func (e *Exchange) accept(t *transfer) []Endpoint {
+	endpoints := t.endpoints()
+	received := newList(t.head.Version, endpoints, t.head.confirmedAt(), t.head.Restored)
+	if received.digest != t.head.Digest || len(endpoints) > MaxEndpoints { // pages of different lists
 		e.counters.Invalid++
 		e.transfer = nil
 		return nil
 	}
 	current := e.currentList()
-	next, absent := mergeLists(current, gathered)
-	if removesMajority(current.endpointsOrNil(), next.endpointsOrNil()) && len(g.witnesses) < requiredWitnesses {
-		if !g.unconfirmed {
-			g.unconfirmed = true
+	next, absent := mergeLists(current, received)
+	if removesMajority(current.endpointsOrNil(), next.endpointsOrNil()) && len(t.witnesses) < requiredWitnesses {
+		if !t.unconfirmed {
+			t.unconfirmed = true
 			e.counters.Unconfirmed++
 		}
 		return nil // the gathering stays, for another witness
 	}
 	e.transfer = nil
 	if current != nil && next.matches(current.version, current.digest) {
-		current.confirm(gathered.confirmedAt, gathered.restored)
+		current.confirm(received.confirmedAt, received.restored)
 		return nil
 	}
 	e.current, e.usesGossipedList = next, true
 	e.counters.Accepted++
-	used := slices.Concat(next.endpoints, absent)
+	endpointsToUse := slices.Concat(next.endpoints, absent)
 	if e.age(next) > FreshForNs {
-		e.markNewAsJustStarted(used, current.endpointsOrNil())
+		e.markNewAsJustStarted(endpointsToUse, current.endpointsOrNil())
 	}
-	return used
+	return endpointsToUse
 }
 
 // combine is the list after a gathered one, and the endpoints that are only on the current one, if there is one.
-func mergeLists(current, gathered *list) (next *list, absent []Endpoint) {
+func mergeLists(current, received *list) (next *list, absent []Endpoint) {
 	if current == nil {
-		return gathered, nil
+		return received, nil
 	}
-	if gathered.version > current.version && (current.restored || !gathered.restored) {
-		return gathered, absentAsDraining(current.endpoints, gathered.endpoints)
+	if received.version > current.version && (current.restored || !received.restored) {
+		return received, absentAsDraining(current.endpoints, received.endpoints)
 	}
-	a, b := current, gathered
+	a, b := current, received
 	if b.restored { // starts are taken from the second
 		a, b = b, a
 	}
@@ -64,29 +64,29 @@
 
 // markNewAsJustStarted counts endpoints that are new in a list as just started, and others as started no earlier than
 // known.
-func (e *Exchange) markNewAsJustStarted(used, known []Endpoint) {
+func (e *Exchange) markNewAsJustStarted(endpoints, knownEndpoints []Endpoint) {
 	startedNs := map[string]int64{}
-	for _, endpoint := range known {
+	for _, endpoint := range knownEndpoints {
 		startedNs[endpoint.Name] = endpoint.StartedNs
 	}
-	for i := range used {
-		if started, ok := startedNs[used[i].Name]; ok {
-			used[i].StartedNs = max(used[i].StartedNs, started)
+	for i := range endpoints {
+		if started, ok := startedNs[endpoints[i].Name]; ok {
+			endpoints[i].StartedNs = max(endpoints[i].StartedNs, started)
 		} else {
-			used[i].StartedNs = e.now
+			endpoints[i].StartedNs = e.now
 		}
 	}
 }
 
 // mergeCautiously merges two lists endpoint by endpoint. startsOfSecond: only the second is known to have right starts.
-func mergeCautiously(first, second []Endpoint, startsOfSecond bool) []Endpoint {
+func mergeCautiously(first, second []Endpoint, useSecondStarts bool) []Endpoint {
 	merged := map[string]Endpoint{}
 	for _, endpoint := range first {
 		merged[endpoint.Name] = endpoint
 	}
 	for _, endpoint := range second {
 		if other, known := merged[endpoint.Name]; known {
-			endpoint = endpoint.mergeWith(other, startsOfSecond)
+			endpoint = endpoint.mergeWith(other, useSecondStarts)
 		}
 		merged[endpoint.Name] = endpoint
 	}
@@ -95,16 +95,16 @@
 
 // mergeWith is the more cautious of two entries for an endpoint. Where neither is more cautious any choice will do that
 // is the same at all nodes.
-func (p Endpoint) mergeWith(other Endpoint, ownStart bool) Endpoint {
-	p.Draining = p.Draining || other.Draining
-	if !ownStart {
-		p.StartedNs = max(p.StartedNs, other.StartedNs)
+func (e Endpoint) mergeWith(other Endpoint, keepStart bool) Endpoint {
+	e.Draining = e.Draining || other.Draining
+	if !keepStart {
+		e.StartedNs = max(e.StartedNs, other.StartedNs)
 	}
-	p.Address = max(p.Address, other.Address)
-	p.Zone = max(p.Zone, other.Zone)
-	p.Pod = max(p.Pod, other.Pod)
-	p.Weight = min(p.Weight, other.Weight)
-	return p
+	e.Address = max(e.Address, other.Address)
+	e.Zone = max(e.Zone, other.Zone)
+	e.Pod = max(e.Pod, other.Pod)
+	e.Weight = min(e.Weight, other.Weight)
+	return e
 }
 
 // absentAsDraining are the endpoints of a list that a newer one lacks, as draining.
--- a/internal/members/awareness.go
+++ b/internal/members/awareness.go
@@ -34,11 +34,11 @@
 
 // isIsolated reports whether none of the last probes was answered, directly or indirectly.
 func (m *Members) isIsolated() bool {
-	wanted := min(isolationProbes, len(m.peers))
-	if len(m.probeResults) < wanted {
+	required := min(isolationProbes, len(m.peers))
+	if len(m.probeResults) < required {
 		return false
 	}
-	return !slices.Contains(m.probeResults[len(m.probeResults)-wanted:], true)
+	return !slices.Contains(m.probeResults[len(m.probeResults)-required:], true)
 }
 
 // recordProbeResult notes the result of a probe.
--- a/internal/members/broadcast.go
+++ b/internal/members/broadcast.go
@@ -26,11 +26,11 @@
 	receiver := &m.peers[to]
 	msg.To = receiver.id
 	msg.Self = m.selfUpdate()
-	room := maxUpdates
+	maxCount := maxUpdates
 	if msg.Kind == payload {
-		room = maxUpdatesWithPayload
+		maxCount = maxUpdatesWithPayload
 	}
-	if receiver.state > Alive && !receiver.localOnly && len(msg.Updates) < room {
+	if receiver.state > Alive && !receiver.localOnly && len(msg.Updates) < maxCount {
 		msg.Updates = append(msg.Updates, m.updateOf(to))
 	}
 	if msg.Kind != payload {
@@ -44,7 +44,7 @@
 
 // piggyback adds queued states, each of them once, while there is room.
 func (m *Members) piggyback(msg *message) {
-	for queued := len(m.broadcasts); queued > 0 && len(msg.Updates) < maxUpdates; queued-- {
+	for remaining := len(m.broadcasts); remaining > 0 && len(msg.Updates) < maxUpdates; remaining-- {
 		i := m.broadcasts[0]
 		m.broadcasts = m.broadcasts[1:]
 		p := &m.peers[i]
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -215,11 +215,11 @@
 		return
 	}
 	m.hasLeft = true
-	left := m.selfUpdate()
-	left.State = Left
+	leftUpdate := m.selfUpdate()
+	leftUpdate.State = Left
 	for range rounds {
 		for _, i := range m.randomAlive(nodesPerRound, -1) {
-			m.send(i, &message{Kind: gossip, Updates: []update{left}})
+			m.send(i, &message{Kind: gossip, Updates: []update{leftUpdate}})
 		}
 	}
 }
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -16,18 +16,18 @@
 func (n *recordingTransport) Send(_ int, datagram []byte) { n.sent = append(n.sent, datagram) }
 
 func nodeNames(n int) []string {
-	out := make([]string, n)
-	for i := range out {
-		out[i] = fmt.Sprintf("n%d", i)
+	names := make([]string, n)
+	for i := range names {
+		names[i] = fmt.Sprintf("n%d", i)
 	}
-	return out
+	return names
 }
 
 const testStartNs = int64(1_700_000_000e9)
 
-func newTestMembers(t testing.TB, name string, of int, transport Transport) *Members {
+func newTestMembers(t testing.TB, name string, nodeCount int, transport Transport) *Members {
 	t.Helper()
-	m, err := New(Config{Name: name, Nodes: nodeNames(of), ProtocolPeriodNs: 1e9, Seed: 1, RunID: 7}, transport, testStartNs)
+	m, err := New(Config{Name: name, Nodes: nodeNames(nodeCount), ProtocolPeriodNs: 1e9, Seed: 1, RunID: 7}, transport, testStartNs)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,36 +51,36 @@
 
 func TestInvalidDatagramsAreCountedAndIgnored(t *testing.T) {
 	m := newTestMembers(t, "n0", 4, &recordingTransport{})
-	good := datagramFrom(m, "n1", message{Kind: gossip, Updates: []update{{ID: 1, State: Alive, StartMs: 5, RunID: 1}}})
-	spoilt := append([]byte(nil), good...)
-	spoilt[10] ^= 1
-	later := append([]byte(nil), good...)
-	later[0] = 9
-	stranger := newTestMembers(t, "n3", 4, &recordingTransport{}).selfUpdate()
-	stranger.ID = 99
+	valid := datagramFrom(m, "n1", message{Kind: gossip, Updates: []update{{ID: 1, State: Alive, StartMs: 5, RunID: 1}}})
+	corrupted := append([]byte(nil), valid...)
+	corrupted[10] ^= 1
+	laterVersion := append([]byte(nil), valid...)
+	laterVersion[0] = 9
+	unknownSender := newTestMembers(t, "n3", 4, &recordingTransport{}).selfUpdate()
+	unknownSender.ID = 99
 	for _, c := range []struct {
-		what     string
+		name     string
 		datagram []byte
 		count    func(Counters) int64
 	}{
 		{"nothing", nil, func(c Counters) int64 { return c.Invalid }},
-		{"spoilt", spoilt, func(c Counters) int64 { return c.Invalid }},
+		{"spoilt", corrupted, func(c Counters) int64 { return c.Invalid }},
 		{"too long", make([]byte, MaxDatagramBytes), func(c Counters) int64 { return c.Invalid }},
-		{"a later version", later, func(c Counters) int64 { return c.UnknownVersions }},
+		{"a later version", laterVersion, func(c Counters) int64 { return c.UnknownVersions }},
 		{"authenticated with another key", encode([]byte("k"), &message{To: m.id, Self: m.updateOf(0)}), func(c Counters) int64 { return c.Invalid }},
 		{"for another", datagramFrom(newTestMembers(t, "n2", 4, nil), "n1", message{Kind: ping}), func(c Counters) int64 { return c.Misdirected }},
-		{"an unknown sender", datagramFrom(m, "n1", message{Kind: ping, Self: stranger}), func(c Counters) int64 { return c.UnknownNodes }},
+		{"an unknown sender", datagramFrom(m, "n1", message{Kind: ping, Self: unknownSender}), func(c Counters) int64 { return c.UnknownNodes }},
 		{"an incarnation beyond all", datagramFrom(m, "n1", message{Kind: ping, Self: update{ID: m.peers[0].id, State: Alive, StartMs: maxIncarnation}}), func(c Counters) int64 { return c.Invalid }},
-		{"an update about an unknown node", good, func(c Counters) int64 { return c.UnknownNodes - 1 }},
+		{"an update about an unknown node", valid, func(c Counters) int64 { return c.UnknownNodes - 1 }},
 	} {
 		before := c.count(m.counters)
 		m.Receive(testStartNs, c.datagram)
 		if c.count(m.counters) == before {
-			t.Errorf("%s: not counted: %+v", c.what, m.counters)
+			t.Errorf("%s: not counted: %+v", c.name, m.counters)
 		}
 	}
-	if f := m.Summary(testStartNs); f.Alive != 2 || f.Unknown != 2 || f.Reliable {
-		t.Errorf("one good message, and a few bad: %+v", f)
+	if summary := m.Summary(testStartNs); summary.Alive != 2 || summary.Unknown != 2 || summary.Reliable {
+		t.Errorf("one good message, and a few bad: %+v", summary)
 	}
 }
 
@@ -104,29 +104,29 @@
 func TestDatagramsAreBoundedInNumberAndLength(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 2000, transport)
-	draw := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	for i := range m.peers {
-		m.applyUpdate(testStartNs, update{ID: m.peers[i].id, State: Suspect, StartMs: draw.Uint64N(maxIncarnation), IncarnationOffset: draw.Uint64N(maxIncarnation), RunID: draw.Uint32(), SuspectedBy: draw.Uint64()}, false)
+		m.applyUpdate(testStartNs, update{ID: m.peers[i].id, State: Suspect, StartMs: random.Uint64N(maxIncarnation), IncarnationOffset: random.Uint64N(maxIncarnation), RunID: random.Uint32(), SuspectedBy: random.Uint64()}, false)
 	}
-	now, asked := testStartNs, [][]byte(nil)
+	now, pings := testStartNs, [][]byte(nil)
 	for k := range 50 {
-		asked = append(asked, datagramFrom(m, fmt.Sprintf("n%d", 1+k), message{Kind: ping, Sequence: uint64(k), Buckets: m.buckets(), Bucket: k % m.buckets(), Digest: 1}))
+		pings = append(pings, datagramFrom(m, fmt.Sprintf("n%d", 1+k), message{Kind: ping, Sequence: uint64(k), Buckets: m.buckets(), Bucket: k % m.buckets(), Digest: 1}))
 	}
 	for round := range 20 {
 		transport.sent = transport.sent[:0]
 		for range TicksPerPeriod {
 			now += 1e8
 			m.Tick(now)
-			for _, datagram := range asked {
+			for _, datagram := range pings {
 				m.Receive(now, datagram)
 			}
 		}
 		if len(transport.sent) > 26+TicksPerPeriod*maxResponsesPerTick {
 			t.Fatalf("round %d: %d datagrams", round, len(transport.sent))
 		}
-		for _, d := range transport.sent {
-			if len(d) >= MaxDatagramBytes {
-				t.Fatalf("a datagram of %d bytes", len(d))
+		for _, sent := range transport.sent {
+			if len(sent) >= MaxDatagramBytes {
+				t.Fatalf("a datagram of %d bytes", len(sent))
 			}
 		}
 	}
@@ -138,22 +138,22 @@
 // TestPayloadDeliveryAndReachableNodes sends the longest payload from a node with many updates, to one that takes payloads, one that does not,
 // and an unknown one.
 func TestPayloadDeliveryAndReachableNodes(t *testing.T) {
-	out := &recordingTransport{}
-	a := newTestMembers(t, "n0", 300, out)
+	transport := &recordingTransport{}
+	a := newTestMembers(t, "n0", 300, transport)
 	markAllAlive(a)
 	a.SendPayload(1, make([]byte, MaxPayloadBytes))
 	a.SendPayload(1, make([]byte, MaxPayloadBytes+1))
 	a.SendPayload(4000, nil)
-	if len(out.sent) != 1 || len(out.sent[0]) >= MaxDatagramBytes {
-		t.Fatalf("%d datagrams", len(out.sent))
+	if len(transport.sent) != 1 || len(transport.sent[0]) >= MaxDatagramBytes {
+		t.Fatalf("%d datagrams", len(transport.sent))
 	}
-	took := -1
+	received := -1
 	b := newTestMembers(t, "n1", 300, &recordingTransport{})
-	b.Receive(testStartNs, out.sent[0])
-	b.config.ReceivePayload = func(from int, load []byte) { took = from*10000 + len(load) }
-	b.Receive(testStartNs, out.sent[0])
-	if c := b.Counters(); took != MaxPayloadBytes || c.Invalid > 0 {
-		t.Errorf("took %d, %+v", took, c)
+	b.Receive(testStartNs, transport.sent[0])
+	b.config.ReceivePayload = func(from int, content []byte) { received = from*10000 + len(content) }
+	b.Receive(testStartNs, transport.sent[0])
+	if c := b.Counters(); received != MaxPayloadBytes || c.Invalid > 0 {
+		t.Errorf("took %d, %+v", received, c)
 	}
 	if got := len(b.Reachable()); got != 299 {
 		t.Errorf("%d are reachable", got)
@@ -165,11 +165,11 @@
 }
 
 func TestMemoryOf4096NodesIsUnderOneMegabyte(t *testing.T) {
-	all := nodeNames(4096)
+	nodes := nodeNames(4096)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	m, err := New(Config{Name: "n0", Nodes: all, ProtocolPeriodNs: 1e9, RunID: 1}, &recordingTransport{}, testStartNs)
+	m, err := New(Config{Name: "n0", Nodes: nodes, ProtocolPeriodNs: 1e9, RunID: 1}, &recordingTransport{}, testStartNs)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,15 +219,15 @@
 	for i := range m.peers {
 		m.applyUpdate(testStartNs, update{ID: m.peers[i].id, State: Alive, StartMs: 5, RunID: 1}, true)
 	}
-	victim := m.find(newTestMembers(t, "n1", 6, nil).id)
-	m.applyUpdate(testStartNs, update{ID: m.peers[victim].id, State: Suspect, StartMs: 5, RunID: 1, SuspectedBy: m.peers[(victim+1)%5].id}, false)
+	suspect := m.find(newTestMembers(t, "n1", 6, nil).id)
+	m.applyUpdate(testStartNs, update{ID: m.peers[suspect].id, State: Suspect, StartMs: 5, RunID: 1, SuspectedBy: m.peers[(suspect+1)%5].id}, false)
 	now := testStartNs
 	for tick := range 600 {
 		transport.sent = transport.sent[:0]
 		now += 1e8
 		m.Tick(now)
-		for _, d := range transport.sent {
-			msg, err := decode(nil, d)
+		for _, datagram := range transport.sent {
+			msg, err := decode(nil, datagram)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -236,22 +236,22 @@
 				m.Receive(now, encode(nil, &message{Kind: ack, To: m.id, Self: self, Sequence: msg.Sequence}))
 			}
 		}
-		if s := m.peers[victim].state; s != Suspect {
-			t.Fatalf("tick %d: %v", tick, s)
+		if state := m.peers[suspect].state; state != Suspect {
+			t.Fatalf("tick %d: %v", tick, state)
 		}
 	}
 }
 
 func TestNewRejectsInvalidConfigs(t *testing.T) {
-	for _, s := range []Config{
+	for _, config := range []Config{
 		{Name: "", Nodes: nodeNames(2), ProtocolPeriodNs: 1},
 		{Name: "n0", Nodes: nodeNames(2)},
 		{Name: "x", Nodes: nodeNames(2), ProtocolPeriodNs: 1},
 		{Name: "n0", Nodes: []string{"n0", "n1", "n1"}, ProtocolPeriodNs: 1},
 		{Name: "n0", Nodes: nodeNames(maxNodes + 1), ProtocolPeriodNs: 1},
 	} {
-		if _, err := New(s, &recordingTransport{}, testStartNs); err == nil {
-			t.Errorf("%q of %d taken", s.Name, len(s.Nodes))
+		if _, err := New(config, &recordingTransport{}, testStartNs); err == nil {
+			t.Errorf("%q of %d taken", config.Name, len(config.Nodes))
 		}
 	}
 }
@@ -306,8 +306,8 @@
 // TestPushPullRepairsMissedUpdates has a node that got no update learn what another knows, by one ping and its ack for
 // each part.
 func TestPushPullRepairsMissedUpdates(t *testing.T) {
-	wayA, wayB := &recordingTransport{}, &recordingTransport{}
-	a, b := newTestMembers(t, "n0", 50, wayA), newTestMembers(t, "n1", 50, wayB)
+	transportA, transportB := &recordingTransport{}, &recordingTransport{}
+	a, b := newTestMembers(t, "n0", 50, transportA), newTestMembers(t, "n1", 50, transportB)
 	markAllAlive(a)
 	a.broadcasts = nil
 	for i := range a.peers {
@@ -316,17 +316,17 @@
 	b.applyUpdate(testStartNs, a.selfUpdate(), true)
 	a.applyUpdate(testStartNs, b.selfUpdate(), true)
 	for range 2 * b.buckets() {
-		wayA.sent, wayB.sent = nil, nil
+		transportA.sent, transportB.sent = nil, nil
 		a.responsesInTick, b.responsesInTick = 0, 0
 		b.send(b.find(a.id), b.withNextDigest(&message{Kind: ping, Sequence: 1}))
 		a.broadcasts = nil
-		a.Receive(testStartNs, wayB.sent[0])
-		for _, d := range wayA.sent {
-			b.Receive(testStartNs, d)
+		a.Receive(testStartNs, transportB.sent[0])
+		for _, datagram := range transportA.sent {
+			b.Receive(testStartNs, datagram)
 		}
 	}
-	if f := b.Summary(testStartNs); f.Alive != 50 {
-		t.Errorf("%+v", f)
+	if summary := b.Summary(testStartNs); summary.Alive != 50 {
+		t.Errorf("%+v", summary)
 	}
 }
 
@@ -335,19 +335,19 @@
 func TestMessageOfEarlierRunIsNotAnswered(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 4, transport)
-	old := newTestMembers(t, "n1", 4, &recordingTransport{}).selfUpdate()
-	next := old
-	next.StartMs, next.RunID = old.StartMs+1000, 8
-	m.Receive(testStartNs, datagramFrom(m, "n1", message{Kind: gossip, Self: next}))
+	earlier := newTestMembers(t, "n1", 4, &recordingTransport{}).selfUpdate()
+	restarted := earlier
+	restarted.StartMs, restarted.RunID = earlier.StartMs+1000, 8
+	m.Receive(testStartNs, datagramFrom(m, "n1", message{Kind: gossip, Self: restarted}))
 	transport.sent = nil
-	m.Receive(testStartNs+1e9, datagramFrom(m, "n1", message{Kind: ping, Sequence: 4, Self: old}))
-	if len(transport.sent) != 1 || m.peers[m.find(old.ID)].lastReceivedAt != testStartNs || m.counters.StaleIncarnations != 1 {
+	m.Receive(testStartNs+1e9, datagramFrom(m, "n1", message{Kind: ping, Sequence: 4, Self: earlier}))
+	if len(transport.sent) != 1 || m.peers[m.find(earlier.ID)].lastReceivedAt != testStartNs || m.counters.StaleIncarnations != 1 {
 		t.Fatalf("%d sent, %+v", len(transport.sent), m.counters)
 	}
-	if msg, err := decode(nil, transport.sent[0]); err != nil || msg.Kind != gossip || len(msg.Updates) == 0 || msg.Updates[0].StartMs != next.StartMs {
+	if msg, err := decode(nil, transport.sent[0]); err != nil || msg.Kind != gossip || len(msg.Updates) == 0 || msg.Updates[0].StartMs != restarted.StartMs {
 		t.Errorf("%+v, %v", msg, err)
 	}
-	if m.applyUpdate(testStartNs, old, false); m.peers[m.find(old.ID)].startMs != next.StartMs {
+	if m.applyUpdate(testStartNs, earlier, false); m.peers[m.find(earlier.ID)].startMs != restarted.StartMs {
 		t.Error("an old update is applied")
 	}
 }
--- a/internal/members/probe.go
+++ b/internal/members/probe.go
@@ -106,13 +106,13 @@
 
 // advanceProbes takes each probe its next step if that is due.
 func (m *Members) advanceProbes(now int64) {
-	kept := m.probes[:0]
+	remaining := m.probes[:0]
 	for _, p := range m.probes {
 		if m.isProbeTarget(p.peer) && m.advanceProbe(now, p) {
-			kept = append(kept, p)
+			remaining = append(remaining, p)
 		}
 	}
-	m.probes = kept
+	m.probes = remaining
 }
 
 // advanceProbe reports whether the probe goes on.
@@ -201,16 +201,16 @@
 // advanceIndirectProbes sends the nacks that are due, and drops indirect probes that have timed out. An ack may still
 // come after a nack.
 func (m *Members) advanceIndirectProbes() {
-	kept := m.indirectProbes[:0]
+	remaining := m.indirectProbes[:0]
 	for _, indirect := range m.indirectProbes {
 		if m.tick == indirect.receivedTick+nackAfter && m.allowResponse() {
 			m.send(indirect.from, &message{Kind: nack, Sequence: indirect.requestSequence, Target: indirect.target})
 		}
 		if m.tick < indirect.receivedTick+indirectProbeTimeout {
-			kept = append(kept, indirect)
+			remaining = append(remaining, indirect)
 		}
 	}
-	m.indirectProbes = kept
+	m.indirectProbes = remaining
 }
 
 // reconnect pings nodes that are not alive, in turn: they may be back, or reachable again.
@@ -247,25 +247,25 @@
 
 // randomAlive draws up to so many peers that are alive, without one. A few draws find them while most are alive; after
 // that all are searched from a drawn place.
-func (m *Members) randomAlive(wanted, without int) (drawn []int) {
+func (m *Members) randomAlive(count, exclude int) (selected []int) {
 	const drawsPerPeer = 4
 	if len(m.peers) == 0 {
 		return nil
 	}
 	first := m.random.IntN(len(m.peers))
-	draws := drawsPerPeer * wanted
-	for k := range len(m.peers) + draws {
+	randomTries := drawsPerPeer * count
+	for k := range len(m.peers) + randomTries {
 		i := m.random.IntN(len(m.peers))
-		if k >= draws {
+		if k >= randomTries {
 			i = (first + k) % len(m.peers)
 		}
-		if i == without || m.peers[i].state != Alive || slices.Contains(drawn, i) {
+		if i == exclude || m.peers[i].state != Alive || slices.Contains(selected, i) {
 			continue
 		}
-		drawn = append(drawn, i)
-		if len(drawn) == wanted {
+		selected = append(selected, i)
+		if len(selected) == count {
 			break
 		}
 	}
-	return drawn
+	return selected
 }
--- a/internal/members/pushpull.go
+++ b/internal/members/pushpull.go
@@ -15,20 +15,20 @@
 
 // peersInBucket are the peers of a part, and whether this node is in it. The division goes by ID alone, so that it is the
 // same at all nodes.
-func (m *Members) peersInBucket(part int) (peers []int, self bool) {
-	parts := uint64(m.buckets())
+func (m *Members) peersInBucket(bucket int) (peers []int, self bool) {
+	buckets := uint64(m.buckets())
 	for i := range m.peers {
-		if m.peers[i].id%parts == uint64(part) {
+		if m.peers[i].id%buckets == uint64(bucket) {
 			peers = append(peers, i)
 		}
 	}
-	return peers, m.id%parts == uint64(part)
+	return peers, m.id%buckets == uint64(bucket)
 }
 
 // digest is a hash of the states of a part, as a sum, since each node has an order of its own. A suspicion passes and
 // counts as alive.
-func (m *Members) digest(part int) (sum uint64) {
-	peers, self := m.peersInBucket(part)
+func (m *Members) digest(bucket int) (sum uint64) {
+	peers, self := m.peersInBucket(bucket)
 	if self {
 		sum += hashUpdate(m.selfUpdate())
 	}
@@ -64,8 +64,8 @@
 }
 
 // bucketUpdates are the states of a part, as many as fit, from a drawn place.
-func (m *Members) bucketUpdates(part int) (updates []update) {
-	peers, _ := m.peersInBucket(part)
+func (m *Members) bucketUpdates(bucket int) (updates []update) {
+	peers, _ := m.peersInBucket(bucket)
 	first := m.random.IntN(len(peers) + 1)
 	for k := 0; k < len(peers) && len(updates) < maxUpdates-1; k++ {
 		i := peers[(first+k)%len(peers)]
--- a/internal/members/suspicion.go
+++ b/internal/members/suspicion.go
@@ -30,16 +30,16 @@
 }
 
 // confirmSuspicion counts another node that suspects a peer by its own probe.
-func (m *Members) confirmSuspicion(p *peer, by uint64) {
-	if by == 0 || by == m.id || m.find(by) < 0 {
+func (m *Members) confirmSuspicion(p *peer, suspectedBy uint64) {
+	if suspectedBy == 0 || suspectedBy == m.id || m.find(suspectedBy) < 0 {
 		return
 	}
 	for k, confirmedBy := range p.suspicion.confirmedBy {
-		if confirmedBy == by {
+		if confirmedBy == suspectedBy {
 			return
 		}
 		if confirmedBy == 0 {
-			p.suspicion.confirmedBy[k] = by
+			p.suspicion.confirmedBy[k] = suspectedBy
 			m.setSuspicionTimeout(p)
 			return
 		}
@@ -49,12 +49,12 @@
 // setSuspicionTimeout sets when a suspicion ends, by the number of nodes that have confirmed it.
 func (m *Members) setSuspicionTimeout(p *peer) {
 	nodes := len(m.peers) + 1
-	least := float64(TicksPerPeriod) * math.Ceil(suspicionMultiplier*math.Log10(float64(nodes+1)))
-	most := suspicionMaxTimeoutMultiplier * least
-	timeout := least
-	if wanted := min(maxConfirmations, nodes-2); wanted > 0 {
-		confirmed := math.Log(float64(p.suspicion.confirmations()+1)) / math.Log(float64(wanted+1))
-		timeout = max(least, most-(most-least)*confirmed)
+	minTimeout := float64(TicksPerPeriod) * math.Ceil(suspicionMultiplier*math.Log10(float64(nodes+1)))
+	maxTimeout := suspicionMaxTimeoutMultiplier * minTimeout
+	timeout := minTimeout
+	if expectedConfirmations := min(maxConfirmations, nodes-2); expectedConfirmations > 0 {
+		confirmedFraction := math.Log(float64(p.suspicion.confirmations()+1)) / math.Log(float64(expectedConfirmations+1))
+		timeout = max(minTimeout, maxTimeout-(maxTimeout-minTimeout)*confirmedFraction)
 	}
 	p.suspicion.endTick = max(p.suspicion.startTick+int64(timeout), m.stallGraceUntil)
 }
--- a/internal/nodestate/golden_test.go
+++ b/internal/nodestate/golden_test.go
@@ -14,18 +14,18 @@
 
 // goldenDisk is what a run leaves that had endpoints in every state, estimates and starts of other nodes.
 func goldenDisk() memoryDisk {
-	d := memoryDisk{}
-	m := d.read()
-	m.RecordStart(testNow)
-	m.RecordList(testNow+1e9, []Endpoint{
+	disk := memoryDisk{}
+	state := disk.read()
+	state.RecordStart(testNow)
+	state.RecordList(testNow+1e9, []Endpoint{
 		{Name: "s-up", Address: "127.0.0.1:80", Zone: "a", Pod: 3, Weight: 1.5, State: Active, StartedNs: 5},
 		{Name: "s-draining", Address: "127.0.0.2:80", Zone: "b", Weight: 1, State: Draining, StartedNs: 6},
 		{Name: "s-removed", State: Removed},
 	}, 7, false)
-	m.RecordEstimates(testNow+2e9, []byte(`{"MeanOf":5}`))
-	m.RecordMemberStarts(testNow+3e9, map[string]uint64{"n1": 1_700_000_000_000})
-	d.write(m)
-	return d
+	state.RecordEstimates(testNow+2e9, []byte(`{"MeanOf":5}`))
+	state.RecordMemberStarts(testNow+3e9, map[string]uint64{"n1": 1_700_000_000_000})
+	disk.write(state)
+	return disk
 }
 
 // TestGoldenRecords compares the stored records with the bytes of earlier builds.
@@ -43,12 +43,12 @@
 
 // TestGoldenStore opens a store that an earlier build wrote, and finds in it what that build stored.
 func TestGoldenStore(t *testing.T) {
-	kept := filepath.Join("testdata", "golden", "store")
-	if _, err := os.Stat(kept); err != nil {
+	goldenDir := filepath.Join("testdata", "golden", "store")
+	if _, err := os.Stat(goldenDir); err != nil {
 		t.Fatal(err)
 	}
 	dir := filepath.Join(t.TempDir(), "store")
-	if err := os.CopyFS(dir, os.DirFS(kept)); err != nil {
+	if err := os.CopyFS(dir, os.DirFS(goldenDir)); err != nil {
 		t.Fatal(err)
 	}
 	opened, _, err := store.Open(dir, store.Options{})
@@ -60,20 +60,20 @@
 			t.Error(err)
 		}
 	}()
-	found := memoryDisk{}
-	snap := opened.Snapshot()
-	defer snap.Release()
-	if err := snap.Each("", func(key string, value []byte) bool { found[key] = slices.Clone(value); return true }); err != nil {
+	stored := memoryDisk{}
+	snapshot := opened.Snapshot()
+	defer snapshot.Release()
+	if err := snapshot.Each("", func(key string, value []byte) bool { stored[key] = slices.Clone(value); return true }); err != nil {
 		t.Fatal(err)
 	}
-	if want := goldenDisk(); !maps.EqualFunc(found, want, slices.Equal) {
-		t.Errorf("found %q, expected %q", found, want)
+	if want := goldenDisk(); !maps.EqualFunc(stored, want, slices.Equal) {
+		t.Errorf("found %q, expected %q", stored, want)
 	}
-	m := found.read()
-	if m.UnreadableValues() != 0 || m.Epoch() != 1 || m.Version() != 7 || m.LastClock() != testNow+3e9 || len(m.MemberStartsMs()) != 1 {
-		t.Errorf("read: %d unreadable, epoch %d, version %d, last clock %d, starts %v", m.UnreadableValues(), m.Epoch(), m.Version(), m.LastClock(), m.MemberStartsMs())
+	state := stored.read()
+	if state.UnreadableValues() != 0 || state.Epoch() != 1 || state.Version() != 7 || state.LastClock() != testNow+3e9 || len(state.MemberStartsMs()) != 1 {
+		t.Errorf("read: %d unreadable, epoch %d, version %d, last clock %d, starts %v", state.UnreadableValues(), state.Epoch(), state.Version(), state.LastClock(), state.MemberStartsMs())
 	}
-	recovered := m.Recover(testNow + 4e9)
+	recovered := state.Recover(testNow + 4e9)
 	if len(recovered.Endpoints) != 2 || recovered.Endpoints[0].State != Draining || recovered.Endpoints[1].StartedNs != testNow+4e9 || string(recovered.Estimates) != `{"MeanOf":5}` {
 		t.Errorf("recovered: %+v", recovered)
 	}
--- a/internal/nodestate/state.go
+++ b/internal/nodestate/state.go
@@ -90,9 +90,9 @@
 
 // Load makes the state of what a store held: each is called with a function that takes one key and value after another.
 // Values that can't be read are counted and ignored.
-func Load(each func(take func(key string, value []byte))) *State {
+func Load(forEach func(add func(key string, value []byte))) *State {
 	s := &State{endpoints: map[string]*Endpoint{}, changed: map[string]bool{}}
-	each(func(key string, value []byte) {
+	forEach(func(key string, value []byte) {
 		if err := s.decode(key, value); err != nil {
 			s.unreadableValues++
 		}
@@ -212,9 +212,9 @@
 
 // MergeStored goes on with a store that was opened late and held some state: everything is written anew, the epochs go
 // on, and endpoints that only the store has are kept.
-func (s *State) MergeStored(found *State) {
-	s.current.Epoch = max(s.current.Epoch, found.current.Epoch+1)
-	for name, endpoint := range found.endpoints {
+func (s *State) MergeStored(stored *State) {
+	s.current.Epoch = max(s.current.Epoch, stored.current.Epoch+1)
+	for name, endpoint := range stored.endpoints {
 		if s.endpoints[name] == nil && len(s.endpoints) < MaxEndpoints {
 			s.endpoints[name] = endpoint
 		}
--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -28,7 +28,7 @@
 //
 // Its source is TCP_INFO. It can't know of an end that follows more bytes than the kernel takes in unread: these wait at
 // the peer, and the end with them.
-func PeerClosed(conn net.Conn) (ended bool) {
+func PeerClosed(conn net.Conn) (closed bool) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -37,11 +37,11 @@
 	if err != nil {
 		return true
 	}
-	closedHere := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		state, err := readState(int(fd))
-		ended = err == nil && state.closedByPeer()
+		closed = err == nil && state.closedByPeer()
 	})
-	return ended || closedHere != nil
+	return closed || controlErr != nil
 }
 
 // readState reads a connection's state: the first byte of its TCP_INFO.
@@ -68,11 +68,11 @@
 		return 0, err
 	}
 	var b [1]byte
-	closedHere := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	if closedHere != nil {
-		return 0, closedHere
+	if controlErr != nil {
+		return 0, controlErr
 	}
 	return n, err
 }
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -36,10 +36,10 @@
 // An end is known before anybody reads to it, and what has come is known and still there.
 func TestStateOfConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		act   func(peer, own net.Conn)
-		ended bool
-		n     int
-		err   error
+		prepare    func(peer, own net.Conn)
+		wantClosed bool
+		n          int
+		err        error
 	}{
 		"quiet":       {func(_, _ net.Conn) {}, false, -1, syscall.EAGAIN},
 		"has input":   {func(peer, _ net.Conn) { writeText(peer, "xyz") }, false, 1, nil},
@@ -69,9 +69,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			peer, own := connect(t)
-			c.act(peer, own)
-			reached := func() bool {
-				if PeerClosed(own) != c.ended {
+			c.prepare(peer, own)
+			stateReached := func() bool {
+				if PeerClosed(own) != c.wantClosed {
 					return false
 				}
 				if c.n != 1 {
@@ -80,10 +80,10 @@
 				n, _ := Peek(own)
 				return n == 1
 			}
-			for deadline := time.Now().Add(5 * time.Second); !reached() && time.Now().Before(deadline); {
+			for deadline := time.Now().Add(5 * time.Second); !stateReached() && time.Now().Before(deadline); {
 				time.Sleep(time.Millisecond)
 			}
-			if n, err := Peek(own); PeerClosed(own) != c.ended || n != c.n || !errors.Is(err, c.err) {
+			if n, err := Peek(own); PeerClosed(own) != c.wantClosed || n != c.n || !errors.Is(err, c.err) {
 				t.Errorf("ended %t, %d bytes, %v", PeerClosed(own), n, err)
 			}
 			own.Close()
@@ -95,9 +95,9 @@
 }
 
 func TestConnWithoutSocketIsOpenAndIdle(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
-	if n, err := Peek(near); PeerClosed(near) || n > 0 || !errors.Is(err, syscall.EAGAIN) {
-		t.Errorf("ended %t, %d bytes, %v", PeerClosed(near), n, err)
+	local, remote := net.Pipe()
+	defer remote.Close()
+	if n, err := Peek(local); PeerClosed(local) || n > 0 || !errors.Is(err, syscall.EAGAIN) {
+		t.Errorf("ended %t, %d bytes, %v", PeerClosed(local), n, err)
 	}
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -20,10 +20,10 @@
 			defer closeStore(b, s)
 			value := make([]byte, 100)
 			var next atomic.Int64
-			var all sync.WaitGroup
+			var group sync.WaitGroup
 			b.ResetTimer()
 			for range writers {
-				all.Go(func() {
+				group.Go(func() {
 					for i := next.Add(1); i <= int64(b.N); i = next.Add(1) {
 						if err := s.Put(fmt.Sprint("k", i%1000), value); err != nil {
 							b.Error(err)
@@ -32,7 +32,7 @@
 					}
 				})
 			}
-			all.Wait()
+			group.Wait()
 		})
 	}
 }
@@ -62,9 +62,9 @@
 			runtime.ReadMemStats(&before)
 			b.ResetTimer()
 			for range b.N {
-				s, r, err := Open(dir, Options{ManualCompaction: true})
-				if err != nil || r.Keys != keys {
-					b.Fatal(err, r)
+				s, recovery, err := Open(dir, Options{ManualCompaction: true})
+				if err != nil || recovery.Keys != keys {
+					b.Fatal(err, recovery)
 				}
 				b.StopTimer()
 				runtime.GC()
@@ -86,7 +86,7 @@
 	}
 	defer closeStore(b, s)
 	value := make([]byte, 1000)
-	most, start := 0.0, time.Now()
+	maxAmplification, start := 0.0, time.Now()
 	for i := range b.N {
 		var batch Batch
 		for k := range 50 {
@@ -101,10 +101,10 @@
 			total += seg.size
 		}
 		if i > 100 {
-			most = max(most, float64(total)/float64(s.liveBytes))
+			maxAmplification = max(maxAmplification, float64(total)/float64(s.liveBytes))
 		}
 		s.mu.Unlock()
 	}
-	b.ReportMetric(most, "space")
+	b.ReportMetric(maxAmplification, "space")
 	b.ReportMetric(float64(b.N*50)/time.Since(start).Seconds(), "puts/s")
 }
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -61,11 +61,11 @@
 	}
 	snapshot := s.Snapshot()
 	defer snapshot.Release()
-	compacted, moved, err := s.writeCompacted(snapshot, old, id)
+	compacted, copied, err := s.writeCompacted(snapshot, old, id)
 	if err != nil {
 		return err
 	}
-	if err := s.installCompacted(compacted, moved, old); err != nil {
+	if err := s.installCompacted(compacted, copied, old); err != nil {
 		return err
 	}
 	for _, seg := range old {
@@ -98,7 +98,7 @@
 // entries that it holds.
 func (s *Store) writeCompacted(
 	snapshot *Snapshot, old []*segment, id uint64,
-) (compacted *segment, moved []entry, err error) {
+) (compacted *segment, copied []entry, err error) {
 	replaces := make([]uint64, len(old))
 	for i, seg := range old {
 		replaces[i] = seg.id
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	moved, err = s.copyLive(snapshot, setOf(old), compacted)
+	copied, err = s.copyLive(snapshot, setOf(old), compacted)
 	if err == nil {
 		err = compacted.file.Sync()
 	}
@@ -120,11 +120,11 @@
 		return nil, nil, err
 	}
 	compacted.name = name
-	return compacted, moved, nil
+	return compacted, copied, nil
 }
 
 // installCompacted has the store use a compacted segment in place of the old ones.
-func (s *Store) installCompacted(compacted *segment, moved []entry, old []*segment) error {
+func (s *Store) installCompacted(compacted *segment, copied []entry, old []*segment) error {
 	replaced := setOf(old)
 	// After a crash the new segment may count from here on. If that is unknown, nothing more may be written.
 	syncErr := s.files.SyncDir()
@@ -134,7 +134,7 @@
 		s.writeFailure = syncErr
 		return syncErr
 	}
-	for _, e := range moved {
+	for _, e := range copied {
 		current, exists := s.index.Get(entry{key: e.key})
 		if exists && replaced[current.seg] { // else the key was written or deleted meanwhile
 			s.index.ReplaceOrInsert(e)
@@ -162,8 +162,8 @@
 
 // copyLive copies the entries of a snapshot that are in old segments to a new one, at the pace of the options, and
 // returns them as they are there.
-func (s *Store) copyLive(snapshot *Snapshot, old map[*segment]bool, to *segment) (moved []entry, err error) {
-	w := newPacedWriter(to, s.options.CompactBytesPerSecond)
+func (s *Store) copyLive(snapshot *Snapshot, old map[*segment]bool, target *segment) (copied []entry, err error) {
+	w := newPacedWriter(target, s.options.CompactBytesPerSecond)
 	snapshot.index.Ascend(func(e entry) bool {
 		if !old[e.seg] {
 			return true
@@ -175,14 +175,14 @@
 		}
 		ops := []operation{{key: e.key, value: value}}
 		encoded := encodeFrame(e.seq, ops)
-		moved = append(moved, entryOf(ops[0], to, w.offset(), e.seq))
+		copied = append(copied, entryOf(ops[0], target, w.offset(), e.seq))
 		err = w.write(encoded)
 		return err == nil
 	})
 	if err == nil {
 		err = w.flush()
 	}
-	return moved, err
+	return copied, err
 }
 
 // pacedWriter appends to a segment in blocks, at a bounded rate.
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -12,15 +12,15 @@
 	f.Add(append(encodeHeader(nil), 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0, 1), false)
 	f.Add([]byte(magic), true)
 	f.Fuzz(func(t *testing.T, b []byte, last bool) {
-		s, _ := scan(segmentName(1), b, last, func(at int64, f frame) {
-			for _, o := range f.ops {
-				if !o.remove && (o.valueOffset < 0 || at+int64(o.valueOffset+len(o.value)) > int64(len(b))) {
-					t.Fatalf("a value at %d of %d bytes in %d", at+int64(o.valueOffset), len(o.value), len(b))
+		result, _ := scan(segmentName(1), b, last, func(offset int64, f frame) {
+			for _, op := range f.ops {
+				if !op.remove && (op.valueOffset < 0 || offset+int64(op.valueOffset+len(op.value)) > int64(len(b))) {
+					t.Fatalf("a value at %d of %d bytes in %d", offset+int64(op.valueOffset), len(op.value), len(b))
 				}
 			}
 		})
-		if s.validBytes > int64(len(b)) {
-			t.Fatalf("%d valid bytes of %d", s.validBytes, len(b))
+		if result.validBytes > int64(len(b)) {
+			t.Fatalf("%d valid bytes of %d", result.validBytes, len(b))
 		}
 	})
 }
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -149,12 +149,12 @@
 	if err != nil {
 		return nil, err
 	}
-	head, err := decodeHeader(content)
+	segmentHeader, err := decodeHeader(content)
 	if errors.Is(err, ErrNewerVersion) {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	seg.compacted = len(head.replaces) > 0
-	return head.replaces, nil
+	seg.compacted = len(segmentHeader.replaces) > 0
+	return segmentHeader.replaces, nil
 }
 
 // lastLogID returns the id of the last segment that was not written by compaction; 0: there is none.
@@ -221,11 +221,11 @@
 		return err
 	}
 	if tail.validBytes == 0 {
-		head := encodeHeader(nil)
-		if _, err := active.file.WriteAt(head, 0); err != nil {
+		encodedHeader := encodeHeader(nil)
+		if _, err := active.file.WriteAt(encodedHeader, 0); err != nil {
 			return err
 		}
-		active.size = int64(len(head))
+		active.size = int64(len(encodedHeader))
 	}
 	return errors.Join(active.file.Sync(), s.files.SyncDir())
 }
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -60,8 +60,8 @@
 
 // salvage returns the whole frames in the content of a segment, wherever they are, and how many bytes are none.
 func salvage(content []byte) (frames []frame, lostBytes int64) {
-	head, err := decodeHeader(content)
-	offset := head.length
+	segmentHeader, err := decodeHeader(content)
+	offset := segmentHeader.length
 	if err != nil {
 		offset = 0
 	}
--- a/internal/store/scan.go
+++ b/internal/store/scan.go
@@ -22,29 +22,29 @@
 // is a *CorruptionError.
 func scan(file string, b []byte, last bool, visit func(offset int64, f frame)) (scanResult, error) {
 	result := scanResult{size: int64(len(b))}
-	head, err := decodeHeader(b)
+	segmentHeader, err := decodeHeader(b)
 	switch {
 	case errors.Is(err, ErrNewerVersion):
 		return result, fmt.Errorf("%s: %w", file, err)
 	case err != nil:
 		return result, &CorruptionError{File: file, BatchesAfter: countBatches(b, 0), Reason: err.Error()}
-	case head.length == 0 && !last:
+	case segmentHeader.length == 0 && !last:
 		return result, &CorruptionError{File: file, Reason: "head is not whole"}
-	case head.length == 0:
+	case segmentHeader.length == 0:
 		return result, nil
 	}
-	result.validBytes = int64(head.length)
+	result.validBytes = int64(segmentHeader.length)
 	for result.validBytes < result.size {
 		f, ok := decodeFrame(b[result.validBytes:])
 		if !ok {
-			found := countBatches(b[result.validBytes+1:], result.lastSeq)
-			if found == 0 && last {
+			batchesAfter := countBatches(b[result.validBytes+1:], result.lastSeq)
+			if batchesAfter == 0 && last {
 				return result, nil
 			}
 			return result, &CorruptionError{
 				File:         file,
 				Offset:       result.validBytes,
-				BatchesAfter: found,
+				BatchesAfter: batchesAfter,
 				Reason:       "a batch does not match its checksum or is cut off",
 			}
 		}
@@ -60,18 +60,18 @@
 const maxSeqGap = 1 << 32
 
 // countBatches counts whole batches anywhere in b, with sequence numbers above lastSeq.
-func countBatches(b []byte, lastSeq uint64) (found int) {
+func countBatches(b []byte, lastSeq uint64) (count int) {
 	for offset := 0; offset+frameHeaderBytes <= len(b); {
 		// The sequence number rules nearly every place out before its checksum is computed.
 		seq := binary.LittleEndian.Uint64(b[offset+2*uint32Bytes:])
 		if seq > lastSeq && seq < lastSeq+maxSeqGap {
 			if f, ok := decodeFrame(b[offset:]); ok {
-				found++
+				count++
 				offset += f.length
 				continue
 			}
 		}
 		offset++
 	}
-	return found
+	return count
 }
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -71,8 +71,8 @@
 		return nil, err
 	}
 	seg := &segment{id: id, name: name, file: file, compacted: len(replaces) > 0}
-	head := encodeHeader(replaces)
-	_, err = file.WriteAt(head, 0)
+	encodedHeader := encodeHeader(replaces)
+	_, err = file.WriteAt(encodedHeader, 0)
 	if err == nil {
 		err = file.Sync()
 	}
@@ -80,7 +80,7 @@
 		s.discard(seg)
 		return nil, err
 	}
-	seg.size = int64(len(head))
+	seg.size = int64(len(encodedHeader))
 	return seg, nil
 }
 
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -27,16 +27,16 @@
 }
 
 // Release releases the snapshot, which must not be used afterwards.
-func (p *Snapshot) Release() {
-	p.store.releaseSegments(p.segments...)
-	p.segments = nil
+func (s *Snapshot) Release() {
+	s.store.releaseSegments(s.segments...)
+	s.segments = nil
 }
 
 // Each calls visit for every key with the prefix, in order, until it returns false. An error says that a value could
 // not be read.
-func (p *Snapshot) Each(prefix string, visit func(key string, value []byte) bool) error {
+func (s *Snapshot) Each(prefix string, visit func(key string, value []byte) bool) error {
 	var readErr error
-	p.index.AscendGreaterOrEqual(entry{key: prefix}, func(e entry) bool {
+	s.index.AscendGreaterOrEqual(entry{key: prefix}, func(e entry) bool {
 		if !strings.HasPrefix(e.key, prefix) {
 			return false
 		}
@@ -51,4 +51,4 @@
 }
 
 // Len returns the number of keys.
-func (p *Snapshot) Len() int { return p.index.Len() }
+func (s *Snapshot) Len() int { return s.index.Len() }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -47,28 +47,28 @@
 }
 
 // crash returns the disk after a power loss: of names and bytes that were not synced it holds a random part.
-func (d *faultyDisk) crash(draw *rand.Rand) *faultyDisk {
+func (d *faultyDisk) crash(random *rand.Rand) *faultyDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	after := newDisk()
-	kept := maps.Clone(d.durableFiles)
+	durable := maps.Clone(d.durableFiles)
 	for _, name := range slices.Sorted(maps.Keys(d.durableFiles)) {
-		if d.files[name] == d.durableFiles[name] || draw.IntN(2) == 0 {
+		if d.files[name] == d.durableFiles[name] || random.IntN(2) == 0 {
 			continue
 		}
 		// A removal or a new name may have reached the disk by itself, in any order.
-		delete(kept, name)
-		for to, f := range d.files {
+		delete(durable, name)
+		for newName, f := range d.files {
 			if f == d.durableFiles[name] {
-				kept[to] = f
+				durable[newName] = f
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(kept)) {
-		f := kept[name]
+	for _, name := range slices.Sorted(maps.Keys(durable)) {
+		f := durable[name]
 		data := slices.Clone(f.durable)
-		if more := len(f.data) - len(data); more > 0 && slices.Equal(f.data[:len(data)], data) {
-			data = append(data, f.data[len(data):len(data)+draw.IntN(more+1)]...)
+		if unsynced := len(f.data) - len(data); unsynced > 0 && slices.Equal(f.data[:len(data)], data) {
+			data = append(data, f.data[len(data):len(data)+random.IntN(unsynced+1)]...)
 		}
 		after.files[name] = &memFile{disk: after, data: data, durable: slices.Clone(data)}
 	}
@@ -76,13 +76,13 @@
 	return after
 }
 
-func (d *faultyDisk) do(what func() error) error {
+func (d *faultyDisk) do(operation func() error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.countOperation(); err != nil {
 		return err
 	}
-	return what()
+	return operation()
 }
 
 func (d *faultyDisk) Create(name string) (f File, err error) {
@@ -130,24 +130,24 @@
 
 func (d *faultyDisk) Lock() (func() error, error) { return func() error { return nil }, nil }
 
-func (f *memFile) ReadAt(p []byte, at int64) (int, error) {
+func (f *memFile) ReadAt(p []byte, offset int64) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	n := copy(p, f.data[min(at, int64(len(f.data))):])
+	n := copy(p, f.data[min(offset, int64(len(f.data))):])
 	if n < len(p) {
 		return n, errors.New("end of file")
 	}
 	return n, nil
 }
 
-func (f *memFile) WriteAt(p []byte, at int64) (n int, err error) {
+func (f *memFile) WriteAt(p []byte, offset int64) (n int, err error) {
 	err = f.disk.do(func() error {
 		n = len(p)
 		if f.disk.freeBytes >= 0 {
 			n = min(n, f.disk.freeBytes)
 			f.disk.freeBytes -= n
 		}
-		f.data = append(f.data[:at], p[:n]...)
+		f.data = append(f.data[:offset], p[:n]...)
 		if n < len(p) {
 			return errors.New("no space left on device")
 		}
@@ -175,19 +175,19 @@
 
 func contents(t *testing.T, s *Store) map[string]string {
 	t.Helper()
-	snap := s.Snapshot()
-	defer snap.Release()
-	out, last := map[string]string{}, ""
-	if err := snap.Each("", func(k string, v []byte) bool {
+	snapshot := s.Snapshot()
+	defer snapshot.Release()
+	values, last := map[string]string{}, ""
+	if err := snapshot.Each("", func(k string, v []byte) bool {
 		if k <= last {
 			t.Errorf("%q comes after %q", k, last)
 		}
-		out[k], last = string(v), k
+		values[k], last = string(v), k
 		return true
 	}); err != nil {
 		t.Fatal(err)
 	}
-	return out
+	return values
 }
 
 func open(t *testing.T, d *faultyDisk, o Options) (*Store, *Recovery) {
@@ -214,23 +214,23 @@
 }
 
 // history writes batches of puts and deletes; states[i] is the content after i of them.
-func writeHistory(t *testing.T, s *Store, n int, draw *rand.Rand) (states []map[string]string) {
+func writeHistory(t *testing.T, s *Store, batchCount int, random *rand.Rand) (states []map[string]string) {
 	t.Helper()
 	state := map[string]string{}
 	states = append(states, maps.Clone(state))
-	for i := range n {
-		var b Batch
-		for range 1 + draw.IntN(3) {
-			key := fmt.Sprint("k", draw.IntN(8))
-			if draw.IntN(3) == 0 {
-				b.Delete(key)
+	for i := range batchCount {
+		var batch Batch
+		for range 1 + random.IntN(3) {
+			key := fmt.Sprint("k", random.IntN(8))
+			if random.IntN(3) == 0 {
+				batch.Delete(key)
 				delete(state, key)
 			} else {
-				state[key] = fmt.Sprint("v", i, strings.Repeat("x", draw.IntN(20)))
-				b.Put(key, []byte(state[key]))
+				state[key] = fmt.Sprint("v", i, strings.Repeat("x", random.IntN(20)))
+				batch.Put(key, []byte(state[key]))
 			}
 		}
-		if err := s.Apply(&b); err != nil {
+		if err := s.Apply(&batch); err != nil {
 			t.Fatal(err)
 		}
 		states = append(states, maps.Clone(state))
@@ -244,36 +244,36 @@
 
 // A log that is cut off at any byte is recovered up to its last whole batch, and can be written again.
 func TestRecoveryFromLogTruncatedAtEveryByte(t *testing.T) {
-	d := newDisk()
-	s, _ := open(t, d, Options{ManualCompaction: true})
+	disk := newDisk()
+	s, _ := open(t, disk, Options{ManualCompaction: true})
 	states := writeHistory(t, s, 40, rand.New(rand.NewPCG(1, 1)))
 	closeStore(t, s)
-	log := d.files[segmentName(1)].data
+	log := disk.files[segmentName(1)].data
 	ends := []int{fixedHeaderBytes}
-	if _, err := scan(segmentName(1), log, true, func(at int64, f frame) {
-		ends = append(ends, int(at)+f.length)
+	if _, err := scan(segmentName(1), log, true, func(offset int64, f frame) {
+		ends = append(ends, int(offset)+f.length)
 	}); err != nil {
 		t.Fatal(err)
 	}
 	for cut := range len(log) + 1 {
-		d := newDisk()
-		d.files[segmentName(1)] = &memFile{disk: d, data: slices.Clone(log[:cut])}
-		s, r := open(t, d, Options{ManualCompaction: true})
-		want := 0
-		for want+1 < len(ends) && ends[want+1] <= cut {
-			want++
+		disk := newDisk()
+		disk.files[segmentName(1)] = &memFile{disk: disk, data: slices.Clone(log[:cut])}
+		s, recovery := open(t, disk, Options{ManualCompaction: true})
+		wantBatches := 0
+		for wantBatches+1 < len(ends) && ends[wantBatches+1] <= cut {
+			wantBatches++
 		}
-		if got := contents(t, s); !maps.Equal(got, states[want]) {
-			t.Fatalf("cut at %d: %v, want the state after %d batches, %v", cut, got, want, states[want])
+		if got := contents(t, s); !maps.Equal(got, states[wantBatches]) {
+			t.Fatalf("cut at %d: %v, want the state after %d batches, %v", cut, got, wantBatches, states[wantBatches])
 		}
-		if kept := ends[want]; cut > kept && r.TruncatedBytes != int64(cut-kept) {
-			t.Fatalf("cut at %d: %d bytes reported as truncated, want %d", cut, r.TruncatedBytes, cut-kept)
+		if wantBytes := ends[wantBatches]; cut > wantBytes && recovery.TruncatedBytes != int64(cut-wantBytes) {
+			t.Fatalf("cut at %d: %d bytes reported as truncated, want %d", cut, recovery.TruncatedBytes, cut-wantBytes)
 		}
 		if err := s.Put("after", []byte("x")); err != nil {
 			t.Fatal(err)
 		}
 		closeStore(t, s)
-		if s, r := open(t, d, Options{}); contents(t, s)["after"] != "x" || r.TruncatedBytes != 0 {
+		if s, recovery := open(t, disk, Options{}); contents(t, s)["after"] != "x" || recovery.TruncatedBytes != 0 {
 			t.Fatalf("cut at %d: what was written afterwards is gone", cut)
 		}
 	}
@@ -282,69 +282,69 @@
 // A corrupted byte is reported with its place, or was in the last batch, which may be a torn write; no content is ever
 // invented.
 func TestCorruptionOfEveryByteIsReported(t *testing.T) {
-	d := newDisk()
-	s, _ := open(t, d, Options{ManualCompaction: true, SegmentBytes: 400})
+	disk := newDisk()
+	s, _ := open(t, disk, Options{ManualCompaction: true, SegmentBytes: 400})
 	states := writeHistory(t, s, 30, rand.New(rand.NewPCG(2, 2)))
 	closeStore(t, s)
-	names, _ := d.List()
-	refused := 0
+	names, _ := disk.List()
+	rejected := 0
 	for _, name := range names {
-		for at := range len(d.files[name].data) {
-			bad := newDisk()
-			for n, f := range d.files {
-				bad.files[n] = &memFile{disk: bad, data: slices.Clone(f.data)}
+		for offset := range len(disk.files[name].data) {
+			corrupted := newDisk()
+			for n, f := range disk.files {
+				corrupted.files[n] = &memFile{disk: corrupted, data: slices.Clone(f.data)}
 			}
-			bad.files[name].data[at] ^= 0x41
-			before := slices.Clone(bad.files[name].data)
-			s, _, err := OpenDirectory(bad, Options{ManualCompaction: true})
+			corrupted.files[name].data[offset] ^= 0x41
+			original := slices.Clone(corrupted.files[name].data)
+			s, _, err := OpenDirectory(corrupted, Options{ManualCompaction: true})
 			if err != nil {
-				var damage *CorruptionError
-				if !errors.As(err, &damage) && !errors.Is(err, ErrNewerVersion) || damage != nil &&
-					damage.File != name {
-					t.Fatalf("%s at %d: %v", name, at, err)
+				var corruption *CorruptionError
+				if !errors.As(err, &corruption) && !errors.Is(err, ErrNewerVersion) || corruption != nil &&
+					corruption.File != name {
+					t.Fatalf("%s at %d: %v", name, offset, err)
 				}
-				if !slices.Equal(before, bad.files[name].data) {
-					t.Fatalf("%s at %d: refused, and changed", name, at)
+				if !slices.Equal(original, corrupted.files[name].data) {
+					t.Fatalf("%s at %d: refused, and changed", name, offset)
 				}
-				refused++
+				rejected++
 				continue
 			}
-			if name != names[len(names)-1] || indexOfState(states, contents(t, s)) < len(states)-2 && at >= fixedHeaderBytes {
+			if name != names[len(names)-1] || indexOfState(states, contents(t, s)) < len(states)-2 && offset >= fixedHeaderBytes {
 				if i := indexOfState(states, contents(t, s)); i < 0 || name != names[len(names)-1] {
-					t.Fatalf("%s at %d: opened in a state that never was", name, at)
+					t.Fatalf("%s at %d: opened in a state that never was", name, offset)
 				}
 			}
 		}
 	}
-	if refused < 300 {
-		t.Errorf("only %d damages refused", refused)
+	if rejected < 300 {
+		t.Errorf("only %d damages refused", rejected)
 	}
 }
 
 // After a power loss at any step, also of a compaction, all that was acknowledged is there, what was not is there as
 // a whole batch or not at all, and what was deleted does not come back.
 func TestPowerLossAtEveryDiskOperation(t *testing.T) {
-	play := func(d *faultyDisk, seed uint64) (acknowledged, perhaps map[string]string) {
-		draw := rand.New(rand.NewPCG(seed, 3))
+	runWorkload := func(disk *faultyDisk, seed uint64) (acknowledged, inFlight map[string]string) {
+		random := rand.New(rand.NewPCG(seed, 3))
 		acknowledged = map[string]string{}
-		s, _, err := OpenDirectory(d, Options{ManualCompaction: true, SegmentBytes: 300})
+		s, _, err := OpenDirectory(disk, Options{ManualCompaction: true, SegmentBytes: 300})
 		if err != nil {
 			return acknowledged, acknowledged
 		}
 		for i := range 40 {
-			var b Batch
+			var batch Batch
 			next := maps.Clone(acknowledged)
-			for range 1 + draw.IntN(3) {
-				key := fmt.Sprint("k", draw.IntN(6))
-				if draw.IntN(3) == 0 {
-					b.Delete(key)
+			for range 1 + random.IntN(3) {
+				key := fmt.Sprint("k", random.IntN(6))
+				if random.IntN(3) == 0 {
+					batch.Delete(key)
 					delete(next, key)
 				} else {
-					next[key] = fmt.Sprint(i, strings.Repeat("y", draw.IntN(30)))
-					b.Put(key, []byte(next[key]))
+					next[key] = fmt.Sprint(i, strings.Repeat("y", random.IntN(30)))
+					batch.Put(key, []byte(next[key]))
 				}
 			}
-			if s.Apply(&b) != nil {
+			if s.Apply(&batch) != nil {
 				return acknowledged, next
 			}
 			acknowledged = next
@@ -354,28 +354,28 @@
 		}
 		return acknowledged, acknowledged
 	}
-	complete := newDisk()
-	play(complete, 1)
-	if complete.operations < 120 {
-		t.Fatalf("%d steps, too few to prove anything", complete.operations)
+	fullRun := newDisk()
+	runWorkload(fullRun, 1)
+	if fullRun.operations < 120 {
+		t.Fatalf("%d steps, too few to prove anything", fullRun.operations)
 	}
-	for at := 1; at <= complete.operations+1; at++ {
+	for operation := 1; operation <= fullRun.operations+1; operation++ {
 		for seed := range uint64(3) {
-			d := newDisk()
-			d.failFromOperation = at
-			acknowledged, perhaps := play(d, 1)
-			after := d.crash(rand.New(rand.NewPCG(seed, uint64(at))))
-			s, _, err := OpenDirectory(after, Options{ManualCompaction: true})
+			disk := newDisk()
+			disk.failFromOperation = operation
+			acknowledged, inFlight := runWorkload(disk, 1)
+			afterCrash := disk.crash(rand.New(rand.NewPCG(seed, uint64(operation))))
+			s, _, err := OpenDirectory(afterCrash, Options{ManualCompaction: true})
 			if err != nil {
-				t.Fatalf("power gone at step %d: %v", at, err)
+				t.Fatalf("power gone at step %d: %v", operation, err)
 			}
-			if got := contents(t, s); !maps.Equal(got, acknowledged) && !maps.Equal(got, perhaps) {
-				t.Fatalf("power gone at step %d: %v, acknowledged %v, under way %v", at, got, acknowledged, perhaps)
+			if got := contents(t, s); !maps.Equal(got, acknowledged) && !maps.Equal(got, inFlight) {
+				t.Fatalf("power gone at step %d: %v, acknowledged %v, under way %v", operation, got, acknowledged, inFlight)
 			}
-			names, _ := after.List()
+			names, _ := afterCrash.List()
 			for _, name := range names {
 				if strings.HasSuffix(name, unfinishedSuffix) {
-					t.Fatalf("power gone at step %d: %s is left", at, name)
+					t.Fatalf("power gone at step %d: %s is left", operation, name)
 				}
 			}
 		}
@@ -383,27 +383,27 @@
 }
 
 func TestDiskFullAndSyncFailure(t *testing.T) {
-	d := newDisk()
-	s, _ := open(t, d, Options{ManualCompaction: true})
+	disk := newDisk()
+	s, _ := open(t, disk, Options{ManualCompaction: true})
 	if err := s.Put("a", []byte("1")); err != nil {
 		t.Fatal(err)
 	}
-	d.freeBytes = 10
+	disk.freeBytes = 10
 	if err := s.Put("b", make([]byte, 100)); err == nil || errors.Is(err, ErrReadOnly) {
 		t.Errorf("disk full: %v", err)
 	}
 	if _, found, _ := s.Get("b"); found {
 		t.Error("what was not durable can be read")
 	}
-	d.freeBytes = -1
+	disk.freeBytes = -1
 	if err := s.Put("c", []byte("3")); err != nil {
 		t.Errorf("with room again: %v", err)
 	}
-	d.syncFails = true
+	disk.syncFails = true
 	if err := s.Put("d", []byte("4")); err == nil {
 		t.Error("acknowledged though the sync failed")
 	}
-	d.syncFails = false
+	disk.syncFails = false
 	if err := s.Put("e", []byte("5")); !errors.Is(err, ErrReadOnly) {
 		t.Errorf("after a failed sync: %v, want read-only", err)
 	}
@@ -411,8 +411,8 @@
 		t.Error("a read-only store cannot be read")
 	}
 	closeStore(t, s)
-	again, _ := open(t, d.crash(rand.New(rand.NewPCG(1, 1))), Options{})
-	if got := contents(t, again); got["a"] != "1" || got["c"] != "3" || got["b"] != "" || got["e"] != "" {
+	reopened, _ := open(t, disk.crash(rand.New(rand.NewPCG(1, 1))), Options{})
+	if got := contents(t, reopened); got["a"] != "1" || got["c"] != "3" || got["b"] != "" || got["e"] != "" {
 		t.Errorf("after it all: %v", got)
 	}
 }
@@ -424,12 +424,12 @@
 		t.Fatal(err)
 	}
 	put(t, s, "still", []byte("here"))
-	snap := s.Snapshot()
-	var all sync.WaitGroup
-	for w := range 8 {
-		all.Go(func() {
+	snapshot := s.Snapshot()
+	var writers sync.WaitGroup
+	for writer := range 8 {
+		writers.Go(func() {
 			for i := range 150 {
-				if err := s.Put(fmt.Sprintf("w%d/%d", w, i%5),
+				if err := s.Put(fmt.Sprintf("w%d/%d", writer, i%5),
 					fmt.Append(nil, i, strings.Repeat("z", 200))); err != nil {
 					t.Error(err)
 				}
@@ -445,11 +445,11 @@
 	if err := s.Delete("still"); err != nil {
 		t.Error(err)
 	}
-	all.Wait()
-	if snap.Len() != 1 {
-		t.Errorf("a snapshot of one key has %d", snap.Len())
+	writers.Wait()
+	if snapshot.Len() != 1 {
+		t.Errorf("a snapshot of one key has %d", snapshot.Len())
 	}
-	if err := snap.Each("", func(k string, v []byte) bool {
+	if err := snapshot.Each("", func(k string, v []byte) bool {
 		if string(v) != "here" {
 			t.Errorf("a snapshot has changed: %s %s", k, v)
 		}
@@ -457,18 +457,18 @@
 	}); err != nil {
 		t.Error(err)
 	}
-	snap.Release()
+	snapshot.Release()
 	if got := contents(t, s); len(got) != 40 || !strings.HasPrefix(got["w3/4"], "149") {
 		t.Errorf("%d keys, %.20q", len(got), got["w3/4"])
 	}
-	n := 0
-	again := s.Snapshot()
-	if err := again.Each("w3/", func(string, []byte) bool { n++; return true }); err != nil {
+	prefixKeys := 0
+	laterSnapshot := s.Snapshot()
+	if err := laterSnapshot.Each("w3/", func(string, []byte) bool { prefixKeys++; return true }); err != nil {
 		t.Error(err)
 	}
-	again.Release()
-	if n != 5 {
-		t.Errorf("%d keys under a prefix, want 5", n)
+	laterSnapshot.Release()
+	if prefixKeys != 5 {
+		t.Errorf("%d keys under a prefix, want 5", prefixKeys)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
@@ -485,14 +485,14 @@
 		t.Errorf("opened twice: %v", err)
 	}
 	put(t, s, "a", []byte("1"))
-	if r, found, err := Open(path, Options{ReadOnly: true}); err != nil || found.Keys != 1 ||
-		!errors.Is(r.Put("b", nil), ErrReadOnly) {
-		t.Errorf("looked at beside its holder: %v %v", found, err)
+	if readOnly, recovery, err := Open(path, Options{ReadOnly: true}); err != nil || recovery.Keys != 1 ||
+		!errors.Is(readOnly.Put("b", nil), ErrReadOnly) {
+		t.Errorf("looked at beside its holder: %v %v", recovery, err)
 	}
 	closeStore(t, s)
 	name := filepath.Join(path, segmentName(1))
-	b, _ := os.ReadFile(name)
-	newer := slices.Clone(b)
+	content, _ := os.ReadFile(name)
+	newer := slices.Clone(content)
 	newer[len(magic)] = formatVersion + 1
 	if err := os.WriteFile(name, newer, 0o600); err != nil {
 		t.Fatal(err)
@@ -511,30 +511,30 @@
 
 // A repair copies all batches around a corrupted one, and leaves the damaged directory as it was.
 func TestRepairCopiesBatchesAroundCorruption(t *testing.T) {
-	d := newDisk()
-	s, _ := open(t, d, Options{ManualCompaction: true})
+	disk := newDisk()
+	s, _ := open(t, disk, Options{ManualCompaction: true})
 	for i := range 10 {
 		put(t, s, fmt.Sprint("k", i), []byte("value"))
 	}
 	closeStore(t, s)
-	data := d.files[segmentName(1)].data
+	data := disk.files[segmentName(1)].data
 	data[len(data)/2] ^= 1
-	before := slices.Clone(data)
-	var damage *CorruptionError
-	if _, _, err := OpenDirectory(d, Options{}); !errors.As(err, &damage) || damage.BatchesAfter < 3 ||
-		damage.Offset == 0 {
+	original := slices.Clone(data)
+	var corruption *CorruptionError
+	if _, _, err := OpenDirectory(disk, Options{}); !errors.As(err, &corruption) || corruption.BatchesAfter < 3 ||
+		corruption.Offset == 0 {
 		t.Fatalf("%v, want the corruption reported", err)
 	}
-	to := newDisk()
-	repaired, err := Repair(d, to)
-	if err != nil || repaired.Batches != 9 || repaired.LostBytes == 0 || !slices.Equal(before, data) {
-		t.Fatalf("%+v, %v", repaired, err)
+	target := newDisk()
+	result, err := Repair(disk, target)
+	if err != nil || result.Batches != 9 || result.LostBytes == 0 || !slices.Equal(original, data) {
+		t.Fatalf("%+v, %v", result, err)
 	}
-	out, _ := open(t, to, Options{})
-	if got := contents(t, out); len(got) != 9 {
+	opened, _ := open(t, target, Options{})
+	if got := contents(t, opened); len(got) != 9 {
 		t.Errorf("%d keys came over, want nine", len(got))
 	}
-	if _, err := Repair(d, to); !errors.Is(err, ErrNotEmpty) {
+	if _, err := Repair(disk, target); !errors.Is(err, ErrNotEmpty) {
 		t.Errorf("repaired into a store that is there: %v", err)
 	}
 }
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -51,7 +51,7 @@
 	// CountSkipped counts records that could not be used.
 	CountSkipped func(records int)
 	// Recover is deferred in each goroutine and stops a panic there.
-	Recover func(where string, then func())
+	Recover func(component string, afterPanic func())
 }
 
 // Subscription is a node's subscription to the endpoint list. Its methods are safe for concurrent use.
@@ -172,22 +172,22 @@
 
 // decode turns changes of records into endpoints. Records that can't be used are counted and skipped.
 func (s *Subscription[V]) decode(now int64, changes []distribution.Change) []endpointsource.Endpoint[V] {
-	hosts := s.hostTable.Apply(changes)
-	endpoints := make([]endpointsource.Endpoint[V], 0, len(hosts.Entries))
-	for _, entry := range hosts.Entries {
+	hostChanges := s.hostTable.Apply(changes)
+	endpoints := make([]endpointsource.Endpoint[V], 0, len(hostChanges.Entries))
+	for _, entry := range hostChanges.Entries {
 		decoded, err := s.config.Decode(entry)
 		if err != nil {
-			hosts.Skipped++
-			hosts.LastErr = err
+			hostChanges.Skipped++
+			hostChanges.LastErr = err
 			continue // what was known of it stays
 		}
 		endpoints = append(endpoints, s.config.ToEndpoint(decoded))
 	}
-	if hosts.Skipped > 0 {
-		s.config.CountSkipped(hosts.Skipped)
+	if hostChanges.Skipped > 0 {
+		s.config.CountSkipped(hostChanges.Skipped)
 		if now-s.skipsLastLoggedAtNs > skipLogIntervalNs {
 			s.skipsLastLoggedAtNs = now
-			s.config.Log.Warn("records skipped", zap.Int("records", hosts.Skipped), zap.Error(hosts.LastErr))
+			s.config.Log.Warn("records skipped", zap.Int("records", hostChanges.Skipped), zap.Error(hostChanges.LastErr))
 		}
 	}
 	return endpoints
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -50,18 +50,18 @@
 	if complete {
 		n.applied = map[string]string{}
 	}
-	for _, e := range entries {
-		if n.applied[e.name] = e.source; e.state == endpointsource.StateRemoved {
-			delete(n.applied, e.name)
+	for _, entry := range entries {
+		if n.applied[entry.name] = entry.source; entry.state == endpointsource.StateRemoved {
+			delete(n.applied, entry.name)
 		}
 	}
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, condition string, met func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !met(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("never came: %s", condition)
 		}
 	}
 }
@@ -78,21 +78,21 @@
 
 func newTestOrigin(t *testing.T) *testOrigin {
 	t.Helper()
-	o := distribution.NewOrigin(1, distribution.Limits{})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	origin := distribution.NewOrigin(1, distribution.Limits{})
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := relay.NewServer(o.Relay(), relay.ServerConfig{}, zap.NewNop())
+	server := relay.NewServer(origin.Relay(), relay.ServerConfig{}, zap.NewNop())
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(l) }()
+	go func() { served <- server.Serve(listener) }()
 	t.Cleanup(func() {
-		l.Close()
-		if err := errors.Join(s.Close(context.Background()), <-served); err != nil {
+		listener.Close()
+		if err := errors.Join(server.Close(context.Background()), <-served); err != nil {
 			t.Error(err)
 		}
 	})
-	return &testOrigin{t: t, origin: o, server: s, address: l.Addr().String()}
+	return &testOrigin{t: t, origin: origin, server: server, address: listener.Addr().String()}
 }
 
 func (o *testOrigin) put(scope, key string, class distribution.Class, body []byte) {
@@ -118,35 +118,35 @@
 }
 
 // decode can't read a host named invalid, and panics at one named panics.
-func decodeTestEntry(e endpointlist.Entry) (testEntry, error) {
-	switch e.Name {
+func decodeTestEntry(entry endpointlist.Entry) (testEntry, error) {
+	switch entry.Name {
 	case "invalid":
 		return testEntry{}, errors.New("invalid")
 	case "panics":
 		panic("panics")
 	}
-	out := testEntry{name: e.Name, source: "by relays"}
-	if e.State == "removed" {
-		out.state = endpointsource.StateRemoved
+	decoded := testEntry{name: entry.Name, source: "by relays"}
+	if entry.State == "removed" {
+		decoded.state = endpointsource.StateRemoved
 	}
-	return out, nil
+	return decoded, nil
 }
 
 // A panic at a record of the relays ends their part alone: discovery takes over.
 func TestPanicInRelayUpdateFallsBackToDiscovery(t *testing.T) {
-	o := newTestOrigin(t)
-	o.putHosts("good")
-	o.put(relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, []byte(`{"seq":3,"stands":true}`))
+	origin := newTestOrigin(t)
+	origin.putHosts("good")
+	origin.put(relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, []byte(`{"seq":3,"stands":true}`))
 	n := &testNode{applied: map[string]string{}}
 	var skipped atomic.Int64
-	s, err := New(Config[testEntry]{
-		Name: "n", Relays: []string{o.address}, Scopes: []string{"eu1/cart"}, StaleAfterNs: 1e9,
+	subscription, err := New(Config[testEntry]{
+		Name: "n", Relays: []string{origin.address}, Scopes: []string{"eu1/cart"}, StaleAfterNs: 1e9,
 		Clock: relay.NewClock(), Log: zap.NewNop(), Decode: decodeTestEntry,
 		ToEndpoint: func(e testEntry) endpointsource.Endpoint[testEntry] {
 			return endpointsource.Endpoint[testEntry]{Name: e.name, State: e.state, Value: e}
 		},
-		WithState: func(e testEntry, s endpointsource.EndpointState) testEntry {
-			e.state = s
+		WithState: func(e testEntry, subscription endpointsource.EndpointState) testEntry {
+			e.state = subscription
 			return e
 		},
 		Apply:              n.apply,
@@ -160,37 +160,37 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go s.Run(ctx)
+	go subscription.Run(ctx)
 	eventually(t, "the list by relays", func() bool { return n.sourceOf("good") == "by relays" })
-	o.putHosts("invalid", "another")
+	origin.putHosts("invalid", "another")
 	eventually(t, "the one beside the invalid one", func() bool { return n.sourceOf("another") == "by relays" })
 	n.mu.Lock()
 	if len(n.applied) != 2 || skipped.Load() != 1 {
 		t.Errorf("%q applied, %d skipped; expected two and one", n.applied, skipped.Load())
 	}
 	n.mu.Unlock()
-	o.putHosts("panics")
+	origin.putHosts("panics")
 	eventually(t, "the panic", func() bool { return n.panics.Load() > 0 })
 	eventually(t, "a watch of discovery", n.watch.Load)
-	s.UpdateDiscovery([]testEntry{{name: "good", source: "by discovery"}}, 4, true)
+	subscription.UpdateDiscovery([]testEntry{{name: "good", source: "by discovery"}}, 4, true)
 	eventually(t, "discovery's list", func() bool { return n.sourceOf("good") == "by discovery" })
-	if s.RelaysLastReceivedAt() != 0 {
+	if subscription.RelaysLastReceivedAt() != 0 {
 		t.Error("relays still count as the source")
 	}
-	if text := s.StatusJSON(); text == "" {
+	if text := subscription.StatusJSON(); text == "" {
 		t.Error("no status")
 	}
 }
 
 // A host in two scopes stays until neither has it, in whatever order the changes come.
 func TestHostInTwoScopes(t *testing.T) {
-	put := func(scope, host string, gone bool) distribution.Change {
+	put := func(scope, host string, deleted bool) distribution.Change {
 		return distribution.Change{Record: distribution.Record{
 			Scope: scope, Key: relay.EndpointKey(host),
-			Deleted: gone, Body: endpointBody(host),
+			Deleted: deleted, Body: endpointBody(host),
 		}}
 	}
-	h := relay.NewHostTable()
+	table := relay.NewHostTable()
 	for i, step := range []struct {
 		change distribution.Change
 		health string
@@ -198,7 +198,7 @@
 		put("b", "h", true),
 		"removed",
 	}, {put("b", "h", true), ""}} {
-		hosts := h.Apply([]distribution.Change{step.change})
+		hosts := table.Apply([]distribution.Change{step.change})
 		if step.health == "" && len(hosts.Entries) == 0 {
 			continue
 		}
