--- a/internal/members/awareness.go
+++ b/internal/members/awareness.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// Local health awareness (Lifeguard): a node that stalls, fails probes for lack of any answer, or has to refute, takes
-// its own trouble for a possible cause. Its health score, 0 (healthy) to maxHealthScore, stretches its probes.
+// Local health awareness (Lifeguard): a node that stalls, receives neither acks nor nacks for a probe, or has to refute
+// a suspicion may itself be the cause. Each of these raises its local health score, from 0 (healthy) to maxHealthScore;
+// a higher score lengthens the timeouts of its probes.
 
 const (
 	maxHealthScore  = 8
 	stallPenalty    = 2
-	stallGraceTicks = 3 * TicksPerPeriod // after a stall, in which no suspicion is raised or ends
-	isolationProbes = 8                  // that show whether this node reaches anybody
+	stallGraceTicks = 3 * TicksPerPeriod // after a stall; meanwhile no suspicion is raised or expires
+	isolationProbes = 8                  // latest probes that must all have failed for the node to count as isolated
 	maxProbeResults = 32
 )
 
-// detectStall takes in the time of a call. If none came for half a round, the process has stalled: what was in progress is
-// dropped, as the answers that are missing may be waiting to be read.
+// detectStall records the time of a call. If the previous call was more than half a protocol period ago, the process
+// has stalled: the probes in progress are dropped, because the missing answers may be waiting in the socket buffer.
 func (m *Members) detectStall(now int64) {
 	if now-m.lastCallAt > m.config.ProtocolPeriodNs/2 {
 		m.counters.Stalls++
@@ -29,10 +30,10 @@
 	m.lastCallAt = now
 }
 
-// stalledRecently reports whether a stall of this process may be the cause of what it sees.
+// stalledRecently reports whether a recent stall of this process may be the cause of missing answers.
 func (m *Members) stalledRecently() bool { return m.tick < m.stallGraceUntil }
 
-// isIsolated reports whether none of the last probes was answered, directly or indirectly.
+// isIsolated reports whether none of the last isolationProbes probes was answered, directly or indirectly.
 func (m *Members) isIsolated() bool {
 	required := min(isolationProbes, len(m.peers))
 	if len(m.probeResults) < required {
@@ -41,7 +42,7 @@
 	return !slices.Contains(m.probeResults[len(m.probeResults)-required:], true)
 }
 
-// recordProbeResult notes the result of a probe.
+// recordProbeResult records whether a probe was answered; an answered one lowers the health score.
 func (m *Members) recordProbeResult(now int64, answered bool) {
 	m.counters.Probes++
 	m.lastProbeAt = now
@@ -54,5 +55,5 @@
 	}
 }
 
-// stretch is a time of a probe in ticks, longer with a higher health score.
+// scaleByHealth returns a probe timeout in ticks, lengthened by a quarter for each point of the health score.
 func (m *Members) scaleByHealth(ticks int64) int64 { return ticks * (4 + m.healthScore) / 4 }
--- a/internal/members/broadcast.go
+++ b/internal/members/broadcast.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Piggybacking: each datagram carries the states that changed last, up to maxUpdates. A state is sent a number of times
-// that grows with the logarithm of the number of nodes.
+// Piggybacking: each datagram carries up to maxUpdates of the states that changed last. Each state is sent a number of
+// times that grows with the logarithm of the number of nodes.
 
 const (
-	maxUpdates            = 22 // in a datagram, each under 48 bytes
-	maxUpdatesWithPayload = 1  // beside a payload
+	maxUpdates            = 22 // in a datagram; each takes less than 48 bytes
+	maxUpdatesWithPayload = 1  // in a datagram that carries a payload
 	retransmitMultiplier  = 4
 )
 
-// broadcast queues a peer's state for the next datagrams.
+// broadcast queues a peer's state to be piggybacked on the next datagrams.
 func (m *Members) broadcast(i int) {
 	p := &m.peers[i]
 	p.retransmitsRemaining = int8(retransmitMultiplier * math.Ceil(math.Log10(float64(len(m.peers)+2))))
@@ -21,7 +21,8 @@
 	}
 }
 
-// send adds queued states to a message and sends it. What is known of the receiver comes first, so that it can refute.
+// send adds queued states to a message and sends it. The receiver's own state comes first if it is suspect, dead or
+// left, so that the receiver can refute it.
 func (m *Members) send(to int, msg *message) {
 	receiver := &m.peers[to]
 	msg.To = receiver.id
@@ -42,7 +43,7 @@
 	m.transport.Send(int(receiver.nodeIndex), datagram)
 }
 
-// piggyback adds queued states, each of them once, while there is room.
+// piggyback adds queued states to a message, each at most once, up to maxUpdates.
 func (m *Members) piggyback(msg *message) {
 	for remaining := len(m.broadcasts); remaining > 0 && len(msg.Updates) < maxUpdates; remaining-- {
 		i := m.broadcasts[0]
--- a/internal/members/golden_test.go
+++ b/internal/members/golden_test.go
@@ -9,7 +9,8 @@
 	"fawnglade/internal/golden"
 )
 
-// TestGoldenMessages compares datagrams with the bytes that earlier builds send and read.
+// TestGoldenMessages compares encoded datagrams with golden files, so that this build stays compatible with nodes that
+// run earlier ones.
 func TestGoldenMessages(t *testing.T) {
 	key := []byte("a key of 16 bytes")
 	self := update{ID: 0x1122334455667788, State: Alive, StartMs: 1_700_000_000_000, IncarnationOffset: 3, RunID: 77}
@@ -27,14 +28,14 @@
 		golden.Check(t, name, datagram)
 		read, err := decode(key, datagram)
 		if err != nil || fmt.Sprint(*read) != fmt.Sprint(m) {
-			t.Errorf("%s: read as %+v, %v", name, read, err)
+			t.Errorf("%s: decoded as %+v, error %v; want the message that was encoded", name, read, err)
 		} else if !bytes.Equal(encode(key, read), datagram) {
-			t.Errorf("%s: read and written again it is another datagram", name)
+			t.Errorf("%s: decoding and encoding again gives a different datagram", name)
 		}
 	}
 }
 
-// TestGoldenView compares the view of the admin API with that of earlier builds.
+// TestGoldenView compares the JSON of the view with a golden file, so that the format of the admin API doesn't change.
 func TestGoldenView(t *testing.T) {
 	m := newTestMembers(t, "n0", 4, &recordingTransport{})
 	m.Receive(testStartNs+1e9, datagramFrom(m, "n1", message{Kind: gossip}))
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,21 +1,22 @@
-// Package members keeps one node's view of the other nodes of the fleet: unknown, alive, suspect, dead or left, each
-// with its start and incarnation. The protocol is SWIM (Das, Gupta and Motivala 2002) with local health awareness and
-// suspicion timeouts of Lifeguard (Dadgar, Phillips and Currey 2017); docs/design/members.md lists the differences.
+// Package members implements a node's membership view: the state of every node of the fleet (unknown, alive, suspect,
+// dead or left) with its start time and incarnation. The protocol is SWIM (Das, Gupta and Motivala 2002) with the local
+// health awareness and suspicion timeouts of Lifeguard (Dadgar, Phillips and Currey 2017); docs/design/members.md lists
+// the differences.
 //
-// Its gossip is about the nodes themselves. Two other packages exchange messages between nodes: package gossip those of
-// the decisions, and package endpointgossip endpoint lists, as payloads of this one.
+// This package gossips node states only. Two other packages exchange messages between nodes: package gossip exchanges
+// the messages of the policy, and package endpointgossip exchanges endpoint lists as payloads of this package.
 //
 // The package has no I/O, clock or goroutine: the caller passes the time to each call, and the same calls give the same
-// view. A Members is not safe for concurrent use. No decision about requests or endpoints is made here, and nothing is
-// kept of a node that is not in Config.Nodes.
+// view. A Members is not safe for concurrent use. It makes no decision about requests or endpoints, and keeps no state
+// for nodes that are not in Config.Nodes.
 //
-// What is sent, for any number of nodes: a round is ten ticks, in which a node sends on its own at most
+// Traffic is bounded for any number of nodes. A protocol period has ten ticks, in which a node initiates at most
 //
-//	2 probes · (4 pings + 6 ping-reqs) + 3 reconnecting pings + 2 gossip messages + 1 ping of a suspect = 26 datagrams,
+//	2 probes · (4 pings + 6 ping-reqs) + 3 reconnecting pings + 2 gossip messages + 1 ping of a suspect = 26 datagrams
 //
-// and in answer to others at most 10 · maxResponsesPerTick = 60, each below MaxDatagramBytes. Payloads of other parts of
-// the node come on top; these parts bound them. What is kept: one record of less than 200 bytes for each node, 64
-// indirect probes for others and 2 own probes.
+// and sends at most 10 · maxResponsesPerTick = 60 responses to other nodes, each shorter than MaxDatagramBytes.
+// Payloads are not included; the packages that send them limit them. Memory is bounded by one record of less than 200
+// bytes per node, 64 indirect probes for other nodes and 2 probes of this node.
 package members
 
 import (
@@ -29,34 +30,35 @@
 )
 
 const (
-	// TicksPerPeriod is how often Tick is to be called in a round.
+	// TicksPerPeriod is the number of calls of Tick per protocol period.
 	TicksPerPeriod = 10
 	maxNodes       = 4096
 )
 
-// Config is the configuration of one node's view.
+// Config configures a node's membership view.
 type Config struct {
-	// Name is this node's, which is to be among Nodes.
+	// Name is the name of this node. It must be among Nodes.
 	Name string
-	// Nodes are the names of all nodes; a node's index is its identity towards Transport and ReceivePayload.
+	// Nodes are the names of all nodes. Transport and ReceivePayload identify a node by its index in Nodes.
 	Nodes []string
-	// Key authenticates datagrams and has to be alike at all nodes. Empty: datagrams carry a checksum alone.
+	// Key is the HMAC key that authenticates datagrams. It must be the same at all nodes. With an empty key datagrams
+	// carry only a checksum.
 	Key []byte
-	// ProtocolPeriodNs is the length of a round in nanoseconds; Tick is to be called ten times in each.
+	// ProtocolPeriodNs is the protocol period in nanoseconds; Tick must be called TicksPerPeriod times in each.
 	ProtocolPeriodNs int64
-	// Seed is that of all random draws.
+	// Seed seeds the random number generator.
 	Seed uint64
 	// RunID distinguishes this process from others of the same name.
 	RunID uint32
-	// KnownStartsMs are the starts of other nodes, in milliseconds of their clocks by name, from an earlier run. May be
-	// nil.
+	// KnownStartsMs are the start times of other nodes by name, as persisted by an earlier run, in Unix milliseconds
+	// of the clocks of those nodes. It may be nil.
 	KnownStartsMs map[string]uint64
-	// ReceivePayload is called from within Receive with what another node has sent by SendPayload. Nil: payloads are
-	// dropped.
+	// ReceivePayload is called by Receive with each payload that another node has sent by SendPayload. If it is nil,
+	// payloads are dropped.
 	ReceivePayload func(from int, payload []byte)
 }
 
-// Transport sends datagrams, which it may lose. A node is named by its index in Config.Nodes.
+// Transport sends datagrams without guaranteeing delivery. It identifies a node by its index in Config.Nodes.
 type Transport interface {
 	Send(to int, datagram []byte)
 }
@@ -67,22 +69,22 @@
 	SentBytes         int64 `json:"sent_bytes"`
 	Received          int64 `json:"heard"`
 	ReceivedBytes     int64 `json:"heard_bytes"`
-	Invalid           int64 `json:"bad"`          // too long, damaged, or of another key
-	UnknownVersions   int64 `json:"versions"`     // of the wire format
-	UnknownNodes      int64 `json:"strangers"`    // datagrams from and updates about nodes that are not configured
-	Misdirected       int64 `json:"misled"`       // addressed to another node
-	StaleIncarnations int64 `json:"old"`          // from an earlier run of the sender
-	RateLimited       int64 `json:"held"`         // beyond maxResponsesPerTick
-	Probes            int64 `json:"probes"`       // that have ended
-	FailedProbes      int64 `json:"unanswered"`   // of these
-	Suspicions        int64 `json:"doubts"`       // raised by this node's own probes
-	FalseSuspicions   int64 `json:"false_doubts"` // of these, refuted by the suspect
-	Failures          int64 `json:"silences"`     // suspicions that timed out here
-	Refutations       int64 `json:"refuted"`      // suspicions of this node that it refuted
-	Stalls            int64 `json:"standstills"`  // of this node's process
+	Invalid           int64 `json:"bad"`          // malformed, too long or of another key; also invalid updates
+	UnknownVersions   int64 `json:"versions"`     // datagrams with an unknown version of the wire format
+	UnknownNodes      int64 `json:"strangers"`    // datagrams from and updates about nodes that are not in Config.Nodes
+	Misdirected       int64 `json:"misled"`       // datagrams to another node, or with this node's own name as the sender
+	StaleIncarnations int64 `json:"old"`          // datagrams from an earlier run or another process of the sender
+	RateLimited       int64 `json:"held"`         // responses not sent because of maxResponsesPerTick
+	Probes            int64 `json:"probes"`       // completed probes
+	FailedProbes      int64 `json:"unanswered"`   // probes without an ack
+	Suspicions        int64 `json:"doubts"`       // suspicions raised by failed probes of this node
+	FalseSuspicions   int64 `json:"false_doubts"` // of these, the ones refuted by the suspect
+	Failures          int64 `json:"silences"`     // nodes declared dead by this node when their suspicion timed out
+	Refutations       int64 `json:"refuted"`      // updates about this node that it refuted
+	Stalls            int64 `json:"standstills"`  // stalls of this process
 }
 
-// Members is one node's view of the fleet.
+// Members is the membership view of one node.
 type Members struct {
 	config    Config
 	transport Transport
@@ -94,47 +96,47 @@
 	startMs     uint64
 	hasLeft     bool // Leave was called
 
-	// Another process of this name.
+	// Name conflict: another process that uses this node's name.
 	conflictRunID       uint32
-	conflictClaims      int    // how often it has raised its incarnation above this node's
-	conflictIncarnation uint64 // the highest bid
+	conflictClaims      int    // number of times that the other process has raised its incarnation
+	conflictIncarnation uint64 // highest incarnation of the other process
 	quietUntil          int64  // tick until which this process sends nothing
-	latestKnownStartMs  uint64 // of earlier runs of this node, as other nodes know it
+	latestKnownStartMs  uint64 // latest start of an earlier run of this node that other nodes have reported
 
 	peers []peer // by id
 
 	// Time and local health awareness.
 	tick            int64
 	lastCallAt      int64 // nanoseconds
-	stallGraceUntil int64 // tick until which a stall may be the cause of what is seen
+	stallGraceUntil int64 // tick until which missing answers may be due to a stall
 	healthScore     int64
-	probeResults    []bool // of the last probes, whether they were answered; the newest last
-	lastProbeAt     int64  // when the newest of these ended, nanoseconds
+	probeResults    []bool // whether each of the last maxProbeResults probes was answered, oldest first
+	lastProbeAt     int64  // when the last probe was completed, nanoseconds
 
-	// Work in progress. Peers are named by their index.
+	// Work in progress. Peers are identified by their index in peers.
 	sequence        uint64
 	probes          []*probe
 	indirectProbes  []indirectProbe
-	probeOrder      []int32 // peers to be probed, shuffled anew when it is used up
-	reconnectOrder  []int32 // peers that are not alive, to be pinged
-	broadcasts      []int32 // peers whose state is to be gossiped
+	probeOrder      []int32 // peers still to be probed in this pass; reshuffled when empty
+	reconnectOrder  []int32 // peers that are neither alive nor suspect, to be pinged by reconnect
+	broadcasts      []int32 // peers whose state is still to be gossiped
 	suspects        []int32
 	digestBucket    int
 	responsesInTick int
 	counters        Counters
 }
 
-// New makes the view of a node that starts now, in Unix nanoseconds of a clock that never goes back while the node
-// runs.
+// New returns the view of a node that starts now. now is in Unix nanoseconds of a clock that is monotonic while the
+// node runs.
 func New(config Config, transport Transport, now int64) (*Members, error) {
 	if len(config.Nodes) > maxNodes {
 		return nil, fmt.Errorf("members: expected at most %d nodes, got %d", maxNodes, len(config.Nodes))
 	}
 	if config.Name == "" || config.ProtocolPeriodNs <= 0 {
-		return nil, errors.New("members: expected a name and a round above 0")
+		return nil, errors.New("members: expected a node name and a protocol period above 0")
 	}
 	if !slices.Contains(config.Nodes, config.Name) {
-		return nil, fmt.Errorf("members: expected %q among the names of all nodes", config.Name)
+		return nil, fmt.Errorf("members: expected the node name %q among the names of all nodes", config.Name)
 	}
 	startMs := uint64(max(now, 0) / 1e6)
 	m := &Members{
@@ -168,14 +170,14 @@
 	for i := range m.peers {
 		p := &m.peers[i]
 		if p.id == m.id || i > 0 && p.id == m.peers[i-1].id {
-			return fmt.Errorf("members: expected names that differ, got %q twice or two that are alike in hash",
+			return fmt.Errorf("members: expected distinct node names, got %q twice or two names with the same hash",
 				m.config.Nodes[p.nodeIndex])
 		}
 	}
 	return nil
 }
 
-// find returns the index of a peer, or -1.
+// find returns the index of the peer with an ID, or -1.
 func (m *Members) find(id uint64) int {
 	i, found := slices.BinarySearchFunc(m.peers, id, func(p peer, id uint64) int { return cmp.Compare(p.id, id) })
 	if !found {
@@ -184,7 +186,7 @@
 	return i
 }
 
-// SendPayload sends a payload of another part of the node to a node. It is sent once and may be lost; one longer than
+// SendPayload sends a payload of another package to a node. Delivery is not guaranteed. A payload longer than
 // MaxPayloadBytes is not sent.
 func (m *Members) SendPayload(to int, content []byte) {
 	if m.hasLeft || m.isQuiet() || len(content) > MaxPayloadBytes {
@@ -198,7 +200,7 @@
 	}
 }
 
-// Reachable are the indexes of the nodes that are neither dead nor have left.
+// Reachable returns the indexes of the other nodes that are neither dead nor left.
 func (m *Members) Reachable() (nodes []int) {
 	for i := range m.peers {
 		if p := &m.peers[i]; p.state != Dead && p.state != Left {
@@ -208,7 +210,8 @@
 	return nodes
 }
 
-// Leave notifies some nodes, which pass it on, that this node ends. Nothing is sent or received afterwards.
+// Leave notifies some nodes that this node is shutting down; they gossip it to the others. Afterwards this node neither
+// sends nor receives.
 func (m *Members) Leave() {
 	const rounds, nodesPerRound = 2, 5
 	if m.isQuiet() || m.hasLeft {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// nowhere is a transport that records what is sent.
+// recordingTransport records the datagrams that are sent and delivers none.
 type recordingTransport struct{ sent [][]byte }
 
 func (n *recordingTransport) Send(_ int, datagram []byte) { n.sent = append(n.sent, datagram) }
@@ -34,7 +34,7 @@
 	return m
 }
 
-// from is a message as another node would send it.
+// datagramFrom returns a message to m, encoded as the named node would send it.
 func datagramFrom(m *Members, name string, msg message) []byte {
 	other := newTestMembers(panickingTB{}, name, len(m.peers)+1, &recordingTransport{})
 	msg.To = m.id
@@ -44,7 +44,7 @@
 	return encode(nil, &msg)
 }
 
-// panickingTB stands for a test where nothing can fail.
+// panickingTB is a testing.TB for calls that can't fail: a report of a failure would panic.
 type panickingTB struct{ testing.TB }
 
 func (panickingTB) Helper() {}
@@ -65,22 +65,22 @@
 	}{
 		{"nothing", nil, func(c Counters) int64 { return c.Invalid }},
 		{"spoilt", corrupted, func(c Counters) int64 { return c.Invalid }},
-		{"too long", make([]byte, MaxDatagramBytes), func(c Counters) int64 { return c.Invalid }},
-		{"a later version", laterVersion, func(c Counters) int64 { return c.UnknownVersions }},
+		{"above the maximum length", make([]byte, MaxDatagramBytes), func(c Counters) int64 { return c.Invalid }},
+		{"of a later version", laterVersion, func(c Counters) int64 { return c.UnknownVersions }},
 		{"authenticated with another key", encode([]byte("k"), &message{To: m.id, Self: m.updateOf(0)}), func(c Counters) int64 { return c.Invalid }},
-		{"for another", datagramFrom(newTestMembers(t, "n2", 4, nil), "n1", message{Kind: ping}), func(c Counters) int64 { return c.Misdirected }},
-		{"an unknown sender", datagramFrom(m, "n1", message{Kind: ping, Self: unknownSender}), func(c Counters) int64 { return c.UnknownNodes }},
-		{"an incarnation beyond all", datagramFrom(m, "n1", message{Kind: ping, Self: update{ID: m.peers[0].id, State: Alive, StartMs: maxIncarnation}}), func(c Counters) int64 { return c.Invalid }},
-		{"an update about an unknown node", valid, func(c Counters) int64 { return c.UnknownNodes - 1 }},
+		{"to another node", datagramFrom(newTestMembers(t, "n2", 4, nil), "n1", message{Kind: ping}), func(c Counters) int64 { return c.Misdirected }},
+		{"from an unknown sender", datagramFrom(m, "n1", message{Kind: ping, Self: unknownSender}), func(c Counters) int64 { return c.UnknownNodes }},
+		{"with an incarnation at the limit", datagramFrom(m, "n1", message{Kind: ping, Self: update{ID: m.peers[0].id, State: Alive, StartMs: maxIncarnation}}), func(c Counters) int64 { return c.Invalid }},
+		{"with an update about an unknown node", valid, func(c Counters) int64 { return c.UnknownNodes - 1 }},
 	} {
 		before := c.count(m.counters)
 		m.Receive(testStartNs, c.datagram)
 		if c.count(m.counters) == before {
-			t.Errorf("%s: not counted: %+v", c.name, m.counters)
+			t.Errorf("datagram %s: the expected counter was not increased: %+v", c.name, m.counters)
 		}
 	}
 	if summary := m.Summary(testStartNs); summary.Alive != 2 || summary.Unknown != 2 || summary.Reliable {
-		t.Errorf("one good message, and a few bad: %+v", summary)
+		t.Errorf("after one valid message from n1 and several invalid ones: got summary %+v, want 2 alive, 2 unknown, not reliable", summary)
 	}
 }
 
@@ -96,11 +96,12 @@
 	body = append([]byte{version}, body...)
 	m.Receive(testStartNs, append(body, authTag(nil, body)...))
 	if m.Summary(testStartNs).Alive != 2 {
-		t.Errorf("a message with a field more was not taken: %+v", m.counters)
+		t.Errorf("a message with an additional field was not accepted: %+v", m.counters)
 	}
 }
 
-// TestDatagramsAreBoundedInNumberAndLength has a node with thousands of updates to gossip, that is pinged without end.
+// TestDatagramsAreBoundedInNumberAndLength checks the limits at a node that has thousands of updates to gossip and that
+// fifty nodes ping in every tick.
 func TestDatagramsAreBoundedInNumberAndLength(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 2000, transport)
@@ -122,21 +123,22 @@
 			}
 		}
 		if len(transport.sent) > 26+TicksPerPeriod*maxResponsesPerTick {
-			t.Fatalf("round %d: %d datagrams", round, len(transport.sent))
+			t.Fatalf("period %d: got %d datagrams, more than the limit of 26 and maxResponsesPerTick per tick", round, len(transport.sent))
 		}
 		for _, sent := range transport.sent {
 			if len(sent) >= MaxDatagramBytes {
-				t.Fatalf("a datagram of %d bytes", len(sent))
+				t.Fatalf("got a datagram of %d bytes, want less than MaxDatagramBytes", len(sent))
 			}
 		}
 	}
 	if m.counters.RateLimited == 0 {
-		t.Error("no answer was held back")
+		t.Error("no response was counted as rate limited")
 	}
 }
 
-// TestPayloadDeliveryAndReachableNodes sends the longest payload from a node with many updates, to one that takes payloads, one that does not,
-// and an unknown one.
+// TestPayloadDeliveryAndReachableNodes sends payloads from a node with many updates: one of the maximum length, one
+// that is too long and one to an unknown node. The receiver gets the first, once with and once without a
+// ReceivePayload.
 func TestPayloadDeliveryAndReachableNodes(t *testing.T) {
 	transport := &recordingTransport{}
 	a := newTestMembers(t, "n0", 300, transport)
@@ -145,7 +147,7 @@
 	a.SendPayload(1, make([]byte, MaxPayloadBytes+1))
 	a.SendPayload(4000, nil)
 	if len(transport.sent) != 1 || len(transport.sent[0]) >= MaxDatagramBytes {
-		t.Fatalf("%d datagrams", len(transport.sent))
+		t.Fatalf("got %d datagrams, want 1 that is shorter than MaxDatagramBytes", len(transport.sent))
 	}
 	received := -1
 	b := newTestMembers(t, "n1", 300, &recordingTransport{})
@@ -153,14 +155,14 @@
 	b.config.ReceivePayload = func(from int, content []byte) { received = from*10000 + len(content) }
 	b.Receive(testStartNs, transport.sent[0])
 	if c := b.Counters(); received != MaxPayloadBytes || c.Invalid > 0 {
-		t.Errorf("took %d, %+v", received, c)
+		t.Errorf("got %d (sender index times 10000 plus payload length), counters %+v, want MaxPayloadBytes from n0 and no invalid datagram", received, c)
 	}
 	if got := len(b.Reachable()); got != 299 {
-		t.Errorf("%d are reachable", got)
+		t.Errorf("got %d reachable nodes, want 299", got)
 	}
 	b.peers[3].state, b.peers[4].state, b.peers[5].state = Dead, Left, Suspect
 	if got := len(b.Reachable()); got != 297 {
-		t.Errorf("%d are reachable", got)
+		t.Errorf("got %d reachable nodes, want 297 without a dead and a left one", got)
 	}
 }
 
@@ -179,23 +181,24 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if used := int64(after.HeapAlloc) - int64(before.HeapAlloc); used > 1<<20 {
-		t.Errorf("%d bytes", used)
+		t.Errorf("got %d bytes for 4096 nodes, want 1 MiB at most", used)
 	}
 	runtime.KeepAlive(m)
 }
 
-// TestIncarnationExceedsEarlierRun restarts a node with a clock a minute behind: an update of its earlier run
-// raises its incarnation.
+// TestIncarnationExceedsEarlierRun covers a node that restarts with its clock a minute behind: an update about its
+// earlier run must raise its incarnation above that run's.
 func TestIncarnationExceedsEarlierRun(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 3, transport)
 	m.applyUpdate(testStartNs, update{ID: m.id, State: Dead, StartMs: m.startMs + 60_000, RunID: 3}, false)
 	if m.incarnation <= m.startMs+60_000 {
-		t.Errorf("incarnation %d is below that of the earlier run, %d", m.incarnation, m.startMs+60_000)
+		t.Errorf("got incarnation %d, want it above that of the earlier run, %d", m.incarnation, m.startMs+60_000)
 	}
 }
 
-// TestNameConflictSilencesOneProcess has two processes outbid each other, and one report the conflict.
+// TestNameConflictSilencesOneProcess has two processes of one name raise their incarnations above each other's: the one
+// with the lower run ID reports the conflict and stops sending.
 func TestNameConflictSilencesOneProcess(t *testing.T) {
 	a, b := newTestMembers(t, "n0", 3, &recordingTransport{}), newTestMembers(t, "n0", 3, &recordingTransport{})
 	b.config.RunID = 9
@@ -204,15 +207,15 @@
 		b.Receive(testStartNs, encode(nil, &message{Kind: ping, To: b.id, Self: a.selfUpdate()}))
 	}
 	if !a.NameConflict() || a.quietUntil == 0 || b.quietUntil != 0 {
-		t.Errorf("a is quiet until tick %d, b until %d", a.quietUntil, b.quietUntil)
+		t.Errorf("a sends nothing until tick %d, b until tick %d; want a to report the conflict and stop sending, and b to go on", a.quietUntil, b.quietUntil)
 	}
 	if a.Summary(testStartNs).Reliable {
-		t.Error("the summary of one of two processes is known")
+		t.Error("the summary of a process in a name conflict is reliable")
 	}
 }
 
-// TestSuspicionByOthersDoesNotDeclareDead has a node suspected by others that answers this one: it stays suspect,
-// however long.
+// TestSuspicionByOthersDoesNotDeclareDead covers a node that others suspect but that answers this node's probes: it
+// stays suspect after its timeout and is never declared dead here.
 func TestSuspicionByOthersDoesNotDeclareDead(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 6, transport)
@@ -237,7 +240,7 @@
 			}
 		}
 		if state := m.peers[suspect].state; state != Suspect {
-			t.Fatalf("tick %d: %v", tick, state)
+			t.Fatalf("tick %d: got state %v, want suspect", tick, state)
 		}
 	}
 }
@@ -251,7 +254,7 @@
 		{Name: "n0", Nodes: nodeNames(maxNodes + 1), ProtocolPeriodNs: 1},
 	} {
 		if _, err := New(config, &recordingTransport{}, testStartNs); err == nil {
-			t.Errorf("%q of %d taken", config.Name, len(config.Nodes))
+			t.Errorf("New accepted an invalid configuration with the name %q and %d nodes", config.Name, len(config.Nodes))
 		}
 	}
 }
@@ -264,7 +267,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m := newTestMembers(t, "n0", 30, &recordingTransport{})
 		m.Receive(testStartNs, data)
-		if len(data) > 0 { // also past the authentication
+		if len(data) > 0 { // the same data with a valid authentication tag, so that it is decoded
 			body := append([]byte{version}, data...)
 			m.Receive(testStartNs, append(body, authTag(nil, body)...))
 		}
@@ -272,7 +275,7 @@
 	})
 }
 
-// runTicks runs a view for some ticks without a stall.
+// runTicks calls Tick at regular intervals, without a stall, and returns the time of the last call.
 func runTicks(m *Members, now int64, ticks int) int64 {
 	for range ticks {
 		now += m.config.ProtocolPeriodNs / TicksPerPeriod
@@ -287,24 +290,24 @@
 	}
 }
 
-// TestStallRaisesNoSuspicion stalls a node while it probes: neither that probe nor the first one after raises a
-// suspicion.
+// TestStallRaisesNoSuspicion stalls a node during a probe, at each phase of the protocol period: neither that probe nor
+// the first one after the stall may raise a suspicion. Later probes do.
 func TestStallRaisesNoSuspicion(t *testing.T) {
 	for phase := range TicksPerPeriod {
 		m := newTestMembers(t, "n0", 6, &recordingTransport{})
 		markAllAlive(m)
 		now := runTicks(m, testStartNs, TicksPerPeriod+phase)
 		if now = runTicks(m, now+3e9, 3*TicksPerPeriod-1); m.counters.Suspicions != 0 || m.counters.Stalls != 1 {
-			t.Errorf("phase %d: %d suspicions, %d stalls", phase, m.counters.Suspicions, m.counters.Stalls)
+			t.Errorf("phase %d: got %d suspicions and %d stalls, want 0 and 1", phase, m.counters.Suspicions, m.counters.Stalls)
 		}
 		if runTicks(m, now, 4*TicksPerPeriod); m.counters.Suspicions == 0 {
-			t.Error("it never suspects again")
+			t.Error("no suspicion is raised long after the stall")
 		}
 	}
 }
 
-// TestPushPullRepairsMissedUpdates has a node that got no update learn what another knows, by one ping and its ack for
-// each part.
+// TestPushPullRepairsMissedUpdates checks that a node that has missed all updates gets the states of all nodes from
+// another by anti-entropy alone, with two pings per bucket.
 func TestPushPullRepairsMissedUpdates(t *testing.T) {
 	transportA, transportB := &recordingTransport{}, &recordingTransport{}
 	a, b := newTestMembers(t, "n0", 50, transportA), newTestMembers(t, "n1", 50, transportB)
@@ -326,12 +329,12 @@
 		}
 	}
 	if summary := b.Summary(testStartNs); summary.Alive != 50 {
-		t.Errorf("%+v", summary)
+		t.Errorf("got summary %+v, want 50 alive nodes", summary)
 	}
 }
 
-// TestMessageOfEarlierRunIsNotAnswered has a message of an earlier run of a node come: it is sent its known state,
-// and nothing else.
+// TestMessageOfEarlierRunIsNotAnswered checks that a ping of an earlier run of a node gets no ack: the only response is
+// the state of the node's later run.
 func TestMessageOfEarlierRunIsNotAnswered(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 4, transport)
@@ -342,12 +345,12 @@
 	transport.sent = nil
 	m.Receive(testStartNs+1e9, datagramFrom(m, "n1", message{Kind: ping, Sequence: 4, Self: earlier}))
 	if len(transport.sent) != 1 || m.peers[m.find(earlier.ID)].lastReceivedAt != testStartNs || m.counters.StaleIncarnations != 1 {
-		t.Fatalf("%d sent, %+v", len(transport.sent), m.counters)
+		t.Fatalf("got %d messages sent and counters %+v, want 1 message and 1 stale incarnation, and the time of the last datagram unchanged", len(transport.sent), m.counters)
 	}
 	if msg, err := decode(nil, transport.sent[0]); err != nil || msg.Kind != gossip || len(msg.Updates) == 0 || msg.Updates[0].StartMs != restarted.StartMs {
-		t.Errorf("%+v, %v", msg, err)
+		t.Errorf("got message %+v, error %v, want gossip with the start of the later run", msg, err)
 	}
 	if m.applyUpdate(testStartNs, earlier, false); m.peers[m.find(earlier.ID)].startMs != restarted.StartMs {
-		t.Error("an old update is applied")
+		t.Error("an update of the earlier run was applied")
 	}
 }
--- a/internal/members/message.go
+++ b/internal/members/message.go
@@ -8,12 +8,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The wire format: a version byte, the message as CBOR with whole-number keys, and an authentication tag.
+// The wire format is a version byte, the message in CBOR with integer keys, and an authentication tag.
 
 const (
-	// MaxDatagramBytes is the length that no datagram reaches, so that none is fragmented.
+	// MaxDatagramBytes is the exclusive upper limit on the length of a datagram. It keeps datagrams unfragmented.
 	MaxDatagramBytes = 1200
-	// MaxPayloadBytes is the longest payload of another part of the node.
+	// MaxPayloadBytes is the maximum length of a payload of another package.
 	MaxPayloadBytes = 1000
 
 	version      = 1
@@ -26,26 +26,26 @@
 const (
 	ping     kind = 1 + iota
 	ack           // of a ping, or of an indirect probe if Target is set
-	pingReq       // asks to probe Target
-	nack          // no ack of Target has come yet
-	gossip        // updates alone
-	pushPull      // the states of one part
-	payload       // of another part of the node
+	pingReq       // asks the receiver to ping Target
+	nack          // no ack from Target has been received so far
+	gossip        // carries only updates
+	pushPull      // carries the states of one bucket
+	payload       // carries a payload of another package
 )
 
-// message is the content of a datagram. Unknown fields are ignored, so that later versions can add some; a key is never
-// reused.
+// message is the content of a datagram. Unknown fields are ignored, so that later versions can add fields; a key is
+// never reused.
 type message struct {
 	Kind         kind     `cbor:"1,keyasint"`
 	To           uint64   `cbor:"2,keyasint"`
 	Self         update   `cbor:"3,keyasint"`
 	Sequence     uint64   `cbor:"4,keyasint,omitempty"`
 	Target       uint64   `cbor:"5,keyasint,omitempty"`
-	Buckets      int      `cbor:"6,keyasint,omitempty"` // into how many the sender divides its view
+	Buckets      int      `cbor:"6,keyasint,omitempty"` // number of buckets into which the sender divides its view
 	Bucket       int      `cbor:"7,keyasint,omitempty"`
-	Digest       uint64   `cbor:"8,keyasint,omitempty"` // of Part
+	Digest       uint64   `cbor:"8,keyasint,omitempty"` // of the states in Bucket
 	Updates      []update `cbor:"9,keyasint,omitempty"`
-	KnownStartMs uint64   `cbor:"10,keyasint,omitempty"` // in an ack: the start of the receiver's run before this one
+	KnownStartMs uint64   `cbor:"10,keyasint,omitempty"` // in an ack: the start of the receiver's previous run
 	Payload      []byte   `cbor:"11,keyasint,omitempty"`
 }
 
@@ -58,9 +58,9 @@
 )
 
 var (
-	errTooLong = errors.New("members: datagram too long")
-	errVersion = errors.New("members: unknown version")
-	errAuth    = errors.New("members: damaged, or authenticated with another key")
+	errTooLong = errors.New("members: datagram is too long")
+	errVersion = errors.New("members: datagram has an unknown version")
+	errAuth    = errors.New("members: datagram is malformed or authenticated with another key")
 )
 
 func must[T any](v T, err error) T {
--- a/internal/members/probe.go
+++ b/internal/members/probe.go
@@ -2,53 +2,54 @@
 
 import "slices"
 
-// Probes: each round one node in turn is pinged. If no ack comes, it is pinged again, then others are asked to ping it
-// (ping-req). Without any ack in time the probe has failed. A node that was asked and gets no ack itself says so
-// (nack): no nack either means that this node's own link is the likely cause.
+// Probes: in each protocol period one node, in shuffled order, is pinged. If no ack arrives, it is pinged again, and
+// then other nodes are asked to ping it (ping-req). The probe fails if no ack arrives before probeTimeout. A node that
+// was sent a ping-req and receives no ack answers with a nack; if no nack arrives either, this node's own link is the
+// likely cause.
 
 const (
-	maxProbes         = 2  // at a time
-	maxIndirectProbes = 64 // for others, at a time
-	pingReqNodes      = 3  // asked at each ping-req
+	maxProbes         = 2  // at the same time
+	maxIndirectProbes = 64 // for other nodes, at the same time
+	pingReqNodes      = 3  // nodes that are sent each ping-req
 
-	// Ticks after a probe began.
+	// Schedule of a probe, in ticks after its start.
 	secondPing    = 2
 	thirdPing     = 4
 	firstPingReq  = 5
 	secondPingReq = 8
 	probeTimeout  = 13
 
-	// Ticks after a ping-req came.
+	// Schedule of an indirect probe, in ticks after its ping-req was received.
 	nackAfter            = 3
 	indirectProbeTimeout = TicksPerPeriod
 
-	// reconnectsPerPeriod is how many nodes that are not alive are pinged in a round while some are unknown; else it is
-	// one.
+	// reconnectsPerPeriod is the maximum number of nodes that reconnect pings in a protocol period. It ends at the
+	// first one that is dead or left; only unknown nodes are pinged several at a time.
 	reconnectsPerPeriod = 3
 )
 
-// probe is a probe of this node's own.
+// probe is a probe that this node has started.
 type probe struct {
 	peer         int
 	sequence     uint64
-	startTick    int64 // tick
-	nextStep     int   // next in probeSteps
+	startTick    int64
+	nextStep     int   // index in probeSteps
 	pingReqPeers []int // peers that were sent a ping-req
 	nacks        int
 }
 
 var probeSteps = [...]int64{0, secondPing, thirdPing, firstPingReq, secondPingReq, probeTimeout}
 
-// indirectProbe is a probe that another node has asked for.
+// indirectProbe is a probe that another node has requested by a ping-req.
 type indirectProbe struct {
 	from            int
 	requestSequence uint64
 	sequence        uint64 // of the ping
 	target          uint64
-	receivedTick    int64 // tick
+	receivedTick    int64
 }
 
-// startProbe begins the round's probe.
+// startProbe starts the probe of this protocol period.
 func (m *Members) startProbe() {
 	if len(m.probes) >= maxProbes {
 		return
@@ -65,7 +66,7 @@
 	}
 }
 
-// nextInProbeOrder takes the next peer of the probe order, and shuffles a new order when it is used up.
+// nextInProbeOrder removes and returns the next peer of the probe order, and shuffles a new order when it is empty.
 func (m *Members) nextInProbeOrder() int {
 	if len(m.probeOrder) == 0 {
 		for i := range m.peers {
@@ -78,10 +79,10 @@
 	return i
 }
 
-// probeNext makes a peer the next to be probed.
+// probeNext puts a peer at the front of the probe order.
 func (m *Members) probeNext(i int) { m.probeOrder = append([]int32{int32(i)}, m.probeOrder...) }
 
-// isProbeTarget reports whether a peer is in a state in which it is probed; others are reconnected.
+// isProbeTarget reports whether a peer is alive or suspect. Peers in other states are pinged by reconnect instead.
 func (m *Members) isProbeTarget(i int) bool {
 	state := m.peers[i].state
 	return state == Alive || state == Suspect
@@ -104,7 +105,7 @@
 	}
 }
 
-// advanceProbes takes each probe its next step if that is due.
+// advanceProbes performs the next step of each probe for which it is due.
 func (m *Members) advanceProbes(now int64) {
 	remaining := m.probes[:0]
 	for _, p := range m.probes {
@@ -115,7 +116,7 @@
 	m.probes = remaining
 }
 
-// advanceProbe reports whether the probe goes on.
+// advanceProbe performs the next step of a probe if it is due, and reports whether the probe is still in progress.
 func (m *Members) advanceProbe(now int64, p *probe) bool {
 	due := probeSteps[p.nextStep]
 	if m.tick < p.startTick+m.scaleByHealth(due) {
@@ -136,7 +137,7 @@
 	return true
 }
 
-// handleProbeFailure takes in a probe without an ack.
+// handleProbeFailure raises a suspicion after a probe without an ack, unless a stall of this process may be the cause.
 func (m *Members) handleProbeFailure(now int64, p *probe) {
 	m.recordProbeResult(now, false)
 	m.counters.FailedProbes++
@@ -148,7 +149,7 @@
 	}
 }
 
-// handleAck ends the probe that an ack belongs to, or passes it on to the node that asked for the probe.
+// handleAck completes the probe that an ack answers, or forwards the ack to the node that requested the probe.
 func (m *Members) handleAck(now int64, from int, msg *message) {
 	acked := m.peers[from].id
 	if msg.Target != 0 {
@@ -172,7 +173,7 @@
 	}
 }
 
-// handleNack counts a nack at the probe that it belongs to.
+// handleNack counts a nack for the probe that it answers.
 func (m *Members) handleNack(msg *message) {
 	for _, p := range m.probes {
 		if p.sequence == msg.Sequence && m.peers[p.peer].id == msg.Target {
@@ -181,7 +182,7 @@
 	}
 }
 
-// handlePingReq begins an indirect probe.
+// handlePingReq starts an indirect probe.
 func (m *Members) handlePingReq(from int, msg *message) {
 	target := m.find(msg.Target)
 	if target < 0 || target == from || len(m.indirectProbes) >= maxIndirectProbes || !m.allowResponse() {
@@ -199,7 +200,7 @@
 }
 
 // advanceIndirectProbes sends the nacks that are due, and drops indirect probes that have timed out. An ack may still
-// come after a nack.
+// be forwarded after a nack.
 func (m *Members) advanceIndirectProbes() {
 	remaining := m.indirectProbes[:0]
 	for _, indirect := range m.indirectProbes {
@@ -213,7 +214,7 @@
 	m.indirectProbes = remaining
 }
 
-// reconnect pings nodes that are not alive, in turn: they may be back, or reachable again.
+// reconnect pings unknown, dead and left nodes in turn, as they may have restarted or become reachable again.
 func (m *Members) reconnect() {
 	for pinged := 0; pinged < reconnectsPerPeriod; {
 		if len(m.reconnectOrder) == 0 {
@@ -245,8 +246,8 @@
 	m.shuffle(m.reconnectOrder)
 }
 
-// randomAlive draws up to so many peers that are alive, without one. A few draws find them while most are alive; after
-// that all are searched from a drawn place.
+// randomAlive selects up to count alive peers at random, other than exclude. While most peers are alive, a few random
+// tries find them; after randomTries all peers are searched from a random index.
 func (m *Members) randomAlive(count, exclude int) (selected []int) {
 	const drawsPerPeer = 4
 	if len(m.peers) == 0 {
--- a/internal/members/pushpull.go
+++ b/internal/members/pushpull.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Anti-entropy (push-pull): the view is divided into parts of about bucketNodes nodes. A ping carries the digest of one
-// part in turn; where the receiver's differs, both send each other their states of that part.
+// Anti-entropy (push-pull): the view is divided into buckets of about bucketNodes nodes. Pings carry the digest of
+// one bucket each, in turn; if the receiver's digest differs, both nodes send each other their states of that bucket.
 
 const bucketNodes = 20
 
 func (m *Members) buckets() int { return (len(m.peers) + bucketNodes) / bucketNodes }
 
-// peersInBucket are the peers of a part, and whether this node is in it. The division goes by ID alone, so that it is the
-// same at all nodes.
+// peersInBucket returns the peers in a bucket, and whether this node is in it. Nodes are assigned to buckets by ID
+// alone, so that the assignment is the same at all nodes.
 func (m *Members) peersInBucket(bucket int) (peers []int, self bool) {
 	buckets := uint64(m.buckets())
 	for i := range m.peers {
@@ -25,8 +25,8 @@
 	return peers, m.id%buckets == uint64(bucket)
 }
 
-// digest is a hash of the states of a part, as a sum, since each node has an order of its own. A suspicion passes and
-// counts as alive.
+// digest returns a hash of the states in a bucket. It is the sum of the hashes of the states, and so doesn't depend on
+// their order, which differs between nodes. Suspect counts as alive, because a suspicion is temporary.
 func (m *Members) digest(bucket int) (sum uint64) {
 	peers, self := m.peersInBucket(bucket)
 	if self {
@@ -51,19 +51,19 @@
 	return xxhash.Sum64(b)
 }
 
-// withNextDigest adds the digest of the next part.
+// withNextDigest adds the digest of the next bucket to a message.
 func (m *Members) withNextDigest(msg *message) *message {
 	m.digestBucket = (m.digestBucket + 1) % m.buckets()
 	msg.Buckets, msg.Bucket, msg.Digest = m.buckets(), m.digestBucket, m.digest(m.digestBucket)
 	return msg
 }
 
-// differs reports whether the sender has other states of the part that its message names.
+// digestDiffers reports whether the sender's digest of the bucket in its message differs from this node's.
 func (m *Members) digestDiffers(msg *message) bool {
 	return msg.Buckets == m.buckets() && msg.Bucket >= 0 && msg.Bucket < msg.Buckets && m.digest(msg.Bucket) != msg.Digest
 }
 
-// bucketUpdates are the states of a part, as many as fit, from a drawn place.
+// bucketUpdates returns states of a bucket, as many as fit into a datagram, beginning with a random peer.
 func (m *Members) bucketUpdates(bucket int) (updates []update) {
 	peers, _ := m.peersInBucket(bucket)
 	first := m.random.IntN(len(peers) + 1)
--- a/internal/members/receive.go
+++ b/internal/members/receive.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Receive takes in one datagram at a time in Unix nanoseconds. The sender is the name in the datagram, whatever address
-// it came from; answers go to the configured address of that name alone.
+// Receive handles a datagram that arrived at now, in Unix nanoseconds. The sender is identified by the node ID in the
+// datagram, not by the address that it came from; responses are sent only to the configured address of that node.
 func (m *Members) Receive(now int64, datagram []byte) {
 	if m.hasLeft {
 		return
@@ -39,19 +39,20 @@
 	}
 }
 
-// valid reports whether a message is one that a node can send.
+// valid reports whether a node could have sent the message.
 func (msg *message) valid() bool {
 	senderState := msg.Self.State == Alive || msg.Self.State == Left
 	return senderState && msg.Self.valid() && len(msg.Updates) <= maxUpdates
 }
 
-// senderOf returns the peer that has sent a message; false: the message is not for this node or from no peer.
+// senderOf returns the peer that has sent a message. ok is false if the message is not for this node or not from a
+// peer.
 func (m *Members) senderOf(msg *message) (from int, ok bool) {
 	if msg.To != m.id {
 		m.counters.Misdirected++
 		return -1, false
 	}
-	if msg.Self.ID == m.id { // an echo, or another process of this name
+	if msg.Self.ID == m.id { // a reflected datagram, or another process of this name
 		m.counters.Misdirected++
 		m.refute(msg.Self)
 		return -1, false
@@ -63,15 +64,15 @@
 	return from, from >= 0
 }
 
-// notifyStaleSender sends a node whose message came from an earlier run, or from another process of its name, the state that
-// is known of it, so that it can refute. Nothing else of the message is answered.
+// notifyStaleSender responds to a message of an earlier run of a node, or of another process of its name. It sends only
+// this node's state for the sender, so that the sender can refute it.
 func (m *Members) notifyStaleSender(from int) {
 	if !m.isQuiet() && m.allowResponse() {
 		m.send(from, &message{Kind: gossip, Updates: []update{m.updateOf(from)}})
 	}
 }
 
-// handle does what a message asks for.
+// handleMessage handles a message by its kind.
 func (m *Members) handleMessage(now int64, from int, msg *message) {
 	switch msg.Kind {
 	case ping:
@@ -93,7 +94,7 @@
 	}
 }
 
-// handlePing sends an ack, with the states of the part whose digests differ.
+// handlePing sends an ack. If the digests of the bucket differ, the ack carries the states of that bucket.
 func (m *Members) handlePing(from int, msg *message) {
 	if !m.allowResponse() {
 		return
--- a/internal/members/refute.go
+++ b/internal/members/refute.go
@@ -1,17 +1,18 @@
 package members
 
-// Refutation: a node that is said to be suspect, dead or left sends a higher incarnation. Two processes of one name
-// (a name conflict) each raise their incarnation above the other's again and again. After conflictThreshold such claims
-// the one with the higher run ID keeps the name, and the other sends nothing for conflictQuietTicks.
+// Refutation: a node that receives an update in which it is suspect, dead or left raises its incarnation. In a name
+// conflict, two processes with the same name keep raising their incarnations above each other's. After
+// conflictThreshold such claims the process with the higher run ID keeps the name, and the other sends nothing for
+// conflictQuietTicks.
 
 const (
-	conflictThreshold     = 3   // claims of another process, or conflicting datagrams, that show a second process
-	maxConflicts          = 250 // counted
+	conflictThreshold     = 3   // claims, or conflicting datagrams, after which a second process is assumed
+	maxConflicts          = 250 // upper limit of peer.conflicts
 	conflictQuietTicks    = 20 * TicksPerPeriod
-	conflictHalfLifeTicks = 20 * TicksPerPeriod // after which counted conflicts are halved
+	conflictHalfLifeTicks = 20 * TicksPerPeriod // interval at which peer.conflicts is halved
 )
 
-// refute takes in an update about this node.
+// refute handles an update about this node: it raises the incarnation above the update's if the update is wrong.
 func (m *Members) refute(u update) {
 	if u.incarnation() < m.incarnation || m.isQuiet() {
 		return
@@ -32,7 +33,8 @@
 	m.incarnation = u.incarnation() + 1
 }
 
-// yieldsNameTo counts the claims of another process of this name, and reports whether this one has to give up the name.
+// yieldsNameTo counts the claims of another process to this node's name, and reports whether this process must yield
+// it.
 func (m *Members) yieldsNameTo(u update) bool {
 	if m.conflictRunID != u.RunID {
 		m.conflictRunID, m.conflictClaims, m.conflictIncarnation = u.RunID, 0, 0
@@ -48,13 +50,14 @@
 	return true
 }
 
-// isQuiet reports whether this process sends nothing, as another has its name.
+// isQuiet reports whether this process sends nothing because it has yielded its name to another process.
 func (m *Members) isQuiet() bool { return m.tick < m.quietUntil }
 
-// NameConflict reports whether another process has this node's name.
+// NameConflict reports whether another process uses this node's name.
 func (m *Members) NameConflict() bool { return m.conflictClaims >= conflictThreshold || m.isQuiet() }
 
-// decayConflicts lets the conflicts of a delayed datagram fade; those of a second process come again and again.
+// decayConflicts halves the conflict counts of peers from time to time, so that delayed datagrams are forgotten while
+// those of a second process keep adding up.
 func (m *Members) decayConflicts() {
 	if m.tick%conflictHalfLifeTicks >= TicksPerPeriod {
 		return
--- a/internal/members/state.go
+++ b/internal/members/state.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// State is what a node knows of another.
+// State is the state of a node in another node's view.
 type State uint8
 
-// The states, in the order in which one overrides another at the same incarnation.
+// The states. At the same incarnation a later state in this order overrides an earlier one.
 const (
-	Unknown State = iota // nothing was received from or about it
+	Unknown State = iota // nothing has been received from or about the node
 	Alive
-	Suspect // failed a probe, direct and indirect; it may refute
-	Dead    // did not refute in time
-	Left    // has notified others that it ends
+	Suspect // did not answer a probe, directly or indirectly; it may still refute
+	Dead    // did not refute the suspicion before its timeout
+	Left    // has announced its shutdown
 )
 
-// stateNames are the names on the admin API, whose format they are part of.
+// stateNames are the names of the states in the admin API. They are part of its format and must not change.
 var stateNames = [...]string{"never seen", "up", "doubted", "silent", "left"}
 
-// String is the state's name in views and on consoles.
+// String returns the state's name in the admin API.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -28,43 +28,44 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// maxIncarnation rejects an incarnation that nothing could refute any more.
+// maxIncarnation is the limit from which on an incarnation is rejected, as there must be room above it for refutations.
 const maxIncarnation = 1 << 53
 
-// peer is what is known of one other node.
+// peer is this node's record of another node.
 type peer struct {
-	id             uint64 // hash of its name
+	id             uint64 // hash of the name
 	incarnation    uint64
-	startMs        uint64 // milliseconds of its own clock
-	priorStartMs   uint64 // of its run before this one, as far as known
+	startMs        uint64 // Unix milliseconds by the peer's clock; 0: not known
+	priorStartMs   uint64 // of the peer's previous run; 0: not known
 	runID          uint32
 	nodeIndex      int32 // index in Config.Nodes
 	stateSince     int64 // nanoseconds
-	lastReceivedAt int64 // when a datagram of its current run last came, nanoseconds; 0: never
+	lastReceivedAt int64 // when the last datagram of its current run arrived, nanoseconds; 0: never
 	state          State
-	localOnly      bool // judged while this node reached no other: any update of others overrides it
+	localOnly      bool // set while this node was isolated: not gossiped, and overridden by any update
 
 	suspicion suspicion
 
-	conflicts            uint8 // datagrams of two processes under its name, halved from time to time
-	retransmitsRemaining int8  // times that its state is still to be gossiped
+	conflicts            uint8 // recent datagrams that show two processes of this name; see decayConflicts
+	retransmitsRemaining int8  // number of times that the state is still to be gossiped
 	queued               bool  // in Members.broadcasts
 }
 
-// update is the state of one node as another sends it.
+// update is the state of a node as sent in a message.
 type update struct {
 	ID                uint64 `cbor:"1,keyasint"`
 	State             State  `cbor:"2,keyasint"`
 	StartMs           uint64 `cbor:"3,keyasint"`
-	IncarnationOffset uint64 `cbor:"4,keyasint,omitempty"` // incarnation less StartMs
+	IncarnationOffset uint64 `cbor:"4,keyasint,omitempty"` // incarnation minus StartMs
 	RunID             uint32 `cbor:"5,keyasint"`
 	SuspectedBy       uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// incarnation begins at a node's start and grows with each refutation, so a later run has a higher one.
+// incarnation returns the node's incarnation. It begins at the node's start time and is raised by each refutation, so
+// that a later run has a higher one.
 func (u *update) incarnation() uint64 { return u.StartMs + u.IncarnationOffset }
 
-// valid reports whether the update is one that a node can send.
+// valid reports whether a node could have sent the update.
 func (u *update) valid() bool {
 	return u.State >= Alive && u.State <= Left && u.StartMs < maxIncarnation && u.IncarnationOffset < maxIncarnation
 }
@@ -91,10 +92,10 @@
 	return u
 }
 
-// applyUpdate takes in an update that a node sends about itself (direct) or about another.
+// applyUpdate applies an update. direct: the node has sent it about itself.
 //
-// A higher incarnation overrides a lower one, and of two processes with the same incarnation the one with the higher
-// run ID. At the same incarnation and run the later state in the order of the constants overrides.
+// A higher incarnation overrides a lower one. At the same incarnation the higher run ID overrides, and at the same run
+// ID the later state in the order of the constants.
 func (m *Members) applyUpdate(now int64, u update, direct bool) {
 	if !u.valid() {
 		m.counters.Invalid++
@@ -116,7 +117,7 @@
 	case p.state == Unknown || newer:
 		m.applyNewer(now, i, u)
 	case !same:
-		if direct { // a delayed datagram, or a second process of that name which has not received the first one's
+		if direct { // a delayed datagram, or a second process of that name that has not received the update of the first
 			m.counters.StaleIncarnations++
 			p.conflicts = min(p.conflicts+1, maxConflicts)
 		}
@@ -139,7 +140,7 @@
 	m.adoptState(now, i, u.State, u.SuspectedBy)
 }
 
-// adopt sets a state that others sent, and passes it on.
+// adoptState sets the state that an update has and queues it to be gossiped.
 func (m *Members) adoptState(now int64, i int, state State, suspectedBy uint64) {
 	m.setState(now, i, state)
 	if state == Suspect {
@@ -148,7 +149,7 @@
 	m.broadcast(i)
 }
 
-// setState sets a peer's state, and begins or ends its suspicion.
+// setState sets a peer's state, and starts or removes its suspicion.
 func (m *Members) setState(now int64, i int, state State) {
 	p := &m.peers[i]
 	if p.state == Suspect {
--- a/internal/members/suspicion.go
+++ b/internal/members/suspicion.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// Suspicion (Lifeguard): a node that fails a probe is suspect, and dead when it does not refute in time. The timeout
-// starts at three times its least value and falls to it with each node that raises the same suspicion on its own. It
-// never ends while a stall of this node may be the cause. A suspicion that came from others alone does not end in
-// death here: this node probes the suspect first.
+// Suspicion (Lifeguard): a node that fails a probe becomes suspect, and dead if it doesn't refute the suspicion before
+// a timeout. The timeout starts at three times its minimum and is reduced towards the minimum by each further node that
+// suspects the same node by a probe of its own (a confirmation). It doesn't expire while a stall of this node may be
+// the cause. This node never declares a node dead only because other nodes suspect it: it probes the suspect first.
 
 const (
-	maxConfirmations              = 3   // independent suspicions that shorten the timeout to its least
-	suspicionMultiplier           = 2.5 // rounds of the least timeout, for each factor of ten in the number of nodes
-	suspicionMaxTimeoutMultiplier = 3   // the timeout of a suspicion that no other node confirms, in least ones
+	maxConfirmations              = 3   // number of confirmations that reduce the timeout to its minimum
+	suspicionMultiplier           = 2.5 // minimum timeout in protocol periods, per factor of ten in the number of nodes
+	suspicionMaxTimeoutMultiplier = 3   // ratio of the timeout without confirmations to the minimum timeout
 )
 
-// suspicion is the state of one suspicion.
+// suspicion is the state of the suspicion of a peer.
 type suspicion struct {
-	fromOwnProbe       bool  // raised by this node's own probe
-	startTick, endTick int64 // ticks
+	fromOwnProbe       bool // raised by a failed probe of this node
+	startTick, endTick int64
 	confirmedBy        [maxConfirmations]uint64
 }
 
@@ -29,7 +29,7 @@
 	return n
 }
 
-// confirmSuspicion counts another node that suspects a peer by its own probe.
+// confirmSuspicion records that another node suspects a peer by its own probe.
 func (m *Members) confirmSuspicion(p *peer, suspectedBy uint64) {
 	if suspectedBy == 0 || suspectedBy == m.id || m.find(suspectedBy) < 0 {
 		return
@@ -46,7 +46,7 @@
 	}
 }
 
-// setSuspicionTimeout sets when a suspicion ends, by the number of nodes that have confirmed it.
+// setSuspicionTimeout sets when a suspicion expires, by the number of its confirmations.
 func (m *Members) setSuspicionTimeout(p *peer) {
 	nodes := len(m.peers) + 1
 	minTimeout := float64(TicksPerPeriod) * math.Ceil(suspicionMultiplier*math.Log10(float64(nodes+1)))
@@ -59,8 +59,8 @@
 	p.suspicion.endTick = max(p.suspicion.startTick+int64(timeout), m.stallGraceUntil)
 }
 
-// raiseSuspicion takes in a probe that failed. While this node reaches no other node, the suspicion stays its own: others
-// would have to refute it for nothing once the network is back.
+// raiseSuspicion makes a peer suspect after a failed probe. While this node is isolated, the suspicion is not gossiped:
+// otherwise the peer would have to refute it once the network recovers, although this node was the cause.
 func (m *Members) raiseSuspicion(now int64, i int) {
 	p := &m.peers[i]
 	isolated := m.isIsolated()
@@ -82,7 +82,7 @@
 	}
 }
 
-// expireSuspicions declares suspects dead that did not refute in time.
+// expireSuspicions declares suspects dead whose suspicion has timed out.
 func (m *Members) expireSuspicions(now int64) {
 	for k := 0; k < len(m.suspects); {
 		i := int(m.suspects[k])
@@ -91,11 +91,11 @@
 		case m.tick < p.suspicion.endTick || m.stalledRecently():
 			k++
 		case !p.suspicion.fromOwnProbe:
-			m.probeNext(i) // guards against a refutation that was lost on its way here
+			m.probeNext(i) // in case a refutation to this node was lost
 			p.suspicion.endTick = m.tick + TicksPerPeriod + 2*probeTimeout
 			k++
 		default:
-			m.declareDead(now, i) // which removes it from suspects
+			m.declareDead(now, i) // removes it from m.suspects
 		}
 	}
 }
@@ -111,8 +111,8 @@
 	}
 }
 
-// pingSuspect pings one of the suspects of this node, in turn, so that it learns of the suspicion and can refute it
-// even if gossip about it is lost.
+// pingSuspect pings one of the nodes that this node suspects by its own probe, in turn. The ping carries the suspicion,
+// so that the suspect can refute it even if gossip about it is lost.
 func (m *Members) pingSuspect() {
 	for range m.suspects {
 		i := m.suspects[0]
--- a/internal/members/tick.go
+++ b/internal/members/tick.go
@@ -1,9 +1,10 @@
 package members
 
-// The schedule of a round of ten ticks. A node's phase comes from its name, so that nodes do not act all at once.
+// The schedule of a protocol period. Each node's phase depends on the hash of its name, so that nodes don't all send at
+// the same time.
 
 const (
-	maxResponsesPerTick = 6 // that others can make this node send
+	maxResponsesPerTick = 6 // to messages of other nodes
 
 	probePhase        = 0
 	firstGossipPhase  = 2
@@ -12,7 +13,8 @@
 	suspectPhase      = 8
 )
 
-// Tick is to be called ten times a round, with the time in Unix nanoseconds. Only in it a node acts on its own.
+// Tick must be called TicksPerPeriod times per protocol period, with the time in Unix nanoseconds. Apart from Leave and
+// SendPayload, it is the only call in which the node initiates messages.
 func (m *Members) Tick(now int64) {
 	if m.hasLeft {
 		return
@@ -39,7 +41,7 @@
 	}
 }
 
-// gossipUpdates sends a random node the states that changed last, if any did.
+// gossipUpdates sends queued states, if there are any, to a random alive node.
 func (m *Members) gossipUpdates() {
 	if len(m.broadcasts) == 0 {
 		return
@@ -49,7 +51,7 @@
 	}
 }
 
-// allowResponse bounds what others can make this node send.
+// allowResponse reports whether another response may be sent in this tick. It counts those that may not.
 func (m *Members) allowResponse() bool {
 	if m.responsesInTick >= maxResponsesPerTick {
 		m.counters.RateLimited++
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -2,33 +2,33 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Summary is how many nodes there are and how well this one reaches them.
+// Summary counts nodes by state and shows how well this node reaches the others.
 type Summary struct {
-	Reliable         bool    `json:"known"`         // false: the numbers are no basis for any conclusion
-	Reason           string  `json:"why,omitempty"` // why Known is false
-	Nodes            int     `json:"nodes"`         // configured, this one included
-	Alive            int     `json:"up"`            // this one included
+	Reliable         bool    `json:"known"`         // false: no conclusion may be drawn from the counts
+	Reason           string  `json:"why,omitempty"` // why Reliable is false
+	Nodes            int     `json:"nodes"`         // configured nodes, including this one
+	Alive            int     `json:"up"`            // including this one
 	Suspect          int     `json:"doubted"`
 	Dead             int     `json:"silent"`
 	Left             int     `json:"left"`
 	Unknown          int     `json:"never_seen"`
-	ProbeSuccessRate float64 `json:"heard"`  // fraction of the last probes, 32 at most, that were answered
-	AgeNs            int64   `json:"age_ns"` // since the newest of these ended
+	ProbeSuccessRate float64 `json:"heard"`  // fraction of the last probes, at most 32, that were answered
+	AgeNs            int64   `json:"age_ns"` // since the last probe was completed
 }
 
-// Member is what is known of one node.
+// Member is the state of a node in the view.
 type Member struct {
 	Name              string `json:"name"`
 	State             string `json:"state"`
-	StartMs           uint64 `json:"start_ms"` // of its own clock
+	StartMs           uint64 `json:"start_ms"` // Unix milliseconds by the node's own clock
 	Incarnation       uint64 `json:"incarnation"`
 	StateAgeNs        int64  `json:"since_ns"`
-	LastReceivedAgeNs int64  `json:"heard_ns"` // since its last datagram; -1: none has come
+	LastReceivedAgeNs int64  `json:"heard_ns"` // since its last datagram arrived; -1: none has arrived
 	NameConflict      bool   `json:"twice,omitempty"`
-	LocalOnly         bool   `json:"own,omitempty"` // judged while this node reached no other
+	LocalOnly         bool   `json:"own,omitempty"` // the state was set while the observing node was isolated
 }
 
-// View is all that one node knows.
+// View is a node's complete membership view, as served by the admin API.
 type View struct {
 	Name         string   `json:"name"`
 	StartMs      uint64   `json:"start_ms"`
@@ -41,7 +41,7 @@
 	Counters     Counters `json:"counts"`
 }
 
-// Summary returns the summary at a time.
+// Summary returns the summary at now, in Unix nanoseconds.
 func (m *Members) Summary(now int64) Summary {
 	s := Summary{Nodes: len(m.peers) + 1, Alive: 1, AgeNs: now - m.lastProbeAt}
 	for i := range m.peers {
@@ -77,7 +77,8 @@
 	return float64(answered) / float64(len(m.probeResults))
 }
 
-// unreliable is why the view is no basis for any conclusion; empty if it is one.
+// unreliableReason returns why no conclusion may be drawn from the view; empty: the view is reliable. The admin API
+// serves these texts, so they must not change.
 func (m *Members) unreliableReason(now int64) string {
 	switch {
 	case m.NameConflict():
@@ -92,7 +93,7 @@
 	return ""
 }
 
-// KnownStartsMs are the known starts of other nodes, in milliseconds of their clocks, by name.
+// KnownStartsMs returns the known start times of other nodes by name, in Unix milliseconds of their clocks.
 func (m *Members) KnownStartsMs() map[string]uint64 {
 	starts := map[string]uint64{}
 	for i := range m.peers {
@@ -104,14 +105,14 @@
 	return starts
 }
 
-// LatestKnownStartMs is the latest start of an earlier run of this node that others know, in milliseconds of its clock;
-// 0: none.
+// LatestKnownStartMs returns the latest start of an earlier run of this node that other nodes have reported, in Unix
+// milliseconds of this node's clock; 0: none.
 func (m *Members) LatestKnownStartMs() uint64 { return m.latestKnownStartMs }
 
-// Rounds is how many rounds have passed since the start.
+// Periods returns the number of protocol periods since the start.
 func (m *Members) Periods() int64 { return m.tick / TicksPerPeriod }
 
-// States are the states of all nodes by their index; this node's own is Alive.
+// States returns the states of all nodes by their index in Config.Nodes. This node's own state is Alive.
 func (m *Members) States() []State {
 	states := make([]State, len(m.config.Nodes))
 	for i := range states {
@@ -123,7 +124,7 @@
 	return states
 }
 
-// StateOf is the state of a node by its index; this node's own is Alive.
+// StateOf returns the state of the node with an index in Config.Nodes. This node's own state is Alive.
 func (m *Members) StateOf(node int) State {
 	if i := m.find(xxhash.Sum64String(m.config.Nodes[node])); i >= 0 {
 		return m.peers[i].state
@@ -131,13 +132,13 @@
 	return Alive
 }
 
-// HealthScore is 0 (healthy) to 8: how far this node takes its own trouble for the cause of what it sees.
+// HealthScore returns the local health score: 0 (healthy) to 8 (this node is likely to be the cause of failed probes).
 func (m *Members) HealthScore() int64 { return m.healthScore }
 
 // Counters returns the counters.
 func (m *Members) Counters() Counters { return m.counters }
 
-// View returns the view at a time, with the nodes in the order of Config.Nodes.
+// View returns the view at now, in Unix nanoseconds, with the nodes in the order of Config.Nodes.
 func (m *Members) View(now int64) View {
 	v := View{
 		Name:         m.config.Name,
@@ -150,7 +151,7 @@
 		Members:      make([]Member, len(m.config.Nodes)),
 		Counters:     m.counters,
 	}
-	for i, name := range m.config.Nodes { // overwritten for all but this node
+	for i, name := range m.config.Nodes { // this node's own entry; the loop below overwrites all others
 		v.Members[i] = Member{Name: name, State: Alive.String(), StartMs: m.startMs, Incarnation: m.incarnation}
 	}
 	for i := range m.peers {
