--- a/internal/endpointgossip/exchange.go
+++ b/internal/endpointgossip/exchange.go
@@ -1,33 +1,39 @@
-// Package endpointgossip gives a node the endpoint list of other nodes while its own watch of discovery is down: which
-// nodes it asks, how often, which of several lists it accepts, and what it responds when asked.
+// Package endpointgossip fetches the endpoint list from other nodes while the node's own watch of discovery is down. It
+// decides which nodes are sent requests and how often, which of several lists is accepted, and how requests of other
+// nodes are answered.
 //
-// The package has no I/O, clock or goroutine: the caller passes the time to each call, messages go out through a
+// The package has no I/O, clock or goroutine: the caller passes the time to each call, messages are sent through a
 // Transport, and the same calls give the same lists. An Exchange is not safe for concurrent use.
 //
-// Two other packages exchange messages between nodes: package members which nodes are alive (it carries the messages of
-// this one), and package gossip those of the decisions.
+// Two other packages exchange messages between nodes: package members tracks which nodes are alive, and carries the
+// messages of this package as payloads; package gossip exchanges the messages of the policy.
 //
-// The terms: a list is watched if some node's own watch of discovery has sent it since that node started, and
-// remembered if it is only known from before a start (persisted, or configured). It is confirmed whenever a watch that
-// has sent it receives anything. A witness is a node whose own watch is up and that sends the list to this one.
+// Terms:
 //
-// Which of two lists wins:
+//   - A list is watched if the watch of some node has received it from discovery since that node started.
+//   - A list is restored if it is only known from persisted state or configuration.
+//   - A list is confirmed whenever a watch that has received it receives anything else.
+//   - A witness of a list is a node whose own watch is up and that sends the list to this node.
+//
+// Which of two lists is used:
 //
 //   - An update of the node's own watch ends the use of gossiped lists.
-//   - A watched list wins over a remembered one.
-//   - Of two such lists, or two remembered ones, the higher version wins. Two of the same version, or a remembered one
-//     with a higher version than a watched one, are merged with caution: more endpoints, more of them draining, later
-//     starts. So nodes come to the same list in whatever order responses come, unless lists of one version differ so
-//     much that together they leave less than half of the endpoints.
-//   - An endpoint that was known and is not on a newer list counts as draining, not as removed.
-//   - A list that leaves less than half of the endpoints that the node could use is accepted once it has two witnesses.
-//   - A list that was not confirmed within FreshForNs says which endpoints serve, not since when: endpoints that are new
-//     in it count as just started. Its age is counted from when the request went out.
+//   - A watched list takes precedence over a restored one.
+//   - Of two watched lists, or two restored ones, the one with the higher version is used. Two lists of the same
+//     version, or a watched list and a restored one with a higher version, are merged cautiously: the result has all
+//     endpoints of both, and an endpoint is draining if either list says so and has the later of the two start times.
+//     So all nodes get the same list in whatever order responses arrive, unless lists of the same version differ so
+//     much that merged they leave less than half of the endpoints active.
+//   - An endpoint of the current list that is not on a newer list counts as draining, not as removed.
+//   - A list that leaves less than half of the endpoints active that are active now needs two witnesses.
+//   - A list that was not confirmed within FreshForNs is trusted for which endpoints exist, but not for when they
+//     started: endpoints that are new in it count as just started. Its age is counted from when the request was sent.
 //
-// What is sent: a node whose watch is up sends no requests. One whose watch is down sends at most maxRequestsPerTick,
-// and any node at most maxResponsesPerTick responses in a tick; so N nodes send at most N · 28 messages in a tick, each
-// below MaxMessageBytes. Nodes to ask are drawn at random, so that nodes that start together do not ask the same one.
-// What is kept: at most two lists and the one that is being gathered, of MaxEndpoints each.
+// Traffic is bounded: a node whose watch is up sends no requests, one whose watch is down sends at most
+// maxRequestsPerTick requests per tick, and every node sends at most maxResponsesPerTick responses per tick. So N nodes
+// send at most N · 28 messages per tick, each shorter than MaxMessageBytes. Requests go to random nodes, so that nodes
+// that start at the same time don't all send theirs to the same node. Memory is bounded by two lists and the one that
+// is being transferred, of at most MaxEndpoints endpoints each.
 package endpointgossip
 
 import (
@@ -37,25 +43,26 @@
 )
 
 const (
-	// MaxMessageBytes is the length that no message reaches.
+	// MaxMessageBytes is the exclusive upper limit on the length of a message.
 	MaxMessageBytes = 1000
-	// MaxEndpoints is how many endpoints a list may have.
+	// MaxEndpoints is the maximum number of endpoints on a list.
 	MaxEndpoints = 8192
-	// FreshForNs is for how long after its confirmation a list says since when endpoints run, nanoseconds.
+	// FreshForNs is for how long after its last confirmation a list is trusted for the start times of endpoints, in
+	// nanoseconds.
 	FreshForNs = int64(5e9)
 
 	nodesPerRequest     = 2
 	maxRequestsPerTick  = 4
 	maxResponsesPerTick = 24
-	maxBackoffTicks     = 10 // between requests
-	watchGraceTicks     = 5  // for which a watch that is up may be without its first event
-	randomStream        = 11 // of the seed
+	maxBackoffTicks     = 10 // maximum delay between requests
+	watchGraceTicks     = 5  // for which a new watch may be without an event before the list that it resumed is used
+	randomStream        = 11 // second seed of the random number generator
 )
 
-// Transport sends messages to other nodes, which are named by their index; it may lose them.
+// Transport sends messages to other nodes without guaranteeing delivery. It identifies a node by its index.
 type Transport interface {
 	SendPayload(to int, message []byte)
-	// Reachable are the nodes that are not known to be gone.
+	// Reachable returns the other nodes that are neither dead nor left.
 	Reachable() []int
 }
 
@@ -63,41 +70,42 @@
 type Counters struct {
 	Requests    int64 `json:"asked"`
 	Responses   int64 `json:"answered"`
-	RateLimited int64 `json:"held"` // beyond maxResponsesPerTick
-	Invalid     int64 `json:"bad"`  // messages
+	RateLimited int64 `json:"held"` // responses not sent because of maxResponsesPerTick
+	Invalid     int64 `json:"bad"`  // messages that were malformed or answered no request of this node
 	Accepted    int64 `json:"taken"`
-	Unconfirmed int64 `json:"doubted"` // lists that would have removed most endpoints with too few witnesses
+	Unconfirmed int64 `json:"doubted"` // lists not accepted yet because they remove most endpoints and lack witnesses
 }
 
-// Exchange is one node's part in the exchange of endpoint lists.
+// Exchange exchanges endpoint lists with other nodes on behalf of one node.
 type Exchange struct {
 	transport Transport
 	random    *rand.Rand
 
 	// The node's own watch.
-	watchedEndpoints  map[string]Endpoint // the list that it has sent, or goes on from
+	watchedEndpoints  map[string]Endpoint // the list that the watch has sent or resumes from
 	watchedVersion    int64               // 0: none
 	watchUp           bool
-	watchReceivedAt   int64 // when it last received anything, nanoseconds
-	ticksWithoutEvent int   // for which it has been up without an event
+	watchReceivedAt   int64 // when the watch last received anything, nanoseconds
+	ticksWithoutEvent int   // for which the watch has been up without an event
 
-	current          *list // the list to respond with; while the watch is down the node uses it
-	usesGossipedList bool  // the node uses a gossiped list
+	current          *list // the list to respond with, and to use while the watch is down; nil: see currentList
+	usesGossipedList bool  // current was accepted from other nodes and is in use
 	transfer         *transfer
 
 	startedAt       int64 // nanoseconds
 	now             int64 // nanoseconds
 	tick            int64
-	nextRequestTick int64 // tick
-	backoffTicks    int64 // ticks
-	betterListNode  int   // a node that has reported a better list; -1: none
+	nextRequestTick int64
+	backoffTicks    int64
+	betterListNode  int // node whose request showed that it has a better list; -1: none
 	requestsInTick  int
 	responsesInTick int
 	counters        Counters
 }
 
-// New begins with the list that the node remembers, which may be empty. watchResumes: the node's watch goes on from
-// that list. now is in Unix nanoseconds of the node's clock, which never goes back while the node runs.
+// New returns an Exchange that begins with the restored list, which may be empty. watchResumes: the node's watch
+// resumes from that list, so that it gets later changes only. now is in Unix nanoseconds of a clock that is monotonic
+// while the node runs.
 func New(
 	seed uint64, transport Transport, now, version int64, restored []Endpoint, watchResumes bool,
 ) *Exchange {
@@ -123,8 +131,9 @@
 	return e
 }
 
-// WatchUpdated takes in an update of the node's own watch: endpoints, and the names of those that were removed. Where
-// the node has used a gossiped list it returns the whole watched list to use instead, else nil.
+// WatchUpdated applies an update of the node's own watch: endpoints, and the names of removed ones. complete: endpoints
+// are the complete list. If the node has used a gossiped list, it returns the complete watched list to use instead;
+// otherwise it returns nil.
 func (e *Exchange) WatchUpdated(
 	now, version int64, endpoints []Endpoint, removed []string, complete bool,
 ) []Endpoint {
@@ -142,14 +151,15 @@
 	return e.watchRestored(e.now)
 }
 
-// watchRestored ends the use of gossiped lists; it returns the watched list if one was used.
+// watchRestored ends the use of gossiped lists. It returns the watched list if a gossiped one was used, and nil
+// otherwise.
 func (e *Exchange) watchRestored(heardAt int64) (endpoints []Endpoint) {
 	e.watchUp = true
 	e.watchReceivedAt = heardAt
 	e.ticksWithoutEvent = 0
 	e.transfer = nil
 	e.betterListNode = -1
-	e.current = nil // made when it is needed
+	e.current = nil // built by currentList when it is needed
 	if e.usesGossipedList {
 		endpoints = e.currentList().endpoints
 	}
@@ -157,7 +167,7 @@
 	return endpoints
 }
 
-// currentList is the list to respond with; nil: there is none.
+// currentList returns the list to respond with, or nil if there is none.
 func (e *Exchange) currentList() *list {
 	if e.watchUp {
 		if e.current == nil {
@@ -168,8 +178,9 @@
 	return e.current
 }
 
-// Tick is called at regular times, ten times in a round of the membership. watchReceivedAt is when the node's own watch
-// last received anything, an empty line included; 0: it is down. It returns a list as WatchUpdated does.
+// Tick must be called at regular intervals, ten times per protocol period of package members. watchReceivedAt is when
+// the node's own watch last received anything, including an empty line; 0: the watch is down. Tick returns a list as
+// WatchUpdated does.
 func (e *Exchange) Tick(now, watchHeardAt int64) []Endpoint {
 	e.now = max(e.now, now)
 	e.tick++
@@ -183,7 +194,7 @@
 	} else {
 		e.ticksWithoutEvent++
 	}
-	if e.ticksWithoutEvent > watchGraceTicks && e.watchedVersion > 0 { // it goes on from the list before, unchanged
+	if e.ticksWithoutEvent > watchGraceTicks && e.watchedVersion > 0 { // the watch has resumed, and its list is unchanged
 		return e.watchRestored(watchHeardAt)
 	}
 	if e.watchUp {
@@ -196,16 +207,16 @@
 	return nil
 }
 
-// watchFailed schedules the first request at random, as all nodes lose discovery at one moment.
+// watchFailed schedules the first request after a random delay, because all nodes may lose discovery at the same time.
 func (e *Exchange) watchFailed() {
-	e.currentList() // built while the watch counts as up, so that it is not lost
+	e.currentList() // builds the watched list, which is only possible while watchUp is set
 	e.watchUp = false
 	e.backoffTicks = 1
 	e.nextRequestTick = e.tick + e.random.Int64N(maxBackoffTicks)
 }
 
-// Receive takes in a message of another node. It returns the endpoints that the node is to use from now on, nil if
-// nothing changes; an endpoint that is not among them stays as it is.
+// Receive handles a message of another node. It returns endpoints for the node to use from now on, or nil if nothing
+// changes; endpoints that are not returned stay unchanged.
 func (e *Exchange) Receive(now int64, from int, encoded []byte) []Endpoint {
 	e.now = max(e.now, now)
 	m, ok := decode(encoded)
@@ -220,7 +231,7 @@
 	if e.watchUp {
 		return nil
 	}
-	if m.RequestedAt < e.startedAt || m.RequestedAt > e.now { // to an earlier run, or to no request of this node
+	if m.RequestedAt < e.startedAt || m.RequestedAt > e.now { // response to an earlier run, or to no request of this node
 		e.counters.Invalid++
 		return nil
 	}
--- a/internal/endpointgossip/exchange_test.go
+++ b/internal/endpointgossip/exchange_test.go
@@ -10,14 +10,15 @@
 
 const tickNs = int64(50e6)
 
-// net is some nodes whose messages are lost at random, and arrive in the same tick, or late nanoseconds later.
+// testNetwork simulates a network of nodes. Messages are lost at random; the others arrive after delayNs, or with no
+// delay in the same tick.
 type testNetwork struct {
 	t            *testing.T
 	now          int64
 	random       *rand.Rand
 	loss         float64
 	delayNs      int64
-	isolatedNode int // a node that receives and sends nothing; -1: none
+	isolatedNode int // node whose messages are all lost, in both directions; -1: none
 	nodes        []*testNode
 	inFlight     []inFlightMessage
 }
@@ -26,10 +27,10 @@
 	network  *testNetwork
 	index    int
 	exchange *Exchange
-	watchUp  bool                // whether its own watch is up
-	used     map[string]Endpoint // in use
+	watchUp  bool                // the node's own watch is up
+	used     map[string]Endpoint // endpoints in use by name
 	received int
-	sent     int // in this tick
+	sent     int // messages in this tick
 }
 
 type inFlightMessage struct {
@@ -40,7 +41,7 @@
 func (n *testNode) SendPayload(to int, encoded []byte) {
 	network := n.network
 	if len(encoded) >= MaxMessageBytes {
-		network.t.Fatalf("a message of %d bytes", len(encoded))
+		network.t.Fatalf("got a message of %d bytes, want less than MaxMessageBytes", len(encoded))
 	}
 	n.sent++
 	if network.random.Float64() >= network.loss && n.index != network.isolatedNode && to != network.isolatedNode {
@@ -85,7 +86,7 @@
 	return network
 }
 
-// step runs one tick of all nodes.
+// step runs one tick of all nodes and delivers the messages that are due.
 func (network *testNetwork) step() {
 	network.now += tickNs
 	for _, n := range network.nodes {
@@ -116,12 +117,12 @@
 	}
 	for _, n := range network.nodes {
 		if n.sent > maxRequestsPerTick+maxResponsesPerTick {
-			network.t.Fatalf("n%d sent %d messages in a tick", n.index, n.sent)
+			network.t.Fatalf("n%d sent %d messages in a tick, more than maxRequestsPerTick and maxResponsesPerTick allow", n.index, n.sent)
 		}
 	}
 }
 
-// watched has a node's own watch send a complete list.
+// updateWatch delivers a complete list by the node's own watch.
 func (n *testNode) updateWatch(version int64, endpoints []Endpoint) {
 	n.watchUp = true
 	if endpointsToUse := n.exchange.WatchUpdated(n.network.now, version, endpoints, nil, true); endpointsToUse != nil {
@@ -181,7 +182,7 @@
 		}
 		t.Logf("%d nodes, %d endpoints, loss %.1f: %d ticks, %d messages, at most %d responses of one node in a tick", c.nodes, c.endpointCount, c.loss, ticks, sent, maxResponses)
 		if ticks < 0 {
-			t.Errorf("%d nodes, %d endpoints, loss %.1f: not all within %d ticks", c.nodes, c.endpointCount, c.loss, c.maxTicks)
+			t.Errorf("%d nodes, %d endpoints, loss %.1f: not all nodes have the list after %d ticks", c.nodes, c.endpointCount, c.loss, c.maxTicks)
 		}
 	}
 }
@@ -193,18 +194,18 @@
 	maxReceived := 0
 	for _, n := range network.nodes {
 		if maxReceived = max(maxReceived, n.received); n.exchange.counters.Requests < nodesPerRequest {
-			t.Errorf("n%d sent %d requests in two ticks", n.index, n.exchange.counters.Requests)
+			t.Errorf("n%d sent %d requests in two ticks, want at least nodesPerRequest", n.index, n.exchange.counters.Requests)
 		}
 	}
 	if maxReceived > 12 {
-		t.Errorf("one of 300 that started together got %d messages", maxReceived)
+		t.Errorf("a node received %d messages when 300 nodes started at the same time, want at most 12", maxReceived)
 	}
 	network = newTestNetwork(t, 300, 4, nil)
 	network.nodes[0].updateWatch(1, testEndpoints(3))
 	network.step()
 	network.step()
 	if got := network.nodes[0].exchange.counters.Responses; got > maxResponsesPerTick {
-		t.Errorf("300 that start together got %d responses of one", got)
+		t.Errorf("a node sent %d responses when 300 nodes started at the same time, want at most maxResponsesPerTick", got)
 	}
 }
 
@@ -215,34 +216,35 @@
 		network.step()
 	}
 	if got := network.nodes[1].activeCount(); got != 7 {
-		t.Fatalf("by gossip it uses %d", got)
+		t.Fatalf("without a watch: got %d active endpoints, want 7 by the gossiped list", got)
 	}
 	network.nodes[1].updateWatch(9, testEndpoints(8))
 	if got := network.nodes[1].activeCount(); got != 8 {
-		t.Fatalf("by its own watch it uses %d", got)
+		t.Fatalf("with a watch: got %d active endpoints, want 8 by the watched list", got)
 	}
 	before := network.nodes[1].exchange.counters.Requests
 	for range 20 {
 		network.step()
 	}
 	if network.nodes[1].exchange.counters.Requests != before || network.nodes[1].activeCount() != 8 {
-		t.Error("a node whose watch is up sends requests or uses gossip")
+		t.Error("a node whose watch is up sends requests or uses a gossiped list")
 	}
-	// With the watch down again gossip counts; a watch that comes back without an event restores its own list.
+	// While the watch is down again, gossiped lists are used. When it resumes without an event, its own list is used
+	// again.
 	network.nodes[1].watchUp = false
 	network.nodes[0].updateWatch(10, testEndpoints(8, 2, 3))
 	for range 30 {
 		network.step()
 	}
 	if got := network.nodes[1].activeCount(); got != 6 {
-		t.Fatalf("without a watch it does not learn of drains: uses %d", got)
+		t.Fatalf("with the watch down again: got %d active endpoints, want 6 by the gossiped list", got)
 	}
 	network.nodes[1].watchUp = true
 	for range watchGraceTicks + 1 {
 		network.step()
 	}
 	if got := network.nodes[1].activeCount(); got != 8 {
-		t.Errorf("back with a watch without an event it uses %d", got)
+		t.Errorf("after the watch resumed without an event: got %d active endpoints, want 8 by the watched list", got)
 	}
 }
 
@@ -261,20 +263,20 @@
 	}
 	for i, n := range network.nodes {
 		if len(n.used) != 8 || !n.used["server-0001"].Draining {
-			t.Fatalf("n%d does not know the drain that one remembers: %v", i, n.used)
+			t.Fatalf("n%d: the drain on the restored list of n0 is missing: %v", i, n.used)
 		}
 	}
 	if endpoint := network.nodes[3].used["server-0002"]; endpoint.StartedNs < network.now-60*tickNs {
-		t.Errorf("an endpoint of a list of unknown age counts as started at %d", endpoint.StartedNs)
+		t.Errorf("an endpoint on a list of unknown age has the start time %d, want it to count as just started", endpoint.StartedNs)
 	}
-	// Discovery is back with an older list, which ends no drain; one newer than the remembered list does.
+	// Discovery recovers with a list that is older than the restored one and must not end its drain; a newer one must.
 	network.nodes[2].updateWatch(5, testEndpoints(9))
 	for range 30 {
 		network.step()
 	}
 	for _, i := range []int{0, 1, 3} {
 		if n := network.nodes[i]; len(n.used) != 9 || !n.used["server-0001"].Draining {
-			t.Errorf("n%d: a list from before the drain ended it, or its new endpoint is missing: %v", i, n.used)
+			t.Errorf("n%d: a list older than the drain ended it, or the new endpoint of that list is missing: %v", i, n.used)
 		}
 	}
 	network.nodes[2].updateWatch(8, testEndpoints(9))
@@ -283,7 +285,7 @@
 	}
 	for i, n := range network.nodes {
 		if n.activeCount() != 9 {
-			t.Errorf("n%d uses %d of a later list", i, n.activeCount())
+			t.Errorf("n%d: got %d active endpoints, want 9 by the newer list", i, n.activeCount())
 		}
 	}
 }
@@ -296,7 +298,7 @@
 	}
 	for _, n := range network.nodes[1:] {
 		if n.activeCount() != 8 || n.exchange.counters.Unconfirmed == 0 {
-			t.Fatalf("n%d: one node left it %d of 8", n.index, n.activeCount())
+			t.Fatalf("n%d: got %d active endpoints, want 8 as a single witness must not remove most of them", n.index, n.activeCount())
 		}
 	}
 	network.nodes[1].updateWatch(99, testEndpoints(8, 0, 1, 2, 3, 4, 5))
@@ -305,12 +307,13 @@
 	}
 	for _, n := range network.nodes {
 		if n.activeCount() != 2 {
-			t.Errorf("n%d uses %d though two watches have 2", n.index, n.activeCount())
+			t.Errorf("n%d: got %d active endpoints, want 2 by the list of two witnesses", n.index, n.activeCount())
 		}
 	}
 }
 
-// TestForwardedListIsNoSecondWitness has nodes that only pass on what one watch has sent.
+// TestForwardedListIsNoSecondWitness checks that nodes without a watch that forward the list of the only watch don't
+// count as witnesses: a node that is isolated until they all have the list must not accept it.
 func TestForwardedListIsNoSecondWitness(t *testing.T) {
 	network := newTestNetwork(t, 6, 7, func(i int) (int64, []Endpoint) {
 		if i == 5 {
@@ -325,7 +328,7 @@
 		}
 	}
 	if network.nodes[1].activeCount() != 2 || network.nodes[5].activeCount() != 8 {
-		t.Errorf("without a list before %d are used, with eight %d", network.nodes[1].activeCount(), network.nodes[5].activeCount())
+		t.Errorf("got %d active endpoints at a node that had no list and %d at one that had 8, want 2 and 8", network.nodes[1].activeCount(), network.nodes[5].activeCount())
 	}
 }
 
@@ -341,19 +344,20 @@
 		network.step()
 	}
 	if n := network.nodes[2]; !n.used["server-0001"].Draining || n.used["server-0002"].StartedNs > testEndpoints(8)[2].StartedNs {
-		t.Errorf("%v", n.used)
+		t.Errorf("the restored drain is missing, or the start time of the watched list is not used: %v", n.used)
 	}
 	network.nodes[2].watchUp, network.nodes[1].watchUp = false, false
-	network.nodes[1].updateWatch(7, testEndpoints(8)) // as new as the remembered list
+	network.nodes[1].updateWatch(7, testEndpoints(8)) // the version of the restored list
 	for range 30 {
 		network.step()
 	}
 	if got := network.nodes[1].exchange.currentList(); network.nodes[1].activeCount() != 8 || got.restored {
-		t.Errorf("uses %d, %+v", network.nodes[1].activeCount(), got)
+		t.Errorf("got %d active endpoints and list %+v, want 8 and a list that is not restored", network.nodes[1].activeCount(), got)
 	}
 }
 
-// TestResponsesAfterOwnWatchAreIgnored has a watch send a list while responses to earlier requests are in flight.
+// TestResponsesAfterOwnWatchAreIgnored delivers a list by the node's own watch while responses to earlier requests are
+// in flight: they must not replace it, even though their version is higher.
 func TestResponsesAfterOwnWatchAreIgnored(t *testing.T) {
 	network := newTestNetwork(t, 2, 12, nil)
 	network.delayNs = 8 * tickNs
@@ -366,11 +370,12 @@
 		network.step()
 	}
 	if got := network.nodes[1].activeCount(); got != 8 || network.nodes[1].exchange.View().Version != 8 {
-		t.Errorf("uses %d, %+v", got, network.nodes[1].exchange.View())
+		t.Errorf("got %d active endpoints and view %+v, want 8 and version 8", got, network.nodes[1].exchange.View())
 	}
 }
 
-// TestNodeWithBetterListIsQueried has a node with a list ask one that has none, which asks back in the next tick.
+// TestNodeWithBetterListIsQueried has a node with a list send a request to one that has none, which must request that
+// list in its next tick.
 func TestNodeWithBetterListIsQueried(t *testing.T) {
 	network := newTestNetwork(t, 2, 12, nil)
 	n := network.nodes[1]
@@ -378,11 +383,12 @@
 	n.exchange.Receive(network.now, 0, encode(&message{Kind: requestKind, Version: 4, Digest: 5, RequestedAt: network.now}))
 	n.exchange.Tick(network.now, 0)
 	if n.exchange.counters.Requests != 1 {
-		t.Errorf("%d requests", n.exchange.counters.Requests)
+		t.Errorf("got %d requests, want 1", n.exchange.counters.Requests)
 	}
 }
 
-// TestInvalidResponsesAreBounded has one node send invalid responses, a thousand in a tick.
+// TestInvalidResponsesAreBounded has one node send thousands of responses in a tick that never make up a valid list:
+// none is accepted, and the requests that they cause stay limited.
 func TestInvalidResponsesAreBounded(t *testing.T) {
 	network := newTestNetwork(t, 2, 12, nil)
 	n := network.nodes[1]
@@ -390,14 +396,14 @@
 	for i := range 1000 {
 		endpoint := Endpoint{Name: fmt.Sprint("s", i), Address: "a"}
 		if got := n.exchange.Receive(network.now, 0, encode(&message{Kind: responseKind, Version: int64(i / 2), Digest: 7, Pages: 2, Page: i % 2, RequestedAt: network.now, Endpoints: []Endpoint{endpoint}})); got != nil {
-			t.Fatalf("accepted: %v", got)
+			t.Fatalf("an invalid response was accepted: %v", got)
 		}
 	}
-	for i := range 1000 { // the first pages of better and better lists
+	for i := range 1000 { // first pages of lists of ever higher versions
 		n.exchange.Receive(network.now, 0, encode(&message{Kind: responseKind, Version: 1000 + int64(i/8), Digest: 7, Pages: 40, Page: i % 8, RequestedAt: network.now}))
 	}
 	if n.exchange.counters.Requests > maxRequestsPerTick || n.exchange.counters.Invalid < 400 {
-		t.Errorf("%+v", n.exchange.counters)
+		t.Errorf("got counters %+v, want at most maxRequestsPerTick requests and at least 400 invalid", n.exchange.counters)
 	}
 }
 
@@ -408,11 +414,12 @@
 		network.step()
 	}
 	if n := network.nodes[1]; n.activeCount() != 7 || !n.used["server-0007"].Draining {
-		t.Errorf("it uses %d: %v", n.activeCount(), n.used)
+		t.Errorf("got %d active endpoints, want 7 and the absent one draining: %v", n.activeCount(), n.used)
 	}
 }
 
-// TestDelayedResponseMarksEndpointsAsJustStarted has responses come ten seconds late: they say which endpoints serve, not since when.
+// TestDelayedResponseMarksEndpointsAsJustStarted delays responses by ten seconds, more than FreshForNs: the list is
+// used, but its start times are not.
 func TestDelayedResponseMarksEndpointsAsJustStarted(t *testing.T) {
 	for _, delayNs := range []int64{0, 10e9} {
 		network := newTestNetwork(t, 2, 9, nil)
@@ -424,7 +431,7 @@
 		}
 		endpoint := network.nodes[1].used["server-0000"]
 		if restarted := endpoint.StartedNs > startNs; len(network.nodes[1].used) != 5 || restarted != (delayNs > 0) {
-			t.Errorf("late by %d: %v", delayNs, endpoint)
+			t.Errorf("delay of %d ns: got %v, want 5 endpoints that count as just started only if responses are delayed", delayNs, endpoint)
 		}
 	}
 }
@@ -449,17 +456,18 @@
 	restarted := New(1, network.nodes[1], network.now, 0, nil, false)
 	for _, msg := range captured {
 		if restarted.Receive(network.now, 0, msg.encoded) != nil {
-			t.Error("accepted")
+			t.Error("a response to an earlier run was accepted")
 		}
 	}
 	if len(captured) == 0 || restarted.counters.Invalid != int64(len(captured)) {
-		t.Errorf("%d copied, %d ignored", len(captured), restarted.counters.Invalid)
+		t.Errorf("got %d captured responses and %d counted as invalid, want the same number above 0", len(captured), restarted.counters.Invalid)
 	}
 }
 
-// TestOrderOfResponsesDoesNotMatter draws versions, drains and starts, and the order in which nodes receive them. All
-// drains together leave half of the endpoints: lists of one version that differ by more need witnesses, in the order
-// they come.
+// TestOrderOfResponsesDoesNotMatter generates lists with random versions, drains and start times, and the order in
+// which nodes receive them: in the end all nodes must use the same list. All drains together leave half of the
+// endpoints active. With more drains, lists of the same version would need witnesses, and the result would depend on
+// the order.
 func TestOrderOfResponsesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		watches := rapid.IntRange(1, 4).Draw(r, "watches")
@@ -483,7 +491,7 @@
 		want := network.nodes[watches].exchange.currentList()
 		for _, n := range network.nodes[watches:] {
 			if got := n.exchange.currentList(); got == nil || got.version != want.version || got.digest != want.digest {
-				r.Fatalf("two nodes use different lists: %+v, %+v", want, got)
+				r.Fatalf("two nodes use different lists: %+v and %+v", want, got)
 			}
 		}
 	})
@@ -503,7 +511,7 @@
 			n.exchange.Tick(network.now, 0)
 		}
 		if n.sent > 3*(maxRequestsPerTick+maxResponsesPerTick) || len(n.exchange.currentList().endpoints) < 3 {
-			t.Errorf("%d messages, %d endpoints", n.sent, len(n.exchange.currentList().endpoints))
+			t.Errorf("got %d messages and %d endpoints, want messages within the limits and at least 3 endpoints", n.sent, len(n.exchange.currentList().endpoints))
 		}
 	})
 }
--- a/internal/endpointgossip/golden_test.go
+++ b/internal/endpointgossip/golden_test.go
@@ -9,7 +9,8 @@
 	"fawnglade/internal/golden"
 )
 
-// TestGoldenMessages compares requests and responses with the bytes of earlier builds.
+// TestGoldenMessages compares encoded requests and responses with golden files, so that this build stays compatible
+// with nodes that run earlier ones.
 func TestGoldenMessages(t *testing.T) {
 	endpoints := []Endpoint{{Name: "s-1", Address: "127.0.0.1:80", Zone: "a", Pod: 3, Weight: 1.5, Draining: true, StartedNs: 1_700_000_000_000_000_000}, {Name: "s-2", Address: "127.0.0.2:80"}}
 	for name, m := range map[string]message{
@@ -21,16 +22,16 @@
 		golden.Check(t, name, encoded)
 		var read message
 		if err := decMode.Unmarshal(encoded, &read); err != nil || fmt.Sprint(read) != fmt.Sprint(m) {
-			t.Errorf("%s: read as %+v, %v", name, read, err)
+			t.Errorf("%s: decoded as %+v, error %v; want the message that was encoded", name, read, err)
 		} else if !bytes.Equal(encode(&read), encoded) {
-			t.Errorf("%s: read and written again it is another message", name)
+			t.Errorf("%s: decoding and encoding again gives a different message", name)
 		}
 	}
-	golden.Check(t, "line.bin", encode(&endpoints[0])) // a list's digest is made of these
+	golden.Check(t, "line.bin", encode(&endpoints[0])) // the digest of a list is computed from these bytes
 	golden.Check(t, "digest.txt", []byte(fmt.Sprintf("%016x\n", newList(7, endpoints, 0, false).digest)))
 }
 
-// TestGoldenView compares the view of the admin API with that of earlier builds.
+// TestGoldenView compares the JSON of the view with a golden file, so that the format of the admin API doesn't change.
 func TestGoldenView(t *testing.T) {
 	v := View{WatchUp: true, Version: 7, Endpoints: 2, Restored: true, AgeSeconds: 1.5, Counters: Counters{Requests: 1, Responses: 2, RateLimited: 3, Invalid: 4, Accepted: 5, Unconfirmed: 6}}
 	text, err := json.Marshal(v)
--- a/internal/endpointgossip/list.go
+++ b/internal/endpointgossip/list.go
@@ -12,11 +12,11 @@
 	maxNameBytes    = 256
 	maxAddressBytes = 64
 	maxZoneBytes    = 64
-	maxPageBytes    = MaxMessageBytes - 120 // of encoded endpoints, beside the rest of a message
+	maxPageBytes    = MaxMessageBytes - 120 // of encoded endpoints; the rest of a message takes less than 120 bytes
 	unknownAge      = int64(math.MaxInt64)
 )
 
-// Endpoint is one endpoint of a list.
+// Endpoint is an endpoint on a list.
 type Endpoint struct {
 	Name      string  `cbor:"1,keyasint"`
 	Address   string  `cbor:"2,keyasint"`
@@ -32,17 +32,17 @@
 		len(e.Zone) <= maxZoneBytes && e.Weight >= 0 && !math.IsInf(e.Weight, 0) && e.StartedNs >= 0
 }
 
-// list is a complete list.
+// list is a complete endpoint list.
 type list struct {
 	version     int64
-	digest      uint64 // of all endpoints
+	digest      uint64 // hash of all encoded endpoints
 	endpoints   []Endpoint
-	pages       [][]Endpoint // the endpoints as they are sent
-	confirmedAt int64        // when discovery is last known to have had it, nanoseconds; 0: not known
-	restored    bool         // no watch is known to have sent it
+	pages       [][]Endpoint // the endpoints, split so that each page fits into a message
+	confirmedAt int64        // when a watch last confirmed the list, nanoseconds; 0: not known
+	restored    bool         // known only from persisted state or configuration
 }
 
-// newList sorts the endpoints by name and divides them into pages.
+// newList returns a list of the endpoints, which it sorts by name and splits into pages.
 func newList(version int64, endpoints []Endpoint, confirmedAt int64, restored bool) *list {
 	slices.SortFunc(endpoints, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 	l := &list{version: version, endpoints: endpoints, confirmedAt: confirmedAt, restored: restored}
@@ -64,7 +64,7 @@
 	return l
 }
 
-// age is the time since the list was last confirmed.
+// age returns the time since the list was last confirmed, or unknownAge.
 func (e *Exchange) age(l *list) int64 {
 	if l.confirmedAt == 0 {
 		return unknownAge
@@ -72,7 +72,7 @@
 	return e.now - l.confirmedAt
 }
 
-// all are the endpoints of a list; none of no list.
+// endpointsOrNil returns the endpoints of the list, or nil for a nil list.
 func (l *list) endpointsOrNil() []Endpoint {
 	if l == nil {
 		return nil
@@ -80,12 +80,12 @@
 	return l.endpoints
 }
 
-// is reports whether a list is the one of a version and digest.
+// matches reports whether the list has a version and digest.
 func (l *list) matches(version int64, digest uint64) bool {
 	return l.version == version && l.digest == digest
 }
 
-// confirm takes in that another node has the same list.
+// confirm records that another node has the same list: when it was confirmed there, and whether it is restored there.
 func (l *list) confirm(confirmedAt int64, restored bool) {
 	l.confirmedAt = max(l.confirmedAt, confirmedAt)
 	l.restored = l.restored && restored
--- a/internal/endpointgossip/merge.go
+++ b/internal/endpointgossip/merge.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// minActiveDivisor: a list may leave one in so many of the usable endpoints without further witnesses.
+// minActiveDivisor limits the endpoints that a list can remove without requiredWitnesses: at least one in
+// minActiveDivisor of the active endpoints must stay active.
 const minActiveDivisor = 2
 
-// accept takes a gathered list into use, by the order between lists in the package comment. It returns the endpoints to
-// use; nil: nothing changes.
+// accept merges a completely transferred list into the current one, by the rules in the package comment. It returns the
+// endpoints to use, or nil if nothing changes.
 func (e *Exchange) accept(t *transfer) []Endpoint {
 	endpoints := t.endpoints()
 	received := newList(t.head.Version, endpoints, t.head.confirmedAt(), t.head.Restored)
-	if received.digest != t.head.Digest || len(endpoints) > MaxEndpoints { // pages of different lists
+	if received.digest != t.head.Digest || len(endpoints) > MaxEndpoints { // the pages are of different lists
 		e.counters.Invalid++
 		e.transfer = nil
 		return nil
@@ -25,7 +26,7 @@
 			t.unconfirmed = true
 			e.counters.Unconfirmed++
 		}
-		return nil // the gathering stays, for another witness
+		return nil // the transfer stays, for another witness
 	}
 	e.transfer = nil
 	if current != nil && next.matches(current.version, current.digest) {
@@ -41,7 +42,8 @@
 	return endpointsToUse
 }
 
-// combine is the list after a gathered one, and the endpoints that are only on the current one, if there is one.
+// mergeLists returns the list that results from receiving a list, and, if that replaces the current one, the endpoints
+// that are only on the current one, as draining.
 func mergeLists(current, received *list) (next *list, absent []Endpoint) {
 	if current == nil {
 		return received, nil
@@ -50,7 +52,7 @@
 		return received, absentAsDraining(current.endpoints, received.endpoints)
 	}
 	a, b := current, received
-	if b.restored { // starts are taken from the second
+	if b.restored { // start times are taken from the second list
 		a, b = b, a
 	}
 	merged := mergeCautiously(a.endpoints, b.endpoints, a.restored && !b.restored)
@@ -62,8 +64,8 @@
 	return countActive(next)*minActiveDivisor < countActive(current)
 }
 
-// markNewAsJustStarted counts endpoints that are new in a list as just started, and others as started no earlier than
-// known.
+// markNewAsJustStarted sets the start time of endpoints that are not known to now, and that of known endpoints to the
+// known one if that is later.
 func (e *Exchange) markNewAsJustStarted(endpoints, knownEndpoints []Endpoint) {
 	startedNs := map[string]int64{}
 	for _, endpoint := range knownEndpoints {
@@ -78,7 +80,8 @@
 	}
 }
 
-// mergeCautiously merges two lists endpoint by endpoint. startsOfSecond: only the second is known to have right starts.
+// mergeCautiously merges two lists endpoint by endpoint. useSecondStarts: only the start times of the second are
+// trusted.
 func mergeCautiously(first, second []Endpoint, useSecondStarts bool) []Endpoint {
 	merged := map[string]Endpoint{}
 	for _, endpoint := range first {
@@ -93,8 +96,8 @@
 	return slices.Collect(maps.Values(merged))
 }
 
-// mergeWith is the more cautious of two entries for an endpoint. Where neither is more cautious any choice will do that
-// is the same at all nodes.
+// mergeWith returns the more cautious combination of two entries for an endpoint. Where neither value is more cautious,
+// the choice is arbitrary but the same at all nodes. keepStart: the start time of e is kept.
 func (e Endpoint) mergeWith(other Endpoint, keepStart bool) Endpoint {
 	e.Draining = e.Draining || other.Draining
 	if !keepStart {
@@ -107,7 +110,7 @@
 	return e
 }
 
-// absentAsDraining are the endpoints of a list that a newer one lacks, as draining.
+// absentAsDraining returns the endpoints of a list that are not on a newer one, as draining.
 func absentAsDraining(older, newer []Endpoint) (absent []Endpoint) {
 	listed := map[string]bool{}
 	for _, endpoint := range newer {
--- a/internal/endpointgossip/message.go
+++ b/internal/endpointgossip/message.go
@@ -11,26 +11,26 @@
 
 const (
 	maxPages = 1024
-	headOnly = -1 // as a page: the response carries no endpoints
+	headOnly = -1 // value of Page in a response without endpoints
 )
 
-// message is a request or a response, as CBOR with whole-number keys. Unknown fields are ignored, so that later
-// versions can add some; a key is never reused.
+// message is a request or a response, encoded in CBOR with integer keys. Unknown fields are ignored, so that later
+// versions can add fields; a key is never reused.
 type message struct {
 	Kind        kind       `cbor:"1,keyasint"`
 	Version     int64      `cbor:"2,keyasint"`
 	Digest      uint64     `cbor:"3,keyasint"`
 	WantPages   []int      `cbor:"4,keyasint,omitempty"`
-	Pages       int        `cbor:"5,keyasint,omitempty"` // of the responder's list
-	Page        int        `cbor:"6,keyasint,omitempty"` // of Endpoints, or headOnly
+	Pages       int        `cbor:"5,keyasint,omitempty"` // number of pages of the responder's list
+	Page        int        `cbor:"6,keyasint,omitempty"` // number of the page that Endpoints are, or headOnly
 	Endpoints   []Endpoint `cbor:"7,keyasint,omitempty"`
-	AgeNs       int64      `cbor:"8,keyasint,omitempty"` // of the list's confirmation
-	WatchUp     bool       `cbor:"9,keyasint,omitempty"` // the responder's
+	AgeNs       int64      `cbor:"8,keyasint,omitempty"` // since the list was last confirmed
+	WatchUp     bool       `cbor:"9,keyasint,omitempty"` // the responder's own watch is up
 	Restored    bool       `cbor:"10,keyasint,omitempty"`
-	RequestedAt int64      `cbor:"11,keyasint"` // when the request went out, by the asking node's clock
+	RequestedAt int64      `cbor:"11,keyasint"` // when the request was sent, by the requesting node's clock
 }
 
-// confirmedAt is when the list was confirmed, by the clock of the asking node; 0: not known.
+// confirmedAt returns when the list was confirmed, by the clock of the requesting node; 0: not known.
 func (m *message) confirmedAt() int64 {
 	if m.AgeNs >= m.RequestedAt {
 		return 0
--- a/internal/endpointgossip/request.go
+++ b/internal/endpointgossip/request.go
@@ -1,11 +1,12 @@
 package endpointgossip
 
-// Requests and responses: a request names the list that the asking node has; a response names the responder's and
-// carries a page of it if it is the better one. Further pages are requested by number.
+// Requests and responses: a request carries the version and digest of the list that the requesting node has; a response
+// carries those of the responder's list, and a page of it if that list is the better one. Further pages are requested
+// by number.
 
 const maxPagesPerRequest = 8
 
-// requestFromRandomNodes asks random nodes which list they have, and backs off.
+// requestFromRandomNodes requests the lists of random nodes, and schedules the next such requests with a backoff.
 func (e *Exchange) requestFromRandomNodes() {
 	nodes := e.transport.Reachable()
 	for range min(nodesPerRequest, len(nodes)) {
@@ -18,7 +19,8 @@
 	e.nextRequestTick = e.tick + 1 + e.random.Int64N(e.backoffTicks)
 }
 
-// request asks a node for pages of the list that is being gathered, or, without pages, which list it has.
+// request sends a request for pages of the list that is being transferred, or, if pages is nil, for the list that the
+// node has.
 func (e *Exchange) request(to int, pages []int) {
 	e.requestsInTick++
 	if e.requestsInTick > maxRequestsPerTick {
@@ -35,7 +37,8 @@
 	e.transport.SendPayload(to, encode(&m))
 }
 
-// respond sends pages of the current list, or its head alone if the asking node has it already or a better one.
+// respond sends pages of the current list, or a response without endpoints if the requesting node has the same or a
+// better list.
 func (e *Exchange) respond(to int, request *message) {
 	l := e.currentList()
 	ahead := request.isAheadOf(l)
@@ -73,7 +76,7 @@
 	}
 }
 
-// isAheadOf reports whether a request shows that its sender has a better list.
+// isAheadOf reports whether the sender of a request has a better list than l.
 func (m *message) isAheadOf(l *list) bool {
 	if len(m.WantPages) > 0 || m.Digest == 0 {
 		return false
@@ -81,7 +84,7 @@
 	return l == nil || isPreferred(m, &message{Version: l.version, Restored: l.restored})
 }
 
-// pagesFor are the pages to respond with, headOnly for none.
+// pagesFor returns the numbers of the pages to respond with, or headOnly for a response without endpoints.
 func pagesFor(request *message, l *list, ahead bool) []int {
 	same := l.matches(request.Version, request.Digest)
 	switch {
@@ -98,7 +101,8 @@
 	}
 }
 
-// preferred reports whether a list is rather gathered than another.
+// isPreferred reports whether the list of candidate is better than that of other: watched rather than restored, else of
+// a higher version.
 func isPreferred(candidate, other *message) bool {
 	if candidate.Restored != other.Restored {
 		return other.Restored
--- a/internal/endpointgossip/gathering.go
+++ b/internal/endpointgossip/transfer.go
@@ -4,24 +4,25 @@
 
 const (
 	pageRetryTicks       = 2  // after which missing pages are requested again
-	transferTimeoutTicks = 30 // without a page, after which a list is given up
-	requiredWitnesses    = 2  // nodes whose watches are up, for a list that removes most endpoints
+	transferTimeoutTicks = 30 // without a page, after which a transfer is abandoned
+	requiredWitnesses    = 2  // for a list that removes most endpoints
 )
 
-// gathering is a list that comes page by page.
+// transfer is the transfer of a list, page by page, from one or more nodes.
 type transfer struct {
-	head             message // the first response, with the latest confirmation
+	head             message // the first response, updated with the latest confirmation
 	pages            [][]Endpoint
-	receivedPages    int // pages
-	outstandingPages int // pages that were requested and have not come
+	receivedPages    int
+	outstandingPages int // pages that were requested and have not been received
 	lastPageTick     int64
 	lastRequestTick  int64
-	lastSender       int   // the node that sent a page last
-	witnesses        []int // nodes whose own watches have sent the list
-	unconfirmed      bool  // it lacks witnesses
+	lastSender       int   // node that sent the last new page
+	witnesses        []int // see the package comment; at most requiredWitnesses
+	unconfirmed      bool  // counted as Unconfirmed
 }
 
-// continueTransfer gives up a list whose pages have stopped coming, and requests what is missing.
+// continueTransfer abandons a transfer that has timed out, requests a better list that another node has, and requests
+// missing pages again.
 func (e *Exchange) continueTransfer() {
 	if t := e.transfer; t != nil && e.tick-t.lastPageTick > transferTimeoutTicks {
 		e.transfer = nil
@@ -35,14 +36,14 @@
 	}
 }
 
-// requestMissing requests missing pages from the node that sent one last.
+// requestMissing requests missing pages from the node that sent the last new one.
 func (e *Exchange) requestMissing(t *transfer) {
 	pages := t.missingPages()
 	t.outstandingPages, t.lastRequestTick = len(pages), e.tick
 	e.request(t.lastSender, pages)
 }
 
-// handleResponse takes in a response; it returns endpoints as Receive does.
+// handleResponse handles a response. It returns endpoints as Receive does.
 func (e *Exchange) handleResponse(from int, response *message) []Endpoint {
 	if current := e.currentList(); current != nil {
 		if current.matches(response.Version, response.Digest) {
@@ -58,7 +59,7 @@
 	}
 	t := e.transfer
 	if !t.matches(response) {
-		return nil // of another list, which is asked for when this one is done
+		return nil // of another list, which is requested after this transfer
 	}
 	t.addConfirmation(from, response)
 	if response.Page != headOnly && t.pages[response.Page] == nil {
@@ -85,7 +86,7 @@
 	return m.Version == t.head.Version && m.Digest == t.head.Digest && m.Pages == len(t.pages)
 }
 
-// addConfirmation takes in what a response says of the list as a whole.
+// addConfirmation updates the age, the witnesses and the origin of the list from a response.
 func (t *transfer) addConfirmation(from int, response *message) {
 	if response.confirmedAt() > t.head.confirmedAt() {
 		t.head.RequestedAt, t.head.AgeNs = response.RequestedAt, response.AgeNs
@@ -96,7 +97,7 @@
 	t.head.Restored = t.head.Restored && response.Restored
 }
 
-// addPage keeps a page, and requests more once those that were requested have come.
+// addPage adds a page to a transfer, and requests the next ones when none is outstanding.
 func (e *Exchange) addPage(t *transfer, from int, response *message) {
 	t.pages[response.Page] = append([]Endpoint{}, response.Endpoints...)
 	t.receivedPages++
@@ -109,7 +110,7 @@
 
 func (t *transfer) complete() bool { return t.receivedPages >= len(t.pages) }
 
-// missing are the first pages that are missing, as many as one request can name.
+// missingPages returns the numbers of the first missing pages, as many as a request can have.
 func (t *transfer) missingPages() (pages []int) {
 	for page := range t.pages {
 		if t.pages[page] == nil && len(pages) < maxPagesPerRequest {
@@ -119,5 +120,5 @@
 	return pages
 }
 
-// endpoints are those of all pages.
+// endpoints returns the endpoints of all pages.
 func (t *transfer) endpoints() []Endpoint { return slices.Concat(t.pages...) }
