--- a/internal/endpointgossip/exchange.go
+++ b/internal/endpointgossip/exchange.go
@@ -153,9 +153,9 @@
 
 // watchRestored ends the use of gossiped lists. It returns the watched list if a gossiped one was used, and nil
 // otherwise.
-func (e *Exchange) watchRestored(heardAt int64) (endpoints []Endpoint) {
+func (e *Exchange) watchRestored(receivedAt int64) (endpoints []Endpoint) {
 	e.watchUp = true
-	e.watchReceivedAt = heardAt
+	e.watchReceivedAt = receivedAt
 	e.ticksWithoutEvent = 0
 	e.transfer = nil
 	e.betterListNode = -1
@@ -181,21 +181,21 @@
 // Tick must be called at regular intervals, ten times per protocol period of package members. watchReceivedAt is when
 // the node's own watch last received anything, including an empty line; 0: the watch is down. Tick returns a list as
 // WatchUpdated does.
-func (e *Exchange) Tick(now, watchHeardAt int64) []Endpoint {
+func (e *Exchange) Tick(now, watchReceivedAt int64) []Endpoint {
 	e.now = max(e.now, now)
 	e.tick++
 	e.requestsInTick, e.responsesInTick = 0, 0
-	if watchHeardAt > 0 && e.watchUp {
-		e.watchReceivedAt = max(e.watchReceivedAt, watchHeardAt)
+	if watchReceivedAt > 0 && e.watchUp {
+		e.watchReceivedAt = max(e.watchReceivedAt, watchReceivedAt)
 		return nil
 	}
-	if watchHeardAt == 0 {
+	if watchReceivedAt == 0 {
 		e.ticksWithoutEvent = 0
 	} else {
 		e.ticksWithoutEvent++
 	}
 	if e.ticksWithoutEvent > watchGraceTicks && e.watchedVersion > 0 { // the watch has resumed, and its list is unchanged
-		return e.watchRestored(watchHeardAt)
+		return e.watchRestored(watchReceivedAt)
 	}
 	if e.watchUp {
 		e.watchFailed()
--- a/internal/endpointgossip/exchange_test.go
+++ b/internal/endpointgossip/exchange_test.go
@@ -91,11 +91,11 @@
 	network.now += tickNs
 	for _, n := range network.nodes {
 		n.sent = 0
-		heardAt := int64(0)
+		receivedAt := int64(0)
 		if n.watchUp {
-			heardAt = network.now
+			receivedAt = network.now
 		}
-		n.apply(n.exchange.Tick(network.now, heardAt), true)
+		n.apply(n.exchange.Tick(network.now, receivedAt), true)
 	}
 	for len(network.inFlight) > 0 {
 		var remaining []inFlightMessage
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -113,7 +113,7 @@
 	for k := range 50 {
 		pings = append(pings, datagramFrom(m, fmt.Sprintf("n%d", 1+k), message{Kind: ping, Sequence: uint64(k), Buckets: m.buckets(), Bucket: k % m.buckets(), Digest: 1}))
 	}
-	for round := range 20 {
+	for period := range 20 {
 		transport.sent = transport.sent[:0]
 		for range TicksPerPeriod {
 			now += 1e8
@@ -123,7 +123,7 @@
 			}
 		}
 		if len(transport.sent) > 26+TicksPerPeriod*maxResponsesPerTick {
-			t.Fatalf("period %d: got %d datagrams, more than the limit of 26 and maxResponsesPerTick per tick", round, len(transport.sent))
+			t.Fatalf("period %d: got %d datagrams, more than the limit of 26 and maxResponsesPerTick per tick", period, len(transport.sent))
 		}
 		for _, sent := range transport.sent {
 			if len(sent) >= MaxDatagramBytes {
