--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -10,8 +10,8 @@
 	"fawnglade/internal/store"
 )
 
-// TestRecoveryFromLogTruncatedAtEveryByte cuts the log of a store at every byte: what is found then is what one of the batches
-// left, and the drains of the last complete one hold.
+// TestRecoveryFromLogTruncatedAtEveryByte truncates the log of a store at every byte, as a crash can: the recovered
+// endpoint states must be those after the last complete batch.
 func TestRecoveryFromLogTruncatedAtEveryByte(t *testing.T) {
 	dir := t.TempDir()
 	opened, _, err := store.Open(dir, store.Options{ManualCompaction: true})
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	memory, state := memoryDisk{}, memoryDisk{}.read()
-	var statesByBatch []map[string]EndpointState // by batch
+	var statesByBatch []map[string]EndpointState // statesByBatch[i] are those after i+1 batches
 	writeBatch := func() {
 		var batch store.Batch
 		for _, c := range state.Changes() {
@@ -60,7 +60,7 @@
 		}
 		s, _, err := store.Open(truncatedDir, store.Options{})
 		if err != nil {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("truncated at %d: %v", cut, err)
 		}
 		snapshot := s.Snapshot()
 		recovered := Load(func(take func(string, []byte)) {
@@ -68,7 +68,7 @@
 		})
 		snapshot.Release()
 		if err := errors.Join(err, s.Close()); err != nil {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("truncated at %d: %v", cut, err)
 		}
 		states := map[string]EndpointState{}
 		for name, endpoint := range recovered.endpoints {
@@ -78,10 +78,10 @@
 			lastBatch++
 		}
 		if !maps.Equal(states, statesByBatch[lastBatch]) && (lastBatch != 0 || len(states) != 0) {
-			t.Fatalf("cut at %d: %v, want what batch %d left, %v", cut, states, lastBatch, statesByBatch[lastBatch])
+			t.Fatalf("truncated at %d: got %v, want the states after batch %d, %v", cut, states, lastBatch, statesByBatch[lastBatch])
 		}
 	}
 	if lastBatch != len(statesByBatch)-1 {
-		t.Errorf("the whole log gives batch %d of %d", lastBatch, len(statesByBatch)-1)
+		t.Errorf("the complete log was recovered up to batch %d, want all of %d batches", lastBatch, len(statesByBatch)-1)
 	}
 }
--- a/internal/nodestate/golden_test.go
+++ b/internal/nodestate/golden_test.go
@@ -12,7 +12,8 @@
 	"fawnglade/internal/store"
 )
 
-// goldenDisk is what a run leaves that had endpoints in every state, estimates and starts of other nodes.
+// goldenDisk returns the content of the store after a run with endpoints in every state, estimates and start times of
+// other nodes.
 func goldenDisk() memoryDisk {
 	disk := memoryDisk{}
 	state := disk.read()
@@ -28,7 +29,8 @@
 	return disk
 }
 
-// TestGoldenRecords compares the stored records with the bytes of earlier builds.
+// TestGoldenRecords compares the encoded records and their keys with golden files, so that this build stays compatible
+// with the stores of earlier ones.
 func TestGoldenRecords(t *testing.T) {
 	var text []byte
 	for key, value := range goldenDisk() {
@@ -41,7 +43,7 @@
 	golden.Check(t, "keys.txt", text)
 }
 
-// TestGoldenStore opens a store that an earlier build wrote, and finds in it what that build stored.
+// TestGoldenStore opens a store that was written by an earlier build and checks its content.
 func TestGoldenStore(t *testing.T) {
 	goldenDir := filepath.Join("testdata", "golden", "store")
 	if _, err := os.Stat(goldenDir); err != nil {
@@ -67,14 +69,14 @@
 		t.Fatal(err)
 	}
 	if want := goldenDisk(); !maps.EqualFunc(stored, want, slices.Equal) {
-		t.Errorf("found %q, expected %q", stored, want)
+		t.Errorf("got records %q, want %q", stored, want)
 	}
 	state := stored.read()
 	if state.UnreadableValues() != 0 || state.Epoch() != 1 || state.Version() != 7 || state.LastClock() != testNow+3e9 || len(state.MemberStartsMs()) != 1 {
-		t.Errorf("read: %d unreadable, epoch %d, version %d, last clock %d, starts %v", state.UnreadableValues(), state.Epoch(), state.Version(), state.LastClock(), state.MemberStartsMs())
+		t.Errorf("got %d unreadable values, epoch %d, version %d, last clock %d, member starts %v; want 0, 1, 7, 3 s after the start, 1 entry", state.UnreadableValues(), state.Epoch(), state.Version(), state.LastClock(), state.MemberStartsMs())
 	}
 	recovered := state.Recover(testNow + 4e9)
 	if len(recovered.Endpoints) != 2 || recovered.Endpoints[0].State != Draining || recovered.Endpoints[1].StartedNs != testNow+4e9 || string(recovered.Estimates) != `{"MeanOf":5}` {
-		t.Errorf("recovered: %+v", recovered)
+		t.Errorf("got %+v, want two endpoints, the first draining, the second just started, and the estimates", recovered)
 	}
 }
--- a/internal/nodestate/state.go
+++ b/internal/nodestate/state.go
@@ -1,9 +1,9 @@
-// Package nodestate is what a node persists across restarts and crashes: the endpoint list, the estimates of the
-// decisions and the starts of other nodes; trust.go has the rules of what is trusted after a start.
+// Package nodestate defines the state that a node persists across restarts and crashes: the endpoint list, the
+// estimates of the policy and the start times of other nodes. trust.go has the rules for what is trusted after a start.
 //
-// The package has no I/O, clock or goroutine: it is given what a store held and the time, and returns what has to be
-// written. A State is not safe for concurrent use. Times are Unix nanoseconds of the node's clock, unless their names
-// say otherwise.
+// The package has no I/O, clock or goroutine: the caller passes the content of a store and the time, and writes the
+// changes that are returned. A State is not safe for concurrent use. Times are Unix nanoseconds of the node's clock,
+// unless their names say otherwise.
 package nodestate
 
 import (
@@ -18,26 +18,27 @@
 )
 
 const (
-	// MaxEndpoints is how many endpoints are kept; of more, those go first that were removed longest ago.
+	// MaxEndpoints is the maximum number of endpoints that are kept. Beyond it, the endpoints that were removed longest
+	// ago are dropped first.
 	MaxEndpoints = 8192
 
 	maxNameBytes      = 256
 	maxEstimatesBytes = 4 << 20
 )
 
-var errInvalidEndpoint = errors.New("invalid endpoint")
+var errInvalidEndpoint = errors.New("invalid endpoint record")
 
-// EndpointState is the state of an endpoint on the list.
+// EndpointState is the state of an endpoint on the endpoint list.
 type EndpointState uint8
 
-// The states.
+// The states of an endpoint.
 const (
 	Active EndpointState = iota
 	Draining
-	Removed // kept, as an older list may still have the endpoint
+	Removed // kept because an older list may still have the endpoint
 )
 
-// Endpoint is one endpoint as the list last had it.
+// Endpoint is an endpoint with the last state that was recorded from a list.
 type Endpoint struct {
 	Name      string        `cbor:"1,keyasint"`
 	Address   string        `cbor:"2,keyasint"`
@@ -45,11 +46,11 @@
 	Pod       int           `cbor:"4,keyasint"`
 	Weight    float64       `cbor:"5,keyasint"`
 	State     EndpointState `cbor:"6,keyasint"`
-	StartedNs int64         `cbor:"7,keyasint"` // by the list; 0: long ago
-	ListedAt  int64         `cbor:"8,keyasint"` // when the list had it so
-	Version   int64         `cbor:"9,keyasint"` // of that list
+	StartedNs int64         `cbor:"7,keyasint"` // start time on the list; 0: long ago
+	ListedAt  int64         `cbor:"8,keyasint"` // when this state was recorded
+	Version   int64         `cbor:"9,keyasint"` // version of the list
 
-	listedSinceStart bool // the list had it so after this start
+	listedSinceStart bool // recorded since this start of the node
 }
 
 func (e *Endpoint) valid() bool {
@@ -57,19 +58,19 @@
 		e.Weight >= 0 && !math.IsInf(e.Weight, 0) && e.StartedNs >= 0 && e.ListedAt >= 0
 }
 
-// sameEntry reports whether a list has an endpoint unchanged.
+// sameEntry reports whether the entry of a list has the same state, start time and address.
 func (e *Endpoint) sameEntry(listed *Endpoint) bool {
 	return e.State == listed.State && e.StartedNs == listed.StartedNs && e.Address == listed.Address
 }
 
-// header is what is known of the state as a whole.
+// header has the metadata of the state.
 type header struct {
-	Epoch   uint64 `cbor:"1,keyasint"` // number of starts with this state
-	Clock   int64  `cbor:"2,keyasint"` // the latest time at which anything was recorded
-	Version int64  `cbor:"3,keyasint"` // the highest of the list
+	Epoch   uint64 `cbor:"1,keyasint"` // number of starts of the node with this state
+	Clock   int64  `cbor:"2,keyasint"` // latest time at which anything was recorded
+	Version int64  `cbor:"3,keyasint"` // highest list version that was recorded
 }
 
-// savedEstimates are the estimates of the decisions, encoded by these.
+// savedEstimates are the estimates of the policy, which also encodes them.
 type savedEstimates struct {
 	RecordedAt int64  `cbor:"1,keyasint"`
 	Encoded    []byte `cbor:"2,keyasint"`
@@ -77,19 +78,19 @@
 
 // State is the persisted state of one node.
 type State struct {
-	beforeStart header // as found in the store
-	olderCopy   bool   // other nodes know a later start of this node
+	beforeStart header // as loaded from the store
+	olderCopy   bool   // see IsOutdatedCopy
 
-	current          header               // with what this process has recorded
+	current          header               // including what this process has recorded
 	endpoints        map[string]*Endpoint // by name
 	estimates        savedEstimates
-	memberStarts     map[string]uint64 // of other nodes by name, milliseconds of their clocks
-	changed          map[string]bool   // keys that have to be written
+	memberStarts     map[string]uint64 // see MemberStartsMs
+	changed          map[string]bool   // keys to be written or removed
 	unreadableValues int
 }
 
-// Load makes the state of what a store held: each is called with a function that takes one key and value after another.
-// Values that can't be read are counted and ignored.
+// Load returns the state in a store. forEach must call add for each key and value of the store. Values that can't be
+// decoded are counted and ignored.
 func Load(forEach func(add func(key string, value []byte))) *State {
 	s := &State{endpoints: map[string]*Endpoint{}, changed: map[string]bool{}}
 	forEach(func(key string, value []byte) {
@@ -101,23 +102,23 @@
 	return s
 }
 
-// UnreadableValues is how many values Load could not read.
+// UnreadableValues returns the number of values that Load could not decode.
 func (s *State) UnreadableValues() int { return s.unreadableValues }
 
-// Epoch is the number of this start of the node with this state, from 1; 0 before RecordStart.
+// Epoch returns the number of this start of the node with this state, beginning with 1; 0 before RecordStart.
 func (s *State) Epoch() uint64 { return s.current.Epoch }
 
-// LastClock is the latest time that was recorded before this start; 0: none.
+// LastClock returns the latest time that was recorded before this start; 0: none.
 func (s *State) LastClock() int64 { return s.beforeStart.Clock }
 
-// Version is the highest version of the list before this start; 0: none.
+// Version returns the highest list version that was recorded before this start; 0: none.
 func (s *State) Version() int64 { return s.beforeStart.Version }
 
-// EndpointCount is how many endpoints are kept, removed ones included.
+// EndpointCount returns the number of endpoints in the state, including removed ones.
 func (s *State) EndpointCount() int { return len(s.endpoints) }
 
-// MemberStartsMs are the starts of other nodes by name, in milliseconds of their clocks. They are sent to these nodes,
-// which so detect an older copy of their state.
+// MemberStartsMs returns the start times of other nodes by name, in Unix milliseconds of their clocks. They are sent to
+// these nodes, which can so detect that their state is an outdated copy.
 func (s *State) MemberStartsMs() map[string]uint64 { return s.memberStarts }
 
 // RecordStart records a start of the node.
@@ -131,7 +132,7 @@
 	s.changed[keyHeader] = true
 }
 
-// RecordList records entries of the list at a version. complete: endpoints that are not among them were removed.
+// RecordList records entries of a list with a version. complete: endpoints that are not in entries were removed.
 func (s *State) RecordList(now int64, entries []Endpoint, version int64, complete bool) {
 	listed := map[string]bool{}
 	for _, entry := range entries {
@@ -153,11 +154,11 @@
 		return
 	}
 	if known != nil && known.sameEntry(&entry) {
-		known.Version = version // not written: what the store holds stays true
+		known.Version = version // not persisted: the stored record stays valid
 		return
 	}
 	entry.ListedAt, entry.Version = now, version
-	entry.listedSinceStart = true // not derived from ListedAt, as the clock may have gone back
+	entry.listedSinceStart = true // not derived from ListedAt, because the clock may have gone back
 	s.endpoints[entry.Name] = &entry
 	s.changed[endpointPrefix+entry.Name] = true
 }
@@ -171,7 +172,7 @@
 	}
 }
 
-// dropOldestRemoved drops the endpoint that was removed longest ago, and reports whether there was one.
+// dropOldestRemoved drops the endpoint that was removed longest ago. It reports whether there was one.
 func (s *State) dropOldestRemoved() bool {
 	var oldest *Endpoint
 	for _, endpoint := range s.endpoints {
@@ -191,7 +192,7 @@
 	return cmp.Or(cmp.Compare(e.ListedAt, other.ListedAt), cmp.Compare(e.Name, other.Name)) < 0
 }
 
-// RecordEstimates records the encoded estimates of the decisions; longer ones than 4 MiB are not kept.
+// RecordEstimates records the encoded estimates of the policy. It ignores estimates longer than 4 MiB.
 func (s *State) RecordEstimates(now int64, text []byte) {
 	if len(text) > maxEstimatesBytes {
 		return
@@ -201,7 +202,7 @@
 	s.recordTime(now)
 }
 
-// RecordMemberStarts records when other nodes started; see MemberStartsMs.
+// RecordMemberStarts records the start times of other nodes; see MemberStartsMs.
 func (s *State) RecordMemberStarts(now int64, startsMs map[string]uint64) {
 	if !maps.Equal(startsMs, s.memberStarts) {
 		s.memberStarts = startsMs
@@ -210,8 +211,8 @@
 	s.recordTime(now)
 }
 
-// MergeStored goes on with a store that was opened late and held some state: everything is written anew, the epochs go
-// on, and endpoints that only the store has are kept.
+// MergeStored merges the state of a store that could only be opened after the start: endpoints that are only in the
+// store are kept, the epoch continues that of the store, and everything is marked to be written again.
 func (s *State) MergeStored(stored *State) {
 	s.current.Epoch = max(s.current.Epoch, stored.current.Epoch+1)
 	for name, endpoint := range stored.endpoints {
@@ -228,13 +229,14 @@
 	s.changed[keyHeader] = true
 }
 
-// Change is one key that has to be written; a nil value removes it.
+// Change is a key to be written to the store; a nil value removes the key.
 type Change struct {
 	Key   string
 	Value []byte
 }
 
-// Changes returns what has changed since the last call, sorted by key. If the write fails, MarkChanged returns them.
+// Changes returns the changes since the last call, sorted by key. If they can't be written, the caller must pass them
+// to MarkChanged.
 func (s *State) Changes() []Change {
 	var changes []Change
 	for _, key := range slices.Sorted(maps.Keys(s.changed)) {
@@ -244,14 +246,14 @@
 	return changes
 }
 
-// MarkChanged has changes returned again, with the values of that time.
+// MarkChanged marks the keys of changes as changed, so that Changes returns them again with their then current values.
 func (s *State) MarkChanged(changes []Change) {
 	for _, change := range changes {
 		s.changed[change.Key] = true
 	}
 }
 
-// The keys of the store.
+// Keys in the store.
 const (
 	endpointPrefix = "server/"
 	keyHeader      = "head"
@@ -259,7 +261,7 @@
 	keyMembers     = "members"
 )
 
-// decode takes in one value of the store. Unknown keys are ignored.
+// decode decodes a value of the store into the state. Unknown keys are ignored.
 func (s *State) decode(key string, value []byte) error {
 	if name, ok := strings.CutPrefix(key, endpointPrefix); ok {
 		return s.decodeEndpoint(name, value)
@@ -289,7 +291,7 @@
 	return nil
 }
 
-// encode is the value of a key; nil: the key is to be removed.
+// encode returns the value of a key; nil: the key is to be removed.
 func (s *State) encode(key string) []byte {
 	var record any
 	name, isEndpoint := strings.CutPrefix(key, endpointPrefix)
--- a/internal/nodestate/state_test.go
+++ b/internal/nodestate/state_test.go
@@ -11,7 +11,7 @@
 
 const testNow = int64(1_700_000_000e9)
 
-// disk is a store as a map: what is not written is lost in a crash.
+// memoryDisk is a store in memory. Changes that were not written are lost in a simulated crash.
 type memoryDisk map[string][]byte
 
 func (d memoryDisk) read() *State {
@@ -36,7 +36,8 @@
 	return Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Weight: 1, State: state, StartedNs: startedNs}
 }
 
-// diskAfterRun is the disk of a run that had one endpoint active and one draining, at version 7, and recorded estimates.
+// diskAfterRun returns the store after a run with an active, a draining and a removed endpoint at version 7, and
+// estimates.
 func diskAfterRun() memoryDisk {
 	disk := memoryDisk{}
 	state := disk.read()
@@ -57,16 +58,16 @@
 		{"at once", testNow + 10, 1},
 		{"after a half-life", testNow + 10 + HalfLifeNs, 0.5},
 		{"much later", testNow + year, 0},
-		{"by a clock that went back", testNow - 60e9, 0},
+		{"with a clock that went back", testNow - 60e9, 0},
 	} {
 		got := diskAfterRun().read().Recover(c.now)
 		if len(got.Endpoints) != 2 || got.Endpoints[0].Name != "out" || got.Endpoints[0].State != Draining || got.Endpoints[0].StartedNs != 5 {
-			t.Errorf("%s: the drain does not hold: %+v", c.name, got.Endpoints)
+			t.Errorf("%s: the drain was not recovered: %+v", c.name, got.Endpoints)
 		} else if got.Endpoints[1].StartedNs != c.now {
-			t.Errorf("%s: an active endpoint does not count as just started: %+v", c.name, got.Endpoints[1])
+			t.Errorf("%s: the active endpoint does not count as just started: %+v", c.name, got.Endpoints[1])
 		}
 		if difference := got.EstimatesWeight - c.weight; difference > 1e-9 || difference < -1e-9 || (got.Estimates != nil) != (c.weight > 0) {
-			t.Errorf("%s: estimates have the weight %v, want %v", c.name, got.EstimatesWeight, c.weight)
+			t.Errorf("%s: got weight %v of the estimates, want %v", c.name, got.EstimatesWeight, c.weight)
 		}
 	}
 }
@@ -83,34 +84,34 @@
 		{"an older list", testEndpoint("out", Active, 5), testEndpoint("up", Active, 5), 6, false, Draining},
 		{"the same list", testEndpoint("out", Active, 5), testEndpoint("up", Active, 5), 7, false, Draining},
 		{"a newer list", testEndpoint("out", Active, 5), testEndpoint("up", Active, 5), 8, false, Active},
-		{"a later start", testEndpoint("out", Active, 6), testEndpoint("up", Active, 5), 6, false, Active},
-		{"a start of another endpoint that this state can't know", testEndpoint("out", Active, 5), testEndpoint("up", Active, testNow+20), 1, false, Active},
-		{"an older copy of the state", testEndpoint("out", Active, 5), testEndpoint("up", Active, 5), 6, true, Active},
-		{"one that was removed, in an older list", testEndpoint("gone", Active, 5), testEndpoint("up", Active, 5), 6, false, Removed},
+		{"a later start of the endpoint", testEndpoint("out", Active, 6), testEndpoint("up", Active, 5), 6, false, Active},
+		{"another endpoint that started after the last recorded time", testEndpoint("out", Active, 5), testEndpoint("up", Active, testNow+20), 1, false, Active},
+		{"an outdated copy of the state", testEndpoint("out", Active, 5), testEndpoint("up", Active, 5), 6, true, Active},
+		{"a removed endpoint on an older list", testEndpoint("gone", Active, 5), testEndpoint("up", Active, 5), 6, false, Removed},
 	} {
 		state := diskAfterRun().read()
 		state.RecordStart(testNow + 100)
 		if c.outdatedCopy && !state.ReportLaterStart(uint64(testNow/1e6)+1000) {
-			t.Error(c.name, ": not seen")
+			t.Error(c.name, ": the later start did not show that the state is outdated")
 		}
 		if got := state.ApplyDrains([]Endpoint{c.endpoint, c.otherEndpoint}, c.version)[0].State; got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: got state %v, want %v", c.name, got, c.want)
 		}
 	}
 	gossipState := diskAfterRun().read()
 	gossipState.RecordStart(testNow + 100)
 	gossiped := []Endpoint{testEndpoint("out", Active, 5), testEndpoint("up", Active, testNow+20)}
 	if sameVersion, newerVersion := gossipState.ApplyDrainsToGossiped(gossiped, 7)[0].State, gossipState.ApplyDrainsToGossiped(gossiped, 8)[0].State; sameVersion != Draining || newerVersion != Active {
-		t.Errorf("by a gossiped list as new as the state %v, by a newer one %v", sameVersion, newerVersion)
+		t.Errorf("got state %v by a gossiped list of the same version and %v by a newer one, want draining and active", sameVersion, newerVersion)
 	}
 	state := diskAfterRun().read()
 	state.RecordStart(testNow + 100)
 	state.RecordList(testNow+200, []Endpoint{testEndpoint("up", Draining, 5)}, 3, false)
 	if got := state.ApplyDrains([]Endpoint{testEndpoint("up", Active, 5)}, 4)[0].State; got != Active {
-		t.Error("a drain from after the start holds against the list")
+		t.Error("a drain recorded after the start overrides a list")
 	}
 	if (memoryDisk{}).read().ApplyDrains([]Endpoint{testEndpoint("x", Active, 0)}, 0)[0].State != Active {
-		t.Error("an empty state changes an entry")
+		t.Error("an empty state overrides an entry")
 	}
 }
 
@@ -121,7 +122,7 @@
 	disk["head"] = []byte("?")
 	state := disk.read()
 	if state.UnreadableValues() != 3 || len(state.Recover(testNow).Endpoints) != 1 {
-		t.Errorf("%d unreadable, %+v", state.UnreadableValues(), state.Recover(testNow))
+		t.Errorf("got %d unreadable values and recovered %+v, want 3 values and 1 endpoint", state.UnreadableValues(), state.Recover(testNow))
 	}
 }
 
@@ -134,7 +135,7 @@
 	state.MergeStored(disk.read())
 	disk.write(state)
 	if reread := disk.read(); reread.EndpointCount() != 4 || reread.current.Epoch != 2 || len(reread.Recover(testNow).Endpoints) != 3 {
-		t.Errorf("epoch %d, %+v", reread.current.Epoch, reread.Recover(testNow))
+		t.Errorf("got epoch %d and recovered %+v, want epoch 2, 4 endpoints in the state and 3 recovered", reread.current.Epoch, reread.Recover(testNow))
 	}
 }
 
@@ -145,12 +146,12 @@
 		state.RecordList(testNow+int64(i), []Endpoint{testEndpoint(fmt.Sprint("s", i), Active, 5)}, int64(i), true)
 	}
 	if state.EndpointCount() > MaxEndpoints {
-		t.Errorf("%d endpoints", state.EndpointCount())
+		t.Errorf("got %d endpoints, want at most MaxEndpoints", state.EndpointCount())
 	}
 }
 
-// TestDrainsSurviveAnyCrash has lists, crashes between batches and restarts in any order: no drain that was written is
-// lost, or ended by a list that does not come after it.
+// TestDrainsSurviveAnyCrash applies lists, writes and crashes with restarts in random order: no persisted drain or
+// removal may be lost, or ended by a list that is older than it.
 func TestDrainsSurviveAnyCrash(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := memoryDisk{}
@@ -165,7 +166,7 @@
 				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 				endpoint := testEndpoint(name, EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), rapid.Int64Range(0, 3).Draw(t, "started"))
 				state.RecordList(clock, state.ApplyDrains([]Endpoint{endpoint}, version), version, false)
-				recorded[name] = endpoint // a higher version than all before: recorded as it is
+				recorded[name] = endpoint // the version is higher than all before, so that no earlier drain overrides the entry
 			},
 			"write": func(*rapid.T) {
 				disk.write(state)
@@ -182,18 +183,18 @@
 				for name, want := range recorded {
 					got := state.endpoints[name]
 					if got == nil || got.State != want.State || got.StartedNs != want.StartedNs {
-						t.Fatalf("%s: %+v, want %+v", name, got, want)
+						t.Fatalf("%s: got %+v, want %+v", name, got, want)
 					}
 				}
 				for name, want := range written {
 					read := disk.read()
 					if got := read.endpoints[name]; got == nil || got.State != want.State {
-						t.Fatalf("on the disk %s: %+v, want %+v", name, got, want)
+						t.Fatalf("%s in the store: got %+v, want %+v", name, got, want)
 					}
 					read.RecordStart(clock + 1)
 					listed := testEndpoint(name, Active, 0)
 					if got := read.ApplyDrains([]Endpoint{listed}, 0)[0].State; want.State != Active && got != want.State {
-						t.Fatalf("an old list ends the drain of %s: %v", name, got)
+						t.Fatalf("a list of version 0 ended the drain or removal of %s: got state %v", name, got)
 					}
 				}
 			},
--- a/internal/nodestate/trust.go
+++ b/internal/nodestate/trust.go
@@ -6,34 +6,35 @@
 	"slices"
 )
 
-// What survives a crash, and who trusts it:
+// Rules for what of the persisted state is used after a start:
 //
-//   - A drain holds from the first request, however old, until the list has the endpoint as active after it, or with a
-//     later start. A list comes after the drain if its version is higher than that of the state, or if any endpoint on
-//     it started later than the last time that the state knows (ApplyDrains).
-//   - An endpoint that was active counts as just started: what crashed this node may have crashed it too. The next list
-//     says when it did start (Recover).
-//   - Estimates count for half with each HalfLifeNs of their age (Recover).
-//   - If the clock is behind the last time that the state knows, all ages are unknown and no estimates count.
-//   - If other nodes know a later start of this node than the state does, the state is an older copy, and the list
-//     overrides all of it (ReportLaterStart).
+//   - A persisted drain or removal applies from the first request on, whatever its age. It ends when a list that is
+//     newer than the state has the endpoint as active, or when any list has it as active with a later start time. A
+//     list is newer if its version is higher than that of the state, or if any endpoint on it started later than the last
+//     time that was recorded in the state (ApplyDrains).
+//   - An endpoint that was active counts as just started, because the cause of this node's crash may have crashed the
+//     endpoint too. The next list has its real start time (Recover).
+//   - The weight of estimates is halved for each HalfLifeNs of their age (Recover).
+//   - If the clock is behind the last recorded time, all ages are unknown and estimates are not used (Recover).
+//   - If other nodes have reported a later start of this node than the state has, the state is an outdated copy, and
+//     lists override all of it (ReportLaterStart).
 
 const (
-	// HalfLifeNs is the age in nanoseconds at which estimates count for half.
+	// HalfLifeNs is the age in nanoseconds at which the weight of estimates is half.
 	HalfLifeNs = int64(30e9)
 
-	minEstimatesWeight = 0.05 // below it estimates are not used
+	minEstimatesWeight = 0.05 // below it, estimates are not used
 )
 
-// Recovered is what a start may use.
+// Recovered is the part of the persisted state that may be used after a start.
 type Recovered struct {
-	Endpoints       []Endpoint // by name, draining ones included
+	Endpoints       []Endpoint // active and draining ones, sorted by name
 	Estimates       []byte     // nil: none
 	EstimatesWeight float64    // 0 to 1, by their age
-	NotTrusted      []string   // what is not used, and why; the admin API shows these texts, so they stay
+	NotTrusted      []string   // what is not used, and why; the admin API serves these texts, so they must not change
 }
 
-// Recover returns what a start at a time may use.
+// Recover returns what may be used after a start at now.
 func (s *State) Recover(now int64) Recovered {
 	var r Recovered
 	clockBehind := s.beforeStart.Clock > now
@@ -72,8 +73,8 @@
 	r.Estimates, r.EstimatesWeight = s.estimates.Encoded, weight
 }
 
-// ReportLaterStart takes in a start of this node that others know, in milliseconds of its clock. It reports whether
-// that shows, for the first time, that the state is an older copy.
+// ReportLaterStart handles a start of this node that other nodes have reported, in Unix milliseconds of this node's
+// clock. It returns true when a report shows for the first time that the state is an outdated copy.
 func (s *State) ReportLaterStart(startMs uint64) bool {
 	if s.olderCopy || s.beforeStart.Clock == 0 || startMs <= uint64(s.beforeStart.Clock/1e6) {
 		return false
@@ -82,10 +83,11 @@
 	return true
 }
 
-// IsOlderCopy reports whether the state was found to be an older copy.
+// IsOutdatedCopy reports whether the state that was loaded is an outdated copy: other nodes have reported a later start
+// of this node than the state has.
 func (s *State) IsOlderCopy() bool { return s.olderCopy }
 
-// ApplyDrains returns entries of a list of discovery with the drains and removals that hold against it.
+// ApplyDrains returns entries of a list of discovery with the persisted drains and removals that override it.
 func (s *State) ApplyDrains(entries []Endpoint, version int64) []Endpoint {
 	startedLater := func(entry Endpoint) bool { return entry.StartedNs > s.beforeStart.Clock }
 	if s.olderCopy || slices.ContainsFunc(entries, startedLater) {
@@ -94,8 +96,8 @@
 	return s.ApplyDrainsToGossiped(entries, version)
 }
 
-// ApplyDrainsToGossiped is ApplyDrains for a list of another node. It is newer by its version alone: a start on it may
-// be that node's guess.
+// ApplyDrainsToGossiped is ApplyDrains for a list of another node. Such a list is newer only if its version is higher:
+// its start times may have been estimated by that node.
 func (s *State) ApplyDrainsToGossiped(entries []Endpoint, version int64) []Endpoint {
 	if version > s.beforeStart.Version || s.beforeStart.Clock == 0 {
 		return entries
@@ -109,7 +111,8 @@
 	return applied
 }
 
-// overridesListed reports whether a drain or removal from before this start holds against an entry of an older list.
+// overridesListed reports whether e is a drain or removal from before this start that overrides an entry of an older
+// list.
 func (e *Endpoint) overridesListed(listed *Endpoint) bool {
 	withdrawn := e.State != Active
 	fromBeforeStart := !e.listedSinceStart
--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -1,6 +1,6 @@
-// Package sockstate reports what the kernel knows of a connection before anybody reads from it. It takes no byte, does not
-// wait and changes nothing, so that its functions may be called beside reads and writes. A net.Conn that is no socket
-// counts as open and quiet.
+// Package sockstate queries the kernel for the state of a connection without reading from it. Its functions consume no
+// bytes, don't block and change nothing, so that they may be called concurrently with reads and writes. A net.Conn that
+// is not a socket counts as open and idle.
 package sockstate
 
 import (
@@ -9,10 +9,10 @@
 	"syscall"
 )
 
-// tcpState is the state of a connection as Linux numbers them (include/net/tcp_states.h).
+// tcpState is the state of a TCP connection, with the numbers of Linux (include/net/tcp_states.h).
 type tcpState byte
 
-// The states in which the peer has not ended its side.
+// The states in which the peer has not closed its side of the connection.
 const (
 	tcpEstablished tcpState = 1
 	tcpFinWait1    tcpState = 4
@@ -23,11 +23,11 @@
 	return s != tcpEstablished && s != tcpFinWait1 && s != tcpFinWait2
 }
 
-// Ended reports whether the peer has closed, reset or half-closed the connection, also where unread bytes precede the
-// end, which a read would come to only after them. A connection that is closed on this side has ended.
+// PeerClosed reports whether the peer has closed, reset or half-closed the connection. Unlike a read, it detects this
+// also while there are unread bytes. It returns true for a connection that is closed locally, too.
 //
-// Its source is TCP_INFO. It can't know of an end that follows more bytes than the kernel takes in unread: these wait at
-// the peer, and the end with them.
+// It uses TCP_INFO. It can't detect a close after more bytes than the receive buffer of the kernel holds: the peer has
+// not sent the rest of them yet, nor the FIN that follows.
 func PeerClosed(conn net.Conn) (closed bool) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -44,7 +44,7 @@
 	return closed || controlErr != nil
 }
 
-// readState reads a connection's state: the first byte of its TCP_INFO.
+// readState returns the state of a connection, which is the first byte of its TCP_INFO.
 func readState(fd int) (tcpState, error) {
 	info, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	if err != nil {
@@ -55,9 +55,9 @@
 	return tcpState(b[0]), nil
 }
 
-// Peek reports whether a byte can be read at once, and takes none: n is 1 if it can, and 0 without an error at the peer's
-// end. The error is syscall.EAGAIN if nothing has come. A reset is reported as an error only to the first who asks, to
-// others as an end.
+// Peek reports whether a read would return at once, without consuming any byte: n is 1 if there is a byte to read, and
+// 0 without an error at end of file. The error is syscall.EAGAIN if nothing has been received. A reset of the
+// connection is returned as an error only once; later calls report end of file.
 func Peek(conn net.Conn) (n int, err error) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// writeText writes to a peer whose state then shows whether that succeeded.
+// writeText writes to a connection. Errors are ignored, because the tests check the state of the other end.
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 // connect returns both ends of a TCP connection.
@@ -33,7 +33,8 @@
 	return dialed, accepted
 }
 
-// An end is known before anybody reads to it, and what has come is known and still there.
+// TestStateOfConnection checks PeerClosed and Peek for connections that are idle, have unread bytes, or are closed in
+// several ways: a close is detected while there are unread bytes, and no byte is consumed.
 func TestStateOfConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare    func(peer, own net.Conn)
@@ -57,7 +58,7 @@
 				peer.Close()
 			}, true, -1, syscall.ECONNRESET,
 		},
-		"closed after more than the kernel takes in": {
+		"closed after more bytes than the kernel buffers": {
 			func(peer, _ net.Conn) {
 				go func() {
 					writeText(peer, string(make([]byte, 8<<20)))
@@ -65,7 +66,7 @@
 				}()
 			}, false, 1, nil,
 		},
-		"half-closed here, not there": {func(_, own net.Conn) { own.(*net.TCPConn).CloseWrite() }, false, -1, syscall.EAGAIN},
+		"half-closed locally only": {func(_, own net.Conn) { own.(*net.TCPConn).CloseWrite() }, false, -1, syscall.EAGAIN},
 	} {
 		t.Run(name, func(t *testing.T) {
 			peer, own := connect(t)
@@ -84,11 +85,11 @@
 				time.Sleep(time.Millisecond)
 			}
 			if n, err := Peek(own); PeerClosed(own) != c.wantClosed || n != c.n || !errors.Is(err, c.err) {
-				t.Errorf("ended %t, %d bytes, %v", PeerClosed(own), n, err)
+				t.Errorf("got PeerClosed %t, Peek %d, %v", PeerClosed(own), n, err)
 			}
 			own.Close()
 			if !PeerClosed(own) {
-				t.Error("closed here, and not ended")
+				t.Error("a locally closed connection: got PeerClosed false, want true")
 			}
 		})
 	}
@@ -98,6 +99,6 @@
 	local, remote := net.Pipe()
 	defer remote.Close()
 	if n, err := Peek(local); PeerClosed(local) || n > 0 || !errors.Is(err, syscall.EAGAIN) {
-		t.Errorf("ended %t, %d bytes, %v", PeerClosed(local), n, err)
+		t.Errorf("got PeerClosed %t, Peek %d, %v; want false, no bytes and EAGAIN", PeerClosed(local), n, err)
 	}
 }
--- a/internal/subscription/status.go
+++ b/internal/subscription/status.go
@@ -8,26 +8,26 @@
 	"fawnglade/internal/relay"
 )
 
-// unknownAgeSeconds stands for an age that is not known.
+// unknownAgeSeconds is the value of Status.AgeSeconds if the age is not known.
 const unknownAgeSeconds = -1
 
-// Status of a subscription, as the admin API shows it.
+// Status is the state of a subscription, as served by the admin API.
 type Status struct {
-	Active           string            `json:"by"` // source of the list: nobody, relays, discovery
+	Active           string            `json:"by"` // source of the list in use: nobody, relays, discovery
 	Relay            string            `json:"relay,omitempty"`
-	LastError        string            `json:"why,omitempty"`  // for which the last relay was left
-	AgeSeconds       float64           `json:"age_s"`          // of what relays sent; -1: not known
-	ListVersion      int64             `json:"seq"`            // of discovery's list, that the relays' origin has
-	WatchesDiscovery bool              `json:"watch"`          // discovery is to be watched
-	Switches         int64             `json:"moves"`          // of the source
-	Complete         bool              `json:"whole"`          // all scopes have been complete once
-	SkippedRecords   int64             `json:"records_spoilt"` // that could not be decoded
+	LastError        string            `json:"why,omitempty"`  // why the connection to the last relay ended
+	AgeSeconds       float64           `json:"age_s"`          // age of the relays' list; -1: not known
+	ListVersion      int64             `json:"seq"`            // version of discovery's list at the origin of the relays
+	WatchesDiscovery bool              `json:"watch"`          // the node's own watch of discovery is requested
+	Switches         int64             `json:"moves"`          // changes of the source
+	Complete         bool              `json:"whole"`          // the lists of all scopes have been received completely
+	SkippedRecords   int64             `json:"records_spoilt"` // records that could not be decoded
 	Client           relay.ClientStats `json:"client"`
 	Records          int               `json:"records"`
-	Position         [2]uint64         `json:"position"` // epoch and version of what relays sent
+	Position         [2]uint64         `json:"position"` // epoch and version of the relays' list
 }
 
-// Status returns the status now.
+// Status returns the current status.
 func (s *Subscription[V]) Status() Status {
 	status := Status{AgeSeconds: unknownAgeSeconds}
 	s.sink.Inspect(func(subscriber *distribution.Subscriber) {
@@ -54,7 +54,7 @@
 	return status
 }
 
-// StatusJSON returns the status as JSON.
+// StatusJSON returns the current status as JSON.
 func (s *Subscription[V]) StatusJSON() string {
 	text, err := json.Marshal(s.Status())
 	if err != nil {
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -1,7 +1,7 @@
-// Package subscription gives a node its endpoint list: by relays, and by the node's own watch of discovery where relays
-// fail. It joins a relay client, a subscriber and the selection of the source (endpointsource), and calls back into the
-// node for how entries are decoded and applied. A failure here costs the relays' updates, never requests: all work is
-// done by two goroutines of its own.
+// Package subscription provides a node with its endpoint list from relays, and from the node's own watch of discovery
+// when the relays fail. It combines a relay client, a subscriber and the selection of the source (endpointsource); the
+// node decodes and applies entries in callbacks. A failure in this package loses updates of the relays but never
+// affects requests, because all work is done in two goroutines of its own.
 package subscription
 
 import (
@@ -19,38 +19,38 @@
 )
 
 const (
-	// tickInterval is how often the selection of the source is checked.
+	// tickInterval is the interval between checks of the selected source.
 	tickInterval = 100 * time.Millisecond
-	// skipLogIntervalNs is the least time between two log entries about skipped records.
+	// skipLogIntervalNs is the minimum time between two log entries about skipped records, in nanoseconds.
 	skipLogIntervalNs = int64(10e9)
 )
 
-// Config of a node's subscription. V is an endpoint as the node describes it. Apply and WatchDiscovery are called one
-// at a time, in order, under the subscription's lock: they must not call back into it.
+// Config configures a subscription. V is the node's type for an endpoint. Apply and WatchDiscovery are called one at a
+// time, in order, while the subscription's lock is held: they must not call methods of the subscription.
 type Config[V any] struct {
-	Name            string       // of the node: decides the order in which it tries relays
-	Relays          []string     // addresses with ports
-	Scopes          []string     // region/service; a star at the end stands for all that begin so
-	StaleAfterNs    int64        // relays whose list is older than this are stale, and discovery is watched
-	RestoredVersion int64        // of the list that the node has kept from before its start; 0: none
+	Name            string       // of the node; determines the order in which relays are tried
+	Relays          []string     // addresses of relays, with ports
+	Scopes          []string     // region/service; a star at the end matches any suffix
+	StaleAfterNs    int64        // age in nanoseconds beyond which the relays' list is stale and discovery is watched
+	RestoredVersion int64        // version of the list that the node has restored at its start; 0: none
 	Clock           func() int64 // nanoseconds, monotonic
 	Log             *zap.Logger
 
-	// Decode reads an entry of the list. An error has the entry skipped, and what was known of it stays.
+	// Decode decodes an entry of the list. If it returns an error, the entry is skipped and the endpoint stays unchanged.
 	Decode func(endpointlist.Entry) (V, error)
-	// ToEndpoint describes an endpoint to the selection of the source.
+	// ToEndpoint converts an endpoint for the selection of the source.
 	ToEndpoint func(V) endpointsource.Endpoint[V]
-	// WithState returns the endpoint in another state.
+	// WithState returns a copy of the endpoint in another state.
 	WithState func(V, endpointsource.EndpointState) V
-	// Apply has the node use a list, or with complete false what has changed in it.
+	// Apply applies a list to the node. If complete is false, entries are only the endpoints that have changed.
 	Apply func(entries []V, version int64, complete bool)
-	// WatchDiscovery starts or stops the watch of discovery. It is stopped at first.
+	// WatchDiscovery starts or stops the node's own watch of discovery, which is stopped initially.
 	WatchDiscovery func(on bool)
-	// DiscoveryConnected reports whether the watch of discovery is connected.
+	// DiscoveryConnected reports whether the node's own watch of discovery is connected.
 	DiscoveryConnected func() bool
-	// CountSkipped counts records that could not be used.
+	// CountSkipped adds to the count of records that were skipped because they could not be decoded.
 	CountSkipped func(records int)
-	// Recover is deferred in each goroutine and stops a panic there.
+	// Recover is deferred in the goroutines of the subscription. It must recover from a panic.
 	Recover func(component string, afterPanic func())
 }
 
@@ -63,16 +63,17 @@
 	mu                  sync.Mutex
 	selector            *endpointsource.Selector[V]
 	hostTable           *relay.HostTable
-	active              endpointsource.Source // as last logged
-	watchesDiscovery    bool                  // discovery, as last asked for by WatchDiscovery
+	active              endpointsource.Source // source in the last log entry
+	watchesDiscovery    bool                  // last argument of WatchDiscovery
 	discoveryConnected  bool
 	clientState         relay.ClientState
 	skipsLastLoggedAtNs int64
 
-	relaysOnly atomic.Bool // relays are active, and discovery is not watched
+	relaysOnly atomic.Bool // relays are the active source, and discovery is not watched
 }
 
-// New returns a subscription; nothing runs before Run. An error says that the configuration is invalid.
+// New returns a subscription, which is inactive until Run is called. It returns an error if the configuration is
+// invalid.
 func New[V any](config Config[V]) (*Subscription[V], error) {
 	s := &Subscription[V]{
 		config:    config,
@@ -95,7 +96,7 @@
 	return s, nil
 }
 
-// Run keeps the list up to date until the context is done. On a nil subscription it returns at once.
+// Run keeps the endpoint list up to date until ctx is done. On a nil subscription it returns at once.
 func (s *Subscription[V]) Run(ctx context.Context) {
 	if s == nil {
 		return
@@ -128,7 +129,7 @@
 	s.applyUpdate(s.selector.Tick(now))
 }
 
-// applyUpdate hands an update to the node, and starts or stops the watch of discovery. The lock is held.
+// applyUpdate applies an update to the node, and starts or stops the watch of discovery. The caller holds the lock.
 func (s *Subscription[V]) applyUpdate(update endpointsource.Update[V]) {
 	if update.Valid {
 		entries := make([]V, len(update.Endpoints))
@@ -150,7 +151,7 @@
 	}
 }
 
-// handleFrame applies what a frame of a relay has changed.
+// handleFrame applies the changes in a frame from a relay.
 func (s *Subscription[V]) handleFrame(now int64, changes []distribution.Change) {
 	complete, ageNs, ageKnown := false, int64(0), false
 	s.sink.Inspect(func(subscriber *distribution.Subscriber) {
@@ -170,7 +171,7 @@
 	}))
 }
 
-// decode turns changes of records into endpoints. Records that can't be used are counted and skipped.
+// decode returns the endpoints of changed records. Records that can't be decoded are counted and skipped.
 func (s *Subscription[V]) decode(now int64, changes []distribution.Change) []endpointsource.Endpoint[V] {
 	hostChanges := s.hostTable.Apply(changes)
 	endpoints := make([]endpointsource.Endpoint[V], 0, len(hostChanges.Entries))
@@ -179,7 +180,7 @@
 		if err != nil {
 			hostChanges.Skipped++
 			hostChanges.LastErr = err
-			continue // what was known of it stays
+			continue // the endpoint stays unchanged
 		}
 		endpoints = append(endpoints, s.config.ToEndpoint(decoded))
 	}
@@ -187,7 +188,7 @@
 		s.config.CountSkipped(hostChanges.Skipped)
 		if now-s.skipsLastLoggedAtNs > skipLogIntervalNs {
 			s.skipsLastLoggedAtNs = now
-			s.config.Log.Warn("records skipped", zap.Int("records", hostChanges.Skipped), zap.Error(hostChanges.LastErr))
+			s.config.Log.Warn("relay sent endpoint records that could not be decoded; skipping them", zap.Int("records", hostChanges.Skipped), zap.Error(hostChanges.LastErr))
 		}
 	}
 	return endpoints
@@ -198,13 +199,13 @@
 	defer s.mu.Unlock()
 	s.clientState = state
 	if state.Connected {
-		s.config.Log.Info("relay connected", zap.String("relay", state.Upstream))
+		s.config.Log.Info("connected to relay", zap.String("relay", state.Upstream))
 	} else if state.AllFailed {
 		s.applyUpdate(s.selector.RelaysUnreachable(s.config.Clock()))
 	}
 }
 
-// UpdateDiscovery applies a watch event of discovery. complete: entries are the complete list.
+// UpdateDiscovery handles an event of the node's own watch of discovery. complete: entries are the complete list.
 func (s *Subscription[V]) UpdateDiscovery(entries []V, version int64, complete bool) {
 	endpoints := make([]endpointsource.Endpoint[V], len(entries))
 	for i, entry := range entries {
@@ -216,8 +217,8 @@
 	s.applyUpdate(s.selector.UpdateDiscovery(s.config.Clock(), endpoints, complete, version))
 }
 
-// RelaysLastReceivedAt returns when relays last sent anything, by the clock, in nanoseconds; 0: the list doesn't come from
-// relays alone. It takes no lock, and may be called on a nil subscription.
+// RelaysLastReceivedAt returns when anything was last received from a relay, in nanoseconds of Config.Clock. It returns
+// 0 if relays are not the only source of the list. It takes no lock, and may be called on a nil subscription.
 func (s *Subscription[V]) RelaysLastReceivedAt() int64 {
 	if s == nil || !s.relaysOnly.Load() {
 		return 0
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 )
 
-// node is a node that subscribes.
+// testNode records what a subscription calls back.
 type testNode struct {
 	panics  atomic.Int64
 	watch   atomic.Bool
@@ -38,7 +38,7 @@
 	return n.applied[name]
 }
 
-// entry is an endpoint as the node under test describes it.
+// testEntry is the endpoint type of testNode. source says where the endpoint came from.
 type testEntry struct {
 	name, source string
 	state        endpointsource.EndpointState
@@ -61,14 +61,14 @@
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !met(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", condition)
+			t.Fatalf("condition not met within 5 s: %s", condition)
 		}
 	}
 }
 
 func endpointBody(host string) []byte { return fmt.Appendf(nil, `{"host":%q,"health":"up"}`, host) }
 
-// origin is an origin behind a relay server.
+// testOrigin is an origin that is served by a relay server.
 type testOrigin struct {
 	t       *testing.T
 	origin  *distribution.Origin
@@ -104,7 +104,7 @@
 	})
 }
 
-// putHosts puts hosts that subscribers get in one frame.
+// putHosts puts records of hosts, which subscribers receive in a single frame.
 func (o *testOrigin) putHosts(hosts ...string) {
 	o.t.Helper()
 	o.server.Do(func(now int64) {
@@ -117,7 +117,7 @@
 	})
 }
 
-// decode can't read a host named invalid, and panics at one named panics.
+// decodeTestEntry returns an error for a host named invalid, and panics for one named panics.
 func decodeTestEntry(entry endpointlist.Entry) (testEntry, error) {
 	switch entry.Name {
 	case "invalid":
@@ -132,7 +132,8 @@
 	return decoded, nil
 }
 
-// A panic at a record of the relays ends their part alone: discovery takes over.
+// TestPanicInRelayUpdateFallsBackToDiscovery checks that a panic while a record of a relay is decoded stops only the
+// updates from relays: the node gets its list from discovery instead. A record that can't be decoded is skipped before.
 func TestPanicInRelayUpdateFallsBackToDiscovery(t *testing.T) {
 	origin := newTestOrigin(t)
 	origin.putHosts("good")
@@ -161,28 +162,28 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go subscription.Run(ctx)
-	eventually(t, "the list by relays", func() bool { return n.sourceOf("good") == "by relays" })
+	eventually(t, "the list from the relay is applied", func() bool { return n.sourceOf("good") == "by relays" })
 	origin.putHosts("invalid", "another")
-	eventually(t, "the one beside the invalid one", func() bool { return n.sourceOf("another") == "by relays" })
+	eventually(t, "the valid record in the same frame as an invalid one is applied", func() bool { return n.sourceOf("another") == "by relays" })
 	n.mu.Lock()
 	if len(n.applied) != 2 || skipped.Load() != 1 {
-		t.Errorf("%q applied, %d skipped; expected two and one", n.applied, skipped.Load())
+		t.Errorf("got endpoints %q and %d skipped records, want two endpoints and one skipped", n.applied, skipped.Load())
 	}
 	n.mu.Unlock()
 	origin.putHosts("panics")
-	eventually(t, "the panic", func() bool { return n.panics.Load() > 0 })
-	eventually(t, "a watch of discovery", n.watch.Load)
+	eventually(t, "the panic is recovered", func() bool { return n.panics.Load() > 0 })
+	eventually(t, "discovery is watched", n.watch.Load)
 	subscription.UpdateDiscovery([]testEntry{{name: "good", source: "by discovery"}}, 4, true)
-	eventually(t, "discovery's list", func() bool { return n.sourceOf("good") == "by discovery" })
+	eventually(t, "the list from discovery is applied", func() bool { return n.sourceOf("good") == "by discovery" })
 	if subscription.RelaysLastReceivedAt() != 0 {
-		t.Error("relays still count as the source")
+		t.Error("relays are still the only source of the list after a panic")
 	}
 	if text := subscription.StatusJSON(); text == "" {
-		t.Error("no status")
+		t.Error("got an empty status")
 	}
 }
 
-// A host in two scopes stays until neither has it, in whatever order the changes come.
+// TestHostInTwoScopes checks that a host with records in two scopes is removed only when both records are deleted.
 func TestHostInTwoScopes(t *testing.T) {
 	put := func(scope, host string, deleted bool) distribution.Change {
 		return distribution.Change{Record: distribution.Record{
@@ -204,7 +205,7 @@
 		}
 		if hosts.LastErr != nil || hosts.Skipped != 0 || len(hosts.Entries) != 1 ||
 			hosts.Entries[0].State != step.health {
-			t.Errorf("step %d: %+v; expected %q", i, hosts, step.health)
+			t.Errorf("step %d: got %+v, want one entry in state %q", i, hosts, step.health)
 		}
 	}
 }
