--- a/internal/nodestate/state.go
+++ b/internal/nodestate/state.go
@@ -78,8 +78,8 @@
 
 // State is the persisted state of one node.
 type State struct {
-	beforeStart header // as loaded from the store
-	olderCopy   bool   // see IsOutdatedCopy
+	beforeStart  header // as loaded from the store
+	outdatedCopy bool   // see IsOutdatedCopy
 
 	current          header               // including what this process has recorded
 	endpoints        map[string]*Endpoint // by name
--- a/internal/nodestate/trust.go
+++ b/internal/nodestate/trust.go
@@ -76,21 +76,21 @@
 // ReportLaterStart handles a start of this node that other nodes have reported, in Unix milliseconds of this node's
 // clock. It returns true when a report shows for the first time that the state is an outdated copy.
 func (s *State) ReportLaterStart(startMs uint64) bool {
-	if s.olderCopy || s.beforeStart.Clock == 0 || startMs <= uint64(s.beforeStart.Clock/1e6) {
+	if s.outdatedCopy || s.beforeStart.Clock == 0 || startMs <= uint64(s.beforeStart.Clock/1e6) {
 		return false
 	}
-	s.olderCopy = true
+	s.outdatedCopy = true
 	return true
 }
 
 // IsOutdatedCopy reports whether the state that was loaded is an outdated copy: other nodes have reported a later start
 // of this node than the state has.
-func (s *State) IsOlderCopy() bool { return s.olderCopy }
+func (s *State) IsOutdatedCopy() bool { return s.outdatedCopy }
 
 // ApplyDrains returns entries of a list of discovery with the persisted drains and removals that override it.
 func (s *State) ApplyDrains(entries []Endpoint, version int64) []Endpoint {
 	startedLater := func(entry Endpoint) bool { return entry.StartedNs > s.beforeStart.Clock }
-	if s.olderCopy || slices.ContainsFunc(entries, startedLater) {
+	if s.outdatedCopy || slices.ContainsFunc(entries, startedLater) {
 		return entries
 	}
 	return s.ApplyDrainsToGossiped(entries, version)
