--- a/internal/nodestate/trust.go
+++ b/internal/nodestate/trust.go
@@ -10,8 +10,8 @@
 //
 //   - A persisted drain or removal applies from the first request on, whatever its age. It ends when a list that is
 //     newer than the state has the endpoint as active, or when any list has it as active with a later start time. A
-//     list is newer if its version is higher than that of the state, or if any endpoint on it started later than the last
-//     time that was recorded in the state (ApplyDrains).
+//     list is newer if its version is higher than that of the state, or if any endpoint on it started later than the
+//     last time that was recorded in the state (ApplyDrains).
 //   - An endpoint that was active counts as just started, because the cause of this node's crash may have crashed the
 //     endpoint too. The next list has its real start time (Recover).
 //   - The weight of estimates is halved for each HalfLifeNs of their age (Recover).
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// BenchmarkPut measures durable writes of 100 bytes by several writers at once, on the disk of the test's directory.
+// BenchmarkPut measures durable writes of 100 bytes by concurrent writers, on the disk of the temporary directory.
 func BenchmarkPut(b *testing.B) {
 	for _, writers := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint(writers), func(b *testing.B) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkOpen measures recovery by the number of keys, and the memory that the store then takes.
+// BenchmarkOpen measures recovery for several numbers of keys, and the memory that the open store uses.
 func BenchmarkOpen(b *testing.B) {
 	for _, keys := range []int{1000, 100000, 1000000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
@@ -49,7 +49,7 @@
 			for i := 0; i < keys; {
 				var batch Batch
 				for range min(5000, keys) {
-					batch.Put(fmt.Sprintf("server/%07d", i), []byte("forty bytes or so of what is known of it"))
+					batch.Put(fmt.Sprintf("server/%07d", i), []byte("a persisted endpoint record of 40 bytes."))
 					i++
 				}
 				if err := s.Apply(&batch); err != nil {
@@ -77,8 +77,8 @@
 	}
 }
 
-// BenchmarkOverwrite overwrites the same thousand keys, and reports the space amplification: the log's size over the
-// live bytes.
+// BenchmarkOverwrite overwrites the same thousand keys, and reports the maximum space amplification: the size of the
+// log divided by the live bytes.
 func BenchmarkOverwrite(b *testing.B) {
 	s, _, err := Open(b.TempDir(), Options{SegmentBytes: 256 << 10})
 	if err != nil {
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -8,17 +8,17 @@
 	"golang.org/x/time/rate"
 )
 
-// Compaction copies what is live in closed segments to one new segment, whose header names the segments that it
-// replaces. A crash at any step leaves the old ones or the new one; and as that names the old ones, a key that was
-// deleted can't come back from a file that was not removed in time.
+// Compaction copies the live entries of closed segments to a new segment, whose header lists the segments that it
+// replaces. After a crash at any step either the old segments or the new one are used. Because the new one lists the
+// old ones, a deleted key can't reappear from an old file that was not removed before the crash.
 
 const (
-	minGarbageBytes     = 64 << 10  // less garbage is not worth a compaction
-	compactBlockBytes   = 256 << 10 // of a write
-	compactBurstDivisor = 8         // a burst is at most this part of a second's bytes
+	minGarbageBytes     = 64 << 10  // minimum garbage for a compaction
+	compactBlockBytes   = 256 << 10 // size of a write
+	compactBurstDivisor = 8         // burst of the rate limiter, as a fraction of a second's bytes
 )
 
-// needsCompaction reports whether enough of the log is garbage. The lock is held.
+// needsCompaction reports whether the log has enough garbage for a compaction. The caller holds the lock.
 func (s *Store) needsCompaction() bool {
 	if s.compacting || s.closed || len(s.segments) < 2 || s.writeFailure != nil {
 		return false
@@ -31,8 +31,8 @@
 	return garbage > max(s.options.MaxGarbageRatio*float64(total), minGarbageBytes)
 }
 
-// Compact compacts all closed segments now, unless a compaction is under way. Reads and writes go on meanwhile. An
-// error wraps ErrReadOnly or ErrClosed, or is the disk's.
+// Compact compacts all closed segments now, unless a compaction is in progress already. Reads and writes are not
+// blocked. Errors wrap ErrReadOnly or ErrClosed, or are those of the file system.
 func (s *Store) Compact() error {
 	s.mu.Lock()
 	if err := s.checkWritable(); err != nil || s.compacting {
@@ -44,7 +44,7 @@
 	return s.runCompaction()
 }
 
-// runCompaction compacts the log. The caller has set compacting.
+// runCompaction compacts the log. The caller must have set s.compacting.
 func (s *Store) runCompaction() error {
 	err := s.compactSegments()
 	s.mu.Lock()
@@ -74,8 +74,8 @@
 	return errors.Join(err, s.files.SyncDir())
 }
 
-// beginCompaction returns the segments to compact, and the id of the new one. There are none if compaction would gain
-// nothing.
+// beginCompaction returns the segments to compact, and the ID of the new segment. It returns no segments if a
+// compaction would free nothing.
 func (s *Store) beginCompaction() (old []*segment, id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +94,8 @@
 	return old, id
 }
 
-// writeCompacted writes a segment that replaces old ones, makes it durable and gives it its name. moved are the
-// entries that it holds.
+// writeCompacted writes a segment that replaces old ones, makes it durable and then renames it to its final name.
+// copied are its entries.
 func (s *Store) writeCompacted(
 	snapshot *Snapshot, old []*segment, id uint64,
 ) (compacted *segment, copied []entry, err error) {
@@ -123,10 +123,11 @@
 	return compacted, copied, nil
 }
 
-// installCompacted has the store use a compacted segment in place of the old ones.
+// installCompacted replaces the old segments by the compacted one in the store and its index.
 func (s *Store) installCompacted(compacted *segment, copied []entry, old []*segment) error {
 	replaced := setOf(old)
-	// After a crash the new segment may count from here on. If that is unknown, nothing more may be written.
+	// After a crash from here on, the new segment may be the one that is used. If the sync fails, it is unknown which
+	// one would be, so that nothing more may be written.
 	syncErr := s.files.SyncDir()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,14 +137,14 @@
 	}
 	for _, e := range copied {
 		current, exists := s.index.Get(entry{key: e.key})
-		if exists && replaced[current.seg] { // else the key was written or deleted meanwhile
+		if exists && replaced[current.seg] { // otherwise the key was written or deleted during the compaction
 			s.index.ReplaceOrInsert(e)
 		}
 	}
 	segments := []*segment{compacted}
 	for _, seg := range s.segments {
 		if replaced[seg] {
-			_ = seg.retire() // all of it has been read
+			_ = seg.retire() // its live entries have been copied
 		} else {
 			segments = append(segments, seg)
 		}
@@ -160,8 +161,8 @@
 	return set
 }
 
-// copyLive copies the entries of a snapshot that are in old segments to a new one, at the pace of the options, and
-// returns them as they are there.
+// copyLive copies the entries of a snapshot that are in old segments to a new one, at the rate of
+// CompactBytesPerSecond, and returns the entries with their places in the new segment.
 func (s *Store) copyLive(snapshot *Snapshot, old map[*segment]bool, target *segment) (copied []entry, err error) {
 	w := newPacedWriter(target, s.options.CompactBytesPerSecond)
 	snapshot.index.Ascend(func(e entry) bool {
@@ -185,7 +186,7 @@
 	return copied, err
 }
 
-// pacedWriter appends to a segment in blocks, at a bounded rate.
+// pacedWriter appends to a segment in blocks, with a rate limit.
 type pacedWriter struct {
 	seg     *segment
 	limiter *rate.Limiter
@@ -197,7 +198,7 @@
 	return &pacedWriter{seg: seg, limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), burst)}
 }
 
-// offset returns where in the segment the next write goes.
+// offset returns the offset in the segment of the next write.
 func (w *pacedWriter) offset() int64 { return w.seg.size + int64(len(w.block)) }
 
 func (w *pacedWriter) write(b []byte) error {
@@ -220,7 +221,7 @@
 		err = errShortWrite
 	}
 	if err != nil {
-		return fmt.Errorf("compaction could not write: %w", err)
+		return fmt.Errorf("compaction could not write its segment; the log stays as it is: %w", err)
 	}
 	w.seg.size += int64(n)
 	w.block = w.block[:0]
--- a/internal/store/directory.go
+++ b/internal/store/directory.go
@@ -10,37 +10,38 @@
 	"syscall"
 )
 
-// What the store asks of a file system, so that tests can stand in for a disk that fills up, fails, or loses what was
-// not synced. No error may be hidden.
+// File and Directory are the operations of a file system that the store needs. Tests implement them to simulate a disk
+// that is full, fails, or loses data that was not synced. Implementations must return all errors.
 
 // File is an open file.
 type File interface {
 	io.ReaderAt
-	// WriteAt writes p at an offset. It may write a part only, with or without an error.
+	// WriteAt writes p at an offset. It may write fewer bytes than len(p), with or without an error.
 	WriteAt(p []byte, offset int64) (int, error)
 	Truncate(size int64) error
-	// Sync makes the content durable.
+	// Sync makes the content of the file durable.
 	Sync() error
 	Size() (int64, error)
 	Close() error
 }
 
-// Directory is a directory with the files of one store.
+// Directory is the directory of one store.
 type Directory interface {
-	// Create creates a file; one that exists is an error.
+	// Create creates a file. It returns an error if the file exists.
 	Create(name string) (File, error)
 	Open(name string, write bool) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
 	// List returns the names of all files, sorted.
 	List() ([]string, error)
-	// SyncDir makes the names of files durable.
+	// SyncDir makes the entries of the directory durable: created, renamed and removed files.
 	SyncDir() error
 	// Lock locks the directory for this process. An error wraps ErrLocked if another process has locked it.
 	Lock() (unlock func() error, err error)
 }
 
-// SystemDirectory returns the directory at a path of the system's. With write it is created if it doesn't exist.
+// SystemDirectory returns the directory at a path of the operating system's file system. If write is true, it is
+// created if it doesn't exist.
 func SystemDirectory(path string, write bool) (Directory, error) {
 	if write {
 		if err := os.MkdirAll(path, 0o700); err != nil {
@@ -52,7 +53,7 @@
 		return nil, err
 	}
 	if !info.IsDir() {
-		return nil, fmt.Errorf("%s: expected a directory", path)
+		return nil, fmt.Errorf("%s: expected a directory, found a file", path)
 	}
 	return systemDirectory(path), nil
 }
@@ -117,7 +118,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock locks the directory. The system unlocks it when the process ends, however it does.
+// Lock locks the directory. The operating system unlocks it when the process ends for any reason.
 func (d systemDirectory) Lock() (func() error, error) {
 	f, err := os.OpenFile(d.path("LOCK"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// The format of a segment, with numbers in little endian. It begins with a header: magic, version, the count and the
-// ids of the segments that it replaces, and a checksum of all that. Frames follow, each with one batch: length of the
-// payload, checksum of the rest of the frame, sequence number, payload. The payload is the count of operations, and
-// of each operation its kind, key and, of a put, value, with uvarints for counts and lengths. Checksums are CRC-32C.
+// The format of a segment; numbers are little-endian and checksums are CRC-32C. A segment begins with a header: magic,
+// format version, the count and the IDs of the segments that it replaces, and a checksum of the preceding fields.
+// Frames follow, each with one batch: length of the payload, checksum of the rest of the frame, sequence number,
+// payload. The payload is the count of operations, followed by the kind, the key and, for a put, the value of each
+// operation. Counts and lengths in the payload are uvarints.
 const (
 	magic            = "fgstore\n"
 	formatVersion    = 1
 	uint32Bytes      = 4
 	uint64Bytes      = 8
-	fixedHeaderBytes = len(magic) + 3*uint32Bytes // version, count of the replaced segments, checksum
+	fixedHeaderBytes = len(magic) + 3*uint32Bytes // format version, count of replaced segments, checksum
 	frameHeaderBytes = 2*uint32Bytes + uint64Bytes
 	maxPayloadBytes  = 16 << 20
 	maxKeyBytes      = 4 << 10
@@ -29,9 +30,9 @@
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// header is the header of a segment.
+// header is the decoded header of a segment.
 type header struct {
-	length   int // bytes; 0: the header is not complete
+	length   int // bytes; 0: the header is incomplete
 	replaces []uint64
 }
 
@@ -45,7 +46,7 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, crcTable))
 }
 
-// decodeHeader decodes the header at the beginning of b. One that is cut off is no error, but has length 0.
+// decodeHeader decodes the header at the beginning of b. For a truncated header it returns length 0 and no error.
 func decodeHeader(b []byte) (header, error) {
 	if !strings.HasPrefix(magic, string(b[:min(len(b), len(magic))])) {
 		return header{}, errNotSegment
@@ -72,15 +73,15 @@
 	return h, nil
 }
 
-// operation is one change within a batch.
+// operation is a put or a delete in a batch.
 type operation struct {
 	key         string
 	value       []byte
 	isDelete    bool
-	valueOffset int // of the value, within its frame
+	valueOffset int // offset of the value in the frame
 }
 
-// encodeFrame encodes a batch, and sets the offsets of its values.
+// encodeFrame encodes a batch as a frame, and sets valueOffset of its operations.
 func encodeFrame(seq uint64, ops []operation) []byte {
 	b := make([]byte, frameHeaderBytes, initialFrameBytes)
 	binary.LittleEndian.PutUint64(b[2*uint32Bytes:], seq)
@@ -105,7 +106,7 @@
 	return b
 }
 
-// frameChecksum returns the checksum of a frame, which is of all of it but the checksum.
+// frameChecksum returns the checksum of a frame. It covers the whole frame except the checksum itself.
 func frameChecksum(frame []byte) uint32 {
 	return crc32.Update(crc32.Checksum(frame[:uint32Bytes], crcTable), crcTable, frame[2*uint32Bytes:])
 }
@@ -117,7 +118,7 @@
 	ops    []operation
 }
 
-// decodeFrame decodes the frame at the beginning of b; false: there is no whole one.
+// decodeFrame decodes the frame at the beginning of b. It returns false if there is no complete and valid one.
 func decodeFrame(b []byte) (frame, bool) {
 	if len(b) < frameHeaderBytes {
 		return frame{}, false
@@ -145,7 +146,7 @@
 	return frame{length: len(b), seq: binary.LittleEndian.Uint64(b[2*uint32Bytes:]), ops: ops}, true
 }
 
-// payloadReader reads the payload of a frame.
+// payloadReader decodes the payload of a frame.
 type payloadReader struct {
 	frame  []byte
 	offset int
@@ -162,7 +163,7 @@
 	return int(v)
 }
 
-// bytes reads a length and as many bytes.
+// bytes reads a length and that number of bytes.
 func (r *payloadReader) bytes() []byte {
 	n := r.uvarint()
 	if r.failed || r.offset+n > len(r.frame) {
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzScan scans any content: the scan neither panics nor reports more than there is.
+// FuzzScan scans arbitrary content: the scan must not panic, nor report values or valid bytes beyond the end.
 func FuzzScan(f *testing.F) {
 	log := encodeHeader([]uint64{3})
 	log = append(log, encodeFrame(1, []operation{{key: "a", value: []byte("1")}, {key: "b", isDelete: true}})...)
@@ -15,12 +15,12 @@
 		result, _ := scan(segmentName(1), b, last, func(offset int64, f frame) {
 			for _, op := range f.ops {
 				if !op.isDelete && (op.valueOffset < 0 || offset+int64(op.valueOffset+len(op.value)) > int64(len(b))) {
-					t.Fatalf("a value at %d of %d bytes in %d", offset+int64(op.valueOffset), len(op.value), len(b))
+					t.Fatalf("got a value at offset %d of %d bytes, beyond the end of the segment of %d bytes", offset+int64(op.valueOffset), len(op.value), len(b))
 				}
 			}
 		})
 		if result.validBytes > int64(len(b)) {
-			t.Fatalf("%d valid bytes of %d", result.validBytes, len(b))
+			t.Fatalf("got %d valid bytes, more than the %d bytes of the segment", result.validBytes, len(b))
 		}
 	})
 }
--- a/internal/store/options.go
+++ b/internal/store/options.go
@@ -6,20 +6,21 @@
 	defaultCompactBytesPerSecond = 8 << 20
 )
 
-// Options configure a store. Zero values take the default in brackets.
+// Options configure a store. The default for the zero value is in brackets.
 type Options struct {
-	// SegmentBytes is the size beyond which a segment is closed and the next one begun [4 MiB]. Smaller segments let
-	// compaction free space sooner, and cost more files and syncs of the directory.
+	// SegmentBytes is the size in bytes beyond which a segment is closed and a new one is created [4 MiB]. Smaller
+	// segments allow compaction to free space sooner, at the cost of more files and syncs of the directory.
 	SegmentBytes int64
-	// MaxGarbageRatio is the part of the log that may be garbage before it is compacted [0.5]. A lower one keeps the
-	// log smaller, and has live values written again more often.
+	// MaxGarbageRatio is the fraction of the log that may be garbage before the log is compacted [0.5]. A lower ratio
+	// keeps the log smaller, but copies live values more often.
 	MaxGarbageRatio float64
-	// CompactBytesPerSecond bounds how fast compaction writes [8 MiB]. A lower one leaves more of the disk to
-	// commits, and lets the log grow further meanwhile.
+	// CompactBytesPerSecond is the maximum write rate of a compaction [8 MiB]. A lower rate leaves more of the disk's
+	// throughput to commits, but lets the log grow further during a compaction.
 	CompactBytesPerSecond int
-	// ManualCompaction has the store compacted by Compact alone [in the background].
+	// ManualCompaction disables compaction in the background: only Compact compacts the store [false].
 	ManualCompaction bool
-	// ReadOnly opens the store without a lock and without any change, not even of a torn tail [false].
+	// ReadOnly opens the store without locking the directory and without changing any file; a torn tail is not truncated
+	// either [false].
 	ReadOnly bool
 }
 
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -11,21 +11,21 @@
 	"github.com/google/btree"
 )
 
-// Recovery reads all segments, truncates the torn tail that a crash has left, and removes files that a compaction
-// replaced or did not finish. No file is changed before every segment was found to be readable.
+// Recovery reads all segments, truncates the torn tail that a crash has left, and removes files that a compaction has
+// replaced or not finished. No file is changed until all segments have been decoded without an error.
 
-// Recovery describes what was found when a store was opened.
+// Recovery describes the recovery of a store when it was opened.
 type Recovery struct {
 	Segments       int
 	Batches        int
 	Keys           int
-	TruncatedBytes int64    // of a torn tail
-	TruncatedFile  string   // in which it was
-	RemovedFiles   []string // that a compaction replaced or did not finish
+	TruncatedBytes int64    // length of the torn tail
+	TruncatedFile  string   // segment with the torn tail; empty: there was none
+	RemovedFiles   []string // files that a compaction has replaced or not finished
 }
 
-// Open opens the store in a directory, or begins one, and recovers it up to the last whole batch. Errors are a
-// *CorruptionError, wrap ErrNewerVersion or ErrLocked, or are the file system's.
+// Open opens the store in a directory, or creates one, and recovers it up to the last complete batch. An error is a
+// *CorruptionError, wraps ErrNewerVersion or ErrLocked, or is one of the file system.
 func Open(path string, o Options) (*Store, *Recovery, error) {
 	files, err := SystemDirectory(path, !o.ReadOnly)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return OpenDirectory(files, o)
 }
 
-// OpenDirectory opens a store like Open, in a directory that the caller provides.
+// OpenDirectory is Open for a directory that the caller provides.
 func OpenDirectory(files Directory, o Options) (*Store, *Recovery, error) {
 	s := &Store{
 		files:   files,
@@ -59,7 +59,8 @@
 	return s, recovery, nil
 }
 
-// abandon closes what was opened of a store that can't be used. The error to report is the one before.
+// closeFiles closes the segments and the lock of a store that could not be opened. Errors are ignored, because the
+// caller returns the error that made opening fail.
 func (s *Store) closeFiles() {
 	for _, seg := range s.segments {
 		_ = seg.file.Close()
@@ -94,8 +95,8 @@
 	return recovery, s.truncateTail(tail, recovery)
 }
 
-// openSegments opens the segments that count, and finds the active one. removable are files that a compaction
-// replaced or did not finish.
+// openSegments opens the segments that are not replaced by others, and determines the active one. removable are the
+// files that a compaction has replaced or not finished.
 func (s *Store) openSegments() (removable []string, err error) {
 	names, err := s.files.List()
 	if err != nil {
@@ -135,8 +136,8 @@
 	return removable, nil
 }
 
-// openSegment opens a segment and returns the ids of those that it replaces. A header that can't be read is left to
-// the scan.
+// openSegment opens a segment and returns the IDs of the segments that it replaces. It ignores a header that can't be
+// decoded, which is reported by scan.
 func (s *Store) openSegment(name string, id uint64) (replaces []uint64, err error) {
 	file, err := s.files.Open(name, !s.options.ReadOnly)
 	if err != nil {
@@ -157,7 +158,7 @@
 	return segmentHeader.replaces, nil
 }
 
-// lastLogID returns the id of the last segment that was not written by compaction; 0: there is none.
+// lastLogID returns the ID of the last segment that was not written by a compaction; 0: there is none.
 func (s *Store) lastLogID() uint64 {
 	last := uint64(0)
 	for _, seg := range s.segments {
@@ -168,13 +169,13 @@
 	return last
 }
 
-// latestChange is the last change of a key in the log.
+// latestChange is the latest operation on a key in the log.
 type latestChange struct {
 	entry
 	deleted bool
 }
 
-// loadSegments reads the segments and fills the index. tail is what was found in the active segment.
+// loadSegments scans the segments and builds the index. tail is the result of the scan of the active segment.
 func (s *Store) loadSegments(recovery *Recovery) (tail scanResult, err error) {
 	latest := map[string]latestChange{}
 	for _, seg := range s.segments {
@@ -209,7 +210,7 @@
 	return tail, nil
 }
 
-// truncateTail cuts a torn write off the active segment, so that what is written next follows whole batches.
+// truncateTail truncates a torn write at the end of the active segment, so that new batches follow complete ones.
 func (s *Store) truncateTail(tail scanResult, recovery *Recovery) error {
 	if !tail.torn() {
 		return nil
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Repaired describes what a repair has copied.
+// RepairResult describes the result of a repair.
 type RepairResult struct {
-	Batches   int
-	LostBytes int64 // that could not be read
+	Batches   int   // batches that were copied
+	LostBytes int64 // bytes that could not be decoded
 }
 
-// Repair copies what can be read of a damaged store to another directory, batch by batch in their order. What is
-// between two whole batches is lost, so that a key may come back that a lost batch had changed or deleted. The
-// damaged directory is left as it is. An error is ErrNotEmpty, or a disk's.
+// Repair copies the complete batches of a corrupted store to another directory, in their order. Batches that can't be
+// decoded are lost, so that a key that was changed or deleted by a lost batch may reappear with an earlier value. The
+// corrupted directory is not changed. An error is ErrNotEmpty, or one of the file system or the new store.
 func Repair(from, to Directory) (RepairResult, error) {
 	existing, err := to.List()
 	if err != nil {
@@ -54,11 +54,11 @@
 		return nil, err
 	}
 	content, err := (&segment{name: name, file: file}).readAll()
-	_ = file.Close() // opened for reading alone
+	_ = file.Close() // opened for reading only
 	return content, err
 }
 
-// salvage returns the whole frames in the content of a segment, wherever they are, and how many bytes are none.
+// salvage returns the complete frames at any offset in the content of a segment, and the number of other bytes.
 func salvage(content []byte) (frames []frame, lostBytes int64) {
 	segmentHeader, err := decodeHeader(content)
 	offset := segmentHeader.length
@@ -78,7 +78,7 @@
 	return frames, lostBytes
 }
 
-// writeFrames applies frames to a new store, and returns how many it has applied.
+// writeFrames applies frames to a new store, and returns the number of those applied.
 func writeFrames(files Directory, frames []frame) (batches int, err error) {
 	s, _, err := OpenDirectory(files, Options{ManualCompaction: true})
 	if err != nil {
--- a/internal/store/scan.go
+++ b/internal/store/scan.go
@@ -6,20 +6,20 @@
 	"fmt"
 )
 
-// scanResult is what a scan has found in a segment.
+// scanResult is the result of the scan of a segment.
 type scanResult struct {
 	size       int64
-	validBytes int64 // up to the end of the last whole batch; 0: not even the header is whole
+	validBytes int64 // up to the end of the last complete batch; 0: the header is incomplete
 	batches    int
 	lastSeq    uint64
 }
 
-// torn reports whether the segment ends in something that is no whole batch.
+// torn reports whether the segment ends in an incomplete header or batch.
 func (r *scanResult) torn() bool { return r.validBytes < r.size || r.validBytes == 0 }
 
-// scan reads the content b of the segment in a file, and calls visit for each frame with its offset. What can't be
-// read is the torn write of a crash, if this is the last segment and no whole batch comes after it. Everything else
-// is a *CorruptionError.
+// scan decodes the content b of the segment in a file, and calls visit for each frame with its offset. Data that can't
+// be decoded counts as the torn write of a crash if this is the last segment and no complete batch follows the data.
+// Otherwise scan returns a *CorruptionError.
 func scan(file string, b []byte, last bool, visit func(offset int64, f frame)) (scanResult, error) {
 	result := scanResult{size: int64(len(b))}
 	segmentHeader, err := decodeHeader(b)
@@ -29,7 +29,7 @@
 	case err != nil:
 		return result, &CorruptionError{File: file, BatchesAfter: countBatches(b, 0), Reason: err.Error()}
 	case segmentHeader.length == 0 && !last:
-		return result, &CorruptionError{File: file, Reason: "head is not whole"}
+		return result, &CorruptionError{File: file, Reason: "segment header is incomplete"}
 	case segmentHeader.length == 0:
 		return result, nil
 	}
@@ -45,7 +45,7 @@
 				File:         file,
 				Offset:       result.validBytes,
 				BatchesAfter: batchesAfter,
-				Reason:       "a batch does not match its checksum or is cut off",
+				Reason:       "batch is truncated or does not match its checksum",
 			}
 		}
 		visit(result.validBytes, f)
@@ -56,13 +56,13 @@
 	return result, nil
 }
 
-// maxSeqGap is how far the sequence number of a batch may be above the one before.
+// maxSeqGap is the maximum difference between the sequence numbers of consecutive batches.
 const maxSeqGap = 1 << 32
 
-// countBatches counts whole batches anywhere in b, with sequence numbers above lastSeq.
+// countBatches counts complete batches at any offset in b, with sequence numbers above lastSeq.
 func countBatches(b []byte, lastSeq uint64) (count int) {
 	for offset := 0; offset+frameHeaderBytes <= len(b); {
-		// The sequence number rules nearly every place out before its checksum is computed.
+		// Checking the sequence number first avoids the computation of a checksum at nearly all offsets.
 		seq := binary.LittleEndian.Uint64(b[offset+2*uint32Bytes:])
 		if seq > lastSeq && seq < lastSeq+maxSeqGap {
 			if f, ok := decodeFrame(b[offset:]); ok {
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -11,26 +11,26 @@
 const (
 	segmentPrefix    = "seg-"
 	segmentSuffix    = ".log"
-	segmentIDDigits  = 16      // hexadecimal
-	unfinishedSuffix = ".part" // of a segment that a compaction has not finished
+	segmentIDDigits  = 16      // hexadecimal digits
+	unfinishedSuffix = ".part" // suffix of a segment that a compaction has not finished
 )
 
-// segment is a file of the log.
+// segment is one file of the log.
 type segment struct {
 	id        uint64
 	name      string
 	file      File
 	size      int64
-	compacted bool // written by compaction
-	readers   int
-	obsolete  bool // to be closed once nobody reads it
+	compacted bool // written by a compaction
+	readers   int  // reads and snapshots that use the file
+	obsolete  bool // to be closed when readers is 0
 }
 
 func segmentName(id uint64) string {
 	return fmt.Sprintf("%s%0*x%s", segmentPrefix, segmentIDDigits, id, segmentSuffix)
 }
 
-// segmentID returns the id in the name of a segment's file; false: it is no segment.
+// segmentID returns the ID in the name of a segment's file. ok is false if the file is not a segment.
 func segmentID(name string) (id uint64, ok bool) {
 	text, hasPrefix := strings.CutPrefix(name, segmentPrefix)
 	text, hasSuffix := strings.CutSuffix(text, segmentSuffix)
@@ -41,7 +41,7 @@
 	return id, err == nil
 }
 
-// retire closes the file, or has the last reader close it.
+// retire marks the segment as obsolete. It closes the file if there are no readers; otherwise the last reader does.
 func (s *segment) retire() error {
 	s.obsolete = true
 	if s.readers > 0 {
@@ -50,7 +50,7 @@
 	return s.file.Close()
 }
 
-// readAll reads the whole file.
+// readAll returns the content of the file.
 func (s *segment) readAll() ([]byte, error) {
 	size, err := s.file.Size()
 	if err != nil {
@@ -63,8 +63,8 @@
 	return b, nil
 }
 
-// createSegment creates a file with a header and syncs it; its directory is not synced yet. After an error there is
-// no file.
+// createSegment creates a file with a header and syncs it. It doesn't sync the directory. If it fails, it removes the
+// file.
 func (s *Store) createSegment(name string, id uint64, replaces []uint64) (*segment, error) {
 	file, err := s.files.Create(name)
 	if err != nil {
@@ -84,8 +84,8 @@
 	return seg, nil
 }
 
-// discard closes and removes a new segment. If that fails, a file without batches, or one that is not finished,
-// stays, which the next opening reads or removes.
+// discard closes and removes a new segment. Errors are ignored: a file that is not removed is either a segment without
+// batches, which the next Open reads, or an unfinished one, which it removes.
 func (s *Store) discard(seg *segment) {
 	_ = seg.file.Close()
 	_ = s.files.Remove(seg.name)
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -7,15 +7,15 @@
 	"github.com/google/btree"
 )
 
-// Snapshot is the content of a store at one moment; later writes don't change it. It keeps files open until Release.
-// It is not safe for concurrent use.
+// Snapshot is the content of a store at a point in time, unaffected by later writes. It keeps files open until it is
+// released. It is not safe for concurrent use.
 type Snapshot struct {
 	store    *Store
 	index    *btree.BTreeG[entry]
 	segments []*segment
 }
 
-// Snapshot returns a snapshot of the store as it is now.
+// Snapshot returns a snapshot of the current content, which the caller must release.
 func (s *Store) Snapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,8 +32,8 @@
 	s.segments = nil
 }
 
-// Each calls visit for every key with the prefix, in order, until it returns false. An error says that a value could
-// not be read.
+// Each calls visit for each key with the prefix, in order, until visit returns false. It returns an error if a value
+// can't be read.
 func (s *Snapshot) Each(prefix string, visit func(key string, value []byte) bool) error {
 	var readErr error
 	s.index.AscendGreaterOrEqual(entry{key: prefix}, func(e entry) bool {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
-// Package store is a small embedded key-value store: an append-only log in segments that serves as write-ahead log
-// and as the data, an index in memory, group commit, compaction and recovery. A write is acknowledged once it is
-// durable; nothing is written after a sync that failed; and corruption that is no torn write of a crash is reported,
-// never guessed over. Values are opaque bytes.
+// Package store implements a small embedded key-value store. It has an append-only log in segments, which is both the
+// write-ahead log and the data, an index in memory, group commit, compaction and recovery. A write returns once it is
+// durable. After a failed sync the store becomes read-only. Corruption other than the torn write of a crash is reported
+// as an error and never repaired silently. Values are opaque bytes.
 package store
 
 import (
@@ -18,37 +18,37 @@
 type Store struct {
 	files   Directory
 	options Options
-	unlock  func() error // nil: read-only
+	unlock  func() error // unlocks the directory; nil: read-only
 
 	mu           sync.Mutex
-	stateChanged *sync.Cond // a flush or a compaction has ended
+	stateChanged *sync.Cond // signals the end of a flush or a compaction
 	index        *btree.BTreeG[entry]
-	segments     []*segment // by id
-	active       *segment   // to which batches are appended
-	nextID       uint64     // of a segment
-	seq          uint64     // of the last batch
+	segments     []*segment // by ID, except that a new compacted one comes first
+	active       *segment   // segment to which batches are appended
+	nextID       uint64     // ID of the next segment
+	seq          uint64     // sequence number of the last batch
 	group        *commitGroup
 	flushing     bool
 	compacting   bool
-	liveBytes    int64 // of entries in the index
-	writeFailure error // after which nothing is written any more
+	liveBytes    int64 // total size of the entries in the index
+	writeFailure error // error after which the store is read-only
 	closed       bool
 }
 
-// entry is where the value of a key is.
+// entry is the place of a key's value in the log.
 type entry struct {
 	key    string
 	seg    *segment
 	offset int64
 	length int
-	seq    uint64 // of the batch that set it
+	seq    uint64 // sequence number of the batch with the value
 }
 
-const entryOverheadBytes = frameHeaderBytes + 8 // of a frame with this entry alone
+const entryOverheadBytes = frameHeaderBytes + 8 // of a frame with a single entry
 
 func entryLess(a, b entry) bool { return a.key < b.key }
 
-// logBytes returns the size of the entry in the log, if it has a frame of its own.
+// logBytes returns the size of the entry in the log, assuming that it has its own frame.
 func (e entry) logBytes() int64 { return int64(len(e.key) + e.length + entryOverheadBytes) }
 
 func (e entry) read() ([]byte, error) {
@@ -59,7 +59,7 @@
 	return value, nil
 }
 
-// Get returns the value of a key. After Close no key is found.
+// Get returns the value of a key. After Close it finds no key.
 func (s *Store) Get(key string) (value []byte, found bool, err error) {
 	s.mu.Lock()
 	e, found := s.index.Get(entry{key: key})
@@ -74,7 +74,7 @@
 	return value, err == nil, err
 }
 
-// Close waits for writes and a compaction that are under way, and unlocks the directory.
+// Close waits for writes and a compaction in progress, closes the files and unlocks the directory.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	return errors.Join(errs...)
 }
 
-// setEntry puts an entry into the index. The lock is held.
+// setEntry puts an entry into the index. The caller holds the lock.
 func (s *Store) setEntry(e entry) {
 	if previous, existed := s.index.ReplaceOrInsert(e); existed {
 		s.liveBytes -= previous.logBytes()
@@ -103,21 +103,21 @@
 	s.liveBytes += e.logBytes()
 }
 
-// removeEntry removes a key from the index. The lock is held.
+// removeEntry removes a key from the index. The caller holds the lock.
 func (s *Store) removeEntry(key string) {
 	if previous, existed := s.index.Delete(entry{key: key}); existed {
 		s.liveBytes -= previous.logBytes()
 	}
 }
 
-// releaseSegments ends a reader's use of segments, and closes those that are obsolete and have no other reader.
+// releaseSegments removes a reader from segments, and closes those that are obsolete and have no other reader.
 func (s *Store) releaseSegments(segments ...*segment) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, seg := range segments {
 		seg.readers--
 		if seg.readers == 0 && seg.obsolete {
-			_ = seg.file.Close() // opened for reading alone, or synced
+			_ = seg.file.Close() // everything written to it has been synced
 		}
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,15 +13,15 @@
 	"testing"
 )
 
-// disk is a directory in memory that keeps what was synced apart from what was only written, fails on demand and can
-// crash.
+// faultyDisk is a Directory in memory that tracks which data was synced. It can simulate failures, a full disk and a
+// power loss.
 type faultyDisk struct {
 	mu                sync.Mutex
-	files             map[string]*memFile // as a running program sees it
-	durableFiles      map[string]*memFile // names that a synced directory holds
+	files             map[string]*memFile // by name, as seen by the running program
+	durableFiles      map[string]*memFile // by name, as of the last sync of the directory
 	operations        int
-	failFromOperation int // from this step on everything fails; 0: never
-	freeBytes         int // bytes that writes may still take; -1: no bound
+	failFromOperation int // all operations fail from this one on; 0: none does
+	freeBytes         int // free space; -1: unlimited
 	syncFails         bool
 }
 
@@ -31,13 +31,13 @@
 	durable []byte
 }
 
-var errDisk = errors.New("disk fails")
+var errDisk = errors.New("simulated disk failure")
 
 func newDisk() *faultyDisk {
 	return &faultyDisk{files: map[string]*memFile{}, durableFiles: map[string]*memFile{}, freeBytes: -1}
 }
 
-// step counts an operation of the store; the lock is held.
+// countOperation counts an operation, and fails it if it is due to fail. The caller holds the lock.
 func (d *faultyDisk) countOperation() error {
 	d.operations++
 	if d.failFromOperation > 0 && d.operations >= d.failFromOperation {
@@ -46,7 +46,8 @@
 	return nil
 }
 
-// crash returns the disk after a power loss: of names and bytes that were not synced it holds a random part.
+// crash returns the disk after a power loss. Of the directory entries and data that were not synced, a random selection
+// is kept.
 func (d *faultyDisk) crash(random *rand.Rand) *faultyDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,7 +57,7 @@
 		if d.files[name] == d.durableFiles[name] || random.IntN(2) == 0 {
 			continue
 		}
-		// A removal or a new name may have reached the disk by itself, in any order.
+		// A removal or a rename may have become durable without a sync, in any order.
 		delete(durable, name)
 		for newName, f := range d.files {
 			if f == d.durableFiles[name] {
@@ -180,7 +181,7 @@
 	values, last := map[string]string{}, ""
 	if err := snapshot.Each("", func(k string, v []byte) bool {
 		if k <= last {
-			t.Errorf("%q comes after %q", k, last)
+			t.Errorf("got key %q after %q, want ascending order", k, last)
 		}
 		values[k], last = string(v), k
 		return true
@@ -213,7 +214,7 @@
 	}
 }
 
-// history writes batches of puts and deletes; states[i] is the content after i of them.
+// writeHistory applies random batches of puts and deletes; states[i] is the content after i of them.
 func writeHistory(t *testing.T, s *Store, batchCount int, random *rand.Rand) (states []map[string]string) {
 	t.Helper()
 	state := map[string]string{}
@@ -242,7 +243,8 @@
 	return slices.IndexFunc(states, func(s map[string]string) bool { return maps.Equal(s, got) })
 }
 
-// A log that is cut off at any byte is recovered up to its last whole batch, and can be written again.
+// TestRecoveryFromLogTruncatedAtEveryByte truncates the log at every byte, as a crash during a write can: it must be
+// recovered up to the last complete batch, and accept new writes that the next opening finds.
 func TestRecoveryFromLogTruncatedAtEveryByte(t *testing.T) {
 	disk := newDisk()
 	s, _ := open(t, disk, Options{ManualCompaction: true})
@@ -264,23 +266,24 @@
 			wantBatches++
 		}
 		if got := contents(t, s); !maps.Equal(got, states[wantBatches]) {
-			t.Fatalf("cut at %d: %v, want the state after %d batches, %v", cut, got, wantBatches, states[wantBatches])
+			t.Fatalf("truncated at %d: got %v, want the state after %d batches, %v", cut, got, wantBatches, states[wantBatches])
 		}
 		if wantBytes := ends[wantBatches]; cut > wantBytes && recovery.TruncatedBytes != int64(cut-wantBytes) {
-			t.Fatalf("cut at %d: %d bytes reported as truncated, want %d", cut, recovery.TruncatedBytes, cut-wantBytes)
+			t.Fatalf("truncated at %d: got %d truncated bytes, want %d", cut, recovery.TruncatedBytes, cut-wantBytes)
 		}
 		if err := s.Put("after", []byte("x")); err != nil {
 			t.Fatal(err)
 		}
 		closeStore(t, s)
 		if s, recovery := open(t, disk, Options{}); contents(t, s)["after"] != "x" || recovery.TruncatedBytes != 0 {
-			t.Fatalf("cut at %d: what was written afterwards is gone", cut)
+			t.Fatalf("truncated at %d: the key written after the recovery is lost, or a torn tail is reported again", cut)
 		}
 	}
 }
 
-// A corrupted byte is reported with its place, or was in the last batch, which may be a torn write; no content is ever
-// invented.
+// TestCorruptionOfEveryByteIsReported corrupts each byte of the log: opening must report the file, unless the byte is
+// in the last batch, where it may be a torn write. It must never change a corrupted file or return a content that the
+// store never had.
 func TestCorruptionOfEveryByteIsReported(t *testing.T) {
 	disk := newDisk()
 	s, _ := open(t, disk, Options{ManualCompaction: true, SegmentBytes: 400})
@@ -301,28 +304,29 @@
 				var corruption *CorruptionError
 				if !errors.As(err, &corruption) && !errors.Is(err, ErrNewerVersion) || corruption != nil &&
 					corruption.File != name {
-					t.Fatalf("%s at %d: %v", name, offset, err)
+					t.Fatalf("%s, byte %d: got error %v, want a CorruptionError for the file or ErrNewerVersion", name, offset, err)
 				}
 				if !slices.Equal(original, corrupted.files[name].data) {
-					t.Fatalf("%s at %d: refused, and changed", name, offset)
+					t.Fatalf("%s, byte %d: the corruption was reported, but the file was changed", name, offset)
 				}
 				rejected++
 				continue
 			}
 			if name != names[len(names)-1] || indexOfState(states, contents(t, s)) < len(states)-2 && offset >= fixedHeaderBytes {
 				if i := indexOfState(states, contents(t, s)); i < 0 || name != names[len(names)-1] {
-					t.Fatalf("%s at %d: opened in a state that never was", name, offset)
+					t.Fatalf("%s, byte %d: the store was opened with a content that it never had", name, offset)
 				}
 			}
 		}
 	}
 	if rejected < 300 {
-		t.Errorf("only %d damages refused", rejected)
+		t.Errorf("got %d reported corruptions, want at least 300", rejected)
 	}
 }
 
-// After a power loss at any step, also of a compaction, all that was acknowledged is there, what was not is there as
-// a whole batch or not at all, and what was deleted does not come back.
+// TestPowerLossAtEveryDiskOperation simulates a power loss at every disk operation, including those of compactions: all
+// acknowledged batches must be recovered, the batch in flight must be recovered completely or not at all, and deleted
+// keys must not reappear.
 func TestPowerLossAtEveryDiskOperation(t *testing.T) {
 	runWorkload := func(disk *faultyDisk, seed uint64) (acknowledged, inFlight map[string]string) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -357,7 +361,7 @@
 	fullRun := newDisk()
 	runWorkload(fullRun, 1)
 	if fullRun.operations < 120 {
-		t.Fatalf("%d steps, too few to prove anything", fullRun.operations)
+		t.Fatalf("got %d disk operations, want at least 120 for a meaningful test", fullRun.operations)
 	}
 	for operation := 1; operation <= fullRun.operations+1; operation++ {
 		for seed := range uint64(3) {
@@ -367,15 +371,15 @@
 			afterCrash := disk.crash(rand.New(rand.NewPCG(seed, uint64(operation))))
 			s, _, err := OpenDirectory(afterCrash, Options{ManualCompaction: true})
 			if err != nil {
-				t.Fatalf("power gone at step %d: %v", operation, err)
+				t.Fatalf("power loss at operation %d: %v", operation, err)
 			}
 			if got := contents(t, s); !maps.Equal(got, acknowledged) && !maps.Equal(got, inFlight) {
-				t.Fatalf("power gone at step %d: %v, acknowledged %v, under way %v", operation, got, acknowledged, inFlight)
+				t.Fatalf("power loss at operation %d: got %v, want the acknowledged content %v or that with the batch in flight %v", operation, got, acknowledged, inFlight)
 			}
 			names, _ := afterCrash.List()
 			for _, name := range names {
 				if strings.HasSuffix(name, unfinishedSuffix) {
-					t.Fatalf("power gone at step %d: %s is left", operation, name)
+					t.Fatalf("power loss at operation %d: the unfinished segment %s was not removed", operation, name)
 				}
 			}
 		}
@@ -390,34 +394,35 @@
 	}
 	disk.freeBytes = 10
 	if err := s.Put("b", make([]byte, 100)); err == nil || errors.Is(err, ErrReadOnly) {
-		t.Errorf("disk full: %v", err)
+		t.Errorf("disk full: got error %v, want one that is not ErrReadOnly", err)
 	}
 	if _, found, _ := s.Get("b"); found {
-		t.Error("what was not durable can be read")
+		t.Error("disk full: the value of the failed write can be read")
 	}
 	disk.freeBytes = -1
 	if err := s.Put("c", []byte("3")); err != nil {
-		t.Errorf("with room again: %v", err)
+		t.Errorf("write after space was freed: %v", err)
 	}
 	disk.syncFails = true
 	if err := s.Put("d", []byte("4")); err == nil {
-		t.Error("acknowledged though the sync failed")
+		t.Error("failed sync: the write was acknowledged")
 	}
 	disk.syncFails = false
 	if err := s.Put("e", []byte("5")); !errors.Is(err, ErrReadOnly) {
-		t.Errorf("after a failed sync: %v, want read-only", err)
+		t.Errorf("write after a failed sync: got error %v, want ErrReadOnly", err)
 	}
 	if v, found, _ := s.Get("c"); !found || string(v) != "3" {
-		t.Error("a read-only store cannot be read")
+		t.Error("read after a failed sync: the value of an earlier write was not found")
 	}
 	closeStore(t, s)
 	reopened, _ := open(t, disk.crash(rand.New(rand.NewPCG(1, 1))), Options{})
 	if got := contents(t, reopened); got["a"] != "1" || got["c"] != "3" || got["b"] != "" || got["e"] != "" {
-		t.Errorf("after it all: %v", got)
+		t.Errorf("after reopening: got %v, want the acknowledged keys a and c, and neither b nor e", got)
 	}
 }
 
-// Several writers at once, with compactions: a snapshot does not change meanwhile.
+// TestConcurrentWritesReadsAndCompaction runs concurrent writers with compactions in the background: a snapshot must
+// not change, and the final content must be complete.
 func TestConcurrentWritesReadsAndCompaction(t *testing.T) {
 	s, _, err := Open(t.TempDir(), Options{SegmentBytes: 8 << 10})
 	if err != nil {
@@ -447,11 +452,11 @@
 	}
 	writers.Wait()
 	if snapshot.Len() != 1 {
-		t.Errorf("a snapshot of one key has %d", snapshot.Len())
+		t.Errorf("got %d keys in the snapshot, want 1", snapshot.Len())
 	}
 	if err := snapshot.Each("", func(k string, v []byte) bool {
 		if string(v) != "here" {
-			t.Errorf("a snapshot has changed: %s %s", k, v)
+			t.Errorf("got %s = %s in the snapshot, want the value at the time of the snapshot", k, v)
 		}
 		return true
 	}); err != nil {
@@ -459,7 +464,7 @@
 	}
 	snapshot.Release()
 	if got := contents(t, s); len(got) != 40 || !strings.HasPrefix(got["w3/4"], "149") {
-		t.Errorf("%d keys, %.20q", len(got), got["w3/4"])
+		t.Errorf("got %d keys and w3/4 = %.20q, want 40 keys and the last value written", len(got), got["w3/4"])
 	}
 	prefixKeys := 0
 	laterSnapshot := s.Snapshot()
@@ -468,7 +473,7 @@
 	}
 	laterSnapshot.Release()
 	if prefixKeys != 5 {
-		t.Errorf("%d keys under a prefix, want 5", prefixKeys)
+		t.Errorf("got %d keys with the prefix w3/, want 5", prefixKeys)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
@@ -482,12 +487,12 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Open(path, Options{}); !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), path) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("opened by two stores at the same time: got error %v, want ErrLocked with the path", err)
 	}
 	put(t, s, "a", []byte("1"))
 	if readOnly, recovery, err := Open(path, Options{ReadOnly: true}); err != nil || recovery.Keys != 1 ||
 		!errors.Is(readOnly.Put("b", nil), ErrReadOnly) {
-		t.Errorf("looked at beside its holder: %v %v", recovery, err)
+		t.Errorf("opened read-only while it is locked: got recovery %v, error %v; want 1 key, and ErrReadOnly for writes", recovery, err)
 	}
 	closeStore(t, s)
 	name := filepath.Join(path, segmentName(1))
@@ -498,18 +503,19 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Open(path, Options{}); !errors.Is(err, ErrNewerVersion) {
-		t.Errorf("from a newer version: %v", err)
+		t.Errorf("segment of a newer version: got error %v, want ErrNewerVersion", err)
 	}
 	file := filepath.Join(t.TempDir(), "f")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(file, Options{}); err == nil {
-		t.Error("a file was opened as a directory")
+		t.Error("a file was opened as the directory of a store")
 	}
 }
 
-// A repair copies all batches around a corrupted one, and leaves the damaged directory as it was.
+// TestRepairCopiesBatchesAroundCorruption checks that a repair copies all batches except a corrupted one, and doesn't
+// change the corrupted directory.
 func TestRepairCopiesBatchesAroundCorruption(t *testing.T) {
 	disk := newDisk()
 	s, _ := open(t, disk, Options{ManualCompaction: true})
@@ -523,18 +529,18 @@
 	var corruption *CorruptionError
 	if _, _, err := OpenDirectory(disk, Options{}); !errors.As(err, &corruption) || corruption.BatchesAfter < 3 ||
 		corruption.Offset == 0 {
-		t.Fatalf("%v, want the corruption reported", err)
+		t.Fatalf("got error %v, want a CorruptionError with an offset and at least 3 batches after it", err)
 	}
 	target := newDisk()
 	result, err := Repair(disk, target)
 	if err != nil || result.Batches != 9 || result.LostBytes == 0 || !slices.Equal(original, data) {
-		t.Fatalf("%+v, %v", result, err)
+		t.Fatalf("got %+v, error %v; want 9 batches, lost bytes, and the corrupted log unchanged", result, err)
 	}
 	opened, _ := open(t, target, Options{})
 	if got := contents(t, opened); len(got) != 9 {
-		t.Errorf("%d keys came over, want nine", len(got))
+		t.Errorf("got %d keys in the repaired store, want 9", len(got))
 	}
 	if _, err := Repair(disk, target); !errors.Is(err, ErrNotEmpty) {
-		t.Errorf("repaired into a store that is there: %v", err)
+		t.Errorf("repair into an existing store: got error %v, want ErrNotEmpty", err)
 	}
 }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -6,56 +6,56 @@
 	"slices"
 )
 
-// Group commit: batches that come while the disk is at work form a group, which one of their writers then appends to
-// the log and makes durable by a single sync. Batches become visible once they are durable, so that nobody reads what
-// a crash could undo.
+// Group commit: batches that arrive during a flush form a group, which one of their writers then appends to the log and
+// makes durable by a single sync. Batches become visible only when they are durable, so that no reader sees data that a
+// crash could undo.
 
-// operationOverheadBytes is the most that an operation has in a frame beside its key and value, by estimate.
+// operationOverheadBytes is an upper estimate of the bytes of an operation in a frame, without its key and value.
 const operationOverheadBytes = 24
 
-// maxBatchBytes is the size of the largest batch, by estimate.
+// maxBatchBytes is the maximum estimated size of a batch in a frame.
 const maxBatchBytes = maxPayloadBytes / 2
 
-// Batch is a list of changes that take effect all or not at all, in their order. The zero value is empty.
+// Batch is a sequence of changes that are applied atomically, in their order. The zero value is an empty batch.
 type Batch struct{ ops []operation }
 
-// Put sets a key. The value is copied.
+// Put sets the value of a key. The value is copied.
 func (b *Batch) Put(key string, value []byte) {
 	b.ops = append(b.ops, operation{key: key, value: slices.Clone(value)})
 }
 
-// Delete removes a key; one that doesn't exist is no error.
+// Delete removes a key. It is not an error if the key doesn't exist.
 func (b *Batch) Delete(key string) { b.ops = append(b.ops, operation{key: key, isDelete: true}) }
 
 func (b *Batch) validate() error {
 	size := 0
 	for _, op := range b.ops {
 		if op.key == "" || len(op.key) > maxKeyBytes {
-			return fmt.Errorf("key: expected 1 to %d bytes, got %d", maxKeyBytes, len(op.key))
+			return fmt.Errorf("key: expected a length of 1 to %d bytes, got %d", maxKeyBytes, len(op.key))
 		}
 		size += len(op.key) + len(op.value) + operationOverheadBytes
 	}
 	if size > maxBatchBytes {
-		return fmt.Errorf("batch: expected %d bytes at most, got %d", maxBatchBytes, size)
+		return fmt.Errorf("batch: expected at most %d bytes, got %d", maxBatchBytes, size)
 	}
 	return nil
 }
 
-// Put sets one key and returns once that is durable.
+// Put sets the value of a key and returns once the change is durable.
 func (s *Store) Put(key string, value []byte) error {
 	var b Batch
 	b.Put(key, value)
 	return s.Apply(&b)
 }
 
-// Delete removes one key and returns once that is durable.
+// Delete removes a key and returns once the change is durable.
 func (s *Store) Delete(key string) error {
 	var b Batch
 	b.Delete(key)
 	return s.Apply(&b)
 }
 
-// commitGroup is batches that become durable by one sync.
+// commitGroup is a group of batches that become durable by a single sync.
 type commitGroup struct {
 	frames  []byte
 	batches []pendingBatch
@@ -63,16 +63,16 @@
 	err     error
 }
 
-// pendingBatch is a batch in a group.
+// pendingBatch is a batch in a commit group.
 type pendingBatch struct {
 	seq    uint64
-	offset int // of its frame in the group's
+	offset int // offset of its frame in commitGroup.frames
 	ops    []operation
 }
 
-// Apply makes a batch durable, together with others that come meanwhile. An error says that the batch has not taken
-// effect; but if a sync failed, that is unknown until the store is opened again, and all later writes return
-// ErrReadOnly.
+// Apply applies a batch and returns once it is durable. Concurrent batches share a sync. If Apply returns an error, the
+// batch was not applied; but after a failed sync this is unknown until the store is opened again, and all later writes
+// return ErrReadOnly.
 func (s *Store) Apply(b *Batch) error {
 	if len(b.ops) == 0 {
 		return nil
@@ -96,7 +96,7 @@
 	return group.err
 }
 
-// enqueue adds a batch to the group that is to be flushed next. The lock is held.
+// enqueue adds a batch to the group that is flushed next. The caller holds the lock.
 func (s *Store) enqueue(ops []operation) *commitGroup {
 	s.seq++
 	group := s.group
@@ -106,7 +106,8 @@
 	return group
 }
 
-// writable returns ErrClosed or ErrReadOnly if nothing can be written. The lock is held.
+// checkWritable returns an error that wraps ErrClosed or ErrReadOnly if the store can't be written. The caller holds
+// the lock.
 func (s *Store) checkWritable() error {
 	switch {
 	case s.closed:
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// flushGroup makes the current group durable. The lock is held, and released while the disk is at work.
+// flushGroup makes the current group durable. The caller holds the lock, which is released during the writes.
 func (s *Store) flushGroup() {
 	group := s.group
 	s.group = &commitGroup{}
@@ -144,15 +145,15 @@
 	s.stateChanged.Broadcast()
 }
 
-// unknownTailError says that the content of the log's end is unknown, so that nothing more may be written.
+// unknownTailError means that the content at the end of the log is unknown, so that nothing more may be written.
 type unknownTailError struct{ err error }
 
 func (e *unknownTailError) Error() string { return e.err.Error() }
 func (e *unknownTailError) Unwrap() error { return e.err }
 
 // appendFrames appends frames to the log, makes them durable and returns their offset in the active segment. Only the
-// writer that flushes calls it. Where the disk takes a part only, that is cut off again. An *unknownTailError says
-// that this failed, or the sync did.
+// writer that flushes the group calls it. A partial write is truncated again. If that or the sync fails, the error is
+// an *unknownTailError.
 func (s *Store) appendFrames(frames []byte) (offset int64, err error) {
 	size := s.active.size
 	if size > int64(fixedHeaderBytes) && size+int64(len(frames)) > s.options.SegmentBytes {
@@ -169,20 +170,20 @@
 	if err != nil {
 		err = fmt.Errorf("%s: %w", active.name, err)
 		if undoErr := errors.Join(active.file.Truncate(offset), active.file.Sync()); undoErr != nil {
-			err = fmt.Errorf("%w; and the part written could not be taken off: %w", err, undoErr)
+			err = fmt.Errorf("%w; the partial write could not be truncated, so that the store is now read-only: %w", err, undoErr)
 			return 0, &unknownTailError{err}
 		}
 		return 0, err
 	}
 	if err := active.file.Sync(); err != nil {
-		err = fmt.Errorf("%s: sync failed, so what is on the disk is unknown: %w", active.name, err)
+		err = fmt.Errorf("%s: sync failed, so that the content on disk is unknown and the store is now read-only: %w", active.name, err)
 		return 0, &unknownTailError{err}
 	}
 	active.size += int64(len(frames))
 	return offset, nil
 }
 
-// rollSegment begins a new active segment. The one before is durable.
+// rollSegment creates a new active segment. All batches in the previous one are durable.
 func (s *Store) rollSegment() error {
 	s.mu.Lock()
 	id := s.nextID
@@ -203,7 +204,8 @@
 	return nil
 }
 
-// publish puts the batches of a durable group into the index, and starts a compaction if that is due. The lock is held.
+// publish applies the batches of a durable group to the index, and starts a compaction if it is due. The caller holds
+// the lock.
 func (s *Store) publish(group *commitGroup, groupOffset int64) {
 	for _, batch := range group.batches {
 		frameOffset := groupOffset + int64(batch.offset)
@@ -217,13 +219,13 @@
 	}
 	if !s.options.ManualCompaction && s.needsCompaction() {
 		s.compacting = true
-		// A compaction that fails leaves the log as it was, and the next commit starts another; a failed sync of the
-		// directory is kept in failure.
+		// A failed compaction leaves the log unchanged, and the next commit starts another one. A failed sync of the
+		// directory is recorded in writeFailure.
 		go func() { _ = s.runCompaction() }()
 	}
 }
 
-// entryOf returns the entry of a put whose frame is at an offset of a segment.
+// entryOf returns the entry of a put whose frame is at frameOffset in a segment.
 func entryOf(op operation, seg *segment, frameOffset int64, seq uint64) entry {
 	return entry{
 		key:    op.key,
