--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -152,7 +152,7 @@
 
 // closesClientConns reports whether connections of clients end with their next answer.
 func (n *Node) closesClientConns() bool {
-	return n.shuttingDown.Load() || n.overrides.drained() || n.hotRestart.hasYielded()
+	return n.shuttingDown.Load() || n.overrides.drained() || n.hotRestart.hasServingSuccessor()
 }
 
 func indexByName(names []string) map[string]int {
