--- a/internal/endpointgossip/exchange_test.go
+++ b/internal/endpointgossip/exchange_test.go
@@ -456,7 +456,7 @@
 	restarted := New(1, network.nodes[1], network.now, 0, nil, false)
 	for _, msg := range captured {
 		if restarted.Receive(network.now, 0, msg.encoded) != nil {
-			t.Error("a response to an earlier run was accepted")
+			t.Error("accepted")
 		}
 	}
 	if len(captured) == 0 || restarted.counters.Invalid != int64(len(captured)) {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -33,6 +33,6 @@
 }
 
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s is corrupted at byte %d: %s; %d complete batches can be read after it",
+	return fmt.Sprintf("%s is damaged at byte %d: %s; %d complete batches can be read after it",
 		e.File, e.Offset, e.Reason, e.BatchesAfter)
 }
