--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -52,21 +52,21 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	after := newDisk()
-	durable := maps.Clone(d.durableFiles)
+	keptFiles := maps.Clone(d.durableFiles)
 	for _, name := range slices.Sorted(maps.Keys(d.durableFiles)) {
 		if d.files[name] == d.durableFiles[name] || random.IntN(2) == 0 {
 			continue
 		}
 		// A removal or a rename may have become durable without a sync, in any order.
-		delete(durable, name)
+		delete(keptFiles, name)
 		for newName, f := range d.files {
 			if f == d.durableFiles[name] {
-				durable[newName] = f
+				keptFiles[newName] = f
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(durable)) {
-		f := durable[name]
+	for _, name := range slices.Sorted(maps.Keys(keptFiles)) {
+		f := keptFiles[name]
 		data := slices.Clone(f.durable)
 		if unsynced := len(f.data) - len(data); unsynced > 0 && slices.Equal(f.data[:len(data)], data) {
 			data = append(data, f.data[len(data):len(data)+random.IntN(unsynced+1)]...)
