--- a/internal/members/probe.go
+++ b/internal/members/probe.go
@@ -249,12 +249,12 @@
 // randomAlive selects up to count alive peers at random, other than exclude. While most peers are alive, a few random
 // tries find them; after randomTries all peers are searched from a random index.
 func (m *Members) randomAlive(count, exclude int) (selected []int) {
-	const drawsPerPeer = 4
+	const triesPerPeer = 4
 	if len(m.peers) == 0 {
 		return nil
 	}
 	first := m.random.IntN(len(m.peers))
-	randomTries := drawsPerPeer * count
+	randomTries := triesPerPeer * count
 	for k := range len(m.peers) + randomTries {
 		i := m.random.IntN(len(m.peers))
 		if k >= randomTries {
