--- a/internal/endpointgossip/exchange.go
+++ b/internal/endpointgossip/exchange.go
@@ -148,12 +148,12 @@
 	}
 	e.now = max(e.now, now)
 	e.watchedVersion = version
-	return e.watchRestored(e.now)
+	return e.watchRecovered(e.now)
 }
 
-// watchRestored ends the use of gossiped lists. It returns the watched list if a gossiped one was used, and nil
+// watchRecovered ends the use of gossiped lists. It returns the watched list if a gossiped one was used, and nil
 // otherwise.
-func (e *Exchange) watchRestored(receivedAt int64) (endpoints []Endpoint) {
+func (e *Exchange) watchRecovered(receivedAt int64) (endpoints []Endpoint) {
 	e.watchUp = true
 	e.watchReceivedAt = receivedAt
 	e.ticksWithoutEvent = 0
@@ -195,7 +195,7 @@
 		e.ticksWithoutEvent++
 	}
 	if e.ticksWithoutEvent > watchGraceTicks && e.watchedVersion > 0 { // the watch has resumed, and its list is unchanged
-		return e.watchRestored(watchReceivedAt)
+		return e.watchRecovered(watchReceivedAt)
 	}
 	if e.watchUp {
 		e.watchFailed()
