--- a/internal/members/suspicion.go
+++ b/internal/members/suspicion.go
@@ -103,10 +103,10 @@
 func (m *Members) declareDead(now int64, i int) {
 	p := &m.peers[i]
 	m.counters.Failures++
-	ownViewOnly := p.localOnly || m.isIsolated()
+	localOnly := p.localOnly || m.isIsolated()
 	m.setState(now, i, Dead)
-	p.localOnly = ownViewOnly
-	if !ownViewOnly {
+	p.localOnly = localOnly
+	if !localOnly {
 		m.broadcast(i)
 	}
 }
