--- a/internal/endpointgossip/exchange_test.go
+++ b/internal/endpointgossip/exchange_test.go
@@ -229,8 +229,7 @@
 	if network.nodes[1].exchange.counters.Requests != before || network.nodes[1].activeCount() != 8 {
 		t.Error("a node whose watch is up sends requests or uses a gossiped list")
 	}
-	// While the watch is down again, gossiped lists are used. When it resumes without an event, its own list is used
-	// again.
+	// While the watch is down again, gossiped lists are used. When it resumes without an event, its own list is used.
 	network.nodes[1].watchUp = false
 	network.nodes[0].updateWatch(10, testEndpoints(8, 2, 3))
 	for range 30 {
--- a/internal/endpointgossip/transfer.go
+++ b/internal/endpointgossip/transfer.go
@@ -86,7 +86,7 @@
 	return m.Version == t.head.Version && m.Digest == t.head.Digest && m.Pages == len(t.pages)
 }
 
-// addConfirmation updates the age, the witnesses and the origin of the list from a response.
+// addConfirmation updates the age and the witnesses of the list from a response, and whether the list is restored.
 func (t *transfer) addConfirmation(from int, response *message) {
 	if response.confirmedAt() > t.head.confirmedAt() {
 		t.head.RequestedAt, t.head.AgeNs = response.RequestedAt, response.AgeNs
--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	memory, state := memoryDisk{}, memoryDisk{}.read()
-	var statesByBatch []map[string]EndpointState // statesByBatch[i] are those after i+1 batches
+	var statesByBatch []map[string]EndpointState // endpoint states after each batch
 	writeBatch := func() {
 		var batch store.Batch
 		for _, c := range state.Changes() {
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -146,8 +146,8 @@
 		ToEndpoint: func(e testEntry) endpointsource.Endpoint[testEntry] {
 			return endpointsource.Endpoint[testEntry]{Name: e.name, State: e.state, Value: e}
 		},
-		WithState: func(e testEntry, subscription endpointsource.EndpointState) testEntry {
-			e.state = subscription
+		WithState: func(e testEntry, state endpointsource.EndpointState) testEntry {
+			e.state = state
 			return e
 		},
 		Apply:              n.apply,
