--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -10,31 +10,31 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// nowhere is a transport that records what is sent.
+// recordingTransport records the datagrams that are sent and delivers none.
 type recordingTransport struct{ sent [][]byte }
 
 func (n *recordingTransport) Send(_ int, datagram []byte) { n.sent = append(n.sent, datagram) }
 
 func nodeNames(n int) []string {
-	out := make([]string, n)
-	for i := range out {
-		out[i] = fmt.Sprintf("n%d", i)
+	names := make([]string, n)
+	for i := range names {
+		names[i] = fmt.Sprintf("n%d", i)
 	}
-	return out
+	return names
 }
 
 const testStartNs = int64(1_700_000_000e9)
 
-func newTestMembers(t testing.TB, name string, of int, transport Transport) *Members {
+func newTestMembers(t testing.TB, name string, nodeCount int, transport Transport) *Members {
 	t.Helper()
-	m, err := New(Config{Name: name, Nodes: nodeNames(of), ProtocolPeriodNs: 1e9, Seed: 1, RunID: 7}, transport, testStartNs)
+	m, err := New(Config{Name: name, Nodes: nodeNames(nodeCount), ProtocolPeriodNs: 1e9, Seed: 1, RunID: 7}, transport, testStartNs)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return m
 }
 
-// from is a message as another node would send it.
+// datagramFrom returns a message to m, encoded as the named node would send it.
 func datagramFrom(m *Members, name string, msg message) []byte {
 	other := newTestMembers(panickingTB{}, name, len(m.peers)+1, &recordingTransport{})
 	msg.To = m.id
@@ -44,43 +44,43 @@
 	return encode(nil, &msg)
 }
 
-// panickingTB stands for a test where nothing can fail.
+// panickingTB is a testing.TB for calls that can't fail: a report of a failure would panic.
 type panickingTB struct{ testing.TB }
 
 func (panickingTB) Helper() {}
 
 func TestInvalidDatagramsAreCountedAndIgnored(t *testing.T) {
 	m := newTestMembers(t, "n0", 4, &recordingTransport{})
-	good := datagramFrom(m, "n1", message{Kind: gossip, Updates: []update{{ID: 1, State: Alive, StartMs: 5, RunID: 1}}})
-	spoilt := append([]byte(nil), good...)
-	spoilt[10] ^= 1
-	later := append([]byte(nil), good...)
-	later[0] = 9
-	stranger := newTestMembers(t, "n3", 4, &recordingTransport{}).selfUpdate()
-	stranger.ID = 99
+	valid := datagramFrom(m, "n1", message{Kind: gossip, Updates: []update{{ID: 1, State: Alive, StartMs: 5, RunID: 1}}})
+	corrupted := append([]byte(nil), valid...)
+	corrupted[10] ^= 1
+	laterVersion := append([]byte(nil), valid...)
+	laterVersion[0] = 9
+	unknownSender := newTestMembers(t, "n3", 4, &recordingTransport{}).selfUpdate()
+	unknownSender.ID = 99
 	for _, c := range []struct {
-		what     string
+		name     string
 		datagram []byte
 		count    func(Counters) int64
 	}{
 		{"nothing", nil, func(c Counters) int64 { return c.Invalid }},
-		{"spoilt", spoilt, func(c Counters) int64 { return c.Invalid }},
-		{"too long", make([]byte, MaxDatagramBytes), func(c Counters) int64 { return c.Invalid }},
-		{"a later version", later, func(c Counters) int64 { return c.UnknownVersions }},
+		{"spoilt", corrupted, func(c Counters) int64 { return c.Invalid }},
+		{"above the maximum length", make([]byte, MaxDatagramBytes), func(c Counters) int64 { return c.Invalid }},
+		{"of a later version", laterVersion, func(c Counters) int64 { return c.UnknownVersions }},
 		{"authenticated with another key", encode([]byte("k"), &message{To: m.id, Self: m.updateOf(0)}), func(c Counters) int64 { return c.Invalid }},
-		{"for another", datagramFrom(newTestMembers(t, "n2", 4, nil), "n1", message{Kind: ping}), func(c Counters) int64 { return c.Misdirected }},
-		{"an unknown sender", datagramFrom(m, "n1", message{Kind: ping, Self: stranger}), func(c Counters) int64 { return c.UnknownNodes }},
-		{"an incarnation beyond all", datagramFrom(m, "n1", message{Kind: ping, Self: update{ID: m.peers[0].id, State: Alive, StartMs: maxIncarnation}}), func(c Counters) int64 { return c.Invalid }},
-		{"an update about an unknown node", good, func(c Counters) int64 { return c.UnknownNodes - 1 }},
+		{"to another node", datagramFrom(newTestMembers(t, "n2", 4, nil), "n1", message{Kind: ping}), func(c Counters) int64 { return c.Misdirected }},
+		{"from an unknown sender", datagramFrom(m, "n1", message{Kind: ping, Self: unknownSender}), func(c Counters) int64 { return c.UnknownNodes }},
+		{"with an incarnation at the limit", datagramFrom(m, "n1", message{Kind: ping, Self: update{ID: m.peers[0].id, State: Alive, StartMs: maxIncarnation}}), func(c Counters) int64 { return c.Invalid }},
+		{"with an update about an unknown node", valid, func(c Counters) int64 { return c.UnknownNodes - 1 }},
 	} {
 		before := c.count(m.counters)
 		m.Receive(testStartNs, c.datagram)
 		if c.count(m.counters) == before {
-			t.Errorf("%s: not counted: %+v", c.what, m.counters)
+			t.Errorf("datagram %s: the expected counter was not increased: %+v", c.name, m.counters)
 		}
 	}
-	if f := m.Summary(testStartNs); f.Alive != 2 || f.Unknown != 2 || f.Reliable {
-		t.Errorf("one good message, and a few bad: %+v", f)
+	if summary := m.Summary(testStartNs); summary.Alive != 2 || summary.Unknown != 2 || summary.Reliable {
+		t.Errorf("after one valid message from n1 and several invalid ones: got summary %+v, want 2 alive, 2 unknown, not reliable", summary)
 	}
 }
 
@@ -96,80 +96,82 @@
 	body = append([]byte{version}, body...)
 	m.Receive(testStartNs, append(body, authTag(nil, body)...))
 	if m.Summary(testStartNs).Alive != 2 {
-		t.Errorf("a message with a field more was not taken: %+v", m.counters)
+		t.Errorf("a message with an additional field was not accepted: %+v", m.counters)
 	}
 }
 
-// TestDatagramsAreBoundedInNumberAndLength has a node with thousands of updates to gossip, that is pinged without end.
+// TestDatagramsAreBoundedInNumberAndLength checks the limits at a node that has thousands of updates to gossip and that
+// fifty nodes ping in every tick.
 func TestDatagramsAreBoundedInNumberAndLength(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 2000, transport)
-	draw := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	for i := range m.peers {
-		m.applyUpdate(testStartNs, update{ID: m.peers[i].id, State: Suspect, StartMs: draw.Uint64N(maxIncarnation), IncarnationOffset: draw.Uint64N(maxIncarnation), RunID: draw.Uint32(), SuspectedBy: draw.Uint64()}, false)
+		m.applyUpdate(testStartNs, update{ID: m.peers[i].id, State: Suspect, StartMs: random.Uint64N(maxIncarnation), IncarnationOffset: random.Uint64N(maxIncarnation), RunID: random.Uint32(), SuspectedBy: random.Uint64()}, false)
 	}
-	now, asked := testStartNs, [][]byte(nil)
+	now, pings := testStartNs, [][]byte(nil)
 	for k := range 50 {
-		asked = append(asked, datagramFrom(m, fmt.Sprintf("n%d", 1+k), message{Kind: ping, Sequence: uint64(k), Buckets: m.buckets(), Bucket: k % m.buckets(), Digest: 1}))
+		pings = append(pings, datagramFrom(m, fmt.Sprintf("n%d", 1+k), message{Kind: ping, Sequence: uint64(k), Buckets: m.buckets(), Bucket: k % m.buckets(), Digest: 1}))
 	}
-	for round := range 20 {
+	for period := range 20 {
 		transport.sent = transport.sent[:0]
 		for range TicksPerPeriod {
 			now += 1e8
 			m.Tick(now)
-			for _, datagram := range asked {
+			for _, datagram := range pings {
 				m.Receive(now, datagram)
 			}
 		}
 		if len(transport.sent) > 26+TicksPerPeriod*maxResponsesPerTick {
-			t.Fatalf("round %d: %d datagrams", round, len(transport.sent))
+			t.Fatalf("period %d: got %d datagrams, more than the limit of 26 and maxResponsesPerTick per tick", period, len(transport.sent))
 		}
-		for _, d := range transport.sent {
-			if len(d) >= MaxDatagramBytes {
-				t.Fatalf("a datagram of %d bytes", len(d))
+		for _, sent := range transport.sent {
+			if len(sent) >= MaxDatagramBytes {
+				t.Fatalf("got a datagram of %d bytes, want less than MaxDatagramBytes", len(sent))
 			}
 		}
 	}
 	if m.counters.RateLimited == 0 {
-		t.Error("no answer was held back")
+		t.Error("no response was counted as rate limited")
 	}
 }
 
-// TestPayloadDeliveryAndReachableNodes sends the longest payload from a node with many updates, to one that takes payloads, one that does not,
-// and an unknown one.
+// TestPayloadDeliveryAndReachableNodes sends payloads from a node with many updates: one of the maximum length, one
+// that is too long and one to an unknown node. The receiver gets the first, once with and once without a
+// ReceivePayload.
 func TestPayloadDeliveryAndReachableNodes(t *testing.T) {
-	out := &recordingTransport{}
-	a := newTestMembers(t, "n0", 300, out)
+	transport := &recordingTransport{}
+	a := newTestMembers(t, "n0", 300, transport)
 	markAllAlive(a)
 	a.SendPayload(1, make([]byte, MaxPayloadBytes))
 	a.SendPayload(1, make([]byte, MaxPayloadBytes+1))
 	a.SendPayload(4000, nil)
-	if len(out.sent) != 1 || len(out.sent[0]) >= MaxDatagramBytes {
-		t.Fatalf("%d datagrams", len(out.sent))
+	if len(transport.sent) != 1 || len(transport.sent[0]) >= MaxDatagramBytes {
+		t.Fatalf("got %d datagrams, want 1 that is shorter than MaxDatagramBytes", len(transport.sent))
 	}
-	took := -1
+	received := -1
 	b := newTestMembers(t, "n1", 300, &recordingTransport{})
-	b.Receive(testStartNs, out.sent[0])
-	b.config.ReceivePayload = func(from int, load []byte) { took = from*10000 + len(load) }
-	b.Receive(testStartNs, out.sent[0])
-	if c := b.Counters(); took != MaxPayloadBytes || c.Invalid > 0 {
-		t.Errorf("took %d, %+v", took, c)
+	b.Receive(testStartNs, transport.sent[0])
+	b.config.ReceivePayload = func(from int, content []byte) { received = from*10000 + len(content) }
+	b.Receive(testStartNs, transport.sent[0])
+	if c := b.Counters(); received != MaxPayloadBytes || c.Invalid > 0 {
+		t.Errorf("got %d (sender index times 10000 plus payload length), counters %+v, want MaxPayloadBytes from n0 and no invalid datagram", received, c)
 	}
 	if got := len(b.Reachable()); got != 299 {
-		t.Errorf("%d are reachable", got)
+		t.Errorf("got %d reachable nodes, want 299", got)
 	}
 	b.peers[3].state, b.peers[4].state, b.peers[5].state = Dead, Left, Suspect
 	if got := len(b.Reachable()); got != 297 {
-		t.Errorf("%d are reachable", got)
+		t.Errorf("got %d reachable nodes, want 297 without a dead and a left one", got)
 	}
 }
 
 func TestMemoryOf4096NodesIsUnderOneMegabyte(t *testing.T) {
-	all := nodeNames(4096)
+	nodes := nodeNames(4096)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	m, err := New(Config{Name: "n0", Nodes: all, ProtocolPeriodNs: 1e9, RunID: 1}, &recordingTransport{}, testStartNs)
+	m, err := New(Config{Name: "n0", Nodes: nodes, ProtocolPeriodNs: 1e9, RunID: 1}, &recordingTransport{}, testStartNs)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,23 +181,24 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if used := int64(after.HeapAlloc) - int64(before.HeapAlloc); used > 1<<20 {
-		t.Errorf("%d bytes", used)
+		t.Errorf("got %d bytes for 4096 nodes, want 1 MiB at most", used)
 	}
 	runtime.KeepAlive(m)
 }
 
-// TestIncarnationExceedsEarlierRun restarts a node with a clock a minute behind: an update of its earlier run
-// raises its incarnation.
+// TestIncarnationExceedsEarlierRun covers a node that restarts with its clock a minute behind: an update about its
+// earlier run must raise its incarnation above that run's.
 func TestIncarnationExceedsEarlierRun(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 3, transport)
 	m.applyUpdate(testStartNs, update{ID: m.id, State: Dead, StartMs: m.startMs + 60_000, RunID: 3}, false)
 	if m.incarnation <= m.startMs+60_000 {
-		t.Errorf("incarnation %d is below that of the earlier run, %d", m.incarnation, m.startMs+60_000)
+		t.Errorf("got incarnation %d, want it above that of the earlier run, %d", m.incarnation, m.startMs+60_000)
 	}
 }
 
-// TestNameConflictSilencesOneProcess has two processes outbid each other, and one report the conflict.
+// TestNameConflictSilencesOneProcess has two processes of one name raise their incarnations above each other's: the one
+// with the lower run ID reports the conflict and stops sending.
 func TestNameConflictSilencesOneProcess(t *testing.T) {
 	a, b := newTestMembers(t, "n0", 3, &recordingTransport{}), newTestMembers(t, "n0", 3, &recordingTransport{})
 	b.config.RunID = 9
@@ -204,30 +207,30 @@
 		b.Receive(testStartNs, encode(nil, &message{Kind: ping, To: b.id, Self: a.selfUpdate()}))
 	}
 	if !a.NameConflict() || a.quietUntil == 0 || b.quietUntil != 0 {
-		t.Errorf("a is quiet until tick %d, b until %d", a.quietUntil, b.quietUntil)
+		t.Errorf("a sends nothing until tick %d, b until tick %d; want a to report the conflict and stop sending, and b to go on", a.quietUntil, b.quietUntil)
 	}
 	if a.Summary(testStartNs).Reliable {
-		t.Error("the summary of one of two processes is known")
+		t.Error("the summary of a process in a name conflict is reliable")
 	}
 }
 
-// TestSuspicionByOthersDoesNotDeclareDead has a node suspected by others that answers this one: it stays suspect,
-// however long.
+// TestSuspicionByOthersDoesNotDeclareDead covers a node that others suspect but that answers this node's probes: it
+// stays suspect after its timeout and is never declared dead here.
 func TestSuspicionByOthersDoesNotDeclareDead(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 6, transport)
 	for i := range m.peers {
 		m.applyUpdate(testStartNs, update{ID: m.peers[i].id, State: Alive, StartMs: 5, RunID: 1}, true)
 	}
-	victim := m.find(newTestMembers(t, "n1", 6, nil).id)
-	m.applyUpdate(testStartNs, update{ID: m.peers[victim].id, State: Suspect, StartMs: 5, RunID: 1, SuspectedBy: m.peers[(victim+1)%5].id}, false)
+	suspect := m.find(newTestMembers(t, "n1", 6, nil).id)
+	m.applyUpdate(testStartNs, update{ID: m.peers[suspect].id, State: Suspect, StartMs: 5, RunID: 1, SuspectedBy: m.peers[(suspect+1)%5].id}, false)
 	now := testStartNs
 	for tick := range 600 {
 		transport.sent = transport.sent[:0]
 		now += 1e8
 		m.Tick(now)
-		for _, d := range transport.sent {
-			msg, err := decode(nil, d)
+		for _, datagram := range transport.sent {
+			msg, err := decode(nil, datagram)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -236,22 +239,22 @@
 				m.Receive(now, encode(nil, &message{Kind: ack, To: m.id, Self: self, Sequence: msg.Sequence}))
 			}
 		}
-		if s := m.peers[victim].state; s != Suspect {
-			t.Fatalf("tick %d: %v", tick, s)
+		if state := m.peers[suspect].state; state != Suspect {
+			t.Fatalf("tick %d: got state %v, want suspect", tick, state)
 		}
 	}
 }
 
 func TestNewRejectsInvalidConfigs(t *testing.T) {
-	for _, s := range []Config{
+	for _, config := range []Config{
 		{Name: "", Nodes: nodeNames(2), ProtocolPeriodNs: 1},
 		{Name: "n0", Nodes: nodeNames(2)},
 		{Name: "x", Nodes: nodeNames(2), ProtocolPeriodNs: 1},
 		{Name: "n0", Nodes: []string{"n0", "n1", "n1"}, ProtocolPeriodNs: 1},
 		{Name: "n0", Nodes: nodeNames(maxNodes + 1), ProtocolPeriodNs: 1},
 	} {
-		if _, err := New(s, &recordingTransport{}, testStartNs); err == nil {
-			t.Errorf("%q of %d taken", s.Name, len(s.Nodes))
+		if _, err := New(config, &recordingTransport{}, testStartNs); err == nil {
+			t.Errorf("New accepted an invalid configuration with the name %q and %d nodes", config.Name, len(config.Nodes))
 		}
 	}
 }
@@ -264,7 +267,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m := newTestMembers(t, "n0", 30, &recordingTransport{})
 		m.Receive(testStartNs, data)
-		if len(data) > 0 { // also past the authentication
+		if len(data) > 0 { // the same data with a valid authentication tag, so that it is decoded
 			body := append([]byte{version}, data...)
 			m.Receive(testStartNs, append(body, authTag(nil, body)...))
 		}
@@ -272,7 +275,7 @@
 	})
 }
 
-// runTicks runs a view for some ticks without a stall.
+// runTicks calls Tick at regular intervals, without a stall, and returns the time of the last call.
 func runTicks(m *Members, now int64, ticks int) int64 {
 	for range ticks {
 		now += m.config.ProtocolPeriodNs / TicksPerPeriod
@@ -287,27 +290,27 @@
 	}
 }
 
-// TestStallRaisesNoSuspicion stalls a node while it probes: neither that probe nor the first one after raises a
-// suspicion.
+// TestStallRaisesNoSuspicion stalls a node during a probe, at each phase of the protocol period: neither that probe nor
+// the first one after the stall may raise a suspicion. Later probes do.
 func TestStallRaisesNoSuspicion(t *testing.T) {
 	for phase := range TicksPerPeriod {
 		m := newTestMembers(t, "n0", 6, &recordingTransport{})
 		markAllAlive(m)
 		now := runTicks(m, testStartNs, TicksPerPeriod+phase)
 		if now = runTicks(m, now+3e9, 3*TicksPerPeriod-1); m.counters.Suspicions != 0 || m.counters.Stalls != 1 {
-			t.Errorf("phase %d: %d suspicions, %d stalls", phase, m.counters.Suspicions, m.counters.Stalls)
+			t.Errorf("phase %d: got %d suspicions and %d stalls, want 0 and 1", phase, m.counters.Suspicions, m.counters.Stalls)
 		}
 		if runTicks(m, now, 4*TicksPerPeriod); m.counters.Suspicions == 0 {
-			t.Error("it never suspects again")
+			t.Error("no suspicion is raised long after the stall")
 		}
 	}
 }
 
-// TestPushPullRepairsMissedUpdates has a node that got no update learn what another knows, by one ping and its ack for
-// each part.
+// TestPushPullRepairsMissedUpdates checks that a node that has missed all updates gets the states of all nodes from
+// another by anti-entropy alone, with two pings per bucket.
 func TestPushPullRepairsMissedUpdates(t *testing.T) {
-	wayA, wayB := &recordingTransport{}, &recordingTransport{}
-	a, b := newTestMembers(t, "n0", 50, wayA), newTestMembers(t, "n1", 50, wayB)
+	transportA, transportB := &recordingTransport{}, &recordingTransport{}
+	a, b := newTestMembers(t, "n0", 50, transportA), newTestMembers(t, "n1", 50, transportB)
 	markAllAlive(a)
 	a.broadcasts = nil
 	for i := range a.peers {
@@ -316,38 +319,38 @@
 	b.applyUpdate(testStartNs, a.selfUpdate(), true)
 	a.applyUpdate(testStartNs, b.selfUpdate(), true)
 	for range 2 * b.buckets() {
-		wayA.sent, wayB.sent = nil, nil
+		transportA.sent, transportB.sent = nil, nil
 		a.responsesInTick, b.responsesInTick = 0, 0
 		b.send(b.find(a.id), b.withNextDigest(&message{Kind: ping, Sequence: 1}))
 		a.broadcasts = nil
-		a.Receive(testStartNs, wayB.sent[0])
-		for _, d := range wayA.sent {
-			b.Receive(testStartNs, d)
+		a.Receive(testStartNs, transportB.sent[0])
+		for _, datagram := range transportA.sent {
+			b.Receive(testStartNs, datagram)
 		}
 	}
-	if f := b.Summary(testStartNs); f.Alive != 50 {
-		t.Errorf("%+v", f)
+	if summary := b.Summary(testStartNs); summary.Alive != 50 {
+		t.Errorf("got summary %+v, want 50 alive nodes", summary)
 	}
 }
 
-// TestMessageOfEarlierRunIsNotAnswered has a message of an earlier run of a node come: it is sent its known state,
-// and nothing else.
+// TestMessageOfEarlierRunIsNotAnswered checks that a ping of an earlier run of a node gets no ack: the only response is
+// the state of the node's later run.
 func TestMessageOfEarlierRunIsNotAnswered(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 4, transport)
-	old := newTestMembers(t, "n1", 4, &recordingTransport{}).selfUpdate()
-	next := old
-	next.StartMs, next.RunID = old.StartMs+1000, 8
-	m.Receive(testStartNs, datagramFrom(m, "n1", message{Kind: gossip, Self: next}))
+	earlier := newTestMembers(t, "n1", 4, &recordingTransport{}).selfUpdate()
+	restarted := earlier
+	restarted.StartMs, restarted.RunID = earlier.StartMs+1000, 8
+	m.Receive(testStartNs, datagramFrom(m, "n1", message{Kind: gossip, Self: restarted}))
 	transport.sent = nil
-	m.Receive(testStartNs+1e9, datagramFrom(m, "n1", message{Kind: ping, Sequence: 4, Self: old}))
-	if len(transport.sent) != 1 || m.peers[m.find(old.ID)].lastReceivedAt != testStartNs || m.counters.StaleIncarnations != 1 {
-		t.Fatalf("%d sent, %+v", len(transport.sent), m.counters)
+	m.Receive(testStartNs+1e9, datagramFrom(m, "n1", message{Kind: ping, Sequence: 4, Self: earlier}))
+	if len(transport.sent) != 1 || m.peers[m.find(earlier.ID)].lastReceivedAt != testStartNs || m.counters.StaleIncarnations != 1 {
+		t.Fatalf("got %d messages sent and counters %+v, want 1 message and 1 stale incarnation, and the time of the last datagram unchanged", len(transport.sent), m.counters)
 	}
-	if msg, err := decode(nil, transport.sent[0]); err != nil || msg.Kind != gossip || len(msg.Updates) == 0 || msg.Updates[0].StartMs != next.StartMs {
-		t.Errorf("%+v, %v", msg, err)
+	if msg, err := decode(nil, transport.sent[0]); err != nil || msg.Kind != gossip || len(msg.Updates) == 0 || msg.Updates[0].StartMs != restarted.StartMs {
+		t.Errorf("got message %+v, error %v, want gossip with the start of the later run", msg, err)
 	}
-	if m.applyUpdate(testStartNs, old, false); m.peers[m.find(old.ID)].startMs != next.StartMs {
-		t.Error("an old update is applied")
+	if m.applyUpdate(testStartNs, earlier, false); m.peers[m.find(earlier.ID)].startMs != restarted.StartMs {
+		t.Error("an update of the earlier run was applied")
 	}
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// BenchmarkPut measures durable writes of 100 bytes by several writers at once, on the disk of the test's directory.
+// BenchmarkPut measures durable writes of 100 bytes by concurrent writers, on the disk of the temporary directory.
 func BenchmarkPut(b *testing.B) {
 	for _, writers := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint(writers), func(b *testing.B) {
@@ -20,10 +20,10 @@
 			defer closeStore(b, s)
 			value := make([]byte, 100)
 			var next atomic.Int64
-			var all sync.WaitGroup
+			var group sync.WaitGroup
 			b.ResetTimer()
 			for range writers {
-				all.Go(func() {
+				group.Go(func() {
 					for i := next.Add(1); i <= int64(b.N); i = next.Add(1) {
 						if err := s.Put(fmt.Sprint("k", i%1000), value); err != nil {
 							b.Error(err)
@@ -32,12 +32,12 @@
 					}
 				})
 			}
-			all.Wait()
+			group.Wait()
 		})
 	}
 }
 
-// BenchmarkOpen measures recovery by the number of keys, and the memory that the store then takes.
+// BenchmarkOpen measures recovery for several numbers of keys, and the memory that the open store uses.
 func BenchmarkOpen(b *testing.B) {
 	for _, keys := range []int{1000, 100000, 1000000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
@@ -49,7 +49,7 @@
 			for i := 0; i < keys; {
 				var batch Batch
 				for range min(5000, keys) {
-					batch.Put(fmt.Sprintf("server/%07d", i), []byte("forty bytes or so of what is known of it"))
+					batch.Put(fmt.Sprintf("server/%07d", i), []byte("a persisted endpoint record of 40 bytes."))
 					i++
 				}
 				if err := s.Apply(&batch); err != nil {
@@ -62,9 +62,9 @@
 			runtime.ReadMemStats(&before)
 			b.ResetTimer()
 			for range b.N {
-				s, r, err := Open(dir, Options{ManualCompaction: true})
-				if err != nil || r.Keys != keys {
-					b.Fatal(err, r)
+				s, recovery, err := Open(dir, Options{ManualCompaction: true})
+				if err != nil || recovery.Keys != keys {
+					b.Fatal(err, recovery)
 				}
 				b.StopTimer()
 				runtime.GC()
@@ -77,8 +77,8 @@
 	}
 }
 
-// BenchmarkOverwrite overwrites the same thousand keys, and reports the space amplification: the log's size over the
-// live bytes.
+// BenchmarkOverwrite overwrites the same thousand keys, and reports the maximum space amplification: the size of the
+// log divided by the live bytes.
 func BenchmarkOverwrite(b *testing.B) {
 	s, _, err := Open(b.TempDir(), Options{SegmentBytes: 256 << 10})
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 	defer closeStore(b, s)
 	value := make([]byte, 1000)
-	most, start := 0.0, time.Now()
+	maxAmplification, start := 0.0, time.Now()
 	for i := range b.N {
 		var batch Batch
 		for k := range 50 {
@@ -101,10 +101,10 @@
 			total += seg.size
 		}
 		if i > 100 {
-			most = max(most, float64(total)/float64(s.liveBytes))
+			maxAmplification = max(maxAmplification, float64(total)/float64(s.liveBytes))
 		}
 		s.mu.Unlock()
 	}
-	b.ReportMetric(most, "space")
+	b.ReportMetric(maxAmplification, "space")
 	b.ReportMetric(float64(b.N*50)/time.Since(start).Seconds(), "puts/s")
 }
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -7,15 +7,15 @@
 	"github.com/google/btree"
 )
 
-// Snapshot is the content of a store at one moment; later writes don't change it. It keeps files open until Release.
-// It is not safe for concurrent use.
+// Snapshot is the content of a store at a point in time, unaffected by later writes. It keeps files open until it is
+// released. It is not safe for concurrent use.
 type Snapshot struct {
 	store    *Store
 	index    *btree.BTreeG[entry]
 	segments []*segment
 }
 
-// Snapshot returns a snapshot of the store as it is now.
+// Snapshot returns a snapshot of the current content, which the caller must release.
 func (s *Store) Snapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,16 +27,16 @@
 }
 
 // Release releases the snapshot, which must not be used afterwards.
-func (p *Snapshot) Release() {
-	p.store.releaseSegments(p.segments...)
-	p.segments = nil
+func (s *Snapshot) Release() {
+	s.store.releaseSegments(s.segments...)
+	s.segments = nil
 }
 
-// Each calls visit for every key with the prefix, in order, until it returns false. An error says that a value could
-// not be read.
-func (p *Snapshot) Each(prefix string, visit func(key string, value []byte) bool) error {
+// Each calls visit for each key with the prefix, in order, until visit returns false. It returns an error if a value
+// can't be read.
+func (s *Snapshot) Each(prefix string, visit func(key string, value []byte) bool) error {
 	var readErr error
-	p.index.AscendGreaterOrEqual(entry{key: prefix}, func(e entry) bool {
+	s.index.AscendGreaterOrEqual(entry{key: prefix}, func(e entry) bool {
 		if !strings.HasPrefix(e.key, prefix) {
 			return false
 		}
@@ -51,4 +51,4 @@
 }
 
 // Len returns the number of keys.
-func (p *Snapshot) Len() int { return p.index.Len() }
+func (s *Snapshot) Len() int { return s.index.Len() }
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 )
 
-// node is a node that subscribes.
+// testNode records what a subscription calls back.
 type testNode struct {
 	panics  atomic.Int64
 	watch   atomic.Bool
@@ -38,7 +38,7 @@
 	return n.applied[name]
 }
 
-// entry is an endpoint as the node under test describes it.
+// testEntry is the endpoint type of testNode. source says where the endpoint came from.
 type testEntry struct {
 	name, source string
 	state        endpointsource.EndpointState
@@ -50,25 +50,25 @@
 	if complete {
 		n.applied = map[string]string{}
 	}
-	for _, e := range entries {
-		if n.applied[e.name] = e.source; e.state == endpointsource.StateRemoved {
-			delete(n.applied, e.name)
+	for _, entry := range entries {
+		if n.applied[entry.name] = entry.source; entry.state == endpointsource.StateRemoved {
+			delete(n.applied, entry.name)
 		}
 	}
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, condition string, met func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !met(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("condition not met within 5 s: %s", condition)
 		}
 	}
 }
 
 func endpointBody(host string) []byte { return fmt.Appendf(nil, `{"host":%q,"health":"up"}`, host) }
 
-// origin is an origin behind a relay server.
+// testOrigin is an origin that is served by a relay server.
 type testOrigin struct {
 	t       *testing.T
 	origin  *distribution.Origin
@@ -78,21 +78,21 @@
 
 func newTestOrigin(t *testing.T) *testOrigin {
 	t.Helper()
-	o := distribution.NewOrigin(1, distribution.Limits{})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	origin := distribution.NewOrigin(1, distribution.Limits{})
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := relay.NewServer(o.Relay(), relay.ServerConfig{}, zap.NewNop())
+	server := relay.NewServer(origin.Relay(), relay.ServerConfig{}, zap.NewNop())
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(l) }()
+	go func() { served <- server.Serve(listener) }()
 	t.Cleanup(func() {
-		l.Close()
-		if err := errors.Join(s.Close(context.Background()), <-served); err != nil {
+		listener.Close()
+		if err := errors.Join(server.Close(context.Background()), <-served); err != nil {
 			t.Error(err)
 		}
 	})
-	return &testOrigin{t: t, origin: o, server: s, address: l.Addr().String()}
+	return &testOrigin{t: t, origin: origin, server: server, address: listener.Addr().String()}
 }
 
 func (o *testOrigin) put(scope, key string, class distribution.Class, body []byte) {
@@ -104,7 +104,7 @@
 	})
 }
 
-// putHosts puts hosts that subscribers get in one frame.
+// putHosts puts records of hosts, which subscribers receive in a single frame.
 func (o *testOrigin) putHosts(hosts ...string) {
 	o.t.Helper()
 	o.server.Do(func(now int64) {
@@ -117,36 +117,37 @@
 	})
 }
 
-// decode can't read a host named invalid, and panics at one named panics.
-func decodeTestEntry(e endpointlist.Entry) (testEntry, error) {
-	switch e.Name {
+// decodeTestEntry returns an error for a host named invalid, and panics for one named panics.
+func decodeTestEntry(entry endpointlist.Entry) (testEntry, error) {
+	switch entry.Name {
 	case "invalid":
 		return testEntry{}, errors.New("invalid")
 	case "panics":
 		panic("panics")
 	}
-	out := testEntry{name: e.Name, source: "by relays"}
-	if e.State == "removed" {
-		out.state = endpointsource.StateRemoved
+	decoded := testEntry{name: entry.Name, source: "by relays"}
+	if entry.State == "removed" {
+		decoded.state = endpointsource.StateRemoved
 	}
-	return out, nil
+	return decoded, nil
 }
 
-// A panic at a record of the relays ends their part alone: discovery takes over.
+// TestPanicInRelayUpdateFallsBackToDiscovery checks that a panic while a record of a relay is decoded stops only the
+// updates from relays: the node gets its list from discovery instead. A record that can't be decoded is skipped before.
 func TestPanicInRelayUpdateFallsBackToDiscovery(t *testing.T) {
-	o := newTestOrigin(t)
-	o.putHosts("good")
-	o.put(relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, []byte(`{"seq":3,"stands":true}`))
+	origin := newTestOrigin(t)
+	origin.putHosts("good")
+	origin.put(relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, []byte(`{"seq":3,"stands":true}`))
 	n := &testNode{applied: map[string]string{}}
 	var skipped atomic.Int64
-	s, err := New(Config[testEntry]{
-		Name: "n", Relays: []string{o.address}, Scopes: []string{"eu1/cart"}, StaleAfterNs: 1e9,
+	subscription, err := New(Config[testEntry]{
+		Name: "n", Relays: []string{origin.address}, Scopes: []string{"eu1/cart"}, StaleAfterNs: 1e9,
 		Clock: relay.NewClock(), Log: zap.NewNop(), Decode: decodeTestEntry,
 		ToEndpoint: func(e testEntry) endpointsource.Endpoint[testEntry] {
 			return endpointsource.Endpoint[testEntry]{Name: e.name, State: e.state, Value: e}
 		},
-		WithState: func(e testEntry, s endpointsource.EndpointState) testEntry {
-			e.state = s
+		WithState: func(e testEntry, state endpointsource.EndpointState) testEntry {
+			e.state = state
 			return e
 		},
 		Apply:              n.apply,
@@ -160,37 +161,37 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go s.Run(ctx)
-	eventually(t, "the list by relays", func() bool { return n.sourceOf("good") == "by relays" })
-	o.putHosts("invalid", "another")
-	eventually(t, "the one beside the invalid one", func() bool { return n.sourceOf("another") == "by relays" })
+	go subscription.Run(ctx)
+	eventually(t, "the list from the relay is applied", func() bool { return n.sourceOf("good") == "by relays" })
+	origin.putHosts("invalid", "another")
+	eventually(t, "the valid record in the same frame as an invalid one is applied", func() bool { return n.sourceOf("another") == "by relays" })
 	n.mu.Lock()
 	if len(n.applied) != 2 || skipped.Load() != 1 {
-		t.Errorf("%q applied, %d skipped; expected two and one", n.applied, skipped.Load())
+		t.Errorf("got endpoints %q and %d skipped records, want two endpoints and one skipped", n.applied, skipped.Load())
 	}
 	n.mu.Unlock()
-	o.putHosts("panics")
-	eventually(t, "the panic", func() bool { return n.panics.Load() > 0 })
-	eventually(t, "a watch of discovery", n.watch.Load)
-	s.UpdateDiscovery([]testEntry{{name: "good", source: "by discovery"}}, 4, true)
-	eventually(t, "discovery's list", func() bool { return n.sourceOf("good") == "by discovery" })
-	if s.RelaysLastReceivedAt() != 0 {
-		t.Error("relays still count as the source")
+	origin.putHosts("panics")
+	eventually(t, "the panic is recovered", func() bool { return n.panics.Load() > 0 })
+	eventually(t, "discovery is watched", n.watch.Load)
+	subscription.UpdateDiscovery([]testEntry{{name: "good", source: "by discovery"}}, 4, true)
+	eventually(t, "the list from discovery is applied", func() bool { return n.sourceOf("good") == "by discovery" })
+	if subscription.RelaysLastReceivedAt() != 0 {
+		t.Error("relays are still the only source of the list after a panic")
 	}
-	if text := s.StatusJSON(); text == "" {
-		t.Error("no status")
+	if text := subscription.StatusJSON(); text == "" {
+		t.Error("got an empty status")
 	}
 }
 
-// A host in two scopes stays until neither has it, in whatever order the changes come.
+// TestHostInTwoScopes checks that a host with records in two scopes is removed only when both records are deleted.
 func TestHostInTwoScopes(t *testing.T) {
-	put := func(scope, host string, gone bool) distribution.Change {
+	put := func(scope, host string, deleted bool) distribution.Change {
 		return distribution.Change{Record: distribution.Record{
 			Scope: scope, Key: relay.EndpointKey(host),
-			Deleted: gone, Body: endpointBody(host),
+			Deleted: deleted, Body: endpointBody(host),
 		}}
 	}
-	h := relay.NewHostTable()
+	table := relay.NewHostTable()
 	for i, step := range []struct {
 		change distribution.Change
 		health string
@@ -198,13 +199,13 @@
 		put("b", "h", true),
 		"removed",
 	}, {put("b", "h", true), ""}} {
-		hosts := h.Apply([]distribution.Change{step.change})
+		hosts := table.Apply([]distribution.Change{step.change})
 		if step.health == "" && len(hosts.Entries) == 0 {
 			continue
 		}
 		if hosts.LastErr != nil || hosts.Skipped != 0 || len(hosts.Entries) != 1 ||
 			hosts.Entries[0].State != step.health {
-			t.Errorf("step %d: %+v; expected %q", i, hosts, step.health)
+			t.Errorf("step %d: got %+v, want one entry in state %q", i, hosts, step.health)
 		}
 	}
 }
