--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -27,7 +27,7 @@
 // pause leaves new connections to another process that accepts from the same socket, until resume.
 func (f *frontend) pause() {
 	f.paused.Store(true)
-	f.setAcceptDeadline(inThePast)
+	f.setAcceptDeadline(expiredDeadline)
 }
 
 func (f *frontend) resume() {
@@ -52,7 +52,7 @@
 // ends only with the next connection.
 func (f *frontend) drainAndClose(deadline time.Time) {
 	f.draining.Store(true)
-	f.setAcceptDeadline(inThePast)
+	f.setAcceptDeadline(expiredDeadline)
 	f.wakeAccept()
 	lastProgress := time.Now()
 	for time.Now().Before(deadline) && time.Since(lastProgress) < acceptStuckAfter {
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -49,7 +49,7 @@
 // The socket that processes share may become a blocking one before the next accept: the shutdown still ends.
 func TestInheritedSocketBecomesBlocking(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	n := processes(t, server)()
+	n := newProcessFactory(t, server)()
 	n.start()
 	raw, err := n.frontend.listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -174,7 +174,7 @@
 	server, _ := startUpstream(t, echo)
 	n := newNode(t, withAdmin, server)
 	n.loop.endpointsUpdated(n.chooseInitialList().entries, true)
-	n.overrides.rememberNames("s-0")
+	n.overrides.addKnownNames("s-0")
 	go n.loop.run()
 	go n.overrides.watch(nil)
 	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err != nil {
@@ -183,7 +183,7 @@
 	eventually(t, "the decisions know", func() bool {
 		applied := make(chan *overrideSet, 1)
 		n.loop.post(func() { applied <- n.overrides.applied })
-		return (<-applied).disabled[endpointID("s-0")]
+		return (<-applied).disabledIDs[endpointID("s-0")]
 	})
 }
 
@@ -191,7 +191,7 @@
 func TestAttemptChecksOverridesBeforeItIsSent(t *testing.T) {
 	server, requests := startUpstream(t, echo)
 	n := newNode(t, withAdmin, server)
-	n.overrides.rememberNames("s-0")
+	n.overrides.addKnownNames("s-0")
 	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err != nil {
 		t.Fatal(err)
 	}
@@ -228,7 +228,7 @@
 	for i := range 20 {
 		for _, p := range []*Node{n, other} {
 			name := fmt.Sprintf("s-%d-%p", i, p)
-			p.overrides.rememberNames(name)
+			p.overrides.addKnownNames(name)
 			done.Go(func() {
 				if _, err := p.overrides.change(func(o *overrideSet) string { return o.disable(name, 1) }); err != nil {
 					t.Error(err)
@@ -238,7 +238,7 @@
 	}
 	done.Wait()
 	n.overrides.reload()
-	if out := len(n.overrides.current.Load().disabled); out != 40 {
+	if out := len(n.overrides.current.Load().disabledIDs); out != 40 {
 		t.Errorf("%d of 40 overrides hold after both processes were called at once", out)
 	}
 }
@@ -262,12 +262,12 @@
 			t.Fatal(err)
 		}
 		again := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
-		if got := len(again.overrides.current.Load().disabled); got != kept || again.count(overridesUnreadable) != 1 {
+		if got := len(again.overrides.current.Load().disabledIDs); got != kept || again.count(overridesUnreadable) != 1 {
 			t.Errorf("%.80q: %d disabled, want %d; counted %d times", text, got, kept, again.count(overridesUnreadable))
 		}
 	}
 	running := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
-	running.overrides.publish(&overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-7": {disabledAt: 1}}})
+	running.overrides.publish(&overrideSet{drained: true, endpoints: map[string]endpointOverride{"s-7": {disabledAt: 1}}})
 	if err := os.WriteFile(n.overrides.path, []byte(good+"server \"s-0\" 1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -281,7 +281,7 @@
 	if again := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen }); again.count(overridesUnreadable) != 1 {
 		t.Error("a directory in the place of the file is not counted")
 	}
-	n.overrides.rememberNames("s-0")
+	n.overrides.addKnownNames("s-0")
 	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err == nil || n.overrides.isDisabled(endpointID("s-0")) {
 		t.Error("an override that can't be written was confirmed, or has effect")
 	}
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -166,7 +166,7 @@
 	c.lingerTimeout = closeLinger
 	if bodyIncomplete {
 		// Guards against a reset that would discard the response to a client that still sends its body.
-		c.lingerTimeout = bodyStall
+		c.lingerTimeout = bodyStallTimeout
 	}
 	return true
 }
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -34,7 +34,7 @@
 		return
 	}
 	l.node.counters.add(attemptsSent)
-	l.node.upstreams.start(started)
+	l.node.upstreams.startAttempt(started)
 }
 
 // dedupDeadline is when the deduplication window of the first attempt that may have run ends, which a retry under the
@@ -45,7 +45,7 @@
 		return 0
 	}
 	for _, earlier := range request.attempts {
-		if !earlier.neverRan {
+		if !earlier.notExecuted {
 			windowEnd := earlier.sentAt.Add(class.DedupWindow)
 			deadline = min(cmp.Or(deadline, windowEnd), windowEnd)
 		}
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -114,7 +114,7 @@
 
 // ranSince returns when an attempt was sent, and whether it may have run.
 func ranSince(a **attempt) (sentAt policy.Time, mayHaveRun bool) {
-	return (*a).sentAt, !(*a).neverRan
+	return (*a).sentAt, !(*a).notExecuted
 }
 
 // clientGone cancels a request whose client has closed its connection.
@@ -153,7 +153,7 @@
 	if result.clientGone {
 		l.clientGone(request)
 	}
-	ended.neverRan = !result.outcome.MayHaveRun()
+	ended.notExecuted = !result.outcome.MayHaveRun()
 	request.inFlight--
 	ended.cancel()
 	l.passOnResponse(request, result)
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -155,7 +155,7 @@
 // TestGoldenOrders compares the overrides file with that of an earlier build, and reads that.
 func TestGoldenOrders(t *testing.T) {
 	n := newNode(t, func(c *Config) { c.Name, c.Listen = "n0", "127.0.0.1:0" })
-	s := &overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-1": {disabledAt: 5}, "s \"2\"": {disabledAt: 6, enabledAt: 7}}}
+	s := &overrideSet{drained: true, endpoints: map[string]endpointOverride{"s-1": {disabledAt: 5}, "s \"2\"": {disabledAt: 6, enabledAt: 7}}}
 	if err := n.overrides.write(s); err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 	}
 	defer kept.Close()
 	read, err := parseOverrides(kept, n.identity())
-	if err != nil || !read.drained || len(read.endpoints) != 2 || read.endpoints["s-1"] != (disabledEndpoint{disabledAt: 5}) || read.endpoints["s \"2\""] != (disabledEndpoint{disabledAt: 6, enabledAt: 7}) {
+	if err != nil || !read.drained || len(read.endpoints) != 2 || read.endpoints["s-1"] != (endpointOverride{disabledAt: 5}) || read.endpoints["s \"2\""] != (endpointOverride{disabledAt: 6, enabledAt: 7}) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -31,7 +31,7 @@
 // divideLimits sets the limits of connections and memory. It is called at the start, and whenever the node's other
 // process comes or goes.
 func (n *Node) divideLimits() {
-	processes := n.hotRestart.processes()
+	processes := n.hotRestart.processCount()
 	n.divideDescriptors(processes)
 	n.divideMemory(processes)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -152,7 +152,7 @@
 
 // closesConnections reports whether connections of clients end with their next answer.
 func (n *Node) closesConnections() bool {
-	return n.shuttingDown.Load() || n.overrides.drained() || n.hotRestart.hasYielded()
+	return n.shuttingDown.Load() || n.overrides.drained() || n.hotRestart.hasServingSuccessor()
 }
 
 func indexByName(names []string) map[string]int {
--- a/internal/node/requestread.go
+++ b/internal/node/requestread.go
@@ -34,7 +34,7 @@
 	}
 	pending.method = request.Method
 	pending.http10 = !request.ProtoAtLeast(1, 1)
-	c.conn.pacer = &readPacer{start: began, grace: bodyGrace, stall: bodyStall, minRate: minBodyRate}
+	c.conn.pacer = &readPacer{start: began, gracePeriod: bodyGracePeriod, stallTimeout: bodyStallTimeout, minBytesPerSecond: minBodyBytesPerSecond}
 	complete, err := c.readBody(pending, m)
 	if err != nil || complete {
 		c.conn.pacer = nil
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -35,7 +35,7 @@
 		defer close(u.done)
 		u.err = u.run(conn, a)
 		if u.err != nil {
-			conn.SetReadDeadline(inThePast) // there will be no response
+			conn.SetReadDeadline(expiredDeadline) // there will be no response
 			return
 		}
 		u.completedAt = time.Now()
@@ -100,7 +100,7 @@
 // stop ends the upload and reports whether it was complete.
 func (u *upload) stop(conn *upstreamConn, request *pendingRequest) bool {
 	if !u.complete.Load() {
-		conn.SetWriteDeadline(inThePast)
+		conn.SetWriteDeadline(expiredDeadline)
 		request.source.abandon()
 	}
 	<-u.done // or its last deadline would be set on a connection that carries another attempt by then
