--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -153,13 +153,13 @@
 // so that before fullyWritten the request never ran; from then on it may have run, whatever ended the attempt.
 func (e *attemptError) outcome() policy.Outcome {
 	var local localError
-	neverRan := e.stage < fullyWritten
+	notExecuted := e.stage < fullyWritten
 	switch {
-	case neverRan && e.canceled:
+	case notExecuted && e.canceled:
 		return policy.OutcomeNotSent // ended by this node, so nothing is known of the endpoint
-	case neverRan && errors.As(e.err, &local):
+	case notExecuted && errors.As(e.err, &local):
 		return policy.OutcomeNotSent // the reason is this node's
-	case neverRan:
+	case notExecuted:
 		return policy.OutcomeConnectFailed // the endpoint was not reached, or did not take the request
 	case e.canceled:
 		return policy.OutcomeCanceled
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -140,33 +140,33 @@
 // A request that may have run goes to its deduplication group again only within the window, also where a dial takes
 // long.
 func TestRequestIsNotWrittenAfterDedupWindowEndsDuringDial(t *testing.T) {
-	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		return writeAnswer(c, "500 Bad", "")
 	})
-	for name, span := range map[string]int64{"ends": 150, "lasts": 700} {
+	for name, windowMs := range map[string]int64{"ends": 150, "lasts": 700} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := newNode(t, withSettings(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, span*1000)),
-				first, first)
-			second := newGate(t)
-			n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
+			n := newNode(t, withSettings(`"memory_span_us":2000000`, fmt.Sprintf(`"memory_span_us":%d`, windowMs*1000)),
+				server, server)
+			secondDial := newGate(t)
+			n.upstreams.dial = func(ctx context.Context, address string, deadline time.Time) (net.Conn, error) {
 				if n.count(attemptsSent) > 1 {
-					second.wait()
+					secondDial.wait()
 				}
-				return n.upstreams.connect(ctx, address, limit)
+				return n.upstreams.connect(ctx, address, deadline)
 			}
 			n.start()
 			began := n.clock.now()
 			client, in := dial(t, n)
 			writeText(client, requestText("update", "t1", ""))
-			second.held(t, 1)
+			secondDial.held(t, 1)
 			// later than the shorter memory in any case
 			time.Sleep(time.Until(n.clock.at(began.Add(200 * time.Millisecond))))
-			second.pass()
+			secondDial.pass()
 			status, _, _ := readAnswer(in)
-			ran := n.count(attemptsErrored)
-			if status != 502 || name == "ends" && ran != 1 || name == "lasts" && ran < 1 {
-				t.Errorf("answered %d, %d attempts have run", status, ran)
+			executed := n.count(attemptsErrored)
+			if status != 502 || name == "ends" && executed != 1 || name == "lasts" && executed < 1 {
+				t.Errorf("answered %d, %d attempts have run", status, executed)
 			}
 		})
 	}
@@ -175,13 +175,13 @@
 // A request is written some time after the decision and arrives later still: close before the window's end it is not
 // sent.
 func TestRequestIsNotRetriedNearDedupWindowEnd(t *testing.T) {
-	const span = 800 * time.Millisecond
+	const window = 800 * time.Millisecond
 	failing, requests := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
-		time.Sleep(span - 20*time.Millisecond)
+		time.Sleep(window - 20*time.Millisecond)
 		return writeAnswer(c, "500 Bad", "")
 	})
 	n := startNode(t, withSettings(`"memory_span_us":2000000`,
-		fmt.Sprintf(`"memory_span_us":%d`, span.Microseconds()), `800000`, `20000000`, `300000`, `20000000`),
+		fmt.Sprintf(`"memory_span_us":%d`, window.Microseconds()), `800000`, `20000000`, `300000`, `20000000`),
 		failing, failing)
 	if status, _, _ := ask(t, n, "update", "t1", ""); status != 502 || requests.Load() != 1 {
 		t.Errorf("answered %d after %d attempts, want 502 after one", status, requests.Load())
@@ -191,33 +191,33 @@
 // A hedged request that is still being dialed when the first attempt is answered is not written, also where nothing
 // may be canceled.
 func TestHedgedRequestIsNotWrittenAfterResponse(t *testing.T) {
-	answers := newGate(t)
+	firstResponse := newGate(t)
 	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		answers.wait()
+		firstResponse.wait()
 		return echo(c, r, body)
 	})
 	other, requests := startUpstream(t, echo)
 	n := newNode(t, withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `"cancelling":true`,
 		`"cancelling":false`), first)
-	dials := newGate(t)
-	n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
+	hedgeDial := newGate(t)
+	n.upstreams.dial = func(ctx context.Context, address string, deadline time.Time) (net.Conn, error) {
 		if address == other {
-			dials.wait()
+			hedgeDial.wait()
 		}
-		return n.upstreams.connect(ctx, address, limit)
+		return n.upstreams.connect(ctx, address, deadline)
 	}
 	n.start()
 	client, in := dial(t, n)
 	writeText(client, requestText("batch", "t1", ""))
-	answers.held(t, 1)
+	firstResponse.held(t, 1)
 	n.updateList(t, listText(2, false, listEntry("s-1", other, "up")))
 	n.loop.post(func() { n.loop.Send("t1", endpointID("s-1"), 20*time.Second) })
-	dials.held(t, 1)
-	answers.pass()
+	hedgeDial.held(t, 1)
+	firstResponse.pass()
 	if status, _, _ := readAnswer(in); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
-	dials.pass()
+	hedgeDial.pass()
 	eventually(t, "the end of the hedged request", func() bool { return n.count(attemptsNotSent) == 1 })
 	if requests.Load() != 0 {
 		t.Error("a hedged request went out for a request that has its answer")
@@ -227,18 +227,18 @@
 // A canceled attempt counts as in flight until its outcome is known, and the outcome decides whether the request may
 // be sent again.
 func TestCanceledAttemptIsInFlightUntilItsOutcome(t *testing.T) {
-	answers := newGate(t)
+	response := newGate(t)
 	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		answers.wait()
+		response.wait()
 		return echo(c, r, body)
 	})
 	n := startNode(t, nil, server, server)
 	client, in := dial(t, n)
 	writeText(client, requestText("pay", "t", ""))
-	answers.held(t, 1)
-	held := n.holdLoop(t)
+	response.held(t, 1)
+	loopGate := n.holdLoop(t)
 	n.loop.post(func() { n.loop.Cancel("t", 0) })
-	held.pass()
+	loopGate.pass()
 	if status, _, _ := readAnswer(in); status != 502 || requests.Load() != 1 {
 		t.Errorf("an exclusive request that was canceled was answered %d, %d came to servers", status, requests.Load())
 	}
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -18,9 +18,9 @@
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	ask(t, n, "batch", "old", "")
-	learn := func(version int, whole bool, entries ...string) {
+	postList := func(version int, complete bool, entries ...string) {
 		t.Helper()
-		update, err := n.parseList([]byte(listText(version, whole, entries...)))
+		update, err := n.parseList([]byte(listText(version, complete, entries...)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,22 +29,22 @@
 		n.loop.post(func() { close(done) })
 		<-done
 	}
-	learn(2, false, listEntry("s-0", server, "draining"), listEntry("young", server, "up"))
+	postList(2, false, listEntry("s-0", server, "draining"), listEntry("young", server, "up"))
 	ask(t, n, "batch", "young", "")
 	if n.count(upstreamConnsOpened) != 2 {
 		t.Errorf("%d connections, want one to the old server and one to the new", n.count(upstreamConnsOpened))
 	}
-	learn(3, false, listEntry("s-0", server, "removed"))
+	postList(3, false, listEntry("s-0", server, "removed"))
 	time.Sleep(20 * time.Millisecond)
 	ask(t, n, "batch", "again", "")
 	if n.count(upstreamConnsOpened) != 2 {
 		t.Error("the removal of the old server closed the connection to the new")
 	}
-	learn(4, true, listEntry("third", server, "up"))
+	postList(4, true, listEntry("third", server, "up"))
 	known := make(chan int)
 	n.loop.post(func() { known <- len(n.loop.endpoints) })
-	if fleet := <-known; fleet != 1 {
-		t.Errorf("%d servers are known after a list of one", fleet)
+	if count := <-known; count != 1 {
+		t.Errorf("%d servers are known after a list of one", count)
 	}
 }
 
@@ -56,19 +56,19 @@
 			`"rules":{"removal_not_binding":true,`, 1))
 	}, server)
 	ask(t, n, "batch", "before", "")
-	learn := func(text string) {
+	postList := func(text string) {
 		update, err := n.parseList([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.loop.postEndpoints(update.entries, update.complete)
 	}
-	learn(listText(2, false, listEntry("s-0", server, "removed")))
-	learn(listText(3, true))
+	postList(listText(2, false, listEntry("s-0", server, "removed")))
+	postList(listText(3, true))
 	if status, _, _ := ask(t, n, "batch", "after", ""); status != http.StatusOK || n.count(upstreamConnsOpened) != 1 {
 		t.Errorf("%d, %d connections to it", status, n.count(upstreamConnsOpened))
 	}
-	learn(listText(4, false, listEntry("s-0", server, "draining")))
+	postList(listText(4, false, listEntry("s-0", server, "draining")))
 	if status, _, _ := ask(t, n, "batch", "drained", ""); status != http.StatusServiceUnavailable {
 		t.Errorf("a draining server was sent to: %d", status)
 	}
@@ -91,31 +91,31 @@
 // A request idempotent by key that may have run stays in its group also where its endpoint leaves the list while it
 // is in flight: a list without the endpoint, or an entry that only calls it removed, does not tell its zone or pod.
 func TestRetryStaysInGroupOfRemovedEndpoint(t *testing.T) {
-	in := func(site string, block int, entry string) string {
-		return strings.NewReplacer(`"site":"a"`, fmt.Sprintf(`"site":%q`, site), `"block":1`,
-			fmt.Sprintf(`"block":%d`, block)).Replace(entry)
+	withPlace := func(zone string, pod int, entry string) string {
+		return strings.NewReplacer(`"site":"a"`, fmt.Sprintf(`"site":%q`, zone), `"block":1`,
+			fmt.Sprintf(`"block":%d`, pod)).Replace(entry)
 	}
-	for group, there := range map[string]func(entry string) string{
-		"zone": func(entry string) string { return in("b", 0, entry) },
-		"cell": func(entry string) string { return in("a", 3, entry) },
+	for group, inRemovedsGroup := range map[string]func(entry string) string{
+		"zone": func(entry string) string { return withPlace("b", 0, entry) },
+		"cell": func(entry string) string { return withPlace("a", 3, entry) },
 	} {
-		other := func(entry string) string { return in("a", 0, entry) } // the first zone and cell by number
-		for name, list := range map[string]func(gone, fellow, outside string) string{
-			"a whole list without it": func(_, fellow, outside string) string {
-				return listText(2, true, fellow, outside)
+		outsideGroup := func(entry string) string { return withPlace("a", 0, entry) } // the first zone and cell by number
+		for name, list := range map[string]func(removed, groupMember, outsider string) string{
+			"a whole list without it": func(_, groupMember, outsider string) string {
+				return listText(2, true, groupMember, outsider)
 			},
-			"a line of its own": func(gone, fellow, outside string) string {
-				return listText(2, false, `{"host":"s-0","health":"removed"}`, fellow, outside)
+			"a line of its own": func(removed, groupMember, outsider string) string {
+				return listText(2, false, `{"host":"s-0","health":"removed"}`, groupMember, outsider)
 			},
-			"a line, and a list": func(gone, fellow, outside string) string {
-				return listText(2, false, fellow, outside, gone)
+			"a line, and a list": func(removed, groupMember, outsider string) string {
+				return listText(2, false, groupMember, outsider, removed)
 			},
-			"it moves, as listed": func(_, fellow, outside string) string {
-				return listText(2, false, other(listEntry("s-0", "127.0.0.1:1", "draining")), fellow, outside)
+			"it moves, as listed": func(_, groupMember, outsider string) string {
+				return listText(2, false, outsideGroup(listEntry("s-0", "127.0.0.1:1", "draining")), groupMember, outsider)
 			},
 		} {
-			for _, outside := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s, %s, somebody else there: %t", group, name, !outside), func(t *testing.T) {
+			for _, outsider := range []bool{true, false} {
+				t.Run(fmt.Sprintf("%s, %s, somebody else there: %t", group, name, !outsider), func(t *testing.T) {
 					t.Parallel()
 					gate := newGate(t)
 					// cut: it may have run
@@ -123,24 +123,24 @@
 						gate.wait()
 						return false
 					})
-					fellow, _ := startUpstream(t, echo)
-					elsewhere, strangers := startUpstream(t, echo)
+					groupMember, _ := startUpstream(t, echo)
+					outsiderAddress, outsiderRequests := startUpstream(t, echo)
 					n := newNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, group)))
 					n.start()
-					n.updateList(t, listText(1, true, there(listEntry("s-0", first, "up"))))
+					n.updateList(t, listText(1, true, inRemovedsGroup(listEntry("s-0", first, "up"))))
 					client, answers := dial(t, n)
 					writeText(client, requestText("update", "t1", "x"))
 					gate.held(t, 1)
-					inGroup, want := there(listEntry("s-1", fellow, "up")), 200
-					if outside {
-						inGroup, want = there(listEntry("s-1", fellow, "draining")), 502
+					memberEntry, want := inRemovedsGroup(listEntry("s-1", groupMember, "up")), 200
+					if outsider {
+						memberEntry, want = inRemovedsGroup(listEntry("s-1", groupMember, "draining")), 502
 					}
-					n.updateList(t, list(listEntry("s-0", first, "removed"), inGroup,
-						other(listEntry("s-2", elsewhere, "up"))))
+					n.updateList(t, list(listEntry("s-0", first, "removed"), memberEntry,
+						outsideGroup(listEntry("s-2", outsiderAddress, "up"))))
 					gate.pass()
-					if status, _, _ := readAnswer(answers); status != want || strangers.Load() != 0 {
+					if status, _, _ := readAnswer(answers); status != want || outsiderRequests.Load() != 0 {
 						t.Errorf("answered %d, want %d; sent outside its group %d times", status, want,
-							strangers.Load())
+							outsiderRequests.Load())
 					}
 				})
 			}
@@ -150,7 +150,7 @@
 
 // Where removal is not binding, a removed endpoint keeps its zone and pod.
 func TestRemovedEndpointKeepsItsGroup(t *testing.T) {
-	for group, change := range map[string]*strings.Replacer{
+	for group, moveToGroup := range map[string]*strings.Replacer{
 		"zone": strings.NewReplacer(`"site":"a"`, `"site":"b"`),
 		"cell": strings.NewReplacer(`"block":1`, `"block":3`),
 	} {
@@ -161,17 +161,17 @@
 			t.Run(group+", "+name, func(t *testing.T) {
 				t.Parallel()
 				var mu sync.Mutex
-				ran, both := map[string]bool{}, 0
+				executed, executedTwice := map[string]bool{}, 0
 				failing, attempts := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 					mu.Lock()
-					ran[r.Header.Get(headerRequestID)] = true
+					executed[r.Header.Get(headerRequestID)] = true
 					mu.Unlock()
 					return writeAnswer(c, "500 Bad", "")
 				})
-				left, served := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+				removed, served := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 					mu.Lock()
-					if ran[r.Header.Get(headerRequestID)] {
-						both++
+					if executed[r.Header.Get(headerRequestID)] {
+						executedTwice++
 					}
 					mu.Unlock()
 					return echo(c, r, body)
@@ -179,24 +179,24 @@
 				n := newNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, group), `"rules":{`,
 					`"rules":{"removal_not_binding":true,`))
 				n.start()
-				stays := listEntry("s-1", failing, "up")
+				otherEntry := listEntry("s-1", failing, "up")
 				if group == "cell" {
-					stays = strings.Replace(stays, `"block":1`, `"block":0`, 1)
+					otherEntry = strings.Replace(otherEntry, `"block":1`, `"block":0`, 1)
 				}
-				n.updateList(t, listText(1, true, change.Replace(listEntry("s-0", left, "up"))))
+				n.updateList(t, listText(1, true, moveToGroup.Replace(listEntry("s-0", removed, "up"))))
 				if list == "" {
-					n.updateList(t, listText(2, true, stays))
+					n.updateList(t, listText(2, true, otherEntry))
 				} else {
-					n.updateList(t, listText(2, false, list, stays))
+					n.updateList(t, listText(2, false, list, otherEntry))
 				}
 				for i := 0; i < 200 && (attempts.Load() == 0 || served.Load() == 0 || i < 20); i++ {
 					ask(t, n, "update", fmt.Sprint("t", i), "")
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				if attempts.Load() == 0 || served.Load() == 0 || both > 0 {
+				if attempts.Load() == 0 || served.Load() == 0 || executedTwice > 0 {
 					t.Errorf("%d attempts failed, %d served by the removed endpoint, %d of them outside their group",
-						attempts.Load(), served.Load(), both)
+						attempts.Load(), served.Load(), executedTwice)
 				}
 			})
 		}
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -34,36 +34,36 @@
 	firstAnswered                 int64 // calls before this one are never answered, and their connections never end
 }
 
-func startSerialDiscovery(t *testing.T, cost time.Duration, from int64, text string) *serialDiscovery {
-	q := &serialDiscovery{queue: make(chan func(), 10000), firstAnswered: from}
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
+func startSerialDiscovery(t *testing.T, turn time.Duration, firstAnswered int64, text string) *serialDiscovery {
+	d := &serialDiscovery{queue: make(chan func(), 10000), firstAnswered: firstAnswered}
+	testEnded := make(chan struct{})
+	t.Cleanup(func() { close(testEnded) })
 	go func() {
 		for {
 			select {
-			case answer := <-q.queue:
-				time.Sleep(cost)
+			case answer := <-d.queue:
+				time.Sleep(turn)
 				answer()
-			case <-over:
+			case <-testEnded:
 				return
 			}
 		}
 	}()
-	q.address = listen(t, func(c net.Conn) {
+	d.address = listen(t, func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return
 		}
-		number := q.calls.Add(1)
-		for now := q.waitingCalls.Add(1); now > q.maxWaitingCalls.Load(); {
-			q.maxWaitingCalls.Store(now)
+		number := d.calls.Add(1)
+		for now := d.waitingCalls.Add(1); now > d.maxWaitingCalls.Load(); {
+			d.maxWaitingCalls.Store(now)
 		}
-		if number >= q.firstAnswered {
-			q.queue <- func() { writef(c, "%s%x\r\n%s\n\r\n", watchResponseHead, len(text)+1, text) }
+		if number >= d.firstAnswered {
+			d.queue <- func() { writef(c, "%s%x\r\n%s\n\r\n", watchResponseHead, len(text)+1, text) }
 		}
 		discard(c)
-		q.waitingCalls.Add(-1)
+		d.waitingCalls.Add(-1)
 	})
-	return q
+	return d
 }
 
 // newNodeWithTenthDelays makes a node without a list whose times are a tenth.
@@ -81,15 +81,15 @@
 func TestSlowDiscoveryGetsFewCalls(t *testing.T) {
 	text := listText(2, true, listEntry("s-0", "127.0.0.1:1", "up"))
 	for _, mode := range []string{"push", "ask"} {
-		for turn, most := range map[time.Duration]int64{400 * time.Millisecond: 2, 600 * time.Millisecond: 2, 950 * time.Millisecond: 4} {
+		for turn, maxCalls := range map[time.Duration]int64{400 * time.Millisecond: 2, 600 * time.Millisecond: 2, 950 * time.Millisecond: 4} {
 			t.Run(fmt.Sprint(mode, ": a turn of ", turn), func(t *testing.T) {
 				t.Parallel()
-				q := startSerialDiscovery(t, turn, 0, text)
-				n := newNodeWithTenthDelays(t, mode, q.address)
+				d := startSerialDiscovery(t, turn, 0, text)
+				n := newNodeWithTenthDelays(t, mode, d.address)
 				go n.start()
 				eventually(t, "ready", func() bool { return n.notReady() == "" && n.hasList.Load() })
-				if calls := q.calls.Load(); calls > most+1 { // one more where the machine is slow
-					t.Errorf("%d calls, want %d at most", calls, most)
+				if calls := d.calls.Load(); calls > maxCalls+1 { // one more where the machine is slow
+					t.Errorf("%d calls, want %d at most", calls, maxCalls)
 				}
 			})
 		}
@@ -102,14 +102,14 @@
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			q := startSerialDiscovery(t, time.Millisecond, 4, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
-			n := newNodeWithTenthDelays(t, mode, q.address)
+			d := startSerialDiscovery(t, time.Millisecond, 4, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
+			n := newNodeWithTenthDelays(t, mode, d.address)
 			go n.start()
 			eventually(t, "ready", func() bool { return n.notReady() == "" })
-			if calls, most := q.calls.Load(), q.maxWaitingCalls.Load(); calls > 5 || most > 3 { // the third until the node's close has come
-				t.Errorf("%d calls, %d at a time", calls, most)
+			if calls, maxWaiting := d.calls.Load(), d.maxWaitingCalls.Load(); calls > 5 || maxWaiting > 3 { // the third until the node's close has come
+				t.Errorf("%d calls, %d at a time", calls, maxWaiting)
 			}
-			eventually(t, "the others closed", func() bool { return q.waitingCalls.Load() == 1 })
+			eventually(t, "the others closed", func() bool { return d.waitingCalls.Load() == 1 })
 		})
 	}
 }
@@ -118,10 +118,10 @@
 // beside.
 func TestManyNodesStartWithSlowDiscovery(t *testing.T) {
 	const nodes = 40
-	q := startSerialDiscovery(t, 20*time.Millisecond, 0, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
+	d := startSerialDiscovery(t, 20*time.Millisecond, 0, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
 	var all []*Node
 	for i := range nodes {
-		n := newNodeWithTenthDelays(t, []string{"push", "ask"}[i%2], q.address)
+		n := newNodeWithTenthDelays(t, []string{"push", "ask"}[i%2], d.address)
 		all = append(all, n)
 		go n.start()
 	}
@@ -133,7 +133,7 @@
 		}
 		return true
 	})
-	if calls := q.calls.Load(); calls > 4*nodes {
+	if calls := d.calls.Load(); calls > 4*nodes {
 		t.Errorf("%d calls of %d nodes", calls, nodes)
 	}
 }
@@ -174,13 +174,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address, asked := startScriptedDiscovery(t, script...)
+			address, calls := startScriptedDiscovery(t, script...)
 			n := newNodeWithTenthDelays(t, "push", address)
 			n.endpointWatch.silenceTimeout = tenthSilence
 			go n.start()
 			eventually(t, "ready", func() bool { return n.notReady() == "" })
-			if asked.Load() > 4 {
-				t.Errorf("%d calls", asked.Load())
+			if calls.Load() > 4 {
+				t.Errorf("%d calls", calls.Load())
 			}
 		})
 	}
@@ -194,10 +194,10 @@
 			t.Parallel()
 			server, _ := startUpstream(t, echo)
 			var short atomic.Bool
-			var asked atomic.Int64
+			var calls atomic.Int64
 			address := listen(t, func(c net.Conn) {
 				skipRequestHead(bufio.NewReader(c))
-				asked.Add(1)
+				calls.Add(1)
 				text := listText(2, true, listEntry("s-1", server, "up"))
 				if !short.Load() {
 					text = listText(2, true, strings.Repeat(listEntry("s-1", server, "up")+",", 20)+listEntry("s-2", server, "up"))
@@ -214,14 +214,14 @@
 			n.listLimits = endpointlist.Limits{ValueBytes: 1 << 16, LineBytes: 1 << 20, Endpoints: 20}
 			n.start()
 			time.Sleep(1500 * time.Millisecond)
-			if calls := asked.Load(); calls < 2 || calls > 4 {
+			if calls := calls.Load(); calls < 2 || calls > 4 {
 				t.Errorf("%d calls in 1.5 s, want 2 to 4: the backoff grows from 0.2 s", calls)
 			}
 			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 || !n.overrides.isKnown("s-0") || n.overrides.isKnown("s-1") {
 				t.Errorf("%d by the old list", status)
 			}
-			if complaints := logged.FilterLevelExact(zap.ErrorLevel).Len(); complaints != 1 || logged.FilterMessage("endpoint watch ended").Len() != 0 {
-				t.Errorf("%d errors logged: %v", complaints, logged.All())
+			if errorsLogged := logged.FilterLevelExact(zap.ErrorLevel).Len(); errorsLogged != 1 || logged.FilterMessage("endpoint watch ended").Len() != 0 {
+				t.Errorf("%d errors logged: %v", errorsLogged, logged.All())
 			}
 			short.Store(true)
 			eventually(t, "the list", func() bool { return n.overrides.isKnown("s-1") })
@@ -244,10 +244,10 @@
 			i%250+1, i%31)
 	}
 	text := `{"seq":2,"whole":true,"hosts":[` + b.String() + `]}`
-	var asked atomic.Int64
+	var calls atomic.Int64
 	address := listen(t, func(c net.Conn) {
 		skipRequestHead(bufio.NewReader(c))
-		asked.Add(1)
+		calls.Add(1)
 		writef(c, "%s%x\r\n%s\n\r\n", watchResponseHead, len(text)+1, text)
 		for {
 			time.Sleep(time.Second)
@@ -263,13 +263,13 @@
 	go n.start()
 	for end := time.Now().Add(2 * time.Minute); n.notReady() != ""; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not ready, after %d calls: %s", asked.Load(), n.notReady())
+			t.Fatalf("not ready, after %d calls: %s", calls.Load(), n.notReady())
 		}
 	}
 	known := make(chan int)
 	n.loop.post(func() { known <- len(n.loop.endpoints) })
-	if fleet := <-known; fleet != servers || asked.Load() != 1 {
-		t.Errorf("%d endpoints known after %d calls", fleet, asked.Load())
+	if count := <-known; count != servers || calls.Load() != 1 {
+		t.Errorf("%d endpoints known after %d calls", count, calls.Load())
 	}
 	if !n.overrides.isKnown("s-00000000") || !n.overrides.isKnown(fmt.Sprintf("s-%08x", servers-1)) {
 		t.Error("operators can't disable an endpoint that is on the list")
@@ -281,15 +281,15 @@
 // A new address is called at once while a call to the old one waits, which is closed.
 func TestAddressChangeWhileCallIsPending(t *testing.T) {
 	text := listText(2, true, listEntry("s-0", "127.0.0.1:1", "up"))
-	old, young := startSerialDiscovery(t, 0, 1000, text), startSerialDiscovery(t, 0, 0, text)
-	n := newNodeWithTenthDelays(t, "push", old.address)
+	oldDiscovery, newDiscovery := startSerialDiscovery(t, 0, 1000, text), startSerialDiscovery(t, 0, 0, text)
+	n := newNodeWithTenthDelays(t, "push", oldDiscovery.address)
 	n.endpointWatch.parallelCallDelay, n.endpointWatch.retryInterval = time.Hour, time.Hour
 	go n.start()
-	eventually(t, "the call that waits", func() bool { return old.waitingCalls.Load() == 1 })
-	n.endpointWatch.setAddress(young.address)
+	eventually(t, "the call that waits", func() bool { return oldDiscovery.waitingCalls.Load() == 1 })
+	n.endpointWatch.setAddress(newDiscovery.address)
 	eventually(t, "the list of the new address", func() bool { return n.count(listUpdates) == 1 })
-	eventually(t, "the old call closed", func() bool { return old.waitingCalls.Load() == 0 })
-	if n.count(listWatchesFailed) != 0 || old.calls.Load() != 1 || young.calls.Load() != 1 {
-		t.Errorf("%d calls at the old address, %d at the new, %d failed", old.calls.Load(), young.calls.Load(), n.count(listWatchesFailed))
+	eventually(t, "the old call closed", func() bool { return oldDiscovery.waitingCalls.Load() == 0 })
+	if n.count(listWatchesFailed) != 0 || oldDiscovery.calls.Load() != 1 || newDiscovery.calls.Load() != 1 {
+		t.Errorf("%d calls at the old address, %d at the new, %d failed", oldDiscovery.calls.Load(), newDiscovery.calls.Load(), n.count(listWatchesFailed))
 	}
 }
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -14,10 +14,10 @@
 )
 
 // withGossip configures gossip with peers; the settings allow messages and health checks.
-func withGossip(at int, peers ...string) func(*Config) {
+func withGossip(position int, peers ...string) func(*Config) {
 	return func(c *Config) {
 		c.Gossip.Listen, c.Gossip.Peers = "127.0.0.1:0", peers
-		text := strings.Replace(settingsText, `"group_size":1`, fmt.Sprintf(`"group_size":3,"position":%d,"value_by":"work"`, at), 1)
+		text := strings.Replace(settingsText, `"group_size":1`, fmt.Sprintf(`"group_size":3,"position":%d,"value_by":"work"`, position), 1)
 		text = strings.Replace(text, `"limits":{`, `"limits":{"peer_messages":true,"probes":true,"multiplex":100,`, 1)
 		c.Settings = []byte(strings.Replace(text, `"how":"inline"`, `"how":"on_probe"`, 1))
 	}
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -18,16 +18,16 @@
 // processes makes processes of one node: they share a directory, an address and its socket.
 func newProcessFactory(t *testing.T, servers ...string) (next func() *Node) {
 	t.Helper()
-	held, err := net.Listen("tcp", address())
+	listener, err := net.Listen("tcp", address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { held.Close() })
+	t.Cleanup(func() { listener.Close() })
 	dir := t.TempDir()
 	return func() *Node {
 		n := newNode(t, func(c *Config) {
 			withAdmin(c)
-			file, err := held.(*net.TCPListener).File()
+			file, err := listener.(*net.TCPListener).File()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -36,7 +36,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.filesDir, c.Listen, c.inheritedFD = dir, held.Addr().String(), strconv.Itoa(fd)
+			c.filesDir, c.Listen, c.inheritedFD = dir, listener.Addr().String(), strconv.Itoa(fd)
 		}, servers...)
 		t.Cleanup(n.hotRestart.close)
 		return n
@@ -50,66 +50,66 @@
 }
 
 // estimates are the estimates of the decisions, as a successor would get them.
-func (n *Node) estimates(t *testing.T) (all estimates.Snapshot) {
+func (n *Node) estimates(t *testing.T) (snapshot estimates.Snapshot) {
 	t.Helper()
 	text := make(chan json.RawMessage, 1)
 	n.loop.post(func() { text <- n.loop.encodeEstimates() })
-	requireNoError(t, json.Unmarshal(<-text, &all))
-	return all
+	requireNoError(t, json.Unmarshal(<-text, &snapshot))
+	return snapshot
 }
 
 // The successor has the predecessor's state, takes all new connections, and both keep within one node's limits.
 func TestSuccessorTakesOver(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	next := newProcessFactory(t)
-	old := next()
-	old.start()
-	old.postList(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: listedHere("s-7")}}, []string{"a"})))
-	old.postList(t, listText(8, false, listEntry("s-8", server, "up")))
-	old.postList(t, listText(9, false, listEntry("s-8", server, "removed")))
-	eventually(t, "the list", func() bool { return old.overrides.isKnown("s-8") })
-	kept, keptIn := dial(t, old)
-	writeText(kept, requestText("batch", "t1", "a"))
+	predecessor := next()
+	predecessor.start()
+	predecessor.postList(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: listedHere("s-7")}}, []string{"a"})))
+	predecessor.postList(t, listText(8, false, listEntry("s-8", server, "up")))
+	predecessor.postList(t, listText(9, false, listEntry("s-8", server, "removed")))
+	eventually(t, "the list", func() bool { return predecessor.overrides.isKnown("s-8") })
+	keptConn, keptIn := dial(t, predecessor)
+	writeText(keptConn, requestText("batch", "t1", "a"))
 	if status, _, _ := readAnswer(keptIn); status != 200 {
 		t.Fatalf("the old process answered %d", status)
 	}
-	alone := old.maxUpstreamConns()
-	fresh := next()
-	if fresh.inherited == nil || !fresh.overrides.isKnown("s-7") && len(fresh.chooseInitialList().entries) != 1 {
-		t.Fatalf("the predecessor was not found, or has sent nothing: %+v", fresh.inherited)
+	fullLimit := predecessor.maxUpstreamConns()
+	successor := next()
+	if successor.inherited == nil || !successor.overrides.isKnown("s-7") && len(successor.chooseInitialList().entries) != 1 {
+		t.Fatalf("the predecessor was not found, or has sent nothing: %+v", successor.inherited)
 	}
-	eventually(t, "the old one has given up its half", func() bool { return old.maxUpstreamConns() < alone })
-	if both := old.maxUpstreamConns() + fresh.maxUpstreamConns(); both > alone+1 {
-		t.Errorf("both together may open %d connections to upstreams, one alone %d", both, alone)
+	eventually(t, "the old one has given up its half", func() bool { return predecessor.maxUpstreamConns() < fullLimit })
+	if total := predecessor.maxUpstreamConns() + successor.maxUpstreamConns(); total > fullLimit+1 {
+		t.Errorf("both together may open %d connections to upstreams, one alone %d", total, fullLimit)
 	}
-	if fresh.notReady() == "" {
+	if successor.notReady() == "" {
 		t.Error("ready before it serves")
 	}
-	fresh.start()
-	eventually(t, "the new one is ready", func() bool { return fresh.call(t, "GET /ready") == 200 })
-	eventually(t, "the old one has yielded", old.hotRestart.hasServingSuccessor)
-	if !fresh.overrides.isKnown("s-8") {
+	successor.start()
+	eventually(t, "the new one is ready", func() bool { return successor.call(t, "GET /ready") == 200 })
+	eventually(t, "the old one has yielded", predecessor.hotRestart.hasServingSuccessor)
+	if !successor.overrides.isKnown("s-8") {
 		t.Error("a name that was listed once is not known any more")
 	}
-	if l := fresh.estimates(t); !l.Endpoints[uint32(endpointID("s-7"))].HasLatency || l.MeanWork == 0 || l.Classes[3].WorkSamples == 0 {
-		t.Errorf("not the estimates of the predecessor: %+v", l)
+	if snapshot := successor.estimates(t); !snapshot.Endpoints[uint32(endpointID("s-7"))].HasLatency || snapshot.MeanWork == 0 || snapshot.Classes[3].WorkSamples == 0 {
+		t.Errorf("not the estimates of the predecessor: %+v", snapshot)
 	}
-	taken := old.count(clientsAccepted)
+	acceptedBefore := predecessor.count(clientsAccepted)
 	for i := range 30 {
-		if status, _, _ := ask(t, fresh, "batch", fmt.Sprint("new", i), ""); status != 200 {
+		if status, _, _ := ask(t, successor, "batch", fmt.Sprint("new", i), ""); status != 200 {
 			t.Errorf("request %d on a new connection was answered %d", i, status)
 		}
 	}
-	if old.count(clientsAccepted) != taken {
+	if predecessor.count(clientsAccepted) != acceptedBefore {
 		t.Error("the predecessor takes new connections")
 	}
-	writeText(kept, requestText("batch", "t2", "a"))
+	writeText(keptConn, requestText("batch", "t2", "a"))
 	if r, err := http.ReadResponse(keptIn, nil); err != nil || r.StatusCode != 200 || !r.Close {
 		t.Errorf("%v, %v on a kept connection, want a response that closes it", r, err)
 	}
-	old.shutDown()
-	old.hotRestart.closeSuccessor()
-	eventually(t, "the new one has the whole limits", func() bool { return fresh.maxUpstreamConns() == alone })
+	predecessor.shutDown()
+	predecessor.hotRestart.closeSuccessor()
+	eventually(t, "the new one has the whole limits", func() bool { return successor.maxUpstreamConns() == fullLimit })
 	third := next()
 	if third.inherited == nil {
 		t.Error("a third process does not find the second")
@@ -120,24 +120,24 @@
 func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	next := newProcessFactory(t, server)
-	old := next()
-	old.start()
-	alone := old.maxUpstreamConns()
+	predecessor := next()
+	predecessor.start()
+	fullLimit := predecessor.maxUpstreamConns()
 	for _, ready := range []bool{false, true, true} {
-		fresh := next()
-		eventually(t, "half the limits", func() bool { return old.maxUpstreamConns() < alone })
+		successor := next()
+		eventually(t, "half the limits", func() bool { return predecessor.maxUpstreamConns() < fullLimit })
 		if ready {
-			fresh.hotRestart.announceServing()
-			eventually(t, "the old one yields", old.hotRestart.hasServingSuccessor)
+			successor.hotRestart.announceServing()
+			eventually(t, "the old one yields", predecessor.hotRestart.hasServingSuccessor)
 		}
-		fresh.hotRestart.close()
-		fresh.hotRestart.mu.Lock()
-		fresh.hotRestart.predecessor.Close()
-		fresh.hotRestart.mu.Unlock()
-		fresh.frontend.listener.Close()
-		eventually(t, "all is as before", func() bool { return old.maxUpstreamConns() == alone && !old.hotRestart.hasServingSuccessor() })
+		successor.hotRestart.close()
+		successor.hotRestart.mu.Lock()
+		successor.hotRestart.predecessor.Close()
+		successor.hotRestart.mu.Unlock()
+		successor.frontend.listener.Close()
+		eventually(t, "all is as before", func() bool { return predecessor.maxUpstreamConns() == fullLimit && !predecessor.hotRestart.hasServingSuccessor() })
 		for i := range 10 {
-			if status, _, _ := ask(t, old, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
+			if status, _, _ := ask(t, predecessor, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
 				t.Errorf("after the successor died a request was answered %d", status)
 			}
 		}
@@ -146,7 +146,7 @@
 
 // Whatever is at the predecessor's path is not trusted, and delays no start for long.
 func TestInvalidPredecessorIsIgnored(t *testing.T) {
-	for name, place := range map[string]func(path string){
+	for name, placeAt := range map[string]func(path string){
 		"a file":   func(path string) { requireNoError(t, os.WriteFile(path, []byte("x"), 0o600)) },
 		"a folder": func(path string) { requireNoError(t, os.Mkdir(path, 0o700)) },
 		"left over": func(path string) {
@@ -166,7 +166,7 @@
 		t.Run(name, func(t *testing.T) {
 			next := newProcessFactory(t)
 			probe := next()
-			place(probe.hotRestart.path)
+			placeAt(probe.hotRestart.path)
 			began := time.Now()
 			n := next()
 			if n.inherited != nil || n.count(hotRestartsIgnored) != 1 || time.Since(began) > 2*hotRestartTimeout {
--- a/internal/node/hotrestartproto.go
+++ b/internal/node/hotrestartproto.go
@@ -112,8 +112,8 @@
 func readLine(in *bufio.Reader, maxBytes int) ([]byte, error) {
 	var line []byte
 	for {
-		part, err := in.ReadSlice('\n')
-		line = append(line, part...)
+		fragment, err := in.ReadSlice('\n')
+		line = append(line, fragment...)
 		if err == nil {
 			return line, nil
 		}
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -63,7 +63,7 @@
 }
 
 // merge is the list after an update.
-func (f *initialList) merge(update listUpdate) []endpointEntry {
+func (l *initialList) merge(update listUpdate) []endpointEntry {
 	updated := map[string]bool{}
 	merged := make([]endpointEntry, 0, len(update.entries))
 	for _, e := range update.entries {
@@ -75,7 +75,7 @@
 	if update.complete {
 		return merged
 	}
-	for _, e := range f.entries {
+	for _, e := range l.entries {
 		if !updated[e.name] {
 			merged = append(merged, e)
 		}
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -28,84 +28,84 @@
 }
 
 // begin starts the exchange over the membership, from the node's initial list.
-func (s *listGossip) start(seed uint64, transport endpointgossip.Transport) {
-	if s == nil {
+func (g *listGossip) start(seed uint64, transport endpointgossip.Transport) {
+	if g == nil {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	initial := s.node.initialList
-	endpoints, _ := s.toGossipEndpoints(initial.entries)
-	now := s.node.clock.nanos()
-	s.exchange = endpointgossip.New(seed, transport, now, initial.version, endpoints, initial.watchResumes)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	initial := g.node.initialList
+	endpoints, _ := g.toGossipEndpoints(initial.entries)
+	now := g.node.clock.nanos()
+	g.exchange = endpointgossip.New(seed, transport, now, initial.version, endpoints, initial.watchResumes)
 }
 
 // primaryListUpdated takes in an update of the list from discovery or relays and posts it. If the node went by a
 // gossiped list, that list is posted completely.
-func (s *listGossip) primaryListUpdated(update listUpdate) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.exchange == nil { // the membership has not started yet: begin starts from this
-		initial := &s.node.initialList
+func (g *listGossip) primaryListUpdated(update listUpdate) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.exchange == nil { // the membership has not started yet: begin starts from this
+		initial := &g.node.initialList
 		*initial = initialList{initial.merge(update), update.version, true}
-		s.node.loop.postEndpoints(update.entries, update.complete)
+		g.node.loop.postEndpoints(update.entries, update.complete)
 		return
 	}
-	endpoints, removed := s.toGossipEndpoints(update.entries)
-	all := s.exchange.WatchUpdated(s.node.clock.nanos(), update.version, endpoints, removed, update.complete)
-	if all != nil {
-		s.node.loop.postEndpoints(s.toEntries(all), true)
+	endpoints, removed := g.toGossipEndpoints(update.entries)
+	completeList := g.exchange.WatchUpdated(g.node.clock.nanos(), update.version, endpoints, removed, update.complete)
+	if completeList != nil {
+		g.node.loop.postEndpoints(g.toEntries(completeList), true)
 		return
 	}
-	s.node.loop.postEndpoints(update.entries, update.complete)
+	g.node.loop.postEndpoints(update.entries, update.complete)
 }
 
 // tick is called with each tick of the membership.
-func (s *listGossip) tick() {
-	if s == nil {
+func (g *listGossip) tick() {
+	if g == nil {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if all := s.exchange.Tick(s.node.clock.nanos(), s.node.listConfirmedAt()); all != nil {
-		s.node.loop.postEndpoints(s.toEntries(all), true)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if completeList := g.exchange.Tick(g.node.clock.nanos(), g.node.listConfirmedAt()); completeList != nil {
+		g.node.loop.postEndpoints(g.toEntries(completeList), true)
 	}
 }
 
 // receive takes in a message of another node.
-func (s *listGossip) receive(from int, message []byte) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	endpoints := s.exchange.Receive(s.node.clock.nanos(), from, message)
+func (g *listGossip) receive(from int, message []byte) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	endpoints := g.exchange.Receive(g.node.clock.nanos(), from, message)
 	if endpoints == nil {
 		return
 	}
-	entries, view := s.toEntries(endpoints), s.exchange.View()
-	s.node.loop.postEndpoints(s.node.persistence.applyDrainsToGossiped(entries, view.Version), false)
-	s.node.hasList.Store(true)
-	s.node.log.Info("endpoint list taken from another node",
+	entries, view := g.toEntries(endpoints), g.exchange.View()
+	g.node.loop.postEndpoints(g.node.persistence.applyDrainsToGossiped(entries, view.Version), false)
+	g.node.hasList.Store(true)
+	g.node.log.Info("endpoint list taken from another node",
 		zap.Int("from", from), zap.Int("endpoints", len(entries)), zap.Any("list", view))
 }
 
 // viewJSON is the state of the exchange for the admin API; nil where there is none.
-func (s *listGossip) viewJSON() json.RawMessage {
-	if s == nil {
+func (g *listGossip) viewJSON() json.RawMessage {
+	if g == nil {
 		return nil
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.exchange == nil {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.exchange == nil {
 		return nil
 	}
-	text, err := json.Marshal(s.exchange.View())
+	text, err := json.Marshal(g.exchange.View())
 	if err != nil {
-		s.node.log.Error("state of the list exchange can't be encoded", zap.Error(err))
+		g.node.log.Error("state of the list exchange can't be encoded", zap.Error(err))
 	}
 	return text
 }
 
 // split converts entries, and separates the names of those that were removed.
-func (s *listGossip) toGossipEndpoints(entries []endpointEntry) (endpoints []endpointgossip.Endpoint, removed []string) {
+func (g *listGossip) toGossipEndpoints(entries []endpointEntry) (endpoints []endpointgossip.Endpoint, removed []string) {
 	for _, e := range entries {
 		if e.State == policy.StateRemoved {
 			removed = append(removed, e.name)
@@ -114,7 +114,7 @@
 		endpoints = append(endpoints, endpointgossip.Endpoint{
 			Name:      e.name,
 			Address:   e.address,
-			Zone:      e.zone(s.node.settings.Zones),
+			Zone:      e.zone(g.node.settings.Zones),
 			Pod:       e.Pod,
 			Weight:    e.Weight,
 			Draining:  e.State == policy.StateDraining,
@@ -125,7 +125,7 @@
 }
 
 // entries converts endpoints; an active one without a valid address is left out.
-func (s *listGossip) toEntries(endpoints []endpointgossip.Endpoint) (toEntries []endpointEntry) {
+func (g *listGossip) toEntries(endpoints []endpointgossip.Endpoint) (toEntries []endpointEntry) {
 	for _, gossiped := range endpoints {
 		state := policy.StateActive
 		if gossiped.Draining {
@@ -138,7 +138,7 @@
 			address: gossiped.Address,
 			EndpointInfo: policy.EndpointInfo{
 				ID:        endpointID(gossiped.Name),
-				Zone:      zoneIndex(gossiped.Zone, s.node.settings.Zones),
+				Zone:      zoneIndex(gossiped.Zone, g.node.settings.Zones),
 				Pod:       gossiped.Pod,
 				Weight:    gossiped.Weight,
 				StartedAt: policy.Time(gossiped.StartedNs),
--- a/internal/node/listwatch_test.go
+++ b/internal/node/listwatch_test.go
@@ -16,29 +16,29 @@
 )
 
 func TestWatchAppliesUpdatesAndSkipsInvalidEntries(t *testing.T) {
-	first, atFirst := startUpstream(t, echo)
-	second, atSecond := startUpstream(t, echo)
-	address, asked := startDiscoveryWithLines(t,
+	firstAddress, firstRequests := startUpstream(t, echo)
+	secondAddress, secondRequests := startUpstream(t, echo)
+	address, watchRequests := startDiscoveryWithLines(t,
 		[]string{
-			listText(5, false, listEntry("s-0", second, "up"), listEntry("s-1", "nowhere", "up"), `{"host":7}`), "",
+			listText(5, false, listEntry("s-0", secondAddress, "up"), listEntry("s-1", "nowhere", "up"), `{"host":7}`), "",
 			"no list",
 		},
-		[]string{listText(6, false, listEntry("s-0", second, "draining"))})
-	n := startNode(t, func(c *Config) { c.Discovery = address }, first)
+		[]string{listText(6, false, listEntry("s-0", secondAddress, "draining"))})
+	n := startNode(t, func(c *Config) { c.Discovery = address }, firstAddress)
 	eventually(t, "the move", func() bool { return n.count(listUpdates) == 1 })
-	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 || atFirst.Load() != 0 || atSecond.Load() != 1 {
-		t.Errorf("after the move %d, %d requests at the old address, %d at the new", status, atFirst.Load(),
-			atSecond.Load())
+	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 || firstRequests.Load() != 0 || secondRequests.Load() != 1 {
+		t.Errorf("after the move %d, %d requests at the old address, %d at the new", status, firstRequests.Load(),
+			secondRequests.Load())
 	}
 	eventually(t, "the drain", func() bool { return n.count(listUpdates) == 2 })
-	if status, _, _ := ask(t, n, "batch", "t2", ""); status != 503 || atSecond.Load() != 1 {
+	if status, _, _ := ask(t, n, "batch", "t2", ""); status != 503 || secondRequests.Load() != 1 {
 		t.Errorf("with its only server draining a request was answered %d", status)
 	}
 	if n.count(listEntriesSkipped) != 3 {
 		t.Errorf("%d entries skipped, want 3", n.count(listEntriesSkipped))
 	}
 	for i, want := range []string{"after=1 ", "after=5 "} {
-		if got, _ := asked.Load(i); got == nil || !strings.Contains(got.(string), want) {
+		if got, _ := watchRequests.Load(i); got == nil || !strings.Contains(got.(string), want) {
 			t.Errorf("call %d was %q, want %q in it", i, got, want)
 		}
 	}
@@ -47,8 +47,8 @@
 // Guards against a reload that ends the node, counts as a failed watch, or leaves it with the old list.
 func TestReloadChangesDiscoveryAddressAtOnce(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	old, _ := startDiscoveryWithLines(t, []string{listText(50, false)})
-	young, asked := startDiscoveryWithLines(t, []string{listText(3, true, listEntry("s-1", server, "up"))})
+	oldAddress, _ := startDiscoveryWithLines(t, []string{listText(50, false)})
+	newAddress, watchRequests := startDiscoveryWithLines(t, []string{listText(3, true, listEntry("s-1", server, "up"))})
 	path := t.TempDir() + "/config.json"
 	write := func(discovery, seed string) {
 		text, err := json.Marshal(Config{
@@ -62,29 +62,29 @@
 			t.Fatal(err)
 		}
 	}
-	n := newNode(t, func(c *Config) { c.Discovery, c.path = old, path }, "127.0.0.1:1")
+	n := newNode(t, func(c *Config) { c.Discovery, c.path = oldAddress, path }, "127.0.0.1:1")
 	signals := Signals()
 	go func() { _ = n.Run(signals) }()
 	eventually(t, "the old watch", func() bool { return n.count(listUpdates) == 1 })
-	told := func(counted counter) {
+	reload := func(counted counter) {
 		t.Helper()
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 		eventually(t, counterNames[counted], func() bool { return n.count(counted) == 1 })
 	}
-	write(young, "no seed")
-	told(configReloadsRejected)
-	if address, _ := n.endpointWatch.current(); address != old {
+	write(newAddress, "no seed")
+	reload(configReloadsRejected)
+	if address, _ := n.endpointWatch.current(); address != oldAddress {
 		t.Errorf("a bad file moved discovery to %s", address)
 	}
-	write(young, "2e")
-	told(configReloads)
+	write(newAddress, "2e")
+	reload(configReloads)
 	eventually(t, "the new list", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 {
 		t.Errorf("by the new list a request was answered %d", status)
 	}
-	if got, _ := asked.Load(0); got == nil || !strings.Contains(got.(string), "after=0 ") {
+	if got, _ := watchRequests.Load(0); got == nil || !strings.Contains(got.(string), "after=0 ") {
 		t.Errorf("the new place was asked %q, want the whole list", got)
 	}
 	if n.count(listWatchesFailed) != 0 || n.count(listWatches) != 2 {
@@ -101,19 +101,19 @@
 }
 
 // startScriptedDiscovery starts a discovery service whose calls each go by their own script.
-func startScriptedDiscovery(t *testing.T, calls ...func(c net.Conn, chunk func(string))) (address string, asked *atomic.Int64) {
-	asked = new(atomic.Int64)
+func startScriptedDiscovery(t *testing.T, scripts ...func(c net.Conn, chunk func(string))) (address string, calls *atomic.Int64) {
+	calls = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil || r.URL.Path != pathList {
 			return
 		}
-		if i := int(asked.Add(1)) - 1; i < len(calls) {
-			calls[i](c, func(text string) { writef(c, "%x\r\n%s\r\n", len(text), text) })
+		if i := int(calls.Add(1)) - 1; i < len(scripts) {
+			scripts[i](c, func(text string) { writef(c, "%x\r\n%s\r\n", len(text), text) })
 		} else {
 			discard(c)
 		}
-	}), asked
+	}), calls
 }
 
 const watchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -121,7 +121,7 @@
 // A watch that falls silent, or gets no head, is repeated at once, however long the backoff and whatever the settings
 // say of polling; half a line counts for nothing, and a list may be broken into lines anywhere.
 func TestBrokenWatchIsReopenedAtOnce(t *testing.T) {
-	stays := func(c net.Conn) { discard(c) }
+	keepOpen := func(c net.Conn) { discard(c) }
 	line := func(version int, health, server string) string {
 		return listText(version, false, listEntry("s-0", server, health)) + "\n"
 	}
@@ -132,45 +132,45 @@
 					calls = append(calls, func(c net.Conn, chunk func(string)) {
 						writeText(c, watchResponseHead)
 						chunk(listText(1, false) + "\n")
-						stays(c)
+						keepOpen(c)
 					})
 				}
 				return append(calls, func(c net.Conn, chunk func(string)) {
 					writeText(c, watchResponseHead)
 					chunk(line(2, "draining", server))
-					stays(c)
+					keepOpen(c)
 				})
 			},
 			"silent behind its head, then in the midst of a line": func(server string) []func(net.Conn, func(string)) {
 				return []func(net.Conn, func(string)){
-					func(c net.Conn, chunk func(string)) { writeText(c, watchResponseHead); stays(c) },
+					func(c net.Conn, chunk func(string)) { writeText(c, watchResponseHead); keepOpen(c) },
 					func(c net.Conn, chunk func(string)) {
 						writeText(c, watchResponseHead)
 						chunk(line(7, "up", server)[:40])
-						stays(c)
+						keepOpen(c)
 					},
 					func(c net.Conn, chunk func(string)) {
 						writeText(c, watchResponseHead)
 						chunk(line(2, "draining", server))
-						stays(c)
+						keepOpen(c)
 					},
 				}
 			},
 			"indented, in pieces": func(server string) []func(net.Conn, func(string)) {
 				return []func(net.Conn, func(string)){func(c net.Conn, chunk func(string)) {
 					writeText(c, watchResponseHead)
-					var tree any
-					if err := json.Unmarshal([]byte(line(2, "draining", server)), &tree); err != nil {
+					var decoded any
+					if err := json.Unmarshal([]byte(line(2, "draining", server)), &decoded); err != nil {
 						t.Error(err)
 					}
-					text, err := json.MarshalIndent(tree, "", "  ")
+					text, err := json.MarshalIndent(decoded, "", "  ")
 					if err != nil {
 						t.Error(err)
 					}
 					chunk("\n")
 					chunk(string(text[:50]))
 					chunk(string(text[50:]) + "\n\n")
-					stays(c)
+					keepOpen(c)
 				}}
 			},
 		} {
@@ -205,7 +205,7 @@
 		wait  time.Duration // between calls
 		first func(c net.Conn, chunk func(string), server string)
 	}{
-		"a call without a head": {time.Hour, func(c net.Conn, _ func(string), _ string) { stays(c) }},
+		"a call without a head": {time.Hour, func(c net.Conn, _ func(string), _ string) { keepOpen(c) }},
 		"reset in the midst of a line": {time.Millisecond, func(c net.Conn, chunk func(string), server string) {
 			writeText(c, watchResponseHead)
 			chunk(line(2, "draining", server)[:90])
@@ -215,14 +215,14 @@
 		t.Run("push: "+name, func(t *testing.T) {
 			t.Parallel()
 			server, _ := startUpstream(t, echo)
-			address, asked := startScriptedDiscovery(t, func(conn net.Conn, chunk func(string)) { c.first(conn, chunk, server) })
+			address, callCount := startScriptedDiscovery(t, func(conn net.Conn, chunk func(string)) { c.first(conn, chunk, server) })
 			n := newNode(t, func(c *Config) {
 				withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c)
 				c.Discovery = address
 			}, server)
 			n.endpointWatch.parallelCallDelay, n.endpointWatch.retryInterval = 60*time.Millisecond, c.wait
 			n.start()
-			eventually(t, "the next call", func() bool { return asked.Load() >= 2 })
+			eventually(t, "the next call", func() bool { return callCount.Load() >= 2 })
 			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
 				t.Errorf("by half a line a server was given up: %d", status)
 			}
@@ -232,13 +232,13 @@
 
 // There is always an interval between watches, whatever the settings say of sends to draining endpoints.
 func TestWatchRetryIntervalIsBounded(t *testing.T) {
-	for within, want := range map[int]time.Duration{
+	for drainGraceUs, want := range map[int]time.Duration{
 		0: maxRetryInterval, 1: minRetryInterval,
 		400000: 100 * time.Millisecond, 60000000: maxRetryInterval,
 	} {
-		n := newNode(t, withSettings(`"rules":{`, fmt.Sprintf(`"rules":{"stop_sending_within_us":%d,`, within)))
+		n := newNode(t, withSettings(`"rules":{`, fmt.Sprintf(`"rules":{"stop_sending_within_us":%d,`, drainGraceUs)))
 		if n.endpointWatch.retryInterval != want {
-			t.Errorf("sends stop within %d us: a wait of %v, want %v", within, n.endpointWatch.retryInterval, want)
+			t.Errorf("sends stop within %d us: a wait of %v, want %v", drainGraceUs, n.endpointWatch.retryInterval, want)
 		}
 	}
 }
@@ -247,9 +247,9 @@
 // first message is due.
 func TestPushedListIsAppliedBeforeFirstRequest(t *testing.T) {
 	server, requests := startUpstream(t, echo)
-	word := newGate(t)
+	firstEvent := newGate(t)
 	address, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
-		word.wait()
+		firstEvent.wait()
 		writeText(c, watchResponseHead)
 		chunk(listText(2, false, listEntry("s-0", server, "draining")) + "\n")
 		discard(c)
@@ -261,11 +261,11 @@
 	client, in := dial(t, n)
 	writeText(client, requestText("batch", "t", ""))
 	go n.start()
-	word.held(t, 1)
+	firstEvent.held(t, 1)
 	if n.notReady() == "" {
 		t.Error("ready before the first word")
 	}
-	word.pass()
+	firstEvent.pass()
 	if status, _, _ := readAnswer(in); status != 503 || requests.Load() != 0 {
 		t.Errorf("answered %d, %d requests at a server that is draining", status, requests.Load())
 	}
@@ -275,23 +275,23 @@
 // there, it counts.
 func TestUpdateFromOldAddressDoesNotReplaceNewList(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	late := newGate(t)
-	old, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
+	lastUpdate := newGate(t)
+	oldAddress, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
 		writeText(c, watchResponseHead)
 		chunk(listText(50, false) + "\n")
-		late.wait()
+		lastUpdate.wait()
 		chunk(listText(51, false, listEntry("s-0", server, "draining")) + "\n")
 	})
-	young, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
+	newAddress, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
 		writeText(c, watchResponseHead)
 		chunk(listText(3, true, listEntry("s-0", server, "up"), listEntry("s-1", server, "draining")) + "\n")
 		discard(c)
 	})
-	n := startNode(t, func(c *Config) { c.Discovery = old }, server)
-	late.held(t, 1)
+	n := startNode(t, func(c *Config) { c.Discovery = oldAddress }, server)
+	lastUpdate.held(t, 1)
 	eventually(t, "the old list", func() bool { return n.count(listUpdates) == 1 })
-	n.endpointWatch.setAddress(young)
-	late.pass()
+	n.endpointWatch.setAddress(newAddress)
+	lastUpdate.pass()
 	eventually(t, "the new list", func() bool {
 		known := make(chan bool)
 		n.loop.post(func() {
@@ -306,14 +306,14 @@
 }
 
 // startDiscoveryWithLines starts a discovery service that sends one list of lines to each call in turn, then stays open.
-func startDiscoveryWithLines(t *testing.T, calls ...[]string) (address string, asked *sync.Map) {
-	asked = new(sync.Map)
+func startDiscoveryWithLines(t *testing.T, calls ...[]string) (address string, requests *sync.Map) {
+	requests = new(sync.Map)
 	var number atomic.Int64
 	return listen(t, func(c net.Conn) {
 		in := make([]byte, 4096)
 		size, _ := c.Read(in)
 		i := int(number.Add(1)) - 1
-		asked.Store(i, string(in[:size]))
+		requests.Store(i, string(in[:size]))
 		if i >= len(calls) {
 			return
 		}
@@ -323,5 +323,5 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		waitForClose(c)
-	}), asked
+	}), requests
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -167,14 +167,14 @@
 }
 
 // query runs a function on the membership between two of its steps.
-func (a *memberAgent) query(what func(m *members.Members, now int64)) error {
+func (a *memberAgent) query(do func(m *members.Members, now int64)) error {
 	if a == nil {
 		return errNoMembership
 	}
 	answered := make(chan struct{})
 	query := func() {
 		defer close(answered)
-		what(a.membership, a.node.clock.nanos())
+		do(a.membership, a.node.clock.nanos())
 	}
 	select {
 	case a.queries <- query:
--- a/internal/node/overridesfile.go
+++ b/internal/node/overridesfile.go
@@ -72,25 +72,25 @@
 	if err != nil {
 		return nil, err
 	}
-	var bad error
+	var parseErrs error
 	if version != overridesVersion {
-		bad = fmt.Errorf("version: expected %s, got %.20q", overridesVersion, version)
+		parseErrs = fmt.Errorf("version: expected %s, got %.20q", overridesVersion, version)
 	}
 	set := &overrideSet{endpoints: map[string]endpointOverride{}}
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			return set, errors.Join(bad, errOverridesTruncated)
+			return set, errors.Join(parseErrs, errOverridesTruncated)
 		}
 		line = strings.TrimSuffix(line, "\n")
 		if line == overridesEnd {
-			return set, bad
+			return set, parseErrs
 		}
 		if err := set.parseLine(line); err != nil {
-			bad = errors.Join(bad, err)
+			parseErrs = errors.Join(parseErrs, err)
 		}
-		if bad != nil && len(bad.Error()) > maxParseErrorBytes {
-			return set, bad
+		if parseErrs != nil && len(parseErrs.Error()) > maxParseErrorBytes {
+			return set, parseErrs
 		}
 	}
 }
@@ -135,10 +135,10 @@
 	if err != nil || name == "" || len(name) > maxNameBytes {
 		return "", endpointOverride{}, fmt.Errorf("invalid name of an endpoint: %.40q", text)
 	}
-	disabled, enabled, both := strings.Cut(strings.TrimPrefix(text[len(quoted):], " "), " ")
+	disabled, enabled, hasBothTimes := strings.Cut(strings.TrimPrefix(text[len(quoted):], " "), " ")
 	disabledAt, disabledErr := strconv.ParseInt(disabled, 10, 64)
 	enabledAt, enabledErr := strconv.ParseInt(enabled, 10, 64)
-	if !both || disabledErr != nil || enabledErr != nil || disabledAt < 0 || enabledAt < 0 {
+	if !hasBothTimes || disabledErr != nil || enabledErr != nil || disabledAt < 0 || enabledAt < 0 {
 		return "", endpointOverride{}, fmt.Errorf("invalid times of an endpoint: %.40q", text)
 	}
 	return name, endpointOverride{policy.Time(disabledAt), policy.Time(enabledAt)}, nil
--- a/internal/node/overrideslock_test.go
+++ b/internal/node/overrideslock_test.go
@@ -14,20 +14,20 @@
 func TestConcurrentOverrideChangesOpenOneLockFile(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
-	held, err := lockFile(n.overrides.path+".lock", time.Second)
+	lock, err := lockFile(n.overrides.path+".lock", time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	open := func() (files int) {
+	countOpenFiles := func() (files int) {
 		list, _ := os.ReadDir("/proc/self/fd")
-		for _, one := range list {
-			if at, _ := os.Readlink("/proc/self/fd/" + one.Name()); strings.HasPrefix(at, n.overrides.path) {
+		for _, entry := range list {
+			if target, _ := os.Readlink("/proc/self/fd/" + entry.Name()); strings.HasPrefix(target, n.overrides.path) {
 				files++
 			}
 		}
 		return files - 1 // the one that is held
 	}
-	most := 0
+	maxOpen := 0
 	var done sync.WaitGroup
 	for i := range 8 {
 		done.Go(func() {
@@ -37,13 +37,13 @@
 			}
 		})
 	}
-	eventually(t, "one that waits", func() bool { most = max(most, open()); return most > 0 })
+	eventually(t, "one that waits", func() bool { maxOpen = max(maxOpen, countOpenFiles()); return maxOpen > 0 })
 	for range 20 {
 		time.Sleep(time.Millisecond)
-		most = max(most, open())
+		maxOpen = max(maxOpen, countOpenFiles())
 	}
-	held.Close()
-	if done.Wait(); most != 1 {
-		t.Errorf("%d files were open at once", most)
+	lock.Close()
+	if done.Wait(); maxOpen != 1 {
+		t.Errorf("%d files were open at once", maxOpen)
 	}
 }
--- a/internal/node/pacing.go
+++ b/internal/node/pacing.go
@@ -37,8 +37,8 @@
 // and errBodyAbandoned if the body has been abandoned.
 func (p *readPacer) beginRead(conn net.Conn) error {
 	p.readStartedAt = time.Now()
-	counted := p.waitTime - p.gracePeriod
-	if counted > 0 && p.receivedBytes < int64(counted.Seconds()*float64(p.minBytesPerSecond)) {
+	countedTime := p.waitTime - p.gracePeriod
+	if countedTime > 0 && p.receivedBytes < int64(countedTime.Seconds()*float64(p.minBytesPerSecond)) {
 		return os.ErrDeadlineExceeded
 	}
 	deadline := p.readStartedAt.Add(p.stallTimeout)
--- a/internal/node/pacing_test.go
+++ b/internal/node/pacing_test.go
@@ -28,19 +28,19 @@
 		if canceled {
 			a.cancel()
 		}
-		var read time.Time
+		var readDeadline time.Time
 		record := func(deadline time.Time) error {
-			read = deadline
+			readDeadline = deadline
 			return nil
 		}
 		if err := a.setDeadline(record, time.Now().Add(time.Hour)); err != nil {
 			t.Fatal(err)
 		}
-		c := &deadlineRecorder{}
-		if err := writePaced(c, a, []byte("x")); err != nil {
+		conn := &deadlineRecorder{}
+		if err := writePaced(conn, a, []byte("x")); err != nil {
 			t.Fatal(err)
 		}
-		for name, deadline := range map[string]time.Time{"a read": read, "a write": c.deadline} {
+		for name, deadline := range map[string]time.Time{"a read": readDeadline, "a write": conn.deadline} {
 			if deadline.Before(time.Now()) != canceled {
 				t.Errorf("canceled %t: the deadline of %s is %v", canceled, name, deadline)
 			}
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -143,10 +143,10 @@
 }
 
 // recordError logs an error and keeps it for the admin API.
-func (p *persistence) recordError(what string, err error) {
-	text := what + ": " + err.Error()
+func (p *persistence) recordError(operation string, err error) {
+	text := operation + ": " + err.Error()
 	p.lastError.Store(&text)
-	p.node.log.Warn("persisted state: the store fails", zap.String("what", what), zap.Error(err))
+	p.node.log.Warn("persisted state: the store fails", zap.String("what", operation), zap.Error(err))
 }
 
 // run begins to write. The write loop queries the event loop and the members, so it starts once these are in place.
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -67,7 +67,7 @@
 	disk.hangs.Lock()
 	before, written := disk.syncs.Load(), n.persistence.writtenBatches.Load()
 	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
-	requests := func(first string) {
+	sendRequests := func(first string) {
 		for _, id := range []string{"1", "2", "3"} {
 			if status, _, _ := ask(t, n, "view", first+id, ""); status != 200 {
 				t.Errorf("request %s%s: %d", first, id, status)
@@ -75,7 +75,7 @@
 		}
 	}
 	eventually(t, "a sync that hangs", func() bool { return disk.syncs.Load() > before })
-	requests("hanging")
+	sendRequests("hanging")
 	if n.persistence.writtenBatches.Load() != written || strings.Contains(n.persistence.statusJSON(), `"write_under_way_s":0,`) {
 		t.Error(n.persistence.statusJSON())
 	}
@@ -84,66 +84,66 @@
 	disk.fails.Store(true)
 	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
 	eventually(t, "a failure that is reported", func() bool { return strings.Contains(n.persistence.statusJSON(), "a write failed") })
-	requests("failing")
+	sendRequests("failing")
 }
 
 // TestPersistedListIsUsedAfterRestart starts twice on one directory: the second run begins with the list of the first.
 func TestPersistedListIsUsedAfterRestart(t *testing.T) {
 	server, requests := startUpstream(t, echo)
-	whole := &faultyDisk{}
+	disk := &faultyDisk{}
 	dir := t.TempDir()
-	n := startNode(t, withStateDir(t, whole, dir))
-	at, err := n.entryOf(listEntry("s-9", server, "up"))
+	n := startNode(t, withStateDir(t, disk, dir))
+	entry, err := n.entryOf(listEntry("s-9", server, "up"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.persistence.recordList([]endpointEntry{at}, 2, true)
+	n.persistence.recordList([]endpointEntry{entry}, 2, true)
 	n.persistence.close()
-	again := startNode(t, withStateDir(t, whole, dir))
-	asked := 0
+	restarted := startNode(t, withStateDir(t, disk, dir))
+	sent := 0
 	eventually(t, "a request at the upstream, which counts as just started", func() bool {
-		asked++
-		status, _, _ := ask(t, again, "view", fmt.Sprint(asked), "")
+		sent++
+		status, _, _ := ask(t, restarted, "view", fmt.Sprint(sent), "")
 		return status == 200 && requests.Load() == 1
 	})
-	if again.persistence.state.Epoch() != 2 {
-		t.Errorf("epoch %d", again.persistence.state.Epoch())
+	if restarted.persistence.state.Epoch() != 2 {
+		t.Errorf("epoch %d", restarted.persistence.state.Epoch())
 	}
 }
 
 // TestNewerOfConfiguredAndPersistedListIsUsed starts with the list of a configuration and a persisted one: the newer one wins, and
 // an older one ends no drain.
 func TestNewerOfConfiguredAndPersistedListIsUsed(t *testing.T) {
-	drains, drained := startUpstream(t, echo)
-	serves, served := startUpstream(t, echo)
+	drainingServer, drainingRequests := startUpstream(t, echo)
+	activeServer, activeRequests := startUpstream(t, echo)
 	dir := t.TempDir()
 	start := func(version int) *Node {
 		return startNode(t, func(c *Config) {
 			withStateDir(t, &faultyDisk{}, dir)(c)
-			c.KnownList = []byte(listText(version, true, listEntry("s-0", drains, "up"), listEntry("s-1", serves, "up")))
+			c.KnownList = []byte(listText(version, true, listEntry("s-0", drainingServer, "up"), listEntry("s-1", activeServer, "up")))
 		})
 	}
 	n := start(3)
-	out, err := n.entryOf(listEntry("s-0", drains, "draining"))
+	draining, err := n.entryOf(listEntry("s-0", drainingServer, "draining"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.persistence.recordList([]endpointEntry{out}, 5, false)
+	n.persistence.recordList([]endpointEntry{draining}, 5, false)
 	n.persistence.close()
 	for _, version := range []int{4, 6} {
-		want := version > 5
-		again := start(version)
-		before, asked := drained.Load(), 0
+		configuredIsNewer := version > 5
+		restarted := start(version)
+		before, sent := drainingRequests.Load(), 0
 		eventually(t, "requests at upstreams, which count as just started", func() bool {
-			asked++ // most are rejected
-			ask(t, again, "view", fmt.Sprint(version, "-", asked), "")
-			return asked > 40 && served.Load() > 2 && (!want || drained.Load() > before)
+			sent++ // most are rejected
+			ask(t, restarted, "view", fmt.Sprint(version, "-", sent), "")
+			return sent > 40 && activeRequests.Load() > 2 && (!configuredIsNewer || drainingRequests.Load() > before)
 		})
-		if (drained.Load() > before) != want {
-			t.Errorf("a configured list of version %d after one of 5: %d requests to the draining upstream, %d to the other", version, drained.Load()-before, served.Load())
+		if (drainingRequests.Load() > before) != configuredIsNewer {
+			t.Errorf("a configured list of version %d after one of 5: %d requests to the draining upstream, %d to the other", version, drainingRequests.Load()-before, activeRequests.Load())
 		}
-		again.persistence.close()
-		if version == 4 && !again.persistence.isOlderThan(6) {
+		restarted.persistence.close()
+		if version == 4 && !restarted.persistence.isOlderThan(6) {
 			t.Error("6 is not newer than 5")
 		}
 	}
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -34,9 +34,9 @@
 	go serve(s, l)
 	stop = func() {
 		l.Close()
-		limit, done := context.WithTimeout(context.Background(), 5*time.Second)
-		defer done()
-		closeServer(limit, s)
+		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+		defer cancel()
+		closeServer(ctx, s)
 	}
 	t.Cleanup(stop)
 	return l.Addr().String(), s, stop
@@ -46,7 +46,7 @@
 func serve(s *relay.Server, l net.Listener) { _ = s.Serve(l) }
 
 // closeServer closes a server; connections that are still open by then are cut.
-func closeServer(ctx context.Context, s *relay.Server) { _ = s.Close(ctx) }
+func closeServer(ctx context.Context, server *relay.Server) { _ = server.Close(ctx) }
 
 const testScope = "eu1/cart"
 
@@ -108,11 +108,11 @@
 		defer open.Add(-1)
 		text := list(call) + "\n"
 		writef(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
-		gone := make(chan struct{})
-		go func() { discard(c); close(gone) }()
+		closed := make(chan struct{})
+		go func() { discard(c); close(closed) }()
 		for {
 			select {
-			case <-gone:
+			case <-closed:
 				return
 			case <-time.After(300 * time.Millisecond):
 				writeText(c, "1\r\n\n\r\n")
@@ -141,15 +141,15 @@
 }
 
 // startNamedUpstream starts an upstream that answers with its name.
-func startNamedUpstream(t *testing.T, name string) (address string, tasks *atomic.Int64) {
+func startNamedUpstream(t *testing.T, name string) (address string, requests *atomic.Int64) {
 	return startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 		return writeAnswer(c, "200 OK\r\nX-Pressure: queue=1", name)
 	})
 }
 
 func TestNodeFollowsRelays(t *testing.T) {
-	a, tasksA := startNamedUpstream(t, "a")
-	b, tasksB := startNamedUpstream(t, "b")
+	a, requestsA := startNamedUpstream(t, "a")
+	b, requestsB := startNamedUpstream(t, "b")
 	discovery, calls, _ := startDiscovery(t, func(int64) string { return listText(1, true) })
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	first, s, stop := serveOrigin(t, o)
@@ -166,14 +166,14 @@
 	putEndpoint(s, o, "a", a, "draining")
 	putListVersion(s, o, 9)
 	eventually(t, "the drain", func() bool { return relayListVersion(t, n) == 9 })
-	before := tasksA.Load()
+	before := requestsA.Load()
 	for i := range 10 {
 		if !isServedBy(t, n, fmt.Sprint("two", i), "b") {
 			t.Fatal("not served by the endpoint that was added")
 		}
 	}
-	if tasksA.Load() != before || tasksB.Load() < 10 {
-		t.Errorf("a drained endpoint had %d requests since", tasksA.Load()-before)
+	if requestsA.Load() != before || requestsB.Load() < 10 {
+		t.Errorf("a drained endpoint had %d requests since", requestsA.Load()-before)
 	}
 	// An invalid record, and one of an unknown kind, change nothing else.
 	s.Do(func(now int64) {
@@ -212,7 +212,7 @@
 // Without relays discovery is watched; when they are back it is not. Neither removes or restores what the other knew
 // better.
 func TestNodeWatchesDiscoveryWhileRelaysAreDown(t *testing.T) {
-	a, tasksA := startNamedUpstream(t, "a")
+	a, requestsA := startNamedUpstream(t, "a")
 	b, _ := startNamedUpstream(t, "b")
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	first, s, stop := serveOrigin(t, o)
@@ -235,26 +235,26 @@
 	stop()
 	eventually(t, "a call to discovery", func() bool { return calls.Load() == 1 })
 	eventually(t, "discovery's list", func() bool { return relayStatus(t, n).By == "discovery" })
-	before := tasksA.Load()
+	before := requestsA.Load()
 	for i := range 10 {
 		if !isServedBy(t, n, fmt.Sprint("two", i), "b") {
 			t.Fatal("an older list of discovery removed an endpoint")
 		}
 	}
-	if tasksA.Load() != before {
+	if requestsA.Load() != before {
 		t.Error("an older list of discovery ended a drain")
 	}
 	// Another origin, later than the first, and as far as discovery.
-	again := distribution.NewOrigin(2, distribution.Limits{})
+	newOrigin := distribution.NewOrigin(2, distribution.Limits{})
 	l, err := net.Listen("tcp", first)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s = relay.NewServer(again.Relay(), relay.ServerConfig{}, zap.NewNop())
+	s = relay.NewServer(newOrigin.Relay(), relay.ServerConfig{}, zap.NewNop())
 	t.Cleanup(func() { closeServer(context.Background(), s) })
-	putEndpoint(s, again, "a", a, "up")
-	putListVersion(s, again, 25)
+	putEndpoint(s, newOrigin, "a", a, "up")
+	putListVersion(s, newOrigin, 25)
 	go serve(s, l)
 	eventually(t, "relays again", func() bool { v := relayStatus(t, n); return v.By == "relays" && !v.Watch })
 	eventually(t, "the end of the watch", func() bool { return open.Load() == 0 })
@@ -265,8 +265,8 @@
 func TestNodeStartsWithoutReachableRelay(t *testing.T) {
 	a, _ := startNamedUpstream(t, "a")
 	discovery, _, _ := startDiscovery(t, func(int64) string { return listText(3, true, listEntry("a", a, "up")) })
-	still := listen(t, func(c net.Conn) { time.Sleep(20 * time.Second) }) // it accepts connections and sends nothing
-	for name, at := range map[string]string{"nobody there": "127.0.0.1:1", "a frozen one": still} {
+	silentRelay := listen(t, func(c net.Conn) { time.Sleep(20 * time.Second) }) // it accepts connections and sends nothing
+	for name, at := range map[string]string{"nobody there": "127.0.0.1:1", "a frozen one": silentRelay} {
 		began := time.Now()
 		n := startNode(t, withRelays(discovery, at))
 		eventually(t, "ready, "+name, func() bool { return n.notReady() == "" })
@@ -326,13 +326,13 @@
 	first, s, stop := serveOrigin(t, o)
 	putEndpoint(s, o, "a", a, "up")
 	putListVersion(s, o, 8)
-	low := startRelayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", first))
-	n := startNode(t, withRelaysAndSilence("2s", discovery, low.Address()))
+	lowerRelay := startRelayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", first))
+	n := startNode(t, withRelaysAndSilence("2s", discovery, lowerRelay.Address()))
 	eventually(t, "the list by relays", func() bool { return n.notReady() == "" && relayStatus(t, n).By == "relays" })
 	stop()
 	eventually(t, "the list by discovery", func() bool { return relayStatus(t, n).By == "discovery" })
 	eventually(t, "the newer list", func() bool { return isServedBy(t, n, fmt.Sprint("t", addresses.Add(1)), "b") })
-	if v := relayStatus(t, n); v.Relay != low.Address() {
+	if v := relayStatus(t, n); v.Relay != lowerRelay.Address() {
 		t.Errorf("%+v: the relay is still there", v)
 	}
 }
@@ -342,7 +342,7 @@
 	a, _ := startNamedUpstream(t, "a")
 	b, _ := startNamedUpstream(t, "b")
 	var frozen atomic.Bool
-	half := listen(t, func(c net.Conn) { // discovery as the origin has it
+	originDiscovery := listen(t, func(c net.Conn) { // discovery as the origin has it
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return
 		}
@@ -360,9 +360,9 @@
 	discovery, calls, _ := startDiscovery(t, func(int64) string {
 		return listText(6, true, listEntry("a", a, "draining"), listEntry("b", b, "up"))
 	})
-	origin := startRelayProcess(t, fmt.Sprintf("name=\"o\"\nrole=\"origin\"\nlisten=\"127.0.0.1:0\"\n[origin]\ndiscovery=%q\n[origin.scope]\nservice=\"cart\"\nregion=\"eu1\"\n", half))
-	low := startRelayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", origin.Address()))
-	n := startNode(t, withRelaysAndSilence("4s", discovery, low.Address()))
+	origin := startRelayProcess(t, fmt.Sprintf("name=\"o\"\nrole=\"origin\"\nlisten=\"127.0.0.1:0\"\n[origin]\ndiscovery=%q\n[origin.scope]\nservice=\"cart\"\nregion=\"eu1\"\n", originDiscovery))
+	lowerRelay := startRelayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", origin.Address()))
+	n := startNode(t, withRelaysAndSilence("4s", discovery, lowerRelay.Address()))
 	eventually(t, "the list by relays", func() bool { return n.notReady() == "" && relayStatus(t, n).By == "relays" })
 	if !isServedBy(t, n, "one", "a") {
 		t.Fatal("not served by the list of the relays")
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -155,13 +155,13 @@
 	}
 	result := reply.result()
 	result.newConnection = t.conn.idleSince.IsZero()
-	passedOn := result.outcome == policy.OutcomeSucceeded || isRequestFault(reply.StatusCode)
-	if passedOn {
+	forwarded := result.outcome == policy.OutcomeSucceeded || isRequestFault(reply.StatusCode)
+	if forwarded {
 		result.response = reply.response(t.attempt.request.method, body)
 	}
 	wanted := t.attempt.setOnCancel(nil) // from here on no cancel touches the connection
 	reusable := !reply.Close && reply.stage == fullyWritten
-	if passedOn && !complete && wanted {
+	if forwarded && !complete && wanted {
 		t.upstreams.node.counters.add(responsesStreamed)
 		t.released = true // finishStream takes it over
 		result.response.stream = newResponseStream(m)
@@ -170,13 +170,13 @@
 		return result, nil
 	}
 	m.end()
-	unasked := complete && len(t.conn.buffered()) > 0
-	t.upstreams.recordExtraInput(unasked)
+	extraInput := complete && len(t.conn.buffered()) > 0
+	t.upstreams.recordExtraInput(extraInput)
 	t.conn.lastRejected = result.outcome == policy.OutcomeRejected
-	if wanted && complete && !unasked && reusable {
+	if wanted && complete && !extraInput && reusable {
 		t.putIdle()
 	}
-	if passedOn && !complete {
+	if forwarded && !complete {
 		return attemptResult{}, t.attempt.errorAt(readingResponse, errCanceled)
 	}
 	return result, nil
--- a/internal/node/roundtrip_test.go
+++ b/internal/node/roundtrip_test.go
@@ -40,7 +40,7 @@
 // What an upstream does decides the outcome, and with the class the client's response.
 func TestResponseDecidesOutcome(t *testing.T) {
 	closed := listen(t, func(c net.Conn) {})
-	cut := func(text string) string {
+	upstreamSending := func(text string) string {
 		address, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 			writeText(c, text)
 			return false
@@ -53,60 +53,60 @@
 	})
 	for name, c := range map[string]struct {
 		server string
-		how    counter
+		counted    counter
 		status map[string]int // by class; 503 is a reject
 	}{
 		"error": {
-			cut("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
+			upstreamSending("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
 			map[string]int{"view": 503, "update": 502, "pay": 502},
 		},
 		"rejected": {
-			cut("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"),
+			upstreamSending("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"),
 			attemptsRejected,
 			map[string]int{"view": 503, "update": 503, "pay": 503},
 		},
 		"503 without proof": {
-			cut("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
+			upstreamSending("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
 			map[string]int{"view": 503, "update": 502, "pay": 502},
 		},
 		"fault with it": {
-			cut("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsRequestFault,
+			upstreamSending("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsRequestFault,
 			map[string]int{"view": 400, "update": 400, "pay": 400},
 		},
 		"too many": {
-			cut("HTTP/1.1 429 Later\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
+			upstreamSending("HTTP/1.1 429 Later\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
 			map[string]int{"view": 503, "pay": 502},
 		},
 		"refused": {
 			"127.0.0.1:1", attemptsConnectFailed,
 			map[string]int{"view": 503, "update": 503, "pay": 503},
 		},
-		"broken before any": {cut(""), attemptsReset, map[string]int{"view": 503, "update": 502, "pay": 502}},
+		"broken before any": {upstreamSending(""), attemptsReset, map[string]int{"view": 503, "update": 502, "pay": 502}},
 		"broken in head": {
-			cut("HTTP/1.1 200 OK\r\nContent-Le"), attemptsReset,
+			upstreamSending("HTTP/1.1 200 OK\r\nContent-Le"), attemptsReset,
 			map[string]int{"view": 503, "pay": 502},
 		},
 		"broken in body": {
-			cut("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), attemptsReset,
+			upstreamSending("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), attemptsReset,
 			map[string]int{"view": 503, "pay": 502},
 		},
 		"broken in chunk": {
-			cut("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal"), attemptsReset,
+			upstreamSending("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal"), attemptsReset,
 			map[string]int{"pay": 502},
 		},
-		"no answer at all": {cut("SSH-2.0-x\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
+		"no answer at all": {upstreamSending("SSH-2.0-x\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
 		"endless answer": {
-			cut("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), attemptsReset,
+			upstreamSending("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), attemptsReset,
 			map[string]int{"pay": 502},
 		},
 		"silent":         {silent, attemptsTimedOut, map[string]int{"view": 503, "update": 502, "pay": 502}},
 		"closed at once": {closed, counterCount, map[string]int{"view": 503}},
 		"interim, chunked": {
-			cut("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
+			upstreamSending("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
 			attemptsSucceeded,
 			map[string]int{"pay": 200},
 		},
-		"body till the end": {cut("HTTP/1.1 200 OK\r\n\r\nall of it"), attemptsSucceeded, map[string]int{"pay": 200}},
+		"body till the end": {upstreamSending("HTTP/1.1 200 OK\r\n\r\nall of it"), attemptsSucceeded, map[string]int{"pay": 200}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -114,12 +114,12 @@
 				n := startNode(t, nil, c.server)
 				status, _, header := ask(t, n, class, "t1", "body")
 				attempts := int64(1)
-				if c.how == attemptsReset && class != "pay" {
+				if c.counted == attemptsReset && class != "pay" {
 					attempts = 2 // the request returns to its only endpoint once
 				}
-				if status != want || c.how < counterCount && n.count(c.how) != attempts {
+				if status != want || c.counted < counterCount && n.count(c.counted) != attempts {
 					t.Errorf("%s: answered %d, want %d; outcome counted %d times", class, status, want,
-						n.count(min(c.how, panics)))
+						n.count(min(c.counted, panics)))
 				}
 				if (header.Get(headerRetryAfter) != "") != (status == 503) {
 					t.Errorf("%s: %d with advice %q", class, status, header.Get(headerRetryAfter))
@@ -155,16 +155,16 @@
 // Guards against an upstream that was cut off and is back: connections from before are reset only when used, and each
 // would cost a request.
 func TestResetClosesIdleConnectionsToUpstream(t *testing.T) {
-	var back atomic.Bool
-	var idle sync.WaitGroup
-	idle.Add(5)
+	var restarted atomic.Bool
+	var firstRequests sync.WaitGroup
+	firstRequests.Add(5)
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		if back.Load() {
+		if restarted.Load() {
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		}
-		idle.Done()
-		idle.Wait()
+		firstRequests.Done()
+		firstRequests.Wait()
 		return echo(c, r, body)
 	})
 	n := startNode(t, nil, server)
@@ -173,7 +173,7 @@
 		done.Go(func() { ask(t, n, "pay", fmt.Sprint("t", i), "") })
 	}
 	done.Wait()
-	back.Store(true)
+	restarted.Store(true)
 	if status, _, _ := ask(t, n, "pay", "first", ""); status != 502 {
 		t.Errorf("the first request after the cut was answered %d", status)
 	}
@@ -187,7 +187,7 @@
 // A response that comes a second time is passed to no client: neither while its connection is idle, nor once another
 // request is in flight.
 func TestLateDuplicateResponseIsDiscarded(t *testing.T) {
-	stray := newGate(t)
+	duplicate := newGate(t)
 	var conns atomic.Int64
 	server := listen(t, func(c net.Conn) {
 		first := conns.Add(1) == 1
@@ -203,7 +203,7 @@
 			echo(c, r, "")
 			if i == 0 && first {
 				go func() {
-					stray.wait()
+					duplicate.wait()
 					writeAnswer(c, "200 OK", "stray")
 				}()
 			}
@@ -239,7 +239,7 @@
 		n := startNode(t, nil, server)
 		ask(t, n, "batch", "a", "")
 		c := idleOf(n)
-		stray.pass()
+		duplicate.pass()
 		eventually(t, "the second answer", c.hasInput)
 		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
 			t.Errorf("once the second answer has come a request got %q", body)
@@ -254,7 +254,7 @@
 // run.
 func TestIdleConnectionClosedDuringWriteCountsAsReset(t *testing.T) {
 	for name, c := range map[string]struct {
-		linger bool
+		reset bool
 		status map[string]int
 	}{
 		"closed": {false, map[string]int{"pay": 502, "view": 503, "update": 502}},
@@ -267,7 +267,7 @@
 					if r.Header.Get(headerRequestID) == "first" {
 						return echo(conn, r, body)
 					}
-					if c.linger {
+					if c.reset {
 						conn.(*net.TCPConn).SetLinger(0)
 					}
 					return false
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -23,10 +23,10 @@
 	n := startNode(t, nil, server)
 	idle, idleIn := dial(t, n)
 	var answered atomic.Int64
-	var busy sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 10 { // clients that send on as long as their connections stay open
 		c, in := dial(t, n)
-		busy.Go(func() {
+		clients.Go(func() {
 			for k := 0; ; k++ {
 				writeText(c, requestText("batch", fmt.Sprint(i, "-", k), ""))
 				status, _, header := readAnswer(in)
@@ -56,9 +56,9 @@
 			t.Errorf("a request taken before the end was answered %d %s", status, body)
 		}
 	}
-	busy.Wait()
-	if taken := n.count(requestsAccepted); answered.Load()+3 != taken {
-		t.Errorf("%d requests were taken and %d answered", taken, answered.Load()+3)
+	clients.Wait()
+	if accepted := n.count(requestsAccepted); answered.Load()+3 != accepted {
+		t.Errorf("%d requests were taken and %d answered", accepted, answered.Load()+3)
 	}
 	select {
 	case <-stopped:
@@ -74,16 +74,16 @@
 		body  string
 		hold  func(t *testing.T, n *Node) *gate // before the request
 		serve func(g *gate, c net.Conn, in *bufio.Reader) (served bool)
-		there func(n *Node) bool
+		stageReached func(n *Node) bool
 	}{
 		"in the queue": {
 			hold:  func(t *testing.T, n *Node) *gate { return n.holdLoop(t) },
-			there: func(n *Node) bool { return len(n.loop.events) > 0 },
+			stageReached: func(n *Node) bool { return len(n.loop.events) > 0 },
 		},
-		"dialling": {there: func(n *Node) bool { return n.count(attemptsSent) == 1 }},
+		"dialling": {stageReached: func(n *Node) bool { return n.count(attemptsSent) == 1 }},
 		"partly written": {
 			body: long, serve: func(g *gate, _ net.Conn, _ *bufio.Reader) bool { g.wait(); return false },
-			there: func(n *Node) bool { return n.count(requestsStreamed) == 1 },
+			stageReached: func(n *Node) bool { return n.count(requestsStreamed) == 1 },
 		},
 		"written": {serve: func(g *gate, _ net.Conn, in *bufio.Reader) bool {
 			skipRequestHead(in)
@@ -103,7 +103,7 @@
 			g.wait()
 			writeText(c, long[maxBufferedResponse:])
 			return true
-		}, there: func(n *Node) bool { return n.count(responsesStreamed) == 1 }},
+		}, stageReached: func(n *Node) bool { return n.count(responsesStreamed) == 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -133,7 +133,7 @@
 			client, in := dial(t, n)
 			go writeText(client, requestText("batch", "t", c.body))
 			g.held(t, 1)
-			eventually(t, "there", func() bool { return c.there == nil || c.there(n) })
+			eventually(t, "there", func() bool { return c.stageReached == nil || c.stageReached(n) })
 			stopped := make(chan struct{})
 			go func() { n.shutDown(); close(stopped) }()
 			eventually(t, "the listener to drain", n.frontend.draining.Load)
@@ -158,8 +158,8 @@
 	silent, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool { discard(c); return false })
 	for name, c := range map[string]struct {
 		group  string
-		span   string
-		ends   bool // the process does, else the request's time
+		windowUs   string
+		shutsDown   bool // the process does, else the request's time
 		status int
 	}{
 		"all, remembered":                  {"all", "30000000", false, 503},
@@ -172,12 +172,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			n := startNode(t, withSettings(`"group":"zone"`, fmt.Sprintf(`"group":%q`, c.group),
-				`"memory_span_us":2000000`, `"memory_span_us":`+c.span), silent)
+				`"memory_span_us":2000000`, `"memory_span_us":`+c.windowUs), silent)
 			client, in := dial(t, n)
 			writeText(client, requestText("update", "t1", ""))
 			eventually(t, "it is out", func() bool { return n.count(attemptsSent) == 1 })
 			time.Sleep(5 * time.Millisecond) // longer than the short memory
-			if c.ends {
+			if c.shutsDown {
 				n.loop.post(n.loop.giveUpAll)
 			}
 			if status, _, _ := readAnswer(in); status != c.status {
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -180,8 +180,8 @@
 	extraInputSeen := now.UnixNano()-u.lastExtraInputAt.Load() < int64(extraInputWindow)
 	idle := u.idleConns[target]
 	for i, conn := range slices.Backward(idle) {
-		mayRepeat := extraInputSeen || conn.lastRejected
-		if mayRepeat && now.Sub(conn.idleSince) < u.extraInputCooldown {
+		needsCooldown := extraInputSeen || conn.lastRejected
+		if needsCooldown && now.Sub(conn.idleSince) < u.extraInputCooldown {
 			continue
 		}
 		u.idleConns[target] = slices.Delete(idle, i, i+1)
@@ -192,8 +192,8 @@
 }
 
 // recordExtraInput notes whether more than a request's response has come on a connection.
-func (u *upstreams) recordExtraInput(came bool) {
-	if came {
+func (u *upstreams) recordExtraInput(found bool) {
+	if found {
 		u.lastExtraInputAt.Store(time.Now().UnixNano())
 	}
 }
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -72,10 +72,10 @@
 // Guards against upstream connections taking more descriptors than their share and the slots that clients lend.
 func TestUpstreamConnectionsAreBounded(t *testing.T) {
 	for _, lent := range []int64{0, 4} {
-		var out atomic.Int64
+		var atUpstream atomic.Int64
 		hold := make(chan struct{})
 		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-			out.Add(1)
+			atUpstream.Add(1)
 			<-hold
 			return echo(c, r, body)
 		})
@@ -84,19 +84,19 @@
 		n.frontend.maxLentSlots.Store(lent)
 		n.start()
 		var done sync.WaitGroup
-		answers := [600]atomic.Int64{}
+		statusCounts := [600]atomic.Int64{}
 		for i := range 10 {
 			done.Go(func() {
 				status, _, _ := ask(t, n, "pay", fmt.Sprint("t", i), "")
-				answers[status].Add(1)
+				statusCounts[status].Add(1)
 			})
 		}
-		eventually(t, "declines", func() bool { return answers[503].Load() == 7-lent })
+		eventually(t, "declines", func() bool { return statusCounts[503].Load() == 7-lent })
 		close(hold)
 		done.Wait()
-		if answers[200].Load() != 3+lent || out.Load() != 3+lent || n.count(attemptsNotSent) < 7-lent {
-			t.Errorf("with %d lent: %d satisfied, %d at the server, %d never sent", lent, answers[200].Load(),
-				out.Load(), n.count(attemptsNotSent))
+		if statusCounts[200].Load() != 3+lent || atUpstream.Load() != 3+lent || n.count(attemptsNotSent) < 7-lent {
+			t.Errorf("with %d lent: %d satisfied, %d at the server, %d never sent", lent, statusCounts[200].Load(),
+				atUpstream.Load(), n.count(attemptsNotSent))
 		}
 	}
 }
@@ -104,8 +104,8 @@
 // Room for a connection is made in place of the one that has been idle longest, whichever endpoint it is to.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	n := newNode(t, nil)
-	s := n.upstreams
-	s.maxOpen, s.extraInputCooldown = 3, 0
+	pool := n.upstreams
+	pool.maxOpen, pool.extraInputCooldown = 3, 0
 	var conns []*upstreamConn
 	for i := range 3 {
 		c, _ := net.Pipe()
@@ -113,30 +113,30 @@
 			bufferedConn: newBufferedConn(c),
 			target:       upstreamTarget{policy.EndpointID(i), "x"},
 		})
-		s.setAddress(policy.EndpointID(i), "x", true)
-		if !s.reserveSlot() {
+		pool.setAddress(policy.EndpointID(i), "x", true)
+		if !pool.reserveSlot() {
 			t.Fatal("no slot for one of three")
 		}
 	}
 	for _, i := range []int{1, 0, 2} {
-		s.putIdle(conns[i])
+		pool.putIdle(conns[i])
 	}
-	if c := s.takeIdle(conns[1].target); c != conns[1] {
+	if c := pool.takeIdle(conns[1].target); c != conns[1] {
 		t.Fatal("the connection that was kept is not there")
 	}
-	s.putIdle(conns[1]) // used again, so that 0 is now the longest idle
-	if !s.reserveSlot() || s.takeIdle(conns[0].target) != nil || s.idleOrder.Len() != 2 {
-		t.Errorf("%d idle, want 1 and 2", s.idleOrder.Len())
+	pool.putIdle(conns[1]) // used again, so that 0 is now the longest idle
+	if !pool.reserveSlot() || pool.takeIdle(conns[0].target) != nil || pool.idleOrder.Len() != 2 {
+		t.Errorf("%d idle, want 1 and 2", pool.idleOrder.Len())
 	}
-	s.closeIdle(conns[2].target)
-	if s.idleOrder.Len() != 1 || s.open != 2 {
-		t.Errorf("%d idle, %d open after a server was forgotten, want 1 and 2", s.idleOrder.Len(), s.open)
+	pool.closeIdle(conns[2].target)
+	if pool.idleOrder.Len() != 1 || pool.open != 2 {
+		t.Errorf("%d idle, %d open after a server was forgotten, want 1 and 2", pool.idleOrder.Len(), pool.open)
 	}
-	if s.takeIdle(conns[1].target) == nil {
+	if pool.takeIdle(conns[1].target) == nil {
 		t.Error("the connection that is still idle is not there")
 	}
-	first := s.reserveSlot()
-	if first && s.reserveSlot() {
+	first := pool.reserveSlot()
+	if first && pool.reserveSlot() {
 		t.Error("a slot was freed though no connection is idle")
 	}
 }
@@ -144,36 +144,36 @@
 // What a connection has shown decides when it may carry the next request.
 func TestConnectionCooldown(t *testing.T) {
 	server := listen(t, func(c net.Conn) { discard(c) })
-	at := upstreamTarget{1, server}
+	target := upstreamTarget{1, server}
 	for name, c := range map[string]struct {
-		strayed, turned bool
-		standing        bool
-		taken           bool
+		extraInput, lastRejected bool
+		eligible        bool
+		reusable           bool
 	}{
-		"after an answer":           {standing: true, taken: true},
-		"after one rejected":        {standing: true, turned: true},
-		"where answers come again":  {standing: true, strayed: true},
+		"after an answer":           {eligible: true, reusable: true},
+		"after one rejected":        {eligible: true, lastRejected: true},
+		"where answers come again":  {eligible: true, extraInput: true},
 		"its server is not wanted":  {},
-		"nor in any of these cases": {strayed: true, turned: true},
+		"nor in any of these cases": {extraInput: true, lastRejected: true},
 	} {
 		n := newNode(t, nil)
 		n.upstreams.extraInputCooldown = time.Hour
-		n.upstreams.setAddress(1, server, c.standing)
-		n.upstreams.recordExtraInput(c.strayed)
+		n.upstreams.setAddress(1, server, c.eligible)
+		n.upstreams.recordExtraInput(c.extraInput)
 		raw, err := net.Dial("tcp", server)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.upstreams.reserveSlot()
-		n.upstreams.putIdle(&upstreamConn{bufferedConn: newBufferedConn(raw), target: at, lastRejected: c.turned})
-		if open := n.upstreams.open; open != 0 != c.standing {
+		n.upstreams.putIdle(&upstreamConn{bufferedConn: newBufferedConn(raw), target: target, lastRejected: c.lastRejected})
+		if open := n.upstreams.open; open != 0 != c.eligible {
 			t.Errorf("%s: %d connections are open", name, open)
 		}
-		if got := n.upstreams.takeIdle(at); got != nil != c.taken {
+		if got := n.upstreams.takeIdle(target); got != nil != c.reusable {
 			t.Errorf("%s: taken %t", name, got != nil)
 		}
 		n.upstreams.extraInputCooldown = 0
-		if got := n.upstreams.takeIdle(at); got != nil != (c.standing && !c.taken) {
+		if got := n.upstreams.takeIdle(target); got != nil != (c.eligible && !c.reusable) {
 			t.Errorf("%s: taken %t once it has rested", name, got != nil)
 		}
 		raw.Close()
@@ -190,17 +190,17 @@
 		defer n.upstreams.mu.Unlock()
 		return n.upstreams.idleOrder.Len() == 1
 	})
-	born := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`,
+	restartedEntry := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`,
 		fmt.Sprintf(`"born_ms":%d`, n.clock.nanos()/milli), 1)
-	n.updateList(t, listText(2, false, born))
+	n.updateList(t, listText(2, false, restartedEntry))
 	eventually(t, "its end", func() bool {
 		n.upstreams.mu.Lock()
 		defer n.upstreams.mu.Unlock()
 		return n.upstreams.open == 0
 	})
-	n.updateList(t, listText(3, false, born))
+	n.updateList(t, listText(3, false, restartedEntry))
 	ask(t, n, "batch", "b", "")
-	n.updateList(t, listText(4, false, born))
+	n.updateList(t, listText(4, false, restartedEntry))
 	if n.flushLoop(); n.count(upstreamConnsIdleClosed) != 1 {
 		t.Errorf("%d connections closed", n.count(upstreamConnsIdleClosed))
 	}
