--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestAttemptErrorOutcome(t *testing.T) {
-	for at, want := range map[attemptStage][3]policy.Outcome{ // a broken connection, time over, canceled
+	for at, want := range map[attemptStage][3]policy.Outcome{ // broken connection, deadline exceeded, canceled
 		notConnected:    {policy.OutcomeConnectFailed, policy.OutcomeConnectFailed, policy.OutcomeNotSent},
 		partlyWritten:   {policy.OutcomeConnectFailed, policy.OutcomeConnectFailed, policy.OutcomeNotSent},
 		fullyWritten:    {policy.OutcomeReset, policy.OutcomeTimedOut, policy.OutcomeCanceled},
@@ -22,12 +22,12 @@
 		late := &net.OpError{Op: "read", Err: timeoutError{}}
 		for i, e := range []attemptError{{at, false, io.EOF}, {at, false, late}, {at, true, late}} {
 			if got := e.outcome(); got != want[i] {
-				t.Errorf("%v: outcome %d, want %d", &e, got, want[i])
+				t.Errorf("%v: got outcome %d, want %d", &e, got, want[i])
 			}
 		}
 	}
 	if e := (&attemptError{notConnected, false, errNoConnectionSlot}); e.outcome() != policy.OutcomeNotSent {
-		t.Error("want of a descriptor here is held against the server")
+		t.Error("got an outcome against the endpoint for a lack of descriptors on this node, want not sent")
 	}
 }
 
@@ -43,64 +43,63 @@
 	return target.Error() == "i/o timeout"
 }
 
-// What happens to an endpoint, or to the request, while the connection is opened counts: the request is not written
-// then.
+// Guards against writing a request whose endpoint or client changed while its connection was being opened.
 func TestRequestIsNotWrittenAfterChangeDuringDial(t *testing.T) {
 	for name, c := range map[string]struct {
 		settings []string
 		class    string
 		event    func(t *testing.T, n *Node, client net.Conn, server string)
-		status   int // 0: nobody is there for an answer
+		status   int // 0: no client is left to read a response
 	}{
 		"nothing": {nil, "pay", func(*testing.T, *Node, net.Conn, string) {}, 200},
 		"drains": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
 			n.updateList(t, listText(2, false, listEntry("s-0", server, "draining")))
 		}, 503},
-		"is gone": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
+		"removed from the list": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
 			n.updateList(t, listText(2, false, listEntry("s-0", server, "removed")))
 		}, 503},
-		"is gone, which does not bind": {
+		"removed, where removal is not binding": {
 			[]string{`"rules":{`, `"rules":{"removal_not_binding":true,`},
 			"pay",
 			func(t *testing.T, n *Node, _ net.Conn, server string) {
 				n.updateList(t, listText(2, false, listEntry("s-0", server, "removed")))
 			}, 200,
 		},
-		"drains, and only that binds": {
+		"draining, where removal is not binding": {
 			[]string{`"rules":{`, `"rules":{"removal_not_binding":true,`},
 			"pay",
 			func(t *testing.T, n *Node, _ net.Conn, server string) {
 				n.updateList(t, listText(2, false, listEntry("s-0", server, "draining")))
 			}, 503,
 		},
-		"is on no whole list": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
+		"missing from a complete list": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
 			n.updateList(t, listText(2, true))
 		}, 503},
-		"another stands at its address": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
+		"replaced at its address by another endpoint": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
 			n.updateList(t, listText(2, true, listEntry("young", server, "draining")))
 		}, 503},
-		"stands elsewhere": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
+		"moved to another address": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, server string) {
 			n.updateList(t, listText(2, false, listEntry("s-0", "127.0.0.1:1", "up")))
 		}, 503},
-		"is taken out by hand": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, _ string) {
+		"disabled by an operator": {nil, "pay", func(t *testing.T, n *Node, _ net.Conn, _ string) {
 			disable := func(o *overrideSet) string { return o.disable("s-0", n.clock.now()) }
 			if _, err := n.overrides.change(disable); err != nil {
 				t.Fatal(err)
 			}
 		}, 503},
-		"the client leaves": {nil, "batch", func(t *testing.T, n *Node, client net.Conn, _ string) {
+		"the client disconnects": {nil, "batch", func(t *testing.T, n *Node, client net.Conn, _ string) {
 			client.Close()
-			eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
+			eventually(t, "the cancellation of the request", func() bool { return n.count(requestsCanceled) == 1 })
 		}, 0},
-		"the client leaves, and nothing may be canceled": {
+		"the client disconnects, where canceling is not allowed": {
 			[]string{`"cancelling":true`, `"cancelling":false`},
 			"batch",
 			func(t *testing.T, n *Node, client net.Conn, _ string) {
 				client.Close()
-				eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
+				eventually(t, "the cancellation of the request", func() bool { return n.count(requestsCanceled) == 1 })
 			}, 0,
 		},
-		"the request has its answer, and nothing may be canceled": {
+		"the request is answered, where canceling is not allowed": {
 			[]string{`"cancelling":true`, `"cancelling":false`},
 			"batch",
 			func(t *testing.T, n *Node, _ net.Conn, _ string) {
@@ -122,7 +121,7 @@
 			dials.pass()
 			if c.status != 0 {
 				if status, _, _ := readAnswer(in); status != c.status {
-					t.Errorf("answered %d, want %d", status, c.status)
+					t.Errorf("got status %d, want %d", status, c.status)
 				}
 			}
 			eventually(t, "the end of the attempt", func() bool {
@@ -131,14 +130,14 @@
 				return ended > 0 && ended == n.count(attemptsSent)
 			})
 			if want := int64(c.status / 200 % 2); requests.Load() != want {
-				t.Errorf("%d requests came to the server, want %d", requests.Load(), want)
+				t.Errorf("got %d requests at the upstream, want %d", requests.Load(), want)
 			}
 		})
 	}
 }
 
-// A request that may have run goes to its deduplication group again only within the window, also where a dial takes
-// long.
+// Guards against a retry outside the deduplication window: a request that may have been executed must not be written
+// after the window has ended, even if it ended during the dial.
 func TestRequestIsNotWrittenAfterDedupWindowEndsDuringDial(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		return writeAnswer(c, "500 Bad", "")
@@ -160,20 +159,20 @@
 			client, in := dial(t, n)
 			writeText(client, requestText("update", "t1", ""))
 			secondDial.held(t, 1)
-			// later than the shorter memory in any case
+			// after the end of the shorter window in any case
 			time.Sleep(time.Until(n.clock.at(began.Add(200 * time.Millisecond))))
 			secondDial.pass()
 			status, _, _ := readAnswer(in)
 			executed := n.count(attemptsErrored)
 			if status != 502 || name == "ends" && executed != 1 || name == "lasts" && executed < 1 {
-				t.Errorf("answered %d, %d attempts have run", status, executed)
+				t.Errorf("got status %d and %d executed attempts, want 502 and one attempt if the window ends, at least one otherwise", status, executed)
 			}
 		})
 	}
 }
 
-// A request is written some time after the decision and arrives later still: close before the window's end it is not
-// sent.
+// Guards against a retry shortly before the end of the deduplication window: it would arrive at the endpoint after the
+// end, because a request is written and received some time after the decision.
 func TestRequestIsNotRetriedNearDedupWindowEnd(t *testing.T) {
 	const window = 800 * time.Millisecond
 	failing, requests := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
@@ -184,12 +183,12 @@
 		fmt.Sprintf(`"memory_span_us":%d`, window.Microseconds()), `800000`, `20000000`, `300000`, `20000000`),
 		failing, failing)
 	if status, _, _ := ask(t, n, "update", "t1", ""); status != 502 || requests.Load() != 1 {
-		t.Errorf("answered %d after %d attempts, want 502 after one", status, requests.Load())
+		t.Errorf("got status %d after %d attempts, want 502 after 1", status, requests.Load())
 	}
 }
 
-// A hedged request that is still being dialed when the first attempt is answered is not written, also where nothing
-// may be canceled.
+// Guards against writing a hedged request that is still dialing when the first attempt is answered. This must also hold
+// where canceling is not allowed.
 func TestHedgedRequestIsNotWrittenAfterResponse(t *testing.T) {
 	firstResponse := newGate(t)
 	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -215,17 +214,17 @@
 	hedgeDial.held(t, 1)
 	firstResponse.pass()
 	if status, _, _ := readAnswer(in); status != 200 {
-		t.Fatalf("answered %d", status)
+		t.Fatalf("got status %d from the first attempt, want 200", status)
 	}
 	hedgeDial.pass()
 	eventually(t, "the end of the hedged request", func() bool { return n.count(attemptsNotSent) == 1 })
 	if requests.Load() != 0 {
-		t.Error("a hedged request went out for a request that has its answer")
+		t.Error("hedged request was written after its request had been answered")
 	}
 }
 
-// A canceled attempt counts as in flight until its outcome is known, and the outcome decides whether the request may
-// be sent again.
+// A canceled attempt is in flight until its outcome is known, and only the outcome decides whether the request may be
+// sent again.
 func TestCanceledAttemptIsInFlightUntilItsOutcome(t *testing.T) {
 	response := newGate(t)
 	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -240,9 +239,9 @@
 	n.loop.post(func() { n.loop.Cancel("t", 0) })
 	loopGate.pass()
 	if status, _, _ := readAnswer(in); status != 502 || requests.Load() != 1 {
-		t.Errorf("an exclusive request that was canceled was answered %d, %d came to servers", status, requests.Load())
+		t.Errorf("got status %d and %d requests at upstreams for a canceled non-idempotent request, want 502 and 1", status, requests.Load())
 	}
 	if n.count(attemptsCanceled) != 1 {
-		t.Errorf("%d canceled", n.count(attemptsCanceled))
+		t.Errorf("got %d canceled attempts, want 1", n.count(attemptsCanceled))
 	}
 }
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -11,9 +11,8 @@
 	"time"
 )
 
-// Guards against a late removal that closes connections to the new endpoint at the address, against a removed
-// endpoint that stays because another has its address, and against a connection to the old one being used for the
-// new.
+// Guards against three faults when a new endpoint has the address of an old one: the removal of the old one closes
+// connections to the new one; the old one is never removed; connections to the old one are used for the new one.
 func TestNewEndpointAtAddressOfRemovedOneKeepsItsConnections(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
@@ -32,23 +31,23 @@
 	postList(2, false, listEntry("s-0", server, "draining"), listEntry("young", server, "up"))
 	ask(t, n, "batch", "young", "")
 	if n.count(upstreamConnsOpened) != 2 {
-		t.Errorf("%d connections, want one to the old server and one to the new", n.count(upstreamConnsOpened))
+		t.Errorf("got %d connections opened, want 2: one to the old endpoint and one to the new", n.count(upstreamConnsOpened))
 	}
 	postList(3, false, listEntry("s-0", server, "removed"))
 	time.Sleep(20 * time.Millisecond)
 	ask(t, n, "batch", "again", "")
 	if n.count(upstreamConnsOpened) != 2 {
-		t.Error("the removal of the old server closed the connection to the new")
+		t.Error("the removal of the old endpoint closed the connection to the new one")
 	}
 	postList(4, true, listEntry("third", server, "up"))
 	known := make(chan int)
 	n.loop.post(func() { known <- len(n.loop.endpoints) })
 	if count := <-known; count != 1 {
-		t.Errorf("%d servers are known after a list of one", count)
+		t.Errorf("got %d known endpoints after a complete list of 1, want 1", count)
 	}
 }
 
-// Where removal is not binding, an endpoint that the list drops is still used; draining ends that all the same.
+// Where removal is not binding, an endpoint missing from the list still gets requests; a draining one does not.
 func TestRemovedEndpointServesWhereRemovalIsNotBinding(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) {
@@ -66,30 +65,32 @@
 	postList(listText(2, false, listEntry("s-0", server, "removed")))
 	postList(listText(3, true))
 	if status, _, _ := ask(t, n, "batch", "after", ""); status != http.StatusOK || n.count(upstreamConnsOpened) != 1 {
-		t.Errorf("%d, %d connections to it", status, n.count(upstreamConnsOpened))
+		t.Errorf("got status %d and %d connections opened, want 200 and 1", status, n.count(upstreamConnsOpened))
 	}
 	postList(listText(4, false, listEntry("s-0", server, "draining")))
 	if status, _, _ := ask(t, n, "batch", "drained", ""); status != http.StatusServiceUnavailable {
-		t.Errorf("a draining server was sent to: %d", status)
+		t.Errorf("got status %d with only a draining endpoint, want 503", status)
 	}
 }
 
-// An endpoint is not removed because its entry could not be read, only because a complete readable list lacks it.
+// Guards against removing an endpoint whose entry is invalid: only a complete list without invalid entries removes
+// endpoints.
 func TestInvalidEntryRemovesNoEndpoint(t *testing.T) {
 	n := startNode(t, nil)
 	update, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
 	if update.complete || err != nil {
-		t.Errorf("complete %t, error %v", update.complete, err)
+		t.Errorf("got complete %t and error %v for a list with an invalid entry, want false and no error", update.complete, err)
 	}
 	for _, text := range []string{"", "[]", "{}", `{"seq":"a"}`, `{"seq":1,"hosts":{}}`} {
 		if _, err := n.parseList([]byte(text)); err == nil {
-			t.Errorf("%q was taken for a list", text)
+			t.Errorf("got no error for %q, want one: it is not a list", text)
 		}
 	}
 }
 
-// A request idempotent by key that may have run stays in its group also where its endpoint leaves the list while it
-// is in flight: a list without the endpoint, or an entry that only calls it removed, does not tell its zone or pod.
+// Guards against a retry outside the deduplication group: a request idempotent by key that may have been executed must
+// stay in the zone or pod of its first endpoint. If that endpoint leaves the list while the request is in flight, the
+// list no longer gives its zone and pod.
 func TestRetryStaysInGroupOfRemovedEndpoint(t *testing.T) {
 	withPlace := func(zone string, pod int, entry string) string {
 		return strings.NewReplacer(`"site":"a"`, fmt.Sprintf(`"site":%q`, zone), `"block":1`,
@@ -99,26 +100,26 @@
 		"zone": func(entry string) string { return withPlace("b", 0, entry) },
 		"cell": func(entry string) string { return withPlace("a", 3, entry) },
 	} {
-		outsideGroup := func(entry string) string { return withPlace("a", 0, entry) } // the first zone and cell by number
+		outsideGroup := func(entry string) string { return withPlace("a", 0, entry) } // the zone and the pod with index 0
 		for name, list := range map[string]func(removed, groupMember, outsider string) string{
-			"a whole list without it": func(_, groupMember, outsider string) string {
+			"complete list without it": func(_, groupMember, outsider string) string {
 				return listText(2, true, groupMember, outsider)
 			},
-			"a line of its own": func(removed, groupMember, outsider string) string {
+			"update with a removed entry": func(removed, groupMember, outsider string) string {
 				return listText(2, false, `{"host":"s-0","health":"removed"}`, groupMember, outsider)
 			},
-			"a line, and a list": func(removed, groupMember, outsider string) string {
+			"removed entry last": func(removed, groupMember, outsider string) string {
 				return listText(2, false, groupMember, outsider, removed)
 			},
-			"it moves, as listed": func(_, groupMember, outsider string) string {
+			"draining entry in another group": func(_, groupMember, outsider string) string {
 				return listText(2, false, outsideGroup(listEntry("s-0", "127.0.0.1:1", "draining")), groupMember, outsider)
 			},
 		} {
-			for _, outsider := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s, %s, somebody else there: %t", group, name, !outsider), func(t *testing.T) {
+			for _, groupDrains := range []bool{true, false} {
+				t.Run(fmt.Sprintf("%s, %s, another group member active: %t", group, name, !groupDrains), func(t *testing.T) {
 					t.Parallel()
 					gate := newGate(t)
-					// cut: it may have run
+					// the connection is closed without a response: the request may have been executed
 					first, _ := startUpstream(t, func(net.Conn, *http.Request, string) bool {
 						gate.wait()
 						return false
@@ -132,14 +133,14 @@
 					writeText(client, requestText("update", "t1", "x"))
 					gate.held(t, 1)
 					memberEntry, want := inRemovedsGroup(listEntry("s-1", groupMember, "up")), 200
-					if outsider {
+					if groupDrains {
 						memberEntry, want = inRemovedsGroup(listEntry("s-1", groupMember, "draining")), 502
 					}
 					n.updateList(t, list(listEntry("s-0", first, "removed"), memberEntry,
 						outsideGroup(listEntry("s-2", outsiderAddress, "up"))))
 					gate.pass()
 					if status, _, _ := readAnswer(answers); status != want || outsiderRequests.Load() != 0 {
-						t.Errorf("answered %d, want %d; sent outside its group %d times", status, want,
+						t.Errorf("got status %d, want %d; got %d attempts outside the group, want 0", status, want,
 							outsiderRequests.Load())
 					}
 				})
@@ -148,15 +149,15 @@
 	}
 }
 
-// Where removal is not binding, a removed endpoint keeps its zone and pod.
+// Where removal is not binding, a removed endpoint that still serves keeps its zone and pod.
 func TestRemovedEndpointKeepsItsGroup(t *testing.T) {
 	for group, moveToGroup := range map[string]*strings.Replacer{
 		"zone": strings.NewReplacer(`"site":"a"`, `"site":"b"`),
 		"cell": strings.NewReplacer(`"block":1`, `"block":3`),
 	} {
 		for name, list := range map[string]string{
-			"a whole list without it": "",
-			"a line of its own":       `{"host":"s-0","health":"removed"}`,
+			"complete list without it":    "",
+			"update with a removed entry": `{"host":"s-0","health":"removed"}`,
 		} {
 			t.Run(group+", "+name, func(t *testing.T) {
 				t.Parallel()
@@ -195,7 +196,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if attempts.Load() == 0 || served.Load() == 0 || executedTwice > 0 {
-					t.Errorf("%d attempts failed, %d served by the removed endpoint, %d of them outside their group",
+					t.Errorf("got %d failed attempts and %d served by the removed endpoint, want some of each; got %d retries outside the group, want 0",
 						attempts.Load(), served.Load(), executedTwice)
 				}
 			})
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -17,21 +17,22 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// Tests of a discovery that is slow, overloaded, unreachable, or has a long list. Times are a tenth of the real ones.
+// Tests with a discovery service that is slow, overloaded, unreachable, or has a long list. Delays are a tenth of the
+// real ones.
 
 const (
 	tenthParallelCallDelay = parallelCallDelay / 10
 	tenthSilence           = listSilenceTimeout / 10
 )
 
-// serialDiscovery answers calls in turn, one at a time and also those that were given up, and then keeps the watch
+// serialDiscovery answers calls one after another, including those whose connection is closed, and then keeps the watch
 // open.
 type serialDiscovery struct {
 	address                       string
 	calls                         atomic.Int64
-	waitingCalls, maxWaitingCalls atomic.Int64 // calls that wait for their turn, of one node at a time
+	waitingCalls, maxWaitingCalls atomic.Int64 // calls in the queue; both are for one node
 	queue                         chan func()
-	firstAnswered                 int64 // calls before this one are never answered, and their connections never end
+	firstAnswered                 int64 // earlier calls are never answered and their connections stay open
 }
 
 func startSerialDiscovery(t *testing.T, turn time.Duration, firstAnswered int64, text string) *serialDiscovery {
@@ -66,7 +67,7 @@
 	return d
 }
 
-// newNodeWithTenthDelays makes a node without a list whose times are a tenth.
+// newNodeWithTenthDelays makes a node without an initial list whose delays are a tenth of the real ones.
 func newNodeWithTenthDelays(t *testing.T, mode, discovery string) *Node {
 	n := newNode(t, func(c *Config) {
 		withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
@@ -76,28 +77,28 @@
 	return n
 }
 
-// A discovery that answers calls in turn answers each in the end: a call that waits is not given up for one at the end
-// of the queue.
+// Guards against closing a call that waits and making another, which goes to the end of the queue: a discovery service
+// that answers calls in order answers each call eventually.
 func TestSlowDiscoveryGetsFewCalls(t *testing.T) {
 	text := listText(2, true, listEntry("s-0", "127.0.0.1:1", "up"))
 	for _, mode := range []string{"push", "ask"} {
 		for turn, maxCalls := range map[time.Duration]int64{400 * time.Millisecond: 2, 600 * time.Millisecond: 2, 950 * time.Millisecond: 4} {
-			t.Run(fmt.Sprint(mode, ": a turn of ", turn), func(t *testing.T) {
+			t.Run(fmt.Sprint(mode, ": time per call ", turn), func(t *testing.T) {
 				t.Parallel()
 				d := startSerialDiscovery(t, turn, 0, text)
 				n := newNodeWithTenthDelays(t, mode, d.address)
 				go n.start()
 				eventually(t, "ready", func() bool { return n.notReady() == "" && n.hasList.Load() })
-				if calls := d.calls.Load(); calls > maxCalls+1 { // one more where the machine is slow
-					t.Errorf("%d calls, want %d at most", calls, maxCalls)
+				if calls := d.calls.Load(); calls > maxCalls+1 { // one more if the machine is slow
+					t.Errorf("got %d calls, want at most %d", calls, maxCalls)
 				}
 			})
 		}
 	}
 }
 
-// Calls that were lost with the machine that had accepted them delay nothing: another is made beside them, and never a
-// third.
+// Guards against waiting for calls that a failed discovery instance had accepted: a parallel call is made, but never a
+// third one.
 func TestUnansweredCallsAreReplaced(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
@@ -106,16 +107,16 @@
 			n := newNodeWithTenthDelays(t, mode, d.address)
 			go n.start()
 			eventually(t, "ready", func() bool { return n.notReady() == "" })
-			if calls, maxWaiting := d.calls.Load(), d.maxWaitingCalls.Load(); calls > 5 || maxWaiting > 3 { // the third until the node's close has come
-				t.Errorf("%d calls, %d at a time", calls, maxWaiting)
+			if calls, maxWaiting := d.calls.Load(), d.maxWaitingCalls.Load(); calls > 5 || maxWaiting > 3 { // briefly 3 until the server notices that the node closed one
+				t.Errorf("got %d calls, at most %d at a time, want at most 5 calls and 3 at a time", calls, maxWaiting)
 			}
-			eventually(t, "the others closed", func() bool { return d.waitingCalls.Load() == 1 })
+			eventually(t, "the other calls to be closed", func() bool { return d.waitingCalls.Load() == 1 })
 		})
 	}
 }
 
-// Nodes that start together before a discovery with a long queue are all ready by the queue's end, with few calls
-// beside.
+// Guards against nodes that overload a slow discovery service with repeated calls: nodes that start together must all
+// be ready when its queue is empty, with few additional calls.
 func TestManyNodesStartWithSlowDiscovery(t *testing.T) {
 	const nodes = 40
 	d := startSerialDiscovery(t, 20*time.Millisecond, 0, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
@@ -134,12 +135,12 @@
 		return true
 	})
 	if calls := d.calls.Load(); calls > 4*nodes {
-		t.Errorf("%d calls of %d nodes", calls, nodes)
+		t.Errorf("got %d calls of %d nodes, want at most 4 per node", calls, nodes)
 	}
 }
 
-// However long the decisions would back off after a failed call, a list binds 6 s after discovery could be reached
-// again.
+// Guards against a long backoff after a failed call: a list is binding 6 s after discovery can be reached again,
+// however long a backoff the balancer requests.
 func TestBackoffAfterFailedCallIsBounded(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	address, _ := startScriptedDiscovery(t, func(c net.Conn, _ func(string)) {
@@ -156,8 +157,8 @@
 	eventually(t, "the list", func() bool { return n.count(listUpdates) == 1 })
 }
 
-// A watch whose head comes at once and whose first event comes in its turn is not dead, and one whose first event never
-// comes is.
+// A watch whose head arrives at once and whose first event follows later must not be closed as silent; one whose first
+// event never arrives must be.
 func TestWatchWhoseHeadPrecedesItsFirstEvent(t *testing.T) {
 	answer := func(c net.Conn, chunk func(string)) {
 		chunk(listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")) + "\n")
@@ -165,7 +166,7 @@
 	}
 	silent := func(c net.Conn, chunk func(string)) { writeText(c, watchResponseHead); discard(c) }
 	for name, script := range map[string][]func(net.Conn, func(string)){
-		"in its turn": {func(c net.Conn, chunk func(string)) {
+		"first event follows later": {func(c net.Conn, chunk func(string)) {
 			writeText(c, watchResponseHead)
 			time.Sleep(2 * tenthSilence)
 			answer(c, chunk)
@@ -180,14 +181,14 @@
 			go n.start()
 			eventually(t, "ready", func() bool { return n.notReady() == "" })
 			if calls.Load() > 4 {
-				t.Errorf("%d calls", calls.Load())
+				t.Errorf("got %d calls, want at most 4", calls.Load())
 			}
 		})
 	}
 }
 
-// A list that is too long is logged once and asked for seldom, leaves the old one in use, and counts once it is short
-// enough.
+// A list that exceeds the limits is logged once, requested with a growing backoff, and does not replace the current
+// list. Once it is within the limits it is applied.
 func TestOversizedListIsIgnored(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
@@ -215,24 +216,24 @@
 			n.start()
 			time.Sleep(1500 * time.Millisecond)
 			if calls := calls.Load(); calls < 2 || calls > 4 {
-				t.Errorf("%d calls in 1.5 s, want 2 to 4: the backoff grows from 0.2 s", calls)
+				t.Errorf("got %d calls in 1.5 s, want 2 to 4: the backoff grows from 0.2 s", calls)
 			}
 			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 || !n.overrides.isKnown("s-0") || n.overrides.isKnown("s-1") {
-				t.Errorf("%d by the old list", status)
+				t.Errorf("got status %d while the old list should be in use, want 200 and only s-0 known", status)
 			}
 			if errorsLogged := logged.FilterLevelExact(zap.ErrorLevel).Len(); errorsLogged != 1 || logged.FilterMessage("endpoint watch ended").Len() != 0 {
-				t.Errorf("%d errors logged: %v", errorsLogged, logged.All())
+				t.Errorf("got %d logged errors, want 1 and no end of the watch: %v", errorsLogged, logged.All())
 			}
 			short.Store(true)
 			eventually(t, "the list", func() bool { return n.overrides.isKnown("s-1") })
 			if n.endpointWatch.oversizedBackoff != 0 && n.count(listUpdates) == 0 {
-				t.Error("not accepted yet")
+				t.Error("got a backoff for a list within the limits, want none")
 			}
 		})
 	}
 }
 
-// A node of default settings takes in a list of 120,000 endpoints in one line.
+// A node with default settings applies a list of 120,000 endpoints that is sent in one line.
 func TestListOf120000Endpoints(t *testing.T) {
 	const servers = 120000
 	var b strings.Builder
@@ -263,33 +264,33 @@
 	go n.start()
 	for end := time.Now().Add(2 * time.Minute); n.notReady() != ""; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not ready, after %d calls: %s", calls.Load(), n.notReady())
+			t.Fatalf("not ready within 2 min, after %d calls: %s", calls.Load(), n.notReady())
 		}
 	}
 	known := make(chan int)
 	n.loop.post(func() { known <- len(n.loop.endpoints) })
 	if count := <-known; count != servers || calls.Load() != 1 {
-		t.Errorf("%d endpoints known after %d calls", count, calls.Load())
+		t.Errorf("got %d known endpoints after %d calls, want all after 1", count, calls.Load())
 	}
 	if !n.overrides.isKnown("s-00000000") || !n.overrides.isKnown(fmt.Sprintf("s-%08x", servers-1)) {
-		t.Error("operators can't disable an endpoint that is on the list")
+		t.Error("an endpoint of the list is not a known name, so operators can't disable it")
 	}
 	n.endpointWatch.setAddress("127.0.0.1:1")
-	n.updateList(t, listText(3, true)) // so that the tests after it do not pay for it
+	n.updateList(t, listText(3, true)) // frees the memory for the following tests
 }
 
-// A new address is called at once while a call to the old one waits, which is closed.
+// A new discovery address is called at once, and the pending call to the old one is closed.
 func TestAddressChangeWhileCallIsPending(t *testing.T) {
 	text := listText(2, true, listEntry("s-0", "127.0.0.1:1", "up"))
 	oldDiscovery, newDiscovery := startSerialDiscovery(t, 0, 1000, text), startSerialDiscovery(t, 0, 0, text)
 	n := newNodeWithTenthDelays(t, "push", oldDiscovery.address)
 	n.endpointWatch.parallelCallDelay, n.endpointWatch.retryInterval = time.Hour, time.Hour
 	go n.start()
-	eventually(t, "the call that waits", func() bool { return oldDiscovery.waitingCalls.Load() == 1 })
+	eventually(t, "the call to the old address", func() bool { return oldDiscovery.waitingCalls.Load() == 1 })
 	n.endpointWatch.setAddress(newDiscovery.address)
 	eventually(t, "the list of the new address", func() bool { return n.count(listUpdates) == 1 })
-	eventually(t, "the old call closed", func() bool { return oldDiscovery.waitingCalls.Load() == 0 })
+	eventually(t, "the old call to be closed", func() bool { return oldDiscovery.waitingCalls.Load() == 0 })
 	if n.count(listWatchesFailed) != 0 || oldDiscovery.calls.Load() != 1 || newDiscovery.calls.Load() != 1 {
-		t.Errorf("%d calls at the old address, %d at the new, %d failed", oldDiscovery.calls.Load(), newDiscovery.calls.Load(), n.count(listWatchesFailed))
+		t.Errorf("got %d calls at the old address, %d at the new and %d failed, want 1, 1 and 0", oldDiscovery.calls.Load(), newDiscovery.calls.Load(), n.count(listWatchesFailed))
 	}
 }
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -13,7 +13,7 @@
 	"fawnglade/policy"
 )
 
-// withGossip configures gossip with peers; the settings allow messages and health checks.
+// withGossip configures gossip with peers. The settings allow messages between nodes and health checks.
 func withGossip(position int, peers ...string) func(*Config) {
 	return func(c *Config) {
 		c.Gossip.Listen, c.Gossip.Peers = "127.0.0.1:0", peers
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if got, err := new(gossip.Inbox).Open(0, buffer[:length], n.clock.nanos()); got != sent || err != nil {
-		t.Errorf("the peer received %+v, %v", got, err)
+		t.Errorf("the peer received an unexpected message: %+v, %v", got, err)
 	}
 	own := n.gossiper.socket.LocalAddr()
 	message := gossip.Encode(sent, n.clock.nanos())
@@ -59,7 +59,7 @@
 	eventually(t, "a message of an unknown peer ignored", func() bool { return n.count(gossipIgnored) == 6 })
 }
 
-// Guards against gossip that holds up the loop when nothing sends it.
+// Guards against gossip that blocks the event loop when nothing drains the outbox.
 func TestGossipBeyondOutboxIsDropped(t *testing.T) {
 	n := newNode(t, withGossip(0))
 	t.Cleanup(n.gossiper.close)
@@ -67,7 +67,7 @@
 		n.loop.Gossip(policy.GossipMessage{IdleTime: time.Second})
 	}
 	if n.count(gossipDropped) != 5 {
-		t.Errorf("%d dropped, want 5", n.count(gossipDropped))
+		t.Errorf("got %d dropped messages, want 5", n.count(gossipDropped))
 	}
 }
 
@@ -87,12 +87,12 @@
 	t.Cleanup(n.gossiper.close)
 	for i := range 3 * 32 {
 		if status, _, _ := ask(t, n, "view", fmt.Sprint("t", i), ""); status != 200 {
-			t.Fatalf("request %d: %d", i, status)
+			t.Fatalf("request %d: got status %d, want 200", i, status)
 		}
 	}
 	eventually(t, "three health checks, one of them failed", func() bool { return n.count(healthChecksAnswered) == 2 && n.count(healthChecksFailed) == 1 })
 	if checks.Load() != 3 || answered.Load() != 96 {
-		t.Errorf("%d health checks and %d requests reached the upstream", checks.Load(), answered.Load())
+		t.Errorf("got %d health checks and %d requests at the upstream, want 3 and 96", checks.Load(), answered.Load())
 	}
 }
 
@@ -101,10 +101,10 @@
 	n := startNode(t, nil, server)
 	ask(t, n, "view", "a", "")
 	n.loop.post(func() { n.loop.CloseIdle(endpointID("s-0")) })
-	eventually(t, "its connection closed", func() bool { return n.count(upstreamConnsIdleClosed) == 1 })
+	eventually(t, "the idle connection to be closed", func() bool { return n.count(upstreamConnsIdleClosed) == 1 })
 	n.loop.post(func() { n.loop.CloseIdle(99) })
 	if status, _, _ := ask(t, n, "view", "b", ""); status != 200 || n.count(upstreamConnsOpened) != 2 {
-		t.Errorf("after it: %d, %d connections opened", status, n.count(upstreamConnsOpened))
+		t.Errorf("after CloseIdle: got status %d and %d connections opened, want 200 and 2", status, n.count(upstreamConnsOpened))
 	}
 }
 
@@ -125,7 +125,7 @@
 		withGossip(0)(c)
 		change(c)
 		if err := c.check(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q", err, want)
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -15,7 +15,8 @@
 	"fawnglade/internal/estimates"
 )
 
-// processes makes processes of one node: they share a directory, an address and its socket.
+// newProcessFactory returns a function that makes processes of one node: they share a directory, an address and its
+// socket.
 func newProcessFactory(t *testing.T, servers ...string) (next func() *Node) {
 	t.Helper()
 	listener, err := net.Listen("tcp", address())
@@ -32,7 +33,7 @@
 				t.Fatal(err)
 			}
 			defer file.Close()
-			fd, err := syscall.Dup(int(file.Fd())) // the node's own, as it closes it
+			fd, err := syscall.Dup(int(file.Fd())) // a duplicate, as the node closes its descriptor
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -49,7 +50,7 @@
 	return n.upstreams.maxOpen
 }
 
-// estimates are the estimates of the decisions, as a successor would get them.
+// estimates returns the balancer's estimates as a successor would inherit them.
 func (n *Node) estimates(t *testing.T) (snapshot estimates.Snapshot) {
 	t.Helper()
 	text := make(chan json.RawMessage, 1)
@@ -58,7 +59,8 @@
 	return snapshot
 }
 
-// The successor has the predecessor's state, takes all new connections, and both keep within one node's limits.
+// The successor inherits the predecessor's state and accepts all new connections; both together keep within one node's
+// limits.
 func TestSuccessorTakesOver(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	next := newProcessFactory(t)
@@ -71,52 +73,52 @@
 	keptConn, keptIn := dial(t, predecessor)
 	writeText(keptConn, requestText("batch", "t1", "a"))
 	if status, _, _ := readAnswer(keptIn); status != 200 {
-		t.Fatalf("the old process answered %d", status)
+		t.Fatalf("got status %d from the predecessor, want 200", status)
 	}
 	fullLimit := predecessor.maxUpstreamConns()
 	successor := next()
 	if successor.inherited == nil || !successor.overrides.isKnown("s-7") && len(successor.chooseInitialList().entries) != 1 {
-		t.Fatalf("the predecessor was not found, or has sent nothing: %+v", successor.inherited)
+		t.Fatalf("the successor did not inherit the predecessor's list: %+v", successor.inherited)
 	}
-	eventually(t, "the old one has given up its half", func() bool { return predecessor.maxUpstreamConns() < fullLimit })
+	eventually(t, "the predecessor to release half of the limits", func() bool { return predecessor.maxUpstreamConns() < fullLimit })
 	if total := predecessor.maxUpstreamConns() + successor.maxUpstreamConns(); total > fullLimit+1 {
-		t.Errorf("both together may open %d connections to upstreams, one alone %d", total, fullLimit)
+		t.Errorf("got an upstream connection limit of %d for both processes, want at most one more than %d", total, fullLimit)
 	}
 	if successor.notReady() == "" {
-		t.Error("ready before it serves")
+		t.Error("the successor is ready before it serves")
 	}
 	successor.start()
-	eventually(t, "the new one is ready", func() bool { return successor.call(t, "GET /ready") == 200 })
-	eventually(t, "the old one has yielded", predecessor.hotRestart.hasServingSuccessor)
+	eventually(t, "the successor to be ready", func() bool { return successor.call(t, "GET /ready") == 200 })
+	eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
 	if !successor.overrides.isKnown("s-8") {
-		t.Error("a name that was listed once is not known any more")
+		t.Error("the successor does not know an endpoint that the predecessor had listed")
 	}
 	if snapshot := successor.estimates(t); !snapshot.Endpoints[uint32(endpointID("s-7"))].HasLatency || snapshot.MeanWork == 0 || snapshot.Classes[3].WorkSamples == 0 {
-		t.Errorf("not the estimates of the predecessor: %+v", snapshot)
+		t.Errorf("the successor does not have the predecessor's estimates: %+v", snapshot)
 	}
 	acceptedBefore := predecessor.count(clientsAccepted)
 	for i := range 30 {
 		if status, _, _ := ask(t, successor, "batch", fmt.Sprint("new", i), ""); status != 200 {
-			t.Errorf("request %d on a new connection was answered %d", i, status)
+			t.Errorf("request %d on a new connection: got status %d, want 200", i, status)
 		}
 	}
 	if predecessor.count(clientsAccepted) != acceptedBefore {
-		t.Error("the predecessor takes new connections")
+		t.Error("the predecessor still accepts new connections")
 	}
 	writeText(keptConn, requestText("batch", "t2", "a"))
 	if r, err := http.ReadResponse(keptIn, nil); err != nil || r.StatusCode != 200 || !r.Close {
-		t.Errorf("%v, %v on a kept connection, want a response that closes it", r, err)
+		t.Errorf("got %v, %v on a kept connection, want a response that closes it", r, err)
 	}
 	predecessor.shutDown()
 	predecessor.hotRestart.closeSuccessor()
-	eventually(t, "the new one has the whole limits", func() bool { return successor.maxUpstreamConns() == fullLimit })
+	eventually(t, "the successor to have the full limits", func() bool { return successor.maxUpstreamConns() == fullLimit })
 	third := next()
 	if third.inherited == nil {
-		t.Error("a third process does not find the second")
+		t.Error("a third process did not inherit from the second")
 	}
 }
 
-// Guards against an upgrade whose failure ends the node.
+// Guards against an upgrade whose failure takes the node down: the predecessor resumes accepting with the full limits.
 func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	next := newProcessFactory(t, server)
@@ -125,33 +127,33 @@
 	fullLimit := predecessor.maxUpstreamConns()
 	for _, ready := range []bool{false, true, true} {
 		successor := next()
-		eventually(t, "half the limits", func() bool { return predecessor.maxUpstreamConns() < fullLimit })
+		eventually(t, "the predecessor to release half of the limits", func() bool { return predecessor.maxUpstreamConns() < fullLimit })
 		if ready {
 			successor.hotRestart.announceServing()
-			eventually(t, "the old one yields", predecessor.hotRestart.hasServingSuccessor)
+			eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
 		}
 		successor.hotRestart.close()
 		successor.hotRestart.mu.Lock()
 		successor.hotRestart.predecessor.Close()
 		successor.hotRestart.mu.Unlock()
 		successor.frontend.listener.Close()
-		eventually(t, "all is as before", func() bool {
+		eventually(t, "the predecessor to accept again with the full limits", func() bool {
 			return predecessor.maxUpstreamConns() == fullLimit && !predecessor.hotRestart.hasServingSuccessor()
 		})
 		for i := range 10 {
 			if status, _, _ := ask(t, predecessor, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
-				t.Errorf("after the successor died a request was answered %d", status)
+				t.Errorf("after the successor died: got status %d, want 200", status)
 			}
 		}
 	}
 }
 
-// Whatever is at the predecessor's path is not trusted, and delays no start for long.
+// Guards against trusting whatever is at the predecessor's path, and against a start that it delays for long.
 func TestInvalidPredecessorIsIgnored(t *testing.T) {
 	for name, placeAt := range map[string]func(path string){
 		"a file":   func(path string) { requireNoError(t, os.WriteFile(path, []byte("x"), 0o600)) },
 		"a folder": func(path string) { requireNoError(t, os.Mkdir(path, 0o700)) },
-		"left over": func(path string) {
+		"unused socket file": func(path string) {
 			l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path})
 			requireNoError(t, err)
 			l.SetUnlinkOnClose(false)
@@ -172,7 +174,7 @@
 			began := time.Now()
 			n := next()
 			if n.inherited != nil || n.count(hotRestartsIgnored) != 1 || time.Since(began) > 2*hotRestartTimeout {
-				t.Errorf("took over %+v after %v, counted %d times", n.inherited, time.Since(began), n.count(hotRestartsIgnored))
+				t.Errorf("got inherited state %+v after %v and %d ignored hot restarts, want none within twice the timeout and 1", n.inherited, time.Since(began), n.count(hotRestartsIgnored))
 			}
 			n.start()
 			eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
@@ -180,7 +182,7 @@
 	}
 }
 
-// listenWithReply listens at a path and sends the same text to all.
+// listenWithReply listens at a path and sends the same text on each connection.
 func listenWithReply(t *testing.T, path, text string) {
 	listenAt(t, "unix", path, func(c net.Conn) {
 		if text != "close" {
@@ -190,7 +192,7 @@
 	})
 }
 
-// check fails the test on an error of its preparation.
+// requireNoError fails the test if its setup returned an error.
 func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -217,7 +219,7 @@
 		c := &Config{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "1", Settings: []byte(settingsText)}
 		change(c)
 		if err := c.check(); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("got %v, want %q", err, want)
+			t.Errorf("got error %v, want one line that contains %q", err, want)
 		}
 	}
 }
--- a/internal/node/hotrestartrace_test.go
+++ b/internal/node/hotrestartrace_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Where the successor dies while the old process shuts down, the old one takes what still comes.
+// Guards against lost connections when the successor dies while the predecessor shuts down: the predecessor accepts the
+// connections that are still pending.
 func TestPredecessorServesWhenSuccessorDiesDuringShutdown(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	next := newProcessFactory(t, server)
@@ -13,67 +14,68 @@
 	predecessor.start()
 	successor := next()
 	successor.hotRestart.announceServing()
-	eventually(t, "the old one yields", predecessor.hotRestart.hasServingSuccessor)
-	client, in := dial(t, predecessor) // stands in the kernel: the successor was to take it
+	eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
+	client, in := dial(t, predecessor) // pending in the backlog; the successor should accept it
 	writeText(client, requestText("batch", "t", ""))
 	stopped := make(chan struct{})
 	go func() { predecessor.shutDown(); close(stopped) }()
-	eventually(t, "the stop", predecessor.shuttingDown.Load)
+	eventually(t, "the shutdown to begin", predecessor.shuttingDown.Load)
 	successor.hotRestart.close()
 	successor.hotRestart.mu.Lock()
 	successor.hotRestart.predecessor.Close()
 	successor.hotRestart.mu.Unlock()
 	if status, _, _ := readAnswer(in); status != 200 {
-		t.Errorf("a request that nobody else is there for was answered %d", status)
+		t.Errorf("got status %d for a request pending when the successor died, want 200", status)
 	}
 	<-stopped
 }
 
-// With two successors at once, or both processes told to end, no request is lost.
+// Guards against lost requests when two successors start at once, both processes shut down, or a shutdown or a drain
+// overlaps with a hot restart.
 func TestOverlappingHotRestartsLoseNoRequest(t *testing.T) {
 	for name, restart := range map[string]func(t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string)){
 		"two successors": func(t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string)) {
 			first := next()
-			second := next() // finds the place taken, and makes a plain start
+			second := next() // is rejected as a successor and starts without inherited state
 			if first.inherited == nil || second.inherited != nil {
-				t.Error("one of them is to take over, the other is not")
+				t.Error("got the wrong inherited states, want the first process to inherit and the second not to")
 			}
 			second.start()
 			sendRequest("second")
 			first.start()
-			eventually(t, "the old one yields", predecessor.hotRestart.hasServingSuccessor)
+			eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
 			predecessor.shutDown()
 			sendRequest("first")
 		},
-		"both stop": func(t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string)) {
+		"both shut down": func(t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string)) {
 			successor := next()
 			successor.start()
-			eventually(t, "the old one yields", predecessor.hotRestart.hasServingSuccessor)
+			eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
 			var done sync.WaitGroup
 			for _, n := range []*Node{predecessor, successor} {
 				done.Go(n.shutDown)
 			}
-			eventually(t, "both stop", func() bool { return predecessor.shuttingDown.Load() && successor.shuttingDown.Load() })
+			eventually(t, "both processes to shut down", func() bool { return predecessor.shuttingDown.Load() && successor.shuttingDown.Load() })
 			sendRequest("while both stop")
 			done.Wait()
 		},
-		"the old one is told to end before the first accept": func(
+		"the predecessor shuts down before the successor accepts": func(
 			t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string),
 		) {
 			successor := next()
-			successor.hotRestart.announceServing() // says so, and does not take yet
-			eventually(t, "the old one yields", predecessor.hotRestart.hasServingSuccessor)
+			successor.hotRestart.announceServing() // announces that it serves, but does not accept yet
+			eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
 			predecessor.shutDown()
 			go successor.start()
 			sendRequest("after")
 		},
-		"a drain in between": func(t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string)) {
+		"a drain during the restart": func(t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string)) {
 			successor := next()
 			if _, err := predecessor.overrides.change(func(o *overrideSet) string { o.drained = true; return "" }); err != nil {
 				t.Fatal(err)
 			}
 			successor.start()
-			eventually(t, "both know", func() bool { return predecessor.overrides.drained() && successor.notReady() == "drained" })
+			eventually(t, "both processes to be drained", func() bool { return predecessor.overrides.drained() && successor.notReady() == "drained" })
 			sendRequest("drained")
 			predecessor.shutDown()
 		},
@@ -87,7 +89,7 @@
 			restart(t, next, predecessor, func(id string) {
 				t.Helper()
 				if status, body, _ := ask(t, predecessor, "batch", id, ""); status != 200 {
-					t.Errorf("%s: answered %d %s", id, status, body)
+					t.Errorf("request %s: got status %d, want 200; body %s", id, status, body)
 				}
 			})
 		})
--- a/internal/node/listwatch_test.go
+++ b/internal/node/listwatch_test.go
@@ -25,26 +25,26 @@
 		},
 		[]string{listText(6, false, listEntry("s-0", secondAddress, "draining"))})
 	n := startNode(t, func(c *Config) { c.Discovery = address }, firstAddress)
-	eventually(t, "the move", func() bool { return n.count(listUpdates) == 1 })
+	eventually(t, "the update with the new address", func() bool { return n.count(listUpdates) == 1 })
 	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 || firstRequests.Load() != 0 || secondRequests.Load() != 1 {
-		t.Errorf("after the move %d, %d requests at the old address, %d at the new", status, firstRequests.Load(),
+		t.Errorf("after the address change: got status %d, %d requests at the old address and %d at the new, want 200, 0 and 1", status, firstRequests.Load(),
 			secondRequests.Load())
 	}
-	eventually(t, "the drain", func() bool { return n.count(listUpdates) == 2 })
+	eventually(t, "the update with the draining endpoint", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := ask(t, n, "batch", "t2", ""); status != 503 || secondRequests.Load() != 1 {
-		t.Errorf("with its only server draining a request was answered %d", status)
+		t.Errorf("got status %d with only a draining endpoint, want 503 and no attempt", status)
 	}
 	if n.count(listEntriesSkipped) != 3 {
-		t.Errorf("%d entries skipped, want 3", n.count(listEntriesSkipped))
+		t.Errorf("got %d skipped entries, want 3", n.count(listEntriesSkipped))
 	}
 	for i, want := range []string{"after=1 ", "after=5 "} {
 		if got, _ := watchRequests.Load(i); got == nil || !strings.Contains(got.(string), want) {
-			t.Errorf("call %d was %q, want %q in it", i, got, want)
+			t.Errorf("call %d: got request %q, want %q in it", i, got, want)
 		}
 	}
 }
 
-// Guards against a reload that ends the node, counts as a failed watch, or leaves it with the old list.
+// Guards against a reload that ends the node, counts as a failed watch, or keeps the old list.
 func TestReloadChangesDiscoveryAddressAtOnce(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	oldAddress, _ := startDiscoveryWithLines(t, []string{listText(50, false)})
@@ -65,7 +65,7 @@
 	n := newNode(t, func(c *Config) { c.Discovery, c.path = oldAddress, path }, "127.0.0.1:1")
 	signals := Signals()
 	go func() { _ = n.Run(signals) }()
-	eventually(t, "the old watch", func() bool { return n.count(listUpdates) == 1 })
+	eventually(t, "the list of the old address", func() bool { return n.count(listUpdates) == 1 })
 	reload := func(counted counter) {
 		t.Helper()
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
@@ -76,19 +76,19 @@
 	write(newAddress, "no seed")
 	reload(configReloadsRejected)
 	if address, _ := n.endpointWatch.current(); address != oldAddress {
-		t.Errorf("a bad file moved discovery to %s", address)
+		t.Errorf("an invalid configuration changed the discovery address to %s", address)
 	}
 	write(newAddress, "2e")
 	reload(configReloads)
-	eventually(t, "the new list", func() bool { return n.count(listUpdates) == 2 })
+	eventually(t, "the list of the new address", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 {
-		t.Errorf("by the new list a request was answered %d", status)
+		t.Errorf("got status %d with the new list, want 200", status)
 	}
 	if got, _ := watchRequests.Load(0); got == nil || !strings.Contains(got.(string), "after=0 ") {
-		t.Errorf("the new place was asked %q, want the whole list", got)
+		t.Errorf("got request %q at the new address, want one for the complete list", got)
 	}
 	if n.count(listWatchesFailed) != 0 || n.count(listWatches) != 2 {
-		t.Errorf("%d calls, %d of them failed", n.count(listWatches), n.count(listWatchesFailed))
+		t.Errorf("got %d calls and %d failed ones, want 2 and 0", n.count(listWatches), n.count(listWatchesFailed))
 	}
 }
 
@@ -97,10 +97,10 @@
 	n := newNode(t, func(c *Config) { c.Discovery = address })
 	n.endpointWatch.silenceTimeout = 200 * time.Millisecond
 	n.start()
-	eventually(t, "the second call", func() bool { return n.count(listUpdates) >= 2 })
+	eventually(t, "the update of the second call", func() bool { return n.count(listUpdates) >= 2 })
 }
 
-// startScriptedDiscovery starts a discovery service whose calls each go by their own script.
+// startScriptedDiscovery starts a discovery service that handles each call with its own script.
 func startScriptedDiscovery(t *testing.T, scripts ...func(c net.Conn, chunk func(string))) (address string, calls *atomic.Int64) {
 	calls = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
@@ -118,8 +118,9 @@
 
 const watchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// A watch that falls silent, or gets no head, is repeated at once, however long the backoff and whatever the settings
-// say of polling; half a line counts for nothing, and a list may be broken into lines anywhere.
+// Guards against a delay before a silent watch, or one without a head, is reopened: that must happen at once, whatever
+// the backoff and the settings for polling. Also, an incomplete line must not be applied, and a line may be received in
+// any number of pieces.
 func TestBrokenWatchIsReopenedAtOnce(t *testing.T) {
 	keepOpen := func(c net.Conn) { discard(c) }
 	line := func(version int, health, server string) string {
@@ -127,7 +128,7 @@
 	}
 	for _, mode := range []string{"push", "ask"} {
 		for name, script := range map[string]func(server string) []func(net.Conn, func(string)){
-			"silent, with nothing changed": func(server string) (calls []func(net.Conn, func(string))) {
+			"silent after an update without changes": func(server string) (calls []func(net.Conn, func(string))) {
 				for range 4 {
 					calls = append(calls, func(c net.Conn, chunk func(string)) {
 						writeText(c, watchResponseHead)
@@ -141,7 +142,7 @@
 					keepOpen(c)
 				})
 			},
-			"silent behind its head, then in the midst of a line": func(server string) []func(net.Conn, func(string)) {
+			"silent after its head, then within a line": func(server string) []func(net.Conn, func(string)) {
 				return []func(net.Conn, func(string)){
 					func(c net.Conn, chunk func(string)) { writeText(c, watchResponseHead); keepOpen(c) },
 					func(c net.Conn, chunk func(string)) {
@@ -156,7 +157,7 @@
 					},
 				}
 			},
-			"indented, in pieces": func(server string) []func(net.Conn, func(string)) {
+			"indented JSON in pieces": func(server string) []func(net.Conn, func(string)) {
 				return []func(net.Conn, func(string)){func(c net.Conn, chunk func(string)) {
 					writeText(c, watchResponseHead)
 					var decoded any
@@ -185,18 +186,18 @@
 				}, server)
 				n.endpointWatch.silenceTimeout, n.endpointWatch.retryInterval = 60*time.Millisecond, time.Hour
 				n.start()
-				eventually(t, "the drain", func() bool {
+				eventually(t, "the endpoint to drain", func() bool {
 					n.flushLoop()
 					n.upstreams.mu.Lock()
 					defer n.upstreams.mu.Unlock()
 					return len(n.upstreams.eligible) == 0
 				})
 				if status, _, _ := ask(t, n, "batch", "t", ""); status != 503 || requests.Load() != 0 {
-					t.Errorf("after the drain a request was answered %d, %d came to the server", status,
+					t.Errorf("after the drain: got status %d and %d requests at the upstream, want 503 and 0", status,
 						requests.Load())
 				}
 				if n.endpointWatch.version != 2 {
-					t.Errorf("the next call would ask for what came after %d", n.endpointWatch.version)
+					t.Errorf("got version %d for the next call, want 2", n.endpointWatch.version)
 				}
 			})
 		}
@@ -206,7 +207,7 @@
 		first func(c net.Conn, chunk func(string), server string)
 	}{
 		"a call without a head": {time.Hour, func(c net.Conn, _ func(string), _ string) { keepOpen(c) }},
-		"reset in the midst of a line": {time.Millisecond, func(c net.Conn, chunk func(string), server string) {
+		"reset within a line": {time.Millisecond, func(c net.Conn, chunk func(string), server string) {
 			writeText(c, watchResponseHead)
 			chunk(line(2, "draining", server)[:90])
 			c.(*net.TCPConn).SetLinger(0)
@@ -224,13 +225,13 @@
 			n.start()
 			eventually(t, "the next call", func() bool { return callCount.Load() >= 2 })
 			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
-				t.Errorf("by half a line a server was given up: %d", status)
+				t.Errorf("got status %d after an incomplete line with a drain, want 200", status)
 			}
 		})
 	}
 }
 
-// There is always an interval between watches, whatever the settings say of sends to draining endpoints.
+// Guards against calls without a delay: the retry interval has a lower bound, whatever drain grace the settings give.
 func TestWatchRetryIntervalIsBounded(t *testing.T) {
 	for drainGraceUs, want := range map[int]time.Duration{
 		0: maxRetryInterval, 1: minRetryInterval,
@@ -238,13 +239,13 @@
 	} {
 		n := newNode(t, withSettings(`"rules":{`, fmt.Sprintf(`"rules":{"stop_sending_within_us":%d,`, drainGraceUs)))
 		if n.endpointWatch.retryInterval != want {
-			t.Errorf("sends stop within %d us: a wait of %v, want %v", drainGraceUs, n.endpointWatch.retryInterval, want)
+			t.Errorf("drain grace of %d us: got a retry interval of %v, want %v", drainGraceUs, n.endpointWatch.retryInterval, want)
 		}
 	}
 }
 
-// What is pushed counts from the first moment of a new process: no request goes by the list from before while the
-// first message is due.
+// Guards against requests that use the initial list of a new process although the first pushed update drains their
+// endpoint: the node is not ready before that update.
 func TestPushedListIsAppliedBeforeFirstRequest(t *testing.T) {
 	server, requests := startUpstream(t, echo)
 	firstEvent := newGate(t)
@@ -263,16 +264,15 @@
 	go n.start()
 	firstEvent.held(t, 1)
 	if n.notReady() == "" {
-		t.Error("ready before the first word")
+		t.Error("ready before the first event of the watch")
 	}
 	firstEvent.pass()
 	if status, _, _ := readAnswer(in); status != 503 || requests.Load() != 0 {
-		t.Errorf("answered %d, %d requests at a server that is draining", status, requests.Load())
+		t.Errorf("got status %d and %d requests at a draining upstream, want 503 and 0", status, requests.Load())
 	}
 }
 
-// The last line from an old discovery address does not come after the first from the new one: once the new list is
-// there, it counts.
+// Guards against an update of the old discovery address that is applied after the first list of the new address.
 func TestUpdateFromOldAddressDoesNotReplaceNewList(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	lastUpdate := newGate(t)
@@ -289,10 +289,10 @@
 	})
 	n := startNode(t, func(c *Config) { c.Discovery = oldAddress }, server)
 	lastUpdate.held(t, 1)
-	eventually(t, "the old list", func() bool { return n.count(listUpdates) == 1 })
+	eventually(t, "the list of the old address", func() bool { return n.count(listUpdates) == 1 })
 	n.endpointWatch.setAddress(newAddress)
 	lastUpdate.pass()
-	eventually(t, "the new list", func() bool {
+	eventually(t, "the list of the new address", func() bool {
 		known := make(chan bool)
 		n.loop.post(func() {
 			_, ok := n.loop.endpoints[endpointID("s-1")]
@@ -301,11 +301,12 @@
 		return <-known
 	})
 	if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
-		t.Errorf("answered %d by a list that was left", status)
+		t.Errorf("got status %d, want 200: an update of the old address was applied", status)
 	}
 }
 
-// startDiscoveryWithLines starts a discovery service that sends one list of lines to each call in turn, then stays open.
+// startDiscoveryWithLines starts a discovery service that sends one slice of lines to each call in order, then keeps
+// the connection open.
 func startDiscoveryWithLines(t *testing.T, calls ...[]string) (address string, requests *sync.Map) {
 	requests = new(sync.Map)
 	var number atomic.Int64
--- a/internal/node/overrideslock_test.go
+++ b/internal/node/overrideslock_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Of several changes at once only one has the lock file open: each open file is a descriptor, and the wait for
-// another process must not come after the wait for one's own.
+// Guards against several concurrent changes that each have the lock file open: each open file is a descriptor, and the
+// timeout for another process's lock must not include waiting for a change of this process.
 func TestConcurrentOverrideChangesOpenOneLockFile(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
@@ -25,7 +25,7 @@
 				files++
 			}
 		}
-		return files - 1 // the one that is held
+		return files - 1 // without the lock held by this test
 	}
 	maxOpen := 0
 	var done sync.WaitGroup
@@ -37,13 +37,13 @@
 			}
 		})
 	}
-	eventually(t, "one that waits", func() bool { maxOpen = max(maxOpen, countOpenFiles()); return maxOpen > 0 })
+	eventually(t, "a change that waits for the lock", func() bool { maxOpen = max(maxOpen, countOpenFiles()); return maxOpen > 0 })
 	for range 20 {
 		time.Sleep(time.Millisecond)
 		maxOpen = max(maxOpen, countOpenFiles())
 	}
 	lock.Close()
 	if done.Wait(); maxOpen != 1 {
-		t.Errorf("%d files were open at once", maxOpen)
+		t.Errorf("got %d lock files open at once, want 1", maxOpen)
 	}
 }
--- a/internal/node/pacing_test.go
+++ b/internal/node/pacing_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// deadlineRecorder records the deadline of the last write, and takes every write.
+// deadlineRecorder records the last write deadline and accepts every write.
 type deadlineRecorder struct {
 	net.Conn
 	deadline time.Time
@@ -21,7 +21,8 @@
 
 func (c *deadlineRecorder) Write(p []byte) (int, error) { return len(p), nil }
 
-// A cancel holds that comes just before a worker, or a reader of the attempt's body, sets a deadline of its own.
+// Guards against a lost cancel: the worker, or the reader of the attempt's body, sets a new deadline just after the
+// cancel has set an expired one.
 func TestCancelHoldsAgainstLaterDeadline(t *testing.T) {
 	for _, canceled := range []bool{false, true} {
 		a := &attempt{}
@@ -42,7 +43,7 @@
 		}
 		for name, deadline := range map[string]time.Time{"a read": readDeadline, "a write": conn.deadline} {
 			if deadline.Before(time.Now()) != canceled {
-				t.Errorf("canceled %t: the deadline of %s is %v", canceled, name, deadline)
+				t.Errorf("canceled %t: got deadline of %s %v, want it expired only if canceled", canceled, name, deadline)
 			}
 		}
 		near, far := net.Pipe()
@@ -51,7 +52,7 @@
 		abandoned.Store(canceled)
 		pacer := &readPacer{stallTimeout: time.Hour, abandoned: &abandoned}
 		if err := pacer.beginRead(near); errors.Is(err, errBodyAbandoned) != canceled {
-			t.Errorf("abandoned %t: %v", canceled, err)
+			t.Errorf("abandoned %t: got error %v, want errBodyAbandoned only if abandoned", canceled, err)
 		}
 	}
 }
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -14,7 +14,7 @@
 // faultyDisk is a directory whose syncs hang until hangs is unlocked, or fail.
 type faultyDisk struct {
 	store.Directory
-	hangs sync.Mutex // locked: no sync returns
+	hangs sync.Mutex // while locked, no sync returns
 	fails atomic.Bool
 	syncs atomic.Int64
 }
@@ -39,7 +39,7 @@
 	f.disk.hangs.Lock()
 	defer f.disk.hangs.Unlock()
 	if f.disk.fails.Load() {
-		return errors.New("the disk is gone")
+		return errors.New("injected sync failure")
 	}
 	return f.File.Sync()
 }
@@ -57,37 +57,37 @@
 	}
 }
 
-// TestRequestsAreServedWhileDiskHangsOrFails has no sync return while requests are served; when they do, all is written; a failure is
-// reported, and requests go on.
+// Guards against a disk that affects requests: they are served while syncs hang or fail. When syncs return, all changes
+// are written; a failure is reported by the admin API.
 func TestRequestsAreServedWhileDiskHangsOrFails(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	disk, dir := &faultyDisk{}, t.TempDir()
 	n := startNode(t, withStateDir(t, disk, dir), server)
-	eventually(t, "a first batch", func() bool { return n.persistence.writtenBatches.Load() > 0 })
+	eventually(t, "the first batch to be written", func() bool { return n.persistence.writtenBatches.Load() > 0 })
 	disk.hangs.Lock()
 	before, written := disk.syncs.Load(), n.persistence.writtenBatches.Load()
 	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
 	sendRequests := func(first string) {
 		for _, id := range []string{"1", "2", "3"} {
 			if status, _, _ := ask(t, n, "view", first+id, ""); status != 200 {
-				t.Errorf("request %s%s: %d", first, id, status)
+				t.Errorf("request %s%s: got status %d, want 200", first, id, status)
 			}
 		}
 	}
-	eventually(t, "a sync that hangs", func() bool { return disk.syncs.Load() > before })
+	eventually(t, "a hanging sync", func() bool { return disk.syncs.Load() > before })
 	sendRequests("hanging")
 	if n.persistence.writtenBatches.Load() != written || strings.Contains(n.persistence.statusJSON(), `"write_under_way_s":0,`) {
 		t.Error(n.persistence.statusJSON())
 	}
 	disk.hangs.Unlock()
-	eventually(t, "written", func() bool { return n.persistence.writtenBatches.Load() > written })
+	eventually(t, "the batch to be written", func() bool { return n.persistence.writtenBatches.Load() > written })
 	disk.fails.Store(true)
 	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
-	eventually(t, "a failure that is reported", func() bool { return strings.Contains(n.persistence.statusJSON(), "a write failed") })
+	eventually(t, "the failure to be reported", func() bool { return strings.Contains(n.persistence.statusJSON(), "a write failed") })
 	sendRequests("failing")
 }
 
-// TestPersistedListIsUsedAfterRestart starts twice on one directory: the second run begins with the list of the first.
+// A second process on the same directory starts with the list persisted by the first.
 func TestPersistedListIsUsedAfterRestart(t *testing.T) {
 	server, requests := startUpstream(t, echo)
 	disk := &faultyDisk{}
@@ -101,18 +101,17 @@
 	n.persistence.close()
 	restarted := startNode(t, withStateDir(t, disk, dir))
 	sent := 0
-	eventually(t, "a request at the upstream, which counts as just started", func() bool {
+	eventually(t, "a request at the upstream, which is in slow start", func() bool {
 		sent++
 		status, _, _ := ask(t, restarted, "view", fmt.Sprint(sent), "")
 		return status == 200 && requests.Load() == 1
 	})
 	if restarted.persistence.state.Epoch() != 2 {
-		t.Errorf("epoch %d", restarted.persistence.state.Epoch())
+		t.Errorf("got epoch %d, want 2", restarted.persistence.state.Epoch())
 	}
 }
 
-// TestNewerOfConfiguredAndPersistedListIsUsed starts with the list of a configuration and a persisted one: the newer one wins, and
-// an older one ends no drain.
+// Of a configured and a persisted list the newer one is used, and an older configured list ends no drain.
 func TestNewerOfConfiguredAndPersistedListIsUsed(t *testing.T) {
 	drainingServer, drainingRequests := startUpstream(t, echo)
 	activeServer, activeRequests := startUpstream(t, echo)
@@ -134,17 +133,17 @@
 		configuredIsNewer := version > 5
 		restarted := start(version)
 		before, sent := drainingRequests.Load(), 0
-		eventually(t, "requests at upstreams, which count as just started", func() bool {
+		eventually(t, "requests at the upstreams, which are in slow start", func() bool {
 			sent++ // most are rejected
 			ask(t, restarted, "view", fmt.Sprint(version, "-", sent), "")
 			return sent > 40 && activeRequests.Load() > 2 && (!configuredIsNewer || drainingRequests.Load() > before)
 		})
 		if (drainingRequests.Load() > before) != configuredIsNewer {
-			t.Errorf("a configured list of version %d after one of 5: %d requests to the draining upstream, %d to the other", version, drainingRequests.Load()-before, activeRequests.Load())
+			t.Errorf("configured list of version %d, persisted list of version 5: got %d requests to the draining upstream, %d to the other", version, drainingRequests.Load()-before, activeRequests.Load())
 		}
 		restarted.persistence.close()
 		if version == 4 && !restarted.persistence.isOlderThan(6) {
-			t.Error("6 is not newer than 5")
+			t.Error("persisted version 5 does not count as older than version 6")
 		}
 	}
 }
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -23,7 +23,7 @@
 	"go.uber.org/zap"
 )
 
-// serveOrigin serves an origin; stop ends it like a process that is killed.
+// serveOrigin serves an origin; stop closes it as if its process were killed.
 func serveOrigin(t *testing.T, o *distribution.Origin) (address string, s *relay.Server, stop func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,22 +42,22 @@
 	return l.Addr().String(), s, stop
 }
 
-// serve serves until the listener is closed, which is an error of Serve.
+// serve serves until the listener is closed, upon which Serve returns an error.
 func serve(s *relay.Server, l net.Listener) { _ = s.Serve(l) }
 
-// closeServer closes a server; connections that are still open by then are cut.
+// closeServer closes a server. Connections still open when the context ends are closed.
 func closeServer(ctx context.Context, server *relay.Server) { _ = server.Close(ctx) }
 
 const testScope = "eu1/cart"
 
-// put stores a record at an origin.
+// putRecord stores a record in an origin.
 func putRecord(o *distribution.Origin, now int64, scope, key string, class distribution.Class, value string) {
 	if _, err := o.Put(now, scope, key, class, []byte(value)); err != nil {
 		panic(err)
 	}
 }
 
-// putEndpoint puts an endpoint into an origin's scope.
+// putEndpoint stores or removes an endpoint in the scope of an origin.
 func putEndpoint(s *relay.Server, o *distribution.Origin, name, dial, health string) {
 	s.Do(func(now int64) {
 		if health == "removed" {
@@ -72,7 +72,7 @@
 	})
 }
 
-// putListVersion reports discovery's list of a version, with the origin's watch up.
+// putListVersion stores the version of discovery's list in an origin, with its watch reported as open.
 func putListVersion(s *relay.Server, o *distribution.Origin, seq int) {
 	s.Do(func(now int64) {
 		putRecord(o, now, relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, fmt.Sprintf(`{"seq":%d,"stands":true}`, seq))
@@ -96,7 +96,8 @@
 	}
 }
 
-// startDiscovery answers each watch with a complete list and empty lines after it, and counts the calls.
+// startDiscovery starts a discovery service that answers each call with a complete list followed by empty lines. It
+// counts the calls and the open watches.
 func startDiscovery(t *testing.T, list func(call int64) string) (address string, calls *atomic.Int64, open *atomic.Int64) {
 	calls, open = new(atomic.Int64), new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
@@ -140,7 +141,7 @@
 	return status == 200 && strings.HasSuffix(body, server)
 }
 
-// startNamedUpstream starts an upstream that answers with its name.
+// startNamedUpstream starts an upstream that responds with its name.
 func startNamedUpstream(t *testing.T, name string) (address string, requests *atomic.Int64) {
 	return startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 		return writeAnswer(c, "200 OK\r\nX-Pressure: queue=1", name)
@@ -159,37 +160,37 @@
 	eventually(t, "ready", func() bool { return n.notReady() == "" })
 	for i := range 10 {
 		if !isServedBy(t, n, fmt.Sprint("one", i), "a") {
-			t.Fatal("not served by the endpoint of the relays")
+			t.Fatal("request was not served by the endpoint listed by relays")
 		}
 	}
 	putEndpoint(s, o, "b", b, "up")
 	putEndpoint(s, o, "a", a, "draining")
 	putListVersion(s, o, 9)
-	eventually(t, "the drain", func() bool { return relayListVersion(t, n) == 9 })
+	eventually(t, "the list version with the drain", func() bool { return relayListVersion(t, n) == 9 })
 	before := requestsA.Load()
 	for i := range 10 {
 		if !isServedBy(t, n, fmt.Sprint("two", i), "b") {
-			t.Fatal("not served by the endpoint that was added")
+			t.Fatal("request was not served by the added endpoint")
 		}
 	}
 	if requestsA.Load() != before || requestsB.Load() < 10 {
-		t.Errorf("a drained endpoint had %d requests since", requestsA.Load()-before)
+		t.Errorf("got %d requests at the drained endpoint, want 0, and at least 10 at the other", requestsA.Load()-before)
 	}
-	// An invalid record, and one of an unknown kind, change nothing else.
+	// An invalid record and a record of an unknown kind are ignored.
 	s.Do(func(now int64) {
 		putRecord(o, now, testScope, relay.EndpointKey("b"), distribution.ClassEndpoint, `{"host":"b","dial":"nowhere","health":"up"}`)
 		putRecord(o, now, testScope, "moon/phase", distribution.ClassConfiguration, "full")
 	})
 	putListVersion(s, o, 10)
-	eventually(t, "the invalid record", func() bool { return n.count(listEntriesSkipped) == 1 && relayListVersion(t, n) == 10 })
+	eventually(t, "the invalid record to be skipped", func() bool { return n.count(listEntriesSkipped) == 1 && relayListVersion(t, n) == 10 })
 	if !isServedBy(t, n, "three", "b") {
 		t.Error("an invalid record removed an endpoint")
 	}
 	if calls.Load() != 0 {
-		t.Errorf("discovery was called %d times while relays sent the list", calls.Load())
+		t.Errorf("got %d calls to discovery while relays sent the list, want 0", calls.Load())
 	}
 	if v := relayStatus(t, n); v.By != "relays" || v.Relay != first || v.Watch || !v.Whole {
-		t.Errorf("the view: %+v", v)
+		t.Errorf("got relay status %+v, want a complete list by relays without a watch", v)
 	}
 	stop()
 }
@@ -204,13 +205,13 @@
 func TestEndpointStatesMatchThoseOfSources(t *testing.T) {
 	for here, there := range map[policy.EndpointState]endpointsource.EndpointState{policy.StateActive: endpointsource.StateUp, policy.StateDraining: endpointsource.StateDraining, policy.StateRemoved: endpointsource.StateRemoved} {
 		if policy.EndpointState(there) != here {
-			t.Errorf("%v and %v differ, and are turned into one another", here, there)
+			t.Errorf("%v and %v have different values, want equal ones: they are converted to each other", here, there)
 		}
 	}
 }
 
-// Without relays discovery is watched; when they are back it is not. Neither removes or restores what the other knew
-// better.
+// Discovery is watched while no relay is reachable, and no longer once relays are back. Neither source removes an
+// endpoint or ends a drain that the other has in a newer version.
 func TestNodeWatchesDiscoveryWhileRelaysAreDown(t *testing.T) {
 	a, requestsA := startNamedUpstream(t, "a")
 	b, _ := startNamedUpstream(t, "b")
@@ -220,21 +221,21 @@
 	putEndpoint(s, o, "b", b, "up")
 	putListVersion(s, o, 20)
 	var version atomic.Int64
-	version.Store(15) // an older copy: a serves there, and b is not known
+	version.Store(15) // an older version, in which a is active and b is missing
 	discovery, calls, open := startDiscovery(t, func(int64) string {
 		if v := version.Load(); v < 20 {
 			return listText(int(v), true, listEntry("a", a, "up"))
 		}
 		return listText(int(version.Load()), true, listEntry("a", a, "up"), listEntry("b", b, "up"))
 	})
-	n := startNode(t, withRelaysAndSilence("20s", discovery, first)) // that no relay can be reached is known sooner
+	n := startNode(t, withRelaysAndSilence("20s", discovery, first)) // a failed connection is noticed before the silence timeout
 	eventually(t, "ready", func() bool { return n.notReady() == "" })
 	if !isServedBy(t, n, "one", "b") {
-		t.Fatal("not served by the list of the relays")
+		t.Fatal("request was not served by the endpoint listed by relays")
 	}
 	stop()
 	eventually(t, "a call to discovery", func() bool { return calls.Load() == 1 })
-	eventually(t, "discovery's list", func() bool { return relayStatus(t, n).By == "discovery" })
+	eventually(t, "the list of discovery to be in use", func() bool { return relayStatus(t, n).By == "discovery" })
 	before := requestsA.Load()
 	for i := range 10 {
 		if !isServedBy(t, n, fmt.Sprint("two", i), "b") {
@@ -244,7 +245,7 @@
 	if requestsA.Load() != before {
 		t.Error("an older list of discovery ended a drain")
 	}
-	// Another origin, later than the first, and as far as discovery.
+	// A new origin with a later start and a version as new as that of discovery.
 	newOrigin := distribution.NewOrigin(2, distribution.Limits{})
 	l, err := net.Listen("tcp", first)
 	if err != nil {
@@ -256,30 +257,30 @@
 	putEndpoint(s, newOrigin, "a", a, "up")
 	putListVersion(s, newOrigin, 25)
 	go serve(s, l)
-	eventually(t, "relays again", func() bool { v := relayStatus(t, n); return v.By == "relays" && !v.Watch })
-	eventually(t, "the end of the watch", func() bool { return open.Load() == 0 })
-	eventually(t, "the newer list", func() bool { return isServedBy(t, n, fmt.Sprint("three", addresses.Add(1)), "a") })
+	eventually(t, "the list of the relays to be in use again", func() bool { v := relayStatus(t, n); return v.By == "relays" && !v.Watch })
+	eventually(t, "the watch to be closed", func() bool { return open.Load() == 0 })
+	eventually(t, "the newer list to be in use", func() bool { return isServedBy(t, n, fmt.Sprint("three", addresses.Add(1)), "a") })
 }
 
-// Where no relay answers at the start, discovery is watched as without any.
+// Discovery is watched if no relay responds at the start.
 func TestNodeStartsWithoutReachableRelay(t *testing.T) {
 	a, _ := startNamedUpstream(t, "a")
 	discovery, _, _ := startDiscovery(t, func(int64) string { return listText(3, true, listEntry("a", a, "up")) })
-	silentRelay := listen(t, func(c net.Conn) { time.Sleep(20 * time.Second) }) // it accepts connections and sends nothing
-	for name, at := range map[string]string{"nobody there": "127.0.0.1:1", "a frozen one": silentRelay} {
+	silentRelay := listen(t, func(c net.Conn) { time.Sleep(20 * time.Second) }) // accepts connections and sends nothing
+	for name, at := range map[string]string{"unreachable relay": "127.0.0.1:1", "silent relay": silentRelay} {
 		began := time.Now()
 		n := startNode(t, withRelays(discovery, at))
 		eventually(t, "ready, "+name, func() bool { return n.notReady() == "" })
 		if took := time.Since(began); took > 3*time.Second {
-			t.Errorf("%s: ready after %v, expected a second and a call", name, took)
+			t.Errorf("%s: got ready after %v, want at most 3 s: the silence timeout of 1 s and one call", name, took)
 		}
 		if !isServedBy(t, n, name, "a") {
-			t.Errorf("%s: not served", name)
+			t.Errorf("%s: request was not served by the endpoint listed by discovery", name)
 		}
 	}
 }
 
-// An origin without a list is not used, however complete it is otherwise.
+// Guards against an origin that has not read discovery's list and seems to remove all endpoints: its scope is not used.
 func TestOriginWithoutListRemovesNoEndpoint(t *testing.T) {
 	a, _ := startNamedUpstream(t, "a")
 	discovery, _, _ := startDiscovery(t, func(int64) string { return listText(3, true, listEntry("a", a, "up")) })
@@ -289,10 +290,10 @@
 	n := startNode(t, withRelays(discovery, first))
 	eventually(t, "ready", func() bool { return n.notReady() == "" })
 	if v := relayStatus(t, n); v.By != "discovery" || !v.Whole {
-		t.Errorf("%+v", v)
+		t.Errorf("got relay status %+v, want a complete list by discovery", v)
 	}
 	if !isServedBy(t, n, "one", "a") {
-		t.Error("not served")
+		t.Error("request was not served by the endpoint listed by discovery")
 	}
 }
 
@@ -317,7 +318,7 @@
 	return p
 }
 
-// The only relay is reachable, but cut off from the origin: its list grows stale, and discovery is watched.
+// Guards against a stale list: the only relay is reachable but disconnected from its origin, so discovery is watched.
 func TestStaleRelayIsReplacedByDiscovery(t *testing.T) {
 	a, _ := startNamedUpstream(t, "a")
 	b, _ := startNamedUpstream(t, "b")
@@ -328,21 +329,21 @@
 	putListVersion(s, o, 8)
 	lowerRelay := startRelayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", first))
 	n := startNode(t, withRelaysAndSilence("2s", discovery, lowerRelay.Address()))
-	eventually(t, "the list by relays", func() bool { return n.notReady() == "" && relayStatus(t, n).By == "relays" })
+	eventually(t, "the list of the relays to be in use", func() bool { return n.notReady() == "" && relayStatus(t, n).By == "relays" })
 	stop()
-	eventually(t, "the list by discovery", func() bool { return relayStatus(t, n).By == "discovery" })
-	eventually(t, "the newer list", func() bool { return isServedBy(t, n, fmt.Sprint("t", addresses.Add(1)), "b") })
+	eventually(t, "the list of discovery to be in use", func() bool { return relayStatus(t, n).By == "discovery" })
+	eventually(t, "the newer list to be in use", func() bool { return isServedBy(t, n, fmt.Sprint("t", addresses.Add(1)), "b") })
 	if v := relayStatus(t, n); v.Relay != lowerRelay.Address() {
-		t.Errorf("%+v: the relay is still there", v)
+		t.Errorf("got relay status %+v, want the relay still connected", v)
 	}
 }
 
-// The origin loses discovery while the node can reach it: a change reaches the node within 6 s all the same.
+// A change reaches the node within 6 s although the origin has lost discovery, because the node can reach it.
 func TestChangeArrivesWhileOriginHasLostDiscovery(t *testing.T) {
 	a, _ := startNamedUpstream(t, "a")
 	b, _ := startNamedUpstream(t, "b")
 	var frozen atomic.Bool
-	originDiscovery := listen(t, func(c net.Conn) { // discovery as the origin has it
+	originDiscovery := listen(t, func(c net.Conn) { // the discovery service of the origin
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return
 		}
@@ -363,21 +364,21 @@
 	origin := startRelayProcess(t, fmt.Sprintf("name=\"o\"\nrole=\"origin\"\nlisten=\"127.0.0.1:0\"\n[origin]\ndiscovery=%q\n[origin.scope]\nservice=\"cart\"\nregion=\"eu1\"\n", originDiscovery))
 	lowerRelay := startRelayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", origin.Address()))
 	n := startNode(t, withRelaysAndSilence("4s", discovery, lowerRelay.Address()))
-	eventually(t, "the list by relays", func() bool { return n.notReady() == "" && relayStatus(t, n).By == "relays" })
+	eventually(t, "the list of the relays to be in use", func() bool { return n.notReady() == "" && relayStatus(t, n).By == "relays" })
 	if !isServedBy(t, n, "one", "a") {
-		t.Fatal("not served by the list of the relays")
+		t.Fatal("request was not served by the endpoint listed by relays")
 	}
 	before := calls.Load()
 	frozen.Store(true)
 	began := time.Now()
 	for relayStatus(t, n).By != "discovery" {
 		if time.Since(began) > 6*time.Second {
-			t.Fatal("not within 6 s")
+			t.Fatal("the list of discovery was not in use within 6 s")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if !isServedBy(t, n, "two", "b") {
-		t.Error("not served by the list of discovery")
+		t.Error("request was not served by the endpoint listed by discovery")
 	}
 	if calls.Load() == before {
 		t.Error("discovery was not called")
--- a/internal/node/roundtrip_test.go
+++ b/internal/node/roundtrip_test.go
@@ -29,15 +29,15 @@
 			t.Errorf("got %d %q, want 200 %q", status, body, want)
 		}
 		if header.Get(headerLoadReport) != "" {
-			t.Error("a server's load report went on to a client")
+			t.Error("the load report header of an upstream was forwarded to a client")
 		}
 	}
 	if n.count(upstreamConnsOpened) != 1 {
-		t.Errorf("%d connections to the server for requests one after the other, want 1", n.count(upstreamConnsOpened))
+		t.Errorf("got %d upstream connections for sequential requests, want 1", n.count(upstreamConnsOpened))
 	}
 }
 
-// What an upstream does decides the outcome, and with the class the client's response.
+// The response of an upstream, or its failure, decides the outcome, and with the class the response to the client.
 func TestResponseDecidesOutcome(t *testing.T) {
 	closed := listen(t, func(c net.Conn) {})
 	upstreamSending := func(text string) string {
@@ -54,7 +54,7 @@
 	for name, c := range map[string]struct {
 		server  string
 		counted counter
-		status  map[string]int // by class; 503 is a reject
+		status  map[string]int // by class; 503: rejected
 	}{
 		"error": {
 			upstreamSending("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
@@ -65,15 +65,15 @@
 			attemptsRejected,
 			map[string]int{"view": 503, "update": 503, "pay": 503},
 		},
-		"503 without proof": {
+		"503 without proof of rejection": {
 			upstreamSending("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
 			map[string]int{"view": 503, "update": 502, "pay": 502},
 		},
-		"fault with it": {
+		"fault of the request": {
 			upstreamSending("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsRequestFault,
 			map[string]int{"view": 400, "update": 400, "pay": 400},
 		},
-		"too many": {
+		"too many requests": {
 			upstreamSending("HTTP/1.1 429 Later\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
 			map[string]int{"view": 503, "pay": 502},
 		},
@@ -81,32 +81,32 @@
 			"127.0.0.1:1", attemptsConnectFailed,
 			map[string]int{"view": 503, "update": 503, "pay": 503},
 		},
-		"broken before any": {upstreamSending(""), attemptsReset, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"broken in head": {
+		"closed before the response": {upstreamSending(""), attemptsReset, map[string]int{"view": 503, "update": 502, "pay": 502}},
+		"closed in the head": {
 			upstreamSending("HTTP/1.1 200 OK\r\nContent-Le"), attemptsReset,
 			map[string]int{"view": 503, "pay": 502},
 		},
-		"broken in body": {
+		"closed in the body": {
 			upstreamSending("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), attemptsReset,
 			map[string]int{"view": 503, "pay": 502},
 		},
-		"broken in chunk": {
+		"closed in a chunk": {
 			upstreamSending("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal"), attemptsReset,
 			map[string]int{"pay": 502},
 		},
-		"no answer at all": {upstreamSending("SSH-2.0-x\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
-		"endless answer": {
+		"not HTTP": {upstreamSending("SSH-2.0-x\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
+		"body shorter than Content-Length": {
 			upstreamSending("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), attemptsReset,
 			map[string]int{"pay": 502},
 		},
-		"silent":         {silent, attemptsTimedOut, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"closed at once": {closed, counterCount, map[string]int{"view": 503}},
-		"interim, chunked": {
+		"silent":                    {silent, attemptsTimedOut, map[string]int{"view": 503, "update": 502, "pay": 502}},
+		"connection closed at once": {closed, counterCount, map[string]int{"view": 503}},
+		"interim response, then chunked": {
 			upstreamSending("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
 			attemptsSucceeded,
 			map[string]int{"pay": 200},
 		},
-		"body till the end": {upstreamSending("HTTP/1.1 200 OK\r\n\r\nall of it"), attemptsSucceeded, map[string]int{"pay": 200}},
+		"body until the connection closes": {upstreamSending("HTTP/1.1 200 OK\r\n\r\nall of it"), attemptsSucceeded, map[string]int{"pay": 200}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -115,21 +115,21 @@
 				status, _, header := ask(t, n, class, "t1", "body")
 				attempts := int64(1)
 				if c.counted == attemptsReset && class != "pay" {
-					attempts = 2 // the request returns to its only endpoint once
+					attempts = 2 // the request is retried once at its only endpoint
 				}
 				if status != want || c.counted < counterCount && n.count(c.counted) != attempts {
-					t.Errorf("%s: answered %d, want %d; outcome counted %d times", class, status, want,
+					t.Errorf("%s: got status %d, want %d; got the outcome counted %d times", class, status, want,
 						n.count(min(c.counted, panics)))
 				}
 				if (header.Get(headerRetryAfter) != "") != (status == 503) {
-					t.Errorf("%s: %d with advice %q", class, status, header.Get(headerRetryAfter))
+					t.Errorf("%s: got status %d with Retry-After %q, want it with status 503 only", class, status, header.Get(headerRetryAfter))
 				}
 			}
 		})
 	}
 }
 
-// Guards against taking the response to a request that timed out for that of the next one.
+// Guards against forwarding the late response to a request that timed out as the response to the next one.
 func TestLateResponseIsDiscarded(t *testing.T) {
 	var slow atomic.Bool
 	slow.Store(true)
@@ -141,19 +141,19 @@
 	})
 	n := startNode(t, nil, server)
 	if status, _, _ := ask(t, n, "view", "late", ""); status != 503 {
-		t.Errorf("the late request was answered %d, want 503", status)
+		t.Errorf("got status %d for the request that timed out, want 503", status)
 	}
 	time.Sleep(100 * time.Millisecond)
 	for i := range 20 {
 		status, body, _ := ask(t, n, "view", fmt.Sprint("t", i), "")
 		if status == 200 && body != fmt.Sprintf("/view t%d ", i) {
-			t.Fatalf("request %d got the answer %q", i, body)
+			t.Fatalf("request %d: got the body %q of another request", i, body)
 		}
 	}
 }
 
-// Guards against an upstream that was cut off and is back: connections from before are reset only when used, and each
-// would cost a request.
+// Guards against an upstream that was unreachable and is back: it resets each older connection only when that is used,
+// and each reset would cost a request.
 func TestResetClosesIdleConnectionsToUpstream(t *testing.T) {
 	var restarted atomic.Bool
 	var firstRequests sync.WaitGroup
@@ -175,17 +175,17 @@
 	done.Wait()
 	restarted.Store(true)
 	if status, _, _ := ask(t, n, "pay", "first", ""); status != 502 {
-		t.Errorf("the first request after the cut was answered %d", status)
+		t.Errorf("got status %d for the first request on an older connection, want 502", status)
 	}
 	n.upstreams.mu.Lock()
 	defer n.upstreams.mu.Unlock()
 	if n.upstreams.open != 0 {
-		t.Errorf("%d connections from before are still open", n.upstreams.open)
+		t.Errorf("got %d open connections after a reset, want 0", n.upstreams.open)
 	}
 }
 
-// A response that comes a second time is passed to no client: neither while its connection is idle, nor once another
-// request is in flight.
+// A duplicate of a response is forwarded to no client: neither if it arrives while its connection is idle, nor if it
+// arrives while another request is in flight.
 func TestLateDuplicateResponseIsDiscarded(t *testing.T) {
 	duplicate := newGate(t)
 	var conns atomic.Int64
@@ -198,7 +198,7 @@
 				return
 			}
 			if i > 0 && first {
-				writeAnswer(c, "200 OK", "stray") // the second answer comes before its own
+				writeAnswer(c, "200 OK", "stray") // the duplicate precedes the response to this request
 			}
 			echo(c, r, "")
 			if i == 0 && first {
@@ -220,18 +220,18 @@
 		})
 		return c
 	}
-	t.Run("another request is out", func(t *testing.T) {
+	t.Run("another request is in flight", func(t *testing.T) {
 		n := newNode(t, nil, server)
 		n.upstreams.extraInputCooldown = time.Hour
 		n.start()
-		n.upstreams.recordExtraInput(true) // such have been seen here
+		n.upstreams.recordExtraInput(true) // enables the cooldown of all connections
 		ask(t, n, "batch", "a", "")
 		idleOf(n)
 		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
-			t.Errorf("while the second answer is due a request got %q", body)
+			t.Errorf("got body %q while a duplicate response was due", body)
 		}
 		if conns.Load() != 2 {
-			t.Errorf("%d connections, want another for the second request", conns.Load())
+			t.Errorf("got %d connections, want 2: a new one for the second request", conns.Load())
 		}
 	})
 	t.Run("idle", func(t *testing.T) {
@@ -240,18 +240,18 @@
 		ask(t, n, "batch", "a", "")
 		c := idleOf(n)
 		duplicate.pass()
-		eventually(t, "the second answer", c.hasInput)
+		eventually(t, "the duplicate response", c.hasInput)
 		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
-			t.Errorf("once the second answer has come a request got %q", body)
+			t.Errorf("got body %q after a duplicate response had arrived", body)
 		}
 		if n.upstreams.lastExtraInputAt.Load() == 0 {
-			t.Error("it was not noticed")
+			t.Error("the duplicate response was not recorded as extra input")
 		}
 	})
 }
 
-// A connection that its upstream closes or resets as a request is written to it is one on which the request may have
-// run.
+// Guards against treating a request as not executed if its upstream closes or resets an idle connection while the
+// request is written: it may have been executed.
 func TestIdleConnectionClosedDuringWriteCountsAsReset(t *testing.T) {
 	for name, c := range map[string]struct {
 		reset  bool
@@ -276,13 +276,13 @@
 				ask(t, n, class, "first", "")
 				resets := int64(1)
 				if class != "pay" {
-					resets = 2 // the request returns to its only endpoint once
+					resets = 2 // the request is retried once at its only endpoint
 				}
 				if status, _, _ := ask(t, n, class, "second", ""); status != want || requests.Load() != 1+resets {
-					t.Errorf("%s: answered %d, want %d; %d requests came", class, status, want, requests.Load())
+					t.Errorf("%s: got status %d, want %d; got %d requests at the upstream", class, status, want, requests.Load())
 				}
 				if n.count(attemptsReset) != resets {
-					t.Errorf("%s: %d resets", class, n.count(attemptsReset))
+					t.Errorf("%s: got %d resets, want one per attempt", class, n.count(attemptsReset))
 				}
 			}
 		})
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -24,7 +24,7 @@
 	idle, idleIn := dial(t, n)
 	var answered atomic.Int64
 	var clients sync.WaitGroup
-	for i := range 10 { // clients that send on as long as their connections stay open
+	for i := range 10 { // each sends requests until its connection is closed
 		c, in := dial(t, n)
 		clients.Go(func() {
 			for k := 0; ; k++ {
@@ -45,43 +45,43 @@
 		n.shutDown()
 		close(stopped)
 	}()
-	eventually(t, "the stop", n.shuttingDown.Load)
+	eventually(t, "the shutdown to begin", n.shuttingDown.Load)
 	if status, _, _ := ask(t, n, "batch", "new", ""); status != 200 {
-		t.Errorf("a new connection while stopping was answered %d", status)
+		t.Errorf("got status %d on a new connection during the shutdown, want 200", status)
 	}
 	time.Sleep(acceptAfterTerm - 120*time.Millisecond)
 	writeText(idle, requestText("batch", "a", "")+requestText("batch", "b", ""))
 	for range 2 {
 		if status, body, _ := readAnswer(idleIn); status != 200 {
-			t.Errorf("a request taken before the end was answered %d %s", status, body)
+			t.Errorf("got status %d for a request accepted before the listener closed, want 200; body %s", status, body)
 		}
 	}
 	clients.Wait()
 	if accepted := n.count(requestsAccepted); answered.Load()+3 != accepted {
-		t.Errorf("%d requests were taken and %d answered", accepted, answered.Load()+3)
+		t.Errorf("got %d accepted requests and %d answered, want the same number", accepted, answered.Load()+3)
 	}
 	select {
 	case <-stopped:
 	case <-time.After(time.Second):
-		t.Error("with every request answered the node does not end")
+		t.Error("the shutdown did not end within 1 s after all requests were answered")
 	}
 }
 
-// A request at any stage when the node shuts down gets its complete response.
+// A request that is at any stage when the node shuts down gets its complete response.
 func TestShutdownWithRequestAtEveryStage(t *testing.T) {
-	long := strings.Repeat("x", 2<<20) // more than is held, or than the machines take
+	long := strings.Repeat("x", 2<<20) // more than the node and the kernel buffer
 	for name, c := range map[string]struct {
 		body         string
-		hold         func(t *testing.T, n *Node) *gate // before the request
+		hold         func(t *testing.T, n *Node) *gate // called before the request is sent
 		serve        func(g *gate, c net.Conn, in *bufio.Reader) (served bool)
 		stageReached func(n *Node) bool
 	}{
-		"in the queue": {
+		"in the event queue": {
 			hold:         func(t *testing.T, n *Node) *gate { return n.holdLoop(t) },
 			stageReached: func(n *Node) bool { return len(n.loop.events) > 0 },
 		},
 		"dialling": {stageReached: func(n *Node) bool { return n.count(attemptsSent) == 1 }},
-		"partly written": {
+		"request partly written": {
 			body: long, serve: func(g *gate, _ net.Conn, _ *bufio.Reader) bool { g.wait(); return false },
 			stageReached: func(n *Node) bool { return n.count(requestsStreamed) == 1 },
 		},
@@ -133,41 +133,41 @@
 			client, in := dial(t, n)
 			go writeText(client, requestText("batch", "t", c.body))
 			g.held(t, 1)
-			eventually(t, "there", func() bool { return c.stageReached == nil || c.stageReached(n) })
+			eventually(t, "the request to reach its stage", func() bool { return c.stageReached == nil || c.stageReached(n) })
 			stopped := make(chan struct{})
 			go func() { n.shutDown(); close(stopped) }()
 			eventually(t, "the listener to drain", n.frontend.draining.Load)
 			select {
 			case <-stopped:
-				t.Error("the shutdown ended with a request in flight") // and the process with it
-			case <-time.After(100 * time.Millisecond): // rounds in which it might have
+				t.Error("the shutdown ended with a request in flight") // in production the process would end, too
+			case <-time.After(100 * time.Millisecond): // enough time for a faulty shutdown to end
 			}
 			g.pass()
 			status, body, header := readAnswer(in)
 			if status != 200 || body != "whole" && body != "half" && body != long {
-				t.Errorf("answered %d with %d bytes, %v", status, len(body), header)
+				t.Errorf("got status %d with %d bytes, want 200 with a complete body; header %v", status, len(body), header)
 			}
 			<-stopped
 		})
 	}
 }
 
-// A request idempotent by key that may have run is rejected only where every endpoint would drop its repeat, and only
-// for as long as they would.
+// Guards against rejecting a request idempotent by key that may have been executed: a client retry is only safe if
+// every endpoint would deduplicate it, and only within the deduplication window.
 func TestRejectionOfRequestIdempotentByKey(t *testing.T) {
 	silent, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool { discard(c); return false })
 	for name, c := range map[string]struct {
 		group     string
 		windowUs  string
-		shutsDown bool // the process does, else the request's time
+		shutsDown bool // the process shuts down; otherwise the deadline expires
 		status    int
 	}{
-		"all, remembered":                  {"all", "30000000", false, 503},
-		"all, forgotten by then":           {"all", "1000", false, 502},
-		"its zone":                         {"zone", "30000000", false, 502},
-		"at the end, all, remembered":      {"all", "30000000", true, 503},
-		"at the end, all, forgotten":       {"all", "1000", true, 502},
-		"at the end, its zone, remembered": {"zone", "30000000", true, 502},
+		"group of all endpoints, within the window":           {"all", "30000000", false, 503},
+		"group of all endpoints, after the window":            {"all", "1000", false, 502},
+		"group of its zone":                                   {"zone", "30000000", false, 502},
+		"shutdown, group of all endpoints, within the window": {"all", "30000000", true, 503},
+		"shutdown, group of all endpoints, after the window":  {"all", "1000", true, 502},
+		"shutdown, group of its zone, within the window":      {"zone", "30000000", true, 502},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -175,22 +175,23 @@
 				`"memory_span_us":2000000`, `"memory_span_us":`+c.windowUs), silent)
 			client, in := dial(t, n)
 			writeText(client, requestText("update", "t1", ""))
-			eventually(t, "it is out", func() bool { return n.count(attemptsSent) == 1 })
-			time.Sleep(5 * time.Millisecond) // longer than the short memory
+			eventually(t, "the attempt to be sent", func() bool { return n.count(attemptsSent) == 1 })
+			time.Sleep(5 * time.Millisecond) // longer than the short window
 			if c.shutsDown {
 				n.loop.post(n.loop.giveUpAll)
 			}
 			if status, _, _ := readAnswer(in); status != c.status {
-				t.Errorf("answered %d, want %d", status, c.status)
+				t.Errorf("got status %d, want %d", status, c.status)
 			}
 		})
 	}
 }
 
-// What has no response shortly before the platform kills a process is given up: rejected where a retry does no harm.
+// Requests without a response shortly before the platform kills the process are answered: rejected if a client retry is
+// safe, failed otherwise.
 func TestShutdownAnswersPendingRequests(t *testing.T) {
 	silent, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		if r.URL.Path == "/batch" { // an answer whose end is the connection's, and that does not come
+		if r.URL.Path == "/batch" { // a body that ends with the connection, which stays open
 			writeText(c, "HTTP/1.1 200 OK\r\n\r\n")
 			for _, err := io.WriteString(c, "x"); err == nil; _, err = io.WriteString(c, "x") {
 				time.Sleep(responseHoldBack)
@@ -209,28 +210,28 @@
 	}
 	old, oldIn := dial(t, n)
 	writeText(old, "GET /batch HTTP/1.0\r\nX-Txn: old\r\n\r\n")
-	eventually(t, "all at the server, and an answer on its way", func() bool {
+	eventually(t, "all requests at the upstream, and a streamed response", func() bool {
 		return requests.Load() == 4 && n.count(responsesStreamed) == 1
 	})
 	stopped := make(chan struct{})
 	go func() { n.shutDown(); close(stopped) }()
 	<-stopped
 	if n.count(requestsRejected) != 1 || n.count(requestsFailed) != 2 {
-		t.Errorf("at the end %d requests are rejected and %d failed, want 1 and 2", n.count(requestsRejected),
+		t.Errorf("got %d rejected and %d failed requests after the shutdown, want 1 and 2", n.count(requestsRejected),
 			n.count(requestsFailed))
 	}
 	for class, status := range want {
 		if got, body, _ := readAnswer(ins[class]); got != status {
-			t.Errorf("%s was answered %d %s, want %d", class, got, body, status)
+			t.Errorf("%s: got status %d with body %s, want %d", class, got, body, status)
 		}
 	}
 	if text, err := io.ReadAll(oldIn); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("half an answer did not end in a reset: %v, %d bytes", err, len(text))
+		t.Errorf("got error %v after %d bytes of an incomplete response, want a reset", err, len(text))
 	}
 	late := newPendingRequest()
 	late.request.ID = "late"
 	n.loop.post(func() { n.loop.requestArrived(late) })
 	if a := <-late.responses; a.status != 503 || n.count(requestsOverCapacity) != 1 {
-		t.Errorf("a request that came after the end was answered %d", a.status)
+		t.Errorf("got status %d for a request after the shutdown, want 503 counted as over capacity", a.status)
 	}
 }
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -14,7 +14,7 @@
 	"fawnglade/policy"
 )
 
-// Guards against another request on a connection that brought more than a complete response.
+// Guards against reusing a connection that received more than a complete response.
 func TestConnectionWithExtraInputIsNotReused(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
@@ -23,13 +23,13 @@
 	n := startNode(t, nil, server)
 	for i := range 5 {
 		if _, body, _ := ask(t, n, "batch", fmt.Sprint("t", i), ""); body != fmt.Sprintf("/batch t%d ", i) {
-			t.Fatalf("request %d got the answer %q", i, body)
+			t.Fatalf("request %d: got the body %q of another response", i, body)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// Guards against a reset on a connection that the upstream had closed while it was idle.
+// Guards against writing a request to a connection that the upstream closed while it was idle.
 func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
@@ -38,21 +38,21 @@
 	n := startNode(t, nil, server)
 	for i := range 5 {
 		if status, _, _ := ask(t, n, "batch", fmt.Sprint("t", i), ""); status != 200 {
-			t.Errorf("request %d was answered %d", i, status)
+			t.Errorf("request %d: got status %d, want 200", i, status)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if requests.Load() != 5 || n.count(attemptsReset) != 0 {
-		t.Errorf("%d requests came to the server, %d resets", requests.Load(), n.count(attemptsReset))
+		t.Errorf("got %d requests at the upstream and %d resets, want 5 and 0", requests.Load(), n.count(attemptsReset))
 	}
 	n.upstreams.closeExpired()
 	if n.upstreams.open != 0 {
-		t.Errorf("%d closed connections still hold descriptors", n.upstreams.open)
+		t.Errorf("got %d open connections after closeExpired, want 0", n.upstreams.open)
 	}
 }
 
-// Guards against writing a request to a connection that the upstream has closed, or is about to close, for being
-// idle.
+// Guards against writing a request to a connection that the upstream has closed, or is about to close, because it was
+// idle for too long.
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) {
@@ -64,12 +64,12 @@
 			time.Sleep(80 * time.Millisecond)
 		}
 		if ask(t, n, "batch", fmt.Sprint("t", i), ""); n.count(upstreamConnsOpened) != want {
-			t.Errorf("%d connections after request %d, want %d", n.count(upstreamConnsOpened), i, want)
+			t.Errorf("got %d connections opened after request %d, want %d", n.count(upstreamConnsOpened), i, want)
 		}
 	}
 }
 
-// Guards against upstream connections taking more descriptors than their share and the slots that clients lend.
+// Guards against upstream connections that use more descriptors than their share and the slots lent by clients.
 func TestUpstreamConnectionsAreBounded(t *testing.T) {
 	for _, lent := range []int64{0, 4} {
 		var atUpstream atomic.Int64
@@ -95,13 +95,13 @@
 		close(hold)
 		done.Wait()
 		if statusCounts[200].Load() != 3+lent || atUpstream.Load() != 3+lent || n.count(attemptsNotSent) < 7-lent {
-			t.Errorf("with %d lent: %d satisfied, %d at the server, %d never sent", lent, statusCounts[200].Load(),
+			t.Errorf("with %d lent slots: got %d succeeded, %d at the upstream and %d not sent, want 3 more than lent for the first two", lent, statusCounts[200].Load(),
 				atUpstream.Load(), n.count(attemptsNotSent))
 		}
 	}
 }
 
-// Room for a connection is made in place of the one that has been idle longest, whichever endpoint it is to.
+// A slot for a new connection is freed by closing the longest idle connection of any endpoint.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	n := newNode(t, nil)
 	pool := n.upstreams
@@ -115,33 +115,34 @@
 		})
 		pool.setAddress(policy.EndpointID(i), "x", true)
 		if !pool.reserveSlot() {
-			t.Fatal("no slot for one of three")
+			t.Fatal("got no slot for one of 3 connections, want one")
 		}
 	}
 	for _, i := range []int{1, 0, 2} {
 		pool.putIdle(conns[i])
 	}
 	if c := pool.takeIdle(conns[1].target); c != conns[1] {
-		t.Fatal("the connection that was kept is not there")
+		t.Fatal("takeIdle did not return the idle connection to endpoint 1")
 	}
-	pool.putIdle(conns[1]) // used again, so that 0 is now the longest idle
+	pool.putIdle(conns[1]) // used again, so that the connection to endpoint 0 is the longest idle
 	if !pool.reserveSlot() || pool.takeIdle(conns[0].target) != nil || pool.idleOrder.Len() != 2 {
-		t.Errorf("%d idle, want 1 and 2", pool.idleOrder.Len())
+		t.Errorf("got %d idle connections, want 2: those to endpoints 1 and 2", pool.idleOrder.Len())
 	}
 	pool.closeIdle(conns[2].target)
 	if pool.idleOrder.Len() != 1 || pool.open != 2 {
-		t.Errorf("%d idle, %d open after a server was forgotten, want 1 and 2", pool.idleOrder.Len(), pool.open)
+		t.Errorf("got %d idle and %d open connections after closeIdle, want 1 and 2", pool.idleOrder.Len(), pool.open)
 	}
 	if pool.takeIdle(conns[1].target) == nil {
-		t.Error("the connection that is still idle is not there")
+		t.Error("takeIdle did not return the remaining idle connection")
 	}
 	first := pool.reserveSlot()
 	if first && pool.reserveSlot() {
-		t.Error("a slot was freed though no connection is idle")
+		t.Error("got a slot beyond the limit although no connection is idle")
 	}
 }
 
-// What a connection has shown decides when it may carry the next request.
+// The last response on a connection, and extra input on any connection, decide whether it may be reused before its
+// cooldown has passed.
 func TestConnectionCooldown(t *testing.T) {
 	server := listen(t, func(c net.Conn) { discard(c) })
 	target := upstreamTarget{1, server}
@@ -150,11 +151,11 @@
 		eligible                 bool
 		reusable                 bool
 	}{
-		"after an answer":           {eligible: true, reusable: true},
-		"after one rejected":        {eligible: true, lastRejected: true},
-		"where answers come again":  {eligible: true, extraInput: true},
-		"its server is not wanted":  {},
-		"nor in any of these cases": {extraInput: true, lastRejected: true},
+		"after a response":      {eligible: true, reusable: true},
+		"after a rejection":     {eligible: true, lastRejected: true},
+		"after extra input":     {eligible: true, extraInput: true},
+		"endpoint not eligible": {},
+		"endpoint not eligible, after a rejection and extra input": {extraInput: true, lastRejected: true},
 	} {
 		n := newNode(t, nil)
 		n.upstreams.extraInputCooldown = time.Hour
@@ -167,20 +168,20 @@
 		n.upstreams.reserveSlot()
 		n.upstreams.putIdle(&upstreamConn{bufferedConn: newBufferedConn(raw), target: target, lastRejected: c.lastRejected})
 		if open := n.upstreams.open; open != 0 != c.eligible {
-			t.Errorf("%s: %d connections are open", name, open)
+			t.Errorf("%s: got %d open connections, want one only if the endpoint is eligible", name, open)
 		}
 		if got := n.upstreams.takeIdle(target); got != nil != c.reusable {
-			t.Errorf("%s: taken %t", name, got != nil)
+			t.Errorf("%s: got reused during the cooldown %t, want the opposite", name, got != nil)
 		}
 		n.upstreams.extraInputCooldown = 0
 		if got := n.upstreams.takeIdle(target); got != nil != (c.eligible && !c.reusable) {
-			t.Errorf("%s: taken %t once it has rested", name, got != nil)
+			t.Errorf("%s: got reused after the cooldown %t, want the opposite", name, got != nil)
 		}
 		raw.Close()
 	}
 }
 
-// After an endpoint has restarted at its address no request is sent on connections from before.
+// No request is sent on older connections to an endpoint that was restarted at the same address.
 func TestRestartedEndpointGetsNewConnections(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
@@ -193,7 +194,7 @@
 	restartedEntry := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`,
 		fmt.Sprintf(`"born_ms":%d`, n.clock.nanos()/milli), 1)
 	n.updateList(t, listText(2, false, restartedEntry))
-	eventually(t, "its end", func() bool {
+	eventually(t, "the idle connection to be closed", func() bool {
 		n.upstreams.mu.Lock()
 		defer n.upstreams.mu.Unlock()
 		return n.upstreams.open == 0
@@ -202,6 +203,6 @@
 	ask(t, n, "batch", "b", "")
 	n.updateList(t, listText(4, false, restartedEntry))
 	if n.flushLoop(); n.count(upstreamConnsIdleClosed) != 1 {
-		t.Errorf("%d connections closed", n.count(upstreamConnsIdleClosed))
+		t.Errorf("got %d idle connections closed, want 1", n.count(upstreamConnsIdleClosed))
 	}
 }
