--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -85,7 +85,7 @@
 }
 
 // SetTimer has TimerFired called with the cookie at a time.
-func (l *eventLoop) SetTimer(at policy.Time, cookie uint64) { l.timers.Set(int64(at), cookie) }
+func (l *eventLoop) SetTimer(at policy.Time, cookie uint64) { l.timers.Add(int64(at), cookie) }
 
 // WatchEndpoints asks for a watch of the endpoint list.
 func (l *eventLoop) WatchEndpoints() { l.node.endpointWatch.requestCall() }
