--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -112,15 +112,15 @@
 			t.Parallel()
 			server, requests := startUpstream(t, echo)
 			n := newNode(t, withSettings(c.settings...), server)
-			dials := n.holdDials(t)
+			dials := n.blockDials(t)
 			n.start()
 			client, in := dial(t, n)
 			writeText(client, requestText(c.class, "t1", ""))
-			dials.held(t, 1)
+			dials.awaitArrivals(t, 1)
 			c.event(t, n, client, server)
-			dials.pass()
+			dials.release()
 			if c.status != 0 {
-				if status, _, _ := readAnswer(in); status != c.status {
+				if status, _, _ := readResponse(in); status != c.status {
 					t.Errorf("got status %d, want %d", status, c.status)
 				}
 			}
@@ -140,7 +140,7 @@
 // after the window has ended, even if it ended during the dial.
 func TestRequestIsNotWrittenAfterDedupWindowEndsDuringDial(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		return writeAnswer(c, "500 Bad", "")
+		return writeResponse(c, "500 Bad", "")
 	})
 	for name, windowMs := range map[string]int64{"ends": 150, "lasts": 700} {
 		t.Run(name, func(t *testing.T) {
@@ -158,11 +158,11 @@
 			began := n.clock.now()
 			client, in := dial(t, n)
 			writeText(client, requestText("update", "t1", ""))
-			secondDial.held(t, 1)
+			secondDial.awaitArrivals(t, 1)
 			// after the end of the shorter window in any case
 			time.Sleep(time.Until(n.clock.at(began.Add(200 * time.Millisecond))))
-			secondDial.pass()
-			status, _, _ := readAnswer(in)
+			secondDial.release()
+			status, _, _ := readResponse(in)
 			executed := n.count(attemptsErrored)
 			if status != 502 || name == "ends" && executed != 1 || name == "lasts" && executed < 1 {
 				t.Errorf("got status %d and %d executed attempts, want 502 and one attempt if the window ends, at least one otherwise", status, executed)
@@ -177,12 +177,12 @@
 	const window = 800 * time.Millisecond
 	failing, requests := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 		time.Sleep(window - 20*time.Millisecond)
-		return writeAnswer(c, "500 Bad", "")
+		return writeResponse(c, "500 Bad", "")
 	})
 	n := startNode(t, withSettings(`"memory_span_us":2000000`,
 		fmt.Sprintf(`"memory_span_us":%d`, window.Microseconds()), `800000`, `20000000`, `300000`, `20000000`),
 		failing, failing)
-	if status, _, _ := ask(t, n, "update", "t1", ""); status != 502 || requests.Load() != 1 {
+	if status, _, _ := sendRequest(t, n, "update", "t1", ""); status != 502 || requests.Load() != 1 {
 		t.Errorf("got status %d after %d attempts, want 502 after 1", status, requests.Load())
 	}
 }
@@ -208,15 +208,15 @@
 	n.start()
 	client, in := dial(t, n)
 	writeText(client, requestText("batch", "t1", ""))
-	firstResponse.held(t, 1)
+	firstResponse.awaitArrivals(t, 1)
 	n.updateList(t, listText(2, false, listEntry("s-1", other, "up")))
 	n.loop.post(func() { n.loop.Send("t1", endpointID("s-1"), 20*time.Second) })
-	hedgeDial.held(t, 1)
-	firstResponse.pass()
-	if status, _, _ := readAnswer(in); status != 200 {
+	hedgeDial.awaitArrivals(t, 1)
+	firstResponse.release()
+	if status, _, _ := readResponse(in); status != 200 {
 		t.Fatalf("got status %d from the first attempt, want 200", status)
 	}
-	hedgeDial.pass()
+	hedgeDial.release()
 	eventually(t, "the end of the hedged request", func() bool { return n.count(attemptsNotSent) == 1 })
 	if requests.Load() != 0 {
 		t.Error("hedged request was written after its request had been answered")
@@ -234,11 +234,11 @@
 	n := startNode(t, nil, server, server)
 	client, in := dial(t, n)
 	writeText(client, requestText("pay", "t", ""))
-	response.held(t, 1)
-	loopGate := n.holdLoop(t)
+	response.awaitArrivals(t, 1)
+	loopGate := n.blockLoop(t)
 	n.loop.post(func() { n.loop.Cancel("t", 0) })
-	loopGate.pass()
-	if status, _, _ := readAnswer(in); status != 502 || requests.Load() != 1 {
+	loopGate.release()
+	if status, _, _ := readResponse(in); status != 502 || requests.Load() != 1 {
 		t.Errorf("got status %d and %d requests at upstreams for a canceled non-idempotent request, want 502 and 1", status, requests.Load())
 	}
 	if n.count(attemptsCanceled) != 1 {
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -16,7 +16,7 @@
 func TestNewEndpointAtAddressOfRemovedOneKeepsItsConnections(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
-	ask(t, n, "batch", "old", "")
+	sendRequest(t, n, "batch", "old", "")
 	postList := func(version int, complete bool, entries ...string) {
 		t.Helper()
 		update, err := n.parseList([]byte(listText(version, complete, entries...)))
@@ -29,13 +29,13 @@
 		<-done
 	}
 	postList(2, false, listEntry("s-0", server, "draining"), listEntry("young", server, "up"))
-	ask(t, n, "batch", "young", "")
+	sendRequest(t, n, "batch", "young", "")
 	if n.count(upstreamConnsOpened) != 2 {
 		t.Errorf("got %d connections opened, want 2: one to the old endpoint and one to the new", n.count(upstreamConnsOpened))
 	}
 	postList(3, false, listEntry("s-0", server, "removed"))
 	time.Sleep(20 * time.Millisecond)
-	ask(t, n, "batch", "again", "")
+	sendRequest(t, n, "batch", "again", "")
 	if n.count(upstreamConnsOpened) != 2 {
 		t.Error("the removal of the old endpoint closed the connection to the new one")
 	}
@@ -54,7 +54,7 @@
 		c.Settings = json.RawMessage(strings.Replace(settingsText, `"rules":{`,
 			`"rules":{"removal_not_binding":true,`, 1))
 	}, server)
-	ask(t, n, "batch", "before", "")
+	sendRequest(t, n, "batch", "before", "")
 	postList := func(text string) {
 		update, err := n.parseList([]byte(text))
 		if err != nil {
@@ -64,11 +64,11 @@
 	}
 	postList(listText(2, false, listEntry("s-0", server, "removed")))
 	postList(listText(3, true))
-	if status, _, _ := ask(t, n, "batch", "after", ""); status != http.StatusOK || n.count(upstreamConnsOpened) != 1 {
+	if status, _, _ := sendRequest(t, n, "batch", "after", ""); status != http.StatusOK || n.count(upstreamConnsOpened) != 1 {
 		t.Errorf("got status %d and %d connections opened, want 200 and 1", status, n.count(upstreamConnsOpened))
 	}
 	postList(listText(4, false, listEntry("s-0", server, "draining")))
-	if status, _, _ := ask(t, n, "batch", "drained", ""); status != http.StatusServiceUnavailable {
+	if status, _, _ := sendRequest(t, n, "batch", "drained", ""); status != http.StatusServiceUnavailable {
 		t.Errorf("got status %d with only a draining endpoint, want 503", status)
 	}
 }
@@ -131,15 +131,15 @@
 					n.updateList(t, listText(1, true, inRemovedsGroup(listEntry("s-0", first, "up"))))
 					client, answers := dial(t, n)
 					writeText(client, requestText("update", "t1", "x"))
-					gate.held(t, 1)
+					gate.awaitArrivals(t, 1)
 					memberEntry, want := inRemovedsGroup(listEntry("s-1", groupMember, "up")), 200
 					if groupDrains {
 						memberEntry, want = inRemovedsGroup(listEntry("s-1", groupMember, "draining")), 502
 					}
 					n.updateList(t, list(listEntry("s-0", first, "removed"), memberEntry,
 						outsideGroup(listEntry("s-2", outsiderAddress, "up"))))
-					gate.pass()
-					if status, _, _ := readAnswer(answers); status != want || outsiderRequests.Load() != 0 {
+					gate.release()
+					if status, _, _ := readResponse(answers); status != want || outsiderRequests.Load() != 0 {
 						t.Errorf("got status %d, want %d; got %d attempts outside the group, want 0", status, want,
 							outsiderRequests.Load())
 					}
@@ -167,7 +167,7 @@
 					mu.Lock()
 					executed[r.Header.Get(headerRequestID)] = true
 					mu.Unlock()
-					return writeAnswer(c, "500 Bad", "")
+					return writeResponse(c, "500 Bad", "")
 				})
 				removed, served := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 					mu.Lock()
@@ -191,7 +191,7 @@
 					n.updateList(t, listText(2, false, list, otherEntry))
 				}
 				for i := 0; i < 200 && (attempts.Load() == 0 || served.Load() == 0 || i < 20); i++ {
-					ask(t, n, "update", fmt.Sprint("t", i), "")
+					sendRequest(t, n, "update", fmt.Sprint("t", i), "")
 				}
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -88,7 +88,7 @@
 				d := startSerialDiscovery(t, turn, 0, text)
 				n := newNodeWithTenthDelays(t, mode, d.address)
 				go n.start()
-				eventually(t, "ready", func() bool { return n.notReady() == "" && n.hasList.Load() })
+				eventually(t, "ready", func() bool { return n.notReadyReason() == "" && n.hasList.Load() })
 				if calls := d.calls.Load(); calls > maxCalls+1 { // one more if the machine is slow
 					t.Errorf("got %d calls, want at most %d", calls, maxCalls)
 				}
@@ -106,7 +106,7 @@
 			d := startSerialDiscovery(t, time.Millisecond, 4, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
 			n := newNodeWithTenthDelays(t, mode, d.address)
 			go n.start()
-			eventually(t, "ready", func() bool { return n.notReady() == "" })
+			eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 			if calls, maxWaiting := d.calls.Load(), d.maxWaitingCalls.Load(); calls > 5 || maxWaiting > 3 { // briefly 3 until the server notices that the node closed one
 				t.Errorf("got %d calls, at most %d at a time, want at most 5 calls and 3 at a time", calls, maxWaiting)
 			}
@@ -128,7 +128,7 @@
 	}
 	eventually(t, "all ready", func() bool {
 		for _, n := range all {
-			if n.notReady() != "" {
+			if n.notReadyReason() != "" {
 				return false
 			}
 		}
@@ -179,7 +179,7 @@
 			n := newNodeWithTenthDelays(t, "push", address)
 			n.endpointWatch.silenceTimeout = tenthSilence
 			go n.start()
-			eventually(t, "ready", func() bool { return n.notReady() == "" })
+			eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 			if calls.Load() > 4 {
 				t.Errorf("got %d calls, want at most 4", calls.Load())
 			}
@@ -218,7 +218,7 @@
 			if calls := calls.Load(); calls < 2 || calls > 4 {
 				t.Errorf("got %d calls in 1.5 s, want 2 to 4: the backoff grows from 0.2 s", calls)
 			}
-			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 || !n.overrides.isKnown("s-0") || n.overrides.isKnown("s-1") {
+			if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 200 || !n.overrides.isKnown("s-0") || n.overrides.isKnown("s-1") {
 				t.Errorf("got status %d while the old list should be in use, want 200 and only s-0 known", status)
 			}
 			if errorsLogged := logged.FilterLevelExact(zap.ErrorLevel).Len(); errorsLogged != 1 || logged.FilterMessage("endpoint watch ended").Len() != 0 {
@@ -262,9 +262,9 @@
 		c.Discovery, c.KnownList, c.Limits.MemoryMB = address, nil, 0
 	})
 	go n.start()
-	for end := time.Now().Add(2 * time.Minute); n.notReady() != ""; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(2 * time.Minute); n.notReadyReason() != ""; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not ready within 2 min, after %d calls: %s", calls.Load(), n.notReady())
+			t.Fatalf("not ready within 2 min, after %d calls: %s", calls.Load(), n.notReadyReason())
 		}
 	}
 	known := make(chan int)
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -19,7 +19,7 @@
 // socket.
 func newProcessFactory(t *testing.T, servers ...string) (next func() *Node) {
 	t.Helper()
-	listener, err := net.Listen("tcp", address())
+	listener, err := net.Listen("tcp", unusedAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,13 +66,13 @@
 	next := newProcessFactory(t)
 	predecessor := next()
 	predecessor.start()
-	predecessor.postList(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: listedHere("s-7")}}, []string{"a"})))
+	predecessor.postList(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: activeEndpointInfo("s-7")}}, []string{"a"})))
 	predecessor.postList(t, listText(8, false, listEntry("s-8", server, "up")))
 	predecessor.postList(t, listText(9, false, listEntry("s-8", server, "removed")))
 	eventually(t, "the list", func() bool { return predecessor.overrides.isKnown("s-8") })
 	keptConn, keptIn := dial(t, predecessor)
 	writeText(keptConn, requestText("batch", "t1", "a"))
-	if status, _, _ := readAnswer(keptIn); status != 200 {
+	if status, _, _ := readResponse(keptIn); status != 200 {
 		t.Fatalf("got status %d from the predecessor, want 200", status)
 	}
 	fullLimit := predecessor.maxUpstreamConns()
@@ -84,11 +84,11 @@
 	if total := predecessor.maxUpstreamConns() + successor.maxUpstreamConns(); total > fullLimit+1 {
 		t.Errorf("got an upstream connection limit of %d for both processes, want at most one more than %d", total, fullLimit)
 	}
-	if successor.notReady() == "" {
+	if successor.notReadyReason() == "" {
 		t.Error("the successor is ready before it serves")
 	}
 	successor.start()
-	eventually(t, "the successor to be ready", func() bool { return successor.call(t, "GET /ready") == 200 })
+	eventually(t, "the successor to be ready", func() bool { return successor.adminCall(t, "GET /ready") == 200 })
 	eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
 	if !successor.overrides.isKnown("s-8") {
 		t.Error("the successor does not know an endpoint that the predecessor had listed")
@@ -98,7 +98,7 @@
 	}
 	acceptedBefore := predecessor.count(clientsAccepted)
 	for i := range 30 {
-		if status, _, _ := ask(t, successor, "batch", fmt.Sprint("new", i), ""); status != 200 {
+		if status, _, _ := sendRequest(t, successor, "batch", fmt.Sprint("new", i), ""); status != 200 {
 			t.Errorf("request %d on a new connection: got status %d, want 200", i, status)
 		}
 	}
@@ -141,7 +141,7 @@
 			return predecessor.maxUpstreamConns() == fullLimit && !predecessor.hotRestart.hasServingSuccessor()
 		})
 		for i := range 10 {
-			if status, _, _ := ask(t, predecessor, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
+			if status, _, _ := sendRequest(t, predecessor, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
 				t.Errorf("after the successor died: got status %d, want 200", status)
 			}
 		}
@@ -177,7 +177,7 @@
 				t.Errorf("got inherited state %+v after %v and %d ignored hot restarts, want none within twice the timeout and 1", n.inherited, time.Since(began), n.count(hotRestartsIgnored))
 			}
 			n.start()
-			eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+			eventually(t, "ready", func() bool { return n.adminCall(t, "GET /ready") == 200 })
 		})
 	}
 }
--- a/internal/node/hotrestartrace_test.go
+++ b/internal/node/hotrestartrace_test.go
@@ -24,7 +24,7 @@
 	successor.hotRestart.mu.Lock()
 	successor.hotRestart.predecessor.Close()
 	successor.hotRestart.mu.Unlock()
-	if status, _, _ := readAnswer(in); status != 200 {
+	if status, _, _ := readResponse(in); status != 200 {
 		t.Errorf("got status %d for a request pending when the successor died, want 200", status)
 	}
 	<-stopped
@@ -75,7 +75,7 @@
 				t.Fatal(err)
 			}
 			successor.start()
-			eventually(t, "both processes to be drained", func() bool { return predecessor.overrides.drained() && successor.notReady() == "drained" })
+			eventually(t, "both processes to be drained", func() bool { return predecessor.overrides.drained() && successor.notReadyReason() == "drained" })
 			sendRequest("drained")
 			predecessor.shutDown()
 		},
@@ -88,7 +88,7 @@
 			predecessor.start()
 			restart(t, next, predecessor, func(id string) {
 				t.Helper()
-				if status, body, _ := ask(t, predecessor, "batch", id, ""); status != 200 {
+				if status, body, _ := sendRequest(t, predecessor, "batch", id, ""); status != 200 {
 					t.Errorf("request %s: got status %d, want 200; body %s", id, status, body)
 				}
 			})
--- a/internal/node/listwatch_test.go
+++ b/internal/node/listwatch_test.go
@@ -26,12 +26,12 @@
 		[]string{listText(6, false, listEntry("s-0", secondAddress, "draining"))})
 	n := startNode(t, func(c *Config) { c.Discovery = address }, firstAddress)
 	eventually(t, "the update with the new address", func() bool { return n.count(listUpdates) == 1 })
-	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 || firstRequests.Load() != 0 || secondRequests.Load() != 1 {
+	if status, _, _ := sendRequest(t, n, "batch", "t1", ""); status != 200 || firstRequests.Load() != 0 || secondRequests.Load() != 1 {
 		t.Errorf("after the address change: got status %d, %d requests at the old address and %d at the new, want 200, 0 and 1", status, firstRequests.Load(),
 			secondRequests.Load())
 	}
 	eventually(t, "the update with the draining endpoint", func() bool { return n.count(listUpdates) == 2 })
-	if status, _, _ := ask(t, n, "batch", "t2", ""); status != 503 || secondRequests.Load() != 1 {
+	if status, _, _ := sendRequest(t, n, "batch", "t2", ""); status != 503 || secondRequests.Load() != 1 {
 		t.Errorf("got status %d with only a draining endpoint, want 503 and no attempt", status)
 	}
 	if n.count(listEntriesSkipped) != 3 {
@@ -81,7 +81,7 @@
 	write(newAddress, "2e")
 	reload(configReloads)
 	eventually(t, "the list of the new address", func() bool { return n.count(listUpdates) == 2 })
-	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 {
+	if status, _, _ := sendRequest(t, n, "batch", "t1", ""); status != 200 {
 		t.Errorf("got status %d with the new list, want 200", status)
 	}
 	if got, _ := watchRequests.Load(0); got == nil || !strings.Contains(got.(string), "after=0 ") {
@@ -192,7 +192,7 @@
 					defer n.upstreams.mu.Unlock()
 					return len(n.upstreams.eligible) == 0
 				})
-				if status, _, _ := ask(t, n, "batch", "t", ""); status != 503 || requests.Load() != 0 {
+				if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 503 || requests.Load() != 0 {
 					t.Errorf("after the drain: got status %d and %d requests at the upstream, want 503 and 0", status,
 						requests.Load())
 				}
@@ -224,7 +224,7 @@
 			n.endpointWatch.parallelCallDelay, n.endpointWatch.retryInterval = 60*time.Millisecond, c.wait
 			n.start()
 			eventually(t, "the next call", func() bool { return callCount.Load() >= 2 })
-			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
+			if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 200 {
 				t.Errorf("got status %d after an incomplete line with a drain, want 200", status)
 			}
 		})
@@ -262,12 +262,12 @@
 	client, in := dial(t, n)
 	writeText(client, requestText("batch", "t", ""))
 	go n.start()
-	firstEvent.held(t, 1)
-	if n.notReady() == "" {
+	firstEvent.awaitArrivals(t, 1)
+	if n.notReadyReason() == "" {
 		t.Error("ready before the first event of the watch")
 	}
-	firstEvent.pass()
-	if status, _, _ := readAnswer(in); status != 503 || requests.Load() != 0 {
+	firstEvent.release()
+	if status, _, _ := readResponse(in); status != 503 || requests.Load() != 0 {
 		t.Errorf("got status %d and %d requests at a draining upstream, want 503 and 0", status, requests.Load())
 	}
 }
@@ -288,10 +288,10 @@
 		discard(c)
 	})
 	n := startNode(t, func(c *Config) { c.Discovery = oldAddress }, server)
-	lastUpdate.held(t, 1)
+	lastUpdate.awaitArrivals(t, 1)
 	eventually(t, "the list of the old address", func() bool { return n.count(listUpdates) == 1 })
 	n.endpointWatch.setAddress(newAddress)
-	lastUpdate.pass()
+	lastUpdate.release()
 	eventually(t, "the list of the new address", func() bool {
 		known := make(chan bool)
 		n.loop.post(func() {
@@ -300,7 +300,7 @@
 		})
 		return <-known
 	})
-	if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
+	if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 200 {
 		t.Errorf("got status %d, want 200: an update of the old address was applied", status)
 	}
 }
--- a/internal/node/pacing.go
+++ b/internal/node/pacing.go
@@ -35,7 +35,7 @@
 }
 
 // beginRead sets the deadline of the following read. It returns os.ErrDeadlineExceeded if the peer has been too slow,
-// and errBodyAbandoned if the body has been abandoned.
+// and errBodyNotNeeded if the body has been abandoned.
 func (p *readPacer) beginRead(conn net.Conn) error {
 	p.readStartedAt = time.Now()
 	countedTime := p.waitTime - p.gracePeriod
@@ -48,7 +48,7 @@
 	}
 	err := conn.SetReadDeadline(deadline)
 	if p.abandoned != nil && p.abandoned.Load() {
-		return errBodyAbandoned // the deadline set here may have replaced that of a concurrent abandon
+		return errBodyNotNeeded // the deadline set here may have replaced that of a concurrent abandon
 	}
 	return err
 }
--- a/internal/node/pacing_test.go
+++ b/internal/node/pacing_test.go
@@ -51,7 +51,7 @@
 		var abandoned atomic.Bool
 		abandoned.Store(canceled)
 		pacer := &readPacer{stallTimeout: time.Hour, abandoned: &abandoned}
-		if err := pacer.beginRead(near); errors.Is(err, errBodyAbandoned) != canceled {
+		if err := pacer.beginRead(near); errors.Is(err, errBodyNotNeeded) != canceled {
 			t.Errorf("abandoned %t: got error %v, want errBodyAbandoned only if abandoned", canceled, err)
 		}
 	}
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -69,7 +69,7 @@
 	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
 	sendRequests := func(first string) {
 		for _, id := range []string{"1", "2", "3"} {
-			if status, _, _ := ask(t, n, "view", first+id, ""); status != 200 {
+			if status, _, _ := sendRequest(t, n, "view", first+id, ""); status != 200 {
 				t.Errorf("request %s%s: got status %d, want 200", first, id, status)
 			}
 		}
@@ -93,7 +93,7 @@
 	disk := &faultyDisk{}
 	dir := t.TempDir()
 	n := startNode(t, withStateDir(t, disk, dir))
-	entry, err := n.entryOf(listEntry("s-9", server, "up"))
+	entry, err := n.parseEntry(listEntry("s-9", server, "up"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	sent := 0
 	eventually(t, "a request at the upstream, which is in slow start", func() bool {
 		sent++
-		status, _, _ := ask(t, restarted, "view", fmt.Sprint(sent), "")
+		status, _, _ := sendRequest(t, restarted, "view", fmt.Sprint(sent), "")
 		return status == 200 && requests.Load() == 1
 	})
 	if restarted.persistence.state.Epoch() != 2 {
@@ -123,7 +123,7 @@
 		})
 	}
 	n := start(3)
-	draining, err := n.entryOf(listEntry("s-0", drainingServer, "draining"))
+	draining, err := n.parseEntry(listEntry("s-0", drainingServer, "draining"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 		before, sent := drainingRequests.Load(), 0
 		eventually(t, "requests at the upstreams, which are in slow start", func() bool {
 			sent++ // most are rejected
-			ask(t, restarted, "view", fmt.Sprint(version, "-", sent), "")
+			sendRequest(t, restarted, "view", fmt.Sprint(version, "-", sent), "")
 			return sent > 40 && activeRequests.Load() > 2 && (!configuredIsNewer || drainingRequests.Load() > before)
 		})
 		if (drainingRequests.Load() > before) != configuredIsNewer {
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -137,14 +137,14 @@
 
 func isServedBy(t *testing.T, n *Node, id, server string) bool {
 	t.Helper()
-	status, body, _ := ask(t, n, "view", id, server)
+	status, body, _ := sendRequest(t, n, "view", id, server)
 	return status == 200 && strings.HasSuffix(body, server)
 }
 
 // startNamedUpstream starts an upstream that responds with its name.
 func startNamedUpstream(t *testing.T, name string) (address string, requests *atomic.Int64) {
 	return startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
-		return writeAnswer(c, "200 OK\r\nX-Pressure: queue=1", name)
+		return writeResponse(c, "200 OK\r\nX-Pressure: queue=1", name)
 	})
 }
 
@@ -157,7 +157,7 @@
 	putEndpoint(s, o, "a", a, "up")
 	putListVersion(s, o, 7)
 	n := startNode(t, withRelays(discovery, first))
-	eventually(t, "ready", func() bool { return n.notReady() == "" })
+	eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 	for i := range 10 {
 		if !isServedBy(t, n, fmt.Sprint("one", i), "a") {
 			t.Fatal("request was not served by the endpoint listed by relays")
@@ -229,7 +229,7 @@
 		return listText(int(version.Load()), true, listEntry("a", a, "up"), listEntry("b", b, "up"))
 	})
 	n := startNode(t, withRelaysAndSilence("20s", discovery, first)) // a failed connection is noticed before the silence timeout
-	eventually(t, "ready", func() bool { return n.notReady() == "" })
+	eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 	if !isServedBy(t, n, "one", "b") {
 		t.Fatal("request was not served by the endpoint listed by relays")
 	}
@@ -259,7 +259,7 @@
 	go serve(s, l)
 	eventually(t, "the list of the relays to be in use again", func() bool { v := relayStatus(t, n); return v.By == "relays" && !v.Watch })
 	eventually(t, "the watch to be closed", func() bool { return open.Load() == 0 })
-	eventually(t, "the newer list to be in use", func() bool { return isServedBy(t, n, fmt.Sprint("three", addresses.Add(1)), "a") })
+	eventually(t, "the newer list to be in use", func() bool { return isServedBy(t, n, fmt.Sprint("three", lastAddress.Add(1)), "a") })
 }
 
 // Discovery is watched if no relay responds at the start.
@@ -270,7 +270,7 @@
 	for name, at := range map[string]string{"unreachable relay": "127.0.0.1:1", "silent relay": silentRelay} {
 		began := time.Now()
 		n := startNode(t, withRelays(discovery, at))
-		eventually(t, "ready, "+name, func() bool { return n.notReady() == "" })
+		eventually(t, "ready, "+name, func() bool { return n.notReadyReason() == "" })
 		if took := time.Since(began); took > 3*time.Second {
 			t.Errorf("%s: got ready after %v, want at most 3 s: the silence timeout of 1 s and one call", name, took)
 		}
@@ -288,7 +288,7 @@
 	first, s, _ := serveOrigin(t, o)
 	s.Do(func(now int64) { putRecord(o, now, testScope, "route/x", distribution.ClassConfiguration, "1") })
 	n := startNode(t, withRelays(discovery, first))
-	eventually(t, "ready", func() bool { return n.notReady() == "" })
+	eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 	if v := relayStatus(t, n); v.By != "discovery" || !v.Whole {
 		t.Errorf("got relay status %+v, want a complete list by discovery", v)
 	}
@@ -329,10 +329,10 @@
 	putListVersion(s, o, 8)
 	lowerRelay := startRelayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", first))
 	n := startNode(t, withRelaysAndSilence("2s", discovery, lowerRelay.Address()))
-	eventually(t, "the list of the relays to be in use", func() bool { return n.notReady() == "" && relayStatus(t, n).By == "relays" })
+	eventually(t, "the list of the relays to be in use", func() bool { return n.notReadyReason() == "" && relayStatus(t, n).By == "relays" })
 	stop()
 	eventually(t, "the list of discovery to be in use", func() bool { return relayStatus(t, n).By == "discovery" })
-	eventually(t, "the newer list to be in use", func() bool { return isServedBy(t, n, fmt.Sprint("t", addresses.Add(1)), "b") })
+	eventually(t, "the newer list to be in use", func() bool { return isServedBy(t, n, fmt.Sprint("t", lastAddress.Add(1)), "b") })
 	if v := relayStatus(t, n); v.Relay != lowerRelay.Address() {
 		t.Errorf("got relay status %+v, want the relay still connected", v)
 	}
@@ -364,7 +364,7 @@
 	origin := startRelayProcess(t, fmt.Sprintf("name=\"o\"\nrole=\"origin\"\nlisten=\"127.0.0.1:0\"\n[origin]\ndiscovery=%q\n[origin.scope]\nservice=\"cart\"\nregion=\"eu1\"\n", originDiscovery))
 	lowerRelay := startRelayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", origin.Address()))
 	n := startNode(t, withRelaysAndSilence("4s", discovery, lowerRelay.Address()))
-	eventually(t, "the list of the relays to be in use", func() bool { return n.notReady() == "" && relayStatus(t, n).By == "relays" })
+	eventually(t, "the list of the relays to be in use", func() bool { return n.notReadyReason() == "" && relayStatus(t, n).By == "relays" })
 	if !isServedBy(t, n, "one", "a") {
 		t.Fatal("request was not served by the endpoint listed by relays")
 	}
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -202,7 +202,7 @@
 // response returns the response for the client.
 func (r *upstreamReply) response(method string, body []byte) response {
 	length := r.Header.Get("Content-Length")
-	passed := response{status: r.StatusCode, header: endToEnd(r.Header), body: body}
+	passed := response{status: r.StatusCode, header: removeHopByHopHeaders(r.Header), body: body}
 	if length != "" && !allowsResponseBody(method) {
 		passed.header.Set("Content-Length", length)
 	}
@@ -273,7 +273,7 @@
 }
 
 // readBodyStart reads a short response completely, and the start of a longer one. A response of unknown length is
-// treated as short for responseHoldBack: a broken response mostly fails at once, and a slow one must not be delayed
+// treated as short for responseBufferTimeout: a broken response mostly fails at once, and a slow one must not be delayed
 // until it is known to be long.
 func readBodyStart(m *message) (body []byte, complete bool, err error) {
 	if m.length > maxBufferedResponse {
@@ -290,7 +290,7 @@
 		if complete || err != nil {
 			return body, complete, err
 		}
-		if len(body) > 0 && time.Since(began) > responseHoldBack {
+		if len(body) > 0 && time.Since(began) > responseBufferTimeout {
 			break
 		}
 	}
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -98,7 +98,7 @@
 		u.evictLongestIdleLocked()
 	}
 	needed := int64(max(0, u.open-u.maxOpen))
-	lent := &u.node.frontend.lentSlots
+	lent := &u.node.frontend.slotsLentToUpstreams
 	lent.Add(min(0, needed-lent.Load()))
 }
 
@@ -160,7 +160,7 @@
 			return nil
 		}
 		expired := conn.idleSince.Before(u.idleCutoff())
-		if !expired && conn.isQuiet() {
+		if !expired && conn.isReusable() {
 			return conn
 		}
 		u.recordExtraInput(conn.hasInput())
@@ -201,13 +201,13 @@
 
 // waitForSlot reserves a slot for a connection, if necessary one that the frontend lends (frontend.go). It returns
 // errNoConnectionSlot if there is none. While an idle client connection is being closed for its slot, it waits for
-// lendTimeout or for 1/slotWaitDivisor of the attempt's time, whichever is longer: on a busy machine closing takes
+// slotLendTimeout or for 1/slotWaitDivisor of the attempt's time, whichever is longer: on a busy machine closing takes
 // long, and another attempt would wait for the same slot. The rest of the time is left for the request.
 func (u *upstreams) waitForSlot(a *attempt, deadline time.Time) error {
 	began := time.Now()
-	giveUp := began.Add(max(lendTimeout, deadline.Sub(began)/slotWaitDivisor))
+	giveUp := began.Add(max(slotLendTimeout, deadline.Sub(began)/slotWaitDivisor))
 	for !u.reserveSlot() {
-		switch u.node.frontend.lendSlot() {
+		switch u.node.frontend.lendSlotToUpstream() {
 		case slotLent:
 			continue
 		case slotUnavailable:
@@ -226,7 +226,7 @@
 func (u *upstreams) reserveSlot() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.open >= u.maxOpen+int(u.node.frontend.lentSlots.Load()) {
+	if u.open >= u.maxOpen+int(u.node.frontend.slotsLentToUpstreams.Load()) {
 		if u.idleOrder.Len() == 0 {
 			return false
 		}
@@ -316,7 +316,7 @@
 	for target, idle := range u.idleConns {
 		kept := idle[:0]
 		for _, conn := range idle {
-			if conn.idleSince.After(cutoff) && conn.isQuiet() {
+			if conn.idleSince.After(cutoff) && conn.isReusable() {
 				kept = append(kept, conn)
 				continue
 			}
