--- a/internal/node/bufferedconn.go
+++ b/internal/node/bufferedconn.go
@@ -155,4 +155,4 @@
 // closedByPeer reports whether the peer has ended its side, also where unread bytes precede the end. It may be called
 // beside reads and writes. A peer that has only shut down its sending side looks the same: the protocol counts a client
 // that closes as gone, and only a write would show the difference.
-func (c *bufferedConn) closedByPeer() bool { return sockstate.Ended(c.Conn) }
+func (c *bufferedConn) closedByPeer() bool { return sockstate.PeerClosed(c.Conn) }
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -202,7 +202,7 @@
 	p.opened = opened
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state.MergeFound(opened.state)
+	p.state.MergeStored(opened.state)
 	return true
 }
 
@@ -259,7 +259,7 @@
 // loop's queue is full, the estimates wait for the next interval.
 func (p *persistence) collectEstimates() {
 	var starts map[string]uint64
-	if p.node.members.query(func(m *members.Members, _ int64) { starts = m.StartsMs() }) == nil {
+	if p.node.members.query(func(m *members.Members, _ int64) { starts = m.KnownStartsMs() }) == nil {
 		p.mu.Lock()
 		p.state.RecordMemberStarts(p.node.clock.nanos(), starts)
 		p.mu.Unlock()
