--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -107,7 +107,8 @@
 			n := newNodeWithTenthDelays(t, mode, d.address)
 			go n.start()
 			eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
-			if calls, maxWaiting := d.calls.Load(), d.maxWaitingCalls.Load(); calls > 5 || maxWaiting > 3 { // briefly 3 until the server notices that the node closed one
+			// Briefly 3 calls at a time, until the service notices that the node has closed one.
+			if calls, maxWaiting := d.calls.Load(), d.maxWaitingCalls.Load(); calls > 5 || maxWaiting > 3 {
 				t.Errorf("got %d calls, at most %d at a time, want at most 5 calls and 3 at a time", calls, maxWaiting)
 			}
 			eventually(t, "the other calls to be closed", func() bool { return d.waitingCalls.Load() == 1 })
--- a/internal/node/hotrestartrace_test.go
+++ b/internal/node/hotrestartrace_test.go
@@ -33,21 +33,21 @@
 // Guards against lost requests when two successors start at once, both processes shut down, or a shutdown or a drain
 // overlaps with a hot restart.
 func TestOverlappingHotRestartsLoseNoRequest(t *testing.T) {
-	for name, restart := range map[string]func(t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string)){
-		"two successors": func(t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string)) {
+	for name, restart := range map[string]func(t *testing.T, next func() *Node, predecessor *Node, checkServed func(string)){
+		"two successors": func(t *testing.T, next func() *Node, predecessor *Node, checkServed func(string)) {
 			first := next()
 			second := next() // is rejected as a successor and starts without inherited state
 			if first.inherited == nil || second.inherited != nil {
 				t.Error("got the wrong inherited states, want the first process to inherit and the second not to")
 			}
 			second.start()
-			sendRequest("second")
+			checkServed("second")
 			first.start()
 			eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
 			predecessor.shutDown()
-			sendRequest("first")
+			checkServed("first")
 		},
-		"both shut down": func(t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string)) {
+		"both shut down": func(t *testing.T, next func() *Node, predecessor *Node, checkServed func(string)) {
 			successor := next()
 			successor.start()
 			eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
@@ -55,28 +55,28 @@
 			for _, n := range []*Node{predecessor, successor} {
 				done.Go(n.shutDown)
 			}
-			eventually(t, "both processes to shut down", func() bool { return predecessor.shuttingDown.Load() && successor.shuttingDown.Load() })
-			sendRequest("while both stop")
+			eventually(t, "both processes to begin their shutdown", func() bool { return predecessor.shuttingDown.Load() && successor.shuttingDown.Load() })
+			checkServed("while both stop")
 			done.Wait()
 		},
 		"the predecessor shuts down before the successor accepts": func(
-			t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string),
+			t *testing.T, next func() *Node, predecessor *Node, checkServed func(string),
 		) {
 			successor := next()
 			successor.hotRestart.announceServing() // announces that it serves, but does not accept yet
 			eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
 			predecessor.shutDown()
 			go successor.start()
-			sendRequest("after")
+			checkServed("after")
 		},
-		"a drain during the restart": func(t *testing.T, next func() *Node, predecessor *Node, sendRequest func(string)) {
+		"a drain during the restart": func(t *testing.T, next func() *Node, predecessor *Node, checkServed func(string)) {
 			successor := next()
 			if _, err := predecessor.overrides.change(func(o *overrideSet) string { o.drained = true; return "" }); err != nil {
 				t.Fatal(err)
 			}
 			successor.start()
 			eventually(t, "both processes to be drained", func() bool { return predecessor.overrides.drained() && successor.notReadyReason() == "drained" })
-			sendRequest("drained")
+			checkServed("drained")
 			predecessor.shutDown()
 		},
 	} {
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -269,7 +269,7 @@
 		}
 		if set.drained != drained {
 			drained = set.drained
-			o.node.log.Info("node drain changed", zap.Bool("drained", drained))
+			o.node.log.Info("drain", zap.Bool("drained", drained))
 		}
 		select {
 		case <-o.changed:
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -228,7 +228,7 @@
 		}
 		return listText(int(version.Load()), true, listEntry("a", a, "up"), listEntry("b", b, "up"))
 	})
-	n := startNode(t, withRelaysAndSilence("20s", discovery, first)) // a failed connection is noticed before the silence timeout
+	n := startNode(t, withRelaysAndSilence("20s", discovery, first)) // a failed connection is noticed earlier
 	eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 	if !isServedBy(t, n, "one", "b") {
 		t.Fatal("request was not served by the endpoint listed by relays")
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -273,8 +273,8 @@
 }
 
 // readBodyStart reads a short response completely, and the start of a longer one. A response of unknown length is
-// treated as short for responseBufferTimeout: a broken response mostly fails at once, and a slow one must not be delayed
-// until it is known to be long.
+// treated as short for responseBufferTimeout: a broken response mostly fails at once, and a slow one must not be
+// delayed until it is known to be long.
 func readBodyStart(m *message) (body []byte, complete bool, err error) {
 	if m.length > maxBufferedResponse {
 		body = make([]byte, streamBufferBytes)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -7,13 +7,15 @@
 
 // Graceful shutdown after SIGTERM or SIGINT, in order:
 //
-// 1. The node reports that it is not ready, notifies the other members, and announces with each response that it will
-// close the client connection. It still accepts connections and requests for acceptAfterTerm, because load balancers
-// need that long to notice. 2. The listener is closed after its backlog is drained, idle client connections are closed,
-// and requests in flight continue, with retries, until they are answered. 3. At answerMargin before the platform may
-// kill the process, each unanswered request is answered: rejected if no attempt may have been executed or if the class
-// is idempotent, failed otherwise (eventLoop.giveUpAll). 4. At exitMargin before the platform may kill the process,
-// open streams are reset. Then state is written, and the process ends.
+//  1. The node reports that it is not ready, notifies the other members, and announces with each response that it will
+//     close the client connection. It still accepts connections and requests for acceptAfterTerm, because load
+//     balancers need that long to notice.
+//  2. The listener is closed after its backlog is drained, idle client connections are closed, and requests in flight
+//     continue, with retries, until they are answered.
+//  3. At answerMargin before the platform may kill the process, each unanswered request is answered: rejected if no
+//     attempt may have been executed or if the class is idempotent, failed otherwise (eventLoop.giveUpAll).
+//  4. At exitMargin before the platform may kill the process, open streams are reset. Then state is written, and the
+//     process ends.
 //
 // The platform sends SIGTERM and, if the process has not ended by then, SIGKILL. By the deployment's contract SIGKILL
 // is sent no earlier than killDelay after the longest deadline of the settings, which counts as at most maxDrain. The
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -91,7 +91,7 @@
 				statusCounts[status].Add(1)
 			})
 		}
-		eventually(t, "declines", func() bool { return statusCounts[503].Load() == 7-lent })
+		eventually(t, "the rejected requests", func() bool { return statusCounts[503].Load() == 7-lent })
 		close(hold)
 		done.Wait()
 		if statusCounts[200].Load() != 3+lent || atUpstream.Load() != 3+lent || n.count(attemptsNotSent) < 7-lent {
