--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -144,7 +144,7 @@
 const (
 	errNoConnectionSlot localError = "no file descriptor available for an upstream connection"
 	errCanceled         localError = "attempt canceled before the request was written"
-	errBodyLost         localError = "request body was consumed by an earlier attempt"
+	errBodyConsumed     localError = "request body was consumed by an earlier attempt"
 	errEndpointDisabled localError = "endpoint is no longer eligible for new requests"
 	errAnswered         localError = "request has already been answered"
 	errClientGone       localError = "client disconnected"
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -112,7 +112,7 @@
 func (u *upload) failure(request *pendingRequest, readErr error) error {
 	clientErr := request.source.failure()
 	if clientErr != nil && !errors.Is(clientErr, errBodyNotNeeded) {
-		return errBodyLost // the upstream has done nothing
+		return errBodyConsumed // the upstream has done nothing
 	}
 	stoppedHere := errors.Is(u.err, errBodyNotNeeded) || errors.Is(u.err, os.ErrDeadlineExceeded)
 	if u.err != nil && !stoppedHere {
