--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -23,9 +23,9 @@
 
 const (
 	listConnectTimeout = time.Second
-	// parallelCallDelay is how long a call waits for its response before a second call is made in parallel. The first
+	// listParallelCallDelay is how long a call waits for its response before a second call is made in parallel. The first
 	// is not closed: discovery answers calls in order, so a new call would go to the end of its queue.
-	parallelCallDelay = 3 * time.Second
+	listParallelCallDelay = 3 * time.Second
 	// listSilenceTimeout closes a watch that receives nothing. Discovery sends an empty line every 2 s while the list
 	// does not change.
 	listSilenceTimeout = 3200 * time.Millisecond
@@ -33,7 +33,7 @@
 	maxRetryInterval  = 200 * time.Millisecond
 	minRetryInterval  = 20 * time.Millisecond
 	drainGraceDivisor = 4 // retry interval = drain grace / drainGraceDivisor, within the bounds above
-	// reopenParallelCallDelay replaces parallelCallDelay for the first call after a silent watch: a change that the
+	// reopenParallelCallDelay replaces listParallelCallDelay for the first call after a silent watch: a change that the
 	// silent watch missed is binding 6 s after it.
 	reopenParallelCallDelay = 2 * time.Second
 	// maxPollGap bounds the time between calls where nodes poll: a list is binding 6 s after discovery could be
@@ -76,7 +76,7 @@
 		versionAddress:    n.config.Discovery,
 		callRequests:      make(chan struct{}, 1),
 		silenceTimeout:    listSilenceTimeout,
-		parallelCallDelay: parallelCallDelay,
+		parallelCallDelay: listParallelCallDelay,
 		retryInterval:     maxRetryInterval,
 		firstEvent:        make(chan struct{}),
 	}
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -21,7 +21,7 @@
 // real ones.
 
 const (
-	tenthParallelCallDelay = parallelCallDelay / 10
+	tenthParallelCallDelay = listParallelCallDelay / 10
 	tenthSilence           = listSilenceTimeout / 10
 )
 
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -28,7 +28,7 @@
 }
 
 // start starts the exchange over the membership, with the node's initial list.
-func (g *listGossip) start(seed uint64, transport endpointgossip.Transport) {
+func (g *listGossip) startExchange(seed uint64, transport endpointgossip.Transport) {
 	if g == nil {
 		return
 	}
