--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -17,9 +17,9 @@
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	sendRequest(t, n, "batch", "old", "")
-	postList := func(version int, complete bool, entries ...string) {
+	postList := func(version int, allEndpoints bool, entries ...string) {
 		t.Helper()
-		update, err := n.parseList([]byte(listText(version, complete, entries...)))
+		update, err := n.parseList([]byte(listText(version, allEndpoints, entries...)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,8 +42,8 @@
 	postList(4, true, listEntry("third", server, "up"))
 	known := make(chan int)
 	n.loop.post(func() { known <- len(n.loop.endpoints) })
-	if count := <-known; count != 1 {
-		t.Errorf("got %d known endpoints after a complete list of 1, want 1", count)
+	if knownEndpoints := <-known; knownEndpoints != 1 {
+		t.Errorf("got %d known endpoints after a complete list of 1, want 1", knownEndpoints)
 	}
 }
 
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -35,8 +35,8 @@
 	firstAnswered                 int64 // earlier calls are never answered and their connections stay open
 }
 
-func startSerialDiscovery(t *testing.T, turn time.Duration, firstAnswered int64, text string) *serialDiscovery {
-	d := &serialDiscovery{queue: make(chan func(), 10000), firstAnswered: firstAnswered}
+func startSerialDiscovery(t *testing.T, turn time.Duration, answerFromCall int64, text string) *serialDiscovery {
+	d := &serialDiscovery{queue: make(chan func(), 10000), firstAnswered: answerFromCall}
 	testEnded := make(chan struct{})
 	t.Cleanup(func() { close(testEnded) })
 	go func() {
@@ -196,10 +196,10 @@
 			t.Parallel()
 			server, _ := startUpstream(t, echo)
 			var short atomic.Bool
-			var calls atomic.Int64
+			var callCount atomic.Int64
 			address := listen(t, func(c net.Conn) {
 				skipRequestHead(bufio.NewReader(c))
-				calls.Add(1)
+				callCount.Add(1)
 				text := listText(2, true, listEntry("s-1", server, "up"))
 				if !short.Load() {
 					text = listText(2, true, strings.Repeat(listEntry("s-1", server, "up")+",", 20)+listEntry("s-2", server, "up"))
@@ -216,7 +216,7 @@
 			n.listLimits = endpointlist.Limits{ValueBytes: 1 << 16, LineBytes: 1 << 20, Endpoints: 20}
 			n.start()
 			time.Sleep(1500 * time.Millisecond)
-			if calls := calls.Load(); calls < 2 || calls > 4 {
+			if calls := callCount.Load(); calls < 2 || calls > 4 {
 				t.Errorf("got %d calls in 1.5 s, want 2 to 4: the backoff grows from 0.2 s", calls)
 			}
 			if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 200 || !n.overrides.isKnown("s-0") || n.overrides.isKnown("s-1") {
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -122,15 +122,15 @@
 func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	next := newProcessFactory(t, server)
-	predecessor := next()
-	predecessor.start()
-	fullLimit := predecessor.maxUpstreamConns()
+	predecessorNode := next()
+	predecessorNode.start()
+	fullLimit := predecessorNode.maxUpstreamConns()
 	for _, ready := range []bool{false, true, true} {
 		successor := next()
-		eventually(t, "the predecessor to release half of the limits", func() bool { return predecessor.maxUpstreamConns() < fullLimit })
+		eventually(t, "the predecessor to release half of the limits", func() bool { return predecessorNode.maxUpstreamConns() < fullLimit })
 		if ready {
 			successor.hotRestart.announceServing()
-			eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
+			eventually(t, "the predecessor to stop accepting", predecessorNode.hotRestart.hasServingSuccessor)
 		}
 		successor.hotRestart.close()
 		successor.hotRestart.mu.Lock()
@@ -138,10 +138,10 @@
 		successor.hotRestart.mu.Unlock()
 		successor.frontend.listener.Close()
 		eventually(t, "the predecessor to accept again with the full limits", func() bool {
-			return predecessor.maxUpstreamConns() == fullLimit && !predecessor.hotRestart.hasServingSuccessor()
+			return predecessorNode.maxUpstreamConns() == fullLimit && !predecessorNode.hotRestart.hasServingSuccessor()
 		})
 		for i := range 10 {
-			if status, _, _ := sendRequest(t, predecessor, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
+			if status, _, _ := sendRequest(t, predecessorNode, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
 				t.Errorf("after the successor died: got status %d, want 200", status)
 			}
 		}
--- a/internal/node/hotrestartrace_test.go
+++ b/internal/node/hotrestartrace_test.go
@@ -10,16 +10,16 @@
 func TestPredecessorServesWhenSuccessorDiesDuringShutdown(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	next := newProcessFactory(t, server)
-	predecessor := next()
-	predecessor.start()
+	predecessorNode := next()
+	predecessorNode.start()
 	successor := next()
 	successor.hotRestart.announceServing()
-	eventually(t, "the predecessor to stop accepting", predecessor.hotRestart.hasServingSuccessor)
-	client, in := dial(t, predecessor) // pending in the backlog; the successor should accept it
+	eventually(t, "the predecessor to stop accepting", predecessorNode.hotRestart.hasServingSuccessor)
+	client, in := dial(t, predecessorNode) // pending in the backlog; the successor should accept it
 	writeText(client, requestText("batch", "t", ""))
 	stopped := make(chan struct{})
-	go func() { predecessor.shutDown(); close(stopped) }()
-	eventually(t, "the shutdown to begin", predecessor.shuttingDown.Load)
+	go func() { predecessorNode.shutDown(); close(stopped) }()
+	eventually(t, "the shutdown to begin", predecessorNode.shuttingDown.Load)
 	successor.hotRestart.close()
 	successor.hotRestart.mu.Lock()
 	successor.hotRestart.predecessor.Close()
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -145,17 +145,17 @@
 // cooldown has passed.
 func TestConnectionCooldown(t *testing.T) {
 	server := listen(t, func(c net.Conn) { discard(c) })
-	target := upstreamTarget{1, server}
+	upstream := upstreamTarget{1, server}
 	for name, c := range map[string]struct {
-		extraInput, lastRejected bool
-		eligible                 bool
-		reusable                 bool
+		extraInput, rejected bool
+		eligible             bool
+		reusable             bool
 	}{
 		"after a response":      {eligible: true, reusable: true},
-		"after a rejection":     {eligible: true, lastRejected: true},
+		"after a rejection":     {eligible: true, rejected: true},
 		"after extra input":     {eligible: true, extraInput: true},
 		"endpoint not eligible": {},
-		"endpoint not eligible, after a rejection and extra input": {extraInput: true, lastRejected: true},
+		"endpoint not eligible, after a rejection and extra input": {extraInput: true, rejected: true},
 	} {
 		n := newNode(t, nil)
 		n.upstreams.extraInputCooldown = time.Hour
@@ -166,15 +166,15 @@
 			t.Fatal(err)
 		}
 		n.upstreams.reserveSlot()
-		n.upstreams.putIdle(&upstreamConn{bufferedConn: newBufferedConn(raw), target: target, lastRejected: c.lastRejected})
+		n.upstreams.putIdle(&upstreamConn{bufferedConn: newBufferedConn(raw), target: upstream, lastRejected: c.rejected})
 		if open := n.upstreams.open; open != 0 != c.eligible {
 			t.Errorf("%s: got %d open connections, want one only if the endpoint is eligible", name, open)
 		}
-		if got := n.upstreams.takeIdle(target); got != nil != c.reusable {
+		if got := n.upstreams.takeIdle(upstream); got != nil != c.reusable {
 			t.Errorf("%s: got reused during the cooldown %t, want the opposite", name, got != nil)
 		}
 		n.upstreams.extraInputCooldown = 0
-		if got := n.upstreams.takeIdle(target); got != nil != (c.eligible && !c.reusable) {
+		if got := n.upstreams.takeIdle(upstream); got != nil != (c.eligible && !c.reusable) {
 			t.Errorf("%s: got reused after the cooldown %t, want the opposite", name, got != nil)
 		}
 		raw.Close()
