--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -67,8 +67,8 @@
 	return a.canceled
 }
 
-// setDeadline sets a read or write deadline. If the attempt is canceled, the deadline has already expired. Guards
-// against a cancel whose expired deadline is then replaced by another goroutine's.
+// setDeadline sets a read or write deadline, which has already expired if the attempt is canceled. Guards against a
+// cancel whose expired deadline another goroutine then replaces by its own.
 func (a *attempt) setDeadline(set func(time.Time) error, deadline time.Time) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -86,7 +86,7 @@
 	endedAt       policy.Time
 	newConnection bool          // the connection was opened for this attempt
 	uploadTime    time.Duration // how long the attempt was still receiving the request body
-	conn          *upstreamConn // that a response is being streamed from; nil: none
+	conn          *upstreamConn // connection of a response that is still streamed; nil: none
 	closeAfter    bool          // conn can't be reused after the response
 	clientGone    bool          // the request was not written because its client disconnected
 }
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -48,7 +48,7 @@
 
 	writtenBatches, failedBatches atomic.Int64
 	writeStarted                  atomic.Int64           // start of the write in progress, Unix nanoseconds; 0: none
-	lastError                     atomic.Pointer[string] // nil: the last write succeeded
+	lastError                     atomic.Pointer[string] // nil: none since the last successful write
 }
 
 // openedStore is a store with the state that was read from it.
@@ -72,7 +72,7 @@
 	}
 	opened, err := p.openInTime()
 	if err != nil {
-		p.recordError("no memory of before", err) // in the admin API's response, where clients match the text
+		p.recordError("no memory of before", err) // the admin API returns this text, and tools match it
 		opened.state = nodestate.Load(func(func(string, []byte)) {})
 	}
 	now := n.clock.nanos()
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -299,9 +299,8 @@
 	u.closeTargetIdleLocked(target, len(u.idleConns[target]))
 }
 
-// idleCutoff returns the time before which a connection must not have been used last to be reusable: three quarters of
-// the idle timeout ago, so that the upstream does not close the connection while a request is written to it. Such a
-// request may have been executed.
+// idleCutoff returns the earliest last use of a reusable connection: three quarters of the idle timeout ago, so that
+// the upstream does not close the connection while a request is written to it. Such a request may have been executed.
 func (u *upstreams) idleCutoff() time.Time {
 	timeout := time.Duration(u.node.settings.IdleTimeout)
 	return time.Now().Add(-timeout * 3 / 4)
