--- a/internal/node/listwatch_test.go
+++ b/internal/node/listwatch_test.go
@@ -16,39 +16,39 @@
 )
 
 func TestWatchAppliesUpdatesAndSkipsInvalidEntries(t *testing.T) {
-	first, atFirst := startUpstream(t, echo)
-	second, atSecond := startUpstream(t, echo)
-	address, asked := startDiscoveryWithLines(t,
+	firstAddress, firstRequests := startUpstream(t, echo)
+	secondAddress, secondRequests := startUpstream(t, echo)
+	address, watchRequests := startDiscoveryWithLines(t,
 		[]string{
-			listText(5, false, listEntry("s-0", second, "up"), listEntry("s-1", "nowhere", "up"), `{"host":7}`), "",
+			listText(5, false, listEntry("s-0", secondAddress, "up"), listEntry("s-1", "nowhere", "up"), `{"host":7}`), "",
 			"no list",
 		},
-		[]string{listText(6, false, listEntry("s-0", second, "draining"))})
-	n := startNode(t, func(c *Config) { c.Discovery = address }, first)
-	eventually(t, "the move", func() bool { return n.count(listUpdates) == 1 })
-	if status, _, _ := sendRequest(t, n, "batch", "t1", ""); status != 200 || atFirst.Load() != 0 || atSecond.Load() != 1 {
-		t.Errorf("after the move %d, %d requests at the old address, %d at the new", status, atFirst.Load(),
-			atSecond.Load())
+		[]string{listText(6, false, listEntry("s-0", secondAddress, "draining"))})
+	n := startNode(t, func(c *Config) { c.Discovery = address }, firstAddress)
+	eventually(t, "the update with the new address", func() bool { return n.count(listUpdates) == 1 })
+	if status, _, _ := sendRequest(t, n, "batch", "t1", ""); status != 200 || firstRequests.Load() != 0 || secondRequests.Load() != 1 {
+		t.Errorf("after the address change: got status %d, %d requests at the old address and %d at the new, want 200, 0 and 1", status, firstRequests.Load(),
+			secondRequests.Load())
 	}
-	eventually(t, "the drain", func() bool { return n.count(listUpdates) == 2 })
-	if status, _, _ := sendRequest(t, n, "batch", "t2", ""); status != 503 || atSecond.Load() != 1 {
-		t.Errorf("with its only server draining a request was answered %d", status)
+	eventually(t, "the update with the draining endpoint", func() bool { return n.count(listUpdates) == 2 })
+	if status, _, _ := sendRequest(t, n, "batch", "t2", ""); status != 503 || secondRequests.Load() != 1 {
+		t.Errorf("got status %d with only a draining endpoint, want 503 and no attempt", status)
 	}
 	if n.count(listEntriesSkipped) != 3 {
-		t.Errorf("%d entries skipped, want 3", n.count(listEntriesSkipped))
+		t.Errorf("got %d skipped entries, want 3", n.count(listEntriesSkipped))
 	}
 	for i, want := range []string{"after=1 ", "after=5 "} {
-		if got, _ := asked.Load(i); got == nil || !strings.Contains(got.(string), want) {
-			t.Errorf("call %d was %q, want %q in it", i, got, want)
+		if got, _ := watchRequests.Load(i); got == nil || !strings.Contains(got.(string), want) {
+			t.Errorf("call %d: got request %q, want %q in it", i, got, want)
 		}
 	}
 }
 
-// Guards against a reload that ends the node, counts as a failed watch, or leaves it with the old list.
+// Guards against a reload that ends the node, counts as a failed watch, or keeps the old list.
 func TestReloadChangesDiscoveryAddressAtOnce(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	old, _ := startDiscoveryWithLines(t, []string{listText(50, false)})
-	young, asked := startDiscoveryWithLines(t, []string{listText(3, true, listEntry("s-1", server, "up"))})
+	oldAddress, _ := startDiscoveryWithLines(t, []string{listText(50, false)})
+	newAddress, watchRequests := startDiscoveryWithLines(t, []string{listText(3, true, listEntry("s-1", server, "up"))})
 	path := t.TempDir() + "/config.json"
 	write := func(discovery, seed string) {
 		text, err := json.Marshal(Config{
@@ -62,33 +62,33 @@
 			t.Fatal(err)
 		}
 	}
-	n := newNode(t, func(c *Config) { c.Discovery, c.path = old, path }, "127.0.0.1:1")
+	n := newNode(t, func(c *Config) { c.Discovery, c.path = oldAddress, path }, "127.0.0.1:1")
 	signals := Signals()
 	go func() { _ = n.Run(signals) }()
-	eventually(t, "the old watch", func() bool { return n.count(listUpdates) == 1 })
-	told := func(counted counter) {
+	eventually(t, "the list of the old address", func() bool { return n.count(listUpdates) == 1 })
+	reload := func(counted counter) {
 		t.Helper()
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 		eventually(t, counterNames[counted], func() bool { return n.count(counted) == 1 })
 	}
-	write(young, "no seed")
-	told(configReloadsRejected)
-	if address, _ := n.endpointWatch.current(); address != old {
-		t.Errorf("a bad file moved discovery to %s", address)
+	write(newAddress, "no seed")
+	reload(configReloadsRejected)
+	if address, _ := n.endpointWatch.current(); address != oldAddress {
+		t.Errorf("an invalid configuration changed the discovery address to %s", address)
 	}
-	write(young, "2e")
-	told(configReloads)
-	eventually(t, "the new list", func() bool { return n.count(listUpdates) == 2 })
+	write(newAddress, "2e")
+	reload(configReloads)
+	eventually(t, "the list of the new address", func() bool { return n.count(listUpdates) == 2 })
 	if status, _, _ := sendRequest(t, n, "batch", "t1", ""); status != 200 {
-		t.Errorf("by the new list a request was answered %d", status)
+		t.Errorf("got status %d with the new list, want 200", status)
 	}
-	if got, _ := asked.Load(0); got == nil || !strings.Contains(got.(string), "after=0 ") {
-		t.Errorf("the new place was asked %q, want the whole list", got)
+	if got, _ := watchRequests.Load(0); got == nil || !strings.Contains(got.(string), "after=0 ") {
+		t.Errorf("got request %q at the new address, want one for the complete list", got)
 	}
 	if n.count(listWatchesFailed) != 0 || n.count(listWatches) != 2 {
-		t.Errorf("%d calls, %d of them failed", n.count(listWatches), n.count(listWatchesFailed))
+		t.Errorf("got %d calls and %d failed ones, want 2 and 0", n.count(listWatches), n.count(listWatchesFailed))
 	}
 }
 
@@ -97,80 +97,81 @@
 	n := newNode(t, func(c *Config) { c.Discovery = address })
 	n.endpointWatch.silenceTimeout = 200 * time.Millisecond
 	n.start()
-	eventually(t, "the second call", func() bool { return n.count(listUpdates) >= 2 })
+	eventually(t, "the update of the second call", func() bool { return n.count(listUpdates) >= 2 })
 }
 
-// startScriptedDiscovery starts a discovery service whose calls each go by their own script.
-func startScriptedDiscovery(t *testing.T, calls ...func(c net.Conn, chunk func(string))) (address string, asked *atomic.Int64) {
-	asked = new(atomic.Int64)
+// startScriptedDiscovery starts a discovery service that handles each call with its own script.
+func startScriptedDiscovery(t *testing.T, scripts ...func(c net.Conn, chunk func(string))) (address string, calls *atomic.Int64) {
+	calls = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil || r.URL.Path != pathList {
 			return
 		}
-		if i := int(asked.Add(1)) - 1; i < len(calls) {
-			calls[i](c, func(text string) { writef(c, "%x\r\n%s\r\n", len(text), text) })
+		if i := int(calls.Add(1)) - 1; i < len(scripts) {
+			scripts[i](c, func(text string) { writef(c, "%x\r\n%s\r\n", len(text), text) })
 		} else {
 			discard(c)
 		}
-	}), asked
+	}), calls
 }
 
 const watchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// A watch that falls silent, or gets no head, is repeated at once, however long the backoff and whatever the settings
-// say of polling; half a line counts for nothing, and a list may be broken into lines anywhere.
+// Guards against a delay before a silent watch, or one without a head, is reopened: that must happen at once, whatever
+// the backoff and the settings for polling. Also, an incomplete line must not be applied, and a line may be received in
+// any number of pieces.
 func TestBrokenWatchIsReopenedAtOnce(t *testing.T) {
-	stays := func(c net.Conn) { discard(c) }
+	keepOpen := func(c net.Conn) { discard(c) }
 	line := func(version int, health, server string) string {
 		return listText(version, false, listEntry("s-0", server, health)) + "\n"
 	}
 	for _, mode := range []string{"push", "ask"} {
 		for name, script := range map[string]func(server string) []func(net.Conn, func(string)){
-			"silent, with nothing changed": func(server string) (calls []func(net.Conn, func(string))) {
+			"silent after an update without changes": func(server string) (calls []func(net.Conn, func(string))) {
 				for range 4 {
 					calls = append(calls, func(c net.Conn, chunk func(string)) {
 						writeText(c, watchResponseHead)
 						chunk(listText(1, false) + "\n")
-						stays(c)
+						keepOpen(c)
 					})
 				}
 				return append(calls, func(c net.Conn, chunk func(string)) {
 					writeText(c, watchResponseHead)
 					chunk(line(2, "draining", server))
-					stays(c)
+					keepOpen(c)
 				})
 			},
-			"silent behind its head, then in the midst of a line": func(server string) []func(net.Conn, func(string)) {
+			"silent after its head, then within a line": func(server string) []func(net.Conn, func(string)) {
 				return []func(net.Conn, func(string)){
-					func(c net.Conn, chunk func(string)) { writeText(c, watchResponseHead); stays(c) },
+					func(c net.Conn, chunk func(string)) { writeText(c, watchResponseHead); keepOpen(c) },
 					func(c net.Conn, chunk func(string)) {
 						writeText(c, watchResponseHead)
 						chunk(line(7, "up", server)[:40])
-						stays(c)
+						keepOpen(c)
 					},
 					func(c net.Conn, chunk func(string)) {
 						writeText(c, watchResponseHead)
 						chunk(line(2, "draining", server))
-						stays(c)
+						keepOpen(c)
 					},
 				}
 			},
-			"indented, in pieces": func(server string) []func(net.Conn, func(string)) {
+			"indented JSON in pieces": func(server string) []func(net.Conn, func(string)) {
 				return []func(net.Conn, func(string)){func(c net.Conn, chunk func(string)) {
 					writeText(c, watchResponseHead)
-					var tree any
-					if err := json.Unmarshal([]byte(line(2, "draining", server)), &tree); err != nil {
+					var decoded any
+					if err := json.Unmarshal([]byte(line(2, "draining", server)), &decoded); err != nil {
 						t.Error(err)
 					}
-					text, err := json.MarshalIndent(tree, "", "  ")
+					text, err := json.MarshalIndent(decoded, "", "  ")
 					if err != nil {
 						t.Error(err)
 					}
 					chunk("\n")
 					chunk(string(text[:50]))
 					chunk(string(text[50:]) + "\n\n")
-					stays(c)
+					keepOpen(c)
 				}}
 			},
 		} {
@@ -185,18 +186,18 @@
 				}, server)
 				n.endpointWatch.silenceTimeout, n.endpointWatch.retryInterval = 60*time.Millisecond, time.Hour
 				n.start()
-				eventually(t, "the drain", func() bool {
+				eventually(t, "the endpoint to drain", func() bool {
 					n.flushLoop()
 					n.upstreams.mu.Lock()
 					defer n.upstreams.mu.Unlock()
 					return len(n.upstreams.eligible) == 0
 				})
 				if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 503 || requests.Load() != 0 {
-					t.Errorf("after the drain a request was answered %d, %d came to the server", status,
+					t.Errorf("after the drain: got status %d and %d requests at the upstream, want 503 and 0", status,
 						requests.Load())
 				}
 				if n.endpointWatch.version != 2 {
-					t.Errorf("the next call would ask for what came after %d", n.endpointWatch.version)
+					t.Errorf("got version %d for the next call, want 2", n.endpointWatch.version)
 				}
 			})
 		}
@@ -205,8 +206,8 @@
 		wait  time.Duration // between calls
 		first func(c net.Conn, chunk func(string), server string)
 	}{
-		"a call without a head": {time.Hour, func(c net.Conn, _ func(string), _ string) { stays(c) }},
-		"reset in the midst of a line": {time.Millisecond, func(c net.Conn, chunk func(string), server string) {
+		"a call without a head": {time.Hour, func(c net.Conn, _ func(string), _ string) { keepOpen(c) }},
+		"reset within a line": {time.Millisecond, func(c net.Conn, chunk func(string), server string) {
 			writeText(c, watchResponseHead)
 			chunk(line(2, "draining", server)[:90])
 			c.(*net.TCPConn).SetLinger(0)
@@ -215,41 +216,41 @@
 		t.Run("push: "+name, func(t *testing.T) {
 			t.Parallel()
 			server, _ := startUpstream(t, echo)
-			address, asked := startScriptedDiscovery(t, func(conn net.Conn, chunk func(string)) { c.first(conn, chunk, server) })
+			address, callCount := startScriptedDiscovery(t, func(conn net.Conn, chunk func(string)) { c.first(conn, chunk, server) })
 			n := newNode(t, func(c *Config) {
 				withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c)
 				c.Discovery = address
 			}, server)
 			n.endpointWatch.parallelCallDelay, n.endpointWatch.retryInterval = 60*time.Millisecond, c.wait
 			n.start()
-			eventually(t, "the next call", func() bool { return asked.Load() >= 2 })
+			eventually(t, "the next call", func() bool { return callCount.Load() >= 2 })
 			if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 200 {
-				t.Errorf("by half a line a server was given up: %d", status)
+				t.Errorf("got status %d after an incomplete line with a drain, want 200", status)
 			}
 		})
 	}
 }
 
-// There is always an interval between watches, whatever the settings say of sends to draining endpoints.
+// Guards against calls without a delay: the retry interval has a lower bound, whatever drain grace the settings give.
 func TestWatchRetryIntervalIsBounded(t *testing.T) {
-	for within, want := range map[int]time.Duration{
+	for drainGraceUs, want := range map[int]time.Duration{
 		0: maxRetryInterval, 1: minRetryInterval,
 		400000: 100 * time.Millisecond, 60000000: maxRetryInterval,
 	} {
-		n := newNode(t, withSettings(`"rules":{`, fmt.Sprintf(`"rules":{"stop_sending_within_us":%d,`, within)))
+		n := newNode(t, withSettings(`"rules":{`, fmt.Sprintf(`"rules":{"stop_sending_within_us":%d,`, drainGraceUs)))
 		if n.endpointWatch.retryInterval != want {
-			t.Errorf("sends stop within %d us: a wait of %v, want %v", within, n.endpointWatch.retryInterval, want)
+			t.Errorf("drain grace of %d us: got a retry interval of %v, want %v", drainGraceUs, n.endpointWatch.retryInterval, want)
 		}
 	}
 }
 
-// What is pushed counts from the first moment of a new process: no request goes by the list from before while the
-// first message is due.
+// Guards against requests that use the initial list of a new process although the first pushed update drains their
+// endpoint: the node is not ready before that update.
 func TestPushedListIsAppliedBeforeFirstRequest(t *testing.T) {
 	server, requests := startUpstream(t, echo)
-	word := newGate(t)
+	firstEvent := newGate(t)
 	address, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
-		word.wait()
+		firstEvent.wait()
 		writeText(c, watchResponseHead)
 		chunk(listText(2, false, listEntry("s-0", server, "draining")) + "\n")
 		discard(c)
@@ -261,38 +262,37 @@
 	client, in := dial(t, n)
 	writeText(client, requestText("batch", "t", ""))
 	go n.start()
-	word.awaitArrivals(t, 1)
+	firstEvent.awaitArrivals(t, 1)
 	if n.notReadyReason() == "" {
-		t.Error("ready before the first word")
+		t.Error("ready before the first event of the watch")
 	}
-	word.release()
+	firstEvent.release()
 	if status, _, _ := readResponse(in); status != 503 || requests.Load() != 0 {
-		t.Errorf("answered %d, %d requests at a server that is draining", status, requests.Load())
+		t.Errorf("got status %d and %d requests at a draining upstream, want 503 and 0", status, requests.Load())
 	}
 }
 
-// The last line from an old discovery address does not come after the first from the new one: once the new list is
-// there, it counts.
+// Guards against an update of the old discovery address that is applied after the first list of the new address.
 func TestUpdateFromOldAddressDoesNotReplaceNewList(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	late := newGate(t)
-	old, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
+	lastUpdate := newGate(t)
+	oldAddress, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
 		writeText(c, watchResponseHead)
 		chunk(listText(50, false) + "\n")
-		late.wait()
+		lastUpdate.wait()
 		chunk(listText(51, false, listEntry("s-0", server, "draining")) + "\n")
 	})
-	young, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
+	newAddress, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
 		writeText(c, watchResponseHead)
 		chunk(listText(3, true, listEntry("s-0", server, "up"), listEntry("s-1", server, "draining")) + "\n")
 		discard(c)
 	})
-	n := startNode(t, func(c *Config) { c.Discovery = old }, server)
-	late.awaitArrivals(t, 1)
-	eventually(t, "the old list", func() bool { return n.count(listUpdates) == 1 })
-	n.endpointWatch.setAddress(young)
-	late.release()
-	eventually(t, "the new list", func() bool {
+	n := startNode(t, func(c *Config) { c.Discovery = oldAddress }, server)
+	lastUpdate.awaitArrivals(t, 1)
+	eventually(t, "the list of the old address", func() bool { return n.count(listUpdates) == 1 })
+	n.endpointWatch.setAddress(newAddress)
+	lastUpdate.release()
+	eventually(t, "the list of the new address", func() bool {
 		known := make(chan bool)
 		n.loop.post(func() {
 			_, ok := n.loop.endpoints[endpointID("s-1")]
@@ -301,19 +301,20 @@
 		return <-known
 	})
 	if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 200 {
-		t.Errorf("answered %d by a list that was left", status)
+		t.Errorf("got status %d, want 200: an update of the old address was applied", status)
 	}
 }
 
-// startDiscoveryWithLines starts a discovery service that sends one list of lines to each call in turn, then stays open.
-func startDiscoveryWithLines(t *testing.T, calls ...[]string) (address string, asked *sync.Map) {
-	asked = new(sync.Map)
+// startDiscoveryWithLines starts a discovery service that sends one slice of lines to each call in order, then keeps
+// the connection open.
+func startDiscoveryWithLines(t *testing.T, calls ...[]string) (address string, requests *sync.Map) {
+	requests = new(sync.Map)
 	var number atomic.Int64
 	return listen(t, func(c net.Conn) {
 		in := make([]byte, 4096)
 		size, _ := c.Read(in)
 		i := int(number.Add(1)) - 1
-		asked.Store(i, string(in[:size]))
+		requests.Store(i, string(in[:size]))
 		if i >= len(calls) {
 			return
 		}
@@ -323,5 +324,5 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		waitForClose(c)
-	}), asked
+	}), requests
 }
--- a/internal/node/pacing_test.go
+++ b/internal/node/pacing_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// deadlineRecorder records the deadline of the last write, and takes every write.
+// deadlineRecorder records the last write deadline and accepts every write.
 type deadlineRecorder struct {
 	net.Conn
 	deadline time.Time
@@ -21,28 +21,29 @@
 
 func (c *deadlineRecorder) Write(p []byte) (int, error) { return len(p), nil }
 
-// A cancel holds that comes just before a worker, or a reader of the attempt's body, sets a deadline of its own.
+// Guards against a lost cancel: the worker, or the reader of the attempt's body, sets a new deadline just after the
+// cancel has set an expired one.
 func TestCancelHoldsAgainstLaterDeadline(t *testing.T) {
 	for _, canceled := range []bool{false, true} {
 		a := &attempt{}
 		if canceled {
 			a.cancel()
 		}
-		var read time.Time
+		var readDeadline time.Time
 		record := func(deadline time.Time) error {
-			read = deadline
+			readDeadline = deadline
 			return nil
 		}
 		if err := a.setDeadline(record, time.Now().Add(time.Hour)); err != nil {
 			t.Fatal(err)
 		}
-		c := &deadlineRecorder{}
-		if err := writePaced(c, a, []byte("x")); err != nil {
+		conn := &deadlineRecorder{}
+		if err := writePaced(conn, a, []byte("x")); err != nil {
 			t.Fatal(err)
 		}
-		for name, deadline := range map[string]time.Time{"a read": read, "a write": c.deadline} {
+		for name, deadline := range map[string]time.Time{"a read": readDeadline, "a write": conn.deadline} {
 			if deadline.Before(time.Now()) != canceled {
-				t.Errorf("canceled %t: the deadline of %s is %v", canceled, name, deadline)
+				t.Errorf("canceled %t: got deadline of %s %v, want it expired only if canceled", canceled, name, deadline)
 			}
 		}
 		near, far := net.Pipe()
@@ -51,7 +52,7 @@
 		abandoned.Store(canceled)
 		pacer := &readPacer{stallTimeout: time.Hour, abandoned: &abandoned}
 		if err := pacer.beginRead(near); errors.Is(err, errBodyNotNeeded) != canceled {
-			t.Errorf("abandoned %t: %v", canceled, err)
+			t.Errorf("abandoned %t: got error %v, want errBodyAbandoned only if abandoned", canceled, err)
 		}
 	}
 }
--- a/internal/node/roundtrip_test.go
+++ b/internal/node/roundtrip_test.go
@@ -29,18 +29,18 @@
 			t.Errorf("got %d %q, want 200 %q", status, body, want)
 		}
 		if header.Get(headerLoadReport) != "" {
-			t.Error("a server's load report went on to a client")
+			t.Error("the load report header of an upstream was forwarded to a client")
 		}
 	}
 	if n.count(upstreamConnsOpened) != 1 {
-		t.Errorf("%d connections to the server for requests one after the other, want 1", n.count(upstreamConnsOpened))
+		t.Errorf("got %d upstream connections for sequential requests, want 1", n.count(upstreamConnsOpened))
 	}
 }
 
-// What an upstream does decides the outcome, and with the class the client's response.
+// The response of an upstream, or its failure, decides the outcome, and with the class the response to the client.
 func TestResponseDecidesOutcome(t *testing.T) {
 	closed := listen(t, func(c net.Conn) {})
-	cut := func(text string) string {
+	upstreamSending := func(text string) string {
 		address, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 			writeText(c, text)
 			return false
@@ -52,61 +52,61 @@
 		return false
 	})
 	for name, c := range map[string]struct {
-		server string
-		how    counter
-		status map[string]int // by class; 503 is a reject
+		server  string
+		counted counter
+		status  map[string]int // by class; 503: rejected
 	}{
 		"error": {
-			cut("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
+			upstreamSending("HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
 			map[string]int{"view": 503, "update": 502, "pay": 502},
 		},
 		"rejected": {
-			cut("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"),
+			upstreamSending("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"),
 			attemptsRejected,
 			map[string]int{"view": 503, "update": 503, "pay": 503},
 		},
-		"503 without proof": {
-			cut("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
+		"503 without proof of rejection": {
+			upstreamSending("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
 			map[string]int{"view": 503, "update": 502, "pay": 502},
 		},
-		"fault with it": {
-			cut("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsRequestFault,
+		"fault of the request": {
+			upstreamSending("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"), attemptsRequestFault,
 			map[string]int{"view": 400, "update": 400, "pay": 400},
 		},
-		"too many": {
-			cut("HTTP/1.1 429 Later\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
+		"too many requests": {
+			upstreamSending("HTTP/1.1 429 Later\r\nContent-Length: 0\r\n\r\n"), attemptsErrored,
 			map[string]int{"view": 503, "pay": 502},
 		},
 		"refused": {
 			"127.0.0.1:1", attemptsConnectFailed,
 			map[string]int{"view": 503, "update": 503, "pay": 503},
 		},
-		"broken before any": {cut(""), attemptsReset, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"broken in head": {
-			cut("HTTP/1.1 200 OK\r\nContent-Le"), attemptsReset,
+		"closed before the response": {upstreamSending(""), attemptsReset, map[string]int{"view": 503, "update": 502, "pay": 502}},
+		"closed in the head": {
+			upstreamSending("HTTP/1.1 200 OK\r\nContent-Le"), attemptsReset,
 			map[string]int{"view": 503, "pay": 502},
 		},
-		"broken in body": {
-			cut("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), attemptsReset,
+		"closed in the body": {
+			upstreamSending("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), attemptsReset,
 			map[string]int{"view": 503, "pay": 502},
 		},
-		"broken in chunk": {
-			cut("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal"), attemptsReset,
+		"closed in a chunk": {
+			upstreamSending("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal"), attemptsReset,
 			map[string]int{"pay": 502},
 		},
-		"no answer at all": {cut("SSH-2.0-x\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
-		"endless answer": {
-			cut("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), attemptsReset,
+		"not HTTP": {upstreamSending("SSH-2.0-x\r\n\r\n"), attemptsReset, map[string]int{"pay": 502}},
+		"body shorter than Content-Length": {
+			upstreamSending("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), attemptsReset,
 			map[string]int{"pay": 502},
 		},
-		"silent":         {silent, attemptsTimedOut, map[string]int{"view": 503, "update": 502, "pay": 502}},
-		"closed at once": {closed, counterCount, map[string]int{"view": 503}},
-		"interim, chunked": {
-			cut("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
+		"silent":                    {silent, attemptsTimedOut, map[string]int{"view": 503, "update": 502, "pay": 502}},
+		"connection closed at once": {closed, counterCount, map[string]int{"view": 503}},
+		"interim response, then chunked": {
+			upstreamSending("HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
 			attemptsSucceeded,
 			map[string]int{"pay": 200},
 		},
-		"body till the end": {cut("HTTP/1.1 200 OK\r\n\r\nall of it"), attemptsSucceeded, map[string]int{"pay": 200}},
+		"body until the connection closes": {upstreamSending("HTTP/1.1 200 OK\r\n\r\nall of it"), attemptsSucceeded, map[string]int{"pay": 200}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -114,22 +114,22 @@
 				n := startNode(t, nil, c.server)
 				status, _, header := sendRequest(t, n, class, "t1", "body")
 				attempts := int64(1)
-				if c.how == attemptsReset && class != "pay" {
-					attempts = 2 // the request returns to its only endpoint once
+				if c.counted == attemptsReset && class != "pay" {
+					attempts = 2 // the request is retried once at its only endpoint
 				}
-				if status != want || c.how < counterCount && n.count(c.how) != attempts {
-					t.Errorf("%s: answered %d, want %d; outcome counted %d times", class, status, want,
-						n.count(min(c.how, panics)))
+				if status != want || c.counted < counterCount && n.count(c.counted) != attempts {
+					t.Errorf("%s: got status %d, want %d; got the outcome counted %d times", class, status, want,
+						n.count(min(c.counted, panics)))
 				}
 				if (header.Get(headerRetryAfter) != "") != (status == 503) {
-					t.Errorf("%s: %d with advice %q", class, status, header.Get(headerRetryAfter))
+					t.Errorf("%s: got status %d with Retry-After %q, want it with status 503 only", class, status, header.Get(headerRetryAfter))
 				}
 			}
 		})
 	}
 }
 
-// Guards against taking the response to a request that timed out for that of the next one.
+// Guards against forwarding the late response to a request that timed out as the response to the next one.
 func TestLateResponseIsDiscarded(t *testing.T) {
 	var slow atomic.Bool
 	slow.Store(true)
@@ -141,30 +141,30 @@
 	})
 	n := startNode(t, nil, server)
 	if status, _, _ := sendRequest(t, n, "view", "late", ""); status != 503 {
-		t.Errorf("the late request was answered %d, want 503", status)
+		t.Errorf("got status %d for the request that timed out, want 503", status)
 	}
 	time.Sleep(100 * time.Millisecond)
 	for i := range 20 {
 		status, body, _ := sendRequest(t, n, "view", fmt.Sprint("t", i), "")
 		if status == 200 && body != fmt.Sprintf("/view t%d ", i) {
-			t.Fatalf("request %d got the answer %q", i, body)
+			t.Fatalf("request %d: got the body %q of another request", i, body)
 		}
 	}
 }
 
-// Guards against an upstream that was cut off and is back: connections from before are reset only when used, and each
-// would cost a request.
+// Guards against an upstream that was unreachable and is back: it resets each older connection only when that is used,
+// and each reset would cost a request.
 func TestResetClosesIdleConnectionsToUpstream(t *testing.T) {
-	var back atomic.Bool
-	var idle sync.WaitGroup
-	idle.Add(5)
+	var restarted atomic.Bool
+	var firstRequests sync.WaitGroup
+	firstRequests.Add(5)
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		if back.Load() {
+		if restarted.Load() {
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		}
-		idle.Done()
-		idle.Wait()
+		firstRequests.Done()
+		firstRequests.Wait()
 		return echo(c, r, body)
 	})
 	n := startNode(t, nil, server)
@@ -173,21 +173,21 @@
 		done.Go(func() { sendRequest(t, n, "pay", fmt.Sprint("t", i), "") })
 	}
 	done.Wait()
-	back.Store(true)
+	restarted.Store(true)
 	if status, _, _ := sendRequest(t, n, "pay", "first", ""); status != 502 {
-		t.Errorf("the first request after the cut was answered %d", status)
+		t.Errorf("got status %d for the first request on an older connection, want 502", status)
 	}
 	n.upstreams.mu.Lock()
 	defer n.upstreams.mu.Unlock()
 	if n.upstreams.open != 0 {
-		t.Errorf("%d connections from before are still open", n.upstreams.open)
+		t.Errorf("got %d open connections after a reset, want 0", n.upstreams.open)
 	}
 }
 
-// A response that comes a second time is passed to no client: neither while its connection is idle, nor once another
-// request is in flight.
+// A duplicate of a response is forwarded to no client: neither if it arrives while its connection is idle, nor if it
+// arrives while another request is in flight.
 func TestLateDuplicateResponseIsDiscarded(t *testing.T) {
-	stray := newGate(t)
+	duplicate := newGate(t)
 	var conns atomic.Int64
 	server := listen(t, func(c net.Conn) {
 		first := conns.Add(1) == 1
@@ -198,12 +198,12 @@
 				return
 			}
 			if i > 0 && first {
-				writeResponse(c, "200 OK", "stray") // the second answer comes before its own
+				writeResponse(c, "200 OK", "stray") // the duplicate precedes the response to this request
 			}
 			echo(c, r, "")
 			if i == 0 && first {
 				go func() {
-					stray.wait()
+					duplicate.wait()
 					writeResponse(c, "200 OK", "stray")
 				}()
 			}
@@ -220,18 +220,18 @@
 		})
 		return c
 	}
-	t.Run("another request is out", func(t *testing.T) {
+	t.Run("another request is in flight", func(t *testing.T) {
 		n := newNode(t, nil, server)
 		n.upstreams.extraInputCooldown = time.Hour
 		n.start()
-		n.upstreams.recordExtraInput(true) // such have been seen here
+		n.upstreams.recordExtraInput(true) // enables the cooldown of all connections
 		sendRequest(t, n, "batch", "a", "")
 		idleOf(n)
 		if _, body, _ := sendRequest(t, n, "batch", "b", ""); body != "/batch b " {
-			t.Errorf("while the second answer is due a request got %q", body)
+			t.Errorf("got body %q while a duplicate response was due", body)
 		}
 		if conns.Load() != 2 {
-			t.Errorf("%d connections, want another for the second request", conns.Load())
+			t.Errorf("got %d connections, want 2: a new one for the second request", conns.Load())
 		}
 	})
 	t.Run("idle", func(t *testing.T) {
@@ -239,22 +239,22 @@
 		n := startNode(t, nil, server)
 		sendRequest(t, n, "batch", "a", "")
 		c := idleOf(n)
-		stray.release()
-		eventually(t, "the second answer", c.hasInput)
+		duplicate.release()
+		eventually(t, "the duplicate response", c.hasInput)
 		if _, body, _ := sendRequest(t, n, "batch", "b", ""); body != "/batch b " {
-			t.Errorf("once the second answer has come a request got %q", body)
+			t.Errorf("got body %q after a duplicate response had arrived", body)
 		}
 		if n.upstreams.lastExtraInputAt.Load() == 0 {
-			t.Error("it was not noticed")
+			t.Error("the duplicate response was not recorded as extra input")
 		}
 	})
 }
 
-// A connection that its upstream closes or resets as a request is written to it is one on which the request may have
-// run.
+// Guards against treating a request as not executed if its upstream closes or resets an idle connection while the
+// request is written: it may have been executed.
 func TestIdleConnectionClosedDuringWriteCountsAsReset(t *testing.T) {
 	for name, c := range map[string]struct {
-		linger bool
+		reset  bool
 		status map[string]int
 	}{
 		"closed": {false, map[string]int{"pay": 502, "view": 503, "update": 502}},
@@ -267,7 +267,7 @@
 					if r.Header.Get(headerRequestID) == "first" {
 						return echo(conn, r, body)
 					}
-					if c.linger {
+					if c.reset {
 						conn.(*net.TCPConn).SetLinger(0)
 					}
 					return false
@@ -276,13 +276,13 @@
 				sendRequest(t, n, class, "first", "")
 				resets := int64(1)
 				if class != "pay" {
-					resets = 2 // the request returns to its only endpoint once
+					resets = 2 // the request is retried once at its only endpoint
 				}
 				if status, _, _ := sendRequest(t, n, class, "second", ""); status != want || requests.Load() != 1+resets {
-					t.Errorf("%s: answered %d, want %d; %d requests came", class, status, want, requests.Load())
+					t.Errorf("%s: got status %d, want %d; got %d requests at the upstream", class, status, want, requests.Load())
 				}
 				if n.count(attemptsReset) != resets {
-					t.Errorf("%s: %d resets", class, n.count(attemptsReset))
+					t.Errorf("%s: got %d resets, want one per attempt", class, n.count(attemptsReset))
 				}
 			}
 		})
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -14,7 +14,7 @@
 	"fawnglade/policy"
 )
 
-// Guards against another request on a connection that brought more than a complete response.
+// Guards against reusing a connection that received more than a complete response.
 func TestConnectionWithExtraInputIsNotReused(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
@@ -23,13 +23,13 @@
 	n := startNode(t, nil, server)
 	for i := range 5 {
 		if _, body, _ := sendRequest(t, n, "batch", fmt.Sprint("t", i), ""); body != fmt.Sprintf("/batch t%d ", i) {
-			t.Fatalf("request %d got the answer %q", i, body)
+			t.Fatalf("request %d: got the body %q of another response", i, body)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// Guards against a reset on a connection that the upstream had closed while it was idle.
+// Guards against writing a request to a connection that the upstream closed while it was idle.
 func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
@@ -38,21 +38,21 @@
 	n := startNode(t, nil, server)
 	for i := range 5 {
 		if status, _, _ := sendRequest(t, n, "batch", fmt.Sprint("t", i), ""); status != 200 {
-			t.Errorf("request %d was answered %d", i, status)
+			t.Errorf("request %d: got status %d, want 200", i, status)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if requests.Load() != 5 || n.count(attemptsReset) != 0 {
-		t.Errorf("%d requests came to the server, %d resets", requests.Load(), n.count(attemptsReset))
+		t.Errorf("got %d requests at the upstream and %d resets, want 5 and 0", requests.Load(), n.count(attemptsReset))
 	}
 	n.upstreams.closeExpired()
 	if n.upstreams.open != 0 {
-		t.Errorf("%d closed connections still hold descriptors", n.upstreams.open)
+		t.Errorf("got %d open connections after closeExpired, want 0", n.upstreams.open)
 	}
 }
 
-// Guards against writing a request to a connection that the upstream has closed, or is about to close, for being
-// idle.
+// Guards against writing a request to a connection that the upstream has closed, or is about to close, because it was
+// idle for too long.
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) {
@@ -64,18 +64,18 @@
 			time.Sleep(80 * time.Millisecond)
 		}
 		if sendRequest(t, n, "batch", fmt.Sprint("t", i), ""); n.count(upstreamConnsOpened) != want {
-			t.Errorf("%d connections after request %d, want %d", n.count(upstreamConnsOpened), i, want)
+			t.Errorf("got %d connections opened after request %d, want %d", n.count(upstreamConnsOpened), i, want)
 		}
 	}
 }
 
-// Guards against upstream connections taking more descriptors than their share and the slots that clients lend.
+// Guards against upstream connections that use more descriptors than their share and the slots lent by clients.
 func TestUpstreamConnectionsAreBounded(t *testing.T) {
 	for _, lent := range []int64{0, 4} {
-		var out atomic.Int64
+		var atUpstream atomic.Int64
 		hold := make(chan struct{})
 		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-			out.Add(1)
+			atUpstream.Add(1)
 			<-hold
 			return echo(c, r, body)
 		})
@@ -84,28 +84,28 @@
 		n.frontend.maxSlotsLentToUpstreams.Store(lent)
 		n.start()
 		var done sync.WaitGroup
-		answers := [600]atomic.Int64{}
+		statusCounts := [600]atomic.Int64{}
 		for i := range 10 {
 			done.Go(func() {
 				status, _, _ := sendRequest(t, n, "pay", fmt.Sprint("t", i), "")
-				answers[status].Add(1)
+				statusCounts[status].Add(1)
 			})
 		}
-		eventually(t, "declines", func() bool { return answers[503].Load() == 7-lent })
+		eventually(t, "the rejected requests", func() bool { return statusCounts[503].Load() == 7-lent })
 		close(hold)
 		done.Wait()
-		if answers[200].Load() != 3+lent || out.Load() != 3+lent || n.count(attemptsNotSent) < 7-lent {
-			t.Errorf("with %d lent: %d satisfied, %d at the server, %d never sent", lent, answers[200].Load(),
-				out.Load(), n.count(attemptsNotSent))
+		if statusCounts[200].Load() != 3+lent || atUpstream.Load() != 3+lent || n.count(attemptsNotSent) < 7-lent {
+			t.Errorf("with %d lent slots: got %d succeeded, %d at the upstream and %d not sent, want 3 more than lent for the first two", lent, statusCounts[200].Load(),
+				atUpstream.Load(), n.count(attemptsNotSent))
 		}
 	}
 }
 
-// Room for a connection is made in place of the one that has been idle longest, whichever endpoint it is to.
+// A slot for a new connection is freed by closing the longest idle connection of any endpoint.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	n := newNode(t, nil)
-	s := n.upstreams
-	s.maxOpen, s.extraInputCooldown = 3, 0
+	pool := n.upstreams
+	pool.maxOpen, pool.extraInputCooldown = 3, 0
 	var conns []*upstreamConn
 	for i := range 3 {
 		c, _ := net.Pipe()
@@ -113,74 +113,75 @@
 			bufferedConn: newBufferedConn(c),
 			target:       upstreamTarget{policy.EndpointID(i), "x"},
 		})
-		s.setAddress(policy.EndpointID(i), "x", true)
-		if !s.reserveSlot() {
-			t.Fatal("no slot for one of three")
+		pool.setAddress(policy.EndpointID(i), "x", true)
+		if !pool.reserveSlot() {
+			t.Fatal("got no slot for one of 3 connections, want one")
 		}
 	}
 	for _, i := range []int{1, 0, 2} {
-		s.putIdle(conns[i])
+		pool.putIdle(conns[i])
 	}
-	if c := s.takeIdle(conns[1].target); c != conns[1] {
-		t.Fatal("the connection that was kept is not there")
+	if c := pool.takeIdle(conns[1].target); c != conns[1] {
+		t.Fatal("takeIdle did not return the idle connection to endpoint 1")
 	}
-	s.putIdle(conns[1]) // used again, so that 0 is now the longest idle
-	if !s.reserveSlot() || s.takeIdle(conns[0].target) != nil || s.idleOrder.Len() != 2 {
-		t.Errorf("%d idle, want 1 and 2", s.idleOrder.Len())
+	pool.putIdle(conns[1]) // used again, so that the connection to endpoint 0 is the longest idle
+	if !pool.reserveSlot() || pool.takeIdle(conns[0].target) != nil || pool.idleOrder.Len() != 2 {
+		t.Errorf("got %d idle connections, want 2: those to endpoints 1 and 2", pool.idleOrder.Len())
 	}
-	s.closeIdle(conns[2].target)
-	if s.idleOrder.Len() != 1 || s.open != 2 {
-		t.Errorf("%d idle, %d open after a server was forgotten, want 1 and 2", s.idleOrder.Len(), s.open)
+	pool.closeIdle(conns[2].target)
+	if pool.idleOrder.Len() != 1 || pool.open != 2 {
+		t.Errorf("got %d idle and %d open connections after closeIdle, want 1 and 2", pool.idleOrder.Len(), pool.open)
 	}
-	if s.takeIdle(conns[1].target) == nil {
-		t.Error("the connection that is still idle is not there")
+	if pool.takeIdle(conns[1].target) == nil {
+		t.Error("takeIdle did not return the remaining idle connection")
 	}
-	first := s.reserveSlot()
-	if first && s.reserveSlot() {
-		t.Error("a slot was freed though no connection is idle")
+	first := pool.reserveSlot()
+	if first && pool.reserveSlot() {
+		t.Error("got a slot beyond the limit although no connection is idle")
 	}
 }
 
-// What a connection has shown decides when it may carry the next request.
+// The last response on a connection, and extra input on any connection, decide whether it may be reused before its
+// cooldown has passed.
 func TestConnectionCooldown(t *testing.T) {
 	server := listen(t, func(c net.Conn) { discard(c) })
-	at := upstreamTarget{1, server}
+	upstream := upstreamTarget{1, server}
 	for name, c := range map[string]struct {
-		strayed, turned bool
-		standing        bool
-		taken           bool
+		extraInput, rejected bool
+		eligible             bool
+		reusable             bool
 	}{
-		"after an answer":           {standing: true, taken: true},
-		"after one rejected":        {standing: true, turned: true},
-		"where answers come again":  {standing: true, strayed: true},
-		"its server is not wanted":  {},
-		"nor in any of these cases": {strayed: true, turned: true},
+		"after a response":      {eligible: true, reusable: true},
+		"after a rejection":     {eligible: true, rejected: true},
+		"after extra input":     {eligible: true, extraInput: true},
+		"endpoint not eligible": {},
+		"endpoint not eligible, after a rejection and extra input": {extraInput: true, rejected: true},
 	} {
 		n := newNode(t, nil)
 		n.upstreams.extraInputCooldown = time.Hour
-		n.upstreams.setAddress(1, server, c.standing)
-		n.upstreams.recordExtraInput(c.strayed)
+		n.upstreams.setAddress(1, server, c.eligible)
+		n.upstreams.recordExtraInput(c.extraInput)
 		raw, err := net.Dial("tcp", server)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.upstreams.reserveSlot()
-		n.upstreams.putIdle(&upstreamConn{bufferedConn: newBufferedConn(raw), target: at, lastRejected: c.turned})
-		if open := n.upstreams.open; open != 0 != c.standing {
-			t.Errorf("%s: %d connections are open", name, open)
+		n.upstreams.putIdle(&upstreamConn{bufferedConn: newBufferedConn(raw), target: upstream, lastRejected: c.rejected})
+		if open := n.upstreams.open; open != 0 != c.eligible {
+			t.Errorf("%s: got %d open connections, want one only if the endpoint is eligible", name, open)
 		}
-		if got := n.upstreams.takeIdle(at); got != nil != c.taken {
-			t.Errorf("%s: taken %t", name, got != nil)
+		if got := n.upstreams.takeIdle(upstream); got != nil != c.reusable {
+			t.Errorf("%s: got reused during the cooldown %t, want the opposite", name, got != nil)
 		}
 		n.upstreams.extraInputCooldown = 0
-		if got := n.upstreams.takeIdle(at); got != nil != (c.standing && !c.taken) {
-			t.Errorf("%s: taken %t once it has rested", name, got != nil)
+		if got := n.upstreams.takeIdle(upstream); got != nil != (c.eligible && !c.reusable) {
+			t.Errorf("%s: got reused after the cooldown %t, want the opposite", name, got != nil)
 		}
 		raw.Close()
 	}
 }
 
-// After an endpoint has restarted at its address no request is sent on connections from before.
+// No request is sent on older connections to an endpoint that was restarted at the same address.
 func TestRestartedEndpointGetsNewConnections(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
@@ -190,18 +191,18 @@
 		defer n.upstreams.mu.Unlock()
 		return n.upstreams.idleOrder.Len() == 1
 	})
-	born := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`,
+	restartedEntry := strings.Replace(listEntry("s-0", server, "up"), `"born_ms":0`,
 		fmt.Sprintf(`"born_ms":%d`, n.clock.nanos()/milli), 1)
-	n.updateList(t, listText(2, false, born))
-	eventually(t, "its end", func() bool {
+	n.updateList(t, listText(2, false, restartedEntry))
+	eventually(t, "the idle connection to be closed", func() bool {
 		n.upstreams.mu.Lock()
 		defer n.upstreams.mu.Unlock()
 		return n.upstreams.open == 0
 	})
-	n.updateList(t, listText(3, false, born))
+	n.updateList(t, listText(3, false, restartedEntry))
 	sendRequest(t, n, "batch", "b", "")
-	n.updateList(t, listText(4, false, born))
+	n.updateList(t, listText(4, false, restartedEntry))
 	if n.flushLoop(); n.count(upstreamConnsIdleClosed) != 1 {
-		t.Errorf("%d connections closed", n.count(upstreamConnsIdleClosed))
+		t.Errorf("got %d idle connections closed, want 1", n.count(upstreamConnsIdleClosed))
 	}
 }
