--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	acceptPoll       = 5 * time.Millisecond   // for connections that the kernel has accepted, when the listener drains
-	acceptStuckAfter = 200 * time.Millisecond // without progress: then an accept is blocked in the kernel
-	acceptRetryDelay = 5 * time.Millisecond   // after an accept that failed, mostly for want of a descriptor
-	slotPollInterval = time.Millisecond       // between looks for a slot
+	acceptPollInterval = 5 * time.Millisecond   // for connections that the kernel has accepted, when the listener drains
+	acceptStallTimeout = 200 * time.Millisecond // without progress: then an accept is blocked in the kernel
+	acceptRetryDelay   = 5 * time.Millisecond   // after an accept that failed, mostly for want of a descriptor
+	slotPollInterval   = time.Millisecond       // between looks for a slot
 )
 
 // setAcceptDeadline sets by when an accept returns.
@@ -47,7 +47,7 @@
 // deadline. Guards against a listener that is closed with such connections in its queue: the kernel resets them, with
 // requests already written.
 //
-// It gives up earlier if nothing is accepted for acceptStuckAfter: whoever else holds the socket may make it a blocking
+// It gives up earlier if nothing is accepted for acceptStallTimeout: whoever else holds the socket may make it a blocking
 // one at any moment, as the start of another process does for an instant, and an accept that then blocks in the kernel
 // ends only with the next connection.
 func (f *frontend) drainAndClose(deadline time.Time) {
@@ -55,11 +55,11 @@
 	f.setAcceptDeadline(inThePast)
 	f.wakeAccept()
 	lastProgress := time.Now()
-	for time.Now().Before(deadline) && time.Since(lastProgress) < acceptStuckAfter {
+	for time.Now().Before(deadline) && time.Since(lastProgress) < acceptStallTimeout {
 		select {
 		case <-f.acceptDone:
 			return
-		case <-time.After(acceptPoll):
+		case <-time.After(acceptPollInterval):
 		}
 		if f.waitingForSlot.Load() > 0 {
 			lastProgress = time.Now()
@@ -69,13 +69,13 @@
 }
 
 // accept takes connections until the listener is closed or has been drained. It is the one goroutine that accepts.
-func (f *frontend) accept() {
+func (f *frontend) acceptLoop() {
 	defer close(f.acceptDone)
 	defer f.listener.Close()
 	for {
 		lastLook := f.draining.Load() && !f.paused.Load()
 		if lastLook {
-			f.setAcceptDeadline(time.Now().Add(acceptPoll)) // an accept whose deadline is over does not even look
+			f.setAcceptDeadline(time.Now().Add(acceptPollInterval)) // an accept whose deadline is over does not even look
 		}
 		conn, err := f.listener.Accept()
 		switch {
@@ -110,22 +110,22 @@
 	c := newClientConn(f, raw)
 	f.waitingForSlot.Add(1)
 	defer f.waitingForSlot.Add(-1)
-	if !f.tryTakeSlot(c) {
+	if !f.tryAcquireSlot(c) {
 		f.node.counters.add(clientsQueued)
-		for !f.tryTakeSlot(c) {
+		for !f.tryAcquireSlot(c) {
 			time.Sleep(slotPollInterval)
 		}
 	}
-	c.slotTakenAt = time.Now()
+	c.slotAcquiredAt = time.Now()
 	go c.writeLoop()
 	go c.readLoop()
 }
 
-func (f *frontend) tryTakeSlot(c *clientConn) bool {
+func (f *frontend) tryAcquireSlot(c *clientConn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.open) >= f.slotsLocked() || f.crowdedLocked() {
-		f.evictAheadLocked()
+	if len(f.open) >= f.clientSlotsLocked() || f.aboveEvictionThresholdLocked() {
+		f.evictIdleAheadLocked()
 	}
 	if f.fullLocked() {
 		return false
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -29,13 +29,13 @@
 			return int(n.count(clientsAccepted)) == min(i+1, 2)
 		})
 	}
-	answers.held(t, 1)
+	answers.awaitArrivals(t, 1)
 	stopped := make(chan struct{})
 	go func() { n.shutDown(); close(stopped) }()
 	eventually(t, "the listener to drain", n.frontend.draining.Load)
-	answers.pass()
+	answers.release()
 	for i, in := range ins {
-		if status, body, _ := readAnswer(in); status != 200 {
+		if status, body, _ := readResponse(in); status != 200 {
 			t.Errorf("request %d was answered %d %s", i, status, body)
 		}
 	}
@@ -47,7 +47,7 @@
 }
 
 // The socket that processes share may become a blocking one before the next accept: the shutdown still ends.
-func TestInheritedSocketBecomesBlocking(t *testing.T) {
+func TestShutdownEndsWithBlockingListener(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := processes(t, server)()
 	n.start()
@@ -71,7 +71,7 @@
 		}
 	}
 	setNonblock(false)
-	ask(t, n, "batch", "t", "") // the next accept blocks in the kernel
+	sendRequest(t, n, "batch", "t", "") // the next accept blocks in the kernel
 	stopped := make(chan struct{})
 	go func() { n.shutDown(); close(stopped) }()
 	select {
@@ -80,7 +80,7 @@
 		t.Error("the shutdown waits for an accept")
 	}
 	over := make(chan bool, 1)
-	n.loop.post(func() { over <- n.loop.rejectsAll })
+	n.loop.post(func() { over <- n.loop.rejectsNewRequests })
 	if <-over {
 		t.Error("the shutdown ended only by giving up")
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -16,19 +16,19 @@
 
 const (
 	adminReadTimeout   = 3 * time.Second // for the whole call
-	adminEvictAfter    = 10 * time.Millisecond
+	adminEvictionAge   = 10 * time.Millisecond
 	adminWriteTimeout  = time.Second
 	maxAdminHeadBytes  = 8 << 10
 	maxAdminConns      = 64
 	adminConnDivisor   = 12 // of the descriptors one in so many is for the admin API, if that is fewer
 	headEnd            = "\r\n\r\n"
-	admitRetryInterval = adminEvictAfter / 4
+	admitRetryInterval = adminEvictionAge / 4
 )
 
 var (
-	errAdminHeadTooLong = errors.New("head longer than 8 KiB")
-	errAdminIncomplete  = errors.New("half a call")
-	errAdminMalformed   = errors.New("a call that cannot be read")
+	errAdminHeadTooLong    = errors.New("head longer than 8 KiB")
+	errAdminHeadIncomplete = errors.New("half a call")
+	errAdminMalformed      = errors.New("a call that cannot be read")
 )
 
 // adminServer holds the admin API's listener and connections.
@@ -114,11 +114,11 @@
 	return true
 }
 
-// evictLocked closes the oldest connection that has sent nothing for adminEvictAfter before a time; mu is held.
+// evictLocked closes the oldest connection that has sent nothing for adminEvictionAge before a time; mu is held.
 func (s *adminServer) evictLocked(before time.Time) {
 	for _, c := range s.waiting {
-		if before.Sub(c.acceptedAt) > adminEvictAfter && !c.hasInput() {
-			s.forgetLocked(c)
+		if before.Sub(c.acceptedAt) > adminEvictionAge && !c.hasInput() {
+			s.removeWaitingLocked(c)
 			c.Close()
 			s.node.counters.add(adminCallsDropped)
 			return
@@ -126,9 +126,9 @@
 	}
 }
 
-// forgetLocked removes a connection from those that wait, and frees its place; it reports whether it was among them. mu
+// removeWaitingLocked removes a connection from those that wait, and frees its place; it reports whether it was among them. mu
 // is held.
-func (s *adminServer) forgetLocked(c *adminConn) bool {
+func (s *adminServer) removeWaitingLocked(c *adminConn) bool {
 	for i, waiting := range s.waiting {
 		if waiting == c {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
@@ -139,11 +139,11 @@
 	return false
 }
 
-// markCalled notes that a connection's call has been read, so that it is no longer evicted; false: it was evicted.
-func (s *adminServer) markCalled(c *adminConn) bool {
+// markCallRead notes that a connection's call has been read, so that it is no longer evicted; false: it was evicted.
+func (s *adminServer) markCallRead(c *adminConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.forgetLocked(c) {
+	if !s.removeWaitingLocked(c) {
 		return false
 	}
 	s.open++
@@ -162,7 +162,7 @@
 	defer s.node.recoverPanic("admin API", func() {})
 	c.SetDeadline(c.acceptedAt.Add(adminReadTimeout))
 	request, status, err := readAdminCall(c)
-	if !s.markCalled(c) {
+	if !s.markCallRead(c) {
 		return
 	}
 	defer s.release()
@@ -176,14 +176,14 @@
 	} else {
 		answer = s.handle(request)
 	}
-	s.count(answer)
+	s.countCall(answer)
 	c.SetDeadline(time.Now().Add(adminWriteTimeout))
 	if _, err := c.Write(answer.encode()); err == nil {
-		c.closeGently()
+		c.closeWriteAndDrain()
 	}
 }
 
-func (s *adminServer) count(answer adminResponse) {
+func (s *adminServer) countCall(answer adminResponse) {
 	s.node.counters.add(adminCallsAnswered)
 	if answer.status >= http.StatusBadRequest && answer.status != http.StatusServiceUnavailable {
 		s.node.counters.add(adminCallsBad)
@@ -199,7 +199,7 @@
 			return nil, http.StatusRequestHeaderFieldsTooLarge, errAdminHeadTooLong
 		}
 		if err := c.fill(); err != nil {
-			return nil, incompleteStatus(c, err), errAdminIncomplete
+			return nil, incompleteStatus(c, err), errAdminHeadIncomplete
 		}
 	}
 	if end := bytes.Index(c.buffered(), []byte(headEnd)); end > maxAdminHeadBytes {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -16,10 +16,10 @@
 	"fawnglade/policy"
 )
 
-func withAdmin(c *Config) { c.AdminListen = address() }
+func withAdmin(c *Config) { c.AdminListen = unusedAddress() }
 
-// callOn makes one admin call and returns the answer.
-func callOn(t *testing.T, n *Node, text string) (status int, body string, header http.Header) {
+// sendAdminCall makes one admin call and returns the answer.
+func sendAdminCall(t *testing.T, n *Node, text string) (status int, body string, header http.Header) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.admin.listener.Addr().String())
 	if err != nil {
@@ -28,38 +28,40 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	writeText(c, text)
-	return readAnswer(bufio.NewReader(c))
+	return readResponse(bufio.NewReader(c))
 }
 
-func callText(call string) string { return call + " HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n" }
+func adminCallText(call string) string {
+	return call + " HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n"
+}
 
-func (n *Node) call(t *testing.T, call string) int {
+func (n *Node) adminCall(t *testing.T, adminCall string) int {
 	t.Helper()
-	status, _, _ := callOn(t, n, callText(call))
+	status, _, _ := sendAdminCall(t, n, adminCallText(adminCall))
 	return status
 }
 
 func TestAdminRejectsInvalidCalls(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, withAdmin, server)
-	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+	eventually(t, "ready", func() bool { return n.adminCall(t, "GET /ready") == 200 })
 	for text, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
 		"GET /ready HTTP/1.1\r\nHost: c\r\nX: " + strings.Repeat("x", maxAdminHeadBytes) + "\r\n\r\n": 431,
 		strings.Repeat("x", 3*maxAdminHeadBytes):                                                      431,
-		callText("GET /"):                                                                             404,
-		callText("PUT /ready"):                                                                        405,
-		callText("GET /drain"):                                                                        405,
-		callText("POST /servers/disable?target=s-0"):                                                  405,
-		callText("PUT /servers/disable"):                                                              400,
-		callText("PUT /servers/disable?target="):                                                      400,
-		callText("PUT /servers/disable?target=s-0&target=s-0"):                                        400,
-		callText("PUT /servers/disable?target=%zz"):                                                   400,
-		callText("PUT /servers/disable?target=s-9"):                                                   404,
-		callText("PUT /servers/enable?target=s-9"):                                                    404,
+		adminCallText("GET /"):                                                                        404,
+		adminCallText("PUT /ready"):                                                                   405,
+		adminCallText("GET /drain"):                                                                   405,
+		adminCallText("POST /servers/disable?target=s-0"):                                             405,
+		adminCallText("PUT /servers/disable"):                                                         400,
+		adminCallText("PUT /servers/disable?target="):                                                 400,
+		adminCallText("PUT /servers/disable?target=s-0&target=s-0"):                                   400,
+		adminCallText("PUT /servers/disable?target=%zz"):                                              400,
+		adminCallText("PUT /servers/disable?target=s-9"):                                              404,
+		adminCallText("PUT /servers/enable?target=s-9"):                                               404,
 		"PUT /servers/disable?target=s-0 HTTP/1.1\r\nHost: c\r\nno end":                               408,
 	} {
-		status, body, header := callOn(t, n, text)
+		status, body, header := sendAdminCall(t, n, text)
 		if status != want || strings.Count(body, "\n") != 1 {
 			t.Errorf("%.60q: %d %q, want %d and one line", text, status, body, want)
 		}
@@ -86,7 +88,7 @@
 		}
 	}
 	for _, call := range []string{"GET /ready", "PUT /drain", "PUT /undrain"} {
-		if status := n.call(t, call); status != 200 {
+		if status := n.adminCall(t, call); status != 200 {
 			t.Errorf("%s among silent connections: %d", call, status)
 		}
 	}
@@ -98,10 +100,10 @@
 }
 
 // Guards against an admin API that answers only when the loop is free.
-func TestAdminDoesNotWaitForTheLoop(t *testing.T) {
+func TestAdminDoesNotWaitForEventLoop(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, withAdmin, server)
-	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+	eventually(t, "ready", func() bool { return n.adminCall(t, "GET /ready") == 200 })
 	held := make(chan struct{})
 	n.loop.post(func() { <-held })
 	for len(n.loop.events) < cap(n.loop.events) {
@@ -111,7 +113,7 @@
 		}
 	}
 	for _, call := range []string{"PUT /servers/disable?target=s-0", "PUT /drain", "PUT /undrain", "PUT /servers/enable?target=s-0", "GET /ready"} {
-		if status := n.call(t, call); status != 200 {
+		if status := n.adminCall(t, call); status != 200 {
 			t.Errorf("%s: %d while the loop stands still", call, status)
 		}
 	}
@@ -119,15 +121,15 @@
 }
 
 // A server taken out gets nothing, whatever the list says of it, until one call puts it back, cold.
-func TestServerTakenOut(t *testing.T) {
+func TestDisabledEndpointGetsNoRequests(t *testing.T) {
 	one, first := startUpstream(t, echo)
 	two, _ := startUpstream(t, echo)
 	n := startNode(t, withAdmin, one, two)
-	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+	eventually(t, "ready", func() bool { return n.adminCall(t, "GET /ready") == 200 })
 	ask20 := func(round string) int64 {
 		before := first.Load()
 		for i := range 20 {
-			if status, _, _ := ask(t, n, "batch", fmt.Sprint(round, i), ""); status != 200 {
+			if status, _, _ := sendRequest(t, n, "batch", fmt.Sprint(round, i), ""); status != 200 {
 				t.Errorf("%s: task %d was answered %d", round, i, status)
 			}
 		}
@@ -137,7 +139,7 @@
 		t.Fatal("the server is not in use before")
 	}
 	for range 2 {
-		if status := n.call(t, "PUT /servers/disable?target=s-0"); status != 200 {
+		if status := n.adminCall(t, "PUT /servers/disable?target=s-0"); status != 200 {
 			t.Fatalf("taken out: %d", status)
 		}
 	}
@@ -158,7 +160,7 @@
 		t.Errorf("the decisions chose a server that is out %d times", got)
 	}
 	before := n.clock.now()
-	if n.call(t, "PUT /servers/enable?target=s-0") != 200 {
+	if n.adminCall(t, "PUT /servers/enable?target=s-0") != 200 {
 		t.Fatal("not put back")
 	}
 	eventually(t, "the endpoint is in use again", func() bool { return ask20(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
@@ -170,7 +172,7 @@
 }
 
 // Guards against decisions that go on choosing an endpoint after an operator was told that it is out.
-func TestOverrideReachesTheDecisionsWithoutAPoll(t *testing.T) {
+func TestOverrideIsAppliedWithoutPolling(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := newNode(t, withAdmin, server)
 	n.loop.endpointsUpdated(n.chooseInitialList().entries, true)
@@ -203,23 +205,23 @@
 }
 
 // Overrides outlive the process, and both processes of a node obey them.
-func TestOverridesAreSharedAndOutliveAProcess(t *testing.T) {
+func TestOverridesAreSharedAndPersisted(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	var dir, at string
 	n := startNode(t, func(c *Config) { withAdmin(c); dir, at = c.filesDir, c.Listen }, server)
 	other := newNode(t, func(c *Config) { withAdmin(c); c.filesDir, c.Listen = dir, at }, server)
 	other.start()
-	eventually(t, "both ready", func() bool { return n.call(t, "GET /ready") == 200 && other.call(t, "GET /ready") == 200 })
-	n.call(t, "PUT /servers/disable?target=s-0")
-	n.call(t, "PUT /drain")
+	eventually(t, "both ready", func() bool { return n.adminCall(t, "GET /ready") == 200 && other.adminCall(t, "GET /ready") == 200 })
+	n.adminCall(t, "PUT /servers/disable?target=s-0")
+	n.adminCall(t, "PUT /drain")
 	eventually(t, "the other knows", func() bool {
-		return other.overrides.isDisabled(endpointID("s-0")) && other.call(t, "GET /ready") == 503
+		return other.overrides.isDisabled(endpointID("s-0")) && other.adminCall(t, "GET /ready") == 503
 	})
 	later := newNode(t, func(c *Config) { c.filesDir, c.Listen = dir, at })
 	if !later.overrides.isDisabled(endpointID("s-0")) || !later.overrides.drained() || !later.overrides.isKnown("s-0") {
 		t.Error("a later process does not know the overrides")
 	}
-	other.call(t, "PUT /servers/enable?target=s-0")
+	other.adminCall(t, "PUT /servers/enable?target=s-0")
 	eventually(t, "the first knows", func() bool { return !n.overrides.isDisabled(endpointID("s-0")) })
 	if !n.overrides.drained() {
 		t.Error("a change by one process undid one by the other")
@@ -244,7 +246,7 @@
 }
 
 // The overrides file is not trusted: the node starts, counts what can't be read, and obeys the rest.
-func TestUnreadableOverrides(t *testing.T) {
+func TestUnreadableOverridesAreCounted(t *testing.T) {
 	n := newNode(t, withAdmin)
 	good := "fawnglade-orders 1 " + n.identity() + "\n"
 	for text, kept := range map[string]int{
@@ -292,26 +294,26 @@
 func TestDrainedNodeClosesConnections(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, withAdmin, server)
-	eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+	eventually(t, "ready", func() bool { return n.adminCall(t, "GET /ready") == 200 })
 	used, in := dial(t, n)
 	writeText(used, requestText("batch", "t1", ""))
-	readAnswer(in)
+	readResponse(in)
 	idle, idleIn := dial(t, n)
 	writeText(idle, requestText("batch", "t2", ""))
-	readAnswer(idleIn)
-	if n.call(t, "PUT /drain") != 200 || n.call(t, "GET /ready") != 503 {
+	readResponse(idleIn)
+	if n.adminCall(t, "PUT /drain") != 200 || n.adminCall(t, "GET /ready") != 503 {
 		t.Fatal("ready while drained")
 	}
 	c, cIn := dial(t, n)
 	writeText(c, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
-	if status, _, _ := readAnswer(cIn); status != 503 {
+	if status, _, _ := readResponse(cIn); status != 503 {
 		t.Errorf("/ready for clients is %d", status)
 	}
 	writeText(used, requestText("batch", "t3", ""))
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 200 || !r.Close {
 		t.Errorf("%v, %v on a connection in use, want a response that closes it", r, err)
 	}
-	if status, _, _ := ask(t, n, "batch", "t4", ""); status != 200 {
+	if status, _, _ := sendRequest(t, n, "batch", "t4", ""); status != 200 {
 		t.Errorf("a client that came in the next moment got %d", status)
 	}
 	idle.SetReadDeadline(time.Now().Add(4 * time.Second))
@@ -319,16 +321,16 @@
 		t.Errorf("an idle connection is held: %v", err)
 	}
 	for range 2 {
-		if n.call(t, "PUT /undrain") != 200 || n.call(t, "GET /ready") != 200 {
+		if n.adminCall(t, "PUT /undrain") != 200 || n.adminCall(t, "GET /ready") != 200 {
 			t.Error("not ready after the end of the drain")
 		}
 	}
-	if status, _, _ := ask(t, n, "batch", "t5", ""); status != 200 {
+	if status, _, _ := sendRequest(t, n, "batch", "t5", ""); status != 200 {
 		t.Errorf("after the drain a request got %d", status)
 	}
 }
 
-func listedHere(name string) policy.EndpointInfo {
+func activeEndpointInfo(name string) policy.EndpointInfo {
 	return policy.EndpointInfo{ID: endpointID(name), State: policy.StateActive, Weight: 1}
 }
 
--- a/internal/node/admincommands.go
+++ b/internal/node/admincommands.go
@@ -48,7 +48,7 @@
 // handle answers a call.
 func (s *adminServer) handle(r *http.Request) adminResponse {
 	method, known := adminMethods[r.URL.Path]
-	if !known || !s.offers(r.URL.Path) {
+	if !known || !s.isEnabled(r.URL.Path) {
 		return adminResponse{status: http.StatusNotFound, text: "no such call"}
 	}
 	if r.Method != method {
@@ -56,7 +56,7 @@
 	}
 	switch r.URL.Path {
 	case pathReady:
-		if reason := s.node.notReady(); reason != "" {
+		if reason := s.node.notReadyReason(); reason != "" {
 			return unavailable(reason)
 		}
 		return ok("ready")
@@ -76,7 +76,7 @@
 }
 
 // offers reports whether the part of the node that a path reports on is on.
-func (s *adminServer) offers(path string) bool {
+func (s *adminServer) isEnabled(path string) bool {
 	switch path {
 	case pathMembers:
 		return s.node.members != nil
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -113,15 +113,15 @@
 			t.Parallel()
 			server, requests := startUpstream(t, echo)
 			n := newNode(t, withSettings(c.settings...), server)
-			dials := n.holdDials(t)
+			dials := n.blockDials(t)
 			n.start()
 			client, in := dial(t, n)
 			writeText(client, requestText(c.class, "t1", ""))
-			dials.held(t, 1)
+			dials.awaitArrivals(t, 1)
 			c.event(t, n, client, server)
-			dials.pass()
+			dials.release()
 			if c.status != 0 {
-				if status, _, _ := readAnswer(in); status != c.status {
+				if status, _, _ := readResponse(in); status != c.status {
 					t.Errorf("answered %d, want %d", status, c.status)
 				}
 			}
@@ -141,7 +141,7 @@
 // long.
 func TestDedupWindowEndsDuringDial(t *testing.T) {
 	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		return writeAnswer(c, "500 Bad", "")
+		return writeResponse(c, "500 Bad", "")
 	})
 	for name, span := range map[string]int64{"ends": 150, "lasts": 700} {
 		t.Run(name, func(t *testing.T) {
@@ -159,11 +159,11 @@
 			began := n.clock.now()
 			client, in := dial(t, n)
 			writeText(client, requestText("update", "t1", ""))
-			second.held(t, 1)
+			second.awaitArrivals(t, 1)
 			// later than the shorter memory in any case
 			time.Sleep(time.Until(n.clock.at(began.Add(200 * time.Millisecond))))
-			second.pass()
-			status, _, _ := readAnswer(in)
+			second.release()
+			status, _, _ := readResponse(in)
 			ran := n.count(attemptsErrored)
 			if status != 502 || name == "ends" && ran != 1 || name == "lasts" && ran < 1 {
 				t.Errorf("answered %d, %d attempts have run", status, ran)
@@ -178,12 +178,12 @@
 	const span = 800 * time.Millisecond
 	failing, requests := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 		time.Sleep(span - 20*time.Millisecond)
-		return writeAnswer(c, "500 Bad", "")
+		return writeResponse(c, "500 Bad", "")
 	})
 	n := startNode(t, withSettings(`"memory_span_us":2000000`,
 		fmt.Sprintf(`"memory_span_us":%d`, span.Microseconds()), `800000`, `20000000`, `300000`, `20000000`),
 		failing, failing)
-	if status, _, _ := ask(t, n, "update", "t1", ""); status != 502 || requests.Load() != 1 {
+	if status, _, _ := sendRequest(t, n, "update", "t1", ""); status != 502 || requests.Load() != 1 {
 		t.Errorf("answered %d after %d attempts, want 502 after one", status, requests.Load())
 	}
 }
@@ -209,15 +209,15 @@
 	n.start()
 	client, in := dial(t, n)
 	writeText(client, requestText("batch", "t1", ""))
-	answers.held(t, 1)
+	answers.awaitArrivals(t, 1)
 	n.updateList(t, listText(2, false, listEntry("s-1", other, "up")))
 	n.loop.post(func() { n.loop.Send("t1", endpointID("s-1"), 20*time.Second) })
-	dials.held(t, 1)
-	answers.pass()
-	if status, _, _ := readAnswer(in); status != 200 {
+	dials.awaitArrivals(t, 1)
+	answers.release()
+	if status, _, _ := readResponse(in); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
-	dials.pass()
+	dials.release()
 	eventually(t, "the end of the hedged request", func() bool { return n.count(attemptsNotSent) == 1 })
 	if requests.Load() != 0 {
 		t.Error("a hedged request went out for a request that has its answer")
@@ -235,11 +235,11 @@
 	n := startNode(t, nil, server, server)
 	client, in := dial(t, n)
 	writeText(client, requestText("pay", "t", ""))
-	answers.held(t, 1)
-	held := n.holdLoop(t)
+	answers.awaitArrivals(t, 1)
+	held := n.blockLoop(t)
 	n.loop.post(func() { n.loop.Cancel("t", 0) })
-	held.pass()
-	if status, _, _ := readAnswer(in); status != 502 || requests.Load() != 1 {
+	held.release()
+	if status, _, _ := readResponse(in); status != 502 || requests.Load() != 1 {
 		t.Errorf("an exclusive request that was canceled was answered %d, %d came to servers", status, requests.Load())
 	}
 	if n.count(attemptsCanceled) != 1 {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -11,7 +11,7 @@
 )
 
 // lean answers every request that ends as the benchmark's do, without parsing it: what is measured is the node.
-func lean(c net.Conn) {
+func serveFixedResponse(c net.Conn) {
 	buf := make([]byte, 8192)
 	have := 0
 	for {
@@ -51,7 +51,7 @@
 						if err != nil {
 							return
 						}
-						go func() { defer c.Close(); lean(c) }()
+						go func() { defer c.Close(); serveFixedResponse(c) }()
 					}
 				}()
 			}
--- a/internal/node/bufferedconn.go
+++ b/internal/node/bufferedconn.go
@@ -110,9 +110,9 @@
 	return r.readOnce(p)
 }
 
-// closeGently ends the sending side and waits up to closeLinger for the peer to close. Guards against a reset that
+// closeWriteAndDrain ends the sending side and waits up to closeLinger for the peer to close. Guards against a reset that
 // would discard what was sent to a peer that is still sending. The caller closes the connection.
-func (c *bufferedConn) closeGently() {
+func (c *bufferedConn) closeWriteAndDrain() {
 	c.closeWrite()
 	c.SetReadDeadline(time.Now().Add(closeLinger))
 	for {
@@ -139,9 +139,9 @@
 	c.Close()
 }
 
-// isQuiet reports that the peer has neither closed the connection nor sent anything that was not asked for. Guards
+// isReusable reports that the peer has neither closed the connection nor sent anything that was not asked for. Guards
 // against late responses and against a connection that a restarted upstream no longer knows.
-func (c *bufferedConn) isQuiet() bool {
+func (c *bufferedConn) isReusable() bool {
 	_, err := sockstate.Peek(c.Conn)
 	return len(c.buffered()) == 0 && errors.Is(err, syscall.EAGAIN)
 }
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -18,22 +18,22 @@
 // clientConn is one client connection. Its read loop and its write loop meet in responseOrder. The write loop closes
 // the connection, so that a node that stops waits for the last response.
 type clientConn struct {
-	frontend      *frontend
-	conn          *bufferedConn
-	responseOrder chan *pendingRequest // in the order of the requests; closed by the read loop
-	slotTakenAt   time.Time            // when it got its slot; written before the loops start
+	frontend       *frontend
+	conn           *bufferedConn
+	responseOrder  chan *pendingRequest // in the order of the requests; closed by the read loop
+	slotAcquiredAt time.Time            // when it got its slot; written before the loops start
 
 	lingerUntil atomic.Int64 // Unix time in ns until which input is discarded; 0 until the last response is written
 	streaming   atomic.Bool  // a response is being passed on as it comes
 
-	mu            sync.Mutex
-	pendingCount  int           // requests without a written response
-	closed        bool          // takes no more requests
-	evicting      bool          // is to close unless a request has come
-	used          bool          // has brought a request; written by the read loop alone
-	lingerTimeout time.Duration // of silence after the last response, after which the connection is closed
-	lastUsedAt    time.Time     // when it was accepted or its last response was written
-	messageBegan  time.Time     // when the message that is being read began; zero between messages
+	mu               sync.Mutex
+	pendingCount     int           // requests without a written response
+	closed           bool          // takes no more requests
+	evicting         bool          // is to close unless a request has come
+	used             bool          // has brought a request; written by the read loop alone
+	lingerTimeout    time.Duration // of silence after the last response, after which the connection is closed
+	lastUsedAt       time.Time     // when it was accepted or its last response was written
+	messageStartedAt time.Time     // when the message that is being read began; zero between messages
 }
 
 func newClientConn(f *frontend, raw net.Conn) *clientConn {
@@ -73,7 +73,7 @@
 			c.discardInput()
 			return
 		}
-		unanswered = append(withoutAnswered(unanswered), pending)
+		unanswered = append(removeAnswered(unanswered), pending)
 		if err != nil {
 			c.rejectMalformed(pending, err)
 		} else {
@@ -82,7 +82,7 @@
 			c.handle(pending, request)
 		}
 		c.responseOrder <- pending
-		bodyBroken := pending.source != nil && !c.awaitBody(pending)
+		bodyBroken := pending.source != nil && !c.awaitStreamedBody(pending)
 		if bodyBroken || pending.closeAfter {
 			c.discardInput()
 			return
@@ -90,8 +90,8 @@
 	}
 }
 
-// withoutAnswered removes the requests that have their response, in place.
-func withoutAnswered(requests []*pendingRequest) []*pendingRequest {
+// removeAnswered removes the requests that have their response, in place.
+func removeAnswered(requests []*pendingRequest) []*pendingRequest {
 	kept := requests[:0]
 	for _, pending := range requests {
 		if !pending.answered.Load() {
@@ -104,7 +104,7 @@
 // cancelRequests posts to the event loop which requests' client has gone.
 func (c *clientConn) cancelRequests(requests []*pendingRequest) {
 	loop := c.frontend.node.loop
-	for _, pending := range withoutAnswered(requests) {
+	for _, pending := range removeAnswered(requests) {
 		loop.post(func() { loop.clientGone(pending) })
 	}
 }
@@ -124,7 +124,7 @@
 		c.used = true
 		c.frontend.usedConns.Add(1)
 	}
-	c.messageBegan = time.Time{}
+	c.messageStartedAt = time.Time{}
 	return true
 }
 
@@ -139,17 +139,17 @@
 	c.lastUsedAt = time.Now()
 }
 
-// hasNoPending reports that no response is due or being written. Guards against a 100 Continue in the middle of one.
-func (c *clientConn) hasNoPending() bool {
+// hasNoPendingRequests reports that no response is due or being written. Guards against a 100 Continue in the middle of one.
+func (c *clientConn) hasNoPendingRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pendingCount == 0
 }
 
-// closesAfter reports whether the connection is to be closed after a response, and if so takes no more requests. It
+// shouldCloseAfter reports whether the connection is to be closed after a response, and if so takes no more requests. It
 // is not closed while it holds further requests, nor, unless it must be closed, once the next has begun to come: they
 // would be lost.
-func (c *clientConn) closesAfter(pending *pendingRequest) bool {
+func (c *clientConn) shouldCloseAfter(pending *pendingRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pendingCount > 1 {
@@ -157,8 +157,8 @@
 	}
 	bodyIncomplete := pending.bodyIncomplete()
 	if !pending.closeAfter && !bodyIncomplete {
-		wanted := c.evicting || c.frontend.node.closesConnections()
-		if !wanted || !c.messageBegan.IsZero() || c.conn.hasInput() {
+		wanted := c.evicting || c.frontend.node.closesClientConns()
+		if !wanted || !c.messageStartedAt.IsZero() || c.conn.hasInput() {
 			return false
 		}
 	}
@@ -171,9 +171,9 @@
 	return true
 }
 
-// keepsOpen reports whether the connection outlives a read that timed out, as a request of it has no response yet. One
+// staysOpenAfterTimeout reports whether the connection outlives a read that timed out, as a request of it has no response yet. One
 // that was asked to close just when its request came is no exception.
-func (c *clientConn) keepsOpen() bool {
+func (c *clientConn) staysOpenAfterTimeout() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pendingCount > 0 && !c.closed
@@ -222,7 +222,7 @@
 		answer := <-pending.responses
 		ended = ended || answer.status == 0
 		if !ended {
-			ended = !c.writeResponse(pending, &answer, c.closesAfter(pending))
+			ended = !c.writeResponse(pending, &answer, c.shouldCloseAfter(pending))
 		}
 		answer.discard()
 		if pending.source != nil {
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -25,11 +25,11 @@
 	}
 	writeText(c, all+"no message\r\n\r\n")
 	for i := range 9 {
-		if status, body, _ := readAnswer(in); status != 200 || body != fmt.Sprintf("/batch t%d b", i) {
+		if status, body, _ := readResponse(in); status != 200 || body != fmt.Sprintf("/batch t%d b", i) {
 			t.Errorf("answer %d is %d %q", i, status, body)
 		}
 	}
-	if status, _, _ := readAnswer(in); status != 400 {
+	if status, _, _ := readResponse(in); status != 400 {
 		t.Errorf("what is no message was answered %d", status)
 	}
 }
@@ -52,16 +52,16 @@
 		one.mu.Unlock()
 	}
 	n.frontend.mu.Unlock()
-	if status, _, header := readAnswer(in); status != 200 || header == nil {
+	if status, _, header := readResponse(in); status != 200 || header == nil {
 		t.Errorf("answered %d", status)
 	}
-	if status, _, _ := readAnswer(in); status != 0 {
+	if status, _, _ := readResponse(in); status != 0 {
 		t.Error("the connection did not leave after its answer")
 	}
 }
 
 // A connection is not closed after a response while the next request has begun to come.
-func TestRequestBeginsAsItsConnectionIsToClose(t *testing.T) {
+func TestConnectionStaysOpenForStartedRequest(t *testing.T) {
 	answers := newGate(t)
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
@@ -71,23 +71,23 @@
 	client, in := dial(t, n)
 	next := requestText("batch", "b", "body")
 	writeText(client, requestText("batch", "a", "")+next[:60])
-	answers.held(t, 1)
+	answers.awaitArrivals(t, 1)
 	at := n.onlyClientConn(t)
 	eventually(t, "half of the second request", func() bool {
 		at.mu.Lock()
 		defer at.mu.Unlock()
-		return !at.messageBegan.IsZero() && at.pendingCount == 1
+		return !at.messageStartedAt.IsZero() && at.pendingCount == 1
 	})
 	n.shuttingDown.Store(true)
-	answers.pass()
-	if status, _, header := readAnswer(in); status != 200 || header.Get("Connection") == "close" {
+	answers.release()
+	if status, _, header := readResponse(in); status != 200 || header.Get("Connection") == "close" {
 		t.Errorf("the first was answered %d, %v", status, header)
 	}
 	writeText(client, next[60:])
-	if status, _, _ := readAnswer(in); status != 200 {
+	if status, _, _ := readResponse(in); status != 200 {
 		t.Errorf("the second was answered %d", status)
 	}
-	if status, _, _ := readAnswer(in); status != 0 {
+	if status, _, _ := readResponse(in); status != 0 {
 		t.Error("the connection stays after the last")
 	}
 }
@@ -109,7 +109,7 @@
 			t.Fatalf("closed on while sending: %v", err)
 		}
 	}
-	if status, _, _ := readAnswer(in); status != 503 {
+	if status, _, _ := readResponse(in); status != 503 {
 		t.Errorf("got %d", status)
 	}
 }
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-func TestAttemptIsCanceledWhenClientLeaves(t *testing.T) {
+func TestAttemptIsCanceledWhenClientCloses(t *testing.T) {
 	closed := make(chan struct{})
 	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		discard(c)
@@ -38,7 +38,7 @@
 }
 
 // A request whose client has left while it waited, wherever that was, is written to no upstream.
-func TestClientLeavesWhileItsRequestWaits(t *testing.T) {
+func TestWaitingRequestOfClosedClientIsNotSent(t *testing.T) {
 	many := func(n int) (text string) {
 		for i := range n {
 			text += requestText("batch", fmt.Sprint("t", i), "")
@@ -95,7 +95,7 @@
 		client.Close()
 		eventually(t, "its end", at.clientGone)
 		before := requests.Load()
-		answers.pass()
+		answers.release()
 		eventually(t, "the connection's end", n.allClientsClosed)
 		if n.flushLoop(); requests.Load() != before {
 			t.Errorf("%d requests at the server when the client left, %d in the end", before, requests.Load())
@@ -105,15 +105,15 @@
 		t.Parallel()
 		server, requests := startUpstream(t, echo)
 		n := newNode(t, silentDiscovery(t), server, server, server)
-		dials := n.holdDials(t)
+		dials := n.blockDials(t)
 		n.start()
 		client, _ := dial(t, n)
 		writeText(client, many(20))
-		dials.held(t, maxPipelined+2) // as many as stand in turn, with the writer's and the reader's
+		dials.awaitArrivals(t, maxPipelined+2) // as many as stand in turn, with the writer's and the reader's
 		at := n.onlyClientConn(t)
 		client.Close()
 		eventually(t, "its end", at.clientGone)
-		dials.pass()
+		dials.release()
 		eventually(t, "the cancellation", func() bool {
 			n.flushLoop()
 			return n.count(attemptsNotSent) == n.count(attemptsSent)
@@ -129,18 +129,18 @@
 		errs := newGate(t)
 		server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 			errs.wait()
-			return writeAnswer(c, "500 Bad", "")
+			return writeResponse(c, "500 Bad", "")
 		})
 		n := startNode(t, silentDiscovery(t), server, server)
 		client, _ := dial(t, n)
 		writeText(client, requestText("batch", "t", ""))
-		errs.held(t, 1)
-		held := n.holdLoop(t)
-		errs.pass()
+		errs.awaitArrivals(t, 1)
+		held := n.blockLoop(t)
+		errs.release()
 		eventually(t, "the answer in the queue", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
 		eventually(t, "the cancellation behind it", func() bool { return len(n.loop.events) == 2 })
-		held.pass()
+		held.release()
 		eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 		eventually(t, "the end", func() bool {
 			n.flushLoop()
@@ -154,13 +154,13 @@
 		t.Parallel()
 		server, requests := startUpstream(t, echo)
 		n := startNode(t, silentDiscovery(t), server)
-		held := n.holdLoop(t)
+		held := n.blockLoop(t)
 		client, _ := dial(t, n)
 		writeText(client, requestText("batch", "t", ""))
 		eventually(t, "the arrival in the queue", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
 		eventually(t, "the cancellation behind it", func() bool { return len(n.loop.events) == 2 })
-		held.pass()
+		held.release()
 		eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 		eventually(t, "the end", func() bool {
 			n.flushLoop()
@@ -172,15 +172,15 @@
 	})
 }
 
-// waysToLeave are the ways in which a client leaves; the protocol knows no client that half-closes and waits.
-var waysToLeave = map[string]func(c net.Conn){
+// clientCloseMethods are the ways in which a client leaves; the protocol knows no client that half-closes and waits.
+var clientCloseMethods = map[string]func(c net.Conn){
 	"close":      func(c net.Conn) { c.Close() },
 	"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 	"half-close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 }
 
-// firstBytes starts an upstream that counts attempts as they begin, whether or not they come completely.
-func firstBytes(t *testing.T, answer func(c net.Conn, r *http.Request)) (address string, begun *atomic.Int64) {
+// startCountingUpstream starts an upstream that counts attempts as they begin, whether or not they come completely.
+func startCountingUpstream(t *testing.T, answer func(c net.Conn, r *http.Request)) (address string, begun *atomic.Int64) {
 	begun = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); ; {
@@ -202,7 +202,7 @@
 
 // An attempt that has not written its first byte when the client leaves does not begin, however it came to be and
 // however the client left.
-func TestNoAttemptBeginsAfterClientLeft(t *testing.T) {
+func TestNoAttemptStartsAfterClientClosed(t *testing.T) {
 	type stage struct {
 		text string
 		// reach brings attempts so far that only their connection is missing; in lets answers of the first server go
@@ -211,7 +211,7 @@
 		first int  // attempts that have begun before the client leaves
 	}
 	addUpstream := func(t *testing.T, n *Node, other string, answers *gate) {
-		answers.held(t, 1)
+		answers.awaitArrivals(t, 1)
 		n.updateList(t, listText(2, false, listEntry("s-1", other, "up")))
 	}
 	for name, s := range map[string]stage{
@@ -227,7 +227,7 @@
 			text: requestText("batch", "t0", ""), first: 1,
 			reach: func(t *testing.T, n *Node, other string, answers *gate) {
 				addUpstream(t, n, other, answers)
-				answers.pass()
+				answers.release()
 			},
 		},
 		"a retry after a cancel": {
@@ -243,7 +243,7 @@
 				})
 			},
 		},
-		"an upload that flows": {text: streamedRequest("batch", "t0"), blind: true},
+		"an upload that flows": {text: partialStreamedRequest("batch", "t0"), blind: true},
 		"many on one connection": {text: func() (text string) {
 			for i := range 20 {
 				text += requestText("batch", fmt.Sprint("t", i), "")
@@ -251,15 +251,15 @@
 			return text
 		}(), blind: true},
 	} {
-		for how, leave := range waysToLeave {
+		for how, leave := range clientCloseMethods {
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
 				answers := newGate(t)
-				first, atFirst := firstBytes(t, func(c net.Conn, r *http.Request) {
+				first, atFirst := startCountingUpstream(t, func(c net.Conn, r *http.Request) {
 					answers.wait()
-					writeAnswer(c, "500 Bad", "")
+					writeResponse(c, "500 Bad", "")
 				})
-				other, atOther := firstBytes(t, func(c net.Conn, r *http.Request) { echo(c, r, "") })
+				other, atOther := startCountingUpstream(t, func(c net.Conn, r *http.Request) { echo(c, r, "") })
 				n := newNode(t, func(c *Config) {
 					withSettings(`"may_duplicate":false`, `"may_duplicate":true`,
 						`800000`, `8000000`, `75000`, `5000000`,
@@ -280,15 +280,15 @@
 				if s.reach != nil {
 					s.reach(t, n, other, answers)
 				}
-				dials.held(t, 1)
+				dials.awaitArrivals(t, 1)
 				at := n.onlyClientConn(t)
 				leave(client)
 				eventually(t, "its end", at.clientGone)
 				if !s.blind {
 					eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 				}
-				dials.pass()
-				answers.pass()
+				dials.release()
+				answers.release()
 				eventually(t, "the end of all attempts", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
 				if atFirst.Load() != int64(s.first) || atOther.Load() != 0 || n.count(attemptsNotSent) == 0 {
 					t.Errorf("%d attempts began at the first server, want %d; %d at the other; %d did not begin",
@@ -302,8 +302,8 @@
 
 // timestampedReader reads from a socket and notes when the kernel had what was read last, however late the reader is.
 type timestampedReader struct {
-	raw syscall.RawConn
-	at  time.Time
+	raw            syscall.RawConn
+	lastReceivedAt time.Time
 }
 
 func newTimestampedReader(c net.Conn) (*timestampedReader, error) {
@@ -328,7 +328,7 @@
 	if broken != nil || err != nil || n == 0 {
 		return 0, io.EOF
 	}
-	s.at = time.Now()
+	s.lastReceivedAt = time.Now()
 	list, _ := syscall.ParseSocketControlMessage(beside[:size])
 	for _, one := range list {
 		if one.Header.Type == syscall.SO_TIMESTAMPNS && len(one.Data) >= 16 {
@@ -337,7 +337,7 @@
 				sec |= int64(one.Data[i]) << (8 * i)
 				ns |= int64(one.Data[8+i]) << (8 * i)
 			}
-			s.at = time.Unix(sec, ns)
+			s.lastReceivedAt = time.Unix(sec, ns)
 		}
 	}
 	return n, nil
@@ -346,27 +346,27 @@
 // sessionLog is what the sockets show: when each client had left, and when each attempt's first byte was at an
 // upstream.
 type sessionLog struct {
-	mu       sync.Mutex
-	gone     map[string]time.Time
-	attempts map[string][]time.Time
+	mu            sync.Mutex
+	clientLeftAt  map[string]time.Time
+	attemptStarts map[string][]time.Time
 }
 
-func (a *sessionLog) left(at time.Time, ids ...string) {
+func (a *sessionLog) recordClientLeft(at time.Time, ids ...string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, id := range ids {
-		a.gone[id] = at
+		a.clientLeftAt[id] = at
 	}
 }
 
-func (a *sessionLog) began(id string, at time.Time) {
+func (a *sessionLog) recordAttempt(id string, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.attempts[id] = append(a.attempts[id], at)
+	a.attemptStarts[id] = append(a.attemptStarts[id], at)
 }
 
 // troubled starts an upstream that answers as a seed says: late, with errors, with rejections, or not at all.
-func (a *sessionLog) troubled(t *testing.T, seed uint64) string {
+func (a *sessionLog) startFaultyUpstream(t *testing.T, seed uint64) string {
 	var mu sync.Mutex
 	luck := rand.New(rand.NewPCG(seed, 1))
 	return listen(t, func(c net.Conn) {
@@ -379,12 +379,12 @@
 			if _, err := in.Peek(1); err != nil {
 				return
 			}
-			at := stamps.at
+			at := stamps.lastReceivedAt
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			a.began(r.Header.Get(headerRequestID), at)
+			a.recordAttempt(r.Header.Get(headerRequestID), at)
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
@@ -397,9 +397,9 @@
 			time.Sleep(wait)
 			switch {
 			case what < 3:
-				writeAnswer(c, "500 Bad", "")
+				writeResponse(c, "500 Bad", "")
 			case what == 3:
-				writeAnswer(c, "503 Full", "")
+				writeResponse(c, "503 Full", "")
 			case what == 4:
 				return
 			default:
@@ -411,11 +411,11 @@
 
 // With clients that leave at any moment, three nodes and six faulty upstreams whose connections open late, no attempt
 // begins more than 0.1 s after its client has left.
-func TestManyClientsThatLeave(t *testing.T) {
-	day := &sessionLog{gone: map[string]time.Time{}, attempts: map[string][]time.Time{}}
+func TestNoAttemptStartsAfterClientClosedUnderFaults(t *testing.T) {
+	day := &sessionLog{clientLeftAt: map[string]time.Time{}, attemptStarts: map[string][]time.Time{}}
 	var servers []string
 	for i := range 6 {
-		servers = append(servers, day.troubled(t, uint64(i)))
+		servers = append(servers, day.startFaultyUpstream(t, uint64(i)))
 	}
 	var nodes []*Node
 	for i := range 3 {
@@ -448,14 +448,14 @@
 		switch kind := luck.IntN(10); {
 		case kind < 2:
 			ids = []string{fmt.Sprintf("u%d", i)}
-			text = streamedRequest(class, ids[0])
+			text = partialStreamedRequest(class, ids[0])
 		default:
 			for k := range []int{1, 1, 1, 1, 3, 12, 1, 1}[kind-2] {
 				ids = append(ids, fmt.Sprintf("t%d-%d", i, k))
 				text += requestText(class, ids[k], "")
 			}
 		}
-		after, leave := time.Duration(luck.IntN(600))*time.Millisecond, waysToLeave[ways[luck.IntN(3)]]
+		after, leave := time.Duration(luck.IntN(600))*time.Millisecond, clientCloseMethods[ways[luck.IntN(3)]]
 		stays := luck.IntN(4) == 0 && len(ids) == 1 && !strings.HasPrefix(ids[0], "u")
 		done.Go(func() {
 			c, err := net.Dial("tcp", n.address())
@@ -467,14 +467,14 @@
 			c.SetDeadline(time.Now().Add(10 * time.Second))
 			writeText(c, text)
 			if stays {
-				if status, body, _ := readAnswer(bufio.NewReader(c)); status == 0 {
+				if status, body, _ := readResponse(bufio.NewReader(c)); status == 0 {
 					t.Errorf("%s, who stayed, has no answer: %s", ids[0], body)
 				}
 				return
 			}
 			time.Sleep(after)
 			leave(c)
-			day.left(time.Now(), ids...)
+			day.recordClientLeft(time.Now(), ids...)
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -486,11 +486,11 @@
 	defer day.mu.Unlock()
 	var attempts, never, late int
 	var latest time.Duration
-	for id, gone := range day.gone {
-		if len(day.attempts[id]) == 0 {
+	for id, gone := range day.clientLeftAt {
+		if len(day.attemptStarts[id]) == 0 {
 			never++
 		}
-		for k, at := range day.attempts[id] {
+		for k, at := range day.attemptStarts[id] {
 			behind := at.Sub(gone)
 			if latest = max(latest, behind); behind > 100*time.Millisecond {
 				late++
@@ -499,13 +499,13 @@
 		}
 	}
 	var further int
-	for _, list := range day.attempts {
+	for _, list := range day.attemptStarts {
 		attempts += len(list)
 		further += len(list) - 1
 	}
 	t.Logf("%d attempts, %d of them further ones, %d requests of clients that left, %d of these never begun, "+
 		"the latest %v behind", attempts, further,
-		len(day.gone), never, latest)
+		len(day.clientLeftAt), never, latest)
 	if late > 0 || attempts < 200 || further < 20 || never < 50 {
 		t.Errorf("%d attempts began more than 0.1 s behind, want 0", late)
 	}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestBadConfigurationErrors(t *testing.T) {
+func TestInvalidConfigurationErrors(t *testing.T) {
 	good := func() *Config {
 		return &Config{
 			Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "a",
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -61,11 +61,11 @@
 	counterCount
 )
 
-// givenUpFor is the counter of the requests that were rejected or failed for a reason of the decisions.
-func givenUpFor(reason policy.Reason) counter { return counterCount + counter(reason) }
+// givenUpCounter is the counter of the requests that were rejected or failed for a reason of the decisions.
+func givenUpCounter(reason policy.Reason) counter { return counterCount + counter(reason) }
 
-// allCounters is the number of the counters, those of givenUpFor among them.
-const allCounters = counterCount + counter(policy.ReasonCount)
+// totalCounters is the number of the counters, those of givenUpCounter among them.
+const totalCounters = counterCount + counter(policy.ReasonCount)
 
 // name returns the name of a counter in the log.
 func (c counter) name() string {
@@ -122,14 +122,14 @@
 	panics:                   "panics",
 }
 
-type counters [allCounters]atomic.Int64
+type counters [totalCounters]atomic.Int64
 
 // add counts one event; any goroutine may call it.
 func (c *counters) add(what counter) { c[what].Add(1) }
 
 // log writes all counters into one log entry.
 func (c *counters) log(log *zap.Logger, why string) {
-	fields := make([]zap.Field, allCounters)
+	fields := make([]zap.Field, totalCounters)
 	for i := range fields {
 		fields[i] = zap.Int64(counter(i).name(), c[i].Load())
 	}
--- a/internal/node/counters_test.go
+++ b/internal/node/counters_test.go
@@ -10,19 +10,19 @@
 // Guards against rejections and failures of which the counters do not tell the cause.
 func TestRequestsGivenUpAreCountedByReason(t *testing.T) {
 	n := startNode(t, nil)
-	if status, _, _ := ask(t, n, "view", "t1", ""); status != http.StatusServiceUnavailable {
+	if status, _, _ := sendRequest(t, n, "view", "t1", ""); status != http.StatusServiceUnavailable {
 		t.Errorf("answered %d with no endpoint, expected 503", status)
 	}
 	refused := startNode(t, nil, "127.0.0.1:1")
-	if status, _, _ := ask(t, refused, "view", "t1", ""); status != http.StatusServiceUnavailable {
+	if status, _, _ := sendRequest(t, refused, "view", "t1", ""); status != http.StatusServiceUnavailable {
 		t.Errorf("answered %d by an endpoint that takes no connection, expected 503", status)
 	}
 	for _, c := range []struct {
 		node   *Node
 		reason policy.Reason
 	}{{n, policy.ReasonNoEndpoint}, {refused, policy.ReasonLastTried}} {
-		if got := c.node.count(givenUpFor(c.reason)); got != 1 {
-			t.Errorf("%q: %d, expected 1", givenUpFor(c.reason).name(), got)
+		if got := c.node.count(givenUpCounter(c.reason)); got != 1 {
+			t.Errorf("%q: %d, expected 1", givenUpCounter(c.reason).name(), got)
 		}
 	}
 }
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -69,7 +69,7 @@
 	}
 	answer := response{status: http.StatusServiceUnavailable, retryAfter: retryAfter}
 	if l.finish(request, requestsRejected, answer) {
-		l.node.counters.add(givenUpFor(reason))
+		l.node.counters.add(givenUpCounter(reason))
 	}
 }
 
@@ -80,7 +80,7 @@
 		return
 	}
 	if l.finish(request, requestsFailed, response{status: http.StatusBadGateway}) {
-		l.node.counters.add(givenUpFor(reason))
+		l.node.counters.add(givenUpCounter(reason))
 	}
 }
 
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -17,7 +17,7 @@
 func TestEndpointAtAddressOfRemovedOne(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
-	ask(t, n, "batch", "old", "")
+	sendRequest(t, n, "batch", "old", "")
 	learn := func(version int, whole bool, entries ...string) {
 		t.Helper()
 		update, err := n.parseList([]byte(listText(version, whole, entries...)))
@@ -30,13 +30,13 @@
 		<-done
 	}
 	learn(2, false, listEntry("s-0", server, "draining"), listEntry("young", server, "up"))
-	ask(t, n, "batch", "young", "")
+	sendRequest(t, n, "batch", "young", "")
 	if n.count(upstreamConnsOpened) != 2 {
 		t.Errorf("%d connections, want one to the old server and one to the new", n.count(upstreamConnsOpened))
 	}
 	learn(3, false, listEntry("s-0", server, "removed"))
 	time.Sleep(20 * time.Millisecond)
-	ask(t, n, "batch", "again", "")
+	sendRequest(t, n, "batch", "again", "")
 	if n.count(upstreamConnsOpened) != 2 {
 		t.Error("the removal of the old server closed the connection to the new")
 	}
@@ -55,7 +55,7 @@
 		c.Settings = json.RawMessage(strings.Replace(settingsText, `"rules":{`,
 			`"rules":{"removal_not_binding":true,`, 1))
 	}, server)
-	ask(t, n, "batch", "before", "")
+	sendRequest(t, n, "batch", "before", "")
 	learn := func(text string) {
 		update, err := n.parseList([]byte(text))
 		if err != nil {
@@ -65,11 +65,11 @@
 	}
 	learn(listText(2, false, listEntry("s-0", server, "removed")))
 	learn(listText(3, true))
-	if status, _, _ := ask(t, n, "batch", "after", ""); status != http.StatusOK || n.count(upstreamConnsOpened) != 1 {
+	if status, _, _ := sendRequest(t, n, "batch", "after", ""); status != http.StatusOK || n.count(upstreamConnsOpened) != 1 {
 		t.Errorf("%d, %d connections to it", status, n.count(upstreamConnsOpened))
 	}
 	learn(listText(4, false, listEntry("s-0", server, "draining")))
-	if status, _, _ := ask(t, n, "batch", "drained", ""); status != http.StatusServiceUnavailable {
+	if status, _, _ := sendRequest(t, n, "batch", "drained", ""); status != http.StatusServiceUnavailable {
 		t.Errorf("a draining server was sent to: %d", status)
 	}
 }
@@ -130,15 +130,15 @@
 					n.updateList(t, listText(1, true, there(listEntry("s-0", first, "up"))))
 					client, answers := dial(t, n)
 					writeText(client, requestText("update", "t1", "x"))
-					gate.held(t, 1)
+					gate.awaitArrivals(t, 1)
 					inGroup, want := there(listEntry("s-1", fellow, "up")), 200
 					if outside {
 						inGroup, want = there(listEntry("s-1", fellow, "draining")), 502
 					}
 					n.updateList(t, list(listEntry("s-0", first, "removed"), inGroup,
 						other(listEntry("s-2", elsewhere, "up"))))
-					gate.pass()
-					if status, _, _ := readAnswer(answers); status != want || strangers.Load() != 0 {
+					gate.release()
+					if status, _, _ := readResponse(answers); status != want || strangers.Load() != 0 {
 						t.Errorf("answered %d, want %d; sent outside its group %d times", status, want,
 							strangers.Load())
 					}
@@ -166,7 +166,7 @@
 					mu.Lock()
 					ran[r.Header.Get(headerRequestID)] = true
 					mu.Unlock()
-					return writeAnswer(c, "500 Bad", "")
+					return writeResponse(c, "500 Bad", "")
 				})
 				left, served := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 					mu.Lock()
@@ -190,7 +190,7 @@
 					n.updateList(t, listText(2, false, list, stays))
 				}
 				for i := 0; i < 200 && (attempts.Load() == 0 || served.Load() == 0 || i < 20); i++ {
-					ask(t, n, "update", fmt.Sprint("t", i), "")
+					sendRequest(t, n, "update", fmt.Sprint("t", i), "")
 				}
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -87,7 +87,7 @@
 				q := startSerialDiscovery(t, turn, 0, text)
 				n := newNodeAtTenthTimes(t, mode, q.address)
 				go n.start()
-				eventually(t, "ready", func() bool { return n.notReady() == "" && n.hasList.Load() })
+				eventually(t, "ready", func() bool { return n.notReadyReason() == "" && n.hasList.Load() })
 				if calls := q.calls.Load(); calls > most+1 { // one more where the machine is slow
 					t.Errorf("%d calls, want %d at most", calls, most)
 				}
@@ -105,7 +105,7 @@
 			q := startSerialDiscovery(t, time.Millisecond, 4, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
 			n := newNodeAtTenthTimes(t, mode, q.address)
 			go n.start()
-			eventually(t, "ready", func() bool { return n.notReady() == "" })
+			eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 			if calls, most := q.calls.Load(), q.most.Load(); calls > 5 || most > 3 { // the third until the node's close has come
 				t.Errorf("%d calls, %d at a time", calls, most)
 			}
@@ -127,7 +127,7 @@
 	}
 	eventually(t, "all ready", func() bool {
 		for _, n := range all {
-			if n.notReady() != "" {
+			if n.notReadyReason() != "" {
 				return false
 			}
 		}
@@ -178,7 +178,7 @@
 			n := newNodeAtTenthTimes(t, "push", address)
 			n.endpointWatch.silenceTimeout = tenthSilence
 			go n.start()
-			eventually(t, "ready", func() bool { return n.notReady() == "" })
+			eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 			if asked.Load() > 4 {
 				t.Errorf("%d calls", asked.Load())
 			}
@@ -217,7 +217,7 @@
 			if calls := asked.Load(); calls < 2 || calls > 4 {
 				t.Errorf("%d calls in 1.5 s, want 2 to 4: the backoff grows from 0.2 s", calls)
 			}
-			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 || !n.overrides.isKnown("s-0") || n.overrides.isKnown("s-1") {
+			if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 200 || !n.overrides.isKnown("s-0") || n.overrides.isKnown("s-1") {
 				t.Errorf("%d by the old list", status)
 			}
 			if complaints := logged.FilterLevelExact(zap.ErrorLevel).Len(); complaints != 1 || logged.FilterMessage("endpoint watch ended").Len() != 0 {
@@ -261,9 +261,9 @@
 		c.Discovery, c.KnownList, c.Limits.MemoryMB = address, nil, 0
 	})
 	go n.start()
-	for end := time.Now().Add(2 * time.Minute); n.notReady() != ""; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(2 * time.Minute); n.notReadyReason() != ""; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not ready, after %d calls: %s", asked.Load(), n.notReady())
+			t.Fatalf("not ready, after %d calls: %s", asked.Load(), n.notReadyReason())
 		}
 	}
 	known := make(chan int)
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -17,14 +17,14 @@
 // eventLoop is the one goroutine that owns the decisions, their clock and timers, and the requests and endpoints that
 // they know. Events enter through post, one at a time. Nothing in it does I/O or waits for a peer.
 type eventLoop struct {
-	node       *Node
-	balancer   *policy.Balancer
-	events     chan func()
-	now        policy.Time // when the event at hand began
-	timers     timerqueue.Queue
-	requests   map[policy.RequestID]*pendingRequest
-	endpoints  map[policy.EndpointID]knownEndpoint
-	rejectsAll bool // new requests are rejected: the process is about to end
+	node               *Node
+	balancer           *policy.Balancer
+	events             chan func()
+	now                policy.Time // when the event at hand began
+	timers             timerqueue.Queue
+	requests           map[policy.RequestID]*pendingRequest
+	endpoints          map[policy.EndpointID]knownEndpoint
+	rejectsNewRequests bool // new requests are rejected: the process is about to end
 }
 
 func newEventLoop(n *Node) *eventLoop {
@@ -88,9 +88,9 @@
 		request.answer(response{status: http.StatusConflict})
 		return
 	}
-	if l.rejectsAll {
+	if l.rejectsNewRequests {
 		l.node.counters.add(requestsOverCapacity)
-		request.answer(l.node.overCapacity())
+		request.answer(l.node.overCapacityResponse())
 		return
 	}
 	l.node.counters.add(requestsAccepted)
@@ -101,10 +101,10 @@
 // giveUpAll answers every request that has no answer, rejected if policy.MayReject allows it and failed otherwise, and
 // rejects those that still come: the process is about to end.
 func (l *eventLoop) giveUpAll() {
-	l.rejectsAll = true
+	l.rejectsNewRequests = true
 	for id, pending := range l.requests {
 		class := &l.node.settings.Policy.Classes[pending.request.Class]
-		if policy.MayReject(class, l.now, pending.attempts, ranSince) {
+		if policy.MayReject(class, l.now, pending.attempts, executionInfo) {
 			l.Reject(id, 0, policy.ReasonEnding)
 		} else {
 			l.Fail(id, policy.ReasonEnding)
@@ -112,8 +112,8 @@
 	}
 }
 
-// ranSince returns when an attempt was sent, and whether it may have run.
-func ranSince(a **attempt) (sentAt policy.Time, mayHaveRun bool) {
+// executionInfo returns when an attempt was sent, and whether it may have run.
+func executionInfo(a **attempt) (sentAt policy.Time, mayHaveRun bool) {
 	return (*a).sentAt, !(*a).neverRan
 }
 
@@ -128,14 +128,14 @@
 		return
 	}
 	l.handle(request, func() { l.balancer.ClientGone(l.now, request.request.ID) })
-	l.release(request)
+	l.removeIfDone(request)
 }
 
-// bodyBroken ends a request whose client has not sent the complete body; it has never run.
-func (l *eventLoop) bodyBroken(request *pendingRequest) {
+// bodyFailed ends a request whose client has not sent the complete body; it has never run.
+func (l *eventLoop) bodyFailed(request *pendingRequest) {
 	err := request.source.failure()
 	switch {
-	case err == nil || errors.Is(err, errBodyAbandoned): // not the client's fault
+	case err == nil || errors.Is(err, errBodyNotNeeded): // not the client's fault
 	case !isMalformed(err):
 		l.clientGone(request)
 	default:
@@ -148,7 +148,7 @@
 	request := ended.request
 	// The client's own faults come before the decisions see the outcome: they would reject or retry the request.
 	if request.bodyIncomplete() {
-		l.bodyBroken(request)
+		l.bodyFailed(request)
 	}
 	if result.clientGone {
 		l.clientGone(request)
@@ -156,14 +156,14 @@
 	ended.neverRan = !result.outcome.MayHaveRun()
 	request.inFlight--
 	ended.cancel()
-	l.passOnResponse(request, result)
+	l.forwardResponse(request, result)
 	l.node.counters.add(attemptCounter(result))
 	l.handle(request, func() { l.balancer.AttemptEnded(l.now, ended.resultFor(request, result)) })
-	l.release(request)
+	l.removeIfDone(request)
 }
 
-// passOnResponse answers the request if the attempt brought its answer: a success, or a request fault.
-func (l *eventLoop) passOnResponse(request *pendingRequest, result attemptResult) {
+// forwardResponse answers the request if the attempt brought its answer: a success, or a request fault.
+func (l *eventLoop) forwardResponse(request *pendingRequest, result attemptResult) {
 	switch {
 	case result.outcome == policy.OutcomeSucceeded:
 		l.finish(request, requestsSucceeded, result.response)
@@ -214,12 +214,12 @@
 		return false
 	}
 	l.node.counters.add(how)
-	l.release(request)
+	l.removeIfDone(request)
 	return true
 }
 
 // release forgets a request once it has its answer and no attempt is in flight.
-func (l *eventLoop) release(request *pendingRequest) {
+func (l *eventLoop) removeIfDone(request *pendingRequest) {
 	id := request.request.ID
 	if request.inFlight == 0 && request.answered.Load() && l.requests[id] == request {
 		delete(l.requests, id)
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -31,7 +31,7 @@
 	if requests.Load() != 0 {
 		t.Error("a request that has its answer went to a server")
 	}
-	if status, _, _ := ask(t, n, "batch", "next", ""); status != 200 || n.count(panics) != 1 {
+	if status, _, _ := sendRequest(t, n, "batch", "next", ""); status != 200 || n.count(panics) != 1 {
 		t.Errorf("the next request was answered %d, %d panics counted", status, n.count(panics))
 	}
 }
@@ -45,8 +45,8 @@
 	n := startNode(t, nil, server)
 	c, in := dial(t, n)
 	writeText(c, requestText("batch", "same", "")+requestText("batch", "same", ""))
-	first, _, _ := readAnswer(in)
-	second, _, _ := readAnswer(in)
+	first, _, _ := readResponse(in)
+	second, _, _ := readResponse(in)
 	if first != 200 || second != 409 || requests.Load() != 1 {
 		t.Errorf("answered %d and %d, %d requests at the server", first, second, requests.Load())
 	}
--- a/internal/node/evict.go
+++ b/internal/node/evict.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	stallUnderFlood   = time.Second            // of silence within a message, after which its connection counts as idle
-	drainIdleDelay    = time.Second            // after a drain began, by when no more clients connect
-	drainIdleInterval = 100 * time.Millisecond // between looks for idle connections of a drained node
+	messageStallTimeout = time.Second            // of silence within a message, after which its connection counts as idle
+	drainIdleDelay      = time.Second            // after a drain began, by when no more clients connect
+	drainIdleInterval   = 100 * time.Millisecond // between looks for idle connections of a drained node
 )
 
 // evictionCandidate is an idle connection.
@@ -33,20 +33,20 @@
 	return 1
 }
 
-// evictAheadLocked asks some idle connections to close before their slots are needed.
-func (f *frontend) evictAheadLocked() { f.evictIdleLocked(1 + f.maxOpen/evictAheadDivisor) }
+// evictIdleAheadLocked asks some idle connections to close before their slots are needed.
+func (f *frontend) evictIdleAheadLocked() { f.evictIdleLocked(1 + f.maxOpen/evictAheadDivisor) }
 
 // evictIdleLocked asks up to n idle connections to close, in the order of compareEviction. A connection used less
-// than evictableAfter ago is spared while there are free slots and any connection that never brought a request, even
+// than recentUseWindow ago is spared while there are free slots and any connection that never brought a request, even
 // one that can't be closed yet. Without a free slot it goes as well: to spare it would leave all new connections a
 // few slots to pass through one after another, while their requests wait.
 func (f *frontend) evictIdleLocked(n int) {
 	now := time.Now()
 	idle, unusedExist := f.idleConnsLocked(now)
 	slices.SortFunc(idle, compareEviction)
-	spareRecent := unusedExist && !f.crowdedLocked() && !f.fullLocked() && n < len(f.open)
+	spareRecent := unusedExist && !f.aboveEvictionThresholdLocked() && !f.fullLocked() && n < len(f.open)
 	for _, candidate := range idle[:max(0, min(n, len(idle)))] {
-		recent := candidate.used && now.Sub(candidate.lastUsedAt) <= evictableAfter
+		recent := candidate.used && now.Sub(candidate.lastUsedAt) <= recentUseWindow
 		if !recent || !spareRecent {
 			candidate.conn.evict(now)
 		}
@@ -108,11 +108,11 @@
 	if c.pendingCount > 0 || c.closed || c.evicting || now.Sub(c.lastUsedAt) <= closeLinger {
 		return false
 	}
-	if c.messageBegan.IsZero() {
+	if c.messageStartedAt.IsZero() {
 		return true
 	}
-	lastProgress := max(c.conn.lastReadAt.Load(), c.messageBegan.UnixNano())
-	return now.UnixNano()-lastProgress > int64(stallUnderFlood)
+	lastProgress := max(c.conn.lastReadAt.Load(), c.messageStartedAt.UnixNano())
+	return now.UnixNano()-lastProgress > int64(messageStallTimeout)
 }
 
 // evict asks an idle connection to close. It wakes the read loop, which alone knows whether a request has come
--- a/internal/node/evict_test.go
+++ b/internal/node/evict_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against a flood of connections without requests that shuts out clients with requests.
-func TestFloodLeavesRoomForClients(t *testing.T) {
+func TestConnectionFloodDoesNotBlockRequests(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
 	c, in := dial(t, n)
@@ -17,10 +17,10 @@
 			dial(t, n)
 		}
 		writeText(c, requestText("batch", fmt.Sprint("t", i), ""))
-		if status, _, _ := readAnswer(in); status != 200 {
+		if status, _, _ := readResponse(in); status != 200 {
 			t.Fatalf("request %d in the flood was answered %d", i, status)
 		}
-		if status, _, _ := ask(t, n, "batch", fmt.Sprint("new", i), ""); status != 200 {
+		if status, _, _ := sendRequest(t, n, "batch", fmt.Sprint("new", i), ""); status != 200 {
 			t.Fatalf("request %d of a new client was answered %d", i, status)
 		}
 	}
@@ -33,9 +33,9 @@
 
 // Guards against clients that keep their connections and take all slots, so that new ones pass through a few, each
 // waiting until the one before is old enough to be evicted.
-func TestConnectionsKeptForGoodMakeRoom(t *testing.T) {
+func TestIdleConnectionsAreEvictedForNewClients(t *testing.T) {
 	for name, idle := range map[string]time.Duration{
-		"for long": evictableAfter + 100*time.Millisecond,
+		"for long": recentUseWindow + 100*time.Millisecond,
 		"of late":  3 * closeLinger,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			for i := range n.frontend.maxOpen + n.frontend.spareSlots {
 				c, in := dial(t, n)
 				writeText(c, requestText("batch", fmt.Sprint("stays", i), ""))
-				readAnswer(in)
+				readResponse(in)
 			}
 			time.Sleep(idle)
 			began := time.Now()
@@ -53,7 +53,7 @@
 				for range 10 {
 					dial(t, n) // says nothing
 				}
-				if status, _, _ := ask(t, n, "batch", fmt.Sprint("t", i), ""); status != 200 {
+				if status, _, _ := sendRequest(t, n, "batch", fmt.Sprint("t", i), ""); status != 200 {
 					t.Fatalf("request %d was answered %d", i, status)
 				}
 			}
@@ -66,14 +66,14 @@
 
 // Guards against clients that ask once and keep their connection using up all connections that the load balancers in
 // front may hold to a node.
-func TestCrowdedFrontendEvictsIdleClients(t *testing.T) {
+func TestIdleClientsAreEvictedAboveThreshold(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
 	var ended atomic.Int64
 	for i := range 4 * ownDescriptors / 3 {
 		c, in := dial(t, n)
 		writeText(c, requestText("batch", fmt.Sprint("stays", i), ""))
-		if status, _, _ := readAnswer(in); status != 200 {
+		if status, _, _ := readResponse(in); status != 200 {
 			t.Fatalf("request %d was answered %d", i, status)
 		}
 		go func() {
@@ -108,7 +108,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	if status, body, _ := readAnswer(in); status != 200 {
+	if status, body, _ := readResponse(in); status != 200 {
 		t.Errorf("a slow client among a crowd got %d %q", status, body)
 	}
 }
@@ -123,7 +123,7 @@
 	eventually(t, "all clients to be idle", func() bool {
 		n.frontend.mu.Lock()
 		defer n.frontend.mu.Unlock()
-		return n.idlers() == 8
+		return n.idleClientsLocked() == 8
 	})
 	n.frontend.setLimits(3, 0, 100)
 	if n.count(clientsEvicted) != 5 {
@@ -132,7 +132,7 @@
 }
 
 // idlers is how many clients could be evicted; the frontend's lock is held.
-func (n *Node) idlers() (idle int) {
+func (n *Node) idleClientsLocked() (idle int) {
 	for c := range n.frontend.open {
 		c.mu.Lock()
 		if c.idleLocked(time.Now()) {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -5,8 +5,8 @@
 //
 // Lent slots. The node's descriptors are divided between clients and upstreams (limits.go). Each attempt has a client
 // that waits for it, so where the upstreams' part is used up an attempt may have the descriptor of an idle client:
-// upstreams.waitForSlot asks lendSlot, which lends a free slot, or has idle clients closed (evict.go) and has the
-// attempt ask again. At most maxLentSlots are lent. They are given back by upstreams.trimIdleLocked once upstreams have
+// upstreams.waitForSlot asks lendSlotToUpstream, which lends a free slot, or has idle clients closed (evict.go) and has the
+// attempt ask again. At most maxSlotsLentToUpstreams are lent. They are given back by upstreams.trimIdleLocked once upstreams have
 // fewer connections again.
 
 import (
@@ -19,9 +19,9 @@
 
 const (
 	clientIdleTimeout = 20 * time.Second // between requests
-	evictableAfter    = 2 * time.Second  // idle for less, a used connection is spared while others can go
+	recentUseWindow   = 2 * time.Second  // idle for less, a used connection is spared while others can go
 	closeLinger       = 25 * time.Millisecond
-	lendTimeout       = 4 * closeLinger // an attempt waits so long for the slot of an idle client, or longer (waitForSlot)
+	slotLendTimeout   = 4 * closeLinger // an attempt waits so long for the slot of an idle client, or longer (waitForSlot)
 	evictAheadDivisor = 16              // a sixteenth is asked to close ahead of need, as each takes a moment
 )
 
@@ -37,14 +37,14 @@
 	activeConns    atomic.Int64  // open connections with a request that has no response yet
 	waitingForSlot atomic.Int64  // accepted connections that wait for a slot
 
-	mu         sync.Mutex
-	open       map[*clientConn]struct{}
-	maxOpen    int // slots of connections with requests
-	spareSlots int // further slots, for connections whose requests are rejected over capacity
-	crowdedAt  int // used connections from which on idle ones are closed for new ones, also with free slots
+	mu                sync.Mutex
+	open              map[*clientConn]struct{}
+	maxOpen           int // slots of connections with requests
+	spareSlots        int // further slots, for connections whose requests are rejected over capacity
+	evictionThreshold int // used connections from which on idle ones are closed for new ones, also with free slots
 
-	maxLentSlots atomic.Int64 // slots of maxOpen that attempts may have
-	lentSlots    atomic.Int64 // and have now
+	maxSlotsLentToUpstreams atomic.Int64 // slots of maxOpen that attempts may have
+	slotsLentToUpstreams    atomic.Int64 // and have now
 }
 
 func newFrontend(n *Node, listener net.Listener) *frontend {
@@ -64,7 +64,7 @@
 	defer f.mu.Unlock()
 	f.maxOpen = maxOpen
 	f.spareSlots = spareSlots
-	f.crowdedAt = crowdedAt
+	f.evictionThreshold = crowdedAt
 	f.evictIdleLocked(len(f.open) - maxOpen)
 }
 
@@ -72,19 +72,21 @@
 func (f *frontend) capacity() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.slotsLocked()
+	return f.clientSlotsLocked()
 }
 
-// slotsLocked is how many connections may have requests beside the slots that are lent.
-func (f *frontend) slotsLocked() int { return f.maxOpen - int(f.lentSlots.Load()) }
+// clientSlotsLocked is how many connections may have requests beside the slots that are lent.
+func (f *frontend) clientSlotsLocked() int { return f.maxOpen - int(f.slotsLentToUpstreams.Load()) }
 
 // fullLocked reports that no slot is left, spare ones included.
-func (f *frontend) fullLocked() bool { return len(f.open) >= f.slotsLocked()+f.spareSlots }
+func (f *frontend) fullLocked() bool { return len(f.open) >= f.clientSlotsLocked()+f.spareSlots }
 
-// crowdedLocked reports that many clients hold connections which they have used. Guards against clients that ask once
+// aboveEvictionThresholdLocked reports that many clients hold connections which they have used. Guards against clients that ask once
 // and keep their connection: the load balancers in front of a node hold only so many to it, and with all of them idle
 // no other client could ask.
-func (f *frontend) crowdedLocked() bool { return int(f.usedConns.Load()) >= f.crowdedAt }
+func (f *frontend) aboveEvictionThresholdLocked() bool {
+	return int(f.usedConns.Load()) >= f.evictionThreshold
+}
 
 // slotOffer is the answer to an attempt that needs the slot of a client.
 type slotOffer int
@@ -107,19 +109,19 @@
 	return fmt.Sprintf("offer %d", int(o))
 }
 
-// lendSlot lends an attempt a free slot, or asks idle clients to leave theirs. upstreams.trimIdleLocked gives it back.
+// lendSlotToUpstream lends an attempt a free slot, or asks idle clients to leave theirs. upstreams.trimIdleLocked gives it back.
 // Guards against idle clients that keep attempts from getting a connection.
-func (f *frontend) lendSlot() slotOffer {
+func (f *frontend) lendSlotToUpstream() slotOffer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lentSlots.Load() >= f.maxLentSlots.Load() {
+	if f.slotsLentToUpstreams.Load() >= f.maxSlotsLentToUpstreams.Load() {
 		return slotUnavailable
 	}
 	if !f.fullLocked() {
-		f.lentSlots.Add(1)
+		f.slotsLentToUpstreams.Add(1)
 		return slotLent
 	}
-	f.evictAheadLocked()
+	f.evictIdleAheadLocked()
 	if int(f.activeConns.Load()) < len(f.open) {
 		return slotPending
 	}
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against closing a connection for want of a slot with a request already written to it.
-func TestMoreRequestsThanConnectionsAreAllAnswered(t *testing.T) {
+func TestRequestsBeyondSlotsAreAllAnswered(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(100 * time.Millisecond)
 		return echo(c, r, body)
@@ -24,9 +24,9 @@
 	answers := [600]atomic.Int64{}
 	for i := range 150 {
 		done.Go(func() {
-			status, _, _ := ask(t, n, "view", fmt.Sprint("t", i), "")
+			status, _, _ := sendRequest(t, n, "view", fmt.Sprint("t", i), "")
 			if status == 0 { // slow to write, and closed before anything had come: then clients send once more
-				status, _, _ = ask(t, n, "view", fmt.Sprint("t", i), "")
+				status, _, _ = sendRequest(t, n, "view", fmt.Sprint("t", i), "")
 			}
 			answers[status].Add(1)
 		})
@@ -44,14 +44,14 @@
 
 // Attempts beyond their share of the descriptors get the slots of idle clients, at most until both have as many, and
 // give them back once they are not needed.
-func TestAttemptsBorrowSlotsOfIdleClients(t *testing.T) {
+func TestIdleClientSlotsAreLentToAttempts(t *testing.T) {
 	answers := newGate(t)
 	server, _ := startUpstream(t, echo)
 	slow := listen(t, func(c net.Conn) { answers.wait(); discard(c) })
 	n := startNode(t, silentDiscovery(t), server)
 	n.upstreams.setLimit(2)
 	n.frontend.setLimits(8, 0, 100)
-	n.frontend.maxLentSlots.Store(3)
+	n.frontend.maxSlotsLentToUpstreams.Store(3)
 	for range 8 {
 		dial(t, n)
 	}
@@ -63,7 +63,7 @@
 	eventually(t, "all clients to be idle", func() bool {
 		n.frontend.mu.Lock()
 		defer n.frontend.mu.Unlock()
-		return n.idlers() == 8
+		return n.idleClientsLocked() == 8
 	})
 	var conns []*upstreamConn
 	for i := range 6 {
@@ -77,7 +77,7 @@
 		}
 	}
 	n.frontend.mu.Lock()
-	if open, places := len(n.frontend.open), n.frontend.slotsLocked(); open > 5 || places != 5 {
+	if open, places := len(n.frontend.open), n.frontend.clientSlotsLocked(); open > 5 || places != 5 {
 		t.Errorf("beside five attempts %d clients have %d slots", open, places)
 	}
 	n.frontend.mu.Unlock()
@@ -88,7 +88,7 @@
 	for _, c := range conns[:4] {
 		n.upstreams.closeConn(c)
 	}
-	if n.upstreams.closeExpired(); n.frontend.lentSlots.Load() != 0 || n.frontend.capacity() != 8 {
-		t.Errorf("%d slots are not given back", n.frontend.lentSlots.Load())
+	if n.upstreams.closeExpired(); n.frontend.slotsLentToUpstreams.Load() != 0 || n.frontend.capacity() != 8 {
+		t.Errorf("%d slots are not given back", n.frontend.slotsLentToUpstreams.Load())
 	}
 }
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -12,28 +12,28 @@
 
 // gate holds whoever waits at it until it is opened, and counts them.
 type gate struct {
-	come atomic.Int64
-	open chan struct{}
-	once sync.Once
+	arrived  atomic.Int64
+	released chan struct{}
+	once     sync.Once
 }
 
 func newGate(t *testing.T) *gate {
-	g := &gate{open: make(chan struct{})}
-	t.Cleanup(g.pass)
+	g := &gate{released: make(chan struct{})}
+	t.Cleanup(g.release)
 	return g
 }
 
-func (g *gate) wait() { g.come.Add(1); <-g.open }
+func (g *gate) wait() { g.arrived.Add(1); <-g.released }
 
-func (g *gate) pass() { g.once.Do(func() { close(g.open) }) }
+func (g *gate) release() { g.once.Do(func() { close(g.released) }) }
 
-func (g *gate) held(t *testing.T, n int64) {
+func (g *gate) awaitArrivals(t *testing.T, n int64) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%d at the gate", n), func() bool { return g.come.Load() >= n })
+	eventually(t, fmt.Sprintf("%d at the gate", n), func() bool { return g.arrived.Load() >= n })
 }
 
-// holdDials holds each connection to an upstream until the gate is opened; then it is opened whatever has happened.
-func (n *Node) holdDials(t *testing.T) *gate {
+// blockDials holds each connection to an upstream until the gate is opened; then it is opened whatever has happened.
+func (n *Node) blockDials(t *testing.T) *gate {
 	g := newGate(t)
 	n.upstreams.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
 		g.wait()
@@ -42,11 +42,11 @@
 	return g
 }
 
-// holdLoop holds the event loop between two events until the gate is opened; events posted meanwhile stay in order.
-func (n *Node) holdLoop(t *testing.T) *gate {
+// blockLoop holds the event loop between two events until the gate is opened; events posted meanwhile stay in order.
+func (n *Node) blockLoop(t *testing.T) *gate {
 	g := newGate(t)
 	n.loop.post(g.wait)
-	g.held(t, 1)
+	g.awaitArrivals(t, 1)
 	return g
 }
 
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -20,8 +20,8 @@
 	"fawnglade/policy"
 )
 
-// TestGoldenHeads holds the heads of requests, answers, watches and health checks to the bytes of earlier builds.
-func TestGoldenHeads(t *testing.T) {
+// TestGoldenMessageHeads holds the heads of requests, answers, watches and health checks to the bytes of earlier builds.
+func TestGoldenMessageHeads(t *testing.T) {
 	read := func(text string) *http.Request {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
@@ -75,8 +75,8 @@
 	golden.Check(t, "load-head.txt", []byte(healthCheckHead("127.0.0.1:9")))
 }
 
-// TestGoldenTask holds what the decisions are told of a request's head, and of a server's answer, to earlier builds.
-func TestGoldenTask(t *testing.T) {
+// TestGoldenRequestParsing holds what the decisions are told of a request's head, and of a server's answer, to earlier builds.
+func TestGoldenRequestParsing(t *testing.T) {
 	n := newNode(t, nil)
 	var b bytes.Buffer
 	for _, text := range []string{
@@ -125,8 +125,8 @@
 	golden.Check(t, "read.txt", b.Bytes())
 }
 
-// TestGoldenHandover compares the hot restart protocol with the bytes of earlier builds.
-func TestGoldenHandover(t *testing.T) {
+// TestGoldenHotRestartMessages compares the hot restart protocol with the bytes of earlier builds.
+func TestGoldenHotRestartMessages(t *testing.T) {
 	var b bytes.Buffer
 	who := restartHello{Version: hotRestartVersion, Node: `"n0" 127.0.0.1:80`}
 	out := json.NewEncoder(&b)
@@ -145,15 +145,15 @@
 	golden.Check(t, "list.json", text)
 	var ids []byte
 	_, err := endpointlist.Parse(text, endpointlist.LimitsFor(0), func() { ids = nil }, func(in endpointlist.Entry) error {
-		e, err := entryFrom(in, []string{"a", "b"})
+		e, err := newEndpointEntry(in, []string{"a", "b"})
 		ids = fmt.Appendf(ids, "%s %s %d %d %d %v %d %d %v\n", e.name, e.address, e.ID, e.Zone, e.Pod, e.Weight, int(e.State), e.StartedAt, err)
 		return err
 	})
 	golden.Check(t, "entries.txt", fmt.Appendln(ids, err))
 }
 
-// TestGoldenOrders compares the overrides file with that of an earlier build, and reads that.
-func TestGoldenOrders(t *testing.T) {
+// TestGoldenOverridesFile compares the overrides file with that of an earlier build, and reads that.
+func TestGoldenOverridesFile(t *testing.T) {
 	n := newNode(t, func(c *Config) { c.Name, c.Listen = "n0", "127.0.0.1:0" })
 	s := &overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-1": {disabledAt: 5}, "s \"2\"": {disabledAt: 6, enabledAt: 7}}}
 	if err := n.overrides.write(s); err != nil {
@@ -176,8 +176,8 @@
 	}
 }
 
-// TestGoldenConsole compares the admin API's answers with the bytes of earlier builds.
-func TestGoldenConsole(t *testing.T) {
+// TestGoldenAdminResponses compares the admin API's answers with the bytes of earlier builds.
+func TestGoldenAdminResponses(t *testing.T) {
 	n := startNode(t, withAdmin, "127.0.0.1:1")
 	var b bytes.Buffer
 	for _, c := range []string{
@@ -206,8 +206,8 @@
 	golden.Check(t, "state-fields.txt", fmt.Appendln(nil, names))
 }
 
-// TestGoldenRefusals compares the responses that the node itself makes with the bytes of earlier builds.
-func TestGoldenRefusals(t *testing.T) {
+// TestGoldenRejections compares the responses that the node itself makes with the bytes of earlier builds.
+func TestGoldenRejections(t *testing.T) {
 	n := startNode(t, nil)
 	var b bytes.Buffer
 	for _, text := range []string{
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -76,9 +76,9 @@
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.URL.Path == pathLoad {
 			if checks.Add(1) == 3 {
-				return writeAnswer(c, "503 Service Unavailable", "")
+				return writeResponse(c, "503 Service Unavailable", "")
 			}
-			return writeAnswer(c, "200 OK", "queue=7,qps=3")
+			return writeResponse(c, "200 OK", "queue=7,qps=3")
 		}
 		answered.Add(1)
 		return echo(c, r, body)
@@ -86,7 +86,7 @@
 	n := startNode(t, withGossip(0), server)
 	t.Cleanup(n.gossiper.close)
 	for i := range 3 * 32 {
-		if status, _, _ := ask(t, n, "view", fmt.Sprint("t", i), ""); status != 200 {
+		if status, _, _ := sendRequest(t, n, "view", fmt.Sprint("t", i), ""); status != 200 {
 			t.Fatalf("request %d: %d", i, status)
 		}
 	}
@@ -99,11 +99,11 @@
 func TestCloseIdleClosesIdleConnections(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
-	ask(t, n, "view", "a", "")
+	sendRequest(t, n, "view", "a", "")
 	n.loop.post(func() { n.loop.CloseIdle(endpointID("s-0")) })
 	eventually(t, "its connection closed", func() bool { return n.count(upstreamConnsIdleClosed) == 1 })
 	n.loop.post(func() { n.loop.CloseIdle(99) })
-	if status, _, _ := ask(t, n, "view", "b", ""); status != 200 || n.count(upstreamConnsOpened) != 2 {
+	if status, _, _ := sendRequest(t, n, "view", "b", ""); status != 200 || n.count(upstreamConnsOpened) != 2 {
 		t.Errorf("after it: %d, %d connections opened", status, n.count(upstreamConnsOpened))
 	}
 }
@@ -121,7 +121,7 @@
 			c.Settings = []byte(strings.Replace(string(c.Settings), `"multiplex":100`, `"multiplex":0`, 1))
 		},
 	} {
-		c := &Config{Name: "n", Listen: address(), Discovery: "127.0.0.1:1", Seed: "1"}
+		c := &Config{Name: "n", Listen: unusedAddress(), Discovery: "127.0.0.1:1", Seed: "1"}
 		withGossip(0)(c)
 		change(c)
 		if err := c.check(); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -57,14 +57,14 @@
 	return b.String()
 }
 
-func (n *Node) returnsWhatItHeld(t *testing.T) {
+func (n *Node) awaitBodyMemoryReleased(t *testing.T) {
 	t.Helper()
 	eventually(t, "all memory for bodies is given back", func() bool { return n.bufferedBytes.Load() == 0 })
 }
 
-// streamedRequest is a request whose body is streamed, cut off after as much as the kernel takes in: an end behind
+// partialStreamedRequest is a request whose body is streamed, cut off after as much as the kernel takes in: an end behind
 // more would wait at the client.
-func streamedRequest(class, id string) string {
+func partialStreamedRequest(class, id string) string {
 	return strings.TrimSuffix(requestText(class, id, strings.Repeat("x", 2<<20)), strings.Repeat("x", 2<<20-(80<<10)))
 }
 
@@ -88,18 +88,18 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, version, whole, strings.Join(entries, ","))
 }
 
-var addresses atomic.Int64
+var lastAddress atomic.Int64
 
 // address is one that nothing else has used: nodes of earlier tests, here or in another process, still call theirs.
-func address() string {
-	n := addresses.Add(1)
+func unusedAddress() string {
+	n := lastAddress.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, n/250, 1+n%250)
 }
 
 // listen serves raw connections on an address of its own until the test ends.
 func listen(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
-	return listenAt(t, "tcp", address(), serve)
+	return listenAt(t, "tcp", unusedAddress(), serve)
 }
 
 func listenAt(t *testing.T, network, at string, serve func(net.Conn)) string {
@@ -149,14 +149,14 @@
 	}), requests
 }
 
-func writeAnswer(c net.Conn, head, body string) bool {
+func writeResponse(c net.Conn, head, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	return err == nil
 }
 
 // echo answers with what came, so that a mix-up of answers shows.
 func echo(c net.Conn, r *http.Request, body string) bool {
-	return writeAnswer(c, "200 OK\r\nX-Pressure: queue=1", r.RequestURI+" "+r.Header.Get(headerRequestID)+" "+body)
+	return writeResponse(c, "200 OK\r\nX-Pressure: queue=1", r.RequestURI+" "+r.Header.Get(headerRequestID)+" "+body)
 }
 
 // newNode makes a node whose known list has the upstreams; by default nothing listens at its discovery address.
@@ -167,7 +167,7 @@
 		entries = append(entries, listEntry(fmt.Sprintf("s-%d", i), s, "up"))
 	}
 	c := &Config{
-		Name: "n0", Listen: address(), Discovery: "127.0.0.1:1", Seed: "1f",
+		Name: "n0", Listen: unusedAddress(), Discovery: "127.0.0.1:1", Seed: "1f",
 		KnownList: json.RawMessage(listText(1, true, entries...)),
 		Settings:  json.RawMessage(settingsText),
 		filesDir:  t.TempDir(),
@@ -217,8 +217,8 @@
 		"Content-Length: %d\r\n\r\n%s", class, id, class, len(body), body)
 }
 
-// readAnswer reads one response; status 0 means that the connection ended without one.
-func readAnswer(in *bufio.Reader) (status int, body string, header http.Header) {
+// readResponse reads one response; status 0 means that the connection ended without one.
+func readResponse(in *bufio.Reader) (status int, body string, header http.Header) {
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return 0, err.Error(), nil
@@ -231,12 +231,12 @@
 }
 
 // ask sends one request on a new connection.
-func ask(t *testing.T, n *Node, class, id, body string) (status int, answer string, header http.Header) {
+func sendRequest(t *testing.T, n *Node, class, id, body string) (status int, answer string, header http.Header) {
 	t.Helper()
 	c, in := dial(t, n)
 	defer c.Close()
 	writeText(c, requestText(class, id, body))
-	return readAnswer(in)
+	return readResponse(in)
 }
 
 // eventually waits until a condition holds, for up to 5 s.
@@ -251,8 +251,8 @@
 
 func (n *Node) count(what counter) int64 { return n.counters[what].Load() }
 
-// entryOf parses one entry of a list.
-func (n *Node) entryOf(text string) (endpointEntry, error) {
+// parseEntry parses one entry of a list.
+func (n *Node) parseEntry(text string) (endpointEntry, error) {
 	update, err := n.parseList([]byte(listText(1, false, text)))
 	if err != nil {
 		return endpointEntry{}, err
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -18,7 +18,7 @@
 // processes makes processes of one node: they share a directory, an address and its socket.
 func processes(t *testing.T, servers ...string) (next func() *Node) {
 	t.Helper()
-	held, err := net.Listen("tcp", address())
+	held, err := net.Listen("tcp", unusedAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,13 +64,13 @@
 	next := processes(t)
 	old := next()
 	old.start()
-	old.postList(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: listedHere("s-7")}}, []string{"a"})))
+	old.postList(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: activeEndpointInfo("s-7")}}, []string{"a"})))
 	old.postList(t, listText(8, false, listEntry("s-8", server, "up")))
 	old.postList(t, listText(9, false, listEntry("s-8", server, "removed")))
 	eventually(t, "the list", func() bool { return old.overrides.isKnown("s-8") })
 	kept, keptIn := dial(t, old)
 	writeText(kept, requestText("batch", "t1", "a"))
-	if status, _, _ := readAnswer(keptIn); status != 200 {
+	if status, _, _ := readResponse(keptIn); status != 200 {
 		t.Fatalf("the old process answered %d", status)
 	}
 	alone := old.mostOpen()
@@ -82,11 +82,11 @@
 	if both := old.mostOpen() + fresh.mostOpen(); both > alone+1 {
 		t.Errorf("both together may open %d connections to upstreams, one alone %d", both, alone)
 	}
-	if fresh.notReady() == "" {
+	if fresh.notReadyReason() == "" {
 		t.Error("ready before it serves")
 	}
 	fresh.start()
-	eventually(t, "the new one is ready", func() bool { return fresh.call(t, "GET /ready") == 200 })
+	eventually(t, "the new one is ready", func() bool { return fresh.adminCall(t, "GET /ready") == 200 })
 	eventually(t, "the old one has yielded", old.hotRestart.hasYielded)
 	if !fresh.overrides.isKnown("s-8") {
 		t.Error("a name that was listed once is not known any more")
@@ -96,7 +96,7 @@
 	}
 	taken := old.count(clientsAccepted)
 	for i := range 30 {
-		if status, _, _ := ask(t, fresh, "batch", fmt.Sprint("new", i), ""); status != 200 {
+		if status, _, _ := sendRequest(t, fresh, "batch", fmt.Sprint("new", i), ""); status != 200 {
 			t.Errorf("request %d on a new connection was answered %d", i, status)
 		}
 	}
@@ -137,7 +137,7 @@
 		fresh.frontend.listener.Close()
 		eventually(t, "all is as before", func() bool { return old.mostOpen() == alone && !old.hotRestart.hasYielded() })
 		for i := range 10 {
-			if status, _, _ := ask(t, old, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
+			if status, _, _ := sendRequest(t, old, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
 				t.Errorf("after the successor died a request was answered %d", status)
 			}
 		}
@@ -173,7 +173,7 @@
 				t.Errorf("took over %+v after %v, counted %d times", n.inherited, time.Since(began), n.count(hotRestartsIgnored))
 			}
 			n.start()
-			eventually(t, "ready", func() bool { return n.call(t, "GET /ready") == 200 })
+			eventually(t, "ready", func() bool { return n.adminCall(t, "GET /ready") == 200 })
 		})
 	}
 }
--- a/internal/node/hotrestartrace_test.go
+++ b/internal/node/hotrestartrace_test.go
@@ -23,7 +23,7 @@
 	fresh.hotRestart.mu.Lock()
 	fresh.hotRestart.predecessor.Close()
 	fresh.hotRestart.mu.Unlock()
-	if status, _, _ := readAnswer(in); status != 200 {
+	if status, _, _ := readResponse(in); status != 200 {
 		t.Errorf("a request that nobody else is there for was answered %d", status)
 	}
 	<-stopped
@@ -73,7 +73,7 @@
 				t.Fatal(err)
 			}
 			fresh.start()
-			eventually(t, "both know", func() bool { return old.overrides.drained() && fresh.notReady() == "drained" })
+			eventually(t, "both know", func() bool { return old.overrides.drained() && fresh.notReadyReason() == "drained" })
 			ask("drained")
 			old.shutDown()
 		},
@@ -86,7 +86,7 @@
 			old.start()
 			cross(t, next, old, func(id string) {
 				t.Helper()
-				if status, body, _ := ask(t, old, "batch", id, ""); status != 200 {
+				if status, body, _ := sendRequest(t, old, "batch", id, ""); status != 200 {
 					t.Errorf("%s: answered %d %s", id, status, body)
 				}
 			})
--- a/internal/node/httpmessage.go
+++ b/internal/node/httpmessage.go
@@ -40,15 +40,15 @@
 	length int64 // of the body in bytes, or unknownLength
 }
 
-// parsedHead is the body behind a parsed head.
-type parsedHead struct {
+// framedBody is the body behind a parsed head.
+type framedBody struct {
 	body   io.Reader
 	length int64 // in bytes, or unknownLength
 }
 
 // readHead collects a head and has parse read it. Its errors are the connection's, errHeadTooLong, errBodyTooLong, or
 // wrap errMalformed.
-func (c *bufferedConn) readHead(parse func(*bufio.Reader) (parsedHead, error)) (*message, error) {
+func (c *bufferedConn) readHead(parse func(*bufio.Reader) (framedBody, error)) (*message, error) {
 	if err := c.fillHead(); err != nil {
 		return nil, err
 	}
@@ -200,17 +200,17 @@
 		c.start += 2 // an empty line before a message is ignored
 	}
 	var request *http.Request
-	m, err := c.readHead(func(reader *bufio.Reader) (parsedHead, error) {
+	m, err := c.readHead(func(reader *bufio.Reader) (framedBody, error) {
 		framing := parseFraming(c.buffered())
 		var err error
 		request, err = http.ReadRequest(reader)
 		if err != nil {
-			return parsedHead{}, err
+			return framedBody{}, err
 		}
 		if framing.ambiguousFor(request) {
-			return parsedHead{}, errFraming
+			return framedBody{}, errFraming
 		}
-		return parsedHead{request.Body, bodyLength(request.ContentLength, request.TransferEncoding)}, nil
+		return framedBody{request.Body, bodyLength(request.ContentLength, request.TransferEncoding)}, nil
 	})
 	if err != nil {
 		return request, nil, err
@@ -226,16 +226,16 @@
 func (c *bufferedConn) readResponseHead(method string) (*http.Response, *message, error) {
 	for {
 		var response *http.Response
-		m, err := c.readHead(func(reader *bufio.Reader) (parsedHead, error) {
+		m, err := c.readHead(func(reader *bufio.Reader) (framedBody, error) {
 			var err error
 			response, err = http.ReadResponse(reader, &http.Request{Method: method})
 			if err != nil {
-				return parsedHead{}, err
+				return framedBody{}, err
 			}
 			if !allowsResponseBody(method) {
-				return parsedHead{response.Body, 0}, nil
+				return framedBody{response.Body, 0}, nil
 			}
-			return parsedHead{response.Body, bodyLength(response.ContentLength, response.TransferEncoding)}, nil
+			return framedBody{response.Body, bodyLength(response.ContentLength, response.TransferEncoding)}, nil
 		})
 		if err != nil || response.StatusCode >= http.StatusOK {
 			return response, m, err
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -89,7 +89,7 @@
 ) (listUpdate, error) {
 	var entries []endpointEntry
 	update, err := read(func() { entries = nil }, func(in endpointlist.Entry) error {
-		e, err := entryFrom(in, n.settings.Zones)
+		e, err := newEndpointEntry(in, n.settings.Zones)
 		if err == nil {
 			entries = append(entries, e)
 		}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -22,7 +22,7 @@
 	bodyMemoryDivisor = 8 // of the memory, for bodies in flight; connections' buffers need as much
 	defaultBodyMemory = 64 << 20
 	heapLimitPercent  = 60  // of the memory
-	garbagePercent    = 400 // the heap is small, its collection takes time from requests
+	gcPercent         = 400 // the heap is small, its collection takes time from requests
 	bytesPerMiB       = 1 << 20
 	minOwnDescriptors = 4 // beside half of the descriptors, where those are few
 	lentSlotDivisor   = 2 // of what clients have more than upstreams, for slots that may be lent (frontend.go)
@@ -51,7 +51,7 @@
 	n.admin.setLimit(admin)
 	n.frontend.setLimits(toClients, spare, total/activeClientDivisor)
 	// frontend.go has the rule of lent slots.
-	n.frontend.maxLentSlots.Store(int64(toClients-toUpstreams) / lentSlotDivisor)
+	n.frontend.maxSlotsLentToUpstreams.Store(int64(toClients-toUpstreams) / lentSlotDivisor)
 }
 
 func (n *Node) divideMemory(processes int) {
@@ -68,5 +68,5 @@
 	if cores := n.config.Limits.Cores; cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cores)))
 	}
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 }
--- a/internal/node/listwatch_test.go
+++ b/internal/node/listwatch_test.go
@@ -26,12 +26,12 @@
 		[]string{listText(6, false, listEntry("s-0", second, "draining"))})
 	n := startNode(t, func(c *Config) { c.Discovery = address }, first)
 	eventually(t, "the move", func() bool { return n.count(listUpdates) == 1 })
-	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 || atFirst.Load() != 0 || atSecond.Load() != 1 {
+	if status, _, _ := sendRequest(t, n, "batch", "t1", ""); status != 200 || atFirst.Load() != 0 || atSecond.Load() != 1 {
 		t.Errorf("after the move %d, %d requests at the old address, %d at the new", status, atFirst.Load(),
 			atSecond.Load())
 	}
 	eventually(t, "the drain", func() bool { return n.count(listUpdates) == 2 })
-	if status, _, _ := ask(t, n, "batch", "t2", ""); status != 503 || atSecond.Load() != 1 {
+	if status, _, _ := sendRequest(t, n, "batch", "t2", ""); status != 503 || atSecond.Load() != 1 {
 		t.Errorf("with its only server draining a request was answered %d", status)
 	}
 	if n.count(listEntriesSkipped) != 3 {
@@ -81,7 +81,7 @@
 	write(young, "2e")
 	told(configReloads)
 	eventually(t, "the new list", func() bool { return n.count(listUpdates) == 2 })
-	if status, _, _ := ask(t, n, "batch", "t1", ""); status != 200 {
+	if status, _, _ := sendRequest(t, n, "batch", "t1", ""); status != 200 {
 		t.Errorf("by the new list a request was answered %d", status)
 	}
 	if got, _ := asked.Load(0); got == nil || !strings.Contains(got.(string), "after=0 ") {
@@ -191,7 +191,7 @@
 					defer n.upstreams.mu.Unlock()
 					return len(n.upstreams.eligible) == 0
 				})
-				if status, _, _ := ask(t, n, "batch", "t", ""); status != 503 || requests.Load() != 0 {
+				if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 503 || requests.Load() != 0 {
 					t.Errorf("after the drain a request was answered %d, %d came to the server", status,
 						requests.Load())
 				}
@@ -223,7 +223,7 @@
 			n.endpointWatch.headTimeout, n.endpointWatch.retryInterval = 60*time.Millisecond, c.wait
 			n.start()
 			eventually(t, "the next call", func() bool { return asked.Load() >= 2 })
-			if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
+			if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 200 {
 				t.Errorf("by half a line a server was given up: %d", status)
 			}
 		})
@@ -261,12 +261,12 @@
 	client, in := dial(t, n)
 	writeText(client, requestText("batch", "t", ""))
 	go n.start()
-	word.held(t, 1)
-	if n.notReady() == "" {
+	word.awaitArrivals(t, 1)
+	if n.notReadyReason() == "" {
 		t.Error("ready before the first word")
 	}
-	word.pass()
-	if status, _, _ := readAnswer(in); status != 503 || requests.Load() != 0 {
+	word.release()
+	if status, _, _ := readResponse(in); status != 503 || requests.Load() != 0 {
 		t.Errorf("answered %d, %d requests at a server that is draining", status, requests.Load())
 	}
 }
@@ -288,10 +288,10 @@
 		discard(c)
 	})
 	n := startNode(t, func(c *Config) { c.Discovery = old }, server)
-	late.held(t, 1)
+	late.awaitArrivals(t, 1)
 	eventually(t, "the old list", func() bool { return n.count(listUpdates) == 1 })
 	n.endpointWatch.move(young)
-	late.pass()
+	late.release()
 	eventually(t, "the new list", func() bool {
 		known := make(chan bool)
 		n.loop.post(func() {
@@ -300,7 +300,7 @@
 		})
 		return <-known
 	})
-	if status, _, _ := ask(t, n, "batch", "t", ""); status != 200 {
+	if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 200 {
 		t.Errorf("answered %d by a list that was left", status)
 	}
 }
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -68,17 +68,17 @@
 	pathState: http.MethodGet, pathRelays: http.MethodGet,
 }
 
-// hopHeaders are not passed on: they concern one connection, or one attempt, or are written by the node itself.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders are not passed on: they concern one connection, or one attempt, or are written by the node itself.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true, "Expect": true, "Host": true,
 	headerRemaining: true, headerLoadReport: true, headerNotExecuted: true,
 }
 
-// endToEnd removes, in place, the headers that are not passed on, also those that the sender names in Connection. The
+// removeHopByHopHeaders removes, in place, the headers that are not passed on, also those that the sender names in Connection. The
 // request id is always passed on.
-func endToEnd(h http.Header) http.Header {
+func removeHopByHopHeaders(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	for name := range hopHeaders {
+	for name := range hopByHopHeaders {
 		delete(h, name)
 	}
 	return h
@@ -170,9 +170,9 @@
 // maxStartedMs bounds an endpoint's start time, in milliseconds of Unix time, so that nanoseconds fit an int64.
 const maxStartedMs = 9e12
 
-// entryFrom checks one endpoint of a list and maps it to the terms of the decisions. An endpoint that is draining or
+// newEndpointEntry checks one endpoint of a list and maps it to the terms of the decisions. An endpoint that is draining or
 // removed needs no address.
-func entryFrom(in endpointlist.Entry, zones []string) (endpointEntry, error) {
+func newEndpointEntry(in endpointlist.Entry, zones []string) (endpointEntry, error) {
 	state, ok := endpointStates[in.State]
 	if !ok {
 		return endpointEntry{}, fmt.Errorf("health: expected up, draining or removed, got %q", in.State)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -135,8 +135,8 @@
 	return listener, nil
 }
 
-// notReady is the admin API's reason why the node takes no new clients now; empty if it does.
-func (n *Node) notReady() string {
+// notReadyReason is the admin API's reason why the node takes no new clients now; empty if it does.
+func (n *Node) notReadyReason() string {
 	switch {
 	case n.shuttingDown.Load():
 		return "stopping"
@@ -150,8 +150,8 @@
 	return ""
 }
 
-// closesConnections reports whether connections of clients end with their next answer.
-func (n *Node) closesConnections() bool {
+// closesClientConns reports whether connections of clients end with their next answer.
+func (n *Node) closesClientConns() bool {
 	return n.shuttingDown.Load() || n.overrides.drained() || n.hotRestart.hasYielded()
 }
 
--- a/internal/node/pacing.go
+++ b/internal/node/pacing.go
@@ -34,7 +34,7 @@
 }
 
 // begin sets the deadline of the read that follows. It returns os.ErrDeadlineExceeded if the peer has been too slow,
-// and errBodyAbandoned if the body has been abandoned.
+// and errBodyNotNeeded if the body has been abandoned.
 func (p *readPacer) begin(conn net.Conn) error {
 	p.readBegan = time.Now()
 	counted := p.waited - p.grace
@@ -47,7 +47,7 @@
 	}
 	err := conn.SetReadDeadline(deadline)
 	if p.abandoned != nil && p.abandoned.Load() {
-		return errBodyAbandoned // abandon may have set its own deadline just before, and this one has replaced it
+		return errBodyNotNeeded // abandon may have set its own deadline just before, and this one has replaced it
 	}
 	return err
 }
--- a/internal/node/pacing_test.go
+++ b/internal/node/pacing_test.go
@@ -50,7 +50,7 @@
 		var abandoned atomic.Bool
 		abandoned.Store(canceled)
 		pacer := &readPacer{stall: time.Hour, abandoned: &abandoned}
-		if err := pacer.begin(near); errors.Is(err, errBodyAbandoned) != canceled {
+		if err := pacer.begin(near); errors.Is(err, errBodyNotNeeded) != canceled {
 			t.Errorf("abandoned %t: %v", canceled, err)
 		}
 	}
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -52,7 +52,7 @@
 func (p *pendingRequest) bufferHead(r *http.Request) {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	_ = endToEnd(r.Header).Write(&b) // a write to a buffer can't fail
+	_ = removeHopByHopHeaders(r.Header).Write(&b) // a write to a buffer can't fail
 	switch {
 	case p.source != nil && p.source.length < 0:
 		b.WriteString("Transfer-Encoding: chunked\r\n")
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -69,7 +69,7 @@
 	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
 	requests := func(first string) {
 		for _, id := range []string{"1", "2", "3"} {
-			if status, _, _ := ask(t, n, "view", first+id, ""); status != 200 {
+			if status, _, _ := sendRequest(t, n, "view", first+id, ""); status != 200 {
 				t.Errorf("request %s%s: %d", first, id, status)
 			}
 		}
@@ -93,7 +93,7 @@
 	whole := &badDisk{}
 	dir := t.TempDir()
 	n := startNode(t, onDisk(t, whole, dir))
-	at, err := n.entryOf(listEntry("s-9", server, "up"))
+	at, err := n.parseEntry(listEntry("s-9", server, "up"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	asked := 0
 	eventually(t, "a request at the upstream, which counts as just started", func() bool {
 		asked++
-		status, _, _ := ask(t, again, "view", fmt.Sprint(asked), "")
+		status, _, _ := sendRequest(t, again, "view", fmt.Sprint(asked), "")
 		return status == 200 && requests.Load() == 1
 	})
 	if again.persistence.state.Epoch() != 2 {
@@ -124,7 +124,7 @@
 		})
 	}
 	n := start(3)
-	out, err := n.entryOf(listEntry("s-0", drains, "draining"))
+	out, err := n.parseEntry(listEntry("s-0", drains, "draining"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 		before, asked := drained.Load(), 0
 		eventually(t, "requests at upstreams, which count as just started", func() bool {
 			asked++ // most are rejected
-			ask(t, again, "view", fmt.Sprint(version, "-", asked), "")
+			sendRequest(t, again, "view", fmt.Sprint(version, "-", asked), "")
 			return asked > 40 && served.Load() > 2 && (!want || drained.Load() > before)
 		})
 		if (drained.Load() > before) != want {
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -136,14 +136,14 @@
 
 func answers(t *testing.T, n *Node, id, server string) bool {
 	t.Helper()
-	status, body, _ := ask(t, n, "view", id, server)
+	status, body, _ := sendRequest(t, n, "view", id, server)
 	return status == 200 && strings.HasSuffix(body, server)
 }
 
 // startNamedUpstream starts an upstream that answers with its name.
 func startNamedUpstream(t *testing.T, name string) (address string, tasks *atomic.Int64) {
 	return startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
-		return writeAnswer(c, "200 OK\r\nX-Pressure: queue=1", name)
+		return writeResponse(c, "200 OK\r\nX-Pressure: queue=1", name)
 	})
 }
 
@@ -156,7 +156,7 @@
 	putEndpoint(s, o, "a", a, "up")
 	putListVersion(s, o, 7)
 	n := startNode(t, withRelays(discovery, first))
-	eventually(t, "ready", func() bool { return n.notReady() == "" })
+	eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 	for i := range 10 {
 		if !answers(t, n, fmt.Sprint("one", i), "a") {
 			t.Fatal("not served by the endpoint of the relays")
@@ -228,7 +228,7 @@
 		return listText(int(version.Load()), true, listEntry("a", a, "up"), listEntry("b", b, "up"))
 	})
 	n := startNode(t, withRelaysSilent("20s", discovery, first)) // that no relay can be reached is known sooner
-	eventually(t, "ready", func() bool { return n.notReady() == "" })
+	eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 	if !answers(t, n, "one", "b") {
 		t.Fatal("not served by the list of the relays")
 	}
@@ -258,7 +258,7 @@
 	go serve(s, l)
 	eventually(t, "relays again", func() bool { v := relayView(t, n); return v.By == "relays" && !v.Watch })
 	eventually(t, "the end of the watch", func() bool { return open.Load() == 0 })
-	eventually(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("three", addresses.Add(1)), "a") })
+	eventually(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("three", lastAddress.Add(1)), "a") })
 }
 
 // Where no relay answers at the start, discovery is watched as without any.
@@ -269,7 +269,7 @@
 	for name, at := range map[string]string{"nobody there": "127.0.0.1:1", "a frozen one": still} {
 		began := time.Now()
 		n := startNode(t, withRelays(discovery, at))
-		eventually(t, "ready, "+name, func() bool { return n.notReady() == "" })
+		eventually(t, "ready, "+name, func() bool { return n.notReadyReason() == "" })
 		if took := time.Since(began); took > 3*time.Second {
 			t.Errorf("%s: ready after %v, expected a second and a call", name, took)
 		}
@@ -287,7 +287,7 @@
 	first, s, _ := serveOrigin(t, o)
 	s.Do(func(now int64) { put(o, now, testScope, "route/x", distribution.ClassConfiguration, "1") })
 	n := startNode(t, withRelays(discovery, first))
-	eventually(t, "ready", func() bool { return n.notReady() == "" })
+	eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 	if v := relayView(t, n); v.By != "discovery" || !v.Whole {
 		t.Errorf("%+v", v)
 	}
@@ -328,10 +328,10 @@
 	putListVersion(s, o, 8)
 	low := relayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", first))
 	n := startNode(t, withRelaysSilent("2s", discovery, low.Address()))
-	eventually(t, "the list by relays", func() bool { return n.notReady() == "" && relayView(t, n).By == "relays" })
+	eventually(t, "the list by relays", func() bool { return n.notReadyReason() == "" && relayView(t, n).By == "relays" })
 	stop()
 	eventually(t, "the list by discovery", func() bool { return relayView(t, n).By == "discovery" })
-	eventually(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("t", addresses.Add(1)), "b") })
+	eventually(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("t", lastAddress.Add(1)), "b") })
 	if v := relayView(t, n); v.Relay != low.Address() {
 		t.Errorf("%+v: the relay is still there", v)
 	}
@@ -363,7 +363,7 @@
 	origin := relayProcess(t, fmt.Sprintf("name=\"o\"\nrole=\"origin\"\nlisten=\"127.0.0.1:0\"\n[origin]\ndiscovery=%q\n[origin.scope]\nservice=\"cart\"\nregion=\"eu1\"\n", half))
 	low := relayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", origin.Address()))
 	n := startNode(t, withRelaysSilent("4s", discovery, low.Address()))
-	eventually(t, "the list by relays", func() bool { return n.notReady() == "" && relayView(t, n).By == "relays" })
+	eventually(t, "the list by relays", func() bool { return n.notReadyReason() == "" && relayView(t, n).By == "relays" })
 	if !answers(t, n, "one", "a") {
 		t.Fatal("not served by the list of the relays")
 	}
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -32,7 +32,7 @@
 		Recover:            n.recoverPanic,
 		Apply:              n.applyList,
 		WatchDiscovery:     func(on bool) { n.endpointWatch.pause(!on) },
-		Decode:             func(in endpointlist.Entry) (endpointEntry, error) { return entryFrom(in, n.settings.Zones) },
+		Decode:             func(in endpointlist.Entry) (endpointEntry, error) { return newEndpointEntry(in, n.settings.Zones) },
 		ToEndpoint:         sourceEndpoint,
 		WithState:          withSourceState,
 		DiscoveryConnected: func() bool { return n.endpointWatch.lastHeard.Load() != 0 },
--- a/internal/node/requestparse.go
+++ b/internal/node/requestparse.go
@@ -38,7 +38,7 @@
 		pending.answer(response{status: http.StatusBadRequest, body: []byte(err.Error() + "\n")})
 		return
 	}
-	overMemory := node.bufferedBytes.Load() > bodyMemoryFactor*node.maxBufferedBytes.Load()
+	overMemory := node.bufferedBytes.Load() > bodyMemoryHardFactor*node.maxBufferedBytes.Load()
 	if len(pending.body) > 0 && overMemory { // a streamed body holds its first part
 		c.rejectOverCapacity(pending)
 		return
@@ -63,12 +63,12 @@
 func (c *clientConn) rejectOverCapacity(pending *pendingRequest) {
 	node := c.frontend.node
 	node.counters.add(requestsOverCapacity)
-	pending.answer(node.overCapacity())
+	pending.answer(node.overCapacityResponse())
 }
 
 // readyStatus answers a readiness check.
 func (n *Node) readyStatus() int {
-	if n.notReady() != "" {
+	if n.notReadyReason() != "" {
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
--- a/internal/node/requestread.go
+++ b/internal/node/requestread.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	headTimeout      = 2500 * time.Millisecond // for a head, from its first byte; for the first, from admission
-	firstBodyRead    = 4 << 10                 // bytes reserved at first for a body of unknown length
-	bodyMemoryFactor = 2                       // bodies are rejected once the buffered ones exceed the limit so far
+	headTimeout          = 2500 * time.Millisecond // for a head, from its first byte; for the first, from admission
+	initialBodyReserve   = 4 << 10                 // bytes reserved at first for a body of unknown length
+	bodyMemoryHardFactor = 2                       // bodies are rejected once the buffered ones exceed the limit so far
 )
 
 // errClientClosed ends the read loop: the connection ended before the next request began, or was idle for too long.
@@ -28,7 +28,7 @@
 		return nil, err
 	}
 	began := c.beginMessage(first)
-	request, m, err := c.conn.readRequestHead(c.hasNoPending)
+	request, m, err := c.conn.readRequestHead(c.hasNoPendingRequests)
 	if err != nil {
 		return nil, err
 	}
@@ -50,11 +50,11 @@
 	for len(c.conn.buffered()) == 0 {
 		timeout := clientIdleTimeout
 		if first { // at least closeLinger, so that what has come is read also where the time has just ended
-			timeout = max(time.Until(c.slotTakenAt.Add(headTimeout)), closeLinger)
+			timeout = max(time.Until(c.slotAcquiredAt.Add(headTimeout)), closeLinger)
 		}
 		c.setReadTimeout(timeout)
 		err := c.conn.fill()
-		if errors.Is(err, os.ErrDeadlineExceeded) && (c.conn.hasInput() || c.keepsOpen()) {
+		if errors.Is(err, os.ErrDeadlineExceeded) && (c.conn.hasInput() || c.staysOpenAfterTimeout()) {
 			continue
 		}
 		if err != nil {
@@ -69,10 +69,10 @@
 func (c *clientConn) beginMessage(first bool) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.messageBegan = time.Now()
-	began := c.messageBegan
+	c.messageStartedAt = time.Now()
+	began := c.messageStartedAt
 	if first {
-		began = c.slotTakenAt
+		began = c.slotAcquiredAt
 	}
 	c.conn.SetReadDeadline(began.Add(headTimeout))
 	return began
@@ -83,7 +83,7 @@
 	if m.length == 0 {
 		return true, nil
 	}
-	limit := firstBodyRead
+	limit := initialBodyReserve
 	switch {
 	case m.length > minBufferedBody && m.length <= maxBufferedBody && c.reserveBody(pending, int(m.length), false):
 		limit = int(m.length)
@@ -126,8 +126,8 @@
 	c.frontend.node.bufferedBytes.Add(-int64(cap(pending.body)))
 }
 
-// awaitBody waits until a streamed body has been read by its attempt, and reports whether the connection goes on.
-func (c *clientConn) awaitBody(pending *pendingRequest) bool {
+// awaitStreamedBody waits until a streamed body has been read by its attempt, and reports whether the connection goes on.
+func (c *clientConn) awaitStreamedBody(pending *pendingRequest) bool {
 	<-pending.source.ended
 	pending.source.message.end()
 	c.conn.pacer = nil
@@ -135,7 +135,7 @@
 		return true
 	}
 	loop := c.frontend.node.loop
-	loop.post(func() { loop.bodyBroken(pending) })
+	loop.post(func() { loop.bodyFailed(pending) })
 	return false
 }
 
--- a/internal/node/requestread_test.go
+++ b/internal/node/requestread_test.go
@@ -17,11 +17,11 @@
 	n := startNode(t, nil, server)
 	c, in := dial(t, n)
 	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
-	if status, _, _ := readAnswer(in); status != 100 {
+	if status, _, _ := readResponse(in); status != 100 {
 		t.Fatalf("told %d", status)
 	}
 	writeText(c, "body")
-	if status, body, _ := readAnswer(in); status != 200 || body != "/batch t body" {
+	if status, body, _ := readResponse(in); status != 200 || body != "/batch t body" {
 		t.Errorf("answered %d %q", status, body)
 	}
 }
@@ -51,11 +51,11 @@
 	} {
 		c, in := dial(t, n)
 		writeText(c, text)
-		if status, _, _ := readAnswer(in); status != want {
+		if status, _, _ := readResponse(in); status != want {
 			t.Errorf("%.60q was answered %d, want %d", text, status, want)
 		}
 	}
-	if status, _, _ := ask(t, n, "batch", "still", ""); status != 200 || n.count(requestsMalformed) != 15 {
+	if status, _, _ := sendRequest(t, n, "batch", "still", ""); status != 200 || n.count(requestsMalformed) != 15 {
 		t.Errorf("after bad requests a good one is answered %d; %d counted as bad", status, n.count(requestsMalformed))
 	}
 }
@@ -73,7 +73,7 @@
 			began := time.Now()
 			c, in := dial(t, n)
 			writeText(c, text)
-			status, _, _ := readAnswer(in)
+			status, _, _ := readResponse(in)
 			if took := time.Since(began); status != want || took > 2900*time.Millisecond {
 				t.Errorf("%q was answered %d after %v", text, status, took)
 			}
@@ -83,9 +83,9 @@
 }
 
 // A connection whose first bytes come just at their deadline is read, without an endless loop.
-func TestFirstBytesComeAtTheirDeadline(t *testing.T) {
+func TestFirstBytesAtDeadlineAreRead(t *testing.T) {
 	n := startNode(t, nil)
-	l, err := net.Listen("tcp", address())
+	l, err := net.Listen("tcp", unusedAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	writeText(peer, "GET "+pathReady+" HTTP/1.1\r\nHost: h\r\n\r\n")
 	c := &clientConn{
 		frontend: n.frontend, conn: newBufferedConn(own), responseOrder: make(chan *pendingRequest, 1),
-		slotTakenAt: time.Now().Add(-headTimeout),
+		slotAcquiredAt: time.Now().Add(-headTimeout),
 	}
 	eventually(t, "the request", c.conn.hasInput)
 	read := make(chan error, 1)
@@ -126,8 +126,8 @@
 
 // A client that stops, lies or leaves in the middle of a long body gets an error or a close for itself alone, and its
 // request never ran.
-func TestIncompleteRequestBody(t *testing.T) {
-	server, requests := digestServer(t)
+func TestIncompleteRequestBodyIsRejected(t *testing.T) {
+	server, requests := startDigestUpstream(t)
 	n := startNode(t, lenientSettings, server)
 	half := string(randomBody(2 << 20))
 	for text, want := range map[string]int{
@@ -138,7 +138,7 @@
 	} {
 		c, in := dial(t, n)
 		go writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n"+text)
-		if status, _, _ := readAnswer(in); status != want {
+		if status, _, _ := readResponse(in); status != want {
 			t.Errorf("%.40q: %d, want %d", text, status, want)
 		}
 		c.Close()
@@ -151,10 +151,10 @@
 	if requests.Load() != 0 {
 		t.Errorf("%d requests ran without a whole body", requests.Load())
 	}
-	if status, _, _ := ask(t, n, "batch", "t3", "small"); status != 200 {
+	if status, _, _ := sendRequest(t, n, "batch", "t3", "small"); status != 200 {
 		t.Errorf("another client got %d", status)
 	}
-	n.returnsWhatItHeld(t)
+	n.awaitBodyMemoryReleased(t)
 	if n.loop.post(func() {}); n.count(panics) != 0 {
 		t.Errorf("%d panics", n.count(panics))
 	}
@@ -162,7 +162,7 @@
 
 // Guards against the memory for bodies going to whoever sends most: beyond it bodies are streamed.
 func TestMemoryOfLongBodiesIsBounded(t *testing.T) {
-	server, _ := digestServer(t)
+	server, _ := startDigestUpstream(t)
 	n := startNode(t, func(c *Config) { lenientSettings(c); c.Limits.MemoryMB = 32 }, server)
 	body := randomBody(900 << 10)
 	type begun struct {
@@ -186,11 +186,11 @@
 		writeBytes(one.c, body[minBufferedBody:])
 	}
 	for _, one := range all { // on a machine that stands still some may be rejected, but none is mixed up
-		if status, answer, _ := readAnswer(one.in); status != 503 && answer != digestOf(body) {
+		if status, answer, _ := readResponse(one.in); status != 503 && answer != digestOf(body) {
 			t.Errorf("%d %.60q", status, answer)
 		}
 	}
-	n.returnsWhatItHeld(t)
+	n.awaitBodyMemoryReleased(t)
 }
 
 func TestHeadRequestAndContinue(t *testing.T) {
@@ -199,7 +199,7 @@
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n")
 			return err == nil
 		}
-		return writeAnswer(c, "200 OK", digestOf([]byte(body)))
+		return writeResponse(c, "200 OK", digestOf([]byte(body)))
 	})
 	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
@@ -217,7 +217,7 @@
 		t.Fatalf("%+v, %v, want the word to go on", r, err)
 	}
 	writeBytes(c, body)
-	if _, answer, _ := readAnswer(in); answer != digestOf(body) {
+	if _, answer, _ := readResponse(in); answer != digestOf(body) {
 		t.Errorf("got %q", answer)
 	}
 }
@@ -227,9 +227,9 @@
 	long := randomBody(24 << 20) // more than the kernel takes in for a client that does not read
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodGet {
-			return writeAnswer(c, "200 OK", string(long))
+			return writeResponse(c, "200 OK", string(long))
 		}
-		return writeAnswer(c, "200 OK", body)
+		return writeResponse(c, "200 OK", body)
 	})
 	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
@@ -237,11 +237,11 @@
 	eventually(t, "the answer flows", func() bool { return n.count(responsesStreamed) == 1 })
 	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
 	time.Sleep(50 * time.Millisecond)
-	if _, body, _ := readAnswer(in); body != string(long) {
+	if _, body, _ := readResponse(in); body != string(long) {
 		t.Errorf("an answer of %d bytes came as %d others", len(long), len(body))
 	}
 	writeText(c, "abc")
-	if _, body, _ := readAnswer(in); body != "abc" {
+	if _, body, _ := readResponse(in); body != "abc" {
 		t.Errorf("the second request was answered %.40q", body)
 	}
 }
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// overCapacity is the response to a request that never reached the decisions, nor any upstream.
-func (n *Node) overCapacity() response {
+// overCapacityResponse is the response to a request that never reached the decisions, nor any upstream.
+func (n *Node) overCapacityResponse() response {
 	r := response{status: http.StatusServiceUnavailable}
 	if n.settings.Policy.MaySetRetryAfter {
 		r.retryAfter = n.settings.Policy.MaxRetryAfter
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -202,7 +202,7 @@
 // response is the response for the client.
 func (r *upstreamReply) response(method string, body []byte) response {
 	length := r.Header.Get("Content-Length")
-	passed := response{status: r.StatusCode, header: endToEnd(r.Header), body: body}
+	passed := response{status: r.StatusCode, header: removeHopByHopHeaders(r.Header), body: body}
 	if length != "" && !allowsResponseBody(method) {
 		passed.header.Set("Content-Length", length)
 	}
@@ -272,7 +272,7 @@
 }
 
 // readFirstPart reads a short response completely, and of a longer one the first part. One of unknown length counts as
-// short for responseHoldBack: a broken response mostly shows at once, and a slow one is not to be held back until it is
+// short for responseBufferTimeout: a broken response mostly shows at once, and a slow one is not to be held back until it is
 // known to be long.
 func readFirstPart(m *message) (body []byte, complete bool, err error) {
 	if m.length > maxBufferedResponse {
@@ -289,7 +289,7 @@
 		if complete || err != nil {
 			return body, complete, err
 		}
-		if len(body) > 0 && time.Since(began) > responseHoldBack {
+		if len(body) > 0 && time.Since(began) > responseBufferTimeout {
 			break
 		}
 	}
--- a/internal/node/roundtrip_test.go
+++ b/internal/node/roundtrip_test.go
@@ -15,7 +15,7 @@
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get(headerRemaining) == "" || r.Header.Get("X-Other") != "kept" ||
 			r.Header.Get("Connection") != "" {
-			return writeAnswer(c, "500 Bad", "")
+			return writeResponse(c, "500 Bad", "")
 		}
 		return echo(c, r, body)
 	})
@@ -24,7 +24,7 @@
 	for i := range 3 {
 		writef(c, "POST /batch/x?q=%d HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nX-Other: kept\r\nConnection: keep-alive\r\n"+
 			"Content-Length: 3\r\n\r\na\x00b", i, i)
-		status, body, header := readAnswer(in)
+		status, body, header := readResponse(in)
 		if want := fmt.Sprintf("/batch/x?q=%d t%d a\x00b", i, i); status != 200 || body != want {
 			t.Errorf("got %d %q, want 200 %q", status, body, want)
 		}
@@ -112,7 +112,7 @@
 			t.Parallel()
 			for class, want := range c.status {
 				n := startNode(t, nil, c.server)
-				status, _, header := ask(t, n, class, "t1", "body")
+				status, _, header := sendRequest(t, n, class, "t1", "body")
 				attempts := int64(1)
 				if c.how == attemptsReset && class != "pay" {
 					attempts = 2 // the request returns to its only endpoint once
@@ -140,12 +140,12 @@
 		return echo(c, r, body)
 	})
 	n := startNode(t, nil, server)
-	if status, _, _ := ask(t, n, "view", "late", ""); status != 503 {
+	if status, _, _ := sendRequest(t, n, "view", "late", ""); status != 503 {
 		t.Errorf("the late request was answered %d, want 503", status)
 	}
 	time.Sleep(100 * time.Millisecond)
 	for i := range 20 {
-		status, body, _ := ask(t, n, "view", fmt.Sprint("t", i), "")
+		status, body, _ := sendRequest(t, n, "view", fmt.Sprint("t", i), "")
 		if status == 200 && body != fmt.Sprintf("/view t%d ", i) {
 			t.Fatalf("request %d got the answer %q", i, body)
 		}
@@ -170,11 +170,11 @@
 	n := startNode(t, nil, server)
 	var done sync.WaitGroup
 	for i := range 5 {
-		done.Go(func() { ask(t, n, "pay", fmt.Sprint("t", i), "") })
+		done.Go(func() { sendRequest(t, n, "pay", fmt.Sprint("t", i), "") })
 	}
 	done.Wait()
 	back.Store(true)
-	if status, _, _ := ask(t, n, "pay", "first", ""); status != 502 {
+	if status, _, _ := sendRequest(t, n, "pay", "first", ""); status != 502 {
 		t.Errorf("the first request after the cut was answered %d", status)
 	}
 	n.upstreams.mu.Lock()
@@ -198,13 +198,13 @@
 				return
 			}
 			if i > 0 && first {
-				writeAnswer(c, "200 OK", "stray") // the second answer comes before its own
+				writeResponse(c, "200 OK", "stray") // the second answer comes before its own
 			}
 			echo(c, r, "")
 			if i == 0 && first {
 				go func() {
 					stray.wait()
-					writeAnswer(c, "200 OK", "stray")
+					writeResponse(c, "200 OK", "stray")
 				}()
 			}
 		}
@@ -225,9 +225,9 @@
 		n.upstreams.extraInputCooldown = time.Hour
 		n.start()
 		n.upstreams.noteExtraInput(true) // such have been seen here
-		ask(t, n, "batch", "a", "")
+		sendRequest(t, n, "batch", "a", "")
 		idleOf(n)
-		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
+		if _, body, _ := sendRequest(t, n, "batch", "b", ""); body != "/batch b " {
 			t.Errorf("while the second answer is due a request got %q", body)
 		}
 		if conns.Load() != 2 {
@@ -237,11 +237,11 @@
 	t.Run("idle", func(t *testing.T) {
 		conns.Store(0)
 		n := startNode(t, nil, server)
-		ask(t, n, "batch", "a", "")
+		sendRequest(t, n, "batch", "a", "")
 		c := idleOf(n)
-		stray.pass()
+		stray.release()
 		eventually(t, "the second answer", c.hasInput)
-		if _, body, _ := ask(t, n, "batch", "b", ""); body != "/batch b " {
+		if _, body, _ := sendRequest(t, n, "batch", "b", ""); body != "/batch b " {
 			t.Errorf("once the second answer has come a request got %q", body)
 		}
 		if n.upstreams.lastExtraInputAt.Load() == 0 {
@@ -273,12 +273,12 @@
 					return false
 				})
 				n := startNode(t, nil, server)
-				ask(t, n, class, "first", "")
+				sendRequest(t, n, class, "first", "")
 				resets := int64(1)
 				if class != "pay" {
 					resets = 2 // the request returns to its only endpoint once
 				}
-				if status, _, _ := ask(t, n, class, "second", ""); status != want || requests.Load() != 1+resets {
+				if status, _, _ := sendRequest(t, n, class, "second", ""); status != want || requests.Load() != 1+resets {
 					t.Errorf("%s: answered %d, want %d; %d requests came", class, status, want, requests.Load())
 				}
 				if n.count(attemptsReset) != resets {
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -29,14 +29,14 @@
 		time.Sleep(5 * time.Millisecond)
 		switch how {
 		case 0:
-			return writeAnswer(c, "503 No\r\nX-Turned-Away: 1", "")
+			return writeResponse(c, "503 No\r\nX-Turned-Away: 1", "")
 		case 1:
-			return writeAnswer(c, "504 Over\r\nX-Turned-Away: 1\r\nConnection: close", "") && false
+			return writeResponse(c, "504 Over\r\nX-Turned-Away: 1\r\nConnection: close", "") && false
 		case 2:
-			writeAnswer(c, "503 No\r\nX-Turned-Away: 1", "")
+			writeResponse(c, "503 No\r\nX-Turned-Away: 1", "")
 			return false
 		case 3:
-			return writeAnswer(c, "500 Bad", "")
+			return writeResponse(c, "500 Bad", "")
 		case 4:
 			return false
 		case 5:
@@ -48,7 +48,7 @@
 		case 7:
 			time.Sleep(60 * time.Millisecond)
 		case 8:
-			return writeAnswer(c, "503 No", "")
+			return writeResponse(c, "503 No", "")
 		}
 		return echo(c, r, body)
 	}
@@ -72,7 +72,7 @@
 				time.Sleep(time.Duration(i) * 100 * time.Microsecond)
 				return
 			}
-			status, body, _ := readAnswer(in)
+			status, body, _ := readResponse(in)
 			if answers[i] = status; status == 200 && body != "/"+class(i)+" "+id+" b" {
 				t.Errorf("%s got the answer %q", id, body)
 			}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -29,7 +29,7 @@
 		busy.Go(func() {
 			for k := 0; ; k++ {
 				writeText(c, requestText("batch", fmt.Sprint(i, "-", k), ""))
-				status, _, header := readAnswer(in)
+				status, _, header := readResponse(in)
 				if status == 200 {
 					answered.Add(1)
 				}
@@ -46,13 +46,13 @@
 		close(stopped)
 	}()
 	eventually(t, "the stop", n.shuttingDown.Load)
-	if status, _, _ := ask(t, n, "batch", "new", ""); status != 200 {
+	if status, _, _ := sendRequest(t, n, "batch", "new", ""); status != 200 {
 		t.Errorf("a new connection while stopping was answered %d", status)
 	}
 	time.Sleep(acceptAfterTerm - 120*time.Millisecond)
 	writeText(idle, requestText("batch", "a", "")+requestText("batch", "b", ""))
 	for range 2 {
-		if status, body, _ := readAnswer(idleIn); status != 200 {
+		if status, body, _ := readResponse(idleIn); status != 200 {
 			t.Errorf("a request taken before the end was answered %d %s", status, body)
 		}
 	}
@@ -77,7 +77,7 @@
 		there func(n *Node) bool
 	}{
 		"in the queue": {
-			hold:  func(t *testing.T, n *Node) *gate { return n.holdLoop(t) },
+			hold:  func(t *testing.T, n *Node) *gate { return n.blockLoop(t) },
 			there: func(n *Node) bool { return len(n.loop.events) > 0 },
 		},
 		"dialling": {there: func(n *Node) bool { return n.count(attemptsSent) == 1 }},
@@ -120,11 +120,11 @@
 					}
 					discard(r.Body)
 				}
-				writeAnswer(conn, "200 OK", "whole")
+				writeResponse(conn, "200 OK", "whole")
 			})
 			n := newNode(t, silentDiscovery(t), server)
 			if name == "dialling" {
-				g = n.holdDials(t)
+				g = n.blockDials(t)
 			}
 			n.start()
 			if c.hold != nil {
@@ -132,7 +132,7 @@
 			}
 			client, in := dial(t, n)
 			go writeText(client, requestText("batch", "t", c.body))
-			g.held(t, 1)
+			g.awaitArrivals(t, 1)
 			eventually(t, "there", func() bool { return c.there == nil || c.there(n) })
 			stopped := make(chan struct{})
 			go func() { n.shutDown(); close(stopped) }()
@@ -142,8 +142,8 @@
 				t.Error("the shutdown ended with a request in flight") // and the process with it
 			case <-time.After(100 * time.Millisecond): // rounds in which it might have
 			}
-			g.pass()
-			status, body, header := readAnswer(in)
+			g.release()
+			status, body, header := readResponse(in)
 			if status != 200 || body != "whole" && body != "half" && body != long {
 				t.Errorf("answered %d with %d bytes, %v", status, len(body), header)
 			}
@@ -180,7 +180,7 @@
 			if c.ends {
 				n.loop.post(n.loop.giveUpAll)
 			}
-			if status, _, _ := readAnswer(in); status != c.status {
+			if status, _, _ := readResponse(in); status != c.status {
 				t.Errorf("answered %d, want %d", status, c.status)
 			}
 		})
@@ -193,7 +193,7 @@
 		if r.URL.Path == "/batch" { // an answer whose end is the connection's, and that does not come
 			writeText(c, "HTTP/1.1 200 OK\r\n\r\n")
 			for _, err := io.WriteString(c, "x"); err == nil; _, err = io.WriteString(c, "x") {
-				time.Sleep(responseHoldBack)
+				time.Sleep(responseBufferTimeout)
 			}
 		}
 		discard(c)
@@ -220,7 +220,7 @@
 			n.count(requestsFailed))
 	}
 	for class, status := range want {
-		if got, body, _ := readAnswer(ins[class]); got != status {
+		if got, body, _ := readResponse(ins[class]); got != status {
 			t.Errorf("%s was answered %d %s, want %d", class, got, body, status)
 		}
 	}
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -62,7 +62,7 @@
 }
 
 func (n *Node) serveClients() {
-	go n.frontend.accept()
+	go n.frontend.acceptLoop()
 	n.serving.Store(true)
 	n.hotRestart.announceServing()
 	if n.members != nil {
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	streamBufferBytes   = 32 << 10              // of a body that is streamed
-	maxBufferedBody     = 1 << 20               // of a request's body that is buffered, while there is memory for it
-	minBufferedBody     = 64 << 10              // of a request's body that is buffered whatever else the node holds
-	maxBufferedResponse = 64 << 10              // a response no longer than this is passed on only once it is complete
-	responseHoldBack    = 20 * time.Millisecond // the longest wait for more of a response of unknown length
+	streamBufferBytes     = 32 << 10              // of a body that is streamed
+	maxBufferedBody       = 1 << 20               // of a request's body that is buffered, while there is memory for it
+	minBufferedBody       = 64 << 10              // of a request's body that is buffered whatever else the node holds
+	maxBufferedResponse   = 64 << 10              // a response no longer than this is passed on only once it is complete
+	responseBufferTimeout = 20 * time.Millisecond // the longest wait for more of a response of unknown length
 )
 
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
-// errBodyAbandoned ends the reads of a body that is no longer needed; it is no fault of the client.
-var errBodyAbandoned = errors.New("the body is no longer needed")
+// errBodyNotNeeded ends the reads of a body that is no longer needed; it is no fault of the client.
+var errBodyNotNeeded = errors.New("the body is no longer needed")
 
 // bodySource is a request's body that is still coming from its client. The upload of the one attempt that has consumed
 // it reads it; the client connection's read loop waits until ended is closed, and only then uses the connection again.
@@ -53,11 +53,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.abandoned.Load() {
-		return 0, errBodyAbandoned
+		return 0, errBodyNotNeeded
 	}
 	n, err := s.message.Read(p)
 	if err != nil && s.abandoned.Load() {
-		err = errBodyAbandoned
+		err = errBodyNotNeeded
 	}
 	if errors.Is(err, io.EOF) {
 		s.complete.Store(true)
@@ -79,7 +79,7 @@
 	s.conn.SetReadDeadline(inThePast)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.finish(errBodyAbandoned)
+	s.finish(errBodyNotNeeded)
 }
 
 // failure is why the body ended before it was complete; nil if it has not ended, or is complete.
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// digestServer starts an upstream that answers with the digest of a request's body, and counts the complete requests.
-func digestServer(t *testing.T) (string, *atomic.Int64) {
+// startDigestUpstream starts an upstream that answers with the digest of a request's body, and counts the complete requests.
+func startDigestUpstream(t *testing.T) (string, *atomic.Int64) {
 	return startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-		return writeAnswer(c, "200 OK", fmt.Sprintf("%d %x", len(body), sha256.Sum256([]byte(body))))
+		return writeResponse(c, "200 OK", fmt.Sprintf("%d %x", len(body), sha256.Sum256([]byte(body))))
 	})
 }
 
@@ -25,7 +25,7 @@
 
 // Bodies of all sizes and forms reach the upstream unchanged, and the connection goes on.
 func TestRequestBodiesOfAllSizes(t *testing.T) {
-	server, _ := digestServer(t)
+	server, _ := startDigestUpstream(t)
 	n := startNode(t, lenientSettings, server)
 	c, in := dial(t, n)
 	for i, size := range []int{
@@ -40,7 +40,7 @@
 			} else {
 				writeText(c, fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, size, body))
 			}
-			if status, answer, _ := readAnswer(in); status != 200 || answer != digestOf(body) {
+			if status, answer, _ := readResponse(in); status != 200 || answer != digestOf(body) {
 				t.Fatalf("%d bytes, chunks of %d: %d %.80q, want %q", size, chunk, status, answer, digestOf(body))
 			}
 		}
@@ -48,7 +48,7 @@
 	if n.count(requestsStreamed) == 0 || n.count(clientsAccepted) != 1 {
 		t.Errorf("%d requests flowed on %d connections", n.count(requestsStreamed), n.count(clientsAccepted))
 	}
-	n.returnsWhatItHeld(t)
+	n.awaitBodyMemoryReleased(t)
 }
 
 // Responses of all sizes and forms reach the client unchanged.
@@ -63,7 +63,7 @@
 			writeText(c, "HTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
 			switch form {
 			case "length":
-				return writeAnswer(c, "200 OK", string(body))
+				return writeResponse(c, "200 OK", string(body))
 			case "chunks":
 				writeText(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunkedBody(body, 3000))
 				return true
@@ -77,7 +77,7 @@
 			for i, size := range []int{0, 1, maxBufferedResponse - 1, 2 * maxBufferedResponse, 5 << 20} {
 				c, in := dial(t, n)
 				writef(c, "GET /batch?%d HTTP/%s\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", size, version, i)
-				if status, body, _ := readAnswer(in); status != 200 || body != string(randomBody(size)) {
+				if status, body, _ := readResponse(in); status != 200 || body != string(randomBody(size)) {
 					t.Errorf("%s, HTTP/%s, %d bytes: %d, %d bytes", form, version, size, status, len(body))
 				}
 				c.Close()
@@ -147,9 +147,9 @@
 			time.Sleep(50 * time.Millisecond)
 		case "fails":
 			discard(r.Body)
-			writeAnswer(c, "500 Bad", "")
+			writeResponse(c, "500 Bad", "")
 		case "early":
-			writeAnswer(c, "200 OK", "too soon")
+			writeResponse(c, "200 OK", "too soon")
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
@@ -165,13 +165,13 @@
 		for class, status := range want {
 			n := startNode(t, nil, one, two)
 			before := seen.Load()
-			if got, _, _ := ask(t, n, class, "t1", string(body)); got != status {
+			if got, _, _ := sendRequest(t, n, class, "t1", string(body)); got != status {
 				t.Errorf("%s, %s: %d, want %d", how, class, got, status)
 			}
 			if seen.Load() != before+1 {
 				t.Errorf("%s, %s: sent %d times", how, class, seen.Load()-before)
 			}
-			n.returnsWhatItHeld(t)
+			n.awaitBodyMemoryReleased(t)
 		}
 	}
 }
@@ -183,9 +183,9 @@
 	long := randomBody(1 << 20)
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodGet {
-			return writeAnswer(c, "200 OK", string(long))
+			return writeResponse(c, "200 OK", string(long))
 		}
-		return writeAnswer(c, "200 OK", digestOf([]byte(body)))
+		return writeResponse(c, "200 OK", digestOf([]byte(body)))
 	})
 	n := startNode(t, lenientSettings, server)
 	body := randomBody(260 << 10)
@@ -201,7 +201,7 @@
 			writeBytes(c, body[i:min(i+6500, len(body))])
 			time.Sleep(100 * time.Millisecond)
 		}
-		_, answer, _ := readAnswer(in)
+		_, answer, _ := readResponse(in)
 		up <- answer
 	}()
 	c, in := dial(t, n)
@@ -240,7 +240,7 @@
 		seen := make(chan struct{})
 		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 			writeText(c, "HTTP/1.1 200 OK\r\n"+head)
-			time.Sleep(2 * responseHoldBack)
+			time.Sleep(2 * responseBufferTimeout)
 			if strings.Contains(head, "chunked") {
 				writeText(c, "1\r\n,\r\n")
 			} else {
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -111,10 +111,10 @@
 // readErr, that of the read of the response.
 func (u *upload) failure(request *pendingRequest, readErr error) error {
 	clientErr := request.source.failure()
-	if clientErr != nil && !errors.Is(clientErr, errBodyAbandoned) {
+	if clientErr != nil && !errors.Is(clientErr, errBodyNotNeeded) {
 		return errBodyLost // the upstream has done nothing
 	}
-	stoppedHere := errors.Is(u.err, errBodyAbandoned) || errors.Is(u.err, os.ErrDeadlineExceeded)
+	stoppedHere := errors.Is(u.err, errBodyNotNeeded) || errors.Is(u.err, os.ErrDeadlineExceeded)
 	if u.err != nil && !stoppedHere {
 		return u.err
 	}
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -97,7 +97,7 @@
 		u.closeOldestLocked()
 	}
 	needed := int64(max(0, u.open-u.maxOpen))
-	lent := &u.node.frontend.lentSlots
+	lent := &u.node.frontend.slotsLentToUpstreams
 	lent.Add(min(0, needed-lent.Load()))
 }
 
@@ -159,7 +159,7 @@
 			return nil
 		}
 		expired := conn.idleSince.Before(u.idleCutoff())
-		if !expired && conn.isQuiet() {
+		if !expired && conn.isReusable() {
 			return conn
 		}
 		u.noteExtraInput(conn.hasInput())
@@ -199,14 +199,14 @@
 }
 
 // waitForSlot reserves a slot for a connection, if need be one that the frontend lends (frontend.go). It returns
-// errNoConnectionSlot if there is none. It waits while an idle client is to leave, for lendTimeout or a part of the
+// errNoConnectionSlot if there is none. It waits while an idle client is to leave, for slotLendTimeout or a part of the
 // attempt's time, whichever is longer: on a busy machine a client takes long to leave, and another attempt would wait for
 // the same slot. The rest of the time is for the request.
 func (u *upstreams) waitForSlot(a *attempt, deadline time.Time) error {
 	began := time.Now()
-	giveUp := began.Add(max(lendTimeout, deadline.Sub(began)/slotWaitDivisor))
+	giveUp := began.Add(max(slotLendTimeout, deadline.Sub(began)/slotWaitDivisor))
 	for !u.reserveSlot() {
-		switch u.node.frontend.lendSlot() {
+		switch u.node.frontend.lendSlotToUpstream() {
 		case slotLent:
 			continue
 		case slotUnavailable:
@@ -225,7 +225,7 @@
 func (u *upstreams) reserveSlot() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.open >= u.maxOpen+int(u.node.frontend.lentSlots.Load()) {
+	if u.open >= u.maxOpen+int(u.node.frontend.slotsLentToUpstreams.Load()) {
 		if u.idleOrder.Len() == 0 {
 			return false
 		}
@@ -315,7 +315,7 @@
 	for target, idle := range u.idleConns {
 		kept := idle[:0]
 		for _, conn := range idle {
-			if conn.idleSince.After(cutoff) && conn.isQuiet() {
+			if conn.idleSince.After(cutoff) && conn.isReusable() {
 				kept = append(kept, conn)
 				continue
 			}
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -18,11 +18,11 @@
 func TestConnectionWithUnaskedBytesIsNotReused(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
-		return writeAnswer(c, "200 OK", "unasked")
+		return writeResponse(c, "200 OK", "unasked")
 	})
 	n := startNode(t, nil, server)
 	for i := range 5 {
-		if _, body, _ := ask(t, n, "batch", fmt.Sprint("t", i), ""); body != fmt.Sprintf("/batch t%d ", i) {
+		if _, body, _ := sendRequest(t, n, "batch", fmt.Sprint("t", i), ""); body != fmt.Sprintf("/batch t%d ", i) {
 			t.Fatalf("request %d got the answer %q", i, body)
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -37,7 +37,7 @@
 	})
 	n := startNode(t, nil, server)
 	for i := range 5 {
-		if status, _, _ := ask(t, n, "batch", fmt.Sprint("t", i), ""); status != 200 {
+		if status, _, _ := sendRequest(t, n, "batch", fmt.Sprint("t", i), ""); status != 200 {
 			t.Errorf("request %d was answered %d", i, status)
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -63,7 +63,7 @@
 		if i == 2 {
 			time.Sleep(80 * time.Millisecond)
 		}
-		if ask(t, n, "batch", fmt.Sprint("t", i), ""); n.count(upstreamConnsOpened) != want {
+		if sendRequest(t, n, "batch", fmt.Sprint("t", i), ""); n.count(upstreamConnsOpened) != want {
 			t.Errorf("%d connections after request %d, want %d", n.count(upstreamConnsOpened), i, want)
 		}
 	}
@@ -81,13 +81,13 @@
 		})
 		n := newNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
 		n.upstreams.maxOpen = 3
-		n.frontend.maxLentSlots.Store(lent)
+		n.frontend.maxSlotsLentToUpstreams.Store(lent)
 		n.start()
 		var done sync.WaitGroup
 		answers := [600]atomic.Int64{}
 		for i := range 10 {
 			done.Go(func() {
-				status, _, _ := ask(t, n, "pay", fmt.Sprint("t", i), "")
+				status, _, _ := sendRequest(t, n, "pay", fmt.Sprint("t", i), "")
 				answers[status].Add(1)
 			})
 		}
@@ -184,7 +184,7 @@
 func TestEndpointRestartsAtItsAddress(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
-	ask(t, n, "batch", "a", "")
+	sendRequest(t, n, "batch", "a", "")
 	eventually(t, "an idle connection", func() bool {
 		n.upstreams.mu.Lock()
 		defer n.upstreams.mu.Unlock()
@@ -199,7 +199,7 @@
 		return n.upstreams.open == 0
 	})
 	n.updateList(t, listText(3, false, born))
-	ask(t, n, "batch", "b", "")
+	sendRequest(t, n, "batch", "b", "")
 	n.updateList(t, listText(4, false, born))
 	if n.flushLoop(); n.count(upstreamConnsIdleClosed) != 1 {
 		t.Errorf("%d connections closed", n.count(upstreamConnsIdleClosed))
