--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -54,15 +54,15 @@
 	f.draining.Store(true)
 	f.setAcceptDeadline(inThePast)
 	f.wakeAccept()
-	lastProgress := time.Now()
-	for time.Now().Before(deadline) && time.Since(lastProgress) < acceptStallTimeout {
+	lastProgressAt := time.Now()
+	for time.Now().Before(deadline) && time.Since(lastProgressAt) < acceptStallTimeout {
 		select {
 		case <-f.acceptDone:
 			return
 		case <-time.After(acceptPollInterval):
 		}
 		if f.waitingForSlot.Load() > 0 {
-			lastProgress = time.Now()
+			lastProgressAt = time.Now()
 		}
 	}
 	go f.listener.Close() // in its own goroutine, as it waits for a blocked accept as well
@@ -73,8 +73,8 @@
 	defer close(f.acceptDone)
 	defer f.listener.Close()
 	for {
-		lastLook := f.draining.Load() && !f.paused.Load()
-		if lastLook {
+		finalPoll := f.draining.Load() && !f.paused.Load()
+		if finalPoll {
 			f.setAcceptDeadline(time.Now().Add(acceptPollInterval)) // an accept whose deadline is over does not even look
 		}
 		conn, err := f.listener.Accept()
@@ -85,7 +85,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if lastLook || !f.waitForResume() {
+			if finalPoll || !f.waitForResume() {
 				return
 			}
 		default:
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -129,8 +129,8 @@
 // removeWaitingLocked removes a connection from those that wait, and frees its place; it reports whether it was among them. mu
 // is held.
 func (s *adminServer) removeWaitingLocked(c *adminConn) bool {
-	for i, waiting := range s.waiting {
-		if waiting == c {
+	for i, candidate := range s.waiting {
+		if candidate == c {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			s.open--
 			return true
@@ -161,7 +161,7 @@
 	defer c.Close()
 	defer s.node.recoverPanic("admin API", func() {})
 	c.SetDeadline(c.acceptedAt.Add(adminReadTimeout))
-	request, status, err := readAdminCall(c)
+	call, status, err := readAdminCall(c)
 	if !s.markCallRead(c) {
 		return
 	}
@@ -170,22 +170,22 @@
 		s.node.counters.add(adminCallsDropped)
 		return
 	}
-	answer := adminResponse{status: status}
+	response := adminResponse{status: status}
 	if err != nil {
-		answer.text = err.Error()
+		response.text = err.Error()
 	} else {
-		answer = s.handle(request)
+		response = s.handle(call)
 	}
-	s.countCall(answer)
+	s.countCall(response)
 	c.SetDeadline(time.Now().Add(adminWriteTimeout))
-	if _, err := c.Write(answer.encode()); err == nil {
+	if _, err := c.Write(response.encode()); err == nil {
 		c.closeWriteAndDrain()
 	}
 }
 
-func (s *adminServer) countCall(answer adminResponse) {
+func (s *adminServer) countCall(response adminResponse) {
 	s.node.counters.add(adminCallsAnswered)
-	if answer.status >= http.StatusBadRequest && answer.status != http.StatusServiceUnavailable {
+	if response.status >= http.StatusBadRequest && response.status != http.StatusServiceUnavailable {
 		s.node.counters.add(adminCallsBad)
 	}
 }
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -42,8 +42,8 @@
 }
 
 func TestAdminRejectsInvalidCalls(t *testing.T) {
-	server, _ := startUpstream(t, echo)
-	n := startNode(t, withAdmin, server)
+	upstream, _ := startUpstream(t, echo)
+	n := startNode(t, withAdmin, upstream)
 	eventually(t, "ready", func() bool { return n.adminCall(t, "GET /ready") == 200 })
 	for text, want := range map[string]int{
 		"nonsense\r\n\r\n": 400,
@@ -101,11 +101,11 @@
 
 // Guards against an admin API that answers only when the loop is free.
 func TestAdminDoesNotWaitForEventLoop(t *testing.T) {
-	server, _ := startUpstream(t, echo)
-	n := startNode(t, withAdmin, server)
+	upstream, _ := startUpstream(t, echo)
+	n := startNode(t, withAdmin, upstream)
 	eventually(t, "ready", func() bool { return n.adminCall(t, "GET /ready") == 200 })
-	held := make(chan struct{})
-	n.loop.post(func() { <-held })
+	unblock := make(chan struct{})
+	n.loop.post(func() { <-unblock })
 	for len(n.loop.events) < cap(n.loop.events) {
 		select {
 		case n.loop.events <- func() {}:
@@ -117,25 +117,25 @@
 			t.Errorf("%s: %d while the loop stands still", call, status)
 		}
 	}
-	close(held)
+	close(unblock)
 }
 
 // A server taken out gets nothing, whatever the list says of it, until one call puts it back, cold.
 func TestDisabledEndpointGetsNoRequests(t *testing.T) {
-	one, first := startUpstream(t, echo)
-	two, _ := startUpstream(t, echo)
-	n := startNode(t, withAdmin, one, two)
+	disabledAddr, disabledRequests := startUpstream(t, echo)
+	otherAddr, _ := startUpstream(t, echo)
+	n := startNode(t, withAdmin, disabledAddr, otherAddr)
 	eventually(t, "ready", func() bool { return n.adminCall(t, "GET /ready") == 200 })
-	ask20 := func(round string) int64 {
-		before := first.Load()
+	countAtDisabled := func(round string) int64 {
+		before := disabledRequests.Load()
 		for i := range 20 {
 			if status, _, _ := sendRequest(t, n, "batch", fmt.Sprint(round, i), ""); status != 200 {
 				t.Errorf("%s: task %d was answered %d", round, i, status)
 			}
 		}
-		return first.Load() - before
+		return disabledRequests.Load() - before
 	}
-	if ask20("before") == 0 {
+	if countAtDisabled("before") == 0 {
 		t.Fatal("the server is not in use before")
 	}
 	for range 2 {
@@ -144,12 +144,12 @@
 		}
 	}
 	listings := []string{
-		listText(2, false, listEntry("s-0", one, "up")), listText(3, false, listEntry("s-0", one, "removed")),
-		listText(4, true, listEntry("s-1", two, "up")), listText(5, false, listEntry("s-0", one, "up")),
+		listText(2, false, listEntry("s-0", disabledAddr, "up")), listText(3, false, listEntry("s-0", disabledAddr, "removed")),
+		listText(4, true, listEntry("s-1", otherAddr, "up")), listText(5, false, listEntry("s-0", disabledAddr, "up")),
 	}
 	for i := range len(listings) + 1 {
 		time.Sleep(2 * overridesPollInterval)
-		if got := ask20(fmt.Sprint("out", i)); got != 0 {
+		if got := countAtDisabled(fmt.Sprint("out", i)); got != 0 {
 			t.Errorf("%d tasks for a server that is out, after %d listings", got, i)
 		}
 		if i < len(listings) {
@@ -163,18 +163,18 @@
 	if n.adminCall(t, "PUT /servers/enable?target=s-0") != 200 {
 		t.Fatal("not put back")
 	}
-	eventually(t, "the endpoint is in use again", func() bool { return ask20(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
-	cold := make(chan policy.Time, 1)
-	n.loop.post(func() { cold <- n.overrides.applied.apply(*n.overrides.entries["s-0"]).StartedAt })
-	if started := <-cold; started < before {
+	eventually(t, "the endpoint is in use again", func() bool { return countAtDisabled(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
+	startedAt := make(chan policy.Time, 1)
+	n.loop.post(func() { startedAt <- n.overrides.applied.apply(*n.overrides.entries["s-0"]).StartedAt })
+	if started := <-startedAt; started < before {
 		t.Errorf("enabled as started at %d, before it was enabled at %d", started, before)
 	}
 }
 
 // Guards against decisions that go on choosing an endpoint after an operator was told that it is out.
 func TestOverrideIsAppliedWithoutPolling(t *testing.T) {
-	server, _ := startUpstream(t, echo)
-	n := newNode(t, withAdmin, server)
+	upstream, _ := startUpstream(t, echo)
+	n := newNode(t, withAdmin, upstream)
 	n.loop.endpointsUpdated(n.chooseInitialList().entries, true)
 	n.overrides.rememberNames("s-0")
 	go n.loop.run()
@@ -191,14 +191,14 @@
 
 // An attempt checks overrides itself before it is written, as the decisions may not have seen them yet.
 func TestAttemptChecksOverridesBeforeItIsSent(t *testing.T) {
-	server, requests := startUpstream(t, echo)
-	n := newNode(t, withAdmin, server)
+	upstream, requests := startUpstream(t, echo)
+	n := newNode(t, withAdmin, upstream)
 	n.overrides.rememberNames("s-0")
 	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err != nil {
 		t.Fatal(err)
 	}
-	h := &attempt{request: newPendingRequest(), target: upstreamTarget{endpointID("s-0"), server}, deadline: n.clock.now().Add(time.Second)}
-	_, err := n.upstreams.runRoundTrip(h)
+	a := &attempt{request: newPendingRequest(), target: upstreamTarget{endpointID("s-0"), upstream}, deadline: n.clock.now().Add(time.Second)}
+	_, err := n.upstreams.runRoundTrip(a)
 	if err == nil || err.outcome() != policy.OutcomeNotSent || requests.Load() != 0 {
 		t.Errorf("%v, %d requests reached a disabled endpoint", err, requests.Load())
 	}
@@ -206,10 +206,10 @@
 
 // Overrides outlive the process, and both processes of a node obey them.
 func TestOverridesAreSharedAndPersisted(t *testing.T) {
-	server, _ := startUpstream(t, echo)
-	var dir, at string
-	n := startNode(t, func(c *Config) { withAdmin(c); dir, at = c.filesDir, c.Listen }, server)
-	other := newNode(t, func(c *Config) { withAdmin(c); c.filesDir, c.Listen = dir, at }, server)
+	upstream, _ := startUpstream(t, echo)
+	var dir, listen string
+	n := startNode(t, func(c *Config) { withAdmin(c); dir, listen = c.filesDir, c.Listen }, upstream)
+	other := newNode(t, func(c *Config) { withAdmin(c); c.filesDir, c.Listen = dir, listen }, upstream)
 	other.start()
 	eventually(t, "both ready", func() bool { return n.adminCall(t, "GET /ready") == 200 && other.adminCall(t, "GET /ready") == 200 })
 	n.adminCall(t, "PUT /servers/disable?target=s-0")
@@ -217,7 +217,7 @@
 	eventually(t, "the other knows", func() bool {
 		return other.overrides.isDisabled(endpointID("s-0")) && other.adminCall(t, "GET /ready") == 503
 	})
-	later := newNode(t, func(c *Config) { c.filesDir, c.Listen = dir, at })
+	later := newNode(t, func(c *Config) { c.filesDir, c.Listen = dir, listen })
 	if !later.overrides.isDisabled(endpointID("s-0")) || !later.overrides.drained() || !later.overrides.isKnown("s-0") {
 		t.Error("a later process does not know the overrides")
 	}
@@ -226,51 +226,51 @@
 	if !n.overrides.drained() {
 		t.Error("a change by one process undid one by the other")
 	}
-	var done sync.WaitGroup
+	var changes sync.WaitGroup
 	for i := range 20 {
-		for _, p := range []*Node{n, other} {
-			name := fmt.Sprintf("s-%d-%p", i, p)
-			p.overrides.rememberNames(name)
-			done.Go(func() {
-				if _, err := p.overrides.change(func(o *overrideSet) string { return o.disable(name, 1) }); err != nil {
+		for _, process := range []*Node{n, other} {
+			name := fmt.Sprintf("s-%d-%p", i, process)
+			process.overrides.rememberNames(name)
+			changes.Go(func() {
+				if _, err := process.overrides.change(func(o *overrideSet) string { return o.disable(name, 1) }); err != nil {
 					t.Error(err)
 				}
 			})
 		}
 	}
-	done.Wait()
+	changes.Wait()
 	n.overrides.reload()
-	if out := len(n.overrides.current.Load().disabled); out != 40 {
-		t.Errorf("%d of 40 overrides hold after both processes were called at once", out)
+	if overrideCount := len(n.overrides.current.Load().disabled); overrideCount != 40 {
+		t.Errorf("%d of 40 overrides hold after both processes were called at once", overrideCount)
 	}
 }
 
 // The overrides file is not trusted: the node starts, counts what can't be read, and obeys the rest.
 func TestUnreadableOverridesAreCounted(t *testing.T) {
 	n := newNode(t, withAdmin)
-	good := "fawnglade-orders 1 " + n.identity() + "\n"
-	for text, kept := range map[string]int{
+	header := "fawnglade-orders 1 " + n.identity() + "\n"
+	for text, want := range map[string]int{
 		"":               0,
 		"fawnglade-ord":  0,
 		"\x00\xff\n\x00": 0,
-		good:             0,
-		"fawnglade-orders 1 \"n9\" 127.0.0.1:9\nserver \"s-0\" 1 0\nend\n":                         0,
-		"fawnglade-orders 7 " + n.identity() + "\nserver \"s-0\" 1 0\nfuture things\nend\n":        1,
-		good + "server \"s-0\" 1 0\nserver \"s-1\" 2":                                              1,
-		good + "server \"s-0\" 1 0\nserver s-1 2 0\nserver \"s-2\" 9 x\nserver \"s-3\" 9 0\nend\n": 2,
-		good + strings.Repeat("nonsense\n", 1<<18):                                                 0,
+		header:           0,
+		"fawnglade-orders 1 \"n9\" 127.0.0.1:9\nserver \"s-0\" 1 0\nend\n":                           0,
+		"fawnglade-orders 7 " + n.identity() + "\nserver \"s-0\" 1 0\nfuture things\nend\n":          1,
+		header + "server \"s-0\" 1 0\nserver \"s-1\" 2":                                              1,
+		header + "server \"s-0\" 1 0\nserver s-1 2 0\nserver \"s-2\" 9 x\nserver \"s-3\" 9 0\nend\n": 2,
+		header + strings.Repeat("nonsense\n", 1<<18):                                                 0,
 	} {
 		if err := os.WriteFile(n.overrides.path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		again := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
-		if got := len(again.overrides.current.Load().disabled); got != kept || again.count(overridesUnreadable) != 1 {
-			t.Errorf("%.80q: %d disabled, want %d; counted %d times", text, got, kept, again.count(overridesUnreadable))
+		restarted := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
+		if got := len(restarted.overrides.current.Load().disabled); got != want || restarted.count(overridesUnreadable) != 1 {
+			t.Errorf("%.80q: %d disabled, want %d; counted %d times", text, got, want, restarted.count(overridesUnreadable))
 		}
 	}
 	running := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
 	running.overrides.publish(&overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-7": {disabledAt: 1}}})
-	if err := os.WriteFile(n.overrides.path, []byte(good+"server \"s-0\" 1"), 0o600); err != nil {
+	if err := os.WriteFile(n.overrides.path, []byte(header+"server \"s-0\" 1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	running.overrides.reload()
@@ -280,7 +280,7 @@
 	if err := errors.Join(os.Remove(n.overrides.path), os.Mkdir(n.overrides.path, 0o700)); err != nil {
 		t.Fatal(err)
 	}
-	if again := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen }); again.count(overridesUnreadable) != 1 {
+	if restarted := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen }); restarted.count(overridesUnreadable) != 1 {
 		t.Error("a directory in the place of the file is not counted")
 	}
 	n.overrides.rememberNames("s-0")
@@ -292,8 +292,8 @@
 // While drained the node is not ready, closes connections with their next response or when they are idle, and serves
 // requests.
 func TestDrainedNodeClosesConnections(t *testing.T) {
-	server, _ := startUpstream(t, echo)
-	n := startNode(t, withAdmin, server)
+	upstream, _ := startUpstream(t, echo)
+	n := startNode(t, withAdmin, upstream)
 	eventually(t, "ready", func() bool { return n.adminCall(t, "GET /ready") == 200 })
 	used, in := dial(t, n)
 	writeText(used, requestText("batch", "t1", ""))
--- a/internal/node/admincommands.go
+++ b/internal/node/admincommands.go
@@ -92,9 +92,9 @@
 func (s *adminServer) handleOverride(r *http.Request) adminResponse {
 	change := drainChanges[r.URL.Path]
 	if change == nil {
-		target, refused := s.target(r.URL.RawQuery)
-		if refused != nil {
-			return *refused
+		target, errorResponse := s.target(r.URL.RawQuery)
+		if errorResponse != nil {
+			return *errorResponse
 		}
 		now := s.node.clock.now()
 		if r.URL.Path == pathEnable {
@@ -103,14 +103,14 @@
 			change = func(o *overrideSet) string { return o.disable(target, now) }
 		}
 	}
-	answer, err := s.node.overrides.change(change)
+	newState, err := s.node.overrides.change(change)
 	if err != nil {
 		s.node.log.Error("override not changed", zap.String("call", r.URL.Path), zap.Error(err))
 		text := "not carried out, nothing has changed: " + err.Error()
 		return adminResponse{status: http.StatusInternalServerError, text: text}
 	}
-	s.node.log.Info("override changed", zap.String("call", r.URL.RequestURI()), zap.String("now", answer))
-	return ok(answer)
+	s.node.log.Info("override changed", zap.String("call", r.URL.RequestURI()), zap.String("now", newState))
+	return ok(newState)
 }
 
 var drainChanges = map[string]func(*overrideSet) string{
@@ -125,7 +125,7 @@
 }
 
 // target is the endpoint that a call names, or the answer to a call that names none or an unknown one.
-func (s *adminServer) target(query string) (name string, refused *adminResponse) {
+func (s *adminServer) target(query string) (name string, errorResponse *adminResponse) {
 	name, err := parseTarget(query)
 	if err != nil {
 		return "", &adminResponse{status: http.StatusBadRequest, text: err.Error()}
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -12,18 +12,18 @@
 
 // lean answers every request that ends as the benchmark's do, without parsing it: what is measured is the node.
 func serveFixedResponse(c net.Conn) {
-	buf := make([]byte, 8192)
-	have := 0
+	buffer := make([]byte, 8192)
+	received := 0
 	for {
-		n, err := c.Read(buf[have:])
+		n, err := c.Read(buffer[received:])
 		if err != nil {
 			return
 		}
-		have += n
-		if !bytes.HasSuffix(buf[:have], []byte("!!!!")) {
+		received += n
+		if !bytes.HasSuffix(buffer[:received], []byte("!!!!")) {
 			continue
 		}
-		have = 0
+		received = 0
 		const answer = "HTTP/1.1 200 OK\r\nX-Pressure: queue=0\r\nContent-Length: 4\r\n\r\ndone"
 		if _, err := io.WriteString(c, answer); err != nil {
 			return
@@ -34,11 +34,11 @@
 // BenchmarkNode is a request of 200 bytes through the node, clients and servers in the same process, over 32
 // connections.
 func BenchmarkNode(b *testing.B) {
-	for _, servers := range []int{8, 64, 512, 4096} {
-		b.Run(fmt.Sprint(servers), func(b *testing.B) {
+	for _, upstreamCount := range []int{8, 64, 512, 4096} {
+		b.Run(fmt.Sprint(upstreamCount), func(b *testing.B) {
 			t := &testing.T{}
 			var addresses []string
-			for range servers {
+			for range upstreamCount {
 				l, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
 					b.Fatal(err)
@@ -60,13 +60,13 @@
 			n.start()
 			body := bytes.Repeat([]byte("x"), 196)
 			body = append(body, "!!!!"...)
-			var left, rejected atomic.Int64
-			left.Store(int64(b.N))
-			var all sync.WaitGroup
+			var remaining, rejected atomic.Int64
+			remaining.Store(int64(b.N))
+			var clients sync.WaitGroup
 			b.ReportAllocs()
 			b.ResetTimer()
 			for client := range 32 {
-				all.Go(func() {
+				clients.Go(func() {
 					c, err := net.Dial("tcp", n.address())
 					if err != nil {
 						b.Error(err)
@@ -74,22 +74,22 @@
 					}
 					defer c.Close()
 					buf := make([]byte, 4096)
-					for i := left.Add(-1); i >= 0; i = left.Add(-1) {
+					for i := remaining.Add(-1); i >= 0; i = remaining.Add(-1) {
 						writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d-%d\r\nX-Lane: batch\r\n"+
 							"X-Org: acme\r\nX-Remaining-Ms: 9000\r\n"+
 							"Content-Length: 200\r\n\r\n%s", client, i, body)
-						have, err := c.Read(buf)
+						received, err := c.Read(buf)
 						if err != nil {
 							b.Error(err)
 							return
 						}
-						if !bytes.HasPrefix(buf[:have], []byte("HTTP/1.1 200")) {
+						if !bytes.HasPrefix(buf[:received], []byte("HTTP/1.1 200")) {
 							rejected.Add(1)
 						}
 					}
 				})
 			}
-			all.Wait()
+			clients.Wait()
 			b.ReportMetric(float64(rejected.Load()), "rejected")
 		})
 	}
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -82,8 +82,8 @@
 			c.handle(pending, request)
 		}
 		c.responseOrder <- pending
-		bodyBroken := pending.source != nil && !c.awaitStreamedBody(pending)
-		if bodyBroken || pending.closeAfter {
+		bodyFailed := pending.source != nil && !c.awaitStreamedBody(pending)
+		if bodyFailed || pending.closeAfter {
 			c.discardInput()
 			return
 		}
@@ -157,8 +157,8 @@
 	}
 	bodyIncomplete := pending.bodyIncomplete()
 	if !pending.closeAfter && !bodyIncomplete {
-		wanted := c.evicting || c.frontend.node.closesClientConns()
-		if !wanted || !c.messageStartedAt.IsZero() || c.conn.hasInput() {
+		requested := c.evicting || c.frontend.node.closesClientConns()
+		if !requested || !c.messageStartedAt.IsZero() || c.conn.hasInput() {
 			return false
 		}
 	}
@@ -235,7 +235,7 @@
 
 // writeResponse writes one response and reports whether the connection goes on. After the last it ends the sending
 // side; the read loop then lingers for the client to close.
-func (c *clientConn) writeResponse(pending *pendingRequest, answer *response, last bool) (goesOn bool) {
+func (c *clientConn) writeResponse(pending *pendingRequest, answer *response, last bool) (keepOpen bool) {
 	defer c.frontend.node.recoverPanic("response", func() { c.conn.Close() })
 	head := answer.encodeHead(pending, last)
 	complete := false
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -19,12 +19,12 @@
 
 func TestAttemptIsCanceledWhenClientCloses(t *testing.T) {
 	closed := make(chan struct{})
-	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+	upstream, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		discard(c)
 		close(closed)
 		return false
 	})
-	n := startNode(t, nil, server)
+	n := startNode(t, nil, upstream)
 	c, _ := dial(t, n)
 	writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 	eventually(t, "the attempt", func() bool { return requests.Load() == 1 })
@@ -39,36 +39,36 @@
 
 // A request whose client has left while it waited, wherever that was, is written to no upstream.
 func TestWaitingRequestOfClosedClientIsNotSent(t *testing.T) {
-	many := func(n int) (text string) {
+	requestTexts := func(n int) (text string) {
 		for i := range n {
 			text += requestText("batch", fmt.Sprint("t", i), "")
 		}
 		return text
 	}
 	longBody := requestText("batch", "t", strings.Repeat("x", 900<<10))
-	reset := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
-	leave := func(c net.Conn) { c.Close() }
-	halve := func(c net.Conn) { c.(*net.TCPConn).CloseWrite() } // the pages know no client that does so and waits
+	resetConn := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
+	closeConn := func(c net.Conn) { c.Close() }
+	halfClose := func(c net.Conn) { c.(*net.TCPConn).CloseWrite() } // the pages know no client that does so and waits
 	for name, c := range map[string]struct {
-		text  string
-		leave func(net.Conn)
+		text      string
+		closeConn func(net.Conn)
 	}{
-		"one request not yet read":       {many(1), leave},
-		"one, reset":                     {many(1), reset},
-		"one, half-closed":               {many(1), halve},
-		"many at once":                   {many(20), leave},
-		"many, reset":                    {many(20), reset},
-		"more than is read at once":      {many(200), leave},
-		"a long body that is half there": {strings.Replace(longBody, "X-Lane: batch\r\n", "", 1)[:300<<10], leave},
+		"one request not yet read":       {requestTexts(1), closeConn},
+		"one, reset":                     {requestTexts(1), resetConn},
+		"one, half-closed":               {requestTexts(1), halfClose},
+		"many at once":                   {requestTexts(20), closeConn},
+		"many, reset":                    {requestTexts(20), resetConn},
+		"more than is read at once":      {requestTexts(200), closeConn},
+		"a long body that is half there": {strings.Replace(longBody, "X-Lane: batch\r\n", "", 1)[:300<<10], closeConn},
 	} {
 		t.Run("before the node looks: "+name, func(t *testing.T) {
 			t.Parallel()
-			server, requests := startUpstream(t, echo)
-			n := newNode(t, nil, server)
+			upstream, requests := startUpstream(t, echo)
+			n := newNode(t, nil, upstream)
 			client, _ := dial(t, n) // the machine takes it, nobody has yet
 			client.SetDeadline(time.Now().Add(time.Second))
 			writeText(client, c.text)
-			c.leave(client)
+			c.closeConn(client)
 			n.start()
 			eventually(t, "the connection's end", n.allClientsClosed)
 			n.flushLoop()
@@ -80,22 +80,22 @@
 	}
 	t.Run("behind requests in flight", func(t *testing.T) {
 		t.Parallel()
-		answers := newGate(t)
-		server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-			answers.wait()
+		responseGate := newGate(t)
+		upstream, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+			responseGate.wait()
 			return echo(c, r, body)
 		})
-		n := startNode(t, nil, server)
+		n := startNode(t, nil, upstream)
 		client, _ := dial(t, n)
-		writeText(client, many(20))
+		writeText(client, requestTexts(20))
 		eventually(t, "as many as are read ahead", func() bool {
 			return requests.Load() == n.count(attemptsSent) && requests.Load() > maxPipelined
 		})
-		at := n.onlyClientConn(t)
+		conn := n.onlyClientConn(t)
 		client.Close()
-		eventually(t, "its end", at.clientGone)
+		eventually(t, "its end", conn.clientGone)
 		before := requests.Load()
-		answers.release()
+		responseGate.release()
 		eventually(t, "the connection's end", n.allClientsClosed)
 		if n.flushLoop(); requests.Load() != before {
 			t.Errorf("%d requests at the server when the client left, %d in the end", before, requests.Load())
@@ -103,44 +103,44 @@
 	})
 	t.Run("all being dialed, and the reader sees no end", func(t *testing.T) {
 		t.Parallel()
-		server, requests := startUpstream(t, echo)
-		n := newNode(t, silentDiscovery(t), server, server, server)
-		dials := n.blockDials(t)
+		upstream, requests := startUpstream(t, echo)
+		n := newNode(t, silentDiscovery(t), upstream, upstream, upstream)
+		dialGate := n.blockDials(t)
 		n.start()
 		client, _ := dial(t, n)
-		writeText(client, many(20))
-		dials.awaitArrivals(t, maxPipelined+2) // as many as stand in turn, with the writer's and the reader's
-		at := n.onlyClientConn(t)
+		writeText(client, requestTexts(20))
+		dialGate.awaitArrivals(t, maxPipelined+2) // as many as stand in turn, with the writer's and the reader's
+		conn := n.onlyClientConn(t)
 		client.Close()
-		eventually(t, "its end", at.clientGone)
-		dials.release()
+		eventually(t, "its end", conn.clientGone)
+		dialGate.release()
 		eventually(t, "the cancellation", func() bool {
 			n.flushLoop()
 			return n.count(attemptsNotSent) == n.count(attemptsSent)
 		})
-		sent, taken, canceled := n.count(attemptsSent), n.count(requestsAccepted), n.count(requestsCanceled)
-		if requests.Load() != 0 || sent != taken || canceled != taken {
-			t.Errorf("of %d requests %d were sent, %d canceled, %d came to servers", taken, sent, canceled,
+		attempts, accepted, canceled := n.count(attemptsSent), n.count(requestsAccepted), n.count(requestsCanceled)
+		if requests.Load() != 0 || attempts != accepted || canceled != accepted {
+			t.Errorf("of %d requests %d were sent, %d canceled, %d came to servers", accepted, attempts, canceled,
 				requests.Load())
 		}
 	})
 	t.Run("in the loop's queue, behind the result that retries it", func(t *testing.T) {
 		t.Parallel()
-		errs := newGate(t)
-		server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
-			errs.wait()
+		errorGate := newGate(t)
+		upstream, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+			errorGate.wait()
 			return writeResponse(c, "500 Bad", "")
 		})
-		n := startNode(t, silentDiscovery(t), server, server)
+		n := startNode(t, silentDiscovery(t), upstream, upstream)
 		client, _ := dial(t, n)
 		writeText(client, requestText("batch", "t", ""))
-		errs.awaitArrivals(t, 1)
-		held := n.blockLoop(t)
-		errs.release()
+		errorGate.awaitArrivals(t, 1)
+		loopGate := n.blockLoop(t)
+		errorGate.release()
 		eventually(t, "the answer in the queue", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
 		eventually(t, "the cancellation behind it", func() bool { return len(n.loop.events) == 2 })
-		held.release()
+		loopGate.release()
 		eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 		eventually(t, "the end", func() bool {
 			n.flushLoop()
@@ -152,15 +152,15 @@
 	})
 	t.Run("in the loop's queue, before its arrival", func(t *testing.T) {
 		t.Parallel()
-		server, requests := startUpstream(t, echo)
-		n := startNode(t, silentDiscovery(t), server)
-		held := n.blockLoop(t)
+		upstream, requests := startUpstream(t, echo)
+		n := startNode(t, silentDiscovery(t), upstream)
+		loopGate := n.blockLoop(t)
 		client, _ := dial(t, n)
 		writeText(client, requestText("batch", "t", ""))
 		eventually(t, "the arrival in the queue", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
 		eventually(t, "the cancellation behind it", func() bool { return len(n.loop.events) == 2 })
-		held.release()
+		loopGate.release()
 		eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 		eventually(t, "the end", func() bool {
 			n.flushLoop()
@@ -180,14 +180,14 @@
 }
 
 // startCountingUpstream starts an upstream that counts attempts as they begin, whether or not they come completely.
-func startCountingUpstream(t *testing.T, answer func(c net.Conn, r *http.Request)) (address string, begun *atomic.Int64) {
-	begun = new(atomic.Int64)
+func startCountingUpstream(t *testing.T, answer func(c net.Conn, r *http.Request)) (address string, attempts *atomic.Int64) {
+	attempts = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			if _, err := in.Peek(1); err != nil {
 				return
 			}
-			begun.Add(1)
+			attempts.Add(1)
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
@@ -197,43 +197,43 @@
 			}
 			answer(c, r)
 		}
-	}), begun
+	}), attempts
 }
 
 // An attempt that has not written its first byte when the client leaves does not begin, however it came to be and
 // however the client left.
 func TestNoAttemptStartsAfterClientClosed(t *testing.T) {
-	type stage struct {
+	type scenario struct {
 		text string
 		// reach brings attempts so far that only their connection is missing; in lets answers of the first server go
-		reach func(t *testing.T, n *Node, other string, answers *gate)
-		blind bool // the reader does not come to the end
-		first int  // attempts that have begun before the client leaves
+		prepare        func(t *testing.T, n *Node, other string, responseGate *gate)
+		readerBlocked  bool // the reader does not come to the end
+		attemptsBefore int  // attempts that have begun before the client leaves
 	}
-	addUpstream := func(t *testing.T, n *Node, other string, answers *gate) {
-		answers.awaitArrivals(t, 1)
+	addUpstream := func(t *testing.T, n *Node, other string, responseGate *gate) {
+		responseGate.awaitArrivals(t, 1)
 		n.updateList(t, listText(2, false, listEntry("s-1", other, "up")))
 	}
-	for name, s := range map[string]stage{
+	for name, s := range map[string]scenario{
 		"a first attempt": {text: requestText("batch", "t0", "")},
 		"a hedged request": {
-			text: requestText("batch", "t0", ""), first: 1,
-			reach: func(t *testing.T, n *Node, other string, answers *gate) {
-				addUpstream(t, n, other, answers)
+			text: requestText("batch", "t0", ""), attemptsBefore: 1,
+			prepare: func(t *testing.T, n *Node, other string, responseGate *gate) {
+				addUpstream(t, n, other, responseGate)
 				n.loop.post(func() { n.loop.Send("t0", endpointID("s-1"), 20*time.Second) })
 			},
 		},
 		"a retry behind an error": {
-			text: requestText("batch", "t0", ""), first: 1,
-			reach: func(t *testing.T, n *Node, other string, answers *gate) {
-				addUpstream(t, n, other, answers)
-				answers.release()
+			text: requestText("batch", "t0", ""), attemptsBefore: 1,
+			prepare: func(t *testing.T, n *Node, other string, responseGate *gate) {
+				addUpstream(t, n, other, responseGate)
+				responseGate.release()
 			},
 		},
 		"a retry after a cancel": {
-			text: requestText("batch", "t0", ""), first: 1,
-			reach: func(t *testing.T, n *Node, other string, answers *gate) {
-				addUpstream(t, n, other, answers)
+			text: requestText("batch", "t0", ""), attemptsBefore: 1,
+			prepare: func(t *testing.T, n *Node, other string, responseGate *gate) {
+				addUpstream(t, n, other, responseGate)
 				n.loop.post(func() { n.loop.Cancel("t0", 0) })
 				eventually(t, "the cancel's end", func() bool { return n.count(attemptsCanceled) == 1 })
 				n.loop.post(func() { // where the decisions have not by themselves
@@ -243,20 +243,20 @@
 				})
 			},
 		},
-		"an upload that flows": {text: partialStreamedRequest("batch", "t0"), blind: true},
+		"an upload that flows": {text: partialStreamedRequest("batch", "t0"), readerBlocked: true},
 		"many on one connection": {text: func() (text string) {
 			for i := range 20 {
 				text += requestText("batch", fmt.Sprint("t", i), "")
 			}
 			return text
-		}(), blind: true},
+		}(), readerBlocked: true},
 	} {
 		for how, leave := range clientCloseMethods {
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
-				answers := newGate(t)
+				responseGate := newGate(t)
 				first, atFirst := startCountingUpstream(t, func(c net.Conn, r *http.Request) {
-					answers.wait()
+					responseGate.wait()
 					writeResponse(c, "500 Bad", "")
 				})
 				other, atOther := startCountingUpstream(t, func(c net.Conn, r *http.Request) { echo(c, r, "") })
@@ -267,32 +267,32 @@
 						`"cancelling":true`, `"cancelling":false`)(c)
 					c.Discovery, _ = watchOf(t)
 				}, first)
-				dials := newGate(t)
+				dialGate := newGate(t)
 				n.upstreams.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
-					if s.first == 0 || address == other {
-						dials.wait()
+					if s.attemptsBefore == 0 || address == other {
+						dialGate.wait()
 					}
 					return n.upstreams.connect(context.Background(), address, limit)
 				}
 				n.start()
 				client, _ := dial(t, n)
 				writeText(client, s.text)
-				if s.reach != nil {
-					s.reach(t, n, other, answers)
+				if s.prepare != nil {
+					s.prepare(t, n, other, responseGate)
 				}
-				dials.awaitArrivals(t, 1)
+				dialGate.awaitArrivals(t, 1)
 				at := n.onlyClientConn(t)
 				leave(client)
 				eventually(t, "its end", at.clientGone)
-				if !s.blind {
+				if !s.readerBlocked {
 					eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
 				}
-				dials.release()
-				answers.release()
+				dialGate.release()
+				responseGate.release()
 				eventually(t, "the end of all attempts", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
-				if atFirst.Load() != int64(s.first) || atOther.Load() != 0 || n.count(attemptsNotSent) == 0 {
+				if atFirst.Load() != int64(s.attemptsBefore) || atOther.Load() != 0 || n.count(attemptsNotSent) == 0 {
 					t.Errorf("%d attempts began at the first server, want %d; %d at the other; %d did not begin",
-						atFirst.Load(), s.first,
+						atFirst.Load(), s.attemptsBefore,
 						atOther.Load(), n.count(attemptsNotSent))
 				}
 			})
@@ -319,23 +319,23 @@
 }
 
 func (s *timestampedReader) Read(p []byte) (n int, err error) {
-	var beside [128]byte
-	var size int
-	broken := s.raw.Read(func(fd uintptr) bool {
-		n, size, _, _, err = syscall.Recvmsg(int(fd), p, beside[:], 0)
+	var control [128]byte
+	var controlBytes int
+	rawErr := s.raw.Read(func(fd uintptr) bool {
+		n, controlBytes, _, _, err = syscall.Recvmsg(int(fd), p, control[:], 0)
 		return err != syscall.EAGAIN
 	})
-	if broken != nil || err != nil || n == 0 {
+	if rawErr != nil || err != nil || n == 0 {
 		return 0, io.EOF
 	}
 	s.lastReceivedAt = time.Now()
-	list, _ := syscall.ParseSocketControlMessage(beside[:size])
-	for _, one := range list {
-		if one.Header.Type == syscall.SO_TIMESTAMPNS && len(one.Data) >= 16 {
+	messages, _ := syscall.ParseSocketControlMessage(control[:controlBytes])
+	for _, message := range messages {
+		if message.Header.Type == syscall.SO_TIMESTAMPNS && len(message.Data) >= 16 {
 			var sec, ns int64
 			for i := range 8 {
-				sec |= int64(one.Data[i]) << (8 * i)
-				ns |= int64(one.Data[8+i]) << (8 * i)
+				sec |= int64(message.Data[i]) << (8 * i)
+				ns |= int64(message.Data[8+i]) << (8 * i)
 			}
 			s.lastReceivedAt = time.Unix(sec, ns)
 		}
@@ -368,18 +368,18 @@
 // troubled starts an upstream that answers as a seed says: late, with errors, with rejections, or not at all.
 func (a *sessionLog) startFaultyUpstream(t *testing.T, seed uint64) string {
 	var mu sync.Mutex
-	luck := rand.New(rand.NewPCG(seed, 1))
+	draws := rand.New(rand.NewPCG(seed, 1))
 	return listen(t, func(c net.Conn) {
-		stamps, err := newTimestampedReader(c)
+		timestamped, err := newTimestampedReader(c)
 		if err != nil {
 			return
 		}
-		in := bufio.NewReader(stamps)
+		in := bufio.NewReader(timestamped)
 		for {
 			if _, err := in.Peek(1); err != nil {
 				return
 			}
-			at := stamps.lastReceivedAt
+			at := timestamped.lastReceivedAt
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
@@ -389,18 +389,18 @@
 				return
 			}
 			mu.Lock()
-			wait, what := time.Duration(luck.IntN(250))*time.Millisecond, luck.IntN(10)
+			delay, behavior := time.Duration(draws.IntN(250))*time.Millisecond, draws.IntN(10)
 			mu.Unlock()
-			if what < 4 {
-				wait /= 20
+			if behavior < 4 {
+				delay /= 20
 			}
-			time.Sleep(wait)
+			time.Sleep(delay)
 			switch {
-			case what < 3:
+			case behavior < 3:
 				writeResponse(c, "500 Bad", "")
-			case what == 3:
+			case behavior == 3:
 				writeResponse(c, "503 Full", "")
-			case what == 4:
+			case behavior == 4:
 				return
 			default:
 				echo(c, r, "")
@@ -412,40 +412,40 @@
 // With clients that leave at any moment, three nodes and six faulty upstreams whose connections open late, no attempt
 // begins more than 0.1 s after its client has left.
 func TestNoAttemptStartsAfterClientClosedUnderFaults(t *testing.T) {
-	day := &sessionLog{clientLeftAt: map[string]time.Time{}, attemptStarts: map[string][]time.Time{}}
-	var servers []string
+	sessions := &sessionLog{clientLeftAt: map[string]time.Time{}, attemptStarts: map[string][]time.Time{}}
+	var upstreamAddrs []string
 	for i := range 6 {
-		servers = append(servers, day.startFaultyUpstream(t, uint64(i)))
+		upstreamAddrs = append(upstreamAddrs, sessions.startFaultyUpstream(t, uint64(i)))
 	}
 	var nodes []*Node
 	for i := range 3 {
 		var mu sync.Mutex
-		luck := rand.New(rand.NewPCG(50, uint64(i)))
+		draws := rand.New(rand.NewPCG(50, uint64(i)))
 		n := newNode(t, func(c *Config) {
 			withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `800000`, `3000000`, `20000000`, `3000000`,
 				`75000`, `1500000`)(c)
 			c.Name, c.Seed = fmt.Sprint("n", i), fmt.Sprintf("%x", 7+i)
 			c.Discovery, _ = watchOf(t)
 			c.Limits.MemoryMB = 64
-		}, servers...)
+		}, upstreamAddrs...)
 		n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
 			mu.Lock()
-			wait := time.Duration(max(0, luck.IntN(900)-300)) * time.Millisecond
+			delay := time.Duration(max(0, draws.IntN(900)-300)) * time.Millisecond
 			mu.Unlock()
-			time.Sleep(wait) // a connection that comes up late, whoever has been told to stop
+			time.Sleep(delay) // a connection that comes up late, whoever has been told to stop
 			return n.upstreams.connect(ctx, address, limit)
 		}
 		n.start()
 		nodes = append(nodes, n)
 	}
-	var done sync.WaitGroup
-	luck := rand.New(rand.NewPCG(50, 99))
-	ways := []string{"close", "reset", "half-close"}
+	var clients sync.WaitGroup
+	draws := rand.New(rand.NewPCG(50, 99))
+	methods := []string{"close", "reset", "half-close"}
 	for i := range 300 {
-		n, class := nodes[luck.IntN(3)], []string{"view", "update", "pay", "batch"}[luck.IntN(4)]
+		n, class := nodes[draws.IntN(3)], []string{"view", "update", "pay", "batch"}[draws.IntN(4)]
 		var text string
 		var ids []string
-		switch kind := luck.IntN(10); {
+		switch kind := draws.IntN(10); {
 		case kind < 2:
 			ids = []string{fmt.Sprintf("u%d", i)}
 			text = partialStreamedRequest(class, ids[0])
@@ -455,9 +455,9 @@
 				text += requestText(class, ids[k], "")
 			}
 		}
-		after, leave := time.Duration(luck.IntN(600))*time.Millisecond, clientCloseMethods[ways[luck.IntN(3)]]
-		stays := luck.IntN(4) == 0 && len(ids) == 1 && !strings.HasPrefix(ids[0], "u")
-		done.Go(func() {
+		closeAfter, closeConn := time.Duration(draws.IntN(600))*time.Millisecond, clientCloseMethods[methods[draws.IntN(3)]]
+		waitsForResponse := draws.IntN(4) == 0 && len(ids) == 1 && !strings.HasPrefix(ids[0], "u")
+		clients.Go(func() {
 			c, err := net.Dial("tcp", n.address())
 			if err != nil {
 				t.Error(err)
@@ -466,47 +466,47 @@
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(10 * time.Second))
 			writeText(c, text)
-			if stays {
+			if waitsForResponse {
 				if status, body, _ := readResponse(bufio.NewReader(c)); status == 0 {
 					t.Errorf("%s, who stayed, has no answer: %s", ids[0], body)
 				}
 				return
 			}
-			time.Sleep(after)
-			leave(c)
-			day.recordClientLeft(time.Now(), ids...)
+			time.Sleep(closeAfter)
+			closeConn(c)
+			sessions.recordClientLeft(time.Now(), ids...)
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
-	done.Wait()
+	clients.Wait()
 	for _, n := range nodes {
 		eventually(t, "the end of all attempts", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
 	}
-	day.mu.Lock()
-	defer day.mu.Unlock()
-	var attempts, never, late int
-	var latest time.Duration
-	for id, gone := range day.clientLeftAt {
-		if len(day.attemptStarts[id]) == 0 {
-			never++
+	sessions.mu.Lock()
+	defer sessions.mu.Unlock()
+	var attempts, notStarted, late int
+	var maxDelay time.Duration
+	for id, closedAt := range sessions.clientLeftAt {
+		if len(sessions.attemptStarts[id]) == 0 {
+			notStarted++
 		}
-		for k, at := range day.attemptStarts[id] {
-			behind := at.Sub(gone)
-			if latest = max(latest, behind); behind > 100*time.Millisecond {
+		for k, startedAt := range sessions.attemptStarts[id] {
+			sinceClose := startedAt.Sub(closedAt)
+			if maxDelay = max(maxDelay, sinceClose); sinceClose > 100*time.Millisecond {
 				late++
-				t.Logf("attempt %d of %s began %v behind the end of its client", k+1, id, behind)
+				t.Logf("attempt %d of %s began %v behind the end of its client", k+1, id, sinceClose)
 			}
 		}
 	}
-	var further int
-	for _, list := range day.attemptStarts {
-		attempts += len(list)
-		further += len(list) - 1
+	var retries int
+	for _, starts := range sessions.attemptStarts {
+		attempts += len(starts)
+		retries += len(starts) - 1
 	}
 	t.Logf("%d attempts, %d of them further ones, %d requests of clients that left, %d of these never begun, "+
-		"the latest %v behind", attempts, further,
-		len(day.clientLeftAt), never, latest)
-	if late > 0 || attempts < 200 || further < 20 || never < 50 {
+		"the latest %v behind", attempts, retries,
+		len(sessions.clientLeftAt), notStarted, maxDelay)
+	if late > 0 || attempts < 200 || retries < 20 || notStarted < 50 {
 		t.Errorf("%d attempts began more than 0.1 s behind, want 0", late)
 	}
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -7,13 +7,13 @@
 )
 
 func TestInvalidConfigurationErrors(t *testing.T) {
-	good := func() *Config {
+	validConfig := func() *Config {
 		return &Config{
 			Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "a",
 			Settings: json.RawMessage(settingsText),
 		}
 	}
-	if err := good().check(); err != nil {
+	if err := validConfig().check(); err != nil {
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(*Config){
@@ -27,7 +27,7 @@
 			c.Settings = json.RawMessage(strings.Replace(settingsText, "connect_timeout_us", "other", 1))
 		},
 	} {
-		c := good()
+		c := validConfig()
 		change(c)
 		if err := c.check(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q in it", err, want)
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -125,22 +125,22 @@
 type counters [totalCounters]atomic.Int64
 
 // add counts one event; any goroutine may call it.
-func (c *counters) add(what counter) { c[what].Add(1) }
+func (c *counters) add(id counter) { c[id].Add(1) }
 
 // log writes all counters into one log entry.
-func (c *counters) log(log *zap.Logger, why string) {
+func (c *counters) log(log *zap.Logger, occasion string) {
 	fields := make([]zap.Field, totalCounters)
 	for i := range fields {
 		fields[i] = zap.Int64(counter(i).name(), c[i].Load())
 	}
-	log.Info("counters "+why, fields...)
+	log.Info("counters "+occasion, fields...)
 }
 
 // recoverPanic, when deferred, limits a panic to one connection or one event, and calls cleanUp after one.
-func (n *Node) recoverPanic(where string, cleanUp func()) {
+func (n *Node) recoverPanic(component string, cleanUp func()) {
 	if recovered := recover(); recovered != nil {
 		n.counters.add(panics)
-		n.log.Error("panic stopped", zap.String("where", where), zap.String("what", fmt.Sprint(recovered)),
+		n.log.Error("panic stopped", zap.String("where", component), zap.String("what", fmt.Sprint(recovered)),
 			zap.Stack("stack"))
 		cleanUp()
 	}
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -18,7 +18,7 @@
 	if request == nil {
 		return
 	}
-	started := &attempt{
+	newAttempt := &attempt{
 		request:       request,
 		number:        len(request.attempts),
 		target:        upstreamTarget{endpoint, l.endpoints[endpoint].address},
@@ -26,15 +26,15 @@
 		deadline:      min(l.now.Add(timeout), request.request.Deadline),
 		dedupDeadline: l.dedupDeadline(request),
 	}
-	request.attempts = append(request.attempts, started)
+	request.attempts = append(request.attempts, newAttempt)
 	request.inFlight++
 	if request.answered.Load() { // guards against decisions that a panic has kept from noting the request's end
-		result := attemptResult{outcome: policy.OutcomeNotSent, report: parseLoadReport(""), endedAt: started.sentAt}
-		go l.post(func() { l.attemptEnded(started, result) })
+		result := attemptResult{outcome: policy.OutcomeNotSent, report: parseLoadReport(""), endedAt: newAttempt.sentAt}
+		go l.post(func() { l.attemptEnded(newAttempt, result) })
 		return
 	}
 	l.node.counters.add(attemptsSent)
-	l.node.upstreams.start(started)
+	l.node.upstreams.start(newAttempt)
 }
 
 // dedupDeadline is when the deduplication window of the first attempt that may have run ends, which a retry under the
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -123,8 +123,8 @@
 }
 
 // endForClient ends a request for a reason on the client's side, with the answer if it is known and has none yet.
-func (l *eventLoop) endForClient(request *pendingRequest, how counter, answer response) {
-	if l.requests[request.request.ID] != request || !l.finish(request, how, answer) {
+func (l *eventLoop) endForClient(request *pendingRequest, id counter, answer response) {
+	if l.requests[request.request.ID] != request || !l.finish(request, id, answer) {
 		return
 	}
 	l.handle(request, func() { l.balancer.ClientGone(l.now, request.request.ID) })
@@ -144,8 +144,8 @@
 }
 
 // attemptEnded takes the end of an attempt; each has exactly one.
-func (l *eventLoop) attemptEnded(ended *attempt, result attemptResult) {
-	request := ended.request
+func (l *eventLoop) attemptEnded(finished *attempt, result attemptResult) {
+	request := finished.request
 	// The client's own faults come before the decisions see the outcome: they would reject or retry the request.
 	if request.bodyIncomplete() {
 		l.bodyFailed(request)
@@ -153,12 +153,12 @@
 	if result.clientGone {
 		l.clientGone(request)
 	}
-	ended.neverRan = !result.outcome.MayHaveRun()
+	finished.neverRan = !result.outcome.MayHaveRun()
 	request.inFlight--
-	ended.cancel()
+	finished.cancel()
 	l.forwardResponse(request, result)
 	l.node.counters.add(attemptCounter(result))
-	l.handle(request, func() { l.balancer.AttemptEnded(l.now, ended.resultFor(request, result)) })
+	l.handle(request, func() { l.balancer.AttemptEnded(l.now, finished.resultFor(request, result)) })
 	l.removeIfDone(request)
 }
 
@@ -209,11 +209,11 @@
 }
 
 // finish gives the request its answer, and reports whether it had none before.
-func (l *eventLoop) finish(request *pendingRequest, how counter, answer response) bool {
+func (l *eventLoop) finish(request *pendingRequest, id counter, answer response) bool {
 	if !request.answer(answer) {
 		return false
 	}
-	l.node.counters.add(how)
+	l.node.counters.add(id)
 	l.removeIfDone(request)
 	return true
 }
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -12,19 +12,19 @@
 
 // Guards against a panic in the decisions that costs other requests or leaves its own without a response.
 func TestPanicFailsOnlyItsRequest(t *testing.T) {
-	server, requests := startUpstream(t, echo)
-	n := startNode(t, nil, server)
-	x := newPendingRequest()
-	x.request.ID = "bad"
+	upstream, requests := startUpstream(t, echo)
+	n := startNode(t, nil, upstream)
+	pending := newPendingRequest()
+	pending.request.ID = "bad"
 	n.loop.post(func() {
-		n.loop.requests["bad"] = x
-		n.loop.handle(x, func() { panic("a mistake in the decisions") })
+		n.loop.requests["bad"] = pending
+		n.loop.handle(pending, func() { panic("a mistake in the decisions") })
 	})
-	if a := <-x.responses; a.status != 502 {
-		t.Errorf("its request was answered %d", a.status)
+	if answer := <-pending.responses; answer.status != 502 {
+		t.Errorf("its request was answered %d", answer.status)
 	}
 	n.loop.post(func() {
-		n.loop.requests["bad"] = x
+		n.loop.requests["bad"] = pending
 		n.loop.Send("bad", endpointID("s-0"), time.Second)
 	})
 	eventually(t, "the end of an attempt that came too late", func() bool { return n.count(attemptsNotSent) == 1 })
@@ -38,11 +38,11 @@
 
 // An id that is still in use must not be mixed up with a second request of the same id.
 func TestRequestIDInUseIsRejected(t *testing.T) {
-	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+	upstream, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(50 * time.Millisecond)
 		return echo(c, r, body)
 	})
-	n := startNode(t, nil, server)
+	n := startNode(t, nil, upstream)
 	c, in := dial(t, n)
 	writeText(c, requestText("batch", "same", "")+requestText("batch", "same", ""))
 	first, _, _ := readResponse(in)
@@ -56,14 +56,14 @@
 // same.
 func TestLongListIsAppliedInSlices(t *testing.T) {
 	n := newNode(t, nil) // its loop does not run, so that what is entered can be counted
-	taken := func() (events int) {
+	handleEvents := func() (events int) {
 		for len(n.loop.events) > 0 {
 			(<-n.loop.events)()
 			events++
 		}
 		return events
 	}
-	lines := func(from, to int) (list []endpointEntry) {
+	entries := func(from, to int) (list []endpointEntry) {
 		for i := from; i < to; i++ {
 			name := fmt.Sprint("s-", i)
 			list = append(list, endpointEntry{
@@ -74,12 +74,12 @@
 		}
 		return list
 	}
-	n.loop.postEndpoints(lines(1, 4097), true)
-	if events := taken(); events != 9 || len(n.loop.endpoints) != 4096 {
+	n.loop.postEndpoints(entries(1, 4097), true)
+	if events := handleEvents(); events != 9 || len(n.loop.endpoints) != 4096 {
 		t.Errorf("4,096 entries in %d events, %d endpoints known; want 8 slices, one event for removals, and all",
 			events, len(n.loop.endpoints))
 	}
-	n.loop.postEndpoints(lines(4001, 5001), true)
+	n.loop.postEndpoints(entries(4001, 5001), true)
 	for range 2 {
 		(<-n.loop.events)()
 	}
@@ -87,12 +87,12 @@
 		t.Errorf("%d servers known before the list is through, want 5,000: nobody is taken off before",
 			len(n.loop.endpoints))
 	}
-	taken()
+	handleEvents()
 	if len(n.loop.endpoints) != 1000 || n.loop.endpoints[4000].address != "" || n.loop.endpoints[5000].address == "" {
 		t.Errorf("%d servers known, want the 1,000 of the second list", len(n.loop.endpoints))
 	}
 	n.loop.postEndpoints(nil, false)
-	if n.loop.postEndpoints(nil, true); taken() != 2 || len(n.loop.endpoints) != 0 {
+	if n.loop.postEndpoints(nil, true); handleEvents() != 2 || len(n.loop.endpoints) != 0 {
 		t.Errorf("%d servers known after a whole list of nobody", len(n.loop.endpoints))
 	}
 }
--- a/internal/node/evict.go
+++ b/internal/node/evict.go
@@ -42,9 +42,9 @@
 // few slots to pass through one after another, while their requests wait.
 func (f *frontend) evictIdleLocked(n int) {
 	now := time.Now()
-	idle, unusedExist := f.idleConnsLocked(now)
+	idle, anyUnused := f.idleConnsLocked(now)
 	slices.SortFunc(idle, compareEviction)
-	spareRecent := unusedExist && !f.aboveEvictionThresholdLocked() && !f.fullLocked() && n < len(f.open)
+	spareRecent := anyUnused && !f.aboveEvictionThresholdLocked() && !f.fullLocked() && n < len(f.open)
 	for _, candidate := range idle[:max(0, min(n, len(idle)))] {
 		recent := candidate.used && now.Sub(candidate.lastUsedAt) <= recentUseWindow
 		if !recent || !spareRecent {
@@ -54,16 +54,16 @@
 }
 
 // idleConnsLocked returns the idle connections, and whether any connection, idle or not, never brought a request.
-func (f *frontend) idleConnsLocked(now time.Time) (idle []evictionCandidate, unusedExist bool) {
+func (f *frontend) idleConnsLocked(now time.Time) (idle []evictionCandidate, anyUnused bool) {
 	for c := range f.open {
 		c.mu.Lock()
 		if c.idleLocked(now) {
 			idle = append(idle, evictionCandidate{c, c.used, c.lastUsedAt})
 		}
-		unusedExist = unusedExist || !c.used && !c.evicting
+		anyUnused = anyUnused || !c.used && !c.evicting
 		c.mu.Unlock()
 	}
-	return idle, unusedExist
+	return idle, anyUnused
 }
 
 // evictAllIdle asks all idle connections to close and returns how many connections are left, with those that wait for a
@@ -111,8 +111,8 @@
 	if c.messageStartedAt.IsZero() {
 		return true
 	}
-	lastProgress := max(c.conn.lastReadAt.Load(), c.messageStartedAt.UnixNano())
-	return now.UnixNano()-lastProgress > int64(messageStallTimeout)
+	lastProgressNs := max(c.conn.lastReadAt.Load(), c.messageStartedAt.UnixNano())
+	return now.UnixNano()-lastProgressNs > int64(messageStallTimeout)
 }
 
 // evict asks an idle connection to close. It wakes the read loop, which alone knows whether a request has come
--- a/internal/node/evict_test.go
+++ b/internal/node/evict_test.go
@@ -9,8 +9,8 @@
 
 // Guards against a flood of connections without requests that shuts out clients with requests.
 func TestConnectionFloodDoesNotBlockRequests(t *testing.T) {
-	server, _ := startUpstream(t, echo)
-	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
+	upstream, _ := startUpstream(t, echo)
+	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, upstream)
 	c, in := dial(t, n)
 	for i := range 40 {
 		for range 5 {
@@ -26,8 +26,8 @@
 	}
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
-	if most := n.frontend.maxOpen + n.frontend.spareSlots; len(n.frontend.open) > most {
-		t.Errorf("%d connections from clients, at most %d are allowed", len(n.frontend.open), most)
+	if limit := n.frontend.maxOpen + n.frontend.spareSlots; len(n.frontend.open) > limit {
+		t.Errorf("%d connections from clients, at most %d are allowed", len(n.frontend.open), limit)
 	}
 }
 
@@ -40,15 +40,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server, _ := startUpstream(t, echo)
-			n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
+			upstream, _ := startUpstream(t, echo)
+			n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, upstream)
 			for i := range n.frontend.maxOpen + n.frontend.spareSlots {
 				c, in := dial(t, n)
 				writeText(c, requestText("batch", fmt.Sprint("stays", i), ""))
 				readResponse(in)
 			}
 			time.Sleep(idle)
-			began := time.Now()
+			startedAt := time.Now()
 			for i := range 20 {
 				for range 10 {
 					dial(t, n) // says nothing
@@ -57,8 +57,8 @@
 					t.Fatalf("request %d was answered %d", i, status)
 				}
 			}
-			if took := time.Since(began); took > 400*time.Millisecond {
-				t.Errorf("20 requests of new clients took %v", took)
+			if elapsed := time.Since(startedAt); elapsed > 400*time.Millisecond {
+				t.Errorf("20 requests of new clients took %v", elapsed)
 			}
 		})
 	}
@@ -67,9 +67,9 @@
 // Guards against clients that ask once and keep their connection using up all connections that the load balancers in
 // front may hold to a node.
 func TestIdleClientsAreEvictedAboveThreshold(t *testing.T) {
-	server, _ := startUpstream(t, echo)
-	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, server)
-	var ended atomic.Int64
+	upstream, _ := startUpstream(t, echo)
+	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, upstream)
+	var closed atomic.Int64
 	for i := range 4 * ownDescriptors / 3 {
 		c, in := dial(t, n)
 		writeText(c, requestText("batch", fmt.Sprint("stays", i), ""))
@@ -78,15 +78,15 @@
 		}
 		go func() {
 			waitForClose(in)
-			ended.Add(1)
+			closed.Add(1)
 		}()
 		time.Sleep(closeLinger / 5)
 	}
-	eventually(t, "room for further requests", func() bool { return ended.Load() >= 4 })
+	eventually(t, "room for further requests", func() bool { return closed.Load() >= 4 })
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
-	if held := len(n.frontend.open); held > 4*ownDescriptors/activeClientDivisor+2 {
-		t.Errorf("%d connections are held, more than a quarter of the descriptors", held)
+	if openConns := len(n.frontend.open); openConns > 4*ownDescriptors/activeClientDivisor+2 {
+		t.Errorf("%d connections are held, more than a quarter of the descriptors", openConns)
 	}
 }
 
@@ -94,16 +94,16 @@
 // wait for a slot.
 func TestSlowHeadAmongStalledClientsIsServed(t *testing.T) {
 	t.Parallel()
-	server, _ := startUpstream(t, echo)
-	n := startNode(t, func(c *Config) { lenientSettings(c); c.Limits.Sockets = 64 }, server)
+	upstream, _ := startUpstream(t, echo)
+	n := startNode(t, func(c *Config) { lenientSettings(c); c.Limits.Sockets = 64 }, upstream)
 	c, in := dial(t, n)
 	text := requestText("batch", "t1", "a")
 	for i := range 8 {
 		writeText(c, text[i*len(text)/8:(i+1)*len(text)/8])
 		for k := range 2 * n.frontend.maxOpen {
-			crowd, _ := dial(t, n)
+			stalled, _ := dial(t, n)
 			if k%2 == 0 {
-				writeText(crowd, "GET /batch HTT")
+				writeText(stalled, "GET /batch HTT")
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -115,8 +115,8 @@
 
 // A node with another process beside it evicts idle clients beyond its half, also where no new clients connect.
 func TestIdleClientsBeyondLimitAreEvicted(t *testing.T) {
-	server, _ := startUpstream(t, echo)
-	n := startNode(t, silentDiscovery(t), server)
+	upstream, _ := startUpstream(t, echo)
+	n := startNode(t, silentDiscovery(t), upstream)
 	for range 8 {
 		dial(t, n)
 	}
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -59,12 +59,12 @@
 
 // setLimits sets how many connections there may be, and closes idle ones beyond maxOpen: another process of this node
 // may have their descriptors.
-func (f *frontend) setLimits(maxOpen, spareSlots, crowdedAt int) {
+func (f *frontend) setLimits(maxOpen, spareSlots, evictionThreshold int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.maxOpen = maxOpen
 	f.spareSlots = spareSlots
-	f.evictionThreshold = crowdedAt
+	f.evictionThreshold = evictionThreshold
 	f.evictIdleLocked(len(f.open) - maxOpen)
 }
 
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -91,9 +91,9 @@
 // allAttemptsEnded reports that no attempt is in flight.
 func (n *Node) allAttemptsEnded() bool {
 	ended := int64(0)
-	for _, how := range outcomeCounters {
-		if how != attemptsReset {
-			ended += n.count(how)
+	for _, id := range outcomeCounters {
+		if id != attemptsReset {
+			ended += n.count(id)
 		}
 	}
 	return ended+n.count(attemptsReset)+n.count(attemptsRequestFault) == n.count(attemptsSent)
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -22,7 +22,7 @@
 
 // TestGoldenMessageHeads holds the heads of requests, answers, watches and health checks to the bytes of earlier builds.
 func TestGoldenMessageHeads(t *testing.T) {
-	read := func(text string) *http.Request {
+	parse := func(text string) *http.Request {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			t.Fatal(err)
@@ -42,10 +42,10 @@
 		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", source: &bodySource{length: -1}},
 		{text: "POST /pay HTTP/1.1\r\nHost: shop\r\nX-Txn: t5\r\nContent-Length: 9000000\r\n\r\n", source: &bodySource{length: 9_000_000}},
 	} {
-		x := newPendingRequest()
-		x.source, x.body = c.source, c.body
-		x.bufferHead(read(c.text))
-		b.Write(x.headWithTimeout(1_234_567_890))
+		pending := newPendingRequest()
+		pending.source, pending.body = c.source, c.body
+		pending.bufferHead(parse(c.text))
+		b.Write(pending.headWithTimeout(1_234_567_890))
 	}
 	golden.Check(t, "request-heads.txt", b.Bytes())
 
@@ -54,7 +54,7 @@
 	for _, c := range []struct {
 		answer response
 		method string
-		old    bool
+		http10 bool
 		last   bool
 	}{
 		{response{status: 200, header: header.Clone(), body: []byte("body")}, "GET", false, false},
@@ -65,9 +65,9 @@
 		{response{status: 200, header: http.Header{}, stream: &responseStream{length: -1}}, "GET", true, true},
 		{response{status: 200, header: http.Header{}, stream: &responseStream{length: 9_000_000}}, "GET", false, false},
 	} {
-		x := newPendingRequest()
-		x.method, x.http10 = c.method, c.old
-		head := c.answer.encodeHead(x, c.last)
+		pending := newPendingRequest()
+		pending.method, pending.http10 = c.method, c.http10
+		head := c.answer.encodeHead(pending, c.last)
 		fmt.Fprintf(&b, "%s(in chunks: %v)\n", head.text, head.chunked)
 	}
 	golden.Check(t, "answer-heads.txt", b.Bytes())
@@ -91,12 +91,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		task, err := n.parseRequest(r, 1e18)
+		request, err := n.parseRequest(r, 1e18)
 		if err != nil {
 			fmt.Fprintf(&b, "%v\n", err)
 			continue
 		}
-		fmt.Fprintf(&b, "%s %d %d %d %v %v %d %q\n", task.ID, task.Class, task.Tenant, task.Deadline, task.ClientRetry, task.StreamingBody, task.CostHint, task.Key)
+		fmt.Fprintf(&b, "%s %d %d %d %v %v %d %q\n", request.ID, request.Class, request.Tenant, request.Deadline, request.ClientRetry, request.StreamingBody, request.CostHint, request.Key)
 	}
 	for _, c := range []struct {
 		status int
@@ -128,10 +128,10 @@
 // TestGoldenHotRestartMessages compares the hot restart protocol with the bytes of earlier builds.
 func TestGoldenHotRestartMessages(t *testing.T) {
 	var b bytes.Buffer
-	who := restartHello{Version: hotRestartVersion, Node: `"n0" 127.0.0.1:80`}
-	out := json.NewEncoder(&b)
-	for _, v := range []any{who, restartState{restartHello: who, Endpoints: json.RawMessage(`{"seq":1}`), KnownNames: []string{"s-1", "s-2"}, Estimates: json.RawMessage(`{"MeanOf":1}`)}} {
-		if err := out.Encode(v); err != nil {
+	hello := restartHello{Version: hotRestartVersion, Node: `"n0" 127.0.0.1:80`}
+	encoder := json.NewEncoder(&b)
+	for _, message := range []any{hello, restartState{restartHello: hello, Endpoints: json.RawMessage(`{"seq":1}`), KnownNames: []string{"s-1", "s-2"}, Estimates: json.RawMessage(`{"MeanOf":1}`)}} {
+		if err := encoder.Encode(message); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -143,20 +143,20 @@
 	}
 	text := encodeList(9, entries, []string{"a", "b"})
 	golden.Check(t, "list.json", text)
-	var ids []byte
-	_, err := endpointlist.Parse(text, endpointlist.LimitsFor(0), func() { ids = nil }, func(in endpointlist.Entry) error {
-		e, err := newEndpointEntry(in, []string{"a", "b"})
-		ids = fmt.Appendf(ids, "%s %s %d %d %d %v %d %d %v\n", e.name, e.address, e.ID, e.Zone, e.Pod, e.Weight, int(e.State), e.StartedAt, err)
+	var parsed []byte
+	_, err := endpointlist.Parse(text, endpointlist.LimitsFor(0), func() { parsed = nil }, func(listed endpointlist.Entry) error {
+		e, err := newEndpointEntry(listed, []string{"a", "b"})
+		parsed = fmt.Appendf(parsed, "%s %s %d %d %d %v %d %d %v\n", e.name, e.address, e.ID, e.Zone, e.Pod, e.Weight, int(e.State), e.StartedAt, err)
 		return err
 	})
-	golden.Check(t, "entries.txt", fmt.Appendln(ids, err))
+	golden.Check(t, "entries.txt", fmt.Appendln(parsed, err))
 }
 
 // TestGoldenOverridesFile compares the overrides file with that of an earlier build, and reads that.
 func TestGoldenOverridesFile(t *testing.T) {
 	n := newNode(t, func(c *Config) { c.Name, c.Listen = "n0", "127.0.0.1:0" })
-	s := &overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-1": {disabledAt: 5}, "s \"2\"": {disabledAt: 6, enabledAt: 7}}}
-	if err := n.overrides.write(s); err != nil {
+	set := &overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-1": {disabledAt: 5}, "s \"2\"": {disabledAt: 6, enabledAt: 7}}}
+	if err := n.overrides.write(set); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(n.overrides.path)
@@ -165,12 +165,12 @@
 	}
 	golden.Check(t, "orders.txt", text)
 	golden.Check(t, "file-names.txt", fmt.Appendln(nil, n.fileName(".orders"), n.fileName(".sock"), storeDir))
-	kept, err := os.Open(filepath.Join("testdata", "golden", "orders.txt"))
+	file, err := os.Open(filepath.Join("testdata", "golden", "orders.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.Close()
-	read, err := parseOverrides(kept, n.identity())
+	defer file.Close()
+	read, err := parseOverrides(file, n.identity())
 	if err != nil || !read.drained || len(read.endpoints) != 2 || read.endpoints["s-1"] != (disabledEndpoint{disabledAt: 5}) || read.endpoints["s \"2\""] != (disabledEndpoint{disabledAt: 6, enabledAt: 7}) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
@@ -180,22 +180,22 @@
 func TestGoldenAdminResponses(t *testing.T) {
 	n := startNode(t, withAdmin, "127.0.0.1:1")
 	var b bytes.Buffer
-	for _, c := range []string{
+	for _, call := range []string{
 		"GET /ready", "PUT /ready", "GET /nothing", "GET /members", "GET /state", "GET /relays", "PUT /servers/disable", "PUT /servers/disable?target=s-0&target=s-1",
 		"PUT /servers/disable?target=", "PUT /servers/disable?target=%zz", "PUT /servers/disable?target=s-9", "PUT /servers/disable?target=s-0", "PUT /servers/enable?target=s-0",
 		"PUT /drain", "GET /ready", "PUT /undrain", "GET /ready",
 	} {
-		method, target, _ := strings.Cut(c, " ")
-		fmt.Fprintf(&b, "> %s\n%s", c, n.admin.handle(httptest.NewRequest(method, target, nil)).encode())
+		method, target, _ := strings.Cut(call, " ")
+		fmt.Fprintf(&b, "> %s\n%s", call, n.admin.handle(httptest.NewRequest(method, target, nil)).encode())
 	}
 	golden.Check(t, "console.txt", b.Bytes())
 	var fields map[string]json.RawMessage
-	d := startNode(t, func(c *Config) {
-		if err := c.UseStateDir(t.TempDir()); err != nil {
+	persistent := startNode(t, func(call *Config) {
+		if err := call.UseStateDir(t.TempDir()); err != nil {
 			t.Fatal(err)
 		}
 	}, "127.0.0.1:1")
-	if err := json.Unmarshal([]byte(d.persistence.statusJSON()), &fields); err != nil {
+	if err := json.Unmarshal([]byte(persistent.persistence.statusJSON()), &fields); err != nil {
 		t.Fatal(err)
 	}
 	var names []string
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -32,12 +32,12 @@
 }
 
 func randomBody(size int) []byte {
-	b := make([]byte, size)
+	body := make([]byte, size)
 	draws := rand.New(rand.NewPCG(uint64(size), 1))
-	for i := range b {
-		b[i] = byte(draws.Uint32())
+	for i := range body {
+		body[i] = byte(draws.Uint32())
 	}
-	return b
+	return body
 }
 
 // lenientSettings keeps the decisions from taking an upstream for dead because a random body takes a moment to make.
@@ -79,13 +79,13 @@
 "quantum_us":2000,"report":{"fields":["queue"],"how":"inline"},"rules":{"ask_within_us":10000000,"cold_from":0.2,
 "warm_within_us":20000000},"weights":"off","zone":0,"zones":["a","b"]}`
 
-func listEntry(name, dial, health string) string {
+func listEntry(name, address, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":1,"health":%q,"share":1.0,"born_ms":0}`,
-		name, dial, health)
+		name, address, health)
 }
 
-func listText(version int, whole bool, entries ...string) string {
-	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, version, whole, strings.Join(entries, ","))
+func listText(version int, complete bool, entries ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, version, complete, strings.Join(entries, ","))
 }
 
 var lastAddress atomic.Int64
@@ -127,13 +127,13 @@
 // startUpstream starts an upstream that answers each request by what answer writes, which reports whether the
 // connection goes on.
 func startUpstream(
-	t *testing.T, answer func(c net.Conn, r *http.Request, body string) bool,
+	t *testing.T, respond func(c net.Conn, r *http.Request, body string) bool,
 ) (address string, requests *atomic.Int64) {
 	requests = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
-		in := bufio.NewReader(c)
+		reader := bufio.NewReader(c)
 		for {
-			r, err := http.ReadRequest(in)
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
@@ -142,7 +142,7 @@
 				return
 			}
 			requests.Add(1)
-			if !answer(c, r, string(body)) {
+			if !respond(c, r, string(body)) {
 				return
 			}
 		}
@@ -160,11 +160,11 @@
 }
 
 // newNode makes a node whose known list has the upstreams; by default nothing listens at its discovery address.
-func newNode(t *testing.T, change func(*Config), servers ...string) *Node {
+func newNode(t *testing.T, change func(*Config), upstreamAddrs ...string) *Node {
 	t.Helper()
 	var entries []string
-	for i, s := range servers {
-		entries = append(entries, listEntry(fmt.Sprintf("s-%d", i), s, "up"))
+	for i, address := range upstreamAddrs {
+		entries = append(entries, listEntry(fmt.Sprintf("s-%d", i), address, "up"))
 	}
 	c := &Config{
 		Name: "n0", Listen: unusedAddress(), Discovery: "127.0.0.1:1", Seed: "1f",
@@ -190,9 +190,9 @@
 	return n
 }
 
-func startNode(t *testing.T, change func(*Config), servers ...string) *Node {
+func startNode(t *testing.T, change func(*Config), upstreamAddrs ...string) *Node {
 	t.Helper()
-	n := newNode(t, change, servers...)
+	n := newNode(t, change, upstreamAddrs...)
 	n.start()
 	return n
 }
@@ -240,16 +240,16 @@
 }
 
 // eventually waits until a condition holds, for up to 5 s.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, description string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("never came: %s", description)
 		}
 	}
 }
 
-func (n *Node) count(what counter) int64 { return n.counters[what].Load() }
+func (n *Node) count(id counter) int64 { return n.counters[id].Load() }
 
 // parseEntry parses one entry of a list.
 func (n *Node) parseEntry(text string) (endpointEntry, error) {
--- a/internal/node/httpmessage.go
+++ b/internal/node/httpmessage.go
@@ -55,13 +55,13 @@
 	m := &message{conn: c, reader: headReaders.Get().(*bufio.Reader)}
 	m.reader.Reset(connReader{c})
 	c.readErr = nil
-	head, err := parse(m.reader)
+	framed, err := parse(m.reader)
 	if err != nil {
 		m.end()
 		return nil, errors.Join(errMalformed, err)
 	}
-	m.body = head.body
-	m.length = head.length
+	m.body = framed.body
+	m.length = framed.length
 	if m.length > maxBodyBytes {
 		m.end()
 		return nil, errBodyTooLong
@@ -84,8 +84,8 @@
 }
 
 // headEnds reports whether an empty line ends the head, searching from an offset.
-func headEnds(head []byte, searched int) bool {
-	head = head[min(searched, len(head)):]
+func headEnds(head []byte, offset int) bool {
+	head = head[min(offset, len(head)):]
 	return bytes.Contains(head, []byte("\n\r\n")) || bytes.Contains(head, []byte("\n\n"))
 }
 
@@ -95,13 +95,13 @@
 	if m.reader == nil {
 		return
 	}
-	beyond, _ := m.reader.Peek(m.reader.Buffered()) // all of it is buffered, so this can't fail
-	if len(beyond) > 0 {
-		rest := make([]byte, 0, len(beyond)+len(m.conn.buffered()))
-		rest = append(rest, beyond...)
-		rest = append(rest, m.conn.buffered()...)
-		m.conn.buf = rest
-		m.conn.start, m.conn.end = 0, len(rest)
+	excess, _ := m.reader.Peek(m.reader.Buffered()) // all of it is buffered, so this can't fail
+	if len(excess) > 0 {
+		unread := make([]byte, 0, len(excess)+len(m.conn.buffered()))
+		unread = append(unread, excess...)
+		unread = append(unread, m.conn.buffered()...)
+		m.conn.buf = unread
+		m.conn.start, m.conn.end = 0, len(unread)
 	}
 	m.reader.Reset(nil)
 	headReaders.Put(m.reader)
@@ -195,7 +195,7 @@
 
 // readRequestHead reads the head of a request. A client that waits for 100 Continue is sent it, if mayContinue allows a
 // write at this moment.
-func (c *bufferedConn) readRequestHead(mayContinue func() bool) (*http.Request, *message, error) {
+func (c *bufferedConn) readRequestHead(mayWriteContinue func() bool) (*http.Request, *message, error) {
 	for bytes.HasPrefix(c.buffered(), []byte("\r\n")) {
 		c.start += 2 // an empty line before a message is ignored
 	}
@@ -215,8 +215,8 @@
 	if err != nil {
 		return request, nil, err
 	}
-	bodyHasBegun := m.reader.Buffered()+len(c.buffered()) > 0
-	if !bodyHasBegun && m.length != 0 && expectsContinue(request.Header) && mayContinue() {
+	bodyHasStarted := m.reader.Buffered()+len(c.buffered()) > 0
+	if !bodyHasStarted && m.length != 0 && expectsContinue(request.Header) && mayWriteContinue() {
 		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // a failed write shows when the body is read
 	}
 	return request, m, nil
--- a/internal/node/httpmessage_test.go
+++ b/internal/node/httpmessage_test.go
@@ -10,45 +10,45 @@
 
 // A message is the same however it is cut into reads, and what is none ends in an error.
 func TestParsingIsIndependentOfSegmentation(t *testing.T) {
-	property := func(body []byte, chunkIt, spoil bool, cuts []uint8) bool {
+	property := func(body []byte, chunked, corrupt bool, segments []uint8) bool {
 		text := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		if chunkIt {
+		if chunked {
 			text = fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n",
 				len(body), body)
 			if len(body) > 0 { // else its only chunk was the last
 				text += "0\r\n\r\n"
 			}
 		}
-		if spoil {
+		if corrupt {
 			text = "x" + text[:len(text)/2] + "\r\n\r\n"
 		}
-		near, far := net.Pipe()
-		defer near.Close()
+		local, remote := net.Pipe()
+		defer local.Close()
 		go func() {
-			defer far.Close()
+			defer remote.Close()
 			for i, rest := 0, text; rest != ""; i++ {
 				n := len(rest)
-				if len(cuts) > 0 {
-					n = min(n, 1+int(cuts[i%len(cuts)]))
+				if len(segments) > 0 {
+					n = min(n, 1+int(segments[i%len(segments)]))
 				}
-				if _, err := io.WriteString(far, rest[:n]); err != nil {
+				if _, err := io.WriteString(remote, rest[:n]); err != nil {
 					return
 				}
 				rest = rest[n:]
 			}
 		}()
-		c := newBufferedConn(near)
+		c := newBufferedConn(local)
 		_, m, err := c.readRequestHead(func() bool { return false })
 		var got []byte
-		whole := false
+		complete := false
 		if err == nil {
-			got, whole, err = m.readUpTo(nil, 1<<20)
+			got, complete, err = m.readUpTo(nil, 1<<20)
 			m.end()
 		}
-		if spoil {
+		if corrupt {
 			return err != nil || len(got) <= len(body)
 		}
-		return err == nil && whole && string(got) == string(body) && len(c.buffered()) == 0
+		return err == nil && complete && string(got) == string(body) && len(c.buffered()) == 0
 	}
 	if err := quick.Check(property, &quick.Config{MaxCount: 300}); err != nil {
 		t.Error(err)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -44,23 +44,23 @@
 	available := total / processes
 	spare := available / spareDescriptorDivisor
 	admin := min(maxAdminConns, available/adminConnDivisor)
-	rest := available - min(ownDescriptors, available/2+minOwnDescriptors) - spare - admin
-	toUpstreams := max(rest/upstreamDivisor, 1)
-	toClients := max(rest-toUpstreams, 1)
-	n.upstreams.setLimit(toUpstreams)
+	divisible := available - min(ownDescriptors, available/2+minOwnDescriptors) - spare - admin
+	upstreamConns := max(divisible/upstreamDivisor, 1)
+	clientConns := max(divisible-upstreamConns, 1)
+	n.upstreams.setLimit(upstreamConns)
 	n.admin.setLimit(admin)
-	n.frontend.setLimits(toClients, spare, total/activeClientDivisor)
+	n.frontend.setLimits(clientConns, spare, total/activeClientDivisor)
 	// frontend.go has the rule of lent slots.
-	n.frontend.maxSlotsLentToUpstreams.Store(int64(toClients-toUpstreams) / lentSlotDivisor)
+	n.frontend.maxSlotsLentToUpstreams.Store(int64(clientConns-upstreamConns) / lentSlotDivisor)
 }
 
 func (n *Node) divideMemory(processes int) {
-	bodies := int64(defaultBodyMemory)
+	bodyBytes := int64(defaultBodyMemory)
 	if mb := n.config.Limits.MemoryMB; mb > 0 {
-		bodies = mb * bytesPerMiB / bodyMemoryDivisor
+		bodyBytes = mb * bytesPerMiB / bodyMemoryDivisor
 		debug.SetMemoryLimit(mb * bytesPerMiB * heapLimitPercent / 100 / int64(processes))
 	}
-	n.maxBufferedBytes.Store(bodies / int64(processes))
+	n.maxBufferedBytes.Store(bodyBytes / int64(processes))
 }
 
 // limitRuntime keeps the runtime within the machine's share that the node was given.
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -172,30 +172,30 @@
 
 // newEndpointEntry checks one endpoint of a list and maps it to the terms of the decisions. An endpoint that is draining or
 // removed needs no address.
-func newEndpointEntry(in endpointlist.Entry, zones []string) (endpointEntry, error) {
-	state, ok := endpointStates[in.State]
+func newEndpointEntry(listed endpointlist.Entry, zones []string) (endpointEntry, error) {
+	state, ok := endpointStates[listed.State]
 	if !ok {
-		return endpointEntry{}, fmt.Errorf("health: expected up, draining or removed, got %q", in.State)
+		return endpointEntry{}, fmt.Errorf("health: expected up, draining or removed, got %q", listed.State)
 	}
-	if in.Name == "" {
+	if listed.Name == "" {
 		return endpointEntry{}, errors.New("host: expected a name, got none")
 	}
-	if _, err := netip.ParseAddrPort(in.Address); err != nil && state == policy.StateActive {
+	if _, err := netip.ParseAddrPort(listed.Address); err != nil && state == policy.StateActive {
 		return endpointEntry{}, fmt.Errorf("dial: %w", err)
 	}
-	if in.Weight < 0 || in.StartedMs < 0 || in.StartedMs > maxStartedMs {
+	if listed.Weight < 0 || listed.StartedMs < 0 || listed.StartedMs > maxStartedMs {
 		return endpointEntry{}, errors.New("share, born_ms: expected numbers that can be a weight and a time")
 	}
 	return endpointEntry{
-		name:    in.Name,
-		address: in.Address,
+		name:    listed.Name,
+		address: listed.Address,
 		EndpointInfo: policy.EndpointInfo{
-			ID:        endpointID(in.Name),
-			Zone:      zoneIndex(in.Zone, zones),
-			Pod:       in.Pod,
-			Weight:    in.Weight,
+			ID:        endpointID(listed.Name),
+			Zone:      zoneIndex(listed.Zone, zones),
+			Pod:       listed.Pod,
+			Weight:    listed.Weight,
 			State:     state,
-			StartedAt: policy.Time(in.StartedMs * 1e6),
+			StartedAt: policy.Time(listed.StartedMs * 1e6),
 		},
 	}, nil
 }
--- a/internal/node/requestread.go
+++ b/internal/node/requestread.go
@@ -27,14 +27,14 @@
 	if err := c.awaitFirstByte(first); err != nil {
 		return nil, err
 	}
-	began := c.beginMessage(first)
+	startedAt := c.beginMessage(first)
 	request, m, err := c.conn.readRequestHead(c.hasNoPendingRequests)
 	if err != nil {
 		return nil, err
 	}
 	pending.method = request.Method
 	pending.http10 = !request.ProtoAtLeast(1, 1)
-	c.conn.pacer = &readPacer{start: began, grace: bodyGrace, stall: bodyStall, minRate: minBodyRate}
+	c.conn.pacer = &readPacer{start: startedAt, grace: bodyGrace, stall: bodyStall, minRate: minBodyRate}
 	complete, err := c.readBody(pending, m)
 	if err != nil || complete {
 		c.conn.pacer = nil
@@ -70,12 +70,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.messageStartedAt = time.Now()
-	began := c.messageStartedAt
+	startedAt := c.messageStartedAt
 	if first {
-		began = c.slotAcquiredAt
+		startedAt = c.slotAcquiredAt
 	}
-	c.conn.SetReadDeadline(began.Add(headTimeout))
-	return began
+	c.conn.SetReadDeadline(startedAt.Add(headTimeout))
+	return startedAt
 }
 
 // readBody reads a body into memory, or as much of a long one as there is memory for, and reports whether that is all.
@@ -107,17 +107,17 @@
 // there always is. releaseBody gives the memory back.
 func (c *clientConn) reserveBody(pending *pendingRequest, size int, force bool) bool {
 	node := c.frontend.node
-	more := int64(size - cap(pending.body))
-	if more <= 0 {
+	missing := int64(size - cap(pending.body))
+	if missing <= 0 {
 		return true
 	}
-	if node.bufferedBytes.Add(more) > node.maxBufferedBytes.Load() && !force {
-		node.bufferedBytes.Add(-more)
+	if node.bufferedBytes.Add(missing) > node.maxBufferedBytes.Load() && !force {
+		node.bufferedBytes.Add(-missing)
 		return false
 	}
-	grown := make([]byte, len(pending.body), size)
-	copy(grown, pending.body)
-	pending.body = grown
+	reserved := make([]byte, len(pending.body), size)
+	copy(reserved, pending.body)
+	pending.body = reserved
 	return true
 }
 
--- a/internal/node/requestread_test.go
+++ b/internal/node/requestread_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestExpectContinue(t *testing.T) {
-	server, _ := startUpstream(t, echo)
-	n := startNode(t, nil, server)
+	upstream, _ := startUpstream(t, echo)
+	n := startNode(t, nil, upstream)
 	c, in := dial(t, n)
 	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	if status, _, _ := readResponse(in); status != 100 {
@@ -27,8 +27,8 @@
 }
 
 func TestMalformedRequestsAreAnsweredAndCounted(t *testing.T) {
-	server, _ := startUpstream(t, echo)
-	n := startNode(t, nil, server)
+	upstream, _ := startUpstream(t, echo)
+	n := startNode(t, nil, upstream)
 	head := "POST /batch HTTP/1.1\r\nHost: h\r\n"
 	for text, want := range map[string]int{
 		"\x00\x01\x02\r\n\r\n":                                    400,
@@ -64,22 +64,22 @@
 // response or a close within 3 s.
 func TestStalledClientsAreClosed(t *testing.T) {
 	n := startNode(t, nil)
-	var done sync.WaitGroup
+	var clients sync.WaitGroup
 	for text, want := range map[string]int{
 		"": 0, "GET /batch HT": 408, requestText("batch", "a", "body")[:100]: 408,
 		"POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nContent-Length: 9\r\n\r\nhalf": 408,
 	} {
-		done.Go(func() {
-			began := time.Now()
+		clients.Go(func() {
+			startedAt := time.Now()
 			c, in := dial(t, n)
 			writeText(c, text)
 			status, _, _ := readResponse(in)
-			if took := time.Since(began); status != want || took > 2900*time.Millisecond {
-				t.Errorf("%q was answered %d after %v", text, status, took)
+			if elapsed := time.Since(startedAt); status != want || elapsed > 2900*time.Millisecond {
+				t.Errorf("%q was answered %d after %v", text, status, elapsed)
 			}
 		})
 	}
-	done.Wait()
+	clients.Wait()
 }
 
 // A connection whose first bytes come just at their deadline is read, without an endless loop.
@@ -95,27 +95,27 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	own, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer own.Close()
+	defer accepted.Close()
 	writeText(peer, "GET "+pathReady+" HTTP/1.1\r\nHost: h\r\n\r\n")
 	c := &clientConn{
-		frontend: n.frontend, conn: newBufferedConn(own), responseOrder: make(chan *pendingRequest, 1),
+		frontend: n.frontend, conn: newBufferedConn(accepted), responseOrder: make(chan *pendingRequest, 1),
 		slotAcquiredAt: time.Now().Add(-headTimeout),
 	}
 	eventually(t, "the request", c.conn.hasInput)
-	read := make(chan error, 1)
+	readErr := make(chan error, 1)
 	go func() {
 		r, err := c.readRequest(newPendingRequest())
 		if err == nil && r.URL.Path != pathReady {
 			err = fmt.Errorf("read %s", r.URL.Path)
 		}
-		read <- err
+		readErr <- err
 	}()
 	select {
-	case err := <-read:
+	case err := <-readErr:
 		if err != nil {
 			t.Error(err)
 		}
@@ -127,14 +127,14 @@
 // A client that stops, lies or leaves in the middle of a long body gets an error or a close for itself alone, and its
 // request never ran.
 func TestIncompleteRequestBodyIsRejected(t *testing.T) {
-	server, requests := startDigestUpstream(t)
-	n := startNode(t, lenientSettings, server)
-	half := string(randomBody(2 << 20))
+	upstream, requests := startDigestUpstream(t)
+	n := startNode(t, lenientSettings, upstream)
+	partialBody := string(randomBody(2 << 20))
 	for text, want := range map[string]int{
-		"Content-Length: 9000000\r\n\r\n" + half:                                      408,
-		"Transfer-Encoding: chunked\r\n\r\n200000\r\n" + half + "\r\nzz\r\n":          400,
+		"Content-Length: 9000000\r\n\r\n" + partialBody:                               408,
+		"Transfer-Encoding: chunked\r\n\r\n200000\r\n" + partialBody + "\r\nzz\r\n":   400,
 		"Transfer-Encoding: chunked\r\n\r\n" + chunkedBody(randomBody(42<<20), 1<<20): 413,
-		"Content-Length: 60000000\r\n\r\n" + half:                                     413,
+		"Content-Length: 60000000\r\n\r\n" + partialBody:                              413,
 	} {
 		c, in := dial(t, n)
 		go writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n"+text)
@@ -144,7 +144,7 @@
 		c.Close()
 	}
 	c, _ := dial(t, n)
-	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nContent-Length: 9000000\r\n\r\n"+half)
+	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nContent-Length: 9000000\r\n\r\n"+partialBody)
 	eventually(t, "its attempt", func() bool { return n.count(requestsStreamed) >= 4 })
 	c.Close()
 	eventually(t, "the request is canceled", func() bool { return n.count(requestsCanceled) == 1 })
@@ -162,19 +162,19 @@
 
 // Guards against the memory for bodies going to whoever sends most: beyond it bodies are streamed.
 func TestMemoryOfLongBodiesIsBounded(t *testing.T) {
-	server, _ := startDigestUpstream(t)
-	n := startNode(t, func(c *Config) { lenientSettings(c); c.Limits.MemoryMB = 32 }, server)
+	upstream, _ := startDigestUpstream(t)
+	n := startNode(t, func(c *Config) { lenientSettings(c); c.Limits.MemoryMB = 32 }, upstream)
 	body := randomBody(900 << 10)
-	type begun struct {
+	type pendingClient struct {
 		c  net.Conn
 		in *bufio.Reader
 	}
-	var all []begun
+	var clients []pendingClient
 	for i := range 16 {
 		c, in := dial(t, n)
 		writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\nContent-Length: %d\r\n\r\n%s", i, len(body),
 			body[:minBufferedBody])
-		all = append(all, begun{c, in})
+		clients = append(clients, pendingClient{c, in})
 	}
 	eventually(t, "some flow, as they are more than there is memory for", func() bool {
 		return n.count(requestsStreamed) > 8
@@ -182,11 +182,11 @@
 	if held := n.bufferedBytes.Load(); held > 2*n.maxBufferedBytes.Load() {
 		t.Errorf("%d bytes held of %d", held, n.maxBufferedBytes.Load())
 	}
-	for _, one := range all {
-		writeBytes(one.c, body[minBufferedBody:])
+	for _, client := range clients {
+		writeBytes(client.c, body[minBufferedBody:])
 	}
-	for _, one := range all { // on a machine that stands still some may be rejected, but none is mixed up
-		if status, answer, _ := readResponse(one.in); status != 503 && answer != digestOf(body) {
+	for _, client := range clients { // on a machine that stands still some may be rejected, but none is mixed up
+		if status, answer, _ := readResponse(client.in); status != 503 && answer != digestOf(body) {
 			t.Errorf("%d %.60q", status, answer)
 		}
 	}
@@ -194,14 +194,14 @@
 }
 
 func TestHeadRequestAndContinue(t *testing.T) {
-	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+	upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodHead {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n")
 			return err == nil
 		}
 		return writeResponse(c, "200 OK", digestOf([]byte(body)))
 	})
-	n := startNode(t, lenientSettings, server)
+	n := startNode(t, lenientSettings, upstream)
 	c, in := dial(t, n)
 	for i := range 2 {
 		writef(c, "HEAD /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", i)
@@ -225,13 +225,13 @@
 // Guards against a 100 Continue in the middle of a response that is still being written.
 func TestContinueWaitsForPrecedingResponse(t *testing.T) {
 	long := randomBody(24 << 20) // more than the kernel takes in for a client that does not read
-	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+	upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodGet {
 			return writeResponse(c, "200 OK", string(long))
 		}
 		return writeResponse(c, "200 OK", body)
 	})
-	n := startNode(t, lenientSettings, server)
+	n := startNode(t, lenientSettings, upstream)
 	c, in := dial(t, n)
 	writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 	eventually(t, "the answer flows", func() bool { return n.count(responsesStreamed) == 1 })
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -17,17 +17,17 @@
 func TestInvariantsOnSockets(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
-	dice := rand.New(rand.NewPCG(1, 2))
-	behave := func(c net.Conn, r *http.Request, body string) bool {
+	draws := rand.New(rand.NewPCG(1, 2))
+	respond := func(c net.Conn, r *http.Request, body string) bool {
 		id := r.Header.Get(headerRequestID)
 		mu.Lock()
-		how := dice.IntN(60)
-		if how > 2 {
+		behavior := draws.IntN(60)
+		if behavior > 2 {
 			runs[id]++
 		}
 		mu.Unlock()
 		time.Sleep(5 * time.Millisecond)
-		switch how {
+		switch behavior {
 		case 0:
 			return writeResponse(c, "503 No\r\nX-Turned-Away: 1", "")
 		case 1:
@@ -52,19 +52,19 @@
 		}
 		return echo(c, r, body)
 	}
-	var servers []string
+	var upstreamAddrs []string
 	for range 4 {
-		address, _ := startUpstream(t, behave)
-		servers = append(servers, address)
+		address, _ := startUpstream(t, respond)
+		upstreamAddrs = append(upstreamAddrs, address)
 	}
-	patient := strings.NewReplacer("300000", "2000000", "800000", "3000000").Replace(settingsText)
-	n := startNode(t, func(c *Config) { c.Settings = json.RawMessage(patient) }, append(servers, "127.0.0.1:1")...)
-	var done sync.WaitGroup
-	answers := make([]int, 400)
+	longDeadlines := strings.NewReplacer("300000", "2000000", "800000", "3000000").Replace(settingsText)
+	n := startNode(t, func(c *Config) { c.Settings = json.RawMessage(longDeadlines) }, append(upstreamAddrs, "127.0.0.1:1")...)
+	var clients sync.WaitGroup
+	statuses := make([]int, 400)
 	class := func(i int) string { return []string{"pay", "update", "view", "pay"}[i%4] }
-	for i := range answers {
+	for i := range statuses {
 		id := fmt.Sprint("t", i)
-		done.Go(func() {
+		clients.Go(func() {
 			c, in := dial(t, n)
 			defer c.Close()
 			writeText(c, requestText(class(i), id, "b"))
@@ -73,11 +73,11 @@
 				return
 			}
 			status, body, _ := readResponse(in)
-			if answers[i] = status; status == 200 && body != "/"+class(i)+" "+id+" b" {
+			if statuses[i] = status; status == 200 && body != "/"+class(i)+" "+id+" b" {
 				t.Errorf("%s got the answer %q", id, body)
 			}
 			c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-			if more, _ := in.ReadByte(); more != 0 {
+			if extra, _ := in.ReadByte(); extra != 0 {
 				t.Errorf("%s got more than one answer", id)
 			}
 		})
@@ -85,28 +85,28 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	done.Wait()
+	clients.Wait()
 	eventually(t, "the end of all that was taken", func() bool {
-		left := make(chan int)
-		n.loop.post(func() { left <- len(n.loop.requests) })
-		return <-left == 0
+		remaining := make(chan int)
+		n.loop.post(func() { remaining <- len(n.loop.requests) })
+		return <-remaining == 0
 	})
 	mu.Lock()
 	defer mu.Unlock()
-	kinds := map[int]int{}
-	for i, status := range answers {
+	statusCounts := map[int]int{}
+	for i, status := range statuses {
 		id, c := fmt.Sprint("t", i), class(i)
-		kinds[status]++
+		statusCounts[status]++
 		if i%10 != 9 && status != 200 && status != 502 && status != 503 {
 			t.Errorf("%s was answered %d", id, status)
 		}
 		ranTwice := c == "pay" && runs[id] > 1
-		ranThoughRejected := c != "view" && status == 503 && runs[id] > 0
-		if ranTwice || ranThoughRejected || status == 200 && runs[id] == 0 {
+		ranAlthoughRejected := c != "view" && status == 503 && runs[id] > 0
+		if ranTwice || ranAlthoughRejected || status == 200 && runs[id] == 0 {
 			t.Errorf("%s (%s) was answered %d and ran %d times", id, c, status, runs[id])
 		}
 	}
-	if kinds[200] < 20 || kinds[502]+kinds[503] < 5 {
-		t.Errorf("too few of a kind to tell anything: %v", kinds)
+	if statusCounts[200] < 20 || statusCounts[502]+statusCounts[503] < 5 {
+		t.Errorf("too few of a kind to tell anything: %v", statusCounts)
 	}
 }
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -25,8 +25,8 @@
 
 // Bodies of all sizes and forms reach the upstream unchanged, and the connection goes on.
 func TestRequestBodiesOfAllSizes(t *testing.T) {
-	server, _ := startDigestUpstream(t)
-	n := startNode(t, lenientSettings, server)
+	upstream, _ := startDigestUpstream(t)
+	n := startNode(t, lenientSettings, upstream)
 	c, in := dial(t, n)
 	for i, size := range []int{
 		0, 1, 300, minBufferedBody, minBufferedBody + 1, maxBufferedBody, maxBufferedBody + 1,
@@ -54,7 +54,7 @@
 // Responses of all sizes and forms reach the client unchanged.
 func TestResponseBodiesOfAllSizes(t *testing.T) {
 	for _, form := range []string{"length", "chunks", "end"} {
-		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
+		upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 			var size int
 			if _, err := fmt.Sscanf(r.URL.RawQuery, "%d", &size); err != nil {
 				t.Error(err)
@@ -72,7 +72,7 @@
 			writeBytes(c, body)
 			return false
 		})
-		n := startNode(t, lenientSettings, server)
+		n := startNode(t, lenientSettings, upstream)
 		for _, version := range []string{"1.1", "1.0"} {
 			for i, size := range []int{0, 1, maxBufferedResponse - 1, 2 * maxBufferedResponse, 5 << 20} {
 				c, in := dial(t, n)
@@ -103,11 +103,11 @@
 		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\n", // no last chunk
 		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\nnonsense\r\n",
 	} {
-		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
+		upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 			writeText(c, "HTTP/1.1 200 OK\r\n"+head)
 			return false
 		})
-		n := startNode(t, lenientSettings, server)
+		n := startNode(t, lenientSettings, upstream)
 		c, in := dial(t, n)
 		writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 		r, err := http.ReadResponse(in, nil)
@@ -126,15 +126,15 @@
 // What a body proves that was not written completely, and what becomes of a request whose body is no longer buffered.
 func TestStreamedRequestIsSentOnce(t *testing.T) {
 	body := randomBody(36 << 20) // more than the kernel takes in for a server that does not read
-	var mode atomic.Value
-	seen := new(atomic.Int64)
+	var upstreamBehavior atomic.Value
+	requests := new(atomic.Int64)
 	serve := func(c net.Conn) {
 		in := bufio.NewReader(c)
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		switch seen.Add(1); mode.Load() {
+		switch requests.Add(1); upstreamBehavior.Load() {
 		case "dies":
 			discardUpTo(r.Body, 1<<20)
 			c.(*net.TCPConn).SetLinger(0)
@@ -153,23 +153,23 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	one, two := listen(t, serve), listen(t, serve)
-	for how, want := range map[string]map[string]int{
+	first, second := listen(t, serve), listen(t, serve)
+	for behavior, want := range map[string]map[string]int{
 		"dies":    {"view": 503, "update": 503, "pay": 503},
 		"rejects": {"view": 503, "update": 503, "pay": 503},
 		"early":   {"pay": 503},
 		"faults":  {"pay": 413},
 		"fails":   {"view": 503, "update": 502, "pay": 502},
 	} {
-		mode.Store(how)
+		upstreamBehavior.Store(behavior)
 		for class, status := range want {
-			n := startNode(t, nil, one, two)
-			before := seen.Load()
+			n := startNode(t, nil, first, second)
+			before := requests.Load()
 			if got, _, _ := sendRequest(t, n, class, "t1", string(body)); got != status {
-				t.Errorf("%s, %s: %d, want %d", how, class, got, status)
+				t.Errorf("%s, %s: %d, want %d", behavior, class, got, status)
 			}
-			if seen.Load() != before+1 {
-				t.Errorf("%s, %s: sent %d times", how, class, seen.Load()-before)
+			if requests.Load() != before+1 {
+				t.Errorf("%s, %s: sent %d times", behavior, class, requests.Load()-before)
 			}
 			n.awaitBodyMemoryReleased(t)
 		}
@@ -181,15 +181,15 @@
 func TestSlowPeersAreServed(t *testing.T) {
 	t.Parallel()
 	long := randomBody(1 << 20)
-	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
+	upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodGet {
 			return writeResponse(c, "200 OK", string(long))
 		}
 		return writeResponse(c, "200 OK", digestOf([]byte(body)))
 	})
-	n := startNode(t, lenientSettings, server)
+	n := startNode(t, lenientSettings, upstream)
 	body := randomBody(260 << 10)
-	up := make(chan string, 1)
+	uploaded := make(chan string, 1)
 	go func() {
 		c, in := dial(t, n)
 		text := fmt.Sprintf("POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\nContent-Length: %d\r\n\r\n", len(body))
@@ -202,7 +202,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		_, answer, _ := readResponse(in)
-		up <- answer
+		uploaded <- answer
 	}()
 	c, in := dial(t, n)
 	if err := c.(*net.TCPConn).SetReadBuffer(64 << 10); err != nil {
@@ -226,7 +226,7 @@
 	if !bytes.Equal(got.Bytes(), long) {
 		t.Errorf("a slow reader got %d of %d bytes", got.Len(), len(long))
 	}
-	if answer := <-up; answer != digestOf(body) {
+	if answer := <-uploaded; answer != digestOf(body) {
 		t.Errorf("a slow writer got %q", answer)
 	}
 }
@@ -237,8 +237,8 @@
 		"Content-Length: 70003\r\n\r\nyes",
 		"Transfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n", "\r\nyes",
 	} {
-		seen := make(chan struct{})
-		server, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
+		firstBytesRead := make(chan struct{})
+		upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 			writeText(c, "HTTP/1.1 200 OK\r\n"+head)
 			time.Sleep(2 * responseBufferTimeout)
 			if strings.Contains(head, "chunked") {
@@ -246,7 +246,7 @@
 			} else {
 				writeText(c, ",")
 			}
-			<-seen // the rest comes only once the client has the first bytes
+			<-firstBytesRead // the rest comes only once the client has the first bytes
 			if strings.Contains(head, "chunked") {
 				writeText(c, "1116f\r\n"+strings.Repeat("x", 69999)+"\r\n0\r\n\r\n")
 			} else {
@@ -254,7 +254,7 @@
 			}
 			return false
 		})
-		n := startNode(t, lenientSettings, server)
+		n := startNode(t, lenientSettings, upstream)
 		c, in := dial(t, n)
 		writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 		r, err := http.ReadResponse(in, nil)
@@ -265,7 +265,7 @@
 		if _, err := io.ReadFull(r.Body, first); err != nil || string(first) != "yes" {
 			t.Fatalf("%.20q: %q, %v", head, first, err)
 		}
-		close(seen)
+		close(firstBytesRead)
 		if rest, err := io.ReadAll(r.Body); err != nil || len(rest) != 70000 {
 			t.Errorf("%.20q: %d more bytes, %v", head, len(rest), err)
 		}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -114,8 +114,8 @@
 	if clientErr != nil && !errors.Is(clientErr, errBodyNotNeeded) {
 		return errBodyLost // the upstream has done nothing
 	}
-	stoppedHere := errors.Is(u.err, errBodyNotNeeded) || errors.Is(u.err, os.ErrDeadlineExceeded)
-	if u.err != nil && !stoppedHere {
+	stoppedByNode := errors.Is(u.err, errBodyNotNeeded) || errors.Is(u.err, os.ErrDeadlineExceeded)
+	if u.err != nil && !stoppedByNode {
 		return u.err
 	}
 	return readErr
