--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -124,7 +124,7 @@
 func (f *frontend) tryAcquireSlot(c *clientConn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.open) >= f.clientSlotsLocked() || f.aboveEvictionThresholdLocked() {
+	if len(f.open) >= f.clientSlotsLocked() || f.overSoftLimitLocked() {
 		f.evictIdleAheadLocked()
 	}
 	if f.fullLocked() {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -31,13 +31,13 @@
 	return readResponse(bufio.NewReader(c))
 }
 
-func adminCallText(call string) string {
+func callText(call string) string {
 	return call + " HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n"
 }
 
 func (n *Node) adminCall(t *testing.T, adminCall string) int {
 	t.Helper()
-	status, _, _ := sendAdminCall(t, n, adminCallText(adminCall))
+	status, _, _ := sendAdminCall(t, n, callText(adminCall))
 	return status
 }
 
@@ -49,16 +49,16 @@
 		"nonsense\r\n\r\n": 400,
 		"GET /ready HTTP/1.1\r\nHost: c\r\nX: " + strings.Repeat("x", maxAdminHeadBytes) + "\r\n\r\n": 431,
 		strings.Repeat("x", 3*maxAdminHeadBytes):                                                      431,
-		adminCallText("GET /"):                                                                        404,
-		adminCallText("PUT /ready"):                                                                   405,
-		adminCallText("GET /drain"):                                                                   405,
-		adminCallText("POST /servers/disable?target=s-0"):                                             405,
-		adminCallText("PUT /servers/disable"):                                                         400,
-		adminCallText("PUT /servers/disable?target="):                                                 400,
-		adminCallText("PUT /servers/disable?target=s-0&target=s-0"):                                   400,
-		adminCallText("PUT /servers/disable?target=%zz"):                                              400,
-		adminCallText("PUT /servers/disable?target=s-9"):                                              404,
-		adminCallText("PUT /servers/enable?target=s-9"):                                               404,
+		callText("GET /"):                                                                             404,
+		callText("PUT /ready"):                                                                        405,
+		callText("GET /drain"):                                                                        405,
+		callText("POST /servers/disable?target=s-0"):                                                  405,
+		callText("PUT /servers/disable"):                                                              400,
+		callText("PUT /servers/disable?target="):                                                      400,
+		callText("PUT /servers/disable?target=s-0&target=s-0"):                                        400,
+		callText("PUT /servers/disable?target=%zz"):                                                   400,
+		callText("PUT /servers/disable?target=s-9"):                                                   404,
+		callText("PUT /servers/enable?target=s-9"):                                                    404,
 		"PUT /servers/disable?target=s-0 HTTP/1.1\r\nHost: c\r\nno end":                               408,
 	} {
 		status, body, header := sendAdminCall(t, n, text)
--- a/internal/node/evict.go
+++ b/internal/node/evict.go
@@ -44,7 +44,7 @@
 	now := time.Now()
 	idle, anyUnused := f.idleConnsLocked(now)
 	slices.SortFunc(idle, compareEviction)
-	spareRecent := anyUnused && !f.aboveEvictionThresholdLocked() && !f.fullLocked() && n < len(f.open)
+	spareRecent := anyUnused && !f.overSoftLimitLocked() && !f.fullLocked() && n < len(f.open)
 	for _, candidate := range idle[:max(0, min(n, len(idle)))] {
 		recent := candidate.used && now.Sub(candidate.lastUsedAt) <= recentUseWindow
 		if !recent || !spareRecent {
--- a/internal/node/evict_test.go
+++ b/internal/node/evict_test.go
@@ -66,7 +66,7 @@
 
 // Guards against clients that ask once and keep their connection using up all connections that the load balancers in
 // front may hold to a node.
-func TestIdleClientsAreEvictedAboveThreshold(t *testing.T) {
+func TestIdleClientsAreEvictedAboveSoftLimit(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, upstream)
 	var closed atomic.Int64
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -37,11 +37,11 @@
 	activeConns    atomic.Int64  // open connections with a request that has no response yet
 	waitingForSlot atomic.Int64  // accepted connections that wait for a slot
 
-	mu                sync.Mutex
-	open              map[*clientConn]struct{}
-	maxOpen           int // slots of connections with requests
-	spareSlots        int // further slots, for connections whose requests are rejected over capacity
-	evictionThreshold int // used connections from which on idle ones are closed for new ones, also with free slots
+	mu         sync.Mutex
+	open       map[*clientConn]struct{}
+	maxOpen    int // slots of connections with requests
+	spareSlots int // further slots, for connections whose requests are rejected over capacity
+	softLimit  int // used connections from which on idle ones are closed for new ones, also with free slots
 
 	maxSlotsLentToUpstreams atomic.Int64 // slots of maxOpen that attempts may have
 	slotsLentToUpstreams    atomic.Int64 // and have now
@@ -59,12 +59,12 @@
 
 // setLimits sets how many connections there may be, and closes idle ones beyond maxOpen: another process of this node
 // may have their descriptors.
-func (f *frontend) setLimits(maxOpen, spareSlots, evictionThreshold int) {
+func (f *frontend) setLimits(maxOpen, spareSlots, softLimit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.maxOpen = maxOpen
 	f.spareSlots = spareSlots
-	f.evictionThreshold = evictionThreshold
+	f.softLimit = softLimit
 	f.evictIdleLocked(len(f.open) - maxOpen)
 }
 
@@ -81,11 +81,11 @@
 // fullLocked reports that no slot is left, spare ones included.
 func (f *frontend) fullLocked() bool { return len(f.open) >= f.clientSlotsLocked()+f.spareSlots }
 
-// aboveEvictionThresholdLocked reports that many clients hold connections which they have used. Guards against clients that ask once
+// overSoftLimitLocked reports that many clients hold connections which they have used. Guards against clients that ask once
 // and keep their connection: the load balancers in front of a node hold only so many to it, and with all of them idle
 // no other client could ask.
-func (f *frontend) aboveEvictionThresholdLocked() bool {
-	return int(f.usedConns.Load()) >= f.evictionThreshold
+func (f *frontend) overSoftLimitLocked() bool {
+	return int(f.usedConns.Load()) >= f.softLimit
 }
 
 // slotOffer is the answer to an attempt that needs the slot of a client.
