--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -1,7 +1,7 @@
 package node
 
-// Accepting client connections: the accept loop, its pause while another process accepts from the same socket, its end,
-// and the wait of a new connection for a slot.
+// Accepting client connections: the accept loop, pausing it while another process accepts from the same socket,
+// draining it at shutdown, and assigning a slot to each new connection.
 
 import (
 	"errors"
@@ -11,20 +11,21 @@
 )
 
 const (
-	acceptPollInterval = 5 * time.Millisecond   // for connections that the kernel has accepted, when the listener drains
-	acceptStallTimeout = 200 * time.Millisecond // without progress: then an accept is blocked in the kernel
-	acceptRetryDelay   = 5 * time.Millisecond   // after an accept that failed, mostly for want of a descriptor
-	slotPollInterval   = time.Millisecond       // between looks for a slot
+	acceptPollInterval = 5 * time.Millisecond   // between polls of the listen backlog while the listener drains
+	acceptStallTimeout = 200 * time.Millisecond // without progress, an accept is assumed to be blocked in the kernel
+	acceptRetryDelay   = 5 * time.Millisecond   // after a failed accept, mostly for lack of file descriptors
+	slotPollInterval   = time.Millisecond       // between attempts to acquire a slot
 )
 
-// setAcceptDeadline sets by when an accept returns.
+// setAcceptDeadline sets the time at which a pending accept returns; the zero time means no deadline.
 func (f *frontend) setAcceptDeadline(deadline time.Time) {
 	if listener, ok := f.listener.(*net.TCPListener); ok {
 		listener.SetDeadline(deadline)
 	}
 }
 
-// pause leaves new connections to another process that accepts from the same socket, until resume.
+// pause stops accepting until resume is called, so that another process accepts all new connections from the shared
+// socket.
 func (f *frontend) pause() {
 	f.paused.Store(true)
 	f.setAcceptDeadline(inThePast)
@@ -43,13 +44,13 @@
 	}
 }
 
-// drainAndClose ends the accept loop. It returns once the connections that the kernel had accepted are taken, or at the
-// deadline. Guards against a listener that is closed with such connections in its queue: the kernel resets them, with
-// requests already written.
+// drainAndClose ends the accept loop. It returns once the listen backlog is empty, or at the deadline. Closing a
+// listener with connections in its backlog makes the kernel reset them, although clients may already have written
+// requests.
 //
-// It gives up earlier if nothing is accepted for acceptStallTimeout: whoever else holds the socket may make it a blocking
-// one at any moment, as the start of another process does for an instant, and an accept that then blocks in the kernel
-// ends only with the next connection.
+// It gives up earlier if nothing is accepted for acceptStallTimeout. Any process that shares the socket may switch it
+// to blocking mode, and starting another process does so briefly; an accept that blocks in the kernel ignores its
+// deadline and returns only with the next connection.
 func (f *frontend) drainAndClose(deadline time.Time) {
 	f.draining.Store(true)
 	f.setAcceptDeadline(inThePast)
@@ -65,17 +66,17 @@
 			lastProgressAt = time.Now()
 		}
 	}
-	go f.listener.Close() // in its own goroutine, as it waits for a blocked accept as well
+	go f.listener.Close() // in its own goroutine, because Close also waits for a blocked accept
 }
 
-// accept takes connections until the listener is closed or has been drained. It is the one goroutine that accepts.
+// acceptLoop accepts connections until the listener is closed or drained. Only this goroutine accepts.
 func (f *frontend) acceptLoop() {
 	defer close(f.acceptDone)
 	defer f.listener.Close()
 	for {
 		finalPoll := f.draining.Load() && !f.paused.Load()
 		if finalPoll {
-			f.setAcceptDeadline(time.Now().Add(acceptPollInterval)) // an accept whose deadline is over does not even look
+			f.setAcceptDeadline(time.Now().Add(acceptPollInterval)) // Accept returns at once after its deadline
 		}
 		conn, err := f.listener.Accept()
 		switch {
@@ -94,8 +95,8 @@
 	}
 }
 
-// waitForResume waits until accepting may go on after a pause. It reports false if it drains instead, and another
-// process takes what the kernel has accepted.
+// waitForResume blocks until accepting may resume after a pause. While draining it returns at once, with false if
+// accepting is paused: the other process then accepts the rest of the backlog.
 func (f *frontend) waitForResume() bool {
 	if f.draining.Load() {
 		return !f.paused.Load()
@@ -104,8 +105,9 @@
 	return true
 }
 
-// serveWithSlot serves a connection once it has a slot, if need be in place of an idle one. Where none is idle it waits
-// for a slot: a request may already be written to this connection, so that it can't be closed without a response.
+// serveWithSlot starts serving a connection once it has a slot, evicting an idle connection if necessary. If no
+// connection is idle it waits for a slot: the client may already have written a request, so the connection must not be
+// closed without a response.
 func (f *frontend) serveWithSlot(raw net.Conn) {
 	c := newClientConn(f, raw)
 	f.waitingForSlot.Add(1)
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// A node that shuts down takes the connections that the kernel has accepted, also where they have to wait for a slot.
+// Guards against resetting connections in the listen backlog during a shutdown, with requests already written: they are
+// accepted and answered even if they have to wait for a slot.
 func TestShutdownTakesAcceptedConnections(t *testing.T) {
 	responseGate := newGate(t)
 	upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -21,32 +22,33 @@
 	n := startNode(t, nil, upstream)
 	n.frontend.setLimits(1, 0, 100)
 	var readers []*bufio.Reader
-	for i := range 5 { // one served, one waiting for a slot, three in the kernel
+	for i := range 5 { // one served, one waiting for a slot, three in the listen backlog
 		c, in := dial(t, n)
 		readers = append(readers, in)
 		writeText(c, requestText("batch", fmt.Sprint("t", i), ""))
-		eventually(t, "the first to be served and the second to wait", func() bool {
+		eventually(t, "the node has accepted min(i+1, 2) connections", func() bool {
 			return int(n.count(clientsAccepted)) == min(i+1, 2)
 		})
 	}
 	responseGate.awaitArrivals(t, 1)
 	stopped := make(chan struct{})
 	go func() { n.shutDown(); close(stopped) }()
-	eventually(t, "the listener to drain", n.frontend.draining.Load)
+	eventually(t, "the listener is draining", n.frontend.draining.Load)
 	responseGate.release()
 	for i, in := range readers {
 		if status, body, _ := readResponse(in); status != 200 {
-			t.Errorf("request %d was answered %d %s", i, status, body)
+			t.Errorf("request %d: got status %d, body %q, want status 200", i, status, body)
 		}
 	}
 	<-stopped
 	if c, err := net.Dial("tcp", n.address()); err == nil {
 		c.Close()
-		t.Error("it still listens")
+		t.Error("connecting after the shutdown succeeded, want an error: the listener is still open")
 	}
 }
 
-// The socket that processes share may become a blocking one before the next accept: the shutdown still ends.
+// Guards against a shutdown that waits for an accept blocked in the kernel. That happens if another process that shares
+// the socket switches it to blocking mode.
 func TestShutdownEndsWithBlockingListener(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
 	n := processes(t, upstream)()
@@ -64,27 +66,27 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = syscall.Close(duplicate) }()
-	setNonblock := func(nonblocking bool) { // of all descriptors of the socket
+	setNonblock := func(nonblocking bool) { // applies to all descriptors of the socket
 		t.Helper()
 		if err := syscall.SetNonblock(duplicate, nonblocking); err != nil {
 			t.Error(err)
 		}
 	}
 	setNonblock(false)
-	sendRequest(t, n, "batch", "t", "") // the next accept blocks in the kernel
+	sendRequest(t, n, "batch", "t", "") // after this connection the next accept blocks in the kernel
 	stopped := make(chan struct{})
 	go func() { n.shutDown(); close(stopped) }()
 	select {
 	case <-stopped:
 	case <-time.After(10 * time.Second):
-		t.Error("the shutdown waits for an accept")
+		t.Error("shutdown not done after 10 s, it waits for the blocked accept")
 	}
 	rejecting := make(chan bool, 1)
 	n.loop.post(func() { rejecting <- n.loop.rejectsNewRequests })
 	if <-rejecting {
-		t.Error("the shutdown ended only by giving up")
+		t.Error("shutdown ended only by its timeout: rejectsNewRequests is true, want false")
 	}
-	setNonblock(true) // and the accept is let go, for the end of the test
+	setNonblock(true) // unblocks the accept, so that the test can end
 	if c, err := net.Dial("tcp", n.address()); err == nil {
 		c.Close()
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -11,35 +11,36 @@
 	"time"
 )
 
-// The admin API's connections: a listener of its own, one call on each connection, and a bound on both. What calls do
-// is in admincommands.go. Nothing here waits for the loop, a client or an upstream.
+// The admin API's connections: a separate listener, one call per connection, and limits on the number of connections
+// and the size and duration of a call. The calls themselves are in admincommands.go. Nothing here waits for the event
+// loop, a client or an upstream.
 
 const (
-	adminReadTimeout   = 3 * time.Second // for the whole call
-	adminEvictionAge   = 10 * time.Millisecond
+	adminReadTimeout   = 3 * time.Second       // from accept to the end of the call's head
+	adminEvictionAge   = 10 * time.Millisecond // older connections that have sent nothing may be evicted
 	adminWriteTimeout  = time.Second
 	maxAdminHeadBytes  = 8 << 10
 	maxAdminConns      = 64
-	adminConnDivisor   = 12 // of the descriptors one in so many is for the admin API, if that is fewer
+	adminConnDivisor   = 12 // the admin API gets 1/12 of the descriptors, at most maxAdminConns
 	headEnd            = "\r\n\r\n"
 	admitRetryInterval = adminEvictionAge / 4
 )
 
 var (
 	errAdminHeadTooLong    = errors.New("head longer than 8 KiB")
-	errAdminHeadIncomplete = errors.New("half a call")
-	errAdminMalformed      = errors.New("a call that cannot be read")
+	errAdminHeadIncomplete = errors.New("incomplete call: expected a head that ends with an empty line")
+	errAdminMalformed      = errors.New("malformed call: expected an HTTP/1 request")
 )
 
-// adminServer holds the admin API's listener and connections.
+// adminServer accepts and serves the admin API's connections.
 type adminServer struct {
 	node     *Node
-	listener net.Listener // nil: no admin API
+	listener net.Listener // nil if the admin API is disabled
 
 	mu      sync.Mutex
 	maxOpen int
 	open    int
-	waiting []*adminConn // those whose call has not been read, the oldest first
+	waiting []*adminConn // connections whose call has not been read yet, oldest first
 }
 
 type adminConn struct {
@@ -47,7 +48,7 @@
 	acceptedAt time.Time
 }
 
-// newAdminServer opens the listener, if the configuration has one.
+// newAdminServer opens the listener if Config.AdminListen is set.
 func newAdminServer(n *Node) (*adminServer, error) {
 	s := &adminServer{node: n}
 	if n.config.AdminListen == "" {
@@ -60,7 +61,7 @@
 	return s, nil
 }
 
-// setLimit sets how many connections there may be at once.
+// setLimit sets the maximum number of open connections.
 func (s *adminServer) setLimit(maxOpen int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +92,8 @@
 	}
 }
 
-// admit serves a connection once there is room for it: guards against thousands of connections that send nothing.
+// admit waits until the connection fits in the limit and then serves it. The limit keeps thousands of silent
+// connections from using up the descriptors.
 func (s *adminServer) admit(c *adminConn) {
 	for !s.tryAdmit(c) {
 		time.Sleep(admitRetryInterval)
@@ -114,7 +116,8 @@
 	return true
 }
 
-// evictLocked closes the oldest connection that has sent nothing for adminEvictionAge before a time; mu is held.
+// evictLocked closes the oldest waiting connection that was accepted more than adminEvictionAge before the given time
+// and has no unread input. The caller holds mu.
 func (s *adminServer) evictLocked(before time.Time) {
 	for _, c := range s.waiting {
 		if before.Sub(c.acceptedAt) > adminEvictionAge && !c.hasInput() {
@@ -126,8 +129,8 @@
 	}
 }
 
-// removeWaitingLocked removes a connection from those that wait, and frees its place; it reports whether it was among them. mu
-// is held.
+// removeWaitingLocked removes a connection from the waiting ones, releases its place in the limit, and reports whether
+// it was waiting. The caller holds mu.
 func (s *adminServer) removeWaitingLocked(c *adminConn) bool {
 	for i, candidate := range s.waiting {
 		if candidate == c {
@@ -139,7 +142,8 @@
 	return false
 }
 
-// markCallRead notes that a connection's call has been read, so that it is no longer evicted; false: it was evicted.
+// markCallRead records that a connection's call has been read and protects it from eviction. It reports false if the
+// connection has already been evicted.
 func (s *adminServer) markCallRead(c *adminConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,8 +194,8 @@
 	}
 }
 
-// readAdminCall reads the head of one call. The status is that of the answer if there is an error; 0: the connection
-// has ended, or sent nothing at all.
+// readAdminCall reads the head of one call. With an error it returns the status to respond with, or 0 if the client
+// sent nothing and gets no response.
 func readAdminCall(c *adminConn) (request *http.Request, status int, err error) {
 	for searched := 0; !headEnds(c.buffered(), searched); {
 		searched = max(0, len(c.buffered())-len(headEnd)+1)
@@ -212,7 +216,8 @@
 	return request, http.StatusOK, nil
 }
 
-// incompleteStatus is the answer to a call whose connection failed before the head was complete; 0: none.
+// incompleteStatus returns the response status for a call whose read failed before the head was complete, or 0 if the
+// client sent nothing.
 func incompleteStatus(c *adminConn, err error) int {
 	if len(c.buffered()) == 0 {
 		return 0
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -18,7 +18,7 @@
 
 func withAdmin(c *Config) { c.AdminListen = unusedAddress() }
 
-// sendAdminCall makes one admin call and returns the answer.
+// sendAdminCall writes text on a new admin connection and returns the response.
 func sendAdminCall(t *testing.T, n *Node, text string) (status int, body string, header http.Header) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.admin.listener.Addr().String())
@@ -31,9 +31,7 @@
 	return readResponse(bufio.NewReader(c))
 }
 
-func callText(call string) string {
-	return call + " HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n"
-}
+func callText(call string) string { return call + " HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n" }
 
 func (n *Node) adminCall(t *testing.T, adminCall string) int {
 	t.Helper()
@@ -63,18 +61,18 @@
 	} {
 		status, body, header := sendAdminCall(t, n, text)
 		if status != want || strings.Count(body, "\n") != 1 {
-			t.Errorf("%.60q: %d %q, want %d and one line", text, status, body, want)
+			t.Errorf("%.60q: got status %d, body %q, want status %d and a one-line body", text, status, body, want)
 		}
 		if (header.Get("Allow") != "") != (want == 405) {
-			t.Errorf("%.60q: %d with Allow %q", text, status, header.Get("Allow"))
+			t.Errorf("%.60q: got status %d with Allow %q, want Allow with status 405 only", text, status, header.Get("Allow"))
 		}
 	}
 	if n.overrides.isDisabled(endpointID("s-0")) || n.count(adminCallsBad) != 14 {
-		t.Errorf("an invalid call disabled an endpoint, or is not counted: %d", n.count(adminCallsBad))
+		t.Errorf("an invalid call disabled s-0, or the calls were miscounted: got %d bad calls, want 14", n.count(adminCallsBad))
 	}
 }
 
-// Guards against connections without a call, or with half a call, that keep others out.
+// Guards against connections without a call, or with an incomplete one, occupying all admin connections.
 func TestSilentAdminConnectionsAreEvicted(t *testing.T) {
 	n := startNode(t, withAdmin)
 	for i := range 6 * maxAdminConns {
@@ -89,17 +87,17 @@
 	}
 	for _, call := range []string{"GET /ready", "PUT /drain", "PUT /undrain"} {
 		if status := n.adminCall(t, call); status != 200 {
-			t.Errorf("%s among silent connections: %d", call, status)
+			t.Errorf("%s among silent connections: got status %d, want 200", call, status)
 		}
 	}
 	n.admin.mu.Lock()
 	defer n.admin.mu.Unlock()
 	if n.admin.open > n.admin.maxOpen {
-		t.Errorf("%d connections at once, limit %d", n.admin.open, n.admin.maxOpen)
+		t.Errorf("got %d open admin connections, want at most %d", n.admin.open, n.admin.maxOpen)
 	}
 }
 
-// Guards against an admin API that answers only when the loop is free.
+// Guards against admin calls that wait for the event loop: the loop is blocked and its queue is full.
 func TestAdminDoesNotWaitForEventLoop(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
 	n := startNode(t, withAdmin, upstream)
@@ -109,18 +107,19 @@
 	for len(n.loop.events) < cap(n.loop.events) {
 		select {
 		case n.loop.events <- func() {}:
-		default: // the endpoint watch posts too, and has taken the last place
+		default: // the endpoint watch posts events too, and has filled the queue
 		}
 	}
 	for _, call := range []string{"PUT /servers/disable?target=s-0", "PUT /drain", "PUT /undrain", "PUT /servers/enable?target=s-0", "GET /ready"} {
 		if status := n.adminCall(t, call); status != 200 {
-			t.Errorf("%s: %d while the loop stands still", call, status)
+			t.Errorf("%s while the event loop is blocked: got status %d, want 200", call, status)
 		}
 	}
 	close(unblock)
 }
 
-// A server taken out gets nothing, whatever the list says of it, until one call puts it back, cold.
+// A disabled endpoint gets no requests, whatever the endpoint list says about it, until it is enabled again. It then
+// counts as newly started and goes through slow start.
 func TestDisabledEndpointGetsNoRequests(t *testing.T) {
 	disabledAddr, disabledRequests := startUpstream(t, echo)
 	otherAddr, _ := startUpstream(t, echo)
@@ -130,17 +129,17 @@
 		before := disabledRequests.Load()
 		for i := range 20 {
 			if status, _, _ := sendRequest(t, n, "batch", fmt.Sprint(round, i), ""); status != 200 {
-				t.Errorf("%s: task %d was answered %d", round, i, status)
+				t.Errorf("round %s, request %d: got status %d, want 200", round, i, status)
 			}
 		}
 		return disabledRequests.Load() - before
 	}
 	if countAtDisabled("before") == 0 {
-		t.Fatal("the server is not in use before")
+		t.Fatal("s-0 got none of 20 requests before it was disabled, want at least 1")
 	}
 	for range 2 {
 		if status := n.adminCall(t, "PUT /servers/disable?target=s-0"); status != 200 {
-			t.Fatalf("taken out: %d", status)
+			t.Fatalf("disable: got status %d, want 200", status)
 		}
 	}
 	listings := []string{
@@ -150,28 +149,29 @@
 	for i := range len(listings) + 1 {
 		time.Sleep(2 * overridesPollInterval)
 		if got := countAtDisabled(fmt.Sprint("out", i)); got != 0 {
-			t.Errorf("%d tasks for a server that is out, after %d listings", got, i)
+			t.Errorf("disabled endpoint got %d requests after %d list updates, want 0", got, i)
 		}
 		if i < len(listings) {
 			n.postList(t, listings[i])
 		}
 	}
 	if got := n.count(attemptsNotSent); got != 0 {
-		t.Errorf("the decisions chose a server that is out %d times", got)
+		t.Errorf("the policy selected the disabled endpoint: got %d attempts not sent, want 0", got)
 	}
 	before := n.clock.now()
 	if n.adminCall(t, "PUT /servers/enable?target=s-0") != 200 {
-		t.Fatal("not put back")
+		t.Fatal("enable: status is not 200")
 	}
 	eventually(t, "the endpoint is in use again", func() bool { return countAtDisabled(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
 	startedAt := make(chan policy.Time, 1)
 	n.loop.post(func() { startedAt <- n.overrides.applied.apply(*n.overrides.entries["s-0"]).StartedAt })
 	if started := <-startedAt; started < before {
-		t.Errorf("enabled as started at %d, before it was enabled at %d", started, before)
+		t.Errorf("start time after enabling: got %d, want at least %d, the time of the call", started, before)
 	}
 }
 
-// Guards against decisions that go on choosing an endpoint after an operator was told that it is out.
+// Guards against a policy that still selects an endpoint after the call that disabled it was confirmed: the override is
+// applied at once, not at the next poll of the overrides file.
 func TestOverrideIsAppliedWithoutPolling(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
 	n := newNode(t, withAdmin, upstream)
@@ -182,14 +182,14 @@
 	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the decisions know", func() bool {
+	eventually(t, "the event loop has applied the override", func() bool {
 		applied := make(chan *overrideSet, 1)
 		n.loop.post(func() { applied <- n.overrides.applied })
 		return (<-applied).disabled[endpointID("s-0")]
 	})
 }
 
-// An attempt checks overrides itself before it is written, as the decisions may not have seen them yet.
+// An attempt checks overrides itself before it is written, because the policy may not have seen them yet.
 func TestAttemptChecksOverridesBeforeItIsSent(t *testing.T) {
 	upstream, requests := startUpstream(t, echo)
 	n := newNode(t, withAdmin, upstream)
@@ -200,31 +200,31 @@
 	a := &attempt{request: newPendingRequest(), target: upstreamTarget{endpointID("s-0"), upstream}, deadline: n.clock.now().Add(time.Second)}
 	_, err := n.upstreams.runRoundTrip(a)
 	if err == nil || err.outcome() != policy.OutcomeNotSent || requests.Load() != 0 {
-		t.Errorf("%v, %d requests reached a disabled endpoint", err, requests.Load())
+		t.Errorf("got error %v and %d requests at the disabled endpoint, want outcome not sent and 0", err, requests.Load())
 	}
 }
 
-// Overrides outlive the process, and both processes of a node obey them.
+// Overrides persist across restarts, and both processes of a node apply them and can change them concurrently.
 func TestOverridesAreSharedAndPersisted(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
 	var dir, listen string
 	n := startNode(t, func(c *Config) { withAdmin(c); dir, listen = c.filesDir, c.Listen }, upstream)
 	other := newNode(t, func(c *Config) { withAdmin(c); c.filesDir, c.Listen = dir, listen }, upstream)
 	other.start()
-	eventually(t, "both ready", func() bool { return n.adminCall(t, "GET /ready") == 200 && other.adminCall(t, "GET /ready") == 200 })
+	eventually(t, "both processes are ready", func() bool { return n.adminCall(t, "GET /ready") == 200 && other.adminCall(t, "GET /ready") == 200 })
 	n.adminCall(t, "PUT /servers/disable?target=s-0")
 	n.adminCall(t, "PUT /drain")
-	eventually(t, "the other knows", func() bool {
+	eventually(t, "the other process has read the overrides", func() bool {
 		return other.overrides.isDisabled(endpointID("s-0")) && other.adminCall(t, "GET /ready") == 503
 	})
 	later := newNode(t, func(c *Config) { c.filesDir, c.Listen = dir, listen })
 	if !later.overrides.isDisabled(endpointID("s-0")) || !later.overrides.drained() || !later.overrides.isKnown("s-0") {
-		t.Error("a later process does not know the overrides")
+		t.Error("a new process does not have the overrides: want s-0 disabled and known, and the node drained")
 	}
 	other.adminCall(t, "PUT /servers/enable?target=s-0")
-	eventually(t, "the first knows", func() bool { return !n.overrides.isDisabled(endpointID("s-0")) })
+	eventually(t, "the first process has read that s-0 is enabled", func() bool { return !n.overrides.isDisabled(endpointID("s-0")) })
 	if !n.overrides.drained() {
-		t.Error("a change by one process undid one by the other")
+		t.Error("enabling s-0 in one process undid the drain of the other")
 	}
 	var changes sync.WaitGroup
 	for i := range 20 {
@@ -241,11 +241,12 @@
 	changes.Wait()
 	n.overrides.reload()
 	if overrideCount := len(n.overrides.current.Load().disabled); overrideCount != 40 {
-		t.Errorf("%d of 40 overrides hold after both processes were called at once", overrideCount)
+		t.Errorf("got %d overrides after concurrent changes by both processes, want 40", overrideCount)
 	}
 }
 
-// The overrides file is not trusted: the node starts, counts what can't be read, and obeys the rest.
+// The overrides file may be damaged: the node starts nevertheless, counts the file as unreadable, and applies the
+// entries that it can read.
 func TestUnreadableOverridesAreCounted(t *testing.T) {
 	n := newNode(t, withAdmin)
 	header := "fawnglade-orders 1 " + n.identity() + "\n"
@@ -265,7 +266,8 @@
 		}
 		restarted := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
 		if got := len(restarted.overrides.current.Load().disabled); got != want || restarted.count(overridesUnreadable) != 1 {
-			t.Errorf("%.80q: %d disabled, want %d; counted %d times", text, got, want, restarted.count(overridesUnreadable))
+			t.Errorf("%.80q: got %d endpoints disabled, want %d; got a count of %d unreadable files, want 1",
+				text, got, want, restarted.count(overridesUnreadable))
 		}
 	}
 	running := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
@@ -275,22 +277,22 @@
 	}
 	running.overrides.reload()
 	if !running.overrides.drained() || !running.overrides.isDisabled(endpointID("s-7")) {
-		t.Error("a file that was damaged meanwhile ends a drain, or enables an endpoint")
+		t.Error("reloading a damaged file ended the drain or enabled s-7, want both overrides kept")
 	}
 	if err := errors.Join(os.Remove(n.overrides.path), os.Mkdir(n.overrides.path, 0o700)); err != nil {
 		t.Fatal(err)
 	}
 	if restarted := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen }); restarted.count(overridesUnreadable) != 1 {
-		t.Error("a directory in the place of the file is not counted")
+		t.Error("a directory in place of the overrides file was not counted as unreadable")
 	}
 	n.overrides.rememberNames("s-0")
 	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err == nil || n.overrides.isDisabled(endpointID("s-0")) {
-		t.Error("an override that can't be written was confirmed, or has effect")
+		t.Error("an override that can't be written to the file was confirmed or applied, want an error and no effect")
 	}
 }
 
-// While drained the node is not ready, closes connections with their next response or when they are idle, and serves
-// requests.
+// While drained the node is not ready and closes idle connections, and active ones after their next response, but still
+// serves requests.
 func TestDrainedNodeClosesConnections(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
 	n := startNode(t, withAdmin, upstream)
@@ -302,31 +304,31 @@
 	writeText(idle, requestText("batch", "t2", ""))
 	readResponse(idleIn)
 	if n.adminCall(t, "PUT /drain") != 200 || n.adminCall(t, "GET /ready") != 503 {
-		t.Fatal("ready while drained")
+		t.Fatal("drained node: want status 200 for /drain, then 503 for /ready")
 	}
 	c, cIn := dial(t, n)
 	writeText(c, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	if status, _, _ := readResponse(cIn); status != 503 {
-		t.Errorf("/ready for clients is %d", status)
+		t.Errorf("/ready on the client listener of a drained node: got status %d, want 503", status)
 	}
 	writeText(used, requestText("batch", "t3", ""))
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 200 || !r.Close {
-		t.Errorf("%v, %v on a connection in use, want a response that closes it", r, err)
+		t.Errorf("active connection: got response %v, error %v, want status 200 with Connection: close", r, err)
 	}
 	if status, _, _ := sendRequest(t, n, "batch", "t4", ""); status != 200 {
-		t.Errorf("a client that came in the next moment got %d", status)
+		t.Errorf("client that connects during the drain: got status %d, want 200", status)
 	}
 	idle.SetReadDeadline(time.Now().Add(4 * time.Second))
 	if _, err := idleIn.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("an idle connection is held: %v", err)
+		t.Errorf("idle connection: got error %v, want EOF, as the drained node closes it", err)
 	}
 	for range 2 {
 		if n.adminCall(t, "PUT /undrain") != 200 || n.adminCall(t, "GET /ready") != 200 {
-			t.Error("not ready after the end of the drain")
+			t.Error("after the drain: want status 200 for /undrain and for /ready")
 		}
 	}
 	if status, _, _ := sendRequest(t, n, "batch", "t5", ""); status != 200 {
-		t.Errorf("after the drain a request got %d", status)
+		t.Errorf("request after the drain: got status %d, want 200", status)
 	}
 }
 
@@ -334,7 +336,7 @@
 	return policy.EndpointInfo{ID: endpointID(name), State: policy.StateActive, Weight: 1}
 }
 
-// postList posts a list as if discovery had sent it.
+// postList posts an endpoint list to the event loop as if the discovery service had sent it.
 func (n *Node) postList(t *testing.T, text string) {
 	t.Helper()
 	update, err := n.parseList([]byte(text))
--- a/internal/node/admincommands.go
+++ b/internal/node/admincommands.go
@@ -10,14 +10,14 @@
 	"go.uber.org/zap"
 )
 
-// The admin API's calls. GET calls report state; PUT calls change overrides and nothing else, and are answered once
-// the change is in the overrides file.
+// The admin API's calls. GET calls report state. PUT calls change only overrides, and the response is sent after the
+// change has been written to the overrides file.
 
-// adminResponse is the answer to a call: one line of plain text.
+// adminResponse is the response to a call: one line of plain text.
 type adminResponse struct {
 	status int
 	text   string
-	allow  string // the method that the path allows, where another was used
+	allow  string // the allowed method, if the call used another one
 }
 
 func (a adminResponse) encode() []byte {
@@ -45,7 +45,7 @@
 	return adminResponse{status: http.StatusServiceUnavailable, text: reason}
 }
 
-// handle answers a call.
+// handle executes a call and returns the response.
 func (s *adminServer) handle(r *http.Request) adminResponse {
 	method, known := adminMethods[r.URL.Path]
 	if !known || !s.isEnabled(r.URL.Path) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// offers reports whether the part of the node that a path reports on is on.
+// isEnabled reports whether the feature behind a path is enabled on this node.
 func (s *adminServer) isEnabled(path string) bool {
 	switch path {
 	case pathMembers:
@@ -88,7 +88,7 @@
 	return true
 }
 
-// handleOverride makes the change that a PUT call asks for.
+// handleOverride applies the override change of a PUT call.
 func (s *adminServer) handleOverride(r *http.Request) adminResponse {
 	change := drainChanges[r.URL.Path]
 	if change == nil {
@@ -106,7 +106,7 @@
 	newState, err := s.node.overrides.change(change)
 	if err != nil {
 		s.node.log.Error("override not changed", zap.String("call", r.URL.Path), zap.Error(err))
-		text := "not carried out, nothing has changed: " + err.Error()
+		text := "override not written, state is unchanged: " + err.Error()
 		return adminResponse{status: http.StatusInternalServerError, text: text}
 	}
 	s.node.log.Info("override changed", zap.String("call", r.URL.RequestURI()), zap.String("now", newState))
@@ -124,7 +124,7 @@
 	},
 }
 
-// target is the endpoint that a call names, or the answer to a call that names none or an unknown one.
+// target returns the endpoint named in a call's query, or an error response if the name is missing or unknown.
 func (s *adminServer) target(query string) (name string, errorResponse *adminResponse) {
 	name, err := parseTarget(query)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return name, nil
 }
 
-// parseTarget reads the one target of a query.
+// parseTarget returns the single target of a query.
 func parseTarget(query string) (string, error) {
 	values, err := url.ParseQuery(query)
 	if err != nil {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// lean answers every request that ends as the benchmark's do, without parsing it: what is measured is the node.
+// serveFixedResponse answers each request that ends with the benchmark's end marker, without parsing it, so that the
+// upstream costs little compared with the node.
 func serveFixedResponse(c net.Conn) {
 	buffer := make([]byte, 8192)
 	received := 0
@@ -31,8 +32,8 @@
 	}
 }
 
-// BenchmarkNode is a request of 200 bytes through the node, clients and servers in the same process, over 32
-// connections.
+// BenchmarkNode measures requests with a body of 200 bytes over 32 client connections. Clients and upstreams run in the
+// same process as the node.
 func BenchmarkNode(b *testing.B) {
 	for _, upstreamCount := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprint(upstreamCount), func(b *testing.B) {
--- a/internal/node/bufferedconn.go
+++ b/internal/node/bufferedconn.go
@@ -1,7 +1,7 @@
 package node
 
-// A connection with its read buffer. The buffer grows as a message head needs, is compacted in place, and is released
-// once it is large and empty.
+// A connection with a read buffer. The buffer grows until it holds a complete message head, is compacted in place, and
+// is released when it is empty and larger than maxIdleBufferBytes.
 
 import (
 	"errors"
@@ -16,30 +16,30 @@
 
 const (
 	initialBufferBytes = 2 << 10
-	maxIdleBufferBytes = 16 << 10 // an idle connection keeps no larger buffer
+	maxIdleBufferBytes = 16 << 10 // a larger buffer is released when it is empty
 )
 
-// bufferedConn is a connection with its read buffer. One goroutine reads at a time; writes, deadlines, hasInput,
-// closedByPeer and lastReadAt may be used beside it.
+// bufferedConn is a connection with a read buffer. Only one goroutine may read at a time; writing, setting deadlines,
+// hasInput, closedByPeer and lastReadAt are safe concurrently with a read.
 type bufferedConn struct {
 	net.Conn
 	buf        []byte
-	start, end int          // buf[start:end] has been read and not consumed
-	pacer      *readPacer   // nil unless a body is being read whose progress is measured
-	readErr    error        // of the last read that the connection itself failed
-	lastReadAt atomic.Int64 // Unix time in nanoseconds at which bytes came last; 0: never
+	start, end int          // buf[start:end] has been read from the connection and not consumed
+	pacer      *readPacer   // enforces progress while a body is read; nil otherwise
+	readErr    error        // error of the last failed read from the connection
+	lastReadAt atomic.Int64 // Unix time in nanoseconds of the last read that returned bytes; 0 if none has
 }
 
 func newBufferedConn(conn net.Conn) *bufferedConn { return &bufferedConn{Conn: conn} }
 
-// buffered returns what has been read and not consumed. It is valid until the next read.
+// buffered returns the bytes that have been read and not consumed. The slice is valid until the next read.
 func (c *bufferedConn) buffered() []byte { return c.buf[c.start:c.end] }
 
-// discardBuffered consumes all that is buffered.
+// discardBuffered consumes all buffered bytes.
 func (c *bufferedConn) discardBuffered() { c.start = c.end }
 
-// readOnce reads once from the connection itself, within the pacer's time if there is one. It returns at least one
-// byte or an error, which it keeps in readErr.
+// readOnce reads once from the connection, bypassing the buffer and subject to the pacer if there is one. It returns
+// either at least one byte or an error, which it also stores in readErr.
 func (c *bufferedConn) readOnce(p []byte) (int, error) {
 	if c.pacer != nil {
 		if err := c.pacer.begin(c.Conn); err != nil {
@@ -62,7 +62,7 @@
 	return 0, err
 }
 
-// fill reads once into the buffer, after making room.
+// fill reads once from the connection into the buffer, making room first if it is full.
 func (c *bufferedConn) fill() error {
 	c.shrink()
 	if c.end == len(c.buf) {
@@ -73,7 +73,7 @@
 	return err
 }
 
-// makeRoom compacts a full buffer, or grows one that is full from its beginning.
+// makeRoom compacts a full buffer, or grows it if nothing in it has been consumed.
 func (c *bufferedConn) makeRoom() {
 	if c.start > 0 {
 		c.end = copy(c.buf, c.buffered())
@@ -86,8 +86,8 @@
 	c.buf = grown
 }
 
-// shrink resets an empty buffer and releases a large one. Guards against a burst of large messages whose buffers would
-// be held as long as their connections are.
+// shrink resets an empty buffer and releases it if it is large. Otherwise the buffers of a burst of large messages
+// would stay allocated as long as their connections are open.
 func (c *bufferedConn) shrink() {
 	if c.start < c.end {
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-// connReader reads what is buffered on a connection and then on from the connection.
+// connReader reads the buffered bytes of a connection first and then from the connection itself.
 type connReader struct{ *bufferedConn }
 
 func (r connReader) Read(p []byte) (int, error) {
@@ -110,8 +110,9 @@
 	return r.readOnce(p)
 }
 
-// closeWriteAndDrain ends the sending side and waits up to closeLinger for the peer to close. Guards against a reset that
-// would discard what was sent to a peer that is still sending. The caller closes the connection.
+// closeWriteAndDrain closes the sending side, then discards input for up to closeLinger until the peer closes. Closing
+// with unread input would make the kernel send a reset, which can discard the response at the peer. The caller closes
+// the connection.
 func (c *bufferedConn) closeWriteAndDrain() {
 	c.closeWrite()
 	c.SetReadDeadline(time.Now().Add(closeLinger))
@@ -123,15 +124,15 @@
 	}
 }
 
-// closeWrite ends the sending side, if the connection can be half-closed.
+// closeWrite closes the sending side if the connection is a TCP connection.
 func (c *bufferedConn) closeWrite() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
 }
 
-// abort resets the connection, so that its peer sees that what it was sent is incomplete, also where the end of the
-// connection would be the end of the message.
+// abort closes the connection with a reset. The peer then recognizes an incomplete message even if the end of the
+// connection would delimit it.
 func (c *bufferedConn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -139,20 +140,20 @@
 	c.Close()
 }
 
-// isReusable reports that the peer has neither closed the connection nor sent anything that was not asked for. Guards
-// against late responses and against a connection that a restarted upstream no longer knows.
+// isReusable reports whether an idle connection may carry another request: the peer has neither closed it nor sent
+// unsolicited bytes, such as a late response. A restarted upstream shows as a closed or reset connection.
 func (c *bufferedConn) isReusable() bool {
 	_, err := sockstate.Peek(c.Conn)
 	return len(c.buffered()) == 0 && errors.Is(err, syscall.EAGAIN)
 }
 
-// hasInput reports whether the kernel holds bytes that have not been read yet. It may be called beside a read.
+// hasInput reports whether the kernel's receive buffer holds unread bytes. It may be called concurrently with a read.
 func (c *bufferedConn) hasInput() bool {
 	n, err := sockstate.Peek(c.Conn)
 	return n > 0 && err == nil
 }
 
-// closedByPeer reports whether the peer has ended its side, also where unread bytes precede the end. It may be called
-// beside reads and writes. A peer that has only shut down its sending side looks the same: the protocol counts a client
-// that closes as gone, and only a write would show the difference.
+// closedByPeer reports whether the peer has closed its sending side, even if unread bytes precede the end. It may be
+// called concurrently with reads and writes. It can't distinguish a half-close from a full close, which only a write
+// would show; the protocol treats a client that half-closes as gone.
 func (c *bufferedConn) closedByPeer() bool { return sockstate.Ended(c.Conn) }
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -1,7 +1,7 @@
 package node
 
-// One client connection: its read loop, which takes requests, its write loop, which writes the responses in the order
-// of the requests, and when it ends. Reading a request is in requestread.go.
+// One client connection: the read loop reads requests, the write loop writes the responses in request order, and both
+// decide when the connection is closed. Reading a single request is in requestread.go.
 
 import (
 	"net"
@@ -12,28 +12,28 @@
 
 const (
 	maxPipelined = 4               // requests read ahead on one connection
-	maxLinger    = 3 * time.Second // for a client that goes on sending after its last response
+	maxLinger    = 3 * time.Second // for a client that keeps sending after its last response
 )
 
-// clientConn is one client connection. Its read loop and its write loop meet in responseOrder. The write loop closes
-// the connection, so that a node that stops waits for the last response.
+// clientConn is one client connection. The read loop passes each request to the write loop through responseOrder. The
+// write loop closes the connection, so that a shutdown waits for the last response.
 type clientConn struct {
 	frontend       *frontend
 	conn           *bufferedConn
-	responseOrder  chan *pendingRequest // in the order of the requests; closed by the read loop
-	slotAcquiredAt time.Time            // when it got its slot; written before the loops start
+	responseOrder  chan *pendingRequest // pending requests in the order received; closed by the read loop
+	slotAcquiredAt time.Time            // when the connection got its slot; written before the loops start
 
-	lingerUntil atomic.Int64 // Unix time in ns until which input is discarded; 0 until the last response is written
-	streaming   atomic.Bool  // a response is being passed on as it comes
+	lingerUntil atomic.Int64 // Unix time in nanoseconds until which input is discarded; 0 until the last response is written
+	streaming   atomic.Bool  // a response is being streamed to the client
 
 	mu               sync.Mutex
 	pendingCount     int           // requests without a written response
-	closed           bool          // takes no more requests
-	evicting         bool          // is to close unless a request has come
-	used             bool          // has brought a request; written by the read loop alone
-	lingerTimeout    time.Duration // of silence after the last response, after which the connection is closed
-	lastUsedAt       time.Time     // when it was accepted or its last response was written
-	messageStartedAt time.Time     // when the message that is being read began; zero between messages
+	closed           bool          // accepts no more requests
+	evicting         bool          // close unless a request has arrived meanwhile
+	used             bool          // at least one request was read; written only by the read loop
+	lingerTimeout    time.Duration // the connection is closed after this long without input after the last response
+	lastUsedAt       time.Time     // when the connection was accepted or the last response was written
+	messageStartedAt time.Time     // start of the message that is being read; zero between messages
 }
 
 func newClientConn(f *frontend, raw net.Conn) *clientConn {
@@ -45,11 +45,11 @@
 	}
 }
 
-// clientGone reports whether the client has closed its connection, also before the read loop comes to its end. Any
-// goroutine may call it; a worker does just before it writes the client's request.
+// clientGone reports whether the client has closed its connection, even if the read loop has not seen the end yet. Any
+// goroutine may call it; a worker does so just before it writes the client's request to an upstream.
 func (c *clientConn) clientGone() bool { return c.conn.closedByPeer() }
 
-// readLoop takes requests from the connection until it ends; then those without a response are canceled.
+// readLoop reads requests until the connection ends, then cancels the requests that have no response.
 func (c *clientConn) readLoop() {
 	node := c.frontend.node
 	var unanswered []*pendingRequest
@@ -62,8 +62,8 @@
 		pending := newPendingRequest()
 		pending.clientGone = c.clientGone
 		request, err := c.readRequest(pending)
-		// Guards against a client that sends many requests at once and leaves: they went to upstreams one by one as
-		// those before were answered, each for a client that was gone.
+		// If a client pipelines many requests and disconnects, the remaining ones must not be sent to upstreams one
+		// after another as the preceding responses are written.
 		if err != nil && !isMalformed(err) || c.clientGone() {
 			c.releaseBody(pending)
 			return
@@ -77,7 +77,7 @@
 		if err != nil {
 			c.rejectMalformed(pending, err)
 		} else {
-			// The end of a response by HTTP/1.0 may be the end of its connection.
+			// The end of the connection may delimit the response to an HTTP/1.0 request.
 			pending.closeAfter = request.Close || pending.http10
 			c.handle(pending, request)
 		}
@@ -90,7 +90,7 @@
 	}
 }
 
-// removeAnswered removes the requests that have their response, in place.
+// removeAnswered removes the answered requests from the slice, in place.
 func removeAnswered(requests []*pendingRequest) []*pendingRequest {
 	kept := requests[:0]
 	for _, pending := range requests {
@@ -101,7 +101,7 @@
 	return kept
 }
 
-// cancelRequests posts to the event loop which requests' client has gone.
+// cancelRequests posts a clientGone event to the event loop for each unanswered request.
 func (c *clientConn) cancelRequests(requests []*pendingRequest) {
 	loop := c.frontend.node.loop
 	for _, pending := range removeAnswered(requests) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// beginRequest marks the connection as holding one request more. It reports false if the connection takes no more.
+// beginRequest counts one more pending request. It reports false if the connection accepts no more requests.
 func (c *clientConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +128,7 @@
 	return true
 }
 
-// endRequest is the counterpart of beginRequest, once the response has been written or can't be.
+// endRequest is the counterpart of beginRequest, called once the response has been written or can't be written.
 func (c *clientConn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,16 +139,17 @@
 	c.lastUsedAt = time.Now()
 }
 
-// hasNoPendingRequests reports that no response is due or being written. Guards against a 100 Continue in the middle of one.
+// hasNoPendingRequests reports that no response is due or being written, so that a 100 Continue can't end up in the
+// middle of one.
 func (c *clientConn) hasNoPendingRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pendingCount == 0
 }
 
-// shouldCloseAfter reports whether the connection is to be closed after a response, and if so takes no more requests. It
-// is not closed while it holds further requests, nor, unless it must be closed, once the next has begun to come: they
-// would be lost.
+// shouldCloseAfter reports whether to close the connection after a response, and if so stops accepting requests. The
+// connection stays open while further requests are pending and, unless closing is mandatory, when the next request has
+// started to arrive: these requests would be lost.
 func (c *clientConn) shouldCloseAfter(pending *pendingRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,22 +166,22 @@
 	c.closed = true
 	c.lingerTimeout = closeLinger
 	if bodyIncomplete {
-		// Guards against a reset that would discard the response to a client that still sends its body.
+		// Closing while the client still sends its body would cause a reset, which can discard the response.
 		c.lingerTimeout = bodyStall
 	}
 	return true
 }
 
-// staysOpenAfterTimeout reports whether the connection outlives a read that timed out, as a request of it has no response yet. One
-// that was asked to close just when its request came is no exception.
+// staysOpenAfterTimeout reports whether the connection stays open after a read timed out because a request still has no
+// response. This includes a connection that was evicted just as its request arrived.
 func (c *clientConn) staysOpenAfterTimeout() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pendingCount > 0 && !c.closed
 }
 
-// setReadTimeout sets how long the next reads may last: shorter than asked after the last response, and once the
-// connection is to close.
+// setReadTimeout sets the deadline of the following reads. The linger timeout replaces the given timeout after the last
+// response and for an evicted connection without pending requests.
 func (c *clientConn) setReadTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,8 +191,8 @@
 	c.conn.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// discardInput reads to the end of the connection, or to the end of lingering, so that the client's leaving is
-// noticed and what it still sends does not cause a reset that discards the response.
+// discardInput reads and discards input until the client closes or the linger time ends. It detects that the client has
+// closed, and keeps unread input from causing a reset that discards the response.
 func (c *clientConn) discardInput() {
 	c.setReadTimeout(clientIdleTimeout)
 	for {
@@ -210,8 +211,8 @@
 	}
 }
 
-// writeLoop writes the responses in the order of the requests. Once the client has gone, or a response could not be
-// written, it only waits for the requests that are left. Then it closes the connection.
+// writeLoop writes the responses in request order. After the client has closed or a write has failed it only waits for
+// the remaining requests to end. Then it closes the connection.
 func (c *clientConn) writeLoop() {
 	defer func() {
 		c.conn.Close()
@@ -233,8 +234,8 @@
 	}
 }
 
-// writeResponse writes one response and reports whether the connection goes on. After the last it ends the sending
-// side; the read loop then lingers for the client to close.
+// writeResponse writes one response and reports whether the connection stays open. After the last response it closes
+// the sending side; the read loop then lingers until the client closes.
 func (c *clientConn) writeResponse(pending *pendingRequest, answer *response, last bool) (keepOpen bool) {
 	defer c.frontend.node.recoverPanic("response", func() { c.conn.Close() })
 	head := answer.encodeHead(pending, last)
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -26,15 +26,15 @@
 	writeText(c, text+"no message\r\n\r\n")
 	for i := range 9 {
 		if status, body, _ := readResponse(in); status != 200 || body != fmt.Sprintf("/batch t%d b", i) {
-			t.Errorf("answer %d is %d %q", i, status, body)
+			t.Errorf("response %d: got status %d, body %q, want status 200 and the echo of request %[1]d", i, status, body)
 		}
 	}
 	if status, _, _ := readResponse(in); status != 400 {
-		t.Errorf("what is no message was answered %d", status)
+		t.Errorf("malformed message: got status %d, want 400", status)
 	}
 }
 
-// Guards against canceling a request that came just as its connection was asked to close.
+// Guards against canceling a request that arrives just as its connection is evicted.
 func TestRequestOnEvictedConnectionIsAnswered(t *testing.T) {
 	upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(3 * closeLinger)
@@ -43,7 +43,7 @@
 	n := startNode(t, nil, upstream)
 	c, in := dial(t, n)
 	writeText(c, requestText("batch", "t1", ""))
-	eventually(t, "the attempt", func() bool { return n.count(attemptsSent) == 1 })
+	eventually(t, "the attempt is sent", func() bool { return n.count(attemptsSent) == 1 })
 	n.frontend.mu.Lock()
 	for client := range n.frontend.open {
 		client.mu.Lock()
@@ -53,14 +53,15 @@
 	}
 	n.frontend.mu.Unlock()
 	if status, _, header := readResponse(in); status != 200 || header == nil {
-		t.Errorf("answered %d", status)
+		t.Errorf("request on the evicted connection: got status %d, want 200", status)
 	}
 	if status, _, _ := readResponse(in); status != 0 {
-		t.Error("the connection did not leave after its answer")
+		t.Error("the evicted connection is still open after its response")
 	}
 }
 
-// A connection is not closed after a response while the next request has begun to come.
+// Guards against losing a request whose first bytes arrive before its connection is to close: the connection stays open
+// until that request is answered.
 func TestConnectionStaysOpenForStartedRequest(t *testing.T) {
 	responseGate := newGate(t)
 	upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -73,7 +74,7 @@
 	writeText(client, requestText("batch", "a", "")+next[:60])
 	responseGate.awaitArrivals(t, 1)
 	conn := n.onlyClientConn(t)
-	eventually(t, "half of the second request", func() bool {
+	eventually(t, "the node reads the first bytes of the second request", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
 		return !conn.messageStartedAt.IsZero() && conn.pendingCount == 1
@@ -81,18 +82,18 @@
 	n.shuttingDown.Store(true)
 	responseGate.release()
 	if status, _, header := readResponse(in); status != 200 || header.Get("Connection") == "close" {
-		t.Errorf("the first was answered %d, %v", status, header)
+		t.Errorf("first request: got status %d, header %v, want status 200 without Connection: close", status, header)
 	}
 	writeText(client, next[60:])
 	if status, _, _ := readResponse(in); status != 200 {
-		t.Errorf("the second was answered %d", status)
+		t.Errorf("second request: got status %d, want 200", status)
 	}
 	if status, _, _ := readResponse(in); status != 0 {
-		t.Error("the connection stays after the last")
+		t.Error("the connection is still open after the last response")
 	}
 }
 
-// Guards against a reset that discards an early response while its client still sends its body, slowly.
+// Guards against a reset that discards an early response while the client is still slowly sending its body.
 func TestEarlyResponseReachesSlowSender(t *testing.T) {
 	upstream := listen(t, func(c net.Conn) {
 		skipRequestHead(bufio.NewReader(c))
@@ -106,10 +107,10 @@
 	for range 5 {
 		time.Sleep(4 * closeLinger)
 		if _, err := c.Write(randomBody(6500)); err != nil {
-			t.Fatalf("closed on while sending: %v", err)
+			t.Fatalf("connection closed while the client was sending its body: %v", err)
 		}
 	}
 	if status, _, _ := readResponse(in); status != 503 {
-		t.Errorf("got %d", status)
+		t.Errorf("early response: got status %d, want 503", status)
 	}
 }
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -27,17 +27,17 @@
 	n := startNode(t, nil, upstream)
 	c, _ := dial(t, n)
 	writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
-	eventually(t, "the attempt", func() bool { return requests.Load() == 1 })
+	eventually(t, "the upstream has received the attempt", func() bool { return requests.Load() == 1 })
 	c.Close()
 	select {
 	case <-closed:
-	case <-time.After(5 * time.Second): // its latency objective is 20 s
-		t.Error("the attempt was not canceled")
+	case <-time.After(5 * time.Second): // well below the latency objective of 20 s
+		t.Error("the attempt was not canceled within 5 s after its client closed")
 	}
-	eventually(t, "the cancel", func() bool { return n.count(requestsCanceled) == 1 && n.count(attemptsCanceled) == 1 })
+	eventually(t, "the request and the attempt are counted as canceled", func() bool { return n.count(requestsCanceled) == 1 && n.count(attemptsCanceled) == 1 })
 }
 
-// A request whose client has left while it waited, wherever that was, is written to no upstream.
+// A request is not sent to an upstream if its client closes while the request waits, at whatever stage it waits.
 func TestWaitingRequestOfClosedClientIsNotSent(t *testing.T) {
 	requestTexts := func(n int) (text string) {
 		for i := range n {
@@ -48,32 +48,32 @@
 	longBody := requestText("batch", "t", strings.Repeat("x", 900<<10))
 	resetConn := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
 	closeConn := func(c net.Conn) { c.Close() }
-	halfClose := func(c net.Conn) { c.(*net.TCPConn).CloseWrite() } // the pages know no client that does so and waits
+	halfClose := func(c net.Conn) { c.(*net.TCPConn).CloseWrite() } // the protocol treats a client that half-closes as gone
 	for name, c := range map[string]struct {
 		text      string
 		closeConn func(net.Conn)
 	}{
-		"one request not yet read":       {requestTexts(1), closeConn},
-		"one, reset":                     {requestTexts(1), resetConn},
-		"one, half-closed":               {requestTexts(1), halfClose},
-		"many at once":                   {requestTexts(20), closeConn},
-		"many, reset":                    {requestTexts(20), resetConn},
-		"more than is read at once":      {requestTexts(200), closeConn},
-		"a long body that is half there": {strings.Replace(longBody, "X-Lane: batch\r\n", "", 1)[:300<<10], closeConn},
+		"one request not yet read":  {requestTexts(1), closeConn},
+		"one, reset":                {requestTexts(1), resetConn},
+		"one, half-closed":          {requestTexts(1), halfClose},
+		"many at once":              {requestTexts(20), closeConn},
+		"many, reset":               {requestTexts(20), resetConn},
+		"more than is read at once": {requestTexts(200), closeConn},
+		"an incomplete long body":   {strings.Replace(longBody, "X-Lane: batch\r\n", "", 1)[:300<<10], closeConn},
 	} {
-		t.Run("before the node looks: "+name, func(t *testing.T) {
+		t.Run("before the node reads: "+name, func(t *testing.T) {
 			t.Parallel()
 			upstream, requests := startUpstream(t, echo)
 			n := newNode(t, nil, upstream)
-			client, _ := dial(t, n) // the machine takes it, nobody has yet
+			client, _ := dial(t, n) // accepted by the kernel, not yet by the node
 			client.SetDeadline(time.Now().Add(time.Second))
 			writeText(client, c.text)
 			c.closeConn(client)
 			n.start()
-			eventually(t, "the connection's end", n.allClientsClosed)
+			eventually(t, "the client connection is closed", n.allClientsClosed)
 			n.flushLoop()
 			if requests.Load() != 0 || n.count(requestsAccepted) != 0 {
-				t.Errorf("%d requests were taken and %d went to the server, for no client", n.count(requestsAccepted),
+				t.Errorf("got %d requests accepted and %d sent to the upstream, want 0, as the client is gone", n.count(requestsAccepted),
 					requests.Load())
 			}
 		})
@@ -88,20 +88,20 @@
 		n := startNode(t, nil, upstream)
 		client, _ := dial(t, n)
 		writeText(client, requestTexts(20))
-		eventually(t, "as many as are read ahead", func() bool {
+		eventually(t, "all requests read ahead are sent", func() bool {
 			return requests.Load() == n.count(attemptsSent) && requests.Load() > maxPipelined
 		})
 		conn := n.onlyClientConn(t)
 		client.Close()
-		eventually(t, "its end", conn.clientGone)
+		eventually(t, "the node detects that the client closed", conn.clientGone)
 		before := requests.Load()
 		responseGate.release()
-		eventually(t, "the connection's end", n.allClientsClosed)
+		eventually(t, "the client connection is closed", n.allClientsClosed)
 		if n.flushLoop(); requests.Load() != before {
-			t.Errorf("%d requests at the server when the client left, %d in the end", before, requests.Load())
+			t.Errorf("got %[2]d requests at the upstream, want %[1]d, the number when the client closed", before, requests.Load())
 		}
 	})
-	t.Run("all being dialed, and the reader sees no end", func(t *testing.T) {
+	t.Run("all dialing, and the read loop does not see the end", func(t *testing.T) {
 		t.Parallel()
 		upstream, requests := startUpstream(t, echo)
 		n := newNode(t, silentDiscovery(t), upstream, upstream, upstream)
@@ -109,22 +109,22 @@
 		n.start()
 		client, _ := dial(t, n)
 		writeText(client, requestTexts(20))
-		dialGate.awaitArrivals(t, maxPipelined+2) // as many as stand in turn, with the writer's and the reader's
+		dialGate.awaitArrivals(t, maxPipelined+2) // the queued requests, plus one each in the write loop and the read loop
 		conn := n.onlyClientConn(t)
 		client.Close()
-		eventually(t, "its end", conn.clientGone)
+		eventually(t, "the node detects that the client closed", conn.clientGone)
 		dialGate.release()
-		eventually(t, "the cancellation", func() bool {
+		eventually(t, "the request is canceled", func() bool {
 			n.flushLoop()
 			return n.count(attemptsNotSent) == n.count(attemptsSent)
 		})
 		attempts, accepted, canceled := n.count(attemptsSent), n.count(requestsAccepted), n.count(requestsCanceled)
 		if requests.Load() != 0 || attempts != accepted || canceled != accepted {
-			t.Errorf("of %d requests %d were sent, %d canceled, %d came to servers", accepted, attempts, canceled,
-				requests.Load())
+			t.Errorf("of %d accepted requests got %d attempts, %d canceled, %d received by upstreams, want all canceled and 0 received",
+				accepted, attempts, canceled, requests.Load())
 		}
 	})
-	t.Run("in the loop's queue, behind the result that retries it", func(t *testing.T) {
+	t.Run("in the event queue, after the result that triggers a retry", func(t *testing.T) {
 		t.Parallel()
 		errorGate := newGate(t)
 		upstream, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -137,49 +137,50 @@
 		errorGate.awaitArrivals(t, 1)
 		loopGate := n.blockLoop(t)
 		errorGate.release()
-		eventually(t, "the answer in the queue", func() bool { return len(n.loop.events) == 1 })
+		eventually(t, "the result is queued", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
-		eventually(t, "the cancellation behind it", func() bool { return len(n.loop.events) == 2 })
+		eventually(t, "the cancellation is queued too", func() bool { return len(n.loop.events) == 2 })
 		loopGate.release()
-		eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
-		eventually(t, "the end", func() bool {
+		eventually(t, "the request is canceled", func() bool { return n.count(requestsCanceled) == 1 })
+		eventually(t, "all attempts have ended", func() bool {
 			n.flushLoop()
 			return n.count(attemptsSent) == n.count(attemptsErrored)+n.count(attemptsNotSent)+n.count(attemptsCanceled)
 		})
 		if requests.Load() != 1 {
-			t.Errorf("%d attempts came to servers, want the one before", requests.Load())
+			t.Errorf("got %d attempts at upstreams, want 1, the one before the client closed", requests.Load())
 		}
 	})
-	t.Run("in the loop's queue, before its arrival", func(t *testing.T) {
+	t.Run("in the event queue, before its arrival is handled", func(t *testing.T) {
 		t.Parallel()
 		upstream, requests := startUpstream(t, echo)
 		n := startNode(t, silentDiscovery(t), upstream)
 		loopGate := n.blockLoop(t)
 		client, _ := dial(t, n)
 		writeText(client, requestText("batch", "t", ""))
-		eventually(t, "the arrival in the queue", func() bool { return len(n.loop.events) == 1 })
+		eventually(t, "the arrival is queued", func() bool { return len(n.loop.events) == 1 })
 		client.Close()
-		eventually(t, "the cancellation behind it", func() bool { return len(n.loop.events) == 2 })
+		eventually(t, "the cancellation is queued too", func() bool { return len(n.loop.events) == 2 })
 		loopGate.release()
-		eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
-		eventually(t, "the end", func() bool {
+		eventually(t, "the request is canceled", func() bool { return n.count(requestsCanceled) == 1 })
+		eventually(t, "all attempts have ended", func() bool {
 			n.flushLoop()
 			return n.count(attemptsSent) == n.count(attemptsNotSent)
 		})
 		if requests.Load() != 0 {
-			t.Error("it went to the server")
+			t.Error("the upstream received the request, want none, as the client is gone")
 		}
 	})
 }
 
-// clientCloseMethods are the ways in which a client leaves; the protocol knows no client that half-closes and waits.
+// clientCloseMethods are the ways in which a client can close its connection. The protocol treats a client that
+// half-closes as gone.
 var clientCloseMethods = map[string]func(c net.Conn){
 	"close":      func(c net.Conn) { c.Close() },
 	"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 	"half-close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 }
 
-// startCountingUpstream starts an upstream that counts attempts as they begin, whether or not they come completely.
+// startCountingUpstream starts an upstream that counts attempts by their first byte, whether or not they are complete.
 func startCountingUpstream(t *testing.T, answer func(c net.Conn, r *http.Request)) (address string, attempts *atomic.Int64) {
 	attempts = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
@@ -200,15 +201,16 @@
 	}), attempts
 }
 
-// An attempt that has not written its first byte when the client leaves does not begin, however it came to be and
-// however the client left.
+// Guards against sending an attempt after its client has closed, for each reason to start an attempt and each way to
+// close: an attempt that has not written its first byte by then writes none.
 func TestNoAttemptStartsAfterClientClosed(t *testing.T) {
 	type scenario struct {
 		text string
-		// reach brings attempts so far that only their connection is missing; in lets answers of the first server go
+		// prepare starts attempts that then wait only for their connection; it may release the first upstream's
+		// responses
 		prepare        func(t *testing.T, n *Node, other string, responseGate *gate)
-		readerBlocked  bool // the reader does not come to the end
-		attemptsBefore int  // attempts that have begun before the client leaves
+		readerBlocked  bool // the read loop is busy and does not see the client close
+		attemptsBefore int  // attempts started before the client closes
 	}
 	addUpstream := func(t *testing.T, n *Node, other string, responseGate *gate) {
 		responseGate.awaitArrivals(t, 1)
@@ -223,7 +225,7 @@
 				n.loop.post(func() { n.loop.Send("t0", endpointID("s-1"), 20*time.Second) })
 			},
 		},
-		"a retry behind an error": {
+		"a retry after an error": {
 			text: requestText("batch", "t0", ""), attemptsBefore: 1,
 			prepare: func(t *testing.T, n *Node, other string, responseGate *gate) {
 				addUpstream(t, n, other, responseGate)
@@ -235,15 +237,15 @@
 			prepare: func(t *testing.T, n *Node, other string, responseGate *gate) {
 				addUpstream(t, n, other, responseGate)
 				n.loop.post(func() { n.loop.Cancel("t0", 0) })
-				eventually(t, "the cancel's end", func() bool { return n.count(attemptsCanceled) == 1 })
-				n.loop.post(func() { // where the decisions have not by themselves
+				eventually(t, "the attempt is canceled", func() bool { return n.count(attemptsCanceled) == 1 })
+				n.loop.post(func() { // unless the policy has already retried
 					if n.count(attemptsSent) == 1 {
 						n.loop.Send("t0", endpointID("s-1"), 20*time.Second)
 					}
 				})
 			},
 		},
-		"an upload that flows": {text: partialStreamedRequest("batch", "t0"), readerBlocked: true},
+		"a streamed upload": {text: partialStreamedRequest("batch", "t0"), readerBlocked: true},
 		"many on one connection": {text: func() (text string) {
 			for i := range 20 {
 				text += requestText("batch", fmt.Sprint("t", i), "")
@@ -263,7 +265,7 @@
 				n := newNode(t, func(c *Config) {
 					withSettings(`"may_duplicate":false`, `"may_duplicate":true`,
 						`800000`, `8000000`, `75000`, `5000000`,
-						// nothing is canceled on its way, which would do as well
+						// without canceling, which would also prevent the attempts
 						`"cancelling":true`, `"cancelling":false`)(c)
 					c.Discovery, _ = watchOf(t)
 				}, first)
@@ -283,15 +285,15 @@
 				dialGate.awaitArrivals(t, 1)
 				at := n.onlyClientConn(t)
 				leave(client)
-				eventually(t, "its end", at.clientGone)
+				eventually(t, "the node detects that the client closed", at.clientGone)
 				if !s.readerBlocked {
-					eventually(t, "the cancellation", func() bool { return n.count(requestsCanceled) == 1 })
+					eventually(t, "the request is canceled", func() bool { return n.count(requestsCanceled) == 1 })
 				}
 				dialGate.release()
 				responseGate.release()
-				eventually(t, "the end of all attempts", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
+				eventually(t, "all attempts have ended", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
 				if atFirst.Load() != int64(s.attemptsBefore) || atOther.Load() != 0 || n.count(attemptsNotSent) == 0 {
-					t.Errorf("%d attempts began at the first server, want %d; %d at the other; %d did not begin",
+					t.Errorf("got %d attempts started at the first upstream, want %d; got %d at the other, want 0; got %d not sent, want some",
 						atFirst.Load(), s.attemptsBefore,
 						atOther.Load(), n.count(attemptsNotSent))
 				}
@@ -300,7 +302,8 @@
 	}
 }
 
-// timestampedReader reads from a socket and notes when the kernel had what was read last, however late the reader is.
+// timestampedReader reads from a socket and records when the kernel received the bytes read last, independently of when
+// they are read.
 type timestampedReader struct {
 	raw            syscall.RawConn
 	lastReceivedAt time.Time
@@ -343,7 +346,7 @@
 	return n, nil
 }
 
-// sessionLog is what the sockets show: when each client had left, and when each attempt's first byte was at an
+// sessionLog records, by request ID, when each client closed and when the first byte of each attempt reached an
 // upstream.
 type sessionLog struct {
 	mu            sync.Mutex
@@ -365,7 +368,8 @@
 	a.attemptStarts[id] = append(a.attemptStarts[id], at)
 }
 
-// troubled starts an upstream that answers as a seed says: late, with errors, with rejections, or not at all.
+// startFaultyUpstream starts an upstream whose seeded random faults are delays, errors, rejections and closed
+// connections.
 func (a *sessionLog) startFaultyUpstream(t *testing.T, seed uint64) string {
 	var mu sync.Mutex
 	draws := rand.New(rand.NewPCG(seed, 1))
@@ -409,8 +413,8 @@
 	})
 }
 
-// With clients that leave at any moment, three nodes and six faulty upstreams whose connections open late, no attempt
-// begins more than 0.1 s after its client has left.
+// With three nodes, six faulty upstreams whose connections open late, and clients that close at random times, no
+// attempt starts more than 0.1 s after its client has closed.
 func TestNoAttemptStartsAfterClientClosedUnderFaults(t *testing.T) {
 	sessions := &sessionLog{clientLeftAt: map[string]time.Time{}, attemptStarts: map[string][]time.Time{}}
 	var upstreamAddrs []string
@@ -432,7 +436,7 @@
 			mu.Lock()
 			delay := time.Duration(max(0, draws.IntN(900)-300)) * time.Millisecond
 			mu.Unlock()
-			time.Sleep(delay) // a connection that comes up late, whoever has been told to stop
+			time.Sleep(delay) // a connection that opens late, even if the attempt has been canceled
 			return n.upstreams.connect(ctx, address, limit)
 		}
 		n.start()
@@ -468,7 +472,7 @@
 			writeText(c, text)
 			if waitsForResponse {
 				if status, body, _ := readResponse(bufio.NewReader(c)); status == 0 {
-					t.Errorf("%s, who stayed, has no answer: %s", ids[0], body)
+					t.Errorf("request %s got no response, although its client waits: %s", ids[0], body)
 				}
 				return
 			}
@@ -480,7 +484,7 @@
 	}
 	clients.Wait()
 	for _, n := range nodes {
-		eventually(t, "the end of all attempts", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
+		eventually(t, "all attempts have ended", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
 	}
 	sessions.mu.Lock()
 	defer sessions.mu.Unlock()
@@ -494,7 +498,7 @@
 			sinceClose := startedAt.Sub(closedAt)
 			if maxDelay = max(maxDelay, sinceClose); sinceClose > 100*time.Millisecond {
 				late++
-				t.Logf("attempt %d of %s began %v behind the end of its client", k+1, id, sinceClose)
+				t.Logf("attempt %d of request %s started %v after its client closed", k+1, id, sinceClose)
 			}
 		}
 	}
@@ -503,10 +507,10 @@
 		attempts += len(starts)
 		retries += len(starts) - 1
 	}
-	t.Logf("%d attempts, %d of them further ones, %d requests of clients that left, %d of these never begun, "+
-		"the latest %v behind", attempts, retries,
+	t.Logf("%d attempts, %d of them after the first, %d requests of closed clients, %d of these without an attempt, "+
+		"latest attempt %v after its client closed", attempts, retries,
 		len(sessions.clientLeftAt), notStarted, maxDelay)
 	if late > 0 || attempts < 200 || retries < 20 || notStarted < 50 {
-		t.Errorf("%d attempts began more than 0.1 s behind, want 0", late)
+		t.Errorf("got %d attempts more than 0.1 s after their client closed, want 0 (or too few events to test, see the log)", late)
 	}
 }
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -11,17 +11,17 @@
 	second = int64(time.Second)
 )
 
-// clock is the system time at the node's start plus the monotonic time that has passed since. A step of the system
-// time never reaches the decisions, while start times of the endpoint list can still be compared with it.
+// clock provides the system time at the node's start plus the monotonic time elapsed since. The policy never sees a
+// step of the system clock, and clock times stay comparable with the start times in the endpoint list.
 type clock struct{ start time.Time }
 
-// now is the current time as the decisions read it.
+// now returns the current time as the policy uses it.
 func (c clock) now() policy.Time { return policy.Time(c.start.UnixNano()).Add(time.Since(c.start)) }
 
-// nanos is now for packages that count in nanoseconds.
+// nanos returns now in nanoseconds of Unix time.
 func (c clock) nanos() int64 { return int64(c.now()) }
 
-// at converts a time of the decisions to one that the runtime can wait for.
+// at converts a policy time to a time.Time, for timers and deadlines.
 func (c clock) at(t policy.Time) time.Time {
 	return c.start.Add(t.Sub(policy.Time(c.start.UnixNano())))
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -14,53 +14,55 @@
 	"fawnglade/internal/store"
 )
 
-// Config is what a node is started with. ReadConfig and ParseConfig return checked ones.
+// Config is a node's configuration. ReadConfig and ParseConfig return validated ones.
 type Config struct {
-	// Name identifies the node to operators, to other nodes and to its own other process. Default: empty.
+	// Name identifies the node to operators, to other nodes, and to the node's other process during a hot restart.
+	// Default: empty.
 	Name string `json:"name"`
-	// Listen is the address and port where clients connect. Required.
+	// Listen is the address and port that clients connect to. Required.
 	Listen string `json:"listen"`
-	// Discovery is the address and port that the endpoint list is watched at. Required; SIGHUP takes in another.
+	// Discovery is the address and port of the discovery service, where the endpoint list is watched. Required. SIGHUP
+	// reloads it.
 	Discovery string `json:"discovery"`
-	// Seed is the seed of all random draws of the decisions, up to 16 hexadecimal digits. Required.
+	// Seed is the seed of the policy's random draws, up to 16 hexadecimal digits. Required.
 	Seed string `json:"seed"`
-	// Limits is the node's part of the machine, for all of its processes together.
+	// Limits are the node's resource limits, shared by all of its processes.
 	Limits struct {
-		// Cores bounds the threads that run Go code. Default 0: as many as the machine has.
+		// Cores bounds GOMAXPROCS; fractions are rounded down, to at least 1. Default 0: one per core of the machine.
 		Cores float64 `json:"cores"`
-		// MemoryMB is in MiB. It bounds the heap, the bodies in flight and the length of the endpoint list.
-		// Default 0: the heap is unbounded, bodies take up to 64 MiB.
+		// MemoryMB bounds the heap, the buffered bodies and the length of the endpoint list, in MiB. Default 0: the
+		// heap is unbounded, buffered bodies take up to 64 MiB.
 		MemoryMB int64 `json:"memory_mb"`
-		// Sockets is how many file descriptors there are. Default 0: 1024.
+		// Sockets is the number of file descriptors available to the node. Default 0: 1024.
 		Sockets int `json:"sockets"`
 	} `json:"limits"`
-	// Gossip (key news) is how the decisions of nodes send messages to one another, where the settings allow messages
-	// between them.
+	// Gossip (key news) configures the messages that the policies of the nodes exchange, if the settings allow messages
+	// between nodes.
 	Gossip struct {
-		// Listen is the address and port of the UDP socket. Default: empty, no gossip.
+		// Listen is the address and port of the UDP socket. Default: empty, which disables gossip.
 		Listen string `json:"listen"`
-		// Peers are the addresses and ports of the nodes; this node's own may be among them. At most 4096.
+		// Peers are the addresses and ports of the nodes; this node's own address may be included. At most 4096.
 		Peers []string `json:"peers"`
 	} `json:"news"`
 	// AdminListen (key console) is the address and port of the admin API; $NODE_CONSOLE takes precedence. Default:
-	// empty, none.
+	// empty, which disables the admin API.
 	AdminListen string `json:"console"`
-	// KnownList (key known) is the initial endpoint list, in discovery's form. Default: none.
+	// KnownList (key known) is the initial endpoint list, in the discovery service's JSON format. Default: none.
 	KnownList json.RawMessage `json:"known"`
-	// Settings are the platform's settings of the decisions. Required.
+	// Settings are the platform's settings for the policy. Required.
 	Settings json.RawMessage `json:"settings"`
 
-	path           string // of the configuration file, for a reload
-	filesDir       string // holds small files that outlive a process
+	path           string // of the configuration file, read again by a reload
+	filesDir       string // directory of small files that outlive a process
 	inheritedFD    string // $NODE_INHERITED_FD
 	seed           uint64
 	parsedSettings settings.Settings
-	stateDir       string // where state is persisted; empty: it is not
+	stateDir       string // where state is persisted; empty if state is not persisted
 	openFiles      func(path string, write bool) (store.Directory, error)
-	features       *features.Features // nil: nothing beyond the platform's protocol
+	features       *features.Features // nil: no features beyond the platform's protocol
 }
 
-// UseStateDir makes the node persist its state and its overrides in a directory, which is created if it is missing.
+// UseStateDir makes the node persist its state and its overrides in a directory, creating the directory if necessary.
 func (c *Config) UseStateDir(dir string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state: %w", err)
@@ -69,13 +71,13 @@
 	return nil
 }
 
-// ReadFeatures reads the file of what this node does beyond the platform's protocol.
+// ReadFeatures reads the features file, which enables features beyond the platform's protocol.
 func (c *Config) ReadFeatures(path string) (err error) {
 	c.features, err = features.Read(path, c.Name)
 	return err
 }
 
-// ReadConfig reads and checks a configuration file; errors name the file and the key.
+// ReadConfig reads and validates a configuration file; errors name the file and the key.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -94,7 +96,7 @@
 	return c, nil
 }
 
-// ParseConfig parses and checks a configuration's text; it reads no environment variables.
+// ParseConfig parses and validates a configuration in JSON. Unlike ReadConfig it ignores environment variables.
 func ParseConfig(text []byte) (*Config, error) {
 	c := &Config{filesDir: os.TempDir()}
 	if err := json.Unmarshal(text, c); err != nil {
@@ -116,7 +118,7 @@
 		return fmt.Errorf("limits.sockets: expected at least %d, got %d", minDescriptors, c.Limits.Sockets)
 	}
 	if c.Limits.MemoryMB < 0 || c.Limits.Cores < 0 {
-		return errors.New("limits: expected numbers above 0")
+		return errors.New("limits: expected memory_mb and cores of at least 0")
 	}
 	if err := c.checkSettings(); err != nil {
 		return err
@@ -138,7 +140,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if c.parsedSettings.ConnectTimeout == 0 || c.parsedSettings.IdleTimeout == 0 {
-		return errors.New("settings: limits.connect_timeout_us, limits.idle_close_us: expected times, got none")
+		return errors.New("settings: limits.connect_timeout_us, limits.idle_close_us: expected both to be above 0")
 	}
 	if p := c.parsedSettings.Policy; p.NodeCount > 1 && p.NodeIndex >= p.NodeCount {
 		return fmt.Errorf("settings: position: expected a number below group_size, which is %d, got %d",
@@ -150,7 +152,7 @@
 func (c *Config) checkGossip() error {
 	if c.Gossip.Listen == "" {
 		if len(c.Gossip.Peers) > 0 {
-			return errors.New("news.listen: expected an address and a port, as there are news.peers, got none")
+			return errors.New("news.listen: expected an address and a port, as news.peers is set, got none")
 		}
 		if c.parsedSettings.Policy.MayGossip && c.parsedSettings.Policy.NodeCount > 1 {
 			return errors.New("news.listen: expected an address and a port, " +
@@ -192,11 +194,11 @@
 	}
 	fd, err := strconv.ParseUint(c.inheritedFD, 10, 31)
 	if err != nil {
-		return fmt.Errorf("%s: expected a descriptor's number, got %q", envInherited, c.inheritedFD)
+		return fmt.Errorf("%s: expected the number of a file descriptor, got %q", envInherited, c.inheritedFD)
 	}
 	listens, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil || listens == 0 {
-		return fmt.Errorf("%s: expected a listening socket, got descriptor %d, which is none", envInherited, fd)
+		return fmt.Errorf("%s: expected a listening socket, but file descriptor %d is not one", envInherited, fd)
 	}
 	return nil
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -30,7 +30,7 @@
 		c := validConfig()
 		change(c)
 		if err := c.check(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q in it", err, want)
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -9,8 +9,8 @@
 	"fawnglade/policy"
 )
 
-// counter is an event that is counted since the start of the process. Counters are for operators, who see them under
-// their counterNames in the log; nothing is decided by them.
+// counter identifies a kind of event that is counted from the start of the process. The counters are logged under their
+// counterNames for operators; nothing reads them to make decisions.
 type counter int
 
 const (
@@ -61,13 +61,13 @@
 	counterCount
 )
 
-// givenUpCounter is the counter of the requests that were rejected or failed for a reason of the decisions.
+// givenUpCounter returns the counter of the requests that the policy rejected or failed for a reason.
 func givenUpCounter(reason policy.Reason) counter { return counterCount + counter(reason) }
 
-// totalCounters is the number of the counters, those of givenUpCounter among them.
+// totalCounters is the number of counters, including one per policy.Reason.
 const totalCounters = counterCount + counter(policy.ReasonCount)
 
-// name returns the name of a counter in the log.
+// name returns the counter's key in the log.
 func (c counter) name() string {
 	if c >= counterCount {
 		return "requests given up: " + policy.Reason(c-counterCount).String()
@@ -124,10 +124,10 @@
 
 type counters [totalCounters]atomic.Int64
 
-// add counts one event; any goroutine may call it.
+// add counts one event. It is safe for concurrent use.
 func (c *counters) add(id counter) { c[id].Add(1) }
 
-// log writes all counters into one log entry.
+// log writes all counters as one log entry. The occasion completes its message.
 func (c *counters) log(log *zap.Logger, occasion string) {
 	fields := make([]zap.Field, totalCounters)
 	for i := range fields {
@@ -136,7 +136,8 @@
 	log.Info("counters "+occasion, fields...)
 }
 
-// recoverPanic, when deferred, limits a panic to one connection or one event, and calls cleanUp after one.
+// recoverPanic, when deferred, recovers from a panic, so that it ends only one connection or event. It counts and logs
+// the panic and then calls cleanUp.
 func (n *Node) recoverPanic(component string, cleanUp func()) {
 	if recovered := recover(); recovered != nil {
 		n.counters.add(panics)
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -8,11 +8,12 @@
 	"fawnglade/policy"
 )
 
-// The event loop implements policy.Effects: the decisions call these methods from within an event, on the loop's own
-// goroutine. None of them waits.
+// The event loop implements policy.Effects: the policy calls these methods while it handles an event, on the loop's own
+// goroutine. None of them blocks.
 var _ policy.Effects = (*eventLoop)(nil)
 
-// Send starts an attempt at an endpoint that ends with the request's deadline, or with the timeout if that is sooner.
+// Send starts an attempt at an endpoint. Its deadline is that of the request, or the end of the timeout if that is
+// earlier.
 func (l *eventLoop) Send(id policy.RequestID, endpoint policy.EndpointID, timeout time.Duration) {
 	request := l.requests[id]
 	if request == nil {
@@ -28,7 +29,7 @@
 	}
 	request.attempts = append(request.attempts, newAttempt)
 	request.inFlight++
-	if request.answered.Load() { // guards against decisions that a panic has kept from noting the request's end
+	if request.answered.Load() { // a panic can keep the policy from recording that the request has ended
 		result := attemptResult{outcome: policy.OutcomeNotSent, report: parseLoadReport(""), endedAt: newAttempt.sentAt}
 		go l.post(func() { l.attemptEnded(newAttempt, result) })
 		return
@@ -37,8 +38,8 @@
 	l.node.upstreams.start(newAttempt)
 }
 
-// dedupDeadline is when the deduplication window of the first attempt that may have run ends, which a retry under the
-// same idempotency key has to precede; 0: none has begun.
+// dedupDeadline returns the end of the deduplication window of the first attempt that may have run. A retry with the
+// same idempotency key must be sent before then. It returns 0 if no attempt may have run.
 func (l *eventLoop) dedupDeadline(request *pendingRequest) (deadline policy.Time) {
 	class := l.node.settings.Policy.Classes[request.request.Class]
 	if class.Idempotency != policy.IdempotentByKey {
@@ -53,15 +54,15 @@
 	return deadline
 }
 
-// Cancel ends an attempt.
+// Cancel cancels an attempt of a request.
 func (l *eventLoop) Cancel(id policy.RequestID, number int) {
 	if request := l.requests[id]; request != nil && number < len(request.attempts) {
 		request.attempts[number].cancel()
 	}
 }
 
-// Reject answers with 503: the client may retry without harm, as the request has not run, or running it again is
-// harmless (policy.MayReject). retryAfter goes to the client as Retry-After; 0: without one.
+// Reject answers a request with 503: the client may safely retry, because the request has not run or is idempotent
+// (policy.MayReject). A retryAfter above 0 is sent as Retry-After.
 func (l *eventLoop) Reject(id policy.RequestID, retryAfter time.Duration, reason policy.Reason) {
 	request := l.requests[id]
 	if request == nil {
@@ -73,7 +74,7 @@
 	}
 }
 
-// Fail answers with 502: the request may have run, and running it again may do harm.
+// Fail answers a request with 502: the request may have run, and it may not be safe to run it again.
 func (l *eventLoop) Fail(id policy.RequestID, reason policy.Reason) {
 	request := l.requests[id]
 	if request == nil {
@@ -84,10 +85,10 @@
 	}
 }
 
-// SetTimer has TimerFired called with the cookie at a time.
+// SetTimer schedules a call of the policy's TimerFired with the cookie.
 func (l *eventLoop) SetTimer(at policy.Time, cookie uint64) { l.timers.Set(int64(at), cookie) }
 
-// WatchEndpoints asks for a watch of the endpoint list.
+// WatchEndpoints requests a watch call to the discovery service.
 func (l *eventLoop) WatchEndpoints() { l.node.endpointWatch.requestCall() }
 
 // CloseIdle closes the idle connections to an endpoint.
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -14,17 +14,17 @@
 	maxLoopSleep     = time.Hour
 )
 
-// eventLoop is the one goroutine that owns the decisions, their clock and timers, and the requests and endpoints that
-// they know. Events enter through post, one at a time. Nothing in it does I/O or waits for a peer.
+// eventLoop owns the policy, its clock and timers, and the requests and endpoints that the policy knows. All of it is
+// used by one goroutine, which handles the events queued by post one at a time and never does I/O or waits for a peer.
 type eventLoop struct {
 	node               *Node
 	balancer           *policy.Balancer
 	events             chan func()
-	now                policy.Time // when the event at hand began
+	now                policy.Time // start of the event that is being handled
 	timers             timerqueue.Queue
 	requests           map[policy.RequestID]*pendingRequest
 	endpoints          map[policy.EndpointID]knownEndpoint
-	rejectsNewRequests bool // new requests are rejected: the process is about to end
+	rejectsNewRequests bool // the process is about to exit, new requests are rejected
 }
 
 func newEventLoop(n *Node) *eventLoop {
@@ -38,10 +38,10 @@
 	return l
 }
 
-// post queues an event. It waits while the queue is full, so it must not be called from within the loop.
+// post queues an event. It blocks while the queue is full, so it must not be called by an event.
 func (l *eventLoop) post(event func()) { l.events <- event }
 
-// tryPost queues an event unless the queue is full, and reports whether it did.
+// tryPost queues an event if the queue is not full, and reports whether it did.
 func (l *eventLoop) tryPost(event func()) bool {
 	select {
 	case l.events <- event:
@@ -51,7 +51,7 @@
 	}
 }
 
-// run handles events until the process ends. Due timers go first, as they are older than the queued events.
+// run handles events until the process exits. Due timers fire first, as they are older than the queued events.
 func (l *eventLoop) run() {
 	wake := time.NewTimer(maxLoopSleep)
 	for {
@@ -69,8 +69,8 @@
 	}
 }
 
-// handle runs one event. A panic in the decisions does not end the process; the request at hand, if there is one, is
-// failed, as nothing is known of its attempts any more.
+// handle runs one event and recovers from a panic in the policy. The event's request, if there is one, then fails,
+// because the state of its attempts is unknown.
 func (l *eventLoop) handle(request *pendingRequest, event func()) {
 	defer l.node.recoverPanic("decisions", func() {
 		if request != nil {
@@ -80,10 +80,10 @@
 	event()
 }
 
-// requestArrived takes in a request that the client side has read.
+// requestArrived handles a request that a client connection has read.
 func (l *eventLoop) requestArrived(request *pendingRequest) {
 	id := request.request.ID
-	if l.requests[id] != nil { // guards against two requests under one id, whose attempts would be mixed up
+	if l.requests[id] != nil { // attempts of two requests with the same ID would be mixed up
 		l.node.counters.add(requestsMalformed)
 		request.answer(response{status: http.StatusConflict})
 		return
@@ -98,8 +98,8 @@
 	l.handle(request, func() { l.balancer.RequestArrived(l.now, request.request) })
 }
 
-// giveUpAll answers every request that has no answer, rejected if policy.MayReject allows it and failed otherwise, and
-// rejects those that still come: the process is about to end.
+// giveUpAll ends every unanswered request because the process is about to exit: it rejects those for which
+// policy.MayReject allows it and fails the others. Requests that arrive afterwards are rejected.
 func (l *eventLoop) giveUpAll() {
 	l.rejectsNewRequests = true
 	for id, pending := range l.requests {
@@ -112,7 +112,7 @@
 	}
 }
 
-// executionInfo returns when an attempt was sent, and whether it may have run.
+// executionInfo returns when an attempt was sent and whether it may have run. It serves policy.MayReject.
 func executionInfo(a **attempt) (sentAt policy.Time, mayHaveRun bool) {
 	return (*a).sentAt, !(*a).neverRan
 }
@@ -122,7 +122,8 @@
 	l.endForClient(request, requestsCanceled, response{})
 }
 
-// endForClient ends a request for a reason on the client's side, with the answer if it is known and has none yet.
+// endForClient ends a request because of its client. It counts the event and answers the request, unless the request is
+// unknown or already answered.
 func (l *eventLoop) endForClient(request *pendingRequest, id counter, answer response) {
 	if l.requests[request.request.ID] != request || !l.finish(request, id, answer) {
 		return
@@ -131,7 +132,7 @@
 	l.removeIfDone(request)
 }
 
-// bodyFailed ends a request whose client has not sent the complete body; it has never run.
+// bodyFailed ends a request whose client has not sent the complete body. Such a request never ran.
 func (l *eventLoop) bodyFailed(request *pendingRequest) {
 	err := request.source.failure()
 	switch {
@@ -143,10 +144,11 @@
 	}
 }
 
-// attemptEnded takes the end of an attempt; each has exactly one.
+// attemptEnded handles the end of an attempt. It is called exactly once per attempt.
 func (l *eventLoop) attemptEnded(finished *attempt, result attemptResult) {
 	request := finished.request
-	// The client's own faults come before the decisions see the outcome: they would reject or retry the request.
+	// The client's faults are handled before the policy sees the outcome; otherwise it would reject or retry the
+	// request.
 	if request.bodyIncomplete() {
 		l.bodyFailed(request)
 	}
@@ -162,7 +164,7 @@
 	l.removeIfDone(request)
 }
 
-// forwardResponse answers the request if the attempt brought its answer: a success, or a request fault.
+// forwardResponse answers the request with the attempt's response if that is a success or a request fault.
 func (l *eventLoop) forwardResponse(request *pendingRequest, result attemptResult) {
 	switch {
 	case result.outcome == policy.OutcomeSucceeded:
@@ -172,7 +174,7 @@
 	}
 }
 
-// attemptCounter is the counter of an attempt's end.
+// attemptCounter returns the counter for an attempt's result.
 func attemptCounter(result attemptResult) counter {
 	if result.isRequestFault() {
 		return attemptsRequestFault
@@ -180,8 +182,8 @@
 	return outcomeCounters[result.outcome]
 }
 
-// resultFor is the end of an attempt as the decisions see it. Time in which the client was slow to upload is not the
-// endpoint's latency.
+// resultFor converts an attempt's result for the policy. Elapsed excludes the time spent waiting for the client's
+// upload, which is not the endpoint's latency.
 func (a *attempt) resultFor(request *pendingRequest, result attemptResult) policy.AttemptResult {
 	return policy.AttemptResult{
 		Request:       request.request.ID,
@@ -208,7 +210,7 @@
 	policy.OutcomeUnknown:       attemptsReset,
 }
 
-// finish gives the request its answer, and reports whether it had none before.
+// finish answers and counts a request, and reports whether it was still unanswered.
 func (l *eventLoop) finish(request *pendingRequest, id counter, answer response) bool {
 	if !request.answer(answer) {
 		return false
@@ -218,7 +220,7 @@
 	return true
 }
 
-// release forgets a request once it has its answer and no attempt is in flight.
+// removeIfDone removes a request once it is answered and none of its attempts is in flight.
 func (l *eventLoop) removeIfDone(request *pendingRequest) {
 	id := request.request.ID
 	if request.inFlight == 0 && request.answered.Load() && l.requests[id] == request {
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -10,7 +10,7 @@
 	"fawnglade/policy"
 )
 
-// Guards against a panic in the decisions that costs other requests or leaves its own without a response.
+// Guards against a panic in the policy that affects other requests or leaves its own request unanswered.
 func TestPanicFailsOnlyItsRequest(t *testing.T) {
 	upstream, requests := startUpstream(t, echo)
 	n := startNode(t, nil, upstream)
@@ -18,25 +18,25 @@
 	pending.request.ID = "bad"
 	n.loop.post(func() {
 		n.loop.requests["bad"] = pending
-		n.loop.handle(pending, func() { panic("a mistake in the decisions") })
+		n.loop.handle(pending, func() { panic("bug in the policy") })
 	})
 	if answer := <-pending.responses; answer.status != 502 {
-		t.Errorf("its request was answered %d", answer.status)
+		t.Errorf("request of the panic: got status %d, want 502", answer.status)
 	}
 	n.loop.post(func() {
 		n.loop.requests["bad"] = pending
 		n.loop.Send("bad", endpointID("s-0"), time.Second)
 	})
-	eventually(t, "the end of an attempt that came too late", func() bool { return n.count(attemptsNotSent) == 1 })
+	eventually(t, "the attempt for the answered request is not sent", func() bool { return n.count(attemptsNotSent) == 1 })
 	if requests.Load() != 0 {
-		t.Error("a request that has its answer went to a server")
+		t.Error("an answered request was sent to the upstream")
 	}
 	if status, _, _ := sendRequest(t, n, "batch", "next", ""); status != 200 || n.count(panics) != 1 {
-		t.Errorf("the next request was answered %d, %d panics counted", status, n.count(panics))
+		t.Errorf("next request: got status %d and %d panics counted, want 200 and 1", status, n.count(panics))
 	}
 }
 
-// An id that is still in use must not be mixed up with a second request of the same id.
+// Guards against mixing up two requests with the same ID: the second is rejected while the first is in flight.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	upstream, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(50 * time.Millisecond)
@@ -48,14 +48,14 @@
 	first, _, _ := readResponse(in)
 	second, _, _ := readResponse(in)
 	if first != 200 || second != 409 || requests.Load() != 1 {
-		t.Errorf("answered %d and %d, %d requests at the server", first, second, requests.Load())
+		t.Errorf("got status %d and %d and %d requests at the upstream, want 200, 409 and 1", first, second, requests.Load())
 	}
 }
 
-// A list of thousands of entries is applied in slices, so that requests are handled in between; the result is the
-// same.
+// A list of thousands of entries is applied in slices, so that requests can be handled in between. The result is the
+// same as without slices.
 func TestLongListIsAppliedInSlices(t *testing.T) {
-	n := newNode(t, nil) // its loop does not run, so that what is entered can be counted
+	n := newNode(t, nil) // its event loop does not run, so that queued events can be counted
 	handleEvents := func() (events int) {
 		for len(n.loop.events) > 0 {
 			(<-n.loop.events)()
@@ -76,7 +76,7 @@
 	}
 	n.loop.postEndpoints(entries(1, 4097), true)
 	if events := handleEvents(); events != 9 || len(n.loop.endpoints) != 4096 {
-		t.Errorf("4,096 entries in %d events, %d endpoints known; want 8 slices, one event for removals, and all",
+		t.Errorf("4,096 entries: got %d events and %d endpoints, want 8 slices plus one event for removals, and 4096",
 			events, len(n.loop.endpoints))
 	}
 	n.loop.postEndpoints(entries(4001, 5001), true)
@@ -84,15 +84,15 @@
 		(<-n.loop.events)()
 	}
 	if len(n.loop.endpoints) != 5000 {
-		t.Errorf("%d servers known before the list is through, want 5,000: nobody is taken off before",
+		t.Errorf("before the last slice: got %d endpoints, want 5000, as removals come last",
 			len(n.loop.endpoints))
 	}
 	handleEvents()
 	if len(n.loop.endpoints) != 1000 || n.loop.endpoints[4000].address != "" || n.loop.endpoints[5000].address == "" {
-		t.Errorf("%d servers known, want the 1,000 of the second list", len(n.loop.endpoints))
+		t.Errorf("after the second list: got %d endpoints, want its 1000", len(n.loop.endpoints))
 	}
 	n.loop.postEndpoints(nil, false)
 	if n.loop.postEndpoints(nil, true); handleEvents() != 2 || len(n.loop.endpoints) != 0 {
-		t.Errorf("%d servers known after a whole list of nobody", len(n.loop.endpoints))
+		t.Errorf("after an empty complete list: got %d endpoints, want 0, applied in 2 events", len(n.loop.endpoints))
 	}
 }
--- a/internal/node/evict.go
+++ b/internal/node/evict.go
@@ -1,7 +1,7 @@
 package node
 
-// Which client connections are closed to make room for others, or because the node is drained. An idle connection is
-// asked to close; its read loop ends it unless a request has come meanwhile.
+// Eviction of idle client connections, to make room for new ones or because the node is drained. Evicting a connection
+// wakes its read loop, which closes the connection unless a request has arrived meanwhile.
 
 import (
 	"slices"
@@ -9,20 +9,20 @@
 )
 
 const (
-	messageStallTimeout = time.Second            // of silence within a message, after which its connection counts as idle
-	drainIdleDelay      = time.Second            // after a drain began, by when no more clients connect
-	drainIdleInterval   = 100 * time.Millisecond // between looks for idle connections of a drained node
+	messageStallTimeout = time.Second            // a connection without input for this long within a message counts as idle
+	drainIdleDelay      = time.Second            // of a drained node before it evicts idle connections; clients have stopped connecting by then
+	drainIdleInterval   = 100 * time.Millisecond // between evictions of idle connections while the node is drained
 )
 
 // evictionCandidate is an idle connection.
 type evictionCandidate struct {
 	conn       *clientConn
-	used       bool // it has brought a request
+	used       bool // at least one request was read
 	lastUsedAt time.Time
 }
 
-// compareEviction orders connections that never brought a request first, as a flood must not take the slots of clients
-// that do, and then those idle longest.
+// compareEviction orders candidates for eviction: first connections without any request yet, so that a connection flood
+// does not take the slots of clients that send requests, then those idle longest.
 func compareEviction(a, b evictionCandidate) int {
 	switch {
 	case a.used == b.used:
@@ -33,13 +33,13 @@
 	return 1
 }
 
-// evictIdleAheadLocked asks some idle connections to close before their slots are needed.
+// evictIdleAheadLocked evicts some idle connections before their slots are needed.
 func (f *frontend) evictIdleAheadLocked() { f.evictIdleLocked(1 + f.maxOpen/evictAheadDivisor) }
 
-// evictIdleLocked asks up to n idle connections to close, in the order of compareEviction. A connection used less
-// than recentUseWindow ago is spared while there are free slots and any connection that never brought a request, even
-// one that can't be closed yet. Without a free slot it goes as well: to spare it would leave all new connections a
-// few slots to pass through one after another, while their requests wait.
+// evictIdleLocked evicts up to n idle connections in the order of compareEviction. A connection used within
+// recentUseWindow is spared while there are free slots and at least one connection without any request yet, even if
+// that one can't be closed yet. Without a free slot it is evicted as well: sparing it would leave only a few slots,
+// which all new connections would have to use one after another while their requests wait.
 func (f *frontend) evictIdleLocked(n int) {
 	now := time.Now()
 	idle, anyUnused := f.idleConnsLocked(now)
@@ -53,7 +53,7 @@
 	}
 }
 
-// idleConnsLocked returns the idle connections, and whether any connection, idle or not, never brought a request.
+// idleConnsLocked returns the idle connections, and whether any connection, idle or not, has had no request yet.
 func (f *frontend) idleConnsLocked(now time.Time) (idle []evictionCandidate, anyUnused bool) {
 	for c := range f.open {
 		c.mu.Lock()
@@ -66,7 +66,7 @@
 	return idle, anyUnused
 }
 
-// evictAllIdle asks all idle connections to close and returns how many connections are left, with those that wait for a
+// evictAllIdle evicts all idle connections and returns the number of open connections, including those that wait for a
 // slot.
 func (f *frontend) evictAllIdle() int {
 	f.mu.Lock()
@@ -75,8 +75,8 @@
 	return len(f.open) + int(f.waitingForSlot.Load())
 }
 
-// abortStreams resets the connections on which a response is being streamed. Guards against an incomplete response that
-// looks complete: the end of the process would close the connections in order, and for some responses that is the end.
+// abortStreams resets the connections on which a response is being streamed. When the process exits, the kernel would
+// close them normally, and an incomplete response delimited by the end of its connection would look complete.
 func (f *frontend) abortStreams() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,8 +87,8 @@
 	}
 }
 
-// closeIdleWhileDrained closes idle connections while the node is drained, for as long as the process runs. Connections
-// in use end with their next response.
+// closeIdleWhileDrained evicts idle connections whenever the node is drained. It never returns. Active connections
+// close after their next response.
 func (f *frontend) closeIdleWhileDrained() {
 	var drainedSince time.Time
 	for now := range time.Tick(drainIdleInterval) {
@@ -103,7 +103,8 @@
 	}
 }
 
-// idleLocked reports that the connection has no request and none is being read, or one whose client has stopped within.
+// idleLocked reports whether the connection has no pending request and is not reading one, or has read nothing of it
+// for messageStallTimeout. The caller holds c.mu.
 func (c *clientConn) idleLocked(now time.Time) bool {
 	if c.pendingCount > 0 || c.closed || c.evicting || now.Sub(c.lastUsedAt) <= closeLinger {
 		return false
@@ -115,7 +116,7 @@
 	return now.UnixNano()-lastProgressNs > int64(messageStallTimeout)
 }
 
-// evict asks an idle connection to close. It wakes the read loop, which alone knows whether a request has come
+// evict marks an idle connection for closing and wakes its read loop, which closes it unless a request has arrived
 // meanwhile.
 func (c *clientConn) evict(now time.Time) {
 	c.mu.Lock()
--- a/internal/node/evict_test.go
+++ b/internal/node/evict_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Guards against a flood of connections without requests that shuts out clients with requests.
+// Guards against a flood of connections without requests shutting out clients that send requests.
 func TestConnectionFloodDoesNotBlockRequests(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, upstream)
@@ -18,25 +18,25 @@
 		}
 		writeText(c, requestText("batch", fmt.Sprint("t", i), ""))
 		if status, _, _ := readResponse(in); status != 200 {
-			t.Fatalf("request %d in the flood was answered %d", i, status)
+			t.Fatalf("request %d of the existing client during the flood: got status %d, want 200", i, status)
 		}
 		if status, _, _ := sendRequest(t, n, "batch", fmt.Sprint("new", i), ""); status != 200 {
-			t.Fatalf("request %d of a new client was answered %d", i, status)
+			t.Fatalf("request %d of a new client during the flood: got status %d, want 200", i, status)
 		}
 	}
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
 	if limit := n.frontend.maxOpen + n.frontend.spareSlots; len(n.frontend.open) > limit {
-		t.Errorf("%d connections from clients, at most %d are allowed", len(n.frontend.open), limit)
+		t.Errorf("got %d client connections, want at most %d", len(n.frontend.open), limit)
 	}
 }
 
-// Guards against clients that keep their connections and take all slots, so that new ones pass through a few, each
-// waiting until the one before is old enough to be evicted.
+// Guards against clients that keep their connections open and occupy all slots. New connections would then share a few
+// slots, each waiting until the one before is old enough to be evicted.
 func TestIdleConnectionsAreEvictedForNewClients(t *testing.T) {
 	for name, idle := range map[string]time.Duration{
-		"for long": recentUseWindow + 100*time.Millisecond,
-		"of late":  3 * closeLinger,
+		"long idle":     recentUseWindow + 100*time.Millisecond,
+		"recently used": 3 * closeLinger,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -51,21 +51,22 @@
 			startedAt := time.Now()
 			for i := range 20 {
 				for range 10 {
-					dial(t, n) // says nothing
+					dial(t, n) // sends nothing
 				}
 				if status, _, _ := sendRequest(t, n, "batch", fmt.Sprint("t", i), ""); status != 200 {
-					t.Fatalf("request %d was answered %d", i, status)
+					t.Fatalf("request %d: got status %d, want 200", i, status)
 				}
 			}
 			if elapsed := time.Since(startedAt); elapsed > 400*time.Millisecond {
-				t.Errorf("20 requests of new clients took %v", elapsed)
+				t.Errorf("20 requests of new clients took %v, want at most 400ms", elapsed)
 			}
 		})
 	}
 }
 
-// Guards against clients that ask once and keep their connection using up all connections that the load balancers in
-// front may hold to a node.
+// Guards against clients that send one request and keep their connection: they could use up all connections that the
+// load balancers in front of a node hold to it. Above the soft limit idle connections are evicted although slots are
+// free.
 func TestIdleClientsAreEvictedAboveSoftLimit(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) { c.Limits.Sockets = 4 * ownDescriptors }, upstream)
@@ -74,7 +75,7 @@
 		c, in := dial(t, n)
 		writeText(c, requestText("batch", fmt.Sprint("stays", i), ""))
 		if status, _, _ := readResponse(in); status != 200 {
-			t.Fatalf("request %d was answered %d", i, status)
+			t.Fatalf("request %d: got status %d, want 200", i, status)
 		}
 		go func() {
 			waitForClose(in)
@@ -82,16 +83,16 @@
 		}()
 		time.Sleep(closeLinger / 5)
 	}
-	eventually(t, "room for further requests", func() bool { return closed.Load() >= 4 })
+	eventually(t, "at least 4 idle connections are closed", func() bool { return closed.Load() >= 4 })
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
 	if openConns := len(n.frontend.open); openConns > 4*ownDescriptors/activeClientDivisor+2 {
-		t.Errorf("%d connections are held, more than a quarter of the descriptors", openConns)
+		t.Errorf("got %d open connections, want at most a quarter of the descriptors and 2 more", openConns)
 	}
 }
 
-// Guards against taking a client that writes its head slowly for a stalled one, while many stalled and silent ones
-// wait for a slot.
+// Guards against evicting a client that sends its head slowly as if it had stalled, while many stalled and silent
+// clients wait for a slot.
 func TestSlowHeadAmongStalledClientsIsServed(t *testing.T) {
 	t.Parallel()
 	upstream, _ := startUpstream(t, echo)
@@ -109,29 +110,30 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	if status, body, _ := readResponse(in); status != 200 {
-		t.Errorf("a slow client among a crowd got %d %q", status, body)
+		t.Errorf("slow client among stalled ones: got status %d, body %q, want status 200", status, body)
 	}
 }
 
-// A node with another process beside it evicts idle clients beyond its half, also where no new clients connect.
+// A process that gets another one beside it evicts idle clients beyond its half of the slots even if no new clients
+// connect.
 func TestIdleClientsBeyondLimitAreEvicted(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
 	n := startNode(t, silentDiscovery(t), upstream)
 	for range 8 {
 		dial(t, n)
 	}
-	eventually(t, "all clients to be idle", func() bool {
+	eventually(t, "all clients are idle", func() bool {
 		n.frontend.mu.Lock()
 		defer n.frontend.mu.Unlock()
 		return n.idleClientsLocked() == 8
 	})
 	n.frontend.setLimits(3, 0, 100)
 	if n.count(clientsEvicted) != 5 {
-		t.Errorf("%d clients were evicted, want 5", n.count(clientsEvicted))
+		t.Errorf("got %d clients evicted, want 5", n.count(clientsEvicted))
 	}
 }
 
-// idlers is how many clients could be evicted; the frontend's lock is held.
+// idleClientsLocked returns the number of clients that could be evicted. The caller holds the frontend's lock.
 func (n *Node) idleClientsLocked() (idle int) {
 	for c := range n.frontend.open {
 		c.mu.Lock()
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -1,13 +1,13 @@
 package node
 
-// The client side: the listener and the set of client connections, with the limits of their number. Accepting is in
-// accept.go, the choice of connections to close in evict.go, one connection in clientconn.go.
+// The client side: the listener, the set of client connections, and the limits on their number. Accepting is in
+// accept.go, eviction of idle connections in evict.go, a single connection in clientconn.go.
 //
-// Lent slots. The node's descriptors are divided between clients and upstreams (limits.go). Each attempt has a client
-// that waits for it, so where the upstreams' part is used up an attempt may have the descriptor of an idle client:
-// upstreams.waitForSlot asks lendSlotToUpstream, which lends a free slot, or has idle clients closed (evict.go) and has the
-// attempt ask again. At most maxSlotsLentToUpstreams are lent. They are given back by upstreams.trimIdleLocked once upstreams have
-// fewer connections again.
+// Slot lending: the node's descriptors are divided between client and upstream connections (limits.go); a slot stands
+// for one descriptor. If all upstream slots are in use, the frontend lends slots of client connections to attempts,
+// because a client is waiting for each attempt. upstreams.waitForSlot calls lendSlotToUpstream, which lends a free
+// slot, or evicts idle clients and lets the attempt call again. At most maxSlotsLentToUpstreams are lent at a time.
+// upstreams.trimIdleLocked returns them once upstreams have fewer connections.
 
 import (
 	"fmt"
@@ -18,33 +18,34 @@
 )
 
 const (
-	clientIdleTimeout = 20 * time.Second // between requests
-	recentUseWindow   = 2 * time.Second  // idle for less, a used connection is spared while others can go
+	clientIdleTimeout = 20 * time.Second // between requests of a connection
+	recentUseWindow   = 2 * time.Second  // a connection used this recently is spared if possible (evictIdleLocked)
 	closeLinger       = 25 * time.Millisecond
-	slotLendTimeout   = 4 * closeLinger // an attempt waits so long for the slot of an idle client, or longer (waitForSlot)
-	evictAheadDivisor = 16              // a sixteenth is asked to close ahead of need, as each takes a moment
+	slotLendTimeout   = 4 * closeLinger // minimum wait of an attempt for the slot of an idle client (waitForSlot)
+	evictAheadDivisor = 16              // 1/16 of the slots are evicted ahead of need, as closing is not immediate
 )
 
-// frontend is the set of client connections. Each connection has a slot; some slots may be lent to attempts.
+// frontend accepts and tracks the client connections. Each connection occupies a slot; free slots may be lent to
+// attempts.
 type frontend struct {
 	node           *Node
-	listener       net.Listener  // closed by accept when it ends
-	acceptWake     chan struct{} // holds one value once accept is to go on after a pause
-	paused         atomic.Bool   // another process takes new connections from the same socket
-	draining       atomic.Bool   // what the kernel has accepted is still taken, then the listener is closed
-	acceptDone     chan struct{} // closed when accept has ended
-	usedConns      atomic.Int64  // open connections that have brought a request
-	activeConns    atomic.Int64  // open connections with a request that has no response yet
+	listener       net.Listener  // closed by acceptLoop when it ends
+	acceptWake     chan struct{} // holds one value after resume or drainAndClose, for a paused acceptLoop
+	paused         atomic.Bool   // another process accepts from the shared socket
+	draining       atomic.Bool   // the listener closes once its backlog is empty
+	acceptDone     chan struct{} // closed when acceptLoop has ended
+	usedConns      atomic.Int64  // open connections with at least one request so far
+	activeConns    atomic.Int64  // open connections with an unanswered request
 	waitingForSlot atomic.Int64  // accepted connections that wait for a slot
 
 	mu         sync.Mutex
 	open       map[*clientConn]struct{}
-	maxOpen    int // slots of connections with requests
-	spareSlots int // further slots, for connections whose requests are rejected over capacity
-	softLimit  int // used connections from which on idle ones are closed for new ones, also with free slots
+	maxOpen    int // slots for connections with requests
+	spareSlots int // additional slots, whose connections get a rejection
+	softLimit  int // number of used connections at which new ones evict idle ones even if slots are free
 
-	maxSlotsLentToUpstreams atomic.Int64 // slots of maxOpen that attempts may have
-	slotsLentToUpstreams    atomic.Int64 // and have now
+	maxSlotsLentToUpstreams atomic.Int64 // upper bound for slotsLentToUpstreams
+	slotsLentToUpstreams    atomic.Int64 // slots of maxOpen in use by upstream connections
 }
 
 func newFrontend(n *Node, listener net.Listener) *frontend {
@@ -57,8 +58,8 @@
 	}
 }
 
-// setLimits sets how many connections there may be, and closes idle ones beyond maxOpen: another process of this node
-// may have their descriptors.
+// setLimits sets the connection limits and evicts idle connections beyond maxOpen, because another process of this node
+// may need their descriptors.
 func (f *frontend) setLimits(maxOpen, spareSlots, softLimit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,32 +69,29 @@
 	f.evictIdleLocked(len(f.open) - maxOpen)
 }
 
-// capacity is how many connections may have requests.
+// capacity returns the number of connections that may have requests.
 func (f *frontend) capacity() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.clientSlotsLocked()
 }
 
-// clientSlotsLocked is how many connections may have requests beside the slots that are lent.
+// clientSlotsLocked returns the number of slots for connections with requests that are not lent to upstreams.
 func (f *frontend) clientSlotsLocked() int { return f.maxOpen - int(f.slotsLentToUpstreams.Load()) }
 
-// fullLocked reports that no slot is left, spare ones included.
+// fullLocked reports that no slot is free, not even a spare one.
 func (f *frontend) fullLocked() bool { return len(f.open) >= f.clientSlotsLocked()+f.spareSlots }
 
-// overSoftLimitLocked reports that many clients hold connections which they have used. Guards against clients that ask once
-// and keep their connection: the load balancers in front of a node hold only so many to it, and with all of them idle
-// no other client could ask.
-func (f *frontend) overSoftLimitLocked() bool {
-	return int(f.usedConns.Load()) >= f.softLimit
-}
+// overSoftLimitLocked reports that too many clients keep connections open after a request. The load balancers in front
+// of a node limit their connections to it; if idle clients held all of them, no other client could send a request.
+func (f *frontend) overSoftLimitLocked() bool { return int(f.usedConns.Load()) >= f.softLimit }
 
-// slotOffer is the answer to an attempt that needs the slot of a client.
+// slotOffer is the result of lendSlotToUpstream.
 type slotOffer int
 
 const (
 	slotUnavailable slotOffer = iota
-	slotPending               // an idle client has been asked to leave: ask again
+	slotPending               // idle clients are being evicted: call again
 	slotLent
 )
 
@@ -106,11 +104,11 @@
 	case slotLent:
 		return "lent"
 	}
-	return fmt.Sprintf("offer %d", int(o))
+	return fmt.Sprintf("slot offer %d", int(o))
 }
 
-// lendSlotToUpstream lends an attempt a free slot, or asks idle clients to leave theirs. upstreams.trimIdleLocked gives it back.
-// Guards against idle clients that keep attempts from getting a connection.
+// lendSlotToUpstream lends a free slot to an attempt, or evicts idle clients so that slots become free. Idle clients
+// therefore can't keep attempts from getting a connection. upstreams.trimIdleLocked returns the slot.
 func (f *frontend) lendSlotToUpstream() slotOffer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,7 +126,7 @@
 	return slotUnavailable
 }
 
-// remove forgets a connection that has been closed.
+// remove removes a closed connection from the set.
 func (f *frontend) remove(c *clientConn) {
 	if c.used {
 		f.usedConns.Add(-1)
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// gate holds whoever waits at it until it is opened, and counts them.
+// gate blocks goroutines that call wait until release is called, and counts them.
 type gate struct {
 	arrived  atomic.Int64
 	released chan struct{}
@@ -29,10 +29,11 @@
 
 func (g *gate) awaitArrivals(t *testing.T, n int64) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%d at the gate", n), func() bool { return g.arrived.Load() >= n })
+	eventually(t, fmt.Sprintf("%d goroutines wait at the gate", n), func() bool { return g.arrived.Load() >= n })
 }
 
-// blockDials holds each connection to an upstream until the gate is opened; then it is opened whatever has happened.
+// blockDials blocks each dial to an upstream until the gate is released. The dial then proceeds even if its context has
+// been canceled.
 func (n *Node) blockDials(t *testing.T) *gate {
 	g := newGate(t)
 	n.upstreams.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
@@ -42,7 +43,7 @@
 	return g
 }
 
-// blockLoop holds the event loop between two events until the gate is opened; events posted meanwhile stay in order.
+// blockLoop blocks the event loop between two events until the gate is released. Events posted meanwhile stay in order.
 func (n *Node) blockLoop(t *testing.T) *gate {
 	g := newGate(t)
 	n.loop.post(g.wait)
@@ -50,7 +51,7 @@
 	return g
 }
 
-// updateList has the loop apply a list from the discovery service, and returns once it has.
+// updateList posts an endpoint list as from the discovery service and waits until the event loop has applied it.
 func (n *Node) updateList(t *testing.T, text string) {
 	t.Helper()
 	update, err := n.parseList([]byte(text))
@@ -61,17 +62,17 @@
 	n.flushLoop()
 }
 
-// flushLoop returns once the loop has handled all events posted before.
+// flushLoop waits until the event loop has handled all events posted before.
 func (n *Node) flushLoop() {
 	done := make(chan struct{})
 	n.loop.post(func() { close(done) })
 	<-done
 }
 
-// onlyClientConn finds the node's side of the one connection from a client.
+// onlyClientConn returns the node's side of the single client connection.
 func (n *Node) onlyClientConn(t *testing.T) (c *clientConn) {
 	t.Helper()
-	eventually(t, "the connection", func() bool {
+	eventually(t, "the node has a client connection", func() bool {
 		n.frontend.mu.Lock()
 		defer n.frontend.mu.Unlock()
 		for c = range n.frontend.open {
@@ -81,7 +82,7 @@
 	return c
 }
 
-// allClientsClosed reports that clients have connected, and that all their connections have ended.
+// allClientsClosed reports that clients have connected and all their connections are closed.
 func (n *Node) allClientsClosed() bool {
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -20,7 +20,8 @@
 	"fawnglade/policy"
 )
 
-// TestGoldenMessageHeads holds the heads of requests, answers, watches and health checks to the bytes of earlier builds.
+// TestGoldenMessageHeads compares the encoded heads of requests, responses, watch calls and health checks with the
+// bytes of earlier builds.
 func TestGoldenMessageHeads(t *testing.T) {
 	parse := func(text string) *http.Request {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
@@ -75,7 +76,8 @@
 	golden.Check(t, "load-head.txt", []byte(healthCheckHead("127.0.0.1:9")))
 }
 
-// TestGoldenRequestParsing holds what the decisions are told of a request's head, and of a server's answer, to earlier builds.
+// TestGoldenRequestParsing compares what the policy is told about a request and about an upstream's response with
+// earlier builds.
 func TestGoldenRequestParsing(t *testing.T) {
 	n := newNode(t, nil)
 	var b bytes.Buffer
@@ -125,7 +127,8 @@
 	golden.Check(t, "read.txt", b.Bytes())
 }
 
-// TestGoldenHotRestartMessages compares the hot restart protocol with the bytes of earlier builds.
+// TestGoldenHotRestartMessages compares the messages of the hot restart protocol, and an endpoint list, with the bytes
+// of earlier builds.
 func TestGoldenHotRestartMessages(t *testing.T) {
 	var b bytes.Buffer
 	hello := restartHello{Version: hotRestartVersion, Node: `"n0" 127.0.0.1:80`}
@@ -152,7 +155,7 @@
 	golden.Check(t, "entries.txt", fmt.Appendln(parsed, err))
 }
 
-// TestGoldenOverridesFile compares the overrides file with that of an earlier build, and reads that.
+// TestGoldenOverridesFile compares the overrides file with that of an earlier build, and parses that file.
 func TestGoldenOverridesFile(t *testing.T) {
 	n := newNode(t, func(c *Config) { c.Name, c.Listen = "n0", "127.0.0.1:0" })
 	set := &overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-1": {disabledAt: 5}, "s \"2\"": {disabledAt: 6, enabledAt: 7}}}
@@ -172,11 +175,11 @@
 	defer file.Close()
 	read, err := parseOverrides(file, n.identity())
 	if err != nil || !read.drained || len(read.endpoints) != 2 || read.endpoints["s-1"] != (disabledEndpoint{disabledAt: 5}) || read.endpoints["s \"2\""] != (disabledEndpoint{disabledAt: 6, enabledAt: 7}) {
-		t.Errorf("read as %+v, %v", read, err)
+		t.Errorf("got overrides %+v, error %v, want drained with s-1 disabled and s \"2\" enabled again", read, err)
 	}
 }
 
-// TestGoldenAdminResponses compares the admin API's answers with the bytes of earlier builds.
+// TestGoldenAdminResponses compares the admin API's responses with the bytes of earlier builds.
 func TestGoldenAdminResponses(t *testing.T) {
 	n := startNode(t, withAdmin, "127.0.0.1:1")
 	var b bytes.Buffer
@@ -206,7 +209,7 @@
 	golden.Check(t, "state-fields.txt", fmt.Appendln(nil, names))
 }
 
-// TestGoldenRejections compares the responses that the node itself makes with the bytes of earlier builds.
+// TestGoldenRejections compares the responses that the node itself generates with the bytes of earlier builds.
 func TestGoldenRejections(t *testing.T) {
 	n := startNode(t, nil)
 	var b bytes.Buffer
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// silentDiscovery gives a node a discovery service that never answers, so that only the test posts events.
+// silentDiscovery configures a discovery service that never responds, so that only the test posts events.
 func silentDiscovery(t *testing.T) func(*Config) {
 	address, _ := watchOf(t)
 	return func(c *Config) { c.Discovery = address }
@@ -40,12 +40,13 @@
 	return body
 }
 
-// lenientSettings keeps the decisions from taking an upstream for dead because a random body takes a moment to make.
+// lenientSettings are settings with which the policy doesn't eject an upstream for its delay in generating a random
+// body.
 func lenientSettings(c *Config) {
 	c.Settings = json.RawMessage(strings.Replace(settingsText, `"quantum_us":2000`, `"quantum_us":1000000`, 1))
 }
 
-// chunkedBody is a body in chunks of a size, with extensions and a trailer.
+// chunkedBody encodes a body in chunks of the given size, with chunk extensions and a trailer.
 func chunkedBody(body []byte, size int) string {
 	var b strings.Builder
 	for len(body) > 0 {
@@ -59,16 +60,17 @@
 
 func (n *Node) awaitBodyMemoryReleased(t *testing.T) {
 	t.Helper()
-	eventually(t, "all memory for bodies is given back", func() bool { return n.bufferedBytes.Load() == 0 })
+	eventually(t, "the memory for bodies is released", func() bool { return n.bufferedBytes.Load() == 0 })
 }
 
-// partialStreamedRequest is a request whose body is streamed, cut off after as much as the kernel takes in: an end behind
-// more would wait at the client.
+// partialStreamedRequest returns a request with a streamed body of which only the first 80 KiB are included. The kernel
+// buffers that much; with more, the client's close would not reach the node while it isn't reading.
 func partialStreamedRequest(class, id string) string {
 	return strings.TrimSuffix(requestText(class, id, strings.Repeat("x", 2<<20)), strings.Repeat("x", 2<<20-(80<<10)))
 }
 
-// settingsText has a class that is idempotent, one by key, one that is not, and one with a long deadline.
+// settingsText has an idempotent class, one that is idempotent by key, a non-idempotent one, and one with a long
+// deadline.
 const settingsText = `{"discovery":"ask","family_info":{"warm_keys":true},"goal":{"whole":0.5},"group_size":1,
 "limits":{"cancelling":true,"connect_timeout_us":75000,"idle_close_us":60000000,"max_retry_after_us":1500000,
 "may_duplicate":false,"retry_after":true,"try_limit":3},"parties":[{"name":"acme","portion":1.0}],"profiles":[
@@ -90,13 +92,14 @@
 
 var lastAddress atomic.Int64
 
-// address is one that nothing else has used: nodes of earlier tests, here or in another process, still call theirs.
+// unusedAddress returns an address that nothing else has used, because nodes of earlier tests, also in other test
+// processes, still call the addresses of their upstreams.
 func unusedAddress() string {
 	n := lastAddress.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, n/250, 1+n%250)
 }
 
-// listen serves raw connections on an address of its own until the test ends.
+// listen serves raw connections on an unused address until the test ends.
 func listen(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	return listenAt(t, "tcp", unusedAddress(), serve)
@@ -124,8 +127,8 @@
 	return l.Addr().String()
 }
 
-// startUpstream starts an upstream that answers each request by what answer writes, which reports whether the
-// connection goes on.
+// startUpstream starts an upstream that calls respond for each request. respond writes the response and reports whether
+// the connection stays open.
 func startUpstream(
 	t *testing.T, respond func(c net.Conn, r *http.Request, body string) bool,
 ) (address string, requests *atomic.Int64) {
@@ -154,12 +157,12 @@
 	return err == nil
 }
 
-// echo answers with what came, so that a mix-up of answers shows.
+// echo responds with the request's path, ID and body, so that mixed-up responses are detected.
 func echo(c net.Conn, r *http.Request, body string) bool {
 	return writeResponse(c, "200 OK\r\nX-Pressure: queue=1", r.RequestURI+" "+r.Header.Get(headerRequestID)+" "+body)
 }
 
-// newNode makes a node whose known list has the upstreams; by default nothing listens at its discovery address.
+// newNode creates a node whose known list contains the upstreams. By default nothing listens at its discovery address.
 func newNode(t *testing.T, change func(*Config), upstreamAddrs ...string) *Node {
 	t.Helper()
 	var entries []string
@@ -183,8 +186,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Guards against the memory limit of one node for a process that holds the nodes of all tests: its collector would
-	// run all the time.
+	// This process runs the nodes of all tests. With the memory limit of a single node the garbage collector would run
+	// all the time.
 	debug.SetMemoryLimit(math.MaxInt64)
 	t.Cleanup(func() { n.frontend.listener.Close() })
 	return n
@@ -197,7 +200,7 @@
 	return n
 }
 
-// address is where the node listens for clients.
+// address returns the address where the node listens for clients.
 func (n *Node) address() string { return n.frontend.listener.Addr().String() }
 
 func dial(t *testing.T, n *Node) (net.Conn, *bufio.Reader) {
@@ -217,7 +220,8 @@
 		"Content-Length: %d\r\n\r\n%s", class, id, class, len(body), body)
 }
 
-// readResponse reads one response; status 0 means that the connection ended without one.
+// readResponse reads one response. Status 0 means that the connection ended without a complete one; body is then the
+// error.
 func readResponse(in *bufio.Reader) (status int, body string, header http.Header) {
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -230,7 +234,7 @@
 	return r.StatusCode, string(text), r.Header
 }
 
-// ask sends one request on a new connection.
+// sendRequest sends one request on a new connection and returns the response.
 func sendRequest(t *testing.T, n *Node, class, id, body string) (status int, answer string, header http.Header) {
 	t.Helper()
 	c, in := dial(t, n)
@@ -244,7 +248,7 @@
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", description)
+			t.Fatalf("condition not met within 5 s: %s", description)
 		}
 	}
 }
@@ -263,23 +267,23 @@
 	return update.entries[0], nil
 }
 
-// writeText writes to a peer that may have gone; what it answers, or that it does not, shows that.
+// writeText writes to a peer that may have closed the connection. It ignores errors; tests check the response instead.
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 // writef is writeText with a format.
 func writef(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
-// discard reads to the end, however that comes.
+// discard reads until the end or an error.
 func discard(r io.Reader) { _, _ = io.Copy(io.Discard, r) }
 
-// skipRequestHead reads the head of a request, if one comes.
+// skipRequestHead reads the head of a request, ignoring errors.
 func skipRequestHead(in *bufio.Reader) { _, _ = http.ReadRequest(in) }
 
 // writeBytes is writeText for bytes.
 func writeBytes(w io.Writer, b []byte) { _, _ = w.Write(b) }
 
-// waitForClose returns once something comes on a connection, or it ends.
+// waitForClose blocks until the connection is closed. It also returns if a byte arrives.
 func waitForClose(r io.Reader) { _, _ = r.Read(make([]byte, 1)) }
 
-// discardUpTo reads a number of bytes, or fewer if the rest does not come.
+// discardUpTo reads n bytes, or fewer if the input ends early.
 func discardUpTo(r io.Reader, n int64) { _, _ = io.CopyN(io.Discard, r, n) }
--- a/internal/node/httpmessage.go
+++ b/internal/node/httpmessage.go
@@ -1,7 +1,7 @@
 package node
 
-// HTTP/1 messages on a buffered connection: heads are collected, limited and parsed by net/http; bodies are read by
-// net/http's own readers.
+// HTTP/1 messages on a buffered connection. A head is buffered completely, checked against maxHeadBytes and parsed by
+// net/http, whose readers also decode the bodies.
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 
 const (
 	maxHeadBytes   = 16 << 10
-	maxBodyBytes   = 40 << 20 // of any body
+	maxBodyBytes   = 40 << 20 // of a request or a response, streamed or buffered
 	headReaderSize = 4 << 10
 
-	// unknownLength is the length of a body that only its own end delimits: in chunks, or until the connection ends.
+	// unknownLength is the length of a body without a declared length: one that is chunked or ends with the connection.
 	unknownLength = -1
 )
 
@@ -31,23 +31,23 @@
 
 var headReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, headReaderSize) }}
 
-// message is a message whose head has been read and whose body may still be coming. One goroutine uses it, and ends it
-// before anything else is read from its connection.
+// message is a message whose head has been read and whose body may still be arriving. Only one goroutine uses it, and
+// it must call end before anything else is read from the connection.
 type message struct {
 	conn   *bufferedConn
-	reader *bufio.Reader // nil once the message has ended
+	reader *bufio.Reader // nil after end
 	body   io.Reader
 	length int64 // of the body in bytes, or unknownLength
 }
 
-// framedBody is the body behind a parsed head.
+// framedBody is the body that follows a parsed head.
 type framedBody struct {
 	body   io.Reader
 	length int64 // in bytes, or unknownLength
 }
 
-// readHead collects a head and has parse read it. Its errors are the connection's, errHeadTooLong, errBodyTooLong, or
-// wrap errMalformed.
+// readHead buffers a head and calls parse to read it. Its error is that of the connection, errHeadTooLong or
+// errBodyTooLong, or wraps errMalformed.
 func (c *bufferedConn) readHead(parse func(*bufio.Reader) (framedBody, error)) (*message, error) {
 	if err := c.fillHead(); err != nil {
 		return nil, err
@@ -83,19 +83,19 @@
 	return nil
 }
 
-// headEnds reports whether an empty line ends the head, searching from an offset.
+// headEnds reports whether the head contains its final empty line, searching from an offset.
 func headEnds(head []byte, offset int) bool {
 	head = head[min(offset, len(head)):]
 	return bytes.Contains(head, []byte("\n\r\n")) || bytes.Contains(head, []byte("\n\n"))
 }
 
-// end returns to the connection what was read beyond the message. The message must not be used afterwards; a second
-// call does nothing.
+// end returns bytes read beyond the message to the connection's buffer. The message must not be used afterwards; a
+// second call has no effect.
 func (m *message) end() {
 	if m.reader == nil {
 		return
 	}
-	excess, _ := m.reader.Peek(m.reader.Buffered()) // all of it is buffered, so this can't fail
+	excess, _ := m.reader.Peek(m.reader.Buffered()) // can't fail, as it peeks only at buffered bytes
 	if len(excess) > 0 {
 		unread := make([]byte, 0, len(excess)+len(m.conn.buffered()))
 		unread = append(unread, excess...)
@@ -108,8 +108,8 @@
 	m.reader = nil
 }
 
-// Read reads on in the body. An error of the connection is returned as it is, with io.ErrUnexpectedEOF for its end; any
-// other wraps errMalformed. io.EOF is the end of a complete body.
+// Read reads from the body. It returns io.EOF at the end of a complete body, io.ErrUnexpectedEOF if the connection ends
+// within the body, other errors of the connection unchanged, and any other error wrapped in errMalformed.
 func (m *message) Read(p []byte) (int, error) {
 	n, err := m.body.Read(p)
 	switch {
@@ -125,7 +125,7 @@
 	return n, m.conn.readErr
 }
 
-// readUpTo appends the body to b until that has limit bytes, and reports whether that was the rest of the body.
+// readUpTo appends the body to b until b has limit bytes, and reports whether it has read the complete body.
 func (m *message) readUpTo(b []byte, limit int) (body []byte, complete bool, err error) {
 	if m.length >= 0 && cap(b) == 0 {
 		b = make([]byte, 0, min(m.length, int64(limit)))
@@ -137,7 +137,7 @@
 	return b, complete, err
 }
 
-// readMore reads once, as readUpTo.
+// readMore is one read of readUpTo.
 func (m *message) readMore(b []byte, limit int) (body []byte, complete bool, err error) {
 	if len(b) == cap(b) {
 		b = append(b, 0)[:len(b)]
@@ -150,7 +150,7 @@
 	return b, false, err
 }
 
-// bodyLength is the length that a parsed head declares for its body, or unknownLength.
+// bodyLength returns the body length that a parsed head declares, or unknownLength.
 func bodyLength(contentLength int64, transferEncoding []string) int64 {
 	if len(transferEncoding) > 0 {
 		return unknownLength
@@ -158,15 +158,16 @@
 	return contentLength
 }
 
-// framing counts the headers of a head that declare the length of its body.
+// framing describes the headers of a head that declare its body's length.
 type framing struct {
-	declarations int  // of either header
-	encoded      bool // Transfer-Encoding is one of them
+	declarations int  // number of Content-Length and Transfer-Encoding lines
+	encoded      bool // at least one of them is Transfer-Encoding
 }
 
-// parseFraming finds the headers that declare a body's length. Guards against request smuggling: of a head that
-// declares it twice one reader may see a request where another sees a body. http.ReadRequest hides that: it drops the
-// length beside an encoding, and the encoding of a request by HTTP/1.0, which knows none.
+// parseFraming finds the headers that declare a body's length, to prevent request smuggling: if a head declares it
+// twice, one server may parse a request out of what another reads as a body. http.ReadRequest hides such heads: it
+// drops Content-Length if there is a Transfer-Encoding, and ignores Transfer-Encoding in HTTP/1.0, which does not
+// define it.
 func parseFraming(head []byte) framing {
 	var f framing
 	for line := range bytes.Lines(head) {
@@ -186,18 +187,18 @@
 	return f
 }
 
-// ambiguousFor reports that the body of a request has no one length.
+// ambiguousFor reports whether the length of the request's body is ambiguous.
 func (f framing) ambiguousFor(r *http.Request) bool {
 	return f.declarations > 1 || f.encoded && !r.ProtoAtLeast(1, 1)
 }
 
 func expectsContinue(h http.Header) bool { return strings.EqualFold(h.Get("Expect"), "100-continue") }
 
-// readRequestHead reads the head of a request. A client that waits for 100 Continue is sent it, if mayContinue allows a
-// write at this moment.
+// readRequestHead reads the head of a request. It sends 100 Continue to a client that expects it, if mayWriteContinue
+// reports that no response is being written.
 func (c *bufferedConn) readRequestHead(mayWriteContinue func() bool) (*http.Request, *message, error) {
 	for bytes.HasPrefix(c.buffered(), []byte("\r\n")) {
-		c.start += 2 // an empty line before a message is ignored
+		c.start += 2 // empty lines before a message are ignored
 	}
 	var request *http.Request
 	m, err := c.readHead(func(reader *bufio.Reader) (framedBody, error) {
@@ -217,12 +218,13 @@
 	}
 	bodyHasStarted := m.reader.Buffered()+len(c.buffered()) > 0
 	if !bodyHasStarted && m.length != 0 && expectsContinue(request.Header) && mayWriteContinue() {
-		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // a failed write shows when the body is read
+		_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // a failed write leads to an error when the body is read
 	}
 	return request, m, nil
 }
 
-// readResponseHead reads the head of the response to a request with a method, and skips interim responses.
+// readResponseHead reads the head of the final response to a request with the given method, skipping interim (1xx)
+// responses.
 func (c *bufferedConn) readResponseHead(method string) (*http.Response, *message, error) {
 	for {
 		var response *http.Response
--- a/internal/node/httpmessage_test.go
+++ b/internal/node/httpmessage_test.go
@@ -8,14 +8,14 @@
 	"testing/quick"
 )
 
-// A message is the same however it is cut into reads, and what is none ends in an error.
+// Parsing gives the same message for every segmentation into reads, and a malformed message ends in an error.
 func TestParsingIsIndependentOfSegmentation(t *testing.T) {
 	property := func(body []byte, chunked, corrupt bool, segments []uint8) bool {
 		text := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		if chunked {
 			text = fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n",
 				len(body), body)
-			if len(body) > 0 { // else its only chunk was the last
+			if len(body) > 0 { // an empty chunk is already the last chunk
 				text += "0\r\n\r\n"
 			}
 		}
@@ -55,18 +55,19 @@
 	}
 }
 
-// Where the system refuses splice and sendfile, a copy that tried them would depend on how the library takes the
-// refusal: no connection offers a way round the buffers.
+// Guards against using splice and sendfile, which some systems refuse; how the standard library handles the refusal
+// should not matter. No connection type implements io.ReaderFrom or io.WriterTo, so io.Copy reads and writes through
+// buffers.
 func TestBodiesAreCopiedByReadAndWriteOnly(t *testing.T) {
 	for name, c := range map[string]any{
 		"conn": &bufferedConn{}, "serverConn": &upstreamConn{},
 		"source": &bodySource{}, "message": &message{},
 	} {
 		if _, ok := c.(io.ReaderFrom); ok {
-			t.Errorf("%s copies from a reader by itself", name)
+			t.Errorf("%s implements io.ReaderFrom, want plain reads and writes", name)
 		}
 		if _, ok := c.(io.WriterTo); ok {
-			t.Errorf("%s copies to a writer by itself", name)
+			t.Errorf("%s implements io.WriterTo, want plain reads and writes", name)
 		}
 	}
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -5,31 +5,31 @@
 	"runtime/debug"
 )
 
-// How a node's file descriptors and memory are divided. Config.Limits holds for the node, so while a hot restart has
-// two processes running each takes half. A Divisor
-// constant gives one in so many of an amount, a Percent constant so many hundredths of it.
+// How a node's file descriptors and memory are divided. Config.Limits applies to the whole node, so during a hot
+// restart each of its two processes gets half. A constant with the suffix Divisor is the divisor that yields a fraction
+// of an amount; one with the suffix Percent is a percentage.
 const (
 	defaultDescriptors = 1024
-	minDescriptors     = 32 // with fewer a node can't serve
+	minDescriptors     = 32 // a node can't serve with fewer
 
-	// ownDescriptors are standard files, poller, listeners with a connection each, discovery, overrides, state,
-	// gossip and the runtime.
+	// ownDescriptors are reserved for standard streams, the poller, listeners with one connection each, discovery,
+	// overrides, persisted state, gossip and the runtime.
 	ownDescriptors         = 24
-	spareDescriptorDivisor = 16 // of all descriptors, to answer clients that there is no room for
-	activeClientDivisor    = 4  // of all descriptors, for clients with a request; clients hold a third at most
-	upstreamDivisor        = 3  // of what is left, for upstreams: clients keep their connections while idle
+	spareDescriptorDivisor = 16 // of all descriptors, to reject clients over capacity
+	activeClientDivisor    = 4  // of all descriptors: soft limit of used client connections; clients hold at most a third
+	upstreamDivisor        = 3  // of the rest, for upstreams: clients need more, as they keep idle connections
 
-	bodyMemoryDivisor = 8 // of the memory, for bodies in flight; connections' buffers need as much
+	bodyMemoryDivisor = 8 // of the memory, for buffered bodies; connection buffers need as much again
 	defaultBodyMemory = 64 << 20
-	heapLimitPercent  = 60  // of the memory
-	gcPercent         = 400 // the heap is small, its collection takes time from requests
+	heapLimitPercent  = 60  // of MemoryMB
+	gcPercent         = 400 // GOGC: the heap is small, and collecting it takes CPU time from requests
 	bytesPerMiB       = 1 << 20
-	minOwnDescriptors = 4 // beside half of the descriptors, where those are few
-	lentSlotDivisor   = 2 // of what clients have more than upstreams, for slots that may be lent (frontend.go)
+	minOwnDescriptors = 4 // in addition to half of the descriptors, if these are fewer than ownDescriptors
+	lentSlotDivisor   = 2 // of the client slots in excess of the upstream slots: may be lent (frontend.go)
 )
 
-// divideLimits sets the limits of connections and memory. It is called at the start, and whenever the node's other
-// process comes or goes.
+// divideLimits sets the connection and memory limits. It is called at the start, and whenever the node's other process
+// starts or ends.
 func (n *Node) divideLimits() {
 	processes := n.hotRestart.processes()
 	n.divideDescriptors(processes)
@@ -50,7 +50,7 @@
 	n.upstreams.setLimit(upstreamConns)
 	n.admin.setLimit(admin)
 	n.frontend.setLimits(clientConns, spare, total/activeClientDivisor)
-	// frontend.go has the rule of lent slots.
+	// Slot lending is described in frontend.go.
 	n.frontend.maxSlotsLentToUpstreams.Store(int64(clientConns-upstreamConns) / lentSlotDivisor)
 }
 
@@ -63,7 +63,7 @@
 	n.maxBufferedBytes.Store(bodyBytes / int64(processes))
 }
 
-// limitRuntime keeps the runtime within the machine's share that the node was given.
+// limitRuntime applies the node's limits to the Go runtime.
 func (n *Node) limitRuntime() {
 	if cores := n.config.Limits.Cores; cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cores)))
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -1,8 +1,9 @@
 package node
 
-// The names that the protocol uses on sockets: headers, paths, states and the status codes' meaning. They are mapped to
-// the terms of the code here and nowhere else in this package; the field names of an endpoint list are in
-// internal/endpointlist. The wire has its own words for what the code calls by the field's terms:
+// The names of the wire protocol: headers, paths, endpoint states and the meaning of status codes. Only this file maps
+// them to the terms used in the code; the field names of an endpoint list are in internal/endpointlist. The wire names
+// differ from the terms in the code:
+//
 //
 //	header, cookie         meaning                                    field of policy.Request
 //	X-Txn                  identifies the request                     ID
@@ -15,8 +16,8 @@
 //	X-Pressure             load report, in responses                  (policy.LoadReport)
 //	X-Turned-Away          the request was rejected, in responses     (policy.OutcomeRejected)
 //
-// In the settings classes are "profiles" and tenants "parties"; a pod is "cell" or "block". Error texts for clients keep
-// the wire's words, as clients may match them.
+// In the settings, classes are called "profiles" and tenants "parties"; a pod is "cell" or "block". Error texts for
+// clients use the wire names, because clients may match them.
 
 import (
 	"errors"
@@ -42,7 +43,7 @@
 	headerLoadReport  = "X-Pressure"
 	headerNotExecuted = "X-Turned-Away"
 	headerRetryAfter  = "Retry-After"
-	affinityCookie    = "key" // whose value is the request's affinity key
+	affinityCookie    = "key" // its value is the request's affinity key
 
 	pathReady   = "/ready"
 	pathDisable = "/servers/disable"
@@ -58,17 +59,17 @@
 	pathLoad = "/status/load"
 
 	envConsole   = "NODE_CONSOLE"
-	envInherited = "NODE_INHERITED_FD" // the descriptor of the listening socket for clients, if the platform opened it
+	envInherited = "NODE_INHERITED_FD" // descriptor of the client listener, if the platform opened it
 )
 
-// adminMethods are the methods of the admin API, by path.
+// adminMethods maps each path of the admin API to its allowed method.
 var adminMethods = map[string]string{
 	pathReady: http.MethodGet, pathDisable: http.MethodPut, pathEnable: http.MethodPut, pathDrain: http.MethodPut,
 	pathUndrain: http.MethodPut, pathMembers: http.MethodGet,
 	pathState: http.MethodGet, pathRelays: http.MethodGet,
 }
 
-// hopByHopHeaders are not passed on: they concern one connection, or one attempt, or are written by the node itself.
+// hopByHopHeaders are not forwarded: they concern one connection or one attempt, or the node writes them itself.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
@@ -76,8 +77,8 @@
 	headerRemaining: true, headerLoadReport: true, headerNotExecuted: true,
 }
 
-// removeHopByHopHeaders removes, in place, the headers that are not passed on, also those that the sender names in Connection. The
-// request id is always passed on.
+// removeHopByHopHeaders removes, in place, the headers that are not forwarded, including those that the sender lists in
+// Connection. The request ID is always forwarded.
 func removeHopByHopHeaders(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -93,18 +94,18 @@
 	return h
 }
 
-// watchHead is the request that watches the endpoint list for changes after a version.
+// watchHead returns the request that watches the endpoint list for changes after a version.
 func watchHead(address string, version int64) string {
 	return fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, version, address)
 }
 
-// healthCheckHead is the request of a health check.
+// healthCheckHead returns the request of a health check.
 func healthCheckHead(address string) string {
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", pathLoad, address)
 }
 
-// isRequestFault reports a status that finds fault with the request itself. Any endpoint would, so the response is
-// passed on to the client and says nothing about the endpoint.
+// isRequestFault reports whether a status blames the request itself. Any endpoint would respond like this, so the
+// response is forwarded to the client and says nothing about the endpoint.
 func isRequestFault(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
@@ -113,10 +114,10 @@
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError
 }
 
-// outcomeOf maps the head of a complete response to its outcome, as the protocol defines it: 200 is the only success,
-// any other 2xx and a 3xx are errors. A rejection is proof that the request did not run, and needs its header besides
-// the status. A request fault was sent and answered, but counts as OutcomeNotSent: the decisions are to draw no
-// conclusion about the endpoint from it.
+// outcomeOf maps the status and headers of a complete response to its outcome, as the protocol defines it: 200 is the
+// only success; any other 2xx and every 3xx is an error. A rejection proves that the request did not run, and requires
+// X-Turned-Away in addition to the status. A request fault counts as OutcomeNotSent although the request was sent, so
+// that the policy draws no conclusion about the endpoint.
 func outcomeOf(status int, h http.Header) policy.Outcome {
 	unavailable := status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 	switch {
@@ -130,17 +131,17 @@
 	return policy.OutcomeError
 }
 
-// parseLoadReport reads the load report of a response's header or of a health check; an empty text is an empty report.
+// parseLoadReport parses the load report of a response header or of a health check. An empty text is an empty report.
 func parseLoadReport(text string) policy.LoadReport { return loadreport.Parse(text) }
 
-// endpointEntry is one endpoint of the list, with the address that this node uses for it.
+// endpointEntry is one entry of the endpoint list, with the address that this node connects to.
 type endpointEntry struct {
 	policy.EndpointInfo
 	name    string
 	address string
 }
 
-// zone is the name of the endpoint's zone; empty if it is none of the settings' zones.
+// zone returns the name of the endpoint's zone, or an empty string if the settings don't list that zone.
 func (e *endpointEntry) zone(zones []string) string {
 	if e.Zone < 0 || e.Zone >= len(zones) {
 		return ""
@@ -167,11 +168,10 @@
 	policy.StateRemoved:  stateRemoved,
 }
 
-// maxStartedMs bounds an endpoint's start time, in milliseconds of Unix time, so that nanoseconds fit an int64.
+// maxStartedMs bounds an endpoint's start time in milliseconds of Unix time, so that it fits an int64 in nanoseconds.
 const maxStartedMs = 9e12
 
-// newEndpointEntry checks one endpoint of a list and maps it to the terms of the decisions. An endpoint that is draining or
-// removed needs no address.
+// newEndpointEntry validates one entry of an endpoint list and converts it. Only an active endpoint needs an address.
 func newEndpointEntry(listed endpointlist.Entry, zones []string) (endpointEntry, error) {
 	state, ok := endpointStates[listed.State]
 	if !ok {
@@ -184,7 +184,7 @@
 		return endpointEntry{}, fmt.Errorf("dial: %w", err)
 	}
 	if listed.Weight < 0 || listed.StartedMs < 0 || listed.StartedMs > maxStartedMs {
-		return endpointEntry{}, errors.New("share, born_ms: expected numbers that can be a weight and a time")
+		return endpointEntry{}, errors.New("share, born_ms: expected a weight of at least 0 and a start time from 0 to 9e12 ms")
 	}
 	return endpointEntry{
 		name:    listed.Name,
@@ -200,7 +200,7 @@
 	}, nil
 }
 
-// encodeList encodes a list in the form in which the discovery service sends it.
+// encodeList encodes an endpoint list in the discovery service's JSON format.
 func encodeList(version int64, entries []endpointEntry, zones []string) []byte {
 	list := make([]endpointlist.Entry, len(entries))
 	for i, e := range entries {
@@ -217,13 +217,13 @@
 	return endpointlist.Encode(version, list)
 }
 
-// endpointID is the number by which the decisions know an endpoint. It comes from the name alone, so that all nodes agree
-// on it without messages.
+// endpointID returns the number that identifies an endpoint in the policy. It is a hash of the name, so that all nodes
+// compute the same one.
 func endpointID(name string) policy.EndpointID {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
 	return policy.EndpointID(hash.Sum32())
 }
 
-// zoneIndex is a zone's place in the settings, or -1.
+// zoneIndex returns a zone's index in the settings, or -1.
 func zoneIndex(name string, zones []string) int { return slices.Index(zones, name) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs the decisions of package policy on sockets: it takes in clients' requests, sends attempts to
-// upstreams, follows the endpoint list, exchanges messages with other nodes, persists state and serves the admin API.
+// Package node runs package policy on network sockets: it accepts requests from clients, sends attempts to upstreams,
+// watches the endpoint list, exchanges messages with other nodes, persists state and serves the admin API.
 package node
 
 import (
@@ -16,16 +16,16 @@
 	"go.uber.org/zap"
 )
 
-// Node is one node and what its parts share. New makes one, Run serves until it has shut down.
+// Node is one node of the proxy. New creates it, Run serves until the node has shut down.
 type Node struct {
 	config           *Config
 	settings         *settings.Settings
 	log              *zap.Logger
 	clock            clock
 	counters         counters
-	serving          atomic.Bool // the endpoint list, the overrides and the loop are in place
+	serving          atomic.Bool // the endpoint list has been applied and clients are accepted
 	shuttingDown     atomic.Bool
-	bufferedBytes    atomic.Int64 // bytes of bodies of requests without an answer
+	bufferedBytes    atomic.Int64 // memory reserved for bodies of unanswered requests
 	maxBufferedBytes atomic.Int64
 	listLimits       endpointlist.Limits
 	classIndex       map[string]int
@@ -39,17 +39,17 @@
 	admin         *adminServer
 	overrides     *overrides
 	hotRestart    *hotRestart
-	members       *memberAgent       // nil: off
-	listGossip    *listGossip        // nil: off
-	relays        *relaySubscription // nil: off
-	persistence   *persistence       // nil: no state directory
+	members       *memberAgent       // nil if disabled
+	listGossip    *listGossip        // nil if disabled
+	relays        *relaySubscription // nil if disabled
+	persistence   *persistence       // nil without a state directory
 
 	initialList initialList   // set by start, then owned by listGossip
-	hasList     atomic.Bool   // an endpoint list has come, or was there
-	inherited   *restartState // received from the process before; nil at a plain start
+	hasList     atomic.Bool   // an endpoint list has been received or was available at the start
+	inherited   *restartState // received from the previous process; nil unless this is a hot restart
 }
 
-// New makes a node that listens; nothing runs before Run.
+// New creates a node and opens its sockets. Nothing is served before Run.
 func New(config *Config, log *zap.Logger) (*Node, error) {
 	parsed := &config.parsedSettings
 	n := &Node{
@@ -76,7 +76,7 @@
 	return n, nil
 }
 
-// openSockets opens the sockets of clients, the admin API, gossip and membership; all or none.
+// openSockets opens the sockets for clients, the admin API, gossip and membership. If one fails it closes the others.
 func (n *Node) openSockets() (err error) {
 	var opened []func()
 	defer func() {
@@ -113,7 +113,7 @@
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// listenForClients returns the socket that the platform has passed in, else one that this process opens.
+// listenForClients returns the listener inherited from the platform if there is one, else it opens one.
 func (n *Node) listenForClients() (net.Listener, error) {
 	if n.config.inheritedFD == "" {
 		return bind(n.config.Listen)
@@ -123,19 +123,20 @@
 		return nil, err
 	}
 	file := os.NewFile(uintptr(fd), envInherited)
-	defer file.Close() // the listener has a descriptor of its own
+	defer file.Close() // the listener has its own duplicate of the descriptor
 	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", envInherited, err)
 	}
 	if bound := listener.Addr().String(); bound != n.config.Listen {
-		n.log.Warn("the inherited socket is bound to another address than listen",
+		n.log.Warn("inherited socket is bound to another address than the configured listen; using the inherited socket",
 			zap.String("bound", bound), zap.String("listen", n.config.Listen))
 	}
 	return listener, nil
 }
 
-// notReadyReason is the admin API's reason why the node takes no new clients now; empty if it does.
+// notReadyReason returns why the node is not ready for new clients, as reported by the admin API, or an empty string if
+// it is ready.
 func (n *Node) notReadyReason() string {
 	switch {
 	case n.shuttingDown.Load():
@@ -145,12 +146,12 @@
 	case !n.serving.Load():
 		return "starting"
 	case !n.hasList.Load():
-		return "no list of servers yet: none is remembered, and nobody has told one"
+		return "no list of servers yet: none is persisted, and none has been received"
 	}
 	return ""
 }
 
-// closesClientConns reports whether connections of clients end with their next answer.
+// closesClientConns reports whether client connections are closed after their next response.
 func (n *Node) closesClientConns() bool {
 	return n.shuttingDown.Load() || n.overrides.drained() || n.hotRestart.hasYielded()
 }
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -1,7 +1,6 @@
 package node
 
-// A request as the client side has read it, and its one response. It is what the client side, the event loop and the
-// upstream side share.
+// A request read from a client and its single response. The client side, the event loop and the upstream side share it.
 
 import (
 	"bytes"
@@ -13,32 +12,32 @@
 	"fawnglade/policy"
 )
 
-// pendingRequest is a request until its response has been written. The read loop of its client connection fills it in
-// before it posts the request to the event loop, and nothing but the fields with their own synchronization changes
-// afterwards.
+// pendingRequest is a request from its arrival until its response has been written. The read loop of its client
+// connection fills it in before posting it to the event loop. Afterwards only the synchronized fields and those owned
+// by the event loop change.
 type pendingRequest struct {
 	request    policy.Request
 	method     string
-	closeAfter bool        // the client connection is closed after the response
-	http10     bool        // the client speaks HTTP/1.0, which knows no chunks
-	head       []byte      // of the request as it goes to upstreams, without the time that remains and the empty line
-	body       []byte      // the buffered part of the body
-	source     *bodySource // what follows, of a body that is too long to be buffered; else nil
+	closeAfter bool        // close the client connection after the response
+	http10     bool        // the client uses HTTP/1.0, which has no chunked encoding
+	head       []byte      // as sent to upstreams, without the remaining time and the final empty line
+	body       []byte      // buffered part of the body
+	source     *bodySource // rest of a body that is too long to be buffered; else nil
 
-	clientGone func() bool // whether the client has closed its connection; any goroutine may call it
+	clientGone func() bool // reports whether the client has closed its connection; safe for concurrent use
 
-	responses chan response // gets the one response; read by the write loop
-	answered  atomic.Bool   // the response is there
+	responses chan response // receives the single response; read by the write loop
+	answered  atomic.Bool   // the response has been sent to responses
 
-	attempts []*attempt // by number; of the event loop alone
-	inFlight int        // attempts that have not ended; of the event loop alone
+	attempts []*attempt // by number; owned by the event loop
+	inFlight int        // number of attempts that have not ended; owned by the event loop
 }
 
 func newPendingRequest() *pendingRequest {
 	return &pendingRequest{responses: make(chan response, 1), clientGone: func() bool { return false }}
 }
 
-// answer gives the request its one response. It reports whether this was it; any later one is discarded.
+// answer sets the request's response. It reports false and discards the response if the request is already answered.
 func (p *pendingRequest) answer(r response) bool {
 	if !p.answered.CompareAndSwap(false, true) {
 		r.discard()
@@ -48,7 +47,7 @@
 	return true
 }
 
-// bufferHead keeps the request's head in the form in which it goes to upstreams.
+// bufferHead stores the request's head as it is sent to upstreams.
 func (p *pendingRequest) bufferHead(r *http.Request) {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -64,10 +63,10 @@
 	p.head = b.Bytes()
 }
 
-// headWithTimeout is the request's head as it goes to an upstream, with the time that the node will wait for the
+// headWithTimeout returns the request's complete head for an upstream, including the time that the node waits for the
 // response.
 func (p *pendingRequest) headWithTimeout(timeout time.Duration) []byte {
-	const timeoutHeaderBytes = 40 // at most
+	const timeoutHeaderBytes = 40 // maximum length of the X-Remaining-Ms line and the empty line
 	b := make([]byte, 0, len(p.head)+timeoutHeaderBytes)
 	b = append(b, p.head...)
 	b = append(b, headerRemaining+": "...)
@@ -75,9 +74,9 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// bodyIncomplete reports whether the request's body is still coming, or ended before it was complete.
+// bodyIncomplete reports whether the request's body is still arriving or ended prematurely.
 func (p *pendingRequest) bodyIncomplete() bool { return p.source != nil && !p.source.complete.Load() }
 
-// bodyConsumed reports whether the request can't be sent again, as part of its body has gone to an upstream and is no
-// longer buffered.
+// bodyConsumed reports whether the request can't be retried because an attempt has started to read the unbuffered part
+// of its body.
 func (p *pendingRequest) bodyConsumed() bool { return p.source != nil && p.source.consumed.Load() }
--- a/internal/node/requestparse.go
+++ b/internal/node/requestparse.go
@@ -1,6 +1,6 @@
 package node
 
-// From a request as HTTP to a request as the decisions know it, and the requests that are answered without a decision.
+// Converting an HTTP request to a policy.Request, and answering the requests that don't reach the policy.
 
 import (
 	"errors"
@@ -14,13 +14,13 @@
 )
 
 const (
-	maxRequestIDBytes = 128           // the error text for clients says so too
-	maxRemainingMs    = 1_000_000_000 // of the time that a client says remains
+	maxRequestIDBytes = 128           // the error text for clients contains the same number
+	maxRemainingMs    = 1_000_000_000 // bounds the remaining time in a request
 	maxCostHintUs     = 1_000_000_000_000
 )
 
-// handle passes a request to the event loop, or answers at once what needs no decision: a readiness check, a request
-// beyond the node's capacity, or one that can't be read.
+// handle passes a request to the event loop. It answers directly if the request is a readiness check, exceeds the
+// node's capacity or is malformed.
 func (c *clientConn) handle(pending *pendingRequest, r *http.Request) {
 	node := c.frontend.node
 	if r.URL.Path == pathReady {
@@ -39,7 +39,7 @@
 		return
 	}
 	overMemory := node.bufferedBytes.Load() > bodyMemoryHardFactor*node.maxBufferedBytes.Load()
-	if len(pending.body) > 0 && overMemory { // a streamed body holds its first part
+	if len(pending.body) > 0 && overMemory { // a streamed request also buffers the first part of its body
 		c.rejectOverCapacity(pending)
 		return
 	}
@@ -52,8 +52,8 @@
 	node.loop.post(func() { node.loop.requestArrived(pending) })
 }
 
-// rejectMalformed answers a request that could not be read. Where the next request on the connection begins is
-// unknown then, so that it is closed.
+// rejectMalformed answers a request that could not be read. It closes the connection, because the start of the next
+// request is unknown.
 func (c *clientConn) rejectMalformed(pending *pendingRequest, err error) {
 	c.frontend.node.counters.add(requestsMalformed)
 	pending.closeAfter = true
@@ -66,7 +66,7 @@
 	pending.answer(node.overCapacityResponse())
 }
 
-// readyStatus answers a readiness check.
+// readyStatus returns the response status of a readiness check.
 func (n *Node) readyStatus() int {
 	if n.notReadyReason() != "" {
 		return http.StatusServiceUnavailable
@@ -74,7 +74,7 @@
 	return http.StatusOK
 }
 
-// parseRequest reads what the decisions need to know of a request. The text of an error goes to the client.
+// parseRequest extracts what the policy needs from a request. The text of an error is sent to the client.
 func (n *Node) parseRequest(r *http.Request, now policy.Time) (policy.Request, error) {
 	request := policy.Request{
 		ID:          policy.RequestID(r.Header.Get(headerRequestID)),
@@ -100,7 +100,7 @@
 	return request, nil
 }
 
-// parseClass finds a request's class by its header, or else by the first part of its path.
+// parseClass returns a request's class, named by its header or else by the first segment of its path.
 func (n *Node) parseClass(r *http.Request) (int, error) {
 	name := r.Header.Get(headerClass)
 	if name == "" {
@@ -113,7 +113,7 @@
 	return class, nil
 }
 
-// parseTenant finds a request's tenant; one that names none is the first tenant's.
+// parseTenant returns a request's tenant. The default is the first tenant of the settings.
 func (n *Node) parseTenant(r *http.Request) (int, error) {
 	name := r.Header.Get(headerTenant)
 	if name == "" {
@@ -126,7 +126,7 @@
 	return tenant, nil
 }
 
-// parseDeadline is the end of the class's time, or of the time that the client says remains, whichever comes first.
+// parseDeadline returns the deadline of the class or that of the client's remaining time, whichever is earlier.
 func parseDeadline(r *http.Request, now policy.Time, classTime time.Duration) (policy.Time, error) {
 	deadline := now.Add(classTime)
 	text := r.Header.Get(headerRemaining)
@@ -140,8 +140,8 @@
 	return min(deadline, now.Add(time.Duration(remainingMs)*time.Millisecond)), nil
 }
 
-// parseCostHint is the client's estimate of the request's service time; 0 if it has none, or none that can be read,
-// as the request itself is sound.
+// parseCostHint returns the client's estimate of the request's service time. It returns 0 if the header is missing or
+// invalid, because the request itself is still valid.
 func parseCostHint(r *http.Request) time.Duration {
 	costUs, err := strconv.ParseInt(r.Header.Get(headerCostHint), 10, 64)
 	if err != nil || costUs <= 0 || costUs >= maxCostHintUs {
--- a/internal/node/requestread.go
+++ b/internal/node/requestread.go
@@ -1,7 +1,7 @@
 package node
 
-// Reading a request from a client connection: its head, and its body as far as the node has memory for it. What is
-// longer is streamed.
+// Reading a request from a client connection: its head, and as much of its body as the node has memory for. The rest of
+// a longer body is streamed.
 
 import (
 	"errors"
@@ -11,17 +11,18 @@
 )
 
 const (
-	headTimeout          = 2500 * time.Millisecond // for a head, from its first byte; for the first, from admission
-	initialBodyReserve   = 4 << 10                 // bytes reserved at first for a body of unknown length
-	bodyMemoryHardFactor = 2                       // bodies are rejected once the buffered ones exceed the limit so far
+	headTimeout          = 2500 * time.Millisecond // for a head, from its first byte; for the first head, from the slot's acquisition
+	initialBodyReserve   = 4 << 10                 // bytes reserved initially for a body of unknown length
+	bodyMemoryHardFactor = 2                       // requests with a body are rejected above this multiple of maxBufferedBytes
 )
 
-// errClientClosed ends the read loop: the connection ended before the next request began, or was idle for too long.
-var errClientClosed = errors.New("the client closed the connection")
+// errClientClosed ends the read loop: the connection was closed between requests, or idle for too long.
+var errClientClosed = errors.New("client closed the connection or was idle for too long")
 
-// readRequest reads one request, or as much of a long one as is buffered; the rest is then p.source. A client may
-// take its time before a request begins, but not within, nor before its first one: a silent connection holds a
-// descriptor. An error for which isMalformed holds is to be answered, any other ends the connection.
+// readRequest reads one request. If the body is too long to be buffered, pending.source supplies the rest. The idle
+// timeout applies between requests; within a request, and before the first one of a connection, the shorter headTimeout
+// applies, because a silent connection occupies a descriptor. The caller answers an error if isMalformed is true for
+// it, and ends the connection on any other error.
 func (c *clientConn) readRequest(pending *pendingRequest) (*http.Request, error) {
 	first := !c.used
 	if err := c.awaitFirstByte(first); err != nil {
@@ -45,11 +46,11 @@
 	return request, nil
 }
 
-// awaitFirstByte waits until something of the next request is buffered.
+// awaitFirstByte waits until the first bytes of the next request are buffered.
 func (c *clientConn) awaitFirstByte(first bool) error {
 	for len(c.conn.buffered()) == 0 {
 		timeout := clientIdleTimeout
-		if first { // at least closeLinger, so that what has come is read also where the time has just ended
+		if first { // at least closeLinger, so that bytes that have already arrived are still read
 			timeout = max(time.Until(c.slotAcquiredAt.Add(headTimeout)), closeLinger)
 		}
 		c.setReadTimeout(timeout)
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// beginMessage notes that a message is being read, sets the deadline of its head, and returns the time from which that
-// counts.
+// beginMessage records that a message is being read, sets the read deadline for its head, and returns the time at which
+// headTimeout started.
 func (c *clientConn) beginMessage(first bool) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +79,7 @@
 	return startedAt
 }
 
-// readBody reads a body into memory, or as much of a long one as there is memory for, and reports whether that is all.
+// readBody reads a body into memory, as far as there is memory for it, and reports whether it has read all of it.
 func (c *clientConn) readBody(pending *pendingRequest, m *message) (complete bool, err error) {
 	if m.length == 0 {
 		return true, nil
@@ -103,8 +104,8 @@
 	}
 }
 
-// reserveBody makes room for a number of bytes of a request's body and reports whether there is memory for it; forced,
-// there always is. releaseBody gives the memory back.
+// reserveBody grows the request's body buffer to a size and reports whether the node's memory limit allows it. With
+// force it ignores the limit. releaseBody releases the memory.
 func (c *clientConn) reserveBody(pending *pendingRequest, size int, force bool) bool {
 	node := c.frontend.node
 	missing := int64(size - cap(pending.body))
@@ -121,12 +122,13 @@
 	return true
 }
 
-// releaseBody gives back the memory that was reserved for a request's body.
+// releaseBody releases the memory reserved for a request's body.
 func (c *clientConn) releaseBody(pending *pendingRequest) {
 	c.frontend.node.bufferedBytes.Add(-int64(cap(pending.body)))
 }
 
-// awaitStreamedBody waits until a streamed body has been read by its attempt, and reports whether the connection goes on.
+// awaitStreamedBody waits until the attempt has finished reading a streamed body. It reports whether the body is
+// complete, so that the connection can be used for the next request.
 func (c *clientConn) awaitStreamedBody(pending *pendingRequest) bool {
 	<-pending.source.ended
 	pending.source.message.end()
@@ -139,13 +141,13 @@
 	return false
 }
 
-// isMalformed reports an error of reading a request that is the client's fault and is answered with statusFor.
+// isMalformed reports whether an error of readRequest is the client's fault and is answered with statusFor.
 func isMalformed(err error) bool {
 	return errors.Is(err, errMalformed) || errors.Is(err, errHeadTooLong) || errors.Is(err, errBodyTooLong) ||
 		errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// statusFor is the status that answers an error for which isMalformed holds.
+// statusFor returns the response status for an error for which isMalformed is true.
 func statusFor(err error) int {
 	switch {
 	case errors.Is(err, errHeadTooLong):
--- a/internal/node/requestread_test.go
+++ b/internal/node/requestread_test.go
@@ -18,11 +18,11 @@
 	c, in := dial(t, n)
 	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	if status, _, _ := readResponse(in); status != 100 {
-		t.Fatalf("told %d", status)
+		t.Fatalf("Expect: 100-continue: got status %d, want 100", status)
 	}
 	writeText(c, "body")
 	if status, body, _ := readResponse(in); status != 200 || body != "/batch t body" {
-		t.Errorf("answered %d %q", status, body)
+		t.Errorf("after the body: got status %d, body %q, want status 200 and the echoed body", status, body)
 	}
 }
 
@@ -33,7 +33,7 @@
 	for text, want := range map[string]int{
 		"\x00\x01\x02\r\n\r\n":                                    400,
 		"GET /batch HTTP/9.9\r\n\r\n":                             400,
-		head + "\r\n":                                             400, // no id
+		head + "\r\n":                                             400, // no request ID
 		head + "X-Txn: a\r\nX-Lane: b\r\n\r\n":                    400,
 		head + "X-Txn: a\r\nX-Org: b\r\n\r\n":                     400,
 		head + "X-Txn: a\r\nX-Remaining-Ms: soon\r\n\r\n":         400,
@@ -42,7 +42,7 @@
 		head + "X-Pad: " + strings.Repeat("a", 17<<10):            431,
 		head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n":         400,
 		head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab": 400,
-		// Each of these may hide a request in a body.
+		// Each of these could be used for request smuggling.
 		head + "X-Txn: a\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na":                      400,
 		head + "X-Txn: a\r\nContent-Length: 70\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n":    400,
 		head + "X-Txn: a\r\ntransfer-encoding:\r\n chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n": 400,
@@ -52,16 +52,16 @@
 		c, in := dial(t, n)
 		writeText(c, text)
 		if status, _, _ := readResponse(in); status != want {
-			t.Errorf("%.60q was answered %d, want %d", text, status, want)
+			t.Errorf("%.60q: got status %d, want %d", text, status, want)
 		}
 	}
 	if status, _, _ := sendRequest(t, n, "batch", "still", ""); status != 200 || n.count(requestsMalformed) != 15 {
-		t.Errorf("after bad requests a good one is answered %d; %d counted as bad", status, n.count(requestsMalformed))
+		t.Errorf("valid request after malformed ones: got status %d, want 200; got %d counted as malformed, want 15", status, n.count(requestsMalformed))
 	}
 }
 
-// Guards against connections that are silent, or never complete a message, and hold descriptors: they are owed a
-// response or a close within 3 s.
+// Guards against silent connections and incomplete messages that occupy descriptors: the protocol requires a response
+// or a close within 3 s.
 func TestStalledClientsAreClosed(t *testing.T) {
 	n := startNode(t, nil)
 	var clients sync.WaitGroup
@@ -75,14 +75,14 @@
 			writeText(c, text)
 			status, _, _ := readResponse(in)
 			if elapsed := time.Since(startedAt); status != want || elapsed > 2900*time.Millisecond {
-				t.Errorf("%q was answered %d after %v", text, status, elapsed)
+				t.Errorf("%q: got status %d after %v, want the listed status within 2.9 s", text, status, elapsed)
 			}
 		})
 	}
 	clients.Wait()
 }
 
-// A connection whose first bytes come just at their deadline is read, without an endless loop.
+// Guards against an endless loop if the first bytes of a connection arrive just at their deadline: they are read.
 func TestFirstBytesAtDeadlineAreRead(t *testing.T) {
 	n := startNode(t, nil)
 	l, err := net.Listen("tcp", unusedAddress())
@@ -105,12 +105,12 @@
 		frontend: n.frontend, conn: newBufferedConn(accepted), responseOrder: make(chan *pendingRequest, 1),
 		slotAcquiredAt: time.Now().Add(-headTimeout),
 	}
-	eventually(t, "the request", c.conn.hasInput)
+	eventually(t, "the request has arrived", c.conn.hasInput)
 	readErr := make(chan error, 1)
 	go func() {
 		r, err := c.readRequest(newPendingRequest())
 		if err == nil && r.URL.Path != pathReady {
-			err = fmt.Errorf("read %s", r.URL.Path)
+			err = fmt.Errorf("got a request for %s, want /ready", r.URL.Path)
 		}
 		readErr <- err
 	}()
@@ -120,12 +120,12 @@
 			t.Error(err)
 		}
 	case <-time.After(2 * time.Second):
-		t.Error("the reader goes round and round")
+		t.Error("readRequest has not returned after 2 s")
 	}
 }
 
-// A client that stops, lies or leaves in the middle of a long body gets an error or a close for itself alone, and its
-// request never ran.
+// A client that stalls, sends a malformed or too long body, or closes within a long body gets an error or a close. Its
+// request is never executed and other clients are not affected.
 func TestIncompleteRequestBodyIsRejected(t *testing.T) {
 	upstream, requests := startDigestUpstream(t)
 	n := startNode(t, lenientSettings, upstream)
@@ -139,28 +139,28 @@
 		c, in := dial(t, n)
 		go writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n"+text)
 		if status, _, _ := readResponse(in); status != want {
-			t.Errorf("%.40q: %d, want %d", text, status, want)
+			t.Errorf("%.40q: got status %d, want %d", text, status, want)
 		}
 		c.Close()
 	}
 	c, _ := dial(t, n)
 	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nContent-Length: 9000000\r\n\r\n"+partialBody)
-	eventually(t, "its attempt", func() bool { return n.count(requestsStreamed) >= 4 })
+	eventually(t, "at least 4 requests are streamed", func() bool { return n.count(requestsStreamed) >= 4 })
 	c.Close()
 	eventually(t, "the request is canceled", func() bool { return n.count(requestsCanceled) == 1 })
 	if requests.Load() != 0 {
-		t.Errorf("%d requests ran without a whole body", requests.Load())
+		t.Errorf("got %d requests executed without a complete body, want 0", requests.Load())
 	}
 	if status, _, _ := sendRequest(t, n, "batch", "t3", "small"); status != 200 {
-		t.Errorf("another client got %d", status)
+		t.Errorf("another client: got status %d, want 200", status)
 	}
 	n.awaitBodyMemoryReleased(t)
 	if n.loop.post(func() {}); n.count(panics) != 0 {
-		t.Errorf("%d panics", n.count(panics))
+		t.Errorf("got %d panics, want 0", n.count(panics))
 	}
 }
 
-// Guards against the memory for bodies going to whoever sends most: beyond it bodies are streamed.
+// Guards against exceeding the memory limit for bodies: beyond it bodies are streamed.
 func TestMemoryOfLongBodiesIsBounded(t *testing.T) {
 	upstream, _ := startDigestUpstream(t)
 	n := startNode(t, func(c *Config) { lenientSettings(c); c.Limits.MemoryMB = 32 }, upstream)
@@ -176,18 +176,18 @@
 			body[:minBufferedBody])
 		clients = append(clients, pendingClient{c, in})
 	}
-	eventually(t, "some flow, as they are more than there is memory for", func() bool {
+	eventually(t, "some requests are streamed, as there is no memory to buffer all bodies", func() bool {
 		return n.count(requestsStreamed) > 8
 	})
 	if held := n.bufferedBytes.Load(); held > 2*n.maxBufferedBytes.Load() {
-		t.Errorf("%d bytes held of %d", held, n.maxBufferedBytes.Load())
+		t.Errorf("got %d bytes reserved for bodies, want at most twice the limit of %d", held, n.maxBufferedBytes.Load())
 	}
 	for _, client := range clients {
 		writeBytes(client.c, body[minBufferedBody:])
 	}
-	for _, client := range clients { // on a machine that stands still some may be rejected, but none is mixed up
+	for _, client := range clients { // a slow machine may reject some, but the bodies must not be mixed up
 		if status, answer, _ := readResponse(client.in); status != 503 && answer != digestOf(body) {
-			t.Errorf("%d %.60q", status, answer)
+			t.Errorf("got status %d, body %.60q, want the digest of the body, or status 503", status, answer)
 		}
 	}
 	n.awaitBodyMemoryReleased(t)
@@ -207,24 +207,24 @@
 		writef(c, "HEAD /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", i)
 		r, err := http.ReadResponse(in, &http.Request{Method: http.MethodHead})
 		if err != nil || r.StatusCode != 200 || r.ContentLength != 9000000 {
-			t.Fatalf("%+v, %v", r, err)
+			t.Fatalf("HEAD: got response %+v, error %v, want status 200 with Content-Length 9000000", r, err)
 		}
 	}
 	body := randomBody(3 << 20)
 	writef(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t9\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n",
 		len(body))
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 100 {
-		t.Fatalf("%+v, %v, want the word to go on", r, err)
+		t.Fatalf("got response %+v, error %v, want 100 Continue", r, err)
 	}
 	writeBytes(c, body)
 	if _, answer, _ := readResponse(in); answer != digestOf(body) {
-		t.Errorf("got %q", answer)
+		t.Errorf("got %q, want the digest of the body", answer)
 	}
 }
 
 // Guards against a 100 Continue in the middle of a response that is still being written.
 func TestContinueWaitsForPrecedingResponse(t *testing.T) {
-	long := randomBody(24 << 20) // more than the kernel takes in for a client that does not read
+	long := randomBody(24 << 20) // more than the kernel buffers for a client that does not read
 	upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Method == http.MethodGet {
 			return writeResponse(c, "200 OK", string(long))
@@ -234,14 +234,14 @@
 	n := startNode(t, lenientSettings, upstream)
 	c, in := dial(t, n)
 	writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
-	eventually(t, "the answer flows", func() bool { return n.count(responsesStreamed) == 1 })
+	eventually(t, "the response is streamed", func() bool { return n.count(responsesStreamed) == 1 })
 	writeText(c, "POST /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t2\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
 	time.Sleep(50 * time.Millisecond)
 	if _, body, _ := readResponse(in); body != string(long) {
-		t.Errorf("an answer of %d bytes came as %d others", len(long), len(body))
+		t.Errorf("first response: got %[2]d bytes, want the %[1]d bytes of the upstream", len(long), len(body))
 	}
 	writeText(c, "abc")
 	if _, body, _ := readResponse(in); body != "abc" {
-		t.Errorf("the second request was answered %.40q", body)
+		t.Errorf("second response: got body %.40q, want abc", body)
 	}
 }
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -1,6 +1,6 @@
 package node
 
-// The response that a client gets, and its head as it is written.
+// The response to a client, and the encoding of its head.
 
 import (
 	"bytes"
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// response is what a client gets. Status 0 is no response: the client has gone.
+// response is the response to a client. Status 0 means no response, because the client has gone.
 type response struct {
 	status     int
 	header     http.Header
 	body       []byte
-	retryAfter time.Duration   // for Retry-After; 0: none
-	stream     *responseStream // what follows the body, of a response that is too long to be buffered; else nil
+	retryAfter time.Duration   // sent as Retry-After if above 0
+	stream     *responseStream // rest of a body that is too long to be buffered; else nil
 }
 
-// discard releases what holds the rest of a response that is not passed on.
+// discard releases the upstream connection of a streamed response that is not forwarded.
 func (r *response) discard() {
 	if r.stream != nil {
 		r.stream.finish(false)
 	}
 }
 
-// overCapacityResponse is the response to a request that never reached the decisions, nor any upstream.
+// overCapacityResponse returns the rejection for a request that reaches neither the policy nor an upstream.
 func (n *Node) overCapacityResponse() response {
 	r := response{status: http.StatusServiceUnavailable}
 	if n.settings.Policy.MaySetRetryAfter {
@@ -34,13 +34,13 @@
 	return r
 }
 
-// responseHead is a response's head as it goes to the client.
+// responseHead is an encoded response head for the client.
 type responseHead struct {
 	text    []byte
-	chunked bool // the body follows in chunks
+	chunked bool // the body uses chunked encoding
 }
 
-// encodeHead encodes the response's head; last says that the connection is closed after it.
+// encodeHead encodes the response's head. If last is set, the connection is closed after the response.
 func (r *response) encodeHead(request *pendingRequest, last bool) responseHead {
 	b := bytes.NewBuffer(make([]byte, 0, 512))
 	b.WriteString("HTTP/1.1 " + strconv.Itoa(r.status) + " " + http.StatusText(r.status) + "\r\n")
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// With upstreams that fail in every way and clients that leave: each client that stays gets one response, its own; a
-// non-idempotent request runs once at most; and where a rejection says that nothing ran, nothing did.
+// Checks the invariants with upstreams that fail in every way and clients that close early: each client that waits gets
+// exactly one response, its own; a non-idempotent request runs at most once; and a rejected request has not run, unless
+// it is idempotent.
 func TestInvariantsOnSockets(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
@@ -74,11 +75,11 @@
 			}
 			status, body, _ := readResponse(in)
 			if statuses[i] = status; status == 200 && body != "/"+class(i)+" "+id+" b" {
-				t.Errorf("%s got the answer %q", id, body)
+				t.Errorf("request %s: got body %q, want its own echo", id, body)
 			}
 			c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 			if extra, _ := in.ReadByte(); extra != 0 {
-				t.Errorf("%s got more than one answer", id)
+				t.Errorf("request %s: got more than one response, want 1", id)
 			}
 		})
 		if i%8 == 7 {
@@ -86,7 +87,7 @@
 		}
 	}
 	clients.Wait()
-	eventually(t, "the end of all that was taken", func() bool {
+	eventually(t, "all accepted requests have ended", func() bool {
 		remaining := make(chan int)
 		n.loop.post(func() { remaining <- len(n.loop.requests) })
 		return <-remaining == 0
@@ -98,15 +99,15 @@
 		id, c := fmt.Sprint("t", i), class(i)
 		statusCounts[status]++
 		if i%10 != 9 && status != 200 && status != 502 && status != 503 {
-			t.Errorf("%s was answered %d", id, status)
+			t.Errorf("request %s: got status %d, want 200, 502 or 503", id, status)
 		}
 		ranTwice := c == "pay" && runs[id] > 1
 		ranAlthoughRejected := c != "view" && status == 503 && runs[id] > 0
 		if ranTwice || ranAlthoughRejected || status == 200 && runs[id] == 0 {
-			t.Errorf("%s (%s) was answered %d and ran %d times", id, c, status, runs[id])
+			t.Errorf("request %s of class %s: status %d and %d executions violate the invariants", id, c, status, runs[id])
 		}
 	}
 	if statusCounts[200] < 20 || statusCounts[502]+statusCounts[503] < 5 {
-		t.Errorf("too few of a kind to tell anything: %v", statusCounts)
+		t.Errorf("got responses by status %v, want at least 20 with 200 and 5 with 502 or 503", statusCounts)
 	}
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -12,23 +12,23 @@
 
 const idleSweepInterval = time.Second
 
-// Signals subscribes to the signals that Run handles. It is to be called early: a SIGTERM before the call ends the
-// process even if connections already wait in the listener's backlog.
+// Signals subscribes to the signals that Run handles. Call it early: a SIGTERM before the call terminates the process
+// at once, even if connections are waiting in the listen backlog.
 func Signals() chan os.Signal {
-	signal.Ignore(syscall.SIGPIPE) // a log that is no longer read is no reason to end
+	signal.Ignore(syscall.SIGPIPE) // the process must survive when the reader of its log has exited
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	return signals
 }
 
-// Run serves until the graceful shutdown that SIGTERM or SIGINT begins has ended. During it a further SIGTERM or
-// SIGINT changes nothing; SIGUSR1 logs the counters and SIGHUP reloads the configuration at any time.
+// Run serves until SIGTERM or SIGINT, then shuts down gracefully and returns. Further SIGTERM and SIGINT signals are
+// ignored during the shutdown. SIGUSR1 logs the counters and SIGHUP reloads the configuration at any time.
 func (n *Node) Run(signals <-chan os.Signal) error {
 	n.limitRuntime()
 	n.start()
 	sweep := time.NewTicker(idleSweepInterval)
 	defer sweep.Stop()
-	var shutDown chan struct{} // closed when the shutdown has ended; nil before it begins
+	var shutDown chan struct{} // closed when the shutdown has ended; nil until it begins
 	for {
 		select {
 		case <-sweep.C:
@@ -49,13 +49,13 @@
 	}
 }
 
-// reload reads the configuration file again. Only the address of discovery can change while the node runs; other
-// changed keys are logged as waiting for a restart. A bad file changes nothing.
+// reload reads the configuration file again. Only the discovery address can change while the node runs; other changed
+// keys are logged as taking effect after a restart. An invalid file changes nothing.
 func (n *Node) reload() {
 	reloaded, err := ReadConfig(n.config.path)
 	if err != nil {
 		n.counters.add(configReloadsRejected)
-		n.log.Error("configuration rejected, the old one kept", zap.Error(err))
+		n.log.Error("invalid configuration rejected; keeping the previous one", zap.Error(err))
 		return
 	}
 	n.counters.add(configReloads)
@@ -64,7 +64,7 @@
 	n.endpointWatch.move(reloaded.Discovery)
 }
 
-// changedKeys returns the keys that differ in another configuration and that only a restart takes in.
+// changedKeys returns the keys that differ in another configuration and take effect only after a restart.
 func (c *Config) changedKeys(other *Config) []string {
 	var changed []string
 	for key, same := range map[string]bool{
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -7,8 +7,9 @@
 	"go.uber.org/zap"
 )
 
-// The start, in order: the endpoint list to begin with, the estimates of an earlier process, the goroutines, the first
-// watch event where lists are pushed, and clients last. Beside another process of the node they come at once.
+// Startup, in this order: apply the initial endpoint list, inherit the estimates of an earlier process, start the
+// goroutines, wait for the first watch event if the discovery service pushes the list, and accept clients. During a hot
+// restart clients are accepted without waiting for the watch event.
 
 func (n *Node) start() {
 	n.loop.now = n.clock.now()
@@ -22,7 +23,7 @@
 	n.serveClients()
 }
 
-// inheritEstimates takes over the estimates of the process before, else the persisted ones.
+// inheritEstimates loads the estimates of the previous process during a hot restart, else the persisted ones.
 func (n *Node) inheritEstimates() {
 	if n.inherited != nil {
 		n.loop.inherit(n.inherited.Estimates)
@@ -42,8 +43,8 @@
 	go n.gossiper.sendLoop()
 }
 
-// awaitFirstWatchEvent waits, for listConnectTimeout at most, until the watch has brought an event or has failed. A
-// pushed list binds from the first moment of a process, so it is taken in before the first request.
+// awaitFirstWatchEvent waits up to listConnectTimeout until the watch has returned an event or failed. A pushed list is
+// binding from the start of the process, so it is applied before the first request.
 func (n *Node) awaitFirstWatchEvent() {
 	if n.settings.Policy.MustPollList || n.inherited != nil {
 		return
@@ -54,7 +55,7 @@
 	}
 }
 
-// awaitLoop waits until the loop has handled all events so far.
+// awaitLoop waits until the event loop has handled all events queued so far.
 func (n *Node) awaitLoop() {
 	handled := make(chan struct{})
 	n.loop.post(func() { close(handled) })
