--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -1,7 +1,7 @@
 package node
 
-// Bodies that are too long to be buffered: a request's, which flows from its client to an upstream, and a response's,
-// which flows from its upstream to a client. Each passes through one buffer of a fixed size.
+// Streaming of bodies that are too long to be buffered: request bodies from a client to an upstream, and response
+// bodies from an upstream to a client. Each stream uses one buffer of a fixed size.
 
 import (
 	"errors"
@@ -12,32 +12,32 @@
 )
 
 const (
-	streamBufferBytes     = 32 << 10              // of a body that is streamed
-	maxBufferedBody       = 1 << 20               // of a request's body that is buffered, while there is memory for it
-	minBufferedBody       = 64 << 10              // of a request's body that is buffered whatever else the node holds
-	maxBufferedResponse   = 64 << 10              // a response no longer than this is passed on only once it is complete
-	responseBufferTimeout = 20 * time.Millisecond // the longest wait for more of a response of unknown length
+	streamBufferBytes     = 32 << 10              // copy buffer of one stream
+	maxBufferedBody       = 1 << 20               // request bodies up to this size are buffered while there is memory for them
+	minBufferedBody       = 64 << 10              // this much of a request's body is buffered regardless of memory use
+	maxBufferedResponse   = 64 << 10              // responses up to this size are forwarded only when complete
+	responseBufferTimeout = 20 * time.Millisecond // maximum wait for more of a response of unknown length before it is forwarded
 )
 
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
-// errBodyNotNeeded ends the reads of a body that is no longer needed; it is no fault of the client.
-var errBodyNotNeeded = errors.New("the body is no longer needed")
+// errBodyNotNeeded is returned by reads of a body that is no longer needed. It is not the client's fault.
+var errBodyNotNeeded = errors.New("request body is no longer needed")
 
-// bodySource is a request's body that is still coming from its client. The upload of the one attempt that has consumed
-// it reads it; the client connection's read loop waits until ended is closed, and only then uses the connection again.
+// bodySource is the rest of a request's body that is still arriving from the client. Only one attempt's upload reads
+// it. The client connection's read loop does not use the connection until ended is closed.
 type bodySource struct {
 	conn    *bufferedConn
 	message *message
 	length  int64 // of the complete body in bytes, or unknownLength
 
 	ended     chan struct{} // closed by finish
-	complete  atomic.Bool   // all of it has been read
-	abandoned atomic.Bool   // nothing more of it is to be read
-	consumed  atomic.Bool   // an attempt has begun to read it, so that the request can't be sent again
+	complete  atomic.Bool   // the complete body has been read
+	abandoned atomic.Bool   // no more of the body is to be read
+	consumed  atomic.Bool   // an attempt has started to read it, so the request can't be retried
 	mu        sync.Mutex    // held during a read
 	once      sync.Once
-	err       error // why it ended before it was complete; written before ended is closed, read after
+	err       error // why the body is incomplete; written before ended is closed, read after that
 }
 
 func newBodySource(conn *bufferedConn, m *message) *bodySource {
@@ -48,7 +48,7 @@
 	return s
 }
 
-// Read reads on in the body. Any error, io.EOF included, ends the source.
+// Read reads from the body. Any error, including io.EOF, ends the source.
 func (s *bodySource) Read(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,11 +68,12 @@
 	return n, err
 }
 
-// abandon ends the source. It returns once nothing reads it any more. Any goroutine may call it, at any time.
+// abandon ends the source and returns once no read is in progress. It is safe for concurrent use and may be called
+// after the source has ended.
 func (s *bodySource) abandon() {
 	select {
 	case <-s.ended:
-		return // the read loop may have gone on to its next request
+		return // the read loop may already be reading its next request
 	default:
 	}
 	s.abandoned.Store(true)
@@ -82,7 +83,7 @@
 	s.finish(errBodyNotNeeded)
 }
 
-// failure is why the body ended before it was complete; nil if it has not ended, or is complete.
+// failure returns why the body ended prematurely, or nil if it has not ended or is complete.
 func (s *bodySource) failure() error {
 	select {
 	case <-s.ended:
@@ -92,7 +93,7 @@
 	}
 }
 
-// finish ends the source with the first error that it is called with; io.EOF is the end of a complete body.
+// finish ends the source. Only the error of the first call counts; io.EOF marks the end of a complete body.
 func (s *bodySource) finish(err error) {
 	s.once.Do(func() {
 		if !errors.Is(err, io.EOF) {
@@ -102,13 +103,13 @@
 	})
 }
 
-// responseStream is the rest of a response that is still coming from its upstream. The client connection's write loop
-// reads it and calls finish; then the worker of the attempt takes the upstream connection back.
+// responseStream is the rest of a response that is still arriving from the upstream. The client connection's write loop
+// reads it and calls finish; then the attempt's worker reuses or closes the upstream connection.
 type responseStream struct {
 	message *message
 	length  int64 // of the complete body in bytes, or unknownLength
 	once    sync.Once
-	done    chan bool // gets one value: whether the response came completely
+	done    chan bool // receives one value: whether the response was complete
 }
 
 func newResponseStream(m *message) *responseStream {
@@ -116,12 +117,12 @@
 	return &responseStream{message: m, length: m.length, done: make(chan bool, 1)}
 }
 
-// finish releases the upstream connection, which is reused only after a complete response. Only the first call counts.
+// finish releases the upstream connection, which is reused only after a complete response. Later calls have no effect.
 func (s *responseStream) finish(complete bool) { s.once.Do(func() { s.done <- complete }) }
 
-// streamResponse writes a response's head and the part of its body that is buffered, and passes on the rest as it
-// comes. It reports whether the client got all of it. Where not, the connection must be aborted, so that the client
-// sees that.
+// streamResponse writes a response's head and the buffered part of its body, then forwards the rest as it arrives. It
+// reports whether everything was written. If not, the caller must abort the connection, so that the client recognizes
+// the truncated response.
 func (c *clientConn) streamResponse(answer *response, head responseHead) (complete bool) {
 	defer func() { answer.stream.finish(complete) }()
 	write := func(pending []byte) error { return writePaced(c.conn, nil, pending) }
@@ -147,7 +148,7 @@
 			return false
 		}
 		if errors.Is(err, io.EOF) && (answer.stream.length < 0 || total == answer.stream.length) {
-			break // the last bytes may come together with the end
+			break // the last bytes may be returned together with io.EOF
 		}
 		if err != nil {
 			c.frontend.node.counters.add(responsesTruncated)
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// startDigestUpstream starts an upstream that answers with the digest of a request's body, and counts the complete requests.
+// startDigestUpstream starts an upstream that responds with the digest of the request's body and counts complete
+// requests.
 func startDigestUpstream(t *testing.T) (string, *atomic.Int64) {
 	return startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		return writeResponse(c, "200 OK", fmt.Sprintf("%d %x", len(body), sha256.Sum256([]byte(body))))
@@ -23,7 +24,7 @@
 
 func digestOf(body []byte) string { return fmt.Sprintf("%d %x", len(body), sha256.Sum256(body)) }
 
-// Bodies of all sizes and forms reach the upstream unchanged, and the connection goes on.
+// Request bodies of all sizes and encodings reach the upstream unchanged, and the client connection stays usable.
 func TestRequestBodiesOfAllSizes(t *testing.T) {
 	upstream, _ := startDigestUpstream(t)
 	n := startNode(t, lenientSettings, upstream)
@@ -41,17 +42,18 @@
 				writeText(c, fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, size, body))
 			}
 			if status, answer, _ := readResponse(in); status != 200 || answer != digestOf(body) {
-				t.Fatalf("%d bytes, chunks of %d: %d %.80q, want %q", size, chunk, status, answer, digestOf(body))
+				t.Fatalf("%d bytes, chunks of %d: got status %d, body %.80q, want body %q", size, chunk, status, answer,
+					digestOf(body))
 			}
 		}
 	}
 	if n.count(requestsStreamed) == 0 || n.count(clientsAccepted) != 1 {
-		t.Errorf("%d requests flowed on %d connections", n.count(requestsStreamed), n.count(clientsAccepted))
+		t.Errorf("got %d streamed requests on %d connections, want some on 1", n.count(requestsStreamed), n.count(clientsAccepted))
 	}
 	n.awaitBodyMemoryReleased(t)
 }
 
-// Responses of all sizes and forms reach the client unchanged.
+// Response bodies of all sizes and encodings reach the client unchanged.
 func TestResponseBodiesOfAllSizes(t *testing.T) {
 	for _, form := range []string{"length", "chunks", "end"} {
 		upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
@@ -78,16 +80,17 @@
 				c, in := dial(t, n)
 				writef(c, "GET /batch?%d HTTP/%s\r\nHost: h\r\nX-Txn: t%d\r\n\r\n", size, version, i)
 				if status, body, _ := readResponse(in); status != 200 || body != string(randomBody(size)) {
-					t.Errorf("%s, HTTP/%s, %d bytes: %d, %d bytes", form, version, size, status, len(body))
+					t.Errorf("%s, HTTP/%s, %d bytes: got status %d and %d bytes, want 200 and the upstream's body", form,
+						version, size, status, len(body))
 				}
 				c.Close()
 			}
 		}
 		if n.count(responsesStreamed) != 4 || n.count(responsesTruncated) != 0 {
-			t.Errorf("%s: %d answers flowed, %d cut; want 4, 0", form, n.count(responsesStreamed),
+			t.Errorf("%s: got %d responses streamed and %d truncated, want 4 and 0", form, n.count(responsesStreamed),
 				n.count(responsesTruncated))
 		}
-		eventually(t, "no connection to a server at work", func() bool {
+		eventually(t, "all upstream connections are idle", func() bool {
 			n.upstreams.mu.Lock()
 			defer n.upstreams.mu.Unlock()
 			return n.upstreams.open == n.upstreams.idleOrder.Len()
@@ -95,12 +98,12 @@
 	}
 }
 
-// Guards against a truncated response that looks complete, whatever its form.
+// Guards against a truncated response that looks complete to the client, for each way to delimit the body.
 func TestTruncatedResponseIsVisible(t *testing.T) {
 	part := strings.Repeat("x", 3*maxBufferedResponse)
 	for _, head := range []string{
 		"Content-Length: 9999999\r\n\r\n" + part,
-		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\n", // no last chunk
+		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\n", // without the last chunk
 		"Transfer-Encoding: chunked\r\n\r\n30000\r\n" + part + "\r\nnonsense\r\n",
 	} {
 		upstream, _ := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
@@ -112,20 +115,21 @@
 		writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 		r, err := http.ReadResponse(in, nil)
 		if err != nil || r.StatusCode != 200 {
-			t.Fatalf("%.30q: %v, %v", head, r, err)
+			t.Fatalf("%.30q: got response %v, error %v, want status 200", head, r, err)
 		}
 		if body, err := io.ReadAll(r.Body); err == nil {
-			t.Errorf("%.30q: an answer of %d bytes looks whole", head, len(body))
+			t.Errorf("%.30q: truncated response of %d bytes read without an error", head, len(body))
 		}
 		if n.count(responsesTruncated) != 1 {
-			t.Errorf("%.30q: counted %d times", head, n.count(responsesTruncated))
+			t.Errorf("%.30q: got %d responses counted as truncated, want 1", head, n.count(responsesTruncated))
 		}
 	}
 }
 
-// What a body proves that was not written completely, and what becomes of a request whose body is no longer buffered.
+// A request whose body is no longer buffered is sent only once. Its status depends on what its class allows and on
+// whether the upstream has received the complete body: without it the request has not run.
 func TestStreamedRequestIsSentOnce(t *testing.T) {
-	body := randomBody(36 << 20) // more than the kernel takes in for a server that does not read
+	body := randomBody(36 << 20) // more than the kernel buffers for an upstream that does not read
 	var upstreamBehavior atomic.Value
 	requests := new(atomic.Int64)
 	serve := func(c net.Conn) {
@@ -166,18 +170,18 @@
 			n := startNode(t, nil, first, second)
 			before := requests.Load()
 			if got, _, _ := sendRequest(t, n, class, "t1", string(body)); got != status {
-				t.Errorf("%s, %s: %d, want %d", behavior, class, got, status)
+				t.Errorf("upstream %s, class %s: got status %d, want %d", behavior, class, got, status)
 			}
 			if requests.Load() != before+1 {
-				t.Errorf("%s, %s: sent %d times", behavior, class, requests.Load()-before)
+				t.Errorf("upstream %s, class %s: got %d attempts, want 1", behavior, class, requests.Load()-before)
 			}
 			n.awaitBodyMemoryReleased(t)
 		}
 	}
 }
 
-// Guards against cutting off slow peers: what counts is progress. A head takes 2 s, a body comes at 64 kB a second,
-// and a response goes as slowly as its client reads.
+// Guards against disconnecting slow peers that make progress: a head takes 2 s, a body arrives at 64 kB/s, and a
+// response is written as slowly as its client reads.
 func TestSlowPeersAreServed(t *testing.T) {
 	t.Parallel()
 	long := randomBody(1 << 20)
@@ -224,14 +228,14 @@
 		t.Error(err)
 	}
 	if !bytes.Equal(got.Bytes(), long) {
-		t.Errorf("a slow reader got %d of %d bytes", got.Len(), len(long))
+		t.Errorf("slow reader: got %d bytes, want the %d bytes of the upstream", got.Len(), len(long))
 	}
 	if answer := <-uploaded; answer != digestOf(body) {
-		t.Errorf("a slow writer got %q", answer)
+		t.Errorf("slow writer: got %q, want the digest of its body", answer)
 	}
 }
 
-// Guards against holding back the first bytes of a long response where its head does not tell that it is long.
+// Guards against holding back the first bytes of a slow response whose length its head doesn't declare.
 func TestSlowResponseIsNotHeldBack(t *testing.T) {
 	for _, head := range []string{
 		"Content-Length: 70003\r\n\r\nyes",
@@ -246,7 +250,7 @@
 			} else {
 				writeText(c, ",")
 			}
-			<-firstBytesRead // the rest comes only once the client has the first bytes
+			<-firstBytesRead // the rest is sent only after the client has read the first bytes
 			if strings.Contains(head, "chunked") {
 				writeText(c, "1116f\r\n"+strings.Repeat("x", 69999)+"\r\n0\r\n\r\n")
 			} else {
@@ -259,15 +263,15 @@
 		writeText(c, "GET /batch HTTP/1.1\r\nHost: h\r\nX-Txn: t1\r\n\r\n")
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatalf("%.20q: %v", head, err)
+			t.Fatalf("%.20q: reading the response head: %v", head, err)
 		}
 		first := make([]byte, 3)
 		if _, err := io.ReadFull(r.Body, first); err != nil || string(first) != "yes" {
-			t.Fatalf("%.20q: %q, %v", head, first, err)
+			t.Fatalf("%.20q: got first bytes %q, error %v, want yes", head, first, err)
 		}
 		close(firstBytesRead)
 		if rest, err := io.ReadAll(r.Body); err != nil || len(rest) != 70000 {
-			t.Errorf("%.20q: %d more bytes, %v", head, len(rest), err)
+			t.Errorf("%.20q: got %d more bytes, error %v, want 70000", head, len(rest), err)
 		}
 	}
 }
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -1,6 +1,7 @@
 package node
 
-// The upload of a request's body that is still coming from its client, beside the wait for the upstream's response.
+// The upload of a request body that is still arriving from the client, concurrently with reading the upstream's
+// response.
 
 import (
 	"errors"
@@ -12,41 +13,42 @@
 	"time"
 )
 
-// errEarlyResponse is a response that came before the request was complete and is neither a rejection nor a fault of
-// the request: it can't be the result of running it.
+// errEarlyResponse means that a response arrived before the request was complete and is neither a rejection nor a
+// request fault. It can't be the result of executing the request.
 var errEarlyResponse = errors.New("response before the last byte of the request")
 
-// lastChunk ends a body in chunks.
+// lastChunk ends a chunked body.
 const lastChunk = "0\r\n\r\n"
 
-// upload writes the body of one attempt. Its goroutine ends by itself or through stop, which must be called before the
+// upload writes the request body of one attempt in its own goroutine. stop must be called before the upstream
 // connection is used for anything else.
 type upload struct {
-	done        chan struct{} // closed when the goroutine has ended; the fields below are safe to read then
+	done        chan struct{} // closed when the goroutine has ended; completedAt and err may be read after that
 	complete    atomic.Bool
 	completedAt time.Time // when the last byte was written
-	err         error     // the upstream's, or whatever bodySource.Read returned
+	err         error     // of the write to the upstream, or returned by bodySource.Read
 }
 
-// startUpload begins to write what follows the head. Once all is written the upstream has responseTimeout to answer.
+// startUpload starts writing the body after the head. The read deadline for the response is responseTimeout after the
+// last byte has been written.
 func startUpload(conn *upstreamConn, a *attempt, responseTimeout time.Duration) *upload {
 	u := &upload{done: make(chan struct{})}
 	go func() {
 		defer close(u.done)
 		u.err = u.run(conn, a)
 		if u.err != nil {
-			conn.SetReadDeadline(inThePast) // there will be no response
+			conn.SetReadDeadline(inThePast) // unblocks the read of the response, which will not arrive
 			return
 		}
 		u.completedAt = time.Now()
 		u.complete.Store(true)
-		// A deadline that can't be set shows when the response is read.
+		// A failure to set the deadline leads to an error when the response is read.
 		_ = a.setDeadline(conn.SetReadDeadline, u.completedAt.Add(responseTimeout))
 	}()
 	return u
 }
 
-// run writes the part of the body that is buffered, and then the source to its end.
+// run writes the buffered part of the body and then the rest from the source.
 func (u *upload) run(conn *upstreamConn, a *attempt) error {
 	source := a.request.source
 	writePart := func(p []byte) error { return writePaced(conn, a, p) }
@@ -71,8 +73,8 @@
 	return nil
 }
 
-// copyBody reads a source to its end, of which some bytes have been written before. It returns errBodyTooLong for a
-// body of more than maxBodyBytes.
+// copyBody copies a source to its end. written is the number of body bytes written before. It returns errBodyTooLong if
+// the body is longer than maxBodyBytes.
 func copyBody(source *bodySource, written int64, writePart func([]byte) error) error {
 	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
 	defer streamBuffers.Put(buffer)
@@ -97,22 +99,22 @@
 	}
 }
 
-// stop ends the upload and reports whether it was complete.
+// stop cancels the upload unless it is complete, waits for its goroutine, and reports whether it was complete.
 func (u *upload) stop(conn *upstreamConn, request *pendingRequest) bool {
 	if !u.complete.Load() {
 		conn.SetWriteDeadline(inThePast)
 		request.source.abandon()
 	}
-	<-u.done // or its last deadline would be set on a connection that carries another attempt by then
+	<-u.done // otherwise it could set a deadline on the connection when another attempt already uses it
 	return u.complete.Load()
 }
 
-// failure is why an upload that has stopped incomplete has no response: the client's fault, the error of the write, or
-// readErr, that of the read of the response.
+// failure returns why an incomplete, stopped upload has no response: errBodyLost if the client is at fault, else the
+// error of the write, or else readErr, the error of reading the response.
 func (u *upload) failure(request *pendingRequest, readErr error) error {
 	clientErr := request.source.failure()
 	if clientErr != nil && !errors.Is(clientErr, errBodyNotNeeded) {
-		return errBodyLost // the upstream has done nothing
+		return errBodyLost // without a complete request the upstream has not executed it
 	}
 	stoppedByNode := errors.Is(u.err, errBodyNotNeeded) || errors.Is(u.err, os.ErrDeadlineExceeded)
 	if u.err != nil && !stoppedByNode {
@@ -121,7 +123,7 @@
 	return readErr
 }
 
-// writeChunk writes a part of a body in chunks; it must not be empty.
+// writeChunk writes p as one chunk of a chunked body. p must not be empty, as an empty chunk would end the body.
 func writeChunk(conn net.Conn, a *attempt, p []byte) error {
 	size := strconv.AppendInt(nil, int64(len(p)), 16)
 	return writePaced(conn, a, append(size, "\r\n"...), p, []byte("\r\n"))
