--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -105,9 +105,9 @@
 	for id, pending := range l.requests {
 		class := &l.node.settings.Policy.Classes[pending.request.Class]
 		if policy.MayReject(class, l.now, pending.attempts, executionInfo) {
-			l.Reject(id, 0, policy.ReasonEnding)
+			l.Reject(id, 0, policy.ReasonShutdown)
 		} else {
-			l.Fail(id, policy.ReasonEnding)
+			l.Fail(id, policy.ReasonShutdown)
 		}
 	}
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,9 +17,9 @@
 // is given up at once. docs/design.md: "Admission: predicted in time", "Shedding load".
 
 const (
-	// priorityFreeWorstClassWeight is the Settings.WorstClassWeight from which on the priority weight of a class gives
+	// worstClassWeightDisablingPriority is the Settings.WorstClassWeight from which on the priority weight of a class gives
 	// it no preference.
-	priorityFreeWorstClassWeight = 0.4
+	worstClassWeightDisablingPriority = 0.4
 	// minRelativePriority is the least that the priority of a class counts for, over that of the best one.
 	minRelativePriority = 0.01
 	// retryAfterDivisor: the advised wait of a rejection is the latency objective over this.
@@ -66,10 +66,10 @@
 // request may test whether the delay is over: one answer in time ends it. All nodes together test with no more requests
 // at a time than there are endpoints.
 func (b *Balancer) classDelay(now Time, req *request) float64 {
-	delay := req.delays.Delay(int64(now))
+	delay := req.delayGroups.Delay(int64(now))
 	if delay > 0 {
 		timeFraction := min(1, float64(len(b.endpoints.all))/float64(max(b.settings.NodeCount, 1)))
-		if req.delays.AllowsTrial(int64(now), timeFraction) {
+		if req.delayGroups.AllowsTrial(int64(now), timeFraction) {
 			return 0
 		}
 	}
@@ -85,7 +85,7 @@
 		classes[i].PriorityFactor = b.priorityPerWork(&classes[i], &b.settings.Classes[i])
 		best = max(best, classes[i].PriorityFactor)
 	}
-	preference := max(0, 1-b.settings.WorstClassWeight/priorityFreeWorstClassWeight)
+	preference := max(0, 1-b.settings.WorstClassWeight/worstClassWeightDisablingPriority)
 	for i := range classes {
 		classes[i].PriorityFactor = math.Pow(max(classes[i].PriorityFactor/best, minRelativePriority), preference)
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,38 +6,38 @@
 )
 
 // allow is the time that a request with so much left may be predicted to take.
-func (b *testFleet) allow(t *request) time.Duration {
+func (b *testFleet) remainingLatencyBudget(t *request) time.Duration {
 	return b.latencyBudget(t, t.effectiveDeadline.Sub(b.now))
 }
 
-func TestClassThatDoesWellGivesUpTimeForTheWorst(t *testing.T) {
+func TestLatencyBudgetShrinksWithSuccessAboveWorstClass(t *testing.T) {
 	b := newTestFleet(t, 2, nil)
 	b.estimator.classes[0].SuccessRate, b.estimator.classes[1].SuccessRate = 0.2, 0.8
 	starved, other := &request{effectiveDeadline: b.now + 400*ms}, &request{
 		Request:           Request{Class: 1},
 		effectiveDeadline: b.now + 400*ms,
 	}
-	if got := b.allow(starved); got != 400*ms {
+	if got := b.remainingLatencyBudget(starved); got != 400*ms {
 		t.Errorf("the starved class may take %d", got)
 	}
-	if got := b.allow(other); got != 100*ms {
+	if got := b.remainingLatencyBudget(other); got != 100*ms {
 		t.Errorf("the other may take %d, want a quarter of 400 ms", got)
 	}
 }
 
-func TestClassWithoutRequestsHoldsNoOtherBack(t *testing.T) {
+func TestIdleClassDoesNotReduceOtherBudgets(t *testing.T) {
 	b := newTestFleet(t, 2, nil)
 	b.estimator.classes[0].SuccessRate = 0.01
 	for range 40 {
 		b.now += Time(tickInterval)
 		b.tick()
 	}
-	if got := b.allow(&request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}); got < 380*ms {
+	if got := b.remainingLatencyBudget(&request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}); got < 380*ms {
 		t.Errorf("another class may take %d of 400 ms", got)
 	}
 }
 
-func TestHeavyRequestsDoNotShutOutOthers(t *testing.T) {
+func TestHeavyRequestsDoNotCauseRejectionsOnIdleEndpoints(t *testing.T) {
 	b := newTestFleet(t, 3, nil)
 	n := 0
 	b.serve(600, func(EndpointID) (Outcome, time.Duration) {
@@ -51,11 +51,11 @@
 	}
 }
 
-func TestLatencySpreadRelaxesWhileMostIsRejected(t *testing.T) {
+func TestLatencySpreadDecaysWhileMostRequestsAreRejected(t *testing.T) {
 	b := newTestFleet(t, 2, nil)
 	b.estimator.classes[0].LatencySpread = 5
 	for range 10 {
-		b.serve(1, answersPromptly) // a request now and then must not keep the bound up while most are rejected
+		b.serve(1, respondPromptly) // a request now and then must not keep the bound up while most are rejected
 		b.estimator.classes[0].GivenUpCount = 2
 		b.now += Time(tickInterval)
 		b.tick()
@@ -65,7 +65,7 @@
 	}
 	b.estimator.classes[0].LatencySpread = 3
 	for range 10 {
-		b.serve(1, answersPromptly)
+		b.serve(1, respondPromptly)
 		b.now += Time(tickInterval)
 		b.tick()
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestTenantOverItsQuotaIsShedFirst(t *testing.T) {
+func TestTenantOverQuotaIsShedFirst(t *testing.T) {
 	b := newTestFleet(t, 2, func(s *Settings) { s.TenantShares, s.OverQuotaFraction = []float64{0.7, 0.3}, 0.2 })
 	beyond := [2]int{}
 	for i := range 1000 { // both ask for as much
@@ -92,29 +92,29 @@
 		effectiveDeadline: b.now + 400*ms,
 		overQuota:         true,
 	}
-	if w, o := b.allow(within), b.allow(over); w != 400*ms || o != 100*ms {
+	if w, o := b.remainingLatencyBudget(within), b.remainingLatencyBudget(over); w != 400*ms || o != 100*ms {
 		t.Errorf("with half rejected a request within may take %d, one beyond %d", w, o)
 	}
 }
 
 // Guards against overload of work with hardly any priority weight holding up work with fifty times as much.
-func TestClassOfLowPriorityGetsLessTime(t *testing.T) {
+func TestLowPriorityClassGetsSmallerLatencyBudget(t *testing.T) {
 	for worst, kept := range map[float64]time.Duration{0.2: 225, 0.4: 400} { // of 400 ms, with half rejected
 		b := newTestFleet(t, 2, func(s *Settings) {
 			s.WorstClassWeight, s.WeightByWork = worst, true
 			s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight, s.Classes[2].PriorityWeight = 1, 4, 64
 		})
 		b.tick()
-		if got := b.allow(&request{effectiveDeadline: b.now + 400*ms}); got != 400*ms {
+		if got := b.remainingLatencyBudget(&request{effectiveDeadline: b.now + 400*ms}); got != 400*ms {
 			t.Errorf("with nothing rejected it may take %d of 400 ms", got/ms)
 		}
 		for i := range b.estimator.classes {
 			b.estimator.classes[i].SuccessRate = 0.5
 		}
-		if got := b.allow(&request{effectiveDeadline: b.now + 400*ms}); got/ms != kept {
+		if got := b.remainingLatencyBudget(&request{effectiveDeadline: b.now + 400*ms}); got/ms != kept {
 			t.Errorf("where the worst weighs %g it may take %d ms, want %d", worst, got/ms, kept)
 		}
-		if got := b.allow(&request{Request: Request{Class: 2}, effectiveDeadline: b.now + 400*ms}); got != 400*ms {
+		if got := b.remainingLatencyBudget(&request{Request: Request{Class: 2}, effectiveDeadline: b.now + 400*ms}); got != 400*ms {
 			t.Errorf("the class with the highest priority weight may take %d of 400 ms", got/ms)
 		}
 	}
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -12,51 +12,51 @@
 // it is drawn only if it is a candidate. docs/design.md: "Rules that adjust w".
 
 const (
-	// homeWorkWindow is the number of answers over which homeWorkFactor is averaged.
-	homeWorkWindow = 64
-	// minHomeWorkFactor and 1 bound homeWorkFactor; one answer counts for at most maxHomeWorkSample.
-	minHomeWorkFactor = 0.25
-	maxHomeWorkSample = 2
+	// affinityWorkWindow is the number of answers over which workFactorWithAffinity is averaged.
+	affinityWorkWindow = 64
+	// minAffinityWorkFactor and 1 bound workFactorWithAffinity; one answer counts for at most maxAffinityWorkSample.
+	minAffinityWorkFactor = 0.25
+	maxAffinityWorkSample = 2
 )
 
 type affinity struct {
-	keys           keyfreq.Counter
-	homes          []*endpoint // of the key of the request that is being placed, the first choice first
-	homeWorkFactor float64     // work of a request at its key's home, over that elsewhere; 0.25 to 1
+	keys                   keyfreq.Counter
+	endpoints              []*endpoint // of the key of the request that is being placed, the first choice first
+	workFactorWithAffinity float64     // work of a request at its key's home, over that elsewhere; 0.25 to 1
 }
 
-// findHomes sets the homes of the request's key. A key that needs more than rendezvous.MaxTop has none.
-func (b *Balancer) findHomes(now Time, req *request) {
+// findAffinityEndpoints sets the homes of the request's key. A key that needs more than rendezvous.MaxTop has none.
+func (b *Balancer) findAffinityEndpoints(now Time, req *request) {
 	a := &b.affinity
-	for _, ep := range a.homes {
-		ep.isHome = false
+	for _, ep := range a.endpoints {
+		ep.hasAffinity = false
 	}
-	a.homes = a.homes[:0]
-	if req.homeCount <= rendezvous.MaxTop {
-		a.homes = rendezvous.Top(a.homes, b.endpoints.all, req.homeCount, func(ep *endpoint) uint64 {
-			if ep.State != StateActive || b.slowStart.capacity(now, ep) < 1 || ep.isAvoided(now) {
+	a.endpoints = a.endpoints[:0]
+	if req.affinityCount <= rendezvous.MaxTop {
+		a.endpoints = rendezvous.Top(a.endpoints, b.endpoints.all, req.affinityCount, func(ep *endpoint) uint64 {
+			if ep.State != StateActive || b.slowStart.capacity(now, ep) < 1 || ep.isUnhealthy(now) {
 				return 0
 			}
 			return rendezvous.Score(req.keyHash, uint32(ep.ID))
 		})
 	}
-	for _, ep := range a.homes {
-		ep.isHome = true
+	for _, ep := range a.endpoints {
+		ep.hasAffinity = true
 	}
 }
 
 // workFactor is the work of the request that is being placed at an endpoint, over that where its key is not at home.
 func (a *affinity) workFactor(ep *endpoint) float64 {
-	if ep.isHome {
-		return a.homeWorkFactor
+	if ep.hasAffinity {
+		return a.workFactorWithAffinity
 	}
 	return 1
 }
 
-// learnHomeWork updates homeWorkFactor by the latency of an answer at a home and the latency that was expected, which
+// updateWorkFactor updates workFactorWithAffinity by the latency of an answer at a home and the latency that was expected, which
 // has the factor in it already.
-func (a *affinity) learnHomeWork(tookNanos, expectedNanos float64) {
-	sample := min(tookNanos*a.homeWorkFactor/expectedNanos, maxHomeWorkSample)
-	a.homeWorkFactor += (sample - a.homeWorkFactor) / homeWorkWindow
-	a.homeWorkFactor = min(max(a.homeWorkFactor, minHomeWorkFactor), 1)
+func (a *affinity) updateWorkFactor(tookNanos, expectedNanos float64) {
+	sample := min(tookNanos*a.workFactorWithAffinity/expectedNanos, maxAffinityWorkSample)
+	a.workFactorWithAffinity += (sample - a.workFactorWithAffinity) / affinityWorkWindow
+	a.workFactorWithAffinity = min(max(a.workFactorWithAffinity, minAffinityWorkFactor), 1)
 }
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against each of many nodes gathering a key at endpoints of its own, so that no node saves work.
-func TestNodesAgreeOnAKeysHome(t *testing.T) {
+func TestNodesAgreeOnAffinityEndpoint(t *testing.T) {
 	const keys = 40
 	at := map[string]map[EndpointID]int{}
 	for node := range 5 {
@@ -17,8 +17,8 @@
 			if at[key] == nil {
 				at[key] = map[EndpointID]int{}
 			}
-			at[key][b.last()]++
-			b.end(RequestID(fmt.Sprint(i)), 0, OutcomeSucceeded, 40*ms)
+			at[key][b.lastSent()]++
+			b.endAttempt(RequestID(fmt.Sprint(i)), 0, OutcomeSucceeded, 40*ms)
 			b.now += 40 * ms
 		}
 	}
@@ -36,16 +36,16 @@
 }
 
 // Guards against a home that is cold, ejected or overloaded getting its keys' requests all the same.
-func TestKeyLeavesAnOverloadedOrRestartedHome(t *testing.T) {
+func TestAffinityYieldsToLoadAndSlowStart(t *testing.T) {
 	b := newTestFleet(t, 8, func(s *Settings) { s.KeyAffinity, s.Classes[0].LatencyObjective = true, 200*ms })
-	b.serve(40, answersPromptly)
+	b.serve(40, respondPromptly)
 	for i := range 200 {
 		b.affinity.keys.Observe(fmt.Sprint("another", i), 8)
 	}
 	ask := func() EndpointID {
-		b.arrived++
-		b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(b.arrived)), Deadline: b.now + 1000*ms, Key: "k"})
-		return b.last()
+		b.requestCount++
+		b.RequestArrived(b.now, Request{ID: RequestID(fmt.Sprint(b.requestCount)), Deadline: b.now + 1000*ms, Key: "k"})
+		return b.lastSent()
 	}
 	home := ask()
 	if next := ask(); next != home {
@@ -58,7 +58,7 @@
 		t.Errorf("%d out at the home, 7 elsewhere stand idle", n)
 	}
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: home, Pod: 9, StartedAt: b.now}}, false)
-	if ask(); len(b.affinity.homes) == 0 || b.affinity.homes[0].ID == home {
+	if ask(); len(b.affinity.endpoints) == 0 || b.affinity.endpoints[0].ID == home {
 		t.Error("a cold endpoint is a home, and nodes do not agree on the next")
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -43,19 +43,19 @@
 	random   *rand.Rand // the order of its draws is part of what the digest test compares
 	started  bool
 
-	endpoints endpointTable
-	requests  requestTable
-	estimator estimator
-	subset    subset
-	affinity  affinity
-	selector  selector
-	admission admission
-	hedging   hedgeBudget
-	outliers  outlierDetector
-	slowStart slowStart
-	overload  overloadGuard
-	idleConns idleConnections
-	health    healthChecks
+	endpoints    endpointTable
+	requests     requestTable
+	estimator    estimator
+	subset       subset
+	affinity     affinity
+	selector     selector
+	admission    admission
+	hedging      hedgeBudget
+	outliers     outlierDetector
+	slowStart    slowStart
+	overload     overloadGuard
+	idleConns    idleConnections
+	healthChecks healthChecks
 }
 
 // New returns a Balancer that knows nothing but its settings. Equal seeds and events give equal decisions.
@@ -71,10 +71,10 @@
 		endpoints: newEndpointTable(),
 		requests:  newRequestTable(),
 		estimator: newEstimator(&settings),
-		affinity:  affinity{homeWorkFactor: 1},
+		affinity:  affinity{workFactorWithAffinity: 1},
 		admission: admission{quotas: quota.New(settings.TenantShares), delays: delays},
 		slowStart: slowStart{window: settings.SlowStartWindow, minCapacity: settings.SlowStartMinCapacity},
-		idleConns: idleConnections{trusted: idletimeout.New()},
+		idleConns: idleConnections{timeout: idletimeout.New()},
 	}
 }
 
@@ -117,10 +117,10 @@
 	req.overQuota = b.admission.quotas.Exceeded(req.Tenant, req.ClientRetry)
 	b.countArrival(now)
 	if b.settings.KeyAffinity && req.Key != "" {
-		req.keyHash, req.homeCount = b.affinity.keys.Observe(req.Key, len(b.endpoints.all))
+		req.keyHash, req.affinityCount = b.affinity.keys.Observe(req.Key, len(b.endpoints.all))
 	}
-	b.checkHealthInTurn()
-	b.earnCreditByArrival(now)
+	b.checkHealthRoundRobin()
+	b.grantCreditForArrival(now)
 	b.hedging.refill()
 	b.sendOrGiveUp(now, req)
 }
@@ -138,10 +138,10 @@
 	if a == nil {
 		return
 	}
-	req.closeAttempt(now, a, result.Outcome)
-	a.endpoint.noteConnectionUse(now, result.Outcome, b.settings.StreamsPerConnection)
-	b.learnFrom(now, req, a, result)
-	b.proceed(now, req, result)
+	req.endAttempt(now, a, result.Outcome)
+	a.endpoint.updateConnectionUse(now, result.Outcome, b.settings.StreamsPerConnection)
+	b.recordAttempt(now, req, a, result)
+	b.continueRequest(now, req, result)
 }
 
 // ClientGone takes the departure of a client: the attempts of its request are canceled, as no answer reaches it.
@@ -161,7 +161,7 @@
 		b.tick(now)
 	default:
 		if req := b.requests.byOverdueTimer[timer]; req != nil && req.inFlight == 1 {
-			b.attemptOverdue(now, req, req.firstInFlight())
+			b.handleOverdueAttempt(now, req, req.firstInFlight())
 		}
 	}
 }
@@ -183,7 +183,7 @@
 	}
 	ep := b.endpoints.byID[message.Endpoint]
 	if ep != nil && ep.State == StateActive && message.Class >= 0 && message.Class < len(ep.health) {
-		ep.health[message.Class].takeGossip(now)
+		ep.health[message.Class].applyGossip(now)
 	}
 }
 
@@ -222,7 +222,7 @@
 // tick does the periodic work: estimates decay, and what is derived from them is calculated anew.
 func (b *Balancer) tick(now Time) {
 	b.estimator.updateHighLatency(now, b.endpoints.all)
-	givesUpAll := b.estimator.givesUpAll()
+	givesUpAll := b.estimator.gaveUpAllRequests()
 	for _, ep := range b.endpoints.all {
 		b.estimator.decayEndpoint(ep)
 		if givesUpAll && ep.inFlight == 0 {
@@ -234,10 +234,10 @@
 	if b.settings.ReportsUtilization {
 		b.overload.tick(now, b.estimator.Fleet.MeanRatio(), b.estimator.worstSuccessRate())
 	}
-	b.estimator.Decay(1-learningRate, fleetDecayPerSecond)
+	b.estimator.Decay(1-smoothingFactor, fleetDecayPerSecond)
 	b.affinity.keys.Decay()
 	b.subset.updateRequestRate()
-	b.idleConns.trusted.Decay()
+	b.idleConns.timeout.Decay()
 	b.updatePriorityFactors()
 	b.updateSubset(now)
 	b.estimator.decayClasses()
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkTask is a request from its arrival to its answer, with 32 others out, a tick of the clock each second of
+// BenchmarkRequest is a request from its arrival to its answer, with 32 others out, a tick of the clock each second of
 // 20,000 requests, and answers that bring a report and take their time.
-func BenchmarkTask(b *testing.B) {
+func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			q := &lastSendRecorder{}
@@ -65,8 +65,8 @@
 	}
 }
 
-// BenchmarkListChange is 512 lines of a list taken in by a node that holds so many endpoints.
-func BenchmarkListChange(b *testing.B) {
+// BenchmarkListUpdate is 512 lines of a list taken in by a node that holds so many endpoints.
+func BenchmarkListUpdate(b *testing.B) {
 	for _, n := range []int{512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list := endpointList(n)
@@ -80,8 +80,8 @@
 	}
 }
 
-// BenchmarkList is a whole list taken in by a node that holds another.
-func BenchmarkList(b *testing.B) {
+// BenchmarkCompleteList is a whole list taken in by a node that holds another.
+func BenchmarkCompleteList(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list := endpointList(2 * n)
@@ -110,7 +110,7 @@
 				Request:           Request{Deadline: now + 900*ms},
 				classSettings:     &p.settings.Classes[0],
 				effectiveDeadline: now + 900*ms,
-				delays:            p.admission.delays.GroupsOf(0, 0),
+				delayGroups:       p.admission.delays.GroupsOf(0, 0),
 			}
 			for range b.N {
 				p.selectEndpoint(now, req)
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -23,9 +23,9 @@
 	millisecond = 1_000_000 // nanoseconds
 	second      = 1000 * millisecond
 
-	digestStart    = 1000 * second
-	digestDuration = 40 * second
-	digestGrace    = 20 * second // after the last arrival, for what is still in flight
+	digestStart     = 1000 * second
+	digestDuration  = 40 * second
+	digestDrainTime = 20 * second // after the last arrival, for what is still in flight
 )
 
 // digestRecord is what is kept of one generated run: the digest of every action, and how often each occurred, so that a
@@ -60,56 +60,56 @@
 
 // digestEndpoint is a generated endpoint: how fast it is, and what it does wrong at the moment.
 type digestEndpoint struct {
-	listed                policy.EndpointInfo
-	speed                 float64
-	inFlight              int
-	failing, silent, full bool
-	failsClass            int // answers this class with errors only; -1: none
-	connected             bool
+	info                       policy.EndpointInfo
+	speed                      float64
+	inFlight                   int
+	failing, silent, queueFull bool
+	failsClass                 int // answers this class with errors only; -1: none
+	connected                  bool
 }
 
 // digestRun drives one instance of the decisions with generated events and hashes all that it does.
 type digestRun struct {
-	settings  policy.Settings
-	instance  *policy.Balancer
-	random    *rand.Rand
-	now       int64
-	sequence  int64
-	queue     digestQueue
-	endpoints []*digestEndpoint
-	attempts  map[policy.RequestID]int
-	classOf   map[policy.RequestID]int
-	answered  map[policy.RequestID]bool
-	canceled  map[string]bool
-	slowdown  float64
-	lists     int
-	hash      interface {
+	settings   policy.Settings
+	instance   *policy.Balancer
+	random     *rand.Rand
+	now        int64
+	sequence   int64
+	queue      digestQueue
+	endpoints  []*digestEndpoint
+	attempts   map[policy.RequestID]int
+	classOf    map[policy.RequestID]int
+	answered   map[policy.RequestID]bool
+	canceled   map[string]bool
+	slowdown   float64
+	watchCount int
+	hash       interface {
 		Write([]byte) (int, error)
 		Sum64() uint64
 	}
 	actions map[string]int
 }
 
-func (r *digestRun) note(action string, arguments ...any) {
+func (r *digestRun) record(action string, arguments ...any) {
 	r.actions[action]++
 	if _, err := fmt.Fprintln(r.hash, r.now, action, arguments); err != nil {
 		panic(err) // a hash takes all
 	}
 }
 
-func (r *digestRun) after(delay int64, run func()) {
+func (r *digestRun) schedule(delay int64, run func()) {
 	r.sequence++
 	heap.Push(&r.queue, digestEvent{r.now + max(delay, 0), r.sequence, run})
 }
 
 func (r *digestRun) Send(req policy.RequestID, id policy.EndpointID, limit time.Duration) {
 	timeout := int64(limit)
-	r.note("send", req, id, timeout)
+	r.record("send", req, id, timeout)
 	number := r.attempts[req]
 	r.attempts[req]++
 	endpoint := r.endpoints[int(id)-1]
 	endpoint.inFlight++
-	outcome, elapsed := r.outcome(endpoint, r.classOf[req], timeout)
+	outcome, elapsed := r.drawOutcome(endpoint, r.classOf[req], timeout)
 	if r.settings.MayCancel || elapsed < timeout {
 		elapsed = min(elapsed, timeout)
 	}
@@ -118,7 +118,7 @@
 	if r.canceled[fmt.Sprint(req, number)] {
 		outcome = policy.OutcomeCanceled
 	}
-	r.after(elapsed, func() {
+	r.schedule(elapsed, func() {
 		endpoint.inFlight--
 		if r.canceled[fmt.Sprint(req, number)] {
 			outcome = policy.OutcomeCanceled
@@ -142,16 +142,16 @@
 }
 
 // outcome draws how an attempt ends and after how long.
-func (r *digestRun) outcome(endpoint *digestEndpoint, class int, timeout int64) (policy.Outcome, int64) {
+func (r *digestRun) drawOutcome(endpoint *digestEndpoint, class int, timeout int64) (policy.Outcome, int64) {
 	work := float64(8+4*class) * float64(millisecond) * (0.4 + r.random.ExpFloat64())
 	elapsed := int64(work*endpoint.speed*r.slowdown*float64(1+endpoint.inFlight)/2) + millisecond
 	dice := r.random.Float64()
 	switch {
-	case endpoint.listed.State == policy.StateRemoved && dice < 0.8:
+	case endpoint.info.State == policy.StateRemoved && dice < 0.8:
 		return policy.OutcomeConnectFailed, 2 * millisecond
 	case endpoint.silent:
 		return policy.OutcomeTimedOut, timeout
-	case endpoint.full && dice < 0.9:
+	case endpoint.queueFull && dice < 0.9:
 		return policy.OutcomeRejected, millisecond
 	case endpoint.failing && dice < 0.7, endpoint.failsClass == class && dice < 0.95:
 		return policy.OutcomeError, elapsed / 4
@@ -186,24 +186,24 @@
 }
 
 func (r *digestRun) Cancel(req policy.RequestID, number int) {
-	r.note("cancel", req, number)
+	r.record("cancel", req, number)
 	r.canceled[fmt.Sprint(req, number)] = true
 }
 
 func (r *digestRun) Reject(req policy.RequestID, advice time.Duration, _ policy.Reason) {
-	r.note("reject", req, int64(advice))
+	r.record("reject", req, int64(advice))
 	r.answered[req] = true
 }
 
 func (r *digestRun) Fail(req policy.RequestID, _ policy.Reason) {
-	r.note("fail", req)
+	r.record("fail", req)
 	r.answered[req] = true
 }
 
 func (r *digestRun) SetTimer(at policy.Time, timer uint64) {
-	r.note("timer", int64(at), timer)
+	r.record("timer", int64(at), timer)
 	instance := r.instance
-	r.after(int64(at)-r.now, func() {
+	r.schedule(int64(at)-r.now, func() {
 		if instance == nil || instance == r.instance { // timers end with the instance that set them
 			r.instance.TimerFired(policy.Time(r.now), timer)
 		}
@@ -211,25 +211,25 @@
 }
 
 func (r *digestRun) WatchEndpoints() {
-	r.note("watch")
-	r.after(50*millisecond, func() {
-		if r.lists++; r.lists%7 == 3 {
+	r.record("watch")
+	r.schedule(50*millisecond, func() {
+		if r.watchCount++; r.watchCount%7 == 3 {
 			r.instance.WatchFailed(policy.Time(r.now))
 			return
 		}
-		r.list(r.lists%2 == 0)
+		r.sendList(r.watchCount%2 == 0)
 	})
 }
 
 func (r *digestRun) CloseIdle(id policy.EndpointID) {
-	r.note("close", id)
+	r.record("close", id)
 	r.endpoints[int(id)-1].connected = false
 }
 
 func (r *digestRun) CheckHealth(id policy.EndpointID) {
-	r.note("probe", id)
+	r.record("probe", id)
 	endpoint := r.endpoints[int(id)-1]
-	r.after(3*millisecond, func() {
+	r.schedule(3*millisecond, func() {
 		outcome := policy.OutcomeSucceeded
 		if endpoint.silent {
 			outcome = policy.OutcomeTimedOut
@@ -242,52 +242,52 @@
 }
 
 func (r *digestRun) Gossip(message policy.GossipMessage) {
-	r.note("gossip", uint32(message.Endpoint), message.Class, int64(message.IdleTime))
+	r.record("gossip", uint32(message.Endpoint), message.Class, int64(message.IdleTime))
 	for range r.random.IntN(5) { // other nodes saw the same
-		r.after(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(policy.Time(r.now), message) })
+		r.schedule(r.random.Int64N(400)*millisecond, func() { r.instance.GossipReceived(policy.Time(r.now), message) })
 	}
 }
 
 // list gives the instance the whole list, without what has left, or every tenth line of it.
-func (r *digestRun) list(complete bool) {
+func (r *digestRun) sendList(complete bool) {
 	var lines []policy.EndpointInfo
 	for i, endpoint := range r.endpoints {
-		if complete && endpoint.listed.State != policy.StateRemoved || !complete && i%10 == r.lists%10 {
-			lines = append(lines, endpoint.listed)
+		if complete && endpoint.info.State != policy.StateRemoved || !complete && i%10 == r.watchCount%10 {
+			lines = append(lines, endpoint.info)
 		}
 	}
 	r.instance.EndpointsUpdated(policy.Time(r.now), lines, complete)
 }
 
 // change gives one endpoint another condition and, where the list tells of it, the instance the changed line.
-func (r *digestRun) change() {
+func (r *digestRun) changeEndpoint() {
 	endpoint := r.endpoints[r.random.IntN(len(r.endpoints))]
 	listed := true
 	switch r.random.IntN(9) {
 	case 0:
-		endpoint.listed.State = policy.StateDraining
+		endpoint.info.State = policy.StateDraining
 	case 1:
-		endpoint.listed.State = policy.StateRemoved
+		endpoint.info.State = policy.StateRemoved
 	case 2, 3:
-		endpoint.listed.State, endpoint.listed.StartedAt = policy.StateActive, policy.Time(r.now-50*millisecond)
-		endpoint.failing, endpoint.silent, endpoint.full, endpoint.connected = false, false, false, false
+		endpoint.info.State, endpoint.info.StartedAt = policy.StateActive, policy.Time(r.now-50*millisecond)
+		endpoint.failing, endpoint.silent, endpoint.queueFull, endpoint.connected = false, false, false, false
 	case 4:
 		endpoint.failing, listed = !endpoint.failing, false
 	case 5:
 		endpoint.silent, listed = !endpoint.silent, false
 	case 6:
-		endpoint.full, listed = !endpoint.full, false
+		endpoint.queueFull, listed = !endpoint.queueFull, false
 	case 7:
 		endpoint.failsClass, listed = r.random.IntN(4)-1, false
 	case 8:
 		endpoint.connected, listed = false, false
 	}
 	if listed && r.random.IntN(5) > 0 {
-		r.instance.EndpointsUpdated(policy.Time(r.now), []policy.EndpointInfo{endpoint.listed}, false)
+		r.instance.EndpointsUpdated(policy.Time(r.now), []policy.EndpointInfo{endpoint.info}, false)
 	}
 }
 
-func (r *digestRun) arrive(number int) {
+func (r *digestRun) sendRequest(number int) {
 	id := policy.RequestID(fmt.Sprint("r", number))
 	class := r.random.IntN(len(r.settings.Classes))
 	req := policy.Request{
@@ -304,7 +304,7 @@
 	r.classOf[id] = class
 	r.instance.RequestArrived(policy.Time(r.now), req)
 	if r.random.IntN(40) == 0 {
-		r.after(r.random.Int64N(60)*millisecond, func() {
+		r.schedule(r.random.Int64N(60)*millisecond, func() {
 			if !r.answered[id] {
 				r.answered[id] = true
 				r.instance.ClientGone(policy.Time(r.now), id)
@@ -315,10 +315,10 @@
 
 // replace ends the instance, as at a hot restart, and begins another with what it learned; requests in flight are gone
 // with the old one, and answers that come for them are not known to the new one.
-func (r *digestRun) replace(seed uint64) {
+func (r *digestRun) hotRestart(seed uint64) {
 	learned := r.instance.Estimates()
 	r.instance = policy.New(r.settings, seed, r)
-	r.list(true)
+	r.sendList(true)
 	r.instance.Inherit(&learned)
 	clear(r.attempts)
 }
@@ -338,7 +338,7 @@
 		}
 		r.endpoints = append(r.endpoints, &digestEndpoint{
 			speed: 0.5 + 1.5*r.random.Float64(), failsClass: -1,
-			listed: policy.EndpointInfo{
+			info: policy.EndpointInfo{
 				ID:        policy.EndpointID(i + 1),
 				Zone:      i % 3,
 				Pod:       i / 4,
@@ -348,7 +348,7 @@
 		})
 	}
 	r.instance = policy.New(settings, seed, r)
-	r.list(true)
+	r.sendList(true)
 	gap := 16 * millisecond * 8 / int64(min(endpoints, 64))
 	number := 0
 	var next func()
@@ -357,22 +357,22 @@
 			return
 		}
 		number++
-		r.arrive(number)
-		r.after(int64(r.random.ExpFloat64()*float64(gap)), next)
+		r.sendRequest(number)
+		r.schedule(int64(r.random.ExpFloat64()*float64(gap)), next)
 	}
-	r.after(millisecond, next)
+	r.schedule(millisecond, next)
 	for at := int64(second); at < digestDuration; at += 300 * millisecond * 16 / int64(min(endpoints, 128)) {
-		r.after(at, r.change)
+		r.schedule(at, r.changeEndpoint)
 	}
 	for at := int64(5 * second); at < digestDuration; at += 5 * second { // whole lists, which mend what a lost change left
-		r.after(at, func() { r.list(true) })
+		r.schedule(at, func() { r.sendList(true) })
 	}
-	r.after(12*second, func() { r.slowdown = 12 }) // overload
-	r.after(24*second, func() { r.slowdown = 1 })
-	r.after(30*second, func() { r.replace(seed + 1) })
+	r.schedule(12*second, func() { r.slowdown = 12 }) // overload
+	r.schedule(24*second, func() { r.slowdown = 1 })
+	r.schedule(30*second, func() { r.hotRestart(seed + 1) })
 	for len(r.queue) > 0 {
 		event := heap.Pop(&r.queue).(digestEvent)
-		if event.at > digestStart+digestDuration+digestGrace {
+		if event.at > digestStart+digestDuration+digestDrainTime {
 			break // the instance's own clock tick never ends
 		}
 		r.now = event.at
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -15,14 +15,14 @@
 	delisted bool   // the list lacks it, and no attempt on it has failed since
 
 	// The subset and key affinity (subset.go, affinity.go).
-	inSubset bool
-	isHome   bool // of the key of the request that is being placed
+	inSubset    bool
+	hasAffinity bool // of the key of the request that is being placed
 
 	// Load and latency; Load, LastReport and RisePerSend are load.go's, Latency and HighLatency estimator.go's.
 	estimates.EndpointEstimates
 	sendsSinceReport int
 	recalculateAt    Time       // when the load is recalculated if no report comes before
-	risingSince      Time       // when its reports rose for the first time; 0: they have not
+	firstRiseAt      Time       // when its reports rose for the first time; 0: they have not
 	podLatency       *ewma.Pair // shared by the pod: this node uses one endpoint too seldom to judge it alone
 
 	// Attempts of this node.
@@ -51,7 +51,7 @@
 	samples      float64 // decayed count of the attempts in failureRate
 	ejected      bool
 	ejectionTime time.Duration // doubles while it stays ejected
-	retryAt      Time          // when one idempotent request may try it again
+	nextTrialAt  Time          // when one idempotent request may try it again
 	gossipVotes  float64       // decayed count of messages of other nodes that it fails this class
 	gossipedAt   Time          // when this node sent such a message last
 }
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -21,12 +21,12 @@
 func TestRemovedEndpointsServeUntilTheyFail(t *testing.T) {
 	for _, keep := range []bool{false, true} {
 		b := newTestFleet(t, 3, func(s *Settings) { s.RemovedMayServe = keep })
-		b.serve(20, answersPromptly)
+		b.serve(20, respondPromptly)
 		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, State: StateDraining}}, false)
 		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, State: StateRemoved}, {ID: 2, State: StateRemoved}}, false)
 		b.EndpointsUpdated(b.now, nil, true)
 		b.sent = nil
-		b.serve(30, answersPromptly)
+		b.serve(30, respondPromptly)
 		if b.sentTo(1) > 0 || b.sentTo(2)+b.sentTo(3) > 0 != keep {
 			t.Errorf(
 				"kept %t: %d to the one that had drained, %d and %d to the others", keep, b.sentTo(1), b.sentTo(2),
@@ -37,10 +37,10 @@
 			continue
 		}
 		id := b.arrive(0)
-		failing := b.last()
-		b.end(id, 0, OutcomeConnectFailed, ms)
+		failing := b.lastSent()
+		b.endAttempt(id, 0, OutcomeConnectFailed, ms)
 		b.sent = nil
-		if b.serve(30, answersPromptly); b.sentTo(failing) > 0 {
+		if b.serve(30, respondPromptly); b.sentTo(failing) > 0 {
 			t.Error("one that the list lacks and that failed is used on")
 		}
 	}
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -16,12 +16,12 @@
 // never make the fleet look slow. docs/design.md: "Admission: predicted in time".
 
 const (
-	// learningRate is the part of a new value in an endpoint's exponentially weighted averages.
-	learningRate = 1.0 / 12
+	// smoothingFactor is the part of a new value in an endpoint's exponentially weighted averages.
+	smoothingFactor = 1.0 / 12
 	// fleetWindow and endpointWindow are the weights in answers at which the averages of the fleet, and those of a pod
 	// and of an endpoint, stay.
 	fleetWindow    = 64
-	endpointWindow = 2 / learningRate
+	endpointWindow = 2 / smoothingFactor
 	// meanWorkWindow is the number of answers over which the mean work is averaged.
 	meanWorkWindow = 32
 	// fleetDecayPerSecond is the part of what answers showed of the fleet that still counts a second later.
@@ -41,13 +41,13 @@
 	zoneDelayQuantile = 0.1
 	// minWorkFraction is the part of the mean work that a request counts for at least.
 	minWorkFraction = 0.25
-	// maxSurprise bounds what an answer counts for in the averages of fleet and pod, over the averages themselves.
-	maxSurprise = 3
+	// maxSampleFactor bounds what an answer counts for in the averages of fleet and pod, over the averages themselves.
+	maxSampleFactor = 3
 	// minOverdueTicks is how many ticks of the clock an answer is not overdue: this process itself may have been
 	// paused.
 	minOverdueTicks = 4
-	// minAnswersToJudge is how many answers tell what is late.
-	minAnswersToJudge = 1 / learningRate
+	// minSamplesForOverdue is how many answers tell what is late.
+	minSamplesForOverdue = 1 / smoothingFactor
 	// overdueFactor: an answer is overdue after its high quantile times this.
 	overdueFactor = 2
 )
@@ -94,22 +94,22 @@
 // overdueAfter is how long an answer may take, by the high quantile of the endpoint or of its healthy peers.
 func (e *estimator) overdueAfter(ep *endpoint, work float64) time.Duration {
 	high := e.usualHighLatency()
-	if ep.HasLatency && !ep.isAvoided(ep.lastActiveAt) {
+	if ep.HasLatency && !ep.isUnhealthy(ep.lastActiveAt) {
 		high = min(maxHighLatencyFactor*high, ep.HighLatency)
 	}
 	_, inFlight := e.expectedLatency(ep)
 	work *= high * (1 + float64(ep.inFlight)) / (1 + min(inFlight, float64(ep.inFlight)))
-	overdue := time.Duration(e.patience() * overdueFactor * (e.ZoneDelay[ep.Zone] + work))
+	overdue := time.Duration(e.fewSamplesFactor() * overdueFactor * (e.ZoneDelay[ep.Zone] + work))
 	return max(minOverdueTicks*e.clockResolution, overdue)
 }
 
 // patience is how many times longer an answer may take while few have come, of any class, to tell what is late.
-func (e *estimator) patience() float64 {
+func (e *estimator) fewSamplesFactor() float64 {
 	answers := 0
 	for i := range e.classes {
 		answers += e.classes[i].WorkSamples
 	}
-	return max(1, minAnswersToJudge/float64(max(answers, 1)))
+	return max(1, minSamplesForOverdue/float64(max(answers, 1)))
 }
 
 // usualHighLatency is the mean of the endpoints' high quantiles of the latency for each unit of work.
@@ -121,7 +121,7 @@
 }
 
 // work is the expected work of a request where its key is not at home, in nanoseconds; 0: not known yet.
-func (e *estimator) work(req *request) float64 {
+func (e *estimator) expectedWork(req *request) float64 {
 	if req.CostHint > 0 {
 		// The latency of requests with hardly any work says nothing of an endpoint.
 		return max(float64(req.CostHint), minWorkFraction*e.MeanWork)
@@ -151,15 +151,15 @@
 	perWork := tookNanos / a.work
 	fleet, pod := e.Fleet.MeanRatio(), ep.podLatency.MeanRatio()
 	// Guards against a few slow endpoints making the fleet look late.
-	e.Fleet.Add(min(perWork, maxSurprise*fleet), a.inFlightBefore, fleetWindow)
-	ep.podLatency.Add(min(perWork/fleet, maxSurprise*pod), a.inFlightBefore, endpointWindow)
+	e.Fleet.Add(min(perWork, maxSampleFactor*fleet), a.inFlightBefore, fleetWindow)
+	ep.podLatency.Add(min(perWork/fleet, maxSampleFactor*pod), a.inFlightBefore, endpointWindow)
 	ep.Latency.Add(perWork/fleet/pod, a.inFlightBefore, endpointWindow)
 	if !ep.HasLatency {
 		ep.HasLatency = true
 		ep.HighLatency = initialHighLatency * perWork
 	}
 	mean, _ := e.expectedLatency(ep)
-	step := estimates.QuantileStep(perWork > ep.HighLatency, mean*learningRate, highLatencyQuantile)
+	step := estimates.QuantileStep(perWork > ep.HighLatency, mean*smoothingFactor, highLatencyQuantile)
 	ep.HighLatency = max(mean, ep.HighLatency+step)
 }
 
@@ -170,16 +170,16 @@
 	e.MeanWork += (work - e.MeanWork) / meanWorkWindow
 }
 
-// withoutZoneDelay subtracts from a latency the delay of the endpoint's zone, and learns that delay. Guards against
+// subtractZoneDelay subtracts from a latency the delay of the endpoint's zone, and learns that delay. Guards against
 // requests with little work making another zone look slow.
-func (e *estimator) withoutZoneDelay(a *attempt, tookNanos float64) float64 {
+func (e *estimator) subtractZoneDelay(a *attempt, tookNanos float64) float64 {
 	zone := a.endpoint.Zone
 	beyondWork := tookNanos - a.work
 	delay, known := e.ZoneDelay[zone]
 	if !known {
 		delay = beyondWork
 	}
-	step := estimates.QuantileStep(beyondWork >= delay, e.MeanWork*learningRate, zoneDelayQuantile)
+	step := estimates.QuantileStep(beyondWork >= delay, e.MeanWork*smoothingFactor, zoneDelayQuantile)
 	delay = max(0, delay+step)
 	e.ZoneDelay[zone] = delay
 	return max(tookNanos-delay, a.work*minWorkFraction)
@@ -189,7 +189,7 @@
 func (e *estimator) updateHighLatency(now Time, endpoints []*endpoint) {
 	sum, count := 0.0, 0.0
 	for _, ep := range endpoints {
-		if ep.State == StateActive && ep.HasLatency && !ep.isAvoided(now) {
+		if ep.State == StateActive && ep.HasLatency && !ep.isUnhealthy(now) {
 			sum += ep.HighLatency
 			count++
 		}
@@ -199,13 +199,13 @@
 
 // decayEndpoint lets what was learned of an endpoint without recent answers drift to what others show.
 func (e *estimator) decayEndpoint(ep *endpoint) {
-	unknown := 1 - min(1, ep.Latency.Weight*learningRate)
-	ep.HighLatency += (e.HighLatency - ep.HighLatency) * learningRate * unknown
-	ep.Latency.Decay(1 - learningRate)
+	unknown := 1 - min(1, ep.Latency.Weight*smoothingFactor)
+	ep.HighLatency += (e.HighLatency - ep.HighLatency) * smoothingFactor * unknown
+	ep.Latency.Decay(1 - smoothingFactor)
 }
 
-// givesUpAll reports whether this node gave up requests, and none was answered, in the second that ends.
-func (e *estimator) givesUpAll() bool {
+// gaveUpAllRequests reports whether this node gave up requests, and none was answered, in the second that ends.
+func (e *estimator) gaveUpAllRequests() bool {
 	answered, givenUp := 0, 0
 	for i := range e.classes {
 		answered += e.classes[i].AnsweredCount
--- a/policy/estimator_test.go
+++ b/policy/estimator_test.go
@@ -10,23 +10,23 @@
 	"fawnglade/internal/ewma"
 )
 
-func TestTimeoutsRaiseTheExpectedLatency(t *testing.T) {
+func TestTimeoutsRaiseExpectedLatency(t *testing.T) {
 	b := newTestFleet(t, 1, nil)
-	b.serve(20, answersPromptly)
+	b.serve(20, respondPromptly)
 	before, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 	for range 4 {
 		id := b.arrive(2)
 		b.now += 480 * ms
-		b.end(id, 0, OutcomeTimedOut, 480*ms)
+		b.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
 	}
 	if after, _ := b.estimator.expectedLatency(b.endpoints.byID[1]); after < 2*before {
 		t.Errorf("after four time-outs the endpoint is expected at %.1f, before at %.1f", after, before)
 	}
 }
 
-func TestEndpointsAreMeasuredAgainAfterOverload(t *testing.T) {
+func TestLatencyEstimateDecaysAfterOverload(t *testing.T) {
 	b := newTestFleet(t, 2, nil)
-	b.serve(40, answersPromptly)
+	b.serve(40, respondPromptly)
 	b.serve(40, func(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 450 * ms })
 	overloaded, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 	for range 20 {
@@ -37,14 +37,14 @@
 		t.Errorf("answer times expected at %.1f under overload are still expected at %.1f", overloaded, relaxed)
 	}
 	b.rejected = 0
-	if b.serve(20, answersPromptly); b.rejected > 0 {
+	if b.serve(20, respondPromptly); b.rejected > 0 {
 		t.Errorf("%d of 20 requests were rejected twenty idle seconds after overload", b.rejected)
 	}
 }
 
-func TestPeersStandInForAnUnknownEndpoint(t *testing.T) {
+func TestUnmeasuredEndpointIsPredictedFromPeers(t *testing.T) {
 	b := newTestFleet(t, 100, nil)
-	b.serve(40, answersPromptly)
+	b.serve(40, respondPromptly)
 	b.serve(40, func(s EndpointID) (Outcome, time.Duration) {
 		if s <= 20 {
 			return OutcomeTimedOut, 450 * ms
@@ -69,19 +69,19 @@
 }
 
 // Guards against the way to another zone, the same for any request, being taken for slowness in proportion to the work.
-func TestZoneDelayIsNotTakenForSlowness(t *testing.T) {
+func TestZoneDelayDoesNotRaiseLatencyEstimate(t *testing.T) {
 	b := newTestFleet(t, 0, nil)
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 1, Zone: 1, Weight: 1}, {ID: 2, Zone: 1, Weight: 1}}, true)
 	answered := func(cost, took time.Duration, newConnection bool) {
-		b.arrived++
-		id := RequestID(fmt.Sprint(b.arrived))
+		b.requestCount++
+		id := RequestID(fmt.Sprint(b.requestCount))
 		b.RequestArrived(b.now, Request{ID: id, Deadline: b.now + 1000*ms, CostHint: cost})
 		if b.requests.byID[id] == nil {
-			t.Fatalf("request %d of %d ms was given up beside idle endpoints", b.arrived, cost/ms)
+			t.Fatalf("request %d of %d ms was given up beside idle endpoints", b.requestCount, cost/ms)
 		}
 		b.now += Time(took)
 		b.AttemptEnded(b.now, AttemptResult{
-			Request: id, Endpoint: b.last(), Outcome: OutcomeSucceeded, Elapsed: took, NewConnection: newConnection,
+			Request: id, Endpoint: b.lastSent(), Outcome: OutcomeSucceeded, Elapsed: took, NewConnection: newConnection,
 			Report: LoadReport{-1, -1, -1},
 		})
 	}
@@ -101,7 +101,7 @@
 }
 
 // A new instance predicts as the one before did, and does not take a restarted endpoint for the old one.
-func TestInheritance(t *testing.T) {
+func TestInheritRestoresEstimatesExceptOfRestartedEndpoints(t *testing.T) {
 	b := newTestFleet(t, 4, nil)
 	b.serve(200, func(s EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, time.Duration(s) * 20 * ms })
 	text, err := json.Marshal(b.Estimates())
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -37,14 +37,14 @@
 	}
 }
 
-// attemptOverdue takes an attempt that should have been answered: its endpoint is judged, and the request hedged or
+// handleOverdueAttempt takes an attempt that should have been answered: its endpoint is judged, and the request hedged or
 // moved.
-func (b *Balancer) attemptOverdue(now Time, req *request, number int) {
+func (b *Balancer) handleOverdueAttempt(now Time, req *request, number int) {
 	a := &req.attempts[number]
-	b.foundConnectionDead(now, a, OutcomeTimedOut)
+	b.detectDeadConnection(now, a, OutcomeTimedOut)
 	b.observeUnansweredDelay(now, req, a)
-	if a.endpoint.wasActiveAfter(a.sentAt) && !a.heldAgainstClass {
-		a.heldAgainstClass = true
+	if a.endpoint.wasActiveAfter(a.sentAt) && !a.countedOverdue {
+		a.countedOverdue = true
 		b.recordOverdue(now, req, a)
 	}
 	class := req.classSettings
@@ -52,7 +52,7 @@
 	case b.settings.MayHedge && class.Idempotency != NonIdempotent:
 		b.hedge(now, req)
 	case b.settings.MayCancel && class.Idempotency == Idempotent && !a.endpoint.wasActiveAfter(a.sentAt) &&
-		(b.hasAlternative(now, req) || a.connectionDead && b.mayTryAgain(now, req)):
+		(b.hasAlternative(now, req) || a.connectionDead && b.mayRetryAfterCancel(now, req)):
 		b.effects.Cancel(req.ID, number)
 	}
 }
@@ -65,11 +65,11 @@
 	if a.endpoint.health[req.Class].samples < 1 {
 		outcome = OutcomeError
 	}
-	b.recordOutcome(now, a.endpoint, req, true, outcome)
+	b.updateHealth(now, a.endpoint, req, true, outcome)
 }
 
-// mayTryAgain reports whether a request with one attempt in flight may have another, after a cancel of the first.
-func (b *Balancer) mayTryAgain(now Time, req *request) bool {
+// mayRetryAfterCancel reports whether a request with one attempt in flight may have another, after a cancel of the first.
+func (b *Balancer) mayRetryAfterCancel(now Time, req *request) bool {
 	return now < req.effectiveDeadline && len(req.attempts) < b.settings.MaxAttempts && len(req.attempts) == 1
 }
 
@@ -90,6 +90,6 @@
 // its connection was dead.
 func (b *Balancer) observeUnansweredDelay(now Time, req *request, a *attempt) {
 	if !a.connectionDead {
-		req.delays.Observe(int64(now), int64(a.sentAt), math.Inf(1), a.unloadedNanos)
+		req.delayGroups.Observe(int64(now), int64(a.sentAt), math.Inf(1), a.unloadedNanos)
 	}
 }
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -17,7 +17,7 @@
 	timers           []uint64
 	closedIdle       []EndpointID
 	gossiped         []GossipMessage
-	checked          []EndpointID
+	healthChecked    []EndpointID
 	retryAfter       time.Duration
 	reason           Reason // of the last request that was given up
 }
@@ -42,9 +42,9 @@
 
 func (r *recorder) Gossip(message GossipMessage) { r.gossiped = append(r.gossiped, message) }
 
-func (r *recorder) CheckHealth(s EndpointID) { r.checked = append(r.checked, s) }
+func (r *recorder) CheckHealth(s EndpointID) { r.healthChecked = append(r.healthChecked, s) }
 
-func (r *recorder) last() EndpointID { return r.sent[len(r.sent)-1] }
+func (r *recorder) lastSent() EndpointID { return r.sent[len(r.sent)-1] }
 
 func (r *recorder) sentTo(id EndpointID) (count int) {
 	for _, s := range r.sent {
@@ -59,8 +59,8 @@
 	*testing.T
 	*Balancer
 	*recorder
-	now     Time
-	arrived int
+	now          Time
+	requestCount int
 }
 
 // newTestFleet starts a Balancer with so many endpoints and three classes: idempotent, idempotent by key in a pod,
@@ -88,13 +88,13 @@
 }
 
 func (b *testFleet) arrive(class int) RequestID {
-	b.arrived++
-	id := RequestID(fmt.Sprint(b.arrived))
+	b.requestCount++
+	id := RequestID(fmt.Sprint(b.requestCount))
 	b.RequestArrived(b.now, Request{ID: id, Class: class, Deadline: b.now + 1000*ms})
 	return id
 }
 
-func (b *testFleet) end(id RequestID, number int, o Outcome, took time.Duration) {
+func (b *testFleet) endAttempt(id RequestID, number int, o Outcome, took time.Duration) {
 	t := b.requests.byID[id]
 	b.AttemptEnded(b.now, AttemptResult{
 		Request: id, Attempt: number, Endpoint: t.attempts[number].endpoint.ID, Outcome: o,
@@ -107,15 +107,15 @@
 	for range requests {
 		id := b.arrive(0)
 		for b.requests.byID[id] != nil {
-			o, took := how(b.last())
+			o, took := how(b.lastSent())
 			b.now += Time(took)
-			b.end(id, len(b.requests.byID[id].attempts)-1, o, took)
+			b.endAttempt(id, len(b.requests.byID[id].attempts)-1, o, took)
 		}
 		b.now += ms
 	}
 }
 
-func answersPromptly(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 40 * ms }
+func respondPromptly(EndpointID) (Outcome, time.Duration) { return OutcomeSucceeded, 40 * ms }
 
 func (b *testFleet) tick() { b.TimerFired(b.now, tickTimer) }
 
--- a/policy/idleconns.go
+++ b/policy/idleconns.go
@@ -18,7 +18,7 @@
 const minDeadIdleTime = 300 * time.Millisecond
 
 type idleConnections struct {
-	trusted    idletimeout.Estimator
+	timeout    idletimeout.Estimator
 	gossipedAt Time // of the last message about a dead one
 }
 
@@ -29,7 +29,7 @@
 	if ep.inFlight == 0 {
 		ep.lastActiveAt = now
 		idleTime = now.Sub(cmp.Or(ep.lastUsedAt, now))
-		if int64(idleTime) > b.idleConns.trusted.Limit {
+		if int64(idleTime) > b.idleConns.timeout.Limit {
 			idleTime = 0
 			b.closeIdle(ep)
 		}
@@ -45,8 +45,8 @@
 	b.effects.CloseIdle(ep.ID)
 }
 
-// noteConnectionUse follows the connection of an attempt that ended: some outcomes end the connection too.
-func (ep *endpoint) noteConnectionUse(now Time, outcome Outcome, streamsPerConnection int) {
+// updateConnectionUse follows the connection of an attempt that ended: some outcomes end the connection too.
+func (ep *endpoint) updateConnectionUse(now Time, outcome Outcome, streamsPerConnection int) {
 	closed := outcome == OutcomeReset || outcome == OutcomeConnectFailed
 	if streamsPerConnection < 2 && (outcome == OutcomeTimedOut || outcome == OutcomeCanceled) {
 		closed = true
@@ -59,16 +59,16 @@
 	}
 }
 
-// foundConnectionDead takes an attempt that got no answer. It reports whether that is certainly no fault of the
+// detectDeadConnection takes an attempt that got no answer. It reports whether that is certainly no fault of the
 // endpoint: a reset of a connection that was dead. Silence counts before its end, or a node that sends seldom would
 // learn too late, but it may still be the endpoint's own.
-func (b *Balancer) foundConnectionDead(now Time, a *attempt, outcome Outcome) bool {
-	if !b.mayBeDead(a, outcome) {
+func (b *Balancer) detectDeadConnection(now Time, a *attempt, outcome Outcome) bool {
+	if !b.isConnectionSuspect(a, outcome) {
 		return false
 	}
 	if !a.connectionDead {
 		a.connectionDead = true
-		b.connectionDied(now, a.idleTime)
+		b.recordDeadConnection(now, a.idleTime)
 		if b.settings.StreamsPerConnection > 1 {
 			// A connection of one attempt ends with it, and opening others in vain may be what is slow.
 			b.closeIdle(a.endpoint)
@@ -77,7 +77,7 @@
 	return outcome == OutcomeReset
 }
 
-func (b *Balancer) mayBeDead(a *attempt, outcome Outcome) bool {
+func (b *Balancer) isConnectionSuspect(a *attempt, outcome Outcome) bool {
 	switch outcome {
 	case OutcomeReset, OutcomeTimedOut, OutcomeCanceled:
 	default:
@@ -87,9 +87,9 @@
 	return a.idleTime >= minDeadIdleTime && !a.endpoint.wasActiveAfter(a.sentAt) && knownConnection
 }
 
-// connectionDied takes a connection that was dead when used. Two in a row count, if none between lived about as long.
-func (b *Balancer) connectionDied(now Time, idleTime time.Duration) {
-	if b.idleConns.trusted.RecordDead(int64(idleTime)) {
+// recordDeadConnection takes a connection that was dead when used. Two in a row count, if none between lived about as long.
+func (b *Balancer) recordDeadConnection(now Time, idleTime time.Duration) {
+	if b.idleConns.timeout.RecordDead(int64(idleTime)) {
 		b.confirmDeadConnection(idleTime)
 		b.gossip(now, &b.idleConns.gossipedAt, GossipMessage{IdleTime: idleTime})
 	}
@@ -97,5 +97,5 @@
 
 // confirmDeadConnection counts a dead connection that this node or another is sure of.
 func (b *Balancer) confirmDeadConnection(idleTime time.Duration) {
-	b.idleConns.trusted.Confirm(int64(idleTime), b.settings.MayGossip, b.settings.NodeCount)
+	b.idleConns.timeout.Confirm(int64(idleTime), b.settings.MayGossip, b.settings.NodeCount)
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -20,7 +20,7 @@
 func (b *Balancer) applyReport(now Time, ep *endpoint, report *LoadReport) {
 	load, reported := b.settings.loadOf(report)
 	if reported && (!ep.HasReport || load != ep.LastReport) {
-		ep.takeReport(now, load)
+		ep.updateLoad(now, load)
 	}
 }
 
@@ -36,15 +36,15 @@
 	return 1 + report.QueueLength, report.QueueLength >= 0
 }
 
-// takeReport recalculates the load and what each send from here on adds to it.
-func (ep *endpoint) takeReport(now Time, load float64) {
+// updateLoad recalculates the load and what each send from here on adds to it.
+func (ep *endpoint) updateLoad(now Time, load float64) {
 	rise := load - ep.LastReport
 	ep.RisePerSend = 0
 	if ep.HasReport && rise > 0 && ep.sendsSinceReport > 0 && now < ep.recalculateAt {
 		ep.RisePerSend = rise / float64(ep.sendsSinceReport)
 	}
-	if ep.HasReport && rise > 0 && ep.risingSince == 0 {
-		ep.risingSince = now
+	if ep.HasReport && rise > 0 && ep.firstRiseAt == 0 {
+		ep.firstRiseAt = now
 	}
 	ep.Load = load
 	ep.LastReport = load
@@ -68,18 +68,18 @@
 
 // healthChecks says which endpoint is checked next.
 type healthChecks struct {
-	requests int // arrived ever
+	requestCount int // arrived ever
 }
 
-// checkHealthInTurn asks one endpoint of the subset after another for its load, where answers bring none.
-func (b *Balancer) checkHealthInTurn() {
-	b.health.requests++
+// checkHealthRoundRobin asks one endpoint of the subset after another for its load, where answers bring none.
+func (b *Balancer) checkHealthRoundRobin() {
+	b.healthChecks.requestCount++
 	if !b.settings.MayCheckHealth || !b.settings.HealthChecksReport {
 		return
 	}
-	if b.health.requests%requestsPerHealthCheck != 0 || len(b.subset.members) == 0 {
+	if b.healthChecks.requestCount%requestsPerHealthCheck != 0 || len(b.subset.members) == 0 {
 		return
 	}
-	turn := b.health.requests / requestsPerHealthCheck % len(b.subset.members)
+	turn := b.healthChecks.requestCount / requestsPerHealthCheck % len(b.subset.members)
 	b.effects.CheckHealth(b.subset.members[turn].ID)
 }
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-func TestRisePerSendIsTheLastRiseOverItsSends(t *testing.T) {
+func TestRisePerSend(t *testing.T) {
 	s := &endpoint{}
-	s.takeReport(0, 0.2)
+	s.updateLoad(0, 0.2)
 	s.sendsSinceReport = 4
-	s.takeReport(1, 0.6)
+	s.updateLoad(1, 0.6)
 	if math.Abs(s.RisePerSend-0.1) > 1e-9 {
 		t.Errorf("a rise of 0.4 over 4 attempts gives a rise per send of %g", s.RisePerSend)
 	}
 	s.sendsSinceReport = 4
-	if s.takeReport(2, 0.5); s.RisePerSend != 0 {
+	if s.updateLoad(2, 0.5); s.RisePerSend != 0 {
 		t.Errorf("a falling load gives a rise per send of %g", s.RisePerSend)
 	}
-	if s.takeReport(3, 0.9); s.RisePerSend != 0 {
+	if s.updateLoad(3, 0.9); s.RisePerSend != 0 {
 		t.Errorf("a rise over no attempts gives a rise per send of %g", s.RisePerSend)
 	}
 }
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -17,28 +17,28 @@
 }
 
 type modelRequest struct {
-	request      Request
-	attempts     []modelAttempt
-	done         bool
-	finalAnswers int
+	request        Request
+	attempts       []modelAttempt
+	done           bool
+	finalResponses int
 }
 
 // world is the plain model: it plays events at random, keeps what the wire would know and checks each call of
 // the Balancer against the four rules.
 type model struct {
 	*rand.Rand
-	balancer        *Balancer
-	settings        Settings
-	now             Time
-	requests        map[RequestID]*modelRequest
-	ids             []RequestID
-	listed          map[EndpointID]EndpointInfo
-	drainedLast     map[EndpointID]bool // listed as draining since it was last listed as active
-	violations      []string
-	timers          []uint64
-	gossiped        []GossipMessage
-	sentInSlowStart map[EndpointID]float64 // attempts given to an endpoint since it started cold
-	fairShare       map[EndpointID]float64 // and its even part of all attempts, times what it surely can do
+	balancer           *Balancer
+	settings           Settings
+	now                Time
+	requests           map[RequestID]*modelRequest
+	ids                []RequestID
+	listed             map[EndpointID]EndpointInfo
+	drainedSinceActive map[EndpointID]bool // listed as draining since it was last listed as active
+	violations         []string
+	timers             []uint64
+	gossiped           []GossipMessage
+	sentInSlowStart    map[EndpointID]float64 // attempts given to an endpoint since it started cold
+	fairShare          map[EndpointID]float64 // and its even part of all attempts, times what it surely can do
 }
 
 func (w *model) violation(format string, a ...any) {
@@ -57,7 +57,7 @@
 	}
 	to, known := w.listed[target]
 	if !known || to.State == StateDraining || to.State == StateRemoved && (!w.settings.RemovedMayServe ||
-		w.drainedLast[target]) {
+		w.drainedSinceActive[target]) {
 		w.violation("rule 3: attempt to an endpoint that drains, is gone or was never listed")
 	}
 	if len(t.attempts) >= w.settings.MaxAttempts {
@@ -89,19 +89,19 @@
 	}
 }
 
-func (w *model) finalAnswer(id RequestID) *modelRequest {
+func (w *model) recordFinalResponse(id RequestID) *modelRequest {
 	t := w.requests[id]
 	if t == nil || t.done {
 		w.violation("rule 1: second final answer")
 		return nil
 	}
 	t.done = true
-	t.finalAnswers++
+	t.finalResponses++
 	return t
 }
 
 func (w *model) Reject(id RequestID, comeBackIn time.Duration, _ Reason) {
-	t := w.finalAnswer(id)
+	t := w.recordFinalResponse(id)
 	if t == nil {
 		return
 	}
@@ -120,7 +120,7 @@
 	}
 }
 
-func (w *model) Fail(id RequestID, _ Reason) { w.finalAnswer(id) }
+func (w *model) Fail(id RequestID, _ Reason) { w.recordFinalResponse(id) }
 
 func (w *model) SetTimer(at Time, timer uint64) {
 	if at < w.now {
@@ -140,7 +140,7 @@
 
 func (w *model) CheckHealth(id EndpointID) {
 	if l, known := w.listed[id]; !w.settings.MayCheckHealth || !known || l.State == StateDraining ||
-		l.State == StateRemoved && (!w.settings.RemovedMayServe || w.drainedLast[id]) {
+		l.State == StateRemoved && (!w.settings.RemovedMayServe || w.drainedSinceActive[id]) {
 		w.violation("a health check that is not allowed")
 	}
 }
@@ -154,11 +154,11 @@
 func newModel(seed int64) *model {
 	w := &model{
 		Rand: rand.New(rand.NewSource(seed)), requests: map[RequestID]*modelRequest{},
-		listed:          map[EndpointID]EndpointInfo{},
-		drainedLast:     map[EndpointID]bool{},
-		sentInSlowStart: map[EndpointID]float64{},
-		fairShare:       map[EndpointID]float64{},
-		now:             5e12,
+		listed:             map[EndpointID]EndpointInfo{},
+		drainedSinceActive: map[EndpointID]bool{},
+		sentInSlowStart:    map[EndpointID]float64{},
+		fairShare:          map[EndpointID]float64{},
+		now:                5e12,
 	}
 	w.settings = Settings{
 		MaxAttempts: 1 + w.Intn(5), MayHedge: w.Intn(2) == 0, MayCancel: w.Intn(2) == 0,
@@ -191,7 +191,7 @@
 		)
 	}
 	w.balancer = New(w.settings, uint64(seed), w)
-	w.changeList(true)
+	w.updateList(true)
 	return w
 }
 
@@ -202,8 +202,8 @@
 	return 1
 }
 
-// earnShares adds to each cold endpoint's part what a warm peer satisfied, or an arrival where none is warm.
-func (w *model) earnShares(by EndpointID) {
+// addFairShares adds to each cold endpoint's part what a warm peer satisfied, or an arrival where none is warm.
+func (w *model) addFairShares(by EndpointID) {
 	active, warm := 0.0, 0.0
 	for _, l := range w.listed {
 		if l.State == StateActive {
@@ -226,8 +226,8 @@
 	}
 }
 
-// changeList changes the fleet and enters it: drains, leavers, restarts and newcomers.
-func (w *model) changeList(complete bool) {
+// updateList changes the fleet and enters it: drains, leavers, restarts and newcomers.
+func (w *model) updateList(complete bool) {
 	var changed []EndpointInfo
 	for id := EndpointID(1); id <= 8; id++ {
 		l, known := w.listed[id]
@@ -249,7 +249,7 @@
 			w.listed[id] = l
 			continue
 		}
-		w.listed[id], w.drainedLast[id] = l, l.State == StateDraining || l.State == StateRemoved && w.drainedLast[id]
+		w.listed[id], w.drainedSinceActive[id] = l, l.State == StateDraining || l.State == StateRemoved && w.drainedSinceActive[id]
 		changed = append(changed, l)
 	}
 	w.balancer.EndpointsUpdated(w.now, changed, complete)
@@ -265,11 +265,11 @@
 	}
 	if outcome == OutcomeSucceeded && !t.done {
 		t.done = true
-		t.finalAnswers++
+		t.finalResponses++
 	}
 	a.RequestDone = t.done
 	if outcome == OutcomeSucceeded {
-		w.earnShares(h.endpoint)
+		w.addFairShares(h.endpoint)
 	}
 	w.balancer.AttemptEnded(w.now, a)
 	w.checkInFlight(t)
@@ -298,7 +298,7 @@
 		}}
 		w.requests[t.request.ID] = t
 		w.ids = append(w.ids, t.request.ID)
-		w.earnShares(0)
+		w.addFairShares(0)
 		w.balancer.RequestArrived(w.now, t.request)
 		w.checkInFlight(t)
 	case 4:
@@ -316,7 +316,7 @@
 			w.now, EndpointID(w.Intn(10)), Outcome(w.Intn(9)), LoadReport{w.Float64(), float64(w.Intn(3)), -1},
 		)
 		if w.Intn(4) == 0 {
-			w.changeList(w.Intn(3) == 0)
+			w.updateList(w.Intn(3) == 0)
 		}
 	case 5:
 		if len(w.ids) > 0 {
@@ -358,7 +358,7 @@
 	}
 }
 
-func TestRulesAgainstThePlainModel(t *testing.T) {
+func TestRandomEventsKeepModelInvariants(t *testing.T) {
 	play := func(seed int64) bool {
 		w := newModel(seed)
 		for range 600 {
@@ -371,8 +371,8 @@
 					w.endAttempt(w.requests[id], n, OutcomeTimedOut)
 				}
 			}
-			if !w.requests[id].done || w.requests[id].finalAnswers > 1 {
-				w.violation("rule 1: request with %d final answers", w.requests[id].finalAnswers)
+			if !w.requests[id].done || w.requests[id].finalResponses > 1 {
+				w.violation("rule 1: request with %d final answers", w.requests[id].finalResponses)
 			}
 		}
 		if len(w.balancer.requests.byID) > 0 {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -8,22 +8,22 @@
 // attempt that was never sent count against no endpoint. A time-out counts as a longer latency, or only quick answers
 // would be learned from. docs/design.md: "Admission: predicted in time", "Outliers".
 
-// timeoutFactor is the latency that an attempt without an answer is taken for, over the time that it had.
-const timeoutFactor = 1.5
+// timeoutLatencyFactor is the latency that an attempt without an answer is taken for, over the time that it had.
+const timeoutLatencyFactor = 1.5
 
-// learnFrom takes the end of an attempt.
-func (b *Balancer) learnFrom(now Time, req *request, a *attempt, result AttemptResult) {
+// recordAttempt takes the end of an attempt.
+func (b *Balancer) recordAttempt(now Time, req *request, a *attempt, result AttemptResult) {
 	ep, class := a.endpoint, req.Class
 	if b.cameFromEndpoint(ep, result.Outcome) {
 		ep.lastActiveAt = now
 	}
-	if b.isNotEndpointsFault(now, a, result.Outcome) {
-		if a.heldAgainstClass && result.Outcome == OutcomeTimedOut {
+	if b.isNotEndpointFault(now, a, result.Outcome) {
+		if a.countedOverdue && result.Outcome == OutcomeTimedOut {
 			b.gossipFailure(now, ep, class)
 		}
 		return
 	}
-	if !b.learnFromOutcome(now, req, a, result) {
+	if !b.updateEstimates(now, req, a, result) {
 		return
 	}
 	failed := result.Outcome != OutcomeSucceeded
@@ -31,7 +31,7 @@
 		ep.delist(false)
 		b.updateSubset(now)
 	}
-	b.recordOutcome(now, ep, req, failed, result.Outcome)
+	b.updateHealth(now, ep, req, failed, result.Outcome)
 	if result.Outcome == OutcomeError && ep.health[class].ejected {
 		b.gossipFailure(now, ep, class)
 	}
@@ -50,32 +50,32 @@
 	}
 }
 
-// isNotEndpointsFault reports whether an end says nothing more of the endpoint: nothing was sent, the attempt was
+// isNotEndpointFault reports whether an end says nothing more of the endpoint: nothing was sent, the attempt was
 // counted when it was overdue, or its connection was dead.
-func (b *Balancer) isNotEndpointsFault(now Time, a *attempt, outcome Outcome) bool {
+func (b *Balancer) isNotEndpointFault(now Time, a *attempt, outcome Outcome) bool {
 	switch outcome {
 	case OutcomeNotSent:
 		return true
 	case OutcomeSucceeded:
 		return false
 	default:
-		return a.heldAgainstClass || b.foundConnectionDead(now, a, outcome)
+		return a.countedOverdue || b.detectDeadConnection(now, a, outcome)
 	}
 }
 
-// learnFromOutcome updates latencies and backoffs; it reports whether the outcome counts for or against the endpoint's
+// updateEstimates updates latencies and backoffs; it reports whether the outcome counts for or against the endpoint's
 // health.
-func (b *Balancer) learnFromOutcome(now Time, req *request, a *attempt, result AttemptResult) bool {
+func (b *Balancer) updateEstimates(now Time, req *request, a *attempt, result AttemptResult) bool {
 	switch result.Outcome {
 	case OutcomeSucceeded:
-		b.learnFromSuccess(now, req, a, float64(result.Elapsed), result.NewConnection)
+		b.recordSuccess(now, req, a, float64(result.Elapsed), result.NewConnection)
 	case OutcomeRejected:
-		b.learnFromRejection(now, req, a, result.Report.QueueLength)
+		b.recordRejection(now, req, a, result.Report.QueueLength)
 		return false
 	case OutcomeConnectFailed:
 		if a.idleTime == 0 {
 			// Guards against closing the connections that are open while no new one can be had.
-			b.idleConns.trusted.Reset()
+			b.idleConns.timeout.Reset()
 		}
 		a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
 	case OutcomeCanceled:
@@ -83,64 +83,64 @@
 		wasOverdue := result.Elapsed >= b.estimator.overdueAfter(a.endpoint, a.work)
 		return wasOverdue && !a.endpoint.wasActiveAfter(a.sentAt) && a.classDelayNanos <= 0
 	case OutcomeTimedOut:
-		return b.learnFromTimeout(now, req, a, float64(result.Elapsed))
+		return b.recordTimeout(now, req, a, float64(result.Elapsed))
 	}
 	return true
 }
 
-// learnFromSuccess takes an answer.
-func (b *Balancer) learnFromSuccess(now Time, req *request, a *attempt, tookNanos float64, newConnection bool) {
+// recordSuccess takes an answer.
+func (b *Balancer) recordSuccess(now Time, req *request, a *attempt, tookNanos float64, newConnection bool) {
 	ep, class := a.endpoint, &b.estimator.classes[req.Class]
 	ep.rejectionsInARow = 0
-	b.idleConns.trusted.RecordAlive(int64(a.idleTime))
-	req.delays.Observe(int64(now), int64(a.sentAt), tookNanos, a.unloadedNanos)
+	b.idleConns.timeout.RecordAlive(int64(a.idleTime))
+	req.delayGroups.Observe(int64(now), int64(a.sentAt), tookNanos, a.unloadedNanos)
 	class.Calibrate(tookNanos, a.predictedNanos)
 	if newConnection && a.work > 0 {
 		// Guards against the opening of a connection making its endpoint look slow.
-		b.earnCreditByAnswer(now, ep, a.work)
+		b.grantCreditForResponse(now, ep, a.work)
 		return
 	}
 	if req.CostHint > 0 {
-		tookNanos = b.estimator.withoutZoneDelay(a, tookNanos)
+		tookNanos = b.estimator.subtractZoneDelay(a, tookNanos)
 	}
-	if a.atHome && a.work > 0 {
+	if a.hadAffinity && a.work > 0 {
 		perWork, _ := b.estimator.expectedLatency(ep)
-		b.affinity.learnHomeWork(tookNanos, perWork*a.work)
+		b.affinity.updateWorkFactor(tookNanos, perWork*a.work)
 		// Converted to what it would be elsewhere, so that the endpoint does not look quick for its cached keys.
-		tookNanos /= b.affinity.homeWorkFactor
-		a.work /= b.affinity.homeWorkFactor
+		tookNanos /= b.affinity.workFactorWithAffinity
+		a.work /= b.affinity.workFactorWithAffinity
 	}
 	class.ObserveWork(tookNanos)
-	if a.work == 0 || a.workIsGuess {
+	if a.work == 0 || a.workIsProvisional {
 		// Guards against the latencies of a start being compared with the work of the first, lightest answers.
 		a.work = class.TypicalWork
 	}
 	b.estimator.observeMeanWork(a.work)
 	b.estimator.observeLatency(a, tookNanos)
-	b.earnCreditByAnswer(now, ep, a.work)
+	b.grantCreditForResponse(now, ep, a.work)
 }
 
-// learnFromRejection takes an attempt that the endpoint rejected (OutcomeRejected). It counts as a late answer, unless
+// recordRejection takes an attempt that the endpoint rejected (OutcomeRejected). It counts as a late answer, unless
 // an endpoint that is well known reports an empty queue: where most are full, trying elsewhere brings only a storm of
 // retries.
-func (b *Balancer) learnFromRejection(now Time, req *request, a *attempt, queueLength float64) {
+func (b *Balancer) recordRejection(now Time, req *request, a *attempt, queueLength float64) {
 	a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
-	if queueLength != 0 || !a.endpoint.isWellKnown() {
-		b.estimator.observeLatency(a, float64(req.effectiveDeadline-a.sentAt)*timeoutFactor)
+	if queueLength != 0 || !a.endpoint.isWellMeasured() {
+		b.estimator.observeLatency(a, float64(req.effectiveDeadline-a.sentAt)*timeoutLatencyFactor)
 	}
 }
 
-// learnFromTimeout takes an attempt without an answer; it reports whether that counts against the endpoint.
-func (b *Balancer) learnFromTimeout(now Time, req *request, a *attempt, tookNanos float64) bool {
+// recordTimeout takes an attempt without an answer; it reports whether that counts against the endpoint.
+func (b *Balancer) recordTimeout(now Time, req *request, a *attempt, tookNanos float64) bool {
 	b.observeUnansweredDelay(now, req, a)
 	if a.classDelayNanos > 0 {
 		return false
 	}
 	// Guards against a silent endpoint raising the spread of its class, and so requests to others being rejected.
-	isUsual := maxSurprise*b.estimator.Fleet.MeanRatio()*a.work > tookNanos
+	isUsual := maxSampleFactor*b.estimator.Fleet.MeanRatio()*a.work > tookNanos
 	if a.endpoint.wasActiveAfter(a.sentAt) || isUsual {
-		b.estimator.classes[req.Class].Calibrate(tookNanos*timeoutFactor, a.predictedNanos)
+		b.estimator.classes[req.Class].Calibrate(tookNanos*timeoutLatencyFactor, a.predictedNanos)
 	}
-	b.estimator.observeLatency(a, tookNanos*timeoutFactor)
+	b.estimator.observeLatency(a, tookNanos*timeoutLatencyFactor)
 	return true
 }
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-func TestSilentEndpointDoesNotRaiseTheSpreadOfItsClass(t *testing.T) {
+func TestSilentEndpointDoesNotRaiseLatencySpread(t *testing.T) {
 	b := newTestFleet(t, 3, nil)
-	b.serve(60, answersPromptly)
+	b.serve(60, respondPromptly)
 	before := b.estimator.classes[2].LatencySpread
 	for range 5 {
 		id := b.arrive(2)
 		b.now += 480 * ms
-		b.end(id, 0, OutcomeTimedOut, 480*ms)
+		b.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
 	}
 	if b.estimator.classes[2].LatencySpread > before {
 		t.Errorf("the bound rose from %.2f to %.2f", before, b.estimator.classes[2].LatencySpread)
 	}
 }
 
-func TestRejectionsTeachThatTheFleetIsLate(t *testing.T) {
+func TestRejectionsRaiseFleetLatency(t *testing.T) {
 	b := newTestFleet(t, 100, nil)
-	b.serve(40, answersPromptly)
+	b.serve(40, respondPromptly)
 	b.sent = nil
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeRejected, ms })
 	if len(b.sent) > 120 {
@@ -30,10 +30,10 @@
 }
 
 // Guards against an endpoint that rejects a part of its requests, idle as it is, being taken for a crowded one.
-func TestRejectionWithAnEmptyQueueTeachesNoLatency(t *testing.T) {
+func TestRejectionWithEmptyQueueKeepsLatencyEstimate(t *testing.T) {
 	for queue, late := range map[float64]bool{0: false, 3: true, -1: true} {
 		b := newTestFleet(t, 1, nil)
-		b.serve(100, answersPromptly)
+		b.serve(100, respondPromptly)
 		before, _ := b.estimator.expectedLatency(b.endpoints.byID[1])
 		for range 8 {
 			id := b.arrive(2)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -30,19 +30,19 @@
 	ejectionFailureRate = 0.25
 	// outlierFactor is how many times the failure rate of all endpoints makes an outlier.
 	outlierFactor = 2
-	// returnFactor is the part of the limit under which an ejected endpoint is back.
-	returnFactor = 0.5
+	// reinstatementFactor is the part of the limit under which an ejected endpoint is back.
+	reinstatementFactor = 0.5
 	// maxHealthyFailureRate is the failure rate up to which an endpoint that this node has used is not ejected by votes.
 	maxHealthyFailureRate = ejectionFailureRate / 2
 	// gossipFailureRate is the failure rate that votes raise an endpoint to at least.
 	gossipFailureRate = 2 * ejectionFailureRate
-	// fleetLearningRate is the part of an attempt in the failure rate of all endpoints.
-	fleetLearningRate = learningRate / 2
+	// fleetSmoothingFactor is the part of an attempt in the failure rate of all endpoints.
+	fleetSmoothingFactor = smoothingFactor / 2
 
 	minEjectionTime = time.Second / 2
 	maxEjectionTime = 4 * time.Second
 	// maxHealthSamples bounds classHealth.samples.
-	maxHealthSamples = 2 / learningRate
+	maxHealthSamples = 2 / smoothingFactor
 	// gossipVotesToEject is how many votes, within about two seconds, eject an endpoint; one may be about a single
 	// error.
 	gossipVotesToEject = 3
@@ -63,7 +63,7 @@
 }
 
 // limit is the failure rate above which an endpoint is ejected.
-func (d *outlierDetector) limit() float64 {
+func (d *outlierDetector) ejectionThreshold() float64 {
 	return max(ejectionFailureRate, outlierFactor*d.fleetFailureRate)
 }
 
@@ -71,36 +71,36 @@
 func (d *outlierDetector) record(now Time, health *classHealth, failure, rate float64) {
 	health.samples = min(health.samples+1, maxHealthSamples)
 	health.failureRate += (failure - health.failureRate) * rate
-	d.fleetFailureRate += (failure - d.fleetFailureRate) * fleetLearningRate
-	limit := d.limit()
+	d.fleetFailureRate += (failure - d.fleetFailureRate) * fleetSmoothingFactor
+	limit := d.ejectionThreshold()
 	switch {
 	case failure > 0 && (health.ejected || health.failureRate > limit):
 		health.ejected = true
 		health.ejectionTime = min(max(2*health.ejectionTime, minEjectionTime), maxEjectionTime)
-		health.retryAt = now.Add(health.ejectionTime)
-	case health.ejected && health.failureRate < limit*returnFactor:
+		health.nextTrialAt = now.Add(health.ejectionTime)
+	case health.ejected && health.failureRate < limit*reinstatementFactor:
 		health.ejected = false
 		health.ejectionTime = 0
 	}
 }
 
-// recordOutcome judges the endpoint of an attempt in the class of its request.
-func (b *Balancer) recordOutcome(now Time, ep *endpoint, req *request, failed bool, outcome Outcome) {
+// updateHealth judges the endpoint of an attempt in the class of its request.
+func (b *Balancer) updateHealth(now Time, ep *endpoint, req *request, failed bool, outcome Outcome) {
 	health := &ep.health[req.Class]
-	rate, failure := learningRate, 0.0
+	rate, failure := smoothingFactor, 0.0
 	if failed {
 		failure = 1
 	}
 	if !failed || outcome == OutcomeError {
 		// An endpoint with few samples is judged by these few.
-		rate = max(learningRate, 1/(health.samples+2))
+		rate = max(smoothingFactor, 1/(health.samples+2))
 	}
 	b.outliers.record(now, health, failure, rate)
 }
 
-// takeGossip counts the vote of another node that the endpoint fails the class. What this node saw itself goes first.
+// applyGossip counts the vote of another node that the endpoint fails the class. What this node saw itself goes first.
 // The ejection time stays as it is: only failures at this node double it.
-func (h *classHealth) takeGossip(now Time) {
+func (h *classHealth) applyGossip(now Time) {
 	h.gossipVotes++
 	sawItWork := h.samples >= 1 && h.failureRate <= maxHealthyFailureRate
 	if h.gossipVotes < gossipVotesToEject || h.ejected || sawItWork {
@@ -108,7 +108,7 @@
 	}
 	h.ejected = true
 	h.failureRate = max(h.failureRate, gossipFailureRate)
-	h.retryAt = now.Add(gossipEjectionTime)
+	h.nextTrialAt = now.Add(gossipEjectionTime)
 }
 
 // mayTryEjected reports whether an endpoint that is ejected for the request's class may get the request all the same:
@@ -118,10 +118,10 @@
 	if health.inFlight > 0 {
 		return false
 	}
-	isLastResort := c.round == roundLastResort && ep.isWellKnown()
+	isLastResort := c.round == roundLastResort && ep.isWellMeasured()
 	if ep.inFlight > 0 {
 		// Guards against a class that is out for ever while other classes keep its endpoints busy.
-		return isLastResort && c.now >= health.retryAt
+		return isLastResort && c.now >= health.nextTrialAt
 	}
 	// Guards against a cascade: pauses eject endpoints one by one, and the rest, asked for too much, times out too.
 	if isLastResort {
@@ -133,12 +133,12 @@
 		// endpoint with one such request in maxEjectionTime at most, as a failure reaches its client.
 		wait = maxEjectionTime * time.Duration(max(b.settings.NodeCount, 1))
 	}
-	return c.now >= health.retryAt.Add(wait)
+	return c.now >= health.nextTrialAt.Add(wait)
 }
 
-// onlyActive returns the only active endpoint among some; nil if there are several, or none. Guards against a class
+// onlyActiveEndpoint returns the only active endpoint among some; nil if there are several, or none. Guards against a class
 // being given up because of an endpoint that has no peers to be told apart from.
-func onlyActive(endpoints []*endpoint) *endpoint {
+func onlyActiveEndpoint(endpoints []*endpoint) *endpoint {
 	var only *endpoint
 	for _, ep := range endpoints {
 		if ep.State != StateActive {
@@ -152,19 +152,19 @@
 	return only
 }
 
-// isWellKnown reports whether this node had many answers from an endpoint lately.
-func (ep *endpoint) isWellKnown() bool { return ep.Latency.Weight*learningRate >= 1 }
+// isWellMeasured reports whether this node had many answers from an endpoint lately.
+func (ep *endpoint) isWellMeasured() bool { return ep.Latency.Weight*smoothingFactor >= 1 }
 
 // decayHealth lets what this node and others saw count for less.
 func (ep *endpoint) decayHealth() {
 	for i := range ep.health {
-		ep.health[i].samples *= 1 - learningRate
+		ep.health[i].samples *= 1 - smoothingFactor
 		ep.health[i].gossipVotes *= gossipDecayPerSecond
 	}
 }
 
-// isAvoided reports whether an endpoint is of little use at the moment, for any class.
-func (ep *endpoint) isAvoided(now Time) bool {
+// isUnhealthy reports whether an endpoint is of little use at the moment, for any class.
+func (ep *endpoint) isUnhealthy(now Time) bool {
 	if now < ep.backoffUntil && ep.rejectionsInARow > 1 {
 		return true
 	}
@@ -177,8 +177,8 @@
 	return ep.inFlight > 0 && ep.HasLatency && now.Sub(ep.lastActiveAt) > e.overdueAfter(ep, max(work, e.MeanWork))
 }
 
-// isUsuallyAsBusy reports whether an endpoint has no more attempts of this node in flight than it answered lately.
-func (e *estimator) isUsuallyAsBusy(ep *endpoint) bool {
+// hasUsualInFlight reports whether an endpoint has no more attempts of this node in flight than it answered lately.
+func (e *estimator) hasUsualInFlight(ep *endpoint) bool {
 	_, usualInFlight := e.expectedLatency(ep)
 	return float64(ep.inFlight) < usualInFlight+1
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -8,7 +8,7 @@
 	"fawnglade/internal/ewma"
 )
 
-func TestFailingEndpointIsEjectedAndReturns(t *testing.T) {
+func TestFailingEndpointIsEjectedAndReinstated(t *testing.T) {
 	b := newTestFleet(t, 4, nil)
 	bad := EndpointID(2)
 	how := func(s EndpointID) (Outcome, time.Duration) {
@@ -36,7 +36,7 @@
 
 func TestNoOutlierWhenAllFail(t *testing.T) {
 	b := newTestFleet(t, 4, nil)
-	b.serve(20, answersPromptly)
+	b.serve(20, respondPromptly)
 	b.serve(60, func(EndpointID) (Outcome, time.Duration) { return OutcomeError, ms })
 	ejected := 0
 	for _, s := range b.endpoints.all {
@@ -51,26 +51,26 @@
 
 func TestSilentEndpointGetsNoMoreRequests(t *testing.T) {
 	b := newTestFleet(t, 3, nil)
-	b.serve(60, answersPromptly)
+	b.serve(60, respondPromptly)
 	b.tick()
 	id := b.arrive(2)
-	silent := b.last()
+	silent := b.lastSent()
 	b.now += 400 * ms
 	b.sent = nil
-	b.serve(30, answersPromptly)
+	b.serve(30, respondPromptly)
 	if b.sentTo(silent) > 0 {
 		t.Errorf("an endpoint silent for ten answer times got %d more requests", b.sentTo(silent))
 	}
 	b.now += 80 * ms
-	b.end(id, 0, OutcomeTimedOut, 480*ms)
+	b.endAttempt(id, 0, OutcomeTimedOut, 480*ms)
 	if b.failed != 1 || b.rejected != 0 {
 		t.Errorf("the non-idempotent request was rejected %d and failed %d times", b.rejected, b.failed)
 	}
 }
 
-func TestBackoffGrowsForAnEndpointThatRejects(t *testing.T) {
+func TestBackoffGrowsAtRejectingEndpoint(t *testing.T) {
 	b := newTestFleet(t, 3, nil)
-	b.serve(30, answersPromptly)
+	b.serve(30, respondPromptly)
 	b.sent = nil
 	b.serve(60, func(s EndpointID) (Outcome, time.Duration) {
 		if s == 1 {
@@ -83,30 +83,30 @@
 	}
 	seldom := &endpoint{podLatency: &ewma.Pair{}, health: make([]classHealth, 3)}
 	h := &attempt{endpoint: seldom, sentAt: b.now, inFlight: true}
-	b.learnFrom(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed})
+	b.recordAttempt(b.now, &request{}, h, AttemptResult{Outcome: OutcomeConnectFailed})
 	if seldom.backoffUntil < b.now.Add(recalculationInterval/2) {
 		t.Errorf("an endpoint not heard of late is asked again after %d ms", (seldom.backoffUntil-b.now)/ms)
 	}
 }
 
-func TestOneErrorEjectsALittleKnownEndpoint(t *testing.T) {
+func TestOneErrorEjectsEndpointWithFewSamples(t *testing.T) {
 	b := newTestFleet(t, 40, nil)
-	b.serve(20, answersPromptly)
+	b.serve(20, respondPromptly)
 	id := b.arrive(2)
-	s := b.endpoints.byID[b.last()]
+	s := b.endpoints.byID[b.lastSent()]
 	s.Latency, s.health[2] = ewma.Pair{}, classHealth{}
-	if b.end(id, 0, OutcomeError, ms); !s.health[2].ejected {
+	if b.endAttempt(id, 0, OutcomeError, ms); !s.health[2].ejected {
 		t.Errorf("its failing part is taken for %.2f", s.health[2].failureRate)
 	}
 }
 
 // Guards against a cascade: pauses put most of a fleet out one after another, and the rest is asked for more than it
 // can do.
-func TestEjectedEndpointsAreUsedBeforeRejecting(t *testing.T) {
+func TestEjectedEndpointsAreLastResort(t *testing.T) {
 	b := newTestFleet(t, 4, nil)
-	b.serve(100, answersPromptly)
+	b.serve(100, respondPromptly)
 	for _, s := range b.endpoints.all {
-		s.health[2] = classHealth{ejected: s.ID > 1, failureRate: 0.3, retryAt: b.now + Time(1e9)}
+		s.health[2] = classHealth{ejected: s.ID > 1, failureRate: 0.3, nextTrialAt: b.now + Time(1e9)}
 	}
 	b.endpoints.byID[1].State = StateDraining
 	b.sent = nil
@@ -134,7 +134,7 @@
 
 // With a request out at each of a few endpoints and answers in microseconds, a moment in which the node itself stood
 // still made all of them look silent, and idle endpoints' requests were rejected.
-func TestAPauseOfTheNodeRejectsNothing(t *testing.T) {
+func TestNodePauseDoesNotRejectRequests(t *testing.T) {
 	q := &lastSendRecorder{}
 	set := benchSettings
 	set.ClockResolution = 2 * ms
@@ -172,9 +172,9 @@
 }
 
 // Guards against endpoints that leave one class unanswered and serve the others as usual.
-func TestClassLeftUnansweredIsEjectedAlone(t *testing.T) {
+func TestEndpointIsEjectedForUnansweredClassOnly(t *testing.T) {
 	b := newTestFleet(t, 1, nil)
-	b.serve(60, answersPromptly)
+	b.serve(60, respondPromptly)
 	b.tick()
 	b.arrive(2)
 	woken, silent := b.timers[len(b.timers)-1], b.endpoints.all[0]
@@ -182,15 +182,15 @@
 	if b.TimerFired(b.now, woken); silent.health[2].ejected {
 		t.Error("struck though nothing else was answered since")
 	}
-	b.serve(1, answersPromptly)
+	b.serve(1, respondPromptly)
 	if b.TimerFired(b.now, woken); !silent.health[2].ejected || silent.health[0].failureRate > 0.01 {
 		t.Errorf("health by class: %+v", silent.health)
 	}
 }
 
-func TestGossipOfFailuresYieldsToWhatWasSeen(t *testing.T) {
-	b := newTestFleet(t, 12, manyNodes)
-	b.serve(60, answersPromptly)
+func TestOwnObservationsOverrideFailureGossip(t *testing.T) {
+	b := newTestFleet(t, 12, manyNodesSettings)
+	b.serve(60, respondPromptly)
 	var seen, unseen *endpoint
 	for _, s := range b.endpoints.all {
 		if s.inSubset && s.health[0].samples > 1 {
@@ -226,7 +226,7 @@
 }
 
 func TestInvalidGossipIsIgnored(t *testing.T) {
-	b := newTestFleet(t, 4, manyNodes)
+	b := newTestFleet(t, 4, manyNodesSettings)
 	for _, message := range []GossipMessage{{}, {Endpoint: 77}, {Endpoint: 1, Class: 3}, {Endpoint: 1, Class: -1}, {IdleTime: -5}, {IdleTime: ms}} {
 		for range 100 {
 			b.GossipReceived(b.now, message)
@@ -234,17 +234,17 @@
 	}
 	for _, s := range b.endpoints.all {
 		for _, st := range s.health {
-			if st.ejected || b.idleConns.trusted.Limit < 1e12 {
-				t.Fatalf("idle %d, standing %+v", b.idleConns.trusted.Limit, st)
+			if st.ejected || b.idleConns.timeout.Limit < 1e12 {
+				t.Fatalf("idle %d, standing %+v", b.idleConns.timeout.Limit, st)
 			}
 		}
 	}
 }
 
 // A node tells what it saw, and no more often than once a second.
-func TestGossipOfErrorsOnceASecond(t *testing.T) {
-	b := newTestFleet(t, 4, manyNodes)
-	b.serve(20, answersPromptly)
+func TestFailureGossipIsRateLimited(t *testing.T) {
+	b := newTestFleet(t, 4, manyNodesSettings)
+	b.serve(20, respondPromptly)
 	bad := EndpointID(0)
 	b.serve(40, func(s EndpointID) (Outcome, time.Duration) {
 		if bad == 0 {
@@ -266,7 +266,7 @@
 	var health classHealth
 	for _, ejection := range []time.Duration{minEjectionTime, 2 * minEjectionTime, 4 * minEjectionTime, maxEjectionTime, maxEjectionTime} {
 		detector.record(now, &health, 1, 0.5)
-		if !health.ejected || health.retryAt != now.Add(ejection) {
+		if !health.ejected || health.nextTrialAt != now.Add(ejection) {
 			t.Fatalf("after a failure %+v, expected an ejection for %v", health, ejection)
 		}
 	}
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -9,34 +9,34 @@
 // docs/design.md: "Shedding load".
 
 const (
-	// overloadedFleetLevel: from here on answers take two and a half times their work, so most of it is waiting.
-	overloadedFleetLevel = 2.5
+	// overloadedLatencyRatio: from here on answers take two and a half times their work, so most of it is waiting.
+	overloadedLatencyRatio = 2.5
 	// overloadedSuccessRate: above it most requests of every class still succeed, which a rest would give up.
 	overloadedSuccessRate = 0.7
-	// overloadedSecondsToRest is longer than bursts and short overloads last, which end without a rest.
-	overloadedSecondsToRest = 9
-	// restDuration is for queues at the endpoints, and at what they depend on, to empty.
-	restDuration = 5 * time.Second
+	// overloadedSecondsToShedAll is longer than bursts and short overloads last, which end without a rest.
+	overloadedSecondsToShedAll = 9
+	// shedAllDuration is for queues at the endpoints, and at what they depend on, to empty.
+	shedAllDuration = 5 * time.Second
 )
 
 // overloadGuard decides when this node rests.
 type overloadGuard struct {
-	seconds   int // for how long the fleet has been overloaded
-	restUntil Time
+	overloadedSeconds int // for how long the fleet has been overloaded
+	shedAllUntil      Time
 }
 
 // tick takes the state of the fleet, once a second. The rest begins when the count reaches its limit, and the count
 // goes on until the overload ends: so there is one rest for each.
 func (g *overloadGuard) tick(now Time, fleetLevel, worstSuccessRate float64) {
-	if fleetLevel < overloadedFleetLevel || worstSuccessRate > overloadedSuccessRate {
-		g.seconds = 0
+	if fleetLevel < overloadedLatencyRatio || worstSuccessRate > overloadedSuccessRate {
+		g.overloadedSeconds = 0
 		return
 	}
-	g.seconds++
-	if g.seconds == overloadedSecondsToRest {
-		g.restUntil = now.Add(restDuration)
+	g.overloadedSeconds++
+	if g.overloadedSeconds == overloadedSecondsToShedAll {
+		g.shedAllUntil = now.Add(shedAllDuration)
 	}
 }
 
 // rests reports whether all requests are given up at the moment.
-func (g *overloadGuard) rests(now Time) bool { return now < g.restUntil }
+func (g *overloadGuard) shedsAll(now Time) bool { return now < g.shedAllUntil }
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -12,8 +12,8 @@
 	// Of the request, whatever the endpoints.
 	ReasonDeadline     // its effective deadline has passed: no endpoint answered in time
 	ReasonBodyConsumed // its body is held no more, so that it can't be sent again
-	ReasonResting      // this node gives up all requests, to end a long overload
-	ReasonEnding       // the process is about to end; only the caller of a Balancer gives up for this
+	ReasonShedAll      // this node gives up all requests, to end a long overload
+	ReasonShutdown     // the process is about to end; only the caller of a Balancer gives up for this
 
 	// Of endpoints, from the furthest to the closest.
 	ReasonNoEndpoint   // no endpoint is listed as active
@@ -35,8 +35,8 @@
 	ReasonNone:         "none",
 	ReasonDeadline:     "deadline passed",
 	ReasonBodyConsumed: "body consumed",
-	ReasonResting:      "resting in overload",
-	ReasonEnding:       "process ending",
+	ReasonShedAll:      "resting in overload",
+	ReasonShutdown:     "process ending",
 	ReasonNoEndpoint:   "no endpoint listed",
 	ReasonAttemptsUsed: "attempts used up",
 	ReasonMayHaveRun:   "may have run",
@@ -49,8 +49,8 @@
 	ReasonNotInTime:    "not in time",
 }
 
-// isOfLoad reports whether less load on the endpoints, or more of them, would have helped the request.
-func (r Reason) isOfLoad() bool {
+// isLoadRelated reports whether less load on the endpoints, or more of them, would have helped the request.
+func (r Reason) isLoadRelated() bool {
 	switch r {
 	case ReasonBodyConsumed, ReasonAttemptsUsed, ReasonMayHaveRun, ReasonLastTried, ReasonEjected:
 		return false
@@ -60,4 +60,4 @@
 }
 
 // String names the reason for logs, counters and reports.
-func (r Reason) String() string { return nameOf(reasonNames[:], int(r)) }
+func (r Reason) String() string { return enumName(reasonNames[:], int(r)) }
--- a/policy/reason_test.go
+++ b/policy/reason_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Guards against a rejection or failure of which operators can't tell the cause.
-func TestReasonOfARequestGivenUp(t *testing.T) {
+func TestGiveUpReasons(t *testing.T) {
 	everyEndpoint := func(change func(*testFleet, *endpoint)) func(*testFleet) {
 		return func(b *testFleet) {
 			for _, ep := range b.endpoints.all {
@@ -16,7 +16,7 @@
 		return func(b *testFleet) {
 			id := b.arrive(class)
 			for b.rejected+b.failed == 0 {
-				b.end(id, len(b.requests.byID[id].attempts)-1, outcome, 0)
+				b.endAttempt(id, len(b.requests.byID[id].attempts)-1, outcome, 0)
 			}
 		}
 	}
@@ -29,7 +29,7 @@
 			ep.StartedAt, ep.slowStartCredit = b.now, 0
 		}), arrive},
 		ReasonEjected: {everyEndpoint(func(b *testFleet, ep *endpoint) {
-			ep.health[0].ejected, ep.health[0].retryAt, ep.Latency.Weight = true, b.now+1, 0
+			ep.health[0].ejected, ep.health[0].nextTrialAt, ep.Latency.Weight = true, b.now+1, 0
 		}), arrive},
 		ReasonSilent: {everyEndpoint(func(b *testFleet, ep *endpoint) {
 			ep.inFlight, ep.lastActiveAt = 1, b.now-10e9
@@ -43,7 +43,7 @@
 			req.overQuota = true
 			b.sendOrGiveUp(b.now, req)
 		}},
-		ReasonResting:      {func(b *testFleet) { b.overload.restUntil = b.now + 1 }, arrive},
+		ReasonShedAll:      {func(b *testFleet) { b.overload.shedAllUntil = b.now + 1 }, arrive},
 		ReasonAttemptsUsed: {func(b *testFleet) { b.settings.MaxAttempts = 1 }, endWith(0, OutcomeReset)},
 		ReasonMayHaveRun:   {func(*testFleet) {}, endWith(2, OutcomeUnknown)},
 		ReasonLastTried: {func(b *testFleet) {
@@ -54,7 +54,7 @@
 		ReasonDeadline: {func(*testFleet) {}, func(b *testFleet) {
 			id := b.arrive(0)
 			b.now += 1000 * ms
-			b.end(id, 0, OutcomeTimedOut, 1000*ms)
+			b.endAttempt(id, 0, OutcomeTimedOut, 1000*ms)
 		}},
 		ReasonBodyConsumed: {func(*testFleet) {}, func(b *testFleet) {
 			id := b.arrive(0)
@@ -65,7 +65,7 @@
 	} {
 		t.Run(want.String(), func(t *testing.T) {
 			b := newTestFleet(t, 3, nil)
-			b.serve(40, answersPromptly)
+			b.serve(40, respondPromptly)
 			c.prepare(b)
 			c.play(b)
 			if b.rejected+b.failed != 1 || b.reason != want {
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -36,9 +36,9 @@
 }
 
 type simulatedWork struct {
-	work  time.Duration
-	done  func()
-	ended bool
+	work   time.Duration
+	onDone func()
+	ended  bool
 }
 
 type simulatedEndpoint struct {
@@ -57,24 +57,24 @@
 	arrived, inTime [simulationSeconds]float64            // by the second in which a client first asked
 }
 
-func (w *faultSimulation) after(after time.Duration, what func()) {
-	heap.Push(&w.events, simulatedEvent{w.now.Add(after), what})
+func (w *faultSimulation) schedule(schedule time.Duration, what func()) {
+	heap.Push(&w.events, simulatedEvent{w.now.Add(schedule), what})
 }
 
-func (w *faultSimulation) second(at Time) int { return int((at - simulationStart) / 1e9) }
+func (w *faultSimulation) secondOf(at Time) int { return int((at - simulationStart) / 1e9) }
 
 const simulationStart = Time(1e12)
 
-func (w *faultSimulation) begin(s *simulatedEndpoint, j *simulatedWork) {
+func (w *faultSimulation) startWork(s *simulatedEndpoint, j *simulatedWork) {
 	s.busy++
-	w.after(j.work, func() {
+	w.schedule(j.work, func() {
 		if s.busy--; !j.ended {
-			j.done()
+			j.onDone()
 		}
 		for len(s.queue) > 0 && s.busy < endpointConcurrency {
 			next := s.queue[0]
 			if s.queue = s.queue[1:]; !next.ended {
-				w.begin(s, next)
+				w.startWork(s, next)
 			}
 		}
 	})
@@ -83,34 +83,34 @@
 // simulatedNode is the Effects of one instance.
 type simulatedNode struct {
 	*faultSimulation
-	balancer *Balancer
-	open     map[RequestID]*simulatedRequest
+	balancer     *Balancer
+	openRequests map[RequestID]*simulatedRequest
 }
 
 type simulatedRequest struct {
-	class, tenant, tries int
-	since, deadline      Time
-	attempts             []*simulatedWork
-	sentAt               []Time
-	to                   []EndpointID
+	class, tenant, sendCount int
+	firstSentAt, deadline    Time
+	attempts                 []*simulatedWork
+	sentAt                   []Time
+	endpoints                []EndpointID
 }
 
 func (n *simulatedNode) send(a *simulatedRequest) {
 	id := RequestID(fmt.Sprint(n.Uint64()))
-	a.deadline, a.tries = n.now+1000*ms, a.tries+1
-	a.attempts, a.sentAt, a.to = nil, nil, nil
-	n.open[id] = a
+	a.deadline, a.sendCount = n.now+1000*ms, a.sendCount+1
+	a.attempts, a.sentAt, a.endpoints = nil, nil, nil
+	n.openRequests[id] = a
 	n.balancer.RequestArrived(
-		n.now, Request{ID: id, Class: a.class, Tenant: a.tenant, Deadline: a.deadline, ClientRetry: a.tries > 1},
+		n.now, Request{ID: id, Class: a.class, Tenant: a.tenant, Deadline: a.deadline, ClientRetry: a.sendCount > 1},
 	)
 }
 
 func (n *simulatedNode) endAttempt(id RequestID, number int, o Outcome) {
-	a := n.open[id]
+	a := n.openRequests[id]
 	final := a == nil
 	if o == OutcomeSucceeded && !final {
-		if delete(n.open, id); n.now.Sub(a.since) <= simulationObjective {
-			n.inTime[n.second(a.since)]++
+		if delete(n.openRequests, id); n.now.Sub(a.firstSentAt) <= simulationObjective {
+			n.inTime[n.secondOf(a.firstSentAt)]++
 		}
 		final = true
 	}
@@ -126,15 +126,15 @@
 }
 
 func (n *simulatedNode) Send(id RequestID, to EndpointID, timeout time.Duration) {
-	a, s := n.open[id], n.endpoints[to-1]
+	a, s := n.openRequests[id], n.endpoints[to-1]
 	number, j := len(a.attempts), &simulatedWork{work: time.Duration(n.ExpFloat64() * float64(meanWork))}
-	s.workSent[n.second(n.now)] += j.work
-	if at := n.second(n.now); at >= faultStartSecond && at < faultEndSecond {
+	s.workSent[n.secondOf(n.now)] += j.work
+	if at := n.secondOf(n.now); at >= faultStartSecond && at < faultEndSecond {
 		j.work += n.extraLatency(a.class, a.tenant)
 	}
 	a.attempts = append(a.attempts, j)
-	j.done = func() { j.ended = true; n.endAttempt(id, number, OutcomeSucceeded) }
-	n.after(timeout, func() {
+	j.onDone = func() { j.ended = true; n.endAttempt(id, number, OutcomeSucceeded) }
+	n.schedule(timeout, func() {
 		if !j.ended {
 			j.ended = true
 			n.endAttempt(id, number, OutcomeTimedOut)
@@ -142,32 +142,32 @@
 	})
 	switch {
 	case s.busy < endpointConcurrency:
-		n.begin(s, j)
+		n.startWork(s, j)
 	case len(s.queue) < endpointQueueLimit:
 		s.queue = append(s.queue, j)
 	default:
 		j.ended = true
-		n.after(ms, func() { n.endAttempt(id, number, OutcomeRejected) })
+		n.schedule(ms, func() { n.endAttempt(id, number, OutcomeRejected) })
 	}
 }
 
 func (n *simulatedNode) Cancel(id RequestID, number int) {
-	if a := n.open[id]; a != nil && !a.attempts[number].ended {
+	if a := n.openRequests[id]; a != nil && !a.attempts[number].ended {
 		a.attempts[number].ended = true
-		n.after(0, func() { n.endAttempt(id, number, OutcomeCanceled) })
+		n.schedule(0, func() { n.endAttempt(id, number, OutcomeCanceled) })
 	}
 }
 
 func (n *simulatedNode) Reject(id RequestID, _ time.Duration, _ Reason) {
-	a := n.open[id]
-	if delete(n.open, id); a.tries < 3 {
-		n.after(ms, func() { n.send(a) })
+	a := n.openRequests[id]
+	if delete(n.openRequests, id); a.sendCount < 3 {
+		n.schedule(ms, func() { n.send(a) })
 	}
 }
 
-func (n *simulatedNode) Fail(id RequestID, _ Reason) { delete(n.open, id) }
+func (n *simulatedNode) Fail(id RequestID, _ Reason) { delete(n.openRequests, id) }
 func (n *simulatedNode) SetTimer(at Time, timer uint64) {
-	n.after(max(at.Sub(n.now), 1), func() { n.balancer.TimerFired(n.now, timer) })
+	n.schedule(max(at.Sub(n.now), 1), func() { n.balancer.TimerFired(n.now, timer) })
 }
 func (n *simulatedNode) WatchEndpoints()        {}
 func (n *simulatedNode) CloseIdle(EndpointID)   {}
@@ -176,10 +176,10 @@
 
 // arrive has requests come to a node, a second kind of either sort among four.
 func (n *simulatedNode) arrive(every time.Duration) {
-	a := &simulatedRequest{since: n.now, class: n.IntN(4) / 3, tenant: n.IntN(4) / 3}
-	n.arrived[n.second(n.now)]++
+	a := &simulatedRequest{firstSentAt: n.now, class: n.IntN(4) / 3, tenant: n.IntN(4) / 3}
+	n.arrived[n.secondOf(n.now)]++
 	n.send(a)
-	n.after(time.Duration(n.ExpFloat64()*float64(every)), func() { n.arrive(every) })
+	n.schedule(time.Duration(n.ExpFloat64()*float64(every)), func() { n.arrive(every) })
 }
 
 func simulateFault(nodes int, waits func(class, tenant int) time.Duration) *faultSimulation {
@@ -191,7 +191,7 @@
 		list = append(list, EndpointInfo{ID: EndpointID(id + 1), Pod: id / 3, Weight: 1})
 	}
 	for at := range nodes {
-		n := &simulatedNode{faultSimulation: w, open: map[RequestID]*simulatedRequest{}}
+		n := &simulatedNode{faultSimulation: w, openRequests: map[RequestID]*simulatedRequest{}}
 		n.balancer = New(Settings{
 			Classes: []Class{
 				{LatencyObjective: simulationObjective, Idempotency: Idempotent, PriorityWeight: 1},
@@ -209,9 +209,9 @@
 		}, uint64(at), n)
 		w.nodes = append(w.nodes, n)
 		n.balancer.EndpointsUpdated(w.now, list, true)
-		w.after(time.Duration(w.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
+		w.schedule(time.Duration(w.Float64()*1e9), func() { n.arrive(time.Duration(nodes) * 1e9 / rate) })
 	}
-	w.after(faultEndSecond*1e9, func() { // one starts anew as the fault ends
+	w.schedule(faultEndSecond*1e9, func() { // one starts anew as the fault ends
 		list[restartedEndpoint-1].StartedAt = w.now
 		for _, n := range w.nodes {
 			n.balancer.EndpointsUpdated(w.now, list[restartedEndpoint-1:restartedEndpoint], false)
@@ -227,7 +227,7 @@
 
 // Guards against estimates that outlive their cause, and against the fault of some being read as that of all: requests
 // were rejected by nine in ten for as long as a day lasted, for a class that had waited and no longer did.
-func TestServiceIsBackAfterAFault(t *testing.T) {
+func TestServiceRecoversAfterFault(t *testing.T) {
 	for name, c := range map[string]struct {
 		nodes, within int // seconds after its end
 		others        float64
--- a/policy/request.go
+++ b/policy/request.go
@@ -24,9 +24,9 @@
 	overdueTimer                   uint64 // 0: none was set
 	done                           bool   // it has its final answer
 	overQuota                      bool
-	delays                         classdelay.RequestGroups // of its class and its tenant
+	delayGroups                    classdelay.RequestGroups // of its class and its tenant
 	keyHash                        uint64
-	homeCount                      int // endpoints at which its key is at home; 0: no affinity
+	affinityCount                  int // endpoints at which its key is at home; 0: no affinity
 }
 
 // attempt is one send of a request to an endpoint.
@@ -43,13 +43,13 @@
 	unloadedNanos   float64 // its latency with nothing else at the endpoint
 	classDelayNanos float64 // what its class and tenant wait at any endpoint
 
-	workIsGuess      bool // work is from fewer answers than tell the work of its class
-	inFlight         bool
-	outcome          Outcome // once it has ended
-	mayHaveRun       bool    // it ended, and may have been executed
-	atHome           bool    // of its key
-	heldAgainstClass bool    // overdue at an endpoint that answered others, and counted so
-	connectionDead   bool    // its connection was dead when used
+	workIsProvisional bool // work is from fewer answers than tell the work of its class
+	inFlight          bool
+	outcome           Outcome // once it has ended
+	mayHaveRun        bool    // it ended, and may have been executed
+	hadAffinity       bool    // of its key
+	countedOverdue    bool    // overdue at an endpoint that answered others, and counted so
+	connectionDead    bool    // its connection was dead when used
 }
 
 // requestTable holds the requests that are not at their end.
@@ -84,7 +84,7 @@
 		classSettings:     class,
 		effectiveDeadline: arrived.Deadline,
 		loadPerAttempt:    1,
-		delays:            b.admission.delays.GroupsOf(arrived.Class, arrived.Tenant),
+		delayGroups:       b.admission.delays.GroupsOf(arrived.Class, arrived.Tenant),
 	}
 	if arrived.StreamingBody {
 		// An endpoint begins it when its body is complete: until then it is no load.
@@ -111,14 +111,14 @@
 	return slices.IndexFunc(req.attempts, func(a attempt) bool { return a.inFlight })
 }
 
-func (req *request) closeAttempt(now Time, a *attempt, outcome Outcome) {
+func (req *request) endAttempt(now Time, a *attempt, outcome Outcome) {
 	a.inFlight = false
 	a.outcome = outcome
 	a.mayHaveRun = outcome.MayHaveRun()
 	req.inFlight--
 	a.endpoint.inFlight -= req.loadPerAttempt
 	a.endpoint.health[req.Class].inFlight--
-	req.delays.AddInFlight(int64(now), -1)
+	req.delayGroups.AddInFlight(int64(now), -1)
 }
 
 // sendOrGiveUp sends the request to a drawn endpoint, or gives it up if no endpoint may get it.
@@ -132,25 +132,25 @@
 }
 
 func (b *Balancer) sendTo(now Time, req *request, ep *endpoint) {
-	work := b.estimator.work(req) * b.affinity.workFactor(ep)
+	work := b.estimator.expectedWork(req) * b.affinity.workFactor(ep)
 	idleTime := b.prepareConnection(now, ep)
 	req.attempts = append(req.attempts, attempt{
-		endpoint:        ep,
-		zone:            ep.Zone,
-		pod:             ep.Pod,
-		sentAt:          now,
-		idleTime:        idleTime,
-		inFlightBefore:  float64(ep.inFlight),
-		work:            work,
-		predictedNanos:  float64(b.estimator.predictLatency(ep, work)),
-		unloadedNanos:   b.estimator.unloadedNanos(ep, work),
-		classDelayNanos: req.delays.Delay(int64(now)),
-		workIsGuess:     req.CostHint == 0 && !b.estimator.classes[req.Class].IsWorkKnown(),
-		inFlight:        true,
-		atHome:          ep.isHome,
+		endpoint:          ep,
+		zone:              ep.Zone,
+		pod:               ep.Pod,
+		sentAt:            now,
+		idleTime:          idleTime,
+		inFlightBefore:    float64(ep.inFlight),
+		work:              work,
+		predictedNanos:    float64(b.estimator.predictLatency(ep, work)),
+		unloadedNanos:     b.estimator.unloadedNanos(ep, work),
+		classDelayNanos:   req.delayGroups.Delay(int64(now)),
+		workIsProvisional: req.CostHint == 0 && !b.estimator.classes[req.Class].IsWorkKnown(),
+		inFlight:          true,
+		hadAffinity:       ep.hasAffinity,
 	})
 	req.inFlight++
-	req.delays.AddInFlight(int64(now), 1)
+	req.delayGroups.AddInFlight(int64(now), 1)
 	ep.countSend(now, req.loadPerAttempt)
 	ep.health[req.Class].inFlight++
 	ep.slowStartCredit -= max(b.estimator.relativeWork(work), 1)
@@ -160,10 +160,10 @@
 
 // proceed continues a request after the end of one of its attempts: it is done, cannot be sent again, or is sent again
 // once nothing of it is in flight.
-func (b *Balancer) proceed(now Time, req *request, result AttemptResult) {
+func (b *Balancer) continueRequest(now Time, req *request, result AttemptResult) {
 	switch {
 	case req.done:
-		b.requests.forget(req)
+		b.requests.removeIfIdle(req)
 	case result.RequestDone || result.Outcome == OutcomeSucceeded:
 		if result.Outcome == OutcomeSucceeded {
 			b.estimator.classes[req.Class].RecordResult(true)
@@ -185,11 +185,11 @@
 		}
 	}
 	delete(b.requests.byOverdueTimer, req.overdueTimer)
-	b.requests.forget(req)
+	b.requests.removeIfIdle(req)
 }
 
 // forget drops a request that is done once nothing of it is in flight.
-func (t *requestTable) forget(req *request) {
+func (t *requestTable) removeIfIdle(req *request) {
 	if req.inFlight == 0 {
 		delete(t.byID, req.ID)
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -13,12 +13,12 @@
 // (502). A request that no endpoint may get is given up at once; nothing waits without an attempt in flight.
 // docs/design.md: "Retry and giving up".
 
-// maxSharedDelay is the part of its latency objective that a class may wait at any endpoint for a cause of its own and
+// maxClassDelayFraction is the part of its latency objective that a class may wait at any endpoint for a cause of its own and
 // still count for the success rate by which the other classes make room for it (latencyBudget).
-const maxSharedDelay = 0.5
+const maxClassDelayFraction = 0.5
 
-// forbidsAttempt returns why the request must not be sent to an endpoint now; ReasonNone: it may.
-func (b *Balancer) forbidsAttempt(now Time, req *request, ep *endpoint) Reason {
+// forbiddenReason returns why the request must not be sent to an endpoint now; ReasonNone: it may.
+func (b *Balancer) forbiddenReason(now Time, req *request, ep *endpoint) Reason {
 	if ep.State != StateActive {
 		return ReasonNoEndpoint
 	}
@@ -37,9 +37,9 @@
 	return ReasonNone
 }
 
-// mayReturn reports whether a request may go to the endpoint of its last attempt once more, where no other may get it. It
+// mayReuseLastEndpoint reports whether a request may go to the endpoint of its last attempt once more, where no other may get it. It
 // may if that attempt ended by what became of its connection, or was never sent: that says little of the endpoint.
-func (req *request) mayReturn() bool {
+func (req *request) mayReuseLastEndpoint() bool {
 	last := len(req.attempts) - 1
 	if last > 0 && req.attempts[last-1].endpoint == req.attempts[last].endpoint {
 		return false
@@ -99,13 +99,13 @@
 
 // giveUp answers the client at once: it rejects the request if a retry does no harm, else it fails it.
 func (b *Balancer) giveUp(now Time, req *request, reason Reason) {
-	req.delays.CountGivenUp()
-	if reason.isOfLoad() && req.delays.Delay(int64(now)) < maxSharedDelay*float64(req.classSettings.LatencyObjective) {
+	req.delayGroups.CountGivenUp()
+	if reason.isLoadRelated() && req.delayGroups.Delay(int64(now)) < maxClassDelayFraction*float64(req.classSettings.LatencyObjective) {
 		// Guards against other classes being shed in vain: one that waits for a cause of its own, such as a slow
 		// dependency, would not succeed on endpoints with less load either.
 		b.estimator.classes[req.Class].RecordResult(false)
 	}
-	if MayReject(req.classSettings, now, req.attempts, (*attempt).ranSince) {
+	if MayReject(req.classSettings, now, req.attempts, (*attempt).executionInfo) {
 		b.effects.Reject(req.ID, b.retryAfter(req.classSettings), reason)
 	} else {
 		b.effects.Fail(req.ID, reason)
@@ -113,7 +113,7 @@
 	b.finish(req)
 }
 
-// ranSince returns when an attempt was sent, and whether it may have run.
-func (a *attempt) ranSince() (sentAt Time, mayHaveRun bool) {
+// executionInfo returns when an attempt was sent, and whether it may have run.
+func (a *attempt) executionInfo() (sentAt Time, mayHaveRun bool) {
 	return a.sentAt, a.inFlight || a.mayHaveRun
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -11,10 +11,10 @@
 	for class, repeat := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
 		for _, o := range []Outcome{OutcomeConnectFailed, OutcomeError} {
 			b := newTestFleet(t, 4, nil)
-			b.serve(40, answersPromptly)
+			b.serve(40, respondPromptly)
 			b.timers = nil
 			b.RequestArrived(b.now, Request{ID: "long", Class: class, Deadline: b.now + 1000*ms, StreamingBody: true})
-			s := b.endpoints.byID[b.last()]
+			s := b.endpoints.byID[b.lastSent()]
 			if len(b.timers) != 0 || s.inFlight != 0 {
 				t.Errorf("%d timers wait for it, %d out at its endpoint", len(b.timers), s.inFlight)
 			}
@@ -67,7 +67,7 @@
 	} {
 		class := &c.class
 		earlier := attempt{endpoint: here, zone: here.Zone, pod: here.Pod, sentAt: now - 500*ms, mayHaveRun: true}
-		if got := MayReject(class, now, []attempt{earlier}, (*attempt).ranSince); got != c.reject {
+		if got := MayReject(class, now, []attempt{earlier}, (*attempt).executionInfo); got != c.reject {
 			t.Errorf("%s: may be rejected %t, expected %t", name, got, c.reject)
 		}
 		for ep, want := range map[*endpoint]bool{samePod: c.repeatInPod, sameZone: c.repeatInZone, elsewhere: c.repeatElsewhere} {
@@ -76,18 +76,18 @@
 			}
 		}
 		earlier.mayHaveRun, earlier.inFlight = false, true
-		if got := MayReject(class, now, []attempt{earlier}, (*attempt).ranSince); got != c.reject {
+		if got := MayReject(class, now, []attempt{earlier}, (*attempt).executionInfo); got != c.reject {
 			t.Errorf("%s, in flight: may be rejected %t, expected %t", name, got, c.reject)
 		}
 		earlier.inFlight = false
-		if !MayReject(class, now, []attempt{earlier}, (*attempt).ranSince) {
+		if !MayReject(class, now, []attempt{earlier}, (*attempt).executionInfo) {
 			t.Errorf("%s: an attempt that never ran forbids to reject", name)
 		}
 	}
 }
 
 // Guards against a request being given up with time left because the connection to its only endpoint broke.
-func TestRequestReturnsToItsOnlyEndpoint(t *testing.T) {
+func TestRetryAtOnlyEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		class    int
 		outcomes []Outcome
@@ -106,11 +106,11 @@
 		{2, []Outcome{OutcomeNotSent}, 2, false},
 	} {
 		b := newTestFleet(t, 1, nil)
-		b.serve(60, answersPromptly)
+		b.serve(60, respondPromptly)
 		b.sent = nil
 		id := b.arrive(c.class)
 		for number, outcome := range c.outcomes {
-			b.end(id, number, outcome, 10*ms)
+			b.endAttempt(id, number, outcome, 10*ms)
 		}
 		if len(b.sent) != c.sent || (b.rejected == 1) != c.rejected || b.failed > 0 != (c.class == 2 && c.sent == 1) {
 			t.Errorf("class %d after %v: %d attempts, %d rejected, %d failed", c.class, c.outcomes, len(b.sent), b.rejected, b.failed)
--- a/policy/runtime.go
+++ b/policy/runtime.go
@@ -33,7 +33,7 @@
 
 // String names the state for logs and tests.
 func (s EndpointState) String() string {
-	return nameOf([]string{"active", "draining", "removed"}, int(s))
+	return enumName([]string{"active", "draining", "removed"}, int(s))
 }
 
 // Outcome is how an attempt or a health check ended.
@@ -55,7 +55,7 @@
 
 // String names the outcome for logs and tests.
 func (o Outcome) String() string {
-	return nameOf([]string{
+	return enumName([]string{
 		"unknown", "succeeded", "error", "rejected", "timed out", "connect failed", "reset", "canceled", "not sent",
 	}, int(o))
 }
@@ -65,7 +65,7 @@
 	return o != OutcomeRejected && o != OutcomeConnectFailed && o != OutcomeNotSent
 }
 
-func nameOf(names []string, i int) string {
+func enumName(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
 	}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -6,7 +6,7 @@
 )
 
 // What comes all at once: reports, another list, every endpoint restarted, with 10,000 requests out.
-func TestAllAtOnce(t *testing.T) {
+func TestSimultaneousChangesUnderLoad(t *testing.T) {
 	const n = 1024
 	q := &lastSendRecorder{}
 	set := benchSettings
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -18,10 +18,10 @@
 	selectionWindow = 32
 	// weightFloorDivisor: w is at least the mean load over this.
 	weightFloorDivisor = 20
-	// preferredDivisor divides w where the endpoint should be drawn nearly always: in slow start with credit, and at
+	// preferredWeightDivisor divides w where the endpoint should be drawn nearly always: in slow start with credit, and at
 	// the home of the key. It is the product of the floors of load and slowness, so an endpoint with the mean load and
 	// the usual latency gets the w of one at both floors.
-	preferredDivisor = weightFloorDivisor * weightFloorDivisor
+	preferredWeightDivisor = weightFloorDivisor * weightFloorDivisor
 	// settlingTime is how long ago the reports of an endpoint have to have risen first: until then a load below the
 	// mean is taken for the mean.
 	settlingTime = 3 * recalculationInterval
@@ -39,7 +39,7 @@
 	roundByDeadline                        // predicted in time for the effective deadline, of the window
 	roundWholeSubset                       // the same, of the complete subset
 	roundLastResort                        // the same, ejected endpoints that this node knows well, and the last one again
-	numberOfSelectionRounds
+	selectionRoundCount
 )
 
 // selector holds the candidates of the draw at hand and their weights; its memory is used again.
@@ -61,7 +61,7 @@
 	classDelayNanos float64 // what the class and the tenant wait at any endpoint
 	budgetNanos     float64
 	overQuota       bool      // the tenant is over its quota, and that shortens the budget
-	spared          *endpoint // in the last round: the only active one, which has no peers to be judged by; nil: none
+	onlyActive      *endpoint // in the last round: the only active one, which has no peers to be judged by; nil: none
 }
 
 // selectEndpoint returns the endpoint for the request's next attempt, or nil and the reason if there is none.
@@ -69,13 +69,13 @@
 	switch {
 	case now >= req.effectiveDeadline:
 		return nil, ReasonDeadline
-	case b.overload.rests(now):
-		return nil, ReasonResting
+	case b.overload.shedsAll(now):
+		return nil, ReasonShedAll
 	}
 	all, window := b.selectionPool(req)
-	b.findHomes(now, req)
+	b.findAffinityEndpoints(now, req)
 	c := b.criteriaFor(now, req)
-	for c.round = range numberOfSelectionRounds {
+	for c.round = range selectionRoundCount {
 		answerBy, from := req.effectiveDeadline, window
 		if c.round == roundByObjective {
 			answerBy = req.objectiveAt
@@ -84,7 +84,7 @@
 			from = all
 		}
 		if c.round == roundLastResort {
-			c.spared = onlyActive(all)
+			c.onlyActive = onlyActiveEndpoint(all)
 		}
 		c.budgetNanos = float64(b.latencyBudget(req, answerBy.Sub(now)))
 		b.findCandidates(&c, from)
@@ -101,7 +101,7 @@
 	return criteria{
 		now:             now,
 		request:         req,
-		work:            b.estimator.work(req),
+		work:            b.estimator.expectedWork(req),
 		latencyFactor:   b.latencyFactor(req),
 		classDelayNanos: b.classDelay(now, req),
 		overQuota:       req.overQuota && b.estimator.worstSuccessRate() < 1,
@@ -111,17 +111,17 @@
 // hasAlternative reports whether an endpoint other than that of the request's last attempt would be a candidate if that
 // attempt ended now. It is asked for idempotent requests with one attempt in flight. Endpoints of last resort are none.
 func (b *Balancer) hasAlternative(now Time, req *request) bool {
-	if now >= req.effectiveDeadline || b.overload.rests(now) || len(req.attempts) >= b.settings.MaxAttempts {
+	if now >= req.effectiveDeadline || b.overload.shedsAll(now) || len(req.attempts) >= b.settings.MaxAttempts {
 		return false
 	}
-	b.findHomes(now, req)
+	b.findAffinityEndpoints(now, req)
 	c := b.criteriaFor(now, req)
 	c.round = roundWholeSubset
 	c.budgetNanos = float64(b.latencyBudget(req, req.effectiveDeadline.Sub(now)))
 	isAlternative := func(ep *endpoint) bool {
-		return ep.State == StateActive && ep != req.lastEndpoint() && b.unpromising(&c, ep) == ReasonNone
+		return ep.State == StateActive && ep != req.lastEndpoint() && b.unavailableReason(&c, ep) == ReasonNone
 	}
-	return slices.ContainsFunc(b.subset.members, isAlternative) || slices.ContainsFunc(b.affinity.homes, isAlternative)
+	return slices.ContainsFunc(b.subset.members, isAlternative) || slices.ContainsFunc(b.affinity.endpoints, isAlternative)
 }
 
 // selectionPool returns the endpoints that the request is drawn from, and the window of them that the first rounds
@@ -146,7 +146,7 @@
 	for _, ep := range from {
 		b.considerCandidate(c, ep)
 	}
-	for _, ep := range b.affinity.homes {
+	for _, ep := range b.affinity.endpoints {
 		if !slices.Contains(s.candidates, ep) {
 			b.considerCandidate(c, ep)
 		}
@@ -154,7 +154,7 @@
 }
 
 func (b *Balancer) considerCandidate(c *criteria, ep *endpoint) {
-	reason := b.exclusion(c, ep)
+	reason := b.exclusionReason(c, ep)
 	if reason == ReasonNone {
 		b.selector.candidates = append(b.selector.candidates, ep)
 	}
@@ -163,19 +163,19 @@
 
 // exclusion returns why an endpoint is no candidate: the rules do not let the request go to it, or it is not expected to
 // answer in time. ReasonNone: it is one.
-func (b *Balancer) exclusion(c *criteria, ep *endpoint) Reason {
-	if reason := b.forbidsAttempt(c.now, c.request, ep); reason != ReasonNone {
+func (b *Balancer) exclusionReason(c *criteria, ep *endpoint) Reason {
+	if reason := b.forbiddenReason(c.now, c.request, ep); reason != ReasonNone {
 		return reason
 	}
-	if c.request.lastEndpoint() == ep && (c.round != roundLastResort || !c.request.mayReturn()) {
+	if c.request.lastEndpoint() == ep && (c.round != roundLastResort || !c.request.mayReuseLastEndpoint()) {
 		return ReasonLastTried
 	}
-	return b.unpromising(c, ep)
+	return b.unavailableReason(c, ep)
 }
 
 // unpromising returns why an endpoint is not expected to answer in time, whatever the earlier attempts of the request.
 // An ejected endpoint is held to no prediction, as what is predicted of it may be what ejected it.
-func (b *Balancer) unpromising(c *criteria, ep *endpoint) Reason {
+func (b *Balancer) unavailableReason(c *criteria, ep *endpoint) Reason {
 	if c.now < ep.backoffUntil {
 		return ReasonBackoff
 	}
@@ -183,8 +183,8 @@
 		return ReasonSlowStart
 	}
 	work := c.work * b.affinity.workFactor(ep)
-	isSilent := b.estimator.isSilent(c.now, ep, work) && (ep != c.spared || !b.estimator.isUsuallyAsBusy(ep))
-	if health := &ep.health[c.request.Class]; health.ejected && ep != c.spared {
+	isSilent := b.estimator.isSilent(c.now, ep, work) && (ep != c.onlyActive || !b.estimator.hasUsualInFlight(ep))
+	if health := &ep.health[c.request.Class]; health.ejected && ep != c.onlyActive {
 		if b.mayTryEjected(c, ep, health) && !isSilent {
 			return ReasonNone
 		}
@@ -202,7 +202,7 @@
 	}
 }
 
-// lastEndpoint returns the endpoint of the last attempt, to which the next one goes as a last resort only (mayReturn); nil
+// lastEndpoint returns the endpoint of the last attempt, to which the next one goes as a last resort only (mayReuseLastEndpoint); nil
 // before the first.
 func (req *request) lastEndpoint() *endpoint {
 	if len(req.attempts) == 0 {
@@ -232,7 +232,7 @@
 //	6             in another zone
 func (b *Balancer) weight(now Time, ep *endpoint, meanLoad float64) float64 {
 	w := max(ep.Load, meanLoad/weightFloorDivisor)
-	if ep.isSettling(now) {
+	if ep.isLoadSettling(now) {
 		w = max(w, meanLoad)
 	}
 	// Load reports do not show that an endpoint is slow. The square, as a slow one that gets its part by speed would
@@ -243,10 +243,10 @@
 		w /= ep.Weight
 	}
 	if b.slowStart.capacity(now, ep) < 1 {
-		w /= preferredDivisor // by its load it would hardly be drawn, and so not warm up
+		w /= preferredWeightDivisor // by its load it would hardly be drawn, and so not warm up
 	}
-	if ep.isHome {
-		w /= preferredDivisor
+	if ep.hasAffinity {
+		w /= preferredWeightDivisor
 	}
 	// Guards against all requests going to one endpoint between two of its reports, or to the home of a key.
 	w *= (1 + float64(ep.inFlight)) * (1 + float64(ep.inFlight))
@@ -284,7 +284,7 @@
 	return cmp.Or(sum/max(reporting, 1), 1)
 }
 
-// isSettling reports whether an endpoint has not sent reports long enough to trust a low one.
-func (ep *endpoint) isSettling(now Time) bool {
-	return !ep.HasReport || ep.risingSince == 0 || now.Sub(ep.risingSince) < settlingTime
+// isLoadSettling reports whether an endpoint has not sent reports long enough to trust a low one.
+func (ep *endpoint) isLoadSettling(now Time) bool {
+	return !ep.HasReport || ep.firstRiseAt == 0 || now.Sub(ep.firstRiseAt) < settlingTime
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestSlowEndpointWithTheSameReportsGetsLittle(t *testing.T) {
+func TestSlowEndpointIsSelectedLess(t *testing.T) {
 	b := newTestFleet(t, 4, nil)
 	b.serve(400, func(s EndpointID) (Outcome, time.Duration) {
 		if s == 1 {
@@ -47,7 +47,7 @@
 		classSettings:     &p.settings.Classes[0],
 		effectiveDeadline: now + 900*ms,
 		objectiveAt:       now + 900*ms,
-		delays:            p.admission.delays.GroupsOf(0, 0),
+		delayGroups:       p.admission.delays.GroupsOf(0, 0),
 	}
 }
 
@@ -64,7 +64,7 @@
 
 // w of one endpoint with each exception in turn, beside one with a load of 2 that has been heard to rise; worked by
 // hand.
-func TestWeightsWorkedByHand(t *testing.T) {
+func TestEndpointWeight(t *testing.T) {
 	const now = Time(1e12)
 	for name, c := range map[string]struct {
 		change func(s *endpoint)
@@ -74,10 +74,10 @@
 		"idle":        {func(s *endpoint) { s.Load = 0 }, 1. / 20}, // a twentieth of the mean, which is 1
 		"never heard": {func(s *endpoint) { s.Load, s.HasReport = 0, false }, 2},
 		"rising for two": {
-			func(s *endpoint) { s.Load, s.risingSince = 1, now.Add(-2*recalculationInterval) }, 1.5,
+			func(s *endpoint) { s.Load, s.firstRiseAt = 1, now.Add(-2*recalculationInterval) }, 1.5,
 		},
 		"above while rising": {
-			func(s *endpoint) { s.Load, s.risingSince = 6, now.Add(-2*recalculationInterval) }, 6,
+			func(s *endpoint) { s.Load, s.firstRiseAt = 6, now.Add(-2*recalculationInterval) }, 6,
 		},
 		"twice as slow": {func(s *endpoint) { s.Load, s.Latency.FirstSum, s.Latency.Weight = 1, 3, 1 }, 4},
 		"in a pod twice slower": {
@@ -95,7 +95,7 @@
 		p := New(set, 1, &lastSendRecorder{})
 		p.EndpointsUpdated(now, endpointList(2), true)
 		for _, s := range p.endpoints.all {
-			s.Zone, s.Load, s.HasReport, s.risingSince = 0, 2, true, 1
+			s.Zone, s.Load, s.HasReport, s.firstRiseAt = 0, 2, true, 1
 		}
 		c.change(p.endpoints.all[0])
 		if got := candidateWeights(p, now)[p.endpoints.all[0]]; math.Abs(got/c.want-1) > 1e-9 {
@@ -139,14 +139,14 @@
 	}
 }
 
-func TestDrawIsProportionalToOneOverW(t *testing.T) {
+func TestSelectionIsProportionalToInverseWeight(t *testing.T) {
 	for _, n := range []int{3, 20, selectionWindow} {
 		draw := rand.New(rand.NewPCG(uint64(n), 9))
 		p := New(benchSettings, 3, &lastSendRecorder{})
 		now := Time(1e12)
 		p.EndpointsUpdated(now, endpointList(n), true)
 		for _, s := range p.endpoints.all {
-			s.Load, s.LastReport, s.HasReport, s.risingSince = math.Pow(10, 5*draw.Float64()-3), 1, true, 1
+			s.Load, s.LastReport, s.HasReport, s.firstRiseAt = math.Pow(10, 5*draw.Float64()-3), 1, true, 1
 			s.inFlight = draw.IntN(3)
 		}
 		checkFrequencies(t, "w over five orders", p, now, 40000)
@@ -168,13 +168,13 @@
 }
 
 // In a fleet larger than the window chances still fall as 1/w, since any part of the ranks is like any other.
-func TestDrawInALargeFleetFollowsOneOverW(t *testing.T) {
+func TestSelectionInLargeFleetIsProportionalToInverseWeight(t *testing.T) {
 	p := New(benchSettings, 3, &lastSendRecorder{})
 	now := Time(1e12)
 	p.EndpointsUpdated(now, endpointList(4096), true)
 	draw := rand.New(rand.NewPCG(1, 9))
 	for _, s := range p.endpoints.all {
-		s.Zone, s.Load, s.HasReport, s.risingSince = 0, float64(int(1)<<draw.IntN(3)), true, 1
+		s.Zone, s.Load, s.HasReport, s.firstRiseAt = 0, float64(int(1)<<draw.IntN(3)), true, 1
 	}
 	req, got, have := anyRequest(p, now), map[float64]float64{}, map[float64]float64{}
 	for _, s := range p.endpoints.all {
@@ -194,17 +194,17 @@
 // counted counts what is drawn.
 type countingSource struct {
 	rand.Source
-	n int
+	count int
 }
 
-func (c *countingSource) Uint64() uint64 { c.n++; return c.Source.Uint64() }
+func (c *countingSource) Uint64() uint64 { c.count++; return c.Source.Uint64() }
 
 // Where next to nobody is fit the draw ends after its passes; it must not spin, nor miss the one.
-func TestDrawDoesNotSpin(t *testing.T) {
+func TestSelectionDrawsFewRandomNumbers(t *testing.T) {
 	for name, spoil := range map[string]func(s *endpoint, i int, now Time){
 		"just rejected": func(s *endpoint, i int, now Time) { s.backoffUntil = now + ms },
 		"ejected": func(s *endpoint, i int, now Time) {
-			s.health[0], s.inFlight = classHealth{ejected: true, retryAt: now + ms}, 1
+			s.health[0], s.inFlight = classHealth{ejected: true, nextTrialAt: now + ms}, 1
 		},
 		"too late": func(s *endpoint, i int, now Time) { s.Latency.FirstSum, s.Latency.Weight = 1e6, 20 },
 		"cold":     func(s *endpoint, i int, now Time) { s.StartedAt, s.slowStartCredit = now, 0 },
@@ -226,8 +226,8 @@
 			if (s != nil) != (fit == 1) || s != nil && s != p.endpoints.all[0] {
 				t.Errorf("%s, %d fit: drew %v", name, fit, s)
 			}
-			if c.n > 4 {
-				t.Errorf("%s, %d fit: %d numbers drawn, want four at most", name, fit, c.n)
+			if c.count > 4 {
+				t.Errorf("%s, %d fit: %d numbers drawn, want four at most", name, fit, c.count)
 			}
 		}
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -15,7 +15,7 @@
 
 // String names the kind for logs and tests.
 func (i Idempotency) String() string {
-	return nameOf([]string{"idempotent", "idempotent by key", "non-idempotent"}, int(i))
+	return enumName([]string{"idempotent", "idempotent by key", "non-idempotent"}, int(i))
 }
 
 // DedupGroup says which endpoints drop a repeat of a request that is idempotent by key.
@@ -29,7 +29,7 @@
 )
 
 // String names the group for logs and tests.
-func (g DedupGroup) String() string { return nameOf([]string{"fleet", "zone", "pod"}, int(g)) }
+func (g DedupGroup) String() string { return enumName([]string{"fleet", "zone", "pod"}, int(g)) }
 
 // Class is what the settings say of one class of requests.
 type Class struct {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -13,18 +13,18 @@
 //
 // The sum over all nodes stays within the endpoint's share, however many nodes there are: in each node
 //
-//	credit = creditPart(capacity) x answers of warm endpoints / number of warm endpoints in the subset,
+//	credit = creditFraction(capacity) x answers of warm endpoints / number of warm endpoints in the subset,
 //
-// which is proportional to the node's own traffic. Summed over the nodes it is creditPart(capacity) times what an
+// which is proportional to the node's own traffic. Summed over the nodes it is creditFraction(capacity) times what an
 // average warm endpoint answers, and no warm endpoint answers more than it can carry. docs/design.md: "Slow start".
 
 const (
-	// slowStartSafety is the part of its capacity that the coldest endpoint is used for; it rises to all of it.
-	slowStartSafety = 0.75
-	// maxSlowStartRaise bounds what quick answers may raise the capacity to, over its lower bound.
-	maxSlowStartRaise = 2
-	// warmConcurrency is a lower bound of the requests that a warm endpoint works on at a time.
-	warmConcurrency = 8
+	// slowStartSafetyFactor is the part of its capacity that the coldest endpoint is used for; it rises to all of it.
+	slowStartSafetyFactor = 0.75
+	// maxSlowStartBoost bounds what quick answers may raise the capacity to, over its lower bound.
+	maxSlowStartBoost = 2
+	// minWarmConcurrency is a lower bound of the requests that a warm endpoint works on at a time.
+	minWarmConcurrency = 8
 	// unknownWorkDivisor: until the work of a request is known it is taken for the latency objective over this.
 	unknownWorkDivisor = 4
 )
@@ -44,28 +44,28 @@
 	return s.minCapacity + (1-s.minCapacity)*float64(max(age, 0))/float64(s.window)
 }
 
-// arrivalsEarn reports whether arrivals earn credit in place of answers: the few endpoints that are warm can't set the
+// creditsArrivals reports whether arrivals earn credit in place of answers: the few endpoints that are warm can't set the
 // pace.
-func (s *subset) arrivalsEarn() bool {
+func (s *subset) creditsArrivals() bool {
 	warm := len(s.members) - len(s.warmingUp)
 	return 2*warm < len(s.members)
 }
 
-// earnCreditByAnswer lets the endpoints in slow start earn their even part of a request that a warm endpoint answered.
-func (b *Balancer) earnCreditByAnswer(now Time, answered *endpoint, work float64) {
-	if b.subset.arrivalsEarn() || b.slowStart.capacity(now, answered) < 1 {
+// grantCreditForResponse lets the endpoints in slow start earn their even part of a request that a warm endpoint answered.
+func (b *Balancer) grantCreditForResponse(now Time, answered *endpoint, work float64) {
+	if b.subset.creditsArrivals() || b.slowStart.capacity(now, answered) < 1 {
 		return
 	}
 	warm := len(b.subset.members) - len(b.subset.warmingUp)
-	b.earnCredit(now, min(b.estimator.relativeWork(work), 1)/float64(warm))
+	b.grantCredit(now, min(b.estimator.relativeWork(work), 1)/float64(warm))
 }
 
-// earnCreditByArrival lets them earn their even part of an arrival. It is bounded by this node's part of what a warm
-// endpoint carries at least since the last arrival: warmConcurrency x time / work, over the mean number of nodes that
+// grantCreditForArrival lets them earn their even part of an arrival. It is bounded by this node's part of what a warm
+// endpoint carries at least since the last arrival: minWarmConcurrency x time / work, over the mean number of nodes that
 // use an endpoint, members x nodes / active endpoints. Guards against the first endpoints back after a loss of power
 // getting the requests of the entire fleet.
-func (b *Balancer) earnCreditByArrival(now Time) {
-	if !b.subset.arrivalsEarn() {
+func (b *Balancer) grantCreditForArrival(now Time) {
+	if !b.subset.creditsArrivals() {
 		return
 	}
 	s := &b.slowStart
@@ -75,25 +75,25 @@
 	work := cmp.Or(b.estimator.MeanWork, objective/unknownWorkDivisor)
 	sinceLast := float64(now - cmp.Or(s.lastArrivalAt, now))
 	nodes := max(b.settings.NodeCount, 1)
-	most := warmConcurrency * b.subset.activeEndpoints * sinceLast / work / float64(members*nodes)
+	most := minWarmConcurrency * b.subset.activeEndpoints * sinceLast / work / float64(members*nodes)
 	s.lastArrivalAt = now
-	b.earnCredit(now, min(1/float64(members), most))
+	b.grantCredit(now, min(1/float64(members), most))
 }
 
-// earnCredit gives each endpoint in slow start its part of a warm endpoint's share, in requests.
-func (b *Balancer) earnCredit(now Time, share float64) {
+// grantCredit gives each endpoint in slow start its part of a warm endpoint's share, in requests.
+func (b *Balancer) grantCredit(now Time, share float64) {
 	for _, ep := range b.subset.warmingUp {
 		capacity := b.slowStart.capacity(now, ep)
 		if capacity < 1 && ep.slowStartCredit < 1 {
-			ep.slowStartCredit = min(1, ep.slowStartCredit+creditPart(capacity, ep)*share)
+			ep.slowStartCredit = min(1, ep.slowStartCredit+creditFraction(capacity, ep)*share)
 		}
 	}
 }
 
-// creditPart is the part of its share that an endpoint earns. Answers quicker than those of others raise it, as far as
+// creditFraction is the part of its share that an endpoint earns. Answers quicker than those of others raise it, as far as
 // there is evidence; late answers take the raise back.
-func creditPart(capacity float64, ep *endpoint) float64 {
-	lowerBound := capacity * (slowStartSafety + (1-slowStartSafety)*capacity)
-	evidence := ep.Latency.Weight * learningRate
-	return max(lowerBound, min(maxSlowStartRaise*capacity, evidence, 1/ep.Latency.MeanRatio()))
+func creditFraction(capacity float64, ep *endpoint) float64 {
+	lowerBound := capacity * (slowStartSafetyFactor + (1-slowStartSafetyFactor)*capacity)
+	evidence := ep.Latency.Weight * smoothingFactor
+	return max(lowerBound, min(maxSlowStartBoost*capacity, evidence, 1/ep.Latency.MeanRatio()))
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -10,13 +10,13 @@
 	"fawnglade/internal/ewma"
 )
 
-func TestHundredsOfNodesGiveAnEndpointInSlowStartItsShare(t *testing.T) {
+func TestSlowStartShareSummedOverManyNodes(t *testing.T) {
 	given, most := 0, 0.0
 	for seed := range uint64(400) {
 		b := newTestFleet(t, 20, nil)
 		b.random = rand.New(rand.NewPCG(seed, 977))
 		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 21, Weight: 1, StartedAt: b.now - 4e9}}, false)
-		b.serve(8, answersPromptly)
+		b.serve(8, respondPromptly)
 		given += b.sentTo(21)
 		most += 8 * 0.28 / 20 // what it surely can do four of twenty seconds after its start
 	}
@@ -27,17 +27,17 @@
 
 // Guards against a fleet that is mostly cold being used no further than its endpoints surely can: one whose answers
 // show more earns more, up to twice; one that shows nothing, or that it is slow, earns what it did.
-func TestSlowStartCreditFollowsTheAnswers(t *testing.T) {
+func TestSlowStartCreditFollowsMeasuredLatency(t *testing.T) {
 	bound := 0.0
 	earned := func(own ewma.Pair) float64 {
 		b := newTestFleet(t, 4, nil)
 		b.EndpointsUpdated(b.now, []EndpointInfo{{ID: 4, Pod: 1, Weight: 1, StartedAt: b.now}}, false)
 		b.now += 5e9
 		b.EndpointsUpdated(b.now, nil, false)
-		b.serve(1, answersPromptly) // so that the cost of a request is known
+		b.serve(1, respondPromptly) // so that the cost of a request is known
 		s := b.endpoints.byID[4]
 		s.slowStartCredit, s.Latency = 0, own
-		b.earnCreditByAnswer(b.now, b.endpoints.byID[1], b.estimator.MeanWork)
+		b.grantCreditForResponse(b.now, b.endpoints.byID[1], b.estimator.MeanWork)
 		bound = 2 * b.slowStart.capacity(b.now, s) / 3 // of the even part of three warm ones
 		return s.slowStartCredit
 	}
@@ -56,7 +56,7 @@
 
 // Guards against the first endpoints back after a loss of power being pushed over: hundreds of nodes that find none
 // warm share their requests out among those few, whatever these can do.
-func TestFirstEndpointsBackAreNotOverloaded(t *testing.T) {
+func TestFirstEndpointsAfterOutageAreNotOverloaded(t *testing.T) {
 	gained := func(nodes int) float64 {
 		b := newTestFleet(
 			t, 0, func(s *Settings) { s.NodeCount, s.SlowStartWindow, s.SlowStartMinCapacity = nodes, 20e9, 0.2 },
@@ -77,13 +77,13 @@
 		return sum / 20 // a second
 	}
 	one, many := gained(1), gained(300)
-	// In the 20 s the sure part is 0.6 in the mean. A warm endpoint does warmConcurrency requests at a time, each taken
+	// In the 20 s the sure part is 0.6 in the mean. A warm endpoint does minWarmConcurrency requests at a time, each taken
 	// for a quarter of the latency objective.
 	const mean = 0.125 // s
-	if all := many * 300 * mean; all > warmConcurrency*0.6 {
+	if all := many * 300 * mean; all > minWarmConcurrency*0.6 {
 		t.Errorf(
 			"all nodes together give a cold endpoint %g of its time, no more than %g of what it surely does", all,
-			warmConcurrency*0.6,
+			minWarmConcurrency*0.6,
 		)
 	}
 	if one < 4*many {
@@ -93,7 +93,7 @@
 
 // Guards against the first warm endpoints bearing all, and the cold ones starving as those fail: where few are warm
 // arrivals count.
-func TestSlowStartBesideFewWarmEndpoints(t *testing.T) {
+func TestSlowStartCreditSourceDependsOnWarmEndpoints(t *testing.T) {
 	for _, warm := range []EndpointID{1, 5} {
 		b := newTestFleet(t, int(warm), func(s *Settings) { s.NodeCount = 1 })
 		for id := warm + 1; id <= 8; id++ {
@@ -109,7 +109,7 @@
 			arrival += s.slowStartCredit
 		}
 		s.slowStartCredit = 0
-		b.earnCreditByAnswer(b.now, b.endpoints.byID[1], 1e6)
+		b.grantCreditForResponse(b.now, b.endpoints.byID[1], 1e6)
 		answer = s.slowStartCredit
 		if few := warm == 1; (arrival > 0) != few || (answer > 0) == few {
 			t.Errorf("%d of 8 warm: %g by arrivals, %g by an answer", warm, arrival, answer)
--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -13,13 +13,13 @@
 type closedLoop struct {
 	*testing.T
 	*rand.Rand
-	balancer    *Balancer
-	now         Time
-	events      eventHeap
-	requests    int
-	open        map[RequestID]*closedLoopRequest
-	meanLatency time.Duration
-	seconds     []closedLoopSecond
+	balancer     *Balancer
+	now          Time
+	events       eventHeap
+	requestCount int
+	openRequests map[RequestID]*closedLoopRequest
+	meanLatency  time.Duration
+	seconds      []closedLoopSecond
 }
 
 type closedLoopRequest struct {
@@ -41,47 +41,47 @@
 }
 
 const (
-	closedLoopThinking = 20 * ms
-	closedLoopDeadline = 2000 * ms
-	closedLoopSeconds  = 10
+	closedLoopThinkTime = 20 * ms
+	closedLoopDeadline  = 2000 * ms
+	closedLoopSeconds   = 10
 )
 
-func (w *closedLoop) after(delay time.Duration, run func()) {
+func (w *closedLoop) schedule(delay time.Duration, run func()) {
 	heap.Push(&w.events, simulatedEvent{w.now.Add(delay), run})
 }
 
 // send has a client send its next request; every second one is of class 1.
-func (w *closedLoop) send() {
+func (w *closedLoop) sendRequest() {
 	second := int((w.now - simulationStart) / 1e9)
-	w.requests++
-	r := &closedLoopRequest{id: RequestID(fmt.Sprint(w.requests)), class: w.requests % 2, second: second}
+	w.requestCount++
+	r := &closedLoopRequest{id: RequestID(fmt.Sprint(w.requestCount)), class: w.requestCount % 2, second: second}
 	w.seconds[second].sent[r.class]++
-	w.open[r.id] = r
+	w.openRequests[r.id] = r
 	w.balancer.RequestArrived(w.now, Request{ID: r.id, Class: r.class, Deadline: w.now + closedLoopDeadline})
 }
 
 // answer ends a request for its client, which thinks and sends another.
-func (w *closedLoop) answer(r *closedLoopRequest, reason Reason) {
-	if w.open[r.id] == nil {
+func (w *closedLoop) finishRequest(r *closedLoopRequest, reason Reason) {
+	if w.openRequests[r.id] == nil {
 		w.Errorf("request %s was answered twice", r.id)
 	}
-	delete(w.open, r.id)
+	delete(w.openRequests, r.id)
 	w.seconds[r.second].reasons[reason]++
 	if reason == ReasonNone {
 		w.seconds[r.second].answered[r.class]++
 	}
-	w.after(closedLoopThinking, w.send)
+	w.schedule(closedLoopThinkTime, w.sendRequest)
 }
 
-func (w *closedLoop) end(r *closedLoopRequest, number int, outcome Outcome) {
+func (w *closedLoop) endAttempt(r *closedLoopRequest, number int, outcome Outcome) {
 	a := r.attempts[number]
 	if a.ended {
 		return
 	}
 	a.ended = true
-	done := w.open[r.id] == nil
+	done := w.openRequests[r.id] == nil
 	if outcome == OutcomeSucceeded && !done {
-		w.answer(r, ReasonNone)
+		w.finishRequest(r, ReasonNone)
 		done = true
 	}
 	w.balancer.AttemptEnded(w.now, AttemptResult{
@@ -91,44 +91,44 @@
 }
 
 func (w *closedLoop) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
-	r := w.open[id]
+	r := w.openRequests[id]
 	number := len(r.attempts)
 	r.attempts = append(r.attempts, &closedLoopAttempt{endpoint: endpoint, sentAt: w.now})
 	latency := time.Duration(w.ExpFloat64() * float64(w.meanLatency))
-	w.after(min(latency, timeout), func() {
+	w.schedule(min(latency, timeout), func() {
 		if latency > timeout {
-			w.end(r, number, OutcomeTimedOut)
+			w.endAttempt(r, number, OutcomeTimedOut)
 			return
 		}
-		w.end(r, number, OutcomeSucceeded)
+		w.endAttempt(r, number, OutcomeSucceeded)
 	})
 }
 
 func (w *closedLoop) Cancel(id RequestID, number int) {
-	if r := w.open[id]; r != nil {
-		w.after(0, func() { w.end(r, number, OutcomeCanceled) })
+	if r := w.openRequests[id]; r != nil {
+		w.schedule(0, func() { w.endAttempt(r, number, OutcomeCanceled) })
 	}
 }
 
 func (w *closedLoop) Reject(id RequestID, _ time.Duration, reason Reason) {
-	w.answer(w.open[id], reason)
+	w.finishRequest(w.openRequests[id], reason)
 }
-func (w *closedLoop) Fail(id RequestID, reason Reason) { w.answer(w.open[id], reason) }
+func (w *closedLoop) Fail(id RequestID, reason Reason) { w.finishRequest(w.openRequests[id], reason) }
 func (w *closedLoop) SetTimer(at Time, timer uint64) {
-	w.after(max(at.Sub(w.now), 1), func() { w.balancer.TimerFired(w.now, timer) })
+	w.schedule(max(at.Sub(w.now), 1), func() { w.balancer.TimerFired(w.now, timer) })
 }
 func (w *closedLoop) WatchEndpoints()        {}
 func (w *closedLoop) CloseIdle(EndpointID)   {}
 func (w *closedLoop) CheckHealth(EndpointID) {}
 func (w *closedLoop) Gossip(GossipMessage)   {}
 
-// playClosedLoop plays so many clients, every second request of a class with an idempotency.
-func playClosedLoop(
+// runClosedLoop plays so many clients, every second request of a class with an idempotency.
+func runClosedLoop(
 	t *testing.T, seed uint64, endpoints, clients int, mean time.Duration, every2nd Idempotency,
 ) *closedLoop {
 	w := &closedLoop{
 		T: t, Rand: rand.New(rand.NewPCG(seed, 2)), now: simulationStart, meanLatency: mean,
-		open: map[RequestID]*closedLoopRequest{}, seconds: make([]closedLoopSecond, closedLoopSeconds+1),
+		openRequests: map[RequestID]*closedLoopRequest{}, seconds: make([]closedLoopSecond, closedLoopSeconds+1),
 	}
 	w.balancer = New(Settings{
 		Classes: []Class{
@@ -148,7 +148,7 @@
 	}
 	w.balancer.EndpointsUpdated(w.now, list, true)
 	for range clients {
-		w.after(time.Duration(w.Float64()*closedLoopThinking), w.send)
+		w.schedule(time.Duration(w.Float64()*closedLoopThinkTime), w.sendRequest)
 	}
 	for end := w.now.Add(closedLoopSeconds * time.Second); w.events[0].at < end; {
 		next := heap.Pop(&w.events).(simulatedEvent)
@@ -175,9 +175,9 @@
 	return text
 }
 
-// checkServed asks that of the requests of all but the last seconds hardly any is given up: as many as a latency that is
+// checkAnswered asks that of the requests of all but the last seconds hardly any is given up: as many as a latency that is
 // exponentially distributed makes late by itself.
-func (w *closedLoop) checkServed(seed uint64) {
+func (w *closedLoop) checkAnswered(seed uint64) {
 	const mayStayUnanswered = 0.01
 	sent, answered := 0, 0
 	for _, second := range w.seconds[:closedLoopSeconds-2] { // the last requests may still be in flight
@@ -190,7 +190,7 @@
 }
 
 // Guards against a fresh node that rejects nearly all requests for seconds at endpoints that are healthy and not busy.
-func TestFreshNodeServesHealthyEndpoints(t *testing.T) {
+func TestNewNodeServesHealthyEndpoints(t *testing.T) {
 	const seeds = 60
 	for _, c := range []struct {
 		endpoints, clients int
@@ -209,13 +209,13 @@
 		name := fmt.Sprintf("%d endpoints of %s, %d clients, %s", c.endpoints, c.mean, c.clients, c.every2nd)
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
-				playClosedLoop(t, seed, c.endpoints, c.clients, c.mean, c.every2nd).checkServed(seed)
+				runClosedLoop(t, seed, c.endpoints, c.clients, c.mean, c.every2nd).checkAnswered(seed)
 			}
 		})
 	}
 }
 
 // The one play of 3,200 in a longer run, 400 seeds of each case above, in which a fresh node gives up more than it may.
-func TestFreshNodeServesInTheLongRunsSeed(t *testing.T) {
-	playClosedLoop(t, 171, 3, 24, 160*ms, NonIdempotent).checkServed(171)
+func TestNewNodeServesHealthyEndpointsSeed171(t *testing.T) {
+	runClosedLoop(t, 171, 3, 24, 160*ms, NonIdempotent).checkAnswered(171)
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -10,20 +10,20 @@
 	minSubsetSize = 4
 	// requestRatePerEndpoint is how many requests a second make the subset larger by one endpoint.
 	requestRatePerEndpoint = 8.0
-	// nodesPerEndpoint is how many nodes use an endpoint at least, so that a few nodes use all.
-	nodesPerEndpoint = 16
-	// warmingUpPerWarm bounds the endpoints that are warming up, for each place in the subset: in a fleet that is cold
+	// minNodesPerEndpoint is how many nodes use an endpoint at least, so that a few nodes use all.
+	minNodesPerEndpoint = 16
+	// maxWarmingUpFactor bounds the endpoints that are warming up, for each place in the subset: in a fleet that is cold
 	// as a whole each send would open a connection.
-	warmingUpPerWarm = 4
-	// requestRateWindow is over how many seconds the request rate is averaged.
-	requestRateWindow = 8
+	maxWarmingUpFactor = 4
+	// requestRateWindowSeconds is over how many seconds the request rate is averaged.
+	requestRateWindowSeconds = 8
 )
 
 // subset is the endpoints that this node uses.
 type subset struct {
 	members         []*endpoint // by rank
 	warmingUp       []*endpoint // those of members that are in slow start
-	size            int         // how many warm and healthy members are wanted
+	targetSize      int         // how many warm and healthy members are wanted
 	activeEndpoints float64     // on the list
 	requestRate     float64     // requests a second, averaged
 	arrivals        int         // requests since the last tick
@@ -35,16 +35,16 @@
 	s := &b.subset
 	s.members = s.members[:0]
 	s.warmingUp = s.warmingUp[:0]
-	places := s.size
-	replacements := s.size/2 + 1 // further places for members that are of no use at the moment
+	places := s.targetSize
+	replacements := s.targetSize/2 + 1 // further places for members that are of no use at the moment
 	for _, ep := range b.endpoints.all {
 		wasMember := ep.inSubset
 		isWarmingUp := b.slowStart.capacity(now, ep) < 1
-		tooManyWarmingUp := isWarmingUp && len(s.warmingUp) >= warmingUpPerWarm*s.size
+		tooManyWarmingUp := isWarmingUp && len(s.warmingUp) >= maxWarmingUpFactor*s.targetSize
 		ep.inSubset = ep.State == StateActive && places > 0 && !tooManyWarmingUp
 		if !ep.inSubset {
 			if wasMember {
-				b.closeUnused(ep)
+				b.closeUnusedConnections(ep)
 			}
 			continue
 		}
@@ -54,7 +54,7 @@
 			continue
 		}
 		places--
-		if ep.isAvoided(now) && replacements > 0 {
+		if ep.isUnhealthy(now) && replacements > 0 {
 			places++
 			replacements--
 		}
@@ -64,10 +64,10 @@
 // resize follows what is wanted: up at once, down by one each time, as connections would be closed and opened again.
 func (s *subset) resize(activeEndpoints float64, nodes int) {
 	s.activeEndpoints = activeEndpoints
-	wanted := max(minSubsetSize+s.requestRate/requestRatePerEndpoint, nodesPerEndpoint*activeEndpoints/float64(nodes))
-	s.size = max(s.size, int(wanted))
-	if wanted < float64(s.size)-1 {
-		s.size--
+	wanted := max(minSubsetSize+s.requestRate/requestRatePerEndpoint, minNodesPerEndpoint*activeEndpoints/float64(nodes))
+	s.targetSize = max(s.targetSize, int(wanted))
+	if wanted < float64(s.targetSize)-1 {
+		s.targetSize--
 	}
 }
 
@@ -80,9 +80,9 @@
 	return count
 }
 
-// closeUnused closes the idle connections to an endpoint that has left the subset. A connection that carries one
+// closeUnusedConnections closes the idle connections to an endpoint that has left the subset. A connection that carries one
 // attempt at a time is left to age: that of a key's home would be closed each time.
-func (b *Balancer) closeUnused(ep *endpoint) {
+func (b *Balancer) closeUnusedConnections(ep *endpoint) {
 	if ep.lastUsedAt > 0 && ep.inFlight == 0 && b.settings.StreamsPerConnection > 1 {
 		b.closeIdle(ep)
 	}
@@ -93,7 +93,7 @@
 func (b *Balancer) countArrival(now Time) {
 	s := &b.subset
 	s.arrivals++
-	if s.arrivals > int(requestRatePerEndpoint)*s.size {
+	if s.arrivals > int(requestRatePerEndpoint)*s.targetSize {
 		s.requestRate = max(s.requestRate, float64(s.arrivals))
 		b.updateSubset(now)
 	}
@@ -101,6 +101,6 @@
 
 // updateRequestRate adds the second that has ended to the average.
 func (s *subset) updateRequestRate() {
-	s.requestRate += (float64(s.arrivals) - s.requestRate) / requestRateWindow
+	s.requestRate += (float64(s.arrivals) - s.requestRate) / requestRateWindowSeconds
 	s.arrivals = 0
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -16,7 +16,7 @@
 }
 
 // Guards against each of hundreds of nodes holding a connection to every endpoint.
-func TestHundredsOfNodesSpreadOverTheEndpoints(t *testing.T) {
+func TestSubsetsOfManyNodesCoverEndpointsEvenly(t *testing.T) {
 	const nodes, endpoints = 400, 50
 	sharing, moved := map[EndpointID]int{}, 0
 	for at := range nodes {
@@ -60,12 +60,12 @@
 	}
 }
 
-func manyNodes(s *Settings) {
+func manyNodesSettings(s *Settings) {
 	s.NodeIndex, s.NodeCount, s.StreamsPerConnection, s.MayGossip = 3, 300, 100, true
 }
 
-func TestSubsetWidensPastEjectedEndpointsAndWithTraffic(t *testing.T) {
-	b := newTestFleet(t, 40, manyNodes)
+func TestSubsetGrowsWithEjectionsAndTraffic(t *testing.T) {
+	b := newTestFleet(t, 40, manyNodesSettings)
 	before := subsetIDs(b.Balancer)
 	for id := range before {
 		b.endpoints.byID[id].health[0].ejected = true
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestFleetInSlowStartIsDividedToo has hundreds of nodes before a fleet that is cold as a whole: each draws from a part
+// TestSubsetIsBoundedInColdFleet has hundreds of nodes before a fleet that is cold as a whole: each draws from a part
 // of it, so that its connections are used again.
-func TestFleetInSlowStartIsDividedToo(t *testing.T) {
+func TestSubsetIsBoundedInColdFleet(t *testing.T) {
 	set := benchSettings
 	set.NodeCount = 300
 	p := New(set, 1, &lastSendRecorder{})
@@ -97,17 +97,17 @@
 		list[i].StartedAt = now
 	}
 	p.EndpointsUpdated(now, list, true)
-	if got := len(p.subset.members); got != warmingUpPerWarm*p.subset.size || got > 40 {
+	if got := len(p.subset.members); got != maxWarmingUpFactor*p.subset.targetSize || got > 40 {
 		t.Errorf(
-			"one of 300 nodes draws from %d of 120 cold endpoints, want %d times %d", got, warmingUpPerWarm,
-			p.subset.size,
+			"one of 300 nodes draws from %d of 120 cold endpoints, want %d times %d", got, maxWarmingUpFactor,
+			p.subset.targetSize,
 		)
 	}
 	for i := range list[:60] { // half of them were up long before
 		list[i].StartedAt = 0
 	}
 	p.EndpointsUpdated(now, list, true)
-	if warm := len(p.subset.members) - len(p.subset.warmingUp); warm < p.subset.size {
-		t.Errorf("draws from %d warm ones, want %d", warm, p.subset.size)
+	if warm := len(p.subset.members) - len(p.subset.warmingUp); warm < p.subset.targetSize {
+		t.Errorf("draws from %d warm ones, want %d", warm, p.subset.targetSize)
 	}
 }
