--- a/cmd/fawnglade/fleet.go
+++ b/cmd/fawnglade/fleet.go
@@ -126,11 +126,11 @@
 func formatView(v *members.View) []byte {
 	var b bytes.Buffer // writes to it can't fail
 	f := &v.Summary
-	fmt.Fprintf(&b, "%s, incarnation %d, %d rounds, strain %d\n", v.Name, v.Incarnation, v.Rounds, v.HealthScore)
-	if f.Known {
+	fmt.Fprintf(&b, "%s, incarnation %d, %d rounds, strain %d\n", v.Name, v.Incarnation, v.Periods, v.HealthScore)
+	if f.Reliable {
 		fmt.Fprintf(&b, "%d of %d nodes up, %d doubted, %d silent, %d left, %d never seen; "+
 			"%.0f%% of the last probes answered, %s ago\n",
-			f.Alive, f.Nodes, f.Suspect, f.Dead, f.Left, f.Unknown, 100*f.ProbeSuccess, formatAge(f.AgeNs))
+			f.Alive, f.Nodes, f.Suspect, f.Dead, f.Left, f.Unknown, 100*f.ProbeSuccessRate, formatAge(f.AgeNs))
 	} else {
 		fmt.Fprintf(&b, "how many of %d nodes there are is unknown: %s\n", f.Nodes, f.Reason)
 	}
@@ -138,7 +138,7 @@
 	fmt.Fprintln(&rows, "NODE\tSTATE\tFOR\tHEARD\tSTARTED\tINCARNATION\tREMARK")
 	for i := range v.Members {
 		m := &v.Members[i]
-		fmt.Fprintf(&rows, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.State, formatAge(m.StateAgeNs), formatAge(m.LastHeardNs),
+		fmt.Fprintf(&rows, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.State, formatAge(m.StateAgeNs), formatAge(m.LastReceivedAgeNs),
 			formatStart(m), m.Incarnation, memberRemark(v, m))
 	}
 	table := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
@@ -164,7 +164,7 @@
 		return "itself"
 	case m.NameConflict:
 		return "messages from another life or process of this name"
-	case m.OwnViewOnly:
+	case m.LocalOnly:
 		return "by this node's sight alone"
 	}
 	return ""
--- a/cmd/fawnglade/store.go
+++ b/cmd/fawnglade/store.go
@@ -183,8 +183,8 @@
 	return c
 }
 
-func repairStore(path, to string) (store.Repaired, error) {
-	var none store.Repaired
+func repairStore(path, to string) (store.RepairResult, error) {
+	var none store.RepairResult
 	from, err := store.SystemDirectory(path, false)
 	if err != nil {
 		return none, err
--- a/internal/endpointgossip/exchange.go
+++ b/internal/endpointgossip/exchange.go
@@ -61,12 +61,12 @@
 
 // Counters count events since the start.
 type Counters struct {
-	Requests          int64 `json:"asked"`
-	Responses         int64 `json:"answered"`
-	ResponsesWithheld int64 `json:"held"` // beyond maxResponsesPerTick
-	Invalid           int64 `json:"bad"`  // messages
-	Accepted          int64 `json:"taken"`
-	Unconfirmed       int64 `json:"doubted"` // lists that would have removed most endpoints with too few witnesses
+	Requests    int64 `json:"asked"`
+	Responses   int64 `json:"answered"`
+	RateLimited int64 `json:"held"` // beyond maxResponsesPerTick
+	Invalid     int64 `json:"bad"`  // messages
+	Accepted    int64 `json:"taken"`
+	Unconfirmed int64 `json:"doubted"` // lists that would have removed most endpoints with too few witnesses
 }
 
 // Exchange is one node's part in the exchange of endpoint lists.
@@ -75,22 +75,22 @@
 	random    *rand.Rand
 
 	// The node's own watch.
-	watched        map[string]Endpoint // the list that it has sent, or goes on from
-	watchedVersion int64               // 0: none
-	watchUp        bool
-	watchHeardAt   int64 // when it last received anything, nanoseconds
-	silentTicks    int   // for which it has been up without an event
+	watchedEndpoints  map[string]Endpoint // the list that it has sent, or goes on from
+	watchedVersion    int64               // 0: none
+	watchUp           bool
+	watchReceivedAt   int64 // when it last received anything, nanoseconds
+	ticksWithoutEvent int   // for which it has been up without an event
 
-	held       *list // the list to respond with; while the watch is down the node uses it
-	usesGossip bool  // the node uses a gossiped list
-	gathering  *gathering
+	current          *list // the list to respond with; while the watch is down the node uses it
+	usesGossipedList bool  // the node uses a gossiped list
+	transfer         *transfer
 
 	startedAt       int64 // nanoseconds
 	now             int64 // nanoseconds
 	tick            int64
-	nextRequest     int64 // tick
-	backoff         int64 // ticks
-	betterAt        int   // a node that has reported a better list; -1: none
+	nextRequestTick int64 // tick
+	backoffTicks    int64 // ticks
+	betterListNode  int   // a node that has reported a better list; -1: none
 	requestsInTick  int
 	responsesInTick int
 	counters        Counters
@@ -102,24 +102,24 @@
 	seed uint64, transport Transport, now, version int64, remembered []Endpoint, watchResumes bool,
 ) *Exchange {
 	e := &Exchange{
-		transport: transport,
-		random:    rand.New(rand.NewPCG(seed, randomStream)),
-		watched:   map[string]Endpoint{},
-		betterAt:  -1,
-		backoff:   1,
-		startedAt: now,
-		now:       now,
+		transport:        transport,
+		random:           rand.New(rand.NewPCG(seed, randomStream)),
+		watchedEndpoints: map[string]Endpoint{},
+		betterListNode:   -1,
+		backoffTicks:     1,
+		startedAt:        now,
+		now:              now,
 	}
 	if len(remembered) > 0 && len(remembered) <= MaxEndpoints {
-		e.held = newList(version, slices.Clone(remembered), 0, true)
+		e.current = newList(version, slices.Clone(remembered), 0, true)
 		for _, endpoint := range remembered {
-			e.watched[endpoint.Name] = endpoint
+			e.watchedEndpoints[endpoint.Name] = endpoint
 		}
 		if watchResumes {
 			e.watchedVersion = version
 		}
 	}
-	e.nextRequest = 1 + e.random.Int64N(2)
+	e.nextRequestTick = 1 + e.random.Int64N(2)
 	return e
 }
 
@@ -129,13 +129,13 @@
 	now, version int64, endpoints []Endpoint, removed []string, complete bool,
 ) []Endpoint {
 	if complete {
-		e.watched = map[string]Endpoint{}
+		e.watchedEndpoints = map[string]Endpoint{}
 	}
 	for _, endpoint := range endpoints {
-		e.watched[endpoint.Name] = endpoint
+		e.watchedEndpoints[endpoint.Name] = endpoint
 	}
 	for _, name := range removed {
-		delete(e.watched, name)
+		delete(e.watchedEndpoints, name)
 	}
 	e.now = max(e.now, now)
 	e.watchedVersion = version
@@ -145,53 +145,53 @@
 // watchRestored ends the use of gossiped lists; it returns the watched list if one was used.
 func (e *Exchange) watchRestored(heardAt int64) (endpoints []Endpoint) {
 	e.watchUp = true
-	e.watchHeardAt = heardAt
-	e.silentTicks = 0
-	e.gathering = nil
-	e.betterAt = -1
-	e.held = nil // made when it is needed
-	if e.usesGossip {
+	e.watchReceivedAt = heardAt
+	e.ticksWithoutEvent = 0
+	e.transfer = nil
+	e.betterListNode = -1
+	e.current = nil // made when it is needed
+	if e.usesGossipedList {
 		endpoints = e.currentList().endpoints
 	}
-	e.usesGossip = false
+	e.usesGossipedList = false
 	return endpoints
 }
 
 // currentList is the list to respond with; nil: there is none.
 func (e *Exchange) currentList() *list {
 	if e.watchUp {
-		if e.held == nil {
-			e.held = newList(e.watchedVersion, slices.Collect(maps.Values(e.watched)), 0, false)
+		if e.current == nil {
+			e.current = newList(e.watchedVersion, slices.Collect(maps.Values(e.watchedEndpoints)), 0, false)
 		}
-		e.held.confirmedAt = e.watchHeardAt
+		e.current.confirmedAt = e.watchReceivedAt
 	}
-	return e.held
+	return e.current
 }
 
-// Tick is called at regular times, ten times in a round of the membership. watchHeardAt is when the node's own watch
+// Tick is called at regular times, ten times in a round of the membership. watchReceivedAt is when the node's own watch
 // last received anything, an empty line included; 0: it is down. It returns a list as WatchUpdated does.
 func (e *Exchange) Tick(now, watchHeardAt int64) []Endpoint {
 	e.now = max(e.now, now)
 	e.tick++
 	e.requestsInTick, e.responsesInTick = 0, 0
 	if watchHeardAt > 0 && e.watchUp {
-		e.watchHeardAt = max(e.watchHeardAt, watchHeardAt)
+		e.watchReceivedAt = max(e.watchReceivedAt, watchHeardAt)
 		return nil
 	}
 	if watchHeardAt == 0 {
-		e.silentTicks = 0
+		e.ticksWithoutEvent = 0
 	} else {
-		e.silentTicks++
+		e.ticksWithoutEvent++
 	}
-	if e.silentTicks > watchGraceTicks && e.watchedVersion > 0 { // it goes on from the list before, unchanged
+	if e.ticksWithoutEvent > watchGraceTicks && e.watchedVersion > 0 { // it goes on from the list before, unchanged
 		return e.watchRestored(watchHeardAt)
 	}
 	if e.watchUp {
 		e.watchFailed()
 	}
-	e.continueGathering()
-	if e.tick >= e.nextRequest {
-		e.requestFromRandom()
+	e.continueTransfer()
+	if e.tick >= e.nextRequestTick {
+		e.requestFromRandomNodes()
 	}
 	return nil
 }
@@ -200,8 +200,8 @@
 func (e *Exchange) watchFailed() {
 	e.currentList() // built while the watch counts as up, so that it is not lost
 	e.watchUp = false
-	e.backoff = 1
-	e.nextRequest = e.tick + e.random.Int64N(maxBackoffTicks)
+	e.backoffTicks = 1
+	e.nextRequestTick = e.tick + e.random.Int64N(maxBackoffTicks)
 }
 
 // Receive takes in a message of another node. It returns the endpoints that the node is to use from now on, nil if
@@ -224,5 +224,5 @@
 		e.counters.Invalid++
 		return nil
 	}
-	return e.responseReceived(from, &m)
+	return e.handleResponse(from, &m)
 }
--- a/internal/endpointgossip/golden_test.go
+++ b/internal/endpointgossip/golden_test.go
@@ -13,9 +13,9 @@
 func TestGoldenMessages(t *testing.T) {
 	endpoints := []Endpoint{{Name: "s-1", Address: "127.0.0.1:80", Zone: "a", Pod: 3, Weight: 1.5, Draining: true, StartedNs: 1_700_000_000_000_000_000}, {Name: "s-2", Address: "127.0.0.2:80"}}
 	for name, m := range map[string]message{
-		"question.bin":       {Kind: requestKind, Version: 7, Digest: 99, WantPages: []int{0, 3}, Remembered: true, RequestedAt: 1_700_000_000_000_000_001},
+		"question.bin":       {Kind: requestKind, Version: 7, Digest: 99, WantPages: []int{0, 3}, Restored: true, RequestedAt: 1_700_000_000_000_000_001},
 		"reply.bin":          {Kind: responseKind, Version: 7, Digest: 99, Pages: 2, Page: 1, Endpoints: endpoints, AgeNs: 5e9, WatchUp: true, RequestedAt: 1_700_000_000_000_000_001},
-		"reply-to-equal.bin": {Kind: responseKind, Version: 7, Digest: 99, Pages: 2, Page: -1, Remembered: true, RequestedAt: 1},
+		"reply-to-equal.bin": {Kind: responseKind, Version: 7, Digest: 99, Pages: 2, Page: -1, Restored: true, RequestedAt: 1},
 	} {
 		encoded := encode(&m)
 		golden.Check(t, name, encoded)
@@ -32,7 +32,7 @@
 
 // TestGoldenView compares the view of the admin API with that of earlier builds.
 func TestGoldenView(t *testing.T) {
-	v := View{WatchUp: true, Version: 7, Endpoints: 2, Remembered: true, AgeSeconds: 1.5, Counters: Counters{Requests: 1, Responses: 2, ResponsesWithheld: 3, Invalid: 4, Accepted: 5, Unconfirmed: 6}}
+	v := View{WatchUp: true, Version: 7, Endpoints: 2, Restored: true, AgeSeconds: 1.5, Counters: Counters{Requests: 1, Responses: 2, RateLimited: 3, Invalid: 4, Accepted: 5, Unconfirmed: 6}}
 	text, err := json.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/endpointgossip/list.go
+++ b/internal/endpointgossip/list.go
@@ -39,13 +39,13 @@
 	endpoints   []Endpoint
 	pages       [][]Endpoint // the endpoints as they are sent
 	confirmedAt int64        // when discovery is last known to have had it, nanoseconds; 0: not known
-	remembered  bool         // no watch is known to have sent it
+	restored    bool         // no watch is known to have sent it
 }
 
 // newList sorts the endpoints by name and divides them into pages.
 func newList(version int64, endpoints []Endpoint, confirmedAt int64, remembered bool) *list {
 	slices.SortFunc(endpoints, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
-	l := &list{version: version, endpoints: endpoints, confirmedAt: confirmedAt, remembered: remembered}
+	l := &list{version: version, endpoints: endpoints, confirmedAt: confirmedAt, restored: remembered}
 	hash := xxhash.New()
 	var page []Endpoint
 	pageBytes := 0
@@ -73,7 +73,7 @@
 }
 
 // all are the endpoints of a list; none of no list.
-func (l *list) all() []Endpoint {
+func (l *list) endpointsOrNil() []Endpoint {
 	if l == nil {
 		return nil
 	}
@@ -81,17 +81,17 @@
 }
 
 // is reports whether a list is the one of a version and digest.
-func (l *list) is(version int64, digest uint64) bool {
+func (l *list) matches(version int64, digest uint64) bool {
 	return l.version == version && l.digest == digest
 }
 
 // confirm takes in that another node has the same list.
 func (l *list) confirm(confirmedAt int64, remembered bool) {
 	l.confirmedAt = max(l.confirmedAt, confirmedAt)
-	l.remembered = l.remembered && remembered
+	l.restored = l.restored && remembered
 }
 
-func activeCount(endpoints []Endpoint) (n int) {
+func countActive(endpoints []Endpoint) (n int) {
 	for i := range endpoints {
 		if !endpoints[i].Draining {
 			n++
--- a/internal/endpointgossip/merge.go
+++ b/internal/endpointgossip/merge.go
@@ -5,66 +5,66 @@
 	"slices"
 )
 
-// minUsableDivisor: a list may leave one in so many of the usable endpoints without further witnesses.
-const minUsableDivisor = 2
+// minActiveDivisor: a list may leave one in so many of the usable endpoints without further witnesses.
+const minActiveDivisor = 2
 
 // accept takes a gathered list into use, by the order between lists in the package comment. It returns the endpoints to
 // use; nil: nothing changes.
-func (e *Exchange) accept(g *gathering) []Endpoint {
+func (e *Exchange) accept(g *transfer) []Endpoint {
 	endpoints := g.endpoints()
-	gathered := newList(g.head.Version, endpoints, g.head.confirmedAt(), g.head.Remembered)
+	gathered := newList(g.head.Version, endpoints, g.head.confirmedAt(), g.head.Restored)
 	if gathered.digest != g.head.Digest || len(endpoints) > MaxEndpoints { // pages of different lists
 		e.counters.Invalid++
-		e.gathering = nil
+		e.transfer = nil
 		return nil
 	}
 	current := e.currentList()
-	next, absent := combine(current, gathered)
-	if removesMost(current.all(), next.all()) && len(g.witnesses) < requiredWitnesses {
+	next, absent := mergeLists(current, gathered)
+	if removesMajority(current.endpointsOrNil(), next.endpointsOrNil()) && len(g.witnesses) < requiredWitnesses {
 		if !g.unconfirmed {
 			g.unconfirmed = true
 			e.counters.Unconfirmed++
 		}
 		return nil // the gathering stays, for another witness
 	}
-	e.gathering = nil
-	if current != nil && next.is(current.version, current.digest) {
-		current.confirm(gathered.confirmedAt, gathered.remembered)
+	e.transfer = nil
+	if current != nil && next.matches(current.version, current.digest) {
+		current.confirm(gathered.confirmedAt, gathered.restored)
 		return nil
 	}
-	e.held, e.usesGossip = next, true
+	e.current, e.usesGossipedList = next, true
 	e.counters.Accepted++
 	used := slices.Concat(next.endpoints, absent)
 	if e.age(next) > FreshForNs {
-		e.markNewAsStarted(used, current.all())
+		e.markNewAsJustStarted(used, current.endpointsOrNil())
 	}
 	return used
 }
 
 // combine is the list after a gathered one, and the endpoints that are only on the current one, if there is one.
-func combine(current, gathered *list) (next *list, absent []Endpoint) {
+func mergeLists(current, gathered *list) (next *list, absent []Endpoint) {
 	if current == nil {
 		return gathered, nil
 	}
-	if gathered.version > current.version && (current.remembered || !gathered.remembered) {
-		return gathered, drainingAbsent(current.endpoints, gathered.endpoints)
+	if gathered.version > current.version && (current.restored || !gathered.restored) {
+		return gathered, absentAsDraining(current.endpoints, gathered.endpoints)
 	}
 	a, b := current, gathered
-	if b.remembered { // starts are taken from the second
+	if b.restored { // starts are taken from the second
 		a, b = b, a
 	}
-	merged := mergeCautious(a.endpoints, b.endpoints, a.remembered && !b.remembered)
+	merged := mergeCautiously(a.endpoints, b.endpoints, a.restored && !b.restored)
 	confirmedAt := max(a.confirmedAt, b.confirmedAt)
-	return newList(max(a.version, b.version), merged, confirmedAt, a.remembered && b.remembered), nil
+	return newList(max(a.version, b.version), merged, confirmedAt, a.restored && b.restored), nil
 }
 
-func removesMost(current, next []Endpoint) bool {
-	return activeCount(next)*minUsableDivisor < activeCount(current)
+func removesMajority(current, next []Endpoint) bool {
+	return countActive(next)*minActiveDivisor < countActive(current)
 }
 
-// markNewAsStarted counts endpoints that are new in a list as just started, and others as started no earlier than
+// markNewAsJustStarted counts endpoints that are new in a list as just started, and others as started no earlier than
 // known.
-func (e *Exchange) markNewAsStarted(used, known []Endpoint) {
+func (e *Exchange) markNewAsJustStarted(used, known []Endpoint) {
 	startedNs := map[string]int64{}
 	for _, endpoint := range known {
 		startedNs[endpoint.Name] = endpoint.StartedNs
@@ -78,8 +78,8 @@
 	}
 }
 
-// mergeCautious merges two lists endpoint by endpoint. startsOfSecond: only the second is known to have right starts.
-func mergeCautious(first, second []Endpoint, startsOfSecond bool) []Endpoint {
+// mergeCautiously merges two lists endpoint by endpoint. startsOfSecond: only the second is known to have right starts.
+func mergeCautiously(first, second []Endpoint, startsOfSecond bool) []Endpoint {
 	merged := map[string]Endpoint{}
 	for _, endpoint := range first {
 		merged[endpoint.Name] = endpoint
@@ -107,8 +107,8 @@
 	return p
 }
 
-// drainingAbsent are the endpoints of a list that a newer one lacks, as draining.
-func drainingAbsent(older, newer []Endpoint) (absent []Endpoint) {
+// absentAsDraining are the endpoints of a list that a newer one lacks, as draining.
+func absentAsDraining(older, newer []Endpoint) (absent []Endpoint) {
 	listed := map[string]bool{}
 	for _, endpoint := range newer {
 		listed[endpoint.Name] = true
--- a/internal/endpointgossip/message.go
+++ b/internal/endpointgossip/message.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxPages  = 1024
-	headAlone = -1 // as a page: the response carries no endpoints
+	maxPages = 1024
+	headOnly = -1 // as a page: the response carries no endpoints
 )
 
 // message is a request or a response, as CBOR with whole-number keys. Unknown fields are ignored, so that later
@@ -22,11 +22,11 @@
 	Digest      uint64     `cbor:"3,keyasint"`
 	WantPages   []int      `cbor:"4,keyasint,omitempty"`
 	Pages       int        `cbor:"5,keyasint,omitempty"` // of the responder's list
-	Page        int        `cbor:"6,keyasint,omitempty"` // of Endpoints, or headAlone
+	Page        int        `cbor:"6,keyasint,omitempty"` // of Endpoints, or headOnly
 	Endpoints   []Endpoint `cbor:"7,keyasint,omitempty"`
 	AgeNs       int64      `cbor:"8,keyasint,omitempty"` // of the list's confirmation
 	WatchUp     bool       `cbor:"9,keyasint,omitempty"` // the responder's
-	Remembered  bool       `cbor:"10,keyasint,omitempty"`
+	Restored    bool       `cbor:"10,keyasint,omitempty"`
 	RequestedAt int64      `cbor:"11,keyasint"` // when the request went out, by the asking node's clock
 }
 
@@ -56,7 +56,7 @@
 	case requestKind:
 		return true
 	case responseKind:
-		return m.Pages >= 1 && m.Pages <= maxPages && m.Page >= headAlone && m.Page < m.Pages
+		return m.Pages >= 1 && m.Pages <= maxPages && m.Page >= headOnly && m.Page < m.Pages
 	}
 	return false
 }
--- a/internal/endpointgossip/request.go
+++ b/internal/endpointgossip/request.go
@@ -5,8 +5,8 @@
 
 const maxPagesPerRequest = 8
 
-// requestFromRandom asks random nodes which list they have, and backs off.
-func (e *Exchange) requestFromRandom() {
+// requestFromRandomNodes asks random nodes which list they have, and backs off.
+func (e *Exchange) requestFromRandomNodes() {
 	nodes := e.transport.Reachable()
 	for range min(nodesPerRequest, len(nodes)) {
 		i := e.random.IntN(len(nodes))
@@ -14,8 +14,8 @@
 		nodes[i] = nodes[len(nodes)-1]
 		nodes = nodes[:len(nodes)-1]
 	}
-	e.backoff = min(2*e.backoff, maxBackoffTicks)
-	e.nextRequest = e.tick + 1 + e.random.Int64N(e.backoff)
+	e.backoffTicks = min(2*e.backoffTicks, maxBackoffTicks)
+	e.nextRequestTick = e.tick + 1 + e.random.Int64N(e.backoffTicks)
 }
 
 // request asks a node for pages of the list that is being gathered, or, without pages, which list it has.
@@ -26,10 +26,10 @@
 	}
 	m := message{Kind: requestKind, RequestedAt: e.now, WantPages: pages}
 	if l := e.currentList(); l != nil {
-		m.Version, m.Digest, m.Remembered = l.version, l.digest, l.remembered
+		m.Version, m.Digest, m.Restored = l.version, l.digest, l.restored
 	}
 	if pages != nil {
-		m.Version, m.Digest = e.gathering.head.Version, e.gathering.head.Digest
+		m.Version, m.Digest = e.transfer.head.Version, e.transfer.head.Digest
 	}
 	e.counters.Requests++
 	e.transport.SendPayload(to, encode(&m))
@@ -40,7 +40,7 @@
 	l := e.currentList()
 	ahead := request.isAheadOf(l)
 	if ahead && !e.watchUp {
-		e.betterAt = to
+		e.betterListNode = to
 	}
 	if l == nil {
 		return
@@ -53,7 +53,7 @@
 		Pages:       len(l.pages),
 		AgeNs:       max(e.age(l), 0),
 		WatchUp:     e.watchUp,
-		Remembered:  l.remembered,
+		Restored:    l.restored,
 	}
 	for _, page := range pagesFor(request, l, ahead) {
 		if page >= len(l.pages) {
@@ -61,11 +61,11 @@
 		}
 		e.responsesInTick++
 		if e.responsesInTick > maxResponsesPerTick {
-			e.counters.ResponsesWithheld++
+			e.counters.RateLimited++
 			return
 		}
 		response.Page, response.Endpoints = page, nil
-		if page != headAlone {
+		if page != headOnly {
 			response.Endpoints = l.pages[page]
 		}
 		e.counters.Responses++
@@ -78,12 +78,12 @@
 	if len(m.WantPages) > 0 || m.Digest == 0 {
 		return false
 	}
-	return l == nil || preferred(m, &message{Version: l.version, Remembered: l.remembered})
+	return l == nil || isPreferred(m, &message{Version: l.version, Restored: l.restored})
 }
 
-// pagesFor are the pages to respond with, headAlone for none.
+// pagesFor are the pages to respond with, headOnly for none.
 func pagesFor(request *message, l *list, ahead bool) []int {
-	same := l.is(request.Version, request.Digest)
+	same := l.matches(request.Version, request.Digest)
 	switch {
 	case len(request.WantPages) > 0 && same:
 		return request.WantPages[:min(len(request.WantPages), maxPagesPerRequest)]
@@ -94,14 +94,14 @@
 		}
 		return pages
 	default:
-		return []int{headAlone}
+		return []int{headOnly}
 	}
 }
 
 // preferred reports whether a list is rather gathered than another.
-func preferred(candidate, other *message) bool {
-	if candidate.Remembered != other.Remembered {
-		return other.Remembered
+func isPreferred(candidate, other *message) bool {
+	if candidate.Restored != other.Restored {
+		return other.Restored
 	}
 	return candidate.Version > other.Version
 }
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -146,7 +146,7 @@
 			until(f, notice, "the others know", Agree(rest, without(0))),
 			until(f, notice, "it knows that it hears nobody, and says that nothing is known", func(views []*members.View) bool {
 				v := views[0]
-				return v != nil && !v.Summary.Known && v.Summary.Reason == "this node hears nobody" && v.Summary.Dead == 11
+				return v != nil && !v.Summary.Reliable && v.Summary.Reason == "this node hears nobody" && v.Summary.Dead == 11
 			}),
 			do(f.ClearFaults),
 			until(f, rejoin, "one view again", Agree(Numbers(0, 12), Each("up"))),
@@ -250,7 +250,7 @@
 				return ""
 			})),
 			func() error {
-				if v := f.Views()[1]; v == nil || v.Counters.Stale == 0 {
+				if v := f.Views()[1]; v == nil || v.Counters.StaleIncarnations == 0 {
 					return fmt.Errorf("the old message was not told from a new one")
 				}
 				return nil
@@ -268,7 +268,7 @@
 			}),
 			until(f, 2*notice, "it holds all others for silent, and the figure for unknown", func(views []*members.View) bool {
 				v := views[0]
-				return v != nil && v.Summary.Dead == 11 && !v.Summary.Known
+				return v != nil && v.Summary.Dead == 11 && !v.Summary.Reliable
 			}),
 			func() error {
 				for i := 1; i < 12; i++ {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -50,10 +50,10 @@
 			if v == nil {
 				continue
 			}
-			if first[i] < 0 || v.Rounds < first[i] { // a new process begins again
-				first[i] = v.Rounds
+			if first[i] < 0 || v.Periods < first[i] { // a new process begins again
+				first[i] = v.Periods
 			}
-			if passed := v.Rounds - first[i]; least < 0 || passed < least {
+			if passed := v.Periods - first[i]; least < 0 || passed < least {
 				least = passed
 			}
 		}
@@ -101,7 +101,7 @@
 			b.WriteString(letters[r.State])
 		}
 		f := v.Summary
-		fmt.Fprintf(&b, "  round %d, strain %d, known %v %s, heard %.2f\n", v.Rounds, v.HealthScore, f.Known, f.Reason, f.ProbeSuccess)
+		fmt.Fprintf(&b, "  round %d, strain %d, known %v %s, heard %.2f\n", v.Periods, v.HealthScore, f.Reliable, f.Reason, f.ProbeSuccessRate)
 	}
 	return b.String()
 }
--- a/internal/lab/fleet/listgossip_test.go
+++ b/internal/lab/fleet/listgossip_test.go
@@ -120,7 +120,7 @@
 	p.startAll(t)
 	end := p.busy()
 	defer end()
-	p.until(t, "all have the list that some remember", func(v *endpointgossip.View) bool { return v.Version == 2 && v.Remembered })
+	p.until(t, "all have the list that some remember", func(v *endpointgossip.View) bool { return v.Version == 2 && v.Restored })
 	p.serving(t)
 	if late := p.lateAt(1, told); late > 0 {
 		t.Errorf("%d tasks came to a server that drained before the power went", late)
@@ -255,7 +255,7 @@
 	ready()
 	cold := done(400)
 	if _, err := Until(p, meet, "it says that it hears nobody", func(views []*members.View) bool {
-		return views[0] != nil && !views[0].Summary.Known
+		return views[0] != nil && !views[0].Summary.Reliable
 	}); err != nil {
 		t.Error(err)
 	}
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		out.SuspicionsPerHour += float64(c.Suspicions-before[i].Suspicions) / long * 3600
-		out.FailuresPerHour += float64(c.Deaths-before[i].Deaths) / long * 3600
+		out.FailuresPerHour += float64(c.Failures-before[i].Failures) / long * 3600
 		sent := float64(c.Sent-before[i].Sent) / long
 		out.SentPerS += sent / float64(f.Len())
 		out.BytesPerS += float64(c.SentBytes-before[i].SentBytes) / long / float64(f.Len())
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -115,7 +115,7 @@
 	}
 	s.incarnations++
 	var err error
-	s.membership, err = members.New(members.Config{Name: v.names[node], Nodes: v.names, RoundNs: v.Round, Seed: v.random.Uint64(), RunID: uint32(v.random.Uint32())}, s, s.clock())
+	s.membership, err = members.New(members.Config{Name: v.names[node], Nodes: v.names, ProtocolPeriodNs: v.Round, Seed: v.random.Uint64(), RunID: uint32(v.random.Uint32())}, s, s.clock())
 	if err != nil {
 		return err
 	}
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -120,7 +120,7 @@
 	}
 	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.process.Incarnation)
 	view, err := members.New(members.Config{
-		Name: names[n.index], Nodes: names, RoundNs: int64(d.scenario.Nodes.ProtocolPeriod), Seed: seed,
+		Name: names[n.index], Nodes: names, ProtocolPeriodNs: int64(d.scenario.Nodes.ProtocolPeriod), Seed: seed,
 		RunID: uint32(seed*2654435761>>8) | 1, ReceivePayload: func(from int, load []byte) { n.listGossip.receive(n, from, load) },
 	}, (*memberTransport)(n), n.clock())
 	if err != nil {
@@ -204,7 +204,7 @@
 			continue
 		}
 		b := trace.MembershipView{
-			At: d.now, Node: i, Known: n.membership.Summary(n.clock()).Known, Strain: n.membership.HealthScore(),
+			At: d.now, Node: i, Known: n.membership.Summary(n.clock()).Reliable, Strain: n.membership.HealthScore(),
 		}
 		letters := make([]byte, len(d.nodes))
 		for k, s := range n.membership.States() {
--- a/internal/lab/trace/views.go
+++ b/internal/lab/trace/views.go
@@ -26,7 +26,7 @@
 	for i, row := range v.Members {
 		letters[i] = letterOf(row.State)
 	}
-	return MembershipView{At: at, Node: node, Known: v.Summary.Known, States: string(letters), Strain: v.HealthScore}
+	return MembershipView{At: at, Node: node, Known: v.Summary.Reliable, States: string(letters), Strain: v.HealthScore}
 }
 
 func letterOf(state string) byte {
--- a/internal/members/broadcast.go
+++ b/internal/members/broadcast.go
@@ -6,15 +6,15 @@
 // that grows with the logarithm of the number of nodes.
 
 const (
-	maxUpdates         = 22 // in a datagram, each under 48 bytes
-	maxPayloadUpdates  = 1  // beside a payload
-	transmitMultiplier = 4
+	maxUpdates            = 22 // in a datagram, each under 48 bytes
+	maxUpdatesWithPayload = 1  // beside a payload
+	retransmitMultiplier  = 4
 )
 
 // broadcast queues a peer's state for the next datagrams.
 func (m *Members) broadcast(i int) {
 	p := &m.peers[i]
-	p.transmitsLeft = int8(transmitMultiplier * math.Ceil(math.Log10(float64(len(m.peers)+2))))
+	p.retransmitsRemaining = int8(retransmitMultiplier * math.Ceil(math.Log10(float64(len(m.peers)+2))))
 	if !p.queued {
 		p.queued = true
 		m.broadcasts = append(m.broadcasts, int32(i))
@@ -28,9 +28,9 @@
 	msg.Self = m.selfUpdate()
 	room := maxUpdates
 	if msg.Kind == payload {
-		room = maxPayloadUpdates
+		room = maxUpdatesWithPayload
 	}
-	if receiver.state > Alive && !receiver.ownViewOnly && len(msg.Updates) < room {
+	if receiver.state > Alive && !receiver.localOnly && len(msg.Updates) < room {
 		msg.Updates = append(msg.Updates, m.updateOf(to))
 	}
 	if msg.Kind != payload {
@@ -39,7 +39,7 @@
 	datagram := encode(m.config.Key, msg)
 	m.counters.Sent++
 	m.counters.SentBytes += int64(len(datagram))
-	m.transport.Send(int(receiver.place), datagram)
+	m.transport.Send(int(receiver.nodeIndex), datagram)
 }
 
 // piggyback adds queued states, each of them once, while there is room.
@@ -48,11 +48,11 @@
 		i := m.broadcasts[0]
 		m.broadcasts = m.broadcasts[1:]
 		p := &m.peers[i]
-		if p.transmitsLeft > 0 && !p.ownViewOnly {
-			p.transmitsLeft--
+		if p.retransmitsRemaining > 0 && !p.localOnly {
+			p.retransmitsRemaining--
 			msg.Updates = append(msg.Updates, m.updateOf(int(i)))
 		}
-		p.queued = p.transmitsLeft > 0 && !p.ownViewOnly
+		p.queued = p.retransmitsRemaining > 0 && !p.localOnly
 		if p.queued {
 			m.broadcasts = append(m.broadcasts, i)
 		}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -13,7 +13,7 @@
 //
 //	2 probes · (4 pings + 6 ping-reqs) + 3 reconnecting pings + 2 gossip messages + 1 ping of a suspect = 26 datagrams,
 //
-// and in answer to others at most 10 · maxAnswersPerTick = 60, each below MaxDatagramBytes. Payloads of other parts of
+// and in answer to others at most 10 · maxResponsesPerTick = 60, each below MaxDatagramBytes. Payloads of other parts of
 // the node come on top; these parts bound them. What is kept: one record of less than 200 bytes for each node, 64
 // indirect probes for others and 2 own probes.
 package members
@@ -29,9 +29,9 @@
 )
 
 const (
-	// TicksPerRound is how often Tick is to be called in a round.
-	TicksPerRound = 10
-	maxNodes      = 4096
+	// TicksPerPeriod is how often Tick is to be called in a round.
+	TicksPerPeriod = 10
+	maxNodes       = 4096
 )
 
 // Config is the configuration of one node's view.
@@ -42,8 +42,8 @@
 	Nodes []string
 	// Key authenticates datagrams and has to be alike at all nodes. Empty: datagrams carry a checksum alone.
 	Key []byte
-	// RoundNs is the length of a round in nanoseconds; Tick is to be called ten times in each.
-	RoundNs int64
+	// ProtocolPeriodNs is the length of a round in nanoseconds; Tick is to be called ten times in each.
+	ProtocolPeriodNs int64
 	// Seed is that of all random draws.
 	Seed uint64
 	// RunID distinguishes this process from others of the same name.
@@ -63,23 +63,23 @@
 
 // Counters count events since the start.
 type Counters struct {
-	Sent            int64 `json:"sent"`
-	SentBytes       int64 `json:"sent_bytes"`
-	Received        int64 `json:"heard"`
-	ReceivedBytes   int64 `json:"heard_bytes"`
-	Invalid         int64 `json:"bad"`          // too long, damaged, or of another key
-	UnknownVersions int64 `json:"versions"`     // of the wire format
-	UnknownNodes    int64 `json:"strangers"`    // datagrams from and updates about nodes that are not configured
-	Misdirected     int64 `json:"misled"`       // addressed to another node
-	Stale           int64 `json:"old"`          // from an earlier run of the sender
-	AnswersWithheld int64 `json:"held"`         // beyond maxAnswersPerTick
-	Probes          int64 `json:"probes"`       // that have ended
-	FailedProbes    int64 `json:"unanswered"`   // of these
-	Suspicions      int64 `json:"doubts"`       // raised by this node's own probes
-	FalseSuspicions int64 `json:"false_doubts"` // of these, refuted by the suspect
-	Deaths          int64 `json:"silences"`     // suspicions that timed out here
-	Refutations     int64 `json:"refuted"`      // suspicions of this node that it refuted
-	Stalls          int64 `json:"standstills"`  // of this node's process
+	Sent              int64 `json:"sent"`
+	SentBytes         int64 `json:"sent_bytes"`
+	Received          int64 `json:"heard"`
+	ReceivedBytes     int64 `json:"heard_bytes"`
+	Invalid           int64 `json:"bad"`          // too long, damaged, or of another key
+	UnknownVersions   int64 `json:"versions"`     // of the wire format
+	UnknownNodes      int64 `json:"strangers"`    // datagrams from and updates about nodes that are not configured
+	Misdirected       int64 `json:"misled"`       // addressed to another node
+	StaleIncarnations int64 `json:"old"`          // from an earlier run of the sender
+	RateLimited       int64 `json:"held"`         // beyond maxResponsesPerTick
+	Probes            int64 `json:"probes"`       // that have ended
+	FailedProbes      int64 `json:"unanswered"`   // of these
+	Suspicions        int64 `json:"doubts"`       // raised by this node's own probes
+	FalseSuspicions   int64 `json:"false_doubts"` // of these, refuted by the suspect
+	Failures          int64 `json:"silences"`     // suspicions that timed out here
+	Refutations       int64 `json:"refuted"`      // suspicions of this node that it refuted
+	Stalls            int64 `json:"standstills"`  // of this node's process
 }
 
 // Members is one node's view of the fleet.
@@ -95,33 +95,33 @@
 	hasLeft     bool // Leave was called
 
 	// Another process of this name.
-	rivalRunID         uint32
-	rivalClaims        int    // how often it has raised its incarnation above this node's
-	rivalIncarnation   uint64 // the highest bid
-	quietUntil         int64  // tick until which this process sends nothing
-	latestKnownStartMs uint64 // of earlier runs of this node, as other nodes know it
+	conflictRunID       uint32
+	conflictClaims      int    // how often it has raised its incarnation above this node's
+	conflictIncarnation uint64 // the highest bid
+	quietUntil          int64  // tick until which this process sends nothing
+	latestKnownStartMs  uint64 // of earlier runs of this node, as other nodes know it
 
 	peers []peer // by id
 
 	// Time and local health awareness.
-	tick         int64
-	lastCallAt   int64 // nanoseconds
-	stalledUntil int64 // tick until which a stall may be the cause of what is seen
-	healthScore  int64
-	probeResults []bool // of the last probes, whether they were answered; the newest last
-	lastProbeAt  int64  // when the newest of these ended, nanoseconds
+	tick            int64
+	lastCallAt      int64 // nanoseconds
+	stallGraceUntil int64 // tick until which a stall may be the cause of what is seen
+	healthScore     int64
+	probeResults    []bool // of the last probes, whether they were answered; the newest last
+	lastProbeAt     int64  // when the newest of these ended, nanoseconds
 
 	// Work in progress. Peers are named by their index.
-	sequence       uint64
-	probes         []*probe
-	indirectProbes []indirectProbe
-	probeOrder     []int32 // peers to be probed, shuffled anew when it is used up
-	reconnectOrder []int32 // peers that are not alive, to be pinged
-	broadcasts     []int32 // peers whose state is to be gossiped
-	suspects       []int32
-	digestPart     int
-	answersInTick  int
-	counters       Counters
+	sequence        uint64
+	probes          []*probe
+	indirectProbes  []indirectProbe
+	probeOrder      []int32 // peers to be probed, shuffled anew when it is used up
+	reconnectOrder  []int32 // peers that are not alive, to be pinged
+	broadcasts      []int32 // peers whose state is to be gossiped
+	suspects        []int32
+	digestBucket    int
+	responsesInTick int
+	counters        Counters
 }
 
 // New makes the view of a node that starts now, in Unix nanoseconds of a clock that never goes back while the node
@@ -130,7 +130,7 @@
 	if len(config.Nodes) > maxNodes {
 		return nil, fmt.Errorf("members: expected at most %d nodes, got %d", maxNodes, len(config.Nodes))
 	}
-	if config.Name == "" || config.RoundNs <= 0 {
+	if config.Name == "" || config.ProtocolPeriodNs <= 0 {
 		return nil, errors.New("members: expected a name and a round above 0")
 	}
 	if !slices.Contains(config.Nodes, config.Name) {
@@ -159,7 +159,7 @@
 		}
 		m.peers = append(m.peers, peer{
 			id:           xxhash.Sum64String(name),
-			place:        int32(i),
+			nodeIndex:    int32(i),
 			stateSince:   now,
 			priorStartMs: m.config.KnownStartsMs[name],
 		})
@@ -169,7 +169,7 @@
 		p := &m.peers[i]
 		if p.id == m.id || i > 0 && p.id == m.peers[i-1].id {
 			return fmt.Errorf("members: expected names that differ, got %q twice or two that are alike in hash",
-				m.config.Nodes[p.place])
+				m.config.Nodes[p.nodeIndex])
 		}
 	}
 	return nil
@@ -191,7 +191,7 @@
 		return
 	}
 	for i := range m.peers {
-		if int(m.peers[i].place) == to {
+		if int(m.peers[i].nodeIndex) == to {
 			m.send(i, &message{Kind: payload, Payload: content})
 			return
 		}
@@ -202,7 +202,7 @@
 func (m *Members) Reachable() (nodes []int) {
 	for i := range m.peers {
 		if p := &m.peers[i]; p.state != Dead && p.state != Left {
-			nodes = append(nodes, int(p.place))
+			nodes = append(nodes, int(p.nodeIndex))
 		}
 	}
 	return nodes
--- a/internal/members/message.go
+++ b/internal/members/message.go
@@ -41,8 +41,8 @@
 	Self         update   `cbor:"3,keyasint"`
 	Sequence     uint64   `cbor:"4,keyasint,omitempty"`
 	Target       uint64   `cbor:"5,keyasint,omitempty"`
-	Parts        int      `cbor:"6,keyasint,omitempty"` // into how many the sender divides its view
-	Part         int      `cbor:"7,keyasint,omitempty"`
+	Buckets      int      `cbor:"6,keyasint,omitempty"` // into how many the sender divides its view
+	Bucket       int      `cbor:"7,keyasint,omitempty"`
 	Digest       uint64   `cbor:"8,keyasint,omitempty"` // of Part
 	Updates      []update `cbor:"9,keyasint,omitempty"`
 	KnownStartMs uint64   `cbor:"10,keyasint,omitempty"` // in an ack: the start of the receiver's run before this one
--- a/internal/members/probe.go
+++ b/internal/members/probe.go
@@ -20,21 +20,21 @@
 
 	// Ticks after a ping-req came.
 	nackAfter            = 3
-	indirectProbeTimeout = TicksPerRound
+	indirectProbeTimeout = TicksPerPeriod
 
-	// reconnectsPerRound is how many nodes that are not alive are pinged in a round while some are unknown; else it is
+	// reconnectsPerPeriod is how many nodes that are not alive are pinged in a round while some are unknown; else it is
 	// one.
-	reconnectsPerRound = 3
+	reconnectsPerPeriod = 3
 )
 
 // probe is a probe of this node's own.
 type probe struct {
-	peer     int
-	sequence uint64
-	began    int64 // tick
-	step     int   // next in probeSteps
-	helpers  []int // peers that were sent a ping-req
-	nacks    int
+	peer         int
+	sequence     uint64
+	startTick    int64 // tick
+	nextStep     int   // next in probeSteps
+	pingReqPeers []int // peers that were sent a ping-req
+	nacks        int
 }
 
 var probeSteps = [...]int64{0, secondPing, thirdPing, firstPingReq, secondPingReq, probeTimeout}
@@ -45,28 +45,28 @@
 	requestSequence uint64
 	sequence        uint64 // of the ping
 	target          uint64
-	receivedAt      int64 // tick
+	receivedTick    int64 // tick
 }
 
-// beginProbe begins the round's probe.
-func (m *Members) beginProbe() {
+// startProbe begins the round's probe.
+func (m *Members) startProbe() {
 	if len(m.probes) >= maxProbes {
 		return
 	}
 	for range 2 * len(m.peers) {
-		i := m.nextInOrder()
-		if m.isProbed(i) {
+		i := m.nextInProbeOrder()
+		if m.isProbeTarget(i) {
 			m.sequence++
-			p := &probe{peer: i, sequence: m.sequence, began: m.tick}
+			p := &probe{peer: i, sequence: m.sequence, startTick: m.tick}
 			m.probes = append(m.probes, p)
-			m.pingFor(p)
+			m.sendProbePing(p)
 			return
 		}
 	}
 }
 
-// nextInOrder takes the next peer of the probe order, and shuffles a new order when it is used up.
-func (m *Members) nextInOrder() int {
+// nextInProbeOrder takes the next peer of the probe order, and shuffles a new order when it is used up.
+func (m *Members) nextInProbeOrder() int {
 	if len(m.probeOrder) == 0 {
 		for i := range m.peers {
 			m.probeOrder = append(m.probeOrder, int32(i))
@@ -81,8 +81,8 @@
 // probeNext makes a peer the next to be probed.
 func (m *Members) probeNext(i int) { m.probeOrder = append([]int32{int32(i)}, m.probeOrder...) }
 
-// isProbed reports whether a peer is in a state in which it is probed; others are reconnected.
-func (m *Members) isProbed(i int) bool {
+// isProbeTarget reports whether a peer is in a state in which it is probed; others are reconnected.
+func (m *Members) isProbeTarget(i int) bool {
 	state := m.peers[i].state
 	return state == Alive || state == Suspect
 }
@@ -91,72 +91,72 @@
 	m.random.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
 }
 
-func (m *Members) pingFor(p *probe) {
-	p.step++
-	m.send(p.peer, m.withDigest(&message{Kind: ping, Sequence: p.sequence}))
+func (m *Members) sendProbePing(p *probe) {
+	p.nextStep++
+	m.send(p.peer, m.withNextDigest(&message{Kind: ping, Sequence: p.sequence}))
 }
 
-func (m *Members) pingReqFor(p *probe) {
-	p.step++
+func (m *Members) sendPingReqs(p *probe) {
+	p.nextStep++
 	for _, i := range m.randomAlive(pingReqNodes, p.peer) {
-		p.helpers = append(p.helpers, i)
+		p.pingReqPeers = append(p.pingReqPeers, i)
 		m.send(i, &message{Kind: pingReq, Sequence: p.sequence, Target: m.peers[p.peer].id})
 	}
 }
 
-// continueProbes takes each probe its next step if that is due.
-func (m *Members) continueProbes(now int64) {
+// advanceProbes takes each probe its next step if that is due.
+func (m *Members) advanceProbes(now int64) {
 	kept := m.probes[:0]
 	for _, p := range m.probes {
-		if m.isProbed(p.peer) && m.continueProbe(now, p) {
+		if m.isProbeTarget(p.peer) && m.advanceProbe(now, p) {
 			kept = append(kept, p)
 		}
 	}
 	m.probes = kept
 }
 
-// continueProbe reports whether the probe goes on.
-func (m *Members) continueProbe(now int64, p *probe) bool {
-	due := probeSteps[p.step]
-	if m.tick < p.began+m.stretch(due) {
+// advanceProbe reports whether the probe goes on.
+func (m *Members) advanceProbe(now int64, p *probe) bool {
+	due := probeSteps[p.nextStep]
+	if m.tick < p.startTick+m.scaleByHealth(due) {
 		return true
 	}
 	switch due {
 	case secondPing, thirdPing:
-		m.pingFor(p)
+		m.sendProbePing(p)
 	case firstPingReq:
-		m.pingReqFor(p)
+		m.sendPingReqs(p)
 	case secondPingReq:
 		m.send(p.peer, &message{Kind: ping, Sequence: p.sequence})
-		m.pingReqFor(p)
+		m.sendPingReqs(p)
 	default:
-		m.probeFailed(now, p)
+		m.handleProbeFailure(now, p)
 		return false
 	}
 	return true
 }
 
-// probeFailed takes in a probe without an ack.
-func (m *Members) probeFailed(now int64, p *probe) {
-	m.probeEnded(now, false)
+// handleProbeFailure takes in a probe without an ack.
+func (m *Members) handleProbeFailure(now int64, p *probe) {
+	m.recordProbeResult(now, false)
 	m.counters.FailedProbes++
-	if len(p.helpers) > 0 && p.nacks == 0 {
+	if len(p.pingReqPeers) > 0 && p.nacks == 0 {
 		m.healthScore = min(m.healthScore+1, maxHealthScore)
 	}
-	if !m.isStalled() {
+	if !m.stalledRecently() {
 		m.raiseSuspicion(now, p.peer)
 	}
 }
 
-// ackReceived ends the probe that an ack belongs to, or passes it on to the node that asked for the probe.
-func (m *Members) ackReceived(now int64, from int, msg *message) {
+// handleAck ends the probe that an ack belongs to, or passes it on to the node that asked for the probe.
+func (m *Members) handleAck(now int64, from int, msg *message) {
 	acked := m.peers[from].id
 	if msg.Target != 0 {
 		acked = msg.Target
 	}
 	for k, p := range m.probes {
 		if p.sequence == msg.Sequence && m.peers[p.peer].id == acked {
-			m.probeEnded(now, true)
+			m.recordProbeResult(now, true)
 			m.probes = append(m.probes[:k], m.probes[k+1:]...)
 			return
 		}
@@ -164,7 +164,7 @@
 	for k, indirect := range m.indirectProbes {
 		if indirect.sequence == msg.Sequence && indirect.target == acked && msg.Target == 0 {
 			m.indirectProbes = append(m.indirectProbes[:k], m.indirectProbes[k+1:]...)
-			if m.mayAnswer() {
+			if m.allowResponse() {
 				m.send(indirect.from, &message{Kind: ack, Sequence: indirect.requestSequence, Target: indirect.target})
 			}
 			return
@@ -172,8 +172,8 @@
 	}
 }
 
-// nackReceived counts a nack at the probe that it belongs to.
-func (m *Members) nackReceived(msg *message) {
+// handleNack counts a nack at the probe that it belongs to.
+func (m *Members) handleNack(msg *message) {
 	for _, p := range m.probes {
 		if p.sequence == msg.Sequence && m.peers[p.peer].id == msg.Target {
 			p.nacks++
@@ -181,10 +181,10 @@
 	}
 }
 
-// pingReqReceived begins an indirect probe.
-func (m *Members) pingReqReceived(from int, msg *message) {
+// handlePingReq begins an indirect probe.
+func (m *Members) handlePingReq(from int, msg *message) {
 	target := m.find(msg.Target)
-	if target < 0 || target == from || len(m.indirectProbes) >= maxIndirectProbes || !m.mayAnswer() {
+	if target < 0 || target == from || len(m.indirectProbes) >= maxIndirectProbes || !m.allowResponse() {
 		return
 	}
 	m.sequence++
@@ -193,20 +193,20 @@
 		requestSequence: msg.Sequence,
 		sequence:        m.sequence,
 		target:          msg.Target,
-		receivedAt:      m.tick,
+		receivedTick:    m.tick,
 	})
 	m.send(target, &message{Kind: ping, Sequence: m.sequence})
 }
 
-// continueIndirectProbes sends the nacks that are due, and drops indirect probes that have timed out. An ack may still
+// advanceIndirectProbes sends the nacks that are due, and drops indirect probes that have timed out. An ack may still
 // come after a nack.
-func (m *Members) continueIndirectProbes() {
+func (m *Members) advanceIndirectProbes() {
 	kept := m.indirectProbes[:0]
 	for _, indirect := range m.indirectProbes {
-		if m.tick == indirect.receivedAt+nackAfter && m.mayAnswer() {
+		if m.tick == indirect.receivedTick+nackAfter && m.allowResponse() {
 			m.send(indirect.from, &message{Kind: nack, Sequence: indirect.requestSequence, Target: indirect.target})
 		}
-		if m.tick < indirect.receivedAt+indirectProbeTimeout {
+		if m.tick < indirect.receivedTick+indirectProbeTimeout {
 			kept = append(kept, indirect)
 		}
 	}
@@ -215,30 +215,30 @@
 
 // reconnect pings nodes that are not alive, in turn: they may be back, or reachable again.
 func (m *Members) reconnect() {
-	for pinged := 0; pinged < reconnectsPerRound; {
+	for pinged := 0; pinged < reconnectsPerPeriod; {
 		if len(m.reconnectOrder) == 0 {
-			m.shuffleReconnects()
+			m.refillReconnectOrder()
 		}
 		if len(m.reconnectOrder) == 0 {
 			return
 		}
 		i := int(m.reconnectOrder[0])
 		m.reconnectOrder = m.reconnectOrder[1:]
-		if m.isProbed(i) {
+		if m.isProbeTarget(i) {
 			continue
 		}
 		pinged++
 		m.sequence++
-		m.send(i, m.withDigest(&message{Kind: ping, Sequence: m.sequence}))
+		m.send(i, m.withNextDigest(&message{Kind: ping, Sequence: m.sequence}))
 		if m.peers[i].state != Unknown {
 			return
 		}
 	}
 }
 
-func (m *Members) shuffleReconnects() {
+func (m *Members) refillReconnectOrder() {
 	for i := range m.peers {
-		if !m.isProbed(i) {
+		if !m.isProbeTarget(i) {
 			m.reconnectOrder = append(m.reconnectOrder, int32(i))
 		}
 	}
--- a/internal/members/pushpull.go
+++ b/internal/members/pushpull.go
@@ -6,17 +6,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Anti-entropy (push-pull): the view is divided into parts of about partNodes nodes. A ping carries the digest of one
+// Anti-entropy (push-pull): the view is divided into parts of about bucketNodes nodes. A ping carries the digest of one
 // part in turn; where the receiver's differs, both send each other their states of that part.
 
-const partNodes = 20
+const bucketNodes = 20
 
-func (m *Members) parts() int { return (len(m.peers) + partNodes) / partNodes }
+func (m *Members) buckets() int { return (len(m.peers) + bucketNodes) / bucketNodes }
 
-// peersOfPart are the peers of a part, and whether this node is in it. The division goes by ID alone, so that it is the
+// peersInBucket are the peers of a part, and whether this node is in it. The division goes by ID alone, so that it is the
 // same at all nodes.
-func (m *Members) peersOfPart(part int) (peers []int, self bool) {
-	parts := uint64(m.parts())
+func (m *Members) peersInBucket(part int) (peers []int, self bool) {
+	parts := uint64(m.buckets())
 	for i := range m.peers {
 		if m.peers[i].id%parts == uint64(part) {
 			peers = append(peers, i)
@@ -28,7 +28,7 @@
 // digest is a hash of the states of a part, as a sum, since each node has an order of its own. A suspicion passes and
 // counts as alive.
 func (m *Members) digest(part int) (sum uint64) {
-	peers, self := m.peersOfPart(part)
+	peers, self := m.peersInBucket(part)
 	if self {
 		sum += hashUpdate(m.selfUpdate())
 	}
@@ -51,25 +51,25 @@
 	return xxhash.Sum64(b)
 }
 
-// withDigest adds the digest of the next part.
-func (m *Members) withDigest(msg *message) *message {
-	m.digestPart = (m.digestPart + 1) % m.parts()
-	msg.Parts, msg.Part, msg.Digest = m.parts(), m.digestPart, m.digest(m.digestPart)
+// withNextDigest adds the digest of the next part.
+func (m *Members) withNextDigest(msg *message) *message {
+	m.digestBucket = (m.digestBucket + 1) % m.buckets()
+	msg.Buckets, msg.Bucket, msg.Digest = m.buckets(), m.digestBucket, m.digest(m.digestBucket)
 	return msg
 }
 
 // differs reports whether the sender has other states of the part that its message names.
-func (m *Members) differs(msg *message) bool {
-	return msg.Parts == m.parts() && msg.Part >= 0 && msg.Part < msg.Parts && m.digest(msg.Part) != msg.Digest
+func (m *Members) digestDiffers(msg *message) bool {
+	return msg.Buckets == m.buckets() && msg.Bucket >= 0 && msg.Bucket < msg.Buckets && m.digest(msg.Bucket) != msg.Digest
 }
 
-// partUpdates are the states of a part, as many as fit, from a drawn place.
-func (m *Members) partUpdates(part int) (updates []update) {
-	peers, _ := m.peersOfPart(part)
+// bucketUpdates are the states of a part, as many as fit, from a drawn place.
+func (m *Members) bucketUpdates(part int) (updates []update) {
+	peers, _ := m.peersInBucket(part)
 	first := m.random.IntN(len(peers) + 1)
 	for k := 0; k < len(peers) && len(updates) < maxUpdates-1; k++ {
 		i := peers[(first+k)%len(peers)]
-		if m.peers[i].state != Unknown && !m.peers[i].ownViewOnly {
+		if m.peers[i].state != Unknown && !m.peers[i].localOnly {
 			updates = append(updates, m.updateOf(i))
 		}
 	}
--- a/internal/members/receive.go
+++ b/internal/members/receive.go
@@ -8,7 +8,7 @@
 	if m.hasLeft {
 		return
 	}
-	m.noteCall(now)
+	m.detectStall(now)
 	m.counters.Received++
 	m.counters.ReceivedBytes += int64(len(datagram))
 	msg, err := decode(m.config.Key, datagram)
@@ -30,12 +30,12 @@
 	}
 	p := &m.peers[from]
 	if p.incarnation != msg.Self.incarnation() || p.runID != msg.Self.RunID {
-		m.notifyStale(from)
+		m.notifyStaleSender(from)
 		return
 	}
-	p.heardAt = now
+	p.lastReceivedAt = now
 	if !m.isQuiet() {
-		m.handle(now, from, msg)
+		m.handleMessage(now, from, msg)
 	}
 }
 
@@ -63,45 +63,45 @@
 	return from, from >= 0
 }
 
-// notifyStale sends a node whose message came from an earlier run, or from another process of its name, the state that
+// notifyStaleSender sends a node whose message came from an earlier run, or from another process of its name, the state that
 // is known of it, so that it can refute. Nothing else of the message is answered.
-func (m *Members) notifyStale(from int) {
-	if !m.isQuiet() && m.mayAnswer() {
+func (m *Members) notifyStaleSender(from int) {
+	if !m.isQuiet() && m.allowResponse() {
 		m.send(from, &message{Kind: gossip, Updates: []update{m.updateOf(from)}})
 	}
 }
 
 // handle does what a message asks for.
-func (m *Members) handle(now int64, from int, msg *message) {
+func (m *Members) handleMessage(now int64, from int, msg *message) {
 	switch msg.Kind {
 	case ping:
-		m.pingReceived(from, msg)
+		m.handlePing(from, msg)
 	case ack:
 		m.latestKnownStartMs = max(m.latestKnownStartMs, msg.KnownStartMs)
-		m.ackReceived(now, from, msg)
-		if m.differs(msg) && m.mayAnswer() {
-			m.send(from, &message{Kind: pushPull, Updates: m.partUpdates(msg.Part)})
+		m.handleAck(now, from, msg)
+		if m.digestDiffers(msg) && m.allowResponse() {
+			m.send(from, &message{Kind: pushPull, Updates: m.bucketUpdates(msg.Bucket)})
 		}
 	case pingReq:
-		m.pingReqReceived(from, msg)
+		m.handlePingReq(from, msg)
 	case nack:
-		m.nackReceived(msg)
+		m.handleNack(msg)
 	case payload:
 		if m.config.ReceivePayload != nil {
-			m.config.ReceivePayload(int(m.peers[from].place), msg.Payload)
+			m.config.ReceivePayload(int(m.peers[from].nodeIndex), msg.Payload)
 		}
 	}
 }
 
-// pingReceived sends an ack, with the states of the part whose digests differ.
-func (m *Members) pingReceived(from int, msg *message) {
-	if !m.mayAnswer() {
+// handlePing sends an ack, with the states of the part whose digests differ.
+func (m *Members) handlePing(from int, msg *message) {
+	if !m.allowResponse() {
 		return
 	}
 	reply := &message{Kind: ack, Sequence: msg.Sequence, KnownStartMs: m.peers[from].priorStartMs}
-	if m.differs(msg) {
-		reply.Parts, reply.Part, reply.Digest = msg.Parts, msg.Part, m.digest(msg.Part)
-		reply.Updates = m.partUpdates(msg.Part)
+	if m.digestDiffers(msg) {
+		reply.Buckets, reply.Bucket, reply.Digest = msg.Buckets, msg.Bucket, m.digest(msg.Bucket)
+		reply.Updates = m.bucketUpdates(msg.Bucket)
 	}
 	m.send(from, reply)
 }
--- a/internal/members/refute.go
+++ b/internal/members/refute.go
@@ -5,10 +5,10 @@
 // the one with the higher run ID keeps the name, and the other sends nothing for conflictQuietTicks.
 
 const (
-	conflictThreshold  = 3   // claims of another process, or conflicting datagrams, that show a second process
-	maxConflicts       = 250 // counted
-	conflictQuietTicks = 20 * TicksPerRound
-	conflictHalving    = 20 * TicksPerRound // after which counted conflicts are halved
+	conflictThreshold     = 3   // claims of another process, or conflicting datagrams, that show a second process
+	maxConflicts          = 250 // counted
+	conflictQuietTicks    = 20 * TicksPerPeriod
+	conflictHalfLifeTicks = 20 * TicksPerPeriod // after which counted conflicts are halved
 )
 
 // refute takes in an update about this node.
@@ -17,7 +17,7 @@
 		return
 	}
 	if u.RunID != m.config.RunID {
-		if m.losesNameTo(u) {
+		if m.yieldsNameTo(u) {
 			return
 		}
 	} else {
@@ -32,16 +32,16 @@
 	m.incarnation = u.incarnation() + 1
 }
 
-// losesNameTo counts the claims of another process of this name, and reports whether this one has to give up the name.
-func (m *Members) losesNameTo(u update) bool {
-	if m.rivalRunID != u.RunID {
-		m.rivalRunID, m.rivalClaims, m.rivalIncarnation = u.RunID, 0, 0
+// yieldsNameTo counts the claims of another process of this name, and reports whether this one has to give up the name.
+func (m *Members) yieldsNameTo(u update) bool {
+	if m.conflictRunID != u.RunID {
+		m.conflictRunID, m.conflictClaims, m.conflictIncarnation = u.RunID, 0, 0
 	}
-	if u.incarnation() > m.rivalIncarnation {
-		m.rivalIncarnation = u.incarnation()
-		m.rivalClaims++
+	if u.incarnation() > m.conflictIncarnation {
+		m.conflictIncarnation = u.incarnation()
+		m.conflictClaims++
 	}
-	if m.rivalClaims < conflictThreshold || m.config.RunID >= u.RunID {
+	if m.conflictClaims < conflictThreshold || m.config.RunID >= u.RunID {
 		return false
 	}
 	m.quietUntil = m.tick + conflictQuietTicks
@@ -52,11 +52,11 @@
 func (m *Members) isQuiet() bool { return m.tick < m.quietUntil }
 
 // NameConflict reports whether another process has this node's name.
-func (m *Members) NameConflict() bool { return m.rivalClaims >= conflictThreshold || m.isQuiet() }
+func (m *Members) NameConflict() bool { return m.conflictClaims >= conflictThreshold || m.isQuiet() }
 
-// forgetConflicts lets the conflicts of a delayed datagram fade; those of a second process come again and again.
-func (m *Members) forgetConflicts() {
-	if m.tick%conflictHalving >= TicksPerRound {
+// decayConflicts lets the conflicts of a delayed datagram fade; those of a second process come again and again.
+func (m *Members) decayConflicts() {
+	if m.tick%conflictHalfLifeTicks >= TicksPerPeriod {
 		return
 	}
 	for i := range m.peers {
--- a/internal/members/suspicion.go
+++ b/internal/members/suspicion.go
@@ -8,16 +8,16 @@
 // death here: this node probes the suspect first.
 
 const (
-	maxConfirmations     = 3   // independent suspicions that shorten the timeout to its least
-	suspicionFactor      = 2.5 // rounds of the least timeout, for each factor of ten in the number of nodes
-	suspicionMaxMultiple = 3   // the timeout of a suspicion that no other node confirms, in least ones
+	maxConfirmations              = 3   // independent suspicions that shorten the timeout to its least
+	suspicionMultiplier           = 2.5 // rounds of the least timeout, for each factor of ten in the number of nodes
+	suspicionMaxTimeoutMultiplier = 3   // the timeout of a suspicion that no other node confirms, in least ones
 )
 
 // suspicion is the state of one suspicion.
 type suspicion struct {
-	own         bool  // raised by this node's own probe
-	began, ends int64 // ticks
-	confirmedBy [maxConfirmations]uint64
+	fromOwnProbe       bool  // raised by this node's own probe
+	startTick, endTick int64 // ticks
+	confirmedBy        [maxConfirmations]uint64
 }
 
 func (s *suspicion) confirmations() (n int) {
@@ -49,14 +49,14 @@
 // setSuspicionTimeout sets when a suspicion ends, by the number of nodes that have confirmed it.
 func (m *Members) setSuspicionTimeout(p *peer) {
 	nodes := len(m.peers) + 1
-	least := float64(TicksPerRound) * math.Ceil(suspicionFactor*math.Log10(float64(nodes+1)))
-	most := suspicionMaxMultiple * least
+	least := float64(TicksPerPeriod) * math.Ceil(suspicionMultiplier*math.Log10(float64(nodes+1)))
+	most := suspicionMaxTimeoutMultiplier * least
 	timeout := least
 	if wanted := min(maxConfirmations, nodes-2); wanted > 0 {
 		confirmed := math.Log(float64(p.suspicion.confirmations()+1)) / math.Log(float64(wanted+1))
 		timeout = max(least, most-(most-least)*confirmed)
 	}
-	p.suspicion.ends = max(p.suspicion.began+int64(timeout), m.stalledUntil)
+	p.suspicion.endTick = max(p.suspicion.startTick+int64(timeout), m.stallGraceUntil)
 }
 
 // raiseSuspicion takes in a probe that failed. While this node reaches no other node, the suspicion stays its own: others
@@ -68,31 +68,31 @@
 	case Alive:
 		m.counters.Suspicions++
 		m.setState(now, i, Suspect)
-		p.ownViewOnly = isolated
+		p.localOnly = isolated
 	case Suspect:
 		if !isolated {
-			p.ownViewOnly = false
+			p.localOnly = false
 		}
 	default:
 		return
 	}
-	p.suspicion.own = true
-	if !p.ownViewOnly {
+	p.suspicion.fromOwnProbe = true
+	if !p.localOnly {
 		m.broadcast(i)
 	}
 }
 
-// endSuspicions declares suspects dead that did not refute in time.
-func (m *Members) endSuspicions(now int64) {
+// expireSuspicions declares suspects dead that did not refute in time.
+func (m *Members) expireSuspicions(now int64) {
 	for k := 0; k < len(m.suspects); {
 		i := int(m.suspects[k])
 		p := &m.peers[i]
 		switch {
-		case m.tick < p.suspicion.ends || m.isStalled():
+		case m.tick < p.suspicion.endTick || m.stalledRecently():
 			k++
-		case !p.suspicion.own:
+		case !p.suspicion.fromOwnProbe:
 			m.probeNext(i) // guards against a refutation that was lost on its way here
-			p.suspicion.ends = m.tick + TicksPerRound + 2*probeTimeout
+			p.suspicion.endTick = m.tick + TicksPerPeriod + 2*probeTimeout
 			k++
 		default:
 			m.declareDead(now, i) // which removes it from suspects
@@ -102,10 +102,10 @@
 
 func (m *Members) declareDead(now int64, i int) {
 	p := &m.peers[i]
-	m.counters.Deaths++
-	ownViewOnly := p.ownViewOnly || m.isIsolated()
+	m.counters.Failures++
+	ownViewOnly := p.localOnly || m.isIsolated()
 	m.setState(now, i, Dead)
-	p.ownViewOnly = ownViewOnly
+	p.localOnly = ownViewOnly
 	if !ownViewOnly {
 		m.broadcast(i)
 	}
@@ -117,7 +117,7 @@
 	for range m.suspects {
 		i := m.suspects[0]
 		m.suspects = append(m.suspects[1:], i)
-		if m.peers[i].suspicion.own {
+		if m.peers[i].suspicion.fromOwnProbe {
 			m.sequence++
 			m.send(int(i), &message{Kind: ping, Sequence: m.sequence})
 			return
--- a/internal/members/tick.go
+++ b/internal/members/tick.go
@@ -3,13 +3,13 @@
 // The schedule of a round of ten ticks. A node's phase comes from its name, so that nodes do not act all at once.
 
 const (
-	maxAnswersPerTick = 6 // that others can make this node send
+	maxResponsesPerTick = 6 // that others can make this node send
 
-	probePhase       = 0
-	firstGossipPhase = 2
-	reconnectPhase   = 4
-	nextGossipPhase  = 6
-	suspectPhase     = 8
+	probePhase        = 0
+	firstGossipPhase  = 2
+	reconnectPhase    = 4
+	secondGossipPhase = 6
+	suspectPhase      = 8
 )
 
 // Tick is to be called ten times a round, with the time in Unix nanoseconds. Only in it a node acts on its own.
@@ -17,23 +17,23 @@
 	if m.hasLeft {
 		return
 	}
-	m.noteCall(now)
+	m.detectStall(now)
 	m.tick++
-	m.answersInTick = 0
+	m.responsesInTick = 0
 	if m.isQuiet() {
 		return
 	}
-	m.continueProbes(now)
-	m.continueIndirectProbes()
-	m.endSuspicions(now)
-	switch (m.tick + int64(m.id%TicksPerRound)) % TicksPerRound {
+	m.advanceProbes(now)
+	m.advanceIndirectProbes()
+	m.expireSuspicions(now)
+	switch (m.tick + int64(m.id%TicksPerPeriod)) % TicksPerPeriod {
 	case probePhase:
-		m.beginProbe()
-	case firstGossipPhase, nextGossipPhase:
+		m.startProbe()
+	case firstGossipPhase, secondGossipPhase:
 		m.gossipUpdates()
 	case reconnectPhase:
 		m.reconnect()
-		m.forgetConflicts()
+		m.decayConflicts()
 	case suspectPhase:
 		m.pingSuspect()
 	}
@@ -49,12 +49,12 @@
 	}
 }
 
-// mayAnswer bounds what others can make this node send.
-func (m *Members) mayAnswer() bool {
-	if m.answersInTick >= maxAnswersPerTick {
-		m.counters.AnswersWithheld++
+// allowResponse bounds what others can make this node send.
+func (m *Members) allowResponse() bool {
+	if m.responsesInTick >= maxResponsesPerTick {
+		m.counters.RateLimited++
 		return false
 	}
-	m.answersInTick++
+	m.responsesInTick++
 	return true
 }
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -4,28 +4,28 @@
 
 // Summary is how many nodes there are and how well this one reaches them.
 type Summary struct {
-	Known        bool    `json:"known"`         // false: the numbers are no basis for any conclusion
-	Reason       string  `json:"why,omitempty"` // why Known is false
-	Nodes        int     `json:"nodes"`         // configured, this one included
-	Alive        int     `json:"up"`            // this one included
-	Suspect      int     `json:"doubted"`
-	Dead         int     `json:"silent"`
-	Left         int     `json:"left"`
-	Unknown      int     `json:"never_seen"`
-	ProbeSuccess float64 `json:"heard"`  // fraction of the last probes, 32 at most, that were answered
-	AgeNs        int64   `json:"age_ns"` // since the newest of these ended
+	Reliable         bool    `json:"known"`         // false: the numbers are no basis for any conclusion
+	Reason           string  `json:"why,omitempty"` // why Known is false
+	Nodes            int     `json:"nodes"`         // configured, this one included
+	Alive            int     `json:"up"`            // this one included
+	Suspect          int     `json:"doubted"`
+	Dead             int     `json:"silent"`
+	Left             int     `json:"left"`
+	Unknown          int     `json:"never_seen"`
+	ProbeSuccessRate float64 `json:"heard"`  // fraction of the last probes, 32 at most, that were answered
+	AgeNs            int64   `json:"age_ns"` // since the newest of these ended
 }
 
 // Member is what is known of one node.
 type Member struct {
-	Name         string `json:"name"`
-	State        string `json:"state"`
-	StartMs      uint64 `json:"start_ms"` // of its own clock
-	Incarnation  uint64 `json:"incarnation"`
-	StateAgeNs   int64  `json:"since_ns"`
-	LastHeardNs  int64  `json:"heard_ns"` // since its last datagram; -1: none has come
-	NameConflict bool   `json:"twice,omitempty"`
-	OwnViewOnly  bool   `json:"own,omitempty"` // judged while this node reached no other
+	Name              string `json:"name"`
+	State             string `json:"state"`
+	StartMs           uint64 `json:"start_ms"` // of its own clock
+	Incarnation       uint64 `json:"incarnation"`
+	StateAgeNs        int64  `json:"since_ns"`
+	LastReceivedAgeNs int64  `json:"heard_ns"` // since its last datagram; -1: none has come
+	NameConflict      bool   `json:"twice,omitempty"`
+	LocalOnly         bool   `json:"own,omitempty"` // judged while this node reached no other
 }
 
 // View is all that one node knows.
@@ -33,7 +33,7 @@
 	Name         string   `json:"name"`
 	StartMs      uint64   `json:"start_ms"`
 	Incarnation  uint64   `json:"incarnation"`
-	Rounds       int64    `json:"rounds"`
+	Periods      int64    `json:"rounds"`
 	HealthScore  int64    `json:"strain"` // 0 (healthy) to 8
 	NameConflict bool     `json:"twice,omitempty"`
 	Summary      Summary  `json:"figure"`
@@ -58,13 +58,13 @@
 			s.Unknown++
 		}
 	}
-	s.ProbeSuccess = m.probeSuccess()
-	s.Reason = m.unreliable(now)
-	s.Known = s.Reason == ""
+	s.ProbeSuccessRate = m.probeSuccessRate()
+	s.Reason = m.unreliableReason(now)
+	s.Reliable = s.Reason == ""
 	return s
 }
 
-func (m *Members) probeSuccess() float64 {
+func (m *Members) probeSuccessRate() float64 {
 	if len(m.probeResults) == 0 {
 		return 0
 	}
@@ -78,13 +78,13 @@
 }
 
 // unreliable is why the view is no basis for any conclusion; empty if it is one.
-func (m *Members) unreliable(now int64) string {
+func (m *Members) unreliableReason(now int64) string {
 	switch {
 	case m.NameConflict():
 		return "another process has this name"
-	case now-m.lastCallAt > m.config.RoundNs || m.isStalled():
+	case now-m.lastCallAt > m.config.ProtocolPeriodNs || m.stalledRecently():
 		return "this node has just stood still"
-	case len(m.probeResults) < min(recentProbes, len(m.peers)):
+	case len(m.probeResults) < min(isolationProbes, len(m.peers)):
 		return "too few probes since the start"
 	case m.isIsolated() && len(m.peers) > 0:
 		return "this node hears nobody"
@@ -92,13 +92,13 @@
 	return ""
 }
 
-// StartsMs are the known starts of other nodes, in milliseconds of their clocks, by name.
-func (m *Members) StartsMs() map[string]uint64 {
+// KnownStartsMs are the known starts of other nodes, in milliseconds of their clocks, by name.
+func (m *Members) KnownStartsMs() map[string]uint64 {
 	starts := map[string]uint64{}
 	for i := range m.peers {
 		p := &m.peers[i]
 		if start := max(p.startMs, p.priorStartMs); start > 0 {
-			starts[m.config.Nodes[p.place]] = start
+			starts[m.config.Nodes[p.nodeIndex]] = start
 		}
 	}
 	return starts
@@ -109,7 +109,7 @@
 func (m *Members) LatestKnownStartMs() uint64 { return m.latestKnownStartMs }
 
 // Rounds is how many rounds have passed since the start.
-func (m *Members) Rounds() int64 { return m.tick / TicksPerRound }
+func (m *Members) Periods() int64 { return m.tick / TicksPerPeriod }
 
 // States are the states of all nodes by their index; this node's own is Alive.
 func (m *Members) States() []State {
@@ -118,7 +118,7 @@
 		states[i] = Alive
 	}
 	for i := range m.peers {
-		states[m.peers[i].place] = m.peers[i].state
+		states[m.peers[i].nodeIndex] = m.peers[i].state
 	}
 	return states
 }
@@ -143,7 +143,7 @@
 		Name:         m.config.Name,
 		StartMs:      m.startMs,
 		Incarnation:  m.incarnation,
-		Rounds:       m.Rounds(),
+		Periods:      m.Periods(),
 		HealthScore:  m.healthScore,
 		NameConflict: m.NameConflict(),
 		Summary:      m.Summary(now),
@@ -154,24 +154,24 @@
 		v.Members[i] = Member{Name: name, State: Alive.String(), StartMs: m.startMs, Incarnation: m.incarnation}
 	}
 	for i := range m.peers {
-		v.Members[m.peers[i].place] = m.memberOf(now, &m.peers[i])
+		v.Members[m.peers[i].nodeIndex] = m.memberOf(now, &m.peers[i])
 	}
 	return v
 }
 
 func (m *Members) memberOf(now int64, p *peer) Member {
 	member := Member{
-		Name:         m.config.Nodes[p.place],
-		State:        p.state.String(),
-		StartMs:      p.startMs,
-		Incarnation:  p.incarnation,
-		StateAgeNs:   now - p.stateSince,
-		LastHeardNs:  -1,
-		NameConflict: p.conflicts >= conflictThreshold,
-		OwnViewOnly:  p.ownViewOnly,
+		Name:              m.config.Nodes[p.nodeIndex],
+		State:             p.state.String(),
+		StartMs:           p.startMs,
+		Incarnation:       p.incarnation,
+		StateAgeNs:        now - p.stateSince,
+		LastReceivedAgeNs: -1,
+		NameConflict:      p.conflicts >= conflictThreshold,
+		LocalOnly:         p.localOnly,
 	}
-	if p.heardAt != 0 {
-		member.LastHeardNs = now - p.heardAt
+	if p.lastReceivedAt != 0 {
+		member.LastReceivedAgeNs = now - p.lastReceivedAt
 	}
 	return member
 }
--- a/internal/node/bufferedconn.go
+++ b/internal/node/bufferedconn.go
@@ -156,4 +156,4 @@
 // closedByPeer reports whether the peer has closed its sending side, even if unread bytes precede the end. It may be
 // called concurrently with reads and writes. It can't distinguish a half-close from a full close, which only a write
 // would show; the protocol treats a client that half-closes as gone.
-func (c *bufferedConn) closedByPeer() bool { return sockstate.Ended(c.Conn) }
+func (c *bufferedConn) closedByPeer() bool { return sockstate.PeerClosed(c.Conn) }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -80,7 +80,7 @@
 		return
 	}
 	go a.read()
-	ticks := time.NewTicker(time.Duration(a.config.ProtocolPeriodNs / members.TicksPerRound))
+	ticks := time.NewTicker(time.Duration(a.config.ProtocolPeriodNs / members.TicksPerPeriod))
 	defer ticks.Stop()
 	for {
 		select {
@@ -106,12 +106,12 @@
 		return err
 	}
 	config := members.Config{
-		Name:          a.node.config.Name,
-		Key:           a.config.KeyBytes,
-		RoundNs:       a.config.ProtocolPeriodNs,
-		Seed:          binary.LittleEndian.Uint64(random[:]),
-		RunID:         binary.LittleEndian.Uint32(random[8:]),
-		KnownStartsMs: a.node.persistence.memberStarts(),
+		Name:             a.node.config.Name,
+		Key:              a.config.KeyBytes,
+		ProtocolPeriodNs: a.config.ProtocolPeriodNs,
+		Seed:             binary.LittleEndian.Uint64(random[:]),
+		RunID:            binary.LittleEndian.Uint32(random[8:]),
+		KnownStartsMs:    a.node.persistence.memberStarts(),
 	}
 	for _, node := range a.config.Nodes {
 		config.Nodes = append(config.Nodes, node.Name)
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -198,7 +198,7 @@
 	p.opened = opened
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state.MergeFound(opened.state)
+	p.state.MergeStored(opened.state)
 	return true
 }
 
@@ -255,7 +255,7 @@
 // waited for: the next interval is soon enough.
 func (p *persistence) collectEstimates() {
 	var starts map[string]uint64
-	if p.node.members.query(func(m *members.Members, _ int64) { starts = m.StartsMs() }) == nil {
+	if p.node.members.query(func(m *members.Members, _ int64) { starts = m.KnownStartsMs() }) == nil {
 		p.mu.Lock()
 		p.state.RecordMemberStarts(p.node.clock.nanos(), starts)
 		p.mu.Unlock()
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -99,5 +99,5 @@
 
 // listConfirmedAt is when the list was last known to be current, Unix nanoseconds; 0: it is not known to be.
 func (n *Node) listConfirmedAt() int64 {
-	return cmp.Or(n.relays.RelaysHeardAt(), n.endpointWatch.lastHeard.Load())
+	return cmp.Or(n.relays.RelaysLastReceivedAt(), n.endpointWatch.lastHeard.Load())
 }
--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -10,15 +10,15 @@
 	"fawnglade/internal/store"
 )
 
-// TestRecoveryFromALogCutAtAnyByte cuts the log of a store at every byte: what is found then is what one of the batches
+// TestRecoveryFromLogTruncatedAtEveryByte cuts the log of a store at every byte: what is found then is what one of the batches
 // left, and the drains of the last complete one hold.
-func TestRecoveryFromALogCutAtAnyByte(t *testing.T) {
+func TestRecoveryFromLogTruncatedAtEveryByte(t *testing.T) {
 	dir := t.TempDir()
 	at, _, err := store.Open(dir, store.Options{ManualCompaction: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	plain, m := disk{}, disk{}.read()
+	plain, m := memoryDisk{}, memoryDisk{}.read()
 	var after []map[string]EndpointState // by batch
 	note := func() {
 		var batch store.Batch
@@ -35,10 +35,10 @@
 		}
 		after = append(after, states)
 	}
-	m.RecordStart(now)
+	m.RecordStart(testNow)
 	note()
 	for i, s := range []EndpointState{Active, Draining, Active, Draining, Removed} {
-		m.RecordList(now+int64(i), []Endpoint{server("a", s, 5), server("b", EndpointState(i%2), int64(i))}, int64(i+1), false)
+		m.RecordList(testNow+int64(i), []Endpoint{testEndpoint("a", s, 5), testEndpoint("b", EndpointState(i%2), int64(i))}, int64(i+1), false)
 		note()
 	}
 	if err := at.Close(); err != nil {
--- a/internal/nodestate/golden_test.go
+++ b/internal/nodestate/golden_test.go
@@ -12,18 +12,18 @@
 	"fawnglade/internal/store"
 )
 
-// keptDisk is what a run leaves that had endpoints in every state, estimates and starts of other nodes.
-func keptDisk() disk {
-	d := disk{}
+// goldenDisk is what a run leaves that had endpoints in every state, estimates and starts of other nodes.
+func goldenDisk() memoryDisk {
+	d := memoryDisk{}
 	m := d.read()
-	m.RecordStart(now)
-	m.RecordList(now+1e9, []Endpoint{
+	m.RecordStart(testNow)
+	m.RecordList(testNow+1e9, []Endpoint{
 		{Name: "s-up", Address: "127.0.0.1:80", Zone: "a", Pod: 3, Weight: 1.5, State: Active, StartedNs: 5},
 		{Name: "s-draining", Address: "127.0.0.2:80", Zone: "b", Weight: 1, State: Draining, StartedNs: 6},
 		{Name: "s-removed", State: Removed},
 	}, 7, false)
-	m.RecordEstimates(now+2e9, []byte(`{"MeanOf":5}`))
-	m.RecordMemberStarts(now+3e9, map[string]uint64{"n1": 1_700_000_000_000})
+	m.RecordEstimates(testNow+2e9, []byte(`{"MeanOf":5}`))
+	m.RecordMemberStarts(testNow+3e9, map[string]uint64{"n1": 1_700_000_000_000})
 	d.write(m)
 	return d
 }
@@ -31,11 +31,11 @@
 // TestGoldenRecords compares the stored records with the bytes of earlier builds.
 func TestGoldenRecords(t *testing.T) {
 	var text []byte
-	for key, value := range keptDisk() {
+	for key, value := range goldenDisk() {
 		golden.Check(t, filepath.Join("records", filepath.Base(key)+".cbor"), value)
 		text = nil
 	}
-	for _, key := range slices.Sorted(maps.Keys(keptDisk())) {
+	for _, key := range slices.Sorted(maps.Keys(goldenDisk())) {
 		text = fmt.Appendln(text, key)
 	}
 	golden.Check(t, "keys.txt", text)
@@ -60,21 +60,21 @@
 			t.Error(err)
 		}
 	}()
-	found := disk{}
+	found := memoryDisk{}
 	snap := opened.Snapshot()
 	defer snap.Release()
 	if err := snap.Each("", func(key string, value []byte) bool { found[key] = slices.Clone(value); return true }); err != nil {
 		t.Fatal(err)
 	}
-	if want := keptDisk(); !maps.EqualFunc(found, want, slices.Equal) {
+	if want := goldenDisk(); !maps.EqualFunc(found, want, slices.Equal) {
 		t.Errorf("found %q, expected %q", found, want)
 	}
 	m := found.read()
-	if m.UnreadableValues() != 0 || m.Epoch() != 1 || m.Version() != 7 || m.LastClock() != now+3e9 || len(m.MemberStartsMs()) != 1 {
+	if m.UnreadableValues() != 0 || m.Epoch() != 1 || m.Version() != 7 || m.LastClock() != testNow+3e9 || len(m.MemberStartsMs()) != 1 {
 		t.Errorf("read: %d unreadable, epoch %d, version %d, last clock %d, starts %v", m.UnreadableValues(), m.Epoch(), m.Version(), m.LastClock(), m.MemberStartsMs())
 	}
-	recovered := m.Recover(now + 4e9)
-	if len(recovered.Endpoints) != 2 || recovered.Endpoints[0].State != Draining || recovered.Endpoints[1].StartedNs != now+4e9 || string(recovered.Estimates) != `{"MeanOf":5}` {
+	recovered := m.Recover(testNow + 4e9)
+	if len(recovered.Endpoints) != 2 || recovered.Endpoints[0].State != Draining || recovered.Endpoints[1].StartedNs != testNow+4e9 || string(recovered.Estimates) != `{"MeanOf":5}` {
 		t.Errorf("recovered: %+v", recovered)
 	}
 }
--- a/internal/nodestate/state.go
+++ b/internal/nodestate/state.go
@@ -71,8 +71,8 @@
 
 // savedEstimates are the estimates of the decisions, encoded by these.
 type savedEstimates struct {
-	At   int64  `cbor:"1,keyasint"`
-	Text []byte `cbor:"2,keyasint"`
+	RecordedAt int64  `cbor:"1,keyasint"`
+	Encoded    []byte `cbor:"2,keyasint"`
 }
 
 // State is the persisted state of one node.
@@ -80,12 +80,12 @@
 	beforeStart header // as found in the store
 	olderCopy   bool   // other nodes know a later start of this node
 
-	current      header               // with what this process has recorded
-	endpoints    map[string]*Endpoint // by name
-	estimates    savedEstimates
-	memberStarts map[string]uint64 // of other nodes by name, milliseconds of their clocks
-	changed      map[string]bool   // keys that have to be written
-	unreadable   int
+	current          header               // with what this process has recorded
+	endpoints        map[string]*Endpoint // by name
+	estimates        savedEstimates
+	memberStarts     map[string]uint64 // of other nodes by name, milliseconds of their clocks
+	changed          map[string]bool   // keys that have to be written
+	unreadableValues int
 }
 
 // Load makes the state of what a store held: each is called with a function that takes one key and value after another.
@@ -94,7 +94,7 @@
 	s := &State{endpoints: map[string]*Endpoint{}, changed: map[string]bool{}}
 	each(func(key string, value []byte) {
 		if err := s.decode(key, value); err != nil {
-			s.unreadable++
+			s.unreadableValues++
 		}
 	})
 	s.current = s.beforeStart
@@ -102,7 +102,7 @@
 }
 
 // UnreadableValues is how many values Load could not read.
-func (s *State) UnreadableValues() int { return s.unreadable }
+func (s *State) UnreadableValues() int { return s.unreadableValues }
 
 // Epoch is the number of this start of the node with this state, from 1; 0 before RecordStart.
 func (s *State) Epoch() uint64 { return s.current.Epoch }
@@ -128,7 +128,7 @@
 
 func (s *State) recordTime(now int64) {
 	s.current.Clock = max(s.current.Clock, now)
-	s.changed[keyHead] = true
+	s.changed[keyHeader] = true
 }
 
 // RecordList records entries of the list at a version. complete: endpoints that are not among them were removed.
@@ -210,9 +210,9 @@
 	s.recordTime(now)
 }
 
-// MergeFound goes on with a store that was opened late and held some state: everything is written anew, the epochs go
+// MergeStored goes on with a store that was opened late and held some state: everything is written anew, the epochs go
 // on, and endpoints that only the store has are kept.
-func (s *State) MergeFound(found *State) {
+func (s *State) MergeStored(found *State) {
 	s.current.Epoch = max(s.current.Epoch, found.current.Epoch+1)
 	for name, endpoint := range found.endpoints {
 		if s.endpoints[name] == nil && len(s.endpoints) < MaxEndpoints {
@@ -222,10 +222,10 @@
 	for name := range s.endpoints {
 		s.changed[endpointPrefix+name] = true
 	}
-	if s.estimates.Text != nil {
+	if s.estimates.Encoded != nil {
 		s.changed[keyEstimates] = true
 	}
-	s.changed[keyHead] = true
+	s.changed[keyHeader] = true
 }
 
 // Change is one key that has to be written; a nil value removes it.
@@ -254,7 +254,7 @@
 // The keys of the store.
 const (
 	endpointPrefix = "server/"
-	keyHead        = "head"
+	keyHeader      = "head"
 	keyEstimates   = "learned"
 	keyMembers     = "members"
 )
@@ -265,7 +265,7 @@
 		return s.decodeEndpoint(name, value)
 	}
 	switch key {
-	case keyHead:
+	case keyHeader:
 		return cbor.Unmarshal(value, &s.beforeStart)
 	case keyEstimates:
 		return cbor.Unmarshal(value, &s.estimates)
@@ -298,7 +298,7 @@
 		return nil
 	case isEndpoint:
 		record = s.endpoints[name]
-	case key == keyHead:
+	case key == keyHeader:
 		record = &s.current
 	case key == keyMembers:
 		record = s.memberStarts
--- a/internal/nodestate/state_test.go
+++ b/internal/nodestate/state_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-const now = int64(1_700_000_000e9)
+const testNow = int64(1_700_000_000e9)
 
 // disk is a store as a map: what is not written is lost in a crash.
-type disk map[string][]byte
+type memoryDisk map[string][]byte
 
-func (d disk) read() *State {
+func (d memoryDisk) read() *State {
 	return Load(func(each func(string, []byte)) {
 		for _, k := range slices.Sorted(maps.Keys(d)) {
 			each(k, d[k])
@@ -22,7 +22,7 @@
 	})
 }
 
-func (d disk) write(m *State) {
+func (d memoryDisk) write(m *State) {
 	for _, c := range m.Changes() {
 		if c.Value == nil {
 			delete(d, c.Key)
@@ -32,17 +32,17 @@
 	}
 }
 
-func server(name string, s EndpointState, started int64) Endpoint {
+func testEndpoint(name string, s EndpointState, started int64) Endpoint {
 	return Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Weight: 1, State: s, StartedNs: started}
 }
 
-// diskOfARun is the disk of a run that had one endpoint active and one draining, at version 7, and recorded estimates.
-func diskOfARun() disk {
-	d := disk{}
+// diskAfterRun is the disk of a run that had one endpoint active and one draining, at version 7, and recorded estimates.
+func diskAfterRun() memoryDisk {
+	d := memoryDisk{}
 	m := d.read()
-	m.RecordStart(now)
-	m.RecordList(now, []Endpoint{server("up", Active, 5), server("out", Draining, 5), server("gone", Removed, 5)}, 7, true)
-	m.RecordEstimates(now+10, []byte("x"))
+	m.RecordStart(testNow)
+	m.RecordList(testNow, []Endpoint{testEndpoint("up", Active, 5), testEndpoint("out", Draining, 5), testEndpoint("gone", Removed, 5)}, 7, true)
+	m.RecordEstimates(testNow+10, []byte("x"))
 	d.write(m)
 	return d
 }
@@ -54,12 +54,12 @@
 		at   int64
 		part float64
 	}{
-		{"at once", now + 10, 1},
-		{"after a half-life", now + 10 + HalfLifeNs, 0.5},
-		{"much later", now + year, 0},
-		{"by a clock that went back", now - 60e9, 0},
+		{"at once", testNow + 10, 1},
+		{"after a half-life", testNow + 10 + HalfLifeNs, 0.5},
+		{"much later", testNow + year, 0},
+		{"by a clock that went back", testNow - 60e9, 0},
 	} {
-		got := diskOfARun().read().Recover(c.at)
+		got := diskAfterRun().read().Recover(c.at)
 		if len(got.Endpoints) != 2 || got.Endpoints[0].Name != "out" || got.Endpoints[0].State != Draining || got.Endpoints[0].StartedNs != 5 {
 			t.Errorf("%s: the drain does not hold: %+v", c.what, got.Endpoints)
 		} else if got.Endpoints[1].StartedNs != c.at {
@@ -80,69 +80,69 @@
 		older   bool
 		want    EndpointState
 	}{
-		{"an older list", server("out", Active, 5), server("up", Active, 5), 6, false, Draining},
-		{"the same list", server("out", Active, 5), server("up", Active, 5), 7, false, Draining},
-		{"a newer list", server("out", Active, 5), server("up", Active, 5), 8, false, Active},
-		{"a later start", server("out", Active, 6), server("up", Active, 5), 6, false, Active},
-		{"a start of another endpoint that this state can't know", server("out", Active, 5), server("up", Active, now+20), 1, false, Active},
-		{"an older copy of the state", server("out", Active, 5), server("up", Active, 5), 6, true, Active},
-		{"one that was removed, in an older list", server("gone", Active, 5), server("up", Active, 5), 6, false, Removed},
+		{"an older list", testEndpoint("out", Active, 5), testEndpoint("up", Active, 5), 6, false, Draining},
+		{"the same list", testEndpoint("out", Active, 5), testEndpoint("up", Active, 5), 7, false, Draining},
+		{"a newer list", testEndpoint("out", Active, 5), testEndpoint("up", Active, 5), 8, false, Active},
+		{"a later start", testEndpoint("out", Active, 6), testEndpoint("up", Active, 5), 6, false, Active},
+		{"a start of another endpoint that this state can't know", testEndpoint("out", Active, 5), testEndpoint("up", Active, testNow+20), 1, false, Active},
+		{"an older copy of the state", testEndpoint("out", Active, 5), testEndpoint("up", Active, 5), 6, true, Active},
+		{"one that was removed, in an older list", testEndpoint("gone", Active, 5), testEndpoint("up", Active, 5), 6, false, Removed},
 	} {
-		m := diskOfARun().read()
-		m.RecordStart(now + 100)
-		if c.older && !m.ReportLaterStart(uint64(now/1e6)+1000) {
+		m := diskAfterRun().read()
+		m.RecordStart(testNow + 100)
+		if c.older && !m.ReportLaterStart(uint64(testNow/1e6)+1000) {
 			t.Error(c.what, ": not seen")
 		}
 		if got := m.ApplyDrains([]Endpoint{c.out, c.beside}, c.version)[0].State; got != c.want {
 			t.Errorf("%s: %v, want %v", c.what, got, c.want)
 		}
 	}
-	others := diskOfARun().read()
-	others.RecordStart(now + 100)
-	guess := []Endpoint{server("out", Active, 5), server("up", Active, now+20)}
+	others := diskAfterRun().read()
+	others.RecordStart(testNow + 100)
+	guess := []Endpoint{testEndpoint("out", Active, 5), testEndpoint("up", Active, testNow+20)}
 	if a, b := others.ApplyDrainsToGossiped(guess, 7)[0].State, others.ApplyDrainsToGossiped(guess, 8)[0].State; a != Draining || b != Active {
 		t.Errorf("by a gossiped list as new as the state %v, by a newer one %v", a, b)
 	}
-	m := diskOfARun().read()
-	m.RecordStart(now + 100)
-	m.RecordList(now+200, []Endpoint{server("up", Draining, 5)}, 3, false)
-	if got := m.ApplyDrains([]Endpoint{server("up", Active, 5)}, 4)[0].State; got != Active {
+	m := diskAfterRun().read()
+	m.RecordStart(testNow + 100)
+	m.RecordList(testNow+200, []Endpoint{testEndpoint("up", Draining, 5)}, 3, false)
+	if got := m.ApplyDrains([]Endpoint{testEndpoint("up", Active, 5)}, 4)[0].State; got != Active {
 		t.Error("a drain from after the start holds against the list")
 	}
-	if (disk{}).read().ApplyDrains([]Endpoint{server("x", Active, 0)}, 0)[0].State != Active {
+	if (memoryDisk{}).read().ApplyDrains([]Endpoint{testEndpoint("x", Active, 0)}, 0)[0].State != Active {
 		t.Error("an empty state changes an entry")
 	}
 }
 
 func TestUnreadableValuesAreCountedAndIgnored(t *testing.T) {
-	d := diskOfARun()
+	d := diskAfterRun()
 	d["server/up"] = []byte{0xff, 1}
 	d["server/other"] = d["server/out"]
 	d["head"] = []byte("?")
 	m := d.read()
-	if m.UnreadableValues() != 3 || len(m.Recover(now).Endpoints) != 1 {
-		t.Errorf("%d unreadable, %+v", m.UnreadableValues(), m.Recover(now))
+	if m.UnreadableValues() != 3 || len(m.Recover(testNow).Endpoints) != 1 {
+		t.Errorf("%d unreadable, %+v", m.UnreadableValues(), m.Recover(testNow))
 	}
 }
 
-func TestMergeFoundOfAStoreThatOpensLate(t *testing.T) {
-	m := disk{}.read()
-	m.RecordStart(now)
-	m.RecordList(now, []Endpoint{server("new", Active, 5)}, 9, true)
+func TestMergeStoredStateOfStoreOpenedLate(t *testing.T) {
+	m := memoryDisk{}.read()
+	m.RecordStart(testNow)
+	m.RecordList(testNow, []Endpoint{testEndpoint("new", Active, 5)}, 9, true)
 	m.Changes()
-	d := diskOfARun()
-	m.MergeFound(d.read())
+	d := diskAfterRun()
+	m.MergeStored(d.read())
 	d.write(m)
-	if again := d.read(); again.EndpointCount() != 4 || again.current.Epoch != 2 || len(again.Recover(now).Endpoints) != 3 {
-		t.Errorf("epoch %d, %+v", again.current.Epoch, again.Recover(now))
+	if again := d.read(); again.EndpointCount() != 4 || again.current.Epoch != 2 || len(again.Recover(testNow).Endpoints) != 3 {
+		t.Errorf("epoch %d, %+v", again.current.Epoch, again.Recover(testNow))
 	}
 }
 
 func TestNumberOfEndpointsIsBounded(t *testing.T) {
-	m := disk{}.read()
-	m.RecordStart(now)
+	m := memoryDisk{}.read()
+	m.RecordStart(testNow)
 	for i := range MaxEndpoints + 50 {
-		m.RecordList(now+int64(i), []Endpoint{server(fmt.Sprint("s", i), Active, 5)}, int64(i), true)
+		m.RecordList(testNow+int64(i), []Endpoint{testEndpoint(fmt.Sprint("s", i), Active, 5)}, int64(i), true)
 	}
 	if m.EndpointCount() > MaxEndpoints {
 		t.Errorf("%d endpoints", m.EndpointCount())
@@ -153,9 +153,9 @@
 // lost, or ended by a list that does not come after it.
 func TestDrainsSurviveAnyCrash(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := disk{}
+		d := memoryDisk{}
 		m := d.read()
-		clock, version := now, int64(1)
+		clock, version := testNow, int64(1)
 		m.RecordStart(clock)
 		recorded, written := map[string]Endpoint{}, map[string]Endpoint{}
 		t.Repeat(map[string]func(*rapid.T){
@@ -163,7 +163,7 @@
 				clock += rapid.Int64Range(1, 1e9).Draw(t, "after")
 				version++
 				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
-				s := server(name, EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), rapid.Int64Range(0, 3).Draw(t, "started"))
+				s := testEndpoint(name, EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), rapid.Int64Range(0, 3).Draw(t, "started"))
 				m.RecordList(clock, m.ApplyDrains([]Endpoint{s}, version), version, false)
 				recorded[name] = s // a higher version than all before: recorded as it is
 			},
@@ -191,7 +191,7 @@
 						t.Fatalf("on the disk %s: %+v, want %+v", name, got, want)
 					}
 					read.RecordStart(clock + 1)
-					line := server(name, Active, 0)
+					line := testEndpoint(name, Active, 0)
 					if got := read.ApplyDrains([]Endpoint{line}, 0)[0].State; want.State != Active && got != want.State {
 						t.Fatalf("an old list ends the drain of %s: %v", name, got)
 					}
@@ -202,14 +202,14 @@
 }
 
 func FuzzLoad(f *testing.F) {
-	for k, v := range diskOfARun() {
+	for k, v := range diskAfterRun() {
 		f.Add(k, v)
 	}
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		m := disk{key: value}.read()
-		m.RecordStart(now)
-		m.Recover(now)
-		m.RecordList(now, m.ApplyDrains([]Endpoint{server("x", Active, 1)}, 1), 1, true)
-		disk{}.write(m)
+		m := memoryDisk{key: value}.read()
+		m.RecordStart(testNow)
+		m.Recover(testNow)
+		m.RecordList(testNow, m.ApplyDrains([]Endpoint{testEndpoint("x", Active, 1)}, 1), 1, true)
+		memoryDisk{}.write(m)
 	})
 }
--- a/internal/nodestate/trust.go
+++ b/internal/nodestate/trust.go
@@ -56,10 +56,10 @@
 }
 
 func (s *State) recoverEstimates(r *Recovered, now int64, clockBehind bool) {
-	if s.estimates.Text == nil {
+	if s.estimates.Encoded == nil {
 		return
 	}
-	age := now - s.estimates.At
+	age := now - s.estimates.RecordedAt
 	if clockBehind || age < 0 {
 		r.NotTrusted = append(r.NotTrusted, "what was learned is of an unknown age")
 		return
@@ -69,7 +69,7 @@
 		r.NotTrusted = append(r.NotTrusted, "what was learned is too old")
 		return
 	}
-	r.Estimates, r.EstimatesWeight = s.estimates.Text, weight
+	r.Estimates, r.EstimatesWeight = s.estimates.Encoded, weight
 }
 
 // ReportLaterStart takes in a start of this node that others know, in milliseconds of its clock. It reports whether
--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -19,7 +19,7 @@
 	tcpFinWait2    tcpState = 5
 )
 
-func (s tcpState) endedByPeer() bool {
+func (s tcpState) closedByPeer() bool {
 	return s != tcpEstablished && s != tcpFinWait1 && s != tcpFinWait2
 }
 
@@ -28,7 +28,7 @@
 //
 // Its source is TCP_INFO. It can't know of an end that follows more bytes than the kernel takes in unread: these wait at
 // the peer, and the end with them.
-func Ended(conn net.Conn) (ended bool) {
+func PeerClosed(conn net.Conn) (ended bool) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -39,7 +39,7 @@
 	}
 	closedHere := raw.Control(func(fd uintptr) {
 		state, err := readState(int(fd))
-		ended = err == nil && state.endedByPeer()
+		ended = err == nil && state.closedByPeer()
 	})
 	return ended || closedHere != nil
 }
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -71,7 +71,7 @@
 			peer, own := connect(t)
 			c.act(peer, own)
 			reached := func() bool {
-				if Ended(own) != c.ended {
+				if PeerClosed(own) != c.ended {
 					return false
 				}
 				if c.n != 1 {
@@ -83,21 +83,21 @@
 			for deadline := time.Now().Add(5 * time.Second); !reached() && time.Now().Before(deadline); {
 				time.Sleep(time.Millisecond)
 			}
-			if n, err := Peek(own); Ended(own) != c.ended || n != c.n || !errors.Is(err, c.err) {
-				t.Errorf("ended %t, %d bytes, %v", Ended(own), n, err)
+			if n, err := Peek(own); PeerClosed(own) != c.ended || n != c.n || !errors.Is(err, c.err) {
+				t.Errorf("ended %t, %d bytes, %v", PeerClosed(own), n, err)
 			}
 			own.Close()
-			if !Ended(own) {
+			if !PeerClosed(own) {
 				t.Error("closed here, and not ended")
 			}
 		})
 	}
 }
 
-func TestConnThatIsNoSocketIsOpenAndQuiet(t *testing.T) {
+func TestConnWithoutSocketIsOpenAndIdle(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	if n, err := Peek(near); Ended(near) || n > 0 || !errors.Is(err, syscall.EAGAIN) {
-		t.Errorf("ended %t, %d bytes, %v", Ended(near), n, err)
+	if n, err := Peek(near); PeerClosed(near) || n > 0 || !errors.Is(err, syscall.EAGAIN) {
+		t.Errorf("ended %t, %d bytes, %v", PeerClosed(near), n, err)
 	}
 }
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -20,7 +20,7 @@
 
 // needsCompaction reports whether enough of the log is garbage. The lock is held.
 func (s *Store) needsCompaction() bool {
-	if s.compacting || s.closed || len(s.segments) < 2 || s.failure != nil {
+	if s.compacting || s.closed || len(s.segments) < 2 || s.writeFailure != nil {
 		return false
 	}
 	total := int64(0)
@@ -35,7 +35,7 @@
 // error wraps ErrReadOnly or ErrClosed, or is the disk's.
 func (s *Store) Compact() error {
 	s.mu.Lock()
-	if err := s.writable(); err != nil || s.compacting {
+	if err := s.checkWritable(); err != nil || s.compacting {
 		s.mu.Unlock()
 		return err
 	}
@@ -104,7 +104,7 @@
 		replaces[i] = seg.id
 	}
 	name := segmentName(id)
-	compacted, err = s.createSegment(name+partSuffix, id, replaces)
+	compacted, err = s.createSegment(name+unfinishedSuffix, id, replaces)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -131,7 +131,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if syncErr != nil {
-		s.failure = syncErr
+		s.writeFailure = syncErr
 		return syncErr
 	}
 	for _, e := range moved {
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -53,14 +53,14 @@
 	}
 	recovery, err := s.recover()
 	if err != nil {
-		s.abandon()
+		s.closeFiles()
 		return nil, nil, err
 	}
 	return s, recovery, nil
 }
 
 // abandon closes what was opened of a store that can't be used. The error to report is the one before.
-func (s *Store) abandon() {
+func (s *Store) closeFiles() {
 	for _, seg := range s.segments {
 		_ = seg.file.Close()
 	}
@@ -103,7 +103,7 @@
 	}
 	var replaced []uint64
 	for _, name := range names {
-		if strings.HasSuffix(name, partSuffix) {
+		if strings.HasSuffix(name, unfinishedSuffix) {
 			removable = append(removable, name)
 			continue
 		}
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -7,7 +7,7 @@
 )
 
 // Repaired describes what a repair has copied.
-type Repaired struct {
+type RepairResult struct {
 	Batches   int
 	LostBytes int64 // that could not be read
 }
@@ -15,24 +15,24 @@
 // Repair copies what can be read of a damaged store to another directory, batch by batch in their order. What is
 // between two whole batches is lost, so that a key may come back that a lost batch had changed or deleted. The
 // damaged directory is left as it is. An error is ErrNotEmpty, or a disk's.
-func Repair(from, to Directory) (Repaired, error) {
+func Repair(from, to Directory) (RepairResult, error) {
 	existing, err := to.List()
 	if err != nil {
-		return Repaired{}, err
+		return RepairResult{}, err
 	}
 	if slices.ContainsFunc(existing, isSegmentName) {
-		return Repaired{}, ErrNotEmpty
+		return RepairResult{}, ErrNotEmpty
 	}
 	names, err := from.List()
 	if err != nil {
-		return Repaired{}, err
+		return RepairResult{}, err
 	}
 	var frames []frame
-	var repaired Repaired
+	var repaired RepairResult
 	for _, name := range slices.DeleteFunc(names, func(name string) bool { return !isSegmentName(name) }) {
 		content, err := readFile(from, name)
 		if err != nil {
-			return Repaired{}, err
+			return RepairResult{}, err
 		}
 		found, lostBytes := salvage(content)
 		frames = append(frames, found...)
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	segmentPrefix   = "seg-"
-	segmentSuffix   = ".log"
-	segmentIDDigits = 16      // hexadecimal
-	partSuffix      = ".part" // of a segment that a compaction has not finished
+	segmentPrefix    = "seg-"
+	segmentSuffix    = ".log"
+	segmentIDDigits  = 16      // hexadecimal
+	unfinishedSuffix = ".part" // of a segment that a compaction has not finished
 )
 
 // segment is a file of the log.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -31,7 +31,7 @@
 	flushing     bool
 	compacting   bool
 	liveBytes    int64 // of entries in the index
-	failure      error // after which nothing is written any more
+	writeFailure error // after which nothing is written any more
 	closed       bool
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,51 +15,51 @@
 
 // disk is a directory in memory that keeps what was synced apart from what was only written, fails on demand and can
 // crash.
-type disk struct {
-	mu      sync.Mutex
-	now     map[string]*memFile // as a running program sees it
-	durable map[string]*memFile // names that a synced directory holds
-	steps   int
-	failAt  int // from this step on everything fails; 0: never
-	full    int // bytes that writes may still take; -1: no bound
-	noSync  bool
+type faultyDisk struct {
+	mu                sync.Mutex
+	files             map[string]*memFile // as a running program sees it
+	durableFiles      map[string]*memFile // names that a synced directory holds
+	operations        int
+	failFromOperation int // from this step on everything fails; 0: never
+	freeBytes         int // bytes that writes may still take; -1: no bound
+	syncFails         bool
 }
 
 type memFile struct {
-	d       *disk
+	disk    *faultyDisk
 	data    []byte
 	durable []byte
 }
 
 var errDisk = errors.New("disk fails")
 
-func newDisk() *disk {
-	return &disk{now: map[string]*memFile{}, durable: map[string]*memFile{}, full: -1}
+func newDisk() *faultyDisk {
+	return &faultyDisk{files: map[string]*memFile{}, durableFiles: map[string]*memFile{}, freeBytes: -1}
 }
 
 // step counts an operation of the store; the lock is held.
-func (d *disk) step() error {
-	d.steps++
-	if d.failAt > 0 && d.steps >= d.failAt {
+func (d *faultyDisk) countOperation() error {
+	d.operations++
+	if d.failFromOperation > 0 && d.operations >= d.failFromOperation {
 		return errDisk
 	}
 	return nil
 }
 
 // crash returns the disk after a power loss: of names and bytes that were not synced it holds a random part.
-func (d *disk) crash(draw *rand.Rand) *disk {
+func (d *faultyDisk) crash(draw *rand.Rand) *faultyDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	after := newDisk()
-	kept := maps.Clone(d.durable)
-	for _, name := range slices.Sorted(maps.Keys(d.durable)) {
-		if d.now[name] == d.durable[name] || draw.IntN(2) == 0 {
+	kept := maps.Clone(d.durableFiles)
+	for _, name := range slices.Sorted(maps.Keys(d.durableFiles)) {
+		if d.files[name] == d.durableFiles[name] || draw.IntN(2) == 0 {
 			continue
 		}
 		// A removal or a new name may have reached the disk by itself, in any order.
 		delete(kept, name)
-		for to, f := range d.now {
-			if f == d.durable[name] {
+		for to, f := range d.files {
+			if f == d.durableFiles[name] {
 				kept[to] = f
 			}
 		}
@@ -70,69 +70,69 @@
 		if more := len(f.data) - len(data); more > 0 && slices.Equal(f.data[:len(data)], data) {
 			data = append(data, f.data[len(data):len(data)+draw.IntN(more+1)]...)
 		}
-		after.now[name] = &memFile{d: after, data: data, durable: slices.Clone(data)}
+		after.files[name] = &memFile{disk: after, data: data, durable: slices.Clone(data)}
 	}
-	after.durable = maps.Clone(after.now)
+	after.durableFiles = maps.Clone(after.files)
 	return after
 }
 
-func (d *disk) do(what func() error) error {
+func (d *faultyDisk) do(what func() error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	return what()
 }
 
-func (d *disk) Create(name string) (f File, err error) {
+func (d *faultyDisk) Create(name string) (f File, err error) {
 	err = d.do(func() error {
-		if d.now[name] != nil {
+		if d.files[name] != nil {
 			return os.ErrExist
 		}
-		d.now[name] = &memFile{d: d}
-		f = d.now[name]
+		d.files[name] = &memFile{disk: d}
+		f = d.files[name]
 		return nil
 	})
 	return f, err
 }
 
-func (d *disk) Open(name string, _ bool) (f File, err error) {
+func (d *faultyDisk) Open(name string, _ bool) (f File, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.now[name] == nil {
+	if d.files[name] == nil {
 		return nil, os.ErrNotExist
 	}
-	return d.now[name], nil
+	return d.files[name], nil
 }
 
-func (d *disk) Rename(from, to string) error {
+func (d *faultyDisk) Rename(from, to string) error {
 	return d.do(func() error {
-		d.now[to] = d.now[from]
-		delete(d.now, from)
+		d.files[to] = d.files[from]
+		delete(d.files, from)
 		return nil
 	})
 }
 
-func (d *disk) Remove(name string) error {
-	return d.do(func() error { delete(d.now, name); return nil })
+func (d *faultyDisk) Remove(name string) error {
+	return d.do(func() error { delete(d.files, name); return nil })
 }
 
-func (d *disk) List() ([]string, error) {
+func (d *faultyDisk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Sorted(maps.Keys(d.now)), nil
+	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
-func (d *disk) SyncDir() error {
-	return d.do(func() error { d.durable = maps.Clone(d.now); return nil })
+func (d *faultyDisk) SyncDir() error {
+	return d.do(func() error { d.durableFiles = maps.Clone(d.files); return nil })
 }
 
-func (d *disk) Lock() (func() error, error) { return func() error { return nil }, nil }
+func (d *faultyDisk) Lock() (func() error, error) { return func() error { return nil }, nil }
 
 func (f *memFile) ReadAt(p []byte, at int64) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
 	n := copy(p, f.data[min(at, int64(len(f.data))):])
 	if n < len(p) {
 		return n, errors.New("end of file")
@@ -141,11 +141,11 @@
 }
 
 func (f *memFile) WriteAt(p []byte, at int64) (n int, err error) {
-	err = f.d.do(func() error {
+	err = f.disk.do(func() error {
 		n = len(p)
-		if f.d.full >= 0 {
-			n = min(n, f.d.full)
-			f.d.full -= n
+		if f.disk.freeBytes >= 0 {
+			n = min(n, f.disk.freeBytes)
+			f.disk.freeBytes -= n
 		}
 		f.data = append(f.data[:at], p[:n]...)
 		if n < len(p) {
@@ -157,12 +157,12 @@
 }
 
 func (f *memFile) Truncate(size int64) error {
-	return f.d.do(func() error { f.data = f.data[:size]; return nil })
+	return f.disk.do(func() error { f.data = f.data[:size]; return nil })
 }
 
 func (f *memFile) Sync() error {
-	return f.d.do(func() error {
-		if f.d.noSync {
+	return f.disk.do(func() error {
+		if f.disk.syncFails {
 			return errDisk
 		}
 		f.durable = slices.Clone(f.data)
@@ -190,7 +190,7 @@
 	return out
 }
 
-func open(t *testing.T, d *disk, o Options) (*Store, *Recovery) {
+func open(t *testing.T, d *faultyDisk, o Options) (*Store, *Recovery) {
 	t.Helper()
 	s, r, err := OpenDirectory(d, o)
 	if err != nil {
@@ -214,7 +214,7 @@
 }
 
 // history writes batches of puts and deletes; states[i] is the content after i of them.
-func history(t *testing.T, s *Store, n int, draw *rand.Rand) (states []map[string]string) {
+func writeHistory(t *testing.T, s *Store, n int, draw *rand.Rand) (states []map[string]string) {
 	t.Helper()
 	state := map[string]string{}
 	states = append(states, maps.Clone(state))
@@ -238,17 +238,17 @@
 	return states
 }
 
-func among(states []map[string]string, got map[string]string) int {
+func indexOfState(states []map[string]string, got map[string]string) int {
 	return slices.IndexFunc(states, func(s map[string]string) bool { return maps.Equal(s, got) })
 }
 
 // A log that is cut off at any byte is recovered up to its last whole batch, and can be written again.
-func TestTornWriteAtEveryByte(t *testing.T) {
+func TestRecoveryFromLogTruncatedAtEveryByte(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
-	states := history(t, s, 40, rand.New(rand.NewPCG(1, 1)))
+	states := writeHistory(t, s, 40, rand.New(rand.NewPCG(1, 1)))
 	closeStore(t, s)
-	log := d.now[segmentName(1)].data
+	log := d.files[segmentName(1)].data
 	ends := []int{fixedHeaderBytes}
 	if _, err := scan(segmentName(1), log, true, func(at int64, f frame) {
 		ends = append(ends, int(at)+f.length)
@@ -257,7 +257,7 @@
 	}
 	for cut := range len(log) + 1 {
 		d := newDisk()
-		d.now[segmentName(1)] = &memFile{d: d, data: slices.Clone(log[:cut])}
+		d.files[segmentName(1)] = &memFile{disk: d, data: slices.Clone(log[:cut])}
 		s, r := open(t, d, Options{ManualCompaction: true})
 		want := 0
 		for want+1 < len(ends) && ends[want+1] <= cut {
@@ -281,21 +281,21 @@
 
 // A corrupted byte is reported with its place, or was in the last batch, which may be a torn write; no content is ever
 // invented.
-func TestEveryByteCorrupted(t *testing.T) {
+func TestCorruptionOfEveryByteIsReported(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true, SegmentBytes: 400})
-	states := history(t, s, 30, rand.New(rand.NewPCG(2, 2)))
+	states := writeHistory(t, s, 30, rand.New(rand.NewPCG(2, 2)))
 	closeStore(t, s)
 	names, _ := d.List()
 	refused := 0
 	for _, name := range names {
-		for at := range len(d.now[name].data) {
+		for at := range len(d.files[name].data) {
 			bad := newDisk()
-			for n, f := range d.now {
-				bad.now[n] = &memFile{d: bad, data: slices.Clone(f.data)}
+			for n, f := range d.files {
+				bad.files[n] = &memFile{disk: bad, data: slices.Clone(f.data)}
 			}
-			bad.now[name].data[at] ^= 0x41
-			before := slices.Clone(bad.now[name].data)
+			bad.files[name].data[at] ^= 0x41
+			before := slices.Clone(bad.files[name].data)
 			s, _, err := OpenDirectory(bad, Options{ManualCompaction: true})
 			if err != nil {
 				var damage *CorruptionError
@@ -303,14 +303,14 @@
 					damage.File != name {
 					t.Fatalf("%s at %d: %v", name, at, err)
 				}
-				if !slices.Equal(before, bad.now[name].data) {
+				if !slices.Equal(before, bad.files[name].data) {
 					t.Fatalf("%s at %d: refused, and changed", name, at)
 				}
 				refused++
 				continue
 			}
-			if name != names[len(names)-1] || among(states, contents(t, s)) < len(states)-2 && at >= fixedHeaderBytes {
-				if i := among(states, contents(t, s)); i < 0 || name != names[len(names)-1] {
+			if name != names[len(names)-1] || indexOfState(states, contents(t, s)) < len(states)-2 && at >= fixedHeaderBytes {
+				if i := indexOfState(states, contents(t, s)); i < 0 || name != names[len(names)-1] {
 					t.Fatalf("%s at %d: opened in a state that never was", name, at)
 				}
 			}
@@ -323,8 +323,8 @@
 
 // After a power loss at any step, also of a compaction, all that was acknowledged is there, what was not is there as
 // a whole batch or not at all, and what was deleted does not come back.
-func TestPowerLossAtEveryStep(t *testing.T) {
-	play := func(d *disk, seed uint64) (acknowledged, perhaps map[string]string) {
+func TestPowerLossAtEveryDiskOperation(t *testing.T) {
+	play := func(d *faultyDisk, seed uint64) (acknowledged, perhaps map[string]string) {
 		draw := rand.New(rand.NewPCG(seed, 3))
 		acknowledged = map[string]string{}
 		s, _, err := OpenDirectory(d, Options{ManualCompaction: true, SegmentBytes: 300})
@@ -356,13 +356,13 @@
 	}
 	complete := newDisk()
 	play(complete, 1)
-	if complete.steps < 120 {
-		t.Fatalf("%d steps, too few to prove anything", complete.steps)
+	if complete.operations < 120 {
+		t.Fatalf("%d steps, too few to prove anything", complete.operations)
 	}
-	for at := 1; at <= complete.steps+1; at++ {
+	for at := 1; at <= complete.operations+1; at++ {
 		for seed := range uint64(3) {
 			d := newDisk()
-			d.failAt = at
+			d.failFromOperation = at
 			acknowledged, perhaps := play(d, 1)
 			after := d.crash(rand.New(rand.NewPCG(seed, uint64(at))))
 			s, _, err := OpenDirectory(after, Options{ManualCompaction: true})
@@ -374,7 +374,7 @@
 			}
 			names, _ := after.List()
 			for _, name := range names {
-				if strings.HasSuffix(name, partSuffix) {
+				if strings.HasSuffix(name, unfinishedSuffix) {
 					t.Fatalf("power gone at step %d: %s is left", at, name)
 				}
 			}
@@ -382,28 +382,28 @@
 	}
 }
 
-func TestDiskFullAndSyncFails(t *testing.T) {
+func TestDiskFullAndSyncFailure(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
 	if err := s.Put("a", []byte("1")); err != nil {
 		t.Fatal(err)
 	}
-	d.full = 10
+	d.freeBytes = 10
 	if err := s.Put("b", make([]byte, 100)); err == nil || errors.Is(err, ErrReadOnly) {
 		t.Errorf("disk full: %v", err)
 	}
 	if _, found, _ := s.Get("b"); found {
 		t.Error("what was not durable can be read")
 	}
-	d.full = -1
+	d.freeBytes = -1
 	if err := s.Put("c", []byte("3")); err != nil {
 		t.Errorf("with room again: %v", err)
 	}
-	d.noSync = true
+	d.syncFails = true
 	if err := s.Put("d", []byte("4")); err == nil {
 		t.Error("acknowledged though the sync failed")
 	}
-	d.noSync = false
+	d.syncFails = false
 	if err := s.Put("e", []byte("5")); !errors.Is(err, ErrReadOnly) {
 		t.Errorf("after a failed sync: %v, want read-only", err)
 	}
@@ -418,7 +418,7 @@
 }
 
 // Several writers at once, with compactions: a snapshot does not change meanwhile.
-func TestWritersReadersCompaction(t *testing.T) {
+func TestConcurrentWritesReadsAndCompaction(t *testing.T) {
 	s, _, err := Open(t.TempDir(), Options{SegmentBytes: 8 << 10})
 	if err != nil {
 		t.Fatal(err)
@@ -475,7 +475,7 @@
 	}
 }
 
-func TestDirectories(t *testing.T) {
+func TestOpenRejectsUnusableDirectories(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "new")
 	s, _, err := Open(path, Options{})
 	if err != nil {
@@ -510,14 +510,14 @@
 }
 
 // A repair copies all batches around a corrupted one, and leaves the damaged directory as it was.
-func TestRepair(t *testing.T) {
+func TestRepairCopiesBatchesAroundCorruption(t *testing.T) {
 	d := newDisk()
 	s, _ := open(t, d, Options{ManualCompaction: true})
 	for i := range 10 {
 		put(t, s, fmt.Sprint("k", i), []byte("value"))
 	}
 	closeStore(t, s)
-	data := d.now[segmentName(1)].data
+	data := d.files[segmentName(1)].data
 	data[len(data)/2] ^= 1
 	before := slices.Clone(data)
 	var damage *CorruptionError
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -82,7 +82,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.writable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return err
 	}
 	group := s.enqueue(slices.Clone(b.ops))
@@ -107,14 +107,14 @@
 }
 
 // writable returns ErrClosed or ErrReadOnly if nothing can be written. The lock is held.
-func (s *Store) writable() error {
+func (s *Store) checkWritable() error {
 	switch {
 	case s.closed:
 		return ErrClosed
 	case s.options.ReadOnly:
 		return ErrReadOnly
-	case s.failure != nil:
-		return fmt.Errorf("%w: %w", ErrReadOnly, s.failure)
+	case s.writeFailure != nil:
+		return fmt.Errorf("%w: %w", ErrReadOnly, s.writeFailure)
 	}
 	return nil
 }
@@ -124,7 +124,7 @@
 	group := s.group
 	s.group = &commitGroup{}
 	s.flushing = true
-	err := s.failure
+	err := s.writeFailure
 	s.mu.Unlock()
 	var offset int64
 	if err == nil {
@@ -134,9 +134,9 @@
 	s.flushing = false
 	group.done = true
 	group.err = err
-	var unknown *unknownContentError
+	var unknown *unknownTailError
 	if errors.As(err, &unknown) {
-		s.failure = err
+		s.writeFailure = err
 	}
 	if err == nil {
 		s.publish(group, offset)
@@ -144,14 +144,14 @@
 	s.stateChanged.Broadcast()
 }
 
-// unknownContentError says that the content of the log's end is unknown, so that nothing more may be written.
-type unknownContentError struct{ err error }
+// unknownTailError says that the content of the log's end is unknown, so that nothing more may be written.
+type unknownTailError struct{ err error }
 
-func (e *unknownContentError) Error() string { return e.err.Error() }
-func (e *unknownContentError) Unwrap() error { return e.err }
+func (e *unknownTailError) Error() string { return e.err.Error() }
+func (e *unknownTailError) Unwrap() error { return e.err }
 
 // appendFrames appends frames to the log, makes them durable and returns their offset in the active segment. Only the
-// writer that flushes calls it. Where the disk takes a part only, that is cut off again. An *unknownContentError says
+// writer that flushes calls it. Where the disk takes a part only, that is cut off again. An *unknownTailError says
 // that this failed, or the sync did.
 func (s *Store) appendFrames(frames []byte) (offset int64, err error) {
 	size := s.active.size
@@ -170,13 +170,13 @@
 		err = fmt.Errorf("%s: %w", active.name, err)
 		if undoErr := errors.Join(active.file.Truncate(offset), active.file.Sync()); undoErr != nil {
 			err = fmt.Errorf("%w; and the part written could not be taken off: %w", err, undoErr)
-			return 0, &unknownContentError{err}
+			return 0, &unknownTailError{err}
 		}
 		return 0, err
 	}
 	if err := active.file.Sync(); err != nil {
 		err = fmt.Errorf("%s: sync failed, so what is on the disk is unknown: %w", active.name, err)
-		return 0, &unknownContentError{err}
+		return 0, &unknownTailError{err}
 	}
 	active.size += int64(len(frames))
 	return offset, nil
--- a/internal/subscription/status.go
+++ b/internal/subscription/status.go
@@ -43,12 +43,12 @@
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	discovery, _ := s.hosts.Discovery()
+	discovery, _ := s.hostTable.Discovery()
 	status.Active = s.active.String()
 	status.Relay = s.clientState.Upstream
 	status.LastError = s.clientState.Reason
 	status.ListVersion = discovery.Version
-	status.WatchesDiscovery = s.watching
+	status.WatchesDiscovery = s.watchesDiscovery
 	status.Switches = s.selector.Switches
 	status.Client = s.client.Stats()
 	return status
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -60,14 +60,14 @@
 	client *relay.Client
 	sink   *relay.SubscriberSink
 
-	mu                 sync.Mutex
-	selector           *endpointsource.Selector[V]
-	hosts              *relay.HostTable
-	active             endpointsource.Source // as last logged
-	watching           bool                  // discovery, as last asked for by WatchDiscovery
-	discoveryConnected bool
-	clientState        relay.ClientState
-	skipsLoggedAtNs    int64
+	mu                  sync.Mutex
+	selector            *endpointsource.Selector[V]
+	hostTable           *relay.HostTable
+	active              endpointsource.Source // as last logged
+	watchesDiscovery    bool                  // discovery, as last asked for by WatchDiscovery
+	discoveryConnected  bool
+	clientState         relay.ClientState
+	skipsLastLoggedAtNs int64
 
 	relaysOnly atomic.Bool // relays are active, and discovery is not watched
 }
@@ -75,22 +75,22 @@
 // New returns a subscription; nothing runs before Run. An error says that the configuration is invalid.
 func New[V any](config Config[V]) (*Subscription[V], error) {
 	s := &Subscription[V]{
-		config:   config,
-		selector: endpointsource.New[V](config.Clock(), config.StaleAfterNs, config.RestoredVersion),
-		hosts:    relay.NewHostTable(),
+		config:    config,
+		selector:  endpointsource.New[V](config.Clock(), config.StaleAfterNs, config.RestoredVersion),
+		hostTable: relay.NewHostTable(),
 	}
 	scopes := relay.WithOrigin(config.Scopes)
 	subscriber, err := distribution.NewSubscriber(relay.Selectors(scopes), distribution.Limits{})
 	if err != nil {
 		return nil, err
 	}
-	s.sink = relay.NewSubscriberSink(subscriber, scopes, s.onFrame, config.Log)
+	s.sink = relay.NewSubscriberSink(subscriber, scopes, s.handleFrame, config.Log)
 	s.client = relay.NewClient(relay.ClientConfig{
 		Name:         config.Name,
 		Upstreams:    config.Relays,
 		SpreadByName: true,
 		Clock:        config.Clock,
-		OnState:      s.onClientState,
+		OnState:      s.handleClientState,
 	}, s.sink, config.Log)
 	return s, nil
 }
@@ -144,14 +144,14 @@
 	}
 	watch := s.selector.WantsDiscovery(s.config.Clock())
 	s.relaysOnly.Store(s.active == endpointsource.SourceRelays && !watch)
-	if watch != s.watching {
-		s.watching = watch
+	if watch != s.watchesDiscovery {
+		s.watchesDiscovery = watch
 		s.config.WatchDiscovery(watch)
 	}
 }
 
-// onFrame applies what a frame of a relay has changed.
-func (s *Subscription[V]) onFrame(now int64, changes []distribution.Change) {
+// handleFrame applies what a frame of a relay has changed.
+func (s *Subscription[V]) handleFrame(now int64, changes []distribution.Change) {
 	complete, ageNs, ageKnown := false, int64(0), false
 	s.sink.Inspect(func(subscriber *distribution.Subscriber) {
 		complete = subscriber.Complete()
@@ -160,7 +160,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	endpoints := s.decode(now, changes)
-	discovery, discoveryKnown := s.hosts.Discovery()
+	discovery, discoveryKnown := s.hostTable.Discovery()
 	s.applyUpdate(s.selector.UpdateRelays(now, endpointsource.RelayUpdate[V]{
 		Changes:   endpoints,
 		Complete:  complete,
@@ -172,7 +172,7 @@
 
 // decode turns changes of records into endpoints. Records that can't be used are counted and skipped.
 func (s *Subscription[V]) decode(now int64, changes []distribution.Change) []endpointsource.Endpoint[V] {
-	hosts := s.hosts.Apply(changes)
+	hosts := s.hostTable.Apply(changes)
 	endpoints := make([]endpointsource.Endpoint[V], 0, len(hosts.Entries))
 	for _, entry := range hosts.Entries {
 		decoded, err := s.config.Decode(entry)
@@ -185,15 +185,15 @@
 	}
 	if hosts.Skipped > 0 {
 		s.config.CountSkipped(hosts.Skipped)
-		if now-s.skipsLoggedAtNs > skipLogIntervalNs {
-			s.skipsLoggedAtNs = now
+		if now-s.skipsLastLoggedAtNs > skipLogIntervalNs {
+			s.skipsLastLoggedAtNs = now
 			s.config.Log.Warn("records skipped", zap.Int("records", hosts.Skipped), zap.Error(hosts.LastErr))
 		}
 	}
 	return endpoints
 }
 
-func (s *Subscription[V]) onClientState(state relay.ClientState) {
+func (s *Subscription[V]) handleClientState(state relay.ClientState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clientState = state
@@ -216,9 +216,9 @@
 	s.applyUpdate(s.selector.UpdateDiscovery(s.config.Clock(), endpoints, complete, version))
 }
 
-// RelaysHeardAt returns when relays last sent anything, by the clock, in nanoseconds; 0: the list doesn't come from
+// RelaysLastReceivedAt returns when relays last sent anything, by the clock, in nanoseconds; 0: the list doesn't come from
 // relays alone. It takes no lock, and may be called on a nil subscription.
-func (s *Subscription[V]) RelaysHeardAt() int64 {
+func (s *Subscription[V]) RelaysLastReceivedAt() int64 {
 	if s == nil || !s.relaysOnly.Load() {
 		return 0
 	}
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -19,45 +19,45 @@
 )
 
 // node is a node that subscribes.
-type node struct {
+type testNode struct {
 	panics  atomic.Int64
 	watch   atomic.Bool
 	mu      sync.Mutex
 	applied map[string]string
 }
 
-func (n *node) recoverPanic(string, func()) {
+func (n *testNode) recoverPanic(string, func()) {
 	if recover() != nil {
 		n.panics.Add(1)
 	}
 }
 
-func (n *node) has(name string) string {
+func (n *testNode) sourceOf(name string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.applied[name]
 }
 
 // entry is an endpoint as the node under test describes it.
-type entry struct {
-	name, by string
-	state    endpointsource.EndpointState
+type testEntry struct {
+	name, source string
+	state        endpointsource.EndpointState
 }
 
-func (n *node) apply(entries []entry, _ int64, complete bool) {
+func (n *testNode) apply(entries []testEntry, _ int64, complete bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if complete {
 		n.applied = map[string]string{}
 	}
 	for _, e := range entries {
-		if n.applied[e.name] = e.by; e.state == endpointsource.StateRemoved {
+		if n.applied[e.name] = e.source; e.state == endpointsource.StateRemoved {
 			delete(n.applied, e.name)
 		}
 	}
 }
 
-func soon(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -66,17 +66,17 @@
 	}
 }
 
-func endpoint(host string) []byte { return fmt.Appendf(nil, `{"host":%q,"health":"up"}`, host) }
+func endpointBody(host string) []byte { return fmt.Appendf(nil, `{"host":%q,"health":"up"}`, host) }
 
 // origin is an origin behind a relay server.
-type origin struct {
+type testOrigin struct {
 	t       *testing.T
 	origin  *distribution.Origin
 	server  *relay.Server
 	address string
 }
 
-func newOrigin(t *testing.T) *origin {
+func newTestOrigin(t *testing.T) *testOrigin {
 	t.Helper()
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,10 +92,10 @@
 			t.Error(err)
 		}
 	})
-	return &origin{t: t, origin: o, server: s, address: l.Addr().String()}
+	return &testOrigin{t: t, origin: o, server: s, address: l.Addr().String()}
 }
 
-func (o *origin) put(scope, key string, class distribution.Class, body []byte) {
+func (o *testOrigin) put(scope, key string, class distribution.Class, body []byte) {
 	o.t.Helper()
 	o.server.Do(func(now int64) {
 		if _, err := o.origin.Put(now, scope, key, class, body); err != nil {
@@ -105,12 +105,12 @@
 }
 
 // putHosts puts hosts that subscribers get in one frame.
-func (o *origin) putHosts(hosts ...string) {
+func (o *testOrigin) putHosts(hosts ...string) {
 	o.t.Helper()
 	o.server.Do(func(now int64) {
 		for _, host := range hosts {
 			if _, err := o.origin.Put(now, "eu1/cart", relay.EndpointKey(host), distribution.ClassEndpoint,
-				endpoint(host)); err != nil {
+				endpointBody(host)); err != nil {
 				o.t.Error(err)
 			}
 		}
@@ -118,14 +118,14 @@
 }
 
 // decode can't read a host named invalid, and panics at one named panics.
-func decode(e endpointlist.Entry) (entry, error) {
+func decodeTestEntry(e endpointlist.Entry) (testEntry, error) {
 	switch e.Name {
 	case "invalid":
-		return entry{}, errors.New("invalid")
+		return testEntry{}, errors.New("invalid")
 	case "panics":
 		panic("panics")
 	}
-	out := entry{name: e.Name, by: "by relays"}
+	out := testEntry{name: e.Name, source: "by relays"}
 	if e.State == "removed" {
 		out.state = endpointsource.StateRemoved
 	}
@@ -133,19 +133,19 @@
 }
 
 // A panic at a record of the relays ends their part alone: discovery takes over.
-func TestPanicLeavesDiscovery(t *testing.T) {
-	o := newOrigin(t)
+func TestPanicInRelayUpdateFallsBackToDiscovery(t *testing.T) {
+	o := newTestOrigin(t)
 	o.putHosts("good")
 	o.put(relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, []byte(`{"seq":3,"stands":true}`))
-	n := &node{applied: map[string]string{}}
+	n := &testNode{applied: map[string]string{}}
 	var skipped atomic.Int64
-	s, err := New(Config[entry]{
+	s, err := New(Config[testEntry]{
 		Name: "n", Relays: []string{o.address}, Scopes: []string{"eu1/cart"}, StaleAfterNs: 1e9,
-		Clock: relay.NewClock(), Log: zap.NewNop(), Decode: decode,
-		ToEndpoint: func(e entry) endpointsource.Endpoint[entry] {
-			return endpointsource.Endpoint[entry]{Name: e.name, State: e.state, Value: e}
+		Clock: relay.NewClock(), Log: zap.NewNop(), Decode: decodeTestEntry,
+		ToEndpoint: func(e testEntry) endpointsource.Endpoint[testEntry] {
+			return endpointsource.Endpoint[testEntry]{Name: e.name, State: e.state, Value: e}
 		},
-		WithState: func(e entry, s endpointsource.EndpointState) entry {
+		WithState: func(e testEntry, s endpointsource.EndpointState) testEntry {
 			e.state = s
 			return e
 		},
@@ -161,20 +161,20 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go s.Run(ctx)
-	soon(t, "the list by relays", func() bool { return n.has("good") == "by relays" })
+	eventually(t, "the list by relays", func() bool { return n.sourceOf("good") == "by relays" })
 	o.putHosts("invalid", "another")
-	soon(t, "the one beside the invalid one", func() bool { return n.has("another") == "by relays" })
+	eventually(t, "the one beside the invalid one", func() bool { return n.sourceOf("another") == "by relays" })
 	n.mu.Lock()
 	if len(n.applied) != 2 || skipped.Load() != 1 {
 		t.Errorf("%q applied, %d skipped; expected two and one", n.applied, skipped.Load())
 	}
 	n.mu.Unlock()
 	o.putHosts("panics")
-	soon(t, "the panic", func() bool { return n.panics.Load() > 0 })
-	soon(t, "a watch of discovery", n.watch.Load)
-	s.UpdateDiscovery([]entry{{name: "good", by: "by discovery"}}, 4, true)
-	soon(t, "discovery's list", func() bool { return n.has("good") == "by discovery" })
-	if s.RelaysHeardAt() != 0 {
+	eventually(t, "the panic", func() bool { return n.panics.Load() > 0 })
+	eventually(t, "a watch of discovery", n.watch.Load)
+	s.UpdateDiscovery([]testEntry{{name: "good", source: "by discovery"}}, 4, true)
+	eventually(t, "discovery's list", func() bool { return n.sourceOf("good") == "by discovery" })
+	if s.RelaysLastReceivedAt() != 0 {
 		t.Error("relays still count as the source")
 	}
 	if text := s.StatusJSON(); text == "" {
@@ -187,7 +187,7 @@
 	put := func(scope, host string, gone bool) distribution.Change {
 		return distribution.Change{Record: distribution.Record{
 			Scope: scope, Key: relay.EndpointKey(host),
-			Deleted: gone, Body: endpoint(host),
+			Deleted: gone, Body: endpointBody(host),
 		}}
 	}
 	h := relay.NewHostTable()
