--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -28,7 +28,7 @@
 // socket.
 func (f *frontend) pause() {
 	f.paused.Store(true)
-	f.setAcceptDeadline(inThePast)
+	f.setAcceptDeadline(expiredDeadline)
 }
 
 func (f *frontend) resume() {
@@ -53,7 +53,7 @@
 // deadline and returns only with the next connection.
 func (f *frontend) drainAndClose(deadline time.Time) {
 	f.draining.Store(true)
-	f.setAcceptDeadline(inThePast)
+	f.setAcceptDeadline(expiredDeadline)
 	f.wakeAccept()
 	lastProgressAt := time.Now()
 	for time.Now().Before(deadline) && time.Since(lastProgressAt) < acceptStallTimeout {
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -51,7 +51,7 @@
 // the socket switches it to blocking mode.
 func TestShutdownEndsWithBlockingListener(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
-	n := processes(t, upstream)()
+	n := newProcessFactory(t, upstream)()
 	n.start()
 	raw, err := n.frontend.listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -176,7 +176,7 @@
 	upstream, _ := startUpstream(t, echo)
 	n := newNode(t, withAdmin, upstream)
 	n.loop.endpointsUpdated(n.chooseInitialList().entries, true)
-	n.overrides.rememberNames("s-0")
+	n.overrides.addKnownNames("s-0")
 	go n.loop.run()
 	go n.overrides.watch(nil)
 	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err != nil {
@@ -185,7 +185,7 @@
 	eventually(t, "the event loop has applied the override", func() bool {
 		applied := make(chan *overrideSet, 1)
 		n.loop.post(func() { applied <- n.overrides.applied })
-		return (<-applied).disabled[endpointID("s-0")]
+		return (<-applied).disabledIDs[endpointID("s-0")]
 	})
 }
 
@@ -193,7 +193,7 @@
 func TestAttemptChecksOverridesBeforeItIsSent(t *testing.T) {
 	upstream, requests := startUpstream(t, echo)
 	n := newNode(t, withAdmin, upstream)
-	n.overrides.rememberNames("s-0")
+	n.overrides.addKnownNames("s-0")
 	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err != nil {
 		t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 	for i := range 20 {
 		for _, process := range []*Node{n, other} {
 			name := fmt.Sprintf("s-%d-%p", i, process)
-			process.overrides.rememberNames(name)
+			process.overrides.addKnownNames(name)
 			changes.Go(func() {
 				if _, err := process.overrides.change(func(o *overrideSet) string { return o.disable(name, 1) }); err != nil {
 					t.Error(err)
@@ -240,7 +240,7 @@
 	}
 	changes.Wait()
 	n.overrides.reload()
-	if overrideCount := len(n.overrides.current.Load().disabled); overrideCount != 40 {
+	if overrideCount := len(n.overrides.current.Load().disabledIDs); overrideCount != 40 {
 		t.Errorf("got %d overrides after concurrent changes by both processes, want 40", overrideCount)
 	}
 }
@@ -265,13 +265,13 @@
 			t.Fatal(err)
 		}
 		restarted := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
-		if got := len(restarted.overrides.current.Load().disabled); got != want || restarted.count(overridesUnreadable) != 1 {
+		if got := len(restarted.overrides.current.Load().disabledIDs); got != want || restarted.count(overridesUnreadable) != 1 {
 			t.Errorf("%.80q: got %d endpoints disabled, want %d; got a count of %d unreadable files, want 1",
 				text, got, want, restarted.count(overridesUnreadable))
 		}
 	}
 	running := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen })
-	running.overrides.publish(&overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-7": {disabledAt: 1}}})
+	running.overrides.publish(&overrideSet{drained: true, endpoints: map[string]endpointOverride{"s-7": {disabledAt: 1}}})
 	if err := os.WriteFile(n.overrides.path, []byte(header+"server \"s-0\" 1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -285,7 +285,7 @@
 	if restarted := newNode(t, func(c *Config) { c.filesDir, c.Listen = n.config.filesDir, n.config.Listen }); restarted.count(overridesUnreadable) != 1 {
 		t.Error("a directory in place of the overrides file was not counted as unreadable")
 	}
-	n.overrides.rememberNames("s-0")
+	n.overrides.addKnownNames("s-0")
 	if _, err := n.overrides.change(func(o *overrideSet) string { return o.disable("s-0", 1) }); err == nil || n.overrides.isDisabled(endpointID("s-0")) {
 		t.Error("an override that can't be written to the file was confirmed or applied, want an error and no effect")
 	}
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -28,7 +28,7 @@
 	sentAt        policy.Time
 	deadline      policy.Time // for the response; with a streamed body, for the connection alone
 	dedupDeadline policy.Time // the request must be written before this; 0: no limit
-	neverRan      bool        // proved by its result; of the event loop alone
+	notExecuted   bool        // proved by its result; of the event loop alone
 
 	mu       sync.Mutex
 	canceled bool   // canceled, or ended
@@ -72,7 +72,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.canceled {
-		deadline = inThePast
+		deadline = expiredDeadline
 	}
 	return set(deadline)
 }
@@ -130,7 +130,7 @@
 func (e *attemptError) Unwrap() error { return e.err }
 
 // fail is the error of an attempt that ends at a stage.
-func (a *attempt) fail(stage attemptStage, err error) *attemptError {
+func (a *attempt) errorAt(stage attemptStage, err error) *attemptError {
 	return &attemptError{stage: stage, canceled: a.isCanceled(), err: err}
 }
 
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -19,7 +19,7 @@
 		fullyWritten:    {policy.OutcomeReset, policy.OutcomeTimedOut, policy.OutcomeCanceled},
 		readingResponse: {policy.OutcomeReset, policy.OutcomeTimedOut, policy.OutcomeCanceled},
 	} {
-		late := &net.OpError{Op: "read", Err: timeOut{}}
+		late := &net.OpError{Op: "read", Err: timeoutError{}}
 		for i, e := range []attemptError{{at, false, io.EOF}, {at, false, late}, {at, true, late}} {
 			if got := e.outcome(); got != want[i] {
 				t.Errorf("%v: outcome %d, want %d", &e, got, want[i])
@@ -31,21 +31,21 @@
 	}
 }
 
-type timeOut struct{}
+type timeoutError struct{}
 
-func (timeOut) Error() string { return "i/o timeout" }
+func (timeoutError) Error() string { return "i/o timeout" }
 
-func (timeOut) Timeout() bool { return true }
+func (timeoutError) Timeout() bool { return true }
 
-func (timeOut) Temporary() bool { return true }
+func (timeoutError) Temporary() bool { return true }
 
-func (timeOut) Is(target error) bool {
+func (timeoutError) Is(target error) bool {
 	return target.Error() == "i/o timeout"
 }
 
 // What happens to an endpoint, or to the request, while the connection is opened counts: the request is not written
 // then.
-func TestEventsDuringDial(t *testing.T) {
+func TestRequestIsNotWrittenAfterChangeDuringDial(t *testing.T) {
 	for name, c := range map[string]struct {
 		settings []string
 		class    string
@@ -139,7 +139,7 @@
 
 // A request that may have run goes to its deduplication group again only within the window, also where a dial takes
 // long.
-func TestDedupWindowEndsDuringDial(t *testing.T) {
+func TestRequestIsNotWrittenAfterDedupWindowEndsDuringDial(t *testing.T) {
 	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		return writeResponse(c, "500 Bad", "")
 	})
@@ -174,7 +174,7 @@
 
 // A request is written some time after the decision and arrives later still: close before the window's end it is not
 // sent.
-func TestDedupWindowIsAboutToEnd(t *testing.T) {
+func TestRequestIsNotRetriedNearDedupWindowEnd(t *testing.T) {
 	const span = 800 * time.Millisecond
 	failing, requests := startUpstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 		time.Sleep(span - 20*time.Millisecond)
@@ -190,7 +190,7 @@
 
 // A hedged request that is still being dialed when the first attempt is answered is not written, also where nothing
 // may be canceled.
-func TestResponseCrossesDialOfHedgedRequest(t *testing.T) {
+func TestHedgedRequestIsNotWrittenAfterResponse(t *testing.T) {
 	answers := newGate(t)
 	first, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
@@ -226,7 +226,7 @@
 
 // A canceled attempt counts as in flight until its outcome is known, and the outcome decides whether the request may
 // be sent again.
-func TestCanceledAttemptStillInFlight(t *testing.T) {
+func TestCanceledAttemptIsInFlightUntilItsOutcome(t *testing.T) {
 	answers := newGate(t)
 	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers.wait()
--- a/internal/node/bufferedconn.go
+++ b/internal/node/bufferedconn.go
@@ -42,14 +42,14 @@
 // either at least one byte or an error, which it also stores in readErr.
 func (c *bufferedConn) readOnce(p []byte) (int, error) {
 	if c.pacer != nil {
-		if err := c.pacer.begin(c.Conn); err != nil {
+		if err := c.pacer.beginRead(c.Conn); err != nil {
 			c.readErr = err
 			return 0, err
 		}
 	}
 	n, err := c.Read(p)
 	if c.pacer != nil {
-		c.pacer.end(n)
+		c.pacer.endRead(n)
 	}
 	if n > 0 {
 		c.lastReadAt.Store(time.Now().UnixNano())
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -167,7 +167,7 @@
 	c.lingerTimeout = closeLinger
 	if bodyIncomplete {
 		// Closing while the client still sends its body would cause a reset, which can discard the response.
-		c.lingerTimeout = bodyStall
+		c.lingerTimeout = bodyStallTimeout
 	}
 	return true
 }
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -267,7 +267,7 @@
 						`800000`, `8000000`, `75000`, `5000000`,
 						// without canceling, which would also prevent the attempts
 						`"cancelling":true`, `"cancelling":false`)(c)
-					c.Discovery, _ = watchOf(t)
+					c.Discovery, _ = startScriptedDiscovery(t)
 				}, first)
 				dialGate := newGate(t)
 				n.upstreams.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
@@ -429,7 +429,7 @@
 			withSettings(`"may_duplicate":false`, `"may_duplicate":true`, `800000`, `3000000`, `20000000`, `3000000`,
 				`75000`, `1500000`)(c)
 			c.Name, c.Seed = fmt.Sprint("n", i), fmt.Sprintf("%x", 7+i)
-			c.Discovery, _ = watchOf(t)
+			c.Discovery, _ = startScriptedDiscovery(t)
 			c.Limits.MemoryMB = 64
 		}, upstreamAddrs...)
 		n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -35,7 +35,7 @@
 		return
 	}
 	l.node.counters.add(attemptsSent)
-	l.node.upstreams.start(newAttempt)
+	l.node.upstreams.startAttempt(newAttempt)
 }
 
 // dedupDeadline returns the end of the deduplication window of the first attempt that may have run. A retry with the
@@ -46,7 +46,7 @@
 		return 0
 	}
 	for _, earlier := range request.attempts {
-		if !earlier.neverRan {
+		if !earlier.notExecuted {
 			windowEnd := earlier.sentAt.Add(class.DedupWindow)
 			deadline = min(cmp.Or(deadline, windowEnd), windowEnd)
 		}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -10,12 +10,12 @@
 // How the endpoint list enters the decisions: in slices, with the operators' overrides applied, and with connections
 // to endpoints that are no longer used closed.
 const (
-	// minListSlice is how many entries at least are taken in by one event. Each event costs a pass over all endpoints,
-	// so a long list comes in at most maxListSlices of them.
-	minListSlice  = 512
-	maxListSlices = 32
-	// maxRemovedKept bounds the endpoints that stay known after their removal, where they may still serve.
-	maxRemovedKept = 8192
+	// minListChunkEntries is how many entries at least are taken in by one event. Each event costs a pass over all endpoints,
+	// so a long list comes in at most maxListChunks of them.
+	minListChunkEntries = 512
+	maxListChunks       = 32
+	// maxRetainedRemoved bounds the endpoints that stay known after their removal, where they may still serve.
+	maxRetainedRemoved = 8192
 )
 
 // knownEndpoint is the last entry of the list for an endpoint.
@@ -27,7 +27,7 @@
 // postEndpoints enters a list, or the changes of one, in slices, so that requests are handled in between. The
 // endpoints that a complete list lacks are removed last: until then no endpoint is removed that is on it.
 func (l *eventLoop) postEndpoints(entries []endpointEntry, complete bool) {
-	size := max(minListSlice, len(entries)/maxListSlices)
+	size := max(minListChunkEntries, len(entries)/maxListChunks)
 	for slice := range slices.Chunk(entries, size) {
 		l.post(func() { l.endpointsUpdated(slice, false) })
 	}
@@ -57,7 +57,7 @@
 
 // endpointsUpdated takes in the list, if it is complete, or what has changed in it.
 func (l *eventLoop) endpointsUpdated(entries []endpointEntry, complete bool) {
-	l.node.overrides.rememberNames(endpointNames(entries)...)
+	l.node.overrides.addKnownNames(endpointNames(entries)...)
 	l.updateEndpoints(l.node.overrides.apply(entries, complete), complete)
 }
 
@@ -82,7 +82,7 @@
 			e.State = policy.StateRemoved
 		}
 		list = append(list, e.EndpointInfo)
-		if e.State == policy.StateRemoved && l.keepsRemoved() {
+		if e.State == policy.StateRemoved && l.retainsRemoved() {
 			continue
 		}
 		l.updateAddress(old, e)
@@ -90,9 +90,9 @@
 	l.handle(nil, func() { l.balancer.EndpointsUpdated(l.now, list, complete) })
 }
 
-// keepsRemoved reports whether a removed endpoint stays known with its connections, as it may still be sent to.
-func (l *eventLoop) keepsRemoved() bool {
-	return l.node.settings.Policy.RemovedMayServe && len(l.endpoints) <= maxRemovedKept
+// retainsRemoved reports whether a removed endpoint stays known with its connections, as it may still be sent to.
+func (l *eventLoop) retainsRemoved() bool {
+	return l.node.settings.Policy.RemovedMayServe && len(l.endpoints) <= maxRetainedRemoved
 }
 
 // updateAddress notes an entry. Idle connections are closed if the endpoint has moved, was restarted or is no longer
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -14,7 +14,7 @@
 // Guards against a late removal that closes connections to the new endpoint at the address, against a removed
 // endpoint that stays because another has its address, and against a connection to the old one being used for the
 // new.
-func TestEndpointAtAddressOfRemovedOne(t *testing.T) {
+func TestNewEndpointAtAddressOfRemovedOneKeepsItsConnections(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	sendRequest(t, n, "batch", "old", "")
@@ -49,7 +49,7 @@
 }
 
 // Where removal is not binding, an endpoint that the list drops is still used; draining ends that all the same.
-func TestRemovedEndpointMayServe(t *testing.T) {
+func TestRemovedEndpointServesWhereRemovalIsNotBinding(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) {
 		c.Settings = json.RawMessage(strings.Replace(settingsText, `"rules":{`,
@@ -75,7 +75,7 @@
 }
 
 // An endpoint is not removed because its entry could not be read, only because a complete readable list lacks it.
-func TestUnreadableEntryRemovesNothing(t *testing.T) {
+func TestInvalidEntryRemovesNoEndpoint(t *testing.T) {
 	n := startNode(t, nil)
 	update, err := n.parseList([]byte(listText(9, true, `{"host":"s-0","health":"odd"}`)))
 	if update.complete || err != nil {
@@ -90,7 +90,7 @@
 
 // A request idempotent by key that may have run stays in its group also where its endpoint leaves the list while it
 // is in flight: a list without the endpoint, or an entry that only calls it removed, does not tell its zone or pod.
-func TestEndpointRemovedWhileRequestInFlight(t *testing.T) {
+func TestRetryStaysInGroupOfRemovedEndpoint(t *testing.T) {
 	in := func(site string, block int, entry string) string {
 		return strings.NewReplacer(`"site":"a"`, fmt.Sprintf(`"site":%q`, site), `"block":1`,
 			fmt.Sprintf(`"block":%d`, block)).Replace(entry)
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -23,18 +23,18 @@
 
 const (
 	listConnectTimeout = time.Second
-	// listHeadTimeout is how long a call waits for its answer before another is opened beside it. It is not given up:
+	// parallelCallDelay is how long a call waits for its answer before another is opened beside it. It is not given up:
 	// discovery answers calls in turn.
-	listHeadTimeout = 3 * time.Second
+	parallelCallDelay = 3 * time.Second
 	// listSilenceTimeout ends a watch. Discovery sends an empty line every 2 s while nothing changes.
 	listSilenceTimeout = 3200 * time.Millisecond
 	// maxRetryInterval and minRetryInterval bound the time between calls where the list is pushed.
 	maxRetryInterval  = 200 * time.Millisecond
 	minRetryInterval  = 20 * time.Millisecond
 	drainGraceDivisor = 4 // of the time within which sends to a drained endpoint have to stop, if that is less
-	// reopenHeadTimeout is listHeadTimeout for the first call after a silence: what a silent watch has missed binds 6 s
+	// reopenParallelCallDelay is parallelCallDelay for the first call after a silence: what a silent watch has missed binds 6 s
 	// later.
-	reopenHeadTimeout = 2 * time.Second
+	reopenParallelCallDelay = 2 * time.Second
 	// maxPollGap bounds the time between calls where nodes poll: a list binds 6 s after discovery could be reached.
 	maxPollGap = 2 * time.Second
 	// maxOversizedBackoff bounds the time between calls for a list that is too long to be held: each costs discovery
@@ -46,18 +46,18 @@
 
 // endpointWatch holds the connection to discovery. Fields without a mutex belong to run's goroutine.
 type endpointWatch struct {
-	node             *Node
-	version          int64         // of the list; the next call asks for what came after it
-	versionAddress   string        // the address that sent the version
-	callRequests     chan struct{} // holds one request for a call
-	silenceTimeout   time.Duration
-	headTimeout      time.Duration
-	retryInterval    time.Duration
-	oversizedBackoff time.Duration // the last backoff for a list that is too long; 0: the last list was not
-	reopening        bool          // the next call reopens a watch that has fallen silent
-	firstEvent       chan struct{} // closed once a watch event has come or the first call has failed
-	firstEventOnce   sync.Once
-	lastHeard        atomic.Int64 // when the watch last received anything, Unix nanoseconds; 0: none is open
+	node               *Node
+	version            int64         // of the list; the next call asks for what came after it
+	versionAddress     string        // the address that sent the version
+	callRequests       chan struct{} // holds one request for a call
+	silenceTimeout     time.Duration
+	parallelCallDelay  time.Duration
+	retryInterval      time.Duration
+	oversizedBackoff   time.Duration // the last backoff for a list that is too long; 0: the last list was not
+	reopensSilentWatch bool          // the next call reopens a watch that has fallen silent
+	firstEvent         chan struct{} // closed once a watch event has come or the first call has failed
+	firstEventOnce     sync.Once
+	lastReceivedAt     atomic.Int64 // when the watch last received anything, Unix nanoseconds; 0: none is open
 
 	mu      sync.Mutex
 	address string
@@ -68,14 +68,14 @@
 
 func newEndpointWatch(n *Node) *endpointWatch {
 	w := &endpointWatch{
-		node:           n,
-		address:        n.config.Discovery,
-		versionAddress: n.config.Discovery,
-		callRequests:   make(chan struct{}, 1),
-		silenceTimeout: listSilenceTimeout,
-		headTimeout:    listHeadTimeout,
-		retryInterval:  maxRetryInterval,
-		firstEvent:     make(chan struct{}),
+		node:              n,
+		address:           n.config.Discovery,
+		versionAddress:    n.config.Discovery,
+		callRequests:      make(chan struct{}, 1),
+		silenceTimeout:    listSilenceTimeout,
+		parallelCallDelay: parallelCallDelay,
+		retryInterval:     maxRetryInterval,
+		firstEvent:        make(chan struct{}),
 	}
 	if grace := time.Duration(n.settings.DrainGrace); grace > 0 {
 		w.retryInterval = max(min(w.retryInterval, grace/drainGraceDivisor), minRetryInterval)
@@ -86,7 +86,7 @@
 
 // move leaves the address for another at once. Versions of different addresses can't be compared, so the next call
 // asks for the complete list.
-func (w *endpointWatch) move(address string) {
+func (w *endpointWatch) setAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.address == address {
@@ -151,7 +151,7 @@
 		if current, _ := w.current(); current != address {
 			w.node.log.Info("endpoint watch moved to another address", zap.String("from", address))
 		}
-		w.reopening = false
+		w.reopensSilentWatch = false
 		return
 	}
 	w.node.counters.add(listWatchesFailed)
@@ -173,9 +173,9 @@
 		w.node.log.Warn("endpoint watch ended", zap.Error(err), zap.Duration("lasted", lasted))
 	}
 	silent := errors.Is(err, os.ErrDeadlineExceeded)
-	w.reopening = opened && silent
+	w.reopensSilentWatch = opened && silent
 	switch {
-	case w.reopening:
+	case w.reopensSilentWatch:
 		return 0
 	case oversized:
 		return w.oversizedBackoff
@@ -206,7 +206,7 @@
 	if err != nil {
 		return false, err
 	}
-	defer w.lastHeard.Store(0)
+	defer w.lastReceivedAt.Store(0)
 	defer stream.Close()
 	reader := endpointlist.NewReader(stream, w.node.listLimits)
 	for {
@@ -226,16 +226,16 @@
 		Address:        address,
 		Request:        watchHead(address, w.version),
 		ConnectTimeout: listConnectTimeout,
-		FirstGap:       w.headTimeout,
-		Gap:            w.headTimeout,
+		FirstGap:       w.parallelCallDelay,
+		Gap:            w.parallelCallDelay,
 		RetryInterval:  w.retryInterval,
 		SilenceTimeout: w.silenceTimeout,
 		OnCall:         func() { w.node.counters.add(listWatches) },
 		OnFailure:      func() { w.node.counters.add(listWatchesFailed) },
-		OnData:         func() { w.lastHeard.Store(w.node.clock.nanos()) },
+		OnData:         func() { w.lastReceivedAt.Store(w.node.clock.nanos()) },
 	}
-	if w.reopening {
-		call.FirstGap = min(w.headTimeout, reopenHeadTimeout)
+	if w.reopensSilentWatch {
+		call.FirstGap = min(w.parallelCallDelay, reopenParallelCallDelay)
 	}
 	return call
 }
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -20,18 +20,18 @@
 // Tests of a discovery that is slow, overloaded, unreachable, or has a long list. Times are a tenth of the real ones.
 
 const (
-	tenthHead    = listHeadTimeout / 10
-	tenthSilence = listSilenceTimeout / 10
+	tenthParallelCallDelay = parallelCallDelay / 10
+	tenthSilence           = listSilenceTimeout / 10
 )
 
 // serialDiscovery answers calls in turn, one at a time and also those that were given up, and then keeps the watch
 // open.
 type serialDiscovery struct {
-	address       string
-	calls         atomic.Int64
-	now, most     atomic.Int64 // calls that wait for their turn, of one node at a time
-	queue         chan func()
-	firstAnswered int64 // calls before this one are never answered, and their connections never end
+	address                       string
+	calls                         atomic.Int64
+	waitingCalls, maxWaitingCalls atomic.Int64 // calls that wait for their turn, of one node at a time
+	queue                         chan func()
+	firstAnswered                 int64 // calls before this one are never answered, and their connections never end
 }
 
 func startSerialDiscovery(t *testing.T, cost time.Duration, from int64, text string) *serialDiscovery {
@@ -54,38 +54,38 @@
 			return
 		}
 		number := q.calls.Add(1)
-		for now := q.now.Add(1); now > q.most.Load(); {
-			q.most.Store(now)
+		for now := q.waitingCalls.Add(1); now > q.maxWaitingCalls.Load(); {
+			q.maxWaitingCalls.Store(now)
 		}
 		if number >= q.firstAnswered {
-			q.queue <- func() { writef(c, "%s%x\r\n%s\n\r\n", watchBegins, len(text)+1, text) }
+			q.queue <- func() { writef(c, "%s%x\r\n%s\n\r\n", watchResponseHead, len(text)+1, text) }
 		}
 		discard(c)
-		q.now.Add(-1)
+		q.waitingCalls.Add(-1)
 	})
 	return q
 }
 
-// newNodeAtTenthTimes makes a node without a list whose times are a tenth.
-func newNodeAtTenthTimes(t *testing.T, mode, discovery string) *Node {
+// newNodeWithTenthDelays makes a node without a list whose times are a tenth.
+func newNodeWithTenthDelays(t *testing.T, mode, discovery string) *Node {
 	n := newNode(t, func(c *Config) {
 		withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
 		c.Discovery, c.KnownList = discovery, nil
 	})
-	n.endpointWatch.headTimeout, n.endpointWatch.silenceTimeout = tenthHead, time.Hour
+	n.endpointWatch.parallelCallDelay, n.endpointWatch.silenceTimeout = tenthParallelCallDelay, time.Hour
 	return n
 }
 
 // A discovery that answers calls in turn answers each in the end: a call that waits is not given up for one at the end
 // of the queue.
-func TestSlowDiscoveryIsWaitedFor(t *testing.T) {
+func TestSlowDiscoveryGetsFewCalls(t *testing.T) {
 	text := listText(2, true, listEntry("s-0", "127.0.0.1:1", "up"))
 	for _, mode := range []string{"push", "ask"} {
 		for turn, most := range map[time.Duration]int64{400 * time.Millisecond: 2, 600 * time.Millisecond: 2, 950 * time.Millisecond: 4} {
 			t.Run(fmt.Sprint(mode, ": a turn of ", turn), func(t *testing.T) {
 				t.Parallel()
 				q := startSerialDiscovery(t, turn, 0, text)
-				n := newNodeAtTenthTimes(t, mode, q.address)
+				n := newNodeWithTenthDelays(t, mode, q.address)
 				go n.start()
 				eventually(t, "ready", func() bool { return n.notReadyReason() == "" && n.hasList.Load() })
 				if calls := q.calls.Load(); calls > most+1 { // one more where the machine is slow
@@ -98,30 +98,30 @@
 
 // Calls that were lost with the machine that had accepted them delay nothing: another is made beside them, and never a
 // third.
-func TestLostCallsAreReplaced(t *testing.T) {
+func TestUnansweredCallsAreReplaced(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			q := startSerialDiscovery(t, time.Millisecond, 4, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
-			n := newNodeAtTenthTimes(t, mode, q.address)
+			n := newNodeWithTenthDelays(t, mode, q.address)
 			go n.start()
 			eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
-			if calls, most := q.calls.Load(), q.most.Load(); calls > 5 || most > 3 { // the third until the node's close has come
+			if calls, most := q.calls.Load(), q.maxWaitingCalls.Load(); calls > 5 || most > 3 { // the third until the node's close has come
 				t.Errorf("%d calls, %d at a time", calls, most)
 			}
-			eventually(t, "the others closed", func() bool { return q.now.Load() == 1 })
+			eventually(t, "the others closed", func() bool { return q.waitingCalls.Load() == 1 })
 		})
 	}
 }
 
 // Nodes that start together before a discovery with a long queue are all ready by the queue's end, with few calls
 // beside.
-func TestFleetStartsBeforeASlowDiscovery(t *testing.T) {
+func TestManyNodesStartWithSlowDiscovery(t *testing.T) {
 	const nodes = 40
 	q := startSerialDiscovery(t, 20*time.Millisecond, 0, listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")))
 	var all []*Node
 	for i := range nodes {
-		n := newNodeAtTenthTimes(t, []string{"push", "ask"}[i%2], q.address)
+		n := newNodeWithTenthDelays(t, []string{"push", "ask"}[i%2], q.address)
 		all = append(all, n)
 		go n.start()
 	}
@@ -140,12 +140,12 @@
 
 // However long the decisions would back off after a failed call, a list binds 6 s after discovery could be reached
 // again.
-func TestBackoffAfterAFailedCallIsBounded(t *testing.T) {
+func TestBackoffAfterFailedCallIsBounded(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	address, _ := watchOf(t, func(c net.Conn, _ func(string)) {
+	address, _ := startScriptedDiscovery(t, func(c net.Conn, _ func(string)) {
 		writeText(c, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 	}, func(c net.Conn, chunk func(string)) {
-		writeText(c, watchBegins)
+		writeText(c, watchResponseHead)
 		chunk(listText(2, true, listEntry("s-0", server, "up")) + "\n")
 		discard(c)
 	})
@@ -158,24 +158,24 @@
 
 // A watch whose head comes at once and whose first event comes in its turn is not dead, and one whose first event never
 // comes is.
-func TestWatchWithAnEarlyHead(t *testing.T) {
+func TestWatchWhoseHeadPrecedesItsFirstEvent(t *testing.T) {
 	answer := func(c net.Conn, chunk func(string)) {
 		chunk(listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")) + "\n")
 		discard(c)
 	}
-	silent := func(c net.Conn, chunk func(string)) { writeText(c, watchBegins); discard(c) }
+	silent := func(c net.Conn, chunk func(string)) { writeText(c, watchResponseHead); discard(c) }
 	for name, script := range map[string][]func(net.Conn, func(string)){
 		"in its turn": {func(c net.Conn, chunk func(string)) {
-			writeText(c, watchBegins)
+			writeText(c, watchResponseHead)
 			time.Sleep(2 * tenthSilence)
 			answer(c, chunk)
 		}, silent, silent, silent},
-		"never": {silent, silent, func(c net.Conn, chunk func(string)) { writeText(c, watchBegins); answer(c, chunk) }},
+		"never": {silent, silent, func(c net.Conn, chunk func(string)) { writeText(c, watchResponseHead); answer(c, chunk) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address, asked := watchOf(t, script...)
-			n := newNodeAtTenthTimes(t, "push", address)
+			address, asked := startScriptedDiscovery(t, script...)
+			n := newNodeWithTenthDelays(t, "push", address)
 			n.endpointWatch.silenceTimeout = tenthSilence
 			go n.start()
 			eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
@@ -188,7 +188,7 @@
 
 // A list that is too long is logged once and asked for seldom, leaves the old one in use, and counts once it is short
 // enough.
-func TestListTooLongToBeHeld(t *testing.T) {
+func TestOversizedListIsIgnored(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
@@ -202,7 +202,7 @@
 				if !short.Load() {
 					text = listText(2, true, strings.Repeat(listEntry("s-1", server, "up")+",", 20)+listEntry("s-2", server, "up"))
 				}
-				writef(c, "%s%x\r\n%s\n\r\n", watchBegins, len(text)+1, text)
+				writef(c, "%s%x\r\n%s\n\r\n", watchResponseHead, len(text)+1, text)
 				discard(c)
 			})
 			n := newNode(t, func(c *Config) {
@@ -248,7 +248,7 @@
 	address := listen(t, func(c net.Conn) {
 		skipRequestHead(bufio.NewReader(c))
 		asked.Add(1)
-		writef(c, "%s%x\r\n%s\n\r\n", watchBegins, len(text)+1, text)
+		writef(c, "%s%x\r\n%s\n\r\n", watchResponseHead, len(text)+1, text)
 		for {
 			time.Sleep(time.Second)
 			if _, err := io.WriteString(c, "1\r\n\n\r\n"); err != nil {
@@ -274,21 +274,21 @@
 	if !n.overrides.isKnown("s-00000000") || !n.overrides.isKnown(fmt.Sprintf("s-%08x", servers-1)) {
 		t.Error("operators can't disable an endpoint that is on the list")
 	}
-	n.endpointWatch.move("127.0.0.1:1")
+	n.endpointWatch.setAddress("127.0.0.1:1")
 	n.updateList(t, listText(3, true)) // so that the tests after it do not pay for it
 }
 
 // A new address is called at once while a call to the old one waits, which is closed.
-func TestMoveWhileACallWaits(t *testing.T) {
+func TestAddressChangeWhileCallIsPending(t *testing.T) {
 	text := listText(2, true, listEntry("s-0", "127.0.0.1:1", "up"))
 	old, young := startSerialDiscovery(t, 0, 1000, text), startSerialDiscovery(t, 0, 0, text)
-	n := newNodeAtTenthTimes(t, "push", old.address)
-	n.endpointWatch.headTimeout, n.endpointWatch.retryInterval = time.Hour, time.Hour
+	n := newNodeWithTenthDelays(t, "push", old.address)
+	n.endpointWatch.parallelCallDelay, n.endpointWatch.retryInterval = time.Hour, time.Hour
 	go n.start()
-	eventually(t, "the call that waits", func() bool { return old.now.Load() == 1 })
-	n.endpointWatch.move(young.address)
+	eventually(t, "the call that waits", func() bool { return old.waitingCalls.Load() == 1 })
+	n.endpointWatch.setAddress(young.address)
 	eventually(t, "the list of the new address", func() bool { return n.count(listUpdates) == 1 })
-	eventually(t, "the old call closed", func() bool { return old.now.Load() == 0 })
+	eventually(t, "the old call closed", func() bool { return old.waitingCalls.Load() == 0 })
 	if n.count(listWatchesFailed) != 0 || old.calls.Load() != 1 || young.calls.Load() != 1 {
 		t.Errorf("%d calls at the old address, %d at the new, %d failed", old.calls.Load(), young.calls.Load(), n.count(listWatchesFailed))
 	}
--- a/internal/node/estimates.go
+++ b/internal/node/estimates.go
@@ -33,7 +33,7 @@
 }
 
 // inherit begins with the estimates of the process before, if they are valid.
-func (l *eventLoop) inherit(text json.RawMessage) {
+func (l *eventLoop) inheritPredecessorEstimates(text json.RawMessage) {
 	snapshot, err := l.node.decodeEstimates(text)
 	if err != nil {
 		l.node.counters.add(hotRestartsIgnored)
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -114,7 +114,7 @@
 
 // executionInfo returns when an attempt was sent and whether it may have run. It serves policy.MayReject.
 func executionInfo(a **attempt) (sentAt policy.Time, mayHaveRun bool) {
-	return (*a).sentAt, !(*a).neverRan
+	return (*a).sentAt, !(*a).notExecuted
 }
 
 // clientGone cancels a request whose client has closed its connection.
@@ -155,7 +155,7 @@
 	if result.clientGone {
 		l.clientGone(request)
 	}
-	finished.neverRan = !result.outcome.MayHaveRun()
+	finished.notExecuted = !result.outcome.MayHaveRun()
 	request.inFlight--
 	finished.cancel()
 	l.forwardResponse(request, result)
--- a/internal/node/evict.go
+++ b/internal/node/evict.go
@@ -125,6 +125,6 @@
 		return
 	}
 	c.evicting = true
-	c.conn.SetReadDeadline(inThePast)
+	c.conn.SetReadDeadline(expiredDeadline)
 	c.frontend.node.counters.add(clientsEvicted)
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -158,7 +158,7 @@
 // TestGoldenOverridesFile compares the overrides file with that of an earlier build, and parses that file.
 func TestGoldenOverridesFile(t *testing.T) {
 	n := newNode(t, func(c *Config) { c.Name, c.Listen = "n0", "127.0.0.1:0" })
-	set := &overrideSet{drained: true, endpoints: map[string]disabledEndpoint{"s-1": {disabledAt: 5}, "s \"2\"": {disabledAt: 6, enabledAt: 7}}}
+	set := &overrideSet{drained: true, endpoints: map[string]endpointOverride{"s-1": {disabledAt: 5}, "s \"2\"": {disabledAt: 6, enabledAt: 7}}}
 	if err := n.overrides.write(set); err != nil {
 		t.Fatal(err)
 	}
@@ -174,7 +174,7 @@
 	}
 	defer file.Close()
 	read, err := parseOverrides(file, n.identity())
-	if err != nil || !read.drained || len(read.endpoints) != 2 || read.endpoints["s-1"] != (disabledEndpoint{disabledAt: 5}) || read.endpoints["s \"2\""] != (disabledEndpoint{disabledAt: 6, enabledAt: 7}) {
+	if err != nil || !read.drained || len(read.endpoints) != 2 || read.endpoints["s-1"] != (endpointOverride{disabledAt: 5}) || read.endpoints["s \"2\""] != (endpointOverride{disabledAt: 6, enabledAt: 7}) {
 		t.Errorf("got overrides %+v, error %v, want drained with s-1 disabled and s \"2\" enabled again", read, err)
 	}
 }
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -28,13 +28,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { check(t, listener.Close()) })
+	t.Cleanup(func() { requireNoError(t, listener.Close()) })
 	n := startNode(t, withGossip(1, listener.LocalAddr().String()))
 	t.Cleanup(n.gossiper.close)
 	sent := policy.GossipMessage{Endpoint: endpointID("s-0"), Class: 2}
 	n.loop.post(func() { n.loop.Gossip(sent) })
 	buffer := make([]byte, 300)
-	check(t, listener.SetReadDeadline(time.Now().Add(5*time.Second)))
+	requireNoError(t, listener.SetReadDeadline(time.Now().Add(5*time.Second)))
 	length, _, err := listener.ReadFrom(buffer)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 }
 
 // Guards against gossip that holds up the loop when nothing sends it.
-func TestGossipBeyondTheOutboxIsDropped(t *testing.T) {
+func TestGossipBeyondOutboxIsDropped(t *testing.T) {
 	n := newNode(t, withGossip(0))
 	t.Cleanup(n.gossiper.close)
 	for range maxGossipOutbox + 5 {
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -27,7 +27,7 @@
 
 // silentDiscovery configures a discovery service that never responds, so that only the test posts events.
 func silentDiscovery(t *testing.T) func(*Config) {
-	address, _ := watchOf(t)
+	address, _ := startScriptedDiscovery(t)
 	return func(c *Config) { c.Discovery = address }
 }
 
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -34,11 +34,11 @@
 	node *Node
 	path string
 
-	mu          sync.Mutex
-	listener    *net.UnixListener
-	successor   net.Conn
-	predecessor net.Conn // nil once it has ended
-	yielded     bool     // the successor takes the new connections
+	mu               sync.Mutex
+	listener         *net.UnixListener
+	successor        net.Conn
+	predecessor      net.Conn // nil once it has ended
+	successorServing bool     // the successor takes the new connections
 }
 
 func newHotRestart(n *Node) *hotRestart {
@@ -94,7 +94,7 @@
 		}
 		go h.awaitPredecessorEnd(predecessor)
 	}
-	h.open()
+	h.openSocket()
 }
 
 // awaitPredecessorEnd takes the full limits once the predecessor has ended.
@@ -110,7 +110,7 @@
 
 // open takes over the path of the socket, also from a process that is shutting down or has died. Without it the node
 // serves all the same, and the next restart is a plain start.
-func (h *hotRestart) open() {
+func (h *hotRestart) openSocket() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	listener, err := h.listen()
@@ -128,7 +128,7 @@
 // listen opens a socket under a path of this process's own and renames it into place.
 func (h *hotRestart) listen() (*net.UnixListener, error) {
 	ownPath := fmt.Sprintf("%s.%d", h.path, os.Getpid())
-	removeLeftover(ownPath)
+	removeIfExists(ownPath)
 	address, release, err := socketAddress(ownPath)
 	if err != nil {
 		return nil, err
@@ -141,7 +141,7 @@
 	listener.SetUnlinkOnClose(false) // the path may be the successor's by then
 	if err := errors.Join(os.Chmod(ownPath, 0o600), os.Rename(ownPath, h.path)); err != nil {
 		listener.Close()
-		removeLeftover(ownPath)
+		removeIfExists(ownPath)
 		return nil, err
 	}
 	return listener, nil
@@ -196,7 +196,7 @@
 		return
 	}
 	h.mu.Lock()
-	h.yielded = true
+	h.successorServing = true
 	h.mu.Unlock()
 	h.node.frontend.pause()
 	h.node.log.Info("hot restart: the successor takes the new connections")
@@ -207,12 +207,12 @@
 // no other that would. The full limits come last: from then on a further successor must find this process.
 func (h *hotRestart) successorEnded() {
 	h.mu.Lock()
-	h.successor, h.yielded = nil, false
+	h.successor, h.successorServing = nil, false
 	h.mu.Unlock()
 	h.node.frontend.resume()
 	if !h.node.shuttingDown.Load() {
 		h.node.log.Warn("hot restart: the successor has ended, this process goes on")
-		h.open()
+		h.openSocket()
 	}
 	h.node.divideLimits()
 }
@@ -222,7 +222,7 @@
 	if err := readHello(conn, in, h.hello()); err != nil {
 		return err
 	}
-	if !h.claimSuccessor(conn) {
+	if !h.registerSuccessor(conn) {
 		return errRestartInProgress
 	}
 	if err := json.NewEncoder(conn).Encode(h.state()); err != nil {
@@ -234,7 +234,7 @@
 	return nil
 }
 
-func (h *hotRestart) claimSuccessor(conn net.Conn) bool {
+func (h *hotRestart) registerSuccessor(conn net.Conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.successor != nil {
@@ -250,7 +250,7 @@
 	fromLoop := make(chan restartState, 1)
 	go h.node.loop.post(func() {
 		fromLoop <- restartState{
-			Endpoints: h.node.overrides.encodeUnmodified(),
+			Endpoints: h.node.overrides.encodeListWithoutOverrides(),
 			Estimates: h.node.loop.encodeEstimates(),
 		}
 	})
@@ -262,15 +262,15 @@
 	return state
 }
 
-// hasYielded reports whether a successor takes the new connections.
-func (h *hotRestart) hasYielded() bool {
+// hasServingSuccessor reports whether a successor takes the new connections.
+func (h *hotRestart) hasServingSuccessor() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.yielded
+	return h.successorServing
 }
 
 // processes is how many processes the node has now, this one included.
-func (h *hotRestart) processes() int {
+func (h *hotRestart) processCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.successor != nil || h.predecessor != nil {
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -16,7 +16,7 @@
 )
 
 // processes makes processes of one node: they share a directory, an address and its socket.
-func processes(t *testing.T, servers ...string) (next func() *Node) {
+func newProcessFactory(t *testing.T, servers ...string) (next func() *Node) {
 	t.Helper()
 	held, err := net.Listen("tcp", unusedAddress())
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-func (n *Node) mostOpen() int {
+func (n *Node) maxUpstreamConns() int {
 	n.upstreams.mu.Lock()
 	defer n.upstreams.mu.Unlock()
 	return n.upstreams.maxOpen
@@ -54,14 +54,14 @@
 	t.Helper()
 	text := make(chan json.RawMessage, 1)
 	n.loop.post(func() { text <- n.loop.encodeEstimates() })
-	check(t, json.Unmarshal(<-text, &all))
+	requireNoError(t, json.Unmarshal(<-text, &all))
 	return all
 }
 
 // The successor has the predecessor's state, takes all new connections, and both keep within one node's limits.
 func TestSuccessorTakesOver(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	next := processes(t)
+	next := newProcessFactory(t)
 	old := next()
 	old.start()
 	old.postList(t, string(encodeList(7, []endpointEntry{{name: "s-7", address: server, EndpointInfo: activeEndpointInfo("s-7")}}, []string{"a"})))
@@ -73,13 +73,13 @@
 	if status, _, _ := readResponse(keptIn); status != 200 {
 		t.Fatalf("the old process answered %d", status)
 	}
-	alone := old.mostOpen()
+	alone := old.maxUpstreamConns()
 	fresh := next()
 	if fresh.inherited == nil || !fresh.overrides.isKnown("s-7") && len(fresh.chooseInitialList().entries) != 1 {
 		t.Fatalf("the predecessor was not found, or has sent nothing: %+v", fresh.inherited)
 	}
-	eventually(t, "the old one has given up its half", func() bool { return old.mostOpen() < alone })
-	if both := old.mostOpen() + fresh.mostOpen(); both > alone+1 {
+	eventually(t, "the old one has given up its half", func() bool { return old.maxUpstreamConns() < alone })
+	if both := old.maxUpstreamConns() + fresh.maxUpstreamConns(); both > alone+1 {
 		t.Errorf("both together may open %d connections to upstreams, one alone %d", both, alone)
 	}
 	if fresh.notReadyReason() == "" {
@@ -87,7 +87,7 @@
 	}
 	fresh.start()
 	eventually(t, "the new one is ready", func() bool { return fresh.adminCall(t, "GET /ready") == 200 })
-	eventually(t, "the old one has yielded", old.hotRestart.hasYielded)
+	eventually(t, "the old one has yielded", old.hotRestart.hasServingSuccessor)
 	if !fresh.overrides.isKnown("s-8") {
 		t.Error("a name that was listed once is not known any more")
 	}
@@ -109,7 +109,7 @@
 	}
 	old.shutDown()
 	old.hotRestart.closeSuccessor()
-	eventually(t, "the new one has the whole limits", func() bool { return fresh.mostOpen() == alone })
+	eventually(t, "the new one has the whole limits", func() bool { return fresh.maxUpstreamConns() == alone })
 	third := next()
 	if third.inherited == nil {
 		t.Error("a third process does not find the second")
@@ -117,25 +117,25 @@
 }
 
 // Guards against an upgrade whose failure ends the node.
-func TestPredecessorGoesOnWhenTheSuccessorDies(t *testing.T) {
+func TestPredecessorResumesWhenSuccessorDies(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	next := processes(t, server)
+	next := newProcessFactory(t, server)
 	old := next()
 	old.start()
-	alone := old.mostOpen()
+	alone := old.maxUpstreamConns()
 	for _, ready := range []bool{false, true, true} {
 		fresh := next()
-		eventually(t, "half the limits", func() bool { return old.mostOpen() < alone })
+		eventually(t, "half the limits", func() bool { return old.maxUpstreamConns() < alone })
 		if ready {
 			fresh.hotRestart.announceServing()
-			eventually(t, "the old one yields", old.hotRestart.hasYielded)
+			eventually(t, "the old one yields", old.hotRestart.hasServingSuccessor)
 		}
 		fresh.hotRestart.close()
 		fresh.hotRestart.mu.Lock()
 		fresh.hotRestart.predecessor.Close()
 		fresh.hotRestart.mu.Unlock()
 		fresh.frontend.listener.Close()
-		eventually(t, "all is as before", func() bool { return old.mostOpen() == alone && !old.hotRestart.hasYielded() })
+		eventually(t, "all is as before", func() bool { return old.maxUpstreamConns() == alone && !old.hotRestart.hasServingSuccessor() })
 		for i := range 10 {
 			if status, _, _ := sendRequest(t, old, "batch", fmt.Sprint(ready, i, time.Now().UnixNano()), ""); status != 200 {
 				t.Errorf("after the successor died a request was answered %d", status)
@@ -147,24 +147,24 @@
 // Whatever is at the predecessor's path is not trusted, and delays no start for long.
 func TestInvalidPredecessorIsIgnored(t *testing.T) {
 	for name, place := range map[string]func(path string){
-		"a file":   func(path string) { check(t, os.WriteFile(path, []byte("x"), 0o600)) },
-		"a folder": func(path string) { check(t, os.Mkdir(path, 0o700)) },
+		"a file":   func(path string) { requireNoError(t, os.WriteFile(path, []byte("x"), 0o600)) },
+		"a folder": func(path string) { requireNoError(t, os.Mkdir(path, 0o700)) },
 		"left over": func(path string) {
 			l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path})
-			check(t, err)
+			requireNoError(t, err)
 			l.SetUnlinkOnClose(false)
 			l.Close()
 		},
-		"silent": func(path string) { answerAt(t, path, "") },
-		"noise":  func(path string) { answerAt(t, path, "\x00\xff{{{\n") },
-		"closes": func(path string) { answerAt(t, path, "close") },
+		"silent": func(path string) { listenWithReply(t, path, "") },
+		"noise":  func(path string) { listenWithReply(t, path, "\x00\xff{{{\n") },
+		"closes": func(path string) { listenWithReply(t, path, "close") },
 		"another version": func(path string) {
-			answerAt(t, path, `{"handover":9,"node":"x"}`+"\n")
+			listenWithReply(t, path, `{"handover":9,"node":"x"}`+"\n")
 		},
-		"endless": func(path string) { answerAt(t, path, strings.Repeat("x", maxRestartState+2)) },
+		"endless": func(path string) { listenWithReply(t, path, strings.Repeat("x", maxRestartState+2)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			next := processes(t)
+			next := newProcessFactory(t)
 			probe := next()
 			place(probe.hotRestart.path)
 			began := time.Now()
@@ -178,8 +178,8 @@
 	}
 }
 
-// answerAt listens at a path and sends the same text to all.
-func answerAt(t *testing.T, path, text string) {
+// listenWithReply listens at a path and sends the same text to all.
+func listenWithReply(t *testing.T, path, text string) {
 	listenAt(t, "unix", path, func(c net.Conn) {
 		if text != "close" {
 			writeText(c, text)
@@ -189,7 +189,7 @@
 }
 
 // check fails the test on an error of its preparation.
-func check(t *testing.T, err error) {
+func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/hotrestartrace_test.go
+++ b/internal/node/hotrestartrace_test.go
@@ -6,14 +6,14 @@
 )
 
 // Where the successor dies while the old process shuts down, the old one takes what still comes.
-func TestSuccessorDiesWhileTheOldProcessStops(t *testing.T) {
+func TestPredecessorServesWhenSuccessorDiesDuringShutdown(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	next := processes(t, server)
+	next := newProcessFactory(t, server)
 	old := next()
 	old.start()
 	fresh := next()
 	fresh.hotRestart.announceServing()
-	eventually(t, "the old one yields", old.hotRestart.hasYielded)
+	eventually(t, "the old one yields", old.hotRestart.hasServingSuccessor)
 	client, in := dial(t, old) // stands in the kernel: the successor was to take it
 	writeText(client, requestText("batch", "t", ""))
 	stopped := make(chan struct{})
@@ -30,7 +30,7 @@
 }
 
 // With two successors at once, or both processes told to end, no request is lost.
-func TestHandOversCross(t *testing.T) {
+func TestOverlappingHotRestartsLoseNoRequest(t *testing.T) {
 	for name, cross := range map[string]func(t *testing.T, next func() *Node, old *Node, ask func(string)){
 		"two successors": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
 			first := next()
@@ -41,14 +41,14 @@
 			second.start()
 			ask("second")
 			first.start()
-			eventually(t, "the old one yields", old.hotRestart.hasYielded)
+			eventually(t, "the old one yields", old.hotRestart.hasServingSuccessor)
 			old.shutDown()
 			ask("first")
 		},
 		"both stop": func(t *testing.T, next func() *Node, old *Node, ask func(string)) {
 			fresh := next()
 			fresh.start()
-			eventually(t, "the old one yields", old.hotRestart.hasYielded)
+			eventually(t, "the old one yields", old.hotRestart.hasServingSuccessor)
 			var done sync.WaitGroup
 			for _, n := range []*Node{old, fresh} {
 				done.Go(n.shutDown)
@@ -62,7 +62,7 @@
 		) {
 			fresh := next()
 			fresh.hotRestart.announceServing() // says so, and does not take yet
-			eventually(t, "the old one yields", old.hotRestart.hasYielded)
+			eventually(t, "the old one yields", old.hotRestart.hasServingSuccessor)
 			old.shutDown()
 			go fresh.start()
 			ask("after")
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server, _ := startUpstream(t, echo)
-			next := processes(t, server)
+			next := newProcessFactory(t, server)
 			old := next()
 			old.start()
 			cross(t, next, old, func(id string) {
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -32,7 +32,7 @@
 		}
 	}
 	persisted := initialList{entries: n.persistence.endpoints(), version: n.persistence.version()}
-	n.overrides.rememberNames(endpointNames(persisted.entries)...)
+	n.overrides.addKnownNames(endpointNames(persisted.entries)...)
 	if len(n.config.KnownList) == 0 {
 		return persisted
 	}
@@ -41,8 +41,8 @@
 		n.log.Warn("endpoint list of the configuration ignored", zap.Error(err))
 		return persisted
 	}
-	if len(persisted.entries) > 0 && !n.persistence.precedes(configured.version) {
-		persisted.entries = n.persistence.addOlder(persisted.entries, configured.entries, configured.version)
+	if len(persisted.entries) > 0 && !n.persistence.isOlderThan(configured.version) {
+		persisted.entries = n.persistence.addFromOlderList(persisted.entries, configured.entries, configured.version)
 		return persisted
 	}
 	n.endpointWatch.version = configured.version
@@ -52,7 +52,7 @@
 
 // predecessorList is the list that the predecessor has handed over, if it can be read.
 func (n *Node) predecessorList() (initialList, bool) {
-	n.overrides.rememberNames(n.inherited.KnownNames...)
+	n.overrides.addKnownNames(n.inherited.KnownNames...)
 	update, err := n.parseList(n.inherited.Endpoints)
 	if err != nil {
 		n.counters.add(hotRestartsIgnored)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -31,7 +31,7 @@
 // divideLimits sets the connection and memory limits. It is called at the start, and whenever the node's other process
 // starts or ends.
 func (n *Node) divideLimits() {
-	processes := n.hotRestart.processes()
+	processes := n.hotRestart.processCount()
 	n.divideDescriptors(processes)
 	n.divideMemory(processes)
 }
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -28,14 +28,14 @@
 }
 
 // begin starts the exchange over the membership, from the node's initial list.
-func (s *listGossip) begin(seed uint64, transport endpointgossip.Transport) {
+func (s *listGossip) start(seed uint64, transport endpointgossip.Transport) {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	initial := s.node.initialList
-	endpoints, _ := s.split(initial.entries)
+	endpoints, _ := s.toGossipEndpoints(initial.entries)
 	now := s.node.clock.nanos()
 	s.exchange = endpointgossip.New(seed, transport, now, initial.version, endpoints, initial.watchResumes)
 }
@@ -51,10 +51,10 @@
 		s.node.loop.postEndpoints(update.entries, update.complete)
 		return
 	}
-	endpoints, removed := s.split(update.entries)
+	endpoints, removed := s.toGossipEndpoints(update.entries)
 	all := s.exchange.WatchUpdated(s.node.clock.nanos(), update.version, endpoints, removed, update.complete)
 	if all != nil {
-		s.node.loop.postEndpoints(s.entries(all), true)
+		s.node.loop.postEndpoints(s.toEntries(all), true)
 		return
 	}
 	s.node.loop.postEndpoints(update.entries, update.complete)
@@ -68,7 +68,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if all := s.exchange.Tick(s.node.clock.nanos(), s.node.listConfirmedAt()); all != nil {
-		s.node.loop.postEndpoints(s.entries(all), true)
+		s.node.loop.postEndpoints(s.toEntries(all), true)
 	}
 }
 
@@ -80,8 +80,8 @@
 	if endpoints == nil {
 		return
 	}
-	entries, view := s.entries(endpoints), s.exchange.View()
-	s.node.loop.postEndpoints(s.node.persistence.applyToGossiped(entries, view.Version), false)
+	entries, view := s.toEntries(endpoints), s.exchange.View()
+	s.node.loop.postEndpoints(s.node.persistence.applyDrainsToGossiped(entries, view.Version), false)
 	s.node.hasList.Store(true)
 	s.node.log.Info("endpoint list taken from another node",
 		zap.Int("from", from), zap.Int("endpoints", len(entries)), zap.Any("list", view))
@@ -105,7 +105,7 @@
 }
 
 // split converts entries, and separates the names of those that were removed.
-func (s *listGossip) split(entries []endpointEntry) (endpoints []endpointgossip.Endpoint, removed []string) {
+func (s *listGossip) toGossipEndpoints(entries []endpointEntry) (endpoints []endpointgossip.Endpoint, removed []string) {
 	for _, e := range entries {
 		if e.State == policy.StateRemoved {
 			removed = append(removed, e.name)
@@ -125,7 +125,7 @@
 }
 
 // entries converts endpoints; an active one without a valid address is left out.
-func (s *listGossip) entries(endpoints []endpointgossip.Endpoint) (entries []endpointEntry) {
+func (s *listGossip) toEntries(endpoints []endpointgossip.Endpoint) (toEntries []endpointEntry) {
 	for _, gossiped := range endpoints {
 		state := policy.StateActive
 		if gossiped.Draining {
@@ -133,7 +133,7 @@
 		} else if _, err := netip.ParseAddrPort(gossiped.Address); err != nil {
 			continue
 		}
-		entries = append(entries, endpointEntry{
+		toEntries = append(toEntries, endpointEntry{
 			name:    gossiped.Name,
 			address: gossiped.Address,
 			EndpointInfo: policy.EndpointInfo{
@@ -146,5 +146,5 @@
 			},
 		})
 	}
-	return entries
+	return toEntries
 }
--- a/internal/node/listwatch_test.go
+++ b/internal/node/listwatch_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-func TestListChangesAddressDrainsAndIsMalformed(t *testing.T) {
+func TestWatchAppliesUpdatesAndSkipsInvalidEntries(t *testing.T) {
 	first, atFirst := startUpstream(t, echo)
 	second, atSecond := startUpstream(t, echo)
-	address, asked := discoveryOf(t,
+	address, asked := startDiscoveryWithLines(t,
 		[]string{
 			listText(5, false, listEntry("s-0", second, "up"), listEntry("s-1", "nowhere", "up"), `{"host":7}`), "",
 			"no list",
@@ -45,10 +45,10 @@
 }
 
 // Guards against a reload that ends the node, counts as a failed watch, or leaves it with the old list.
-func TestReloadMovesDiscoveryAtOnce(t *testing.T) {
+func TestReloadChangesDiscoveryAddressAtOnce(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	old, _ := discoveryOf(t, []string{listText(50, false)})
-	young, asked := discoveryOf(t, []string{listText(3, true, listEntry("s-1", server, "up"))})
+	old, _ := startDiscoveryWithLines(t, []string{listText(50, false)})
+	young, asked := startDiscoveryWithLines(t, []string{listText(3, true, listEntry("s-1", server, "up"))})
 	path := t.TempDir() + "/config.json"
 	write := func(discovery, seed string) {
 		text, err := json.Marshal(Config{
@@ -92,16 +92,16 @@
 	}
 }
 
-func TestSilentWatchIsRepeated(t *testing.T) {
-	address, _ := discoveryOf(t, []string{listText(2, false)}, []string{listText(3, false)})
+func TestSilentWatchIsReopened(t *testing.T) {
+	address, _ := startDiscoveryWithLines(t, []string{listText(2, false)}, []string{listText(3, false)})
 	n := newNode(t, func(c *Config) { c.Discovery = address })
 	n.endpointWatch.silenceTimeout = 200 * time.Millisecond
 	n.start()
 	eventually(t, "the second call", func() bool { return n.count(listUpdates) >= 2 })
 }
 
-// watchOf starts a discovery service whose calls each go by their own script.
-func watchOf(t *testing.T, calls ...func(c net.Conn, chunk func(string))) (address string, asked *atomic.Int64) {
+// startScriptedDiscovery starts a discovery service whose calls each go by their own script.
+func startScriptedDiscovery(t *testing.T, calls ...func(c net.Conn, chunk func(string))) (address string, asked *atomic.Int64) {
 	asked = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
@@ -116,11 +116,11 @@
 	}), asked
 }
 
-const watchBegins = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const watchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // A watch that falls silent, or gets no head, is repeated at once, however long the backoff and whatever the settings
 // say of polling; half a line counts for nothing, and a list may be broken into lines anywhere.
-func TestBrokenWatches(t *testing.T) {
+func TestBrokenWatchIsReopenedAtOnce(t *testing.T) {
 	stays := func(c net.Conn) { discard(c) }
 	line := func(version int, health, server string) string {
 		return listText(version, false, listEntry("s-0", server, health)) + "\n"
@@ -130,27 +130,27 @@
 			"silent, with nothing changed": func(server string) (calls []func(net.Conn, func(string))) {
 				for range 4 {
 					calls = append(calls, func(c net.Conn, chunk func(string)) {
-						writeText(c, watchBegins)
+						writeText(c, watchResponseHead)
 						chunk(listText(1, false) + "\n")
 						stays(c)
 					})
 				}
 				return append(calls, func(c net.Conn, chunk func(string)) {
-					writeText(c, watchBegins)
+					writeText(c, watchResponseHead)
 					chunk(line(2, "draining", server))
 					stays(c)
 				})
 			},
 			"silent behind its head, then in the midst of a line": func(server string) []func(net.Conn, func(string)) {
 				return []func(net.Conn, func(string)){
-					func(c net.Conn, chunk func(string)) { writeText(c, watchBegins); stays(c) },
+					func(c net.Conn, chunk func(string)) { writeText(c, watchResponseHead); stays(c) },
 					func(c net.Conn, chunk func(string)) {
-						writeText(c, watchBegins)
+						writeText(c, watchResponseHead)
 						chunk(line(7, "up", server)[:40])
 						stays(c)
 					},
 					func(c net.Conn, chunk func(string)) {
-						writeText(c, watchBegins)
+						writeText(c, watchResponseHead)
 						chunk(line(2, "draining", server))
 						stays(c)
 					},
@@ -158,7 +158,7 @@
 			},
 			"indented, in pieces": func(server string) []func(net.Conn, func(string)) {
 				return []func(net.Conn, func(string)){func(c net.Conn, chunk func(string)) {
-					writeText(c, watchBegins)
+					writeText(c, watchResponseHead)
 					var tree any
 					if err := json.Unmarshal([]byte(line(2, "draining", server)), &tree); err != nil {
 						t.Error(err)
@@ -177,7 +177,7 @@
 			t.Run(mode+": "+name, func(t *testing.T) {
 				t.Parallel()
 				server, requests := startUpstream(t, echo)
-				address, _ := watchOf(t, script(server)...)
+				address, _ := startScriptedDiscovery(t, script(server)...)
 				n := newNode(t, func(c *Config) {
 					withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode), `"ask_within_us":10000000`,
 						`"ask_within_us":3600000000`)(c)
@@ -207,7 +207,7 @@
 	}{
 		"a call without a head": {time.Hour, func(c net.Conn, _ func(string), _ string) { stays(c) }},
 		"reset in the midst of a line": {time.Millisecond, func(c net.Conn, chunk func(string), server string) {
-			writeText(c, watchBegins)
+			writeText(c, watchResponseHead)
 			chunk(line(2, "draining", server)[:90])
 			c.(*net.TCPConn).SetLinger(0)
 		}},
@@ -215,12 +215,12 @@
 		t.Run("push: "+name, func(t *testing.T) {
 			t.Parallel()
 			server, _ := startUpstream(t, echo)
-			address, asked := watchOf(t, func(conn net.Conn, chunk func(string)) { c.first(conn, chunk, server) })
+			address, asked := startScriptedDiscovery(t, func(conn net.Conn, chunk func(string)) { c.first(conn, chunk, server) })
 			n := newNode(t, func(c *Config) {
 				withSettings(`"discovery":"ask"`, `"discovery":"push"`)(c)
 				c.Discovery = address
 			}, server)
-			n.endpointWatch.headTimeout, n.endpointWatch.retryInterval = 60*time.Millisecond, c.wait
+			n.endpointWatch.parallelCallDelay, n.endpointWatch.retryInterval = 60*time.Millisecond, c.wait
 			n.start()
 			eventually(t, "the next call", func() bool { return asked.Load() >= 2 })
 			if status, _, _ := sendRequest(t, n, "batch", "t", ""); status != 200 {
@@ -231,7 +231,7 @@
 }
 
 // There is always an interval between watches, whatever the settings say of sends to draining endpoints.
-func TestRetryIntervalOfWatches(t *testing.T) {
+func TestWatchRetryIntervalIsBounded(t *testing.T) {
 	for within, want := range map[int]time.Duration{
 		0: maxRetryInterval, 1: minRetryInterval,
 		400000: 100 * time.Millisecond, 60000000: maxRetryInterval,
@@ -245,12 +245,12 @@
 
 // What is pushed counts from the first moment of a new process: no request goes by the list from before while the
 // first message is due.
-func TestPushedListArrivesBeforeFirstRequest(t *testing.T) {
+func TestPushedListIsAppliedBeforeFirstRequest(t *testing.T) {
 	server, requests := startUpstream(t, echo)
 	word := newGate(t)
-	address, _ := watchOf(t, func(c net.Conn, chunk func(string)) {
+	address, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
 		word.wait()
-		writeText(c, watchBegins)
+		writeText(c, watchResponseHead)
 		chunk(listText(2, false, listEntry("s-0", server, "draining")) + "\n")
 		discard(c)
 	})
@@ -273,24 +273,24 @@
 
 // The last line from an old discovery address does not come after the first from the new one: once the new list is
 // there, it counts.
-func TestLastLineOfAnOldPlaceCrossesTheMove(t *testing.T) {
+func TestUpdateFromOldAddressDoesNotReplaceNewList(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	late := newGate(t)
-	old, _ := watchOf(t, func(c net.Conn, chunk func(string)) {
-		writeText(c, watchBegins)
+	old, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
+		writeText(c, watchResponseHead)
 		chunk(listText(50, false) + "\n")
 		late.wait()
 		chunk(listText(51, false, listEntry("s-0", server, "draining")) + "\n")
 	})
-	young, _ := watchOf(t, func(c net.Conn, chunk func(string)) {
-		writeText(c, watchBegins)
+	young, _ := startScriptedDiscovery(t, func(c net.Conn, chunk func(string)) {
+		writeText(c, watchResponseHead)
 		chunk(listText(3, true, listEntry("s-0", server, "up"), listEntry("s-1", server, "draining")) + "\n")
 		discard(c)
 	})
 	n := startNode(t, func(c *Config) { c.Discovery = old }, server)
 	late.awaitArrivals(t, 1)
 	eventually(t, "the old list", func() bool { return n.count(listUpdates) == 1 })
-	n.endpointWatch.move(young)
+	n.endpointWatch.setAddress(young)
 	late.release()
 	eventually(t, "the new list", func() bool {
 		known := make(chan bool)
@@ -305,8 +305,8 @@
 	}
 }
 
-// discoveryOf starts a discovery service that sends one list of lines to each call in turn, then stays open.
-func discoveryOf(t *testing.T, calls ...[]string) (address string, asked *sync.Map) {
+// startDiscoveryWithLines starts a discovery service that sends one list of lines to each call in turn, then stays open.
+func startDiscoveryWithLines(t *testing.T, calls ...[]string) (address string, asked *sync.Map) {
 	asked = new(sync.Map)
 	var number atomic.Int64
 	return listen(t, func(c net.Conn) {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -39,7 +39,7 @@
 	received   chan []byte
 	queries    chan func()
 	done       chan struct{}
-	ended      sync.Once
+	endOnce    sync.Once
 }
 
 // newMemberAgent binds the socket. The features file alone turns nothing on: the platform's settings must allow
@@ -87,14 +87,14 @@
 		case <-a.done:
 			return
 		case <-ticks.C:
-			if a.node.hotRestart.hasYielded() {
+			if a.node.hotRestart.hasServingSuccessor() {
 				return // the successor has the node's name and address
 			}
-			a.step(a.tick)
+			a.runStep(a.tick)
 		case datagram := <-a.received:
-			a.step(func() { a.handle(datagram) })
+			a.runStep(func() { a.handle(datagram) })
 		case query := <-a.queries:
-			a.step(query)
+			a.runStep(query)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	if a.membership, err = members.New(config, a, a.node.clock.nanos()); err != nil {
 		return err
 	}
-	a.node.listGossip.begin(config.Seed, a.membership)
+	a.node.listGossip.start(config.Seed, a.membership)
 	return nil
 }
 
@@ -137,7 +137,7 @@
 }
 
 // step keeps a panic in the membership from ending the process.
-func (a *memberAgent) step(do func()) {
+func (a *memberAgent) runStep(do func()) {
 	defer a.node.recoverPanic("members", func() {})
 	do()
 }
@@ -202,7 +202,7 @@
 
 // leave notifies other nodes that this one ends, unless a successor goes on in its name.
 func (a *memberAgent) leave() {
-	if a == nil || a.node.hotRestart.hasYielded() {
+	if a == nil || a.node.hotRestart.hasServingSuccessor() {
 		return
 	}
 	if err := a.query(func(m *members.Members, _ int64) { m.Leave() }); err != nil {
@@ -213,7 +213,7 @@
 // end closes the socket and ends run.
 func (a *memberAgent) end() {
 	if a != nil {
-		a.ended.Do(func() {
+		a.endOnce.Do(func() {
 			close(a.done)
 			if err := a.socket.Close(); err != nil {
 				a.node.log.Warn("membership socket did not close cleanly", zap.Error(err))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -153,7 +153,7 @@
 
 // closesClientConns reports whether client connections are closed after their next response.
 func (n *Node) closesClientConns() bool {
-	return n.shuttingDown.Load() || n.overrides.drained() || n.hotRestart.hasYielded()
+	return n.shuttingDown.Load() || n.overrides.drained() || n.hotRestart.hasServingSuccessor()
 }
 
 func indexByName(names []string) map[string]int {
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -33,15 +33,15 @@
 
 var errTooManyOverrides = fmt.Errorf("more than %d servers out", maxOverrides)
 
-// disabledEndpoint is the override of one endpoint. enabledAt is 0 while it is disabled; later the entry stays for as
+// endpointOverride is the override of one endpoint. enabledAt is 0 while it is disabled; later the entry stays for as
 // long as the endpoint warms up, as it may have been restarted meanwhile.
-type disabledEndpoint struct{ disabledAt, enabledAt policy.Time }
+type endpointOverride struct{ disabledAt, enabledAt policy.Time }
 
 // overrideSet is all overrides at a time. A published one is never changed, only replaced.
 type overrideSet struct {
-	drained   bool
-	endpoints map[string]disabledEndpoint // by name
-	disabled  map[policy.EndpointID]bool  // those that are disabled now; set by publish
+	drained     bool
+	endpoints   map[string]endpointOverride // by name
+	disabledIDs map[policy.EndpointID]bool  // those that are disabled now; set by publish
 }
 
 func (o *overrideSet) clone() *overrideSet {
@@ -51,7 +51,7 @@
 // disable takes an endpoint out of use and returns the admin API's answer.
 func (o *overrideSet) disable(name string, now policy.Time) string {
 	if entry, exists := o.endpoints[name]; !exists || entry.enabledAt != 0 {
-		o.endpoints[name] = disabledEndpoint{disabledAt: now}
+		o.endpoints[name] = endpointOverride{disabledAt: now}
 	}
 	return name + " is out"
 }
@@ -59,14 +59,14 @@
 // enable ends a disable and returns the admin API's answer.
 func (o *overrideSet) enable(name string, now policy.Time) string {
 	if entry, exists := o.endpoints[name]; exists && entry.enabledAt == 0 {
-		o.endpoints[name] = disabledEndpoint{entry.disabledAt, now}
+		o.endpoints[name] = endpointOverride{entry.disabledAt, now}
 	}
 	return name + " may serve"
 }
 
 // prune drops the entries of endpoints that were enabled long enough ago to have warmed up.
 func (o *overrideSet) prune(now policy.Time, slowStart time.Duration) {
-	maps.DeleteFunc(o.endpoints, func(_ string, entry disabledEndpoint) bool {
+	maps.DeleteFunc(o.endpoints, func(_ string, entry endpointOverride) bool {
 		return entry.enabledAt != 0 && now.Sub(entry.enabledAt) > 2*slowStart
 	})
 }
@@ -86,8 +86,8 @@
 	return e
 }
 
-// keepMissing adds what a damaged file no longer holds: its damage must neither enable an endpoint nor end a drain.
-func (o *overrideSet) keepMissing(previous *overrideSet) {
+// mergeMissing adds what a damaged file no longer holds: its damage must neither enable an endpoint nor end a drain.
+func (o *overrideSet) mergeMissing(previous *overrideSet) {
 	o.drained = o.drained || previous.drained
 	for name, entry := range previous.endpoints {
 		if _, exists := o.endpoints[name]; !exists {
@@ -121,7 +121,7 @@
 		entries: map[string]*endpointEntry{},
 	}
 	o.known.set = map[string]bool{}
-	o.publish(&overrideSet{endpoints: map[string]disabledEndpoint{}})
+	o.publish(&overrideSet{endpoints: map[string]endpointOverride{}})
 	o.applied = o.current.Load()
 	o.reload()
 	return o
@@ -138,7 +138,7 @@
 func (n *Node) identity() string { return strconv.Quote(n.config.Name) + " " + n.config.Listen }
 
 // isDisabled reports whether an endpoint is disabled. It is asked just before an attempt is written.
-func (o *overrides) isDisabled(id policy.EndpointID) bool { return o.current.Load().disabled[id] }
+func (o *overrides) isDisabled(id policy.EndpointID) bool { return o.current.Load().disabledIDs[id] }
 
 func (o *overrides) drained() bool { return o.current.Load().drained }
 
@@ -148,7 +148,7 @@
 	return exists || o.known.contains(name)
 }
 
-func (o *overrides) rememberNames(names ...string) { o.known.add(names) }
+func (o *overrides) addKnownNames(names ...string) { o.known.add(names) }
 
 func (o *overrides) knownNames() []string { return o.known.all() }
 
@@ -218,7 +218,7 @@
 		if next == nil {
 			return
 		}
-		next.keepMissing(o.current.Load())
+		next.mergeMissing(o.current.Load())
 	}
 	o.publish(next)
 }
@@ -243,10 +243,10 @@
 
 // publish replaces the current set.
 func (o *overrides) publish(set *overrideSet) {
-	set.disabled = map[policy.EndpointID]bool{}
+	set.disabledIDs = map[policy.EndpointID]bool{}
 	for name, entry := range set.endpoints {
 		if entry.enabledAt == 0 {
-			set.disabled[endpointID(name)] = true
+			set.disabledIDs[endpointID(name)] = true
 		}
 	}
 	o.current.Store(set)
@@ -308,8 +308,8 @@
 	return changed
 }
 
-// encodeUnmodified is the endpoint list without the overrides, in discovery's form; of the loop alone.
-func (o *overrides) encodeUnmodified() []byte {
+// encodeListWithoutOverrides is the endpoint list without the overrides, in discovery's form; of the loop alone.
+func (o *overrides) encodeListWithoutOverrides() []byte {
 	entries := make([]endpointEntry, 0, len(o.entries))
 	for _, name := range slices.Sorted(maps.Keys(o.entries)) {
 		entries = append(entries, *o.entries[name])
--- a/internal/node/overridesfile.go
+++ b/internal/node/overridesfile.go
@@ -76,7 +76,7 @@
 	if version != overridesVersion {
 		bad = fmt.Errorf("version: expected %s, got %.20q", overridesVersion, version)
 	}
-	set := &overrideSet{endpoints: map[string]disabledEndpoint{}}
+	set := &overrideSet{endpoints: map[string]endpointOverride{}}
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
@@ -118,7 +118,7 @@
 		o.drained = true
 		return nil
 	case verb == overridesEndpoint && len(o.endpoints) < maxOverrides:
-		name, entry, err := parseDisabledEndpoint(rest)
+		name, entry, err := parseEndpointOverride(rest)
 		if err == nil {
 			o.endpoints[name] = entry
 		}
@@ -127,21 +127,21 @@
 	return fmt.Errorf("invalid line: %.40q", line)
 }
 
-func parseDisabledEndpoint(text string) (name string, entry disabledEndpoint, err error) {
+func parseEndpointOverride(text string) (name string, entry endpointOverride, err error) {
 	quoted, err := strconv.QuotedPrefix(text)
 	if err == nil {
 		name, err = strconv.Unquote(quoted)
 	}
 	if err != nil || name == "" || len(name) > maxNameBytes {
-		return "", disabledEndpoint{}, fmt.Errorf("invalid name of an endpoint: %.40q", text)
+		return "", endpointOverride{}, fmt.Errorf("invalid name of an endpoint: %.40q", text)
 	}
 	disabled, enabled, both := strings.Cut(strings.TrimPrefix(text[len(quoted):], " "), " ")
 	disabledAt, disabledErr := strconv.ParseInt(disabled, 10, 64)
 	enabledAt, enabledErr := strconv.ParseInt(enabled, 10, 64)
 	if !both || disabledErr != nil || enabledErr != nil || disabledAt < 0 || enabledAt < 0 {
-		return "", disabledEndpoint{}, fmt.Errorf("invalid times of an endpoint: %.40q", text)
+		return "", endpointOverride{}, fmt.Errorf("invalid times of an endpoint: %.40q", text)
 	}
-	return name, disabledEndpoint{policy.Time(disabledAt), policy.Time(enabledAt)}, nil
+	return name, endpointOverride{policy.Time(disabledAt), policy.Time(enabledAt)}, nil
 }
 
 // lockFile takes the lock on a node's file, which ends when the returned file is closed or the process dies.
@@ -178,10 +178,10 @@
 		err = os.Rename(file.Name(), path)
 	}
 	if err != nil {
-		removeLeftover(file.Name())
+		removeIfExists(file.Name())
 	}
 	return err
 }
 
-// removeLeftover removes a temporary file; one that stays does no harm.
-func removeLeftover(path string) { _ = os.Remove(path) }
+// removeIfExists removes a temporary file; one that stays does no harm.
+func removeIfExists(path string) { _ = os.Remove(path) }
--- a/internal/node/overrideslock_test.go
+++ b/internal/node/overrideslock_test.go
@@ -11,7 +11,7 @@
 
 // Of several changes at once only one has the lock file open: each open file is a descriptor, and the wait for
 // another process must not come after the wait for one's own.
-func TestOverrideChangesWaitWithOneFile(t *testing.T) {
+func TestConcurrentOverrideChangesOpenOneLockFile(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	held, err := lockFile(n.overrides.path+".lock", time.Second)
--- a/internal/node/pacing.go
+++ b/internal/node/pacing.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	bodyGrace   = 2500 * time.Millisecond // from the start of a request, in which neither stalls nor the rate count
-	bodyStall   = time.Second             // the longest silence within a request's body, after the grace
-	minBodyRate = 8 << 10                 // bytes from a client for each second it is waited for, after the grace
-	writeStall  = 5 * time.Second         // for one streamBufferBytes, and the longest silence within a response's body
+	bodyGracePeriod       = 2500 * time.Millisecond // from the start of a request, in which neither stalls nor the rate count
+	bodyStallTimeout      = time.Second             // the longest silence within a request's body, after the grace
+	minBodyBytesPerSecond = 8 << 10                 // bytes from a client for each second it is waited for, after the grace
+	writeStallTimeout     = 5 * time.Second         // for one streamBufferBytes, and the longest silence within a response's body
 )
 
-// inThePast is a deadline that ends a read or write at once.
-var inThePast = time.Unix(1, 0)
+// expiredDeadline is a deadline that ends a read or write at once.
+var expiredDeadline = time.Unix(1, 0)
 
 // readPacer limits the reads of a body by its progress. What counts is the time that the node has waited for the peer,
 // as it may itself be held up by the other side. Its begin and end surround each read, in the reading goroutine.
 type readPacer struct {
-	start     time.Time
-	grace     time.Duration // from start, before minRate counts
-	stall     time.Duration // the longest wait for the next byte
-	minRate   int64         // bytes for each second of waiting after the grace
-	waited    time.Duration
-	received  int64 // bytes
-	readBegan time.Time
-	abandoned *atomic.Bool // of a body that another goroutine may abandon; else nil
+	start             time.Time
+	gracePeriod       time.Duration // from start, before minBytesPerSecond counts
+	stallTimeout      time.Duration // the longest wait for the next byte
+	minBytesPerSecond int64         // bytes for each second of waiting after the grace
+	waitTime          time.Duration
+	receivedBytes     int64 // bytes
+	readStartedAt     time.Time
+	abandoned         *atomic.Bool // of a body that another goroutine may abandon; else nil
 }
 
 // begin sets the deadline of the read that follows. It returns os.ErrDeadlineExceeded if the peer has been too slow,
 // and errBodyNotNeeded if the body has been abandoned.
-func (p *readPacer) begin(conn net.Conn) error {
-	p.readBegan = time.Now()
-	counted := p.waited - p.grace
-	if counted > 0 && p.received < int64(counted.Seconds()*float64(p.minRate)) {
+func (p *readPacer) beginRead(conn net.Conn) error {
+	p.readStartedAt = time.Now()
+	counted := p.waitTime - p.gracePeriod
+	if counted > 0 && p.receivedBytes < int64(counted.Seconds()*float64(p.minBytesPerSecond)) {
 		return os.ErrDeadlineExceeded
 	}
-	deadline := p.readBegan.Add(p.stall)
-	if graceEnd := p.start.Add(p.grace); graceEnd.After(deadline) {
+	deadline := p.readStartedAt.Add(p.stallTimeout)
+	if graceEnd := p.start.Add(p.gracePeriod); graceEnd.After(deadline) {
 		deadline = graceEnd
 	}
 	err := conn.SetReadDeadline(deadline)
@@ -53,12 +53,12 @@
 }
 
 // end counts the read that began last.
-func (p *readPacer) end(n int) {
-	p.waited += time.Since(p.readBegan)
-	p.received += int64(n)
+func (p *readPacer) endRead(n int) {
+	p.waitTime += time.Since(p.readStartedAt)
+	p.receivedBytes += int64(n)
 }
 
-// writePaced writes parts one after another and gives the peer writeStall for each streamBufferBytes. A write for an
+// writePaced writes parts one after another and gives the peer writeStallTimeout for each streamBufferBytes. A write for an
 // attempt, which may be nil, ends at once when the attempt is canceled.
 func writePaced(conn net.Conn, a *attempt, parts ...[]byte) error {
 	setDeadline := conn.SetWriteDeadline
@@ -68,7 +68,7 @@
 	for _, part := range parts {
 		for len(part) > 0 {
 			n := min(len(part), streamBufferBytes)
-			if err := setDeadline(time.Now().Add(writeStall)); err != nil {
+			if err := setDeadline(time.Now().Add(writeStallTimeout)); err != nil {
 				return err
 			}
 			if _, err := conn.Write(part[:n]); err != nil {
--- a/internal/node/pacing_test.go
+++ b/internal/node/pacing_test.go
@@ -22,7 +22,7 @@
 func (c *deadlineRecorder) Write(p []byte) (int, error) { return len(p), nil }
 
 // A cancel holds that comes just before a worker, or a reader of the attempt's body, sets a deadline of its own.
-func TestCancelCrossesDeadline(t *testing.T) {
+func TestCancelHoldsAgainstLaterDeadline(t *testing.T) {
 	for _, canceled := range []bool{false, true} {
 		a := &attempt{}
 		if canceled {
@@ -49,8 +49,8 @@
 		defer far.Close()
 		var abandoned atomic.Bool
 		abandoned.Store(canceled)
-		pacer := &readPacer{stall: time.Hour, abandoned: &abandoned}
-		if err := pacer.begin(near); errors.Is(err, errBodyNotNeeded) != canceled {
+		pacer := &readPacer{stallTimeout: time.Hour, abandoned: &abandoned}
+		if err := pacer.beginRead(near); errors.Is(err, errBodyNotNeeded) != canceled {
 			t.Errorf("abandoned %t: %v", canceled, err)
 		}
 	}
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -45,9 +45,9 @@
 	stop      chan struct{}
 	done      chan struct{}
 
-	written, failed atomic.Int64           // batches
-	writeStarted    atomic.Int64           // when the write under way began, Unix nanoseconds; 0: none is
-	lastError       atomic.Pointer[string] // nil once a write has succeeded
+	writtenBatches, failedBatches atomic.Int64           // batches
+	writeStarted                  atomic.Int64           // when the write under way began, Unix nanoseconds; 0: none is
+	lastError                     atomic.Pointer[string] // nil once a write has succeeded
 }
 
 // openedStore is a store and the state that was found in it.
@@ -150,7 +150,7 @@
 }
 
 // run begins to write. The write loop queries the event loop and the members, so it starts once these are in place.
-func (p *persistence) run() {
+func (p *persistence) startWriteLoop() {
 	if p != nil {
 		go p.writeLoop()
 	}
@@ -217,11 +217,11 @@
 	err := p.opened.store.Apply(batchOf(changes))
 	p.writeStarted.Store(0)
 	if err == nil {
-		p.written.Add(1)
+		p.writtenBatches.Add(1)
 		p.lastError.Store(nil)
 		return
 	}
-	p.failed.Add(1)
+	p.failedBatches.Add(1)
 	p.recordError("a write failed", err)
 	p.mu.Lock()
 	p.state.MarkChanged(changes)
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -11,30 +11,30 @@
 	"fawnglade/internal/store"
 )
 
-// badDisk is a directory whose syncs hang until hangs is unlocked, or fail.
-type badDisk struct {
+// faultyDisk is a directory whose syncs hang until hangs is unlocked, or fail.
+type faultyDisk struct {
 	store.Directory
 	hangs sync.Mutex // locked: no sync returns
 	fails atomic.Bool
 	syncs atomic.Int64
 }
 
-type badFile struct {
+type faultyFile struct {
 	store.File
-	disk *badDisk
+	disk *faultyDisk
 }
 
-func (d *badDisk) Create(name string) (store.File, error) {
+func (d *faultyDisk) Create(name string) (store.File, error) {
 	f, err := d.Directory.Create(name)
-	return badFile{f, d}, err
+	return faultyFile{f, d}, err
 }
 
-func (d *badDisk) Open(name string, write bool) (store.File, error) {
+func (d *faultyDisk) Open(name string, write bool) (store.File, error) {
 	f, err := d.Directory.Open(name, write)
-	return badFile{f, d}, err
+	return faultyFile{f, d}, err
 }
 
-func (f badFile) Sync() error {
+func (f faultyFile) Sync() error {
 	f.disk.syncs.Add(1)
 	f.disk.hangs.Lock()
 	defer f.disk.hangs.Unlock()
@@ -44,7 +44,7 @@
 	return f.File.Sync()
 }
 
-func onDisk(t *testing.T, disk *badDisk, dir string) func(*Config) {
+func withStateDir(t *testing.T, disk *faultyDisk, dir string) func(*Config) {
 	return func(c *Config) {
 		if err := c.UseStateDir(dir); err != nil {
 			t.Fatal(err)
@@ -57,15 +57,15 @@
 	}
 }
 
-// TestDiskThatHangsOrFails has no sync return while requests are served; when they do, all is written; a failure is
+// TestRequestsAreServedWhileDiskHangsOrFails has no sync return while requests are served; when they do, all is written; a failure is
 // reported, and requests go on.
-func TestDiskThatHangsOrFails(t *testing.T) {
+func TestRequestsAreServedWhileDiskHangsOrFails(t *testing.T) {
 	server, _ := startUpstream(t, echo)
-	disk, dir := &badDisk{}, t.TempDir()
-	n := startNode(t, onDisk(t, disk, dir), server)
-	eventually(t, "a first batch", func() bool { return n.persistence.written.Load() > 0 })
+	disk, dir := &faultyDisk{}, t.TempDir()
+	n := startNode(t, withStateDir(t, disk, dir), server)
+	eventually(t, "a first batch", func() bool { return n.persistence.writtenBatches.Load() > 0 })
 	disk.hangs.Lock()
-	before, written := disk.syncs.Load(), n.persistence.written.Load()
+	before, written := disk.syncs.Load(), n.persistence.writtenBatches.Load()
 	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
 	requests := func(first string) {
 		for _, id := range []string{"1", "2", "3"} {
@@ -76,30 +76,30 @@
 	}
 	eventually(t, "a sync that hangs", func() bool { return disk.syncs.Load() > before })
 	requests("hanging")
-	if n.persistence.written.Load() != written || strings.Contains(n.persistence.statusJSON(), `"write_under_way_s":0,`) {
+	if n.persistence.writtenBatches.Load() != written || strings.Contains(n.persistence.statusJSON(), `"write_under_way_s":0,`) {
 		t.Error(n.persistence.statusJSON())
 	}
 	disk.hangs.Unlock()
-	eventually(t, "written", func() bool { return n.persistence.written.Load() > written })
+	eventually(t, "written", func() bool { return n.persistence.writtenBatches.Load() > written })
 	disk.fails.Store(true)
 	n.persistence.recordList([]endpointEntry{{name: "s-0", address: server}}, 2, true)
 	eventually(t, "a failure that is reported", func() bool { return strings.Contains(n.persistence.statusJSON(), "a write failed") })
 	requests("failing")
 }
 
-// TestPersistedListIsUsedAfterARestart starts twice on one directory: the second run begins with the list of the first.
-func TestPersistedListIsUsedAfterARestart(t *testing.T) {
+// TestPersistedListIsUsedAfterRestart starts twice on one directory: the second run begins with the list of the first.
+func TestPersistedListIsUsedAfterRestart(t *testing.T) {
 	server, requests := startUpstream(t, echo)
-	whole := &badDisk{}
+	whole := &faultyDisk{}
 	dir := t.TempDir()
-	n := startNode(t, onDisk(t, whole, dir))
+	n := startNode(t, withStateDir(t, whole, dir))
 	at, err := n.parseEntry(listEntry("s-9", server, "up"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.persistence.recordList([]endpointEntry{at}, 2, true)
 	n.persistence.close()
-	again := startNode(t, onDisk(t, whole, dir))
+	again := startNode(t, withStateDir(t, whole, dir))
 	asked := 0
 	eventually(t, "a request at the upstream, which counts as just started", func() bool {
 		asked++
@@ -111,15 +111,15 @@
 	}
 }
 
-// TestConfiguredAndPersistedList starts with the list of a configuration and a persisted one: the newer one wins, and
+// TestNewerOfConfiguredAndPersistedListIsUsed starts with the list of a configuration and a persisted one: the newer one wins, and
 // an older one ends no drain.
-func TestConfiguredAndPersistedList(t *testing.T) {
+func TestNewerOfConfiguredAndPersistedListIsUsed(t *testing.T) {
 	drains, drained := startUpstream(t, echo)
 	serves, served := startUpstream(t, echo)
 	dir := t.TempDir()
 	start := func(version int) *Node {
 		return startNode(t, func(c *Config) {
-			onDisk(t, &badDisk{}, dir)(c)
+			withStateDir(t, &faultyDisk{}, dir)(c)
 			c.KnownList = []byte(listText(version, true, listEntry("s-0", drains, "up"), listEntry("s-1", serves, "up")))
 		})
 	}
@@ -143,7 +143,7 @@
 			t.Errorf("a configured list of version %d after one of 5: %d requests to the draining upstream, %d to the other", version, drained.Load()-before, served.Load())
 		}
 		again.persistence.close()
-		if version == 4 && !again.persistence.precedes(6) {
+		if version == 4 && !again.persistence.isOlderThan(6) {
 			t.Error("6 is not newer than 5")
 		}
 	}
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -18,7 +18,7 @@
 	if p == nil {
 		return nil
 	}
-	return p.node.entriesOf(p.recovered.Endpoints)
+	return p.node.entriesFromPersisted(p.recovered.Endpoints)
 }
 
 // version is the highest version of the persisted list; 0: none.
@@ -32,16 +32,16 @@
 }
 
 // precedes reports whether the persisted list is older than a list of a version.
-func (p *persistence) precedes(version int64) bool { return p == nil || version > p.version() }
+func (p *persistence) isOlderThan(version int64) bool { return p == nil || version > p.version() }
 
-// addOlder adds to the persisted endpoints those that only an older list has, unless they were removed since.
-func (p *persistence) addOlder(persisted, older []endpointEntry, version int64) []endpointEntry {
+// addFromOlderList adds to the persisted endpoints those that only an older list has, unless they were removed since.
+func (p *persistence) addFromOlderList(persisted, older []endpointEntry, version int64) []endpointEntry {
 	known := map[string]bool{}
 	for _, e := range persisted {
 		known[e.name] = true
 	}
 	all := slices.Clone(persisted)
-	for _, e := range p.applyTo(older, version) {
+	for _, e := range p.applyDrains(older, version) {
 		if !known[e.name] && e.State != policy.StateRemoved {
 			all = append(all, e)
 		}
@@ -49,8 +49,8 @@
 	return all
 }
 
-// inheritEstimates begins with the persisted estimates, weighted by their age.
-func (p *persistence) inheritEstimates() {
+// restoreEstimates begins with the persisted estimates, weighted by their age.
+func (p *persistence) restoreEstimates() {
 	if p == nil || p.recovered.Estimates == nil {
 		return
 	}
@@ -79,15 +79,15 @@
 	return updated
 }
 
-// applyTo applies the persisted drains to entries of a list of discovery.
-func (p *persistence) applyTo(entries []endpointEntry, version int64) []endpointEntry {
+// applyDrains applies the persisted drains to entries of a list of discovery.
+func (p *persistence) applyDrains(entries []endpointEntry, version int64) []endpointEntry {
 	return p.update(entries, func(endpoints []nodestate.Endpoint) []nodestate.Endpoint {
 		return p.state.ApplyDrains(endpoints, version)
 	})
 }
 
-// applyToGossiped applies the persisted drains to a list that came by gossip.
-func (p *persistence) applyToGossiped(entries []endpointEntry, version int64) []endpointEntry {
+// applyDrainsToGossiped applies the persisted drains to a list that came by gossip.
+func (p *persistence) applyDrainsToGossiped(entries []endpointEntry, version int64) []endpointEntry {
 	if p == nil {
 		return entries
 	}
@@ -156,8 +156,8 @@
 		Endpoints:  p.state.EndpointCount(),
 		OlderCopy:  p.state.IsOlderCopy(),
 		NotTrusted: p.recovered.NotTrusted,
-		Written:    p.written.Load(),
-		Failed:     p.failed.Load(),
+		Written:    p.writtenBatches.Load(),
+		Failed:     p.failedBatches.Load(),
 	}
 	p.mu.Unlock()
 	if started := p.writeStarted.Load(); started > 0 {
@@ -206,7 +206,7 @@
 	return endpoints
 }
 
-func (n *Node) entriesOf(endpoints []nodestate.Endpoint) []endpointEntry {
+func (n *Node) entriesFromPersisted(endpoints []nodestate.Endpoint) []endpointEntry {
 	entries := make([]endpointEntry, len(endpoints))
 	for i, persisted := range endpoints {
 		entries[i] = endpointEntry{
--- a/internal/node/relayed_test.go
+++ b/internal/node/relayed_test.go
@@ -51,7 +51,7 @@
 const testScope = "eu1/cart"
 
 // put stores a record at an origin.
-func put(o *distribution.Origin, now int64, scope, key string, class distribution.Class, value string) {
+func putRecord(o *distribution.Origin, now int64, scope, key string, class distribution.Class, value string) {
 	if _, err := o.Put(now, scope, key, class, []byte(value)); err != nil {
 		panic(err)
 	}
@@ -68,22 +68,22 @@
 		if health == "draining" {
 			class = distribution.ClassWithdrawal
 		}
-		put(o, now, testScope, relay.EndpointKey(name), class, listEntry(name, dial, health))
+		putRecord(o, now, testScope, relay.EndpointKey(name), class, listEntry(name, dial, health))
 	})
 }
 
 // putListVersion reports discovery's list of a version, with the origin's watch up.
 func putListVersion(s *relay.Server, o *distribution.Origin, seq int) {
 	s.Do(func(now int64) {
-		put(o, now, relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, fmt.Sprintf(`{"seq":%d,"stands":true}`, seq))
+		putRecord(o, now, relay.ScopeOrigin, relay.KeyDiscovery, distribution.ClassConfiguration, fmt.Sprintf(`{"seq":%d,"stands":true}`, seq))
 	})
 }
 
 func withRelays(discovery string, relays ...string) func(*Config) {
-	return withRelaysSilent("1s", discovery, relays...)
+	return withRelaysAndSilence("1s", discovery, relays...)
 }
 
-func withRelaysSilent(silence, discovery string, relays ...string) func(*Config) {
+func withRelaysAndSilence(silence, discovery string, relays ...string) func(*Config) {
 	return func(c *Config) {
 		c.KnownList = nil
 		c.Discovery = discovery
@@ -121,7 +121,7 @@
 	}), calls, open
 }
 
-func relayView(t *testing.T, n *Node) (v struct {
+func relayStatus(t *testing.T, n *Node) (v struct {
 	By, Relay string
 	Watch     bool
 	Whole     bool
@@ -134,7 +134,7 @@
 	return v
 }
 
-func answers(t *testing.T, n *Node, id, server string) bool {
+func isServedBy(t *testing.T, n *Node, id, server string) bool {
 	t.Helper()
 	status, body, _ := sendRequest(t, n, "view", id, server)
 	return status == 200 && strings.HasSuffix(body, server)
@@ -158,17 +158,17 @@
 	n := startNode(t, withRelays(discovery, first))
 	eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
 	for i := range 10 {
-		if !answers(t, n, fmt.Sprint("one", i), "a") {
+		if !isServedBy(t, n, fmt.Sprint("one", i), "a") {
 			t.Fatal("not served by the endpoint of the relays")
 		}
 	}
 	putEndpoint(s, o, "b", b, "up")
 	putEndpoint(s, o, "a", a, "draining")
 	putListVersion(s, o, 9)
-	eventually(t, "the drain", func() bool { return relaySeq(t, n) == 9 })
+	eventually(t, "the drain", func() bool { return relayListVersion(t, n) == 9 })
 	before := tasksA.Load()
 	for i := range 10 {
-		if !answers(t, n, fmt.Sprint("two", i), "b") {
+		if !isServedBy(t, n, fmt.Sprint("two", i), "b") {
 			t.Fatal("not served by the endpoint that was added")
 		}
 	}
@@ -177,27 +177,27 @@
 	}
 	// An invalid record, and one of an unknown kind, change nothing else.
 	s.Do(func(now int64) {
-		put(o, now, testScope, relay.EndpointKey("b"), distribution.ClassEndpoint, `{"host":"b","dial":"nowhere","health":"up"}`)
-		put(o, now, testScope, "moon/phase", distribution.ClassConfiguration, "full")
+		putRecord(o, now, testScope, relay.EndpointKey("b"), distribution.ClassEndpoint, `{"host":"b","dial":"nowhere","health":"up"}`)
+		putRecord(o, now, testScope, "moon/phase", distribution.ClassConfiguration, "full")
 	})
 	putListVersion(s, o, 10)
-	eventually(t, "the invalid record", func() bool { return n.count(listEntriesSkipped) == 1 && relaySeq(t, n) == 10 })
-	if !answers(t, n, "three", "b") {
+	eventually(t, "the invalid record", func() bool { return n.count(listEntriesSkipped) == 1 && relayListVersion(t, n) == 10 })
+	if !isServedBy(t, n, "three", "b") {
 		t.Error("an invalid record removed an endpoint")
 	}
 	if calls.Load() != 0 {
 		t.Errorf("discovery was called %d times while relays sent the list", calls.Load())
 	}
-	if v := relayView(t, n); v.By != "relays" || v.Relay != first || v.Watch || !v.Whole {
+	if v := relayStatus(t, n); v.By != "relays" || v.Relay != first || v.Watch || !v.Whole {
 		t.Errorf("the view: %+v", v)
 	}
 	stop()
 }
 
-func relaySeq(t *testing.T, n *Node) (seq int64) {
+func relayListVersion(t *testing.T, n *Node) (seq int64) {
 	t.Helper()
 	var v struct{ Seq int64 }
-	check(t, json.Unmarshal([]byte(n.relays.StatusJSON()), &v))
+	requireNoError(t, json.Unmarshal([]byte(n.relays.StatusJSON()), &v))
 	return v.Seq
 }
 
@@ -211,7 +211,7 @@
 
 // Without relays discovery is watched; when they are back it is not. Neither removes or restores what the other knew
 // better.
-func TestNodeWatchesDiscoveryWhileRelaysAreGone(t *testing.T) {
+func TestNodeWatchesDiscoveryWhileRelaysAreDown(t *testing.T) {
 	a, tasksA := startNamedUpstream(t, "a")
 	b, _ := startNamedUpstream(t, "b")
 	o := distribution.NewOrigin(1, distribution.Limits{})
@@ -227,17 +227,17 @@
 		}
 		return listText(int(version.Load()), true, listEntry("a", a, "up"), listEntry("b", b, "up"))
 	})
-	n := startNode(t, withRelaysSilent("20s", discovery, first)) // that no relay can be reached is known sooner
+	n := startNode(t, withRelaysAndSilence("20s", discovery, first)) // that no relay can be reached is known sooner
 	eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
-	if !answers(t, n, "one", "b") {
+	if !isServedBy(t, n, "one", "b") {
 		t.Fatal("not served by the list of the relays")
 	}
 	stop()
 	eventually(t, "a call to discovery", func() bool { return calls.Load() == 1 })
-	eventually(t, "discovery's list", func() bool { return relayView(t, n).By == "discovery" })
+	eventually(t, "discovery's list", func() bool { return relayStatus(t, n).By == "discovery" })
 	before := tasksA.Load()
 	for i := range 10 {
-		if !answers(t, n, fmt.Sprint("two", i), "b") {
+		if !isServedBy(t, n, fmt.Sprint("two", i), "b") {
 			t.Fatal("an older list of discovery removed an endpoint")
 		}
 	}
@@ -256,13 +256,13 @@
 	putEndpoint(s, again, "a", a, "up")
 	putListVersion(s, again, 25)
 	go serve(s, l)
-	eventually(t, "relays again", func() bool { v := relayView(t, n); return v.By == "relays" && !v.Watch })
+	eventually(t, "relays again", func() bool { v := relayStatus(t, n); return v.By == "relays" && !v.Watch })
 	eventually(t, "the end of the watch", func() bool { return open.Load() == 0 })
-	eventually(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("three", lastAddress.Add(1)), "a") })
+	eventually(t, "the newer list", func() bool { return isServedBy(t, n, fmt.Sprint("three", lastAddress.Add(1)), "a") })
 }
 
 // Where no relay answers at the start, discovery is watched as without any.
-func TestNodeStartsWithoutARelay(t *testing.T) {
+func TestNodeStartsWithoutReachableRelay(t *testing.T) {
 	a, _ := startNamedUpstream(t, "a")
 	discovery, _, _ := startDiscovery(t, func(int64) string { return listText(3, true, listEntry("a", a, "up")) })
 	still := listen(t, func(c net.Conn) { time.Sleep(20 * time.Second) }) // it accepts connections and sends nothing
@@ -273,31 +273,31 @@
 		if took := time.Since(began); took > 3*time.Second {
 			t.Errorf("%s: ready after %v, expected a second and a call", name, took)
 		}
-		if !answers(t, n, name, "a") {
+		if !isServedBy(t, n, name, "a") {
 			t.Errorf("%s: not served", name)
 		}
 	}
 }
 
 // An origin without a list is not used, however complete it is otherwise.
-func TestOriginWithoutAListRemovesNothing(t *testing.T) {
+func TestOriginWithoutListRemovesNoEndpoint(t *testing.T) {
 	a, _ := startNamedUpstream(t, "a")
 	discovery, _, _ := startDiscovery(t, func(int64) string { return listText(3, true, listEntry("a", a, "up")) })
 	o := distribution.NewOrigin(1, distribution.Limits{})
 	first, s, _ := serveOrigin(t, o)
-	s.Do(func(now int64) { put(o, now, testScope, "route/x", distribution.ClassConfiguration, "1") })
+	s.Do(func(now int64) { putRecord(o, now, testScope, "route/x", distribution.ClassConfiguration, "1") })
 	n := startNode(t, withRelays(discovery, first))
 	eventually(t, "ready", func() bool { return n.notReadyReason() == "" })
-	if v := relayView(t, n); v.By != "discovery" || !v.Whole {
+	if v := relayStatus(t, n); v.By != "discovery" || !v.Whole {
 		t.Errorf("%+v", v)
 	}
-	if !answers(t, n, "one", "a") {
+	if !isServedBy(t, n, "one", "a") {
 		t.Error("not served")
 	}
 }
 
-// relayProcess runs an origin or a relay until the test ends.
-func relayProcess(t *testing.T, text string) (p *relay.Process) {
+// startRelayProcess runs an origin or a relay until the test ends.
+func startRelayProcess(t *testing.T, text string) (p *relay.Process) {
 	t.Helper()
 	config, err := relay.ParseConfig("t.toml", []byte(text))
 	if err != nil {
@@ -326,19 +326,19 @@
 	first, s, stop := serveOrigin(t, o)
 	putEndpoint(s, o, "a", a, "up")
 	putListVersion(s, o, 8)
-	low := relayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", first))
-	n := startNode(t, withRelaysSilent("2s", discovery, low.Address()))
-	eventually(t, "the list by relays", func() bool { return n.notReadyReason() == "" && relayView(t, n).By == "relays" })
+	low := startRelayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", first))
+	n := startNode(t, withRelaysAndSilence("2s", discovery, low.Address()))
+	eventually(t, "the list by relays", func() bool { return n.notReadyReason() == "" && relayStatus(t, n).By == "relays" })
 	stop()
-	eventually(t, "the list by discovery", func() bool { return relayView(t, n).By == "discovery" })
-	eventually(t, "the newer list", func() bool { return answers(t, n, fmt.Sprint("t", lastAddress.Add(1)), "b") })
-	if v := relayView(t, n); v.Relay != low.Address() {
+	eventually(t, "the list by discovery", func() bool { return relayStatus(t, n).By == "discovery" })
+	eventually(t, "the newer list", func() bool { return isServedBy(t, n, fmt.Sprint("t", lastAddress.Add(1)), "b") })
+	if v := relayStatus(t, n); v.Relay != low.Address() {
 		t.Errorf("%+v: the relay is still there", v)
 	}
 }
 
 // The origin loses discovery while the node can reach it: a change reaches the node within 6 s all the same.
-func TestChangeArrivesWhileTheOriginHasLostDiscovery(t *testing.T) {
+func TestChangeArrivesWhileOriginHasLostDiscovery(t *testing.T) {
 	a, _ := startNamedUpstream(t, "a")
 	b, _ := startNamedUpstream(t, "b")
 	var frozen atomic.Bool
@@ -360,23 +360,23 @@
 	discovery, calls, _ := startDiscovery(t, func(int64) string {
 		return listText(6, true, listEntry("a", a, "draining"), listEntry("b", b, "up"))
 	})
-	origin := relayProcess(t, fmt.Sprintf("name=\"o\"\nrole=\"origin\"\nlisten=\"127.0.0.1:0\"\n[origin]\ndiscovery=%q\n[origin.scope]\nservice=\"cart\"\nregion=\"eu1\"\n", half))
-	low := relayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", origin.Address()))
-	n := startNode(t, withRelaysSilent("4s", discovery, low.Address()))
-	eventually(t, "the list by relays", func() bool { return n.notReadyReason() == "" && relayView(t, n).By == "relays" })
-	if !answers(t, n, "one", "a") {
+	origin := startRelayProcess(t, fmt.Sprintf("name=\"o\"\nrole=\"origin\"\nlisten=\"127.0.0.1:0\"\n[origin]\ndiscovery=%q\n[origin.scope]\nservice=\"cart\"\nregion=\"eu1\"\n", half))
+	low := startRelayProcess(t, fmt.Sprintf("name=\"r\"\nrole=\"relay\"\nlisten=\"127.0.0.1:0\"\nupstream=[%q]\n", origin.Address()))
+	n := startNode(t, withRelaysAndSilence("4s", discovery, low.Address()))
+	eventually(t, "the list by relays", func() bool { return n.notReadyReason() == "" && relayStatus(t, n).By == "relays" })
+	if !isServedBy(t, n, "one", "a") {
 		t.Fatal("not served by the list of the relays")
 	}
 	before := calls.Load()
 	frozen.Store(true)
 	began := time.Now()
-	for relayView(t, n).By != "discovery" {
+	for relayStatus(t, n).By != "discovery" {
 		if time.Since(began) > 6*time.Second {
 			t.Fatal("not within 6 s")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if !answers(t, n, "two", "b") {
+	if !isServedBy(t, n, "two", "b") {
 		t.Error("not served by the list of discovery")
 	}
 	if calls.Load() == before {
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -35,7 +35,7 @@
 		Decode:             func(in endpointlist.Entry) (endpointEntry, error) { return newEndpointEntry(in, n.settings.Zones) },
 		ToEndpoint:         sourceEndpoint,
 		WithState:          withSourceState,
-		DiscoveryConnected: func() bool { return n.endpointWatch.lastHeard.Load() != 0 },
+		DiscoveryConnected: func() bool { return n.endpointWatch.lastReceivedAt.Load() != 0 },
 		CountSkipped:       func(records int) { n.counters[listEntriesSkipped].Add(int64(records)) },
 	})
 }
@@ -99,5 +99,5 @@
 
 // listConfirmedAt is when the list was last known to be current, Unix nanoseconds; 0: it is not known to be.
 func (n *Node) listConfirmedAt() int64 {
-	return cmp.Or(n.relays.RelaysLastReceivedAt(), n.endpointWatch.lastHeard.Load())
+	return cmp.Or(n.relays.RelaysLastReceivedAt(), n.endpointWatch.lastReceivedAt.Load())
 }
--- a/internal/node/requestread.go
+++ b/internal/node/requestread.go
@@ -20,7 +20,7 @@
 var errClientClosed = errors.New("client closed the connection or was idle for too long")
 
 // readRequest reads one request. If the body is too long to be buffered, pending.source supplies the rest. The idle
-// timeout applies between requests; within a request, and before the first one of a connection, the shorter headTimeout
+// timeout applies between requests; within a request, and before the first one of a connection, the shorter parallelCallDelay
 // applies, because a silent connection occupies a descriptor. The caller answers an error if isMalformed is true for
 // it, and ends the connection on any other error.
 func (c *clientConn) readRequest(pending *pendingRequest) (*http.Request, error) {
@@ -35,7 +35,7 @@
 	}
 	pending.method = request.Method
 	pending.http10 = !request.ProtoAtLeast(1, 1)
-	c.conn.pacer = &readPacer{start: startedAt, grace: bodyGrace, stall: bodyStall, minRate: minBodyRate}
+	c.conn.pacer = &readPacer{start: startedAt, gracePeriod: bodyGracePeriod, stallTimeout: bodyStallTimeout, minBytesPerSecond: minBodyBytesPerSecond}
 	complete, err := c.readBody(pending, m)
 	if err != nil || complete {
 		c.conn.pacer = nil
@@ -66,7 +66,7 @@
 }
 
 // beginMessage records that a message is being read, sets the read deadline for its head, and returns the time at which
-// headTimeout started.
+// parallelCallDelay started.
 func (c *clientConn) beginMessage(first bool) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -19,16 +19,16 @@
 
 // start has an attempt carried by a worker, without waiting. An idle worker is taken before a new one: a goroutine made
 // for each attempt would grow its stack anew each time.
-func (u *upstreams) start(a *attempt) {
+func (u *upstreams) startAttempt(a *attempt) {
 	select {
 	case u.work <- a:
 	default:
-		go u.worker(a)
+		go u.runWorker(a)
 	}
 }
 
 // worker carries one attempt after another. It ends when enough others are idle.
-func (u *upstreams) worker(a *attempt) {
+func (u *upstreams) runWorker(a *attempt) {
 	for {
 		u.runAttempt(a)
 		if u.idleWorkers.Add(1) > u.maxIdleWorkers.Load() {
@@ -43,7 +43,7 @@
 // runAttempt carries an attempt from its start to its one result, which it posts to the event loop. It then waits for
 // the end of a streamed response to take the connection back.
 func (u *upstreams) runAttempt(a *attempt) {
-	result := u.resultOf(a)
+	result := u.roundTripResult(a)
 	result.endedAt = u.node.clock.now()
 	stream := result.response.stream // read before the post: from there on the response is the event loop's
 	u.node.loop.post(func() { u.node.loop.attemptEnded(a, result) })
@@ -52,8 +52,8 @@
 	}
 }
 
-// resultOf is the result of an attempt, also where it failed or panicked.
-func (u *upstreams) resultOf(a *attempt) (result attemptResult) {
+// roundTripResult is the result of an attempt, also where it failed or panicked.
+func (u *upstreams) roundTripResult(a *attempt) (result attemptResult) {
 	result = attemptResult{outcome: policy.OutcomeUnknown, report: parseLoadReport("")}
 	defer u.node.recoverPanic("attempt", func() {})
 	answered, err := u.runRoundTrip(a)
@@ -92,7 +92,7 @@
 	deadline := u.node.clock.at(a.deadline)
 	conn, err := u.acquire(a, deadline)
 	if err != nil {
-		return attemptResult{}, a.fail(notConnected, err)
+		return attemptResult{}, a.errorAt(notConnected, err)
 	}
 	trip := &roundTrip{upstreams: u, attempt: a, conn: conn}
 	defer trip.close()
@@ -100,19 +100,19 @@
 		deadline = time.Time{} // a streamed body is limited by its progress, and the response from the last byte on
 	}
 	conn.SetDeadline(deadline)
-	if !a.setOnCancel(func() { conn.SetDeadline(inThePast) }) {
-		return attemptResult{}, a.fail(notConnected, errCanceled)
+	if !a.setOnCancel(func() { conn.SetDeadline(expiredDeadline) }) {
+		return attemptResult{}, a.errorAt(notConnected, errCanceled)
 	}
 	defer a.setOnCancel(nil)
-	if err := u.whyNotSend(a); err != nil {
+	if err := u.checkBeforeWrite(a); err != nil {
 		if a.setOnCancel(nil) { // nothing was written on it, and no cancel is about to set its deadline
 			trip.putIdle()
 		}
-		return attemptResult{}, a.fail(notConnected, err)
+		return attemptResult{}, a.errorAt(notConnected, err)
 	}
 	reply, err := trip.writeAndReadHead()
 	if err != nil {
-		return attemptResult{}, trip.failed(reply.stage, err)
+		return attemptResult{}, trip.headError(reply.stage, err)
 	}
 	return trip.readResponse(reply)
 }
@@ -131,11 +131,11 @@
 }
 
 // failed is the error of an attempt that got no head of a response.
-func (t *roundTrip) failed(stage attemptStage, err error) *attemptError {
+func (t *roundTrip) headError(stage attemptStage, err error) *attemptError {
 	if stage == fullyWritten && len(t.conn.buffered()) > 0 {
 		stage = readingResponse
 	}
-	failure := t.attempt.fail(stage, err)
+	failure := t.attempt.errorAt(stage, err)
 	reused := !t.conn.idleSince.IsZero()
 	if failure.stage == fullyWritten && failure.outcome() == policy.OutcomeReset && reused {
 		// Guards against an upstream that was cut off and is back: it resets each connection from before only when that
@@ -148,10 +148,10 @@
 // readResponse reads the body behind a head, or its first part, and releases the connection where it can be used again.
 func (t *roundTrip) readResponse(reply upstreamReply) (attemptResult, *attemptError) {
 	m := reply.message
-	body, complete, err := readFirstPart(m)
+	body, complete, err := readBodyStart(m)
 	if err != nil {
 		m.end()
-		return attemptResult{}, t.attempt.fail(readingResponse, err)
+		return attemptResult{}, t.attempt.errorAt(readingResponse, err)
 	}
 	result := reply.result()
 	result.newConnection = t.conn.idleSince.IsZero()
@@ -171,13 +171,13 @@
 	}
 	m.end()
 	unasked := complete && len(t.conn.buffered()) > 0
-	t.upstreams.noteExtraInput(unasked)
+	t.upstreams.recordExtraInput(unasked)
 	t.conn.lastRejected = result.outcome == policy.OutcomeRejected
 	if wanted && complete && !unasked && reusable {
 		t.putIdle()
 	}
 	if passedOn && !complete {
-		return attemptResult{}, t.attempt.fail(readingResponse, errCanceled)
+		return attemptResult{}, t.attempt.errorAt(readingResponse, errCanceled)
 	}
 	return result, nil
 }
@@ -209,10 +209,10 @@
 	return passed
 }
 
-// whyNotSend is why an attempt must not be written, by what has become of its request and its endpoint since the
+// checkBeforeWrite is why an attempt must not be written, by what has become of its request and its endpoint since the
 // decisions chose it: it may have waited in a queue or for its connection. It is called last before the first byte,
 // so that whatever happens up to then counts; nil: it may be written.
-func (u *upstreams) whyNotSend(a *attempt) error {
+func (u *upstreams) checkBeforeWrite(a *attempt) error {
 	switch {
 	case a.request.answered.Load():
 		return errAnswered
@@ -271,10 +271,10 @@
 	return outcomeOf(r.StatusCode, r.Header) == policy.OutcomeRejected || isRequestFault(r.StatusCode)
 }
 
-// readFirstPart reads a short response completely, and of a longer one the first part. One of unknown length counts as
+// readBodyStart reads a short response completely, and of a longer one the first part. One of unknown length counts as
 // short for responseBufferTimeout: a broken response mostly shows at once, and a slow one is not to be held back until it is
 // known to be long.
-func readFirstPart(m *message) (body []byte, complete bool, err error) {
+func readBodyStart(m *message) (body []byte, complete bool, err error) {
 	if m.length > maxBufferedResponse {
 		body = make([]byte, streamBufferBytes)
 		n, err := m.Read(body)
--- a/internal/node/roundtrip_test.go
+++ b/internal/node/roundtrip_test.go
@@ -38,7 +38,7 @@
 }
 
 // What an upstream does decides the outcome, and with the class the client's response.
-func TestOutcomeOfResponses(t *testing.T) {
+func TestResponseDecidesOutcome(t *testing.T) {
 	closed := listen(t, func(c net.Conn) {})
 	cut := func(text string) string {
 		address, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -154,7 +154,7 @@
 
 // Guards against an upstream that was cut off and is back: connections from before are reset only when used, and each
 // would cost a request.
-func TestConnectionsFromBeforeResetAreClosed(t *testing.T) {
+func TestResetClosesIdleConnectionsToUpstream(t *testing.T) {
 	var back atomic.Bool
 	var idle sync.WaitGroup
 	idle.Add(5)
@@ -186,7 +186,7 @@
 
 // A response that comes a second time is passed to no client: neither while its connection is idle, nor once another
 // request is in flight.
-func TestDuplicateResponseComesLate(t *testing.T) {
+func TestLateDuplicateResponseIsDiscarded(t *testing.T) {
 	stray := newGate(t)
 	var conns atomic.Int64
 	server := listen(t, func(c net.Conn) {
@@ -224,7 +224,7 @@
 		n := newNode(t, nil, server)
 		n.upstreams.extraInputCooldown = time.Hour
 		n.start()
-		n.upstreams.noteExtraInput(true) // such have been seen here
+		n.upstreams.recordExtraInput(true) // such have been seen here
 		sendRequest(t, n, "batch", "a", "")
 		idleOf(n)
 		if _, body, _ := sendRequest(t, n, "batch", "b", ""); body != "/batch b " {
@@ -252,7 +252,7 @@
 
 // A connection that its upstream closes or resets as a request is written to it is one on which the request may have
 // run.
-func TestIdleConnectionEndsAsRequestIsWritten(t *testing.T) {
+func TestIdleConnectionClosedDuringWriteCountsAsReset(t *testing.T) {
 	for name, c := range map[string]struct {
 		linger bool
 		status map[string]int
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -61,7 +61,7 @@
 	n.counters.add(configReloads)
 	n.log.Info("configuration reloaded", zap.String("discovery", reloaded.Discovery),
 		zap.Strings("only after a restart", n.config.changedKeys(reloaded)))
-	n.endpointWatch.move(reloaded.Discovery)
+	n.endpointWatch.setAddress(reloaded.Discovery)
 }
 
 // changedKeys returns the keys that differ in another configuration and take effect only after a restart.
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -26,11 +26,11 @@
 	maxDrain  = 3 * time.Second
 	killDelay = 700 * time.Millisecond
 
-	acceptAfterTerm         = 450 * time.Millisecond // until load balancers have seen that the node is not ready
-	acceptAfterTermReplaced = 700 * time.Millisecond // a successor takes new connections; idle ones here stay so long
-	answerMargin            = 150 * time.Millisecond // before SIGKILL, for the last answers to reach their clients
-	exitMargin              = 40 * time.Millisecond  // before SIGKILL, to reset streams and end the process
-	clientPollInterval      = 10 * time.Millisecond  // between looks at whether clients are left
+	acceptAfterTerm              = 450 * time.Millisecond // until load balancers have seen that the node is not ready
+	acceptAfterTermAsPredecessor = 700 * time.Millisecond // a successor takes new connections; idle ones here stay so long
+	answerMargin                 = 150 * time.Millisecond // before SIGKILL, for the last answers to reach their clients
+	exitMargin                   = 40 * time.Millisecond  // before SIGKILL, to reset streams and end the process
+	clientPollInterval           = 10 * time.Millisecond  // between looks at whether clients are left
 )
 
 // beginShutdown starts the graceful shutdown; the channel is closed when clients have their answers.
@@ -56,8 +56,8 @@
 	n.log.Info("shutting down")
 	killAt := time.Now().Add(n.killTimeout())
 	n.shuttingDown.Store(true)
-	if n.hotRestart.hasYielded() {
-		time.Sleep(min(acceptAfterTermReplaced, time.Until(killAt)-2*answerMargin))
+	if n.hotRestart.hasServingSuccessor() {
+		time.Sleep(min(acceptAfterTermAsPredecessor, time.Until(killAt)-2*answerMargin))
 	} else {
 		time.Sleep(acceptAfterTerm)
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-func TestStopGoesOnTakingAndSettlesAll(t *testing.T) {
+func TestShutdownAcceptsForAWhileAndAnswersAll(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		time.Sleep(60 * time.Millisecond)
 		return echo(c, r, body)
@@ -188,7 +188,7 @@
 }
 
 // What has no response shortly before the platform kills a process is given up: rejected where a retry does no harm.
-func TestShutdownGivesUpPendingRequests(t *testing.T) {
+func TestShutdownAnswersPendingRequests(t *testing.T) {
 	silent, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.URL.Path == "/batch" { // an answer whose end is the connection's, and that does not come
 			writeText(c, "HTTP/1.1 200 OK\r\n\r\n")
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -23,18 +23,18 @@
 	n.serveClients()
 }
 
-// inheritEstimates loads the estimates of the previous process during a hot restart, else the persisted ones.
+// restoreEstimates loads the estimates of the previous process during a hot restart, else the persisted ones.
 func (n *Node) inheritEstimates() {
 	if n.inherited != nil {
-		n.loop.inherit(n.inherited.Estimates)
+		n.loop.inheritPredecessorEstimates(n.inherited.Estimates)
 	} else {
-		n.persistence.inheritEstimates()
+		n.persistence.restoreEstimates()
 	}
 }
 
 func (n *Node) startGoroutines() {
 	go n.loop.run()
-	n.persistence.run()
+	n.persistence.startWriteLoop()
 	go n.overrides.watch(time.Tick(overridesPollInterval))
 	go n.admin.run()
 	go n.frontend.closeIdleWhileDrained()
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -77,7 +77,7 @@
 	default:
 	}
 	s.abandoned.Store(true)
-	s.conn.SetReadDeadline(inThePast)
+	s.conn.SetReadDeadline(expiredDeadline)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.finish(errBodyNotNeeded)
@@ -113,7 +113,7 @@
 }
 
 func newResponseStream(m *message) *responseStream {
-	m.conn.pacer = &readPacer{start: time.Now(), stall: writeStall}
+	m.conn.pacer = &readPacer{start: time.Now(), stallTimeout: writeStallTimeout}
 	return &responseStream{message: m, length: m.length, done: make(chan bool, 1)}
 }
 
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -37,7 +37,7 @@
 		defer close(u.done)
 		u.err = u.run(conn, a)
 		if u.err != nil {
-			conn.SetReadDeadline(inThePast) // unblocks the read of the response, which will not arrive
+			conn.SetReadDeadline(expiredDeadline) // unblocks the read of the response, which will not arrive
 			return
 		}
 		u.completedAt = time.Now()
@@ -102,7 +102,7 @@
 // stop cancels the upload unless it is complete, waits for its goroutine, and reports whether it was complete.
 func (u *upload) stop(conn *upstreamConn, request *pendingRequest) bool {
 	if !u.complete.Load() {
-		conn.SetWriteDeadline(inThePast)
+		conn.SetWriteDeadline(expiredDeadline)
 		request.source.abandon()
 	}
 	<-u.done // otherwise it could set a deadline on the connection when another attempt already uses it
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -21,10 +21,10 @@
 	// extraInputCooldown is how long a connection is not used again after a response that may come twice. Guards
 	// against response desynchronization: some upstreams send a duplicate some milliseconds later, and on a kept
 	// connection it would be taken for the response to the next request.
-	extraInputCooldown = 8 * time.Millisecond
-	extraInputWindow   = time.Minute          // after input beyond a response, all have a cooldown
-	lentSlotPoll       = 2 * time.Millisecond // between looks for the slot of a client that has been asked to leave
-	slotWaitDivisor    = 4                    // the part of an attempt's time that it may wait for a slot
+	extraInputCooldown   = 8 * time.Millisecond
+	extraInputWindow     = time.Minute          // after input beyond a response, all have a cooldown
+	lentSlotPollInterval = 2 * time.Millisecond // between looks for the slot of a client that has been asked to leave
+	slotWaitDivisor      = 4                    // the part of an attempt's time that it may wait for a slot
 )
 
 // upstreamConn is a connection to an upstream. One attempt or health check uses it at a time; while it is idle it is
@@ -94,7 +94,7 @@
 // trimIdleLocked closes idle connections beyond maxOpen, and gives the frontend back the slots that are not needed.
 func (u *upstreams) trimIdleLocked() {
 	for u.open > u.maxOpen && u.idleOrder.Len() > 0 {
-		u.closeOldestLocked()
+		u.evictLongestIdleLocked()
 	}
 	needed := int64(max(0, u.open-u.maxOpen))
 	lent := &u.node.frontend.slotsLentToUpstreams
@@ -162,7 +162,7 @@
 		if !expired && conn.isReusable() {
 			return conn
 		}
-		u.noteExtraInput(conn.hasInput())
+		u.recordExtraInput(conn.hasInput())
 		u.closeConn(conn)
 		if !expired {
 			u.node.counters.add(upstreamConnsFoundClosed)
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// noteExtraInput notes whether more than a request's response has come on a connection.
-func (u *upstreams) noteExtraInput(came bool) {
+// recordExtraInput notes whether more than a request's response has come on a connection.
+func (u *upstreams) recordExtraInput(came bool) {
 	if came {
 		u.lastExtraInputAt.Store(time.Now().UnixNano())
 	}
@@ -216,7 +216,7 @@
 		if isHealthCheck || a.isCanceled() || time.Now().After(giveUp) {
 			return errNoConnectionSlot
 		}
-		time.Sleep(lentSlotPoll)
+		time.Sleep(lentSlotPollInterval)
 	}
 	return nil
 }
@@ -229,7 +229,7 @@
 		if u.idleOrder.Len() == 0 {
 			return false
 		}
-		u.closeOldestLocked()
+		u.evictLongestIdleLocked()
 	}
 	u.open++
 	return true
@@ -264,14 +264,14 @@
 	u.idleConns[conn.target] = append(u.idleConns[conn.target], conn)
 }
 
-// closeOldestLocked closes the connection that has been idle longest; there must be one.
-func (u *upstreams) closeOldestLocked() {
+// evictLongestIdleLocked closes the connection that has been idle longest; there must be one.
+func (u *upstreams) evictLongestIdleLocked() {
 	oldest := u.idleOrder.Front().Value.(*upstreamConn)
-	u.closeFirstLocked(oldest.target, 1)
+	u.closeTargetIdleLocked(oldest.target, 1)
 }
 
-// closeFirstLocked closes the n connections to a target that have been idle longest.
-func (u *upstreams) closeFirstLocked(target upstreamTarget, n int) {
+// closeTargetIdleLocked closes the n connections to a target that have been idle longest.
+func (u *upstreams) closeTargetIdleLocked(target upstreamTarget, n int) {
 	idle := u.idleConns[target]
 	for _, conn := range idle[:n] {
 		u.closeIdleLocked(conn)
@@ -295,7 +295,7 @@
 func (u *upstreams) closeIdle(target upstreamTarget) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.closeFirstLocked(target, len(u.idleConns[target]))
+	u.closeTargetIdleLocked(target, len(u.idleConns[target]))
 }
 
 // idleCutoff is the time since which a connection must have been used to be used again: three quarters of the idle
@@ -319,7 +319,7 @@
 				kept = append(kept, conn)
 				continue
 			}
-			u.noteExtraInput(conn.hasInput())
+			u.recordExtraInput(conn.hasInput())
 			u.closeIdleLocked(conn)
 		}
 		u.idleConns[target] = kept
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -15,7 +15,7 @@
 )
 
 // Guards against another request on a connection that brought more than a complete response.
-func TestConnectionWithUnaskedBytesIsNotReused(t *testing.T) {
+func TestConnectionWithExtraInputIsNotReused(t *testing.T) {
 	server, _ := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
 		return writeResponse(c, "200 OK", "unasked")
@@ -30,7 +30,7 @@
 }
 
 // Guards against a reset on a connection that the upstream had closed while it was idle.
-func TestConnectionClosedByUpstreamIsNoticed(t *testing.T) {
+func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	server, requests := startUpstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		echo(c, r, body)
 		return false
@@ -53,7 +53,7 @@
 
 // Guards against writing a request to a connection that the upstream has closed, or is about to close, for being
 // idle.
-func TestConnectionThatStoodIdleIsNotUsedAgain(t *testing.T) {
+func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, func(c *Config) {
 		c.Settings = json.RawMessage(strings.Replace(settingsText, `"idle_close_us":60000000`,
@@ -159,7 +159,7 @@
 		n := newNode(t, nil)
 		n.upstreams.extraInputCooldown = time.Hour
 		n.upstreams.setAddress(1, server, c.standing)
-		n.upstreams.noteExtraInput(c.strayed)
+		n.upstreams.recordExtraInput(c.strayed)
 		raw, err := net.Dial("tcp", server)
 		if err != nil {
 			t.Fatal(err)
@@ -181,7 +181,7 @@
 }
 
 // After an endpoint has restarted at its address no request is sent on connections from before.
-func TestEndpointRestartsAtItsAddress(t *testing.T) {
+func TestRestartedEndpointGetsNewConnections(t *testing.T) {
 	server, _ := startUpstream(t, echo)
 	n := startNode(t, nil, server)
 	sendRequest(t, n, "batch", "a", "")
