--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -154,7 +154,7 @@
 	status := persistenceStatus{
 		Epoch:      p.state.Epoch(),
 		Endpoints:  p.state.EndpointCount(),
-		OlderCopy:  p.state.IsOlderCopy(),
+		OlderCopy:  p.state.IsOutdatedCopy(),
 		NotTrusted: p.recovered.NotTrusted,
 		Written:    p.writtenBatches.Load(),
 		Failed:     p.failedBatches.Load(),
--- a/internal/nodestate/state.go
+++ b/internal/nodestate/state.go
@@ -77,8 +77,8 @@
 
 // State is the persisted state of one node.
 type State struct {
-	beforeStart header // as found in the store
-	olderCopy   bool   // other nodes know a later start of this node
+	beforeStart  header // as found in the store
+	outdatedCopy bool   // other nodes know a later start of this node
 
 	current          header               // with what this process has recorded
 	endpoints        map[string]*Endpoint // by name
--- a/internal/nodestate/trust.go
+++ b/internal/nodestate/trust.go
@@ -75,20 +75,20 @@
 // ReportLaterStart takes in a start of this node that others know, in milliseconds of its clock. It reports whether
 // that shows, for the first time, that the state is an older copy.
 func (s *State) ReportLaterStart(startMs uint64) bool {
-	if s.olderCopy || s.beforeStart.Clock == 0 || startMs <= uint64(s.beforeStart.Clock/1e6) {
+	if s.outdatedCopy || s.beforeStart.Clock == 0 || startMs <= uint64(s.beforeStart.Clock/1e6) {
 		return false
 	}
-	s.olderCopy = true
+	s.outdatedCopy = true
 	return true
 }
 
-// IsOlderCopy reports whether the state was found to be an older copy.
-func (s *State) IsOlderCopy() bool { return s.olderCopy }
+// IsOutdatedCopy reports whether the state was found to be an older copy.
+func (s *State) IsOutdatedCopy() bool { return s.outdatedCopy }
 
 // ApplyDrains returns entries of a list of discovery with the drains and removals that hold against it.
 func (s *State) ApplyDrains(entries []Endpoint, version int64) []Endpoint {
 	startedLater := func(entry Endpoint) bool { return entry.StartedNs > s.beforeStart.Clock }
-	if s.olderCopy || slices.ContainsFunc(entries, startedLater) {
+	if s.outdatedCopy || slices.ContainsFunc(entries, startedLater) {
 		return entries
 	}
 	return s.ApplyDrainsToGossiped(entries, version)
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -76,7 +76,7 @@
 type operation struct {
 	key         string
 	value       []byte
-	remove      bool
+	isDelete    bool
 	valueOffset int // of the value, within its frame
 }
 
@@ -88,13 +88,13 @@
 	for i := range ops {
 		op := &ops[i]
 		kind := byte(kindPut)
-		if op.remove {
+		if op.isDelete {
 			kind = kindDelete
 		}
 		b = append(b, kind)
 		b = binary.AppendUvarint(b, uint64(len(op.key)))
 		b = append(b, op.key...)
-		if !op.remove {
+		if !op.isDelete {
 			b = binary.AppendUvarint(b, uint64(len(op.value)))
 			op.valueOffset = len(b)
 			b = append(b, op.value...)
@@ -178,10 +178,10 @@
 	if r.failed || r.offset >= len(r.frame) {
 		return operation{}, false
 	}
-	op := operation{remove: r.frame[r.offset] == kindDelete}
+	op := operation{isDelete: r.frame[r.offset] == kindDelete}
 	r.offset++
 	op.key = string(r.bytes())
-	if !op.remove && !r.failed {
+	if !op.isDelete && !r.failed {
 		op.value = r.bytes()
 		op.valueOffset = r.offset - len(op.value)
 	}
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -171,7 +171,7 @@
 // latestChange is the last change of a key in the log.
 type latestChange struct {
 	entry
-	removed bool
+	deleted bool
 }
 
 // loadSegments reads the segments and fills the index. tail is what was found in the active segment.
@@ -185,7 +185,7 @@
 		result, err := scan(seg.name, content, seg == s.active, func(offset int64, f frame) {
 			for _, op := range f.ops {
 				if previous, exists := latest[op.key]; !exists || f.seq >= previous.seq {
-					latest[op.key] = latestChange{entryOf(op, seg, offset, f.seq), op.remove}
+					latest[op.key] = latestChange{entryOf(op, seg, offset, f.seq), op.isDelete}
 				}
 			}
 		})
@@ -201,7 +201,7 @@
 		s.seq = max(s.seq, result.lastSeq)
 	}
 	for _, change := range latest {
-		if !change.removed {
+		if !change.deleted {
 			s.setEntry(change.entry)
 		}
 	}
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -25,7 +25,7 @@
 }
 
 // Delete removes a key; one that doesn't exist is no error.
-func (b *Batch) Delete(key string) { b.ops = append(b.ops, operation{key: key, remove: true}) }
+func (b *Batch) Delete(key string) { b.ops = append(b.ops, operation{key: key, isDelete: true}) }
 
 func (b *Batch) validate() error {
 	size := 0
@@ -208,7 +208,7 @@
 	for _, batch := range group.batches {
 		frameOffset := groupOffset + int64(batch.offset)
 		for _, op := range batch.ops {
-			if op.remove {
+			if op.isDelete {
 				s.removeEntry(op.key)
 			} else {
 				s.setEntry(entryOf(op, s.active, frameOffset, batch.seq))
