--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -152,7 +152,7 @@
 func (c *Config) checkGossip() error {
 	if c.Gossip.Listen == "" {
 		if len(c.Gossip.Peers) > 0 {
-			return errors.New("news.listen: expected an address and a port, as news.peers is set, got none")
+			return errors.New("news.listen: expected an address and a port, as there are news.peers, got none")
 		}
 		if c.parsedSettings.Policy.MayGossip && c.parsedSettings.Policy.NodeCount > 1 {
 			return errors.New("news.listen: expected an address and a port, " +
@@ -194,11 +194,11 @@
 	}
 	fd, err := strconv.ParseUint(c.inheritedFD, 10, 31)
 	if err != nil {
-		return fmt.Errorf("%s: expected the number of a file descriptor, got %q", envInherited, c.inheritedFD)
+		return fmt.Errorf("%s: expected a descriptor's number, got %q", envInherited, c.inheritedFD)
 	}
 	listens, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil || listens == 0 {
-		return fmt.Errorf("%s: expected a listening socket, but file descriptor %d is not one", envInherited, fd)
+		return fmt.Errorf("%s: expected a listening socket, got descriptor %d, which does not listen", envInherited, fd)
 	}
 	return nil
 }
