--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -23,7 +23,7 @@
 	responseOrder  chan *pendingRequest // pending requests in the order received; closed by the read loop
 	slotAcquiredAt time.Time            // when the connection got its slot; written before the loops start
 
-	lingerUntil atomic.Int64 // Unix time in nanoseconds until which input is discarded; 0 until the last response is written
+	lingerUntil atomic.Int64 // discard input until this Unix time in nanoseconds; 0 before the last response
 	streaming   atomic.Bool  // a response is being streamed to the client
 
 	mu               sync.Mutex
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -73,8 +73,8 @@
 			eventually(t, "the client connection is closed", n.allClientsClosed)
 			n.flushLoop()
 			if requests.Load() != 0 || n.count(requestsAccepted) != 0 {
-				t.Errorf("got %d requests accepted and %d sent to the upstream, want 0, as the client is gone", n.count(requestsAccepted),
-					requests.Load())
+				t.Errorf("got %d requests accepted and %d sent to the upstream, want 0, as the client is gone",
+					n.count(requestsAccepted), requests.Load())
 			}
 		})
 	}
@@ -98,7 +98,8 @@
 		responseGate.release()
 		eventually(t, "the client connection is closed", n.allClientsClosed)
 		if n.flushLoop(); requests.Load() != before {
-			t.Errorf("got %[2]d requests at the upstream, want %[1]d, the number when the client closed", before, requests.Load())
+			t.Errorf("got %[2]d requests at the upstream, want %[1]d, the number when the client closed", before,
+				requests.Load())
 		}
 	})
 	t.Run("all dialing, and the read loop does not see the end", func(t *testing.T) {
@@ -109,7 +110,7 @@
 		n.start()
 		client, _ := dial(t, n)
 		writeText(client, requestTexts(20))
-		dialGate.awaitArrivals(t, maxPipelined+2) // the queued requests, plus one each in the write loop and the read loop
+		dialGate.awaitArrivals(t, maxPipelined+2) // queued requests, plus one in each of the two loops
 		conn := n.onlyClientConn(t)
 		client.Close()
 		eventually(t, "the node detects that the client closed", conn.clientGone)
@@ -120,7 +121,7 @@
 		})
 		attempts, accepted, canceled := n.count(attemptsSent), n.count(requestsAccepted), n.count(requestsCanceled)
 		if requests.Load() != 0 || attempts != accepted || canceled != accepted {
-			t.Errorf("of %d accepted requests got %d attempts, %d canceled, %d received by upstreams, want all canceled and 0 received",
+			t.Errorf("%d requests accepted: got %d attempts, %d canceled, %d received by upstreams, want all canceled, 0 received",
 				accepted, attempts, canceled, requests.Load())
 		}
 	})
@@ -293,7 +294,7 @@
 				responseGate.release()
 				eventually(t, "all attempts have ended", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
 				if atFirst.Load() != int64(s.attemptsBefore) || atOther.Load() != 0 || n.count(attemptsNotSent) == 0 {
-					t.Errorf("got %d attempts started at the first upstream, want %d; got %d at the other, want 0; got %d not sent, want some",
+					t.Errorf("attempts started: got %d at the first upstream, want %d; got %d at the other, want 0; got %d not sent, want some",
 						atFirst.Load(), s.attemptsBefore,
 						atOther.Load(), n.count(attemptsNotSent))
 				}
@@ -511,6 +512,6 @@
 		"latest attempt %v after its client closed", attempts, retries,
 		len(sessions.clientLeftAt), notStarted, maxDelay)
 	if late > 0 || attempts < 200 || retries < 20 || notStarted < 50 {
-		t.Errorf("got %d attempts more than 0.1 s after their client closed, want 0 (or too few events to test, see the log)", late)
+		t.Errorf("got %d attempts more than 0.1 s after their client closed, want 0 (or too few events, see the log)", late)
 	}
 }
--- a/internal/node/evict.go
+++ b/internal/node/evict.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	messageStallTimeout = time.Second            // a connection without input for this long within a message counts as idle
-	drainIdleDelay      = time.Second            // of a drained node before it evicts idle connections; clients have stopped connecting by then
+	messageStallTimeout = time.Second            // without input within a message, its connection counts as idle
+	drainIdleDelay      = time.Second            // wait after a drain started, until clients have stopped connecting
 	drainIdleInterval   = 100 * time.Millisecond // between evictions of idle connections while the node is drained
 )
 
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	clientIdleTimeout = 20 * time.Second // between requests of a connection
-	recentUseWindow   = 2 * time.Second  // a connection used this recently is spared if possible (evictIdleLocked)
-	closeLinger       = 25 * time.Millisecond
-	slotLendTimeout   = 4 * closeLinger // minimum wait of an attempt for the slot of an idle client (waitForSlot)
-	evictAheadDivisor = 16              // 1/16 of the slots are evicted ahead of need, as closing is not immediate
+	clientIdleTimeout = 20 * time.Second      // between requests of a connection
+	recentUseWindow   = 2 * time.Second       // a connection used this recently is spared if possible (evictIdleLocked)
+	closeLinger       = 25 * time.Millisecond // wait for the peer to close after the last response
+	slotLendTimeout   = 4 * closeLinger       // minimum wait of an attempt for the slot of an idle client (waitForSlot)
+	evictAheadDivisor = 16                    // 1/16 of the slots are evicted ahead of need, as closing is not immediate
 )
 
 // frontend accepts and tracks the client connections. Each connection occupies a slot; free slots may be lent to
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -25,7 +25,7 @@
 	for i := range 150 {
 		clients.Go(func() {
 			status, _, _ := sendRequest(t, n, "view", fmt.Sprint("t", i), "")
-			if status == 0 { // closed before the node received anything, as this client was slow to write: clients retry in this case
+			if status == 0 { // closed before the first byte of a slow client: clients retry then
 				status, _, _ = sendRequest(t, n, "view", fmt.Sprint("t", i), "")
 			}
 			statusCounts[status].Add(1)
@@ -34,7 +34,8 @@
 	clients.Wait()
 	if statusCounts[200].Load() == 0 || statusCounts[200].Load()+statusCounts[503].Load() != 150 ||
 		n.count(requestsOverCapacity) == 0 {
-		t.Errorf("got %d responses with status 200 and %d with 503, %d over capacity, want 150 in all and some of each", statusCounts[200].Load(), statusCounts[503].Load(),
+		t.Errorf("got %d responses with status 200 and %d with 503, %d over capacity, want 150 in all and some of each",
+			statusCounts[200].Load(), statusCounts[503].Load(),
 			n.count(requestsOverCapacity))
 	}
 	if handled := n.count(requestsAccepted) + n.count(requestsOverCapacity); handled != 150 {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -16,7 +16,7 @@
 	// overrides, persisted state, gossip and the runtime.
 	ownDescriptors         = 24
 	spareDescriptorDivisor = 16 // of all descriptors, to reject clients over capacity
-	activeClientDivisor    = 4  // of all descriptors: soft limit of used client connections; clients hold at most a third
+	activeClientDivisor    = 4  // of all descriptors: soft limit of used client connections; clients hold a third at most
 	upstreamDivisor        = 3  // of the rest, for upstreams: clients need more, as they keep idle connections
 
 	bodyMemoryDivisor = 8 // of the memory, for buffered bodies; connection buffers need as much again
@@ -24,7 +24,7 @@
 	heapLimitPercent  = 60  // of MemoryMB
 	gcPercent         = 400 // GOGC: the heap is small, and collecting it takes CPU time from requests
 	bytesPerMiB       = 1 << 20
-	minOwnDescriptors = 4 // in addition to half of the descriptors, if these are fewer than ownDescriptors
+	minOwnDescriptors = 4 // ownDescriptors is capped at half of the descriptors plus this
 	lentSlotDivisor   = 2 // of the client slots in excess of the upstream slots: may be lent (frontend.go)
 )
 
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -4,7 +4,6 @@
 // them to the terms used in the code; the field names of an endpoint list are in internal/endpointlist. The wire names
 // differ from the terms in the code:
 //
-//
 //	header, cookie         meaning                                    field of policy.Request
 //	X-Txn                  identifies the request                     ID
 //	X-Lane                 class; "category" in error texts           Class
--- a/internal/node/requestread.go
+++ b/internal/node/requestread.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	headTimeout          = 2500 * time.Millisecond // for a head, from its first byte; for the first head, from the slot's acquisition
+	headTimeout          = 2500 * time.Millisecond // from the first byte of a head, or from acquiring the slot
 	initialBodyReserve   = 4 << 10                 // bytes reserved initially for a body of unknown length
-	bodyMemoryHardFactor = 2                       // requests with a body are rejected above this multiple of maxBufferedBytes
+	bodyMemoryHardFactor = 2                       // requests with a body are rejected above this times maxBufferedBytes
 )
 
 // errClientClosed ends the read loop: the connection was closed between requests, or idle for too long.
 var errClientClosed = errors.New("client closed the connection or was idle for too long")
 
 // readRequest reads one request. If the body is too long to be buffered, pending.source supplies the rest. The idle
-// timeout applies between requests; within a request, and before the first one of a connection, the shorter parallelCallDelay
+// timeout applies between requests; within a request, and before the first one of a connection, the shorter headTimeout
 // applies, because a silent connection occupies a descriptor. The caller answers an error if isMalformed is true for
 // it, and ends the connection on any other error.
 func (c *clientConn) readRequest(pending *pendingRequest) (*http.Request, error) {
@@ -35,7 +35,8 @@
 	}
 	pending.method = request.Method
 	pending.http10 = !request.ProtoAtLeast(1, 1)
-	c.conn.pacer = &readPacer{start: startedAt, gracePeriod: bodyGracePeriod, stallTimeout: bodyStallTimeout, minBytesPerSecond: minBodyBytesPerSecond}
+	c.conn.pacer = &readPacer{start: startedAt, gracePeriod: bodyGracePeriod, stallTimeout: bodyStallTimeout,
+		minBytesPerSecond: minBodyBytesPerSecond}
 	complete, err := c.readBody(pending, m)
 	if err != nil || complete {
 		c.conn.pacer = nil
@@ -66,7 +67,7 @@
 }
 
 // beginMessage records that a message is being read, sets the read deadline for its head, and returns the time at which
-// parallelCallDelay started.
+// headTimeout started.
 func (c *clientConn) beginMessage(first bool) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/requestread_test.go
+++ b/internal/node/requestread_test.go
@@ -56,7 +56,8 @@
 		}
 	}
 	if status, _, _ := sendRequest(t, n, "batch", "still", ""); status != 200 || n.count(requestsMalformed) != 15 {
-		t.Errorf("valid request after malformed ones: got status %d, want 200; got %d counted as malformed, want 15", status, n.count(requestsMalformed))
+		t.Errorf("valid request after malformed ones: got status %d, want 200; got %d counted as malformed, want 15",
+			status, n.count(requestsMalformed))
 	}
 }
 
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -23,7 +23,7 @@
 	n.serveClients()
 }
 
-// restoreEstimates loads the estimates of the previous process during a hot restart, else the persisted ones.
+// inheritEstimates loads the estimates of the previous process during a hot restart, else the persisted ones.
 func (n *Node) inheritEstimates() {
 	if n.inherited != nil {
 		n.loop.inheritPredecessorEstimates(n.inherited.Estimates)
