--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -182,7 +182,7 @@
 }
 
 // startCountingUpstream starts an upstream that counts attempts by their first byte, whether or not they are complete.
-func startCountingUpstream(t *testing.T, answer func(c net.Conn, r *http.Request)) (address string, attempts *atomic.Int64) {
+func startCountingUpstream(t *testing.T, respond func(c net.Conn, r *http.Request)) (address string, attempts *atomic.Int64) {
 	attempts = new(atomic.Int64)
 	return listen(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); ; {
@@ -197,7 +197,7 @@
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
-			answer(c, r)
+			respond(c, r)
 		}
 	}), attempts
 }
@@ -254,15 +254,15 @@
 			return text
 		}(), readerBlocked: true},
 	} {
-		for how, leave := range clientCloseMethods {
-			t.Run(name+", "+how, func(t *testing.T) {
+		for method, closeConn := range clientCloseMethods {
+			t.Run(name+", "+method, func(t *testing.T) {
 				t.Parallel()
 				responseGate := newGate(t)
-				first, atFirst := startCountingUpstream(t, func(c net.Conn, r *http.Request) {
+				first, firstAttempts := startCountingUpstream(t, func(c net.Conn, r *http.Request) {
 					responseGate.wait()
 					writeResponse(c, "500 Bad", "")
 				})
-				other, atOther := startCountingUpstream(t, func(c net.Conn, r *http.Request) { echo(c, r, "") })
+				other, otherAttempts := startCountingUpstream(t, func(c net.Conn, r *http.Request) { echo(c, r, "") })
 				n := newNode(t, func(c *Config) {
 					withSettings(`"may_duplicate":false`, `"may_duplicate":true`,
 						`800000`, `8000000`, `75000`, `5000000`,
@@ -271,11 +271,11 @@
 					c.Discovery, _ = startScriptedDiscovery(t)
 				}, first)
 				dialGate := newGate(t)
-				n.upstreams.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
+				n.upstreams.dial = func(_ context.Context, address string, deadline time.Time) (net.Conn, error) {
 					if s.attemptsBefore == 0 || address == other {
 						dialGate.wait()
 					}
-					return n.upstreams.connect(context.Background(), address, limit)
+					return n.upstreams.connect(context.Background(), address, deadline)
 				}
 				n.start()
 				client, _ := dial(t, n)
@@ -284,19 +284,19 @@
 					s.prepare(t, n, other, responseGate)
 				}
 				dialGate.awaitArrivals(t, 1)
-				at := n.onlyClientConn(t)
-				leave(client)
-				eventually(t, "the node detects that the client closed", at.clientGone)
+				conn := n.onlyClientConn(t)
+				closeConn(client)
+				eventually(t, "the node detects that the client closed", conn.clientGone)
 				if !s.readerBlocked {
 					eventually(t, "the request is canceled", func() bool { return n.count(requestsCanceled) == 1 })
 				}
 				dialGate.release()
 				responseGate.release()
 				eventually(t, "all attempts have ended", func() bool { n.flushLoop(); return n.allAttemptsEnded() })
-				if atFirst.Load() != int64(s.attemptsBefore) || atOther.Load() != 0 || n.count(attemptsNotSent) == 0 {
+				if firstAttempts.Load() != int64(s.attemptsBefore) || otherAttempts.Load() != 0 || n.count(attemptsNotSent) == 0 {
 					t.Errorf("attempts started: got %d at the first upstream, want %d; got %d at the other, want 0; got %d not sent, want some",
-						atFirst.Load(), s.attemptsBefore,
-						atOther.Load(), n.count(attemptsNotSent))
+						firstAttempts.Load(), s.attemptsBefore,
+						otherAttempts.Load(), n.count(attemptsNotSent))
 				}
 			})
 		}
@@ -384,12 +384,12 @@
 			if _, err := in.Peek(1); err != nil {
 				return
 			}
-			at := timestamped.lastReceivedAt
+			receivedAt := timestamped.lastReceivedAt
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			a.recordAttempt(r.Header.Get(headerRequestID), at)
+			a.recordAttempt(r.Header.Get(headerRequestID), receivedAt)
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
@@ -433,12 +433,12 @@
 			c.Discovery, _ = startScriptedDiscovery(t)
 			c.Limits.MemoryMB = 64
 		}, upstreamAddrs...)
-		n.upstreams.dial = func(ctx context.Context, address string, limit time.Time) (net.Conn, error) {
+		n.upstreams.dial = func(ctx context.Context, address string, deadline time.Time) (net.Conn, error) {
 			mu.Lock()
 			delay := time.Duration(max(0, draws.IntN(900)-300)) * time.Millisecond
 			mu.Unlock()
 			time.Sleep(delay) // a connection that opens late, even if the attempt has been canceled
-			return n.upstreams.connect(ctx, address, limit)
+			return n.upstreams.connect(ctx, address, deadline)
 		}
 		n.start()
 		nodes = append(nodes, n)
@@ -455,9 +455,9 @@
 			ids = []string{fmt.Sprintf("u%d", i)}
 			text = partialStreamedRequest(class, ids[0])
 		default:
-			for k := range []int{1, 1, 1, 1, 3, 12, 1, 1}[kind-2] {
-				ids = append(ids, fmt.Sprintf("t%d-%d", i, k))
-				text += requestText(class, ids[k], "")
+			for index := range []int{1, 1, 1, 1, 3, 12, 1, 1}[kind-2] {
+				ids = append(ids, fmt.Sprintf("t%d-%d", i, index))
+				text += requestText(class, ids[index], "")
 			}
 		}
 		closeAfter, closeConn := time.Duration(draws.IntN(600))*time.Millisecond, clientCloseMethods[methods[draws.IntN(3)]]
@@ -495,11 +495,11 @@
 		if len(sessions.attemptStarts[id]) == 0 {
 			notStarted++
 		}
-		for k, startedAt := range sessions.attemptStarts[id] {
+		for index, startedAt := range sessions.attemptStarts[id] {
 			sinceClose := startedAt.Sub(closedAt)
 			if maxDelay = max(maxDelay, sinceClose); sinceClose > 100*time.Millisecond {
 				late++
-				t.Logf("attempt %d of request %s started %v after its client closed", k+1, id, sinceClose)
+				t.Logf("attempt %d of request %s started %v after its client closed", index+1, id, sinceClose)
 			}
 		}
 	}
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -36,9 +36,9 @@
 // been canceled.
 func (n *Node) blockDials(t *testing.T) *gate {
 	g := newGate(t)
-	n.upstreams.dial = func(_ context.Context, address string, limit time.Time) (net.Conn, error) {
+	n.upstreams.dial = func(_ context.Context, address string, deadline time.Time) (net.Conn, error) {
 		g.wait()
-		return n.upstreams.connect(context.Background(), address, limit)
+		return n.upstreams.connect(context.Background(), address, deadline)
 	}
 	return g
 }
