--- a/internal/node/requestread.go
+++ b/internal/node/requestread.go
@@ -35,8 +35,7 @@
 	}
 	pending.method = request.Method
 	pending.http10 = !request.ProtoAtLeast(1, 1)
-	c.conn.pacer = &readPacer{start: startedAt, gracePeriod: bodyGracePeriod, stallTimeout: bodyStallTimeout,
-		minBytesPerSecond: minBodyBytesPerSecond}
+	c.conn.pacer = &readPacer{start: startedAt, gracePeriod: bodyGracePeriod, stallTimeout: bodyStallTimeout, minBytesPerSecond: minBodyBytesPerSecond}
 	complete, err := c.readBody(pending, m)
 	if err != nil || complete {
 		c.conn.pacer = nil
