--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,7 +6,7 @@
 )
 
 // allow is the time that a request with so much left may be predicted to take.
-func (b *testFleet) remainingLatencyBudget(t *request) time.Duration {
+func (b *testFleet) budgetOf(t *request) time.Duration {
 	return b.latencyBudget(t, t.effectiveDeadline.Sub(b.now))
 }
 
@@ -17,10 +17,10 @@
 		Request:           Request{Class: 1},
 		effectiveDeadline: b.now + 400*ms,
 	}
-	if got := b.remainingLatencyBudget(starved); got != 400*ms {
+	if got := b.budgetOf(starved); got != 400*ms {
 		t.Errorf("the starved class may take %d", got)
 	}
-	if got := b.remainingLatencyBudget(other); got != 100*ms {
+	if got := b.budgetOf(other); got != 100*ms {
 		t.Errorf("the other may take %d, want a quarter of 400 ms", got)
 	}
 }
@@ -32,7 +32,7 @@
 		b.now += Time(tickInterval)
 		b.tick()
 	}
-	if got := b.remainingLatencyBudget(&request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}); got < 380*ms {
+	if got := b.budgetOf(&request{Request: Request{Class: 1}, effectiveDeadline: b.now + 400*ms}); got < 380*ms {
 		t.Errorf("another class may take %d of 400 ms", got)
 	}
 }
@@ -92,7 +92,7 @@
 		effectiveDeadline: b.now + 400*ms,
 		overQuota:         true,
 	}
-	if w, o := b.remainingLatencyBudget(within), b.remainingLatencyBudget(over); w != 400*ms || o != 100*ms {
+	if w, o := b.budgetOf(within), b.budgetOf(over); w != 400*ms || o != 100*ms {
 		t.Errorf("with half rejected a request within may take %d, one beyond %d", w, o)
 	}
 }
@@ -105,16 +105,16 @@
 			s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight, s.Classes[2].PriorityWeight = 1, 4, 64
 		})
 		b.tick()
-		if got := b.remainingLatencyBudget(&request{effectiveDeadline: b.now + 400*ms}); got != 400*ms {
+		if got := b.budgetOf(&request{effectiveDeadline: b.now + 400*ms}); got != 400*ms {
 			t.Errorf("with nothing rejected it may take %d of 400 ms", got/ms)
 		}
 		for i := range b.estimator.classes {
 			b.estimator.classes[i].SuccessRate = 0.5
 		}
-		if got := b.remainingLatencyBudget(&request{effectiveDeadline: b.now + 400*ms}); got/ms != kept {
+		if got := b.budgetOf(&request{effectiveDeadline: b.now + 400*ms}); got/ms != kept {
 			t.Errorf("where the worst weighs %g it may take %d ms, want %d", worst, got/ms, kept)
 		}
-		if got := b.remainingLatencyBudget(&request{Request: Request{Class: 2}, effectiveDeadline: b.now + 400*ms}); got != 400*ms {
+		if got := b.budgetOf(&request{Request: Request{Class: 2}, effectiveDeadline: b.now + 400*ms}); got != 400*ms {
 			t.Errorf("the class with the highest priority weight may take %d of 400 ms", got/ms)
 		}
 	}
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -151,9 +151,9 @@
 	perWork := tookNanos / a.work
 	fleet, pod := e.Fleet.MeanRatio(), ep.podLatency.MeanRatio()
 	// Guards against a few slow endpoints making the fleet look late.
-	e.Fleet.Add(min(perWork, maxSampleFactor*fleet), a.inFlightBefore, fleetWindow)
-	ep.podLatency.Add(min(perWork/fleet, maxSampleFactor*pod), a.inFlightBefore, endpointWindow)
-	ep.Latency.Add(perWork/fleet/pod, a.inFlightBefore, endpointWindow)
+	e.Fleet.Add(min(perWork, maxSampleFactor*fleet), a.inFlightAtSend, fleetWindow)
+	ep.podLatency.Add(min(perWork/fleet, maxSampleFactor*pod), a.inFlightAtSend, endpointWindow)
+	ep.Latency.Add(perWork/fleet/pod, a.inFlightAtSend, endpointWindow)
 	if !ep.HasLatency {
 		ep.HasLatency = true
 		ep.HighLatency = initialHighLatency * perWork
--- a/policy/request.go
+++ b/policy/request.go
@@ -35,7 +35,7 @@
 	zone, pod      int // of the endpoint when it was sent: the list may have changed since
 	sentAt         Time
 	idleTime       time.Duration // for how long the connection had been idle; 0: not known or a new one
-	inFlightBefore float64       // attempts of this node at the endpoint when it was sent
+	inFlightAtSend float64       // attempts of this node at the endpoint when it was sent
 
 	// Estimates at the time of sending, in nanoseconds.
 	work            float64
@@ -140,7 +140,7 @@
 		pod:               ep.Pod,
 		sentAt:            now,
 		idleTime:          idleTime,
-		inFlightBefore:    float64(ep.inFlight),
+		inFlightAtSend:    float64(ep.inFlight),
 		work:              work,
 		predictedNanos:    float64(b.estimator.predictLatency(ep, work)),
 		unloadedNanos:     b.estimator.unloadedNanos(ep, work),
