--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -216,6 +216,6 @@
 }
 
 // The one play of 3,200 in a longer run, 400 seeds of each case above, in which a fresh node gives up more than it may.
-func TestNewNodeServesHealthyEndpointsSeed171(t *testing.T) {
+func TestNewNodeServesSeed171(t *testing.T) {
 	runClosedLoop(t, 171, 3, 24, 160*ms, NonIdempotent).checkAnswered(171)
 }
