--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -142,7 +142,7 @@
 const (
 	errNoConnectionSlot localError = "no descriptor left for a connection"
 	errCanceled         localError = "canceled before it was written"
-	errBodyLost         localError = "the request's body is no longer available"
+	errBodyConsumed     localError = "the request's body is no longer available"
 	errEndpointDisabled localError = "the endpoint takes no new requests"
 	errAnswered         localError = "the request already has its response"
 	errClientGone       localError = "the client has gone"
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -21,7 +21,7 @@
 // for each attempt would grow its stack anew each time.
 func (u *upstreams) startAttempt(a *attempt) {
 	select {
-	case u.work <- a:
+	case u.attempts <- a:
 	default:
 		go u.runWorker(a)
 	}
@@ -35,7 +35,7 @@
 			u.idleWorkers.Add(-1)
 			return
 		}
-		a = <-u.work
+		a = <-u.attempts
 		u.idleWorkers.Add(-1)
 	}
 }
@@ -249,7 +249,7 @@
 		return upstreamReply{stage: partlyWritten}, err
 	}
 	if request.source.consumed.Swap(true) {
-		return upstreamReply{stage: partlyWritten}, errBodyLost
+		return upstreamReply{stage: partlyWritten}, errBodyConsumed
 	}
 	up := startUpload(t.conn, t.attempt, timeout)
 	head, m, err := t.conn.readResponseHead(request.method)
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -109,12 +109,12 @@
 	return u.complete.Load()
 }
 
-// failure returns why an incomplete, stopped upload has no response: errBodyLost if the client is at fault, else the
+// failure returns why an incomplete, stopped upload has no response: errBodyConsumed if the client is at fault, else the
 // error of the write, or else readErr, the error of reading the response.
 func (u *upload) failure(request *pendingRequest, readErr error) error {
 	clientErr := request.source.failure()
 	if clientErr != nil && !errors.Is(clientErr, errBodyNotNeeded) {
-		return errBodyLost // without a complete request the upstream has not executed it
+		return errBodyConsumed // without a complete request the upstream has not executed it
 	}
 	stoppedByNode := errors.Is(u.err, errBodyNotNeeded) || errors.Is(u.err, os.ErrDeadlineExceeded)
 	if u.err != nil && !stoppedByNode {
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -41,7 +41,7 @@
 type upstreams struct {
 	node           *Node
 	dial           func(ctx context.Context, address string, deadline time.Time) (net.Conn, error)
-	work           chan *attempt // unbuffered: taken by an idle worker
+	attempts       chan *attempt // unbuffered: taken by an idle worker
 	idleWorkers    atomic.Int64
 	maxIdleWorkers atomic.Int64
 
@@ -61,7 +61,7 @@
 func newUpstreams(n *Node) *upstreams {
 	u := &upstreams{
 		node:               n,
-		work:               make(chan *attempt),
+		attempts:           make(chan *attempt),
 		eligible:           map[policy.EndpointID]string{},
 		idleConns:          map[upstreamTarget][]*upstreamConn{},
 		extraInputCooldown: extraInputCooldown,
