--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -21,26 +21,26 @@
 
 type affinity struct {
 	keys                   keyfreq.Counter
-	endpoints              []*endpoint // of the key of the request that is being placed, the first choice first
+	preferred              []*endpoint // of the key of the request that is being placed, the first choice first
 	workFactorWithAffinity float64     // work of a request at its key's home, over that elsewhere; 0.25 to 1
 }
 
 // findAffinityEndpoints sets the homes of the request's key. A key that needs more than rendezvous.MaxTop has none.
 func (b *Balancer) findAffinityEndpoints(now Time, req *request) {
 	a := &b.affinity
-	for _, ep := range a.endpoints {
+	for _, ep := range a.preferred {
 		ep.hasAffinity = false
 	}
-	a.endpoints = a.endpoints[:0]
+	a.preferred = a.preferred[:0]
 	if req.affinityCount <= rendezvous.MaxTop {
-		a.endpoints = rendezvous.Top(a.endpoints, b.endpoints.all, req.affinityCount, func(ep *endpoint) uint64 {
+		a.preferred = rendezvous.Top(a.preferred, b.endpoints.all, req.affinityCount, func(ep *endpoint) uint64 {
 			if ep.State != StateActive || b.slowStart.capacity(now, ep) < 1 || ep.isUnhealthy(now) {
 				return 0
 			}
 			return rendezvous.Score(req.keyHash, uint32(ep.ID))
 		})
 	}
-	for _, ep := range a.endpoints {
+	for _, ep := range a.preferred {
 		ep.hasAffinity = true
 	}
 }
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -58,7 +58,7 @@
 		t.Errorf("%d out at the home, 7 elsewhere stand idle", n)
 	}
 	b.EndpointsUpdated(b.now, []EndpointInfo{{ID: home, Pod: 9, StartedAt: b.now}}, false)
-	if ask(); len(b.affinity.endpoints) == 0 || b.affinity.endpoints[0].ID == home {
+	if ask(); len(b.affinity.preferred) == 0 || b.affinity.preferred[0].ID == home {
 		t.Error("a cold endpoint is a home, and nodes do not agree on the next")
 	}
 }
