--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -235,7 +235,8 @@
 	}
 }
 
-// Guards against holding back the first bytes of a slow response whose length its head doesn't declare.
+// Guards against holding back the first bytes of a long response that arrives slowly, whether or not its head declares
+// the length.
 func TestSlowResponseIsNotHeldBack(t *testing.T) {
 	for _, head := range []string{
 		"Content-Length: 70003\r\n\r\nyes",
