--- a/internal/lab/emulator/badclients.go
+++ b/internal/lab/emulator/badclients.go
@@ -28,19 +28,19 @@
 }
 
 // run starts them as they are due.
-func (b *badClients) run(d *Emulation) {
-	for i := range d.plan.BadClients {
-		one := &d.plan.BadClients[i]
-		if !d.sleepUntil(one.Due) {
+func (b *badClients) run(run *Emulation) {
+	for i := range run.plan.BadClients {
+		client := &run.plan.BadClients[i]
+		if !run.sleepUntil(client.Due) {
 			return
 		}
-		d.group.Go(func() error { b.connect(d, one); return nil })
+		run.group.Go(func() error { b.connect(run, client); return nil })
 	}
 }
 
 // connect is one of them from its connection to its answer.
-func (b *badClients) connect(d *Emulation, one *workload.BadClient) {
-	n := d.nodes[one.Node]
+func (b *badClients) connect(run *Emulation, client *workload.BadClient) {
+	n := run.nodes[client.Node]
 	if !n.isAdmitted() {
 		return
 	}
@@ -49,27 +49,27 @@
 		return
 	}
 	defer c.Close()
-	within := answerTimeout
-	if one.Kind == "huge-body" {
-		within = hugeBodyTimeout
+	timeout := answerTimeout
+	if client.Kind == "huge-body" {
+		timeout = hugeBodyTimeout
 	}
-	life := n.incarnation()
-	c.SetDeadline(time.Now().Add(within))
-	d.group.Go(func() error { b.write(d, c, one); return nil })
+	incarnation := n.incarnation()
+	c.SetDeadline(time.Now().Add(timeout))
+	run.group.Go(func() error { b.write(run, c, client); return nil })
 	b.connected.Add(1)
-	met, served := awaitAnswer(c)
+	answered, served := awaitAnswer(c)
 	switch {
 	case served:
 		b.served.Add(1)
-		d.recordAnomaly("a bad client was served", one.Kind)
-	case !met && n.incarnation() == life && n.isAdmitted() && !d.isDone():
+		run.recordAnomaly("a bad client was served", client.Kind)
+	case !answered && n.incarnation() == incarnation && n.isAdmitted() && !run.isDone():
 		b.unanswered.Add(1)
-		d.recordAnomaly("a bad client got neither an error nor a close", one.Kind)
+		run.recordAnomaly("a bad client got neither an error nor a close", client.Kind)
 	}
 }
 
 // awaitAnswer reads until an error, an end, or the time is up.
-func awaitAnswer(c net.Conn) (met, served bool) {
+func awaitAnswer(c net.Conn) (answered, served bool) {
 	buf := make([]byte, 4096)
 	n, err := c.Read(buf)
 	switch {
@@ -83,18 +83,18 @@
 	return true, false
 }
 
-func (b *badClients) write(d *Emulation, c net.Conn, one *workload.BadClient) {
-	category := d.scenario.Classes[0].Name
-	id := fmt.Sprintf("bad%013x", one.Seed>>12)
+func (b *badClients) write(run *Emulation, c net.Conn, client *workload.BadClient) {
+	category := run.scenario.Classes[0].Name
+	id := fmt.Sprintf("bad%013x", client.Seed>>12)
 	head := func(extra string) string {
 		return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: lab\r\n%s: %s\r\n%s: %s\r\n%s: 500\r\n%s", category, headerRequestID, id, headerClass,
 			category, headerRemaining, extra)
 	}
-	switch one.Kind {
+	switch client.Kind {
 	case "noise":
 		noise := make([]byte, 2000)
 		for i := range noise {
-			noise[i] = byte(one.Seed>>(i%56)) ^ byte(i*37)
+			noise[i] = byte(client.Seed>>(i%56)) ^ byte(i*37)
 		}
 		send(c, append(noise, "\r\n\r\n"...))
 	case "endless-head":
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -92,16 +92,16 @@
 	buffer       []byte
 }
 
-func newClients(d *Emulation) (*clients, error) {
+func newClients(run *Emulation) (*clients, error) {
 	c := &clients{
-		run: d, outcomes: make([]trace.Outcome, len(d.plan.Operations)), wake: make(chan struct{}, 1),
-		unfinished: len(d.plan.Operations), byZone: make([][]*pool, len(d.scenario.Network.Zones)),
-		nextNode: make([]int, len(d.scenario.Network.Zones)),
+		run: run, outcomes: make([]trace.Outcome, len(run.plan.Operations)), wake: make(chan struct{}, 1),
+		unfinished: len(run.plan.Operations), byZone: make([][]*pool, len(run.scenario.Network.Zones)),
+		nextNode: make([]int, len(run.scenario.Network.Zones)),
 	}
-	for _, n := range d.nodes {
+	for _, n := range run.nodes {
 		p := &pool{clients: c, node: n, connections: map[*clientConn]struct{}{}}
 		var err error
-		if p.proxyAddress, err = d.links.proxyStream(netfault.End{Kind: netfault.Client, Index: n.zone}, netfault.End{Kind: netfault.Node, Index: n.index}, func() string { return n.address }); err != nil {
+		if p.proxyAddress, err = run.links.proxyStream(netfault.End{Kind: netfault.Client, Index: n.zone}, netfault.End{Kind: netfault.Node, Index: n.index}, func() string { return n.address }); err != nil {
 			return nil, err
 		}
 		if p.proxyAddress == n.address {
@@ -109,7 +109,7 @@
 		}
 		c.pools = append(c.pools, p)
 	}
-	parts := d.plan.NodeShares(d.scenario)
+	shares := run.plan.NodeShares(run.scenario)
 	for zone := range c.byZone {
 		for _, p := range c.pools {
 			if p.node.zone == zone {
@@ -123,28 +123,28 @@
 		for _, p := range c.byZone[zone] {
 			indexes = append(indexes, p.node.index)
 		}
-		c.pickers = append(c.pickers, workload.NewNodePicker(parts, indexes))
+		c.pickers = append(c.pickers, workload.NewNodePicker(shares, indexes))
 	}
 	return c, nil
 }
 
 // sendAll sends requests as they are due.
 func (c *clients) sendAll() {
-	tasks, next := c.run.plan.Operations, 0
+	operations, next := c.run.plan.Operations, 0
 	delay := int64(c.run.scenario.Network.Client)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		now := c.run.now()
-		for next < len(tasks) && tasks[next].Due+delay <= now {
-			t := &tasks[next]
+		for next < len(operations) && operations[next].Due+delay <= now {
+			t := &operations[next]
 			c.run.lag.record(t.Due+delay, t.Due+delay, now-t.Due-delay)
 			c.send(c.firstRequest(t))
 			next++
 		}
 		wait := int64(time.Second)
-		if next < len(tasks) {
-			wait = tasks[next].Due + delay - now
+		if next < len(operations) {
+			wait = operations[next].Due + delay - now
 		}
 		c.mu.Lock()
 		var due []*clientRequest
@@ -168,120 +168,120 @@
 	}
 }
 
-func (c *clients) firstRequest(t *workload.Operation) *clientRequest {
-	category := &c.run.scenario.Classes[t.Class]
+func (c *clients) firstRequest(o *workload.Operation) *clientRequest {
+	class := &c.run.scenario.Classes[o.Class]
 	share := c.run.scenario.Clients.RequestTimeoutShare
 	return &clientRequest{
-		operation: t, due: t.Due, deadline: t.Due + int64(float64(category.Deadline)*share),
-		id:  c.run.requestID(t.Index, 0),
-		key: fmt.Sprintf("%016x%016x", c.run.plan.Seed, t.Seed),
+		operation: o, due: o.Due, deadline: o.Due + int64(float64(class.Deadline)*share),
+		id:  c.run.requestID(o.Index, 0),
+		key: fmt.Sprintf("%016x%016x", c.run.plan.Seed, o.Seed),
 	}
 }
 
 // send gives a request to a connection of the next node that the front takes to be ready.
-func (c *clients) send(t *clientRequest) {
-	t.record = nil
-	zone := c.byZone[t.operation.Zone]
-	if choice := c.pickers[t.operation.Zone]; choice != nil {
-		c.nextNode[t.operation.Zone] = choice.Pick(t.operation, t.number) - 1 // who is next, if that one is not in
+func (c *clients) send(request *clientRequest) {
+	request.record = nil
+	zone := c.byZone[request.operation.Zone]
+	if picker := c.pickers[request.operation.Zone]; picker != nil {
+		c.nextNode[request.operation.Zone] = picker.Pick(request.operation, request.number) - 1 // who is next, if that one is not in
 	}
 	for range zone {
-		c.nextNode[t.operation.Zone]++
-		if p := zone[c.nextNode[t.operation.Zone]%len(zone)]; p.node.isAdmitted() {
-			p.enqueue(t)
+		c.nextNode[request.operation.Zone]++
+		if p := zone[c.nextNode[request.operation.Zone]%len(zone)]; p.node.isAdmitted() {
+			p.enqueue(request)
 			return
 		}
 	}
 	for _, p := range c.pools { // no node of its zone is in
 		if p.node.isAdmitted() {
-			p.enqueue(t)
+			p.enqueue(request)
 			return
 		}
 	}
-	c.finishOrRetry(t, trace.Lost, true, 0)
+	c.finishOrRetry(request, trace.Lost, true, 0)
 }
 
-func (p *pool) enqueue(t *clientRequest) {
+func (p *pool) enqueue(request *clientRequest) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
-		r := p.idle[n-1]
+		cc := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		p.mu.Unlock()
-		r.requests <- t
+		cc.requests <- request
 		return
 	}
 	if p.open >= p.clients.run.scenario.Clients.MaxConnections {
-		p.queue = append(p.queue, t)
+		p.queue = append(p.queue, request)
 		p.mu.Unlock()
 		return
 	}
 	p.open++
 	p.mu.Unlock()
-	p.clients.run.group.Go(func() error { p.openConnection(t); return nil })
+	p.clients.run.group.Go(func() error { p.openConnection(request); return nil })
 }
 
 // openConnection opens a connection and uses it until it or the run ends.
-func (p *pool) openConnection(t *clientRequest) {
-	r := &clientConn{pool: p, requests: make(chan *clientRequest, 1)}
-	defer r.discard()
+func (p *pool) openConnection(request *clientRequest) {
+	cc := &clientConn{pool: p, requests: make(chan *clientRequest, 1)}
+	defer cc.discard()
 	for {
-		if t == nil {
-			if t = r.awaitRequest(); t == nil {
+		if request == nil {
+			if request = cc.awaitRequest(); request == nil {
 				return
 			}
 		}
-		goesOn, again := r.roundTrip(t)
-		if t = nil; again != nil {
-			t = again
+		reusable, resend := cc.roundTrip(request)
+		if request = nil; resend != nil {
+			request = resend
 			continue
 		}
-		if !goesOn {
+		if !reusable {
 			// The connection has ended; the next queued request gets a new one.
-			r.close()
+			cc.close()
 			p.mu.Lock()
 			if len(p.queue) == 0 {
 				p.mu.Unlock()
 				return
 			}
-			t, p.queue = p.queue[0], p.queue[1:]
+			request, p.queue = p.queue[0], p.queue[1:]
 			p.mu.Unlock()
 		}
 	}
 }
 
-func (r *clientConn) discard() {
-	r.close()
-	r.pool.mu.Lock()
-	r.pool.open--
-	r.pool.mu.Unlock()
+func (cc *clientConn) discard() {
+	cc.close()
+	cc.pool.mu.Lock()
+	cc.pool.open--
+	cc.pool.mu.Unlock()
 }
 
-func (r *clientConn) close() {
-	if r.conn != nil {
-		r.checkIdle()
-		r.conn.Close()
-		r.pool.mu.Lock()
-		delete(r.pool.connections, r)
-		r.conn, r.in = nil, nil // the day's end asks for it as well
-		r.pool.mu.Unlock()
+func (cc *clientConn) close() {
+	if cc.conn != nil {
+		cc.checkIdle()
+		cc.conn.Close()
+		cc.pool.mu.Lock()
+		delete(cc.pool.connections, cc)
+		cc.conn, cc.in = nil, nil // the day's end asks for it as well
+		cc.pool.mu.Unlock()
 	}
 }
 
 // awaitRequest waits for the next request.
-func (r *clientConn) awaitRequest() *clientRequest {
-	p := r.pool
+func (cc *clientConn) awaitRequest() *clientRequest {
+	p := cc.pool
 	p.mu.Lock()
 	if len(p.queue) > 0 {
-		t := p.queue[0]
+		request := p.queue[0]
 		p.queue = p.queue[1:]
 		p.mu.Unlock()
-		return t
+		return request
 	}
-	p.idle = append(p.idle, r)
+	p.idle = append(p.idle, cc)
 	p.mu.Unlock()
 	select {
-	case t := <-r.requests:
-		return t
+	case request := <-cc.requests:
+		return request
 	case <-p.clients.run.done:
 		return nil
 	}
@@ -289,166 +289,166 @@
 
 // checkIdle notices bytes on a connection without a request, and whether it has ended. One with such bytes is not used
 // again: the next response could not be told from them.
-func (r *clientConn) checkIdle() (ended bool) {
-	r.conn.SetReadDeadline(time.Time{})
-	more, ended := connState(r.conn)
-	if (more || r.in.pending() > 0) && r.lastAnswered != nil {
-		rec, now := r.lastAnswered, r.pool.clients.run.now()
-		r.pool.clients.run.history.Update(func() { rec.ExtraAt = min(rec.ExtraAt, now) })
-		r.lastAnswered = nil
-	}
-	return ended || more || r.in.pending() > 0
+func (cc *clientConn) checkIdle() (ended bool) {
+	cc.conn.SetReadDeadline(time.Time{})
+	more, ended := connState(cc.conn)
+	if (more || cc.in.pending() > 0) && cc.lastAnswered != nil {
+		rec, now := cc.lastAnswered, cc.pool.clients.run.now()
+		cc.pool.clients.run.history.Update(func() { rec.ExtraAt = min(rec.ExtraAt, now) })
+		cc.lastAnswered = nil
+	}
+	return ended || more || cc.in.pending() > 0
 }
 
 // roundTrip sends one request and reads its response. It tells whether the connection goes on, and whether the request
 // is to be sent again on a new one, as the node had closed this one before it was read.
-func (r *clientConn) roundTrip(t *clientRequest) (goesOn bool, again *clientRequest) {
-	d := r.pool.clients.run
-	reused := r.conn != nil
-	if reused && r.checkIdle() {
-		r.close()
+func (cc *clientConn) roundTrip(request *clientRequest) (reusable bool, resend *clientRequest) {
+	run := cc.pool.clients.run
+	reused := cc.conn != nil
+	if reused && cc.checkIdle() {
+		cc.close()
 		reused = false
 	}
-	if r.conn == nil {
-		c, err := net.DialTimeout("tcp", cmp.Or(r.pool.proxyAddress, r.pool.node.address), connectTimeout)
+	if cc.conn == nil {
+		c, err := net.DialTimeout("tcp", cmp.Or(cc.pool.proxyAddress, cc.pool.node.address), connectTimeout)
 		if err != nil {
-			r.pool.clients.finishOrRetry(t, trace.Lost, true, 0)
+			cc.pool.clients.finishOrRetry(request, trace.Lost, true, 0)
 			return false, nil
 		}
-		r.pool.mu.Lock()
-		r.conn, r.in, r.lastAnswered = c, newReader(c, d.now), nil
-		r.pool.connections[r] = struct{}{}
-		r.pool.mu.Unlock()
-	}
-	delay := int64(d.scenario.Network.Client)
-	r.buffer = encodeRequest(r.buffer[:0], d.scenario, t.operation, t.id, t.key, t.number, t.deadline-d.now()+delay)
-	life := r.pool.node.incarnation()
-	if _, err := r.conn.Write(r.buffer); err != nil {
-		if reused && !t.resent {
-			r.close()
-			t.resent = true
-			return true, t
+		cc.pool.mu.Lock()
+		cc.conn, cc.in, cc.lastAnswered = c, newReader(c, run.now), nil
+		cc.pool.connections[cc] = struct{}{}
+		cc.pool.mu.Unlock()
+	}
+	delay := int64(run.scenario.Network.Client)
+	cc.buffer = encodeRequest(cc.buffer[:0], run.scenario, request.operation, request.id, request.key, request.number, request.deadline-run.now()+delay)
+	incarnation := cc.pool.node.incarnation()
+	if _, err := cc.conn.Write(cc.buffer); err != nil {
+		if reused && !request.resent {
+			cc.close()
+			request.resent = true
+			return true, request
 		}
-		r.pool.clients.finishOrRetry(t, trace.Lost, true, 0)
+		cc.pool.clients.finishOrRetry(request, trace.Lost, true, 0)
 		return false, nil
 	}
-	r.lastAnswered = nil // what comes from here on is this try's answer, also where nobody waits for it any more
-	now := d.now()
+	cc.lastAnswered = nil // what comes from here on is this try's answer, also where nobody waits for it any more
+	now := run.now()
 	rec := &invariant.Request{
-		ID: t.id, Operation: t.operation.Index, Node: r.pool.node.index, Incarnation: life, Class: t.operation.Class,
-		SentAt: now, Deadline: t.deadline,
-		ResentAfter: t.previousClosedAt,
-	}
-	d.history.RecordRequest(rec)
-	until := t.deadline + int64(d.scenario.Rules.AnswerGrace) + int64(lateResponseTime)
-	leaves := int64(invariant.Never)
-	if t.operation.CancelsAfter > 0 {
-		if leaves = t.operation.Due + t.operation.CancelsAfter; leaves < t.deadline {
-			until = leaves
+		ID: request.id, Operation: request.operation.Index, Node: cc.pool.node.index, Incarnation: incarnation, Class: request.operation.Class,
+		SentAt: now, Deadline: request.deadline,
+		ResentAfter: request.previousClosedAt,
+	}
+	run.history.RecordRequest(rec)
+	until := request.deadline + int64(run.scenario.Rules.AnswerGrace) + int64(lateResponseTime)
+	cancelAt := int64(invariant.Never)
+	if request.operation.CancelsAfter > 0 {
+		if cancelAt = request.operation.Due + request.operation.CancelsAfter; cancelAt < request.deadline {
+			until = cancelAt
 		}
 	}
-	r.conn.SetReadDeadline(time.Now().Add(time.Duration(until - now)))
+	cc.conn.SetReadDeadline(time.Now().Add(time.Duration(until - now)))
 	var m message
-	err := r.in.next(&m, true)
+	err := cc.in.next(&m, true)
 	for err == nil && m.status >= 100 && m.status < 200 {
-		err = r.in.next(&m, true)
+		err = cc.in.next(&m, true)
 	}
-	now = d.now()
+	now = run.now()
 	if err == nil {
-		return r.answered(t, rec, &m, now), nil
+		return cc.answered(request, rec, &m, now), nil
 	}
-	begun := r.in.pending() > 0 || errors.Is(err, errTruncated) || errors.Is(err, errMalformed) || errors.Is(err, errTooLong)
+	responseBegun := cc.in.pending() > 0 || errors.Is(err, errTruncated) || errors.Is(err, errMalformed) || errors.Is(err, errTooLong)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		left := until == leaves
-		d.history.Update(func() {
-			rec.Truncated = begun
-			if left {
+		canceled := until == cancelAt
+		run.history.Update(func() {
+			rec.Truncated = responseBegun
+			if canceled {
 				rec.CanceledAt = now
 			}
 		})
-		if left {
-			r.pool.clients.finish(t, trace.Canceled, now)
+		if canceled {
+			cc.pool.clients.finish(request, trace.Canceled, now)
 		} else {
-			r.pool.clients.finishOrRetry(t, trace.Failed, false, 0)
+			cc.pool.clients.finishOrRetry(request, trace.Failed, false, 0)
 		}
 		return false, nil
-	case begun:
-		d.history.Update(func() { rec.Truncated = true })
-		r.pool.clients.finishOrRetry(t, trace.Failed, false, 0)
+	case responseBegun:
+		run.history.Update(func() { rec.Truncated = true })
+		cc.pool.clients.finishOrRetry(request, trace.Failed, false, 0)
 		return false, nil
 	}
-	if reused && !t.resent && errors.Is(err, io.EOF) {
+	if reused && !request.resent && errors.Is(err, io.EOF) {
 		// The node closed an idle connection and this crossed it; the client sends the same once more on a new one.
-		d.history.Update(func() { rec.CrossedAt = now })
-		r.close()
-		t.resent, t.previousClosedAt = true, now
-		return true, t
+		run.history.Update(func() { rec.CrossedAt = now })
+		cc.close()
+		request.resent, request.previousClosedAt = true, now
+		return true, request
 	}
-	d.history.Update(func() { rec.ClosedAt = now })
-	r.pool.clients.finishOrRetry(t, trace.Lost, !r.pool.node.isAdmitted(), 0)
+	run.history.Update(func() { rec.ClosedAt = now })
+	cc.pool.clients.finishOrRetry(request, trace.Lost, !cc.pool.node.isAdmitted(), 0)
 	return false, nil
 }
 
 // answered ends a request that has its response.
-func (r *clientConn) answered(t *clientRequest, rec *invariant.Request, m *message, now int64) (goesOn bool) {
-	d := r.pool.clients.run
-	size := d.scenario.Load.Body
-	if d.scenario.Classes[t.operation.Class].Idempotency == scenario.Idempotent {
+func (cc *clientConn) answered(request *clientRequest, rec *invariant.Request, m *message, now int64) (reusable bool) {
+	run := cc.pool.clients.run
+	size := run.scenario.Load.Body
+	if run.scenario.Classes[request.operation.Class].Idempotency == scenario.Idempotent {
 		size = 0
 	}
-	state, advice := trace.Failed, int64(0)
-	foreign := m.status == 200 && !isResponseBody(m.body, t.id, size)
+	state, retryAfter := trace.Failed, int64(0)
+	foreign := m.status == 200 && !isResponseBody(m.body, request.id, size)
 	switch {
 	case m.status == 200 && !foreign:
 		state = trace.Succeeded
 	case m.status == 429 || m.status == 503:
 		state = trace.Rejected
 		if v, err := strconv.ParseFloat(string(m.get(headerRetryAfter)), 64); err == nil && v > 0 && v < 3600 {
-			advice = int64(v * 1e9)
+			retryAfter = int64(v * 1e9)
 		}
 	}
-	d.history.Update(func() {
-		rec.AnsweredAt, rec.Status, rec.ForeignBody, rec.RetryAfter = now, m.status, foreign, advice
+	run.history.Update(func() {
+		rec.AnsweredAt, rec.Status, rec.ForeignBody, rec.RetryAfter = now, m.status, foreign, retryAfter
 	})
-	r.lastAnswered = rec
+	cc.lastAnswered = rec
 	ends := m.closesConnection
 	if state == trace.Succeeded {
-		r.pool.clients.finish(t, trace.Succeeded, now+int64(d.scenario.Network.Client))
+		cc.pool.clients.finish(request, trace.Succeeded, now+int64(run.scenario.Network.Client))
 	} else {
-		r.pool.clients.finishOrRetry(t, state, false, advice)
+		cc.pool.clients.finishOrRetry(request, state, false, retryAfter)
 	}
 	if ends {
 		return false
 	}
-	if t.operation.OneShot {
-		r.keepUnused()
+	if request.operation.OneShot {
+		cc.keepUnused()
 		return false
 	}
 	return true
 }
 
 // keepUnused keeps a connection open for good; its owner does no more with it.
-func (r *clientConn) keepUnused() {
-	parked := &clientConn{pool: r.pool, conn: r.conn, in: r.in, lastAnswered: r.lastAnswered}
-	r.pool.mu.Lock()
-	delete(r.pool.connections, r)
-	r.pool.connections[parked] = struct{}{}
-	r.conn, r.in, r.lastAnswered = nil, nil, nil
-	r.pool.mu.Unlock()
+func (cc *clientConn) keepUnused() {
+	unused := &clientConn{pool: cc.pool, conn: cc.conn, in: cc.in, lastAnswered: cc.lastAnswered}
+	cc.pool.mu.Lock()
+	delete(cc.pool.connections, cc)
+	cc.pool.connections[unused] = struct{}{}
+	cc.conn, cc.in, cc.lastAnswered = nil, nil, nil
+	cc.pool.mu.Unlock()
 }
 
 // finishOrRetry ends a request that did not succeed, and sends another where a client would.
-func (c *clients) finishOrRetry(t *clientRequest, state trace.State, unreached bool, advice int64) {
+func (c *clients) finishOrRetry(request *clientRequest, state trace.State, unreached bool, retryAfter int64) {
 	now := c.run.now()
-	retry, ok := t.operation.NextRetry(c.run.scenario, t.number, now, state == trace.Rejected || unreached, advice)
+	retry, ok := request.operation.NextRetry(c.run.scenario, request.number, now, state == trace.Rejected || unreached, retryAfter)
 	if !ok {
-		c.finish(t, state, now)
+		c.finish(request, state, now)
 		return
 	}
 	next := &clientRequest{
-		operation: t.operation, number: t.number + 1, due: now + retry.Wait, deadline: retry.Deadline,
-		key: t.key, id: c.run.requestID(t.operation.Index, t.number+1),
+		operation: request.operation, number: request.number + 1, due: now + retry.Wait, deadline: retry.Deadline,
+		key: request.key, id: c.run.requestID(request.operation.Index, request.number+1),
 	}
 	c.mu.Lock()
 	heap.Push(&c.retries, next)
@@ -460,14 +460,14 @@
 }
 
 // finish records the end of an operation.
-func (c *clients) finish(t *clientRequest, state trace.State, at int64) {
+func (c *clients) finish(request *clientRequest, state trace.State, at int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := &c.outcomes[t.operation.Index]
+	o := &c.outcomes[request.operation.Index]
 	if o.State != trace.Pending {
 		return
 	}
-	*o = trace.Outcome{State: state, Elapsed: at - t.operation.Due, Requests: t.number + 1}
+	*o = trace.Outcome{State: state, Elapsed: at - request.operation.Due, Requests: request.number + 1}
 	c.unfinished--
 }
 
@@ -475,8 +475,8 @@
 func (c *clients) close() {
 	for _, p := range c.pools {
 		p.mu.Lock()
-		for r := range p.connections {
-			r.conn.Close() // who is in all has one
+		for cc := range p.connections {
+			cc.conn.Close() // who is in all has one
 		}
 		p.mu.Unlock()
 	}
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -56,37 +56,37 @@
 	answered          chan struct{}
 }
 
-func newDiscovery(d *Emulation) (*discovery, error) {
+func newDiscovery(run *Emulation) (*discovery, error) {
 	s := &discovery{
-		run: d, list: model.NewEndpointList(40), everListed: map[int]bool{}, slowdown: 1,
+		run: run, list: model.NewEndpointList(40), everListed: map[int]bool{}, slowdown: 1,
 		calls:   make(chan *call, maxQueuedCalls),
 		watches: map[*call]struct{}{},
 	}
-	for node := range d.scenario.Nodes.Count {
-		p, err := s.openAt(node, d.address(node, 1))
+	for node := range run.scenario.Nodes.Count {
+		p, err := s.openAt(node, run.address(node, 1))
 		if err != nil {
 			return nil, err
 		}
 		s.endpoints = append(s.endpoints, p)
 	}
-	d.group.Go(func() error { s.handleCalls(); return nil })
+	run.group.Go(func() error { s.handleCalls(); return nil })
 	return s, nil
 }
 
 func (s *discovery) openAt(node int, address string) (*discoveryListener, error) {
-	l, err := net.Listen("tcp", address)
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &discoveryListener{node: node, address: l.Addr().String(), listener: l, conns: map[net.Conn]struct{}{}}
+	p := &discoveryListener{node: node, address: ln.Addr().String(), listener: ln, conns: map[net.Conn]struct{}{}}
 	p.advertised, err = s.run.links.proxyStream(netfault.End{
 		Kind: netfault.Node, Index: node,
 	}, netfault.End{Kind: netfault.Discovery}, func() string { return p.address })
 	if err != nil {
-		l.Close()
+		ln.Close()
 		return nil, err
 	}
-	s.run.group.Go(func() error { s.accept(p, l); return nil })
+	s.run.group.Go(func() error { s.accept(p, ln); return nil })
 	return p, nil
 }
 
@@ -109,9 +109,9 @@
 	}
 }
 
-func (s *discovery) accept(p *discoveryListener, l net.Listener) {
+func (s *discovery) accept(p *discoveryListener, ln net.Listener) {
 	for {
-		c, err := l.Accept()
+		c, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -120,7 +120,7 @@
 			continue
 		}
 		s.mu.Lock()
-		if p.listener != l {
+		if p.listener != ln {
 			s.mu.Unlock()
 			reset(c)
 			continue
@@ -160,24 +160,24 @@
 			}
 			continue
 		}
-		k := &call{
+		newCall := &call{
 			node: p.node, incarnation: s.run.nodes[p.node].incarnation(), conn: c, watch: watch, after: after,
 			arrivedAt:    time.Now(),
 			callerClosed: make(chan struct{}), answered: make(chan struct{}),
 		}
 		select {
-		case s.calls <- k:
+		case s.calls <- newCall:
 		default:
-			s.failCall(k)
+			s.failCall(newCall)
 		}
 		if watch {
 			// Any byte now, or the end, counts as the caller's leaving.
 			c.SetReadDeadline(time.Time{})
 			_ = in.fill()
-			close(k.callerClosed)
+			close(newCall.callerClosed)
 		}
 		select {
-		case <-k.answered:
+		case <-newCall.answered:
 		case <-s.run.done: // a call that nobody worked through any more
 			return
 		}
@@ -190,23 +190,23 @@
 // handleCalls handles calls in turn.
 func (s *discovery) handleCalls() {
 	for {
-		var k *call
+		var c *call
 		select {
 		case <-s.run.done:
 			return
-		case k = <-s.calls:
+		case c = <-s.calls:
 		}
 		d := &s.run.scenario.Discovery
 		s.mu.Lock()
 		down, lines := s.down, len(s.list.Complete())
-		if k.after > 0 {
-			changed, _ := s.list.ChangesAfter(k.after)
+		if c.after > 0 {
+			changed, _ := s.list.ChangesAfter(c.after)
 			lines = len(changed)
 		}
 		cost := time.Duration(s.slowdown * float64(int64(d.CallTime)+int64(d.EntryTime)*int64(lines)))
 		s.mu.Unlock()
-		if down || time.Since(k.arrivedAt)+cost > time.Duration(d.CallTimeout) {
-			s.failCall(k)
+		if down || time.Since(c.arrivedAt)+cost > time.Duration(d.CallTimeout) {
+			s.failCall(c)
 			continue
 		}
 		select {
@@ -214,72 +214,72 @@
 			return
 		case <-time.After(cost):
 		}
-		if k.watch {
-			s.run.group.Go(func() error { s.answerWatch(k); return nil })
+		if c.watch {
+			s.run.group.Go(func() error { s.answerWatch(c); return nil })
 		} else {
-			s.answerList(k)
+			s.answerList(c)
 		}
 	}
 }
 
-func (s *discovery) failCall(k *call) {
+func (s *discovery) failCall(c *call) {
 	now := s.run.now()
 	s.run.history.RecordWatch(&invariant.Watch{
-		Node: k.node, Incarnation: k.incarnation, From: now, To: now, Failed: true,
+		Node: c.node, Incarnation: c.incarnation, From: now, To: now, Failed: true,
 	})
-	send(k.conn, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-	reset(k.conn)
-	close(k.answered)
+	send(c.conn, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+	reset(c.conn)
+	close(c.answered)
 }
 
 // encode encodes entries for a node, and returns what it learns of them.
 func (s *discovery) encode(
-	node, life int, version int64, entries []model.ListEntry, whole bool,
+	node, incarnation int, version int64, entries []model.ListEntry, complete bool,
 ) ([]byte, []invariant.ListEntry) {
 	var lines [][]byte
-	var told []invariant.ListEntry
+	var written []invariant.ListEntry
 	listed := map[int]bool{}
-	for _, e := range entries {
-		m := s.run.endpointAt(e.Endpoint)
+	for _, entry := range entries {
+		e := s.run.endpointAt(entry.Endpoint)
 		lines = append(
 			lines,
-			encodeEntry(nil, m.spec.Name, m.listeners[node].advertised, m.spec.Zone, m.spec.Pod, e.State, e.StartedAt),
+			encodeEntry(nil, e.spec.Name, e.listeners[node].advertised, e.spec.Zone, e.spec.Pod, entry.State, entry.StartedAt),
 		)
-		told = append(told, invariant.ListEntry{
-			Node: node, Incarnation: life, Endpoint: e.Endpoint, State: e.State, StartedAt: e.StartedAt,
+		written = append(written, invariant.ListEntry{
+			Node: node, Incarnation: incarnation, Endpoint: entry.Endpoint, State: entry.State, StartedAt: entry.StartedAt,
 		})
-		listed[e.Endpoint] = true
+		listed[entry.Endpoint] = true
 	}
-	if whole {
+	if complete {
 		for server := range s.everListed {
 			if !listed[server] {
-				told = append(told, invariant.ListEntry{
-					Node: node, Incarnation: life, Endpoint: server, State: model.Removed,
+				written = append(written, invariant.ListEntry{
+					Node: node, Incarnation: incarnation, Endpoint: server, State: model.Removed,
 				})
 			}
 		}
 	}
-	return encodeList(nil, version, whole, lines), told
+	return encodeList(nil, version, complete, lines), written
 }
 
 // recordEntries records what has just been written.
-func (s *discovery) recordEntries(told []invariant.ListEntry) {
+func (s *discovery) recordEntries(written []invariant.ListEntry) {
 	now := s.run.now()
-	for i := range told {
-		told[i].At = now
+	for i := range written {
+		written[i].At = now
 	}
-	s.run.history.RecordEntries(told...)
+	s.run.history.RecordEntries(written...)
 }
 
 // knownList is the list in a node's configuration at its start. Nothing of a stale one counts as known to it.
-func (s *discovery) knownList(node, life int, stale bool) []byte {
+func (s *discovery) knownList(node, incarnation int, stale bool) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if stale && s.initial != nil {
 		return s.initial[node]
 	}
-	text, told := s.encode(node, life, s.list.Version(), s.list.Complete(), true)
-	s.recordEntries(told)
+	text, written := s.encode(node, incarnation, s.list.Version(), s.list.Complete(), true)
+	s.recordEntries(written)
 	return text
 }
 
@@ -301,69 +301,69 @@
 	}
 }
 
-func (s *discovery) answerList(k *call) {
+func (s *discovery) answerList(c *call) {
 	s.mu.Lock()
-	text, told := s.encode(k.node, k.incarnation, s.list.Version(), s.list.Complete(), true)
+	text, written := s.encode(c.node, c.incarnation, s.list.Version(), s.list.Complete(), true)
 	s.mu.Unlock()
-	_, err := fmt.Fprintf(k.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+	_, err := fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	if err == nil {
-		s.recordEntries(told)
+		s.recordEntries(written)
 		now := s.run.now()
-		s.run.history.RecordWatch(&invariant.Watch{Node: k.node, Incarnation: k.incarnation, From: now, To: now})
+		s.run.history.RecordWatch(&invariant.Watch{Node: c.node, Incarnation: c.incarnation, From: now, To: now})
 	}
-	close(k.answered)
+	close(c.answered)
 }
 
 // answerWatch serves a watch until its connection ends.
-func (s *discovery) answerWatch(k *call) {
-	w := &invariant.Watch{Node: k.node, Incarnation: k.incarnation, From: s.run.now(), To: invariant.Never}
+func (s *discovery) answerWatch(c *call) {
+	w := &invariant.Watch{Node: c.node, Incarnation: c.incarnation, From: s.run.now(), To: invariant.Never}
 	s.run.history.RecordWatch(w)
 	s.mu.Lock()
-	s.watches[k] = struct{}{}
+	s.watches[c] = struct{}{}
 	s.mu.Unlock()
 	defer func() {
 		now := s.run.now()
 		s.run.history.Update(func() { w.To = now })
 		s.mu.Lock()
-		delete(s.watches, k)
+		delete(s.watches, c)
 		s.mu.Unlock()
-		k.conn.Close()
-		close(k.answered)
+		c.conn.Close()
+		close(c.answered)
 	}()
-	if _, err := io.WriteString(k.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+	if _, err := io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	line := func(text []byte) error {
-		_, err := fmt.Fprintf(k.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
+	writeLine := func(text []byte) error {
+		_, err := fmt.Fprintf(c.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
 		return err
 	}
-	version, quiet := k.after, time.Now()
+	version, lastWriteAt := c.after, time.Now()
 	for first := true; ; first = false {
 		s.mu.Lock()
-		entries, whole := s.list.ChangesAfter(version)
+		entries, complete := s.list.ChangesAfter(version)
 		now := s.list.Version()
 		var text []byte
-		var told []invariant.ListEntry
+		var written []invariant.ListEntry
 		if first || now != version {
-			text, told = s.encode(k.node, k.incarnation, now, entries, whole)
+			text, written = s.encode(c.node, c.incarnation, now, entries, complete)
 		}
 		s.mu.Unlock()
 		if text != nil {
-			if line(text) != nil {
+			if writeLine(text) != nil {
 				return
 			}
-			s.recordEntries(told)
-			version, quiet = now, time.Now()
-		} else if time.Since(quiet) > keepAliveInterval {
-			if line(nil) != nil {
+			s.recordEntries(written)
+			version, lastWriteAt = now, time.Now()
+		} else if time.Since(lastWriteAt) > keepAliveInterval {
+			if writeLine(nil) != nil {
 				return
 			}
-			quiet = time.Now()
+			lastWriteAt = time.Now()
 		}
 		select {
 		case <-s.run.done:
 			return
-		case <-k.callerClosed:
+		case <-c.callerClosed:
 			return
 		case <-time.After(time.Duration(s.run.scenario.Discovery.UpdateInterval)):
 		}
@@ -371,9 +371,9 @@
 }
 
 // set changes the list after a delay.
-func (s *discovery) set(l model.ListEntry, notice time.Duration) {
+func (s *discovery) set(l model.ListEntry, delay time.Duration) {
 	s.mu.Lock()
-	notice += s.changeDelay
+	delay += s.changeDelay
 	s.mu.Unlock()
 	do := func() {
 		s.mu.Lock()
@@ -384,11 +384,11 @@
 			Endpoint: l.Endpoint, State: l.State, At: s.run.now(), StartedAt: l.StartedAt,
 		})
 	}
-	if notice <= 0 {
+	if delay <= 0 {
 		do()
 		return
 	}
-	time.AfterFunc(notice, do)
+	time.AfterFunc(delay, do)
 }
 
 // setDown makes discovery fail its calls and end its watches, or work again.
--- a/internal/lab/emulator/emulation.go
+++ b/internal/lab/emulator/emulation.go
@@ -81,10 +81,10 @@
 	*model.Deduplicator
 }
 
-func (m *sharedDeduplicator) seen(now int64, ticket string) bool {
+func (m *sharedDeduplicator) seen(now int64, idempotencyKey string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.Seen(now, ticket)
+	return m.Seen(now, idempotencyKey)
 }
 
 var runCount atomic.Int64
@@ -96,92 +96,94 @@
 )
 
 // Run runs a scenario to its end. An error means that it could not run; what went wrong within it is in the trace.
-func Run(ctx context.Context, o Options) (played *trace.Trace, err error) {
+func Run(ctx context.Context, o Options) (result *trace.Trace, err error) {
 	if err := o.Scenario.CheckOnSockets(); err != nil {
 		return nil, err
 	}
-	d := &Emulation{
+	run := &Emulation{
 		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, logDir: o.LogDir,
 		clockStart: time.Now(),
 		history:    &invariant.History{}, done: make(chan struct{}), anomalies: map[string]int{},
 		deduplicators: map[dedupKey]*sharedDeduplicator{}, waits: map[int]int64{},
 	}
-	if d.log == nil {
-		d.log = zap.NewNop()
+	if run.log == nil {
+		run.log = zap.NewNop()
 	}
-	d.planHash = d.plan.Hash()
-	d.lag = &lagMonitor{now: d.now}
+	run.planHash = run.plan.Hash()
+	run.lag = &lagMonitor{now: run.now}
 	n := (os.Getpid()*61 + int(runCount.Add(1))) % (200 * 250)
-	d.network = [2]int{20 + n/250, 1 + n%250}
-	if d.workDir, err = os.MkdirTemp("", "fawnglade-lab-"); err != nil {
+	run.network = [2]int{20 + n/250, 1 + n%250}
+	if run.workDir, err = os.MkdirTemp("", "fawnglade-lab-"); err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(d.workDir) }() // the system clears its temporary directory otherwise
-	if d.logDir == "" {
-		d.logDir = d.workDir
-	} else if err := os.MkdirAll(d.logDir, 0o755); err != nil {
+	defer func() { _ = os.RemoveAll(run.workDir) }() // the system clears its temporary directory otherwise
+	if run.logDir == "" {
+		run.logDir = run.workDir
+	} else if err := os.MkdirAll(run.logDir, 0o755); err != nil {
 		return nil, err
 	}
 	// Whatever ends the run, also a panic, its processes and sockets are gone.
 	defer func() {
-		d.finish()
+		run.finish()
 		if err == nil {
-			err = errors.Join(d.errs...)
+			err = errors.Join(run.errs...)
 		}
 	}()
-	d.direct = o.Direct
-	if d.links, err = newLinks(d); err != nil {
+	run.direct = o.Direct
+	if run.links, err = newLinks(run); err != nil {
 		return nil, err
 	}
-	if err := d.prepare(ctx); err != nil {
+	if err := run.prepare(ctx); err != nil {
 		return nil, err
 	}
-	if err := d.run(ctx, o.Progress); err != nil {
+	if err := run.run(ctx, o.Progress); err != nil {
 		return nil, err
 	}
-	return d.trace(), nil
+	return run.trace(), nil
 }
 
-func (d *Emulation) now() int64 { return int64(time.Since(d.clockStart)) }
+func (run *Emulation) now() int64 { return int64(time.Since(run.clockStart)) }
 
 // epoch turns a time of the run into Unix nanoseconds, as the list has starts.
-func (d *Emulation) epoch(at int64) int64 { return d.clockStart.UnixNano() + at }
+func (run *Emulation) epoch(at int64) int64 { return run.clockStart.UnixNano() + at }
 
 // address is where a part listens for one node: each node has a network of its own.
-func (d *Emulation) address(node, part int) string {
-	return fmt.Sprintf("127.%d.%d.%d:0", d.network[0], d.network[1], 1+2*node+part)
+func (run *Emulation) address(node, part int) string {
+	return fmt.Sprintf("127.%d.%d.%d:0", run.network[0], run.network[1], 1+2*node+part)
 }
 
-func (d *Emulation) zoneOf(node int) string { return d.scenario.Network.Zones[d.nodes[node].zone] }
+func (run *Emulation) zoneOf(node int) string {
+	return run.scenario.Network.Zones[run.nodes[node].zone]
+}
 
-func (d *Emulation) endpointAt(i int) *endpoint {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.endpointList[i]
+func (run *Emulation) endpointAt(i int) *endpoint {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	return run.endpointList[i]
 }
 
-func (d *Emulation) endpoints() []*endpoint {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return append([]*endpoint(nil), d.endpointList...)
+func (run *Emulation) endpoints() []*endpoint {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	return append([]*endpoint(nil), run.endpointList...)
 }
 
 // after runs something after a while, unless the run is over by then.
-func (d *Emulation) after(after time.Duration, do func()) {
+func (run *Emulation) after(after time.Duration, do func()) {
 	if after <= 0 {
 		do()
 		return
 	}
 	time.AfterFunc(after, func() {
-		if !d.isDone() {
+		if !run.isDone() {
 			do()
 		}
 	})
 }
 
-func (d *Emulation) isDone() bool {
+func (run *Emulation) isDone() bool {
 	select {
-	case <-d.done:
+	case <-run.done:
 		return true
 	default:
 		return false
@@ -189,13 +191,13 @@
 }
 
 // sleepUntil waits for a time of the run; false means that the run ended first.
-func (d *Emulation) sleepUntil(at int64) bool {
-	wait := at - d.now()
+func (run *Emulation) sleepUntil(at int64) bool {
+	wait := at - run.now()
 	if wait <= 0 {
-		return !d.isDone()
+		return !run.isDone()
 	}
 	select {
-	case <-d.done:
+	case <-run.done:
 		return false
 	case <-time.After(time.Duration(wait)):
 		return true
@@ -203,112 +205,112 @@
 }
 
 // recordAnomaly counts what should not happen and is no violation of a rule by itself.
-func (d *Emulation) recordAnomaly(what, detail string) {
-	d.mu.Lock()
-	d.anomalies[what]++
-	n := d.anomalies[what]
-	d.mu.Unlock()
+func (run *Emulation) recordAnomaly(kind, detail string) {
+	run.mu.Lock()
+	run.anomalies[kind]++
+	n := run.anomalies[kind]
+	run.mu.Unlock()
 	if n <= 5 {
-		d.log.Info(what, zap.String("detail", detail), zap.Duration("at", time.Duration(d.now())))
+		run.log.Info(kind, zap.String("detail", detail), zap.Duration("at", time.Duration(run.now())))
 	}
 }
 
 // report keeps an error of the emulator itself; the scenario could then not be run as written.
-func (d *Emulation) recordError(err error) {
-	if err == nil || d.isDone() {
+func (run *Emulation) recordError(err error) {
+	if err == nil || run.isDone() {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.errs = append(d.errs, err)
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.errs = append(run.errs, err)
 }
 
 // requestID is the ID of a request on the wire; operationOf is its inverse.
-func (d *Emulation) requestID(task, try int) string {
-	return fmt.Sprintf("%08x%06x%02x", uint32(d.plan.Seed*2654435761), task, try)
+func (run *Emulation) requestID(operation, number int) string {
+	return fmt.Sprintf("%08x%06x%02x", uint32(run.plan.Seed*2654435761), operation, number)
 }
 
-func (d *Emulation) operationOf(id string) (task *workload.Operation, try int, known bool) {
-	if len(id) != 16 || id[:8] != fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761)) {
+func (run *Emulation) operationOf(id string) (o *workload.Operation, number int, known bool) {
+	if len(id) != 16 || id[:8] != fmt.Sprintf("%08x", uint32(run.plan.Seed*2654435761)) {
 		return nil, 0, false
 	}
 	n, err := strconv.ParseUint(id[8:14], 16, 32)
 	k, err2 := strconv.ParseUint(id[14:], 16, 16)
-	if err != nil || err2 != nil || int(n) >= len(d.plan.Operations) {
+	if err != nil || err2 != nil || int(n) >= len(run.plan.Operations) {
 		return nil, 0, false
 	}
-	return &d.plan.Operations[n], int(k), true
+	return &run.plan.Operations[n], int(k), true
 }
 
-func (d *Emulation) deduplicatorOf(m *endpoint, category int) *sharedDeduplicator {
-	c := &d.scenario.Classes[category]
-	k := dedupKey{category, ""}
+func (run *Emulation) deduplicatorOf(e *endpoint, class int) *sharedDeduplicator {
+	c := &run.scenario.Classes[class]
+	k := dedupKey{class, ""}
 	switch c.DedupGroup {
 	case "zone":
-		k.group = m.spec.Zone
+		k.group = e.spec.Zone
 	case "pod":
-		k.group = strconv.Itoa(m.spec.Pod)
+		k.group = strconv.Itoa(e.spec.Pod)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.deduplicators[k] == nil {
-		d.deduplicators[k] = &sharedDeduplicator{Deduplicator: model.NewDeduplicator(int64(c.DedupWindow))}
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	if run.deduplicators[k] == nil {
+		run.deduplicators[k] = &sharedDeduplicator{Deduplicator: model.NewDeduplicator(int64(c.DedupWindow))}
 	}
-	return d.deduplicators[k]
+	return run.deduplicators[k]
 }
 
-func (d *Emulation) setListed(m *endpoint, h model.State, notice time.Duration) {
-	m.mu.Lock()
-	started := m.startedAt
-	m.mu.Unlock()
-	d.discovery.set(model.ListEntry{Endpoint: m.spec.Index, State: h, StartedAt: started}, notice)
+func (run *Emulation) setListed(e *endpoint, state model.State, delay time.Duration) {
+	e.mu.Lock()
+	started := e.startedAt
+	e.mu.Unlock()
+	run.discovery.set(model.ListEntry{Endpoint: e.spec.Index, State: state, StartedAt: started}, delay)
 }
 
 // endpointCrashed ends an endpoint that was overloaded in slow start. It stays down.
-func (d *Emulation) endpointCrashed(m *endpoint, life int, f *model.Crash) {
-	m.mu.Lock()
-	started := m.startedAt
-	m.mu.Unlock()
-	d.history.RecordCrash(invariant.Crash{Endpoint: m.spec.Index, Incarnation: life, StartedAt: started, Crash: *f})
-	d.recordAnomaly("a cold server was pushed over", m.spec.Name)
-	d.group.Go(func() error { m.stop(); return nil })
-	d.setListed(m, model.Removed, time.Duration(d.scenario.Discovery.ChangeDelay))
+func (run *Emulation) endpointCrashed(e *endpoint, incarnation int, crash *model.Crash) {
+	e.mu.Lock()
+	started := e.startedAt
+	e.mu.Unlock()
+	run.history.RecordCrash(invariant.Crash{Endpoint: e.spec.Index, Incarnation: incarnation, StartedAt: started, Crash: *crash})
+	run.recordAnomaly("a cold server was pushed over", e.spec.Name)
+	run.group.Go(func() error { e.stop(); return nil })
+	run.setListed(e, model.Removed, time.Duration(run.scenario.Discovery.ChangeDelay))
 }
 
 // addEndpoint adds an endpoint in slow start, at addresses that another left if there are any.
-func (d *Emulation) addEndpoint(spec workload.Endpoint, name string, addresses []string, notice time.Duration) error {
-	d.addMu.Lock()
-	defer d.addMu.Unlock()
-	spec.Index, spec.Name = len(d.endpoints()), name
-	m, err := newEndpoint(d, spec, true, addresses)
+func (run *Emulation) addEndpoint(spec workload.Endpoint, name string, addresses []string, delay time.Duration) error {
+	run.addMu.Lock()
+	defer run.addMu.Unlock()
+	spec.Index, spec.Name = len(run.endpoints()), name
+	e, err := newEndpoint(run, spec, true, addresses)
 	if err != nil {
 		return err
 	}
-	d.mu.Lock()
-	d.endpointList = append(d.endpointList, m)
-	d.mu.Unlock()
-	d.setListed(m, model.Up, notice)
+	run.mu.Lock()
+	run.endpointList = append(run.endpointList, e)
+	run.mu.Unlock()
+	run.setListed(e, model.Up, delay)
 	return nil
 }
 
 // prepare starts endpoints, discovery and nodes, and waits until the nodes are ready.
-func (d *Emulation) prepare(ctx context.Context) error {
-	for _, spec := range d.plan.Endpoints {
-		m, err := newEndpoint(d, spec, d.scenario.Fleets[spec.Fleet].StartsCold, nil)
+func (run *Emulation) prepare(ctx context.Context) error {
+	for _, spec := range run.plan.Endpoints {
+		e, err := newEndpoint(run, spec, run.scenario.Fleets[spec.Fleet].StartsCold, nil)
 		if err != nil {
 			return fmt.Errorf("server %s: %w", spec.Name, err)
 		}
-		d.endpointList = append(d.endpointList, m)
+		run.endpointList = append(run.endpointList, e)
 	}
-	for i := range d.scenario.Nodes.Count {
+	for i := range run.scenario.Nodes.Count {
 		n := &node{
-			run: d, index: i, zone: i % len(d.scenario.Network.Zones),
-			config:  filepath.Join(d.workDir, fmt.Sprintf("n%d.json", i)),
-			address: fmt.Sprintf("127.%d.%d.%d:8443", d.network[0], d.network[1], 200+i),
+			run: run, index: i, zone: i % len(run.scenario.Network.Zones),
+			config:  filepath.Join(run.workDir, fmt.Sprintf("n%d.json", i)),
+			address: fmt.Sprintf("127.%d.%d.%d:8443", run.network[0], run.network[1], 200+i),
 			usage:   trace.NodeUsage{Node: i},
 		}
-		if zones := d.scenario.Nodes.Zones; len(zones) > 0 {
-			for z, name := range d.scenario.Network.Zones {
+		if zones := run.scenario.Nodes.Zones; len(zones) > 0 {
+			for z, name := range run.scenario.Network.Zones {
 				if name == zones[i] {
 					n.zone = z
 				}
@@ -318,25 +320,25 @@
 		if err != nil {
 			return err
 		}
-		if n.log, err = os.Create(filepath.Join(d.logDir, fmt.Sprintf("node-%d.log", i))); err != nil {
+		if n.log, err = os.Create(filepath.Join(run.logDir, fmt.Sprintf("node-%d.log", i))); err != nil {
 			return err
 		}
-		d.nodes = append(d.nodes, n)
+		run.nodes = append(run.nodes, n)
 	}
 	var err error
-	if d.discovery, err = newDiscovery(d); err != nil {
+	if run.discovery, err = newDiscovery(run); err != nil {
 		return err
 	}
-	for _, m := range d.endpointList {
-		d.setListed(m, model.Up, 0)
+	for _, e := range run.endpointList {
+		run.setListed(e, model.Up, 0)
 	}
-	d.discovery.keepInitial()
-	if d.clients, err = newClients(d); err != nil {
+	run.discovery.keepInitial()
+	if run.clients, err = newClients(run); err != nil {
 		return err
 	}
-	for i, n := range d.nodes {
-		if d.direct {
-			n.address, n.admitted = d.endpointList[i%len(d.endpointList)].listeners[i].address, true
+	for i, n := range run.nodes {
+		if run.direct {
+			n.address, n.admitted = run.endpointList[i%len(run.endpointList)].listeners[i].address, true
 			continue
 		}
 		if err := n.start(); err != nil {
@@ -344,15 +346,15 @@
 		}
 	}
 	deadline := time.Now().Add(readyTimeout)
-	for _, n := range d.nodes {
+	for _, n := range run.nodes {
 		for !n.isAdmitted() {
 			n.mu.Lock()
-			p := n.handle
+			process := n.handle
 			n.mu.Unlock()
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-p.Done(): // a node that is in has a process, so one that is not yet has too
+			case <-process.Done(): // a node that is in has a process, so one that is not yet has too
 				return fmt.Errorf("node %d ended before it was ready: %s", n.index, lastLine(n.log.Name()))
 			case <-time.After(5 * time.Millisecond):
 			}
@@ -365,22 +367,22 @@
 }
 
 // run is the run itself. Its time starts anew: what came before was preparation.
-func (d *Emulation) run(ctx context.Context, progress func(at, length time.Duration, settled, tasks int)) error {
-	d.startedAt = d.now()
-	d.plan.Shift(d.startedAt)
-	d.links.start()
-	if err := d.snapshotState(); err != nil {
+func (run *Emulation) run(ctx context.Context, progress func(at, length time.Duration, settled, tasks int)) error {
+	run.startedAt = run.now()
+	run.plan.Shift(run.startedAt)
+	run.links.start()
+	if err := run.snapshotState(); err != nil {
 		return err
 	}
-	d.group.Go(func() error { d.lag.run(d.done); return nil })
-	d.group.Go(func() error { d.clients.sendAll(); return nil })
-	d.group.Go(func() error { d.recordError(d.startFaults()); return nil })
-	d.group.Go(func() error { d.badClients.run(d); return nil })
-	d.group.Go(func() error { d.sample(); return nil })
-	d.group.Go(func() error { d.recordViews(); return nil })
-	length := time.Duration(d.scenario.Length)
+	run.group.Go(func() error { run.lag.run(run.done); return nil })
+	run.group.Go(func() error { run.clients.sendAll(); return nil })
+	run.group.Go(func() error { run.recordError(run.startFaults()); return nil })
+	run.group.Go(func() error { run.badClients.run(run); return nil })
+	run.group.Go(func() error { run.sample(); return nil })
+	run.group.Go(func() error { run.recordViews(); return nil })
+	length := time.Duration(run.scenario.Length)
 	longest := time.Duration(0)
-	for _, c := range d.scenario.Classes {
+	for _, c := range run.scenario.Classes {
 		longest = max(longest, time.Duration(c.Deadline))
 	}
 	tick := time.NewTicker(200 * time.Millisecond)
@@ -394,94 +396,94 @@
 		case <-end:
 			return nil
 		case <-tick.C:
-			d.clients.mu.Lock()
-			left := d.clients.unfinished
-			d.clients.mu.Unlock()
+			run.clients.mu.Lock()
+			unfinished := run.clients.unfinished
+			run.clients.mu.Unlock()
 			if progress != nil {
 				progress(
-					time.Duration(d.now()-d.startedAt), length, len(d.plan.Operations)-left, len(d.plan.Operations),
+					time.Duration(run.now()-run.startedAt), length, len(run.plan.Operations)-unfinished, len(run.plan.Operations),
 				)
 			}
-			if d.now()-d.startedAt < int64(length) {
+			if run.now()-run.startedAt < int64(length) {
 				continue
 			}
-			if left == 0 && settled {
+			if unfinished == 0 && settled {
 				return nil
 			}
-			settled = left == 0 // one more tick, for what comes after the last answer
+			settled = unfinished == 0 // one more tick, for what comes after the last answer
 		}
 	}
 }
 
 // sample records what nodes use and what is in flight at endpoints.
-func (d *Emulation) sample() {
-	for n := int64(1); d.sleepUntil(d.startedAt + n*int64(250*time.Millisecond)); n++ {
-		s := trace.LoadSample{At: d.now() - d.startedAt}
-		for _, m := range d.endpoints() {
-			m.mu.Lock()
-			s.InFlight = append(s.InFlight, m.model.InFlight())
-			m.mu.Unlock()
+func (run *Emulation) sample() {
+	for n := int64(1); run.sleepUntil(run.startedAt + n*int64(250*time.Millisecond)); n++ {
+		s := trace.LoadSample{At: run.now() - run.startedAt}
+		for _, e := range run.endpoints() {
+			e.mu.Lock()
+			s.InFlight = append(s.InFlight, e.model.InFlight())
+			e.mu.Unlock()
 		}
-		for _, one := range d.nodes {
+		for _, one := range run.nodes {
 			one.sampleUsage()
 		}
-		d.mu.Lock()
-		d.loads = append(d.loads, s)
-		d.mu.Unlock()
+		run.mu.Lock()
+		run.loads = append(run.loads, s)
+		run.mu.Unlock()
 	}
 }
 
 // finish ends all that the run began, in whatever state it is.
-func (d *Emulation) finish() {
-	d.endOnce.Do(func() {
-		d.history.Close()
-		close(d.done)
-		for _, n := range d.nodes {
+func (run *Emulation) finish() {
+	run.endOnce.Do(func() {
+		run.history.Close()
+		close(run.done)
+		for _, n := range run.nodes {
 			n.mu.Lock()
-			p := n.handle
+			process := n.handle
 			n.mu.Unlock()
-			if p != nil {
-				signal(p, os.Interrupt)
+			if process != nil {
+				signal(process, os.Interrupt)
 			}
 		}
-		if d.clients != nil {
-			d.clients.close()
+		if run.clients != nil {
+			run.clients.close()
 		}
 		deadline := time.After(stopTimeout)
-		for _, n := range d.nodes {
+		for _, n := range run.nodes {
 			n.mu.Lock()
-			p := n.handle
+			process := n.handle
 			n.mu.Unlock()
-			if p == nil {
+			if process == nil {
 				continue
 			}
 			select {
-			case <-p.Done():
+			case <-process.Done():
 			case <-deadline:
 			}
-			signal(p, os.Kill)
-			<-p.Done()
+			signal(process, os.Kill)
+			<-process.Done()
 		}
-		for _, m := range d.endpoints() {
-			m.stop()
+		for _, e := range run.endpoints() {
+			e.stop()
 		}
-		if d.discovery != nil {
-			d.discovery.close()
+		if run.discovery != nil {
+			run.discovery.close()
 		}
-		if d.links != nil {
-			d.links.close()
+		if run.links != nil {
+			run.links.close()
 		}
-		gone := make(chan struct{})
+		stopped := make(chan struct{})
 		go func() {
-			_ = d.group.Wait() // its parts return no errors
-			close(gone)
+			_ = run.group.Wait() // its parts return no errors
+			close(stopped)
 		}()
 		select {
-		case <-gone:
+		case <-stopped:
 		case <-time.After(stopTimeout):
-			d.errs = append(d.errs, errors.New("parts of the rig did not end; this is a fault of the rig"))
+			run.errs = append(run.errs, errors.New("parts of the rig did not end; this is a fault of the rig"))
 		}
-		for _, n := range d.nodes {
+		for _, n := range run.nodes {
 			if n.log != nil {
 				n.log.Close()
 			}
@@ -490,46 +492,46 @@
 }
 
 // trace closes the history and checks the rules.
-func (d *Emulation) trace() *trace.Trace {
-	for _, n := range d.nodes {
+func (run *Emulation) trace() *trace.Trace {
+	for _, n := range run.nodes {
 		n.sampleUsage()
 	}
-	for _, m := range d.endpoints() {
-		m.mu.Lock()
-		m.recordSlowStart()
-		m.mu.Unlock()
+	for _, e := range run.endpoints() {
+		e.mu.Lock()
+		e.recordSlowStart()
+		e.mu.Unlock()
 	}
-	d.history.Close()
-	void, late := d.lag.isVoid()
+	run.history.Close()
+	void, late := run.lag.isVoid()
 	r := &trace.Trace{
-		Plan: d.plan, PlanHash: d.planHash, StartedAt: d.startedAt, History: d.history, Void: void,
-		Lag: time.Duration(late), Anomalies: map[string]int{}, Elapsed: time.Duration(d.now() - d.startedAt),
+		Plan: run.plan, PlanHash: run.planHash, StartedAt: run.startedAt, History: run.history, Void: void,
+		Lag: time.Duration(late), Anomalies: map[string]int{}, Elapsed: time.Duration(run.now() - run.startedAt),
 		BadClients: trace.BadClientCounts{
-			Connected: d.badClients.connected.Load(), Unanswered: d.badClients.unanswered.Load(),
-			Served: d.badClients.served.Load(),
+			Connected: run.badClients.connected.Load(), Unanswered: run.badClients.unanswered.Load(),
+			Served: run.badClients.served.Load(),
 		},
 	}
-	d.clients.mu.Lock()
-	r.Outcomes = append(r.Outcomes, d.clients.outcomes...)
-	d.clients.mu.Unlock()
-	trace.ExcuseCutLinks(d.scenario, d.plan, d.history)
-	r.Reach = trace.ReachOf(d.scenario, d.links.schedule, d.startedAt)
-	rules := trace.RulesOf(d.scenario, d.links.schedule, d.startedAt, socketSlack, d.lag.allowanceAt)
-	r.Violations = d.history.Check(trace.Classes(d.scenario), rules)
-	r.Peaks.All, r.Peaks.Known = d.history.Peaks(rules)
+	run.clients.mu.Lock()
+	r.Outcomes = append(r.Outcomes, run.clients.outcomes...)
+	run.clients.mu.Unlock()
+	trace.ExcuseCutLinks(run.scenario, run.plan, run.history)
+	r.Reach = trace.ReachOf(run.scenario, run.links.schedule, run.startedAt)
+	rules := trace.RulesOf(run.scenario, run.links.schedule, run.startedAt, socketSlack, run.lag.allowanceAt)
+	r.Violations = run.history.Check(trace.Classes(run.scenario), rules)
+	r.Peaks.All, r.Peaks.Known = run.history.Peaks(rules)
 	for i := range r.Violations {
-		r.Violations[i].At -= d.startedAt
+		r.Violations[i].At -= run.startedAt
 	}
-	for _, m := range d.endpoints() {
-		r.Endpoints = append(r.Endpoints, m.spec.Name)
+	for _, e := range run.endpoints() {
+		r.Endpoints = append(r.Endpoints, e.spec.Name)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for what, n := range d.anomalies {
-		r.Anomalies[what] = n
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	for kind, n := range run.anomalies {
+		r.Anomalies[kind] = n
 	}
-	r.Loads, r.Views, r.Running = d.loads, d.views, d.running
-	for _, n := range d.nodes {
+	r.Loads, r.Views, r.Running = run.loads, run.views, run.running
+	for _, n := range run.nodes {
 		n.mu.Lock()
 		n.usage.LastLogLine = lastLine(n.log.Name())
 		r.Nodes = append(r.Nodes, n.usage)
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -87,9 +87,9 @@
 		return fmt.Sprintf("[[fault]]\nkind = %q\nat = \"500ms\"\n%s\n", kind, more)
 	}
 	for _, c := range []struct {
-		wrong, faults string
-		rule          int
-		what          string
+		misbehavior, faults string
+		rule                int
+		what                string
 	}{
 		{"lose", "", 1, "connection ended without an answer"},
 		{"late", "", 1, "after its hard limit"},
@@ -103,13 +103,13 @@
 		{"undrained", fault("drain", "servers = [\"s-1\"]"), 3, "sent to a draining or gone server"},
 		{"rush-cold", fault("restart-servers", "servers = [\"s-1\"]"), 4, "a cold server was pushed over"},
 	} {
-		t.Run(c.wrong, func(t *testing.T) {
+		t.Run(c.misbehavior, func(t *testing.T) {
 			t.Parallel()
 			s := parseScenario(t, smallScenario+c.faults)
-			if c.wrong == "rush-cold" {
+			if c.misbehavior == "rush-cold" {
 				s.Load.Rate = 900 // 3.6 s of work a second, on a server that can do 0.5 then
 			}
-			r := runScenario(t, s, StartReferenceProxy("random", c.wrong))
+			r := runScenario(t, s, StartReferenceProxy("random", c.misbehavior))
 			if len(r.Violations) == 0 {
 				t.Fatalf("nothing broken; seen besides: %v", r.Anomalies)
 			}
@@ -125,12 +125,12 @@
 					continue
 				}
 				if len(b.Request) != 16 || c.rule != 1 && (b.Attempt < 0 || b.Endpoint < 0) ||
-					c.wrong == "undrained" && b.Endpoint != 1 {
+					c.misbehavior == "undrained" && b.Endpoint != 1 {
 					t.Errorf("%v; want its task, hand-off and server", b)
 				}
 			}
 		})
-		t.Run(c.wrong+" not done", func(t *testing.T) {
+		t.Run(c.misbehavior+" not done", func(t *testing.T) {
 			t.Parallel()
 			if r := runScenario(t, parseScenario(t, smallScenario+c.faults), StartReferenceProxy("random", "")); len(r.Violations) != 0 {
 				t.Errorf("an honest proxy is blamed: %v", r.Violations)
@@ -149,17 +149,17 @@
 		"[[fault]]\nkind = \"pause\"\nat = \"1s\"\nfor = \"1s\"\nservers = [\"s-0\"]\n")
 	s.Clients.MaxConnections = 4 // so few that most have to wait for one, which is also a stall
 	r := runScenario(t, s, StartReferenceProxy("random", ""))
-	long, due := 0, 0
+	slow, due := 0, 0
 	for i, o := range r.Outcomes {
 		if at := r.Plan.Operations[i].Due - r.StartedAt; at > int64(time.Second) && at < int64(1500*time.Millisecond) {
 			due++
 			if o.State == trace.Succeeded && o.Elapsed > int64(450*time.Millisecond) {
-				long++
+				slow++
 			}
 		}
 	}
-	if due < 20 || long < due*9/10 {
-		t.Errorf("%d of %d tasks that were due in the stall's first half show it", long, due)
+	if due < 20 || slow < due*9/10 {
+		t.Errorf("%d of %d tasks that were due in the stall's first half show it", slow, due)
 	}
 }
 
@@ -186,32 +186,32 @@
 
 // A server that vanishes in silence: new connections to it never come up, old ones stay silent, and later it is back.
 func TestCutEndpointIsSilentAndReconnects(t *testing.T) {
-	d := &Emulation{
+	run := &Emulation{
 		scenario: parseScenario(t, smallScenario), done: make(chan struct{}), history: &invariant.History{}, clockStart: time.Now(),
 		log: zap.NewNop(), anomalies: map[string]int{},
 	}
-	d.nodes = []*node{{run: d}}
-	m := &endpoint{run: d, fleet: &d.scenario.Fleets[0], wakeup: make(chan struct{}, 1)}
-	door := &listener{endpoint: m, address: "127.0.0.1:0", conns: map[*connection]struct{}{}}
-	m.listeners = append(m.listeners, door)
-	if err := m.start(false); err != nil {
+	run.nodes = []*node{{run: run}}
+	cutEndpoint := &endpoint{run: run, fleet: &run.scenario.Fleets[0], wakeup: make(chan struct{}, 1)}
+	l := &listener{endpoint: cutEndpoint, address: "127.0.0.1:0", conns: map[*connection]struct{}{}}
+	cutEndpoint.listeners = append(cutEndpoint.listeners, l)
+	if err := cutEndpoint.start(false); err != nil {
 		t.Fatal(err)
 	}
-	defer close(d.done)
-	defer m.stop()
-	old, err := net.Dial("tcp", door.address)
+	defer close(run.done)
+	defer cutEndpoint.stop()
+	old, err := net.Dial("tcp", l.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer old.Close()
 	send(old, "GET / HTTP/1.1\r\nX-Txn: nobody\r\n\r\n")
-	if answer, err := bufio.NewReader(old).ReadString('\n'); err != nil || !strings.Contains(answer, "400") {
-		t.Fatalf("before: %q %v", answer, err)
+	if response, err := bufio.NewReader(old).ReadString('\n'); err != nil || !strings.Contains(response, "400") {
+		t.Fatalf("before: %q %v", response, err)
 	}
-	if err := door.cutOff(); err != nil {
+	if err := l.cutOff(); err != nil {
 		t.Fatal(err)
 	}
-	if c, err := net.DialTimeout("tcp", door.address, 150*time.Millisecond); err == nil {
+	if c, err := net.DialTimeout("tcp", l.address, 150*time.Millisecond); err == nil {
 		c.Close()
 		t.Error("a connection came up to a machine that has vanished")
 	} else if e := net.Error(nil); !errors.As(err, &e) || !e.Timeout() {
@@ -225,10 +225,10 @@
 			t.Errorf("%v on a connection to a machine that has vanished, want silence", err)
 		}
 	}
-	if err := door.reconnect(); err != nil {
+	if err := l.reconnect(); err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.DialTimeout("tcp", door.address, time.Second)
+	c, err := net.DialTimeout("tcp", l.address, time.Second)
 	if err != nil {
 		t.Fatalf("not back: %v", err)
 	}
@@ -240,22 +240,22 @@
 	before := runtime.NumGoroutine()
 	s := parseScenario(t, smallScenario)
 	var last Process
-	sleeper := func(words ...string) StartFunc {
+	startCommand := func(command ...string) StartFunc {
 		return func(config string, env []string, log io.Writer) (Process, error) {
-			p, err := processLauncher.start(words, env, log)
-			last = p
-			return p, err
+			process, err := processLauncher.start(command, env, log)
+			last = process
+			return process, err
 		}
 	}
-	if _, err := Run(context.Background(), Options{Scenario: s, Start: sleeper("/bin/sh", "-c", "echo no good; exit 3")}); err == nil || !strings.Contains(err.Error(), "no good") {
+	if _, err := Run(context.Background(), Options{Scenario: s, Start: startCommand("/bin/sh", "-c", "echo no good; exit 3")}); err == nil || !strings.Contains(err.Error(), "no good") {
 		t.Errorf("a node that ends at once: %v, want its last words", err)
 	}
-	if _, err := Run(context.Background(), Options{Scenario: s, Start: sleeper("/nowhere/node")}); err == nil {
+	if _, err := Run(context.Background(), Options{Scenario: s, Start: startCommand("/nowhere/node")}); err == nil {
 		t.Error("a node that is not there started")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := Run(ctx, Options{Scenario: s, Start: sleeper("/bin/sleep", "60")}); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := Run(ctx, Options{Scenario: s, Start: startCommand("/bin/sleep", "60")}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("ended by its caller: %v", err)
 	}
 	select {
@@ -283,20 +283,20 @@
 }
 
 func TestRunIsVoidIfLabRanLate(t *testing.T) {
-	g := &lagMonitor{now: func() int64 { return 0 }}
+	m := &lagMonitor{now: func() int64 { return 0 }}
 	for i := range int64(100) {
-		g.record(i*lagSlot, i*lagSlot, 1e6)
+		m.record(i*lagSlot, i*lagSlot, 1e6)
 	}
-	if void, _ := g.isVoid(); void {
+	if void, _ := m.isVoid(); void {
 		t.Error("a day late by 1 ms is void")
 	}
 	for i := range int64(10) {
-		g.record(i*7*lagSlot, i*7*lagSlot, int64(50*time.Millisecond))
+		m.record(i*7*lagSlot, i*7*lagSlot, int64(50*time.Millisecond))
 	}
-	if void, late := g.isVoid(); !void || late != int64(50*time.Millisecond) {
+	if void, late := m.isVoid(); !void || late != int64(50*time.Millisecond) {
 		t.Errorf("late by 50 ms in a tenth of the time: void %v, late %d", void, late)
 	}
-	if g.allowanceAt(7*lagSlot) != int64(100*time.Millisecond) || g.allowanceAt(99*lagSlot) != 2e6 {
+	if m.allowanceAt(7*lagSlot) != int64(100*time.Millisecond) || m.allowanceAt(99*lagSlot) != 2e6 {
 		t.Error("lateness is not that of its moment")
 	}
 }
@@ -344,70 +344,70 @@
 // has just given up comes on the same connection, and was owed.
 func TestExtraResponseCountsOnlyWithoutRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		asked  bool // a second try, which its client gives up before it is answered
-		second bool
+		secondRequest bool // a second try, which its client gives up before it is answered
+		extra         bool
 	}{
-		"nothing was asked":             {second: true},
-		"the try behind it is given up": {asked: true},
+		"nothing was asked":             {extra: true},
+		"the try behind it is given up": {secondRequest: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
-			speak := make(chan struct{})
+			defer ln.Close()
+			respond := make(chan struct{})
 			go func() {
-				conn, err := l.Accept()
+				conn, err := ln.Accept()
 				if err != nil {
 					return
 				}
 				in := bufio.NewReader(conn)
-				const answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+				const response = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 				if _, err := http.ReadRequest(in); err == nil {
-					send(conn, answer)
+					send(conn, response)
 				}
-				<-speak
-				send(conn, answer)
+				<-respond
+				send(conn, response)
 			}()
-			d := &Emulation{
+			run := &Emulation{
 				scenario: parseScenario(t, smallScenario), clockStart: time.Now(), history: &invariant.History{},
 				done: make(chan struct{}),
 			}
-			n := &node{run: d, address: l.Addr().String()}
-			side := &clients{run: d, outcomes: make([]trace.Outcome, 2), wake: make(chan struct{}, 1)}
-			r := &clientConn{pool: &pool{clients: side, node: n, connections: map[*clientConn]struct{}{}}}
-			try := func(id int, leaves time.Duration) *clientRequest {
-				now := d.now()
+			n := &node{run: run, address: ln.Addr().String()}
+			testClients := &clients{run: run, outcomes: make([]trace.Outcome, 2), wake: make(chan struct{}, 1)}
+			cc := &clientConn{pool: &pool{clients: testClients, node: n, connections: map[*clientConn]struct{}{}}}
+			newRequest := func(id int, cancelsAfter time.Duration) *clientRequest {
+				now := run.now()
 				return &clientRequest{
 					operation: &workload.Operation{
-						Index: id, Due: now, CancelsAfter: int64(leaves), Tenant: -1, Key: -1,
+						Index: id, Due: now, CancelsAfter: int64(cancelsAfter), Tenant: -1, Key: -1,
 					}, deadline: now + int64(5*time.Second),
 					id: fmt.Sprint("t", id),
 				}
 			}
-			if goesOn, again := r.roundTrip(try(0, 0)); !goesOn || again != nil {
+			if reusable, resend := cc.roundTrip(newRequest(0, 0)); !reusable || resend != nil {
 				t.Fatal("the first try ended its connection")
 			}
-			first := r.lastAnswered
-			if c.asked {
-				r.roundTrip(try(1, 20*time.Millisecond))
-				if r.conn == nil || side.outcomes[1].State != trace.Canceled {
-					t.Fatalf("the second try ended as %v", side.outcomes[1].State)
+			first := cc.lastAnswered
+			if c.secondRequest {
+				cc.roundTrip(newRequest(1, 20*time.Millisecond))
+				if cc.conn == nil || testClients.outcomes[1].State != trace.Canceled {
+					t.Fatalf("the second try ended as %v", testClients.outcomes[1].State)
 				}
 			}
-			close(speak)
-			r.conn.SetReadDeadline(time.Time{})
+			close(respond)
+			cc.conn.SetReadDeadline(time.Time{})
 			for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
-				if more, _ := connState(r.conn); more {
+				if more, _ := connState(cc.conn); more {
 					break
 				}
 				if time.Now().After(end) {
 					t.Fatal("nothing came")
 				}
 			}
-			r.close()
-			if got := first.ExtraAt != invariant.Never; got != c.second {
+			cc.close()
+			if got := first.ExtraAt != invariant.Never; got != c.extra {
 				t.Errorf("a second answer: %t", got)
 			}
 		})
--- a/internal/lab/emulator/endpoint.go
+++ b/internal/lab/emulator/endpoint.go
@@ -100,57 +100,57 @@
 }
 
 // newEndpoint makes an endpoint that listens for every node. With addresses it takes the place of another.
-func newEndpoint(d *Emulation, spec workload.Endpoint, cold bool, addresses []string) (*endpoint, error) {
-	m := &endpoint{
-		run: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], jobs: map[int64]*attempt{},
+func newEndpoint(run *Emulation, spec workload.Endpoint, cold bool, addresses []string) (*endpoint, error) {
+	e := &endpoint{
+		run: run, spec: spec, fleet: &run.scenario.Fleets[spec.Fleet], jobs: map[int64]*attempt{},
 		random: rand.New(rand.NewPCG(spec.Seed, 3)), wakeup: make(chan struct{}, 1),
 	}
-	for node := range d.scenario.Nodes.Count {
-		address := d.address(node, 0)
+	for node := range run.scenario.Nodes.Count {
+		address := run.address(node, 0)
 		if addresses != nil {
 			address = addresses[node]
 		}
-		m.listeners = append(m.listeners, &listener{
-			endpoint: m, node: node, address: address, conns: map[*connection]struct{}{},
+		e.listeners = append(e.listeners, &listener{
+			endpoint: e, node: node, address: address, conns: map[*connection]struct{}{},
 		})
 	}
-	if err := m.start(cold); err != nil {
-		m.stop()
+	if err := e.start(cold); err != nil {
+		e.stop()
 		return nil, err
 	}
-	for _, one := range m.listeners {
+	for _, one := range e.listeners {
 		var err error
-		one.advertised, err = d.links.proxyStream(netfault.End{
+		one.advertised, err = run.links.proxyStream(netfault.End{
 			Kind: netfault.Node, Index: one.node,
 		}, netfault.End{Kind: netfault.Endpoint, Index: spec.Index},
 			func() string { return one.address })
 		if err != nil {
-			m.stop()
+			e.stop()
 			return nil, err
 		}
 	}
-	d.group.Go(func() error { m.work(); return nil })
-	return m, nil
+	run.group.Go(func() error { e.work(); return nil })
+	return e, nil
 }
 
 // start begins an incarnation. A cold one starts now, another long ago.
-func (m *endpoint) start(cold bool) error {
-	m.mu.Lock()
-	now := m.run.now()
-	m.recordSlowStart()
+func (e *endpoint) start(cold bool) error {
+	e.mu.Lock()
+	now := e.run.now()
+	e.recordSlowStart()
 	started := int64(math.MinInt64 / 2)
-	if m.startedAt = 0; cold {
+	if e.startedAt = 0; cold {
 		// The list has whole milliseconds.
-		started, m.startedAt = now, m.run.epoch(now)/1e6*1e6
+		started, e.startedAt = now, e.run.epoch(now)/1e6*1e6
 	}
-	m.incarnation++
-	m.model = model.NewEndpoint(
-		model.SpecOf(m.run.scenario, m.fleet, m.spec.Speed), started, now, m.spec.Seed+uint64(m.incarnation),
+	e.incarnation++
+	e.model = model.NewEndpoint(
+		model.SpecOf(e.run.scenario, e.fleet, e.spec.Speed), started, now, e.spec.Seed+uint64(e.incarnation),
 	)
-	m.jobs, m.faults, m.draining, m.reports, m.nextReportAt, m.connections = map[int64]*attempt{}, endpointFaults{}, false, nil, now, 0
-	m.mu.Unlock()
-	for _, d := range m.listeners {
-		if err := d.open(); err != nil {
+	e.jobs, e.faults, e.draining, e.reports, e.nextReportAt, e.connections = map[int64]*attempt{}, endpointFaults{}, false, nil, now, 0
+	e.mu.Unlock()
+	for _, listener := range e.listeners {
+		if err := listener.open(); err != nil {
 			return err
 		}
 	}
@@ -158,126 +158,126 @@
 }
 
 // recordSlowStart records the slow start of the incarnation that ends; the lock is held.
-func (m *endpoint) recordSlowStart() {
-	if m.model != nil {
-		m.run.history.RecordSlowStart(invariant.SlowStart{
-			Endpoint: m.spec.Index, Incarnation: m.incarnation, StartedAt: m.startedAt, MeanWork: m.model.MeanWork,
-			Window: m.model.CrashWindow, Arrivals: m.model.SlowStartArrivals(),
+func (e *endpoint) recordSlowStart() {
+	if e.model != nil {
+		e.run.history.RecordSlowStart(invariant.SlowStart{
+			Endpoint: e.spec.Index, Incarnation: e.incarnation, StartedAt: e.startedAt, MeanWork: e.model.MeanWork,
+			Window: e.model.CrashWindow, Arrivals: e.model.SlowStartArrivals(),
 		})
 	}
 }
 
 // stop ends an incarnation: connections are reset, new ones refused.
-func (m *endpoint) stop() {
-	m.mu.Lock()
-	if m.model != nil {
-		m.model.Crash()
+func (e *endpoint) stop() {
+	e.mu.Lock()
+	if e.model != nil {
+		e.model.Crash()
 	}
-	m.jobs = map[int64]*attempt{}
-	m.mu.Unlock()
-	for _, d := range m.listeners {
-		d.close()
+	e.jobs = map[int64]*attempt{}
+	e.mu.Unlock()
+	for _, listener := range e.listeners {
+		listener.close()
 	}
-	m.wake()
+	e.wake()
 }
 
-func (m *endpoint) wake() {
+func (e *endpoint) wake() {
 	select {
-	case m.wakeup <- struct{}{}:
+	case e.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // work answers what the model has finished, and samples its load.
-func (m *endpoint) work() {
+func (e *endpoint) work() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-m.run.done:
+		case <-e.run.done:
 			return
-		case <-m.wakeup:
+		case <-e.wakeup:
 		case <-timer.C:
 		}
-		m.mu.Lock()
-		now := m.run.now()
-		done := m.model.Advance(now)
-		if m.nextReportAt <= now {
-			m.reports = append(m.reports, loadSample{now, m.model.Sample(now)})
-			if len(m.reports) > 8 {
-				m.reports = m.reports[1:]
+		e.mu.Lock()
+		now := e.run.now()
+		done := e.model.Advance(now)
+		if e.nextReportAt <= now {
+			e.reports = append(e.reports, loadSample{now, e.model.Sample(now)})
+			if len(e.reports) > 8 {
+				e.reports = e.reports[1:]
 			}
-			m.nextReportAt = now + int64(m.run.scenario.Reports.Period)
+			e.nextReportAt = now + int64(e.run.scenario.Reports.Period)
 		}
-		next := min(m.model.Next(), m.nextReportAt)
-		finished, late := make([]*attempt, 0, 8), []*attempt(nil)
+		next := min(e.model.Next(), e.nextReportAt)
+		finished, expired := make([]*attempt, 0, 8), []*attempt(nil)
 		for _, d := range done {
-			h := m.jobs[d.Job.ID]
-			if h == nil {
+			a := e.jobs[d.Job.ID]
+			if a == nil {
 				continue // its life has ended
 			}
-			delete(m.jobs, d.Job.ID)
+			delete(e.jobs, d.Job.ID)
 			if d.Expired {
-				late = append(late, h)
+				expired = append(expired, a)
 				continue
 			}
-			m.run.history.Update(func() { h.record.Executed = true })
-			finished = append(finished, h)
+			e.run.history.Update(func() { a.record.Executed = true })
+			finished = append(finished, a)
 		}
-		m.mu.Unlock()
-		for _, h := range finished {
-			h.finish()
+		e.mu.Unlock()
+		for _, a := range finished {
+			a.finish()
 		}
-		for _, h := range late {
-			h.reject()
+		for _, a := range expired {
+			a.reject()
 		}
-		timer.Reset(time.Duration(max(next-m.run.now(), 0)))
+		timer.Reset(time.Duration(max(next-e.run.now(), 0)))
 	}
 }
 
 // report is the newest load report that is visible by now.
-func (m *endpoint) report(now int64) string {
-	r := &m.run.scenario.Reports
+func (e *endpoint) report(now int64) string {
+	r := &e.run.scenario.Reports
 	if len(r.Fields) == 0 {
 		return ""
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for i := len(m.reports) - 1; i >= 0; i-- {
-		if m.reports[i].at+int64(r.Delay) <= now {
-			return string(encodeLoadReport(nil, r.Fields, m.reports[i].figures.Noisy(m.random.Float64, r.Noise)))
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for i := len(e.reports) - 1; i >= 0; i-- {
+		if e.reports[i].at+int64(r.Delay) <= now {
+			return string(encodeLoadReport(nil, r.Fields, e.reports[i].figures.Noisy(e.random.Float64, r.Noise)))
 		}
 	}
 	return ""
 }
 
 // oneWay is the network's delay between a node and this endpoint.
-func (m *endpoint) oneWay(node int) time.Duration {
-	n := &m.run.scenario.Network
+func (e *endpoint) oneWay(node int) time.Duration {
+	n := &e.run.scenario.Network
 	base := n.SameZone
-	if m.run.zoneOf(node) != m.spec.Zone {
+	if e.run.zoneOf(node) != e.spec.Zone {
 		base = n.CrossZone
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return time.Duration(float64(base) * (1 + n.Jitter*m.random.Float64()))
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return time.Duration(float64(base) * (1 + n.Jitter*e.random.Float64()))
 }
 
-func (d *listener) open() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	l, err := net.Listen("tcp", d.address)
+func (l *listener) open() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	ln, err := net.Listen("tcp", l.address)
 	if err != nil {
 		return err
 	}
-	d.listener, d.address = l, l.Addr().String()
-	d.endpoint.run.group.Go(func() error { d.accept(l); return nil })
+	l.listener, l.address = ln, ln.Addr().String()
+	l.endpoint.run.group.Go(func() error { l.accept(ln); return nil })
 	return nil
 }
 
-func (d *listener) accept(l net.Listener) {
+func (l *listener) accept(ln net.Listener) {
 	for {
-		c, err := l.Accept()
+		conn, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -285,183 +285,183 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		k := &connection{listener: d, conn: c, isNew: true}
-		d.mu.Lock()
-		if d.listener != l {
-			d.mu.Unlock()
-			reset(c)
+		c := &connection{listener: l, conn: conn, isNew: true}
+		l.mu.Lock()
+		if l.listener != ln {
+			l.mu.Unlock()
+			reset(conn)
 			continue
 		}
-		d.conns[k] = struct{}{}
-		d.mu.Unlock()
-		m := d.endpoint
-		m.mu.Lock()
-		m.model.ConnectionOpened(m.run.now())
-		m.connections++
-		k.incarnation = m.incarnation
-		k.overLimit = m.connections > m.fleet.Connections
-		m.mu.Unlock()
-		m.wake()
-		m.run.group.Go(func() error { k.serve(); return nil })
+		l.conns[c] = struct{}{}
+		l.mu.Unlock()
+		e := l.endpoint
+		e.mu.Lock()
+		e.model.ConnectionOpened(e.run.now())
+		e.connections++
+		c.incarnation = e.incarnation
+		c.overLimit = e.connections > e.fleet.Connections
+		e.mu.Unlock()
+		e.wake()
+		e.run.group.Go(func() error { c.serve(); return nil })
 	}
 }
 
 // close closes the listener and resets what is open.
-func (d *listener) close() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.listener != nil {
-		d.listener.Close()
-		d.listener = nil
+func (l *listener) close() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.listener != nil {
+		l.listener.Close()
+		l.listener = nil
 	}
-	for k := range d.conns {
-		reset(k.conn)
+	for c := range l.conns {
+		reset(c.conn)
 	}
-	for _, p := range d.queueFillers {
+	for _, p := range l.queueFillers {
 		p.Close()
 	}
-	d.queueFillers = nil
-	d.cut.Store(false)
+	l.queueFillers = nil
+	l.cut.Store(false)
 }
 
 // cutOff makes the endpoint unreachable for this node: what is open stays open and silent, new connections never come
 // up. The queue of a listener that accepts nothing is kept full, so that the system drops new connections.
-func (d *listener) cutOff() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.listener == nil || d.cut.Load() {
+func (l *listener) cutOff() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.listener == nil || l.cut.Load() {
 		return nil
 	}
-	d.cut.Store(true)
-	d.listener.Close()
-	l, plugs, err := faultproxy.ListenFull(d.address)
+	l.cut.Store(true)
+	l.listener.Close()
+	ln, fillers, err := faultproxy.ListenFull(l.address)
 	if err != nil {
-		return fmt.Errorf("cutting off %s: %w", d.address, err)
+		return fmt.Errorf("cutting off %s: %w", l.address, err)
 	}
-	d.listener, d.queueFillers = l, plugs
+	l.listener, l.queueFillers = ln, fillers
 	return nil
 }
 
 // reconnect makes it reachable again: what was open is reset.
-func (d *listener) reconnect() error {
-	if !d.cut.Load() {
+func (l *listener) reconnect() error {
+	if !l.cut.Load() {
 		return nil
 	}
-	d.close()
-	return d.open()
+	l.close()
+	return l.open()
 }
 
 // serve reads attempts from a connection until it ends. It reads on while one is in flight, as a node's cancel shows
 // so.
-func (k *connection) serve() {
-	d := k.listener
-	m := d.endpoint
+func (c *connection) serve() {
+	listener := c.listener
+	e := listener.endpoint
 	defer func() {
-		k.conn.Close()
-		d.mu.Lock()
-		delete(d.conns, k)
-		d.mu.Unlock()
-		m.mu.Lock()
-		if k.incarnation == m.incarnation {
-			m.connections--
+		c.conn.Close()
+		listener.mu.Lock()
+		delete(listener.conns, c)
+		listener.mu.Unlock()
+		e.mu.Lock()
+		if c.incarnation == e.incarnation {
+			e.connections--
 		}
-		m.mu.Unlock()
+		e.mu.Unlock()
 	}()
-	in := newReader(k.conn, m.run.now)
-	idle := time.Duration(m.fleet.IdleClose)
+	in := newReader(c.conn, e.run.now)
+	idle := time.Duration(e.fleet.IdleClose)
 	for {
-		k.conn.SetReadDeadline(time.Now().Add(idle))
+		c.conn.SetReadDeadline(time.Now().Add(idle))
 		var msg message
 		err := in.next(&msg, false)
-		k.mu.Lock()
-		cur := k.current
-		k.mu.Unlock()
+		c.mu.Lock()
+		current := c.current
+		c.mu.Unlock()
 		if err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) && cur != nil && !cur.answered.Load() && in.pending() == 0 {
+			if errors.Is(err, os.ErrDeadlineExceeded) && current != nil && !current.answered.Load() && in.pending() == 0 {
 				continue
 			}
-			if cur != nil {
-				k.attemptAbandoned(cur)
+			if current != nil {
+				c.attemptAbandoned(current)
 			}
 			if errors.Is(err, errMalformed) || errors.Is(err, errTooLong) {
-				m.run.recordAnomaly("hand-off that cannot be read", string(msg.firstLine))
+				e.run.recordAnomaly("hand-off that cannot be read", string(msg.firstLine))
 			}
 			return
 		}
-		if cur != nil && !cur.answered.Load() {
-			m.run.recordAnomaly("two hand-offs at once on a connection", string(msg.get(headerRequestID)))
-			k.attemptAbandoned(cur)
-			reset(k.conn)
+		if current != nil && !current.answered.Load() {
+			e.run.recordAnomaly("two hand-offs at once on a connection", string(msg.get(headerRequestID)))
+			c.attemptAbandoned(current)
+			reset(c.conn)
 			return
 		}
-		k.startAttempt(&msg)
+		c.startAttempt(&msg)
 	}
 }
 
 // attemptAbandoned takes the end of an attempt's connection.
-func (k *connection) attemptAbandoned(h *attempt) {
-	m := k.listener.endpoint
-	now := m.run.now()
-	m.run.history.Update(func() {
-		if h.record.ClosedAt == invariant.Never {
-			h.record.ClosedAt = now
+func (c *connection) attemptAbandoned(a *attempt) {
+	e := c.listener.endpoint
+	now := e.run.now()
+	e.run.history.Update(func() {
+		if a.record.ClosedAt == invariant.Never {
+			a.record.ClosedAt = now
 		}
 	})
-	if h.answered.Load() || k.listener.cut.Load() {
+	if a.answered.Load() || c.listener.cut.Load() {
 		return
 	}
-	time.AfterFunc(h.oneWay, func() {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		if stopped, _ := m.model.CancelJob(m.run.now(), h.id); stopped && m.jobs[h.id] == h {
-			delete(m.jobs, h.id)
+	time.AfterFunc(a.oneWay, func() {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		if stopped, _ := e.model.CancelJob(e.run.now(), a.id); stopped && e.jobs[a.id] == a {
+			delete(e.jobs, a.id)
 		}
 	})
 }
 
 // startAttempt begins one attempt.
-func (k *connection) startAttempt(msg *message) {
-	m, node := k.listener.endpoint, k.listener.node
-	now := m.run.now()
+func (c *connection) startAttempt(msg *message) {
+	e, node := c.listener.endpoint, c.listener.node
+	now := e.run.now()
 	id := string(msg.get(headerRequestID))
-	h := &attempt{conn: k, bodySize: len(msg.body), record: &invariant.Attempt{
-		Request: id, Node: node, Endpoint: m.spec.Index, Zone: m.spec.Zone,
-		Pod: m.spec.Pod, FirstByteAt: msg.firstByteAt,
+	a := &attempt{conn: c, bodySize: len(msg.body), record: &invariant.Attempt{
+		Request: id, Node: node, Endpoint: e.spec.Index, Zone: e.spec.Zone,
+		Pod: e.spec.Pod, FirstByteAt: msg.firstByteAt,
 	}}
-	task, try, known := m.run.operationOf(id)
+	o, number, known := e.run.operationOf(id)
 	if !known {
 		// The ID is not one that a client sent in this form.
-		m.run.recordAnomaly("hand-off with an id that no client sent", id)
-		h.respond("400 Unknown", "", nil)
+		e.run.recordAnomaly("hand-off with an id that no client sent", id)
+		a.respond("400 Unknown", "", nil)
 		return
 	}
-	category := &m.run.scenario.Classes[task.Class]
+	class := &e.run.scenario.Classes[o.Class]
 	until := int64(model.Never)
-	if left, err := strconv.ParseInt(string(msg.get(headerRemaining)), 10, 64); err == nil {
-		until = now + left*1e6
-	}
-	work, luck := workload.AttemptWork(task.Work, category.AttemptNoise, task.Seed+uint64(try), m.spec.Seed, 0)
-	h.failureDraw, h.oneWay = luck, m.oneWay(node)
-	ticket := string(msg.get(headerIdempotencyKey))
-	m.mu.Lock()
-	h.incarnation, h.record.Incarnation = m.incarnation, m.incarnation
-	m.lastID++
-	h.id = m.lastID
-	m.mu.Unlock()
-	m.run.history.RecordAttempt(h.record)
-	m.run.history.Update(func() { h.record.LastByteAt = now })
-	k.mu.Lock()
-	k.current = h
-	k.mu.Unlock()
-	wait := h.oneWay
-	if k.isNew {
-		wait += time.Duration(m.fleet.ConnectionWait) + 2*h.oneWay // as its setting up would have taken
-		k.isNew = false
-	}
-	if k.listener.cut.Load() {
+	if remaining, err := strconv.ParseInt(string(msg.get(headerRemaining)), 10, 64); err == nil {
+		until = now + remaining*1e6
+	}
+	work, failureDraw := workload.AttemptWork(o.Work, class.AttemptNoise, o.Seed+uint64(number), e.spec.Seed, 0)
+	a.failureDraw, a.oneWay = failureDraw, e.oneWay(node)
+	idempotencyKey := string(msg.get(headerIdempotencyKey))
+	e.mu.Lock()
+	a.incarnation, a.record.Incarnation = e.incarnation, e.incarnation
+	e.lastID++
+	a.id = e.lastID
+	e.mu.Unlock()
+	e.run.history.RecordAttempt(a.record)
+	e.run.history.Update(func() { a.record.LastByteAt = now })
+	c.mu.Lock()
+	c.current = a
+	c.mu.Unlock()
+	wait := a.oneWay
+	if c.isNew {
+		wait += time.Duration(e.fleet.ConnectionWait) + 2*a.oneWay // as its setting up would have taken
+		c.isNew = false
+	}
+	if c.listener.cut.Load() {
 		return // it never arrives; the node cannot know
 	}
-	afterDelay(wait, func() { h.arrive(work, until, ticket, task.Class, task.Tenant) })
+	afterDelay(wait, func() { a.arrive(work, until, idempotencyKey, o.Class, o.Tenant) })
 }
 
 func afterDelay(d time.Duration, do func()) {
@@ -473,142 +473,142 @@
 }
 
 // arrive gives the work to the model, unless a fault answers first.
-func (h *attempt) arrive(work, until int64, ticket string, category, customer int) {
-	m := h.conn.listener.endpoint
-	m.mu.Lock()
-	if m.incarnation != h.incarnation || m.model.HasCrashed() {
-		m.mu.Unlock()
+func (a *attempt) arrive(work, until int64, idempotencyKey string, class, tenant int) {
+	e := a.conn.listener.endpoint
+	e.mu.Lock()
+	if e.incarnation != a.incarnation || e.model.HasCrashed() {
+		e.mu.Unlock()
 		return
 	}
-	t := m.faults
-	turned := h.conn.overLimit || m.draining || m.random.Float64() < t.reject
+	t := e.faults
+	rejected := a.conn.overLimit || e.draining || e.random.Float64() < t.reject
 	switch {
 	case t.silent:
-		m.mu.Unlock()
+		e.mu.Unlock()
 		return
-	case turned:
-		m.mu.Unlock()
-		h.reject()
+	case rejected:
+		e.mu.Unlock()
+		a.reject()
 		return
-	case m.random.Float64() < t.reset:
-		m.mu.Unlock()
-		reset(h.conn.conn)
+	case e.random.Float64() < t.reset:
+		e.mu.Unlock()
+		reset(a.conn.conn)
 		return
-	case m.random.Float64() < t.fail:
-		m.mu.Unlock()
-		h.respond("500 Broken", "", nil)
+	case e.random.Float64() < t.fail:
+		e.mu.Unlock()
+		a.respond("500 Broken", "", nil)
 		return
 	}
-	if ticket != "" {
-		if h.deduplicated = m.run.deduplicatorOf(m, category).seen(m.run.now(), ticket); h.deduplicated {
+	if idempotencyKey != "" {
+		if a.deduplicated = e.run.deduplicatorOf(e, class).seen(e.run.now(), idempotencyKey); a.deduplicated {
 			work = min(work, int64(200*time.Microsecond)) // it only looks the answer up
 		}
-		m.run.history.Update(func() { h.record.Deduplicated = h.deduplicated })
+		e.run.history.Update(func() { a.record.Deduplicated = a.deduplicated })
 	}
 	job := &model.Job{
-		ID: h.id, Work: work, Deadline: until, Node: h.conn.listener.node, Wait: m.run.waitOf(category, customer),
+		ID: a.id, Work: work, Deadline: until, Node: a.conn.listener.node, Wait: e.run.waitOf(class, tenant),
 	}
-	accepted, fall := m.model.Arrive(m.run.now(), job)
+	accepted, crash := e.model.Arrive(e.run.now(), job)
 	if accepted {
-		m.jobs[h.id] = h
+		e.jobs[a.id] = a
 	}
-	m.mu.Unlock()
+	e.mu.Unlock()
 	switch {
-	case fall != nil:
-		m.run.endpointCrashed(m, h.incarnation, fall)
+	case crash != nil:
+		e.run.endpointCrashed(e, a.incarnation, crash)
 	case !accepted:
-		h.reject()
+		a.reject()
 	}
-	m.wake()
+	e.wake()
 }
 
 // reject answers that the request was not executed.
-func (h *attempt) reject() {
-	h.conn.listener.endpoint.run.history.Update(func() { h.record.Rejected = true })
-	afterDelay(h.oneWay, func() { h.respond("503 Turned Away", "\r\n"+headerNotExecuted+": 1", nil) })
+func (a *attempt) reject() {
+	a.conn.listener.endpoint.run.history.Update(func() { a.record.Rejected = true })
+	afterDelay(a.oneWay, func() { a.respond("503 Turned Away", "\r\n"+headerNotExecuted+": 1", nil) })
 }
 
 // finish answers an attempt that has run.
-func (h *attempt) finish() {
-	m := h.conn.listener.endpoint
-	afterDelay(h.oneWay, func() {
-		if h.failureDraw < m.fleet.ErrorShare {
-			h.respond("500 Error", "", nil)
+func (a *attempt) finish() {
+	e := a.conn.listener.endpoint
+	afterDelay(a.oneWay, func() {
+		if a.failureDraw < e.fleet.ErrorShare {
+			a.respond("500 Error", "", nil)
 			return
 		}
-		m.mu.Lock()
-		t := m.faults
-		spoilt := t.corrupt != "" && m.random.Float64() < t.corruptShare
-		m.mu.Unlock()
-		if spoilt {
-			h.corrupt(t.corrupt)
+		e.mu.Lock()
+		t := e.faults
+		corrupt := t.corrupt != "" && e.random.Float64() < t.corruptShare
+		e.mu.Unlock()
+		if corrupt {
+			a.corrupt(t.corrupt)
 			return
 		}
-		h.respond("200 OK", "", responseBody(nil, m.spec.Name, h.record.Request, h.bodySize))
+		a.respond("200 OK", "", responseBody(nil, e.spec.Name, a.record.Request, a.bodySize))
 	})
 }
 
 // respond writes a response, with a load report where there is one.
-func (h *attempt) respond(status, extra string, body []byte) {
-	m := h.conn.listener.endpoint
-	now := m.run.now()
-	if h.conn.listener.cut.Load() || h.answered.Swap(true) {
+func (a *attempt) respond(status, extra string, body []byte) {
+	e := a.conn.listener.endpoint
+	now := e.run.now()
+	if a.conn.listener.cut.Load() || a.answered.Swap(true) {
 		return
 	}
 	code, _ := strconv.Atoi(status[:3])
-	m.run.history.Update(func() { h.record.AnsweredAt, h.record.Status = now, code })
+	e.run.history.Update(func() { a.record.AnsweredAt, a.record.Status = now, code })
 	out := append(make([]byte, 0, 256+len(body)), "HTTP/1.1 "...)
 	out = append(out, status...)
 	out = append(out, extra...)
-	if report := m.report(now); report != "" {
+	if report := e.report(now); report != "" {
 		out = append(out, "\r\n"+headerLoadReport+": "...)
 		out = append(out, report...)
 	}
 	out = append(out, "\r\nContent-Length: "...)
 	out = strconv.AppendInt(out, int64(len(body)), 10)
 	out = append(out, "\r\n\r\n"...)
-	send(h.conn.conn, append(out, body...))
+	send(a.conn.conn, append(out, body...))
 }
 
 // corrupt writes a response with a fault.
-func (h *attempt) corrupt(how string) {
-	m, c := h.conn.listener.endpoint, h.conn.conn
-	body := string(responseBody(nil, m.spec.Name, h.record.Request, h.bodySize))
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	now := m.run.now()
-	sound := false
+func (a *attempt) corrupt(how string) {
+	e, c := a.conn.listener.endpoint, a.conn.conn
+	body := string(responseBody(nil, e.spec.Name, a.record.Request, a.bodySize))
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	now := e.run.now()
+	intact := false
 	for _, k := range scenario.IntactKinds {
-		sound = sound || k == how
+		intact = intact || k == how
 	}
-	if h.answered.Swap(true) {
+	if a.answered.Swap(true) {
 		return
 	}
-	m.run.history.Update(func() {
-		h.record.AnsweredAt, h.record.Status = now, 502
-		if sound {
-			h.record.Status = 200
+	e.run.history.Update(func() {
+		a.record.AnsweredAt, a.record.Status = now, 502
+		if intact {
+			a.record.Status = 200
 		}
 	})
 	switch how {
 	case "twice":
-		send(c, whole+whole)
+		send(c, response+response)
 	case "interim":
-		send(c, "HTTP/1.1 103 Early Hints\r\n\r\n"+whole)
+		send(c, "HTTP/1.1 103 Early Hints\r\n\r\n"+response)
 	case "bad-report":
 		report := "\r\n" + headerLoadReport + ": queue=much,inflight=-7,=,util=NaN\r\n"
-		send(c, strings.Replace(whole, "\r\n", report, 1))
+		send(c, strings.Replace(response, "\r\n", report, 1))
 	case "other-body":
 		// The response of another request, so a node that passes it on serves what was not made for this one. It cannot
 		// be told by the protocol, so it is sent as noise behind the right one.
-		send(c, whole+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
+		send(c, response+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
 	case "noise":
 		noise := make([]byte, 300)
 		for i := range noise {
-			noise[i] = byte(h.failureDraw*1e6) + byte(i*131)
+			noise[i] = byte(a.failureDraw*1e6) + byte(i*131)
 		}
 		send(c, noise)
 	case "endless-head":
-		m.run.group.Go(func() error {
+		e.run.group.Go(func() error {
 			send(c, "HTTP/1.1 200 OK\r\n")
 			for n := 0; n < 64; n++ {
 				if _, err := fmt.Fprintf(c, "X-%d: %s\r\n", n, strings.Repeat("y", 1000)); err != nil {
@@ -620,7 +620,7 @@
 	case "short":
 		sendf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+1000, body)
 	case "long":
-		m.run.group.Go(func() error {
+		e.run.group.Go(func() error {
 			send(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
 			block := make([]byte, 64<<10)
 			for range 200 {
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -17,13 +17,13 @@
 const frontStopDelay = 300 * time.Millisecond
 
 // startFaults starts faults as they are due.
-func (d *Emulation) startFaults() error {
-	for i := range d.plan.Faults {
-		f := &d.plan.Faults[i]
-		if !d.sleepUntil(int64(f.At)) {
+func (run *Emulation) startFaults() error {
+	for i := range run.plan.Faults {
+		f := &run.plan.Faults[i]
+		if !run.sleepUntil(int64(f.At)) {
 			return nil
 		}
-		if err := d.startFault(f); err != nil {
+		if err := run.startFault(f); err != nil {
 			return fmt.Errorf("fault %d, %s: %w", f.Index, f.Kind, err)
 		}
 	}
@@ -31,11 +31,11 @@
 }
 
 // startFault starts one fault, and has it end in time.
-func (d *Emulation) startFault(f *workload.Fault) error {
-	long := time.Duration(f.For)
-	ends := func(do func()) {
-		if long > 0 {
-			d.after(long, do)
+func (run *Emulation) startFault(f *workload.Fault) error {
+	duration := time.Duration(f.For)
+	afterFault := func(do func()) {
+		if duration > 0 {
+			run.after(duration, do)
 		}
 	}
 	if scenario.FaultTargets[f.Kind] == scenario.LinkTarget {
@@ -43,26 +43,26 @@
 	}
 	switch f.Kind {
 	case "power":
-		d.losePower(f)
+		run.losePower(f)
 		return nil
 	case "discovery-down":
-		d.discovery.setDown(true)
-		ends(func() { d.discovery.setDown(false) })
+		run.discovery.setDown(true)
+		afterFault(func() { run.discovery.setDown(false) })
 		return nil
 	case "discovery-slow":
 		set := func(v float64) {
-			d.discovery.mu.Lock()
-			defer d.discovery.mu.Unlock()
-			d.discovery.slowdown = v
+			run.discovery.mu.Lock()
+			defer run.discovery.mu.Unlock()
+			run.discovery.slowdown = v
 		}
 		set(f.Factor)
-		ends(func() { set(1) })
+		afterFault(func() { set(1) })
 		return nil
 	case "discovery-move":
-		if err := d.discovery.move(); err != nil {
+		if err := run.discovery.move(); err != nil {
 			return err
 		}
-		for _, n := range d.nodes {
+		for _, n := range run.nodes {
 			if err := n.reload(); err != nil {
 				return err
 			}
@@ -70,40 +70,40 @@
 		return nil
 	case "lists-late":
 		set := func(wait time.Duration) {
-			d.discovery.mu.Lock()
-			defer d.discovery.mu.Unlock()
-			d.discovery.changeDelay = wait
+			run.discovery.mu.Lock()
+			defer run.discovery.mu.Unlock()
+			run.discovery.changeDelay = wait
 		}
 		set(time.Duration(f.Wait))
-		ends(func() { set(0) })
+		afterFault(func() { set(0) })
 		return nil
 	case "wait":
 		set := func(by int64) {
-			d.mu.Lock()
-			defer d.mu.Unlock()
-			d.waits[waitKey(d.scenario, &f.Fault)] = by
+			run.mu.Lock()
+			defer run.mu.Unlock()
+			run.waits[waitKey(run.scenario, &f.Fault)] = by
 		}
 		set(int64(f.Wait))
-		ends(func() { set(0) })
+		afterFault(func() { set(0) })
 		return nil
 	case "bad-clients":
 		return nil // drawn ahead, each with its moment
 	case "kill", "stop", "freeze", "cut-node", "state":
 		for i, target := range f.Targets {
-			d.after(time.Duration(f.Each)*time.Duration(i), func() { d.faultNode(f, d.nodes[target]) })
+			run.after(time.Duration(f.Each)*time.Duration(i), func() { run.faultNode(f, run.nodes[target]) })
 		}
 		return nil
 	}
 	for i, target := range f.Targets {
-		d.after(time.Duration(f.Each)*time.Duration(i), func() { d.faultEndpoint(f, d.endpointAt(target)) })
+		run.after(time.Duration(f.Each)*time.Duration(i), func() { run.faultEndpoint(f, run.endpointAt(target)) })
 	}
 	return nil
 }
 
-func (d *Emulation) faultNode(f *workload.Fault, n *node) {
+func (run *Emulation) faultNode(f *workload.Fault, n *node) {
 	switch f.Kind {
 	case "state":
-		d.recordError(n.stateFault(f.How))
+		run.recordError(n.stateFault(f.How))
 		return
 	case "kill":
 		n.kill()
@@ -112,7 +112,7 @@
 			n.signalSeries()
 		}
 		n.end(syscall.SIGTERM, false)
-		d.after(frontStopDelay, func() {
+		run.after(frontStopDelay, func() {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.admitted = false
@@ -122,219 +122,219 @@
 		return
 	case "cut-node":
 		// Cut off from the endpoints of a zone, or from all. What is in flight it can still answer.
-		for _, m := range d.endpoints() {
-			if f.Zone == "" || m.spec.Zone == f.Zone {
-				door := m.listeners[n.index]
-				d.recordError(door.cutOff())
+		for _, e := range run.endpoints() {
+			if f.Zone == "" || e.spec.Zone == f.Zone {
+				l := e.listeners[n.index]
+				run.recordError(l.cutOff())
 				if f.For > 0 {
-					d.after(time.Duration(f.For), func() { d.recordError(door.reconnect()) })
+					run.after(time.Duration(f.For), func() { run.recordError(l.reconnect()) })
 				}
 			}
 		}
 		return
 	}
 	if f.For > 0 {
-		d.restartLater(n, time.Duration(f.For))
+		run.restartLater(n, time.Duration(f.For))
 	}
 }
 
 // losePower ends nodes, endpoints and discovery at one moment; each is back after a time of its own.
-func (d *Emulation) losePower(f *workload.Fault) {
-	whole := f.Zone == "" && len(f.Nodes) == d.scenario.Nodes.Count
-	if whole {
-		d.discovery.setDown(true)
+func (run *Emulation) losePower(f *workload.Fault) {
+	everything := f.Zone == "" && len(f.Nodes) == run.scenario.Nodes.Count
+	if everything {
+		run.discovery.setDown(true)
 		if f.DiscoveryBack > 0 {
-			d.after(time.Duration(f.DiscoveryBack), func() { d.discovery.setDown(false) })
+			run.after(time.Duration(f.DiscoveryBack), func() { run.discovery.setDown(false) })
 		}
 	}
 	for i, target := range f.Nodes {
-		d.nodes[target].kill()
+		run.nodes[target].kill()
 		if f.NodesBack > 0 {
-			d.restartLater(d.nodes[target], time.Duration(f.RestoreDelay(f.NodesBack, f.Seed, i)))
+			run.restartLater(run.nodes[target], time.Duration(f.RestoreDelay(f.NodesBack, f.Seed, i)))
 		}
 	}
 	for i, target := range f.Targets {
-		m := d.endpointAt(target)
-		m.stop()
-		d.setListed(m, model.Removed, time.Duration(d.scenario.Discovery.ChangeDelay))
+		e := run.endpointAt(target)
+		e.stop()
+		run.setListed(e, model.Removed, time.Duration(run.scenario.Discovery.ChangeDelay))
 		if f.EndpointsBack > 0 {
-			d.after(
+			run.after(
 				time.Duration(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i)),
-				func() { d.revive(m, time.Duration(d.scenario.Discovery.ChangeDelay)) },
+				func() { run.revive(e, time.Duration(run.scenario.Discovery.ChangeDelay)) },
 			)
 		}
 	}
 }
 
 // restartLater starts a node again after a time.
-func (d *Emulation) restartLater(n *node, after time.Duration) {
+func (run *Emulation) restartLater(n *node, after time.Duration) {
 	n.mu.Lock()
-	p := n.handle
+	process := n.handle
 	n.mu.Unlock()
 	// It restarts under its name and address, once the old process has ended.
-	d.group.Go(func() error {
+	run.group.Go(func() error {
 		select {
-		case <-d.done:
+		case <-run.done:
 			return nil
 		case <-time.After(after):
 		}
 		select {
-		case <-d.done:
+		case <-run.done:
 			return nil
-		case <-p.Done():
+		case <-process.Done():
 		}
 		return n.start()
 	})
 }
 
 // changeFaults sets a fault of an endpoint, and removes it in time, unless a new incarnation has done so.
-func (d *Emulation) changeFaults(f *workload.Fault, m *endpoint, begin, end func(*endpointFaults)) {
-	m.mu.Lock()
-	life := m.incarnation
-	begin(&m.faults)
-	m.mu.Unlock()
+func (run *Emulation) changeFaults(f *workload.Fault, e *endpoint, begin, end func(*endpointFaults)) {
+	e.mu.Lock()
+	incarnation := e.incarnation
+	begin(&e.faults)
+	e.mu.Unlock()
 	if f.For > 0 {
-		d.after(time.Duration(f.For), func() {
-			m.mu.Lock()
-			defer m.mu.Unlock()
-			if m.incarnation == life {
-				end(&m.faults)
+		run.after(time.Duration(f.For), func() {
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			if e.incarnation == incarnation {
+				end(&e.faults)
 			}
 		})
 	}
 }
 
-func (d *Emulation) faultEndpoint(f *workload.Fault, m *endpoint) {
-	long, notice := time.Duration(f.For), time.Duration(d.scenario.Discovery.ChangeDelay)
+func (run *Emulation) faultEndpoint(f *workload.Fault, e *endpoint) {
+	duration, delay := time.Duration(f.For), time.Duration(run.scenario.Discovery.ChangeDelay)
 	switch f.Kind {
 	case "slow":
-		m.mu.Lock()
-		m.model.SetSpeedFactor(d.now(), math.Max(f.Factor, 0.001))
-		m.mu.Unlock()
-		m.wake()
-		if long > 0 {
-			d.after(long, func() {
-				m.mu.Lock()
-				m.model.SetSpeedFactor(d.now(), 1)
-				m.mu.Unlock()
-				m.wake()
+		e.mu.Lock()
+		e.model.SetSpeedFactor(run.now(), math.Max(f.Factor, 0.001))
+		e.mu.Unlock()
+		e.wake()
+		if duration > 0 {
+			run.after(duration, func() {
+				e.mu.Lock()
+				e.model.SetSpeedFactor(run.now(), 1)
+				e.mu.Unlock()
+				e.wake()
 			})
 		}
 	case "pause":
-		m.mu.Lock()
-		m.model.Pause(d.now(), d.now()+int64(f.For))
-		m.mu.Unlock()
-		m.wake()
+		e.mu.Lock()
+		e.model.Pause(run.now(), run.now()+int64(f.For))
+		e.mu.Unlock()
+		e.wake()
 	case "silent":
-		d.changeFaults(f, m, func(t *endpointFaults) { t.silent = true }, func(t *endpointFaults) { t.silent = false })
+		run.changeFaults(f, e, func(t *endpointFaults) { t.silent = true }, func(t *endpointFaults) { t.silent = false })
 	case "fail":
-		d.changeFaults(
-			f, m, func(t *endpointFaults) { t.fail = f.AttemptShare }, func(t *endpointFaults) { t.fail = 0 },
+		run.changeFaults(
+			f, e, func(t *endpointFaults) { t.fail = f.AttemptShare }, func(t *endpointFaults) { t.fail = 0 },
 		)
 	case "turn-away":
-		d.changeFaults(
-			f, m, func(t *endpointFaults) { t.reject = f.AttemptShare }, func(t *endpointFaults) { t.reject = 0 },
+		run.changeFaults(
+			f, e, func(t *endpointFaults) { t.reject = f.AttemptShare }, func(t *endpointFaults) { t.reject = 0 },
 		)
 	case "reset":
-		d.changeFaults(
-			f, m, func(t *endpointFaults) { t.reset = f.AttemptShare }, func(t *endpointFaults) { t.reset = 0 },
+		run.changeFaults(
+			f, e, func(t *endpointFaults) { t.reset = f.AttemptShare }, func(t *endpointFaults) { t.reset = 0 },
 		)
 	case "spoil":
-		d.changeFaults(
-			f, m, func(t *endpointFaults) { t.corrupt, t.corruptShare = f.How, f.AttemptShare },
+		run.changeFaults(
+			f, e, func(t *endpointFaults) { t.corrupt, t.corruptShare = f.How, f.AttemptShare },
 			func(t *endpointFaults) { t.corrupt = "" },
 		)
 	case "crowd":
-		m.mu.Lock()
-		places, waiting := m.model.Concurrency, m.model.QueueLimit
-		m.model.Concurrency, m.model.QueueLimit = max(1, int(float64(places)*f.Factor)), int(float64(waiting)*f.Factor)
-		m.mu.Unlock()
-		if long > 0 {
-			d.after(long, func() {
-				m.mu.Lock()
-				m.model.Concurrency, m.model.QueueLimit = places, waiting
-				m.mu.Unlock()
+		e.mu.Lock()
+		concurrency, queueLimit := e.model.Concurrency, e.model.QueueLimit
+		e.model.Concurrency, e.model.QueueLimit = max(1, int(float64(concurrency)*f.Factor)), int(float64(queueLimit)*f.Factor)
+		e.mu.Unlock()
+		if duration > 0 {
+			run.after(duration, func() {
+				e.mu.Lock()
+				e.model.Concurrency, e.model.QueueLimit = concurrency, queueLimit
+				e.mu.Unlock()
 			})
 		}
 	case "cut":
-		for _, door := range m.listeners {
-			d.recordError(door.cutOff())
+		for _, l := range e.listeners {
+			run.recordError(l.cutOff())
 		}
-		if long > 0 {
-			d.after(long, func() {
-				for _, door := range m.listeners {
-					d.recordError(door.reconnect())
+		if duration > 0 {
+			run.after(duration, func() {
+				for _, l := range e.listeners {
+					run.recordError(l.reconnect())
 				}
 			})
 		}
 	case "unlisted":
-		d.setListed(m, model.Removed, notice)
-		if long > 0 {
-			d.after(long, func() { d.setListed(m, model.Up, notice) })
+		run.setListed(e, model.Removed, delay)
+		if duration > 0 {
+			run.after(duration, func() { run.setListed(e, model.Up, delay) })
 		}
 	case "die":
-		m.stop()
+		e.stop()
 		if f.How != "unnoticed" {
-			d.setListed(m, model.Removed, notice)
+			run.setListed(e, model.Removed, delay)
 		}
-		d.reviveLater(f, m, notice)
+		run.reviveLater(f, e, delay)
 	case "restart-servers":
-		m.stop()
-		d.revive(m, notice)
+		e.stop()
+		run.revive(e, delay)
 	case "replace":
-		d.replace(m, notice)
+		run.replace(e, delay)
 	case "drain":
-		m.mu.Lock()
-		m.draining = true
-		m.mu.Unlock()
-		d.setListed(m, model.Draining, notice)
+		e.mu.Lock()
+		e.draining = true
+		e.mu.Unlock()
+		run.setListed(e, model.Draining, delay)
 		if f.How == "gone" {
-			if long > 0 {
-				d.after(long, func() {
-					d.setListed(m, model.Removed, 0)
-					m.stop()
+			if duration > 0 {
+				run.after(duration, func() {
+					run.setListed(e, model.Removed, 0)
+					e.stop()
 				})
 			}
 			return
 		}
-		if long > 0 {
-			d.after(long, func() {
-				m.mu.Lock()
-				m.draining = false
-				m.mu.Unlock()
-				d.setListed(m, model.Up, notice)
+		if duration > 0 {
+			run.after(duration, func() {
+				e.mu.Lock()
+				e.draining = false
+				e.mu.Unlock()
+				run.setListed(e, model.Up, delay)
 			})
 		}
 	}
 }
 
-func (d *Emulation) reviveLater(f *workload.Fault, m *endpoint, notice time.Duration) {
+func (run *Emulation) reviveLater(f *workload.Fault, e *endpoint, delay time.Duration) {
 	if f.For > 0 {
-		d.after(time.Duration(f.For), func() { d.revive(m, notice) })
+		run.after(time.Duration(f.For), func() { run.revive(e, delay) })
 	}
 }
 
 // revive starts an endpoint anew, in slow start.
-func (d *Emulation) revive(m *endpoint, notice time.Duration) {
-	if err := m.start(true); err != nil {
-		d.recordError(err)
+func (run *Emulation) revive(e *endpoint, delay time.Duration) {
+	if err := e.start(true); err != nil {
+		run.recordError(err)
 		return
 	}
-	m.wake()
-	d.setListed(m, model.Up, notice)
+	e.wake()
+	run.setListed(e, model.Up, delay)
 }
 
 // replace puts a new endpoint, in slow start and under a new name, at the address of one that has ended.
-func (d *Emulation) replace(old *endpoint, notice time.Duration) {
+func (run *Emulation) replace(old *endpoint, delay time.Duration) {
 	old.stop()
-	d.setListed(old, model.Removed, notice)
+	run.setListed(old, model.Removed, delay)
 	var addresses []string
-	for _, door := range old.listeners {
-		addresses = append(addresses, door.address)
+	for _, l := range old.listeners {
+		addresses = append(addresses, l.address)
 	}
 	spec := old.spec
 	spec.Seed += 1 << 32
-	d.recordError(d.addEndpoint(spec, spec.Name+"r", addresses, notice))
+	run.recordError(run.addEndpoint(spec, spec.Name+"r", addresses, delay))
 }
 
 // waitKey is the class that a wait strikes, or the tenant as a negative number.
@@ -353,8 +353,8 @@
 }
 
 // waitOf is for how long an attempt waits in its slot.
-func (d *Emulation) waitOf(category, customer int) int64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return max(d.waits[category], d.waits[-1-customer])
+func (run *Emulation) waitOf(class, tenant int) int64 {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	return max(run.waits[class], run.waits[-1-tenant])
 }
--- a/internal/lab/emulator/links.go
+++ b/internal/lab/emulator/links.go
@@ -35,67 +35,67 @@
 	streams  []*faultproxy.Stream
 }
 
-func newLinks(d *Emulation) (*links, error) {
-	b := &links{run: d, faults: faultproxy.NewProxies(d.now), schedule: d.plan.LinkFaults(d.scenario)}
-	talk := func(port int) (*faultproxy.Mesh, error) {
+func newLinks(run *Emulation) (*links, error) {
+	l := &links{run: run, faults: faultproxy.NewProxies(run.now), schedule: run.plan.LinkFaults(run.scenario)}
+	newMesh := func(port int) (*faultproxy.Mesh, error) {
 		var listen []string
-		for i := range d.scenario.Nodes.Count {
-			listen = append(listen, d.nodeAddress(i, port))
+		for i := range run.scenario.Nodes.Count {
+			listen = append(listen, run.nodeAddress(i, port))
 		}
-		return faultproxy.NewMesh(b.faults, listen)
+		return faultproxy.NewMesh(l.faults, listen)
 	}
 	var err error
-	if d.scenario.Nodes.Membership {
-		b.members, err = talk(membershipPort)
+	if run.scenario.Nodes.Membership {
+		l.members, err = newMesh(membershipPort)
 	}
-	if err == nil && (d.scenario.Nodes.Membership || d.scenario.Nodes.Gossip) {
-		b.gossip, err = talk(gossipPort)
+	if err == nil && (run.scenario.Nodes.Membership || run.scenario.Nodes.Gossip) {
+		l.gossip, err = newMesh(gossipPort)
 	}
 	if err != nil {
-		b.close()
+		l.close()
 	}
-	return b, err
+	return l, err
 }
 
-func (d *Emulation) nodeAddress(node, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", d.network[0], d.network[1], 200+node, port)
+func (run *Emulation) nodeAddress(node, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", run.network[0], run.network[1], 200+node, port)
 }
 
 // start puts the schedule in force, by the run's clock.
-func (b *links) start() {
-	b.schedule = b.run.plan.LinkFaults(b.run.scenario)
-	b.faults.Set(b.schedule)
+func (l *links) start() {
+	l.schedule = l.run.plan.LinkFaults(l.run.scenario)
+	l.faults.Set(l.schedule)
 }
 
 // proxyStream is the address at which one part reaches another: through a proxy if such links have faults, else its
 // own.
-func (b *links) proxyStream(from, to netfault.End, target func() string) (string, error) {
-	if !b.schedule.Touches(from.Kind, to.Kind) {
+func (l *links) proxyStream(from, to netfault.End, target func() string) (string, error) {
+	if !l.schedule.Touches(from.Kind, to.Kind) {
 		return target(), nil
 	}
 	s, err := faultproxy.NewStream(
-		b.faults, fmt.Sprintf("127.%d.%d.%d:0", b.run.network[0], b.run.network[1], 1+(from.Index+to.Index)%190), from,
+		l.faults, fmt.Sprintf("127.%d.%d.%d:0", l.run.network[0], l.run.network[1], 1+(from.Index+to.Index)%190), from,
 		to, target,
 	)
 	if err != nil {
 		return "", err
 	}
-	b.run.mu.Lock()
-	defer b.run.mu.Unlock()
-	b.streams = append(b.streams, s)
+	l.run.mu.Lock()
+	defer l.run.mu.Unlock()
+	l.streams = append(l.streams, s)
 	return s.Address(), nil
 }
 
-func (b *links) close() {
-	b.faults.Close()
-	for _, m := range []*faultproxy.Mesh{b.members, b.gossip} {
+func (l *links) close() {
+	l.faults.Close()
+	for _, m := range []*faultproxy.Mesh{l.members, l.gossip} {
 		if m != nil {
 			m.Close()
 		}
 	}
-	b.run.mu.Lock()
-	defer b.run.mu.Unlock()
-	for _, s := range b.streams {
+	l.run.mu.Lock()
+	defer l.run.mu.Unlock()
+	for _, s := range l.streams {
 		s.Close()
 	}
 }
@@ -153,33 +153,33 @@
 }
 
 // recordViews asks all nodes, as long as the run lasts, and counts their messages.
-func (d *Emulation) recordViews() {
-	if d.links.members == nil {
+func (run *Emulation) recordViews() {
+	if run.links.members == nil {
 		return
 	}
-	for n := int64(1); d.sleepUntil(d.startedAt + n*int64(viewInterval)); n++ {
-		at := d.now() - d.startedAt
-		if at > int64(d.scenario.Length)+int64(viewInterval) {
+	for n := int64(1); run.sleepUntil(run.startedAt + n*int64(viewInterval)); n++ {
+		at := run.now() - run.startedAt
+		if at > int64(run.scenario.Length)+int64(viewInterval) {
 			return
 		}
-		runs := make([]byte, len(d.nodes))
-		views := make([]*members.View, len(d.nodes))
+		runs := make([]byte, len(run.nodes))
+		views := make([]*members.View, len(run.nodes))
 		done := make(chan struct{})
-		for i, one := range d.nodes {
+		for i, one := range run.nodes {
 			go func() { views[i] = one.view(); done <- struct{}{} }()
 		}
-		for range d.nodes {
+		for range run.nodes {
 			<-done
 		}
-		d.mu.Lock()
+		run.mu.Lock()
 		for i, v := range views {
 			if runs[i] = '-'; v != nil {
 				runs[i] = 'U'
-				d.views = append(d.views, trace.NewMembershipView(at, i, v))
+				run.views = append(run.views, trace.NewMembershipView(at, i, v))
 			}
 		}
-		d.running = append(d.running, trace.RunningNodes{At: at, States: string(runs)})
-		d.mu.Unlock()
+		run.running = append(run.running, trace.RunningNodes{At: at, States: string(runs)})
+		run.mu.Unlock()
 	}
 }
 
@@ -236,12 +236,12 @@
 }
 
 // snapshotState copies nodes' directories as the run begins, for those that are to find an older one.
-func (d *Emulation) snapshotState() error {
-	for i := range d.plan.Faults {
-		if d.plan.Faults[i].Kind != "state" {
+func (run *Emulation) snapshotState() error {
+	for i := range run.plan.Faults {
+		if run.plan.Faults[i].Kind != "state" {
 			continue
 		}
-		for _, n := range d.nodes {
+		for _, n := range run.nodes {
 			if err := copyFiles(n.stateDir(), n.stateDir()+".first"); err != nil {
 				return err
 			}
--- a/internal/lab/emulator/message.go
+++ b/internal/lab/emulator/message.go
@@ -74,8 +74,8 @@
 	onFirstByte          func(at int64) // called with the first byte of each message
 }
 
-func newReader(c net.Conn, now func() int64) *reader {
-	return &reader{from: c, buf: make([]byte, 2048), now: now}
+func newReader(conn net.Conn, now func() int64) *reader {
+	return &reader{from: conn, buf: make([]byte, 2048), now: now}
 }
 
 func (r *reader) fill() error {
@@ -108,7 +108,7 @@
 func (r *reader) pending() int { return r.filled - r.readPosition }
 
 // next reads one message; io.EOF means that none had begun.
-func (r *reader) next(m *message, isAnswer bool) error {
+func (r *reader) next(m *message, isResponse bool) error {
 	for r.pending() == 0 {
 		if err := r.fill(); err != nil {
 			return err
@@ -136,7 +136,7 @@
 	line := bytes.Index(head, []byte("\r\n"))
 	m.firstLine, m.head = head[:line], head[line+2:]
 	m.status, m.body = 0, nil
-	if isAnswer {
+	if isResponse {
 		if !bytes.HasPrefix(m.firstLine, []byte("HTTP/1.1 ")) || len(m.firstLine) < 12 {
 			return errMalformed
 		}
@@ -230,7 +230,7 @@
 }
 
 // connState tells whether a connection has unread bytes, and whether its other side has closed it.
-func connState(c net.Conn) (bytesThere, ended bool) {
+func connState(c net.Conn) (unread, ended bool) {
 	t, ok := c.(syscall.Conn)
 	if !ok {
 		return false, false
@@ -244,14 +244,14 @@
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case n > 0:
-			bytesThere = true
+			unread = true
 		case errors.Is(err, syscall.EAGAIN):
 		default:
 			ended = true
 		}
 		return true
 	})
-	return bytesThere, ended || err != nil
+	return unread, ended || err != nil
 }
 
 // reset ends a connection so that the other side sees it broken rather than closed.
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -30,7 +30,7 @@
 }
 
 // signal sends a signal to a process, which may have ended.
-func signal(p Process, s os.Signal) { _ = p.Signal(s) }
+func signal(process Process, s os.Signal) { _ = process.Signal(s) }
 
 // Start starts a node with the configuration in a file, and its log.
 type StartFunc func(config string, env []string, log io.Writer) (Process, error)
@@ -66,9 +66,9 @@
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	cmd.WaitDelay = time.Second
-	begun := make(chan error)
-	l.jobs <- func() { begun <- cmd.Start() }
-	if err := <-begun; err != nil {
+	started := make(chan error)
+	l.jobs <- func() { started <- cmd.Start() }
+	if err := <-started; err != nil {
 		return nil, err
 	}
 	p := &osProcess{cmd: cmd, done: make(chan struct{})}
@@ -89,8 +89,8 @@
 func (p *osProcess) PID() int                 { return p.cmd.Process.Pid }
 
 // limitDescriptors sets what a process may open, as the platform does.
-func limitDescriptors(pid, most int) error {
-	limit := syscall.Rlimit{Cur: uint64(most), Max: uint64(most)}
+func limitDescriptors(pid, maxDescriptors int) error {
+	limit := syscall.Rlimit{Cur: uint64(maxDescriptors), Max: uint64(maxDescriptors)}
 	_, _, errno := syscall.RawSyscall6(
 		syscall.SYS_PRLIMIT64, uintptr(pid), syscall.RLIMIT_NOFILE, uintptr(unsafe.Pointer(&limit)), 0, 0, 0,
 	)
@@ -140,15 +140,15 @@
 // start starts a process, and waits elsewhere for it to be ready.
 func (n *node) start() error {
 	n.mu.Lock()
-	number := 1
+	incarnation := 1
 	if n.record != nil {
-		number = n.record.Incarnation + 1
+		incarnation = n.record.Incarnation + 1
 	}
 	n.mu.Unlock()
-	seed := n.run.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(number)
+	seed := n.run.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(incarnation)
 	var known []byte
-	if number == 1 || !n.run.scenario.Nodes.NoList {
-		known = n.run.discovery.knownList(n.index, number, n.run.scenario.Nodes.StaleList && number > 1)
+	if incarnation == 1 || !n.run.scenario.Nodes.NoList {
+		known = n.run.discovery.knownList(n.index, incarnation, n.run.scenario.Nodes.StaleList && incarnation > 1)
 	}
 	if err := n.writeConfig(known, seed); err != nil {
 		return err
@@ -165,45 +165,45 @@
 	if n.run.scenario.Nodes.PersistState {
 		env = append(env, "NODE_STATE="+filepath.Join(n.stateDir(), "state"))
 	}
-	p, err := n.run.start(n.config, env, n.log)
+	process, err := n.run.start(n.config, env, n.log)
 	if err != nil {
 		return fmt.Errorf("node %d: %w", n.index, err)
 	}
-	if p.PID() > 0 {
-		if err := limitDescriptors(p.PID(), n.run.scenario.Nodes.Sockets); err != nil {
+	if process.PID() > 0 {
+		if err := limitDescriptors(process.PID(), n.run.scenario.Nodes.Sockets); err != nil {
 			n.run.recordAnomaly("descriptors of a node not limited", err.Error())
 		}
 	}
-	life := &invariant.Process{
-		Node: n.index, Incarnation: number, StartedAt: n.run.now(),
+	record := &invariant.Process{
+		Node: n.index, Incarnation: incarnation, StartedAt: n.run.now(),
 		Persistent: n.run.scenario.Nodes.PersistState && !n.stateLost,
 	}
 	n.stateLost = false
-	n.run.history.RecordProcess(life)
+	n.run.history.RecordProcess(record)
 	n.mu.Lock()
-	n.handle, n.record = p, life
+	n.handle, n.record = process, record
 	n.usage.Starts++
 	n.mu.Unlock()
-	n.run.group.Go(func() error { n.watch(p, life); return nil })
-	n.run.group.Go(func() error { n.awaitReady(p, life); return nil })
+	n.run.group.Go(func() error { n.watch(process, record); return nil })
+	n.run.group.Go(func() error { n.awaitReady(process, record); return nil })
 	return nil
 }
 
 // awaitReady has the front send to the node once it is ready.
-func (n *node) awaitReady(p Process, life *invariant.Process) {
+func (n *node) awaitReady(process Process, record *invariant.Process) {
 	for {
 		select {
 		case <-n.run.done:
 			return
-		case <-p.Done():
+		case <-process.Done():
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
 		if isReady(n.address) {
 			now := n.run.now()
-			n.run.history.Update(func() { life.ReadyAt = now })
+			n.run.history.Update(func() { record.ReadyAt = now })
 			n.mu.Lock()
-			n.admitted = n.handle == p
+			n.admitted = n.handle == process
 			n.mu.Unlock()
 			return
 		}
@@ -223,20 +223,20 @@
 }
 
 // watch takes the end of a process. The front notices it later.
-func (n *node) watch(p Process, life *invariant.Process) {
-	var gone bool
+func (n *node) watch(process Process, record *invariant.Process) {
+	var ended bool
 	select {
-	case <-p.Done():
-		gone = true
+	case <-process.Done():
+		ended = true
 	case <-n.run.done:
 	}
 	now := n.run.now()
-	n.run.history.Update(func() { life.EndedAt = now })
-	if !gone {
+	n.run.history.Update(func() { record.EndedAt = now })
+	if !ended {
 		return
 	}
 	n.mu.Lock()
-	expected := n.expectedEnd == life
+	expected := n.expectedEnd == record
 	if !expected {
 		n.usage.Crashes++
 	}
@@ -248,7 +248,7 @@
 	n.run.after(time.Duration(n.run.scenario.Nodes.DeathNotice), func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if n.handle == p {
+		if n.handle == process {
 			n.admitted = false
 		}
 	})
@@ -259,47 +259,47 @@
 
 func (n *node) end(s os.Signal, excused bool) {
 	n.mu.Lock()
-	p, life := n.handle, n.record
-	n.expectedEnd = life
+	process, record := n.handle, n.record
+	n.expectedEnd = record
 	n.mu.Unlock()
-	if p == nil {
+	if process == nil {
 		return
 	}
 	if excused {
-		n.run.history.Excuse(life, invariant.Span{From: n.run.now(), To: invariant.Never})
+		n.run.history.Excuse(record, invariant.Span{From: n.run.now(), To: invariant.Never})
 	}
-	signal(p, s)
+	signal(process, s)
 }
 
 // signalSeries sends a node the signals that change nothing of a stop: some before it, and further ones while it goes on.
 func (n *node) signalSeries() {
 	n.mu.Lock()
-	p := n.handle
+	process := n.handle
 	n.mu.Unlock()
-	if p == nil {
+	if process == nil {
 		return
 	}
 	for _, before := range []os.Signal{syscall.SIGUSR1, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGHUP} {
-		signal(p, before)
+		signal(process, before)
 	}
 	const apart = 50 * time.Millisecond
 	for i, during := range []os.Signal{syscall.SIGTERM, syscall.SIGUSR1, syscall.SIGHUP, syscall.SIGTERM} {
-		n.run.after(time.Duration(i+1)*apart, func() { signal(p, during) })
+		n.run.after(time.Duration(i+1)*apart, func() { signal(process, during) })
 	}
 }
 
 // pause stops a node's process for a time.
 func (n *node) pause(d time.Duration) {
 	n.mu.Lock()
-	p, life := n.handle, n.record
+	process, record := n.handle, n.record
 	n.mu.Unlock()
-	if p == nil || p.Signal(syscall.SIGSTOP) != nil {
+	if process == nil || process.Signal(syscall.SIGSTOP) != nil {
 		return
 	}
 	now := n.run.now()
 	// Longer than it is paused, for the backlog.
-	n.run.history.Excuse(life, invariant.Span{From: now, To: now + int64(d) + int64(200*time.Millisecond)})
-	n.run.after(d, func() { signal(p, syscall.SIGCONT) })
+	n.run.history.Excuse(record, invariant.Span{From: now, To: now + int64(d) + int64(200*time.Millisecond)})
+	n.run.after(d, func() { signal(process, syscall.SIGCONT) })
 }
 
 // reload gives the node a new configuration, with SIGHUP.
@@ -308,12 +308,12 @@
 		return err
 	}
 	n.mu.Lock()
-	p := n.handle
+	process := n.handle
 	n.mu.Unlock()
-	if p == nil {
+	if process == nil {
 		return nil
 	}
-	if err := p.Signal(syscall.SIGHUP); err != nil && !errors.Is(err, os.ErrProcessDone) {
+	if err := process.Signal(syscall.SIGHUP); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
 	return nil
@@ -329,12 +329,12 @@
 // sampleUsage reads what the node's process uses now. Beyond its memory it is killed, as the platform does.
 func (n *node) sampleUsage() {
 	n.mu.Lock()
-	p := n.handle
+	process := n.handle
 	n.mu.Unlock()
-	if p == nil || p.PID() == 0 {
+	if process == nil || process.PID() == 0 {
 		return
 	}
-	dir := filepath.Join("/proc", strconv.Itoa(p.PID()))
+	dir := filepath.Join("/proc", strconv.Itoa(process.PID()))
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
 	if err != nil {
 		return
@@ -356,6 +356,6 @@
 	n.mu.Unlock()
 	if mb > float64(n.run.scenario.Nodes.MemoryMB) {
 		n.run.recordAnomaly("a node over its memory was killed", fmt.Sprintf("node %d with %.0f MB", n.index, mb))
-		signal(p, syscall.SIGKILL)
+		signal(process, syscall.SIGKILL)
 	}
 }
--- a/internal/lab/emulator/passthrough.go
+++ b/internal/lab/emulator/passthrough.go
@@ -35,13 +35,13 @@
 	if in.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(in.Limits.Cores)))
 	}
-	l, err := net.Listen("tcp", in.Listen)
+	ln, err := net.Listen("tcp", in.Listen)
 	if err != nil {
 		return err
 	}
 	var turn atomic.Int64
 	for {
-		c, err := l.Accept()
+		c, err := ln.Accept()
 		if err != nil {
 			time.Sleep(time.Millisecond)
 			continue
--- a/internal/lab/emulator/protocol.go
+++ b/internal/lab/emulator/protocol.go
@@ -36,13 +36,13 @@
 var healthNames = map[model.State]string{model.Up: "up", model.Draining: "draining", model.Removed: "removed"}
 
 // encodeEntry appends one entry of a list.
-func encodeEntry(into []byte, name, dial, zone string, pod int, health model.State, startedNs int64) []byte {
+func encodeEntry(into []byte, name, dial, zone string, pod int, state model.State, startedNs int64) []byte {
 	return fmt.Appendf(into, `{"host":%q,"dial":%q,"site":%q,"class":"m","block":%d,"health":%q,"share":1.0,"born_ms":%d}`,
-		name, dial, zone, pod, healthNames[health], startedNs/1e6)
+		name, dial, zone, pod, healthNames[state], startedNs/1e6)
 }
 
-func encodeList(into []byte, version int64, whole bool, entries [][]byte) []byte {
-	into = fmt.Appendf(into, `{"seq":%d,"whole":%t,"hosts":[`, version, whole)
+func encodeList(into []byte, version int64, complete bool, entries [][]byte) []byte {
+	into = fmt.Appendf(into, `{"seq":%d,"whole":%t,"hosts":[`, version, complete)
 	for i, e := range entries {
 		if i > 0 {
 			into = append(into, ',')
@@ -92,7 +92,7 @@
 // encodeConfig is a node's configuration.
 func encodeConfig(
 	s *scenario.Scenario, name, listen, discovery string, seed uint64, index, zone int, known []byte,
-	news map[string]any, console string,
+	gossip map[string]any, console string,
 ) []byte {
 	all := map[string]any{
 		"name": name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", seed),
@@ -102,8 +102,8 @@
 	if known != nil {
 		all["known"] = json.RawMessage(known)
 	}
-	if news != nil {
-		all["news"], all["console"] = news, console
+	if gossip != nil {
+		all["news"], all["console"] = gossip, console
 	}
 	text, err := json.Marshal(all)
 	if err != nil {
@@ -114,9 +114,9 @@
 
 // encodeRequest appends a request. Its body is made of its ID, so that an endpoint can tell whether it is complete.
 func encodeRequest(
-	into []byte, s *scenario.Scenario, t *workload.Operation, id, ticket string, try int, remaining int64,
+	into []byte, s *scenario.Scenario, o *workload.Operation, id, idempotencyKey string, number int, remaining int64,
 ) []byte {
-	c := &s.Classes[t.Class]
+	c := &s.Classes[o.Class]
 	method := "POST"
 	if c.Idempotency == scenario.Idempotent {
 		method = "GET"
@@ -130,22 +130,22 @@
 	into = append(into, c.Name...)
 	into = append(into, "\r\n"+headerRemaining+": "...)
 	into = strconv.AppendInt(into, max(remaining/1e6, 0), 10)
-	if t.Tenant >= 0 {
+	if o.Tenant >= 0 {
 		into = append(into, "\r\n"+headerTenant+": "...)
-		into = append(into, s.Tenants[t.Tenant].Name...)
+		into = append(into, s.Tenants[o.Tenant].Name...)
 	}
 	if c.Idempotency == scenario.IdempotentByKey {
 		into = append(into, "\r\n"+headerIdempotencyKey+": "...)
-		into = append(into, ticket...)
+		into = append(into, idempotencyKey...)
 	}
-	if t.Key >= 0 {
-		into = fmt.Appendf(into, "\r\nCookie: key=k%d", t.Key)
+	if o.Key >= 0 {
+		into = fmt.Appendf(into, "\r\nCookie: key=k%d", o.Key)
 	}
-	if t.CostHint > 0 {
+	if o.CostHint > 0 {
 		into = append(into, "\r\n"+headerCostHint+": "...)
-		into = strconv.AppendInt(into, t.CostHint/1000, 10)
+		into = strconv.AppendInt(into, o.CostHint/1000, 10)
 	}
-	if try > 0 {
+	if number > 0 {
 		into = append(into, "\r\n"+headerClientRetry+": 1"...)
 	}
 	if method == "GET" || s.Load.Body == 0 {
--- a/internal/lab/emulator/referenceproxy.go
+++ b/internal/lab/emulator/referenceproxy.go
@@ -78,7 +78,7 @@
 }
 
 // NewReferenceProxy reads a node's configuration. It selects by kind; wrong names its misbehavior, if any.
-func NewReferenceProxy(config, kind, wrong string) (*ReferenceProxy, error) {
+func NewReferenceProxy(config, kind, misbehavior string) (*ReferenceProxy, error) {
 	text, err := os.ReadFile(config)
 	if err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 	}
 	s := &in.Settings
 	p := &ReferenceProxy{
-		kind: kind, misbehavior: wrong, listen: in.Listen, discovery: in.Discovery, coldFrom: s.Rules.Cold,
+		kind: kind, misbehavior: misbehavior, listen: in.Listen, discovery: in.Discovery, coldFrom: s.Rules.Cold,
 		warm:        time.Duration(s.Rules.Warm) * time.Microsecond,
 		connect:     time.Duration(s.Limits.Connect) * time.Microsecond,
 		maxAttempts: s.Limits.Tries, retryAfter: float64(s.Limits.Advice) / 1e6 / 10, classes: map[string]proxyClass{},
@@ -173,11 +173,11 @@
 	for c := range p.clients {
 		c.Close()
 	}
-	for _, s := range p.endpoints {
-		for _, c := range s.idle {
+	for _, e := range p.endpoints {
+		for _, c := range e.idle {
 			c.conn.Close()
 		}
-		s.idle = nil
+		e.idle = nil
 	}
 }
 
@@ -199,21 +199,21 @@
 	defer p.mu.Unlock()
 	p.version = in.Seq
 	if in.Whole {
-		for _, s := range p.endpoints {
-			s.up = false
+		for _, e := range p.endpoints {
+			e.up = false
 		}
 	}
 	for _, h := range in.Hosts {
-		s := p.endpoints[h.Host]
-		if s == nil {
-			s = &proxyEndpoint{name: h.Host}
-			p.endpoints[h.Host] = s
+		e := p.endpoints[h.Host]
+		if e == nil {
+			e = &proxyEndpoint{name: h.Host}
+			p.endpoints[h.Host] = e
 			p.order = append(p.order, h.Host)
 			slices.Sort(p.order)
 		}
-		s.address, s.zone, s.pod, s.up, s.started = h.Dial, h.Site, h.Block, h.Health == "up", time.UnixMilli(h.Born)
+		e.address, e.zone, e.pod, e.up, e.started = h.Dial, h.Site, h.Block, h.Health == "up", time.UnixMilli(h.Born)
 		if h.Health != "up" && p.misbehavior == "undrained" {
-			s.up = true
+			e.up = true
 		}
 	}
 	return nil
@@ -280,58 +280,58 @@
 			send(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
-		left, err := strconv.ParseInt(string(m.get(headerRemaining)), 10, 64)
-		category, known := p.classes[string(m.get(headerClass))]
+		remaining, err := strconv.ParseInt(string(m.get(headerRemaining)), 10, 64)
+		class, known := p.classes[string(m.get(headerClass))]
 		if err != nil || !known || len(m.get(headerRequestID)) == 0 {
 			send(c, "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			return
 		}
-		t := &proxyRequest{
+		r := &proxyRequest{
 			id: string(m.get(headerRequestID)), method: method, target: target,
 			key:  string(m.get(headerIdempotencyKey)),
-			body: slices.Clone(m.body), class: category,
-			deadline: time.Now().Add(time.Duration(left) * time.Millisecond),
+			body: slices.Clone(m.body), class: class,
+			deadline: time.Now().Add(time.Duration(remaining) * time.Millisecond),
 		}
-		status, body := p.handle(t)
-		if !p.respond(c, t, status, body) {
+		status, body := p.handle(r)
+		if !p.respond(c, r, status, body) {
 			return
 		}
 	}
 }
 
 // respond writes the response, with a misbehavior if one is set.
-func (p *ReferenceProxy) respond(c net.Conn, t *proxyRequest, status int, body []byte) bool {
+func (p *ReferenceProxy) respond(c net.Conn, r *proxyRequest, status int, body []byte) bool {
 	p.mu.Lock()
 	p.requestCount++
-	hit := p.requestCount%20 == 0
-	before := p.lastResponse
+	misbehaves := p.requestCount%20 == 0
+	previous := p.lastResponse
 	if status == 200 {
 		p.lastResponse = slices.Clone(body)
 	}
 	p.mu.Unlock()
 	switch {
-	case hit && p.misbehavior == "lose":
+	case misbehaves && p.misbehavior == "lose":
 		return false
-	case hit && p.misbehavior == "late":
-		time.Sleep(time.Until(t.deadline) + 200*time.Millisecond)
-	case hit && p.misbehavior == "foreign" && status == 200 && before != nil:
-		body = before
+	case misbehaves && p.misbehavior == "late":
+		time.Sleep(time.Until(r.deadline) + 200*time.Millisecond)
+	case misbehaves && p.misbehavior == "foreign" && status == 200 && previous != nil:
+		body = previous
 	}
 	extra := ""
 	if status == 503 && p.retryAfter > 0 {
 		extra = fmt.Sprintf("%s: %.3f\r\n", headerRetryAfter, p.retryAfter)
 	}
 	text := fmt.Appendf(nil, "HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
-	if hit && p.misbehavior == "twice" {
+	if misbehaves && p.misbehavior == "twice" {
 		text = append(text, text...)
 	}
 	if _, err := c.Write(text); err != nil {
 		return false
 	}
-	if hit && p.misbehavior == "after" && t.class.idempotency == "safe" {
+	if misbehaves && p.misbehavior == "after" && r.class.idempotency == "safe" {
 		time.Sleep(200 * time.Millisecond)
-		if s := p.pick(t, nil); s != nil {
-			p.attempt(s, t)
+		if e := p.pick(r, nil); e != nil {
+			p.attempt(e, r)
 		}
 	}
 	return true
@@ -347,113 +347,113 @@
 )
 
 // handle takes a request to its response.
-func (p *ReferenceProxy) handle(t *proxyRequest) (status int, body []byte) {
+func (p *ReferenceProxy) handle(r *proxyRequest) (status int, body []byte) {
 	var tried []*proxyEndpoint
-	for n := 0; n < p.maxAttempts && time.Until(t.deadline) > 10*time.Millisecond; n++ {
-		s := p.pick(t, tried)
-		if s == nil {
+	for n := 0; n < p.maxAttempts && time.Until(r.deadline) > 10*time.Millisecond; n++ {
+		e := p.pick(r, tried)
+		if e == nil {
 			break
 		}
 		if p.misbehavior == "copy" && n == 0 {
 			p.mu.Lock()
 			p.requestCount++
-			hit := p.requestCount%20 == 0
+			misbehaves := p.requestCount%20 == 0
 			p.mu.Unlock()
-			if other := p.pick(t, []*proxyEndpoint{s}); hit && other != nil && t.class.idempotency == "safe" {
-				p.running.Go(func() { p.attempt(other, t) })
+			if other := p.pick(r, []*proxyEndpoint{e}); misbehaves && other != nil && r.class.idempotency == "safe" {
+				p.running.Go(func() { p.attempt(other, r) })
 				time.Sleep(2 * time.Millisecond)
 			}
 		}
-		if t.mayHaveRunAt == nil {
-			t.mayHaveRunSince = time.Now()
+		if r.mayHaveRunAt == nil {
+			r.mayHaveRunSince = time.Now()
 		}
-		how, body := p.attempt(s, t)
+		outcome, body := p.attempt(e, r)
 		switch {
-		case how == outcomeSucceeded:
+		case outcome == outcomeSucceeded:
 			return 200, body
-		case how == outcomeUnknown && t.mayHaveRunAt == nil:
-			t.mayHaveRunAt = s
+		case outcome == outcomeUnknown && r.mayHaveRunAt == nil:
+			r.mayHaveRunAt = e
 		}
-		tried = append(tried, s)
-		if t.mayHaveRunAt != nil && !p.mayRetry(t) {
+		tried = append(tried, e)
+		if r.mayHaveRunAt != nil && !p.mayRetry(r) {
 			break
 		}
 	}
-	if t.mayHaveRunAt == nil || t.class.idempotency == "safe" || t.class.idempotency == "keyed" &&
-		t.class.group == "all" || p.misbehavior == "decline-exclusive" {
+	if r.mayHaveRunAt == nil || r.class.idempotency == "safe" || r.class.idempotency == "keyed" &&
+		r.class.group == "all" || p.misbehavior == "decline-exclusive" {
 		return 503, nil
 	}
 	return 502, nil
 }
 
-func (p *ReferenceProxy) mayRetry(t *proxyRequest) bool {
-	switch t.class.idempotency {
+func (p *ReferenceProxy) mayRetry(r *proxyRequest) bool {
+	switch r.class.idempotency {
 	case "safe":
 		return true
 	case "keyed":
-		return time.Since(t.mayHaveRunSince) < t.class.dedupWindow
+		return time.Since(r.mayHaveRunSince) < r.class.dedupWindow
 	}
 	return p.misbehavior == "resend-exclusive"
 }
 
 // pick selects an endpoint by the proxy's kind among those that may get the request. One in slow start is a candidate
 // with the part of its capacity that it is sure to have.
-func (p *ReferenceProxy) pick(t *proxyRequest, tried []*proxyEndpoint) *proxyEndpoint {
+func (p *ReferenceProxy) pick(r *proxyRequest, tried []*proxyEndpoint) *proxyEndpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var fit, cold []*proxyEndpoint
+	var candidates, inSlowStart []*proxyEndpoint
 	for _, name := range p.order {
-		s := p.endpoints[name]
-		if !s.up || slices.Contains(tried, s) {
+		e := p.endpoints[name]
+		if !e.up || slices.Contains(tried, e) {
 			continue
 		}
-		if m := t.mayHaveRunAt; m != nil && t.class.idempotency == "keyed" && p.misbehavior != "outside-group" &&
-			(t.class.group == "zone" && s.zone != m.zone || t.class.group == "cell" && s.pod != m.pod) {
+		if m := r.mayHaveRunAt; m != nil && r.class.idempotency == "keyed" && p.misbehavior != "outside-group" &&
+			(r.class.group == "zone" && e.zone != m.zone || r.class.group == "cell" && e.pod != m.pod) {
 			continue
 		}
-		if age := time.Since(s.started); age < p.warm {
-			cold = append(cold, s)
+		if age := time.Since(e.started); age < p.warm {
+			inSlowStart = append(inSlowStart, e)
 			if p.misbehavior != "rush-cold" &&
 				p.random.Float64() > p.coldFrom+(1-p.coldFrom)*float64(age)/float64(p.warm) {
 				continue
 			}
 		}
-		fit = append(fit, s)
+		candidates = append(candidates, e)
 	}
-	if p.misbehavior == "rush-cold" && len(cold) > 0 {
-		return cold[0]
+	if p.misbehavior == "rush-cold" && len(inSlowStart) > 0 {
+		return inSlowStart[0]
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
 	least := func(a, b *proxyEndpoint) int { return cmp.Compare(a.inFlight, b.inFlight) }
 	switch p.kind {
 	case "round-robin":
 		p.nextInOrder++
-		return fit[p.nextInOrder%len(fit)]
+		return candidates[p.nextInOrder%len(candidates)]
 	case "least":
-		p.random.Shuffle(len(fit), func(i, j int) { fit[i], fit[j] = fit[j], fit[i] })
-		return slices.MinFunc(fit, least)
+		p.random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+		return slices.MinFunc(candidates, least)
 	case "two-choices":
-		a, b := fit[p.random.IntN(len(fit))], fit[p.random.IntN(len(fit))]
+		a, b := candidates[p.random.IntN(len(candidates))], candidates[p.random.IntN(len(candidates))]
 		return slices.MinFunc([]*proxyEndpoint{a, b}, least)
 	}
-	return fit[p.random.IntN(len(fit))]
+	return candidates[p.random.IntN(len(candidates))]
 }
 
 // attempt sends a request to an endpoint once and tells how far it came.
-func (p *ReferenceProxy) attempt(s *proxyEndpoint, t *proxyRequest) (attemptOutcome, []byte) {
+func (p *ReferenceProxy) attempt(e *proxyEndpoint, r *proxyRequest) (attemptOutcome, []byte) {
 	p.mu.Lock()
-	s.inFlight++
+	e.inFlight++
 	var c *proxyConn
-	if n := len(s.idle); n > 0 {
-		c, s.idle = s.idle[n-1], s.idle[:n-1]
+	if n := len(e.idle); n > 0 {
+		c, e.idle = e.idle[n-1], e.idle[:n-1]
 	}
-	dial := s.address
+	dial := e.address
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		s.inFlight--
+		e.inFlight--
 		p.mu.Unlock()
 	}()
 	if c != nil {
@@ -464,19 +464,19 @@
 		}
 	}
 	if c == nil {
-		raw, err := net.DialTimeout("tcp", dial, min(p.connect, time.Until(t.deadline)))
+		raw, err := net.DialTimeout("tcp", dial, min(p.connect, time.Until(r.deadline)))
 		if err != nil {
 			return outcomeNeverRan, nil
 		}
 		c = &proxyConn{raw, newReader(raw, func() int64 { return 0 })}
 	}
-	ticket := ""
-	if t.key != "" {
-		ticket = headerIdempotencyKey + ": " + t.key + "\r\n"
+	idempotencyKey := ""
+	if r.key != "" {
+		idempotencyKey = headerIdempotencyKey + ": " + r.key + "\r\n"
 	}
-	left := time.Until(t.deadline)
-	text := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: lab\r\n%s: %s\r\n%s%s: %d\r\nContent-Length: %d\r\n\r\n%s", t.method, t.target,
-		headerRequestID, t.id, ticket, headerRemaining, left.Milliseconds(), len(t.body), t.body)
+	remaining := time.Until(r.deadline)
+	text := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: lab\r\n%s: %s\r\n%s%s: %d\r\nContent-Length: %d\r\n\r\n%s", r.method, r.target,
+		headerRequestID, r.id, idempotencyKey, headerRemaining, remaining.Milliseconds(), len(r.body), r.body)
 	if n, err := c.conn.Write(text); err != nil {
 		c.conn.Close()
 		if n < len(text) {
@@ -484,7 +484,7 @@
 		}
 		return outcomeUnknown, nil
 	}
-	c.conn.SetReadDeadline(t.deadline.Add(-5 * time.Millisecond))
+	c.conn.SetReadDeadline(r.deadline.Add(-5 * time.Millisecond))
 	var m message
 	err := c.in.next(&m, true)
 	for err == nil && m.status < 200 {
@@ -494,27 +494,27 @@
 		c.conn.Close()
 		return outcomeUnknown, nil
 	}
-	how, body := outcomeUnknown, []byte(nil)
+	outcome, body := outcomeUnknown, []byte(nil)
 	switch {
 	case m.status == 200:
-		how, body = outcomeSucceeded, slices.Clone(m.body)
+		outcome, body = outcomeSucceeded, slices.Clone(m.body)
 	case string(m.get(headerNotExecuted)) == "1":
-		how = outcomeNeverRan
+		outcome = outcomeNeverRan
 	}
 	if m.closesConnection || c.in.pending() > 0 || p.ctx.Err() != nil {
 		c.conn.Close()
-		return how, body
+		return outcome, body
 	}
 	p.mu.Lock()
-	s.idle = append(s.idle, c)
+	e.idle = append(e.idle, c)
 	p.mu.Unlock()
-	return how, body
+	return outcome, body
 }
 
 // StartReferenceProxy starts reference proxies inside this process.
-func StartReferenceProxy(kind, wrong string) StartFunc {
+func StartReferenceProxy(kind, misbehavior string) StartFunc {
 	return func(config string, _ []string, _ io.Writer) (Process, error) {
-		p, err := NewReferenceProxy(config, kind, wrong)
+		p, err := NewReferenceProxy(config, kind, misbehavior)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/model/list.go
+++ b/internal/lab/model/list.go
@@ -73,16 +73,16 @@
 	if !l.reachesBackTo(version) {
 		return l.Complete(), true
 	}
-	place := map[int]int{}
+	index := map[int]int{}
 	for _, c := range l.history {
 		if c.version <= version {
 			continue
 		}
-		if at, again := place[c.Endpoint]; again {
+		if at, listed := index[c.Endpoint]; listed {
 			entries[at] = c.ListEntry
 			continue
 		}
-		place[c.Endpoint] = len(entries)
+		index[c.Endpoint] = len(entries)
 		entries = append(entries, c.ListEntry)
 	}
 	return entries, false
--- a/internal/lab/model/work.go
+++ b/internal/lab/model/work.go
@@ -88,11 +88,11 @@
 // runOverhead does overhead on all cores for at most a span, in seconds.
 func (e *Endpoint) runOverhead(span float64) {
 	rate := e.coreRate()
-	part := math.Min(e.overhead, rate*float64(e.Cores)*span)
-	e.overhead -= part
-	took := part / (rate * float64(e.Cores))
-	e.load.busy += took * float64(e.Cores)
-	e.now += max(int64(took*1e9), 1)
+	done := math.Min(e.overhead, rate*float64(e.Cores)*span)
+	e.overhead -= done
+	elapsed := done / (rate * float64(e.Cores))
+	e.load.busy += elapsed * float64(e.Cores)
+	e.now += max(int64(elapsed*1e9), 1)
 }
 
 // finishJobs removes the jobs without work left and starts queued ones in their place.
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -26,8 +26,8 @@
 // mistake is about a key, or about the table that lacks it.
 func (s *Scenario) fileError(key, want string, got any) *FileError {
 	line := s.lines[key]
-	for at := key; line == 0 && strings.Contains(at, "."); line = s.lines[at] {
-		at = at[:strings.LastIndex(at, ".")]
+	for prefix := key; line == 0 && strings.Contains(prefix, "."); line = s.lines[prefix] {
+		prefix = prefix[:strings.LastIndex(prefix, ".")]
 	}
 	return &FileError{s.Path, line, fmt.Sprintf("%s: expected %s, got %v", key, want, got)}
 }
@@ -120,32 +120,32 @@
 	c.require(len(c.scenario.Fleets) > 0, "fleet", "at least one [[fleet]]", "none")
 	total, names := 0, map[string]bool{}
 	for i := range c.scenario.Fleets {
-		f, at := &c.scenario.Fleets[i], fmt.Sprintf("fleet.%d.", i)
+		f, prefix := &c.scenario.Fleets[i], fmt.Sprintf("fleet.%d.", i)
 		total += f.Count
-		c.require(!names[f.Name], at+"name", "a name that no other fleet has", fmt.Sprintf("%q", f.Name))
+		c.require(!names[f.Name], prefix+"name", "a name that no other fleet has", fmt.Sprintf("%q", f.Name))
 		names[f.Name] = true
-		c.checkFleet(at, f)
+		c.checkFleet(prefix, f)
 	}
 	c.require(total >= 1 && total <= maxEndpoints, "fleet", "1 to 8,192 servers", total)
 }
 
-func (c *checker) checkFleet(at string, f *Fleet) {
-	c.require(f.Count >= 1, at+"count", "at least 1", f.Count)
+func (c *checker) checkFleet(prefix string, f *Fleet) {
+	c.require(f.Count >= 1, prefix+"count", "at least 1", f.Count)
 	for _, z := range f.Zones {
-		c.zone(at+"zones", z)
+		c.zone(prefix+"zones", z)
 	}
-	c.require(f.Cores >= 1 && f.Cores <= 1024, at+"cores", "1 to 1,024", f.Cores)
-	c.require(f.Speed > 0, at+"speed", "a number above 0", f.Speed)
-	c.require(f.Concurrency >= 1, at+"places", "at least 1", f.Concurrency)
-	c.require(f.QueueLimit >= 0, at+"waiting", "at least 0", f.QueueLimit)
-	c.require(f.Spread >= 0 && f.Spread < 1, at+"spread", "a part from 0 to under 1", f.Spread)
-	c.fraction(at+"error_share", f.ErrorShare)
+	c.require(f.Cores >= 1 && f.Cores <= 1024, prefix+"cores", "1 to 1,024", f.Cores)
+	c.require(f.Speed > 0, prefix+"speed", "a number above 0", f.Speed)
+	c.require(f.Concurrency >= 1, prefix+"places", "at least 1", f.Concurrency)
+	c.require(f.QueueLimit >= 0, prefix+"waiting", "at least 0", f.QueueLimit)
+	c.require(f.Spread >= 0 && f.Spread < 1, prefix+"spread", "a part from 0 to under 1", f.Spread)
+	c.fraction(prefix+"error_share", f.ErrorShare)
 	capacity := f.SlowStartCapacity
-	c.require(capacity > 0 && capacity <= 1, at+"cold_from", "a part above 0, 1 at most", capacity)
-	c.require(f.Connections >= 1, at+"connections", "at least 1", f.Connections)
-	c.oneOf(at+"cancel", f.Cancel, "nothing", "waiting", "work")
-	c.positive(at+"warm_for", f.SlowStartWindow)
-	c.positive(at+"idle_close", f.IdleClose)
+	c.require(capacity > 0 && capacity <= 1, prefix+"cold_from", "a part above 0, 1 at most", capacity)
+	c.require(f.Connections >= 1, prefix+"connections", "at least 1", f.Connections)
+	c.oneOf(prefix+"cancel", f.Cancel, "nothing", "waiting", "work")
+	c.positive(prefix+"warm_for", f.SlowStartWindow)
+	c.positive(prefix+"idle_close", f.IdleClose)
 }
 
 func (c *checker) checkReports() {
@@ -187,11 +187,11 @@
 	c.require(len(c.scenario.Classes) > 0, "category", "at least one [[category]]", "none")
 	names := map[string]bool{}
 	for i := range c.scenario.Classes {
-		k, at := &c.scenario.Classes[i], fmt.Sprintf("category.%d.", i)
-		valid := k.Name != "" && !names[k.Name] && !strings.ContainsAny(k.Name, "/ \r\n")
-		c.require(valid, at+"name", "a name of its own", fmt.Sprintf("%q", k.Name))
-		names[k.Name] = true
-		c.checkClass(at, k)
+		class, prefix := &c.scenario.Classes[i], fmt.Sprintf("category.%d.", i)
+		valid := class.Name != "" && !names[class.Name] && !strings.ContainsAny(class.Name, "/ \r\n")
+		c.require(valid, prefix+"name", "a name of its own", fmt.Sprintf("%q", class.Name))
+		names[class.Name] = true
+		c.checkClass(prefix, class)
 	}
 	for i := range c.scenario.Tenants {
 		t := &c.scenario.Tenants[i]
@@ -199,31 +199,31 @@
 	}
 }
 
-func (c *checker) checkClass(at string, k *Class) {
-	c.oneOf(at+"repeat", k.Idempotency, Idempotent, IdempotentByKey, NonIdempotent)
-	if k.Idempotency == IdempotentByKey {
-		c.oneOf(at+"group", k.DedupGroup, "fleet", "zone", "pod")
-		c.positive(at+"memory", k.DedupWindow)
+func (c *checker) checkClass(prefix string, class *Class) {
+	c.oneOf(prefix+"repeat", class.Idempotency, Idempotent, IdempotentByKey, NonIdempotent)
+	if class.Idempotency == IdempotentByKey {
+		c.oneOf(prefix+"group", class.DedupGroup, "fleet", "zone", "pod")
+		c.positive(prefix+"memory", class.DedupWindow)
 	}
-	c.positive(at+"soft_limit", k.LatencyObjective)
-	inOrder := k.Deadline >= k.LatencyObjective && k.Deadline.Std() <= maxDeadline
-	c.require(inOrder, at+"hard_limit", "no less than soft_limit, 10m at most", k.Deadline.Std())
-	c.positive(at+"work", k.Work)
-	c.fraction(at+"vary", k.WorkSpread)
-	c.fraction(at+"hand_noise", k.AttemptNoise)
-	c.require(k.Share > 0, at+"share", "a number above 0", k.Share)
-	c.require(k.PriorityWeight > 0, at+"earnings", "a number above 0", k.PriorityWeight)
+	c.positive(prefix+"soft_limit", class.LatencyObjective)
+	inOrder := class.Deadline >= class.LatencyObjective && class.Deadline.Std() <= maxDeadline
+	c.require(inOrder, prefix+"hard_limit", "no less than soft_limit, 10m at most", class.Deadline.Std())
+	c.positive(prefix+"work", class.Work)
+	c.fraction(prefix+"vary", class.WorkSpread)
+	c.fraction(prefix+"hand_noise", class.AttemptNoise)
+	c.require(class.Share > 0, prefix+"share", "a number above 0", class.Share)
+	c.require(class.PriorityWeight > 0, prefix+"earnings", "a number above 0", class.PriorityWeight)
 }
 
 func (c *checker) checkClients() {
-	k := &c.scenario.Clients
-	c.require(k.Retries >= 0 && k.Retries <= 10, "clients.retries", "0 to 10", k.Retries)
-	c.fraction("clients.honour", k.HonorShare)
-	c.fraction("clients.leave", k.CancelShare)
-	c.fraction("clients.once", k.OneShotShare)
-	share := k.RequestTimeoutShare
+	clients := &c.scenario.Clients
+	c.require(clients.Retries >= 0 && clients.Retries <= 10, "clients.retries", "0 to 10", clients.Retries)
+	c.fraction("clients.honour", clients.HonorShare)
+	c.fraction("clients.leave", clients.CancelShare)
+	c.fraction("clients.once", clients.OneShotShare)
+	share := clients.RequestTimeoutShare
 	c.require(share > 0 && share <= 1, "clients.try_share", "a part above 0", share)
-	c.require(k.MaxConnections >= 1, "clients.connections", "at least 1", k.MaxConnections)
+	c.require(clients.MaxConnections >= 1, "clients.connections", "at least 1", clients.MaxConnections)
 }
 
 func (c *checker) checkExpect() {
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -48,32 +48,32 @@
 	IntactKinds  = []string{"twice", "interim", "bad-report", "other-body"}
 )
 
-func (c *checker) checkFault(at string, f *Fault) {
+func (c *checker) checkFault(prefix string, f *Fault) {
 	target, known := FaultTargets[f.Kind]
 	if !known {
 		kinds := slices.Sorted(maps.Keys(FaultTargets))
-		c.require(false, at+"kind", "one of "+strings.Join(kinds, ", "), fmt.Sprintf("%q", f.Kind))
+		c.require(false, prefix+"kind", "one of "+strings.Join(kinds, ", "), fmt.Sprintf("%q", f.Kind))
 		return
 	}
-	c.require(f.At >= 0 && f.At < c.scenario.Length, at+"at", "a time within the day", f.At.Std())
-	c.require(f.For >= 0, at+"for", "a time of at least 0", f.For.Std())
+	c.require(f.At >= 0 && f.At < c.scenario.Length, prefix+"at", "a time within the day", f.At.Std())
+	c.require(f.For >= 0, prefix+"for", "a time of at least 0", f.For.Std())
 	if target == LinkTarget {
 		return // checkLinkFaults has the rest
 	}
-	c.require(len(f.From)+len(f.To) == 0, at+"from", "none, as the fault is of no way", f.From)
-	c.fraction(at+"share", f.Share)
-	c.fraction(at+"hand_offs", f.AttemptShare)
-	c.require(f.Factor >= 0, at+"factor", "a number of at least 0", f.Factor)
+	c.require(len(f.From)+len(f.To) == 0, prefix+"from", "none, as the fault is of no way", f.From)
+	c.fraction(prefix+"share", f.Share)
+	c.fraction(prefix+"hand_offs", f.AttemptShare)
+	c.require(f.Factor >= 0, prefix+"factor", "a number of at least 0", f.Factor)
 	if f.Zone != "" {
-		c.zone(at+"zone", f.Zone)
+		c.zone(prefix+"zone", f.Zone)
 	}
 	switch target {
 	case EndpointTarget:
-		c.checkEndpointFault(at, f)
+		c.checkEndpointFault(prefix, f)
 	case NodeTarget:
-		c.checkNodeFault(at, f)
+		c.checkNodeFault(prefix, f)
 	}
-	c.checkFaultKind(at, f)
+	c.checkFaultKind(prefix, f)
 }
 
 // StopAmidSignals is the Fault.How of a stop among other signals: a reload, a print of the counters, further stops.
@@ -81,62 +81,62 @@
 
 const noTargetNamed = "a fault that names nobody"
 
-func (c *checker) checkEndpointFault(at string, f *Fault) {
-	c.require(len(f.Nodes) == 0, at+"nodes", "none, as the fault is the servers'", f.Nodes)
-	c.checkEndpointNames(at, f)
+func (c *checker) checkEndpointFault(prefix string, f *Fault) {
+	c.require(len(f.Nodes) == 0, prefix+"nodes", "none, as the fault is the servers'", f.Nodes)
+	c.checkEndpointNames(prefix, f)
 	named := len(f.Endpoints) > 0 || f.Count > 0 || f.Share > 0 || f.Zone != ""
-	c.require(named, at+"servers", "servers, a count, a share or a zone", noTargetNamed)
-	c.require(f.Count <= len(c.scenario.EndpointNames()), at+"count", "no more than there are servers", f.Count)
+	c.require(named, prefix+"servers", "servers, a count, a share or a zone", noTargetNamed)
+	c.require(f.Count <= len(c.scenario.EndpointNames()), prefix+"count", "no more than there are servers", f.Count)
 }
 
-func (c *checker) checkNodeFault(at string, f *Fault) {
-	c.checkNodeNumbers(at, f)
+func (c *checker) checkNodeFault(prefix string, f *Fault) {
+	c.checkNodeNumbers(prefix, f)
 	byZone := f.Zone != "" && f.Kind != "cut-node" // which takes the zone for the endpoints that are cut off
 	named := len(f.Nodes) > 0 || f.Count > 0 || f.Share > 0 || byZone
-	c.require(named, at+"nodes", "numbers of nodes, a count, a share or a zone", noTargetNamed)
+	c.require(named, prefix+"nodes", "numbers of nodes, a count, a share or a zone", noTargetNamed)
 }
 
-func (c *checker) checkEndpointNames(at string, f *Fault) {
+func (c *checker) checkEndpointNames(prefix string, f *Fault) {
 	names := c.scenario.EndpointNames()
 	for _, name := range f.Endpoints {
-		c.require(slices.Contains(names, name), at+"servers", "names such as "+names[0], fmt.Sprintf("%q", name))
+		c.require(slices.Contains(names, name), prefix+"servers", "names such as "+names[0], fmt.Sprintf("%q", name))
 	}
 }
 
-func (c *checker) checkNodeNumbers(at string, f *Fault) {
+func (c *checker) checkNodeNumbers(prefix string, f *Fault) {
 	count := c.scenario.Nodes.Count
 	for _, i := range f.Nodes {
-		c.require(i >= 0 && i < count, at+"nodes", fmt.Sprintf("numbers from 0 to %d", count-1), i)
+		c.require(i >= 0 && i < count, prefix+"nodes", fmt.Sprintf("numbers from 0 to %d", count-1), i)
 	}
 }
 
 // checkFaultKind checks the keys that one kind of fault alone has.
-func (c *checker) checkFaultKind(at string, f *Fault) {
+func (c *checker) checkFaultKind(prefix string, f *Fault) {
 	switch f.Kind {
 	case "power":
-		c.checkNodeNumbers(at, f)
-		c.checkEndpointNames(at, f)
+		c.checkNodeNumbers(prefix, f)
+		c.checkEndpointNames(prefix, f)
 		positive := f.NodesBack >= 0 && f.EndpointsBack >= 0 && f.DiscoveryBack >= 0 && f.Each >= 0
-		c.require(positive, at+"nodes_back", "times of at least 0", "less")
+		c.require(positive, prefix+"nodes_back", "times of at least 0", "less")
 	case "clock":
-		c.require(f.Wait != 0 || f.Factor != 1, at+"wait", "a step, or a factor for its drift", "neither")
-		c.require(f.Factor > 0.5 && f.Factor < 2, at+"factor", "between 0.5 and 2", f.Factor)
+		c.require(f.Wait != 0 || f.Factor != 1, prefix+"wait", "a step, or a factor for its drift", "neither")
+		c.require(f.Factor > 0.5 && f.Factor < 2, prefix+"factor", "between 0.5 and 2", f.Factor)
 	case "stop":
-		c.require(f.How == "" || f.How == StopAmidSignals, at+"how", "nothing or "+StopAmidSignals, f.How)
+		c.require(f.How == "" || f.How == StopAmidSignals, prefix+"how", "nothing or "+StopAmidSignals, f.How)
 	case "state":
-		c.oneOf(at+"how", f.How, StateFaultKinds...)
+		c.oneOf(prefix+"how", f.How, StateFaultKinds...)
 	case "wait":
-		c.checkWait(at, f)
+		c.checkWait(prefix, f)
 	case "spoil":
-		c.oneOf(at+"how", f.How, slices.Concat(CorruptKinds, IntactKinds)...)
+		c.oneOf(prefix+"how", f.How, slices.Concat(CorruptKinds, IntactKinds)...)
 	}
 }
 
-func (c *checker) checkWait(at string, f *Fault) {
-	c.positive(at+"wait", f.Wait)
-	c.require((f.Class == "") != (f.Tenant == ""), at+"category", "a category or a customer", "neither or both")
+func (c *checker) checkWait(prefix string, f *Fault) {
+	c.positive(prefix+"wait", f.Wait)
+	c.require((f.Class == "") != (f.Tenant == ""), prefix+"category", "a category or a customer", "neither or both")
 	hasClass := slices.ContainsFunc(c.scenario.Classes, func(k Class) bool { return k.Name == f.Class })
-	c.require(f.Class == "" || hasClass, at+"category", "a category's name", f.Class)
+	c.require(f.Class == "" || hasClass, prefix+"category", "a category's name", f.Class)
 	hasTenant := slices.ContainsFunc(c.scenario.Tenants, func(t Tenant) bool { return t.Name == f.Tenant })
-	c.require(f.Tenant == "" || hasTenant, at+"customer", "a customer's name", f.Tenant)
+	c.require(f.Tenant == "" || hasTenant, prefix+"customer", "a customer's name", f.Tenant)
 }
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -56,40 +56,40 @@
 func (c *checker) checkLinkFaults() {
 	var valid []namedLinkFault
 	for i := range c.scenario.Faults {
-		f, at := &c.scenario.Faults[i], fmt.Sprintf("fault.%d.", i)
+		f, prefix := &c.scenario.Faults[i], fmt.Sprintf("fault.%d.", i)
 		if FaultTargets[f.Kind] != LinkTarget {
 			continue
 		}
-		c.checkLinkKeys(at, f)
+		c.checkLinkKeys(prefix, f)
 		fault, ok := c.scenario.LinkFault(f)
-		if !ok || !c.checkEnds(at, f, &fault) {
+		if !ok || !c.checkEnds(prefix, f, &fault) {
 			continue
 		}
 		for k := range valid {
 			other := "one in " + strings.TrimSuffix(valid[k].prefix, ".")
-			c.require(!netfault.Conflict(&valid[k].fault, &fault), at+"kind", "no other "+f.Kind+" of one of its ways at one time", other)
+			c.require(!netfault.Conflict(&valid[k].fault, &fault), prefix+"kind", "no other "+f.Kind+" of one of its ways at one time", other)
 		}
-		valid = append(valid, namedLinkFault{at, fault})
+		valid = append(valid, namedLinkFault{prefix, fault})
 	}
 }
 
-func (c *checker) checkLinkKeys(at string, f *Fault) {
-	c.checkEndNames(at+"from", f.From)
-	c.checkEndNames(at+"to", f.To)
+func (c *checker) checkLinkKeys(prefix string, f *Fault) {
+	c.checkEndNames(prefix+"from", f.From)
+	c.checkEndNames(prefix+"to", f.To)
 	kind := netfault.Kind(f.Kind)
 	if variants := netfault.Variants[kind]; len(variants) > 0 {
-		c.oneOf(at+"how", f.How, variants...)
+		c.oneOf(prefix+"how", f.How, variants...)
 	} else {
-		c.require(f.How == "", at+"how", "none, as "+f.Kind+" has one way only", f.How)
+		c.require(f.How == "", prefix+"how", "none, as "+f.Kind+" has one way only", f.How)
 	}
-	c.fraction(at+"share", f.Share)
-	c.require(f.Burst >= 1 && f.Burst <= maxBurst, at+"burst", "1 to 10,000 messages", f.Burst)
+	c.fraction(prefix+"share", f.Share)
+	c.require(f.Burst >= 1 && f.Burst <= maxBurst, prefix+"burst", "1 to 10,000 messages", f.Burst)
 	switch kind {
 	case netfault.Delay, netfault.Reorder:
 		wait := f.Wait.Std()
-		c.require(wait > 0 && wait <= maxWait, at+"wait", "a time above 0, 1m at most", wait)
+		c.require(wait > 0 && wait <= maxWait, prefix+"wait", "a time above 0, 1m at most", wait)
 	case netfault.Narrow:
-		c.require(f.Rate >= minLinkRate, at+"rate", "at least 100 bytes a second", f.Rate)
+		c.require(f.Rate >= minLinkRate, prefix+"rate", "at least 100 bytes a second", f.Rate)
 	}
 }
 
@@ -105,7 +105,7 @@
 }
 
 // checkEnds checks that a fault's ends are linked, and by links that can have such a fault; false if they are not linked.
-func (c *checker) checkEnds(at string, f *Fault, fault *netfault.Fault) bool {
+func (c *checker) checkEnds(prefix string, f *Fault, fault *netfault.Fault) bool {
 	linked, messages, same := true, true, true
 	for _, a := range fault.From {
 		for _, b := range fault.To {
@@ -113,13 +113,13 @@
 			linked, messages, same = linked && link, messages && ofMessages, same && a == b
 		}
 	}
-	c.require(!same, at+"to", "another end than from", strings.Join(f.To, " "))
+	c.require(!same, prefix+"to", "another end than from", strings.Join(f.To, " "))
 	if !linked {
 		ends := strings.Join(f.From, " ") + " and " + strings.Join(f.To, " ")
-		c.require(false, at+"to", "ends that nodes have ways to: one side of a way is always a node", ends)
+		c.require(false, prefix+"to", "ends that nodes have ways to: one side of a way is always a node", ends)
 		return false
 	}
 	c.require(messages || netfault.AppliesToStreams(fault.Kind),
-		at+"kind", "link-cut, link-drop, link-delay or link-narrow where the way carries streams", fmt.Sprintf("%q", f.Kind))
+		prefix+"kind", "link-cut, link-drop, link-delay or link-narrow where the way carries streams", fmt.Sprintf("%q", f.Kind))
 	return true
 }
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -32,26 +32,26 @@
 	lastFinishedAt int64
 }
 
-func newClients(d *Simulation) *clients {
+func newClients(sim *Simulation) *clients {
 	c := &clients{
-		sim: d, outcomes: make([]trace.Outcome, len(d.plan.Operations)), unfinished: len(d.plan.Operations),
-		byZone: make([][]*node, len(d.scenario.Network.Zones)), nextNode: make([]int, len(d.scenario.Network.Zones)),
+		sim: sim, outcomes: make([]trace.Outcome, len(sim.plan.Operations)), unfinished: len(sim.plan.Operations),
+		byZone: make([][]*node, len(sim.scenario.Network.Zones)), nextNode: make([]int, len(sim.scenario.Network.Zones)),
 	}
-	parts := d.plan.NodeShares(d.scenario)
+	shares := sim.plan.NodeShares(sim.scenario)
 	for zone := range c.byZone {
-		for _, n := range d.nodes {
+		for _, n := range sim.nodes {
 			if n.zone == zone {
 				c.byZone[zone] = append(c.byZone[zone], n)
 			}
 		}
 		if len(c.byZone[zone]) == 0 {
-			c.byZone[zone] = d.nodes
+			c.byZone[zone] = sim.nodes
 		}
 		var indexes []int
 		for _, n := range c.byZone[zone] {
 			indexes = append(indexes, n.index)
 		}
-		c.pickers = append(c.pickers, workload.NewNodePicker(parts, indexes))
+		c.pickers = append(c.pickers, workload.NewNodePicker(shares, indexes))
 	}
 	c.scheduleNext(0)
 	return c
@@ -62,163 +62,163 @@
 	if i >= len(c.sim.plan.Operations) {
 		return
 	}
-	t := &c.sim.plan.Operations[i]
-	c.sim.at(t.Due+int64(c.sim.scenario.Network.Client), func() {
+	o := &c.sim.plan.Operations[i]
+	c.sim.at(o.Due+int64(c.sim.scenario.Network.Client), func() {
 		c.sim.count(func(s *trace.FleetActivity) { s.Operations++ })
-		category := &c.sim.scenario.Classes[t.Class]
+		class := &c.sim.scenario.Classes[o.Class]
 		c.send(&clientRequest{
-			operation: t,
-			deadline:  t.Due + int64(float64(category.Deadline)*c.sim.scenario.Clients.RequestTimeoutShare),
-			id:        c.sim.requestID(t.Index, 0),
-			key:       fmt.Sprintf("%016x", t.Seed),
+			operation: o,
+			deadline:  o.Due + int64(float64(class.Deadline)*c.sim.scenario.Clients.RequestTimeoutShare),
+			id:        c.sim.requestID(o.Index, 0),
+			key:       fmt.Sprintf("%016x", o.Seed),
 		})
 		c.scheduleNext(i + 1)
 	})
 }
 
 // send delivers a request to the next node that the front takes to be ready.
-func (c *clients) send(t *clientRequest) {
-	zone := c.byZone[t.operation.Zone]
-	if choice := c.pickers[t.operation.Zone]; choice != nil {
+func (c *clients) send(request *clientRequest) {
+	zone := c.byZone[request.operation.Zone]
+	if picker := c.pickers[request.operation.Zone]; picker != nil {
 		// the next one follows if that one is not ready
-		c.nextNode[t.operation.Zone] = choice.Pick(t.operation, t.number) - 1
+		c.nextNode[request.operation.Zone] = picker.Pick(request.operation, request.number) - 1
 	}
 	for range zone {
-		c.nextNode[t.operation.Zone]++
-		if n := zone[c.nextNode[t.operation.Zone]%len(zone)]; n.admitted {
-			c.deliver(t, n)
+		c.nextNode[request.operation.Zone]++
+		if n := zone[c.nextNode[request.operation.Zone]%len(zone)]; n.admitted {
+			c.deliver(request, n)
 			return
 		}
 	}
 	for _, n := range c.sim.nodes {
 		if n.admitted {
-			c.deliver(t, n)
+			c.deliver(request, n)
 			return
 		}
 	}
-	c.finishOrRetry(t, trace.Lost, true, 0)
+	c.finishOrRetry(request, trace.Lost, true, 0)
 }
 
 // deliver gives a request to a node, unless the way there is cut.
-func (c *clients) deliver(t *clientRequest, n *node) {
-	d := c.sim
+func (c *clients) deliver(request *clientRequest, n *node) {
+	sim := c.sim
 	if !n.alive {
-		c.finishOrRetry(t, trace.Lost, true, 0)
+		c.finishOrRetry(request, trace.Lost, true, 0)
 		return
 	}
 	front, end := n.frontEnd(), n.linkEnd()
-	blocked, refused := d.cannotConnect(front, end)
+	blocked, refused := sim.cannotConnect(front, end)
 	switch {
 	case refused:
-		c.finishOrRetry(t, trace.Lost, true, 0)
+		c.finishOrRetry(request, trace.Lost, true, 0)
 		return
-	case blocked && !d.links.Open(d.now, front, end):
+	case blocked && !sim.links.Open(sim.now, front, end):
 		// The node never sees it, so it is not in the history either.
-		d.at(c.waitsUntil(t), func() { c.finishOrRetry(t, trace.Failed, false, 0) })
+		sim.at(c.waitsUntil(request), func() { c.finishOrRetry(request, trace.Failed, false, 0) })
 		return
 	}
 	record := &invariant.Request{
-		ID: t.id, Operation: t.operation.Index, Node: n.index, Incarnation: n.record.Incarnation,
-		Class: t.operation.Class, SentAt: d.now, Deadline: t.deadline,
+		ID: request.id, Operation: request.operation.Index, Node: n.index, Incarnation: n.record.Incarnation,
+		Class: request.operation.Class, SentAt: sim.now, Deadline: request.deadline,
 	}
-	d.history.RecordRequest(record)
-	if delay := d.linkDelay(front, end); delay > 0 {
+	sim.history.RecordRequest(record)
+	if delay := sim.linkDelay(front, end); delay > 0 {
 		record.SentAt += delay
-		t.pending = &pendingRequest{node: n, incarnation: n.record.Incarnation, request: t, record: record}
-		d.after(delay, func() {
-			if n.alive && n.record.Incarnation == record.Incarnation && !t.finished {
-				n.receive(t, record)
+		request.pending = &pendingRequest{node: n, incarnation: n.record.Incarnation, request: request, record: record}
+		sim.after(delay, func() {
+			if n.alive && n.record.Incarnation == record.Incarnation && !request.finished {
+				n.receive(request, record)
 			}
 		})
 	} else {
-		n.receive(t, record)
+		n.receive(request, record)
 	}
-	c.awaitResponse(t, n, record)
+	c.awaitResponse(request, n, record)
 }
 
 // waitsUntil is when a client gives up a request.
-func (c *clients) waitsUntil(t *clientRequest) int64 {
-	return t.deadline + int64(c.sim.scenario.Rules.AnswerGrace) + lateResponseTime
+func (c *clients) waitsUntil(request *clientRequest) int64 {
+	return request.deadline + int64(c.sim.scenario.Rules.AnswerGrace) + lateResponseTime
 }
 
 // awaitResponse ends a request that has no response in time, or whose client leaves before.
-func (c *clients) awaitResponse(t *clientRequest, n *node, record *invariant.Request) {
-	d := c.sim
-	until := c.waitsUntil(t)
-	leavesAt := int64(invariant.Never)
-	if t.operation.CancelsAfter > 0 {
-		leavesAt = t.operation.Due + t.operation.CancelsAfter
-		if leavesAt < t.deadline {
-			until = leavesAt
+func (c *clients) awaitResponse(request *clientRequest, n *node, record *invariant.Request) {
+	sim := c.sim
+	until := c.waitsUntil(request)
+	cancelAt := int64(invariant.Never)
+	if request.operation.CancelsAfter > 0 {
+		cancelAt = request.operation.Due + request.operation.CancelsAfter
+		if cancelAt < request.deadline {
+			until = cancelAt
 		}
 	}
-	d.at(until, func() {
-		if t.finished {
+	sim.at(until, func() {
+		if request.finished {
 			return
 		}
-		t.finished = true
-		if until == leavesAt {
-			record.CanceledAt = d.now
-			c.finish(t, trace.Canceled, d.now)
+		request.finished = true
+		if until == cancelAt {
+			record.CanceledAt = sim.now
+			c.finish(request, trace.Canceled, sim.now)
 		} else {
-			c.finishOrRetry(t, trace.Failed, false, 0)
+			c.finishOrRetry(request, trace.Failed, false, 0)
 		}
-		if n.alive && t.pending.incarnation == n.record.Incarnation {
-			n.clientGone(t.pending)
+		if n.alive && request.pending.incarnation == n.record.Incarnation {
+			n.clientGone(request.pending)
 		}
 	})
 }
 
 // answered takes a node's response.
-func (c *clients) answered(x *pendingRequest, status int, advice int64) {
-	t := x.request
-	if t.finished {
+func (c *clients) answered(p *pendingRequest, status int, retryAfter int64) {
+	request := p.request
+	if request.finished {
 		return
 	}
-	t.finished = true
+	request.finished = true
 	now := c.sim.now
-	x.record.AnsweredAt, x.record.Status, x.record.RetryAfter = now, status, advice
+	p.record.AnsweredAt, p.record.Status, p.record.RetryAfter = now, status, retryAfter
 	switch status {
 	case 200:
-		c.finish(t, trace.Succeeded, now+int64(c.sim.scenario.Network.Client))
+		c.finish(request, trace.Succeeded, now+int64(c.sim.scenario.Network.Client))
 	case 503:
-		c.finishOrRetry(t, trace.Rejected, false, advice)
+		c.finishOrRetry(request, trace.Rejected, false, retryAfter)
 	default:
-		c.finishOrRetry(t, trace.Failed, false, 0)
+		c.finishOrRetry(request, trace.Failed, false, 0)
 	}
 }
 
 // lost takes the end of a connection with its node.
-func (c *clients) lost(x *pendingRequest) {
-	if t := x.request; !t.finished {
-		t.finished = true
-		x.record.ClosedAt = c.sim.now
-		c.finishOrRetry(t, trace.Lost, !x.node.admitted, 0)
+func (c *clients) lost(p *pendingRequest) {
+	if request := p.request; !request.finished {
+		request.finished = true
+		p.record.ClosedAt = c.sim.now
+		c.finishOrRetry(request, trace.Lost, !p.node.admitted, 0)
 	}
 }
 
 // finishOrRetry ends a request that did not succeed, and sends another where a client would.
-func (c *clients) finishOrRetry(t *clientRequest, state trace.State, unreached bool, advice int64) {
-	d := c.sim
-	retry, ok := t.operation.NextRetry(d.scenario, t.number, d.now, state == trace.Rejected || unreached, advice)
+func (c *clients) finishOrRetry(request *clientRequest, state trace.State, unreached bool, retryAfter int64) {
+	sim := c.sim
+	retry, ok := request.operation.NextRetry(sim.scenario, request.number, sim.now, state == trace.Rejected || unreached, retryAfter)
 	if !ok {
-		c.finish(t, state, d.now)
+		c.finish(request, state, sim.now)
 		return
 	}
 	next := &clientRequest{
-		operation: t.operation, number: t.number + 1, deadline: retry.Deadline, key: t.key,
-		id: d.requestID(t.operation.Index, t.number+1),
+		operation: request.operation, number: request.number + 1, deadline: retry.Deadline, key: request.key,
+		id: sim.requestID(request.operation.Index, request.number+1),
 	}
-	d.after(retry.Wait, func() { c.send(next) })
+	sim.after(retry.Wait, func() { c.send(next) })
 }
 
 // finish records the end of an operation.
-func (c *clients) finish(t *clientRequest, state trace.State, at int64) {
-	o := &c.outcomes[t.operation.Index]
+func (c *clients) finish(request *clientRequest, state trace.State, at int64) {
+	o := &c.outcomes[request.operation.Index]
 	if o.State != trace.Pending {
 		return
 	}
-	*o = trace.Outcome{State: state, Elapsed: at - t.operation.Due, Requests: t.number + 1}
+	*o = trace.Outcome{State: state, Elapsed: at - request.operation.Due, Requests: request.number + 1}
 	c.unfinished--
 	c.lastFinishedAt = c.sim.now
 }
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -48,13 +48,13 @@
 	blocked    bool // an update could not pass a cut link
 }
 
-func newDiscovery(d *Simulation) *discovery {
-	return &discovery{sim: d, list: model.NewEndpointList(40), wasListed: map[int]bool{}, slowdown: 1}
+func newDiscovery(sim *Simulation) *discovery {
+	return &discovery{sim: sim, list: model.NewEndpointList(40), wasListed: map[int]bool{}, slowdown: 1}
 }
 
 // set changes the list after a delay.
-func (s *discovery) set(m *endpoint, h model.State, notice int64) {
-	entry := model.ListEntry{Endpoint: m.spec.Index, State: h, StartedAt: m.startedAt}
+func (s *discovery) set(e *endpoint, state model.State, delay int64) {
+	entry := model.ListEntry{Endpoint: e.spec.Index, State: state, StartedAt: e.startedAt}
 	do := func() {
 		s.list.Set(entry)
 		if !s.wasListed[entry.Endpoint] {
@@ -62,62 +62,62 @@
 			s.everListed = append(s.everListed, entry.Endpoint)
 		}
 		s.sim.history.RecordListChange(invariant.ListChange{
-			Endpoint: entry.Endpoint, State: h, At: s.sim.now, StartedAt: entry.StartedAt,
+			Endpoint: entry.Endpoint, State: state, At: s.sim.now, StartedAt: entry.StartedAt,
 		})
 		for _, w := range s.watches {
 			w.schedule()
 		}
 	}
-	if notice += s.changeDelay; notice <= 0 {
+	if delay += s.changeDelay; delay <= 0 {
 		do()
 		return
 	}
-	s.sim.after(notice, do)
+	s.sim.after(delay, do)
 }
 
 // entries converts a list for the decisions.
 func (s *discovery) entries(list []model.ListEntry) []policy.EndpointInfo {
-	out := make([]policy.EndpointInfo, 0, len(list))
+	entries := make([]policy.EndpointInfo, 0, len(list))
 	for _, l := range list {
-		m := s.sim.endpoints[l.Endpoint]
+		e := s.sim.endpoints[l.Endpoint]
 		zone := -1
 		for z, name := range s.sim.scenario.Network.Zones {
-			if name == m.spec.Zone {
+			if name == e.spec.Zone {
 				zone = z
 			}
 		}
-		out = append(out, policy.EndpointInfo{
-			ID: m.id, Zone: zone, Pod: m.spec.Pod, Weight: 1, StartedAt: policy.Time(l.StartedAt),
+		entries = append(entries, policy.EndpointInfo{
+			ID: e.id, Zone: zone, Pod: e.spec.Pod, Weight: 1, StartedAt: policy.Time(l.StartedAt),
 			State: [...]policy.EndpointState{
 				model.Up: policy.StateActive, model.Draining: policy.StateDraining, model.Removed: policy.StateRemoved,
 			}[l.State],
 		})
 	}
-	return out
+	return entries
 }
 
 // recordEntries records what is written to a node.
-func (s *discovery) recordEntries(n *node, list []model.ListEntry, whole bool) {
-	told := make([]invariant.ListEntry, 0, len(list))
+func (s *discovery) recordEntries(n *node, list []model.ListEntry, complete bool) {
+	written := make([]invariant.ListEntry, 0, len(list))
 	listed := map[int]bool{}
 	for _, l := range list {
-		told = append(told, invariant.ListEntry{
+		written = append(written, invariant.ListEntry{
 			Node: n.index, Incarnation: n.record.Incarnation, Endpoint: l.Endpoint, State: l.State,
 			StartedAt: l.StartedAt, At: s.sim.now,
 		})
 		listed[l.Endpoint] = true
 	}
-	if whole {
+	if complete {
 		for _, endpoint := range s.everListed {
 			if !listed[endpoint] {
-				told = append(told, invariant.ListEntry{
+				written = append(written, invariant.ListEntry{
 					Node: n.index, Incarnation: n.record.Incarnation, Endpoint: endpoint, State: model.Removed,
 					At: s.sim.now,
 				})
 			}
 		}
 	}
-	s.sim.history.RecordEntries(told...)
+	s.sim.history.RecordEntries(written...)
 }
 
 // startWatch begins a watch; a node has one at a time.
@@ -132,19 +132,19 @@
 // discovery a turn, whether or not it is closed before.
 func (w *watch) call() {
 	n := w.node
-	d := n.sim
-	d.count(func(t *trace.FleetActivity) { t.ListCalls++ })
+	sim := n.sim
+	sim.count(func(t *trace.FleetActivity) { t.ListCalls++ })
 	end := n.linkEnd()
-	if blocked, refused := d.cannotConnect(end, discoveryEnd); blocked {
+	if blocked, refused := sim.cannotConnect(end, discoveryEnd); blocked {
 		after := int64(discoveryConnectTimeout)
 		if refused {
 			after = refusalTime
 		}
-		d.after(after, func() { w.callEnded(0) })
+		sim.after(after, func() { w.callEnded(0) })
 		return
 	}
-	if d.discovery.down || d.discovery.queuedCalls >= maxQueuedCalls { // as on sockets it takes no turn
-		d.after(refusalTime, func() { w.callEnded(0) })
+	if sim.discovery.down || sim.discovery.queuedCalls >= maxQueuedCalls { // as on sockets it takes no turn
+		sim.after(refusalTime, func() { w.callEnded(0) })
 		return
 	}
 	w.queueCall()
@@ -154,25 +154,25 @@
 // queueCall has discovery handle a call when its turn comes.
 func (w *watch) queueCall() {
 	n := w.node
-	d := n.sim
-	s, end := d.discovery, n.linkEnd()
+	sim := n.sim
+	s, end := sim.discovery, n.linkEnd()
 	w.calls++
 	w.unanswered++
 	s.queuedCalls++
-	came := d.now
-	begin := max(d.now, s.busyUntil)
+	arrivedAt := sim.now
+	begin := max(sim.now, s.busyUntil)
 	cost := s.callCost(w.version)
-	timeout := int64(d.scenario.Discovery.CallTimeout)
-	if begin-came+cost > timeout {
+	timeout := int64(sim.scenario.Discovery.CallTimeout)
+	if begin-arrivedAt+cost > timeout {
 		cost = 0 // it fails when its turn has come
 	}
 	s.busyUntil = begin + cost
-	d.at(s.busyUntil+d.linkDelay(end, discoveryEnd)+d.linkDelay(discoveryEnd, end), func() {
+	sim.at(s.busyUntil+sim.linkDelay(end, discoveryEnd)+sim.linkDelay(discoveryEnd, end), func() {
 		s.queuedCalls--
 		if w.closed || w.record != nil || n.record != w.process || !n.alive {
 			return
 		}
-		if s.down || begin-came+cost > timeout || cost == 0 && begin > came {
+		if s.down || begin-arrivedAt+cost > timeout || cost == 0 && begin > arrivedAt {
 			w.callEnded(1)
 			return
 		}
@@ -209,8 +209,8 @@
 }
 
 // callEnded takes the end of a call without an answer; the watch has failed once none is open.
-func (w *watch) callEnded(out int) {
-	if w.unanswered -= out; w.unanswered == 0 && w.record == nil {
+func (w *watch) callEnded(queued int) {
+	if w.unanswered -= queued; w.unanswered == 0 && w.record == nil {
 		w.fail()
 	}
 }
@@ -221,10 +221,10 @@
 		return
 	}
 	n := w.node
-	d := n.sim
+	sim := n.sim
 	if w.record == nil {
-		d.history.RecordWatch(&invariant.Watch{
-			Node: n.index, Incarnation: w.process.Incarnation, From: d.now, To: d.now, Failed: true,
+		sim.history.RecordWatch(&invariant.Watch{
+			Node: n.index, Incarnation: w.process.Incarnation, From: sim.now, To: sim.now, Failed: true,
 		})
 	}
 	w.close()
@@ -234,10 +234,10 @@
 	if n.settings.Policy.MustPollList {
 		n.post(func() { n.decider.WatchFailed(policy.Time(n.clock())) })
 		n.failedCalls++
-		last := n.failedCalls
-		d.after(maxCallGap, func() {
+		failures := n.failedCalls
+		sim.after(maxCallGap, func() {
 			// else the decisions have asked sooner, and that failed too
-			if n.alive && n.record == w.process && n.failedCalls == last {
+			if n.alive && n.record == w.process && n.failedCalls == failures {
 				n.startWatch()
 			}
 		})
@@ -246,7 +246,7 @@
 	// Where lists are pushed the node calls by itself.
 	wait := n.callBackoff
 	n.callBackoff = min(2*n.callBackoff, int64(maxCallBackoff))
-	d.after(wait, func() {
+	sim.after(wait, func() {
 		if n.alive && n.record == w.process {
 			n.startWatch()
 		}
@@ -272,14 +272,14 @@
 }
 
 func (w *watch) open() {
-	d := w.node.sim
+	sim := w.node.sim
 	w.record = &invariant.Watch{
-		Node: w.node.index, Incarnation: w.process.Incarnation, From: d.now, To: invariant.Never,
+		Node: w.node.index, Incarnation: w.process.Incarnation, From: sim.now, To: invariant.Never,
 	}
-	d.history.RecordWatch(w.record)
-	w.startedAt = d.now
+	sim.history.RecordWatch(w.record)
+	w.startedAt = sim.now
 	w.node.callBackoff = int64(firstCallBackoff)
-	d.discovery.watches = append(d.discovery.watches, w)
+	sim.discovery.watches = append(sim.discovery.watches, w)
 	w.deliver()
 }
 
@@ -303,25 +303,25 @@
 		return
 	}
 	n, s := w.node, w.node.sim.discovery
-	entries, whole := s.list.ChangesAfter(w.version)
+	entries, complete := s.list.ChangesAfter(w.version)
 	first := w.version == 0
 	if !first && s.list.Version() == w.version {
 		return
 	}
 	w.version = s.list.Version()
 	n.version = w.version
-	s.recordEntries(n, entries, whole)
+	s.recordEntries(n, entries, complete)
 	if !n.hasList {
 		if n.hasList = true; n.running {
 			n.becomeReady()
 		}
 	}
-	if n.listGossip.watchUpdated(n, w.version, entries, whole) {
+	if n.listGossip.watchUpdated(n, w.version, entries, complete) {
 		return
 	}
 	list := s.entries(entries)
 	n.post(func() {
-		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
+		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, complete)
 		for _, l := range list {
 			if l.State != policy.StateActive && !n.settings.Policy.RemovedMayServe {
 				n.CloseIdle(l.ID)
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -61,72 +61,72 @@
 	closed             bool
 }
 
-func (d *Simulation) addEndpoint(spec workload.Endpoint, cold bool) *endpoint {
-	m := &endpoint{
-		sim: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], id: endpointID(spec.Name),
+func (sim *Simulation) addEndpoint(spec workload.Endpoint, cold bool) *endpoint {
+	e := &endpoint{
+		sim: sim, spec: spec, fleet: &sim.scenario.Fleets[spec.Fleet], id: endpointID(spec.Name),
 		random:   rand.New(rand.NewPCG(spec.Seed, 3)),
 		cutNodes: map[int]int{}, epochs: map[int]int{},
 	}
-	d.endpoints = append(d.endpoints, m)
-	d.byID[m.id] = m
-	m.start(cold)
-	return m
+	sim.endpoints = append(sim.endpoints, e)
+	sim.byID[e.id] = e
+	e.start(cold)
+	return e
 }
 
-func (m *endpoint) start(cold bool) {
-	now := m.sim.now
-	m.recordSlowStart()
+func (e *endpoint) start(cold bool) {
+	now := e.sim.now
+	e.recordSlowStart()
 	started := int64(math.MinInt64 / 2)
-	if m.startedAt = 0; cold {
-		started, m.startedAt = now, epoch(now)/1e6*1e6 // the list has whole milliseconds
+	if e.startedAt = 0; cold {
+		started, e.startedAt = now, epoch(now)/1e6*1e6 // the list has whole milliseconds
 	}
-	m.incarnation++
-	m.up = true
-	m.model = model.NewEndpoint(
-		model.SpecOf(m.sim.scenario, m.fleet, m.spec.Speed), started, now, m.spec.Seed+uint64(m.incarnation),
+	e.incarnation++
+	e.up = true
+	e.model = model.NewEndpoint(
+		model.SpecOf(e.sim.scenario, e.fleet, e.spec.Speed), started, now, e.spec.Seed+uint64(e.incarnation),
 	)
-	m.jobs = map[int64]*attempt{}
-	m.faults = endpointFaults{}
-	m.draining = false
-	m.reports = nil
-	m.connections = 0
-	m.nextWake = model.Never
-	if len(m.sim.scenario.Reports.Fields) > 0 {
-		m.sampleLoad(m.incarnation)
+	e.jobs = map[int64]*attempt{}
+	e.faults = endpointFaults{}
+	e.draining = false
+	e.reports = nil
+	e.connections = 0
+	e.nextWake = model.Never
+	if len(e.sim.scenario.Reports.Fields) > 0 {
+		e.sampleLoad(e.incarnation)
 	}
 }
 
 // recordSlowStart records the slow start of the incarnation that ends.
-func (m *endpoint) recordSlowStart() {
-	if m.model != nil {
-		m.sim.history.RecordSlowStart(invariant.SlowStart{
-			Endpoint: m.spec.Index, Incarnation: m.incarnation, StartedAt: m.startedAt, MeanWork: m.model.MeanWork,
-			Window: m.model.CrashWindow, Arrivals: m.model.SlowStartArrivals(),
+func (e *endpoint) recordSlowStart() {
+	if e.model != nil {
+		e.sim.history.RecordSlowStart(invariant.SlowStart{
+			Endpoint: e.spec.Index, Incarnation: e.incarnation, StartedAt: e.startedAt, MeanWork: e.model.MeanWork,
+			Window: e.model.CrashWindow, Arrivals: e.model.SlowStartArrivals(),
 		})
 	}
 }
 
 // sampleLoad takes the figures of load reports, periodically in this incarnation.
-func (m *endpoint) sampleLoad(life int) {
-	if !m.up || m.incarnation != life {
+func (e *endpoint) sampleLoad(incarnation int) {
+	if !e.up || e.incarnation != incarnation {
 		return
 	}
-	m.reports = append(m.reports, loadSample{m.sim.now, m.model.Sample(m.sim.now)})
-	if len(m.reports) > 8 {
-		m.reports = m.reports[1:]
+	e.reports = append(e.reports, loadSample{e.sim.now, e.model.Sample(e.sim.now)})
+	if len(e.reports) > 8 {
+		e.reports = e.reports[1:]
 	}
-	m.scheduleWake()
-	m.sim.after(int64(m.sim.scenario.Reports.Period), func() { m.sampleLoad(life) })
+	e.scheduleWake()
+	e.sim.after(int64(e.sim.scenario.Reports.Period), func() { e.sampleLoad(incarnation) })
 }
 
 // report is the newest load report that is visible by now.
-func (m *endpoint) report() policy.LoadReport {
-	r, out := &m.sim.scenario.Reports, noReport
-	for i := len(m.reports) - 1; i >= 0; i-- {
-		if m.reports[i].at+int64(r.Delay) > m.sim.now {
+func (e *endpoint) report() policy.LoadReport {
+	r, out := &e.sim.scenario.Reports, noReport
+	for i := len(e.reports) - 1; i >= 0; i-- {
+		if e.reports[i].at+int64(r.Delay) > e.sim.now {
 			continue
 		}
-		f := m.reports[i].figures.Noisy(m.random.Float64, r.Noise)
+		f := e.reports[i].figures.Noisy(e.random.Float64, r.Noise)
 		for _, name := range r.Fields {
 			switch name {
 			case "util":
@@ -143,95 +143,95 @@
 }
 
 // die ends an incarnation: connections are reset, new ones refused.
-func (m *endpoint) die() {
-	if !m.up {
+func (e *endpoint) die() {
+	if !e.up {
 		return
 	}
-	m.up = false
-	m.model.Crash()
-	m.jobs = map[int64]*attempt{}
-	for _, n := range m.sim.nodes { // in order
-		n.endpointGone(m, false)
+	e.up = false
+	e.model.Crash()
+	e.jobs = map[int64]*attempt{}
+	for _, n := range e.sim.nodes { // in order
+		n.endpointGone(e, false)
 	}
 }
 
-func (m *endpoint) linkEnd() netfault.End {
-	return netfault.End{Kind: netfault.Endpoint, Index: m.spec.Index}
+func (e *endpoint) linkEnd() netfault.End {
+	return netfault.End{Kind: netfault.Endpoint, Index: e.spec.Index}
 }
-func (m *endpoint) isCutFrom(node int) bool { return m.cutAll > 0 || m.cutNodes[node] > 0 }
-func (m *endpoint) epochFor(node int) int   { return m.epoch + m.epochs[node] }
-func (m *endpoint) usable(k *connection) bool {
-	return m.up && m.incarnation == k.incarnation && m.epochFor(k.node) == k.epoch
+func (e *endpoint) isCutFrom(node int) bool { return e.cutAll > 0 || e.cutNodes[node] > 0 }
+func (e *endpoint) epochFor(node int) int   { return e.epoch + e.epochs[node] }
+func (e *endpoint) usable(c *connection) bool {
+	return e.up && e.incarnation == c.incarnation && e.epochFor(c.node) == c.epoch
 }
-func (m *endpoint) isFull() bool      { return m.connections >= m.fleet.Connections }
-func (m *endpoint) workRate() float64 { return m.model.Capacity() }
-func (m *endpoint) delayTo(node *node) int64 {
-	n := &m.sim.scenario.Network
+func (e *endpoint) isFull() bool      { return e.connections >= e.fleet.Connections }
+func (e *endpoint) workRate() float64 { return e.model.Capacity() }
+func (e *endpoint) delayTo(node *node) int64 {
+	n := &e.sim.scenario.Network
 	base := n.SameZone
-	if m.sim.scenario.Network.Zones[node.zone] != m.spec.Zone {
+	if e.sim.scenario.Network.Zones[node.zone] != e.spec.Zone {
 		base = n.CrossZone
 	}
-	return int64(float64(base) * (1 + n.Jitter*m.random.Float64()))
+	return int64(float64(base) * (1 + n.Jitter*e.random.Float64()))
 }
 
 // allNodes in place of a node stands for every node.
 const allNodes = -1
 
 // cutOff makes the endpoint unreachable for one node, or for allNodes; reconnect ends that, and resets what was open.
-func (m *endpoint) cutOff(node int) {
+func (e *endpoint) cutOff(node int) {
 	if node == allNodes {
-		m.cutAll++
+		e.cutAll++
 	} else {
-		m.cutNodes[node]++
+		e.cutNodes[node]++
 	}
 }
 
-func (m *endpoint) reconnect(node int) {
+func (e *endpoint) reconnect(node int) {
 	if node == allNodes {
-		m.cutAll--
-		m.epoch++
+		e.cutAll--
+		e.epoch++
 	} else {
-		m.cutNodes[node]--
-		m.epochs[node]++
+		e.cutNodes[node]--
+		e.epochs[node]++
 	}
-	for _, n := range m.sim.nodes {
+	for _, n := range e.sim.nodes {
 		if node == allNodes || n.index == node {
-			n.endpointGone(m, true)
+			n.endpointGone(e, true)
 		}
 	}
 }
 
 // scheduleWake has the model advanced when its next job ends.
-func (m *endpoint) scheduleWake() {
-	next := m.model.Next()
-	if next >= m.nextWake {
+func (e *endpoint) scheduleWake() {
+	next := e.model.Next()
+	if next >= e.nextWake {
 		return
 	}
-	m.nextWake = next
-	m.sim.at(next, func() {
-		if m.nextWake == next {
-			m.nextWake = model.Never
-			m.finishJobs()
+	e.nextWake = next
+	e.sim.at(next, func() {
+		if e.nextWake == next {
+			e.nextWake = model.Never
+			e.finishJobs()
 		}
 	})
 }
 
 // finishJobs answers the attempts that the model has finished.
-func (m *endpoint) finishJobs() {
-	for _, d := range m.model.Advance(m.sim.now) {
-		h := m.jobs[d.Job.ID]
-		if h == nil {
+func (e *endpoint) finishJobs() {
+	for _, d := range e.model.Advance(e.sim.now) {
+		a := e.jobs[d.Job.ID]
+		if a == nil {
 			continue
 		}
-		delete(m.jobs, d.Job.ID)
+		delete(e.jobs, d.Job.ID)
 		if d.Expired {
-			h.reject()
+			a.reject()
 			continue
 		}
-		h.record.Executed = true
-		h.finish()
+		a.record.Executed = true
+		a.finish()
 	}
-	m.scheduleWake()
+	e.scheduleWake()
 }
 
 // repeatWork is the most work of an attempt that is a repeat, in nanoseconds.
@@ -256,50 +256,50 @@
 }
 
 // arrive gives the work to the model, unless a fault answers first.
-func (h *attempt) arrive() {
-	m := h.endpoint
-	if m.incarnation != h.incarnation || !m.up || h.ended && m.model.Cancel == model.CancelsRunning {
+func (a *attempt) arrive() {
+	e := a.endpoint
+	if e.incarnation != a.incarnation || !e.up || a.ended && e.model.Cancel == model.CancelsRunning {
 		return
 	}
-	if m.faults.silent || h.answeredByFault() {
+	if e.faults.silent || a.answeredByFault() {
 		return
 	}
-	d := m.sim
-	work := h.drawWork()
-	if h.conn.isNew {
-		h.conn.isNew = false
-		m.model.ConnectionOpened(d.now)
+	sim := e.sim
+	work := a.drawWork()
+	if a.conn.isNew {
+		a.conn.isNew = false
+		e.model.ConnectionOpened(sim.now)
 	}
-	m.lastID++
-	h.id = m.lastID
+	e.lastID++
+	a.id = e.lastID
 	job := &model.Job{
-		ID: h.id, Work: work, Deadline: min(h.deadline, model.Never), Node: h.pending.node.index,
-		Wait: d.waitOf(h.pending.request.operation),
+		ID: a.id, Work: work, Deadline: min(a.deadline, model.Never), Node: a.pending.node.index,
+		Wait: sim.waitOf(a.pending.request.operation),
 	}
-	accepted, crash := m.model.Arrive(d.now, job)
+	accepted, crash := e.model.Arrive(sim.now, job)
 	switch {
 	case accepted:
-		m.jobs[h.id] = h
+		e.jobs[a.id] = a
 	case crash != nil:
-		d.endpointCrashed(m, crash)
+		sim.endpointCrashed(e, crash)
 	default:
-		h.reject()
+		a.reject()
 	}
-	m.scheduleWake()
+	e.scheduleWake()
 }
 
 // answeredByFault answers an attempt by an active fault, if one strikes it.
-func (h *attempt) answeredByFault() bool {
-	m := h.endpoint
-	f := &m.faults
-	strikes := func(share float64) bool { return share > 0 && m.random.Float64() < share }
+func (a *attempt) answeredByFault() bool {
+	e := a.endpoint
+	f := &e.faults
+	strikes := func(share float64) bool { return share > 0 && e.random.Float64() < share }
 	switch {
-	case h.conn.overLimit || m.draining || strikes(f.reject):
-		h.reject()
+	case a.conn.overLimit || e.draining || strikes(f.reject):
+		a.reject()
 	case strikes(f.reset):
-		h.reset(policy.OutcomeReset)
+		a.reset(policy.OutcomeReset)
 	case strikes(f.fail):
-		h.respond(policy.OutcomeError, http.StatusInternalServerError)
+		a.respond(policy.OutcomeError, http.StatusInternalServerError)
 	default:
 		return false
 	}
@@ -308,130 +308,130 @@
 
 // drawWork draws the work of an attempt, and whether it will fail. A repeat with a known key only looks its response
 // up.
-func (h *attempt) drawWork() int64 {
-	m, request := h.endpoint, h.pending.request
+func (a *attempt) drawWork() int64 {
+	e, request := a.endpoint, a.pending.request
 	o := request.operation
-	c := &m.sim.scenario.Classes[o.Class]
-	work, luck := workload.AttemptWork(o.Work, c.AttemptNoise, o.Seed+uint64(request.number), m.spec.Seed, 0)
-	h.failureDraw = luck
+	c := &e.sim.scenario.Classes[o.Class]
+	work, failureDraw := workload.AttemptWork(o.Work, c.AttemptNoise, o.Seed+uint64(request.number), e.spec.Seed, 0)
+	a.failureDraw = failureDraw
 	if c.Idempotency == scenario.IdempotentByKey {
-		h.record.Deduplicated = m.sim.deduplicatorOf(m, o.Class).Seen(m.sim.now, request.key)
-		if h.record.Deduplicated {
+		a.record.Deduplicated = e.sim.deduplicatorOf(e, o.Class).Seen(e.sim.now, request.key)
+		if a.record.Deduplicated {
 			work = min(work, repeatWork)
 		}
 	}
 	return work
 }
 
-func (h *attempt) reject() {
-	h.record.Rejected = true
-	h.endpoint.sim.after(h.returnDelay(), func() { h.respond(policy.OutcomeRejected, http.StatusServiceUnavailable) })
+func (a *attempt) reject() {
+	a.record.Rejected = true
+	a.endpoint.sim.after(a.returnDelay(), func() { a.respond(policy.OutcomeRejected, http.StatusServiceUnavailable) })
 }
 
 // finish answers an attempt that has run.
-func (h *attempt) finish() {
-	m := h.endpoint
-	m.sim.after(h.returnDelay(), func() {
-		t := &m.faults
+func (a *attempt) finish() {
+	e := a.endpoint
+	e.sim.after(a.returnDelay(), func() {
+		t := &e.faults
 		switch {
-		case h.failureDraw < m.fleet.ErrorShare:
-			h.respond(policy.OutcomeError, http.StatusInternalServerError)
-		case t.corrupt != "" && m.random.Float64() < t.corruptShare:
-			h.corrupt(t.corrupt)
+		case a.failureDraw < e.fleet.ErrorShare:
+			a.respond(policy.OutcomeError, http.StatusInternalServerError)
+		case t.corrupt != "" && e.random.Float64() < t.corruptShare:
+			a.corrupt(t.corrupt)
 		default:
-			h.respond(policy.OutcomeSucceeded, http.StatusOK)
+			a.respond(policy.OutcomeSucceeded, http.StatusOK)
 		}
 	})
 }
 
 // returnDelay is how long a response takes.
-func (h *attempt) returnDelay() int64 {
-	return h.oneWay + h.endpoint.sim.linkDelay(h.endpoint.linkEnd(), h.pending.node.linkEnd())
+func (a *attempt) returnDelay() int64 {
+	return a.oneWay + a.endpoint.sim.linkDelay(a.endpoint.linkEnd(), a.pending.node.linkEnd())
 }
 
 // reachesNode tells whether what the endpoint sends now arrives at the node.
-func (h *attempt) reachesNode() bool {
-	return !h.endpoint.isCutFrom(h.pending.node.index) &&
-		h.endpoint.sim.links.Open(h.endpoint.sim.now, h.endpoint.linkEnd(), h.pending.node.linkEnd())
+func (a *attempt) reachesNode() bool {
+	return !a.endpoint.isCutFrom(a.pending.node.index) &&
+		a.endpoint.sim.links.Open(a.endpoint.sim.now, a.endpoint.linkEnd(), a.pending.node.linkEnd())
 }
 
 // respond brings a response to the node, unless the link is cut or the incarnation has ended.
-func (h *attempt) respond(o policy.Outcome, status int) {
-	if h.answered || !h.reachesNode() || h.endpoint.incarnation != h.incarnation || !h.endpoint.up {
+func (a *attempt) respond(o policy.Outcome, status int) {
+	if a.answered || !a.reachesNode() || a.endpoint.incarnation != a.incarnation || !a.endpoint.up {
 		return
 	}
-	h.answered = true
-	h.record.AnsweredAt, h.record.Status = h.endpoint.sim.now, status
+	a.answered = true
+	a.record.AnsweredAt, a.record.Status = a.endpoint.sim.now, status
 	report := noReport
-	if !h.endpoint.sim.scenario.Reports.HealthChecked {
-		report = h.endpoint.report()
+	if !a.endpoint.sim.scenario.Reports.HealthChecked {
+		report = a.endpoint.report()
 	}
-	h.pending.node.attemptEnded(h, o, report, true)
+	a.pending.node.attemptEnded(a, o, report, true)
 }
 
 // reset is an end without a response that the node sees.
-func (h *attempt) reset(o policy.Outcome) {
-	h.answered = true
-	h.record.ClosedAt = min(h.record.ClosedAt, h.endpoint.sim.now)
-	h.pending.node.attemptEnded(h, o, noReport, false)
+func (a *attempt) reset(o policy.Outcome) {
+	a.answered = true
+	a.record.ClosedAt = min(a.record.ClosedAt, a.endpoint.sim.now)
+	a.pending.node.attemptEnded(a, o, noReport, false)
 }
 
 // corrupt is a response with a fault. Intact ones with something beside them succeed.
-func (h *attempt) corrupt(how string) {
-	if h.answered || !h.reachesNode() {
+func (a *attempt) corrupt(how string) {
+	if a.answered || !a.reachesNode() {
 		return
 	}
-	now := h.endpoint.sim.now
-	h.answered = true
-	h.record.AnsweredAt, h.record.Status = now, http.StatusBadGateway
+	now := a.endpoint.sim.now
+	a.answered = true
+	a.record.AnsweredAt, a.record.Status = now, http.StatusBadGateway
 	for _, k := range scenario.IntactKinds {
 		if k == how {
-			h.record.Status = http.StatusOK
+			a.record.Status = http.StatusOK
 		}
 	}
-	if h.record.Status == http.StatusOK {
-		h.pending.node.attemptEnded(h, policy.OutcomeSucceeded, noReport, how == "interim" || how == "bad-report")
+	if a.record.Status == http.StatusOK {
+		a.pending.node.attemptEnded(a, policy.OutcomeSucceeded, noReport, how == "interim" || how == "bad-report")
 		return
 	}
-	h.record.ClosedAt = min(h.record.ClosedAt, now)
-	h.pending.node.attemptEnded(h, policy.OutcomeReset, noReport, false)
+	a.record.ClosedAt = min(a.record.ClosedAt, now)
+	a.pending.node.attemptEnded(a, policy.OutcomeReset, noReport, false)
 }
 
 // notifyCanceled has the endpoint notice, after the link's delay, that the attempt is canceled.
-func (h *attempt) notifyCanceled() {
-	if h.record == nil {
+func (a *attempt) notifyCanceled() {
+	if a.record == nil {
 		return
 	}
-	h.record.ClosedAt = min(h.record.ClosedAt, h.endpoint.sim.now)
-	if h.answered || h.endpoint.isCutFrom(h.pending.node.index) ||
-		!h.endpoint.sim.links.Open(h.endpoint.sim.now, h.pending.node.linkEnd(), h.endpoint.linkEnd()) {
+	a.record.ClosedAt = min(a.record.ClosedAt, a.endpoint.sim.now)
+	if a.answered || a.endpoint.isCutFrom(a.pending.node.index) ||
+		!a.endpoint.sim.links.Open(a.endpoint.sim.now, a.pending.node.linkEnd(), a.endpoint.linkEnd()) {
 		return
 	}
-	m, life := h.endpoint, h.incarnation
-	m.sim.after(h.oneWay, func() {
-		if m.incarnation != life || !m.up || m.jobs[h.id] != h {
+	e, incarnation := a.endpoint, a.incarnation
+	e.sim.after(a.oneWay, func() {
+		if e.incarnation != incarnation || !e.up || e.jobs[a.id] != a {
 			return
 		}
-		if stopped, _ := m.model.CancelJob(m.sim.now, h.id); stopped {
-			delete(m.jobs, h.id)
+		if stopped, _ := e.model.CancelJob(e.sim.now, a.id); stopped {
+			delete(e.jobs, a.id)
 		}
-		m.scheduleWake()
+		e.scheduleWake()
 	})
 }
 
-func (d *Simulation) deduplicatorOf(m *endpoint, category int) *model.Deduplicator {
-	c := &d.scenario.Classes[category]
-	k := dedupKey{category, ""}
+func (sim *Simulation) deduplicatorOf(e *endpoint, class int) *model.Deduplicator {
+	c := &sim.scenario.Classes[class]
+	k := dedupKey{class, ""}
 	switch c.DedupGroup {
 	case "zone":
-		k.group = m.spec.Zone
+		k.group = e.spec.Zone
 	case "pod":
-		k.group = strconv.Itoa(m.spec.Pod)
+		k.group = strconv.Itoa(e.spec.Pod)
 	}
-	if d.deduplicators[k] == nil {
-		d.deduplicators[k] = model.NewDeduplicator(int64(c.DedupWindow))
+	if sim.deduplicators[k] == nil {
+		sim.deduplicators[k] = model.NewDeduplicator(int64(c.DedupWindow))
 	}
-	return d.deduplicators[k]
+	return sim.deduplicators[k]
 }
 
 type dedupKey struct {
