--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -22,69 +22,69 @@
 )
 
 // startFault starts a fault, and has it end in time.
-func (d *Simulation) startFault(f *workload.Fault) {
-	s := d.discovery
+func (sim *Simulation) startFault(f *workload.Fault) {
+	s := sim.discovery
 	if scenario.FaultTargets[f.Kind] == scenario.LinkTarget {
 		return // each message goes by the schedule
 	}
 	switch f.Kind {
 	case "power":
-		d.losePower(f)
+		sim.losePower(f)
 	case "state": // there are no disks here
 	case "discovery-down":
 		s.setDown(true)
-		d.afterFault(f, func() { s.setDown(false) })
+		sim.afterFault(f, func() { s.setDown(false) })
 	case "discovery-slow":
 		s.slowdown = f.Factor
-		d.afterFault(f, func() { s.slowdown = 1 })
+		sim.afterFault(f, func() { s.slowdown = 1 })
 	case "discovery-move":
 		s.move()
 	case "lists-late":
 		s.changeDelay = int64(f.Wait)
-		d.afterFault(f, func() { s.changeDelay = 0 })
+		sim.afterFault(f, func() { s.changeDelay = 0 })
 	case "wait":
-		key := d.waitKey(f)
-		d.waits[key] = int64(f.Wait)
-		d.afterFault(f, func() { delete(d.waits, key) })
+		key := sim.waitKey(f)
+		sim.waits[key] = int64(f.Wait)
+		sim.afterFault(f, func() { delete(sim.waits, key) })
 	case "bad-clients":
 	case "kill", "stop", "freeze", "cut-node", "clock":
 		for i, target := range f.Targets {
-			d.after(int64(f.Each)*int64(i), func() { d.faultNode(f, d.nodes[target]) })
+			sim.after(int64(f.Each)*int64(i), func() { sim.faultNode(f, sim.nodes[target]) })
 		}
 	default:
 		for i, target := range f.Targets {
-			d.after(int64(f.Each)*int64(i), func() { d.faultEndpoint(f, d.endpoints[target]) })
+			sim.after(int64(f.Each)*int64(i), func() { sim.faultEndpoint(f, sim.endpoints[target]) })
 		}
 	}
 }
 
 // waitKey is the class that a wait strikes, or the tenant as a negative number.
-func (d *Simulation) waitKey(f *workload.Fault) int {
-	for i := range d.scenario.Tenants {
-		if f.Tenant != "" && d.scenario.Tenants[i].Name == f.Tenant {
+func (sim *Simulation) waitKey(f *workload.Fault) int {
+	for i := range sim.scenario.Tenants {
+		if f.Tenant != "" && sim.scenario.Tenants[i].Name == f.Tenant {
 			return -1 - i
 		}
 	}
-	for i := range d.scenario.Classes {
-		if d.scenario.Classes[i].Name == f.Class {
+	for i := range sim.scenario.Classes {
+		if sim.scenario.Classes[i].Name == f.Class {
 			return i
 		}
 	}
-	return len(d.scenario.Classes)
+	return len(sim.scenario.Classes)
 }
 
 // waitOf is for how long attempts of an operation wait in their slots by a fault.
-func (d *Simulation) waitOf(t *workload.Operation) int64 {
-	if len(d.waits) == 0 {
+func (sim *Simulation) waitOf(o *workload.Operation) int64 {
+	if len(sim.waits) == 0 {
 		return 0
 	}
-	return max(d.waits[t.Class], d.waits[-1-t.Tenant])
+	return max(sim.waits[o.Class], sim.waits[-1-o.Tenant])
 }
 
-func (d *Simulation) faultNode(f *workload.Fault, n *node) {
+func (sim *Simulation) faultNode(f *workload.Fault, n *node) {
 	if f.Kind == "clock" {
 		n.adjustClock(int64(f.Wait), f.Factor)
-		d.afterFault(f, func() { n.adjustClock(0, 1) })
+		sim.afterFault(f, func() { n.adjustClock(0, 1) })
 		return
 	}
 	if !n.alive {
@@ -92,55 +92,55 @@
 	}
 	switch f.Kind {
 	case "kill":
-		d.history.Excuse(n.record, invariant.Span{From: d.now, To: invariant.Never})
+		sim.history.Excuse(n.record, invariant.Span{From: sim.now, To: invariant.Never})
 		n.kill()
-		d.restartAfterFault(f, n)
+		sim.restartAfterFault(f, n)
 	case "stop":
-		d.stopNode(f, n)
+		sim.stopNode(f, n)
 	case "freeze":
-		n.pausedUntil = d.now + int64(f.For)
-		d.history.Excuse(n.record, invariant.Span{From: d.now, To: n.pausedUntil + catchUpTime})
+		n.pausedUntil = sim.now + int64(f.For)
+		sim.history.Excuse(n.record, invariant.Span{From: sim.now, To: n.pausedUntil + catchUpTime})
 	case "cut-node":
-		for _, m := range d.endpoints {
-			if f.Zone == "" || m.spec.Zone == f.Zone {
-				m.cutOff(n.index)
-				d.afterFault(f, func() { m.reconnect(n.index) })
+		for _, e := range sim.endpoints {
+			if f.Zone == "" || e.spec.Zone == f.Zone {
+				e.cutOff(n.index)
+				sim.afterFault(f, func() { e.reconnect(n.index) })
 			}
 		}
 	}
 }
 
 // afterFault runs when a fault that begins now ends, if it does.
-func (d *Simulation) afterFault(f *workload.Fault, do func()) {
+func (sim *Simulation) afterFault(f *workload.Fault, do func()) {
 	if f.For > 0 {
-		d.after(int64(f.For), do)
+		sim.after(int64(f.For), do)
 	}
 }
 
 // restartAfterFault starts a node again, whose process has just ended.
-func (d *Simulation) restartAfterFault(f *workload.Fault, n *node) {
-	d.afterFault(f, d.restartFunc(n))
+func (sim *Simulation) restartAfterFault(f *workload.Fault, n *node) {
+	sim.afterFault(f, sim.restartFunc(n))
 }
 
 // restarter starts a node again unless that has happened.
-func (d *Simulation) restartFunc(n *node) func() {
+func (sim *Simulation) restartFunc(n *node) func() {
 	process := n.record
 	return func() {
 		if n.record == process && !n.alive {
 			n.start()
-			d.after(startDelay, n.becomeReady)
+			sim.after(startDelay, n.becomeReady)
 		}
 	}
 }
 
 // stopNode has a node shut down gracefully: it accepts for a while, and ends once all requests have their responses.
-func (d *Simulation) stopNode(f *workload.Fault, n *node) {
+func (sim *Simulation) stopNode(f *workload.Fault, n *node) {
 	process := n.record
 	n.stopping = true
 	if n.membership != nil {
 		n.membership.Leave()
 	}
-	d.after(frontStopDelay, func() {
+	sim.after(frontStopDelay, func() {
 		if n.record == process {
 			n.admitted = false
 		}
@@ -150,169 +150,169 @@
 		if n.record != process || !n.alive {
 			return
 		}
-		if slices.ContainsFunc(n.pendingOrder, func(x *pendingRequest) bool { return !x.answered }) {
-			d.after(int64(10*time.Millisecond), endWhenIdle)
+		if slices.ContainsFunc(n.pendingOrder, func(p *pendingRequest) bool { return !p.answered }) {
+			sim.after(int64(10*time.Millisecond), endWhenIdle)
 			return
 		}
-		d.after(sendDelay, func() {
+		sim.after(sendDelay, func() {
 			if n.record == process {
 				n.kill()
-				d.restartAfterFault(f, n)
+				sim.restartAfterFault(f, n)
 			}
 		})
 	}
-	d.after(stopAcceptTime, endWhenIdle)
+	sim.after(stopAcceptTime, endWhenIdle)
 }
 
 // losePower ends nodes, endpoints and discovery at one moment; each is back after a time of its own.
-func (d *Simulation) losePower(f *workload.Fault) {
-	notice := int64(d.scenario.Discovery.ChangeDelay)
-	if f.Zone == "" && len(f.Nodes) == len(d.nodes) {
-		d.discovery.setDown(true)
+func (sim *Simulation) losePower(f *workload.Fault) {
+	delay := int64(sim.scenario.Discovery.ChangeDelay)
+	if f.Zone == "" && len(f.Nodes) == len(sim.nodes) {
+		sim.discovery.setDown(true)
 		if f.DiscoveryBack > 0 {
-			d.after(int64(f.DiscoveryBack), func() { d.discovery.setDown(false) })
+			sim.after(int64(f.DiscoveryBack), func() { sim.discovery.setDown(false) })
 		}
 	}
 	for i, target := range f.Nodes {
-		n := d.nodes[target]
+		n := sim.nodes[target]
 		if !n.alive {
 			continue
 		}
-		d.history.Excuse(n.record, invariant.Span{From: d.now, To: invariant.Never})
+		sim.history.Excuse(n.record, invariant.Span{From: sim.now, To: invariant.Never})
 		n.kill()
 		if f.NodesBack > 0 {
-			d.after(f.RestoreDelay(f.NodesBack, f.Seed, i), d.restartFunc(n))
+			sim.after(f.RestoreDelay(f.NodesBack, f.Seed, i), sim.restartFunc(n))
 		}
 	}
 	for i, target := range f.Targets {
-		m := d.endpoints[target]
-		m.die()
-		d.discovery.set(m, model.Removed, notice)
+		e := sim.endpoints[target]
+		e.die()
+		sim.discovery.set(e, model.Removed, delay)
 		if f.EndpointsBack > 0 {
-			d.after(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { d.revive(m, notice) })
+			sim.after(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { sim.revive(e, delay) })
 		}
 	}
 }
 
-func (d *Simulation) faultEndpoint(f *workload.Fault, m *endpoint) {
+func (sim *Simulation) faultEndpoint(f *workload.Fault, e *endpoint) {
 	switch f.Kind {
 	case "slow", "pause", "crowd":
-		d.slowEndpoint(f, m)
+		sim.slowEndpoint(f, e)
 	case "cut":
-		m.cutOff(allNodes)
-		d.afterFault(f, func() { m.reconnect(allNodes) })
+		e.cutOff(allNodes)
+		sim.afterFault(f, func() { e.reconnect(allNodes) })
 	case "die", "restart-servers", "replace":
-		d.endEndpoint(f, m)
+		sim.endEndpoint(f, e)
 	case "unlisted", "drain":
-		d.withdrawEndpoint(f, m)
+		sim.withdrawEndpoint(f, e)
 	default:
-		d.misbehave(f, m)
+		sim.misbehave(f, e)
 	}
 }
 
 // slowEndpoint takes capacity from an endpoint.
-func (d *Simulation) slowEndpoint(f *workload.Fault, m *endpoint) {
+func (sim *Simulation) slowEndpoint(f *workload.Fault, e *endpoint) {
 	switch f.Kind {
 	case "slow":
-		d.setSpeed(m, math.Max(f.Factor, minSpeedFactor))
-		d.afterFault(f, func() { d.setSpeed(m, 1) })
+		sim.setSpeed(e, math.Max(f.Factor, minSpeedFactor))
+		sim.afterFault(f, func() { sim.setSpeed(e, 1) })
 	case "pause":
-		m.model.Pause(d.now, d.now+int64(f.For))
-		m.scheduleWake()
+		e.model.Pause(sim.now, sim.now+int64(f.For))
+		e.scheduleWake()
 	case "crowd":
-		concurrency, queue, incarnation := m.model.Concurrency, m.model.QueueLimit, m.incarnation
-		m.model.Concurrency = max(1, int(float64(concurrency)*f.Factor))
-		m.model.QueueLimit = int(float64(queue) * f.Factor)
-		d.afterFault(f, func() {
-			if m.incarnation == incarnation {
-				m.model.Concurrency, m.model.QueueLimit = concurrency, queue
+		concurrency, queue, incarnation := e.model.Concurrency, e.model.QueueLimit, e.incarnation
+		e.model.Concurrency = max(1, int(float64(concurrency)*f.Factor))
+		e.model.QueueLimit = int(float64(queue) * f.Factor)
+		sim.afterFault(f, func() {
+			if e.incarnation == incarnation {
+				e.model.Concurrency, e.model.QueueLimit = concurrency, queue
 			}
 		})
 	}
 }
 
-func (d *Simulation) setSpeed(m *endpoint, factor float64) {
-	m.model.SetSpeedFactor(d.now, factor)
-	m.nextWake = model.Never
-	m.scheduleWake()
+func (sim *Simulation) setSpeed(e *endpoint, factor float64) {
+	e.model.SetSpeedFactor(sim.now, factor)
+	e.nextWake = model.Never
+	e.scheduleWake()
 }
 
 // misbehave has an endpoint answer wrongly, or not at all.
-func (d *Simulation) misbehave(f *workload.Fault, m *endpoint) {
-	incarnation := m.incarnation
+func (sim *Simulation) misbehave(f *workload.Fault, e *endpoint) {
+	incarnation := e.incarnation
 	// change sets a fault, and removes it in time, unless a new incarnation has done so.
 	change := func(begin, end func(*endpointFaults)) {
-		begin(&m.faults)
-		d.afterFault(f, func() {
-			if m.incarnation == incarnation {
-				end(&m.faults)
+		begin(&e.faults)
+		sim.afterFault(f, func() {
+			if e.incarnation == incarnation {
+				end(&e.faults)
 			}
 		})
 	}
 	switch f.Kind {
 	case "silent":
-		change(func(e *endpointFaults) { e.silent = true }, func(e *endpointFaults) { e.silent = false })
+		change(func(faults *endpointFaults) { faults.silent = true }, func(faults *endpointFaults) { faults.silent = false })
 	case "fail":
-		change(func(e *endpointFaults) { e.fail = f.AttemptShare }, func(e *endpointFaults) { e.fail = 0 })
+		change(func(faults *endpointFaults) { faults.fail = f.AttemptShare }, func(faults *endpointFaults) { faults.fail = 0 })
 	case "turn-away":
-		change(func(e *endpointFaults) { e.reject = f.AttemptShare }, func(e *endpointFaults) { e.reject = 0 })
+		change(func(faults *endpointFaults) { faults.reject = f.AttemptShare }, func(faults *endpointFaults) { faults.reject = 0 })
 	case "reset":
-		change(func(e *endpointFaults) { e.reset = f.AttemptShare }, func(e *endpointFaults) { e.reset = 0 })
+		change(func(faults *endpointFaults) { faults.reset = f.AttemptShare }, func(faults *endpointFaults) { faults.reset = 0 })
 	case "spoil":
 		change(
-			func(e *endpointFaults) { e.corrupt, e.corruptShare = f.How, f.AttemptShare },
-			func(e *endpointFaults) { e.corrupt = "" },
+			func(faults *endpointFaults) { faults.corrupt, faults.corruptShare = f.How, f.AttemptShare },
+			func(faults *endpointFaults) { faults.corrupt = "" },
 		)
 	}
 }
 
 // endEndpoint ends an endpoint's process, which comes back or is replaced.
-func (d *Simulation) endEndpoint(f *workload.Fault, m *endpoint) {
-	notice := int64(d.scenario.Discovery.ChangeDelay)
-	m.die()
+func (sim *Simulation) endEndpoint(f *workload.Fault, e *endpoint) {
+	delay := int64(sim.scenario.Discovery.ChangeDelay)
+	e.die()
 	switch f.Kind {
 	case "die":
 		if f.How != "unnoticed" {
-			d.discovery.set(m, model.Removed, notice)
+			sim.discovery.set(e, model.Removed, delay)
 		}
-		d.afterFault(f, func() { d.revive(m, notice) })
+		sim.afterFault(f, func() { sim.revive(e, delay) })
 	case "restart-servers":
-		d.revive(m, notice)
+		sim.revive(e, delay)
 	case "replace":
-		d.discovery.set(m, model.Removed, notice)
-		spec := m.spec
+		sim.discovery.set(e, model.Removed, delay)
+		spec := e.spec
 		spec.Seed += 1 << 32
-		spec.Index, spec.Name = len(d.endpoints), spec.Name+"r"
-		d.discovery.set(d.addEndpoint(spec, true), model.Up, notice)
+		spec.Index, spec.Name = len(sim.endpoints), spec.Name+"r"
+		sim.discovery.set(sim.addEndpoint(spec, true), model.Up, delay)
 	}
 }
 
 // withdrawEndpoint takes an endpoint off the list, or has it drain.
-func (d *Simulation) withdrawEndpoint(f *workload.Fault, m *endpoint) {
-	notice := int64(d.scenario.Discovery.ChangeDelay)
+func (sim *Simulation) withdrawEndpoint(f *workload.Fault, e *endpoint) {
+	delay := int64(sim.scenario.Discovery.ChangeDelay)
 	if f.Kind == "unlisted" {
-		d.discovery.set(m, model.Removed, notice)
-		d.afterFault(f, func() { d.discovery.set(m, model.Up, notice) })
+		sim.discovery.set(e, model.Removed, delay)
+		sim.afterFault(f, func() { sim.discovery.set(e, model.Up, delay) })
 		return
 	}
-	m.draining = true
-	d.discovery.set(m, model.Draining, notice)
-	d.afterFault(f, func() {
+	e.draining = true
+	sim.discovery.set(e, model.Draining, delay)
+	sim.afterFault(f, func() {
 		if f.How == "gone" {
-			d.discovery.set(m, model.Removed, 0)
-			m.die()
+			sim.discovery.set(e, model.Removed, 0)
+			e.die()
 			return
 		}
-		m.draining = false
-		d.discovery.set(m, model.Up, notice)
+		e.draining = false
+		sim.discovery.set(e, model.Up, delay)
 	})
 }
 
 // revive starts an endpoint anew, in slow start.
-func (d *Simulation) revive(m *endpoint, notice int64) {
-	if m.up {
+func (sim *Simulation) revive(e *endpoint, delay int64) {
+	if e.up {
 		return
 	}
-	m.start(true)
-	d.discovery.set(m, model.Up, notice)
+	e.start(true)
+	sim.discovery.set(e, model.Up, delay)
 }
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -24,66 +24,66 @@
 func (n *node) frontEnd() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
 
 // fateOf is the fate of the next message on a link.
-func (d *Simulation) fateOf(from, to netfault.End, size int) netfault.Fate {
-	if len(d.links.Changes()) == 0 {
+func (sim *Simulation) fateOf(from, to netfault.End, size int) netfault.Fate {
+	if len(sim.links.Changes()) == 0 {
 		return netfault.Fate{CorruptByte: -1}
 	}
-	way := [2]netfault.End{from, to}
-	d.messageCounts[way]++
-	return d.links.FateOf(d.now, from, to, d.messageCounts[way], size)
+	link := [2]netfault.End{from, to}
+	sim.messageCounts[link]++
+	return sim.links.FateOf(sim.now, from, to, sim.messageCounts[link], size)
 }
 
 // linkDelay is by how much the next piece of a stream is delayed by faults.
-func (d *Simulation) linkDelay(from, to netfault.End) int64 {
-	v := d.fateOf(from, to, messageSize)
-	if v.Lost {
-		v.Delay += int64(retransmission)
+func (sim *Simulation) linkDelay(from, to netfault.End) int64 {
+	fate := sim.fateOf(from, to, messageSize)
+	if fate.Lost {
+		fate.Delay += int64(retransmission)
 	}
-	if v.Rate > 0 {
-		v.Delay += int64(messageSize / v.Rate * 1e9)
+	if fate.Rate > 0 {
+		fate.Delay += int64(messageSize / fate.Rate * 1e9)
 	}
-	return v.Delay
+	return fate.Delay
 }
 
 // cannotConnect tells whether no new connection comes up between two ends, and whether it is refused.
-func (d *Simulation) cannotConnect(a, b netfault.End) (barred, refused bool) {
-	for _, way := range [][2]netfault.End{{a, b}, {b, a}} {
-		if !d.links.Open(d.now, way[0], way[1]) {
-			barred = true
-			refused = refused || d.links.FateOf(d.now, way[0], way[1], 0, 0).Refused
+func (sim *Simulation) cannotConnect(a, b netfault.End) (blocked, refused bool) {
+	for _, direction := range [][2]netfault.End{{a, b}, {b, a}} {
+		if !sim.links.Open(sim.now, direction[0], direction[1]) {
+			blocked = true
+			refused = refused || sim.links.FateOf(sim.now, direction[0], direction[1], 0, 0).Refused
 		}
 	}
-	return barred, refused
+	return blocked, refused
 }
 
 // scheduleLinkResets has streams reset once a cut link is mended, as the proxies do on sockets; where a link refuses,
 // at once. A watch that is silent for too long is given up by the node itself.
-func (d *Simulation) scheduleLinkResets() {
-	for i := range d.plan.Faults {
-		way, ok := d.scenario.LinkFault(&d.plan.Faults[i].Fault)
-		if !ok || way.Kind != netfault.Cut {
+func (sim *Simulation) scheduleLinkResets() {
+	for i := range sim.plan.Faults {
+		fault, ok := sim.scenario.LinkFault(&sim.plan.Faults[i].Fault)
+		if !ok || fault.Kind != netfault.Cut {
 			continue
 		}
 		reset := func() {
-			for _, a := range way.From {
-				for _, b := range way.To {
-					d.resetLink(a, b)
-					d.resetLink(b, a)
+			for _, a := range fault.From {
+				for _, b := range fault.To {
+					sim.resetLink(a, b)
+					sim.resetLink(b, a)
 				}
 			}
 		}
-		d.at(way.End, reset)
-		if way.Variant == "refused" {
-			d.at(way.Begin, reset)
+		sim.at(fault.End, reset)
+		if fault.Variant == "refused" {
+			sim.at(fault.Begin, reset)
 			continue
 		}
-		d.at(way.Begin+int64(watchTimeout), func() {
-			for _, a := range append(append([]netfault.End(nil), way.From...), way.To...) {
+		sim.at(fault.Begin+int64(watchTimeout), func() {
+			for _, a := range append(append([]netfault.End(nil), fault.From...), fault.To...) {
 				if a.Kind != netfault.Node {
 					continue
 				}
-				if n := d.nodes[a.Index]; n.watch != nil && n.watch.record != nil &&
-					!d.links.Open(d.now, discoveryEnd, a) {
+				if n := sim.nodes[a.Index]; n.watch != nil && n.watch.record != nil &&
+					!sim.links.Open(sim.now, discoveryEnd, a) {
 					n.watch.fail()
 				}
 			}
@@ -91,16 +91,16 @@
 	}
 }
 
-func (d *Simulation) resetLink(from, to netfault.End) {
+func (sim *Simulation) resetLink(from, to netfault.End) {
 	if from.Kind != netfault.Node {
 		return
 	}
-	n := d.nodes[from.Index]
+	n := sim.nodes[from.Index]
 	switch to.Kind {
 	case netfault.Endpoint:
-		m := d.endpoints[to.Index]
-		m.epochs[n.index]++
-		n.endpointGone(m, true)
+		e := sim.endpoints[to.Index]
+		e.epochs[n.index]++
+		n.endpointGone(e, true)
 	case netfault.Discovery:
 		if n.watch != nil && n.watch.blocked {
 			n.watch.fail()
@@ -110,40 +110,40 @@
 
 // startMembership begins the membership of a process.
 func (n *node) startMembership(list []model.ListEntry) {
-	d := n.sim
-	if !d.scenario.Nodes.Membership {
+	sim := n.sim
+	if !sim.scenario.Nodes.Membership {
 		return
 	}
 	var names []string
-	for i := range d.scenario.Nodes.Count {
+	for i := range sim.scenario.Nodes.Count {
 		names = append(names, fmt.Sprintf("n%d", i))
 	}
-	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.record.Incarnation)
-	view, err := members.New(members.Config{
-		Name: names[n.index], Nodes: names, ProtocolPeriodNs: int64(d.scenario.Nodes.ProtocolPeriod), Seed: seed,
-		RunID: uint32(seed*2654435761>>8) | 1, ReceivePayload: func(from int, load []byte) { n.listGossip.receive(n, from, load) },
+	seed := sim.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.record.Incarnation)
+	membership, err := members.New(members.Config{
+		Name: names[n.index], Nodes: names, ProtocolPeriodNs: int64(sim.scenario.Nodes.ProtocolPeriod), Seed: seed,
+		RunID: uint32(seed*2654435761>>8) | 1, ReceivePayload: func(from int, payload []byte) { n.listGossip.receive(n, from, payload) },
 	}, (*memberTransport)(n), n.clock())
 	if err != nil {
-		d.err = fmt.Errorf("node %d: %w", n.index, err)
+		sim.err = fmt.Errorf("node %d: %w", n.index, err)
 		return
 	}
-	n.membership = view
+	n.membership = membership
 	n.startListGossip(seed, list)
-	beat := int64(d.scenario.Nodes.ProtocolPeriod) / 10
-	var again func()
-	again = func() {
-		if n.membership != view {
+	tickInterval := int64(sim.scenario.Nodes.ProtocolPeriod) / 10
+	var tick func()
+	tick = func() {
+		if n.membership != membership {
 			return
 		}
-		if n.pausedUntil > d.now { // of the ticks that it misses it makes up for one
-			d.at(n.pausedUntil, again)
+		if n.pausedUntil > sim.now { // of the ticks that it misses it makes up for one
+			sim.at(n.pausedUntil, tick)
 			return
 		}
-		view.Tick(n.clock())
+		membership.Tick(n.clock())
 		n.listGossip.tick(n)
-		d.after(beat, again)
+		sim.after(tickInterval, tick)
 	}
-	d.after(int64(seed%uint64(beat)), again)
+	sim.after(int64(seed%uint64(tickInterval)), tick)
 }
 
 // memberTransport carries the datagrams of membership.
@@ -151,70 +151,70 @@
 
 func (s *memberTransport) Send(to int, datagram []byte) {
 	n := (*node)(s)
-	d := n.sim
-	d.count(func(t *trace.FleetActivity) { t.Members++; t.MembershipBytes += len(datagram) })
-	other := d.nodes[to]
-	v := d.fateOf(n.linkEnd(), other.linkEnd(), len(datagram))
-	if v.Lost {
+	sim := n.sim
+	sim.count(func(t *trace.FleetActivity) { t.Members++; t.MembershipBytes += len(datagram) })
+	other := sim.nodes[to]
+	fate := sim.fateOf(n.linkEnd(), other.linkEnd(), len(datagram))
+	if fate.Lost {
 		return
 	}
-	if v.CorruptByte >= 0 {
+	if fate.CorruptByte >= 0 {
 		datagram = append([]byte(nil), datagram...)
-		datagram[v.CorruptByte] ^= 0x55
+		datagram[fate.CorruptByte] ^= 0x55
 	}
-	way := int64(d.scenario.Network.SameZone)
+	oneWay := int64(sim.scenario.Network.SameZone)
 	if n.zone != other.zone {
-		way = int64(d.scenario.Network.CrossZone)
+		oneWay = int64(sim.scenario.Network.CrossZone)
 	}
-	if v.Rate > 0 {
-		v.Delay += int64(float64(len(datagram)) / v.Rate * 1e9)
+	if fate.Rate > 0 {
+		fate.Delay += int64(float64(len(datagram)) / fate.Rate * 1e9)
 	}
-	d.after(way+v.Delay, func() { other.receiveDatagram(datagram) })
-	if v.DuplicateAfter > 0 {
-		d.after(way+v.Delay+v.DuplicateAfter, func() { other.receiveDatagram(datagram) })
+	sim.after(oneWay+fate.Delay, func() { other.receiveDatagram(datagram) })
+	if fate.DuplicateAfter > 0 {
+		sim.after(oneWay+fate.Delay+fate.DuplicateAfter, func() { other.receiveDatagram(datagram) })
 	}
 }
 
 func (n *node) receiveDatagram(datagram []byte) {
-	d, view := n.sim, n.membership
-	if view == nil {
+	sim, membership := n.sim, n.membership
+	if membership == nil {
 		return
 	}
-	if n.pausedUntil > d.now {
-		d.at(n.pausedUntil, func() {
-			if n.membership == view {
+	if n.pausedUntil > sim.now {
+		sim.at(n.pausedUntil, func() {
+			if n.membership == membership {
 				n.receiveDatagram(datagram)
 			}
 		})
 		return
 	}
-	view.Receive(n.clock(), datagram)
+	membership.Receive(n.clock(), datagram)
 }
 
 // recordViews records the nodes' views of each other, and which of them run.
-func (d *Simulation) recordViews() {
-	runs := make([]byte, len(d.nodes))
-	step := (len(d.nodes) + maxViews - 1) / maxViews
-	for i, n := range d.nodes {
-		if runs[i] = '-'; !n.alive || n.membership == nil || n.pausedUntil > d.now {
+func (sim *Simulation) recordViews() {
+	running := make([]byte, len(sim.nodes))
+	step := (len(sim.nodes) + maxViews - 1) / maxViews
+	for i, n := range sim.nodes {
+		if running[i] = '-'; !n.alive || n.membership == nil || n.pausedUntil > sim.now {
 			continue
 		}
-		runs[i] = 'U'
+		running[i] = 'U'
 		if i%step != 0 {
 			continue
 		}
-		b := trace.MembershipView{
-			At: d.now, Node: i, Reliable: n.membership.Summary(n.clock()).Reliable, HealthScore: n.membership.HealthScore(),
+		view := trace.MembershipView{
+			At: sim.now, Node: i, Reliable: n.membership.Summary(n.clock()).Reliable, HealthScore: n.membership.HealthScore(),
 		}
-		letters := make([]byte, len(d.nodes))
+		letters := make([]byte, len(sim.nodes))
 		for k, s := range n.membership.States() {
 			letters[k] = trace.StateLetters[s]
 		}
-		b.States = string(letters)
-		d.views = append(d.views, b)
+		view.States = string(letters)
+		sim.views = append(sim.views, view)
 	}
-	d.running = append(d.running, trace.RunningNodes{At: d.now, States: string(runs)})
-	if d.now < int64(d.scenario.Length) {
-		d.after(viewInterval, d.recordViews)
+	sim.running = append(sim.running, trace.RunningNodes{At: sim.now, States: string(running)})
+	if sim.now < int64(sim.scenario.Length) {
+		sim.after(viewInterval, sim.recordViews)
 	}
 }
--- a/internal/lab/simulation/listgossip.go
+++ b/internal/lab/simulation/listgossip.go
@@ -20,50 +20,50 @@
 	if !n.sim.scenario.Nodes.ListGossip {
 		return
 	}
-	lines, _ := n.sim.gossipEntries(list)
+	entries, _ := n.sim.gossipEntries(list)
 	n.listGossip = &listGossip{
-		exchange: endpointgossip.New(seed, n.membership, n.clock(), n.sim.discovery.list.Version(), lines, false),
+		exchange: endpointgossip.New(seed, n.membership, n.clock(), n.sim.discovery.list.Version(), entries, false),
 	}
 }
 
-func (d *Simulation) gossipEntries(list []model.ListEntry) (lines []endpointgossip.Endpoint, gone []string) {
+func (sim *Simulation) gossipEntries(list []model.ListEntry) (entries []endpointgossip.Endpoint, removed []string) {
 	for _, l := range list {
-		m := d.endpoints[l.Endpoint]
+		e := sim.endpoints[l.Endpoint]
 		name := fmt.Sprint(l.Endpoint)
 		if l.State == model.Removed {
-			gone = append(gone, name)
+			removed = append(removed, name)
 			continue
 		}
-		lines = append(lines, endpointgossip.Endpoint{
-			Name: name, Zone: m.spec.Zone, Pod: m.spec.Pod, Weight: 1, Draining: l.State == model.Draining,
+		entries = append(entries, endpointgossip.Endpoint{
+			Name: name, Zone: e.spec.Zone, Pod: e.spec.Pod, Weight: 1, Draining: l.State == model.Draining,
 			StartedNs: l.StartedAt,
 		})
 	}
-	return lines, gone
+	return entries, removed
 }
 
 // applyGossipEntries gives the decisions entries of others, or the node's own list again.
-func (n *node) applyGossipEntries(lines []endpointgossip.Endpoint, whole bool) {
-	if lines == nil {
+func (n *node) applyGossipEntries(entries []endpointgossip.Endpoint, complete bool) {
+	if entries == nil {
 		return
 	}
-	list := make([]policy.EndpointInfo, 0, len(lines))
-	for _, l := range lines {
+	list := make([]policy.EndpointInfo, 0, len(entries))
+	for _, l := range entries {
 		endpoint, err := strconv.Atoi(l.Name)
 		if err != nil {
 			n.sim.err = fmt.Errorf("node %d: an entry of no endpoint: %w", n.index, err)
 			return
 		}
-		health := model.Up
+		state := model.Up
 		if l.Draining {
-			health = model.Draining
+			state = model.Draining
 		}
 		list = append(list, n.sim.discovery.entries([]model.ListEntry{{
-			Endpoint: endpoint, State: health, StartedAt: l.StartedNs,
+			Endpoint: endpoint, State: state, StartedAt: l.StartedNs,
 		}})...)
 	}
 	n.post(func() {
-		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
+		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, complete)
 		for _, l := range list {
 			if l.State != policy.StateActive && !n.settings.Policy.RemovedMayServe {
 				n.CloseIdle(l.ID)
@@ -73,33 +73,33 @@
 }
 
 // tick lets the core ask. A watch confirms the list at every moment at which its link is open.
-func (h *listGossip) tick(n *node) {
-	if h == nil {
+func (g *listGossip) tick(n *node) {
+	if g == nil {
 		return
 	}
-	word := int64(0)
+	confirmedAt := int64(0)
 	if w := n.watch; w != nil && w.record != nil {
 		if n.sim.links.Open(n.sim.now, discoveryEnd, n.linkEnd()) {
-			h.confirmedAt = n.clock()
+			g.confirmedAt = n.clock()
 		}
-		word = h.confirmedAt
+		confirmedAt = g.confirmedAt
 	}
-	n.applyGossipEntries(h.exchange.Tick(n.clock(), word), true)
+	n.applyGossipEntries(g.exchange.Tick(n.clock(), confirmedAt), true)
 }
 
-func (h *listGossip) receive(n *node, from int, load []byte) {
-	if h != nil {
-		n.applyGossipEntries(h.exchange.Receive(n.clock(), from, load), false)
+func (g *listGossip) receive(n *node, from int, payload []byte) {
+	if g != nil {
+		n.applyGossipEntries(g.exchange.Receive(n.clock(), from, payload), false)
 	}
 }
 
 // listed takes an update of the watch, and tells whether the node was given the complete list anew.
-func (h *listGossip) watchUpdated(n *node, version int64, entries []model.ListEntry, whole bool) bool {
-	if h == nil {
+func (g *listGossip) watchUpdated(n *node, version int64, entries []model.ListEntry, complete bool) bool {
+	if g == nil {
 		return false
 	}
-	lines, gone := n.sim.gossipEntries(entries)
-	all := h.exchange.WatchUpdated(n.clock(), version, lines, gone, whole)
+	changed, removed := n.sim.gossipEntries(entries)
+	all := g.exchange.WatchUpdated(n.clock(), version, changed, removed, complete)
 	n.applyGossipEntries(all, true)
 	return all != nil
 }
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -65,25 +65,25 @@
 // end is the node's end of links.
 func (n *node) linkEnd() netfault.End { return netfault.End{Kind: netfault.Node, Index: n.index} }
 
-func newNode(d *Simulation, index int) (*node, error) {
+func newNode(sim *Simulation, index int) (*node, error) {
 	n := &node{
-		sim: d, index: index, clockRate: 1, zone: index % len(d.scenario.Network.Zones),
+		sim: sim, index: index, clockRate: 1, zone: index % len(sim.scenario.Network.Zones),
 		usage: trace.NodeUsage{Node: index},
 	}
-	if zones := d.scenario.Nodes.Zones; len(zones) > 0 {
-		for z, name := range d.scenario.Network.Zones {
+	if zones := sim.scenario.Nodes.Zones; len(zones) > 0 {
+		for z, name := range sim.scenario.Network.Zones {
 			if name == zones[index] {
 				n.zone = z
 			}
 		}
 	}
-	if skew := int64(d.scenario.Nodes.ClockSkew); skew > 0 {
-		n.clockOffset = int64((2*d.random.Float64() - 1) * float64(skew))
+	if skew := int64(sim.scenario.Nodes.ClockSkew); skew > 0 {
+		n.clockOffset = int64((2*sim.random.Float64() - 1) * float64(skew))
 	}
-	if n.eventCost = eventCost; d.scenario.Nodes.Cores > 0 && d.scenario.Nodes.Cores < 1 {
-		n.eventCost = int64(float64(eventCost) / d.scenario.Nodes.Cores)
+	if n.eventCost = eventCost; sim.scenario.Nodes.Cores > 0 && sim.scenario.Nodes.Cores < 1 {
+		n.eventCost = int64(float64(eventCost) / sim.scenario.Nodes.Cores)
 	}
-	text, err := json.Marshal(trace.NodeSettings(d.scenario, index, n.zone))
+	text, err := json.Marshal(trace.NodeSettings(sim.scenario, index, n.zone))
 	if err != nil {
 		return nil, err
 	}
@@ -120,13 +120,13 @@
 
 // start begins a process.
 func (n *node) start() {
-	number := 1
+	incarnation := 1
 	if n.record != nil {
-		number = n.record.Incarnation + 1
+		incarnation = n.record.Incarnation + 1
 	}
-	d := n.sim
-	n.record = &invariant.Process{Node: n.index, Incarnation: number, StartedAt: d.now}
-	d.history.RecordProcess(n.record)
+	sim := n.sim
+	n.record = &invariant.Process{Node: n.index, Incarnation: incarnation, StartedAt: sim.now}
+	sim.history.RecordProcess(n.record)
 	n.usage.Starts++
 	n.clockOffset, n.clockStep = n.clockOffset+n.clockStep, 0
 	n.alive, n.stopping = true, false
@@ -134,17 +134,17 @@
 	n.version, n.watch = 0, nil
 	n.callBackoff = int64(firstCallBackoff)
 	n.requests, n.pendingOrder, n.idle = map[policy.RequestID]*pendingRequest{}, nil, map[*endpoint][]*connection{}
-	n.decider = d.newDecider(n.index, n.settings.Policy, d.plan.Seed*1000003+uint64(n.index)*7919+uint64(number), n, d)
-	list := d.discovery.list.Complete()
-	n.running, n.hasList = false, number == 1 || !d.scenario.Nodes.NoList
-	if stale := d.scenario.Nodes.StaleList && number > 1; stale {
-		list = d.discovery.initial
+	n.decider = sim.newDecider(n.index, n.settings.Policy, sim.plan.Seed*1000003+uint64(n.index)*7919+uint64(incarnation), n, sim)
+	list := sim.discovery.list.Complete()
+	n.running, n.hasList = false, incarnation == 1 || !sim.scenario.Nodes.NoList
+	if stale := sim.scenario.Nodes.StaleList && incarnation > 1; stale {
+		list = sim.discovery.initial
 	} else if !n.hasList {
 		list = nil
 	} else {
-		d.discovery.recordEntries(n, list, true)
+		sim.discovery.recordEntries(n, list, true)
 	}
-	n.post(func() { n.decider.EndpointsUpdated(policy.Time(n.clock()), d.discovery.entries(list), true) })
+	n.post(func() { n.decider.EndpointsUpdated(policy.Time(n.clock()), sim.discovery.entries(list), true) })
 	if !n.settings.Policy.MustPollList {
 		n.startWatch()
 	}
@@ -161,11 +161,11 @@
 
 // post queues an event for the event loop; each takes the processor for eventCost.
 func (n *node) post(do func()) {
-	life := n.record
+	record := n.record
 	start := max(n.sim.now, n.busyUntil, n.pausedUntil)
 	n.busyUntil = start + n.eventCost
 	n.sim.at(start, func() {
-		if !n.alive || n.record != life {
+		if !n.alive || n.record != record {
 			return
 		}
 		if n.pausedUntil > n.sim.now { // paused since it was queued
@@ -182,43 +182,43 @@
 	if !n.alive {
 		return
 	}
-	d := n.sim
+	sim := n.sim
 	n.alive, n.admitted = false, n.admitted && !n.stopping
-	n.record.EndedAt = d.now
+	n.record.EndedAt = sim.now
 	n.membership = nil
-	for _, x := range n.pendingOrder {
-		if !x.answered {
-			x.answered = true
-			d.clients.lost(x)
+	for _, p := range n.pendingOrder {
+		if !p.answered {
+			p.answered = true
+			sim.clients.lost(p)
 		}
-		for _, h := range x.attempts {
-			if !h.ended {
-				h.ended = true
-				n.closeConnection(h.conn)
-				h.notifyCanceled()
+		for _, a := range p.attempts {
+			if !a.ended {
+				a.ended = true
+				n.closeConnection(a.conn)
+				a.notifyCanceled()
 			}
 		}
 	}
-	for _, m := range d.endpoints {
-		for _, k := range n.idle[m] {
-			n.closeConnection(k)
+	for _, e := range sim.endpoints {
+		for _, c := range n.idle[e] {
+			n.closeConnection(c)
 		}
 	}
 	if n.watch != nil {
 		n.watch.close()
 	}
-	life := n.record
-	d.after(int64(d.scenario.Nodes.DeathNotice), func() {
-		if n.record == life && !n.alive {
+	record := n.record
+	sim.after(int64(sim.scenario.Nodes.DeathNotice), func() {
+		if n.record == record && !n.alive {
 			n.admitted = false
 		}
 	})
 }
 
 // receive takes a request whose last byte has come.
-func (n *node) receive(t *clientRequest, rec *invariant.Request) {
-	x := &pendingRequest{node: n, incarnation: n.record.Incarnation, request: t, record: rec}
-	n.pendingOrder = append(n.pendingOrder, x)
+func (n *node) receive(request *clientRequest, rec *invariant.Request) {
+	p := &pendingRequest{node: n, incarnation: n.record.Incarnation, request: request, record: rec}
+	n.pendingOrder = append(n.pendingOrder, p)
 	if len(n.pendingOrder) > 1024 && len(n.pendingOrder) > 4*len(n.requests) {
 		kept := n.pendingOrder[:0]
 		for _, old := range n.pendingOrder {
@@ -228,170 +228,170 @@
 		}
 		n.pendingOrder = kept
 	}
-	t.pending = x
+	request.pending = p
 	n.sim.after(receiveDelay, func() {
 		n.post(func() {
-			if x.answered {
+			if p.answered {
 				return
 			}
-			o := t.operation
-			id := policy.RequestID(t.id)
-			n.requests[id] = x
-			p := policy.Request{
+			o := request.operation
+			id := policy.RequestID(request.id)
+			n.requests[id] = p
+			policyRequest := policy.Request{
 				ID: id, Class: o.Class, Tenant: max(o.Tenant, 0),
-				Deadline: policy.Time(n.clock() + t.deadline - n.sim.now), ClientRetry: t.number > 0,
+				Deadline: policy.Time(n.clock() + request.deadline - n.sim.now), ClientRetry: request.number > 0,
 				CostHint: time.Duration(o.CostHint),
 			}
 			if o.Key >= 0 && n.settings.Policy.KeyAffinity {
-				p.Key = fmt.Sprint("k", o.Key)
+				policyRequest.Key = fmt.Sprint("k", o.Key)
 			}
-			n.decider.RequestArrived(policy.Time(n.clock()), p)
+			n.decider.RequestArrived(policy.Time(n.clock()), policyRequest)
 		})
 	})
 }
 
 // clientGone takes the leaving of a client.
-func (n *node) clientGone(x *pendingRequest) {
+func (n *node) clientGone(p *pendingRequest) {
 	n.post(func() {
-		id := policy.RequestID(x.request.id)
-		if x.answered {
+		id := policy.RequestID(p.request.id)
+		if p.answered {
 			return
 		}
-		x.answered = true
-		if n.requests[id] == x {
+		p.answered = true
+		if n.requests[id] == p {
 			n.decider.ClientGone(policy.Time(n.clock()), id)
-			n.release(x)
+			n.release(p)
 		}
 	})
 }
 
-func (n *node) release(x *pendingRequest) {
-	if id := policy.RequestID(x.request.id); x.answered && x.inFlight == 0 && n.requests[id] == x {
+func (n *node) release(p *pendingRequest) {
+	if id := policy.RequestID(p.request.id); p.answered && p.inFlight == 0 && n.requests[id] == p {
 		delete(n.requests, id)
 	}
 }
 
 // respond gives a request its one response.
-func (n *node) respond(x *pendingRequest, status int, advice int64) {
-	if x.answered {
+func (n *node) respond(p *pendingRequest, status int, retryAfter int64) {
+	if p.answered {
 		return
 	}
-	x.answered = true
-	n.release(x)
-	life := n.record
+	p.answered = true
+	n.release(p)
+	record := n.record
 	n.sim.after(sendDelay+n.sim.linkDelay(n.linkEnd(), n.frontEnd()), func() {
-		if n.alive && n.record == life && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.frontEnd()) {
+		if n.alive && n.record == record && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.frontEnd()) {
 			return // the client receives nothing
 		}
-		if n.alive && n.record == life {
-			n.sim.clients.answered(x, status, advice)
+		if n.alive && n.record == record {
+			n.sim.clients.answered(p, status, retryAfter)
 		} else {
-			n.sim.clients.lost(x)
+			n.sim.clients.lost(p)
 		}
 	})
 }
 
 // attemptEnded takes the result of an attempt; each has exactly one.
-func (n *node) attemptEnded(h *attempt, o policy.Outcome, report policy.LoadReport, keep bool) {
-	if h.ended {
+func (n *node) attemptEnded(a *attempt, o policy.Outcome, report policy.LoadReport, keep bool) {
+	if a.ended {
 		return
 	}
-	h.ended = true
-	if keep && o != policy.OutcomeConnectFailed && o != policy.OutcomeNotSent && !h.conn.overLimit {
-		n.putIdle(h.conn)
+	a.ended = true
+	if keep && o != policy.OutcomeConnectFailed && o != policy.OutcomeNotSent && !a.conn.overLimit {
+		n.putIdle(a.conn)
 	} else {
-		n.closeConnection(h.conn)
+		n.closeConnection(a.conn)
 	}
-	if h.pending.incarnation != n.record.Incarnation || !n.alive {
+	if a.pending.incarnation != n.record.Incarnation || !n.alive {
 		return
 	}
-	at, fresh := n.clock(), h.newConnection
+	at, fresh := n.clock(), a.newConnection
 	n.sim.after(receiveDelay/2, func() {
 		n.post(func() {
-			x := h.pending
-			x.inFlight--
+			p := a.pending
+			p.inFlight--
 			if o == policy.OutcomeSucceeded {
-				n.respond(x, 200, 0)
+				n.respond(p, 200, 0)
 			}
 			n.decider.AttemptEnded(policy.Time(n.clock()), policy.AttemptResult{
-				Request: policy.RequestID(x.request.id), Attempt: h.number, Endpoint: h.endpoint.id, Outcome: o,
-				Elapsed: time.Duration(max(at-h.sentAt, 0)), RequestDone: x.answered, NewConnection: fresh,
+				Request: policy.RequestID(p.request.id), Attempt: a.number, Endpoint: a.endpoint.id, Outcome: o,
+				Elapsed: time.Duration(max(at-a.sentAt, 0)), RequestDone: p.answered, NewConnection: fresh,
 				Report: report,
 			})
-			n.release(x)
+			n.release(p)
 		})
 	})
 }
 
 // putIdle keeps a connection for reuse. It is closed before the endpoint would.
-func (n *node) putIdle(k *connection) {
-	if k.closed || !n.alive {
+func (n *node) putIdle(c *connection) {
+	if c.closed || !n.alive {
 		return
 	}
-	k.idleSince = n.sim.now
-	n.idle[k.endpoint] = append(n.idle[k.endpoint], k)
-	since := k.idleSince
+	c.idleSince = n.sim.now
+	n.idle[c.endpoint] = append(n.idle[c.endpoint], c)
+	since := c.idleSince
 	n.sim.after(int64(n.settings.IdleTimeout)*3/4, func() {
-		if k.closed || k.idleSince != since {
+		if c.closed || c.idleSince != since {
 			return
 		}
-		list := n.idle[k.endpoint]
+		list := n.idle[c.endpoint]
 		for i, one := range list {
-			if one == k {
-				n.idle[k.endpoint] = append(list[:i:i], list[i+1:]...)
-				n.closeConnection(k)
+			if one == c {
+				n.idle[c.endpoint] = append(list[:i:i], list[i+1:]...)
+				n.closeConnection(c)
 				return
 			}
 		}
 	})
 }
 
-func (n *node) closeConnection(k *connection) {
-	if k == nil || k.closed {
+func (n *node) closeConnection(c *connection) {
+	if c == nil || c.closed {
 		return
 	}
-	k.closed = true
-	if k.endpoint.incarnation == k.incarnation && k.endpoint.up {
-		k.endpoint.connections--
+	c.closed = true
+	if c.endpoint.incarnation == c.incarnation && c.endpoint.up {
+		c.endpoint.connections--
 	}
 }
 
 // acquire takes the connection that was used last, or opens one; nil if it cannot.
-func (n *node) acquire(m *endpoint) *connection {
-	for list := n.idle[m]; len(list) > 0; list = n.idle[m] {
-		k := list[len(list)-1]
-		n.idle[m] = list[:len(list)-1]
-		if m.usable(k) || m.isCutFrom(n.index) && k.incarnation == m.incarnation && m.up {
-			k.idleSince = 0
-			return k
+func (n *node) acquire(e *endpoint) *connection {
+	for list := n.idle[e]; len(list) > 0; list = n.idle[e] {
+		c := list[len(list)-1]
+		n.idle[e] = list[:len(list)-1]
+		if e.usable(c) || e.isCutFrom(n.index) && c.incarnation == e.incarnation && e.up {
+			c.idleSince = 0
+			return c
 		}
-		n.closeConnection(k)
+		n.closeConnection(c)
 	}
-	if barred, _ := n.sim.cannotConnect(n.linkEnd(), m.linkEnd()); barred || !m.up || m.isCutFrom(n.index) {
+	if blocked, _ := n.sim.cannotConnect(n.linkEnd(), e.linkEnd()); blocked || !e.up || e.isCutFrom(n.index) {
 		return nil
 	}
 	n.sim.count(func(t *trace.FleetActivity) { t.Connections++ })
-	k := &connection{
-		endpoint: m, node: n.index, incarnation: m.incarnation, epoch: m.epochFor(n.index), isNew: true,
-		overLimit: m.isFull(),
+	c := &connection{
+		endpoint: e, node: n.index, incarnation: e.incarnation, epoch: e.epochFor(n.index), isNew: true,
+		overLimit: e.isFull(),
 	}
-	m.connections++
-	return k
+	e.connections++
+	return c
 }
 
 // endpointGone ends what is open to an endpoint: its process has ended, or it was cut off and is back.
-func (n *node) endpointGone(m *endpoint, healed bool) {
+func (n *node) endpointGone(e *endpoint, healed bool) {
 	if n.requests == nil {
 		return
 	}
-	for _, x := range n.pendingOrder {
-		for _, h := range x.attempts {
-			if h.endpoint != m || h.ended || h.conn == nil || m.isCutFrom(n.index) && !healed {
+	for _, p := range n.pendingOrder {
+		for _, a := range p.attempts {
+			if a.endpoint != e || a.ended || a.conn == nil || e.isCutFrom(n.index) && !healed {
 				continue
 			}
-			h.record.ClosedAt = min(h.record.ClosedAt, n.sim.now)
-			if h.answered = true; n.alive {
-				n.attemptEnded(h, policy.OutcomeReset, noReport, false)
+			a.record.ClosedAt = min(a.record.ClosedAt, n.sim.now)
+			if a.answered = true; n.alive {
+				n.attemptEnded(a, policy.OutcomeReset, noReport, false)
 			}
 		}
 	}
@@ -399,123 +399,123 @@
 
 // Send implements policy.Effects, with the methods below.
 func (n *node) Send(id policy.RequestID, endpoint policy.EndpointID, timeout time.Duration) {
-	x, d := n.requests[id], n.sim
-	if x == nil {
+	p, sim := n.requests[id], n.sim
+	if p == nil {
 		return
 	}
-	m := d.byID[endpoint]
-	h := &attempt{pending: x, number: len(x.attempts), endpoint: m, sentAt: n.clock()}
-	h.deadline = min(d.now+int64(max(timeout, 0)), x.request.deadline)
-	x.attempts = append(x.attempts, h)
-	x.inFlight++
-	d.count(func(t *trace.FleetActivity) {
+	e := sim.byID[endpoint]
+	a := &attempt{pending: p, number: len(p.attempts), endpoint: e, sentAt: n.clock()}
+	a.deadline = min(sim.now+int64(max(timeout, 0)), p.request.deadline)
+	p.attempts = append(p.attempts, a)
+	p.inFlight++
+	sim.count(func(t *trace.FleetActivity) {
 		t.Attempts++
 		switch {
-		case h.number > 0 && x.inFlight > 1:
+		case a.number > 0 && p.inFlight > 1:
 			t.Hedged++
-		case h.number > 0:
+		case a.number > 0:
 			t.Retries++
 		}
 	})
-	if m == nil || x.answered {
-		d.after(0, func() { n.attemptEnded(h, policy.OutcomeNotSent, noReport, false) })
+	if e == nil || p.answered {
+		sim.after(0, func() { n.attemptEnded(a, policy.OutcomeNotSent, noReport, false) })
 		return
 	}
-	h.incarnation, h.oneWay = m.incarnation, m.delayTo(n)
-	h.conn = n.acquire(m)
-	if h.conn == nil {
-		n.failToConnect(h)
+	a.incarnation, a.oneWay = e.incarnation, e.delayTo(n)
+	a.conn = n.acquire(e)
+	if a.conn == nil {
+		n.failToConnect(a)
 		return
 	}
-	n.write(h)
+	n.write(a)
 }
 
 // failToConnect ends an attempt without a connection: at once where it is refused, else after the timeout.
-func (n *node) failToConnect(h *attempt) {
-	d := n.sim
+func (n *node) failToConnect(a *attempt) {
+	sim := n.sim
 	after := refusedAfter
-	if _, refused := d.cannotConnect(n.linkEnd(), h.endpoint.linkEnd()); h.endpoint.up && !refused {
+	if _, refused := sim.cannotConnect(n.linkEnd(), a.endpoint.linkEnd()); a.endpoint.up && !refused {
 		after = int64(n.settings.ConnectTimeout)
 	}
-	after = min(after, max(h.deadline-d.now, 0))
-	d.after(after, func() { n.attemptEnded(h, policy.OutcomeConnectFailed, noReport, false) })
+	after = min(after, max(a.deadline-sim.now, 0))
+	sim.after(after, func() { n.attemptEnded(a, policy.OutcomeConnectFailed, noReport, false) })
 }
 
 // write sends an attempt over its connection.
-func (n *node) write(h *attempt) {
-	d, m := n.sim, h.endpoint
-	h.record = &invariant.Attempt{
-		Request: h.pending.request.id, Node: n.index, Endpoint: m.spec.Index, Incarnation: m.incarnation,
-		Zone: m.spec.Zone, Pod: m.spec.Pod, FirstByteAt: d.now,
-	}
-	d.history.RecordAttempt(h.record)
-	h.record.LastByteAt = d.now
-	d.at(h.deadline, func() {
-		if !h.ended {
-			n.attemptEnded(h, policy.OutcomeTimedOut, noReport, false)
-			h.notifyCanceled()
+func (n *node) write(a *attempt) {
+	sim, e := n.sim, a.endpoint
+	a.record = &invariant.Attempt{
+		Request: a.pending.request.id, Node: n.index, Endpoint: e.spec.Index, Incarnation: e.incarnation,
+		Zone: e.spec.Zone, Pod: e.spec.Pod, FirstByteAt: sim.now,
+	}
+	sim.history.RecordAttempt(a.record)
+	a.record.LastByteAt = sim.now
+	sim.at(a.deadline, func() {
+		if !a.ended {
+			n.attemptEnded(a, policy.OutcomeTimedOut, noReport, false)
+			a.notifyCanceled()
 		}
 	})
-	if m.isCutFrom(n.index) || !d.links.Open(d.now, n.linkEnd(), m.linkEnd()) {
+	if e.isCutFrom(n.index) || !sim.links.Open(sim.now, n.linkEnd(), e.linkEnd()) {
 		return // it never arrives; the node cannot know
 	}
-	delay := h.oneWay + d.linkDelay(n.linkEnd(), m.linkEnd())
-	h.newConnection = h.conn.isNew
-	if h.newConnection {
-		delay += int64(m.fleet.ConnectionWait) + 2*h.oneWay
+	delay := a.oneWay + sim.linkDelay(n.linkEnd(), e.linkEnd())
+	a.newConnection = a.conn.isNew
+	if a.newConnection {
+		delay += int64(e.fleet.ConnectionWait) + 2*a.oneWay
 	}
-	d.after(delay, h.arrive)
+	sim.after(delay, a.arrive)
 }
 
-func (n *node) Cancel(id policy.RequestID, number int) {
-	x := n.requests[id]
-	if x == nil || number >= len(x.attempts) || x.attempts[number].ended {
+func (n *node) Cancel(id policy.RequestID, incarnation int) {
+	p := n.requests[id]
+	if p == nil || incarnation >= len(p.attempts) || p.attempts[incarnation].ended {
 		return
 	}
-	h := x.attempts[number]
-	if h.record == nil {
-		n.attemptEnded(h, policy.OutcomeNotSent, noReport, false)
+	a := p.attempts[incarnation]
+	if a.record == nil {
+		n.attemptEnded(a, policy.OutcomeNotSent, noReport, false)
 		return
 	}
-	n.attemptEnded(h, policy.OutcomeCanceled, noReport, false)
-	h.notifyCanceled()
+	n.attemptEnded(a, policy.OutcomeCanceled, noReport, false)
+	a.notifyCanceled()
 }
 
-func (n *node) Reject(id policy.RequestID, comeBackIn time.Duration, reason policy.Reason) {
-	if x := n.requests[id]; x != nil {
+func (n *node) Reject(id policy.RequestID, retryAfter time.Duration, reason policy.Reason) {
+	if p := n.requests[id]; p != nil {
 		n.sim.givenUp[reason.String()]++
-		n.respond(x, 503, int64(comeBackIn))
+		n.respond(p, 503, int64(retryAfter))
 	}
 }
 
 func (n *node) Fail(id policy.RequestID, reason policy.Reason) {
-	if x := n.requests[id]; x != nil {
+	if p := n.requests[id]; p != nil {
 		n.sim.givenUp[reason.String()]++
-		n.respond(x, 502, 0)
+		n.respond(p, 502, 0)
 	}
 }
 
 // SetTimer sets a timer. Guards against a decider that sets timers for one moment for ever: the run would never end.
 func (n *node) SetTimer(at policy.Time, cookie uint64) {
-	d := n.sim
+	sim := n.sim
 	when := n.virtualTime(int64(at))
-	if second := d.now / 1e9; n.timerSecond != second {
+	if second := sim.now / 1e9; n.timerSecond != second {
 		n.timerSecond, n.timersAtOnce = second, 0
 	}
-	if when = max(when, d.now); when == d.now {
+	if when = max(when, sim.now); when == sim.now {
 		n.timersAtOnce++
 	}
 	if n.timersAtOnce > maxTimersAtOnce {
-		if d.err == nil {
-			d.err = fmt.Errorf(
-				"node %d asks at %.3f s of the day to be woken at once, over and over", n.index, float64(d.now)/1e9,
+		if sim.err == nil {
+			sim.err = fmt.Errorf(
+				"node %d asks at %.3f s of the day to be woken at once, over and over", n.index, float64(sim.now)/1e9,
 			)
 		}
 		return
 	}
-	life := n.record
-	d.at(when, func() {
-		if n.alive && n.record == life {
+	record := n.record
+	sim.at(when, func() {
+		if n.alive && n.record == record {
 			n.post(func() { n.decider.TimerFired(policy.Time(n.clock()), cookie) })
 		}
 	})
@@ -524,58 +524,58 @@
 func (n *node) WatchEndpoints() { n.startWatch() }
 
 func (n *node) CloseIdle(id policy.EndpointID) {
-	if m := n.sim.byID[id]; m != nil {
-		for _, k := range n.idle[m] {
-			n.closeConnection(k)
+	if e := n.sim.byID[id]; e != nil {
+		for _, c := range n.idle[e] {
+			n.closeConnection(c)
 		}
-		delete(n.idle, m)
+		delete(n.idle, e)
 	}
 }
 
 // CheckHealth asks an endpoint for its load.
 func (n *node) CheckHealth(id policy.EndpointID) {
-	m, d := n.sim.byID[id], n.sim
-	d.count(func(t *trace.FleetActivity) { t.HealthChecks++ })
-	if m == nil || !m.up || m.isCutFrom(n.index) || m.faults.silent || !d.links.Open(d.now, n.linkEnd(), m.linkEnd()) ||
-		!d.links.Open(d.now, m.linkEnd(), n.linkEnd()) {
-		d.after(int64(n.settings.ConnectTimeout), func() {
+	e, sim := n.sim.byID[id], n.sim
+	sim.count(func(t *trace.FleetActivity) { t.HealthChecks++ })
+	if e == nil || !e.up || e.isCutFrom(n.index) || e.faults.silent || !sim.links.Open(sim.now, n.linkEnd(), e.linkEnd()) ||
+		!sim.links.Open(sim.now, e.linkEnd(), n.linkEnd()) {
+		sim.after(int64(n.settings.ConnectTimeout), func() {
 			n.post(func() {
 				n.decider.HealthChecked(policy.Time(n.clock()), id, policy.OutcomeTimedOut, noReport)
 			})
 		})
 		return
 	}
-	way := m.delayTo(n)
-	d.after(way, func() {
-		if !m.up {
+	oneWay := e.delayTo(n)
+	sim.after(oneWay, func() {
+		if !e.up {
 			return
 		}
-		m.model.Charge(d.now, int64(m.fleet.HealthCheckWork))
-		m.scheduleWake()
-		report := m.report()
-		d.after(way, func() {
+		e.model.Charge(sim.now, int64(e.fleet.HealthCheckWork))
+		e.scheduleWake()
+		report := e.report()
+		sim.after(oneWay, func() {
 			n.post(func() { n.decider.HealthChecked(policy.Time(n.clock()), id, policy.OutcomeSucceeded, report) })
 		})
 	})
 }
 
 // Gossip sends a message to every other node, late, and with some loss.
-func (n *node) Gossip(what policy.GossipMessage) {
-	d := n.sim
-	message := gossip.Encode(what, n.clock())
-	for _, other := range d.nodes {
-		if other == n || !other.alive || d.random.Float64() < gossipLoss {
+func (n *node) Gossip(message policy.GossipMessage) {
+	sim := n.sim
+	encoded := gossip.Encode(message, n.clock())
+	for _, other := range sim.nodes {
+		if other == n || !other.alive || sim.random.Float64() < gossipLoss {
 			continue
 		}
-		d.count(func(t *trace.FleetActivity) { t.Gossip++ })
-		way := d.fateOf(n.linkEnd(), netfault.End{Index: other.index}, len(message))
-		if way.Lost || way.CorruptByte >= 0 {
+		sim.count(func(t *trace.FleetActivity) { t.Gossip++ })
+		fate := sim.fateOf(n.linkEnd(), netfault.End{Index: other.index}, len(encoded))
+		if fate.Lost || fate.CorruptByte >= 0 {
 			continue
 		}
-		d.after(way.Delay+int64(d.scenario.Network.CrossZone)+int64(d.random.Float64()*float64(gossipDelay)), func() {
+		sim.after(fate.Delay+int64(sim.scenario.Network.CrossZone)+int64(sim.random.Float64()*float64(gossipDelay)), func() {
 			other.post(func() {
-				if told, err := other.inbox.Open(n.index, message, other.clock()); err == nil {
-					other.decider.GossipReceived(policy.Time(other.clock()), told)
+				if received, err := other.inbox.Open(n.index, encoded, other.clock()); err == nil {
+					other.decider.GossipReceived(policy.Time(other.clock()), received)
 				}
 			})
 		})
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -45,8 +45,8 @@
 type NewDecider func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider
 
 // NewBalancer makes the project's own decider.
-func NewBalancer(_ int, set policy.Settings, seed uint64, host policy.Effects, _ ClusterState) Decider {
-	return policy.New(set, seed, host)
+func NewBalancer(_ int, settings policy.Settings, seed uint64, effects policy.Effects, _ ClusterState) Decider {
+	return policy.New(settings, seed, effects)
 }
 
 // Options of a run.
@@ -111,144 +111,144 @@
 // Run runs a scenario to its end. An error means that it could not be run; what went wrong within it is in the trace.
 func Run(ctx context.Context, o Options) (*trace.Trace, error) {
 	began := time.Now()
-	d := newSimulation(&o)
-	hash := d.plan.Hash()
-	if err := d.prepare(); err != nil {
+	sim := newSimulation(&o)
+	hash := sim.plan.Hash()
+	if err := sim.prepare(); err != nil {
 		return nil, err
 	}
-	if err := d.runEvents(ctx, o.MaxEvents); err != nil {
+	if err := sim.runEvents(ctx, o.MaxEvents); err != nil {
 		return nil, err
 	}
-	for _, m := range d.endpoints {
-		m.recordSlowStart()
+	for _, e := range sim.endpoints {
+		e.recordSlowStart()
 	}
-	d.history.Close()
-	r := d.trace()
+	sim.history.Close()
+	r := sim.trace()
 	r.PlanHash, r.Elapsed = hash, time.Since(began)
 	return r, nil
 }
 
 func newSimulation(o *Options) *Simulation {
-	d := &Simulation{
+	sim := &Simulation{
 		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), newDecider: o.NewDecider,
 		history: &invariant.History{}, random: rand.New(rand.NewPCG(o.Seed, 11)),
 		byID: map[policy.EndpointID]*endpoint{}, deduplicators: map[dedupKey]*model.Deduplicator{},
 		waits: map[int]int64{}, anomalies: map[string]int{}, givenUp: map[string]int{}, messageCounts: map[[2]netfault.End]uint64{},
 	}
-	d.links = d.plan.LinkFaults(d.scenario)
-	d.idPrefix = fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761))
-	d.activity = make([]trace.FleetActivity, int(int64(o.Scenario.Length)/1e9)+1)
-	return d
+	sim.links = sim.plan.LinkFaults(sim.scenario)
+	sim.idPrefix = fmt.Sprintf("%08x", uint32(sim.plan.Seed*2654435761))
+	sim.activity = make([]trace.FleetActivity, int(int64(o.Scenario.Length)/1e9)+1)
+	return sim
 }
 
 // runEvents handles events until all operations have ended, or the latest time at which they may.
-func (d *Simulation) runEvents(ctx context.Context, maxEvents uint64) error {
+func (sim *Simulation) runEvents(ctx context.Context, maxEvents uint64) error {
 	if maxEvents == 0 {
 		maxEvents = defaultMaxEvents
 	}
 	longest := int64(0)
-	for _, c := range d.scenario.Classes {
+	for _, c := range sim.scenario.Classes {
 		longest = max(longest, int64(c.Deadline))
 	}
-	end := int64(d.scenario.Length) + longest + settleTime
-	for d.err == nil && d.step(end) {
-		if d.handled%checkContextEvery == 0 && ctx.Err() != nil {
+	end := int64(sim.scenario.Length) + longest + settleTime
+	for sim.err == nil && sim.step(end) {
+		if sim.handled%checkContextEvery == 0 && ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if d.handled > maxEvents {
-			d.err = fmt.Errorf(
-				"more than %d events by %.3f s of the day: it does not end", maxEvents, float64(d.now)/1e9,
+		if sim.handled > maxEvents {
+			sim.err = fmt.Errorf(
+				"more than %d events by %.3f s of the day: it does not end", maxEvents, float64(sim.now)/1e9,
 			)
 		}
-		quiet := d.clients.lastFinishedAt+quietTime < d.now
-		if d.clients.unfinished == 0 && d.now > int64(d.scenario.Length) && quiet {
+		quiet := sim.clients.lastFinishedAt+quietTime < sim.now
+		if sim.clients.unfinished == 0 && sim.now > int64(sim.scenario.Length) && quiet {
 			break
 		}
 	}
-	return d.err
+	return sim.err
 }
 
 // trace is what the run leaves behind.
-func (d *Simulation) trace() *trace.Trace {
-	trace.ExcuseCutLinks(d.scenario, d.plan, d.history)
-	rules := trace.RulesOf(d.scenario, d.links, 0, 0, nil)
+func (sim *Simulation) trace() *trace.Trace {
+	trace.ExcuseCutLinks(sim.scenario, sim.plan, sim.history)
+	rules := trace.RulesOf(sim.scenario, sim.links, 0, 0, nil)
 	r := &trace.Trace{
-		Plan: d.plan, Virtual: true, Outcomes: d.clients.outcomes, History: d.history,
-		Violations: d.history.Check(trace.Classes(d.scenario), rules),
-		Loads:      d.loads, Activity: d.activity, Reach: trace.ReachOf(d.scenario, d.links, 0),
-		Views: d.views, Running: d.running, Anomalies: d.anomalies, GivenUp: d.givenUp,
+		Plan: sim.plan, Virtual: true, Outcomes: sim.clients.outcomes, History: sim.history,
+		Violations: sim.history.Check(trace.Classes(sim.scenario), rules),
+		Loads:      sim.loads, Activity: sim.activity, Reach: trace.ReachOf(sim.scenario, sim.links, 0),
+		Views: sim.views, Running: sim.running, Anomalies: sim.anomalies, GivenUp: sim.givenUp,
 	}
-	r.Peaks.All, r.Peaks.Known = d.history.Peaks(rules)
-	for _, m := range d.endpoints {
-		r.Endpoints = append(r.Endpoints, m.spec.Name)
+	r.Peaks.All, r.Peaks.Known = sim.history.Peaks(rules)
+	for _, e := range sim.endpoints {
+		r.Endpoints = append(r.Endpoints, e.spec.Name)
 	}
-	for _, n := range d.nodes {
+	for _, n := range sim.nodes {
 		r.Nodes = append(r.Nodes, n.usage)
 	}
 	return r
 }
 
-func (d *Simulation) prepare() error {
-	for _, spec := range d.plan.Endpoints {
-		d.addEndpoint(spec, d.scenario.Fleets[spec.Fleet].StartsCold)
+func (sim *Simulation) prepare() error {
+	for _, spec := range sim.plan.Endpoints {
+		sim.addEndpoint(spec, sim.scenario.Fleets[spec.Fleet].StartsCold)
 	}
-	d.discovery = newDiscovery(d)
-	for _, m := range d.endpoints {
-		d.discovery.set(m, model.Up, 0)
+	sim.discovery = newDiscovery(sim)
+	for _, e := range sim.endpoints {
+		sim.discovery.set(e, model.Up, 0)
 	}
-	d.discovery.initial = d.discovery.list.Complete()
-	for i := range d.scenario.Nodes.Count {
-		n, err := newNode(d, i)
+	sim.discovery.initial = sim.discovery.list.Complete()
+	for i := range sim.scenario.Nodes.Count {
+		n, err := newNode(sim, i)
 		if err != nil {
 			return err
 		}
-		d.nodes = append(d.nodes, n)
+		sim.nodes = append(sim.nodes, n)
 	}
-	d.clients = newClients(d)
-	for _, n := range d.nodes {
+	sim.clients = newClients(sim)
+	for _, n := range sim.nodes {
 		n.start()
 		n.admitted = true // the run begins when all are ready
 	}
-	for i := range d.plan.Faults {
-		f := &d.plan.Faults[i]
-		d.at(int64(f.At), func() { d.startFault(f) })
+	for i := range sim.plan.Faults {
+		f := &sim.plan.Faults[i]
+		sim.at(int64(f.At), func() { sim.startFault(f) })
 	}
-	d.after(sampleInterval, d.sample)
-	d.scheduleLinkResets()
-	if d.scenario.Nodes.Membership {
-		d.after(viewInterval, d.recordViews)
+	sim.after(sampleInterval, sim.sample)
+	sim.scheduleLinkResets()
+	if sim.scenario.Nodes.Membership {
+		sim.after(viewInterval, sim.recordViews)
 	}
 	return nil
 }
 
 // sample records what is in flight at endpoints.
-func (d *Simulation) sample() {
-	s := trace.LoadSample{At: d.now}
-	for _, m := range d.endpoints {
-		held := 0
-		if m.up {
-			held = m.model.InFlight()
+func (sim *Simulation) sample() {
+	s := trace.LoadSample{At: sim.now}
+	for _, e := range sim.endpoints {
+		inFlight := 0
+		if e.up {
+			inFlight = e.model.InFlight()
 		}
-		s.InFlight = append(s.InFlight, held)
+		s.InFlight = append(s.InFlight, inFlight)
 	}
-	d.loads = append(d.loads, s)
-	if d.now < int64(d.scenario.Length) {
-		d.after(sampleInterval, d.sample)
+	sim.loads = append(sim.loads, s)
+	if sim.now < int64(sim.scenario.Length) {
+		sim.after(sampleInterval, sim.sample)
 	}
 }
 
 // count adds to the activity of all nodes in this second.
-func (d *Simulation) count(what func(*trace.FleetActivity)) {
-	if second := int(d.now / 1e9); second < len(d.activity) {
-		what(&d.activity[second])
+func (sim *Simulation) count(update func(*trace.FleetActivity)) {
+	if second := int(sim.now / 1e9); second < len(sim.activity) {
+		update(&sim.activity[second])
 	}
 }
 
-func (d *Simulation) recordAnomaly(what string) { d.anomalies[what]++ }
+func (sim *Simulation) recordAnomaly(kind string) { sim.anomalies[kind]++ }
 
 // requestID has the same form as on sockets.
-func (d *Simulation) requestID(operation, request int) string {
-	b := append(make([]byte, 0, 16), d.idPrefix...)
+func (sim *Simulation) requestID(operation, request int) string {
+	b := append(make([]byte, 0, 16), sim.idPrefix...)
 	for _, part := range [][2]int{{operation, 6}, {request, 2}} {
 		text := strconv.FormatInt(int64(part[0]), 16)
 		for range part[1] - len(text) {
@@ -260,29 +260,29 @@
 }
 
 // endpointCrashed ends an endpoint that was overloaded in slow start. It stays down.
-func (d *Simulation) endpointCrashed(m *endpoint, f *model.Crash) {
-	d.history.RecordCrash(invariant.Crash{
-		Endpoint: m.spec.Index, Incarnation: m.incarnation, StartedAt: m.startedAt, Crash: *f,
+func (sim *Simulation) endpointCrashed(e *endpoint, crash *model.Crash) {
+	sim.history.RecordCrash(invariant.Crash{
+		Endpoint: e.spec.Index, Incarnation: e.incarnation, StartedAt: e.startedAt, Crash: *crash,
 	})
-	d.recordAnomaly("a cold server was pushed over")
-	m.die()
-	d.discovery.set(m, model.Removed, int64(d.scenario.Discovery.ChangeDelay))
+	sim.recordAnomaly("a cold server was pushed over")
+	e.die()
+	sim.discovery.set(e, model.Removed, int64(sim.scenario.Discovery.ChangeDelay))
 }
 
 // Load implements ClusterState.
-func (d *Simulation) Load(node int, id policy.EndpointID) (inFlight int, capacity float64, up bool) {
-	m := d.byID[id]
-	if m == nil || !m.up || m.isCutFrom(node) || m.faults.silent || m.draining || m.faults.fail > 0.5 ||
-		m.faults.reject > 0.5 || m.faults.reset > 0.5 {
+func (sim *Simulation) Load(node int, id policy.EndpointID) (inFlight int, capacity float64, up bool) {
+	e := sim.byID[id]
+	if e == nil || !e.up || e.isCutFrom(node) || e.faults.silent || e.draining || e.faults.fail > 0.5 ||
+		e.faults.reject > 0.5 || e.faults.reset > 0.5 {
 		return 0, 0, false
 	}
-	return m.model.InFlight(), m.workRate() * 1e9, true
+	return e.model.InFlight(), e.workRate() * 1e9, true
 }
 
 // RoundTrip implements ClusterState.
-func (d *Simulation) RoundTrip(node int, id policy.EndpointID) int64 {
-	n := &d.scenario.Network
-	if m := d.byID[id]; m != nil && n.Zones[d.nodes[node].zone] != m.spec.Zone {
+func (sim *Simulation) RoundTrip(node int, id policy.EndpointID) int64 {
+	n := &sim.scenario.Network
+	if e := sim.byID[id]; e != nil && n.Zones[sim.nodes[node].zone] != e.spec.Zone {
 		return 2 * int64(n.CrossZone)
 	}
 	return 2 * int64(n.SameZone)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -28,9 +28,9 @@
 	return s
 }
 
-func runScenario(t *testing.T, s *scenario.Scenario, maker NewDecider) *trace.Trace {
+func runScenario(t *testing.T, s *scenario.Scenario, newDecider NewDecider) *trace.Trace {
 	t.Helper()
-	r, err := Run(context.Background(), Options{Scenario: s, Seed: s.Seed, NewDecider: maker})
+	r, err := Run(context.Background(), Options{Scenario: s, Seed: s.Seed, NewDecider: newDecider})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,13 +50,13 @@
 
 // Guards against a float that hangs on the order of a map, and against anything shared between days.
 func TestSameSeedSameTrace(t *testing.T) {
-	day := func() string { return encodeTrace(t, runScenario(t, readScenario(t, "month-end", 20), NewBalancer)) }
-	first := day()
+	runOnce := func() string { return encodeTrace(t, runScenario(t, readScenario(t, "month-end", 20), NewBalancer)) }
+	first := runOnce()
 	before := runtime.GOMAXPROCS(8)
 	defer runtime.GOMAXPROCS(before)
 	results := make(chan string)
 	for range 4 {
-		go func() { results <- day() }()
+		go func() { results <- runOnce() }()
 	}
 	for range 4 {
 		if <-results != first {
@@ -67,11 +67,11 @@
 
 func TestEventsAtSameTimeKeepOrder(t *testing.T) {
 	var c eventQueue
-	var came []int
+	var got []int
 	for i := range 50 {
 		c.at(int64(i%3), func() {
-			if came = append(came, i); i == 0 {
-				c.at(-5, func() { came = append(came, 100) }) // in the past: now, after what is due now
+			if got = append(got, i); i == 0 {
+				c.at(-5, func() { got = append(got, 100) }) // in the past: now, after what is due now
 			}
 		})
 	}
@@ -86,8 +86,8 @@
 			want = append(want, 100)
 		}
 	}
-	if !slices.Equal(came, want) {
-		t.Errorf("came %v, expected %v", came, want)
+	if !slices.Equal(got, want) {
+		t.Errorf("came %v, expected %v", got, want)
 	}
 }
 
@@ -110,12 +110,12 @@
 func TestEndlessTimersAreReported(t *testing.T) {
 	_, err := Run(context.Background(), Options{
 		Scenario: readScenario(t, "calm", 3), Seed: 1,
-		NewDecider: func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider {
-			d := NewBalancer(node, set, seed, host, see)
+		NewDecider: func(node int, settings policy.Settings, seed uint64, effects policy.Effects, state ClusterState) Decider {
+			d := NewBalancer(node, settings, seed, effects, state)
 			if node != 1 {
 				return d
 			}
-			return &endlessTimers{Decider: d, host: host}
+			return &endlessTimers{Decider: d, host: effects}
 		},
 	})
 	if err == nil || !strings.HasPrefix(err.Error(), "node 1 asks at ") ||
@@ -145,9 +145,9 @@
 
 func TestTimerInPastFiresImmediately(t *testing.T) {
 	r := runScenario(t, readScenario(t, "calm", 2), func(
-		node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState,
+		node int, settings policy.Settings, seed uint64, effects policy.Effects, state ClusterState,
 	) Decider {
-		return &onePastTimer{Decider: NewBalancer(node, set, seed, host, see), host: host}
+		return &onePastTimer{Decider: NewBalancer(node, settings, seed, effects, state), host: effects}
 	})
 	if len(r.Violations) > 0 || countState(r, trace.Succeeded) < len(r.Outcomes)*99/100 {
 		t.Errorf("%d of %d satisfied, breaks %v", countState(r, trace.Succeeded), len(r.Outcomes), r.Violations)
@@ -196,14 +196,14 @@
 
 // The judge has to be able to say no here as well: one that sends exclusive tasks twice, and one that keeps them.
 func TestRuleCheckerFindsViolations(t *testing.T) {
-	for rule, wrong := range map[int]func(policy.Effects) policy.Effects{
+	for rule, misbehave := range map[int]func(policy.Effects) policy.Effects{
 		1: func(h policy.Effects) policy.Effects { return &neverSender{Effects: h} },
 		2: func(h policy.Effects) policy.Effects { return &doubleSender{Effects: h} },
 	} {
 		r := runScenario(t, readScenario(t, "calm", 2), func(
-			node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState,
+			node int, settings policy.Settings, seed uint64, effects policy.Effects, state ClusterState,
 		) Decider {
-			return NewBalancer(node, set, seed, wrong(host), see)
+			return NewBalancer(node, settings, seed, misbehave(effects), state)
 		})
 		if len(r.Violations) == 0 || r.Violations[0].Rule != rule {
 			t.Errorf("rule %d was broken all day; the judge found %d breaks", rule, len(r.Violations))
--- a/internal/lab/trace/rules.go
+++ b/internal/lab/trace/rules.go
@@ -68,11 +68,11 @@
 		return rules
 	}
 	rules.Lag = func(at int64) int64 {
-		by := faults.Allowance(at, netfault.Client, netfault.Node)
+		total := faults.Allowance(at, netfault.Client, netfault.Node)
 		if lag != nil {
-			by += lag(at)
+			total += lag(at)
 		}
-		return by
+		return total
 	}
 	rules.LinkDelay = func(at int64) int64 {
 		return faults.Allowance(at, netfault.Node, netfault.Endpoint) +
--- a/internal/lab/trace/settings.go
+++ b/internal/lab/trace/settings.go
@@ -25,7 +25,7 @@
 	if s.Discovery.MustPoll {
 		discovery = "ask"
 	}
-	all := map[string]any{
+	settings := map[string]any{
 		"discovery": discovery, "domain_type": "proxy",
 		"family_info": map[string]any{"warm_keys": s.Discovery.KeyAffinity},
 		"goal":        map[string]any{"whole": 0.5, "worst_window": 0.1, "worst_class": 0.3, "worst_tenant": 0.1},
@@ -37,22 +37,22 @@
 		"zone":   zone, "zones": s.Network.Zones, "value_by": "request", "weights": "off",
 	}
 	if len(s.Tenants) > 0 {
-		all["parties"] = tenantSettings(s)
+		settings["parties"] = tenantSettings(s)
 	}
-	return all
+	return settings
 }
 
 func classSettings(s *scenario.Scenario) (classes []any) {
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		one := map[string]any{
+		class := map[string]any{
 			"name": c.Name, "objective_us": microseconds(c.LatencyObjective), "deadline_us": microseconds(c.Deadline),
 			"late_worth": 0.0, "worth": c.PriorityWeight, "repeat": idempotencySettings[c.Idempotency], "streaming": false,
 		}
 		if c.Idempotency == scenario.IdempotentByKey {
-			one["group"], one["memory_span_us"] = dedupGroupSettings[c.DedupGroup], microseconds(c.DedupWindow)
+			class["group"], class["memory_span_us"] = dedupGroupSettings[c.DedupGroup], microseconds(c.DedupWindow)
 		}
-		classes = append(classes, one)
+		classes = append(classes, class)
 	}
 	return classes
 }
--- a/internal/lab/trace/views.go
+++ b/internal/lab/trace/views.go
@@ -23,8 +23,8 @@
 // NewMembershipView shortens the view of a node.
 func NewMembershipView(at int64, node int, v *members.View) MembershipView {
 	letters := make([]byte, len(v.Members))
-	for i, row := range v.Members {
-		letters[i] = stateLetter(row.State)
+	for i, member := range v.Members {
+		letters[i] = stateLetter(member.State)
 	}
 	return MembershipView{At: at, Node: node, Reliable: v.Summary.Reliable, States: string(letters), HealthScore: v.HealthScore}
 }
--- a/internal/lab/workload/faults.go
+++ b/internal/lab/workload/faults.go
@@ -17,8 +17,8 @@
 }
 
 // RestoreDelay is when one of the machines that lost power is back: after a time, and up to Each more, drawn for each.
-func (f *Fault) RestoreDelay(after scenario.Duration, seed uint64, n int) int64 {
-	return int64(after) + int64(newRandom(seed+uint64(n)*7919, "back").Float64()*float64(f.Each))
+func (f *Fault) RestoreDelay(delay scenario.Duration, seed uint64, index int) int64 {
+	return int64(delay) + int64(newRandom(seed+uint64(index)*7919, "back").Float64()*float64(f.Each))
 }
 
 // BadClient is one client that violates the protocol.
--- a/internal/lab/workload/operations.go
+++ b/internal/lab/workload/operations.go
@@ -143,7 +143,7 @@
 // AttemptWork returns the work of one attempt at an endpoint, in nanoseconds, and a number from 0 to 1 that decides
 // whether it fails. Both depend on the request's seed, the attempt's place among those of its request, and the endpoint
 // alone, so that it does not matter when it comes.
-func AttemptWork(work int64, noise float64, seed, endpoint uint64, attempt int) (drawn int64, luck float64) {
+func AttemptWork(work int64, noise float64, seed, endpoint uint64, attempt int) (drawn int64, failureDraw float64) {
 	draw := rand.New(rand.NewPCG(seed+uint64(attempt), endpoint))
 	return max(int64(float64(work)*(1+noise*(2*draw.Float64()-1))), minWork), draw.Float64()
 }
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -69,23 +69,23 @@
 			t.Errorf("%s: %v tasks in a minute, want about 30,000", load, n)
 		}
 		last := int64(0)
-		for _, task := range p.Operations {
-			if task.Due < last {
+		for _, o := range p.Operations {
+			if o.Due < last {
 				t.Fatalf("%s: tasks are not in order", load)
 			}
-			last = task.Due
+			last = o.Due
 		}
 	}
 	p := drawPlan(t, "", 1)
-	view, work := 0, 0.0
-	for _, task := range p.Operations {
-		if task.Class == 0 {
-			view++
-			work += float64(task.Work) / 5e6
+	viewCount, work := 0, 0.0
+	for _, o := range p.Operations {
+		if o.Class == 0 {
+			viewCount++
+			work += float64(o.Work) / 5e6
 		}
 	}
-	if part := float64(view) / float64(len(p.Operations)); math.Abs(part-0.75) > 0.02 || math.Abs(work/float64(view)-1) > 0.05 {
-		t.Errorf("share of views %.3f, work by its mean %.3f; want 0.75 and 1", part, work/float64(view))
+	if viewShare := float64(viewCount) / float64(len(p.Operations)); math.Abs(viewShare-0.75) > 0.02 || math.Abs(work/float64(viewCount)-1) > 0.05 {
+		t.Errorf("share of views %.3f, work by its mean %.3f; want 0.75 and 1", viewShare, work/float64(viewCount))
 	}
 	if targets := p.Faults[0].Targets; len(targets) != 5 || p.Endpoints[targets[0]].Zone != "b" {
 		t.Errorf("hit %v, want a quarter of zone b's twenty", targets)
@@ -104,24 +104,24 @@
 		t.Fatal(err)
 	}
 	p := Draw(s, 1)
-	parts := p.NodeShares(s)
-	least, most := slices.Min(parts), slices.Max(parts)
-	if len(parts) != s.Nodes.Count || most < 4 || most > 20 || least > 0.3 || least <= 0 {
-		t.Errorf("%d nodes get from %.2f to %.2f of the mean, want some several times it", len(parts), least, most)
+	shares := p.NodeShares(s)
+	least, most := slices.Min(shares), slices.Max(shares)
+	if len(shares) != s.Nodes.Count || most < 4 || most > 20 || least > 0.3 || least <= 0 {
+		t.Errorf("%d nodes get from %.2f to %.2f of the mean, want some several times it", len(shares), least, most)
 	}
 	nodes := []int{3, 6, 9}
-	parts[3], parts[6], parts[9] = 1, 3, 0.5
-	choice, got := NewNodePicker(parts, nodes), make([]float64, 3)
+	shares[3], shares[6], shares[9] = 1, 3, 0.5
+	picker, got := NewNodePicker(shares, nodes), make([]float64, 3)
 	for i := range p.Operations {
-		place := choice.Pick(&p.Operations[i], 0)
-		if place != choice.Pick(&p.Operations[i], 0) {
+		index := picker.Pick(&p.Operations[i], 0)
+		if index != picker.Pick(&p.Operations[i], 0) {
 			t.Fatal("a try goes elsewhere when asked again")
 		}
-		got[place] += 4.5 / float64(len(p.Operations))
+		got[index] += 4.5 / float64(len(p.Operations))
 	}
 	for i, n := range nodes {
-		if math.Abs(got[i]-parts[n]) > 0.1 {
-			t.Errorf("node %d got %.2f of 4.5, want %.2f", n, got[i], parts[n])
+		if math.Abs(got[i]-shares[n]) > 0.1 {
+			t.Errorf("node %d got %.2f of 4.5, want %.2f", n, got[i], shares[n])
 		}
 	}
 	hash := p.Hash()
