--- a/internal/lab/model/list.go
+++ b/internal/lab/model/list.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// State of an endpoint on the list.
+// State is the state of an endpoint in the list.
 type State int
 
-// The states.
+// States of a listed endpoint. A removed endpoint appears in updates only.
 const (
 	Up State = iota
 	Draining
 	Removed
 )
 
-// ListEntry is one endpoint as discovery lists it.
+// ListEntry is one endpoint in discovery's list.
 type ListEntry struct {
 	Endpoint  int
 	State     State
@@ -24,10 +24,11 @@
 	ListEntry
 }
 
-// maxHistory is how many changes a list keeps; whoever is further behind gets the complete list.
+// maxHistory is the number of changes that a list keeps; a watch that is further behind gets the complete list.
 const maxHistory = 4096
 
-// EndpointList is discovery's list with its history. Versions only grow, also when discovery moves.
+// EndpointList is discovery's list with its history of changes. Its version never decreases, not even when discovery
+// moves to another address.
 type EndpointList struct {
 	version int64
 	current map[int]ListEntry
@@ -67,8 +68,8 @@
 	return entries
 }
 
-// ChangesAfter returns what has changed since a version, the newest entry of each endpoint only; the complete list if
-// that is not known.
+// ChangesAfter returns the newest entry of each endpoint that has changed since a version. It returns the complete list
+// if the history does not reach back to that version.
 func (l *EndpointList) ChangesAfter(version int64) (entries []ListEntry, complete bool) {
 	if !l.reachesBackTo(version) {
 		return l.Complete(), true
@@ -88,7 +89,7 @@
 	return entries, false
 }
 
-// knows tells whether the history reaches back to a version.
+// reachesBackTo reports whether the history holds all changes after a version.
 func (l *EndpointList) reachesBackTo(version int64) bool {
 	switch {
 	case version <= 0 || version > l.version:
--- a/internal/lab/model/load.go
+++ b/internal/lab/model/load.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-// LoadFigures are the figures of a load report. ServiceTime is in milliseconds.
+// LoadFigures are the values of a load report. InFlight counts the jobs that hold a concurrency slot, Queue the queued
+// ones; Utilization is from 0 to 1, and ServiceTime is in milliseconds.
 type LoadFigures struct {
 	InFlight, Queue, Utilization, ServiceTime float64
 }
 
-// loadSampler gathers figures between two samples.
+// loadSampler accumulates load between two samples.
 type loadSampler struct {
 	sampledAt    int64
 	last         LoadFigures
 	busy         float64 // core-seconds used
-	latencySum   float64 // milliseconds
+	latencySum   float64 // milliseconds, over latencyCount jobs
 	latencyCount int
 }
 
@@ -21,7 +22,7 @@
 	s.latencyCount++
 }
 
-// Sample returns the figures since the last sample.
+// Sample returns the current load, with utilization and service time averaged since the previous sample.
 func (e *Endpoint) Sample(now int64) LoadFigures {
 	e.advance(now)
 	s := &e.load
@@ -36,7 +37,8 @@
 	return f
 }
 
-// Noisy changes each figure by up to a part of it, as measurements do.
+// Noisy returns the figures with a relative measurement error of up to noise each. draw returns random numbers in [0,
+// 1).
 func (f LoadFigures) Noisy(draw func() float64, noise float64) LoadFigures {
 	vary := func(v float64) float64 { return math.Max(0, v*(1+noise*(2*draw()-1))) }
 	return LoadFigures{
--- a/internal/lab/model/slowstart.go
+++ b/internal/lab/model/slowstart.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// An endpoint in slow start has a part of its capacity that rises to the whole over SlowStartWindow. It crashes if the
-// work that arrives within CrashWindow exceeds its budget, CrashMultiple times its present capacity, by more than a
-// slack. All that arrives counts, also what it rejects.
+// The capacity of an endpoint in slow start rises linearly from SlowStartCapacity to all of it over SlowStartWindow.
+// The endpoint crashes if the work that arrives within CrashWindow exceeds its budget, CrashMultiple times its current
+// capacity, by more than a slack. Work that the endpoint rejects counts too.
 
-// Arrival is work that arrived at an endpoint in slow start.
+// Arrival is the work of one attempt that arrived at an endpoint in slow start.
 type Arrival struct {
 	At     int64
 	Work   float64 // seconds
 	Node   int
-	Budget float64 // of the window that ends with it, seconds of work
+	Budget float64 // seconds of work, for the crash window that ends with this arrival
 }
 
-// Crash tells how an endpoint in slow start was overloaded, and by whose work within the window.
+// Crash describes the overload of an endpoint in slow start.
 type Crash struct {
 	At       int64
-	Work     float64 // seconds
-	Capacity float64 // seconds of work a second, at that moment
+	Work     float64 // seconds of work that arrived within the crash window
+	Capacity float64 // at the time of the crash, seconds of work per second
 	Arrivals []Arrival
 }
 
-// CapacityShare is the part of its capacity that the endpoint has.
+// CapacityShare returns the fraction of its full capacity that the endpoint has now.
 func (e *Endpoint) CapacityShare() float64 {
 	age := e.now - e.StartedAt
 	if e.SlowStartWindow <= 0 || age >= e.SlowStartWindow {
@@ -31,15 +31,16 @@
 	return e.SlowStartCapacity + (1-e.SlowStartCapacity)*math.Max(0, float64(age))/float64(e.SlowStartWindow)
 }
 
-// Capacity is the work that the endpoint can do now, in seconds of work a second.
+// Capacity returns the work that the endpoint can do now, in seconds of work per second.
 func (e *Endpoint) Capacity() float64 {
 	return float64(e.Cores) * e.Speed * e.CapacityShare() * e.SpeedFactor
 }
 
-// SlowStartArrivals returns all that arrived in this incarnation until the endpoint was warm, or crashed.
+// SlowStartArrivals returns all arrivals of this incarnation until the end of slow start, or until the crash.
 func (e *Endpoint) SlowStartArrivals() []Arrival { return e.slowStartArrivals }
 
-// recordSlowStartArrival counts work that arrives, in seconds, and returns the crash that it causes; nil if none.
+// recordSlowStartArrival counts work that arrives during slow start, in seconds. It returns the crash that the work
+// causes, or nil.
 func (e *Endpoint) recordSlowStartArrival(node int, work float64) *Crash {
 	if e.CapacityShare() >= 1 {
 		e.windowArrivals = nil
@@ -64,8 +65,9 @@
 	return &Crash{At: e.now, Work: sum, Capacity: e.Capacity(), Arrivals: e.windowArrivals}
 }
 
-// crashSlack is by how much work may exceed the budget: a twentieth, or two requests, but no more than the standing test
-// puts down to chance, which is 2 x root of N + 2 for N requests of mean work; or just that.
+// crashSlack returns by how much work may exceed the budget. It is the larger of a twentieth of the budget and two
+// requests, but at most what random arrivals explain: 2 * sqrt(N) + 2 requests of mean work for a budget of N. With
+// ChanceSlack it is that amount alone.
 func (e *Endpoint) crashSlack(budget, work float64) float64 {
 	slack := math.Max(0.05*budget, 2*work)
 	if e.MeanWork > 0 {
--- a/internal/lab/model/spec.go
+++ b/internal/lab/model/spec.go
@@ -2,40 +2,40 @@
 
 import "fawnglade/internal/lab/scenario"
 
-// Spec is how an endpoint is built. Times are nanoseconds.
+// Spec is the configuration of an endpoint. Times are in nanoseconds.
 type Spec struct {
 	Cores        int
 	Speed        float64 // seconds of work that one core does in a second
-	Concurrency  int     // requests in work at a time
+	Concurrency  int     // requests that run at a time
 	QueueLimit   int
-	Slowdown     float64 // part by which work grows with each request a core beyond SlowdownFrom
-	SlowdownFrom float64
-	DropExpired  bool // rejects requests that were queued past their deadline
+	Slowdown     float64 // fraction by which work grows for each running request per core beyond SlowdownFrom
+	SlowdownFrom float64 // running requests per core
+	DropExpired  bool    // rejects requests that were queued past their deadline
 	Cancel       CancelEffect
 
-	SlowStartCapacity float64 // part of its capacity at its start
+	SlowStartCapacity float64 // fraction of the full capacity at the start
 	SlowStartWindow   int64
-	CrashMultiple     float64 // of its capacity within CrashWindow, beyond which it crashes in slow start
+	CrashMultiple     float64 // multiple of its capacity in CrashWindow beyond which it crashes in slow start
 	CrashWindow       int64
 	MeanWork          float64 // of a request, seconds
-	ChanceSlack       bool    // it crashes only beyond what the standing test puts down to chance
+	ChanceSlack       bool    // crashSlack is always the amount that random arrivals explain
 
 	PauseEvery, PauseFor int64
 	Connections          int
 	ConnectionWork       int64
 }
 
-// CancelEffect is what a canceled attempt stops.
+// CancelEffect says which canceled attempts an endpoint stops.
 type CancelEffect int
 
-// The effects: nothing, an attempt that is still queued, or one in work as well.
+// Effects of a cancellation: none, on queued attempts only, or on queued and running attempts.
 const (
 	CancelsNothing CancelEffect = iota
 	CancelsQueued
 	CancelsRunning
 )
 
-// SpecOf returns a fleet's kind of endpoint with a drawn speed.
+// SpecOf returns the Spec of an endpoint of a fleet. speed is the endpoint's own, drawn for the plan.
 func SpecOf(s *scenario.Scenario, f *scenario.Fleet, speed float64) Spec {
 	work, shares := 0.0, 0.0
 	for i := range s.Classes {
--- a/internal/lab/model/work.go
+++ b/internal/lab/model/work.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// maxStep is the longest time over which the capacity is taken to be constant.
+	// maxStep is the longest time, in nanoseconds, for which the capacity is treated as constant.
 	maxStep = int64(50 * time.Millisecond)
-	// finished is how much work a finished job may have left, as sums are rounded; seconds.
+	// remainingTolerance is the work, in seconds, that a finished job may still have because of rounding errors.
 	remainingTolerance = 1e-10
-	// maxForecast is how far ahead the end of work is computed, and forecastStep when to look again beyond it.
+	// maxForecast is the longest time ahead for which Next computes the end of a job. For later ends, Next returns a
+	// time forecastStep ahead.
 	maxForecast  = 3600.0 // seconds
 	forecastStep = int64(time.Second)
 )
 
-// Advance does the work up to now and returns the jobs that have ended since the last call, each with its time.
+// Advance does the work up to now and returns the jobs that have ended since the last call.
 func (e *Endpoint) Advance(now int64) []Done {
 	e.advance(now)
 	done := e.done
@@ -23,8 +24,8 @@
 	return done
 }
 
-// advance keeps the jobs that end for the next call of Advance. Guards against ends that are lost as a side effect of an
-// arrival.
+// advance does the work up to now. It keeps the jobs that end for the next call of Advance, because arrivals and
+// samples advance the endpoint too and do not return them.
 func (e *Endpoint) advance(now int64) {
 	for e.now < now && !e.crashed {
 		until := min(now, e.now+maxStep)
@@ -43,10 +44,11 @@
 	e.now = max(e.now, now)
 }
 
-// coreRate is the work that one core does in a second, in seconds of work.
+// coreRate returns the seconds of work that one core does in a second.
 func (e *Endpoint) coreRate() float64 { return e.Speed * e.CapacityShare() * e.SpeedFactor }
 
-// workRate is the work that each of so many running jobs gets in a second: a core at most, and less under load.
+// workRate returns the seconds of work that each running job gets in a second: at most one core, and less under load.
+// running is the number of running jobs.
 func (e *Endpoint) workRate(running int) float64 {
 	rate := e.coreRate() * math.Min(1, float64(e.Cores)/float64(running))
 	if over := float64(running)/float64(e.Cores) - e.SlowdownFrom; e.Slowdown > 0 && over > 0 {
@@ -55,7 +57,7 @@
 	return rate
 }
 
-// work runs until a time, or up to the first job's end before it.
+// runUntil does work until a time, or until the first job ends before it, and returns the jobs that have ended.
 func (e *Endpoint) runUntil(until int64) []Done {
 	if e.overhead > 0 {
 		e.runOverhead(float64(until-e.now) / 1e9)
@@ -85,7 +87,7 @@
 	return e.finishJobs()
 }
 
-// runOverhead does overhead on all cores for at most a span, in seconds.
+// runOverhead does overhead work on all cores for at most span seconds.
 func (e *Endpoint) runOverhead(span float64) {
 	rate := e.coreRate()
 	done := math.Min(e.overhead, rate*float64(e.Cores)*span)
@@ -95,7 +97,8 @@
 	e.now += max(int64(elapsed*1e9), 1)
 }
 
-// finishJobs removes the jobs without work left and starts queued ones in their place.
+// finishJobs removes the jobs without remaining work and starts queued jobs in their slots. It returns the jobs that
+// have finished and those that expired in the queue.
 func (e *Endpoint) finishJobs() []Done {
 	var done []Done
 	kept := e.jobs[:0]
@@ -114,7 +117,7 @@
 	return done
 }
 
-// startQueued starts as many queued jobs as there are slots for, and returns those that it drops.
+// startQueued starts queued jobs while there are free slots, and returns those that it drops because they have expired.
 func (e *Endpoint) startQueued() (expired []Done) {
 	for len(e.queue) > 0 && len(e.jobs) < e.Concurrency {
 		j := e.queue[0]
@@ -133,7 +136,7 @@
 	e.jobs = append(e.jobs, j)
 }
 
-// running returns how many jobs are worked on, and do not wait in their slots.
+// running returns the number of jobs whose work has started; jobs that still wait in their slots do not count.
 func (e *Endpoint) running() (n int) {
 	for _, j := range e.jobs {
 		if j.readyAt <= e.now {
@@ -143,7 +146,7 @@
 	return n
 }
 
-// nextReady is when the next job that waits in its slot begins.
+// nextReady returns when the work of the next job that waits in its slot starts, or Never.
 func (e *Endpoint) nextReady() int64 {
 	next := int64(Never)
 	for _, j := range e.jobs {
@@ -154,7 +157,7 @@
 	return next
 }
 
-// leastRemaining is the least work that a running job has left, in seconds.
+// leastRemaining returns the smallest remaining work of a running job, in seconds.
 func (e *Endpoint) leastRemaining() float64 {
 	least := math.Inf(1)
 	for _, j := range e.jobs {
@@ -165,7 +168,7 @@
 	return least
 }
 
-// Next is when Advance has to be called at the latest.
+// Next returns the latest time at which Advance has to be called again, or Never.
 func (e *Endpoint) Next() int64 {
 	switch {
 	case len(e.done) > 0:
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -18,12 +18,12 @@
 	maxDeadline  = 10 * time.Minute
 	maxBody      = 64 << 10
 
-	// On sockets each node is a process, and each endpoint has a listener for each node.
+	// When emulated, each node is a process, and each endpoint has a listener for each node.
 	maxNodesOnSockets     = 40
 	maxListenersOnSockets = 8192
 )
 
-// mistake is about a key, or about the table that lacks it.
+// fileError returns an error about the value of a key. Its line is that of the key, or of the table that lacks the key.
 func (s *Scenario) fileError(key, want string, got any) *FileError {
 	line := s.lines[key]
 	for prefix := key; line == 0 && strings.Contains(prefix, "."); line = s.lines[prefix] {
@@ -32,7 +32,7 @@
 	return &FileError{s.Path, line, fmt.Sprintf("%s: expected %s, got %v", key, want, got)}
 }
 
-// checker collects all mistakes of a scenario.
+// checker collects all errors of a scenario.
 type checker struct {
 	scenario *Scenario
 	errors   []*FileError
@@ -45,7 +45,7 @@
 }
 
 func (c *checker) fraction(key string, v float64) {
-	c.require(v >= 0 && v <= 1, key, "a part from 0 to 1", v)
+	c.require(v >= 0 && v <= 1, key, "a fraction from 0 to 1", v)
 }
 
 func (c *checker) positive(key string, v Duration) {
@@ -64,7 +64,7 @@
 	c.require(slices.Contains(c.scenario.Network.Zones, v), key, "a zone of network.zones", fmt.Sprintf("%q", v))
 }
 
-// err joins the mistakes in the order of their lines.
+// err joins the errors in the order of their lines; nil if there are none.
 func (c *checker) err() error {
 	slices.SortStableFunc(c.errors, func(a, b *FileError) int { return cmp.Compare(a.Line, b.Line) })
 	errs := make([]error, len(c.errors))
@@ -105,11 +105,11 @@
 func (c *checker) checkNodes() {
 	n := &c.scenario.Nodes
 	c.require(n.Count >= 1 && n.Count <= maxNodes, "nodes.count", "1 to 1,024", n.Count)
-	c.require(len(n.Zones) == 0 || len(n.Zones) == n.Count, "nodes.zones", "one for each node", n.Zones)
+	c.require(len(n.Zones) == 0 || len(n.Zones) == n.Count, "nodes.zones", "one zone for each node", n.Zones)
 	for _, z := range n.Zones {
 		c.zone("nodes.zones", z)
 	}
-	c.require(!n.NoList || !n.StaleList, "nodes.no_list", "not old_list beside it", "both")
+	c.require(!n.NoList || !n.StaleList, "nodes.no_list", "either no_list or old_list", "both")
 	c.require(n.Sockets >= 32, "nodes.sockets", "at least 32", n.Sockets)
 	c.require(n.MemoryMB >= 16, "nodes.memory_mb", "at least 16", n.MemoryMB)
 	period := n.ProtocolPeriod
@@ -122,11 +122,11 @@
 	for i := range c.scenario.Fleets {
 		f, prefix := &c.scenario.Fleets[i], fmt.Sprintf("fleet.%d.", i)
 		total += f.Count
-		c.require(!names[f.Name], prefix+"name", "a name that no other fleet has", fmt.Sprintf("%q", f.Name))
+		c.require(!names[f.Name], prefix+"name", "a name that is unique among the fleets", fmt.Sprintf("%q", f.Name))
 		names[f.Name] = true
 		c.checkFleet(prefix, f)
 	}
-	c.require(total >= 1 && total <= maxEndpoints, "fleet", "1 to 8,192 servers", total)
+	c.require(total >= 1 && total <= maxEndpoints, "fleet", "1 to 8,192 servers in all", total)
 }
 
 func (c *checker) checkFleet(prefix string, f *Fleet) {
@@ -138,10 +138,10 @@
 	c.require(f.Speed > 0, prefix+"speed", "a number above 0", f.Speed)
 	c.require(f.Concurrency >= 1, prefix+"places", "at least 1", f.Concurrency)
 	c.require(f.QueueLimit >= 0, prefix+"waiting", "at least 0", f.QueueLimit)
-	c.require(f.Spread >= 0 && f.Spread < 1, prefix+"spread", "a part from 0 to under 1", f.Spread)
+	c.require(f.Spread >= 0 && f.Spread < 1, prefix+"spread", "a fraction from 0 to less than 1", f.Spread)
 	c.fraction(prefix+"error_share", f.ErrorShare)
 	capacity := f.SlowStartCapacity
-	c.require(capacity > 0 && capacity <= 1, prefix+"cold_from", "a part above 0, 1 at most", capacity)
+	c.require(capacity > 0 && capacity <= 1, prefix+"cold_from", "a fraction above 0, 1 at most", capacity)
 	c.require(f.Connections >= 1, prefix+"connections", "at least 1", f.Connections)
 	c.oneOf(prefix+"cancel", f.Cancel, "nothing", "waiting", "work")
 	c.positive(prefix+"warm_for", f.SlowStartWindow)
@@ -180,7 +180,7 @@
 	c.positive("load.period", l.Period)
 	c.require(l.Body >= 0 && l.Body <= maxBody, "load.body", "0 to 65,536 bytes", l.Body)
 	even := len(l.ZoneShare) == 0
-	c.require(even || len(l.ZoneShare) == len(c.scenario.Network.Zones), "load.zone_share", "one for each zone", l.ZoneShare)
+	c.require(even || len(l.ZoneShare) == len(c.scenario.Network.Zones), "load.zone_share", "one number for each zone", l.ZoneShare)
 }
 
 func (c *checker) checkClasses() {
@@ -189,7 +189,7 @@
 	for i := range c.scenario.Classes {
 		class, prefix := &c.scenario.Classes[i], fmt.Sprintf("category.%d.", i)
 		valid := class.Name != "" && !names[class.Name] && !strings.ContainsAny(class.Name, "/ \r\n")
-		c.require(valid, prefix+"name", "a name of its own", fmt.Sprintf("%q", class.Name))
+		c.require(valid, prefix+"name", "a unique name without blanks or slashes", fmt.Sprintf("%q", class.Name))
 		names[class.Name] = true
 		c.checkClass(prefix, class)
 	}
@@ -207,7 +207,7 @@
 	}
 	c.positive(prefix+"soft_limit", class.LatencyObjective)
 	inOrder := class.Deadline >= class.LatencyObjective && class.Deadline.Std() <= maxDeadline
-	c.require(inOrder, prefix+"hard_limit", "no less than soft_limit, 10m at most", class.Deadline.Std())
+	c.require(inOrder, prefix+"hard_limit", "at least soft_limit, 10m at most", class.Deadline.Std())
 	c.positive(prefix+"work", class.Work)
 	c.fraction(prefix+"vary", class.WorkSpread)
 	c.fraction(prefix+"hand_noise", class.AttemptNoise)
@@ -222,7 +222,7 @@
 	c.fraction("clients.leave", clients.CancelShare)
 	c.fraction("clients.once", clients.OneShotShare)
 	share := clients.RequestTimeoutShare
-	c.require(share > 0 && share <= 1, "clients.try_share", "a part above 0", share)
+	c.require(share > 0 && share <= 1, "clients.try_share", "a fraction above 0, 1 at most", share)
 	c.require(clients.MaxConnections >= 1, "clients.connections", "at least 1", clients.MaxConnections)
 }
 
@@ -234,30 +234,30 @@
 	c.fraction("expect.bad_unanswered_max", e.MaxBadUnanswered)
 	powerLoss := slices.ContainsFunc(c.scenario.Faults, func(f Fault) bool { return f.Kind == "power" })
 	c.require(e.RecoverWithin >= 0 && (powerLoss || e.RecoverWithin == 0),
-		"expect.back_within", "a time, where a fault is a loss of power", e.RecoverWithin.Std())
+		"expect.back_within", "a time of at least 0, and 0 without a power fault", e.RecoverWithin.Std())
 }
 
-// CheckOnSockets tells what keeps a scenario from being run on sockets; nil if nothing does.
+// CheckOnSockets returns an error if the scenario can be simulated but not emulated on sockets.
 func (s *Scenario) CheckOnSockets() error {
 	switch endpoints := len(s.EndpointNames()); {
 	case s.Nodes.Count > maxNodesOnSockets:
 		return s.fileError("nodes.count", "1 to 40 on sockets", s.Nodes.Count)
 	case endpoints*s.Nodes.Count > maxListenersOnSockets:
-		return s.fileError("fleet", "no more than 8,192 servers over the number of nodes on sockets", endpoints)
+		return s.fileError("fleet", "at most 8,192 servers divided by the number of nodes on sockets", endpoints)
 	case s.Nodes.ClockSkew > 0 || s.Reports.HealthChecked:
-		return s.fileError("nodes", "no skew or probed reports on sockets", "one of them")
+		return s.fileError("nodes", "neither skew nor probed reports on sockets", "one of them")
 	}
 	for i := range s.Faults {
 		if s.Faults[i].Kind == "clock" {
 			key := fmt.Sprintf("fault.%d.kind", i)
-			return s.fileError(key, "no clock on sockets, as processes share the system's", `"clock"`)
+			return s.fileError(key, "a kind other than clock on sockets, where all nodes share the system clock", `"clock"`)
 		}
 	}
 	return nil
 }
 
-// WithNodes changes the number of nodes, keeping the rest. Nodes are then spread over the zones in turn, and faults that
-// name nodes by number keep those that there are.
+// WithNodes changes the number of nodes and checks the scenario again. Nodes are then assigned to the zones in turn,
+// and faults drop the numbers of nodes that do not exist.
 func (s *Scenario) WithNodes(count int) error {
 	s.Nodes.Count, s.Nodes.Zones = count, nil
 	for i := range s.Faults {
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -7,7 +7,7 @@
 	"fawnglade/internal/lab/netfault"
 )
 
-// Default returns what a file need not say: a small, healthy site.
+// Default returns the defaults for the keys that a file omits: a small, healthy site.
 func Default() *Scenario {
 	return &Scenario{
 		Length:  Duration(10 * time.Second),
@@ -27,7 +27,7 @@
 	}
 }
 
-// fillDefaults fills what the tables of a file leave out.
+// fillDefaults sets the defaults for the keys that a file omits in repeated tables.
 func (s *Scenario) fillDefaults() {
 	for i := range s.Fleets {
 		f := &s.Fleets[i]
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// FaultTarget is what faults of a kind hit, and so what their table must name.
+// FaultTarget is the type of the targets of a kind of fault. The fault's table must name or select targets of that
+// type.
 type FaultTarget int
 
-// The targets. Faults of NoTarget hit what there is once, such as discovery.
+// Types of targets. Faults with NoTarget affect something that exists only once, such as discovery.
 const (
 	NoTarget FaultTarget = iota
 	EndpointTarget
@@ -19,7 +20,7 @@
 	LinkTarget
 )
 
-// FaultTargets has the target of each kind of fault.
+// FaultTargets maps each kind of fault to the type of its targets.
 var FaultTargets = map[string]FaultTarget{
 	"slow": EndpointTarget, "silent": EndpointTarget, "fail": EndpointTarget, "pause": EndpointTarget,
 	"reset": EndpointTarget, "cut": EndpointTarget, "die": EndpointTarget, "replace": EndpointTarget,
@@ -38,11 +39,11 @@
 	"link-reorder": LinkTarget, "link-spoil": LinkTarget, "link-narrow": LinkTarget,
 }
 
-// StateFaultKinds are what can become of a node's state directory.
+// StateFaultKinds lists the variants of a state fault, which damages a node's state directory.
 var StateFaultKinds = []string{"lost", "torn", "older"}
 
-// CorruptKinds are the ways in which a response can be corrupt; with IntactKinds it is whole, beside what should not be
-// there.
+// Variants of a spoil fault. With CorruptKinds the response itself is corrupt; with IntactKinds it is complete, but
+// comes with data that does not belong to it.
 var (
 	CorruptKinds = []string{"noise", "endless-head", "short", "long"}
 	IntactKinds  = []string{"twice", "interim", "bad-report", "other-body"}
@@ -55,12 +56,12 @@
 		c.require(false, prefix+"kind", "one of "+strings.Join(kinds, ", "), fmt.Sprintf("%q", f.Kind))
 		return
 	}
-	c.require(f.At >= 0 && f.At < c.scenario.Length, prefix+"at", "a time within the day", f.At.Std())
+	c.require(f.At >= 0 && f.At < c.scenario.Length, prefix+"at", "a time before the end of the run", f.At.Std())
 	c.require(f.For >= 0, prefix+"for", "a time of at least 0", f.For.Std())
 	if target == LinkTarget {
-		return // checkLinkFaults has the rest
+		return // checkLinkFaults checks the remaining keys
 	}
-	c.require(len(f.From)+len(f.To) == 0, prefix+"from", "none, as the fault is of no way", f.From)
+	c.require(len(f.From)+len(f.To) == 0, prefix+"from", "none, as the fault is not of a link", f.From)
 	c.fraction(prefix+"share", f.Share)
 	c.fraction(prefix+"hand_offs", f.AttemptShare)
 	c.require(f.Factor >= 0, prefix+"factor", "a number of at least 0", f.Factor)
@@ -76,22 +77,23 @@
 	c.checkFaultKind(prefix, f)
 }
 
-// StopAmidSignals is the Fault.How of a stop among other signals: a reload, a print of the counters, further stops.
+// StopAmidSignals is the variant (Fault.How) of a stop that comes with other signals: reloads, dumps of the counters
+// and further stops.
 const StopAmidSignals = "signals"
 
-const noTargetNamed = "a fault that names nobody"
+const noTargetNamed = "a fault without targets"
 
 func (c *checker) checkEndpointFault(prefix string, f *Fault) {
-	c.require(len(f.Nodes) == 0, prefix+"nodes", "none, as the fault is the servers'", f.Nodes)
+	c.require(len(f.Nodes) == 0, prefix+"nodes", "none, as the fault hits servers", f.Nodes)
 	c.checkEndpointNames(prefix, f)
 	named := len(f.Endpoints) > 0 || f.Count > 0 || f.Share > 0 || f.Zone != ""
 	c.require(named, prefix+"servers", "servers, a count, a share or a zone", noTargetNamed)
-	c.require(f.Count <= len(c.scenario.EndpointNames()), prefix+"count", "no more than there are servers", f.Count)
+	c.require(f.Count <= len(c.scenario.EndpointNames()), prefix+"count", "at most the number of servers", f.Count)
 }
 
 func (c *checker) checkNodeFault(prefix string, f *Fault) {
 	c.checkNodeNumbers(prefix, f)
-	byZone := f.Zone != "" && f.Kind != "cut-node" // which takes the zone for the endpoints that are cut off
+	byZone := f.Zone != "" && f.Kind != "cut-node" // the zone of cut-node selects the endpoints to cut off
 	named := len(f.Nodes) > 0 || f.Count > 0 || f.Share > 0 || byZone
 	c.require(named, prefix+"nodes", "numbers of nodes, a count, a share or a zone", noTargetNamed)
 }
@@ -110,7 +112,7 @@
 	}
 }
 
-// checkFaultKind checks the keys that one kind of fault alone has.
+// checkFaultKind checks the keys that apply to one kind of fault only.
 func (c *checker) checkFaultKind(prefix string, f *Fault) {
 	switch f.Kind {
 	case "power":
@@ -119,10 +121,10 @@
 		positive := f.NodesBack >= 0 && f.EndpointsBack >= 0 && f.DiscoveryBack >= 0 && f.Each >= 0
 		c.require(positive, prefix+"nodes_back", "times of at least 0", "less")
 	case "clock":
-		c.require(f.Wait != 0 || f.Factor != 1, prefix+"wait", "a step, or a factor for its drift", "neither")
+		c.require(f.Wait != 0 || f.Factor != 1, prefix+"wait", "a step of the clock, or a factor of its speed other than 1", "neither")
 		c.require(f.Factor > 0.5 && f.Factor < 2, prefix+"factor", "between 0.5 and 2", f.Factor)
 	case "stop":
-		c.require(f.How == "" || f.How == StopAmidSignals, prefix+"how", "nothing or "+StopAmidSignals, f.How)
+		c.require(f.How == "" || f.How == StopAmidSignals, prefix+"how", "no value or "+StopAmidSignals, f.How)
 	case "state":
 		c.oneOf(prefix+"how", f.How, StateFaultKinds...)
 	case "wait":
@@ -134,9 +136,9 @@
 
 func (c *checker) checkWait(prefix string, f *Fault) {
 	c.positive(prefix+"wait", f.Wait)
-	c.require((f.Class == "") != (f.Tenant == ""), prefix+"category", "a category or a customer", "neither or both")
+	c.require((f.Class == "") != (f.Tenant == ""), prefix+"category", "either a category or a customer", "neither or both")
 	hasClass := slices.ContainsFunc(c.scenario.Classes, func(k Class) bool { return k.Name == f.Class })
-	c.require(f.Class == "" || hasClass, prefix+"category", "a category's name", f.Class)
+	c.require(f.Class == "" || hasClass, prefix+"category", "the name of a category", f.Class)
 	hasTenant := slices.ContainsFunc(c.scenario.Tenants, func(t Tenant) bool { return t.Name == f.Tenant })
-	c.require(f.Tenant == "" || hasTenant, prefix+"customer", "a customer's name", f.Tenant)
+	c.require(f.Tenant == "" || hasTenant, prefix+"customer", "the name of a customer", f.Tenant)
 }
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -11,10 +11,10 @@
 const (
 	maxBurst    = 10000
 	maxWait     = time.Minute
-	minLinkRate = 100 // bytes a second
+	minLinkRate = 100 // bytes per second
 )
 
-// Site returns what the ends of links are called.
+// Site returns the names and zones by which link faults refer to the ends of links.
 func (s *Scenario) Site() *netfault.Site {
 	site := &netfault.Site{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
 	for i := range s.Nodes.Count {
@@ -28,7 +28,8 @@
 	return site
 }
 
-// LinkFault returns a fault for the schedule of link faults; false if it is of no link, or names ends that do not exist.
+// LinkFault converts a fault for the schedule of link faults. It returns false if the fault is not of a link, or names
+// ends that do not exist.
 func (s *Scenario) LinkFault(f *Fault) (netfault.Fault, bool) {
 	if FaultTargets[f.Kind] != LinkTarget {
 		return netfault.Fault{}, false
@@ -46,13 +47,13 @@
 	}, errFrom == nil && errTo == nil && len(from) > 0 && len(to) > 0
 }
 
-// namedLinkFault is a valid fault with the key of its table.
+// namedLinkFault is a valid link fault with the key prefix of its table.
 type namedLinkFault struct {
 	prefix string
 	fault  netfault.Fault
 }
 
-// checkLinkFaults checks faults of links, each and against one another.
+// checkLinkFaults checks each link fault, and that no two of them conflict.
 func (c *checker) checkLinkFaults() {
 	var valid []namedLinkFault
 	for i := range c.scenario.Faults {
@@ -67,7 +68,7 @@
 		}
 		for k := range valid {
 			other := "one in " + strings.TrimSuffix(valid[k].prefix, ".")
-			c.require(!netfault.Conflict(&valid[k].fault, &fault), prefix+"kind", "no other "+f.Kind+" of one of its ways at one time", other)
+			c.require(!netfault.Conflict(&valid[k].fault, &fault), prefix+"kind", "no other "+f.Kind+" on the same link at the same time", other)
 		}
 		valid = append(valid, namedLinkFault{prefix, fault})
 	}
@@ -80,22 +81,22 @@
 	if variants := netfault.Variants[kind]; len(variants) > 0 {
 		c.oneOf(prefix+"how", f.How, variants...)
 	} else {
-		c.require(f.How == "", prefix+"how", "none, as "+f.Kind+" has one way only", f.How)
+		c.require(f.How == "", prefix+"how", "none, as "+f.Kind+" has no variants", f.How)
 	}
 	c.fraction(prefix+"share", f.Share)
-	c.require(f.Burst >= 1 && f.Burst <= maxBurst, prefix+"burst", "1 to 10,000 messages", f.Burst)
+	c.require(f.Burst >= 1 && f.Burst <= maxBurst, prefix+"burst", "1 to 10,000 successive messages", f.Burst)
 	switch kind {
 	case netfault.Delay, netfault.Reorder:
 		wait := f.Wait.Std()
 		c.require(wait > 0 && wait <= maxWait, prefix+"wait", "a time above 0, 1m at most", wait)
 	case netfault.Narrow:
-		c.require(f.Rate >= minLinkRate, prefix+"rate", "at least 100 bytes a second", f.Rate)
+		c.require(f.Rate >= minLinkRate, prefix+"rate", "at least 100 bytes per second", f.Rate)
 	}
 }
 
 func (c *checker) checkEndNames(key string, names []string) {
 	if len(names) == 0 {
-		c.require(false, key, "one end of the way at least", "none")
+		c.require(false, key, "at least one end of a link", "none")
 		return
 	}
 	if _, err := c.scenario.Site().Ends(names); err != nil {
@@ -104,7 +105,8 @@
 	}
 }
 
-// checkEnds checks that a fault's ends are linked, and by links that can have such a fault; false if they are not linked.
+// checkEnds checks that there are links between a fault's ends, and that these links can have a fault of its kind. It
+// returns false if there are no such links.
 func (c *checker) checkEnds(prefix string, f *Fault, fault *netfault.Fault) bool {
 	linked, messages, same := true, true, true
 	for _, a := range fault.From {
@@ -113,13 +115,13 @@
 			linked, messages, same = linked && link, messages && ofMessages, same && a == b
 		}
 	}
-	c.require(!same, prefix+"to", "another end than from", strings.Join(f.To, " "))
+	c.require(!same, prefix+"to", "an end that from does not name", strings.Join(f.To, " "))
 	if !linked {
 		ends := strings.Join(f.From, " ") + " and " + strings.Join(f.To, " ")
-		c.require(false, prefix+"to", "ends that nodes have ways to: one side of a way is always a node", ends)
+		c.require(false, prefix+"to", "ends that nodes have links to: one end of a link is always a node", ends)
 		return false
 	}
 	c.require(messages || netfault.AppliesToStreams(fault.Kind),
-		prefix+"kind", "link-cut, link-drop, link-delay or link-narrow where the way carries streams", fmt.Sprintf("%q", f.Kind))
+		prefix+"kind", "link-cut, link-drop, link-delay or link-narrow on a link that carries streams", fmt.Sprintf("%q", f.Kind))
 	return true
 }
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -11,10 +11,10 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Mistake is what is wrong in a file.
+// FileError is an error in a scenario file.
 type FileError struct {
 	Path    string
-	Line    int // 0 if it concerns no single line
+	Line    int // 0 if the error has no line
 	Message string
 }
 
@@ -25,7 +25,8 @@
 	return fmt.Sprintf("%s:%d: %s", m.Path, m.Line, m.Message)
 }
 
-// Read reads and checks a file. Its errors are Mistakes, or of the file system.
+// Read reads and checks a scenario file. Its errors are *FileError, joined if there are several, or from the file
+// system.
 func Read(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -34,7 +35,7 @@
 	return Parse(path, text)
 }
 
-// Parse decodes and checks a file's text. Its errors are Mistakes.
+// Parse decodes and checks the text of a scenario file. Its errors are *FileError, joined if there are several.
 func Parse(path string, text []byte) (*Scenario, error) {
 	s := Default()
 	s.Path = path
@@ -51,7 +52,7 @@
 	return s, nil
 }
 
-// decodeError gives a decoder's error its line.
+// decodeError converts an error of the TOML decoder, with its line.
 func decodeError(path string, err error) *FileError {
 	var unknown *toml.StrictMissingError
 	var invalid *toml.DecodeError
@@ -67,7 +68,7 @@
 	return &FileError{path, 0, strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
-// keyLines tells in which line each key is, as a path with an index for each repeated table.
+// keyLines returns the line of each key. Keys are full paths, with an index after the name of a repeated table.
 func keyLines(text []byte) map[string]int {
 	lines, seen, prefix := map[string]int{}, map[string]int{}, ""
 	var p unstable.Parser
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads scenario files: TOML, decoded strictly, with defaults and checks. Its types are the one place
-// where the words of the files meet the terms of the code.
+// Package scenario reads scenario files in TOML. Unknown keys are errors; missing keys get defaults, and all values are
+// checked. The struct tags map the keys of the files to the terms of the code.
 package scenario
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Duration is a time in whole nanoseconds, written as 1.5s or 20ms.
+// Duration is a duration in nanoseconds, written in files as 1.5s or 20ms.
 type Duration int64
 
-// UnmarshalText reads a duration as time.ParseDuration does.
+// UnmarshalText parses a duration in the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -20,15 +20,15 @@
 	return nil
 }
 
-// MarshalText writes a duration as time.Duration does.
+// MarshalText formats a duration like time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.Std().String()), nil }
 
-// Std returns the duration as the standard library's type.
+// Std converts the duration to a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 func milliseconds(v float64) Duration { return Duration(v * float64(time.Millisecond)) }
 
-// Scenario is one run: the parts, the load, the faults, and what must hold at the end.
+// Scenario describes one run: the network, nodes and endpoints, the load, the faults, and the expected results.
 type Scenario struct {
 	Name   string   `toml:"name"`
 	About  string   `toml:"about"`
@@ -49,37 +49,37 @@
 	Expect    Expect    `toml:"expect"`
 
 	Path  string         `toml:"-"`
-	lines map[string]int // of keys, to say where a mistake is
+	lines map[string]int // line of each key, for error messages
 }
 
-// Network has the delays between parts, one way. Clients reach nodes through a front in their zone.
+// Network has the one-way delays of the network. Clients reach nodes through a front, a load balancer in their zone.
 type Network struct {
 	Zones     []string `toml:"zones"`
 	SameZone  Duration `toml:"same"`
 	CrossZone Duration `toml:"cross"`
-	Client    Duration `toml:"client"` // from a client to its front
-	Jitter    float64  `toml:"jitter"` // a delay is longer by up to this part of it
+	Client    Duration `toml:"client"` // between a client and its front
+	Jitter    float64  `toml:"jitter"` // a delay is longer by a random fraction of up to this
 }
 
-// Nodes are the nodes of the fleet. Node i is in zone i modulo the number of zones, unless Zones says otherwise.
+// Nodes configures the nodes. Node i is in zone i modulo the number of zones, unless Zones lists the zone of each node.
 type Nodes struct {
 	Count          int      `toml:"count"`
 	Zones          []string `toml:"zones"`
-	Cores          float64  `toml:"cores"`     // in the configuration; not enforced
-	MemoryMB       int64    `toml:"memory_mb"` // beyond it a node is killed
-	Sockets        int      `toml:"sockets"`   // descriptors, set as the process's limit
-	DeathNotice    Duration `toml:"notice"`    // until the front notices that a node has died
-	StaleList      bool     `toml:"old_list"`  // a restarted node has the endpoint list of the run's beginning
-	NoList         bool     `toml:"no_list"`   // a restarted node has no endpoint list, and is ready once it has one
-	ClockSkew      Duration `toml:"skew"`      // clocks differ by up to this, either way; in virtual time alone
+	Cores          float64  `toml:"cores"`     // value in the node's configuration; not enforced by the lab
+	MemoryMB       int64    `toml:"memory_mb"` // a node that uses more is killed
+	Sockets        int      `toml:"sockets"`   // limit on the file descriptors of a node's process
+	DeathNotice    Duration `toml:"notice"`    // until the front stops sending to a node that has died
+	StaleList      bool     `toml:"old_list"`  // a restarted node starts with the endpoint list of the run's start
+	NoList         bool     `toml:"no_list"`   // a restarted node has no endpoint list, and is ready once it gets one
+	ClockSkew      Duration `toml:"skew"`      // largest offset of a node's clock in either direction; simulation only
 	Gossip         bool     `toml:"news"`
-	PersistState   bool     `toml:"state"` // on sockets alone
+	PersistState   bool     `toml:"state"` // emulation only
 	Membership     bool     `toml:"members"`
 	ProtocolPeriod Duration `toml:"round"` // of membership
-	ListGossip     bool     `toml:"list"`  // members ask each other for the endpoint list while discovery is silent
+	ListGossip     bool     `toml:"list"`  // members exchange the endpoint list while discovery does not respond
 }
 
-// Fleet is a number of endpoints of one kind, spread over its zones in turn.
+// Fleet is a group of endpoints of one kind, assigned to its zones in turn.
 type Fleet struct {
 	Name    string   `toml:"name"`
 	Count   int      `toml:"count"`
@@ -87,57 +87,57 @@
 	PodSize int      `toml:"pod_size"`
 
 	Cores        int     `toml:"cores"`
-	Speed        float64 `toml:"speed"`   // seconds of work that one core does in a second
-	Spread       float64 `toml:"spread"`  // speeds are drawn within this part of Speed
-	Concurrency  int     `toml:"places"`  // requests in work at a time
-	QueueLimit   int     `toml:"waiting"` // requests queued
-	Slowdown     float64 `toml:"dearer"`  // part by which work grows with each request a core beyond SlowdownFrom
-	SlowdownFrom float64 `toml:"dearer_at"`
+	Speed        float64 `toml:"speed"`     // seconds of work that one core does in a second
+	Spread       float64 `toml:"spread"`    // speeds are drawn from Speed plus or minus this fraction of it
+	Concurrency  int     `toml:"places"`    // requests that run at a time
+	QueueLimit   int     `toml:"waiting"`   // queued requests
+	Slowdown     float64 `toml:"dearer"`    // fraction by which work grows for each request per core beyond SlowdownFrom
+	SlowdownFrom float64 `toml:"dearer_at"` // running requests per core
 	ErrorShare   float64 `toml:"error_share"`
-	DropExpired  bool    `toml:"drop_expired"` // rejects requests that were queued past their time
-	Cancel       string  `toml:"cancel"`       // what a canceled attempt stops: nothing, waiting or work
+	DropExpired  bool    `toml:"drop_expired"` // rejects requests that were queued past their deadline
+	Cancel       string  `toml:"cancel"`       // which canceled attempts stop: nothing, waiting (queued) or work (all)
 
-	SlowStartCapacity float64  `toml:"cold_from"` // part of its capacity that an endpoint has at its start
+	SlowStartCapacity float64  `toml:"cold_from"` // fraction of the full capacity at an endpoint's start
 	SlowStartWindow   Duration `toml:"warm_for"`
-	StartsCold        bool     `toml:"cold"` // started at the run's beginning
+	StartsCold        bool     `toml:"cold"` // endpoints are in slow start at the start of the run
 
-	PauseEvery Duration `toml:"pause_every"` // on average; 0: never
+	PauseEvery Duration `toml:"pause_every"` // mean time between pauses; 0: no pauses
 	PauseFor   Duration `toml:"pause_for"`
 
-	Connections     int      `toml:"connections"`     // at most
-	ConnectionWork  Duration `toml:"connection_work"` // work of a new one
-	ConnectionWait  Duration `toml:"connection_wait"` // time that the first request on a new one waits
-	IdleClose       Duration `toml:"idle_close"`      // an idle one is closed after this
+	Connections     int      `toml:"connections"`     // limit; attempts on connections beyond it are rejected
+	ConnectionWork  Duration `toml:"connection_work"` // work to accept a connection
+	ConnectionWait  Duration `toml:"connection_wait"` // extra delay of the first request on a connection
+	IdleClose       Duration `toml:"idle_close"`      // an idle connection is closed after this time
 	HealthCheckWork Duration `toml:"probe_work"`
 }
 
-// Reports are the load reports in responses.
+// Reports configures the endpoints' load reports.
 type Reports struct {
 	Fields        []string `toml:"fields"` // inflight, queue, util, latency_ms; none: no reports
-	Period        Duration `toml:"period"` // figures are sampled this often
-	Delay         Duration `toml:"delay"`  // and visible this much later
-	Noise         float64  `toml:"noise"`
-	HealthChecked bool     `toml:"probed"` // only health checks bring them; in virtual time alone
+	Period        Duration `toml:"period"` // interval between load samples
+	Delay         Duration `toml:"delay"`  // from a sample until reports contain it
+	Noise         float64  `toml:"noise"`  // largest relative error of a figure
+	HealthChecked bool     `toml:"probed"` // only health checks return reports; simulation only
 }
 
-// Discovery has the endpoint list for nodes.
+// Discovery configures the discovery service, which serves the endpoint list to nodes.
 type Discovery struct {
-	MustPoll       bool     `toml:"ask"`    // nodes have to call for a watch
-	ChangeDelay    Duration `toml:"notice"` // until a change of an endpoint is on the list
-	UpdateInterval Duration `toml:"period"` // between two writes to a watch
-	CallTime       Duration `toml:"call"`   // of one call; calls are handled in turn
-	EntryTime      Duration `toml:"per_line"`
-	CallTimeout    Duration `toml:"give_up"` // a call that waits longer fails
+	MustPoll       bool     `toml:"ask"`      // the decisions have to request each watch; else nodes open one on their own
+	ChangeDelay    Duration `toml:"notice"`   // from a change of an endpoint until it is listed
+	UpdateInterval Duration `toml:"period"`   // between two updates of a watch
+	CallTime       Duration `toml:"call"`     // time to handle a call; calls are handled one at a time
+	EntryTime      Duration `toml:"per_line"` // additional time for each entry in the response
+	CallTimeout    Duration `toml:"give_up"`  // a call that would take longer, with its time in the queue, fails
 	KeyAffinity    bool     `toml:"warm_keys"`
 }
 
-// Rules are the limits that nodes are held to, and have in their settings.
+// Rules are limits that nodes must keep. They are part of the nodes' settings, and the rule checker enforces them.
 type Rules struct {
 	StopSending    Duration `toml:"stop_sending"`
 	PollWithin     Duration `toml:"ask_within"`
 	CrashMultiple  float64  `toml:"fall_multiple"`
 	CrashWindow    Duration `toml:"fall_after"`
-	CrashSlack     string   `toml:"fall_slack"` // over the budget: tight, or chance as in the standing test
+	CrashSlack     string   `toml:"fall_slack"` // beyond the budget: tight, or chance (what random arrivals explain)
 	AnswerGrace    Duration `toml:"answer_grace"`
 	MaxAttempts    int      `toml:"most_hand_offs"`
 	MayHedge       bool     `toml:"may_duplicate"`
@@ -146,61 +146,61 @@
 	ConnectTimeout Duration `toml:"connect_within"`
 }
 
-// Load is what clients ask for, drawn ahead.
+// Load describes the operations of the clients, which are drawn before the run.
 type Load struct {
-	Rate        float64   `toml:"rate"`       // operations a second, mean of all clients
+	Rate        float64   `toml:"rate"`       // mean operations per second of all clients
 	Shape       string    `toml:"shape"`      // steady, wave, burst or month-end
-	Swing       float64   `toml:"swing"`      // by which part of its mean the rate moves
-	Period      Duration  `toml:"period"`     // of a wave; between bursts
-	ZoneShare   []float64 `toml:"zone_share"` // even if left out
-	Keys        int       `toml:"keys"`       // number of keys; 0: requests have none
-	HotKeyShare float64   `toml:"hot_key"`    // part of the operations with one and the same key
+	Swing       float64   `toml:"swing"`      // amplitude of the rate, as a fraction of the mean
+	Period      Duration  `toml:"period"`     // of a wave, or between the starts of bursts
+	ZoneShare   []float64 `toml:"zone_share"` // weight of each zone; equal by default
+	Keys        int       `toml:"keys"`       // number of affinity keys; 0: requests have none
+	HotKeyShare float64   `toml:"hot_key"`    // fraction of the operations that are certain to have key 0
 	Body        int       `toml:"body"`       // bytes
-	NodeSkew    float64   `toml:"uneven"`     // deviation of the logarithm of a node's part of its zone's load
+	NodeSkew    float64   `toml:"uneven"`     // standard deviation of the logarithm of a node's share of its zone's load
 }
 
-// The kinds of idempotency of a Class.
+// Values of Class.Idempotency.
 const (
 	Idempotent      = "rerunnable"
 	IdempotentByKey = "ticketed"
 	NonIdempotent   = "exclusive"
 )
 
-// Class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name             string   `toml:"name"`
 	Idempotency      string   `toml:"repeat"`
-	DedupGroup       string   `toml:"group"` // of IdempotentByKey: fleet, zone or pod
+	DedupGroup       string   `toml:"group"` // for IdempotentByKey: fleet, zone or pod
 	DedupWindow      Duration `toml:"memory"`
 	Share            float64  `toml:"share"`
 	LatencyObjective Duration `toml:"soft_limit"`
 	Deadline         Duration `toml:"hard_limit"`
 	PriorityWeight   float64  `toml:"earnings"`
 	Work             Duration `toml:"work"`       // mean, on a core of speed 1
-	WorkSpread       float64  `toml:"vary"`       // 0: all alike; 1: exponential
-	AttemptNoise     float64  `toml:"hand_noise"` // an attempt's work is within this part of the request's
-	CostHint         bool     `toml:"estimate"`   // clients send a guess at the work
+	WorkSpread       float64  `toml:"vary"`       // 0: constant; 1: exponentially distributed
+	AttemptNoise     float64  `toml:"hand_noise"` // largest relative deviation of an attempt's work from the request's
+	CostHint         bool     `toml:"estimate"`   // clients send an estimate of the work
 }
 
-// Tenant whose requests these are.
+// Tenant is a tenant to which operations belong.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"` // of the operations
-	Quota float64 `toml:"owns"`  // of the service; as Share if left out
+	Quota float64 `toml:"owns"`  // weight of its quota of the service; Share by default
 }
 
-// Clients say how clients behave.
+// Clients configures the behavior of clients.
 type Clients struct {
 	Retries             int      `toml:"retries"`
-	Backoff             Duration `toml:"backoff"`     // doubled with each retry
-	HonorShare          float64  `toml:"honour"`      // part that keeps to Retry-After
-	CancelShare         float64  `toml:"leave"`       // part that may cancel early
-	OneShotShare        float64  `toml:"once"`        // part that sends one request and keeps its connection for good
-	RequestTimeoutShare float64  `toml:"try_share"`   // part of the deadline that one request is waited for
-	MaxConnections      int      `toml:"connections"` // to a node; operations beyond wait, which counts in their latency
+	Backoff             Duration `toml:"backoff"`     // before the first retry; doubled with each further one
+	HonorShare          float64  `toml:"honour"`      // fraction of operations whose client waits for Retry-After
+	CancelShare         float64  `toml:"leave"`       // fraction of operations whose client cancels before the deadline
+	OneShotShare        float64  `toml:"once"`        // fraction of operations whose connection stays open, unused
+	RequestTimeoutShare float64  `toml:"try_share"`   // fraction of the deadline that a client waits for one request
+	MaxConnections      int      `toml:"connections"` // to a node; further requests wait, which counts in their latency
 }
 
-// Fault is one fault of the run. What it hits is named by Endpoints or Nodes, or drawn: Count of them or a Share.
+// Fault is one fault of a run. Its targets are named by Endpoints or Nodes, or drawn: Count of them or a Share.
 type Fault struct {
 	Kind         string   `toml:"kind" json:"Kind"`
 	At           Duration `toml:"at" json:"At"`
@@ -211,45 +211,48 @@
 	Count        int      `toml:"count" json:"Count"`
 	Share        float64  `toml:"share" json:"Share"`
 	Factor       float64  `toml:"factor" json:"Factor"`
-	Each         Duration `toml:"each" json:"Each"`          // apart, when several are hit one after another
-	AttemptShare float64  `toml:"hand_offs" json:"HandOffs"` // part of the attempts or responses that it hits
-	How          string   `toml:"how" json:"How"`
-	Rate         float64  `toml:"rate" json:"Rate"` // of bad clients, a second; of a narrow link, bytes a second
+	Each         Duration `toml:"each" json:"Each"`          // between the starts of the fault at successive targets
+	AttemptShare float64  `toml:"hand_offs" json:"HandOffs"` // fraction of the attempts or responses that it affects
+	How          string   `toml:"how" json:"How"`            // variant of the kind
+	Rate         float64  `toml:"rate" json:"Rate"`          // bad clients per second; bytes per second of a narrow link
 	Class        string   `toml:"category" json:"Category"`
 	Tenant       string   `toml:"customer" json:"Customer"`
-	Wait         Duration `toml:"wait" json:"Wait"` // before the work; of a link: the delay; of a clock: the step
+	Wait         Duration `toml:"wait" json:"Wait"` // delay before the work, on the link or of the list; step of a clock
 
-	// Of links: the ends, by the names that package netfault resolves.
+	// For link faults: the ends, by the names that package netfault resolves.
 	From   []string `toml:"from" json:"From"`
 	To     []string `toml:"to" json:"To"`
 	OneWay bool     `toml:"one_way" json:"OneWay"` // only from From to To
-	Burst  int      `toml:"burst" json:"Burst"`    // so many messages in a row have the same fate
+	Burst  int      `toml:"burst" json:"Burst"`    // number of successive messages that share one fate
 
-	// Of a power loss: when what was lost is back, counted from the loss, each up to Each later; 0: not in this run.
+	// For a power loss: the time from the loss until the targets are back, plus a random time of up to Each for each
+	// node and endpoint; 0: they stay down.
 	NodesBack     Duration `toml:"nodes_back" json:"NodesBack"`
 	EndpointsBack Duration `toml:"servers_back" json:"ServersBack"`
 	DiscoveryBack Duration `toml:"discovery_back" json:"DiscoveryBack"`
 }
 
-// Expect is what must hold for a run to end with exit code 0. The rules hold whatever it says.
+// Expect is what must hold for a run to end with exit code 0, besides the rules, which always must. Numbers without a
+// unit are fractions, except MaxLost and MaxSlowStartExcess.
 type Expect struct {
-	MinWeightInTime      float64  `toml:"earnings_in_time_min"` // part of the priority weight answered within the objective
-	MinSucceeded         float64  `toml:"satisfied_min"`        // part of the operations
+	MinWeightInTime      float64  `toml:"earnings_in_time_min"` // of the priority weight, answered within the objective
+	MinSucceeded         float64  `toml:"satisfied_min"`        // fraction of the operations
 	MaxRejected          float64  `toml:"declined_max"`
 	MaxP99               Duration `toml:"p99_max"`
-	MaxBadUnanswered     float64  `toml:"bad_unanswered_max"` // part of bad clients that got neither an error nor a close
-	MaxLost              int      `toml:"lost_max"`           // operations lost with nodes that were killed
-	MinShareOfLateSeeing float64  `toml:"seeing_part_min"`    // part of what a policy keeps that sees the true state late; gate
-	ViewsAgree           bool     `toml:"agree"`              // at the end every node knows which nodes run
-	// RecoverWithin is the time from the last power loss until service is back at 0.95 of the weight; 0: not checked.
+	MaxBadUnanswered     float64  `toml:"bad_unanswered_max"` // of bad clients: got neither an error nor a close
+	MaxLost              int      `toml:"lost_max"`           // operations lost because nodes were killed
+	MinShareOfLateSeeing float64  `toml:"seeing_part_min"`    // of what the late-seeing baseline keeps; gate only
+	ViewsAgree           bool     `toml:"agree"`              // at the end all views match the running nodes
+	// RecoverWithin is the longest time from the last power loss until 0.95 of the weight is served again; 0: not
+	// checked.
 	RecoverWithin Duration `toml:"back_within"`
-	// MaxSlowStartExcess is the most over the budget of N requests of an endpoint in slow start, by nodes that knew of
-	// its start, in roots of N.
+	// MaxSlowStartExcess limits by how much nodes that knew of an endpoint's start may exceed its slow start budget of
+	// N requests, in multiples of sqrt(N).
 	MaxSlowStartExcess *float64 `toml:"cold_over_max"`
-	MaxBelowRandom     float64  `toml:"plain_less_max"` // by how much less than random choice it may keep; gate; 0: not checked
+	MaxBelowRandom     float64  `toml:"plain_less_max"` // below what random choice keeps; gate only; 0: not checked
 }
 
-// EndpointNames lists the endpoints of the run's beginning in their order.
+// EndpointNames returns the names of the endpoints that exist at the start of the run, by index.
 func (s *Scenario) EndpointNames() []string {
 	var names []string
 	for i := range s.Fleets {
@@ -260,7 +263,7 @@
 	return names
 }
 
-// NodeZone is the zone of a node.
+// NodeZone returns the zone of a node.
 func (s *Scenario) NodeZone(node int) string {
 	if len(s.Nodes.Zones) == s.Nodes.Count {
 		return s.Nodes.Zones[node]
--- a/internal/lab/trace/rules.go
+++ b/internal/lab/trace/rules.go
@@ -10,9 +10,9 @@
 	"fawnglade/internal/lab/workload"
 )
 
-// What the rule checker needs to know of a scenario.
+// The inputs of the rule checker that come from a scenario.
 
-// The standing test's limits, which hold whatever the settings of a scenario allow.
+// Time limits that apply to every scenario, whatever its settings are.
 const (
 	knownWithin      = 6 * time.Second
 	cancelGrace      = 100 * time.Millisecond
@@ -20,7 +20,8 @@
 	readyWithinAtEnd = 6 * time.Second
 )
 
-// excusedAfterReconnect is for how long after its link to clients is back a node need not answer.
+// excusedAfterReconnect is the time after the link between a node and its clients is restored during which the node
+// need not respond.
 const excusedAfterReconnect = int64(time.Second)
 
 var (
@@ -44,13 +45,13 @@
 	return classes
 }
 
-// IdempotencyOf tells what running a request of a class twice does, and which endpoints drop a repeat.
+// IdempotencyOf returns the idempotency of a class and the deduplication group whose endpoints drop repeats.
 func IdempotencyOf(c *scenario.Class) (invariant.Idempotency, invariant.DedupGroup) {
 	return idempotencies[c.Idempotency], dedupGroups[c.DedupGroup]
 }
 
-// RulesOf returns the limits of a run that begins at startedAt. They are longer by slack, by how late the lab ran, and by
-// what the run's faults delayed on links.
+// RulesOf returns the rule checker's limits for a run that starts at startedAt. The limits are extended by slack, by
+// lag (how late the lab itself ran at a given time; nil for none) and by the delays that the run's link faults explain.
 func RulesOf(
 	s *scenario.Scenario, faults *netfault.Schedule, startedAt, slack int64, lag func(int64) int64,
 ) invariant.Rules {
@@ -81,8 +82,8 @@
 	return rules
 }
 
-// ExcuseCutLinks tells the history of links that the run cut: a node without its link to clients need not answer, one
-// without its link to discovery cannot learn of changes.
+// ExcuseCutLinks records the cut links of a run in the history: a node whose link to clients is cut need not respond,
+// and one whose link to discovery is cut gets no list updates.
 func ExcuseCutLinks(s *scenario.Scenario, p *workload.Plan, h *invariant.History) {
 	for i := range p.Faults {
 		fault, ok := s.LinkFault(&p.Faults[i].Fault)
@@ -108,7 +109,7 @@
 	}
 }
 
-// endsOf returns the indexes of the ends of one kind that a fault names, on either side.
+// endsOf returns the indexes of the ends of one kind that a fault names in From or To.
 func endsOf(f *netfault.Fault, kind netfault.EndKind) (indexes []int) {
 	for _, e := range slices.Concat(f.From, f.To) {
 		if e.Kind == kind {
--- a/internal/lab/trace/settings.go
+++ b/internal/lab/trace/settings.go
@@ -6,7 +6,7 @@
 	"fawnglade/internal/lab/scenario"
 )
 
-// The words of the settings for those of a scenario file.
+// Values of node settings, by the value in a scenario file.
 var (
 	idempotencySettings = map[string]string{
 		scenario.Idempotent: "safe", scenario.IdempotentByKey: "keyed", scenario.NonIdempotent: "unsafe",
@@ -14,12 +14,13 @@
 	dedupGroupSettings = map[string]string{"fleet": "all", "zone": "zone", "pod": "cell"}
 )
 
-// clockResolution is what every node of the lab is told of its clock.
+// clockResolution is the clock resolution in the settings of every node.
 const clockResolution = 2 * time.Millisecond
 
 func microseconds(d scenario.Duration) int64 { return d.Std().Microseconds() }
 
-// NodeSettings returns the settings of a node, as in its configuration: nothing that a node could not know.
+// NodeSettings returns the settings section of a node's configuration. It holds only what an operator would know in
+// advance, nothing about the run's faults or the endpoints' true state.
 func NodeSettings(s *scenario.Scenario, index, zone int) map[string]any {
 	discovery := "push"
 	if s.Discovery.MustPoll {
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace holds what a run of a scenario leaves behind, on sockets in real time or in virtual time, before any
-// figure is worked out from it; and what both give a node and the rule checker to start from.
+// Package trace holds the raw record of a run of a scenario, emulated in real time or simulated in virtual time, from
+// which results are computed. It also derives node settings and the rule checker's limits from a scenario, for both.
 package trace
 
 import (
@@ -11,11 +11,11 @@
 	"fawnglade/internal/lab/workload"
 )
 
-// State is what became of an operation for its client, over all its requests.
+// State is the outcome of an operation for its client, over all its requests.
 type State int
 
-// The states. An operation that failed had an error, or no response in its time; one that was lost went down with a
-// node that was killed, or found none; one that was canceled was given up by its client first.
+// States of an operation. A failed operation got an error, or no response in time. A lost one was at a node that was
+// killed, or found no node. A canceled one was canceled by its client before a response.
 const (
 	Pending State = iota
 	Succeeded
@@ -25,17 +25,17 @@
 	Canceled
 )
 
-// StateNames has the word for each state in results.
+// StateNames holds the name of each state in results.
 var StateNames = []string{"unsettled", "satisfied", "declined", "broken off", "lost", "left"}
 
-// Outcome is how one operation ended.
+// Outcome is the outcome of one operation.
 type Outcome struct {
 	State    State
-	Elapsed  int64 // nanoseconds from when it was due until the client had its response, or gave up
+	Elapsed  int64 // nanoseconds from the due time until the client had its response or gave up
 	Requests int
 }
 
-// NodeUsage is what a node used.
+// NodeUsage is the resource usage of a node over all its processes.
 type NodeUsage struct {
 	Node           int     `json:"node"`
 	CPUSeconds     float64 `json:"cpu_s"`
@@ -46,25 +46,25 @@
 	LastLogLine    string  `json:"last_log,omitempty"`
 }
 
-// LoadSample is how many attempts each endpoint had at a moment.
+// LoadSample is the number of attempts in flight at each endpoint at one time.
 type LoadSample struct {
 	At       int64 `json:"At"` // nanoseconds
 	InFlight []int `json:"Held"`
 }
 
-// BadClientCounts counts the clients that violated the protocol, by how a node met them.
+// BadClientCounts counts the clients that violated the protocol, by the node's reaction.
 type BadClientCounts struct {
 	Connected  int64 `json:"Came"`
-	Unanswered int64 `json:"Unanswered"` // got neither an error nor a close
+	Unanswered int64 `json:"Unanswered"` // got neither an error response nor a closed connection
 	Served     int64 `json:"Served"`
 }
 
-// FleetActivity counts what all nodes together did in one second, beside the operations that came.
+// FleetActivity counts the activity of all nodes together in one second, and the operations that arrived.
 type FleetActivity struct {
 	Operations      int `json:"tasks"`
 	Attempts        int `json:"hand_offs"`
-	Retries         int `json:"resends"` // attempts of a request after its first, with none in flight
-	Hedged          int `json:"copies"`  // and with one in flight
+	Retries         int `json:"resends"` // attempts after a request's first, while none was in flight
+	Hedged          int `json:"copies"`  // attempts after a request's first, while another was in flight
 	Connections     int `json:"connections"`
 	ListCalls       int `json:"calls"`
 	HealthChecks    int `json:"probes"`
@@ -73,12 +73,12 @@
 	MembershipBytes int `json:"member_bytes,omitempty"`
 }
 
-// Trace is all that a run leaves behind.
+// Trace is the complete record of a run.
 type Trace struct {
-	Plan       *workload.Plan // its times are shifted by StartedAt, as those of the history are
-	PlanHash   string         // of the plan as drawn
-	StartedAt  int64          // the beginning of the run on the clock of all times, nanoseconds
-	Virtual    bool           // run in virtual time
+	Plan       *workload.Plan // its times are shifted by StartedAt, like those of History
+	PlanHash   string         // of the plan before it was shifted
+	StartedAt  int64          // start of the run in nanoseconds, on the clock of Plan and History
+	Virtual    bool           // simulated in virtual time
 	Outcomes   []Outcome      // by operation
 	History    *invariant.History
 	Violations []invariant.Violation
@@ -89,20 +89,20 @@
 	Reach      []netfault.Reach // by second, where links have faults
 	Views      []MembershipView
 	Running    []RunningNodes
-	Anomalies  map[string]int // violations of the protocol that are no rule's, by what was seen
-	GivenUp    map[string]int // requests that nodes gave up, by reason, as they say themselves
-	Void       bool           // the lab itself ran too late for a verdict
-	Lag        time.Duration  // of the lab, in all but the worst twentieth of the time
+	Anomalies  map[string]int // counts of anomalies that violate no rule, by description
+	GivenUp    map[string]int // requests that nodes rejected or failed, by the reason that the nodes gave
+	Void       bool           // the lab itself ran too late for the results to count
+	Lag        time.Duration  // how late the lab ran, in all but the worst twentieth of the time
 	BadClients BadClientCounts
-	Endpoints  []string // names
+	Endpoints  []string // names, by index
 	Elapsed    time.Duration
 }
 
-// Peaks are the worst moments of endpoints in slow start: of all load, and of load from nodes that knew of the start.
+// Peaks are the peaks of load on endpoints in slow start: from all nodes, and from the nodes that knew of the start.
 type Peaks struct{ All, Known []invariant.Peak }
 
-// ReachOf tells which parts reach each other in the middle of each second of a run that begins at a moment; nil where no
-// link has a fault.
+// ReachOf returns which ends of links reach each other in the middle of each second of a run that starts at startedAt.
+// It returns nil if no link has a fault.
 func ReachOf(s *scenario.Scenario, faults *netfault.Schedule, startedAt int64) (reach []netfault.Reach) {
 	if len(faults.Changes()) == 0 {
 		return nil
--- a/internal/lab/trace/views.go
+++ b/internal/lab/trace/views.go
@@ -2,25 +2,25 @@
 
 import "fawnglade/internal/members"
 
-// MembershipView is how one node saw the other nodes at a moment.
+// MembershipView is one node's view of the other nodes at one time.
 type MembershipView struct {
 	At          int64  `json:"at_ns"`
 	Node        int    `json:"node"`
-	Reliable    bool   `json:"known"`            // it says how many nodes there are
-	States      string `json:"of"`               // a letter of StateLetters for each node
-	HealthScore int64  `json:"strain,omitempty"` // its local health score, 0 to 8
+	Reliable    bool   `json:"known"`            // the node's summary counts as reliable
+	States      string `json:"of"`               // one letter of StateLetters per node
+	HealthScore int64  `json:"strain,omitempty"` // the node's local health score, 0 to 8
 }
 
-// StateLetters has a letter for each state of package members, by the state's number.
+// StateLetters holds one letter for each state of package members, indexed by state.
 const StateLetters = ".U?-L"
 
-// RunningNodes tells which nodes ran at a moment.
+// RunningNodes records which nodes were running at one time.
 type RunningNodes struct {
 	At     int64  `json:"at_ns"`
-	States string `json:"of"` // a letter for each node: U, or - for one that did not run
+	States string `json:"of"` // one letter per node: U if it was running, else -
 }
 
-// NewMembershipView shortens the view of a node.
+// NewMembershipView converts a node's view to the short form of a trace.
 func NewMembershipView(at int64, node int, v *members.View) MembershipView {
 	letters := make([]byte, len(v.Members))
 	for i, member := range v.Members {
--- a/internal/lab/workload/faults.go
+++ b/internal/lab/workload/faults.go
@@ -8,15 +8,16 @@
 	"fawnglade/internal/lab/scenario"
 )
 
-// Fault is one fault of the scenario with what it hits.
+// Fault is one fault of the scenario with its targets drawn.
 type Fault struct {
 	scenario.Fault
 	Index   int    `json:"N"`
-	Targets []int  `json:"Targets"` // endpoints or nodes
+	Targets []int  `json:"Targets"` // indexes of endpoints or nodes, by the kind of the fault
 	Seed    uint64 `json:"Seed"`
 }
 
-// RestoreDelay is when one of the machines that lost power is back: after a time, and up to Each more, drawn for each.
+// RestoreDelay returns how long after a power loss a target is back, in nanoseconds: delay, plus a time of up to Each
+// that is drawn for each target. index is that of the target among those of its type.
 func (f *Fault) RestoreDelay(delay scenario.Duration, seed uint64, index int) int64 {
 	return int64(delay) + int64(newRandom(seed+uint64(index)*7919, "back").Float64()*float64(f.Each))
 }
@@ -29,7 +30,7 @@
 	Seed uint64 `json:"Seed"`
 }
 
-// BadClientKinds are the ways in which bad clients violate the protocol.
+// BadClientKinds lists the protocol violations of bad clients.
 var BadClientKinds = []string{
 	"noise", "endless-head", "negative-length", "two-lengths", "huge-body", "no-category", "no-limit",
 	"no-id", "half", "silent", "both-framings", "flood",
@@ -57,7 +58,7 @@
 	slices.SortStableFunc(p.BadClients, func(a, b BadClient) int { return int(a.Due - b.Due) })
 }
 
-// drawEndpointTargets returns the endpoints that the file names, else as many as it wants of those in the zone.
+// drawEndpointTargets returns the endpoints that the fault names, or draws them from those in the fault's zone.
 func (p *Plan) drawEndpointTargets(draw *rand.Rand, f *scenario.Fault) []int {
 	var named, candidates []int
 	for i := range p.Endpoints {
@@ -74,14 +75,14 @@
 	return drawTargets(draw, candidates, f)
 }
 
-// drawNodeTargets returns the nodes that the file names, else as many as it wants of those in the zone.
+// drawNodeTargets returns the nodes that the fault names, or draws them from those in the fault's zone.
 func drawNodeTargets(s *scenario.Scenario, draw *rand.Rand, f *scenario.Fault) []int {
 	if len(f.Nodes) > 0 {
 		return slices.Clone(f.Nodes)
 	}
 	var candidates []int
 	for i := range s.Nodes.Count {
-		// The zone of cut-node is that of the endpoints that are cut off.
+		// The zone of a cut-node fault selects the endpoints to cut off, not the nodes.
 		if f.Zone == "" || f.Kind == "cut-node" || s.NodeZone(i) == f.Zone {
 			candidates = append(candidates, i)
 		}
@@ -89,7 +90,8 @@
 	return drawTargets(draw, candidates, f)
 }
 
-// drawTargets returns as many of the candidates as a fault wants, in order.
+// drawTargets draws the number of candidates that the fault's share or count asks for, all if it has neither. The
+// result is in ascending order.
 func drawTargets(draw *rand.Rand, candidates []int, f *scenario.Fault) []int {
 	want := f.Count
 	if f.Share > 0 {
--- a/internal/lab/workload/nodepicker.go
+++ b/internal/lab/workload/nodepicker.go
@@ -8,8 +8,8 @@
 	"fawnglade/internal/lab/scenario"
 )
 
-// NodeShares returns how much of its zone's load each node gets, over the mean; nil where all get the same. They have
-// random numbers of their own, so that the plan of a scenario without them stays what it was.
+// NodeShares returns each node's share of its zone's load as a multiple of the mean, or nil if the load is even. The
+// shares come from a random source of their own, so that they do not change the rest of the plan.
 func (p *Plan) NodeShares(s *scenario.Scenario) []float64 {
 	skew := s.Load.NodeSkew
 	if skew == 0 {
@@ -22,10 +22,10 @@
 	return shares
 }
 
-// NodePicker deals requests out to nodes of a zone by their shares, which it holds summed up.
+// NodePicker distributes requests over the nodes of a zone by their shares. It holds the cumulative shares.
 type NodePicker []float64
 
-// NewNodePicker picks among some nodes; nil where all shares are the same.
+// NewNodePicker returns a picker for the given nodes, or nil if shares is nil.
 func NewNodePicker(shares []float64, nodes []int) NodePicker {
 	if shares == nil {
 		return nil
@@ -38,8 +38,8 @@
 	return picker
 }
 
-// Pick returns the place among the nodes of the one that a request goes to. It depends on the operation and the
-// request's place among its requests alone.
+// Pick returns the index, among the picker's nodes, of the node that receives a request. It depends only on the
+// operation and on the number of the request among the operation's requests.
 func (p NodePicker) Pick(o *Operation, request int) int {
 	x := rand.New(rand.NewPCG(o.Seed, 77+uint64(request))).Float64() * p[len(p)-1]
 	return min(sort.SearchFloat64s(p, x), len(p)-1)
--- a/internal/lab/workload/operations.go
+++ b/internal/lab/workload/operations.go
@@ -7,18 +7,18 @@
 	"fawnglade/internal/lab/scenario"
 )
 
-// Operation is one thing that a client wants. The requests that it sends for it have IDs of their own.
+// Operation is one operation of a client. The client may send several requests for it, each with its own ID.
 type Operation struct {
 	Index            int    `json:"N"`
-	Due              int64  `json:"Due"`  // nanoseconds since the run's beginning
-	Zone             int    `json:"Zone"` // of the client, and so of its front
+	Due              int64  `json:"Due"`  // nanoseconds since the start of the run
+	Zone             int    `json:"Zone"` // of the client, and of the front that it uses
 	Class            int    `json:"Category"`
-	Tenant           int    `json:"Customer"` // -1 without
-	Key              int    `json:"Key"`      // -1 without
+	Tenant           int    `json:"Customer"` // -1 for none
+	Key              int    `json:"Key"`      // affinity key; -1 for none
 	Work             int64  `json:"Work"`     // nanoseconds on a core of speed 1
-	CostHint         int64  `json:"Estimate"` // the client's guess at the work; 0: it sends none
-	CancelsAfter     int64  `json:"Leaves"`   // nanoseconds after which the client cancels; 0: it stays
-	OneShot          bool   `json:"Once"`     // its connection is kept and never used again
+	CostHint         int64  `json:"Estimate"` // the client's estimate of the work, in nanoseconds; 0: it sends none
+	CancelsAfter     int64  `json:"Leaves"`   // nanoseconds after which the client cancels; 0: never
+	OneShot          bool   `json:"Once"`     // the client keeps the connection open afterwards without using it again
 	HonorsRetryAfter bool   `json:"Honours"`
 	Seed             uint64 `json:"Seed"`
 }
@@ -28,14 +28,15 @@
 	minWork = 1000 // nanoseconds
 )
 
-// relativeRate is the rate at a moment, as a multiple of the mean.
+// relativeRate returns the request rate at a time, as a multiple of the mean.
 func relativeRate(l *scenario.Load, at, length int64) float64 {
 	period := float64(l.Period)
 	switch l.Shape {
 	case "wave":
 		return 1 + l.Swing*math.Sin(2*math.Pi*float64(at)/period)
 	case "burst":
-		// A fifth of each period is above the mean by the swing, the rest below it so that the mean holds.
+		// The first fifth of each period is above the mean by the swing; the rest is below it by a quarter of the
+		// swing, which preserves the mean.
 		if math.Mod(float64(at), period) < period/5 {
 			return 1 + l.Swing
 		}
@@ -46,7 +47,8 @@
 	return 1
 }
 
-// monthEndRate climbs to the middle of the run and stays there.
+// monthEndRate returns the relative rate at x, a fraction of the run: it rises until 0.3, stays high until 0.7 and
+// falls again.
 func monthEndRate(swing, x float64) float64 {
 	switch {
 	case x < 0.3:
@@ -57,7 +59,7 @@
 	return 1 + swing - 2*swing*(x-0.7)/0.3
 }
 
-// operationWeights are the weights by which operations are drawn.
+// operationWeights holds the weights with which the class, tenant and zone of an operation are drawn.
 type operationWeights struct{ class, tenant, zone []float64 }
 
 func newOperationWeights(s *scenario.Scenario) operationWeights {
@@ -81,7 +83,8 @@
 		if int64(at) >= int64(s.Length) {
 			break
 		}
-		// Thinning: arrivals at the highest rate, of which each is kept with the wanted rate's part.
+		// Thinning: arrivals are drawn at the highest rate, and each is kept with the probability that the current rate
+		// has relative to it.
 		if draw.Float64()*(1+s.Load.Swing) >= relativeRate(&s.Load, int64(at), int64(s.Length)) {
 			continue
 		}
@@ -89,7 +92,7 @@
 	}
 }
 
-// drawOperation draws one operation. The order of the draws is part of the plan.
+// drawOperation draws one operation. The order of the draws must not change, or plans of the same seed would change.
 func drawOperation(s *scenario.Scenario, draw *rand.Rand, w *operationWeights, index int, due int64) Operation {
 	o := Operation{Index: index, Due: due, Tenant: noIndex, Key: noIndex, Seed: draw.Uint64()}
 	o.Class = drawWeighted(draw, w.class)
@@ -125,7 +128,7 @@
 	return out
 }
 
-// pick draws an index by weight.
+// drawWeighted draws an index with a probability proportional to its weight.
 func drawWeighted(draw *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
@@ -141,8 +144,8 @@
 }
 
 // AttemptWork returns the work of one attempt at an endpoint, in nanoseconds, and a number from 0 to 1 that decides
-// whether it fails. Both depend on the request's seed, the attempt's place among those of its request, and the endpoint
-// alone, so that it does not matter when it comes.
+// whether the attempt fails: it does if the number is below the error share. Both depend only on the request's seed,
+// the number of the attempt and the endpoint, not on the order in which attempts arrive.
 func AttemptWork(work int64, noise float64, seed, endpoint uint64, attempt int) (drawn int64, failureDraw float64) {
 	draw := rand.New(rand.NewPCG(seed+uint64(attempt), endpoint))
 	return max(int64(float64(work)*(1+noise*(2*draw.Float64()-1))), minWork), draw.Float64()
--- a/internal/lab/workload/plan.go
+++ b/internal/lab/workload/plan.go
@@ -1,5 +1,5 @@
-// Package workload draws a run before it starts: endpoints, operations, faults and bad clients. The same scenario and
-// seed give the same plan, byte for byte, whatever happens in the run.
+// Package workload draws the plan of a run before it starts: endpoints, operations, faults and bad clients. The plan
+// depends only on the scenario and the seed.
 package workload
 
 import (
@@ -14,7 +14,7 @@
 	"fawnglade/internal/lab/scenario"
 )
 
-// Endpoint is one machine of the run's beginning, or one that a fault adds or puts in place of another.
+// Endpoint is one endpoint that exists at the start of the run, or that a fault adds or puts in place of another.
 type Endpoint struct {
 	Name  string  `json:"Name"`
 	Index int     `json:"Index"`
@@ -25,7 +25,7 @@
 	Seed  uint64  `json:"Seed"`
 }
 
-// Plan is a run as drawn. Its JSON form is hashed, so fields keep their names there.
+// Plan is the plan of a run. Hash covers its JSON form, so the JSON names of its fields must not change.
 type Plan struct {
 	Seed       uint64      `json:"Seed"`
 	Endpoints  []Endpoint  `json:"Servers"`
@@ -34,15 +34,15 @@
 	BadClients []BadClient `json:"Bad"`
 }
 
-// source returns random numbers for one purpose, so that a change of one part of a scenario leaves the draws of the
-// others alone.
+// newRandom returns a random source for one purpose. Separate sources keep a change in one part of a scenario from
+// changing the draws for the others.
 func newRandom(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// Draw draws the plan of a run.
+// Draw draws the plan of a run of a scenario.
 func Draw(s *scenario.Scenario, seed uint64) *Plan {
 	p := &Plan{Seed: seed}
 	p.drawEndpoints(s)
@@ -74,16 +74,16 @@
 	}
 }
 
-// Hash identifies the plan, to see that two runs were given the same.
+// Hash returns a digest of the plan, which shows whether two runs have the same plan.
 func (p *Plan) Hash() string {
 	h := sha256.New()
 	if err := json.NewEncoder(h).Encode(p); err != nil {
-		panic(err) // the plan is made of plain numbers and names
+		panic(err) // cannot happen: the plan consists of numbers and strings
 	}
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// Shift moves all times, for a clock on which the run does not begin at 0.
+// Shift adds an offset to all times, for a clock on which the run does not start at 0.
 func (p *Plan) Shift(by int64) {
 	for i := range p.Operations {
 		p.Operations[i].Due += by
@@ -96,7 +96,7 @@
 	}
 }
 
-// LinkFaults returns the schedule of the faults on links, with the times that the plan has now.
+// LinkFaults returns the schedule of the link faults, by the current times of the plan.
 func (p *Plan) LinkFaults(s *scenario.Scenario) *netfault.Schedule {
 	var all []netfault.Fault
 	for i := range p.Faults {
--- a/internal/lab/workload/retry.go
+++ b/internal/lab/workload/retry.go
@@ -2,14 +2,15 @@
 
 import "fawnglade/internal/lab/scenario"
 
-// Retry is a further request of a client for its operation.
+// Retry is a further request of a client for the same operation.
 type Retry struct {
-	Wait     int64 // nanoseconds until it is sent
-	Deadline int64
+	Wait     int64 // nanoseconds until the request is sent
+	Deadline int64 // nanoseconds, on the clock of Operation.Due
 }
 
-// NextRetry decides whether a client sends a further request after its request number n, from 0, did not succeed.
-// harmless says that the node told so or never had the request; retryAfter is the node's advice, or 0.
+// NextRetry decides whether a client sends a further request at time now, after request n (counted from 0) has not
+// succeeded. harmless means that the request was not executed: the node rejected it or never received it. retryAfter is
+// the Retry-After of the response in nanoseconds, or 0.
 func (o *Operation) NextRetry(s *scenario.Scenario, n int, now int64, harmless bool, retryAfter int64) (Retry, bool) {
 	class := &s.Classes[o.Class]
 	deduplicated := class.Idempotency == scenario.IdempotentByKey && class.DedupGroup == "fleet" &&
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -50,15 +50,15 @@
 func TestPlanDependsOnSeedOnly(t *testing.T) {
 	a, b, other := drawPlan(t, "", 5), drawPlan(t, "", 5), drawPlan(t, "", 6)
 	if a.Hash() != b.Hash() {
-		t.Error("two plans of one seed differ")
+		t.Error("two plans with the same seed differ")
 	}
 	if a.Hash() == other.Hash() {
-		t.Error("plans of two seeds are the same")
+		t.Error("plans with different seeds are equal")
 	}
-	// A change of one part leaves the draws of the others alone.
+	// A change in one part of the scenario must not change the draws for the others.
 	keyed := drawPlan(t, "keys = 10", 5)
 	if keyed.Endpoints[7] != a.Endpoints[7] || keyed.BadClients[3] != a.BadClients[3] || len(keyed.Faults[0].Targets) != len(a.Faults[0].Targets) {
-		t.Error("keys of tasks changed the draws of servers, faults or bad clients")
+		t.Error("affinity keys of operations changed the draws for endpoints, faults or bad clients")
 	}
 }
 
@@ -66,12 +66,12 @@
 	for _, load := range []string{"", `shape = "wave"`, "shape = \"burst\"\nswing = 0.8", `shape = "month-end"`} {
 		p := drawPlan(t, load, 1)
 		if n := float64(len(p.Operations)); math.Abs(n-30000) > 6*math.Sqrt(30000) && load != `shape = "month-end"` {
-			t.Errorf("%s: %v tasks in a minute, want about 30,000", load, n)
+			t.Errorf("load %q: got %v operations in a minute, want about 30,000", load, n)
 		}
 		last := int64(0)
 		for _, o := range p.Operations {
 			if o.Due < last {
-				t.Fatalf("%s: tasks are not in order", load)
+				t.Fatalf("load %q: operations are not in the order of their due times", load)
 			}
 			last = o.Due
 		}
@@ -85,19 +85,20 @@
 		}
 	}
 	if viewShare := float64(viewCount) / float64(len(p.Operations)); math.Abs(viewShare-0.75) > 0.02 || math.Abs(work/float64(viewCount)-1) > 0.05 {
-		t.Errorf("share of views %.3f, work by its mean %.3f; want 0.75 and 1", viewShare, work/float64(viewCount))
+		t.Errorf("got a share of views of %.3f and a mean work of %.3f times the configured mean, want 0.75 and 1", viewShare, work/float64(viewCount))
 	}
 	if targets := p.Faults[0].Targets; len(targets) != 5 || p.Endpoints[targets[0]].Zone != "b" {
-		t.Errorf("hit %v, want a quarter of zone b's twenty", targets)
+		t.Errorf("got fault targets %v, want 5 of the 20 endpoints in zone b", targets)
 	}
 	for _, b := range p.BadClients {
 		if b.Due < 2e9 || b.Due >= 6e9 {
-			t.Errorf("a bad client at %d, outside its time", b.Due)
+			t.Errorf("got a bad client due at %d ns, want from 2e9 to 6e9 ns", b.Due)
 		}
 	}
 }
 
-// Uneven days give some nodes several times what others get, a zone's mean stays, and the plan is no other for it.
+// With uneven load some nodes get several times the mean of their zone, requests follow the shares, and the rest of the
+// plan does not change.
 func TestUnevenNodeShares(t *testing.T) {
 	s, err := scenario.Read("../../../lab/scenarios/fleet/cold-uneven.toml")
 	if err != nil {
@@ -107,7 +108,7 @@
 	shares := p.NodeShares(s)
 	least, most := slices.Min(shares), slices.Max(shares)
 	if len(shares) != s.Nodes.Count || most < 4 || most > 20 || least > 0.3 || least <= 0 {
-		t.Errorf("%d nodes get from %.2f to %.2f of the mean, want some several times it", len(shares), least, most)
+		t.Errorf("got %d node shares from %.2f to %.2f of the mean, want the least in (0, 0.3] and the most in [4, 20]", len(shares), least, most)
 	}
 	nodes := []int{3, 6, 9}
 	shares[3], shares[6], shares[9] = 1, 3, 0.5
@@ -115,17 +116,17 @@
 	for i := range p.Operations {
 		index := picker.Pick(&p.Operations[i], 0)
 		if index != picker.Pick(&p.Operations[i], 0) {
-			t.Fatal("a try goes elsewhere when asked again")
+			t.Fatal("Pick returns two different nodes for the same request")
 		}
 		got[index] += 4.5 / float64(len(p.Operations))
 	}
 	for i, n := range nodes {
 		if math.Abs(got[i]-shares[n]) > 0.1 {
-			t.Errorf("node %d got %.2f of 4.5, want %.2f", n, got[i], shares[n])
+			t.Errorf("node %d: got a share of %.2f of 4.5, want %.2f", n, got[i], shares[n])
 		}
 	}
 	hash := p.Hash()
 	if s.Load.NodeSkew = 0; p.NodeShares(s) != nil || NewNodePicker(nil, nodes) != nil || Draw(s, 1).Hash() != hash {
-		t.Error("an even day deals tasks out in turn, and its plan is the same")
+		t.Error("without node skew: want no shares, no picker and the same plan hash as with it")
 	}
 }
