--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -86,7 +86,7 @@
 type clientConn struct {
 	pool         *pool
 	conn         net.Conn
-	in           *reader
+	reader       *reader
 	requests     chan *clientRequest
 	lastAnswered *invariant.Request // the try whose answer came last, while nothing has been written behind it
 	buffer       []byte
@@ -262,7 +262,7 @@
 		cc.conn.Close()
 		cc.pool.mu.Lock()
 		delete(cc.pool.connections, cc)
-		cc.conn, cc.in = nil, nil // the day's end asks for it as well
+		cc.conn, cc.reader = nil, nil // the day's end asks for it as well
 		cc.pool.mu.Unlock()
 	}
 }
@@ -292,12 +292,12 @@
 func (cc *clientConn) checkIdle() (ended bool) {
 	cc.conn.SetReadDeadline(time.Time{})
 	more, ended := connState(cc.conn)
-	if (more || cc.in.pending() > 0) && cc.lastAnswered != nil {
+	if (more || cc.reader.pending() > 0) && cc.lastAnswered != nil {
 		rec, now := cc.lastAnswered, cc.pool.clients.run.now()
 		cc.pool.clients.run.history.Update(func() { rec.ExtraAt = min(rec.ExtraAt, now) })
 		cc.lastAnswered = nil
 	}
-	return ended || more || cc.in.pending() > 0
+	return ended || more || cc.reader.pending() > 0
 }
 
 // roundTrip sends one request and reads its response. It tells whether the connection goes on, and whether the request
@@ -316,7 +316,7 @@
 			return false, nil
 		}
 		cc.pool.mu.Lock()
-		cc.conn, cc.in, cc.lastAnswered = c, newReader(c, run.now), nil
+		cc.conn, cc.reader, cc.lastAnswered = c, newReader(c, run.now), nil
 		cc.pool.connections[cc] = struct{}{}
 		cc.pool.mu.Unlock()
 	}
@@ -349,15 +349,15 @@
 	}
 	cc.conn.SetReadDeadline(time.Now().Add(time.Duration(until - now)))
 	var m message
-	err := cc.in.next(&m, true)
+	err := cc.reader.next(&m, true)
 	for err == nil && m.status >= 100 && m.status < 200 {
-		err = cc.in.next(&m, true)
+		err = cc.reader.next(&m, true)
 	}
 	now = run.now()
 	if err == nil {
 		return cc.answered(request, rec, &m, now), nil
 	}
-	responseBegun := cc.in.pending() > 0 || errors.Is(err, errTruncated) || errors.Is(err, errMalformed) || errors.Is(err, errTooLong)
+	responseBegun := cc.reader.pending() > 0 || errors.Is(err, errTruncated) || errors.Is(err, errMalformed) || errors.Is(err, errTooLong)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		canceled := until == cancelAt
@@ -422,19 +422,19 @@
 		return false
 	}
 	if request.operation.OneShot {
-		cc.keepUnused()
+		cc.keepOpenUnused()
 		return false
 	}
 	return true
 }
 
-// keepUnused keeps a connection open for good; its owner does no more with it.
-func (cc *clientConn) keepUnused() {
-	unused := &clientConn{pool: cc.pool, conn: cc.conn, in: cc.in, lastAnswered: cc.lastAnswered}
+// keepOpenUnused keeps a connection open for good; its owner does no more with it.
+func (cc *clientConn) keepOpenUnused() {
+	unused := &clientConn{pool: cc.pool, conn: cc.conn, reader: cc.reader, lastAnswered: cc.lastAnswered}
 	cc.pool.mu.Lock()
 	delete(cc.pool.connections, cc)
 	cc.pool.connections[unused] = struct{}{}
-	cc.conn, cc.in, cc.lastAnswered = nil, nil, nil
+	cc.conn, cc.reader, cc.lastAnswered = nil, nil, nil
 	cc.pool.mu.Unlock()
 }
 
--- a/internal/lab/emulator/emulation.go
+++ b/internal/lab/emulator/emulation.go
@@ -51,7 +51,7 @@
 	lag        *lagMonitor
 	group      errgroup.Group
 	done       chan struct{}
-	endOnce    sync.Once
+	finishOnce sync.Once
 
 	addMu         sync.Mutex // one machine is added at a time, as its index is its place
 	endpointList  []*endpoint
@@ -59,9 +59,9 @@
 	anomalies     map[string]int
 	errs          []error
 	deduplicators map[dedupKey]*sharedDeduplicator
-	waits         map[int]int64
+	slotWaits     map[int]int64
 	loads         []trace.LoadSample
-	network       [2]int
+	networkOctets [2]int
 	discovery     *discovery
 	nodes         []*node
 	clients       *clients
@@ -104,7 +104,7 @@
 		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, logDir: o.LogDir,
 		clockStart: time.Now(),
 		history:    &invariant.History{}, done: make(chan struct{}), anomalies: map[string]int{},
-		deduplicators: map[dedupKey]*sharedDeduplicator{}, waits: map[int]int64{},
+		deduplicators: map[dedupKey]*sharedDeduplicator{}, slotWaits: map[int]int64{},
 	}
 	if run.log == nil {
 		run.log = zap.NewNop()
@@ -112,7 +112,7 @@
 	run.planHash = run.plan.Hash()
 	run.lag = &lagMonitor{now: run.now}
 	n := (os.Getpid()*61 + int(runCount.Add(1))) % (200 * 250)
-	run.network = [2]int{20 + n/250, 1 + n%250}
+	run.networkOctets = [2]int{20 + n/250, 1 + n%250}
 	if run.workDir, err = os.MkdirTemp("", "fawnglade-lab-"); err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 
 // address is where a part listens for one node: each node has a network of its own.
 func (run *Emulation) address(node, part int) string {
-	return fmt.Sprintf("127.%d.%d.%d:0", run.network[0], run.network[1], 1+2*node+part)
+	return fmt.Sprintf("127.%d.%d.%d:0", run.networkOctets[0], run.networkOctets[1], 1+2*node+part)
 }
 
 func (run *Emulation) zoneOf(node int) string {
@@ -306,7 +306,7 @@
 		n := &node{
 			run: run, index: i, zone: i % len(run.scenario.Network.Zones),
 			config:  filepath.Join(run.workDir, fmt.Sprintf("n%d.json", i)),
-			address: fmt.Sprintf("127.%d.%d.%d:8443", run.network[0], run.network[1], 200+i),
+			address: fmt.Sprintf("127.%d.%d.%d:8443", run.networkOctets[0], run.networkOctets[1], 200+i),
 			usage:   trace.NodeUsage{Node: i},
 		}
 		if zones := run.scenario.Nodes.Zones; len(zones) > 0 {
@@ -435,7 +435,7 @@
 
 // finish ends all that the run began, in whatever state it is.
 func (run *Emulation) finish() {
-	run.endOnce.Do(func() {
+	run.finishOnce.Do(func() {
 		run.history.Close()
 		close(run.done)
 		for _, n := range run.nodes {
--- a/internal/lab/emulator/endpoint.go
+++ b/internal/lab/emulator/endpoint.go
@@ -26,7 +26,7 @@
 
 // endpointFaults are active faults of an endpoint that its model does not have.
 type endpointFaults struct {
-	silent              bool
+	unresponsive        bool
 	fail, reject, reset float64 // shares of attempts
 	corrupt             string
 	corruptShare        float64
@@ -56,8 +56,8 @@
 }
 
 type loadSample struct {
-	at      int64
-	figures model.LoadFigures
+	sampledAt int64
+	figures   model.LoadFigures
 }
 
 // listener is where one node reaches one endpoint.
@@ -244,7 +244,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := len(e.reports) - 1; i >= 0; i-- {
-		if e.reports[i].at+int64(r.Delay) <= now {
+		if e.reports[i].sampledAt+int64(r.Delay) <= now {
 			return string(encodeLoadReport(nil, r.Fields, e.reports[i].figures.Noisy(e.random.Float64, r.Noise)))
 		}
 	}
@@ -483,7 +483,7 @@
 	t := e.faults
 	rejected := a.conn.overLimit || e.draining || e.random.Float64() < t.reject
 	switch {
-	case t.silent:
+	case t.unresponsive:
 		e.mu.Unlock()
 		return
 	case rejected:
@@ -506,7 +506,7 @@
 		e.run.history.Update(func() { a.record.Deduplicated = a.deduplicated })
 	}
 	job := &model.Job{
-		ID: a.id, Work: work, Deadline: until, Node: a.conn.listener.node, Wait: e.run.waitOf(class, tenant),
+		ID: a.id, Work: work, Deadline: until, Node: a.conn.listener.node, Wait: e.run.slotWait(class, tenant),
 	}
 	accepted, crash := e.model.Arrive(e.run.now(), job)
 	if accepted {
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -81,7 +81,7 @@
 		set := func(by int64) {
 			run.mu.Lock()
 			defer run.mu.Unlock()
-			run.waits[waitKey(run.scenario, &f.Fault)] = by
+			run.slotWaits[waitKey(run.scenario, &f.Fault)] = by
 		}
 		set(int64(f.Wait))
 		afterFault(func() { set(0) })
@@ -134,7 +134,7 @@
 		return
 	}
 	if f.For > 0 {
-		run.restartLater(n, time.Duration(f.For))
+		run.restartNodeLater(n, time.Duration(f.For))
 	}
 }
 
@@ -150,7 +150,7 @@
 	for i, target := range f.Nodes {
 		run.nodes[target].kill()
 		if f.NodesBack > 0 {
-			run.restartLater(run.nodes[target], time.Duration(f.RestoreDelay(f.NodesBack, f.Seed, i)))
+			run.restartNodeLater(run.nodes[target], time.Duration(f.RestoreDelay(f.NodesBack, f.Seed, i)))
 		}
 	}
 	for i, target := range f.Targets {
@@ -160,14 +160,14 @@
 		if f.EndpointsBack > 0 {
 			run.after(
 				time.Duration(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i)),
-				func() { run.revive(e, time.Duration(run.scenario.Discovery.ChangeDelay)) },
+				func() { run.restartEndpoint(e, time.Duration(run.scenario.Discovery.ChangeDelay)) },
 			)
 		}
 	}
 }
 
-// restartLater starts a node again after a time.
-func (run *Emulation) restartLater(n *node, after time.Duration) {
+// restartNodeLater starts a node again after a time.
+func (run *Emulation) restartNodeLater(n *node, after time.Duration) {
 	n.mu.Lock()
 	process := n.handle
 	n.mu.Unlock()
@@ -226,7 +226,7 @@
 		e.mu.Unlock()
 		e.wake()
 	case "silent":
-		run.changeFaults(f, e, func(t *endpointFaults) { t.silent = true }, func(t *endpointFaults) { t.silent = false })
+		run.changeFaults(f, e, func(t *endpointFaults) { t.unresponsive = true }, func(t *endpointFaults) { t.unresponsive = false })
 	case "fail":
 		run.changeFaults(
 			f, e, func(t *endpointFaults) { t.fail = f.AttemptShare }, func(t *endpointFaults) { t.fail = 0 },
@@ -277,10 +277,10 @@
 		if f.How != "unnoticed" {
 			run.setListed(e, model.Removed, delay)
 		}
-		run.reviveLater(f, e, delay)
+		run.restartEndpointLater(f, e, delay)
 	case "restart-servers":
 		e.stop()
-		run.revive(e, delay)
+		run.restartEndpoint(e, delay)
 	case "replace":
 		run.replace(e, delay)
 	case "drain":
@@ -308,14 +308,14 @@
 	}
 }
 
-func (run *Emulation) reviveLater(f *workload.Fault, e *endpoint, delay time.Duration) {
+func (run *Emulation) restartEndpointLater(f *workload.Fault, e *endpoint, delay time.Duration) {
 	if f.For > 0 {
-		run.after(time.Duration(f.For), func() { run.revive(e, delay) })
+		run.after(time.Duration(f.For), func() { run.restartEndpoint(e, delay) })
 	}
 }
 
 // revive starts an endpoint anew, in slow start.
-func (run *Emulation) revive(e *endpoint, delay time.Duration) {
+func (run *Emulation) restartEndpoint(e *endpoint, delay time.Duration) {
 	if err := e.start(true); err != nil {
 		run.recordError(err)
 		return
@@ -352,9 +352,9 @@
 	return len(s.Classes)
 }
 
-// waitOf is for how long an attempt waits in its slot.
-func (run *Emulation) waitOf(class, tenant int) int64 {
+// slotWait is for how long an attempt waits in its slot.
+func (run *Emulation) slotWait(class, tenant int) int64 {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	return max(run.waits[class], run.waits[-1-tenant])
+	return max(run.slotWaits[class], run.slotWaits[-1-tenant])
 }
--- a/internal/lab/emulator/links.go
+++ b/internal/lab/emulator/links.go
@@ -58,7 +58,7 @@
 }
 
 func (run *Emulation) nodeAddress(node, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", run.network[0], run.network[1], 200+node, port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", run.networkOctets[0], run.networkOctets[1], 200+node, port)
 }
 
 // start puts the schedule in force, by the run's clock.
@@ -74,7 +74,7 @@
 		return target(), nil
 	}
 	s, err := faultproxy.NewStream(
-		l.faults, fmt.Sprintf("127.%d.%d.%d:0", l.run.network[0], l.run.network[1], 1+(from.Index+to.Index)%190), from,
+		l.faults, fmt.Sprintf("127.%d.%d.%d:0", l.run.networkOctets[0], l.run.networkOctets[1], 1+(from.Index+to.Index)%190), from,
 		to, target,
 	)
 	if err != nil {
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -106,7 +106,7 @@
 		c.finishOrRetry(request, trace.Lost, true, 0)
 		return
 	}
-	front, end := n.frontEnd(), n.linkEnd()
+	front, end := n.clientEnd(), n.linkEnd()
 	blocked, refused := sim.cannotConnect(front, end)
 	switch {
 	case refused:
@@ -114,7 +114,7 @@
 		return
 	case blocked && !sim.links.Open(sim.now, front, end):
 		// The node never sees it, so it is not in the history either.
-		sim.at(c.waitsUntil(request), func() { c.finishOrRetry(request, trace.Failed, false, 0) })
+		sim.at(c.giveUpTime(request), func() { c.finishOrRetry(request, trace.Failed, false, 0) })
 		return
 	}
 	record := &invariant.Request{
@@ -136,15 +136,15 @@
 	c.awaitResponse(request, n, record)
 }
 
-// waitsUntil is when a client gives up a request.
-func (c *clients) waitsUntil(request *clientRequest) int64 {
+// giveUpTime is when a client gives up a request.
+func (c *clients) giveUpTime(request *clientRequest) int64 {
 	return request.deadline + int64(c.sim.scenario.Rules.AnswerGrace) + lateResponseTime
 }
 
 // awaitResponse ends a request that has no response in time, or whose client leaves before.
 func (c *clients) awaitResponse(request *clientRequest, n *node, record *invariant.Request) {
 	sim := c.sim
-	until := c.waitsUntil(request)
+	until := c.giveUpTime(request)
 	cancelAt := int64(invariant.Never)
 	if request.operation.CancelsAfter > 0 {
 		cancelAt = request.operation.Due + request.operation.CancelsAfter
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -16,7 +16,7 @@
 
 // endpointFaults are active faults of an endpoint that its model does not have.
 type endpointFaults struct {
-	silent              bool
+	unresponsive        bool
 	fail, reject, reset float64 // shares of attempts
 	corrupt             string
 	corruptShare        float64
@@ -47,8 +47,8 @@
 }
 
 type loadSample struct {
-	at      int64
-	figures model.LoadFigures
+	sampledAt int64
+	figures   model.LoadFigures
 }
 
 // connection is one of a node to an endpoint.
@@ -123,7 +123,7 @@
 func (e *endpoint) report() policy.LoadReport {
 	r, out := &e.sim.scenario.Reports, noReport
 	for i := len(e.reports) - 1; i >= 0; i-- {
-		if e.reports[i].at+int64(r.Delay) > e.sim.now {
+		if e.reports[i].sampledAt+int64(r.Delay) > e.sim.now {
 			continue
 		}
 		f := e.reports[i].figures.Noisy(e.random.Float64, r.Noise)
@@ -151,7 +151,7 @@
 	e.model.Crash()
 	e.jobs = map[int64]*attempt{}
 	for _, n := range e.sim.nodes { // in order
-		n.endpointGone(e, false)
+		n.connectionsReset(e, false)
 	}
 }
 
@@ -164,7 +164,7 @@
 	return e.up && e.incarnation == c.incarnation && e.epochFor(c.node) == c.epoch
 }
 func (e *endpoint) isFull() bool      { return e.connections >= e.fleet.Connections }
-func (e *endpoint) workRate() float64 { return e.model.Capacity() }
+func (e *endpoint) capacity() float64 { return e.model.Capacity() }
 func (e *endpoint) delayTo(node *node) int64 {
 	n := &e.sim.scenario.Network
 	base := n.SameZone
@@ -196,7 +196,7 @@
 	}
 	for _, n := range e.sim.nodes {
 		if node == allNodes || n.index == node {
-			n.endpointGone(e, true)
+			n.connectionsReset(e, true)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 	if e.incarnation != a.incarnation || !e.up || a.ended && e.model.Cancel == model.CancelsRunning {
 		return
 	}
-	if e.faults.silent || a.answeredByFault() {
+	if e.faults.unresponsive || a.answeredByFault() {
 		return
 	}
 	sim := e.sim
@@ -274,7 +274,7 @@
 	a.id = e.lastID
 	job := &model.Job{
 		ID: a.id, Work: work, Deadline: min(a.deadline, model.Never), Node: a.pending.node.index,
-		Wait: sim.waitOf(a.pending.request.operation),
+		Wait: sim.slotWait(a.pending.request.operation),
 	}
 	accepted, crash := e.model.Arrive(sim.now, job)
 	switch {
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -44,8 +44,8 @@
 		sim.afterFault(f, func() { s.changeDelay = 0 })
 	case "wait":
 		key := sim.waitKey(f)
-		sim.waits[key] = int64(f.Wait)
-		sim.afterFault(f, func() { delete(sim.waits, key) })
+		sim.slotWaits[key] = int64(f.Wait)
+		sim.afterFault(f, func() { delete(sim.slotWaits, key) })
 	case "bad-clients":
 	case "kill", "stop", "freeze", "cut-node", "clock":
 		for i, target := range f.Targets {
@@ -73,12 +73,12 @@
 	return len(sim.scenario.Classes)
 }
 
-// waitOf is for how long attempts of an operation wait in their slots by a fault.
-func (sim *Simulation) waitOf(o *workload.Operation) int64 {
-	if len(sim.waits) == 0 {
+// slotWait is for how long attempts of an operation wait in their slots by a fault.
+func (sim *Simulation) slotWait(o *workload.Operation) int64 {
+	if len(sim.slotWaits) == 0 {
 		return 0
 	}
-	return max(sim.waits[o.Class], sim.waits[-1-o.Tenant])
+	return max(sim.slotWaits[o.Class], sim.slotWaits[-1-o.Tenant])
 }
 
 func (sim *Simulation) faultNode(f *workload.Fault, n *node) {
@@ -189,7 +189,7 @@
 		e.die()
 		sim.discovery.set(e, model.Removed, delay)
 		if f.EndpointsBack > 0 {
-			sim.after(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { sim.revive(e, delay) })
+			sim.after(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { sim.restartEndpoint(e, delay) })
 		}
 	}
 }
@@ -251,7 +251,7 @@
 	}
 	switch f.Kind {
 	case "silent":
-		change(func(faults *endpointFaults) { faults.silent = true }, func(faults *endpointFaults) { faults.silent = false })
+		change(func(faults *endpointFaults) { faults.unresponsive = true }, func(faults *endpointFaults) { faults.unresponsive = false })
 	case "fail":
 		change(func(faults *endpointFaults) { faults.fail = f.AttemptShare }, func(faults *endpointFaults) { faults.fail = 0 })
 	case "turn-away":
@@ -275,9 +275,9 @@
 		if f.How != "unnoticed" {
 			sim.discovery.set(e, model.Removed, delay)
 		}
-		sim.afterFault(f, func() { sim.revive(e, delay) })
+		sim.afterFault(f, func() { sim.restartEndpoint(e, delay) })
 	case "restart-servers":
-		sim.revive(e, delay)
+		sim.restartEndpoint(e, delay)
 	case "replace":
 		sim.discovery.set(e, model.Removed, delay)
 		spec := e.spec
@@ -309,7 +309,7 @@
 }
 
 // revive starts an endpoint anew, in slow start.
-func (sim *Simulation) revive(e *endpoint, delay int64) {
+func (sim *Simulation) restartEndpoint(e *endpoint, delay int64) {
 	if e.up {
 		return
 	}
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -21,7 +21,7 @@
 
 var discoveryEnd = netfault.End{Kind: netfault.Discovery}
 
-func (n *node) frontEnd() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
+func (n *node) clientEnd() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
 
 // fateOf is the fate of the next message on a link.
 func (sim *Simulation) fateOf(from, to netfault.End, size int) netfault.Fate {
@@ -100,7 +100,7 @@
 	case netfault.Endpoint:
 		e := sim.endpoints[to.Index]
 		e.epochs[n.index]++
-		n.endpointGone(e, true)
+		n.connectionsReset(e, true)
 	case netfault.Discovery:
 		if n.watch != nil && n.watch.blocked {
 			n.watch.fail()
