--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -57,43 +57,43 @@
 }
 
 func newDiscovery(run *Emulation) (*discovery, error) {
-	s := &discovery{
+	d := &discovery{
 		run: run, list: model.NewEndpointList(40), everListed: map[int]bool{}, slowdown: 1,
 		calls:   make(chan *call, maxQueuedCalls),
 		watches: map[*call]struct{}{},
 	}
 	for node := range run.scenario.Nodes.Count {
-		p, err := s.openAt(node, run.address(node, 1))
+		p, err := d.openAt(node, run.address(node, 1))
 		if err != nil {
 			return nil, err
 		}
-		s.endpoints = append(s.endpoints, p)
+		d.endpoints = append(d.endpoints, p)
 	}
-	run.group.Go(func() error { s.handleCalls(); return nil })
-	return s, nil
+	run.group.Go(func() error { d.handleCalls(); return nil })
+	return d, nil
 }
 
-func (s *discovery) openAt(node int, address string) (*discoveryListener, error) {
+func (d *discovery) openAt(node int, address string) (*discoveryListener, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	p := &discoveryListener{node: node, address: ln.Addr().String(), listener: ln, conns: map[net.Conn]struct{}{}}
-	p.advertised, err = s.run.links.proxyStream(netfault.End{
+	p.advertised, err = d.run.links.proxyStream(netfault.End{
 		Kind: netfault.Node, Index: node,
 	}, netfault.End{Kind: netfault.Discovery}, func() string { return p.address })
 	if err != nil {
 		ln.Close()
 		return nil, err
 	}
-	s.run.group.Go(func() error { s.accept(p, ln); return nil })
+	d.run.group.Go(func() error { d.accept(p, ln); return nil })
 	return p, nil
 }
 
-func (s *discovery) close() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, p := range s.endpoints {
+func (d *discovery) close() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, p := range d.endpoints {
 		p.close()
 	}
 }
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *discovery) accept(p *discoveryListener, ln net.Listener) {
+func (d *discovery) accept(p *discoveryListener, ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -119,30 +119,30 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		s.mu.Lock()
+		d.mu.Lock()
 		if p.listener != ln {
-			s.mu.Unlock()
+			d.mu.Unlock()
 			reset(c)
 			continue
 		}
 		p.conns[c] = struct{}{}
-		s.mu.Unlock()
-		s.run.group.Go(func() error {
+		d.mu.Unlock()
+		d.run.group.Go(func() error {
 			defer func() {
 				c.Close()
-				s.mu.Lock()
+				d.mu.Lock()
 				delete(p.conns, c)
-				s.mu.Unlock()
+				d.mu.Unlock()
 			}()
-			s.serve(p, c)
+			d.serve(p, c)
 			return nil
 		})
 	}
 }
 
 // serve reads one call after another.
-func (s *discovery) serve(p *discoveryListener, c net.Conn) {
-	in := newReader(c, s.run.now)
+func (d *discovery) serve(p *discoveryListener, c net.Conn) {
+	in := newReader(c, d.run.now)
 	for {
 		var m message
 		c.SetReadDeadline(time.Now().Add(60 * time.Second))
@@ -161,14 +161,14 @@
 			continue
 		}
 		newCall := &call{
-			node: p.node, incarnation: s.run.nodes[p.node].incarnation(), conn: c, watch: watch, after: after,
+			node: p.node, incarnation: d.run.nodes[p.node].incarnation(), conn: c, watch: watch, after: after,
 			arrivedAt:    time.Now(),
 			callerClosed: make(chan struct{}), answered: make(chan struct{}),
 		}
 		select {
-		case s.calls <- newCall:
+		case d.calls <- newCall:
 		default:
-			s.failCall(newCall)
+			d.failCall(newCall)
 		}
 		if watch {
 			// Any byte now, or the end, counts as the caller's leaving.
@@ -178,7 +178,7 @@
 		}
 		select {
 		case <-newCall.answered:
-		case <-s.run.done: // a call that nobody worked through any more
+		case <-d.run.done: // a call that nobody worked through any more
 			return
 		}
 		if watch {
@@ -188,43 +188,43 @@
 }
 
 // handleCalls handles calls in turn.
-func (s *discovery) handleCalls() {
+func (d *discovery) handleCalls() {
 	for {
 		var c *call
 		select {
-		case <-s.run.done:
+		case <-d.run.done:
 			return
-		case c = <-s.calls:
+		case c = <-d.calls:
 		}
-		d := &s.run.scenario.Discovery
-		s.mu.Lock()
-		down, lines := s.down, len(s.list.Complete())
+		settings := &d.run.scenario.Discovery
+		d.mu.Lock()
+		down, lines := d.down, len(d.list.Complete())
 		if c.after > 0 {
-			changed, _ := s.list.ChangesAfter(c.after)
+			changed, _ := d.list.ChangesAfter(c.after)
 			lines = len(changed)
 		}
-		cost := time.Duration(s.slowdown * float64(int64(d.CallTime)+int64(d.EntryTime)*int64(lines)))
-		s.mu.Unlock()
-		if down || time.Since(c.arrivedAt)+cost > time.Duration(d.CallTimeout) {
-			s.failCall(c)
+		cost := time.Duration(d.slowdown * float64(int64(settings.CallTime)+int64(settings.EntryTime)*int64(lines)))
+		d.mu.Unlock()
+		if down || time.Since(c.arrivedAt)+cost > time.Duration(settings.CallTimeout) {
+			d.failCall(c)
 			continue
 		}
 		select {
-		case <-s.run.done:
+		case <-d.run.done:
 			return
 		case <-time.After(cost):
 		}
 		if c.watch {
-			s.run.group.Go(func() error { s.answerWatch(c); return nil })
+			d.run.group.Go(func() error { d.answerWatch(c); return nil })
 		} else {
-			s.answerList(c)
+			d.answerList(c)
 		}
 	}
 }
 
-func (s *discovery) failCall(c *call) {
-	now := s.run.now()
-	s.run.history.RecordWatch(&invariant.Watch{
+func (d *discovery) failCall(c *call) {
+	now := d.run.now()
+	d.run.history.RecordWatch(&invariant.Watch{
 		Node: c.node, Incarnation: c.incarnation, From: now, To: now, Failed: true,
 	})
 	send(c.conn, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
@@ -233,14 +233,14 @@
 }
 
 // encode encodes entries for a node, and returns what it learns of them.
-func (s *discovery) encode(
+func (d *discovery) encode(
 	node, incarnation int, version int64, entries []model.ListEntry, complete bool,
 ) ([]byte, []invariant.ListEntry) {
 	var lines [][]byte
 	var written []invariant.ListEntry
 	listed := map[int]bool{}
 	for _, entry := range entries {
-		e := s.run.endpointAt(entry.Endpoint)
+		e := d.run.endpointAt(entry.Endpoint)
 		lines = append(
 			lines,
 			encodeEntry(nil, e.spec.Name, e.listeners[node].advertised, e.spec.Zone, e.spec.Pod, entry.State, entry.StartedAt),
@@ -251,7 +251,7 @@
 		listed[entry.Endpoint] = true
 	}
 	if complete {
-		for server := range s.everListed {
+		for server := range d.everListed {
 			if !listed[server] {
 				written = append(written, invariant.ListEntry{
 					Node: node, Incarnation: incarnation, Endpoint: server, State: model.Removed,
@@ -263,70 +263,70 @@
 }
 
 // recordEntries records what has just been written.
-func (s *discovery) recordEntries(written []invariant.ListEntry) {
-	now := s.run.now()
+func (d *discovery) recordEntries(written []invariant.ListEntry) {
+	now := d.run.now()
 	for i := range written {
 		written[i].At = now
 	}
-	s.run.history.RecordEntries(written...)
+	d.run.history.RecordEntries(written...)
 }
 
 // knownList is the list in a node's configuration at its start. Nothing of a stale one counts as known to it.
-func (s *discovery) knownList(node, incarnation int, stale bool) []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if stale && s.initial != nil {
-		return s.initial[node]
+func (d *discovery) knownList(node, incarnation int, stale bool) []byte {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if stale && d.initial != nil {
+		return d.initial[node]
 	}
-	text, written := s.encode(node, incarnation, s.list.Version(), s.list.Complete(), true)
-	s.recordEntries(written)
+	text, written := d.encode(node, incarnation, d.list.Version(), d.list.Complete(), true)
+	d.recordEntries(written)
 	return text
 }
 
 // currentList is the list for a configuration that is reloaded: a node takes no endpoints from it.
-func (s *discovery) currentList(node int) []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	text, _ := s.encode(node, 0, s.list.Version(), s.list.Complete(), true)
+func (d *discovery) currentList(node int) []byte {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	text, _ := d.encode(node, 0, d.list.Version(), d.list.Complete(), true)
 	return text
 }
 
 // keepInitial keeps the list of now, for nodes that restart with a stale one.
-func (s *discovery) keepInitial() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for node := range s.endpoints {
-		text, _ := s.encode(node, 0, s.list.Version(), s.list.Complete(), true)
-		s.initial = append(s.initial, text)
+func (d *discovery) keepInitial() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for node := range d.endpoints {
+		text, _ := d.encode(node, 0, d.list.Version(), d.list.Complete(), true)
+		d.initial = append(d.initial, text)
 	}
 }
 
-func (s *discovery) answerList(c *call) {
-	s.mu.Lock()
-	text, written := s.encode(c.node, c.incarnation, s.list.Version(), s.list.Complete(), true)
-	s.mu.Unlock()
+func (d *discovery) answerList(c *call) {
+	d.mu.Lock()
+	text, written := d.encode(c.node, c.incarnation, d.list.Version(), d.list.Complete(), true)
+	d.mu.Unlock()
 	_, err := fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	if err == nil {
-		s.recordEntries(written)
-		now := s.run.now()
-		s.run.history.RecordWatch(&invariant.Watch{Node: c.node, Incarnation: c.incarnation, From: now, To: now})
+		d.recordEntries(written)
+		now := d.run.now()
+		d.run.history.RecordWatch(&invariant.Watch{Node: c.node, Incarnation: c.incarnation, From: now, To: now})
 	}
 	close(c.answered)
 }
 
 // answerWatch serves a watch until its connection ends.
-func (s *discovery) answerWatch(c *call) {
-	w := &invariant.Watch{Node: c.node, Incarnation: c.incarnation, From: s.run.now(), To: invariant.Never}
-	s.run.history.RecordWatch(w)
-	s.mu.Lock()
-	s.watches[c] = struct{}{}
-	s.mu.Unlock()
+func (d *discovery) answerWatch(c *call) {
+	w := &invariant.Watch{Node: c.node, Incarnation: c.incarnation, From: d.run.now(), To: invariant.Never}
+	d.run.history.RecordWatch(w)
+	d.mu.Lock()
+	d.watches[c] = struct{}{}
+	d.mu.Unlock()
 	defer func() {
-		now := s.run.now()
-		s.run.history.Update(func() { w.To = now })
-		s.mu.Lock()
-		delete(s.watches, c)
-		s.mu.Unlock()
+		now := d.run.now()
+		d.run.history.Update(func() { w.To = now })
+		d.mu.Lock()
+		delete(d.watches, c)
+		d.mu.Unlock()
 		c.conn.Close()
 		close(c.answered)
 	}()
@@ -339,20 +339,20 @@
 	}
 	version, lastWriteAt := c.after, time.Now()
 	for first := true; ; first = false {
-		s.mu.Lock()
-		entries, complete := s.list.ChangesAfter(version)
-		now := s.list.Version()
+		d.mu.Lock()
+		entries, complete := d.list.ChangesAfter(version)
+		now := d.list.Version()
 		var text []byte
 		var written []invariant.ListEntry
 		if first || now != version {
-			text, written = s.encode(c.node, c.incarnation, now, entries, complete)
+			text, written = d.encode(c.node, c.incarnation, now, entries, complete)
 		}
-		s.mu.Unlock()
+		d.mu.Unlock()
 		if text != nil {
 			if writeLine(text) != nil {
 				return
 			}
-			s.recordEntries(written)
+			d.recordEntries(written)
 			version, lastWriteAt = now, time.Now()
 		} else if time.Since(lastWriteAt) > keepAliveInterval {
 			if writeLine(nil) != nil {
@@ -361,27 +361,27 @@
 			lastWriteAt = time.Now()
 		}
 		select {
-		case <-s.run.done:
+		case <-d.run.done:
 			return
 		case <-c.callerClosed:
 			return
-		case <-time.After(time.Duration(s.run.scenario.Discovery.UpdateInterval)):
+		case <-time.After(time.Duration(d.run.scenario.Discovery.UpdateInterval)):
 		}
 	}
 }
 
 // set changes the list after a delay.
-func (s *discovery) set(l model.ListEntry, delay time.Duration) {
-	s.mu.Lock()
-	delay += s.changeDelay
-	s.mu.Unlock()
+func (d *discovery) set(l model.ListEntry, delay time.Duration) {
+	d.mu.Lock()
+	delay += d.changeDelay
+	d.mu.Unlock()
 	do := func() {
-		s.mu.Lock()
-		s.list.Set(l)
-		s.everListed[l.Endpoint] = true
-		s.mu.Unlock()
-		s.run.history.RecordListChange(invariant.ListChange{
-			Endpoint: l.Endpoint, State: l.State, At: s.run.now(), StartedAt: l.StartedAt,
+		d.mu.Lock()
+		d.list.Set(l)
+		d.everListed[l.Endpoint] = true
+		d.mu.Unlock()
+		d.run.history.RecordListChange(invariant.ListChange{
+			Endpoint: l.Endpoint, State: l.State, At: d.run.now(), StartedAt: l.StartedAt,
 		})
 	}
 	if delay <= 0 {
@@ -392,18 +392,18 @@
 }
 
 // setDown makes discovery fail its calls and end its watches, or work again.
-func (s *discovery) setDown(down bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.run.now()
-	if down && !s.down {
-		s.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: now}}
-		s.run.history.RecordOutage(s.outage)
-	} else if s.down && !down {
-		s.run.history.Update(func() { s.outage.To = now })
+func (d *discovery) setDown(down bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.run.now()
+	if down && !d.down {
+		d.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: now}}
+		d.run.history.RecordOutage(d.outage)
+	} else if d.down && !down {
+		d.run.history.Update(func() { d.outage.To = now })
 	}
-	if s.down = down; down {
-		for _, p := range s.endpoints {
+	if d.down = down; down {
+		for _, p := range d.endpoints {
 			for c := range p.conns {
 				reset(c)
 			}
@@ -412,29 +412,29 @@
 }
 
 // move opens new addresses; the old ones accept no connection and close the open ones a while later.
-func (s *discovery) move() error {
-	for node := range s.endpoints {
-		p, err := s.openAt(node, s.run.address(node, 1))
+func (d *discovery) move() error {
+	for node := range d.endpoints {
+		p, err := d.openAt(node, d.run.address(node, 1))
 		if err != nil {
 			return err
 		}
-		s.mu.Lock()
-		old := s.endpoints[node]
-		s.endpoints[node] = p
+		d.mu.Lock()
+		old := d.endpoints[node]
+		d.endpoints[node] = p
 		old.listener.Close()
 		old.listener = nil
-		s.mu.Unlock()
+		d.mu.Unlock()
 		time.AfterFunc(connectionCloseDelay, func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
+			d.mu.Lock()
+			defer d.mu.Unlock()
 			old.close()
 		})
 	}
 	return nil
 }
 
-func (s *discovery) addressFor(node int) string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.endpoints[node].advertised
+func (d *discovery) addressFor(node int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.endpoints[node].advertised
 }
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -125,7 +125,7 @@
 	if delay := sim.linkDelay(front, end); delay > 0 {
 		record.SentAt += delay
 		request.pending = &pendingRequest{node: n, incarnation: n.record.Incarnation, request: request, record: record}
-		sim.after(delay, func() {
+		sim.delay(delay, func() {
 			if n.alive && n.record.Incarnation == record.Incarnation && !request.finished {
 				n.receive(request, record)
 			}
@@ -209,7 +209,7 @@
 		operation: request.operation, number: request.number + 1, deadline: retry.Deadline, key: request.key,
 		id: sim.requestID(request.operation.Index, request.number+1),
 	}
-	sim.after(retry.Wait, func() { c.send(next) })
+	sim.delay(retry.Wait, func() { c.send(next) })
 }
 
 // finish records the end of an operation.
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -53,35 +53,35 @@
 }
 
 // set changes the list after a delay.
-func (s *discovery) set(e *endpoint, state model.State, delay int64) {
+func (d *discovery) set(e *endpoint, state model.State, delay int64) {
 	entry := model.ListEntry{Endpoint: e.spec.Index, State: state, StartedAt: e.startedAt}
 	do := func() {
-		s.list.Set(entry)
-		if !s.wasListed[entry.Endpoint] {
-			s.wasListed[entry.Endpoint] = true
-			s.everListed = append(s.everListed, entry.Endpoint)
+		d.list.Set(entry)
+		if !d.wasListed[entry.Endpoint] {
+			d.wasListed[entry.Endpoint] = true
+			d.everListed = append(d.everListed, entry.Endpoint)
 		}
-		s.sim.history.RecordListChange(invariant.ListChange{
-			Endpoint: entry.Endpoint, State: state, At: s.sim.now, StartedAt: entry.StartedAt,
+		d.sim.history.RecordListChange(invariant.ListChange{
+			Endpoint: entry.Endpoint, State: state, At: d.sim.now, StartedAt: entry.StartedAt,
 		})
-		for _, w := range s.watches {
+		for _, w := range d.watches {
 			w.schedule()
 		}
 	}
-	if delay += s.changeDelay; delay <= 0 {
+	if delay += d.changeDelay; delay <= 0 {
 		do()
 		return
 	}
-	s.sim.after(delay, do)
+	d.sim.delay(delay, do)
 }
 
 // entries converts a list for the decisions.
-func (s *discovery) entries(list []model.ListEntry) []policy.EndpointInfo {
+func (d *discovery) entries(list []model.ListEntry) []policy.EndpointInfo {
 	entries := make([]policy.EndpointInfo, 0, len(list))
 	for _, l := range list {
-		e := s.sim.endpoints[l.Endpoint]
+		e := d.sim.endpoints[l.Endpoint]
 		zone := -1
-		for z, name := range s.sim.scenario.Network.Zones {
+		for z, name := range d.sim.scenario.Network.Zones {
 			if name == e.spec.Zone {
 				zone = z
 			}
@@ -97,27 +97,27 @@
 }
 
 // recordEntries records what is written to a node.
-func (s *discovery) recordEntries(n *node, list []model.ListEntry, complete bool) {
+func (d *discovery) recordEntries(n *node, list []model.ListEntry, complete bool) {
 	written := make([]invariant.ListEntry, 0, len(list))
 	listed := map[int]bool{}
 	for _, l := range list {
 		written = append(written, invariant.ListEntry{
 			Node: n.index, Incarnation: n.record.Incarnation, Endpoint: l.Endpoint, State: l.State,
-			StartedAt: l.StartedAt, At: s.sim.now,
+			StartedAt: l.StartedAt, At: d.sim.now,
 		})
 		listed[l.Endpoint] = true
 	}
 	if complete {
-		for _, endpoint := range s.everListed {
+		for _, endpoint := range d.everListed {
 			if !listed[endpoint] {
 				written = append(written, invariant.ListEntry{
 					Node: n.index, Incarnation: n.record.Incarnation, Endpoint: endpoint, State: model.Removed,
-					At: s.sim.now,
+					At: d.sim.now,
 				})
 			}
 		}
 	}
-	s.sim.history.RecordEntries(written...)
+	d.sim.history.RecordEntries(written...)
 }
 
 // startWatch begins a watch; a node has one at a time.
@@ -140,11 +140,11 @@
 		if refused {
 			after = refusalTime
 		}
-		sim.after(after, func() { w.callEnded(0) })
+		sim.delay(after, func() { w.callEnded(0) })
 		return
 	}
 	if sim.discovery.down || sim.discovery.queuedCalls >= maxQueuedCalls { // as on sockets it takes no turn
-		sim.after(refusalTime, func() { w.callEnded(0) })
+		sim.delay(refusalTime, func() { w.callEnded(0) })
 		return
 	}
 	w.queueCall()
@@ -155,24 +155,24 @@
 func (w *watch) queueCall() {
 	n := w.node
 	sim := n.sim
-	s, end := sim.discovery, n.linkEnd()
+	discovery, end := sim.discovery, n.linkEnd()
 	w.calls++
 	w.unanswered++
-	s.queuedCalls++
+	discovery.queuedCalls++
 	arrivedAt := sim.now
-	begin := max(sim.now, s.busyUntil)
-	cost := s.callCost(w.version)
+	begin := max(sim.now, discovery.busyUntil)
+	cost := discovery.callCost(w.version)
 	timeout := int64(sim.scenario.Discovery.CallTimeout)
 	if begin-arrivedAt+cost > timeout {
 		cost = 0 // it fails when its turn has come
 	}
-	s.busyUntil = begin + cost
-	sim.at(s.busyUntil+sim.linkDelay(end, discoveryEnd)+sim.linkDelay(discoveryEnd, end), func() {
-		s.queuedCalls--
+	discovery.busyUntil = begin + cost
+	sim.at(discovery.busyUntil+sim.linkDelay(end, discoveryEnd)+sim.linkDelay(discoveryEnd, end), func() {
+		discovery.queuedCalls--
 		if w.closed || w.record != nil || n.record != w.process || !n.alive {
 			return
 		}
-		if s.down || begin-arrivedAt+cost > timeout || cost == 0 && begin > arrivedAt {
+		if discovery.down || begin-arrivedAt+cost > timeout || cost == 0 && begin > arrivedAt {
 			w.callEnded(1)
 			return
 		}
@@ -181,14 +181,14 @@
 }
 
 // callCost is the time that a call for changes after a version takes.
-func (s *discovery) callCost(version int64) int64 {
-	entries := len(s.list.Complete())
+func (d *discovery) callCost(version int64) int64 {
+	entries := len(d.list.Complete())
 	if version > 0 {
-		changed, _ := s.list.ChangesAfter(version)
+		changed, _ := d.list.ChangesAfter(version)
 		entries = len(changed)
 	}
-	c := &s.sim.scenario.Discovery
-	return int64(s.slowdown * float64(int64(c.CallTime)+int64(c.EntryTime)*int64(entries)))
+	c := &d.sim.scenario.Discovery
+	return int64(d.slowdown * float64(int64(c.CallTime)+int64(c.EntryTime)*int64(entries)))
 }
 
 // scheduleNextCall makes another call beside the ones that wait, unless one is answered before.
@@ -201,7 +201,7 @@
 		gap = laterCallDelay << max(w.calls-3, 0)
 	}
 	n := w.node
-	n.sim.after(gap, func() {
+	n.sim.delay(gap, func() {
 		if w.record == nil && !w.closed && n.record == w.process && n.alive {
 			w.call()
 		}
@@ -235,7 +235,7 @@
 		n.post(func() { n.decider.WatchFailed(policy.Time(n.clock())) })
 		n.failedCalls++
 		failures := n.failedCalls
-		sim.after(callRetryInterval, func() {
+		sim.delay(callRetryInterval, func() {
 			// else the decisions have asked sooner, and that failed too
 			if n.alive && n.record == w.process && n.failedCalls == failures {
 				n.startWatch()
@@ -246,7 +246,7 @@
 	// Where lists are pushed the node calls by itself.
 	wait := n.callBackoff
 	n.callBackoff = min(2*n.callBackoff, int64(maxCallBackoff))
-	sim.after(wait, func() {
+	sim.delay(wait, func() {
 		if n.alive && n.record == w.process {
 			n.startWatch()
 		}
@@ -302,15 +302,15 @@
 		w.blocked = true // changes come with the next watch
 		return
 	}
-	n, s := w.node, w.node.sim.discovery
-	entries, complete := s.list.ChangesAfter(w.version)
+	n, discovery := w.node, w.node.sim.discovery
+	entries, complete := discovery.list.ChangesAfter(w.version)
 	first := w.version == 0
-	if !first && s.list.Version() == w.version {
+	if !first && discovery.list.Version() == w.version {
 		return
 	}
-	w.version = s.list.Version()
+	w.version = discovery.list.Version()
 	n.version = w.version
-	s.recordEntries(n, entries, complete)
+	discovery.recordEntries(n, entries, complete)
 	if !n.hasList {
 		if n.hasList = true; n.running {
 			n.becomeReady()
@@ -319,7 +319,7 @@
 	if n.listGossip.watchUpdated(n, w.version, entries, complete) {
 		return
 	}
-	list := s.entries(entries)
+	list := discovery.entries(entries)
 	n.post(func() {
 		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, complete)
 		for _, l := range list {
@@ -331,30 +331,30 @@
 }
 
 // setDown makes discovery fail its calls and end its watches, or work again.
-func (s *discovery) setDown(down bool) {
-	if s.down == down {
+func (d *discovery) setDown(down bool) {
+	if d.down == down {
 		return
 	}
-	if s.down = down; !down {
-		s.outage.To = s.sim.now
+	if d.down = down; !down {
+		d.outage.To = d.sim.now
 		return
 	}
-	s.busyUntil = s.sim.now
-	for _, n := range s.sim.nodes {
+	d.busyUntil = d.sim.now
+	for _, n := range d.sim.nodes {
 		if w := n.watch; w != nil && w.record == nil && w.unanswered > 0 {
 			w.fail() // its connection is reset
 		}
 	}
-	s.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: s.sim.now}}
-	s.sim.history.RecordOutage(s.outage)
-	for _, w := range append([]*watch(nil), s.watches...) {
+	d.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: d.sim.now}}
+	d.sim.history.RecordOutage(d.outage)
+	for _, w := range append([]*watch(nil), d.watches...) {
 		w.fail()
 	}
 }
 
 // move has every node leave its watch for another address, where it asks for the complete list.
-func (s *discovery) move() {
-	for _, n := range s.sim.nodes {
+func (d *discovery) move() {
+	for _, n := range d.sim.nodes {
 		if !n.alive {
 			continue
 		}
--- a/internal/lab/simulation/events.go
+++ b/internal/lab/simulation/events.go
@@ -13,53 +13,53 @@
 	handled uint64
 }
 
-func (c *eventQueue) less(i, j int) bool {
-	a, b := &c.events[i], &c.events[j]
+func (q *eventQueue) less(i, j int) bool {
+	a, b := &q.events[i], &q.events[j]
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 
 // at schedules an event. One in the past happens now, after all that are due now already. Of two events at one time
 // the one that was scheduled first happens first.
-func (c *eventQueue) at(when int64, do func()) {
-	c.seq++
-	c.events = append(c.events, event{max(when, c.now), c.seq, do})
-	for i := len(c.events) - 1; i > 0; {
+func (q *eventQueue) at(when int64, action func()) {
+	q.seq++
+	q.events = append(q.events, event{max(when, q.now), q.seq, action})
+	for i := len(q.events) - 1; i > 0; {
 		up := (i - 1) / 2
-		if !c.less(i, up) {
+		if !q.less(i, up) {
 			break
 		}
-		c.events[i], c.events[up] = c.events[up], c.events[i]
+		q.events[i], q.events[up] = q.events[up], q.events[i]
 		i = up
 	}
 }
 
-func (c *eventQueue) after(after int64, do func()) { c.at(c.now+after, do) }
+func (q *eventQueue) delay(delay int64, action func()) { q.at(q.now+delay, action) }
 
 // step runs the next event; false if there is none before an end.
-func (c *eventQueue) step(end int64) bool {
-	if len(c.events) == 0 || c.events[0].at >= end {
+func (q *eventQueue) step(end int64) bool {
+	if len(q.events) == 0 || q.events[0].at >= end {
 		return false
 	}
-	next := c.events[0]
-	last := len(c.events) - 1
-	c.events[0] = c.events[last]
-	c.events[last] = event{}
-	c.events = c.events[:last]
+	next := q.events[0]
+	last := len(q.events) - 1
+	q.events[0] = q.events[last]
+	q.events[last] = event{}
+	q.events = q.events[:last]
 	for i := 0; ; {
 		least := i
 		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
-			if c.less(child, least) {
+			if q.less(child, least) {
 				least = child
 			}
 		}
 		if least == i {
 			break
 		}
-		c.events[i], c.events[least] = c.events[least], c.events[i]
+		q.events[i], q.events[least] = q.events[least], q.events[i]
 		i = least
 	}
-	c.now = next.at
-	c.handled++
+	q.now = next.at
+	q.handled++
 	next.action()
 	return true
 }
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -23,7 +23,7 @@
 
 // startFault starts a fault, and has it end in time.
 func (sim *Simulation) startFault(f *workload.Fault) {
-	s := sim.discovery
+	discovery := sim.discovery
 	if scenario.FaultTargets[f.Kind] == scenario.LinkTarget {
 		return // each message goes by the schedule
 	}
@@ -32,16 +32,16 @@
 		sim.losePower(f)
 	case "state": // there are no disks here
 	case "discovery-down":
-		s.setDown(true)
-		sim.afterFault(f, func() { s.setDown(false) })
+		discovery.setDown(true)
+		sim.afterFault(f, func() { discovery.setDown(false) })
 	case "discovery-slow":
-		s.slowdown = f.Factor
-		sim.afterFault(f, func() { s.slowdown = 1 })
+		discovery.slowdown = f.Factor
+		sim.afterFault(f, func() { discovery.slowdown = 1 })
 	case "discovery-move":
-		s.move()
+		discovery.move()
 	case "lists-late":
-		s.changeDelay = int64(f.Wait)
-		sim.afterFault(f, func() { s.changeDelay = 0 })
+		discovery.changeDelay = int64(f.Wait)
+		sim.afterFault(f, func() { discovery.changeDelay = 0 })
 	case "wait":
 		key := sim.waitKey(f)
 		sim.slotWaits[key] = int64(f.Wait)
@@ -49,11 +49,11 @@
 	case "bad-clients":
 	case "kill", "stop", "freeze", "cut-node", "clock":
 		for i, target := range f.Targets {
-			sim.after(int64(f.Each)*int64(i), func() { sim.faultNode(f, sim.nodes[target]) })
+			sim.delay(int64(f.Each)*int64(i), func() { sim.faultNode(f, sim.nodes[target]) })
 		}
 	default:
 		for i, target := range f.Targets {
-			sim.after(int64(f.Each)*int64(i), func() { sim.faultEndpoint(f, sim.endpoints[target]) })
+			sim.delay(int64(f.Each)*int64(i), func() { sim.faultEndpoint(f, sim.endpoints[target]) })
 		}
 	}
 }
@@ -113,7 +113,7 @@
 // afterFault runs when a fault that begins now ends, if it does.
 func (sim *Simulation) afterFault(f *workload.Fault, do func()) {
 	if f.For > 0 {
-		sim.after(int64(f.For), do)
+		sim.delay(int64(f.For), do)
 	}
 }
 
@@ -128,7 +128,7 @@
 	return func() {
 		if n.record == process && !n.alive {
 			n.start()
-			sim.after(startDelay, n.becomeReady)
+			sim.delay(startDelay, n.becomeReady)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	if n.membership != nil {
 		n.membership.Leave()
 	}
-	sim.after(frontStopDelay, func() {
+	sim.delay(frontStopDelay, func() {
 		if n.record == process {
 			n.admitted = false
 		}
@@ -151,17 +151,17 @@
 			return
 		}
 		if slices.ContainsFunc(n.pendingOrder, func(p *pendingRequest) bool { return !p.answered }) {
-			sim.after(int64(10*time.Millisecond), endWhenIdle)
+			sim.delay(int64(10*time.Millisecond), endWhenIdle)
 			return
 		}
-		sim.after(sendDelay, func() {
+		sim.delay(sendDelay, func() {
 			if n.record == process {
 				n.kill()
 				sim.restartAfterFault(f, n)
 			}
 		})
 	}
-	sim.after(stopAcceptTime, endWhenIdle)
+	sim.delay(stopAcceptTime, endWhenIdle)
 }
 
 // losePower ends nodes, endpoints and discovery at one moment; each is back after a time of its own.
@@ -170,7 +170,7 @@
 	if f.Zone == "" && len(f.Nodes) == len(sim.nodes) {
 		sim.discovery.setDown(true)
 		if f.DiscoveryBack > 0 {
-			sim.after(int64(f.DiscoveryBack), func() { sim.discovery.setDown(false) })
+			sim.delay(int64(f.DiscoveryBack), func() { sim.discovery.setDown(false) })
 		}
 	}
 	for i, target := range f.Nodes {
@@ -181,7 +181,7 @@
 		sim.history.Excuse(n.record, invariant.Span{From: sim.now, To: invariant.Never})
 		n.kill()
 		if f.NodesBack > 0 {
-			sim.after(f.RestoreDelay(f.NodesBack, f.Seed, i), sim.restartFunc(n))
+			sim.delay(f.RestoreDelay(f.NodesBack, f.Seed, i), sim.restartFunc(n))
 		}
 	}
 	for i, target := range f.Targets {
@@ -189,7 +189,7 @@
 		e.die()
 		sim.discovery.set(e, model.Removed, delay)
 		if f.EndpointsBack > 0 {
-			sim.after(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { sim.restartEndpoint(e, delay) })
+			sim.delay(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { sim.restartEndpoint(e, delay) })
 		}
 	}
 }
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -141,9 +141,9 @@
 		}
 		membership.Tick(n.clock())
 		n.listGossip.tick(n)
-		sim.after(tickInterval, tick)
+		sim.delay(tickInterval, tick)
 	}
-	sim.after(int64(seed%uint64(tickInterval)), tick)
+	sim.delay(int64(seed%uint64(tickInterval)), tick)
 }
 
 // memberTransport carries the datagrams of membership.
@@ -169,9 +169,9 @@
 	if fate.Rate > 0 {
 		fate.Delay += int64(float64(len(datagram)) / fate.Rate * 1e9)
 	}
-	sim.after(oneWay+fate.Delay, func() { other.receiveDatagram(datagram) })
+	sim.delay(oneWay+fate.Delay, func() { other.receiveDatagram(datagram) })
 	if fate.DuplicateAfter > 0 {
-		sim.after(oneWay+fate.Delay+fate.DuplicateAfter, func() { other.receiveDatagram(datagram) })
+		sim.delay(oneWay+fate.Delay+fate.DuplicateAfter, func() { other.receiveDatagram(datagram) })
 	}
 }
 
@@ -215,6 +215,6 @@
 	}
 	sim.running = append(sim.running, trace.RunningNodes{At: sim.now, States: string(running)})
 	if sim.now < int64(sim.scenario.Length) {
-		sim.after(viewInterval, sim.recordViews)
+		sim.delay(viewInterval, sim.recordViews)
 	}
 }
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -213,10 +213,10 @@
 		f := &sim.plan.Faults[i]
 		sim.at(int64(f.At), func() { sim.startFault(f) })
 	}
-	sim.after(sampleInterval, sim.sample)
+	sim.delay(sampleInterval, sim.sample)
 	sim.scheduleLinkResets()
 	if sim.scenario.Nodes.Membership {
-		sim.after(viewInterval, sim.recordViews)
+		sim.delay(viewInterval, sim.recordViews)
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 	}
 	sim.loads = append(sim.loads, s)
 	if sim.now < int64(sim.scenario.Length) {
-		sim.after(sampleInterval, sim.sample)
+		sim.delay(sampleInterval, sim.sample)
 	}
 }
 
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -66,16 +66,16 @@
 }
 
 func TestEventsAtSameTimeKeepOrder(t *testing.T) {
-	var c eventQueue
+	var queue eventQueue
 	var got []int
 	for i := range 50 {
-		c.at(int64(i%3), func() {
+		queue.at(int64(i%3), func() {
 			if got = append(got, i); i == 0 {
-				c.at(-5, func() { got = append(got, 100) }) // in the past: now, after what is due now
+				queue.at(-5, func() { got = append(got, 100) }) // in the past: now, after what is due now
 			}
 		})
 	}
-	for c.step(10) {
+	for queue.step(10) {
 	}
 	want := []int{}
 	for at := range 3 {
@@ -98,13 +98,13 @@
 	past bool
 }
 
-func (r *endlessTimers) TimerFired(now policy.Time, cookie uint64) {
-	if r.past {
-		r.past = false
-		r.host.SetTimer(now-1e9, cookie)
+func (e *endlessTimers) TimerFired(now policy.Time, cookie uint64) {
+	if e.past {
+		e.past = false
+		e.host.SetTimer(now-1e9, cookie)
 		return
 	}
-	r.host.SetTimer(now, cookie)
+	e.host.SetTimer(now, cookie)
 }
 
 func TestEndlessTimersAreReported(t *testing.T) {
