--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -9,7 +9,7 @@
 	"fawnglade/internal/lab/workload"
 )
 
-const lateResponseTime = int64(300 * time.Millisecond) // after a deadline, for late responses
+const lateResponseTime = int64(300 * time.Millisecond) // how long after a deadline clients still wait for a response
 
 // clientRequest is one request of a client for its operation.
 type clientRequest struct {
@@ -26,7 +26,7 @@
 	sim            *Simulation
 	byZone         [][]*node
 	nextNode       []int
-	pickers        []workload.NodePicker // by zone; nil: in turn
+	pickers        []workload.NodePicker // by zone; nil: nodes are used in turn
 	outcomes       []trace.Outcome
 	unfinished     int
 	lastFinishedAt int64
@@ -57,7 +57,8 @@
 	return c
 }
 
-// scheduleNext schedules one operation after another, so that the heap holds few.
+// scheduleNext schedules operation i, which schedules the next one when it is due. So the event queue holds only one
+// operation that is not due yet.
 func (c *clients) scheduleNext(i int) {
 	if i >= len(c.sim.plan.Operations) {
 		return
@@ -76,11 +77,11 @@
 	})
 }
 
-// send delivers a request to the next node that the front takes to be ready.
+// send delivers a request to the next node that the front considers ready, preferably in the client's zone.
 func (c *clients) send(request *clientRequest) {
 	zone := c.byZone[request.operation.Zone]
 	if picker := c.pickers[request.operation.Zone]; picker != nil {
-		// the next one follows if that one is not ready
+		// if that node is not ready, the next one is tried
 		c.nextNode[request.operation.Zone] = picker.Pick(request.operation, request.number) - 1
 	}
 	for range zone {
@@ -99,7 +100,7 @@
 	c.finishOrRetry(request, trace.Lost, true, 0)
 }
 
-// deliver gives a request to a node, unless the way there is cut.
+// deliver delivers a request to a node, unless the link between them is cut.
 func (c *clients) deliver(request *clientRequest, n *node) {
 	sim := c.sim
 	if !n.alive {
@@ -113,7 +114,7 @@
 		c.finishOrRetry(request, trace.Lost, true, 0)
 		return
 	case blocked && !sim.links.Open(sim.now, front, end):
-		// The node never sees it, so it is not in the history either.
+		// The request never reaches the node, so it is not recorded in the history.
 		sim.at(c.giveUpTime(request), func() { c.finishOrRetry(request, trace.Failed, false, 0) })
 		return
 	}
@@ -136,12 +137,12 @@
 	c.awaitResponse(request, n, record)
 }
 
-// giveUpTime is when a client gives up a request.
+// giveUpTime returns when a client stops waiting for the response to a request.
 func (c *clients) giveUpTime(request *clientRequest) int64 {
 	return request.deadline + int64(c.sim.scenario.Rules.AnswerGrace) + lateResponseTime
 }
 
-// awaitResponse ends a request that has no response in time, or whose client leaves before.
+// awaitResponse ends a request that gets no response in time, or that its client cancels before.
 func (c *clients) awaitResponse(request *clientRequest, n *node, record *invariant.Request) {
 	sim := c.sim
 	until := c.giveUpTime(request)
@@ -169,7 +170,7 @@
 	})
 }
 
-// answered takes a node's response.
+// answered handles a node's response to a request.
 func (c *clients) answered(p *pendingRequest, status int, retryAfter int64) {
 	request := p.request
 	if request.finished {
@@ -188,7 +189,7 @@
 	}
 }
 
-// lost takes the end of a connection with its node.
+// lost handles a connection that ended because its node did.
 func (c *clients) lost(p *pendingRequest) {
 	if request := p.request; !request.finished {
 		request.finished = true
@@ -197,7 +198,8 @@
 	}
 }
 
-// finishOrRetry ends a request that did not succeed, and sends another where a client would.
+// finishOrRetry handles a request that has not succeeded: it sends a further one if the client retries, else it
+// finishes the operation. unreached means that the node cannot have received the request.
 func (c *clients) finishOrRetry(request *clientRequest, state trace.State, unreached bool, retryAfter int64) {
 	sim := c.sim
 	retry, ok := request.operation.NextRetry(sim.scenario, request.number, sim.now, state == trace.Rejected || unreached, retryAfter)
@@ -212,7 +214,7 @@
 	sim.delay(retry.Wait, func() { c.send(next) })
 }
 
-// finish records the end of an operation.
+// finish records the outcome of an operation.
 func (c *clients) finish(request *clientRequest, state trace.State, at int64) {
 	o := &c.outcomes[request.operation.Index]
 	if o.State != trace.Pending {
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -11,48 +11,49 @@
 
 const (
 	maxQueuedCalls    = 256
-	secondCallDelay   = int64(3 * time.Second) // a second call is made beside one that waits so long
-	laterCallDelay    = int64(4 * time.Second) // and so long later a third and fourth; then ever later
+	secondCallDelay   = int64(3 * time.Second) // after the first call, until a second one is made in parallel
+	laterCallDelay    = int64(4 * time.Second) // until the third and fourth call; doubled for each further one
 	refusalTime       = int64(time.Millisecond)
-	callRetryInterval = int64(2 * time.Second) // whatever the decisions wait
-	// maxCalls for one watch; the last of them are days apart.
+	callRetryInterval = int64(2 * time.Second) // a node calls again after this time if its decisions have not
+	// maxCalls is the number of calls for one watch after which no further ones are made. The last ones are hours
+	// apart.
 	maxCalls = 16
 )
 
 type discovery struct {
 	sim         *Simulation
 	list        *model.EndpointList
-	everListed  []int // endpoints listed at any time, in order of their first listing
+	everListed  []int // endpoints that have ever been listed, in the order of their first listing
 	wasListed   map[int]bool
 	initial     []model.ListEntry
 	down        bool
 	outage      *invariant.Outage
 	slowdown    float64
 	changeDelay int64
-	busyUntil   int64 // with calls in turn
+	busyUntil   int64 // when all calls that are queued now are handled
 	queuedCalls int
 	watches     []*watch
 }
 
-// watch is one node's watch of the list, from its first call.
+// watch is one node's watch of the list. It starts with the first call for it.
 type watch struct {
 	node       *node
 	process    *invariant.Process
 	record     *invariant.Watch
 	version    int64
 	startedAt  int64
-	scheduled  bool // a delivery is scheduled
+	scheduled  bool // an update is scheduled
 	closed     bool
-	calls      int  // made for it
-	unanswered int  // of those
-	blocked    bool // an update could not pass a cut link
+	calls      int  // number of calls made for the watch
+	unanswered int  // number of those without an answer
+	blocked    bool // an update was lost on a cut link
 }
 
 func newDiscovery(sim *Simulation) *discovery {
 	return &discovery{sim: sim, list: model.NewEndpointList(40), wasListed: map[int]bool{}, slowdown: 1}
 }
 
-// set changes the list after a delay.
+// set changes an endpoint's entry in the list after a delay.
 func (d *discovery) set(e *endpoint, state model.State, delay int64) {
 	entry := model.ListEntry{Endpoint: e.spec.Index, State: state, StartedAt: e.startedAt}
 	do := func() {
@@ -75,7 +76,7 @@
 	d.sim.delay(delay, do)
 }
 
-// entries converts a list for the decisions.
+// entries converts list entries to the form that the decisions use.
 func (d *discovery) entries(list []model.ListEntry) []policy.EndpointInfo {
 	entries := make([]policy.EndpointInfo, 0, len(list))
 	for _, l := range list {
@@ -96,7 +97,8 @@
 	return entries
 }
 
-// recordEntries records what is written to a node.
+// recordEntries records in the history which entries are written to a node. A complete list also tells the node which
+// endpoints are removed.
 func (d *discovery) recordEntries(n *node, list []model.ListEntry, complete bool) {
 	written := make([]invariant.ListEntry, 0, len(list))
 	listed := map[int]bool{}
@@ -120,7 +122,7 @@
 	d.sim.history.RecordEntries(written...)
 }
 
-// startWatch begins a watch; a node has one at a time.
+// startWatch starts a watch, unless the node has one.
 func (n *node) startWatch() {
 	if n.watch == nil {
 		n.watch = &watch{node: n, process: n.record, version: n.version}
@@ -128,8 +130,8 @@
 	}
 }
 
-// call makes one call for a watch. One that waits is kept, and others are made beside it as the node does: each costs
-// discovery a turn, whether or not it is closed before.
+// call makes one call for a watch. As in a real node, further calls are made while it is pending. Discovery spends the
+// time of each call, even if the node has closed it by then.
 func (w *watch) call() {
 	n := w.node
 	sim := n.sim
@@ -143,7 +145,7 @@
 		sim.delay(after, func() { w.callEnded(0) })
 		return
 	}
-	if sim.discovery.down || sim.discovery.queuedCalls >= maxQueuedCalls { // as on sockets it takes no turn
+	if sim.discovery.down || sim.discovery.queuedCalls >= maxQueuedCalls { // refused without being queued
 		sim.delay(refusalTime, func() { w.callEnded(0) })
 		return
 	}
@@ -151,7 +153,7 @@
 	w.scheduleNextCall()
 }
 
-// queueCall has discovery handle a call when its turn comes.
+// queueCall schedules the handling of a call after the calls that are already queued.
 func (w *watch) queueCall() {
 	n := w.node
 	sim := n.sim
@@ -164,7 +166,7 @@
 	cost := discovery.callCost(w.version)
 	timeout := int64(sim.scenario.Discovery.CallTimeout)
 	if begin-arrivedAt+cost > timeout {
-		cost = 0 // it fails when its turn has come
+		cost = 0 // the call fails once discovery gets to it
 	}
 	discovery.busyUntil = begin + cost
 	sim.at(discovery.busyUntil+sim.linkDelay(end, discoveryEnd)+sim.linkDelay(discoveryEnd, end), func() {
@@ -180,7 +182,7 @@
 	})
 }
 
-// callCost is the time that a call for changes after a version takes.
+// callCost returns the time that discovery takes to handle a call for changes after a version, in nanoseconds.
 func (d *discovery) callCost(version int64) int64 {
 	entries := len(d.list.Complete())
 	if version > 0 {
@@ -191,7 +193,7 @@
 	return int64(d.slowdown * float64(int64(c.CallTime)+int64(c.EntryTime)*int64(entries)))
 }
 
-// scheduleNextCall makes another call beside the ones that wait, unless one is answered before.
+// scheduleNextCall schedules another call in parallel to the pending ones, unless one of them is answered before.
 func (w *watch) scheduleNextCall() {
 	if w.calls > maxCalls {
 		return
@@ -208,14 +210,15 @@
 	})
 }
 
-// callEnded takes the end of a call without an answer; the watch has failed once none is open.
+// callEnded handles a call that ended without an answer. The watch fails once no call is pending. queued is 1 if the
+// call counts as unanswered, and 0 if it was refused before it was queued.
 func (w *watch) callEnded(queued int) {
 	if w.unanswered -= queued; w.unanswered == 0 && w.record == nil {
 		w.fail()
 	}
 }
 
-// fail ends the watch and notifies the node.
+// fail closes the watch and notifies the node.
 func (w *watch) fail() {
 	if w.closed {
 		return
@@ -236,14 +239,14 @@
 		n.failedCalls++
 		failures := n.failedCalls
 		sim.delay(callRetryInterval, func() {
-			// else the decisions have asked sooner, and that failed too
+			// Otherwise the decisions have requested a watch before, which has failed too.
 			if n.alive && n.record == w.process && n.failedCalls == failures {
 				n.startWatch()
 			}
 		})
 		return
 	}
-	// Where lists are pushed the node calls by itself.
+	// If updates are pushed, the node itself calls again.
 	wait := n.callBackoff
 	n.callBackoff = min(2*n.callBackoff, int64(maxCallBackoff))
 	sim.delay(wait, func() {
@@ -253,7 +256,7 @@
 	})
 }
 
-// close ends a watch.
+// close closes the watch and records its end.
 func (w *watch) close() {
 	w.closed = true
 	if w.record != nil && w.record.To == invariant.Never {
@@ -283,7 +286,7 @@
 	w.deliver()
 }
 
-// schedule has changes delivered at the watch's next interval.
+// schedule schedules an update for the end of the watch's current update interval.
 func (w *watch) schedule() {
 	if w.scheduled || w.closed {
 		return
@@ -299,7 +302,7 @@
 		return
 	}
 	if !w.node.sim.links.Open(w.node.sim.now, discoveryEnd, w.node.linkEnd()) {
-		w.blocked = true // changes come with the next watch
+		w.blocked = true // the node gets the changes with its next watch
 		return
 	}
 	n, discovery := w.node, w.node.sim.discovery
@@ -330,7 +333,7 @@
 	})
 }
 
-// setDown makes discovery fail its calls and end its watches, or work again.
+// setDown starts or ends an outage, during which discovery fails all calls. Its start closes all watches.
 func (d *discovery) setDown(down bool) {
 	if d.down == down {
 		return
@@ -342,7 +345,7 @@
 	d.busyUntil = d.sim.now
 	for _, n := range d.sim.nodes {
 		if w := n.watch; w != nil && w.record == nil && w.unanswered > 0 {
-			w.fail() // its connection is reset
+			w.fail() // the connection of its call is reset
 		}
 	}
 	d.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: d.sim.now}}
@@ -352,7 +355,8 @@
 	}
 }
 
-// move has every node leave its watch for another address, where it asks for the complete list.
+// move simulates a move of discovery to another address: each node closes its watch and starts a new one from the
+// complete list.
 func (d *discovery) move() {
 	for _, n := range d.sim.nodes {
 		if !n.alive {
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -14,12 +14,12 @@
 	"fawnglade/policy"
 )
 
-// endpointFaults are active faults of an endpoint that its model does not have.
+// endpointFaults are the active faults of an endpoint that its model does not cover.
 type endpointFaults struct {
 	unresponsive        bool
-	fail, reject, reset float64 // shares of attempts
-	corrupt             string
-	corruptShare        float64
+	fail, reject, reset float64 // fractions of the attempts
+	corrupt             string  // kind of corruption; empty for none
+	corruptShare        float64 // fraction of the responses
 }
 
 type endpoint struct {
@@ -30,7 +30,7 @@
 
 	incarnation int
 	up          bool
-	startedAt   int64 // Unix nanoseconds; 0: long ago
+	startedAt   int64 // Unix nanoseconds; 0 for an endpoint that has always been warm
 	model       *model.Endpoint
 	random      *rand.Rand
 	jobs        map[int64]*attempt
@@ -39,9 +39,9 @@
 	faults      endpointFaults
 	draining    bool
 	connections int
-	nextWake    int64 // when the model has to be advanced
+	nextWake    int64 // when the model is scheduled to be advanced
 	cutNodes    map[int]int
-	epochs      map[int]int // by node: how often it was reconnected
+	epochs      map[int]int // by node: how often its link to the endpoint was restored or reset
 	cutAll      int
 	epoch       int
 }
@@ -51,7 +51,7 @@
 	figures   model.LoadFigures
 }
 
-// connection is one of a node to an endpoint.
+// connection is a connection of a node to an endpoint.
 type connection struct {
 	endpoint           *endpoint
 	node               int
@@ -78,7 +78,7 @@
 	e.recordSlowStart()
 	started := int64(math.MinInt64 / 2)
 	if e.startedAt = 0; cold {
-		started, e.startedAt = now, epoch(now)/1e6*1e6 // the list has whole milliseconds
+		started, e.startedAt = now, epoch(now)/1e6*1e6 // the list has a resolution of 1 ms
 	}
 	e.incarnation++
 	e.up = true
@@ -106,7 +106,7 @@
 	}
 }
 
-// sampleLoad takes the figures of load reports, periodically in this incarnation.
+// sampleLoad samples the load for load reports and schedules the next sample, until the incarnation ends.
 func (e *endpoint) sampleLoad(incarnation int) {
 	if !e.up || e.incarnation != incarnation {
 		return
@@ -119,7 +119,7 @@
 	e.sim.delay(int64(e.sim.scenario.Reports.Period), func() { e.sampleLoad(incarnation) })
 }
 
-// report is the newest load report that is visible by now.
+// report returns a load report from the newest sample that is old enough to be reported.
 func (e *endpoint) report() policy.LoadReport {
 	r, out := &e.sim.scenario.Reports, noReport
 	for i := len(e.reports) - 1; i >= 0; i-- {
@@ -142,7 +142,7 @@
 	return out
 }
 
-// die ends an incarnation: connections are reset, new ones refused.
+// die ends an incarnation: its connections are reset and new ones are refused.
 func (e *endpoint) die() {
 	if !e.up {
 		return
@@ -150,7 +150,7 @@
 	e.up = false
 	e.model.Crash()
 	e.jobs = map[int64]*attempt{}
-	for _, n := range e.sim.nodes { // in order
+	for _, n := range e.sim.nodes { // in a fixed order
 		n.connectionsReset(e, false)
 	}
 }
@@ -174,10 +174,11 @@
 	return int64(float64(base) * (1 + n.Jitter*e.random.Float64()))
 }
 
-// allNodes in place of a node stands for every node.
+// allNodes stands for every node where an index of a node is expected.
 const allNodes = -1
 
-// cutOff makes the endpoint unreachable for one node, or for allNodes; reconnect ends that, and resets what was open.
+// cutOff makes the endpoint unreachable for one node, or for allNodes. reconnect makes it reachable again and resets
+// the open connections.
 func (e *endpoint) cutOff(node int) {
 	if node == allNodes {
 		e.cutAll++
@@ -201,7 +202,7 @@
 	}
 }
 
-// scheduleWake has the model advanced when its next job ends.
+// scheduleWake schedules the next advance of the model for when its next job ends.
 func (e *endpoint) scheduleWake() {
 	next := e.model.Next()
 	if next >= e.nextWake {
@@ -216,7 +217,7 @@
 	})
 }
 
-// finishJobs answers the attempts that the model has finished.
+// finishJobs responds to the attempts whose jobs have finished or expired.
 func (e *endpoint) finishJobs() {
 	for _, d := range e.model.Advance(e.sim.now) {
 		a := e.jobs[d.Job.ID]
@@ -234,10 +235,10 @@
 	e.scheduleWake()
 }
 
-// repeatWork is the most work of an attempt that is a repeat, in nanoseconds.
+// repeatWork is the largest work of a deduplicated attempt, in nanoseconds.
 const repeatWork = 200_000
 
-// attempt is one attempt of a request at an endpoint, seen from both ends.
+// attempt is one attempt of a request at an endpoint, with the state of both the node and the endpoint.
 type attempt struct {
 	pending       *pendingRequest
 	number        int
@@ -247,15 +248,15 @@
 	deadline      int64
 	conn          *connection
 	newConnection bool
-	record        *invariant.Attempt // nil until its first byte is written
+	record        *invariant.Attempt // nil until the first byte is written
 	id            int64
 	oneWay        int64
 	failureDraw   float64
 	ended         bool // the node has its result
-	answered      bool // the endpoint has answered
+	answered      bool // the endpoint has responded, or reset the connection
 }
 
-// arrive gives the work to the model, unless a fault answers first.
+// arrive passes the attempt to the endpoint's model as a job, unless an active fault handles it.
 func (a *attempt) arrive() {
 	e := a.endpoint
 	if e.incarnation != a.incarnation || !e.up || a.ended && e.model.Cancel == model.CancelsRunning {
@@ -288,7 +289,7 @@
 	e.scheduleWake()
 }
 
-// answeredByFault answers an attempt by an active fault, if one strikes it.
+// answeredByFault applies the active faults to an attempt. It reports whether one of them has handled the attempt.
 func (a *attempt) answeredByFault() bool {
 	e := a.endpoint
 	f := &e.faults
@@ -306,8 +307,8 @@
 	return true
 }
 
-// drawWork draws the work of an attempt, and whether it will fail. A repeat with a known key only looks its response
-// up.
+// drawWork draws the work of an attempt, and whether it will fail. A repeat of an idempotency key only looks up the
+// earlier response, which takes at most repeatWork.
 func (a *attempt) drawWork() int64 {
 	e, request := a.endpoint, a.pending.request
 	o := request.operation
@@ -328,7 +329,7 @@
 	a.endpoint.sim.delay(a.returnDelay(), func() { a.respond(policy.OutcomeRejected, http.StatusServiceUnavailable) })
 }
 
-// finish answers an attempt that has run.
+// finish responds to an attempt that has run.
 func (a *attempt) finish() {
 	e := a.endpoint
 	e.sim.delay(a.returnDelay(), func() {
@@ -344,18 +345,18 @@
 	})
 }
 
-// returnDelay is how long a response takes.
+// returnDelay returns the network delay of a response.
 func (a *attempt) returnDelay() int64 {
 	return a.oneWay + a.endpoint.sim.linkDelay(a.endpoint.linkEnd(), a.pending.node.linkEnd())
 }
 
-// reachesNode tells whether what the endpoint sends now arrives at the node.
+// reachesNode reports whether bytes that the endpoint sends now arrive at the node.
 func (a *attempt) reachesNode() bool {
 	return !a.endpoint.isCutFrom(a.pending.node.index) &&
 		a.endpoint.sim.links.Open(a.endpoint.sim.now, a.endpoint.linkEnd(), a.pending.node.linkEnd())
 }
 
-// respond brings a response to the node, unless the link is cut or the incarnation has ended.
+// respond delivers a response to the node, unless the link is cut or the incarnation has ended.
 func (a *attempt) respond(o policy.Outcome, status int) {
 	if a.answered || !a.reachesNode() || a.endpoint.incarnation != a.incarnation || !a.endpoint.up {
 		return
@@ -369,14 +370,14 @@
 	a.pending.node.attemptEnded(a, o, report, true)
 }
 
-// reset is an end without a response that the node sees.
+// reset ends an attempt without a response, by a reset of its connection that the node sees.
 func (a *attempt) reset(o policy.Outcome) {
 	a.answered = true
 	a.record.ClosedAt = min(a.record.ClosedAt, a.endpoint.sim.now)
 	a.pending.node.attemptEnded(a, o, noReport, false)
 }
 
-// corrupt is a response with a fault. Intact ones with something beside them succeed.
+// corrupt delivers a corrupt response. With a kind of scenario.IntactKinds the attempt succeeds all the same.
 func (a *attempt) corrupt(how string) {
 	if a.answered || !a.reachesNode() {
 		return
@@ -397,7 +398,7 @@
 	a.pending.node.attemptEnded(a, policy.OutcomeReset, noReport, false)
 }
 
-// notifyCanceled has the endpoint notice, after the link's delay, that the attempt is canceled.
+// notifyCanceled cancels the attempt's job at the endpoint, after the network delay.
 func (a *attempt) notifyCanceled() {
 	if a.record == nil {
 		return
--- a/internal/lab/simulation/events.go
+++ b/internal/lab/simulation/events.go
@@ -9,7 +9,7 @@
 type eventQueue struct {
 	now     int64
 	seq     uint64
-	events  []event // a heap by at, then seq
+	events  []event // min-heap by at, then seq
 	handled uint64
 }
 
@@ -18,8 +18,8 @@
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 
-// at schedules an event. One in the past happens now, after all that are due now already. Of two events at one time
-// the one that was scheduled first happens first.
+// at schedules an event. An event in the past runs at the current time, after all events that are already due. Events
+// at the same time run in the order in which they were scheduled.
 func (q *eventQueue) at(when int64, action func()) {
 	q.seq++
 	q.events = append(q.events, event{max(when, q.now), q.seq, action})
@@ -35,7 +35,7 @@
 
 func (q *eventQueue) delay(delay int64, action func()) { q.at(q.now+delay, action) }
 
-// step runs the next event; false if there is none before an end.
+// step runs the next event. It returns false if there is no event before end.
 func (q *eventQueue) step(end int64) bool {
 	if len(q.events) == 0 || q.events[0].at >= end {
 		return false
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -1,7 +1,7 @@
 package simulation
 
-// What each kind of fault does in virtual time. Bad clients do nothing here: what a node does with bytes shows on
-// sockets.
+// The effects of faults in virtual time. Bad clients have none here: the simulator has no bytes on connections, so only
+// the emulator tests how nodes handle malformed requests.
 
 import (
 	"math"
@@ -15,22 +15,22 @@
 )
 
 const (
-	frontStopDelay = int64(300 * time.Millisecond) // connections still come to a node that stops
-	stopAcceptTime = int64(450 * time.Millisecond) // and are accepted
+	frontStopDelay = int64(300 * time.Millisecond) // the front still sends requests to a stopping node
+	stopAcceptTime = int64(450 * time.Millisecond) // a stopping node still accepts requests
 	minSpeedFactor = 0.001
-	catchUpTime    = int64(200 * time.Millisecond) // for the backlog of a node that was paused
+	catchUpTime    = int64(200 * time.Millisecond) // for a node to work off its backlog after a pause
 )
 
-// startFault starts a fault, and has it end in time.
+// startFault starts a fault and schedules its end.
 func (sim *Simulation) startFault(f *workload.Fault) {
 	discovery := sim.discovery
 	if scenario.FaultTargets[f.Kind] == scenario.LinkTarget {
-		return // each message goes by the schedule
+		return // the schedule of link faults applies to each message
 	}
 	switch f.Kind {
 	case "power":
 		sim.losePower(f)
-	case "state": // there are no disks here
+	case "state": // nodes have no persisted state here
 	case "discovery-down":
 		discovery.setDown(true)
 		sim.afterFault(f, func() { discovery.setDown(false) })
@@ -58,7 +58,7 @@
 	}
 }
 
-// waitKey is the class that a wait strikes, or the tenant as a negative number.
+// waitKey returns the key in slotWaits for a wait fault: the index of its class, or a negative number for its tenant.
 func (sim *Simulation) waitKey(f *workload.Fault) int {
 	for i := range sim.scenario.Tenants {
 		if f.Tenant != "" && sim.scenario.Tenants[i].Name == f.Tenant {
@@ -73,7 +73,7 @@
 	return len(sim.scenario.Classes)
 }
 
-// slotWait is for how long attempts of an operation wait in their slots by a fault.
+// slotWait returns how long attempts of an operation wait in their slots because of wait faults, in nanoseconds.
 func (sim *Simulation) slotWait(o *workload.Operation) int64 {
 	if len(sim.slotWaits) == 0 {
 		return 0
@@ -110,19 +110,19 @@
 	}
 }
 
-// afterFault runs when a fault that begins now ends, if it does.
+// afterFault schedules a function for the end of a fault that starts now, if the fault has an end.
 func (sim *Simulation) afterFault(f *workload.Fault, do func()) {
 	if f.For > 0 {
 		sim.delay(int64(f.For), do)
 	}
 }
 
-// restartAfterFault starts a node again, whose process has just ended.
+// restartAfterFault schedules the restart of a node, whose process has just ended, for the end of a fault.
 func (sim *Simulation) restartAfterFault(f *workload.Fault, n *node) {
 	sim.afterFault(f, sim.restartFunc(n))
 }
 
-// restarter starts a node again unless that has happened.
+// restartFunc returns a function that restarts a node, unless it has been restarted already.
 func (sim *Simulation) restartFunc(n *node) func() {
 	process := n.record
 	return func() {
@@ -133,7 +133,7 @@
 	}
 }
 
-// stopNode has a node shut down gracefully: it accepts for a while, and ends once all requests have their responses.
+// stopNode shuts a node down gracefully: it accepts requests for a while, and ends once all requests have responses.
 func (sim *Simulation) stopNode(f *workload.Fault, n *node) {
 	process := n.record
 	n.stopping = true
@@ -164,7 +164,8 @@
 	sim.delay(stopAcceptTime, endWhenIdle)
 }
 
-// losePower ends nodes, endpoints and discovery at one moment; each is back after a time of its own.
+// losePower ends the fault's nodes and endpoints, and discovery if all nodes are hit, at the same time. Each of them
+// comes back after its own delay.
 func (sim *Simulation) losePower(f *workload.Fault) {
 	delay := int64(sim.scenario.Discovery.ChangeDelay)
 	if f.Zone == "" && len(f.Nodes) == len(sim.nodes) {
@@ -210,7 +211,7 @@
 	}
 }
 
-// slowEndpoint takes capacity from an endpoint.
+// slowEndpoint reduces the capacity of an endpoint.
 func (sim *Simulation) slowEndpoint(f *workload.Fault, e *endpoint) {
 	switch f.Kind {
 	case "slow":
@@ -237,10 +238,10 @@
 	e.scheduleWake()
 }
 
-// misbehave has an endpoint answer wrongly, or not at all.
+// misbehave makes an endpoint respond wrongly, or not at all.
 func (sim *Simulation) misbehave(f *workload.Fault, e *endpoint) {
 	incarnation := e.incarnation
-	// change sets a fault, and removes it in time, unless a new incarnation has done so.
+	// change sets a fault now and removes it at its end. A new incarnation starts without faults.
 	change := func(begin, end func(*endpointFaults)) {
 		begin(&e.faults)
 		sim.afterFault(f, func() {
@@ -266,7 +267,7 @@
 	}
 }
 
-// endEndpoint ends an endpoint's process, which comes back or is replaced.
+// endEndpoint ends an endpoint, which is restarted or replaced later.
 func (sim *Simulation) endEndpoint(f *workload.Fault, e *endpoint) {
 	delay := int64(sim.scenario.Discovery.ChangeDelay)
 	e.die()
@@ -287,7 +288,7 @@
 	}
 }
 
-// withdrawEndpoint takes an endpoint off the list, or has it drain.
+// withdrawEndpoint removes an endpoint from the list, or drains it.
 func (sim *Simulation) withdrawEndpoint(f *workload.Fault, e *endpoint) {
 	delay := int64(sim.scenario.Discovery.ChangeDelay)
 	if f.Kind == "unlisted" {
@@ -308,7 +309,7 @@
 	})
 }
 
-// revive starts an endpoint anew, in slow start.
+// restartEndpoint starts an endpoint again, in slow start.
 func (sim *Simulation) restartEndpoint(e *endpoint, delay int64) {
 	if e.up {
 		return
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	discoveryConnectTimeout = time.Second             // of a node
-	watchTimeout            = 3200 * time.Millisecond // of a node, for a silent watch
+	discoveryConnectTimeout = time.Second             // of nodes
+	watchTimeout            = 3200 * time.Millisecond // without bytes on a watch, after which nodes close it
 	viewInterval            = int64(time.Second)
-	maxViews                = 64                     // nodes of a large fleet whose views are recorded
-	retransmission          = 200 * time.Millisecond // of a lost piece of a stream
+	maxViews                = 64                     // largest number of nodes whose views are recorded
+	retransmission          = 200 * time.Millisecond // delay of a lost segment of a stream
 	messageSize             = 400                    // bytes of a request or response on a narrow link
 )
 
@@ -23,7 +23,7 @@
 
 func (n *node) clientEnd() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
 
-// fateOf is the fate of the next message on a link.
+// fateOf returns the fate of the next message on a link.
 func (sim *Simulation) fateOf(from, to netfault.End, size int) netfault.Fate {
 	if len(sim.links.Changes()) == 0 {
 		return netfault.Fate{CorruptByte: -1}
@@ -33,7 +33,7 @@
 	return sim.links.FateOf(sim.now, from, to, sim.messageCounts[link], size)
 }
 
-// linkDelay is by how much the next piece of a stream is delayed by faults.
+// linkDelay returns the delay that faults add to the next message on a stream, in nanoseconds.
 func (sim *Simulation) linkDelay(from, to netfault.End) int64 {
 	fate := sim.fateOf(from, to, messageSize)
 	if fate.Lost {
@@ -45,7 +45,7 @@
 	return fate.Delay
 }
 
-// cannotConnect tells whether no new connection comes up between two ends, and whether it is refused.
+// cannotConnect reports whether new connections between two ends fail, and whether they are refused at once.
 func (sim *Simulation) cannotConnect(a, b netfault.End) (blocked, refused bool) {
 	for _, direction := range [][2]netfault.End{{a, b}, {b, a}} {
 		if !sim.links.Open(sim.now, direction[0], direction[1]) {
@@ -56,8 +56,9 @@
 	return blocked, refused
 }
 
-// scheduleLinkResets has streams reset once a cut link is mended, as the proxies do on sockets; where a link refuses,
-// at once. A watch that is silent for too long is given up by the node itself.
+// scheduleLinkResets schedules the resets of streams on cut links: when the link is restored, as the emulator's proxies
+// do, and for links that refuse connections also when they are cut. On other cut links, nodes close their watches after
+// watchTimeout.
 func (sim *Simulation) scheduleLinkResets() {
 	for i := range sim.plan.Faults {
 		fault, ok := sim.scenario.LinkFault(&sim.plan.Faults[i].Fault)
@@ -108,7 +109,7 @@
 	}
 }
 
-// startMembership begins the membership of a process.
+// startMembership starts the membership protocol of a process.
 func (n *node) startMembership(list []model.ListEntry) {
 	sim := n.sim
 	if !sim.scenario.Nodes.Membership {
@@ -135,7 +136,7 @@
 		if n.membership != membership {
 			return
 		}
-		if n.pausedUntil > sim.now { // of the ticks that it misses it makes up for one
+		if n.pausedUntil > sim.now { // after a pause, one tick replaces those that were missed
 			sim.at(n.pausedUntil, tick)
 			return
 		}
@@ -146,7 +147,7 @@
 	sim.delay(int64(seed%uint64(tickInterval)), tick)
 }
 
-// memberTransport carries the datagrams of membership.
+// memberTransport sends the datagrams of the membership protocol.
 type memberTransport node
 
 func (s *memberTransport) Send(to int, datagram []byte) {
@@ -191,7 +192,7 @@
 	membership.Receive(n.clock(), datagram)
 }
 
-// recordViews records the nodes' views of each other, and which of them run.
+// recordViews periodically records the nodes' membership views, and which nodes are running.
 func (sim *Simulation) recordViews() {
 	running := make([]byte, len(sim.nodes))
 	step := (len(sim.nodes) + maxViews - 1) / maxViews
--- a/internal/lab/simulation/listgossip.go
+++ b/internal/lab/simulation/listgossip.go
@@ -9,10 +9,10 @@
 	"fawnglade/policy"
 )
 
-// listGossip is the endpoint list by gossip of one process: the node's own code over simulated membership.
+// listGossip is the endpoint list by gossip of one process. It runs the nodes' own exchange over simulated membership.
 type listGossip struct {
 	exchange    *endpointgossip.Exchange
-	confirmedAt int64 // when the watch was last up
+	confirmedAt int64 // when the watch was last up, by the node's clock
 }
 
 func (n *node) startListGossip(seed uint64, list []model.ListEntry) {
@@ -42,7 +42,7 @@
 	return entries, removed
 }
 
-// applyGossipEntries gives the decisions entries of others, or the node's own list again.
+// applyGossipEntries passes entries that come from other nodes, or the node's own list again, to the decisions.
 func (n *node) applyGossipEntries(entries []endpointgossip.Endpoint, complete bool) {
 	if entries == nil {
 		return
@@ -51,7 +51,7 @@
 	for _, l := range entries {
 		endpoint, err := strconv.Atoi(l.Name)
 		if err != nil {
-			n.sim.err = fmt.Errorf("node %d: an entry of no endpoint: %w", n.index, err)
+			n.sim.err = fmt.Errorf("node %d: list by gossip: expected the number of an endpoint as name: %w", n.index, err)
 			return
 		}
 		state := model.Up
@@ -72,7 +72,7 @@
 	})
 }
 
-// tick lets the core ask. A watch confirms the list at every moment at which its link is open.
+// tick runs the exchange's periodic work. While the node has a watch whose link is open, the list counts as confirmed.
 func (g *listGossip) tick(n *node) {
 	if g == nil {
 		return
@@ -93,7 +93,8 @@
 	}
 }
 
-// listed takes an update of the watch, and tells whether the node was given the complete list anew.
+// watchUpdated passes an update of the watch to the exchange. It reports whether the decisions got the complete list
+// instead, so that the update itself must not be applied.
 func (g *listGossip) watchUpdated(n *node, version int64, entries []model.ListEntry, complete bool) bool {
 	if g == nil {
 		return false
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -16,7 +16,7 @@
 
 var noReport = policy.LoadReport{Utilization: -1, QueueLength: -1, ServiceTime: -1}
 
-// pendingRequest is one request at a node.
+// pendingRequest is a request at a node.
 type pendingRequest struct {
 	node        *node
 	incarnation int
@@ -31,38 +31,38 @@
 	sim         *Simulation
 	index       int
 	zone        int
-	clockOffset int64   // from true time
-	clockRate   float64 // of its clock, since rateSince
+	clockOffset int64   // of the node's clock from true time, nanoseconds
+	clockRate   float64 // of the node's clock relative to true time, since rateSince
 	rateSince   int64
-	clockStep   int64 // of the system's clock, which the next process sees
+	clockStep   int64 // of the system clock; takes effect in the next process
 	settings    settings.Settings
 	decider     Decider
 	usage       trace.NodeUsage
 
 	record          *invariant.Process
 	alive           bool
-	admitted        bool // the front sends to it
-	hasList         bool // it has an endpoint list
-	running         bool // its process answers the front
+	admitted        bool // the front sends requests to the node
+	hasList         bool // the node has an endpoint list
+	running         bool // the process has finished its startup
 	stopping        bool
-	pausedUntil     int64 // paused until then
-	busyUntil       int64 // its processor works until then
+	pausedUntil     int64
+	busyUntil       int64 // when the processor has handled all posted events
 	eventCost       int64
 	requests        map[policy.RequestID]*pendingRequest
-	pendingOrder    []*pendingRequest // in order of arrival
+	pendingOrder    []*pendingRequest // in the order of arrival
 	idle            map[*endpoint][]*connection
 	inbox           gossip.Inbox
-	timerSecond     int64 // the second that immediateTimers counts in
+	timerSecond     int64 // the second in which immediateTimers are counted
 	immediateTimers int
 	watch           *watch
 	version         int64
-	failedCalls     int   // of calls for the list
-	callBackoff     int64 // until it calls for the list by itself
+	failedCalls     int   // number of failed watches
+	callBackoff     int64 // until the node starts the next watch on its own, if updates are pushed
 	membership      *members.Members
 	listGossip      *listGossip
 }
 
-// end is the node's end of links.
+// linkEnd returns the node as an end of links.
 func (n *node) linkEnd() netfault.End { return netfault.End{Kind: netfault.Node, Index: n.index} }
 
 func newNode(sim *Simulation, index int) (*node, error) {
@@ -93,7 +93,7 @@
 	return n, nil
 }
 
-// clock is the time by the node's clock, Unix nanoseconds.
+// clock returns the time of the node's clock in Unix nanoseconds.
 func (n *node) clock() int64 {
 	now := epoch(n.sim.now) + n.clockOffset
 	if n.clockRate != 1 {
@@ -102,7 +102,7 @@
 	return now
 }
 
-// virtualTime is when the node's clock will show a time.
+// virtualTime returns the virtual time at which the node's clock shows a local time.
 func (n *node) virtualTime(local int64) int64 {
 	if n.clockRate == 1 {
 		return local - epochNs - n.clockOffset
@@ -110,15 +110,15 @@
 	return n.rateSince + int64(float64(local-epochNs-n.clockOffset-n.rateSince)/n.clockRate)
 }
 
-// adjustClock changes the system's clock under a node. Its process goes by the monotonic clock, so a step shows at its
-// next start.
+// adjustClock changes a node's system clock. Processes use the monotonic clock, so a step takes effect at the next
+// start.
 func (n *node) adjustClock(step int64, rate float64) {
 	n.clockOffset = n.clock() - epoch(n.sim.now)
 	n.rateSince, n.clockRate = n.sim.now, rate
 	n.clockStep += step
 }
 
-// start begins a process.
+// start starts a process of the node.
 func (n *node) start() {
 	incarnation := 1
 	if n.record != nil {
@@ -151,7 +151,7 @@
 	n.startMembership(list)
 }
 
-// becomeReady has the front send to the node if its process is ready: it runs and has a list.
+// becomeReady admits the node to the front if its process is ready, that is alive and with an endpoint list.
 func (n *node) becomeReady() {
 	n.running = n.alive
 	if n.admitted = n.alive && n.hasList; n.admitted {
@@ -159,7 +159,7 @@
 	}
 }
 
-// post queues an event for the event loop; each takes the processor for eventCost.
+// post queues an event for the node's event loop. Each event occupies the processor for eventCost.
 func (n *node) post(action func()) {
 	record := n.record
 	start := max(n.sim.now, n.busyUntil, n.pausedUntil)
@@ -168,7 +168,7 @@
 		if !n.alive || n.record != record {
 			return
 		}
-		if n.pausedUntil > n.sim.now { // paused since it was queued
+		if n.pausedUntil > n.sim.now { // paused after the event was queued
 			n.post(action)
 			return
 		}
@@ -177,7 +177,7 @@
 	})
 }
 
-// kill ends the process; its requests are lost to their clients.
+// kill ends the process. Its requests are lost.
 func (n *node) kill() {
 	if !n.alive {
 		return
@@ -215,7 +215,7 @@
 	})
 }
 
-// receive takes a request whose last byte has come.
+// receive handles a request whose last byte has arrived.
 func (n *node) receive(request *clientRequest, rec *invariant.Request) {
 	p := &pendingRequest{node: n, incarnation: n.record.Incarnation, request: request, record: rec}
 	n.pendingOrder = append(n.pendingOrder, p)
@@ -250,7 +250,7 @@
 	})
 }
 
-// clientGone takes the leaving of a client.
+// clientGone handles a client that has closed its connection before the response.
 func (n *node) clientGone(p *pendingRequest) {
 	n.post(func() {
 		id := policy.RequestID(p.request.id)
@@ -271,7 +271,7 @@
 	}
 }
 
-// respond gives a request its one response.
+// respond sends the response to a request, unless it has been answered.
 func (n *node) respond(p *pendingRequest, status int, retryAfter int64) {
 	if p.answered {
 		return
@@ -281,7 +281,7 @@
 	record := n.record
 	n.sim.delay(sendDelay+n.sim.linkDelay(n.linkEnd(), n.clientEnd()), func() {
 		if n.alive && n.record == record && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.clientEnd()) {
-			return // the client receives nothing
+			return // the response is lost on the link
 		}
 		if n.alive && n.record == record {
 			n.sim.clients.answered(p, status, retryAfter)
@@ -291,7 +291,8 @@
 	})
 }
 
-// attemptEnded takes the result of an attempt; each has exactly one.
+// attemptEnded handles the result of an attempt. Results after the first are ignored. keep means that the connection
+// can be reused.
 func (n *node) attemptEnded(a *attempt, o policy.Outcome, report policy.LoadReport, keep bool) {
 	if a.ended {
 		return
@@ -323,7 +324,8 @@
 	})
 }
 
-// putIdle keeps a connection for reuse. It is closed before the endpoint would.
+// putIdle keeps a connection for reuse. It closes the connection after 3/4 of the idle timeout, before the endpoint
+// would.
 func (n *node) putIdle(c *connection) {
 	if c.closed || !n.alive {
 		return
@@ -356,7 +358,7 @@
 	}
 }
 
-// acquire takes the connection that was used last, or opens one; nil if it cannot.
+// acquire returns the most recently used idle connection, or opens a connection. It returns nil if it cannot connect.
 func (n *node) acquire(e *endpoint) *connection {
 	for list := n.idle[e]; len(list) > 0; list = n.idle[e] {
 		c := list[len(list)-1]
@@ -379,7 +381,8 @@
 	return c
 }
 
-// connectionsReset ends what is open to an endpoint: its process has ended, or it was cut off and is back.
+// connectionsReset ends the attempts on open connections to an endpoint that has ended, or that was cut off and is
+// reachable again (healed).
 func (n *node) connectionsReset(e *endpoint, healed bool) {
 	if n.requests == nil {
 		return
@@ -397,7 +400,7 @@
 	}
 }
 
-// Send implements policy.Effects, with the methods below.
+// Send implements policy.Effects, together with the methods below.
 func (n *node) Send(id policy.RequestID, endpoint policy.EndpointID, timeout time.Duration) {
 	p, sim := n.requests[id], n.sim
 	if p == nil {
@@ -430,7 +433,7 @@
 	n.write(a)
 }
 
-// failToConnect ends an attempt without a connection: at once where it is refused, else after the timeout.
+// failToConnect ends an attempt without a connection: at once if the connection is refused, else after the timeout.
 func (n *node) failToConnect(a *attempt) {
 	sim := n.sim
 	after := refusedAfter
@@ -457,7 +460,7 @@
 		}
 	})
 	if e.isCutFrom(n.index) || !sim.links.Open(sim.now, n.linkEnd(), e.linkEnd()) {
-		return // it never arrives; the node cannot know
+		return // the attempt never arrives; the node only sees its timeout
 	}
 	delay := a.oneWay + sim.linkDelay(n.linkEnd(), e.linkEnd())
 	a.newConnection = a.conn.isNew
@@ -495,7 +498,8 @@
 	}
 }
 
-// SetTimer sets a timer. Guards against a decider that sets timers for one moment for ever: the run would never end.
+// SetTimer sets a timer. It aborts the run if a decider keeps setting timers that are due immediately, because virtual
+// time would never advance.
 func (n *node) SetTimer(at policy.Time, cookie uint64) {
 	sim := n.sim
 	when := n.virtualTime(int64(at))
@@ -508,7 +512,7 @@
 	if n.immediateTimers > maxImmediateTimers {
 		if sim.err == nil {
 			sim.err = fmt.Errorf(
-				"node %d asks at %.3f s of the day to be woken at once, over and over", n.index, float64(sim.now)/1e9,
+				"node %d at %.3f s of the run: aborted, because too many timers in one second were due immediately", n.index, float64(sim.now)/1e9,
 			)
 		}
 		return
@@ -532,7 +536,7 @@
 	}
 }
 
-// CheckHealth asks an endpoint for its load.
+// CheckHealth sends a health check to an endpoint; its response contains a load report.
 func (n *node) CheckHealth(id policy.EndpointID) {
 	e, sim := n.sim.byID[id], n.sim
 	sim.count(func(t *trace.FleetActivity) { t.HealthChecks++ })
@@ -559,7 +563,7 @@
 	})
 }
 
-// Gossip sends a message to every other node, late, and with some loss.
+// Gossip sends a message to every other node, with random delay and loss.
 func (n *node) Gossip(message policy.GossipMessage) {
 	sim := n.sim
 	encoded := gossip.Encode(message, n.clock())
@@ -589,7 +593,7 @@
 	maxCallBackoff   = 3 * time.Second
 )
 
-// refusedAfter is how long a refused connection takes.
+// refusedAfter is the time after which a connection is refused, in nanoseconds.
 const refusedAfter = int64(50 * time.Microsecond)
 
 var _ policy.Effects = (*node)(nil)
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -1,6 +1,7 @@
-// Package simulation runs a scenario in virtual time: the lab's models of endpoints, discovery, network, clients and
-// faults around instances of the decisions, one for each node, as a sequence of events. It reads no clock, starts no
-// goroutine, and no order of a map reaches what happens: the same scenario and seed give the same trace, byte for byte.
+// Package simulation runs a scenario in virtual time, as a discrete event simulation. It connects the lab's models of
+// endpoints, discovery, network, clients and faults with one instance of the decisions per node. A run is
+// deterministic: it reads no clock, starts no goroutine and does not depend on map order, so the same scenario and seed
+// give the same trace, byte for byte.
 package simulation
 
 import (
@@ -20,7 +21,7 @@
 	"fawnglade/policy"
 )
 
-// Decider decides at one node: policy.Balancer, or a baseline. Times are of the node's own clock.
+// Decider makes the decisions of one node: a policy.Balancer or a baseline. Times are those of the node's own clock.
 type Decider interface {
 	EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, whole bool)
 	WatchFailed(now policy.Time)
@@ -32,49 +33,49 @@
 	GossipReceived(now policy.Time, n policy.GossipMessage)
 }
 
-// ClusterState is the true state of all endpoints, for baselines.
+// ClusterState gives baselines access to the true state of all endpoints.
 type ClusterState interface {
-	// Load is how many attempts an endpoint has, its capacity in nanoseconds of work a second, and whether it is up and
-	// can be reached from a node.
+	// Load returns the number of attempts at an endpoint, its capacity in nanoseconds of work per second, and whether
+	// it is up and reachable from a node.
 	Load(node int, id policy.EndpointID) (inFlight int, capacity float64, up bool)
-	// RoundTrip is the time to an endpoint and back, in nanoseconds.
+	// RoundTrip returns the network round-trip time between a node and an endpoint, in nanoseconds.
 	RoundTrip(node int, id policy.EndpointID) int64
 }
 
-// NewDecider makes the decider of one node at each of its starts.
+// NewDecider creates the decider of a node. It is called at each start of the node.
 type NewDecider func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider
 
-// NewBalancer makes the project's own decider.
+// NewBalancer creates a policy.Balancer.
 func NewBalancer(_ int, settings policy.Settings, seed uint64, effects policy.Effects, _ ClusterState) Decider {
 	return policy.New(settings, seed, effects)
 }
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Scenario   *scenario.Scenario
 	Seed       uint64
 	NewDecider NewDecider
-	MaxEvents  uint64 // after which the run is given up as one that does not end; 0: 500 million
+	MaxEvents  uint64 // limit after which the run is aborted as endless; 0: 500 million
 }
 
 const (
 	epochNs = int64(1_700_000_000_000_000_000)
-	// from a request's last byte to the decisions, as measured on sockets
+	// receiveDelay is the time from the last byte of a request until the decisions get it.
 	receiveDelay       = int64(180 * time.Microsecond)
 	sendDelay          = int64(180 * time.Microsecond)
-	eventCost          = int64(12 * time.Microsecond) // of a node's processor, for each event
-	startDelay         = int64(60 * time.Millisecond) // of a node's process, until the front sends to it
+	eventCost          = int64(12 * time.Microsecond) // processor time of a node for each event
+	startDelay         = int64(60 * time.Millisecond) // from the start of a process until the front sends to it
 	settleTime         = int64(2 * time.Second)
-	quietTime          = int64(200 * time.Millisecond) // after the last operation
+	quietTime          = int64(200 * time.Millisecond) // after the last operation has finished, until the run ends
 	sampleInterval     = int64(250 * time.Millisecond)
-	maxImmediateTimers = 20_000 // timers that are due at once, in a second, that a node may set
+	maxImmediateTimers = 20_000 // limit on the timers due immediately that a node sets in one second
 	defaultMaxEvents   = uint64(500_000_000)
 	checkContextEvery  = 1 << 16
 )
 
 func epoch(at int64) int64 { return epochNs + at }
 
-// endpointID is an endpoint's ID for the decisions, as the node makes it of the name.
+// endpointID returns the ID of an endpoint for the decisions. Nodes derive it from the name in the same way.
 func endpointID(name string) policy.EndpointID {
 	h := fnv.New32a()
 	h.Write([]byte(name))
@@ -108,7 +109,8 @@
 	err             error
 }
 
-// Run runs a scenario to its end. An error means that it could not be run; what went wrong within it is in the trace.
+// Run runs a scenario to its end. An error means that the run could not be completed; failures and violations within
+// the run are in the trace.
 func Run(ctx context.Context, o Options) (*trace.Trace, error) {
 	began := time.Now()
 	sim := newSimulation(&o)
@@ -141,7 +143,8 @@
 	return sim
 }
 
-// runEvents handles events until all operations have ended, or the latest time at which they may.
+// runEvents runs events until all operations have finished, but no longer than the longest deadline and settleTime
+// after the end of the scenario.
 func (sim *Simulation) runEvents(ctx context.Context, maxEvents uint64) error {
 	if maxEvents == 0 {
 		maxEvents = defaultMaxEvents
@@ -157,7 +160,7 @@
 		}
 		if sim.handled > maxEvents {
 			sim.err = fmt.Errorf(
-				"more than %d events by %.3f s of the day: it does not end", maxEvents, float64(sim.now)/1e9,
+				"run aborted: more than %d events by %.3f s of the run, so it would not end", maxEvents, float64(sim.now)/1e9,
 			)
 		}
 		quiet := sim.clients.lastFinishedAt+quietTime < sim.now
@@ -168,7 +171,7 @@
 	return sim.err
 }
 
-// trace is what the run leaves behind.
+// trace checks the rules and returns the trace of the run.
 func (sim *Simulation) trace() *trace.Trace {
 	trace.ExcuseCutLinks(sim.scenario, sim.plan, sim.history)
 	rules := trace.RulesOf(sim.scenario, sim.links, 0, 0, nil)
@@ -207,7 +210,7 @@
 	sim.clients = newClients(sim)
 	for _, n := range sim.nodes {
 		n.start()
-		n.admitted = true // the run begins when all are ready
+		n.admitted = true // all nodes are ready when the run starts
 	}
 	for i := range sim.plan.Faults {
 		f := &sim.plan.Faults[i]
@@ -221,7 +224,7 @@
 	return nil
 }
 
-// sample records what is in flight at endpoints.
+// sample periodically records the attempts in flight at each endpoint.
 func (sim *Simulation) sample() {
 	s := trace.LoadSample{At: sim.now}
 	for _, e := range sim.endpoints {
@@ -237,7 +240,7 @@
 	}
 }
 
-// count adds to the activity of all nodes in this second.
+// count updates the activity of all nodes in the current second.
 func (sim *Simulation) count(update func(*trace.FleetActivity)) {
 	if second := int(sim.now / 1e9); second < len(sim.activity) {
 		update(&sim.activity[second])
@@ -246,7 +249,7 @@
 
 func (sim *Simulation) recordAnomaly(kind string) { sim.anomalies[kind]++ }
 
-// requestID has the same form as on sockets.
+// requestID returns the ID of a request, in the same form as the emulator.
 func (sim *Simulation) requestID(operation, request int) string {
 	b := append(make([]byte, 0, 16), sim.requestIDPrefix...)
 	for _, part := range [][2]int{{operation, 6}, {request, 2}} {
@@ -259,7 +262,7 @@
 	return string(b)
 }
 
-// endpointCrashed ends an endpoint that was overloaded in slow start. It stays down.
+// endpointCrashed ends an endpoint that was overloaded in slow start. It is not restarted.
 func (sim *Simulation) endpointCrashed(e *endpoint, crash *model.Crash) {
 	sim.history.RecordCrash(invariant.Crash{
 		Endpoint: e.spec.Index, Incarnation: e.incarnation, StartedAt: e.startedAt, Crash: *crash,
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -37,7 +37,7 @@
 	return r
 }
 
-// text is all that a day left behind but how long it took to play.
+// encodeTrace returns a trace as JSON, without the elapsed real time.
 func encodeTrace(t *testing.T, r *trace.Trace) string {
 	t.Helper()
 	r.Elapsed = 0
@@ -48,7 +48,7 @@
 	return string(out)
 }
 
-// Guards against a float that hangs on the order of a map, and against anything shared between days.
+// Guards against floating-point sums that depend on map order, and against state that concurrent runs share.
 func TestSameSeedSameTrace(t *testing.T) {
 	runOnce := func() string { return encodeTrace(t, runScenario(t, readScenario(t, "month-end", 20), NewBalancer)) }
 	first := runOnce()
@@ -60,7 +60,7 @@
 	}
 	for range 4 {
 		if <-results != first {
-			t.Error("the same day played beside others is another")
+			t.Error("a run in parallel with others gives another trace than the same run alone")
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	for i := range 50 {
 		queue.at(int64(i%3), func() {
 			if got = append(got, i); i == 0 {
-				queue.at(-5, func() { got = append(got, 100) }) // in the past: now, after what is due now
+				queue.at(-5, func() { got = append(got, 100) }) // in the past: runs now, after the events that are already due
 			}
 		})
 	}
@@ -87,11 +87,11 @@
 		}
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("came %v, expected %v", got, want)
+		t.Errorf("got order %v, want %v", got, want)
 	}
 }
 
-// restless is the module, but asks to be woken at once whenever it is.
+// endlessTimers is a balancer that sets another timer for the current time whenever a timer fires.
 type endlessTimers struct {
 	Decider
 	host policy.Effects
@@ -118,16 +118,16 @@
 			return &endlessTimers{Decider: d, host: effects}
 		},
 	})
-	if err == nil || !strings.HasPrefix(err.Error(), "node 1 asks at ") ||
-		!strings.HasSuffix(err.Error(), "to be woken at once, over and over") {
-		t.Errorf("ended with %v", err)
+	if err == nil || !strings.HasPrefix(err.Error(), "node 1 at ") ||
+		!strings.HasSuffix(err.Error(), "s of the run: aborted, because too many timers in one second were due immediately") {
+		t.Errorf("got error %v, want that node 1 sets too many immediate timers", err)
 	}
 	if _, err := Run(context.Background(), Options{Scenario: readScenario(t, "calm", 3), Seed: 1, NewDecider: NewBalancer, MaxEvents: 1000}); err == nil {
-		t.Error("a day of more events than allowed came to its end")
+		t.Error("a run with more than MaxEvents events ended without an error")
 	}
 }
 
-// once wakes in the past a single time and then is the module.
+// onePastTimer is a balancer that sets one timer in the past, when the first timer fires.
 type onePastTimer struct {
 	Decider
 	host policy.Effects
@@ -150,7 +150,7 @@
 		return &onePastTimer{Decider: NewBalancer(node, settings, seed, effects, state), host: effects}
 	})
 	if len(r.Violations) > 0 || countState(r, trace.Succeeded) < len(r.Outcomes)*99/100 {
-		t.Errorf("%d of %d satisfied, breaks %v", countState(r, trace.Succeeded), len(r.Outcomes), r.Violations)
+		t.Errorf("got %d of %d operations succeeded and violations %v; want nearly all and none", countState(r, trace.Succeeded), len(r.Outcomes), r.Violations)
 	}
 }
 
@@ -163,8 +163,8 @@
 	return n
 }
 
-// A node that dies takes what it holds with it, and what was on its way to it reaches nobody; no rule is broken by
-// that.
+// A killed node loses the requests that it holds, and events that are scheduled for it are dropped. Neither may count
+// as a violation of a rule.
 func TestKilledNodeWithEventsInFlightViolatesNoRule(t *testing.T) {
 	s := readScenario(t, "nodes-killed", 12)
 	for at := range 30 {
@@ -174,27 +174,28 @@
 	}
 	r := runScenario(t, s, NewBalancer)
 	if len(r.Violations) > 0 {
-		t.Errorf("rules broken: %v", r.Violations[0])
+		t.Errorf("got violation %v, want none", r.Violations[0])
 	}
 	if n := countState(r, trace.Lost); n == 0 {
-		t.Error("nothing was lost with nodes that were killed 30 times")
+		t.Error("got no lost operations although nodes were killed 30 times")
 	}
 	if n := countState(r, trace.Pending); n > 0 {
-		t.Errorf("%d tasks have no end", n)
+		t.Errorf("got %d operations without an outcome, want 0", n)
 	}
 }
 
-// Clocks of nodes that differ by more than any limit must not matter: a node goes by its own, and starts of servers
-// are the one moment that it is told.
+// Clock skew beyond all time limits must not matter: a node uses only its own clock, and the only times that it gets
+// from others are the starts of endpoints.
 func TestClockSkewViolatesNoRule(t *testing.T) {
 	s := readScenario(t, "rolling-restart", 6)
 	s.Nodes.ClockSkew = scenario.Duration(2e9)
 	if r := runScenario(t, s, NewBalancer); len(r.Violations) > 0 || countState(r, trace.Succeeded) < len(r.Outcomes)*95/100 {
-		t.Errorf("%d of %d satisfied, breaks %v", countState(r, trace.Succeeded), len(r.Outcomes), r.Violations)
+		t.Errorf("got %d of %d operations succeeded and violations %v; want nearly all and none", countState(r, trace.Succeeded), len(r.Outcomes), r.Violations)
 	}
 }
 
-// The judge has to be able to say no here as well: one that sends exclusive tasks twice, and one that keeps them.
+// The rule checker must find violations in simulated runs too: by a node that never sends requests to endpoints, and by
+// one that sends each request twice.
 func TestRuleCheckerFindsViolations(t *testing.T) {
 	for rule, misbehave := range map[int]func(policy.Effects) policy.Effects{
 		1: func(h policy.Effects) policy.Effects { return &neverSender{Effects: h} },
@@ -206,7 +207,7 @@
 			return NewBalancer(node, settings, seed, misbehave(effects), state)
 		})
 		if len(r.Violations) == 0 || r.Violations[0].Rule != rule {
-			t.Errorf("rule %d was broken all day; the judge found %d breaks", rule, len(r.Violations))
+			t.Errorf("rule %d is violated by each request: got %d violations, want the first of that rule", rule, len(r.Violations))
 		}
 	}
 }
@@ -222,7 +223,7 @@
 
 func (s *neverSender) Send(policy.RequestID, policy.EndpointID, time.Duration) {}
 
-// TestGossipHealthChecksAndMembershipAreSimulated has what nodes may say to one another, and ask of servers, be sent and heard.
+// Health checks, gossip and membership all take place in a simulated run, and the run stays deterministic with them.
 func TestGossipHealthChecksAndMembershipAreSimulated(t *testing.T) {
 	s := readScenario(t, "fail-fast", 12)
 	s.Nodes.Membership, s.Reports.HealthChecked = true, true
@@ -233,11 +234,11 @@
 	}
 	if all.HealthChecks == 0 || all.Gossip == 0 || all.Members == 0 || len(r.Views) == 0 {
 		t.Errorf(
-			"%d probes, %d news, %d datagrams of members, %d beliefs", all.HealthChecks, all.Gossip, all.Members,
+			"got %d health checks, %d gossip messages, %d membership datagrams, %d views, want some of each", all.HealthChecks, all.Gossip, all.Members,
 			len(r.Views),
 		)
 	}
 	if again := runScenario(t, s, NewBalancer); encodeTrace(t, again) != encodeTrace(t, r) {
-		t.Error("not the same twice")
+		t.Error("two runs with the same seed give different traces")
 	}
 }
