--- a/internal/lab/emulator/badclients.go
+++ b/internal/lab/emulator/badclients.go
@@ -1,6 +1,7 @@
 package emulator
 
-// Clients that violate the protocol. Each must get an error or the connection's end within a time, and is never served.
+// Clients that violate the protocol. A node must answer each with an error or a closed connection within a time limit,
+// and must not serve it.
 
 import (
 	"bytes"
@@ -22,12 +23,12 @@
 	floodRequests   = 40
 )
 
-// badClients counts how they were answered.
+// badClients counts bad clients by the reaction of their node.
 type badClients struct {
 	connected, unanswered, served atomic.Int64
 }
 
-// run starts them as they are due.
+// run starts the bad clients when they are due.
 func (b *badClients) run(run *Emulation) {
 	for i := range run.plan.BadClients {
 		client := &run.plan.BadClients[i]
@@ -38,7 +39,7 @@
 	}
 }
 
-// connect is one of them from its connection to its answer.
+// connect runs one bad client: it connects to a node, writes and waits for the reaction.
 func (b *badClients) connect(run *Emulation, client *workload.BadClient) {
 	n := run.nodes[client.Node]
 	if !n.isAdmitted() {
@@ -68,7 +69,8 @@
 	}
 }
 
-// awaitAnswer reads until an error, an end, or the time is up.
+// awaitAnswer reads once. It reports whether there was a reaction (bytes, a close or a reset) before the connection's
+// deadline, and whether it was a success response.
 func awaitAnswer(c net.Conn) (answered, served bool) {
 	buf := make([]byte, 4096)
 	n, err := c.Read(buf)
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -1,8 +1,8 @@
 package emulator
 
-// The clients and the front: an open loop. Requests go out when they are due whether or not earlier ones have
-// returned, over connections that are kept, to the nodes that the front takes to be ready. Latencies count from when
-// one was due.
+// The clients and the front form an open-loop load generator: requests are sent when they are due, whether or not
+// earlier ones have responses, over persistent connections to the nodes that the front considers ready. Latencies count
+// from the due time.
 
 import (
 	"cmp"
@@ -24,7 +24,7 @@
 )
 
 const (
-	lateResponseTime = 300 * time.Millisecond // after a hard limit, for answers that come too late
+	lateResponseTime = 300 * time.Millisecond // how long after a deadline clients still wait for a response
 	connectTimeout   = time.Second            // of a client to a node
 )
 
@@ -32,12 +32,12 @@
 type clientRequest struct {
 	operation        *workload.Operation
 	number           int
-	due              int64 // when this try is due
+	due              int64 // when this request is due
 	deadline         int64
 	key              string
 	id               string
 	record           *invariant.Request
-	resent           bool // has been written to a connection that turned out to be closed
+	resent           bool // was written to a connection that the node had closed, and is sent again
 	previousClosedAt int64
 }
 
@@ -46,7 +46,7 @@
 	pools    []*pool
 	byZone   [][]*pool
 	nextNode []int
-	pickers  []workload.NodePicker // by zone; nil: in turn
+	pickers  []workload.NodePicker // by zone; nil: nodes are used in turn
 	outcomes []trace.Outcome
 
 	mu         sync.Mutex
@@ -55,7 +55,7 @@
 	unfinished int
 }
 
-// retryHeap is a heap by due time.
+// retryHeap is a heap of requests by due time.
 type retryHeap []*clientRequest
 
 func (h retryHeap) Len() int           { return len(h) }
@@ -73,7 +73,7 @@
 type pool struct {
 	clients      *clients
 	node         *node
-	proxyAddress string // where the clients reach the node, if not at its own address
+	proxyAddress string // where clients connect to reach the node; empty for its own address
 
 	mu          sync.Mutex
 	idle        []*clientConn
@@ -82,13 +82,13 @@
 	connections map[*clientConn]struct{}
 }
 
-// clientConn is one connection of a client.
+// clientConn is one connection of a client to a node.
 type clientConn struct {
 	pool         *pool
 	conn         net.Conn
 	reader       *reader
 	requests     chan *clientRequest
-	lastAnswered *invariant.Request // the try whose answer came last, while nothing has been written behind it
+	lastAnswered *invariant.Request // the last request with a response, if nothing was written since
 	buffer       []byte
 }
 
@@ -105,7 +105,7 @@
 			return nil, err
 		}
 		if p.proxyAddress == n.address {
-			p.proxyAddress = "" // as it may change until the day begins
+			p.proxyAddress = "" // the node's address may change until the run starts
 		}
 		c.pools = append(c.pools, p)
 	}
@@ -128,7 +128,7 @@
 	return c, nil
 }
 
-// sendAll sends requests as they are due.
+// sendAll sends requests when they are due, until the run ends.
 func (c *clients) sendAll() {
 	operations, next := c.run.plan.Operations, 0
 	delay := int64(c.run.scenario.Network.Client)
@@ -178,12 +178,12 @@
 	}
 }
 
-// send gives a request to a connection of the next node that the front takes to be ready.
+// send queues a request for the next node that the front considers ready, preferably in the client's zone.
 func (c *clients) send(request *clientRequest) {
 	request.record = nil
 	zone := c.byZone[request.operation.Zone]
 	if picker := c.pickers[request.operation.Zone]; picker != nil {
-		c.nextNode[request.operation.Zone] = picker.Pick(request.operation, request.number) - 1 // who is next, if that one is not in
+		c.nextNode[request.operation.Zone] = picker.Pick(request.operation, request.number) - 1 // if not admitted, the next one
 	}
 	for range zone {
 		c.nextNode[request.operation.Zone]++
@@ -192,7 +192,7 @@
 			return
 		}
 	}
-	for _, p := range c.pools { // no node of its zone is in
+	for _, p := range c.pools { // no node of the zone is admitted
 		if p.node.isAdmitted() {
 			p.enqueue(request)
 			return
@@ -220,7 +220,7 @@
 	p.clients.run.group.Go(func() error { p.openConnection(request); return nil })
 }
 
-// openConnection opens a connection and uses it until it or the run ends.
+// openConnection opens a connection for a request and uses it for further ones until the connection or the run ends.
 func (p *pool) openConnection(request *clientRequest) {
 	cc := &clientConn{pool: p, requests: make(chan *clientRequest, 1)}
 	defer cc.discard()
@@ -236,7 +236,7 @@
 			continue
 		}
 		if !reusable {
-			// The connection has ended; the next queued request gets a new one.
+			// The connection has ended. The next queued request opens a new one.
 			cc.close()
 			p.mu.Lock()
 			if len(p.queue) == 0 {
@@ -262,12 +262,12 @@
 		cc.conn.Close()
 		cc.pool.mu.Lock()
 		delete(cc.pool.connections, cc)
-		cc.conn, cc.reader = nil, nil // the day's end asks for it as well
+		cc.conn, cc.reader = nil, nil // clients.close reads them at the end of the run
 		cc.pool.mu.Unlock()
 	}
 }
 
-// awaitRequest waits for the next request.
+// awaitRequest waits for the next request; nil at the end of the run.
 func (cc *clientConn) awaitRequest() *clientRequest {
 	p := cc.pool
 	p.mu.Lock()
@@ -287,8 +287,8 @@
 	}
 }
 
-// checkIdle notices bytes on a connection without a request, and whether it has ended. One with such bytes is not used
-// again: the next response could not be told from them.
+// checkIdle records unexpected bytes on an idle connection as a second response to the last request. It reports whether
+// the connection has ended or has such bytes; it must not be reused then, as they would be read as the next response.
 func (cc *clientConn) checkIdle() (ended bool) {
 	cc.conn.SetReadDeadline(time.Time{})
 	more, ended := connState(cc.conn)
@@ -300,8 +300,9 @@
 	return ended || more || cc.reader.pending() > 0
 }
 
-// roundTrip sends one request and reads its response. It tells whether the connection goes on, and whether the request
-// is to be sent again on a new one, as the node had closed this one before it was read.
+// roundTrip sends a request and reads its response. It reports whether the connection can be reused. It returns the
+// request as resend if it must be sent again on a new connection, because the node had closed this one before it read
+// it.
 func (cc *clientConn) roundTrip(request *clientRequest) (reusable bool, resend *clientRequest) {
 	run := cc.pool.clients.run
 	reused := cc.conn != nil
@@ -332,7 +333,7 @@
 		cc.pool.clients.finishOrRetry(request, trace.Lost, true, 0)
 		return false, nil
 	}
-	cc.lastAnswered = nil // what comes from here on is this try's answer, also where nobody waits for it any more
+	cc.lastAnswered = nil // from here on, bytes belong to this request, even after the client has given up
 	now := run.now()
 	rec := &invariant.Request{
 		ID: request.id, Operation: request.operation.Index, Node: cc.pool.node.index, Incarnation: incarnation, Class: request.operation.Class,
@@ -379,7 +380,8 @@
 		return false, nil
 	}
 	if reused && !request.resent && errors.Is(err, io.EOF) {
-		// The node closed an idle connection and this crossed it; the client sends the same once more on a new one.
+		// The node closed the idle connection while the request was on its way. The client sends the same request once
+		// more on a new connection.
 		run.history.Update(func() { rec.CrossedAt = now })
 		cc.close()
 		request.resent, request.previousClosedAt = true, now
@@ -390,7 +392,7 @@
 	return false, nil
 }
 
-// answered ends a request that has its response.
+// answered handles the response to a request. It reports whether the connection can be reused.
 func (cc *clientConn) answered(request *clientRequest, rec *invariant.Request, m *message, now int64) (reusable bool) {
 	run := cc.pool.clients.run
 	size := run.scenario.Load.Body
@@ -428,7 +430,7 @@
 	return true
 }
 
-// keepOpenUnused keeps a connection open for good; its owner does no more with it.
+// keepOpenUnused keeps the connection open until the end of the run without using it again.
 func (cc *clientConn) keepOpenUnused() {
 	unused := &clientConn{pool: cc.pool, conn: cc.conn, reader: cc.reader, lastAnswered: cc.lastAnswered}
 	cc.pool.mu.Lock()
@@ -438,7 +440,8 @@
 	cc.pool.mu.Unlock()
 }
 
-// finishOrRetry ends a request that did not succeed, and sends another where a client would.
+// finishOrRetry handles a request that has not succeeded: it schedules a further one if the client retries, else it
+// finishes the operation. unreached means that the node cannot have received the request.
 func (c *clients) finishOrRetry(request *clientRequest, state trace.State, unreached bool, retryAfter int64) {
 	now := c.run.now()
 	retry, ok := request.operation.NextRetry(c.run.scenario, request.number, now, state == trace.Rejected || unreached, retryAfter)
@@ -459,7 +462,7 @@
 	}
 }
 
-// finish records the end of an operation.
+// finish records the outcome of an operation.
 func (c *clients) finish(request *clientRequest, state trace.State, at int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -471,12 +474,12 @@
 	c.unfinished--
 }
 
-// close ends every connection.
+// close closes all connections.
 func (c *clients) close() {
 	for _, p := range c.pools {
 		p.mu.Lock()
 		for cc := range p.connections {
-			cc.conn.Close() // who is in all has one
+			cc.conn.Close() // not nil: only open connections are in the map
 		}
 		p.mu.Unlock()
 	}
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -1,6 +1,6 @@
 package emulator
 
-// Discovery on sockets: calls that are handled in turn, the complete list, watches, outages and moves.
+// The emulated discovery service: calls that are handled one at a time, the complete list, watches, outages and moves.
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 )
 
 const (
-	keepAliveInterval    = 2 * time.Second // an empty line comes so often while nothing changes
+	keepAliveInterval    = 2 * time.Second // between empty lines on a watch while nothing changes
 	connectionCloseDelay = 1500 * time.Millisecond
 	maxQueuedCalls       = 256
 )
@@ -26,22 +26,22 @@
 
 	mu          sync.Mutex
 	list        *model.EndpointList
-	everListed  map[int]bool // servers listed at any time
-	initial     [][]byte     // the list of the day's beginning, by node
+	everListed  map[int]bool // endpoints that have ever been listed
+	initial     [][]byte     // the list at the start of the run, by node
 	down        bool
 	outage      *invariant.Outage
 	slowdown    float64
-	changeDelay time.Duration        // a change of the list shows so much later
+	changeDelay time.Duration        // additional delay of changes of the list
 	endpoints   []*discoveryListener // by node
 	calls       chan *call
 	watches     map[*call]struct{}
 }
 
-// discoveryListener is where one node reaches discovery.
+// discoveryListener is the listener at which one node reaches discovery.
 type discoveryListener struct {
 	node       int
 	address    string
-	advertised string // where the node is told that it is
+	advertised string // address in the node's configuration; that of a proxy if the link has faults
 	listener   net.Listener
 	conns      map[net.Conn]struct{}
 }
@@ -52,7 +52,7 @@
 	watch             bool
 	after             int64
 	arrivedAt         time.Time
-	callerClosed      chan struct{} // closed when the caller has left
+	callerClosed      chan struct{} // closed when the caller has closed its connection
 	answered          chan struct{}
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-// close closes a listener and resets what is open; the lock is held.
+// close closes the listener and resets its connections. The caller holds the lock of the discovery.
 func (p *discoveryListener) close() {
 	if p.listener != nil {
 		p.listener.Close()
@@ -140,7 +140,7 @@
 	}
 }
 
-// serve reads one call after another.
+// serve reads calls from a connection and queues them, until a watch or the connection ends.
 func (d *discovery) serve(p *discoveryListener, c net.Conn) {
 	in := newReader(c, d.run.now)
 	for {
@@ -171,14 +171,14 @@
 			d.failCall(newCall)
 		}
 		if watch {
-			// Any byte now, or the end, counts as the caller's leaving.
+			// Any byte on the connection, or its end, means that the caller has closed the watch.
 			c.SetReadDeadline(time.Time{})
 			_ = in.fill()
 			close(newCall.callerClosed)
 		}
 		select {
 		case <-newCall.answered:
-		case <-d.run.done: // a call that nobody worked through any more
+		case <-d.run.done: // the call is no longer handled
 			return
 		}
 		if watch {
@@ -187,7 +187,7 @@
 	}
 }
 
-// handleCalls handles calls in turn.
+// handleCalls handles the queued calls one at a time, until the run ends.
 func (d *discovery) handleCalls() {
 	for {
 		var c *call
@@ -232,7 +232,7 @@
 	close(c.answered)
 }
 
-// encode encodes entries for a node, and returns what it learns of them.
+// encode encodes list entries for a node, and returns the records of what the node learns from them.
 func (d *discovery) encode(
 	node, incarnation int, version int64, entries []model.ListEntry, complete bool,
 ) ([]byte, []invariant.ListEntry) {
@@ -262,7 +262,7 @@
 	return encodeList(nil, version, complete, lines), written
 }
 
-// recordEntries records what has just been written.
+// recordEntries records in the history that entries have just been written to a node.
 func (d *discovery) recordEntries(written []invariant.ListEntry) {
 	now := d.run.now()
 	for i := range written {
@@ -271,7 +271,8 @@
 	d.run.history.RecordEntries(written...)
 }
 
-// knownList is the list in a node's configuration at its start. Nothing of a stale one counts as known to it.
+// knownList returns the list in a node's configuration at its start. The entries of a stale list do not count as known
+// to the node.
 func (d *discovery) knownList(node, incarnation int, stale bool) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -283,7 +284,8 @@
 	return text
 }
 
-// currentList is the list for a configuration that is reloaded: a node takes no endpoints from it.
+// currentList returns the list for a configuration that is reloaded. It is not recorded, as nodes ignore it on a
+// reload.
 func (d *discovery) currentList(node int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -291,7 +293,7 @@
 	return text
 }
 
-// keepInitial keeps the list of now, for nodes that restart with a stale one.
+// keepInitial saves the current list for nodes that restart with a stale list.
 func (d *discovery) keepInitial() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -314,7 +316,7 @@
 	close(c.answered)
 }
 
-// answerWatch serves a watch until its connection ends.
+// answerWatch serves a watch until its caller closes it or the run ends.
 func (d *discovery) answerWatch(c *call) {
 	w := &invariant.Watch{Node: c.node, Incarnation: c.incarnation, From: d.run.now(), To: invariant.Never}
 	d.run.history.RecordWatch(w)
@@ -370,7 +372,7 @@
 	}
 }
 
-// set changes the list after a delay.
+// set changes an entry of the list after a delay.
 func (d *discovery) set(l model.ListEntry, delay time.Duration) {
 	d.mu.Lock()
 	delay += d.changeDelay
@@ -391,7 +393,7 @@
 	time.AfterFunc(delay, do)
 }
 
-// setDown makes discovery fail its calls and end its watches, or work again.
+// setDown starts or ends an outage, during which discovery fails all calls. Its start resets all connections.
 func (d *discovery) setDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -411,7 +413,7 @@
 	}
 }
 
-// move opens new addresses; the old ones accept no connection and close the open ones a while later.
+// move moves discovery to new addresses. The old listeners close at once, their connections after connectionCloseDelay.
 func (d *discovery) move() error {
 	for node := range d.endpoints {
 		p, err := d.openAt(node, d.run.address(node, 1))
--- a/internal/lab/emulator/emulation.go
+++ b/internal/lab/emulator/emulation.go
@@ -1,5 +1,5 @@
-// Package emulator runs a scenario on sockets in real time: endpoints, discovery, clients and faults around real
-// nodes. It sends to addresses in 127.0.0.0/8 alone, and leaves no process and no socket behind.
+// Package emulator runs a scenario on sockets in real time: it emulates endpoints, discovery, clients and faults around
+// real nodes. It only uses addresses in 127.0.0.0/8, and leaves no process and no socket behind.
 package emulator
 
 import (
@@ -24,15 +24,15 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Start    StartFunc
-	Direct   bool   // clients ask the servers themselves: the rig is measured without a node
-	LogDir   string // where logs of nodes go; a directory of its own, gone at the end, if empty
+	Direct   bool   // clients send to the endpoints without nodes, to measure the emulator itself
+	LogDir   string // for the logs of nodes; if empty, a temporary directory that is removed at the end
 	Log      *zap.Logger
-	Progress func(at, length time.Duration, settled, tasks int)
+	Progress func(at, length time.Duration, finished, operations int)
 }
 
 // Emulation is one run.
@@ -44,7 +44,7 @@
 	workDir    string
 	logDir     string
 	clockStart time.Time
-	startedAt  int64 // when the day itself began, after its preparation
+	startedAt  int64 // when the run itself started, after the preparation
 	planHash   string
 	direct     bool
 	history    *invariant.History
@@ -53,7 +53,7 @@
 	done       chan struct{}
 	finishOnce sync.Once
 
-	addMu         sync.Mutex // one machine is added at a time, as its index is its place
+	addMu         sync.Mutex // serializes additions, as an endpoint's index is its position in endpointList
 	endpointList  []*endpoint
 	mu            sync.Mutex
 	anomalies     map[string]int
@@ -91,11 +91,12 @@
 
 const (
 	readyTimeout = 15 * time.Second
-	settleTime   = 2 * time.Second // after the longest hard limit
+	settleTime   = 2 * time.Second // after the longest deadline
 	stopTimeout  = 6 * time.Second
 )
 
-// Run runs a scenario to its end. An error means that it could not run; what went wrong within it is in the trace.
+// Run runs a scenario to its end. An error means that the run could not be completed; failures and violations within
+// the run are in the trace.
 func Run(ctx context.Context, o Options) (result *trace.Trace, err error) {
 	if err := o.Scenario.CheckOnSockets(); err != nil {
 		return nil, err
@@ -116,13 +117,13 @@
 	if run.workDir, err = os.MkdirTemp("", "fawnglade-lab-"); err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(run.workDir) }() // the system clears its temporary directory otherwise
+	defer func() { _ = os.RemoveAll(run.workDir) }() // on failure, the system cleans up its temporary directory
 	if run.logDir == "" {
 		run.logDir = run.workDir
 	} else if err := os.MkdirAll(run.logDir, 0o755); err != nil {
 		return nil, err
 	}
-	// Whatever ends the run, also a panic, its processes and sockets are gone.
+	// End all processes and close all sockets however the run ends, including by a panic.
 	defer func() {
 		run.finish()
 		if err == nil {
@@ -144,10 +145,11 @@
 
 func (run *Emulation) now() int64 { return int64(time.Since(run.clockStart)) }
 
-// epoch turns a time of the run into Unix nanoseconds, as the list has starts.
+// epoch converts a time of the run to Unix nanoseconds, the unit of starts in the endpoint list.
 func (run *Emulation) epoch(at int64) int64 { return run.clockStart.UnixNano() + at }
 
-// address is where a part listens for one node: each node has a network of its own.
+// address returns the address at which an endpoint (part 0) or discovery (part 1) listens for one node. Each node has
+// its own addresses.
 func (run *Emulation) address(node, part int) string {
 	return fmt.Sprintf("127.%d.%d.%d:0", run.networkOctets[0], run.networkOctets[1], 1+2*node+part)
 }
@@ -168,7 +170,7 @@
 	return append([]*endpoint(nil), run.endpointList...)
 }
 
-// after runs something after a while, unless the run is over by then.
+// after calls do after a delay, unless the run has ended by then.
 func (run *Emulation) after(after time.Duration, do func()) {
 	if after <= 0 {
 		do()
@@ -190,7 +192,7 @@
 	}
 }
 
-// sleepUntil waits for a time of the run; false means that the run ended first.
+// sleepUntil waits until a time of the run. It returns false if the run ended first.
 func (run *Emulation) sleepUntil(at int64) bool {
 	wait := at - run.now()
 	if wait <= 0 {
@@ -204,7 +206,7 @@
 	}
 }
 
-// recordAnomaly counts what should not happen and is no violation of a rule by itself.
+// recordAnomaly counts an anomaly that is no violation of a rule in itself, and logs the first few of each kind.
 func (run *Emulation) recordAnomaly(kind, detail string) {
 	run.mu.Lock()
 	run.anomalies[kind]++
@@ -215,7 +217,7 @@
 	}
 }
 
-// report keeps an error of the emulator itself; the scenario could then not be run as written.
+// recordError records an error of the emulator itself, which means that the scenario could not be run as written.
 func (run *Emulation) recordError(err error) {
 	if err == nil || run.isDone() {
 		return
@@ -225,7 +227,7 @@
 	run.errs = append(run.errs, err)
 }
 
-// requestID is the ID of a request on the wire; operationOf is its inverse.
+// requestID returns the ID of a request on the wire. operationOf is the inverse.
 func (run *Emulation) requestID(operation, number int) string {
 	return fmt.Sprintf("%08x%06x%02x", uint32(run.plan.Seed*2654435761), operation, number)
 }
@@ -266,7 +268,7 @@
 	run.discovery.set(model.ListEntry{Endpoint: e.spec.Index, State: state, StartedAt: started}, delay)
 }
 
-// endpointCrashed ends an endpoint that was overloaded in slow start. It stays down.
+// endpointCrashed ends an endpoint that was overloaded in slow start. It is not restarted.
 func (run *Emulation) endpointCrashed(e *endpoint, incarnation int, crash *model.Crash) {
 	e.mu.Lock()
 	started := e.startedAt
@@ -277,7 +279,7 @@
 	run.setListed(e, model.Removed, time.Duration(run.scenario.Discovery.ChangeDelay))
 }
 
-// addEndpoint adds an endpoint in slow start, at addresses that another left if there are any.
+// addEndpoint adds an endpoint in slow start. With addresses, it listens at those of an endpoint that it replaces.
 func (run *Emulation) addEndpoint(spec workload.Endpoint, name string, addresses []string, delay time.Duration) error {
 	run.addMu.Lock()
 	defer run.addMu.Unlock()
@@ -354,7 +356,7 @@
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-process.Done(): // a node that is in has a process, so one that is not yet has too
+			case <-process.Done(): // each node that was started has a process
 				return fmt.Errorf("node %d ended before it was ready: %s", n.index, lastLine(n.log.Name()))
 			case <-time.After(5 * time.Millisecond):
 			}
@@ -366,8 +368,8 @@
 	return nil
 }
 
-// run is the run itself. Its time starts anew: what came before was preparation.
-func (run *Emulation) run(ctx context.Context, progress func(at, length time.Duration, settled, tasks int)) error {
+// run runs the plan. The run starts now: the times of the plan are shifted, so that the preparation does not count.
+func (run *Emulation) run(ctx context.Context, progress func(at, length time.Duration, finished, operations int)) error {
 	run.startedAt = run.now()
 	run.plan.Shift(run.startedAt)
 	run.links.start()
@@ -410,12 +412,12 @@
 			if unfinished == 0 && settled {
 				return nil
 			}
-			settled = unfinished == 0 // one more tick, for what comes after the last answer
+			settled = unfinished == 0 // wait one more tick for events after the last response
 		}
 	}
 }
 
-// sample records what nodes use and what is in flight at endpoints.
+// sample periodically records the resource usage of nodes and the attempts in flight at endpoints.
 func (run *Emulation) sample() {
 	for n := int64(1); run.sleepUntil(run.startedAt + n*int64(250*time.Millisecond)); n++ {
 		s := trace.LoadSample{At: run.now() - run.startedAt}
@@ -433,7 +435,7 @@
 	}
 }
 
-// finish ends all that the run began, in whatever state it is.
+// finish ends all processes, sockets and goroutines of the run, whatever its state is.
 func (run *Emulation) finish() {
 	run.finishOnce.Do(func() {
 		run.history.Close()
@@ -475,13 +477,13 @@
 		}
 		stopped := make(chan struct{})
 		go func() {
-			_ = run.group.Wait() // its parts return no errors
+			_ = run.group.Wait() // its functions return no errors
 			close(stopped)
 		}()
 		select {
 		case <-stopped:
 		case <-time.After(stopTimeout):
-			run.errs = append(run.errs, errors.New("parts of the rig did not end; this is a fault of the rig"))
+			run.errs = append(run.errs, errors.New("goroutines of the emulator did not end before the timeout; this is a bug in the emulator"))
 		}
 		for _, n := range run.nodes {
 			if n.log != nil {
@@ -491,7 +493,7 @@
 	})
 }
 
-// trace closes the history and checks the rules.
+// trace closes the history, checks the rules and returns the trace of the run.
 func (run *Emulation) trace() *trace.Trace {
 	for _, n := range run.nodes {
 		n.sampleUsage()
@@ -540,10 +542,10 @@
 	return r
 }
 
-// socketSlack is what each time limit is longer by on sockets, by the protocol.
+// socketSlack is the tolerance that the protocol adds to each time limit on sockets.
 const socketSlack = int64(50 * time.Millisecond)
 
-// lastLine of a log, to show beside what the emulator saw.
+// lastLine returns the last line of a log file, or an empty string.
 func lastLine(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -64,7 +64,8 @@
 	return s
 }
 
-// played plays a day, again if the machine was too busy for it; a machine that always is proves nothing.
+// runScenario runs a scenario, up to three times if the run is void. The test is skipped if the machine is always too
+// busy.
 func runScenario(t *testing.T, s *scenario.Scenario, start StartFunc) *trace.Trace {
 	t.Helper()
 	for range 3 {
@@ -76,12 +77,12 @@
 			return r
 		}
 	}
-	t.Skip("the machine ran late three times")
+	t.Skip("three runs were void because the machine was too busy")
 	return nil
 }
 
-// The ledger must be able to fail: a proxy that breaks one rule is caught at it, with task, server and moment, and an
-// honest one on the same day is not.
+// The rule checker must find a proxy that violates one rule, with the rule, request, endpoint and time, and must find
+// nothing in the same scenario with a proxy that keeps the rules.
 func TestRuleCheckerFindsMisbehaviors(t *testing.T) {
 	fault := func(kind, more string) string {
 		return fmt.Sprintf("[[fault]]\nkind = %q\nat = \"500ms\"\n%s\n", kind, more)
@@ -107,47 +108,48 @@
 			t.Parallel()
 			s := parseScenario(t, smallScenario+c.faults)
 			if c.misbehavior == "rush-cold" {
-				s.Load.Rate = 900 // 3.6 s of work a second, on a server that can do 0.5 then
+				s.Load.Rate = 900 // 3.6 s of work per second, on an endpoint that can do 0.5 in slow start
 			}
 			r := runScenario(t, s, StartReferenceProxy("random", c.misbehavior))
 			if len(r.Violations) == 0 {
-				t.Fatalf("nothing broken; seen besides: %v", r.Anomalies)
+				t.Fatalf("got no violations, want some; got anomalies: %v", r.Anomalies)
 			}
 			for _, b := range r.Violations {
 				if b.Rule != c.rule || !strings.Contains(b.What, c.what) || b.Node != 0 || b.At < 0 ||
 					b.At > int64(5*time.Second) {
-					t.Errorf("%v; want rule %d only, %s", b, c.rule, c.what)
+					t.Errorf("got violation %v, want only rule %d by node 0 in the first 5 s, with text %q", b, c.rule, c.what)
 				}
 				if c.rule == 4 {
 					if b.Endpoint != 1 {
-						t.Errorf("%v; want server 1", b)
+						t.Errorf("got violation %v, want endpoint 1", b)
 					}
 					continue
 				}
 				if len(b.Request) != 16 || c.rule != 1 && (b.Attempt < 0 || b.Endpoint < 0) ||
 					c.misbehavior == "undrained" && b.Endpoint != 1 {
-					t.Errorf("%v; want its task, hand-off and server", b)
+					t.Errorf("got violation %v, want its request, attempt and endpoint", b)
 				}
 			}
 		})
 		t.Run(c.misbehavior+" not done", func(t *testing.T) {
 			t.Parallel()
 			if r := runScenario(t, parseScenario(t, smallScenario+c.faults), StartReferenceProxy("random", "")); len(r.Violations) != 0 {
-				t.Errorf("an honest proxy is blamed: %v", r.Violations)
+				t.Errorf("a proxy that keeps the rules: got violations %v, want none", r.Violations)
 			}
 		})
 	}
 }
 
-// A load tool that waits for answers hides a stall: while the only server stands still for a second, one client that
-// sent the next task after each answer would see one slow answer. Here all that were due in that second are.
+// Guards against a closed-loop load generator, which hides stalls: if the only endpoint pauses for a second, a client
+// that waits for each response sees just one slow response. In an open loop, all operations that were due in that
+// second are slow.
 func TestStallShowsInAllDueOperations(t *testing.T) {
 	s := parseScenario(t, strings.NewReplacer(
 		`"400ms"`, `"3s"`, "count = 6", "count = 1\nplaces = 500\nwaiting = 500", "zones = [\"a\", \"b\"]",
 		"zones = [\"a\"]",
 	).Replace(smallScenario)+
 		"[[fault]]\nkind = \"pause\"\nat = \"1s\"\nfor = \"1s\"\nservers = [\"s-0\"]\n")
-	s.Clients.MaxConnections = 4 // so few that most have to wait for one, which is also a stall
+	s.Clients.MaxConnections = 4 // so few that most operations wait for one, which counts in their latency
 	r := runScenario(t, s, StartReferenceProxy("random", ""))
 	slow, due := 0, 0
 	for i, o := range r.Outcomes {
@@ -159,11 +161,11 @@
 		}
 	}
 	if due < 20 || slow < due*9/10 {
-		t.Errorf("%d of %d tasks that were due in the stall's first half show it", slow, due)
+		t.Errorf("got %d slow operations of %d due in the first half of the pause, want nine tenths of at least 20", slow, due)
 	}
 }
 
-// A node that dies holding tasks is no liar; what it held is lost and told so.
+// A killed node violates no rule. The operations that it held, and those that come later, are lost.
 func TestKilledNodeLosesOperationsWithoutViolations(t *testing.T) {
 	s := parseScenario(
 		t,
@@ -173,18 +175,19 @@
 	lost := 0
 	for _, o := range r.Outcomes {
 		if o.State == trace.Pending {
-			t.Fatal("a task has no end")
+			t.Fatal("an operation has no outcome")
 		}
 		if o.State == trace.Lost {
 			lost++
 		}
 	}
 	if len(r.Violations) != 0 || lost < 100 {
-		t.Errorf("broken %v, lost %d; want none broken and all that came afterwards lost", r.Violations, lost)
+		t.Errorf("got violations %v and %d operations lost, want none and at least 100", r.Violations, lost)
 	}
 }
 
-// A server that vanishes in silence: new connections to it never come up, old ones stay silent, and later it is back.
+// While an endpoint is cut off, connection attempts time out and open connections stay silent. Afterwards it accepts
+// connections again.
 func TestCutEndpointIsSilentAndReconnects(t *testing.T) {
 	run := &Emulation{
 		scenario: parseScenario(t, smallScenario), done: make(chan struct{}), history: &invariant.History{}, clockStart: time.Now(),
@@ -206,23 +209,23 @@
 	defer old.Close()
 	send(old, "GET / HTTP/1.1\r\nX-Txn: nobody\r\n\r\n")
 	if response, err := bufio.NewReader(old).ReadString('\n'); err != nil || !strings.Contains(response, "400") {
-		t.Fatalf("before: %q %v", response, err)
+		t.Fatalf("before the cut: got %q, error %v; want a response with status 400", response, err)
 	}
 	if err := l.cutOff(); err != nil {
 		t.Fatal(err)
 	}
 	if c, err := net.DialTimeout("tcp", l.address, 150*time.Millisecond); err == nil {
 		c.Close()
-		t.Error("a connection came up to a machine that has vanished")
+		t.Error("a connection to a cut off endpoint was established, want a timeout")
 	} else if e := net.Error(nil); !errors.As(err, &e) || !e.Timeout() {
-		t.Errorf("%v, want silence", err)
+		t.Errorf("connecting to a cut off endpoint: got error %v, want a timeout", err)
 	}
 	send(old, "GET / HTTP/1.1\r\nX-Txn: nobody\r\n\r\n")
 	old.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if _, err := old.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		// What was left of the first answer may still stand there.
+		// The rest of the first response may still be unread.
 		if _, err = io.Copy(io.Discard, old); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%v on a connection to a machine that has vanished, want silence", err)
+			t.Errorf("reading from a cut off endpoint: got error %v, want a timeout", err)
 		}
 	}
 	if err := l.reconnect(); err != nil {
@@ -230,12 +233,13 @@
 	}
 	c, err := net.DialTimeout("tcp", l.address, time.Second)
 	if err != nil {
-		t.Fatalf("not back: %v", err)
+		t.Fatalf("connecting after the cut: %v", err)
 	}
 	c.Close()
 }
 
-// Whatever ends a day, nothing of it is left.
+// No process, goroutine or socket may be left after a run, whether it ends by a failed node, by its caller or by a
+// panic.
 func TestRunLeavesNoProcessOrGoroutine(t *testing.T) {
 	before := runtime.NumGoroutine()
 	s := parseScenario(t, smallScenario)
@@ -248,25 +252,25 @@
 		}
 	}
 	if _, err := Run(context.Background(), Options{Scenario: s, Start: startCommand("/bin/sh", "-c", "echo no good; exit 3")}); err == nil || !strings.Contains(err.Error(), "no good") {
-		t.Errorf("a node that ends at once: %v, want its last words", err)
+		t.Errorf("a node that ends at once: got error %v, want one with the last line of its log", err)
 	}
 	if _, err := Run(context.Background(), Options{Scenario: s, Start: startCommand("/nowhere/node")}); err == nil {
-		t.Error("a node that is not there started")
+		t.Error("a node without an executable was started, want an error")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	if _, err := Run(ctx, Options{Scenario: s, Start: startCommand("/bin/sleep", "60")}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("ended by its caller: %v", err)
+		t.Errorf("a run that its caller ends: got error %v, want context.DeadlineExceeded", err)
 	}
 	select {
 	case <-last.Done():
 	default:
-		t.Error("a process is left")
+		t.Error("the node's process is still running")
 	}
 	func() {
 		defer func() {
 			if recover() == nil {
-				t.Error("a panic of the rig went unseen")
+				t.Error("a panic in the run did not reach the caller")
 			}
 		}()
 		_, _ = Run(context.Background(), Options{
@@ -277,7 +281,7 @@
 	for end := time.Now().Add(10 * time.Second); runtime.NumGoroutine() > before+4; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			buf := make([]byte, 1<<16)
-			t.Fatalf("%d goroutines, before %d:\n%s", runtime.NumGoroutine(), before, buf[:runtime.Stack(buf, true)])
+			t.Fatalf("got %d goroutines after the runs, %d before:\n%s", runtime.NumGoroutine(), before, buf[:runtime.Stack(buf, true)])
 		}
 	}
 }
@@ -288,20 +292,20 @@
 		m.record(i*lagSlot, i*lagSlot, 1e6)
 	}
 	if void, _ := m.isVoid(); void {
-		t.Error("a day late by 1 ms is void")
+		t.Error("a run with a lag of 1 ms is void, want it to count")
 	}
 	for i := range int64(10) {
 		m.record(i*7*lagSlot, i*7*lagSlot, int64(50*time.Millisecond))
 	}
 	if void, late := m.isVoid(); !void || late != int64(50*time.Millisecond) {
-		t.Errorf("late by 50 ms in a tenth of the time: void %v, late %d", void, late)
+		t.Errorf("lag of 50 ms in a tenth of the slots: got void %v, lag %d ns; want true and 5e7", void, late)
 	}
 	if m.allowanceAt(7*lagSlot) != int64(100*time.Millisecond) || m.allowanceAt(99*lagSlot) != 2e6 {
-		t.Error("lateness is not that of its moment")
+		t.Error("want an allowance of twice the lag near a time: 100 ms at slot 7, 2 ms at slot 99")
 	}
 }
 
-// Messages as a node may send them, in pieces.
+// The reader must parse messages that arrive one byte at a time, and reject malformed, truncated and oversized ones.
 func TestReaderParsesAndRejectsMessages(t *testing.T) {
 	text := "GET /a HTTP/1.1\r\nx-TXN:  1 \r\n\r\nPOST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n" +
 		"POST /c HTTP/1.1\r\nContent-Length: 4\r\nConnection: Close\r\n\r\nwxyz"
@@ -317,11 +321,11 @@
 	for i, want := range []struct{ first, body, id string }{{"GET /a HTTP/1.1", "", "1"}, {"POST /b HTTP/1.1", "abcde", ""}, {"POST /c HTTP/1.1", "wxyz", ""}} {
 		if err := in.next(&m, false); err != nil || string(m.firstLine) != want.first ||
 			string(m.body) != want.body || string(m.get(headerRequestID)) != want.id || m.closesConnection != (i == 2) {
-			t.Errorf("%d: %q %q %q %v %v", i, m.firstLine, m.body, m.get(headerRequestID), m.closesConnection, err)
+			t.Errorf("message %d: got %q, body %q, ID %q, close %v, error %v; want the next message of the text, and close on the last only", i, m.firstLine, m.body, m.get(headerRequestID), m.closesConnection, err)
 		}
 	}
 	if err := in.next(&m, false); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("at the end: got error %v, want io.EOF", err)
 	}
 	for _, bad := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "noise\r\n\r\n", "HTTP/1.1 2x0 OK\r\n\r\n",
@@ -334,17 +338,17 @@
 			a.Close()
 		}()
 		if err := newReader(b, func() int64 { return 0 }).next(&m, true); err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("%.40q was read: %v", bad, err)
+			t.Errorf("message %.40q: got error %v, want an error other than io.EOF", bad, err)
 		}
 		b.Close()
 	}
 }
 
-// What comes behind an answer is a second one only while the client has asked for nothing since: the answer to a try that its client
-// has just given up comes on the same connection, and was owed.
+// A response after the expected one counts as an extra response only if the client has sent no request since. The
+// response to a request that the client has just canceled arrives on the same connection and is expected.
 func TestExtraResponseCountsOnlyWithoutRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		secondRequest bool // a second try, which its client gives up before it is answered
+		secondRequest bool // the client sends a second request and cancels it before the response
 		extra         bool
 	}{
 		"nothing was asked":             {extra: true},
@@ -387,13 +391,13 @@
 				}
 			}
 			if reusable, resend := cc.roundTrip(newRequest(0, 0)); !reusable || resend != nil {
-				t.Fatal("the first try ended its connection")
+				t.Fatal("the first request ended its connection")
 			}
 			first := cc.lastAnswered
 			if c.secondRequest {
 				cc.roundTrip(newRequest(1, 20*time.Millisecond))
 				if cc.conn == nil || testClients.outcomes[1].State != trace.Canceled {
-					t.Fatalf("the second try ended as %v", testClients.outcomes[1].State)
+					t.Fatalf("the second request: got state %v, want Canceled on an open connection", testClients.outcomes[1].State)
 				}
 			}
 			close(respond)
@@ -403,12 +407,12 @@
 					break
 				}
 				if time.Now().After(end) {
-					t.Fatal("nothing came")
+					t.Fatal("no bytes arrived within 5 s")
 				}
 			}
 			cc.close()
 			if got := first.ExtraAt != invariant.Never; got != c.extra {
-				t.Errorf("a second answer: %t", got)
+				t.Errorf("got an extra response recorded: %t, want the opposite", got)
 			}
 		})
 	}
--- a/internal/lab/emulator/endpoint.go
+++ b/internal/lab/emulator/endpoint.go
@@ -1,7 +1,7 @@
 package emulator
 
-// Endpoints on sockets: a listener for each node, connections, delays of the network, and what faults make of
-// responses. What an endpoint can do and when work ends is the model's.
+// The emulated endpoints: a listener for each node, connections, network delays and corrupt responses. Package model
+// decides how fast endpoints work and when they reject or crash.
 
 import (
 	"errors"
@@ -24,15 +24,15 @@
 	"fawnglade/internal/lab/workload"
 )
 
-// endpointFaults are active faults of an endpoint that its model does not have.
+// endpointFaults are the active faults of an endpoint that its model does not cover.
 type endpointFaults struct {
 	unresponsive        bool
-	fail, reject, reset float64 // shares of attempts
-	corrupt             string
-	corruptShare        float64
+	fail, reject, reset float64 // fractions of the attempts
+	corrupt             string  // kind of corruption; empty for none
+	corruptShare        float64 // fraction of the responses
 }
 
-// endpoint is one endpoint. Its incarnation grows with each start.
+// endpoint is one emulated endpoint. Each start begins a new incarnation.
 type endpoint struct {
 	run   *Emulation
 	spec  workload.Endpoint
@@ -40,13 +40,13 @@
 
 	mu           sync.Mutex
 	incarnation  int
-	startedAt    int64 // Unix nanoseconds; 0 for long ago
+	startedAt    int64 // Unix nanoseconds; 0 for an endpoint that has always been warm
 	model        *model.Endpoint
 	random       *rand.Rand
 	jobs         map[int64]*attempt
 	lastID       int64
 	reports      []loadSample
-	nextReportAt int64 // when figures are to be taken next
+	nextReportAt int64 // when the load is sampled next
 	faults       endpointFaults
 	draining     bool
 	connections  int
@@ -60,46 +60,47 @@
 	figures   model.LoadFigures
 }
 
-// listener is where one node reaches one endpoint.
+// listener is the listener at which one node reaches one endpoint.
 type listener struct {
 	endpoint   *endpoint
 	node       int
 	address    string
-	advertised string // where the list says that it is
+	advertised string // address in the endpoint list; that of a proxy if the link has faults
 
 	mu           sync.Mutex
 	listener     net.Listener
-	queueFillers []net.Conn // keep a full queue full, so that nobody gets through
+	queueFillers []net.Conn // connections that fill the accept queue while the endpoint is cut off
 	conns        map[*connection]struct{}
 	cut          atomic.Bool
 }
 
-// connection is one of a node to an endpoint.
+// connection is a connection of a node to an endpoint.
 type connection struct {
 	listener    *listener
 	conn        net.Conn
-	incarnation int  // of the server
-	isNew       bool // has carried no task
-	overLimit   bool // beyond what the server holds
+	incarnation int  // of the endpoint
+	isNew       bool // has carried no attempt
+	overLimit   bool // exceeds the endpoint's connection limit
 
 	mu      sync.Mutex
 	current *attempt
 }
 
-// attempt is one attempt at an endpoint.
+// attempt is one attempt of a request at an endpoint.
 type attempt struct {
 	conn         *connection
 	record       *invariant.Attempt
 	id           int64
 	incarnation  int
-	bodySize     int // of the task's body
+	bodySize     int // of the request
 	failureDraw  float64
 	oneWay       time.Duration
 	deduplicated bool
 	answered     atomic.Bool
 }
 
-// newEndpoint makes an endpoint that listens for every node. With addresses it takes the place of another.
+// newEndpoint starts an endpoint that listens for each node. With addresses, it listens at those of an endpoint that it
+// replaces.
 func newEndpoint(run *Emulation, spec workload.Endpoint, cold bool, addresses []string) (*endpoint, error) {
 	e := &endpoint{
 		run: run, spec: spec, fleet: &run.scenario.Fleets[spec.Fleet], jobs: map[int64]*attempt{},
@@ -133,14 +134,14 @@
 	return e, nil
 }
 
-// start begins an incarnation. A cold one starts now, another long ago.
+// start starts an incarnation: in slow start if cold, else warm.
 func (e *endpoint) start(cold bool) error {
 	e.mu.Lock()
 	now := e.run.now()
 	e.recordSlowStart()
 	started := int64(math.MinInt64 / 2)
 	if e.startedAt = 0; cold {
-		// The list has whole milliseconds.
+		// The list has a resolution of 1 ms.
 		started, e.startedAt = now, e.run.epoch(now)/1e6*1e6
 	}
 	e.incarnation++
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// recordSlowStart records the slow start of the incarnation that ends; the lock is held.
+// recordSlowStart records the slow start of the incarnation that ends. The caller holds the lock.
 func (e *endpoint) recordSlowStart() {
 	if e.model != nil {
 		e.run.history.RecordSlowStart(invariant.SlowStart{
@@ -167,7 +168,7 @@
 	}
 }
 
-// stop ends an incarnation: connections are reset, new ones refused.
+// stop ends an incarnation: its connections are reset and new ones are refused.
 func (e *endpoint) stop() {
 	e.mu.Lock()
 	if e.model != nil {
@@ -188,7 +189,7 @@
 	}
 }
 
-// work answers what the model has finished, and samples its load.
+// work responds to the attempts whose jobs have ended, and samples the load, until the run ends.
 func (e *endpoint) work() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -214,7 +215,7 @@
 		for _, d := range done {
 			a := e.jobs[d.Job.ID]
 			if a == nil {
-				continue // its life has ended
+				continue // its incarnation has ended, or it was canceled
 			}
 			delete(e.jobs, d.Job.ID)
 			if d.Expired {
@@ -235,7 +236,7 @@
 	}
 }
 
-// report is the newest load report that is visible by now.
+// report returns a load report from the newest sample that is old enough to be reported.
 func (e *endpoint) report(now int64) string {
 	r := &e.run.scenario.Reports
 	if len(r.Fields) == 0 {
@@ -251,7 +252,7 @@
 	return ""
 }
 
-// oneWay is the network's delay between a node and this endpoint.
+// oneWay draws a one-way network delay between a node and the endpoint.
 func (e *endpoint) oneWay(node int) time.Duration {
 	n := &e.run.scenario.Network
 	base := n.SameZone
@@ -306,7 +307,7 @@
 	}
 }
 
-// close closes the listener and resets what is open.
+// close closes the listener and resets its connections.
 func (l *listener) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -324,8 +325,9 @@
 	l.cut.Store(false)
 }
 
-// cutOff makes the endpoint unreachable for this node: what is open stays open and silent, new connections never come
-// up. The queue of a listener that accepts nothing is kept full, so that the system drops new connections.
+// cutOff makes the endpoint unreachable for the node: open connections stay open but silent, and connection attempts
+// time out. It replaces the listener by one that accepts nothing and whose accept queue is full, so that the kernel
+// drops connection attempts.
 func (l *listener) cutOff() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -342,7 +344,7 @@
 	return nil
 }
 
-// reconnect makes it reachable again: what was open is reset.
+// reconnect makes the endpoint reachable again and resets the open connections.
 func (l *listener) reconnect() error {
 	if !l.cut.Load() {
 		return nil
@@ -351,8 +353,8 @@
 	return l.open()
 }
 
-// serve reads attempts from a connection until it ends. It reads on while one is in flight, as a node's cancel shows
-// so.
+// serve reads attempts from a connection until it ends. It keeps reading while an attempt is in flight, because a node
+// cancels an attempt by closing its connection.
 func (c *connection) serve() {
 	listener := c.listener
 	e := listener.endpoint
@@ -398,7 +400,7 @@
 	}
 }
 
-// attemptAbandoned takes the end of an attempt's connection.
+// attemptAbandoned handles the end of an attempt's connection: it cancels the job after the network delay.
 func (c *connection) attemptAbandoned(a *attempt) {
 	e := c.listener.endpoint
 	now := e.run.now()
@@ -419,7 +421,7 @@
 	})
 }
 
-// startAttempt begins one attempt.
+// startAttempt starts an attempt that was read from the connection.
 func (c *connection) startAttempt(msg *message) {
 	e, node := c.listener.endpoint, c.listener.node
 	now := e.run.now()
@@ -430,7 +432,7 @@
 	}}
 	o, number, known := e.run.operationOf(id)
 	if !known {
-		// The ID is not one that a client sent in this form.
+		// No client has sent a request with this ID.
 		e.run.recordAnomaly("hand-off with an id that no client sent", id)
 		a.respond("400 Unknown", "", nil)
 		return
@@ -455,11 +457,11 @@
 	c.mu.Unlock()
 	wait := a.oneWay
 	if c.isNew {
-		wait += time.Duration(e.fleet.ConnectionWait) + 2*a.oneWay // as its setting up would have taken
+		wait += time.Duration(e.fleet.ConnectionWait) + 2*a.oneWay // the delay of the handshake
 		c.isNew = false
 	}
 	if c.listener.cut.Load() {
-		return // it never arrives; the node cannot know
+		return // the attempt never arrives; the node only sees its timeout
 	}
 	afterDelay(wait, func() { a.arrive(work, until, idempotencyKey, o.Class, o.Tenant) })
 }
@@ -472,7 +474,7 @@
 	time.AfterFunc(d, do)
 }
 
-// arrive gives the work to the model, unless a fault answers first.
+// arrive passes the attempt to the endpoint's model as a job, unless an active fault handles it.
 func (a *attempt) arrive(work, until int64, idempotencyKey string, class, tenant int) {
 	e := a.conn.listener.endpoint
 	e.mu.Lock()
@@ -501,7 +503,7 @@
 	}
 	if idempotencyKey != "" {
 		if a.deduplicated = e.run.deduplicatorOf(e, class).seen(e.run.now(), idempotencyKey); a.deduplicated {
-			work = min(work, int64(200*time.Microsecond)) // it only looks the answer up
+			work = min(work, int64(200*time.Microsecond)) // it only looks up the earlier response
 		}
 		e.run.history.Update(func() { a.record.Deduplicated = a.deduplicated })
 	}
@@ -522,13 +524,13 @@
 	e.wake()
 }
 
-// reject answers that the request was not executed.
+// reject responds that the request was not executed.
 func (a *attempt) reject() {
 	a.conn.listener.endpoint.run.history.Update(func() { a.record.Rejected = true })
 	afterDelay(a.oneWay, func() { a.respond("503 Turned Away", "\r\n"+headerNotExecuted+": 1", nil) })
 }
 
-// finish answers an attempt that has run.
+// finish responds to an attempt that has run.
 func (a *attempt) finish() {
 	e := a.conn.listener.endpoint
 	afterDelay(a.oneWay, func() {
@@ -548,7 +550,7 @@
 	})
 }
 
-// respond writes a response, with a load report where there is one.
+// respond writes a response, with a load report if there is one.
 func (a *attempt) respond(status, extra string, body []byte) {
 	e := a.conn.listener.endpoint
 	now := e.run.now()
@@ -570,7 +572,7 @@
 	send(a.conn.conn, append(out, body...))
 }
 
-// corrupt writes a response with a fault.
+// corrupt writes a corrupt response.
 func (a *attempt) corrupt(how string) {
 	e, c := a.conn.listener.endpoint, a.conn.conn
 	body := string(responseBody(nil, e.spec.Name, a.record.Request, a.bodySize))
@@ -598,8 +600,8 @@
 		report := "\r\n" + headerLoadReport + ": queue=much,inflight=-7,=,util=NaN\r\n"
 		send(c, strings.Replace(response, "\r\n", report, 1))
 	case "other-body":
-		// The response of another request, so a node that passes it on serves what was not made for this one. It cannot
-		// be told by the protocol, so it is sent as noise behind the right one.
+		// A node must not forward the response to another request. Instead of the correct response it could not be
+		// recognized by the protocol, so it is sent after the correct one, as unexpected bytes.
 		send(c, response+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
 	case "noise":
 		noise := make([]byte, 300)
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -1,6 +1,6 @@
 package emulator
 
-// What each kind of fault does on sockets.
+// The effects of faults on sockets.
 
 import (
 	"fmt"
@@ -13,10 +13,10 @@
 	"fawnglade/internal/lab/workload"
 )
 
-// frontStopDelay is how long connections still come to a node that stops.
+// frontStopDelay is how long the front still sends requests to a node that stops.
 const frontStopDelay = 300 * time.Millisecond
 
-// startFaults starts faults as they are due.
+// startFaults starts the faults when they are due.
 func (run *Emulation) startFaults() error {
 	for i := range run.plan.Faults {
 		f := &run.plan.Faults[i]
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// startFault starts one fault, and has it end in time.
+// startFault starts a fault and schedules its end.
 func (run *Emulation) startFault(f *workload.Fault) error {
 	duration := time.Duration(f.For)
 	afterFault := func(do func()) {
@@ -39,7 +39,7 @@
 		}
 	}
 	if scenario.FaultTargets[f.Kind] == scenario.LinkTarget {
-		return nil // the relays go by the schedule
+		return nil // the proxies apply the schedule of link faults
 	}
 	switch f.Kind {
 	case "power":
@@ -87,7 +87,7 @@
 		afterFault(func() { set(0) })
 		return nil
 	case "bad-clients":
-		return nil // drawn ahead, each with its moment
+		return nil // the plan has each bad client with its due time
 	case "kill", "stop", "freeze", "cut-node", "state":
 		for i, target := range f.Targets {
 			run.after(time.Duration(f.Each)*time.Duration(i), func() { run.faultNode(f, run.nodes[target]) })
@@ -121,7 +121,7 @@
 		n.pause(time.Duration(f.For))
 		return
 	case "cut-node":
-		// Cut off from the endpoints of a zone, or from all. What is in flight it can still answer.
+		// The node loses its links to the endpoints of a zone, or to all, but not those to clients.
 		for _, e := range run.endpoints() {
 			if f.Zone == "" || e.spec.Zone == f.Zone {
 				l := e.listeners[n.index]
@@ -138,7 +138,8 @@
 	}
 }
 
-// losePower ends nodes, endpoints and discovery at one moment; each is back after a time of its own.
+// losePower ends the fault's nodes and endpoints, and discovery if all nodes are hit, at the same time. Each of them
+// comes back after its own delay.
 func (run *Emulation) losePower(f *workload.Fault) {
 	everything := f.Zone == "" && len(f.Nodes) == run.scenario.Nodes.Count
 	if everything {
@@ -166,12 +167,12 @@
 	}
 }
 
-// restartNodeLater starts a node again after a time.
+// restartNodeLater starts a node again after a delay.
 func (run *Emulation) restartNodeLater(n *node, after time.Duration) {
 	n.mu.Lock()
 	process := n.handle
 	n.mu.Unlock()
-	// It restarts under its name and address, once the old process has ended.
+	// The new process has the same name and address, so the old one must have ended.
 	run.group.Go(func() error {
 		select {
 		case <-run.done:
@@ -187,7 +188,7 @@
 	})
 }
 
-// changeFaults sets a fault of an endpoint, and removes it in time, unless a new incarnation has done so.
+// changeFaults sets a fault of an endpoint now and removes it at its end. A new incarnation starts without faults.
 func (run *Emulation) changeFaults(f *workload.Fault, e *endpoint, begin, end func(*endpointFaults)) {
 	e.mu.Lock()
 	incarnation := e.incarnation
@@ -314,7 +315,7 @@
 	}
 }
 
-// revive starts an endpoint anew, in slow start.
+// restartEndpoint starts an endpoint again, in slow start.
 func (run *Emulation) restartEndpoint(e *endpoint, delay time.Duration) {
 	if err := e.start(true); err != nil {
 		run.recordError(err)
@@ -324,7 +325,7 @@
 	run.setListed(e, model.Up, delay)
 }
 
-// replace puts a new endpoint, in slow start and under a new name, at the address of one that has ended.
+// replace ends an endpoint and starts a new one with another name at the same addresses, in slow start.
 func (run *Emulation) replace(old *endpoint, delay time.Duration) {
 	old.stop()
 	run.setListed(old, model.Removed, delay)
@@ -337,7 +338,7 @@
 	run.recordError(run.addEndpoint(spec, spec.Name+"r", addresses, delay))
 }
 
-// waitKey is the class that a wait strikes, or the tenant as a negative number.
+// waitKey returns the key in slotWaits for a wait fault: the index of its class, or a negative number for its tenant.
 func waitKey(s *scenario.Scenario, f *scenario.Fault) int {
 	for i := range s.Tenants {
 		if f.Tenant != "" && s.Tenants[i].Name == f.Tenant {
@@ -352,7 +353,7 @@
 	return len(s.Classes)
 }
 
-// slotWait is for how long an attempt waits in its slot.
+// slotWait returns how long an attempt waits in its slot because of wait faults, in nanoseconds.
 func (run *Emulation) slotWait(class, tenant int) int64 {
 	run.mu.Lock()
 	defer run.mu.Unlock()
--- a/internal/lab/emulator/lag.go
+++ b/internal/lab/emulator/lag.go
@@ -1,6 +1,7 @@
 package emulator
 
-// How late the emulator itself runs: on a machine that is short of time a run is void, and no node at fault.
+// Measures how late the emulator itself runs. On an overloaded machine a run is void, as late responses are then not
+// the nodes' fault.
 
 import (
 	"slices"
@@ -11,7 +12,7 @@
 const (
 	lagTick = 2 * time.Millisecond
 	lagSlot = int64(100 * time.Millisecond)
-	// A run is void if the emulator overslept by this much in more than one slot of twenty, or sent requests this late.
+	// A run is void if in more than one of voidShare slots, the emulator woke up or sent a request later than voidLag.
 	voidLag   = int64(30 * time.Millisecond)
 	voidShare = 20
 )
@@ -23,7 +24,7 @@
 	slots []int64
 }
 
-// run measures until done is closed.
+// run measures the lag of timers until done is closed.
 func (m *lagMonitor) run(done <-chan struct{}) {
 	last := m.now()
 	for {
@@ -38,7 +39,7 @@
 	}
 }
 
-// note records how late something was that was due in a span.
+// record records that something that was due between from and to happened late nanoseconds too late.
 func (m *lagMonitor) record(from, to, late int64) {
 	if late <= 0 || from < 0 {
 		return
@@ -53,7 +54,8 @@
 	}
 }
 
-// allowanceAt is twice the worst lag within half a second of a moment, as a node on the same machine suffers the same.
+// allowanceAt returns by how much time limits are extended at a time: twice the worst lag within half a second of it,
+// because nodes on the same machine are delayed too.
 func (m *lagMonitor) allowanceAt(at int64) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -64,7 +66,8 @@
 	return 2 * worst
 }
 
-// void tells whether the machine was too busy for the run to mean anything.
+// isVoid reports whether the machine was too busy for the run to count, and the lag in all but the worst twentieth of
+// the slots.
 func (m *lagMonitor) isVoid() (bool, int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/emulator/links.go
+++ b/internal/lab/emulator/links.go
@@ -1,7 +1,7 @@
 package emulator
 
-// Links on sockets: proxies for messages between nodes, and for streams that have faults in this scenario; membership
-// views and persisted state of nodes. There is no proxy where no fault needs one.
+// Links on sockets: proxies for datagrams between nodes, and for streams on links that have faults in the scenario;
+// also the membership views and the persisted state of nodes. Streams without faults have no proxy.
 
 import (
 	"encoding/json"
@@ -25,11 +25,11 @@
 	viewTimeout  = 800 * time.Millisecond
 )
 
-// links is all proxies of a run.
+// links holds all proxies of a run.
 type links struct {
 	run      *Emulation
 	faults   *faultproxy.Proxies
-	schedule *netfault.Schedule // as planned; in force from the day's beginning
+	schedule *netfault.Schedule // applies from the start of the run
 	members  *faultproxy.Mesh
 	gossip   *faultproxy.Mesh
 	streams  []*faultproxy.Stream
@@ -61,14 +61,14 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", run.networkOctets[0], run.networkOctets[1], 200+node, port)
 }
 
-// start puts the schedule in force, by the run's clock.
+// start applies the schedule of link faults from now on, by the run's clock.
 func (l *links) start() {
 	l.schedule = l.run.plan.LinkFaults(l.run.scenario)
 	l.faults.Set(l.schedule)
 }
 
-// proxyStream is the address at which one part reaches another: through a proxy if such links have faults, else its
-// own.
+// proxyStream returns the address at which one end of a link reaches another: that of a new proxy if links between ends
+// of these kinds have faults, else the target's own.
 func (l *links) proxyStream(from, to netfault.End, target func() string) (string, error) {
 	if !l.schedule.Touches(from.Kind, to.Kind) {
 		return target(), nil
@@ -100,7 +100,7 @@
 	}
 }
 
-// gossipConfig is the part of a node's configuration on gossip; nil where it is off.
+// gossipConfig returns the gossip section of a node's configuration, or nil if gossip is off.
 func (n *node) gossipConfig() map[string]any {
 	m := n.run.links.gossip
 	if m == nil {
@@ -115,7 +115,7 @@
 	return map[string]any{"listen": m.Address(n.index, n.index), "peers": peers}
 }
 
-// features writes the node's features file; no path where nothing is on.
+// features writes the node's features file and returns its path, which is empty if no feature is on.
 func (n *node) features() (string, error) {
 	m := n.run.links.members
 	if m == nil {
@@ -134,7 +134,7 @@
 	return path, os.WriteFile(path, []byte(b.String()), 0o600)
 }
 
-// view asks a node for its membership view; nil if it does not answer.
+// view requests the membership view from a node's admin API. It returns nil if the node does not respond.
 func (n *node) view() *members.View {
 	c, err := net.DialTimeout("tcp", n.run.nodeAddress(n.index, adminPort), viewTimeout)
 	if err != nil {
@@ -152,7 +152,7 @@
 	return &v
 }
 
-// recordViews asks all nodes, as long as the run lasts, and counts their messages.
+// recordViews periodically records the membership views of all nodes, and which nodes respond, until the run ends.
 func (run *Emulation) recordViews() {
 	if run.links.members == nil {
 		return
@@ -183,8 +183,8 @@
 	}
 }
 
-// stateFault changes a node's state directory as a fault says. The scenario has to see to it that the node does not
-// run.
+// stateFault damages a node's state directory: it is emptied ("lost"), replaced by its copy from the start of the run
+// ("older"), or all its files are truncated to half ("torn"). The scenario must ensure that the node is not running.
 func (n *node) stateFault(how string) error {
 	n.mu.Lock()
 	n.stateLost = true
@@ -214,7 +214,7 @@
 	})
 }
 
-// copyFiles copies the plain files of a tree; a node's directory holds sockets too.
+// copyFiles copies the directories and regular files of a tree. It skips others, such as a node's sockets.
 func copyFiles(from, to string) error {
 	return filepath.WalkDir(from, func(path string, entry os.DirEntry, err error) error {
 		if err != nil {
@@ -235,7 +235,7 @@
 	})
 }
 
-// snapshotState copies nodes' directories as the run begins, for those that are to find an older one.
+// snapshotState copies the nodes' state directories at the start of the run, for faults that restore an older state.
 func (run *Emulation) snapshotState() error {
 	for i := range run.plan.Faults {
 		if run.plan.Faults[i].Kind != "state" {
@@ -251,5 +251,5 @@
 	return nil
 }
 
-// stateDir is the node's own directory for what outlives its process.
+// stateDir returns the node's directory for persisted state, which outlives its processes.
 func (n *node) stateDir() string { return filepath.Join(n.run.workDir, fmt.Sprintf("n%d.d", n.index)) }
--- a/internal/lab/emulator/message.go
+++ b/internal/lab/emulator/message.go
@@ -1,6 +1,7 @@
 package emulator
 
-// Reading of HTTP/1.1 messages. It is small, since the emulator shares the machine with what it measures, and strict.
+// A strict and small reader of HTTP/1.1 messages. It is small because the emulator shares the machine with the nodes
+// that it measures.
 
 import (
 	"bytes"
@@ -20,22 +21,22 @@
 )
 
 var (
-	errMalformed = errors.New("message cannot be read")
-	errTruncated = errors.New("connection ended within a message")
-	errTooLong   = errors.New("message too long")
+	errMalformed = errors.New("malformed HTTP message")
+	errTruncated = errors.New("connection closed within an HTTP message")
+	errTooLong   = errors.New("HTTP message exceeds the size limit")
 )
 
-// message is one request or response as read; its slices are valid until the next read.
+// message is a request or response. Its slices are valid until the next message is read.
 type message struct {
-	firstLine        []byte // the first line
+	firstLine        []byte // request line or status line
 	status           int
-	head             []byte // lines after the first, each with its end
+	head             []byte // header lines, each with its line end
 	body             []byte
 	closesConnection bool
-	firstByteAt      int64 // when its first byte had come
+	firstByteAt      int64 // when the first byte had arrived
 }
 
-// get returns a header's first value.
+// get returns the first value of a header.
 func (m *message) get(name string) []byte {
 	head := m.head
 	for len(head) > 0 {
@@ -65,7 +66,7 @@
 	return true
 }
 
-// reader reads messages from a connection through one buffer.
+// reader reads messages from a connection. The unread bytes are buf[readPosition:filled].
 type reader struct {
 	from                 net.Conn
 	buf                  []byte
@@ -107,7 +108,7 @@
 
 func (r *reader) pending() int { return r.filled - r.readPosition }
 
-// next reads one message; io.EOF means that none had begun.
+// next reads the next message. It returns io.EOF if the connection was closed between messages.
 func (r *reader) next(m *message, isResponse bool) error {
 	for r.pending() == 0 {
 		if err := r.fill(); err != nil {
@@ -146,7 +147,7 @@
 		}
 	}
 	m.closesConnection = bytes.EqualFold(m.get("Connection"), []byte("close"))
-	start := end + 4 - r.readPosition // relative, as the buffer may move
+	start := end + 4 - r.readPosition // relative to readPosition, which may change
 	if bytes.EqualFold(m.get("Transfer-Encoding"), []byte("chunked")) {
 		return r.readChunkedBody(m, start)
 	}
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// set points the message's parts into the buffer again, which may have moved.
+// setSlices sets the message's slices again after the buffer may have been reallocated.
 func (r *reader) setSlices(m *message, line, start int) {
 	head := r.buf[r.readPosition : r.readPosition+start-2]
 	m.firstLine, m.head = head[:line], head[line+2:]
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// chunks reads a chunked body; it is rare, so it is kept in a buffer of its own.
+// readChunkedBody reads a chunked body into a separate buffer; chunked bodies are rare.
 func (r *reader) readChunkedBody(m *message, at int) error {
 	var body []byte
 	line := len(m.firstLine)
@@ -229,7 +230,7 @@
 	return err
 }
 
-// connState tells whether a connection has unread bytes, and whether its other side has closed it.
+// connState reports whether a connection has unread bytes, and whether it has been closed by the other side.
 func connState(c net.Conn) (unread, ended bool) {
 	t, ok := c.(syscall.Conn)
 	if !ok {
@@ -254,13 +255,13 @@
 	return unread, ended || err != nil
 }
 
-// reset ends a connection so that the other side sees it broken rather than closed.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) { faultproxy.Reset(c) }
 
-// send writes to a peer that may be gone, which shows at the next read.
+// send writes to a connection and ignores errors; the next read reports them.
 func send[T string | []byte](c io.Writer, data T) {
 	_, _ = c.Write([]byte(data))
 }
 
-// sendf formats and sends.
+// sendf formats text and sends it.
 func sendf(c io.Writer, format string, args ...any) { send(c, fmt.Sprintf(format, args...)) }
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -1,6 +1,6 @@
 package emulator
 
-// The nodes: their configuration, their processes, and what faults do to them.
+// The nodes: their configuration, their processes, and the faults that act on them.
 
 import (
 	"errors"
@@ -22,28 +22,29 @@
 	"fawnglade/internal/lab/trace"
 )
 
-// Process is one running node.
+// Process is a running node.
 type Process interface {
 	Signal(os.Signal) error
-	Done() <-chan struct{} // closed when it has ended
-	PID() int              // 0 if it is no process of its own
+	Done() <-chan struct{} // closed when the node has ended
+	PID() int              // 0 if the node runs inside this process
 }
 
-// signal sends a signal to a process, which may have ended.
+// signal sends a signal to a process, which may have ended already.
 func signal(process Process, s os.Signal) { _ = process.Signal(s) }
 
-// Start starts a node with the configuration in a file, and its log.
+// StartFunc starts a node. config is the path of its configuration file, env is added to its environment, and its
+// output goes to log.
 type StartFunc func(config string, env []string, log io.Writer) (Process, error)
 
-// Command starts nodes as processes by a command line.
+// Command returns a StartFunc that runs a command line.
 func Command(words []string) StartFunc {
 	return func(_ string, env []string, log io.Writer) (Process, error) {
 		return processLauncher.start(words, env, log)
 	}
 }
 
-// launcher starts every process from one thread that never ends: the system kills a child that asks for it when the
-// thread that started it ends, not only when the process does.
+// launcher starts all processes from one OS thread that never ends. The children are started with a parent death
+// signal, which the kernel sends when the thread that started them ends, not only when the process does.
 type launcher struct {
 	once sync.Once
 	jobs chan func()
@@ -73,7 +74,7 @@
 	}
 	p := &osProcess{cmd: cmd, done: make(chan struct{})}
 	go func() {
-		_ = cmd.Wait() // a node that was killed has no exit code
+		_ = cmd.Wait() // the exit status does not matter
 		close(p.done)
 	}()
 	return p, nil
@@ -88,7 +89,7 @@
 func (p *osProcess) Done() <-chan struct{}    { return p.done }
 func (p *osProcess) PID() int                 { return p.cmd.Process.Pid }
 
-// limitDescriptors sets what a process may open, as the platform does.
+// limitDescriptors sets the limit on the file descriptors of a process, as the platform does.
 func limitDescriptors(pid, maxDescriptors int) error {
 	limit := syscall.Rlimit{Cur: uint64(maxDescriptors), Max: uint64(maxDescriptors)}
 	_, _, errno := syscall.RawSyscall6(
@@ -111,11 +112,11 @@
 	mu          sync.Mutex
 	handle      Process
 	record      *invariant.Process
-	stateLost   bool               // its directory was tampered with since it ended
-	expectedEnd *invariant.Process // the life whose end is the day's own doing
-	admitted    bool               // the front sends to it
+	stateLost   bool               // a fault has damaged the state directory since the last start
+	expectedEnd *invariant.Process // the process that a fault has ended
+	admitted    bool               // the front sends requests to the node
 	usage       trace.NodeUsage
-	previousCPU float64 // of earlier lives
+	previousCPU float64 // CPU seconds of earlier processes
 }
 
 func (n *node) incarnation() int {
@@ -137,7 +138,7 @@
 	return os.Rename(part, n.config)
 }
 
-// start starts a process, and waits elsewhere for it to be ready.
+// start starts a process of the node. It does not wait until the node is ready.
 func (n *node) start() error {
 	n.mu.Lock()
 	incarnation := 1
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// awaitReady has the front send to the node once it is ready.
+// awaitReady admits the node to the front once its readiness check succeeds.
 func (n *node) awaitReady(process Process, record *invariant.Process) {
 	for {
 		select {
@@ -222,7 +223,7 @@
 	return newReader(c, func() int64 { return 0 }).next(&m, true) == nil && m.status == 200
 }
 
-// watch takes the end of a process. The front notices it later.
+// watch records the end of a process. The front stops sending to the node after DeathNotice.
 func (n *node) watch(process Process, record *invariant.Process) {
 	var ended bool
 	select {
@@ -254,7 +255,7 @@
 	})
 }
 
-// kill ends a node with SIGKILL; what it had in flight is excused.
+// kill ends a node with SIGKILL. The rule checker excuses its requests in flight.
 func (n *node) kill() { n.end(syscall.SIGKILL, true) }
 
 func (n *node) end(s os.Signal, excused bool) {
@@ -271,7 +272,7 @@
 	signal(process, s)
 }
 
-// signalSeries sends a node the signals that change nothing of a stop: some before it, and further ones while it goes on.
+// signalSeries sends a node signals that must not affect its stop: some before it, and some while the node stops.
 func (n *node) signalSeries() {
 	n.mu.Lock()
 	process := n.handle
@@ -288,7 +289,7 @@
 	}
 }
 
-// pause stops a node's process for a time.
+// pause suspends a node's process for a time.
 func (n *node) pause(d time.Duration) {
 	n.mu.Lock()
 	process, record := n.handle, n.record
@@ -297,12 +298,12 @@
 		return
 	}
 	now := n.run.now()
-	// Longer than it is paused, for the backlog.
+	// Excused for longer than the pause, because the node has to work off its backlog.
 	n.run.history.Excuse(record, invariant.Span{From: now, To: now + int64(d) + int64(200*time.Millisecond)})
 	n.run.after(d, func() { signal(process, syscall.SIGCONT) })
 }
 
-// reload gives the node a new configuration, with SIGHUP.
+// reload writes a new configuration and makes the node reload it with SIGHUP.
 func (n *node) reload() error {
 	if err := n.writeConfig(n.run.discovery.currentList(n.index), 1); err != nil {
 		return err
@@ -319,14 +320,15 @@
 	return nil
 }
 
-// isAdmitted tells whether the front sends to it.
+// isAdmitted reports whether the front sends requests to the node.
 func (n *node) isAdmitted() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.admitted
 }
 
-// sampleUsage reads what the node's process uses now. Beyond its memory it is killed, as the platform does.
+// sampleUsage records the current resource usage of the node's process. It kills a process that exceeds the node's
+// memory, as the platform does.
 func (n *node) sampleUsage() {
 	n.mu.Lock()
 	process := n.handle
--- a/internal/lab/emulator/passthrough.go
+++ b/internal/lab/emulator/passthrough.go
@@ -1,7 +1,7 @@
 package emulator
 
-// A proxy that reads nothing: each client's connection is piped to one of an endpoint's. It is what passing bytes on
-// costs at the least, to compare a node's cost with. It keeps no rule.
+// A proxy that copies bytes between each client connection and a connection to an endpoint without parsing them. It is
+// a lower bound for the cost of forwarding, with which the cost of a node is compared. It keeps none of the rules.
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// PassThrough serves by a node's configuration until it is ended.
+// PassThrough runs the proxy with a node's configuration file. It only returns if it cannot start.
 func PassThrough(config string) error {
 	text, err := os.ReadFile(config)
 	if err != nil {
@@ -30,7 +30,7 @@
 		return fmt.Errorf("%s: %w", config, err)
 	}
 	if len(in.Known.Hosts) == 0 {
-		return errors.New("known: expected servers, got none")
+		return errors.New("known: expected at least one server in hosts, got none")
 	}
 	if in.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(in.Limits.Cores)))
@@ -50,7 +50,8 @@
 	}
 }
 
-// pipe passes bytes on until either side ends. The readiness check is answered here, as endpoints do not know it.
+// pipe copies bytes in both directions until either side closes. It answers the readiness check itself, as endpoints do
+// not support it.
 func pipe(c net.Conn, to string) {
 	defer c.Close()
 	first := make([]byte, 4096)
@@ -77,5 +78,5 @@
 	forward(c, s)
 }
 
-// forward copies until either side ends, which both sides see.
+// forward copies until either side closes or fails. The caller then closes both.
 func forward(to io.Writer, from io.Reader) { _, _ = io.Copy(to, from) }
--- a/internal/lab/emulator/protocol.go
+++ b/internal/lab/emulator/protocol.go
@@ -1,8 +1,8 @@
 package emulator
 
-// Every name that the emulator writes to a socket or reads from one: headers, paths, fields of the list and of the
-// configuration. It is written from the protocol's page, not taken from the node, so that neither hides the other's
-// mistake.
+// The wire format: all names that the emulator writes to sockets or reads from them, such as headers, paths, and fields
+// of the endpoint list and of the configuration. It follows the specification of the protocol and shares no code with
+// the node, so that an error in one of them shows.
 
 import (
 	"bytes"
@@ -35,7 +35,7 @@
 
 var healthNames = map[model.State]string{model.Up: "up", model.Draining: "draining", model.Removed: "removed"}
 
-// encodeEntry appends one entry of a list.
+// encodeEntry appends one entry of the endpoint list.
 func encodeEntry(into []byte, name, dial, zone string, pod int, state model.State, startedNs int64) []byte {
 	return fmt.Appendf(into, `{"host":%q,"dial":%q,"site":%q,"class":"m","block":%d,"health":%q,"share":1.0,"born_ms":%d}`,
 		name, dial, zone, pod, healthNames[state], startedNs/1e6)
@@ -52,7 +52,7 @@
 	return append(into, "]}"...)
 }
 
-// parseListTarget reads what a call to discovery asks for.
+// parseListTarget parses the request target of a call to discovery. known is false for another path.
 func parseListTarget(target string) (watch bool, after int64, known bool) {
 	path, query, _ := strings.Cut(target, "?")
 	for pair := range strings.SplitSeq(query, "&") {
@@ -67,7 +67,7 @@
 	return watch, after, path == pathList
 }
 
-// encodeLoadReport appends a load report in the fields that the scenario has.
+// encodeLoadReport appends a load report with the given fields.
 func encodeLoadReport(into []byte, fields []string, f model.LoadFigures) []byte {
 	for i, name := range fields {
 		if i > 0 {
@@ -89,7 +89,7 @@
 	return into
 }
 
-// encodeConfig is a node's configuration.
+// encodeConfig returns a node's configuration as JSON.
 func encodeConfig(
 	s *scenario.Scenario, name, listen, discovery string, seed uint64, index, zone int, known []byte,
 	gossip map[string]any, console string,
@@ -107,12 +107,13 @@
 	}
 	text, err := json.Marshal(all)
 	if err != nil {
-		panic(err) // plain numbers and names
+		panic(err) // cannot happen: the configuration consists of numbers and strings
 	}
 	return text
 }
 
-// encodeRequest appends a request. Its body is made of its ID, so that an endpoint can tell whether it is complete.
+// encodeRequest appends a request of a client. Its body repeats its ID; the response contains the size of the body that
+// arrived, which shows whether it was complete.
 func encodeRequest(
 	into []byte, s *scenario.Scenario, o *workload.Operation, id, idempotencyKey string, number int, remaining int64,
 ) []byte {
@@ -163,7 +164,8 @@
 	return into
 }
 
-// responseBody appends the body of an endpoint's response; a client recognises it by the request's ID.
+// responseBody appends the body of an endpoint's response. It contains the request's ID and the size of the request's
+// body, by which clients check it.
 func responseBody(into []byte, server, id string, size int) []byte {
 	into = append(into, "done "...)
 	into = append(into, id...)
--- a/internal/lab/emulator/referenceproxy.go
+++ b/internal/lab/emulator/referenceproxy.go
@@ -1,7 +1,7 @@
 package emulator
 
-// Simple proxies to measure a node against: they select an endpoint in one well-known way and keep to the rules. A
-// misbehavior can be set, to show that the rule checker sees it.
+// Simple proxies with which nodes are compared. They select endpoints by a well-known algorithm and keep the rules. A
+// misbehavior can be set to show that the rule checker finds it.
 
 import (
 	"bufio"
@@ -22,16 +22,16 @@
 	"time"
 )
 
-// ReferenceProxyKinds are the ways in which a reference proxy selects an endpoint.
+// ReferenceProxyKinds lists the algorithms by which a reference proxy selects endpoints.
 var ReferenceProxyKinds = []string{"random", "round-robin", "least", "two-choices"}
 
-// Misbehaviours are the ways in which one can be made to violate a rule, and just that one.
+// Misbehaviors lists the misbehaviors of reference proxies. Each violates exactly one rule.
 var Misbehaviors = []string{
 	"lose", "late", "twice", "foreign", "after", "resend-exclusive", "decline-exclusive", "outside-group",
 	"copy", "undrained", "rush-cold",
 }
 
-// ReferenceProxy is one simple proxy.
+// ReferenceProxy is a simple proxy with which nodes are compared.
 type ReferenceProxy struct {
 	kind, misbehavior string
 	listen            string
@@ -77,7 +77,8 @@
 	reader *reader
 }
 
-// NewReferenceProxy reads a node's configuration. It selects by kind; wrong names its misbehavior, if any.
+// NewReferenceProxy creates a proxy from a node's configuration file, and opens its listener. kind is the selection
+// algorithm; misbehavior is empty for none.
 func NewReferenceProxy(config, kind, misbehavior string) (*ReferenceProxy, error) {
 	text, err := os.ReadFile(config)
 	if err != nil {
@@ -136,7 +137,7 @@
 	return p, nil
 }
 
-// Run serves until Stop.
+// Run serves until Stop is called.
 func (p *ReferenceProxy) Run() {
 	p.running.Go(p.watch)
 	for {
@@ -164,7 +165,7 @@
 	p.running.Wait()
 }
 
-// Stop ends it outright.
+// Stop closes the listener and all connections at once.
 func (p *ReferenceProxy) Stop() {
 	p.stop()
 	p.listener.Close()
@@ -181,7 +182,7 @@
 	}
 }
 
-// listUpdated takes a list update.
+// listUpdated applies an update of the endpoint list.
 func (p *ReferenceProxy) listUpdated(text []byte) error {
 	var in struct {
 		Seq   int64
@@ -256,13 +257,13 @@
 	}
 }
 
-// proxyRequest is one request at work.
+// proxyRequest is a request that the proxy is handling.
 type proxyRequest struct {
 	id, method, target, key string
 	body                    []byte
 	class                   proxyClass
 	deadline                time.Time
-	mayHaveRunAt            *proxyEndpoint // of the first hand-off that may have run
+	mayHaveRunAt            *proxyEndpoint // endpoint of the first attempt that may have been executed
 	mayHaveRunSince         time.Time
 }
 
@@ -299,7 +300,7 @@
 	}
 }
 
-// respond writes the response, with a misbehavior if one is set.
+// respond writes the response. With a misbehavior that concerns responses, it applies it to each 20th one.
 func (p *ReferenceProxy) respond(c net.Conn, r *proxyRequest, status int, body []byte) bool {
 	p.mu.Lock()
 	p.requestCount++
@@ -337,7 +338,7 @@
 	return true
 }
 
-// attemptOutcome is how one attempt ended.
+// attemptOutcome is the outcome of an attempt.
 type attemptOutcome int
 
 const (
@@ -346,7 +347,7 @@
 	outcomeUnknown
 )
 
-// handle takes a request to its response.
+// handle sends a request to endpoints and returns the response for the client.
 func (p *ReferenceProxy) handle(r *proxyRequest) (status int, body []byte) {
 	var tried []*proxyEndpoint
 	for n := 0; n < p.maxAttempts && time.Until(r.deadline) > 10*time.Millisecond; n++ {
@@ -396,8 +397,8 @@
 	return p.misbehavior == "resend-exclusive"
 }
 
-// pick selects an endpoint by the proxy's kind among those that may get the request. One in slow start is a candidate
-// with the part of its capacity that it is sure to have.
+// pick selects an endpoint, by the proxy's kind, from those that may get the request. An endpoint in slow start is a
+// candidate with a probability of the fraction of its capacity that it is certain to have.
 func (p *ReferenceProxy) pick(r *proxyRequest, tried []*proxyEndpoint) *proxyEndpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -441,7 +442,7 @@
 	return candidates[p.random.IntN(len(candidates))]
 }
 
-// attempt sends a request to an endpoint once and tells how far it came.
+// attempt sends a request to an endpoint once, and returns the outcome and the response body.
 func (p *ReferenceProxy) attempt(e *proxyEndpoint, r *proxyRequest) (attemptOutcome, []byte) {
 	p.mu.Lock()
 	e.inFlight++
@@ -511,7 +512,7 @@
 	return outcome, body
 }
 
-// StartReferenceProxy starts reference proxies inside this process.
+// StartReferenceProxy returns a StartFunc that runs reference proxies inside this process.
 func StartReferenceProxy(kind, misbehavior string) StartFunc {
 	return func(config string, _ []string, _ io.Writer) (Process, error) {
 		p, err := NewReferenceProxy(config, kind, misbehavior)
