--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -382,7 +382,7 @@
 	if reused && !request.resent && errors.Is(err, io.EOF) {
 		// The node closed the idle connection while the request was on its way. The client sends the same request once
 		// more on a new connection.
-		run.history.Update(func() { rec.CrossedAt = now })
+		run.history.Update(func() { rec.CloseRaceAt = now })
 		cc.close()
 		request.resent, request.previousClosedAt = true, now
 		return true, request
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -399,7 +399,7 @@
 	defer d.mu.Unlock()
 	now := d.run.now()
 	if down && !d.down {
-		d.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: now}}
+		d.outage = &invariant.Outage{Node: -1, Interval: invariant.Interval{From: now}}
 		d.run.history.RecordOutage(d.outage)
 	} else if d.down && !down {
 		d.run.history.Update(func() { d.outage.To = now })
--- a/internal/lab/emulator/endpoint.go
+++ b/internal/lab/emulator/endpoint.go
@@ -336,7 +336,7 @@
 	}
 	l.cut.Store(true)
 	l.listener.Close()
-	ln, fillers, err := faultproxy.ListenFull(l.address)
+	ln, fillers, err := faultproxy.ListenFullBacklog(l.address)
 	if err != nil {
 		return fmt.Errorf("cutting off %s: %w", l.address, err)
 	}
--- a/internal/lab/emulator/links.go
+++ b/internal/lab/emulator/links.go
@@ -64,13 +64,13 @@
 // start applies the schedule of link faults from now on, by the run's clock.
 func (l *links) start() {
 	l.schedule = l.run.plan.LinkFaults(l.run.scenario)
-	l.faults.Set(l.schedule)
+	l.faults.SetSchedule(l.schedule)
 }
 
 // proxyStream returns the address at which one end of a link reaches another: that of a new proxy if links between ends
 // of these kinds have faults, else the target's own.
 func (l *links) proxyStream(from, to netfault.End, target func() string) (string, error) {
-	if !l.schedule.Touches(from.Kind, to.Kind) {
+	if !l.schedule.Affects(from.Kind, to.Kind) {
 		return target(), nil
 	}
 	s, err := faultproxy.NewStream(
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -267,7 +267,7 @@
 		return
 	}
 	if excused {
-		n.run.history.Excuse(record, invariant.Span{From: n.run.now(), To: invariant.Never})
+		n.run.history.Excuse(record, invariant.Interval{From: n.run.now(), To: invariant.Never})
 	}
 	signal(process, s)
 }
@@ -299,7 +299,7 @@
 	}
 	now := n.run.now()
 	// Excused for longer than the pause, because the node has to work off its backlog.
-	n.run.history.Excuse(record, invariant.Span{From: now, To: now + int64(d) + int64(200*time.Millisecond)})
+	n.run.history.Excuse(record, invariant.Interval{From: now, To: now + int64(d) + int64(200*time.Millisecond)})
 	n.run.after(d, func() { signal(process, syscall.SIGCONT) })
 }
 
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -15,8 +15,8 @@
 )
 
 // Site returns the names and zones by which link faults refer to the ends of links.
-func (s *Scenario) Site() *netfault.Site {
-	site := &netfault.Site{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
+func (s *Scenario) Site() *netfault.Topology {
+	site := &netfault.Topology{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
 	for i := range s.Nodes.Count {
 		site.NodeZones = append(site.NodeZones, s.NodeZone(i))
 	}
@@ -89,7 +89,7 @@
 	case netfault.Delay, netfault.Reorder:
 		wait := f.Wait.Std()
 		c.require(wait > 0 && wait <= maxWait, prefix+"wait", "a time above 0, 1m at most", wait)
-	case netfault.Narrow:
+	case netfault.Throttle:
 		c.require(f.Rate >= minLinkRate, prefix+"rate", "at least 100 bytes per second", f.Rate)
 	}
 }
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -348,7 +348,7 @@
 			w.fail() // the connection of its call is reset
 		}
 	}
-	d.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: d.sim.now}}
+	d.outage = &invariant.Outage{Node: -1, Interval: invariant.Interval{From: d.sim.now}}
 	d.sim.history.RecordOutage(d.outage)
 	for _, w := range append([]*watch(nil), d.watches...) {
 		w.fail()
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -92,14 +92,14 @@
 	}
 	switch f.Kind {
 	case "kill":
-		sim.history.Excuse(n.record, invariant.Span{From: sim.now, To: invariant.Never})
+		sim.history.Excuse(n.record, invariant.Interval{From: sim.now, To: invariant.Never})
 		n.kill()
 		sim.restartAfterFault(f, n)
 	case "stop":
 		sim.stopNode(f, n)
 	case "freeze":
 		n.pausedUntil = sim.now + int64(f.For)
-		sim.history.Excuse(n.record, invariant.Span{From: sim.now, To: n.pausedUntil + catchUpTime})
+		sim.history.Excuse(n.record, invariant.Interval{From: sim.now, To: n.pausedUntil + catchUpTime})
 	case "cut-node":
 		for _, e := range sim.endpoints {
 			if f.Zone == "" || e.spec.Zone == f.Zone {
@@ -179,7 +179,7 @@
 		if !n.alive {
 			continue
 		}
-		sim.history.Excuse(n.record, invariant.Span{From: sim.now, To: invariant.Never})
+		sim.history.Excuse(n.record, invariant.Interval{From: sim.now, To: invariant.Never})
 		n.kill()
 		if f.NodesBack > 0 {
 			sim.delay(f.RestoreDelay(f.NodesBack, f.Seed, i), sim.restartFunc(n))
