--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -1,6 +1,6 @@
 package emulator
 
-// Discovery on sockets: calls that are handled in turn, the complete list, watches, outages and moves.
+// The emulated discovery service: calls that are handled one at a time, the complete list, watches, outages and moves.
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 )
 
 const (
-	keepAliveInterval    = 2 * time.Second // an empty line comes so often while nothing changes
+	keepAliveInterval    = 2 * time.Second // between empty lines on a watch while nothing changes
 	connectionCloseDelay = 1500 * time.Millisecond
 	maxQueuedCalls       = 256
 )
@@ -26,22 +26,22 @@
 
 	mu          sync.Mutex
 	list        *model.EndpointList
-	everListed  map[int]bool // servers listed at any time
-	initial     [][]byte     // the list of the day's beginning, by node
+	everListed  map[int]bool // endpoints that have ever been listed
+	initial     [][]byte     // the list at the start of the run, by node
 	down        bool
 	outage      *invariant.Outage
 	slowdown    float64
-	changeDelay time.Duration        // a change of the list shows so much later
+	changeDelay time.Duration        // additional delay of changes of the list
 	endpoints   []*discoveryListener // by node
 	calls       chan *call
 	watches     map[*call]struct{}
 }
 
-// discoveryListener is where one node reaches discovery.
+// discoveryListener is the listener at which one node reaches discovery.
 type discoveryListener struct {
 	node       int
 	address    string
-	advertised string // where the node is told that it is
+	advertised string // address in the node's configuration; that of a proxy if the link has faults
 	listener   net.Listener
 	conns      map[net.Conn]struct{}
 }
@@ -52,53 +52,53 @@
 	watch             bool
 	after             int64
 	arrivedAt         time.Time
-	callerClosed      chan struct{} // closed when the caller has left
+	callerClosed      chan struct{} // closed when the caller has closed its connection
 	answered          chan struct{}
 }
 
-func newDiscovery(d *Emulation) (*discovery, error) {
-	s := &discovery{
-		run: d, list: model.NewEndpointList(40), everListed: map[int]bool{}, slowdown: 1,
+func newDiscovery(run *Emulation) (*discovery, error) {
+	d := &discovery{
+		run: run, list: model.NewEndpointList(40), everListed: map[int]bool{}, slowdown: 1,
 		calls:   make(chan *call, maxQueuedCalls),
 		watches: map[*call]struct{}{},
 	}
-	for node := range d.scenario.Nodes.Count {
-		p, err := s.openAt(node, d.address(node, 1))
+	for node := range run.scenario.Nodes.Count {
+		p, err := d.openAt(node, run.address(node, 1))
 		if err != nil {
 			return nil, err
 		}
-		s.endpoints = append(s.endpoints, p)
+		d.endpoints = append(d.endpoints, p)
 	}
-	d.group.Go(func() error { s.handleCalls(); return nil })
-	return s, nil
+	run.group.Go(func() error { d.handleCalls(); return nil })
+	return d, nil
 }
 
-func (s *discovery) openAt(node int, address string) (*discoveryListener, error) {
-	l, err := net.Listen("tcp", address)
+func (d *discovery) openAt(node int, address string) (*discoveryListener, error) {
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &discoveryListener{node: node, address: l.Addr().String(), listener: l, conns: map[net.Conn]struct{}{}}
-	p.advertised, err = s.run.links.proxyStream(netfault.End{
+	p := &discoveryListener{node: node, address: ln.Addr().String(), listener: ln, conns: map[net.Conn]struct{}{}}
+	p.advertised, err = d.run.links.proxyStream(netfault.End{
 		Kind: netfault.Node, Index: node,
 	}, netfault.End{Kind: netfault.Discovery}, func() string { return p.address })
 	if err != nil {
-		l.Close()
+		ln.Close()
 		return nil, err
 	}
-	s.run.group.Go(func() error { s.accept(p, l); return nil })
+	d.run.group.Go(func() error { d.accept(p, ln); return nil })
 	return p, nil
 }
 
-func (s *discovery) close() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, p := range s.endpoints {
+func (d *discovery) close() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, p := range d.endpoints {
 		p.close()
 	}
 }
 
-// close closes a listener and resets what is open; the lock is held.
+// close closes the listener and resets its connections. The caller holds the lock of the discovery.
 func (p *discoveryListener) close() {
 	if p.listener != nil {
 		p.listener.Close()
@@ -109,9 +109,9 @@
 	}
 }
 
-func (s *discovery) accept(p *discoveryListener, l net.Listener) {
+func (d *discovery) accept(p *discoveryListener, ln net.Listener) {
 	for {
-		c, err := l.Accept()
+		c, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -119,30 +119,30 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		s.mu.Lock()
-		if p.listener != l {
-			s.mu.Unlock()
+		d.mu.Lock()
+		if p.listener != ln {
+			d.mu.Unlock()
 			reset(c)
 			continue
 		}
 		p.conns[c] = struct{}{}
-		s.mu.Unlock()
-		s.run.group.Go(func() error {
+		d.mu.Unlock()
+		d.run.group.Go(func() error {
 			defer func() {
 				c.Close()
-				s.mu.Lock()
+				d.mu.Lock()
 				delete(p.conns, c)
-				s.mu.Unlock()
+				d.mu.Unlock()
 			}()
-			s.serve(p, c)
+			d.serve(p, c)
 			return nil
 		})
 	}
 }
 
-// serve reads one call after another.
-func (s *discovery) serve(p *discoveryListener, c net.Conn) {
-	in := newReader(c, s.run.now)
+// serve reads calls from a connection and queues them, until a watch or the connection ends.
+func (d *discovery) serve(p *discoveryListener, c net.Conn) {
+	in := newReader(c, d.run.now)
 	for {
 		var m message
 		c.SetReadDeadline(time.Now().Add(60 * time.Second))
@@ -160,25 +160,25 @@
 			}
 			continue
 		}
-		k := &call{
-			node: p.node, incarnation: s.run.nodes[p.node].incarnation(), conn: c, watch: watch, after: after,
+		newCall := &call{
+			node: p.node, incarnation: d.run.nodes[p.node].incarnation(), conn: c, watch: watch, after: after,
 			arrivedAt:    time.Now(),
 			callerClosed: make(chan struct{}), answered: make(chan struct{}),
 		}
 		select {
-		case s.calls <- k:
+		case d.calls <- newCall:
 		default:
-			s.failCall(k)
+			d.failCall(newCall)
 		}
 		if watch {
-			// Any byte now, or the end, counts as the caller's leaving.
+			// Any byte on the connection, or its end, means that the caller has closed the watch.
 			c.SetReadDeadline(time.Time{})
 			_ = in.fill()
-			close(k.callerClosed)
+			close(newCall.callerClosed)
 		}
 		select {
-		case <-k.answered:
-		case <-s.run.done: // a call that nobody worked through any more
+		case <-newCall.answered:
+		case <-d.run.done: // the call is no longer handled
 			return
 		}
 		if watch {
@@ -187,223 +187,225 @@
 	}
 }
 
-// handleCalls handles calls in turn.
-func (s *discovery) handleCalls() {
+// handleCalls handles the queued calls one at a time, until the run ends.
+func (d *discovery) handleCalls() {
 	for {
-		var k *call
+		var c *call
 		select {
-		case <-s.run.done:
+		case <-d.run.done:
 			return
-		case k = <-s.calls:
+		case c = <-d.calls:
 		}
-		d := &s.run.scenario.Discovery
-		s.mu.Lock()
-		down, lines := s.down, len(s.list.Complete())
-		if k.after > 0 {
-			changed, _ := s.list.ChangesAfter(k.after)
+		settings := &d.run.scenario.Discovery
+		d.mu.Lock()
+		down, lines := d.down, len(d.list.Complete())
+		if c.after > 0 {
+			changed, _ := d.list.ChangesAfter(c.after)
 			lines = len(changed)
 		}
-		cost := time.Duration(s.slowdown * float64(int64(d.CallTime)+int64(d.EntryTime)*int64(lines)))
-		s.mu.Unlock()
-		if down || time.Since(k.arrivedAt)+cost > time.Duration(d.CallTimeout) {
-			s.failCall(k)
+		cost := time.Duration(d.slowdown * float64(int64(settings.CallTime)+int64(settings.EntryTime)*int64(lines)))
+		d.mu.Unlock()
+		if down || time.Since(c.arrivedAt)+cost > time.Duration(settings.CallTimeout) {
+			d.failCall(c)
 			continue
 		}
 		select {
-		case <-s.run.done:
+		case <-d.run.done:
 			return
 		case <-time.After(cost):
 		}
-		if k.watch {
-			s.run.group.Go(func() error { s.answerWatch(k); return nil })
+		if c.watch {
+			d.run.group.Go(func() error { d.answerWatch(c); return nil })
 		} else {
-			s.answerList(k)
+			d.answerList(c)
 		}
 	}
 }
 
-func (s *discovery) failCall(k *call) {
-	now := s.run.now()
-	s.run.history.RecordWatch(&invariant.Watch{
-		Node: k.node, Incarnation: k.incarnation, From: now, To: now, Failed: true,
+func (d *discovery) failCall(c *call) {
+	now := d.run.now()
+	d.run.history.RecordWatch(&invariant.Watch{
+		Node: c.node, Incarnation: c.incarnation, From: now, To: now, Failed: true,
 	})
-	send(k.conn, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-	reset(k.conn)
-	close(k.answered)
+	send(c.conn, "HTTP/1.1 503 Later\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+	reset(c.conn)
+	close(c.answered)
 }
 
-// encode encodes entries for a node, and returns what it learns of them.
-func (s *discovery) encode(
-	node, life int, version int64, entries []model.ListEntry, whole bool,
+// encode encodes list entries for a node, and returns the records of what the node learns from them.
+func (d *discovery) encode(
+	node, incarnation int, version int64, entries []model.ListEntry, complete bool,
 ) ([]byte, []invariant.ListEntry) {
 	var lines [][]byte
-	var told []invariant.ListEntry
+	var written []invariant.ListEntry
 	listed := map[int]bool{}
-	for _, e := range entries {
-		m := s.run.endpointAt(e.Endpoint)
+	for _, entry := range entries {
+		e := d.run.endpointAt(entry.Endpoint)
 		lines = append(
 			lines,
-			encodeEntry(nil, m.spec.Name, m.listeners[node].advertised, m.spec.Zone, m.spec.Pod, e.State, e.StartedAt),
+			encodeEntry(nil, e.spec.Name, e.listeners[node].advertised, e.spec.Zone, e.spec.Pod, entry.State, entry.StartedAt),
 		)
-		told = append(told, invariant.ListEntry{
-			Node: node, Incarnation: life, Endpoint: e.Endpoint, State: e.State, StartedAt: e.StartedAt,
+		written = append(written, invariant.ListEntry{
+			Node: node, Incarnation: incarnation, Endpoint: entry.Endpoint, State: entry.State, StartedAt: entry.StartedAt,
 		})
-		listed[e.Endpoint] = true
+		listed[entry.Endpoint] = true
 	}
-	if whole {
-		for server := range s.everListed {
+	if complete {
+		for server := range d.everListed {
 			if !listed[server] {
-				told = append(told, invariant.ListEntry{
-					Node: node, Incarnation: life, Endpoint: server, State: model.Removed,
+				written = append(written, invariant.ListEntry{
+					Node: node, Incarnation: incarnation, Endpoint: server, State: model.Removed,
 				})
 			}
 		}
 	}
-	return encodeList(nil, version, whole, lines), told
+	return encodeList(nil, version, complete, lines), written
 }
 
-// recordEntries records what has just been written.
-func (s *discovery) recordEntries(told []invariant.ListEntry) {
-	now := s.run.now()
-	for i := range told {
-		told[i].At = now
+// recordEntries records in the history that entries have just been written to a node.
+func (d *discovery) recordEntries(written []invariant.ListEntry) {
+	now := d.run.now()
+	for i := range written {
+		written[i].At = now
 	}
-	s.run.history.RecordEntries(told...)
+	d.run.history.RecordEntries(written...)
 }
 
-// knownList is the list in a node's configuration at its start. Nothing of a stale one counts as known to it.
-func (s *discovery) knownList(node, life int, stale bool) []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if stale && s.initial != nil {
-		return s.initial[node]
+// knownList returns the list in a node's configuration at its start. The entries of a stale list do not count as known
+// to the node.
+func (d *discovery) knownList(node, incarnation int, stale bool) []byte {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if stale && d.initial != nil {
+		return d.initial[node]
 	}
-	text, told := s.encode(node, life, s.list.Version(), s.list.Complete(), true)
-	s.recordEntries(told)
+	text, written := d.encode(node, incarnation, d.list.Version(), d.list.Complete(), true)
+	d.recordEntries(written)
 	return text
 }
 
-// currentList is the list for a configuration that is reloaded: a node takes no endpoints from it.
-func (s *discovery) currentList(node int) []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	text, _ := s.encode(node, 0, s.list.Version(), s.list.Complete(), true)
+// currentList returns the list for a configuration that is reloaded. It is not recorded, as nodes ignore it on a
+// reload.
+func (d *discovery) currentList(node int) []byte {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	text, _ := d.encode(node, 0, d.list.Version(), d.list.Complete(), true)
 	return text
 }
 
-// keepInitial keeps the list of now, for nodes that restart with a stale one.
-func (s *discovery) keepInitial() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for node := range s.endpoints {
-		text, _ := s.encode(node, 0, s.list.Version(), s.list.Complete(), true)
-		s.initial = append(s.initial, text)
+// keepInitial saves the current list for nodes that restart with a stale list.
+func (d *discovery) keepInitial() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for node := range d.endpoints {
+		text, _ := d.encode(node, 0, d.list.Version(), d.list.Complete(), true)
+		d.initial = append(d.initial, text)
 	}
 }
 
-func (s *discovery) answerList(k *call) {
-	s.mu.Lock()
-	text, told := s.encode(k.node, k.incarnation, s.list.Version(), s.list.Complete(), true)
-	s.mu.Unlock()
-	_, err := fmt.Fprintf(k.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+func (d *discovery) answerList(c *call) {
+	d.mu.Lock()
+	text, written := d.encode(c.node, c.incarnation, d.list.Version(), d.list.Complete(), true)
+	d.mu.Unlock()
+	_, err := fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	if err == nil {
-		s.recordEntries(told)
-		now := s.run.now()
-		s.run.history.RecordWatch(&invariant.Watch{Node: k.node, Incarnation: k.incarnation, From: now, To: now})
+		d.recordEntries(written)
+		now := d.run.now()
+		d.run.history.RecordWatch(&invariant.Watch{Node: c.node, Incarnation: c.incarnation, From: now, To: now})
 	}
-	close(k.answered)
+	close(c.answered)
 }
 
-// answerWatch serves a watch until its connection ends.
-func (s *discovery) answerWatch(k *call) {
-	w := &invariant.Watch{Node: k.node, Incarnation: k.incarnation, From: s.run.now(), To: invariant.Never}
-	s.run.history.RecordWatch(w)
-	s.mu.Lock()
-	s.watches[k] = struct{}{}
-	s.mu.Unlock()
+// answerWatch serves a watch until its caller closes it or the run ends.
+func (d *discovery) answerWatch(c *call) {
+	w := &invariant.Watch{Node: c.node, Incarnation: c.incarnation, From: d.run.now(), To: invariant.Never}
+	d.run.history.RecordWatch(w)
+	d.mu.Lock()
+	d.watches[c] = struct{}{}
+	d.mu.Unlock()
 	defer func() {
-		now := s.run.now()
-		s.run.history.Update(func() { w.To = now })
-		s.mu.Lock()
-		delete(s.watches, k)
-		s.mu.Unlock()
-		k.conn.Close()
-		close(k.answered)
+		now := d.run.now()
+		d.run.history.Update(func() { w.To = now })
+		d.mu.Lock()
+		delete(d.watches, c)
+		d.mu.Unlock()
+		c.conn.Close()
+		close(c.answered)
 	}()
-	if _, err := io.WriteString(k.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+	if _, err := io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	line := func(text []byte) error {
-		_, err := fmt.Fprintf(k.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
+	writeLine := func(text []byte) error {
+		_, err := fmt.Fprintf(c.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
 		return err
 	}
-	version, quiet := k.after, time.Now()
+	version, lastWriteAt := c.after, time.Now()
 	for first := true; ; first = false {
-		s.mu.Lock()
-		entries, whole := s.list.ChangesAfter(version)
-		now := s.list.Version()
+		d.mu.Lock()
+		entries, complete := d.list.ChangesAfter(version)
+		now := d.list.Version()
 		var text []byte
-		var told []invariant.ListEntry
+		var written []invariant.ListEntry
 		if first || now != version {
-			text, told = s.encode(k.node, k.incarnation, now, entries, whole)
+			text, written = d.encode(c.node, c.incarnation, now, entries, complete)
 		}
-		s.mu.Unlock()
+		d.mu.Unlock()
 		if text != nil {
-			if line(text) != nil {
+			if writeLine(text) != nil {
 				return
 			}
-			s.recordEntries(told)
-			version, quiet = now, time.Now()
-		} else if time.Since(quiet) > keepAliveInterval {
-			if line(nil) != nil {
+			d.recordEntries(written)
+			version, lastWriteAt = now, time.Now()
+		} else if time.Since(lastWriteAt) > keepAliveInterval {
+			if writeLine(nil) != nil {
 				return
 			}
-			quiet = time.Now()
+			lastWriteAt = time.Now()
 		}
 		select {
-		case <-s.run.done:
+		case <-d.run.done:
 			return
-		case <-k.callerClosed:
+		case <-c.callerClosed:
 			return
-		case <-time.After(time.Duration(s.run.scenario.Discovery.UpdateInterval)):
+		case <-time.After(time.Duration(d.run.scenario.Discovery.UpdateInterval)):
 		}
 	}
 }
 
-// set changes the list after a delay.
-func (s *discovery) set(l model.ListEntry, notice time.Duration) {
-	s.mu.Lock()
-	notice += s.changeDelay
-	s.mu.Unlock()
+// set changes an entry of the list after a delay.
+func (d *discovery) set(l model.ListEntry, delay time.Duration) {
+	d.mu.Lock()
+	delay += d.changeDelay
+	d.mu.Unlock()
 	do := func() {
-		s.mu.Lock()
-		s.list.Set(l)
-		s.everListed[l.Endpoint] = true
-		s.mu.Unlock()
-		s.run.history.RecordListChange(invariant.ListChange{
-			Endpoint: l.Endpoint, State: l.State, At: s.run.now(), StartedAt: l.StartedAt,
+		d.mu.Lock()
+		d.list.Set(l)
+		d.everListed[l.Endpoint] = true
+		d.mu.Unlock()
+		d.run.history.RecordListChange(invariant.ListChange{
+			Endpoint: l.Endpoint, State: l.State, At: d.run.now(), StartedAt: l.StartedAt,
 		})
 	}
-	if notice <= 0 {
+	if delay <= 0 {
 		do()
 		return
 	}
-	time.AfterFunc(notice, do)
+	time.AfterFunc(delay, do)
 }
 
-// setDown makes discovery fail its calls and end its watches, or work again.
-func (s *discovery) setDown(down bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.run.now()
-	if down && !s.down {
-		s.outage = &invariant.Outage{Node: -1, Interval: invariant.Interval{From: now}}
-		s.run.history.RecordOutage(s.outage)
-	} else if s.down && !down {
-		s.run.history.Update(func() { s.outage.To = now })
+// setDown starts or ends an outage, during which discovery fails all calls. Its start resets all connections.
+func (d *discovery) setDown(down bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.run.now()
+	if down && !d.down {
+		d.outage = &invariant.Outage{Node: -1, Interval: invariant.Interval{From: now}}
+		d.run.history.RecordOutage(d.outage)
+	} else if d.down && !down {
+		d.run.history.Update(func() { d.outage.To = now })
 	}
-	if s.down = down; down {
-		for _, p := range s.endpoints {
+	if d.down = down; down {
+		for _, p := range d.endpoints {
 			for c := range p.conns {
 				reset(c)
 			}
@@ -411,30 +413,30 @@
 	}
 }
 
-// move opens new addresses; the old ones accept no connection and close the open ones a while later.
-func (s *discovery) move() error {
-	for node := range s.endpoints {
-		p, err := s.openAt(node, s.run.address(node, 1))
+// move moves discovery to new addresses. The old listeners close at once, their connections after connectionCloseDelay.
+func (d *discovery) move() error {
+	for node := range d.endpoints {
+		p, err := d.openAt(node, d.run.address(node, 1))
 		if err != nil {
 			return err
 		}
-		s.mu.Lock()
-		old := s.endpoints[node]
-		s.endpoints[node] = p
+		d.mu.Lock()
+		old := d.endpoints[node]
+		d.endpoints[node] = p
 		old.listener.Close()
 		old.listener = nil
-		s.mu.Unlock()
+		d.mu.Unlock()
 		time.AfterFunc(connectionCloseDelay, func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
+			d.mu.Lock()
+			defer d.mu.Unlock()
 			old.close()
 		})
 	}
 	return nil
 }
 
-func (s *discovery) addressFor(node int) string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.endpoints[node].advertised
+func (d *discovery) addressFor(node int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.endpoints[node].advertised
 }
--- a/internal/lab/emulator/lag.go
+++ b/internal/lab/emulator/lag.go
@@ -1,6 +1,7 @@
 package emulator
 
-// How late the emulator itself runs: on a machine that is short of time a run is void, and no node at fault.
+// Measures how late the emulator itself runs. On an overloaded machine a run is void, as late responses are then not
+// the nodes' fault.
 
 import (
 	"slices"
@@ -11,7 +12,7 @@
 const (
 	lagTick = 2 * time.Millisecond
 	lagSlot = int64(100 * time.Millisecond)
-	// A run is void if the emulator overslept by this much in more than one slot of twenty, or sent requests this late.
+	// A run is void if in more than one of voidShare slots, the emulator woke up or sent a request later than voidLag.
 	voidLag   = int64(30 * time.Millisecond)
 	voidShare = 20
 )
@@ -23,55 +24,57 @@
 	slots []int64
 }
 
-// run measures until done is closed.
-func (g *lagMonitor) run(done <-chan struct{}) {
-	last := g.now()
+// run measures the lag of timers until done is closed.
+func (m *lagMonitor) run(done <-chan struct{}) {
+	last := m.now()
 	for {
 		select {
 		case <-done:
 			return
 		case <-time.After(lagTick):
 		}
-		now := g.now()
-		g.record(last, now, now-last-int64(lagTick))
+		now := m.now()
+		m.record(last, now, now-last-int64(lagTick))
 		last = now
 	}
 }
 
-// note records how late something was that was due in a span.
-func (g *lagMonitor) record(from, to, late int64) {
+// record records that something that was due between from and to happened late nanoseconds too late.
+func (m *lagMonitor) record(from, to, late int64) {
 	if late <= 0 || from < 0 {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for i := from / lagSlot; i <= to/lagSlot; i++ {
-		for int64(len(g.slots)) <= i {
-			g.slots = append(g.slots, 0)
+		for int64(len(m.slots)) <= i {
+			m.slots = append(m.slots, 0)
 		}
-		g.slots[i] = max(g.slots[i], late)
+		m.slots[i] = max(m.slots[i], late)
 	}
 }
 
-// allowanceAt is twice the worst lag within half a second of a moment, as a node on the same machine suffers the same.
-func (g *lagMonitor) allowanceAt(at int64) int64 {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// allowanceAt returns by how much time limits are extended at a time: twice the worst lag within half a second of it,
+// because nodes on the same machine are delayed too.
+func (m *lagMonitor) allowanceAt(at int64) int64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	worst := int64(0)
-	for i := max(at/lagSlot-5, 0); i <= at/lagSlot+5 && i < int64(len(g.slots)); i++ {
-		worst = max(worst, g.slots[i])
+	for i := max(at/lagSlot-5, 0); i <= at/lagSlot+5 && i < int64(len(m.slots)); i++ {
+		worst = max(worst, m.slots[i])
 	}
 	return 2 * worst
 }
 
-// void tells whether the machine was too busy for the run to mean anything.
-func (g *lagMonitor) isVoid() (bool, int64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	sorted := slices.Sorted(slices.Values(g.slots))
+// isVoid reports whether the machine was too busy for the run to count, and the lag in all but the worst twentieth of
+// the slots.
+func (m *lagMonitor) isVoid() (bool, int64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	sorted := slices.Sorted(slices.Values(m.slots))
 	if len(sorted) == 0 {
 		return false, 0
 	}
-	high := sorted[len(sorted)-1-len(sorted)/voidShare]
-	return high > voidLag, high
+	highLag := sorted[len(sorted)-1-len(sorted)/voidShare]
+	return highLag > voidLag, highLag
 }
--- a/internal/lab/emulator/links.go
+++ b/internal/lab/emulator/links.go
@@ -1,7 +1,7 @@
 package emulator
 
-// Links on sockets: proxies for messages between nodes, and for streams that have faults in this scenario; membership
-// views and persisted state of nodes. There is no proxy where no fault needs one.
+// Links on sockets: proxies for datagrams between nodes, and for streams on links that have faults in the scenario;
+// also the membership views and the persisted state of nodes. Streams without faults have no proxy.
 
 import (
 	"encoding/json"
@@ -25,82 +25,82 @@
 	viewTimeout  = 800 * time.Millisecond
 )
 
-// links is all proxies of a run.
+// links holds all proxies of a run.
 type links struct {
 	run      *Emulation
 	faults   *faultproxy.Proxies
-	schedule *netfault.Schedule // as planned; in force from the day's beginning
+	schedule *netfault.Schedule // applies from the start of the run
 	members  *faultproxy.Mesh
 	gossip   *faultproxy.Mesh
 	streams  []*faultproxy.Stream
 }
 
-func newLinks(d *Emulation) (*links, error) {
-	b := &links{run: d, faults: faultproxy.NewProxies(d.now), schedule: d.plan.LinkFaults(d.scenario)}
-	talk := func(port int) (*faultproxy.Mesh, error) {
+func newLinks(run *Emulation) (*links, error) {
+	l := &links{run: run, faults: faultproxy.NewProxies(run.now), schedule: run.plan.LinkFaults(run.scenario)}
+	newMesh := func(port int) (*faultproxy.Mesh, error) {
 		var listen []string
-		for i := range d.scenario.Nodes.Count {
-			listen = append(listen, d.nodeAddress(i, port))
+		for i := range run.scenario.Nodes.Count {
+			listen = append(listen, run.nodeAddress(i, port))
 		}
-		return faultproxy.NewMesh(b.faults, listen)
+		return faultproxy.NewMesh(l.faults, listen)
 	}
 	var err error
-	if d.scenario.Nodes.Membership {
-		b.members, err = talk(membershipPort)
+	if run.scenario.Nodes.Membership {
+		l.members, err = newMesh(membershipPort)
 	}
-	if err == nil && (d.scenario.Nodes.Membership || d.scenario.Nodes.Gossip) {
-		b.gossip, err = talk(gossipPort)
+	if err == nil && (run.scenario.Nodes.Membership || run.scenario.Nodes.Gossip) {
+		l.gossip, err = newMesh(gossipPort)
 	}
 	if err != nil {
-		b.close()
+		l.close()
 	}
-	return b, err
+	return l, err
 }
 
-func (d *Emulation) nodeAddress(node, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", d.networkOctets[0], d.networkOctets[1], 200+node, port)
+func (run *Emulation) nodeAddress(node, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", run.networkOctets[0], run.networkOctets[1], 200+node, port)
 }
 
-// start puts the schedule in force, by the run's clock.
-func (b *links) start() {
-	b.schedule = b.run.plan.LinkFaults(b.run.scenario)
-	b.faults.SetSchedule(b.schedule)
+// start applies the schedule of link faults from now on, by the run's clock.
+func (l *links) start() {
+	l.schedule = l.run.plan.LinkFaults(l.run.scenario)
+	l.faults.SetSchedule(l.schedule)
 }
 
-// proxyStream is the address at which one part reaches another: through a proxy if such links have faults, else its
-// own.
-func (b *links) proxyStream(from, to netfault.End, target func() string) (string, error) {
-	if !b.schedule.Affects(from.Kind, to.Kind) {
+// proxyStream returns the address at which one end of a link reaches another: that of a new proxy if links between ends
+// of these kinds have faults, else the target's own.
+func (l *links) proxyStream(from, to netfault.End, target func() string) (string, error) {
+	if !l.schedule.Affects(from.Kind, to.Kind) {
 		return target(), nil
 	}
 	s, err := faultproxy.NewStream(
-		b.faults, fmt.Sprintf("127.%d.%d.%d:0", b.run.networkOctets[0], b.run.networkOctets[1], 1+(from.Index+to.Index)%190), from,
+		l.faults, fmt.Sprintf("127.%d.%d.%d:0", l.run.networkOctets[0], l.run.networkOctets[1], 1+(from.Index+to.Index)%190), from,
 		to, target,
 	)
 	if err != nil {
 		return "", err
 	}
-	b.run.mu.Lock()
-	defer b.run.mu.Unlock()
-	b.streams = append(b.streams, s)
+	l.run.mu.Lock()
+	defer l.run.mu.Unlock()
+	l.streams = append(l.streams, s)
 	return s.Address(), nil
 }
 
-func (b *links) close() {
-	b.faults.Close()
-	for _, m := range []*faultproxy.Mesh{b.members, b.gossip} {
+func (l *links) close() {
+	l.faults.Close()
+	for _, m := range []*faultproxy.Mesh{l.members, l.gossip} {
 		if m != nil {
 			m.Close()
 		}
 	}
-	b.run.mu.Lock()
-	defer b.run.mu.Unlock()
-	for _, s := range b.streams {
+	l.run.mu.Lock()
+	defer l.run.mu.Unlock()
+	for _, s := range l.streams {
 		s.Close()
 	}
 }
 
-// gossipConfig is the part of a node's configuration on gossip; nil where it is off.
+// gossipConfig returns the gossip section of a node's configuration, or nil if gossip is off.
 func (n *node) gossipConfig() map[string]any {
 	m := n.run.links.gossip
 	if m == nil {
@@ -115,7 +115,7 @@
 	return map[string]any{"listen": m.Address(n.index, n.index), "peers": peers}
 }
 
-// features writes the node's features file; no path where nothing is on.
+// features writes the node's features file and returns its path, which is empty if no feature is on.
 func (n *node) features() (string, error) {
 	m := n.run.links.members
 	if m == nil {
@@ -134,7 +134,7 @@
 	return path, os.WriteFile(path, []byte(b.String()), 0o600)
 }
 
-// view asks a node for its membership view; nil if it does not answer.
+// view requests the membership view from a node's admin API. It returns nil if the node does not respond.
 func (n *node) view() *members.View {
 	c, err := net.DialTimeout("tcp", n.run.nodeAddress(n.index, adminPort), viewTimeout)
 	if err != nil {
@@ -152,39 +152,39 @@
 	return &v
 }
 
-// recordViews asks all nodes, as long as the run lasts, and counts their messages.
-func (d *Emulation) recordViews() {
-	if d.links.members == nil {
+// recordViews periodically records the membership views of all nodes, and which nodes respond, until the run ends.
+func (run *Emulation) recordViews() {
+	if run.links.members == nil {
 		return
 	}
-	for n := int64(1); d.sleepUntil(d.startedAt + n*int64(viewInterval)); n++ {
-		at := d.now() - d.startedAt
-		if at > int64(d.scenario.Length)+int64(viewInterval) {
+	for n := int64(1); run.sleepUntil(run.startedAt + n*int64(viewInterval)); n++ {
+		at := run.now() - run.startedAt
+		if at > int64(run.scenario.Length)+int64(viewInterval) {
 			return
 		}
-		runs := make([]byte, len(d.nodes))
-		views := make([]*members.View, len(d.nodes))
+		runs := make([]byte, len(run.nodes))
+		views := make([]*members.View, len(run.nodes))
 		done := make(chan struct{})
-		for i, one := range d.nodes {
+		for i, one := range run.nodes {
 			go func() { views[i] = one.view(); done <- struct{}{} }()
 		}
-		for range d.nodes {
+		for range run.nodes {
 			<-done
 		}
-		d.mu.Lock()
+		run.mu.Lock()
 		for i, v := range views {
 			if runs[i] = '-'; v != nil {
 				runs[i] = 'U'
-				d.views = append(d.views, trace.NewMembershipView(at, i, v))
+				run.views = append(run.views, trace.NewMembershipView(at, i, v))
 			}
 		}
-		d.running = append(d.running, trace.RunningNodes{At: at, States: string(runs)})
-		d.mu.Unlock()
+		run.running = append(run.running, trace.RunningNodes{At: at, States: string(runs)})
+		run.mu.Unlock()
 	}
 }
 
-// stateFault changes a node's state directory as a fault says. The scenario has to see to it that the node does not
-// run.
+// stateFault damages a node's state directory: it is emptied ("lost"), replaced by its copy from the start of the run
+// ("older"), or all its files are truncated to half ("torn"). The scenario must ensure that the node is not running.
 func (n *node) stateFault(how string) error {
 	n.mu.Lock()
 	n.stateLost = true
@@ -214,7 +214,7 @@
 	})
 }
 
-// copyFiles copies the plain files of a tree; a node's directory holds sockets too.
+// copyFiles copies the directories and regular files of a tree. It skips others, such as a node's sockets.
 func copyFiles(from, to string) error {
 	return filepath.WalkDir(from, func(path string, entry os.DirEntry, err error) error {
 		if err != nil {
@@ -235,13 +235,13 @@
 	})
 }
 
-// snapshotState copies nodes' directories as the run begins, for those that are to find an older one.
-func (d *Emulation) snapshotState() error {
-	for i := range d.plan.Faults {
-		if d.plan.Faults[i].Kind != "state" {
+// snapshotState copies the nodes' state directories at the start of the run, for faults that restore an older state.
+func (run *Emulation) snapshotState() error {
+	for i := range run.plan.Faults {
+		if run.plan.Faults[i].Kind != "state" {
 			continue
 		}
-		for _, n := range d.nodes {
+		for _, n := range run.nodes {
 			if err := copyFiles(n.stateDir(), n.stateDir()+".first"); err != nil {
 				return err
 			}
@@ -251,5 +251,5 @@
 	return nil
 }
 
-// stateDir is the node's own directory for what outlives its process.
+// stateDir returns the node's directory for persisted state, which outlives its processes.
 func (n *node) stateDir() string { return filepath.Join(n.run.workDir, fmt.Sprintf("n%d.d", n.index)) }
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -11,116 +11,118 @@
 
 const (
 	maxQueuedCalls    = 256
-	secondCallDelay   = int64(3 * time.Second) // a second call is made beside one that waits so long
-	laterCallDelay    = int64(4 * time.Second) // and so long later a third and fourth; then ever later
+	secondCallDelay   = int64(3 * time.Second) // after the first call, until a second one is made in parallel
+	laterCallDelay    = int64(4 * time.Second) // until the third and fourth call; doubled for each further one
 	refusalTime       = int64(time.Millisecond)
-	callRetryInterval = int64(2 * time.Second) // whatever the decisions wait
-	// maxCalls for one watch; the last of them are days apart.
+	callRetryInterval = int64(2 * time.Second) // a node calls again after this time if its decisions have not
+	// maxCalls is the number of calls for one watch after which no further ones are made. The last ones are hours
+	// apart.
 	maxCalls = 16
 )
 
 type discovery struct {
 	sim         *Simulation
 	list        *model.EndpointList
-	everListed  []int // endpoints listed at any time, in order of their first listing
+	everListed  []int // endpoints that have ever been listed, in the order of their first listing
 	wasListed   map[int]bool
 	initial     []model.ListEntry
 	down        bool
 	outage      *invariant.Outage
 	slowdown    float64
 	changeDelay int64
-	busyUntil   int64 // with calls in turn
+	busyUntil   int64 // when all calls that are queued now are handled
 	queuedCalls int
 	watches     []*watch
 }
 
-// watch is one node's watch of the list, from its first call.
+// watch is one node's watch of the list. It starts with the first call for it.
 type watch struct {
 	node       *node
 	process    *invariant.Process
 	record     *invariant.Watch
 	version    int64
 	startedAt  int64
-	scheduled  bool // a delivery is scheduled
+	scheduled  bool // an update is scheduled
 	closed     bool
-	calls      int  // made for it
-	unanswered int  // of those
-	blocked    bool // an update could not pass a cut link
+	calls      int  // number of calls made for the watch
+	unanswered int  // number of those without an answer
+	blocked    bool // an update was lost on a cut link
 }
 
-func newDiscovery(d *Simulation) *discovery {
-	return &discovery{sim: d, list: model.NewEndpointList(40), wasListed: map[int]bool{}, slowdown: 1}
+func newDiscovery(sim *Simulation) *discovery {
+	return &discovery{sim: sim, list: model.NewEndpointList(40), wasListed: map[int]bool{}, slowdown: 1}
 }
 
-// set changes the list after a delay.
-func (s *discovery) set(m *endpoint, h model.State, notice int64) {
-	entry := model.ListEntry{Endpoint: m.spec.Index, State: h, StartedAt: m.startedAt}
+// set changes an endpoint's entry in the list after a delay.
+func (d *discovery) set(e *endpoint, state model.State, delay int64) {
+	entry := model.ListEntry{Endpoint: e.spec.Index, State: state, StartedAt: e.startedAt}
 	do := func() {
-		s.list.Set(entry)
-		if !s.wasListed[entry.Endpoint] {
-			s.wasListed[entry.Endpoint] = true
-			s.everListed = append(s.everListed, entry.Endpoint)
+		d.list.Set(entry)
+		if !d.wasListed[entry.Endpoint] {
+			d.wasListed[entry.Endpoint] = true
+			d.everListed = append(d.everListed, entry.Endpoint)
 		}
-		s.sim.history.RecordListChange(invariant.ListChange{
-			Endpoint: entry.Endpoint, State: h, At: s.sim.now, StartedAt: entry.StartedAt,
+		d.sim.history.RecordListChange(invariant.ListChange{
+			Endpoint: entry.Endpoint, State: state, At: d.sim.now, StartedAt: entry.StartedAt,
 		})
-		for _, w := range s.watches {
+		for _, w := range d.watches {
 			w.schedule()
 		}
 	}
-	if notice += s.changeDelay; notice <= 0 {
+	if delay += d.changeDelay; delay <= 0 {
 		do()
 		return
 	}
-	s.sim.after(notice, do)
+	d.sim.delay(delay, do)
 }
 
-// entries converts a list for the decisions.
-func (s *discovery) entries(list []model.ListEntry) []policy.EndpointInfo {
-	out := make([]policy.EndpointInfo, 0, len(list))
+// entries converts list entries to the form that the decisions use.
+func (d *discovery) entries(list []model.ListEntry) []policy.EndpointInfo {
+	entries := make([]policy.EndpointInfo, 0, len(list))
 	for _, l := range list {
-		m := s.sim.endpoints[l.Endpoint]
+		e := d.sim.endpoints[l.Endpoint]
 		zone := -1
-		for z, name := range s.sim.scenario.Network.Zones {
-			if name == m.spec.Zone {
+		for z, name := range d.sim.scenario.Network.Zones {
+			if name == e.spec.Zone {
 				zone = z
 			}
 		}
-		out = append(out, policy.EndpointInfo{
-			ID: m.id, Zone: zone, Pod: m.spec.Pod, Weight: 1, StartedAt: policy.Time(l.StartedAt),
+		entries = append(entries, policy.EndpointInfo{
+			ID: e.id, Zone: zone, Pod: e.spec.Pod, Weight: 1, StartedAt: policy.Time(l.StartedAt),
 			State: [...]policy.EndpointState{
 				model.Up: policy.StateActive, model.Draining: policy.StateDraining, model.Removed: policy.StateRemoved,
 			}[l.State],
 		})
 	}
-	return out
+	return entries
 }
 
-// recordEntries records what is written to a node.
-func (s *discovery) recordEntries(n *node, list []model.ListEntry, whole bool) {
-	told := make([]invariant.ListEntry, 0, len(list))
+// recordEntries records in the history which entries are written to a node. A complete list also tells the node which
+// endpoints are removed.
+func (d *discovery) recordEntries(n *node, list []model.ListEntry, complete bool) {
+	written := make([]invariant.ListEntry, 0, len(list))
 	listed := map[int]bool{}
 	for _, l := range list {
-		told = append(told, invariant.ListEntry{
+		written = append(written, invariant.ListEntry{
 			Node: n.index, Incarnation: n.record.Incarnation, Endpoint: l.Endpoint, State: l.State,
-			StartedAt: l.StartedAt, At: s.sim.now,
+			StartedAt: l.StartedAt, At: d.sim.now,
 		})
 		listed[l.Endpoint] = true
 	}
-	if whole {
-		for _, endpoint := range s.everListed {
+	if complete {
+		for _, endpoint := range d.everListed {
 			if !listed[endpoint] {
-				told = append(told, invariant.ListEntry{
+				written = append(written, invariant.ListEntry{
 					Node: n.index, Incarnation: n.record.Incarnation, Endpoint: endpoint, State: model.Removed,
-					At: s.sim.now,
+					At: d.sim.now,
 				})
 			}
 		}
 	}
-	s.sim.history.RecordEntries(told...)
+	d.sim.history.RecordEntries(written...)
 }
 
-// startWatch begins a watch; a node has one at a time.
+// startWatch starts a watch, unless the node has one.
 func (n *node) startWatch() {
 	if n.watch == nil {
 		n.watch = &watch{node: n, process: n.record, version: n.version}
@@ -128,51 +130,51 @@
 	}
 }
 
-// call makes one call for a watch. One that waits is kept, and others are made beside it as the node does: each costs
-// discovery a turn, whether or not it is closed before.
+// call makes one call for a watch. As in a real node, further calls are made while it is pending. Discovery spends the
+// time of each call, even if the node has closed it by then.
 func (w *watch) call() {
 	n := w.node
-	d := n.sim
-	d.count(func(t *trace.FleetActivity) { t.ListCalls++ })
+	sim := n.sim
+	sim.count(func(t *trace.FleetActivity) { t.ListCalls++ })
 	end := n.linkEnd()
-	if blocked, refused := d.cannotConnect(end, discoveryEnd); blocked {
+	if blocked, refused := sim.cannotConnect(end, discoveryEnd); blocked {
 		after := int64(discoveryConnectTimeout)
 		if refused {
 			after = refusalTime
 		}
-		d.after(after, func() { w.callEnded(0) })
+		sim.delay(after, func() { w.callEnded(0) })
 		return
 	}
-	if d.discovery.down || d.discovery.queuedCalls >= maxQueuedCalls { // as on sockets it takes no turn
-		d.after(refusalTime, func() { w.callEnded(0) })
+	if sim.discovery.down || sim.discovery.queuedCalls >= maxQueuedCalls { // refused without being queued
+		sim.delay(refusalTime, func() { w.callEnded(0) })
 		return
 	}
 	w.queueCall()
 	w.scheduleNextCall()
 }
 
-// queueCall has discovery handle a call when its turn comes.
+// queueCall schedules the handling of a call after the calls that are already queued.
 func (w *watch) queueCall() {
 	n := w.node
-	d := n.sim
-	s, end := d.discovery, n.linkEnd()
+	sim := n.sim
+	discovery, end := sim.discovery, n.linkEnd()
 	w.calls++
 	w.unanswered++
-	s.queuedCalls++
-	came := d.now
-	begin := max(d.now, s.busyUntil)
-	cost := s.callCost(w.version)
-	timeout := int64(d.scenario.Discovery.CallTimeout)
-	if begin-came+cost > timeout {
-		cost = 0 // it fails when its turn has come
-	}
-	s.busyUntil = begin + cost
-	d.at(s.busyUntil+d.linkDelay(end, discoveryEnd)+d.linkDelay(discoveryEnd, end), func() {
-		s.queuedCalls--
+	discovery.queuedCalls++
+	arrivedAt := sim.now
+	begin := max(sim.now, discovery.busyUntil)
+	cost := discovery.callCost(w.version)
+	timeout := int64(sim.scenario.Discovery.CallTimeout)
+	if begin-arrivedAt+cost > timeout {
+		cost = 0 // the call fails once discovery gets to it
+	}
+	discovery.busyUntil = begin + cost
+	sim.at(discovery.busyUntil+sim.linkDelay(end, discoveryEnd)+sim.linkDelay(discoveryEnd, end), func() {
+		discovery.queuedCalls--
 		if w.closed || w.record != nil || n.record != w.process || !n.alive {
 			return
 		}
-		if s.down || begin-came+cost > timeout || cost == 0 && begin > came {
+		if discovery.down || begin-arrivedAt+cost > timeout || cost == 0 && begin > arrivedAt {
 			w.callEnded(1)
 			return
 		}
@@ -180,18 +182,18 @@
 	})
 }
 
-// callCost is the time that a call for changes after a version takes.
-func (s *discovery) callCost(version int64) int64 {
-	entries := len(s.list.Complete())
+// callCost returns the time that discovery takes to handle a call for changes after a version, in nanoseconds.
+func (d *discovery) callCost(version int64) int64 {
+	entries := len(d.list.Complete())
 	if version > 0 {
-		changed, _ := s.list.ChangesAfter(version)
+		changed, _ := d.list.ChangesAfter(version)
 		entries = len(changed)
 	}
-	c := &s.sim.scenario.Discovery
-	return int64(s.slowdown * float64(int64(c.CallTime)+int64(c.EntryTime)*int64(entries)))
+	c := &d.sim.scenario.Discovery
+	return int64(d.slowdown * float64(int64(c.CallTime)+int64(c.EntryTime)*int64(entries)))
 }
 
-// scheduleNextCall makes another call beside the ones that wait, unless one is answered before.
+// scheduleNextCall schedules another call in parallel to the pending ones, unless one of them is answered before.
 func (w *watch) scheduleNextCall() {
 	if w.calls > maxCalls {
 		return
@@ -201,30 +203,31 @@
 		gap = laterCallDelay << max(w.calls-3, 0)
 	}
 	n := w.node
-	n.sim.after(gap, func() {
+	n.sim.delay(gap, func() {
 		if w.record == nil && !w.closed && n.record == w.process && n.alive {
 			w.call()
 		}
 	})
 }
 
-// callEnded takes the end of a call without an answer; the watch has failed once none is open.
-func (w *watch) callEnded(out int) {
-	if w.unanswered -= out; w.unanswered == 0 && w.record == nil {
+// callEnded handles a call that ended without an answer. The watch fails once no call is pending. queued is 1 if the
+// call counts as unanswered, and 0 if it was refused before it was queued.
+func (w *watch) callEnded(queued int) {
+	if w.unanswered -= queued; w.unanswered == 0 && w.record == nil {
 		w.fail()
 	}
 }
 
-// fail ends the watch and notifies the node.
+// fail closes the watch and notifies the node.
 func (w *watch) fail() {
 	if w.closed {
 		return
 	}
 	n := w.node
-	d := n.sim
+	sim := n.sim
 	if w.record == nil {
-		d.history.RecordWatch(&invariant.Watch{
-			Node: n.index, Incarnation: w.process.Incarnation, From: d.now, To: d.now, Failed: true,
+		sim.history.RecordWatch(&invariant.Watch{
+			Node: n.index, Incarnation: w.process.Incarnation, From: sim.now, To: sim.now, Failed: true,
 		})
 	}
 	w.close()
@@ -234,26 +237,26 @@
 	if n.settings.Policy.MustPollList {
 		n.post(func() { n.decider.WatchFailed(policy.Time(n.clock())) })
 		n.failedCalls++
-		last := n.failedCalls
-		d.after(callRetryInterval, func() {
-			// else the decisions have asked sooner, and that failed too
-			if n.alive && n.record == w.process && n.failedCalls == last {
+		failures := n.failedCalls
+		sim.delay(callRetryInterval, func() {
+			// Otherwise the decisions have requested a watch before, which has failed too.
+			if n.alive && n.record == w.process && n.failedCalls == failures {
 				n.startWatch()
 			}
 		})
 		return
 	}
-	// Where lists are pushed the node calls by itself.
+	// If updates are pushed, the node itself calls again.
 	wait := n.callBackoff
 	n.callBackoff = min(2*n.callBackoff, int64(maxCallBackoff))
-	d.after(wait, func() {
+	sim.delay(wait, func() {
 		if n.alive && n.record == w.process {
 			n.startWatch()
 		}
 	})
 }
 
-// close ends a watch.
+// close closes the watch and records its end.
 func (w *watch) close() {
 	w.closed = true
 	if w.record != nil && w.record.To == invariant.Never {
@@ -272,18 +275,18 @@
 }
 
 func (w *watch) open() {
-	d := w.node.sim
+	sim := w.node.sim
 	w.record = &invariant.Watch{
-		Node: w.node.index, Incarnation: w.process.Incarnation, From: d.now, To: invariant.Never,
+		Node: w.node.index, Incarnation: w.process.Incarnation, From: sim.now, To: invariant.Never,
 	}
-	d.history.RecordWatch(w.record)
-	w.startedAt = d.now
+	sim.history.RecordWatch(w.record)
+	w.startedAt = sim.now
 	w.node.callBackoff = int64(firstCallBackoff)
-	d.discovery.watches = append(d.discovery.watches, w)
+	sim.discovery.watches = append(sim.discovery.watches, w)
 	w.deliver()
 }
 
-// schedule has changes delivered at the watch's next interval.
+// schedule schedules an update for the end of the watch's current update interval.
 func (w *watch) schedule() {
 	if w.scheduled || w.closed {
 		return
@@ -299,29 +302,29 @@
 		return
 	}
 	if !w.node.sim.links.Open(w.node.sim.now, discoveryEnd, w.node.linkEnd()) {
-		w.blocked = true // changes come with the next watch
+		w.blocked = true // the node gets the changes with its next watch
 		return
 	}
-	n, s := w.node, w.node.sim.discovery
-	entries, whole := s.list.ChangesAfter(w.version)
+	n, discovery := w.node, w.node.sim.discovery
+	entries, complete := discovery.list.ChangesAfter(w.version)
 	first := w.version == 0
-	if !first && s.list.Version() == w.version {
+	if !first && discovery.list.Version() == w.version {
 		return
 	}
-	w.version = s.list.Version()
+	w.version = discovery.list.Version()
 	n.version = w.version
-	s.recordEntries(n, entries, whole)
+	discovery.recordEntries(n, entries, complete)
 	if !n.hasList {
 		if n.hasList = true; n.running {
 			n.becomeReady()
 		}
 	}
-	if n.listGossip.watchUpdated(n, w.version, entries, whole) {
+	if n.listGossip.watchUpdated(n, w.version, entries, complete) {
 		return
 	}
-	list := s.entries(entries)
+	list := discovery.entries(entries)
 	n.post(func() {
-		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
+		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, complete)
 		for _, l := range list {
 			if l.State != policy.StateActive && !n.settings.Policy.RemovedMayServe {
 				n.CloseIdle(l.ID)
@@ -330,31 +333,32 @@
 	})
 }
 
-// setDown makes discovery fail its calls and end its watches, or work again.
-func (s *discovery) setDown(down bool) {
-	if s.down == down {
+// setDown starts or ends an outage, during which discovery fails all calls. Its start closes all watches.
+func (d *discovery) setDown(down bool) {
+	if d.down == down {
 		return
 	}
-	if s.down = down; !down {
-		s.outage.To = s.sim.now
+	if d.down = down; !down {
+		d.outage.To = d.sim.now
 		return
 	}
-	s.busyUntil = s.sim.now
-	for _, n := range s.sim.nodes {
+	d.busyUntil = d.sim.now
+	for _, n := range d.sim.nodes {
 		if w := n.watch; w != nil && w.record == nil && w.unanswered > 0 {
-			w.fail() // its connection is reset
+			w.fail() // the connection of its call is reset
 		}
 	}
-	s.outage = &invariant.Outage{Node: -1, Interval: invariant.Interval{From: s.sim.now}}
-	s.sim.history.RecordOutage(s.outage)
-	for _, w := range append([]*watch(nil), s.watches...) {
+	d.outage = &invariant.Outage{Node: -1, Interval: invariant.Interval{From: d.sim.now}}
+	d.sim.history.RecordOutage(d.outage)
+	for _, w := range append([]*watch(nil), d.watches...) {
 		w.fail()
 	}
 }
 
-// move has every node leave its watch for another address, where it asks for the complete list.
-func (s *discovery) move() {
-	for _, n := range s.sim.nodes {
+// move simulates a move of discovery to another address: each node closes its watch and starts a new one from the
+// complete list.
+func (d *discovery) move() {
+	for _, n := range d.sim.nodes {
 		if !n.alive {
 			continue
 		}
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -1,7 +1,7 @@
 package simulation
 
-// What each kind of fault does in virtual time. Bad clients do nothing here: what a node does with bytes shows on
-// sockets.
+// The effects of faults in virtual time. Bad clients have none here: the simulator has no bytes on connections, so only
+// the emulator tests how nodes handle malformed requests.
 
 import (
 	"math"
@@ -15,76 +15,76 @@
 )
 
 const (
-	frontStopDelay = int64(300 * time.Millisecond) // connections still come to a node that stops
-	stopAcceptTime = int64(450 * time.Millisecond) // and are accepted
+	frontStopDelay = int64(300 * time.Millisecond) // the front still sends requests to a stopping node
+	stopAcceptTime = int64(450 * time.Millisecond) // a stopping node still accepts requests
 	minSpeedFactor = 0.001
-	catchUpTime    = int64(200 * time.Millisecond) // for the backlog of a node that was paused
+	catchUpTime    = int64(200 * time.Millisecond) // for a node to work off its backlog after a pause
 )
 
-// startFault starts a fault, and has it end in time.
-func (d *Simulation) startFault(f *workload.Fault) {
-	s := d.discovery
+// startFault starts a fault and schedules its end.
+func (sim *Simulation) startFault(f *workload.Fault) {
+	discovery := sim.discovery
 	if scenario.FaultTargets[f.Kind] == scenario.LinkTarget {
-		return // each message goes by the schedule
+		return // the schedule of link faults applies to each message
 	}
 	switch f.Kind {
 	case "power":
-		d.losePower(f)
-	case "state": // there are no disks here
+		sim.losePower(f)
+	case "state": // nodes have no persisted state here
 	case "discovery-down":
-		s.setDown(true)
-		d.afterFault(f, func() { s.setDown(false) })
+		discovery.setDown(true)
+		sim.afterFault(f, func() { discovery.setDown(false) })
 	case "discovery-slow":
-		s.slowdown = f.Factor
-		d.afterFault(f, func() { s.slowdown = 1 })
+		discovery.slowdown = f.Factor
+		sim.afterFault(f, func() { discovery.slowdown = 1 })
 	case "discovery-move":
-		s.move()
+		discovery.move()
 	case "lists-late":
-		s.changeDelay = int64(f.Wait)
-		d.afterFault(f, func() { s.changeDelay = 0 })
+		discovery.changeDelay = int64(f.Wait)
+		sim.afterFault(f, func() { discovery.changeDelay = 0 })
 	case "wait":
-		key := d.waitKey(f)
-		d.slotWaits[key] = int64(f.Wait)
-		d.afterFault(f, func() { delete(d.slotWaits, key) })
+		key := sim.waitKey(f)
+		sim.slotWaits[key] = int64(f.Wait)
+		sim.afterFault(f, func() { delete(sim.slotWaits, key) })
 	case "bad-clients":
 	case "kill", "stop", "freeze", "cut-node", "clock":
 		for i, target := range f.Targets {
-			d.after(int64(f.Each)*int64(i), func() { d.faultNode(f, d.nodes[target]) })
+			sim.delay(int64(f.Each)*int64(i), func() { sim.faultNode(f, sim.nodes[target]) })
 		}
 	default:
 		for i, target := range f.Targets {
-			d.after(int64(f.Each)*int64(i), func() { d.faultEndpoint(f, d.endpoints[target]) })
+			sim.delay(int64(f.Each)*int64(i), func() { sim.faultEndpoint(f, sim.endpoints[target]) })
 		}
 	}
 }
 
-// waitKey is the class that a wait strikes, or the tenant as a negative number.
-func (d *Simulation) waitKey(f *workload.Fault) int {
-	for i := range d.scenario.Tenants {
-		if f.Tenant != "" && d.scenario.Tenants[i].Name == f.Tenant {
+// waitKey returns the key in slotWaits for a wait fault: the index of its class, or a negative number for its tenant.
+func (sim *Simulation) waitKey(f *workload.Fault) int {
+	for i := range sim.scenario.Tenants {
+		if f.Tenant != "" && sim.scenario.Tenants[i].Name == f.Tenant {
 			return -1 - i
 		}
 	}
-	for i := range d.scenario.Classes {
-		if d.scenario.Classes[i].Name == f.Class {
+	for i := range sim.scenario.Classes {
+		if sim.scenario.Classes[i].Name == f.Class {
 			return i
 		}
 	}
-	return len(d.scenario.Classes)
+	return len(sim.scenario.Classes)
 }
 
-// slotWait is for how long attempts of an operation wait in their slots by a fault.
-func (d *Simulation) slotWait(t *workload.Operation) int64 {
-	if len(d.slotWaits) == 0 {
+// slotWait returns how long attempts of an operation wait in their slots because of wait faults, in nanoseconds.
+func (sim *Simulation) slotWait(o *workload.Operation) int64 {
+	if len(sim.slotWaits) == 0 {
 		return 0
 	}
-	return max(d.slotWaits[t.Class], d.slotWaits[-1-t.Tenant])
+	return max(sim.slotWaits[o.Class], sim.slotWaits[-1-o.Tenant])
 }
 
-func (d *Simulation) faultNode(f *workload.Fault, n *node) {
+func (sim *Simulation) faultNode(f *workload.Fault, n *node) {
 	if f.Kind == "clock" {
 		n.adjustClock(int64(f.Wait), f.Factor)
-		d.afterFault(f, func() { n.adjustClock(0, 1) })
+		sim.afterFault(f, func() { n.adjustClock(0, 1) })
 		return
 	}
 	if !n.alive {
@@ -92,55 +92,55 @@
 	}
 	switch f.Kind {
 	case "kill":
-		d.history.Excuse(n.record, invariant.Interval{From: d.now, To: invariant.Never})
+		sim.history.Excuse(n.record, invariant.Interval{From: sim.now, To: invariant.Never})
 		n.kill()
-		d.restartAfterFault(f, n)
+		sim.restartAfterFault(f, n)
 	case "stop":
-		d.stopNode(f, n)
+		sim.stopNode(f, n)
 	case "freeze":
-		n.pausedUntil = d.now + int64(f.For)
-		d.history.Excuse(n.record, invariant.Interval{From: d.now, To: n.pausedUntil + catchUpTime})
+		n.pausedUntil = sim.now + int64(f.For)
+		sim.history.Excuse(n.record, invariant.Interval{From: sim.now, To: n.pausedUntil + catchUpTime})
 	case "cut-node":
-		for _, m := range d.endpoints {
-			if f.Zone == "" || m.spec.Zone == f.Zone {
-				m.cutOff(n.index)
-				d.afterFault(f, func() { m.reconnect(n.index) })
+		for _, e := range sim.endpoints {
+			if f.Zone == "" || e.spec.Zone == f.Zone {
+				e.cutOff(n.index)
+				sim.afterFault(f, func() { e.reconnect(n.index) })
 			}
 		}
 	}
 }
 
-// afterFault runs when a fault that begins now ends, if it does.
-func (d *Simulation) afterFault(f *workload.Fault, do func()) {
+// afterFault schedules a function for the end of a fault that starts now, if the fault has an end.
+func (sim *Simulation) afterFault(f *workload.Fault, do func()) {
 	if f.For > 0 {
-		d.after(int64(f.For), do)
+		sim.delay(int64(f.For), do)
 	}
 }
 
-// restartAfterFault starts a node again, whose process has just ended.
-func (d *Simulation) restartAfterFault(f *workload.Fault, n *node) {
-	d.afterFault(f, d.restartFunc(n))
+// restartAfterFault schedules the restart of a node, whose process has just ended, for the end of a fault.
+func (sim *Simulation) restartAfterFault(f *workload.Fault, n *node) {
+	sim.afterFault(f, sim.restartFunc(n))
 }
 
-// restarter starts a node again unless that has happened.
-func (d *Simulation) restartFunc(n *node) func() {
+// restartFunc returns a function that restarts a node, unless it has been restarted already.
+func (sim *Simulation) restartFunc(n *node) func() {
 	process := n.record
 	return func() {
 		if n.record == process && !n.alive {
 			n.start()
-			d.after(startDelay, n.becomeReady)
+			sim.delay(startDelay, n.becomeReady)
 		}
 	}
 }
 
-// stopNode has a node shut down gracefully: it accepts for a while, and ends once all requests have their responses.
-func (d *Simulation) stopNode(f *workload.Fault, n *node) {
+// stopNode shuts a node down gracefully: it accepts requests for a while, and ends once all requests have responses.
+func (sim *Simulation) stopNode(f *workload.Fault, n *node) {
 	process := n.record
 	n.stopping = true
 	if n.membership != nil {
 		n.membership.Leave()
 	}
-	d.after(frontStopDelay, func() {
+	sim.delay(frontStopDelay, func() {
 		if n.record == process {
 			n.admitted = false
 		}
@@ -150,169 +150,170 @@
 		if n.record != process || !n.alive {
 			return
 		}
-		if slices.ContainsFunc(n.pendingOrder, func(x *pendingRequest) bool { return !x.answered }) {
-			d.after(int64(10*time.Millisecond), endWhenIdle)
+		if slices.ContainsFunc(n.pendingOrder, func(p *pendingRequest) bool { return !p.answered }) {
+			sim.delay(int64(10*time.Millisecond), endWhenIdle)
 			return
 		}
-		d.after(sendDelay, func() {
+		sim.delay(sendDelay, func() {
 			if n.record == process {
 				n.kill()
-				d.restartAfterFault(f, n)
+				sim.restartAfterFault(f, n)
 			}
 		})
 	}
-	d.after(stopAcceptTime, endWhenIdle)
+	sim.delay(stopAcceptTime, endWhenIdle)
 }
 
-// losePower ends nodes, endpoints and discovery at one moment; each is back after a time of its own.
-func (d *Simulation) losePower(f *workload.Fault) {
-	notice := int64(d.scenario.Discovery.ChangeDelay)
-	if f.Zone == "" && len(f.Nodes) == len(d.nodes) {
-		d.discovery.setDown(true)
+// losePower ends the fault's nodes and endpoints, and discovery if all nodes are hit, at the same time. Each of them
+// comes back after its own delay.
+func (sim *Simulation) losePower(f *workload.Fault) {
+	delay := int64(sim.scenario.Discovery.ChangeDelay)
+	if f.Zone == "" && len(f.Nodes) == len(sim.nodes) {
+		sim.discovery.setDown(true)
 		if f.DiscoveryBack > 0 {
-			d.after(int64(f.DiscoveryBack), func() { d.discovery.setDown(false) })
+			sim.delay(int64(f.DiscoveryBack), func() { sim.discovery.setDown(false) })
 		}
 	}
 	for i, target := range f.Nodes {
-		n := d.nodes[target]
+		n := sim.nodes[target]
 		if !n.alive {
 			continue
 		}
-		d.history.Excuse(n.record, invariant.Interval{From: d.now, To: invariant.Never})
+		sim.history.Excuse(n.record, invariant.Interval{From: sim.now, To: invariant.Never})
 		n.kill()
 		if f.NodesBack > 0 {
-			d.after(f.RestoreDelay(f.NodesBack, f.Seed, i), d.restartFunc(n))
+			sim.delay(f.RestoreDelay(f.NodesBack, f.Seed, i), sim.restartFunc(n))
 		}
 	}
 	for i, target := range f.Targets {
-		m := d.endpoints[target]
-		m.die()
-		d.discovery.set(m, model.Removed, notice)
+		e := sim.endpoints[target]
+		e.die()
+		sim.discovery.set(e, model.Removed, delay)
 		if f.EndpointsBack > 0 {
-			d.after(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { d.restartEndpoint(m, notice) })
+			sim.delay(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { sim.restartEndpoint(e, delay) })
 		}
 	}
 }
 
-func (d *Simulation) faultEndpoint(f *workload.Fault, m *endpoint) {
+func (sim *Simulation) faultEndpoint(f *workload.Fault, e *endpoint) {
 	switch f.Kind {
 	case "slow", "pause", "crowd":
-		d.slowEndpoint(f, m)
+		sim.slowEndpoint(f, e)
 	case "cut":
-		m.cutOff(allNodes)
-		d.afterFault(f, func() { m.reconnect(allNodes) })
+		e.cutOff(allNodes)
+		sim.afterFault(f, func() { e.reconnect(allNodes) })
 	case "die", "restart-servers", "replace":
-		d.endEndpoint(f, m)
+		sim.endEndpoint(f, e)
 	case "unlisted", "drain":
-		d.withdrawEndpoint(f, m)
+		sim.withdrawEndpoint(f, e)
 	default:
-		d.misbehave(f, m)
+		sim.misbehave(f, e)
 	}
 }
 
-// slowEndpoint takes capacity from an endpoint.
-func (d *Simulation) slowEndpoint(f *workload.Fault, m *endpoint) {
+// slowEndpoint reduces the capacity of an endpoint.
+func (sim *Simulation) slowEndpoint(f *workload.Fault, e *endpoint) {
 	switch f.Kind {
 	case "slow":
-		d.setSpeed(m, math.Max(f.Factor, minSpeedFactor))
-		d.afterFault(f, func() { d.setSpeed(m, 1) })
+		sim.setSpeed(e, math.Max(f.Factor, minSpeedFactor))
+		sim.afterFault(f, func() { sim.setSpeed(e, 1) })
 	case "pause":
-		m.model.Pause(d.now, d.now+int64(f.For))
-		m.scheduleWake()
+		e.model.Pause(sim.now, sim.now+int64(f.For))
+		e.scheduleWake()
 	case "crowd":
-		concurrency, queue, incarnation := m.model.Concurrency, m.model.QueueLimit, m.incarnation
-		m.model.Concurrency = max(1, int(float64(concurrency)*f.Factor))
-		m.model.QueueLimit = int(float64(queue) * f.Factor)
-		d.afterFault(f, func() {
-			if m.incarnation == incarnation {
-				m.model.Concurrency, m.model.QueueLimit = concurrency, queue
+		concurrency, queue, incarnation := e.model.Concurrency, e.model.QueueLimit, e.incarnation
+		e.model.Concurrency = max(1, int(float64(concurrency)*f.Factor))
+		e.model.QueueLimit = int(float64(queue) * f.Factor)
+		sim.afterFault(f, func() {
+			if e.incarnation == incarnation {
+				e.model.Concurrency, e.model.QueueLimit = concurrency, queue
 			}
 		})
 	}
 }
 
-func (d *Simulation) setSpeed(m *endpoint, factor float64) {
-	m.model.SetSpeedFactor(d.now, factor)
-	m.nextWake = model.Never
-	m.scheduleWake()
+func (sim *Simulation) setSpeed(e *endpoint, factor float64) {
+	e.model.SetSpeedFactor(sim.now, factor)
+	e.nextWake = model.Never
+	e.scheduleWake()
 }
 
-// misbehave has an endpoint answer wrongly, or not at all.
-func (d *Simulation) misbehave(f *workload.Fault, m *endpoint) {
-	incarnation := m.incarnation
-	// change sets a fault, and removes it in time, unless a new incarnation has done so.
+// misbehave makes an endpoint respond wrongly, or not at all.
+func (sim *Simulation) misbehave(f *workload.Fault, e *endpoint) {
+	incarnation := e.incarnation
+	// change sets a fault now and removes it at its end. A new incarnation starts without faults.
 	change := func(begin, end func(*endpointFaults)) {
-		begin(&m.faults)
-		d.afterFault(f, func() {
-			if m.incarnation == incarnation {
-				end(&m.faults)
+		begin(&e.faults)
+		sim.afterFault(f, func() {
+			if e.incarnation == incarnation {
+				end(&e.faults)
 			}
 		})
 	}
 	switch f.Kind {
 	case "silent":
-		change(func(e *endpointFaults) { e.unresponsive = true }, func(e *endpointFaults) { e.unresponsive = false })
+		change(func(faults *endpointFaults) { faults.unresponsive = true }, func(faults *endpointFaults) { faults.unresponsive = false })
 	case "fail":
-		change(func(e *endpointFaults) { e.fail = f.AttemptShare }, func(e *endpointFaults) { e.fail = 0 })
+		change(func(faults *endpointFaults) { faults.fail = f.AttemptShare }, func(faults *endpointFaults) { faults.fail = 0 })
 	case "turn-away":
-		change(func(e *endpointFaults) { e.reject = f.AttemptShare }, func(e *endpointFaults) { e.reject = 0 })
+		change(func(faults *endpointFaults) { faults.reject = f.AttemptShare }, func(faults *endpointFaults) { faults.reject = 0 })
 	case "reset":
-		change(func(e *endpointFaults) { e.reset = f.AttemptShare }, func(e *endpointFaults) { e.reset = 0 })
+		change(func(faults *endpointFaults) { faults.reset = f.AttemptShare }, func(faults *endpointFaults) { faults.reset = 0 })
 	case "spoil":
 		change(
-			func(e *endpointFaults) { e.corrupt, e.corruptShare = f.How, f.AttemptShare },
-			func(e *endpointFaults) { e.corrupt = "" },
+			func(faults *endpointFaults) { faults.corrupt, faults.corruptShare = f.How, f.AttemptShare },
+			func(faults *endpointFaults) { faults.corrupt = "" },
 		)
 	}
 }
 
-// endEndpoint ends an endpoint's process, which comes back or is replaced.
-func (d *Simulation) endEndpoint(f *workload.Fault, m *endpoint) {
-	notice := int64(d.scenario.Discovery.ChangeDelay)
-	m.die()
+// endEndpoint ends an endpoint, which is restarted or replaced later.
+func (sim *Simulation) endEndpoint(f *workload.Fault, e *endpoint) {
+	delay := int64(sim.scenario.Discovery.ChangeDelay)
+	e.die()
 	switch f.Kind {
 	case "die":
 		if f.How != "unnoticed" {
-			d.discovery.set(m, model.Removed, notice)
+			sim.discovery.set(e, model.Removed, delay)
 		}
-		d.afterFault(f, func() { d.restartEndpoint(m, notice) })
+		sim.afterFault(f, func() { sim.restartEndpoint(e, delay) })
 	case "restart-servers":
-		d.restartEndpoint(m, notice)
+		sim.restartEndpoint(e, delay)
 	case "replace":
-		d.discovery.set(m, model.Removed, notice)
-		spec := m.spec
+		sim.discovery.set(e, model.Removed, delay)
+		spec := e.spec
 		spec.Seed += 1 << 32
-		spec.Index, spec.Name = len(d.endpoints), spec.Name+"r"
-		d.discovery.set(d.addEndpoint(spec, true), model.Up, notice)
+		spec.Index, spec.Name = len(sim.endpoints), spec.Name+"r"
+		sim.discovery.set(sim.addEndpoint(spec, true), model.Up, delay)
 	}
 }
 
-// withdrawEndpoint takes an endpoint off the list, or has it drain.
-func (d *Simulation) withdrawEndpoint(f *workload.Fault, m *endpoint) {
-	notice := int64(d.scenario.Discovery.ChangeDelay)
+// withdrawEndpoint removes an endpoint from the list, or drains it.
+func (sim *Simulation) withdrawEndpoint(f *workload.Fault, e *endpoint) {
+	delay := int64(sim.scenario.Discovery.ChangeDelay)
 	if f.Kind == "unlisted" {
-		d.discovery.set(m, model.Removed, notice)
-		d.afterFault(f, func() { d.discovery.set(m, model.Up, notice) })
+		sim.discovery.set(e, model.Removed, delay)
+		sim.afterFault(f, func() { sim.discovery.set(e, model.Up, delay) })
 		return
 	}
-	m.draining = true
-	d.discovery.set(m, model.Draining, notice)
-	d.afterFault(f, func() {
+	e.draining = true
+	sim.discovery.set(e, model.Draining, delay)
+	sim.afterFault(f, func() {
 		if f.How == "gone" {
-			d.discovery.set(m, model.Removed, 0)
-			m.die()
+			sim.discovery.set(e, model.Removed, 0)
+			e.die()
 			return
 		}
-		m.draining = false
-		d.discovery.set(m, model.Up, notice)
+		e.draining = false
+		sim.discovery.set(e, model.Up, delay)
 	})
 }
 
-// revive starts an endpoint anew, in slow start.
-func (d *Simulation) restartEndpoint(m *endpoint, notice int64) {
-	if m.up {
+// restartEndpoint starts an endpoint again, in slow start.
+func (sim *Simulation) restartEndpoint(e *endpoint, delay int64) {
+	if e.up {
 		return
 	}
-	m.start(true)
-	d.discovery.set(m, model.Up, notice)
+	e.start(true)
+	sim.discovery.set(e, model.Up, delay)
 }
--- a/internal/lab/trace/settings.go
+++ b/internal/lab/trace/settings.go
@@ -6,7 +6,7 @@
 	"fawnglade/internal/lab/scenario"
 )
 
-// The words of the settings for those of a scenario file.
+// Values of node settings, by the value in a scenario file.
 var (
 	idempotencySettings = map[string]string{
 		scenario.Idempotent: "safe", scenario.IdempotentByKey: "keyed", scenario.NonIdempotent: "unsafe",
@@ -14,18 +14,19 @@
 	dedupGroupSettings = map[string]string{"fleet": "all", "zone": "zone", "pod": "cell"}
 )
 
-// clockResolution is what every node of the lab is told of its clock.
+// clockResolution is the clock resolution in the settings of every node.
 const clockResolution = 2 * time.Millisecond
 
 func microseconds(d scenario.Duration) int64 { return d.Std().Microseconds() }
 
-// NodeSettings returns the settings of a node, as in its configuration: nothing that a node could not know.
+// NodeSettings returns the settings section of a node's configuration. It holds only what an operator would know in
+// advance, nothing about the run's faults or the endpoints' true state.
 func NodeSettings(s *scenario.Scenario, index, zone int) map[string]any {
 	discovery := "push"
 	if s.Discovery.MustPoll {
 		discovery = "ask"
 	}
-	all := map[string]any{
+	settings := map[string]any{
 		"discovery": discovery, "domain_type": "proxy",
 		"family_info": map[string]any{"warm_keys": s.Discovery.KeyAffinity},
 		"goal":        map[string]any{"whole": 0.5, "worst_window": 0.1, "worst_class": 0.3, "worst_tenant": 0.1},
@@ -37,22 +38,22 @@
 		"zone":   zone, "zones": s.Network.Zones, "value_by": "request", "weights": "off",
 	}
 	if len(s.Tenants) > 0 {
-		all["parties"] = tenantSettings(s)
+		settings["parties"] = tenantSettings(s)
 	}
-	return all
+	return settings
 }
 
 func classSettings(s *scenario.Scenario) (classes []any) {
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		one := map[string]any{
+		class := map[string]any{
 			"name": c.Name, "objective_us": microseconds(c.LatencyObjective), "deadline_us": microseconds(c.Deadline),
 			"late_worth": 0.0, "worth": c.PriorityWeight, "repeat": idempotencySettings[c.Idempotency], "streaming": false,
 		}
 		if c.Idempotency == scenario.IdempotentByKey {
-			one["group"], one["memory_span_us"] = dedupGroupSettings[c.DedupGroup], microseconds(c.DedupWindow)
+			class["group"], class["memory_span_us"] = dedupGroupSettings[c.DedupGroup], microseconds(c.DedupWindow)
 		}
-		classes = append(classes, one)
+		classes = append(classes, class)
 	}
 	return classes
 }
