--- a/policy/admission.go
+++ b/policy/admission.go
@@ -70,8 +70,8 @@
 }
 
 // classDelay returns the delay, in nanoseconds, that requests of this class and tenant have at every endpoint. It
-// returns 0 if the request may test whether the delay has ended: a single response in time ends it. At most one test
-// per endpoint runs at a time, counted over all nodes.
+// returns 0 if the request may be sent as a trial of whether the delay has ended: a single response in time ends it. On
+// average, at most one trial per endpoint runs at a time, counted over all nodes.
 func (b *Balancer) classDelay(now Time, req *request) float64 {
 	delay := req.delayGroups.Delay(int64(now))
 	if delay > 0 {
@@ -106,7 +106,7 @@
 	return class.PriorityWeight / max(classEstimates.TypicalWork, b.estimator.MeanWork*minWorkFraction, 1)
 }
 
-// retryAfter returns the Retry-After of a rejection; 0 means that none is sent, as where MaxRetryAfter is 0.
+// retryAfter returns the Retry-After of a rejection. It is 0, so that none is sent, if MaxRetryAfter is 0.
 func (b *Balancer) retryAfter(class *Class) time.Duration {
 	return min(b.settings.MaxRetryAfter, class.LatencyObjective/retryAfterDivisor)
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -90,7 +90,7 @@
 	}
 	if exceeded[0] > 20 || exceeded[1] < 150 {
 		t.Errorf(
-			"got %d requests over quota below the share, want at most 20; got %d above it, want at least 150",
+			"got %d requests over quota for the tenant below its share, want at most 20; got %d for the other, want at least 150",
 			exceeded[0], exceeded[1],
 		)
 	}
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -67,6 +67,6 @@
 	}
 	fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: affinityEndpoint, Pod: 9, StartedAt: fleet.now}}, false)
 	if sendRequest(); len(fleet.affinity.preferred) == 0 || fleet.affinity.preferred[0].ID == affinityEndpoint {
-		t.Error("the endpoint in slow start is still an affinity endpoint, or the key has none")
+		t.Error("got the endpoint in slow start as affinity endpoint, or no affinity endpoint, want another endpoint")
 	}
 }
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -15,8 +15,7 @@
 	"fawnglade/policy"
 )
 
-// writeDigests rewrites testdata/digests.json. Use it only for an intended change of decisions. The stored digests are
-// older than the split of the decisions into files and show that it changed none.
+// writeDigests rewrites testdata/digests.json. Use it only for an intended change of decisions.
 var writeDigests = flag.Bool("write-digests", false, "rewrite policy/testdata/digests.json")
 
 const (
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -24,7 +24,7 @@
 	sendsSinceReport int
 	recalculateAt    Time       // when the load is recalculated if no report arrives before
 	firstRiseAt      Time       // when the reported load rose for the first time; 0: never
-	podLatency       *ewma.Pair // shared by the pod, since this node may send too little to a single endpoint
+	podLatency       *ewma.Pair // shared by the pod, since this node may send too few requests to a single endpoint
 
 	// Attempts of this node in flight.
 	inFlight int
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -31,7 +31,7 @@
 		fleet.serve(30, respondPromptly)
 		if fleet.sentTo(1) > 0 || fleet.sentTo(2)+fleet.sentTo(3) > 0 != mayServe {
 			t.Errorf(
-				"removed may serve %t: got %d attempts at the formerly draining endpoint, want 0; got %d and %d at the others",
+				"removed may serve %t: got %d attempts at the formerly draining endpoint, want 0; got %d and %d at the others, want some only if true",
 				mayServe, fleet.sentTo(1), fleet.sentTo(2),
 				fleet.sentTo(3),
 			)
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -48,8 +48,7 @@
 	// minOverdueTicks is the minimum time, in ticks of the clock, before an attempt is overdue: this process itself may
 	// have been paused.
 	minOverdueTicks = 4
-	// minSamplesForOverdue is the number of responses from which on the time until an attempt is overdue is not
-	// extended.
+	// minSamplesForOverdue is the number of responses below which the time until an attempt is overdue is extended.
 	minSamplesForOverdue = 1 / smoothingFactor
 	// overdueFactor is applied to the high quantile of the latency: an attempt is overdue after the product.
 	overdueFactor = 2
@@ -210,7 +209,7 @@
 	ep.Latency.Decay(1 - smoothingFactor)
 }
 
-// gaveUpAllRequests reports whether, in the second that ends, this node gave up requests and none was answered.
+// gaveUpAllRequests reports whether, since the last tick, this node gave up requests and none was answered.
 func (e *estimator) gaveUpAllRequests() bool {
 	answered, givenUp := 0, 0
 	for i := range e.classes {
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -38,13 +38,13 @@
 		t.Fatalf("got %d attempts canceled, want 1", fleet.canceled)
 	}
 	if fleet.endAttempt(id, 0, OutcomeCanceled, 200*ms); fleet.lastSent() == first || fleet.requests.byID[id].inFlight != 1 {
-		t.Error("the canceled request was not sent to another endpoint")
+		t.Error("got the canceled request at the same endpoint or not in flight, want it in flight at another endpoint")
 	}
 	nonIdempotent := fleet.requests.byID[fleet.arrive(2)]
 	fleet.now += 200 * ms
 	fleet.handleOverdueAttempt(fleet.now, nonIdempotent, 0)
 	if fleet.canceled != 1 {
-		t.Error("a non-idempotent request was canceled")
+		t.Error("got an overdue non-idempotent attempt canceled, want it left in flight")
 	}
 }
 
@@ -126,7 +126,7 @@
 		t.Fatalf("got %d attempts canceled on a connection that may be dead, want 1", fleet.canceled)
 	}
 	if fleet.endAttempt(id, 0, OutcomeCanceled, 200*ms); fleet.rejected > 0 || fleet.requests.byID[id].inFlight != 1 {
-		t.Error("the request was not sent to its only endpoint again")
+		t.Error("got the request rejected or not in flight, want it sent to its only endpoint again")
 	}
 }
 
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -8,7 +8,7 @@
 
 const ms = 1_000_000 // nanoseconds
 
-// recorder is an Effects that records the calls, for tests of single rules.
+// recorder implements Effects by recording the calls, for tests of single rules.
 type recorder struct {
 	sent             []EndpointID
 	timeouts         []time.Duration
@@ -55,7 +55,7 @@
 	return count
 }
 
-// testFleet is a Balancer with a simulated clock, its recorded effects and the test that it belongs to.
+// testFleet is a Balancer with a simulated clock, its recorded calls of Effects, and the test that uses it.
 type testFleet struct {
 	*testing.T
 	*Balancer
@@ -120,7 +120,7 @@
 
 func (f *testFleet) tick() { f.TimerFired(f.now, tickTimer) }
 
-// lastSendRecorder is an Effects that records only the last send.
+// lastSendRecorder implements Effects by recording only the last send.
 type lastSendRecorder struct {
 	endpoint EndpointID
 	sent     bool
@@ -146,6 +146,7 @@
 
 func (*lastSendRecorder) CheckHealth(EndpointID) {}
 
+// endpointList returns n active endpoints in three zones, eight to a pod.
 func endpointList(n int) []EndpointInfo {
 	list := make([]EndpointInfo, n)
 	for i := range list {
--- a/policy/idleconns_test.go
+++ b/policy/idleconns_test.go
@@ -91,7 +91,7 @@
 	for received := range 40 {
 		if unlimited := fleet.idleConns.timeout.Limit > 1e12; unlimited != (received < 12) {
 			t.Fatalf(
-				"after %d messages among 300 nodes: got no idle timeout %v, want one from 12 messages on",
+				"after %d messages among 300 nodes: got unlimited idle time %t, want a limit from 12 messages on",
 				received, unlimited,
 			)
 		}
@@ -112,7 +112,7 @@
 	}
 }
 
-// Guards against resets that endpoints cause for other reasons being attributed to idle connections. In an incident,
+// Guards against attributing resets that endpoints cause for other reasons to idle connections. In an incident,
 // constantly closing and reopening connections cost half of the service.
 func TestOccasionalResetsDoNotLowerIdleTimeout(t *testing.T) {
 	fleet := newTestFleet(t, 1, func(s *Settings) { s.StreamsPerConnection = 100 })
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -83,8 +83,8 @@
 		}
 		a.endpoint.backOff(now, time.Duration(b.estimator.MeanWork))
 	case OutcomeCanceled:
-		// Detects a silent endpoint that would otherwise look healthy because hedged requests are always answered
-		// first.
+		// Detects a silent endpoint that would otherwise look healthy because the hedged attempt is always
+		// answered first.
 		wasOverdue := result.Elapsed >= b.estimator.overdueAfter(a.endpoint, a.work)
 		return wasOverdue && !a.endpoint.wasActiveAfter(a.sentAt) && a.classDelayNanos <= 0
 	case OutcomeTimedOut:
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -54,7 +54,7 @@
 		}
 		if after, _ := fleet.estimator.expectedLatency(fleet.endpoints.byID[1]); (after > 2*before) != raised {
 			t.Errorf(
-				"queue length %g: got latency per work %.1f after rejections, %.1f before, want a rise unless 0",
+				"queue length %g: got latency per work %.1f after rejections, %.1f before, want a rise unless the queue is empty",
 				queueLength, after, before,
 			)
 		}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -53,8 +53,8 @@
 	// gossipDecayPerSecond is the fraction of the votes that remains after one second.
 	gossipDecayPerSecond = 0.5
 
-	// maxInitialBackoff is the first backoff of an endpoint without recent responses. It is shorter for an endpoint
-	// with more recent responses.
+	// maxInitialBackoff is the first backoff of an endpoint without recent responses. The more recent responses an
+	// endpoint has, the shorter its first backoff, down to the mean work of a request.
 	maxInitialBackoff = time.Second
 	// maxRejectionsInARow limits how often the backoff doubles.
 	maxRejectionsInARow = 6
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -105,7 +105,7 @@
 	ep.Latency, ep.health[2] = ewma.Pair{}, classHealth{}
 	if fleet.endAttempt(id, 0, OutcomeError, ms); !ep.health[2].ejected {
 		t.Errorf(
-			"endpoint with few samples was not ejected after an error, failure rate %.2f", ep.health[2].failureRate,
+			"got no ejection of an endpoint with few samples after an error, failure rate %.2f, want an ejection", ep.health[2].failureRate,
 		)
 	}
 }
@@ -125,23 +125,23 @@
 	}
 	if fleet.sentTo(2) != 1 || fleet.sentTo(3) != 1 || fleet.sentTo(4) != 1 || fleet.rejected != 0 {
 		t.Errorf(
-			"got three requests at %v and %d rejected, want one at each ejected endpoint and none rejected",
+			"got requests sent to %v and %d rejected, want one at each ejected endpoint and none rejected",
 			fleet.sent, fleet.rejected,
 		)
 	}
 	if fleet.arrive(2); fleet.rejected != 1 {
-		t.Error("an ejected endpoint got a second request with one in flight, want a rejection")
+		t.Error("got a second request sent to an ejected endpoint with one in flight, want it rejected")
 	}
 	fleet.endpoints.byID[1].State, fleet.sent = StateActive, nil
 	if fleet.arrive(2); fleet.sentTo(1) != 1 {
-		t.Errorf("got a request at %v with a healthy endpoint, want it at 1", fleet.sent)
+		t.Errorf("got a request sent to %v with a healthy endpoint, want it sent to endpoint 1", fleet.sent)
 	}
 	for _, ep := range fleet.endpoints.all {
 		ep.inFlight, ep.Latency.Weight = 0, 1
 	}
 	fleet.endpoints.byID[1].State, fleet.sent = StateDraining, nil
 	if fleet.arrive(2); len(fleet.sent) != 0 {
-		t.Error("got a request at an ejected endpoint with few samples, want none")
+		t.Error("got a request sent to an ejected endpoint with few samples, want none")
 	}
 }
 
@@ -175,12 +175,12 @@
 	now += 6 * ms
 	effects.sent = false
 	if balancer.RequestArrived(now, Request{ID: "next", Deadline: now + 900*ms}); !effects.sent {
-		t.Error("request was rejected after a pause of 6 ms, three ticks of the clock, want it sent")
+		t.Error("got a request rejected after a pause of 6 ms, three ticks of the clock, want it sent")
 	}
 	now += 60 * ms
 	effects.sent = false
 	if balancer.RequestArrived(now, Request{ID: "later", Deadline: now + 900*ms}); effects.sent {
-		t.Error("request was sent to endpoints with a latency of 0.05 ms that were silent for 66 ms, want a rejection")
+		t.Error("got a request sent to endpoints with a latency of 0.05 ms that were silent for 66 ms, want it rejected")
 	}
 }
 
@@ -193,7 +193,7 @@
 	overdueTimer, silent := fleet.timers[len(fleet.timers)-1], fleet.endpoints.all[0]
 	fleet.now += 100 * ms
 	if fleet.TimerFired(fleet.now, overdueTimer); silent.health[2].ejected {
-		t.Error("endpoint was ejected without having responded to other requests since")
+		t.Error("got an endpoint ejected that has responded to no other request since, want no ejection")
 	}
 	fleet.serve(1, respondPromptly)
 	if fleet.TimerFired(fleet.now, overdueTimer); !silent.health[2].ejected || silent.health[0].failureRate > 0.01 {
@@ -220,12 +220,12 @@
 		receiveGossip(unused)
 	}
 	if unused.State, unused.health[0].gossipVotes = StateActive, 0; unused.health[0].ejected {
-		t.Error("gossip about a draining endpoint was counted")
+		t.Error("got an ejection by gossip about a draining endpoint, want the gossip ignored")
 	}
 	receiveGossip(unused)
 	receiveGossip(unused)
 	if unused.health[0].ejected {
-		t.Error("endpoint was ejected after two messages, want three")
+		t.Error("got an ejection after two messages, want one after three")
 	}
 	if receiveGossip(unused); !unused.health[0].ejected || unused.health[1].ejected {
 		t.Errorf("got health %+v by class after three messages, want an ejection for class 0 only", unused.health)
@@ -234,7 +234,7 @@
 		receiveGossip(used)
 	}
 	if used.health[0].ejected {
-		t.Error("gossip ejected an endpoint that this node has seen respond")
+		t.Error("got an ejection by gossip of an endpoint that has responded to this node, want none")
 	}
 }
 
@@ -298,6 +298,6 @@
 	}
 	detector.fleetFailureRate = 0.5 // all endpoints fail alike
 	if detector.record(now, &health, 1, 0.5); health.ejected {
-		t.Errorf("ejected at failure rate %g with a fleet failure rate of 0.5, want no ejection", health.failureRate)
+		t.Errorf("got an ejection at failure rate %g with a fleet failure rate of 0.5, want no ejection", health.failureRate)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -14,7 +14,7 @@
 		fleet.estimator.Fleet.FirstSum, fleet.estimator.Fleet.Weight = 400, 40
 		fleet.now += Time(tickInterval)
 		if fleet.tick(); fleet.overload.shedAllUntil > 0 {
-			t.Fatal("shedding all requests without rejections")
+			t.Fatal("got all requests shed while none was rejected, want no shedding")
 		}
 	}
 	shedSeconds := 0
@@ -25,10 +25,10 @@
 		if fleet.overload.shedAllUntil > fleet.now {
 			shedSeconds++
 			if second < overloadedSecondsToShedAll-1 {
-				t.Fatalf("shedding all requests after %d s of overload, want later", second+1)
+				t.Fatalf("got all requests shed after %d s of overload, want this only after a longer overload", second+1)
 			}
 			if fleet.rejected = 0; fleet.arrive(0) == "" || fleet.rejected != 1 {
-				t.Error("a request was sent while all are shed")
+				t.Error("got a request sent while all are shed, want it rejected")
 			}
 		}
 	}
@@ -53,18 +53,18 @@
 	for range overloadedSecondsToShedAll - 1 {
 		tick(overloadedLatencyRatio, overloadedSuccessRate)
 		if guard.shedsAll(now) {
-			t.Fatal("shedding all requests before the overload has lasted long enough")
+			t.Fatal("got all requests shed before the second overload was long enough, want no shedding yet")
 		}
 	}
 	tick(overloadedLatencyRatio, overloadedSuccessRate)
 	if !guard.shedsAll(now.Add(shedAllDuration-1)) || guard.shedsAll(now.Add(shedAllDuration)) {
-		t.Errorf("got shedding until %d ns at %d ns, want for shedAllDuration", guard.shedAllUntil, now)
+		t.Errorf("got requests shed until %d ns at %d ns, want them shed for shedAllDuration", guard.shedAllUntil, now)
 	}
 	firstShedAllUntil := guard.shedAllUntil
 	for range 3 * overloadedSecondsToShedAll {
 		tick(overloadedLatencyRatio, overloadedSuccessRate)
 	}
 	if guard.shedAllUntil != firstShedAllUntil {
-		t.Error("shedding all requests twice in one overload")
+		t.Error("got all requests shed twice in one overload, want once")
 	}
 }
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -1,9 +1,8 @@
 package policy
 
-// Reason is the cause for which a request was given up (Effects.Reject, Effects.Fail). Reasons that apply to single
-// endpoints are ordered by how close the endpoint came to getting the request. If several endpoints are excluded for
-// different reasons, the request is given up for the last of these reasons. docs/oncall.md describes what to do for
-// each reason.
+// Reason is why a request was given up (Effects.Reject, Effects.Fail). Reasons that apply to single endpoints are
+// ordered by how close the endpoint came to being selected. If several endpoints are excluded for different reasons,
+// the request is given up for the last of these reasons. docs/oncall.md describes what to do for each reason.
 type Reason uint8
 
 // Reasons for giving up a request.
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -14,7 +14,7 @@
 const (
 	endpointConcurrency, endpointQueueLimit = 8, 40
 	meanWork                                = 20 * ms
-	faultStartSecond, faultEndSecond        = 4, 9 // seconds
+	faultStartSecond, faultEndSecond        = 4, 9
 	simulationSeconds, restartedEndpoint    = 24, 7
 	simulationObjective                     = 250 * ms
 )
@@ -81,7 +81,7 @@
 	})
 }
 
-// simulatedNode is the Effects of one Balancer.
+// simulatedNode implements Effects for one Balancer.
 type simulatedNode struct {
 	*faultSimulation
 	balancer     *Balancer
@@ -227,8 +227,8 @@
 	return sim
 }
 
-// Guards against estimates that stay bad after their cause has ended, and against a fault of one class or tenant being
-// attributed to all. In a failure of this kind, nine in ten requests were rejected for the rest of a day because of a
+// Guards against estimates that stay bad after their cause has ended, and against attributing a fault of one class or
+// tenant to all. In a failure of this kind, nine in ten requests were rejected for the rest of a day because of a
 // class whose delay had ended.
 func TestServiceRecoversAfterFault(t *testing.T) {
 	for name, test := range map[string]struct {
@@ -279,7 +279,7 @@
 			)
 			if after < before-0.02 {
 				t.Errorf(
-					"got fraction in time %.3f before the fault, %.3f from %d s after it, want a difference below 0.02",
+					"got fraction in time %.3f before the fault, %.3f from %d s after it, want at most 0.02 less",
 					before, after, test.recoverySeconds,
 				)
 			}
--- a/policy/request.go
+++ b/policy/request.go
@@ -20,11 +20,11 @@
 	effectiveDeadline, objectiveAt Time
 	attempts                       []attempt
 	inFlight                       int    // number of attempts in flight
-	loadPerAttempt                 int    // what an attempt adds to endpoint.inFlight
+	loadPerAttempt                 int    // how much an attempt adds to endpoint.inFlight: 1, or 0 with a streaming body
 	overdueTimer                   uint64 // timer ID; 0: not set
-	done                           bool   // the client has its final response
+	done                           bool   // the client has its final response, or has disconnected
 	overQuota                      bool
-	delayGroups                    classdelay.RequestGroups // of its class and tenant
+	delayGroups                    classdelay.RequestGroups // delay groups of its class and tenant
 	keyHash                        uint64
 	affinityCount                  int // number of affinity endpoints of its key; 0: no affinity
 }
@@ -35,7 +35,7 @@
 	zone, pod      int // of the endpoint at the time of the send; the list may have changed since
 	sentAt         Time
 	idleTime       time.Duration // how long the connection was idle; 0: unknown or new
-	inFlightAtSend float64       // attempts of this node at the endpoint at the time of the send
+	inFlightAtSend float64       // attempts of this node in flight at the endpoint just before the send
 
 	// Estimates at the time of the send, in nanoseconds.
 	work            float64
@@ -43,7 +43,7 @@
 	unloadedNanos   float64 // latency with no other request at the endpoint
 	classDelayNanos float64 // delay of the class and tenant at every endpoint
 
-	workIsProvisional bool // work is from too few responses to know the work of its class
+	workIsProvisional bool // work was estimated from too few responses of its class
 	inFlight          bool
 	outcome           Outcome // valid after the end
 	mayHaveRun        bool    // the attempt ended and may have been executed
@@ -176,7 +176,7 @@
 	}
 }
 
-// finish ends a request that has its final response and cancels its attempts in flight.
+// finish ends a request whose client has its final response or has disconnected, and cancels its attempts in flight.
 func (b *Balancer) finish(req *request) {
 	req.done = true
 	for number := range req.attempts {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -37,7 +37,7 @@
 			rejected := idempotency == Idempotent || outcome == OutcomeConnectFailed
 			if len(fleet.sent) != sent || ep.inFlight != 0 || (fleet.rejected == 1) != rejected || (fleet.failed == 1) == rejected {
 				t.Errorf(
-					"idempotency %v, outcome %v: got %d retries, %d in flight, %d rejected, %d failed, want no retry",
+					"idempotency %v, outcome %v: got %d retries, %d in flight, %d rejected, %d failed, want no retry and one final response",
 					idempotency, outcome,
 					len(fleet.sent)-sent, ep.inFlight, fleet.rejected, fleet.failed,
 				)
@@ -46,7 +46,7 @@
 	}
 }
 
-// Rules against duplicate execution, for one earlier attempt sent half a second ago.
+// Checks the rules against duplicate execution for one earlier attempt, sent half a second ago.
 func TestMayRejectAndMayRepeat(t *testing.T) {
 	const now = Time(1e12)
 	window := func(d time.Duration) Class {
@@ -100,7 +100,7 @@
 		class    int
 		outcomes []Outcome
 		sent     int
-		rejected bool // at the end, if not sent again
+		rejected bool // whether the request is rejected in the end
 	}{
 		{0, []Outcome{OutcomeReset}, 2, false},
 		{0, []Outcome{OutcomeReset, OutcomeReset}, 2, true}, // sent again only once
@@ -123,7 +123,7 @@
 		if len(fleet.sent) != test.sent || (fleet.rejected == 1) != test.rejected ||
 			fleet.failed > 0 != (test.class == 2 && test.sent == 1) {
 			t.Errorf(
-				"class %d after %v: got %d attempts, %d rejected, %d failed",
+				"class %d after %v: got %d attempts, %d rejected, %d failed, want the numbers of this test case",
 				test.class, test.outcomes, len(fleet.sent), fleet.rejected, fleet.failed,
 			)
 		}
--- a/policy/runtime.go
+++ b/policy/runtime.go
@@ -24,7 +24,8 @@
 // EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState uint8
 
-// States of an endpoint. A draining or removed endpoint gets no new attempts.
+// States of an endpoint. A draining endpoint gets no new attempts, and a removed one only with
+// Settings.RemovedMayServe.
 const (
 	StateActive EndpointState = iota
 	StateDraining
@@ -122,7 +123,7 @@
 // Effects carries out the decisions of a Balancer. Its methods are called from within the Balancer's event methods,
 // take effect at the time of the event, and must not call back into the Balancer.
 type Effects interface {
-	// Send starts the next attempt of a request. Its AttemptResult follows no later than after timeout.
+	// Send starts the next attempt of a request. Its AttemptResult follows within the timeout.
 	Send(request RequestID, endpoint EndpointID, timeout time.Duration)
 	// Cancel cancels an attempt in flight, given by its index. Its AttemptResult still follows.
 	Cancel(request RequestID, attempt int)
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -56,7 +56,7 @@
 	}
 	for _, req := range inFlight[2000:] {
 		if balancer.endpoints.byID[req.endpoint].State != StateActive {
-			t.Fatalf("request sent to endpoint %d, which is no longer listed", req.endpoint)
+			t.Fatalf("got a request sent to endpoint %d, which is no longer listed, want listed endpoints only", req.endpoint)
 		}
 	}
 	now += 20 * ms
@@ -91,7 +91,7 @@
 	}
 }
 
-// 100,000 requests in flight at the same time, until all have ended.
+// The request table must hold 100,000 requests in flight at the same time and be empty after all have ended.
 func TestManyRequestsInFlight(t *testing.T) {
 	effects := &lastSendRecorder{}
 	balancer := New(benchSettings, 1, effects)
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestDrawFollowsTheFormula compares the frequencies of the draw with probabilities calculated by hand. For w of 1, 2
-// and 4 the sum is 7, x is 7, 3.5 and 1.75, and the probabilities are 4/7, 2/7 and 1/7.
+// and 4 the sum of all 1/w is 1.75, and the probabilities are 1/1.75, 0.5/1.75 and 0.25/1.75, that is 4/7, 2/7 and 1/7.
 func TestDrawFollowsTheFormula(t *testing.T) {
 	balancer := New(Settings{}, 7, nil)
 	weight1, weight2, weight4 := &endpoint{}, &endpoint{}, &endpoint{}
@@ -62,8 +62,8 @@
 	return weights
 }
 
-// The weight w of one endpoint for each rule that adjusts it, beside another endpoint with a load of 2 that has risen
-// before. The values were calculated by hand.
+// Checks w of one endpoint for each rule that adjusts it. The other endpoint has a load of 2 that has risen before. The
+// wanted values were calculated by hand.
 func TestEndpointWeight(t *testing.T) {
 	const now = Time(1e12)
 	for name, test := range map[string]struct {
@@ -104,8 +104,8 @@
 	}
 }
 
-// checkFrequencies compares how often each endpoint is drawn with its probability by a chi-square test. For k cells
-// chi-square is about k-1, and below that plus five of its own standard deviations in all but one in a million tests.
+// checkFrequencies compares how often each endpoint is drawn with its probability by a chi-square test. With k cells,
+// chi-square has a mean of k-1 and exceeds it by five of its standard deviations about once in a million tests.
 func checkFrequencies(t *testing.T, name string, balancer *Balancer, now Time, draws int) {
 	t.Helper()
 	req := anyRequest(balancer, now)
@@ -132,11 +132,11 @@
 		add(restWant, restGot)
 	}
 	for ep := range got {
-		t.Errorf("%s: selected %v, which is not a candidate", name, ep)
+		t.Errorf("%s: selected %v, want candidates only", name, ep)
 	}
 	if degreesOfFreedom := max(cells-1, 1); chi2 > degreesOfFreedom+5*math.Sqrt(2*degreesOfFreedom) {
 		t.Errorf(
-			"%s: got chi-square %.1f for %v cells, which is too high for the expected frequencies", name, chi2, cells,
+			"%s: got chi-square %.1f for %v cells, want at most five standard deviations above its mean", name, chi2, cells,
 		)
 	}
 }
@@ -189,7 +189,7 @@
 	}
 	for _, w := range []float64{2, 4} {
 		if ratio := drawnByLoad[1] / endpointsByLoad[1] / (drawnByLoad[w] / endpointsByLoad[w]); math.Abs(ratio/w-1) > 0.06 {
-			t.Errorf("got w of 1 drawn %.2f times as often as w of %g, want the ratio of the weights", ratio, w)
+			t.Errorf("got endpoints with w 1 drawn %.2f times as often as those with w %g, want the ratio of the weights", ratio, w)
 		}
 	}
 }
@@ -202,8 +202,8 @@
 
 func (c *countingSource) Uint64() uint64 { c.count++; return c.Source.Uint64() }
 
-// With no or one usable endpoint, a selection must find it if there is one, and must not draw random numbers until it
-// hits one.
+// Among many unusable endpoints, a selection must find the only usable one, if there is one, without drawing random
+// endpoints until it hits it.
 func TestSelectionDrawsFewRandomNumbers(t *testing.T) {
 	for name, exclude := range map[string]func(ep *endpoint, i int, now Time){
 		"in backoff": func(ep *endpoint, i int, now Time) { ep.backoffUntil = now + ms },
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -63,9 +63,9 @@
 	// NodeIndex is the index of this node among all nodes, from 0. It determines the rank of the endpoints for the
 	// subset. NodeIndex and NodeCount are static: they do not change when nodes join or fail.
 	NodeIndex int
-	// NodeCount is the number of nodes. It affects the subset size and limits this node's share of actions that all
-	// nodes take: slow start in a cold fleet, tests of a class delay, and the number of nodes that must confirm dead
-	// connections.
+	// NodeCount is the number of nodes. It affects the subset size, the slow start credit in a cold fleet, how often
+	// this node sends trials to ejected endpoints and trials of a class delay, and how many nodes must confirm that
+	// idle connections are dead.
 	NodeCount int
 	// StreamsPerConnection is the maximum number of concurrent attempts on one connection.
 	StreamsPerConnection int
@@ -88,8 +88,8 @@
 
 	// MustPollList means that the endpoint list must be polled. Otherwise updates are pushed.
 	MustPollList bool
-	// RemovedMayServe means that an endpoint missing from the list may still get requests. Only the draining state is
-	// binding.
+	// RemovedMayServe means that an endpoint removed from the list gets requests until an attempt on it fails. A
+	// draining endpoint gets none in any case.
 	RemovedMayServe bool
 	// WeightIsSize means that EndpointInfo.Weight is the size of an endpoint relative to others.
 	WeightIsSize bool
@@ -102,7 +102,7 @@
 	// MayCancel allows attempts in flight to be canceled.
 	MayCancel bool
 	// MaySetRetryAfter allows a Retry-After in rejections. If it is not set, MaxRetryAfter must be 0. The Balancer does
-	// not read it; the node does, for rejections that it sends without asking the Balancer.
+	// not read it; the node does, for rejections that it sends without the Balancer.
 	MaySetRetryAfter bool
 	// MayGossip allows messages to other nodes.
 	MayGossip bool
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -124,7 +124,7 @@
 		byResponse = ep.slowStartCredit
 		if fewWarm := warm == 1; (byArrivals > 0) != fewWarm || (byResponse > 0) == fewWarm {
 			t.Errorf(
-				"%d of 8 endpoints warm: got credit %g for arrivals and %g for a response, want one of them",
+				"%d of 8 endpoints warm: got credit %g for arrivals and %g for a response, want the former only if few are warm, else the latter",
 				warm, byArrivals, byResponse,
 			)
 		}
--- a/policy/start_test.go
+++ b/policy/start_test.go
@@ -63,7 +63,7 @@
 // finishRequest ends a request for its client, which sends the next one after closedLoopThinkTime.
 func (c *closedLoop) finishRequest(r *closedLoopRequest, reason Reason) {
 	if c.openRequests[r.id] == nil {
-		c.Errorf("request %s got two final responses", r.id)
+		c.Errorf("got two final responses to request %s, want one", r.id)
 	}
 	delete(c.openRequests, r.id)
 	c.seconds[r.second].reasons[reason]++
@@ -177,8 +177,8 @@
 	return text
 }
 
-// checkAnswered checks that hardly any request was given up, except in the last seconds: only the few that are late
-// with an exponentially distributed latency anyway.
+// checkAnswered checks that at most 1 % of the requests were given up: with an exponentially distributed latency a few
+// are always late. The requests of the last seconds, which may still be in flight, are not counted.
 func (c *closedLoop) checkAnswered(seed uint64) {
 	const maxUnansweredFraction = 0.01
 	sent, answered := 0, 0
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -27,7 +27,7 @@
 	members         []*endpoint // by rank
 	warmingUp       []*endpoint // members in slow start
 	targetSize      int         // wanted number of warm and healthy members
-	activeEndpoints float64     // on the list
+	activeEndpoints float64     // number of endpoints listed as active
 	requestRate     float64     // average requests per second
 	arrivals        int         // requests since the last tick
 }
@@ -85,8 +85,8 @@
 }
 
 // closeUnusedConnections closes the idle connections to an endpoint that has left the subset. Connections that carry
-// one attempt at a time are left to expire. Otherwise those to an affinity endpoint outside the subset would be closed
-// each time.
+// one attempt at a time are left to expire: those to an endpoint that stays in use as an affinity endpoint would be
+// closed each time that it leaves the subset.
 func (b *Balancer) closeUnusedConnections(ep *endpoint) {
 	if ep.lastUsedAt > 0 && ep.inFlight == 0 && b.settings.StreamsPerConnection > 1 {
 		b.closeIdle(ep)
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -73,7 +73,7 @@
 	}
 	if fleet.tick(); len(subsetIDs(fleet.Balancer)) != minSubsetSize+minSubsetSize/2+1 {
 		t.Errorf(
-			"with %d endpoints ejected: got a subset of %d, want half of them and one more in addition",
+			"with %d endpoints ejected: got a subset of %d, want half as many and one in addition",
 			minSubsetSize, len(subsetIDs(fleet.Balancer)),
 		)
 	}
