--- a/policy/request.go
+++ b/policy/request.go
@@ -20,7 +20,7 @@
 	effectiveDeadline, objectiveAt Time
 	attempts                       []attempt
 	inFlight                       int    // number of attempts in flight
-	loadPerAttempt                 int    // how much an attempt adds to endpoint.inFlight: 1, or 0 with a streaming body
+	loadPerAttempt                 int    // added to endpoint.inFlight per attempt: 1, or 0 for a streaming body
 	overdueTimer                   uint64 // timer ID; 0: not set
 	done                           bool   // the client has its final response, or has disconnected
 	overQuota                      bool
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -42,7 +42,7 @@
 	roundByObjective selectionRound = iota // window; predicted in time for the latency objective
 	roundByDeadline                        // window; predicted in time for the effective deadline
 	roundWholeSubset                       // whole subset; predicted in time for the effective deadline
-	roundLastResort                        // as before, plus well-measured ejected endpoints and that of the last attempt
+	roundLastResort                        // plus well-measured ejected endpoints, and that of the last attempt
 	selectionRoundCount
 )
 
