--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -10,7 +10,8 @@
 )
 
 // TestDrawFollowsTheFormula compares the frequencies of the draw with probabilities calculated by hand. For w of 1, 2
-// and 4 the sum of all 1/w is 1.75, and the probabilities are 1/1.75, 0.5/1.75 and 0.25/1.75, that is 4/7, 2/7 and 1/7.
+// and 4 the sum is 7, the paper's x (the sum divided by w) is 7, 3.5 and 1.75, and the probabilities (x divided by the
+// sum of all x) are 4/7, 2/7 and 1/7.
 func TestDrawFollowsTheFormula(t *testing.T) {
 	balancer := New(Settings{}, 7, nil)
 	weight1, weight2, weight4 := &endpoint{}, &endpoint{}, &endpoint{}
