--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -210,7 +210,7 @@
 		if len(r.attempts) > 0 && r.attempts[len(r.attempts)-1] == e.ID {
 			continue
 		}
-		if part := d.warmFraction(now, e); part == 1 || d.random.Float64() < slowStartLoadFactor*part {
+		if fraction := d.warmFraction(now, e); fraction == 1 || d.random.Float64() < slowStartLoadFactor*fraction {
 			candidates = append(candidates, e)
 		}
 	}
@@ -223,8 +223,8 @@
 	if e.StartedAt == 0 || age >= policy.Time(d.settings.SlowStartWindow) {
 		return 1
 	}
-	least := d.settings.SlowStartMinCapacity
-	return least + (1-least)*float64(max(age, 0))/float64(d.settings.SlowStartWindow)
+	minimum := d.settings.SlowStartMinCapacity
+	return minimum + (1-minimum)*float64(max(age, 0))/float64(d.settings.SlowStartWindow)
 }
 
 // rejectOrFail rejects a request if a retry by the client does no harm, else it fails it.
--- a/internal/lab/baseline/truestate.go
+++ b/internal/lab/baseline/truestate.go
@@ -70,10 +70,10 @@
 		sum += chance
 		chances = append(chances, chance)
 	}
-	rest := d.random.Float64() * sum
+	remaining := d.random.Float64() * sum
 	for i, chance := range chances {
-		rest -= chance
-		if rest < 0 {
+		remaining -= chance
+		if remaining < 0 {
 			return candidates[i]
 		}
 	}
--- a/internal/lab/faultproxy/datagrams.go
+++ b/internal/lab/faultproxy/datagrams.go
@@ -34,15 +34,15 @@
 }
 
 // NewMesh opens the relays between nodes that listen at some addresses.
-func NewMesh(board *Proxies, listen []string) (*Mesh, error) {
+func NewMesh(proxies *Proxies, listen []string) (*Mesh, error) {
 	n := len(listen)
-	m := &Mesh{proxies: board, captured: map[[2]int][]byte{}, messageCounts: make([][]atomic.Uint64, n), busyUntil: make([][]atomic.Int64, n)}
-	for i, at := range listen {
-		real, err := netip.ParseAddrPort(at)
+	m := &Mesh{proxies: proxies, captured: map[[2]int][]byte{}, messageCounts: make([][]atomic.Uint64, n), busyUntil: make([][]atomic.Int64, n)}
+	for i, address := range listen {
+		target, err := netip.ParseAddrPort(address)
 		if err != nil {
 			return nil, err
 		}
-		m.targets = append(m.targets, real)
+		m.targets = append(m.targets, target)
 		m.messageCounts[i], m.busyUntil[i] = make([]atomic.Uint64, n), make([]atomic.Int64, n)
 		m.sockets = append(m.sockets, make([]*net.UDPConn, n))
 	}
@@ -110,40 +110,40 @@
 		m.mu.Unlock()
 	}
 	now := m.proxies.now()
-	v := m.proxies.schedule.Load().FateOf(now, netfault.End{Index: from}, netfault.End{Index: to}, number, len(datagram))
-	if v.Lost {
+	fate := m.proxies.schedule.Load().FateOf(now, netfault.End{Index: from}, netfault.End{Index: to}, number, len(datagram))
+	if fate.Lost {
 		return
 	}
-	if v.CorruptByte >= 0 {
+	if fate.CorruptByte >= 0 {
 		datagram = append([]byte(nil), datagram...)
-		datagram[v.CorruptByte] ^= 0x55
+		datagram[fate.CorruptByte] ^= 0x55
 	}
-	if v.Rate > 0 {
-		ready := max(m.busyUntil[from][to].Load(), now) + int64(float64(len(datagram))/v.Rate*1e9)
+	if fate.Rate > 0 {
+		ready := max(m.busyUntil[from][to].Load(), now) + int64(float64(len(datagram))/fate.Rate*1e9)
 		if ready-now > maxThrottleBacklog {
 			return // the queue before a narrow way is full
 		}
 		m.busyUntil[from][to].Store(ready)
-		v.Delay += ready - now
+		fate.Delay += ready - now
 	}
-	m.deliverLater(v.Delay, func() { m.deliver(from, to, datagram) })
-	if v.DuplicateAfter > 0 {
-		m.deliverLater(v.Delay+v.DuplicateAfter, func() { m.deliver(from, to, datagram) })
+	m.deliverLater(fate.Delay, func() { m.deliver(from, to, datagram) })
+	if fate.DuplicateAfter > 0 {
+		m.deliverLater(fate.Delay+fate.DuplicateAfter, func() { m.deliver(from, to, datagram) })
 	}
 }
 
-func (m *Mesh) deliverLater(after int64, do func()) {
-	if after <= 0 {
-		do()
+func (m *Mesh) deliverLater(delay int64, deliver func()) {
+	if delay <= 0 {
+		deliver()
 		return
 	}
 	if m.delayed.Add(1) > maxDelayedDatagrams {
 		m.delayed.Add(-1)
 		return
 	}
-	time.AfterFunc(time.Duration(after), func() {
+	time.AfterFunc(time.Duration(delay), func() {
 		m.delayed.Add(-1)
-		do()
+		deliver()
 	})
 }
 
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -37,28 +37,28 @@
 	endpointEnd = netfault.End{Kind: netfault.Endpoint, Index: 0}
 )
 
-func fault(t netfault.Kind) netfault.Fault {
-	return netfault.Fault{Kind: t, From: []netfault.End{nodeEnd}, To: []netfault.End{endpointEnd}, Begin: 0, End: 1 << 62, Seed: 1}
+func fault(kind netfault.Kind) netfault.Fault {
+	return netfault.Fault{Kind: kind, From: []netfault.End{nodeEnd}, To: []netfault.End{endpointEnd}, Begin: 0, End: 1 << 62, Seed: 1}
 }
 
-func setFaults(b *Proxies, s *Stream, want linkState, faults ...netfault.Fault) {
-	b.SetSchedule(netfault.New(faults))
+func setFaults(proxies *Proxies, stream *Stream, want linkState, faults ...netfault.Fault) {
+	proxies.SetSchedule(netfault.New(faults))
 	for {
-		s.mu.Lock()
-		is := s.state
-		s.mu.Unlock()
-		if is == want {
+		stream.mu.Lock()
+		current := stream.state
+		stream.mu.Unlock()
+		if current == want {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func roundTrip(c net.Conn, wait time.Duration) error {
+func roundTrip(c net.Conn, timeout time.Duration) error {
 	if _, err := c.Write([]byte("hello")); err != nil {
 		return err
 	}
-	c.SetReadDeadline(time.Now().Add(wait))
+	c.SetReadDeadline(time.Now().Add(timeout))
 	got := make([]byte, 5)
 	_, err := io.ReadFull(c, got)
 	if err == nil && !bytes.Equal(got, []byte("hello")) {
@@ -69,43 +69,43 @@
 
 func TestStreamCutRestoredAndRefused(t *testing.T) {
 	begin := time.Now()
-	b := NewProxies(func() int64 { return int64(time.Since(begin)) })
-	defer b.Close()
-	s, err := NewStream(b, "127.0.0.1:0", nodeEnd, endpointEnd, func() string { return echoAddress })
+	proxies := NewProxies(func() int64 { return int64(time.Since(begin)) })
+	defer proxies.Close()
+	stream, err := NewStream(proxies, "127.0.0.1:0", nodeEnd, endpointEnd, func() string { return echoAddress })
 	if echoAddress = startEchoServer(t); err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	c, err := net.Dial("tcp", s.Address())
+	defer stream.Close()
+	conn, err := net.Dial("tcp", stream.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := roundTrip(c, 5*time.Second); err != nil {
+	if err := roundTrip(conn, 5*time.Second); err != nil {
 		t.Fatal("whole: ", err)
 	}
 	for _, oneWay := range []bool{false, true} {
-		if c, err = net.Dial("tcp", s.Address()); err != nil {
+		if conn, err = net.Dial("tcp", stream.Address()); err != nil {
 			t.Fatal(err)
 		}
-		_ = roundTrip(c, 5*time.Second)
+		_ = roundTrip(conn, 5*time.Second)
 		f := fault(netfault.Cut)
 		f.OneWay = oneWay
-		setFaults(b, s, stateCut, f)
-		if err := roundTrip(c, 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+		setFaults(proxies, stream, stateCut, f)
+		if err := roundTrip(conn, 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Error("cut: expected silence, got ", err)
 		}
-		if _, err := net.DialTimeout("tcp", s.Address(), 50*time.Millisecond); err == nil {
+		if _, err := net.DialTimeout("tcp", stream.Address(), 50*time.Millisecond); err == nil {
 			t.Error("cut: a new connection came up")
 		}
-		setFaults(b, s, stateOpen)
-		if err := roundTrip(c, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		setFaults(proxies, stream, stateOpen)
+		if err := roundTrip(conn, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Error("mended: expected a reset of what was held up, got ", err)
 		}
 	}
 	f := fault(netfault.Cut)
 	f.Variant = "refused"
-	setFaults(b, s, stateRefusing, f)
-	if _, err := net.DialTimeout("tcp", s.Address(), time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	setFaults(proxies, stream, stateRefusing, f)
+	if _, err := net.DialTimeout("tcp", stream.Address(), time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error("refused: ", err)
 	}
 }
@@ -115,29 +115,29 @@
 // TestStreamDeliversAllBytesInOrder has loss, delay and a narrow way at once: all comes, in order.
 func TestStreamDeliversAllBytesInOrder(t *testing.T) {
 	begin := time.Now()
-	b := NewProxies(func() int64 { return int64(time.Since(begin)) })
-	defer b.Close()
-	to := startEchoServer(t)
-	s, err := NewStream(b, "127.0.0.1:0", nodeEnd, endpointEnd, func() string { return to })
+	proxies := NewProxies(func() int64 { return int64(time.Since(begin)) })
+	defer proxies.Close()
+	target := startEchoServer(t)
+	stream, err := NewStream(proxies, "127.0.0.1:0", nodeEnd, endpointEnd, func() string { return target })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	lossy, late, narrow := fault(netfault.Drop), fault(netfault.Delay), fault(netfault.Throttle)
-	lossy.Share, late.Variant, late.Wait, narrow.Rate = 0.1, "drawn", 1e6, 4e6
-	b.SetSchedule(netfault.New([]netfault.Fault{lossy, late, narrow}))
-	c, err := net.Dial("tcp", s.Address())
+	defer stream.Close()
+	lossy, delayed, throttled := fault(netfault.Drop), fault(netfault.Delay), fault(netfault.Throttle)
+	lossy.Share, delayed.Variant, delayed.Wait, throttled.Rate = 0.1, "drawn", 1e6, 4e6
+	proxies.SetSchedule(netfault.New([]netfault.Fault{lossy, delayed, throttled}))
+	conn, err := net.Dial("tcp", stream.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
 	go func() {
 		for rest := sent; len(rest) > 0; rest = rest[min(4096, len(rest)):] {
-			_, _ = c.Write(rest[:min(4096, len(rest))])
+			_, _ = conn.Write(rest[:min(4096, len(rest))])
 		}
-		c.(*net.TCPConn).CloseWrite()
+		conn.(*net.TCPConn).CloseWrite()
 	}()
-	if got, err := io.ReadAll(c); err != nil || !bytes.Equal(got, sent) {
+	if got, err := io.ReadAll(conn); err != nil || !bytes.Equal(got, sent) {
 		t.Errorf("%d bytes of %d, %v", len(got), len(sent), err)
 	}
 }
--- a/internal/lab/faultproxy/proxies.go
+++ b/internal/lab/faultproxy/proxies.go
@@ -25,39 +25,39 @@
 
 // NewProxies begins without faults. now is the run's clock, in nanoseconds.
 func NewProxies(now func() int64) *Proxies {
-	b := &Proxies{now: now, done: make(chan struct{})}
-	b.schedule.Store(netfault.New(nil))
-	go b.applySchedule()
-	return b
+	p := &Proxies{now: now, done: make(chan struct{})}
+	p.schedule.Store(netfault.New(nil))
+	go p.applySchedule()
+	return p
 }
 
 // Set puts a schedule in force.
-func (b *Proxies) SetSchedule(s *netfault.Schedule) { b.schedule.Store(s) }
+func (p *Proxies) SetSchedule(schedule *netfault.Schedule) { p.schedule.Store(schedule) }
 
 // Close ends the watching of streams.
-func (b *Proxies) Close() { b.closeOnce.Do(func() { close(b.done) }) }
+func (p *Proxies) Close() { p.closeOnce.Do(func() { close(p.done) }) }
 
-func (b *Proxies) add(s *Stream) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.streams = append(b.streams, s)
+func (p *Proxies) add(s *Stream) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.streams = append(p.streams, s)
 }
 
 // look has streams notice that a way is cut, or mended.
-func (b *Proxies) applySchedule() {
+func (p *Proxies) applySchedule() {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-b.done:
+		case <-p.done:
 			return
 		case <-tick.C:
 		}
-		now, s := b.now(), b.schedule.Load()
-		b.mu.Lock()
-		for _, one := range b.streams {
-			one.applySchedule(s, now)
+		now, schedule := p.now(), p.schedule.Load()
+		p.mu.Lock()
+		for _, stream := range p.streams {
+			stream.applySchedule(schedule, now)
 		}
-		b.mu.Unlock()
+		p.mu.Unlock()
 	}
 }
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -55,12 +55,12 @@
 }
 
 // NewStream opens a relay at an address with port 0, or a port of its own. target is asked with each connection.
-func NewStream(board *Proxies, address string, from, to netfault.End, target func() string) (*Stream, error) {
-	s := &Stream{proxies: board, from: from, to: to, address: address, target: target, pairs: map[*connPair]struct{}{}}
+func NewStream(proxies *Proxies, address string, from, to netfault.End, target func() string) (*Stream, error) {
+	s := &Stream{proxies: proxies, from: from, to: to, address: address, target: target, pairs: map[*connPair]struct{}{}}
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
-	board.add(s)
+	proxies.add(s)
 	return s, nil
 }
 
@@ -88,31 +88,31 @@
 }
 
 // join opens the way on, and carries both directions until either end is gone.
-func (s *Stream) connect(here net.Conn) {
-	there, err := net.DialTimeout("tcp", s.target(), dialTimeout)
+func (s *Stream) connect(client net.Conn) {
+	server, err := net.DialTimeout("tcp", s.target(), dialTimeout)
 	if err != nil {
-		Reset(here)
+		Reset(client)
 		return
 	}
-	j := &connPair{client: here, server: there}
+	pair := &connPair{client: client, server: server}
 	s.mu.Lock()
 	if s.closed || s.state != stateOpen {
 		s.mu.Unlock()
-		Reset(here)
-		Reset(there)
+		Reset(client)
+		Reset(server)
 		return
 	}
-	s.pairs[j] = struct{}{}
+	s.pairs[pair] = struct{}{}
 	s.mu.Unlock()
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); s.copy(j, 0, here, there) }()
-	go func() { defer both.Done(); s.copy(j, 1, there, here) }()
-	both.Wait()
-	here.Close()
-	there.Close()
+	var copies sync.WaitGroup
+	copies.Add(2)
+	go func() { defer copies.Done(); s.copy(pair, 0, client, server) }()
+	go func() { defer copies.Done(); s.copy(pair, 1, server, client) }()
+	copies.Wait()
+	client.Close()
+	server.Close()
 	s.mu.Lock()
-	delete(s.pairs, j)
+	delete(s.pairs, pair)
 	s.mu.Unlock()
 }
 
@@ -123,35 +123,35 @@
 }
 
 // carry brings one direction over, each piece when it is due and in order.
-func (s *Stream) copy(j *connPair, direction int, in, out net.Conn) {
+func (s *Stream) copy(pair *connPair, direction int, in, out net.Conn) {
 	from, to := s.from, s.to
 	if direction == 1 {
 		from, to = to, from
 	}
-	way := make(chan chunk, maxQueuedChunks)
-	var held atomic.Bool // what came can't go on
+	chunks := make(chan chunk, maxQueuedChunks)
+	var stalled atomic.Bool // what came can't go on
 	go func() {
-		defer close(way)
-		last := int64(0)
+		defer close(chunks)
+		lastDue := int64(0)
 		for {
 			data := make([]byte, chunkSize)
 			n, err := in.Read(data)
 			now := s.proxies.now()
-			v := s.proxies.schedule.Load().FateOf(now, from, to, j.chunkCounts[direction].Add(1), n)
-			if v.Lost && !s.proxies.schedule.Load().Open(now, from, to) {
-				held.Store(true)
+			fate := s.proxies.schedule.Load().FateOf(now, from, to, pair.chunkCounts[direction].Add(1), n)
+			if fate.Lost && !s.proxies.schedule.Load().Open(now, from, to) {
+				stalled.Store(true)
 				return // it is reset when the way is mended
 			}
-			if v.Lost {
-				v.Delay += retransmitDelay
+			if fate.Lost {
+				fate.Delay += retransmitDelay
 			}
-			at := max(last, now+v.Delay)
-			if v.Rate > 0 {
-				at = max(last, now) + v.Delay + int64(float64(n)/v.Rate*1e9)
+			dueAt := max(lastDue, now+fate.Delay)
+			if fate.Rate > 0 {
+				dueAt = max(lastDue, now) + fate.Delay + int64(float64(n)/fate.Rate*1e9)
 			}
-			last = at
+			lastDue = dueAt
 			select {
-			case way <- chunk{at, data[:n], err}:
+			case chunks <- chunk{dueAt, data[:n], err}:
 			case <-s.proxies.done:
 				return
 			}
@@ -160,7 +160,7 @@
 			}
 		}
 	}()
-	for c := range way {
+	for c := range chunks {
 		if wait := c.dueAt - s.proxies.now(); wait > 0 {
 			select {
 			case <-time.After(time.Duration(wait)):
@@ -175,8 +175,8 @@
 			}
 		}
 		if c.err != nil {
-			if t, ok := out.(*net.TCPConn); ok && errors.Is(c.err, io.EOF) {
-				t.CloseWrite()
+			if tcp, ok := out.(*net.TCPConn); ok && errors.Is(c.err, io.EOF) {
+				tcp.CloseWrite()
 			} else {
 				Reset(out)
 			}
@@ -184,10 +184,10 @@
 		}
 	}
 	// Held up: nothing more comes this way, and the other end sees nothing until the way is mended.
-	for held.Load() {
+	for stalled.Load() {
 		if s.proxies.schedule.Load().Open(s.proxies.now(), from, to) || s.isClosed() {
-			Reset(j.client)
-			Reset(j.server)
+			Reset(pair.client)
+			Reset(pair.server)
 			return
 		}
 		select {
@@ -207,10 +207,10 @@
 // follow notices what the schedule says of this way now.
 func (s *Stream) applySchedule(schedule *netfault.Schedule, now int64) {
 	want := stateOpen
-	for _, way := range [][2]netfault.End{{s.from, s.to}, {s.to, s.from}} {
-		if !schedule.Open(now, way[0], way[1]) {
+	for _, link := range [][2]netfault.End{{s.from, s.to}, {s.to, s.from}} {
+		if !schedule.Open(now, link[0], link[1]) {
 			want = max(want, stateCut)
-			if schedule.FateOf(now, way[0], way[1], 0, 0).Refused {
+			if schedule.FateOf(now, link[0], link[1], 0, 0).Refused {
 				want = stateRefusing
 			}
 		}
@@ -228,9 +228,9 @@
 	case stateCut:
 		s.listener, s.queueFillers, _ = ListenFullBacklog(s.address)
 	case stateRefusing:
-		for j := range s.pairs {
-			Reset(j.client)
-			Reset(j.server)
+		for pair := range s.pairs {
+			Reset(pair.client)
+			Reset(pair.server)
 		}
 	}
 }
@@ -241,8 +241,8 @@
 		s.listener.Close()
 		s.listener = nil
 	}
-	for _, p := range s.queueFillers {
-		p.Close()
+	for _, filler := range s.queueFillers {
+		filler.Close()
 	}
 	s.queueFillers = nil
 }
@@ -253,23 +253,23 @@
 	defer s.mu.Unlock()
 	s.closed = true
 	s.closeListener()
-	for j := range s.pairs {
-		j.client.Close()
-		j.server.Close()
+	for pair := range s.pairs {
+		pair.client.Close()
+		pair.server.Close()
 	}
 }
 
 // Reset ends a connection at once, as a process that dies does.
 func Reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+	if tcp, ok := c.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
 	c.Close()
 }
 
 // ListenFullBacklog listens with a queue that is full, so that the system drops whoever knocks: an address that nobody gets through to.
 func ListenFullBacklog(address string) (net.Listener, []net.Conn, error) {
-	a, err := net.ResolveTCPAddr("tcp4", address)
+	resolved, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -282,9 +282,9 @@
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return nil, nil, err
 	}
-	to := &syscall.SockaddrInet4{Port: a.Port}
-	copy(to.Addr[:], a.IP.To4())
-	if err := syscall.Bind(fd, to); err != nil {
+	socketAddress := &syscall.SockaddrInet4{Port: resolved.Port}
+	copy(socketAddress.Addr[:], resolved.IP.To4())
+	if err := syscall.Bind(fd, socketAddress); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", address, err)
 	}
 	if err := syscall.Listen(fd, 0); err != nil {
@@ -294,13 +294,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	var plugs []net.Conn
+	var fillers []net.Conn
 	for range 8 {
 		c, err := net.DialTimeout("tcp", address, 5*time.Millisecond)
 		if err != nil {
 			break
 		}
-		plugs = append(plugs, c)
+		fillers = append(fillers, c)
 	}
-	return l, plugs, nil
+	return l, fillers, nil
 }
--- a/internal/lab/faultsearch/faultsearch.go
+++ b/internal/lab/faultsearch/faultsearch.go
@@ -163,14 +163,14 @@
 
 // diversify keeps the worst candidates, given the worst first, and no more than maxSameKinds with the same kinds of
 // fault.
-func diversify(candidates []Candidate, most int) []Candidate {
+func diversify(candidates []Candidate, limit int) []Candidate {
 	count := map[string]int{}
 	candidates = slices.DeleteFunc(candidates, func(c Candidate) bool {
 		kinds := strings.Join(c.kinds(), " ")
 		count[kinds]++
 		return count[kinds] > maxSameKinds
 	})
-	return candidates[:min(len(candidates), most)]
+	return candidates[:min(len(candidates), limit)]
 }
 
 // kinds returns the kinds of the candidate's faults, sorted, each once.
@@ -184,7 +184,7 @@
 }
 
 // includesKinds tells whether c has all kinds of fault that part has.
-func includesKinds(c, part Candidate) bool {
+func includesKinds(c, subset Candidate) bool {
 	kinds := c.kinds()
-	return !slices.ContainsFunc(part.kinds(), func(kind string) bool { return !slices.Contains(kinds, kind) })
+	return !slices.ContainsFunc(subset.kinds(), func(kind string) bool { return !slices.Contains(kinds, kind) })
 }
--- a/internal/lab/faultsearch/faultsearch_test.go
+++ b/internal/lab/faultsearch/faultsearch_test.go
@@ -65,8 +65,8 @@
 		t.Fatal(err)
 	}
 	for i, kind := range []string{"silent", "slow"} {
-		if d := state.Finds[i]; len(d.Faults) != 1 || d.Faults[0].Kind != kind || d.Faults[0].Zone != "" || d.Faults[0].Each != 0 || d.Loss < 0.1 {
-			t.Errorf("find %d is not reduced to %s, which matters: %+v", i, kind, d)
+		if find := state.Finds[i]; len(find.Faults) != 1 || find.Faults[0].Kind != kind || find.Faults[0].Zone != "" || find.Faults[0].Each != 0 || find.Loss < 0.1 {
+			t.Errorf("find %d is not reduced to %s, which matters: %+v", i, kind, find)
 		}
 	}
 	if len(state.Finds) != 3 || includesKinds(state.Finds[2], state.Finds[0]) || includesKinds(state.Finds[2], state.Finds[1]) {
@@ -87,8 +87,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := state.Finds[0]; d.Violations == 0 || len(d.Faults) != 1 || d.Faults[0].Kind != "cut-node" {
-		t.Errorf("the worst is %+v", d)
+	if find := state.Finds[0]; find.Violations == 0 || len(find.Faults) != 1 || find.Faults[0].Kind != "cut-node" {
+		t.Errorf("the worst is %+v", find)
 	}
 }
 
@@ -100,17 +100,17 @@
 	}
 	dir := t.TempDir()
 	errEnded := errors.New("ended")
-	for most, runs := 70, 0; ; runs++ {
-		left := most
+	for maxRuns, interruptions := 70, 0; ; interruptions++ {
+		remaining := maxRuns
 		_, err := Run(t.Context(), options(t, dir, func(ctx context.Context, s *scenario.Scenario, seed uint64) (Score, error) {
-			if left--; left < 0 {
+			if remaining--; remaining < 0 {
 				return Score{}, errEnded
 			}
 			return scoreByFaults(ctx, s, seed)
 		}))
 		if err == nil {
-			if runs < 2 {
-				t.Fatalf("ended %d times only", runs)
+			if interruptions < 2 {
+				t.Fatalf("ended %d times only", interruptions)
 			}
 			break
 		}
--- a/internal/lab/faultsearch/reduction.go
+++ b/internal/lab/faultsearch/reduction.go
@@ -41,7 +41,7 @@
 }
 
 // try plays the candidate with other faults, and takes them over if it still loses enough.
-func (r *reduction) try(ctx context.Context, faults []scenario.Fault) (taken bool, err error) {
+func (r *reduction) try(ctx context.Context, faults []scenario.Fault) (accepted bool, err error) {
 	simpler := []Candidate{{Seed: r.candidate.Seed, Faults: faults}}
 	r.runs++
 	if err := r.runAll(ctx, simpler); err != nil {
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -47,15 +47,15 @@
 	}
 }
 
-func waitStep(f Fleet, rounds int64, what string, holds func([]*members.View) bool) func() error {
-	return func() error { _, err := WaitUntil(f, rounds, what, holds); return err }
+func waitStep(f Fleet, rounds int64, condition string, holds func([]*members.View) bool) func() error {
+	return func() error { _, err := WaitUntil(f, rounds, condition, holds); return err }
 }
 
-func holdStep(f Fleet, rounds int64, what string, holds func([]*members.View) bool) func() error {
-	return func() error { return RequireDuring(f, rounds, what, holds) }
+func holdStep(f Fleet, rounds int64, condition string, holds func([]*members.View) bool) func() error {
+	return func() error { return RequireDuring(f, rounds, condition, holds) }
 }
 
-func actionStep(what func()) func() error { return func() error { what(); return nil } }
+func actionStep(action func()) func() error { return func() error { action(); return nil } }
 
 func cutFault(a, b []int, oneWay bool) netfault.Fault {
 	return netfault.Fault{Kind: netfault.Cut, From: NodeEnds(a), To: NodeEnds(b), OneWay: oneWay}
@@ -71,14 +71,14 @@
 }
 
 // noneFailed tells that none of some nodes takes one of others for failed or gone.
-func noneFailed(by, of []int) func([]*members.View) bool {
+func noneFailed(observers, observed []int) func([]*members.View) bool {
 	return func(views []*members.View) bool {
-		for _, i := range by {
+		for _, i := range observers {
 			if views[i] == nil {
 				continue
 			}
-			for _, k := range of {
-				if s := views[i].Members[k].State; s == "silent" || s == "left" {
+			for _, k := range observed {
+				if state := views[i].Members[k].State; state == "silent" || state == "left" {
 					return false
 				}
 			}
@@ -87,23 +87,23 @@
 	}
 }
 
-func onlyUp(a []int) func(int) string {
-	in := map[int]bool{}
-	for _, i := range a {
-		in[i] = true
+func onlyUp(nodes []int) func(int) string {
+	up := map[int]bool{}
+	for _, i := range nodes {
+		up[i] = true
 	}
 	return func(k int) string {
-		if in[k] {
+		if up[k] {
 			return "up"
 		}
 		return "silent"
 	}
 }
 
-func allUpExcept(gone ...int) func(int) string {
+func allUpExcept(failed ...int) func(int) string {
 	return func(k int) string {
-		for _, g := range gone {
-			if k == g {
+		for _, f := range failed {
+			if k == f {
 				return "silent"
 			}
 		}
@@ -134,16 +134,16 @@
 			holdStep(f, stablePeriods, "nobody is lost afterwards", noneFailed(NodeRange(0, 12), NodeRange(0, 12))))
 	}},
 	{"one of twelve cut off and back: the others take nothing back", 12, func(f Fleet) error {
-		rest := NodeRange(1, 12)
+		others := NodeRange(1, 12)
 		var before [12]uint64
 		return runSteps(startAll(f),
 			actionStep(func() {
 				for i, v := range f.Views() {
 					before[i] = v.Incarnation
 				}
-				f.AddFaults(cutFault([]int{0}, rest, false))
+				f.AddFaults(cutFault([]int{0}, others, false))
 			}),
-			waitStep(f, detectionPeriods, "the others know", ViewsMatch(rest, allUpExcept(0))),
+			waitStep(f, detectionPeriods, "the others know", ViewsMatch(others, allUpExcept(0))),
 			waitStep(f, detectionPeriods, "it knows that it hears nobody, and says that nothing is known", func(views []*members.View) bool {
 				v := views[0]
 				return v != nil && !v.Summary.Reliable && v.Summary.Reason == "this node hears nobody" && v.Summary.Dead == 11
@@ -168,10 +168,10 @@
 			waitStep(f, mergePeriods, "one view", ViewsMatch(all, AllInState("up"))))
 	}},
 	{"a node that is heard by nobody, and hears all", 6, func(f Fleet) error {
-		rest := NodeRange(1, 6)
+		others := NodeRange(1, 6)
 		return runSteps(startAll(f),
-			actionStep(func() { f.AddFaults(cutFault([]int{0}, rest, true)) }),
-			waitStep(f, detectionPeriods, "the others take it for silent", ViewsMatch(rest, allUpExcept(0))),
+			actionStep(func() { f.AddFaults(cutFault([]int{0}, others, true)) }),
+			waitStep(f, detectionPeriods, "the others take it for silent", ViewsMatch(others, allUpExcept(0))),
 			actionStep(f.ClearFaults),
 			waitStep(f, mergePeriods, "one view", ViewsMatch(NodeRange(0, 6), AllInState("up"))))
 	}},
@@ -186,29 +186,29 @@
 			waitStep(f, mergePeriods, "one view", ViewsMatch(NodeRange(0, 11), allUpExcept(11))))
 	}},
 	{"a node frozen among well ones sows no doubt when it wakes", 8, func(f Fleet) error {
-		rest, doubts := NodeRange(1, 8), int64(0)
+		others, refutations := NodeRange(1, 8), int64(0)
 		return runSteps(startAll(f),
 			actionStep(func() { f.Pause(0) }),
-			waitStep(f, detectionPeriods, "the others know", ViewsMatch(rest, allUpExcept(0))),
+			waitStep(f, detectionPeriods, "the others know", ViewsMatch(others, allUpExcept(0))),
 			actionStep(func() {
 				f.Resume(0)
-				for _, i := range rest {
+				for _, i := range others {
 					if v := f.Views()[i]; v != nil {
-						doubts += v.Counters.Refutations
+						refutations += v.Counters.Refutations
 					}
 				}
 			}),
 			waitStep(f, mergePeriods, "it is back", ViewsMatch(NodeRange(0, 8), AllInState("up"))),
-			holdStep(f, stablePeriods, "nobody is doubted", noneFailed(NodeRange(0, 8), rest)),
+			holdStep(f, stablePeriods, "nobody is doubted", noneFailed(NodeRange(0, 8), others)),
 			func() error {
 				after := int64(0)
-				for _, i := range rest {
+				for _, i := range others {
 					if v := f.Views()[i]; v != nil {
 						after += v.Counters.Refutations
 					}
 				}
-				if after > doubts {
-					return fmt.Errorf("the others had to take back %d doubts after it woke", after-doubts)
+				if after > refutations {
+					return fmt.Errorf("the others had to take back %d doubts after it woke", after-refutations)
 				}
 				return nil
 			})
@@ -235,14 +235,14 @@
 			waitStep(f, startupPeriods, "it is back", ViewsMatch(NodeRange(0, 6), AllInState("up"))))
 	}},
 	{"an old copy of a message comes again", 6, func(f Fleet) error {
-		var old []byte
+		var captured []byte
 		var start uint64
 		return runSteps(startAll(f),
-			waitStep(f, startupPeriods, "a message to be copied", func([]*members.View) bool { old = f.CapturedDatagram(2, 1); return old != nil }),
+			waitStep(f, startupPeriods, "a message to be copied", func([]*members.View) bool { captured = f.CapturedDatagram(2, 1); return captured != nil }),
 			actionStep(func() { start = f.Views()[2].StartMs; f.Kill(2); f.Step() }),
 			func() error { return f.Start(2) },
 			waitStep(f, startupPeriods, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 2, start) }),
-			actionStep(func() { f.Inject(1, old) }),
+			actionStep(func() { f.Inject(1, captured) }),
 			holdStep(f, stablePeriods, "the old message changes nothing", ViewsMatch([]int{0, 1, 3, 4, 5}, func(k int) string {
 				if k == 2 {
 					return "up"
@@ -282,22 +282,22 @@
 	}},
 	{"messages late, doubled, overtaken and spoilt at once", 8, func(f Fleet) error {
 		all := NodeEnds(NodeRange(0, 8))
-		way := func(t netfault.Kind, share float64, wait int64) netfault.Fault {
-			return netfault.Fault{Kind: t, From: all, To: all, Share: share, Wait: wait, Seed: 3}
+		linkFault := func(kind netfault.Kind, share float64, wait int64) netfault.Fault {
+			return netfault.Fault{Kind: kind, From: all, To: all, Share: share, Wait: wait, Seed: 3}
 		}
 		return runSteps(startAll(f),
 			actionStep(func() {
-				f.AddFaults(way(netfault.Duplicate, 0.3, 2e9), way(netfault.Reorder, 0.2, 60e6), way(netfault.Corrupt, 0.1, 0), way(netfault.Delay, 0, 10e6))
+				f.AddFaults(linkFault(netfault.Duplicate, 0.3, 2e9), linkFault(netfault.Reorder, 0.2, 60e6), linkFault(netfault.Corrupt, 0.1, 0), linkFault(netfault.Delay, 0, 10e6))
 			}),
 			holdStep(f, 2*stablePeriods, "nobody is taken for silent", noneFailed(NodeRange(0, 8), NodeRange(0, 8))),
 			func() error {
-				bad := int64(0)
+				invalid := int64(0)
 				for _, v := range f.Views() {
 					if v != nil {
-						bad += v.Counters.Invalid + v.Counters.UnknownVersions
+						invalid += v.Counters.Invalid + v.Counters.UnknownVersions
 					}
 				}
-				if bad == 0 {
+				if invalid == 0 {
 					return fmt.Errorf("no spoilt message was seen")
 				}
 				return nil
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -61,13 +61,13 @@
 }
 
 func (r *relayFleet) openStream(from, to int, target func() string) string {
-	s, err := faultproxy.NewStream(r.proxies, "127.0.0.1:0", linkEnd(from), linkEnd(to), target)
+	stream, err := faultproxy.NewStream(r.proxies, "127.0.0.1:0", linkEnd(from), linkEnd(to), target)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.t.Cleanup(s.Close)
-	r.streams[[2]int{from, to}] = s
-	return s.Address()
+	r.t.Cleanup(stream.Close)
+	r.streams[[2]int{from, to}] = stream
+	return stream.Address()
 }
 
 func freePort(t *testing.T) string {
@@ -80,7 +80,7 @@
 }
 
 // newRelayFleet starts an origin, two relays and three nodes; with plain, the nodes watch discovery alone.
-func newRelayFleet(t *testing.T, plain bool) *relayFleet {
+func newRelayFleet(t *testing.T, direct bool) *relayFleet {
 	t.Helper()
 	r := &relayFleet{
 		Processes: newTestFleet(t, 3), t: t, streams: map[[2]int]*faultproxy.Stream{}, configPaths: map[string]string{}, addresses: map[string]string{},
@@ -94,18 +94,18 @@
 	for i := range 3 {
 		r.openStream(i, discoveryIndex, discovery)
 	}
-	if !plain {
+	if !direct {
 		r.addresses["origin"], r.addresses["a"], r.addresses["b"] = freePort(t), freePort(t), freePort(t)
 		at := func(name string) func() string { return func() string { return r.addresses[name] } }
 		r.writeConfig("origin", fmt.Sprintf("role = \"origin\"\n[origin]\ndiscovery = %q\n[origin.scope]\nservice = \"web\"\nregion = \"eu\"\n", r.openStream(originIndex, discoveryIndex, discovery)))
 		r.writeConfig("a", fmt.Sprintf("role = \"relay\"\nupstream = [%q]\n", r.openStream(relayA, originIndex, at("origin"))))
 		r.writeConfig("b", fmt.Sprintf("role = \"relay\"\nupstream = [%q]\n", r.openStream(relayB, originIndex, at("origin"))))
-		var to [3][2]string
+		var relayAddresses [3][2]string
 		for i := range 3 {
-			to[i] = [2]string{r.openStream(i, relayA, at("a")), r.openStream(i, relayB, at("b"))}
+			relayAddresses[i] = [2]string{r.openStream(i, relayA, at("a")), r.openStream(i, relayB, at("b"))}
 		}
 		r.ExtraFeatures = func(node int) string {
-			return fmt.Sprintf("[distribution]\nrelays = [%q, %q]\nscopes = [\"eu/web\"]\n", to[node][0], to[node][1])
+			return fmt.Sprintf("[distribution]\nrelays = [%q, %q]\nscopes = [\"eu/web\"]\n", relayAddresses[node][0], relayAddresses[node][1])
 		}
 		for _, name := range []string{"origin", "a", "b"} {
 			r.startProcess(name)
@@ -116,21 +116,21 @@
 			}
 		})
 	}
-	for i, s := range r.endpoints {
-		s.Observe(func(a Arrival) {
-			var task int
-			if _, _ = fmt.Sscanf(a.Request, "%x", &task); task == 0 {
+	for i, endpoint := range r.endpoints {
+		endpoint.Observe(func(a Arrival) {
+			var number int
+			if _, _ = fmt.Sscanf(a.Request, "%x", &number); number == 0 {
 				return
 			}
 			if !a.ClosedAt.IsZero() {
 				r.history.Update(func() { r.openAttempts[attemptKey{a.Request, i, a.ArrivedAt}].ClosedAt = r.sinceStart(a.ClosedAt) })
 				return
 			}
-			h := &invariant.Attempt{Request: a.Request, Node: task / requestsPerNode, Endpoint: i, Incarnation: 1, Zone: "a"}
-			r.history.RecordAttempt(h)
+			attempt := &invariant.Attempt{Request: a.Request, Node: number / requestsPerNode, Endpoint: i, Incarnation: 1, Zone: "a"}
+			r.history.RecordAttempt(attempt)
 			r.history.Update(func() {
-				r.openAttempts[attemptKey{a.Request, i, a.ArrivedAt}] = h
-				h.FirstByteAt, h.LastByteAt, h.AnsweredAt, h.Status, h.Executed = r.sinceStart(a.ArrivedAt), r.sinceStart(a.ArrivedAt), r.sinceStart(a.AnsweredAt), 200, true
+				r.openAttempts[attemptKey{a.Request, i, a.ArrivedAt}] = attempt
+				attempt.FirstByteAt, attempt.LastByteAt, attempt.AnsweredAt, attempt.Status, attempt.Executed = r.sinceStart(a.ArrivedAt), r.sinceStart(a.ArrivedAt), r.sinceStart(a.AnsweredAt), 200, true
 			})
 		})
 	}
@@ -158,11 +158,11 @@
 
 // begin starts a relay or the origin, with nothing.
 func (r *relayFleet) startProcess(name string) {
-	proc, err := emulator.Command([]string{r.Program[0], "relay", "--config", r.configPaths[name]})("", nil, r.Log)
+	process, err := emulator.Command([]string{r.Program[0], "relay", "--config", r.configPaths[name]})("", nil, r.Log)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.procs[name] = proc
+	r.procs[name] = process
 }
 
 func (r *relayFleet) killProcess(name string) {
@@ -171,9 +171,9 @@
 }
 
 // set has discovery list an endpoint otherwise. Who has a way to be told counts as told six seconds later.
-func (r *relayFleet) setState(server int, health string, apart bool) {
+func (r *relayFleet) setState(endpoint int, state string, partitioned bool) {
 	r.mu.Lock()
-	r.endpointStates[server] = health
+	r.endpointStates[endpoint] = state
 	r.version++
 	version := r.version
 	var list []ListEntry
@@ -183,8 +183,8 @@
 	r.mu.Unlock()
 	r.discovery.SetList(version, list...)
 	for node := range 3 {
-		if !apart || node != remoteNode {
-			r.recordChange(node, server, health)
+		if !partitioned || node != remoteNode {
+			r.recordChange(node, endpoint, state)
 		}
 	}
 }
@@ -195,63 +195,63 @@
 	at    time.Time
 }
 
-func (r *relayFleet) recordChange(node, server int, health string) {
-	k := [2]int{node, server}
-	r.listChanges[k] = append(r.listChanges[k], listChange{health, time.Now()})
+func (r *relayFleet) recordChange(node, endpoint int, state string) {
+	key := [2]int{node, endpoint}
+	r.listChanges[key] = append(r.listChanges[key], listChange{state, time.Now()})
 }
 
 // tell enters what nodes are taken to know: a drain six seconds after each could be told of it, unless it had ended by then; and that a
 // server is up at once, as a node may use it from when it hears of it.
 func (r *relayFleet) recordPresumedEntries() {
-	for k, all := range r.listChanges {
-		for i, h := range all {
-			t := invariant.ListEntry{Node: k[0], Incarnation: 1, Endpoint: k[1], State: model.Up, At: r.sinceStart(h.at)}
-			if h.state != "up" {
-				t.State, t.At = model.Draining, t.At+int64(propagationLimit)
-				if i+1 < len(all) && r.sinceStart(all[i+1].at) <= t.At {
+	for key, changes := range r.listChanges {
+		for i, change := range changes {
+			entry := invariant.ListEntry{Node: key[0], Incarnation: 1, Endpoint: key[1], State: model.Up, At: r.sinceStart(change.at)}
+			if change.state != "up" {
+				entry.State, entry.At = model.Draining, entry.At+int64(propagationLimit)
+				if i+1 < len(changes) && r.sinceStart(changes[i+1].at) <= entry.At {
 					continue
 				}
 			}
-			r.history.RecordEntries(t)
+			r.history.RecordEntries(entry)
 		}
 	}
 }
 
 // load sends requests to all nodes until it is told to end.
-func (r *relayFleet) sendLoad() (end func()) {
-	over := make(chan struct{})
-	var all sync.WaitGroup
+func (r *relayFleet) sendLoad() (stopLoad func()) {
+	stop := make(chan struct{})
+	var clients sync.WaitGroup
 	for node := range 3 {
-		for k := range 3 {
-			all.Go(func() {
+		for client := range 3 {
+			clients.Go(func() {
 				for n := 0; ; n++ {
 					select {
-					case <-over:
+					case <-stop:
 						return
 					case <-time.After(8 * time.Millisecond):
-						r.sendRecorded(node, node*requestsPerNode+1+k+3*n, k%2)
+						r.sendRecorded(node, node*requestsPerNode+1+client+3*n, client%2)
 					}
 				}
 			})
 		}
 	}
-	return func() { close(over); all.Wait() }
+	return func() { close(stop); clients.Wait() }
 }
 
 var requestClasses = []invariant.Class{{Name: "view", Idempotency: invariant.Idempotent}, {Name: "pay", Idempotency: invariant.NonIdempotent}}
 
 // ask sends one request and enters what became of it.
-func (r *relayFleet) sendRecorded(node, number, kind int) {
+func (r *relayFleet) sendRecorded(node, number, class int) {
 	now := r.sinceStart(time.Now())
-	try := &invariant.Request{ID: fmt.Sprintf("%016x", number), Operation: number, Node: node, Incarnation: 1, Class: kind, SentAt: now, Deadline: now + int64(2*time.Second)}
-	r.history.RecordRequest(try)
-	status, err := r.send(node, requestClasses[kind].Name, try.ID)
+	request := &invariant.Request{ID: fmt.Sprintf("%016x", number), Operation: number, Node: node, Incarnation: 1, Class: class, SentAt: now, Deadline: now + int64(2*time.Second)}
+	r.history.RecordRequest(request)
+	status, err := r.send(node, requestClasses[class].Name, request.ID)
 	done := r.sinceStart(time.Now())
 	r.history.Update(func() {
 		if err != nil {
-			try.ClosedAt = done
+			request.ClosedAt = done
 		} else {
-			try.AnsweredAt, try.Status = done, status
+			request.AnsweredAt, request.Status = done, status
 		}
 	})
 	r.mu.Lock()
@@ -262,41 +262,41 @@
 	}
 }
 
-func (r *relayFleet) send(node int, category, id string) (int, error) {
+func (r *relayFleet) send(node int, class, id string) (int, error) {
 	c, err := net.DialTimeout("tcp", r.ListenAddress(node), callTimeout)
 	if err != nil {
 		return 0, err
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(3 * time.Second))
-	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", category, id, category)
-	in, err := http.ReadResponse(bufio.NewReader(c), nil)
+	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", class, id, class)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, err
 	}
-	in.Body.Close()
-	return in.StatusCode, nil
+	response.Body.Close()
+	return response.StatusCode, nil
 }
 
 func (r *relayFleet) inTimeFraction() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	good, asked := 0, 0
+	inTime, sent := 0, 0
 	for i := range r.inTime {
-		good, asked = good+r.inTime[i], asked+r.sent[i]
+		inTime, sent = inTime+r.inTime[i], sent+r.sent[i]
 	}
-	return float64(good) / float64(max(asked, 1))
+	return float64(inTime) / float64(max(sent, 1))
 }
 
 // by is whose list holds at a node, by its console.
 func (r *relayFleet) listSource(node int) string {
-	var says struct {
+	var status struct {
 		By string `json:"by"`
 	}
-	if status, text, err := Call(r.AdminAddress(node), "GET", "/relays"); err != nil || status != 200 || json.Unmarshal(text, &says) != nil {
-		return fmt.Sprint(status, err)
+	if code, text, err := Call(r.AdminAddress(node), "GET", "/relays"); err != nil || code != 200 || json.Unmarshal(text, &status) != nil {
+		return fmt.Sprint(code, err)
 	}
-	return says.By
+	return status.By
 }
 
 // gauge is how late this process runs: what endpoints and clients note here is as late.
@@ -307,14 +307,14 @@
 
 const lagSlot = int64(100 * time.Millisecond)
 
-func (g *lagMeter) run(from time.Time, over chan struct{}) {
+func (g *lagMeter) run(start time.Time, stop chan struct{}) {
 	for last := int64(0); ; {
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-time.After(2 * time.Millisecond):
 		}
-		now := int64(time.Since(from))
+		now := int64(time.Since(start))
 		g.mu.Lock()
 		for i := last / lagSlot; i <= now/lagSlot; i++ {
 			g.slots[i] = max(g.slots[i], now-last-int64(2*time.Millisecond))
@@ -335,31 +335,31 @@
 }
 
 // used are the endpoints that a node sent to after a moment, by what came to endpoints.
-func (r *relayFleet) attemptCounts(node int, after time.Time) (servers [8]int) {
+func (r *relayFleet) attemptCounts(node int, after time.Time) (counts [8]int) {
 	r.history.Update(func() {
-		for _, h := range r.history.Attempts {
-			if h.Node == node && h.FirstByteAt > r.sinceStart(after) {
-				servers[h.Endpoint]++
+		for _, attempt := range r.history.Attempts {
+			if attempt.Node == node && attempt.FirstByteAt > r.sinceStart(after) {
+				counts[attempt.Endpoint]++
 			}
 		}
 	})
-	return servers
+	return counts
 }
 
 // order puts attempts of one request right that endpoints read in one moment, as this process had stood still: which of them came first was
 // lost, so the one whose connection the node closed unanswered, before the server read it, counts as the first. One that is not closed by
 // then stays where it was, and is a hedged request.
-func (r *relayFleet) orderStalledAttempts(late func(int64) int64) {
+func (r *relayFleet) orderStalledAttempts(lagAt func(int64) int64) {
 	r.history.Update(func() {
-		of := map[string][]*invariant.Attempt{}
-		for _, h := range r.history.Attempts {
-			of[h.Request] = append(of[h.Request], h)
+		byRequest := map[string][]*invariant.Attempt{}
+		for _, attempt := range r.history.Attempts {
+			byRequest[attempt.Request] = append(byRequest[attempt.Request], attempt)
 		}
-		for _, all := range of {
-			for _, closed := range all {
-				for _, other := range all {
-					stood := late(closed.FirstByteAt)
-					if other != closed && closed.FirstByteAt-stood <= other.FirstByteAt && other.FirstByteAt <= closed.FirstByteAt && closed.ClosedAt-closed.FirstByteAt <= stood {
+		for _, attempts := range byRequest {
+			for _, closed := range attempts {
+				for _, other := range attempts {
+					lag := lagAt(closed.FirstByteAt)
+					if other != closed && closed.FirstByteAt-lag <= other.FirstByteAt && other.FirstByteAt <= closed.FirstByteAt && closed.ClosedAt-closed.FirstByteAt <= lag {
 						closed.FirstByteAt = other.FirstByteAt - 1
 					}
 				}
@@ -369,58 +369,58 @@
 }
 
 // story is what became of a request, for who reads a failure.
-func (r *relayFleet) describeRequest(task string) string {
+func (r *relayFleet) describeRequest(id string) string {
 	text := "nothing known"
-	for _, t := range r.history.Requests {
-		if t.ID == task {
-			text = fmt.Sprintf("%s at %.1f ms, answered %d at %.1f", requestClasses[t.Class].Name, float64(t.SentAt)/1e6, t.Status, float64(t.AnsweredAt)/1e6)
+	for _, request := range r.history.Requests {
+		if request.ID == id {
+			text = fmt.Sprintf("%s at %.1f ms, answered %d at %.1f", requestClasses[request.Class].Name, float64(request.SentAt)/1e6, request.Status, float64(request.AnsweredAt)/1e6)
 		}
 	}
-	for _, h := range r.history.Attempts {
-		if h.Request == task {
-			text += fmt.Sprintf(", s%d %.1f to %.1f, closed %.1f", h.Endpoint, float64(h.FirstByteAt)/1e6, float64(h.AnsweredAt)/1e6, float64(h.ClosedAt)/1e6)
+	for _, attempt := range r.history.Attempts {
+		if attempt.Request == id {
+			text += fmt.Sprintf(", s%d %.1f to %.1f, closed %.1f", attempt.Endpoint, float64(attempt.FirstByteAt)/1e6, float64(attempt.AnsweredAt)/1e6, float64(attempt.ClosedAt)/1e6)
 		}
 	}
 	return text
 }
 
 // history is how many requests a node sent to an endpoint in each second, for who reads a failure.
-func (r *relayFleet) attemptsPerSecond(node, server int) (all [64]int) {
+func (r *relayFleet) attemptsPerSecond(node, endpoint int) (counts [64]int) {
 	r.history.Update(func() {
-		for _, h := range r.history.Attempts {
-			if s := h.FirstByteAt / int64(time.Second); h.Node == node && h.Endpoint == server && s >= 0 && s < int64(len(all)) {
-				all[s]++
+		for _, attempt := range r.history.Attempts {
+			if second := attempt.FirstByteAt / int64(time.Second); attempt.Node == node && attempt.Endpoint == endpoint && second >= 0 && second < int64(len(counts)) {
+				counts[second]++
 			}
 		}
 	})
-	return all
+	return counts
 }
 
 // TestRelaysWithFaults has three nodes follow two relays while links are lossy, late and cut, a relay is killed and started anew with
 // nothing, the other frozen while none is left, and two regions lose each other: no rule is broken, all nodes end with the same endpoints, and requests are served as
 // by nodes that watch discovery themselves.
 func TestRelaysWithFaults(t *testing.T) {
-	r, plain := newRelayFleet(t, false), newRelayFleet(t, true)
+	relayed, direct := newRelayFleet(t, false), newRelayFleet(t, true)
 	for i := range 3 {
-		for tries := 0; r.listSource(i) != "relays"; tries++ {
+		for tries := 0; relayed.listSource(i) != "relays"; tries++ {
 			if tries > 500 {
-				t.Fatalf("n%d goes by %s", i, r.listSource(i))
+				t.Fatalf("n%d goes by %s", i, relayed.listSource(i))
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	both := []*relayFleet{r, plain}
-	over := make(chan struct{})
-	defer close(over)
-	machine := &lagMeter{slots: map[int64]int64{}}
-	go machine.run(r.startTime, over)
-	var ends []func()
-	for _, one := range both {
-		ends = append(ends, one.sendLoad())
-	}
-	set := func(server int, health string, apart bool) {
-		for _, one := range both {
-			one.setState(server, health, apart)
+	fleets := []*relayFleet{relayed, direct}
+	stop := make(chan struct{})
+	defer close(stop)
+	meter := &lagMeter{slots: map[int64]int64{}}
+	go meter.run(relayed.startTime, stop)
+	var stopLoads []func()
+	for _, fleet := range fleets {
+		stopLoads = append(stopLoads, fleet.sendLoad())
+	}
+	setStates := func(endpoint int, state string, partitioned bool) {
+		for _, fleet := range fleets {
+			fleet.setState(endpoint, state, partitioned)
 		}
 	}
 	nodes, relays, origin := []netfault.End{linkEnd(0), linkEnd(1), linkEnd(2)}, []netfault.End{linkEnd(relayA), linkEnd(relayB)}, []netfault.End{linkEnd(originIndex)}
@@ -433,81 +433,81 @@
 	time.Sleep(500 * time.Millisecond)
 
 	// Links are lossy and late; an endpoint drains, for longer than it may take to be told.
-	r.AddFaults(append(lossy(nodes, relays, 1), lossy(relays, origin, 3)...)...)
-	set(0, "draining", false)
+	relayed.AddFaults(append(lossy(nodes, relays, 1), lossy(relays, origin, 3)...)...)
+	setStates(0, "draining", false)
 	time.Sleep(2 * time.Second)
 	// A relay is killed; a second later it is there again, with nothing.
-	r.killProcess("a")
+	relayed.killProcess("a")
 	time.Sleep(time.Second)
-	set(1, "draining", false)
-	r.startProcess("a")
+	setStates(1, "draining", false)
+	relayed.startProcess("a")
 	time.Sleep(4500 * time.Millisecond)
-	r.ClearFaults()
-	set(0, "up", false)
+	relayed.ClearFaults()
+	setStates(0, "up", false)
 	// The other one stands still, and then the first is killed again: no relay answers, so that discovery has to tell.
-	_ = r.procs["b"].Signal(syscall.SIGSTOP)
+	_ = relayed.procs["b"].Signal(syscall.SIGSTOP)
 	time.Sleep(time.Second)
-	r.killProcess("a")
-	set(1, "up", false)
-	set(2, "draining", false)
+	relayed.killProcess("a")
+	setStates(1, "up", false)
+	setStates(2, "draining", false)
 	time.Sleep(propagationLimit + 1500*time.Millisecond)
-	r.startProcess("a")
-	_ = r.procs["b"].Signal(syscall.SIGCONT)
+	relayed.startProcess("a")
+	_ = relayed.procs["b"].Signal(syscall.SIGCONT)
 	time.Sleep(3 * time.Second)
 	// Two regions lose each other: relay b and one node on one side, all others on the other.
-	here := []netfault.End{linkEnd(0), linkEnd(1), linkEnd(relayA), linkEnd(originIndex), linkEnd(discoveryIndex)}
-	there := []netfault.End{linkEnd(remoteNode), linkEnd(relayB)}
-	cut := netfault.Fault{Kind: netfault.Cut, From: here, To: there, Seed: 5}
-	r.AddFaults(cut)
-	plain.AddFaults(netfault.Fault{Kind: netfault.Cut, From: []netfault.End{linkEnd(discoveryIndex)}, To: []netfault.End{linkEnd(remoteNode)}, Seed: 5})
+	localEnds := []netfault.End{linkEnd(0), linkEnd(1), linkEnd(relayA), linkEnd(originIndex), linkEnd(discoveryIndex)}
+	remoteEnds := []netfault.End{linkEnd(remoteNode), linkEnd(relayB)}
+	cut := netfault.Fault{Kind: netfault.Cut, From: localEnds, To: remoteEnds, Seed: 5}
+	relayed.AddFaults(cut)
+	direct.AddFaults(netfault.Fault{Kind: netfault.Cut, From: []netfault.End{linkEnd(discoveryIndex)}, To: []netfault.End{linkEnd(remoteNode)}, Seed: 5})
 	time.Sleep(time.Second)
-	set(2, "up", true)
-	set(3, "draining", true)
+	setStates(2, "up", true)
+	setStates(3, "draining", true)
 	time.Sleep(7 * time.Second)
-	for _, one := range both {
-		one.ClearFaults()
-		one.recordChange(remoteNode, 2, "up")
-		one.recordChange(remoteNode, 3, "draining")
+	for _, fleet := range fleets {
+		fleet.ClearFaults()
+		fleet.recordChange(remoteNode, 2, "up")
+		fleet.recordChange(remoteNode, 3, "draining")
 	}
 	time.Sleep(propagationLimit + time.Second)
-	last := time.Now()
+	listsInForceAt := time.Now()
 	time.Sleep(2 * time.Second)
-	for _, e := range ends {
-		e()
+	for _, stopLoad := range stopLoads {
+		stopLoad()
 	}
 
-	for name, one := range map[string]*relayFleet{"relays": r, "discovery": plain} {
+	for name, fleet := range map[string]*relayFleet{"relays": relayed, "discovery": direct} {
 		for node := range 3 {
-			used := one.attemptCounts(node, last)
-			for server, n := range used[:len(one.endpoints)] {
-				if up := one.endpointStates[server] == "up"; up != (n > 0) {
-					t.Errorf("%s: in the end n%d sent %d tasks to s%d, which is %s; all: %v; to it by seconds of the test: %v", name, node, n, server, one.endpointStates[server], used, one.attemptsPerSecond(node, server))
+			used := fleet.attemptCounts(node, listsInForceAt)
+			for endpoint, n := range used[:len(fleet.endpoints)] {
+				if up := fleet.endpointStates[endpoint] == "up"; up != (n > 0) {
+					t.Errorf("%s: in the end n%d sent %d tasks to s%d, which is %s; all: %v; to it by seconds of the test: %v", name, node, n, endpoint, fleet.endpointStates[endpoint], used, fleet.attemptsPerSecond(node, endpoint))
 				}
 			}
 		}
-		late := func(at int64) int64 { return machine.lagAt(at + int64(one.startTime.Sub(r.startTime))) }
-		one.orderStalledAttempts(late)
-		one.recordPresumedEntries()
-		one.history.Close()
-		breaks := one.history.Check(requestClasses, invariant.Rules{
+		lagAt := func(at int64) int64 { return meter.lagAt(at + int64(fleet.startTime.Sub(relayed.startTime))) }
+		fleet.orderStalledAttempts(lagAt)
+		fleet.recordPresumedEntries()
+		fleet.history.Close()
+		violations := fleet.history.Check(requestClasses, invariant.Rules{
 			StopSendingWithin: int64(500 * time.Millisecond), Slack: int64(50 * time.Millisecond),
-			Lag: late,
+			Lag: lagAt,
 		})
-		for _, b := range breaks[:min(5, len(breaks))] {
-			t.Errorf("%s: %d breaks, %s; of the task, %s; the test ran %.0f ms late", name, len(breaks), b, one.describeRequest(b.Request),
-				float64(late(b.At))/2e6)
+		for _, violation := range violations[:min(5, len(violations))] {
+			t.Errorf("%s: %d breaks, %s; of the task, %s; the test ran %.0f ms late", name, len(violations), violation, fleet.describeRequest(violation.Request),
+				float64(lagAt(violation.At))/2e6)
 		}
 	}
 	for i := range 3 {
-		if by := r.listSource(i); by != "relays" {
+		if by := relayed.listSource(i); by != "relays" {
 			t.Errorf("in the end n%d goes by %s", i, by)
 		}
-		_, text, _ := Call(r.AdminAddress(i), "GET", "/relays")
+		_, text, _ := Call(relayed.AdminAddress(i), "GET", "/relays")
 		t.Logf("n%d: %s", i, text)
 	}
-	if with, without := r.inTimeFraction(), plain.inTimeFraction(); with < without-0.01 {
+	if with, without := relayed.inTimeFraction(), direct.inTimeFraction(); with < without-0.01 {
 		t.Errorf("%.4f of the tasks served in time with relays, %.4f with plain discovery", with, without)
 	} else {
-		t.Logf("%.4f of %v tasks served in time with relays, %.4f of %v with plain discovery", with, r.sent, without, plain.sent)
+		t.Logf("%.4f of %v tasks served in time with relays, %.4f of %v with plain discovery", with, relayed.sent, without, direct.sent)
 	}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -37,52 +37,52 @@
 
 // Until waits for a statement about all views to hold, and fails once every node that answers has been through so many rounds
 // since the call, with the statement false to the end.
-func WaitUntil(f Fleet, rounds int64, what string, holds func([]*members.View) bool) (took int64, err error) {
-	first := make([]int64, f.Len())
-	for i := range first {
-		first[i] = -1
+func WaitUntil(f Fleet, rounds int64, condition string, holds func([]*members.View) bool) (took int64, err error) {
+	firstPeriods := make([]int64, f.Len())
+	for i := range firstPeriods {
+		firstPeriods[i] = -1
 	}
-	silent := 0
+	unanswered := 0
 	for {
 		views := f.Views()
-		least := int64(-1)
+		minPassed := int64(-1)
 		for i, v := range views {
 			if v == nil {
 				continue
 			}
-			if first[i] < 0 || v.Periods < first[i] { // a new process begins again
-				first[i] = v.Periods
+			if firstPeriods[i] < 0 || v.Periods < firstPeriods[i] { // a new process begins again
+				firstPeriods[i] = v.Periods
 			}
-			if passed := v.Periods - first[i]; least < 0 || passed < least {
-				least = passed
+			if passed := v.Periods - firstPeriods[i]; minPassed < 0 || passed < minPassed {
+				minPassed = passed
 			}
 		}
 		if holds(views) {
-			return max(least, 0), nil
+			return max(minPassed, 0), nil
 		}
-		if silent++; least >= 0 {
-			silent = 0
+		if unanswered++; minPassed >= 0 {
+			unanswered = 0
 		}
-		if least > rounds || silent > 2000 {
-			return least, fmt.Errorf("%s: not so after %d rounds of every node:\n%s", what, least, FormatViews(views))
+		if minPassed > rounds || unanswered > 2000 {
+			return minPassed, fmt.Errorf("%s: not so after %d rounds of every node:\n%s", condition, minPassed, FormatViews(views))
 		}
 		f.Step()
 	}
 }
 
 // Hold watches a statement stay true while every node that answers goes through so many rounds.
-func RequireDuring(f Fleet, rounds int64, what string, holds func([]*members.View) bool) error {
-	broken := ""
-	_, err := WaitUntil(f, rounds, what, func(views []*members.View) bool {
-		if !holds(views) && broken == "" {
-			broken = FormatViews(views)
+func RequireDuring(f Fleet, rounds int64, condition string, holds func([]*members.View) bool) error {
+	violated := ""
+	_, err := WaitUntil(f, rounds, condition, func(views []*members.View) bool {
+		if !holds(views) && violated == "" {
+			violated = FormatViews(views)
 		}
-		return broken != ""
+		return violated != ""
 	})
 	if err != nil { // it was never false
 		return nil
 	}
-	return fmt.Errorf("%s: not so at a moment:\n%s", what, broken)
+	return fmt.Errorf("%s: not so at a moment:\n%s", condition, violated)
 }
 
 // letters of the states in a table of views.
@@ -97,24 +97,24 @@
 			b.WriteString("does not say\n")
 			continue
 		}
-		for _, r := range v.Members {
-			b.WriteString(stateLetters[r.State])
+		for _, member := range v.Members {
+			b.WriteString(stateLetters[member.State])
 		}
-		f := v.Summary
-		fmt.Fprintf(&b, "  round %d, strain %d, known %v %s, heard %.2f\n", v.Periods, v.HealthScore, f.Reliable, f.Reason, f.ProbeSuccessRate)
+		summary := v.Summary
+		fmt.Fprintf(&b, "  round %d, strain %d, known %v %s, heard %.2f\n", v.Periods, v.HealthScore, summary.Reliable, summary.Reason, summary.ProbeSuccessRate)
 	}
 	return b.String()
 }
 
 // Agree tells whether every node of some that answers believes of each node what a function says; "" stands for anything.
-func ViewsMatch(of []int, want func(node int) string) func([]*members.View) bool {
+func ViewsMatch(nodes []int, want func(node int) string) func([]*members.View) bool {
 	return func(views []*members.View) bool {
-		for _, i := range of {
+		for _, i := range nodes {
 			if views[i] == nil {
 				return false
 			}
-			for k, r := range views[i].Members {
-				if w := want(k); w != "" && r.State != w {
+			for k, member := range views[i].Members {
+				if state := want(k); state != "" && member.State != state {
 					return false
 				}
 			}
@@ -128,18 +128,18 @@
 
 // Numbers are the numbers from a to before b.
 func NodeRange(a, b int) []int {
-	var out []int
+	var nodes []int
 	for i := a; i < b; i++ {
-		out = append(out, i)
+		nodes = append(nodes, i)
 	}
-	return out
+	return nodes
 }
 
 // Ends names nodes as ends of links.
 func NodeEnds(nodes []int) []netfault.End {
-	out := make([]netfault.End, len(nodes))
+	ends := make([]netfault.End, len(nodes))
 	for i, n := range nodes {
-		out[i] = netfault.End{Kind: netfault.Node, Index: n}
+		ends[i] = netfault.End{Kind: netfault.Node, Index: n}
 	}
-	return out
+	return ends
 }
--- a/internal/lab/fleet/listgossip_test.go
+++ b/internal/lab/fleet/listgossip_test.go
@@ -28,20 +28,20 @@
 
 // heard is what the nodes say of the list that they go by; nil for one that does not say.
 func (p *Processes) listViews() []*endpointgossip.View {
-	out := make([]*endpointgossip.View, len(p.nodes))
+	views := make([]*endpointgossip.View, len(p.nodes))
 	for i := range p.nodes {
 		var v struct{ List *endpointgossip.View }
 		if status, text, err := Call(p.AdminAddress(i), "GET", "/members"); err == nil && status == 200 && json.Unmarshal(text, &v) == nil {
-			out[i] = v.List
+			views[i] = v.List
 		}
 	}
-	return out
+	return views
 }
 
 // until waits for a statement about the lists of all nodes that were started.
-func (p *Processes) waitForLists(t *testing.T, what string, holds func(*endpointgossip.View) bool) {
+func (p *Processes) waitForLists(t *testing.T, condition string, holds func(*endpointgossip.View) bool) {
 	t.Helper()
-	if _, err := WaitUntil(p, detectionPeriods, what, func([]*members.View) bool {
+	if _, err := WaitUntil(p, detectionPeriods, condition, func([]*members.View) bool {
 		for i, v := range p.listViews() {
 			if p.nodes[i].starts > 0 && (v == nil || !holds(v)) {
 				return false
@@ -54,14 +54,14 @@
 }
 
 // arrivalsAfterGrace tells how many requests come to an endpoint while all nodes are busy, from the grace after a moment on.
-func (p *Processes) arrivalsAfterGrace(server int, told time.Time) (late int) {
-	time.Sleep(time.Until(told.Add(drainGrace)) + 300*time.Millisecond)
-	for _, at := range p.endpoints[server].Arrivals() {
-		if at.After(told.Add(drainGrace)) {
-			late++
+func (p *Processes) arrivalsAfterGrace(endpoint int, drainedAt time.Time) (count int) {
+	time.Sleep(time.Until(drainedAt.Add(drainGrace)) + 300*time.Millisecond)
+	for _, at := range p.endpoints[endpoint].Arrivals() {
+		if at.After(drainedAt.Add(drainGrace)) {
+			count++
 		}
 	}
-	return late
+	return count
 }
 
 // TestDrainReachesNodesWithoutWatch leaves one node alone with a watch, with a third of all datagrams lost: the others stop sending
@@ -72,21 +72,21 @@
 	p.discovery.LimitWatches(1)
 	p.discovery.SetDown(false)
 	p.AddFaults(dropFault(6, 1))
-	end := p.startLoad()
-	defer end()
+	stopLoad := p.startLoad()
+	defer stopLoad()
 	p.setDraining(2, 1)
 	p.waitForLists(t, "all go by the list of the one", func(v *endpointgossip.View) bool { return v.Version == 2 })
 	if late := p.arrivalsAfterGrace(1, time.Now()); late > 0 {
 		t.Errorf("%d tasks came to a server that drains after all knew it", late)
 	}
-	stand := 0
+	watching := 0
 	for _, v := range p.listViews() {
 		if v.WatchUp {
-			stand++
+			watching++
 		}
 	}
-	if stand > 1 {
-		t.Errorf("%d watches stand", stand)
+	if watching > 1 {
+		t.Errorf("%d watches stand", watching)
 	}
 	before := len(p.endpoints[1].Arrivals())
 	p.setDraining(3, -1)
@@ -108,7 +108,7 @@
 	p := newListGossipFleet(t, 6, true)
 	p.setDraining(2, 1)
 	p.waitForLists(t, "all are told", func(v *endpointgossip.View) bool { return v.Version == 2 })
-	told := time.Now()
+	drainedAt := time.Now()
 	time.Sleep(200 * time.Millisecond) // until it is on the disks
 	p.discovery.SetDown(true)
 	p.killAll()
@@ -118,11 +118,11 @@
 		}
 	}
 	p.startAll(t)
-	end := p.startLoad()
-	defer end()
+	stopLoad := p.startLoad()
+	defer stopLoad()
 	p.waitForLists(t, "all have the list that some remember", func(v *endpointgossip.View) bool { return v.Version == 2 && v.Restored })
 	p.waitServing(t)
-	if late := p.arrivalsAfterGrace(1, told); late > 0 {
+	if late := p.arrivalsAfterGrace(1, drainedAt); late > 0 {
 		t.Errorf("%d tasks came to a server that drained before the power went", late)
 	}
 	p.discovery.SetDown(false)
@@ -139,10 +139,10 @@
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		front, _, err := Call(p.ListenAddress(i), "GET", "/ready")
-		status, text, _ := Call(p.AdminAddress(i), "GET", "/ready")
-		if err != nil || front != 503 || status != 503 || !strings.Contains(string(text), "no list of servers yet") {
-			t.Errorf("n%d without a list answers %d, and its console %d %s; %v", i, front, status, text, err)
+		listenerStatus, _, err := Call(p.ListenAddress(i), "GET", "/ready")
+		adminStatus, text, _ := Call(p.AdminAddress(i), "GET", "/ready")
+		if err != nil || listenerStatus != 503 || adminStatus != 503 || !strings.Contains(string(text), "no list of servers yet") {
+			t.Errorf("n%d without a list answers %d, and its console %d %s; %v", i, listenerStatus, adminStatus, text, err)
 		}
 	}
 	p.discovery.LimitWatches(1)
@@ -158,19 +158,19 @@
 	p.discovery.SetList(9, ListEntry{Endpoint: p.endpoints[0], State: "up"}, ListEntry{Endpoint: p.endpoints[1], State: "draining"},
 		ListEntry{Endpoint: p.endpoints[2], State: "draining"}, ListEntry{Endpoint: p.endpoints[3], State: "draining"})
 	p.discovery.SetDown(false)
-	doubted := func(views []*members.View) bool {
-		with, doubt := 0, 0
+	heldBack := func(views []*members.View) bool {
+		applied, unconfirmed := 0, 0
 		for _, v := range p.listViews() {
 			if v != nil && v.WatchUp && v.Version == 9 {
-				with++
+				applied++
 			}
 			if v != nil && v.Counters.Unconfirmed > 0 && v.Version == 1 {
-				doubt++
+				unconfirmed++
 			}
 		}
-		return with == 1 && doubt == 3
+		return applied == 1 && unconfirmed == 3
 	}
-	if _, err := WaitUntil(p, detectionPeriods, "three doubt what one says", doubted); err != nil {
+	if _, err := WaitUntil(p, detectionPeriods, "three doubt what one says", heldBack); err != nil {
 		t.Fatalf("%v\n%+v", err, p.listViews())
 	}
 	p.discovery.LimitWatches(2)
@@ -183,7 +183,7 @@
 func TestRecoveryInEveryRestartOrder(t *testing.T) {
 	p := newListGossipFleet(t, 4, true)
 	p.AddFaults(dropFault(4, 2))
-	parts := map[byte]func(){
+	restart := map[byte]func(){
 		'n': func() { p.startAll(t) },
 		's': func() {
 			for _, s := range p.endpoints {
@@ -192,15 +192,15 @@
 		},
 		'd': func() { p.discovery.SetDown(false) },
 	}
-	end := p.startLoad()
-	defer end()
+	stopLoad := p.startLoad()
+	defer stopLoad()
 	version := int64(1)
 	for k, order := range []string{"nsd", "nds", "snd", "sdn", "dns", "dsn"} {
 		draining := k % len(p.endpoints)
 		version++
 		p.setDraining(version, draining)
 		p.waitForLists(t, order+": all are told", func(v *endpointgossip.View) bool { return v.Version == version })
-		told := time.Now()
+		drainedAt := time.Now()
 		time.Sleep(150 * time.Millisecond) // until it is on the disks
 		p.discovery.SetDown(true)
 		for _, s := range p.endpoints {
@@ -208,16 +208,16 @@
 		}
 		p.killAll()
 		for i := range order {
-			parts[order[i]]()
+			restart[order[i]]()
 			time.Sleep(50 * time.Millisecond)
 		}
 		p.waitServing(t)
-		if late := p.arrivalsAfterGrace(draining, told); late > 0 {
+		if late := p.arrivalsAfterGrace(draining, drainedAt); late > 0 {
 			t.Errorf("%s: %d tasks came to a server that drained before the power went", order, late)
 		}
 	}
-	if twice := p.duplicateRequests(); len(twice) > 0 {
-		t.Errorf("%d tasks ran twice: %v", len(twice), twice[:min(len(twice), 5)])
+	if duplicates := p.duplicateRequests(); len(duplicates) > 0 {
+		t.Errorf("%d tasks ran twice: %v", len(duplicates), duplicates[:min(len(duplicates), 5)])
 	}
 }
 
@@ -230,21 +230,21 @@
 	if err := p.Start(0); err != nil {
 		t.Fatal(err)
 	}
-	done := func(tasks int) (n int) {
-		for i := range tasks {
+	succeeded := func(requests int) (n int) {
+		for i := range requests {
 			if p.SendRequest(0, 1000+i) == nil {
 				n++
 			}
 		}
 		return n
 	}
-	ready := func() {
-		for tries := 0; tries < 2000 && done(1) == 0; tries++ {
+	waitReady := func() {
+		for tries := 0; tries < 2000 && succeeded(1) == 0; tries++ {
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
-	ready()
-	if n := done(100); n != 100 {
+	waitReady()
+	if n := succeeded(100); n != 100 {
 		t.Fatalf("in calm %d of 100", n)
 	}
 	p.discovery.SetDown(true)
@@ -252,19 +252,19 @@
 	if err := p.Start(0); err != nil {
 		t.Fatal(err)
 	}
-	ready()
-	cold := done(400)
+	waitReady()
+	duringSlowStart := succeeded(400)
 	if _, err := WaitUntil(p, startupPeriods, "it says that it hears nobody", func(views []*members.View) bool {
 		return views[0] != nil && !views[0].Summary.Reliable
 	}); err != nil {
 		t.Error(err)
 	}
-	if cold == 0 || cold == 400 {
-		t.Errorf("%d of 400 by servers that may be cold", cold)
+	if duringSlowStart == 0 || duringSlowStart == 400 {
+		t.Errorf("%d of 400 by servers that may be cold", duringSlowStart)
 	}
 	p.discovery.SetDown(false)
 	p.waitForLists(t, "discovery tells it", func(v *endpointgossip.View) bool { return v.WatchUp })
-	if n := done(100); n != 100 {
+	if n := succeeded(100); n != 100 {
 		t.Errorf("once discovery has told, %d of 100", n)
 	}
 }
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -40,19 +40,19 @@
 
 // Counts implements measurable.
 func (p *Processes) Counters() []*members.Counters {
-	out := make([]*members.Counters, len(p.nodes))
+	counters := make([]*members.Counters, len(p.nodes))
 	for i, v := range p.Views() {
 		if v != nil {
-			out[i] = &v.Counters
+			counters[i] = &v.Counters
 		}
 	}
-	return out
+	return counters
 }
 
 // AllReport implements measurable.
-func (p *Processes) AllReport(of int, state members.State) bool {
+func (p *Processes) AllReport(node int, state members.State) bool {
 	for i, v := range p.Views() {
-		if i != of && (v == nil || v.Members[of].State != state.String()) {
+		if i != node && (v == nil || v.Members[node].State != state.String()) {
 			return false
 		}
 	}
@@ -61,20 +61,20 @@
 
 // Counts implements measurable.
 func (v *Virtual) Counters() []*members.Counters {
-	out := make([]*members.Counters, len(v.nodes))
+	counters := make([]*members.Counters, len(v.nodes))
 	for i, s := range v.nodes {
 		if s.membership != nil {
 			c := s.membership.Counters()
-			out[i] = &c
+			counters[i] = &c
 		}
 	}
-	return out
+	return counters
 }
 
 // AllReport implements measurable.
-func (v *Virtual) AllReport(of int, state members.State) bool {
+func (v *Virtual) AllReport(node int, state members.State) bool {
 	for i, s := range v.nodes {
-		if i != of && (s.membership == nil || s.membership.StateOf(of) != state) {
+		if i != node && (s.membership == nil || s.membership.StateOf(node) != state) {
 			return false
 		}
 	}
@@ -83,63 +83,63 @@
 
 // Measure starts a fleet, watches it for a time with a loss, and kills nodes one after another. rounds bounds each wait.
 func Measure(f measurable, loss float64, burst int, watch time.Duration, deaths int, rounds int64) (*Figures, error) {
-	out := &Figures{Nodes: f.Len(), Loss: loss, Burst: burst}
+	figures := &Figures{Nodes: f.Len(), Loss: loss, Burst: burst}
 	for i := range f.Len() {
 		if err := f.Start(i); err != nil {
 			return nil, err
 		}
 	}
-	all := func(node int, state members.State, what string) (steps int64, err error) {
+	waitForAll := func(node int, state members.State, condition string) (steps int64, err error) {
 		for ; !f.AllReport(node, state); steps++ {
 			if steps > 5*rounds {
-				return steps, fmt.Errorf("%d nodes, loss %.2f: n%d not %s for all within %d rounds", f.Len(), loss, node, what, rounds)
+				return steps, fmt.Errorf("%d nodes, loss %.2f: n%d not %s for all within %d rounds", f.Len(), loss, node, condition, rounds)
 			}
 			f.Step()
 		}
 		return steps, nil
 	}
 	for i := range f.Len() {
-		if _, err := all(i, members.Alive, "up"); err != nil {
+		if _, err := waitForAll(i, members.Alive, "up"); err != nil {
 			return nil, err
 		}
 	}
-	everybody := NodeEnds(NodeRange(0, f.Len()))
+	allNodes := NodeEnds(NodeRange(0, f.Len()))
 	if loss > 0 {
-		f.AddFaults(netfault.Fault{Kind: netfault.Drop, From: everybody, To: everybody, Share: loss, Burst: burst, Seed: 11})
+		f.AddFaults(netfault.Fault{Kind: netfault.Drop, From: allNodes, To: allNodes, Share: loss, Burst: burst, Seed: 11})
 	}
 	before, from := f.Counters(), f.Now()
 	for f.Now() < from+int64(watch) {
 		f.Step()
 	}
-	long := float64(f.Now()-from) / 1e9
-	out.WatchedS = long
+	watchedS := float64(f.Now()-from) / 1e9
+	figures.WatchedS = watchedS
 	for i, c := range f.Counters() {
 		if c == nil || before[i] == nil {
 			continue
 		}
-		out.SuspicionsPerHour += float64(c.Suspicions-before[i].Suspicions) / long * 3600
-		out.FailuresPerHour += float64(c.Failures-before[i].Failures) / long * 3600
-		sent := float64(c.Sent-before[i].Sent) / long
-		out.SentPerS += sent / float64(f.Len())
-		out.BytesPerS += float64(c.SentBytes-before[i].SentBytes) / long / float64(f.Len())
-		out.MaxSentPerS = max(out.MaxSentPerS, sent)
+		figures.SuspicionsPerHour += float64(c.Suspicions-before[i].Suspicions) / watchedS * 3600
+		figures.FailuresPerHour += float64(c.Failures-before[i].Failures) / watchedS * 3600
+		sent := float64(c.Sent-before[i].Sent) / watchedS
+		figures.SentPerS += sent / float64(f.Len())
+		figures.BytesPerS += float64(c.SentBytes-before[i].SentBytes) / watchedS / float64(f.Len())
+		figures.MaxSentPerS = max(figures.MaxSentPerS, sent)
 	}
 	for n := range deaths {
 		victim := (1 + 7*n) % f.Len()
 		f.Kill(victim)
 		killed := f.Now()
-		steps, err := all(victim, members.Dead, "silent")
+		steps, err := waitForAll(victim, members.Dead, "silent")
 		if err != nil {
 			return nil, err
 		}
-		out.DeathKnownS = append(out.DeathKnownS, float64(f.Now()-killed)/1e9)
-		out.DeathPeriods = append(out.DeathPeriods, (steps+4)/5)
+		figures.DeathKnownS = append(figures.DeathKnownS, float64(f.Now()-killed)/1e9)
+		figures.DeathPeriods = append(figures.DeathPeriods, (steps+4)/5)
 		if err := f.Start(victim); err != nil {
 			return nil, err
 		}
-		if _, err := all(victim, members.Alive, "up again"); err != nil {
+		if _, err := waitForAll(victim, members.Alive, "up again"); err != nil {
 			return nil, err
 		}
 	}
-	return out, nil
+	return figures, nil
 }
--- a/internal/lab/fleet/order_test.go
+++ b/internal/lab/fleet/order_test.go
@@ -10,10 +10,10 @@
 // TestOrderStalledAttempts has two attempts of a request read in one moment: a hedged request only where the node had closed neither.
 func TestOrderStalledAttempts(t *testing.T) {
 	const ms = int64(time.Millisecond)
-	for name, one := range map[string]struct {
-		closed, late int64
-		apart        int64 // between the two
-		breaks       int
+	for name, c := range map[string]struct {
+		closed, lag int64
+		gap        int64 // between the two
+		violations       int
 	}{
 		"closed before it was read":       {0, 40 * ms, 0, 0},
 		"not closed":                      {invariant.Never, 40 * ms, 0, 1},
@@ -23,22 +23,22 @@
 	} {
 		r := &relayFleet{history: &invariant.History{}}
 		r.history.RecordProcess(&invariant.Process{Incarnation: 1})
-		try := &invariant.Request{ID: "a", Incarnation: 1, SentAt: 900 * ms, Deadline: 3000 * ms}
-		r.history.RecordRequest(try)
-		good, cancelled := &invariant.Attempt{Request: "a", Endpoint: 3, Incarnation: 1}, &invariant.Attempt{Request: "a", Endpoint: 1, Incarnation: 1}
-		r.history.RecordAttempt(good)
-		r.history.RecordAttempt(cancelled)
-		try.AnsweredAt, try.Status = 2000*ms, 200
-		good.FirstByteAt, good.LastByteAt, good.AnsweredAt = 1000*ms, 1000*ms, 1400*ms
-		cancelled.FirstByteAt, cancelled.LastByteAt, cancelled.AnsweredAt = good.FirstByteAt+one.apart+1, good.FirstByteAt+one.apart+1, good.FirstByteAt+one.apart+1
-		if cancelled.ClosedAt = one.closed; one.closed != invariant.Never {
-			cancelled.ClosedAt += cancelled.FirstByteAt
+		request := &invariant.Request{ID: "a", Incarnation: 1, SentAt: 900 * ms, Deadline: 3000 * ms}
+		r.history.RecordRequest(request)
+		completed, canceled := &invariant.Attempt{Request: "a", Endpoint: 3, Incarnation: 1}, &invariant.Attempt{Request: "a", Endpoint: 1, Incarnation: 1}
+		r.history.RecordAttempt(completed)
+		r.history.RecordAttempt(canceled)
+		request.AnsweredAt, request.Status = 2000*ms, 200
+		completed.FirstByteAt, completed.LastByteAt, completed.AnsweredAt = 1000*ms, 1000*ms, 1400*ms
+		canceled.FirstByteAt, canceled.LastByteAt, canceled.AnsweredAt = completed.FirstByteAt+c.gap+1, completed.FirstByteAt+c.gap+1, completed.FirstByteAt+c.gap+1
+		if canceled.ClosedAt = c.closed; c.closed != invariant.Never {
+			canceled.ClosedAt += canceled.FirstByteAt
 		}
-		late := func(int64) int64 { return one.late }
-		r.orderStalledAttempts(late)
+		lag := func(int64) int64 { return c.lag }
+		r.orderStalledAttempts(lag)
 		r.history.Close()
-		if breaks := r.history.Check(requestClasses, invariant.Rules{Slack: 50 * ms, Lag: late}); len(breaks) != one.breaks {
-			t.Errorf("%s: %v, expected %d", name, breaks, one.breaks)
+		if violations := r.history.Check(requestClasses, invariant.Rules{Slack: 50 * ms, Lag: lag}); len(violations) != c.violations {
+			t.Errorf("%s: %v, expected %d", name, violations, c.violations)
 		}
 	}
 }
--- a/internal/lab/fleet/plot.go
+++ b/internal/lab/fleet/plot.go
@@ -20,33 +20,33 @@
 	p.X.Label.Text, p.Y.Label.Text = "nodes", "seconds"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Y.Min = 0
-	colour := map[float64]int{}
+	colors := map[float64]int{}
 	for n, set := range [][]*Figures{virtual, processes} {
-		by := map[float64][]*Figures{}
+		byLoss := map[float64][]*Figures{}
 		var losses []float64
 		for _, f := range set {
-			if by[f.Loss] == nil {
+			if byLoss[f.Loss] == nil {
 				losses = append(losses, f.Loss)
 			}
-			by[f.Loss] = append(by[f.Loss], f)
+			byLoss[f.Loss] = append(byLoss[f.Loss], f)
 		}
 		for _, loss := range losses {
-			if _, known := colour[loss]; !known {
-				colour[loss] = len(colour)
+			if _, known := colors[loss]; !known {
+				colors[loss] = len(colors)
 			}
 			var pts struct {
 				plotter.XYs
 				plotter.YErrors
 			}
-			slices.SortFunc(by[loss], func(a, b *Figures) int { return cmp.Compare(a.Nodes, b.Nodes) })
-			for _, f := range by[loss] {
+			slices.SortFunc(byLoss[loss], func(a, b *Figures) int { return cmp.Compare(a.Nodes, b.Nodes) })
+			for _, f := range byLoss[loss] {
 				known := slices.Sorted(slices.Values(f.DeathKnownS))
 				if len(known) == 0 {
 					continue
 				}
-				middle := known[len(known)/2]
-				pts.XYs = append(pts.XYs, plotter.XY{X: float64(f.Nodes), Y: middle})
-				pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{0, known[len(known)-1] - middle})
+				median := known[len(known)/2]
+				pts.XYs = append(pts.XYs, plotter.XY{X: float64(f.Nodes), Y: median})
+				pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{0, known[len(known)-1] - median})
 			}
 			line, dots, err := plotter.NewLinePoints(pts.XYs)
 			if err != nil {
@@ -57,7 +57,7 @@
 				return err
 			}
 			name := fmt.Sprintf("%.0f%% lost", 100*loss)
-			if line.Color, dots.Color, bars.Color = plotutil.Color(colour[loss]), plotutil.Color(colour[loss]), plotutil.Color(colour[loss]); n == 1 {
+			if line.Color, dots.Color, bars.Color = plotutil.Color(colors[loss]), plotutil.Color(colors[loss]), plotutil.Color(colors[loss]); n == 1 {
 				line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 				name += ", processes"
 			}
--- a/internal/lab/fleet/power_test.go
+++ b/internal/lab/fleet/power_test.go
@@ -51,14 +51,14 @@
 var requestNumber atomic.Int64
 
 // busy sends exclusive requests to all nodes until it is told to end.
-func (p *Processes) startLoad() (end func()) {
-	over := make(chan struct{})
-	var all sync.WaitGroup
+func (p *Processes) startLoad() (stopLoad func()) {
+	stop := make(chan struct{})
+	var clients sync.WaitGroup
 	for i := range p.nodes {
-		all.Go(func() {
+		clients.Go(func() {
 			for {
 				select {
-				case <-over:
+				case <-stop:
 					return
 				case <-time.After(4 * time.Millisecond):
 					_ = p.sendRequest(i, "pay", int(requestNumber.Add(1)))
@@ -66,28 +66,28 @@
 			}
 		})
 	}
-	return func() { close(over); all.Wait() }
+	return func() { close(stop); clients.Wait() }
 }
 
 // lists has discovery tell all endpoints, but one that drains.
 func (p *Processes) setDraining(version int64, draining int) {
 	var list []ListEntry
 	for i, s := range p.endpoints {
-		health := "up"
+		state := "up"
 		if i == draining {
-			health = "draining"
+			state = "draining"
 		}
-		list = append(list, ListEntry{Endpoint: s, State: health})
+		list = append(list, ListEntry{Endpoint: s, State: state})
 	}
 	p.discovery.SetList(version, list...)
 }
 
 func (p *Processes) killAll() {
-	var all sync.WaitGroup
+	var kills sync.WaitGroup
 	for i := range p.nodes {
-		all.Go(func() { p.Kill(i) })
+		kills.Go(func() { p.Kill(i) })
 	}
-	all.Wait()
+	kills.Wait()
 }
 
 func (p *Processes) startAll(t *testing.T) {
@@ -99,21 +99,21 @@
 }
 
 // doubles are requests that must run once and came to endpoints more often.
-func (p *Processes) duplicateRequests() (out []string) {
-	of := map[string]int{}
+func (p *Processes) duplicateRequests() (duplicates []string) {
+	counts := map[string]int{}
 	for _, s := range p.endpoints {
 		s.mu.Lock()
-		for task, n := range s.requests {
-			of[task] += n
+		for request, n := range s.requests {
+			counts[request] += n
 		}
 		s.mu.Unlock()
 	}
-	for task, n := range of {
-		if n > 1 && task != fmt.Sprintf("%016x", 0) {
-			out = append(out, task)
+	for request, n := range counts {
+		if n > 1 && request != fmt.Sprintf("%016x", 0) {
+			duplicates = append(duplicates, request)
 		}
 	}
-	return out
+	return duplicates
 }
 
 // TestDrainsSurviveFleetRestart takes the power from all nodes at drawn moments while an endpoint drains, and brings them back while
@@ -124,29 +124,29 @@
 		nodes, rounds = 12, n
 	}
 	p := newPersistentFleet(t, nodes)
-	draw := rand.New(rand.NewPCG(4, uint64(rounds)))
+	random := rand.New(rand.NewPCG(4, uint64(rounds)))
 	version := int64(1)
 	for round := range rounds {
 		draining := round % len(p.endpoints)
-		end := p.startLoad()
+		stopLoad := p.startLoad()
 		for p.discovery.Watches() < nodes { // who has no watch is not told
 			time.Sleep(2 * time.Millisecond)
 		}
 		version++
 		p.setDraining(version, draining)
-		told := time.Now()
-		time.Sleep(time.Duration(30+draw.IntN(200)) * time.Millisecond)
+		drainedAt := time.Now()
+		time.Sleep(time.Duration(30+random.IntN(200)) * time.Millisecond)
 		p.discovery.SetDown(true)
 		p.killAll()
 		p.startAll(t)
 		p.waitServing(t)
-		if past := time.Until(told.Add(drainGrace)); past > 0 {
-			time.Sleep(past)
+		if remaining := time.Until(drainedAt.Add(drainGrace)); remaining > 0 {
+			time.Sleep(remaining)
 		}
-		time.Sleep(time.Duration(100+draw.IntN(200)) * time.Millisecond)
+		time.Sleep(time.Duration(100+random.IntN(200)) * time.Millisecond)
 		late := 0
 		for _, at := range p.endpoints[draining].Arrivals() {
-			if at.After(told.Add(drainGrace)) {
+			if at.After(drainedAt.Add(drainGrace)) {
 				late++
 			}
 		}
@@ -163,10 +163,10 @@
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
-		end()
+		stopLoad()
 	}
-	if twice := p.duplicateRequests(); len(twice) > 0 {
-		t.Errorf("%d tasks ran twice: %v", len(twice), twice[:min(len(twice), 5)])
+	if duplicates := p.duplicateRequests(); len(duplicates) > 0 {
+		t.Errorf("%d tasks ran twice: %v", len(duplicates), duplicates[:min(len(duplicates), 5)])
 	}
 }
 
@@ -174,16 +174,16 @@
 func TestOlderListDoesNotRestoreDrainedEndpoint(t *testing.T) {
 	p := newPersistentFleet(t, 3)
 	p.setDraining(7, 1)
-	told := time.Now()
+	drainedAt := time.Now()
 	time.Sleep(200 * time.Millisecond)
 	p.killAll()
 	p.setDraining(5, -1)
 	p.startAll(t)
-	end := p.startLoad()
+	stopLoad := p.startLoad()
 	p.waitServing(t)
-	time.Sleep(time.Until(told.Add(drainGrace)) + 400*time.Millisecond)
+	time.Sleep(time.Until(drainedAt.Add(drainGrace)) + 400*time.Millisecond)
 	for _, at := range p.endpoints[1].Arrivals() {
-		if at.After(told.Add(drainGrace)) {
+		if at.After(drainedAt.Add(drainGrace)) {
 			t.Fatal("a task came to a server that only an older list calls up")
 		}
 	}
@@ -195,7 +195,7 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	end()
+	stopLoad()
 }
 
 // TestDamagedStateDirectories has some nodes lose their disk, one find an older copy, one a log cut in the middle, one a file where its
@@ -225,12 +225,12 @@
 	check(os.RemoveAll(p.StateDir(0)))
 	check(os.RemoveAll(p.StateDir(1)))
 	check(os.Rename(p.StateDir(1)+".old", p.StateDir(1)))
-	logs, err := filepath.Glob(filepath.Join(p.StateDir(2), "memory", "seg-*"))
+	segments, err := filepath.Glob(filepath.Join(p.StateDir(2), "memory", "seg-*"))
 	check(err)
-	for _, log := range logs {
-		info, err := os.Stat(log)
+	for _, segment := range segments {
+		info, err := os.Stat(segment)
 		check(err)
-		check(os.Truncate(log, info.Size()*2/3))
+		check(os.Truncate(segment, info.Size()*2/3))
 	}
 	check(os.RemoveAll(p.StateDir(3)))
 	check(os.Mkdir(p.StateDir(3), 0o700))
@@ -269,10 +269,10 @@
 	for p.discovery.Watches() < 6 {
 		time.Sleep(2 * time.Millisecond)
 	}
-	end := p.startLoad()
-	defer end()
+	stopLoad := p.startLoad()
+	defer stopLoad()
 	p.setDraining(2, 1)
-	told := time.Now()
+	drainedAt := time.Now()
 	time.Sleep(150 * time.Millisecond)
 	p.discovery.SetDown(true)
 	p.AddFaults(cutFault(a, b, false))
@@ -282,9 +282,9 @@
 	}
 	p.waitServing(t)
 	if _, err := WaitUntil(p, detectionPeriods, "two views", func(views []*members.View) bool {
-		for _, half := range [][]int{a, b} {
-			for _, i := range half {
-				for _, k := range half {
+		for _, side := range [][]int{a, b} {
+			for _, i := range side {
+				for _, k := range side {
 					if views[i] == nil || views[i].Members[k].State != "up" {
 						return false
 					}
@@ -299,13 +299,13 @@
 	if _, err := WaitUntil(p, mergePeriods, "one view", ViewsMatch(NodeRange(0, 6), AllInState("up"))); err != nil {
 		t.Error(err)
 	}
-	time.Sleep(time.Until(told.Add(drainGrace)))
+	time.Sleep(time.Until(drainedAt.Add(drainGrace)))
 	for _, at := range p.endpoints[1].Arrivals() {
-		if at.After(told.Add(drainGrace)) {
+		if at.After(drainedAt.Add(drainGrace)) {
 			t.Fatal("a task came to a draining server after the grace")
 		}
 	}
-	if twice := p.duplicateRequests(); len(twice) > 0 {
-		t.Errorf("%d tasks ran twice", len(twice))
+	if duplicates := p.duplicateRequests(); len(duplicates) > 0 {
+		t.Errorf("%d tasks ran twice", len(duplicates))
 	}
 }
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -85,42 +85,42 @@
 	if p.discovery, err = newDiscovery(); err != nil {
 		return nil, err
 	}
-	var up []ListEntry
+	var list []ListEntry
 	for i := range endpointCount {
-		s, err := newEndpoint(fmt.Sprintf("s%d", i))
+		endpoint, err := newEndpoint(fmt.Sprintf("s%d", i))
 		if err != nil {
 			return nil, err
 		}
-		p.endpoints = append(p.endpoints, s)
-		up = append(up, ListEntry{Endpoint: s, State: "up"})
+		p.endpoints = append(p.endpoints, endpoint)
+		list = append(list, ListEntry{Endpoint: endpoint, State: "up"})
 	}
-	p.discovery.SetList(1, up...)
+	p.discovery.SetList(1, list...)
 	p.proxies = faultproxy.NewProxies(func() int64 { return int64(time.Since(p.startedAt)) })
-	net := (os.Getpid()*67 + int(fleetCount.Add(1))) % (120 * 250)
+	subnet := (os.Getpid()*67 + int(fleetCount.Add(1))) % (120 * 250)
 	var listen []string
 	for i := range nodes {
 		p.nodes = append(p.nodes, &node{fleet: p, index: i})
-		listen = append(listen, fmt.Sprintf("127.%d.%d.%d:7946", 130+net/250, 1+net%250, 1+i))
+		listen = append(listen, fmt.Sprintf("127.%d.%d.%d:7946", 130+subnet/250, 1+subnet%250, 1+i))
 	}
 	p.mesh, err = faultproxy.NewMesh(p.proxies, listen)
 	return p, err
 }
 
-func serveConns(one func(net.Conn)) (net.Listener, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func serveConns(handle func(net.Conn)) (net.Listener, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() { defer c.Close(); one(c) }()
+			go func() { defer c.Close(); handle(c) }()
 		}
 	}()
-	return l, nil
+	return listener, nil
 }
 
 func (p *Processes) address(node, port int) string {
@@ -169,16 +169,16 @@
 	defer n.mu.Unlock()
 	n.reap()
 	n.starts++
-	listen, console := p.ListenAddress(node), p.AdminAddress(node)
+	listen, adminAddress := p.ListenAddress(node), p.AdminAddress(node)
 	if len(n.processes) > 0 {
-		listen, console = p.address(node, 8443+n.starts), p.address(node, 9443+n.starts)
+		listen, adminAddress = p.address(node, 8443+n.starts), p.address(node, 9443+n.starts)
 	}
 	discovery := p.discovery.Address()
 	if p.DiscoveryFor != nil {
 		discovery = p.DiscoveryFor(node)
 	}
 	config := fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"console":%q,"seed":"%x","news":{"listen":"127.0.0.1:0"},"settings":%s}`,
-		node, listen, discovery, console, node+1, fmt.Sprintf(p.Settings, len(p.nodes), node))
+		node, listen, discovery, adminAddress, node+1, fmt.Sprintf(p.Settings, len(p.nodes), node))
 	base := filepath.Join(p.dir, fmt.Sprintf("n%d-%d", node, n.starts))
 	tmp := base + ".tmp"
 	for path, text := range map[string]string{base + ".json": config, base + ".toml": p.FeaturesText(node)} {
@@ -203,24 +203,24 @@
 // reap forgets processes that have ended; the lock is held.
 func (n *node) reap() {
 	kept := n.processes[:0]
-	for _, l := range n.processes {
+	for _, process := range n.processes {
 		select {
-		case <-l.Done():
+		case <-process.Done():
 		default:
-			kept = append(kept, l)
+			kept = append(kept, process)
 		}
 	}
 	n.processes = kept
 }
 
-func (p *Processes) signal(node int, s syscall.Signal, wait bool) {
+func (p *Processes) signal(node int, sig syscall.Signal, wait bool) {
 	n := p.nodes[node]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.processes {
-		_ = l.Signal(s)
+	for _, process := range n.processes {
+		_ = process.Signal(sig)
 		if wait {
-			<-l.Done()
+			<-process.Done()
 		}
 	}
 	n.reap()
@@ -296,8 +296,8 @@
 
 // Views asks all consoles at once.
 func (p *Processes) Views() []*members.View {
-	out := make([]*members.View, len(p.nodes))
-	var all sync.WaitGroup
+	views := make([]*members.View, len(p.nodes))
+	var calls sync.WaitGroup
 	for i, n := range p.nodes {
 		n.mu.Lock()
 		n.reap()
@@ -306,28 +306,28 @@
 		if !runs {
 			continue
 		}
-		all.Go(func() {
+		calls.Go(func() {
 			var v members.View
 			if status, text, err := Call(p.AdminAddress(i), "GET", "/members"); err == nil && status == 200 && json.Unmarshal(text, &v) == nil {
-				out[i] = &v
+				views[i] = &v
 			}
 		})
 	}
-	all.Wait()
-	return out
+	calls.Wait()
+	return views
 }
 
 // SendRequest has a node do one request, and tells how it was answered.
 func (p *Processes) SendRequest(node, number int) error { return p.sendRequest(node, "view", number) }
 
-func (p *Processes) sendRequest(node int, category string, number int) error {
+func (p *Processes) sendRequest(node int, class string, number int) error {
 	c, err := net.DialTimeout("tcp", p.ListenAddress(node), callTimeout)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(callTimeout))
-	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %016x\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", category, number, category)
+	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %016x\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", class, number, class)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return err
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -120,34 +120,34 @@
 	if err := startAll(p)(); err != nil {
 		t.Fatal(err)
 	}
-	begin := map[int64]int64{}
+	before := map[int64]int64{}
 	for i, v := range p.Views() {
-		begin[int64(i)] = v.Counters.Invalid + v.Counters.UnknownVersions
+		before[int64(i)] = v.Counters.Invalid + v.Counters.UnknownVersions
 	}
-	to, err := net.Dial("udp", p.mesh.Address(0, 0))
+	conn, err := net.Dial("udp", p.mesh.Address(0, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer to.Close()
-	over, done := make(chan struct{}), make(chan int)
+	defer conn.Close()
+	stop, done := make(chan struct{}), make(chan int)
 	go func() {
-		draw, sent := rand.New(rand.NewPCG(1, 1)), 0
+		random, sent := rand.New(rand.NewPCG(1, 1)), 0
 		buffer := make([]byte, 1400)
 		for k := range buffer {
-			buffer[k] = byte(draw.Uint32())
+			buffer[k] = byte(random.Uint32())
 		}
 		tick := time.NewTicker(time.Millisecond)
 		defer tick.Stop()
 		for {
 			select {
-			case <-over:
+			case <-stop:
 				done <- sent
 				return
 			case <-tick.C:
 			}
 			for range 10 {
 				buffer[0] = byte(1 + sent%4)
-				_, _ = to.Write(buffer[:draw.IntN(len(buffer))])
+				_, _ = conn.Write(buffer[:random.IntN(len(buffer))])
 				sent++
 			}
 		}
@@ -159,10 +159,10 @@
 		}
 	}
 	err = RequireDuring(p, 2*stablePeriods, "nobody is taken for silent", noneFailed(NodeRange(0, 4), NodeRange(0, 4)))
-	close(over)
+	close(stop)
 	if sent := <-done; err != nil {
 		t.Error(err)
-	} else if v := p.Views()[0]; v == nil || v.Counters.Invalid+v.Counters.UnknownVersions == begin[0] {
+	} else if v := p.Views()[0]; v == nil || v.Counters.Invalid+v.Counters.UnknownVersions == before[0] {
 		t.Errorf("of %d datagrams of nonsense none was counted", sent)
 	}
 }
@@ -196,8 +196,8 @@
 // TestMembershipDisabledBySettings has a features file where the settings do not allow messages: nothing listens, nothing is sent, nobody can ask.
 func TestMembershipDisabledBySettings(t *testing.T) {
 	p := newTestFleet(t, 2)
-	refused := strings.Replace(settingsTemplate, `"peer_messages":true`, `"peer_messages":false`, 1)
-	p.Settings = refused
+	disabled := strings.Replace(settingsTemplate, `"peer_messages":true`, `"peer_messages":false`, 1)
+	p.Settings = disabled
 	if err := p.Start(0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fleet/standins.go
+++ b/internal/lab/fleet/standins.go
@@ -36,86 +36,86 @@
 
 // Observe has every request told to a function once it is answered, by the endpoint's goroutine, and the last one of a connection again when
 // that has ended.
-func (s *Endpoint) Observe(one func(Arrival)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.observer = one
+func (e *Endpoint) Observe(observer func(Arrival)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.observer = observer
 }
 
 // SetDown has the server close all connections, and every new one at once, or brings it back.
-func (s *Endpoint) SetDown(down bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.down = down
-	for c := range s.conns {
+func (e *Endpoint) SetDown(down bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.down = down
+	for c := range e.conns {
 		c.Close()
 	}
 }
 
 // begin notes a connection; false: the server is down.
-func (s *Endpoint) addConn(c net.Conn) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.conns[c] = true
-	return !s.down
+func (e *Endpoint) addConn(c net.Conn) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.conns[c] = true
+	return !e.down
 }
 
-func (s *Endpoint) removeConn(c net.Conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.conns, c)
+func (e *Endpoint) removeConn(c net.Conn) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	delete(e.conns, c)
 }
 
 // Arrivals are the moments at which requests came, in order.
-func (s *Endpoint) Arrivals() []time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]time.Time(nil), s.arrivals...)
+func (e *Endpoint) Arrivals() []time.Time {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return append([]time.Time(nil), e.arrivals...)
 }
 
 func newEndpoint(name string) (*Endpoint, error) {
-	s := &Endpoint{Name: name, requests: map[string]int{}, conns: map[net.Conn]bool{}}
+	e := &Endpoint{Name: name, requests: map[string]int{}, conns: map[net.Conn]bool{}}
 	var err error
-	s.listener, err = serveConns(s.serveConn)
-	return s, err
+	e.listener, err = serveConns(e.serveConn)
+	return e, err
 }
 
-func (s *Endpoint) serveConn(c net.Conn) {
-	defer s.removeConn(c)
-	if !s.addConn(c) {
+func (e *Endpoint) serveConn(c net.Conn) {
+	defer e.removeConn(c)
+	if !e.addConn(c) {
 		return
 	}
 	var last Arrival
 	defer func() {
 		if last.ClosedAt = time.Now(); last.Request != "" {
-			s.notify(last)
+			e.notify(last)
 		}
 	}()
-	for in := bufio.NewReader(c); ; {
-		r, err := http.ReadRequest(in)
+	for reader := bufio.NewReader(c); ; {
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 		last = Arrival{Request: r.Header.Get("X-Txn"), ArrivedAt: time.Now()}
-		s.mu.Lock()
-		s.arrivals = append(s.arrivals, last.ArrivedAt)
-		s.requests[last.Request]++
-		s.mu.Unlock()
+		e.mu.Lock()
+		e.arrivals = append(e.arrivals, last.ArrivedAt)
+		e.requests[last.Request]++
+		e.mu.Unlock()
 		last.AnsweredAt = time.Now() // before the answer is written, so that nobody can know of it earlier
-		s.notify(last)
+		e.notify(last)
 		if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Pressure: queue=0\r\nContent-Length: 2\r\n\r\nok"); err != nil {
 			return
 		}
 	}
 }
 
-func (s *Endpoint) notify(a Arrival) {
-	s.mu.Lock()
-	note := s.observer
-	s.mu.Unlock()
-	if note != nil {
-		note(a)
+func (e *Endpoint) notify(a Arrival) {
+	e.mu.Lock()
+	observer := e.observer
+	e.mu.Unlock()
+	if observer != nil {
+		observer(a)
 	}
 }
 
@@ -182,9 +182,9 @@
 func (d *Discovery) sendKeepAlives() {
 	for ; ; time.Sleep(time.Second) {
 		d.mu.Lock()
-		over := d.closed
+		closed := d.closed
 		d.mu.Unlock()
-		if over {
+		if closed {
 			return
 		}
 		d.changed.Broadcast()
@@ -209,8 +209,8 @@
 
 func (d *Discovery) encodeList() string {
 	var hosts []string
-	for _, l := range d.list {
-		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,"health":%q,"share":1.0,"born_ms":%d}`, l.Endpoint.Name, l.Endpoint.listener.Addr(), l.State, l.StartedMs))
+	for _, entry := range d.list {
+		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,"health":%q,"share":1.0,"born_ms":%d}`, entry.Endpoint.Name, entry.Endpoint.listener.Addr(), entry.State, entry.StartedMs))
 	}
 	return fmt.Sprintf("{\"seq\":%d,\"whole\":true,\"hosts\":[%s]}\n", d.version, strings.Join(hosts, ","))
 }
@@ -234,12 +234,12 @@
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"); err != nil {
 		return
 	}
-	for told := ""; !d.down; d.changed.Wait() {
+	for lastSent := ""; !d.down; d.changed.Wait() {
 		text := d.encodeList()
-		if text == told {
+		if text == lastSent {
 			text = "\n"
 		} else {
-			told = text
+			lastSent = text
 		}
 		if _, err := io.WriteString(c, text); err != nil {
 			return
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -75,14 +75,14 @@
 	return v
 }
 
-func (v *Virtual) schedule(when int64, do func()) {
+func (v *Virtual) schedule(when int64, action func()) {
 	v.seq++
-	heap.Push(&v.events, event{when, v.seq, do})
+	heap.Push(&v.events, event{when, v.seq, action})
 }
 
 // Run lets time pass.
-func (v *Virtual) Run(long int64) {
-	for end := v.now + long; ; {
+func (v *Virtual) Run(duration int64) {
+	for end := v.now + duration; ; {
 		if len(v.events) == 0 || v.events[0].at > end {
 			v.now = end
 			return
@@ -119,64 +119,64 @@
 	if err != nil {
 		return err
 	}
-	life := s.incarnations
-	var beat func()
-	beat = func() {
-		if s.incarnations != life || s.membership == nil {
+	incarnation := s.incarnations
+	var tick func()
+	tick = func() {
+		if s.incarnations != incarnation || s.membership == nil {
 			return
 		}
 		if s.missedTick = s.paused; !s.paused {
 			s.membership.Tick(s.clock())
 		}
-		v.schedule(v.now+v.ProtocolPeriodNs/10, beat)
+		v.schedule(v.now+v.ProtocolPeriodNs/10, tick)
 	}
-	v.schedule(v.now+int64(v.random.Uint64()%uint64(v.ProtocolPeriodNs/10)), beat)
+	v.schedule(v.now+int64(v.random.Uint64()%uint64(v.ProtocolPeriodNs/10)), tick)
 	return nil
 }
 
 // enter has a node do something, once it is not held any more.
-func (s *simulatedNode) run(do func()) {
+func (s *simulatedNode) run(action func()) {
 	if s.paused {
 		if len(s.backlog) < 256 {
-			s.backlog = append(s.backlog, do)
+			s.backlog = append(s.backlog, action)
 		}
 		return
 	}
-	do()
+	action()
 }
 
 // Send carries a datagram over the links as they are.
 func (s *simulatedNode) Send(to int, datagram []byte) {
 	v := s.fleet
-	way := [2]int{s.index, to}
-	v.messageCounts[way]++
+	link := [2]int{s.index, to}
+	v.messageCounts[link]++
 	if v.Transform != nil {
 		datagram = v.Transform(to, datagram)
 	}
-	if len(v.nodes) <= maxCapturedNodes && v.captured[way] == nil {
-		v.captured[way] = datagram
+	if len(v.nodes) <= maxCapturedNodes && v.captured[link] == nil {
+		v.captured[link] = datagram
 	}
-	p := v.faults.FateOf(v.now, netfault.End{Index: s.index}, netfault.End{Index: to}, v.messageCounts[way], len(datagram))
-	if p.Lost {
+	fate := v.faults.FateOf(v.now, netfault.End{Index: s.index}, netfault.End{Index: to}, v.messageCounts[link], len(datagram))
+	if fate.Lost {
 		return
 	}
-	if p.CorruptByte >= 0 {
+	if fate.CorruptByte >= 0 {
 		datagram = append([]byte(nil), datagram...)
-		datagram[p.CorruptByte] ^= 0x55
+		datagram[fate.CorruptByte] ^= 0x55
 	}
-	after := v.LinkDelay + int64(v.random.Uint64()%uint64(v.LinkDelay/4+1)) + p.Delay
-	v.schedule(v.now+after, func() { v.Inject(to, datagram) })
-	if p.DuplicateAfter > 0 {
-		v.schedule(v.now+after+p.DuplicateAfter, func() { v.Inject(to, datagram) })
+	delay := v.LinkDelay + int64(v.random.Uint64()%uint64(v.LinkDelay/4+1)) + fate.Delay
+	v.schedule(v.now+delay, func() { v.Inject(to, datagram) })
+	if fate.DuplicateAfter > 0 {
+		v.schedule(v.now+delay+fate.DuplicateAfter, func() { v.Inject(to, datagram) })
 	}
 }
 
 // Inject implements Fleet.
 func (v *Virtual) Inject(to int, datagram []byte) {
 	if s := v.nodes[to]; s.membership != nil {
-		view := s.membership
+		membership := s.membership
 		s.run(func() {
-			if s.membership == view {
+			if s.membership == membership {
 				s.membership.Receive(s.clock(), datagram)
 			}
 		})
@@ -206,14 +206,14 @@
 // Thaw implements Fleet.
 func (v *Virtual) Resume(node int) {
 	s := v.nodes[node]
-	waits, missed := s.backlog, s.missedTick
+	backlog, missed := s.backlog, s.missedTick
 	s.paused, s.missedTick, s.backlog = false, false, nil
 	if missed && s.membership != nil { // of the ticks that a ticker missed it makes up for one
 		s.membership.Tick(s.clock())
 	}
-	for _, do := range waits {
+	for _, action := range backlog {
 		if s.membership != nil {
-			do()
+			action()
 		}
 	}
 }
@@ -225,15 +225,15 @@
 
 // from counts faults' times from a moment.
 func shiftFaults(now int64, faults []netfault.Fault) []netfault.Fault {
-	out := append([]netfault.Fault(nil), faults...)
-	for i := range out {
-		if out[i].Begin += now; out[i].End == 0 {
-			out[i].End = 1 << 62
+	shifted := append([]netfault.Fault(nil), faults...)
+	for i := range shifted {
+		if shifted[i].Begin += now; shifted[i].End == 0 {
+			shifted[i].End = 1 << 62
 		} else {
-			out[i].End += now
+			shifted[i].End += now
 		}
 	}
-	return out
+	return shifted
 }
 
 // ClearFaults implements Fleet.
@@ -241,14 +241,14 @@
 
 // Views implements Fleet.
 func (v *Virtual) Views() []*members.View {
-	out := make([]*members.View, len(v.nodes))
+	views := make([]*members.View, len(v.nodes))
 	for i, s := range v.nodes {
 		if s.membership != nil && !s.paused {
 			view := s.membership.View(s.clock())
-			out[i] = &view
+			views[i] = &view
 		}
 	}
-	return out
+	return views
 }
 
 var _ Fleet = (*Virtual)(nil)
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -60,7 +60,7 @@
 }
 
 func TestVirtualFleetIsDeterministic(t *testing.T) {
-	play := func() string {
+	run := func() string {
 		f := NewVirtual(20, 3)
 		if err := startAll(f)(); err != nil {
 			t.Fatal(err)
@@ -73,7 +73,7 @@
 		}
 		return out
 	}
-	first, second := play(), play()
+	first, second := run(), run()
 	if first != second {
 		t.Error("two plays of one fleet differ")
 	}
--- a/internal/lab/invariant/check.go
+++ b/internal/lab/invariant/check.go
@@ -87,14 +87,14 @@
 func (c *checker) report(v Violation) { c.violations = append(c.violations, v) }
 
 // excusedUntil is the end of the last excused time of a process that a span touches; 0 if there is none.
-func (c *checker) excusedUntil(k processKey, from, to int64) (end int64) {
-	p := c.processes[k]
+func (c *checker) excusedUntil(process processKey, from, to int64) (end int64) {
+	p := c.processes[process]
 	if p == nil {
 		return 0
 	}
-	for _, s := range p.Excused {
-		if s.From <= to && from < s.To {
-			end = max(end, s.To)
+	for _, interval := range p.Excused {
+		if interval.From <= to && from < interval.To {
+			end = max(end, interval.To)
 		}
 	}
 	return end
--- a/internal/lab/invariant/drain.go
+++ b/internal/lab/invariant/drain.go
@@ -14,14 +14,14 @@
 	known := c.knownStates()
 	for _, a := range c.Attempts {
 		process := processKey{a.Node, c.incarnationAt(a.Node, a.FirstByteAt)}
-		drains := c.drainKnownAt(process, known[endpointKey{a.Node, process.incarnation, a.Endpoint}], a.FirstByteAt)
-		if drains == Never || a.FirstByteAt <= drains+c.rules.StopSendingWithin+c.rules.linkSlack(a.FirstByteAt) {
+		drainingSince := c.drainKnownAt(process, known[endpointKey{a.Node, process.incarnation, a.Endpoint}], a.FirstByteAt)
+		if drainingSince == Never || a.FirstByteAt <= drainingSince+c.rules.StopSendingWithin+c.rules.linkSlack(a.FirstByteAt) {
 			continue
 		}
-		if c.rules.ListGossip && c.listedUpSince(a.Endpoint, drains, a.FirstByteAt) {
+		if c.rules.ListGossip && c.listedUpSince(a.Endpoint, drainingSince, a.FirstByteAt) {
 			continue
 		}
-		late := float64(a.FirstByteAt-drains) / 1e6
+		late := float64(a.FirstByteAt-drainingSince) / 1e6
 		c.report(Violation{
 			Rule: 3, Description: fmt.Sprintf("sent to a draining or gone server %.0f ms after it was told", late),
 			Request: a.Request, Attempt: slices.Index(c.attemptsByID[a.Request], a),
--- a/internal/lab/invariant/listknowledge.go
+++ b/internal/lab/invariant/listknowledge.go
@@ -139,11 +139,11 @@
 		if i == 0 || !p.Persistent || processes[i-1].Node != p.Node {
 			continue
 		}
-		before := processes[i-1]
+		predecessor := processes[i-1]
 		for endpoint := range c.endpointsListed() {
 			last := knownState{state: model.Up}
-			for _, s := range known[endpointKey{p.Node, before.Incarnation, endpoint}] {
-				if s.at <= before.EndedAt-persistDelay {
+			for _, s := range known[endpointKey{p.Node, predecessor.Incarnation, endpoint}] {
+				if s.at <= predecessor.EndedAt-persistDelay {
 					last = s
 				}
 			}
@@ -173,19 +173,19 @@
 // findKnownStarts returns from when each process knew of each start: received, or presumed to be known.
 func (c *checker) findKnownStarts() map[endpointStart]int64 {
 	since := map[endpointStart]int64{}
-	know := func(k endpointStart, at int64) {
-		if was, had := since[k]; !had || at < was {
+	record := func(k endpointStart, at int64) {
+		if previous, known := since[k]; !known || at < previous {
 			since[k] = at
 		}
 	}
 	for _, e := range c.Entries {
-		know(endpointStart{e.Node, e.Incarnation, e.Endpoint, e.StartedAt}, e.At)
+		record(endpointStart{e.Node, e.Incarnation, e.Endpoint, e.StartedAt}, e.At)
 	}
 	for _, p := range c.Processes {
 		unreachable := c.discoveryUnreachable(p)
 		for _, change := range c.ListChanges {
 			if at := c.presumedAt(p, unreachable, change.At); at != Never && change.State == model.Up {
-				know(endpointStart{p.Node, p.Incarnation, change.Endpoint, change.StartedAt}, at)
+				record(endpointStart{p.Node, p.Incarnation, change.Endpoint, change.StartedAt}, at)
 			}
 		}
 	}
@@ -197,6 +197,6 @@
 	if c.knownStarts == nil {
 		c.knownStarts = c.findKnownStarts()
 	}
-	at, had := c.knownStarts[endpointStart{a.Node, c.incarnationAt(a.Node, a.At), endpoint, startedAt}]
-	return had && at <= a.At
+	at, known := c.knownStarts[endpointStart{a.Node, c.incarnationAt(a.Node, a.At), endpoint, startedAt}]
+	return known && at <= a.At
 }
--- a/internal/lab/invariant/readiness.go
+++ b/internal/lab/invariant/readiness.go
@@ -33,7 +33,7 @@
 func (c *checker) firstIncarnations() map[int]int {
 	first := map[int]int{}
 	for _, p := range c.Processes {
-		if incarnation, had := first[p.Node]; !had || p.Incarnation < incarnation {
+		if incarnation, known := first[p.Node]; !known || p.Incarnation < incarnation {
 			first[p.Node] = p.Incarnation
 		}
 	}
--- a/internal/lab/invariant/repeats.go
+++ b/internal/lab/invariant/repeats.go
@@ -32,9 +32,9 @@
 	attempts, first := c.attemptsOf(r)
 	for n, a := range attempts {
 		for _, earlier := range attempts[:n] {
-			if what := c.wrongRepeat(class, earlier, a); what != "" {
+			if description := c.wrongRepeat(class, earlier, a); description != "" {
 				c.report(Violation{
-					Rule: 2, Description: what,
+					Rule: 2, Description: description,
 					Request: r.ID, Attempt: first + n, Endpoint: a.Endpoint, Node: a.Node, At: a.FirstByteAt,
 				})
 				break
--- a/internal/lab/invariant/response.go
+++ b/internal/lab/invariant/response.go
@@ -26,18 +26,18 @@
 	if r.ExtraAt != Never {
 		c.reportResponse(r, r.ExtraAt, "a second answer")
 	}
-	over := r.AnsweredAt
-	if over == Never {
-		over = due
+	endedAt := r.AnsweredAt
+	if endedAt == Never {
+		endedAt = due
 	}
-	if over == due && excused {
+	if endedAt == due && excused {
 		return // a node that was paused reads a request late, and cannot know when it came
 	}
-	c.checkAttemptsAfter(r, over)
+	c.checkAttemptsAfter(r, endedAt)
 }
 
-func (c *checker) reportResponse(r *Request, at int64, what string) {
-	c.report(Violation{Rule: 1, Description: what, Request: r.ID, Attempt: -1, Endpoint: -1, Node: r.Node, At: at})
+func (c *checker) reportResponse(r *Request, at int64, description string) {
+	c.report(Violation{Rule: 1, Description: description, Request: r.ID, Attempt: -1, Endpoint: -1, Node: r.Node, At: at})
 }
 
 // checkCloseRace checks a request that crossed the closing of its connection. A node may close an idle connection, but one
@@ -62,10 +62,10 @@
 }
 
 // checkAttemptsAfter reports attempts that began after the response was given or due.
-func (c *checker) checkAttemptsAfter(r *Request, over int64) {
+func (c *checker) checkAttemptsAfter(r *Request, endedAt int64) {
 	attempts, first := c.attemptsOf(r)
 	for n, a := range attempts {
-		if a.Node == r.Node && a.FirstByteAt > over+c.rules.linkSlack(a.FirstByteAt) {
+		if a.Node == r.Node && a.FirstByteAt > endedAt+c.rules.linkSlack(a.FirstByteAt) {
 			c.report(Violation{
 				Rule: 1, Description: "sent to a server after its final answer was due or given",
 				Request: r.ID, Attempt: first + n, Endpoint: a.Endpoint, Node: r.Node, At: a.FirstByteAt,
@@ -81,14 +81,14 @@
 	}
 	// A node that was paused when the client went learns of it afterwards.
 	process := processKey{r.Node, r.Incarnation}
-	gone := max(r.CanceledAt, c.excusedUntil(process, r.CanceledAt, r.CanceledAt+c.rules.CancelGrace))
-	if gone == Never {
+	canceledAt := max(r.CanceledAt, c.excusedUntil(process, r.CanceledAt, r.CanceledAt+c.rules.CancelGrace))
+	if canceledAt == Never {
 		return
 	}
 	attempts, first := c.attemptsOf(r)
 	for n, a := range attempts {
-		if a.Node == r.Node && a.FirstByteAt > gone+c.rules.CancelGrace+c.rules.linkSlack(a.FirstByteAt) {
-			late := float64(a.FirstByteAt-gone) / 1e6
+		if a.Node == r.Node && a.FirstByteAt > canceledAt+c.rules.CancelGrace+c.rules.linkSlack(a.FirstByteAt) {
+			late := float64(a.FirstByteAt-canceledAt) / 1e6
 			c.attemptsAfterCancel = append(c.attemptsAfterCancel, Violation{
 				Rule: 1, Description: fmt.Sprintf("sent to a server %.0f ms after its client had gone", late),
 				Request: r.ID, Attempt: first + n, Endpoint: a.Endpoint, Node: a.Node, At: a.FirstByteAt,
--- a/internal/lab/netfault/netfault_test.go
+++ b/internal/lab/netfault/netfault_test.go
@@ -39,45 +39,45 @@
 func TestFaultsAffectTheirShare(t *testing.T) {
 	a, b := End{Node, 0}, End{Node, 1}
 	for _, c := range []struct {
-		trouble Kind
-		struck  func(Fate) bool
+		kind Kind
+		affected  func(Fate) bool
 		share   float64
 	}{
-		{Cut, func(v Fate) bool { return v.Lost }, 1},
-		{Drop, func(v Fate) bool { return v.Lost }, 0.3},
-		{Delay, func(v Fate) bool { return v.Delay >= 5e6 }, 1},
-		{Duplicate, func(v Fate) bool { return v.DuplicateAfter > 0 }, 0.3},
-		{Reorder, func(v Fate) bool { return v.Delay > 0 }, 0.3},
-		{Corrupt, func(v Fate) bool { return v.CorruptByte >= 0 && v.CorruptByte < 100 }, 0.3},
-		{Throttle, func(v Fate) bool { return v.Rate == 1000 }, 1},
+		{Cut, func(fate Fate) bool { return fate.Lost }, 1},
+		{Drop, func(fate Fate) bool { return fate.Lost }, 0.3},
+		{Delay, func(fate Fate) bool { return fate.Delay >= 5e6 }, 1},
+		{Duplicate, func(fate Fate) bool { return fate.DuplicateAfter > 0 }, 0.3},
+		{Reorder, func(fate Fate) bool { return fate.Delay > 0 }, 0.3},
+		{Corrupt, func(fate Fate) bool { return fate.CorruptByte >= 0 && fate.CorruptByte < 100 }, 0.3},
+		{Throttle, func(fate Fate) bool { return fate.Rate == 1000 }, 1},
 	} {
-		f := Fault{Kind: c.trouble, From: []End{a}, To: []End{b}, OneWay: true, Begin: 10, End: 20, Share: 0.3, Burst: 4, Wait: 5e6, Rate: 1000, Seed: 9}
+		f := Fault{Kind: c.kind, From: []End{a}, To: []End{b}, OneWay: true, Begin: 10, End: 20, Share: 0.3, Burst: 4, Wait: 5e6, Rate: 1000, Seed: 9}
 		s := New([]Fault{f})
-		struck, runs, last := 0, 0, false
+		affected, changes, previous := 0, 0, false
 		for n := range uint64(20000) {
-			v := s.FateOf(15, a, b, n, 100)
-			if v != s.FateOf(15, a, b, n, 100) {
-				t.Fatal(c.trouble, ": not the same twice")
+			fate := s.FateOf(15, a, b, n, 100)
+			if fate != s.FateOf(15, a, b, n, 100) {
+				t.Fatal(c.kind, ": not the same twice")
 			}
-			is := c.struck(v)
-			if is {
-				struck++
+			hit := c.affected(fate)
+			if hit {
+				affected++
 			}
-			if is != last {
-				runs++
+			if hit != previous {
+				changes++
 			}
-			last = is
+			previous = hit
 			for _, other := range []Fate{s.FateOf(9, a, b, n, 100), s.FateOf(20, a, b, n, 100), s.FateOf(15, b, a, n, 100)} {
 				if other != (Fate{CorruptByte: -1}) {
-					t.Fatalf("%s: strikes before, after, or the other way: %+v", c.trouble, other)
+					t.Fatalf("%s: strikes before, after, or the other way: %+v", c.kind, other)
 				}
 			}
 		}
-		if part := float64(struck) / 20000; math.Abs(part-c.share) > 0.02 {
-			t.Errorf("%s: %.3f struck, want %.2f", c.trouble, part, c.share)
+		if fraction := float64(affected) / 20000; math.Abs(fraction-c.share) > 0.02 {
+			t.Errorf("%s: %.3f struck, want %.2f", c.kind, fraction, c.share)
 		}
-		if c.share < 1 && runs > 20000/4 {
-			t.Errorf("%s: %d runs, so not in bursts of 4", c.trouble, runs)
+		if c.share < 1 && changes > 20000/4 {
+			t.Errorf("%s: %d runs, so not in bursts of 4", c.kind, changes)
 		}
 	}
 }
--- a/internal/lab/netfault/report.go
+++ b/internal/lab/netfault/report.go
@@ -38,19 +38,19 @@
 // partitionOf returns the nodes that a node reaches both ways, directly or through others, in order, and marks them as seen.
 func (s *Schedule) partitionOf(now int64, node int, seen []bool) []int {
 	seen[node] = true
-	part := []int{node}
-	for k := 0; k < len(part); k++ {
-		a := End{Node, part[k]}
+	partition := []int{node}
+	for k := 0; k < len(partition); k++ {
+		a := End{Node, partition[k]}
 		for j := range seen {
 			b := End{Node, j}
 			if !seen[j] && s.Open(now, a, b) && s.Open(now, b, a) {
 				seen[j] = true
-				part = append(part, j)
+				partition = append(partition, j)
 			}
 		}
 	}
-	slices.Sort(part)
-	return part
+	slices.Sort(partition)
+	return partition
 }
 
 // String names the fault with its ends.
@@ -68,38 +68,38 @@
 		byKind[e.Kind] = append(byKind[e.Kind], e.Index)
 	}
 	var names []string
-	if of := byKind[Node]; len(of) > 0 {
-		names = append(names, NodeRanges(of))
+	if indexes := byKind[Node]; len(indexes) > 0 {
+		names = append(names, NodeRanges(indexes))
 	}
-	if of := byKind[Endpoint]; len(of) > 0 {
-		names = append(names, "server "+numberRanges(of))
+	if indexes := byKind[Endpoint]; len(indexes) > 0 {
+		names = append(names, "server "+numberRanges(indexes))
 	}
 	if len(byKind[Discovery]) > 0 {
 		names = append(names, "discovery")
 	}
-	if of := byKind[Client]; len(of) > 0 {
-		names = append(names, "clients "+numberRanges(of))
+	if indexes := byKind[Client]; len(indexes) > 0 {
+		names = append(names, "clients "+numberRanges(indexes))
 	}
 	return strings.Join(names, " ")
 }
 
 // numbers is Ranges without the letter for nodes.
-func numberRanges(list []int) string { return strings.ReplaceAll(NodeRanges(list), "n", "") }
+func numberRanges(nodes []int) string { return strings.ReplaceAll(NodeRanges(nodes), "n", "") }
 
 // Ranges puts numbers of nodes, in order, into words: n0..n3 n7.
-func NodeRanges(list []int) string {
-	var words []string
-	for i := 0; i < len(list); {
+func NodeRanges(nodes []int) string {
+	var ranges []string
+	for i := 0; i < len(nodes); {
 		j := i
-		for j+1 < len(list) && list[j+1] == list[j]+1 {
+		for j+1 < len(nodes) && nodes[j+1] == nodes[j]+1 {
 			j++
 		}
-		word := fmt.Sprintf("n%d", list[i])
+		text := fmt.Sprintf("n%d", nodes[i])
 		if j > i {
-			word = fmt.Sprintf("%s..n%d", word, list[j])
+			text = fmt.Sprintf("%s..n%d", text, nodes[j])
 		}
-		words = append(words, word)
+		ranges = append(ranges, text)
 		i = j + 1
 	}
-	return strings.Join(words, " ")
+	return strings.Join(ranges, " ")
 }
