--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline implements well-known load balancing policies as deciders for runs in virtual time, to compare the
-// decisions with. They keep the same rules on retries, draining endpoints and slow start, and differ in how they select
-// an endpoint. Two of them read the true state of the cluster, which no node can.
+// Package baseline implements well-known load balancing policies as deciders for runs in virtual time, for comparison
+// with the balancer's decisions. All keep the same rules on retries, draining endpoints and slow start, and differ in
+// how they select an endpoint. Two of them read the true state of the cluster, which no node can.
 package baseline
 
 import (
@@ -12,7 +12,7 @@
 	"fawnglade/policy"
 )
 
-// The names of the baselines, as the lab's commands take them.
+// Names of the baselines, as used by the lab's commands.
 const (
 	random           = "random"
 	roundRobin       = "round-robin"
@@ -25,20 +25,20 @@
 	delayedTrueState = "late-seeing"
 )
 
-// Kinds are the baselines by name, with what they do and where they are from.
+// Descriptions maps the names of the baselines to descriptions with their sources.
 var Descriptions = map[string]string{
-	random:           "an even draw",
-	roundRobin:       "one after another",
+	random:           "uniform random choice",
+	roundRobin:       "endpoints in turn",
 	leastInFlight:    "fewest own attempts in flight",
-	twoChoices:       "the one with fewer out of two drawn (Mitzenmacher, 2001)",
-	peakEWMA:         "the lower of two by peak-sensitive latency times attempts in flight (Finagle's balancer, by its documentation)",
-	hotCold:          "the quickest of those not hot by reported load, from a pool of reports (Wydrowski et al., Prequal, NSDI 2024)",
+	twoChoices:       "the one with fewer own attempts in flight of two random endpoints (Mitzenmacher, 2001)",
+	peakEWMA:         "the lower of two random endpoints by peak-sensitive latency times attempts in flight (Finagle, by its documentation)",
+	hotCold:          "the lowest latency among endpoints not hot by reported load, from a pool of reports (Wydrowski et al., Prequal, NSDI 2024)",
 	boundedHash:      "consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018)",
-	trueState:        "the earliest end by the true state of all endpoints; it rejects what would be late",
-	delayedTrueState: "the same by the state of half a second ago, drawn by how soon each would end",
+	trueState:        "the earliest completion by the true state of all endpoints; rejects requests that would be late",
+	delayedTrueState: "random choice, weighted by predicted completion, by the true state half a second ago",
 }
 
-// Names returns the names of the baselines in order.
+// Names returns the sorted names of the baselines.
 func Names() []string {
 	var names []string
 	for name := range Descriptions {
@@ -50,9 +50,9 @@
 
 const (
 	retryWatchAfter = policy.Time(time.Second)
-	// slowStartLoadFactor is the part that an endpoint in slow start is offered of the capacity that it surely has.
+	// slowStartLoadFactor is the fraction of its guaranteed capacity at which an endpoint in slow start is used.
 	slowStartLoadFactor    = 0.75
-	healthChecksPerRequest = 2 // per request, by hotCold
+	healthChecksPerRequest = 2 // by hotCold
 )
 
 // Cookies of timers.
@@ -64,15 +64,15 @@
 // randomStream separates the deciders' random draws from other users of the seed.
 const randomStream = 5
 
-// endpoint as one node knows it.
+// endpoint is the state that one node keeps of an endpoint.
 type endpoint struct {
 	policy.EndpointInfo
 	inFlight  int         // own attempts
-	latency   float64     // peak-sensitive average for peakEWMA, nanoseconds; 0: unknown
+	latency   float64     // peak-sensitive average, of peakEWMA, nanoseconds; 0: unknown
 	updatedAt policy.Time // of latency
 }
 
-// request is one that has not ended.
+// request is the state of a request that has not ended.
 type request struct {
 	policy.Request
 	attempts   []policy.EndpointID
@@ -81,7 +81,7 @@
 	done       bool
 }
 
-// Decider is a baseline at one node. Like the module's decisions it is called from one goroutine at a time.
+// Decider is a baseline at one node. Like the balancer, it must be called from one goroutine at a time.
 type Decider struct {
 	kind      string
 	node      int
@@ -94,23 +94,23 @@
 	byID      map[policy.EndpointID]*endpoint
 	requests  map[policy.RequestID]*request
 	reports   []pooledReport // of hotCold, the oldest first
-	meanWork  []float64      // by class: running mean, nanoseconds of a core; of trueState and delayedTrueState
+	meanWork  []float64      // running mean by class, nanoseconds of one core; of trueState and delayedTrueState
 	snapshots []snapshot     // of delayedTrueState, the oldest first
 	started   bool
 }
 
 var _ simulation.Decider = (*Decider)(nil)
 
-// initialWork is assumed of a class until a request of it has ended, nanoseconds of a core.
+// initialWork is the assumed work of a class until a request of it has succeeded, nanoseconds of one core.
 const initialWork = float64(20 * time.Millisecond)
 
-// New returns the constructor of a baseline, by one of Names.
+// New returns the constructor of the baseline with a name from Names.
 func New(kind string) simulation.NewDecider {
 	return func(node int, settings policy.Settings, seed uint64, effects policy.Effects, cluster simulation.ClusterState) simulation.Decider {
 		return &Decider{
 			kind: kind, node: node, settings: settings, effects: effects, cluster: cluster,
 			random:    rand.New(rand.NewPCG(seed, randomStream)),
-			nextIndex: int(seed % 7919), // so that nodes do not go in step
+			nextIndex: int(seed % 7919), // so that nodes do not run in lockstep
 			byID:      map[policy.EndpointID]*endpoint{},
 			requests:  map[policy.RequestID]*request{},
 			meanWork:  slices.Repeat([]float64{initialWork}, len(settings.Classes)),
@@ -118,7 +118,7 @@
 	}
 }
 
-// EndpointsUpdated takes the endpoint list; if it is not complete, what has changed in it.
+// EndpointsUpdated handles an update of the endpoint list: the whole list if it is complete, else the changed entries.
 func (d *Decider) EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, complete bool) {
 	if complete {
 		for _, e := range d.endpoints {
@@ -143,7 +143,7 @@
 	}
 }
 
-// start begins what goes on from the first list on.
+// start starts the watch and the snapshots, after the first list.
 func (d *Decider) start(now policy.Time) {
 	d.started = true
 	if d.settings.MustPollList {
@@ -154,10 +154,10 @@
 	}
 }
 
-// WatchFailed watches again a second later.
+// WatchFailed retries the watch a second later.
 func (d *Decider) WatchFailed(now policy.Time) { d.effects.SetTimer(now+retryWatchAfter, watchTimer) }
 
-// TimerFired continues what the timer was set for.
+// TimerFired handles a timer by its cookie.
 func (d *Decider) TimerFired(now policy.Time, cookie uint64) {
 	if cookie == watchTimer {
 		d.effects.WatchEndpoints()
@@ -192,9 +192,9 @@
 	d.effects.Send(r.ID, e.ID, r.Deadline.Sub(now))
 }
 
-// candidates returns the endpoints that a request may go to now: none after its deadline, with its attempts used up, or
-// if it is not idempotent and may have run. The endpoint of the last attempt is left out, those in slow start are
-// drawn.
+// candidates returns the endpoints that a request may be sent to now: none after its deadline, after MaxAttempts
+// attempts, or if it is not idempotent and may have run. It leaves out the endpoint of the last attempt, and includes
+// endpoints in slow start with a probability that grows with their warm fraction.
 func (d *Decider) candidates(now policy.Time, r *request, class *policy.Class) []*endpoint {
 	if now >= r.Deadline || len(r.attempts) >= d.settings.MaxAttempts {
 		return nil
@@ -217,7 +217,8 @@
 	return candidates
 }
 
-// warmFraction is the part of its capacity that an endpoint surely has: 1 unless it is in slow start.
+// warmFraction returns the fraction of its capacity that an endpoint is guaranteed to have: 1 unless it is in slow
+// start.
 func (d *Decider) warmFraction(now policy.Time, e *endpoint) float64 {
 	age := now - e.StartedAt
 	if e.StartedAt == 0 || age >= policy.Time(d.settings.SlowStartWindow) {
@@ -227,7 +228,7 @@
 	return minimum + (1-minimum)*float64(max(age, 0))/float64(d.settings.SlowStartWindow)
 }
 
-// rejectOrFail rejects a request if a retry by the client does no harm, else it fails it.
+// rejectOrFail ends a request: it rejects it if a retry by the client is safe, else it fails it.
 func (d *Decider) rejectOrFail(r *request, class *policy.Class) {
 	r.done = true
 	if class.Idempotency == policy.Idempotent || !r.mayHaveRun {
@@ -238,7 +239,7 @@
 	delete(d.requests, r.ID)
 }
 
-// AttemptEnded takes the end of an attempt, and retries unless the request is done.
+// AttemptEnded handles the end of an attempt, and retries unless the request is done.
 func (d *Decider) AttemptEnded(now policy.Time, a policy.AttemptResult) {
 	if e := d.byID[a.Endpoint]; e != nil {
 		e.inFlight--
@@ -261,7 +262,7 @@
 	d.startAttempt(now, r)
 }
 
-// observe learns from the end of an attempt.
+// observe updates latency, work and load reports from the end of an attempt.
 func (d *Decider) observe(now policy.Time, e *endpoint, a policy.AttemptResult) {
 	if a.Outcome == policy.OutcomeSucceeded || a.Outcome == policy.OutcomeTimedOut {
 		e.observeLatency(now, float64(a.Elapsed))
@@ -274,7 +275,7 @@
 	}
 }
 
-// ClientGone cancels the attempts of a request whose client has gone.
+// ClientGone cancels the attempts of a request whose client closed its connection or canceled.
 func (d *Decider) ClientGone(_ policy.Time, id policy.RequestID) {
 	r := d.requests[id]
 	if r == nil {
@@ -291,12 +292,12 @@
 	}
 }
 
-// HealthChecked takes the load report of a health check.
+// HealthChecked handles the load report of a health check.
 func (d *Decider) HealthChecked(now policy.Time, id policy.EndpointID, outcome policy.Outcome, report policy.LoadReport) {
 	if e := d.byID[id]; e != nil && outcome == policy.OutcomeSucceeded {
 		d.addReport(now, e, report, e.latency)
 	}
 }
 
-// GossipReceived ignores gossip: no baseline uses any.
+// GossipReceived ignores gossip, which no baseline uses.
 func (d *Decider) GossipReceived(policy.Time, policy.GossipMessage) {}
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -8,8 +8,8 @@
 	"fawnglade/internal/lab/trace"
 )
 
-// A comparison with a baseline that violates invariants says nothing; in a calm run each has to serve nearly all
-// requests.
+// Guards against comparisons with a baseline that violates invariants, which would mean nothing. Without faults, each
+// baseline has to serve nearly all requests.
 func TestBaselinesKeepInvariants(t *testing.T) {
 	for _, name := range []string{"calm", "drained", "nodes-killed", "replaced"} {
 		s, err := scenario.Read("../../../lab/scenarios/" + name + ".toml")
@@ -22,7 +22,7 @@
 				t.Fatal(err)
 			}
 			if len(r.Violations) > 0 {
-				t.Errorf("%s on %s: %v", kind, name, r.Violations[0])
+				t.Errorf("%s on %s: got violation %v, want none", kind, name, r.Violations[0])
 			}
 			succeeded := 0
 			for _, o := range r.Outcomes {
@@ -31,13 +31,14 @@
 				}
 			}
 			if name == "calm" && succeeded < len(r.Outcomes)*98/100 {
-				t.Errorf("%s served %d of %d in a calm run", kind, succeeded, len(r.Outcomes))
+				t.Errorf("%s without faults: got %d of %d requests served, want at least 98 in 100", kind, succeeded, len(r.Outcomes))
 			}
 		}
 	}
 }
 
-// Where endpoints are unequal and some are slow, a policy that knows their state has to do better than a random choice.
+// If endpoints are unequal and some are slow, policies that use their state answer more requests in time than random
+// choice.
 func TestKnownStateBeatsRandomChoice(t *testing.T) {
 	s, err := scenario.Read("../../../lab/scenarios/slow.toml")
 	if err != nil {
@@ -56,6 +57,6 @@
 		}
 	}
 	if inTime["all-seeing"] <= inTime["random"] || inTime["late-seeing"] <= inTime["random"] || inTime["hot-cold"] <= inTime["random"] {
-		t.Errorf("in time: %v", inTime)
+		t.Errorf("got requests in time %v, want more for each policy than for random", inTime)
 	}
 }
--- a/internal/lab/baseline/hotcold.go
+++ b/internal/lab/baseline/hotcold.go
@@ -9,24 +9,24 @@
 )
 
 // hotCold keeps a small pool of recent load reports. Endpoints above a quantile of reported load are hot; it selects
-// the quickest that is not hot, and a hot one only if there is no other.
+// the endpoint with the lowest latency among those not hot, and a hot one only if there is no other.
 
 const (
 	maxPooledReports = 16
 	maxReportAge     = policy.Time(time.Second)
 	hotQuantile      = 0.84
-	hotPenalty       = float64(time.Second) // above the cost of any that is not hot
+	hotPenalty       = float64(time.Second) // exceeds the cost of any endpoint that is not hot, nanoseconds
 )
 
 // pooledReport is a load report that has not been used yet.
 type pooledReport struct {
 	at       policy.Time
 	endpoint policy.EndpointID
-	load     float64 // queue, utilization and own attempts in flight
+	load     float64 // sum of queue length, utilization and own attempts in flight
 	latency  float64 // nanoseconds
 }
 
-// addReport adds a report to the pool, with a latency for reports that have none, in nanoseconds.
+// addReport adds a report to the pool. latency, in nanoseconds, is used if the report has no service time.
 func (d *Decider) addReport(now policy.Time, e *endpoint, report policy.LoadReport, latency float64) {
 	load := max(report.QueueLength, 0) + max(report.Utilization, 0) + float64(e.inFlight)
 	if report.ServiceTime >= 0 {
@@ -38,8 +38,8 @@
 	}
 }
 
-// selectHotCold selects from the pool, at random while it has fewer than two reports. A report is used once, against
-// herding.
+// selectHotCold selects by the pool, or at random while that has fewer than two reports. Each report is used once, to
+// avoid herding.
 func (d *Decider) selectHotCold(now policy.Time, candidates []*endpoint) *endpoint {
 	for len(d.reports) > 0 && now-d.reports[0].at > maxReportAge {
 		d.reports = d.reports[1:]
@@ -70,7 +70,7 @@
 	return best
 }
 
-// hotLoad is the reported load above which an endpoint is hot.
+// hotLoad returns the reported load above which an endpoint is hot.
 func (d *Decider) hotLoad() float64 {
 	var loads []float64
 	for _, report := range d.reports {
--- a/internal/lab/baseline/selection.go
+++ b/internal/lab/baseline/selection.go
@@ -11,10 +11,10 @@
 const (
 	latencyDecay    = float64(10 * time.Second) // time constant of peakEWMA, nanoseconds
 	unknownLatency  = float64(time.Millisecond) // assumed by peakEWMA until an endpoint has answered, nanoseconds
-	boundedHashLoad = 1.25                      // of the mean, that boundedHash puts on an endpoint at most
+	boundedHashLoad = 1.25                      // bound on attempts in flight relative to the mean, of boundedHash
 )
 
-// pick selects one of the candidates; nil if none is fit.
+// selectEndpoint selects one of the candidates; nil if none is suitable.
 func (d *Decider) selectEndpoint(now policy.Time, r *request, candidates []*endpoint) *endpoint {
 	if len(candidates) == 0 {
 		return nil
@@ -47,7 +47,7 @@
 	return candidates[d.random.IntN(len(candidates))]
 }
 
-// lowerOfTwo draws two and returns the one with the lower cost.
+// lowerOfTwo draws two candidates at random and returns the one with the lower cost.
 func (d *Decider) lowerOfTwo(candidates []*endpoint, cost func(*endpoint) float64) *endpoint {
 	first := d.drawEndpoint(candidates)
 	second := d.drawEndpoint(candidates)
@@ -57,7 +57,8 @@
 	return first
 }
 
-// lowest returns the one with the lowest cost, drawn among equals; nil if all costs are infinite and none is drawn.
+// lowest returns the candidate with the lowest cost, at random among equals. It may return nil if all costs are
+// infinite.
 func (d *Decider) lowest(candidates []*endpoint, cost func(*endpoint) float64) *endpoint {
 	var best *endpoint
 	lowest, equals := math.Inf(1), 0
@@ -76,7 +77,8 @@
 	return best
 }
 
-// decayedLatency is the peak-sensitive average latency, which decays to 0 while nothing is observed, nanoseconds.
+// decayedLatency returns the peak-sensitive average latency in nanoseconds, which decays to 0 while nothing is
+// observed.
 func (e *endpoint) decayedLatency(now policy.Time) float64 {
 	if e.latency == 0 {
 		return unknownLatency
@@ -84,7 +86,7 @@
 	return e.latency * math.Exp(-float64(now-e.updatedAt)/latencyDecay)
 }
 
-// observeLatency takes a peak over at once, and averages lower latencies, in nanoseconds.
+// observeLatency updates the average with a latency in nanoseconds: a peak replaces it, lower values are averaged.
 func (e *endpoint) observeLatency(now policy.Time, elapsed float64) {
 	if e.latency == 0 || elapsed > e.decayedLatency(now) {
 		e.latency = elapsed
@@ -95,7 +97,8 @@
 	e.updatedAt = now
 }
 
-// selectBoundedHash returns the first in the order of rendezvous hashing that is not over its bound; nil if all are.
+// selectBoundedHash returns the candidate with the highest rendezvous score that is below its load bound; nil if none
+// is.
 func selectBoundedHash(r *request, candidates []*endpoint) *endpoint {
 	name := r.Key
 	if name == "" {
--- a/internal/lab/baseline/truestate.go
+++ b/internal/lab/baseline/truestate.go
@@ -7,28 +7,28 @@
 	"fawnglade/policy"
 )
 
-// trueState and delayedTrueState read the true state of all endpoints, now or half a second ago. They tell how much a policy
-// could gain.
+// trueState and delayedTrueState read the true state of all endpoints, now or half a second ago. They bound how much a
+// policy could gain.
 
 const (
 	snapshotPeriod = policy.Time(time.Second / 4)
-	snapshotAge    = policy.Time(time.Second / 2) // at least, at which a snapshot is used
-	workSmoothing  = 64                           // requests over which the mean work of a class is taken
+	snapshotAge    = policy.Time(time.Second / 2) // minimum age at which a snapshot is used
+	workSmoothing  = 64                           // averaging window of a class's mean work, requests
 )
 
 // trueLoad is the true state of an endpoint that is up.
 type trueLoad struct {
 	inFlight float64 // requests at the endpoint
-	capacity float64 // nanoseconds of work a second
+	capacity float64 // nanoseconds of work per second
 }
 
-// snapshot is the true state at a moment.
+// snapshot is the true state at one time.
 type snapshot struct {
 	at    policy.Time
-	loads map[policy.EndpointID]trueLoad // without endpoints that are not up
+	loads map[policy.EndpointID]trueLoad // of endpoints that are up
 }
 
-// takeSnapshot stores the true state for later use, and sets the timer for the next one.
+// takeSnapshot stores the true state, drops snapshots that are no longer needed, and sets the timer for the next one.
 func (d *Decider) takeSnapshot(now policy.Time) {
 	loads := map[policy.EndpointID]trueLoad{}
 	for _, e := range d.endpoints {
@@ -43,7 +43,7 @@
 	d.effects.SetTimer(now+snapshotPeriod, snapshotTimer)
 }
 
-// selectByTrueState returns the one that would end earliest; nil if that is after the deadline.
+// selectByTrueState returns the candidate with the lowest predicted latency; nil if that exceeds the remaining time.
 func (d *Decider) selectByTrueState(now policy.Time, r *request, candidates []*endpoint) *endpoint {
 	latency := func(e *endpoint) float64 {
 		inFlight, capacity, up := d.cluster.Load(d.node, e.ID)
@@ -56,8 +56,8 @@
 	return best
 }
 
-// selectByDelayedState draws by how soon each would end by an old state: many nodes that all took the best of one and the
-// same state would overload it.
+// selectByDelayedState draws a candidate with a probability inverse to its predicted latency by an old state. If all
+// nodes took the best candidate of the same state, they would overload it.
 func (d *Decider) selectByDelayedState(now policy.Time, r *request, candidates []*endpoint) *endpoint {
 	var chances []float64
 	sum := 0.0
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// delayedLoad is the state of an endpoint in the oldest snapshot, with the own attempts since; any is idle before the
-// first.
+// delayedLoad returns the state of an endpoint in the oldest snapshot, plus the node's own attempts in flight. Before
+// the first snapshot every endpoint counts as idle.
 func (d *Decider) delayedLoad(e *endpoint) (load trueLoad, up bool) {
 	if len(d.snapshots) == 0 {
 		return trueLoad{capacity: 1e9}, true
@@ -91,7 +91,7 @@
 	return load, up
 }
 
-// predict returns the latency of a request at an endpoint, nanoseconds; infinite if the endpoint is not up.
+// predict returns the predicted latency of a request at an endpoint in nanoseconds; infinite if the endpoint is not up.
 func (d *Decider) predict(r *request, e *endpoint, load trueLoad, up bool) float64 {
 	if !up || load.capacity <= 0 {
 		return math.Inf(1)
--- a/internal/lab/faultproxy/datagrams.go
+++ b/internal/lab/faultproxy/datagrams.go
@@ -1,7 +1,8 @@
 package faultproxy
 
-// Datagram relays between nodes: for each pair of nodes one socket, on which the one reaches the other and from which the
-// other's messages come, so that each sees the other at one address. At most maxDelayedDatagrams delayed messages are held.
+// Datagram proxies between nodes: one socket per ordered pair of nodes, at which the first node sends to the second and
+// from which it receives the second's messages, so that each node sees the other at a single address. At most
+// maxDelayedDatagrams delayed messages are held.
 
 import (
 	"errors"
@@ -15,25 +16,25 @@
 )
 
 const (
-	maxDelayedDatagrams = 1 << 16 // messages on their way
-	maxThrottleBacklog  = int64(time.Second)
+	maxDelayedDatagrams = 1 << 16            // delayed datagrams held at a time; more are dropped
+	maxThrottleBacklog  = int64(time.Second) // largest queueing delay of a bandwidth-limited link
 	maxDatagramSize     = 2048
 )
 
-// Mesh joins nodes by messages.
+// Mesh forwards datagrams between all pairs of nodes.
 type Mesh struct {
 	proxies       *Proxies
-	targets       []netip.AddrPort // where nodes listen
-	sockets       [][]*net.UDPConn // [i][j]: where i reaches j
+	targets       []netip.AddrPort // the nodes' own addresses
+	sockets       [][]*net.UDPConn // [i][j]: the socket at which node i sends to node j
 	messageCounts [][]atomic.Uint64
-	busyUntil     [][]atomic.Int64 // a narrow way is taken until then
+	busyUntil     [][]atomic.Int64 // nanoseconds; a bandwidth-limited link is busy until then
 	delayed       atomic.Int64
 
 	mu       sync.Mutex
 	captured map[[2]int][]byte
 }
 
-// NewMesh opens the relays between nodes that listen at some addresses.
+// NewMesh opens the proxies between nodes that listen at the given addresses.
 func NewMesh(proxies *Proxies, listen []string) (*Mesh, error) {
 	n := len(listen)
 	m := &Mesh{proxies: proxies, captured: map[[2]int][]byte{}, messageCounts: make([][]atomic.Uint64, n), busyUntil: make([][]atomic.Int64, n)}
@@ -69,7 +70,7 @@
 	return m, nil
 }
 
-// Address is where one node reaches another; its own for itself.
+// Address returns the address at which one node reaches another; a node's own address if both are the same.
 func (m *Mesh) Address(from, to int) string {
 	if from == to {
 		return m.targets[to].String()
@@ -77,7 +78,7 @@
 	return m.sockets[from][to].LocalAddr().String()
 }
 
-// Close ends all.
+// Close closes all sockets.
 func (m *Mesh) Close() {
 	for _, row := range m.sockets {
 		for _, s := range row {
@@ -121,7 +122,7 @@
 	if fate.Rate > 0 {
 		ready := max(m.busyUntil[from][to].Load(), now) + int64(float64(len(datagram))/fate.Rate*1e9)
 		if ready-now > maxThrottleBacklog {
-			return // the queue before a narrow way is full
+			return // the queue of a bandwidth-limited link is full
 		}
 		m.busyUntil[from][to].Store(ready)
 		fate.Delay += ready - now
@@ -151,10 +152,10 @@
 	_, _ = m.sockets[to][from].WriteToUDPAddrPort(datagram, m.targets[to])
 }
 
-// Inject has a message come to a node, as from another if that is one.
+// Inject delivers a datagram to a node as if from another.
 func (m *Mesh) Inject(from, to int, datagram []byte) { m.deliver(from, to, datagram) }
 
-// Copied is the first message that went from one node to another; nil if none did.
+// CapturedDatagram returns the first datagram that one node sent to another; nil if there was none.
 func (m *Mesh) CapturedDatagram(from, to int) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -12,7 +12,7 @@
 	"fawnglade/internal/lab/netfault"
 )
 
-// echo serves connections that get back what they send.
+// startEchoServer starts a server that echoes what it receives, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +62,7 @@
 	got := make([]byte, 5)
 	_, err := io.ReadFull(c, got)
 	if err == nil && !bytes.Equal(got, []byte("hello")) {
-		return errors.New("changed on the way")
+		return errors.New("the echoed bytes differ from those sent")
 	}
 	return err
 }
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	if err := roundTrip(conn, 5*time.Second); err != nil {
-		t.Fatal("whole: ", err)
+		t.Fatal("open link: ", err)
 	}
 	for _, oneWay := range []bool{false, true} {
 		if conn, err = net.Dial("tcp", stream.Address()); err != nil {
@@ -92,27 +92,27 @@
 		f.OneWay = oneWay
 		setFaults(proxies, stream, stateCut, f)
 		if err := roundTrip(conn, 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Error("cut: expected silence, got ", err)
+			t.Error("cut: expected a read timeout, got ", err)
 		}
 		if _, err := net.DialTimeout("tcp", stream.Address(), 50*time.Millisecond); err == nil {
-			t.Error("cut: a new connection came up")
+			t.Error("cut: a new connection was accepted, want a dial timeout")
 		}
 		setFaults(proxies, stream, stateOpen)
 		if err := roundTrip(conn, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Error("mended: expected a reset of what was held up, got ", err)
+			t.Error("restored: expected a reset of the connection whose data was held back, got ", err)
 		}
 	}
 	f := fault(netfault.Cut)
 	f.Variant = "refused"
 	setFaults(proxies, stream, stateRefusing, f)
 	if _, err := net.DialTimeout("tcp", stream.Address(), time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("refused: ", err)
+		t.Error("refused: expected a refused connection, got ", err)
 	}
 }
 
 var echoAddress string
 
-// TestStreamDeliversAllBytesInOrder has loss, delay and a narrow way at once: all comes, in order.
+// With loss, delay and limited bandwidth at once, a stream still delivers all bytes in order.
 func TestStreamDeliversAllBytesInOrder(t *testing.T) {
 	begin := time.Now()
 	proxies := NewProxies(func() int64 { return int64(time.Since(begin)) })
@@ -138,6 +138,6 @@
 		conn.(*net.TCPConn).CloseWrite()
 	}()
 	if got, err := io.ReadAll(conn); err != nil || !bytes.Equal(got, sent) {
-		t.Errorf("%d bytes of %d, %v", len(got), len(sent), err)
+		t.Errorf("got %d bytes, want the %d bytes that were sent, unchanged; error: %v", len(got), len(sent), err)
 	}
 }
--- a/internal/lab/faultproxy/proxies.go
+++ b/internal/lab/faultproxy/proxies.go
@@ -1,5 +1,6 @@
-// Package faultproxy owns relays on loopback: what passes between two parts of a day goes through one and meets there what the schedule
-// of package links has for it. It must never send to any address but those that it was given, nor decide what befalls a message.
+// Package faultproxy forwards the traffic of an emulated run through proxies on loopback, which apply the faults of a
+// netfault.Schedule. Proxies send only to the addresses that they were given, and leave the choice of faults to the
+// schedule.
 package faultproxy
 
 import (
@@ -23,7 +24,7 @@
 
 const pollInterval = 5 * time.Millisecond
 
-// NewProxies begins without faults. now is the run's clock, in nanoseconds.
+// NewProxies returns proxies without faults. now returns the time of the run in nanoseconds.
 func NewProxies(now func() int64) *Proxies {
 	p := &Proxies{now: now, done: make(chan struct{})}
 	p.schedule.Store(netfault.New(nil))
@@ -31,10 +32,10 @@
 	return p
 }
 
-// Set puts a schedule in force.
+// SetSchedule replaces the schedule of faults.
 func (p *Proxies) SetSchedule(schedule *netfault.Schedule) { p.schedule.Store(schedule) }
 
-// Close ends the watching of streams.
+// Close stops applying the schedule to streams.
 func (p *Proxies) Close() { p.closeOnce.Do(func() { close(p.done) }) }
 
 func (p *Proxies) add(s *Stream) {
@@ -43,7 +44,7 @@
 	p.streams = append(p.streams, s)
 }
 
-// look has streams notice that a way is cut, or mended.
+// applySchedule applies cuts and their ends to streams, until Close.
 func (p *Proxies) applySchedule() {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -1,8 +1,8 @@
 package faultproxy
 
-// Stream relays: TCP connections from one participant to another. While a link is cut, open connections stay open and
-// silent and new ones are not accepted; what was held back is reset once the link is restored. Lost data arrives late, as
-// both systems retransmit. Bytes are never changed or reordered.
+// Stream proxies: TCP connections from one participant to another. While a link is cut, open connections stay open but
+// carry no data, and new ones are not accepted; connections whose data was held back are reset once the link is
+// restored. Lost data arrives late, as TCP retransmits it. Bytes are never changed or reordered.
 
 import (
 	"errors"
@@ -19,13 +19,13 @@
 )
 
 const (
-	retransmitDelay = int64(200 * time.Millisecond) // after a loss
+	retransmitDelay = int64(200 * time.Millisecond) // extra delay of a lost chunk, nanoseconds
 	chunkSize       = 16 << 10
-	maxQueuedChunks = 64 // on their way in one direction of a connection
+	maxQueuedChunks = 64 // in one direction of a connection
 	dialTimeout     = time.Second
 )
 
-// Stream is one relay: connections from one end to another.
+// Stream is the proxy of connections from one end to another.
 type Stream struct {
 	proxies  *Proxies
 	from, to netfault.End
@@ -48,13 +48,14 @@
 	stateRefusing
 )
 
-// joint is one connection through a relay.
+// connPair is one connection through a proxy.
 type connPair struct {
 	client, server net.Conn
 	chunkCounts    [2]atomic.Uint64
 }
 
-// NewStream opens a relay at an address with port 0, or a port of its own. target is asked with each connection.
+// NewStream opens a proxy that listens at an address, whose port may be 0. target is called for each new connection and
+// returns the address to forward it to.
 func NewStream(proxies *Proxies, address string, from, to netfault.End, target func() string) (*Stream, error) {
 	s := &Stream{proxies: proxies, from: from, to: to, address: address, target: target, pairs: map[*connPair]struct{}{}}
 	if err := s.listen(); err != nil {
@@ -64,7 +65,7 @@
 	return s, nil
 }
 
-// Address is where the relay takes connections.
+// Address returns the address at which the proxy accepts connections.
 func (s *Stream) Address() string { return s.address }
 
 func (s *Stream) listen() error {
@@ -87,7 +88,7 @@
 	}
 }
 
-// join opens the way on, and carries both directions until either end is gone.
+// connect dials the target, and copies both directions until both have ended.
 func (s *Stream) connect(client net.Conn) {
 	server, err := net.DialTimeout("tcp", s.target(), dialTimeout)
 	if err != nil {
@@ -122,14 +123,14 @@
 	err   error
 }
 
-// carry brings one direction over, each piece when it is due and in order.
+// copy forwards one direction in order, each chunk when it is due.
 func (s *Stream) copy(pair *connPair, direction int, in, out net.Conn) {
 	from, to := s.from, s.to
 	if direction == 1 {
 		from, to = to, from
 	}
 	chunks := make(chan chunk, maxQueuedChunks)
-	var stalled atomic.Bool // what came can't go on
+	var stalled atomic.Bool // data was read that the cut link cannot forward
 	go func() {
 		defer close(chunks)
 		lastDue := int64(0)
@@ -140,7 +141,7 @@
 			fate := s.proxies.schedule.Load().FateOf(now, from, to, pair.chunkCounts[direction].Add(1), n)
 			if fate.Lost && !s.proxies.schedule.Load().Open(now, from, to) {
 				stalled.Store(true)
-				return // it is reset when the way is mended
+				return // the connection is reset when the link is restored
 			}
 			if fate.Lost {
 				fate.Delay += retransmitDelay
@@ -183,7 +184,8 @@
 			return
 		}
 	}
-	// Held up: nothing more comes this way, and the other end sees nothing until the way is mended.
+	// Stalled by a cut: nothing more is read in this direction, and the other end sees nothing until the link is
+	// restored.
 	for stalled.Load() {
 		if s.proxies.schedule.Load().Open(s.proxies.now(), from, to) || s.isClosed() {
 			Reset(pair.client)
@@ -204,7 +206,7 @@
 	return s.closed
 }
 
-// follow notices what the schedule says of this way now.
+// applySchedule changes the state of the proxy to what the schedule requires now.
 func (s *Stream) applySchedule(schedule *netfault.Schedule, now int64) {
 	want := stateOpen
 	for _, link := range [][2]netfault.End{{s.from, s.to}, {s.to, s.from}} {
@@ -235,7 +237,7 @@
 	}
 }
 
-// shut closes the door; the lock is held.
+// closeListener closes the listener and the connections that fill its backlog; s.mu must be held.
 func (s *Stream) closeListener() {
 	if s.listener != nil {
 		s.listener.Close()
@@ -247,7 +249,7 @@
 	s.queueFillers = nil
 }
 
-// Close ends the relay and all that goes through it.
+// Close closes the proxy and all connections through it.
 func (s *Stream) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,7 +261,7 @@
 	}
 }
 
-// Reset ends a connection at once, as a process that dies does.
+// Reset closes a connection with a TCP reset, as happens when a process dies.
 func Reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -267,7 +269,8 @@
 	c.Close()
 }
 
-// ListenFullBacklog listens with a queue that is full, so that the system drops whoever knocks: an address that nobody gets through to.
+// ListenFullBacklog returns a listener whose backlog is full, so that the kernel drops further connection attempts: the
+// address appears unreachable. It also returns the connections that fill the backlog.
 func ListenFullBacklog(address string) (net.Listener, []net.Conn, error) {
 	resolved, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
--- a/internal/lab/faultsearch/faultsearch.go
+++ b/internal/lab/faultsearch/faultsearch.go
@@ -1,11 +1,11 @@
-// Package faultsearch searches for fault timelines under which the decisions lose most against a baseline, or violate
-// an invariant. It draws timelines at random, changes the worst of them over some rounds, and reduces the worst to the
-// faults that matter. The caller plays the runs.
+// Package faultsearch searches for fault timelines under which the balancer's decisions lose most against a baseline,
+// or violate an invariant. It draws timelines at random, mutates the worst of them over some rounds, and reduces the
+// worst to the faults that matter. The caller runs the scenarios.
 //
-// Random draws come first: faults are of many separate kinds, and the loss has no slope between them. The worst
-// candidates are then changed a little at a time, in each round half as many and each twice as often (successive
-// halving), as the loss does have a slope within one kind of fault. Of candidates with the same kinds of fault few
-// stay, so that the finds have separate causes.
+// Random draws come first, as the loss has no gradient between different kinds of fault. Within one kind it has, so the
+// worst candidates are then mutated in small steps, in each round half as many and each twice as often (successive
+// halving). At most maxSameKinds candidates with the same kinds of fault are kept, so that the finds have separate
+// causes.
 package faultsearch
 
 import (
@@ -21,48 +21,48 @@
 	"fawnglade/internal/lab/scenario"
 )
 
-// Candidate is a run that was tried: the base scenario with this seed and these faults.
+// Candidate is the base scenario with a seed and faults, and the outcome of its run.
 type Candidate struct {
 	Seed       uint64           `json:"seed"`
 	Faults     []scenario.Fault `json:"faults"`
-	Loss       float64          `json:"loss"` // of weight in time against the baseline, as a fraction; violationLoss is added for violations
+	Loss       float64          `json:"loss"` // as in Score, plus violationLoss if there are violations
 	Violations int              `json:"rules_broken,omitempty"`
 }
 
 // Score is the outcome of one run.
 type Score struct {
-	Loss       float64 // of weight in time against the baseline, as a fraction
-	Violations int     // of invariants
+	Loss       float64 // lost fraction of the baseline's weight in time
+	Violations int     // number of violated invariants
 }
 
-// Play plays a scenario with a seed. It may be called from many goroutines at once.
+// Runner runs a scenario with a seed. It must be safe for concurrent use.
 type Runner func(ctx context.Context, s *scenario.Scenario, seed uint64) (Score, error)
 
-// Options of a search.
+// Options configure a search.
 type Options struct {
 	Base  *scenario.Scenario
-	Seed  uint64 // of all that is drawn
-	Draws int    // random candidates of the first round
-	Keep  int    // of them are changed further
-	Dir   string // for the state and for the finds
+	Seed  uint64 // of all random draws
+	Draws int    // number of random candidates in the first round
+	Keep  int    // number of candidates that the second round mutates
+	Dir   string // directory of the state file and the finds
 	Run   Runner
-	// ForEach calls do for 0 to n-1, perhaps at once, and returns an error of one of them.
+	// ForEach calls do for 0 to n-1, possibly concurrently, and returns the error of one of the calls, if any.
 	ForEach func(ctx context.Context, n int, do func(i int) error) error
-	Log     func(string) // takes a line after each round; may be nil
+	Log     func(string) // receives a line after each round; may be nil
 }
 
 const (
-	violationLoss  = 2.0 // above any loss of weight: violations come first
-	maxFinds       = 3   // candidates that are reduced at the end
-	poolFactor     = 4   // candidates that stay for the next round, for each that is changed further
+	violationLoss  = 2.0 // exceeds any loss of weight, so violations rank first
+	maxFinds       = 3   // candidates reduced at the end
+	poolFactor     = 4   // candidates kept per candidate to mutate
 	maxSameKinds   = 2   // candidates in the pool with the same kinds of fault
-	keptLossFactor = 0.8 // of the loss that a reduced candidate has to keep
+	keptLossFactor = 0.8 // fraction of the loss that a reduced candidate has to keep
 )
 
 // seedStream separates the random draws of the search from other users of the seed.
 const seedStream = 21
 
-// Run searches, or resumes a search whose state is in the directory.
+// Run runs a search, or resumes it from the state in the directory.
 func Run(ctx context.Context, o Options) (*State, error) {
 	state, err := loadState(o)
 	if err != nil {
@@ -77,7 +77,7 @@
 		if len(state.Finds) == maxFinds {
 			break
 		}
-		// A candidate with all kinds of fault of an earlier find most likely loses by the same cause.
+		// A candidate that includes all kinds of fault of an earlier find most likely has the same cause.
 		if slices.ContainsFunc(state.Finds, func(find Candidate) bool { return includesKinds(c, find) }) {
 			continue
 		}
@@ -88,7 +88,7 @@
 	return state, nil
 }
 
-// runRound plays the candidates of one round, and stores the state.
+// runRound runs the candidates of one round, and saves the state.
 func (o *Options) runRound(ctx context.Context, state *State) error {
 	candidates := o.candidatesOf(state)
 	if err := o.runAll(ctx, candidates); err != nil {
@@ -100,13 +100,13 @@
 	state.Candidates = diversify(state.Candidates, max(o.Keep*poolFactor, maxFinds))
 	state.Round++
 	if o.Log != nil {
-		o.Log(fmt.Sprintf("round %d: %d days played, the worst loses %.3f", state.Round, state.Runs, state.Candidates[0].Loss))
+		o.Log(fmt.Sprintf("round %d: %d runs so far, largest loss %.3f", state.Round, state.Runs, state.Candidates[0].Loss))
 	}
 	return state.save(o.Dir)
 }
 
-// candidatesOf draws the candidates of the next round: at random in the first, then changes of the worst, in each round
-// half as many and each changed twice as often.
+// candidatesOf returns the candidates of the next round: random ones in the first round, later mutations of the worst,
+// in each round of half as many and twice as many of each.
 func (o *Options) candidatesOf(state *State) []Candidate {
 	random := rand.New(rand.NewPCG(o.Seed, seedStream+uint64(state.Round)))
 	var candidates []Candidate
@@ -126,7 +126,7 @@
 	return candidates
 }
 
-// play plays candidates, and enters their loss and violations.
+// runAll runs candidates, and sets their loss and violations.
 func (o *Options) runAll(ctx context.Context, candidates []Candidate) error {
 	return o.ForEach(ctx, len(candidates), func(i int) error {
 		c := &candidates[i]
@@ -143,14 +143,14 @@
 	})
 }
 
-// scenarioOf is the base with the faults of a candidate.
+// scenarioOf returns the base scenario with the faults of a candidate.
 func (o *Options) scenarioOf(c Candidate) *scenario.Scenario {
 	s := *o.Base
 	s.Faults = c.Faults
 	return &s
 }
 
-// addFind reduces a candidate, and stores it as a find.
+// addFind reduces a candidate, and saves it as a find.
 func (o *Options) addFind(ctx context.Context, state *State, c Candidate) error {
 	reduced, played, err := o.reduce(ctx, c)
 	if err != nil {
@@ -161,8 +161,8 @@
 	return errors.Join(state.save(o.Dir), o.writeFind(len(state.Finds), reduced))
 }
 
-// diversify keeps the worst candidates, given the worst first, and no more than maxSameKinds with the same kinds of
-// fault.
+// diversify returns at most limit candidates, with no more than maxSameKinds of the same kinds of fault. Candidates are
+// sorted, the worst first.
 func diversify(candidates []Candidate, limit int) []Candidate {
 	count := map[string]int{}
 	candidates = slices.DeleteFunc(candidates, func(c Candidate) bool {
@@ -183,7 +183,7 @@
 	return slices.Compact(kinds)
 }
 
-// includesKinds tells whether c has all kinds of fault that part has.
+// includesKinds reports whether c has all kinds of fault that subset has.
 func includesKinds(c, subset Candidate) bool {
 	kinds := c.kinds()
 	return !slices.ContainsFunc(subset.kinds(), func(kind string) bool { return !slices.Contains(kinds, kind) })
--- a/internal/lab/faultsearch/faultsearch_test.go
+++ b/internal/lab/faultsearch/faultsearch_test.go
@@ -22,8 +22,8 @@
 	return s
 }
 
-// costly loses by the part of the fleet that is silent and for how long, a little where any is slow, and by nothing
-// else.
+// scoreByFaults scores a scenario by its faults: the loss grows with the fraction of silent endpoints and their
+// duration, is small if any endpoint is slow, and 0 for all other faults.
 func scoreByFaults(_ context.Context, s *scenario.Scenario, _ uint64) (Score, error) {
 	var score Score
 	for _, f := range s.Faults {
@@ -40,7 +40,7 @@
 	return score, nil
 }
 
-// forEachSequentially is a ForEach without concurrency.
+// forEachSequentially is a ForEach that calls do sequentially.
 func forEachSequentially(ctx context.Context, n int, do func(int) error) error {
 	for i := range n {
 		if err := do(i); err != nil {
@@ -66,11 +66,11 @@
 	}
 	for i, kind := range []string{"silent", "slow"} {
 		if find := state.Finds[i]; len(find.Faults) != 1 || find.Faults[0].Kind != kind || find.Faults[0].Zone != "" || find.Faults[0].Each != 0 || find.Loss < 0.1 {
-			t.Errorf("find %d is not reduced to %s, which matters: %+v", i, kind, find)
+			t.Errorf("find %d: want it reduced to the single fault %s, got %+v", i, kind, find)
 		}
 	}
 	if len(state.Finds) != 3 || includesKinds(state.Finds[2], state.Finds[0]) || includesKinds(state.Finds[2], state.Finds[1]) {
-		t.Errorf("the three finds do not have three causes: %+v", state.Finds)
+		t.Errorf("got finds %+v, want three with separate causes", state.Finds)
 	}
 	s, err := scenario.Read(filepath.Join(dir, "calm-found-1.toml"))
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	score, err := withoutViolations(t.Context(), s, s.Seed)
 	if err != nil || score.Loss != state.Finds[0].Loss {
-		t.Errorf("the stored file loses %.3f, the candidate lost %.3f, %v", score.Loss, state.Finds[0].Loss, err)
+		t.Errorf("the scenario file of the find: got loss %.3f, want %.3f; error: %v", score.Loss, state.Finds[0].Loss, err)
 	}
 }
 
@@ -88,11 +88,11 @@
 		t.Fatal(err)
 	}
 	if find := state.Finds[0]; find.Violations == 0 || len(find.Faults) != 1 || find.Faults[0].Kind != "cut-node" {
-		t.Errorf("the worst is %+v", find)
+		t.Errorf("got worst find %+v, want a violation reduced to one cut-node fault", find)
 	}
 }
 
-// A search that is ended at any moment is resumed, and finds what an undisturbed one finds.
+// A search that is interrupted repeatedly and resumed finds the same as an uninterrupted one.
 func TestSearchResumesAfterAnyInterruption(t *testing.T) {
 	undisturbed := t.TempDir()
 	if _, err := Run(t.Context(), options(t, undisturbed, scoreByFaults)); err != nil {
@@ -110,7 +110,7 @@
 		}))
 		if err == nil {
 			if interruptions < 2 {
-				t.Fatalf("ended %d times only", interruptions)
+				t.Fatalf("got %d interruptions, want at least 2", interruptions)
 			}
 			break
 		}
@@ -131,11 +131,11 @@
 		return state
 	}
 	if got, want := read(dir), read(undisturbed); !reflect.DeepEqual(got, want) {
-		t.Errorf("one that was ended found something else:\n%+v\n%+v", got, want)
+		t.Errorf("the interrupted search differs from the uninterrupted one:\ngot  %+v\nwant %+v", got, want)
 	}
 	o := options(t, dir, scoreByFaults)
 	o.Seed = 5
 	if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), "another directory") {
-		t.Errorf("another search in the same directory: %v", err)
+		t.Errorf("a search with another seed in the same directory: got error %v, want one that asks for another directory", err)
 	}
 }
--- a/internal/lab/faultsearch/mutation.go
+++ b/internal/lab/faultsearch/mutation.go
@@ -9,17 +9,17 @@
 
 const (
 	maxFaultsDrawn = 4
-	maxFaults      = 5 // up to which a change adds one
+	maxFaults      = 5 // a mutation adds no fault beyond this
 	maxSeed        = 1 << 40
 )
 
-// kinds of fault that are drawn.
+// drawnKinds are the kinds of fault that are drawn.
 var drawnKinds = []string{
 	"slow", "silent", "fail", "turn-away", "reset", "pause", "crowd", "cut", "die", "restart-servers", "replace", "drain", "unlisted",
 	"discovery-down", "discovery-slow", "lists-late", "wait", "kill", "stop", "freeze", "cut-node",
 }
 
-// drawCandidate draws a seed and one to maxFaultsDrawn faults.
+// drawCandidate returns a candidate with a random seed and one to maxFaultsDrawn random faults.
 func (o *Options) drawCandidate(random *rand.Rand) Candidate {
 	c := Candidate{Seed: random.Uint64N(maxSeed)}
 	for range 1 + random.IntN(maxFaultsDrawn) {
@@ -28,8 +28,8 @@
 	return c
 }
 
-// drawFault draws a fault that begins in the first three quarters of the run. Products of two draws make small values
-// likelier.
+// drawFault returns a random fault that begins in the first three quarters of the run. Products of two draws make small
+// values likelier.
 func (o *Options) drawFault(random *rand.Rand) scenario.Fault {
 	length := float64(o.Base.Length)
 	f := scenario.Fault{
@@ -43,7 +43,8 @@
 	return f
 }
 
-// drawTargets draws which part of the endpoints or nodes a fault hits, and whether it hits them one after another.
+// drawTargets draws the fraction of endpoints or nodes that a fault affects, and whether it affects them one after
+// another.
 func (o *Options) drawTargets(random *rand.Rand, f *scenario.Fault) {
 	switch scenario.FaultTargets[f.Kind] {
 	case scenario.EndpointTarget, scenario.NodeTarget:
@@ -59,7 +60,7 @@
 	}
 }
 
-// drawStrength draws what belongs to a fault's kind.
+// drawStrength draws the parameters that are specific to a fault's kind.
 func (o *Options) drawStrength(random *rand.Rand, f *scenario.Fault) {
 	switch f.Kind {
 	case "slow":
@@ -85,7 +86,7 @@
 	}
 }
 
-// change alters a candidate a little: it moves, scales, replaces or adds one fault, or draws another seed.
+// change returns a candidate with one mutation: a fault is moved, scaled, replaced or added, or the seed is redrawn.
 func (o *Options) change(random *rand.Rand, parent Candidate) Candidate {
 	changed := Candidate{Seed: parent.Seed, Faults: slices.Clone(parent.Faults)}
 	if len(changed.Faults) == 0 || random.IntN(6) == 0 && len(changed.Faults) < maxFaults {
--- a/internal/lab/faultsearch/reduction.go
+++ b/internal/lab/faultsearch/reduction.go
@@ -8,7 +8,7 @@
 	"fawnglade/internal/lab/scenario"
 )
 
-// simplifications of a fault, each tried in turn.
+// simplifications are tried on each fault in turn.
 var simplifications = []func(*scenario.Fault){
 	func(f *scenario.Fault) { f.Each = 0 },
 	func(f *scenario.Fault) { f.Zone = "" },
@@ -18,16 +18,16 @@
 	func(f *scenario.Fault) { f.Share /= 2 },
 }
 
-// reduction is a candidate on its way to the faults that matter.
+// reduction is the state of reducing one candidate.
 type reduction struct {
 	*Options
 	candidate Candidate
-	minLoss   float64 // that a simpler candidate has to keep
+	minLoss   float64 // smallest loss at which a simpler candidate is accepted
 	runs      int
 }
 
-// reduce removes what does not matter: whole faults, then parts of their duration and of their targets. It returns the
-// reduced candidate and how many runs were played.
+// reduce simplifies a candidate while it keeps enough of its loss: it removes whole faults, then shortens them and
+// narrows their targets. It returns the reduced candidate and the number of runs.
 func (o *Options) reduce(ctx context.Context, c Candidate) (Candidate, int, error) {
 	r := &reduction{Options: o, candidate: c, minLoss: c.Loss * keptLossFactor}
 	if c.Violations > 0 {
@@ -40,7 +40,7 @@
 	return r.candidate, r.runs, err
 }
 
-// try plays the candidate with other faults, and takes them over if it still loses enough.
+// try runs the candidate with other faults, and accepts them if the loss is still at least minLoss.
 func (r *reduction) try(ctx context.Context, faults []scenario.Fault) (accepted bool, err error) {
 	simpler := []Candidate{{Seed: r.candidate.Seed, Faults: faults}}
 	r.runs++
--- a/internal/lab/faultsearch/state.go
+++ b/internal/lab/faultsearch/state.go
@@ -13,21 +13,21 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// stateFile of a search in its directory.
+// stateFile is the name of the state file in a search's directory.
 const stateFile = "hunt.json"
 
-// State is the progress of a search. It is stored after each round and each find, so that a search that was ended is
-// resumed.
+// State is the progress of a search. It is saved after each round and each find, so that an interrupted search can
+// resume.
 type State struct {
 	Seed       uint64      `json:"seed"`
 	Base       string      `json:"base"` // name of the scenario
 	Round      int         `json:"round"`
 	Runs       int         `json:"played"`
-	Candidates []Candidate `json:"days"` // the pool for the next round, the worst first
+	Candidates []Candidate `json:"days"` // kept for the next round, the worst first
 	Finds      []Candidate `json:"shrunk,omitempty"`
 }
 
-// loadState reads the state in the directory; where there is none, it makes the directory and begins anew.
+// loadState reads the state in the directory. If there is none, it creates the directory and returns a new state.
 func loadState(o Options) (*State, error) {
 	state := &State{Seed: o.Seed, Base: o.Base.Name}
 	text, err := os.ReadFile(filepath.Join(o.Dir, stateFile))
@@ -41,13 +41,13 @@
 		return nil, fmt.Errorf("%s: %w", o.Dir, err)
 	}
 	if state.Seed != o.Seed || state.Base != o.Base.Name {
-		return nil, fmt.Errorf("%s holds a hunt over %s with seed %d: expected %s with seed %d, or another directory",
+		return nil, fmt.Errorf("%s holds a search over %s with seed %d: expected %s with seed %d, or another directory",
 			o.Dir, state.Base, state.Seed, o.Base.Name, o.Seed)
 	}
 	return state, nil
 }
 
-// save replaces the stored state by a rename, so that an interrupted write leaves the old one.
+// save writes the state to a temporary file and renames it, so that an interrupted write leaves the previous state.
 func (s *State) save(dir string) error {
 	text, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
@@ -61,10 +61,10 @@
 	return os.Rename(temporary, path)
 }
 
-// FindName is the name of the nth find's scenario, from 1; its file has the extension .toml.
+// FindName returns the scenario name of the nth find, from 1. The file name adds the extension .toml.
 func FindName(base string, n int) string { return fmt.Sprintf("%s-found-%d", base, n) }
 
-// writeFind stores the nth find as a scenario file without expectations.
+// writeFind writes the nth find as a scenario file without expectations.
 func (o *Options) writeFind(n int, c Candidate) error {
 	s := o.scenarioOf(c)
 	s.Seed = c.Seed
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -25,7 +25,7 @@
 	lossyDetectionPeriods = 160 // where a third of all is lost
 )
 
-// first runs the steps of a case up to the first that fails.
+// runSteps runs the steps of a case up to the first that fails.
 func runSteps(steps ...func() error) error {
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -64,7 +64,7 @@
 // dropShare is the part of the datagrams that drop loses.
 const dropShare = 0.3
 
-// drop loses datagrams between all nodes, in bursts of so many on average.
+// dropFault loses datagrams between all nodes, in bursts of so many on average.
 func dropFault(nodes, burst int) netfault.Fault {
 	all := NodeEnds(NodeRange(0, nodes))
 	return netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: dropShare, Burst: burst, Seed: 7}
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -33,7 +33,7 @@
 
 func linkEnd(i int) netfault.End { return netfault.End{Kind: netfault.Node, Index: i} }
 
-// relayed is a fleet of three nodes that follow two relays below an origin, each way through a relay of the lab's.
+// relayFleet is a fleet of three nodes that follow two relays below an origin, each way through a relay of the lab's.
 type relayFleet struct {
 	*Processes
 	t           *testing.T
@@ -156,7 +156,7 @@
 	}
 }
 
-// begin starts a relay or the origin, with nothing.
+// startProcess starts a relay or the origin, with nothing.
 func (r *relayFleet) startProcess(name string) {
 	process, err := emulator.Command([]string{r.Program[0], "relay", "--config", r.configPaths[name]})("", nil, r.Log)
 	if err != nil {
@@ -170,7 +170,7 @@
 	<-r.procs[name].Done()
 }
 
-// set has discovery list an endpoint otherwise. Who has a way to be told counts as told six seconds later.
+// setState has discovery list an endpoint otherwise. Who has a way to be told counts as told six seconds later.
 func (r *relayFleet) setState(endpoint int, state string, partitioned bool) {
 	r.mu.Lock()
 	r.endpointStates[endpoint] = state
@@ -189,7 +189,7 @@
 	}
 }
 
-// heard is a change that a node could be told from a moment on.
+// listChange is a change that a node could be told from a moment on.
 type listChange struct {
 	state string
 	at    time.Time
@@ -200,7 +200,7 @@
 	r.listChanges[key] = append(r.listChanges[key], listChange{state, time.Now()})
 }
 
-// tell enters what nodes are taken to know: a drain six seconds after each could be told of it, unless it had ended by then; and that a
+// recordPresumedEntries enters what nodes are taken to know: a drain six seconds after each could be told of it, unless it had ended by then; and that a
 // server is up at once, as a node may use it from when it hears of it.
 func (r *relayFleet) recordPresumedEntries() {
 	for key, changes := range r.listChanges {
@@ -217,7 +217,7 @@
 	}
 }
 
-// load sends requests to all nodes until it is told to end.
+// sendLoad sends requests to all nodes until it is told to end.
 func (r *relayFleet) sendLoad() (stopLoad func()) {
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -240,7 +240,7 @@
 
 var requestClasses = []invariant.Class{{Name: "view", Idempotency: invariant.Idempotent}, {Name: "pay", Idempotency: invariant.NonIdempotent}}
 
-// ask sends one request and enters what became of it.
+// sendRecorded sends one request and enters what became of it.
 func (r *relayFleet) sendRecorded(node, number, class int) {
 	now := r.sinceStart(time.Now())
 	request := &invariant.Request{ID: fmt.Sprintf("%016x", number), Operation: number, Node: node, Incarnation: 1, Class: class, SentAt: now, Deadline: now + int64(2*time.Second)}
@@ -288,7 +288,7 @@
 	return float64(inTime) / float64(max(sent, 1))
 }
 
-// by is whose list holds at a node, by its console.
+// listSource is whose list holds at a node, by its console.
 func (r *relayFleet) listSource(node int) string {
 	var status struct {
 		By string `json:"by"`
@@ -299,7 +299,7 @@
 	return status.By
 }
 
-// gauge is how late this process runs: what endpoints and clients note here is as late.
+// lagMeter is how late this process runs: what endpoints and clients note here is as late.
 type lagMeter struct {
 	mu    sync.Mutex
 	slots map[int64]int64
@@ -324,7 +324,7 @@
 	}
 }
 
-// late is the worst within half a second, twice over, as nodes on the same machine suffer the same.
+// lagAt is the worst within half a second, twice over, as nodes on the same machine suffer the same.
 func (g *lagMeter) lagAt(at int64) (worst int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -334,7 +334,7 @@
 	return worst
 }
 
-// used are the endpoints that a node sent to after a moment, by what came to endpoints.
+// attemptCounts are the endpoints that a node sent to after a moment, by what came to endpoints.
 func (r *relayFleet) attemptCounts(node int, after time.Time) (counts [8]int) {
 	r.history.Update(func() {
 		for _, attempt := range r.history.Attempts {
@@ -346,7 +346,7 @@
 	return counts
 }
 
-// order puts attempts of one request right that endpoints read in one moment, as this process had stood still: which of them came first was
+// orderStalledAttempts puts attempts of one request right that endpoints read in one moment, as this process had stood still: which of them came first was
 // lost, so the one whose connection the node closed unanswered, before the server read it, counts as the first. One that is not closed by
 // then stays where it was, and is a hedged request.
 func (r *relayFleet) orderStalledAttempts(lagAt func(int64) int64) {
@@ -368,7 +368,7 @@
 	})
 }
 
-// story is what became of a request, for who reads a failure.
+// describeRequest is what became of a request, for who reads a failure.
 func (r *relayFleet) describeRequest(id string) string {
 	text := "nothing known"
 	for _, request := range r.history.Requests {
@@ -384,7 +384,7 @@
 	return text
 }
 
-// history is how many requests a node sent to an endpoint in each second, for who reads a failure.
+// attemptsPerSecond is how many requests a node sent to an endpoint in each second, for who reads a failure.
 func (r *relayFleet) attemptsPerSecond(node, endpoint int) (counts [64]int) {
 	r.history.Update(func() {
 		for _, attempt := range r.history.Attempts {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -35,7 +35,7 @@
 	CapturedDatagram(from, to int) []byte
 }
 
-// Until waits for a statement about all views to hold, and fails once every node that answers has been through so many rounds
+// WaitUntil waits for a statement about all views to hold, and fails once every node that answers has been through so many rounds
 // since the call, with the statement false to the end.
 func WaitUntil(f Fleet, rounds int64, condition string, holds func([]*members.View) bool) (took int64, err error) {
 	firstPeriods := make([]int64, f.Len())
@@ -70,7 +70,7 @@
 	}
 }
 
-// Hold watches a statement stay true while every node that answers goes through so many rounds.
+// RequireDuring watches a statement stay true while every node that answers goes through so many rounds.
 func RequireDuring(f Fleet, rounds int64, condition string, holds func([]*members.View) bool) error {
 	violated := ""
 	_, err := WaitUntil(f, rounds, condition, func(views []*members.View) bool {
@@ -85,10 +85,10 @@
 	return fmt.Errorf("%s: not so at a moment:\n%s", condition, violated)
 }
 
-// letters of the states in a table of views.
+// stateLetters of the states in a table of views.
 var stateLetters = map[string]string{"never seen": ".", "up": "U", "doubted": "?", "silent": "-", "left": "L"}
 
-// Table shows views beneath one another: a row for each node that believes, a letter for each that it believes of.
+// FormatViews shows views beneath one another: a row for each node that believes, a letter for each that it believes of.
 func FormatViews(views []*members.View) string {
 	var b strings.Builder
 	for i, v := range views {
@@ -106,7 +106,7 @@
 	return b.String()
 }
 
-// Agree tells whether every node of some that answers believes of each node what a function says; "" stands for anything.
+// ViewsMatch tells whether every node of some that answers believes of each node what a function says; "" stands for anything.
 func ViewsMatch(nodes []int, want func(node int) string) func([]*members.View) bool {
 	return func(views []*members.View) bool {
 		for _, i := range nodes {
@@ -123,10 +123,10 @@
 	}
 }
 
-// Each is a state for all nodes.
+// AllInState is a state for all nodes.
 func AllInState(state string) func(int) string { return func(int) string { return state } }
 
-// Numbers are the numbers from a to before b.
+// NodeRange are the numbers from a to before b.
 func NodeRange(a, b int) []int {
 	var nodes []int
 	for i := a; i < b; i++ {
@@ -135,7 +135,7 @@
 	return nodes
 }
 
-// Ends names nodes as ends of links.
+// NodeEnds names nodes as ends of links.
 func NodeEnds(nodes []int) []netfault.End {
 	ends := make([]netfault.End, len(nodes))
 	for i, n := range nodes {
--- a/internal/lab/fleet/listgossip_test.go
+++ b/internal/lab/fleet/listgossip_test.go
@@ -13,7 +13,7 @@
 
 const listKey = "00112233445566778899aabbccddeeff"
 
-// listening is a fleet whose nodes ask one another for the list, and know of each other.
+// newListGossipFleet is a fleet whose nodes ask one another for the list, and know of each other.
 func newListGossipFleet(t *testing.T, nodes int, state bool) *Processes {
 	t.Helper()
 	p := newTestFleet(t, nodes)
@@ -26,7 +26,7 @@
 	return p
 }
 
-// heard is what the nodes say of the list that they go by; nil for one that does not say.
+// listViews is what the nodes say of the list that they go by; nil for one that does not say.
 func (p *Processes) listViews() []*endpointgossip.View {
 	views := make([]*endpointgossip.View, len(p.nodes))
 	for i := range p.nodes {
@@ -38,7 +38,7 @@
 	return views
 }
 
-// until waits for a statement about the lists of all nodes that were started.
+// waitForLists waits for a statement about the lists of all nodes that were started.
 func (p *Processes) waitForLists(t *testing.T, condition string, holds func(*endpointgossip.View) bool) {
 	t.Helper()
 	if _, err := WaitUntil(p, detectionPeriods, condition, func([]*members.View) bool {
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -26,7 +26,7 @@
 	DeathPeriods      []int64   `json:"death_rounds"` // of the slowest node
 }
 
-// timed is a fleet with a clock.
+// measurable is a fleet with a clock.
 type measurable interface {
 	Fleet
 	Now() int64
@@ -38,7 +38,7 @@
 // Now is the time since the fleet was made, nanoseconds.
 func (p *Processes) Now() int64 { return int64(time.Since(p.startedAt)) }
 
-// Counts implements measurable.
+// Counters implements measurable.
 func (p *Processes) Counters() []*members.Counters {
 	counters := make([]*members.Counters, len(p.nodes))
 	for i, v := range p.Views() {
@@ -59,7 +59,7 @@
 	return true
 }
 
-// Counts implements measurable.
+// Counters implements measurable.
 func (v *Virtual) Counters() []*members.Counters {
 	counters := make([]*members.Counters, len(v.nodes))
 	for i, s := range v.nodes {
--- a/internal/lab/fleet/order_test.go
+++ b/internal/lab/fleet/order_test.go
@@ -12,8 +12,8 @@
 	const ms = int64(time.Millisecond)
 	for name, c := range map[string]struct {
 		closed, lag int64
-		gap        int64 // between the two
-		violations       int
+		gap         int64 // between the two
+		violations  int
 	}{
 		"closed before it was read":       {0, 40 * ms, 0, 0},
 		"not closed":                      {invariant.Never, 40 * ms, 0, 1},
--- a/internal/lab/fleet/power_test.go
+++ b/internal/lab/fleet/power_test.go
@@ -17,7 +17,7 @@
 
 const drainGrace = 550 * time.Millisecond // to stop sending, with what a socket may hold up
 
-// remembering is a fleet whose nodes keep a memory and know their endpoints.
+// newPersistentFleet is a fleet whose nodes keep a memory and know their endpoints.
 func newPersistentFleet(t *testing.T, nodes int) *Processes {
 	t.Helper()
 	p := newTestFleet(t, nodes)
@@ -31,7 +31,7 @@
 	return p
 }
 
-// serving waits until every node is ready, and has done a request.
+// waitServing waits until every node is ready, and has done a request.
 func (p *Processes) waitServing(t *testing.T) {
 	t.Helper()
 	for i := range p.nodes {
@@ -50,7 +50,7 @@
 
 var requestNumber atomic.Int64
 
-// busy sends exclusive requests to all nodes until it is told to end.
+// startLoad sends exclusive requests to all nodes until it is told to end.
 func (p *Processes) startLoad() (stopLoad func()) {
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -69,7 +69,7 @@
 	return func() { close(stop); clients.Wait() }
 }
 
-// lists has discovery tell all endpoints, but one that drains.
+// setDraining has discovery tell all endpoints, but one that drains.
 func (p *Processes) setDraining(version int64, draining int) {
 	var list []ListEntry
 	for i, s := range p.endpoints {
@@ -98,7 +98,7 @@
 	}
 }
 
-// doubles are requests that must run once and came to endpoints more often.
+// duplicateRequests are requests that must run once and came to endpoints more often.
 func (p *Processes) duplicateRequests() (duplicates []string) {
 	counts := map[string]int{}
 	for _, s := range p.endpoints {
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -128,13 +128,13 @@
 	return fmt.Sprintf("%s:%d", host, port)
 }
 
-// Listen is where a node takes requests; Console where it answers staff.
+// ListenAddress is where a node takes requests; Console where it answers staff.
 func (p *Processes) ListenAddress(node int) string { return p.address(node, 8443) }
 
-// Console is the admin address of a node.
+// AdminAddress is the admin address of a node.
 func (p *Processes) AdminAddress(node int) string { return p.address(node, 9443) }
 
-// Features is the text of a node's features file.
+// FeaturesText is the text of a node's features file.
 func (p *Processes) FeaturesText(node int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[members]\nlisten = %q\nround = %q\nkey = %q\nlist = %v\n", p.mesh.Address(node, node), p.ProtocolPeriod, p.Key, p.ListGossip)
@@ -232,13 +232,13 @@
 // Stop implements Fleet.
 func (p *Processes) Stop(node int) { p.signal(node, syscall.SIGTERM, true) }
 
-// Freeze implements Fleet.
+// Pause implements Fleet.
 func (p *Processes) Pause(node int) {
 	p.signal(node, syscall.SIGSTOP, false)
 	p.nodes[node].paused = true
 }
 
-// Thaw implements Fleet.
+// Resume implements Fleet.
 func (p *Processes) Resume(node int) {
 	p.signal(node, syscall.SIGCONT, false)
 	p.nodes[node].paused = false
@@ -258,7 +258,7 @@
 // Inject implements Fleet.
 func (p *Processes) Inject(to int, datagram []byte) { p.mesh.Inject((to+1)%len(p.nodes), to, datagram) }
 
-// Copied implements Fleet.
+// CapturedDatagram implements Fleet.
 func (p *Processes) CapturedDatagram(from, to int) []byte { return p.mesh.CapturedDatagram(from, to) }
 
 // PID of a node's newest process; 0 without one.
@@ -274,7 +274,7 @@
 
 const callTimeout = 2 * time.Second
 
-// Ask calls a node's console, or its listener, once.
+// Call calls a node's console, or its listener, once.
 func Call(address, method, path string) (status int, text []byte, err error) {
 	c, err := net.DialTimeout("tcp", address, callTimeout)
 	if err != nil {
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -16,7 +16,7 @@
 	"fawnglade/internal/members"
 )
 
-// program is the node, built once for all tests.
+// buildProgram is the node, built once for all tests.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "fawnglade-built-")
 	if err != nil {
--- a/internal/lab/fleet/standins.go
+++ b/internal/lab/fleet/standins.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// begin notes a connection; false: the server is down.
+// addConn notes a connection; false: the server is down.
 func (e *Endpoint) addConn(c net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -178,7 +178,7 @@
 	d.maxWatches = watches
 }
 
-// remind has every watch told an empty line now and then, until discovery's socket is closed.
+// sendKeepAlives has every watch told an empty line now and then, until discovery's socket is closed.
 func (d *Discovery) sendKeepAlives() {
 	for ; ; time.Sleep(time.Second) {
 		d.mu.Lock()
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// enter has a node do something, once it is not held any more.
+// run has a node do something, once it is not held any more.
 func (s *simulatedNode) run(action func()) {
 	if s.paused {
 		if len(s.backlog) < 256 {
@@ -183,7 +183,7 @@
 	}
 }
 
-// Copied implements Fleet.
+// CapturedDatagram implements Fleet.
 func (v *Virtual) CapturedDatagram(from, to int) []byte { return v.captured[[2]int{from, to}] }
 
 // Kill implements Fleet.
@@ -200,10 +200,10 @@
 	v.Kill(node)
 }
 
-// Freeze implements Fleet.
+// Pause implements Fleet.
 func (v *Virtual) Pause(node int) { v.nodes[node].paused = true }
 
-// Thaw implements Fleet.
+// Resume implements Fleet.
 func (v *Virtual) Resume(node int) {
 	s := v.nodes[node]
 	backlog, missed := s.backlog, s.missedTick
@@ -223,7 +223,7 @@
 	v.faults = netfault.New(shiftFaults(v.now, faults))
 }
 
-// from counts faults' times from a moment.
+// shiftFaults counts faults' times from a moment.
 func shiftFaults(now int64, faults []netfault.Fault) []netfault.Fault {
 	shifted := append([]netfault.Fault(nil), faults...)
 	for i := range shifted {
--- a/internal/lab/invariant/check.go
+++ b/internal/lab/invariant/check.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// Violation is one rule violated once. Attempt and Endpoint are -1 where it concerns none.
+// Violation is one violation of a rule. Attempt and Endpoint are -1 if the violation concerns none.
 type Violation struct {
 	Rule        int    `json:"rule"`
 	Description string `json:"what"`
 	Request     string `json:"task,omitempty"`
-	Attempt     int    `json:"hand_off"` // its place among the request's, from 0
+	Attempt     int    `json:"hand_off"` // index among the request's attempts, from 0
 	Endpoint    int    `json:"server"`
 	Node        int    `json:"node"`
 	At          int64  `json:"at_ns"`
@@ -38,10 +38,10 @@
 	*History
 	classes             []Class
 	rules               Rules
-	attemptsByID        map[string][]*Attempt // by request, in order of their first bytes
+	attemptsByID        map[string][]*Attempt // by request ID, in order of their first bytes
 	processes           map[processKey]*Process
 	knownStarts         map[endpointStart]int64
-	attemptsAfterCancel []Violation // attempts for clients that had gone; the first few are tolerated
+	attemptsAfterCancel []Violation // the first maxAttemptsAfterCancel are tolerated
 	violations          []Violation
 }
 
@@ -62,7 +62,7 @@
 	return c
 }
 
-// Check returns every violation in the closed history, in order of time.
+// Check returns all violations in the closed history, in order of time.
 func (h *History) Check(classes []Class, rules Rules) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,7 +86,8 @@
 
 func (c *checker) report(v Violation) { c.violations = append(c.violations, v) }
 
-// excusedUntil is the end of the last excused time of a process that a span touches; 0 if there is none.
+// excusedUntil returns the latest end of the process's excused intervals that overlap the time between from and to; 0
+// if none does.
 func (c *checker) excusedUntil(process processKey, from, to int64) (end int64) {
 	p := c.processes[process]
 	if p == nil {
@@ -100,7 +101,7 @@
 	return end
 }
 
-// incarnationAt is the process of a node that ran at a moment; 0 if there was none.
+// incarnationAt returns the incarnation of a node's newest process that had started by a time; 0 if there was none.
 func (c *checker) incarnationAt(node int, at int64) int {
 	incarnation := 0
 	for _, p := range c.Processes {
@@ -111,8 +112,8 @@
 	return incarnation
 }
 
-// attemptsOf returns the attempts of one request, where a crossed one was sent before with the same ID, and how many
-// attempts with the ID come before them.
+// attemptsOf returns the attempts of one request, and the index of the first of them among all attempts with its ID. A
+// request that the client resent shares its ID with the first transmission; the attempts are assigned by time.
 func (c *checker) attemptsOf(r *Request) (attempts []*Attempt, first int) {
 	all := c.attemptsByID[r.ID]
 	for first < len(all) && all[first].FirstByteAt <= r.ResentAfter {
--- a/internal/lab/invariant/counts.go
+++ b/internal/lab/invariant/counts.go
@@ -2,14 +2,14 @@
 
 import "net/http"
 
-// Counts sums attempts up by how they ended.
+// Counts are numbers of attempts by outcome.
 type Counts struct {
 	Attempts, Rejected, Errors, Unanswered, Incomplete, Succeeded int
-	DoubleEffects                                                 int // executions beyond the first of what must run once
+	DoubleEffects                                                 int // repeated executions of what must run once
 }
 
-// Count counts the attempts of the closed history. effectOf names the effect that a request has, and whether it must
-// happen only once.
+// Count counts the attempts of the closed history. effectOf returns the name of a request's effect, and whether
+// it must happen only once.
 func (h *History) Count(effectOf func(request string) (effect string, once bool)) Counts {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/invariant/drain.go
+++ b/internal/lab/invariant/drain.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// drainKnownAt is since when a process knows at a moment that an endpoint wants nothing new; Never if it does not.
+// drainKnownAt returns since when a process knows that an endpoint is draining or removed, as of a time; Never if it
+// does not know it then.
 func (c *checker) drainKnownAt(process processKey, states []knownState, at int64) int64 {
 	since := int64(Never)
 	for _, s := range states {
@@ -40,15 +41,15 @@
 		if s.state == model.Up {
 			since = Never
 		} else if since == Never {
-			// A node that was paused could read the entry only afterwards.
+			// A paused node can read the entry only after it resumes.
 			since = max(s.at, c.excusedUntil(process, s.at, s.at))
 		}
 	}
 	return since
 }
 
-// listedUpSince tells whether discovery has listed an endpoint as up after a moment, and still did at another: another
-// node may know that and gossip it. What a node says that it received does not count, only what discovery listed.
+// listedUpSince reports whether discovery listed an endpoint as up again after it drained, and still does at a time:
+// another node may have received that entry and gossiped it. Only discovery's own list counts, not what nodes report.
 func (c *checker) listedUpSince(endpoint int, drained, at int64) bool {
 	up := false
 	for _, change := range c.ListChanges {
--- a/internal/lab/invariant/history.go
+++ b/internal/lab/invariant/history.go
@@ -1,10 +1,10 @@
-// Package invariant checks the rules that nodes are held to, by a history of what passed on the sockets of a run. Nothing
-// that a node reports of itself counts, but that it is ready: logs and counters of the checked program are no evidence.
-// Times are nanoseconds since the beginning of the run.
+// Package invariant checks that nodes keep the rules, from a history of what was observed on the sockets of a run. Logs
+// and counters of the checked program are no evidence; the only report of a node that counts is its readiness. Times
+// are nanoseconds since the start of the run.
 //
-// The rules: 1, one response in time and no attempt after it; 2, no request runs twice that must not; 3, nothing new for
-// an endpoint that drains; 4, no endpoint in slow start is overloaded until it crashes; 5, restarted nodes are ready in
-// time. What cannot be seen for certain counts in favour of the node.
+// The rules: 1, one response in time and no attempt after it; 2, no request that must run once runs twice; 3, no new
+// attempt at a draining endpoint; 4, no endpoint in slow start is overloaded until it crashes; 5, restarted nodes are
+// ready in time. Where the observations leave doubt, the node is given the benefit of it.
 package invariant
 
 import (
@@ -13,29 +13,29 @@
 	"fawnglade/internal/lab/model"
 )
 
-// Never is a time that did not come.
+// Never is the time of an event that did not happen.
 const Never = model.Never
 
-// Request is one request of a client as it went over the wire to a node.
+// Request is one request of a client, as sent over the wire to a node.
 type Request struct {
 	ID          string
 	Operation   int // index in the plan
 	Node        int
 	Incarnation int // of the node
 	Class       int
-	SentAt      int64 // its last byte was written
+	SentAt      int64 // when its last byte was written
 	Deadline    int64
-	CanceledAt  int64 // the client closed its connection or canceled; Never if it stayed
-	CloseRaceAt int64 // the node's closing was seen to cross it, and the client sent it again; Never if not
-	ResentAfter int64 // of a request sent again: when the first was crossed. Earlier attempts are not this one's
+	CanceledAt  int64 // when the client closed its connection or canceled; Never if it did not
+	CloseRaceAt int64 // the node closed the connection while the request was sent; the client resent it; Never if not
+	ResentAfter int64 // of a resent request: CloseRaceAt of its first transmission, to which earlier attempts belong
 
-	AnsweredAt  int64 // the last byte of the response had come; Never if it did not
+	AnsweredAt  int64 // when the last byte of the response was received; Never if it was not
 	Status      int
-	Truncated   bool  // the response had begun and its end is missing, so that the client can tell
-	ClosedAt    int64 // the connection ended without a response; Never if it did not
-	ForeignBody bool  // a 200 with a body that no endpoint made for this request
+	Truncated   bool  // the response ended early in a way that the client can detect
+	ClosedAt    int64 // when the connection ended without a response; Never if it did not
+	ForeignBody bool  // a 200 whose body no endpoint generated for this request
 	RetryAfter  int64
-	ExtraAt     int64 // something came after the response; Never if nothing did
+	ExtraAt     int64 // when further data was received after the response; Never if none was
 }
 
 // Attempt is one attempt of a node at an endpoint, as the endpoint saw it.
@@ -47,13 +47,13 @@
 	Zone        string
 	Pod         int
 
-	FirstByteAt, LastByteAt int64 // LastByteAt is Never if the message was never complete
-	AnsweredAt              int64 // the response was written; Never if there was none
+	FirstByteAt, LastByteAt int64 // LastByteAt is Never if the request was never received completely
+	AnsweredAt              int64 // when the response was written; Never if it was not
 	Status                  int
 	Rejected                bool
 	Executed                bool
-	Deduplicated            bool  // its key was known, so it was not executed again
-	ClosedAt                int64 // its connection was seen to end, by either side; Never if it was not
+	Deduplicated            bool  // its idempotency key was known, so it was not executed again
+	ClosedAt                int64 // when the endpoint saw the connection end, by either side; Never if not
 }
 
 // ListEntry is one entry of the endpoint list as written to a node.
@@ -76,25 +76,25 @@
 type Process struct {
 	Node, Incarnation  int
 	StartedAt, EndedAt int64
-	Excused            []Interval // the run itself had killed, paused or cut it off, so that it could not answer
-	Persistent         bool       // it knows the list of its predecessor, but for that one's last moment
-	ReadyAt            int64      // it first reported that it is ready; Never if it did not
+	Excused            []Interval // when the run itself killed, paused or disconnected it, so that it could not respond
+	Persistent         bool       // restores the list that its predecessor knew persistDelay before its end
+	ReadyAt            int64      // when it first reported that it is ready; Never if it did not
 }
 
-// Span is a time from and to, the end not included.
+// Interval is a time interval that excludes its end.
 type Interval struct{ From, To int64 }
 
-// Watch is a time in which a node watched the endpoint list, or a call that failed.
+// Watch is a time during which a node watched the endpoint list, or a call that failed.
 type Watch struct {
 	Node, Incarnation int
 	From, To          int64
 	Failed            bool
 }
 
-// AllNodes as the node of an Outage stands for every node.
+// AllNodes, as the node of an Outage, means every node.
 const AllNodes = -1
 
-// Outage is a time in which discovery could not be reached by one node, or by AllNodes.
+// Outage is a time during which discovery was unreachable for one node, or for AllNodes.
 type Outage struct {
 	Node int
 	Interval
@@ -107,17 +107,18 @@
 	model.Crash
 }
 
-// SlowStart is an incarnation of an endpoint that began in slow start, with the work that arrived until it was warm.
+// SlowStart is an incarnation of an endpoint that began in slow start, with the work that arrived until slow start
+// ended.
 type SlowStart struct {
 	Endpoint, Incarnation int
 	StartedAt             int64
 	MeanWork              float64 // of a request, seconds
-	Window                int64   // of the budget
+	Window                int64   // over which the budget is counted, nanoseconds
 	Arrivals              []model.Arrival
 }
 
-// History collects the records of a run. Its methods may be called by any goroutine; the fields may be read once it is
-// closed.
+// History collects the records of a run. Its methods may be called concurrently; the fields may be read only after
+// Close.
 type History struct {
 	mu          sync.Mutex
 	Requests    []*Request
@@ -132,7 +133,7 @@
 	closed      bool
 }
 
-// Update changes a record that has been entered; it does nothing once the history is closed.
+// Update calls change, which may modify recorded entries, under the history's lock; after Close it does nothing.
 func (h *History) Update(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,7 +149,7 @@
 	h.closed = true
 }
 
-// RecordRequest records a request that a node has read.
+// RecordRequest records a request that was sent to a node.
 func (h *History) RecordRequest(r *Request) {
 	r.CanceledAt, r.CloseRaceAt, r.AnsweredAt, r.ClosedAt, r.ExtraAt = Never, Never, Never, Never, Never
 	h.Update(func() { h.Requests = append(h.Requests, r) })
@@ -176,18 +177,18 @@
 	h.Update(func() { h.Processes = append(h.Processes, p) })
 }
 
-// Excuse adds a time in which nothing can be required of a process.
+// Excuse adds an interval during which a process is exempt from the rules.
 func (h *History) Excuse(p *Process, s Interval) {
 	h.Update(func() { p.Excused = append(p.Excused, s) })
 }
 
-// RecordOutage records that discovery cannot be reached from a moment on; its end is set when it comes.
+// RecordOutage records the start of an outage of discovery; the caller sets its end with Update.
 func (h *History) RecordOutage(o *Outage) {
 	o.To = Never
 	h.Update(func() { h.Outages = append(h.Outages, o) })
 }
 
-// RecordWatch records the beginning of a watch, or a call that failed.
+// RecordWatch records the start of a watch, or a call that failed.
 func (h *History) RecordWatch(w *Watch) {
 	h.Update(func() { h.Watches = append(h.Watches, w) })
 }
@@ -197,7 +198,8 @@
 	h.Update(func() { h.Crashes = append(h.Crashes, c) })
 }
 
-// RecordSlowStart records an incarnation that began in slow start, once it is warm or has ended.
+// RecordSlowStart records an incarnation that began in slow start; it is called when slow start or the incarnation
+// ends.
 func (h *History) RecordSlowStart(s SlowStart) {
 	if len(s.Arrivals) > 0 {
 		h.Update(func() { h.SlowStarts = append(h.SlowStarts, s) })
--- a/internal/lab/invariant/knowledge_test.go
+++ b/internal/lab/invariant/knowledge_test.go
@@ -7,15 +7,16 @@
 	"fawnglade/internal/lab/model"
 )
 
-// rulesWithAllLimits are the rules with the later terms of the standing test.
+// rulesWithAllLimits returns the rules with the limits that are off by default.
 func rulesWithAllLimits() Rules {
 	r := rules
 	r.KnownWithin, r.CancelGrace, r.ReadyWithin, r.ReadyWithinAtEnd, r.End = 6000*ms, 100*ms, 10000*ms, 6000*ms, 60000*ms
 	return r
 }
 
-// An endpoint drains at 2 s and gets an attempt later. Where the list is polled the limit is far longer than six seconds, and four
-// times that after a failed call.
+// An endpoint drains at 2 s and gets an attempt later. A node is presumed to know the drain six seconds after discovery
+// had it. The limit for nodes that poll the list is far longer, and four times that after a failed call, so it must not
+// matter.
 func TestPresumedKnowledge(t *testing.T) {
 	unchanged := func(*History) {}
 	outage := func(node int, from, to int64) func(*History) {
@@ -30,30 +31,30 @@
 		sent   int64
 		want   bool
 	}{
-		"six seconds and the grace":    {unchanged, 8560, true},
-		"not yet":                      {unchanged, 8540, false},
-		"discovery down before":        {outage(-1, 1000, 4000), 10540, false},
-		"six seconds after its return": {outage(-1, 1000, 4000), 10560, true},
-		"down in the midst of them":    {outage(-1, 7900, 9000), 15540, false},
-		"down twice":                   {func(history *History) { outage(-1, 3000, 4000)(history); outage(-1, 9000, 9500)(history) }, 15990, false},
-		"and six seconds after":        {func(history *History) { outage(-1, 3000, 4000)(history); outage(-1, 9000, 9500)(history) }, 16060, true},
-		"down only later":              {outage(-1, 8001, 30000), 8560, true},
-		"cut off from it alone":        {outage(0, 1000, 4000), 10540, false},
-		"another cut off from it":      {outage(1, 1000, 4000), 8560, true},
-		"never back":                   {func(history *History) { history.RecordOutage(&Outage{Node: -1, Interval: Interval{From: 1000 * ms}}) }, 30000, false},
-		"the node itself stood still":  {func(history *History) { history.Excuse(history.Processes[0], Interval{1000 * ms, 5000 * ms}) }, 11540, false},
-		"and no longer":                {func(history *History) { history.Excuse(history.Processes[0], Interval{1000 * ms, 5000 * ms}) }, 11560, true},
-		"told that it is up again": {func(history *History) {
+		"after six seconds and the grace": {unchanged, 8560, true},
+		"before that":                     {unchanged, 8540, false},
+		"discovery down before":           {outage(-1, 1000, 4000), 10540, false},
+		"six seconds after its return":    {outage(-1, 1000, 4000), 10560, true},
+		"down before they are over":       {outage(-1, 7900, 9000), 15540, false},
+		"down twice":                      {func(history *History) { outage(-1, 3000, 4000)(history); outage(-1, 9000, 9500)(history) }, 15990, false},
+		"and six seconds after":           {func(history *History) { outage(-1, 3000, 4000)(history); outage(-1, 9000, 9500)(history) }, 16060, true},
+		"down only later":                 {outage(-1, 8001, 30000), 8560, true},
+		"unreachable for this node alone": {outage(0, 1000, 4000), 10540, false},
+		"unreachable for another node":    {outage(1, 1000, 4000), 8560, true},
+		"down to the end":                 {func(history *History) { history.RecordOutage(&Outage{Node: -1, Interval: Interval{From: 1000 * ms}}) }, 30000, false},
+		"the node was paused":             {func(history *History) { history.Excuse(history.Processes[0], Interval{1000 * ms, 5000 * ms}) }, 11540, false},
+		"and six seconds after the pause": {func(history *History) { history.Excuse(history.Processes[0], Interval{1000 * ms, 5000 * ms}) }, 11560, true},
+		"received that it is up again": {func(history *History) {
 			history.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
 			history.RecordEntries(listEntry(3100, model.Up))
 		}, 8800, false},
-		"up again on the list, and not told":   {func(history *History) { history.RecordListChange(ListChange{State: model.Up, At: 3000 * ms}) }, 9600, false},
-		"told before the change that it is up": {func(history *History) { history.RecordEntries(listEntry(1900, model.Up)) }, 8560, true},
-		"up and draining again, neither told": {func(history *History) {
+		"up again on the list, not received":       {func(history *History) { history.RecordListChange(ListChange{State: model.Up, At: 3000 * ms}) }, 9600, false},
+		"received before the change that it is up": {func(history *History) { history.RecordEntries(listEntry(1900, model.Up)) }, 8560, true},
+		"up and draining again, neither received": {func(history *History) {
 			history.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
 			history.RecordListChange(ListChange{State: model.Draining, At: 4000 * ms})
 		}, 10560, true},
-		"told up, then draining again, not told": {func(history *History) {
+		"received up, then draining again, not received": {func(history *History) {
 			history.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
 			history.RecordEntries(listEntry(3100, model.Up))
 			history.RecordListChange(ListChange{State: model.Draining, At: 4000 * ms})
@@ -74,13 +75,13 @@
 			}
 			got := history.Check(classes, r)
 			if c.want != (len(got) == 1) || c.want && (got[0].Rule != 3 || got[0].At != c.sent*ms) {
-				t.Errorf("%s, asked %v: %v, want broken %v", name, polled, got, c.want)
+				t.Errorf("%s, list polled %v: got violations %v, want one of rule 3: %v", name, polled, got, c.want)
 			}
 		}
 	}
 }
 
-// A process that starts with a stale list has six seconds from its start.
+// A process that starts with a stale list is presumed to know the drain six seconds after its start.
 func TestPresumedKnowledgeOfNewProcess(t *testing.T) {
 	for sent, want := range map[int64]bool{12540: false, 12560: true} {
 		history := &History{}
@@ -95,24 +96,24 @@
 		r := rulesWithAllLimits()
 		r.ReadyWithin = 0
 		if got := history.Check(classes, r); want != (len(got) == 1) {
-			t.Errorf("sent at %d ms: %v, want broken %v", sent, got, want)
+			t.Errorf("sent at %d ms: got violations %v, want one: %v", sent, got, want)
 		}
 	}
 }
 
-// Attempts begin after their clients have gone.
+// Attempts that begin after their clients canceled are violations from the third on.
 func TestAttemptsAfterCancel(t *testing.T) {
 	for name, c := range map[string]struct {
 		late, excuse int64
 		cases, want  int
 	}{
-		"two":                  {200, 0, 2, 0},
-		"the third":            {200, 0, 3, 1},
-		"each after it":        {200, 0, 5, 3},
-		"just after the close": {140, 0, 5, 0},
-		"later than the slack": {160, 0, 5, 3},
-		"stood still then":     {200, 100, 5, 0},
-		"and began afterwards": {400, 100, 5, 3},
+		"two are tolerated":              {200, 0, 2, 0},
+		"the third":                      {200, 0, 3, 1},
+		"each after it":                  {200, 0, 5, 3},
+		"within the grace and the slack": {140, 0, 5, 0},
+		"later than both":                {160, 0, 5, 3},
+		"the node was paused":            {200, 100, 5, 0},
+		"long after the pause":           {400, 100, 5, 3},
 	} {
 		history := newHistory()
 		for i := range int64(c.cases) {
@@ -128,28 +129,28 @@
 			history.Excuse(history.Processes[0], Interval{990 * ms, (1000 + 10*int64(c.cases) + c.excuse) * ms})
 		}
 		got := history.Check(classes, rulesWithAllLimits())
-		if len(got) != c.want || c.want > 0 && (got[0].Rule != 1 || got[0].Request != "c" || got[0].Attempt != 1 || !strings.Contains(got[0].Description, "after its client had gone")) {
-			t.Errorf("%s: %v, want %d breaks from the third on", name, got, c.want)
+		if len(got) != c.want || c.want > 0 && (got[0].Rule != 1 || got[0].Request != "c" || got[0].Attempt != 1 || !strings.Contains(got[0].Description, "after its client closed or canceled")) {
+			t.Errorf("%s: got violations %v, want %d of rule 1, from the third request on", name, got, c.want)
 		}
 	}
 }
 
-// Ten processes are started again at 20 s, and ready so many seconds later; 0 is never.
+// Ten processes are restarted at 20 s; readyAfter has how many seconds later each was ready, 0 for never.
 func TestReadiness(t *testing.T) {
 	for name, c := range map[string]struct {
-		readyAfter  []int64
+		readyAfter []int64
 		runSeconds int64
-		endedAfter  int64 // the last of them; 0: not
-		want   string
+		endedAfter int64 // seconds until the last process ended; 0: it did not
+		want       string
 	}{
-		"all at once":                     {[]int64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, 60, 0, ""},
-		"one never":                       {[]int64{1, 1, 1, 1, 9, 1, 1, 1, 1, 0}, 60, 0, ""},
-		"two never":                       {[]int64{1, 1, 1, 1, 1, 1, 1, 1, 0, 0}, 60, 0, "rule 5 at 30.050 s, node 9: 8 of 10 processes started again were ready in time"},
-		"two late":                        {[]int64{11, 1, 1, 1, 1, 1, 1, 1, 1, 12}, 60, 0, "rule 5 at 30.050 s, node 9: 8 of 10"},
-		"a shorter day":                   {[]int64{7, 7, 1, 1, 1, 1, 1, 1, 1, 1}, 29, 0, "rule 5 at 26.050 s, node 1: 8 of 10"},
-		"in a shorter day":                {[]int64{5, 5, 5, 1, 1, 1, 1, 1, 1, 1}, 29, 0, ""},
-		"too near the day's end":          {[]int64{0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, 25, 0, ""},
-		"one of nine that were not ended": {[]int64{1, 1, 1, 1, 1, 1, 1, 1, 0, 0}, 60, 2, "rule 5 at 30.050 s, node 8: 8 of 9"},
+		"all at once":                  {[]int64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, 60, 0, ""},
+		"one never":                    {[]int64{1, 1, 1, 1, 9, 1, 1, 1, 1, 0}, 60, 0, ""},
+		"two never":                    {[]int64{1, 1, 1, 1, 1, 1, 1, 1, 0, 0}, 60, 0, "rule 5 at 30.050 s, node 9: 8 of 10 processes started again were ready in time"},
+		"two late":                     {[]int64{11, 1, 1, 1, 1, 1, 1, 1, 1, 12}, 60, 0, "rule 5 at 30.050 s, node 9: 8 of 10"},
+		"two late in a shorter run":    {[]int64{7, 7, 1, 1, 1, 1, 1, 1, 1, 1}, 29, 0, "rule 5 at 26.050 s, node 1: 8 of 10"},
+		"in time in a shorter run":     {[]int64{5, 5, 5, 1, 1, 1, 1, 1, 1, 1}, 29, 0, ""},
+		"too near the end of the run":  {[]int64{0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, 25, 0, ""},
+		"one of nine that did not end": {[]int64{1, 1, 1, 1, 1, 1, 1, 1, 0, 0}, 60, 2, "rule 5 at 30.050 s, node 8: 8 of 9"},
 	} {
 		history := &History{}
 		for node, readyAfter := range c.readyAfter {
@@ -167,17 +168,17 @@
 		r.End = c.runSeconds * 1000 * ms
 		got := history.Check(classes, r)
 		if c.want == "" && len(got) > 0 || c.want != "" && (len(got) != 1 || !strings.HasPrefix(got[0].String(), c.want)) {
-			t.Errorf("%s: %v, want %q", name, got, c.want)
+			t.Errorf("%s: got violations %v, want one that starts with %q (none if empty)", name, got, c.want)
 		}
 	}
 	history := newHistory()
 	if got := history.Check(classes, rulesWithAllLimits()); len(got) != 0 {
-		t.Errorf("a first life that was never ready: %v, want nothing broken: the day waits for these", got)
+		t.Errorf("first incarnation never ready: got %v, want no violation, as the run waits for these", got)
 	}
 }
 
-// Requests of a second of work arrive at an endpoint in slow start with a budget of four: first five from a node that does not
-// know of the start, then four from one that does, the last of them while one of the others is still within the window.
+// Requests of one second of work arrive at an endpoint in slow start with a budget of four: first five from a node that
+// does not know the start, then four from one that does, with one of the first node's still within the window.
 func TestSlowStartPeaks(t *testing.T) {
 	history := &History{}
 	for node := range 2 {
@@ -193,37 +194,37 @@
 	add(0, 1000, 1001, 1002, 1600, 1700)
 	add(1, 2100, 2650, 2660, 2670)
 	history.RecordSlowStart(slowStart)
-	history.RecordSlowStart(SlowStart{Endpoint: 4, MeanWork: 1, Window: 1000 * ms}) // nothing arrived
+	history.RecordSlowStart(SlowStart{Endpoint: 4, MeanWork: 1, Window: 1000 * ms}) // not recorded, without arrivals
 	all, known := history.Peaks(rulesWithAllLimits())
 	if len(all) != 1 || all[0] != (Peak{Endpoint: 3, At: 1700 * ms, Load: 5, Budget: 4, Excess: 0.5}) {
-		t.Errorf("of all that came: %+v, want five at 1.7 s, half a root over, none from who was told", all)
+		t.Errorf("all work: got peaks %+v, want a load of 5 at 1.7 s, an excess of 0.5, none from nodes that knew the start", all)
 	}
 	if len(known) != 1 || known[0] != (Peak{Endpoint: 3, At: 2670 * ms, Load: 5, Budget: 4, Excess: 0.5, KnownShare: 0.8}) {
-		t.Errorf("from nodes that were told: %+v, want five at 2.67 s, four of them from who was told", known)
+		t.Errorf("nodes that knew the start: got peaks %+v, want a load of 5 at 2.67 s, four fifths of it from them", known)
 	}
-	// Six seconds after discovery listed the start every node that could reach it is presumed to know.
+	// Six seconds after discovery listed the start, every node that could reach discovery is presumed to know it.
 	history.RecordListChange(ListChange{Endpoint: 3, State: model.Up, At: -4395 * ms, StartedAt: 77})
 	history.RecordListChange(ListChange{Endpoint: 3, State: model.Up, At: -9000 * ms, StartedAt: 76})
 	if _, known := history.Peaks(rulesWithAllLimits()); len(known) != 1 || known[0] != (Peak{Endpoint: 3, At: 2670 * ms, Load: 5, Budget: 4, Excess: 0.5, KnownShare: 1}) {
-		t.Errorf("taken to know at 1.605 s: %+v, want all five of 2.67 s", known)
+		t.Errorf("start presumed known at 1.605 s: got peaks %+v, want a load of 5 at 2.67 s, all from nodes that knew", known)
 	}
 	slowStart.Arrivals = slowStart.Arrivals[:5]
 	history = &History{}
 	history.RecordProcess(&Process{Incarnation: 1})
 	history.RecordSlowStart(slowStart)
 	if all, known := history.Peaks(rulesWithAllLimits()); len(all) != 1 || len(known) != 0 {
-		t.Errorf("nobody was told: %+v and %+v", all, known)
+		t.Errorf("no node knew the start: got peaks %+v and %+v, want one of all work and none of nodes that knew", all, known)
 	}
 }
 
-// A crash is a violation where the nodes are presumed to know of the start, though they did not receive it.
+// A crash is a violation if the nodes are presumed to know the start, even if they did not receive it.
 func TestCrashesByPresumedKnowledge(t *testing.T) {
 	for at, want := range map[int64]int{5900: 0, 6100: 1} {
 		history := newHistory()
 		history.RecordListChange(ListChange{Endpoint: 4, State: model.Up, At: 0, StartedAt: 77})
 		history.RecordCrash(Crash{Endpoint: 4, StartedAt: 77, Crash: model.Crash{At: at * ms, Capacity: 0.5, Work: 1, Arrivals: []model.Arrival{{At: at * ms, Work: 1}}}})
 		if got := history.Check(classes, rulesWithAllLimits()); len(got) != want || want > 0 && got[0].Rule != 4 {
-			t.Errorf("pushed over at %d ms: %v, want %d broken", at, got, want)
+			t.Errorf("crash at %d ms: got violations %v, want %d of rule 4", at, got, want)
 		}
 	}
 }
--- a/internal/lab/invariant/listknowledge.go
+++ b/internal/lab/invariant/listknowledge.go
@@ -7,26 +7,26 @@
 	"fawnglade/internal/lab/model"
 )
 
-// What a process of a node knows of each endpoint: entries that were written to it; changes that it is presumed to know,
-// as discovery had them long enough or as it did not poll in time; and, where its state is persisted, what its
-// predecessor knew.
+// Derives what each process of a node knows about each endpoint: entries that were written to it; changes that it is
+// presumed to know, because discovery had them for KnownWithin or because it did not poll in time; and, if its state is
+// persisted, what its predecessor knew.
 
-// persistDelay is how long before its end a process may receive what is not yet persisted.
+// persistDelay is how long before its end a process may receive entries that it no longer persists, nanoseconds.
 const persistDelay = int64(100e6)
 
-// failedPollFactor is how many times as long a process has for its next poll after one that failed.
+// failedPollFactor multiplies PollWithin after a failed poll.
 const failedPollFactor = 4
 
-// knownState is what a process knows of an endpoint from a moment on.
+// knownState is the state of an endpoint that a process knows from a time on.
 type knownState struct {
 	at    int64
 	state model.State
 }
 
-// endpointKey is an endpoint as one process of a node knows it.
+// endpointKey identifies an endpoint as known to one process of a node.
 type endpointKey struct{ node, incarnation, endpoint int }
 
-// knownStates returns, for each process and endpoint, what was known in order of time.
+// knownStates returns the states known to each process of each endpoint, in order of time.
 func (c *checker) knownStates() map[endpointKey][]knownState {
 	known := map[endpointKey][]knownState{}
 	for _, e := range c.Entries {
@@ -48,7 +48,7 @@
 	return known
 }
 
-// unreachable is when a process could not reach discovery, in order.
+// discoveryUnreachable returns the intervals in which a process could not reach discovery, sorted by start.
 func (c *checker) discoveryUnreachable(p *Process) []Interval {
 	spans := slices.Clone(p.Excused)
 	for _, o := range c.Outages {
@@ -60,14 +60,14 @@
 	return spans
 }
 
-// presumedAt is from when a process is presumed to know of a change that it did not receive: KnownWithin after discovery
-// had it, if the process could reach discovery for all of that time, whatever its calls came to. Never if that does not
-// come.
+// presumedAt returns when a process is presumed to know a change that it did not receive: KnownWithin after discovery
+// had it, if the process could reach discovery throughout that time, whether or not its calls succeeded. It returns
+// Never if the process ends before.
 func (c *checker) presumedAt(p *Process, unreachable []Interval, changed int64) int64 {
 	within, from := c.rules.KnownWithin, max(changed, p.StartedAt)
 	for _, s := range unreachable {
 		if s.From < from+within && from < s.To {
-			from = s.To // the process has all of the time again once discovery is back
+			from = s.To // the limit starts anew once discovery is reachable again
 		}
 	}
 	if within <= 0 || from == Never || from+within >= p.EndedAt {
@@ -76,8 +76,8 @@
 	return from + within + c.rules.LinkDelay(from+within)
 }
 
-// presumed returns what a process is presumed to know of all changes. A change does not count if the process received
-// it, or a later one of the same endpoint, in the meantime.
+// presumedStates returns the states that a process is presumed to know from list changes. A change does not count if
+// the process received it, or a later one of the same endpoint, in the meantime.
 func (c *checker) presumedStates(p *Process, known map[endpointKey][]knownState) map[endpointKey][]knownState {
 	presumed, unreachable := map[endpointKey][]knownState{}, c.discoveryUnreachable(p)
 	for _, change := range c.ListChanges {
@@ -90,15 +90,15 @@
 	return presumed
 }
 
-// addMissedPolls adds the list as it was PollWithin before, from when a process has neither watched nor polled for so
-// long.
+// addMissedPolls adds, for a process that has neither watched nor polled for PollWithin, the list as it was PollWithin
+// ago.
 func (c *checker) addMissedPolls(p *Process, known map[endpointKey][]knownState) {
 	if c.rules.PollWithin <= 0 {
 		return
 	}
 	from, wait := p.StartedAt, c.rules.PollWithin
 	addGap := func(until int64) {
-		if from == Never { // it still watches
+		if from == Never { // the watch is still open
 			return
 		}
 		for _, change := range c.ListChanges {
@@ -130,7 +130,7 @@
 	return watches
 }
 
-// addPersisted gives a process with persisted state the drains and removals that its predecessor knew at its end.
+// addPersisted adds the drains and removals that the predecessor of a process with persisted state knew at its end.
 func (c *checker) addPersisted(known map[endpointKey][]knownState) {
 	processes := slices.SortedFunc(slices.Values(c.Processes), func(a, b *Process) int {
 		return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
@@ -155,7 +155,7 @@
 	}
 }
 
-// endpointsListed returns the endpoints of which any node received an entry.
+// endpointsListed returns the endpoints for which any node received an entry.
 func (c *checker) endpointsListed() map[int]bool {
 	all := map[int]bool{}
 	for _, e := range c.Entries {
@@ -164,13 +164,13 @@
 	return all
 }
 
-// endpointStart is one start of an endpoint, as one process of a node may know of it.
+// endpointStart identifies one start of an endpoint as known to one process of a node.
 type endpointStart struct {
 	node, incarnation, endpoint int
 	startedAt                   int64
 }
 
-// findKnownStarts returns from when each process knew of each start: received, or presumed to be known.
+// findKnownStarts returns when each process knew each endpoint start, by a received entry or presumed.
 func (c *checker) findKnownStarts() map[endpointStart]int64 {
 	since := map[endpointStart]int64{}
 	record := func(k endpointStart, at int64) {
@@ -192,7 +192,7 @@
 	return since
 }
 
-// knewStart tells whether work came from a node that knew of the endpoint's start when it came.
+// knewStart reports whether the node that sent the work knew the endpoint's start when the work arrived.
 func (c *checker) knewStart(endpoint int, startedAt int64, a model.Arrival) bool {
 	if c.knownStarts == nil {
 		c.knownStarts = c.findKnownStarts()
--- a/internal/lab/invariant/readiness.go
+++ b/internal/lab/invariant/readiness.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Rule 5: of the processes that were started again, nine in ten are ready in time.
+// Rule 5: nine in ten of the restarted processes are ready in time.
 
 const minReadyFraction = 0.9
 
@@ -40,7 +40,7 @@
 	return first
 }
 
-// readyBy is when a process has to be ready. It does not count if the run ends, or ended the process, before that.
+// readyBy returns when a process must be ready. counts is false if the run ends, or ended the process, before that.
 func (c *checker) readyBy(p *Process) (due int64, counts bool) {
 	within := c.rules.ReadyWithin
 	if p.StartedAt+within > c.rules.End {
--- a/internal/lab/invariant/repeats.go
+++ b/internal/lab/invariant/repeats.go
@@ -2,15 +2,15 @@
 
 import "net/http"
 
-// Rule 2: no request runs twice that must not. A non-idempotent request is sent again, or rejected, only once every
-// earlier attempt is proven not to have run. One that is idempotent by key is sent again only within its deduplication
-// group and window. Two attempts are in flight at once only where that is allowed.
+// Rule 2: no request that must run once runs twice. A non-idempotent request is sent again, or rejected, only once
+// every earlier attempt is proven not to have run. One that is idempotent by key is sent again only within its
+// deduplication group and window. Two attempts are in flight at once only if hedging is allowed.
 
-// provenNotRunAt is when it was proven that the attempt never ran; Never if it was not.
+// provenNotRunAt returns when it was proven that the attempt did not run; Never if it was not proven.
 func (a *Attempt) provenNotRunAt() int64 {
 	switch {
 	case a.LastByteAt == Never:
-		return a.FirstByteAt // cut before its last byte, which its sender knows
+		return a.FirstByteAt // the request was cut before its last byte, which the sender can tell
 	case a.Rejected:
 		return a.AnsweredAt
 	}
@@ -44,7 +44,7 @@
 	c.checkRejected(r, class)
 }
 
-// wrongRepeat says why an attempt must not have begun after an earlier one; empty if it may.
+// wrongRepeat returns why an attempt must not begin after an earlier one; empty if it may.
 func (c *checker) wrongRepeat(class Class, earlier, a *Attempt) string {
 	switch {
 	case c.inFlight(earlier, a.FirstByteAt) && !c.rules.MayHedge:
@@ -58,18 +58,18 @@
 	case !class.DedupGroup.shares(earlier, a):
 		return "a ticketed task that may have run sent again outside its group"
 	case a.FirstByteAt > earlier.FirstByteAt+class.DedupWindow+c.rules.linkSlack(a.FirstByteAt):
-		return "a ticketed task that may have run sent again after the memory's span"
+		return "a ticketed task that may have run sent again after the deduplication window"
 	}
 	return ""
 }
 
-// inFlight tells whether an attempt had no end yet at a moment. A response is written before its node can know of it, so
-// it needs no slack; the end of a connection may be seen late.
+// inFlight reports whether an attempt had not ended at a time. A response is recorded before its node can receive it,
+// so it needs no slack; the end of a connection may be observed late.
 func (c *checker) inFlight(a *Attempt, at int64) bool {
 	return a.LastByteAt != Never && a.AnsweredAt > at && a.ClosedAt > at+c.rules.linkSlack(at)
 }
 
-// checkRejected checks that a request that was rejected had no attempt that may have run: a rejection invites a retry.
+// checkRejected checks that a rejected request has no attempt that may have run, since clients retry after a rejection.
 func (c *checker) checkRejected(r *Request, class Class) {
 	rejected := r.AnsweredAt != Never &&
 		(r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable)
@@ -80,8 +80,8 @@
 	}
 	attempts, first := c.attemptsOf(r)
 	for n, a := range attempts {
-		// An attempt that began after the response is rule 1's. Where the endpoint's rejection was written after the
-		// response came, the node rejected before it knew.
+		// Rule 1 covers attempts that began after the response. If the endpoint's rejection was written after the
+		// response was received, the node rejected the request before it could know.
 		if a.FirstByteAt <= r.AnsweredAt && a.provenNotRunAt() > r.AnsweredAt {
 			c.report(Violation{
 				Rule: 2, Description: "declined though it may have run",
--- a/internal/lab/invariant/response.go
+++ b/internal/lab/invariant/response.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Rule 1: a request has one response, made by an endpoint for it, by its deadline and the grace; no attempt of it begins
-// after that, nor once its client has gone.
+// Rule 1: a request gets one response, generated for it by an endpoint, within AnswerGrace of its deadline; no attempt
+// of it begins after that, nor after its client has closed or canceled.
 
-// maxAttemptsAfterCancel is how many attempts of a run may begin after their client has gone.
+// maxAttemptsAfterCancel is how many attempts in a run may begin after their client has closed or canceled.
 const maxAttemptsAfterCancel = 2
 
 func (c *checker) checkResponse(r *Request) {
@@ -31,7 +31,7 @@
 		endedAt = due
 	}
 	if endedAt == due && excused {
-		return // a node that was paused reads a request late, and cannot know when it came
+		return // a paused node reads the request late, and cannot know when it was sent
 	}
 	c.checkAttemptsAfter(r, endedAt)
 }
@@ -40,8 +40,8 @@
 	c.report(Violation{Rule: 1, Description: description, Request: r.ID, Attempt: -1, Endpoint: -1, Node: r.Node, At: at})
 }
 
-// checkCloseRace checks a request that crossed the closing of its connection. A node may close an idle connection, but one
-// that began an attempt had read the request and owed a response.
+// checkCloseRace checks a request that was sent while the node closed its connection. A node may close an idle
+// connection, but a node that began an attempt had read the request and has to respond.
 func (c *checker) checkCloseRace(r *Request, excused bool) {
 	if attempts, _ := c.attemptsOf(r); len(attempts) > 0 && !excused {
 		c.reportResponse(r, r.CloseRaceAt, "connection ended without an answer")
@@ -61,7 +61,7 @@
 	}
 }
 
-// checkAttemptsAfter reports attempts that began after the response was given or due.
+// checkAttemptsAfter reports attempts that began after the response was received or due.
 func (c *checker) checkAttemptsAfter(r *Request, endedAt int64) {
 	attempts, first := c.attemptsOf(r)
 	for n, a := range attempts {
@@ -74,12 +74,12 @@
 	}
 }
 
-// checkCanceled notes attempts that began too long after the client had closed its connection or canceled.
+// checkCanceled collects attempts that began more than CancelGrace after the client closed its connection or canceled.
 func (c *checker) checkCanceled(r *Request) {
 	if c.rules.CancelGrace <= 0 || r.CanceledAt == Never {
 		return
 	}
-	// A node that was paused when the client went learns of it afterwards.
+	// A node that was paused when the client closed detects it only after it resumes.
 	process := processKey{r.Node, r.Incarnation}
 	canceledAt := max(r.CanceledAt, c.excusedUntil(process, r.CanceledAt, r.CanceledAt+c.rules.CancelGrace))
 	if canceledAt == Never {
@@ -90,14 +90,14 @@
 		if a.Node == r.Node && a.FirstByteAt > canceledAt+c.rules.CancelGrace+c.rules.linkSlack(a.FirstByteAt) {
 			late := float64(a.FirstByteAt-canceledAt) / 1e6
 			c.attemptsAfterCancel = append(c.attemptsAfterCancel, Violation{
-				Rule: 1, Description: fmt.Sprintf("sent to a server %.0f ms after its client had gone", late),
+				Rule: 1, Description: fmt.Sprintf("sent to a server %.0f ms after its client closed or canceled", late),
 				Request: r.ID, Attempt: first + n, Endpoint: a.Endpoint, Node: a.Node, At: a.FirstByteAt,
 			})
 		}
 	}
 }
 
-// reportCanceled reports the attempts for clients that had gone, beyond those that are tolerated.
+// reportCanceled reports the attempts collected by checkCanceled, except the first maxAttemptsAfterCancel.
 func (c *checker) reportCanceled() {
 	sortByTime(c.attemptsAfterCancel)
 	if len(c.attemptsAfterCancel) > maxAttemptsAfterCancel {
--- a/internal/lab/invariant/slowstart.go
+++ b/internal/lab/invariant/slowstart.go
@@ -7,8 +7,8 @@
 	"fawnglade/internal/lab/model"
 )
 
-// Rule 4: an endpoint in slow start is not overloaded until it crashes. Nodes answer for a crash if two thirds of the
-// work in its window came from those that knew of the endpoint's start.
+// Rule 4: an endpoint in slow start is not overloaded until it crashes. A crash is a violation if two thirds of the
+// work in its window came from nodes that knew of the endpoint's start.
 
 const crashKnownShare = 2.0 / 3
 
@@ -33,19 +33,19 @@
 	}
 }
 
-// Peak is the moment at which the load of an endpoint in slow start exceeded its budget most. Load and Budget are in
-// requests of mean work within the window; Excess is Load over Budget in roots of Budget, of which the standing test
-// puts 2 and two requests down to chance.
+// Peak is the time at which the load of an endpoint in slow start exceeded its budget most. Load and Budget are in
+// requests of mean work within the window. Excess is Load minus Budget, divided by the square root of Budget; the
+// acceptance test attributes an excess of 2, plus two requests, to chance.
 type Peak struct {
 	Endpoint     int
 	At           int64
 	Load, Budget float64
 	Excess       float64
-	KnownShare   float64 // part of Load from nodes that knew of the endpoint's start
+	KnownShare   float64 // fraction of Load from nodes that knew the endpoint's start
 }
 
-// Peaks returns the worst moment of each slow start: of all work, and of the moments at which over two thirds came from
-// nodes that knew of the endpoint's start. Those without such a moment are not among the second.
+// Peaks returns the worst peak of each slow start. known has the worst of those peaks at which over two thirds of the
+// work came from nodes that knew the endpoint's start; slow starts without such a peak are left out of it.
 func (h *History) Peaks(rules Rules) (all, known []Peak) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -60,7 +60,7 @@
 	return all, known
 }
 
-// peaksOf slides the window over the work that arrived in one slow start.
+// peaksOf computes the peaks of one slow start with a sliding window over the work that arrived.
 func (c *checker) peaksOf(s SlowStart) (worst, worstKnown Peak) {
 	knew := make([]bool, len(s.Arrivals))
 	load, known, from := 0.0, 0.0, 0
--- a/internal/lab/netfault/fault.go
+++ b/internal/lab/netfault/fault.go
@@ -1,6 +1,7 @@
-// Package netfault holds the schedule of faults on the links between the parts of a run: which message is lost, delayed,
-// duplicated, reordered or corrupted, and when. It is pure, the same for sockets and for virtual time: the fate of a
-// message depends on the seed, the link and the message's number on it alone.
+// Package netfault schedules faults on the links between the nodes, endpoints, discovery and clients of a run: which
+// message is lost, delayed, duplicated, reordered or corrupted, and when. It reads no clock and no socket, and serves
+// emulated and simulated runs alike: the fate of a message depends only on the time, the fault's seed, the link and the
+// message's number on that link.
 package netfault
 
 import (
@@ -8,10 +9,10 @@
 	"strconv"
 )
 
-// EndKind is a kind of part.
+// EndKind is the kind of participant at one end of a link.
 type EndKind uint8
 
-// The parts that links lead between.
+// The kinds of link ends.
 const (
 	Node EndKind = iota
 	Endpoint
@@ -19,7 +20,7 @@
 	Client
 )
 
-// End is one end of a link. Clients are one end for each zone, by the zone's number.
+// End is one end of a link. All clients of a zone share one end, whose index is the zone's.
 type End struct {
 	Kind  EndKind
 	Index int
@@ -29,48 +30,48 @@
 	return [...]string{"n", "s", "discovery ", "clients "}[e.Kind] + strconv.Itoa(e.Index)
 }
 
-// Kind of fault, by its name in scenario files.
+// Kind is a kind of fault, by its name in scenario files.
 type Kind string
 
 // The kinds of faults.
 const (
-	Cut       Kind = "link-cut"     // nothing passes
-	Drop      Kind = "link-drop"    // a share is lost
-	Delay     Kind = "link-delay"   // everything arrives later
-	Duplicate Kind = "link-twice"   // a share arrives a second time, after Wait
-	Reorder   Kind = "link-reorder" // a share is held for Wait, so that others overtake it
-	Corrupt   Kind = "link-spoil"   // a byte of a share is changed
-	Throttle  Kind = "link-narrow"  // so many bytes a second
+	Cut       Kind = "link-cut"     // all messages are lost
+	Drop      Kind = "link-drop"    // a fraction of messages is lost
+	Delay     Kind = "link-delay"   // all messages arrive later
+	Duplicate Kind = "link-twice"   // a fraction arrives a second time, after Wait
+	Reorder   Kind = "link-reorder" // a fraction is delayed by Wait, so that later messages overtake it
+	Corrupt   Kind = "link-spoil"   // one byte of a fraction of messages is changed
+	Throttle  Kind = "link-narrow"  // bandwidth is limited to Rate
 )
 
-// Variants of some kinds; the first is the default.
+// Variants lists the variants of kinds that have any; the first is the default.
 var Variants = map[Kind][]string{Cut: {"silent", "refused"}, Delay: {"fixed", "drawn", "growing"}}
 
-// Fault is a fault of some links for a time. Times are nanoseconds.
+// Fault is a fault that affects some links for a time. Times are nanoseconds.
 type Fault struct {
 	Kind     Kind
 	Variant  string
 	From, To []End
-	OneWay   bool // only from From to To
+	OneWay   bool // affects only messages from From to To
 	Begin    int64
 	End      int64
-	Share    float64 // of the messages
-	Burst    int     // so many in a row have the same fate
+	Share    float64 // fraction of messages affected; 0: all
+	Burst    int     // number of consecutive messages that share one draw
 	Wait     int64
-	Rate     float64 // bytes a second
+	Rate     float64 // bytes per second, of Throttle
 	Seed     uint64
 
 	from, to map[End]bool
 }
 
-// hits tells whether the fault is of the link from one end to another, at any time.
+// appliesTo reports whether the fault affects the link from one end to another, at any time.
 func (f *Fault) appliesTo(from, to End) bool {
 	return f.from[from] && f.to[to] || !f.OneWay && f.from[to] && f.to[from]
 }
 
 func (f *Fault) active(now int64) bool { return f.Begin <= now && now < f.End }
 
-// touches tells whether the fault is of any link between two kinds of ends, in either direction.
+// affectsKinds reports whether the fault affects any link between two kinds of ends, in either direction.
 func (f *Fault) affectsKinds(a, b EndKind) bool {
 	has := func(ends []End, k EndKind) bool {
 		return slices.ContainsFunc(ends, func(e End) bool { return e.Kind == k })
@@ -78,16 +79,17 @@
 	return has(f.From, a) && has(f.To, b) || has(f.From, b) && has(f.To, a)
 }
 
-// CanLink tells whether there are links between two kinds of ends, and whether these carry single messages or streams.
+// CanLink reports whether links exist between two kinds of ends, and whether they carry single messages rather than
+// streams.
 func CanLink(a, b EndKind) (linked, messages bool) {
 	return min(a, b) == Node, a == Node && b == Node
 }
 
-// AppliesToStreams tells whether a stream can show a fault of a kind: a stream is read completely, in order and once, and
-// loss shows as delay.
+// AppliesToStreams reports whether a kind of fault can affect a stream. A stream is read completely, in order and once,
+// so loss appears as delay.
 func AppliesToStreams(k Kind) bool { return k != Duplicate && k != Reorder && k != Corrupt }
 
-// Conflict tells whether two faults are of one kind on one link at one time.
+// Conflict reports whether two faults of the same kind overlap in time on a link.
 func Conflict(a, b *Fault) bool {
 	if a.Kind != b.Kind || a.End <= b.Begin || b.End <= a.Begin {
 		return false
@@ -103,7 +105,7 @@
 
 type link struct{ from, to End }
 
-// links returns the links that the fault names, in their directions.
+// links returns the directed links that the fault affects.
 func (f *Fault) links() map[link]bool {
 	all := map[link]bool{}
 	for _, a := range f.From {
--- a/internal/lab/netfault/report.go
+++ b/internal/lab/netfault/report.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Reach tells which nodes could reach each other in one second of a run.
+// Reachability describes which nodes could reach each other in one second of a run.
 type Reachability struct {
-	Partitions []string `json:"parts"`              // nodes that reach one another, both ways, as n0..n5
-	OneWay     []string `json:"one_way,omitempty"`  // cuts of one direction, as link-cut n3 -> n0
+	Partitions []string `json:"parts"`              // nodes that reach one another in both directions, such as n0..n5
+	OneWay     []string `json:"one_way,omitempty"`  // cuts of one direction, such as link-cut n3 -> n0
 	Faults     []string `json:"troubled,omitempty"` // all other active faults
 }
 
-// ReachabilityAt tells which nodes reach each other at a moment, and which faults are active.
+// ReachabilityAt returns which nodes reach each other at a time, and which faults are active.
 func (s *Schedule) ReachabilityAt(now int64, nodes int) Reachability {
 	var r Reachability
 	seen := make([]bool, nodes)
@@ -35,7 +35,8 @@
 	return r
 }
 
-// partitionOf returns the nodes that a node reaches both ways, directly or through others, in order, and marks them as seen.
+// partitionOf returns the nodes that a node reaches in both directions, directly or through others, sorted, and marks
+// them as seen.
 func (s *Schedule) partitionOf(now int64, node int, seen []bool) []int {
 	seen[node] = true
 	partition := []int{node}
@@ -53,7 +54,7 @@
 	return partition
 }
 
-// String names the fault with its ends.
+// String returns the fault's kind and ends.
 func (f *Fault) String() string {
 	arrow := "<->"
 	if f.OneWay {
@@ -83,10 +84,10 @@
 	return strings.Join(names, " ")
 }
 
-// numbers is Ranges without the letter for nodes.
+// numberRanges formats like NodeRanges, without the letter n.
 func numberRanges(nodes []int) string { return strings.ReplaceAll(NodeRanges(nodes), "n", "") }
 
-// Ranges puts numbers of nodes, in order, into words: n0..n3 n7.
+// NodeRanges formats sorted node numbers as ranges, such as n0..n3 n7.
 func NodeRanges(nodes []int) string {
 	var ranges []string
 	for i := 0; i < len(nodes); {
--- a/internal/lab/netfault/schedule.go
+++ b/internal/lab/netfault/schedule.go
@@ -10,23 +10,23 @@
 // Fate is what happens to one message.
 type Fate struct {
 	Lost           bool
-	Refused        bool // the sender is notified, where the link has a means to
+	Refused        bool // the sender is notified, if the kind of link allows it
 	Delay          int64
-	DuplicateAfter int64   // a second copy comes so long after; 0: none
-	CorruptByte    int     // place of the changed byte; noByte: none
-	Rate           float64 // bytes a second; 0: not bounded
+	DuplicateAfter int64   // delay of a second copy after the first; 0: none
+	CorruptByte    int     // index of the changed byte; noByte: none
+	Rate           float64 // bytes per second; 0: not limited
 }
 
-// noByte as the corrupt byte of a Fate stands for none.
+// noByte is the CorruptByte of a Fate without corruption.
 const noByte = -1
 
-// Schedule is all faults on the links of a run. It is not changed once made.
+// Schedule holds all faults on the links of a run. It is immutable and may be used concurrently.
 type Schedule struct {
-	faults  []Fault // by their beginnings
+	faults  []Fault // sorted by Begin
 	changes []int64
 }
 
-// New makes a schedule.
+// New returns a schedule of faults.
 func New(faults []Fault) *Schedule {
 	s := &Schedule{faults: slices.Clone(faults)}
 	for i := range s.faults {
@@ -50,7 +50,7 @@
 	return set
 }
 
-// Changes returns the times at which any fault begins or ends, in order.
+// Changes returns the times at which any fault begins or ends, sorted.
 func (s *Schedule) Changes() []int64 { return s.changes }
 
 // message is one message on a link, with its size in bytes.
@@ -60,19 +60,19 @@
 	size     int
 }
 
-// random returns a number from 0 to 1 for a message, evenly spread and the same each time.
+// random returns a uniform number from 0 to 1 for a message, the same on each call.
 func (f *Fault) random(m *message, purpose uint64) float64 {
 	return fraction(mix(f.Seed, m.from, m.to, m.number, purpose))
 }
 
-// The purposes of random numbers.
+// The purposes of random numbers; each purpose has its own sequence.
 const (
 	purposeShare = 1 + iota
 	purposeDelay
 	purposeByte
 )
 
-// mix is a number from a fault's seed, a link and a message's number, evenly spread.
+// mix returns a uniformly distributed hash of a fault's seed, a link, a message's number and a purpose.
 func mix(seed uint64, from, to End, n uint64, purpose uint64) uint64 {
 	x := seed ^ purpose*0x9e3779b97f4a7c15
 	ends := [...]uint64{
@@ -89,7 +89,7 @@
 
 func fraction(x uint64) float64 { return float64(x>>11) / (1 << 53) }
 
-// FateOf returns the fate of message n on the link from one end to another.
+// FateOf returns the fate of the nth message on the link from one end to another, of a size in bytes.
 func (s *Schedule) FateOf(now int64, from, to End, n uint64, size int) Fate {
 	fate := Fate{CorruptByte: noByte}
 	m := &message{from, to, n, size}
@@ -105,13 +105,13 @@
 	return fate
 }
 
-// strikes tells whether the message is of the fault's share.
+// selects reports whether the message is in the fraction that the fault affects.
 func (f *Fault) selects(m *message) bool {
 	burst := m.number / uint64(max(f.Burst, 1))
 	return f.Share == 0 || fraction(mix(f.Seed, m.from, m.to, burst, purposeShare)) < f.Share
 }
 
-// apply adds what an active fault does to a message.
+// apply adds the effect of an active fault to a message's fate.
 func (f *Fault) apply(now int64, m *message, fate *Fate) {
 	switch f.Kind {
 	case Cut:
@@ -152,7 +152,7 @@
 	return f.Wait
 }
 
-// Open tells whether anything passes from one end to another at a moment.
+// Open reports whether messages pass from one end to another at a time, so no cut is active.
 func (s *Schedule) Open(now int64, from, to End) bool {
 	for i := range s.faults {
 		if f := &s.faults[i]; f.Kind == Cut && f.active(now) && f.appliesTo(from, to) {
@@ -162,20 +162,20 @@
 	return true
 }
 
-// Touches tells whether any fault is of a link between two kinds of ends, in either direction.
+// Affects reports whether any fault affects a link between two kinds of ends, in either direction.
 func (s *Schedule) Affects(a, b EndKind) bool {
 	return slices.ContainsFunc(s.faults, func(f Fault) bool { return f.affectsKinds(a, b) })
 }
 
 const (
-	retransmitTimeout    = int64(200 * time.Millisecond) // of a lost piece of a stream
-	maxConsecutiveLosses = 5                             // in a row
+	retransmitTimeout    = int64(200 * time.Millisecond) // of a lost segment of a stream
+	maxConsecutiveLosses = 5                             // of one segment
 	maxThrottleDelay     = int64(time.Second)
-	maxDrawnDelayFactor  = 10 // times its mean that a drawn delay may be
+	maxDrawnDelayFactor  = 10 // largest drawn delay to expect, as a multiple of the mean
 )
 
-// Allowance is by how much messages between two kinds of ends may be late at a moment: what a time limit is longer by
-// that is checked at the far end. Nothing of a node's own doing is in it.
+// MaxDelay returns by how much faults may delay messages between two kinds of ends at a time. Time limits that are
+// checked at the far end of a link are extended by it. It includes no delay that a node itself causes.
 func (s *Schedule) MaxDelay(at int64, a, b EndKind) int64 {
 	sum := int64(0)
 	for i := range s.faults {
@@ -190,10 +190,10 @@
 	return sum
 }
 
-// maxDelay is by how much a message may be late by the fault.
+// maxDelay returns by how much the fault may delay a message.
 func (f *Fault) maxDelay() int64 {
 	switch {
-	case f.Kind == Cut: // what was held up arrives when the link is mended
+	case f.Kind == Cut: // messages that were held back arrive when the cut ends
 		return f.End - f.Begin
 	case f.Kind == Drop:
 		return maxConsecutiveLosses * retransmitTimeout
--- a/internal/lab/netfault/site.go
+++ b/internal/lab/netfault/site.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Site is what names of ends are resolved against.
+// Topology holds the zones, nodes and endpoints that names of ends refer to.
 type Topology struct {
 	Zones         []string
 	NodeZones     []string // by node
@@ -16,8 +16,8 @@
 	EndpointZones []string // by endpoint
 }
 
-// Ends resolves the names of a scenario file: n3, n0..n5, nodes, nodes:ZONE, an endpoint's name, servers, servers:ZONE,
-// discovery, clients, clients:ZONE. An error says what was expected and what was found.
+// Ends resolves names as used in scenario files: n3, n0..n5, nodes, nodes:ZONE, an endpoint's name, servers,
+// servers:ZONE, discovery, clients, clients:ZONE. Errors read as the expected form and the name that was given.
 func (s *Topology) Ends(names []string) ([]End, error) {
 	var all []End
 	for _, name := range names {
@@ -54,7 +54,8 @@
 	return s.nodeRange(name)
 }
 
-// endsIn returns the ends of one kind in a zone, or all of them where it is empty. zones has the zone of each.
+// endsIn returns the ends of one kind in a zone, or all of them if the zone is empty. zones holds the zone of each end;
+// name is the resolved name, for the error.
 func endsIn(kind EndKind, zones []string, zone, name string) ([]End, error) {
 	var ends []End
 	for i, z := range zones {
@@ -63,12 +64,12 @@
 		}
 	}
 	if len(ends) == 0 {
-		return nil, fmt.Errorf("a name that somebody has, got %q", name)
+		return nil, fmt.Errorf("a name that matches at least one node, server or zone, got %q", name)
 	}
 	return ends, nil
 }
 
-// nodeRange resolves n3 and n0..n5.
+// nodeRange resolves names such as n3 and n0..n5.
 func (s *Topology) nodeRange(name string) ([]End, error) {
 	first, last, ranged := strings.Cut(name, "..")
 	if !ranged {
@@ -77,7 +78,7 @@
 	a, errA := nodeNumber(first)
 	b, errB := nodeNumber(last)
 	if errA != nil || errB != nil || a < 0 || a > b || b >= len(s.NodeZones) {
-		return nil, fmt.Errorf("n0 to n%d, a range as n0..n%d, nodes, servers, clients (each with :ZONE), "+
+		return nil, fmt.Errorf("n0 to n%d, a range such as n0..n%d, nodes, servers, clients (each with :ZONE), "+
 			"a server's name or discovery, got %q", len(s.NodeZones)-1, len(s.NodeZones)-1, name)
 	}
 	var ends []End
