--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -47,12 +47,12 @@
 	}
 }
 
-func waitStep(f Fleet, rounds int64, condition string, holds func([]*members.View) bool) func() error {
-	return func() error { _, err := WaitUntil(f, rounds, condition, holds); return err }
+func waitStep(f Fleet, periods int64, condition string, holds func([]*members.View) bool) func() error {
+	return func() error { _, err := WaitUntil(f, periods, condition, holds); return err }
 }
 
-func holdStep(f Fleet, rounds int64, condition string, holds func([]*members.View) bool) func() error {
-	return func() error { return RequireDuring(f, rounds, condition, holds) }
+func holdStep(f Fleet, periods int64, condition string, holds func([]*members.View) bool) func() error {
+	return func() error { return RequireDuring(f, periods, condition, holds) }
 }
 
 func actionStep(action func()) func() error { return func() error { action(); return nil } }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -37,7 +37,7 @@
 
 // WaitUntil waits for a statement about all views to hold, and fails once every node that answers has been through so many rounds
 // since the call, with the statement false to the end.
-func WaitUntil(f Fleet, rounds int64, condition string, holds func([]*members.View) bool) (took int64, err error) {
+func WaitUntil(f Fleet, periods int64, condition string, holds func([]*members.View) bool) (took int64, err error) {
 	firstPeriods := make([]int64, f.Len())
 	for i := range firstPeriods {
 		firstPeriods[i] = -1
@@ -63,7 +63,7 @@
 		if unanswered++; minPassed >= 0 {
 			unanswered = 0
 		}
-		if minPassed > rounds || unanswered > 2000 {
+		if minPassed > periods || unanswered > 2000 {
 			return minPassed, fmt.Errorf("%s: not so after %d rounds of every node:\n%s", condition, minPassed, FormatViews(views))
 		}
 		f.Step()
@@ -71,9 +71,9 @@
 }
 
 // RequireDuring watches a statement stay true while every node that answers goes through so many rounds.
-func RequireDuring(f Fleet, rounds int64, condition string, holds func([]*members.View) bool) error {
+func RequireDuring(f Fleet, periods int64, condition string, holds func([]*members.View) bool) error {
 	violated := ""
-	_, err := WaitUntil(f, rounds, condition, func(views []*members.View) bool {
+	_, err := WaitUntil(f, periods, condition, func(views []*members.View) bool {
 		if !holds(views) && violated == "" {
 			violated = FormatViews(views)
 		}
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -82,7 +82,7 @@
 }
 
 // Measure starts a fleet, watches it for a time with a loss, and kills nodes one after another. rounds bounds each wait.
-func Measure(f measurable, loss float64, burst int, watch time.Duration, deaths int, rounds int64) (*Figures, error) {
+func Measure(f measurable, loss float64, burst int, watch time.Duration, deaths int, periods int64) (*Figures, error) {
 	figures := &Figures{Nodes: f.Len(), Loss: loss, Burst: burst}
 	for i := range f.Len() {
 		if err := f.Start(i); err != nil {
@@ -91,8 +91,8 @@
 	}
 	waitForAll := func(node int, state members.State, condition string) (steps int64, err error) {
 		for ; !f.AllReport(node, state); steps++ {
-			if steps > 5*rounds {
-				return steps, fmt.Errorf("%d nodes, loss %.2f: n%d not %s for all within %d rounds", f.Len(), loss, node, condition, rounds)
+			if steps > 5*periods {
+				return steps, fmt.Errorf("%d nodes, loss %.2f: n%d not %s for all within %d rounds", f.Len(), loss, node, condition, periods)
 			}
 			f.Step()
 		}
