--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Hard cases of membership. Each is run in virtual time and with processes from the same description; what it allows is
-// counted in protocol rounds, never in clock time.
+// Fault cases of membership, which run in virtual time and with real processes alike. Their limits count protocol
+// periods, not clock time, so that a slow machine does not fail them.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"fawnglade/internal/members"
 )
 
-// Case is one hard case.
+// Case is one fault case.
 type Case struct {
 	Name  string
 	Nodes int
@@ -18,14 +18,14 @@
 }
 
 const (
-	startupPeriods        = 40  // rounds in which nodes that start together all know one another
-	detectionPeriods      = 60  // in which all know of a death
-	mergePeriods          = 80  // in which two halves are one again
-	stablePeriods         = 25  // over which something is watched to stay
-	lossyDetectionPeriods = 160 // where a third of all is lost
+	startupPeriods        = 40  // until nodes that start together all report each other as up
+	detectionPeriods      = 60  // until all nodes report a failure
+	mergePeriods          = 80  // until two partitions have merged
+	stablePeriods         = 25  // over which a condition has to hold
+	lossyDetectionPeriods = 160 // as detectionPeriods, with a third of the datagrams lost
 )
 
-// runSteps runs the steps of a case up to the first that fails.
+// runSteps runs the steps of a case, and stops at the first that fails.
 func runSteps(steps ...func() error) error {
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -42,7 +42,7 @@
 				return err
 			}
 		}
-		_, err := WaitUntil(f, startupPeriods, "all know one another", ViewsMatch(NodeRange(0, f.Len()), AllInState("up")))
+		_, err := WaitUntil(f, startupPeriods, "all nodes report each other as up", ViewsMatch(NodeRange(0, f.Len()), AllInState("up")))
 		return err
 	}
 }
@@ -61,16 +61,16 @@
 	return netfault.Fault{Kind: netfault.Cut, From: NodeEnds(a), To: NodeEnds(b), OneWay: oneWay}
 }
 
-// dropShare is the part of the datagrams that drop loses.
+// dropShare is the fraction of datagrams that dropFault loses.
 const dropShare = 0.3
 
-// dropFault loses datagrams between all nodes, in bursts of so many on average.
+// dropFault returns a fault that loses datagrams between all nodes, in bursts of the given length.
 func dropFault(nodes, burst int) netfault.Fault {
 	all := NodeEnds(NodeRange(0, nodes))
 	return netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: dropShare, Burst: burst, Seed: 7}
 }
 
-// noneFailed tells that none of some nodes takes one of others for failed or gone.
+// noneFailed returns a condition that no observer reports an observed node as failed or left.
 func noneFailed(observers, observed []int) func([]*members.View) bool {
 	return func(views []*members.View) bool {
 		for _, i := range observers {
@@ -111,7 +111,8 @@
 	}
 }
 
-// startedAfter tells whether everybody believes a node up that started after a moment of its own clock.
+// startedAfter reports whether all nodes report a node as up, with a start later than a time of its own clock,
+// milliseconds.
 func startedAfter(views []*members.View, node int, start uint64) bool {
 	for _, v := range views {
 		if v == nil || v.Members[node].StartMs <= start || v.Members[node].State != "up" {
@@ -121,17 +122,17 @@
 	return true
 }
 
-// Cases are all of them.
+// Cases lists all fault cases.
 var Cases = []Case{
 	{"half of twelve cut off and back: two views, then one", 12, func(f Fleet) error {
 		a, b := NodeRange(0, 6), NodeRange(6, 12)
 		return runSteps(startAll(f),
 			actionStep(func() { f.AddFaults(cutFault(a, b, false)) }),
-			waitStep(f, detectionPeriods, "the first half sees itself alone", ViewsMatch(a, onlyUp(a))),
-			waitStep(f, detectionPeriods, "the second half sees itself alone", ViewsMatch(b, onlyUp(b))),
+			waitStep(f, detectionPeriods, "the first half reports only itself as up", ViewsMatch(a, onlyUp(a))),
+			waitStep(f, detectionPeriods, "the second half reports only itself as up", ViewsMatch(b, onlyUp(b))),
 			actionStep(f.ClearFaults),
-			waitStep(f, mergePeriods, "one view again", ViewsMatch(NodeRange(0, 12), AllInState("up"))),
-			holdStep(f, stablePeriods, "nobody is lost afterwards", noneFailed(NodeRange(0, 12), NodeRange(0, 12))))
+			waitStep(f, mergePeriods, "all views agree again", ViewsMatch(NodeRange(0, 12), AllInState("up"))),
+			holdStep(f, stablePeriods, "no node is reported as failed afterwards", noneFailed(NodeRange(0, 12), NodeRange(0, 12))))
 	}},
 	{"one of twelve cut off and back: the others take nothing back", 12, func(f Fleet) error {
 		others := NodeRange(1, 12)
@@ -143,17 +144,17 @@
 				}
 				f.AddFaults(cutFault([]int{0}, others, false))
 			}),
-			waitStep(f, detectionPeriods, "the others know", ViewsMatch(others, allUpExcept(0))),
-			waitStep(f, detectionPeriods, "it knows that it hears nobody, and says that nothing is known", func(views []*members.View) bool {
+			waitStep(f, detectionPeriods, "the other nodes report the failure", ViewsMatch(others, allUpExcept(0))),
+			waitStep(f, detectionPeriods, "the cut-off node reports that it hears no other node and that its summary is unreliable", func(views []*members.View) bool {
 				v := views[0]
 				return v != nil && !v.Summary.Reliable && v.Summary.Reason == "this node hears nobody" && v.Summary.Dead == 11
 			}),
 			actionStep(f.ClearFaults),
-			waitStep(f, mergePeriods, "one view again", ViewsMatch(NodeRange(0, 12), AllInState("up"))),
+			waitStep(f, mergePeriods, "all views agree again", ViewsMatch(NodeRange(0, 12), AllInState("up"))),
 			func() error {
 				for i, v := range f.Views() {
 					if i > 0 && v != nil && v.Incarnation > before[i]+1 {
-						return fmt.Errorf("n%d had to take back what the one that was cut off held of it: incarnation %d, before %d", i, v.Incarnation, before[i])
+						return fmt.Errorf("n%d refuted suspicions from the node that was cut off: got incarnation %d, want at most one above %d", i, v.Incarnation, before[i])
 					}
 				}
 				return nil
@@ -163,33 +164,33 @@
 		all := NodeRange(0, 6)
 		return runSteps(startAll(f),
 			actionStep(func() { f.AddFaults(cutFault([]int{0}, []int{1}, true)) }),
-			holdStep(f, 2*stablePeriods, "nobody is taken for silent", noneFailed(all, all)),
+			holdStep(f, 2*stablePeriods, "no node is reported as failed", noneFailed(all, all)),
 			actionStep(f.ClearFaults),
-			waitStep(f, mergePeriods, "one view", ViewsMatch(all, AllInState("up"))))
+			waitStep(f, mergePeriods, "all views agree", ViewsMatch(all, AllInState("up"))))
 	}},
 	{"a node that is heard by nobody, and hears all", 6, func(f Fleet) error {
 		others := NodeRange(1, 6)
 		return runSteps(startAll(f),
 			actionStep(func() { f.AddFaults(cutFault([]int{0}, others, true)) }),
-			waitStep(f, detectionPeriods, "the others take it for silent", ViewsMatch(others, allUpExcept(0))),
+			waitStep(f, detectionPeriods, "the other nodes report it as failed", ViewsMatch(others, allUpExcept(0))),
 			actionStep(f.ClearFaults),
-			waitStep(f, mergePeriods, "one view", ViewsMatch(NodeRange(0, 6), AllInState("up"))))
+			waitStep(f, mergePeriods, "all views agree", ViewsMatch(NodeRange(0, 6), AllInState("up"))))
 	}},
 	{"three in ten datagrams lost, in bursts", 12, func(f Fleet) error {
 		all := NodeRange(0, 12)
 		return runSteps(startAll(f),
 			actionStep(func() { f.AddFaults(dropFault(12, 4)) }),
-			holdStep(f, 2*stablePeriods, "nobody is taken for silent", noneFailed(all, all)),
+			holdStep(f, 2*stablePeriods, "no node is reported as failed", noneFailed(all, all)),
 			actionStep(func() { f.Kill(11) }),
-			waitStep(f, lossyDetectionPeriods, "a death is known all the same", ViewsMatch(NodeRange(0, 11), allUpExcept(11))),
+			waitStep(f, lossyDetectionPeriods, "the failure is reported despite the loss", ViewsMatch(NodeRange(0, 11), allUpExcept(11))),
 			actionStep(f.ClearFaults),
-			waitStep(f, mergePeriods, "one view", ViewsMatch(NodeRange(0, 11), allUpExcept(11))))
+			waitStep(f, mergePeriods, "all views agree", ViewsMatch(NodeRange(0, 11), allUpExcept(11))))
 	}},
 	{"a node frozen among well ones sows no doubt when it wakes", 8, func(f Fleet) error {
 		others, refutations := NodeRange(1, 8), int64(0)
 		return runSteps(startAll(f),
 			actionStep(func() { f.Pause(0) }),
-			waitStep(f, detectionPeriods, "the others know", ViewsMatch(others, allUpExcept(0))),
+			waitStep(f, detectionPeriods, "the other nodes report the failure", ViewsMatch(others, allUpExcept(0))),
 			actionStep(func() {
 				f.Resume(0)
 				for _, i := range others {
@@ -198,8 +199,8 @@
 					}
 				}
 			}),
-			waitStep(f, mergePeriods, "it is back", ViewsMatch(NodeRange(0, 8), AllInState("up"))),
-			holdStep(f, stablePeriods, "nobody is doubted", noneFailed(NodeRange(0, 8), others)),
+			waitStep(f, mergePeriods, "all nodes report it as up again", ViewsMatch(NodeRange(0, 8), AllInState("up"))),
+			holdStep(f, stablePeriods, "no other node is reported as failed", noneFailed(NodeRange(0, 8), others)),
 			func() error {
 				after := int64(0)
 				for _, i := range others {
@@ -208,7 +209,7 @@
 					}
 				}
 				if after > refutations {
-					return fmt.Errorf("the others had to take back %d doubts after it woke", after-refutations)
+					return fmt.Errorf("the other nodes refuted %d suspicions after the paused node resumed, want 0", after-refutations)
 				}
 				return nil
 			})
@@ -218,8 +219,8 @@
 		return runSteps(startAll(f),
 			actionStep(func() { start = f.Views()[3].StartMs; f.Kill(3); f.Step() }),
 			func() error { return f.Start(3) },
-			waitStep(f, startupPeriods, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 3, start) }),
-			waitStep(f, startupPeriods, "the new one knows all", ViewsMatch([]int{3}, AllInState("up"))))
+			waitStep(f, startupPeriods, "all nodes report the new start", func(views []*members.View) bool { return startedAfter(views, 3, start) }),
+			waitStep(f, startupPeriods, "the restarted node reports all others as up", ViewsMatch([]int{3}, AllInState("up"))))
 	}},
 	{"a node that ends in order has left, and is back under a new start", 6, func(f Fleet) error {
 		left := func(k int) string {
@@ -230,20 +231,20 @@
 		}
 		return runSteps(startAll(f),
 			actionStep(func() { f.Stop(2) }),
-			waitStep(f, startupPeriods, "the others know that it left", ViewsMatch([]int{0, 1, 3, 4, 5}, left)),
+			waitStep(f, startupPeriods, "the other nodes report that it left", ViewsMatch([]int{0, 1, 3, 4, 5}, left)),
 			func() error { return f.Start(2) },
-			waitStep(f, startupPeriods, "it is back", ViewsMatch(NodeRange(0, 6), AllInState("up"))))
+			waitStep(f, startupPeriods, "all nodes report it as up again", ViewsMatch(NodeRange(0, 6), AllInState("up"))))
 	}},
 	{"an old copy of a message comes again", 6, func(f Fleet) error {
 		var captured []byte
 		var start uint64
 		return runSteps(startAll(f),
-			waitStep(f, startupPeriods, "a message to be copied", func([]*members.View) bool { captured = f.CapturedDatagram(2, 1); return captured != nil }),
+			waitStep(f, startupPeriods, "a datagram was captured", func([]*members.View) bool { captured = f.CapturedDatagram(2, 1); return captured != nil }),
 			actionStep(func() { start = f.Views()[2].StartMs; f.Kill(2); f.Step() }),
 			func() error { return f.Start(2) },
-			waitStep(f, startupPeriods, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 2, start) }),
+			waitStep(f, startupPeriods, "all nodes report the new start", func(views []*members.View) bool { return startedAfter(views, 2, start) }),
 			actionStep(func() { f.Inject(1, captured) }),
-			holdStep(f, stablePeriods, "the old message changes nothing", ViewsMatch([]int{0, 1, 3, 4, 5}, func(k int) string {
+			holdStep(f, stablePeriods, "the replayed datagram changes no view", ViewsMatch([]int{0, 1, 3, 4, 5}, func(k int) string {
 				if k == 2 {
 					return "up"
 				}
@@ -251,7 +252,7 @@
 			})),
 			func() error {
 				if v := f.Views()[1]; v == nil || v.Counters.StaleIncarnations == 0 {
-					return fmt.Errorf("the old message was not told from a new one")
+					return fmt.Errorf("the replayed datagram was not counted as a stale incarnation")
 				}
 				return nil
 			})
@@ -266,7 +267,7 @@
 					f.Kill(i)
 				}
 			}),
-			waitStep(f, 2*detectionPeriods, "it holds all others for silent, and the figure for unknown", func(views []*members.View) bool {
+			waitStep(f, 2*detectionPeriods, "it reports all others as failed, and its summary as unreliable", func(views []*members.View) bool {
 				v := views[0]
 				return v != nil && v.Summary.Dead == 11 && !v.Summary.Reliable
 			}),
@@ -278,7 +279,7 @@
 				}
 				return nil
 			},
-			waitStep(f, mergePeriods, "all are back", ViewsMatch(NodeRange(0, 12), AllInState("up"))))
+			waitStep(f, mergePeriods, "all nodes report each other as up again", ViewsMatch(NodeRange(0, 12), AllInState("up"))))
 	}},
 	{"messages late, doubled, overtaken and spoilt at once", 8, func(f Fleet) error {
 		all := NodeEnds(NodeRange(0, 8))
@@ -289,7 +290,7 @@
 			actionStep(func() {
 				f.AddFaults(linkFault(netfault.Duplicate, 0.3, 2e9), linkFault(netfault.Reorder, 0.2, 60e6), linkFault(netfault.Corrupt, 0.1, 0), linkFault(netfault.Delay, 0, 10e6))
 			}),
-			holdStep(f, 2*stablePeriods, "nobody is taken for silent", noneFailed(NodeRange(0, 8), NodeRange(0, 8))),
+			holdStep(f, 2*stablePeriods, "no node is reported as failed", noneFailed(NodeRange(0, 8), NodeRange(0, 8))),
 			func() error {
 				invalid := int64(0)
 				for _, v := range f.Views() {
@@ -298,7 +299,7 @@
 					}
 				}
 				if invalid == 0 {
-					return fmt.Errorf("no spoilt message was seen")
+					return fmt.Errorf("no corrupt datagram was counted as invalid")
 				}
 				return nil
 			})
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -20,38 +20,39 @@
 	"fawnglade/internal/lab/netfault"
 )
 
-// Who is who on the links: nodes from 0, then these.
+// The indexes of link ends: nodes count from 0, then these.
 const (
-	relayA         = 100 // of region a, where discovery and the origin are
+	relayA         = 100 // in region a, with discovery and the origin
 	relayB         = 101
-	originIndex    = 200 // the origin
-	discoveryIndex = 201 // discovery
-	remoteNode     = 2   // the node that is in region b
+	originIndex    = 200
+	discoveryIndex = 201
+	remoteNode     = 2 // the node in region b
 
-	propagationLimit = 6 * time.Second // after discovery had it and could be reached
+	propagationLimit = 6 * time.Second // from a change in discovery, while that is reachable
 )
 
 func linkEnd(i int) netfault.End { return netfault.End{Kind: netfault.Node, Index: i} }
 
-// relayFleet is a fleet of three nodes that follow two relays below an origin, each way through a relay of the lab's.
+// relayFleet is a fleet of three nodes that subscribe to two relays below an origin. Each link leads through a fault
+// proxy.
 type relayFleet struct {
 	*Processes
 	t           *testing.T
 	streams     map[[2]int]*faultproxy.Stream
-	configPaths map[string]string // configurations
+	configPaths map[string]string // configuration files of the relays and the origin
 	addresses   map[string]string
 	procs       map[string]emulator.Process
 	history     *invariant.History
 	startTime   time.Time
 
-	openAttempts map[attemptKey]*invariant.Attempt // by the ledger's own lock
+	openAttempts map[attemptKey]*invariant.Attempt // guarded by the history's lock
 
 	mu             sync.Mutex
 	sent           [3]int
 	inTime         [3]int
 	version        int64
-	endpointStates map[int]string          // health of each server
-	listChanges    map[[2]int][]listChange // by node and server, of the test's own goroutine
+	endpointStates map[int]string          // by index of the endpoint
+	listChanges    map[[2]int][]listChange // by node and endpoint; used by the test's goroutine only
 }
 
 type attemptKey struct {
@@ -79,7 +80,8 @@
 	return l.Addr().String()
 }
 
-// newRelayFleet starts an origin, two relays and three nodes; with plain, the nodes watch discovery alone.
+// newRelayFleet starts an origin, two relays and three nodes; if direct is set, only nodes, which watch discovery
+// directly.
 func newRelayFleet(t *testing.T, direct bool) *relayFleet {
 	t.Helper()
 	r := &relayFleet{
@@ -144,7 +146,7 @@
 	return r
 }
 
-const requestsPerNode = 1 << 20 // numbers of requests
+const requestsPerNode = 1 << 20 // request numbers reserved for each node
 
 func (r *relayFleet) sinceStart(t time.Time) int64 { return int64(t.Sub(r.startTime)) }
 
@@ -156,7 +158,7 @@
 	}
 }
 
-// startProcess starts a relay or the origin, with nothing.
+// startProcess starts a relay or the origin, without state.
 func (r *relayFleet) startProcess(name string) {
 	process, err := emulator.Command([]string{r.Program[0], "relay", "--config", r.configPaths[name]})("", nil, r.Log)
 	if err != nil {
@@ -170,7 +172,8 @@
 	<-r.procs[name].Done()
 }
 
-// setState has discovery list an endpoint otherwise. Who has a way to be told counts as told six seconds later.
+// setState changes an endpoint's state in discovery, and records the change for the nodes that can receive it: all, or
+// all but remoteNode if partitioned.
 func (r *relayFleet) setState(endpoint int, state string, partitioned bool) {
 	r.mu.Lock()
 	r.endpointStates[endpoint] = state
@@ -189,7 +192,7 @@
 	}
 }
 
-// listChange is a change that a node could be told from a moment on.
+// listChange is a change of the list that a node could receive from a time on.
 type listChange struct {
 	state string
 	at    time.Time
@@ -200,8 +203,9 @@
 	r.listChanges[key] = append(r.listChanges[key], listChange{state, time.Now()})
 }
 
-// recordPresumedEntries enters what nodes are taken to know: a drain six seconds after each could be told of it, unless it had ended by then; and that a
-// server is up at once, as a node may use it from when it hears of it.
+// recordPresumedEntries records what nodes are presumed to know: a drain propagationLimit after the node could receive
+// it, unless it had ended by then, and that an endpoint is up at once, as the node may use it as soon as it receives
+// that.
 func (r *relayFleet) recordPresumedEntries() {
 	for key, changes := range r.listChanges {
 		for i, change := range changes {
@@ -217,7 +221,7 @@
 	}
 }
 
-// sendLoad sends requests to all nodes until it is told to end.
+// sendLoad sends requests to all nodes until stopLoad is called.
 func (r *relayFleet) sendLoad() (stopLoad func()) {
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -240,7 +244,7 @@
 
 var requestClasses = []invariant.Class{{Name: "view", Idempotency: invariant.Idempotent}, {Name: "pay", Idempotency: invariant.NonIdempotent}}
 
-// sendRecorded sends one request and enters what became of it.
+// sendRecorded sends one request, and records it with its outcome.
 func (r *relayFleet) sendRecorded(node, number, class int) {
 	now := r.sinceStart(time.Now())
 	request := &invariant.Request{ID: fmt.Sprintf("%016x", number), Operation: number, Node: node, Incarnation: 1, Class: class, SentAt: now, Deadline: now + int64(2*time.Second)}
@@ -288,7 +292,7 @@
 	return float64(inTime) / float64(max(sent, 1))
 }
 
-// listSource is whose list holds at a node, by its console.
+// listSource returns the source of the list in force at a node, from its admin API.
 func (r *relayFleet) listSource(node int) string {
 	var status struct {
 		By string `json:"by"`
@@ -299,7 +303,7 @@
 	return status.By
 }
 
-// lagMeter is how late this process runs: what endpoints and clients note here is as late.
+// lagMeter measures how late the test process runs, since the times that its endpoints and clients record are as late.
 type lagMeter struct {
 	mu    sync.Mutex
 	slots map[int64]int64
@@ -324,7 +328,7 @@
 	}
 }
 
-// lagAt is the worst within half a second, twice over, as nodes on the same machine suffer the same.
+// lagAt returns twice the largest lag within half a second of a time, as the nodes on the same machine lag as well.
 func (g *lagMeter) lagAt(at int64) (worst int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -334,7 +338,7 @@
 	return worst
 }
 
-// attemptCounts are the endpoints that a node sent to after a moment, by what came to endpoints.
+// attemptCounts returns how many attempts of a node arrived at each endpoint after a time.
 func (r *relayFleet) attemptCounts(node int, after time.Time) (counts [8]int) {
 	r.history.Update(func() {
 		for _, attempt := range r.history.Attempts {
@@ -346,9 +350,9 @@
 	return counts
 }
 
-// orderStalledAttempts puts attempts of one request right that endpoints read in one moment, as this process had stood still: which of them came first was
-// lost, so the one whose connection the node closed unanswered, before the server read it, counts as the first. One that is not closed by
-// then stays where it was, and is a hedged request.
+// orderStalledAttempts corrects the order of attempts of one request that endpoints read at the same time because the
+// test process was stalled, which loses their order. An attempt whose connection the node had closed before the
+// endpoint read it counts as the first. One that was not closed by then keeps its time, and is a hedged attempt.
 func (r *relayFleet) orderStalledAttempts(lagAt func(int64) int64) {
 	r.history.Update(func() {
 		byRequest := map[string][]*invariant.Attempt{}
@@ -368,9 +372,9 @@
 	})
 }
 
-// describeRequest is what became of a request, for who reads a failure.
+// describeRequest describes a request and its attempts for failure messages.
 func (r *relayFleet) describeRequest(id string) string {
-	text := "nothing known"
+	text := "request not recorded"
 	for _, request := range r.history.Requests {
 		if request.ID == id {
 			text = fmt.Sprintf("%s at %.1f ms, answered %d at %.1f", requestClasses[request.Class].Name, float64(request.SentAt)/1e6, request.Status, float64(request.AnsweredAt)/1e6)
@@ -384,7 +388,7 @@
 	return text
 }
 
-// attemptsPerSecond is how many requests a node sent to an endpoint in each second, for who reads a failure.
+// attemptsPerSecond returns how many attempts of a node arrived at an endpoint in each second, for failure messages.
 func (r *relayFleet) attemptsPerSecond(node, endpoint int) (counts [64]int) {
 	r.history.Update(func() {
 		for _, attempt := range r.history.Attempts {
@@ -396,15 +400,16 @@
 	return counts
 }
 
-// TestRelaysWithFaults has three nodes follow two relays while links are lossy, late and cut, a relay is killed and started anew with
-// nothing, the other frozen while none is left, and two regions lose each other: no rule is broken, all nodes end with the same endpoints, and requests are served as
-// by nodes that watch discovery themselves.
+// Guards against nodes that subscribe to relays breaking rules or serving less than nodes that watch discovery. Links
+// are lossy, late and cut, a relay is killed and restarted without state, the other is paused while the first is down,
+// and two regions are partitioned: no rule is violated, all nodes end with the same endpoints, and requests are served
+// as by nodes that watch discovery.
 func TestRelaysWithFaults(t *testing.T) {
 	relayed, direct := newRelayFleet(t, false), newRelayFleet(t, true)
 	for i := range 3 {
 		for tries := 0; relayed.listSource(i) != "relays"; tries++ {
 			if tries > 500 {
-				t.Fatalf("n%d goes by %s", i, relayed.listSource(i))
+				t.Fatalf("n%d: got %s as source of the list, want relays", i, relayed.listSource(i))
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -432,11 +437,11 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 
-	// Links are lossy and late; an endpoint drains, for longer than it may take to be told.
+	// Links are lossy and late; an endpoint drains for longer than propagationLimit.
 	relayed.AddFaults(append(lossy(nodes, relays, 1), lossy(relays, origin, 3)...)...)
 	setStates(0, "draining", false)
 	time.Sleep(2 * time.Second)
-	// A relay is killed; a second later it is there again, with nothing.
+	// A relay is killed, and restarted a second later without state.
 	relayed.killProcess("a")
 	time.Sleep(time.Second)
 	setStates(1, "draining", false)
@@ -444,7 +449,7 @@
 	time.Sleep(4500 * time.Millisecond)
 	relayed.ClearFaults()
 	setStates(0, "up", false)
-	// The other one stands still, and then the first is killed again: no relay answers, so that discovery has to tell.
+	// The other relay is paused, then the first is killed again: no relay responds, so nodes have to watch discovery.
 	_ = relayed.procs["b"].Signal(syscall.SIGSTOP)
 	time.Sleep(time.Second)
 	relayed.killProcess("a")
@@ -454,7 +459,7 @@
 	relayed.startProcess("a")
 	_ = relayed.procs["b"].Signal(syscall.SIGCONT)
 	time.Sleep(3 * time.Second)
-	// Two regions lose each other: relay b and one node on one side, all others on the other.
+	// The regions are partitioned: relay b and one node on one side, all others on the other.
 	localEnds := []netfault.End{linkEnd(0), linkEnd(1), linkEnd(relayA), linkEnd(originIndex), linkEnd(discoveryIndex)}
 	remoteEnds := []netfault.End{linkEnd(remoteNode), linkEnd(relayB)}
 	cut := netfault.Fault{Kind: netfault.Cut, From: localEnds, To: remoteEnds, Seed: 5}
@@ -481,7 +486,7 @@
 			used := fleet.attemptCounts(node, listsInForceAt)
 			for endpoint, n := range used[:len(fleet.endpoints)] {
 				if up := fleet.endpointStates[endpoint] == "up"; up != (n > 0) {
-					t.Errorf("%s: in the end n%d sent %d tasks to s%d, which is %s; all: %v; to it by seconds of the test: %v", name, node, n, endpoint, fleet.endpointStates[endpoint], used, fleet.attemptsPerSecond(node, endpoint))
+					t.Errorf("%s: at the end n%d sent %d requests to s%d, which is %s; to each endpoint: %v; to this one by second of the test: %v", name, node, n, endpoint, fleet.endpointStates[endpoint], used, fleet.attemptsPerSecond(node, endpoint))
 				}
 			}
 		}
@@ -494,20 +499,20 @@
 			Lag: lagAt,
 		})
 		for _, violation := range violations[:min(5, len(violations))] {
-			t.Errorf("%s: %d breaks, %s; of the task, %s; the test ran %.0f ms late", name, len(violations), violation, fleet.describeRequest(violation.Request),
+			t.Errorf("%s: got %d violations, want 0; %s; its request: %s; the test process ran %.0f ms late", name, len(violations), violation, fleet.describeRequest(violation.Request),
 				float64(lagAt(violation.At))/2e6)
 		}
 	}
 	for i := range 3 {
 		if by := relayed.listSource(i); by != "relays" {
-			t.Errorf("in the end n%d goes by %s", i, by)
+			t.Errorf("at the end n%d has %s as source of the list, want relays", i, by)
 		}
 		_, text, _ := Call(relayed.AdminAddress(i), "GET", "/relays")
 		t.Logf("n%d: %s", i, text)
 	}
 	if with, without := relayed.inTimeFraction(), direct.inTimeFraction(); with < without-0.01 {
-		t.Errorf("%.4f of the tasks served in time with relays, %.4f with plain discovery", with, without)
+		t.Errorf("got a fraction of %.4f of requests in time with relays, want at most 0.01 below the %.4f with discovery alone", with, without)
 	} else {
-		t.Logf("%.4f of %v tasks served in time with relays, %.4f of %v with plain discovery", with, relayed.sent, without, direct.sent)
+		t.Logf("a fraction of %.4f of %v requests in time with relays, %.4f of %v with discovery alone", with, relayed.sent, without, direct.sent)
 	}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet owns fleets of nodes for tests and measurements: start some, break and mend the links between them, ask each what
-// it believes, wait for a statement to hold. The same cases play in virtual time and with processes of the built program. A wait
-// is bounded by rounds that the nodes themselves have been through, so that no verdict hangs on a slow machine; it must never
-// be bounded by time alone.
+// Package fleet runs fleets of nodes for tests and measurements: it starts nodes, injects faults on the links between
+// them, reads their membership views and waits for conditions on these. The same cases run in virtual time and with
+// processes of the built program. Waits are bounded by the protocol periods that the nodes themselves have counted,
+// never by time alone, so that results do not depend on the speed of the machine.
 package fleet
 
 import (
@@ -12,31 +12,34 @@
 	"fawnglade/internal/members"
 )
 
-// Fleet is some nodes and the links between them. A node is named by its number.
+// Fleet is a set of nodes and the links between them. Nodes are identified by index.
 type Fleet interface {
 	Len() int
-	// Start begins a node's process, or one more of its name where one runs already.
+	// Start starts a process of a node, or another of the same name if one runs already.
 	Start(node int) error
-	// Kill ends all processes of a node at once; Stop has it end in order; Freeze and Thaw hold it where it stands.
+	// Kill kills all processes of a node, Stop shuts them down gracefully, Pause suspends them and Resume continues
+	// them.
 	Kill(node int)
 	Stop(node int)
 	Pause(node int)
 	Resume(node int)
-	// AddFaults puts faults on links until ClearFaults. Times of a fault are counted from now; End 0: until ClearFaults.
+	// AddFaults replaces the faults on links. Their times are relative to now; End 0: until ClearFaults.
 	AddFaults(faults ...netfault.Fault)
 	ClearFaults()
-	// Views asks every node what it believes; nil for one that does not say. The second process of a name is not asked.
+	// Views returns the membership view of each node; nil for a node that does not respond. It does not query the
+	// second process of a name.
 	Views() []*members.View
-	// Step lets something like a fifth of a round pass.
+	// Step lets about a fifth of a protocol period pass.
 	Step()
-	// Inject has a datagram come to a node as if from a wire.
+	// Inject delivers a datagram to a node as if from the network.
 	Inject(to int, datagram []byte)
-	// Copied returns a datagram that once went from one node to another; nil if none did.
+	// CapturedDatagram returns a datagram that one node sent to another; nil if there is none.
 	CapturedDatagram(from, to int) []byte
 }
 
-// WaitUntil waits for a statement about all views to hold, and fails once every node that answers has been through so many rounds
-// since the call, with the statement false to the end.
+// WaitUntil waits until holds is true of all views. It fails once every node that responds has gone through more than
+// the given number of protocol periods since the call. condition describes holds in the error; took is in protocol
+// periods.
 func WaitUntil(f Fleet, periods int64, condition string, holds func([]*members.View) bool) (took int64, err error) {
 	firstPeriods := make([]int64, f.Len())
 	for i := range firstPeriods {
@@ -50,7 +53,7 @@
 			if v == nil {
 				continue
 			}
-			if firstPeriods[i] < 0 || v.Periods < firstPeriods[i] { // a new process begins again
+			if firstPeriods[i] < 0 || v.Periods < firstPeriods[i] { // a new process counts from 0
 				firstPeriods[i] = v.Periods
 			}
 			if passed := v.Periods - firstPeriods[i]; minPassed < 0 || passed < minPassed {
@@ -64,13 +67,14 @@
 			unanswered = 0
 		}
 		if minPassed > periods || unanswered > 2000 {
-			return minPassed, fmt.Errorf("%s: not so after %d rounds of every node:\n%s", condition, minPassed, FormatViews(views))
+			return minPassed, fmt.Errorf("condition %q does not hold after %d protocol periods of every node:\n%s", condition, minPassed, FormatViews(views))
 		}
 		f.Step()
 	}
 }
 
-// RequireDuring watches a statement stay true while every node that answers goes through so many rounds.
+// RequireDuring checks that holds stays true while every node that responds goes through the given number of protocol
+// periods.
 func RequireDuring(f Fleet, periods int64, condition string, holds func([]*members.View) bool) error {
 	violated := ""
 	_, err := WaitUntil(f, periods, condition, func(views []*members.View) bool {
@@ -79,34 +83,35 @@
 		}
 		return violated != ""
 	})
-	if err != nil { // it was never false
+	if err != nil { // the wait for a violation ran out, so the condition always held
 		return nil
 	}
-	return fmt.Errorf("%s: not so at a moment:\n%s", condition, violated)
+	return fmt.Errorf("condition %q was violated with these views:\n%s", condition, violated)
 }
 
-// stateLetters of the states in a table of views.
+// stateLetters are the letters of the member states in FormatViews.
 var stateLetters = map[string]string{"never seen": ".", "up": "U", "doubted": "?", "silent": "-", "left": "L"}
 
-// FormatViews shows views beneath one another: a row for each node that believes, a letter for each that it believes of.
+// FormatViews formats views as a table with a row for each node and a letter for the state of each member in its view.
 func FormatViews(views []*members.View) string {
 	var b strings.Builder
 	for i, v := range views {
 		fmt.Fprintf(&b, "n%-3d ", i)
 		if v == nil {
-			b.WriteString("does not say\n")
+			b.WriteString("no response\n")
 			continue
 		}
 		for _, member := range v.Members {
 			b.WriteString(stateLetters[member.State])
 		}
 		summary := v.Summary
-		fmt.Fprintf(&b, "  round %d, strain %d, known %v %s, heard %.2f\n", v.Periods, v.HealthScore, summary.Reliable, summary.Reason, summary.ProbeSuccessRate)
+		fmt.Fprintf(&b, "  protocol period %d, health score %d, reliable %v %s, probe success rate %.2f\n", v.Periods, v.HealthScore, summary.Reliable, summary.Reason, summary.ProbeSuccessRate)
 	}
 	return b.String()
 }
 
-// ViewsMatch tells whether every node of some that answers believes of each node what a function says; "" stands for anything.
+// ViewsMatch returns a condition that all given nodes respond, and that the state of each member in their views is the
+// wanted one; "" matches any state.
 func ViewsMatch(nodes []int, want func(node int) string) func([]*members.View) bool {
 	return func(views []*members.View) bool {
 		for _, i := range nodes {
@@ -123,10 +128,10 @@
 	}
 }
 
-// AllInState is a state for all nodes.
+// AllInState returns a function for ViewsMatch that wants the same state of all nodes.
 func AllInState(state string) func(int) string { return func(int) string { return state } }
 
-// NodeRange are the numbers from a to before b.
+// NodeRange returns the node indexes from a to b-1.
 func NodeRange(a, b int) []int {
 	var nodes []int
 	for i := a; i < b; i++ {
@@ -135,7 +140,7 @@
 	return nodes
 }
 
-// NodeEnds names nodes as ends of links.
+// NodeEnds returns the link ends of nodes.
 func NodeEnds(nodes []int) []netfault.End {
 	ends := make([]netfault.End, len(nodes))
 	for i, n := range nodes {
--- a/internal/lab/fleet/listgossip_test.go
+++ b/internal/lab/fleet/listgossip_test.go
@@ -13,20 +13,20 @@
 
 const listKey = "00112233445566778899aabbccddeeff"
 
-// newListGossipFleet is a fleet whose nodes ask one another for the list, and know of each other.
+// newListGossipFleet starts a fleet whose nodes gossip the endpoint list, and waits until all are up.
 func newListGossipFleet(t *testing.T, nodes int, state bool) *Processes {
 	t.Helper()
 	p := newTestFleet(t, nodes)
 	p.PersistState, p.ListGossip, p.Key = state, true, listKey
 	p.startAll(t)
 	p.waitServing(t)
-	if _, err := WaitUntil(p, startupPeriods, "all know one another", ViewsMatch(NodeRange(0, nodes), AllInState("up"))); err != nil {
+	if _, err := WaitUntil(p, startupPeriods, "all nodes report each other as up", ViewsMatch(NodeRange(0, nodes), AllInState("up"))); err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// listViews is what the nodes say of the list that they go by; nil for one that does not say.
+// listViews returns each node's view of the endpoint list in force; nil for a node that does not respond.
 func (p *Processes) listViews() []*endpointgossip.View {
 	views := make([]*endpointgossip.View, len(p.nodes))
 	for i := range p.nodes {
@@ -38,7 +38,7 @@
 	return views
 }
 
-// waitForLists waits for a statement about the lists of all nodes that were started.
+// waitForLists waits until holds is true of the list views of all nodes that were started.
 func (p *Processes) waitForLists(t *testing.T, condition string, holds func(*endpointgossip.View) bool) {
 	t.Helper()
 	if _, err := WaitUntil(p, detectionPeriods, condition, func([]*members.View) bool {
@@ -53,7 +53,7 @@
 	}
 }
 
-// arrivalsAfterGrace tells how many requests come to an endpoint while all nodes are busy, from the grace after a moment on.
+// arrivalsAfterGrace returns how many requests arrived at a draining endpoint after drainGrace, under load.
 func (p *Processes) arrivalsAfterGrace(endpoint int, drainedAt time.Time) (count int) {
 	time.Sleep(time.Until(drainedAt.Add(drainGrace)) + 300*time.Millisecond)
 	for _, at := range p.endpoints[endpoint].Arrivals() {
@@ -64,8 +64,8 @@
 	return count
 }
 
-// TestDrainReachesNodesWithoutWatch leaves one node alone with a watch, with a third of all datagrams lost: the others stop sending
-// to an endpoint that drains, and send to it again once it is up.
+// Guards against nodes without a watch missing changes of the list. Only one node has a watch, and three in ten
+// datagrams are lost: all nodes stop sending to an endpoint that drains, and send to it again once it is up.
 func TestDrainReachesNodesWithoutWatch(t *testing.T) {
 	p := newListGossipFleet(t, 6, false)
 	p.discovery.SetDown(true)
@@ -75,9 +75,9 @@
 	stopLoad := p.startLoad()
 	defer stopLoad()
 	p.setDraining(2, 1)
-	p.waitForLists(t, "all go by the list of the one", func(v *endpointgossip.View) bool { return v.Version == 2 })
+	p.waitForLists(t, "all nodes have the list of the node with the watch", func(v *endpointgossip.View) bool { return v.Version == 2 })
 	if late := p.arrivalsAfterGrace(1, time.Now()); late > 0 {
-		t.Errorf("%d tasks came to a server that drains after all knew it", late)
+		t.Errorf("got %d requests at a draining endpoint after the grace, want 0", late)
 	}
 	watching := 0
 	for _, v := range p.listViews() {
@@ -86,30 +86,31 @@
 		}
 	}
 	if watching > 1 {
-		t.Errorf("%d watches stand", watching)
+		t.Errorf("got %d open watches, want at most 1", watching)
 	}
 	before := len(p.endpoints[1].Arrivals())
 	p.setDraining(3, -1)
-	p.waitForLists(t, "all know that it is up", func(v *endpointgossip.View) bool { return v.Version == 3 })
+	p.waitForLists(t, "all nodes have the list with the endpoint up", func(v *endpointgossip.View) bool { return v.Version == 3 })
 	for tries := 0; len(p.endpoints[1].Arrivals()) == before; tries++ {
 		if tries > 3000 {
-			t.Fatal("it gets nothing")
+			t.Fatal("got no request at the endpoint that is up again")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	p.ClearFaults()
 	p.discovery.LimitWatches(0)
-	p.waitForLists(t, "all watches stand", func(v *endpointgossip.View) bool { return v.WatchUp })
+	p.waitForLists(t, "all watches are open", func(v *endpointgossip.View) bool { return v.WatchUp })
 }
 
-// TestNodesWithoutStateServeByGossipedList takes the power from all while an endpoint drains, and half of the disks with it. Discovery
-// does not come back: all serve, and none sends to the server that drained.
+// Guards against nodes that lost their persisted state not serving after a power loss. All nodes are killed while an
+// endpoint drains, half of them lose their state, and discovery stays down: all serve by the list that the others
+// restored, and none sends to the draining endpoint.
 func TestNodesWithoutStateServeByGossipedList(t *testing.T) {
 	p := newListGossipFleet(t, 6, true)
 	p.setDraining(2, 1)
-	p.waitForLists(t, "all are told", func(v *endpointgossip.View) bool { return v.Version == 2 })
+	p.waitForLists(t, "all nodes have the list", func(v *endpointgossip.View) bool { return v.Version == 2 })
 	drainedAt := time.Now()
-	time.Sleep(200 * time.Millisecond) // until it is on the disks
+	time.Sleep(200 * time.Millisecond) // until it is persisted
 	p.discovery.SetDown(true)
 	p.killAll()
 	for i := range 3 {
@@ -120,29 +121,30 @@
 	p.startAll(t)
 	stopLoad := p.startLoad()
 	defer stopLoad()
-	p.waitForLists(t, "all have the list that some remember", func(v *endpointgossip.View) bool { return v.Version == 2 && v.Restored })
+	p.waitForLists(t, "all nodes have the list that some restored", func(v *endpointgossip.View) bool { return v.Version == 2 && v.Restored })
 	p.waitServing(t)
 	if late := p.arrivalsAfterGrace(1, drainedAt); late > 0 {
-		t.Errorf("%d tasks came to a server that drained before the power went", late)
+		t.Errorf("got %d requests at an endpoint that drained before the power loss, want 0", late)
 	}
 	p.discovery.SetDown(false)
-	p.waitForLists(t, "all watches stand", func(v *endpointgossip.View) bool { return v.WatchUp })
+	p.waitForLists(t, "all watches are open", func(v *endpointgossip.View) bool { return v.WatchUp })
 }
 
-// TestReadyOnlyWithEndpointList has three nodes wake with nothing: none is ready, and each says why, until one list has come to one.
+// Guards against nodes reporting readiness without an endpoint list. Three nodes start without a list: none is ready,
+// and each gives the reason, until one of them receives a list.
 func TestReadyOnlyWithEndpointList(t *testing.T) {
 	p := newTestFleet(t, 3)
 	p.ListGossip, p.Key = true, listKey
 	p.discovery.SetDown(true)
 	p.startAll(t)
-	if _, err := WaitUntil(p, startupPeriods, "all know one another", ViewsMatch(NodeRange(0, 3), AllInState("up"))); err != nil {
+	if _, err := WaitUntil(p, startupPeriods, "all nodes report each other as up", ViewsMatch(NodeRange(0, 3), AllInState("up"))); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
 		listenerStatus, _, err := Call(p.ListenAddress(i), "GET", "/ready")
 		adminStatus, text, _ := Call(p.AdminAddress(i), "GET", "/ready")
 		if err != nil || listenerStatus != 503 || adminStatus != 503 || !strings.Contains(string(text), "no list of servers yet") {
-			t.Errorf("n%d without a list answers %d, and its console %d %s; %v", i, listenerStatus, adminStatus, text, err)
+			t.Errorf("n%d without a list: got status %d, from its admin API %d %s, error %v, want 503 and the reason", i, listenerStatus, adminStatus, text, err)
 		}
 	}
 	p.discovery.LimitWatches(1)
@@ -150,7 +152,8 @@
 	p.waitServing(t)
 }
 
-// TestUnconfirmedListIsNotApplied has one node alone hear from a discovery that takes nearly all endpoints away; the others go on.
+// Guards against a single node's list removing most endpoints for all nodes. Only one node has a watch, and its list
+// drains nearly all endpoints: the others keep theirs until a second watch confirms it.
 func TestUnconfirmedListIsNotApplied(t *testing.T) {
 	p := newListGossipFleet(t, 4, false)
 	p.discovery.SetDown(true)
@@ -170,16 +173,16 @@
 		}
 		return applied == 1 && unconfirmed == 3
 	}
-	if _, err := WaitUntil(p, detectionPeriods, "three doubt what one says", heldBack); err != nil {
+	if _, err := WaitUntil(p, detectionPeriods, "three nodes count the list of the other as unconfirmed", heldBack); err != nil {
 		t.Fatalf("%v\n%+v", err, p.listViews())
 	}
 	p.discovery.LimitWatches(2)
-	p.waitForLists(t, "two watches are believed", func(v *endpointgossip.View) bool { return v.Version == 9 })
+	p.waitForLists(t, "all nodes have the list that two watches confirm", func(v *endpointgossip.View) bool { return v.Version == 9 })
 }
 
-// TestRecoveryInEveryRestartOrder takes the power from nodes, endpoints and discovery while an endpoint drains, and brings them back in each of
-// the six orders, with exclusive requests coming all the time and a third of the datagrams lost: none runs twice, none comes to the
-// server that drained, and all serve in the end.
+// Guards against faults that depend on the order of recovery. Nodes, endpoints and discovery lose power while an
+// endpoint drains, and recover in each of the six orders, with non-idempotent requests all the time and three in ten
+// datagrams lost: no request runs twice, none reaches the draining endpoint, and all nodes serve in the end.
 func TestRecoveryInEveryRestartOrder(t *testing.T) {
 	p := newListGossipFleet(t, 4, true)
 	p.AddFaults(dropFault(4, 2))
@@ -199,9 +202,9 @@
 		draining := k % len(p.endpoints)
 		version++
 		p.setDraining(version, draining)
-		p.waitForLists(t, order+": all are told", func(v *endpointgossip.View) bool { return v.Version == version })
+		p.waitForLists(t, order+": all nodes have the list", func(v *endpointgossip.View) bool { return v.Version == version })
 		drainedAt := time.Now()
-		time.Sleep(150 * time.Millisecond) // until it is on the disks
+		time.Sleep(150 * time.Millisecond) // until it is persisted
 		p.discovery.SetDown(true)
 		for _, s := range p.endpoints {
 			s.SetDown(true)
@@ -213,16 +216,17 @@
 		}
 		p.waitServing(t)
 		if late := p.arrivalsAfterGrace(draining, drainedAt); late > 0 {
-			t.Errorf("%s: %d tasks came to a server that drained before the power went", order, late)
+			t.Errorf("%s: got %d requests at an endpoint that drained before the power loss, want 0", order, late)
 		}
 	}
 	if duplicates := p.duplicateRequests(); len(duplicates) > 0 {
-		t.Errorf("%d tasks ran twice: %v", len(duplicates), duplicates[:min(len(duplicates), 5)])
+		t.Errorf("got %d requests that ran twice, want 0: %v", len(duplicates), duplicates[:min(len(duplicates), 5)])
 	}
 }
 
-// TestSingleNodeOfLargeFleetRestarts has one of 300 come back alone with its memory while discovery is down: it says that it knows
-// of nobody, serves what cold endpoints surely can, and all once discovery tells that they never went.
+// Guards against a single restarted node of a fleet of 300 overloading endpoints. While discovery is down, it reports
+// that it hears no other node and serves only the load that endpoints in slow start can take. Once discovery lists the
+// endpoints' unchanged starts, it serves the full load.
 func TestSingleNodeOfLargeFleetRestarts(t *testing.T) {
 	p := newTestFleet(t, 2)
 	p.PersistState, p.ListGossip, p.Key = true, true, listKey
@@ -245,7 +249,7 @@
 	}
 	waitReady()
 	if n := succeeded(100); n != 100 {
-		t.Fatalf("in calm %d of 100", n)
+		t.Fatalf("before the restart: got %d of 100 requests served, want all", n)
 	}
 	p.discovery.SetDown(true)
 	p.Kill(0)
@@ -254,17 +258,17 @@
 	}
 	waitReady()
 	duringSlowStart := succeeded(400)
-	if _, err := WaitUntil(p, startupPeriods, "it says that it hears nobody", func(views []*members.View) bool {
+	if _, err := WaitUntil(p, startupPeriods, "the node reports its summary as unreliable", func(views []*members.View) bool {
 		return views[0] != nil && !views[0].Summary.Reliable
 	}); err != nil {
 		t.Error(err)
 	}
 	if duringSlowStart == 0 || duringSlowStart == 400 {
-		t.Errorf("%d of 400 by servers that may be cold", duringSlowStart)
+		t.Errorf("endpoints possibly in slow start: got %d of 400 requests served, want some but not all", duringSlowStart)
 	}
 	p.discovery.SetDown(false)
-	p.waitForLists(t, "discovery tells it", func(v *endpointgossip.View) bool { return v.WatchUp })
+	p.waitForLists(t, "the watch is open again", func(v *endpointgossip.View) bool { return v.WatchUp })
 	if n := succeeded(100); n != 100 {
-		t.Errorf("once discovery has told, %d of 100", n)
+		t.Errorf("with the list of discovery: got %d of 100 requests served, want all", n)
 	}
 }
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Measurements of membership: how long until all nodes know of a death, how often nodes that are up are suspected, and the
-// messages that this costs. A node counts as knowing only what it has reported itself.
+// Measurements of membership: the time until all nodes report a failure, how often nodes that are up are suspected, and
+// the number of datagrams. A node counts as having detected a failure only once it reports that itself.
 
 import (
 	"fmt"
@@ -11,31 +11,32 @@
 	"fawnglade/internal/members"
 )
 
-// Figures of one fleet at one loss.
+// Figures are the measurements of one fleet at one loss rate.
 type Figures struct {
 	Nodes             int       `json:"nodes"`
 	Loss              float64   `json:"loss"`
 	Burst             int       `json:"burst"`
-	WatchedS          float64   `json:"watched_s"`   // of all nodes well, with the loss
-	SuspicionsPerHour float64   `json:"doubts_h"`    // raised against well nodes, by the whole fleet in an hour
-	FailuresPerHour   float64   `json:"silences_h"`  // that came of them
-	SentPerS          float64   `json:"sent_s"`      // datagrams a node a second, over that time
-	BytesPerS         float64   `json:"bytes_s"`     // of those
-	MaxSentPerS       float64   `json:"most_sent_s"` // of the node that sent most
+	WatchedS          float64   `json:"watched_s"`   // time with all nodes up and the loss
+	SuspicionsPerHour float64   `json:"doubts_h"`    // of nodes that were up, by the whole fleet per hour
+	FailuresPerHour   float64   `json:"silences_h"`  // wrong failures among these
+	SentPerS          float64   `json:"sent_s"`      // datagrams per node and second
+	BytesPerS         float64   `json:"bytes_s"`     // of these datagrams
+	MaxSentPerS       float64   `json:"most_sent_s"` // datagrams per second of the node that sent most
 	DeathKnownS       []float64 `json:"death_known_s"`
-	DeathPeriods      []int64   `json:"death_rounds"` // of the slowest node
+	DeathPeriods      []int64   `json:"death_rounds"` // until the slowest node reported the failure
 }
 
-// measurable is a fleet with a clock.
+// measurable is a fleet with a clock and counters.
 type measurable interface {
 	Fleet
 	Now() int64
-	// Counts of every node that runs, and what it believes of one.
+	// Counters returns the counters of each node; nil for a node that does not run.
 	Counters() []*members.Counters
-	AllReport(of int, state members.State) (all bool)
+	// AllReport reports whether all other nodes have a node in a state.
+	AllReport(node int, state members.State) (all bool)
 }
 
-// Now is the time since the fleet was made, nanoseconds.
+// Now returns the time since the fleet was created, nanoseconds.
 func (p *Processes) Now() int64 { return int64(time.Since(p.startedAt)) }
 
 // Counters implements measurable.
@@ -81,7 +82,8 @@
 	return true
 }
 
-// Measure starts a fleet, watches it for a time with a loss, and kills nodes one after another. rounds bounds each wait.
+// Measure starts a fleet, observes it for a time with a loss rate, and kills nodes one after another. periods limits
+// each wait.
 func Measure(f measurable, loss float64, burst int, watch time.Duration, deaths int, periods int64) (*Figures, error) {
 	figures := &Figures{Nodes: f.Len(), Loss: loss, Burst: burst}
 	for i := range f.Len() {
@@ -92,7 +94,7 @@
 	waitForAll := func(node int, state members.State, condition string) (steps int64, err error) {
 		for ; !f.AllReport(node, state); steps++ {
 			if steps > 5*periods {
-				return steps, fmt.Errorf("%d nodes, loss %.2f: n%d not %s for all within %d rounds", f.Len(), loss, node, condition, periods)
+				return steps, fmt.Errorf("%d nodes, loss %.2f: not all nodes reported n%d as %s within %d protocol periods", f.Len(), loss, node, condition, periods)
 			}
 			f.Step()
 		}
--- a/internal/lab/fleet/order_test.go
+++ b/internal/lab/fleet/order_test.go
@@ -7,7 +7,8 @@
 	"fawnglade/internal/lab/invariant"
 )
 
-// TestOrderStalledAttempts has two attempts of a request read in one moment: a hedged request only where the node had closed neither.
+// Two attempts of a request are read at the same time after a stall of the test process. They count as in flight at
+// once only if the node had closed neither.
 func TestOrderStalledAttempts(t *testing.T) {
 	const ms = int64(time.Millisecond)
 	for name, c := range map[string]struct {
@@ -18,8 +19,8 @@
 		"closed before it was read":       {0, 40 * ms, 0, 0},
 		"not closed":                      {invariant.Never, 40 * ms, 0, 1},
 		"closed long after":               {500 * ms, 40 * ms, 0, 1},
-		"nothing stood still":             {60 * ms, 0, 0, 1},
-		"the other came before the stall": {0, 40 * ms, 300 * ms, 1},
+		"no stall":                        {60 * ms, 0, 0, 1},
+		"the other read before the stall": {0, 40 * ms, 300 * ms, 1},
 	} {
 		r := &relayFleet{history: &invariant.History{}}
 		r.history.RecordProcess(&invariant.Process{Incarnation: 1})
@@ -38,7 +39,7 @@
 		r.orderStalledAttempts(lag)
 		r.history.Close()
 		if violations := r.history.Check(requestClasses, invariant.Rules{Slack: 50 * ms, Lag: lag}); len(violations) != c.violations {
-			t.Errorf("%s: %v, expected %d", name, violations, c.violations)
+			t.Errorf("%s: got violations %v, want %d", name, violations, c.violations)
 		}
 	}
 }
--- a/internal/lab/fleet/plot.go
+++ b/internal/lab/fleet/plot.go
@@ -1,6 +1,6 @@
 package fleet
 
-// The plot of measurements; it shows every figure.
+// The plot of measurements, which shows all Figures.
 
 import (
 	"cmp"
@@ -13,10 +13,11 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws how long a death takes to be known by all, by the fleet's size, a line for each loss and, dashed, for processes.
+// Plot writes a plot of the time until all nodes report a failure, by the size of the fleet, with a line for each loss
+// rate; lines of processes are dashed.
 func Plot(path string, virtual, processes []*Figures) error {
 	p := plot.New()
-	p.Title.Text = "A death is known by all (median; bars to the worst)"
+	p.Title.Text = "Time until all nodes report a failure (median; bars to the maximum)"
 	p.X.Label.Text, p.Y.Label.Text = "nodes", "seconds"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Y.Min = 0
--- a/internal/lab/fleet/power_test.go
+++ b/internal/lab/fleet/power_test.go
@@ -15,9 +15,9 @@
 	"fawnglade/internal/members"
 )
 
-const drainGrace = 550 * time.Millisecond // to stop sending, with what a socket may hold up
+const drainGrace = 550 * time.Millisecond // limit to stop sending to a draining endpoint, plus 50 ms for the sockets
 
-// newPersistentFleet is a fleet whose nodes keep a memory and know their endpoints.
+// newPersistentFleet starts a fleet whose nodes persist their state, and waits until all serve.
 func newPersistentFleet(t *testing.T, nodes int) *Processes {
 	t.Helper()
 	p := newTestFleet(t, nodes)
@@ -31,7 +31,7 @@
 	return p
 }
 
-// waitServing waits until every node is ready, and has done a request.
+// waitServing waits until every node is ready and has served a request.
 func (p *Processes) waitServing(t *testing.T) {
 	t.Helper()
 	for i := range p.nodes {
@@ -41,7 +41,7 @@
 				break
 			}
 			if tries > 2000 {
-				t.Fatalf("n%d does not serve: %d, %v", i, status, err)
+				t.Fatalf("n%d does not serve: got status %d of /ready, error %v", i, status, err)
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
@@ -50,7 +50,7 @@
 
 var requestNumber atomic.Int64
 
-// startLoad sends exclusive requests to all nodes until it is told to end.
+// startLoad sends non-idempotent requests to all nodes until stopLoad is called.
 func (p *Processes) startLoad() (stopLoad func()) {
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -69,7 +69,7 @@
 	return func() { close(stop); clients.Wait() }
 }
 
-// setDraining has discovery tell all endpoints, but one that drains.
+// setDraining makes discovery list all endpoints as up, except one as draining; -1: none.
 func (p *Processes) setDraining(version int64, draining int) {
 	var list []ListEntry
 	for i, s := range p.endpoints {
@@ -98,7 +98,7 @@
 	}
 }
 
-// duplicateRequests are requests that must run once and came to endpoints more often.
+// duplicateRequests returns the IDs of requests that must run once but reached endpoints more than once.
 func (p *Processes) duplicateRequests() (duplicates []string) {
 	counts := map[string]int{}
 	for _, s := range p.endpoints {
@@ -116,8 +116,9 @@
 	return duplicates
 }
 
-// TestDrainsSurviveFleetRestart takes the power from all nodes at drawn moments while an endpoint drains, and brings them back while
-// nobody can tell them: the server gets nothing after the grace, no request runs twice. FAWNGLADE_ROUNDS plays it longer.
+// Guards against nodes forgetting a drain when all are killed. They are killed at random times while an endpoint
+// drains, and restarted while discovery is down: the endpoint receives nothing after the grace, and no request runs
+// twice. FAWNGLADE_ROUNDS sets the number of rounds, with a larger fleet.
 func TestDrainsSurviveFleetRestart(t *testing.T) {
 	nodes, rounds := 6, 6
 	if n, err := strconv.Atoi(os.Getenv("FAWNGLADE_ROUNDS")); err == nil {
@@ -129,7 +130,7 @@
 	for round := range rounds {
 		draining := round % len(p.endpoints)
 		stopLoad := p.startLoad()
-		for p.discovery.Watches() < nodes { // who has no watch is not told
+		for p.discovery.Watches() < nodes { // a node without a watch does not receive the drain
 			time.Sleep(2 * time.Millisecond)
 		}
 		version++
@@ -151,7 +152,7 @@
 			}
 		}
 		if late > 0 {
-			t.Fatalf("round %d: %d tasks came to a draining server after the grace", round, late)
+			t.Fatalf("round %d: got %d requests at a draining endpoint after the grace, want 0", round, late)
 		}
 		p.discovery.SetDown(false)
 		version++
@@ -159,18 +160,19 @@
 		before := len(p.endpoints[draining].Arrivals())
 		for tries := 0; len(p.endpoints[draining].Arrivals()) == before; tries++ {
 			if tries > 3000 {
-				t.Fatalf("round %d: a server that is up again gets nothing", round)
+				t.Fatalf("round %d: got no request at an endpoint that is up again", round)
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 		stopLoad()
 	}
 	if duplicates := p.duplicateRequests(); len(duplicates) > 0 {
-		t.Errorf("%d tasks ran twice: %v", len(duplicates), duplicates[:min(len(duplicates), 5)])
+		t.Errorf("got %d requests that ran twice, want 0: %v", len(duplicates), duplicates[:min(len(duplicates), 5)])
 	}
 }
 
-// TestOlderListDoesNotRestoreDrainedEndpoint has discovery come back with a list from before the drain.
+// Guards against an older list undoing a drain. After a restart of all nodes, discovery serves a list from before the
+// drain.
 func TestOlderListDoesNotRestoreDrainedEndpoint(t *testing.T) {
 	p := newPersistentFleet(t, 3)
 	p.setDraining(7, 1)
@@ -184,22 +186,23 @@
 	time.Sleep(time.Until(drainedAt.Add(drainGrace)) + 400*time.Millisecond)
 	for _, at := range p.endpoints[1].Arrivals() {
 		if at.After(drainedAt.Add(drainGrace)) {
-			t.Fatal("a task came to a server that only an older list calls up")
+			t.Fatal("got a request at an endpoint that only an older list has as up")
 		}
 	}
 	p.setDraining(8, -1)
 	before := len(p.endpoints[1].Arrivals())
 	for tries := 0; len(p.endpoints[1].Arrivals()) == before; tries++ {
 		if tries > 3000 {
-			t.Fatal("a later list does not put it back")
+			t.Fatal("got no request at an endpoint that a later list has as up")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	stopLoad()
 }
 
-// TestDamagedStateDirectories has some nodes lose their disk, one find an older copy, one a log cut in the middle, one a file where its
-// directory should be: all serve, those with a memory before anybody tells them of endpoints.
+// Guards against damaged persisted state keeping nodes from serving. One node loses its state directory, one restores
+// an older copy, one finds truncated log segments, one a file in place of the directory: all serve in the end, those
+// with intact state while discovery is still down.
 func TestDamagedStateDirectories(t *testing.T) {
 	p := newPersistentFleet(t, 5)
 	time.Sleep(300 * time.Millisecond)
@@ -209,11 +212,11 @@
 	}
 	p.startAll(t)
 	p.waitServing(t)
-	if _, err := WaitUntil(p, startupPeriods, "all know one another", ViewsMatch(NodeRange(0, 5), AllInState("up"))); err != nil {
+	if _, err := WaitUntil(p, startupPeriods, "all nodes report each other as up", ViewsMatch(NodeRange(0, 5), AllInState("up"))); err != nil {
 		t.Fatal(err)
 	}
 	p.discovery.SetDown(true)
-	for i := range 4 { // the last one goes on, and knows who started when
+	for i := range 4 { // n4 keeps running, and knows the starts of the others
 		p.Kill(i)
 	}
 	check := func(err error) {
@@ -240,18 +243,18 @@
 			t.Fatal(err)
 		}
 	}
-	for _, i := range []int{1, 4} { // of n2 the cut may have taken all
+	for _, i := range []int{1, 4} { // n2 may have lost all its state by the truncation
 		for tries := 0; p.SendRequest(i, 0) != nil; tries++ {
 			if tries > 2000 {
-				t.Fatalf("n%d with a memory does not serve while discovery is down", i)
+				t.Fatalf("n%d with persisted state does not serve while discovery is down", i)
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
 	if _, text, err := Call(p.AdminAddress(3), "GET", "/state"); err != nil || !bytes.Contains(text, []byte("no memory of before")) {
-		t.Errorf("a disk that is none: %s, %v", text, err)
+		t.Errorf("file in place of the state directory: got state %s, error %v, want that there is no earlier state", text, err)
 	}
-	if _, err := WaitUntil(p, mergePeriods, "the older copy is known by the others' word", func([]*members.View) bool {
+	if _, err := WaitUntil(p, mergePeriods, "the node with the older copy detects it from the other nodes", func([]*members.View) bool {
 		_, text, err := Call(p.AdminAddress(1), "GET", "/state")
 		return err == nil && bytes.Contains(text, []byte(`"older_copy":true`))
 	}); err != nil {
@@ -261,8 +264,9 @@
 	p.waitServing(t)
 }
 
-// TestPartitionedFleetRestart has all killed while an endpoint drains, come back in two halves that can't hear each other, lose power
-// again in the middle of that, and join: no drain is broken, no request runs twice, and in the end there is one view.
+// Guards against a partition during recovery undoing drains. All nodes are killed while an endpoint drains, restart in
+// two halves without a link between these, are killed again while they start, and are joined: the drain is kept, no
+// request runs twice, and in the end all views agree.
 func TestPartitionedFleetRestart(t *testing.T) {
 	p := newPersistentFleet(t, 6)
 	a, b := NodeRange(0, 3), NodeRange(3, 6)
@@ -276,12 +280,12 @@
 	time.Sleep(150 * time.Millisecond)
 	p.discovery.SetDown(true)
 	p.AddFaults(cutFault(a, b, false))
-	for range 2 { // the second time while they are coming back
+	for range 2 { // the second time while they are starting
 		p.killAll()
 		p.startAll(t)
 	}
 	p.waitServing(t)
-	if _, err := WaitUntil(p, detectionPeriods, "two views", func(views []*members.View) bool {
+	if _, err := WaitUntil(p, detectionPeriods, "each half reports its own nodes as up", func(views []*members.View) bool {
 		for _, side := range [][]int{a, b} {
 			for _, i := range side {
 				for _, k := range side {
@@ -296,16 +300,16 @@
 		t.Error(err)
 	}
 	p.ClearFaults()
-	if _, err := WaitUntil(p, mergePeriods, "one view", ViewsMatch(NodeRange(0, 6), AllInState("up"))); err != nil {
+	if _, err := WaitUntil(p, mergePeriods, "all views agree", ViewsMatch(NodeRange(0, 6), AllInState("up"))); err != nil {
 		t.Error(err)
 	}
 	time.Sleep(time.Until(drainedAt.Add(drainGrace)))
 	for _, at := range p.endpoints[1].Arrivals() {
 		if at.After(drainedAt.Add(drainGrace)) {
-			t.Fatal("a task came to a draining server after the grace")
+			t.Fatal("got a request at a draining endpoint after the grace")
 		}
 	}
 	if duplicates := p.duplicateRequests(); len(duplicates) > 0 {
-		t.Errorf("%d tasks ran twice", len(duplicates))
+		t.Errorf("got %d requests that ran twice, want 0", len(duplicates))
 	}
 }
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -25,7 +25,7 @@
 	"fawnglade/internal/members"
 )
 
-// settingsTemplate is a small deployment whose nodes may talk.
+// settingsTemplate is the settings of a small deployment with messages between nodes enabled.
 const settingsTemplate = `{"discovery":"push","family_info":{},"goal":{"whole":0.5},"group_size":%d,"position":%d,
 "limits":{"cancelling":true,"connect_timeout_us":75000,"idle_close_us":60000000,"max_retry_after_us":1500000,"peer_messages":true,
 "may_duplicate":false,"retry_after":true,"try_limit":3},"profiles":[{"deadline_us":2000000,"name":"view","objective_us":1000000,"repeat":"safe"},
@@ -35,16 +35,16 @@
 
 // Processes is a fleet of real processes.
 type Processes struct {
-	Program        []string      // the node's command, with serve
-	ProtocolPeriod time.Duration // of the members
+	Program        []string      // command line of a node, with the serve command
+	ProtocolPeriod time.Duration // of membership
 	Key            string
-	Settings       string    // of every node, with its number of nodes and position to be filled in
-	PersistState   bool      // nodes remember through a crash
-	ListGossip     bool      // nodes ask one another for the list
-	Log            io.Writer // of all nodes
+	Settings       string    // of every node; a format with the number of nodes and the node's position
+	PersistState   bool      // nodes persist their state
+	ListGossip     bool      // nodes gossip the endpoint list
+	Log            io.Writer // output of all nodes
 
-	ExtraFeatures func(node int) string // beside the members in a node's features file
-	DiscoveryFor  func(node int) string // where a node reaches discovery; nil: directly
+	ExtraFeatures func(node int) string // additional text of a node's features file
+	DiscoveryFor  func(node int) string // address at which a node reaches discovery; nil: directly
 
 	dir       string
 	proxies   *faultproxy.Proxies
@@ -61,14 +61,14 @@
 	fleet     *Processes
 	index     int
 	mu        sync.Mutex
-	processes []emulator.Process // all that run under this name, the last started last
+	processes []emulator.Process // running processes of this name, in order of start
 	starts    int
 	paused    bool
 }
 
 var fleetCount atomic.Int64
 
-// NewProcesses makes a fleet of which nobody runs yet. Close ends it.
+// NewProcesses returns a fleet without running nodes. The caller must call Close.
 func NewProcesses(program []string, nodes int, round time.Duration, log io.Writer) (p *Processes, err error) {
 	p = &Processes{Program: program, ProtocolPeriod: round, Log: log, Settings: settingsTemplate, startedAt: time.Now()}
 	if p.Log == nil {
@@ -128,13 +128,13 @@
 	return fmt.Sprintf("%s:%d", host, port)
 }
 
-// ListenAddress is where a node takes requests; Console where it answers staff.
+// ListenAddress returns the address at which a node accepts requests.
 func (p *Processes) ListenAddress(node int) string { return p.address(node, 8443) }
 
-// AdminAddress is the admin address of a node.
+// AdminAddress returns the address of a node's admin API.
 func (p *Processes) AdminAddress(node int) string { return p.address(node, 9443) }
 
-// FeaturesText is the text of a node's features file.
+// FeaturesText returns the text of a node's features file.
 func (p *Processes) FeaturesText(node int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[members]\nlisten = %q\nround = %q\nkey = %q\nlist = %v\n", p.mesh.Address(node, node), p.ProtocolPeriod, p.Key, p.ListGossip)
@@ -147,22 +147,22 @@
 	return b.String()
 }
 
-// StateDir is where a node remembers.
+// StateDir returns the directory of a node's persisted state.
 func (p *Processes) StateDir(node int) string {
 	return filepath.Join(p.dir, fmt.Sprintf("n%d.state", node))
 }
 
-// Discovery and Endpoints are what stands outside the nodes.
+// Discovery returns the fake discovery service.
 func (p *Processes) Discovery() *Discovery { return p.discovery }
 
-// Endpoints are those that discovery lists first.
+// Endpoints returns the fake endpoints, all of which the initial list contains.
 func (p *Processes) Endpoints() []*Endpoint { return p.endpoints }
 
 // Len implements Fleet.
 func (p *Processes) Len() int { return len(p.nodes) }
 
-// Start begins a process. A second one of a name takes requests at an address of its own, and shares the socket for datagrams, as
-// two processes do that were started by mistake.
+// Start implements Fleet. A second process of a name accepts requests at an address of its own, and shares the address
+// for datagrams, as happens when two processes are started by mistake.
 func (p *Processes) Start(node int) error {
 	n := p.nodes[node]
 	n.mu.Lock()
@@ -200,7 +200,7 @@
 	return err
 }
 
-// reap forgets processes that have ended; the lock is held.
+// reap drops processes that have ended; n.mu must be held.
 func (n *node) reap() {
 	kept := n.processes[:0]
 	for _, process := range n.processes {
@@ -261,7 +261,7 @@
 // CapturedDatagram implements Fleet.
 func (p *Processes) CapturedDatagram(from, to int) []byte { return p.mesh.CapturedDatagram(from, to) }
 
-// PID of a node's newest process; 0 without one.
+// PID returns the process ID of a node's newest process; 0 if none runs.
 func (p *Processes) PID(node int) int {
 	n := p.nodes[node]
 	n.mu.Lock()
@@ -274,7 +274,7 @@
 
 const callTimeout = 2 * time.Second
 
-// Call calls a node's console, or its listener, once.
+// Call sends one HTTP request without a body to a node's admin API or listener.
 func Call(address, method, path string) (status int, text []byte, err error) {
 	c, err := net.DialTimeout("tcp", address, callTimeout)
 	if err != nil {
@@ -294,7 +294,7 @@
 	return r.StatusCode, text, err
 }
 
-// Views asks all consoles at once.
+// Views implements Fleet; it queries all admin APIs concurrently.
 func (p *Processes) Views() []*members.View {
 	views := make([]*members.View, len(p.nodes))
 	var calls sync.WaitGroup
@@ -317,7 +317,7 @@
 	return views
 }
 
-// SendRequest has a node do one request, and tells how it was answered.
+// SendRequest sends one request to a node, and returns an error unless it is answered 200.
 func (p *Processes) SendRequest(node, number int) error { return p.sendRequest(node, "view", number) }
 
 func (p *Processes) sendRequest(node int, class string, number int) error {
@@ -334,12 +334,12 @@
 	}
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %d", r.StatusCode)
+		return fmt.Errorf("node answered status %d, expected 200", r.StatusCode)
 	}
 	return nil
 }
 
-// Close ends all processes and sockets.
+// Close kills all processes, and closes all sockets.
 func (p *Processes) Close() error {
 	for i := range p.nodes {
 		p.Kill(i)
@@ -357,7 +357,7 @@
 		s.listener.Close()
 	}
 	if p.dir == "" {
-		return errors.New("no fleet")
+		return errors.New("fleet has no directory, as its creation failed")
 	}
 	return os.RemoveAll(p.dir)
 }
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -16,7 +16,7 @@
 	"fawnglade/internal/members"
 )
 
-// buildProgram is the node, built once for all tests.
+// buildProgram builds the node's program once for all tests, and returns its path, or the compiler's output on error.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "fawnglade-built-")
 	if err != nil {
@@ -53,7 +53,7 @@
 	t.Cleanup(func() {
 		_ = p.Close()
 		if strings.Contains(log.String(), "panic stopped") || t.Failed() {
-			t.Error("logs of the nodes: ", log.String())
+			t.Error("end of the nodes' logs: ", log.String())
 		}
 	})
 	return p
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestNameConflictIsReported starts a second process of a node by mistake: it shows, one of the two keeps the name, and the others lose
-// nobody.
+// Guards against a second process of a name, started by mistake, going unnoticed or making other nodes appear as
+// failed. One of the two processes keeps the name.
 func TestNameConflictIsReported(t *testing.T) {
 	p := newTestFleet(t, 5)
 	if err := startAll(p)(); err != nil {
@@ -97,7 +97,7 @@
 	if err := p.Start(2); err != nil {
 		t.Fatal(err)
 	}
-	_, err := WaitUntil(p, 3*startupPeriods, "somebody says that a name is there twice", func(views []*members.View) bool {
+	_, err := WaitUntil(p, 3*startupPeriods, "a node reports a name conflict", func(views []*members.View) bool {
 		for _, v := range views {
 			if v != nil && (v.NameConflict || v.Members[2].NameConflict) {
 				return true
@@ -108,13 +108,13 @@
 	if err != nil {
 		t.Error(err)
 	}
-	if err := RequireDuring(p, stablePeriods, "the others lose nobody", noneFailed([]int{0, 1, 3, 4}, []int{0, 1, 3, 4})); err != nil {
+	if err := RequireDuring(p, stablePeriods, "none of the other nodes is reported as failed", noneFailed([]int{0, 1, 3, 4}, []int{0, 1, 3, 4})); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestInvalidDatagramsDoNotDisturbNode has ten thousand datagrams a second come to one node, of all lengths and some that begin well: requests are
-// answered as before, and nobody is taken for silent.
+// Guards against invalid datagrams disturbing a node: it receives ten thousand a second, of all lengths and some with a
+// valid first byte, while it answers requests and no node is reported as failed.
 func TestInvalidDatagramsDoNotDisturbNode(t *testing.T) {
 	p := newTestFleet(t, 4)
 	if err := startAll(p)(); err != nil {
@@ -154,24 +154,24 @@
 	}()
 	for n := range 200 {
 		if err := p.SendRequest(0, n); err != nil {
-			t.Errorf("task %d: %v", n, err)
+			t.Errorf("request %d: got error %v, want a response", n, err)
 			break
 		}
 	}
-	err = RequireDuring(p, 2*stablePeriods, "nobody is taken for silent", noneFailed(NodeRange(0, 4), NodeRange(0, 4)))
+	err = RequireDuring(p, 2*stablePeriods, "no node is reported as failed", noneFailed(NodeRange(0, 4), NodeRange(0, 4)))
 	close(stop)
 	if sent := <-done; err != nil {
 		t.Error(err)
 	} else if v := p.Views()[0]; v == nil || v.Counters.Invalid+v.Counters.UnknownVersions == before[0] {
-		t.Errorf("of %d datagrams of nonsense none was counted", sent)
+		t.Errorf("got no invalid datagram counted of %d sent", sent)
 	}
 }
 
-// TestFleetViewCommand asks a node as staff do.
+// The fleet view command shows the views of nodes, and says which node refuses the connection.
 func TestFleetViewCommand(t *testing.T) {
 	p := newTestFleet(t, 3)
 	p.Key = strings.Repeat("5a", 16)
-	if err := runSteps(startAll(p), actionStep(func() { p.Kill(2) }), waitStep(p, detectionPeriods, "the others know", ViewsMatch([]int{0, 1}, allUpExcept(2)))); err != nil {
+	if err := runSteps(startAll(p), actionStep(func() { p.Kill(2) }), waitStep(p, detectionPeriods, "the other nodes report the failure", ViewsMatch([]int{0, 1}, allUpExcept(2)))); err != nil {
 		t.Fatal(err)
 	}
 	show := func(args ...string) string {
@@ -182,18 +182,19 @@
 		return string(out)
 	}
 	if out := show("--console", p.AdminAddress(0), "--console", p.AdminAddress(1)); !strings.Contains(out, "2 of 3 nodes up, 0 doubted, 1 silent") || strings.Count(out, "itself") != 2 {
-		t.Error(out)
+		t.Error("view of two nodes: want 2 of 3 nodes up, 1 silent and two lines of nodes themselves, got ", out)
 	}
 	var v members.View
 	if out := show("--console", p.AdminAddress(1), "--json"); json.Unmarshal([]byte(out), &v) != nil || v.Name != "n1" || len(v.Members) != 3 {
-		t.Error(out)
+		t.Error("view as JSON: want that of n1 with 3 members, got ", out)
 	}
 	if out := show("--console", p.AdminAddress(2)); !strings.Contains(out, "refused") {
-		t.Error("a node that is gone: ", out)
+		t.Error("view of a killed node: want the refused connection named, got ", out)
 	}
 }
 
-// TestMembershipDisabledBySettings has a features file where the settings do not allow messages: nothing listens, nothing is sent, nobody can ask.
+// With a features file but settings that do not allow messages between nodes, a node opens no membership socket and its
+// admin API has no members.
 func TestMembershipDisabledBySettings(t *testing.T) {
 	p := newTestFleet(t, 2)
 	disabled := strings.Replace(settingsTemplate, `"peer_messages":true`, `"peer_messages":false`, 1)
@@ -209,11 +210,11 @@
 		p.Step()
 	}
 	if status, _, err := Call(p.AdminAddress(0), "GET", "/members"); err != nil || status != 404 {
-		t.Errorf("asked for members: %d, %v", status, err)
+		t.Errorf("got status %d of /members, error %v, want 404", status, err)
 	}
 	l, err := net.ListenPacket("udp", p.mesh.Address(0, 0))
 	if err != nil {
-		t.Fatal("the address is taken: ", err)
+		t.Fatal("the membership address is in use, want it free: ", err)
 	}
 	_ = l.Close()
 }
--- a/internal/lab/fleet/standins.go
+++ b/internal/lab/fleet/standins.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Stand-ins around a fleet of processes: endpoints that record every request, and a discovery that serves a given list.
-// What a node did is read from what came over the sockets, never from what it reports.
+// Fakes around a fleet of processes: endpoints that record every request, and a discovery that serves a given list.
+// What a node did is taken from its traffic on the sockets, not from its reports.
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Endpoint answers every request at once, and notes when each came.
+// Endpoint answers every request immediately, and records when each arrived.
 type Endpoint struct {
 	Name string
 
@@ -27,22 +27,22 @@
 	observer func(Arrival)
 }
 
-// Arrival is one request as an endpoint saw it.
+// Arrival is one request as received by an endpoint.
 type Arrival struct {
 	Request               string
 	ArrivedAt, AnsweredAt time.Time
-	ClosedAt              time.Time // when the connection was seen to end, for the last request on it
+	ClosedAt              time.Time // when the connection ended, for the last request on it
 }
 
-// Observe has every request told to a function once it is answered, by the endpoint's goroutine, and the last one of a connection again when
-// that has ended.
+// Observe sets a function that is called on the connection's goroutine before each response is written, and once more
+// for the last request of a connection when that has ended.
 func (e *Endpoint) Observe(observer func(Arrival)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.observer = observer
 }
 
-// SetDown has the server close all connections, and every new one at once, or brings it back.
+// SetDown takes the endpoint down, so that it closes all connections including new ones, or brings it back up.
 func (e *Endpoint) SetDown(down bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// addConn notes a connection; false: the server is down.
+// addConn registers a connection, and reports whether the endpoint is up.
 func (e *Endpoint) addConn(c net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,7 +66,7 @@
 	delete(e.conns, c)
 }
 
-// Arrivals are the moments at which requests came, in order.
+// Arrivals returns the times at which requests arrived, in order.
 func (e *Endpoint) Arrivals() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,7 +102,7 @@
 		e.arrivals = append(e.arrivals, last.ArrivedAt)
 		e.requests[last.Request]++
 		e.mu.Unlock()
-		last.AnsweredAt = time.Now() // before the answer is written, so that nobody can know of it earlier
+		last.AnsweredAt = time.Now() // before the response is written, so that no node can have it earlier
 		e.notify(last)
 		if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Pressure: queue=0\r\nContent-Length: 2\r\n\r\nok"); err != nil {
 			return
@@ -119,14 +119,14 @@
 	}
 }
 
-// ListEntry is one server as discovery tells it.
+// ListEntry is one endpoint in discovery's list.
 type ListEntry struct {
 	Endpoint  *Endpoint
 	State     string // up, draining or removed
-	StartedMs int64  // milliseconds; 0: long ago
+	StartedMs int64  // start of the endpoint, milliseconds; 0: long ago
 }
 
-// Discovery tells every watch the same list, whole each time.
+// Discovery sends the complete list to every watch on each change.
 type Discovery struct {
 	listener net.Listener
 
@@ -136,7 +136,7 @@
 	list       []ListEntry
 	down       bool
 	closed     bool
-	maxWatches int // watches at a time; 0: any number
+	maxWatches int // most watches at a time; 0: no limit
 	conns      map[net.Conn]bool
 }
 
@@ -149,10 +149,10 @@
 	return d, err
 }
 
-// Address is where it takes calls.
+// Address returns the address at which discovery accepts calls.
 func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// SetList has all watches told a list of a version, which may be lower than one before.
+// SetList sends a list to all watches. Its version may be lower than an earlier one.
 func (d *Discovery) SetList(version int64, list ...ListEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,7 +160,7 @@
 	d.changed.Broadcast()
 }
 
-// SetDown ends all watches and takes no call, or brings discovery back.
+// SetDown takes discovery down, which ends all watches and refuses calls, or brings it back up.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,14 +171,14 @@
 	d.changed.Broadcast()
 }
 
-// LimitWatches has discovery take no call while so many follow it; 0: any number.
+// LimitWatches limits the number of concurrent watches; 0: no limit. Discovery refuses further calls.
 func (d *Discovery) LimitWatches(watches int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.maxWatches = watches
 }
 
-// sendKeepAlives has every watch told an empty line now and then, until discovery's socket is closed.
+// sendKeepAlives makes every watch send an empty line each second, until Close.
 func (d *Discovery) sendKeepAlives() {
 	for ; ; time.Sleep(time.Second) {
 		d.mu.Lock()
@@ -191,7 +191,7 @@
 	}
 }
 
-// Close ends it.
+// Close ends all watches and closes the listener.
 func (d *Discovery) Close() {
 	d.SetDown(true)
 	d.mu.Lock()
@@ -200,7 +200,7 @@
 	d.listener.Close()
 }
 
-// Watches is how many follow the list.
+// Watches returns the number of open watches.
 func (d *Discovery) Watches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -226,7 +226,7 @@
 	}
 	d.conns[c] = true
 	defer delete(d.conns, c)
-	go func() { // wakes the watch below when its caller is gone
+	go func() { // wakes the loop below when the caller has closed the connection
 		_, _ = io.Copy(io.Discard, c)
 		c.Close()
 		d.changed.Broadcast()
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -1,6 +1,6 @@
 package fleet
 
-// A fleet in virtual time: hundreds of instances of the membership core with the links between them. No clock is read:
+// A fleet in virtual time: hundreds of instances of the membership protocol with simulated links. It reads no clock, so
 // the same calls give the same views.
 
 import (
@@ -12,7 +12,8 @@
 	"fawnglade/internal/members"
 )
 
-// maxCapturedNodes nodes at most have a message of each way kept: in a large fleet these would be most of the memory.
+// maxCapturedNodes is the largest fleet for which one datagram of each link is kept: in larger ones these would take
+// most of the memory.
 const maxCapturedNodes = 64
 
 type event struct {
@@ -35,12 +36,12 @@
 	return last
 }
 
-// Virtual is a fleet in virtual time.
+// Virtual is a fleet in virtual time. It is not safe for concurrent use.
 type Virtual struct {
 	ProtocolPeriodNs int64
 	LinkDelay        int64 // of a datagram, nanoseconds
 	ClockOffsets     []int64
-	Transform        func(to int, datagram []byte) []byte // what a later or earlier version would make of a datagram; nil: nothing
+	Transform        func(to int, datagram []byte) []byte // changes datagrams, as another version might; nil: unchanged
 	now              int64
 	seq              uint64
 	events           eventQueue
@@ -58,11 +59,11 @@
 	incarnations int
 	membership   *members.Members
 	paused       bool
-	missedTick   bool     // a beat while it was frozen
-	backlog      []func() // what came then
+	missedTick   bool     // a tick was due while the node was paused
+	backlog      []func() // datagrams received while the node was paused
 }
 
-// NewVirtual makes a fleet of which nobody runs yet.
+// NewVirtual returns a fleet without running nodes.
 func NewVirtual(nodes int, seed uint64) *Virtual {
 	v := &Virtual{
 		ProtocolPeriodNs: 500e6, LinkDelay: 500e3, ClockOffsets: make([]int64, nodes), now: 1_700_000_000e9, messageCounts: map[[2]int]uint64{}, captured: map[[2]int][]byte{},
@@ -80,7 +81,7 @@
 	heap.Push(&v.events, event{when, v.seq, action})
 }
 
-// Run lets time pass.
+// Run advances virtual time by a duration in nanoseconds.
 func (v *Virtual) Run(duration int64) {
 	for end := v.now + duration; ; {
 		if len(v.events) == 0 || v.events[0].at > end {
@@ -93,10 +94,10 @@
 	}
 }
 
-// Now is the virtual time, nanoseconds.
+// Now returns the virtual time, nanoseconds.
 func (v *Virtual) Now() int64 { return v.now }
 
-// Members of one node; nil if it does not run.
+// Members returns the membership of one node; nil if it does not run.
 func (v *Virtual) Members(node int) *members.Members { return v.nodes[node].membership }
 
 // Len implements Fleet.
@@ -111,7 +112,7 @@
 func (v *Virtual) Start(node int) error {
 	s := v.nodes[node]
 	if s.membership != nil {
-		return fmt.Errorf("n%d: two processes of a name are for sockets", node)
+		return fmt.Errorf("n%d is running: a virtual fleet has one process per node", node)
 	}
 	s.incarnations++
 	var err error
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// run has a node do something, once it is not held any more.
+// run runs an action of a node, or queues it while the node is paused.
 func (s *simulatedNode) run(action func()) {
 	if s.paused {
 		if len(s.backlog) < 256 {
@@ -145,7 +146,7 @@
 	action()
 }
 
-// Send carries a datagram over the links as they are.
+// Send sends a datagram with the current faults of the link.
 func (s *simulatedNode) Send(to int, datagram []byte) {
 	v := s.fleet
 	link := [2]int{s.index, to}
@@ -208,7 +209,7 @@
 	s := v.nodes[node]
 	backlog, missed := s.backlog, s.missedTick
 	s.paused, s.missedTick, s.backlog = false, false, nil
-	if missed && s.membership != nil { // of the ticks that a ticker missed it makes up for one
+	if missed && s.membership != nil { // like a time.Ticker, which delivers one of the missed ticks
 		s.membership.Tick(s.clock())
 	}
 	for _, action := range backlog {
@@ -223,7 +224,7 @@
 	v.faults = netfault.New(shiftFaults(v.now, faults))
 }
 
-// shiftFaults counts faults' times from a moment.
+// shiftFaults returns faults with their times shifted by now; without an end they last forever.
 func shiftFaults(now int64, faults []netfault.Fault) []netfault.Fault {
 	shifted := append([]netfault.Fault(nil), faults...)
 	for i := range shifted {
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// TestStartOrderWithClockOffsets has clocks a minute apart, one of which is set back by two minutes before its node starts anew.
+// Guards against a restarted node appearing older than its previous process. Clocks are a minute apart, and one is set
+// back by two minutes before its node restarts.
 func TestStartOrderWithClockOffsets(t *testing.T) {
 	f := NewVirtual(6, 1)
 	f.ClockOffsets[1], f.ClockOffsets[2] = 60e9, -60e9
@@ -28,7 +29,7 @@
 	err := runSteps(startAll(f),
 		actionStep(func() { start = f.Views()[1].Incarnation; f.Kill(1); f.ClockOffsets[1] = -60e9; f.Step() }),
 		func() error { return f.Start(1) },
-		waitStep(f, startupPeriods, "the new start goes before the old, though its clock is behind", func(views []*members.View) bool {
+		waitStep(f, startupPeriods, "all nodes report the new start with a higher incarnation, though its clock is behind", func(views []*members.View) bool {
 			for _, v := range views {
 				if v == nil || v.Members[1].State != "up" || v.Members[1].Incarnation <= start {
 					return false
@@ -36,24 +37,24 @@
 			}
 			return true
 		}),
-		holdStep(f, stablePeriods, "nobody is taken for silent", noneFailed(NodeRange(0, 6), NodeRange(0, 6))))
+		holdStep(f, stablePeriods, "no node is reported as failed", noneFailed(NodeRange(0, 6), NodeRange(0, 6))))
 	if err != nil {
 		t.Error(err)
 	}
 }
 
-// TestLargeFleetPartitionsAndMerges starts a large fleet at once, cuts it into halves, and mends it.
+// A large fleet that starts at once, is cut into halves and restored ends with agreeing views.
 func TestLargeFleetPartitionsAndMerges(t *testing.T) {
 	const n = 120
 	f := NewVirtual(n, 2)
 	a, b := NodeRange(0, n/2), NodeRange(n/2, n)
 	err := runSteps(startAll(f),
 		actionStep(func() { f.AddFaults(cutFault(a, b, false)) }),
-		waitStep(f, detectionPeriods, "two views", func(views []*members.View) bool {
+		waitStep(f, detectionPeriods, "each half reports only itself as up", func(views []*members.View) bool {
 			return ViewsMatch(a, onlyUp(a))(views) && ViewsMatch(b, onlyUp(b))(views)
 		}),
 		actionStep(f.ClearFaults),
-		waitStep(f, mergePeriods, "one view", ViewsMatch(NodeRange(0, n), AllInState("up"))))
+		waitStep(f, mergePeriods, "all views agree", ViewsMatch(NodeRange(0, n), AllInState("up"))))
 	if err != nil {
 		t.Error(err)
 	}
@@ -75,11 +76,12 @@
 	}
 	first, second := run(), run()
 	if first != second {
-		t.Error("two plays of one fleet differ")
+		t.Error("got different views from two runs with the same seed")
 	}
 }
 
-// TestIndirectProbesPreventSuspicion has one node hear another no more, though all others do: nobody suspects anybody, as the others are asked first.
+// Guards against suspicions by a node whose direct probes are lost. One node does not reach another, but all others do:
+// indirect probes through these prevent a suspicion.
 func TestIndirectProbesPreventSuspicion(t *testing.T) {
 	f := NewVirtual(6, 1)
 	if err := startAll(f)(); err != nil {
@@ -89,7 +91,7 @@
 	f.Run(60 * f.ProtocolPeriodNs)
 	for i, c := range f.Counters() {
 		if c.Suspicions != 0 {
-			t.Errorf("n%d raised %d doubts", i, c.Suspicions)
+			t.Errorf("n%d: got %d suspicions, want 0", i, c.Suspicions)
 		}
 	}
 }
