--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -182,11 +182,11 @@
 		return string(out)
 	}
 	if out := show("--console", p.AdminAddress(0), "--console", p.AdminAddress(1)); !strings.Contains(out, "2 of 3 nodes up, 0 doubted, 1 silent") || strings.Count(out, "itself") != 2 {
-		t.Error("view of two nodes: want 2 of 3 nodes up, 1 silent and two lines of nodes themselves, got ", out)
+		t.Error(out)
 	}
 	var v members.View
 	if out := show("--console", p.AdminAddress(1), "--json"); json.Unmarshal([]byte(out), &v) != nil || v.Name != "n1" || len(v.Members) != 3 {
-		t.Error("view as JSON: want that of n1 with 3 members, got ", out)
+		t.Error(out)
 	}
 	if out := show("--console", p.AdminAddress(2)); !strings.Contains(out, "refused") {
 		t.Error("view of a killed node: want the refused connection named, got ", out)
--- a/internal/lab/invariant/check_test.go
+++ b/internal/lab/invariant/check_test.go
@@ -33,14 +33,14 @@
 	return h
 }
 
-func (history *History) addAttempt(firstByteMs int64, change func(*Attempt)) *History {
+func (h *History) addAttempt(firstByteMs int64, change func(*Attempt)) *History {
 	a := &Attempt{Request: "t", Zone: "a", FirstByteAt: firstByteMs * ms}
-	history.RecordAttempt(a)
+	h.RecordAttempt(a)
 	a.LastByteAt = a.FirstByteAt
 	if change != nil {
 		change(a)
 	}
-	return history
+	return h
 }
 
 func answered(at int64, status int) func(*Request) {
@@ -144,16 +144,16 @@
 		"up only before the drain": {[]ListChange{{Endpoint: 0, State: model.Up, At: 900 * ms}}, true, true},
 		"up, then removed":         {[]ListChange{{Endpoint: 0, State: model.Up, At: 1200 * ms}, {Endpoint: 0, State: model.Removed, At: 1500 * ms}}, true, true},
 		"up only later":            {[]ListChange{{Endpoint: 0, State: model.Up, At: 2001 * ms}}, true, true},
-		"another endpoint up":      {[]ListChange{{Endpoint: 1, State: model.Up, At: 1200 * ms}}, true, true},
+		"another":                  {[]ListChange{{Endpoint: 1, State: model.Up, At: 1200 * ms}}, true, true},
 	} {
 		history := newHistory().addAttempt(2000, nil).addRequest(0, func(r *Request) { r.SentAt, r.Deadline = 1999*ms, 9000*ms; answered(2009, 200)(r) })
 		history.RecordEntries(listEntry(1000, model.Draining))
 		for _, change := range c.listed {
 			history.RecordListChange(change)
 		}
-		r := rules
-		r.ListGossip = c.listGossip
-		if got := history.Check(classes, r); c.want != (len(got) == 1) {
+		limits := rules
+		limits.ListGossip = c.listGossip
+		if got := history.Check(classes, limits); c.want != (len(got) == 1) {
 			t.Errorf("%s: got violations %v, want one: %v", name, got, c.want)
 		}
 	}
@@ -238,8 +238,8 @@
 		entries    []ListEntry
 		want       bool
 	}{
-		"persisted":                     {true, []ListEntry{listEntry(300, model.Draining)}, true},
-		"not persisted":                 {false, []ListEntry{listEntry(300, model.Draining)}, false},
+		"kept":                          {true, []ListEntry{listEntry(300, model.Draining)}, true},
+		"lost":                          {false, []ListEntry{listEntry(300, model.Draining)}, false},
 		"within the persist delay":      {true, []ListEntry{listEntry(950, model.Draining)}, false},
 		"up before the end":             {true, []ListEntry{listEntry(300, model.Draining), listEntry(500, model.Up)}, false},
 		"newer entry after the restart": {true, []ListEntry{listEntry(300, model.Draining), {Incarnation: 2, State: model.Up, At: 1100 * ms}}, false},
--- a/internal/lab/invariant/drain.go
+++ b/internal/lab/invariant/drain.go
@@ -23,7 +23,7 @@
 		}
 		late := float64(a.FirstByteAt-drainingSince) / 1e6
 		c.report(Violation{
-			Rule: 3, Description: fmt.Sprintf("sent to a draining or gone server %.0f ms after it was told", late),
+			Rule: 3, Description: fmt.Sprintf("sent to a draining or gone server %.0f ms after the node knew its state", late),
 			Request: a.Request, Attempt: slices.Index(c.attemptsByID[a.Request], a),
 			Endpoint: a.Endpoint, Node: a.Node, At: a.FirstByteAt,
 		})
--- a/internal/lab/invariant/history.go
+++ b/internal/lab/invariant/history.go
@@ -91,7 +91,7 @@
 	Failed            bool
 }
 
-// AllNodes, as the node of an Outage, means every node.
+// AllNodes is the Node of an Outage that affects every node.
 const AllNodes = -1
 
 // Outage is a time during which discovery was unreachable for one node, or for AllNodes.
--- a/internal/lab/invariant/knowledge_test.go
+++ b/internal/lab/invariant/knowledge_test.go
@@ -69,11 +69,11 @@
 			history.RecordListChange(ListChange{State: model.Draining, At: 2000 * ms})
 			c.change(history)
 			history.addAttempt(c.sent, nil).addRequest(0, func(r *Request) { r.SentAt, r.Deadline = c.sent*ms-1, 99000*ms; answered(c.sent+9, 200)(r) })
-			r := rulesWithAllLimits()
+			limits := rulesWithAllLimits()
 			if !polled {
-				r.PollWithin = 0 // lists are pushed
+				limits.PollWithin = 0 // lists are pushed
 			}
-			got := history.Check(classes, r)
+			got := history.Check(classes, limits)
 			if c.want != (len(got) == 1) || c.want && (got[0].Rule != 3 || got[0].At != c.sent*ms) {
 				t.Errorf("%s, list polled %v: got violations %v, want one of rule 3: %v", name, polled, got, c.want)
 			}
@@ -93,9 +93,9 @@
 			r.Incarnation, r.SentAt, r.Deadline = 2, sent*ms-1, 99000*ms
 			answered(sent+9, 200)(r)
 		})
-		r := rulesWithAllLimits()
-		r.ReadyWithin = 0
-		if got := history.Check(classes, r); want != (len(got) == 1) {
+		limits := rulesWithAllLimits()
+		limits.ReadyWithin = 0
+		if got := history.Check(classes, limits); want != (len(got) == 1) {
 			t.Errorf("sent at %d ms: got violations %v, want one: %v", sent, got, want)
 		}
 	}
@@ -107,7 +107,7 @@
 		late, excuse int64
 		cases, want  int
 	}{
-		"two are tolerated":              {200, 0, 2, 0},
+		"two":                            {200, 0, 2, 0},
 		"the third":                      {200, 0, 3, 1},
 		"each after it":                  {200, 0, 5, 3},
 		"within the grace and the slack": {140, 0, 5, 0},
@@ -164,9 +164,9 @@
 		if c.endedAfter > 0 {
 			history.Processes[len(history.Processes)-1].EndedAt = (20 + c.endedAfter) * 1000 * ms
 		}
-		r := rulesWithAllLimits()
-		r.End = c.runSeconds * 1000 * ms
-		got := history.Check(classes, r)
+		limits := rulesWithAllLimits()
+		limits.End = c.runSeconds * 1000 * ms
+		got := history.Check(classes, limits)
 		if c.want == "" && len(got) > 0 || c.want != "" && (len(got) != 1 || !strings.HasPrefix(got[0].String(), c.want)) {
 			t.Errorf("%s: got violations %v, want one that starts with %q (none if empty)", name, got, c.want)
 		}
