--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -69,8 +69,8 @@
 var fleetCount atomic.Int64
 
 // NewProcesses returns a fleet without running nodes. The caller must call Close.
-func NewProcesses(program []string, nodes int, round time.Duration, log io.Writer) (p *Processes, err error) {
-	p = &Processes{Program: program, ProtocolPeriod: round, Log: log, Settings: settingsTemplate, startedAt: time.Now()}
+func NewProcesses(program []string, nodes int, protocolPeriod time.Duration, log io.Writer) (p *Processes, err error) {
+	p = &Processes{Program: program, ProtocolPeriod: protocolPeriod, Log: log, Settings: settingsTemplate, startedAt: time.Now()}
 	if p.Log == nil {
 		p.Log = io.Discard
 	}
