--- a/internal/lab/faultproxy/datagrams.go
+++ b/internal/lab/faultproxy/datagrams.go
@@ -1,7 +1,8 @@
 package faultproxy
 
-// Datagram relays between nodes: for each pair of nodes one socket, on which the one reaches the other and from which the
-// other's messages come, so that each sees the other at one address. At most maxDelayedDatagrams delayed messages are held.
+// Datagram proxies between nodes: one socket per ordered pair of nodes, at which the first node sends to the second and
+// from which it receives the second's messages, so that each node sees the other at a single address. At most
+// maxDelayedDatagrams delayed messages are held.
 
 import (
 	"errors"
@@ -15,34 +16,34 @@
 )
 
 const (
-	maxDelayedDatagrams = 1 << 16 // messages on their way
-	maxThrottleBacklog  = int64(time.Second)
+	maxDelayedDatagrams = 1 << 16            // delayed datagrams held at a time; more are dropped
+	maxThrottleBacklog  = int64(time.Second) // largest queueing delay of a bandwidth-limited link
 	maxDatagramSize     = 2048
 )
 
-// Mesh joins nodes by messages.
+// Mesh forwards datagrams between all pairs of nodes.
 type Mesh struct {
 	proxies       *Proxies
-	targets       []netip.AddrPort // where nodes listen
-	sockets       [][]*net.UDPConn // [i][j]: where i reaches j
+	targets       []netip.AddrPort // the nodes' own addresses
+	sockets       [][]*net.UDPConn // [i][j]: the socket at which node i sends to node j
 	messageCounts [][]atomic.Uint64
-	busyUntil     [][]atomic.Int64 // a narrow way is taken until then
+	busyUntil     [][]atomic.Int64 // nanoseconds; a bandwidth-limited link is busy until then
 	delayed       atomic.Int64
 
 	mu       sync.Mutex
 	captured map[[2]int][]byte
 }
 
-// NewMesh opens the relays between nodes that listen at some addresses.
-func NewMesh(board *Proxies, listen []string) (*Mesh, error) {
+// NewMesh opens the proxies between nodes that listen at the given addresses.
+func NewMesh(proxies *Proxies, listen []string) (*Mesh, error) {
 	n := len(listen)
-	m := &Mesh{proxies: board, captured: map[[2]int][]byte{}, messageCounts: make([][]atomic.Uint64, n), busyUntil: make([][]atomic.Int64, n)}
-	for i, at := range listen {
-		real, err := netip.ParseAddrPort(at)
+	m := &Mesh{proxies: proxies, captured: map[[2]int][]byte{}, messageCounts: make([][]atomic.Uint64, n), busyUntil: make([][]atomic.Int64, n)}
+	for i, address := range listen {
+		target, err := netip.ParseAddrPort(address)
 		if err != nil {
 			return nil, err
 		}
-		m.targets = append(m.targets, real)
+		m.targets = append(m.targets, target)
 		m.messageCounts[i], m.busyUntil[i] = make([]atomic.Uint64, n), make([]atomic.Int64, n)
 		m.sockets = append(m.sockets, make([]*net.UDPConn, n))
 	}
@@ -69,7 +70,7 @@
 	return m, nil
 }
 
-// Address is where one node reaches another; its own for itself.
+// Address returns the address at which one node reaches another; a node's own address if both are the same.
 func (m *Mesh) Address(from, to int) string {
 	if from == to {
 		return m.targets[to].String()
@@ -77,7 +78,7 @@
 	return m.sockets[from][to].LocalAddr().String()
 }
 
-// Close ends all.
+// Close closes all sockets.
 func (m *Mesh) Close() {
 	for _, row := range m.sockets {
 		for _, s := range row {
@@ -110,40 +111,40 @@
 		m.mu.Unlock()
 	}
 	now := m.proxies.now()
-	v := m.proxies.schedule.Load().FateOf(now, netfault.End{Index: from}, netfault.End{Index: to}, number, len(datagram))
-	if v.Lost {
+	fate := m.proxies.schedule.Load().FateOf(now, netfault.End{Index: from}, netfault.End{Index: to}, number, len(datagram))
+	if fate.Lost {
 		return
 	}
-	if v.CorruptByte >= 0 {
+	if fate.CorruptByte >= 0 {
 		datagram = append([]byte(nil), datagram...)
-		datagram[v.CorruptByte] ^= 0x55
+		datagram[fate.CorruptByte] ^= 0x55
 	}
-	if v.Rate > 0 {
-		ready := max(m.busyUntil[from][to].Load(), now) + int64(float64(len(datagram))/v.Rate*1e9)
+	if fate.Rate > 0 {
+		ready := max(m.busyUntil[from][to].Load(), now) + int64(float64(len(datagram))/fate.Rate*1e9)
 		if ready-now > maxThrottleBacklog {
-			return // the queue before a narrow way is full
+			return // the queue of a bandwidth-limited link is full
 		}
 		m.busyUntil[from][to].Store(ready)
-		v.Delay += ready - now
+		fate.Delay += ready - now
 	}
-	m.deliverLater(v.Delay, func() { m.deliver(from, to, datagram) })
-	if v.DuplicateAfter > 0 {
-		m.deliverLater(v.Delay+v.DuplicateAfter, func() { m.deliver(from, to, datagram) })
+	m.deliverLater(fate.Delay, func() { m.deliver(from, to, datagram) })
+	if fate.DuplicateAfter > 0 {
+		m.deliverLater(fate.Delay+fate.DuplicateAfter, func() { m.deliver(from, to, datagram) })
 	}
 }
 
-func (m *Mesh) deliverLater(after int64, do func()) {
-	if after <= 0 {
-		do()
+func (m *Mesh) deliverLater(delay int64, deliver func()) {
+	if delay <= 0 {
+		deliver()
 		return
 	}
 	if m.delayed.Add(1) > maxDelayedDatagrams {
 		m.delayed.Add(-1)
 		return
 	}
-	time.AfterFunc(time.Duration(after), func() {
+	time.AfterFunc(time.Duration(delay), func() {
 		m.delayed.Add(-1)
-		do()
+		deliver()
 	})
 }
 
@@ -151,10 +152,10 @@
 	_, _ = m.sockets[to][from].WriteToUDPAddrPort(datagram, m.targets[to])
 }
 
-// Inject has a message come to a node, as from another if that is one.
+// Inject delivers a datagram to a node as if from another.
 func (m *Mesh) Inject(from, to int, datagram []byte) { m.deliver(from, to, datagram) }
 
-// Copied is the first message that went from one node to another; nil if none did.
+// CapturedDatagram returns the first datagram that one node sent to another; nil if there was none.
 func (m *Mesh) CapturedDatagram(from, to int) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -1,8 +1,8 @@
 package faultproxy
 
-// Stream relays: TCP connections from one participant to another. While a link is cut, open connections stay open and
-// silent and new ones are not accepted; what was held back is reset once the link is restored. Lost data arrives late, as
-// both systems retransmit. Bytes are never changed or reordered.
+// Stream proxies: TCP connections from one participant to another. While a link is cut, open connections stay open but
+// carry no data, and new ones are not accepted; connections whose data was held back are reset once the link is
+// restored. Lost data arrives late, as TCP retransmits it. Bytes are never changed or reordered.
 
 import (
 	"errors"
@@ -19,13 +19,13 @@
 )
 
 const (
-	retransmitDelay = int64(200 * time.Millisecond) // after a loss
+	retransmitDelay = int64(200 * time.Millisecond) // extra delay of a lost chunk, nanoseconds
 	chunkSize       = 16 << 10
-	maxQueuedChunks = 64 // on their way in one direction of a connection
+	maxQueuedChunks = 64 // in one direction of a connection
 	dialTimeout     = time.Second
 )
 
-// Stream is one relay: connections from one end to another.
+// Stream is the proxy of connections from one end to another.
 type Stream struct {
 	proxies  *Proxies
 	from, to netfault.End
@@ -48,23 +48,24 @@
 	stateRefusing
 )
 
-// joint is one connection through a relay.
+// connPair is one connection through a proxy.
 type connPair struct {
 	client, server net.Conn
 	chunkCounts    [2]atomic.Uint64
 }
 
-// NewStream opens a relay at an address with port 0, or a port of its own. target is asked with each connection.
-func NewStream(board *Proxies, address string, from, to netfault.End, target func() string) (*Stream, error) {
-	s := &Stream{proxies: board, from: from, to: to, address: address, target: target, pairs: map[*connPair]struct{}{}}
+// NewStream opens a proxy that listens at an address, whose port may be 0. target is called for each new connection and
+// returns the address to forward it to.
+func NewStream(proxies *Proxies, address string, from, to netfault.End, target func() string) (*Stream, error) {
+	s := &Stream{proxies: proxies, from: from, to: to, address: address, target: target, pairs: map[*connPair]struct{}{}}
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
-	board.add(s)
+	proxies.add(s)
 	return s, nil
 }
 
-// Address is where the relay takes connections.
+// Address returns the address at which the proxy accepts connections.
 func (s *Stream) Address() string { return s.address }
 
 func (s *Stream) listen() error {
@@ -87,32 +88,32 @@
 	}
 }
 
-// join opens the way on, and carries both directions until either end is gone.
-func (s *Stream) connect(here net.Conn) {
-	there, err := net.DialTimeout("tcp", s.target(), dialTimeout)
+// connect dials the target, and copies both directions until both have ended.
+func (s *Stream) connect(client net.Conn) {
+	server, err := net.DialTimeout("tcp", s.target(), dialTimeout)
 	if err != nil {
-		Reset(here)
+		Reset(client)
 		return
 	}
-	j := &connPair{client: here, server: there}
+	pair := &connPair{client: client, server: server}
 	s.mu.Lock()
 	if s.closed || s.state != stateOpen {
 		s.mu.Unlock()
-		Reset(here)
-		Reset(there)
+		Reset(client)
+		Reset(server)
 		return
 	}
-	s.pairs[j] = struct{}{}
+	s.pairs[pair] = struct{}{}
 	s.mu.Unlock()
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); s.copy(j, 0, here, there) }()
-	go func() { defer both.Done(); s.copy(j, 1, there, here) }()
-	both.Wait()
-	here.Close()
-	there.Close()
+	var copies sync.WaitGroup
+	copies.Add(2)
+	go func() { defer copies.Done(); s.copy(pair, 0, client, server) }()
+	go func() { defer copies.Done(); s.copy(pair, 1, server, client) }()
+	copies.Wait()
+	client.Close()
+	server.Close()
 	s.mu.Lock()
-	delete(s.pairs, j)
+	delete(s.pairs, pair)
 	s.mu.Unlock()
 }
 
@@ -122,36 +123,36 @@
 	err   error
 }
 
-// carry brings one direction over, each piece when it is due and in order.
-func (s *Stream) copy(j *connPair, direction int, in, out net.Conn) {
+// copy forwards one direction in order, each chunk when it is due.
+func (s *Stream) copy(pair *connPair, direction int, in, out net.Conn) {
 	from, to := s.from, s.to
 	if direction == 1 {
 		from, to = to, from
 	}
-	way := make(chan chunk, maxQueuedChunks)
-	var held atomic.Bool // what came can't go on
+	chunks := make(chan chunk, maxQueuedChunks)
+	var stalled atomic.Bool // data was read that the cut link cannot forward
 	go func() {
-		defer close(way)
-		last := int64(0)
+		defer close(chunks)
+		lastDue := int64(0)
 		for {
 			data := make([]byte, chunkSize)
 			n, err := in.Read(data)
 			now := s.proxies.now()
-			v := s.proxies.schedule.Load().FateOf(now, from, to, j.chunkCounts[direction].Add(1), n)
-			if v.Lost && !s.proxies.schedule.Load().Open(now, from, to) {
-				held.Store(true)
-				return // it is reset when the way is mended
+			fate := s.proxies.schedule.Load().FateOf(now, from, to, pair.chunkCounts[direction].Add(1), n)
+			if fate.Lost && !s.proxies.schedule.Load().Open(now, from, to) {
+				stalled.Store(true)
+				return // the connection is reset when the link is restored
 			}
-			if v.Lost {
-				v.Delay += retransmitDelay
+			if fate.Lost {
+				fate.Delay += retransmitDelay
 			}
-			at := max(last, now+v.Delay)
-			if v.Rate > 0 {
-				at = max(last, now) + v.Delay + int64(float64(n)/v.Rate*1e9)
+			dueAt := max(lastDue, now+fate.Delay)
+			if fate.Rate > 0 {
+				dueAt = max(lastDue, now) + fate.Delay + int64(float64(n)/fate.Rate*1e9)
 			}
-			last = at
+			lastDue = dueAt
 			select {
-			case way <- chunk{at, data[:n], err}:
+			case chunks <- chunk{dueAt, data[:n], err}:
 			case <-s.proxies.done:
 				return
 			}
@@ -160,7 +161,7 @@
 			}
 		}
 	}()
-	for c := range way {
+	for c := range chunks {
 		if wait := c.dueAt - s.proxies.now(); wait > 0 {
 			select {
 			case <-time.After(time.Duration(wait)):
@@ -175,19 +176,20 @@
 			}
 		}
 		if c.err != nil {
-			if t, ok := out.(*net.TCPConn); ok && errors.Is(c.err, io.EOF) {
-				t.CloseWrite()
+			if tcp, ok := out.(*net.TCPConn); ok && errors.Is(c.err, io.EOF) {
+				tcp.CloseWrite()
 			} else {
 				Reset(out)
 			}
 			return
 		}
 	}
-	// Held up: nothing more comes this way, and the other end sees nothing until the way is mended.
-	for held.Load() {
+	// Stalled by a cut: nothing more is read in this direction, and the other end sees nothing until the link is
+	// restored.
+	for stalled.Load() {
 		if s.proxies.schedule.Load().Open(s.proxies.now(), from, to) || s.isClosed() {
-			Reset(j.client)
-			Reset(j.server)
+			Reset(pair.client)
+			Reset(pair.server)
 			return
 		}
 		select {
@@ -204,13 +206,13 @@
 	return s.closed
 }
 
-// follow notices what the schedule says of this way now.
+// applySchedule changes the state of the proxy to what the schedule requires now.
 func (s *Stream) applySchedule(schedule *netfault.Schedule, now int64) {
 	want := stateOpen
-	for _, way := range [][2]netfault.End{{s.from, s.to}, {s.to, s.from}} {
-		if !schedule.Open(now, way[0], way[1]) {
+	for _, link := range [][2]netfault.End{{s.from, s.to}, {s.to, s.from}} {
+		if !schedule.Open(now, link[0], link[1]) {
 			want = max(want, stateCut)
-			if schedule.FateOf(now, way[0], way[1], 0, 0).Refused {
+			if schedule.FateOf(now, link[0], link[1], 0, 0).Refused {
 				want = stateRefusing
 			}
 		}
@@ -228,48 +230,49 @@
 	case stateCut:
 		s.listener, s.queueFillers, _ = ListenFullBacklog(s.address)
 	case stateRefusing:
-		for j := range s.pairs {
-			Reset(j.client)
-			Reset(j.server)
+		for pair := range s.pairs {
+			Reset(pair.client)
+			Reset(pair.server)
 		}
 	}
 }
 
-// shut closes the door; the lock is held.
+// closeListener closes the listener and the connections that fill its backlog; s.mu must be held.
 func (s *Stream) closeListener() {
 	if s.listener != nil {
 		s.listener.Close()
 		s.listener = nil
 	}
-	for _, p := range s.queueFillers {
-		p.Close()
+	for _, filler := range s.queueFillers {
+		filler.Close()
 	}
 	s.queueFillers = nil
 }
 
-// Close ends the relay and all that goes through it.
+// Close closes the proxy and all connections through it.
 func (s *Stream) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 	s.closeListener()
-	for j := range s.pairs {
-		j.client.Close()
-		j.server.Close()
+	for pair := range s.pairs {
+		pair.client.Close()
+		pair.server.Close()
 	}
 }
 
-// Reset ends a connection at once, as a process that dies does.
+// Reset closes a connection with a TCP reset, as happens when a process dies.
 func Reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+	if tcp, ok := c.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
 	c.Close()
 }
 
-// ListenFullBacklog listens with a queue that is full, so that the system drops whoever knocks: an address that nobody gets through to.
+// ListenFullBacklog returns a listener whose backlog is full, so that the kernel drops further connection attempts: the
+// address appears unreachable. It also returns the connections that fill the backlog.
 func ListenFullBacklog(address string) (net.Listener, []net.Conn, error) {
-	a, err := net.ResolveTCPAddr("tcp4", address)
+	resolved, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -282,9 +285,9 @@
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return nil, nil, err
 	}
-	to := &syscall.SockaddrInet4{Port: a.Port}
-	copy(to.Addr[:], a.IP.To4())
-	if err := syscall.Bind(fd, to); err != nil {
+	socketAddress := &syscall.SockaddrInet4{Port: resolved.Port}
+	copy(socketAddress.Addr[:], resolved.IP.To4())
+	if err := syscall.Bind(fd, socketAddress); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", address, err)
 	}
 	if err := syscall.Listen(fd, 0); err != nil {
@@ -294,13 +297,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	var plugs []net.Conn
+	var fillers []net.Conn
 	for range 8 {
 		c, err := net.DialTimeout("tcp", address, 5*time.Millisecond)
 		if err != nil {
 			break
 		}
-		plugs = append(plugs, c)
+		fillers = append(fillers, c)
 	}
-	return l, plugs, nil
+	return l, fillers, nil
 }
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -25,7 +25,7 @@
 	"fawnglade/internal/members"
 )
 
-// settingsTemplate is a small deployment whose nodes may talk.
+// settingsTemplate is the settings of a small deployment with messages between nodes enabled.
 const settingsTemplate = `{"discovery":"push","family_info":{},"goal":{"whole":0.5},"group_size":%d,"position":%d,
 "limits":{"cancelling":true,"connect_timeout_us":75000,"idle_close_us":60000000,"max_retry_after_us":1500000,"peer_messages":true,
 "may_duplicate":false,"retry_after":true,"try_limit":3},"profiles":[{"deadline_us":2000000,"name":"view","objective_us":1000000,"repeat":"safe"},
@@ -35,16 +35,16 @@
 
 // Processes is a fleet of real processes.
 type Processes struct {
-	Program        []string      // the node's command, with serve
-	ProtocolPeriod time.Duration // of the members
+	Program        []string      // command line of a node, with the serve command
+	ProtocolPeriod time.Duration // of membership
 	Key            string
-	Settings       string    // of every node, with its number of nodes and position to be filled in
-	PersistState   bool      // nodes remember through a crash
-	ListGossip     bool      // nodes ask one another for the list
-	Log            io.Writer // of all nodes
+	Settings       string    // of every node; a format with the number of nodes and the node's position
+	PersistState   bool      // nodes persist their state
+	ListGossip     bool      // nodes gossip the endpoint list
+	Log            io.Writer // output of all nodes
 
-	ExtraFeatures func(node int) string // beside the members in a node's features file
-	DiscoveryFor  func(node int) string // where a node reaches discovery; nil: directly
+	ExtraFeatures func(node int) string // additional text of a node's features file
+	DiscoveryFor  func(node int) string // address at which a node reaches discovery; nil: directly
 
 	dir       string
 	proxies   *faultproxy.Proxies
@@ -61,16 +61,16 @@
 	fleet     *Processes
 	index     int
 	mu        sync.Mutex
-	processes []emulator.Process // all that run under this name, the last started last
+	processes []emulator.Process // running processes of this name, in order of start
 	starts    int
 	paused    bool
 }
 
 var fleetCount atomic.Int64
 
-// NewProcesses makes a fleet of which nobody runs yet. Close ends it.
-func NewProcesses(program []string, nodes int, round time.Duration, log io.Writer) (p *Processes, err error) {
-	p = &Processes{Program: program, ProtocolPeriod: round, Log: log, Settings: settingsTemplate, startedAt: time.Now()}
+// NewProcesses returns a fleet without running nodes. The caller must call Close.
+func NewProcesses(program []string, nodes int, protocolPeriod time.Duration, log io.Writer) (p *Processes, err error) {
+	p = &Processes{Program: program, ProtocolPeriod: protocolPeriod, Log: log, Settings: settingsTemplate, startedAt: time.Now()}
 	if p.Log == nil {
 		p.Log = io.Discard
 	}
@@ -85,42 +85,42 @@
 	if p.discovery, err = newDiscovery(); err != nil {
 		return nil, err
 	}
-	var up []ListEntry
+	var list []ListEntry
 	for i := range endpointCount {
-		s, err := newEndpoint(fmt.Sprintf("s%d", i))
+		endpoint, err := newEndpoint(fmt.Sprintf("s%d", i))
 		if err != nil {
 			return nil, err
 		}
-		p.endpoints = append(p.endpoints, s)
-		up = append(up, ListEntry{Endpoint: s, State: "up"})
+		p.endpoints = append(p.endpoints, endpoint)
+		list = append(list, ListEntry{Endpoint: endpoint, State: "up"})
 	}
-	p.discovery.SetList(1, up...)
+	p.discovery.SetList(1, list...)
 	p.proxies = faultproxy.NewProxies(func() int64 { return int64(time.Since(p.startedAt)) })
-	net := (os.Getpid()*67 + int(fleetCount.Add(1))) % (120 * 250)
+	subnet := (os.Getpid()*67 + int(fleetCount.Add(1))) % (120 * 250)
 	var listen []string
 	for i := range nodes {
 		p.nodes = append(p.nodes, &node{fleet: p, index: i})
-		listen = append(listen, fmt.Sprintf("127.%d.%d.%d:7946", 130+net/250, 1+net%250, 1+i))
+		listen = append(listen, fmt.Sprintf("127.%d.%d.%d:7946", 130+subnet/250, 1+subnet%250, 1+i))
 	}
 	p.mesh, err = faultproxy.NewMesh(p.proxies, listen)
 	return p, err
 }
 
-func serveConns(one func(net.Conn)) (net.Listener, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func serveConns(handle func(net.Conn)) (net.Listener, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() { defer c.Close(); one(c) }()
+			go func() { defer c.Close(); handle(c) }()
 		}
 	}()
-	return l, nil
+	return listener, nil
 }
 
 func (p *Processes) address(node, port int) string {
@@ -128,13 +128,13 @@
 	return fmt.Sprintf("%s:%d", host, port)
 }
 
-// Listen is where a node takes requests; Console where it answers staff.
+// ListenAddress returns the address at which a node accepts requests.
 func (p *Processes) ListenAddress(node int) string { return p.address(node, 8443) }
 
-// Console is the admin address of a node.
+// AdminAddress returns the address of a node's admin API.
 func (p *Processes) AdminAddress(node int) string { return p.address(node, 9443) }
 
-// Features is the text of a node's features file.
+// FeaturesText returns the text of a node's features file.
 func (p *Processes) FeaturesText(node int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[members]\nlisten = %q\nround = %q\nkey = %q\nlist = %v\n", p.mesh.Address(node, node), p.ProtocolPeriod, p.Key, p.ListGossip)
@@ -147,38 +147,38 @@
 	return b.String()
 }
 
-// StateDir is where a node remembers.
+// StateDir returns the directory of a node's persisted state.
 func (p *Processes) StateDir(node int) string {
 	return filepath.Join(p.dir, fmt.Sprintf("n%d.state", node))
 }
 
-// Discovery and Endpoints are what stands outside the nodes.
+// Discovery returns the fake discovery service.
 func (p *Processes) Discovery() *Discovery { return p.discovery }
 
-// Endpoints are those that discovery lists first.
+// Endpoints returns the fake endpoints, all of which the initial list contains.
 func (p *Processes) Endpoints() []*Endpoint { return p.endpoints }
 
 // Len implements Fleet.
 func (p *Processes) Len() int { return len(p.nodes) }
 
-// Start begins a process. A second one of a name takes requests at an address of its own, and shares the socket for datagrams, as
-// two processes do that were started by mistake.
+// Start implements Fleet. A second process of a name accepts requests at an address of its own, and shares the address
+// for datagrams, as happens when two processes are started by mistake.
 func (p *Processes) Start(node int) error {
 	n := p.nodes[node]
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.reap()
 	n.starts++
-	listen, console := p.ListenAddress(node), p.AdminAddress(node)
+	listen, adminAddress := p.ListenAddress(node), p.AdminAddress(node)
 	if len(n.processes) > 0 {
-		listen, console = p.address(node, 8443+n.starts), p.address(node, 9443+n.starts)
+		listen, adminAddress = p.address(node, 8443+n.starts), p.address(node, 9443+n.starts)
 	}
 	discovery := p.discovery.Address()
 	if p.DiscoveryFor != nil {
 		discovery = p.DiscoveryFor(node)
 	}
 	config := fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"console":%q,"seed":"%x","news":{"listen":"127.0.0.1:0"},"settings":%s}`,
-		node, listen, discovery, console, node+1, fmt.Sprintf(p.Settings, len(p.nodes), node))
+		node, listen, discovery, adminAddress, node+1, fmt.Sprintf(p.Settings, len(p.nodes), node))
 	base := filepath.Join(p.dir, fmt.Sprintf("n%d-%d", node, n.starts))
 	tmp := base + ".tmp"
 	for path, text := range map[string]string{base + ".json": config, base + ".toml": p.FeaturesText(node)} {
@@ -200,27 +200,27 @@
 	return err
 }
 
-// reap forgets processes that have ended; the lock is held.
+// reap drops processes that have ended; n.mu must be held.
 func (n *node) reap() {
 	kept := n.processes[:0]
-	for _, l := range n.processes {
+	for _, process := range n.processes {
 		select {
-		case <-l.Done():
+		case <-process.Done():
 		default:
-			kept = append(kept, l)
+			kept = append(kept, process)
 		}
 	}
 	n.processes = kept
 }
 
-func (p *Processes) signal(node int, s syscall.Signal, wait bool) {
+func (p *Processes) signal(node int, sig syscall.Signal, wait bool) {
 	n := p.nodes[node]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.processes {
-		_ = l.Signal(s)
+	for _, process := range n.processes {
+		_ = process.Signal(sig)
 		if wait {
-			<-l.Done()
+			<-process.Done()
 		}
 	}
 	n.reap()
@@ -232,13 +232,13 @@
 // Stop implements Fleet.
 func (p *Processes) Stop(node int) { p.signal(node, syscall.SIGTERM, true) }
 
-// Freeze implements Fleet.
+// Pause implements Fleet.
 func (p *Processes) Pause(node int) {
 	p.signal(node, syscall.SIGSTOP, false)
 	p.nodes[node].paused = true
 }
 
-// Thaw implements Fleet.
+// Resume implements Fleet.
 func (p *Processes) Resume(node int) {
 	p.signal(node, syscall.SIGCONT, false)
 	p.nodes[node].paused = false
@@ -258,10 +258,10 @@
 // Inject implements Fleet.
 func (p *Processes) Inject(to int, datagram []byte) { p.mesh.Inject((to+1)%len(p.nodes), to, datagram) }
 
-// Copied implements Fleet.
+// CapturedDatagram implements Fleet.
 func (p *Processes) CapturedDatagram(from, to int) []byte { return p.mesh.CapturedDatagram(from, to) }
 
-// PID of a node's newest process; 0 without one.
+// PID returns the process ID of a node's newest process; 0 if none runs.
 func (p *Processes) PID(node int) int {
 	n := p.nodes[node]
 	n.mu.Lock()
@@ -274,7 +274,7 @@
 
 const callTimeout = 2 * time.Second
 
-// Ask calls a node's console, or its listener, once.
+// Call sends one HTTP request without a body to a node's admin API or listener.
 func Call(address, method, path string) (status int, text []byte, err error) {
 	c, err := net.DialTimeout("tcp", address, callTimeout)
 	if err != nil {
@@ -294,10 +294,10 @@
 	return r.StatusCode, text, err
 }
 
-// Views asks all consoles at once.
+// Views implements Fleet; it queries all admin APIs concurrently.
 func (p *Processes) Views() []*members.View {
-	out := make([]*members.View, len(p.nodes))
-	var all sync.WaitGroup
+	views := make([]*members.View, len(p.nodes))
+	var calls sync.WaitGroup
 	for i, n := range p.nodes {
 		n.mu.Lock()
 		n.reap()
@@ -306,40 +306,40 @@
 		if !runs {
 			continue
 		}
-		all.Go(func() {
+		calls.Go(func() {
 			var v members.View
 			if status, text, err := Call(p.AdminAddress(i), "GET", "/members"); err == nil && status == 200 && json.Unmarshal(text, &v) == nil {
-				out[i] = &v
+				views[i] = &v
 			}
 		})
 	}
-	all.Wait()
-	return out
+	calls.Wait()
+	return views
 }
 
-// SendRequest has a node do one request, and tells how it was answered.
+// SendRequest sends one request to a node, and returns an error unless it is answered 200.
 func (p *Processes) SendRequest(node, number int) error { return p.sendRequest(node, "view", number) }
 
-func (p *Processes) sendRequest(node int, category string, number int) error {
+func (p *Processes) sendRequest(node int, class string, number int) error {
 	c, err := net.DialTimeout("tcp", p.ListenAddress(node), callTimeout)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(callTimeout))
-	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %016x\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", category, number, category)
+	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %016x\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", class, number, class)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return err
 	}
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %d", r.StatusCode)
+		return fmt.Errorf("node answered status %d, expected 200", r.StatusCode)
 	}
 	return nil
 }
 
-// Close ends all processes and sockets.
+// Close kills all processes, and closes all sockets.
 func (p *Processes) Close() error {
 	for i := range p.nodes {
 		p.Kill(i)
@@ -357,7 +357,7 @@
 		s.listener.Close()
 	}
 	if p.dir == "" {
-		return errors.New("no fleet")
+		return errors.New("fleet has no directory, as its creation failed")
 	}
 	return os.RemoveAll(p.dir)
 }
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -1,6 +1,6 @@
 package fleet
 
-// A fleet in virtual time: hundreds of instances of the membership core with the links between them. No clock is read:
+// A fleet in virtual time: hundreds of instances of the membership protocol with simulated links. It reads no clock, so
 // the same calls give the same views.
 
 import (
@@ -12,7 +12,8 @@
 	"fawnglade/internal/members"
 )
 
-// maxCapturedNodes nodes at most have a message of each way kept: in a large fleet these would be most of the memory.
+// maxCapturedNodes is the largest fleet for which one datagram of each link is kept: in larger ones these would take
+// most of the memory.
 const maxCapturedNodes = 64
 
 type event struct {
@@ -35,12 +36,12 @@
 	return last
 }
 
-// Virtual is a fleet in virtual time.
+// Virtual is a fleet in virtual time. It is not safe for concurrent use.
 type Virtual struct {
 	ProtocolPeriodNs int64
 	LinkDelay        int64 // of a datagram, nanoseconds
 	ClockOffsets     []int64
-	Transform        func(to int, datagram []byte) []byte // what a later or earlier version would make of a datagram; nil: nothing
+	Transform        func(to int, datagram []byte) []byte // changes datagrams, as another version might; nil: unchanged
 	now              int64
 	seq              uint64
 	events           eventQueue
@@ -58,11 +59,11 @@
 	incarnations int
 	membership   *members.Members
 	paused       bool
-	missedTick   bool     // a beat while it was frozen
-	backlog      []func() // what came then
+	missedTick   bool     // a tick was due while the node was paused
+	backlog      []func() // datagrams received while the node was paused
 }
 
-// NewVirtual makes a fleet of which nobody runs yet.
+// NewVirtual returns a fleet without running nodes.
 func NewVirtual(nodes int, seed uint64) *Virtual {
 	v := &Virtual{
 		ProtocolPeriodNs: 500e6, LinkDelay: 500e3, ClockOffsets: make([]int64, nodes), now: 1_700_000_000e9, messageCounts: map[[2]int]uint64{}, captured: map[[2]int][]byte{},
@@ -75,14 +76,14 @@
 	return v
 }
 
-func (v *Virtual) schedule(when int64, do func()) {
+func (v *Virtual) schedule(when int64, action func()) {
 	v.seq++
-	heap.Push(&v.events, event{when, v.seq, do})
+	heap.Push(&v.events, event{when, v.seq, action})
 }
 
-// Run lets time pass.
-func (v *Virtual) Run(long int64) {
-	for end := v.now + long; ; {
+// Run advances virtual time by a duration in nanoseconds.
+func (v *Virtual) Run(duration int64) {
+	for end := v.now + duration; ; {
 		if len(v.events) == 0 || v.events[0].at > end {
 			v.now = end
 			return
@@ -93,10 +94,10 @@
 	}
 }
 
-// Now is the virtual time, nanoseconds.
+// Now returns the virtual time, nanoseconds.
 func (v *Virtual) Now() int64 { return v.now }
 
-// Members of one node; nil if it does not run.
+// Members returns the membership of one node; nil if it does not run.
 func (v *Virtual) Members(node int) *members.Members { return v.nodes[node].membership }
 
 // Len implements Fleet.
@@ -111,7 +112,7 @@
 func (v *Virtual) Start(node int) error {
 	s := v.nodes[node]
 	if s.membership != nil {
-		return fmt.Errorf("n%d: two processes of a name are for sockets", node)
+		return fmt.Errorf("n%d is running: a virtual fleet has one process per node", node)
 	}
 	s.incarnations++
 	var err error
@@ -119,71 +120,71 @@
 	if err != nil {
 		return err
 	}
-	life := s.incarnations
-	var beat func()
-	beat = func() {
-		if s.incarnations != life || s.membership == nil {
+	incarnation := s.incarnations
+	var tick func()
+	tick = func() {
+		if s.incarnations != incarnation || s.membership == nil {
 			return
 		}
 		if s.missedTick = s.paused; !s.paused {
 			s.membership.Tick(s.clock())
 		}
-		v.schedule(v.now+v.ProtocolPeriodNs/10, beat)
+		v.schedule(v.now+v.ProtocolPeriodNs/10, tick)
 	}
-	v.schedule(v.now+int64(v.random.Uint64()%uint64(v.ProtocolPeriodNs/10)), beat)
+	v.schedule(v.now+int64(v.random.Uint64()%uint64(v.ProtocolPeriodNs/10)), tick)
 	return nil
 }
 
-// enter has a node do something, once it is not held any more.
-func (s *simulatedNode) run(do func()) {
+// run runs an action of a node, or queues it while the node is paused.
+func (s *simulatedNode) run(action func()) {
 	if s.paused {
 		if len(s.backlog) < 256 {
-			s.backlog = append(s.backlog, do)
+			s.backlog = append(s.backlog, action)
 		}
 		return
 	}
-	do()
+	action()
 }
 
-// Send carries a datagram over the links as they are.
+// Send sends a datagram with the current faults of the link.
 func (s *simulatedNode) Send(to int, datagram []byte) {
 	v := s.fleet
-	way := [2]int{s.index, to}
-	v.messageCounts[way]++
+	link := [2]int{s.index, to}
+	v.messageCounts[link]++
 	if v.Transform != nil {
 		datagram = v.Transform(to, datagram)
 	}
-	if len(v.nodes) <= maxCapturedNodes && v.captured[way] == nil {
-		v.captured[way] = datagram
+	if len(v.nodes) <= maxCapturedNodes && v.captured[link] == nil {
+		v.captured[link] = datagram
 	}
-	p := v.faults.FateOf(v.now, netfault.End{Index: s.index}, netfault.End{Index: to}, v.messageCounts[way], len(datagram))
-	if p.Lost {
+	fate := v.faults.FateOf(v.now, netfault.End{Index: s.index}, netfault.End{Index: to}, v.messageCounts[link], len(datagram))
+	if fate.Lost {
 		return
 	}
-	if p.CorruptByte >= 0 {
+	if fate.CorruptByte >= 0 {
 		datagram = append([]byte(nil), datagram...)
-		datagram[p.CorruptByte] ^= 0x55
+		datagram[fate.CorruptByte] ^= 0x55
 	}
-	after := v.LinkDelay + int64(v.random.Uint64()%uint64(v.LinkDelay/4+1)) + p.Delay
-	v.schedule(v.now+after, func() { v.Inject(to, datagram) })
-	if p.DuplicateAfter > 0 {
-		v.schedule(v.now+after+p.DuplicateAfter, func() { v.Inject(to, datagram) })
+	delay := v.LinkDelay + int64(v.random.Uint64()%uint64(v.LinkDelay/4+1)) + fate.Delay
+	v.schedule(v.now+delay, func() { v.Inject(to, datagram) })
+	if fate.DuplicateAfter > 0 {
+		v.schedule(v.now+delay+fate.DuplicateAfter, func() { v.Inject(to, datagram) })
 	}
 }
 
 // Inject implements Fleet.
 func (v *Virtual) Inject(to int, datagram []byte) {
 	if s := v.nodes[to]; s.membership != nil {
-		view := s.membership
+		membership := s.membership
 		s.run(func() {
-			if s.membership == view {
+			if s.membership == membership {
 				s.membership.Receive(s.clock(), datagram)
 			}
 		})
 	}
 }
 
-// Copied implements Fleet.
+// CapturedDatagram implements Fleet.
 func (v *Virtual) CapturedDatagram(from, to int) []byte { return v.captured[[2]int{from, to}] }
 
 // Kill implements Fleet.
@@ -200,20 +201,20 @@
 	v.Kill(node)
 }
 
-// Freeze implements Fleet.
+// Pause implements Fleet.
 func (v *Virtual) Pause(node int) { v.nodes[node].paused = true }
 
-// Thaw implements Fleet.
+// Resume implements Fleet.
 func (v *Virtual) Resume(node int) {
 	s := v.nodes[node]
-	waits, missed := s.backlog, s.missedTick
+	backlog, missed := s.backlog, s.missedTick
 	s.paused, s.missedTick, s.backlog = false, false, nil
-	if missed && s.membership != nil { // of the ticks that a ticker missed it makes up for one
+	if missed && s.membership != nil { // like a time.Ticker, which delivers one of the missed ticks
 		s.membership.Tick(s.clock())
 	}
-	for _, do := range waits {
+	for _, action := range backlog {
 		if s.membership != nil {
-			do()
+			action()
 		}
 	}
 }
@@ -223,17 +224,17 @@
 	v.faults = netfault.New(shiftFaults(v.now, faults))
 }
 
-// from counts faults' times from a moment.
+// shiftFaults returns faults with their times shifted by now; without an end they last forever.
 func shiftFaults(now int64, faults []netfault.Fault) []netfault.Fault {
-	out := append([]netfault.Fault(nil), faults...)
-	for i := range out {
-		if out[i].Begin += now; out[i].End == 0 {
-			out[i].End = 1 << 62
+	shifted := append([]netfault.Fault(nil), faults...)
+	for i := range shifted {
+		if shifted[i].Begin += now; shifted[i].End == 0 {
+			shifted[i].End = 1 << 62
 		} else {
-			out[i].End += now
+			shifted[i].End += now
 		}
 	}
-	return out
+	return shifted
 }
 
 // ClearFaults implements Fleet.
@@ -241,14 +242,14 @@
 
 // Views implements Fleet.
 func (v *Virtual) Views() []*members.View {
-	out := make([]*members.View, len(v.nodes))
+	views := make([]*members.View, len(v.nodes))
 	for i, s := range v.nodes {
 		if s.membership != nil && !s.paused {
 			view := s.membership.View(s.clock())
-			out[i] = &view
+			views[i] = &view
 		}
 	}
-	return out
+	return views
 }
 
 var _ Fleet = (*Virtual)(nil)
--- a/internal/lab/netfault/report.go
+++ b/internal/lab/netfault/report.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Reach tells which nodes could reach each other in one second of a run.
+// Reachability describes which nodes could reach each other in one second of a run.
 type Reachability struct {
-	Partitions []string `json:"parts"`              // nodes that reach one another, both ways, as n0..n5
-	OneWay     []string `json:"one_way,omitempty"`  // cuts of one direction, as link-cut n3 -> n0
+	Partitions []string `json:"parts"`              // nodes that reach one another in both directions, such as n0..n5
+	OneWay     []string `json:"one_way,omitempty"`  // cuts of one direction, such as link-cut n3 -> n0
 	Faults     []string `json:"troubled,omitempty"` // all other active faults
 }
 
-// ReachabilityAt tells which nodes reach each other at a moment, and which faults are active.
+// ReachabilityAt returns which nodes reach each other at a time, and which faults are active.
 func (s *Schedule) ReachabilityAt(now int64, nodes int) Reachability {
 	var r Reachability
 	seen := make([]bool, nodes)
@@ -35,25 +35,26 @@
 	return r
 }
 
-// partitionOf returns the nodes that a node reaches both ways, directly or through others, in order, and marks them as seen.
+// partitionOf returns the nodes that a node reaches in both directions, directly or through others, sorted, and marks
+// them as seen.
 func (s *Schedule) partitionOf(now int64, node int, seen []bool) []int {
 	seen[node] = true
-	part := []int{node}
-	for k := 0; k < len(part); k++ {
-		a := End{Node, part[k]}
+	partition := []int{node}
+	for k := 0; k < len(partition); k++ {
+		a := End{Node, partition[k]}
 		for j := range seen {
 			b := End{Node, j}
 			if !seen[j] && s.Open(now, a, b) && s.Open(now, b, a) {
 				seen[j] = true
-				part = append(part, j)
+				partition = append(partition, j)
 			}
 		}
 	}
-	slices.Sort(part)
-	return part
+	slices.Sort(partition)
+	return partition
 }
 
-// String names the fault with its ends.
+// String returns the fault's kind and ends.
 func (f *Fault) String() string {
 	arrow := "<->"
 	if f.OneWay {
@@ -68,38 +69,38 @@
 		byKind[e.Kind] = append(byKind[e.Kind], e.Index)
 	}
 	var names []string
-	if of := byKind[Node]; len(of) > 0 {
-		names = append(names, NodeRanges(of))
+	if indexes := byKind[Node]; len(indexes) > 0 {
+		names = append(names, NodeRanges(indexes))
 	}
-	if of := byKind[Endpoint]; len(of) > 0 {
-		names = append(names, "server "+numberRanges(of))
+	if indexes := byKind[Endpoint]; len(indexes) > 0 {
+		names = append(names, "server "+numberRanges(indexes))
 	}
 	if len(byKind[Discovery]) > 0 {
 		names = append(names, "discovery")
 	}
-	if of := byKind[Client]; len(of) > 0 {
-		names = append(names, "clients "+numberRanges(of))
+	if indexes := byKind[Client]; len(indexes) > 0 {
+		names = append(names, "clients "+numberRanges(indexes))
 	}
 	return strings.Join(names, " ")
 }
 
-// numbers is Ranges without the letter for nodes.
-func numberRanges(list []int) string { return strings.ReplaceAll(NodeRanges(list), "n", "") }
+// numberRanges formats like NodeRanges, without the letter n.
+func numberRanges(nodes []int) string { return strings.ReplaceAll(NodeRanges(nodes), "n", "") }
 
-// Ranges puts numbers of nodes, in order, into words: n0..n3 n7.
-func NodeRanges(list []int) string {
-	var words []string
-	for i := 0; i < len(list); {
+// NodeRanges formats sorted node numbers as ranges, such as n0..n3 n7.
+func NodeRanges(nodes []int) string {
+	var ranges []string
+	for i := 0; i < len(nodes); {
 		j := i
-		for j+1 < len(list) && list[j+1] == list[j]+1 {
+		for j+1 < len(nodes) && nodes[j+1] == nodes[j]+1 {
 			j++
 		}
-		word := fmt.Sprintf("n%d", list[i])
+		text := fmt.Sprintf("n%d", nodes[i])
 		if j > i {
-			word = fmt.Sprintf("%s..n%d", word, list[j])
+			text = fmt.Sprintf("%s..n%d", text, nodes[j])
 		}
-		words = append(words, word)
+		ranges = append(ranges, text)
 		i = j + 1
 	}
-	return strings.Join(words, " ")
+	return strings.Join(ranges, " ")
 }
