--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -190,7 +190,7 @@
 			Deleted: gone, Body: endpointBody(host),
 		}}
 	}
-	h := relay.NewHostTable()
+	h := relay.NewEndpointTable()
 	for i, step := range []struct {
 		change distribution.Change
 		health string
