--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -42,28 +42,28 @@
 func (r testRelay) receiveFrame(now int64, frame []byte) error { return r.Receive(now, frame) }
 func (r testRelay) newHello(now int64) []byte                  { return r.UpstreamHello(now) }
 
-func connect(t testing.TB, now int64, from *Relay, to frameReceiver, pace int) testConnection {
+func connect(t testing.TB, now int64, relay *Relay, receiver frameReceiver, bytesPerSecond int) testConnection {
 	t.Helper()
-	id, err := from.Attach(now, to.newHello(now), pace)
+	id, err := relay.Attach(now, receiver.newHello(now), bytesPerSecond)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return testConnection{from, id}
+	return testConnection{relay, id}
 }
 
 // drain delivers all frames that are due now.
-func (l testConnection) deliver(t testing.TB, now int64, to frameReceiver) (frames [][]byte) {
+func (c testConnection) deliver(t testing.TB, now int64, receiver frameReceiver) (frames [][]byte) {
 	t.Helper()
 	for range 100000 {
-		f, _ := l.relay.Next(now, l.sessionID)
-		if f == nil {
+		frame, _ := c.relay.Next(now, c.sessionID)
+		if frame == nil {
 			return frames
 		}
-		if len(f) > MaxFrameBytes {
-			t.Fatalf("a frame of %d bytes", len(f))
+		if len(frame) > MaxFrameBytes {
+			t.Fatalf("a frame of %d bytes", len(frame))
 		}
-		frames = append(frames, f)
-		if err := to.receiveFrame(now, f); err != nil {
+		frames = append(frames, frame)
+		if err := receiver.receiveFrame(now, frame); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -89,9 +89,9 @@
 	return testRelay{r}
 }
 
-func put(t testing.TB, o *Origin, scope, key string, class Class, body string) uint64 {
+func put(t testing.TB, origin *Origin, scope, key string, class Class, body string) uint64 {
 	t.Helper()
-	v, err := o.Put(0, scope, key, class, []byte(body))
+	v, err := origin.Put(0, scope, key, class, []byte(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,316 +104,316 @@
 	return b.String()
 }
 
-func expectEqual(t testing.TB, what string, got, want any) {
+func expectEqual(t testing.TB, description string, got, want any) {
 	t.Helper()
 	if got != want {
-		t.Fatalf("%s: got\n%v\nwant\n%v", what, got, want)
+		t.Fatalf("%s: got\n%v\nwant\n%v", description, got, want)
 	}
 }
 
 func TestChangesReachSubscriberThroughTwoRelays(t *testing.T) {
-	o := NewOrigin(1, Limits{})
+	origin := NewOrigin(1, Limits{})
 	top := newTestRelay(t, Limits{}, Selector{Prefix: true})
-	low := newTestRelay(t, Limits{}, Selector{Scope: "eu1/", Prefix: true})
-	s := newTestSubscriber(t, Selector{Scope: "eu1/cart"}, Selector{Scope: "eu1/none"})
-	put(t, o, "eu1/cart", "endpoint/a", ClassEndpoint, "A")
-	put(t, o, "eu1/cart", "endpoint/b", ClassEndpoint, "B")
-	put(t, o, "us1/cart", "endpoint/c", ClassEndpoint, "C")
-	a, b, c := connect(t, 0, o.Relay(), top, 0), connect(t, 0, top.Relay, low, 0), connect(t, 0, low.Relay, s, 0)
-	step := func(now int64) { a.deliver(t, now, top); b.deliver(t, now, low); c.deliver(t, now, s) }
-	c.deliver(t, 0, s)
-	expectEqual(t, "complete before its relay is", s.Complete(), false)
-	step(0)
-	expectEqual(t, "records", listRecords(s.Subscriber), "eu1/cart endpoint/a=A\neu1/cart endpoint/b=B\n")
-	expectEqual(t, "complete", s.Complete(), true)
-	expectEqual(t, "records at a relay", low.Stats().Records, 2)
-	expectEqual(t, "foreign records sent to a relay", low.Stats().ForeignRecords, int64(0))
-	v, _ := o.Remove(0, "eu1/cart", "endpoint/a")
-	put(t, o, "eu1/none", "endpoint/d", ClassEndpoint, "D")
-	step(second / 10)
-	expectEqual(t, "records", listRecords(s.Subscriber), "eu1/cart endpoint/b=B\neu1/none endpoint/d=D\n")
-	if age, known := s.Age(second/10, "eu1/cart"); !known || age != 0 {
+	bottom := newTestRelay(t, Limits{}, Selector{Scope: "eu1/", Prefix: true})
+	subscriber := newTestSubscriber(t, Selector{Scope: "eu1/cart"}, Selector{Scope: "eu1/none"})
+	put(t, origin, "eu1/cart", "endpoint/a", ClassEndpoint, "A")
+	put(t, origin, "eu1/cart", "endpoint/b", ClassEndpoint, "B")
+	put(t, origin, "us1/cart", "endpoint/c", ClassEndpoint, "C")
+	fromOrigin, fromTop, fromBottom := connect(t, 0, origin.Relay(), top, 0), connect(t, 0, top.Relay, bottom, 0), connect(t, 0, bottom.Relay, subscriber, 0)
+	deliverAll := func(now int64) { fromOrigin.deliver(t, now, top); fromTop.deliver(t, now, bottom); fromBottom.deliver(t, now, subscriber) }
+	fromBottom.deliver(t, 0, subscriber)
+	expectEqual(t, "complete before its relay is", subscriber.Complete(), false)
+	deliverAll(0)
+	expectEqual(t, "records", listRecords(subscriber.Subscriber), "eu1/cart endpoint/a=A\neu1/cart endpoint/b=B\n")
+	expectEqual(t, "complete", subscriber.Complete(), true)
+	expectEqual(t, "records at a relay", bottom.Stats().Records, 2)
+	expectEqual(t, "foreign records sent to a relay", bottom.Stats().ForeignRecords, int64(0))
+	v, _ := origin.Remove(0, "eu1/cart", "endpoint/a")
+	put(t, origin, "eu1/none", "endpoint/d", ClassEndpoint, "D")
+	deliverAll(second / 10)
+	expectEqual(t, "records", listRecords(subscriber.Subscriber), "eu1/cart endpoint/b=B\neu1/none endpoint/d=D\n")
+	if age, known := subscriber.Age(second/10, "eu1/cart"); !known || age != 0 {
 		t.Fatal("age", age, known)
 	}
-	if p := s.Position("eu1/cart"); p.Through < v {
+	if p := subscriber.Position("eu1/cart"); p.Through < v {
 		t.Fatal("position", p)
 	}
-	if age, _ := s.Age(3*second, "eu1/cart"); age != 3*second-second/10 {
+	if age, _ := subscriber.Age(3*second, "eu1/cart"); age != 3*second-second/10 {
 		t.Fatal("age", age)
 	}
-	step(4 * second)
-	if age, _ := s.Age(4*second, "eu1/cart"); age != 0 {
+	deliverAll(4 * second)
+	if age, _ := subscriber.Age(4*second, "eu1/cart"); age != 0 {
 		t.Fatal("age after a heartbeat", age)
 	}
 	// Cut off from the origin, the lowest relay goes on with heartbeats, and the age of what it holds grows.
 	for now := 5 * second; now <= 9*second; now += second {
-		b.deliver(t, now, low)
-		c.deliver(t, now, s)
+		fromTop.deliver(t, now, bottom)
+		fromBottom.deliver(t, now, subscriber)
 	}
-	if age, _ := s.Age(9*second, "eu1/cart"); age != 5*second {
+	if age, _ := subscriber.Age(9*second, "eu1/cart"); age != 5*second {
 		t.Fatal("age through a relay that is cut off", age)
 	}
 }
 
 func TestWithdrawalsAreSentFirst(t *testing.T) {
-	o := NewOrigin(1, Limits{})
-	s := newTestSubscriber(t, Selector{Scope: "eu1/cart"}, Selector{Scope: "eu1/", Prefix: true})
+	origin := NewOrigin(1, Limits{})
+	subscriber := newTestSubscriber(t, Selector{Scope: "eu1/cart"}, Selector{Scope: "eu1/", Prefix: true})
 	for _, slow := range []bool{false, true} {
-		l := connect(t, 0, o.Relay(), s, 0)
-		l.deliver(t, 0, s)
-		s.changes = nil
-		put(t, o, "eu1/cart", "route/1", ClassConfiguration, fmt.Sprint("R", slow))
-		put(t, o, "eu1/cart", "endpoint/a", ClassEndpoint, fmt.Sprint("A", slow))
-		put(t, o, "eu1/new", "endpoint/b", ClassEndpoint, fmt.Sprint("B", slow))
-		put(t, o, "eu1/cart", "endpoint/c", ClassWithdrawal, fmt.Sprint("C", slow))
-		put(t, o, "eu1/new", "endpoint/d", ClassEndpoint, fmt.Sprint("D", slow))
-		o.Remove(0, "eu1/new", "endpoint/d")
+		connection := connect(t, 0, origin.Relay(), subscriber, 0)
+		connection.deliver(t, 0, subscriber)
+		subscriber.changes = nil
+		put(t, origin, "eu1/cart", "route/1", ClassConfiguration, fmt.Sprint("R", slow))
+		put(t, origin, "eu1/cart", "endpoint/a", ClassEndpoint, fmt.Sprint("A", slow))
+		put(t, origin, "eu1/new", "endpoint/b", ClassEndpoint, fmt.Sprint("B", slow))
+		put(t, origin, "eu1/cart", "endpoint/c", ClassWithdrawal, fmt.Sprint("C", slow))
+		put(t, origin, "eu1/new", "endpoint/d", ClassEndpoint, fmt.Sprint("D", slow))
+		origin.Remove(0, "eu1/new", "endpoint/d")
 		if slow { // the same where frames have room for little
-			l.relay.sessions[l.sessionID].bytesPerSecond = 1
-			l.relay.sessions[l.sessionID].pacedUntilNs = -100000 * second
+			connection.relay.sessions[connection.sessionID].bytesPerSecond = 1
+			connection.relay.sessions[connection.sessionID].pacedUntilNs = -100000 * second
 		}
 		for range 20 {
-			l.deliver(t, 0, s)
+			connection.deliver(t, 0, subscriber)
 		}
 		last := ClassWithdrawal
-		for _, c := range s.changes {
+		for _, c := range subscriber.changes {
 			if c.Class < last {
-				t.Fatalf("a change of class %d after one of %d: %+v", c.Class, last, s.changes)
+				t.Fatalf("a change of class %d after one of %d: %+v", c.Class, last, subscriber.changes)
 			}
 			last = c.Class
 		}
-		expectEqual(t, "changes", len(s.changes), 4)
-		l.relay.Detach(l.sessionID)
+		expectEqual(t, "changes", len(subscriber.changes), 4)
+		connection.relay.Detach(connection.sessionID)
 	}
 }
 
 func TestClassChangesAreCoalesced(t *testing.T) {
-	o := NewOrigin(1, Limits{})
-	s := newTestSubscriber(t, Selector{Scope: "s"})
-	l := connect(t, 0, o.Relay(), s, 0)
-	l.deliver(t, 0, s)
-	put(t, o, "s", "endpoint/a", ClassEndpoint, "up")
-	put(t, o, "s", "endpoint/a", ClassWithdrawal, "up")
-	l.deliver(t, 0, s)
-	expectEqual(t, "changes for two changes unsent", len(s.changes), 1)
-	put(t, o, "s", "endpoint/a", ClassEndpoint, "up")
-	l.deliver(t, 0, s)
-	expectEqual(t, "changes", len(s.changes), 2)
-	expectEqual(t, "class", s.changes[1].Class, ClassEndpoint)
-	expectEqual(t, "old", string(s.changes[1].OldBody), "up")
-	expectEqual(t, "records at the relay", o.Relay().byClass.Len(), 1)
+	origin := NewOrigin(1, Limits{})
+	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
+	connection := connect(t, 0, origin.Relay(), subscriber, 0)
+	connection.deliver(t, 0, subscriber)
+	put(t, origin, "s", "endpoint/a", ClassEndpoint, "up")
+	put(t, origin, "s", "endpoint/a", ClassWithdrawal, "up")
+	connection.deliver(t, 0, subscriber)
+	expectEqual(t, "changes for two changes unsent", len(subscriber.changes), 1)
+	put(t, origin, "s", "endpoint/a", ClassEndpoint, "up")
+	connection.deliver(t, 0, subscriber)
+	expectEqual(t, "changes", len(subscriber.changes), 2)
+	expectEqual(t, "class", subscriber.changes[1].Class, ClassEndpoint)
+	expectEqual(t, "old", string(subscriber.changes[1].OldBody), "up")
+	expectEqual(t, "records at the relay", origin.Relay().byClass.Len(), 1)
 }
 
 func TestUnchangedRecordIsNoChange(t *testing.T) {
-	o := NewOrigin(1, Limits{})
-	v := put(t, o, "s", "k", ClassEndpoint, "x")
-	expectEqual(t, "version", put(t, o, "s", "k", ClassEndpoint, "x"), v)
-	if n, err := o.Replace(0, "e", []Record{{
+	origin := NewOrigin(1, Limits{})
+	v := put(t, origin, "s", "k", ClassEndpoint, "x")
+	expectEqual(t, "version", put(t, origin, "s", "k", ClassEndpoint, "x"), v)
+	if n, err := origin.Replace(0, "e", []Record{{
 		Scope: "s", Key: "e/1", Class: ClassEndpoint,
 		Body: []byte("1"),
 	}}); n != 1 || err != nil {
 		t.Fatal(n, err)
 	}
-	if n, err := o.Replace(0, "e", []Record{{
+	if n, err := origin.Replace(0, "e", []Record{{
 		Scope: "s", Key: "e/1", Class: ClassEndpoint,
 		Body: []byte("1"),
 	}}); n != 0 || err != nil {
 		t.Fatal(n, err)
 	}
-	if n, err := o.Replace(0, "e", []Record{{Scope: "s", Key: "f/1"}, {Scope: "s", Key: "e/2", Class: 9}}); n != 1 ||
+	if n, err := origin.Replace(0, "e", []Record{{Scope: "s", Key: "f/1"}, {Scope: "s", Key: "e/2", Class: 9}}); n != 1 ||
 		err == nil {
 		t.Fatal("one removed, two invalid", n, err)
 	}
-	expectEqual(t, "what is of another kind stays", o.Relay().Stats().Records, 1)
+	expectEqual(t, "what is of another kind stays", origin.Relay().Stats().Records, 1)
 	// A new epoch with the same bodies is no change at a subscriber.
-	s := newTestSubscriber(t, Selector{Scope: "s"})
-	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
-	s.changes = nil
-	o = NewOrigin(2, Limits{})
-	put(t, o, "s", "k", ClassEndpoint, "x")
-	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
-	expectEqual(t, "changes", len(s.changes), 0)
-	expectEqual(t, "position", s.Position("s"), Position{2, 1})
+	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
+	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
+	subscriber.changes = nil
+	origin = NewOrigin(2, Limits{})
+	put(t, origin, "s", "k", ClassEndpoint, "x")
+	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
+	expectEqual(t, "changes", len(subscriber.changes), 0)
+	expectEqual(t, "position", subscriber.Position("s"), Position{2, 1})
 }
 
 func TestResumeSendsOnlyChanges(t *testing.T) {
-	o := NewOrigin(1, Limits{})
-	s := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
+	origin := NewOrigin(1, Limits{})
+	subscriber := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
 	for i := range 100 {
-		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, "x")
-	}
-	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
-	sent := o.Relay().Stats().SentRecords
-	l := connect(t, 0, o.Relay(), s, 0)
-	expectEqual(t, "frames of a resumption", len(l.deliver(t, 0, s)), 1)
-	expectEqual(t, "records of a resumption", o.Relay().Stats().SentRecords-sent, int64(0))
-	expectEqual(t, "resumed", o.Relay().Stats().Resumed, int64(2))
-	put(t, o, "s", "k7", ClassEndpoint, "y")
-	l = connect(t, 0, o.Relay(), s, 0)
-	l.deliver(t, 0, s)
-	expectEqual(t, "records of a resumption after one change", o.Relay().Stats().SentRecords-sent, int64(1))
+		put(t, origin, "s", fmt.Sprint("k", i), ClassEndpoint, "x")
+	}
+	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
+	sent := origin.Relay().Stats().SentRecords
+	connection := connect(t, 0, origin.Relay(), subscriber, 0)
+	expectEqual(t, "frames of a resumption", len(connection.deliver(t, 0, subscriber)), 1)
+	expectEqual(t, "records of a resumption", origin.Relay().Stats().SentRecords-sent, int64(0))
+	expectEqual(t, "resumed", origin.Relay().Stats().Resumed, int64(2))
+	put(t, origin, "s", "k7", ClassEndpoint, "y")
+	connection = connect(t, 0, origin.Relay(), subscriber, 0)
+	connection.deliver(t, 0, subscriber)
+	expectEqual(t, "records of a resumption after one change", origin.Relay().Stats().SentRecords-sent, int64(1))
 }
 
 // A relay that started empty names the records that a subscriber of the same epoch holds, without their bodies.
 func TestSnapshotOmitsBodiesOfHeldRecords(t *testing.T) {
-	o := NewOrigin(1, Limits{})
-	s := newTestSubscriber(t, Selector{Scope: "s"})
+	origin := NewOrigin(1, Limits{})
+	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
 	for i := range 100 {
-		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, fmt.Sprintf("%0200d", i))
-	}
-	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
-	o.Remove(0, "s", "k7")
-	put(t, o, "s", "k8", ClassEndpoint, "new")
-	r := newTestRelay(t, Limits{}, Selector{Prefix: true})
-	connect(t, 0, o.Relay(), r, 0).deliver(t, 0, r)
-	s.changes = nil
+		put(t, origin, "s", fmt.Sprint("k", i), ClassEndpoint, fmt.Sprintf("%0200d", i))
+	}
+	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
+	origin.Remove(0, "s", "k7")
+	put(t, origin, "s", "k8", ClassEndpoint, "new")
+	relay := newTestRelay(t, Limits{}, Selector{Prefix: true})
+	connect(t, 0, origin.Relay(), relay, 0).deliver(t, 0, relay)
+	subscriber.changes = nil
 	bytes := 0
-	for _, f := range connect(t, 0, r.Relay, s, 0).deliver(t, 0, s) {
+	for _, f := range connect(t, 0, relay.Relay, subscriber, 0).deliver(t, 0, subscriber) {
 		bytes += len(f)
 	}
-	expectEqual(t, "changes", len(s.changes), 2)
-	expectEqual(t, "names", r.Stats().SentKeysOnly, int64(98))
+	expectEqual(t, "changes", len(subscriber.changes), 2)
+	expectEqual(t, "names", relay.Stats().SentKeysOnly, int64(98))
 	if bytes > 98*12+300 {
 		t.Fatalf("%d bytes for 98 names and two changes", bytes)
 	}
 }
 
 func TestKeyOnlyRecordNotHeldIsRejected(t *testing.T) {
-	o := NewOrigin(1, Limits{})
-	put(t, o, "s", "k", ClassEndpoint, "x")
-	s := newTestSubscriber(t, Selector{Scope: "s"})
-	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
-	s.replica.remove(s.replica.find("s", "k")) // as if it had been lost
-	r := newTestRelay(t, Limits{}, Selector{Prefix: true})
-	put(t, o, "s", "l", ClassEndpoint, "x")
-	connect(t, 0, o.Relay(), r, 0).deliver(t, 0, r)
-	l := connect(t, 0, r.Relay, s, 0)
-	f, _ := r.Next(0, l.sessionID)
-	if _, err := s.Receive(0, f); !errors.Is(err, ErrMissingRecord) {
+	origin := NewOrigin(1, Limits{})
+	put(t, origin, "s", "k", ClassEndpoint, "x")
+	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
+	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
+	subscriber.replica.remove(subscriber.replica.find("s", "k")) // as if it had been lost
+	relay := newTestRelay(t, Limits{}, Selector{Prefix: true})
+	put(t, origin, "s", "l", ClassEndpoint, "x")
+	connect(t, 0, origin.Relay(), relay, 0).deliver(t, 0, relay)
+	connection := connect(t, 0, relay.Relay, subscriber, 0)
+	frame, _ := relay.Next(0, connection.sessionID)
+	if _, err := subscriber.Receive(0, frame); !errors.Is(err, ErrMissingRecord) {
 		t.Fatal(err)
 	}
-	if c, err := s.Receive(0, f); c != nil || err != nil {
-		t.Fatal("a session after its error", c, err)
+	if changes, err := subscriber.Receive(0, frame); changes != nil || err != nil {
+		t.Fatal("a session after its error", changes, err)
 	}
-	connect(t, 0, r.Relay, s, 0).deliver(t, 0, s)
-	expectEqual(t, "records", listRecords(s.Subscriber), "s k=x\ns l=x\n")
+	connect(t, 0, relay.Relay, subscriber, 0).deliver(t, 0, subscriber)
+	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s k=x\ns l=x\n")
 }
 
 // An origin without its list claims nothing, and deletes nothing.
 func TestOriginWithoutListDeletesNothing(t *testing.T) {
-	o := NewOrigin(1, Limits{})
-	put(t, o, "s", "endpoint/a", ClassEndpoint, "A")
-	put(t, o, "s", "endpoint/b", ClassEndpoint, "B")
-	s := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
-	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
-	o = NewOrigin(2, Limits{})
-	o.Await("endpoint", "route")
-	l := connect(t, 0, o.Relay(), s, 0)
-	put(t, o, "s", "endpoint/b", ClassEndpoint, "B2")
+	origin := NewOrigin(1, Limits{})
+	put(t, origin, "s", "endpoint/a", ClassEndpoint, "A")
+	put(t, origin, "s", "endpoint/b", ClassEndpoint, "B")
+	subscriber := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
+	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
+	origin = NewOrigin(2, Limits{})
+	origin.Await("endpoint", "route")
+	connection := connect(t, 0, origin.Relay(), subscriber, 0)
+	put(t, origin, "s", "endpoint/b", ClassEndpoint, "B2")
 	for now := range int64(5) {
-		l.deliver(t, now*second, s)
+		connection.deliver(t, now*second, subscriber)
 	}
-	expectEqual(t, "records", listRecords(s.Subscriber), "s endpoint/a=A\ns endpoint/b=B2\n")
-	expectEqual(t, "position", s.Position("s").Epoch, uint64(1))
-	if age, _ := s.Age(4*second, "s"); age != 4*second {
+	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s endpoint/a=A\ns endpoint/b=B2\n")
+	expectEqual(t, "position", subscriber.Position("s").Epoch, uint64(1))
+	if age, _ := subscriber.Age(4*second, "s"); age != 4*second {
 		t.Fatal("age", age)
 	}
-	if _, err := o.Replace(0, "route", nil); err != nil {
+	if _, err := origin.Replace(0, "route", nil); err != nil {
 		t.Fatal(err)
 	}
-	l.deliver(t, 5*second, s)
-	expectEqual(t, "position with one list of two", s.Position("s").Epoch, uint64(1))
-	if _, err := o.Replace(0, "endpoint", []Record{{
+	connection.deliver(t, 5*second, subscriber)
+	expectEqual(t, "position with one list of two", subscriber.Position("s").Epoch, uint64(1))
+	if _, err := origin.Replace(0, "endpoint", []Record{{
 		Scope: "s", Key: "endpoint/b", Class: ClassEndpoint,
 		Body: []byte("B2"),
 	}}); err != nil {
 		t.Fatal(err)
 	}
-	l.deliver(t, 5*second, s)
-	expectEqual(t, "records", listRecords(s.Subscriber), "s endpoint/b=B2\n")
-	expectEqual(t, "position", s.Position("empty").Epoch, uint64(2))
-	expectEqual(t, "records sent, once each", o.Relay().Stats().SentRecords, int64(1))
+	connection.deliver(t, 5*second, subscriber)
+	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s endpoint/b=B2\n")
+	expectEqual(t, "position", subscriber.Position("empty").Epoch, uint64(2))
+	expectEqual(t, "records sent, once each", origin.Relay().Stats().SentRecords, int64(1))
 }
 
 // A subscriber gets nothing from a relay of an older epoch than it has seen, until the relay has reached that.
 func TestRelayOfOlderEpochSendsNothing(t *testing.T) {
-	old := NewOrigin(1, Limits{})
-	put(t, old, "s", "endpoint/a", ClassEndpoint, "A")
-	behind := newTestRelay(t, Limits{}, Selector{Prefix: true})
-	connect(t, 0, old.Relay(), behind, 0).deliver(t, 0, behind)
-	o := NewOrigin(2, Limits{})
-	put(t, o, "s", "endpoint/b", ClassEndpoint, "B")
-	s := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "t"})
-	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
-	l := connect(t, 0, behind.Relay, s, 0)
-	if f := l.deliver(t, 0, s); len(f) != 1 {
+	oldOrigin := NewOrigin(1, Limits{})
+	put(t, oldOrigin, "s", "endpoint/a", ClassEndpoint, "A")
+	laggingRelay := newTestRelay(t, Limits{}, Selector{Prefix: true})
+	connect(t, 0, oldOrigin.Relay(), laggingRelay, 0).deliver(t, 0, laggingRelay)
+	origin := NewOrigin(2, Limits{})
+	put(t, origin, "s", "endpoint/b", ClassEndpoint, "B")
+	subscriber := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "t"})
+	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
+	connection := connect(t, 0, laggingRelay.Relay, subscriber, 0)
+	if f := connection.deliver(t, 0, subscriber); len(f) != 1 {
 		t.Fatal("frames", len(f))
 	}
-	expectEqual(t, "records that a relay of an old epoch sent", behind.Stats().SentRecords, int64(0))
-	l.deliver(t, second, s)
-	expectEqual(t, "records", listRecords(s.Subscriber), "s endpoint/b=B\n")
-	if age, _ := s.Age(second, "s"); age != second {
+	expectEqual(t, "records that a relay of an old epoch sent", laggingRelay.Stats().SentRecords, int64(0))
+	connection.deliver(t, second, subscriber)
+	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s endpoint/b=B\n")
+	if age, _ := subscriber.Age(second, "s"); age != second {
 		t.Fatal("age", age)
 	}
-	connect(t, second, o.Relay(), behind, 0).deliver(t, second, behind)
-	l.deliver(t, second, s)
-	if age, _ := s.Age(second, "s"); age != 0 {
+	connect(t, second, origin.Relay(), laggingRelay, 0).deliver(t, second, laggingRelay)
+	connection.deliver(t, second, subscriber)
+	if age, _ := subscriber.Age(second, "s"); age != 0 {
 		t.Fatal("age", age)
 	}
 }
 
 // A slow subscriber costs a relay its cursors alone: changes of a record that are not sent yet are one.
 func TestSlowSubscriberMemoryIsBounded(t *testing.T) {
-	o := NewOrigin(1, Limits{Tombstones: 10})
-	s := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "quiet"})
-	put(t, o, "quiet", "k", ClassEndpoint, "x")
-	put(t, o, "s", "stays", ClassEndpoint, "x")
-	l := connect(t, 0, o.Relay(), s, 0)
-	l.deliver(t, 0, s)
+	origin := NewOrigin(1, Limits{Tombstones: 10})
+	subscriber := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "quiet"})
+	put(t, origin, "quiet", "k", ClassEndpoint, "x")
+	put(t, origin, "s", "stays", ClassEndpoint, "x")
+	connection := connect(t, 0, origin.Relay(), subscriber, 0)
+	connection.deliver(t, 0, subscriber)
 	for i := range 5000 {
-		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, "x")
-		l.deliver(t, 0, s)
+		put(t, origin, "s", fmt.Sprint("k", i), ClassEndpoint, "x")
+		connection.deliver(t, 0, subscriber)
 		if i < 4000 {
-			o.Remove(0, "s", fmt.Sprint("k", i))
+			origin.Remove(0, "s", fmt.Sprint("k", i))
 		}
 		if i == 10 {
 			break
 		}
 	}
 	for i := range 5000 { // from here on it takes nothing
-		o.Remove(0, "s", fmt.Sprint("k", i))
-		put(t, o, "s", fmt.Sprint("l", i), ClassEndpoint, "x")
-		o.Remove(0, "s", fmt.Sprint("l", i))
-		put(t, o, "s", "stays", ClassEndpoint, fmt.Sprint(i))
-	}
-	st := o.Relay().Stats()
-	expectEqual(t, "tombstones", st.Tombstones, 10)
-	if n := len(o.relay.tombstones); n > 2*10+65 {
+		origin.Remove(0, "s", fmt.Sprint("k", i))
+		put(t, origin, "s", fmt.Sprint("l", i), ClassEndpoint, "x")
+		origin.Remove(0, "s", fmt.Sprint("l", i))
+		put(t, origin, "s", "stays", ClassEndpoint, fmt.Sprint(i))
+	}
+	stats := origin.Relay().Stats()
+	expectEqual(t, "tombstones", stats.Tombstones, 10)
+	if n := len(origin.relay.tombstones); n > 2*10+65 {
 		t.Fatal("places of tombstones kept:", n)
 	}
 	for q := range queueCount {
-		if n := len(o.relay.sessions[l.sessionID].queues[q].list); n > 40 {
+		if n := len(origin.relay.sessions[connection.sessionID].queues[q].list); n > 40 {
 			t.Fatal("a queue for two selectors has", n)
 		}
 	}
-	s.changes = nil
-	l.deliver(t, second, s)
-	expectEqual(t, "records", listRecords(s.Subscriber), "quiet k=x\ns stays=4999\n")
-	expectEqual(t, "records sent in the end", o.Relay().Stats().SentRecords-st.SentRecords, int64(1))
+	subscriber.changes = nil
+	connection.deliver(t, second, subscriber)
+	expectEqual(t, "records", listRecords(subscriber.Subscriber), "quiet k=x\ns stays=4999\n")
+	expectEqual(t, "records sent in the end", origin.Relay().Stats().SentRecords-stats.SentRecords, int64(1))
 }
 
 func TestPaceAndHeartbeats(t *testing.T) {
-	const pace = 20000
-	o := NewOrigin(1, Limits{})
+	const bytesPerSecond = 20000
+	origin := NewOrigin(1, Limits{})
 	for i := range 2000 {
-		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, fmt.Sprintf("%0200d", i))
+		put(t, origin, "s", fmt.Sprint("k", i), ClassEndpoint, fmt.Sprintf("%0200d", i))
 	}
-	s := newTestSubscriber(t, Selector{Scope: "s"})
-	l := connect(t, 0, o.Relay(), s, pace)
-	sum, last, longest := 0, int64(0), int64(0)
+	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
+	connection := connect(t, 0, origin.Relay(), subscriber, bytesPerSecond)
+	sentBytes, lastFrameNs, longestGapNs := 0, int64(0), int64(0)
 	var now int64
-	for now = 0; now < 60*second && !s.Complete(); {
-		f, at := o.Relay().Next(now, l.sessionID)
+	for now = 0; now < 60*second && !subscriber.Complete(); {
+		f, at := origin.Relay().Next(now, connection.sessionID)
 		if f == nil {
 			if at <= now {
 				t.Fatal("to be asked again at", at, "at", now)
@@ -421,157 +421,157 @@
 			now = at
 			continue
 		}
-		sum += len(f)
-		longest = max(longest, now-last)
-		last = now
-		if len(f) > pace/4 {
-			t.Fatalf("a frame of %d bytes at %d a second", len(f), pace)
+		sentBytes += len(f)
+		longestGapNs = max(longestGapNs, now-lastFrameNs)
+		lastFrameNs = now
+		if len(f) > bytesPerSecond/4 {
+			t.Fatalf("a frame of %d bytes at %d a second", len(f), bytesPerSecond)
 		}
-		if most := pace*(now+BurstNs)/second + pace/4; int64(sum) > most {
-			t.Fatalf("%d bytes after %d ns, at most %d", sum, now, most)
+		if mostBytes := bytesPerSecond*(now+BurstNs)/second + bytesPerSecond/4; int64(sentBytes) > mostBytes {
+			t.Fatalf("%d bytes after %d ns, at most %d", sentBytes, now, mostBytes)
 		}
-		if _, err := s.Receive(now, f); err != nil {
+		if _, err := subscriber.Receive(now, f); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if least := int64(sum-pace/2) * second / pace; !s.Complete() || now < least || now > least+3*second/2 {
-		t.Fatalf("complete %v after %d ns with %d bytes", s.Complete(), now, sum)
+	if leastNs := int64(sentBytes-bytesPerSecond/2) * second / bytesPerSecond; !subscriber.Complete() || now < leastNs || now > leastNs+3*second/2 {
+		t.Fatalf("complete %v after %d ns with %d bytes", subscriber.Complete(), now, sentBytes)
 	}
-	if longest > second {
-		t.Fatal("silence", longest)
+	if longestGapNs > second {
+		t.Fatal("silence", longestGapNs)
 	}
 	// Behind its pace by one large body, a session goes on with small heartbeats.
-	put(t, o, "s", "great", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
-	l.relay.sessions[l.sessionID].bytesPerSecond, l.relay.sessions[l.sessionID].pacedUntilNs = 1000, now
-	expectEqual(t, "frames of a great body", len(l.deliver(t, now, s)), 1)
-	put(t, o, "s", "k1", ClassEndpoint, "later")
+	put(t, origin, "s", "great", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
+	connection.relay.sessions[connection.sessionID].bytesPerSecond, connection.relay.sessions[connection.sessionID].pacedUntilNs = 1000, now
+	expectEqual(t, "frames of a great body", len(connection.deliver(t, now, subscriber)), 1)
+	put(t, origin, "s", "k1", ClassEndpoint, "later")
 	for i := int64(1); i <= 5; i++ {
-		f := l.deliver(t, now+i*second, s)
+		f := connection.deliver(t, now+i*second, subscriber)
 		if len(f) != 1 || len(f[0]) > 64 {
 			t.Fatalf("%d frames in the debt's second %d", len(f), i)
 		}
 	}
-	l.deliver(t, now+30*second, s)
-	expectEqual(t, "records", s.Stats().Records, 2001)
+	connection.deliver(t, now+30*second, subscriber)
+	expectEqual(t, "records", subscriber.Stats().Records, 2001)
 }
 
 // While one scope's backlog is sent, the others' ages stay known.
 func TestAgesOfOtherScopesDuringBacklog(t *testing.T) {
-	o := NewOrigin(1, Limits{})
-	put(t, o, "quiet", "k", ClassEndpoint, "x")
-	s := newTestSubscriber(t, Selector{Scope: "busy"}, Selector{Scope: "quiet"})
-	l := connect(t, 0, o.Relay(), s, 4000)
-	l.deliver(t, 0, s)
+	origin := NewOrigin(1, Limits{})
+	put(t, origin, "quiet", "k", ClassEndpoint, "x")
+	subscriber := newTestSubscriber(t, Selector{Scope: "busy"}, Selector{Scope: "quiet"})
+	connection := connect(t, 0, origin.Relay(), subscriber, 4000)
+	connection.deliver(t, 0, subscriber)
 	for i := range 500 {
-		put(t, o, "busy", fmt.Sprint("k", i), ClassConfiguration, fmt.Sprintf("%0200d", i))
+		put(t, origin, "busy", fmt.Sprint("k", i), ClassConfiguration, fmt.Sprintf("%0200d", i))
 	}
 	var now int64
 	for range 10 {
 		now += second + 1
-		l.deliver(t, now, s)
+		connection.deliver(t, now, subscriber)
 	}
-	if age, _ := s.Age(now, "quiet"); age > 2*second {
+	if age, _ := subscriber.Age(now, "quiet"); age > 2*second {
 		t.Fatal("age of the quiet scope", age)
 	}
-	if age, _ := s.Age(now, "busy"); age < 8*second {
+	if age, _ := subscriber.Age(now, "busy"); age < 8*second {
 		t.Fatal("age of the busy scope", age)
 	}
-	at := s.Position("quiet")
-	if busy := s.Position("busy"); busy.compare(at) >= 0 {
+	at := subscriber.Position("quiet")
+	if busy := subscriber.Position("busy"); busy.compare(at) >= 0 {
 		t.Fatal("positions", busy, at)
 	}
-	l = connect(t, now, o.Relay(), s, 0)
-	l.deliver(t, now, s)
-	expectEqual(t, "records", s.Stats().Records, 501)
-	if age, _ := s.Age(now, "busy"); age != 0 {
+	connection = connect(t, now, origin.Relay(), subscriber, 0)
+	connection.deliver(t, now, subscriber)
+	expectEqual(t, "records", subscriber.Stats().Records, 501)
+	if age, _ := subscriber.Age(now, "busy"); age != 0 {
 		t.Fatal("age of the busy scope", age)
 	}
 }
 
 func TestInvalidRecordsDeleteNothing(t *testing.T) {
-	o := NewOrigin(1, Limits{})
-	s := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "t"})
+	origin := NewOrigin(1, Limits{})
+	subscriber := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "t"})
 	for _, k := range []string{"a", "b", "c"} {
-		put(t, o, "s", k, ClassEndpoint, "x")
+		put(t, origin, "s", k, ClassEndpoint, "x")
 	}
-	put(t, o, "t", "a", ClassEndpoint, "x")
-	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
-	s.Hello()
+	put(t, origin, "t", "a", ClassEndpoint, "x")
+	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
+	subscriber.Hello()
 	raw := func(v any) cbor.RawMessage { return encode(v) }
 	// A snapshot with a record of an unknown class, one that is no record, and one more.
-	f := encode(map[int]any{1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{
+	f := encode(map[int]any{1: subscriber.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{
 		[]any{"s", []any{[]any{"a", 3, 7, []byte("x")}, "nonsense", raw([]any{"d", 1, 8, []byte("y")})}},
 		[]any{"foreign", []any{[]any{"a", 1, 9, []byte("x")}}},
 	}, 6: []int{0, 1}, 7: 9})
-	if _, err := s.Receive(0, f); err != nil {
+	if _, err := subscriber.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
 	// The invalid ones may have named any record of their scope: these stay. The other scope is empty.
-	expectEqual(t, "records", listRecords(s.Subscriber), "s a=x\ns b=x\ns c=x\ns d=y\n")
-	st := s.Stats()
-	expectEqual(t, "invalid", st.InvalidRecords, int64(2))
-	expectEqual(t, "foreign", st.ForeignRecords, int64(1))
-	if !strings.Contains(st.LastInvalid, `"s"`) {
-		t.Fatal("named:", st.LastInvalid)
+	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s a=x\ns b=x\ns c=x\ns d=y\n")
+	stats := subscriber.Stats()
+	expectEqual(t, "invalid", stats.InvalidRecords, int64(2))
+	expectEqual(t, "foreign", stats.ForeignRecords, int64(1))
+	if !strings.Contains(stats.LastInvalid, `"s"`) {
+		t.Fatal("named:", stats.LastInvalid)
 	}
 	// A group that can't be decoded may have named anything.
-	s.Hello()
+	subscriber.Hello()
 	f = encode(map[int]any{
-		1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{"nonsense"}, 6: []int{0, 1},
+		1: subscriber.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{"nonsense"}, 6: []int{0, 1},
 		7: 10,
 	})
-	if _, err := s.Receive(0, f); err != nil {
+	if _, err := subscriber.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
-	expectEqual(t, "records", s.Stats().Records, 4)
+	expectEqual(t, "records", subscriber.Stats().Records, 4)
 	// A later snapshot without invalid records counts in full.
-	s.Hello()
+	subscriber.Hello()
 	f = encode(map[int]any{
-		1: s.replica.session, 2: 1, 3: 2, 4: []int{0, 1},
+		1: subscriber.replica.session, 2: 1, 3: 2, 4: []int{0, 1},
 		5: []any{[]any{"s", []any{[]any{"d", 0x21, 8, nil}}}}, 6: []int{0, 1}, 7: 10,
 	})
-	if _, err := s.Receive(0, f); err != nil {
+	if _, err := subscriber.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
-	expectEqual(t, "records", listRecords(s.Subscriber), "s d=y\n")
+	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s d=y\n")
 }
 
 func TestLimitErrorsNameTheLimit(t *testing.T) {
-	refused := func(what string, err error, is error) {
+	refused := func(text string, err error, target error) {
 		t.Helper()
-		if !errors.Is(err, is) || !strings.Contains(err.Error(), what) {
-			t.Errorf("%s: %v", what, err)
+		if !errors.Is(err, target) || !strings.Contains(err.Error(), text) {
+			t.Errorf("%s: %v", text, err)
 		}
 	}
 	long := strings.Repeat("n", MaxNameBytes+1)
-	o := NewOrigin(1, Limits{Records: 8, Bytes: 40000, Subscribers: 1, Selectors: 3})
-	_, err := o.Put(0, "s", "k", ClassEndpoint, make([]byte, MaxBodyBytes+1))
+	origin := NewOrigin(1, Limits{Records: 8, Bytes: 40000, Subscribers: 1, Selectors: 3})
+	_, err := origin.Put(0, "s", "k", ClassEndpoint, make([]byte, MaxBodyBytes+1))
 	refused("bytes of a body", err, ErrLimit)
 	for _, n := range [][2]string{{"", "k"}, {long, "k"}, {"s", ""}, {"s", long}} {
-		if _, err := o.Put(0, n[0], n[1], ClassEndpoint, nil); err == nil {
+		if _, err := origin.Put(0, n[0], n[1], ClassEndpoint, nil); err == nil {
 			t.Error("no error for", n)
 		}
 	}
-	if _, err := o.Put(0, "s", "k", classCount, nil); err == nil {
+	if _, err := origin.Put(0, "s", "k", classCount, nil); err == nil {
 		t.Error("no error for a class that there is not")
 	}
-	put(t, o, "s", "k1", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
-	put(t, o, "s", "k2", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
-	version := o.version
-	_, err = o.Put(0, "s", "k3", ClassEndpoint, make([]byte, MaxBodyBytes))
+	put(t, origin, "s", "k1", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
+	put(t, origin, "s", "k2", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
+	version := origin.version
+	_, err = origin.Put(0, "s", "k3", ClassEndpoint, make([]byte, MaxBodyBytes))
 	refused("bytes of records", err, ErrLimit)
-	expectEqual(t, "version after a refusal", o.version, version)
+	expectEqual(t, "version after a refusal", origin.version, version)
 	for i := range 6 {
-		put(t, o, "s", fmt.Sprint("small", i), ClassEndpoint, "x")
+		put(t, origin, "s", fmt.Sprint("small", i), ClassEndpoint, "x")
 	}
-	_, err = o.Put(0, "s", "k3", ClassEndpoint, nil)
+	_, err = origin.Put(0, "s", "k3", ClassEndpoint, nil)
 	refused("records", err, ErrLimit)
 	for i := range 3 {
-		o.Remove(0, "s", fmt.Sprint("small", 3+i))
+		origin.Remove(0, "s", fmt.Sprint("small", 3+i))
 	}
 	for i := range 50 { // tombstones never take the room of what is there
-		put(t, o, "s", fmt.Sprint("fresh", i), ClassEndpoint, "x")
-		o.Remove(0, "s", fmt.Sprint("fresh", i))
+		put(t, origin, "s", fmt.Sprint("fresh", i), ClassEndpoint, "x")
+		origin.Remove(0, "s", fmt.Sprint("fresh", i))
 	}
 	_, err = NewSubscriber(make([]Selector, 4), Limits{Selectors: 3})
 	refused("selectors", err, ErrLimit)
@@ -589,29 +589,29 @@
 	refused("prefixes", err, ErrLimit)
 
 	wide, _ := NewSubscriber([]Selector{{Scope: "a"}, {Scope: "b"}, {Scope: "c"}, {Scope: "d"}}, Limits{})
-	_, err = o.Relay().Attach(0, wide.Hello(), 0)
+	_, err = origin.Relay().Attach(0, wide.Hello(), 0)
 	refused("selectors", err, ErrLimit)
-	pre := hello{Protocol: protocolVersion}
+	withPrefixes := hello{Protocol: protocolVersion}
 	for _, s := range many {
-		pre.Selectors = append(pre.Selectors, helloSelector{Scope: s.Scope, Flags: flagPrefix})
+		withPrefixes.Selectors = append(withPrefixes.Selectors, helloSelector{Scope: s.Scope, Flags: flagPrefix})
 	}
-	_, err = NewOrigin(1, Limits{}).Relay().Attach(0, encode(pre), 0)
+	_, err = NewOrigin(1, Limits{}).Relay().Attach(0, encode(withPrefixes), 0)
 	refused("prefixes", err, ErrLimit)
-	_, err = o.Relay().Attach(0, make([]byte, MaxHelloBytes+1), 0)
+	_, err = origin.Relay().Attach(0, make([]byte, MaxHelloBytes+1), 0)
 	refused("bytes", err, ErrBadHello)
-	_, err = o.Relay().Attach(0, encode(hello{Protocol: 7}), 0)
+	_, err = origin.Relay().Attach(0, encode(hello{Protocol: 7}), 0)
 	refused("protocol", err, ErrBadHello)
-	_, err = o.Relay().Attach(0, encode(hello{Protocol: protocolVersion, Selectors: []helloSelector{{}}}), 0)
+	_, err = origin.Relay().Attach(0, encode(hello{Protocol: protocolVersion, Selectors: []helloSelector{{}}}), 0)
 	refused("selector 0", err, ErrBadHello)
-	_, err = o.Relay().Attach(0, []byte("nonsense"), 0)
+	_, err = origin.Relay().Attach(0, []byte("nonsense"), 0)
 	refused("hello", err, ErrBadHello)
-	expectEqual(t, "refused", o.Relay().Stats().RefusedHellos, int64(5))
+	expectEqual(t, "refused", origin.Relay().Stats().RefusedHellos, int64(5))
 	s := newTestSubscriber(t, Selector{Scope: "s"})
-	l := connect(t, 0, o.Relay(), s, 0)
-	_, err = o.Relay().Attach(0, s.Hello(), 0)
+	connection := connect(t, 0, origin.Relay(), s, 0)
+	_, err = origin.Relay().Attach(0, s.Hello(), 0)
 	refused("subscribers", err, ErrLimit)
-	o.Relay().Detach(l.sessionID)
-	connect(t, 0, o.Relay(), s, 0)
+	origin.Relay().Detach(connection.sessionID)
+	connect(t, 0, origin.Relay(), s, 0)
 
 	narrow := newTestRelay(t, Limits{}, Selector{Scope: "eu1/", Prefix: true}, Selector{Scope: "x"})
 	for _, sel := range []Selector{
@@ -652,7 +652,7 @@
 }
 
 func TestMalformedFramesAreRejected(t *testing.T) {
-	for what, f := range map[string]frame{
+	for description, f := range map[string]frame{
 		"a number missed":     {Number: 2, Epoch: 1},
 		"begin of none":       {Number: 1, Epoch: 1, Begin: []uint32{9}},
 		"end without a begin": {Number: 1, Epoch: 1, End: []uint32{0}, Through: 5},
@@ -663,9 +663,9 @@
 		s.Hello()
 		f.Session = 1
 		if _, err := s.Receive(0, encode(f)); err == nil {
-			t.Error("no error for", what)
+			t.Error("no error for", description)
 		}
-		expectEqual(t, what+": complete", s.Complete(), false)
+		expectEqual(t, description+": complete", s.Complete(), false)
 		s.Hello()
 		f.Session, f.Number, f.Begin, f.End, f.Except = 1, 1, []uint32{0}, []uint32{0}, nil
 		if _, err := s.Receive(0, encode(f)); err != nil || s.Complete() {
@@ -686,26 +686,26 @@
 }
 
 func TestReadyReturnsSubscribersWithDueFrames(t *testing.T) {
-	o := NewOrigin(1, Limits{})
+	origin := NewOrigin(1, Limits{})
 	a, b := newTestSubscriber(t, Selector{Scope: "a"}), newTestSubscriber(t, Selector{Scope: "b"})
-	la, lb := connect(t, 0, o.Relay(), a, 0), connect(t, 0, o.Relay(), b, 0)
-	la.deliver(t, 0, a)
-	lb.deliver(t, 0, b)
-	o.Relay().Ready()
-	put(t, o, "a", "k", ClassEndpoint, "x")
-	put(t, o, "a", "l", ClassEndpoint, "x")
-	expectEqual(t, "ready", fmt.Sprint(o.Relay().Ready()), fmt.Sprint([]int{la.sessionID}))
-	expectEqual(t, "ready again", len(o.Relay().Ready()), 0)
-	la.deliver(t, 0, a)
-	put(t, o, "b", "k", ClassEndpoint, "x")
-	o.Relay().Detach(lb.sessionID)
-	expectEqual(t, "ready without who has gone", len(o.Relay().Ready()), 0)
-	f, at := o.Relay().Next(0, lb.sessionID)
+	connectionA, connectionB := connect(t, 0, origin.Relay(), a, 0), connect(t, 0, origin.Relay(), b, 0)
+	connectionA.deliver(t, 0, a)
+	connectionB.deliver(t, 0, b)
+	origin.Relay().Ready()
+	put(t, origin, "a", "k", ClassEndpoint, "x")
+	put(t, origin, "a", "l", ClassEndpoint, "x")
+	expectEqual(t, "ready", fmt.Sprint(origin.Relay().Ready()), fmt.Sprint([]int{connectionA.sessionID}))
+	expectEqual(t, "ready again", len(origin.Relay().Ready()), 0)
+	connectionA.deliver(t, 0, a)
+	put(t, origin, "b", "k", ClassEndpoint, "x")
+	origin.Relay().Detach(connectionB.sessionID)
+	expectEqual(t, "ready without who has gone", len(origin.Relay().Ready()), 0)
+	f, at := origin.Relay().Next(0, connectionB.sessionID)
 	if f != nil || at <= 0 {
 		t.Fatal("who has gone", f, at)
 	}
-	expectEqual(t, "scopes nobody holds or waits for", o.Relay().Stats().Scopes, 2)
-	o.Relay().Detach(la.sessionID)
-	o.Remove(0, "a", "k")
-	expectEqual(t, "scopes", o.Relay().Stats().Scopes, 2)
+	expectEqual(t, "scopes nobody holds or waits for", origin.Relay().Stats().Scopes, 2)
+	origin.Relay().Detach(connectionA.sessionID)
+	origin.Remove(0, "a", "k")
+	expectEqual(t, "scopes", origin.Relay().Stats().Scopes, 2)
 }
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -9,24 +9,24 @@
 
 // conversation returns a hello, and the frames of a snapshot, of changes and of a heartbeat.
 func sampleMessages(t testing.TB) (hello []byte, frames [][]byte) {
-	o := NewOrigin(7, Limits{})
-	s := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
+	origin := NewOrigin(7, Limits{})
+	subscriber := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
 	for i := range 5 {
-		put(t, o, "a/x", fmt.Sprint("endpoint/", i), Class(i%3), "body")
-		put(t, o, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
+		put(t, origin, "a/x", fmt.Sprint("endpoint/", i), Class(i%3), "body")
+		put(t, origin, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
 	}
-	hello = s.Hello()
-	id, err := o.Relay().Attach(0, hello, 8000)
+	hello = subscriber.Hello()
+	id, err := origin.Relay().Attach(0, hello, 8000)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for now := int64(0); now < 5*second; now += second / 2 {
 		if now == second {
-			o.Remove(now, "a/x", "endpoint/1")
-			put(t, o, "b/1", "endpoint/a", ClassWithdrawal, "body")
+			origin.Remove(now, "a/x", "endpoint/1")
+			put(t, origin, "b/1", "endpoint/a", ClassWithdrawal, "body")
 		}
 		for {
-			f, _ := o.Relay().Next(now, id)
+			f, _ := origin.Relay().Next(now, id)
 			if f == nil {
 				break
 			}
@@ -54,34 +54,34 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		relay := newTestRelay(t, Limits{Records: 64, Bytes: 64 << 10}, Selector{Scope: "a/x"},
 			Selector{Scope: "b/", Prefix: true})
-		leaf := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
-		down := newTestSubscriber(t, Selector{Scope: "a/x"})
-		down.Hello()
+		subscriber := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
+		downstream := newTestSubscriber(t, Selector{Scope: "a/x"})
+		downstream.Hello()
 		relay.UpstreamHello(0)
-		leaf.Hello()
-		id, err := relay.Attach(0, down.Hello(), 0)
+		subscriber.Hello()
+		id, err := relay.Attach(0, downstream.Hello(), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for now := range int64(3) { // the same again is as old as a frame can be
-			one, two := relay.receiveFrame(now, b), leaf.receiveFrame(now, b)
-			if (one == nil) != (two == nil) {
-				t.Fatalf("a relay says %v, a subscriber %v", one, two)
+			relayErr, subscriberErr := relay.receiveFrame(now, b), subscriber.receiveFrame(now, b)
+			if (relayErr == nil) != (subscriberErr == nil) {
+				t.Fatalf("a relay says %v, a subscriber %v", relayErr, subscriberErr)
 			}
 		}
 		if s := relay.Stats(); s.Records+s.Tombstones > 64 || s.Bytes > 64<<10+MaxNameBytes*4 {
 			t.Fatalf("over the bounds: %+v", s)
 		}
 		sum := 0
-		leaf.Each(func(r Record) {
+		subscriber.Each(func(r Record) {
 			sum++
 			foreign := r.Scope != "a/x" && r.Scope[:2] != "b/"
 			if foreign || validateRecord(r.Scope, r.Key, r.Class, r.Body) != nil {
 				t.Fatalf("holds %+v", r)
 			}
 		})
-		if leaf.Stats().Records != sum {
-			t.Fatalf("%d records, counted %d", sum, leaf.Stats().Records)
+		if subscriber.Stats().Records != sum {
+			t.Fatalf("%d records, counted %d", sum, subscriber.Stats().Records)
 		}
 		for now := range int64(4) {
 			for {
@@ -89,12 +89,12 @@
 				if f == nil {
 					break
 				}
-				if err := down.receiveFrame(now*second, f); err != nil {
+				if err := downstream.receiveFrame(now*second, f); err != nil {
 					t.Fatalf("what a relay makes of it: %v", err)
 				}
 			}
 		}
-		if !relay.Complete() && down.Complete() {
+		if !relay.Complete() && downstream.Complete() {
 			t.Fatal("complete by a relay that is not")
 		}
 	})
@@ -106,21 +106,21 @@
 	f.Add([]byte{0xa0})
 	f.Add(encode(helloAtPosition(Position{9, 3})))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		o := NewOrigin(9, Limits{Selectors: 16})
+		origin := NewOrigin(9, Limits{Selectors: 16})
 		for i := range 20 {
-			put(t, o, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
+			put(t, origin, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
 		}
-		id, err := o.Relay().Attach(0, b, 10000)
+		id, err := origin.Relay().Attach(0, b, 10000)
 		if err != nil {
-			if n := o.Relay().Stats(); n.Subscribers != 0 || n.RefusedHellos != 1 || n.Scopes != 20 {
+			if n := origin.Relay().Stats(); n.Subscribers != 0 || n.RefusedHellos != 1 || n.Scopes != 20 {
 				t.Fatalf("after a refusal: %+v", n)
 			}
 			return
 		}
-		put(t, o, "b/1", "endpoint/a", ClassWithdrawal, "body")
+		put(t, origin, "b/1", "endpoint/a", ClassWithdrawal, "body")
 		for now := int64(0); now < 4*second; now += second / 4 {
 			for n := 0; ; n++ {
-				f, _ := o.Relay().Next(now, id)
+				f, _ := origin.Relay().Next(now, id)
 				if f == nil {
 					break
 				}
@@ -129,8 +129,8 @@
 				}
 			}
 		}
-		o.Relay().Detach(id)
-		if n := o.Relay().Stats(); n.Subscribers != 0 || n.Selectors != 0 || n.Scopes != 20 {
+		origin.Relay().Detach(id)
+		if n := origin.Relay().Stats(); n.Subscribers != 0 || n.Selectors != 0 || n.Scopes != 20 {
 			t.Fatalf("after it has gone: %+v", n)
 		}
 	})
--- a/internal/distribution/interest.go
+++ b/internal/distribution/interest.go
@@ -43,7 +43,7 @@
 		if s.Prefix {
 			r.prefixInterests = append(r.prefixInterests, index)
 		} else {
-			if _, twice := r.exactInterests[s.Scope]; twice {
+			if _, duplicate := r.exactInterests[s.Scope]; duplicate {
 				continue
 			}
 			r.exactInterests[s.Scope] = index
@@ -100,13 +100,13 @@
 func (r *replica) scopeSyncState(scopeName string, exact int32) syncState {
 	var best syncState
 	consider := func(n *interest) {
-		known := r.syncStateOf(n)
-		if !known.complete {
+		state := r.syncStateOf(n)
+		if !state.complete {
 			return
 		}
-		order := known.position.compare(best.position)
-		if !best.complete || order > 0 || order == 0 && known.asOfNs > best.asOfNs {
-			best = known
+		order := state.position.compare(best.position)
+		if !best.complete || order > 0 || order == 0 && state.asOfNs > best.asOfNs {
+			best = state
 		}
 	}
 	if exact != noInterest {
--- a/internal/distribution/limits.go
+++ b/internal/distribution/limits.go
@@ -73,6 +73,6 @@
 	ErrNotFollowed = errors.New("distribution: this relay does not follow the scope")
 )
 
-func limitError(what string, limit, found int) error {
-	return fmt.Errorf("%w: %s: at most %d, found %d", ErrLimit, what, limit, found)
+func limitError(quantity string, limit, found int) error {
+	return fmt.Errorf("%w: %s: at most %d, found %d", ErrLimit, quantity, limit, found)
 }
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -33,21 +33,21 @@
 }
 
 // at is the newest entry up to a version, and whether there is a removal after it.
-func (h *recordHistory) stateAt(epoch uint64, n recordKey, through uint64) (now recordVersion, goneLater bool) {
-	now.deleted = true
-	for _, e := range h.versions[epoch][n] {
-		if e.version <= through {
-			now = e
-		} else if e.deleted {
-			goneLater = true
+func (h *recordHistory) stateAt(epoch uint64, key recordKey, through uint64) (state recordVersion, deletedLater bool) {
+	state.deleted = true
+	for _, version := range h.versions[epoch][key] {
+		if version.version <= through {
+			state = version
+		} else if version.deleted {
+			deletedLater = true
 		}
 	}
-	return now, goneLater
+	return state, deletedLater
 }
 
 func (h *recordHistory) existed(r Record) bool {
-	for _, e := range h.versions[r.Epoch][recordKey{r.Scope, r.Key}] {
-		if e.version == r.Version && !e.deleted && e.class == r.Class && e.body == string(r.Body) {
+	for _, version := range h.versions[r.Epoch][recordKey{r.Scope, r.Key}] {
+		if version.version == r.Version && !version.deleted && version.class == r.Class && version.body == string(r.Body) {
 			return true
 		}
 	}
@@ -55,32 +55,32 @@
 }
 
 // claimed checks a claim to know the scopes that a selector covers against the truth.
-func (h *recordHistory) checkPosition(t *rapid.T, who string, s Selector, at Position, holds map[recordKey]Record) {
-	if at.Epoch == 0 {
+func (h *recordHistory) checkPosition(t *rapid.T, peerName string, selector Selector, position Position, held map[recordKey]Record) {
+	if position.Epoch == 0 {
 		return
 	}
-	if loaded, ok := h.loadedAt[at.Epoch]; !ok || at.Through < loaded {
-		t.Fatalf("%s claims %v of %v, when the origin had no list yet", who, at, s)
+	if loaded, ok := h.loadedAt[position.Epoch]; !ok || position.Through < loaded {
+		t.Fatalf("%s claims %v of %v, when the origin had no list yet", peerName, position, selector)
 	}
-	names := maps.Clone(holds)
-	for n := range h.versions[at.Epoch] {
-		if _, ok := names[n]; !ok {
-			names[n] = Record{}
+	records := maps.Clone(held)
+	for key := range h.versions[position.Epoch] {
+		if _, ok := records[key]; !ok {
+			records[key] = Record{}
 		}
 	}
-	for n, r := range names {
-		if !s.covers(n.scope) {
+	for key, record := range records {
+		if !selector.covers(key.scope) {
 			continue
 		}
-		then, goneLater := h.stateAt(at.Epoch, n, at.Through)
-		switch stamp := (Position{r.Epoch, r.Version}); {
-		case stamp == Position{}:
-			if !then.deleted && !goneLater {
-				t.Fatalf("%s claims %v of %v and lacks %v, version %d", who, at, s, n, then.version)
+		expected, deletedLater := h.stateAt(position.Epoch, key, position.Through)
+		switch recordPosition := (Position{record.Epoch, record.Version}); {
+		case recordPosition == Position{}:
+			if !expected.deleted && !deletedLater {
+				t.Fatalf("%s claims %v of %v and lacks %v, version %d", peerName, position, selector, key, expected.version)
 			}
-		case stamp.compare(at) <= 0:
-			if then.deleted || r.Epoch != at.Epoch || r.Version != then.version {
-				t.Fatalf("%s claims %v of %v and holds %v of %v; true is %+v", who, at, s, n, stamp, then)
+		case recordPosition.compare(position) <= 0:
+			if expected.deleted || record.Epoch != position.Epoch || record.Version != expected.version {
+				t.Fatalf("%s claims %v of %v and holds %v of %v; true is %+v", peerName, position, selector, key, recordPosition, expected)
 			}
 		}
 	}
@@ -126,25 +126,25 @@
 	n.newOrigin()
 	n.loadOrigin()
 	pace := rapid.SampledFrom([]int{0, 8000}).Draw(t, "pace")
-	relay := func(name string, ups []int, s ...Selector) {
-		n.peers = append(n.peers, &peer{name: name, selectors: s, upstreams: ups, bytesPerSecond: pace})
+	addRelay := func(name string, upstreams []int, selectors ...Selector) {
+		n.peers = append(n.peers, &peer{name: name, selectors: selectors, upstreams: upstreams, bytesPerSecond: pace})
 		n.restartRelay(len(n.peers) - 1)
 	}
-	leaf := func(name string, ups []int, s ...Selector) {
-		e := &peer{
-			name: name, selectors: s, upstreams: ups, bytesPerSecond: pace, positions: map[recordKey]Position{},
+	addSubscriber := func(name string, upstreams []int, selectors ...Selector) {
+		p := &peer{
+			name: name, selectors: selectors, upstreams: upstreams, bytesPerSecond: pace, positions: map[recordKey]Position{},
 			heldByChanges: map[recordKey]string{},
 		}
-		e.subscriber, _ = NewSubscriber(s, Limits{})
-		n.peers = append(n.peers, e)
+		p.subscriber, _ = NewSubscriber(selectors, Limits{})
+		n.peers = append(n.peers, p)
 	}
-	relay("top0", []int{-1}, Selector{Prefix: true})
-	relay("top1", []int{-1}, Selector{Prefix: true})
-	relay("low0", []int{0, 1}, Selector{Scope: "a/", Prefix: true})
-	relay("low1", []int{0, 1}, Selector{Scope: "a/", Prefix: true}, Selector{Scope: "b/x"})
-	leaf("exact", []int{2, 3}, Selector{Scope: "a/x"}, Selector{Scope: "a/y"})
-	leaf("prefix", []int{2, 3, 0}, Selector{Scope: "a/", Prefix: true})
-	leaf("mixed", []int{0, 1}, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true}, Selector{Scope: "c/none"})
+	addRelay("top0", []int{-1}, Selector{Prefix: true})
+	addRelay("top1", []int{-1}, Selector{Prefix: true})
+	addRelay("low0", []int{0, 1}, Selector{Scope: "a/", Prefix: true})
+	addRelay("low1", []int{0, 1}, Selector{Scope: "a/", Prefix: true}, Selector{Scope: "b/x"})
+	addSubscriber("exact", []int{2, 3}, Selector{Scope: "a/x"}, Selector{Scope: "a/y"})
+	addSubscriber("prefix", []int{2, 3, 0}, Selector{Scope: "a/", Prefix: true})
+	addSubscriber("mixed", []int{0, 1}, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true}, Selector{Scope: "c/none"})
 	return n
 }
 
@@ -157,13 +157,13 @@
 
 // load replaces the origin's list by what is live.
 func (n *network) loadOrigin() {
-	var all []Record
-	for _, name := range slices.SortedFunc(maps.Keys(n.live),
+	var records []Record
+	for _, key := range slices.SortedFunc(maps.Keys(n.live),
 		func(a, b recordKey) int { return strings.Compare(a.scope+a.key, b.scope+b.key) }) {
-		e := n.live[name]
-		all = append(all, Record{Scope: name.scope, Key: name.key, Class: e.class, Body: []byte(e.body)})
+		state := n.live[key]
+		records = append(records, Record{Scope: key.scope, Key: key.key, Class: state.class, Body: []byte(state.body)})
 	}
-	if _, err := n.origin.Replace(n.now, "k", all); err != nil {
+	if _, err := n.origin.Replace(n.now, "k", records); err != nil {
 		n.t.Fatal(err)
 	}
 	n.recordOrigin()
@@ -176,34 +176,34 @@
 func (n *network) recordOrigin() {
 	history := n.history.versions[n.epoch]
 	n.origin.relay.replica.items.Ascend(func(it *item) bool {
-		name := recordKey{it.scope.name, it.key}
-		if list := history[name]; len(list) == 0 || list[len(list)-1].version != it.version {
-			history[name] = append(list, recordVersion{it.version, it.deleted, it.class, string(it.body)})
+		key := recordKey{it.scope.name, it.key}
+		if states := history[key]; len(states) == 0 || states[len(states)-1].version != it.version {
+			history[key] = append(states, recordVersion{it.version, it.deleted, it.class, string(it.body)})
 		}
 		return true
 	})
-	for name, list := range history {
-		if n.origin.relay.replica.find(name.scope, name.key) == nil && !list[len(list)-1].deleted {
+	for key, states := range history {
+		if n.origin.relay.replica.find(key.scope, key.key) == nil && !states[len(states)-1].deleted {
 			// Its tombstone was dropped, as it is over the limit.
-			history[name] = append(list, recordVersion{version: n.origin.version, deleted: true})
+			history[key] = append(states, recordVersion{version: n.origin.version, deleted: true})
 		}
 	}
-	for name, e := range n.live {
-		if list := history[name]; n.originLoaded && (len(list) == 0 || list[len(list)-1].body != e.body ||
-			list[len(list)-1].deleted) {
-			n.t.Fatalf("the origin lacks %v", name)
+	for key, state := range n.live {
+		if states := history[key]; n.originLoaded && (len(states) == 0 || states[len(states)-1].body != state.body ||
+			states[len(states)-1].deleted) {
+			n.t.Fatalf("the origin lacks %v", key)
 		}
 	}
 }
 
 func (n *network) restartRelay(i int) {
-	e := n.peers[i]
-	e.relay = NewRelay(n.limits)
-	if err := e.relay.Follow(e.selectors); err != nil {
+	p := n.peers[i]
+	p.relay = NewRelay(n.limits)
+	if err := p.relay.Follow(p.selectors); err != nil {
 		n.t.Fatal(err)
 	}
-	n.disconnect(e)
-	e.staleFrames, e.lastFrame = nil, nil // a new process has new connections
+	n.disconnect(p)
+	p.staleFrames, p.lastFrame = nil, nil // a new process has new connections
 	for _, other := range n.peers {
 		if slices.Contains(other.upstreams, i) && other.upstream != nil && !n.isRunning(other.upstream) {
 			n.disconnect(other)
@@ -212,123 +212,123 @@
 }
 
 func (n *network) isRunning(r *Relay) bool {
-	return r == n.origin.relay || slices.ContainsFunc(n.peers, func(e *peer) bool { return e.relay == r })
+	return r == n.origin.relay || slices.ContainsFunc(n.peers, func(p *peer) bool { return p.relay == r })
 }
 
 // cut ends a session; frames that were on their way may still arrive.
-func (n *network) disconnect(e *peer) {
-	if e.upstream != nil {
-		e.upstream.Detach(e.sessionID)
+func (n *network) disconnect(p *peer) {
+	if p.upstream != nil {
+		p.upstream.Detach(p.sessionID)
 	}
-	e.staleFrames = append(e.staleFrames, e.inFlight...)
-	if len(e.staleFrames) > 30 {
-		e.staleFrames = e.staleFrames[len(e.staleFrames)-30:]
+	p.staleFrames = append(p.staleFrames, p.inFlight...)
+	if len(p.staleFrames) > 30 {
+		p.staleFrames = p.staleFrames[len(p.staleFrames)-30:]
 	}
-	e.upstream, e.inFlight = nil, nil
+	p.upstream, p.inFlight = nil, nil
 }
 
-func (n *network) connect(e *peer, up int) {
-	n.disconnect(e)
-	from := n.origin.relay
-	if up >= 0 {
-		from = n.peers[up].relay
+func (n *network) connect(p *peer, upstream int) {
+	n.disconnect(p)
+	relay := n.origin.relay
+	if upstream >= 0 {
+		relay = n.peers[upstream].relay
 	}
 	var hello []byte
-	if e.relay != nil {
-		hello = e.relay.UpstreamHello(n.now)
+	if p.relay != nil {
+		hello = p.relay.UpstreamHello(n.now)
 	} else {
-		hello = e.subscriber.Hello()
+		hello = p.subscriber.Hello()
 	}
-	id, err := from.Attach(n.now, hello, e.bytesPerSecond)
+	id, err := relay.Attach(n.now, hello, p.bytesPerSecond)
 	if err != nil {
-		n.t.Fatalf("%s: %v", e.name, err)
+		n.t.Fatalf("%s: %v", p.name, err)
 	}
-	e.upstream, e.sessionID = from, id
+	p.upstream, p.sessionID = relay, id
 }
 
 // send puts up to most frames on their way.
-func (n *network) sendFrames(e *peer, most int) {
-	for sent := 0; e.upstream != nil && sent < most; sent++ {
-		f, _ := e.upstream.Next(n.now, e.sessionID)
-		if f == nil {
+func (n *network) sendFrames(p *peer, maxFrames int) {
+	for sent := 0; p.upstream != nil && sent < maxFrames; sent++ {
+		frame, _ := p.upstream.Next(n.now, p.sessionID)
+		if frame == nil {
 			break
 		}
-		if len(f) > MaxFrameBytes {
-			n.t.Fatalf("a frame of %d bytes", len(f))
+		if len(frame) > MaxFrameBytes {
+			n.t.Fatalf("a frame of %d bytes", len(frame))
 		}
-		e.inFlight = append(e.inFlight, f)
+		p.inFlight = append(p.inFlight, frame)
 	}
 }
 
-func (n *network) receive(e *peer, frame []byte) error {
+func (n *network) receive(p *peer, frame []byte) error {
 	var err error
 	var changes []Change
-	if e.relay != nil {
-		err = e.relay.Receive(n.now, frame)
+	if p.relay != nil {
+		err = p.relay.Receive(n.now, frame)
 	} else {
-		changes, err = e.subscriber.Receive(n.now, frame)
+		changes, err = p.subscriber.Receive(n.now, frame)
 	}
-	n.checkInvariants(e, changes)
+	n.checkInvariants(p, changes)
 	if err != nil && !errors.Is(err, ErrFrameGap) {
-		n.t.Fatalf("%s: %v", e.name, err)
+		n.t.Fatalf("%s: %v", p.name, err)
 	}
 	if err != nil {
-		n.disconnect(e)
+		n.disconnect(p)
 	}
 	return err
 }
 
 // look checks the invariants of an end.
-func (n *network) checkInvariants(e *peer, changes []Change) {
+func (n *network) checkInvariants(p *peer, changes []Change) {
 	t := n.t
-	holds := map[recordKey]Record{}
-	if e.relay != nil {
-		e.relay.replica.items.Ascend(func(it *item) bool {
+	held := map[recordKey]Record{}
+	if p.relay != nil {
+		p.relay.replica.items.Ascend(func(it *item) bool {
 			if !it.deleted {
-				holds[recordKey{it.scope.name, it.key}] = it.record()
+				held[recordKey{it.scope.name, it.key}] = it.record()
 			}
 			return true
 		})
-		if e.relay.Complete() {
-			for _, s := range e.selectors {
-				n.history.checkPosition(t, e.name, s, e.relay.advertised, holds)
+		if p.relay.Complete() {
+			for _, selector := range p.selectors {
+				n.history.checkPosition(t, p.name, selector, p.relay.advertised, held)
 			}
 		}
 	} else {
-		for _, c := range changes {
-			name := recordKey{c.Scope, c.Key}
-			if c.Deleted {
-				if _, ok := e.heldByChanges[name]; !ok {
-					t.Fatalf("%s got a deletion of %v, which it did not hold", e.name, name)
+		for _, change := range changes {
+			key := recordKey{change.Scope, change.Key}
+			if change.Deleted {
+				if _, ok := p.heldByChanges[key]; !ok {
+					t.Fatalf("%s got a deletion of %v, which it did not hold", p.name, key)
 				}
-				delete(e.heldByChanges, name)
-				e.positions[name] = Position{c.Epoch, c.Version}
+				delete(p.heldByChanges, key)
+				p.positions[key] = Position{change.Epoch, change.Version}
 			} else {
-				e.heldByChanges[name] = fmt.Sprint(c.Class, string(c.Body))
+				p.heldByChanges[key] = fmt.Sprint(change.Class, string(change.Body))
 			}
 		}
-		e.subscriber.Each(func(r Record) { holds[recordKey{r.Scope, r.Key}] = r })
-		for name, r := range holds {
-			at := Position{r.Epoch, r.Version}
-			if at.compare(e.positions[name]) < 0 {
-				t.Fatalf("%s went back from %v to %v with %v", e.name, e.positions[name], at, name)
+		p.subscriber.Each(func(record Record) { held[recordKey{record.Scope, record.Key}] = record })
+		for key, record := range held {
+			position := Position{record.Epoch, record.Version}
+			if position.compare(p.positions[key]) < 0 {
+				t.Fatalf("%s went back from %v to %v with %v", p.name, p.positions[key], position, key)
 			}
-			e.positions[name] = at
-			if e.heldByChanges[name] != fmt.Sprint(r.Class, string(r.Body)) {
-				t.Fatalf("%s holds %+v, its changes gave %q", e.name, r, e.heldByChanges[name])
+			p.positions[key] = position
+			if p.heldByChanges[key] != fmt.Sprint(record.Class, string(record.Body)) {
+				t.Fatalf("%s holds %+v, its changes gave %q", p.name, record, p.heldByChanges[key])
 			}
 		}
-		if len(e.heldByChanges) != len(holds) {
-			t.Fatalf("%s holds %d records, its changes gave %d", e.name, len(holds), len(e.heldByChanges))
+		if len(p.heldByChanges) != len(held) {
+			t.Fatalf("%s holds %d records, its changes gave %d", p.name, len(held), len(p.heldByChanges))
 		}
-		for i, s := range e.selectors {
-			at := e.subscriber.replica.syncStateOf(&e.subscriber.replica.interests[i]).position
-			n.history.checkPosition(t, e.name, s, at, holds)
+		for i, selector := range p.selectors {
+			position := p.subscriber.replica.syncStateOf(&p.subscriber.replica.interests[i]).position
+			n.history.checkPosition(t, p.name, selector, position, held)
 		}
 	}
-	for name, r := range holds {
-		if !n.history.existed(r) {
-			t.Fatalf("%s holds what never was: %v %+v", e.name, name, r)
+	for key, record := range held {
+		if !n.history.existed(record) {
+			t.Fatalf("%s holds what never was: %v %+v", p.name, key, record)
 		}
 	}
 }
@@ -340,14 +340,14 @@
 
 func (n *network) randomStep() {
 	t := n.t
-	who := func() *peer { return n.peers[rapid.IntRange(0, len(n.peers)-1).Draw(t, "who")] }
+	randomPeer := func() *peer { return n.peers[rapid.IntRange(0, len(n.peers)-1).Draw(t, "who")] }
 	switch rapid.IntRange(0, 19).Draw(t, "act") {
 	case 0, 1, 2, 3, 4: // a change
-		name := recordKey{rapid.SampledFrom(modelScopes).Draw(t, "scope"), rapid.SampledFrom(modelKeys).Draw(t, "key")}
+		key := recordKey{rapid.SampledFrom(modelScopes).Draw(t, "scope"), rapid.SampledFrom(modelKeys).Draw(t, "key")}
 		if rapid.IntRange(0, 2).Draw(t, "put") == 0 {
-			delete(n.live, name)
+			delete(n.live, key)
 			if n.originLoaded {
-				n.origin.Remove(n.now, name.scope, name.key)
+				n.origin.Remove(n.now, key.scope, key.key)
 			}
 		} else {
 			n.bodyCount++
@@ -355,17 +355,17 @@
 				class: Class(rapid.IntRange(0, 2).Draw(t, "class")),
 				body:  fmt.Sprintf("%d%s", n.bodyCount, strings.Repeat("x", 250)),
 			}
-			n.live[name] = e
+			n.live[key] = e
 			if n.originLoaded {
-				if _, err := n.origin.Put(n.now, name.scope, name.key, e.class, []byte(e.body)); err != nil {
+				if _, err := n.origin.Put(n.now, key.scope, key.key, e.class, []byte(e.body)); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 		n.recordOrigin()
 	case 5: // a complete list, without a random scope
-		gone := rapid.SampledFrom(modelScopes).Draw(t, "emptied")
-		maps.DeleteFunc(n.live, func(name recordKey, _ recordVersion) bool { return name.scope == gone })
+		emptiedScope := rapid.SampledFrom(modelScopes).Draw(t, "emptied")
+		maps.DeleteFunc(n.live, func(key recordKey, _ recordVersion) bool { return key.scope == emptiedScope })
 		n.loadOrigin()
 	case 6: // the origin restarts; its list comes with one of the next acts
 		if rapid.IntRange(0, 3).Draw(t, "really") == 0 {
@@ -381,27 +381,27 @@
 			n.restartRelay(rapid.IntRange(0, 3).Draw(t, "relay"))
 		}
 	case 8, 9: // to another relay
-		e := who()
+		e := randomPeer()
 		n.connect(e, rapid.SampledFrom(e.upstreams).Draw(t, "up"))
 	case 10: // a way is cut
-		n.disconnect(who())
+		n.disconnect(randomPeer())
 	case 11: // a frame is lost
-		if e := who(); len(e.inFlight) > 0 {
+		if e := randomPeer(); len(e.inFlight) > 0 {
 			e.inFlight = e.inFlight[1:]
 		}
 	case 12: // a frame comes again
-		if e := who(); e.lastFrame != nil {
+		if e := randomPeer(); e.lastFrame != nil {
 			_ = n.receive(e, e.lastFrame) // a gap is no fault; come fails the test at any other error
 		}
 	case 13, 14: // a frame of a session before comes
-		if e := who(); len(e.staleFrames) > 0 {
+		if e := randomPeer(); len(e.staleFrames) > 0 {
 			i := rapid.IntRange(0, len(e.staleFrames)-1).Draw(t, "old")
 			_ = n.receive(e, e.staleFrames[i]) // a gap is no fault; come fails the test at any other error
 		}
 	case 15:
 		n.now += int64(rapid.IntRange(1, 1200).Draw(t, "ms")) * 1e6
 	default:
-		e := who()
+		e := randomPeer()
 		n.sendFrames(e, rapid.IntRange(0, 3).Draw(t, "frames"))
 		for range rapid.IntRange(0, 3).Draw(t, "come") {
 			if len(e.inFlight) == 0 || n.receiveNext(e) != nil {
@@ -411,9 +411,9 @@
 	}
 }
 
-func (n *network) receiveNext(e *peer) error {
-	e.lastFrame, e.inFlight = e.inFlight[0], e.inFlight[1:]
-	return n.receive(e, e.lastFrame)
+func (n *network) receiveNext(p *peer) error {
+	p.lastFrame, p.inFlight = p.inFlight[0], p.inFlight[1:]
+	return n.receive(p, p.lastFrame)
 }
 
 // settle ends all faults: every end is connected, and time goes on.
@@ -424,76 +424,76 @@
 	}
 	for range 400 {
 		n.now += 250e6
-		for _, e := range n.peers {
-			if e.upstream == nil {
-				n.connect(e, rapid.SampledFrom(e.upstreams).Draw(t, "up"))
+		for _, p := range n.peers {
+			if p.upstream == nil {
+				n.connect(p, rapid.SampledFrom(p.upstreams).Draw(t, "up"))
 			}
-			for n.sendFrames(e, 100); len(e.inFlight) > 0; {
-				if n.receiveNext(e) != nil {
+			for n.sendFrames(p, 100); len(p.inFlight) > 0; {
+				if n.receiveNext(p) != nil {
 					break
 				}
 			}
 		}
 	}
-	for _, e := range n.peers {
-		var held, real bytes.Buffer
-		say := func(to *bytes.Buffer, scope, key, body string) {
-			if slices.ContainsFunc(e.selectors, func(s Selector) bool { return s.covers(scope) }) {
-				fmt.Fprintf(to, "%s %s %.8s\n", scope, key, body)
+	for _, p := range n.peers {
+		var held, expected bytes.Buffer
+		writeRecord := func(buffer *bytes.Buffer, scope, key, body string) {
+			if slices.ContainsFunc(p.selectors, func(s Selector) bool { return s.covers(scope) }) {
+				fmt.Fprintf(buffer, "%s %s %.8s\n", scope, key, body)
 			}
 		}
-		tombs := 0
+		tombstones := 0
 		items := n.origin.relay.replica.items
 		items.Ascend(func(it *item) bool {
 			if !it.deleted {
-				say(&real, it.scope.name, it.key, string(it.body))
+				writeRecord(&expected, it.scope.name, it.key, string(it.body))
 			}
 			return true
 		})
-		if e.relay != nil {
-			items = e.relay.replica.items
+		if p.relay != nil {
+			items = p.relay.replica.items
 		} else {
-			items = e.subscriber.replica.items
+			items = p.subscriber.replica.items
 		}
 		items.Ascend(func(it *item) bool {
 			if !it.deleted {
-				say(&held, it.scope.name, it.key, string(it.body))
+				writeRecord(&held, it.scope.name, it.key, string(it.body))
 			} else {
-				tombs++
+				tombstones++
 			}
 			return true
 		})
-		if held.String() != real.String() {
-			t.Fatalf("%s holds in the end\n%sand true is\n%s", e.name, &held, &real)
-		}
-		if e.subscriber == nil {
-			if at := e.relay.advertised; !e.relay.Complete() || at != (Position{n.epoch, n.origin.version}) ||
-				tombs > n.limits.Tombstones {
-				t.Fatalf("%s ends complete %v at %v of %d with %d tombstones", e.name, e.relay.Complete(), at,
-					n.origin.version, tombs)
+		if held.String() != expected.String() {
+			t.Fatalf("%s holds in the end\n%sand true is\n%s", p.name, &held, &expected)
+		}
+		if p.subscriber == nil {
+			if position := p.relay.advertised; !p.relay.Complete() || position != (Position{n.epoch, n.origin.version}) ||
+				tombstones > n.limits.Tombstones {
+				t.Fatalf("%s ends complete %v at %v of %d with %d tombstones", p.name, p.relay.Complete(), position,
+					n.origin.version, tombstones)
 			}
 			continue
 		}
-		if !e.subscriber.Complete() || tombs > 0 {
-			t.Fatalf("%s ends complete %v with %d tombstones", e.name, e.subscriber.Complete(), tombs)
+		if !p.subscriber.Complete() || tombstones > 0 {
+			t.Fatalf("%s ends complete %v with %d tombstones", p.name, p.subscriber.Complete(), tombstones)
 		}
-		for _, scope := range []string{e.selectors[0].Scope, e.selectors[len(e.selectors)-1].Scope} {
-			if age, known := e.subscriber.Age(n.now, scope); !known || age > 4*second {
-				t.Fatalf("%s knows %q as of %d ns ago, %v", e.name, scope, age, known)
+		for _, scope := range []string{p.selectors[0].Scope, p.selectors[len(p.selectors)-1].Scope} {
+			if age, known := p.subscriber.Age(n.now, scope); !known || age > 4*second {
+				t.Fatalf("%s knows %q as of %d ns ago, %v", p.name, scope, age, known)
 			}
-			if at := e.subscriber.Position(scope); at != (Position{n.epoch, n.origin.version}) {
-				t.Fatalf("%s knows %q up to %v", e.name, scope, at)
+			if position := p.subscriber.Position(scope); position != (Position{n.epoch, n.origin.version}) {
+				t.Fatalf("%s knows %q up to %v", p.name, scope, position)
 			}
 		}
 	}
 }
 
 func TestRandomNetworkConverges(t *testing.T) {
-	for _, most := range []int{30, 100, 200} {
-		t.Run(fmt.Sprint("acts-", most), func(t *testing.T) {
+	for _, maxSteps := range []int{30, 100, 200} {
+		t.Run(fmt.Sprint("acts-", maxSteps), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				n := newNetwork(t)
-				for range rapid.IntRange(5, most).Draw(t, "acts") {
+				for range rapid.IntRange(5, maxSteps).Draw(t, "acts") {
 					n.randomStep()
 				}
 				n.converge()
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -102,24 +102,24 @@
 	}
 }
 
-func (r *replica) applyGroup(f *frame, g *recordGroup) error {
-	if g.Scope == "" || len(g.Scope) > MaxNameBytes {
+func (r *replica) applyGroup(f *frame, group *recordGroup) error {
+	if group.Scope == "" || len(group.Scope) > MaxNameBytes {
 		r.markInvalid("", fmt.Sprintf("scope %.64q: a name of 1 to %d bytes expected, found %d",
-			g.Scope, MaxNameBytes, len(g.Scope)))
+			group.Scope, MaxNameBytes, len(group.Scope)))
 		return nil
 	}
-	if !r.covers(g.Scope) {
-		r.stats.ForeignRecords += int64(len(g.Records))
+	if !r.covers(group.Scope) {
+		r.stats.ForeignRecords += int64(len(group.Records))
 		return nil
 	}
-	for i := range g.Records {
-		in := &g.Records[i]
-		if !in.valid() {
-			r.markInvalid(g.Scope, fmt.Sprintf("scope %q, key %.64q: flags %#x, version %d, %d bytes",
-				g.Scope, in.Key, in.Flags, in.Version, len(in.Body)))
+	for i := range group.Records {
+		received := &group.Records[i]
+		if !received.valid() {
+			r.markInvalid(group.Scope, fmt.Sprintf("scope %q, key %.64q: flags %#x, version %d, %d bytes",
+				group.Scope, received.Key, received.Flags, received.Version, len(received.Body)))
 			continue
 		}
-		if err := r.applyRecord(f.Epoch, g.Scope, in); err != nil {
+		if err := r.applyRecord(f.Epoch, group.Scope, received); err != nil {
 			return err
 		}
 	}
@@ -128,11 +128,11 @@
 
 // applyRecord applies a record if it is newer than what is held. One that is not held, and not newer than what is
 // known of its scope, has been deleted.
-func (r *replica) applyRecord(epoch uint64, scopeName string, in *record) error {
-	position := Position{epoch, in.Version}
-	held := r.find(scopeName, in.Key)
-	if in.Flags&flagKeyOnly != 0 {
-		return r.confirmRecord(held, scopeName, in.Key, position)
+func (r *replica) applyRecord(epoch uint64, scopeName string, received *record) error {
+	position := Position{epoch, received.Version}
+	held := r.find(scopeName, received.Key)
+	if received.Flags&flagKeyOnly != 0 {
+		return r.confirmRecord(held, scopeName, received.Key, position)
 	}
 	if held != nil {
 		switch order := held.position().compare(position); {
@@ -149,11 +149,11 @@
 		return nil
 	}
 	r.stats.Applied++
-	return r.upsert(held, scopeName, in.Key, itemState{
-		class:    in.class(),
+	return r.upsert(held, scopeName, received.Key, itemState{
+		class:    received.class(),
 		position: position,
-		deleted:  in.Flags&flagDeleted != 0,
-		body:     in.Body,
+		deleted:  received.Flags&flagDeleted != 0,
+		body:     received.Body,
 	})
 }
 
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -187,9 +187,9 @@
 	if r.origin != nil {
 		return Position{r.epoch, r.origin.version}, len(r.origin.awaited) == 0
 	}
-	known := r.replica.minSyncState()
-	complete = known.complete && known.position.Epoch == r.epoch && known.position.Through >= r.replica.maxSnapshotEnd
-	return known.position, complete
+	state := r.replica.minSyncState()
+	complete = state.complete && state.position.Epoch == r.epoch && state.position.Through >= r.replica.maxSnapshotEnd
+	return state.position, complete
 }
 
 func (r *Relay) asOfNs(now int64) int64 {
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -167,11 +167,11 @@
 	if err != nil {
 		return err
 	}
-	var was previousState
+	var previous previousState
 	if held == nil {
 		held = r.insert(scopeName, key)
 	} else {
-		was = previousState{!held.deleted, held.class, held.body}
+		previous = previousState{!held.deleted, held.class, held.body}
 		r.observer.beforeChange(held)
 		if held.deleted {
 			r.tombstones--
@@ -182,8 +182,8 @@
 	case state.deleted:
 		body = nil
 		r.tombstones++
-	case was.live && bytes.Equal(was.body, body):
-		body = was.body
+	case previous.live && bytes.Equal(previous.body, body):
+		body = previous.body
 	case r.interner.Body != nil:
 		body = r.interner.Body(body)
 	}
@@ -198,7 +198,7 @@
 		held.seq = pendingTombstone
 		r.pendingTombstones = append(r.pendingTombstones, held)
 	}
-	r.observer.afterChange(held, was, state.swept)
+	r.observer.afterChange(held, previous, state.swept)
 	return nil
 }
 
--- a/internal/distribution/session.go
+++ b/internal/distribution/session.go
@@ -101,12 +101,12 @@
 
 // setState is the one place in which a feed's state changes, so that unsettled stays right.
 func (s *session) setState(f *feed, state feedState, queued uint8) {
-	wasSettled := f.caughtUp()
+	wasCaughtUp := f.caughtUp()
 	f.state = state
 	f.queued = queued
-	if wasSettled && !f.caughtUp() {
+	if wasCaughtUp && !f.caughtUp() {
 		s.feedsBehind++
-	} else if !wasSettled && f.caughtUp() {
+	} else if !wasCaughtUp && f.caughtUp() {
 		s.feedsBehind--
 	}
 }
--- a/internal/distribution/size_test.go
+++ b/internal/distribution/size_test.go
@@ -16,63 +16,63 @@
 }
 
 func TestMessageSizes(t *testing.T) {
-	o := NewOrigin(1764000000e9, Limits{})
-	content, scopes := 0, 0
+	origin := NewOrigin(1764000000e9, Limits{})
+	contentBytes, scopeBytes := 0, 0
 	var selectors []Selector
 	for i := range 1200 {
 		scope, key, body := fmt.Sprintf("eu1/service-%04d", i/3), fmt.Sprintf("endpoint/h%06d", i), endpointBody(i)
 		if i%3 == 0 {
 			selectors = append(selectors, Selector{Scope: scope})
-			scopes += len(scope)
+			scopeBytes += len(scope)
 		}
-		content += len(key) + len(body)
-		put(t, o, scope, key, ClassEndpoint, string(body))
+		contentBytes += len(key) + len(body)
+		put(t, origin, scope, key, ClassEndpoint, string(body))
 	}
-	s := newTestSubscriber(t, selectors...)
-	sum, n := 0, 0
-	for _, f := range connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s) {
-		sum += len(f)
-		n++
+	subscriber := newTestSubscriber(t, selectors...)
+	snapshotBytes, frames := 0, 0
+	for _, frame := range connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber) {
+		snapshotBytes += len(frame)
+		frames++
 	}
-	hello := len(s.Hello())
+	helloBytes := len(subscriber.Hello())
 	t.Logf("1,200 endpoints in 400 scopes: %d frames, %d bytes, %.1f a record, %.1f of them its key and body; hello %d bytes, %.1f a selector",
-		n, sum, float64(sum)/1200, float64(content)/1200, hello, float64(hello)/400)
-	if most := content + scopes + 1200*16 + 400*16 + 200; sum > most {
-		t.Errorf("%d bytes for %d of keys, bodies and names, at most %d", sum, content+scopes, most)
-	}
-	if hello > scopes+400*8+64 {
-		t.Errorf("hello of %d bytes for %d of names", hello, scopes)
-	}
-	l := connect(t, 0, o.Relay(), s, 0)
-	l.deliver(t, 0, s)
-	put(t, o, "eu1/service-0000", "endpoint/h000000", ClassWithdrawal, string(endpointBody(0)))
-	change := l.deliver(t, 0, s)
-	beat := l.deliver(t, 2*second, s)
+		frames, snapshotBytes, float64(snapshotBytes)/1200, float64(contentBytes)/1200, helloBytes, float64(helloBytes)/400)
+	if maxBytes := contentBytes + scopeBytes + 1200*16 + 400*16 + 200; snapshotBytes > maxBytes {
+		t.Errorf("%d bytes for %d of keys, bodies and names, at most %d", snapshotBytes, contentBytes+scopeBytes, maxBytes)
+	}
+	if helloBytes > scopeBytes+400*8+64 {
+		t.Errorf("hello of %d bytes for %d of names", helloBytes, scopeBytes)
+	}
+	connection := connect(t, 0, origin.Relay(), subscriber, 0)
+	connection.deliver(t, 0, subscriber)
+	put(t, origin, "eu1/service-0000", "endpoint/h000000", ClassWithdrawal, string(endpointBody(0)))
+	change := connection.deliver(t, 0, subscriber)
+	heartbeat := connection.deliver(t, 2*second, subscriber)
 	t.Logf("one change %d bytes, of them %d its content; a heartbeat %d", len(change[0]), 16+16+len(endpointBody(0)),
-		len(beat[0]))
-	if len(change[0]) > 32+len(endpointBody(0))+48 || len(beat[0]) > 32 {
+		len(heartbeat[0]))
+	if len(change[0]) > 32+len(endpointBody(0))+48 || len(heartbeat[0]) > 32 {
 		t.Error("a change or a heartbeat is too long")
 	}
 }
 
 // region is a relay with subscribers, each of some of the scopes.
-func newRegion(t testing.TB, records, scopes, subscribers, each int) (*Origin, []testConnection, []*testSubscriber) {
-	o := NewOrigin(1, Limits{})
-	for i := range records {
-		put(t, o, fmt.Sprintf("eu1/service-%05d", i%scopes), fmt.Sprintf("endpoint/h%06d", i), ClassEndpoint,
+func newRegion(t testing.TB, recordCount, scopeCount, subscriberCount, scopesPerSubscriber int) (*Origin, []testConnection, []*testSubscriber) {
+	origin := NewOrigin(1, Limits{})
+	for i := range recordCount {
+		put(t, origin, fmt.Sprintf("eu1/service-%05d", i%scopeCount), fmt.Sprintf("endpoint/h%06d", i), ClassEndpoint,
 			string(endpointBody(i)))
 	}
-	links, leaves := make([]testConnection, subscribers), make([]*testSubscriber, subscribers)
-	for i := range subscribers {
+	connections, subscribers := make([]testConnection, subscriberCount), make([]*testSubscriber, subscriberCount)
+	for i := range subscriberCount {
 		var selectors []Selector
-		for k := range each {
+		for k := range scopesPerSubscriber {
 			selectors = append(selectors, Selector{Scope: fmt.Sprintf("eu1/service-%05d",
-				(i*37+k*(scopes/each))%scopes)})
+				(i*37+k*(scopeCount/scopesPerSubscriber))%scopeCount)})
 		}
-		leaves[i] = newTestSubscriber(t, selectors...)
-		links[i] = connect(t, 0, o.Relay(), leaves[i], 0)
+		subscribers[i] = newTestSubscriber(t, selectors...)
+		connections[i] = connect(t, 0, origin.Relay(), subscribers[i], 0)
 	}
-	return o, links, leaves
+	return origin, connections, subscribers
 }
 
 func heapBytes() int64 {
@@ -85,43 +85,43 @@
 
 // A change makes the subscribers of its scope ready, and no others.
 func TestChangeIsSentOnlyToSubscribersOfItsScope(t *testing.T) {
-	o, links, leaves := newRegion(t, 4000, 1000, 50, 20)
-	for i, l := range links {
-		l.deliver(t, 0, leaves[i])
+	origin, connections, subscribers := newRegion(t, 4000, 1000, 50, 20)
+	for i, connection := range connections {
+		connection.deliver(t, 0, subscribers[i])
 	}
-	o.Relay().Ready()
-	sent := o.Relay().Stats()
-	put(t, o, "eu1/service-00037", "endpoint/new", ClassEndpoint, "x")
+	origin.Relay().Ready()
+	before := origin.Relay().Stats()
+	put(t, origin, "eu1/service-00037", "endpoint/new", ClassEndpoint, "x")
 	want := 0
-	for _, s := range leaves {
+	for _, s := range subscribers {
 		if s.replica.covers("eu1/service-00037") {
 			want++
 		}
 	}
-	ready := o.Relay().Ready()
+	ready := origin.Relay().Ready()
 	if len(ready) != want || want == 0 || want == 50 {
 		t.Fatalf("%d woken, %d subscribe", len(ready), want)
 	}
 	for _, id := range ready {
-		s := o.Relay().sessions[id]
+		s := origin.Relay().sessions[id]
 		expectEqual(t, "queued", s.queues[ClassEndpoint].len(), 1)
-		o.Relay().Next(0, id)
-		if f, _ := o.Relay().Next(0, id); f != nil {
+		origin.Relay().Next(0, id)
+		if f, _ := origin.Relay().Next(0, id); f != nil {
 			t.Fatal("a second frame for one change")
 		}
 	}
-	now := o.Relay().Stats()
-	expectEqual(t, "records sent", now.SentRecords-sent.SentRecords, int64(want))
-	expectEqual(t, "frames sent", now.Sent-sent.Sent, int64(want))
+	after := origin.Relay().Stats()
+	expectEqual(t, "records sent", after.SentRecords-before.SentRecords, int64(want))
+	expectEqual(t, "frames sent", after.Sent-before.Sent, int64(want))
 }
 
 func BenchmarkRelayMemory(b *testing.B) {
 	for range b.N {
 		before := heapBytes()
-		o, _, _ := newRegion(b, 120000, 50000, 0, 1)
-		bare := heapBytes()
-		bodies := o.relay.replica.bytes
-		b.ReportMetric(float64(bare-before-int64(bodies))/120000, "B/record")
+		origin, _, _ := newRegion(b, 120000, 50000, 0, 1)
+		withRecords := heapBytes()
+		bodies := origin.relay.replica.bytes
+		b.ReportMetric(float64(withRecords-before-int64(bodies))/120000, "B/record")
 		b.ReportMetric(float64(bodies)/120000, "content-B/record")
 		var selectors []Selector
 		for k := range 500 {
@@ -130,12 +130,12 @@
 		hello := newTestSubscriber(b, selectors...).Hello()
 		before = heapBytes()
 		for range 530 {
-			if _, err := o.Relay().Attach(0, hello, 20000); err != nil {
+			if _, err := origin.Relay().Attach(0, hello, 20000); err != nil {
 				b.Fatal(err)
 			}
 		}
 		b.ReportMetric(float64(heapBytes()-before)/530/500, "B/selector")
-		runtime.KeepAlive(o)
+		runtime.KeepAlive(origin)
 	}
 }
 
@@ -156,30 +156,30 @@
 		return p
 	}}
 	for range b.N {
-		o, _, _ := newRegion(b, 12000, 5000, 0, 1)
+		origin, _, _ := newRegion(b, 12000, 5000, 0, 1)
 		var selectors []Selector
 		for k := range 500 {
 			selectors = append(selectors, Selector{Scope: fmt.Sprintf("eu1/service-%05d", k*10)})
 		}
-		var all []*Subscriber
+		var subscribers []*Subscriber
 		var before int64
 		for i := range 101 {
 			s := newTestSubscriber(b, selectors...)
 			s.SetInterner(share)
-			all = append(all, s.Subscriber)
-			l := connect(b, 0, o.Relay(), s, 0)
-			l.deliver(b, 0, s)
-			o.Relay().Detach(l.sessionID)
+			subscribers = append(subscribers, s.Subscriber)
+			connection := connect(b, 0, origin.Relay(), s, 0)
+			connection.deliver(b, 0, s)
+			origin.Relay().Detach(connection.sessionID)
 			s.changes = nil
 			if i == 0 {
 				before = heapBytes() // the first has what all share
 			}
 		}
-		records := all[0].Stats().Records
+		records := subscribers[0].Stats().Records
 		b.ReportMetric(float64(heapBytes()-before)/100/float64(records), "B/record")
 		b.ReportMetric(float64(records), "records")
-		runtime.KeepAlive(all)
-		runtime.KeepAlive(o)
+		runtime.KeepAlive(subscribers)
+		runtime.KeepAlive(origin)
 	}
 }
 
@@ -187,57 +187,57 @@
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{1200, 12000, 120000} {
 		b.Run(fmt.Sprint("records-", size), func(b *testing.B) {
-			o, links, _ := newRegion(b, size, size*5/12, 530, 500)
-			for _, l := range links {
-				for f, _ := l.relay.Next(0, l.sessionID); f != nil; f, _ = l.relay.Next(0, l.sessionID) {
+			origin, connections, _ := newRegion(b, size, size*5/12, 530, 500)
+			for _, connection := range connections {
+				for f, _ := connection.relay.Next(0, connection.sessionID); f != nil; f, _ = connection.relay.Next(0, connection.sessionID) {
 				}
 			}
-			o.Relay().Ready()
-			sent := o.Relay().Stats().Sent
+			origin.Relay().Ready()
+			sent := origin.Relay().Stats().Sent
 			b.ResetTimer()
 			for i := range b.N {
 				k := i * 7919 % size
-				put(b, o, fmt.Sprintf("eu1/service-%05d", k%(size*5/12)), fmt.Sprintf("endpoint/h%06d", k),
+				put(b, origin, fmt.Sprintf("eu1/service-%05d", k%(size*5/12)), fmt.Sprintf("endpoint/h%06d", k),
 					ClassEndpoint, fmt.Sprint("changed", i))
-				for _, id := range o.Relay().Ready() {
-					o.Relay().Next(0, id)
+				for _, id := range origin.Relay().Ready() {
+					origin.Relay().Next(0, id)
 				}
 			}
-			b.ReportMetric(float64(o.Relay().Stats().Sent-sent)/float64(b.N), "frames/op")
+			b.ReportMetric(float64(origin.Relay().Stats().Sent-sent)/float64(b.N), "frames/op")
 		})
 	}
 }
 
 // A heartbeat at the relay and at a subscriber of 500 scopes.
 func BenchmarkHeartbeat(b *testing.B) {
-	o, links, leaves := newRegion(b, 12000, 5000, 1, 500)
-	links[0].deliver(b, 0, leaves[0])
+	origin, connections, subscribers := newRegion(b, 12000, 5000, 1, 500)
+	connections[0].deliver(b, 0, subscribers[0])
 	b.ResetTimer()
 	for i := range b.N {
-		links[0].deliver(b, int64(i+1)*second, leaves[0])
+		connections[0].deliver(b, int64(i+1)*second, subscribers[0])
 	}
-	runtime.KeepAlive(o)
+	runtime.KeepAlive(origin)
 }
 
 // A subscriber of 500 scopes and 1,200 records attaches: its hello and its first snapshot, at both ends.
 func BenchmarkStart(b *testing.B) {
 	for _, kind := range []string{"from-nothing", "resumed"} {
 		b.Run(kind, func(b *testing.B) {
-			o, links, leaves := newRegion(b, 12000, 5000, 1, 500)
-			links[0].deliver(b, 0, leaves[0])
+			origin, connections, subscribers := newRegion(b, 12000, 5000, 1, 500)
+			connections[0].deliver(b, 0, subscribers[0])
 			selectors := make([]Selector, 0, 500)
-			for _, n := range leaves[0].replica.interests {
+			for _, n := range subscribers[0].replica.interests {
 				selectors = append(selectors, Selector{Scope: n.scope})
 			}
 			b.ResetTimer()
 			for range b.N {
-				s := leaves[0]
+				s := subscribers[0]
 				if kind == "from-nothing" {
 					s = newTestSubscriber(b, selectors...)
 				}
-				l := connect(b, 0, o.Relay(), s, 0)
-				l.deliver(b, 0, s)
-				o.Relay().Detach(l.sessionID)
+				connection := connect(b, 0, origin.Relay(), s, 0)
+				connection.deliver(b, 0, s)
+				origin.Relay().Detach(connection.sessionID)
 			}
 		})
 	}
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -41,13 +41,13 @@
 
 func (s *Subscriber) beforeChange(*item) {}
 
-func (s *Subscriber) afterChange(it *item, was previousState, swept bool) {
-	bothDeleted := it.deleted && !was.live
-	same := !it.deleted && was.live && it.class == was.class && bytes.Equal(it.body, was.body)
+func (s *Subscriber) afterChange(it *item, previous previousState, swept bool) {
+	bothDeleted := it.deleted && !previous.live
+	same := !it.deleted && previous.live && it.class == previous.class && bytes.Equal(it.body, previous.body)
 	if bothDeleted || same {
 		return
 	}
-	s.changes = append(s.changes, Change{Record: it.record(), OldBody: was.body, Swept: swept})
+	s.changes = append(s.changes, Change{Record: it.record(), OldBody: previous.body, Swept: swept})
 }
 
 func (s *Subscriber) scopeSyncState(scope string) syncState {
@@ -56,8 +56,8 @@
 
 // Age returns how long ago what is held of a scope was current, in nanoseconds; not known until it was complete once.
 func (s *Subscriber) Age(now int64, scope string) (ns int64, known bool) {
-	k := s.scopeSyncState(scope)
-	return now - k.asOfNs, k.complete
+	state := s.scopeSyncState(scope)
+	return now - state.asOfNs, state.complete
 }
 
 // Complete reports whether all selectors have been complete once.
@@ -79,8 +79,8 @@
 // Stats returns the counters, and what is held now.
 func (s *Subscriber) Stats() Stats {
 	stats := s.replica.currentStats()
-	least := s.replica.minSyncState()
-	stats.Through = least.position.Through
-	stats.Complete = least.complete
+	state := s.replica.minSyncState()
+	stats.Through = state.position.Through
+	stats.Complete = state.complete
 	return stats
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -98,112 +98,112 @@
 // ParseConfig parses and checks a file's text. The error names all that is wrong; path stands in it.
 func ParseConfig(path string, text []byte) (*Config, error) {
 	config := &Config{}
-	complaints, err := tomlfile.Decode(path, text, config, configPage)
+	problems, err := tomlfile.Decode(path, text, config, configPage)
 	if err != nil {
 		return nil, err
 	}
-	config.check(complaints)
-	return config, complaints.Err()
+	config.check(problems)
+	return config, problems.Err()
 }
 
-func checkAddress(c *tomlfile.Problems, key, found string, portZero bool) {
+func checkAddress(problems *tomlfile.Problems, key, found string, allowPortZero bool) {
 	address, err := netip.ParseAddrPort(found)
-	c.Require(err == nil && (portZero || address.Port() != 0), key, "an address and a port", fmt.Sprintf("%q", found))
+	problems.Require(err == nil && (allowPortZero || address.Port() != 0), key, "an address and a port", fmt.Sprintf("%q", found))
 }
 
-func (f *Config) check(c *tomlfile.Problems) {
-	c.Require(f.Name != "" && len(f.Name) <= maxNameBytes, "name",
-		fmt.Sprintf("a name of up to %d bytes", maxNameBytes), fmt.Sprintf("%q", f.Name))
-	c.Require(f.Role == roleOrigin || f.Role == roleRelay, "role", "origin or relay", fmt.Sprintf("%q", f.Role))
-	checkAddress(c, "listen", f.Listen, true)
-	c.Require(f.BytesPerSecond == 0 || f.BytesPerSecond >= minBytesPerSecond, "pace",
-		fmt.Sprintf("0, or at least %d bytes a second", minBytesPerSecond), f.BytesPerSecond)
+func (config *Config) check(problems *tomlfile.Problems) {
+	problems.Require(config.Name != "" && len(config.Name) <= maxNameBytes, "name",
+		fmt.Sprintf("a name of up to %d bytes", maxNameBytes), fmt.Sprintf("%q", config.Name))
+	problems.Require(config.Role == roleOrigin || config.Role == roleRelay, "role", "origin or relay", fmt.Sprintf("%q", config.Role))
+	checkAddress(problems, "listen", config.Listen, true)
+	problems.Require(config.BytesPerSecond == 0 || config.BytesPerSecond >= minBytesPerSecond, "pace",
+		fmt.Sprintf("0, or at least %d bytes a second", minBytesPerSecond), config.BytesPerSecond)
 	limits := map[string]int{
-		"limits.records":     f.Limits.Records,
-		"limits.bytes":       f.Limits.Bytes,
-		"limits.subscribers": f.Limits.Subscribers,
+		"limits.records":     config.Limits.Records,
+		"limits.bytes":       config.Limits.Bytes,
+		"limits.subscribers": config.Limits.Subscribers,
 	}
 	for key, n := range limits {
-		c.Require(n >= 0, key, "a number from 0, which stands for the default", n)
+		problems.Require(n >= 0, key, "a number from 0, which stands for the default", n)
 	}
-	if f.Role == roleOrigin {
-		f.checkOrigin(c)
+	if config.Role == roleOrigin {
+		config.checkOrigin(problems)
 	} else {
-		f.checkRelay(c)
+		config.checkRelay(problems)
 	}
 }
 
-func (f *Config) checkOrigin(c *tomlfile.Problems) {
-	c.Require(len(f.Upstream) == 0, "upstream", "none, as role is origin", len(f.Upstream))
-	c.Require(len(f.Scopes) == 0, "scopes", "none, as role is origin", len(f.Scopes))
-	c.Require(f.Origin != nil, "origin", "a table, as role is origin", "none")
-	if f.Origin != nil {
-		f.Origin.check(c)
+func (config *Config) checkOrigin(problems *tomlfile.Problems) {
+	problems.Require(len(config.Upstream) == 0, "upstream", "none, as role is origin", len(config.Upstream))
+	problems.Require(len(config.Scopes) == 0, "scopes", "none, as role is origin", len(config.Scopes))
+	problems.Require(config.Origin != nil, "origin", "a table, as role is origin", "none")
+	if config.Origin != nil {
+		config.Origin.check(problems)
 	}
 }
 
-func (f *Config) checkRelay(c *tomlfile.Problems) {
-	c.Require(f.Origin == nil, "origin", "none, as role is not origin", "a table")
-	c.Require(len(f.Upstream) >= 1 && len(f.Upstream) <= maxUpstreams, "upstream",
-		fmt.Sprintf("1 to %d addresses and ports", maxUpstreams), len(f.Upstream))
+func (config *Config) checkRelay(problems *tomlfile.Problems) {
+	problems.Require(config.Origin == nil, "origin", "none, as role is not origin", "a table")
+	problems.Require(len(config.Upstream) >= 1 && len(config.Upstream) <= maxUpstreams, "upstream",
+		fmt.Sprintf("1 to %d addresses and ports", maxUpstreams), len(config.Upstream))
 	seen := map[string]bool{}
-	for i, upstream := range f.Upstream {
+	for i, upstream := range config.Upstream {
 		key := fmt.Sprintf("upstream.%d", i)
-		checkAddress(c, key, upstream, false)
-		c.Require(!seen[upstream], key, "an address that is not there twice", fmt.Sprintf("%q again", upstream))
-		c.Require(upstream != f.Listen, key, "another address than listen", fmt.Sprintf("%q", upstream))
+		checkAddress(problems, key, upstream, false)
+		problems.Require(!seen[upstream], key, "an address that is not there twice", fmt.Sprintf("%q again", upstream))
+		problems.Require(upstream != config.Listen, key, "another address than listen", fmt.Sprintf("%q", upstream))
 		seen[upstream] = true
 	}
-	if len(f.Scopes) == 0 {
-		f.Scopes = []string{wildcard}
+	if len(config.Scopes) == 0 {
+		config.Scopes = []string{wildcard}
 	}
-	c.Require(len(f.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(f.Scopes))
-	for i, scope := range f.Scopes {
-		starAtEnd := !strings.Contains(strings.TrimSuffix(scope, wildcard), wildcard)
-		c.Require(scope != "" && len(scope) <= distribution.MaxNameBytes && starAtEnd, fmt.Sprintf("scopes.%d", i),
+	problems.Require(len(config.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(config.Scopes))
+	for i, scope := range config.Scopes {
+		wildcardOnlyAtEnd := !strings.Contains(strings.TrimSuffix(scope, wildcard), wildcard)
+		problems.Require(scope != "" && len(scope) <= distribution.MaxNameBytes && wildcardOnlyAtEnd, fmt.Sprintf("scopes.%d", i),
 			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", distribution.MaxNameBytes),
 			fmt.Sprintf("%q", scope))
 	}
 }
 
-func (o *OriginConfig) check(c *tomlfile.Problems) {
-	c.Require(o.Discovery != "" || o.Configuration != "", "origin", "discovery, configuration or both", "neither")
+func (o *OriginConfig) check(problems *tomlfile.Problems) {
+	problems.Require(o.Discovery != "" || o.Configuration != "", "origin", "discovery, configuration or both", "neither")
 	interval := defaultPollInterval
 	if o.PollInterval != "" {
 		var err error
 		interval, err = time.ParseDuration(o.PollInterval)
-		c.Require(err == nil && interval >= minPollInterval && interval <= maxPollInterval, "origin.every",
+		problems.Require(err == nil && interval >= minPollInterval && interval <= maxPollInterval, "origin.every",
 			"a time from 50ms to 1h", fmt.Sprintf("%q", o.PollInterval))
 	}
 	o.PollIntervalNs = int64(interval)
 	if o.Discovery != "" {
-		checkAddress(c, "origin.discovery", o.Discovery, false)
-		o.Scope.check(c)
+		checkAddress(problems, "origin.discovery", o.Discovery, false)
+		o.Scope.check(problems)
 	}
 }
 
-func (s *ScopeRule) check(c *tomlfile.Problems) {
-	c.Require((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place",
+func (s *ScopeRule) check(problems *tomlfile.Problems) {
+	problems.Require((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place",
 		fmt.Sprintf("%q and %q", s.Service, s.ServiceFrom))
-	c.Require(s.ServiceFrom == "" || s.ServiceFrom == serviceFromName, "origin.scope.service_from", "host",
+	problems.Require(s.ServiceFrom == "" || s.ServiceFrom == serviceFromName, "origin.scope.service_from", "host",
 		fmt.Sprintf("%q", s.ServiceFrom))
-	c.Require(s.Region != "" || len(s.Regions) > 0, "origin.scope.region",
+	problems.Require(s.Region != "" || len(s.Regions) > 0, "origin.scope.region",
 		"a region, or regions with their sites", "neither")
 	s.regionByZone = map[string]string{}
-	for region, sites := range s.Regions {
-		for _, site := range sites {
-			other := s.regionByZone[site]
-			c.Require(other == "", "origin.scope.regions."+region, "sites of one region each",
-				fmt.Sprintf("%q, which is also of %s", site, other))
-			s.regionByZone[site] = region
+	for region, zones := range s.Regions {
+		for _, zone := range zones {
+			other := s.regionByZone[zone]
+			problems.Require(other == "", "origin.scope.regions."+region, "sites of one region each",
+				fmt.Sprintf("%q, which is also of %s", zone, other))
+			s.regionByZone[zone] = region
 		}
 	}
 	for key, name := range map[string]string{"service": s.Service, "region": s.Region} {
-		c.Require(validScopePart(name), "origin.scope."+key,
+		problems.Require(validScopePart(name), "origin.scope."+key,
 			fmt.Sprintf("a name of up to %d bytes without / and *", maxScopePartBytes), fmt.Sprintf("%q", name))
 	}
 	for region := range s.Regions {
-		c.Require(region != "" && validScopePart(region), "origin.scope.regions",
+		problems.Require(region != "" && validScopePart(region), "origin.scope.regions",
 			fmt.Sprintf("names of up to %d bytes without / and *", maxScopePartBytes), fmt.Sprintf("%q", region))
 	}
 }
@@ -213,13 +213,13 @@
 }
 
 // scopeOf returns the scope of a host; empty: it has none.
-func (s *ScopeRule) scopeOf(host, site string) string {
-	region := cmp.Or(s.regionByZone[site], s.Region)
+func (s *ScopeRule) scopeOf(name, zone string) string {
+	region := cmp.Or(s.regionByZone[zone], s.Region)
 	service := s.Service
 	if s.ServiceFrom == serviceFromName {
 		service = ""
-		if dash := strings.LastIndexByte(host, '-'); dash > 0 {
-			service = host[:dash]
+		if dash := strings.LastIndexByte(name, '-'); dash > 0 {
+			service = name[:dash]
 		}
 	}
 	if region == "" || service == "" {
--- a/internal/relay/deploy_test.go
+++ b/internal/relay/deploy_test.go
@@ -16,30 +16,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	low, err := ReadConfig(dir + "relay.toml")
+	relayConfig, err := ReadConfig(dir + "relay.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if origin.Role != roleOrigin || low.Role != roleRelay || !slices.Contains(low.Upstream, origin.Listen) {
-		t.Errorf("the relay's upstream %q is not the origin's %q", low.Upstream, origin.Listen)
+	if origin.Role != roleOrigin || relayConfig.Role != roleRelay || !slices.Contains(relayConfig.Upstream, origin.Listen) {
+		t.Errorf("the relay's upstream %q is not the origin's %q", relayConfig.Upstream, origin.Listen)
 	}
 	files, err := filepath.Glob(dir + "node-*.toml")
 	if err != nil || len(files) != 2 {
 		t.Fatalf("%v, %v: expected two nodes", files, err)
 	}
-	for _, f := range files {
-		node, err := features.Read(f, "n")
+	for _, file := range files {
+		node, err := features.Read(file, "n")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !slices.Contains(node.Distribution.Relays, low.Listen) {
-			t.Errorf("%s: relays %q lack %q", f, node.Distribution.Relays, low.Listen)
+		if !slices.Contains(node.Distribution.Relays, relayConfig.Listen) {
+			t.Errorf("%s: relays %q lack %q", file, node.Distribution.Relays, relayConfig.Listen)
 		}
 		for _, s := range Selectors(node.Distribution.Scopes) {
-			if !slices.ContainsFunc(Selectors(low.Scopes), func(by distribution.Selector) bool {
-				return by.Prefix && len(s.Scope) >= len(by.Scope) && s.Scope[:len(by.Scope)] == by.Scope
+			if !slices.ContainsFunc(Selectors(relayConfig.Scopes), func(followed distribution.Selector) bool {
+				return followed.Prefix && len(s.Scope) >= len(followed.Scope) && s.Scope[:len(followed.Scope)] == followed.Scope
 			}) {
-				t.Errorf("%s: the relay does not follow %q", f, s.Scope)
+				t.Errorf("%s: the relay does not follow %q", file, s.Scope)
 			}
 		}
 	}
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -104,14 +104,14 @@
 }
 
 // removeRecords returns the removal of a file's records but those that it still has.
-func (d *configDirectory) removeRecords(name string, now map[recordName]distribution.Record) []distribution.Record {
+func (d *configDirectory) removeRecords(name string, current map[recordName]distribution.Record) []distribution.Record {
 	file := d.files[name]
 	if file == nil {
 		return nil
 	}
 	var removed []distribution.Record
 	for record := range file.records {
-		if _, stays := now[record]; !stays {
+		if _, stays := current[record]; !stays {
 			removed = append(removed, distribution.Record{Scope: record.scope, Key: record.key, Deleted: true})
 			delete(d.fileByRecord, record)
 		}
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -143,8 +143,8 @@
 type connectionGrace struct{ lastConnectedNs int64 }
 
 // connected takes in when the watch last sent anything; 0: it is not connected.
-func (g *connectionGrace) connected(now, heardAtNs int64) bool {
-	if heardAtNs != 0 {
+func (g *connectionGrace) connected(now, lastReceivedNs int64) bool {
+	if lastReceivedNs != 0 {
 		g.lastConnectedNs = now
 	}
 	return g.lastConnectedNs != 0 && now-g.lastConnectedNs < connectionGraceNs
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -32,11 +32,11 @@
 
 // TestGoldenRecords holds what an origin tells of hosts to what nodes of earlier builds read.
 func TestGoldenRecords(t *testing.T) {
-	e := endpointlist.Entry{
+	entry := endpointlist.Entry{
 		Name: "s-1", Address: "127.0.0.1:80", Zone: "a", State: "draining", Pod: 3, Weight: 1.5,
 		StartedMs: 1_700_000_000_123,
 	}
-	body, err := endpointlist.EncodeEntry(e)
+	body, err := endpointlist.EncodeEntry(entry)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,15 +44,15 @@
 	list := DiscoveryState{Version: 9, Connected: true}.body()
 	golden.Check(t, "list.json", list)
 	golden.Check(t, "endpoint-key.txt", []byte(EndpointKey("s-1")+"\n"))
-	h := NewEndpointTable()
-	hosts := h.Apply([]distribution.Change{
+	table := NewEndpointTable()
+	changes := table.Apply([]distribution.Change{
 		{Record: distribution.Record{Scope: "eu/web", Key: EndpointKey("s-1"), Body: body}},
 		{Record: distribution.Record{Scope: ScopeOrigin, Key: KeyDiscovery, Body: list}},
 	})
-	if hosts.LastErr != nil || hosts.Skipped != 0 || len(hosts.Entries) != 1 || hosts.Entries[0] != e {
-		t.Errorf("hosts read as %+v", hosts)
+	if changes.LastErr != nil || changes.Skipped != 0 || len(changes.Entries) != 1 || changes.Entries[0] != entry {
+		t.Errorf("hosts read as %+v", changes)
 	}
-	if got, known := h.Discovery(); !known || got != (DiscoveryState{Version: 9, Connected: true}) {
+	if got, known := table.Discovery(); !known || got != (DiscoveryState{Version: 9, Connected: true}) {
 		t.Errorf("state of discovery read as %+v, %v", got, known)
 	}
 }
--- a/internal/relay/hosttable.go
+++ b/internal/relay/hosttable.go
@@ -50,13 +50,13 @@
 			h.applyDiscovery(record, &out)
 			continue
 		}
-		host, isHost := EndpointName(record.Key)
+		name, isEndpoint := EndpointName(record.Key)
 		switch {
-		case !isHost:
+		case !isEndpoint:
 		case record.Deleted:
-			h.remove(host, record.Scope, &out)
+			h.remove(name, record.Scope, &out)
 		default:
-			h.put(host, record, &out)
+			h.put(name, record, &out)
 		}
 	}
 	return out
@@ -73,36 +73,36 @@
 	h.discoveryKnown = true
 }
 
-func (h *EndpointTable) put(host string, record *distribution.Record, out *EndpointChanges) {
+func (h *EndpointTable) put(name string, record *distribution.Record, out *EndpointChanges) {
 	var entry endpointlist.Entry
-	if err := json.Unmarshal(record.Body, &entry); err != nil || entry.Name != host {
+	if err := json.Unmarshal(record.Body, &entry); err != nil || entry.Name != name {
 		out.skip(fmt.Errorf("scope %q, key %q: expected an endpoint of that name, found %.80q",
 			record.Scope, record.Key, record.Body))
 		return
 	}
-	entries := h.byName[host]
+	entries := h.byName[name]
 	if i := indexOfScope(entries, record.Scope); i < 0 {
 		entries = append(entries, scopedEntry{record.Scope, entry})
 	} else {
 		entries[i].entry = entry
 	}
-	h.byName[host] = entries
+	h.byName[name] = entries
 	out.Entries = append(out.Entries, newestEntry(entries))
 }
 
-func (h *EndpointTable) remove(host, scope string, out *EndpointChanges) {
-	entries := h.byName[host]
+func (h *EndpointTable) remove(name, scope string, out *EndpointChanges) {
+	entries := h.byName[name]
 	i := indexOfScope(entries, scope)
 	if i < 0 {
 		return
 	}
 	entries = slices.Delete(entries, i, i+1)
 	if len(entries) == 0 {
-		delete(h.byName, host)
-		out.Entries = append(out.Entries, endpointlist.Entry{Name: host, State: stateRemoved})
+		delete(h.byName, name)
+		out.Entries = append(out.Entries, endpointlist.Entry{Name: name, State: stateRemoved})
 		return
 	}
-	h.byName[host] = entries
+	h.byName[name] = entries
 	out.Entries = append(out.Entries, newestEntry(entries))
 }
 
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -142,7 +142,7 @@
 }
 
 func (p *Process) newDiscoveryWatch(config *OriginConfig) *discoveryWatch {
-	hosts := endpointRecords{}
+	endpoints := endpointRecords{}
 	return &discoveryWatch{
 		address:        config.Discovery,
 		limits:         endpointlist.LimitsFor(int64(p.config.Limits.Bytes)),
@@ -153,7 +153,7 @@
 			return newEndpointRecord(&config.Scope, entry)
 		},
 		apply: func(event watchEvent) {
-			p.server.Do(func(now int64) { p.warnRefused(hosts.apply(now, p.origin, event)) })
+			p.server.Do(func(now int64) { p.warnRefused(endpoints.apply(now, p.origin, event)) })
 		},
 	}
 }
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -34,56 +34,56 @@
 	watches      []chan string
 }
 
-func endpointJSON(host, site, health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":%q,"block":1,"health":%q,"share":1,"born_ms":5}`, host,
-		site, health)
+func endpointJSON(name, zone, state string) string {
+	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":%q,"block":1,"health":%q,"share":1,"born_ms":5}`, name,
+		zone, state)
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	d := &fakeDiscovery{address: l.Addr().String(), hosts: map[string]string{}, version: 1}
+	t.Cleanup(func() { listener.Close() })
+	d := &fakeDiscovery{address: listener.Addr().String(), hosts: map[string]string{}, version: 1}
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go d.serveWatch(c)
+			go d.serveWatch(conn)
 		}
 	}()
 	return d
 }
 
-func (d *fakeDiscovery) serveWatch(c net.Conn) {
-	defer c.Close()
-	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
+func (d *fakeDiscovery) serveWatch(conn net.Conn) {
+	defer conn.Close()
+	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		return
 	}
 	lines := make(chan string, 1000) // more than a test ever sets at once
 	d.mu.Lock()
-	silent := d.unresponsive
-	all := make([]string, 0, len(d.hosts))
-	for _, e := range d.hosts {
-		all = append(all, e)
+	unresponsive := d.unresponsive
+	entries := make([]string, 0, len(d.hosts))
+	for _, entry := range d.hosts {
+		entries = append(entries, entry)
 	}
-	slices.Sort(all)
-	lines <- fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, d.version, strings.Join(all, ","))
+	slices.Sort(entries)
+	lines <- fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, d.version, strings.Join(entries, ","))
 	d.watches = append(d.watches, lines)
 	d.mu.Unlock()
-	if silent {
+	if unresponsive {
 		time.Sleep(time.Minute)
 		return
 	}
-	if _, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+	if _, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	beat := time.NewTicker(300 * time.Millisecond)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(300 * time.Millisecond)
+	defer heartbeat.Stop()
 	for {
 		text := "\n"
 		select {
@@ -92,39 +92,39 @@
 				return
 			}
 			text = line + "\n"
-		case <-beat.C:
+		case <-heartbeat.C:
 		}
-		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
+		if _, err := fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text); err != nil {
 			return
 		}
 	}
 }
 
 // set changes a host; health "removed" removes it, as in the protocol.
-func (d *fakeDiscovery) setEndpoint(host, site, health string) {
+func (d *fakeDiscovery) setEndpoint(name, zone, state string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	d.hosts[host] = endpointJSON(host, site, health)
-	line := fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[%s]}`, d.version, d.hosts[host])
-	if health == "removed" {
-		delete(d.hosts, host)
+	d.hosts[name] = endpointJSON(name, zone, state)
+	line := fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[%s]}`, d.version, d.hosts[name])
+	if state == "removed" {
+		delete(d.hosts, name)
 	}
-	for _, l := range d.watches {
+	for _, watch := range d.watches {
 		select {
-		case l <- line:
+		case watch <- line:
 		default:
 		}
 	}
 }
 
 // cut ends all watches; silent: from now on it accepts requests and sends nothing.
-func (d *fakeDiscovery) endWatches(silent bool) {
+func (d *fakeDiscovery) endWatches(unresponsive bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.unresponsive = silent
-	for _, l := range d.watches {
-		close(l)
+	d.unresponsive = unresponsive
+	for _, watch := range d.watches {
+		close(watch)
 	}
 	d.watches = nil
 }
@@ -161,14 +161,14 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zapcore.InfoLevel)
-	p, err := NewProcess(config, zap.New(core))
+	process, err := NewProcess(config, zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testProcess{Process: p, signals: make(chan os.Signal, 1), done: make(chan error, 1), logs: logs}
-	go func() { r.done <- p.Run(r.signals) }()
-	t.Cleanup(func() { r.terminate(t) })
-	return r
+	running := &testProcess{Process: process, signals: make(chan os.Signal, 1), done: make(chan error, 1), logs: logs}
+	go func() { running.done <- process.Run(running.signals) }()
+	t.Cleanup(func() { running.terminate(t) })
+	return running
 }
 
 func originConfig(listen, discovery, directory string) string {
@@ -179,9 +179,9 @@
 }
 
 func relayConfig(name, listen string, scopes []string, upstream ...string) string {
-	list := func(all []string) string { text, _ := json.Marshal(append([]string{}, all...)); return string(text) }
+	quotedList := func(items []string) string { text, _ := json.Marshal(append([]string{}, items...)); return string(text) }
 	return fmt.Sprintf("name = %q\nrole = \"relay\"\nlisten = %q\nupstream = %s\nscopes = %s\n", name, listen,
-		list(upstream), list(scopes))
+		quotedList(upstream), quotedList(scopes))
 }
 
 // held is what a subscriber holds, and every change that it received.
@@ -198,22 +198,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &testSubscriber{}
-	h.SubscriberSink = NewSubscriberSink(core, scopes, func(_ int64, changes []distribution.Change) {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.changes = append(h.changes, changes...)
+	s := &testSubscriber{}
+	s.SubscriberSink = NewSubscriberSink(core, scopes, func(_ int64, changes []distribution.Change) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.changes = append(s.changes, changes...)
 	}, zap.NewNop())
 	config.Name = "n1"
-	h.client = NewClient(config, h, zap.NewNop())
+	s.client = NewClient(config, s, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		h.client.Run(ctx)
+		s.client.Run(ctx)
 		close(done)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	return h
+	return s
 }
 
 func (h *testSubscriber) keys() (keys []string, complete bool) {
@@ -236,7 +236,7 @@
 	return n
 }
 
-func (h *testSubscriber) waitForKeys(t *testing.T, what string, keys ...string) {
+func (h *testSubscriber) waitForKeys(t *testing.T, description string, keys ...string) {
 	t.Helper()
 	var found []string
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -245,7 +245,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s: found %q, expected %q", what, found, keys)
+			t.Fatalf("%s: found %q, expected %q", description, found, keys)
 		}
 	}
 }
@@ -262,25 +262,25 @@
 }
 
 func TestDiscoveryChangesReachNodeThroughTwoRelays(t *testing.T) {
-	d, dir := newFakeDiscovery(t), t.TempDir()
-	d.setEndpoint("h1", "a", "up")
-	d.setEndpoint("h2", "b", "up")
-	d.setEndpoint("h3", "c", "up")
+	discovery, dir := newFakeDiscovery(t), t.TempDir()
+	discovery.setEndpoint("h1", "a", "up")
+	discovery.setEndpoint("h2", "b", "up")
+	discovery.setEndpoint("h3", "c", "up")
 	writeRecords(t, dir, "routes.jsonl", `{"scope":"eu1/cart","key":"route/x","body":{"to": "cart"}}`)
-	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
-	top := startProcess(t, relayConfig("top", "127.0.0.1:0", nil, o.Address()))
-	low := startProcess(t, relayConfig("low", "127.0.0.1:0", []string{"eu1/*"}, top.Address()))
-	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{low.Address()}})
-	h.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2", "eu1/cart route/x")
-	d.setEndpoint("h1", "a", "draining")
-	d.setEndpoint("h2", "b", "removed")
-	d.setEndpoint("h4", "a", "up")
+	origin := startProcess(t, originConfig("127.0.0.1:0", discovery.address, dir))
+	top := startProcess(t, relayConfig("top", "127.0.0.1:0", nil, origin.Address()))
+	bottom := startProcess(t, relayConfig("low", "127.0.0.1:0", []string{"eu1/*"}, top.Address()))
+	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{bottom.Address()}})
+	subscriber.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2", "eu1/cart route/x")
+	discovery.setEndpoint("h1", "a", "draining")
+	discovery.setEndpoint("h2", "b", "removed")
+	discovery.setEndpoint("h4", "a", "up")
 	writeRecords(t, dir, "more.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`)
-	h.waitForKeys(t, "after changes", "eu1/cart endpoint/h1", "eu1/cart endpoint/h4", "eu1/cart route/x", "eu1/cart route/y")
-	d.setEndpoint("h4", "c", "up") // another site: another region
+	subscriber.waitForKeys(t, "after changes", "eu1/cart endpoint/h1", "eu1/cart endpoint/h4", "eu1/cart route/x", "eu1/cart route/y")
+	discovery.setEndpoint("h4", "c", "up") // another site: another region
 	writeRecords(t, dir, "routes.jsonl", "")
-	h.waitForKeys(t, "after a move", "eu1/cart endpoint/h1", "eu1/cart route/y")
-	h.Inspect(func(s *distribution.Subscriber) {
+	subscriber.waitForKeys(t, "after a move", "eu1/cart endpoint/h1", "eu1/cart route/y")
+	subscriber.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
 			if r.Key == "endpoint/h1" && (r.Class != distribution.ClassWithdrawal ||
 				!strings.Contains(string(r.Body), `"health":"draining"`)) {
@@ -292,83 +292,83 @@
 
 // While discovery is away nothing is removed, also not by an origin that starts without a list.
 func TestDiscoveryOutageRemovesNothing(t *testing.T) {
-	d := newFakeDiscovery(t)
-	d.setEndpoint("h1", "a", "up")
+	discovery := newFakeDiscovery(t)
+	discovery.setEndpoint("h1", "a", "up")
 	dir := t.TempDir()
 	writeRecords(t, dir, "r.jsonl", `{"scope":"eu1/cart","key":"route/x","body":1}`)
-	text := originConfig("127.0.0.1:0", d.address, dir)
-	o := startProcess(t, text)
-	at := o.Address()
-	r := startProcess(t, relayConfig("r", "127.0.0.1:0", nil, at))
-	h := startSubscriber(t, []string{"eu1/*"}, ClientConfig{Upstreams: []string{r.Address()}})
-	h.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "eu1/cart route/x")
-	d.endWatches(true)
-	waitUntil(t, "a second call", 5*time.Second, func() bool { return o.watch.calls.Load() >= 2 })
-	o.terminate(t)
-	again := startProcess(t, strings.Replace(text, "127.0.0.1:0", at, 1))
+	config := originConfig("127.0.0.1:0", discovery.address, dir)
+	origin := startProcess(t, config)
+	address := origin.Address()
+	relay := startProcess(t, relayConfig("r", "127.0.0.1:0", nil, address))
+	subscriber := startSubscriber(t, []string{"eu1/*"}, ClientConfig{Upstreams: []string{relay.Address()}})
+	subscriber.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "eu1/cart route/x")
+	discovery.endWatches(true)
+	waitUntil(t, "a second call", 5*time.Second, func() bool { return origin.watch.calls.Load() >= 2 })
+	origin.terminate(t)
+	restarted := startProcess(t, strings.Replace(config, "127.0.0.1:0", address, 1))
 	waitUntil(t, "the relay at the origin's second life", 10*time.Second,
-		func() bool { return again.server.Stats().Subscribers == 1 })
+		func() bool { return restarted.server.Stats().Subscribers == 1 })
 	writeRecords(t, dir, "s.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`) // what it does know comes through
 	waitUntil(t, "a record of the second life", 10*time.Second, func() bool {
-		keys, _ := h.keys()
+		keys, _ := subscriber.keys()
 		return slices.Contains(keys, "eu1/cart route/y")
 	})
-	if keys, _ := h.keys(); !slices.Contains(keys, "eu1/cart endpoint/h1") || h.deletionCount() != 0 {
-		t.Fatalf("an origin without a list took something away: %q, %d gone", keys, h.deletionCount())
-	}
-	d.mu.Lock()
-	delete(d.hosts, "h1")
-	d.hosts["h2"] = endpointJSON("h2", "a", "up")
-	d.version += 10
-	d.mu.Unlock()
-	d.endWatches(false) // calls that are out end by themselves
-	h.waitForKeys(t, "with discovery back", "eu1/cart endpoint/h2", "eu1/cart route/x", "eu1/cart route/y")
+	if keys, _ := subscriber.keys(); !slices.Contains(keys, "eu1/cart endpoint/h1") || subscriber.deletionCount() != 0 {
+		t.Fatalf("an origin without a list took something away: %q, %d gone", keys, subscriber.deletionCount())
+	}
+	discovery.mu.Lock()
+	delete(discovery.hosts, "h1")
+	discovery.hosts["h2"] = endpointJSON("h2", "a", "up")
+	discovery.version += 10
+	discovery.mu.Unlock()
+	discovery.endWatches(false) // calls that are out end by themselves
+	subscriber.waitForKeys(t, "with discovery back", "eu1/cart endpoint/h2", "eu1/cart route/x", "eu1/cart route/y")
 }
 
 // A relay that restarts empty while its upstream is away sends no removals, and nothing twice.
 func TestRestartedRelayRemovesNothing(t *testing.T) {
-	d, dir := newFakeDiscovery(t), t.TempDir()
+	discovery, dir := newFakeDiscovery(t), t.TempDir()
 	for i := range 50 {
-		d.setEndpoint(fmt.Sprintf("h%02d", i), "a", "up")
-	}
-	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
-	r := startProcess(t, relayConfig("r", "127.0.0.1:0", nil, o.Address()))
-	at := r.Address()
-	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{at}})
-	waitUntil(t, "all fifty", 10*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == 50 })
-	r.terminate(t)
-	originAt := o.Address()
-	o.terminate(t)
-	empty := startProcess(t, relayConfig("r", at, nil, originAt))
+		discovery.setEndpoint(fmt.Sprintf("h%02d", i), "a", "up")
+	}
+	origin := startProcess(t, originConfig("127.0.0.1:0", discovery.address, dir))
+	relay := startProcess(t, relayConfig("r", "127.0.0.1:0", nil, origin.Address()))
+	address := relay.Address()
+	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{address}})
+	waitUntil(t, "all fifty", 10*time.Second, func() bool { keys, complete := subscriber.keys(); return complete && len(keys) == 50 })
+	relay.terminate(t)
+	originAddress := origin.Address()
+	origin.terminate(t)
+	empty := startProcess(t, relayConfig("r", address, nil, originAddress))
 	waitUntil(t, "the node at the empty relay", 10*time.Second, func() bool { return empty.server.Stats().Subscribers == 1 })
 	waitUntil(t, "frames of the empty relay", 10*time.Second, func() bool { return empty.server.Stats().Frames >= 2 })
-	if keys, _ := h.keys(); len(keys) != 50 || h.deletionCount() != 0 {
-		t.Fatalf("an empty relay took something away: %d left, %d gone", len(keys), h.deletionCount())
+	if keys, _ := subscriber.keys(); len(keys) != 50 || subscriber.deletionCount() != 0 {
+		t.Fatalf("an empty relay took something away: %d left, %d gone", len(keys), subscriber.deletionCount())
 	}
-	d.setEndpoint("h00", "a", "removed")
-	startProcess(t, originConfig(originAt, d.address, dir))
+	discovery.setEndpoint("h00", "a", "removed")
+	startProcess(t, originConfig(originAddress, discovery.address, dir))
 	// The subscriber's keys change a moment before the change is recorded, so both are awaited.
 	waitUntil(t, "what is left", 15*time.Second, func() bool {
-		keys, _ := h.keys()
-		return len(keys) == 49 && h.deletionCount() >= 1
+		keys, _ := subscriber.keys()
+		return len(keys) == 49 && subscriber.deletionCount() >= 1
 	})
-	if h.deletionCount() != 1 {
-		t.Errorf("%d records gone, expected 1", h.deletionCount())
+	if subscriber.deletionCount() != 1 {
+		t.Errorf("%d records gone, expected 1", subscriber.deletionCount())
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(h.changes) != 51 {
-		t.Errorf("%d changes, expected 51: fifty put, one removed", len(h.changes))
+	subscriber.mu.Lock()
+	defer subscriber.mu.Unlock()
+	if len(subscriber.changes) != 51 {
+		t.Errorf("%d changes, expected 51: fifty put, one removed", len(subscriber.changes))
 	}
 }
 
 // Of two relays one fails and one is stopped, and the node still gets the origin's changes.
 func TestNodeFailsOverToOtherRelays(t *testing.T) {
-	d, dir := newFakeDiscovery(t), t.TempDir()
-	d.setEndpoint("h0", "a", "up")
-	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
-	a := startProcess(t, relayConfig("a", "127.0.0.1:0", nil, o.Address()))
-	b := startProcess(t, relayConfig("b", "127.0.0.1:0", nil, o.Address()))
+	discovery, dir := newFakeDiscovery(t), t.TempDir()
+	discovery.setEndpoint("h0", "a", "up")
+	origin := startProcess(t, originConfig("127.0.0.1:0", discovery.address, dir))
+	a := startProcess(t, relayConfig("a", "127.0.0.1:0", nil, origin.Address()))
+	b := startProcess(t, relayConfig("b", "127.0.0.1:0", nil, origin.Address()))
 	waitUntil(t, "both relays fresh", 10*time.Second, func() bool {
 		fresh := true
 		for _, r := range []*testProcess{a, b} {
@@ -376,101 +376,101 @@
 		}
 		return fresh
 	})
-	way, freeze := startFreezableProxy(t, b.Address())
-	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), way, b.Address()}})
-	h.waitForKeys(t, "at first", "eu1/cart endpoint/h0")
+	proxy, freeze := startFreezableProxy(t, b.Address())
+	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), proxy, b.Address()}})
+	subscriber.waitForKeys(t, "at first", "eu1/cart endpoint/h0")
 	a.terminate(t)
 	began := time.Now()
-	d.setEndpoint("h1", "a", "up")
-	h.waitForKeys(t, "by the second", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1")
+	discovery.setEndpoint("h1", "a", "up")
+	subscriber.waitForKeys(t, "by the second", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1")
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("received %v after the first one was killed, expected a second at most", took)
 	}
 	freeze()
 	began = time.Now()
-	d.setEndpoint("h2", "a", "up")
-	h.waitForKeys(t, "by the third way", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2")
+	discovery.setEndpoint("h2", "a", "up")
+	subscriber.waitForKeys(t, "by the third way", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2")
 	if took := time.Since(began); took > 6*time.Second {
 		t.Errorf("received %v after the second one was stopped, expected 6 s at most", took)
 	}
-	if h.deletionCount() != 0 || len(h.changes) != 3 {
-		t.Errorf("%d changes, %d of them gone; expected 3 and none", len(h.changes), h.deletionCount())
+	if subscriber.deletionCount() != 0 || len(subscriber.changes) != 3 {
+		t.Errorf("%d changes, %d of them gone; expected 3 and none", len(subscriber.changes), subscriber.deletionCount())
 	}
 }
 
 // A relay that is empty, and receives nothing, is left for another.
 func TestClientLeavesEmptyRelay(t *testing.T) {
-	d, dir := newFakeDiscovery(t), t.TempDir()
-	d.setEndpoint("h", "a", "up")
-	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
+	discovery, dir := newFakeDiscovery(t), t.TempDir()
+	discovery.setEndpoint("h", "a", "up")
+	origin := startProcess(t, originConfig("127.0.0.1:0", discovery.address, dir))
 	empty := startProcess(t, relayConfig("empty", "127.0.0.1:0", nil, "127.0.0.1:1"))
 	other := startProcess(t, relayConfig("other", "127.0.0.1:0", nil, "127.0.0.1:1"))
-	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{
+	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{
 		Upstreams: []string{empty.Address(), other.Address()},
 		MaxLag:    500 * time.Millisecond, FailbackDelay: time.Hour,
 	})
-	waitUntil(t, "the first relay left", 10*time.Second, func() bool { return h.client.Stats().Lagging >= 2 })
-	at := other.Address()
+	waitUntil(t, "the first relay left", 10*time.Second, func() bool { return subscriber.client.Stats().Lagging >= 2 })
+	address := other.Address()
 	other.terminate(t)
-	startProcess(t, relayConfig("other", at, nil, o.Address()))
-	h.waitForKeys(t, "what the other has", "eu1/cart endpoint/h")
+	startProcess(t, relayConfig("other", address, nil, origin.Address()))
+	subscriber.waitForKeys(t, "what the other has", "eu1/cart endpoint/h")
 }
 
 // A relay that sends at its pace is not left, during a snapshot or a burst of changes.
 func TestClientKeepsPacedRelay(t *testing.T) {
-	const hosts = 150
-	d, dir := newFakeDiscovery(t), t.TempDir()
-	set := func(health string) {
-		for i := range hosts {
-			d.setEndpoint(fmt.Sprintf("h%03d", i), "a", health)
+	const endpointCount = 150
+	discovery, dir := newFakeDiscovery(t), t.TempDir()
+	setAll := func(state string) {
+		for i := range endpointCount {
+			discovery.setEndpoint(fmt.Sprintf("h%03d", i), "a", state)
 		}
 	}
-	set("up")
-	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
-	one := startProcess(t, relayConfig("one", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
-	two := startProcess(t, relayConfig("two", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
+	setAll("up")
+	origin := startProcess(t, originConfig("127.0.0.1:0", discovery.address, dir))
+	one := startProcess(t, relayConfig("one", "127.0.0.1:0", nil, origin.Address())+"pace = 6000\n")
+	two := startProcess(t, relayConfig("two", "127.0.0.1:0", nil, origin.Address())+"pace = 6000\n")
 	waitUntil(t, "both relays fresh", 10*time.Second, func() bool {
 		fresh := true
 		for _, r := range []*testProcess{one, two} {
-			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) && r.relay.Stats().Records > hosts })
+			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) && r.relay.Stats().Records > endpointCount })
 		}
 		return fresh
 	})
-	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{
+	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{
 		Upstreams: []string{one.Address(), two.Address()},
 		MaxLag:    500 * time.Millisecond,
 	})
 	waitUntil(t, "all of it", 20*time.Second, func() bool {
-		keys, complete := h.keys()
-		return complete && len(keys) == hosts
+		keys, complete := subscriber.keys()
+		return complete && len(keys) == endpointCount
 	})
-	set("draining")
+	setAll("draining")
 	waitUntil(t, "the burst", 20*time.Second, func() bool {
-		drains := 0
-		h.Inspect(func(s *distribution.Subscriber) {
+		draining := 0
+		subscriber.Inspect(func(s *distribution.Subscriber) {
 			s.Each(func(r distribution.Record) {
 				if r.Class == distribution.ClassWithdrawal {
-					drains++
+					draining++
 				}
 			})
 		})
-		return drains == hosts
+		return draining == endpointCount
 	})
-	if s := h.client.Stats(); s.Lagging != 0 || s.Connects != 1 {
+	if s := subscriber.client.Stats(); s.Lagging != 0 || s.Connects != 1 {
 		t.Errorf("%+v: left a relay that sent all the time", s)
 	}
 }
 
 func TestProcessLogsCountersAndStops(t *testing.T) {
-	d, dir := newFakeDiscovery(t), t.TempDir()
-	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
-	startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{o.Address()}})
-	waitUntil(t, "a subscriber", 10*time.Second, func() bool { return o.server.Stats().Subscribers == 1 })
-	o.signals <- syscall.SIGUSR1
-	waitUntil(t, "the counters", 5*time.Second, func() bool { return o.logs.FilterMessage("counters asked for").Len() == 1 })
-	o.terminate(t)
-	if o.logs.FilterMessage("counters at exit").Len() != 1 || o.server.Stats().Subscribers != 0 {
-		t.Errorf("no counters at the end, or subscribers left: %+v", o.server.Stats())
+	discovery, dir := newFakeDiscovery(t), t.TempDir()
+	origin := startProcess(t, originConfig("127.0.0.1:0", discovery.address, dir))
+	startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{origin.Address()}})
+	waitUntil(t, "a subscriber", 10*time.Second, func() bool { return origin.server.Stats().Subscribers == 1 })
+	origin.signals <- syscall.SIGUSR1
+	waitUntil(t, "the counters", 5*time.Second, func() bool { return origin.logs.FilterMessage("counters asked for").Len() == 1 })
+	origin.terminate(t)
+	if origin.logs.FilterMessage("counters at exit").Len() != 1 || origin.server.Stats().Subscribers != 0 {
+		t.Errorf("no counters at the end, or subscribers left: %+v", origin.server.Stats())
 	}
 }
 
@@ -522,13 +522,13 @@
 	}
 	a, first := serve(newer)
 	b, second := serve(older)
-	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a, b}})
-	h.waitForKeys(t, "at first", "eu1/cart route/x")
+	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a, b}})
+	subscriber.waitForKeys(t, "at first", "eu1/cart route/x")
 	if err := first.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, "frames of the older", 10*time.Second, func() bool { return second.Stats().Frames >= 2 })
-	h.Inspect(func(s *distribution.Subscriber) {
+	subscriber.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
 			if string(r.Body) != "new" {
 				t.Errorf("went back to %s", r.Body)
@@ -540,66 +540,66 @@
 func TestConfigurationFilesAreAtomic(t *testing.T) {
 	dir := t.TempDir()
 	core, logs := observer.New(zapcore.WarnLevel)
-	d := newConfigDirectory(dir, zap.New(core))
-	look := func(what string, complete bool, expected ...string) {
+	directory := newConfigDirectory(dir, zap.New(core))
+	scanAndCheck := func(description string, complete bool, expected ...string) {
 		t.Helper()
-		changes, is := d.scan()
+		changes, gotComplete := directory.scan()
 		found := []string{}
-		for _, c := range changes {
+		for _, change := range changes {
 			sign := "+"
-			if c.Deleted {
+			if change.Deleted {
 				sign = "-"
 			}
-			found = append(found, sign+c.Key+string(c.Body))
+			found = append(found, sign+change.Key+string(change.Body))
 		}
 		slices.Sort(found)
-		if is != complete || !slices.Equal(found, append([]string{}, expected...)) {
-			t.Errorf("%s: %v %q, expected %v %q", what, is, found, complete, expected)
+		if gotComplete != complete || !slices.Equal(found, append([]string{}, expected...)) {
+			t.Errorf("%s: %v %q, expected %v %q", description, gotComplete, found, complete, expected)
 		}
 	}
-	look("nothing there", true)
+	scanAndCheck("nothing there", true)
 	writeRecords(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b": 1}}`, "",
 		`{"scope":"s","key":"route/2","body":2}`)
 	writeRecords(t, dir, "b.txt", "not ours")
-	look("a file", true, `+route/1{"b":1}`, "+route/22")
-	look("the same", true)
+	scanAndCheck("a file", true, `+route/1{"b":1}`, "+route/22")
+	scanAndCheck("the same", true)
 	writeRecords(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b":1}}`, `{"scope":"s","key":"route/2","body":3}`)
-	look("one changed", true, "+route/23")
-	for i, bad := range []string{
+	scanAndCheck("one changed", true, "+route/23")
+	for i, text := range []string{
 		`{"scope":"s","key":"route/1"`, `[]`, `{"scope":"","key":"route/1","body":1}`, `{"scope":"s","key":"endpoint/1","body":1}`,
 		`{"scope":"s","key":"route/1","body":1,"extra":2}`, `{"scope":"s","key":"route/1","body":1} {}`, `{"scope":"s","key":"route/1"}`,
 		`{"scope":"s","key":"route","body":1}`,
 		`{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBodyBytes) + `"}`,
 		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`, strings.Repeat("x", maxLineBytes+1),
 	} {
-		writeRecords(t, dir, "a.jsonl", bad)
+		writeRecords(t, dir, "a.jsonl", text)
 		before := logs.Len()
-		look(fmt.Sprintf("bad %d", i), true)
-		look(fmt.Sprintf("bad %d again", i), true)
+		scanAndCheck(fmt.Sprintf("bad %d", i), true)
+		scanAndCheck(fmt.Sprintf("bad %d again", i), true)
 		if n := logs.Len() - before; n != 1 {
 			t.Errorf("bad %d: %d complaints, expected one", i, n)
 		}
-		if e := logs.All()[logs.Len()-1].ContextMap()["error"].(string); !strings.Contains(e, "a.jsonl: line ") ||
-			!strings.Contains(e, ": expected ") {
-			t.Errorf("bad %d: complaint without file, line and what was expected: %s", i, e)
+		if message := logs.All()[logs.Len()-1].ContextMap()["error"].(string); !strings.Contains(message, "a.jsonl: line ") ||
+			!strings.Contains(message, ": expected ") {
+			t.Errorf("bad %d: complaint without file, line and what was expected: %s", i, message)
 		}
 	}
 	writeRecords(t, dir, "c.jsonl", `{"scope":"s","key":"route/2","body":9}`)
-	look("a record that another file has", true)
+	scanAndCheck("a record that another file has", true)
 	writeRecords(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b":1}}`)
-	look("the other lets go", true, "+route/29", "-route/2")
+	scanAndCheck("the other lets go", true, "+route/29", "-route/2")
 	if err := os.Remove(filepath.Join(dir, "a.jsonl")); err != nil {
 		t.Fatal(err)
 	}
-	look("a file that went", true, "-route/1")
+	scanAndCheck("a file that went", true, "-route/1")
 	if err := os.Remove(filepath.Join(dir, "c.jsonl")); err != nil {
 		t.Fatal(err)
 	}
-	look("an empty directory", false)
+	scanAndCheck("an empty directory", false)
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	look("no directory", false)
+	scanAndCheck("no directory", false)
 }
 
 func TestParseConfigReportsAllErrors(t *testing.T) {
@@ -607,7 +607,7 @@
 	if err == nil {
 		t.Fatal("no complaint")
 	}
-	for _, part := range []string{
+	for _, want := range []string{
 		"r.toml: what: expected a key of docs/operate/relay.md, found an unknown one in line 7",
 		`r.toml: name: expected a name of up to 255 bytes, found ""`,
 		`r.toml: listen: expected an address and a port, found "here"`,
@@ -618,8 +618,8 @@
 		"r.toml: limits.records: expected a number from 0, which stands for the default, found -1",
 		"r.toml: origin: expected none, as role is not origin, found a table",
 	} {
-		if !strings.Contains(err.Error(), part) {
-			t.Errorf("lacks %q in\n%v", part, err)
+		if !strings.Contains(err.Error(), want) {
+			t.Errorf("lacks %q in\n%v", want, err)
 		}
 	}
 	_, err = ParseConfig("o.toml", []byte("name = \"o\"\nrole = \"origin\"\nlisten = \"127.0.0.1:1\"\nupstream = [\"127.0.0.1:2\"]\n[origin]\ndiscovery = \"d\"\nevery = \"1ms\"\n"+
@@ -627,7 +627,7 @@
 	if err == nil {
 		t.Fatal("no complaint")
 	}
-	for _, part := range []string{
+	for _, want := range []string{
 		"o.toml: upstream: expected none, as role is origin, found 1",
 		`o.toml: origin.discovery: expected an address and a port, found "d"`,
 		`o.toml: origin.every: expected a time from 50ms to 1h, found "1ms"`,
@@ -635,8 +635,8 @@
 		`o.toml: origin.scope.region: expected a name of up to 127 bytes without / and *, found "a/b"`,
 		"expected sites of one region each, found \"1\"",
 	} {
-		if !strings.Contains(err.Error(), part) {
-			t.Errorf("lacks %q in\n%v", part, err)
+		if !strings.Contains(err.Error(), want) {
+			t.Errorf("lacks %q in\n%v", want, err)
 		}
 	}
 	if _, err := ParseConfig("o.toml", []byte("name = [")); err == nil ||
@@ -647,28 +647,28 @@
 
 // A host's scope comes from its site and its name; one that has none is skipped, and nothing else is.
 func TestScopeOfEndpoint(t *testing.T) {
-	s := ScopeRule{ServiceFrom: "host", regionByZone: map[string]string{"a": "eu1"}}
-	for in, expected := range map[[2]string]string{
+	rule := ScopeRule{ServiceFrom: "host", regionByZone: map[string]string{"a": "eu1"}}
+	for endpoint, expected := range map[[2]string]string{
 		{"svc-12-h7", "a"}: "eu1/svc-12", {"h7", "a"}: "",
 		{"svc-1", "z"}: "", {"-1", "a"}: "",
 	} {
-		if got := s.scopeOf(in[0], in[1]); got != expected {
-			t.Errorf("%q: %q, expected %q", in, got, expected)
+		if got := rule.scopeOf(endpoint[0], endpoint[1]); got != expected {
+			t.Errorf("%q: %q, expected %q", endpoint, got, expected)
 		}
 	}
-	s = ScopeRule{Service: "cart", Region: "far", regionByZone: map[string]string{"a": "eu1"}}
-	if a, z := s.scopeOf("h", "a"), s.scopeOf("h", "z"); a != "eu1/cart" || z != "far/cart" {
+	rule = ScopeRule{Service: "cart", Region: "far", regionByZone: map[string]string{"a": "eu1"}}
+	if a, z := rule.scopeOf("h", "a"), rule.scopeOf("h", "z"); a != "eu1/cart" || z != "far/cart" {
 		t.Errorf("%q, %q", a, z)
 	}
-	d, dir := newFakeDiscovery(t), t.TempDir()
-	d.setEndpoint("h1", "a", "up")
-	d.setEndpoint("h2", "unknown", "up")
-	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
-	h := startSubscriber(t, []string{"*"}, ClientConfig{Upstreams: []string{o.Address()}})
-	h.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "origin list/discovery")
-	if o.watch.skipped.Load() != 1 {
-		t.Errorf("%d entries skipped, expected 1", o.watch.skipped.Load())
-	}
-	d.setEndpoint("h1", "a", "removed")
-	h.waitForKeys(t, "after that", "origin list/discovery")
+	discovery, dir := newFakeDiscovery(t), t.TempDir()
+	discovery.setEndpoint("h1", "a", "up")
+	discovery.setEndpoint("h2", "unknown", "up")
+	origin := startProcess(t, originConfig("127.0.0.1:0", discovery.address, dir))
+	subscriber := startSubscriber(t, []string{"*"}, ClientConfig{Upstreams: []string{origin.Address()}})
+	subscriber.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "origin list/discovery")
+	if origin.watch.skipped.Load() != 1 {
+		t.Errorf("%d entries skipped, expected 1", origin.watch.skipped.Load())
+	}
+	discovery.setEndpoint("h1", "a", "removed")
+	subscriber.waitForKeys(t, "after that", "origin list/discovery")
 }
--- a/internal/relay/recordfile.go
+++ b/internal/relay/recordfile.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	name := recordName{record.Scope, record.Key}
-	if _, twice := records[name]; twice {
+	if _, duplicate := records[name]; duplicate {
 		return fmt.Errorf("a record once, found scope %q, key %q again", record.Scope, record.Key)
 	}
 	if err := check(name); err != nil {
@@ -78,28 +78,28 @@
 
 // parseRecord parses a record. An error says what was expected, and what was found.
 func parseRecord(text []byte) (distribution.Record, error) {
-	var none distribution.Record
+	var empty distribution.Record
 	var line recordLine
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&line); err != nil {
-		return none, fmt.Errorf("an object with scope, key and body, found %w", err)
+		return empty, fmt.Errorf("an object with scope, key and body, found %w", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return none, errors.New("one object a line, found more")
+		return empty, errors.New("one object a line, found more")
 	}
 	if err := line.checkName(); err != nil {
-		return none, err
+		return empty, err
 	}
 	if len(line.Body) == 0 {
-		return none, errors.New("body: any JSON, found none")
+		return empty, errors.New("body: any JSON, found none")
 	}
 	var body bytes.Buffer
 	if err := json.Compact(&body, line.Body); err != nil {
-		return none, err
+		return empty, err
 	}
 	if body.Len() > distribution.MaxBodyBytes {
-		return none, fmt.Errorf("body: at most %d bytes, found %d", distribution.MaxBodyBytes, body.Len())
+		return empty, fmt.Errorf("body: at most %d bytes, found %d", distribution.MaxBodyBytes, body.Len())
 	}
 	return distribution.Record{
 		Scope: line.Scope,
--- a/internal/relay/records.go
+++ b/internal/relay/records.go
@@ -19,7 +19,7 @@
 )
 
 // EndpointKey returns the key of a host's record.
-func EndpointKey(host string) string { return KindEndpoint + "/" + host }
+func EndpointKey(name string) string { return KindEndpoint + "/" + name }
 
 // EndpointName returns the host that a record's key names; false: it is no endpoint's.
 func EndpointName(key string) (string, bool) { return strings.CutPrefix(key, KindEndpoint+"/") }
--- a/internal/relay/tcp_test.go
+++ b/internal/relay/tcp_test.go
@@ -48,26 +48,26 @@
 func (f *numberedFeed) Detach(id int) { delete(f.subscribers, id) }
 
 func (f *numberedFeed) Next(now int64, id int) ([]byte, int64) {
-	p := f.subscribers[id]
-	if p == nil {
+	position := f.subscribers[id]
+	if position == nil {
 		return nil, now + int64(time.Hour)
 	}
-	if p.lastSent < f.last {
-		p.lastSent++
-		p.lastFrameNs = now
-		return append(binary.BigEndian.AppendUint64(nil, p.lastSent), make([]byte, f.paddingBytes)...), 0
+	if position.lastSent < f.last {
+		position.lastSent++
+		position.lastFrameNs = now
+		return append(binary.BigEndian.AppendUint64(nil, position.lastSent), make([]byte, f.paddingBytes)...), 0
 	}
-	if now-p.lastFrameNs >= int64(100*time.Millisecond) {
-		p.lastFrameNs = now
+	if now-position.lastFrameNs >= int64(100*time.Millisecond) {
+		position.lastFrameNs = now
 		return []byte("beat"), 0
 	}
-	return nil, p.lastFrameNs + int64(100*time.Millisecond)
+	return nil, position.lastFrameNs + int64(100*time.Millisecond)
 }
 
 func (f *numberedFeed) Ready() []int {
-	r := f.ready
+	ready := f.ready
 	f.ready = nil
-	return r
+	return ready
 }
 
 func (f *numberedFeed) add(n uint64) {
@@ -128,11 +128,11 @@
 	}
 }
 
-func waitUntil(t *testing.T, what string, within time.Duration, holds func() bool) {
+func waitUntil(t *testing.T, description string, within time.Duration, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !holds(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never came within %v: %s", within, what)
+	for deadline := time.Now().Add(within); !condition(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("never came within %v: %s", within, description)
 		}
 	}
 }
@@ -153,15 +153,15 @@
 	_ = s.Close(ctx) // a connection that does not end fails the test that looks at it
 }
 
-func startServerAt(t *testing.T, at string, feed *numberedFeed, set ServerConfig) *testServer {
+func startServerAt(t *testing.T, address string, feed *numberedFeed, config ServerConfig) *testServer {
 	t.Helper()
-	l, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &testServer{Server: NewServer(feed, set, zap.NewNop()), feed: feed, listener: l, address: l.Addr().String()}
+	s := &testServer{Server: NewServer(feed, config, zap.NewNop()), feed: feed, listener: listener, address: listener.Addr().String()}
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(l) }()
+	go func() { served <- s.Serve(listener) }()
 	t.Cleanup(func() {
 		if err := <-served; err != nil {
 			t.Error(err)
@@ -172,25 +172,25 @@
 }
 
 // sendHello sends a hello that the feed of a station takes.
-func sendHello(t *testing.T, c net.Conn) {
+func sendHello(t *testing.T, conn net.Conn) {
 	t.Helper()
-	if err := writeFrame(c, make([]byte, 8)); err != nil {
+	if err := writeFrame(conn, make([]byte, 8)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func startServer(t *testing.T, set ServerConfig) *testServer {
-	return startServerAt(t, "127.0.0.1:0", newNumberedFeed(), set)
+func startServer(t *testing.T, config ServerConfig) *testServer {
+	return startServerAt(t, "127.0.0.1:0", newNumberedFeed(), config)
 }
 
-func startClient(t *testing.T, set ClientConfig) (*Client, *numberedSink) {
+func startClient(t *testing.T, config ClientConfig) (*Client, *numberedSink) {
 	t.Helper()
 	sink := &numberedSink{t: t}
-	c := NewClient(set, sink, zap.NewNop())
+	client := NewClient(config, sink, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		c.Run(ctx)
+		client.Run(ctx)
 		close(done)
 	}()
 	t.Cleanup(func() {
@@ -202,14 +202,14 @@
 		}
 		sink.checkOrder()
 	})
-	return c, sink
+	return client, sink
 }
 
 func TestFramesArriveOnceInOrder(t *testing.T) {
-	s := startServer(t, ServerConfig{})
-	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{s.address}})
+	server := startServer(t, ServerConfig{})
+	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{server.address}})
 	for range 20 {
-		s.add(50)
+		server.add(50)
 	}
 	waitUntil(t, "all frames", 5*time.Second, func() bool { return sink.lastNumber() == 1000 })
 }
@@ -243,20 +243,20 @@
 
 // freezing passes bytes between a client and an upstream until it is stopped: from then on it neither reads nor
 // writes, and closes nothing.
-func startFreezableProxy(t *testing.T, to string) (at string, freeze func()) {
+func startFreezableProxy(t *testing.T, upstreamAddress string) (address string, freeze func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var still atomic.Bool
+	var frozen atomic.Bool
 	stop := make(chan struct{})
 	t.Cleanup(func() { l.Close(); close(stop) })
-	pass := func(dst, src net.Conn) {
+	forward := func(dst, src net.Conn) {
 		buffer := make([]byte, 4096)
 		for {
 			n, err := src.Read(buffer)
-			if still.Load() {
+			if frozen.Load() {
 				<-stop
 			}
 			if err != nil {
@@ -272,30 +272,30 @@
 			if err != nil {
 				return
 			}
-			if still.Load() {
+			if frozen.Load() {
 				go func() { <-stop; c.Close() }()
 				continue
 			}
-			up, err := net.Dial("tcp", to)
+			up, err := net.Dial("tcp", upstreamAddress)
 			if err != nil {
 				c.Close()
 				continue
 			}
-			go pass(c, up)
-			go pass(up, c)
+			go forward(c, up)
+			go forward(up, c)
 		}
 	}()
-	return l.Addr().String(), func() { still.Store(true) }
+	return l.Addr().String(), func() { frozen.Store(true) }
 }
 
 func TestClientLeavesStoppedUpstream(t *testing.T) {
 	a, b := startServer(t, ServerConfig{}), startServer(t, ServerConfig{})
 	a.add(10)
 	b.add(10)
-	still := listenFrozen(t)
-	way, freeze := startFreezableProxy(t, a.address)
+	stopped := listenFrozen(t)
+	proxy, freeze := startFreezableProxy(t, a.address)
 	// The second one is stopped too, from the start: it is skipped as it does not greet.
-	c, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{way, still, b.address}})
+	client, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{proxy, stopped, b.address}})
 	waitUntil(t, "the first ten", 5*time.Second, func() bool { return sink.lastNumber() == 10 })
 	freeze()
 	began := time.Now()
@@ -305,7 +305,7 @@
 	if took := time.Since(began); took > 6*time.Second {
 		t.Errorf("received after %v, expected 6 s at most", took)
 	}
-	if s := c.Stats(); s.Silent != 1 {
+	if s := client.Stats(); s.Silent != 1 {
 		t.Errorf("silent = %d, expected 1", s.Silent)
 	}
 }
@@ -314,37 +314,37 @@
 	a, b := startServer(t, ServerConfig{}), startServer(t, ServerConfig{})
 	a.add(3)
 	b.add(3)
-	c, sink := startClient(t, ClientConfig{
+	client, sink := startClient(t, ClientConfig{
 		Name: "n", Upstreams: []string{a.address, b.address},
 		FailbackDelay: 200 * time.Millisecond,
 	})
 	waitUntil(t, "the first three", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
-	at := a.address
+	address := a.address
 	a.stop()
 	b.add(3)
 	waitUntil(t, "three by the second", 5*time.Second, func() bool { return sink.lastNumber() == 6 })
-	again := startServerAt(t, at, newNumberedFeed(), ServerConfig{})
-	again.add(6)
-	waitUntil(t, "the return", 5*time.Second, func() bool { return c.Stats().Failbacks == 1 })
-	again.add(3)
+	restarted := startServerAt(t, address, newNumberedFeed(), ServerConfig{})
+	restarted.add(6)
+	waitUntil(t, "the return", 5*time.Second, func() bool { return client.Stats().Failbacks == 1 })
+	restarted.add(3)
 	waitUntil(t, "three by the first", 5*time.Second, func() bool { return sink.lastNumber() == 9 })
 	waitUntil(t, "that the second one notices", 5*time.Second, func() bool { return b.Stats().Subscribers == 0 })
 }
 
 // There is no failback to a first choice that is stopped or not fresh.
 func TestNoFailbackToUnusableFirstChoice(t *testing.T) {
-	lacking := startServer(t, ServerConfig{Fresh: func() bool { return false }})
-	lacking.add(3)
+	stale := startServer(t, ServerConfig{Fresh: func() bool { return false }})
+	stale.add(3)
 	b := startServer(t, ServerConfig{})
 	b.add(3)
-	for name, first := range map[string]string{"frozen": listenFrozen(t), "lacking": lacking.address} {
-		c, sink := startClient(t, ClientConfig{
+	for name, first := range map[string]string{"frozen": listenFrozen(t), "lacking": stale.address} {
+		client, sink := startClient(t, ClientConfig{
 			Name: name, Upstreams: []string{first, b.address},
 			FailbackDelay: 100 * time.Millisecond,
 		})
 		waitUntil(t, "three by the second", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
-		waitUntil(t, "tries to go back", 10*time.Second, func() bool { return c.Stats().Dials >= 4 })
-		if s := c.Stats(); s.Failbacks != 0 || s.Connects != 1 {
+		waitUntil(t, "tries to go back", 10*time.Second, func() bool { return client.Stats().Dials >= 4 })
+		if s := client.Stats(); s.Failbacks != 0 || s.Connects != 1 {
 			t.Errorf("%s: %+v: expected no return and one connection", name, s)
 		}
 	}
@@ -352,20 +352,20 @@
 
 // Where no upstream is fresh, one that is not is better than none.
 func TestClientUsesStaleUpstreamAsLastResort(t *testing.T) {
-	lacking := startServer(t, ServerConfig{Fresh: func() bool { return false }})
-	lacking.add(3)
-	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{"127.0.0.1:1", lacking.address}})
+	stale := startServer(t, ServerConfig{Fresh: func() bool { return false }})
+	stale.add(3)
+	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{"127.0.0.1:1", stale.address}})
 	waitUntil(t, "three by the one that lacks something", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
 }
 
 func TestClientLeavesLaggingUpstream(t *testing.T) {
 	a, b := startServer(t, ServerConfig{}), startServer(t, ServerConfig{})
-	c, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{a.address, b.address}, MaxLag: 150 * time.Millisecond})
+	client, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{a.address, b.address}, MaxLag: 150 * time.Millisecond})
 	waitUntil(t, "a connection", 5*time.Second, func() bool { return a.Stats().Subscribers == 1 })
 	sink.lag.Store(int64(time.Second))
 	waitUntil(t, "the move", 5*time.Second, func() bool { return b.Stats().Subscribers == 1 })
 	time.Sleep(600 * time.Millisecond) // as far behind: moving on would not help, and is put off
-	if s := c.Stats(); s.Lagging != 1 || s.Connects != 2 {
+	if s := client.Stats(); s.Lagging != 1 || s.Connects != 2 {
 		t.Errorf("%+v: expected one move", s)
 	}
 }
@@ -373,8 +373,8 @@
 func TestSlowSubscriberIsDisconnected(t *testing.T) {
 	feed := newNumberedFeed()
 	feed.paddingBytes = 60 << 10
-	s := startServerAt(t, "127.0.0.1:0", feed, ServerConfig{WriteTimeout: 300 * time.Millisecond})
-	slow, err := net.Dial("tcp", s.address)
+	server := startServerAt(t, "127.0.0.1:0", feed, ServerConfig{WriteTimeout: 300 * time.Millisecond})
+	slow, err := net.Dial("tcp", server.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -383,25 +383,25 @@
 		t.Fatal(err)
 	}
 	sendHello(t, slow)
-	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{s.address}})
-	waitUntil(t, "both", 5*time.Second, func() bool { return s.Stats().Subscribers == 2 })
-	s.add(500) // 30 MB, of which the system holds a few hundred KB for the slow one
+	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{server.address}})
+	waitUntil(t, "both", 5*time.Second, func() bool { return server.Stats().Subscribers == 2 })
+	server.add(500) // 30 MB, of which the system holds a few hundred KB for the slow one
 	waitUntil(t, "all frames at the other", 10*time.Second, func() bool { return sink.lastNumber() == 500 })
 	waitUntil(t, "the end of the slow one", 10*time.Second,
-		func() bool { st := s.Stats(); return st.Slow == 1 && st.Subscribers == 1 })
+		func() bool { stats := server.Stats(); return stats.Slow == 1 && stats.Subscribers == 1 })
 }
 
 // A frame over the limit ends that connection alone.
 func TestOversizedFrameEndsOneConnection(t *testing.T) {
-	s := startServer(t, ServerConfig{})
-	long, err := net.Listen("tcp", "127.0.0.1:0")
+	server := startServer(t, ServerConfig{})
+	oversized, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer long.Close()
+	defer oversized.Close()
 	go func() {
 		for {
-			c, err := long.Accept()
+			c, err := oversized.Accept()
 			if err != nil {
 				return
 			}
@@ -412,16 +412,16 @@
 			c.Close()
 		}
 	}()
-	c, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{long.Addr().String(), s.address}})
-	_, other := startClient(t, ClientConfig{Name: "m", Upstreams: []string{s.address}})
-	s.add(3)
+	c, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{oversized.Addr().String(), server.address}})
+	_, other := startClient(t, ClientConfig{Name: "m", Upstreams: []string{server.address}})
+	server.add(3)
 	waitUntil(t, "three by the next upstream", 5*time.Second, func() bool { return sink.lastNumber() == 3 && other.lastNumber() == 3 })
-	if st := c.Stats(); st.Oversized != 1 {
-		t.Errorf("too long = %d, expected 1", st.Oversized)
+	if stats := c.Stats(); stats.Oversized != 1 {
+		t.Errorf("too long = %d, expected 1", stats.Oversized)
 	}
 	// The server's side: a hello over the limit, and invalid ones.
 	for _, text := range []string{"\xff\xff\xff\xff", "\x00\x00\x00\x02hi", "GET / HTTP/1.1\r\n\r\n"} {
-		conn, err := net.Dial("tcp", s.address)
+		conn, err := net.Dial("tcp", server.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -435,29 +435,29 @@
 		}
 		conn.Close()
 	}
-	s.add(1)
+	server.add(1)
 	waitUntil(t, "the fourth frame at both", 5*time.Second, func() bool { return sink.lastNumber() == 4 && other.lastNumber() == 4 })
 }
 
 func TestConnectionsAndHellosAreBounded(t *testing.T) {
-	s := startServer(t, ServerConfig{MaxConnections: 20, MaxPendingHellos: 10, HelloTimeout: 300 * time.Millisecond})
-	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{s.address}})
-	waitUntil(t, "the subscriber", 5*time.Second, func() bool { return s.Stats().Subscribers == 1 })
+	server := startServer(t, ServerConfig{MaxConnections: 20, MaxPendingHellos: 10, HelloTimeout: 300 * time.Millisecond})
+	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{server.address}})
+	waitUntil(t, "the subscriber", 5*time.Second, func() bool { return server.Stats().Subscribers == 1 })
 	var conns []net.Conn
 	for range 200 {
-		if c, err := net.Dial("tcp", s.address); err == nil {
+		if c, err := net.Dial("tcp", server.address); err == nil {
 			conns = append(conns, c)
 		}
 	}
-	waitUntil(t, "that all were looked at", 5*time.Second, func() bool { return s.Stats().Accepted == 201 })
-	if st := s.Stats(); st.PendingHellos > 10 || st.Refused < 150 {
-		t.Errorf("%+v: expected 10 without a hello at most, and the others refused", st)
+	waitUntil(t, "that all were looked at", 5*time.Second, func() bool { return server.Stats().Accepted == 201 })
+	if stats := server.Stats(); stats.PendingHellos > 10 || stats.Refused < 150 {
+		t.Errorf("%+v: expected 10 without a hello at most, and the others refused", stats)
 	}
-	s.add(3)
+	server.add(3)
 	waitUntil(t, "three frames in the flood", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
 	waitUntil(t, "the flood's end", 5*time.Second, func() bool {
-		st := s.Stats()
-		return st.PendingHellos == 0 && st.Ended >= 10
+		stats := server.Stats()
+		return stats.PendingHellos == 0 && stats.Ended >= 10
 	})
 	for _, c := range conns {
 		c.Close()
@@ -465,63 +465,63 @@
 }
 
 func TestMaxConnectionsBoundsSubscribers(t *testing.T) {
-	s := startServer(t, ServerConfig{MaxConnections: 3})
+	server := startServer(t, ServerConfig{MaxConnections: 3})
 	for range 10 {
-		c, err := net.Dial("tcp", s.address)
+		c, err := net.Dial("tcp", server.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		_ = writeFrame(c, make([]byte, 8)) // seven are refused, and may be closed by now
 	}
-	waitUntil(t, "that all were looked at", 5*time.Second, func() bool { return s.Stats().Accepted == 10 })
-	waitUntil(t, "three subscribers", 5*time.Second, func() bool { return s.Stats().Subscribers == 3 })
-	if st := s.Stats(); st.Refused != 7 {
-		t.Errorf("%+v: expected seven refused", st)
+	waitUntil(t, "that all were looked at", 5*time.Second, func() bool { return server.Stats().Accepted == 10 })
+	waitUntil(t, "three subscribers", 5*time.Second, func() bool { return server.Stats().Subscribers == 3 })
+	if stats := server.Stats(); stats.Refused != 7 {
+		t.Errorf("%+v: expected seven refused", stats)
 	}
 }
 
 func TestSubscriberSendingAfterHelloIsDisconnected(t *testing.T) {
-	s := startServer(t, ServerConfig{})
-	c, err := net.Dial("tcp", s.address)
+	server := startServer(t, ServerConfig{})
+	c, err := net.Dial("tcp", server.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	sendHello(t, c)
-	waitUntil(t, "the subscriber", 5*time.Second, func() bool { return s.Stats().Subscribers == 1 })
+	waitUntil(t, "the subscriber", 5*time.Second, func() bool { return server.Stats().Subscribers == 1 })
 	if _, err := c.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "its end", 5*time.Second, func() bool { return s.Stats().Subscribers == 0 })
+	waitUntil(t, "its end", 5*time.Second, func() bool { return server.Stats().Subscribers == 0 })
 }
 
 // While all upstreams are unreachable, backoff bounds the attempts.
 func TestConnectionAttemptsAreBounded(t *testing.T) {
-	c, _ := startClient(t, ClientConfig{Name: "n", Upstreams: []string{"127.0.0.1:1", "127.0.0.1:2"}})
+	client, _ := startClient(t, ClientConfig{Name: "n", Upstreams: []string{"127.0.0.1:1", "127.0.0.1:2"}})
 	time.Sleep(1500 * time.Millisecond)
-	if n := c.Stats().Dials; n > 14 || n < 4 {
+	if n := client.Stats().Dials; n > 14 || n < 4 {
 		t.Errorf("%d tries in 1.5 s, expected 4 to 14", n)
 	}
 }
 
 // Clients of many names spread evenly over the upstreams, also once one of them has failed.
 func TestClientsSpreadOverUpstreams(t *testing.T) {
-	ups := []string{"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"}
+	upstreams := []string{"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"}
 	first, second := map[string]int{}, map[string]int{}
 	for i := range 4000 {
-		o := ClientConfig{Name: fmt.Sprintf("node-%d", i), Upstreams: ups, SpreadByName: true}.upstreamOrder()
-		first[o[0]]++
-		if o[0] == ups[0] {
-			second[o[1]]++
+		order := ClientConfig{Name: fmt.Sprintf("node-%d", i), Upstreams: upstreams, SpreadByName: true}.upstreamOrder()
+		first[order[0]]++
+		if order[0] == upstreams[0] {
+			second[order[1]]++
 		}
 	}
-	for _, u := range ups {
-		if n := first[u]; n < 850 || n > 1150 {
-			t.Errorf("%s is the first choice of %d in 4,000, expected about 1,000", u, n)
+	for _, upstream := range upstreams {
+		if n := first[upstream]; n < 850 || n > 1150 {
+			t.Errorf("%s is the first choice of %d in 4,000, expected about 1,000", upstream, n)
 		}
-		if n := second[u]; u != ups[0] && (n < 230 || n > 440) {
-			t.Errorf("%s is the second choice of %d of the first one's, expected about a third", u, n)
+		if n := second[upstream]; upstream != upstreams[0] && (n < 230 || n > 440) {
+			t.Errorf("%s is the second choice of %d of the first one's, expected about a third", upstream, n)
 		}
 	}
 }
