--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -120,7 +120,11 @@
 	put(t, origin, "eu1/cart", "endpoint/b", ClassEndpoint, "B")
 	put(t, origin, "us1/cart", "endpoint/c", ClassEndpoint, "C")
 	fromOrigin, fromTop, fromBottom := connect(t, 0, origin.Relay(), top, 0), connect(t, 0, top.Relay, bottom, 0), connect(t, 0, bottom.Relay, subscriber, 0)
-	deliverAll := func(now int64) { fromOrigin.deliver(t, now, top); fromTop.deliver(t, now, bottom); fromBottom.deliver(t, now, subscriber) }
+	deliverAll := func(now int64) {
+		fromOrigin.deliver(t, now, top)
+		fromTop.deliver(t, now, bottom)
+		fromBottom.deliver(t, now, subscriber)
+	}
 	fromBottom.deliver(t, 0, subscriber)
 	expectEqual(t, "complete before its relay is", subscriber.Complete(), false)
 	deliverAll(0)
--- a/internal/distribution/framewriter.go
+++ b/internal/distribution/framewriter.go
@@ -3,16 +3,16 @@
 import "slices"
 
 const (
-	minPacedRecordsBytes = 1024 // of records in a frame, at the lowest paces
-	paceFramesPerSecond  = 8    // a frame holds at most this part of a second's bytes
-	snapshotEventBytes   = 3    // of an entry in Begin or End
-	recordOverheadBytes  = 20   // of a record in a frame, at most
-	groupOverheadBytes   = 8    // of a group in a frame, at most
+	minPacedRecordsBytes = 1024 // minimum space for records in a frame, however low the pace
+	paceFramesPerSecond  = 8    // a frame holds at most 1/paceFramesPerSecond of the bytes allowed in a second
+	snapshotEventBytes   = 3    // size of an entry in Begin or End
+	recordOverheadBytes  = 20   // maximum encoding overhead of a record
+	groupOverheadBytes   = 8    // maximum encoding overhead of a group
 	nanosPerSecond       = int64(1e9)
 )
 
-// Next returns the next frame to a subscriber, or nil. Without a frame, at is when to call again; earlier once Ready
-// names the subscriber.
+// Next returns the next frame for a subscriber, or nil if none is due. If it returns nil, the caller must call again at
+// the time at, or earlier if Ready returns the subscriber.
 func (r *Relay) Next(now int64, id int) (out []byte, at int64) {
 	s := r.sessions[id]
 	if s == nil {
@@ -36,13 +36,13 @@
 	return w.finish(now), now
 }
 
-// frameWriter builds one frame to a subscriber.
+// frameWriter builds one frame for a subscriber.
 type frameWriter struct {
 	relay          *Relay
 	session        *session
 	frame          frame
-	remainingBytes int  // left for records, by estimate
-	full           bool // a feed had to be queued again
+	remainingBytes int  // estimated space left for records
+	full           bool // the records of a feed did not fit, so it was queued again
 }
 
 func newFrameWriter(r *Relay, s *session) *frameWriter {
@@ -71,7 +71,7 @@
 	}
 }
 
-// writeFeed writes what a feed lacks of a class, and where that was the last of a snapshot, its end.
+// writeFeed writes the unsent records of one class of a feed, and the end of its snapshot after the last record.
 func (w *frameWriter) writeFeed(f *feed, index int32, queue int) {
 	if f.state == feedWaiting {
 		return
@@ -116,7 +116,7 @@
 	w.session.setState(f, feedDelta, f.queued&^(1<<endQueue))
 }
 
-// writeRecords writes the records of a feed's class after its cursor; false: some are left.
+// writeRecords writes the records of one class of a feed after the feed's cursor. It reports whether all of them fit.
 func (w *frameWriter) writeRecords(f *feed, class Class) (all bool) {
 	all = true
 	w.relay.ascendRecords(f, class, func(it *item) bool {
@@ -130,8 +130,8 @@
 	return all
 }
 
-// needs reports whether a feed is to be sent an item: one of this epoch, in a snapshot all but the tombstones from
-// before it began, in a delta what is newer than the position.
+// needsRecord reports whether an item must be sent to a feed. Only items of the relay's epoch are sent: in a snapshot
+// all except the tombstones from before the snapshot began, in a delta those newer than the feed's position.
 func (w *frameWriter) needsRecord(f *feed, it *item) bool {
 	if it.epoch != w.relay.epoch {
 		return false
@@ -172,9 +172,9 @@
 	return true
 }
 
-// addPosition adds up to where the subscriber then knows all changes. Only a relay that is complete claims anything, and
-// only for feeds that lack nothing: those that do are excepted, in a heartbeat. Feeds that wait for an epoch are
-// unsettled and in no queue, so that nothing is claimed beside them.
+// addPosition adds the position that the subscriber has reached after this frame. Only a complete relay advertises a
+// position, and only for feeds without unsent records; a heartbeat lists the other feeds in Except. Feeds in state
+// feedWaiting count as behind but are in no queue, so no position is advertised for all selectors while there are any.
 func (w *frameWriter) addPosition(now int64, heartbeatDue bool) {
 	r, s := w.relay, w.session
 	if !r.complete {
@@ -207,13 +207,13 @@
 	return feeds
 }
 
-// hasContent reports whether the frame says anything that the subscriber doesn't know.
+// hasContent reports whether the frame carries anything new to the subscriber.
 func (w *frameWriter) hasContent() bool {
 	newEpoch := w.frame.All && w.session.advertised.Epoch != w.relay.epoch
 	return w.frame.Begin != nil || w.frame.Groups != nil || w.frame.End != nil || newEpoch
 }
 
-// finish numbers and encodes the frame.
+// finish numbers and encodes the frame, and charges it to the subscriber's pace.
 func (w *frameWriter) finish(now int64) []byte {
 	r, s := w.relay, w.session
 	s.lastFrame++
--- a/internal/distribution/interest.go
+++ b/internal/distribution/interest.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// interest is a selector of a replica, and up to where its scopes are known. Interests that are up to date share the
-// replica's position, so that a heartbeat costs the same for any number of them; the others are lagging.
+// interest is a selector of a replica with the position that its scopes have reached. Interests that are up to date
+// share the replica's position, so that a heartbeat costs the same for any number of them; the others are unshared.
 type interest struct {
 	scope        string
 	prefix       bool
-	complete     bool     // it has had a snapshot
-	shared       bool     // its position is the replica's sharedPosition
+	complete     bool     // at least one snapshot has been received
+	shared       bool     // the position is the replica's sharedPosition
 	inSnapshot   bool     // a snapshot has begun and not ended
-	snapshotMark uint32   // the replica's mark when that began
-	position     Position // while it is not shared
-	asOfNs       int64
+	snapshotMark uint32   // the replica's mark when that snapshot began
+	position     Position // valid if not shared
+	asOfNs       int64    // when position was current; valid if not shared
 }
 
 func (n *interest) covers(scope string) bool {
 	return Selector{Scope: n.scope, Prefix: n.prefix}.covers(scope)
 }
 
-// knowledge is up to where all changes are known.
+// syncState is the position up to which all changes have been received.
 type syncState struct {
 	position Position
-	asOfNs   int64 // when that was current
-	complete bool
+	asOfNs   int64 // when position was current
+	complete bool  // at least one snapshot has been received
 }
 
 func (r *replica) addSelectors(selectors []Selector) error {
@@ -36,7 +36,7 @@
 	}
 	for i, s := range selectors {
 		if len(s.Scope) > MaxNameBytes || s.Scope == "" && !s.Prefix {
-			return fmt.Errorf("distribution: selector %d: a name of 1 to %d bytes expected, found %d",
+			return fmt.Errorf("distribution: selector %d: expected a name of 1 to %d bytes, found %d",
 				i, MaxNameBytes, len(s.Scope))
 		}
 		index := int32(len(r.interests))
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// newHello begins a session. Frames and unfinished snapshots of the session before are void.
+// newHello starts a session. It invalidates frames and unfinished snapshots of the previous session.
 func (r *replica) newHello() []byte {
 	r.session++
 	r.lastFrame = 0
@@ -95,8 +95,8 @@
 	return syncState{n.position, n.asOfNs, n.complete}
 }
 
-// known returns up to where a scope is known by any interest. exact is the index of the interest in it alone, or
-// noInterest.
+// scopeSyncState returns the most advanced state of a scope among the interests that cover it. exact is the index of
+// the interest in exactly this scope, or noInterest.
 func (r *replica) scopeSyncState(scopeName string, exact int32) syncState {
 	var best syncState
 	consider := func(n *interest) {
@@ -120,7 +120,8 @@
 	return best
 }
 
-// minSyncState returns up to where all interests are known. It is complete if all of them are, and none is in a snapshot.
+// minSyncState returns the state that all interests have reached. It is complete if all interests are complete and none
+// is in a snapshot.
 func (r *replica) minSyncState() syncState {
 	if len(r.interests) == 0 {
 		return syncState{}
@@ -142,7 +143,7 @@
 	return least
 }
 
-// exactInterest returns the index of the interest in one scope alone, or noInterest.
+// exactInterest returns the index of the interest in exactly one scope, or noInterest.
 func (r *replica) exactInterest(scopeName string) int32 {
 	if i, ok := r.exactInterests[scopeName]; ok {
 		return i
@@ -160,7 +161,7 @@
 	})
 }
 
-// includes reports whether all that a selector names is covered.
+// includes reports whether the interests cover all scopes that a selector selects.
 func (r *replica) includes(scopeName string, prefix bool) bool {
 	if prefix {
 		return r.prefixCovers(scopeName)
@@ -180,7 +181,8 @@
 	r.unshared = append(r.unshared, index)
 }
 
-// resetPositions has the interests that cover a scope sent once more with bodies: what the relay took for held is not.
+// resetPositions clears the positions of the interests that cover a scope, so that the relay sends all of their records
+// again with bodies. It is called when the relay assumed that a record is held that is not.
 func (r *replica) resetPositions(scopeName string) {
 	for i := range r.interests {
 		if n := &r.interests[i]; n.covers(scopeName) {
@@ -190,13 +192,13 @@
 	}
 }
 
-// advance takes in a frame's claim: all interests but the excepted ones know all changes up to its position.
+// advance applies the position that a frame advertises: all interests except those in f.Except have reached it.
 func (r *replica) advance(now int64, f *frame) error {
 	position := Position{f.Epoch, f.Through}
 	except := make(map[uint32]bool, len(f.Except))
 	for _, i := range f.Except {
 		if int(i) >= len(r.interests) {
-			return fmt.Errorf("%w: except: a selector under %d expected, found %d", ErrBadFrame, len(r.interests), i)
+			return fmt.Errorf("%w: except: expected a selector below %d, found %d", ErrBadFrame, len(r.interests), i)
 		}
 		except[i] = true
 	}
@@ -208,7 +210,7 @@
 		r.sharedAsOfNs = now - f.Age
 	}
 	if position.compare(r.sharedPosition) < 0 {
-		return nil // this relay is behind the one before, and has nothing to say yet
+		return nil // this relay is behind the previous one: its position adds nothing yet
 	}
 	for _, i := range f.Except {
 		r.unshare(int32(i))
--- a/internal/distribution/origin.go
+++ b/internal/distribution/origin.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// Origin holds the truth: it gives every change of a record its version, each once.
+// Origin is the source of truth: it assigns each change of a record a unique version.
 type Origin struct {
 	relay   *Relay
 	version uint64
-	awaited map[string]bool
+	awaited map[string]bool // kinds for which Replace has not been called yet
 }
 
-// NewOrigin returns an origin without records. The epoch must be higher than that of any earlier origin, and not 0:
-// subscribers ignore a lower one than they have seen.
+// NewOrigin returns an origin without records. The epoch must not be 0 and must be higher than that of any earlier
+// origin: subscribers ignore epochs lower than the highest one they have seen.
 func NewOrigin(epoch uint64, l Limits) *Origin {
 	o := &Origin{relay: NewRelay(l), awaited: map[string]bool{}}
 	o.relay.origin = o
@@ -25,11 +25,11 @@
 	return o
 }
 
-// Relay returns the relay through which the origin's subscribers are served.
+// Relay returns the relay that serves the origin's subscribers.
 func (o *Origin) Relay() *Relay { return o.relay }
 
-// Await names kinds for which Replace must be called before the origin claims to be complete: an origin that has been
-// started without its list deletes nothing at subscribers.
+// Await sets kinds for which Replace must be called before the origin is complete. Until then subscribers delete
+// nothing, so that an origin that starts without its list doesn't empty them.
 func (o *Origin) Await(kinds ...string) {
 	for _, kind := range kinds {
 		o.awaited[kind] = true
@@ -37,8 +37,9 @@
 	o.relay.updateAdvertised()
 }
 
-// Put sets a record and returns its version; setting it to what it is is no change. The body must not be changed
-// afterwards. An error says that the record is invalid or wraps ErrLimit; then nothing has changed.
+// Put sets a record and returns its version. If the record already has this state, its version stays. The caller must
+// not modify the body afterwards. An error means that the record is invalid, or wraps ErrLimit; the origin is then
+// unchanged.
 func (o *Origin) Put(now int64, scope, key string, class Class, body []byte) (version uint64, err error) {
 	version, _, err = o.put(scope, key, class, body)
 	o.relay.updateAdvertised()
@@ -78,14 +79,14 @@
 	o.version++
 	state := itemState{class: held.class.whenDeleted(), position: Position{o.relay.epoch, o.version}, deleted: true}
 	if err := o.relay.replica.upsert(held, held.scope.name, held.key, state); err != nil {
-		panic(err) // a tombstone is never longer than the record
+		panic(err) // can't happen: a tombstone is never larger than its record
 	}
 	return true
 }
 
-// Replace makes records the complete list of their kind: records whose keys begin with the kind and a slash, and that
-// are not in the list, are deleted. They are deleted first, so that a list of as many others fits the limits. An
-// invalid record is skipped, what is held of it stays, and the error describes the first of them.
+// Replace makes records the complete list of their kind: it deletes the records whose keys begin with the kind and a
+// slash and that are not in the list. It deletes before it adds, so that a list of as many other records fits the
+// limits. Invalid records are skipped and keep their previous state; the error describes the first of them.
 func (o *Origin) Replace(now int64, kind string, records []Record) (changed int, err error) {
 	absent := o.absentFrom(kind, records)
 	for _, it := range absent {
@@ -95,7 +96,7 @@
 	for _, i := range orderByClass(records) {
 		record := &records[i]
 		if !strings.HasPrefix(record.Key, kind+"/") {
-			err = cmp.Or(err, fmt.Errorf("distribution: scope %q, key %.64q: a key that begins with %q expected",
+			err = cmp.Or(err, fmt.Errorf("distribution: scope %q, key %.64q: expected a key that begins with %q",
 				record.Scope, record.Key, kind+"/"))
 			continue
 		}
@@ -110,7 +111,7 @@
 	return changed, err
 }
 
-// absentFrom returns the live items of a kind that records don't name.
+// absentFrom returns the live items of a kind that are not among records.
 func (o *Origin) absentFrom(kind string, records []Record) []*item {
 	type recordName struct{ scope, key string }
 	named := make(map[recordName]bool, len(records))
@@ -128,7 +129,7 @@
 	return absent
 }
 
-// orderByClass returns the indexes of records with withdrawals first, so that these have the lower versions.
+// orderByClass returns the indexes of records ordered by class, so that withdrawals get the lowest versions.
 func orderByClass(records []Record) []int {
 	order := make([]int, len(records))
 	for i := range order {
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// What a replica does with a frame: it begins snapshots, applies records, ends snapshots and advances its positions,
-// in this order. An older state never replaces a newer one, and only a snapshot that came to its end, in one session,
-// deletes what it did not name.
+// A replica processes a frame in this order: it begins snapshots, applies records, ends snapshots and advances its
+// positions. An older state never replaces a newer one. Only a snapshot that was received to its end, within one
+// session, deletes the records that it did not contain.
 
-// receive applies a frame. After an error the session is void.
+// receive applies a frame. After an error it ignores further frames of the session.
 func (r *replica) receive(now int64, b []byte) error {
 	err := r.receiveFrame(now, b)
 	if err != nil {
@@ -32,7 +32,7 @@
 		return err
 	}
 	for _, scope := range invalidScopes {
-		r.markInvalid(scope, fmt.Sprintf("scope %q: a record that can't be read", scope))
+		r.markInvalid(scope, fmt.Sprintf("scope %q: record can't be decoded", scope))
 	}
 	for i := range f.Groups {
 		if err := r.applyGroup(f, &f.Groups[i]); err != nil {
@@ -51,19 +51,20 @@
 	return nil
 }
 
-// isNextFrame reports whether a frame is to be applied: the next of this session, of no older epoch than seen.
+// isNextFrame reports whether a frame must be applied: it is the next one of this session, and its epoch is not older
+// than the highest one seen.
 func (r *replica) isNextFrame(f *frame) (bool, error) {
 	if r.sessionVoid || f.Session != r.session || f.Number <= r.lastFrame {
 		r.stats.StaleFrames++
 		return false, nil
 	}
 	if f.Number != r.lastFrame+1 {
-		return false, fmt.Errorf("%w: number %d expected, found %d", ErrFrameGap, r.lastFrame+1, f.Number)
+		return false, fmt.Errorf("%w: expected number %d, found %d", ErrFrameGap, r.lastFrame+1, f.Number)
 	}
 	r.lastFrame++
 	if f.Epoch == 0 || f.Epoch < r.epochSeen {
 		hasContent := len(f.Groups)+len(f.Begin)+len(f.End) > 0
-		if f.Epoch != 0 || hasContent { // else a heartbeat of a relay that has not seen an epoch
+		if f.Epoch != 0 || hasContent { // otherwise it is a heartbeat of a relay that has no epoch yet
 			r.stats.StaleFrames++
 		}
 		return false, nil
@@ -81,7 +82,7 @@
 	}
 	for _, i := range f.Begin {
 		if int(i) >= len(r.interests) {
-			return fmt.Errorf("%w: begin: a selector under %d expected, found %d", ErrBadFrame, len(r.interests), i)
+			return fmt.Errorf("%w: begin: expected a selector below %d, found %d", ErrBadFrame, len(r.interests), i)
 		}
 		r.unshare(int32(i))
 		r.interests[i].inSnapshot = true
@@ -90,8 +91,9 @@
 	return nil
 }
 
-// markInvalid records that a record of a scope, or with "" a whole group, could not be decoded: snapshots that are
-// under way delete nothing of it.
+// markInvalid counts a record of a scope, or with "" a whole group, that could not be decoded. Snapshots in progress
+// then delete no records of that scope, or with "" no records at all, since the invalid record may have been any of
+// them.
 func (r *replica) markInvalid(scopeName, description string) {
 	r.stats.InvalidRecords++
 	r.stats.LastInvalid = description
@@ -104,7 +106,7 @@
 
 func (r *replica) applyGroup(f *frame, group *recordGroup) error {
 	if group.Scope == "" || len(group.Scope) > MaxNameBytes {
-		r.markInvalid("", fmt.Sprintf("scope %.64q: a name of 1 to %d bytes expected, found %d",
+		r.markInvalid("", fmt.Sprintf("scope %.64q: expected a name of 1 to %d bytes, found %d",
 			group.Scope, MaxNameBytes, len(group.Scope)))
 		return nil
 	}
@@ -115,7 +117,7 @@
 	for i := range group.Records {
 		received := &group.Records[i]
 		if !received.valid() {
-			r.markInvalid(group.Scope, fmt.Sprintf("scope %q, key %.64q: flags %#x, version %d, %d bytes",
+			r.markInvalid(group.Scope, fmt.Sprintf("scope %q, key %.64q: invalid record with flags %#x, version %d, %d bytes",
 				group.Scope, received.Key, received.Flags, received.Version, len(received.Body)))
 			continue
 		}
@@ -126,8 +128,8 @@
 	return nil
 }
 
-// applyRecord applies a record if it is newer than what is held. One that is not held, and not newer than what is
-// known of its scope, has been deleted.
+// applyRecord applies a record if it is newer than the state held. A record that is not held, and not newer than the
+// position of its scope, has been deleted and is ignored.
 func (r *replica) applyRecord(epoch uint64, scopeName string, received *record) error {
 	position := Position{epoch, received.Version}
 	held := r.find(scopeName, received.Key)
@@ -157,7 +159,8 @@
 	})
 }
 
-// confirmRecord takes in that a record is as the replica's position says. If it is not held, the relay is mistaken.
+// confirmRecord handles a record sent without its body: the relay assumes, from the replica's position, that the
+// replica holds it. If the replica doesn't, it clears the positions of the scope and fails.
 func (r *replica) confirmRecord(held *item, scopeName, key string, position Position) error {
 	if held == nil || held.position().compare(position) < 0 {
 		r.resetPositions(scopeName)
@@ -168,11 +171,11 @@
 	return nil
 }
 
-// endSnapshots ends snapshots: what they did not name, and is not newer than their position, is deleted.
+// endSnapshots ends snapshots: it deletes records that they did not contain and that are not newer than their position.
 func (r *replica) endSnapshots(now int64, f *frame) error {
 	for _, i := range f.End {
 		if int(i) >= len(r.interests) || !r.interests[i].inSnapshot {
-			return fmt.Errorf("%w: end: a selector that has begun expected, found %d", ErrBadFrame, i)
+			return fmt.Errorf("%w: end: expected a selector whose snapshot has begun, found %d", ErrBadFrame, i)
 		}
 		n := &r.interests[i]
 		position := Position{f.Epoch, f.Through}
@@ -193,15 +196,15 @@
 	return nil
 }
 
-// sweep deletes what a snapshot of an interest, at a position, did not name.
+// sweep deletes the records that a snapshot of an interest, at a position, did not contain.
 func (r *replica) sweep(n *interest, position Position) error {
 	if r.invalidGroupMark >= n.snapshotMark {
-		return nil // a group could not be decoded, and may have named anything
+		return nil // a group could not be decoded, and may have contained any of the records
 	}
 	for _, it := range r.absentFromSnapshot(n, position) {
 		r.stats.Swept++
 		if it.epoch != position.Epoch && r.keepsTombstones {
-			r.remove(it) // no subscriber was sent it in this epoch, so none needs a tombstone
+			r.remove(it) // not sent to any subscriber in this epoch, so that none needs a tombstone
 			continue
 		}
 		state := itemState{class: it.class.whenDeleted(), position: position, deleted: true, swept: true}
@@ -212,8 +215,8 @@
 	return nil
 }
 
-// unnamed returns the live items of an interest that are not newer than a position and were not named since its
-// snapshot began.
+// absentFromSnapshot returns the live items of an interest that are not newer than a position and that no frame has
+// contained since the snapshot of the interest began.
 func (r *replica) absentFromSnapshot(n *interest, position Position) []*item {
 	var items []*item
 	r.probeScope.name = n.scope
--- a/internal/distribution/record.go
+++ b/internal/distribution/record.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Class is the priority of a record: lower ones are sent first.
+// Class is the priority of a record: lower classes are sent first.
 type Class uint8
 
 // The classes, in the order in which they are sent.
 const (
-	ClassWithdrawal    Class = iota // an endpoint that drains or is removed
-	ClassEndpoint                   // an endpoint that serves
+	ClassWithdrawal    Class = iota // an endpoint that is draining or removed
+	ClassEndpoint                   // an active endpoint
 	ClassConfiguration              // a route, a tenant, a service
 	classCount
 )
 
-// String returns the class's name.
+// String returns the name of the class.
 func (c Class) String() string {
 	switch c {
 	case ClassWithdrawal:
@@ -38,32 +38,32 @@
 	return c
 }
 
-// Record is the newest state of one key of a scope. Whoever gets one must not change its Body.
+// Record is the newest state of one key of a scope. Receivers of a Record must not modify its Body.
 type Record struct {
 	Scope, Key string
 	Class      Class
 	Epoch      uint64
-	Version    uint64 // of the last change, within Epoch
+	Version    uint64 // version of the last change, within Epoch
 	Deleted    bool
 	Body       []byte // opaque
 }
 
-// Change is a change of a record at a subscriber.
+// Change is a change of a record that a subscriber holds.
 type Change struct {
 	Record
-	OldBody []byte // the body before; nil where there was none
-	Swept   bool   // deleted because a snapshot of the scope came without it
+	OldBody []byte // body before the change; nil if there was none
+	Swept   bool   // deleted because a snapshot of the scope did not contain it
 }
 
-// Position says that all changes up to version Through of Epoch are known. The zero value says that none are.
+// Position states that all changes up to version Through of Epoch have been received. The zero value states nothing.
 type Position struct{ Epoch, Through uint64 }
 
 func (p Position) compare(q Position) int {
 	return cmp.Or(cmp.Compare(p.Epoch, q.Epoch), cmp.Compare(p.Through, q.Through))
 }
 
-// Selector names one scope, or with Prefix all whose names begin with Scope, also those that come into being later. An
-// empty Scope with Prefix names all scopes.
+// Selector selects one scope or, with Prefix, all scopes whose names begin with Scope, including ones created later. An
+// empty Scope with Prefix selects all scopes.
 type Selector struct {
 	Scope  string
 	Prefix bool
@@ -76,13 +76,13 @@
 func validateRecord(scope, key string, class Class, body []byte) error {
 	switch {
 	case scope == "" || len(scope) > MaxNameBytes:
-		return fmt.Errorf("distribution: scope %.64q: a name of 1 to %d bytes expected, found %d",
+		return fmt.Errorf("distribution: scope %.64q: expected a name of 1 to %d bytes, found %d",
 			scope, MaxNameBytes, len(scope))
 	case key == "" || len(key) > MaxNameBytes:
-		return fmt.Errorf("distribution: scope %q, key %.64q: a name of 1 to %d bytes expected, found %d",
+		return fmt.Errorf("distribution: scope %q, key %.64q: expected a key of 1 to %d bytes, found %d",
 			scope, key, MaxNameBytes, len(key))
 	case class >= classCount:
-		return fmt.Errorf("distribution: scope %q, key %q: a class under %d expected, found %d",
+		return fmt.Errorf("distribution: scope %q, key %q: expected a class below %d, found %d",
 			scope, key, uint8(classCount), uint8(class))
 	case len(body) > MaxBodyBytes:
 		return fmt.Errorf("scope %q, key %q: %w", scope, key, limitError("bytes of a body", MaxBodyBytes, len(body)))
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -10,24 +10,24 @@
 
 const btreeDegree = 32
 
-// Relay holds the newest state of each record and sends it on to subscribers. It keeps no log: records are ordered by
-// when the relay came to know their state, and a subscriber's cursors are places in that order.
+// Relay holds the newest state of each record and sends it to subscribers. It keeps no log: records are ordered by when
+// the relay received their current state, and the cursors of a subscriber are places in that order.
 type Relay struct {
 	replica *replica
-	origin  *Origin // of an origin's own relay; nil: the relay has an upstream
+	origin  *Origin // the origin that this relay serves; nil if the relay has an upstream
 	limits  Limits
 
-	byClass    *btree.BTreeG[*item] // by class and seq: for feeds with a prefix
-	byScope    *btree.BTreeG[*item] // by scope, class and seq
+	byClass    *btree.BTreeG[*item] // ordered by class and seq, for feeds with a prefix
+	byScope    *btree.BTreeG[*item] // ordered by scope, class and seq, for feeds of one scope
 	order      [classCount]classOrder
-	seq        uint64 // of the last change
+	seq        uint64 // sequence number of the last change
 	tombstones []tombstoneRef
 	probe      item
 
 	epoch       uint64
 	complete    bool
-	advertised  Position // what is claimed to subscribers; never falls
-	floor       Position // a subscriber at a lower position gets a snapshot
+	advertised  Position // the position advertised to subscribers; never decreases
+	floor       Position // subscribers at a lower position get a snapshot
 	snapshotEnd Position // the end of the last snapshot that this relay received
 
 	sessions    map[int]*session
@@ -37,15 +37,15 @@
 	stats       Stats
 }
 
-// scopeOrder is a relay's part of a scope: its feeds, and the order of its records in each class.
+// scopeOrder is the state that a relay keeps for a scope: its feeds, and the order of its records in each class.
 type scopeOrder struct {
 	id      uint64
 	feeds   []feedRef
 	byClass [classCount]classOrder
 }
 
-// classOrder says whether records became known in the order of their versions. Then a resumption looks at newer records
-// only.
+// classOrder tracks whether the records of a class were received in the order of their versions. If so, a resumption
+// reads only newer records.
 type classOrder struct {
 	last       Position
 	outOfOrder bool
@@ -56,7 +56,7 @@
 	o.last = position
 }
 
-// NewRelay returns a relay that holds nothing.
+// NewRelay returns a relay without records.
 func NewRelay(l Limits) *Relay {
 	r := &Relay{limits: l.withDefaults(), sessions: map[int]*session{}}
 	r.replica = newReplica(r, l)
@@ -75,20 +75,21 @@
 	return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.seq, b.seq)) < 0
 }
 
-// Follow sets what a relay receives from its upstream; to be called before the first UpstreamHello.
+// Follow adds selectors of the scopes that a relay receives from its upstream. It must be called before the first
+// UpstreamHello.
 func (r *Relay) Follow(selectors []Selector) error { return r.replica.addSelectors(selectors) }
 
-// UpstreamHello returns the hello to the relay's upstream; a new session begins.
+// UpstreamHello starts a new session with the relay's upstream and returns its hello.
 func (r *Relay) UpstreamHello(now int64) []byte { return r.replica.newHello() }
 
-// Receive applies a frame from upstream. After an error the connection must be closed.
+// Receive applies a frame from the upstream. After an error the caller must close the connection.
 func (r *Relay) Receive(now int64, frame []byte) error {
 	err := r.replica.receive(now, frame)
 	r.updateAdvertised()
 	return err
 }
 
-// beforeChange takes an item from its place in the order.
+// beforeChange removes an item from its place in the order.
 func (r *Relay) beforeChange(it *item) {
 	r.byClass.Delete(it)
 	r.byScope.Delete(it)
@@ -113,7 +114,7 @@
 	}
 }
 
-// forEachFeed calls visit for each feed that an item belongs to.
+// forEachFeed calls visit for each feed that selects an item.
 func (r *Relay) forEachFeed(it *item, visit func(*session, int32)) {
 	for _, ref := range it.scope.order.feeds {
 		visit(ref.session, ref.index)
@@ -125,7 +126,7 @@
 	}
 }
 
-// adoptEpoch takes a newer epoch for the relay's own: every feed is decided again.
+// adoptEpoch moves the relay to the newest epoch seen. If that is a new one, it chooses the state of every feed again.
 func (r *Relay) adoptEpoch() {
 	if r.replica.epochSeen == r.epoch {
 		return
@@ -140,7 +141,7 @@
 	}
 }
 
-// updateAdvertised brings what the relay claims to subscribers up to what its replica knows.
+// updateAdvertised advances the position advertised to subscribers to the position of the relay's replica.
 func (r *Relay) updateAdvertised() {
 	r.adoptEpoch()
 	position, complete := r.position()
@@ -158,9 +159,9 @@
 	r.pruneTombstones()
 }
 
-// afterSnapshot raises the floor to the end of a snapshot that the relay received. Records may have come and gone
-// between the position before and the snapshot: subscribers that are not known to be past it get a snapshot as well.
-// Begin and end may have come in one frame.
+// afterSnapshot raises the floor to the end of a snapshot that the relay received. Records may have been added and
+// removed between the previous position and the snapshot without the relay seeing them, so subscribers that are not
+// known to be past the end get a snapshot as well. Begin and end may arrive in one frame.
 func (r *Relay) afterSnapshot(end Position) {
 	r.snapshotEnd = end
 	if r.floor.compare(end) < 0 {
@@ -182,7 +183,7 @@
 	}
 }
 
-// position returns up to where this relay holds all changes, and whether it is complete.
+// position returns the position up to which this relay holds all changes, and whether it is complete.
 func (r *Relay) position() (position Position, complete bool) {
 	if r.origin != nil {
 		return Position{r.epoch, r.origin.version}, len(r.origin.awaited) == 0
@@ -199,10 +200,11 @@
 	return r.replica.minSyncState().asOfNs
 }
 
-// Age returns how long ago what the relay holds was current, in nanoseconds; not known until the relay is complete.
+// Age returns how long ago the relay's records were current, in nanoseconds. The age is unknown until the relay is
+// complete.
 func (r *Relay) Age(now int64) (ns int64, known bool) { return now - r.asOfNs(now), r.complete }
 
-// Complete reports whether the relay has received all that it follows.
+// Complete reports whether the relay has received all records of the scopes that it follows.
 func (r *Relay) Complete() bool { return r.complete }
 
 func (r *Relay) sortedSessions() []*session {
@@ -221,7 +223,7 @@
 	}
 }
 
-// Ready returns the subscribers for which a frame has become due since the last call.
+// Ready returns the IDs of the subscribers for which a frame has become due since the last call.
 func (r *Relay) Ready() []int {
 	ids := r.readyIDs
 	r.readyIDs = nil
@@ -235,7 +237,7 @@
 	return attached
 }
 
-// Stats returns the counters, and what is held now.
+// Stats returns the counters, and the current state.
 func (r *Relay) Stats() Stats {
 	stats := r.replica.currentStats()
 	stats.Epoch = r.epoch
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -6,20 +6,21 @@
 	"github.com/google/btree"
 )
 
-// item is a record as it is held; a deleted one is a tombstone. It has 80 bytes, beside its key and body.
+// item is a record held by a replica; the item of a deleted record is a tombstone. It takes 80 bytes, not counting its
+// key and body.
 type item struct {
 	scope   *scope
 	key     string
 	body    []byte
 	epoch   uint64
 	version uint64
-	seq     uint64 // its place in a relay's order; at a subscriber pendingTombstone while it is among these
-	mark    uint32 // the replica's mark when a frame last named it
+	seq     uint64 // place in a relay's order; in a subscriber, pendingTombstone while in replica.pendingTombstones
+	mark    uint32 // the replica's mark when a frame last contained it
 	class   Class
 	deleted bool
 }
 
-// pendingTombstone is the seq of a subscriber's items in replica.pendingTombstones.
+// pendingTombstone is the seq of a subscriber's items that are in replica.pendingTombstones.
 const pendingTombstone = 1
 
 func (it *item) position() Position { return Position{it.epoch, it.version} }
@@ -36,13 +37,13 @@
 	}
 }
 
-// scope exists while records of it are held or a subscriber selects it.
+// scope is a scope that a replica holds records of, or that a subscriber selects.
 type scope struct {
 	name          string
-	itemCount     int32       // with tombstones
-	exactInterest int32       // the interest in it alone, or noInterest
-	invalidMark   uint32      // the replica's mark when a record of it last could not be decoded
-	order         *scopeOrder // at a relay
+	itemCount     int32       // including tombstones
+	exactInterest int32       // index of the interest in exactly this scope, or noInterest
+	invalidMark   uint32      // the replica's mark when a record of the scope last could not be decoded
+	order         *scopeOrder // nil in a subscriber
 }
 
 const noInterest = -1
@@ -53,30 +54,30 @@
 	position Position
 	deleted  bool
 	body     []byte
-	swept    bool // deleted because a snapshot came without it
+	swept    bool // deleted because a snapshot did not contain the record
 }
 
-// previousState is what a record was before a change.
+// previousState is the state of a record before a change.
 type previousState struct {
 	live  bool
 	class Class
 	body  []byte
 }
 
-// changeObserver is who owns a replica. Its methods are called around every change of an item: before it leaves its
-// place, and after it has its new state.
+// changeObserver is the owner of a replica, which calls it around every change of an item: before the change or
+// removal, and after the item has its new state.
 type changeObserver interface {
 	beforeChange(it *item)
 	afterChange(it *item, was previousState, swept bool)
 }
 
-// replica holds records, and what of them is known to be complete. It is the upstream side of a relay and of a
+// replica holds records and the positions up to which they are complete. It is the receiving side of a relay and of a
 // subscriber.
 type replica struct {
 	limits          Limits
 	observer        changeObserver
 	interner        Interner
-	keepsTombstones bool // at a relay: tombstones outlive the position, and what is swept leaves one
+	keepsTombstones bool // in a relay: tombstones are kept after the position has passed them, also for swept records
 
 	items             *btree.BTreeG[*item]
 	scopes            map[string]*scope
@@ -84,23 +85,23 @@
 	probe             item
 	probeScope        scope
 	tombstones        int
-	bytes             int // of names, keys and bodies
+	bytes             int // total size of names, keys and bodies
 	pendingTombstones []*item
 
 	interests         []interest
 	exactInterests    map[string]int32
 	prefixInterests   []int32
-	unshared          []int32 // interests that are not shared
+	unshared          []int32 // indexes of the interests whose positions are not shared
 	completeInterests int
 	sharedPosition    Position
 	sharedAsOfNs      int64
 	epochSeen         uint64 // the highest epoch seen
 	maxSnapshotEnd    uint64 // the highest version at which a snapshot of that epoch ended
-	mark              uint32 // counts snapshots that began
+	mark              uint32 // incremented by each frame that begins snapshots; marks what was received since
 
 	session          uint64
 	lastFrame        uint64 // number of the last frame received
-	sessionVoid      bool   // until the next hello
+	sessionVoid      bool   // frames are ignored until the next hello
 	invalidGroupMark uint32 // the mark when a whole group last could not be decoded
 
 	stats Stats
@@ -130,7 +131,7 @@
 	}
 	exact := r.exactInterest(name)
 	if exact != noInterest {
-		name = r.interests[exact].scope // one string for both
+		name = r.interests[exact].scope // share one string
 	} else if r.interner.Text != nil {
 		name = r.interner.Text(name)
 	}
@@ -144,7 +145,7 @@
 	return s
 }
 
-// releaseScope forgets a scope without records that no subscriber selects.
+// releaseScope deletes a scope if it has no records and no subscriber selects it.
 func (r *replica) releaseScope(s *scope) {
 	if s.itemCount == 0 && (s.order == nil || len(s.order.feeds) == 0) && r.scopes[s.name] == s {
 		delete(r.scopes, s.name)
@@ -160,8 +161,8 @@
 	return it
 }
 
-// upsert gives a record a new state. held is the item of that name, or nil. An error wraps ErrLimit; then nothing has
-// changed.
+// upsert sets the state of a record. held is the item of that scope and key, or nil. An error wraps ErrLimit; the
+// replica is then unchanged.
 func (r *replica) upsert(held *item, scopeName, key string, state itemState) error {
 	growth, err := r.growth(held, key, state.body)
 	if err != nil {
@@ -202,7 +203,7 @@
 	return nil
 }
 
-// growth returns by how many bytes a new body makes the replica grow, or an error that wraps ErrLimit.
+// growth returns by how many bytes a new body makes the replica grow. An error wraps ErrLimit.
 func (r *replica) growth(held *item, key string, body []byte) (int, error) {
 	growth := len(body)
 	if held != nil {
@@ -230,7 +231,7 @@
 	return it
 }
 
-// remove forgets an item without a tombstone.
+// remove deletes an item without leaving a tombstone.
 func (r *replica) remove(it *item) {
 	r.observer.beforeChange(it)
 	r.items.Delete(it)
--- a/internal/distribution/session.go
+++ b/internal/distribution/session.go
@@ -9,25 +9,25 @@
 // session is one subscriber's connection to a relay, with a feed for each of its selectors.
 type session struct {
 	id             int
-	clientSession  uint64 // the subscriber's own number of the session
+	clientSession  uint64 // the session number in the subscriber's hello
 	lastFrame      uint64 // number of the last frame sent
 	epochSeen      uint64 // the highest epoch that the subscriber has seen
-	bytesPerSecond int64  // 0: not paced
-	pacedUntilNs   int64  // when all that was sent would have gone out at the pace
-	lastSentNs     int64  // when the last frame went out
+	bytesPerSecond int64  // the pace; 0 if not paced
+	pacedUntilNs   int64  // when all bytes sent so far would have been sent at the pace
+	lastSentNs     int64  // when the last frame was sent
 	advertised     Position
 	feeds          []feed
 	queues         [queueCount]queue
-	feedsBehind    int // feeds that are queued, or not in feedDelta
+	feedsBehind    int // feeds that have not caught up: they are queued, or not in feedDelta
 	ready          bool
 }
 
-// feed is one selector of a session. It has 96 bytes: a relay holds millions.
+// feed is one selector of a session. Its size of 96 bytes matters: a relay holds millions of feeds.
 type feed struct {
-	scope       *scope // nil: a prefix
+	scope       *scope // nil for a prefix selector
 	prefix      string
 	cursor      [classCount]uint64 // seq of the last record sent, by class
-	position    Position           // what the subscriber is known to know, before what the session claimed
+	position    Position           // reached by the subscriber, apart from what the session has advertised
 	snapshotSeq uint64             // the relay's seq when the snapshot began
 	state       feedState
 	queued      uint8 // bit set of the queues that the feed is in
@@ -38,14 +38,14 @@
 	index   int32
 }
 
-// feedState says what a feed sends.
+// feedState is the state of a feed: which records it sends.
 type feedState uint8
 
 const (
-	feedWaiting         feedState = iota // nothing: the relay has not reached the epoch that the subscriber has seen
-	feedSnapshotPending                  // a snapshot that has not begun
-	feedSnapshot                         // a snapshot, from the first record on
-	feedDelta                            // records newer than the position, and all changes
+	feedWaiting         feedState = iota // sends nothing: the relay's epoch is lower than the subscriber has seen
+	feedSnapshotPending                  // will send a snapshot, which has not begun
+	feedSnapshot                         // sends a snapshot, from the first record on
+	feedDelta                            // sends records newer than the position, then changes
 )
 
 func (s feedState) String() string {
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("feedState(%d)", uint8(s))
 }
 
-// A session has a queue of feeds for each class of records, and one of feeds whose snapshot only has to end.
+// A session has a queue of feeds for each class of records, and endQueue for feeds whose snapshot only lacks its end.
 const (
 	endQueue     = int(classCount)
 	queueCount   = endQueue + 1
@@ -75,7 +75,7 @@
 	head int
 }
 
-const minQueueHead = 16 // entries at the front of a list that are not worth moving
+const minQueueHead = 16 // free entries at the front of the list that are not worth compacting
 
 func (q *queue) len() int { return len(q.list) - q.head }
 
@@ -99,7 +99,7 @@
 
 func (f *feed) caughtUp() bool { return f.state == feedDelta && f.queued == 0 }
 
-// setState is the one place in which a feed's state changes, so that unsettled stays right.
+// setState changes the state of a feed and keeps feedsBehind consistent. No other code changes these fields.
 func (s *session) setState(f *feed, state feedState, queued uint8) {
 	wasCaughtUp := f.caughtUp()
 	f.state = state
@@ -125,7 +125,7 @@
 	return slices.ContainsFunc(s.queues[:], func(q queue) bool { return q.len() > 0 })
 }
 
-// known returns up to where a feed's subscriber is known to know all changes.
+// knownPosition returns the position that a feed's subscriber is known to have reached.
 func (s *session) knownPosition(f *feed) Position {
 	if f.state == feedDelta && s.advertised.compare(f.position) > 0 {
 		return s.advertised
@@ -133,8 +133,8 @@
 	return f.position
 }
 
-// Attach begins a session with a subscriber by its hello. bytesPerSecond is the subscriber's pace; 0: not paced.
-// Errors wrap ErrBadHello, ErrLimit or ErrNotFollowed.
+// Attach starts a session with a subscriber, given its hello. bytesPerSecond is the subscriber's pace; 0 disables
+// pacing. Errors wrap ErrBadHello, ErrLimit or ErrNotFollowed.
 func (r *Relay) Attach(now int64, hello []byte, bytesPerSecond int) (id int, err error) {
 	h, err := r.acceptHello(hello)
 	if err != nil {
@@ -233,7 +233,7 @@
 	o.feeds = o.feeds[:last]
 }
 
-// chooseFeedState decides between a delta and a snapshot, by the subscriber's position and this relay's.
+// chooseFeedState chooses between a delta and a snapshot, given the positions of the subscriber and of this relay.
 func (r *Relay) chooseFeedState(s *session, index int32) {
 	f := &s.feeds[index]
 	f.position = s.knownPosition(f)
@@ -242,16 +242,16 @@
 		s.setState(f, feedWaiting, f.queued)
 	case f.position.Epoch != r.epoch || r.complete && f.position.compare(r.floor) < 0:
 		r.startSnapshot(s, index)
-	default: // also while this relay is not complete: the feed is decided again when it is
+	default: // also while this relay is not complete: the state is chosen again once it is
 		r.startDelta(s, index)
 	}
 }
 
-// startDelta has a feed go on after its position.
+// startDelta makes a feed send the records after its position.
 func (r *Relay) startDelta(s *session, index int32) {
 	f := &s.feeds[index]
 	if f.state == feedDelta {
-		return // its cursors stay
+		return // keeps its cursors
 	}
 	s.setState(f, feedDelta, f.queued)
 	for class := range classCount {
@@ -267,7 +267,7 @@
 	}
 }
 
-// startSnapshot has a feed sent from its first record on, with begin and end.
+// startSnapshot makes a feed send a snapshot: begin, all records, end.
 func (r *Relay) startSnapshot(s *session, index int32) {
 	f := &s.feeds[index]
 	f.position = s.knownPosition(f)
@@ -290,7 +290,7 @@
 	return r.order[class]
 }
 
-// ascendRecords calls visit for the items of a feed's class after its cursor, in order, until visit returns false.
+// ascendRecords calls visit for the items of one class of a feed after its cursor, in order, until visit returns false.
 func (r *Relay) ascendRecords(f *feed, class Class, visit func(*item) bool) {
 	r.probe.class, r.probe.seq, r.probe.scope = class, f.cursor[class]+1, f.scope
 	if f.scope != nil {
@@ -304,8 +304,8 @@
 	})
 }
 
-// cursorAt returns the place in the order after which all items of a class are newer than the feed's position. The
-// order must be the order of versions.
+// cursorAt returns the seq after which all items of a class are newer than the feed's position. The items of the class
+// must be in the order of their versions.
 func (r *Relay) cursorAt(f *feed, class Class) (cursor uint64) {
 	r.probe.class, r.probe.seq, r.probe.scope = class, r.seq+1, f.scope
 	isNewer := func(it *item) bool {
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -2,35 +2,35 @@
 
 import "bytes"
 
-// Subscriber keeps the records of its selectors, and tells which have changed.
+// Subscriber holds the records of its selectors and reports their changes.
 type Subscriber struct {
 	replica *replica
 	changes []Change // of the frame that is being received
 }
 
-// Interner shares equal values between subscribers of one process. Its functions, where set, return a value equal to
-// their argument.
+// Interner shares equal values between the subscribers of a process. Each function may be nil; otherwise it returns a
+// value equal to its argument.
 type Interner struct {
-	Text func(string) string // keys and names of scopes
-	Body func([]byte) []byte
+	Text func(string) string // interns keys and names of scopes
+	Body func([]byte) []byte // interns bodies
 }
 
-// NewSubscriber returns a subscriber that holds nothing. An error says that a selector is invalid or wraps ErrLimit.
+// NewSubscriber returns a subscriber without records. An error means that a selector is invalid, or wraps ErrLimit.
 func NewSubscriber(selectors []Selector, l Limits) (*Subscriber, error) {
 	s := &Subscriber{}
 	s.replica = newReplica(s, l)
 	return s, s.replica.addSelectors(selectors)
 }
 
-// SetInterner sets the interner; to be called before the first Receive.
+// SetInterner sets the interner. It must be called before the first Receive.
 func (s *Subscriber) SetInterner(i Interner) { s.replica.interner = i }
 
-// Hello returns the first message to a relay; a new session begins, and frames of earlier ones are ignored. It is
-// within MaxHelloBytes for up to 4,096 selectors with names of 50 bytes.
+// Hello starts a new session and returns its first message to the relay; frames of earlier sessions are ignored from
+// now on. The hello is within MaxHelloBytes for up to 4,096 selectors with names of 50 bytes.
 func (s *Subscriber) Hello() []byte { return s.replica.newHello() }
 
-// Receive applies a frame and returns the changes of records, in the order in which they were received. Changes
-// before an error are returned with it. After an error the connection must be closed.
+// Receive applies a frame and returns the changes of records in the order in which they were received. If it fails, it
+// also returns the changes applied before the error. After an error the caller must close the connection.
 func (s *Subscriber) Receive(now int64, frame []byte) ([]Change, error) {
 	s.changes = nil
 	err := s.replica.receive(now, frame)
@@ -54,7 +54,8 @@
 	return s.replica.scopeSyncState(scope, s.replica.exactInterest(scope))
 }
 
-// Age returns how long ago what is held of a scope was current, in nanoseconds; not known until it was complete once.
+// Age returns how long ago the records held of a scope were current, in nanoseconds. The age is unknown until the scope
+// has been complete once.
 func (s *Subscriber) Age(now int64, scope string) (ns int64, known bool) {
 	state := s.scopeSyncState(scope)
 	return now - state.asOfNs, state.complete
@@ -63,7 +64,7 @@
 // Complete reports whether all selectors have been complete once.
 func (s *Subscriber) Complete() bool { return s.replica.completeInterests == len(s.replica.interests) }
 
-// Each calls visit for each record held, ordered by scope and key.
+// Each calls visit for each record held, in the order of scope and key.
 func (s *Subscriber) Each(visit func(Record)) {
 	s.replica.items.Ascend(func(it *item) bool {
 		if !it.deleted {
@@ -73,10 +74,10 @@
 	})
 }
 
-// Position returns up to where a scope is known.
+// Position returns the position up to which all changes of a scope have been received.
 func (s *Subscriber) Position(scope string) Position { return s.scopeSyncState(scope).position }
 
-// Stats returns the counters, and what is held now.
+// Stats returns the counters, and the current state.
 func (s *Subscriber) Stats() Stats {
 	stats := s.replica.currentStats()
 	state := s.replica.minSyncState()
--- a/internal/distribution/tombstones.go
+++ b/internal/distribution/tombstones.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// A tombstone is an item of a deleted record. A relay keeps a bounded number of them, so that subscribers that resume
-// learn of the deletion; a subscriber drops them once its position has passed them.
+// A tombstone is the item of a deleted record. A relay keeps a bounded number of tombstones, so that it can send
+// deletions to subscribers that resume; a subscriber drops a tombstone once its position has passed it.
 
-// tombstoneRef is a tombstone's place in a relay's order; void once the record has changed again.
+// tombstoneRef is the place of a tombstone in a relay's order. It is void once the record has changed again.
 type tombstoneRef struct {
 	item *item
 	seq  uint64
@@ -13,8 +13,8 @@
 
 func (t tombstoneRef) void() bool { return !t.item.deleted || t.item.seq != t.seq }
 
-// pruneTombstones drops a relay's oldest tombstones beyond its limit, and with them the possibility to resume before
-// them.
+// pruneTombstones drops a relay's oldest tombstones beyond its limit. Subscribers at positions before a dropped
+// tombstone can no longer resume with a delta.
 func (r *Relay) pruneTombstones() {
 	dropped := 0
 	for ; r.replica.tombstones > r.limits.Tombstones && dropped < len(r.tombstones); dropped++ {
@@ -24,7 +24,7 @@
 			continue
 		}
 		if it.position().compare(r.advertised) > 0 {
-			break // another relay may still send an older state of what this one can't claim to know
+			break // not advertised yet: another upstream may still send an older state of this record
 		}
 		if it.epoch == r.epoch {
 			r.raiseFloor(tombstone)
@@ -37,7 +37,8 @@
 	}
 }
 
-// raiseFloor starts snapshots for feeds that were not yet sent a tombstone that is dropped.
+// raiseFloor raises the floor to a tombstone that is dropped, and starts snapshots for the feeds to which it was not
+// sent.
 func (r *Relay) raiseFloor(tombstone tombstoneRef) {
 	it := tombstone.item
 	r.forEachFeed(it, func(s *session, index int32) {
@@ -52,8 +53,8 @@
 	}
 }
 
-// dropTombstones drops a subscriber's tombstones that its position has passed: a record that is not held, and not newer
-// than the position, is deleted by that alone.
+// dropTombstones drops the tombstones that a subscriber's position has passed. They are no longer needed: a record that
+// is not held and not newer than the position counts as deleted.
 func (r *replica) dropTombstones() {
 	if r.keepsTombstones || len(r.pendingTombstones) == 0 {
 		return
--- a/internal/distribution/wire.go
+++ b/internal/distribution/wire.go
@@ -6,15 +6,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// protocolVersion is the version of hellos and frames; a relay refuses another. Unknown fields are ignored.
+// protocolVersion is the version of hellos and frames; a relay rejects any other version. Unknown fields are ignored.
 const protocolVersion = 1
 
 // hello is the first message of a subscriber.
 type hello struct {
 	Protocol  uint64          `cbor:"1,keyasint"`
 	Session   uint64          `cbor:"2,keyasint"`
-	EpochSeen uint64          `cbor:"3,keyasint,omitempty"` // the highest epoch seen
-	Epoch     uint64          `cbor:"4,keyasint,omitempty"` // with Through: the shared position
+	EpochSeen uint64          `cbor:"3,keyasint,omitempty"` // the highest epoch that the subscriber has seen
+	Epoch     uint64          `cbor:"4,keyasint,omitempty"` // Epoch and Through are the shared position
 	Through   uint64          `cbor:"5,keyasint,omitempty"`
 	Selectors []helloSelector `cbor:"6,keyasint"`
 }
@@ -23,29 +23,29 @@
 	_       struct{} `cbor:",toarray"`
 	Scope   string
 	Flags   uint8
-	Epoch   uint64 // with Through: its own position, without flagShared
+	Epoch   uint64 // Epoch and Through are the selector's own position, if flagShared is not set
 	Through uint64
 }
 
 // Flags of a helloSelector.
 const (
-	flagPrefix = 1 << iota // the scope is a prefix
-	flagShared             // its position is the hello's
+	flagPrefix = 1 << iota // Scope is a prefix
+	flagShared             // the selector's position is the shared position of the hello
 )
 
-// frame is a message of a relay: snapshots that begin, records, snapshots that end, and up to where all is known, to be
-// applied in this order. Selectors are named by their index in the hello.
+// frame is a message from a relay. It lists the snapshots that begin, records, the snapshots that end and the position
+// reached; a receiver applies them in this order. Selectors are identified by their index in the hello.
 type frame struct {
-	Session uint64        `cbor:"1,keyasint"` // as in the hello
-	Number  uint64        `cbor:"2,keyasint"` // of the frame in its session, from 1
+	Session uint64        `cbor:"1,keyasint"` // the session of the hello
+	Number  uint64        `cbor:"2,keyasint"` // sequence number of the frame within its session, from 1
 	Epoch   uint64        `cbor:"3,keyasint,omitempty"`
 	Begin   []uint32      `cbor:"4,keyasint,omitempty"`
 	Groups  []recordGroup `cbor:"5,keyasint,omitempty"`
 	End     []uint32      `cbor:"6,keyasint,omitempty"`
-	Through uint64        `cbor:"7,keyasint,omitempty"` // the version up to which End and All hold
-	All     bool          `cbor:"8,keyasint,omitempty"` // all selectors know all changes, but those in Except
+	Through uint64        `cbor:"7,keyasint,omitempty"` // the version of the position that End and All refer to
+	All     bool          `cbor:"8,keyasint,omitempty"` // all selectors except those in Except have reached Through
 	Except  []uint32      `cbor:"9,keyasint,omitempty"`
-	Age     int64         `cbor:"10,keyasint,omitempty"` // nanoseconds since Through was the origin's newest
+	Age     int64         `cbor:"10,keyasint,omitempty"` // nanoseconds since Through was the origin's newest version
 }
 
 // recordGroup holds records of one scope.
@@ -67,7 +67,7 @@
 const (
 	classMask   = 0x03
 	flagDeleted = 0x10
-	flagKeyOnly = 0x20 // the subscriber holds it: no body
+	flagKeyOnly = 0x20 // sent without a body, as the subscriber holds the record
 	knownFlags  = classMask | flagDeleted | flagKeyOnly
 )
 
@@ -78,7 +78,7 @@
 		r.Version != 0 && len(r.Body) <= MaxBodyBytes
 }
 
-// rawFrame is a frame whose records are not decoded yet, so that one invalid record doesn't void the others.
+// rawFrame is a frame whose records are not decoded yet, so that one invalid record doesn't invalidate the others.
 type rawFrame struct {
 	frame
 	Groups []cbor.RawMessage `cbor:"5,keyasint,omitempty"`
@@ -91,7 +91,7 @@
 }
 
 const (
-	maxRecordsBytes   = MaxFrameBytes - 2048 // of records in a frame; the rest is for its other fields
+	maxRecordsBytes   = MaxFrameBytes - 2048 // size of the records in a frame; the rest is for its other fields
 	maxSnapshotEvents = 256                  // entries in Begin, and in End
 	maxExcept         = 32                   // entries in Except
 )
@@ -106,7 +106,7 @@
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // fixed options
+		panic(err) // can't happen: the options are constant
 	}
 	return v
 }
@@ -114,13 +114,13 @@
 func encode(v any) []byte {
 	out, err := encMode.Marshal(v)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // can't happen: the message types contain only encodable fields
 	}
 	return out
 }
 
-// decodeFrame decodes a frame. Records that can't be decoded are left out; invalid is called with the scope of each,
-// or "" if not even that can be decoded. Errors wrap ErrBadFrame.
+// decodeFrame decodes a frame. Records that can't be decoded are omitted; invalid is called with the scope of each of
+// them, or with "" if the scope can't be decoded either. Errors wrap ErrBadFrame.
 func decodeFrame(b []byte, invalid func(scope string)) (*frame, error) {
 	if len(b) > MaxFrameBytes {
 		return nil, fmt.Errorf("%w: %w", ErrBadFrame, limitError("bytes", MaxFrameBytes, len(b)))
@@ -161,7 +161,7 @@
 	return group, true
 }
 
-// decodeHello decodes and checks a hello. Errors wrap ErrBadHello or ErrLimit.
+// decodeHello decodes and validates a hello. Errors wrap ErrBadHello or ErrLimit.
 func decodeHello(b []byte, l Limits) (*hello, error) {
 	if len(b) > MaxHelloBytes {
 		return nil, fmt.Errorf("%w: %w", ErrBadHello, limitError("bytes", MaxHelloBytes, len(b)))
@@ -180,7 +180,7 @@
 	for i, s := range h.Selectors {
 		isPrefix := s.Flags&flagPrefix != 0
 		if len(s.Scope) > MaxNameBytes || s.Scope == "" && !isPrefix {
-			return nil, fmt.Errorf("%w: selector %d: a name of 1 to %d bytes expected, found %d",
+			return nil, fmt.Errorf("%w: selector %d: expected a name of 1 to %d bytes, found %d",
 				ErrBadHello, i, MaxNameBytes, len(s.Scope))
 		}
 		if isPrefix {
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -17,38 +17,38 @@
 const (
 	initialBackoff      = 200 * time.Millisecond // doubled after each round in which all upstreams failed
 	maxBackoffDoublings = 10
-	reconnectJitter     = 200 * time.Millisecond // before the first reconnect: the upstream's other clients come too
-	minStableConnection = 5 * time.Second        // a connection that ends sooner counts as a failed one
-	initialLagBackoff   = 5 * time.Second        // between moves away from upstreams that are behind, doubled each time
+	reconnectJitter     = 200 * time.Millisecond // first reconnect only: all clients of an upstream lose it at once
+	minStableConnection = 5 * time.Second        // a connection that ends sooner counts as a failure
+	initialLagBackoff   = 5 * time.Second        // between moves away from lagging upstreams; doubled after each move
 	maxLagBackoff       = time.Minute
 )
 
-// Reasons for which an upstream is left.
+// Reasons for leaving an upstream.
 var (
-	errLagging      = errors.New("the upstream is behind")
-	errNotFresh     = errors.New("the upstream says that it lacks something")
-	errSilent       = errors.New("the upstream fell silent")
-	errFailback     = errors.New("back to the first choice")
-	errInvalidFrame = errors.New("a frame that makes no sense")
+	errLagging      = errors.New("upstream lags behind by more than the maximum lag")
+	errNotFresh     = errors.New("upstream is incomplete or lagging according to its greeting")
+	errSilent       = errors.New("upstream sent nothing within the silence timeout")
+	errFailback     = errors.New("failback to the first upstream in the order")
+	errInvalidFrame = errors.New("invalid frame from upstream")
 )
 
-// ClientState is the state of a client, as it changes.
+// ClientState is the state of a client as reported to ClientConfig.OnState.
 type ClientState struct {
-	Upstream  string // "": none
+	Upstream  string // address of the upstream; "" if there is none
 	Connected bool
-	Reason    string // for which the upstream was left, or could not be reached
-	AllFailed bool   // all upstreams have failed, one after another
+	Reason    string // why the upstream was left or could not be reached
+	AllFailed bool   // all upstreams have failed since a connection was last stable
 }
 
 // ClientStats are counters since the start.
 type ClientStats struct {
 	Dials     int64 `json:"Dials"`
 	Connects  int64 `json:"Connects"`
-	Silent    int64 `json:"Silent"`   // upstreams left as they sent nothing
-	Closed    int64 `json:"Closed"`   // connections that ended or failed otherwise
-	Lagging   int64 `json:"Behind"`   // upstreams left as they were behind, or not fresh
-	Oversized int64 `json:"TooLong"`  // connections ended by a frame over the limit
-	Invalid   int64 `json:"Spoilt"`   // connections ended by a frame that the sink refused
+	Silent    int64 `json:"Silent"`   // upstreams left because they sent nothing
+	Closed    int64 `json:"Closed"`   // connections that ended or failed for other reasons
+	Lagging   int64 `json:"Behind"`   // upstreams left because they were lagging or not fresh
+	Oversized int64 `json:"TooLong"`  // connections ended by a frame over the size limit
+	Invalid   int64 `json:"Spoilt"`   // connections ended by a frame that the sink rejected
 	Failbacks int64 `json:"Returned"` // returns to the first choice
 	Frames    int64 `json:"Frames"`
 	Bytes     int64 `json:"Bytes"`
@@ -58,20 +58,20 @@
 	dials, connects, silent, closed, lagging, oversized, invalid, failbacks, frames, bytes atomic.Int64
 }
 
-// Client follows one of several upstreams. It leaves one that fails, falls silent or is behind for the next, with
-// backoff and jitter, and returns to its first choice later. It uses one connection and, but for the return, one
-// goroutine.
+// Client follows one of several upstreams. It moves to the next upstream, with backoff and jitter, if the current one
+// fails, stops sending or lags behind, and later returns to its first choice. It uses one connection and one goroutine,
+// and one more of each while it tries to return.
 type Client struct {
 	config      ClientConfig
 	sink        Sink
 	log         *zap.Logger
-	upstreams   []string // the upstreams, the first choice first
+	upstreams   []string // in the order in which they are tried
 	rng         *rand.Rand
 	lastFrameNs atomic.Int64
 	counters    clientCounters
 }
 
-// NewClient returns a client that feeds a sink; nothing runs before Run.
+// NewClient returns a client that passes frames to a sink. It does nothing until Run is called.
 func NewClient(config ClientConfig, sink Sink, log *zap.Logger) *Client {
 	seed := xxhash.Sum64String(config.Name)
 	return &Client{
@@ -83,10 +83,10 @@
 	}
 }
 
-// Order returns the upstreams in the order in which the client tries them.
+// UpstreamOrder returns the upstreams in the order in which the client tries them.
 func (c *Client) UpstreamOrder() []string { return slices.Clone(c.upstreams) }
 
-// LastFrameNs returns when the last frame came, by the clock, in nanoseconds; 0: not connected.
+// LastFrameNs returns when the last frame was received, in nanoseconds of the clock; 0 if not connected.
 func (c *Client) LastFrameNs() int64 { return c.lastFrameNs.Load() }
 
 // Stats returns the counters.
@@ -106,13 +106,13 @@
 	}
 }
 
-// followLoop is where a client is in its order of upstreams.
+// followLoop is the state of Client.Run.
 type followLoop struct {
 	client              *Client
-	upstreamIndex       int // index in the order
-	failures            int // in a row, since a connection was last stable
+	upstreamIndex       int // index of the current upstream in Client.upstreams
+	failures            int // consecutive failures since a connection was last stable
 	lagBackoff          time.Duration
-	lagToleratedUntilNs int64
+	lagToleratedUntilNs int64 // an upstream is not left for its lag before this time
 }
 
 // Run follows upstreams until the context is done.
@@ -136,7 +136,8 @@
 	c.notifyState(ClientState{Reason: "ended"})
 }
 
-// follow connects to an upstream and follows it, and the first choice after a failback, until a connection fails.
+// follow connects to the current upstream and follows it until the connection fails. After a failback it continues with
+// the first choice.
 func (l *followLoop) follow(ctx context.Context) error {
 	c := l.client
 	conn, fresh, err := c.connect(ctx, c.upstreams[l.upstreamIndex])
@@ -144,7 +145,7 @@
 		return err
 	}
 	if !fresh && l.failures < len(c.upstreams)-1 {
-		conn.Close() // another may lack nothing; after a round without one, this is better than none
+		conn.Close() // another upstream may be fresh; if none is, a stale one is better than none
 		return errNotFresh
 	}
 	for {
@@ -159,8 +160,8 @@
 	}
 }
 
-// runSession follows an upstream until the connection ends. It returns the connection to the first choice, if the
-// client is to return to that, or the reason for which the upstream was left.
+// runSession follows an upstream until the connection ends. It returns an open connection to the first choice if the
+// client must fail back to it, or else the reason for leaving the upstream.
 func (l *followLoop) runSession(ctx context.Context, conn net.Conn) (failback net.Conn, reason error) {
 	c := l.client
 	began := c.config.Clock()
@@ -186,8 +187,8 @@
 	return nil, reason
 }
 
-// backOff waits before the next connection: not at all while there are upstreams that were not tried, but for the
-// jitter after the first failure; else longer after each round, with jitter.
+// backOff waits before the next connection. After the first failure it waits for a short jitter. While there are
+// upstreams left to try in a round it doesn't wait; after each failed round it waits exponentially longer, with jitter.
 func (c *Client) backOff(ctx context.Context, failures int) {
 	wait := time.Duration(0)
 	if failures == 1 {
@@ -229,7 +230,8 @@
 	}
 }
 
-// connect opens a connection and reads the greeting: a stopped process accepts connections, but sends nothing.
+// connect opens a connection and waits for the greeting: the system accepts connections for a stopped process as well,
+// but the process then sends nothing.
 func (c *Client) connect(ctx context.Context, address string) (conn net.Conn, fresh bool, err error) {
 	c.counters.dials.Add(1)
 	connectCtx, cancel := context.WithTimeout(ctx, c.config.ConnectTimeout)
--- a/internal/relay/clientconfig.go
+++ b/internal/relay/clientconfig.go
@@ -12,34 +12,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ClientConfig configures a client. Zero values take the default in brackets.
+// ClientConfig configures a client. Zero values select the default in brackets.
 type ClientConfig struct {
-	Name      string   // of who follows: seeds the jitter, and the order of upstreams with SpreadByName
+	Name      string   // name of the client; seeds the jitter, and with SpreadByName the order of upstreams
 	Upstreams []string // addresses with ports, at least one
-	// SpreadByName has each name try upstreams in an order of its own, by rendezvous hashing, so that the clients of
-	// one that fails spread over all others. Without it, the order is as given.
+	// SpreadByName makes each client try upstreams in an order derived from its name by rendezvous hashing, so that the
+	// clients of a failed upstream spread over all others. Without it, the order of Upstreams is used.
 	SpreadByName  bool
 	MaxFrameBytes int // a longer frame ends the connection [distribution.MaxFrameBytes]
 
-	// ConnectTimeout bounds connecting and the greeting [700 ms]. A shorter one leaves a stopped upstream sooner, and
-	// fails on slow paths.
+	// ConnectTimeout bounds connecting, and then waiting for the greeting [700 ms]. A shorter timeout detects a stopped
+	// upstream sooner, but fails on slow paths.
 	ConnectTimeout time.Duration
-	// SilenceTimeout is how long an upstream may send nothing before it is left [2.5 s]. Heartbeats come every second.
+	// SilenceTimeout is how long an upstream may send nothing before the client leaves it [2.5 s]. Upstreams send
+	// heartbeats every second.
 	SilenceTimeout time.Duration
-	// FrameTimeout bounds one frame, from its first byte [5 s].
+	// FrameTimeout bounds the time to receive one frame, from its first byte [5 s].
 	FrameTimeout time.Duration
-	// MaxLag is how far an upstream may be behind before it is left for another, if there is one [4 s].
+	// MaxLag is how far an upstream may lag behind before the client leaves it for another one, if there is one [4 s].
 	MaxLag time.Duration
-	// FailbackDelay is how long after it was left the first choice is tried again, and up to as much more [30 s].
+	// FailbackDelay is the minimum time before the first choice is tried again. A random delay of up to the same length
+	// is added [30 s].
 	FailbackDelay time.Duration
 	// MaxBackoff is the longest wait after a round in which all upstreams failed [3 s].
 	MaxBackoff time.Duration
 
 	// Dial opens a connection [TCP without keep-alive].
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Clock is monotonic, in nanoseconds [NewClock].
+	// Clock returns a monotonic time in nanoseconds [NewClock].
 	Clock func() int64
-	// OnState is called by the client's goroutine, and must not block [none].
+	// OnState is called on the client's goroutine when the state changes, and must not block [none].
 	OnState func(ClientState)
 }
 
@@ -83,7 +85,7 @@
 	return order
 }
 
-// NewClock returns a clock in nanoseconds that adjustments of the system's time don't affect.
+// NewClock returns a clock in nanoseconds that starts at the system time and is unaffected by later adjustments of it.
 func NewClock() func() int64 {
 	start := time.Now()
 	return func() int64 { return start.UnixNano() + int64(time.Since(start)) }
--- a/internal/relay/clientsession.go
+++ b/internal/relay/clientsession.go
@@ -16,18 +16,20 @@
 type session struct {
 	client              *Client
 	conn                net.Conn
-	firstChoice         bool  // conn is to the first upstream of the order
-	lagToleratedUntilNs int64 // the upstream is not left for its lag before
-	// failback is a connection to the first choice, once that has greeted; &failbackClosed: too late.
+	firstChoice         bool  // conn leads to the first upstream in the order
+	lagToleratedUntilNs int64 // the upstream is not left for its lag before this time
+	// failback is a connection to the first choice, set once its greeting has been received, or &failbackClosed once
+	// this session has ended.
 	failback atomic.Pointer[net.Conn]
 }
 
-// failbackClosed stands in session.failback once the session has ended.
+// failbackClosed is the value of session.failback after the end of the session. It keeps dialFirstChoice from storing a
+// connection that nobody would use or close.
 var failbackClosed net.Conn
 
 var frameBuffers = sync.Pool{New: func() any { return new([defaultMaxFrameBytes]byte) }}
 
-// receiveFrames sends the hello and receives frames until the connection ends or the upstream is to be left, and
+// receiveFrames sends the hello and receives frames until the connection ends or the client must leave the upstream. It
 // returns the reason.
 func (s *session) receiveFrames(ctx context.Context) error {
 	c := s.client
@@ -60,13 +62,13 @@
 	}
 }
 
-// nextFailback returns when to try the first choice next, with jitter.
+// nextFailback returns the time, with jitter, at which to try the first choice next.
 func (s *session) nextFailback(now int64) int64 {
 	delay := int64(s.client.config.FailbackDelay)
 	return now + delay + s.client.rng.Int64N(delay)
 }
 
-// isLagging reports whether to leave the upstream for another as it is behind.
+// isLagging reports whether the client must leave the upstream for another one because of its lag.
 func (s *session) isLagging(began, now int64) bool {
 	c := s.client
 	maxLag := int64(c.config.MaxLag)
@@ -76,7 +78,8 @@
 func (s *session) receiveFrame() error {
 	c := s.client
 	s.conn.SetReadDeadline(time.Now().Add(c.config.SilenceTimeout))
-	if s.failback.Load() != nil { // after the deadline is set: dialFirstChoice moves it after it has set failback
+	// Check failback after setting the deadline: dialFirstChoice sets failback first, then expires the deadline.
+	if s.failback.Load() != nil {
 		return errFailback
 	}
 	size, err := readLength(s.conn, c.config.MaxFrameBytes)
@@ -103,7 +106,8 @@
 	return nil
 }
 
-// dialFirstChoice connects to the first choice beside this session, and ends the session once the other has greeted.
+// dialFirstChoice connects to the first choice while this session continues, and ends the session once the first choice
+// has sent a greeting that says it is fresh.
 func (s *session) dialFirstChoice(ctx context.Context) {
 	conn, fresh, err := s.client.connect(ctx, s.client.upstreams[0])
 	if err != nil {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -12,62 +12,65 @@
 	"fawnglade/internal/tomlfile"
 )
 
-// Config configures the process of an origin or a relay, as its TOML file does.
+// Config is the configuration of an origin or relay process, as read from its TOML file.
 type Config struct {
-	// Name of the process, in its log. Of a relay it also seeds the jitter of its backoff.
+	// Name is the name of the process in its log. In a relay it also seeds the jitter of the backoff.
 	Name string `toml:"name"`
 	// Role is origin or relay.
 	Role string `toml:"role"`
-	// Listen is the address and port for subscribers; with port 0 a free one is taken.
+	// Listen is the address and port for subscribers. Port 0 selects a free port.
 	Listen string `toml:"listen"`
-	// Upstream are a relay's upstreams as addresses and ports, the first choice first.
+	// Upstream lists the addresses and ports of a relay's upstreams, in the order in which they are tried.
 	Upstream []string `toml:"upstream"`
-	// Scopes are what a relay follows, region/service; a star at the end stands for all that begin so. Default: all.
+	// Scopes lists the scopes that a relay follows, each as region/service. A star at the end selects all scopes that
+	// begin with the text before it. Default: all scopes.
 	Scopes []string `toml:"scopes"`
-	// BytesPerSecond is the pace to each subscriber; 0: not paced.
+	// BytesPerSecond is the pace at which each subscriber is sent records; 0 disables pacing.
 	BytesPerSecond int `toml:"pace"`
-	// Limits bound what is held; 0 stands for the defaults of distribution.Limits.
+	// Limits bounds the memory of the process. 0 selects the defaults of distribution.Limits.
 	Limits LimitsConfig `toml:"limits"`
 	// Origin configures an origin; nil for a relay.
 	Origin *OriginConfig `toml:"origin"`
 }
 
-// LimitsConfig bounds what a process holds.
+// LimitsConfig bounds the records and subscribers of a process.
 type LimitsConfig struct {
 	Records     int `toml:"records"`
-	Bytes       int `toml:"bytes"` // of names, keys and bodies
+	Bytes       int `toml:"bytes"` // total size of names, keys and bodies
 	Subscribers int `toml:"subscribers"`
 }
 
-// OriginConfig configures where an origin's records come from.
+// OriginConfig configures the sources of an origin's records.
 type OriginConfig struct {
-	// Discovery is the address and port of discovery; empty: no endpoints.
+	// Discovery is the address and port of discovery. Empty: the origin serves no endpoints.
 	Discovery string `toml:"discovery"`
-	// Configuration is the directory of configuration; empty: no configuration.
+	// Configuration is the directory with files of configuration records. Empty: the origin serves no configuration.
 	Configuration string `toml:"configuration"`
-	// PollInterval is how often the directory is scanned, 50ms to 1h. Default: 1s.
+	// PollInterval is the interval between scans of the directory, 50ms to 1h. Default: 1s.
 	PollInterval string `toml:"every"`
-	// State is the file that stores the epoch, so that it grows though the machine's clock goes back; empty: none.
+	// State is the file that stores the epoch, so that it increases even if the machine's clock is set back. Empty: the
+	// epoch is not stored.
 	State string `toml:"state"`
-	// Scope says which scope a host is in.
+	// Scope determines the scopes of endpoints.
 	Scope ScopeRule `toml:"scope"`
 
-	// PollIntervalNs is PollInterval in nanoseconds, once the file has been checked.
+	// PollIntervalNs is PollInterval in nanoseconds, set when the configuration is checked.
 	PollIntervalNs int64 `toml:"-"`
 }
 
-// ScopeRule says which scope a host is in, region/service.
+// ScopeRule determines the scope of an endpoint, region/service.
 type ScopeRule struct {
-	// Service is the service of all hosts; or empty, with ServiceFrom.
+	// Service is the service of all endpoints. Exactly one of Service and ServiceFrom must be set.
 	Service string `toml:"service"`
-	// ServiceFrom "host" takes what is before the last dash of a host's name for its service.
+	// ServiceFrom "host" derives the service of an endpoint from its name: the part before the last dash.
 	ServiceFrom string `toml:"service_from"`
-	// Region is the region of sites that Regions doesn't name; empty: their hosts are skipped.
+	// Region is the region of zones ("sites" in the list of discovery) that are not in Regions. Empty: endpoints in
+	// these zones are skipped.
 	Region string `toml:"region"`
-	// Regions are the sites of each region.
+	// Regions lists the zones of each region.
 	Regions map[string][]string `toml:"regions"`
 
-	regionByZone map[string]string // by site
+	regionByZone map[string]string
 }
 
 const (
@@ -83,10 +86,10 @@
 	maxUpstreams        = 64
 	maxScopes           = 4096
 	maxNameBytes        = 255
-	maxScopePartBytes   = maxNameBytes / 2 // of a region or service
+	maxScopePartBytes   = maxNameBytes / 2 // length of a region or service
 )
 
-// ReadConfig reads and checks a file. The error names all that is wrong.
+// ReadConfig reads and checks a configuration file. The error lists all problems.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -95,7 +98,7 @@
 	return ParseConfig(path, text)
 }
 
-// ParseConfig parses and checks a file's text. The error names all that is wrong; path stands in it.
+// ParseConfig parses and checks the text of a configuration file. The error lists all problems and contains path.
 func ParseConfig(path string, text []byte) (*Config, error) {
 	config := &Config{}
 	problems, err := tomlfile.Decode(path, text, config, configPage)
@@ -108,13 +111,15 @@
 
 func checkAddress(problems *tomlfile.Problems, key, found string, allowPortZero bool) {
 	address, err := netip.ParseAddrPort(found)
-	problems.Require(err == nil && (allowPortZero || address.Port() != 0), key, "an address and a port", fmt.Sprintf("%q", found))
+	problems.Require(err == nil && (allowPortZero || address.Port() != 0), key, "an address and a port",
+		fmt.Sprintf("%q", found))
 }
 
 func (config *Config) check(problems *tomlfile.Problems) {
 	problems.Require(config.Name != "" && len(config.Name) <= maxNameBytes, "name",
 		fmt.Sprintf("a name of up to %d bytes", maxNameBytes), fmt.Sprintf("%q", config.Name))
-	problems.Require(config.Role == roleOrigin || config.Role == roleRelay, "role", "origin or relay", fmt.Sprintf("%q", config.Role))
+	problems.Require(config.Role == roleOrigin || config.Role == roleRelay, "role", "origin or relay",
+		fmt.Sprintf("%q", config.Role))
 	checkAddress(problems, "listen", config.Listen, true)
 	problems.Require(config.BytesPerSecond == 0 || config.BytesPerSecond >= minBytesPerSecond, "pace",
 		fmt.Sprintf("0, or at least %d bytes a second", minBytesPerSecond), config.BytesPerSecond)
@@ -150,7 +155,7 @@
 	for i, upstream := range config.Upstream {
 		key := fmt.Sprintf("upstream.%d", i)
 		checkAddress(problems, key, upstream, false)
-		problems.Require(!seen[upstream], key, "an address that is not there twice", fmt.Sprintf("%q again", upstream))
+		problems.Require(!seen[upstream], key, "an address that is listed once", fmt.Sprintf("%q again", upstream))
 		problems.Require(upstream != config.Listen, key, "another address than listen", fmt.Sprintf("%q", upstream))
 		seen[upstream] = true
 	}
@@ -160,8 +165,9 @@
 	problems.Require(len(config.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(config.Scopes))
 	for i, scope := range config.Scopes {
 		wildcardOnlyAtEnd := !strings.Contains(strings.TrimSuffix(scope, wildcard), wildcard)
-		problems.Require(scope != "" && len(scope) <= distribution.MaxNameBytes && wildcardOnlyAtEnd, fmt.Sprintf("scopes.%d", i),
-			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", distribution.MaxNameBytes),
+		problems.Require(scope != "" && len(scope) <= distribution.MaxNameBytes && wildcardOnlyAtEnd,
+			fmt.Sprintf("scopes.%d", i),
+			fmt.Sprintf("a scope of up to %d bytes, with a star only at its end", distribution.MaxNameBytes),
 			fmt.Sprintf("%q", scope))
 	}
 }
@@ -173,7 +179,7 @@
 		var err error
 		interval, err = time.ParseDuration(o.PollInterval)
 		problems.Require(err == nil && interval >= minPollInterval && interval <= maxPollInterval, "origin.every",
-			"a time from 50ms to 1h", fmt.Sprintf("%q", o.PollInterval))
+			"a duration from 50ms to 1h", fmt.Sprintf("%q", o.PollInterval))
 	}
 	o.PollIntervalNs = int64(interval)
 	if o.Discovery != "" {
@@ -183,7 +189,7 @@
 }
 
 func (s *ScopeRule) check(problems *tomlfile.Problems) {
-	problems.Require((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place",
+	problems.Require((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from instead",
 		fmt.Sprintf("%q and %q", s.Service, s.ServiceFrom))
 	problems.Require(s.ServiceFrom == "" || s.ServiceFrom == serviceFromName, "origin.scope.service_from", "host",
 		fmt.Sprintf("%q", s.ServiceFrom))
@@ -193,8 +199,8 @@
 	for region, zones := range s.Regions {
 		for _, zone := range zones {
 			other := s.regionByZone[zone]
-			problems.Require(other == "", "origin.scope.regions."+region, "sites of one region each",
-				fmt.Sprintf("%q, which is also of %s", zone, other))
+			problems.Require(other == "", "origin.scope.regions."+region, "sites that are in one region each",
+				fmt.Sprintf("%q, which is also in %s", zone, other))
 			s.regionByZone[zone] = region
 		}
 	}
@@ -212,7 +218,7 @@
 	return len(name) <= maxScopePartBytes && !strings.ContainsAny(name, "/*")
 }
 
-// scopeOf returns the scope of a host; empty: it has none.
+// scopeOf returns the scope of an endpoint, given its name and zone, or "" if the rule gives it none.
 func (s *ScopeRule) scopeOf(name, zone string) string {
 	region := cmp.Or(s.regionByZone[zone], s.Region)
 	service := s.Service
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -17,10 +17,10 @@
 	"go.uber.org/zap"
 )
 
-// recordName is the name of a record: its key within its scope.
+// recordName identifies a record by its scope and its key within that scope.
 type recordName struct{ scope, key string }
 
-// fileStamp tells whether a file has changed.
+// fileStamp holds the attributes of a file that change when the file is modified or replaced.
 type fileStamp struct {
 	size       int64
 	modifiedNs int64
@@ -35,19 +35,20 @@
 	return stamp
 }
 
-// recordFile is a file as it was last read.
+// recordFile is the state of a file when it was last read.
 type recordFile struct {
 	stamp     fileStamp
-	records   map[recordName]distribution.Record // of the last time that it could be read
-	lastError string                             // "": it could be read
+	records   map[recordName]distribution.Record // from the last successful read
+	lastError string                             // error of the last read; "" if it succeeded
 }
 
-// configDirectory reads an origin's directory of configuration: *.jsonl files of records, one a line. A file counts
-// as a whole or not at all, and what can't be read removes nothing. It never writes.
+// configDirectory reads the records in an origin's configuration directory from *.jsonl files with one record per line.
+// A file is applied completely or not at all, and a file or directory that can't be read removes no records. It never
+// writes to the directory.
 type configDirectory struct {
 	path         string
 	files        map[string]*recordFile
-	fileByRecord map[recordName]string // the file of each record
+	fileByRecord map[recordName]string // name of the file that contains each record
 	log          *zap.Logger
 	warnings     warnLimiter
 
@@ -58,8 +59,8 @@
 	return &configDirectory{path: path, files: map[string]*recordFile{}, fileByRecord: map[recordName]string{}, log: log}
 }
 
-// scan reads the files that have changed, and returns the records that have; Deleted ones are to be removed.
-// complete: the directory could be read, and holds files or never did.
+// scan reads the files that have changed and returns the changed records; those that are Deleted must be removed.
+// complete reports whether the directory could be read; a directory whose files have all vanished counts as unreadable.
 func (d *configDirectory) scan() (changes []distribution.Record, complete bool) {
 	names, ok := d.listFiles()
 	if !ok {
@@ -77,11 +78,11 @@
 	return changes, true
 }
 
-// list returns the names of the files of records, sorted; false: what was read of them stays.
+// listFiles returns the sorted names of the files with records. If ok is false, the records read before must be kept.
 func (d *configDirectory) listFiles() (names []string, ok bool) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
-		d.warnings.warn(d.log, "directory", "the directory of configuration can't be read: what was read stays",
+		d.warnings.warn(d.log, "directory", "configuration directory can't be read; keeping its previous records",
 			zap.Error(err))
 		return nil, false
 	}
@@ -91,19 +92,19 @@
 		}
 	}
 	if len(names) == 0 && len(d.files) > 0 {
-		// A mount that went looks like this; who wants no configuration leaves an empty file.
-		d.warnings.warn(d.log, "empty", "the directory of configuration has no files any more: what was read stays")
+		// An unmounted directory looks like this. To remove all configuration, an operator leaves an empty file.
+		d.warnings.warn(d.log, "empty", "configuration directory has no record files any more; keeping its previous records")
 		return nil, false
 	}
 	if len(names) > maxFiles {
-		d.warnings.warn(d.log, "files", "the directory of configuration has too many files: what was read stays",
+		d.warnings.warn(d.log, "files", "configuration directory has too many record files; keeping its previous records",
 			zap.Int("files", len(names)), zap.Int("at most", maxFiles))
 		return nil, false
 	}
 	return names, true
 }
 
-// removeRecords returns the removal of a file's records but those that it still has.
+// removeRecords returns the removals of a file's previous records that are not in its current ones.
 func (d *configDirectory) removeRecords(name string, current map[recordName]distribution.Record) []distribution.Record {
 	file := d.files[name]
 	if file == nil {
@@ -124,8 +125,8 @@
 	path := filepath.Join(d.path, name)
 	info, err := os.Stat(path)
 	if err != nil {
-		if !errors.Is(err, fs.ErrNotExist) { // else it went since; the next scan sees that
-			d.warnings.warn(d.log, "stat", "a file of configuration can't be read: what was read of it stays",
+		if !errors.Is(err, fs.ErrNotExist) { // a file removed since it was listed is handled by the next scan
+			d.warnings.warn(d.log, "stat", "configuration file can't be read; keeping its previous records",
 				zap.Error(err))
 		}
 		return nil
@@ -137,7 +138,7 @@
 	}
 	records, err := readRecords(path, func(record recordName) error {
 		if other := d.fileByRecord[record]; other != "" && other != name {
-			return fmt.Errorf("%w, found scope %q, key %q, which is in %s",
+			return fmt.Errorf("%w, found scope %q, key %q, which is also in %s",
 				errDuplicateRecord, record.scope, record.key, other)
 		}
 		return nil
@@ -153,7 +154,7 @@
 	return append(removed, changed...)
 }
 
-// skipFile notes a file that could not be read, and warns once of each error.
+// skipFile records that a file could not be read. It logs a warning when the error of a file changes.
 func (d *configDirectory) skipFile(name string, stamp fileStamp, err error) {
 	d.filesSkipped.Add(1)
 	file := d.files[name]
@@ -162,17 +163,17 @@
 		d.files[name] = file
 	}
 	if file.lastError != err.Error() {
-		d.log.Warn("configuration file skipped: what was read of it before stays", zap.Error(err))
+		d.log.Warn("configuration file skipped; keeping its previous records", zap.Error(err))
 	}
 	file.lastError = err.Error()
 	file.stamp = stamp
 	if errors.Is(err, errDuplicateRecord) {
-		file.stamp = fileStamp{} // read it once more: the other file may have changed
+		file.stamp = fileStamp{} // read it again in the next scan: the other file may have changed
 	}
 }
 
-// changedRecords returns the records of a file that are new or have changed, sorted, so that the order of versions
-// doesn't depend on a map's.
+// changedRecords returns the new and changed records of a file, sorted, so that the order of versions doesn't depend on
+// the iteration order of a map.
 func (d *configDirectory) changedRecords(
 	file string, records map[recordName]distribution.Record,
 ) []distribution.Record {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -18,20 +18,21 @@
 
 const (
 	watchConnectTimeout = time.Second
-	// watchResponseTimeout is how long a request waits before another is sent beside it, not in its place: discovery
-	// works requests in turn.
+	// watchResponseTimeout is how long a request waits for a response before another request is sent. The first one is
+	// kept open, since discovery processes requests in order.
 	watchResponseTimeout = 3 * time.Second
-	// watchSilenceTimeout is how long a watch may send nothing: an empty line comes every 2 s while nothing changes.
+	// watchSilenceTimeout is how long a watch may send nothing. Discovery sends an empty line every 2 s while nothing
+	// changes.
 	watchSilenceTimeout = 3200 * time.Millisecond
-	// minBackoff and maxBackoff bound the wait between requests. A change has to reach nodes within 6 s of discovery
-	// being reachable: backoff, connecting and the response leave room for that.
+	// minBackoff and maxBackoff bound the wait between requests. A change must reach nodes within 6 s of discovery
+	// becoming reachable; backoff, connecting and the response together have to stay below that.
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 2 * time.Second
 	pathList   = "/v1/endpoints"
 )
 
-// discoveryWatch is an origin's watch of discovery's list. A request that failed, or a watch that fell silent, is
-// never taken for a list.
+// discoveryWatch is an origin's watch of the endpoint list in discovery. A failed request or a watch that times out
+// leaves the list unchanged.
 type discoveryWatch struct {
 	address        string
 	limits         endpointlist.Limits
@@ -42,14 +43,14 @@
 	toRecord       func(endpointlist.Entry) (distribution.Record, error)
 	apply          func(watchEvent)
 
-	version        int64        // of the list; run's alone
+	version        int64        // of the list received last; used only by the goroutine of run
 	appliedVersion atomic.Int64 // of the list that the origin has
-	lastReceivedNs atomic.Int64 // when the watch last sent anything; 0: not connected
+	lastReceivedNs atomic.Int64 // when the watch last sent anything; 0 if not connected
 
 	calls, failed, events, skipped atomic.Int64
 }
 
-// run follows the list until the context is done.
+// run watches the list until the context is done.
 func (w *discoveryWatch) run(ctx context.Context) {
 	for backoff := minBackoff; ctx.Err() == nil; {
 		received, err := w.follow(ctx)
@@ -57,7 +58,7 @@
 			return
 		}
 		w.failed.Add(1)
-		w.warnings.warn(w.log, "watch", "endpoint watch ended; the list stays as it is", zap.Error(err))
+		w.warnings.warn(w.log, "watch", "endpoint watch ended; keeping the current list and retrying", zap.Error(err))
 		backoff = min(2*backoff, maxBackoff)
 		if received {
 			backoff = minBackoff
@@ -71,7 +72,7 @@
 	}
 }
 
-// follow opens a watch and follows it until it ends. received: it sent at least one event.
+// follow opens a watch and applies its events until it ends. received reports whether there was at least one event.
 func (w *discoveryWatch) follow(ctx context.Context) (received bool, err error) {
 	call := discovery.Call{
 		Address:        w.address,
@@ -104,12 +105,13 @@
 	}
 }
 
-// request returns the request for the list, or for what has changed in it since the origin's version.
+// request returns the HTTP request for the changes of the list since w.version, or for the complete list if that is 0.
 func (w *discoveryWatch) request() string {
 	return fmt.Sprintf("GET %s?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", pathList, w.version, w.address)
 }
 
-// receiveEvent reads one line of the list and applies it. first: it answers a request for the complete list.
+// receiveEvent reads one line of the watch and applies it. first says that the line answers a request for the complete
+// list.
 func (w *discoveryWatch) receiveEvent(lines *endpointlist.Reader, first bool) error {
 	var records []distribution.Record
 	line, err := lines.Next(func() { records = records[:0] }, func(entry endpointlist.Entry) error {
@@ -134,15 +136,16 @@
 	return nil
 }
 
-// connectionGraceNs is how long an origin is without a watch before it reports that: one that ends is most often
-// opened again at once. With watchSilenceTimeout, the hops below and a node's own request, a change has to arrive
-// within 6 s.
+// connectionGraceNs is how long an origin has no watch before it reports that it is disconnected: a watch that ends is
+// usually opened again at once. This grace, watchSilenceTimeout, the delay of the hops below and a node's own request
+// must add up to less than 6 s, within which a change has to arrive.
 const connectionGraceNs = int64(500e6)
 
-// connectionGrace tells whether a watch is connected, or was a moment ago.
+// connectionGrace tracks whether a watch is connected, or was within connectionGraceNs.
 type connectionGrace struct{ lastConnectedNs int64 }
 
-// connected takes in when the watch last sent anything; 0: it is not connected.
+// connected reports whether the watch counts as connected. lastReceivedNs is when the watch last sent anything; 0 if it
+// is not connected now.
 func (g *connectionGrace) connected(now, lastReceivedNs int64) bool {
 	if lastReceivedNs != 0 {
 		g.lastConnectedNs = now
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -8,19 +8,19 @@
 	"fawnglade/internal/distribution"
 )
 
-// endpointRecords are the records of hosts as an origin has them, by key. A host is removed only if discovery says so.
+// endpointRecords are the endpoint records of an origin, by key. An endpoint is removed only if discovery removes it.
 type endpointRecords map[string]distribution.Record
 
-// watchEvent is what a line of discovery's list says of hosts.
+// watchEvent is one line of a watch of the endpoint list.
 type watchEvent struct {
 	records  []distribution.Record
-	complete bool // it is the complete list
-	// first says that it is the first answer to a request for the complete list. It is that also where entries of it
-	// could not be read: these hosts stay as they were.
+	complete bool // records are the complete list
+	// first says that this is the first response to a request for the complete list. If complete is not set as well,
+	// some of its entries could not be decoded; the endpoints that are not in records then stay unchanged.
 	first bool
 }
 
-// apply brings an origin up to an event. The error describes records that the origin refused.
+// apply applies an event to an origin. The error describes records that the origin rejected.
 func (h endpointRecords) apply(now int64, origin *distribution.Origin, event watchEvent) error {
 	if event.complete || event.first {
 		return h.replace(now, origin, event)
--- a/internal/relay/epoch.go
+++ b/internal/relay/epoch.go
@@ -10,9 +10,10 @@
 	"strings"
 )
 
-// nextEpoch returns the epoch of an origin that starts now, in nanoseconds of Unix time: the time, but always higher
-// than the last one in the file at path, in which it is stored before it is used. Without a file, an origin whose
-// clock has gone back is ignored by subscribers until the clock has passed its last start.
+// nextEpoch returns the epoch of an origin that starts at now, in nanoseconds of Unix time. The epoch is now, or one
+// more than the last epoch in the file at path if that is higher; it is stored in the file before it is used. If path
+// is empty and the clock has been set back, subscribers ignore the origin until the clock has passed the time of its
+// previous start.
 func nextEpoch(path string, now int64) (uint64, error) {
 	if path == "" {
 		return uint64(now), nil
@@ -28,7 +29,7 @@
 	return epoch, nil
 }
 
-// readEpoch returns the epoch in a file; 0: there is no file.
+// readEpoch returns the epoch in a file, or 0 if there is no file.
 func readEpoch(path string) (uint64, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -44,7 +45,7 @@
 	return epoch, nil
 }
 
-// writeFileAtomically writes a file so that after a crash it holds the text, or what it held before.
+// writeFileAtomically writes a file such that after a crash it contains either the text or its previous content.
 func writeFileAtomically(path, text string) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/relay/framing.go
+++ b/internal/relay/framing.go
@@ -1,10 +1,10 @@
-// Package relay serves internal/distribution over TCP: a server that sends records to subscribers, a client that
-// follows one of several upstreams, and the process of an origin or a relay around them. What frames contain, and
-// what is made of them, is internal/distribution's.
+// Package relay implements the TCP transport of internal/distribution: a server that sends records to subscribers, a
+// client that follows one of several upstreams, and the origin and relay processes that use them. The content of frames
+// is defined and processed by internal/distribution.
 //
-// On the wire the server speaks first, with a greeting. The client then sends one hello, and nothing after it; from
-// there on the server sends frames. Greeting, hello and frames each have four bytes of length before them
-// (big-endian, in bytes).
+// The server sends the first message, a greeting. The client then sends one hello and nothing more; from then on the
+// server sends frames. Greeting, hello and frames are each preceded by their length in bytes, as four bytes in
+// big-endian order.
 package relay
 
 import (
@@ -16,19 +16,19 @@
 )
 
 const (
-	lengthBytes     = 4 // of the length before each message
-	greetingBytes   = 4 // two bytes of magic, the version, flags
+	lengthBytes     = 4 // size of the length before each message
+	greetingBytes   = 4 // two bytes of magic, one of version, one of flags
 	protocolVersion = 1
-	flagFresh       = 1 // the server is complete and not behind its upstream
+	flagFresh       = 1 // the server is complete and doesn't lag behind its upstream
 	greetingMagic   = "fg"
 )
 
 var (
-	errOversizedFrame = errors.New("a frame over the limit")
-	errBadGreeting    = errors.New("not a relay: no greeting of this version")
+	errOversizedFrame = errors.New("message exceeds the size limit")
+	errBadGreeting    = errors.New("peer is not a relay of this protocol version: invalid greeting")
 )
 
-// writeFrame writes a message with its length in a single call.
+// writeFrame writes the length of a message and the message in a single call.
 func writeFrame(w io.Writer, frame []byte) error {
 	var length [lengthBytes]byte
 	binary.BigEndian.PutUint32(length[:], uint32(len(frame)))
@@ -45,12 +45,12 @@
 	}
 	n := binary.BigEndian.Uint32(length[:])
 	if n > uint32(maxBytes) {
-		return 0, fmt.Errorf("%w: %d bytes, %d allowed", errOversizedFrame, n, maxBytes)
+		return 0, fmt.Errorf("%w: found %d bytes, expected at most %d", errOversizedFrame, n, maxBytes)
 	}
 	return int(n), nil
 }
 
-// greeting returns a server's first message. A client that gets none talks to a stopped process, or to no relay.
+// greeting returns a server's first message. It lets a client detect that the peer is a stopped process or not a relay.
 func greeting(fresh bool) []byte {
 	flags := byte(0)
 	if fresh {
@@ -59,7 +59,8 @@
 	return append([]byte(greetingMagic), protocolVersion, flags)
 }
 
-// readGreeting reads the greeting of a server, and whether it is fresh. errBadGreeting: it is no relay of this version.
+// readGreeting reads the greeting of a server and returns whether the server is fresh. It returns errBadGreeting if the
+// peer is not a relay of this protocol version.
 func readGreeting(r io.Reader) (fresh bool, err error) {
 	size, err := readLength(r, greetingBytes)
 	if errors.Is(err, errOversizedFrame) || err == nil && size != greetingBytes {
--- a/internal/relay/hosttable.go
+++ b/internal/relay/hosttable.go
@@ -9,12 +9,12 @@
 	"fawnglade/internal/endpointlist"
 )
 
-// EndpointTable turns the records of a node's scopes back into hosts. A host that several scopes have is removed once none
-// has it. It is not safe for concurrent use.
+// EndpointTable converts the records of a node's scopes back into endpoints. An endpoint with records in several scopes
+// is removed once none of them has it. An EndpointTable is not safe for concurrent use.
 type EndpointTable struct {
 	byName         map[string][]scopedEntry
 	discovery      DiscoveryState
-	discoveryKnown bool // the origin has sent it
+	discoveryKnown bool // the origin has sent the state of discovery
 }
 
 type scopedEntry struct {
@@ -22,11 +22,11 @@
 	entry endpointlist.Entry
 }
 
-// EndpointChanges are the hosts that changes of records concern.
+// EndpointChanges are the changes of endpoints that follow from changes of records.
 type EndpointChanges struct {
-	Entries []endpointlist.Entry // in the changes' order; one that no scope has any more is "removed"
-	Skipped int                  // records that could not be decoded; what was known of their hosts stays
-	LastErr error                // of the last record skipped
+	Entries []endpointlist.Entry // in the order of the changes; State is "removed" if no scope has the endpoint any more
+	Skipped int                  // records that could not be decoded; their endpoints stay unchanged
+	LastErr error                // error of the last record skipped
 }
 
 func (h *EndpointChanges) skip(err error) {
@@ -34,14 +34,14 @@
 	h.LastErr = err
 }
 
-// NewEndpointTable returns a table without hosts.
+// NewEndpointTable returns a table without endpoints.
 func NewEndpointTable() *EndpointTable { return &EndpointTable{byName: map[string][]scopedEntry{}} }
 
-// Discovery returns the state of the origin's watch of discovery; false: the origin has not sent it, so the hosts are
-// no list yet.
+// Discovery returns the state of the origin's watch of discovery. It returns false if the origin has not sent it yet;
+// until then the endpoints are not a complete list.
 func (h *EndpointTable) Discovery() (DiscoveryState, bool) { return h.discovery, h.discoveryKnown }
 
-// Apply takes in changes of records. Records that are no endpoints are ignored.
+// Apply applies changes of records. It ignores records of other kinds than endpoints and the state of discovery.
 func (h *EndpointTable) Apply(changes []distribution.Change) EndpointChanges {
 	var out EndpointChanges
 	for i := range changes {
@@ -65,7 +65,7 @@
 func (h *EndpointTable) applyDiscovery(record *distribution.Record, out *EndpointChanges) {
 	var state DiscoveryState
 	if err := json.Unmarshal(record.Body, &state); err != nil || state.Version <= 0 {
-		out.skip(fmt.Errorf("scope %q, key %q: expected a version of the list, found %.80q",
+		out.skip(fmt.Errorf("scope %q, key %q: expected the state of discovery with a list version above 0, found %.80q",
 			record.Scope, record.Key, record.Body))
 		return
 	}
@@ -110,8 +110,8 @@
 	return slices.IndexFunc(entries, func(e scopedEntry) bool { return e.scope == scope })
 }
 
-// newestEntry returns the entry that counts of a host in several scopes: the one with the latest start, of these the
-// one of the first scope by name.
+// newestEntry returns the effective entry of an endpoint with records in several scopes: the one with the latest start
+// time or, among equals, the one whose scope sorts first by name.
 func newestEntry(entries []scopedEntry) endpointlist.Entry {
 	newest := entries[0]
 	for _, e := range entries[1:] {
--- a/internal/relay/originsources.go
+++ b/internal/relay/originsources.go
@@ -10,10 +10,10 @@
 const (
 	// stateCheckInterval is how often the state of an origin's watch of discovery is checked.
 	stateCheckInterval = 100 * time.Millisecond
-	// statePublishIntervalNs is the least time between two versions of the list that an origin publishes. That the
-	// watch is connected or not is published at once.
+	// statePublishIntervalNs is the minimum interval between publications of a new list version. Whether the watch is
+	// connected is published at once.
 	statePublishIntervalNs = int64(time.Second)
-	// applyBatchRecords is how many records are put under the server's lock before subscribers get their turn.
+	// applyBatchRecords is how many records are applied under the server's lock before it is released for subscribers.
 	applyBatchRecords = 512
 )
 
@@ -51,7 +51,7 @@
 	})
 }
 
-// watchDirectory scans the directory of configuration at an interval, until the context is done.
+// watchDirectory scans the configuration directory periodically, until the context is done.
 func (p *Process) watchDirectory(ctx context.Context) {
 	ticker := time.NewTicker(time.Duration(p.config.Origin.PollIntervalNs))
 	defer ticker.Stop()
@@ -79,7 +79,7 @@
 			}
 		})
 	}
-	if complete { // no record is of this kind: the origin awaits it alone
+	if complete { // no records have this kind; the call only tells the origin that the configuration is complete
 		p.server.Do(func(now int64) {
 			_, err := p.origin.Replace(now, kindConfiguration, nil)
 			p.warnRefused(err)
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -19,16 +19,16 @@
 
 const (
 	closeTimeout = 2 * time.Second
-	maxFreshAge  = 4 * time.Second // a relay that knows of nothing newer is behind, as its greetings say
+	maxFreshAge  = 4 * time.Second // a relay whose records are older is not fresh, as its greetings state
 	signalBuffer = 16
 
-	// Without limits.subscribers: 8,192 subscribers, and as many more that connect at once.
+	// Defaults without limits.subscribers: up to 8,192 subscribers, and as many connections waiting for a hello.
 	defaultProcessConnections = 10_000
 	defaultProcessHellos      = 8192
 	spareConnections          = 16
 )
 
-// Process is an origin or a relay with its sources, its server and its counters.
+// Process is an origin or relay process: its sources, its server and its counters.
 type Process struct {
 	config   *Config
 	log      *zap.Logger
@@ -38,17 +38,17 @@
 	relay    *distribution.Relay
 	warnings warnLimiter
 
-	// Of an origin.
+	// Set in an origin.
 	origin    *distribution.Origin
-	watch     *discoveryWatch  // nil: no endpoints
-	directory *configDirectory // nil: no configuration
-	refused   atomic.Int64     // records that the origin refused
+	watch     *discoveryWatch  // nil without endpoints
+	directory *configDirectory // nil without configuration
+	refused   atomic.Int64     // records that the origin rejected
 
-	client *Client // of a relay
+	client *Client // set in a relay
 }
 
-// NewProcess returns a process that listens; nothing else runs before Run. An error says that the origin's epoch
-// can't be stored, a scope is invalid or the address can't be listened on.
+// NewProcess returns a process that listens on its address; it does nothing else until Run is called. It fails if the
+// origin's epoch can't be stored, a scope is invalid or the address can't be listened on.
 func NewProcess(config *Config, log *zap.Logger) (*Process, error) {
 	p := &Process{
 		config: config,
@@ -78,7 +78,7 @@
 	return p, nil
 }
 
-// newRelay makes the relay, or the origin with its relay.
+// newRelay creates the relay, or the origin with its relay.
 func (p *Process) newRelay() error {
 	limits := distribution.Limits{
 		Records:     p.config.Limits.Records,
@@ -114,7 +114,7 @@
 	return config
 }
 
-// isFresh reports whether the relay is complete and not behind. The server's lock is held.
+// isFresh reports whether the relay is complete and not lagging. The caller holds the server's lock.
 func (p *Process) isFresh(now int64) bool {
 	age, known := p.relay.Age(now)
 	return known && age < int64(maxFreshAge)
@@ -129,7 +129,7 @@
 		zap.String("upstream", state.Upstream), zap.String("reason", state.Reason))
 }
 
-// openSources opens an origin's sources, and has it await both before it claims to be complete.
+// openSources opens an origin's sources. The origin is not complete until all of them have been loaded.
 func (p *Process) openSources(config *OriginConfig) {
 	if config.Discovery != "" {
 		p.origin.Await(KindEndpoint)
@@ -158,7 +158,7 @@
 	}
 }
 
-// warnRefused counts and logs that the origin refused records, if err says so.
+// warnRefused counts and logs an error that the origin returned for records. It does nothing if err is nil.
 func (p *Process) warnRefused(err error) {
 	if err != nil {
 		p.refused.Add(1)
@@ -166,11 +166,11 @@
 	}
 }
 
-// Address returns where subscribers connect.
+// Address returns the address on which the process listens for subscribers.
 func (p *Process) Address() string { return p.listener.Addr().String() }
 
-// Signals returns a channel of the signals that Run handles: SIGTERM, SIGINT and SIGUSR1, from the call on. SIGPIPE is
-// ignored.
+// Signals returns a channel that receives the signals that Run handles: SIGTERM, SIGINT and SIGUSR1. It also ignores
+// SIGPIPE from the call on.
 func Signals() chan os.Signal {
 	signal.Ignore(syscall.SIGPIPE)
 	signals := make(chan os.Signal, signalBuffer)
@@ -178,7 +178,7 @@
 	return signals
 }
 
-// Run serves until SIGTERM or SIGINT, and logs the counters at SIGUSR1. An error says that the listener has failed.
+// Run serves until SIGTERM or SIGINT, and logs the counters on SIGUSR1. It returns an error if the listener fails.
 func (p *Process) Run(signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -189,7 +189,7 @@
 	for {
 		select {
 		case err := <-served:
-			return fmt.Errorf("the listener ended: %w", err)
+			return fmt.Errorf("listener failed: %w", err)
 		case received := <-signals:
 			if received == syscall.SIGUSR1 {
 				p.logCounters("asked for")
@@ -218,20 +218,20 @@
 	return tasks
 }
 
-// stop closes the listener, all connections and what start has started, in this order.
+// stop closes the listener, cancels the tasks of start, closes all connections and waits for the tasks.
 func (p *Process) stop(cancel context.CancelFunc, tasks *sync.WaitGroup) {
 	p.listener.Close()
 	cancel()
 	closeCtx, done := context.WithTimeout(context.Background(), closeTimeout)
 	defer done()
 	if err := p.server.Close(closeCtx); err != nil {
-		p.log.Warn("stops with subscribers open", zap.Error(err))
+		p.log.Warn("subscriber connections not closed in time; stopping anyway", zap.Error(err))
 	}
 	tasks.Wait()
 	p.logCounters("at exit")
 }
 
-// unknownAge stands in the log for an age that is not known.
+// unknownAge is logged as the age while the age is unknown.
 const unknownAge = -time.Second
 
 func (p *Process) logCounters(when string) {
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -179,7 +179,10 @@
 }
 
 func relayConfig(name, listen string, scopes []string, upstream ...string) string {
-	quotedList := func(items []string) string { text, _ := json.Marshal(append([]string{}, items...)); return string(text) }
+	quotedList := func(items []string) string {
+		text, _ := json.Marshal(append([]string{}, items...))
+		return string(text)
+	}
 	return fmt.Sprintf("name = %q\nrole = \"relay\"\nlisten = %q\nupstream = %s\nscopes = %s\n", name, listen,
 		quotedList(upstream), quotedList(scopes))
 }
@@ -612,8 +615,8 @@
 		`r.toml: name: expected a name of up to 255 bytes, found ""`,
 		`r.toml: listen: expected an address and a port, found "here"`,
 		`r.toml: upstream.0: expected an address and a port, found "x"`,
-		`r.toml: upstream.2: expected an address that is not there twice, found "127.0.0.1:1" again`,
-		`r.toml: scopes.0: expected a scope of up to 256 bytes, with a star at its end alone, found "a*b"`,
+		`r.toml: upstream.2: expected an address that is listed once, found "127.0.0.1:1" again`,
+		`r.toml: scopes.0: expected a scope of up to 256 bytes, with a star only at its end, found "a*b"`,
 		"r.toml: pace: expected 0, or at least 1024 bytes a second, found 5",
 		"r.toml: limits.records: expected a number from 0, which stands for the default, found -1",
 		"r.toml: origin: expected none, as role is not origin, found a table",
@@ -630,10 +633,10 @@
 	for _, want := range []string{
 		"o.toml: upstream: expected none, as role is origin, found 1",
 		`o.toml: origin.discovery: expected an address and a port, found "d"`,
-		`o.toml: origin.every: expected a time from 50ms to 1h, found "1ms"`,
+		`o.toml: origin.every: expected a duration from 50ms to 1h, found "1ms"`,
 		`o.toml: origin.scope.service_from: expected host, found "moon"`,
 		`o.toml: origin.scope.region: expected a name of up to 127 bytes without / and *, found "a/b"`,
-		"expected sites of one region each, found \"1\"",
+		"expected sites that are in one region each, found \"1\"",
 	} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("lacks %q in\n%v", want, err)
--- a/internal/relay/recordfile.go
+++ b/internal/relay/recordfile.go
@@ -15,17 +15,17 @@
 
 const (
 	recordsSuffix = ".jsonl"
-	maxLineBytes  = 4 * distribution.MaxBodyBytes // of a record: names and JSON's own marks come to the body
+	maxLineBytes  = 4 * distribution.MaxBodyBytes // a line has the names, JSON syntax and whitespace besides the body
 	maxFiles      = 100_000
-	// kindConfiguration is the kind that an origin awaits before it claims to be complete; no record's key begins
-	// with it.
+	// kindConfiguration is the kind that an origin awaits until all configuration has been loaded. No record has a key
+	// of this kind.
 	kindConfiguration = "configuration"
 )
 
-var errDuplicateRecord = errors.New("a record that no other file has")
+var errDuplicateRecord = errors.New("a record that is in no other file")
 
-// readRecords reads a file with one record a line: {"scope": ..., "key": ..., "body": any JSON}. Empty lines are
-// skipped. check may refuse a record by its name. An error names the file and the line.
+// readRecords reads a file with one record per line: {"scope": ..., "key": ..., "body": any JSON}. Empty lines are
+// skipped. check may reject a record by its name. An error contains the file and the line.
 func readRecords(path string, check func(recordName) error) (map[recordName]distribution.Record, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -69,14 +69,15 @@
 	return nil
 }
 
-// recordLine is a line of a file of records.
+// recordLine is a line of a record file.
 type recordLine struct {
 	Scope string          `json:"scope"`
 	Key   string          `json:"key"`
 	Body  json.RawMessage `json:"body"`
 }
 
-// parseRecord parses a record. An error says what was expected, and what was found.
+// parseRecord parses a line with a record. An error states what was expected and what was found, in the form that
+// readRecords prefixes with "expected".
 func parseRecord(text []byte) (distribution.Record, error) {
 	var empty distribution.Record
 	var line recordLine
@@ -86,7 +87,7 @@
 		return empty, fmt.Errorf("an object with scope, key and body, found %w", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return empty, errors.New("one object a line, found more")
+		return empty, errors.New("one object per line, found more")
 	}
 	if err := line.checkName(); err != nil {
 		return empty, err
@@ -114,13 +115,13 @@
 		return fmt.Errorf("scope: 1 to %d bytes without a star, found %.80q", distribution.MaxNameBytes, l.Scope)
 	}
 	if l.Scope == ScopeOrigin {
-		return fmt.Errorf("scope: another than %q, which is the origin's own", ScopeOrigin)
+		return fmt.Errorf("scope: a scope other than %q, which is reserved for the origin", ScopeOrigin)
 	}
 	kind, name, _ := strings.Cut(l.Key, "/")
 	reserved := kind == KindEndpoint || kind == kindConfiguration
 	if kind == "" || name == "" || len(l.Key) > distribution.MaxNameBytes || reserved {
 		return fmt.Errorf("key: a kind, a slash and a name, such as route/checkout, up to %d bytes, "+
-			"and another kind than endpoint and configuration, found %.80q", distribution.MaxNameBytes, l.Key)
+			"with a kind other than endpoint and configuration, found %.80q", distribution.MaxNameBytes, l.Key)
 	}
 	return nil
 }
--- a/internal/relay/scopes.go
+++ b/internal/relay/scopes.go
@@ -7,9 +7,10 @@
 	"fawnglade/internal/distribution"
 )
 
-const wildcard = "*" // at the end of a scope: all scopes that begin so
+const wildcard = "*" // at the end of a scope, selects all scopes that begin with the text before it
 
-// Selectors reads scopes as configuration files name them: a star at the end stands for all that begin so.
+// Selectors returns the selectors of scopes in the syntax of configuration files: a star at the end selects all scopes
+// that begin with the text before it.
 func Selectors(scopes []string) []distribution.Selector {
 	out := make([]distribution.Selector, len(scopes))
 	for i, scope := range scopes {
@@ -19,7 +20,7 @@
 	return out
 }
 
-// WithOrigin adds ScopeOrigin to scopes that don't cover it.
+// WithOrigin returns scopes with ScopeOrigin added, or scopes itself if it covers ScopeOrigin already.
 func WithOrigin(scopes []string) []string {
 	for _, scope := range scopes {
 		prefix, isPrefix := strings.CutSuffix(scope, wildcard)
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -16,34 +16,34 @@
 	maxAcceptBackoff = time.Second
 )
 
-// ServerStats are counters since the start, but for Subscribers and PendingHellos, which are of now.
+// ServerStats are counters since the start, except for Subscribers and PendingHellos, which are current values.
 type ServerStats struct {
 	Subscribers   int64 `json:"Subscribers"`
-	PendingHellos int64 `json:"Waiting"` // connections without a hello
+	PendingHellos int64 `json:"Waiting"` // connections that have not sent a hello yet
 	Accepted      int64 `json:"Accepted"`
-	Refused       int64 `json:"Refused"`   // connections over a limit, and hellos that the feed refused
-	BadHellos     int64 `json:"BadHellos"` // connections that ended without a hello
-	Slow          int64 `json:"Slow"`      // subscribers disconnected as they did not take a frame in time
-	Ended         int64 `json:"Ended"`     // connections
+	Refused       int64 `json:"Refused"`   // connections over a limit, and hellos that the feed rejected
+	BadHellos     int64 `json:"BadHellos"` // connections that ended before a complete hello
+	Slow          int64 `json:"Slow"`      // subscribers disconnected because a write timed out
+	Ended         int64 `json:"Ended"`     // connections that ended
 	Frames        int64 `json:"Frames"`
 	Bytes         int64 `json:"Bytes"`
-	AcceptRetries int64 `json:"AcceptsTryAgain"`
+	AcceptRetries int64 `json:"AcceptsTryAgain"` // failed calls of Accept
 }
 
 type serverCounters struct {
 	pendingHellos, attached, accepted, refused, badHellos, slow, ended, frames, bytes, acceptRetries atomic.Int64
 }
 
-// Server sends one feed to subscribers. The feed is the server's: whoever else uses it does so by Do. Each subscriber
-// has a goroutine that writes and one that notices its end; the lock is never held while either waits for the
-// network.
+// Server sends one feed to subscribers. The server guards the feed with its lock; other users must access the feed
+// through Do. Each subscriber has one goroutine that writes and one that waits for the end of the connection; the lock
+// is never held while either waits for the network.
 type Server struct {
 	config   ServerConfig
 	feed     Feed
 	log      *zap.Logger
 	warnings warnLimiter
 
-	mu          sync.Mutex // of the feed and the fields below
+	mu          sync.Mutex // guards feed and the fields below
 	subscribers map[int]*subscriber
 	connections map[net.Conn]bool
 	closing     bool
@@ -60,7 +60,7 @@
 	ended  chan struct{} // closed when the connection has ended
 }
 
-// NewServer returns a server; nothing runs before Serve.
+// NewServer returns a server. It does nothing until Serve is called.
 func NewServer(feed Feed, config ServerConfig, log *zap.Logger) *Server {
 	return &Server{
 		config:      config.withDefaults(),
@@ -71,7 +71,8 @@
 	}
 }
 
-// Do calls use under the feed's lock, with the time, and then wakes the subscribers for which frames have become due.
+// Do calls use with the current time while it holds the lock of the feed, and then wakes the subscribers for which
+// frames have become due.
 func (s *Server) Do(use func(now int64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +80,7 @@
 	use(s.config.Clock())
 }
 
-// notifyReady wakes subscribers. The lock is held.
+// notifyReady wakes the subscribers for which frames have become due. The caller holds the lock.
 func (s *Server) notifyReady() {
 	for _, id := range s.feed.Ready() {
 		if sub := s.subscribers[id]; sub != nil {
@@ -98,10 +99,10 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // out of descriptors, most often: other connections may end
+		if err != nil { // usually out of file descriptors, which other connections may free
 			s.counters.acceptRetries.Add(1)
 			backoff = min(max(2*backoff, minAcceptBackoff), maxAcceptBackoff)
-			s.warnings.warn(s.log, "accept", "no connection taken", zap.Error(err))
+			s.warnings.warn(s.log, "accept", "accepting a connection failed; retrying", zap.Error(err))
 			time.Sleep(backoff)
 			continue
 		}
@@ -114,7 +115,7 @@
 	}
 }
 
-// admit starts to handle a connection, or returns false if a limit is reached.
+// admit starts handling a connection, or returns false if a limit is reached or the server is closing.
 func (s *Server) admit(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +131,8 @@
 	return true
 }
 
-// Close ends all connections and waits until they are handled, or the context is done. The listener is the caller's.
+// Close closes all connections and waits until their handlers return or the context is done. The caller must close the
+// listener itself.
 func (s *Server) Close(ctx context.Context) error {
 	s.mu.Lock()
 	s.closing = true
--- a/internal/relay/serverconfig.go
+++ b/internal/relay/serverconfig.go
@@ -7,33 +7,33 @@
 	"fawnglade/internal/distribution"
 )
 
-// Feed is what a server sends to subscribers; *distribution.Relay is one. Times are nanoseconds of the server's
-// clock. The server calls it under a lock.
+// Feed is the source of the frames that a server sends to subscribers; *distribution.Relay implements it. Times are
+// nanoseconds of the server's clock. The server calls all methods under its lock.
 type Feed interface {
-	// Attach begins a session by a subscriber's hello, at a pace; 0: not paced.
+	// Attach starts a session with a subscriber, given its hello and its pace. A pace of 0 disables pacing.
 	Attach(now int64, hello []byte, bytesPerSecond int) (id int, err error)
 	// Detach ends a session.
 	Detach(id int)
-	// Next returns the next frame to a subscriber. Without one, at is when to call again.
+	// Next returns the next frame for a subscriber. If none is due it returns nil and the time at which to call again.
 	Next(now int64, id int) (frame []byte, at int64)
-	// Ready returns the subscribers for which a frame has become due since the last call.
+	// Ready returns the IDs of the subscribers for which a frame has become due since the last call.
 	Ready() []int
 }
 
-// ServerConfig configures a server. Zero values take the default in brackets.
+// ServerConfig configures a server. Zero values select the default in brackets.
 type ServerConfig struct {
-	BytesPerSecond   int // to each subscriber; 0: not paced
-	MaxConnections   int // with those that have not sent a hello [1,024]
-	MaxPendingHellos int // connections without a hello [512]
-	MaxHelloBytes    int // [distribution.MaxHelloBytes]
+	BytesPerSecond   int // pace to each subscriber; 0 disables pacing
+	MaxConnections   int // connections, including those that have not sent a hello yet [1,024]
+	MaxPendingHellos int // connections that have not sent a hello yet [512]
+	MaxHelloBytes    int // size of a hello [distribution.MaxHelloBytes]
 
-	// HelloTimeout bounds the greeting and the hello of a connection [3 s].
+	// HelloTimeout bounds the time from accepting a connection to receiving its hello [3 s].
 	HelloTimeout time.Duration
-	// WriteTimeout bounds one frame: a subscriber that takes longer is disconnected [5 s].
+	// WriteTimeout bounds the time to write one frame. A subscriber that takes longer is disconnected [5 s].
 	WriteTimeout time.Duration
 
-	Clock func() int64 // nanoseconds, monotonic [NewClock]
-	// Fresh reports whether the feed is complete and not behind; called under the feed's lock [always].
+	Clock func() int64 // returns a monotonic time in nanoseconds [NewClock]
+	// Fresh reports whether the feed is complete and not lagging. It is called under the server's lock [always true].
 	Fresh func() bool
 }
 
--- a/internal/relay/serverconn.go
+++ b/internal/relay/serverconn.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	maxWriterWait   = time.Second // a writer asks the feed again so often, whatever the feed said
+	maxWriterWait   = time.Second // a writer calls Feed.Next at least this often, whatever time Next returned
 	minWriterWait   = time.Millisecond
-	sendBufferBytes = 64 << 10 // of frames that the system holds for a slow subscriber
-	userTimeoutMs   = 10_000   // after which a peer that confirms nothing is taken for gone
-	tcpUserTimeout  = 0x12     // on Linux; package syscall lacks it
+	sendBufferBytes = 64 << 10 // socket send buffer, which bounds the unsent bytes of a slow subscriber
+	userTimeoutMs   = 10_000   // TCP user timeout: a connection ends if its peer acknowledges nothing for this long
+	tcpUserTimeout  = 0x12     // TCP_USER_TIMEOUT on Linux, which package syscall lacks
 )
 
-var errSlowSubscriber = errors.New("not taken in time")
+var errSlowSubscriber = errors.New("frame not written within the write timeout")
 
 // handle reads a connection's hello, attaches the subscriber and sends it frames until the connection ends.
 func (s *Server) handle(conn net.Conn) {
@@ -29,28 +29,28 @@
 	s.counters.pendingHellos.Add(-1)
 	if err != nil {
 		s.counters.badHellos.Add(1)
-		s.warnConn("hello", "connection ended without a hello", conn, zap.Error(err))
+		s.warnConn("hello", "connection ended before a complete hello", conn, zap.Error(err))
 		return
 	}
 	sub, err := s.attach(conn, hello)
 	if err != nil {
 		s.counters.refused.Add(1)
-		s.warnConn("attach", "subscriber refused", conn, zap.Error(err))
+		s.warnConn("attach", "subscriber rejected", conn, zap.Error(err))
 		return
 	}
 	defer s.detach(sub)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		defer conn.Close() // ends the read below
+		defer conn.Close() // unblocks awaitEnd
 		if err := s.writeFrames(sub); errors.Is(err, errSlowSubscriber) {
 			s.counters.slow.Add(1)
-			s.warnConn("slow", "subscriber ended: it did not take a frame in time", conn)
+			s.warnConn("slow", "subscriber disconnected: writing a frame timed out", conn)
 		}
 	}()
 	s.awaitEnd(conn)
 	close(sub.ended)
-	conn.Close() // ends the write above
+	conn.Close() // unblocks writeFrames
 	<-written
 }
 
@@ -66,7 +66,7 @@
 	s.counters.ended.Add(1)
 }
 
-// greet sends the greeting and reads the hello.
+// handshake sends the greeting and reads the hello.
 func (s *Server) handshake(conn net.Conn) ([]byte, error) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		setTCPOptions(tcp)
@@ -88,7 +88,8 @@
 	return s.config.Fresh()
 }
 
-// readHello reads a hello into a buffer that grows as the hello comes: a length alone costs no memory.
+// readHello reads a hello into a buffer that grows as data arrives, so that a peer can't make the server allocate
+// memory by sending only a large length.
 func readHello(conn net.Conn, maxBytes int) ([]byte, error) {
 	size, err := readLength(conn, maxBytes)
 	if err != nil {
@@ -108,9 +109,9 @@
 	return hello, nil
 }
 
-// setTCPOptions bounds what the system holds for a slow subscriber, and has it end a connection whose peer has
-// vanished: a heartbeat that is not confirmed is noticed. A connection works without the options too, so that errors
-// are ignored.
+// setTCPOptions bounds the socket's send buffer and sets the TCP user timeout, so that the system ends a connection
+// whose peer has vanished and no longer acknowledges heartbeats. Errors are ignored, as a connection works without
+// these options too.
 func setTCPOptions(conn *net.TCPConn) {
 	_ = conn.SetWriteBuffer(sendBufferBytes)
 	raw, err := conn.SyscallConn()
@@ -145,16 +146,16 @@
 	s.notifyReady()
 }
 
-// awaitEnd reads until the connection ends. A subscriber sends nothing after its hello.
+// awaitEnd blocks until the connection ends or the subscriber sends a byte, which it must not do after its hello.
 func (s *Server) awaitEnd(conn net.Conn) {
 	var one [1]byte
 	if n, err := conn.Read(one[:]); n > 0 || err == nil {
-		s.warnConn("talks", "subscriber ended: it spoke after its hello", conn)
+		s.warnConn("talks", "subscriber disconnected: it sent data after its hello", conn)
 	}
 }
 
-// writeFrames writes what the feed has for a subscriber until its connection ends. An error wraps errSlowSubscriber
-// if a frame was not taken in time.
+// writeFrames writes the frames of a subscriber until its connection ends. The error wraps errSlowSubscriber if writing
+// a frame timed out.
 func (s *Server) writeFrames(sub *subscriber) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
--- a/internal/relay/sink.go
+++ b/internal/relay/sink.go
@@ -8,22 +8,23 @@
 	"go.uber.org/zap"
 )
 
-// Sink is what a client feeds: a subscriber, or a relay with an upstream. Only the client's goroutine calls it.
+// Sink receives the frames of a client: a subscriber, or a relay with an upstream. Only the client's goroutine calls
+// it.
 type Sink interface {
-	// Hello returns the first message of a new connection; a new session begins.
+	// Hello starts a new session and returns the first message of its connection.
 	Hello(now int64) []byte
-	// Receive applies a frame, which it must not keep. An error ends the connection.
+	// Receive applies a frame, which it must not retain. An error ends the connection.
 	Receive(now int64, frame []byte) error
-	// LagNs returns how old what the sink holds is, in nanoseconds; 0: not behind, or not known to be.
+	// LagNs returns the age of the sink's records in nanoseconds; 0 if they are current, or not known to be older.
 	LagNs(now int64) int64
 }
 
-// lagCheckIntervalNs is how often a SubscriberSink looks at the ages of all its scopes, in nanoseconds.
+// lagCheckIntervalNs is the interval at which a SubscriberSink checks the ages of all its scopes, in nanoseconds.
 const lagCheckIntervalNs = int64(1e9)
 
-// SubscriberSink feeds a subscriber. Its methods are safe for concurrent use.
+// SubscriberSink passes frames to a subscriber. Its methods are safe for concurrent use.
 type SubscriberSink struct {
-	exactScopes []string // whose ages are looked at; prefixes have none
+	exactScopes []string // scopes whose ages are checked; prefixes have no age
 	onFrame     func(now int64, changes []distribution.Change)
 	warnings    warnLimiter
 	log         *zap.Logger
@@ -36,8 +37,8 @@
 	arrivals       arrivalTracker
 }
 
-// NewSubscriberSink returns a sink that feeds a subscriber of scopes. onFrame, if not nil, is called by the client's
-// goroutine after each frame, also if nothing has changed; no lock is held, so that it may call Inspect.
+// NewSubscriberSink returns a sink that passes frames to a subscriber of scopes. onFrame, if not nil, is called on the
+// client's goroutine after each frame, even if nothing has changed. No lock is held, so that onFrame may call Inspect.
 func NewSubscriberSink(
 	subscriber *distribution.Subscriber, scopes []string,
 	onFrame func(now int64, changes []distribution.Change), log *zap.Logger,
@@ -51,14 +52,14 @@
 	return s
 }
 
-// Inspect calls inspect with the subscriber, between two frames.
+// Inspect calls inspect with the subscriber while no frame is being applied.
 func (s *SubscriberSink) Inspect(inspect func(*distribution.Subscriber)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	inspect(s.subscriber)
 }
 
-// Hello returns the first message of a new connection.
+// Hello starts a new session and returns the first message of its connection.
 func (s *SubscriberSink) Hello(now int64) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +67,7 @@
 	return s.subscriber.Hello()
 }
 
-// Receive applies a frame. Changes before an error count.
+// Receive applies a frame. Changes before an error are passed to onFrame as well.
 func (s *SubscriberSink) Receive(now int64, frame []byte) error {
 	var changes []distribution.Change
 	var receiveErr error
@@ -86,7 +87,7 @@
 	return receiveErr
 }
 
-// LagNs returns the age of the oldest scope, but no more than since records last arrived.
+// LagNs returns the highest age among the scopes, but at most the time since records last arrived.
 func (s *SubscriberSink) LagNs(now int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +103,7 @@
 	return s.lagNs
 }
 
-// relaySink feeds a relay from its own client.
+// relaySink passes frames from the upstream to a relay.
 type relaySink struct {
 	server      *Server
 	relay       *distribution.Relay
@@ -139,11 +140,11 @@
 	return ns
 }
 
-// arrivalTracker tracks when records last arrived: a sink that receives a snapshot at a slow pace is behind, and yet
-// well served.
+// arrivalTracker tracks when records last arrived. While a sink receives a snapshot at a slow pace its records are old,
+// but that is no reason to leave the upstream.
 type arrivalTracker struct {
-	records int64 // received
-	lastNs  int64 // when records last arrived, or the connection began
+	records int64 // number of records received
+	lastNs  int64 // when records last arrived, or the connection was opened
 }
 
 func (t *arrivalTracker) reset(now int64) { t.lastNs = now }
@@ -155,7 +156,7 @@
 	}
 }
 
-// lagNs returns an age, but no more than since records last arrived. An age that is not known is as much.
+// lagNs returns an age, but at most the time since records last arrived. If the age is unknown, it returns that time.
 func (t *arrivalTracker) lagNs(now, ageNs int64, known bool) int64 {
 	sinceArrival := now - t.lastNs
 	if !known {
--- a/internal/relay/warnlimiter.go
+++ b/internal/relay/warnlimiter.go
@@ -7,17 +7,18 @@
 	"go.uber.org/zap"
 )
 
-// warnInterval is the least time between two warnings of one kind.
+// warnInterval is the minimum interval between two warnings of one kind.
 const warnInterval = 10 * time.Second
 
-// warnLimiter limits the rate of warnings about what other processes do, kind by kind. It is safe for concurrent use.
+// warnLimiter limits the rate of warnings that other processes can cause, separately for each kind. It is safe for
+// concurrent use.
 type warnLimiter struct {
 	mu         sync.Mutex
-	last       map[string]time.Time
-	suppressed map[string]int
+	last       map[string]time.Time // time of the last warning, by kind
+	suppressed map[string]int       // warnings suppressed since then, by kind
 }
 
-// warn logs a warning with how many of its kind were suppressed, or suppresses it.
+// warn logs a warning with the number of suppressed warnings of its kind, or suppresses it.
 func (l *warnLimiter) warn(log *zap.Logger, kind, message string, fields ...zap.Field) {
 	l.mu.Lock()
 	if l.last == nil {
@@ -36,9 +37,9 @@
 	log.Warn(message, fields...)
 }
 
-// warnInvalid warns of records that could not be decoded, if there are any.
+// warnInvalid logs a warning if records is above 0. last describes the last record that could not be decoded.
 func (l *warnLimiter) warnInvalid(log *zap.Logger, records int64, last string) {
 	if records > 0 {
-		l.warn(log, "invalid", "records skipped", zap.Int64("records", records), zap.String("last", last))
+		l.warn(log, "invalid", "invalid records skipped", zap.Int64("records", records), zap.String("last", last))
 	}
 }
