--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -132,15 +132,15 @@
 	expectEqual(t, "complete", subscriber.Complete(), true)
 	expectEqual(t, "records at a relay", bottom.Stats().Records, 2)
 	expectEqual(t, "foreign records sent to a relay", bottom.Stats().ForeignRecords, int64(0))
-	v, _ := origin.Remove(0, "eu1/cart", "endpoint/a")
+	removedVersion, _ := origin.Remove(0, "eu1/cart", "endpoint/a")
 	put(t, origin, "eu1/none", "endpoint/d", ClassEndpoint, "D")
 	deliverAll(second / 10)
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "eu1/cart endpoint/b=B\neu1/none endpoint/d=D\n")
 	if age, known := subscriber.Age(second/10, "eu1/cart"); !known || age != 0 {
 		t.Fatal("age", age, known)
 	}
-	if p := subscriber.Position("eu1/cart"); p.Through < v {
-		t.Fatal("position", p)
+	if position := subscriber.Position("eu1/cart"); position.Through < removedVersion {
+		t.Fatal("position", position)
 	}
 	if age, _ := subscriber.Age(3*second, "eu1/cart"); age != 3*second-second/10 {
 		t.Fatal("age", age)
@@ -407,13 +407,13 @@
 }
 
 func TestPaceAndHeartbeats(t *testing.T) {
-	const bytesPerSecond = 20000
+	const pace = 20000
 	origin := NewOrigin(1, Limits{})
 	for i := range 2000 {
 		put(t, origin, "s", fmt.Sprint("k", i), ClassEndpoint, fmt.Sprintf("%0200d", i))
 	}
 	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
-	connection := connect(t, 0, origin.Relay(), subscriber, bytesPerSecond)
+	connection := connect(t, 0, origin.Relay(), subscriber, pace)
 	sentBytes, lastFrameNs, longestGapNs := 0, int64(0), int64(0)
 	var now int64
 	for now = 0; now < 60*second && !subscriber.Complete(); {
@@ -428,17 +428,17 @@
 		sentBytes += len(f)
 		longestGapNs = max(longestGapNs, now-lastFrameNs)
 		lastFrameNs = now
-		if len(f) > bytesPerSecond/4 {
-			t.Fatalf("a frame of %d bytes at %d a second", len(f), bytesPerSecond)
+		if len(f) > pace/4 {
+			t.Fatalf("a frame of %d bytes at %d a second", len(f), pace)
 		}
-		if mostBytes := bytesPerSecond*(now+BurstNs)/second + bytesPerSecond/4; int64(sentBytes) > mostBytes {
+		if mostBytes := pace*(now+BurstNs)/second + pace/4; int64(sentBytes) > mostBytes {
 			t.Fatalf("%d bytes after %d ns, at most %d", sentBytes, now, mostBytes)
 		}
 		if _, err := subscriber.Receive(now, f); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if leastNs := int64(sentBytes-bytesPerSecond/2) * second / bytesPerSecond; !subscriber.Complete() || now < leastNs || now > leastNs+3*second/2 {
+	if leastNs := int64(sentBytes-pace/2) * second / pace; !subscriber.Complete() || now < leastNs || now > leastNs+3*second/2 {
 		t.Fatalf("complete %v after %d ns with %d bytes", subscriber.Complete(), now, sentBytes)
 	}
 	if longestGapNs > second {
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -35,10 +35,10 @@
 // at is the newest entry up to a version, and whether there is a removal after it.
 func (h *recordHistory) stateAt(epoch uint64, key recordKey, through uint64) (state recordVersion, deletedLater bool) {
 	state.deleted = true
-	for _, version := range h.versions[epoch][key] {
-		if version.version <= through {
-			state = version
-		} else if version.deleted {
+	for _, recorded := range h.versions[epoch][key] {
+		if recorded.version <= through {
+			state = recorded
+		} else if recorded.deleted {
 			deletedLater = true
 		}
 	}
@@ -46,8 +46,8 @@
 }
 
 func (h *recordHistory) existed(r Record) bool {
-	for _, version := range h.versions[r.Epoch][recordKey{r.Scope, r.Key}] {
-		if version.version == r.Version && !version.deleted && version.class == r.Class && version.body == string(r.Body) {
+	for _, recorded := range h.versions[r.Epoch][recordKey{r.Scope, r.Key}] {
+		if recorded.version == r.Version && !recorded.deleted && recorded.class == r.Class && recorded.body == string(r.Body) {
 			return true
 		}
 	}
@@ -174,22 +174,22 @@
 
 // note records the origin's state after its last call.
 func (n *network) recordOrigin() {
-	history := n.history.versions[n.epoch]
+	epochVersions := n.history.versions[n.epoch]
 	n.origin.relay.replica.items.Ascend(func(it *item) bool {
 		key := recordKey{it.scope.name, it.key}
-		if states := history[key]; len(states) == 0 || states[len(states)-1].version != it.version {
-			history[key] = append(states, recordVersion{it.version, it.deleted, it.class, string(it.body)})
+		if states := epochVersions[key]; len(states) == 0 || states[len(states)-1].version != it.version {
+			epochVersions[key] = append(states, recordVersion{it.version, it.deleted, it.class, string(it.body)})
 		}
 		return true
 	})
-	for key, states := range history {
+	for key, states := range epochVersions {
 		if n.origin.relay.replica.find(key.scope, key.key) == nil && !states[len(states)-1].deleted {
 			// Its tombstone was dropped, as it is over the limit.
-			history[key] = append(states, recordVersion{version: n.origin.version, deleted: true})
+			epochVersions[key] = append(states, recordVersion{version: n.origin.version, deleted: true})
 		}
 	}
 	for key, state := range n.live {
-		if states := history[key]; n.originLoaded && (len(states) == 0 || states[len(states)-1].body != state.body ||
+		if states := epochVersions[key]; n.originLoaded && (len(states) == 0 || states[len(states)-1].body != state.body ||
 			states[len(states)-1].deleted) {
 			n.t.Fatalf("the origin lacks %v", key)
 		}
@@ -227,11 +227,11 @@
 	p.upstream, p.inFlight = nil, nil
 }
 
-func (n *network) connect(p *peer, upstream int) {
+func (n *network) connect(p *peer, upstreamIndex int) {
 	n.disconnect(p)
 	relay := n.origin.relay
-	if upstream >= 0 {
-		relay = n.peers[upstream].relay
+	if upstreamIndex >= 0 {
+		relay = n.peers[upstreamIndex].relay
 	}
 	var hello []byte
 	if p.relay != nil {
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -219,8 +219,8 @@
 	return s
 }
 
-func (h *testSubscriber) keys() (keys []string, complete bool) {
-	h.Inspect(func(s *distribution.Subscriber) {
+func (sub *testSubscriber) keys() (keys []string, complete bool) {
+	sub.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) { keys = append(keys, r.Scope+" "+r.Key) })
 		complete = s.Complete()
 	})
@@ -228,10 +228,10 @@
 	return keys, complete
 }
 
-func (h *testSubscriber) deletionCount() (n int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, c := range h.changes {
+func (sub *testSubscriber) deletionCount() (n int) {
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	for _, c := range sub.changes {
 		if c.Deleted {
 			n++
 		}
@@ -239,12 +239,12 @@
 	return n
 }
 
-func (h *testSubscriber) waitForKeys(t *testing.T, description string, keys ...string) {
+func (sub *testSubscriber) waitForKeys(t *testing.T, description string, keys ...string) {
 	t.Helper()
 	var found []string
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		var complete bool
-		if found, complete = h.keys(); complete && slices.Equal(found, keys) {
+		if found, complete = sub.keys(); complete && slices.Equal(found, keys) {
 			return
 		}
 		if time.Now().After(end) {
@@ -342,9 +342,9 @@
 	relay.terminate(t)
 	originAddress := origin.Address()
 	origin.terminate(t)
-	empty := startProcess(t, relayConfig("r", address, nil, originAddress))
-	waitUntil(t, "the node at the empty relay", 10*time.Second, func() bool { return empty.server.Stats().Subscribers == 1 })
-	waitUntil(t, "frames of the empty relay", 10*time.Second, func() bool { return empty.server.Stats().Frames >= 2 })
+	emptyRelay := startProcess(t, relayConfig("r", address, nil, originAddress))
+	waitUntil(t, "the node at the empty relay", 10*time.Second, func() bool { return emptyRelay.server.Stats().Subscribers == 1 })
+	waitUntil(t, "frames of the empty relay", 10*time.Second, func() bool { return emptyRelay.server.Stats().Frames >= 2 })
 	if keys, _ := subscriber.keys(); len(keys) != 50 || subscriber.deletionCount() != 0 {
 		t.Fatalf("an empty relay took something away: %d left, %d gone", len(keys), subscriber.deletionCount())
 	}
@@ -370,19 +370,19 @@
 	discovery, dir := newFakeDiscovery(t), t.TempDir()
 	discovery.setEndpoint("h0", "a", "up")
 	origin := startProcess(t, originConfig("127.0.0.1:0", discovery.address, dir))
-	a := startProcess(t, relayConfig("a", "127.0.0.1:0", nil, origin.Address()))
-	b := startProcess(t, relayConfig("b", "127.0.0.1:0", nil, origin.Address()))
+	relayA := startProcess(t, relayConfig("a", "127.0.0.1:0", nil, origin.Address()))
+	relayB := startProcess(t, relayConfig("b", "127.0.0.1:0", nil, origin.Address()))
 	waitUntil(t, "both relays fresh", 10*time.Second, func() bool {
 		fresh := true
-		for _, r := range []*testProcess{a, b} {
+		for _, r := range []*testProcess{relayA, relayB} {
 			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) })
 		}
 		return fresh
 	})
-	proxy, freeze := startFreezableProxy(t, b.Address())
-	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), proxy, b.Address()}})
+	proxy, freeze := startFreezableProxy(t, relayB.Address())
+	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{relayA.Address(), proxy, relayB.Address()}})
 	subscriber.waitForKeys(t, "at first", "eu1/cart endpoint/h0")
-	a.terminate(t)
+	relayA.terminate(t)
 	began := time.Now()
 	discovery.setEndpoint("h1", "a", "up")
 	subscriber.waitForKeys(t, "by the second", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1")
@@ -406,15 +406,15 @@
 	discovery, dir := newFakeDiscovery(t), t.TempDir()
 	discovery.setEndpoint("h", "a", "up")
 	origin := startProcess(t, originConfig("127.0.0.1:0", discovery.address, dir))
-	empty := startProcess(t, relayConfig("empty", "127.0.0.1:0", nil, "127.0.0.1:1"))
-	other := startProcess(t, relayConfig("other", "127.0.0.1:0", nil, "127.0.0.1:1"))
+	emptyRelay := startProcess(t, relayConfig("empty", "127.0.0.1:0", nil, "127.0.0.1:1"))
+	otherRelay := startProcess(t, relayConfig("other", "127.0.0.1:0", nil, "127.0.0.1:1"))
 	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{
-		Upstreams: []string{empty.Address(), other.Address()},
+		Upstreams: []string{emptyRelay.Address(), otherRelay.Address()},
 		MaxLag:    500 * time.Millisecond, FailbackDelay: time.Hour,
 	})
 	waitUntil(t, "the first relay left", 10*time.Second, func() bool { return subscriber.client.Stats().Lagging >= 2 })
-	address := other.Address()
-	other.terminate(t)
+	address := otherRelay.Address()
+	otherRelay.terminate(t)
 	startProcess(t, relayConfig("other", address, nil, origin.Address()))
 	subscriber.waitForKeys(t, "what the other has", "eu1/cart endpoint/h")
 }
@@ -430,17 +430,17 @@
 	}
 	setAll("up")
 	origin := startProcess(t, originConfig("127.0.0.1:0", discovery.address, dir))
-	one := startProcess(t, relayConfig("one", "127.0.0.1:0", nil, origin.Address())+"pace = 6000\n")
-	two := startProcess(t, relayConfig("two", "127.0.0.1:0", nil, origin.Address())+"pace = 6000\n")
+	relayA := startProcess(t, relayConfig("one", "127.0.0.1:0", nil, origin.Address())+"pace = 6000\n")
+	relayB := startProcess(t, relayConfig("two", "127.0.0.1:0", nil, origin.Address())+"pace = 6000\n")
 	waitUntil(t, "both relays fresh", 10*time.Second, func() bool {
 		fresh := true
-		for _, r := range []*testProcess{one, two} {
+		for _, r := range []*testProcess{relayA, relayB} {
 			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) && r.relay.Stats().Records > endpointCount })
 		}
 		return fresh
 	})
 	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{
-		Upstreams: []string{one.Address(), two.Address()},
+		Upstreams: []string{relayA.Address(), relayB.Address()},
 		MaxLag:    500 * time.Millisecond,
 	})
 	waitUntil(t, "all of it", 20*time.Second, func() bool {
--- a/internal/relay/tcp_test.go
+++ b/internal/relay/tcp_test.go
@@ -70,8 +70,8 @@
 	return ready
 }
 
-func (f *numberedFeed) add(n uint64) {
-	f.last += n
+func (f *numberedFeed) add(count uint64) {
+	f.last += count
 	for id := range f.subscribers {
 		f.ready = append(f.ready, id)
 	}
@@ -413,9 +413,9 @@
 		}
 	}()
 	c, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{oversized.Addr().String(), server.address}})
-	_, other := startClient(t, ClientConfig{Name: "m", Upstreams: []string{server.address}})
+	_, otherSink := startClient(t, ClientConfig{Name: "m", Upstreams: []string{server.address}})
 	server.add(3)
-	waitUntil(t, "three by the next upstream", 5*time.Second, func() bool { return sink.lastNumber() == 3 && other.lastNumber() == 3 })
+	waitUntil(t, "three by the next upstream", 5*time.Second, func() bool { return sink.lastNumber() == 3 && otherSink.lastNumber() == 3 })
 	if stats := c.Stats(); stats.Oversized != 1 {
 		t.Errorf("too long = %d, expected 1", stats.Oversized)
 	}
@@ -436,7 +436,7 @@
 		conn.Close()
 	}
 	server.add(1)
-	waitUntil(t, "the fourth frame at both", 5*time.Second, func() bool { return sink.lastNumber() == 4 && other.lastNumber() == 4 })
+	waitUntil(t, "the fourth frame at both", 5*time.Second, func() bool { return sink.lastNumber() == 4 && otherSink.lastNumber() == 4 })
 }
 
 func TestConnectionsAndHellosAreBounded(t *testing.T) {
