--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -1,6 +1,6 @@
 package distribution
 
-// Helpers of the tests, and the cases that the package comment describes, one by one.
+// This file has the test helpers, and a test for each case that the package comment describes.
 
 import (
 	"bytes"
@@ -14,17 +14,19 @@
 
 const second = int64(1e9)
 
-// link is one session: a subscriber, or a relay as one, at a relay.
+// testConnection is the session of a receiver with its upstream relay.
 type testConnection struct {
 	relay     *Relay
 	sessionID int
 }
 
+// frameReceiver is the receiving end of a testConnection: a subscriber or a relay.
 type frameReceiver interface {
 	receiveFrame(now int64, frame []byte) error
 	newHello(now int64) []byte
 }
 
+// testSubscriber is a Subscriber that records its changes.
 type testSubscriber struct {
 	*Subscriber
 	changes []Change
@@ -37,6 +39,7 @@
 }
 func (l *testSubscriber) newHello(int64) []byte { return l.Hello() }
 
+// testRelay is a Relay as the receiver of frames from its upstream.
 type testRelay struct{ *Relay }
 
 func (r testRelay) receiveFrame(now int64, frame []byte) error { return r.Receive(now, frame) }
@@ -51,7 +54,7 @@
 	return testConnection{relay, id}
 }
 
-// drain delivers all frames that are due now.
+// deliver passes all frames that are due now to the receiver.
 func (c testConnection) deliver(t testing.TB, now int64, receiver frameReceiver) (frames [][]byte) {
 	t.Helper()
 	for range 100000 {
@@ -60,14 +63,14 @@
 			return frames
 		}
 		if len(frame) > MaxFrameBytes {
-			t.Fatalf("a frame of %d bytes", len(frame))
+			t.Fatalf("got a frame of %d bytes, want at most MaxFrameBytes", len(frame))
 		}
 		frames = append(frames, frame)
 		if err := receiver.receiveFrame(now, frame); err != nil {
 			t.Fatal(err)
 		}
 	}
-	t.Fatal("frames without an end")
+	t.Fatal("the relay still has frames due after 100,000 of them")
 	return nil
 }
 
@@ -119,19 +122,20 @@
 	put(t, origin, "eu1/cart", "endpoint/a", ClassEndpoint, "A")
 	put(t, origin, "eu1/cart", "endpoint/b", ClassEndpoint, "B")
 	put(t, origin, "us1/cart", "endpoint/c", ClassEndpoint, "C")
-	fromOrigin, fromTop, fromBottom := connect(t, 0, origin.Relay(), top, 0), connect(t, 0, top.Relay, bottom, 0), connect(t, 0, bottom.Relay, subscriber, 0)
+	fromOrigin, fromTop, fromBottom := connect(t, 0, origin.Relay(), top, 0), connect(t, 0, top.Relay, bottom, 0),
+		connect(t, 0, bottom.Relay, subscriber, 0)
 	deliverAll := func(now int64) {
 		fromOrigin.deliver(t, now, top)
 		fromTop.deliver(t, now, bottom)
 		fromBottom.deliver(t, now, subscriber)
 	}
 	fromBottom.deliver(t, 0, subscriber)
-	expectEqual(t, "complete before its relay is", subscriber.Complete(), false)
+	expectEqual(t, "subscriber complete before its relay is", subscriber.Complete(), false)
 	deliverAll(0)
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "eu1/cart endpoint/a=A\neu1/cart endpoint/b=B\n")
 	expectEqual(t, "complete", subscriber.Complete(), true)
 	expectEqual(t, "records at a relay", bottom.Stats().Records, 2)
-	expectEqual(t, "foreign records sent to a relay", bottom.Stats().ForeignRecords, int64(0))
+	expectEqual(t, "foreign records received by the lower relay", bottom.Stats().ForeignRecords, int64(0))
 	removedVersion, _ := origin.Remove(0, "eu1/cart", "endpoint/a")
 	put(t, origin, "eu1/none", "endpoint/d", ClassEndpoint, "D")
 	deliverAll(second / 10)
@@ -147,15 +151,15 @@
 	}
 	deliverAll(4 * second)
 	if age, _ := subscriber.Age(4*second, "eu1/cart"); age != 0 {
-		t.Fatal("age after a heartbeat", age)
+		t.Fatal("want age 0 after a heartbeat, got", age)
 	}
-	// Cut off from the origin, the lowest relay goes on with heartbeats, and the age of what it holds grows.
+	// The upper relay is cut off from the origin. Heartbeats continue below it, and the age of the records grows.
 	for now := 5 * second; now <= 9*second; now += second {
 		fromTop.deliver(t, now, bottom)
 		fromBottom.deliver(t, now, subscriber)
 	}
 	if age, _ := subscriber.Age(9*second, "eu1/cart"); age != 5*second {
-		t.Fatal("age through a relay that is cut off", age)
+		t.Fatal("want an age of 5 s below a relay that is cut off from the origin, got", age)
 	}
 }
 
@@ -172,7 +176,7 @@
 		put(t, origin, "eu1/cart", "endpoint/c", ClassWithdrawal, fmt.Sprint("C", slow))
 		put(t, origin, "eu1/new", "endpoint/d", ClassEndpoint, fmt.Sprint("D", slow))
 		origin.Remove(0, "eu1/new", "endpoint/d")
-		if slow { // the same where frames have room for little
+		if slow { // at the lowest pace, frames have room for few records
 			connection.relay.sessions[connection.sessionID].bytesPerSecond = 1
 			connection.relay.sessions[connection.sessionID].pacedUntilNs = -100000 * second
 		}
@@ -182,7 +186,8 @@
 		last := ClassWithdrawal
 		for _, c := range subscriber.changes {
 			if c.Class < last {
-				t.Fatalf("a change of class %d after one of %d: %+v", c.Class, last, subscriber.changes)
+				t.Fatalf("got a change of class %d after one of class %d, want ascending classes: %+v", c.Class, last,
+					subscriber.changes)
 			}
 			last = c.Class
 		}
@@ -199,7 +204,7 @@
 	put(t, origin, "s", "endpoint/a", ClassEndpoint, "up")
 	put(t, origin, "s", "endpoint/a", ClassWithdrawal, "up")
 	connection.deliver(t, 0, subscriber)
-	expectEqual(t, "changes for two changes unsent", len(subscriber.changes), 1)
+	expectEqual(t, "changes received for two changes that were unsent", len(subscriber.changes), 1)
 	put(t, origin, "s", "endpoint/a", ClassEndpoint, "up")
 	connection.deliver(t, 0, subscriber)
 	expectEqual(t, "changes", len(subscriber.changes), 2)
@@ -224,12 +229,14 @@
 	}}); n != 0 || err != nil {
 		t.Fatal(n, err)
 	}
-	if n, err := origin.Replace(0, "e", []Record{{Scope: "s", Key: "f/1"}, {Scope: "s", Key: "e/2", Class: 9}}); n != 1 ||
-		err == nil {
-		t.Fatal("one removed, two invalid", n, err)
+	if n, err := origin.Replace(0, "e", []Record{
+		{Scope: "s", Key: "f/1"},
+		{Scope: "s", Key: "e/2", Class: 9},
+	}); n != 1 || err == nil {
+		t.Fatal("want one change and an error for a list that removes one record and has two invalid ones, got", n, err)
 	}
-	expectEqual(t, "what is of another kind stays", origin.Relay().Stats().Records, 1)
-	// A new epoch with the same bodies is no change at a subscriber.
+	expectEqual(t, "records left, of another kind than the list", origin.Relay().Stats().Records, 1)
+	// A new epoch with the same bodies causes no changes at a subscriber.
 	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
 	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
 	subscriber.changes = nil
@@ -258,7 +265,8 @@
 	expectEqual(t, "records of a resumption after one change", origin.Relay().Stats().SentRecords-sent, int64(1))
 }
 
-// A relay that started empty names the records that a subscriber of the same epoch holds, without their bodies.
+// A relay that started empty sends a snapshot to a subscriber of the same epoch. Records that the subscriber holds are
+// sent without their bodies.
 func TestSnapshotOmitsBodiesOfHeldRecords(t *testing.T) {
 	origin := NewOrigin(1, Limits{})
 	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
@@ -278,7 +286,8 @@
 	expectEqual(t, "changes", len(subscriber.changes), 2)
 	expectEqual(t, "names", relay.Stats().SentKeysOnly, int64(98))
 	if bytes > 98*12+300 {
-		t.Fatalf("%d bytes for 98 names and two changes", bytes)
+		t.Fatalf("got %d bytes for 98 records without bodies and two changes, want at most 12 bytes a record and 300",
+			bytes)
 	}
 }
 
@@ -287,7 +296,7 @@
 	put(t, origin, "s", "k", ClassEndpoint, "x")
 	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
 	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
-	subscriber.replica.remove(subscriber.replica.find("s", "k")) // as if it had been lost
+	subscriber.replica.remove(subscriber.replica.find("s", "k")) // simulates a lost record
 	relay := newTestRelay(t, Limits{}, Selector{Prefix: true})
 	put(t, origin, "s", "l", ClassEndpoint, "x")
 	connect(t, 0, origin.Relay(), relay, 0).deliver(t, 0, relay)
@@ -297,13 +306,13 @@
 		t.Fatal(err)
 	}
 	if changes, err := subscriber.Receive(0, frame); changes != nil || err != nil {
-		t.Fatal("a session after its error", changes, err)
+		t.Fatal("want frames of a session ignored after its error, got", changes, err)
 	}
 	connect(t, 0, relay.Relay, subscriber, 0).deliver(t, 0, subscriber)
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s k=x\ns l=x\n")
 }
 
-// An origin without its list claims nothing, and deletes nothing.
+// An origin that has not received its list yet advertises no position, so that subscribers delete nothing.
 func TestOriginWithoutListDeletesNothing(t *testing.T) {
 	origin := NewOrigin(1, Limits{})
 	put(t, origin, "s", "endpoint/a", ClassEndpoint, "A")
@@ -326,7 +335,7 @@
 		t.Fatal(err)
 	}
 	connection.deliver(t, 5*second, subscriber)
-	expectEqual(t, "position with one list of two", subscriber.Position("s").Epoch, uint64(1))
+	expectEqual(t, "epoch of the position after one list of two", subscriber.Position("s").Epoch, uint64(1))
 	if _, err := origin.Replace(0, "endpoint", []Record{{
 		Scope: "s", Key: "endpoint/b", Class: ClassEndpoint,
 		Body: []byte("B2"),
@@ -336,10 +345,11 @@
 	connection.deliver(t, 5*second, subscriber)
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s endpoint/b=B2\n")
 	expectEqual(t, "position", subscriber.Position("empty").Epoch, uint64(2))
-	expectEqual(t, "records sent, once each", origin.Relay().Stats().SentRecords, int64(1))
+	expectEqual(t, "records sent by the restarted origin", origin.Relay().Stats().SentRecords, int64(1))
 }
 
-// A subscriber gets nothing from a relay of an older epoch than it has seen, until the relay has reached that.
+// A relay sends no records to a subscriber that has seen a newer epoch than the relay, until the relay reaches that
+// epoch.
 func TestRelayOfOlderEpochSendsNothing(t *testing.T) {
 	oldOrigin := NewOrigin(1, Limits{})
 	put(t, oldOrigin, "s", "endpoint/a", ClassEndpoint, "A")
@@ -353,7 +363,7 @@
 	if f := connection.deliver(t, 0, subscriber); len(f) != 1 {
 		t.Fatal("frames", len(f))
 	}
-	expectEqual(t, "records that a relay of an old epoch sent", laggingRelay.Stats().SentRecords, int64(0))
+	expectEqual(t, "records sent by a relay of an older epoch", laggingRelay.Stats().SentRecords, int64(0))
 	connection.deliver(t, second, subscriber)
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s endpoint/b=B\n")
 	if age, _ := subscriber.Age(second, "s"); age != second {
@@ -366,7 +376,8 @@
 	}
 }
 
-// A slow subscriber costs a relay its cursors alone: changes of a record that are not sent yet are one.
+// A slow subscriber costs a relay only its cursors: unsent changes of a record are coalesced into one, and tombstones
+// are pruned.
 func TestSlowSubscriberMemoryIsBounded(t *testing.T) {
 	origin := NewOrigin(1, Limits{Tombstones: 10})
 	subscriber := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "quiet"})
@@ -384,7 +395,7 @@
 			break
 		}
 	}
-	for i := range 5000 { // from here on it takes nothing
+	for i := range 5000 { // from here on the subscriber receives nothing
 		origin.Remove(0, "s", fmt.Sprint("k", i))
 		put(t, origin, "s", fmt.Sprint("l", i), ClassEndpoint, "x")
 		origin.Remove(0, "s", fmt.Sprint("l", i))
@@ -393,17 +404,17 @@
 	stats := origin.Relay().Stats()
 	expectEqual(t, "tombstones", stats.Tombstones, 10)
 	if n := len(origin.relay.tombstones); n > 2*10+65 {
-		t.Fatal("places of tombstones kept:", n)
+		t.Fatal("want at most 85 tombstone references for a limit of 10 tombstones, got", n)
 	}
 	for q := range queueCount {
 		if n := len(origin.relay.sessions[connection.sessionID].queues[q].list); n > 40 {
-			t.Fatal("a queue for two selectors has", n)
+			t.Fatal("want at most 40 entries in a queue for two selectors, got", n)
 		}
 	}
 	subscriber.changes = nil
 	connection.deliver(t, second, subscriber)
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "quiet k=x\ns stays=4999\n")
-	expectEqual(t, "records sent in the end", origin.Relay().Stats().SentRecords-stats.SentRecords, int64(1))
+	expectEqual(t, "records sent after the changes", origin.Relay().Stats().SentRecords-stats.SentRecords, int64(1))
 }
 
 func TestPaceAndHeartbeats(t *testing.T) {
@@ -420,7 +431,7 @@
 		f, at := origin.Relay().Next(now, connection.sessionID)
 		if f == nil {
 			if at <= now {
-				t.Fatal("to be asked again at", at, "at", now)
+				t.Fatal("Next returned no frame and a time that is not in the future:", at, "at", now)
 			}
 			now = at
 			continue
@@ -429,37 +440,43 @@
 		longestGapNs = max(longestGapNs, now-lastFrameNs)
 		lastFrameNs = now
 		if len(f) > pace/4 {
-			t.Fatalf("a frame of %d bytes at %d a second", len(f), pace)
+			t.Fatalf("got a frame of %d bytes at a pace of %d bytes a second, want at most a quarter of the pace",
+				len(f), pace)
 		}
 		if mostBytes := pace*(now+BurstNs)/second + pace/4; int64(sentBytes) > mostBytes {
-			t.Fatalf("%d bytes after %d ns, at most %d", sentBytes, now, mostBytes)
+			t.Fatalf("got %d bytes after %d ns, want at most %d", sentBytes, now, mostBytes)
 		}
 		if _, err := subscriber.Receive(now, f); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if leastNs := int64(sentBytes-pace/2) * second / pace; !subscriber.Complete() || now < leastNs || now > leastNs+3*second/2 {
-		t.Fatalf("complete %v after %d ns with %d bytes", subscriber.Complete(), now, sentBytes)
+	if leastNs := int64(sentBytes-pace/2) * second / pace; !subscriber.Complete() || now < leastNs ||
+		now > leastNs+3*second/2 {
+		t.Fatalf("got complete %v after %d ns and %d bytes, want true within 1.5 s of the time at the pace",
+			subscriber.Complete(), now, sentBytes)
 	}
 	if longestGapNs > second {
 		t.Fatal("silence", longestGapNs)
 	}
-	// Behind its pace by one large body, a session goes on with small heartbeats.
+	// After one large body the session is ahead of its pace. Until the pace allows records again, it only sends small
+	// heartbeats.
 	put(t, origin, "s", "great", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
-	connection.relay.sessions[connection.sessionID].bytesPerSecond, connection.relay.sessions[connection.sessionID].pacedUntilNs = 1000, now
-	expectEqual(t, "frames of a great body", len(connection.deliver(t, now, subscriber)), 1)
+	connection.relay.sessions[connection.sessionID].bytesPerSecond,
+		connection.relay.sessions[connection.sessionID].pacedUntilNs = 1000, now
+	expectEqual(t, "frames for a large body", len(connection.deliver(t, now, subscriber)), 1)
 	put(t, origin, "s", "k1", ClassEndpoint, "later")
 	for i := int64(1); i <= 5; i++ {
 		f := connection.deliver(t, now+i*second, subscriber)
 		if len(f) != 1 || len(f[0]) > 64 {
-			t.Fatalf("%d frames in the debt's second %d", len(f), i)
+			t.Fatalf("got %d frames in second %d after the large body, want one heartbeat of at most 64 bytes",
+				len(f), i)
 		}
 	}
 	connection.deliver(t, now+30*second, subscriber)
 	expectEqual(t, "records", subscriber.Stats().Records, 2001)
 }
 
-// While one scope's backlog is sent, the others' ages stay known.
+// While the backlog of one scope is sent, heartbeats keep the ages of the other scopes low.
 func TestAgesOfOtherScopesDuringBacklog(t *testing.T) {
 	origin := NewOrigin(1, Limits{})
 	put(t, origin, "quiet", "k", ClassEndpoint, "x")
@@ -475,10 +492,10 @@
 		connection.deliver(t, now, subscriber)
 	}
 	if age, _ := subscriber.Age(now, "quiet"); age > 2*second {
-		t.Fatal("age of the quiet scope", age)
+		t.Fatal("want an age of at most 2 s for the quiet scope, got", age)
 	}
 	if age, _ := subscriber.Age(now, "busy"); age < 8*second {
-		t.Fatal("age of the busy scope", age)
+		t.Fatal("want an age of at least 8 s for the busy scope, got", age)
 	}
 	at := subscriber.Position("quiet")
 	if busy := subscriber.Position("busy"); busy.compare(at) >= 0 {
@@ -488,7 +505,7 @@
 	connection.deliver(t, now, subscriber)
 	expectEqual(t, "records", subscriber.Stats().Records, 501)
 	if age, _ := subscriber.Age(now, "busy"); age != 0 {
-		t.Fatal("age of the busy scope", age)
+		t.Fatal("want age 0 for the busy scope after its backlog, got", age)
 	}
 }
 
@@ -502,7 +519,7 @@
 	connect(t, 0, origin.Relay(), subscriber, 0).deliver(t, 0, subscriber)
 	subscriber.Hello()
 	raw := func(v any) cbor.RawMessage { return encode(v) }
-	// A snapshot with a record of an unknown class, one that is no record, and one more.
+	// A snapshot with a record of an unknown class, an item that is no record, and a valid record.
 	f := encode(map[int]any{1: subscriber.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{
 		[]any{"s", []any{[]any{"a", 3, 7, []byte("x")}, "nonsense", raw([]any{"d", 1, 8, []byte("y")})}},
 		[]any{"foreign", []any{[]any{"a", 1, 9, []byte("x")}}},
@@ -510,7 +527,7 @@
 	if _, err := subscriber.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
-	// The invalid ones may have named any record of their scope: these stay. The other scope is empty.
+	// The invalid records may have been any records of their scope, so these are kept. The other scope becomes empty.
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s a=x\ns b=x\ns c=x\ns d=y\n")
 	stats := subscriber.Stats()
 	expectEqual(t, "invalid", stats.InvalidRecords, int64(2))
@@ -518,7 +535,7 @@
 	if !strings.Contains(stats.LastInvalid, `"s"`) {
 		t.Fatal("named:", stats.LastInvalid)
 	}
-	// A group that can't be decoded may have named anything.
+	// A group that can't be decoded may have contained any record, so all are kept.
 	subscriber.Hello()
 	f = encode(map[int]any{
 		1: subscriber.replica.session, 2: 1, 3: 2, 4: []int{0, 1}, 5: []any{"nonsense"}, 6: []int{0, 1},
@@ -528,7 +545,7 @@
 		t.Fatal(err)
 	}
 	expectEqual(t, "records", subscriber.Stats().Records, 4)
-	// A later snapshot without invalid records counts in full.
+	// A later snapshot without invalid records deletes what it does not contain.
 	subscriber.Hello()
 	f = encode(map[int]any{
 		1: subscriber.replica.session, 2: 1, 3: 2, 4: []int{0, 1},
@@ -544,7 +561,7 @@
 	refused := func(text string, err error, target error) {
 		t.Helper()
 		if !errors.Is(err, target) || !strings.Contains(err.Error(), text) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("got error %[2]v, want one that wraps the expected error and contains %[1]q", text, err)
 		}
 	}
 	long := strings.Repeat("n", MaxNameBytes+1)
@@ -557,7 +574,7 @@
 		}
 	}
 	if _, err := origin.Put(0, "s", "k", classCount, nil); err == nil {
-		t.Error("no error for a class that there is not")
+		t.Error("Put with a class out of range: got no error")
 	}
 	put(t, origin, "s", "k1", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
 	put(t, origin, "s", "k2", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
@@ -573,17 +590,17 @@
 	for i := range 3 {
 		origin.Remove(0, "s", fmt.Sprint("small", 3+i))
 	}
-	for i := range 50 { // tombstones never take the room of what is there
+	for i := range 50 { // tombstones never crowd out live records
 		put(t, origin, "s", fmt.Sprint("fresh", i), ClassEndpoint, "x")
 		origin.Remove(0, "s", fmt.Sprint("fresh", i))
 	}
 	_, err = NewSubscriber(make([]Selector, 4), Limits{Selectors: 3})
 	refused("selectors", err, ErrLimit)
 	if _, err = NewSubscriber([]Selector{{Scope: ""}}, Limits{}); err == nil {
-		t.Error("no error for no name")
+		t.Error("NewSubscriber with an empty scope: got no error")
 	}
 	if _, err = NewSubscriber([]Selector{{Scope: long}}, Limits{}); err == nil {
-		t.Error("no error for a long name")
+		t.Error("NewSubscriber with a scope name over the limit: got no error")
 	}
 	var many []Selector
 	for i := range MaxPrefixes + 1 {
@@ -639,7 +656,7 @@
 	refused("bytes", err, ErrBadFrame)
 	_, err = few.Receive(0, encode(frame{Session: 1, Number: 1}))
 	if err != nil || few.Stats().StaleFrames != 1 {
-		t.Error("a session after its error", err)
+		t.Error("want frames of a session ignored after its error, got", err)
 	}
 	big := NewOrigin(1, Limits{})
 	for i := range 10 {
@@ -651,17 +668,17 @@
 	changes, err := few.Receive(0, f)
 	refused("records", err, ErrLimit)
 	if len(changes) != 3 || few.Complete() {
-		t.Error("changes before the bound", len(changes), few.Complete())
+		t.Error("want three changes before the limit and an incomplete subscriber, got", len(changes), few.Complete())
 	}
 }
 
 func TestMalformedFramesAreRejected(t *testing.T) {
 	for description, f := range map[string]frame{
-		"a number missed":     {Number: 2, Epoch: 1},
-		"begin of none":       {Number: 1, Epoch: 1, Begin: []uint32{9}},
-		"end without a begin": {Number: 1, Epoch: 1, End: []uint32{0}, Through: 5},
-		"end of none":         {Number: 1, Epoch: 1, End: []uint32{9}},
-		"all but none":        {Number: 1, Epoch: 1, All: true, Except: []uint32{9}},
+		"gap in frame numbers":       {Number: 2, Epoch: 1},
+		"begin of unknown selector":  {Number: 1, Epoch: 1, Begin: []uint32{9}},
+		"end without a begin":        {Number: 1, Epoch: 1, End: []uint32{0}, Through: 5},
+		"end of unknown selector":    {Number: 1, Epoch: 1, End: []uint32{9}},
+		"except of unknown selector": {Number: 1, Epoch: 1, All: true, Except: []uint32{9}},
 	} {
 		s := newTestSubscriber(t, Selector{Scope: "s"})
 		s.Hello()
@@ -673,7 +690,7 @@
 		s.Hello()
 		f.Session, f.Number, f.Begin, f.End, f.Except = 1, 1, []uint32{0}, []uint32{0}, nil
 		if _, err := s.Receive(0, encode(f)); err != nil || s.Complete() {
-			t.Error("a frame of a session that is over counts", err)
+			t.Error("want a frame of an earlier session ignored, got an error or a complete subscriber:", err)
 		}
 	}
 	s := newTestSubscriber(t, Selector{Scope: "s"})
@@ -685,7 +702,7 @@
 		t.Fatal(err)
 	}
 	if age, known := s.Age(100, "s"); age != 0 || !known {
-		t.Fatal("an age from the future", age, known)
+		t.Fatal("want a negative age in a frame counted as 0, got", age, known)
 	}
 }
 
@@ -703,12 +720,12 @@
 	connectionA.deliver(t, 0, a)
 	put(t, origin, "b", "k", ClassEndpoint, "x")
 	origin.Relay().Detach(connectionB.sessionID)
-	expectEqual(t, "ready without who has gone", len(origin.Relay().Ready()), 0)
+	expectEqual(t, "ready subscribers after the only one detached", len(origin.Relay().Ready()), 0)
 	f, at := origin.Relay().Next(0, connectionB.sessionID)
 	if f != nil || at <= 0 {
-		t.Fatal("who has gone", f, at)
+		t.Fatal("Next of a detached subscriber: want no frame and a time in the future, got", f, at)
 	}
-	expectEqual(t, "scopes nobody holds or waits for", origin.Relay().Stats().Scopes, 2)
+	expectEqual(t, "scopes with records or subscribers", origin.Relay().Stats().Scopes, 2)
 	origin.Relay().Detach(connectionA.sessionID)
 	origin.Remove(0, "a", "k")
 	expectEqual(t, "scopes", origin.Relay().Stats().Scopes, 2)
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -1,13 +1,13 @@
 package distribution
 
-// Messages from outside, corrupted in any way, must cost an error or a counter, never more.
+// Malformed messages from the network must cause no more than an error or a count.
 
 import (
 	"fmt"
 	"testing"
 )
 
-// conversation returns a hello, and the frames of a snapshot, of changes and of a heartbeat.
+// sampleMessages returns a hello and, for that hello, the frames of a snapshot, of changes and of heartbeats.
 func sampleMessages(t testing.TB) (hello []byte, frames [][]byte) {
 	origin := NewOrigin(7, Limits{})
 	subscriber := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
@@ -63,25 +63,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for now := range int64(3) { // the same again is as old as a frame can be
+		for now := range int64(3) { // the second and third time, the frame is a duplicate
 			relayErr, subscriberErr := relay.receiveFrame(now, b), subscriber.receiveFrame(now, b)
 			if (relayErr == nil) != (subscriberErr == nil) {
-				t.Fatalf("a relay says %v, a subscriber %v", relayErr, subscriberErr)
+				t.Fatalf("got error %v from the relay and %v from the subscriber, want both or none", relayErr,
+					subscriberErr)
 			}
 		}
 		if s := relay.Stats(); s.Records+s.Tombstones > 64 || s.Bytes > 64<<10+MaxNameBytes*4 {
-			t.Fatalf("over the bounds: %+v", s)
+			t.Fatalf("relay exceeds 64 records or the limit of bytes: %+v", s)
 		}
 		sum := 0
 		subscriber.Each(func(r Record) {
 			sum++
 			foreign := r.Scope != "a/x" && r.Scope[:2] != "b/"
 			if foreign || validateRecord(r.Scope, r.Key, r.Class, r.Body) != nil {
-				t.Fatalf("holds %+v", r)
+				t.Fatalf("subscriber holds an invalid or foreign record: %+v", r)
 			}
 		})
 		if subscriber.Stats().Records != sum {
-			t.Fatalf("%d records, counted %d", sum, subscriber.Stats().Records)
+			t.Fatalf("Stats counts %d records, want %d", sum, subscriber.Stats().Records)
 		}
 		for now := range int64(4) {
 			for {
@@ -90,12 +91,12 @@
 					break
 				}
 				if err := downstream.receiveFrame(now*second, f); err != nil {
-					t.Fatalf("what a relay makes of it: %v", err)
+					t.Fatalf("subscriber rejects a frame of the relay: %v", err)
 				}
 			}
 		}
 		if !relay.Complete() && downstream.Complete() {
-			t.Fatal("complete by a relay that is not")
+			t.Fatal("subscriber of an incomplete relay is complete")
 		}
 	})
 }
@@ -113,7 +114,7 @@
 		id, err := origin.Relay().Attach(0, b, 10000)
 		if err != nil {
 			if n := origin.Relay().Stats(); n.Subscribers != 0 || n.RefusedHellos != 1 || n.Scopes != 20 {
-				t.Fatalf("after a refusal: %+v", n)
+				t.Fatalf("after a rejected hello: got %+v, want no subscribers, one rejected hello and 20 scopes", n)
 			}
 			return
 		}
@@ -124,14 +125,15 @@
 				if f == nil {
 					break
 				}
-				if _, err := decodeFrame(f, func(string) { t.Fatal("an invalid record") }); err != nil || n > 100 {
+				if _, err := decodeFrame(f, func(string) { t.Fatal("relay sent an invalid record") }); err != nil ||
+					n > 100 {
 					t.Fatal(err, n)
 				}
 			}
 		}
 		origin.Relay().Detach(id)
 		if n := origin.Relay().Stats(); n.Subscribers != 0 || n.Selectors != 0 || n.Scopes != 20 {
-			t.Fatalf("after it has gone: %+v", n)
+			t.Fatalf("after Detach: got %+v, want no subscribers, no selectors and 20 scopes", n)
 		}
 	})
 }
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -9,7 +9,7 @@
 	"fawnglade/internal/golden"
 )
 
-// TestGoldenFrames holds hellos and frames to the bytes that earlier builds send and read.
+// TestGoldenFrames checks that the encoding of hellos and frames is compatible with earlier builds.
 func TestGoldenFrames(t *testing.T) {
 	h := hello{Protocol: protocolVersion, Session: 3, EpochSeen: 5, Epoch: 5, Through: 40, Selectors: []helloSelector{
 		{Scope: "eu/", Flags: flagPrefix | flagShared}, {Scope: "us/web", Epoch: 4, Through: 39},
@@ -27,19 +27,22 @@
 	}
 	gotHello, err := decodeHello(encode(&h), Limits{Selectors: 8})
 	if err != nil || fmt.Sprint(*gotHello) != fmt.Sprint(h) || !bytes.Equal(encode(gotHello), encode(&h)) {
-		t.Errorf("the hello is read as %+v, %v", gotHello, err)
+		t.Errorf("decoded hello: got %+v, error %v, want the encoded one", gotHello, err)
 	}
-	gotFrame, err := decodeFrame(encode(&f), func(scope string) { t.Errorf("an invalid record in %q", scope) })
+	gotFrame, err := decodeFrame(encode(&f),
+		func(scope string) { t.Errorf("got an invalid record in scope %q", scope) })
 	if err != nil || fmt.Sprint(*gotFrame) != fmt.Sprint(f) || !bytes.Equal(encode(gotFrame), encode(&f)) {
-		t.Errorf("the frame is read as %+v, %v", gotFrame, err)
+		t.Errorf("decoded frame: got %+v, error %v, want the encoded one", gotFrame, err)
 	}
 }
 
-// TestGoldenStats holds the names of the counters in JSON.
+// TestGoldenStats checks that the names of the counters in JSON are unchanged.
 func TestGoldenStats(t *testing.T) {
 	text, err := json.Marshal(Stats{
-		Epoch: 1, Through: 2, Complete: true, Records: 3, Tombstones: 4, Scopes: 5, Bytes: 6, Subscribers: 7, Selectors: 8, Floor: 9,
-		Frames: 10, FrameBytes: 11, Sent: 12, SentBytes: 13, SentRecords: 14, SentKeysOnly: 15, Resumed: 16, Snapshots: 17, Applied: 18, Repeated: 19, Stale: 20, Swept: 21,
+		Epoch: 1, Through: 2, Complete: true, Records: 3, Tombstones: 4, Scopes: 5, Bytes: 6, Subscribers: 7,
+		Selectors: 8, Floor: 9,
+		Frames: 10, FrameBytes: 11, Sent: 12, SentBytes: 13, SentRecords: 14, SentKeysOnly: 15, Resumed: 16,
+		Snapshots: 17, Applied: 18, Repeated: 19, Stale: 20, Swept: 21,
 		InvalidRecords: 22, ForeignRecords: 23, StaleFrames: 24, RefusedHellos: 25, LastInvalid: "x",
 	})
 	if err != nil {
--- a/internal/distribution/guards_test.go
+++ b/internal/distribution/guards_test.go
@@ -1,6 +1,7 @@
 package distribution
 
-// Each guard alone, by frames that relays send seldom or never: what the random networks of model_test.go hardly reach.
+// These tests check the validation of frames one rule at a time. They use frames that relays send rarely or never,
+// which the random networks of model_test.go hardly reach.
 
 import (
 	"errors"
@@ -9,7 +10,7 @@
 	"testing"
 )
 
-// frameSender hands numbered frames to a taker.
+// frameSender passes frames to a receiver, numbered in one session.
 type frameSender struct {
 	t        *testing.T
 	receiver frameReceiver
@@ -65,7 +66,10 @@
 	sender.send(0, frame{Epoch: 2, Groups: groupOf("s", newRecord("k", 1, 5))})
 	sender.send(0, frame{Epoch: 1, Groups: groupOf("s", newRecord("l", 1, 9))})
 	sender = newFrameSender(t, subscriber)
-	sender.send(0, frame{Epoch: 1, Begin: firstSelector, Groups: groupOf("s", newRecord("l", 1, 9)), End: firstSelector, Through: 9, All: true})
+	sender.send(0, frame{
+		Epoch: 1, Begin: firstSelector, Groups: groupOf("s", newRecord("l", 1, 9)),
+		End: firstSelector, Through: 9, All: true,
+	})
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s k=5\n")
 	expectEqual(t, "complete", subscriber.Complete(), false)
 }
@@ -73,20 +77,24 @@
 func TestOlderRecordsStayDeleted(t *testing.T) {
 	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
 	sender := newFrameSender(t, subscriber)
-	// Before the scope is complete a tombstone keeps the older state out, and is dropped once the position has passed
-	// it.
-	sender.send(0, frame{Epoch: 1, Begin: firstSelector, Groups: groupOf("s", newRecord("k", flagDeleted, 9), newRecord("l", 1, 8))})
+	// Before the scope is complete, a tombstone prevents the older state from being applied. It is dropped once the
+	// position has passed it.
+	sender.send(0, frame{
+		Epoch: 1, Begin: firstSelector,
+		Groups: groupOf("s", newRecord("k", flagDeleted, 9), newRecord("l", 1, 8)),
+	})
 	sender.send(0, frame{Epoch: 1, Groups: groupOf("s", newRecord("k", 1, 5), newRecord("l", 1, 7))})
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s l=8\n")
 	expectEqual(t, "tombstones", subscriber.Stats().Tombstones, 1)
 	sender.send(0, frame{Epoch: 1, End: firstSelector, Through: 10})
 	expectEqual(t, "tombstones", subscriber.Stats().Tombstones, 0)
-	// Once it is complete, what is not held and not newer is deleted by the position alone.
+	// Once the scope is complete, a record that is not held and not newer than the position counts as deleted.
 	sender.send(0, frame{Epoch: 1, Groups: groupOf("s", newRecord("k", 1, 5), newRecord("m", 1, 10))})
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s l=8\n")
 	expectEqual(t, "stale", subscriber.Stats().Stale, int64(4))
-	// Deleted, back and deleted within one frame leaves one tombstone to drop.
-	sender.send(0, frame{Epoch: 1, Groups: groupOf("s", newRecord("n", flagDeleted, 11), newRecord("n", 1, 12), newRecord("n", flagDeleted, 13))})
+	// A record that is deleted, added and deleted again within one frame leaves one tombstone to drop.
+	sender.send(0, frame{Epoch: 1, Groups: groupOf("s", newRecord("n", flagDeleted, 11), newRecord("n", 1, 12),
+		newRecord("n", flagDeleted, 13))})
 	sender.send(0, frame{Epoch: 1, Through: 13, All: true})
 	expectEqual(t, "records", listRecords(subscriber.Subscriber), "s l=8\n")
 	expectEqual(t, "held", subscriber.replica.items.Len(), 1)
@@ -120,37 +128,38 @@
 		t.Helper()
 		for i, scope := range []string{"s", "t", "u"} {
 			if p := subscriber.Position(scope); p.Epoch*1000+p.Through != want[i] {
-				t.Fatalf("%s: %s is at %v, want %d", description, scope, p, want[i])
+				t.Fatalf("%s: scope %s: got position %v, want %d (epoch*1000 + version)", description, scope, p,
+					want[i])
 			}
 		}
 	}
 	sender := newFrameSender(t, subscriber)
 	sender.send(0, frame{Epoch: 1, Through: 20, All: true})
-	expectPositions("progress before anything was complete", 0, 0, 0)
+	expectPositions("position before any snapshot", 0, 0, 0)
 	expectEqual(t, "complete", subscriber.Stats().Complete, false)
 	sender.send(0, frame{Epoch: 1, Begin: []uint32{0, 1}, End: []uint32{0, 1}, Through: 30})
 	expectPositions("ends", 1030, 1030, 0)
 	sender.send(0, frame{Epoch: 1, Through: 25, All: true})
-	expectPositions("progress below an end", 1030, 1030, 0)
+	expectPositions("position below the end of a snapshot", 1030, 1030, 0)
 	sender.send(0, frame{Epoch: 1, Through: 40, All: true, Except: []uint32{1}})
-	expectPositions("progress but for one", 1040, 1030, 0)
+	expectPositions("position with one selector excepted", 1040, 1030, 0)
 	sender.send(0, frame{Epoch: 1, Through: 41, All: true})
 	expectPositions("progress", 1041, 1041, 0)
 	sender.send(0, frame{Epoch: 1, Through: 35, All: true})
-	expectPositions("progress that falls back", 1041, 1041, 0)
+	expectPositions("position lower than before", 1041, 1041, 0)
 	sender.send(0, frame{Epoch: 1, Begin: firstSelector, Through: 50, All: true})
-	expectPositions("progress during a snapshot", 1041, 1050, 0)
+	expectPositions("position during a snapshot", 1041, 1050, 0)
 	sender.send(0, frame{Epoch: 1, End: firstSelector, Through: 33})
-	expectPositions("an end that falls back", 1041, 1050, 0)
+	expectPositions("end of a snapshot at a lower position", 1041, 1050, 0)
 	sender.send(0, frame{Epoch: 1, Through: 60, All: true})
 	expectPositions("progress", 1060, 1060, 0)
 	sender.send(0, frame{Epoch: 2, Through: 5, All: true})
-	expectPositions("progress of a new epoch alone", 1060, 1060, 0)
+	expectPositions("position of a new epoch before any snapshot", 1060, 1060, 0)
 	sender.send(0, frame{
 		Epoch: 2, Begin: []uint32{0, 1, 2}, End: []uint32{0, 2}, Through: 6, All: true,
 		Except: []uint32{1},
 	})
-	expectPositions("ends of a new epoch", 2006, 1060, 2006)
+	expectPositions("ends of snapshots of a new epoch", 2006, 1060, 2006)
 	expectEqual(t, "complete", subscriber.Complete(), true)
 }
 
@@ -159,11 +168,11 @@
 	expectAge := func(now, want int64) {
 		t.Helper()
 		if got, _ := subscriber.Age(now, "s"); got != want {
-			t.Fatalf("age %d, want %d", got, want)
+			t.Fatalf("got age %d, want %d", got, want)
 		}
 	}
 	if _, known := subscriber.Age(0, "s"); known {
-		t.Fatal("an age of nothing")
+		t.Fatal("age is known before any snapshot")
 	}
 	sender := newFrameSender(t, subscriber)
 	sender.send(10*second, frame{Epoch: 1, Begin: firstSelector, End: firstSelector, Through: 5, Age: 2 * second})
@@ -216,7 +225,7 @@
 	}
 }
 
-// A relay claims a position once it is complete.
+// A relay advertises a position only while it is complete.
 func TestOnlyCompleteRelayAdvertisesPosition(t *testing.T) {
 	relay := newTestRelay(t, Limits{}, Selector{Scope: "s"}, Selector{Scope: "t"})
 	downstream := newTestSubscriber(t, Selector{Scope: "s"})
@@ -229,7 +238,7 @@
 		f, _ := relay.Next(now, connection.sessionID)
 		h, err := decodeFrame(f, func(string) {})
 		if err != nil || !want && (h.All || h.End != nil) {
-			t.Fatalf("%s: %+v, %v", description, h, err)
+			t.Fatalf("%s: got frame %+v, error %v, want a position only if the relay is complete", description, h, err)
 		}
 		if err := downstream.receiveFrame(now, f); err != nil {
 			t.Fatal(err)
@@ -240,23 +249,26 @@
 	sender.send(0, frame{Epoch: 1, Begin: []uint32{0, 1}, Groups: groupOf("s", newRecord("k", 1, 5))})
 	expectComplete("begun", false)
 	sender.send(0, frame{Epoch: 1, End: []uint32{0}, Through: 100})
-	expectComplete("one of two has ended", false)
+	expectComplete("one snapshot of two has ended", false)
 	sender.send(0, frame{Epoch: 1, End: []uint32{1}, Through: 150})
-	expectComplete("the first is known up to less than the second", false)
+	expectComplete("the position of the first scope is below the end of the second snapshot", false)
 	sender.send(0, frame{Epoch: 1, Through: 150, All: true})
-	expectComplete("all is known", true)
+	expectComplete("all scopes have reached the position", true)
 	expectEqual(t, "through", relay.Stats().Through, uint64(150))
 	sender.send(0, frame{Epoch: 1, Begin: []uint32{0}})
 	expectComplete("a snapshot has begun", false)
-	sender.send(0, frame{Epoch: 1, End: []uint32{0}, Groups: groupOf("s", newRecord("k", 1|flagKeyOnly, 5)), Through: 150})
+	sender.send(0, frame{
+		Epoch: 1, End: []uint32{0}, Groups: groupOf("s", newRecord("k", 1|flagKeyOnly, 5)),
+		Through: 150,
+	})
 	expectComplete("the snapshot has ended", true)
 	sender.send(0, frame{Epoch: 2, Groups: groupOf("s", newRecord("k", 1, 1))})
 	expectComplete("a new epoch", false)
 	sender.send(0, frame{Epoch: 2, Through: 200, All: true})
-	expectComplete("progress of a new epoch alone", false)
-	expectEqual(t, "epoch of what is served", downstream.Position("s").Epoch, uint64(1))
+	expectComplete("position of a new epoch before its snapshots", false)
+	expectEqual(t, "epoch of the subscriber's position", downstream.Position("s").Epoch, uint64(1))
 
-	// To a subscriber that has seen a higher epoch it claims nothing, complete as it is.
+	// A complete relay advertises nothing to a subscriber that has seen a higher epoch.
 	oldOrigin := NewOrigin(1, Limits{})
 	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
 	newFrameSender(t, subscriber).send(0, frame{Epoch: 2, Groups: groupOf("s", newRecord("k", 1, 5))})
@@ -271,12 +283,16 @@
 	}
 }
 
-// Tombstones that are newer than the claim stay beyond the limit: the older state may still come.
+// Tombstones that are newer than the advertised position are kept beyond the limit: the older state of their records
+// may still arrive.
 func TestTombstonesAfterAdvertisedPositionAreKept(t *testing.T) {
 	relay := newTestRelay(t, Limits{Tombstones: 1}, Selector{Scope: "s"})
 	sender := newFrameSender(t, relay)
-	sender.send(0, frame{Epoch: 1, Begin: firstSelector, Groups: groupOf("s", newRecord("a", flagDeleted, 9), newRecord("b", flagDeleted, 10),
-		newRecord("c", flagDeleted, 11))})
+	sender.send(0, frame{
+		Epoch: 1, Begin: firstSelector,
+		Groups: groupOf("s", newRecord("a", flagDeleted, 9), newRecord("b", flagDeleted, 10),
+			newRecord("c", flagDeleted, 11)),
+	})
 	expectEqual(t, "tombstones", relay.Stats().Tombstones, 3)
 	sender = newFrameSender(t, relay)
 	sender.send(0, frame{Epoch: 1, Begin: firstSelector, Groups: groupOf("s", newRecord("a", 1, 4))})
@@ -290,15 +306,19 @@
 		origin.Remove(0, "s", "k")
 	}
 	if n := len(origin.relay.tombstones); n > 70 {
-		t.Fatalf("%d places of one tombstone", n)
+		t.Fatalf("got %d tombstone references for one tombstone, want at most 70", n)
 	}
 }
 
-// Records that reached a relay out of the order of versions are sent at a resumption, and those held are not.
+// A subscriber resumes at a relay that received its records out of the order of versions. The relay sends the records
+// that are newer than the subscriber's position, and no others.
 func TestResumeAtRelayWithRecordsOutOfOrder(t *testing.T) {
 	relay := newTestRelay(t, Limits{}, Selector{Scope: "s"})
 	sender := newFrameSender(t, relay)
-	sender.send(0, frame{Epoch: 1, Begin: firstSelector, Groups: groupOf("s", newRecord("k", 1, 9), newRecord("l", 1, 5))})
+	sender.send(0, frame{
+		Epoch: 1, Begin: firstSelector,
+		Groups: groupOf("s", newRecord("k", 1, 9), newRecord("l", 1, 5)),
+	})
 	subscriber := newTestSubscriber(t, Selector{Scope: "s"})
 	newFrameSender(t, subscriber).send(0, frame{
 		Epoch: 1, Begin: firstSelector, Groups: groupOf("s", newRecord("l", 1, 5)), End: firstSelector, Through: 7,
@@ -309,8 +329,9 @@
 	expectEqual(t, "sent", relay.Stats().SentRecords, int64(1))
 }
 
-// A subscriber resumes at a relay that is behind it. Then the relay gets a snapshot, begin and end in one frame: what
-// came and went in between it has never known.
+// A subscriber resumes at a relay whose position is lower than its own. Then the relay receives a snapshot, with begin
+// and end in one frame. The relay never saw the records that were removed in between, so the subscriber needs a
+// snapshot as well to delete them.
 func TestSnapshotOfRelayReachesItsSubscribers(t *testing.T) {
 	origin := NewOrigin(1, Limits{Tombstones: 1})
 	laggingRelay := newTestRelay(t, Limits{}, Selector{Prefix: true})
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -1,8 +1,8 @@
 package distribution
 
-// The network as a whole: an origin, two levels of relays and subscribers, with drops, repeats, old sessions' frames,
-// restarts with nothing, new epochs and partitions. Truth is kept aside; whoever claims to know a scope up to a
-// version is held to it.
+// This file tests a whole network: an origin, two levels of relays, and subscribers. It injects lost and duplicated
+// frames, frames of earlier sessions, restarts without state, new epochs and partitions. The history of all records is
+// kept separately, and each position that a relay or subscriber states is checked against it.
 
 import (
 	"bytes"
@@ -25,14 +25,14 @@
 	body    string
 }
 
-// truth is the history of all records, by epoch; loaded is the version at which an epoch's origin had its complete
-// list.
+// recordHistory is the history of all records, by epoch. loadedAt is the version at which the origin of an epoch had
+// its complete list.
 type recordHistory struct {
 	versions map[uint64]map[recordKey][]recordVersion
 	loadedAt map[uint64]uint64
 }
 
-// at is the newest entry up to a version, and whether there is a removal after it.
+// stateAt returns the newest state of a record up to a version, and whether the record was deleted after that version.
 func (h *recordHistory) stateAt(epoch uint64, key recordKey, through uint64) (state recordVersion, deletedLater bool) {
 	state.deleted = true
 	for _, recorded := range h.versions[epoch][key] {
@@ -47,20 +47,24 @@
 
 func (h *recordHistory) existed(r Record) bool {
 	for _, recorded := range h.versions[r.Epoch][recordKey{r.Scope, r.Key}] {
-		if recorded.version == r.Version && !recorded.deleted && recorded.class == r.Class && recorded.body == string(r.Body) {
+		if recorded.version == r.Version && !recorded.deleted && recorded.class == r.Class &&
+			recorded.body == string(r.Body) {
 			return true
 		}
 	}
 	return false
 }
 
-// claimed checks a claim to know the scopes that a selector covers against the truth.
-func (h *recordHistory) checkPosition(t *rapid.T, peerName string, selector Selector, position Position, held map[recordKey]Record) {
+// checkPosition checks the records that a peer holds against the history, given the position that the peer states for
+// the scopes of a selector.
+func (h *recordHistory) checkPosition(t *rapid.T, peerName string, selector Selector, position Position,
+	held map[recordKey]Record,
+) {
 	if position.Epoch == 0 {
 		return
 	}
 	if loaded, ok := h.loadedAt[position.Epoch]; !ok || position.Through < loaded {
-		t.Fatalf("%s claims %v of %v, when the origin had no list yet", peerName, position, selector)
+		t.Fatalf("%s states position %v for %v, at which the origin had no list yet", peerName, position, selector)
 	}
 	records := maps.Clone(held)
 	for key := range h.versions[position.Epoch] {
@@ -76,30 +80,32 @@
 		switch recordPosition := (Position{record.Epoch, record.Version}); {
 		case recordPosition == Position{}:
 			if !expected.deleted && !deletedLater {
-				t.Fatalf("%s claims %v of %v and lacks %v, version %d", peerName, position, selector, key, expected.version)
+				t.Fatalf("%s states position %v for %v, but lacks %v, version %d", peerName, position, selector, key,
+					expected.version)
 			}
 		case recordPosition.compare(position) <= 0:
 			if expected.deleted || record.Epoch != position.Epoch || record.Version != expected.version {
-				t.Fatalf("%s claims %v of %v and holds %v of %v; true is %+v", peerName, position, selector, key, recordPosition, expected)
+				t.Fatalf("%s states position %v for %v, but holds %v at %v, want %+v", peerName, position, selector,
+					key, recordPosition, expected)
 			}
 		}
 	}
 }
 
-// end is a relay or a subscriber, with whom it may be connected to and the frames that are on their way to it.
+// peer is a relay or a subscriber, with its possible upstreams and the frames that are in flight to it.
 type peer struct {
 	name           string
-	relay          *Relay      // either
-	subscriber     *Subscriber // or
+	relay          *Relay      // nil for a subscriber
+	subscriber     *Subscriber // nil for a relay
 	selectors      []Selector
-	upstreams      []int // by place among the ends; -1 is the origin
+	upstreams      []int // possible upstreams as indexes of network.peers; -1 is the origin
 	upstream       *Relay
 	sessionID      int
-	inFlight       [][]byte // frames of this session that have not come yet
-	staleFrames    [][]byte // frames of sessions before
+	inFlight       [][]byte // frames of this session that have not been received yet
+	staleFrames    [][]byte // frames of earlier sessions
 	lastFrame      []byte
-	positions      map[recordKey]Position // a subscriber's: never falls
-	heldByChanges  map[recordKey]string   // the same, by its changes
+	positions      map[recordKey]Position // position of each record at a subscriber; never decreases
+	heldByChanges  map[recordKey]string   // records of a subscriber, as given by its changes
 	bytesPerSecond int
 }
 
@@ -132,7 +138,8 @@
 	}
 	addSubscriber := func(name string, upstreams []int, selectors ...Selector) {
 		p := &peer{
-			name: name, selectors: selectors, upstreams: upstreams, bytesPerSecond: pace, positions: map[recordKey]Position{},
+			name: name, selectors: selectors, upstreams: upstreams, bytesPerSecond: pace,
+			positions:     map[recordKey]Position{},
 			heldByChanges: map[recordKey]string{},
 		}
 		p.subscriber, _ = NewSubscriber(selectors, Limits{})
@@ -144,7 +151,8 @@
 	addRelay("low1", []int{0, 1}, Selector{Scope: "a/", Prefix: true}, Selector{Scope: "b/x"})
 	addSubscriber("exact", []int{2, 3}, Selector{Scope: "a/x"}, Selector{Scope: "a/y"})
 	addSubscriber("prefix", []int{2, 3, 0}, Selector{Scope: "a/", Prefix: true})
-	addSubscriber("mixed", []int{0, 1}, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true}, Selector{Scope: "c/none"})
+	addSubscriber("mixed", []int{0, 1}, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true},
+		Selector{Scope: "c/none"})
 	return n
 }
 
@@ -155,7 +163,7 @@
 	n.history.versions[n.epoch] = map[recordKey][]recordVersion{}
 }
 
-// load replaces the origin's list by what is live.
+// loadOrigin replaces the origin's list with the live records.
 func (n *network) loadOrigin() {
 	var records []Record
 	for _, key := range slices.SortedFunc(maps.Keys(n.live),
@@ -172,7 +180,7 @@
 	}
 }
 
-// note records the origin's state after its last call.
+// recordOrigin adds the current state of the origin to the history.
 func (n *network) recordOrigin() {
 	epochVersions := n.history.versions[n.epoch]
 	n.origin.relay.replica.items.Ascend(func(it *item) bool {
@@ -184,13 +192,14 @@
 	})
 	for key, states := range epochVersions {
 		if n.origin.relay.replica.find(key.scope, key.key) == nil && !states[len(states)-1].deleted {
-			// Its tombstone was dropped, as it is over the limit.
+			// The record was deleted, and its tombstone dropped because of the limit.
 			epochVersions[key] = append(states, recordVersion{version: n.origin.version, deleted: true})
 		}
 	}
 	for key, state := range n.live {
-		if states := epochVersions[key]; n.originLoaded && (len(states) == 0 || states[len(states)-1].body != state.body ||
-			states[len(states)-1].deleted) {
+		if states := epochVersions[key]; n.originLoaded &&
+			(len(states) == 0 || states[len(states)-1].body != state.body ||
+				states[len(states)-1].deleted) {
 			n.t.Fatalf("the origin lacks %v", key)
 		}
 	}
@@ -203,7 +212,7 @@
 		n.t.Fatal(err)
 	}
 	n.disconnect(p)
-	p.staleFrames, p.lastFrame = nil, nil // a new process has new connections
+	p.staleFrames, p.lastFrame = nil, nil // a new process receives no frames of earlier connections
 	for _, other := range n.peers {
 		if slices.Contains(other.upstreams, i) && other.upstream != nil && !n.isRunning(other.upstream) {
 			n.disconnect(other)
@@ -215,7 +224,7 @@
 	return r == n.origin.relay || slices.ContainsFunc(n.peers, func(p *peer) bool { return p.relay == r })
 }
 
-// cut ends a session; frames that were on their way may still arrive.
+// disconnect ends a session. Frames that are in flight may still arrive.
 func (n *network) disconnect(p *peer) {
 	if p.upstream != nil {
 		p.upstream.Detach(p.sessionID)
@@ -246,7 +255,7 @@
 	p.upstream, p.sessionID = relay, id
 }
 
-// send puts up to most frames on their way.
+// sendFrames puts up to maxFrames frames in flight.
 func (n *network) sendFrames(p *peer, maxFrames int) {
 	for sent := 0; p.upstream != nil && sent < maxFrames; sent++ {
 		frame, _ := p.upstream.Next(n.now, p.sessionID)
@@ -254,7 +263,7 @@
 			break
 		}
 		if len(frame) > MaxFrameBytes {
-			n.t.Fatalf("a frame of %d bytes", len(frame))
+			n.t.Fatalf("got a frame of %d bytes, want at most MaxFrameBytes", len(frame))
 		}
 		p.inFlight = append(p.inFlight, frame)
 	}
@@ -278,7 +287,7 @@
 	return err
 }
 
-// look checks the invariants of an end.
+// checkInvariants checks the records, changes and positions of a peer.
 func (n *network) checkInvariants(p *peer, changes []Change) {
 	t := n.t
 	held := map[recordKey]Record{}
@@ -299,7 +308,7 @@
 			key := recordKey{change.Scope, change.Key}
 			if change.Deleted {
 				if _, ok := p.heldByChanges[key]; !ok {
-					t.Fatalf("%s got a deletion of %v, which it did not hold", p.name, key)
+					t.Fatalf("%s received a deletion of %v, which it did not hold", p.name, key)
 				}
 				delete(p.heldByChanges, key)
 				p.positions[key] = Position{change.Epoch, change.Version}
@@ -311,15 +320,15 @@
 		for key, record := range held {
 			position := Position{record.Epoch, record.Version}
 			if position.compare(p.positions[key]) < 0 {
-				t.Fatalf("%s went back from %v to %v with %v", p.name, p.positions[key], position, key)
+				t.Fatalf("%s went back from position %v to %v for %v", p.name, p.positions[key], position, key)
 			}
 			p.positions[key] = position
 			if p.heldByChanges[key] != fmt.Sprint(record.Class, string(record.Body)) {
-				t.Fatalf("%s holds %+v, its changes gave %q", p.name, record, p.heldByChanges[key])
+				t.Fatalf("%s holds %+v, want %q as given by its changes", p.name, record, p.heldByChanges[key])
 			}
 		}
 		if len(p.heldByChanges) != len(held) {
-			t.Fatalf("%s holds %d records, its changes gave %d", p.name, len(held), len(p.heldByChanges))
+			t.Fatalf("%s holds %d records, want %d as given by its changes", p.name, len(held), len(p.heldByChanges))
 		}
 		for i, selector := range p.selectors {
 			position := p.subscriber.replica.syncStateOf(&p.subscriber.replica.interests[i]).position
@@ -328,7 +337,7 @@
 	}
 	for key, record := range held {
 		if !n.history.existed(record) {
-			t.Fatalf("%s holds what never was: %v %+v", p.name, key, record)
+			t.Fatalf("%s holds a state that the origin never had: %v %+v", p.name, key, record)
 		}
 	}
 }
@@ -351,13 +360,13 @@
 			}
 		} else {
 			n.bodyCount++
-			e := recordVersion{
+			state := recordVersion{
 				class: Class(rapid.IntRange(0, 2).Draw(t, "class")),
 				body:  fmt.Sprintf("%d%s", n.bodyCount, strings.Repeat("x", 250)),
 			}
-			n.live[key] = e
+			n.live[key] = state
 			if n.originLoaded {
-				if _, err := n.origin.Put(n.now, key.scope, key.key, e.class, []byte(e.body)); err != nil {
+				if _, err := n.origin.Put(n.now, key.scope, key.key, state.class, []byte(state.body)); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -367,12 +376,12 @@
 		emptiedScope := rapid.SampledFrom(modelScopes).Draw(t, "emptied")
 		maps.DeleteFunc(n.live, func(key recordKey, _ recordVersion) bool { return key.scope == emptiedScope })
 		n.loadOrigin()
-	case 6: // the origin restarts; its list comes with one of the next acts
+	case 6: // the origin restarts; a later step loads its list
 		if rapid.IntRange(0, 3).Draw(t, "really") == 0 {
 			n.newOrigin()
-			for _, e := range n.peers {
-				if e.upstream != nil && !n.isRunning(e.upstream) {
-					n.disconnect(e)
+			for _, p := range n.peers {
+				if p.upstream != nil && !n.isRunning(p.upstream) {
+					n.disconnect(p)
 				}
 			}
 		}
@@ -380,31 +389,31 @@
 		if rapid.IntRange(0, 1).Draw(t, "really") == 0 {
 			n.restartRelay(rapid.IntRange(0, 3).Draw(t, "relay"))
 		}
-	case 8, 9: // to another relay
-		e := randomPeer()
-		n.connect(e, rapid.SampledFrom(e.upstreams).Draw(t, "up"))
-	case 10: // a way is cut
+	case 8, 9: // a peer connects to another upstream
+		p := randomPeer()
+		n.connect(p, rapid.SampledFrom(p.upstreams).Draw(t, "up"))
+	case 10: // a connection ends
 		n.disconnect(randomPeer())
 	case 11: // a frame is lost
-		if e := randomPeer(); len(e.inFlight) > 0 {
-			e.inFlight = e.inFlight[1:]
+		if p := randomPeer(); len(p.inFlight) > 0 {
+			p.inFlight = p.inFlight[1:]
 		}
-	case 12: // a frame comes again
-		if e := randomPeer(); e.lastFrame != nil {
-			_ = n.receive(e, e.lastFrame) // a gap is no fault; come fails the test at any other error
+	case 12: // a frame is duplicated
+		if p := randomPeer(); p.lastFrame != nil {
+			_ = n.receive(p, p.lastFrame) // a gap is expected; receive fails the test on any other error
 		}
-	case 13, 14: // a frame of a session before comes
-		if e := randomPeer(); len(e.staleFrames) > 0 {
-			i := rapid.IntRange(0, len(e.staleFrames)-1).Draw(t, "old")
-			_ = n.receive(e, e.staleFrames[i]) // a gap is no fault; come fails the test at any other error
+	case 13, 14: // a frame of an earlier session arrives
+		if p := randomPeer(); len(p.staleFrames) > 0 {
+			i := rapid.IntRange(0, len(p.staleFrames)-1).Draw(t, "old")
+			_ = n.receive(p, p.staleFrames[i]) // a gap is expected; receive fails the test on any other error
 		}
 	case 15:
 		n.now += int64(rapid.IntRange(1, 1200).Draw(t, "ms")) * 1e6
 	default:
-		e := randomPeer()
-		n.sendFrames(e, rapid.IntRange(0, 3).Draw(t, "frames"))
+		p := randomPeer()
+		n.sendFrames(p, rapid.IntRange(0, 3).Draw(t, "frames"))
 		for range rapid.IntRange(0, 3).Draw(t, "come") {
-			if len(e.inFlight) == 0 || n.receiveNext(e) != nil {
+			if len(p.inFlight) == 0 || n.receiveNext(p) != nil {
 				break
 			}
 		}
@@ -416,7 +425,8 @@
 	return n.receive(p, p.lastFrame)
 }
 
-// settle ends all faults: every end is connected, and time goes on.
+// converge stops injecting faults: it connects every peer and advances the time until all must hold the origin's
+// records.
 func (n *network) converge() {
 	t := n.t
 	if !n.originLoaded {
@@ -464,25 +474,29 @@
 			return true
 		})
 		if held.String() != expected.String() {
-			t.Fatalf("%s holds in the end\n%sand true is\n%s", p.name, &held, &expected)
+			t.Fatalf("%s finally holds\n%swant\n%s", p.name, &held, &expected)
 		}
 		if p.subscriber == nil {
-			if position := p.relay.advertised; !p.relay.Complete() || position != (Position{n.epoch, n.origin.version}) ||
+			if position := p.relay.advertised; !p.relay.Complete() ||
+				position != (Position{n.epoch, n.origin.version}) ||
 				tombstones > n.limits.Tombstones {
-				t.Fatalf("%s ends complete %v at %v of %d with %d tombstones", p.name, p.relay.Complete(), position,
+				t.Fatalf("%s: got complete %v, position %v for version %d of the origin, %d tombstones", p.name,
+					p.relay.Complete(), position,
 					n.origin.version, tombstones)
 			}
 			continue
 		}
 		if !p.subscriber.Complete() || tombstones > 0 {
-			t.Fatalf("%s ends complete %v with %d tombstones", p.name, p.subscriber.Complete(), tombstones)
+			t.Fatalf("%s: got complete %v with %d tombstones, want true without any", p.name, p.subscriber.Complete(),
+				tombstones)
 		}
 		for _, scope := range []string{p.selectors[0].Scope, p.selectors[len(p.selectors)-1].Scope} {
 			if age, known := p.subscriber.Age(n.now, scope); !known || age > 4*second {
-				t.Fatalf("%s knows %q as of %d ns ago, %v", p.name, scope, age, known)
+				t.Fatalf("%s: scope %q: got age %d ns, known %v, want a known age of at most 4 s", p.name, scope, age,
+					known)
 			}
 			if position := p.subscriber.Position(scope); position != (Position{n.epoch, n.origin.version}) {
-				t.Fatalf("%s knows %q up to %v", p.name, scope, position)
+				t.Fatalf("%s: scope %q: got position %v, want that of the origin", p.name, scope, position)
 			}
 		}
 	}
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -117,7 +117,7 @@
 	for i := range group.Records {
 		received := &group.Records[i]
 		if !received.valid() {
-			r.markInvalid(group.Scope, fmt.Sprintf("scope %q, key %.64q: invalid record with flags %#x, version %d, %d bytes",
+			r.markInvalid(group.Scope, fmt.Sprintf("scope %q, key %.64q: invalid record: flags %#x, version %d, %d bytes",
 				group.Scope, received.Key, received.Flags, received.Version, len(received.Body)))
 			continue
 		}
--- a/internal/distribution/size_test.go
+++ b/internal/distribution/size_test.go
@@ -1,7 +1,7 @@
 package distribution
 
-// Costs: bytes on the wire, memory of a record and a selector, time of a change. Benchmarks report figures; tests
-// check what must hold at any size.
+// This file checks costs: bytes on the wire, memory per record and selector, time per change. Benchmarks report
+// figures; tests check bounds that hold at any size.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// endpointBody is an endpoint in the form in which discovery lists it.
+// endpointBody returns an endpoint in the format of the list of discovery.
 func endpointBody(i int) []byte {
 	return fmt.Appendf(nil, `{"host":"h%06d","dial":"10.%d.%d.%d:8080","site":"eu1-a","block":%d,"health":"ok","share":1,"born_ms":%d}`,
 		i, i>>16, i>>8&255, i&255, i/40, 1700000000000+i*1000)
@@ -35,28 +35,33 @@
 		frames++
 	}
 	helloBytes := len(subscriber.Hello())
-	t.Logf("1,200 endpoints in 400 scopes: %d frames, %d bytes, %.1f a record, %.1f of them its key and body; hello %d bytes, %.1f a selector",
-		frames, snapshotBytes, float64(snapshotBytes)/1200, float64(contentBytes)/1200, helloBytes, float64(helloBytes)/400)
+	t.Logf("1,200 endpoints in 400 scopes: %d frames, %d bytes, %.1f per record, of which %.1f are key and body; hello %d bytes, %.1f per selector",
+		frames, snapshotBytes, float64(snapshotBytes)/1200, float64(contentBytes)/1200, helloBytes,
+		float64(helloBytes)/400)
 	if maxBytes := contentBytes + scopeBytes + 1200*16 + 400*16 + 200; snapshotBytes > maxBytes {
-		t.Errorf("%d bytes for %d of keys, bodies and names, at most %d", snapshotBytes, contentBytes+scopeBytes, maxBytes)
+		t.Errorf("snapshot: got %d bytes for %d bytes of keys, bodies and names, want at most %d", snapshotBytes,
+			contentBytes+scopeBytes, maxBytes)
 	}
 	if helloBytes > scopeBytes+400*8+64 {
-		t.Errorf("hello of %d bytes for %d of names", helloBytes, scopeBytes)
+		t.Errorf("hello: got %d bytes for %d bytes of names, want at most 8 bytes more per selector and 64",
+			helloBytes, scopeBytes)
 	}
 	connection := connect(t, 0, origin.Relay(), subscriber, 0)
 	connection.deliver(t, 0, subscriber)
 	put(t, origin, "eu1/service-0000", "endpoint/h000000", ClassWithdrawal, string(endpointBody(0)))
 	change := connection.deliver(t, 0, subscriber)
 	heartbeat := connection.deliver(t, 2*second, subscriber)
-	t.Logf("one change %d bytes, of them %d its content; a heartbeat %d", len(change[0]), 16+16+len(endpointBody(0)),
+	t.Logf("change: %d bytes, of which %d are content; heartbeat: %d bytes", len(change[0]), 16+16+len(endpointBody(0)),
 		len(heartbeat[0]))
 	if len(change[0]) > 32+len(endpointBody(0))+48 || len(heartbeat[0]) > 32 {
-		t.Error("a change or a heartbeat is too long")
+		t.Error("the frame of a change or of a heartbeat exceeds its bound")
 	}
 }
 
-// region is a relay with subscribers, each of some of the scopes.
-func newRegion(t testing.TB, recordCount, scopeCount, subscriberCount, scopesPerSubscriber int) (*Origin, []testConnection, []*testSubscriber) {
+// newRegion returns an origin with records and subscribers, each of which selects some of the scopes.
+func newRegion(t testing.TB, recordCount, scopeCount, subscriberCount, scopesPerSubscriber int) (*Origin,
+	[]testConnection, []*testSubscriber,
+) {
 	origin := NewOrigin(1, Limits{})
 	for i := range recordCount {
 		put(t, origin, fmt.Sprintf("eu1/service-%05d", i%scopeCount), fmt.Sprintf("endpoint/h%06d", i), ClassEndpoint,
@@ -83,7 +88,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// A change makes the subscribers of its scope ready, and no others.
+// A change makes only the subscribers of its scope ready.
 func TestChangeIsSentOnlyToSubscribersOfItsScope(t *testing.T) {
 	origin, connections, subscribers := newRegion(t, 4000, 1000, 50, 20)
 	for i, connection := range connections {
@@ -100,7 +105,7 @@
 	}
 	ready := origin.Relay().Ready()
 	if len(ready) != want || want == 0 || want == 50 {
-		t.Fatalf("%d woken, %d subscribe", len(ready), want)
+		t.Fatalf("got %d ready subscribers, want the %d of the scope, and neither none nor all", len(ready), want)
 	}
 	for _, id := range ready {
 		s := origin.Relay().sessions[id]
@@ -172,7 +177,7 @@
 			origin.Relay().Detach(connection.sessionID)
 			s.changes = nil
 			if i == 0 {
-				before = heapBytes() // the first has what all share
+				before = heapBytes() // the first subscriber allocates what all share
 			}
 		}
 		records := subscribers[0].Stats().Records
@@ -183,13 +188,15 @@
 	}
 }
 
-// A change at a relay with 530 subscribers of 500 scopes each: received, and sent to all that subscribe.
+// BenchmarkChange measures a change at a relay with 530 subscribers of 500 scopes each: applying it, and sending it to
+// all subscribers of its scope.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{1200, 12000, 120000} {
 		b.Run(fmt.Sprint("records-", size), func(b *testing.B) {
 			origin, connections, _ := newRegion(b, size, size*5/12, 530, 500)
 			for _, connection := range connections {
-				for f, _ := connection.relay.Next(0, connection.sessionID); f != nil; f, _ = connection.relay.Next(0, connection.sessionID) {
+				for f, _ := connection.relay.Next(0, connection.sessionID); f != nil; f,
+					_ = connection.relay.Next(0, connection.sessionID) {
 				}
 			}
 			origin.Relay().Ready()
@@ -208,7 +215,7 @@
 	}
 }
 
-// A heartbeat at the relay and at a subscriber of 500 scopes.
+// BenchmarkHeartbeat measures a heartbeat at the relay and at a subscriber of 500 scopes.
 func BenchmarkHeartbeat(b *testing.B) {
 	origin, connections, subscribers := newRegion(b, 12000, 5000, 1, 500)
 	connections[0].deliver(b, 0, subscribers[0])
@@ -219,7 +226,8 @@
 	runtime.KeepAlive(origin)
 }
 
-// A subscriber of 500 scopes and 1,200 records attaches: its hello and its first snapshot, at both ends.
+// BenchmarkStart measures the attachment of a subscriber of 500 scopes and 1,200 records at both ends: its hello, and
+// its first snapshot or resumption.
 func BenchmarkStart(b *testing.B) {
 	for _, kind := range []string{"from-nothing", "resumed"} {
 		b.Run(kind, func(b *testing.B) {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -162,7 +162,8 @@
 	if len(config.Scopes) == 0 {
 		config.Scopes = []string{wildcard}
 	}
-	problems.Require(len(config.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(config.Scopes))
+	problems.Require(len(config.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes),
+		len(config.Scopes))
 	for i, scope := range config.Scopes {
 		wildcardOnlyAtEnd := !strings.Contains(strings.TrimSuffix(scope, wildcard), wildcard)
 		problems.Require(scope != "" && len(scope) <= distribution.MaxNameBytes && wildcardOnlyAtEnd,
@@ -173,7 +174,8 @@
 }
 
 func (o *OriginConfig) check(problems *tomlfile.Problems) {
-	problems.Require(o.Discovery != "" || o.Configuration != "", "origin", "discovery, configuration or both", "neither")
+	problems.Require(o.Discovery != "" || o.Configuration != "", "origin", "discovery, configuration or both",
+		"neither")
 	interval := defaultPollInterval
 	if o.PollInterval != "" {
 		var err error
@@ -189,7 +191,8 @@
 }
 
 func (s *ScopeRule) check(problems *tomlfile.Problems) {
-	problems.Require((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from instead",
+	problems.Require((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service",
+		"a name, or service_from instead",
 		fmt.Sprintf("%q and %q", s.Service, s.ServiceFrom))
 	problems.Require(s.ServiceFrom == "" || s.ServiceFrom == serviceFromName, "origin.scope.service_from", "host",
 		fmt.Sprintf("%q", s.ServiceFrom))
--- a/internal/relay/deploy_test.go
+++ b/internal/relay/deploy_test.go
@@ -9,7 +9,7 @@
 	"fawnglade/internal/features"
 )
 
-// The files of the worked example in docs/operate/relay.md load, and fit one another.
+// The configuration files of the example in docs/operate/relay.md can be loaded and are consistent with each other.
 func TestExampleConfigurationLoads(t *testing.T) {
 	dir := "../../deploy/relay/"
 	origin, err := ReadConfig(dir + "origin.toml")
@@ -20,12 +20,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if origin.Role != roleOrigin || relayConfig.Role != roleRelay || !slices.Contains(relayConfig.Upstream, origin.Listen) {
-		t.Errorf("the relay's upstream %q is not the origin's %q", relayConfig.Upstream, origin.Listen)
+	if origin.Role != roleOrigin || relayConfig.Role != roleRelay ||
+		!slices.Contains(relayConfig.Upstream, origin.Listen) {
+		t.Errorf("relay: got upstreams %q, want the origin's address %q", relayConfig.Upstream, origin.Listen)
 	}
 	files, err := filepath.Glob(dir + "node-*.toml")
 	if err != nil || len(files) != 2 {
-		t.Fatalf("%v, %v: expected two nodes", files, err)
+		t.Fatalf("got node files %v, error %v, want two files", files, err)
 	}
 	for _, file := range files {
 		node, err := features.Read(file, "n")
@@ -33,17 +34,18 @@
 			t.Fatal(err)
 		}
 		if !slices.Contains(node.Distribution.Relays, relayConfig.Listen) {
-			t.Errorf("%s: relays %q lack %q", file, node.Distribution.Relays, relayConfig.Listen)
+			t.Errorf("%s: got relays %q, want %q among them", file, node.Distribution.Relays, relayConfig.Listen)
 		}
 		for _, s := range Selectors(node.Distribution.Scopes) {
 			if !slices.ContainsFunc(Selectors(relayConfig.Scopes), func(followed distribution.Selector) bool {
-				return followed.Prefix && len(s.Scope) >= len(followed.Scope) && s.Scope[:len(followed.Scope)] == followed.Scope
+				return followed.Prefix && len(s.Scope) >= len(followed.Scope) &&
+					s.Scope[:len(followed.Scope)] == followed.Scope
 			}) {
 				t.Errorf("%s: the relay does not follow %q", file, s.Scope)
 			}
 		}
 	}
 	if scope := origin.Origin.Scope.scopeOf("h1", "eu1-b"); scope != "eu1/cart" {
-		t.Errorf("a host of eu1-b is in %q", scope)
+		t.Errorf("scope of an endpoint in zone eu1-b: got %q, want eu1/cart", scope)
 	}
 }
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -56,7 +56,12 @@
 }
 
 func newConfigDirectory(path string, log *zap.Logger) *configDirectory {
-	return &configDirectory{path: path, files: map[string]*recordFile{}, fileByRecord: map[recordName]string{}, log: log}
+	return &configDirectory{
+		path:         path,
+		files:        map[string]*recordFile{},
+		fileByRecord: map[recordName]string{},
+		log:          log,
+	}
 }
 
 // scan reads the files that have changed and returns the changed records; those that are Deleted must be removed.
@@ -93,11 +98,11 @@
 	}
 	if len(names) == 0 && len(d.files) > 0 {
 		// An unmounted directory looks like this. To remove all configuration, an operator leaves an empty file.
-		d.warnings.warn(d.log, "empty", "configuration directory has no record files any more; keeping its previous records")
+		d.warnings.warn(d.log, "empty", "configuration directory has no record files; keeping its previous records")
 		return nil, false
 	}
 	if len(names) > maxFiles {
-		d.warnings.warn(d.log, "files", "configuration directory has too many record files; keeping its previous records",
+		d.warnings.warn(d.log, "files", "configuration directory has too many files; keeping its previous records",
 			zap.Int("files", len(names)), zap.Int("at most", maxFiles))
 		return nil, false
 	}
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -11,7 +11,7 @@
 	"fawnglade/internal/golden"
 )
 
-// TestGoldenFraming holds greetings and the framing to the bytes of earlier builds.
+// TestGoldenFraming checks that the encoding of greetings and the framing are compatible with earlier builds.
 func TestGoldenFraming(t *testing.T) {
 	var b bytes.Buffer
 	for _, frame := range [][]byte{greeting(false), greeting(true), []byte("a frame")} {
@@ -22,15 +22,15 @@
 	golden.Check(t, "framing.bin", b.Bytes())
 	for _, want := range []bool{false, true} {
 		if fresh, err := readGreeting(&b); err != nil || fresh != want {
-			t.Errorf("a greeting read as fresh: %v, %v", fresh, err)
+			t.Errorf("decoded greeting: got fresh %v, error %v, want the encoded one", fresh, err)
 		}
 	}
 	if size, err := readLength(&b, 100); err != nil || size != len("a frame") {
-		t.Errorf("a frame of %d bytes, %v", size, err)
+		t.Errorf("length of the next frame: got %d bytes, error %v, want 7 bytes", size, err)
 	}
 }
 
-// TestGoldenRecords holds what an origin tells of hosts to what nodes of earlier builds read.
+// TestGoldenRecords checks that the endpoint and discovery records of an origin are compatible with earlier builds.
 func TestGoldenRecords(t *testing.T) {
 	entry := endpointlist.Entry{
 		Name: "s-1", Address: "127.0.0.1:80", Zone: "a", State: "draining", Pod: 3, Weight: 1.5,
@@ -50,14 +50,14 @@
 		{Record: distribution.Record{Scope: ScopeOrigin, Key: KeyDiscovery, Body: list}},
 	})
 	if changes.LastErr != nil || changes.Skipped != 0 || len(changes.Entries) != 1 || changes.Entries[0] != entry {
-		t.Errorf("hosts read as %+v", changes)
+		t.Errorf("decoded endpoints: got %+v, want the encoded one", changes)
 	}
 	if got, known := table.Discovery(); !known || got != (DiscoveryState{Version: 9, Connected: true}) {
-		t.Errorf("state of discovery read as %+v, %v", got, known)
+		t.Errorf("decoded state of discovery: got %+v, known %v, want the encoded one", got, known)
 	}
 }
 
-// TestGoldenStats holds the names of the counters in JSON.
+// TestGoldenStats checks that the names of the counters in JSON are unchanged.
 func TestGoldenStats(t *testing.T) {
 	var text []byte
 	for _, stats := range []any{
--- a/internal/relay/hosttable.go
+++ b/internal/relay/hosttable.go
@@ -24,7 +24,7 @@
 
 // EndpointChanges are the changes of endpoints that follow from changes of records.
 type EndpointChanges struct {
-	Entries []endpointlist.Entry // in the order of the changes; State is "removed" if no scope has the endpoint any more
+	Entries []endpointlist.Entry // in the order of the changes; State is "removed" if no scope has the endpoint
 	Skipped int                  // records that could not be decoded; their endpoints stay unchanged
 	LastErr error                // error of the last record skipped
 }
@@ -65,7 +65,7 @@
 func (h *EndpointTable) applyDiscovery(record *distribution.Record, out *EndpointChanges) {
 	var state DiscoveryState
 	if err := json.Unmarshal(record.Body, &state); err != nil || state.Version <= 0 {
-		out.skip(fmt.Errorf("scope %q, key %q: expected the state of discovery with a list version above 0, found %.80q",
+		out.skip(fmt.Errorf("scope %q, key %q: expected discovery state with a version above 0, found %.80q",
 			record.Scope, record.Key, record.Body))
 		return
 	}
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -24,13 +24,13 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// fakeDiscovery replaces discovery: it answers each watch with the complete list, then with changes.
+// fakeDiscovery is a discovery server that answers each watch with the complete list, then with changes.
 type fakeDiscovery struct {
 	address      string
 	mu           sync.Mutex
 	version      int
-	hosts        map[string]string // the entry of each
-	unresponsive bool              // it takes calls and says nothing
+	hosts        map[string]string // JSON entries by endpoint name
+	unresponsive bool              // accepts requests but sends nothing
 	watches      []chan string
 }
 
@@ -64,7 +64,7 @@
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		return
 	}
-	lines := make(chan string, 1000) // more than a test ever sets at once
+	lines := make(chan string, 1000) // more lines than any test sends at once
 	d.mu.Lock()
 	unresponsive := d.unresponsive
 	entries := make([]string, 0, len(d.hosts))
@@ -100,7 +100,7 @@
 	}
 }
 
-// set changes a host; health "removed" removes it, as in the protocol.
+// setEndpoint changes an endpoint. The state "removed" removes it, as in the protocol.
 func (d *fakeDiscovery) setEndpoint(name, zone, state string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// cut ends all watches; silent: from now on it accepts requests and sends nothing.
+// endWatches ends all watches. If unresponsive is set, the server then accepts requests but sends nothing.
 func (d *fakeDiscovery) endWatches(unresponsive bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -129,7 +129,7 @@
 	d.watches = nil
 }
 
-// running is a process under test.
+// testProcess is a running process under test.
 type testProcess struct {
 	*Process
 	signals chan os.Signal
@@ -147,10 +147,10 @@
 	case err := <-r.done:
 		r.done <- err
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("process ended with error %v", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("did not end")
+		t.Error("process did not end within 10 s of SIGTERM")
 	}
 }
 
@@ -187,7 +187,7 @@
 		quotedList(upstream), quotedList(scopes))
 }
 
-// held is what a subscriber holds, and every change that it received.
+// testSubscriber is a subscriber with a client. It records every change that it receives.
 type testSubscriber struct {
 	*SubscriberSink
 	client  *Client
@@ -279,21 +279,22 @@
 	discovery.setEndpoint("h2", "b", "removed")
 	discovery.setEndpoint("h4", "a", "up")
 	writeRecords(t, dir, "more.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`)
-	subscriber.waitForKeys(t, "after changes", "eu1/cart endpoint/h1", "eu1/cart endpoint/h4", "eu1/cart route/x", "eu1/cart route/y")
-	discovery.setEndpoint("h4", "c", "up") // another site: another region
+	subscriber.waitForKeys(t, "after changes", "eu1/cart endpoint/h1", "eu1/cart endpoint/h4", "eu1/cart route/x",
+		"eu1/cart route/y")
+	discovery.setEndpoint("h4", "c", "up") // the new zone is in another region
 	writeRecords(t, dir, "routes.jsonl", "")
 	subscriber.waitForKeys(t, "after a move", "eu1/cart endpoint/h1", "eu1/cart route/y")
 	subscriber.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
 			if r.Key == "endpoint/h1" && (r.Class != distribution.ClassWithdrawal ||
 				!strings.Contains(string(r.Body), `"health":"draining"`)) {
-				t.Errorf("a draining host came as %+v %s", r, r.Body)
+				t.Errorf("draining endpoint: got %+v with body %s, want a withdrawal with health draining", r, r.Body)
 			}
 		})
 	})
 }
 
-// While discovery is away nothing is removed, also not by an origin that starts without a list.
+// While discovery is unavailable, no records are removed, even if the origin restarts and has no list.
 func TestDiscoveryOutageRemovesNothing(t *testing.T) {
 	discovery := newFakeDiscovery(t)
 	discovery.setEndpoint("h1", "a", "up")
@@ -306,29 +307,31 @@
 	subscriber := startSubscriber(t, []string{"eu1/*"}, ClientConfig{Upstreams: []string{relay.Address()}})
 	subscriber.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "eu1/cart route/x")
 	discovery.endWatches(true)
-	waitUntil(t, "a second call", 5*time.Second, func() bool { return origin.watch.calls.Load() >= 2 })
+	waitUntil(t, "a second request to discovery", 5*time.Second, func() bool { return origin.watch.calls.Load() >= 2 })
 	origin.terminate(t)
 	restarted := startProcess(t, strings.Replace(config, "127.0.0.1:0", address, 1))
-	waitUntil(t, "the relay at the origin's second life", 10*time.Second,
+	waitUntil(t, "the relay connected to the restarted origin", 10*time.Second,
 		func() bool { return restarted.server.Stats().Subscribers == 1 })
-	writeRecords(t, dir, "s.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`) // what it does know comes through
-	waitUntil(t, "a record of the second life", 10*time.Second, func() bool {
+	writeRecords(t, dir, "s.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`) // configuration is still distributed
+	waitUntil(t, "a record from the restarted origin", 10*time.Second, func() bool {
 		keys, _ := subscriber.keys()
 		return slices.Contains(keys, "eu1/cart route/y")
 	})
 	if keys, _ := subscriber.keys(); !slices.Contains(keys, "eu1/cart endpoint/h1") || subscriber.deletionCount() != 0 {
-		t.Fatalf("an origin without a list took something away: %q, %d gone", keys, subscriber.deletionCount())
+		t.Fatalf("an origin without a list removed records: got keys %q and %d removals, want h1 and none", keys,
+			subscriber.deletionCount())
 	}
 	discovery.mu.Lock()
 	delete(discovery.hosts, "h1")
 	discovery.hosts["h2"] = endpointJSON("h2", "a", "up")
 	discovery.version += 10
 	discovery.mu.Unlock()
-	discovery.endWatches(false) // calls that are out end by themselves
-	subscriber.waitForKeys(t, "with discovery back", "eu1/cart endpoint/h2", "eu1/cart route/x", "eu1/cart route/y")
+	discovery.endWatches(false) // pending requests time out
+	subscriber.waitForKeys(t, "after discovery is available again", "eu1/cart endpoint/h2", "eu1/cart route/x",
+		"eu1/cart route/y")
 }
 
-// A relay that restarts empty while its upstream is away sends no removals, and nothing twice.
+// A relay that restarts without records while its upstream is unavailable sends no removals, and no record twice.
 func TestRestartedRelayRemovesNothing(t *testing.T) {
 	discovery, dir := newFakeDiscovery(t), t.TempDir()
 	for i := range 50 {
@@ -338,34 +341,39 @@
 	relay := startProcess(t, relayConfig("r", "127.0.0.1:0", nil, origin.Address()))
 	address := relay.Address()
 	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{address}})
-	waitUntil(t, "all fifty", 10*time.Second, func() bool { keys, complete := subscriber.keys(); return complete && len(keys) == 50 })
+	waitUntil(t, "all fifty records", 10*time.Second,
+		func() bool { keys, complete := subscriber.keys(); return complete && len(keys) == 50 })
 	relay.terminate(t)
 	originAddress := origin.Address()
 	origin.terminate(t)
 	emptyRelay := startProcess(t, relayConfig("r", address, nil, originAddress))
-	waitUntil(t, "the node at the empty relay", 10*time.Second, func() bool { return emptyRelay.server.Stats().Subscribers == 1 })
-	waitUntil(t, "frames of the empty relay", 10*time.Second, func() bool { return emptyRelay.server.Stats().Frames >= 2 })
+	waitUntil(t, "the subscriber connected to the empty relay", 10*time.Second,
+		func() bool { return emptyRelay.server.Stats().Subscribers == 1 })
+	waitUntil(t, "frames from the empty relay", 10*time.Second,
+		func() bool { return emptyRelay.server.Stats().Frames >= 2 })
 	if keys, _ := subscriber.keys(); len(keys) != 50 || subscriber.deletionCount() != 0 {
-		t.Fatalf("an empty relay took something away: %d left, %d gone", len(keys), subscriber.deletionCount())
+		t.Fatalf("an empty relay removed records: got %d keys and %d removals, want 50 and none", len(keys),
+			subscriber.deletionCount())
 	}
 	discovery.setEndpoint("h00", "a", "removed")
 	startProcess(t, originConfig(originAddress, discovery.address, dir))
-	// The subscriber's keys change a moment before the change is recorded, so both are awaited.
-	waitUntil(t, "what is left", 15*time.Second, func() bool {
+	// The subscriber's keys change slightly before the change is recorded, so the test waits for both.
+	waitUntil(t, "the removal of one record", 15*time.Second, func() bool {
 		keys, _ := subscriber.keys()
 		return len(keys) == 49 && subscriber.deletionCount() >= 1
 	})
 	if subscriber.deletionCount() != 1 {
-		t.Errorf("%d records gone, expected 1", subscriber.deletionCount())
+		t.Errorf("got %d removals, want 1", subscriber.deletionCount())
 	}
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	if len(subscriber.changes) != 51 {
-		t.Errorf("%d changes, expected 51: fifty put, one removed", len(subscriber.changes))
+		t.Errorf("got %d changes, want 51: fifty added, one removed", len(subscriber.changes))
 	}
 }
 
-// Of two relays one fails and one is stopped, and the node still gets the origin's changes.
+// A node has three relay addresses. The first relay fails and the second stops responding; the node still receives the
+// origin's changes in time.
 func TestNodeFailsOverToOtherRelays(t *testing.T) {
 	discovery, dir := newFakeDiscovery(t), t.TempDir()
 	discovery.setEndpoint("h0", "a", "up")
@@ -380,28 +388,31 @@
 		return fresh
 	})
 	proxy, freeze := startFreezableProxy(t, relayB.Address())
-	subscriber := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{relayA.Address(), proxy, relayB.Address()}})
+	subscriber := startSubscriber(t, []string{"eu1/cart"},
+		ClientConfig{Upstreams: []string{relayA.Address(), proxy, relayB.Address()}})
 	subscriber.waitForKeys(t, "at first", "eu1/cart endpoint/h0")
 	relayA.terminate(t)
 	began := time.Now()
 	discovery.setEndpoint("h1", "a", "up")
-	subscriber.waitForKeys(t, "by the second", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1")
+	subscriber.waitForKeys(t, "through the second relay", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1")
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("received %v after the first one was killed, expected a second at most", took)
+		t.Errorf("change received %v after the first relay ended, want at most 1 s", took)
 	}
 	freeze()
 	began = time.Now()
 	discovery.setEndpoint("h2", "a", "up")
-	subscriber.waitForKeys(t, "by the third way", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2")
+	subscriber.waitForKeys(t, "through the third address", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1",
+		"eu1/cart endpoint/h2")
 	if took := time.Since(began); took > 6*time.Second {
-		t.Errorf("received %v after the second one was stopped, expected 6 s at most", took)
+		t.Errorf("change received %v after the second relay stopped responding, want at most 6 s", took)
 	}
 	if subscriber.deletionCount() != 0 || len(subscriber.changes) != 3 {
-		t.Errorf("%d changes, %d of them gone; expected 3 and none", len(subscriber.changes), subscriber.deletionCount())
+		t.Errorf("got %d changes, %d of them removals, want 3 and none", len(subscriber.changes),
+			subscriber.deletionCount())
 	}
 }
 
-// A relay that is empty, and receives nothing, is left for another.
+// A client leaves a relay that has no records and no upstream, and moves to another one.
 func TestClientLeavesEmptyRelay(t *testing.T) {
 	discovery, dir := newFakeDiscovery(t), t.TempDir()
 	discovery.setEndpoint("h", "a", "up")
@@ -412,14 +423,16 @@
 		Upstreams: []string{emptyRelay.Address(), otherRelay.Address()},
 		MaxLag:    500 * time.Millisecond, FailbackDelay: time.Hour,
 	})
-	waitUntil(t, "the first relay left", 10*time.Second, func() bool { return subscriber.client.Stats().Lagging >= 2 })
+	waitUntil(t, "the client leaving both empty relays", 10*time.Second,
+		func() bool { return subscriber.client.Stats().Lagging >= 2 })
 	address := otherRelay.Address()
 	otherRelay.terminate(t)
 	startProcess(t, relayConfig("other", address, nil, origin.Address()))
-	subscriber.waitForKeys(t, "what the other has", "eu1/cart endpoint/h")
+	subscriber.waitForKeys(t, "the record of the second relay", "eu1/cart endpoint/h")
 }
 
-// A relay that sends at its pace is not left, during a snapshot or a burst of changes.
+// A client does not leave a relay that sends at its pace, although its records lag during a snapshot or a burst of
+// changes.
 func TestClientKeepsPacedRelay(t *testing.T) {
 	const endpointCount = 150
 	discovery, dir := newFakeDiscovery(t), t.TempDir()
@@ -443,12 +456,12 @@
 		Upstreams: []string{relayA.Address(), relayB.Address()},
 		MaxLag:    500 * time.Millisecond,
 	})
-	waitUntil(t, "all of it", 20*time.Second, func() bool {
+	waitUntil(t, "the complete snapshot", 20*time.Second, func() bool {
 		keys, complete := subscriber.keys()
 		return complete && len(keys) == endpointCount
 	})
 	setAll("draining")
-	waitUntil(t, "the burst", 20*time.Second, func() bool {
+	waitUntil(t, "the burst of changes", 20*time.Second, func() bool {
 		draining := 0
 		subscriber.Inspect(func(s *distribution.Subscriber) {
 			s.Each(func(r distribution.Record) {
@@ -460,7 +473,7 @@
 		return draining == endpointCount
 	})
 	if s := subscriber.client.Stats(); s.Lagging != 0 || s.Connects != 1 {
-		t.Errorf("%+v: left a relay that sent all the time", s)
+		t.Errorf("client left a relay that was sending: got %+v, want no lagging upstream and one connection", s)
 	}
 }
 
@@ -470,20 +483,21 @@
 	startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{origin.Address()}})
 	waitUntil(t, "a subscriber", 10*time.Second, func() bool { return origin.server.Stats().Subscribers == 1 })
 	origin.signals <- syscall.SIGUSR1
-	waitUntil(t, "the counters", 5*time.Second, func() bool { return origin.logs.FilterMessage("counters asked for").Len() == 1 })
+	waitUntil(t, "the counters", 5*time.Second,
+		func() bool { return origin.logs.FilterMessage("counters asked for").Len() == 1 })
 	origin.terminate(t)
 	if origin.logs.FilterMessage("counters at exit").Len() != 1 || origin.server.Stats().Subscribers != 0 {
-		t.Errorf("no counters at the end, or subscribers left: %+v", origin.server.Stats())
+		t.Errorf("want one log line with the counters at exit and no subscribers, got %+v", origin.server.Stats())
 	}
 }
 
 func TestNextEpochIncreases(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "epoch")
 	var last uint64
-	for _, now := range []int64{1000, 2000, 500, 501, 3000} { // the clock goes back once
+	for _, now := range []int64{1000, 2000, 500, 501, 3000} { // the clock is set back once
 		epoch, err := nextEpoch(path, now)
 		if err != nil || epoch <= last {
-			t.Fatalf("at %d: epoch %d, %v after %d", now, epoch, err, last)
+			t.Fatalf("time %d: got epoch %d, error %v, want one above %d", now, epoch, err, last)
 		}
 		last = epoch
 	}
@@ -491,14 +505,15 @@
 		t.Fatal(err)
 	}
 	if _, err := nextEpoch(path, 4000); err == nil || !strings.Contains(err.Error(), "expected a number") {
-		t.Errorf("an invalid file: %v", err)
+		t.Errorf("invalid epoch file: got error %v, want one that says what was expected", err)
 	}
 	if _, err := nextEpoch(filepath.Join(path, "none"), 1); err == nil {
-		t.Error("a file that can't be written gave an epoch")
+		t.Error("epoch file that can't be written: got no error")
 	}
 }
 
-// An origin whose clock was set back is ignored without a file that stores the epoch.
+// A subscriber ignores an origin with a lower epoch than it has seen, as after a restart with the clock set back and no
+// file that stores the epoch.
 func TestOriginWithLowerEpochIsIgnored(t *testing.T) {
 	newer := distribution.NewOrigin(2000, distribution.Limits{})
 	older := distribution.NewOrigin(1000, distribution.Limits{})
@@ -530,11 +545,12 @@
 	if err := first.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "frames of the older", 10*time.Second, func() bool { return second.Stats().Frames >= 2 })
+	waitUntil(t, "frames from the origin with the lower epoch", 10*time.Second,
+		func() bool { return second.Stats().Frames >= 2 })
 	subscriber.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
 			if string(r.Body) != "new" {
-				t.Errorf("went back to %s", r.Body)
+				t.Errorf("subscriber went back to the body of the lower epoch: %s", r.Body)
 			}
 		})
 	})
@@ -557,52 +573,57 @@
 		}
 		slices.Sort(found)
 		if gotComplete != complete || !slices.Equal(found, append([]string{}, expected...)) {
-			t.Errorf("%s: %v %q, expected %v %q", description, gotComplete, found, complete, expected)
+			t.Errorf("%s: got complete %v and changes %q, want %v and %q", description, gotComplete, found, complete,
+				expected)
 		}
 	}
-	scanAndCheck("nothing there", true)
+	scanAndCheck("empty directory", true)
 	writeRecords(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b": 1}}`, "",
 		`{"scope":"s","key":"route/2","body":2}`)
 	writeRecords(t, dir, "b.txt", "not ours")
-	scanAndCheck("a file", true, `+route/1{"b":1}`, "+route/22")
-	scanAndCheck("the same", true)
-	writeRecords(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b":1}}`, `{"scope":"s","key":"route/2","body":3}`)
-	scanAndCheck("one changed", true, "+route/23")
+	scanAndCheck("new file", true, `+route/1{"b":1}`, "+route/22")
+	scanAndCheck("unchanged files", true)
+	writeRecords(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b":1}}`,
+		`{"scope":"s","key":"route/2","body":3}`)
+	scanAndCheck("one record changed", true, "+route/23")
 	for i, text := range []string{
-		`{"scope":"s","key":"route/1"`, `[]`, `{"scope":"","key":"route/1","body":1}`, `{"scope":"s","key":"endpoint/1","body":1}`,
-		`{"scope":"s","key":"route/1","body":1,"extra":2}`, `{"scope":"s","key":"route/1","body":1} {}`, `{"scope":"s","key":"route/1"}`,
+		`{"scope":"s","key":"route/1"`, `[]`, `{"scope":"","key":"route/1","body":1}`,
+		`{"scope":"s","key":"endpoint/1","body":1}`,
+		`{"scope":"s","key":"route/1","body":1,"extra":2}`, `{"scope":"s","key":"route/1","body":1} {}`,
+		`{"scope":"s","key":"route/1"}`,
 		`{"scope":"s","key":"route","body":1}`,
 		`{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBodyBytes) + `"}`,
-		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`, strings.Repeat("x", maxLineBytes+1),
+		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`,
+		strings.Repeat("x", maxLineBytes+1),
 	} {
 		writeRecords(t, dir, "a.jsonl", text)
 		before := logs.Len()
 		scanAndCheck(fmt.Sprintf("bad %d", i), true)
 		scanAndCheck(fmt.Sprintf("bad %d again", i), true)
 		if n := logs.Len() - before; n != 1 {
-			t.Errorf("bad %d: %d complaints, expected one", i, n)
+			t.Errorf("bad %d: got %d warnings, want 1", i, n)
 		}
 		if message := logs.All()[logs.Len()-1].ContextMap()["error"].(string); !strings.Contains(message, "a.jsonl: line ") ||
 			!strings.Contains(message, ": expected ") {
-			t.Errorf("bad %d: complaint without file, line and what was expected: %s", i, message)
+			t.Errorf("bad %d: want a warning with the file, the line and what was expected, got %s", i, message)
 		}
 	}
 	writeRecords(t, dir, "c.jsonl", `{"scope":"s","key":"route/2","body":9}`)
-	scanAndCheck("a record that another file has", true)
+	scanAndCheck("record that is also in another file", true)
 	writeRecords(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b":1}}`)
-	scanAndCheck("the other lets go", true, "+route/29", "-route/2")
+	scanAndCheck("record removed from the other file", true, "+route/29", "-route/2")
 	if err := os.Remove(filepath.Join(dir, "a.jsonl")); err != nil {
 		t.Fatal(err)
 	}
-	scanAndCheck("a file that went", true, "-route/1")
+	scanAndCheck("file removed", true, "-route/1")
 	if err := os.Remove(filepath.Join(dir, "c.jsonl")); err != nil {
 		t.Fatal(err)
 	}
-	scanAndCheck("an empty directory", false)
+	scanAndCheck("all files removed", false)
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	scanAndCheck("no directory", false)
+	scanAndCheck("directory removed", false)
 }
 
 func TestParseConfigReportsAllErrors(t *testing.T) {
@@ -644,11 +665,12 @@
 	}
 	if _, err := ParseConfig("o.toml", []byte("name = [")); err == nil ||
 		!strings.Contains(err.Error(), "o.toml: line 1: expected TOML, found: ") {
-		t.Errorf("no TOML: %v", err)
+		t.Errorf("invalid TOML: got error %v, want one with the line", err)
 	}
 }
 
-// A host's scope comes from its site and its name; one that has none is skipped, and nothing else is.
+// The scope of an endpoint is derived from its zone and its name. An endpoint without a scope is skipped, and the
+// others are not.
 func TestScopeOfEndpoint(t *testing.T) {
 	rule := ScopeRule{ServiceFrom: "host", regionByZone: map[string]string{"a": "eu1"}}
 	for endpoint, expected := range map[[2]string]string{
@@ -656,12 +678,12 @@
 		{"svc-1", "z"}: "", {"-1", "a"}: "",
 	} {
 		if got := rule.scopeOf(endpoint[0], endpoint[1]); got != expected {
-			t.Errorf("%q: %q, expected %q", endpoint, got, expected)
+			t.Errorf("endpoint %q: got scope %q, want %q", endpoint, got, expected)
 		}
 	}
 	rule = ScopeRule{Service: "cart", Region: "far", regionByZone: map[string]string{"a": "eu1"}}
 	if a, z := rule.scopeOf("h", "a"), rule.scopeOf("h", "z"); a != "eu1/cart" || z != "far/cart" {
-		t.Errorf("%q, %q", a, z)
+		t.Errorf("got scopes %q and %q, want eu1/cart and far/cart", a, z)
 	}
 	discovery, dir := newFakeDiscovery(t), t.TempDir()
 	discovery.setEndpoint("h1", "a", "up")
@@ -670,8 +692,8 @@
 	subscriber := startSubscriber(t, []string{"*"}, ClientConfig{Upstreams: []string{origin.Address()}})
 	subscriber.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "origin list/discovery")
 	if origin.watch.skipped.Load() != 1 {
-		t.Errorf("%d entries skipped, expected 1", origin.watch.skipped.Load())
+		t.Errorf("got %d entries skipped, want 1", origin.watch.skipped.Load())
 	}
 	discovery.setEndpoint("h1", "a", "removed")
-	subscriber.waitForKeys(t, "after that", "origin list/discovery")
+	subscriber.waitForKeys(t, "after the removal", "origin list/discovery")
 }
--- a/internal/relay/tcp_test.go
+++ b/internal/relay/tcp_test.go
@@ -16,16 +16,18 @@
 	"go.uber.org/zap"
 )
 
-// counting is a feed of numbered frames: frame i holds i. A subscriber's hello says which it has received.
+// numberedFeed is a feed of numbered frames: frame i contains the number i. A subscriber's hello contains the number of
+// the last frame that it received.
 type numberedFeed struct {
 	last           uint64
 	subscribers    map[int]*feedPosition
 	ready          []int
 	nextID         int
-	maxSubscribers int // subscribers; 0: any
+	maxSubscribers int // 0 if unlimited
 	paddingBytes   int
 }
 
+// feedPosition is the progress of one subscriber of a numberedFeed.
 type feedPosition struct {
 	lastSent    uint64
 	lastFrameNs int64
@@ -35,10 +37,10 @@
 
 func (f *numberedFeed) Attach(now int64, hello []byte, _ int) (int, error) {
 	if len(hello) < 8 {
-		return 0, errors.New("no hello")
+		return 0, errors.New("hello too short")
 	}
 	if f.maxSubscribers > 0 && len(f.subscribers) >= f.maxSubscribers {
-		return 0, errors.New("too many")
+		return 0, errors.New("too many subscribers")
 	}
 	f.nextID++
 	f.subscribers[f.nextID] = &feedPosition{lastSent: binary.BigEndian.Uint64(hello)}
@@ -77,7 +79,7 @@
 	}
 }
 
-// following takes numbered frames and fails the test at a gap, a repeat or a step back.
+// numberedSink receives numbered frames. checkOrder fails the test if a frame was lost, repeated or out of order.
 type numberedSink struct {
 	t           *testing.T
 	mu          sync.Mutex
@@ -101,7 +103,7 @@
 		return nil
 	}
 	if len(frame) < 8 {
-		return errors.New("too short")
+		return errors.New("frame too short")
 	}
 	n := binary.BigEndian.Uint64(frame)
 	if n != s.last+1 {
@@ -132,11 +134,12 @@
 	t.Helper()
 	for deadline := time.Now().Add(within); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came within %v: %s", within, description)
+			t.Fatalf("timed out after %v waiting for %s", within, description)
 		}
 	}
 }
 
+// testServer is a server of a numberedFeed with its listener.
 type testServer struct {
 	*Server
 	feed     *numberedFeed
@@ -150,7 +153,7 @@
 	s.listener.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	_ = s.Close(ctx) // a connection that does not end fails the test that looks at it
+	_ = s.Close(ctx) // a connection that does not end fails the test that checks it
 }
 
 func startServerAt(t *testing.T, address string, feed *numberedFeed, config ServerConfig) *testServer {
@@ -159,7 +162,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &testServer{Server: NewServer(feed, config, zap.NewNop()), feed: feed, listener: listener, address: listener.Addr().String()}
+	s := &testServer{
+		Server: NewServer(feed, config, zap.NewNop()), feed: feed, listener: listener,
+		address: listener.Addr().String(),
+	}
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(listener) }()
 	t.Cleanup(func() {
@@ -171,7 +177,7 @@
 	return s
 }
 
-// sendHello sends a hello that the feed of a station takes.
+// sendHello sends a hello that a numberedFeed accepts.
 func sendHello(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := writeFrame(conn, make([]byte, 8)); err != nil {
@@ -198,7 +204,7 @@
 		select {
 		case <-done:
 		case <-time.After(5 * time.Second):
-			t.Error("the client did not end")
+			t.Error("client did not end within 5 s")
 		}
 		sink.checkOrder()
 	})
@@ -214,23 +220,24 @@
 	waitUntil(t, "all frames", 5*time.Second, func() bool { return sink.lastNumber() == 1000 })
 }
 
-// An upstream that fails, in whichever way, is left at once, and no frame is lost or repeated.
+// A client leaves a failed upstream at once, and no frame is lost or repeated.
 func TestClientLeavesFailedUpstream(t *testing.T) {
 	a, b := startServer(t, ServerConfig{}), startServer(t, ServerConfig{})
 	a.add(10)
 	b.add(10)
 	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{a.address, b.address}})
-	waitUntil(t, "the first ten", 5*time.Second, func() bool { return sink.lastNumber() == 10 })
+	waitUntil(t, "the first ten frames", 5*time.Second, func() bool { return sink.lastNumber() == 10 })
 	a.stop()
 	began := time.Now()
 	b.add(5)
-	waitUntil(t, "the others by the other upstream", 5*time.Second, func() bool { return sink.lastNumber() == 15 })
+	waitUntil(t, "five more frames from the other upstream", 5*time.Second,
+		func() bool { return sink.lastNumber() == 15 })
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("moved after %v, expected a second at most", took)
+		t.Errorf("moved to the other upstream after %v, want at most 1 s", took)
 	}
 }
 
-// frozen accepts connections as the system does for a stopped process, and sends nothing.
+// listenFrozen listens like a stopped process: the system accepts connections, but nothing is ever sent.
 func listenFrozen(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -241,8 +248,8 @@
 	return l.Addr().String()
 }
 
-// freezing passes bytes between a client and an upstream until it is stopped: from then on it neither reads nor
-// writes, and closes nothing.
+// startFreezableProxy forwards bytes between a client and an upstream until freeze is called. From then on it neither
+// reads nor writes, and closes no connections.
 func startFreezableProxy(t *testing.T, upstreamAddress string) (address string, freeze func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -263,7 +270,7 @@
 				dst.Close()
 				return
 			}
-			_, _ = dst.Write(buffer[:n]) // the other direction notices the end
+			_, _ = dst.Write(buffer[:n]) // an error is noticed by the other direction
 		}
 	}
 	go func() {
@@ -294,19 +301,20 @@
 	b.add(10)
 	stopped := listenFrozen(t)
 	proxy, freeze := startFreezableProxy(t, a.address)
-	// The second one is stopped too, from the start: it is skipped as it does not greet.
+	// The second upstream is stopped from the start. The client skips it, as it sends no greeting.
 	client, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{proxy, stopped, b.address}})
-	waitUntil(t, "the first ten", 5*time.Second, func() bool { return sink.lastNumber() == 10 })
+	waitUntil(t, "the first ten frames", 5*time.Second, func() bool { return sink.lastNumber() == 10 })
 	freeze()
 	began := time.Now()
 	a.add(5)
 	b.add(5)
-	waitUntil(t, "what came since, by the third", 10*time.Second, func() bool { return sink.lastNumber() == 15 })
+	waitUntil(t, "five more frames from the third upstream", 10*time.Second,
+		func() bool { return sink.lastNumber() == 15 })
 	if took := time.Since(began); took > 6*time.Second {
-		t.Errorf("received after %v, expected 6 s at most", took)
+		t.Errorf("frames received %v after the upstream stopped, want at most 6 s", took)
 	}
 	if s := client.Stats(); s.Silent != 1 {
-		t.Errorf("silent = %d, expected 1", s.Silent)
+		t.Errorf("got Silent %d, want 1", s.Silent)
 	}
 }
 
@@ -318,20 +326,21 @@
 		Name: "n", Upstreams: []string{a.address, b.address},
 		FailbackDelay: 200 * time.Millisecond,
 	})
-	waitUntil(t, "the first three", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
+	waitUntil(t, "the first three frames", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
 	address := a.address
 	a.stop()
 	b.add(3)
-	waitUntil(t, "three by the second", 5*time.Second, func() bool { return sink.lastNumber() == 6 })
+	waitUntil(t, "three frames from the second upstream", 5*time.Second, func() bool { return sink.lastNumber() == 6 })
 	restarted := startServerAt(t, address, newNumberedFeed(), ServerConfig{})
 	restarted.add(6)
-	waitUntil(t, "the return", 5*time.Second, func() bool { return client.Stats().Failbacks == 1 })
+	waitUntil(t, "the failback", 5*time.Second, func() bool { return client.Stats().Failbacks == 1 })
 	restarted.add(3)
-	waitUntil(t, "three by the first", 5*time.Second, func() bool { return sink.lastNumber() == 9 })
-	waitUntil(t, "that the second one notices", 5*time.Second, func() bool { return b.Stats().Subscribers == 0 })
+	waitUntil(t, "three frames from the first upstream", 5*time.Second, func() bool { return sink.lastNumber() == 9 })
+	waitUntil(t, "the second upstream without subscribers", 5*time.Second,
+		func() bool { return b.Stats().Subscribers == 0 })
 }
 
-// There is no failback to a first choice that is stopped or not fresh.
+// A client does not fail back to a first choice that is stopped or not fresh.
 func TestNoFailbackToUnusableFirstChoice(t *testing.T) {
 	stale := startServer(t, ServerConfig{Fresh: func() bool { return false }})
 	stale.add(3)
@@ -342,31 +351,35 @@
 			Name: name, Upstreams: []string{first, b.address},
 			FailbackDelay: 100 * time.Millisecond,
 		})
-		waitUntil(t, "three by the second", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
-		waitUntil(t, "tries to go back", 10*time.Second, func() bool { return client.Stats().Dials >= 4 })
+		waitUntil(t, "three frames from the second upstream", 5*time.Second,
+			func() bool { return sink.lastNumber() == 3 })
+		waitUntil(t, "attempts to fail back", 10*time.Second, func() bool { return client.Stats().Dials >= 4 })
 		if s := client.Stats(); s.Failbacks != 0 || s.Connects != 1 {
-			t.Errorf("%s: %+v: expected no return and one connection", name, s)
+			t.Errorf("%s: got %+v, want no failback and one connection", name, s)
 		}
 	}
 }
 
-// Where no upstream is fresh, one that is not is better than none.
+// If no upstream is fresh, a client uses a stale one.
 func TestClientUsesStaleUpstreamAsLastResort(t *testing.T) {
 	stale := startServer(t, ServerConfig{Fresh: func() bool { return false }})
 	stale.add(3)
 	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{"127.0.0.1:1", stale.address}})
-	waitUntil(t, "three by the one that lacks something", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
+	waitUntil(t, "three frames from the stale upstream", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
 }
 
 func TestClientLeavesLaggingUpstream(t *testing.T) {
 	a, b := startServer(t, ServerConfig{}), startServer(t, ServerConfig{})
-	client, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{a.address, b.address}, MaxLag: 150 * time.Millisecond})
+	client, sink := startClient(t, ClientConfig{
+		Name: "n", Upstreams: []string{a.address, b.address},
+		MaxLag: 150 * time.Millisecond,
+	})
 	waitUntil(t, "a connection", 5*time.Second, func() bool { return a.Stats().Subscribers == 1 })
 	sink.lag.Store(int64(time.Second))
-	waitUntil(t, "the move", 5*time.Second, func() bool { return b.Stats().Subscribers == 1 })
-	time.Sleep(600 * time.Millisecond) // as far behind: moving on would not help, and is put off
+	waitUntil(t, "the move to the other upstream", 5*time.Second, func() bool { return b.Stats().Subscribers == 1 })
+	time.Sleep(600 * time.Millisecond) // the other upstream lags as much: the client delays the next move
 	if s := client.Stats(); s.Lagging != 1 || s.Connects != 2 {
-		t.Errorf("%+v: expected one move", s)
+		t.Errorf("got %+v, want one move", s)
 	}
 }
 
@@ -385,13 +398,13 @@
 	sendHello(t, slow)
 	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{server.address}})
 	waitUntil(t, "both", 5*time.Second, func() bool { return server.Stats().Subscribers == 2 })
-	server.add(500) // 30 MB, of which the system holds a few hundred KB for the slow one
-	waitUntil(t, "all frames at the other", 10*time.Second, func() bool { return sink.lastNumber() == 500 })
-	waitUntil(t, "the end of the slow one", 10*time.Second,
+	server.add(500) // 30 MB, of which the system buffers a few hundred KB for the slow subscriber
+	waitUntil(t, "all frames at the other subscriber", 10*time.Second, func() bool { return sink.lastNumber() == 500 })
+	waitUntil(t, "the end of the slow subscriber", 10*time.Second,
 		func() bool { stats := server.Stats(); return stats.Slow == 1 && stats.Subscribers == 1 })
 }
 
-// A frame over the limit ends that connection alone.
+// A frame over the size limit ends only its own connection.
 func TestOversizedFrameEndsOneConnection(t *testing.T) {
 	server := startServer(t, ServerConfig{})
 	oversized, err := net.Listen("tcp", "127.0.0.1:0")
@@ -405,7 +418,7 @@
 			if err != nil {
 				return
 			}
-			// The client ends the connection at the length, so that errors from here on are expected.
+			// The client ends the connection when it has read the length, so errors are expected.
 			_ = writeFrame(c, greeting(true))
 			_ = binary.Write(c, binary.BigEndian, uint32(1<<31))
 			_, _ = io.Copy(io.Discard, c)
@@ -415,11 +428,12 @@
 	c, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{oversized.Addr().String(), server.address}})
 	_, otherSink := startClient(t, ClientConfig{Name: "m", Upstreams: []string{server.address}})
 	server.add(3)
-	waitUntil(t, "three by the next upstream", 5*time.Second, func() bool { return sink.lastNumber() == 3 && otherSink.lastNumber() == 3 })
+	waitUntil(t, "three frames from the next upstream", 5*time.Second,
+		func() bool { return sink.lastNumber() == 3 && otherSink.lastNumber() == 3 })
 	if stats := c.Stats(); stats.Oversized != 1 {
-		t.Errorf("too long = %d, expected 1", stats.Oversized)
+		t.Errorf("got Oversized %d, want 1", stats.Oversized)
 	}
-	// The server's side: a hello over the limit, and invalid ones.
+	// At the server: a hello over the size limit, and invalid hellos.
 	for _, text := range []string{"\xff\xff\xff\xff", "\x00\x00\x00\x02hi", "GET / HTTP/1.1\r\n\r\n"} {
 		conn, err := net.Dial("tcp", server.address)
 		if err != nil {
@@ -431,16 +445,20 @@
 		}
 		if all, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) ||
 			len(all) > lengthBytes+greetingBytes {
-			t.Errorf("hello %q: got %q, %v; expected the end of the connection", text, all, err)
+			t.Errorf("hello %q: got %q, error %v, want the end of the connection", text, all, err)
 		}
 		conn.Close()
 	}
 	server.add(1)
-	waitUntil(t, "the fourth frame at both", 5*time.Second, func() bool { return sink.lastNumber() == 4 && otherSink.lastNumber() == 4 })
+	waitUntil(t, "the fourth frame at both", 5*time.Second,
+		func() bool { return sink.lastNumber() == 4 && otherSink.lastNumber() == 4 })
 }
 
 func TestConnectionsAndHellosAreBounded(t *testing.T) {
-	server := startServer(t, ServerConfig{MaxConnections: 20, MaxPendingHellos: 10, HelloTimeout: 300 * time.Millisecond})
+	server := startServer(t, ServerConfig{
+		MaxConnections: 20, MaxPendingHellos: 10,
+		HelloTimeout: 300 * time.Millisecond,
+	})
 	_, sink := startClient(t, ClientConfig{Name: "n", Upstreams: []string{server.address}})
 	waitUntil(t, "the subscriber", 5*time.Second, func() bool { return server.Stats().Subscribers == 1 })
 	var conns []net.Conn
@@ -449,13 +467,13 @@
 			conns = append(conns, c)
 		}
 	}
-	waitUntil(t, "that all were looked at", 5*time.Second, func() bool { return server.Stats().Accepted == 201 })
+	waitUntil(t, "all connections to be accepted", 5*time.Second, func() bool { return server.Stats().Accepted == 201 })
 	if stats := server.Stats(); stats.PendingHellos > 10 || stats.Refused < 150 {
-		t.Errorf("%+v: expected 10 without a hello at most, and the others refused", stats)
+		t.Errorf("got %+v, want at most 10 connections without a hello, and the others refused", stats)
 	}
 	server.add(3)
-	waitUntil(t, "three frames in the flood", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
-	waitUntil(t, "the flood's end", 5*time.Second, func() bool {
+	waitUntil(t, "three frames during the flood", 5*time.Second, func() bool { return sink.lastNumber() == 3 })
+	waitUntil(t, "the end of the flooding connections", 5*time.Second, func() bool {
 		stats := server.Stats()
 		return stats.PendingHellos == 0 && stats.Ended >= 10
 	})
@@ -472,12 +490,12 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		_ = writeFrame(c, make([]byte, 8)) // seven are refused, and may be closed by now
+		_ = writeFrame(c, make([]byte, 8)) // seven connections are refused and may be closed already
 	}
-	waitUntil(t, "that all were looked at", 5*time.Second, func() bool { return server.Stats().Accepted == 10 })
+	waitUntil(t, "all connections to be accepted", 5*time.Second, func() bool { return server.Stats().Accepted == 10 })
 	waitUntil(t, "three subscribers", 5*time.Second, func() bool { return server.Stats().Subscribers == 3 })
 	if stats := server.Stats(); stats.Refused != 7 {
-		t.Errorf("%+v: expected seven refused", stats)
+		t.Errorf("got %+v, want seven refused connections", stats)
 	}
 }
 
@@ -493,19 +511,19 @@
 	if _, err := c.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "its end", 5*time.Second, func() bool { return server.Stats().Subscribers == 0 })
+	waitUntil(t, "the end of the subscriber", 5*time.Second, func() bool { return server.Stats().Subscribers == 0 })
 }
 
-// While all upstreams are unreachable, backoff bounds the attempts.
+// While all upstreams are unreachable, backoff bounds the connection attempts.
 func TestConnectionAttemptsAreBounded(t *testing.T) {
 	client, _ := startClient(t, ClientConfig{Name: "n", Upstreams: []string{"127.0.0.1:1", "127.0.0.1:2"}})
 	time.Sleep(1500 * time.Millisecond)
 	if n := client.Stats().Dials; n > 14 || n < 4 {
-		t.Errorf("%d tries in 1.5 s, expected 4 to 14", n)
+		t.Errorf("got %d connection attempts in 1.5 s, want 4 to 14", n)
 	}
 }
 
-// Clients of many names spread evenly over the upstreams, also once one of them has failed.
+// Clients with different names spread evenly over the upstreams, also after one upstream has failed.
 func TestClientsSpreadOverUpstreams(t *testing.T) {
 	upstreams := []string{"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7"}
 	first, second := map[string]int{}, map[string]int{}
@@ -518,10 +536,10 @@
 	}
 	for _, upstream := range upstreams {
 		if n := first[upstream]; n < 850 || n > 1150 {
-			t.Errorf("%s is the first choice of %d in 4,000, expected about 1,000", upstream, n)
+			t.Errorf("%s is the first choice of %d in 4,000 clients, want about 1,000", upstream, n)
 		}
 		if n := second[upstream]; upstream != upstreams[0] && (n < 230 || n > 440) {
-			t.Errorf("%s is the second choice of %d of the first one's, expected about a third", upstream, n)
+			t.Errorf("%s is the second choice of %d clients of the first upstream, want about a third", upstream, n)
 		}
 	}
 }
