--- a/internal/distribution/framewriter.go
+++ b/internal/distribution/framewriter.go
@@ -117,50 +117,50 @@
 }
 
 // writeRecords writes the records of one class of a feed after the feed's cursor. It reports whether all of them fit.
-func (w *frameWriter) writeRecords(f *feed, class Class) (all bool) {
-	all = true
-	w.relay.ascendRecords(f, class, func(it *item) bool {
-		if w.needsRecord(f, it) && !w.writeRecord(f, it) {
-			all = false
+func (w *frameWriter) writeRecords(f *feed, class Class) (allFit bool) {
+	allFit = true
+	w.relay.ascendRecords(f, class, func(held *item) bool {
+		if w.needsRecord(f, held) && !w.writeRecord(f, held) {
+			allFit = false
 			return false
 		}
-		f.cursor[class] = it.seq
+		f.cursor[class] = held.seq
 		return true
 	})
-	return all
+	return allFit
 }
 
 // needsRecord reports whether an item must be sent to a feed. Only items of the relay's epoch are sent: in a snapshot
 // all except the tombstones from before the snapshot began, in a delta those newer than the feed's position.
-func (w *frameWriter) needsRecord(f *feed, it *item) bool {
-	if it.epoch != w.relay.epoch {
+func (w *frameWriter) needsRecord(f *feed, held *item) bool {
+	if held.epoch != w.relay.epoch {
 		return false
 	}
 	if f.state == feedSnapshot {
-		return !it.deleted || it.seq > f.snapshotSeq
+		return !held.deleted || held.seq > f.snapshotSeq
 	}
-	return it.position().compare(f.position) > 0
+	return held.position().compare(f.position) > 0
 }
 
-func (w *frameWriter) writeRecord(f *feed, it *item) (written bool) {
-	out := record{Key: it.key, Flags: uint8(it.class), Version: it.version, Body: it.body}
-	if it.deleted {
+func (w *frameWriter) writeRecord(f *feed, held *item) (written bool) {
+	out := record{Key: held.key, Flags: uint8(held.class), Version: held.version, Body: held.body}
+	if held.deleted {
 		out.Flags |= flagDeleted
-	} else if f.state == feedSnapshot && f.position.Epoch == it.epoch && it.position().compare(f.position) <= 0 {
+	} else if f.state == feedSnapshot && f.position.Epoch == held.epoch && held.position().compare(f.position) <= 0 {
 		out.Flags |= flagKeyOnly
 		out.Body = nil
 	}
 	groups := w.frame.Groups
 	size := len(out.Key) + len(out.Body) + recordOverheadBytes
-	newGroup := len(groups) == 0 || groups[len(groups)-1].Scope != it.scope.name
+	newGroup := len(groups) == 0 || groups[len(groups)-1].Scope != held.scope.name
 	if newGroup {
-		size += len(it.scope.name) + groupOverheadBytes
+		size += len(held.scope.name) + groupOverheadBytes
 	}
 	if size > w.remainingBytes && len(groups) > 0 {
 		return false
 	}
 	if newGroup {
-		w.frame.Groups = append(w.frame.Groups, recordGroup{Scope: it.scope.name})
+		w.frame.Groups = append(w.frame.Groups, recordGroup{Scope: held.scope.name})
 	}
 	group := &w.frame.Groups[len(w.frame.Groups)-1]
 	group.Records = append(group.Records, out)
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -183,10 +183,10 @@
 // recordOrigin adds the current state of the origin to the history.
 func (n *network) recordOrigin() {
 	epochVersions := n.history.versions[n.epoch]
-	n.origin.relay.replica.items.Ascend(func(it *item) bool {
-		key := recordKey{it.scope.name, it.key}
-		if states := epochVersions[key]; len(states) == 0 || states[len(states)-1].version != it.version {
-			epochVersions[key] = append(states, recordVersion{it.version, it.deleted, it.class, string(it.body)})
+	n.origin.relay.replica.items.Ascend(func(held *item) bool {
+		key := recordKey{held.scope.name, held.key}
+		if states := epochVersions[key]; len(states) == 0 || states[len(states)-1].version != held.version {
+			epochVersions[key] = append(states, recordVersion{held.version, held.deleted, held.class, string(held.body)})
 		}
 		return true
 	})
--- a/internal/distribution/origin.go
+++ b/internal/distribution/origin.go
@@ -89,8 +89,8 @@
 // limits. Invalid records are skipped and keep their previous state; the error describes the first of them.
 func (o *Origin) Replace(now int64, kind string, records []Record) (changed int, err error) {
 	absent := o.absentFrom(kind, records)
-	for _, it := range absent {
-		o.remove(it)
+	for _, held := range absent {
+		o.remove(held)
 	}
 	changed = len(absent)
 	for _, i := range orderByClass(records) {
@@ -114,15 +114,15 @@
 // absentFrom returns the live items of a kind that are not among records.
 func (o *Origin) absentFrom(kind string, records []Record) []*item {
 	type recordName struct{ scope, key string }
-	named := make(map[recordName]bool, len(records))
+	listed := make(map[recordName]bool, len(records))
 	for i := range records {
-		named[recordName{records[i].Scope, records[i].Key}] = true
+		listed[recordName{records[i].Scope, records[i].Key}] = true
 	}
 	var absent []*item
 	prefix := kind + "/"
-	o.relay.replica.items.Ascend(func(it *item) bool {
-		if !it.deleted && strings.HasPrefix(it.key, prefix) && !named[recordName{it.scope.name, it.key}] {
-			absent = append(absent, it)
+	o.relay.replica.items.Ascend(func(held *item) bool {
+		if !held.deleted && strings.HasPrefix(held.key, prefix) && !listed[recordName{held.scope.name, held.key}] {
+			absent = append(absent, held)
 		}
 		return true
 	})
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -201,14 +201,14 @@
 	if r.invalidGroupMark >= n.snapshotMark {
 		return nil // a group could not be decoded, and may have contained any of the records
 	}
-	for _, it := range r.absentFromSnapshot(n, position) {
+	for _, held := range r.absentFromSnapshot(n, position) {
 		r.stats.Swept++
-		if it.epoch != position.Epoch && r.keepsTombstones {
-			r.remove(it) // not sent to any subscriber in this epoch, so that none needs a tombstone
+		if held.epoch != position.Epoch && r.keepsTombstones {
+			r.remove(held) // not sent to any subscriber in this epoch, so that none needs a tombstone
 			continue
 		}
-		state := itemState{class: it.class.whenDeleted(), position: position, deleted: true, swept: true}
-		if err := r.upsert(it, it.scope.name, it.key, state); err != nil {
+		state := itemState{class: held.class.whenDeleted(), position: position, deleted: true, swept: true}
+		if err := r.upsert(held, held.scope.name, held.key, state); err != nil {
 			return err
 		}
 	}
@@ -222,13 +222,13 @@
 	r.probeScope.name = n.scope
 	r.probe.scope = &r.probeScope
 	r.probe.key = ""
-	r.items.AscendGreaterOrEqual(&r.probe, func(it *item) bool {
-		if !n.covers(it.scope.name) {
+	r.items.AscendGreaterOrEqual(&r.probe, func(held *item) bool {
+		if !n.covers(held.scope.name) {
 			return false
 		}
-		named := it.mark >= n.snapshotMark || it.scope.invalidMark >= n.snapshotMark
-		if !it.deleted && !named && it.position().compare(position) <= 0 {
-			items = append(items, it)
+		contained := held.mark >= n.snapshotMark || held.scope.invalidMark >= n.snapshotMark
+		if !held.deleted && !contained && held.position().compare(position) <= 0 {
+			items = append(items, held)
 		}
 		return true
 	})
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -90,37 +90,37 @@
 }
 
 // beforeChange removes an item from its place in the order.
-func (r *Relay) beforeChange(it *item) {
-	r.byClass.Delete(it)
-	r.byScope.Delete(it)
+func (r *Relay) beforeChange(held *item) {
+	r.byClass.Delete(held)
+	r.byScope.Delete(held)
 }
 
 // afterChange puts an item at the end of the order and queues it for the feeds of its scope.
-func (r *Relay) afterChange(it *item, _ previousState, _ bool) {
+func (r *Relay) afterChange(held *item, _ previousState, _ bool) {
 	r.adoptEpoch()
 	r.seq++
-	it.seq = r.seq
-	r.byClass.ReplaceOrInsert(it)
-	r.byScope.ReplaceOrInsert(it)
-	r.order[it.class].append(it.position())
-	it.scope.order.byClass[it.class].append(it.position())
-	r.forEachFeed(it, func(s *session, index int32) {
+	held.seq = r.seq
+	r.byClass.ReplaceOrInsert(held)
+	r.byScope.ReplaceOrInsert(held)
+	r.order[held.class].append(held.position())
+	held.scope.order.byClass[held.class].append(held.position())
+	r.forEachFeed(held, func(s *session, index int32) {
 		if s.feeds[index].state != feedWaiting {
-			s.enqueue(r, index, int(it.class))
+			s.enqueue(r, index, int(held.class))
 		}
 	})
-	if it.deleted {
-		r.tombstones = append(r.tombstones, tombstoneRef{it, it.seq})
+	if held.deleted {
+		r.tombstones = append(r.tombstones, tombstoneRef{held, held.seq})
 	}
 }
 
 // forEachFeed calls visit for each feed that selects an item.
-func (r *Relay) forEachFeed(it *item, visit func(*session, int32)) {
-	for _, ref := range it.scope.order.feeds {
+func (r *Relay) forEachFeed(held *item, visit func(*session, int32)) {
+	for _, ref := range held.scope.order.feeds {
 		visit(ref.session, ref.index)
 	}
 	for _, ref := range r.prefixFeeds {
-		if strings.HasPrefix(it.scope.name, ref.session.feeds[ref.index].prefix) {
+		if strings.HasPrefix(held.scope.name, ref.session.feeds[ref.index].prefix) {
 			visit(ref.session, ref.index)
 		}
 	}
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -23,17 +23,17 @@
 // pendingTombstone is the seq of a subscriber's items that are in replica.pendingTombstones.
 const pendingTombstone = 1
 
-func (it *item) position() Position { return Position{it.epoch, it.version} }
+func (i *item) position() Position { return Position{i.epoch, i.version} }
 
-func (it *item) record() Record {
+func (i *item) record() Record {
 	return Record{
-		Scope:   it.scope.name,
-		Key:     it.key,
-		Class:   it.class,
-		Epoch:   it.epoch,
-		Version: it.version,
-		Deleted: it.deleted,
-		Body:    it.body,
+		Scope:   i.scope.name,
+		Key:     i.key,
+		Class:   i.class,
+		Epoch:   i.epoch,
+		Version: i.version,
+		Deleted: i.deleted,
+		Body:    i.body,
 	}
 }
 
@@ -67,8 +67,8 @@
 // changeObserver is the owner of a replica, which calls it around every change of an item: before the change or
 // removal, and after the item has its new state.
 type changeObserver interface {
-	beforeChange(it *item)
-	afterChange(it *item, was previousState, swept bool)
+	beforeChange(held *item)
+	afterChange(held *item, previous previousState, swept bool)
 }
 
 // replica holds records and the positions up to which they are complete. It is the receiving side of a relay and of a
@@ -157,8 +157,8 @@
 	r.probeScope.name = scopeName
 	r.probe.scope = &r.probeScope
 	r.probe.key = key
-	it, _ := r.items.Get(&r.probe)
-	return it
+	held, _ := r.items.Get(&r.probe)
+	return held
 }
 
 // upsert sets the state of a record. held is the item of that scope and key, or nil. An error wraps ErrLimit; the
@@ -225,22 +225,22 @@
 	if r.interner.Text != nil {
 		key = r.interner.Text(key)
 	}
-	it := &item{scope: s, key: key}
+	held := &item{scope: s, key: key}
 	s.itemCount++
-	r.items.ReplaceOrInsert(it)
-	return it
+	r.items.ReplaceOrInsert(held)
+	return held
 }
 
 // remove deletes an item without leaving a tombstone.
-func (r *replica) remove(it *item) {
-	r.observer.beforeChange(it)
-	r.items.Delete(it)
-	r.bytes -= len(it.key) + len(it.body)
-	if it.deleted {
+func (r *replica) remove(held *item) {
+	r.observer.beforeChange(held)
+	r.items.Delete(held)
+	r.bytes -= len(held.key) + len(held.body)
+	if held.deleted {
 		r.tombstones--
 	}
-	it.scope.itemCount--
-	r.releaseScope(it.scope)
+	held.scope.itemCount--
+	r.releaseScope(held.scope)
 }
 
 func (r *replica) currentStats() Stats {
--- a/internal/distribution/session.go
+++ b/internal/distribution/session.go
@@ -294,13 +294,13 @@
 func (r *Relay) ascendRecords(f *feed, class Class, visit func(*item) bool) {
 	r.probe.class, r.probe.seq, r.probe.scope = class, f.cursor[class]+1, f.scope
 	if f.scope != nil {
-		r.byScope.AscendGreaterOrEqual(&r.probe, func(it *item) bool {
-			return it.scope == f.scope && it.class == class && visit(it)
+		r.byScope.AscendGreaterOrEqual(&r.probe, func(held *item) bool {
+			return held.scope == f.scope && held.class == class && visit(held)
 		})
 		return
 	}
-	r.byClass.AscendGreaterOrEqual(&r.probe, func(it *item) bool {
-		return it.class == class && (!strings.HasPrefix(it.scope.name, f.prefix) || visit(it))
+	r.byClass.AscendGreaterOrEqual(&r.probe, func(held *item) bool {
+		return held.class == class && (!strings.HasPrefix(held.scope.name, f.prefix) || visit(held))
 	})
 }
 
@@ -308,12 +308,12 @@
 // must be in the order of their versions.
 func (r *Relay) cursorAt(f *feed, class Class) (cursor uint64) {
 	r.probe.class, r.probe.seq, r.probe.scope = class, r.seq+1, f.scope
-	isNewer := func(it *item) bool {
-		if it.class != class || f.scope != nil && it.scope != f.scope {
+	isNewer := func(held *item) bool {
+		if held.class != class || f.scope != nil && held.scope != f.scope {
 			return false
 		}
-		if it.position().compare(f.position) <= 0 {
-			cursor = it.seq
+		if held.position().compare(f.position) <= 0 {
+			cursor = held.seq
 			return false
 		}
 		return true
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -41,13 +41,13 @@
 
 func (s *Subscriber) beforeChange(*item) {}
 
-func (s *Subscriber) afterChange(it *item, previous previousState, swept bool) {
-	bothDeleted := it.deleted && !previous.live
-	same := !it.deleted && previous.live && it.class == previous.class && bytes.Equal(it.body, previous.body)
+func (s *Subscriber) afterChange(held *item, previous previousState, swept bool) {
+	bothDeleted := held.deleted && !previous.live
+	same := !held.deleted && previous.live && held.class == previous.class && bytes.Equal(held.body, previous.body)
 	if bothDeleted || same {
 		return
 	}
-	s.changes = append(s.changes, Change{Record: it.record(), OldBody: previous.body, Swept: swept})
+	s.changes = append(s.changes, Change{Record: held.record(), OldBody: previous.body, Swept: swept})
 }
 
 func (s *Subscriber) scopeSyncState(scope string) syncState {
@@ -66,9 +66,9 @@
 
 // Each calls visit for each record held, in the order of scope and key.
 func (s *Subscriber) Each(visit func(Record)) {
-	s.replica.items.Ascend(func(it *item) bool {
-		if !it.deleted {
-			visit(it.record())
+	s.replica.items.Ascend(func(held *item) bool {
+		if !held.deleted {
+			visit(held.record())
 		}
 		return true
 	})
--- a/internal/distribution/tombstones.go
+++ b/internal/distribution/tombstones.go
@@ -19,17 +19,17 @@
 	dropped := 0
 	for ; r.replica.tombstones > r.limits.Tombstones && dropped < len(r.tombstones); dropped++ {
 		tombstone := r.tombstones[dropped]
-		it := tombstone.item
-		if tombstone.void() || r.replica.find(it.scope.name, it.key) != it {
+		held := tombstone.item
+		if tombstone.void() || r.replica.find(held.scope.name, held.key) != held {
 			continue
 		}
-		if it.position().compare(r.advertised) > 0 {
+		if held.position().compare(r.advertised) > 0 {
 			break // not advertised yet: another upstream may still send an older state of this record
 		}
-		if it.epoch == r.epoch {
+		if held.epoch == r.epoch {
 			r.raiseFloor(tombstone)
 		}
-		r.replica.remove(it)
+		r.replica.remove(held)
 	}
 	r.tombstones = r.tombstones[dropped:]
 	if len(r.tombstones) > 2*r.replica.tombstones+64 {
@@ -40,16 +40,16 @@
 // raiseFloor raises the floor to a tombstone that is dropped, and starts snapshots for the feeds to which it was not
 // sent.
 func (r *Relay) raiseFloor(tombstone tombstoneRef) {
-	it := tombstone.item
-	r.forEachFeed(it, func(s *session, index int32) {
+	held := tombstone.item
+	r.forEachFeed(held, func(s *session, index int32) {
 		f := &s.feeds[index]
-		unsent := f.queued&(1<<it.class) != 0 && f.cursor[it.class] < tombstone.seq
+		unsent := f.queued&(1<<held.class) != 0 && f.cursor[held.class] < tombstone.seq
 		if unsent && (f.state == feedDelta || f.state == feedSnapshot && tombstone.seq > f.snapshotSeq) {
 			r.startSnapshot(s, index)
 		}
 	})
-	if r.floor.compare(it.position()) < 0 {
-		r.floor = it.position()
+	if r.floor.compare(held.position()) < 0 {
+		r.floor = held.position()
 	}
 }
 
@@ -60,15 +60,15 @@
 		return
 	}
 	kept := r.pendingTombstones[:0]
-	for _, it := range r.pendingTombstones {
-		if !it.deleted {
-			it.seq = 0
+	for _, held := range r.pendingTombstones {
+		if !held.deleted {
+			held.seq = 0
 			continue
 		}
-		if it.position().compare(r.scopeSyncState(it.scope.name, it.scope.exactInterest).position) <= 0 {
-			r.remove(it)
+		if held.position().compare(r.scopeSyncState(held.scope.name, held.scope.exactInterest).position) <= 0 {
+			r.remove(held)
 		} else {
-			kept = append(kept, it)
+			kept = append(kept, held)
 		}
 	}
 	clear(r.pendingTombstones[len(kept):])
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -171,8 +171,8 @@
 	reason = s.receiveFrames(ctx)
 	conn.Close()
 	c.lastFrameNs.Store(0)
-	if next := s.failback.Swap(&failbackClosed); next != nil {
-		return *next, nil
+	if firstChoiceConn := s.failback.Swap(&failbackClosed); firstChoiceConn != nil {
+		return *firstChoiceConn, nil
 	}
 	now := c.config.Clock()
 	if errors.Is(reason, errLagging) {
