--- a/internal/endpointgossip/exchange.go
+++ b/internal/endpointgossip/exchange.go
@@ -139,11 +139,11 @@
 	}
 	e.now = max(e.now, now)
 	e.watchedVersion = version
-	return e.watchRestored(e.now)
+	return e.watchRecovered(e.now)
 }
 
-// watchRestored ends the use of gossiped lists; it returns the watched list if one was used.
-func (e *Exchange) watchRestored(heardAt int64) (endpoints []Endpoint) {
+// watchRecovered ends the use of gossiped lists; it returns the watched list if one was used.
+func (e *Exchange) watchRecovered(heardAt int64) (endpoints []Endpoint) {
 	e.watchUp = true
 	e.watchReceivedAt = heardAt
 	e.ticksWithoutEvent = 0
@@ -184,7 +184,7 @@
 		e.ticksWithoutEvent++
 	}
 	if e.ticksWithoutEvent > watchGraceTicks && e.watchedVersion > 0 { // it goes on from the list before, unchanged
-		return e.watchRestored(watchHeardAt)
+		return e.watchRecovered(watchHeardAt)
 	}
 	if e.watchUp {
 		e.watchFailed()
