--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -23,16 +23,16 @@
 
 const (
 	listConnectTimeout = time.Second
-	// parallelCallDelay is how long a call waits for its answer before another is opened beside it. It is not given up:
+	// listParallelCallDelay is how long a call waits for its answer before another is opened beside it. It is not given up:
 	// discovery answers calls in turn.
-	parallelCallDelay = 3 * time.Second
+	listParallelCallDelay = 3 * time.Second
 	// listSilenceTimeout ends a watch. Discovery sends an empty line every 2 s while nothing changes.
 	listSilenceTimeout = 3200 * time.Millisecond
 	// maxRetryInterval and minRetryInterval bound the time between calls where the list is pushed.
 	maxRetryInterval  = 200 * time.Millisecond
 	minRetryInterval  = 20 * time.Millisecond
 	drainGraceDivisor = 4 // of the time within which sends to a drained endpoint have to stop, if that is less
-	// reopenParallelCallDelay is parallelCallDelay for the first call after a silence: what a silent watch has missed binds 6 s
+	// reopenParallelCallDelay is listParallelCallDelay for the first call after a silence: what a silent watch has missed binds 6 s
 	// later.
 	reopenParallelCallDelay = 2 * time.Second
 	// maxPollGap bounds the time between calls where nodes poll: a list binds 6 s after discovery could be reached.
@@ -73,7 +73,7 @@
 		versionAddress:    n.config.Discovery,
 		callRequests:      make(chan struct{}, 1),
 		silenceTimeout:    listSilenceTimeout,
-		parallelCallDelay: parallelCallDelay,
+		parallelCallDelay: listParallelCallDelay,
 		retryInterval:     maxRetryInterval,
 		firstEvent:        make(chan struct{}),
 	}
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -20,7 +20,7 @@
 // Tests of a discovery that is slow, overloaded, unreachable, or has a long list. Times are a tenth of the real ones.
 
 const (
-	tenthParallelCallDelay = parallelCallDelay / 10
+	tenthParallelCallDelay = listParallelCallDelay / 10
 	tenthSilence           = listSilenceTimeout / 10
 )
 
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -28,7 +28,7 @@
 }
 
 // begin starts the exchange over the membership, from the node's initial list.
-func (s *listGossip) start(seed uint64, transport endpointgossip.Transport) {
+func (s *listGossip) startExchange(seed uint64, transport endpointgossip.Transport) {
 	if s == nil {
 		return
 	}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -122,7 +122,7 @@
 	if a.membership, err = members.New(config, a, a.node.clock.nanos()); err != nil {
 		return err
 	}
-	a.node.listGossip.start(config.Seed, a.membership)
+	a.node.listGossip.startExchange(config.Seed, a.membership)
 	return nil
 }
 
