--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -25,7 +25,7 @@
 
 type affinity struct {
 	keys                   keyfreq.Counter
-	endpoints              []*endpoint // affinity endpoints of the current request's key, in order of preference
+	preferred              []*endpoint // affinity endpoints of the current request's key, in order of preference
 	workFactorWithAffinity float64     // work of a request at an affinity endpoint relative to others; 0.25 to 1
 }
 
@@ -33,19 +33,19 @@
 // has none.
 func (b *Balancer) findAffinityEndpoints(now Time, req *request) {
 	a := &b.affinity
-	for _, ep := range a.endpoints {
+	for _, ep := range a.preferred {
 		ep.hasAffinity = false
 	}
-	a.endpoints = a.endpoints[:0]
+	a.preferred = a.preferred[:0]
 	if req.affinityCount <= rendezvous.MaxTop {
-		a.endpoints = rendezvous.Top(a.endpoints, b.endpoints.all, req.affinityCount, func(ep *endpoint) uint64 {
+		a.preferred = rendezvous.Top(a.preferred, b.endpoints.all, req.affinityCount, func(ep *endpoint) uint64 {
 			if ep.State != StateActive || b.slowStart.capacity(now, ep) < 1 || ep.isUnhealthy(now) {
 				return 0
 			}
 			return rendezvous.Score(req.keyHash, uint32(ep.ID))
 		})
 	}
-	for _, ep := range a.endpoints {
+	for _, ep := range a.preferred {
 		ep.hasAffinity = true
 	}
 }
--- a/policy/affinity_test.go
+++ b/policy/affinity_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("got %d requests in flight at the affinity endpoint beside 7 idle endpoints, want at most 8", inFlight)
 	}
 	fleet.EndpointsUpdated(fleet.now, []EndpointInfo{{ID: affinityEndpoint, Pod: 9, StartedAt: fleet.now}}, false)
-	if sendRequest(); len(fleet.affinity.endpoints) == 0 || fleet.affinity.endpoints[0].ID == affinityEndpoint {
+	if sendRequest(); len(fleet.affinity.preferred) == 0 || fleet.affinity.preferred[0].ID == affinityEndpoint {
 		t.Error("the endpoint in slow start is still an affinity endpoint, or the key has none")
 	}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -126,7 +126,7 @@
 	isAlternative := func(ep *endpoint) bool {
 		return ep.State == StateActive && ep != req.lastEndpoint() && b.unavailableReason(&c, ep) == ReasonNone
 	}
-	return slices.ContainsFunc(b.subset.members, isAlternative) || slices.ContainsFunc(b.affinity.endpoints, isAlternative)
+	return slices.ContainsFunc(b.subset.members, isAlternative) || slices.ContainsFunc(b.affinity.preferred, isAlternative)
 }
 
 // selectionPool returns the endpoints that may be selected for the request, and the window of them that the first
@@ -151,7 +151,7 @@
 	for _, ep := range pool {
 		b.considerCandidate(c, ep)
 	}
-	for _, ep := range b.affinity.endpoints {
+	for _, ep := range b.affinity.preferred {
 		if !slices.Contains(s.candidates, ep) {
 			b.considerCandidate(c, ep)
 		}
