--- a/internal/distribution/interest.go
+++ b/internal/distribution/interest.go
@@ -217,15 +217,15 @@
 	}
 	r.sharedPosition = position
 	r.sharedAsOfNs = max(r.sharedAsOfNs, now-f.Age)
-	lagging := r.unshared[:0]
+	stillUnshared := r.unshared[:0]
 	for _, i := range r.unshared {
 		n := &r.interests[i]
 		n.shared = !n.inSnapshot && !except[uint32(i)] &&
 			n.position.Epoch == position.Epoch && n.position.compare(position) <= 0
 		if !n.shared {
-			lagging = append(lagging, i)
+			stillUnshared = append(stillUnshared, i)
 		}
 	}
-	r.unshared = lagging
+	r.unshared = stillUnshared
 	return nil
 }
