--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -1,32 +1,32 @@
 package distribution
 
-// Messages from outside, corrupted in any way, must cost an error or a counter, never more.
+// Malformed messages from the network must cause no more than an error or a count.
 
 import (
 	"fmt"
 	"testing"
 )
 
-// conversation returns a hello, and the frames of a snapshot, of changes and of a heartbeat.
+// sampleMessages returns a hello and, for that hello, the frames of a snapshot, of changes and of heartbeats.
 func sampleMessages(t testing.TB) (hello []byte, frames [][]byte) {
-	o := NewOrigin(7, Limits{})
-	s := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
+	origin := NewOrigin(7, Limits{})
+	subscriber := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
 	for i := range 5 {
-		put(t, o, "a/x", fmt.Sprint("endpoint/", i), Class(i%3), "body")
-		put(t, o, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
+		put(t, origin, "a/x", fmt.Sprint("endpoint/", i), Class(i%3), "body")
+		put(t, origin, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
 	}
-	hello = s.Hello()
-	id, err := o.Relay().Attach(0, hello, 8000)
+	hello = subscriber.Hello()
+	id, err := origin.Relay().Attach(0, hello, 8000)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for now := int64(0); now < 5*second; now += second / 2 {
 		if now == second {
-			o.Remove(now, "a/x", "endpoint/1")
-			put(t, o, "b/1", "endpoint/a", ClassWithdrawal, "body")
+			origin.Remove(now, "a/x", "endpoint/1")
+			put(t, origin, "b/1", "endpoint/a", ClassWithdrawal, "body")
 		}
 		for {
-			f, _ := o.Relay().Next(now, id)
+			f, _ := origin.Relay().Next(now, id)
 			if f == nil {
 				break
 			}
@@ -54,34 +54,35 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		relay := newTestRelay(t, Limits{Records: 64, Bytes: 64 << 10}, Selector{Scope: "a/x"},
 			Selector{Scope: "b/", Prefix: true})
-		leaf := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
-		down := newTestSubscriber(t, Selector{Scope: "a/x"})
-		down.Hello()
+		subscriber := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
+		downstream := newTestSubscriber(t, Selector{Scope: "a/x"})
+		downstream.Hello()
 		relay.UpstreamHello(0)
-		leaf.Hello()
-		id, err := relay.Attach(0, down.Hello(), 0)
+		subscriber.Hello()
+		id, err := relay.Attach(0, downstream.Hello(), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for now := range int64(3) { // the same again is as old as a frame can be
-			one, two := relay.receiveFrame(now, b), leaf.receiveFrame(now, b)
-			if (one == nil) != (two == nil) {
-				t.Fatalf("a relay says %v, a subscriber %v", one, two)
+		for now := range int64(3) { // the second and third time, the frame is a duplicate
+			relayErr, subscriberErr := relay.receiveFrame(now, b), subscriber.receiveFrame(now, b)
+			if (relayErr == nil) != (subscriberErr == nil) {
+				t.Fatalf("got error %v from the relay and %v from the subscriber, want both or none", relayErr,
+					subscriberErr)
 			}
 		}
 		if s := relay.Stats(); s.Records+s.Tombstones > 64 || s.Bytes > 64<<10+MaxNameBytes*4 {
-			t.Fatalf("over the bounds: %+v", s)
+			t.Fatalf("relay exceeds 64 records or the limit of bytes: %+v", s)
 		}
 		sum := 0
-		leaf.Each(func(r Record) {
+		subscriber.Each(func(r Record) {
 			sum++
 			foreign := r.Scope != "a/x" && r.Scope[:2] != "b/"
 			if foreign || validateRecord(r.Scope, r.Key, r.Class, r.Body) != nil {
-				t.Fatalf("holds %+v", r)
+				t.Fatalf("subscriber holds an invalid or foreign record: %+v", r)
 			}
 		})
-		if leaf.Stats().Records != sum {
-			t.Fatalf("%d records, counted %d", sum, leaf.Stats().Records)
+		if subscriber.Stats().Records != sum {
+			t.Fatalf("Stats counts %d records, want %d", sum, subscriber.Stats().Records)
 		}
 		for now := range int64(4) {
 			for {
@@ -89,13 +90,13 @@
 				if f == nil {
 					break
 				}
-				if err := down.receiveFrame(now*second, f); err != nil {
-					t.Fatalf("what a relay makes of it: %v", err)
+				if err := downstream.receiveFrame(now*second, f); err != nil {
+					t.Fatalf("subscriber rejects a frame of the relay: %v", err)
 				}
 			}
 		}
-		if !relay.Complete() && down.Complete() {
-			t.Fatal("complete by a relay that is not")
+		if !relay.Complete() && downstream.Complete() {
+			t.Fatal("subscriber of an incomplete relay is complete")
 		}
 	})
 }
@@ -106,32 +107,33 @@
 	f.Add([]byte{0xa0})
 	f.Add(encode(helloAtPosition(Position{9, 3})))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		o := NewOrigin(9, Limits{Selectors: 16})
+		origin := NewOrigin(9, Limits{Selectors: 16})
 		for i := range 20 {
-			put(t, o, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
+			put(t, origin, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
 		}
-		id, err := o.Relay().Attach(0, b, 10000)
+		id, err := origin.Relay().Attach(0, b, 10000)
 		if err != nil {
-			if n := o.Relay().Stats(); n.Subscribers != 0 || n.RefusedHellos != 1 || n.Scopes != 20 {
-				t.Fatalf("after a refusal: %+v", n)
+			if n := origin.Relay().Stats(); n.Subscribers != 0 || n.RefusedHellos != 1 || n.Scopes != 20 {
+				t.Fatalf("after a rejected hello: got %+v, want no subscribers, one rejected hello and 20 scopes", n)
 			}
 			return
 		}
-		put(t, o, "b/1", "endpoint/a", ClassWithdrawal, "body")
+		put(t, origin, "b/1", "endpoint/a", ClassWithdrawal, "body")
 		for now := int64(0); now < 4*second; now += second / 4 {
 			for n := 0; ; n++ {
-				f, _ := o.Relay().Next(now, id)
+				f, _ := origin.Relay().Next(now, id)
 				if f == nil {
 					break
 				}
-				if _, err := decodeFrame(f, func(string) { t.Fatal("an invalid record") }); err != nil || n > 100 {
+				if _, err := decodeFrame(f, func(string) { t.Fatal("relay sent an invalid record") }); err != nil ||
+					n > 100 {
 					t.Fatal(err, n)
 				}
 			}
 		}
-		o.Relay().Detach(id)
-		if n := o.Relay().Stats(); n.Subscribers != 0 || n.Selectors != 0 || n.Scopes != 20 {
-			t.Fatalf("after it has gone: %+v", n)
+		origin.Relay().Detach(id)
+		if n := origin.Relay().Stats(); n.Subscribers != 0 || n.Selectors != 0 || n.Scopes != 20 {
+			t.Fatalf("after Detach: got %+v, want no subscribers, no selectors and 20 scopes", n)
 		}
 	})
 }
--- a/internal/relay/hosttable.go
+++ b/internal/relay/endpointtable.go
@@ -9,12 +9,12 @@
 	"fawnglade/internal/endpointlist"
 )
 
-// EndpointTable turns the records of a node's scopes back into hosts. A host that several scopes have is removed once none
-// has it. It is not safe for concurrent use.
+// EndpointTable converts the records of a node's scopes back into endpoints. An endpoint with records in several scopes
+// is removed once none of them has it. An EndpointTable is not safe for concurrent use.
 type EndpointTable struct {
 	byName         map[string][]scopedEntry
 	discovery      DiscoveryState
-	discoveryKnown bool // the origin has sent it
+	discoveryKnown bool // the origin has sent the state of discovery
 }
 
 type scopedEntry struct {
@@ -22,11 +22,11 @@
 	entry endpointlist.Entry
 }
 
-// EndpointChanges are the hosts that changes of records concern.
+// EndpointChanges are the changes of endpoints that follow from changes of records.
 type EndpointChanges struct {
-	Entries []endpointlist.Entry // in the changes' order; one that no scope has any more is "removed"
-	Skipped int                  // records that could not be decoded; what was known of their hosts stays
-	LastErr error                // of the last record skipped
+	Entries []endpointlist.Entry // in the order of the changes; State is "removed" if no scope has the endpoint
+	Skipped int                  // records that could not be decoded; their endpoints stay unchanged
+	LastErr error                // error of the last record skipped
 }
 
 func (h *EndpointChanges) skip(err error) {
@@ -34,14 +34,14 @@
 	h.LastErr = err
 }
 
-// NewEndpointTable returns a table without hosts.
+// NewEndpointTable returns a table without endpoints.
 func NewEndpointTable() *EndpointTable { return &EndpointTable{byName: map[string][]scopedEntry{}} }
 
-// Discovery returns the state of the origin's watch of discovery; false: the origin has not sent it, so the hosts are
-// no list yet.
+// Discovery returns the state of the origin's watch of discovery. It returns false if the origin has not sent it yet;
+// until then the endpoints are not a complete list.
 func (h *EndpointTable) Discovery() (DiscoveryState, bool) { return h.discovery, h.discoveryKnown }
 
-// Apply takes in changes of records. Records that are no endpoints are ignored.
+// Apply applies changes of records. It ignores records of other kinds than endpoints and the state of discovery.
 func (h *EndpointTable) Apply(changes []distribution.Change) EndpointChanges {
 	var out EndpointChanges
 	for i := range changes {
@@ -50,13 +50,13 @@
 			h.applyDiscovery(record, &out)
 			continue
 		}
-		host, isHost := EndpointName(record.Key)
+		name, isEndpoint := EndpointName(record.Key)
 		switch {
-		case !isHost:
+		case !isEndpoint:
 		case record.Deleted:
-			h.remove(host, record.Scope, &out)
+			h.remove(name, record.Scope, &out)
 		default:
-			h.put(host, record, &out)
+			h.put(name, record, &out)
 		}
 	}
 	return out
@@ -65,7 +65,7 @@
 func (h *EndpointTable) applyDiscovery(record *distribution.Record, out *EndpointChanges) {
 	var state DiscoveryState
 	if err := json.Unmarshal(record.Body, &state); err != nil || state.Version <= 0 {
-		out.skip(fmt.Errorf("scope %q, key %q: expected a version of the list, found %.80q",
+		out.skip(fmt.Errorf("scope %q, key %q: expected discovery state with a version above 0, found %.80q",
 			record.Scope, record.Key, record.Body))
 		return
 	}
@@ -73,36 +73,36 @@
 	h.discoveryKnown = true
 }
 
-func (h *EndpointTable) put(host string, record *distribution.Record, out *EndpointChanges) {
+func (h *EndpointTable) put(name string, record *distribution.Record, out *EndpointChanges) {
 	var entry endpointlist.Entry
-	if err := json.Unmarshal(record.Body, &entry); err != nil || entry.Name != host {
+	if err := json.Unmarshal(record.Body, &entry); err != nil || entry.Name != name {
 		out.skip(fmt.Errorf("scope %q, key %q: expected an endpoint of that name, found %.80q",
 			record.Scope, record.Key, record.Body))
 		return
 	}
-	entries := h.byName[host]
+	entries := h.byName[name]
 	if i := indexOfScope(entries, record.Scope); i < 0 {
 		entries = append(entries, scopedEntry{record.Scope, entry})
 	} else {
 		entries[i].entry = entry
 	}
-	h.byName[host] = entries
+	h.byName[name] = entries
 	out.Entries = append(out.Entries, newestEntry(entries))
 }
 
-func (h *EndpointTable) remove(host, scope string, out *EndpointChanges) {
-	entries := h.byName[host]
+func (h *EndpointTable) remove(name, scope string, out *EndpointChanges) {
+	entries := h.byName[name]
 	i := indexOfScope(entries, scope)
 	if i < 0 {
 		return
 	}
 	entries = slices.Delete(entries, i, i+1)
 	if len(entries) == 0 {
-		delete(h.byName, host)
-		out.Entries = append(out.Entries, endpointlist.Entry{Name: host, State: stateRemoved})
+		delete(h.byName, name)
+		out.Entries = append(out.Entries, endpointlist.Entry{Name: name, State: stateRemoved})
 		return
 	}
-	h.byName[host] = entries
+	h.byName[name] = entries
 	out.Entries = append(out.Entries, newestEntry(entries))
 }
 
@@ -110,8 +110,8 @@
 	return slices.IndexFunc(entries, func(e scopedEntry) bool { return e.scope == scope })
 }
 
-// newestEntry returns the entry that counts of a host in several scopes: the one with the latest start, of these the
-// one of the first scope by name.
+// newestEntry returns the effective entry of an endpoint with records in several scopes: the one with the latest start
+// time or, among equals, the one whose scope sorts first by name.
 func newestEntry(entries []scopedEntry) endpointlist.Entry {
 	newest := entries[0]
 	for _, e := range entries[1:] {
