--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -137,9 +137,9 @@
 	for {
 		now := c.run.now()
 		for next < len(operations) && operations[next].Due+delay <= now {
-			t := &operations[next]
-			c.run.lag.record(t.Due+delay, t.Due+delay, now-t.Due-delay)
-			c.send(c.firstRequest(t))
+			o := &operations[next]
+			c.run.lag.record(o.Due+delay, o.Due+delay, now-o.Due-delay)
+			c.send(c.firstRequest(o))
 			next++
 		}
 		wait := int64(time.Second)
@@ -155,8 +155,8 @@
 			wait = min(wait, c.retries[0].due-now)
 		}
 		c.mu.Unlock()
-		for _, t := range due {
-			c.send(t)
+		for _, request := range due {
+			c.send(request)
 		}
 		timer.Reset(time.Duration(max(wait, 0)))
 		select {
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -63,11 +63,11 @@
 		watches: map[*call]struct{}{},
 	}
 	for node := range run.scenario.Nodes.Count {
-		p, err := d.openAt(node, run.address(node, 1))
+		l, err := d.openAt(node, run.address(node, 1))
 		if err != nil {
 			return nil, err
 		}
-		d.endpoints = append(d.endpoints, p)
+		d.endpoints = append(d.endpoints, l)
 	}
 	run.group.Go(func() error { d.handleCalls(); return nil })
 	return d, nil
@@ -78,38 +78,38 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &discoveryListener{node: node, address: ln.Addr().String(), listener: ln, conns: map[net.Conn]struct{}{}}
-	p.advertised, err = d.run.links.proxyStream(netfault.End{
+	l := &discoveryListener{node: node, address: ln.Addr().String(), listener: ln, conns: map[net.Conn]struct{}{}}
+	l.advertised, err = d.run.links.proxyStream(netfault.End{
 		Kind: netfault.Node, Index: node,
-	}, netfault.End{Kind: netfault.Discovery}, func() string { return p.address })
+	}, netfault.End{Kind: netfault.Discovery}, func() string { return l.address })
 	if err != nil {
 		ln.Close()
 		return nil, err
 	}
-	d.run.group.Go(func() error { d.accept(p, ln); return nil })
-	return p, nil
+	d.run.group.Go(func() error { d.accept(l, ln); return nil })
+	return l, nil
 }
 
 func (d *discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, p := range d.endpoints {
-		p.close()
+	for _, l := range d.endpoints {
+		l.close()
 	}
 }
 
 // close closes the listener and resets its connections. The caller holds the lock of the discovery.
-func (p *discoveryListener) close() {
-	if p.listener != nil {
-		p.listener.Close()
-		p.listener = nil
+func (l *discoveryListener) close() {
+	if l.listener != nil {
+		l.listener.Close()
+		l.listener = nil
 	}
-	for c := range p.conns {
+	for c := range l.conns {
 		reset(c)
 	}
 }
 
-func (d *discovery) accept(p *discoveryListener, ln net.Listener) {
+func (d *discovery) accept(l *discoveryListener, ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -120,28 +120,28 @@
 			continue
 		}
 		d.mu.Lock()
-		if p.listener != ln {
+		if l.listener != ln {
 			d.mu.Unlock()
 			reset(c)
 			continue
 		}
-		p.conns[c] = struct{}{}
+		l.conns[c] = struct{}{}
 		d.mu.Unlock()
 		d.run.group.Go(func() error {
 			defer func() {
 				c.Close()
 				d.mu.Lock()
-				delete(p.conns, c)
+				delete(l.conns, c)
 				d.mu.Unlock()
 			}()
-			d.serve(p, c)
+			d.serve(l, c)
 			return nil
 		})
 	}
 }
 
 // serve reads calls from a connection and queues them, until a watch or the connection ends.
-func (d *discovery) serve(p *discoveryListener, c net.Conn) {
+func (d *discovery) serve(l *discoveryListener, c net.Conn) {
 	in := newReader(c, d.run.now)
 	for {
 		var m message
@@ -161,7 +161,7 @@
 			continue
 		}
 		newCall := &call{
-			node: p.node, incarnation: d.run.nodes[p.node].incarnation(), conn: c, watch: watch, after: after,
+			node: l.node, incarnation: d.run.nodes[l.node].incarnation(), conn: c, watch: watch, after: after,
 			arrivedAt:    time.Now(),
 			callerClosed: make(chan struct{}), answered: make(chan struct{}),
 		}
@@ -251,10 +251,10 @@
 		listed[entry.Endpoint] = true
 	}
 	if complete {
-		for server := range d.everListed {
-			if !listed[server] {
+		for endpoint := range d.everListed {
+			if !listed[endpoint] {
 				written = append(written, invariant.ListEntry{
-					Node: node, Incarnation: incarnation, Endpoint: server, State: model.Removed,
+					Node: node, Incarnation: incarnation, Endpoint: endpoint, State: model.Removed,
 				})
 			}
 		}
@@ -373,17 +373,17 @@
 }
 
 // set changes an entry of the list after a delay.
-func (d *discovery) set(l model.ListEntry, delay time.Duration) {
+func (d *discovery) set(entry model.ListEntry, delay time.Duration) {
 	d.mu.Lock()
 	delay += d.changeDelay
 	d.mu.Unlock()
 	do := func() {
 		d.mu.Lock()
-		d.list.Set(l)
-		d.everListed[l.Endpoint] = true
+		d.list.Set(entry)
+		d.everListed[entry.Endpoint] = true
 		d.mu.Unlock()
 		d.run.history.RecordListChange(invariant.ListChange{
-			Endpoint: l.Endpoint, State: l.State, At: d.run.now(), StartedAt: l.StartedAt,
+			Endpoint: entry.Endpoint, State: entry.State, At: d.run.now(), StartedAt: entry.StartedAt,
 		})
 	}
 	if delay <= 0 {
@@ -405,8 +405,8 @@
 		d.run.history.Update(func() { d.outage.To = now })
 	}
 	if d.down = down; down {
-		for _, p := range d.endpoints {
-			for c := range p.conns {
+		for _, l := range d.endpoints {
+			for c := range l.conns {
 				reset(c)
 			}
 		}
@@ -416,13 +416,13 @@
 // move moves discovery to new addresses. The old listeners close at once, their connections after connectionCloseDelay.
 func (d *discovery) move() error {
 	for node := range d.endpoints {
-		p, err := d.openAt(node, d.run.address(node, 1))
+		l, err := d.openAt(node, d.run.address(node, 1))
 		if err != nil {
 			return err
 		}
 		d.mu.Lock()
 		old := d.endpoints[node]
-		d.endpoints[node] = p
+		d.endpoints[node] = l
 		old.listener.Close()
 		old.listener = nil
 		d.mu.Unlock()
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -126,7 +126,7 @@
 	if delay := sim.linkDelay(front, end); delay > 0 {
 		record.SentAt += delay
 		request.pending = &pendingRequest{node: n, incarnation: n.record.Incarnation, request: request, record: record}
-		sim.delay(delay, func() {
+		sim.after(delay, func() {
 			if n.alive && n.record.Incarnation == record.Incarnation && !request.finished {
 				n.receive(request, record)
 			}
@@ -211,7 +211,7 @@
 		operation: request.operation, number: request.number + 1, deadline: retry.Deadline, key: request.key,
 		id: sim.requestID(request.operation.Index, request.number+1),
 	}
-	sim.delay(retry.Wait, func() { c.send(next) })
+	sim.after(retry.Wait, func() { c.send(next) })
 }
 
 // finish records the outcome of an operation.
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -73,7 +73,7 @@
 		do()
 		return
 	}
-	d.sim.delay(delay, do)
+	d.sim.after(delay, do)
 }
 
 // entries converts list entries to the form that the decisions use.
@@ -142,11 +142,11 @@
 		if refused {
 			after = refusalTime
 		}
-		sim.delay(after, func() { w.callEnded(0) })
+		sim.after(after, func() { w.callEnded(0) })
 		return
 	}
 	if sim.discovery.down || sim.discovery.queuedCalls >= maxQueuedCalls { // refused without being queued
-		sim.delay(refusalTime, func() { w.callEnded(0) })
+		sim.after(refusalTime, func() { w.callEnded(0) })
 		return
 	}
 	w.queueCall()
@@ -203,7 +203,7 @@
 		gap = laterCallDelay << max(w.calls-3, 0)
 	}
 	n := w.node
-	n.sim.delay(gap, func() {
+	n.sim.after(gap, func() {
 		if w.record == nil && !w.closed && n.record == w.process && n.alive {
 			w.call()
 		}
@@ -238,7 +238,7 @@
 		n.post(func() { n.decider.WatchFailed(policy.Time(n.clock())) })
 		n.failedCalls++
 		failures := n.failedCalls
-		sim.delay(callRetryInterval, func() {
+		sim.after(callRetryInterval, func() {
 			// Otherwise the decisions have requested a watch before, which has failed too.
 			if n.alive && n.record == w.process && n.failedCalls == failures {
 				n.startWatch()
@@ -249,7 +249,7 @@
 	// If updates are pushed, the node itself calls again.
 	wait := n.callBackoff
 	n.callBackoff = min(2*n.callBackoff, int64(maxCallBackoff))
-	sim.delay(wait, func() {
+	sim.after(wait, func() {
 		if n.alive && n.record == w.process {
 			n.startWatch()
 		}
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -116,7 +116,7 @@
 		e.reports = e.reports[1:]
 	}
 	e.scheduleWake()
-	e.sim.delay(int64(e.sim.scenario.Reports.Period), func() { e.sampleLoad(incarnation) })
+	e.sim.after(int64(e.sim.scenario.Reports.Period), func() { e.sampleLoad(incarnation) })
 }
 
 // report returns a load report from the newest sample that is old enough to be reported.
@@ -326,13 +326,13 @@
 
 func (a *attempt) reject() {
 	a.record.Rejected = true
-	a.endpoint.sim.delay(a.returnDelay(), func() { a.respond(policy.OutcomeRejected, http.StatusServiceUnavailable) })
+	a.endpoint.sim.after(a.returnDelay(), func() { a.respond(policy.OutcomeRejected, http.StatusServiceUnavailable) })
 }
 
 // finish responds to an attempt that has run.
 func (a *attempt) finish() {
 	e := a.endpoint
-	e.sim.delay(a.returnDelay(), func() {
+	e.sim.after(a.returnDelay(), func() {
 		t := &e.faults
 		switch {
 		case a.failureDraw < e.fleet.ErrorShare:
@@ -409,7 +409,7 @@
 		return
 	}
 	e, incarnation := a.endpoint, a.incarnation
-	e.sim.delay(a.oneWay, func() {
+	e.sim.after(a.oneWay, func() {
 		if e.incarnation != incarnation || !e.up || e.jobs[a.id] != a {
 			return
 		}
--- a/internal/lab/simulation/events.go
+++ b/internal/lab/simulation/events.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func (q *eventQueue) delay(delay int64, action func()) { q.at(q.now+delay, action) }
+func (q *eventQueue) after(delay int64, action func()) { q.at(q.now+delay, action) }
 
 // step runs the next event. It returns false if there is no event before end.
 func (q *eventQueue) step(end int64) bool {
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -49,11 +49,11 @@
 	case "bad-clients":
 	case "kill", "stop", "freeze", "cut-node", "clock":
 		for i, target := range f.Targets {
-			sim.delay(int64(f.Each)*int64(i), func() { sim.faultNode(f, sim.nodes[target]) })
+			sim.after(int64(f.Each)*int64(i), func() { sim.faultNode(f, sim.nodes[target]) })
 		}
 	default:
 		for i, target := range f.Targets {
-			sim.delay(int64(f.Each)*int64(i), func() { sim.faultEndpoint(f, sim.endpoints[target]) })
+			sim.after(int64(f.Each)*int64(i), func() { sim.faultEndpoint(f, sim.endpoints[target]) })
 		}
 	}
 }
@@ -113,7 +113,7 @@
 // afterFault schedules a function for the end of a fault that starts now, if the fault has an end.
 func (sim *Simulation) afterFault(f *workload.Fault, do func()) {
 	if f.For > 0 {
-		sim.delay(int64(f.For), do)
+		sim.after(int64(f.For), do)
 	}
 }
 
@@ -128,7 +128,7 @@
 	return func() {
 		if n.record == process && !n.alive {
 			n.start()
-			sim.delay(startDelay, n.becomeReady)
+			sim.after(startDelay, n.becomeReady)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	if n.membership != nil {
 		n.membership.Leave()
 	}
-	sim.delay(frontStopDelay, func() {
+	sim.after(frontStopDelay, func() {
 		if n.record == process {
 			n.admitted = false
 		}
@@ -151,17 +151,17 @@
 			return
 		}
 		if slices.ContainsFunc(n.pendingOrder, func(p *pendingRequest) bool { return !p.answered }) {
-			sim.delay(int64(10*time.Millisecond), endWhenIdle)
+			sim.after(int64(10*time.Millisecond), endWhenIdle)
 			return
 		}
-		sim.delay(sendDelay, func() {
+		sim.after(sendDelay, func() {
 			if n.record == process {
 				n.kill()
 				sim.restartAfterFault(f, n)
 			}
 		})
 	}
-	sim.delay(stopAcceptTime, endWhenIdle)
+	sim.after(stopAcceptTime, endWhenIdle)
 }
 
 // losePower ends the fault's nodes and endpoints, and discovery if all nodes are hit, at the same time. Each of them
@@ -171,7 +171,7 @@
 	if f.Zone == "" && len(f.Nodes) == len(sim.nodes) {
 		sim.discovery.setDown(true)
 		if f.DiscoveryBack > 0 {
-			sim.delay(int64(f.DiscoveryBack), func() { sim.discovery.setDown(false) })
+			sim.after(int64(f.DiscoveryBack), func() { sim.discovery.setDown(false) })
 		}
 	}
 	for i, target := range f.Nodes {
@@ -182,7 +182,7 @@
 		sim.history.Excuse(n.record, invariant.Interval{From: sim.now, To: invariant.Never})
 		n.kill()
 		if f.NodesBack > 0 {
-			sim.delay(f.RestoreDelay(f.NodesBack, f.Seed, i), sim.restartFunc(n))
+			sim.after(f.RestoreDelay(f.NodesBack, f.Seed, i), sim.restartFunc(n))
 		}
 	}
 	for i, target := range f.Targets {
@@ -190,7 +190,7 @@
 		e.die()
 		sim.discovery.set(e, model.Removed, delay)
 		if f.EndpointsBack > 0 {
-			sim.delay(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { sim.restartEndpoint(e, delay) })
+			sim.after(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { sim.restartEndpoint(e, delay) })
 		}
 	}
 }
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -142,16 +142,16 @@
 		}
 		membership.Tick(n.clock())
 		n.listGossip.tick(n)
-		sim.delay(tickInterval, tick)
+		sim.after(tickInterval, tick)
 	}
-	sim.delay(int64(seed%uint64(tickInterval)), tick)
+	sim.after(int64(seed%uint64(tickInterval)), tick)
 }
 
 // memberTransport sends the datagrams of the membership protocol.
 type memberTransport node
 
-func (s *memberTransport) Send(to int, datagram []byte) {
-	n := (*node)(s)
+func (t *memberTransport) Send(to int, datagram []byte) {
+	n := (*node)(t)
 	sim := n.sim
 	sim.count(func(t *trace.FleetActivity) { t.Members++; t.MembershipBytes += len(datagram) })
 	other := sim.nodes[to]
@@ -170,9 +170,9 @@
 	if fate.Rate > 0 {
 		fate.Delay += int64(float64(len(datagram)) / fate.Rate * 1e9)
 	}
-	sim.delay(oneWay+fate.Delay, func() { other.receiveDatagram(datagram) })
+	sim.after(oneWay+fate.Delay, func() { other.receiveDatagram(datagram) })
 	if fate.DuplicateAfter > 0 {
-		sim.delay(oneWay+fate.Delay+fate.DuplicateAfter, func() { other.receiveDatagram(datagram) })
+		sim.after(oneWay+fate.Delay+fate.DuplicateAfter, func() { other.receiveDatagram(datagram) })
 	}
 }
 
@@ -216,6 +216,6 @@
 	}
 	sim.running = append(sim.running, trace.RunningNodes{At: sim.now, States: string(running)})
 	if sim.now < int64(sim.scenario.Length) {
-		sim.delay(viewInterval, sim.recordViews)
+		sim.after(viewInterval, sim.recordViews)
 	}
 }
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -208,7 +208,7 @@
 		n.watch.close()
 	}
 	record := n.record
-	sim.delay(int64(sim.scenario.Nodes.DeathNotice), func() {
+	sim.after(int64(sim.scenario.Nodes.DeathNotice), func() {
 		if n.record == record && !n.alive {
 			n.admitted = false
 		}
@@ -229,7 +229,7 @@
 		n.pendingOrder = kept
 	}
 	request.pending = p
-	n.sim.delay(receiveDelay, func() {
+	n.sim.after(receiveDelay, func() {
 		n.post(func() {
 			if p.answered {
 				return
@@ -279,7 +279,7 @@
 	p.answered = true
 	n.release(p)
 	record := n.record
-	n.sim.delay(sendDelay+n.sim.linkDelay(n.linkEnd(), n.clientEnd()), func() {
+	n.sim.after(sendDelay+n.sim.linkDelay(n.linkEnd(), n.clientEnd()), func() {
 		if n.alive && n.record == record && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.clientEnd()) {
 			return // the response is lost on the link
 		}
@@ -307,7 +307,7 @@
 		return
 	}
 	at, fresh := n.clock(), a.newConnection
-	n.sim.delay(receiveDelay/2, func() {
+	n.sim.after(receiveDelay/2, func() {
 		n.post(func() {
 			p := a.pending
 			p.inFlight--
@@ -333,7 +333,7 @@
 	c.idleSince = n.sim.now
 	n.idle[c.endpoint] = append(n.idle[c.endpoint], c)
 	since := c.idleSince
-	n.sim.delay(int64(n.settings.IdleTimeout)*3/4, func() {
+	n.sim.after(int64(n.settings.IdleTimeout)*3/4, func() {
 		if c.closed || c.idleSince != since {
 			return
 		}
@@ -421,7 +421,7 @@
 		}
 	})
 	if e == nil || p.answered {
-		sim.delay(0, func() { n.attemptEnded(a, policy.OutcomeNotSent, noReport, false) })
+		sim.after(0, func() { n.attemptEnded(a, policy.OutcomeNotSent, noReport, false) })
 		return
 	}
 	a.incarnation, a.oneWay = e.incarnation, e.delayTo(n)
@@ -441,7 +441,7 @@
 		after = int64(n.settings.ConnectTimeout)
 	}
 	after = min(after, max(a.deadline-sim.now, 0))
-	sim.delay(after, func() { n.attemptEnded(a, policy.OutcomeConnectFailed, noReport, false) })
+	sim.after(after, func() { n.attemptEnded(a, policy.OutcomeConnectFailed, noReport, false) })
 }
 
 // write sends an attempt over its connection.
@@ -467,15 +467,15 @@
 	if a.newConnection {
 		delay += int64(e.fleet.ConnectionWait) + 2*a.oneWay
 	}
-	sim.delay(delay, a.arrive)
+	sim.after(delay, a.arrive)
 }
 
-func (n *node) Cancel(id policy.RequestID, incarnation int) {
+func (n *node) Cancel(id policy.RequestID, number int) {
 	p := n.requests[id]
-	if p == nil || incarnation >= len(p.attempts) || p.attempts[incarnation].ended {
+	if p == nil || number >= len(p.attempts) || p.attempts[number].ended {
 		return
 	}
-	a := p.attempts[incarnation]
+	a := p.attempts[number]
 	if a.record == nil {
 		n.attemptEnded(a, policy.OutcomeNotSent, noReport, false)
 		return
@@ -542,7 +542,7 @@
 	sim.count(func(t *trace.FleetActivity) { t.HealthChecks++ })
 	if e == nil || !e.up || e.isCutFrom(n.index) || e.faults.unresponsive || !sim.links.Open(sim.now, n.linkEnd(), e.linkEnd()) ||
 		!sim.links.Open(sim.now, e.linkEnd(), n.linkEnd()) {
-		sim.delay(int64(n.settings.ConnectTimeout), func() {
+		sim.after(int64(n.settings.ConnectTimeout), func() {
 			n.post(func() {
 				n.decider.HealthChecked(policy.Time(n.clock()), id, policy.OutcomeTimedOut, noReport)
 			})
@@ -550,14 +550,14 @@
 		return
 	}
 	oneWay := e.delayTo(n)
-	sim.delay(oneWay, func() {
+	sim.after(oneWay, func() {
 		if !e.up {
 			return
 		}
 		e.model.Charge(sim.now, int64(e.fleet.HealthCheckWork))
 		e.scheduleWake()
 		report := e.report()
-		sim.delay(oneWay, func() {
+		sim.after(oneWay, func() {
 			n.post(func() { n.decider.HealthChecked(policy.Time(n.clock()), id, policy.OutcomeSucceeded, report) })
 		})
 	})
@@ -576,7 +576,7 @@
 		if fate.Lost || fate.CorruptByte >= 0 {
 			continue
 		}
-		sim.delay(fate.Delay+int64(sim.scenario.Network.CrossZone)+int64(sim.random.Float64()*float64(gossipDelay)), func() {
+		sim.after(fate.Delay+int64(sim.scenario.Network.CrossZone)+int64(sim.random.Float64()*float64(gossipDelay)), func() {
 			other.post(func() {
 				if received, err := other.inbox.Open(n.index, encoded, other.clock()); err == nil {
 					other.decider.GossipReceived(policy.Time(other.clock()), received)
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -216,10 +216,10 @@
 		f := &sim.plan.Faults[i]
 		sim.at(int64(f.At), func() { sim.startFault(f) })
 	}
-	sim.delay(sampleInterval, sim.sample)
+	sim.after(sampleInterval, sim.sample)
 	sim.scheduleLinkResets()
 	if sim.scenario.Nodes.Membership {
-		sim.delay(viewInterval, sim.recordViews)
+		sim.after(viewInterval, sim.recordViews)
 	}
 	return nil
 }
@@ -236,7 +236,7 @@
 	}
 	sim.loads = append(sim.loads, s)
 	if sim.now < int64(sim.scenario.Length) {
-		sim.delay(sampleInterval, sim.sample)
+		sim.after(sampleInterval, sim.sample)
 	}
 }
 
