--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -198,12 +198,12 @@
 		}
 		settings := &d.run.scenario.Discovery
 		d.mu.Lock()
-		down, lines := d.down, len(d.list.Complete())
+		down, entries := d.down, len(d.list.Complete())
 		if c.afterVersion > 0 {
 			changed, _ := d.list.ChangesAfter(c.afterVersion)
-			lines = len(changed)
+			entries = len(changed)
 		}
-		cost := time.Duration(d.slowdown * float64(int64(settings.CallTime)+int64(settings.EntryTime)*int64(lines)))
+		cost := time.Duration(d.slowdown * float64(int64(settings.CallTime)+int64(settings.EntryTime)*int64(entries)))
 		d.mu.Unlock()
 		if down || time.Since(c.arrivedAt)+cost > time.Duration(settings.CallTimeout) {
 			d.failCall(c)
--- a/internal/lab/emulator/emulation.go
+++ b/internal/lab/emulator/emulation.go
@@ -390,7 +390,7 @@
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	end := time.After(length + longest + settleTime)
-	settled := false
+	allFinished := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -409,10 +409,10 @@
 			if run.now()-run.startedAt < int64(length) {
 				continue
 			}
-			if unfinished == 0 && settled {
+			if unfinished == 0 && allFinished {
 				return nil
 			}
-			settled = unfinished == 0 // wait one more tick for events after the last response
+			allFinished = unfinished == 0 // wait one more tick for events after the last response
 		}
 	}
 }
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -90,7 +90,7 @@
 	for _, c := range []struct {
 		misbehavior, faults string
 		rule                int
-		what                string
+		description                string
 	}{
 		{"lose", "", 1, "connection ended without an answer"},
 		{"late", "", 1, "after its hard limit"},
@@ -115,9 +115,9 @@
 				t.Fatalf("got no violations, want some; got anomalies: %v", r.Anomalies)
 			}
 			for _, b := range r.Violations {
-				if b.Rule != c.rule || !strings.Contains(b.Description, c.what) || b.Node != 0 || b.At < 0 ||
+				if b.Rule != c.rule || !strings.Contains(b.Description, c.description) || b.Node != 0 || b.At < 0 ||
 					b.At > int64(5*time.Second) {
-					t.Errorf("got violation %v, want only rule %d by node 0 in the first 5 s, with text %q", b, c.rule, c.what)
+					t.Errorf("got violation %v, want only rule %d by node 0 in the first 5 s, with text %q", b, c.rule, c.description)
 				}
 				if c.rule == 4 {
 					if b.Endpoint != 1 {
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -131,11 +131,11 @@
 func (n *node) writeConfig(known []byte, seed uint64) error {
 	text := encodeConfig(n.run.scenario, fmt.Sprintf("n%d", n.index), n.address, n.run.discovery.addressFor(n.index), seed, n.index, n.zone, known,
 		n.gossipConfig(), n.run.nodeAddress(n.index, adminPort))
-	part := n.config + ".new"
-	if err := os.WriteFile(part, text, 0o600); err != nil {
+	temporary := n.config + ".new"
+	if err := os.WriteFile(temporary, text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(part, n.config)
+	return os.Rename(temporary, n.config)
 }
 
 // start starts a process of the node. It does not wait until the node is ready.
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -34,9 +34,9 @@
 	if FaultTargets[f.Kind] != LinkTarget {
 		return netfault.Fault{}, false
 	}
-	site := s.Topology()
-	from, errFrom := site.Ends(f.From)
-	to, errTo := site.Ends(f.To)
+	topology := s.Topology()
+	from, errFrom := topology.Ends(f.From)
+	to, errTo := topology.Ends(f.To)
 	end := int64(f.At + f.For)
 	if f.For == 0 {
 		end = int64(f.At) + 2*int64(s.Length)
--- a/internal/lab/simulation/listgossip.go
+++ b/internal/lab/simulation/listgossip.go
@@ -100,7 +100,7 @@
 		return false
 	}
 	changed, removed := n.sim.gossipEntries(entries)
-	all := g.exchange.WatchUpdated(n.clock(), version, changed, removed, complete)
-	n.applyGossipEntries(all, true)
-	return all != nil
+	completeList := g.exchange.WatchUpdated(n.clock(), version, changed, removed, complete)
+	n.applyGossipEntries(completeList, true)
+	return completeList != nil
 }
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -252,9 +252,9 @@
 // requestID returns the ID of a request, in the same form as the emulator.
 func (sim *Simulation) requestID(operation, request int) string {
 	b := append(make([]byte, 0, 16), sim.requestIDPrefix...)
-	for _, part := range [][2]int{{operation, 6}, {request, 2}} {
-		text := strconv.FormatInt(int64(part[0]), 16)
-		for range part[1] - len(text) {
+	for _, field := range [][2]int{{operation, 6}, {request, 2}} {
+		text := strconv.FormatInt(int64(field[0]), 16)
+		for range field[1] - len(text) {
 			b = append(b, '0')
 		}
 		b = append(b, text...)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -227,14 +227,14 @@
 func TestGossipHealthChecksAndMembershipAreSimulated(t *testing.T) {
 	s := readScenario(t, "fail-fast", 12)
 	s.Nodes.Membership, s.Reports.HealthChecked = true, true
-	var all trace.FleetActivity
+	var total trace.FleetActivity
 	r := runScenario(t, s, NewBalancer)
-	for _, one := range r.Activity {
-		all.HealthChecks, all.Gossip, all.Members = all.HealthChecks+one.HealthChecks, all.Gossip+one.Gossip, all.Members+one.Members
+	for _, second := range r.Activity {
+		total.HealthChecks, total.Gossip, total.Members = total.HealthChecks+second.HealthChecks, total.Gossip+second.Gossip, total.Members+second.Members
 	}
-	if all.HealthChecks == 0 || all.Gossip == 0 || all.Members == 0 || len(r.Views) == 0 {
+	if total.HealthChecks == 0 || total.Gossip == 0 || total.Members == 0 || len(r.Views) == 0 {
 		t.Errorf(
-			"got %d health checks, %d gossip messages, %d membership datagrams, %d views, want some of each", all.HealthChecks, all.Gossip, all.Members,
+			"got %d health checks, %d gossip messages, %d membership datagrams, %d views, want some of each", total.HealthChecks, total.Gossip, total.Members,
 			len(r.Views),
 		)
 	}
--- a/internal/lab/trace/rules.go
+++ b/internal/lab/trace/rules.go
@@ -93,8 +93,8 @@
 		nodes := endsOf(&fault, netfault.Node)
 		if len(endsOf(&fault, netfault.Discovery)) > 0 {
 			for _, node := range nodes {
-				span := invariant.Interval{From: fault.Begin, To: fault.End}
-				h.Outages = append(h.Outages, &invariant.Outage{Node: node, Interval: span})
+				interval := invariant.Interval{From: fault.Begin, To: fault.End}
+				h.Outages = append(h.Outages, &invariant.Outage{Node: node, Interval: interval})
 			}
 		}
 		if len(endsOf(&fault, netfault.Client)) == 0 {
@@ -102,8 +102,8 @@
 		}
 		for _, process := range h.Processes {
 			if slices.Contains(nodes, process.Node) {
-				span := invariant.Interval{From: fault.Begin, To: fault.End + excusedAfterReconnect}
-				process.Excused = append(process.Excused, span)
+				interval := invariant.Interval{From: fault.Begin, To: fault.End + excusedAfterReconnect}
+				process.Excused = append(process.Excused, interval)
 			}
 		}
 	}
--- a/internal/lab/workload/faults.go
+++ b/internal/lab/workload/faults.go
@@ -93,15 +93,15 @@
 // drawTargets draws the number of candidates that the fault's share or count asks for, all if it has neither. The
 // result is in ascending order.
 func drawTargets(draw *rand.Rand, candidates []int, f *scenario.Fault) []int {
-	want := f.Count
+	count := f.Count
 	if f.Share > 0 {
-		want = max(1, int(math.Round(f.Share*float64(len(candidates)))))
+		count = max(1, int(math.Round(f.Share*float64(len(candidates)))))
 	}
-	if want == 0 || want > len(candidates) {
-		want = len(candidates)
+	if count == 0 || count > len(candidates) {
+		count = len(candidates)
 	}
 	draw.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	targets := candidates[:want]
+	targets := candidates[:count]
 	slices.Sort(targets)
 	return targets
 }
