--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -32,18 +32,19 @@
 type clientRequest struct {
 	operation        *workload.Operation
 	number           int
-	due              int64 // when this request is due
+	due              int64
 	deadline         int64
 	key              string
 	id               string
 	record           *invariant.Request
-	resent           bool // was written to a connection that the node had closed, and is sent again
-	previousClosedAt int64
+	resent           bool  // was written to a connection that the node had closed, and is sent again
+	previousClosedAt int64 // when the client saw that close; 0 if not resent
 }
 
+// clients sends the operations of the plan, and retries, to the nodes.
 type clients struct {
 	run      *Emulation
-	pools    []*pool
+	pools    []*pool // by node
 	byZone   [][]*pool
 	nextNode []int
 	pickers  []workload.NodePicker // by zone; nil: nodes are used in turn
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -21,6 +21,7 @@
 	maxQueuedCalls       = 256
 )
 
+// discovery is the emulated discovery service.
 type discovery struct {
 	run *Emulation
 
@@ -30,7 +31,7 @@
 	initial          [][]byte     // the list at the start of the run, by node
 	down             bool
 	outage           *invariant.Outage
-	slowdown         float64
+	slowdown         float64              // multiplies the time of each call
 	extraChangeDelay time.Duration        // additional delay of changes of the list
 	listeners        []*discoveryListener // by node
 	calls            chan *call
@@ -46,6 +47,7 @@
 	conns      map[net.Conn]struct{}
 }
 
+// call is a node's call for the list, either once or as a watch.
 type call struct {
 	node, incarnation int
 	conn              net.Conn
--- a/internal/lab/emulator/emulation.go
+++ b/internal/lab/emulator/emulation.go
@@ -59,7 +59,7 @@
 	anomalies     map[string]int
 	errs          []error
 	deduplicators map[dedupKey]*sharedDeduplicator
-	slotWaits     map[int]int64
+	slotWaits     map[int]int64 // active wait faults in nanoseconds, by waitKey
 	loads         []trace.LoadSample
 	networkOctets [2]int
 	discovery     *discovery
@@ -71,11 +71,13 @@
 	running       []trace.RunningNodes
 }
 
+// dedupKey identifies a deduplication group of a class.
 type dedupKey struct {
 	class int
 	group string
 }
 
+// sharedDeduplicator is a Deduplicator that is safe for concurrent use.
 type sharedDeduplicator struct {
 	mu sync.Mutex
 	*model.Deduplicator
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -90,7 +90,7 @@
 	for _, c := range []struct {
 		misbehavior, faults string
 		rule                int
-		description                string
+		description         string
 	}{
 		{"lose", "", 1, "connection ended without an answer"},
 		{"late", "", 1, "after its hard limit"},
--- a/internal/lab/emulator/endpoint.go
+++ b/internal/lab/emulator/endpoint.go
@@ -55,6 +55,7 @@
 	wakeup    chan struct{}
 }
 
+// loadSample is the load of an endpoint at one time.
 type loadSample struct {
 	sampledAt int64
 	figures   model.LoadFigures
@@ -92,9 +93,9 @@
 	record       *invariant.Attempt
 	id           int64
 	incarnation  int
-	bodySize     int // of the request
-	failureDraw  float64
-	oneWay       time.Duration
+	bodySize     int           // of the request
+	failureDraw  float64       // the attempt fails if this is below the fleet's error share
+	oneWay       time.Duration // network delay to the endpoint and back, each way
 	deduplicated bool
 	answered     atomic.Bool
 }
--- a/internal/lab/emulator/lag.go
+++ b/internal/lab/emulator/lag.go
@@ -17,11 +17,12 @@
 	voidShare = 20
 )
 
+// lagMonitor records the worst lag of the emulator in each time slot.
 type lagMonitor struct {
 	now func() int64
 
 	mu    sync.Mutex
-	slots []int64
+	slots []int64 // worst lag in nanoseconds, by slot of lagSlot
 }
 
 // run measures the lag of timers until done is closed.
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -80,6 +80,7 @@
 	return p, nil
 }
 
+// osProcess is a node that runs as a process of the operating system.
 type osProcess struct {
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -101,6 +102,7 @@
 	return nil
 }
 
+// node is one node with its configuration and its current process.
 type node struct {
 	run     *Emulation
 	index   int
--- a/internal/lab/emulator/referenceproxy.go
+++ b/internal/lab/emulator/referenceproxy.go
@@ -528,6 +528,7 @@
 	}
 }
 
+// inProcess is a reference proxy as a Process.
 type inProcess struct {
 	proxy *ReferenceProxy
 	done  chan struct{}
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -14,15 +14,15 @@
 	minLinkRate = 100 // bytes per second
 )
 
-// Site returns the names and zones by which link faults refer to the ends of links.
+// Topology returns the names and zones by which link faults refer to the ends of links.
 func (s *Scenario) Topology() *netfault.Topology {
-	site := &netfault.Topology{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
+	topology := &netfault.Topology{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
 	for i := range s.Nodes.Count {
-		site.NodeZones = append(site.NodeZones, s.NodeZone(i))
+		topology.NodeZones = append(topology.NodeZones, s.NodeZone(i))
 	}
 	for i := range s.Fleets {
 		for n := range s.Fleets[i].Count {
-			site.EndpointZones = append(site.EndpointZones, s.Fleets[i].Zones[n%len(s.Fleets[i].Zones)])
+			topology.EndpointZones = append(topology.EndpointZones, s.Fleets[i].Zones[n%len(s.Fleets[i].Zones)])
 		}
 	}
 	return site
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -22,6 +22,7 @@
 	finished  bool
 }
 
+// clients simulates the clients and the fronts, which send operations and retries to the nodes.
 type clients struct {
 	sim            *Simulation
 	byZone         [][]*node
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -20,6 +20,7 @@
 	maxCalls = 16
 )
 
+// discovery simulates the discovery service.
 type discovery struct {
 	sim              *Simulation
 	list             *model.EndpointList
@@ -28,7 +29,7 @@
 	initial          []model.ListEntry
 	down             bool
 	outage           *invariant.Outage
-	slowdown         float64
+	slowdown         float64 // multiplies the time of each call
 	extraChangeDelay int64
 	busyUntil        int64 // when all calls that are queued now are handled
 	queuedCalls      int
@@ -274,6 +275,7 @@
 	}
 }
 
+// open records that a call was answered and delivers the first update.
 func (w *watch) open() {
 	sim := w.node.sim
 	w.record = &invariant.Watch{
@@ -297,6 +299,7 @@
 	w.node.sim.at(w.startedAt+(since/period+1)*period, w.deliver)
 }
 
+// deliver delivers the changes since the last update, if there are any and the link is open.
 func (w *watch) deliver() {
 	if w.scheduled = false; w.closed {
 		return
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -22,6 +22,7 @@
 	corruptShare        float64 // fraction of the responses
 }
 
+// endpoint simulates an endpoint: connections and faults around its model.
 type endpoint struct {
 	sim   *Simulation
 	spec  workload.Endpoint
@@ -46,6 +47,7 @@
 	epoch       int
 }
 
+// loadSample is the load of an endpoint at one time.
 type loadSample struct {
 	sampledAt int64
 	figures   model.LoadFigures
@@ -435,6 +437,7 @@
 	return sim.deduplicators[k]
 }
 
+// dedupKey identifies a deduplication group of a class.
 type dedupKey struct {
 	class int
 	group string
--- a/internal/lab/simulation/events.go
+++ b/internal/lab/simulation/events.go
@@ -1,11 +1,13 @@
 package simulation
 
+// event is an action at a virtual time.
 type event struct {
 	at     int64
 	seq    uint64
 	action func()
 }
 
+// eventQueue is the virtual clock and the events that are scheduled on it.
 type eventQueue struct {
 	now     int64
 	seq     uint64
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -27,6 +27,7 @@
 	answered    bool
 }
 
+// node simulates a node: its process, its connections and its clock around the decisions.
 type node struct {
 	sim         *Simulation
 	index       int
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -23,7 +23,7 @@
 
 // Decider makes the decisions of one node: a policy.Balancer or a baseline. Times are those of the node's own clock.
 type Decider interface {
-	EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, whole bool)
+	EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, complete bool)
 	WatchFailed(now policy.Time)
 	RequestArrived(now policy.Time, t policy.Request)
 	AttemptEnded(now policy.Time, a policy.AttemptResult)
@@ -43,7 +43,7 @@
 }
 
 // NewDecider creates the decider of a node. It is called at each start of the node.
-type NewDecider func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider
+type NewDecider func(node int, settings policy.Settings, seed uint64, effects policy.Effects, state ClusterState) Decider
 
 // NewBalancer creates a policy.Balancer.
 func NewBalancer(_ int, settings policy.Settings, seed uint64, effects policy.Effects, _ ClusterState) Decider {
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -212,6 +212,7 @@
 	}
 }
 
+// doubleSender sends each attempt twice.
 type doubleSender struct{ policy.Effects }
 
 func (t *doubleSender) Send(id policy.RequestID, s policy.EndpointID, wait time.Duration) {
@@ -219,6 +220,7 @@
 	t.Effects.Send(id, s, wait)
 }
 
+// neverSender sends no attempts.
 type neverSender struct{ policy.Effects }
 
 func (s *neverSender) Send(policy.RequestID, policy.EndpointID, time.Duration) {}
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -92,7 +92,7 @@
 	Anomalies  map[string]int // counts of anomalies that violate no rule, by description
 	GivenUp    map[string]int // requests that nodes rejected or failed, by the reason that the nodes gave
 	Void       bool           // the lab itself ran too late for the results to count
-	Lag        time.Duration  // how late the lab ran, in all but the worst twentieth of the time
+	Lag        time.Duration  // how late the lab ran at most, except in the worst twentieth of the time
 	BadClients BadClientCounts
 	Endpoints  []string // names, by index
 	Elapsed    time.Duration
