--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -25,7 +25,7 @@
 			topology.EndpointZones = append(topology.EndpointZones, s.Fleets[i].Zones[n%len(s.Fleets[i].Zones)])
 		}
 	}
-	return site
+	return topology
 }
 
 // LinkFault converts a fault for the schedule of link faults. It returns false if the fault is not of a link, or names
