--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -184,7 +184,7 @@
 	request.record = nil
 	zone := c.byZone[request.operation.Zone]
 	if picker := c.pickers[request.operation.Zone]; picker != nil {
-		c.nextNode[request.operation.Zone] = picker.Pick(request.operation, request.number) - 1 // if not admitted, the next one
+		c.nextNode[request.operation.Zone] = picker.Pick(request.operation, request.number) - 1 // else the next admitted one
 	}
 	for range zone {
 		c.nextNode[request.operation.Zone]++
