--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -20,10 +20,10 @@
 
 // gateFlags are those of the gate command.
 type gateFlags struct {
-	nodes  int
-	seeds  int
-	by     string
-	asJSON bool
+	nodes       int
+	seeds       int
+	deciderName string
+	asJSON      bool
 }
 
 // gateReport is the JSON of the gate command.
@@ -62,7 +62,7 @@
 	var f gateFlags
 	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes in place of the scenarios'")
 	c.Flags().IntVar(&f.seeds, "seeds", 1, "seeds of each day, from the scenario's on")
-	c.Flags().StringVar(&f.by, "by", moduleName, "what is judged")
+	c.Flags().StringVar(&f.deciderName, "by", moduleName, "what is judged")
 	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object")
 	c.RunE = func(c *cobra.Command, paths []string) error { return runGate(c, f, paths) }
 	return c
@@ -72,7 +72,7 @@
 	if f.seeds < 1 || f.seeds > 1000 {
 		return fmt.Errorf("--seeds: expected 1 to 1,000, got %d", f.seeds)
 	}
-	deciders := []string{f.by, lateSeeingName, randomName}
+	deciders := []string{f.deciderName, lateSeeingName, randomName}
 	var runs []virtualRun
 	for _, path := range paths {
 		s, err := readScenario(path, f.nodes)
--- a/cmd/fawnglade-lab/hunt.go
+++ b/cmd/fawnglade-lab/hunt.go
@@ -23,7 +23,7 @@
 	draws        int
 	keep         int
 	nodes        int
-	by           string
+	deciderName  string
 	baselineName string
 }
 
@@ -45,7 +45,7 @@
 	c.Flags().IntVar(&f.draws, "draws", 64, "random days at the start")
 	c.Flags().IntVar(&f.keep, "keep", 8, "of them are changed further")
 	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes in place of the scenario's")
-	c.Flags().StringVar(&f.by, "by", moduleName, "what is judged")
+	c.Flags().StringVar(&f.deciderName, "by", moduleName, "what is judged")
 	c.Flags().StringVar(&f.baselineName, "than", lateSeeingName, "what it is judged against")
 	c.RunE = func(c *cobra.Command, args []string) error { return hunt(c, f, args[0]) }
 	return c
@@ -77,7 +77,7 @@
 
 // play plays both deciders on one scenario and seed.
 func (f *huntFlags) runBoth(ctx context.Context, s *scenario.Scenario, seed uint64) (faultsearch.Score, error) {
-	judged, err := runVirtual(ctx, virtualRun{s, seed, f.by})
+	judged, err := runVirtual(ctx, virtualRun{s, seed, f.deciderName})
 	if err != nil {
 		return faultsearch.Score{}, err
 	}
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -31,9 +31,9 @@
 
 // Cell is one run of the grid.
 type Cell struct {
-	Values []string // one for each axis
-	By     string   // name of the decider
-	Seed   uint64
+	Values  []string // one for each axis
+	Decider string   // name of the decider
+	Seed    uint64
 }
 
 // name identifies the cell within its sweep.
@@ -41,7 +41,7 @@
 
 // fields are the cell's part of a row of the table.
 func (c Cell) fields() []string {
-	return append(slices.Clone(c.Values), c.By, strconv.FormatUint(c.Seed, 10))
+	return append(slices.Clone(c.Values), c.Decider, strconv.FormatUint(c.Seed, 10))
 }
 
 // Grid returns all cells: the axes' values outermost, then the deciders, then the seeds from firstSeed on.
