--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -32,18 +32,19 @@
 type clientRequest struct {
 	operation        *workload.Operation
 	number           int
-	due              int64 // when this request is due
+	due              int64
 	deadline         int64
 	key              string
 	id               string
 	record           *invariant.Request
-	resent           bool // was written to a connection that the node had closed, and is sent again
-	previousClosedAt int64
+	resent           bool  // was written to a connection that the node had closed, and is sent again
+	previousClosedAt int64 // when the client saw that close; 0 if not resent
 }
 
+// clients sends the operations of the plan, and retries, to the nodes.
 type clients struct {
 	run      *Emulation
-	pools    []*pool
+	pools    []*pool // by node
 	byZone   [][]*pool
 	nextNode []int
 	pickers  []workload.NodePicker // by zone; nil: nodes are used in turn
@@ -137,9 +138,9 @@
 	for {
 		now := c.run.now()
 		for next < len(operations) && operations[next].Due+delay <= now {
-			t := &operations[next]
-			c.run.lag.record(t.Due+delay, t.Due+delay, now-t.Due-delay)
-			c.send(c.firstRequest(t))
+			o := &operations[next]
+			c.run.lag.record(o.Due+delay, o.Due+delay, now-o.Due-delay)
+			c.send(c.firstRequest(o))
 			next++
 		}
 		wait := int64(time.Second)
@@ -155,8 +156,8 @@
 			wait = min(wait, c.retries[0].due-now)
 		}
 		c.mu.Unlock()
-		for _, t := range due {
-			c.send(t)
+		for _, request := range due {
+			c.send(request)
 		}
 		timer.Reset(time.Duration(max(wait, 0)))
 		select {
@@ -183,7 +184,7 @@
 	request.record = nil
 	zone := c.byZone[request.operation.Zone]
 	if picker := c.pickers[request.operation.Zone]; picker != nil {
-		c.nextNode[request.operation.Zone] = picker.Pick(request.operation, request.number) - 1 // if not admitted, the next one
+		c.nextNode[request.operation.Zone] = picker.Pick(request.operation, request.number) - 1 // else the next admitted one
 	}
 	for range zone {
 		c.nextNode[request.operation.Zone]++
--- a/internal/lab/emulator/emulation.go
+++ b/internal/lab/emulator/emulation.go
@@ -59,7 +59,7 @@
 	anomalies     map[string]int
 	errs          []error
 	deduplicators map[dedupKey]*sharedDeduplicator
-	slotWaits     map[int]int64
+	slotWaits     map[int]int64 // active wait faults in nanoseconds, by waitKey
 	loads         []trace.LoadSample
 	networkOctets [2]int
 	discovery     *discovery
@@ -71,11 +71,13 @@
 	running       []trace.RunningNodes
 }
 
+// dedupKey identifies a deduplication group of a class.
 type dedupKey struct {
 	class int
 	group string
 }
 
+// sharedDeduplicator is a Deduplicator that is safe for concurrent use.
 type sharedDeduplicator struct {
 	mu sync.Mutex
 	*model.Deduplicator
@@ -390,7 +392,7 @@
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	end := time.After(length + longest + settleTime)
-	settled := false
+	allFinished := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -409,10 +411,10 @@
 			if run.now()-run.startedAt < int64(length) {
 				continue
 			}
-			if unfinished == 0 && settled {
+			if unfinished == 0 && allFinished {
 				return nil
 			}
-			settled = unfinished == 0 // wait one more tick for events after the last response
+			allFinished = unfinished == 0 // wait one more tick for events after the last response
 		}
 	}
 }
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -80,6 +80,7 @@
 	return p, nil
 }
 
+// osProcess is a node that runs as a process of the operating system.
 type osProcess struct {
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -101,6 +102,7 @@
 	return nil
 }
 
+// node is one node with its configuration and its current process.
 type node struct {
 	run     *Emulation
 	index   int
@@ -131,11 +133,11 @@
 func (n *node) writeConfig(known []byte, seed uint64) error {
 	text := encodeConfig(n.run.scenario, fmt.Sprintf("n%d", n.index), n.address, n.run.discovery.addressFor(n.index), seed, n.index, n.zone, known,
 		n.gossipConfig(), n.run.nodeAddress(n.index, adminPort))
-	part := n.config + ".new"
-	if err := os.WriteFile(part, text, 0o600); err != nil {
+	temporary := n.config + ".new"
+	if err := os.WriteFile(temporary, text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(part, n.config)
+	return os.Rename(temporary, n.config)
 }
 
 // start starts a process of the node. It does not wait until the node is ready.
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -14,18 +14,18 @@
 	minLinkRate = 100 // bytes per second
 )
 
-// Site returns the names and zones by which link faults refer to the ends of links.
+// Topology returns the names and zones by which link faults refer to the ends of links.
 func (s *Scenario) Topology() *netfault.Topology {
-	site := &netfault.Topology{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
+	topology := &netfault.Topology{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
 	for i := range s.Nodes.Count {
-		site.NodeZones = append(site.NodeZones, s.NodeZone(i))
+		topology.NodeZones = append(topology.NodeZones, s.NodeZone(i))
 	}
 	for i := range s.Fleets {
 		for n := range s.Fleets[i].Count {
-			site.EndpointZones = append(site.EndpointZones, s.Fleets[i].Zones[n%len(s.Fleets[i].Zones)])
+			topology.EndpointZones = append(topology.EndpointZones, s.Fleets[i].Zones[n%len(s.Fleets[i].Zones)])
 		}
 	}
-	return site
+	return topology
 }
 
 // LinkFault converts a fault for the schedule of link faults. It returns false if the fault is not of a link, or names
@@ -34,9 +34,9 @@
 	if FaultTargets[f.Kind] != LinkTarget {
 		return netfault.Fault{}, false
 	}
-	site := s.Topology()
-	from, errFrom := site.Ends(f.From)
-	to, errTo := site.Ends(f.To)
+	topology := s.Topology()
+	from, errFrom := topology.Ends(f.From)
+	to, errTo := topology.Ends(f.To)
 	end := int64(f.At + f.For)
 	if f.For == 0 {
 		end = int64(f.At) + 2*int64(s.Length)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -22,6 +22,7 @@
 	finished  bool
 }
 
+// clients simulates the clients and the fronts, which send operations and retries to the nodes.
 type clients struct {
 	sim            *Simulation
 	byZone         [][]*node
@@ -126,7 +127,7 @@
 	if delay := sim.linkDelay(front, end); delay > 0 {
 		record.SentAt += delay
 		request.pending = &pendingRequest{node: n, incarnation: n.processRecord.Incarnation, request: request, record: record}
-		sim.delay(delay, func() {
+		sim.after(delay, func() {
 			if n.alive && n.processRecord.Incarnation == record.Incarnation && !request.finished {
 				n.receive(request, record)
 			}
@@ -211,7 +212,7 @@
 		operation: request.operation, number: request.number + 1, deadline: retry.Deadline, key: request.key,
 		id: sim.requestID(request.operation.Index, request.number+1),
 	}
-	sim.delay(retry.Wait, func() { c.send(next) })
+	sim.after(retry.Wait, func() { c.send(next) })
 }
 
 // finish records the outcome of an operation.
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -20,6 +20,7 @@
 	maxCalls = 16
 )
 
+// discovery simulates the discovery service.
 type discovery struct {
 	sim              *Simulation
 	list             *model.EndpointList
@@ -28,7 +29,7 @@
 	initial          []model.ListEntry
 	down             bool
 	outage           *invariant.Outage
-	slowdown         float64
+	slowdown         float64 // multiplies the time of each call
 	extraChangeDelay int64
 	busyUntil        int64 // when all calls that are queued now are handled
 	queuedCalls      int
@@ -73,7 +74,7 @@
 		do()
 		return
 	}
-	d.sim.delay(delay, do)
+	d.sim.after(delay, do)
 }
 
 // entries converts list entries to the form that the decisions use.
@@ -142,11 +143,11 @@
 		if refused {
 			after = refusalTime
 		}
-		sim.delay(after, func() { w.callEnded(0) })
+		sim.after(after, func() { w.callEnded(0) })
 		return
 	}
 	if sim.discovery.down || sim.discovery.queuedCalls >= maxQueuedCalls { // refused without being queued
-		sim.delay(refusalTime, func() { w.callEnded(0) })
+		sim.after(refusalTime, func() { w.callEnded(0) })
 		return
 	}
 	w.queueCall()
@@ -203,7 +204,7 @@
 		gap = laterCallDelay << max(w.calls-3, 0)
 	}
 	n := w.node
-	n.sim.delay(gap, func() {
+	n.sim.after(gap, func() {
 		if w.record == nil && !w.closed && n.processRecord == w.processRecord && n.alive {
 			w.call()
 		}
@@ -238,7 +239,7 @@
 		n.post(func() { n.decider.WatchFailed(policy.Time(n.clock())) })
 		n.failedCalls++
 		failures := n.failedCalls
-		sim.delay(callRetryInterval, func() {
+		sim.after(callRetryInterval, func() {
 			// Otherwise the decisions have requested a watch before, which has failed too.
 			if n.alive && n.processRecord == w.processRecord && n.failedCalls == failures {
 				n.startWatch()
@@ -249,7 +250,7 @@
 	// If updates are pushed, the node itself calls again.
 	wait := n.callBackoff
 	n.callBackoff = min(2*n.callBackoff, int64(maxCallBackoff))
-	sim.delay(wait, func() {
+	sim.after(wait, func() {
 		if n.alive && n.processRecord == w.processRecord {
 			n.startWatch()
 		}
@@ -274,6 +275,7 @@
 	}
 }
 
+// open records that a call was answered and delivers the first update.
 func (w *watch) open() {
 	sim := w.node.sim
 	w.record = &invariant.Watch{
@@ -297,6 +299,7 @@
 	w.node.sim.at(w.startedAt+(since/period+1)*period, w.deliver)
 }
 
+// deliver delivers the changes since the last update, if there are any and the link is open.
 func (w *watch) deliver() {
 	if w.scheduled = false; w.closed {
 		return
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -22,6 +22,7 @@
 	corruptShare        float64 // fraction of the responses
 }
 
+// endpoint simulates an endpoint: connections and faults around its model.
 type endpoint struct {
 	sim   *Simulation
 	spec  workload.Endpoint
@@ -46,6 +47,7 @@
 	epoch       int
 }
 
+// loadSample is the load of an endpoint at one time.
 type loadSample struct {
 	sampledAt int64
 	figures   model.LoadFigures
@@ -116,7 +118,7 @@
 		e.reports = e.reports[1:]
 	}
 	e.scheduleWake()
-	e.sim.delay(int64(e.sim.scenario.Reports.Period), func() { e.sampleLoad(incarnation) })
+	e.sim.after(int64(e.sim.scenario.Reports.Period), func() { e.sampleLoad(incarnation) })
 }
 
 // report returns a load report from the newest sample that is old enough to be reported.
@@ -326,13 +328,13 @@
 
 func (a *attempt) reject() {
 	a.record.Rejected = true
-	a.endpoint.sim.delay(a.returnDelay(), func() { a.respond(policy.OutcomeRejected, http.StatusServiceUnavailable) })
+	a.endpoint.sim.after(a.returnDelay(), func() { a.respond(policy.OutcomeRejected, http.StatusServiceUnavailable) })
 }
 
 // finish responds to an attempt that has run.
 func (a *attempt) finish() {
 	e := a.endpoint
-	e.sim.delay(a.returnDelay(), func() {
+	e.sim.after(a.returnDelay(), func() {
 		t := &e.faults
 		switch {
 		case a.failureDraw < e.fleet.ErrorShare:
@@ -409,7 +411,7 @@
 		return
 	}
 	e, incarnation := a.endpoint, a.incarnation
-	e.sim.delay(a.oneWay, func() {
+	e.sim.after(a.oneWay, func() {
 		if e.incarnation != incarnation || !e.up || e.jobs[a.id] != a {
 			return
 		}
@@ -435,6 +437,7 @@
 	return sim.deduplicators[k]
 }
 
+// dedupKey identifies a deduplication group of a class.
 type dedupKey struct {
 	class int
 	group string
--- a/internal/lab/simulation/events.go
+++ b/internal/lab/simulation/events.go
@@ -1,11 +1,13 @@
 package simulation
 
+// event is an action at a virtual time.
 type event struct {
 	at     int64
 	seq    uint64
 	action func()
 }
 
+// eventQueue is the virtual clock and the events that are scheduled on it.
 type eventQueue struct {
 	now     int64
 	seq     uint64
@@ -33,7 +35,7 @@
 	}
 }
 
-func (q *eventQueue) delay(delay int64, action func()) { q.at(q.now+delay, action) }
+func (q *eventQueue) after(delay int64, action func()) { q.at(q.now+delay, action) }
 
 // step runs the next event. It returns false if there is no event before end.
 func (q *eventQueue) step(end int64) bool {
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -23,7 +23,7 @@
 
 // Decider makes the decisions of one node: a policy.Balancer or a baseline. Times are those of the node's own clock.
 type Decider interface {
-	EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, whole bool)
+	EndpointsUpdated(now policy.Time, list []policy.EndpointInfo, complete bool)
 	WatchFailed(now policy.Time)
 	RequestArrived(now policy.Time, t policy.Request)
 	AttemptEnded(now policy.Time, a policy.AttemptResult)
@@ -43,7 +43,7 @@
 }
 
 // NewDecider creates the decider of a node. It is called at each start of the node.
-type NewDecider func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider
+type NewDecider func(node int, settings policy.Settings, seed uint64, effects policy.Effects, state ClusterState) Decider
 
 // NewBalancer creates a policy.Balancer.
 func NewBalancer(_ int, settings policy.Settings, seed uint64, effects policy.Effects, _ ClusterState) Decider {
@@ -216,10 +216,10 @@
 		f := &sim.plan.Faults[i]
 		sim.at(int64(f.At), func() { sim.startFault(f) })
 	}
-	sim.delay(sampleInterval, sim.sample)
+	sim.after(sampleInterval, sim.sample)
 	sim.scheduleLinkResets()
 	if sim.scenario.Nodes.Membership {
-		sim.delay(viewInterval, sim.recordViews)
+		sim.after(viewInterval, sim.recordViews)
 	}
 	return nil
 }
@@ -236,7 +236,7 @@
 	}
 	sim.loads = append(sim.loads, s)
 	if sim.now < int64(sim.scenario.Length) {
-		sim.delay(sampleInterval, sim.sample)
+		sim.after(sampleInterval, sim.sample)
 	}
 }
 
@@ -252,9 +252,9 @@
 // requestID returns the ID of a request, in the same form as the emulator.
 func (sim *Simulation) requestID(operation, request int) string {
 	b := append(make([]byte, 0, 16), sim.requestIDPrefix...)
-	for _, part := range [][2]int{{operation, 6}, {request, 2}} {
-		text := strconv.FormatInt(int64(part[0]), 16)
-		for range part[1] - len(text) {
+	for _, field := range [][2]int{{operation, 6}, {request, 2}} {
+		text := strconv.FormatInt(int64(field[0]), 16)
+		for range field[1] - len(text) {
 			b = append(b, '0')
 		}
 		b = append(b, text...)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -212,6 +212,7 @@
 	}
 }
 
+// doubleSender sends each attempt twice.
 type doubleSender struct{ policy.Effects }
 
 func (t *doubleSender) Send(id policy.RequestID, s policy.EndpointID, wait time.Duration) {
@@ -219,6 +220,7 @@
 	t.Effects.Send(id, s, wait)
 }
 
+// neverSender sends no attempts.
 type neverSender struct{ policy.Effects }
 
 func (s *neverSender) Send(policy.RequestID, policy.EndpointID, time.Duration) {}
@@ -227,14 +229,14 @@
 func TestGossipHealthChecksAndMembershipAreSimulated(t *testing.T) {
 	s := readScenario(t, "fail-fast", 12)
 	s.Nodes.Membership, s.Reports.HealthChecked = true, true
-	var all trace.FleetActivity
+	var total trace.FleetActivity
 	r := runScenario(t, s, NewBalancer)
-	for _, one := range r.Activity {
-		all.HealthChecks, all.Gossip, all.Members = all.HealthChecks+one.HealthChecks, all.Gossip+one.Gossip, all.Members+one.Members
+	for _, second := range r.Activity {
+		total.HealthChecks, total.Gossip, total.Members = total.HealthChecks+second.HealthChecks, total.Gossip+second.Gossip, total.Members+second.Members
 	}
-	if all.HealthChecks == 0 || all.Gossip == 0 || all.Members == 0 || len(r.Views) == 0 {
+	if total.HealthChecks == 0 || total.Gossip == 0 || total.Members == 0 || len(r.Views) == 0 {
 		t.Errorf(
-			"got %d health checks, %d gossip messages, %d membership datagrams, %d views, want some of each", all.HealthChecks, all.Gossip, all.Members,
+			"got %d health checks, %d gossip messages, %d membership datagrams, %d views, want some of each", total.HealthChecks, total.Gossip, total.Members,
 			len(r.Views),
 		)
 	}
