--- a/cmd/fawnglade-lab/compare.go
+++ b/cmd/fawnglade-lab/compare.go
@@ -33,7 +33,7 @@
 		Short: "Play two builds on the same seeds in turn and tell how they differ",
 		Long: `Play two builds on the same seeds in turn and tell how they differ.
 
-A build is a command or the path of a node's program, or a built-in plain proxy: ` + "plain:" + strings.Join(emulator.PlainKinds, ", plain:") + `.
+A build is a command or the path of a node's program, or a built-in plain proxy: ` + "plain:" + strings.Join(emulator.ReferenceProxyKinds, ", plain:") + `.
 Which of the two goes first changes with each pair.`,
 		Example: "  fawnglade-lab compare lab/scenarios/slow.toml --a plain:random --b bin/fawnglade --pairs 5\n" +
 			"  fawnglade-lab compare lab/scenarios/calm.toml --a old/fawnglade --b bin/fawnglade --json\n" +
--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -116,9 +116,9 @@
 		g.Connections += float64(second.Connections) / float64(max(own.Requests, 1))
 		g.ListCalls += second.ListCalls
 	}
-	if least := expect.OfLateSeeing * g.LateSeeing; g.InTime < least {
+	if least := expect.MinShareOfLateSeeing * g.LateSeeing; g.InTime < least {
 		g.Missed = append(g.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f of what %s keeps",
-			g.InTime, least, expect.OfLateSeeing, lateSeeingName))
+			g.InTime, least, expect.MinShareOfLateSeeing, lateSeeingName))
 	}
 	if least := g.Random - expect.MaxBelowRandom; expect.MaxBelowRandom > 0 && g.InTime < least {
 		g.Missed = append(g.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f under %s",
--- a/cmd/fawnglade-lab/program.go
+++ b/cmd/fawnglade-lab/program.go
@@ -70,8 +70,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if kind != relayProxy && !slices.Contains(emulator.PlainKinds, kind) {
-		return nil, fmt.Errorf("%s: expected plain: and one of %s", text, strings.Join(emulator.PlainKinds, ", "))
+	if kind != relayProxy && !slices.Contains(emulator.ReferenceProxyKinds, kind) {
+		return nil, fmt.Errorf("%s: expected plain: and one of %s", text, strings.Join(emulator.ReferenceProxyKinds, ", "))
 	}
 	return []string{self, "proxy", "--kind", kind}, nil
 }
--- a/internal/lab/emulator/badclients.go
+++ b/internal/lab/emulator/badclients.go
@@ -18,13 +18,13 @@
 const (
 	answerTimeout   = 3 * time.Second
 	hugeBodyTimeout = 6 * time.Second
-	hugeBody        = 60 << 20
-	floodSize       = 40
+	hugeBodySize    = 60 << 20
+	floodRequests   = 40
 )
 
 // badClients counts how they were answered.
 type badClients struct {
-	came, unanswered, served atomic.Int64
+	connected, unanswered, served atomic.Int64
 }
 
 // run starts them as they are due.
@@ -56,15 +56,15 @@
 	life := n.incarnation()
 	c.SetDeadline(time.Now().Add(within))
 	d.group.Go(func() error { b.write(d, c, one); return nil })
-	b.came.Add(1)
+	b.connected.Add(1)
 	met, served := awaitAnswer(c)
 	switch {
 	case served:
 		b.served.Add(1)
-		d.noteOddity("a bad client was served", one.Kind)
+		d.recordAnomaly("a bad client was served", one.Kind)
 	case !met && n.incarnation() == life && n.isAdmitted() && !d.isDone():
 		b.unanswered.Add(1)
-		d.noteOddity("a bad client got neither an error nor a close", one.Kind)
+		d.recordAnomaly("a bad client got neither an error nor a close", one.Kind)
 	}
 }
 
@@ -109,9 +109,9 @@
 	case "two-lengths":
 		send(c, head("Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"))
 	case "huge-body":
-		sendf(c, "%sContent-Length: %d\r\n\r\n", head(""), hugeBody)
+		sendf(c, "%sContent-Length: %d\r\n\r\n", head(""), hugeBodySize)
 		block := make([]byte, 64<<10)
-		for sent := 0; sent < hugeBody; sent += len(block) {
+		for sent := 0; sent < hugeBodySize; sent += len(block) {
 			if _, err := c.Write(block); err != nil {
 				return
 			}
@@ -134,7 +134,7 @@
 		inner := "POST /x HTTP/1.1\r\nHost: lab\r\n\r\n"
 		sendf(c, "%sContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", head(""), 5+len(inner), inner)
 	case "flood":
-		for i := 0; i < floodSize; i++ {
+		for i := 0; i < floodRequests; i++ {
 			if _, err := io.WriteString(c, strings.Replace(head("Content-Length: -1\r\n\r\n"), id, fmt.Sprintf("%s%d", id, i), 1)); err != nil {
 				return
 			}
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -30,15 +30,15 @@
 
 // clientRequest is one request of a client for its operation.
 type clientRequest struct {
-	operation   *workload.Operation
-	n           int
-	due         int64 // when this try is due
-	deadline    int64
-	key         string
-	id          string
-	record      *invariant.Request
-	crossedOnce bool // has been written to a connection that turned out to be closed
-	crossedAt   int64
+	operation        *workload.Operation
+	number           int
+	due              int64 // when this try is due
+	deadline         int64
+	key              string
+	id               string
+	record           *invariant.Request
+	resent           bool // has been written to a connection that turned out to be closed
+	previousClosedAt int64
 }
 
 type clients struct {
@@ -138,7 +138,7 @@
 		now := c.run.now()
 		for next < len(tasks) && tasks[next].Due+delay <= now {
 			t := &tasks[next]
-			c.run.lag.note(t.Due+delay, t.Due+delay, now-t.Due-delay)
+			c.run.lag.record(t.Due+delay, t.Due+delay, now-t.Due-delay)
 			c.send(c.firstRequest(t))
 			next++
 		}
@@ -183,7 +183,7 @@
 	t.record = nil
 	zone := c.byZone[t.operation.Zone]
 	if choice := c.pickers[t.operation.Zone]; choice != nil {
-		c.nextNode[t.operation.Zone] = choice.Pick(t.operation, t.n) - 1 // who is next, if that one is not in
+		c.nextNode[t.operation.Zone] = choice.Pick(t.operation, t.number) - 1 // who is next, if that one is not in
 	}
 	for range zone {
 		c.nextNode[t.operation.Zone]++
@@ -321,12 +321,12 @@
 		r.pool.mu.Unlock()
 	}
 	delay := int64(d.scenario.Network.Client)
-	r.buffer = encodeRequest(r.buffer[:0], d.scenario, t.operation, t.id, t.key, t.n, t.deadline-d.now()+delay)
+	r.buffer = encodeRequest(r.buffer[:0], d.scenario, t.operation, t.id, t.key, t.number, t.deadline-d.now()+delay)
 	life := r.pool.node.incarnation()
 	if _, err := r.conn.Write(r.buffer); err != nil {
-		if reused && !t.crossedOnce {
+		if reused && !t.resent {
 			r.close()
-			t.crossedOnce = true
+			t.resent = true
 			return true, t
 		}
 		r.pool.clients.finishOrRetry(t, trace.Lost, true, 0)
@@ -337,13 +337,13 @@
 	rec := &invariant.Request{
 		ID: t.id, Operation: t.operation.Index, Node: r.pool.node.index, Incarnation: life, Class: t.operation.Class,
 		SentAt: now, Deadline: t.deadline,
-		ResentAfter: t.crossedAt,
+		ResentAfter: t.previousClosedAt,
 	}
 	d.history.RecordRequest(rec)
 	until := t.deadline + int64(d.scenario.Rules.AnswerGrace) + int64(lateResponseTime)
 	leaves := int64(invariant.Never)
-	if t.operation.LeavesAfter > 0 {
-		if leaves = t.operation.Due + t.operation.LeavesAfter; leaves < t.deadline {
+	if t.operation.CancelsAfter > 0 {
+		if leaves = t.operation.Due + t.operation.CancelsAfter; leaves < t.deadline {
 			until = leaves
 		}
 	}
@@ -357,7 +357,7 @@
 	if err == nil {
 		return r.answered(t, rec, &m, now), nil
 	}
-	begun := r.in.pending() > 0 || errors.Is(err, errHalf) || errors.Is(err, errSpoilt) || errors.Is(err, errTooLong)
+	begun := r.in.pending() > 0 || errors.Is(err, errTruncated) || errors.Is(err, errMalformed) || errors.Is(err, errTooLong)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		left := until == leaves
@@ -378,11 +378,11 @@
 		r.pool.clients.finishOrRetry(t, trace.Failed, false, 0)
 		return false, nil
 	}
-	if reused && !t.crossedOnce && errors.Is(err, io.EOF) {
+	if reused && !t.resent && errors.Is(err, io.EOF) {
 		// The node closed an idle connection and this crossed it; the client sends the same once more on a new one.
 		d.history.Update(func() { rec.CrossedAt = now })
 		r.close()
-		t.crossedOnce, t.crossedAt = true, now
+		t.resent, t.previousClosedAt = true, now
 		return true, t
 	}
 	d.history.Update(func() { rec.ClosedAt = now })
@@ -412,7 +412,7 @@
 		rec.AnsweredAt, rec.Status, rec.ForeignBody, rec.RetryAfter = now, m.status, foreign, advice
 	})
 	r.lastAnswered = rec
-	ends := m.close
+	ends := m.closesConnection
 	if state == trace.Succeeded {
 		r.pool.clients.finish(t, trace.Succeeded, now+int64(d.scenario.Network.Client))
 	} else {
@@ -441,14 +441,14 @@
 // finishOrRetry ends a request that did not succeed, and sends another where a client would.
 func (c *clients) finishOrRetry(t *clientRequest, state trace.State, unreached bool, advice int64) {
 	now := c.run.now()
-	retry, ok := t.operation.NextRetry(c.run.scenario, t.n, now, state == trace.Rejected || unreached, advice)
+	retry, ok := t.operation.NextRetry(c.run.scenario, t.number, now, state == trace.Rejected || unreached, advice)
 	if !ok {
 		c.finish(t, state, now)
 		return
 	}
 	next := &clientRequest{
-		operation: t.operation, n: t.n + 1, due: now + retry.Wait, deadline: retry.Deadline,
-		key: t.key, id: c.run.requestID(t.operation.Index, t.n+1),
+		operation: t.operation, number: t.number + 1, due: now + retry.Wait, deadline: retry.Deadline,
+		key: t.key, id: c.run.requestID(t.operation.Index, t.number+1),
 	}
 	c.mu.Lock()
 	heap.Push(&c.retries, next)
@@ -467,7 +467,7 @@
 	if o.State != trace.Pending {
 		return
 	}
-	*o = trace.Outcome{State: state, Elapsed: at - t.operation.Due, Requests: t.n + 1}
+	*o = trace.Outcome{State: state, Elapsed: at - t.operation.Due, Requests: t.number + 1}
 	c.unfinished--
 }
 
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -52,7 +52,7 @@
 	watch             bool
 	after             int64
 	arrivedAt         time.Time
-	callerGone        chan struct{} // closed when the caller has left
+	callerClosed      chan struct{} // closed when the caller has left
 	answered          chan struct{}
 }
 
@@ -162,8 +162,8 @@
 		}
 		k := &call{
 			node: p.node, incarnation: s.run.nodes[p.node].incarnation(), conn: c, watch: watch, after: after,
-			arrivedAt:  time.Now(),
-			callerGone: make(chan struct{}), answered: make(chan struct{}),
+			arrivedAt:    time.Now(),
+			callerClosed: make(chan struct{}), answered: make(chan struct{}),
 		}
 		select {
 		case s.calls <- k:
@@ -174,7 +174,7 @@
 			// Any byte now, or the end, counts as the caller's leaving.
 			c.SetReadDeadline(time.Time{})
 			_ = in.fill()
-			close(k.callerGone)
+			close(k.callerClosed)
 		}
 		select {
 		case <-k.answered:
@@ -363,7 +363,7 @@
 		select {
 		case <-s.run.done:
 			return
-		case <-k.callerGone:
+		case <-k.callerClosed:
 			return
 		case <-time.After(time.Duration(s.run.scenario.Discovery.UpdateInterval)):
 		}
--- a/internal/lab/emulator/emulation.go
+++ b/internal/lab/emulator/emulation.go
@@ -28,7 +28,7 @@
 type Options struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
-	Start    Start
+	Start    StartFunc
 	Direct   bool   // clients ask the servers themselves: the rig is measured without a node
 	LogDir   string // where logs of nodes go; a directory of its own, gone at the end, if empty
 	Log      *zap.Logger
@@ -39,10 +39,10 @@
 type Emulation struct {
 	scenario   *scenario.Scenario
 	plan       *workload.Plan
-	start      Start
+	start      StartFunc
 	log        *zap.Logger
-	dir        string
-	out        string
+	workDir    string
+	logDir     string
 	clockStart time.Time
 	startedAt  int64 // when the day itself began, after its preparation
 	planHash   string
@@ -56,7 +56,7 @@
 	addMu         sync.Mutex // one machine is added at a time, as its index is its place
 	endpointList  []*endpoint
 	mu            sync.Mutex
-	oddities      map[string]int
+	anomalies     map[string]int
 	errs          []error
 	deduplicators map[dedupKey]*sharedDeduplicator
 	waits         map[int]int64
@@ -87,7 +87,7 @@
 	return m.Seen(now, ticket)
 }
 
-var daysRun atomic.Int64
+var runCount atomic.Int64
 
 const (
 	readyTimeout = 15 * time.Second
@@ -97,13 +97,13 @@
 
 // Run runs a scenario to its end. An error means that it could not run; what went wrong within it is in the trace.
 func Run(ctx context.Context, o Options) (played *trace.Trace, err error) {
-	if err := o.Scenario.OnSockets(); err != nil {
+	if err := o.Scenario.CheckOnSockets(); err != nil {
 		return nil, err
 	}
 	d := &Emulation{
-		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, out: o.LogDir,
+		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, logDir: o.LogDir,
 		clockStart: time.Now(),
-		history:    &invariant.History{}, done: make(chan struct{}), oddities: map[string]int{},
+		history:    &invariant.History{}, done: make(chan struct{}), anomalies: map[string]int{},
 		deduplicators: map[dedupKey]*sharedDeduplicator{}, waits: map[int]int64{},
 	}
 	if d.log == nil {
@@ -111,15 +111,15 @@
 	}
 	d.planHash = d.plan.Hash()
 	d.lag = &lagMonitor{now: d.now}
-	n := (os.Getpid()*61 + int(daysRun.Add(1))) % (200 * 250)
+	n := (os.Getpid()*61 + int(runCount.Add(1))) % (200 * 250)
 	d.network = [2]int{20 + n/250, 1 + n%250}
-	if d.dir, err = os.MkdirTemp("", "fawnglade-lab-"); err != nil {
+	if d.workDir, err = os.MkdirTemp("", "fawnglade-lab-"); err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(d.dir) }() // the system clears its temporary directory otherwise
-	if d.out == "" {
-		d.out = d.dir
-	} else if err := os.MkdirAll(d.out, 0o755); err != nil {
+	defer func() { _ = os.RemoveAll(d.workDir) }() // the system clears its temporary directory otherwise
+	if d.logDir == "" {
+		d.logDir = d.workDir
+	} else if err := os.MkdirAll(d.logDir, 0o755); err != nil {
 		return nil, err
 	}
 	// Whatever ends the run, also a panic, its processes and sockets are gone.
@@ -202,11 +202,11 @@
 	}
 }
 
-// noteOddity counts what should not happen and is no violation of a rule by itself.
-func (d *Emulation) noteOddity(what, detail string) {
+// recordAnomaly counts what should not happen and is no violation of a rule by itself.
+func (d *Emulation) recordAnomaly(what, detail string) {
 	d.mu.Lock()
-	d.oddities[what]++
-	n := d.oddities[what]
+	d.anomalies[what]++
+	n := d.anomalies[what]
 	d.mu.Unlock()
 	if n <= 5 {
 		d.log.Info(what, zap.String("detail", detail), zap.Duration("at", time.Duration(d.now())))
@@ -214,7 +214,7 @@
 }
 
 // report keeps an error of the emulator itself; the scenario could then not be run as written.
-func (d *Emulation) report(err error) {
+func (d *Emulation) recordError(err error) {
 	if err == nil || d.isDone() {
 		return
 	}
@@ -270,7 +270,7 @@
 	started := m.startedAt
 	m.mu.Unlock()
 	d.history.RecordCrash(invariant.Crash{Endpoint: m.spec.Index, Incarnation: life, StartedAt: started, Crash: *f})
-	d.noteOddity("a cold server was pushed over", m.spec.Name)
+	d.recordAnomaly("a cold server was pushed over", m.spec.Name)
 	d.group.Go(func() error { m.stop(); return nil })
 	d.setListed(m, model.Removed, time.Duration(d.scenario.Discovery.ChangeDelay))
 }
@@ -303,7 +303,7 @@
 	for i := range d.scenario.Nodes.Count {
 		n := &node{
 			run: d, index: i, zone: i % len(d.scenario.Network.Zones),
-			config:  filepath.Join(d.dir, fmt.Sprintf("n%d.json", i)),
+			config:  filepath.Join(d.workDir, fmt.Sprintf("n%d.json", i)),
 			address: fmt.Sprintf("127.%d.%d.%d:8443", d.network[0], d.network[1], 200+i),
 			usage:   trace.NodeUsage{Node: i},
 		}
@@ -318,7 +318,7 @@
 		if err != nil {
 			return err
 		}
-		if n.log, err = os.Create(filepath.Join(d.out, fmt.Sprintf("node-%d.log", i))); err != nil {
+		if n.log, err = os.Create(filepath.Join(d.logDir, fmt.Sprintf("node-%d.log", i))); err != nil {
 			return err
 		}
 		d.nodes = append(d.nodes, n)
@@ -374,7 +374,7 @@
 	}
 	d.group.Go(func() error { d.lag.run(d.done); return nil })
 	d.group.Go(func() error { d.clients.sendAll(); return nil })
-	d.group.Go(func() error { d.report(d.startFaults()); return nil })
+	d.group.Go(func() error { d.recordError(d.startFaults()); return nil })
 	d.group.Go(func() error { d.badClients.run(d); return nil })
 	d.group.Go(func() error { d.sample(); return nil })
 	d.group.Go(func() error { d.recordViews(); return nil })
@@ -500,12 +500,12 @@
 		m.mu.Unlock()
 	}
 	d.history.Close()
-	void, late := d.lag.void()
+	void, late := d.lag.isVoid()
 	r := &trace.Trace{
 		Plan: d.plan, PlanHash: d.planHash, StartedAt: d.startedAt, History: d.history, Void: void,
-		Lag: time.Duration(late), Oddities: map[string]int{}, Elapsed: time.Duration(d.now() - d.startedAt),
+		Lag: time.Duration(late), Anomalies: map[string]int{}, Elapsed: time.Duration(d.now() - d.startedAt),
 		BadClients: trace.BadClientCounts{
-			Came: d.badClients.came.Load(), Unanswered: d.badClients.unanswered.Load(),
+			Connected: d.badClients.connected.Load(), Unanswered: d.badClients.unanswered.Load(),
 			Served: d.badClients.served.Load(),
 		},
 	}
@@ -514,7 +514,7 @@
 	d.clients.mu.Unlock()
 	trace.ExcuseCutLinks(d.scenario, d.plan, d.history)
 	r.Reach = trace.ReachOf(d.scenario, d.links.schedule, d.startedAt)
-	rules := trace.RulesOf(d.scenario, d.links.schedule, d.startedAt, socketSlack, d.lag.lagAt)
+	rules := trace.RulesOf(d.scenario, d.links.schedule, d.startedAt, socketSlack, d.lag.allowanceAt)
 	r.Violations = d.history.Check(trace.Classes(d.scenario), rules)
 	r.Peaks.All, r.Peaks.Known = d.history.Peaks(rules)
 	for i := range r.Violations {
@@ -525,8 +525,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for what, n := range d.oddities {
-		r.Oddities[what] = n
+	for what, n := range d.anomalies {
+		r.Anomalies[what] = n
 	}
 	r.Loads, r.Views, r.Running = d.loads, d.views, d.running
 	for _, n := range d.nodes {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -22,7 +22,7 @@
 	"go.uber.org/zap"
 )
 
-const small = `name = "x"
+const smallScenario = `name = "x"
 length = "3s"
 [network]
 zones = ["a", "b"]
@@ -55,7 +55,7 @@
 work = "4ms"
 `
 
-func parse(t *testing.T, text string) *scenario.Scenario {
+func parseScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("f", []byte(text))
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // played plays a day, again if the machine was too busy for it; a machine that always is proves nothing.
-func played(t *testing.T, s *scenario.Scenario, start Start) *trace.Trace {
+func runScenario(t *testing.T, s *scenario.Scenario, start StartFunc) *trace.Trace {
 	t.Helper()
 	for range 3 {
 		r, err := Run(context.Background(), Options{Scenario: s, Seed: 3, Start: start})
@@ -82,7 +82,7 @@
 
 // The ledger must be able to fail: a proxy that breaks one rule is caught at it, with task, server and moment, and an
 // honest one on the same day is not.
-func TestLedgerCatches(t *testing.T) {
+func TestRuleCheckerFindsMisbehaviors(t *testing.T) {
 	fault := func(kind, more string) string {
 		return fmt.Sprintf("[[fault]]\nkind = %q\nat = \"500ms\"\n%s\n", kind, more)
 	}
@@ -105,13 +105,13 @@
 	} {
 		t.Run(c.wrong, func(t *testing.T) {
 			t.Parallel()
-			s := parse(t, small+c.faults)
+			s := parseScenario(t, smallScenario+c.faults)
 			if c.wrong == "rush-cold" {
 				s.Load.Rate = 900 // 3.6 s of work a second, on a server that can do 0.5 then
 			}
-			r := played(t, s, StartReferenceProxy("random", c.wrong))
+			r := runScenario(t, s, StartReferenceProxy("random", c.wrong))
 			if len(r.Violations) == 0 {
-				t.Fatalf("nothing broken; seen besides: %v", r.Oddities)
+				t.Fatalf("nothing broken; seen besides: %v", r.Anomalies)
 			}
 			for _, b := range r.Violations {
 				if b.Rule != c.rule || !strings.Contains(b.What, c.what) || b.Node != 0 || b.At < 0 ||
@@ -132,7 +132,7 @@
 		})
 		t.Run(c.wrong+" not done", func(t *testing.T) {
 			t.Parallel()
-			if r := played(t, parse(t, small+c.faults), StartReferenceProxy("random", "")); len(r.Violations) != 0 {
+			if r := runScenario(t, parseScenario(t, smallScenario+c.faults), StartReferenceProxy("random", "")); len(r.Violations) != 0 {
 				t.Errorf("an honest proxy is blamed: %v", r.Violations)
 			}
 		})
@@ -141,14 +141,14 @@
 
 // A load tool that waits for answers hides a stall: while the only server stands still for a second, one client that
 // sent the next task after each answer would see one slow answer. Here all that were due in that second are.
-func TestStallShows(t *testing.T) {
-	s := parse(t, strings.NewReplacer(
+func TestStallShowsInAllDueOperations(t *testing.T) {
+	s := parseScenario(t, strings.NewReplacer(
 		`"400ms"`, `"3s"`, "count = 6", "count = 1\nplaces = 500\nwaiting = 500", "zones = [\"a\", \"b\"]",
 		"zones = [\"a\"]",
-	).Replace(small)+
+	).Replace(smallScenario)+
 		"[[fault]]\nkind = \"pause\"\nat = \"1s\"\nfor = \"1s\"\nservers = [\"s-0\"]\n")
 	s.Clients.MaxConnections = 4 // so few that most have to wait for one, which is also a stall
-	r := played(t, s, StartReferenceProxy("random", ""))
+	r := runScenario(t, s, StartReferenceProxy("random", ""))
 	long, due := 0, 0
 	for i, o := range r.Outcomes {
 		if at := r.Plan.Operations[i].Due - r.StartedAt; at > int64(time.Second) && at < int64(1500*time.Millisecond) {
@@ -164,12 +164,12 @@
 }
 
 // A node that dies holding tasks is no liar; what it held is lost and told so.
-func TestKilled(t *testing.T) {
-	s := parse(
+func TestKilledNodeLosesOperationsWithoutViolations(t *testing.T) {
+	s := parseScenario(
 		t,
-		strings.Replace(small, "rate = 120", "rate = 400", 1)+"[[fault]]\nkind = \"kill\"\nat = \"1s\"\nnodes = [0]\n",
+		strings.Replace(smallScenario, "rate = 120", "rate = 400", 1)+"[[fault]]\nkind = \"kill\"\nat = \"1s\"\nnodes = [0]\n",
 	)
-	r := played(t, s, StartReferenceProxy("random", ""))
+	r := runScenario(t, s, StartReferenceProxy("random", ""))
 	lost := 0
 	for _, o := range r.Outcomes {
 		if o.State == trace.Pending {
@@ -185,10 +185,10 @@
 }
 
 // A server that vanishes in silence: new connections to it never come up, old ones stay silent, and later it is back.
-func TestSevered(t *testing.T) {
+func TestCutEndpointIsSilentAndReconnects(t *testing.T) {
 	d := &Emulation{
-		scenario: parse(t, small), done: make(chan struct{}), history: &invariant.History{}, clockStart: time.Now(),
-		log: zap.NewNop(), oddities: map[string]int{},
+		scenario: parseScenario(t, smallScenario), done: make(chan struct{}), history: &invariant.History{}, clockStart: time.Now(),
+		log: zap.NewNop(), anomalies: map[string]int{},
 	}
 	d.nodes = []*node{{run: d}}
 	m := &endpoint{run: d, fleet: &d.scenario.Fleets[0], wakeup: make(chan struct{}, 1)}
@@ -236,13 +236,13 @@
 }
 
 // Whatever ends a day, nothing of it is left.
-func TestNothingIsLeft(t *testing.T) {
+func TestRunLeavesNoProcessOrGoroutine(t *testing.T) {
 	before := runtime.NumGoroutine()
-	s := parse(t, small)
+	s := parseScenario(t, smallScenario)
 	var last Process
-	sleeper := func(words ...string) Start {
+	sleeper := func(words ...string) StartFunc {
 		return func(config string, env []string, log io.Writer) (Process, error) {
-			p, err := launches.start(words, env, log)
+			p, err := processLauncher.start(words, env, log)
 			last = p
 			return p, err
 		}
@@ -282,27 +282,27 @@
 	}
 }
 
-func TestVoid(t *testing.T) {
+func TestRunIsVoidIfLabRanLate(t *testing.T) {
 	g := &lagMonitor{now: func() int64 { return 0 }}
 	for i := range int64(100) {
-		g.note(i*lagSlot, i*lagSlot, 1e6)
+		g.record(i*lagSlot, i*lagSlot, 1e6)
 	}
-	if void, _ := g.void(); void {
+	if void, _ := g.isVoid(); void {
 		t.Error("a day late by 1 ms is void")
 	}
 	for i := range int64(10) {
-		g.note(i*7*lagSlot, i*7*lagSlot, int64(50*time.Millisecond))
+		g.record(i*7*lagSlot, i*7*lagSlot, int64(50*time.Millisecond))
 	}
-	if void, late := g.void(); !void || late != int64(50*time.Millisecond) {
+	if void, late := g.isVoid(); !void || late != int64(50*time.Millisecond) {
 		t.Errorf("late by 50 ms in a tenth of the time: void %v, late %d", void, late)
 	}
-	if g.lagAt(7*lagSlot) != int64(100*time.Millisecond) || g.lagAt(99*lagSlot) != 2e6 {
+	if g.allowanceAt(7*lagSlot) != int64(100*time.Millisecond) || g.allowanceAt(99*lagSlot) != 2e6 {
 		t.Error("lateness is not that of its moment")
 	}
 }
 
 // Messages as a node may send them, in pieces.
-func TestReader(t *testing.T) {
+func TestReaderParsesAndRejectsMessages(t *testing.T) {
 	text := "GET /a HTTP/1.1\r\nx-TXN:  1 \r\n\r\nPOST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n" +
 		"POST /c HTTP/1.1\r\nContent-Length: 4\r\nConnection: Close\r\n\r\nwxyz"
 	a, b := net.Pipe()
@@ -316,8 +316,8 @@
 	var m message
 	for i, want := range []struct{ first, body, id string }{{"GET /a HTTP/1.1", "", "1"}, {"POST /b HTTP/1.1", "abcde", ""}, {"POST /c HTTP/1.1", "wxyz", ""}} {
 		if err := in.next(&m, false); err != nil || string(m.firstLine) != want.first ||
-			string(m.body) != want.body || string(m.get(headerRequestID)) != want.id || m.close != (i == 2) {
-			t.Errorf("%d: %q %q %q %v %v", i, m.firstLine, m.body, m.get(headerRequestID), m.close, err)
+			string(m.body) != want.body || string(m.get(headerRequestID)) != want.id || m.closesConnection != (i == 2) {
+			t.Errorf("%d: %q %q %q %v %v", i, m.firstLine, m.body, m.get(headerRequestID), m.closesConnection, err)
 		}
 	}
 	if err := in.next(&m, false); !errors.Is(err, io.EOF) {
@@ -342,7 +342,7 @@
 
 // What comes behind an answer is a second one only while the client has asked for nothing since: the answer to a try that its client
 // has just given up comes on the same connection, and was owed.
-func TestWhatStandsOnAConnection(t *testing.T) {
+func TestExtraResponseCountsOnlyWithoutRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		asked  bool // a second try, which its client gives up before it is answered
 		second bool
@@ -371,7 +371,7 @@
 				send(conn, answer)
 			}()
 			d := &Emulation{
-				scenario: parse(t, small), clockStart: time.Now(), history: &invariant.History{},
+				scenario: parseScenario(t, smallScenario), clockStart: time.Now(), history: &invariant.History{},
 				done: make(chan struct{}),
 			}
 			n := &node{run: d, address: l.Addr().String()}
@@ -381,7 +381,7 @@
 				now := d.now()
 				return &clientRequest{
 					operation: &workload.Operation{
-						Index: id, Due: now, LeavesAfter: int64(leaves), Tenant: -1, Key: -1,
+						Index: id, Due: now, CancelsAfter: int64(leaves), Tenant: -1, Key: -1,
 					}, deadline: now + int64(5*time.Second),
 					id: fmt.Sprint("t", id),
 				}
--- a/internal/lab/emulator/endpoint.go
+++ b/internal/lab/emulator/endpoint.go
@@ -43,7 +43,7 @@
 	startedAt    int64 // Unix nanoseconds; 0 for long ago
 	model        *model.Endpoint
 	random       *rand.Rand
-	inWork       map[int64]*attempt
+	jobs         map[int64]*attempt
 	lastID       int64
 	reports      []loadSample
 	nextReportAt int64 // when figures are to be taken next
@@ -56,8 +56,8 @@
 }
 
 type loadSample struct {
-	at     int64
-	figure model.LoadFigures
+	at      int64
+	figures model.LoadFigures
 }
 
 // listener is where one node reaches one endpoint.
@@ -93,7 +93,7 @@
 	id           int64
 	incarnation  int
 	bodySize     int // of the task's body
-	luck         float64
+	failureDraw  float64
 	oneWay       time.Duration
 	deduplicated bool
 	answered     atomic.Bool
@@ -102,7 +102,7 @@
 // newEndpoint makes an endpoint that listens for every node. With addresses it takes the place of another.
 func newEndpoint(d *Emulation, spec workload.Endpoint, cold bool, addresses []string) (*endpoint, error) {
 	m := &endpoint{
-		run: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], inWork: map[int64]*attempt{},
+		run: d, spec: spec, fleet: &d.scenario.Fleets[spec.Fleet], jobs: map[int64]*attempt{},
 		random: rand.New(rand.NewPCG(spec.Seed, 3)), wakeup: make(chan struct{}, 1),
 	}
 	for node := range d.scenario.Nodes.Count {
@@ -147,7 +147,7 @@
 	m.model = model.NewEndpoint(
 		model.SpecOf(m.run.scenario, m.fleet, m.spec.Speed), started, now, m.spec.Seed+uint64(m.incarnation),
 	)
-	m.inWork, m.faults, m.draining, m.reports, m.nextReportAt, m.connections = map[int64]*attempt{}, endpointFaults{}, false, nil, now, 0
+	m.jobs, m.faults, m.draining, m.reports, m.nextReportAt, m.connections = map[int64]*attempt{}, endpointFaults{}, false, nil, now, 0
 	m.mu.Unlock()
 	for _, d := range m.listeners {
 		if err := d.open(); err != nil {
@@ -173,7 +173,7 @@
 	if m.model != nil {
 		m.model.Crash()
 	}
-	m.inWork = map[int64]*attempt{}
+	m.jobs = map[int64]*attempt{}
 	m.mu.Unlock()
 	for _, d := range m.listeners {
 		d.close()
@@ -212,11 +212,11 @@
 		next := min(m.model.Next(), m.nextReportAt)
 		finished, late := make([]*attempt, 0, 8), []*attempt(nil)
 		for _, d := range done {
-			h := m.inWork[d.Job.ID]
+			h := m.jobs[d.Job.ID]
 			if h == nil {
 				continue // its life has ended
 			}
-			delete(m.inWork, d.Job.ID)
+			delete(m.jobs, d.Job.ID)
 			if d.Expired {
 				late = append(late, h)
 				continue
@@ -245,7 +245,7 @@
 	defer m.mu.Unlock()
 	for i := len(m.reports) - 1; i >= 0; i-- {
 		if m.reports[i].at+int64(r.Delay) <= now {
-			return string(encodeLoadReport(nil, r.Fields, m.reports[i].figure.Noisy(m.random.Float64, r.Noise)))
+			return string(encodeLoadReport(nil, r.Fields, m.reports[i].figures.Noisy(m.random.Float64, r.Noise)))
 		}
 	}
 	return ""
@@ -383,13 +383,13 @@
 			if cur != nil {
 				k.attemptAbandoned(cur)
 			}
-			if errors.Is(err, errSpoilt) || errors.Is(err, errTooLong) {
-				m.run.noteOddity("hand-off that cannot be read", string(msg.firstLine))
+			if errors.Is(err, errMalformed) || errors.Is(err, errTooLong) {
+				m.run.recordAnomaly("hand-off that cannot be read", string(msg.firstLine))
 			}
 			return
 		}
 		if cur != nil && !cur.answered.Load() {
-			m.run.noteOddity("two hand-offs at once on a connection", string(msg.get(headerRequestID)))
+			m.run.recordAnomaly("two hand-offs at once on a connection", string(msg.get(headerRequestID)))
 			k.attemptAbandoned(cur)
 			reset(k.conn)
 			return
@@ -413,8 +413,8 @@
 	time.AfterFunc(h.oneWay, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if stopped, _ := m.model.CancelJob(m.run.now(), h.id); stopped && m.inWork[h.id] == h {
-			delete(m.inWork, h.id)
+		if stopped, _ := m.model.CancelJob(m.run.now(), h.id); stopped && m.jobs[h.id] == h {
+			delete(m.jobs, h.id)
 		}
 	})
 }
@@ -431,7 +431,7 @@
 	task, try, known := m.run.operationOf(id)
 	if !known {
 		// The ID is not one that a client sent in this form.
-		m.run.noteOddity("hand-off with an id that no client sent", id)
+		m.run.recordAnomaly("hand-off with an id that no client sent", id)
 		h.respond("400 Unknown", "", nil)
 		return
 	}
@@ -441,7 +441,7 @@
 		until = now + left*1e6
 	}
 	work, luck := workload.AttemptWork(task.Work, category.AttemptNoise, task.Seed+uint64(try), m.spec.Seed, 0)
-	h.luck, h.oneWay = luck, m.oneWay(node)
+	h.failureDraw, h.oneWay = luck, m.oneWay(node)
 	ticket := string(msg.get(headerIdempotencyKey))
 	m.mu.Lock()
 	h.incarnation, h.record.Incarnation = m.incarnation, m.incarnation
@@ -510,7 +510,7 @@
 	}
 	accepted, fall := m.model.Arrive(m.run.now(), job)
 	if accepted {
-		m.inWork[h.id] = h
+		m.jobs[h.id] = h
 	}
 	m.mu.Unlock()
 	switch {
@@ -532,7 +532,7 @@
 func (h *attempt) finish() {
 	m := h.conn.listener.endpoint
 	afterDelay(h.oneWay, func() {
-		if h.luck < m.fleet.ErrorShare {
+		if h.failureDraw < m.fleet.ErrorShare {
 			h.respond("500 Error", "", nil)
 			return
 		}
@@ -604,7 +604,7 @@
 	case "noise":
 		noise := make([]byte, 300)
 		for i := range noise {
-			noise[i] = byte(h.luck*1e6) + byte(i*131)
+			noise[i] = byte(h.failureDraw*1e6) + byte(i*131)
 		}
 		send(c, noise)
 	case "endless-head":
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -13,8 +13,8 @@
 	"fawnglade/internal/lab/workload"
 )
 
-// frontLeaves is how long connections still come to a node that stops.
-const frontLeaves = 300 * time.Millisecond
+// frontStopDelay is how long connections still come to a node that stops.
+const frontStopDelay = 300 * time.Millisecond
 
 // startFaults starts faults as they are due.
 func (d *Emulation) startFaults() error {
@@ -103,7 +103,7 @@
 func (d *Emulation) faultNode(f *workload.Fault, n *node) {
 	switch f.Kind {
 	case "state":
-		d.report(n.stateFault(f.How))
+		d.recordError(n.stateFault(f.How))
 		return
 	case "kill":
 		n.kill()
@@ -112,7 +112,7 @@
 			n.signalSeries()
 		}
 		n.end(syscall.SIGTERM, false)
-		d.after(frontLeaves, func() {
+		d.after(frontStopDelay, func() {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.admitted = false
@@ -125,9 +125,9 @@
 		for _, m := range d.endpoints() {
 			if f.Zone == "" || m.spec.Zone == f.Zone {
 				door := m.listeners[n.index]
-				d.report(door.cutOff())
+				d.recordError(door.cutOff())
 				if f.For > 0 {
-					d.after(time.Duration(f.For), func() { d.report(door.reconnect()) })
+					d.after(time.Duration(f.For), func() { d.recordError(door.reconnect()) })
 				}
 			}
 		}
@@ -150,7 +150,7 @@
 	for i, target := range f.Nodes {
 		d.nodes[target].kill()
 		if f.NodesBack > 0 {
-			d.restartLater(d.nodes[target], time.Duration(f.RestoredAfter(f.NodesBack, f.Seed, i)))
+			d.restartLater(d.nodes[target], time.Duration(f.RestoreDelay(f.NodesBack, f.Seed, i)))
 		}
 	}
 	for i, target := range f.Targets {
@@ -159,7 +159,7 @@
 		d.setListed(m, model.Removed, time.Duration(d.scenario.Discovery.ChangeDelay))
 		if f.EndpointsBack > 0 {
 			d.after(
-				time.Duration(f.RestoredAfter(f.EndpointsBack, f.Seed+1, i)),
+				time.Duration(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i)),
 				func() { d.revive(m, time.Duration(d.scenario.Discovery.ChangeDelay)) },
 			)
 		}
@@ -258,12 +258,12 @@
 		}
 	case "cut":
 		for _, door := range m.listeners {
-			d.report(door.cutOff())
+			d.recordError(door.cutOff())
 		}
 		if long > 0 {
 			d.after(long, func() {
 				for _, door := range m.listeners {
-					d.report(door.reconnect())
+					d.recordError(door.reconnect())
 				}
 			})
 		}
@@ -317,7 +317,7 @@
 // revive starts an endpoint anew, in slow start.
 func (d *Emulation) revive(m *endpoint, notice time.Duration) {
 	if err := m.start(true); err != nil {
-		d.report(err)
+		d.recordError(err)
 		return
 	}
 	m.wake()
@@ -334,7 +334,7 @@
 	}
 	spec := old.spec
 	spec.Seed += 1 << 32
-	d.report(d.addEndpoint(spec, spec.Name+"r", addresses, notice))
+	d.recordError(d.addEndpoint(spec, spec.Name+"r", addresses, notice))
 }
 
 // waitKey is the class that a wait strikes, or the tenant as a negative number.
--- a/internal/lab/emulator/lag.go
+++ b/internal/lab/emulator/lag.go
@@ -33,13 +33,13 @@
 		case <-time.After(lagTick):
 		}
 		now := g.now()
-		g.note(last, now, now-last-int64(lagTick))
+		g.record(last, now, now-last-int64(lagTick))
 		last = now
 	}
 }
 
 // note records how late something was that was due in a span.
-func (g *lagMonitor) note(from, to, late int64) {
+func (g *lagMonitor) record(from, to, late int64) {
 	if late <= 0 || from < 0 {
 		return
 	}
@@ -53,8 +53,8 @@
 	}
 }
 
-// lagAt is twice the worst lag within half a second of a moment, as a node on the same machine suffers the same.
-func (g *lagMonitor) lagAt(at int64) int64 {
+// allowanceAt is twice the worst lag within half a second of a moment, as a node on the same machine suffers the same.
+func (g *lagMonitor) allowanceAt(at int64) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	worst := int64(0)
@@ -65,7 +65,7 @@
 }
 
 // void tells whether the machine was too busy for the run to mean anything.
-func (g *lagMonitor) void() (bool, int64) {
+func (g *lagMonitor) isVoid() (bool, int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	sorted := slices.Sorted(slices.Values(g.slots))
--- a/internal/lab/emulator/links.go
+++ b/internal/lab/emulator/links.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	membersPort, newsPort, consolePort = 7946, 7947, 9443
+	membershipPort, gossipPort, adminPort = 7946, 7947, 9443
 
 	viewInterval = time.Second
 	viewTimeout  = 800 * time.Millisecond
@@ -46,10 +46,10 @@
 	}
 	var err error
 	if d.scenario.Nodes.Membership {
-		b.members, err = talk(membersPort)
+		b.members, err = talk(membershipPort)
 	}
 	if err == nil && (d.scenario.Nodes.Membership || d.scenario.Nodes.Gossip) {
-		b.gossip, err = talk(newsPort)
+		b.gossip, err = talk(gossipPort)
 	}
 	if err != nil {
 		b.close()
@@ -136,7 +136,7 @@
 
 // view asks a node for its membership view; nil if it does not answer.
 func (n *node) view() *members.View {
-	c, err := net.DialTimeout("tcp", n.run.nodeAddress(n.index, consolePort), viewTimeout)
+	c, err := net.DialTimeout("tcp", n.run.nodeAddress(n.index, adminPort), viewTimeout)
 	if err != nil {
 		return nil
 	}
@@ -175,7 +175,7 @@
 		for i, v := range views {
 			if runs[i] = '-'; v != nil {
 				runs[i] = 'U'
-				d.views = append(d.views, trace.ViewOf(at, i, v))
+				d.views = append(d.views, trace.NewMembershipView(at, i, v))
 			}
 		}
 		d.running = append(d.running, trace.RunningNodes{At: at, States: string(runs)})
@@ -252,4 +252,4 @@
 }
 
 // stateDir is the node's own directory for what outlives its process.
-func (n *node) stateDir() string { return filepath.Join(n.run.dir, fmt.Sprintf("n%d.d", n.index)) }
+func (n *node) stateDir() string { return filepath.Join(n.run.workDir, fmt.Sprintf("n%d.d", n.index)) }
--- a/internal/lab/emulator/message.go
+++ b/internal/lab/emulator/message.go
@@ -20,19 +20,19 @@
 )
 
 var (
-	errSpoilt  = errors.New("message cannot be read")
-	errHalf    = errors.New("connection ended within a message")
-	errTooLong = errors.New("message too long")
+	errMalformed = errors.New("message cannot be read")
+	errTruncated = errors.New("connection ended within a message")
+	errTooLong   = errors.New("message too long")
 )
 
 // message is one request or response as read; its slices are valid until the next read.
 type message struct {
-	firstLine   []byte // the first line
-	status      int
-	head        []byte // lines after the first, each with its end
-	body        []byte
-	close       bool
-	firstByteAt int64 // when its first byte had come
+	firstLine        []byte // the first line
+	status           int
+	head             []byte // lines after the first, each with its end
+	body             []byte
+	closesConnection bool
+	firstByteAt      int64 // when its first byte had come
 }
 
 // get returns a header's first value.
@@ -67,11 +67,11 @@
 
 // reader reads messages from a connection through one buffer.
 type reader struct {
-	from     net.Conn
-	buf      []byte
-	at, have int
-	now      func() int64
-	onFirst  func(at int64) // called with the first byte of each message
+	from                 net.Conn
+	buf                  []byte
+	readPosition, filled int
+	now                  func() int64
+	onFirstByte          func(at int64) // called with the first byte of each message
 }
 
 func newReader(c net.Conn, now func() int64) *reader {
@@ -79,14 +79,14 @@
 }
 
 func (r *reader) fill() error {
-	if r.at > 0 && r.at == r.have {
-		r.at, r.have = 0, 0
+	if r.readPosition > 0 && r.readPosition == r.filled {
+		r.readPosition, r.filled = 0, 0
 	}
-	if r.have == len(r.buf) {
-		if r.at > 0 {
-			copy(r.buf, r.buf[r.at:r.have])
-			r.have -= r.at
-			r.at = 0
+	if r.filled == len(r.buf) {
+		if r.readPosition > 0 {
+			copy(r.buf, r.buf[r.readPosition:r.filled])
+			r.filled -= r.readPosition
+			r.readPosition = 0
 		} else {
 			if len(r.buf) >= maxHead+maxBody {
 				return errTooLong
@@ -94,8 +94,8 @@
 			r.buf = append(r.buf, make([]byte, len(r.buf))...)
 		}
 	}
-	n, err := r.from.Read(r.buf[r.have:])
-	r.have += n
+	n, err := r.from.Read(r.buf[r.filled:])
+	r.filled += n
 	if n > 0 {
 		return nil
 	}
@@ -105,7 +105,7 @@
 	return err
 }
 
-func (r *reader) pending() int { return r.have - r.at }
+func (r *reader) pending() int { return r.filled - r.readPosition }
 
 // next reads one message; io.EOF means that none had begun.
 func (r *reader) next(m *message, isAnswer bool) error {
@@ -115,13 +115,13 @@
 		}
 	}
 	m.firstByteAt = r.now()
-	if r.onFirst != nil {
-		r.onFirst(m.firstByteAt)
+	if r.onFirstByte != nil {
+		r.onFirstByte(m.firstByteAt)
 	}
 	end, scanned := -1, 0
 	for {
-		if i := bytes.Index(r.buf[r.at+scanned:r.have], []byte("\r\n\r\n")); i >= 0 {
-			end = r.at + scanned + i
+		if i := bytes.Index(r.buf[r.readPosition+scanned:r.filled], []byte("\r\n\r\n")); i >= 0 {
+			end = r.readPosition + scanned + i
 			break
 		}
 		if r.pending() > maxHead {
@@ -132,51 +132,51 @@
 			return truncated(err)
 		}
 	}
-	head := r.buf[r.at : end+2]
+	head := r.buf[r.readPosition : end+2]
 	line := bytes.Index(head, []byte("\r\n"))
 	m.firstLine, m.head = head[:line], head[line+2:]
 	m.status, m.body = 0, nil
 	if isAnswer {
 		if !bytes.HasPrefix(m.firstLine, []byte("HTTP/1.1 ")) || len(m.firstLine) < 12 {
-			return errSpoilt
+			return errMalformed
 		}
 		var err error
 		if m.status, err = strconv.Atoi(string(m.firstLine[9:12])); err != nil {
-			return errSpoilt
+			return errMalformed
 		}
 	}
-	m.close = bytes.EqualFold(m.get("Connection"), []byte("close"))
-	start := end + 4 - r.at // relative, as the buffer may move
+	m.closesConnection = bytes.EqualFold(m.get("Connection"), []byte("close"))
+	start := end + 4 - r.readPosition // relative, as the buffer may move
 	if bytes.EqualFold(m.get("Transfer-Encoding"), []byte("chunked")) {
-		return r.chunks(m, start)
+		return r.readChunkedBody(m, start)
 	}
 	size := 0
 	if text := m.get("Content-Length"); text != nil {
 		v, err := strconv.ParseUint(string(text), 10, 31)
 		if err != nil || v > maxBody {
-			return errSpoilt
+			return errMalformed
 		}
 		size = int(v)
 	}
 	if m.status >= 100 && m.status < 200 || m.status == 204 {
 		size = 0
 	}
-	if err := r.want(start + size); err != nil {
+	if err := r.ensure(start + size); err != nil {
 		return truncated(err)
 	}
-	r.set(m, line, start)
-	m.body = r.buf[r.at+start : r.at+start+size]
-	r.at += start + size
+	r.setSlices(m, line, start)
+	m.body = r.buf[r.readPosition+start : r.readPosition+start+size]
+	r.readPosition += start + size
 	return nil
 }
 
 // set points the message's parts into the buffer again, which may have moved.
-func (r *reader) set(m *message, line, start int) {
-	head := r.buf[r.at : r.at+start-2]
+func (r *reader) setSlices(m *message, line, start int) {
+	head := r.buf[r.readPosition : r.readPosition+start-2]
 	m.firstLine, m.head = head[:line], head[line+2:]
 }
 
-func (r *reader) want(n int) error {
+func (r *reader) ensure(n int) error {
 	for r.pending() < n {
 		if err := r.fill(); err != nil {
 			return err
@@ -186,17 +186,17 @@
 }
 
 // chunks reads a chunked body; it is rare, so it is kept in a buffer of its own.
-func (r *reader) chunks(m *message, at int) error {
+func (r *reader) readChunkedBody(m *message, at int) error {
 	var body []byte
 	line := len(m.firstLine)
 	for {
 		var size int64
 		for {
-			if i := bytes.Index(r.buf[r.at+at:r.have], []byte("\r\n")); i >= 0 {
-				text, _, _ := bytes.Cut(r.buf[r.at+at:r.at+at+i], []byte(";"))
+			if i := bytes.Index(r.buf[r.readPosition+at:r.filled], []byte("\r\n")); i >= 0 {
+				text, _, _ := bytes.Cut(r.buf[r.readPosition+at:r.readPosition+at+i], []byte(";"))
 				v, err := strconv.ParseInt(string(bytes.TrimSpace(text)), 16, 32)
 				if err != nil || v < 0 || len(body)+int(v) > maxBody {
-					return errSpoilt
+					return errMalformed
 				}
 				size = v
 				at += i + 2
@@ -206,25 +206,25 @@
 				return truncated(err)
 			}
 		}
-		if err := r.want(at + int(size) + 2); err != nil {
+		if err := r.ensure(at + int(size) + 2); err != nil {
 			return truncated(err)
 		}
-		body = append(body, r.buf[r.at+at:r.at+at+int(size)]...)
+		body = append(body, r.buf[r.readPosition+at:r.readPosition+at+int(size)]...)
 		at += int(size) + 2
 		if size == 0 {
 			break
 		}
 	}
-	head := bytes.Index(r.buf[r.at:r.have], []byte("\r\n\r\n"))
-	full := r.buf[r.at : r.at+head+2]
+	head := bytes.Index(r.buf[r.readPosition:r.filled], []byte("\r\n\r\n"))
+	full := r.buf[r.readPosition : r.readPosition+head+2]
 	m.firstLine, m.head, m.body = full[:line], full[line+2:], body
-	r.at += at
+	r.readPosition += at
 	return nil
 }
 
 func truncated(err error) error {
 	if errors.Is(err, io.EOF) {
-		return errHalf
+		return errTruncated
 	}
 	return err
 }
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -33,12 +33,12 @@
 func signal(p Process, s os.Signal) { _ = p.Signal(s) }
 
 // Start starts a node with the configuration in a file, and its log.
-type Start func(config string, env []string, log io.Writer) (Process, error)
+type StartFunc func(config string, env []string, log io.Writer) (Process, error)
 
 // Command starts nodes as processes by a command line.
-func Command(words []string) Start {
+func Command(words []string) StartFunc {
 	return func(_ string, env []string, log io.Writer) (Process, error) {
-		return launches.start(words, env, log)
+		return processLauncher.start(words, env, log)
 	}
 }
 
@@ -49,7 +49,7 @@
 	jobs chan func()
 }
 
-var launches launcher
+var processLauncher launcher
 
 func (l *launcher) start(words, env []string, log io.Writer) (Process, error) {
 	l.once.Do(func() {
@@ -110,9 +110,9 @@
 
 	mu          sync.Mutex
 	handle      Process
-	process     *invariant.Process
+	record      *invariant.Process
 	stateLost   bool               // its directory was tampered with since it ended
-	endExpected *invariant.Process // the life whose end is the day's own doing
+	expectedEnd *invariant.Process // the life whose end is the day's own doing
 	admitted    bool               // the front sends to it
 	usage       trace.NodeUsage
 	earlierCPU  float64 // of earlier lives
@@ -121,15 +121,15 @@
 func (n *node) incarnation() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.process == nil {
+	if n.record == nil {
 		return 0
 	}
-	return n.process.Incarnation
+	return n.record.Incarnation
 }
 
 func (n *node) writeConfig(known []byte, seed uint64) error {
 	text := encodeConfig(n.run.scenario, fmt.Sprintf("n%d", n.index), n.address, n.run.discovery.addressFor(n.index), seed, n.index, n.zone, known,
-		n.gossipConfig(), n.run.nodeAddress(n.index, consolePort))
+		n.gossipConfig(), n.run.nodeAddress(n.index, adminPort))
 	part := n.config + ".new"
 	if err := os.WriteFile(part, text, 0o600); err != nil {
 		return err
@@ -141,8 +141,8 @@
 func (n *node) start() error {
 	n.mu.Lock()
 	number := 1
-	if n.process != nil {
-		number = n.process.Incarnation + 1
+	if n.record != nil {
+		number = n.record.Incarnation + 1
 	}
 	n.mu.Unlock()
 	seed := n.run.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(number)
@@ -171,7 +171,7 @@
 	}
 	if p.PID() > 0 {
 		if err := limitDescriptors(p.PID(), n.run.scenario.Nodes.Sockets); err != nil {
-			n.run.noteOddity("descriptors of a node not limited", err.Error())
+			n.run.recordAnomaly("descriptors of a node not limited", err.Error())
 		}
 	}
 	life := &invariant.Process{
@@ -181,7 +181,7 @@
 	n.stateLost = false
 	n.run.history.RecordProcess(life)
 	n.mu.Lock()
-	n.handle, n.process = p, life
+	n.handle, n.record = p, life
 	n.usage.Starts++
 	n.mu.Unlock()
 	n.run.group.Go(func() error { n.watch(p, life); return nil })
@@ -199,7 +199,7 @@
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
-		if ready(n.address) {
+		if isReady(n.address) {
 			now := n.run.now()
 			n.run.history.Update(func() { life.ReadyAt = now })
 			n.mu.Lock()
@@ -210,7 +210,7 @@
 	}
 }
 
-func ready(address string) bool {
+func isReady(address string) bool {
 	c, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
 	if err != nil {
 		return false
@@ -236,14 +236,14 @@
 		return
 	}
 	n.mu.Lock()
-	expected := n.endExpected == life
+	expected := n.expectedEnd == life
 	if !expected {
 		n.usage.Crashes++
 	}
 	n.earlierCPU = n.usage.CPUSeconds
 	n.mu.Unlock()
 	if !expected {
-		n.run.noteOddity("a node ended by itself", strconv.Itoa(n.index))
+		n.run.recordAnomaly("a node ended by itself", strconv.Itoa(n.index))
 	}
 	n.run.after(time.Duration(n.run.scenario.Nodes.DeathNotice), func() {
 		n.mu.Lock()
@@ -259,8 +259,8 @@
 
 func (n *node) end(s os.Signal, excused bool) {
 	n.mu.Lock()
-	p, life := n.handle, n.process
-	n.endExpected = life
+	p, life := n.handle, n.record
+	n.expectedEnd = life
 	n.mu.Unlock()
 	if p == nil {
 		return
@@ -291,7 +291,7 @@
 // pause stops a node's process for a time.
 func (n *node) pause(d time.Duration) {
 	n.mu.Lock()
-	p, life := n.handle, n.process
+	p, life := n.handle, n.record
 	n.mu.Unlock()
 	if p == nil || p.Signal(syscall.SIGSTOP) != nil {
 		return
@@ -355,7 +355,7 @@
 	n.usage.MaxDescriptors = max(n.usage.MaxDescriptors, len(files))
 	n.mu.Unlock()
 	if mb > float64(n.run.scenario.Nodes.MemoryMB) {
-		n.run.noteOddity("a node over its memory was killed", fmt.Sprintf("node %d with %.0f MB", n.index, mb))
+		n.run.recordAnomaly("a node over its memory was killed", fmt.Sprintf("node %d with %.0f MB", n.index, mb))
 		signal(p, syscall.SIGKILL)
 	}
 }
--- a/internal/lab/emulator/referenceproxy.go
+++ b/internal/lab/emulator/referenceproxy.go
@@ -22,11 +22,11 @@
 	"time"
 )
 
-// PlainKinds are the ways in which a reference proxy selects an endpoint.
-var PlainKinds = []string{"random", "round-robin", "least", "two-choices"}
+// ReferenceProxyKinds are the ways in which a reference proxy selects an endpoint.
+var ReferenceProxyKinds = []string{"random", "round-robin", "least", "two-choices"}
 
 // Misbehaviours are the ways in which one can be made to violate a rule, and just that one.
-var Misbehaviours = []string{
+var Misbehaviors = []string{
 	"lose", "late", "twice", "foreign", "after", "resend-exclusive", "decline-exclusive", "outside-group",
 	"copy", "undrained", "rush-cold",
 }
@@ -44,7 +44,7 @@
 	classes           map[string]proxyClass
 
 	mu           sync.Mutex
-	draw         *rand.Rand
+	random       *rand.Rand
 	endpoints    map[string]*proxyEndpoint
 	order        []string
 	nextInOrder  int
@@ -105,8 +105,8 @@
 	if err := json.Unmarshal(text, &in); err != nil {
 		return nil, fmt.Errorf("%s: %w", config, err)
 	}
-	if !slices.Contains(PlainKinds, kind) {
-		return nil, fmt.Errorf("kind: expected one of %s, got %q", strings.Join(PlainKinds, ", "), kind)
+	if !slices.Contains(ReferenceProxyKinds, kind) {
+		return nil, fmt.Errorf("kind: expected one of %s, got %q", strings.Join(ReferenceProxyKinds, ", "), kind)
 	}
 	seed, err := strconv.ParseUint(in.Seed, 16, 64)
 	if err != nil {
@@ -118,7 +118,7 @@
 		warm:        time.Duration(s.Rules.Warm) * time.Microsecond,
 		connect:     time.Duration(s.Limits.Connect) * time.Microsecond,
 		maxAttempts: s.Limits.Tries, retryAfter: float64(s.Limits.Advice) / 1e6 / 10, classes: map[string]proxyClass{},
-		draw:      rand.New(rand.NewPCG(seed, 11)),
+		random:    rand.New(rand.NewPCG(seed, 11)),
 		endpoints: map[string]*proxyEndpoint{}, clients: map[net.Conn]struct{}{},
 	}
 	for _, c := range s.Profiles {
@@ -221,7 +221,7 @@
 
 func (p *ReferenceProxy) watch() {
 	for p.ctx.Err() == nil {
-		p.follow()
+		p.watchOnce()
 		select {
 		case <-p.ctx.Done():
 		case <-time.After(300 * time.Millisecond):
@@ -229,7 +229,7 @@
 	}
 }
 
-func (p *ReferenceProxy) follow() {
+func (p *ReferenceProxy) watchOnce() {
 	dialer := net.Dialer{Timeout: time.Second}
 	c, err := dialer.DialContext(p.ctx, "tcp", p.discovery)
 	if err != nil {
@@ -414,7 +414,7 @@
 		if age := time.Since(s.started); age < p.warm {
 			cold = append(cold, s)
 			if p.misbehavior != "rush-cold" &&
-				p.draw.Float64() > p.coldFrom+(1-p.coldFrom)*float64(age)/float64(p.warm) {
+				p.random.Float64() > p.coldFrom+(1-p.coldFrom)*float64(age)/float64(p.warm) {
 				continue
 			}
 		}
@@ -432,13 +432,13 @@
 		p.nextInOrder++
 		return fit[p.nextInOrder%len(fit)]
 	case "least":
-		p.draw.Shuffle(len(fit), func(i, j int) { fit[i], fit[j] = fit[j], fit[i] })
+		p.random.Shuffle(len(fit), func(i, j int) { fit[i], fit[j] = fit[j], fit[i] })
 		return slices.MinFunc(fit, least)
 	case "two-choices":
-		a, b := fit[p.draw.IntN(len(fit))], fit[p.draw.IntN(len(fit))]
+		a, b := fit[p.random.IntN(len(fit))], fit[p.random.IntN(len(fit))]
 		return slices.MinFunc([]*proxyEndpoint{a, b}, least)
 	}
-	return fit[p.draw.IntN(len(fit))]
+	return fit[p.random.IntN(len(fit))]
 }
 
 // attempt sends a request to an endpoint once and tells how far it came.
@@ -501,7 +501,7 @@
 	case string(m.get(headerNotExecuted)) == "1":
 		how = outcomeNeverRan
 	}
-	if m.close || c.in.pending() > 0 || p.ctx.Err() != nil {
+	if m.closesConnection || c.in.pending() > 0 || p.ctx.Err() != nil {
 		c.conn.Close()
 		return how, body
 	}
@@ -512,13 +512,13 @@
 }
 
 // StartReferenceProxy starts reference proxies inside this process.
-func StartReferenceProxy(kind, wrong string) Start {
+func StartReferenceProxy(kind, wrong string) StartFunc {
 	return func(config string, _ []string, _ io.Writer) (Process, error) {
 		p, err := NewReferenceProxy(config, kind, wrong)
 		if err != nil {
 			return nil, err
 		}
-		in := &inProcess{plain: p, done: make(chan struct{})}
+		in := &inProcess{proxy: p, done: make(chan struct{})}
 		go func() {
 			p.Run()
 			close(in.done)
@@ -528,7 +528,7 @@
 }
 
 type inProcess struct {
-	plain *ReferenceProxy
+	proxy *ReferenceProxy
 	done  chan struct{}
 }
 
@@ -539,7 +539,7 @@
 	default:
 	}
 	if s == os.Interrupt || s == os.Kill {
-		i.plain.Stop()
+		i.proxy.Stop()
 	}
 	return nil
 }
--- a/internal/lab/model/endpoint.go
+++ b/internal/lab/model/endpoint.go
@@ -101,7 +101,7 @@
 	if e.crashed {
 		return false, nil
 	}
-	if crash = e.chargeSlowStart(j.Node, float64(j.Work)/1e9); crash != nil {
+	if crash = e.recordSlowStartArrival(j.Node, float64(j.Work)/1e9); crash != nil {
 		e.Crash()
 		return false, crash
 	}
--- a/internal/lab/model/list.go
+++ b/internal/lab/model/list.go
@@ -70,7 +70,7 @@
 // ChangesAfter returns what has changed since a version, the newest entry of each endpoint only; the complete list if
 // that is not known.
 func (l *EndpointList) ChangesAfter(version int64) (entries []ListEntry, complete bool) {
-	if !l.knows(version) {
+	if !l.reachesBackTo(version) {
 		return l.Complete(), true
 	}
 	place := map[int]int{}
@@ -89,7 +89,7 @@
 }
 
 // knows tells whether the history reaches back to a version.
-func (l *EndpointList) knows(version int64) bool {
+func (l *EndpointList) reachesBackTo(version int64) bool {
 	switch {
 	case version <= 0 || version > l.version:
 		return false
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-const msec = int64(1e6)
+const millisecond = int64(1e6)
 
-func kind() Spec {
-	return Spec{Cores: 2, Speed: 1, Concurrency: 4, QueueLimit: 2, SlowStartCapacity: 0.25, SlowStartWindow: 10000 * msec, CrashMultiple: 3, CrashWindow: 1000 * msec}
+func testSpec() Spec {
+	return Spec{Cores: 2, Speed: 1, Concurrency: 4, QueueLimit: 2, SlowStartCapacity: 0.25, SlowStartWindow: 10000 * millisecond, CrashMultiple: 3, CrashWindow: 1000 * millisecond}
 }
 
 const longAgo = math.MinInt64 / 2
 
 // drive advances a server by its own wishes and tells when each job ended.
-func drive(s *Endpoint, until int64) map[int64]int64 {
+func runJobs(s *Endpoint, until int64) map[int64]int64 {
 	ends := map[int64]int64{}
 	for {
 		for _, d := range s.Advance(min(s.Next(), until)) {
@@ -33,149 +33,149 @@
 	}
 }
 
-func near(t *testing.T, what string, got, want int64) {
+func checkEndTime(t *testing.T, what string, got, want int64) {
 	t.Helper()
-	if d := got - want; d < -msec/10 || d > msec/10 {
+	if d := got - want; d < -millisecond/10 || d > millisecond/10 {
 		t.Errorf("%s: %.3f ms, want %.3f", what, float64(got)/1e6, float64(want)/1e6)
 	}
 }
 
 // Two cores, three tasks of 10 ms: each gets two thirds of a core.
-func TestWorkIsShared(t *testing.T) {
-	s := NewEndpoint(kind(), longAgo, 0, 1)
+func TestJobsShareCoresEqually(t *testing.T) {
+	s := NewEndpoint(testSpec(), longAgo, 0, 1)
 	for id := range int64(3) {
-		s.Arrive(0, &Job{ID: id, Work: 10 * msec, Deadline: Never})
+		s.Arrive(0, &Job{ID: id, Work: 10 * millisecond, Deadline: Never})
 	}
-	ends := drive(s, 100*msec)
+	ends := runJobs(s, 100*millisecond)
 	for id := range int64(3) {
-		near(t, fmt.Sprint("task ", id), ends[id], 15*msec)
+		checkEndTime(t, fmt.Sprint("task ", id), ends[id], 15*millisecond)
 	}
 }
 
 // Guards against ends that are lost because something else advanced the server: one hand-off in 200 was.
-func TestEndsAreNotLostToArrivals(t *testing.T) {
-	s := NewEndpoint(kind(), longAgo, 0, 1)
-	s.Arrive(0, &Job{ID: 1, Work: 5 * msec, Deadline: Never})
-	s.Arrive(9*msec, &Job{ID: 2, Work: 5 * msec, Deadline: Never})
-	s.ConnectionOpened(20 * msec)
-	s.Sample(21 * msec)
-	if ends := drive(s, 50*msec); len(ends) != 2 {
+func TestJobEndsSurviveOtherCalls(t *testing.T) {
+	s := NewEndpoint(testSpec(), longAgo, 0, 1)
+	s.Arrive(0, &Job{ID: 1, Work: 5 * millisecond, Deadline: Never})
+	s.Arrive(9*millisecond, &Job{ID: 2, Work: 5 * millisecond, Deadline: Never})
+	s.ConnectionOpened(20 * millisecond)
+	s.Sample(21 * millisecond)
+	if ends := runJobs(s, 50*millisecond); len(ends) != 2 {
 		t.Errorf("ends %v, want those of both", ends)
 	}
 }
 
-func TestConcurrencyQueueAndRejection(t *testing.T) {
-	s := NewEndpoint(kind(), longAgo, 0, 1)
+func TestRejectsBeyondConcurrencyAndQueueLimit(t *testing.T) {
+	s := NewEndpoint(testSpec(), longAgo, 0, 1)
 	accepted := 0
 	for id := range int64(10) {
-		if ok, _ := s.Arrive(0, &Job{ID: id, Work: 10 * msec, Deadline: Never}); ok {
+		if ok, _ := s.Arrive(0, &Job{ID: id, Work: 10 * millisecond, Deadline: Never}); ok {
 			accepted++
 		}
 	}
 	if accepted != 6 || s.InFlight() != 6 {
 		t.Errorf("%d accepted, %d held, want 6 of each: four places, two waiting", accepted, s.InFlight())
 	}
-	if ends := drive(s, 1000*msec); len(ends) != 6 {
+	if ends := runJobs(s, 1000*millisecond); len(ends) != 6 {
 		t.Errorf("%d ended, want 6", len(ends))
 	}
 }
 
-func TestExpiredInQueue(t *testing.T) {
-	k := kind()
+func TestDropsQueuedJobPastDeadline(t *testing.T) {
+	k := testSpec()
 	k.Concurrency, k.DropExpired = 1, true
 	s := NewEndpoint(k, longAgo, 0, 1)
-	s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Deadline: Never})
-	s.Arrive(0, &Job{ID: 2, Work: 10 * msec, Deadline: 5 * msec})
-	if ends := drive(s, 100*msec); ends[2] != -1 {
+	s.Arrive(0, &Job{ID: 1, Work: 10 * millisecond, Deadline: Never})
+	s.Arrive(0, &Job{ID: 2, Work: 10 * millisecond, Deadline: 5 * millisecond})
+	if ends := runJobs(s, 100*millisecond); ends[2] != -1 {
 		t.Errorf("a task that waited past its time ended at %d, want it turned away", ends[2])
 	}
 }
 
-func TestCancelJob(t *testing.T) {
+func TestCancelJobByCancelEffect(t *testing.T) {
 	for cancel, want := range map[CancelEffect][2]bool{CancelsNothing: {false, false}, CancelsQueued: {false, true}, CancelsRunning: {true, true}} {
-		k := kind()
+		k := testSpec()
 		k.Concurrency, k.Cancel = 1, cancel
 		s := NewEndpoint(k, longAgo, 0, 1)
-		s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Deadline: Never})
-		s.Arrive(0, &Job{ID: 2, Work: 10 * msec, Deadline: Never})
-		waiting, never := s.CancelJob(msec, 2)
-		work, _ := s.CancelJob(msec, 1)
+		s.Arrive(0, &Job{ID: 1, Work: 10 * millisecond, Deadline: Never})
+		s.Arrive(0, &Job{ID: 2, Work: 10 * millisecond, Deadline: Never})
+		waiting, never := s.CancelJob(millisecond, 2)
+		work, _ := s.CancelJob(millisecond, 1)
 		if got := [2]bool{work, waiting}; got != want || never != waiting {
 			t.Errorf("cancel %d stops work, waiting: %v, want %v", cancel, got, want)
 		}
 	}
 }
 
-func TestPause(t *testing.T) {
-	s := NewEndpoint(kind(), longAgo, 0, 1)
-	s.Arrive(0, &Job{ID: 1, Work: 10 * msec, Deadline: Never})
-	s.Pause(5*msec, 105*msec)
-	near(t, "task over a pause", drive(s, 200*msec)[1], 110*msec)
+func TestPauseDelaysRunningJobs(t *testing.T) {
+	s := NewEndpoint(testSpec(), longAgo, 0, 1)
+	s.Arrive(0, &Job{ID: 1, Work: 10 * millisecond, Deadline: Never})
+	s.Pause(5*millisecond, 105*millisecond)
+	checkEndTime(t, "task over a pause", runJobs(s, 200*millisecond)[1], 110*millisecond)
 }
 
-func TestSlowStartCapacity(t *testing.T) {
-	s := NewEndpoint(kind(), 0, 0, 1)
+func TestSlowStartCapacityRisesLinearly(t *testing.T) {
+	s := NewEndpoint(testSpec(), 0, 0, 1)
 	if c := s.Capacity(); c != 0.5 {
 		t.Errorf("capacity at the start %v, want a quarter of 2", c)
 	}
-	s.Advance(5000 * msec)
+	s.Advance(5000 * millisecond)
 	if c := s.Capacity(); math.Abs(c-1.25) > 1e-9 {
 		t.Errorf("capacity half way %v, want 1.25", c)
 	}
-	s.Advance(10000 * msec)
+	s.Advance(10000 * millisecond)
 	if c := s.Capacity(); c != 2 {
 		t.Errorf("capacity at the end %v, want 2", c)
 	}
 }
 
 // A cold server takes three times its capacity for a second and no more; what it turns away pushes too.
-func TestCrashesInSlowStart(t *testing.T) {
+func TestOverloadInSlowStartCrashesEndpoint(t *testing.T) {
 	push := func(each int64, every int64) (*Endpoint, *Crash) {
-		s := NewEndpoint(kind(), 0, 0, 1)
-		for at := int64(0); at < 1000*msec; at += every {
+		s := NewEndpoint(testSpec(), 0, 0, 1)
+		for at := int64(0); at < 1000*millisecond; at += every {
 			if _, fall := s.Arrive(at, &Job{Work: each, Deadline: Never, Node: 3}); fall != nil {
 				return s, fall
 			}
 		}
 		return s, nil
 	}
-	if _, fall := push(10*msec, 10*msec); fall != nil {
+	if _, fall := push(10*millisecond, 10*millisecond); fall != nil {
 		t.Errorf("fell over under twice its capacity: %+v", fall)
 	}
-	s, fall := push(10*msec, 4*msec)
+	s, fall := push(10*millisecond, 4*millisecond)
 	if fall == nil || !s.HasCrashed() {
 		t.Fatal("did not fall over under five times its capacity")
 	}
 	if fall.Work < 1.5 || fall.Work > 2 || fall.Arrivals[0].Node != 3 {
 		t.Errorf("fell at %v s of work in a second, want a little over 3 x 0.5", fall.Work)
 	}
-	if warm := NewEndpoint(kind(), longAgo, 0, 1); warm.CapacityShare() != 1 {
+	if warm := NewEndpoint(testSpec(), longAgo, 0, 1); warm.CapacityShare() != 1 {
 		t.Error("a server that started long ago is not warm")
 	}
 }
 
-func TestSample(t *testing.T) {
-	s := NewEndpoint(kind(), longAgo, 0, 1)
+func TestSampleReportsLoadSinceLastSample(t *testing.T) {
+	s := NewEndpoint(testSpec(), longAgo, 0, 1)
 	for id := range int64(5) {
-		s.Arrive(0, &Job{ID: id, Work: 20 * msec, Deadline: Never})
+		s.Arrive(0, &Job{ID: id, Work: 20 * millisecond, Deadline: Never})
 	}
-	if f := s.Sample(10 * msec); f.InFlight != 4 || f.Queue != 1 || math.Abs(f.Utilization-1) > 0.01 {
+	if f := s.Sample(10 * millisecond); f.InFlight != 4 || f.Queue != 1 || math.Abs(f.Utilization-1) > 0.01 {
 		t.Errorf("figures %+v, want 4 held, 1 waiting, both cores in use", f)
 	}
-	s.Advance(200 * msec)
-	if f := s.Sample(210 * msec); f.InFlight != 0 || f.ServiceTime < 30 {
+	s.Advance(200 * millisecond)
+	if f := s.Sample(210 * millisecond); f.InFlight != 0 || f.ServiceTime < 30 {
 		t.Errorf("figures %+v, want nothing held and the time that tasks took", f)
 	}
 }
 
-func TestDeduplicator(t *testing.T) {
+func TestDeduplicatorForgetsAfterWindow(t *testing.T) {
 	m := NewDeduplicator(100)
 	if m.Seen(0, "a") || !m.Seen(99, "a") || m.Seen(100, "a") || !m.Seen(150, "a") {
 		t.Error("a ticket is remembered from its first time for the span, and not longer")
 	}
 }
 
-func TestEndpointList(t *testing.T) {
+func TestEndpointListChangesAfterVersion(t *testing.T) {
 	r := NewEndpointList(40)
 	r.Set(ListEntry{Endpoint: 2, State: Up})
 	r.Set(ListEntry{Endpoint: 1, State: Up})
@@ -199,9 +199,9 @@
 
 // A budget of N = 64 requests of mean work falls at the 83rd where chance counts, at a twentieth or two requests over it elsewhere; with
 // one of N = 6,250 a twentieth is more than chance.
-func TestCrashSlack(t *testing.T) {
+func TestCrashSlackByRequestCount(t *testing.T) {
 	falls := func(work int64, chance bool) int {
-		k := kind()
+		k := testSpec()
 		k.MeanWork, k.ChanceSlack, k.SlowStartWindow = float64(work)/1e9, chance, 1e15 // as cold all through
 		s := NewEndpoint(k, 0, 0, 1)
 		for n := 1; ; n++ {
--- a/internal/lab/model/slowstart.go
+++ b/internal/lab/model/slowstart.go
@@ -39,8 +39,8 @@
 // SlowStartArrivals returns all that arrived in this incarnation until the endpoint was warm, or crashed.
 func (e *Endpoint) SlowStartArrivals() []Arrival { return e.slowStartArrivals }
 
-// chargeSlowStart counts work that arrives, in seconds, and returns the crash that it causes; nil if none.
-func (e *Endpoint) chargeSlowStart(node int, work float64) *Crash {
+// recordSlowStartArrival counts work that arrives, in seconds, and returns the crash that it causes; nil if none.
+func (e *Endpoint) recordSlowStartArrival(node int, work float64) *Crash {
 	if e.CapacityShare() >= 1 {
 		e.windowArrivals = nil
 		return nil
--- a/internal/lab/model/work.go
+++ b/internal/lab/model/work.go
@@ -9,7 +9,7 @@
 	// maxStep is the longest time over which the capacity is taken to be constant.
 	maxStep = int64(50 * time.Millisecond)
 	// finished is how much work a finished job may have left, as sums are rounded; seconds.
-	finished = 1e-10
+	remainingTolerance = 1e-10
 	// maxForecast is how far ahead the end of work is computed, and forecastStep when to look again beyond it.
 	maxForecast  = 3600.0 // seconds
 	forecastStep = int64(time.Second)
@@ -38,7 +38,7 @@
 			e.now = min(until, e.pausedUntil)
 			continue
 		}
-		e.done = append(e.done, e.work(until)...)
+		e.done = append(e.done, e.runUntil(until)...)
 	}
 	e.now = max(e.now, now)
 }
@@ -56,9 +56,9 @@
 }
 
 // work runs until a time, or up to the first job's end before it.
-func (e *Endpoint) work(until int64) []Done {
+func (e *Endpoint) runUntil(until int64) []Done {
 	if e.overhead > 0 {
-		e.workOverhead(float64(until-e.now) / 1e9)
+		e.runOverhead(float64(until-e.now) / 1e9)
 		return nil
 	}
 	running := e.running()
@@ -85,8 +85,8 @@
 	return e.finishJobs()
 }
 
-// workOverhead does overhead on all cores for at most a span, in seconds.
-func (e *Endpoint) workOverhead(span float64) {
+// runOverhead does overhead on all cores for at most a span, in seconds.
+func (e *Endpoint) runOverhead(span float64) {
 	rate := e.coreRate()
 	part := math.Min(e.overhead, rate*float64(e.Cores)*span)
 	e.overhead -= part
@@ -100,7 +100,7 @@
 	var done []Done
 	kept := e.jobs[:0]
 	for _, j := range e.jobs {
-		if j.remaining > finished {
+		if j.remaining > remainingTolerance {
 			kept = append(kept, j)
 			continue
 		}
--- a/internal/lab/result/analysis.go
+++ b/internal/lab/result/analysis.go
@@ -19,7 +19,7 @@
 		Plan:           Plan{r.Plan.Seed, r.PlanHash, len(r.Plan.Operations)},
 		ViolationCount: len(r.Violations), Violations: r.Violations,
 		Classes: map[string]*Tally{}, Tenants: map[string]*Tally{},
-		Attempts: countAttempts(s, r), Nodes: r.Nodes, BadClients: r.BadClients, Oddities: r.Oddities, GivenUp: r.GivenUp,
+		Attempts: countAttempts(s, r), Nodes: r.Nodes, BadClients: r.BadClients, Oddities: r.Anomalies, GivenUp: r.GivenUp,
 		SlowStart: slowStartOf(r), Endpoints: r.Endpoints, Loads: r.Loads,
 		Virtual: r.Virtual, Activity: r.Activity, Reach: r.Reach,
 		Views: viewsOf(r.Views, r.Running), MembershipViews: r.Views, Running: r.Running,
--- a/internal/lab/result/expectations.go
+++ b/internal/lab/result/expectations.go
@@ -19,11 +19,11 @@
 	e := &s.Expect
 	r.expect(r.ViolationCount == 0, "rules broken %d times, expected never", r.ViolationCount)
 	r.checkOutcomes(e)
-	if bad.Came > 0 {
-		unanswered := float64(bad.Unanswered) / float64(bad.Came)
-		r.expect(unanswered <= e.BadUnanswered,
+	if bad.Connected > 0 {
+		unanswered := float64(bad.Unanswered) / float64(bad.Connected)
+		r.expect(unanswered <= e.MaxBadUnanswered,
 			"%.4f of the bad clients got neither an error nor a close, expected %.4f at most",
-			unanswered, e.BadUnanswered)
+			unanswered, e.MaxBadUnanswered)
 		r.expect(bad.Served == 0, "%d bad clients were served, expected none", bad.Served)
 	}
 	r.expect(r.Lost <= e.MaxLost, "%d tasks lost, expected %d at most", r.Lost, e.MaxLost)
@@ -49,17 +49,17 @@
 // checkOutcomes checks the outcomes of requests; those that clients canceled count for nothing.
 func (r *Result) checkOutcomes(e *scenario.Expect) {
 	requests := float64(max(r.Requests-r.Canceled, 1))
-	r.expect(r.FractionInTime >= e.WeightInTime, "earnings in time %.4f, expected %.4f at least", r.FractionInTime, e.WeightInTime)
-	if e.Succeeded > 0 {
+	r.expect(r.FractionInTime >= e.MinWeightInTime, "earnings in time %.4f, expected %.4f at least", r.FractionInTime, e.MinWeightInTime)
+	if e.MinSucceeded > 0 {
 		succeeded := float64(r.Succeeded) / requests
-		r.expect(succeeded >= e.Succeeded, "satisfied %.4f of the tasks, expected %.4f at least", succeeded, e.Succeeded)
+		r.expect(succeeded >= e.MinSucceeded, "satisfied %.4f of the tasks, expected %.4f at least", succeeded, e.MinSucceeded)
 	}
-	if e.Rejected > 0 {
+	if e.MaxRejected > 0 {
 		rejected := float64(r.Rejected) / requests
-		r.expect(rejected <= e.Rejected, "declined %.4f of the tasks, expected %.4f at most", rejected, e.Rejected)
+		r.expect(rejected <= e.MaxRejected, "declined %.4f of the tasks, expected %.4f at most", rejected, e.MaxRejected)
 	}
-	if e.P99 > 0 {
-		r.expect(r.P99 <= float64(e.P99)/1e6, "99th percentile %.1f ms, expected %v at most", r.P99, e.P99.Std())
+	if e.MaxP99 > 0 {
+		r.expect(r.P99 <= float64(e.MaxP99)/1e6, "99th percentile %.1f ms, expected %v at most", r.P99, e.MaxP99.Std())
 	}
 }
 
--- a/internal/lab/result/reachability.go
+++ b/internal/lab/result/reachability.go
@@ -32,7 +32,7 @@
 		for ; next < len(views) && views[next].At <= sample.At; next++ {
 			view := &views[next]
 			given++
-			if !view.Known {
+			if !view.Reliable {
 				unknown++
 			}
 			wrong += countWrong(view, sample)
--- a/internal/lab/result/text.go
+++ b/internal/lab/result/text.go
@@ -29,8 +29,8 @@
 	r.printActivity(&out)
 	r.printSlowStart(&out)
 	r.printNodes(&out)
-	if b := r.BadClients; b.Came > 0 {
-		fmt.Fprintf(&out, "bad clients %d: %d got neither an error nor a close, %d were served\n", b.Came, b.Unanswered, b.Served)
+	if b := r.BadClients; b.Connected > 0 {
+		fmt.Fprintf(&out, "bad clients %d: %d got neither an error nor a close, %d were served\n", b.Connected, b.Unanswered, b.Served)
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.GivenUp)) {
 		fmt.Fprintf(&out, "given up: %s, %d times\n", reason, r.GivenUp[reason])
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -12,18 +12,18 @@
 	return &Scenario{
 		Length:  Duration(10 * time.Second),
 		Seed:    1,
-		Network: Network{Zones: []string{"a"}, SameZone: ms(0.2), CrossZone: ms(5), Client: ms(0.3), Jitter: 0.1},
-		Nodes:   Nodes{Count: 1, MemoryMB: 192, Sockets: 1024, DeathNotice: ms(1000), ProtocolPeriod: ms(500)},
-		Reports: Reports{Fields: []string{"queue", "inflight"}, Period: ms(400), Delay: ms(100), Noise: 0.03},
+		Network: Network{Zones: []string{"a"}, SameZone: milliseconds(0.2), CrossZone: milliseconds(5), Client: milliseconds(0.3), Jitter: 0.1},
+		Nodes:   Nodes{Count: 1, MemoryMB: 192, Sockets: 1024, DeathNotice: milliseconds(1000), ProtocolPeriod: milliseconds(500)},
+		Reports: Reports{Fields: []string{"queue", "inflight"}, Period: milliseconds(400), Delay: milliseconds(100), Noise: 0.03},
 		Discovery: Discovery{
-			MustPoll: true, ChangeDelay: ms(500), UpdateInterval: ms(200), CallTime: ms(20), CallTimeout: ms(2000),
+			MustPoll: true, ChangeDelay: milliseconds(500), UpdateInterval: milliseconds(200), CallTime: milliseconds(20), CallTimeout: milliseconds(2000),
 		},
 		Rules: Rules{
-			StopSending: ms(500), PollWithin: ms(10000), CrashMultiple: 3, CrashWindow: ms(1000), CrashSlack: "tight",
-			AnswerGrace: ms(20), MaxAttempts: 4, MayCancel: true, MaxRetryAfter: ms(1500), ConnectTimeout: ms(75),
+			StopSending: milliseconds(500), PollWithin: milliseconds(10000), CrashMultiple: 3, CrashWindow: milliseconds(1000), CrashSlack: "tight",
+			AnswerGrace: milliseconds(20), MaxAttempts: 4, MayCancel: true, MaxRetryAfter: milliseconds(1500), ConnectTimeout: milliseconds(75),
 		},
-		Load:    Load{Rate: 200, Shape: "steady", Swing: 0.3, Period: ms(5000), Body: 200},
-		Clients: Clients{Retries: 2, Backoff: ms(20), HonorShare: 0.8, RequestTimeoutShare: 1, MaxConnections: 200},
+		Load:    Load{Rate: 200, Shape: "steady", Swing: 0.3, Period: milliseconds(5000), Body: 200},
+		Clients: Clients{Retries: 2, Backoff: milliseconds(20), HonorShare: 0.8, RequestTimeoutShare: 1, MaxConnections: 200},
 	}
 }
 
@@ -55,12 +55,12 @@
 	setDefault(&f.Concurrency, 16)
 	setDefault(&f.QueueLimit, 16)
 	setDefault(&f.SlowStartCapacity, 0.25)
-	setDefault(&f.SlowStartWindow, ms(15000))
+	setDefault(&f.SlowStartWindow, milliseconds(15000))
 	setDefault(&f.Connections, 1000)
-	setDefault(&f.IdleClose, ms(60000))
+	setDefault(&f.IdleClose, milliseconds(60000))
 	setDefault(&f.Cancel, "nothing")
 	if f.PauseEvery > 0 {
-		setDefault(&f.PauseFor, ms(100))
+		setDefault(&f.PauseFor, milliseconds(100))
 	}
 }
 
@@ -70,7 +70,7 @@
 	setDefault(&c.PriorityWeight, 1)
 	if c.Idempotency == IdempotentByKey {
 		setDefault(&c.DedupGroup, "fleet")
-		setDefault(&c.DedupWindow, ms(5000))
+		setDefault(&c.DedupWindow, milliseconds(5000))
 	}
 }
 
@@ -86,7 +86,7 @@
 	case "bad-clients":
 		setDefault(&f.Rate, 20)
 	case "lists-late":
-		setDefault(&f.Wait, ms(3000))
+		setDefault(&f.Wait, milliseconds(3000))
 	case "clock":
 		setDefault(&f.Factor, 1)
 	case "link-drop", "link-spoil", "link-twice", "link-reorder":
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -52,18 +52,18 @@
 	target, known := FaultTargets[f.Kind]
 	if !known {
 		kinds := slices.Sorted(maps.Keys(FaultTargets))
-		c.must(false, at+"kind", "one of "+strings.Join(kinds, ", "), fmt.Sprintf("%q", f.Kind))
+		c.require(false, at+"kind", "one of "+strings.Join(kinds, ", "), fmt.Sprintf("%q", f.Kind))
 		return
 	}
-	c.must(f.At >= 0 && f.At < c.s.Length, at+"at", "a time within the day", f.At.Std())
-	c.must(f.For >= 0, at+"for", "a time of at least 0", f.For.Std())
+	c.require(f.At >= 0 && f.At < c.scenario.Length, at+"at", "a time within the day", f.At.Std())
+	c.require(f.For >= 0, at+"for", "a time of at least 0", f.For.Std())
 	if target == LinkTarget {
 		return // checkLinkFaults has the rest
 	}
-	c.must(len(f.From)+len(f.To) == 0, at+"from", "none, as the fault is of no way", f.From)
+	c.require(len(f.From)+len(f.To) == 0, at+"from", "none, as the fault is of no way", f.From)
 	c.fraction(at+"share", f.Share)
 	c.fraction(at+"hand_offs", f.AttemptShare)
-	c.must(f.Factor >= 0, at+"factor", "a number of at least 0", f.Factor)
+	c.require(f.Factor >= 0, at+"factor", "a number of at least 0", f.Factor)
 	if f.Zone != "" {
 		c.zone(at+"zone", f.Zone)
 	}
@@ -79,34 +79,34 @@
 // StopAmidSignals is the Fault.How of a stop among other signals: a reload, a print of the counters, further stops.
 const StopAmidSignals = "signals"
 
-const namesNobody = "a fault that names nobody"
+const noTargetNamed = "a fault that names nobody"
 
 func (c *checker) checkEndpointFault(at string, f *Fault) {
-	c.must(len(f.Nodes) == 0, at+"nodes", "none, as the fault is the servers'", f.Nodes)
+	c.require(len(f.Nodes) == 0, at+"nodes", "none, as the fault is the servers'", f.Nodes)
 	c.checkEndpointNames(at, f)
 	named := len(f.Endpoints) > 0 || f.Count > 0 || f.Share > 0 || f.Zone != ""
-	c.must(named, at+"servers", "servers, a count, a share or a zone", namesNobody)
-	c.must(f.Count <= len(c.s.EndpointNames()), at+"count", "no more than there are servers", f.Count)
+	c.require(named, at+"servers", "servers, a count, a share or a zone", noTargetNamed)
+	c.require(f.Count <= len(c.scenario.EndpointNames()), at+"count", "no more than there are servers", f.Count)
 }
 
 func (c *checker) checkNodeFault(at string, f *Fault) {
 	c.checkNodeNumbers(at, f)
 	byZone := f.Zone != "" && f.Kind != "cut-node" // which takes the zone for the endpoints that are cut off
 	named := len(f.Nodes) > 0 || f.Count > 0 || f.Share > 0 || byZone
-	c.must(named, at+"nodes", "numbers of nodes, a count, a share or a zone", namesNobody)
+	c.require(named, at+"nodes", "numbers of nodes, a count, a share or a zone", noTargetNamed)
 }
 
 func (c *checker) checkEndpointNames(at string, f *Fault) {
-	names := c.s.EndpointNames()
+	names := c.scenario.EndpointNames()
 	for _, name := range f.Endpoints {
-		c.must(slices.Contains(names, name), at+"servers", "names such as "+names[0], fmt.Sprintf("%q", name))
+		c.require(slices.Contains(names, name), at+"servers", "names such as "+names[0], fmt.Sprintf("%q", name))
 	}
 }
 
 func (c *checker) checkNodeNumbers(at string, f *Fault) {
-	count := c.s.Nodes.Count
+	count := c.scenario.Nodes.Count
 	for _, i := range f.Nodes {
-		c.must(i >= 0 && i < count, at+"nodes", fmt.Sprintf("numbers from 0 to %d", count-1), i)
+		c.require(i >= 0 && i < count, at+"nodes", fmt.Sprintf("numbers from 0 to %d", count-1), i)
 	}
 }
 
@@ -117,12 +117,12 @@
 		c.checkNodeNumbers(at, f)
 		c.checkEndpointNames(at, f)
 		positive := f.NodesBack >= 0 && f.EndpointsBack >= 0 && f.DiscoveryBack >= 0 && f.Each >= 0
-		c.must(positive, at+"nodes_back", "times of at least 0", "less")
+		c.require(positive, at+"nodes_back", "times of at least 0", "less")
 	case "clock":
-		c.must(f.Wait != 0 || f.Factor != 1, at+"wait", "a step, or a factor for its drift", "neither")
-		c.must(f.Factor > 0.5 && f.Factor < 2, at+"factor", "between 0.5 and 2", f.Factor)
+		c.require(f.Wait != 0 || f.Factor != 1, at+"wait", "a step, or a factor for its drift", "neither")
+		c.require(f.Factor > 0.5 && f.Factor < 2, at+"factor", "between 0.5 and 2", f.Factor)
 	case "stop":
-		c.must(f.How == "" || f.How == StopAmidSignals, at+"how", "nothing or "+StopAmidSignals, f.How)
+		c.require(f.How == "" || f.How == StopAmidSignals, at+"how", "nothing or "+StopAmidSignals, f.How)
 	case "state":
 		c.oneOf(at+"how", f.How, StateFaultKinds...)
 	case "wait":
@@ -134,9 +134,9 @@
 
 func (c *checker) checkWait(at string, f *Fault) {
 	c.positive(at+"wait", f.Wait)
-	c.must((f.Class == "") != (f.Tenant == ""), at+"category", "a category or a customer", "neither or both")
-	hasClass := slices.ContainsFunc(c.s.Classes, func(k Class) bool { return k.Name == f.Class })
-	c.must(f.Class == "" || hasClass, at+"category", "a category's name", f.Class)
-	hasTenant := slices.ContainsFunc(c.s.Tenants, func(t Tenant) bool { return t.Name == f.Tenant })
-	c.must(f.Tenant == "" || hasTenant, at+"customer", "a customer's name", f.Tenant)
+	c.require((f.Class == "") != (f.Tenant == ""), at+"category", "a category or a customer", "neither or both")
+	hasClass := slices.ContainsFunc(c.scenario.Classes, func(k Class) bool { return k.Name == f.Class })
+	c.require(f.Class == "" || hasClass, at+"category", "a category's name", f.Class)
+	hasTenant := slices.ContainsFunc(c.scenario.Tenants, func(t Tenant) bool { return t.Name == f.Tenant })
+	c.require(f.Tenant == "" || hasTenant, at+"customer", "a customer's name", f.Tenant)
 }
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -48,26 +48,26 @@
 
 // namedLinkFault is a valid fault with the key of its table.
 type namedLinkFault struct {
-	at    string
-	fault netfault.Fault
+	prefix string
+	fault  netfault.Fault
 }
 
 // checkLinkFaults checks faults of links, each and against one another.
 func (c *checker) checkLinkFaults() {
 	var valid []namedLinkFault
-	for i := range c.s.Faults {
-		f, at := &c.s.Faults[i], fmt.Sprintf("fault.%d.", i)
+	for i := range c.scenario.Faults {
+		f, at := &c.scenario.Faults[i], fmt.Sprintf("fault.%d.", i)
 		if FaultTargets[f.Kind] != LinkTarget {
 			continue
 		}
 		c.checkLinkKeys(at, f)
-		fault, ok := c.s.LinkFault(f)
+		fault, ok := c.scenario.LinkFault(f)
 		if !ok || !c.checkEnds(at, f, &fault) {
 			continue
 		}
 		for k := range valid {
-			other := "one in " + strings.TrimSuffix(valid[k].at, ".")
-			c.must(!netfault.Conflict(&valid[k].fault, &fault), at+"kind", "no other "+f.Kind+" of one of its ways at one time", other)
+			other := "one in " + strings.TrimSuffix(valid[k].prefix, ".")
+			c.require(!netfault.Conflict(&valid[k].fault, &fault), at+"kind", "no other "+f.Kind+" of one of its ways at one time", other)
 		}
 		valid = append(valid, namedLinkFault{at, fault})
 	}
@@ -80,27 +80,27 @@
 	if variants := netfault.Variants[kind]; len(variants) > 0 {
 		c.oneOf(at+"how", f.How, variants...)
 	} else {
-		c.must(f.How == "", at+"how", "none, as "+f.Kind+" has one way only", f.How)
+		c.require(f.How == "", at+"how", "none, as "+f.Kind+" has one way only", f.How)
 	}
 	c.fraction(at+"share", f.Share)
-	c.must(f.Burst >= 1 && f.Burst <= maxBurst, at+"burst", "1 to 10,000 messages", f.Burst)
+	c.require(f.Burst >= 1 && f.Burst <= maxBurst, at+"burst", "1 to 10,000 messages", f.Burst)
 	switch kind {
 	case netfault.Delay, netfault.Reorder:
 		wait := f.Wait.Std()
-		c.must(wait > 0 && wait <= maxWait, at+"wait", "a time above 0, 1m at most", wait)
+		c.require(wait > 0 && wait <= maxWait, at+"wait", "a time above 0, 1m at most", wait)
 	case netfault.Narrow:
-		c.must(f.Rate >= minLinkRate, at+"rate", "at least 100 bytes a second", f.Rate)
+		c.require(f.Rate >= minLinkRate, at+"rate", "at least 100 bytes a second", f.Rate)
 	}
 }
 
 func (c *checker) checkEndNames(key string, names []string) {
 	if len(names) == 0 {
-		c.must(false, key, "one end of the way at least", "none")
+		c.require(false, key, "one end of the way at least", "none")
 		return
 	}
-	if _, err := c.s.Site().Ends(names); err != nil {
+	if _, err := c.scenario.Site().Ends(names); err != nil {
 		want, got, _ := strings.Cut(err.Error(), ", got ")
-		c.must(false, key, want, got)
+		c.require(false, key, want, got)
 	}
 }
 
@@ -113,13 +113,13 @@
 			linked, messages, same = linked && link, messages && ofMessages, same && a == b
 		}
 	}
-	c.must(!same, at+"to", "another end than from", strings.Join(f.To, " "))
+	c.require(!same, at+"to", "another end than from", strings.Join(f.To, " "))
 	if !linked {
 		ends := strings.Join(f.From, " ") + " and " + strings.Join(f.To, " ")
-		c.must(false, at+"to", "ends that nodes have ways to: one side of a way is always a node", ends)
+		c.require(false, at+"to", "ends that nodes have ways to: one side of a way is always a node", ends)
 		return false
 	}
-	c.must(messages || netfault.AppliesToStreams(fault.Kind),
+	c.require(messages || netfault.AppliesToStreams(fault.Kind),
 		at+"kind", "link-cut, link-drop, link-delay or link-narrow where the way carries streams", fmt.Sprintf("%q", f.Kind))
 	return true
 }
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -12,17 +12,17 @@
 )
 
 // Mistake is what is wrong in a file.
-type Mistake struct {
-	Path string
-	Line int // 0 if it concerns no single line
-	What string
+type FileError struct {
+	Path    string
+	Line    int // 0 if it concerns no single line
+	Message string
 }
 
-func (m *Mistake) Error() string {
+func (m *FileError) Error() string {
 	if m.Line == 0 {
-		return fmt.Sprintf("%s: %s", m.Path, m.What)
+		return fmt.Sprintf("%s: %s", m.Path, m.Message)
 	}
-	return fmt.Sprintf("%s:%d: %s", m.Path, m.Line, m.What)
+	return fmt.Sprintf("%s:%d: %s", m.Path, m.Line, m.Message)
 }
 
 // Read reads and checks a file. Its errors are Mistakes, or of the file system.
@@ -41,9 +41,9 @@
 	in := toml.NewDecoder(bytes.NewReader(text))
 	in.DisallowUnknownFields()
 	if err := in.Decode(s); err != nil {
-		return nil, decodeMistake(path, err)
+		return nil, decodeError(path, err)
 	}
-	s.lines = linesOf(text)
+	s.lines = keyLines(text)
 	s.fillDefaults()
 	if err := s.check(); err != nil {
 		return nil, err
@@ -51,24 +51,24 @@
 	return s, nil
 }
 
-// decodeMistake gives a decoder's error its line.
-func decodeMistake(path string, err error) *Mistake {
+// decodeError gives a decoder's error its line.
+func decodeError(path string, err error) *FileError {
 	var unknown *toml.StrictMissingError
 	var invalid *toml.DecodeError
 	switch {
 	case errors.As(err, &unknown):
 		line, _ := unknown.Errors[0].Position()
 		key := strings.Join(unknown.Errors[0].Key(), ".")
-		return &Mistake{path, line, "unknown key " + key + "; expected one of the keys that docs/operate/lab.md lists"}
+		return &FileError{path, line, "unknown key " + key + "; expected one of the keys that docs/operate/lab.md lists"}
 	case errors.As(err, &invalid):
 		line, _ := invalid.Position()
-		return &Mistake{path, line, strings.TrimPrefix(invalid.Error(), "toml: ")}
+		return &FileError{path, line, strings.TrimPrefix(invalid.Error(), "toml: ")}
 	}
-	return &Mistake{path, 0, strings.TrimPrefix(err.Error(), "toml: ")}
+	return &FileError{path, 0, strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
-// linesOf tells in which line each key is, as a path with an index for each repeated table.
-func linesOf(text []byte) map[string]int {
+// keyLines tells in which line each key is, as a path with an index for each repeated table.
+func keyLines(text []byte) map[string]int {
 	lines, seen, prefix := map[string]int{}, map[string]int{}, ""
 	var p unstable.Parser
 	p.Reset(text)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -26,7 +26,7 @@
 // Std returns the duration as the standard library's type.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-func ms(v float64) Duration { return Duration(v * float64(time.Millisecond)) }
+func milliseconds(v float64) Duration { return Duration(v * float64(time.Millisecond)) }
 
 // Scenario is one run: the parts, the load, the faults, and what must hold at the end.
 type Scenario struct {
@@ -194,7 +194,7 @@
 	Retries             int      `toml:"retries"`
 	Backoff             Duration `toml:"backoff"`     // doubled with each retry
 	HonorShare          float64  `toml:"honour"`      // part that keeps to Retry-After
-	LeaveShare          float64  `toml:"leave"`       // part that may cancel early
+	CancelShare         float64  `toml:"leave"`       // part that may cancel early
 	OneShotShare        float64  `toml:"once"`        // part that sends one request and keeps its connection for good
 	RequestTimeoutShare float64  `toml:"try_share"`   // part of the deadline that one request is waited for
 	MaxConnections      int      `toml:"connections"` // to a node; operations beyond wait, which counts in their latency
@@ -233,14 +233,14 @@
 
 // Expect is what must hold for a run to end with exit code 0. The rules hold whatever it says.
 type Expect struct {
-	WeightInTime  float64  `toml:"earnings_in_time_min"` // part of the priority weight answered within the objective
-	Succeeded     float64  `toml:"satisfied_min"`        // part of the operations
-	Rejected      float64  `toml:"declined_max"`
-	P99           Duration `toml:"p99_max"`
-	BadUnanswered float64  `toml:"bad_unanswered_max"` // part of bad clients that got neither an error nor a close
-	MaxLost       int      `toml:"lost_max"`           // operations lost with nodes that were killed
-	OfLateSeeing  float64  `toml:"seeing_part_min"`    // part of what a policy keeps that sees the true state late; gate
-	ViewsAgree    bool     `toml:"agree"`              // at the end every node knows which nodes run
+	MinWeightInTime      float64  `toml:"earnings_in_time_min"` // part of the priority weight answered within the objective
+	MinSucceeded         float64  `toml:"satisfied_min"`        // part of the operations
+	MaxRejected          float64  `toml:"declined_max"`
+	MaxP99               Duration `toml:"p99_max"`
+	MaxBadUnanswered     float64  `toml:"bad_unanswered_max"` // part of bad clients that got neither an error nor a close
+	MaxLost              int      `toml:"lost_max"`           // operations lost with nodes that were killed
+	MinShareOfLateSeeing float64  `toml:"seeing_part_min"`    // part of what a policy keeps that sees the true state late; gate
+	ViewsAgree           bool     `toml:"agree"`              // at the end every node knows which nodes run
 	// RecoverWithin is the time from the last power loss until service is back at 0.95 of the weight; 0: not checked.
 	RecoverWithin Duration `toml:"back_within"`
 	// MaxSlowStartExcess is the most over the budget of N requests of an endpoint in slow start, by nodes that knew of
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const sound = `name = "x"
+const validScenario = `name = "x"
 length = "5s"
 [[fleet]]
 count = 4
@@ -23,8 +23,8 @@
 count = 2
 `
 
-func TestSound(t *testing.T) {
-	s, err := Parse("f", []byte(sound))
+func TestDefaultsAreFilledIn(t *testing.T) {
+	s, err := Parse("f", []byte(validScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,9 +34,9 @@
 }
 
 // What is wrong is told with its line and with what was expected.
-// TestMistakesOfWays has five in one file: each is told with its line, all at once.
-func TestMistakesOfWays(t *testing.T) {
-	_, err := Parse("f", []byte(sound+`
+// TestLinkFaultErrorsAreAllReported has five in one file: each is told with its line, all at once.
+func TestLinkFaultErrorsAreAllReported(t *testing.T) {
+	_, err := Parse("f", []byte(validScenario+`
 [[fault]]
 kind = "link-cut"
 at = "1s"
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestMistakes(t *testing.T) {
+func TestErrorNamesLineAndExpectation(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"unknown key":        {"count = 4", "count = 4\nspede = 2", "f:5: unknown key fleet.spede"},
 		"not a time":         {`"5ms"`, `"5 parsecs"`, `f:11: `},
@@ -107,8 +107,8 @@
 		"zone unknown":       {"count = 4", "count = 4\nzones = [\"q\"]", "f:5: fleet.0.zones: expected a zone of network.zones, got \"q\""},
 		"node unknown":       {"kind = \"slow\"", "kind = \"kill\"\nnodes = [3]", "f:14: fault.0.nodes: expected numbers from 0 to 0, got 3"},
 	} {
-		text := strings.Replace(sound, c.from, c.to, 1)
-		if text == sound {
+		text := strings.Replace(validScenario, c.from, c.to, 1)
+		if text == validScenario {
 			t.Fatalf("%s: the case changes nothing", name)
 		}
 		_, err := Parse("f", []byte(text))
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestShipped(t *testing.T) {
+func TestShippedScenariosAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../lab/scenarios/*.toml")
 	if err != nil || len(paths) < 10 {
 		t.Fatalf("%d scenarios found, %v", len(paths), err)
@@ -129,7 +129,7 @@
 			t.Error(err)
 			continue
 		}
-		if s.Name+".toml" != filepath.Base(path) || s.About == "" || s.Expect.WeightInTime == 0 {
+		if s.Name+".toml" != filepath.Base(path) || s.About == "" || s.Expect.MinWeightInTime == 0 {
 			t.Errorf("%s: expected its name, what it is about and what it expects", path)
 		}
 	}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -14,7 +14,7 @@
 // clientRequest is one request of a client for its operation.
 type clientRequest struct {
 	operation *workload.Operation
-	n         int
+	number    int
 	deadline  int64
 	key       string
 	id        string
@@ -81,7 +81,7 @@
 	zone := c.byZone[t.operation.Zone]
 	if choice := c.pickers[t.operation.Zone]; choice != nil {
 		// the next one follows if that one is not ready
-		c.nextNode[t.operation.Zone] = choice.Pick(t.operation, t.n) - 1
+		c.nextNode[t.operation.Zone] = choice.Pick(t.operation, t.number) - 1
 	}
 	for range zone {
 		c.nextNode[t.operation.Zone]++
@@ -106,7 +106,7 @@
 		c.finishOrRetry(t, trace.Lost, true, 0)
 		return
 	}
-	front, end := n.front(), n.end()
+	front, end := n.frontEnd(), n.linkEnd()
 	blocked, refused := d.cannotConnect(front, end)
 	switch {
 	case refused:
@@ -118,15 +118,15 @@
 		return
 	}
 	record := &invariant.Request{
-		ID: t.id, Operation: t.operation.Index, Node: n.index, Incarnation: n.process.Incarnation,
+		ID: t.id, Operation: t.operation.Index, Node: n.index, Incarnation: n.record.Incarnation,
 		Class: t.operation.Class, SentAt: d.now, Deadline: t.deadline,
 	}
 	d.history.RecordRequest(record)
 	if delay := d.linkDelay(front, end); delay > 0 {
 		record.SentAt += delay
-		t.pending = &pendingRequest{node: n, incarnation: n.process.Incarnation, request: t, record: record}
+		t.pending = &pendingRequest{node: n, incarnation: n.record.Incarnation, request: t, record: record}
 		d.after(delay, func() {
-			if n.alive && n.process.Incarnation == record.Incarnation && !t.finished {
+			if n.alive && n.record.Incarnation == record.Incarnation && !t.finished {
 				n.receive(t, record)
 			}
 		})
@@ -146,8 +146,8 @@
 	d := c.sim
 	until := c.waitsUntil(t)
 	leavesAt := int64(invariant.Never)
-	if t.operation.LeavesAfter > 0 {
-		leavesAt = t.operation.Due + t.operation.LeavesAfter
+	if t.operation.CancelsAfter > 0 {
+		leavesAt = t.operation.Due + t.operation.CancelsAfter
 		if leavesAt < t.deadline {
 			until = leavesAt
 		}
@@ -163,7 +163,7 @@
 		} else {
 			c.finishOrRetry(t, trace.Failed, false, 0)
 		}
-		if n.alive && t.pending.incarnation == n.process.Incarnation {
+		if n.alive && t.pending.incarnation == n.record.Incarnation {
 			n.clientGone(t.pending)
 		}
 	})
@@ -200,14 +200,14 @@
 // finishOrRetry ends a request that did not succeed, and sends another where a client would.
 func (c *clients) finishOrRetry(t *clientRequest, state trace.State, unreached bool, advice int64) {
 	d := c.sim
-	retry, ok := t.operation.NextRetry(d.scenario, t.n, d.now, state == trace.Rejected || unreached, advice)
+	retry, ok := t.operation.NextRetry(d.scenario, t.number, d.now, state == trace.Rejected || unreached, advice)
 	if !ok {
 		c.finish(t, state, d.now)
 		return
 	}
 	next := &clientRequest{
-		operation: t.operation, n: t.n + 1, deadline: retry.Deadline, key: t.key,
-		id: d.requestID(t.operation.Index, t.n+1),
+		operation: t.operation, number: t.number + 1, deadline: retry.Deadline, key: t.key,
+		id: d.requestID(t.operation.Index, t.number+1),
 	}
 	d.after(retry.Wait, func() { c.send(next) })
 }
@@ -218,7 +218,7 @@
 	if o.State != trace.Pending {
 		return
 	}
-	*o = trace.Outcome{State: state, Elapsed: at - t.operation.Due, Requests: t.n + 1}
+	*o = trace.Outcome{State: state, Elapsed: at - t.operation.Due, Requests: t.number + 1}
 	c.unfinished--
 	c.lastFinishedAt = c.sim.now
 }
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -23,7 +23,7 @@
 	sim         *Simulation
 	list        *model.EndpointList
 	everListed  []int // endpoints listed at any time, in order of their first listing
-	known       map[int]bool
+	wasListed   map[int]bool
 	initial     []model.ListEntry
 	down        bool
 	outage      *invariant.Outage
@@ -49,7 +49,7 @@
 }
 
 func newDiscovery(d *Simulation) *discovery {
-	return &discovery{sim: d, list: model.NewEndpointList(40), known: map[int]bool{}, slowdown: 1}
+	return &discovery{sim: d, list: model.NewEndpointList(40), wasListed: map[int]bool{}, slowdown: 1}
 }
 
 // set changes the list after a delay.
@@ -57,8 +57,8 @@
 	entry := model.ListEntry{Endpoint: m.spec.Index, State: h, StartedAt: m.startedAt}
 	do := func() {
 		s.list.Set(entry)
-		if !s.known[entry.Endpoint] {
-			s.known[entry.Endpoint] = true
+		if !s.wasListed[entry.Endpoint] {
+			s.wasListed[entry.Endpoint] = true
 			s.everListed = append(s.everListed, entry.Endpoint)
 		}
 		s.sim.history.RecordListChange(invariant.ListChange{
@@ -102,7 +102,7 @@
 	listed := map[int]bool{}
 	for _, l := range list {
 		told = append(told, invariant.ListEntry{
-			Node: n.index, Incarnation: n.process.Incarnation, Endpoint: l.Endpoint, State: l.State,
+			Node: n.index, Incarnation: n.record.Incarnation, Endpoint: l.Endpoint, State: l.State,
 			StartedAt: l.StartedAt, At: s.sim.now,
 		})
 		listed[l.Endpoint] = true
@@ -111,7 +111,7 @@
 		for _, endpoint := range s.everListed {
 			if !listed[endpoint] {
 				told = append(told, invariant.ListEntry{
-					Node: n.index, Incarnation: n.process.Incarnation, Endpoint: endpoint, State: model.Removed,
+					Node: n.index, Incarnation: n.record.Incarnation, Endpoint: endpoint, State: model.Removed,
 					At: s.sim.now,
 				})
 			}
@@ -123,7 +123,7 @@
 // startWatch begins a watch; a node has one at a time.
 func (n *node) startWatch() {
 	if n.watch == nil {
-		n.watch = &watch{node: n, process: n.process, version: n.version}
+		n.watch = &watch{node: n, process: n.record, version: n.version}
 		n.watch.call()
 	}
 }
@@ -134,7 +134,7 @@
 	n := w.node
 	d := n.sim
 	d.count(func(t *trace.FleetActivity) { t.ListCalls++ })
-	end := n.end()
+	end := n.linkEnd()
 	if blocked, refused := d.cannotConnect(end, discoveryEnd); blocked {
 		after := int64(discoveryConnectTimeout)
 		if refused {
@@ -155,7 +155,7 @@
 func (w *watch) queueCall() {
 	n := w.node
 	d := n.sim
-	s, end := d.discovery, n.end()
+	s, end := d.discovery, n.linkEnd()
 	w.calls++
 	w.unanswered++
 	s.queuedCalls++
@@ -169,14 +169,14 @@
 	s.busyUntil = begin + cost
 	d.at(s.busyUntil+d.linkDelay(end, discoveryEnd)+d.linkDelay(discoveryEnd, end), func() {
 		s.queuedCalls--
-		if w.closed || w.record != nil || n.process != w.process || !n.alive {
+		if w.closed || w.record != nil || n.record != w.process || !n.alive {
 			return
 		}
 		if s.down || begin-came+cost > timeout || cost == 0 && begin > came {
 			w.callEnded(1)
 			return
 		}
-		w.follow()
+		w.open()
 	})
 }
 
@@ -202,7 +202,7 @@
 	}
 	n := w.node
 	n.sim.after(gap, func() {
-		if w.record == nil && !w.closed && n.process == w.process && n.alive {
+		if w.record == nil && !w.closed && n.record == w.process && n.alive {
 			w.call()
 		}
 	})
@@ -228,16 +228,16 @@
 		})
 	}
 	w.close()
-	if n.process != w.process || !n.alive {
+	if n.record != w.process || !n.alive {
 		return
 	}
-	if n.set.Policy.MustPollList {
+	if n.settings.Policy.MustPollList {
 		n.post(func() { n.decider.WatchFailed(policy.Time(n.clock())) })
 		n.failedCalls++
 		last := n.failedCalls
 		d.after(maxCallGap, func() {
 			// else the decisions have asked sooner, and that failed too
-			if n.alive && n.process == w.process && n.failedCalls == last {
+			if n.alive && n.record == w.process && n.failedCalls == last {
 				n.startWatch()
 			}
 		})
@@ -247,7 +247,7 @@
 	wait := n.callBackoff
 	n.callBackoff = min(2*n.callBackoff, int64(maxCallBackoff))
 	d.after(wait, func() {
-		if n.alive && n.process == w.process {
+		if n.alive && n.record == w.process {
 			n.startWatch()
 		}
 	})
@@ -271,7 +271,7 @@
 	}
 }
 
-func (w *watch) follow() {
+func (w *watch) open() {
 	d := w.node.sim
 	w.record = &invariant.Watch{
 		Node: w.node.index, Incarnation: w.process.Incarnation, From: d.now, To: invariant.Never,
@@ -298,7 +298,7 @@
 	if w.scheduled = false; w.closed {
 		return
 	}
-	if !w.node.sim.links.Open(w.node.sim.now, discoveryEnd, w.node.end()) {
+	if !w.node.sim.links.Open(w.node.sim.now, discoveryEnd, w.node.linkEnd()) {
 		w.blocked = true // changes come with the next watch
 		return
 	}
@@ -316,14 +316,14 @@
 			n.becomeReady()
 		}
 	}
-	if n.listGossip.listed(n, w.version, entries, whole) {
+	if n.listGossip.watchUpdated(n, w.version, entries, whole) {
 		return
 	}
 	list := s.entries(entries)
 	n.post(func() {
 		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
 		for _, l := range list {
-			if l.State != policy.StateActive && !n.set.Policy.RemovedMayServe {
+			if l.State != policy.StateActive && !n.settings.Policy.RemovedMayServe {
 				n.CloseIdle(l.ID)
 			}
 		}
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -33,7 +33,7 @@
 	startedAt   int64 // Unix nanoseconds; 0: long ago
 	model       *model.Endpoint
 	random      *rand.Rand
-	inWork      map[int64]*attempt
+	jobs        map[int64]*attempt
 	lastID      int64
 	reports     []loadSample
 	faults      endpointFaults
@@ -47,8 +47,8 @@
 }
 
 type loadSample struct {
-	at     int64
-	figure model.LoadFigures
+	at      int64
+	figures model.LoadFigures
 }
 
 // connection is one of a node to an endpoint.
@@ -85,7 +85,7 @@
 	m.model = model.NewEndpoint(
 		model.SpecOf(m.sim.scenario, m.fleet, m.spec.Speed), started, now, m.spec.Seed+uint64(m.incarnation),
 	)
-	m.inWork = map[int64]*attempt{}
+	m.jobs = map[int64]*attempt{}
 	m.faults = endpointFaults{}
 	m.draining = false
 	m.reports = nil
@@ -126,7 +126,7 @@
 		if m.reports[i].at+int64(r.Delay) > m.sim.now {
 			continue
 		}
-		f := m.reports[i].figure.Noisy(m.random.Float64, r.Noise)
+		f := m.reports[i].figures.Noisy(m.random.Float64, r.Noise)
 		for _, name := range r.Fields {
 			switch name {
 			case "util":
@@ -149,13 +149,13 @@
 	}
 	m.up = false
 	m.model.Crash()
-	m.inWork = map[int64]*attempt{}
+	m.jobs = map[int64]*attempt{}
 	for _, n := range m.sim.nodes { // in order
 		n.endpointGone(m, false)
 	}
 }
 
-func (m *endpoint) end() netfault.End {
+func (m *endpoint) linkEnd() netfault.End {
 	return netfault.End{Kind: netfault.Endpoint, Index: m.spec.Index}
 }
 func (m *endpoint) isCutFrom(node int) bool { return m.cutAll > 0 || m.cutNodes[node] > 0 }
@@ -219,11 +219,11 @@
 // finishJobs answers the attempts that the model has finished.
 func (m *endpoint) finishJobs() {
 	for _, d := range m.model.Advance(m.sim.now) {
-		h := m.inWork[d.Job.ID]
+		h := m.jobs[d.Job.ID]
 		if h == nil {
 			continue
 		}
-		delete(m.inWork, d.Job.ID)
+		delete(m.jobs, d.Job.ID)
 		if d.Expired {
 			h.reject()
 			continue
@@ -250,7 +250,7 @@
 	record        *invariant.Attempt // nil until its first byte is written
 	id            int64
 	oneWay        int64
-	luck          float64
+	failureDraw   float64
 	ended         bool // the node has its result
 	answered      bool // the endpoint has answered
 }
@@ -279,7 +279,7 @@
 	accepted, crash := m.model.Arrive(d.now, job)
 	switch {
 	case accepted:
-		m.inWork[h.id] = h
+		m.jobs[h.id] = h
 	case crash != nil:
 		d.endpointCrashed(m, crash)
 	default:
@@ -312,8 +312,8 @@
 	m, request := h.endpoint, h.pending.request
 	o := request.operation
 	c := &m.sim.scenario.Classes[o.Class]
-	work, luck := workload.AttemptWork(o.Work, c.AttemptNoise, o.Seed+uint64(request.n), m.spec.Seed, 0)
-	h.luck = luck
+	work, luck := workload.AttemptWork(o.Work, c.AttemptNoise, o.Seed+uint64(request.number), m.spec.Seed, 0)
+	h.failureDraw = luck
 	if c.Idempotency == scenario.IdempotentByKey {
 		h.record.Deduplicated = m.sim.deduplicatorOf(m, o.Class).Seen(m.sim.now, request.key)
 		if h.record.Deduplicated {
@@ -334,7 +334,7 @@
 	m.sim.after(h.returnDelay(), func() {
 		t := &m.faults
 		switch {
-		case h.luck < m.fleet.ErrorShare:
+		case h.failureDraw < m.fleet.ErrorShare:
 			h.respond(policy.OutcomeError, http.StatusInternalServerError)
 		case t.corrupt != "" && m.random.Float64() < t.corruptShare:
 			h.corrupt(t.corrupt)
@@ -346,13 +346,13 @@
 
 // returnDelay is how long a response takes.
 func (h *attempt) returnDelay() int64 {
-	return h.oneWay + h.endpoint.sim.linkDelay(h.endpoint.end(), h.pending.node.end())
+	return h.oneWay + h.endpoint.sim.linkDelay(h.endpoint.linkEnd(), h.pending.node.linkEnd())
 }
 
 // reachesNode tells whether what the endpoint sends now arrives at the node.
 func (h *attempt) reachesNode() bool {
 	return !h.endpoint.isCutFrom(h.pending.node.index) &&
-		h.endpoint.sim.links.Open(h.endpoint.sim.now, h.endpoint.end(), h.pending.node.end())
+		h.endpoint.sim.links.Open(h.endpoint.sim.now, h.endpoint.linkEnd(), h.pending.node.linkEnd())
 }
 
 // respond brings a response to the node, unless the link is cut or the incarnation has ended.
@@ -404,16 +404,16 @@
 	}
 	h.record.ClosedAt = min(h.record.ClosedAt, h.endpoint.sim.now)
 	if h.answered || h.endpoint.isCutFrom(h.pending.node.index) ||
-		!h.endpoint.sim.links.Open(h.endpoint.sim.now, h.pending.node.end(), h.endpoint.end()) {
+		!h.endpoint.sim.links.Open(h.endpoint.sim.now, h.pending.node.linkEnd(), h.endpoint.linkEnd()) {
 		return
 	}
 	m, life := h.endpoint, h.incarnation
 	m.sim.after(h.oneWay, func() {
-		if m.incarnation != life || !m.up || m.inWork[h.id] != h {
+		if m.incarnation != life || !m.up || m.jobs[h.id] != h {
 			return
 		}
 		if stopped, _ := m.model.CancelJob(m.sim.now, h.id); stopped {
-			delete(m.inWork, h.id)
+			delete(m.jobs, h.id)
 		}
 		m.scheduleWake()
 	})
--- a/internal/lab/simulation/events.go
+++ b/internal/lab/simulation/events.go
@@ -1,26 +1,26 @@
 package simulation
 
 type event struct {
-	at  int64
-	seq uint64
-	do  func()
+	at     int64
+	seq    uint64
+	action func()
 }
 
-type clock struct {
+type eventQueue struct {
 	now     int64
 	seq     uint64
 	events  []event // a heap by at, then seq
 	handled uint64
 }
 
-func (c *clock) before(i, j int) bool {
+func (c *eventQueue) before(i, j int) bool {
 	a, b := &c.events[i], &c.events[j]
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 
 // at schedules an event. One in the past happens now, after all that are due now already. Of two events at one time
 // the one that was scheduled first happens first.
-func (c *clock) at(when int64, do func()) {
+func (c *eventQueue) at(when int64, do func()) {
 	c.seq++
 	c.events = append(c.events, event{max(when, c.now), c.seq, do})
 	for i := len(c.events) - 1; i > 0; {
@@ -33,10 +33,10 @@
 	}
 }
 
-func (c *clock) after(after int64, do func()) { c.at(c.now+after, do) }
+func (c *eventQueue) after(after int64, do func()) { c.at(c.now+after, do) }
 
 // step runs the next event; false if there is none before an end.
-func (c *clock) step(end int64) bool {
+func (c *eventQueue) step(end int64) bool {
 	if len(c.events) == 0 || c.events[0].at >= end {
 		return false
 	}
@@ -60,6 +60,6 @@
 	}
 	c.now = next.at
 	c.handled++
-	next.do()
+	next.action()
 	return true
 }
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	frontNoticesStop = int64(300 * time.Millisecond) // connections still come to a node that stops
-	acceptsAfterStop = int64(450 * time.Millisecond) // and are accepted
-	minSpeedFactor   = 0.001
-	catchUpTime      = int64(200 * time.Millisecond) // for the backlog of a node that was paused
+	frontStopDelay = int64(300 * time.Millisecond) // connections still come to a node that stops
+	stopAcceptTime = int64(450 * time.Millisecond) // and are accepted
+	minSpeedFactor = 0.001
+	catchUpTime    = int64(200 * time.Millisecond) // for the backlog of a node that was paused
 )
 
 // startFault starts a fault, and has it end in time.
@@ -92,14 +92,14 @@
 	}
 	switch f.Kind {
 	case "kill":
-		d.history.Excuse(n.process, invariant.Span{From: d.now, To: invariant.Never})
+		d.history.Excuse(n.record, invariant.Span{From: d.now, To: invariant.Never})
 		n.kill()
 		d.restartAfterFault(f, n)
 	case "stop":
 		d.stopNode(f, n)
 	case "freeze":
 		n.pausedUntil = d.now + int64(f.For)
-		d.history.Excuse(n.process, invariant.Span{From: d.now, To: n.pausedUntil + catchUpTime})
+		d.history.Excuse(n.record, invariant.Span{From: d.now, To: n.pausedUntil + catchUpTime})
 	case "cut-node":
 		for _, m := range d.endpoints {
 			if f.Zone == "" || m.spec.Zone == f.Zone {
@@ -119,14 +119,14 @@
 
 // restartAfterFault starts a node again, whose process has just ended.
 func (d *Simulation) restartAfterFault(f *workload.Fault, n *node) {
-	d.afterFault(f, d.restarter(n))
+	d.afterFault(f, d.restartFunc(n))
 }
 
 // restarter starts a node again unless that has happened.
-func (d *Simulation) restarter(n *node) func() {
-	process := n.process
+func (d *Simulation) restartFunc(n *node) func() {
+	process := n.record
 	return func() {
-		if n.process == process && !n.alive {
+		if n.record == process && !n.alive {
 			n.start()
 			d.after(startDelay, n.becomeReady)
 		}
@@ -135,33 +135,33 @@
 
 // stopNode has a node shut down gracefully: it accepts for a while, and ends once all requests have their responses.
 func (d *Simulation) stopNode(f *workload.Fault, n *node) {
-	process := n.process
+	process := n.record
 	n.stopping = true
 	if n.membership != nil {
 		n.membership.Leave()
 	}
-	d.after(frontNoticesStop, func() {
-		if n.process == process {
+	d.after(frontStopDelay, func() {
+		if n.record == process {
 			n.admitted = false
 		}
 	})
 	var endWhenIdle func()
 	endWhenIdle = func() {
-		if n.process != process || !n.alive {
+		if n.record != process || !n.alive {
 			return
 		}
-		if slices.ContainsFunc(n.order, func(x *pendingRequest) bool { return !x.answered }) {
+		if slices.ContainsFunc(n.pendingOrder, func(x *pendingRequest) bool { return !x.answered }) {
 			d.after(int64(10*time.Millisecond), endWhenIdle)
 			return
 		}
 		d.after(sendDelay, func() {
-			if n.process == process {
+			if n.record == process {
 				n.kill()
 				d.restartAfterFault(f, n)
 			}
 		})
 	}
-	d.after(acceptsAfterStop, endWhenIdle)
+	d.after(stopAcceptTime, endWhenIdle)
 }
 
 // losePower ends nodes, endpoints and discovery at one moment; each is back after a time of its own.
@@ -178,10 +178,10 @@
 		if !n.alive {
 			continue
 		}
-		d.history.Excuse(n.process, invariant.Span{From: d.now, To: invariant.Never})
+		d.history.Excuse(n.record, invariant.Span{From: d.now, To: invariant.Never})
 		n.kill()
 		if f.NodesBack > 0 {
-			d.after(f.RestoredAfter(f.NodesBack, f.Seed, i), d.restarter(n))
+			d.after(f.RestoreDelay(f.NodesBack, f.Seed, i), d.restartFunc(n))
 		}
 	}
 	for i, target := range f.Targets {
@@ -189,7 +189,7 @@
 		m.die()
 		d.discovery.set(m, model.Removed, notice)
 		if f.EndpointsBack > 0 {
-			d.after(f.RestoredAfter(f.EndpointsBack, f.Seed+1, i), func() { d.revive(m, notice) })
+			d.after(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { d.revive(m, notice) })
 		}
 	}
 }
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -21,7 +21,7 @@
 
 var discoveryEnd = netfault.End{Kind: netfault.Discovery}
 
-func (n *node) front() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
+func (n *node) frontEnd() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
 
 // fateOf is the fate of the next message on a link.
 func (d *Simulation) fateOf(from, to netfault.End, size int) netfault.Fate {
@@ -118,7 +118,7 @@
 	for i := range d.scenario.Nodes.Count {
 		names = append(names, fmt.Sprintf("n%d", i))
 	}
-	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.process.Incarnation)
+	seed := d.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.record.Incarnation)
 	view, err := members.New(members.Config{
 		Name: names[n.index], Nodes: names, ProtocolPeriodNs: int64(d.scenario.Nodes.ProtocolPeriod), Seed: seed,
 		RunID: uint32(seed*2654435761>>8) | 1, ReceivePayload: func(from int, load []byte) { n.listGossip.receive(n, from, load) },
@@ -154,7 +154,7 @@
 	d := n.sim
 	d.count(func(t *trace.FleetActivity) { t.Members++; t.MembershipBytes += len(datagram) })
 	other := d.nodes[to]
-	v := d.fateOf(n.end(), other.end(), len(datagram))
+	v := d.fateOf(n.linkEnd(), other.linkEnd(), len(datagram))
 	if v.Lost {
 		return
 	}
@@ -204,7 +204,7 @@
 			continue
 		}
 		b := trace.MembershipView{
-			At: d.now, Node: i, Known: n.membership.Summary(n.clock()).Reliable, Strain: n.membership.HealthScore(),
+			At: d.now, Node: i, Reliable: n.membership.Summary(n.clock()).Reliable, HealthScore: n.membership.HealthScore(),
 		}
 		letters := make([]byte, len(d.nodes))
 		for k, s := range n.membership.States() {
--- a/internal/lab/simulation/listgossip.go
+++ b/internal/lab/simulation/listgossip.go
@@ -11,7 +11,7 @@
 
 // listGossip is the endpoint list by gossip of one process: the node's own code over simulated membership.
 type listGossip struct {
-	core        *endpointgossip.Exchange
+	exchange    *endpointgossip.Exchange
 	confirmedAt int64 // when the watch was last up
 }
 
@@ -20,13 +20,13 @@
 	if !n.sim.scenario.Nodes.ListGossip {
 		return
 	}
-	lines, _ := n.sim.linesOf(list)
+	lines, _ := n.sim.gossipEntries(list)
 	n.listGossip = &listGossip{
-		core: endpointgossip.New(seed, n.membership, n.clock(), n.sim.discovery.list.Version(), lines, false),
+		exchange: endpointgossip.New(seed, n.membership, n.clock(), n.sim.discovery.list.Version(), lines, false),
 	}
 }
 
-func (d *Simulation) linesOf(list []model.ListEntry) (lines []endpointgossip.Endpoint, gone []string) {
+func (d *Simulation) gossipEntries(list []model.ListEntry) (lines []endpointgossip.Endpoint, gone []string) {
 	for _, l := range list {
 		m := d.endpoints[l.Endpoint]
 		name := fmt.Sprint(l.Endpoint)
@@ -42,8 +42,8 @@
 	return lines, gone
 }
 
-// applyLines gives the decisions entries of others, or the node's own list again.
-func (n *node) applyLines(lines []endpointgossip.Endpoint, whole bool) {
+// applyGossipEntries gives the decisions entries of others, or the node's own list again.
+func (n *node) applyGossipEntries(lines []endpointgossip.Endpoint, whole bool) {
 	if lines == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 	n.post(func() {
 		n.decider.EndpointsUpdated(policy.Time(n.clock()), list, whole)
 		for _, l := range list {
-			if l.State != policy.StateActive && !n.set.Policy.RemovedMayServe {
+			if l.State != policy.StateActive && !n.settings.Policy.RemovedMayServe {
 				n.CloseIdle(l.ID)
 			}
 		}
@@ -79,27 +79,27 @@
 	}
 	word := int64(0)
 	if w := n.watch; w != nil && w.record != nil {
-		if n.sim.links.Open(n.sim.now, discoveryEnd, n.end()) {
+		if n.sim.links.Open(n.sim.now, discoveryEnd, n.linkEnd()) {
 			h.confirmedAt = n.clock()
 		}
 		word = h.confirmedAt
 	}
-	n.applyLines(h.core.Tick(n.clock(), word), true)
+	n.applyGossipEntries(h.exchange.Tick(n.clock(), word), true)
 }
 
 func (h *listGossip) receive(n *node, from int, load []byte) {
 	if h != nil {
-		n.applyLines(h.core.Receive(n.clock(), from, load), false)
+		n.applyGossipEntries(h.exchange.Receive(n.clock(), from, load), false)
 	}
 }
 
 // listed takes an update of the watch, and tells whether the node was given the complete list anew.
-func (h *listGossip) listed(n *node, version int64, entries []model.ListEntry, whole bool) bool {
+func (h *listGossip) watchUpdated(n *node, version int64, entries []model.ListEntry, whole bool) bool {
 	if h == nil {
 		return false
 	}
-	lines, gone := n.sim.linesOf(entries)
-	all := h.core.WatchUpdated(n.clock(), version, lines, gone, whole)
-	n.applyLines(all, true)
+	lines, gone := n.sim.gossipEntries(entries)
+	all := h.exchange.WatchUpdated(n.clock(), version, lines, gone, whole)
+	n.applyGossipEntries(all, true)
 	return all != nil
 }
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -35,11 +35,11 @@
 	clockRate   float64 // of its clock, since rateSince
 	rateSince   int64
 	clockStep   int64 // of the system's clock, which the next process sees
-	set         settings.Settings
+	settings    settings.Settings
 	decider     Decider
 	usage       trace.NodeUsage
 
-	process      *invariant.Process
+	record       *invariant.Process
 	alive        bool
 	admitted     bool // the front sends to it
 	hasList      bool // it has an endpoint list
@@ -49,7 +49,7 @@
 	busyUntil    int64 // its processor works until then
 	eventCost    int64
 	requests     map[policy.RequestID]*pendingRequest
-	order        []*pendingRequest // in order of arrival
+	pendingOrder []*pendingRequest // in order of arrival
 	idle         map[*endpoint][]*connection
 	inbox        gossip.Inbox
 	timerSecond  int64 // the second that timersAtOnce counts in
@@ -63,7 +63,7 @@
 }
 
 // end is the node's end of links.
-func (n *node) end() netfault.End { return netfault.End{Kind: netfault.Node, Index: n.index} }
+func (n *node) linkEnd() netfault.End { return netfault.End{Kind: netfault.Node, Index: n.index} }
 
 func newNode(d *Simulation, index int) (*node, error) {
 	n := &node{
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if n.set, err = settings.FromJSON(text); err != nil {
+	if n.settings, err = settings.FromJSON(text); err != nil {
 		return nil, fmt.Errorf("node %d: %w", index, err)
 	}
 	return n, nil
@@ -102,8 +102,8 @@
 	return now
 }
 
-// simulatedTime is when the node's clock will show a time.
-func (n *node) simulatedTime(local int64) int64 {
+// virtualTime is when the node's clock will show a time.
+func (n *node) virtualTime(local int64) int64 {
 	if n.clockRate == 1 {
 		return local - epochNs - n.clockOffset
 	}
@@ -121,20 +121,20 @@
 // start begins a process.
 func (n *node) start() {
 	number := 1
-	if n.process != nil {
-		number = n.process.Incarnation + 1
+	if n.record != nil {
+		number = n.record.Incarnation + 1
 	}
 	d := n.sim
-	n.process = &invariant.Process{Node: n.index, Incarnation: number, StartedAt: d.now}
-	d.history.RecordProcess(n.process)
+	n.record = &invariant.Process{Node: n.index, Incarnation: number, StartedAt: d.now}
+	d.history.RecordProcess(n.record)
 	n.usage.Starts++
 	n.clockOffset, n.clockStep = n.clockOffset+n.clockStep, 0
 	n.alive, n.stopping = true, false
 	n.pausedUntil, n.busyUntil = 0, 0
 	n.version, n.watch = 0, nil
 	n.callBackoff = int64(firstCallBackoff)
-	n.requests, n.order, n.idle = map[policy.RequestID]*pendingRequest{}, nil, map[*endpoint][]*connection{}
-	n.decider = d.newDecider(n.index, n.set.Policy, d.plan.Seed*1000003+uint64(n.index)*7919+uint64(number), n, d)
+	n.requests, n.pendingOrder, n.idle = map[policy.RequestID]*pendingRequest{}, nil, map[*endpoint][]*connection{}
+	n.decider = d.newDecider(n.index, n.settings.Policy, d.plan.Seed*1000003+uint64(n.index)*7919+uint64(number), n, d)
 	list := d.discovery.list.Complete()
 	n.running, n.hasList = false, number == 1 || !d.scenario.Nodes.NoList
 	if stale := d.scenario.Nodes.StaleList && number > 1; stale {
@@ -145,7 +145,7 @@
 		d.discovery.recordEntries(n, list, true)
 	}
 	n.post(func() { n.decider.EndpointsUpdated(policy.Time(n.clock()), d.discovery.entries(list), true) })
-	if !n.set.Policy.MustPollList {
+	if !n.settings.Policy.MustPollList {
 		n.startWatch()
 	}
 	n.startMembership(list)
@@ -155,17 +155,17 @@
 func (n *node) becomeReady() {
 	n.running = n.alive
 	if n.admitted = n.alive && n.hasList; n.admitted {
-		n.process.ReadyAt = n.sim.now
+		n.record.ReadyAt = n.sim.now
 	}
 }
 
 // post queues an event for the event loop; each takes the processor for eventCost.
 func (n *node) post(do func()) {
-	life := n.process
+	life := n.record
 	start := max(n.sim.now, n.busyUntil, n.pausedUntil)
 	n.busyUntil = start + n.eventCost
 	n.sim.at(start, func() {
-		if !n.alive || n.process != life {
+		if !n.alive || n.record != life {
 			return
 		}
 		if n.pausedUntil > n.sim.now { // paused since it was queued
@@ -184,9 +184,9 @@
 	}
 	d := n.sim
 	n.alive, n.admitted = false, n.admitted && !n.stopping
-	n.process.EndedAt = d.now
+	n.record.EndedAt = d.now
 	n.membership = nil
-	for _, x := range n.order {
+	for _, x := range n.pendingOrder {
 		if !x.answered {
 			x.answered = true
 			d.clients.lost(x)
@@ -207,9 +207,9 @@
 	if n.watch != nil {
 		n.watch.close()
 	}
-	life := n.process
+	life := n.record
 	d.after(int64(d.scenario.Nodes.DeathNotice), func() {
-		if n.process == life && !n.alive {
+		if n.record == life && !n.alive {
 			n.admitted = false
 		}
 	})
@@ -217,16 +217,16 @@
 
 // receive takes a request whose last byte has come.
 func (n *node) receive(t *clientRequest, rec *invariant.Request) {
-	x := &pendingRequest{node: n, incarnation: n.process.Incarnation, request: t, record: rec}
-	n.order = append(n.order, x)
-	if len(n.order) > 1024 && len(n.order) > 4*len(n.requests) {
-		kept := n.order[:0]
-		for _, old := range n.order {
+	x := &pendingRequest{node: n, incarnation: n.record.Incarnation, request: t, record: rec}
+	n.pendingOrder = append(n.pendingOrder, x)
+	if len(n.pendingOrder) > 1024 && len(n.pendingOrder) > 4*len(n.requests) {
+		kept := n.pendingOrder[:0]
+		for _, old := range n.pendingOrder {
 			if !old.answered || old.inFlight > 0 {
 				kept = append(kept, old)
 			}
 		}
-		n.order = kept
+		n.pendingOrder = kept
 	}
 	t.pending = x
 	n.sim.after(receiveDelay, func() {
@@ -239,10 +239,10 @@
 			n.requests[id] = x
 			p := policy.Request{
 				ID: id, Class: o.Class, Tenant: max(o.Tenant, 0),
-				Deadline: policy.Time(n.clock() + t.deadline - n.sim.now), ClientRetry: t.n > 0,
+				Deadline: policy.Time(n.clock() + t.deadline - n.sim.now), ClientRetry: t.number > 0,
 				CostHint: time.Duration(o.CostHint),
 			}
-			if o.Key >= 0 && n.set.Policy.KeyAffinity {
+			if o.Key >= 0 && n.settings.Policy.KeyAffinity {
 				p.Key = fmt.Sprint("k", o.Key)
 			}
 			n.decider.RequestArrived(policy.Time(n.clock()), p)
@@ -278,12 +278,12 @@
 	}
 	x.answered = true
 	n.release(x)
-	life := n.process
-	n.sim.after(sendDelay+n.sim.linkDelay(n.end(), n.front()), func() {
-		if n.alive && n.process == life && !n.sim.links.Open(n.sim.now, n.end(), n.front()) {
+	life := n.record
+	n.sim.after(sendDelay+n.sim.linkDelay(n.linkEnd(), n.frontEnd()), func() {
+		if n.alive && n.record == life && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.frontEnd()) {
 			return // the client receives nothing
 		}
-		if n.alive && n.process == life {
+		if n.alive && n.record == life {
 			n.sim.clients.answered(x, status, advice)
 		} else {
 			n.sim.clients.lost(x)
@@ -302,7 +302,7 @@
 	} else {
 		n.closeConnection(h.conn)
 	}
-	if h.pending.incarnation != n.process.Incarnation || !n.alive {
+	if h.pending.incarnation != n.record.Incarnation || !n.alive {
 		return
 	}
 	at, fresh := n.clock(), h.newConnection
@@ -331,7 +331,7 @@
 	k.idleSince = n.sim.now
 	n.idle[k.endpoint] = append(n.idle[k.endpoint], k)
 	since := k.idleSince
-	n.sim.after(int64(n.set.IdleTimeout)*3/4, func() {
+	n.sim.after(int64(n.settings.IdleTimeout)*3/4, func() {
 		if k.closed || k.idleSince != since {
 			return
 		}
@@ -367,7 +367,7 @@
 		}
 		n.closeConnection(k)
 	}
-	if barred, _ := n.sim.cannotConnect(n.end(), m.end()); barred || !m.up || m.isCutFrom(n.index) {
+	if barred, _ := n.sim.cannotConnect(n.linkEnd(), m.linkEnd()); barred || !m.up || m.isCutFrom(n.index) {
 		return nil
 	}
 	n.sim.count(func(t *trace.FleetActivity) { t.Connections++ })
@@ -384,7 +384,7 @@
 	if n.requests == nil {
 		return
 	}
-	for _, x := range n.order {
+	for _, x := range n.pendingOrder {
 		for _, h := range x.attempts {
 			if h.endpoint != m || h.ended || h.conn == nil || m.isCutFrom(n.index) && !healed {
 				continue
@@ -434,8 +434,8 @@
 func (n *node) failToConnect(h *attempt) {
 	d := n.sim
 	after := refusedAfter
-	if _, refused := d.cannotConnect(n.end(), h.endpoint.end()); h.endpoint.up && !refused {
-		after = int64(n.set.ConnectTimeout)
+	if _, refused := d.cannotConnect(n.linkEnd(), h.endpoint.linkEnd()); h.endpoint.up && !refused {
+		after = int64(n.settings.ConnectTimeout)
 	}
 	after = min(after, max(h.deadline-d.now, 0))
 	d.after(after, func() { n.attemptEnded(h, policy.OutcomeConnectFailed, noReport, false) })
@@ -456,10 +456,10 @@
 			h.notifyCanceled()
 		}
 	})
-	if m.isCutFrom(n.index) || !d.links.Open(d.now, n.end(), m.end()) {
+	if m.isCutFrom(n.index) || !d.links.Open(d.now, n.linkEnd(), m.linkEnd()) {
 		return // it never arrives; the node cannot know
 	}
-	delay := h.oneWay + d.linkDelay(n.end(), m.end())
+	delay := h.oneWay + d.linkDelay(n.linkEnd(), m.linkEnd())
 	h.newConnection = h.conn.isNew
 	if h.newConnection {
 		delay += int64(m.fleet.ConnectionWait) + 2*h.oneWay
@@ -498,7 +498,7 @@
 // SetTimer sets a timer. Guards against a decider that sets timers for one moment for ever: the run would never end.
 func (n *node) SetTimer(at policy.Time, cookie uint64) {
 	d := n.sim
-	when := n.simulatedTime(int64(at))
+	when := n.virtualTime(int64(at))
 	if second := d.now / 1e9; n.timerSecond != second {
 		n.timerSecond, n.timersAtOnce = second, 0
 	}
@@ -513,9 +513,9 @@
 		}
 		return
 	}
-	life := n.process
+	life := n.record
 	d.at(when, func() {
-		if n.alive && n.process == life {
+		if n.alive && n.record == life {
 			n.post(func() { n.decider.TimerFired(policy.Time(n.clock()), cookie) })
 		}
 	})
@@ -536,9 +536,9 @@
 func (n *node) CheckHealth(id policy.EndpointID) {
 	m, d := n.sim.byID[id], n.sim
 	d.count(func(t *trace.FleetActivity) { t.HealthChecks++ })
-	if m == nil || !m.up || m.isCutFrom(n.index) || m.faults.silent || !d.links.Open(d.now, n.end(), m.end()) ||
-		!d.links.Open(d.now, m.end(), n.end()) {
-		d.after(int64(n.set.ConnectTimeout), func() {
+	if m == nil || !m.up || m.isCutFrom(n.index) || m.faults.silent || !d.links.Open(d.now, n.linkEnd(), m.linkEnd()) ||
+		!d.links.Open(d.now, m.linkEnd(), n.linkEnd()) {
+		d.after(int64(n.settings.ConnectTimeout), func() {
 			n.post(func() {
 				n.decider.HealthChecked(policy.Time(n.clock()), id, policy.OutcomeTimedOut, noReport)
 			})
@@ -568,7 +568,7 @@
 			continue
 		}
 		d.count(func(t *trace.FleetActivity) { t.Gossip++ })
-		way := d.fateOf(n.end(), netfault.End{Index: other.index}, len(message))
+		way := d.fateOf(n.linkEnd(), netfault.End{Index: other.index}, len(message))
 		if way.Lost || way.CorruptByte >= 0 {
 			continue
 		}
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -83,7 +83,7 @@
 
 // Simulation is one run.
 type Simulation struct {
-	clock
+	eventQueue
 	scenario      *scenario.Scenario
 	plan          *workload.Plan
 	newDecider    NewDecider
@@ -97,7 +97,7 @@
 	clients       *clients
 	deduplicators map[dedupKey]*model.Deduplicator
 	waits         map[int]int64
-	oddities      map[string]int
+	anomalies     map[string]int
 	givenUp       map[string]int // by reason
 	loads         []trace.LoadSample
 	activity      []trace.FleetActivity
@@ -133,7 +133,7 @@
 		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), newDecider: o.NewDecider,
 		history: &invariant.History{}, random: rand.New(rand.NewPCG(o.Seed, 11)),
 		byID: map[policy.EndpointID]*endpoint{}, deduplicators: map[dedupKey]*model.Deduplicator{},
-		waits: map[int]int64{}, oddities: map[string]int{}, givenUp: map[string]int{}, messageCounts: map[[2]netfault.End]uint64{},
+		waits: map[int]int64{}, anomalies: map[string]int{}, givenUp: map[string]int{}, messageCounts: map[[2]netfault.End]uint64{},
 	}
 	d.links = d.plan.LinkFaults(d.scenario)
 	d.idPrefix = fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761))
@@ -176,7 +176,7 @@
 		Plan: d.plan, Virtual: true, Outcomes: d.clients.outcomes, History: d.history,
 		Violations: d.history.Check(trace.Classes(d.scenario), rules),
 		Loads:      d.loads, Activity: d.activity, Reach: trace.ReachOf(d.scenario, d.links, 0),
-		Views: d.views, Running: d.running, Oddities: d.oddities, GivenUp: d.givenUp,
+		Views: d.views, Running: d.running, Anomalies: d.anomalies, GivenUp: d.givenUp,
 	}
 	r.Peaks.All, r.Peaks.Known = d.history.Peaks(rules)
 	for _, m := range d.endpoints {
@@ -244,7 +244,7 @@
 	}
 }
 
-func (d *Simulation) noteOddity(what string) { d.oddities[what]++ }
+func (d *Simulation) recordAnomaly(what string) { d.anomalies[what]++ }
 
 // requestID has the same form as on sockets.
 func (d *Simulation) requestID(operation, request int) string {
@@ -264,7 +264,7 @@
 	d.history.RecordCrash(invariant.Crash{
 		Endpoint: m.spec.Index, Incarnation: m.incarnation, StartedAt: m.startedAt, Crash: *f,
 	})
-	d.noteOddity("a cold server was pushed over")
+	d.recordAnomaly("a cold server was pushed over")
 	m.die()
 	d.discovery.set(m, model.Removed, int64(d.scenario.Discovery.ChangeDelay))
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -14,7 +14,7 @@
 	"fawnglade/policy"
 )
 
-func read(t *testing.T, name string, nodes int) *scenario.Scenario {
+func readScenario(t *testing.T, name string, nodes int) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Read("../../../lab/scenarios/" + name + ".toml")
 	if err != nil {
@@ -28,7 +28,7 @@
 	return s
 }
 
-func played(t *testing.T, s *scenario.Scenario, maker NewDecider) *trace.Trace {
+func runScenario(t *testing.T, s *scenario.Scenario, maker NewDecider) *trace.Trace {
 	t.Helper()
 	r, err := Run(context.Background(), Options{Scenario: s, Seed: s.Seed, NewDecider: maker})
 	if err != nil {
@@ -38,7 +38,7 @@
 }
 
 // text is all that a day left behind but how long it took to play.
-func text(t *testing.T, r *trace.Trace) string {
+func encodeTrace(t *testing.T, r *trace.Trace) string {
 	t.Helper()
 	r.Elapsed = 0
 	out, err := json.Marshal(r)
@@ -50,7 +50,7 @@
 
 // Guards against a float that hangs on the order of a map, and against anything shared between days.
 func TestSameSeedSameTrace(t *testing.T) {
-	day := func() string { return text(t, played(t, read(t, "month-end", 20), NewBalancer)) }
+	day := func() string { return encodeTrace(t, runScenario(t, readScenario(t, "month-end", 20), NewBalancer)) }
 	first := day()
 	before := runtime.GOMAXPROCS(8)
 	defer runtime.GOMAXPROCS(before)
@@ -65,8 +65,8 @@
 	}
 }
 
-func TestEventsAtOneTimeKeepTheirOrder(t *testing.T) {
-	var c clock
+func TestEventsAtSameTimeKeepOrder(t *testing.T) {
+	var c eventQueue
 	var came []int
 	for i := range 50 {
 		c.at(int64(i%3), func() {
@@ -92,13 +92,13 @@
 }
 
 // restless is the module, but asks to be woken at once whenever it is.
-type restless struct {
+type endlessTimers struct {
 	Decider
 	host policy.Effects
 	past bool
 }
 
-func (r *restless) TimerFired(now policy.Time, cookie uint64) {
+func (r *endlessTimers) TimerFired(now policy.Time, cookie uint64) {
 	if r.past {
 		r.past = false
 		r.host.SetTimer(now-1e9, cookie)
@@ -109,52 +109,52 @@
 
 func TestEndlessTimersAreReported(t *testing.T) {
 	_, err := Run(context.Background(), Options{
-		Scenario: read(t, "calm", 3), Seed: 1,
+		Scenario: readScenario(t, "calm", 3), Seed: 1,
 		NewDecider: func(node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState) Decider {
 			d := NewBalancer(node, set, seed, host, see)
 			if node != 1 {
 				return d
 			}
-			return &restless{Decider: d, host: host}
+			return &endlessTimers{Decider: d, host: host}
 		},
 	})
 	if err == nil || !strings.HasPrefix(err.Error(), "node 1 asks at ") ||
 		!strings.HasSuffix(err.Error(), "to be woken at once, over and over") {
 		t.Errorf("ended with %v", err)
 	}
-	if _, err := Run(context.Background(), Options{Scenario: read(t, "calm", 3), Seed: 1, NewDecider: NewBalancer, MaxEvents: 1000}); err == nil {
+	if _, err := Run(context.Background(), Options{Scenario: readScenario(t, "calm", 3), Seed: 1, NewDecider: NewBalancer, MaxEvents: 1000}); err == nil {
 		t.Error("a day of more events than allowed came to its end")
 	}
 }
 
 // once wakes in the past a single time and then is the module.
-type once struct {
+type onePastTimer struct {
 	Decider
-	host  policy.Effects
-	asked bool
+	host policy.Effects
+	done bool
 }
 
-func (o *once) TimerFired(now policy.Time, cookie uint64) {
-	if !o.asked {
-		o.asked = true
+func (o *onePastTimer) TimerFired(now policy.Time, cookie uint64) {
+	if !o.done {
+		o.done = true
 		o.host.SetTimer(now-5e9, cookie)
 		return
 	}
 	o.Decider.TimerFired(now, cookie)
 }
 
-func TestTimerInThePastFiresAtOnce(t *testing.T) {
-	r := played(t, read(t, "calm", 2), func(
+func TestTimerInPastFiresImmediately(t *testing.T) {
+	r := runScenario(t, readScenario(t, "calm", 2), func(
 		node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState,
 	) Decider {
-		return &once{Decider: NewBalancer(node, set, seed, host, see), host: host}
+		return &onePastTimer{Decider: NewBalancer(node, set, seed, host, see), host: host}
 	})
-	if len(r.Violations) > 0 || countOf(r, trace.Succeeded) < len(r.Outcomes)*99/100 {
-		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, trace.Succeeded), len(r.Outcomes), r.Violations)
+	if len(r.Violations) > 0 || countState(r, trace.Succeeded) < len(r.Outcomes)*99/100 {
+		t.Errorf("%d of %d satisfied, breaks %v", countState(r, trace.Succeeded), len(r.Outcomes), r.Violations)
 	}
 }
 
-func countOf(r *trace.Trace, s trace.State) (n int) {
+func countState(r *trace.Trace, s trace.State) (n int) {
 	for _, o := range r.Outcomes {
 		if o.State == s {
 			n++
@@ -165,42 +165,42 @@
 
 // A node that dies takes what it holds with it, and what was on its way to it reaches nobody; no rule is broken by
 // that.
-func TestNodeKilledWithEventsInFlight(t *testing.T) {
-	s := read(t, "nodes-killed", 12)
+func TestKilledNodeWithEventsInFlightViolatesNoRule(t *testing.T) {
+	s := readScenario(t, "nodes-killed", 12)
 	for at := range 30 {
 		s.Faults = append(s.Faults, scenario.Fault{
 			Kind: "kill", At: scenario.Duration(2e9 + int64(at)*2e8), For: 3e8, Nodes: []int{at % 12},
 		})
 	}
-	r := played(t, s, NewBalancer)
+	r := runScenario(t, s, NewBalancer)
 	if len(r.Violations) > 0 {
 		t.Errorf("rules broken: %v", r.Violations[0])
 	}
-	if n := countOf(r, trace.Lost); n == 0 {
+	if n := countState(r, trace.Lost); n == 0 {
 		t.Error("nothing was lost with nodes that were killed 30 times")
 	}
-	if n := countOf(r, trace.Pending); n > 0 {
+	if n := countState(r, trace.Pending); n > 0 {
 		t.Errorf("%d tasks have no end", n)
 	}
 }
 
 // Clocks of nodes that differ by more than any limit must not matter: a node goes by its own, and starts of servers
 // are the one moment that it is told.
-func TestClockSkew(t *testing.T) {
-	s := read(t, "rolling-restart", 6)
+func TestClockSkewViolatesNoRule(t *testing.T) {
+	s := readScenario(t, "rolling-restart", 6)
 	s.Nodes.ClockSkew = scenario.Duration(2e9)
-	if r := played(t, s, NewBalancer); len(r.Violations) > 0 || countOf(r, trace.Succeeded) < len(r.Outcomes)*95/100 {
-		t.Errorf("%d of %d satisfied, breaks %v", countOf(r, trace.Succeeded), len(r.Outcomes), r.Violations)
+	if r := runScenario(t, s, NewBalancer); len(r.Violations) > 0 || countState(r, trace.Succeeded) < len(r.Outcomes)*95/100 {
+		t.Errorf("%d of %d satisfied, breaks %v", countState(r, trace.Succeeded), len(r.Outcomes), r.Violations)
 	}
 }
 
 // The judge has to be able to say no here as well: one that sends exclusive tasks twice, and one that keeps them.
-func TestViolationsAreFound(t *testing.T) {
+func TestRuleCheckerFindsViolations(t *testing.T) {
 	for rule, wrong := range map[int]func(policy.Effects) policy.Effects{
-		1: func(h policy.Effects) policy.Effects { return &silent{Effects: h} },
-		2: func(h policy.Effects) policy.Effects { return &twice{Effects: h} },
+		1: func(h policy.Effects) policy.Effects { return &neverSender{Effects: h} },
+		2: func(h policy.Effects) policy.Effects { return &doubleSender{Effects: h} },
 	} {
-		r := played(t, read(t, "calm", 2), func(
+		r := runScenario(t, readScenario(t, "calm", 2), func(
 			node int, set policy.Settings, seed uint64, host policy.Effects, see ClusterState,
 		) Decider {
 			return NewBalancer(node, set, seed, wrong(host), see)
@@ -211,23 +211,23 @@
 	}
 }
 
-type twice struct{ policy.Effects }
+type doubleSender struct{ policy.Effects }
 
-func (t *twice) Send(id policy.RequestID, s policy.EndpointID, wait time.Duration) {
+func (t *doubleSender) Send(id policy.RequestID, s policy.EndpointID, wait time.Duration) {
 	t.Effects.Send(id, s, wait)
 	t.Effects.Send(id, s, wait)
 }
 
-type silent struct{ policy.Effects }
+type neverSender struct{ policy.Effects }
 
-func (s *silent) Send(policy.RequestID, policy.EndpointID, time.Duration) {}
+func (s *neverSender) Send(policy.RequestID, policy.EndpointID, time.Duration) {}
 
-// TestGossipHealthChecksAndMembership has what nodes may say to one another, and ask of servers, be sent and heard.
-func TestGossipHealthChecksAndMembership(t *testing.T) {
-	s := read(t, "fail-fast", 12)
+// TestGossipHealthChecksAndMembershipAreSimulated has what nodes may say to one another, and ask of servers, be sent and heard.
+func TestGossipHealthChecksAndMembershipAreSimulated(t *testing.T) {
+	s := readScenario(t, "fail-fast", 12)
 	s.Nodes.Membership, s.Reports.HealthChecked = true, true
 	var all trace.FleetActivity
-	r := played(t, s, NewBalancer)
+	r := runScenario(t, s, NewBalancer)
 	for _, one := range r.Activity {
 		all.HealthChecks, all.Gossip, all.Members = all.HealthChecks+one.HealthChecks, all.Gossip+one.Gossip, all.Members+one.Members
 	}
@@ -237,7 +237,7 @@
 			len(r.Views),
 		)
 	}
-	if again := played(t, s, NewBalancer); text(t, again) != text(t, r) {
+	if again := runScenario(t, s, NewBalancer); encodeTrace(t, again) != encodeTrace(t, r) {
 		t.Error("not the same twice")
 	}
 }
--- a/internal/lab/trace/rules.go
+++ b/internal/lab/trace/rules.go
@@ -20,8 +20,8 @@
 	readyWithinAtEnd = 6 * time.Second
 )
 
-// excusedAfterCut is for how long after its link to clients is back a node need not answer.
-const excusedAfterCut = int64(time.Second)
+// excusedAfterReconnect is for how long after its link to clients is back a node need not answer.
+const excusedAfterReconnect = int64(time.Second)
 
 var (
 	idempotencies = map[string]invariant.Idempotency{
@@ -101,7 +101,7 @@
 		}
 		for _, process := range h.Processes {
 			if slices.Contains(nodes, process.Node) {
-				span := invariant.Span{From: fault.Begin, To: fault.End + excusedAfterCut}
+				span := invariant.Span{From: fault.Begin, To: fault.End + excusedAfterReconnect}
 				process.Excused = append(process.Excused, span)
 			}
 		}
--- a/internal/lab/trace/settings.go
+++ b/internal/lab/trace/settings.go
@@ -8,16 +8,16 @@
 
 // The words of the settings for those of a scenario file.
 var (
-	repeatNames = map[string]string{
+	idempotencySettings = map[string]string{
 		scenario.Idempotent: "safe", scenario.IdempotentByKey: "keyed", scenario.NonIdempotent: "unsafe",
 	}
-	groupNames = map[string]string{"fleet": "all", "zone": "zone", "pod": "cell"}
+	dedupGroupSettings = map[string]string{"fleet": "all", "zone": "zone", "pod": "cell"}
 )
 
 // clockResolution is what every node of the lab is told of its clock.
 const clockResolution = 2 * time.Millisecond
 
-func micros(d scenario.Duration) int64 { return d.Std().Microseconds() }
+func microseconds(d scenario.Duration) int64 { return d.Std().Microseconds() }
 
 // NodeSettings returns the settings of a node, as in its configuration: nothing that a node could not know.
 func NodeSettings(s *scenario.Scenario, index, zone int) map[string]any {
@@ -46,11 +46,11 @@
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		one := map[string]any{
-			"name": c.Name, "objective_us": micros(c.LatencyObjective), "deadline_us": micros(c.Deadline),
-			"late_worth": 0.0, "worth": c.PriorityWeight, "repeat": repeatNames[c.Idempotency], "streaming": false,
+			"name": c.Name, "objective_us": microseconds(c.LatencyObjective), "deadline_us": microseconds(c.Deadline),
+			"late_worth": 0.0, "worth": c.PriorityWeight, "repeat": idempotencySettings[c.Idempotency], "streaming": false,
 		}
 		if c.Idempotency == scenario.IdempotentByKey {
-			one["group"], one["memory_span_us"] = groupNames[c.DedupGroup], micros(c.DedupWindow)
+			one["group"], one["memory_span_us"] = dedupGroupSettings[c.DedupGroup], microseconds(c.DedupWindow)
 		}
 		classes = append(classes, one)
 	}
@@ -81,14 +81,14 @@
 }
 
 func limitSettings(s *scenario.Scenario) map[string]any {
-	idle := micros(s.Fleets[0].IdleClose)
+	idle := microseconds(s.Fleets[0].IdleClose)
 	for i := range s.Fleets {
-		idle = min(idle, micros(s.Fleets[i].IdleClose))
+		idle = min(idle, microseconds(s.Fleets[i].IdleClose))
 	}
 	r := &s.Rules
 	return map[string]any{
-		"cancelling": r.MayCancel, "connect_timeout_us": micros(r.ConnectTimeout), "idle_close_us": idle,
-		"max_open": 20000, "max_retry_after_us": micros(r.MaxRetryAfter), "may_duplicate": r.MayHedge, "multiplex": 1,
+		"cancelling": r.MayCancel, "connect_timeout_us": microseconds(r.ConnectTimeout), "idle_close_us": idle,
+		"max_open": 20000, "max_retry_after_us": microseconds(r.MaxRetryAfter), "may_duplicate": r.MayHedge, "multiplex": 1,
 		"peer_messages": s.Nodes.Gossip || s.Nodes.Membership, "probes": s.Reports.HealthChecked,
 		"retry_after": r.MaxRetryAfter > 0, "try_limit": r.MaxAttempts,
 	}
@@ -98,12 +98,12 @@
 	coldest, longest := 1.0, int64(0)
 	for i := range s.Fleets {
 		f := &s.Fleets[i]
-		coldest, longest = min(coldest, f.SlowStartCapacity), max(longest, micros(f.SlowStartWindow))
+		coldest, longest = min(coldest, f.SlowStartCapacity), max(longest, microseconds(f.SlowStartWindow))
 	}
 	r := &s.Rules
 	return map[string]any{
-		"grace_to_answer_us": micros(r.AnswerGrace), "ask_within_us": micros(r.PollWithin), "cold_from": coldest,
-		"fall_multiple": r.CrashMultiple, "tip_after_us": micros(r.CrashWindow),
-		"stop_sending_within_us": micros(r.StopSending), "warm_within_us": longest,
+		"grace_to_answer_us": microseconds(r.AnswerGrace), "ask_within_us": microseconds(r.PollWithin), "cold_from": coldest,
+		"fall_multiple": r.CrashMultiple, "tip_after_us": microseconds(r.CrashWindow),
+		"stop_sending_within_us": microseconds(r.StopSending), "warm_within_us": longest,
 	}
 }
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -54,7 +54,7 @@
 
 // BadClientCounts counts the clients that violated the protocol, by how a node met them.
 type BadClientCounts struct {
-	Came       int64 `json:"Came"`
+	Connected  int64 `json:"Came"`
 	Unanswered int64 `json:"Unanswered"` // got neither an error nor a close
 	Served     int64 `json:"Served"`
 }
@@ -89,7 +89,7 @@
 	Reach      []netfault.Reach // by second, where links have faults
 	Views      []MembershipView
 	Running    []RunningNodes
-	Oddities   map[string]int // violations of the protocol that are no rule's, by what was seen
+	Anomalies  map[string]int // violations of the protocol that are no rule's, by what was seen
 	GivenUp    map[string]int // requests that nodes gave up, by reason, as they say themselves
 	Void       bool           // the lab itself ran too late for a verdict
 	Lag        time.Duration  // of the lab, in all but the worst twentieth of the time
--- a/internal/lab/workload/faults.go
+++ b/internal/lab/workload/faults.go
@@ -16,9 +16,9 @@
 	Seed    uint64 `json:"Seed"`
 }
 
-// RestoredAfter is when one of the machines that lost power is back: after a time, and up to Each more, drawn for each.
-func (f *Fault) RestoredAfter(after scenario.Duration, seed uint64, n int) int64 {
-	return int64(after) + int64(source(seed+uint64(n)*7919, "back").Float64()*float64(f.Each))
+// RestoreDelay is when one of the machines that lost power is back: after a time, and up to Each more, drawn for each.
+func (f *Fault) RestoreDelay(after scenario.Duration, seed uint64, n int) int64 {
+	return int64(after) + int64(newRandom(seed+uint64(n)*7919, "back").Float64()*float64(f.Each))
 }
 
 // BadClient is one client that violates the protocol.
@@ -36,7 +36,7 @@
 }
 
 func (p *Plan) drawFaults(s *scenario.Scenario) {
-	draw := source(p.Seed, "faults")
+	draw := newRandom(p.Seed, "faults")
 	for n := range s.Faults {
 		f := Fault{Fault: s.Faults[n], Index: n, Seed: draw.Uint64()}
 		switch scenario.FaultTargets[f.Kind] {
@@ -105,7 +105,7 @@
 }
 
 func (p *Plan) drawBadClients(s *scenario.Scenario, f *Fault) {
-	draw := source(f.Seed, "bad clients")
+	draw := newRandom(f.Seed, "bad clients")
 	until := int64(f.At + f.For)
 	if f.For == 0 {
 		until = int64(s.Length)
--- a/internal/lab/workload/nodepicker.go
+++ b/internal/lab/workload/nodepicker.go
@@ -15,7 +15,7 @@
 	if skew == 0 {
 		return nil
 	}
-	draw, shares := source(p.Seed, "parts"), make([]float64, s.Nodes.Count)
+	draw, shares := newRandom(p.Seed, "parts"), make([]float64, s.Nodes.Count)
 	for i := range shares {
 		shares[i] = math.Exp(skew*draw.NormFloat64() - skew*skew/2)
 	}
--- a/internal/lab/workload/operations.go
+++ b/internal/lab/workload/operations.go
@@ -17,19 +17,19 @@
 	Key              int    `json:"Key"`      // -1 without
 	Work             int64  `json:"Work"`     // nanoseconds on a core of speed 1
 	CostHint         int64  `json:"Estimate"` // the client's guess at the work; 0: it sends none
-	LeavesAfter      int64  `json:"Leaves"`   // nanoseconds after which the client cancels; 0: it stays
+	CancelsAfter     int64  `json:"Leaves"`   // nanoseconds after which the client cancels; 0: it stays
 	OneShot          bool   `json:"Once"`     // its connection is kept and never used again
 	HonorsRetryAfter bool   `json:"Honours"`
 	Seed             uint64 `json:"Seed"`
 }
 
 const (
-	none    = -1
+	noIndex = -1
 	minWork = 1000 // nanoseconds
 )
 
-// rateAt is the rate at a moment, as a multiple of the mean.
-func rateAt(l *scenario.Load, at, length int64) float64 {
+// relativeRate is the rate at a moment, as a multiple of the mean.
+func relativeRate(l *scenario.Load, at, length int64) float64 {
 	period := float64(l.Period)
 	switch l.Shape {
 	case "wave":
@@ -60,7 +60,7 @@
 // operationWeights are the weights by which operations are drawn.
 type operationWeights struct{ class, tenant, zone []float64 }
 
-func weightsOf(s *scenario.Scenario) operationWeights {
+func newOperationWeights(s *scenario.Scenario) operationWeights {
 	w := operationWeights{
 		class:  weights(s.Classes, func(c *scenario.Class) float64 { return c.Share }),
 		tenant: weights(s.Tenants, func(t *scenario.Tenant) float64 { return t.Share }),
@@ -73,8 +73,8 @@
 }
 
 func (p *Plan) drawOperations(s *scenario.Scenario) {
-	draw := source(p.Seed, "tasks")
-	weights := weightsOf(s)
+	draw := newRandom(p.Seed, "tasks")
+	weights := newOperationWeights(s)
 	highest := s.Load.Rate * (1 + s.Load.Swing)
 	for at := 0.0; ; {
 		at += draw.ExpFloat64() / highest * 1e9
@@ -82,7 +82,7 @@
 			break
 		}
 		// Thinning: arrivals at the highest rate, of which each is kept with the wanted rate's part.
-		if draw.Float64()*(1+s.Load.Swing) >= rateAt(&s.Load, int64(at), int64(s.Length)) {
+		if draw.Float64()*(1+s.Load.Swing) >= relativeRate(&s.Load, int64(at), int64(s.Length)) {
 			continue
 		}
 		p.Operations = append(p.Operations, drawOperation(s, draw, &weights, len(p.Operations), int64(at)))
@@ -91,11 +91,11 @@
 
 // drawOperation draws one operation. The order of the draws is part of the plan.
 func drawOperation(s *scenario.Scenario, draw *rand.Rand, w *operationWeights, index int, due int64) Operation {
-	o := Operation{Index: index, Due: due, Tenant: none, Key: none, Seed: draw.Uint64()}
-	o.Class = pick(draw, w.class)
-	o.Zone = pick(draw, w.zone)
+	o := Operation{Index: index, Due: due, Tenant: noIndex, Key: noIndex, Seed: draw.Uint64()}
+	o.Class = drawWeighted(draw, w.class)
+	o.Zone = drawWeighted(draw, w.zone)
 	if len(s.Tenants) > 0 {
-		o.Tenant = pick(draw, w.tenant)
+		o.Tenant = drawWeighted(draw, w.tenant)
 	}
 	if s.Load.Keys > 0 {
 		o.Key = 0
@@ -109,8 +109,8 @@
 	if c.CostHint {
 		o.CostHint = int64(float64(o.Work) * (0.8 + 0.4*draw.Float64()))
 	}
-	if draw.Float64() < s.Clients.LeaveShare {
-		o.LeavesAfter = int64(float64(c.Deadline) * draw.Float64())
+	if draw.Float64() < s.Clients.CancelShare {
+		o.CancelsAfter = int64(float64(c.Deadline) * draw.Float64())
 	}
 	o.OneShot = draw.Float64() < s.Clients.OneShotShare
 	o.HonorsRetryAfter = draw.Float64() < s.Clients.HonorShare
@@ -126,7 +126,7 @@
 }
 
 // pick draws an index by weight.
-func pick(draw *rand.Rand, weights []float64) int {
+func drawWeighted(draw *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
--- a/internal/lab/workload/plan.go
+++ b/internal/lab/workload/plan.go
@@ -36,7 +36,7 @@
 
 // source returns random numbers for one purpose, so that a change of one part of a scenario leaves the draws of the
 // others alone.
-func source(seed uint64, purpose string) *rand.Rand {
+func newRandom(seed uint64, purpose string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
@@ -52,7 +52,7 @@
 }
 
 func (p *Plan) drawEndpoints(s *scenario.Scenario) {
-	draw := source(p.Seed, "servers")
+	draw := newRandom(p.Seed, "servers")
 	pods := 0
 	for f := range s.Fleets {
 		fleet := &s.Fleets[f]
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -8,7 +8,7 @@
 	"fawnglade/internal/lab/scenario"
 )
 
-func drawn(t *testing.T, load string, seed uint64) *Plan {
+func drawPlan(t *testing.T, load string, seed uint64) *Plan {
 	t.Helper()
 	s, err := scenario.Parse("f", []byte(`name = "x"
 length = "60s"
@@ -47,8 +47,8 @@
 	return Draw(s, seed)
 }
 
-func TestSameSeedSamePlan(t *testing.T) {
-	a, b, other := drawn(t, "", 5), drawn(t, "", 5), drawn(t, "", 6)
+func TestPlanDependsOnSeedOnly(t *testing.T) {
+	a, b, other := drawPlan(t, "", 5), drawPlan(t, "", 5), drawPlan(t, "", 6)
 	if a.Hash() != b.Hash() {
 		t.Error("two plans of one seed differ")
 	}
@@ -56,15 +56,15 @@
 		t.Error("plans of two seeds are the same")
 	}
 	// A change of one part leaves the draws of the others alone.
-	keyed := drawn(t, "keys = 10", 5)
+	keyed := drawPlan(t, "keys = 10", 5)
 	if keyed.Endpoints[7] != a.Endpoints[7] || keyed.BadClients[3] != a.BadClients[3] || len(keyed.Faults[0].Targets) != len(a.Faults[0].Targets) {
 		t.Error("keys of tasks changed the draws of servers, faults or bad clients")
 	}
 }
 
-func TestDrawsAreWhatTheFileSays(t *testing.T) {
+func TestPlanMatchesScenario(t *testing.T) {
 	for _, load := range []string{"", `shape = "wave"`, "shape = \"burst\"\nswing = 0.8", `shape = "month-end"`} {
-		p := drawn(t, load, 1)
+		p := drawPlan(t, load, 1)
 		if n := float64(len(p.Operations)); math.Abs(n-30000) > 6*math.Sqrt(30000) && load != `shape = "month-end"` {
 			t.Errorf("%s: %v tasks in a minute, want about 30,000", load, n)
 		}
@@ -76,7 +76,7 @@
 			last = task.Due
 		}
 	}
-	p := drawn(t, "", 1)
+	p := drawPlan(t, "", 1)
 	view, work := 0, 0.0
 	for _, task := range p.Operations {
 		if task.Class == 0 {
@@ -98,7 +98,7 @@
 }
 
 // Uneven days give some nodes several times what others get, a zone's mean stays, and the plan is no other for it.
-func TestUneven(t *testing.T) {
+func TestUnevenNodeShares(t *testing.T) {
 	s, err := scenario.Read("../../../lab/scenarios/fleet/cold-uneven.toml")
 	if err != nil {
 		t.Fatal(err)
