--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -15,47 +15,47 @@
 const second = int64(1e9)
 
 // link is one session: a subscriber, or a relay as one, at a relay.
-type link struct {
-	from *Relay
-	id   int
+type testConnection struct {
+	relay     *Relay
+	sessionID int
 }
 
-type taker interface {
-	take(now int64, frame []byte) error
-	hello(now int64) []byte
+type frameReceiver interface {
+	receiveFrame(now int64, frame []byte) error
+	newHello(now int64) []byte
 }
 
-type leaf struct {
+type testSubscriber struct {
 	*Subscriber
 	changes []Change
 }
 
-func (l *leaf) take(now int64, frame []byte) error {
+func (l *testSubscriber) receiveFrame(now int64, frame []byte) error {
 	c, err := l.Receive(now, frame)
 	l.changes = append(l.changes, c...)
 	return err
 }
-func (l *leaf) hello(int64) []byte { return l.Hello() }
+func (l *testSubscriber) newHello(int64) []byte { return l.Hello() }
 
-type inner struct{ *Relay }
+type testRelay struct{ *Relay }
 
-func (r inner) take(now int64, frame []byte) error { return r.Receive(now, frame) }
-func (r inner) hello(now int64) []byte             { return r.UpstreamHello(now) }
+func (r testRelay) receiveFrame(now int64, frame []byte) error { return r.Receive(now, frame) }
+func (r testRelay) newHello(now int64) []byte                  { return r.UpstreamHello(now) }
 
-func attach(t testing.TB, now int64, from *Relay, to taker, pace int) link {
+func connect(t testing.TB, now int64, from *Relay, to frameReceiver, pace int) testConnection {
 	t.Helper()
-	id, err := from.Attach(now, to.hello(now), pace)
+	id, err := from.Attach(now, to.newHello(now), pace)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return link{from, id}
+	return testConnection{from, id}
 }
 
 // drain delivers all frames that are due now.
-func (l link) drain(t testing.TB, now int64, to taker) (frames [][]byte) {
+func (l testConnection) deliver(t testing.TB, now int64, to frameReceiver) (frames [][]byte) {
 	t.Helper()
 	for range 100000 {
-		f, _ := l.from.Next(now, l.id)
+		f, _ := l.relay.Next(now, l.sessionID)
 		if f == nil {
 			return frames
 		}
@@ -63,7 +63,7 @@
 			t.Fatalf("a frame of %d bytes", len(f))
 		}
 		frames = append(frames, f)
-		if err := to.take(now, f); err != nil {
+		if err := to.receiveFrame(now, f); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -71,22 +71,22 @@
 	return nil
 }
 
-func newLeaf(t testing.TB, selectors ...Selector) *leaf {
+func newTestSubscriber(t testing.TB, selectors ...Selector) *testSubscriber {
 	t.Helper()
 	s, err := NewSubscriber(selectors, Limits{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &leaf{Subscriber: s}
+	return &testSubscriber{Subscriber: s}
 }
 
-func newInner(t testing.TB, l Limits, selectors ...Selector) inner {
+func newTestRelay(t testing.TB, l Limits, selectors ...Selector) testRelay {
 	t.Helper()
 	r := NewRelay(l)
 	if err := r.Follow(selectors); err != nil {
 		t.Fatal(err)
 	}
-	return inner{r}
+	return testRelay{r}
 }
 
 func put(t testing.TB, o *Origin, scope, key string, class Class, body string) uint64 {
@@ -98,40 +98,40 @@
 	return v
 }
 
-func list(s *Subscriber) string {
+func listRecords(s *Subscriber) string {
 	var b bytes.Buffer
 	s.Each(func(r Record) { fmt.Fprintf(&b, "%s %s=%s\n", r.Scope, r.Key, r.Body) })
 	return b.String()
 }
 
-func expect(t testing.TB, what string, got, want any) {
+func expectEqual(t testing.TB, what string, got, want any) {
 	t.Helper()
 	if got != want {
 		t.Fatalf("%s: got\n%v\nwant\n%v", what, got, want)
 	}
 }
 
-func TestThroughTwoRelays(t *testing.T) {
+func TestChangesReachSubscriberThroughTwoRelays(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	top := newInner(t, Limits{}, Selector{Prefix: true})
-	low := newInner(t, Limits{}, Selector{Scope: "eu1/", Prefix: true})
-	s := newLeaf(t, Selector{Scope: "eu1/cart"}, Selector{Scope: "eu1/none"})
+	top := newTestRelay(t, Limits{}, Selector{Prefix: true})
+	low := newTestRelay(t, Limits{}, Selector{Scope: "eu1/", Prefix: true})
+	s := newTestSubscriber(t, Selector{Scope: "eu1/cart"}, Selector{Scope: "eu1/none"})
 	put(t, o, "eu1/cart", "endpoint/a", ClassEndpoint, "A")
 	put(t, o, "eu1/cart", "endpoint/b", ClassEndpoint, "B")
 	put(t, o, "us1/cart", "endpoint/c", ClassEndpoint, "C")
-	a, b, c := attach(t, 0, o.Relay(), top, 0), attach(t, 0, top.Relay, low, 0), attach(t, 0, low.Relay, s, 0)
-	step := func(now int64) { a.drain(t, now, top); b.drain(t, now, low); c.drain(t, now, s) }
-	c.drain(t, 0, s)
-	expect(t, "complete before its relay is", s.Complete(), false)
+	a, b, c := connect(t, 0, o.Relay(), top, 0), connect(t, 0, top.Relay, low, 0), connect(t, 0, low.Relay, s, 0)
+	step := func(now int64) { a.deliver(t, now, top); b.deliver(t, now, low); c.deliver(t, now, s) }
+	c.deliver(t, 0, s)
+	expectEqual(t, "complete before its relay is", s.Complete(), false)
 	step(0)
-	expect(t, "records", list(s.Subscriber), "eu1/cart endpoint/a=A\neu1/cart endpoint/b=B\n")
-	expect(t, "complete", s.Complete(), true)
-	expect(t, "records at a relay", low.Stats().Records, 2)
-	expect(t, "foreign records sent to a relay", low.Stats().ForeignRecords, int64(0))
+	expectEqual(t, "records", listRecords(s.Subscriber), "eu1/cart endpoint/a=A\neu1/cart endpoint/b=B\n")
+	expectEqual(t, "complete", s.Complete(), true)
+	expectEqual(t, "records at a relay", low.Stats().Records, 2)
+	expectEqual(t, "foreign records sent to a relay", low.Stats().ForeignRecords, int64(0))
 	v, _ := o.Remove(0, "eu1/cart", "endpoint/a")
 	put(t, o, "eu1/none", "endpoint/d", ClassEndpoint, "D")
 	step(second / 10)
-	expect(t, "records", list(s.Subscriber), "eu1/cart endpoint/b=B\neu1/none endpoint/d=D\n")
+	expectEqual(t, "records", listRecords(s.Subscriber), "eu1/cart endpoint/b=B\neu1/none endpoint/d=D\n")
 	if age, known := s.Age(second/10, "eu1/cart"); !known || age != 0 {
 		t.Fatal("age", age, known)
 	}
@@ -147,20 +147,20 @@
 	}
 	// Cut off from the origin, the lowest relay goes on with heartbeats, and the age of what it holds grows.
 	for now := 5 * second; now <= 9*second; now += second {
-		b.drain(t, now, low)
-		c.drain(t, now, s)
+		b.deliver(t, now, low)
+		c.deliver(t, now, s)
 	}
 	if age, _ := s.Age(9*second, "eu1/cart"); age != 5*second {
 		t.Fatal("age through a relay that is cut off", age)
 	}
 }
 
-func TestWithdrawalsGoFirst(t *testing.T) {
+func TestWithdrawalsAreSentFirst(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	s := newLeaf(t, Selector{Scope: "eu1/cart"}, Selector{Scope: "eu1/", Prefix: true})
+	s := newTestSubscriber(t, Selector{Scope: "eu1/cart"}, Selector{Scope: "eu1/", Prefix: true})
 	for _, slow := range []bool{false, true} {
-		l := attach(t, 0, o.Relay(), s, 0)
-		l.drain(t, 0, s)
+		l := connect(t, 0, o.Relay(), s, 0)
+		l.deliver(t, 0, s)
 		s.changes = nil
 		put(t, o, "eu1/cart", "route/1", ClassConfiguration, fmt.Sprint("R", slow))
 		put(t, o, "eu1/cart", "endpoint/a", ClassEndpoint, fmt.Sprint("A", slow))
@@ -169,11 +169,11 @@
 		put(t, o, "eu1/new", "endpoint/d", ClassEndpoint, fmt.Sprint("D", slow))
 		o.Remove(0, "eu1/new", "endpoint/d")
 		if slow { // the same where frames have room for little
-			l.from.sessions[l.id].bytesPerSecond = 1
-			l.from.sessions[l.id].dueNs = -100000 * second
+			l.relay.sessions[l.sessionID].bytesPerSecond = 1
+			l.relay.sessions[l.sessionID].pacedUntilNs = -100000 * second
 		}
 		for range 20 {
-			l.drain(t, 0, s)
+			l.deliver(t, 0, s)
 		}
 		last := ClassWithdrawal
 		for _, c := range s.changes {
@@ -182,32 +182,32 @@
 			}
 			last = c.Class
 		}
-		expect(t, "changes", len(s.changes), 4)
-		l.from.Detach(l.id)
+		expectEqual(t, "changes", len(s.changes), 4)
+		l.relay.Detach(l.sessionID)
 	}
 }
 
-func TestClassChangeKeepsOneRecord(t *testing.T) {
+func TestClassChangesAreCoalesced(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	s := newLeaf(t, Selector{Scope: "s"})
-	l := attach(t, 0, o.Relay(), s, 0)
-	l.drain(t, 0, s)
+	s := newTestSubscriber(t, Selector{Scope: "s"})
+	l := connect(t, 0, o.Relay(), s, 0)
+	l.deliver(t, 0, s)
 	put(t, o, "s", "endpoint/a", ClassEndpoint, "up")
 	put(t, o, "s", "endpoint/a", ClassWithdrawal, "up")
-	l.drain(t, 0, s)
-	expect(t, "changes for two changes unsent", len(s.changes), 1)
+	l.deliver(t, 0, s)
+	expectEqual(t, "changes for two changes unsent", len(s.changes), 1)
 	put(t, o, "s", "endpoint/a", ClassEndpoint, "up")
-	l.drain(t, 0, s)
-	expect(t, "changes", len(s.changes), 2)
-	expect(t, "class", s.changes[1].Class, ClassEndpoint)
-	expect(t, "old", string(s.changes[1].Old), "up")
-	expect(t, "records at the relay", o.Relay().byClass.Len(), 1)
+	l.deliver(t, 0, s)
+	expectEqual(t, "changes", len(s.changes), 2)
+	expectEqual(t, "class", s.changes[1].Class, ClassEndpoint)
+	expectEqual(t, "old", string(s.changes[1].OldBody), "up")
+	expectEqual(t, "records at the relay", o.Relay().byClass.Len(), 1)
 }
 
-func TestSameStateIsNoChange(t *testing.T) {
+func TestUnchangedRecordIsNoChange(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	v := put(t, o, "s", "k", ClassEndpoint, "x")
-	expect(t, "version", put(t, o, "s", "k", ClassEndpoint, "x"), v)
+	expectEqual(t, "version", put(t, o, "s", "k", ClassEndpoint, "x"), v)
 	if n, err := o.Replace(0, "e", []Record{{
 		Scope: "s", Key: "e/1", Class: ClassEndpoint,
 		Body: []byte("1"),
@@ -224,155 +224,155 @@
 		err == nil {
 		t.Fatal("one removed, two invalid", n, err)
 	}
-	expect(t, "what is of another kind stays", o.Relay().Stats().Records, 1)
+	expectEqual(t, "what is of another kind stays", o.Relay().Stats().Records, 1)
 	// A new epoch with the same bodies is no change at a subscriber.
-	s := newLeaf(t, Selector{Scope: "s"})
-	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
+	s := newTestSubscriber(t, Selector{Scope: "s"})
+	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
 	s.changes = nil
 	o = NewOrigin(2, Limits{})
 	put(t, o, "s", "k", ClassEndpoint, "x")
-	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
-	expect(t, "changes", len(s.changes), 0)
-	expect(t, "position", s.Position("s"), Position{2, 1})
+	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
+	expectEqual(t, "changes", len(s.changes), 0)
+	expectEqual(t, "position", s.Position("s"), Position{2, 1})
 }
 
-func TestResumeWithoutRecords(t *testing.T) {
+func TestResumeSendsOnlyChanges(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
+	s := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
 	for i := range 100 {
 		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, "x")
 	}
-	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
+	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
 	sent := o.Relay().Stats().SentRecords
-	l := attach(t, 0, o.Relay(), s, 0)
-	expect(t, "frames of a resumption", len(l.drain(t, 0, s)), 1)
-	expect(t, "records of a resumption", o.Relay().Stats().SentRecords-sent, int64(0))
-	expect(t, "resumed", o.Relay().Stats().Resumed, int64(2))
+	l := connect(t, 0, o.Relay(), s, 0)
+	expectEqual(t, "frames of a resumption", len(l.deliver(t, 0, s)), 1)
+	expectEqual(t, "records of a resumption", o.Relay().Stats().SentRecords-sent, int64(0))
+	expectEqual(t, "resumed", o.Relay().Stats().Resumed, int64(2))
 	put(t, o, "s", "k7", ClassEndpoint, "y")
-	l = attach(t, 0, o.Relay(), s, 0)
-	l.drain(t, 0, s)
-	expect(t, "records of a resumption after one change", o.Relay().Stats().SentRecords-sent, int64(1))
+	l = connect(t, 0, o.Relay(), s, 0)
+	l.deliver(t, 0, s)
+	expectEqual(t, "records of a resumption after one change", o.Relay().Stats().SentRecords-sent, int64(1))
 }
 
 // A relay that started empty names the records that a subscriber of the same epoch holds, without their bodies.
-func TestSnapshotNamesHeldRecords(t *testing.T) {
+func TestSnapshotOmitsBodiesOfHeldRecords(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	s := newLeaf(t, Selector{Scope: "s"})
+	s := newTestSubscriber(t, Selector{Scope: "s"})
 	for i := range 100 {
 		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, fmt.Sprintf("%0200d", i))
 	}
-	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
+	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
 	o.Remove(0, "s", "k7")
 	put(t, o, "s", "k8", ClassEndpoint, "new")
-	r := newInner(t, Limits{}, Selector{Prefix: true})
-	attach(t, 0, o.Relay(), r, 0).drain(t, 0, r)
+	r := newTestRelay(t, Limits{}, Selector{Prefix: true})
+	connect(t, 0, o.Relay(), r, 0).deliver(t, 0, r)
 	s.changes = nil
 	bytes := 0
-	for _, f := range attach(t, 0, r.Relay, s, 0).drain(t, 0, s) {
+	for _, f := range connect(t, 0, r.Relay, s, 0).deliver(t, 0, s) {
 		bytes += len(f)
 	}
-	expect(t, "changes", len(s.changes), 2)
-	expect(t, "names", r.Stats().SentKeysOnly, int64(98))
+	expectEqual(t, "changes", len(s.changes), 2)
+	expectEqual(t, "names", r.Stats().SentKeysOnly, int64(98))
 	if bytes > 98*12+300 {
 		t.Fatalf("%d bytes for 98 names and two changes", bytes)
 	}
 }
 
-func TestKeyOnlyRecordThatIsNotHeld(t *testing.T) {
+func TestKeyOnlyRecordNotHeldIsRejected(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	put(t, o, "s", "k", ClassEndpoint, "x")
-	s := newLeaf(t, Selector{Scope: "s"})
-	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
+	s := newTestSubscriber(t, Selector{Scope: "s"})
+	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
 	s.replica.remove(s.replica.find("s", "k")) // as if it had been lost
-	r := newInner(t, Limits{}, Selector{Prefix: true})
+	r := newTestRelay(t, Limits{}, Selector{Prefix: true})
 	put(t, o, "s", "l", ClassEndpoint, "x")
-	attach(t, 0, o.Relay(), r, 0).drain(t, 0, r)
-	l := attach(t, 0, r.Relay, s, 0)
-	f, _ := r.Next(0, l.id)
+	connect(t, 0, o.Relay(), r, 0).deliver(t, 0, r)
+	l := connect(t, 0, r.Relay, s, 0)
+	f, _ := r.Next(0, l.sessionID)
 	if _, err := s.Receive(0, f); !errors.Is(err, ErrMissingRecord) {
 		t.Fatal(err)
 	}
 	if c, err := s.Receive(0, f); c != nil || err != nil {
 		t.Fatal("a session after its error", c, err)
 	}
-	attach(t, 0, r.Relay, s, 0).drain(t, 0, s)
-	expect(t, "records", list(s.Subscriber), "s k=x\ns l=x\n")
+	connect(t, 0, r.Relay, s, 0).deliver(t, 0, s)
+	expectEqual(t, "records", listRecords(s.Subscriber), "s k=x\ns l=x\n")
 }
 
 // An origin without its list claims nothing, and deletes nothing.
-func TestOriginAwaitsItsList(t *testing.T) {
+func TestOriginWithoutListDeletesNothing(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	put(t, o, "s", "endpoint/a", ClassEndpoint, "A")
 	put(t, o, "s", "endpoint/b", ClassEndpoint, "B")
-	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
-	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
+	s := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "empty"})
+	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
 	o = NewOrigin(2, Limits{})
 	o.Await("endpoint", "route")
-	l := attach(t, 0, o.Relay(), s, 0)
+	l := connect(t, 0, o.Relay(), s, 0)
 	put(t, o, "s", "endpoint/b", ClassEndpoint, "B2")
 	for now := range int64(5) {
-		l.drain(t, now*second, s)
+		l.deliver(t, now*second, s)
 	}
-	expect(t, "records", list(s.Subscriber), "s endpoint/a=A\ns endpoint/b=B2\n")
-	expect(t, "position", s.Position("s").Epoch, uint64(1))
+	expectEqual(t, "records", listRecords(s.Subscriber), "s endpoint/a=A\ns endpoint/b=B2\n")
+	expectEqual(t, "position", s.Position("s").Epoch, uint64(1))
 	if age, _ := s.Age(4*second, "s"); age != 4*second {
 		t.Fatal("age", age)
 	}
 	if _, err := o.Replace(0, "route", nil); err != nil {
 		t.Fatal(err)
 	}
-	l.drain(t, 5*second, s)
-	expect(t, "position with one list of two", s.Position("s").Epoch, uint64(1))
+	l.deliver(t, 5*second, s)
+	expectEqual(t, "position with one list of two", s.Position("s").Epoch, uint64(1))
 	if _, err := o.Replace(0, "endpoint", []Record{{
 		Scope: "s", Key: "endpoint/b", Class: ClassEndpoint,
 		Body: []byte("B2"),
 	}}); err != nil {
 		t.Fatal(err)
 	}
-	l.drain(t, 5*second, s)
-	expect(t, "records", list(s.Subscriber), "s endpoint/b=B2\n")
-	expect(t, "position", s.Position("empty").Epoch, uint64(2))
-	expect(t, "records sent, once each", o.Relay().Stats().SentRecords, int64(1))
+	l.deliver(t, 5*second, s)
+	expectEqual(t, "records", listRecords(s.Subscriber), "s endpoint/b=B2\n")
+	expectEqual(t, "position", s.Position("empty").Epoch, uint64(2))
+	expectEqual(t, "records sent, once each", o.Relay().Stats().SentRecords, int64(1))
 }
 
 // A subscriber gets nothing from a relay of an older epoch than it has seen, until the relay has reached that.
-func TestRelayOfOlderEpoch(t *testing.T) {
+func TestRelayOfOlderEpochSendsNothing(t *testing.T) {
 	old := NewOrigin(1, Limits{})
 	put(t, old, "s", "endpoint/a", ClassEndpoint, "A")
-	behind := newInner(t, Limits{}, Selector{Prefix: true})
-	attach(t, 0, old.Relay(), behind, 0).drain(t, 0, behind)
+	behind := newTestRelay(t, Limits{}, Selector{Prefix: true})
+	connect(t, 0, old.Relay(), behind, 0).deliver(t, 0, behind)
 	o := NewOrigin(2, Limits{})
 	put(t, o, "s", "endpoint/b", ClassEndpoint, "B")
-	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "t"})
-	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
-	l := attach(t, 0, behind.Relay, s, 0)
-	if f := l.drain(t, 0, s); len(f) != 1 {
+	s := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "t"})
+	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
+	l := connect(t, 0, behind.Relay, s, 0)
+	if f := l.deliver(t, 0, s); len(f) != 1 {
 		t.Fatal("frames", len(f))
 	}
-	expect(t, "records that a relay of an old epoch sent", behind.Stats().SentRecords, int64(0))
-	l.drain(t, second, s)
-	expect(t, "records", list(s.Subscriber), "s endpoint/b=B\n")
+	expectEqual(t, "records that a relay of an old epoch sent", behind.Stats().SentRecords, int64(0))
+	l.deliver(t, second, s)
+	expectEqual(t, "records", listRecords(s.Subscriber), "s endpoint/b=B\n")
 	if age, _ := s.Age(second, "s"); age != second {
 		t.Fatal("age", age)
 	}
-	attach(t, second, o.Relay(), behind, 0).drain(t, second, behind)
-	l.drain(t, second, s)
+	connect(t, second, o.Relay(), behind, 0).deliver(t, second, behind)
+	l.deliver(t, second, s)
 	if age, _ := s.Age(second, "s"); age != 0 {
 		t.Fatal("age", age)
 	}
 }
 
 // A slow subscriber costs a relay its cursors alone: changes of a record that are not sent yet are one.
-func TestSlowSubscriberIsBounded(t *testing.T) {
+func TestSlowSubscriberMemoryIsBounded(t *testing.T) {
 	o := NewOrigin(1, Limits{Tombstones: 10})
-	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "quiet"})
+	s := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "quiet"})
 	put(t, o, "quiet", "k", ClassEndpoint, "x")
 	put(t, o, "s", "stays", ClassEndpoint, "x")
-	l := attach(t, 0, o.Relay(), s, 0)
-	l.drain(t, 0, s)
+	l := connect(t, 0, o.Relay(), s, 0)
+	l.deliver(t, 0, s)
 	for i := range 5000 {
 		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, "x")
-		l.drain(t, 0, s)
+		l.deliver(t, 0, s)
 		if i < 4000 {
 			o.Remove(0, "s", fmt.Sprint("k", i))
 		}
@@ -387,19 +387,19 @@
 		put(t, o, "s", "stays", ClassEndpoint, fmt.Sprint(i))
 	}
 	st := o.Relay().Stats()
-	expect(t, "tombstones", st.Tombstones, 10)
+	expectEqual(t, "tombstones", st.Tombstones, 10)
 	if n := len(o.relay.tombstones); n > 2*10+65 {
 		t.Fatal("places of tombstones kept:", n)
 	}
 	for q := range queueCount {
-		if n := len(o.relay.sessions[l.id].queues[q].list); n > 40 {
+		if n := len(o.relay.sessions[l.sessionID].queues[q].list); n > 40 {
 			t.Fatal("a queue for two selectors has", n)
 		}
 	}
 	s.changes = nil
-	l.drain(t, second, s)
-	expect(t, "records", list(s.Subscriber), "quiet k=x\ns stays=4999\n")
-	expect(t, "records sent in the end", o.Relay().Stats().SentRecords-st.SentRecords, int64(1))
+	l.deliver(t, second, s)
+	expectEqual(t, "records", listRecords(s.Subscriber), "quiet k=x\ns stays=4999\n")
+	expectEqual(t, "records sent in the end", o.Relay().Stats().SentRecords-st.SentRecords, int64(1))
 }
 
 func TestPaceAndHeartbeats(t *testing.T) {
@@ -408,12 +408,12 @@
 	for i := range 2000 {
 		put(t, o, "s", fmt.Sprint("k", i), ClassEndpoint, fmt.Sprintf("%0200d", i))
 	}
-	s := newLeaf(t, Selector{Scope: "s"})
-	l := attach(t, 0, o.Relay(), s, pace)
+	s := newTestSubscriber(t, Selector{Scope: "s"})
+	l := connect(t, 0, o.Relay(), s, pace)
 	sum, last, longest := 0, int64(0), int64(0)
 	var now int64
 	for now = 0; now < 60*second && !s.Complete(); {
-		f, at := o.Relay().Next(now, l.id)
+		f, at := o.Relay().Next(now, l.sessionID)
 		if f == nil {
 			if at <= now {
 				t.Fatal("to be asked again at", at, "at", now)
@@ -442,33 +442,33 @@
 	}
 	// Behind its pace by one large body, a session goes on with small heartbeats.
 	put(t, o, "s", "great", ClassEndpoint, string(make([]byte, MaxBodyBytes)))
-	l.from.sessions[l.id].bytesPerSecond, l.from.sessions[l.id].dueNs = 1000, now
-	expect(t, "frames of a great body", len(l.drain(t, now, s)), 1)
+	l.relay.sessions[l.sessionID].bytesPerSecond, l.relay.sessions[l.sessionID].pacedUntilNs = 1000, now
+	expectEqual(t, "frames of a great body", len(l.deliver(t, now, s)), 1)
 	put(t, o, "s", "k1", ClassEndpoint, "later")
 	for i := int64(1); i <= 5; i++ {
-		f := l.drain(t, now+i*second, s)
+		f := l.deliver(t, now+i*second, s)
 		if len(f) != 1 || len(f[0]) > 64 {
 			t.Fatalf("%d frames in the debt's second %d", len(f), i)
 		}
 	}
-	l.drain(t, now+30*second, s)
-	expect(t, "records", s.Stats().Records, 2001)
+	l.deliver(t, now+30*second, s)
+	expectEqual(t, "records", s.Stats().Records, 2001)
 }
 
 // While one scope's backlog is sent, the others' ages stay known.
-func TestAgesDuringBacklog(t *testing.T) {
+func TestAgesOfOtherScopesDuringBacklog(t *testing.T) {
 	o := NewOrigin(1, Limits{})
 	put(t, o, "quiet", "k", ClassEndpoint, "x")
-	s := newLeaf(t, Selector{Scope: "busy"}, Selector{Scope: "quiet"})
-	l := attach(t, 0, o.Relay(), s, 4000)
-	l.drain(t, 0, s)
+	s := newTestSubscriber(t, Selector{Scope: "busy"}, Selector{Scope: "quiet"})
+	l := connect(t, 0, o.Relay(), s, 4000)
+	l.deliver(t, 0, s)
 	for i := range 500 {
 		put(t, o, "busy", fmt.Sprint("k", i), ClassConfiguration, fmt.Sprintf("%0200d", i))
 	}
 	var now int64
 	for range 10 {
 		now += second + 1
-		l.drain(t, now, s)
+		l.deliver(t, now, s)
 	}
 	if age, _ := s.Age(now, "quiet"); age > 2*second {
 		t.Fatal("age of the quiet scope", age)
@@ -480,22 +480,22 @@
 	if busy := s.Position("busy"); busy.compare(at) >= 0 {
 		t.Fatal("positions", busy, at)
 	}
-	l = attach(t, now, o.Relay(), s, 0)
-	l.drain(t, now, s)
-	expect(t, "records", s.Stats().Records, 501)
+	l = connect(t, now, o.Relay(), s, 0)
+	l.deliver(t, now, s)
+	expectEqual(t, "records", s.Stats().Records, 501)
 	if age, _ := s.Age(now, "busy"); age != 0 {
 		t.Fatal("age of the busy scope", age)
 	}
 }
 
-func TestInvalidRecords(t *testing.T) {
+func TestInvalidRecordsDeleteNothing(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	s := newLeaf(t, Selector{Scope: "s"}, Selector{Scope: "t"})
+	s := newTestSubscriber(t, Selector{Scope: "s"}, Selector{Scope: "t"})
 	for _, k := range []string{"a", "b", "c"} {
 		put(t, o, "s", k, ClassEndpoint, "x")
 	}
 	put(t, o, "t", "a", ClassEndpoint, "x")
-	attach(t, 0, o.Relay(), s, 0).drain(t, 0, s)
+	connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s)
 	s.Hello()
 	raw := func(v any) cbor.RawMessage { return encode(v) }
 	// A snapshot with a record of an unknown class, one that is no record, and one more.
@@ -507,10 +507,10 @@
 		t.Fatal(err)
 	}
 	// The invalid ones may have named any record of their scope: these stay. The other scope is empty.
-	expect(t, "records", list(s.Subscriber), "s a=x\ns b=x\ns c=x\ns d=y\n")
+	expectEqual(t, "records", listRecords(s.Subscriber), "s a=x\ns b=x\ns c=x\ns d=y\n")
 	st := s.Stats()
-	expect(t, "invalid", st.InvalidRecords, int64(2))
-	expect(t, "foreign", st.ForeignRecords, int64(1))
+	expectEqual(t, "invalid", st.InvalidRecords, int64(2))
+	expectEqual(t, "foreign", st.ForeignRecords, int64(1))
 	if !strings.Contains(st.LastInvalid, `"s"`) {
 		t.Fatal("named:", st.LastInvalid)
 	}
@@ -523,7 +523,7 @@
 	if _, err := s.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, "records", s.Stats().Records, 4)
+	expectEqual(t, "records", s.Stats().Records, 4)
 	// A later snapshot without invalid records counts in full.
 	s.Hello()
 	f = encode(map[int]any{
@@ -533,10 +533,10 @@
 	if _, err := s.Receive(0, f); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, "records", list(s.Subscriber), "s d=y\n")
+	expectEqual(t, "records", listRecords(s.Subscriber), "s d=y\n")
 }
 
-func TestLimitsAreNamed(t *testing.T) {
+func TestLimitErrorsNameTheLimit(t *testing.T) {
 	refused := func(what string, err error, is error) {
 		t.Helper()
 		if !errors.Is(err, is) || !strings.Contains(err.Error(), what) {
@@ -560,7 +560,7 @@
 	version := o.version
 	_, err = o.Put(0, "s", "k3", ClassEndpoint, make([]byte, MaxBodyBytes))
 	refused("bytes of records", err, ErrLimit)
-	expect(t, "version after a refusal", o.version, version)
+	expectEqual(t, "version after a refusal", o.version, version)
 	for i := range 6 {
 		put(t, o, "s", fmt.Sprint("small", i), ClassEndpoint, "x")
 	}
@@ -605,26 +605,26 @@
 	refused("selector 0", err, ErrBadHello)
 	_, err = o.Relay().Attach(0, []byte("nonsense"), 0)
 	refused("hello", err, ErrBadHello)
-	expect(t, "refused", o.Relay().Stats().RefusedHellos, int64(5))
-	s := newLeaf(t, Selector{Scope: "s"})
-	l := attach(t, 0, o.Relay(), s, 0)
+	expectEqual(t, "refused", o.Relay().Stats().RefusedHellos, int64(5))
+	s := newTestSubscriber(t, Selector{Scope: "s"})
+	l := connect(t, 0, o.Relay(), s, 0)
 	_, err = o.Relay().Attach(0, s.Hello(), 0)
 	refused("subscribers", err, ErrLimit)
-	o.Relay().Detach(l.id)
-	attach(t, 0, o.Relay(), s, 0)
+	o.Relay().Detach(l.sessionID)
+	connect(t, 0, o.Relay(), s, 0)
 
-	narrow := newInner(t, Limits{}, Selector{Scope: "eu1/", Prefix: true}, Selector{Scope: "x"})
+	narrow := newTestRelay(t, Limits{}, Selector{Scope: "eu1/", Prefix: true}, Selector{Scope: "x"})
 	for _, sel := range []Selector{
 		{Scope: "us1/cart"},
 		{Scope: "", Prefix: true},
 		{Scope: "eu", Prefix: true},
 		{Scope: "x", Prefix: true},
 	} {
-		_, err = narrow.Attach(0, newLeaf(t, sel).Hello(), 0)
+		_, err = narrow.Attach(0, newTestSubscriber(t, sel).Hello(), 0)
 		refused(sel.Scope, err, ErrNotFollowed)
 	}
 	for _, sel := range []Selector{{Scope: "eu1/cart"}, {Scope: "x"}, {Scope: "eu1/c", Prefix: true}} {
-		if _, err = narrow.Attach(0, newLeaf(t, sel).Hello(), 0); err != nil {
+		if _, err = narrow.Attach(0, newTestSubscriber(t, sel).Hello(), 0); err != nil {
 			t.Error(sel, err)
 		}
 	}
@@ -651,7 +651,7 @@
 	}
 }
 
-func TestBadFrames(t *testing.T) {
+func TestMalformedFramesAreRejected(t *testing.T) {
 	for what, f := range map[string]frame{
 		"a number missed":     {Number: 2, Epoch: 1},
 		"begin of none":       {Number: 1, Epoch: 1, Begin: []uint32{9}},
@@ -659,20 +659,20 @@
 		"end of none":         {Number: 1, Epoch: 1, End: []uint32{9}},
 		"all but none":        {Number: 1, Epoch: 1, All: true, Except: []uint32{9}},
 	} {
-		s := newLeaf(t, Selector{Scope: "s"})
+		s := newTestSubscriber(t, Selector{Scope: "s"})
 		s.Hello()
 		f.Session = 1
 		if _, err := s.Receive(0, encode(f)); err == nil {
 			t.Error("no error for", what)
 		}
-		expect(t, what+": complete", s.Complete(), false)
+		expectEqual(t, what+": complete", s.Complete(), false)
 		s.Hello()
 		f.Session, f.Number, f.Begin, f.End, f.Except = 1, 1, []uint32{0}, []uint32{0}, nil
 		if _, err := s.Receive(0, encode(f)); err != nil || s.Complete() {
 			t.Error("a frame of a session that is over counts", err)
 		}
 	}
-	s := newLeaf(t, Selector{Scope: "s"})
+	s := newTestSubscriber(t, Selector{Scope: "s"})
 	s.Hello()
 	if _, err := s.Receive(100, encode(frame{
 		Session: 1, Number: 1, Epoch: 1, Begin: []uint32{0}, End: []uint32{0},
@@ -685,27 +685,27 @@
 	}
 }
 
-func TestReadyNamesSubscribersWithFrames(t *testing.T) {
+func TestReadyReturnsSubscribersWithDueFrames(t *testing.T) {
 	o := NewOrigin(1, Limits{})
-	a, b := newLeaf(t, Selector{Scope: "a"}), newLeaf(t, Selector{Scope: "b"})
-	la, lb := attach(t, 0, o.Relay(), a, 0), attach(t, 0, o.Relay(), b, 0)
-	la.drain(t, 0, a)
-	lb.drain(t, 0, b)
+	a, b := newTestSubscriber(t, Selector{Scope: "a"}), newTestSubscriber(t, Selector{Scope: "b"})
+	la, lb := connect(t, 0, o.Relay(), a, 0), connect(t, 0, o.Relay(), b, 0)
+	la.deliver(t, 0, a)
+	lb.deliver(t, 0, b)
 	o.Relay().Ready()
 	put(t, o, "a", "k", ClassEndpoint, "x")
 	put(t, o, "a", "l", ClassEndpoint, "x")
-	expect(t, "ready", fmt.Sprint(o.Relay().Ready()), fmt.Sprint([]int{la.id}))
-	expect(t, "ready again", len(o.Relay().Ready()), 0)
-	la.drain(t, 0, a)
+	expectEqual(t, "ready", fmt.Sprint(o.Relay().Ready()), fmt.Sprint([]int{la.sessionID}))
+	expectEqual(t, "ready again", len(o.Relay().Ready()), 0)
+	la.deliver(t, 0, a)
 	put(t, o, "b", "k", ClassEndpoint, "x")
-	o.Relay().Detach(lb.id)
-	expect(t, "ready without who has gone", len(o.Relay().Ready()), 0)
-	f, at := o.Relay().Next(0, lb.id)
+	o.Relay().Detach(lb.sessionID)
+	expectEqual(t, "ready without who has gone", len(o.Relay().Ready()), 0)
+	f, at := o.Relay().Next(0, lb.sessionID)
 	if f != nil || at <= 0 {
 		t.Fatal("who has gone", f, at)
 	}
-	expect(t, "scopes nobody holds or waits for", o.Relay().Stats().Scopes, 2)
-	o.Relay().Detach(la.id)
+	expectEqual(t, "scopes nobody holds or waits for", o.Relay().Stats().Scopes, 2)
+	o.Relay().Detach(la.sessionID)
 	o.Remove(0, "a", "k")
-	expect(t, "scopes", o.Relay().Stats().Scopes, 2)
+	expectEqual(t, "scopes", o.Relay().Stats().Scopes, 2)
 }
--- a/internal/distribution/framewriter.go
+++ b/internal/distribution/framewriter.go
@@ -21,16 +21,16 @@
 	heartbeatAt := s.lastSentNs + HeartbeatNs
 	heartbeatDue := now >= heartbeatAt
 	pending := s.hasQueued()
-	withinPace := s.bytesPerSecond == 0 || s.dueNs-BurstNs <= now
+	withinPace := s.bytesPerSecond == 0 || s.pacedUntilNs-BurstNs <= now
 	if pending && !withinPace && !heartbeatDue {
-		return nil, min(s.dueNs-BurstNs, heartbeatAt)
+		return nil, min(s.pacedUntilNs-BurstNs, heartbeatAt)
 	}
 	w := newFrameWriter(r, s)
 	if pending && withinPace {
 		w.fill()
 	}
-	w.addClaim(now, heartbeatDue)
-	if !heartbeatDue && !w.worthSending() {
+	w.addPosition(now, heartbeatDue)
+	if !heartbeatDue && !w.hasContent() {
 		return nil, heartbeatAt
 	}
 	return w.finish(now), now
@@ -38,22 +38,22 @@
 
 // frameWriter builds one frame to a subscriber.
 type frameWriter struct {
-	relay     *Relay
-	session   *session
-	frame     frame
-	roomBytes int  // left for records, by estimate
-	full      bool // a feed had to be queued again
+	relay          *Relay
+	session        *session
+	frame          frame
+	remainingBytes int  // left for records, by estimate
+	full           bool // a feed had to be queued again
 }
 
 func newFrameWriter(r *Relay, s *session) *frameWriter {
 	w := &frameWriter{
-		relay:     r,
-		session:   s,
-		frame:     frame{Session: s.clientSession, Epoch: r.epoch},
-		roomBytes: maxRecordsBytes,
+		relay:          r,
+		session:        s,
+		frame:          frame{Session: s.clientSession, Epoch: r.epoch},
+		remainingBytes: maxRecordsBytes,
 	}
 	if s.bytesPerSecond > 0 {
-		w.roomBytes = int(min(max(s.bytesPerSecond/paceFramesPerSecond, minPacedRecordsBytes), maxRecordsBytes))
+		w.remainingBytes = int(min(max(s.bytesPerSecond/paceFramesPerSecond, minPacedRecordsBytes), maxRecordsBytes))
 	}
 	return w
 }
@@ -95,24 +95,24 @@
 }
 
 func (w *frameWriter) writeBegin(f *feed, index int32) (written bool) {
-	if len(w.frame.Begin) == maxSnapshotEvents || w.roomBytes <= 0 {
+	if len(w.frame.Begin) == maxSnapshotEvents || w.remainingBytes <= 0 {
 		return false
 	}
 	w.frame.Begin = append(w.frame.Begin, uint32(index))
-	w.roomBytes -= snapshotEventBytes
+	w.remainingBytes -= snapshotEventBytes
 	f.snapshotSeq = w.relay.seq
 	w.session.setState(f, feedSnapshot, f.queued)
 	return true
 }
 
 func (w *frameWriter) writeEnd(f *feed, index int32) {
-	if len(w.frame.End) == maxSnapshotEvents || w.roomBytes <= 0 {
+	if len(w.frame.End) == maxSnapshotEvents || w.remainingBytes <= 0 {
 		w.session.enqueue(w.relay, index, endQueue)
 		return
 	}
 	w.frame.End = append(w.frame.End, uint32(index))
-	w.roomBytes -= snapshotEventBytes
-	f.position = w.relay.claimed
+	w.remainingBytes -= snapshotEventBytes
+	f.position = w.relay.advertised
 	w.session.setState(f, feedDelta, f.queued&^(1<<endQueue))
 }
 
@@ -120,7 +120,7 @@
 func (w *frameWriter) writeRecords(f *feed, class Class) (all bool) {
 	all = true
 	w.relay.ascendRecords(f, class, func(it *item) bool {
-		if w.needs(f, it) && !w.writeRecord(f, it) {
+		if w.needsRecord(f, it) && !w.writeRecord(f, it) {
 			all = false
 			return false
 		}
@@ -132,7 +132,7 @@
 
 // needs reports whether a feed is to be sent an item: one of this epoch, in a snapshot all but the tombstones from
 // before it began, in a delta what is newer than the position.
-func (w *frameWriter) needs(f *feed, it *item) bool {
+func (w *frameWriter) needsRecord(f *feed, it *item) bool {
 	if it.epoch != w.relay.epoch {
 		return false
 	}
@@ -156,7 +156,7 @@
 	if newGroup {
 		size += len(it.scope.name) + groupOverheadBytes
 	}
-	if size > w.roomBytes && len(groups) > 0 {
+	if size > w.remainingBytes && len(groups) > 0 {
 		return false
 	}
 	if newGroup {
@@ -164,7 +164,7 @@
 	}
 	group := &w.frame.Groups[len(w.frame.Groups)-1]
 	group.Records = append(group.Records, out)
-	w.roomBytes -= size
+	w.remainingBytes -= size
 	w.relay.stats.SentRecords++
 	if out.Flags&flagKeyOnly != 0 {
 		w.relay.stats.SentKeysOnly++
@@ -172,23 +172,23 @@
 	return true
 }
 
-// addClaim adds up to where the subscriber then knows all changes. Only a relay that is complete claims anything, and
+// addPosition adds up to where the subscriber then knows all changes. Only a relay that is complete claims anything, and
 // only for feeds that lack nothing: those that do are excepted, in a heartbeat. Feeds that wait for an epoch are
 // unsettled and in no queue, so that nothing is claimed beside them.
-func (w *frameWriter) addClaim(now int64, heartbeatDue bool) {
+func (w *frameWriter) addPosition(now int64, heartbeatDue bool) {
 	r, s := w.relay, w.session
 	if !r.complete {
 		return
 	}
-	if s.unsettled > 0 && heartbeatDue && s.unsettled <= maxExcept {
+	if s.feedsBehind > 0 && heartbeatDue && s.feedsBehind <= maxExcept {
 		w.frame.Except = s.queuedFeeds()
 	}
-	w.frame.All = len(w.frame.Except) == s.unsettled
+	w.frame.All = len(w.frame.Except) == s.feedsBehind
 	if !w.frame.All {
 		w.frame.Except = nil
 	}
 	if w.frame.All || w.frame.End != nil {
-		w.frame.Through = r.claimed.Through
+		w.frame.Through = r.advertised.Through
 		w.frame.Age = max(0, now-r.asOfNs(now))
 	}
 }
@@ -207,9 +207,9 @@
 	return feeds
 }
 
-// worthSending reports whether the frame says anything that the subscriber doesn't know.
-func (w *frameWriter) worthSending() bool {
-	newEpoch := w.frame.All && w.session.claimed.Epoch != w.relay.epoch
+// hasContent reports whether the frame says anything that the subscriber doesn't know.
+func (w *frameWriter) hasContent() bool {
+	newEpoch := w.frame.All && w.session.advertised.Epoch != w.relay.epoch
 	return w.frame.Begin != nil || w.frame.Groups != nil || w.frame.End != nil || newEpoch
 }
 
@@ -219,12 +219,12 @@
 	s.lastFrame++
 	w.frame.Number = s.lastFrame
 	if w.frame.All && w.frame.Except == nil {
-		s.claimed = r.claimed
+		s.advertised = r.advertised
 	}
 	out := encode(&w.frame)
 	s.lastSentNs = now
 	if s.bytesPerSecond > 0 {
-		s.dueNs = max(s.dueNs, now) + int64(len(out))*nanosPerSecond/s.bytesPerSecond
+		s.pacedUntilNs = max(s.pacedUntilNs, now) + int64(len(out))*nanosPerSecond/s.bytesPerSecond
 	}
 	r.stats.Sent++
 	r.stats.SentBytes += int64(len(out))
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -8,9 +8,9 @@
 )
 
 // conversation returns a hello, and the frames of a snapshot, of changes and of a heartbeat.
-func conversation(t testing.TB) (hello []byte, frames [][]byte) {
+func sampleMessages(t testing.TB) (hello []byte, frames [][]byte) {
 	o := NewOrigin(7, Limits{})
-	s := newLeaf(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
+	s := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
 	for i := range 5 {
 		put(t, o, "a/x", fmt.Sprint("endpoint/", i), Class(i%3), "body")
 		put(t, o, fmt.Sprint("b/", i), "endpoint/a", ClassEndpoint, "body")
@@ -37,7 +37,7 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	_, frames := conversation(f)
+	_, frames := sampleMessages(f)
 	for _, b := range frames {
 		f.Add(b)
 	}
@@ -52,10 +52,10 @@
 		[]any{[]any{"k", 1, 5, "text"}, 3, []any{"l", 1, 6, []byte("x")}},
 	}, 7}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		relay := newInner(t, Limits{Records: 64, Bytes: 64 << 10}, Selector{Scope: "a/x"},
+		relay := newTestRelay(t, Limits{Records: 64, Bytes: 64 << 10}, Selector{Scope: "a/x"},
 			Selector{Scope: "b/", Prefix: true})
-		leaf := newLeaf(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
-		down := newLeaf(t, Selector{Scope: "a/x"})
+		leaf := newTestSubscriber(t, Selector{Scope: "a/x"}, Selector{Scope: "b/", Prefix: true})
+		down := newTestSubscriber(t, Selector{Scope: "a/x"})
 		down.Hello()
 		relay.UpstreamHello(0)
 		leaf.Hello()
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		for now := range int64(3) { // the same again is as old as a frame can be
-			one, two := relay.take(now, b), leaf.take(now, b)
+			one, two := relay.receiveFrame(now, b), leaf.receiveFrame(now, b)
 			if (one == nil) != (two == nil) {
 				t.Fatalf("a relay says %v, a subscriber %v", one, two)
 			}
@@ -89,7 +89,7 @@
 				if f == nil {
 					break
 				}
-				if err := down.take(now*second, f); err != nil {
+				if err := down.receiveFrame(now*second, f); err != nil {
 					t.Fatalf("what a relay makes of it: %v", err)
 				}
 			}
@@ -101,10 +101,10 @@
 }
 
 func FuzzHello(f *testing.F) {
-	hello, _ := conversation(f)
+	hello, _ := sampleMessages(f)
 	f.Add(hello)
 	f.Add([]byte{0xa0})
-	f.Add(encode(helloAt(Position{9, 3})))
+	f.Add(encode(helloAtPosition(Position{9, 3})))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		o := NewOrigin(9, Limits{Selectors: 16})
 		for i := range 20 {
@@ -136,7 +136,7 @@
 	})
 }
 
-func helloAt(at Position) hello {
+func helloAtPosition(at Position) hello {
 	return hello{
 		Protocol: protocolVersion, Session: 3, EpochSeen: at.Epoch, Epoch: at.Epoch, Through: at.Through,
 		Selectors: []helloSelector{
--- a/internal/distribution/interest.go
+++ b/internal/distribution/interest.go
@@ -24,7 +24,7 @@
 }
 
 // knowledge is up to where all changes are known.
-type knowledge struct {
+type syncState struct {
 	position Position
 	asOfNs   int64 // when that was current
 	complete bool
@@ -49,7 +49,7 @@
 			r.exactInterests[s.Scope] = index
 		}
 		r.interests = append(r.interests, interest{scope: s.Scope, prefix: s.Prefix})
-		r.lagging = append(r.lagging, index)
+		r.unshared = append(r.unshared, index)
 	}
 	if len(r.prefixInterests) > MaxPrefixes {
 		return limitError("prefixes of a subscriber", MaxPrefixes, len(r.prefixInterests))
@@ -88,19 +88,19 @@
 	return encode(h)
 }
 
-func (r *replica) knownOf(n *interest) knowledge {
+func (r *replica) syncStateOf(n *interest) syncState {
 	if n.shared {
-		return knowledge{r.sharedPosition, r.sharedAsOfNs, n.complete}
+		return syncState{r.sharedPosition, r.sharedAsOfNs, n.complete}
 	}
-	return knowledge{n.position, n.asOfNs, n.complete}
+	return syncState{n.position, n.asOfNs, n.complete}
 }
 
 // known returns up to where a scope is known by any interest. exact is the index of the interest in it alone, or
 // noInterest.
-func (r *replica) known(scopeName string, exact int32) knowledge {
-	var best knowledge
+func (r *replica) scopeSyncState(scopeName string, exact int32) syncState {
+	var best syncState
 	consider := func(n *interest) {
-		known := r.knownOf(n)
+		known := r.syncStateOf(n)
 		if !known.complete {
 			return
 		}
@@ -120,18 +120,18 @@
 	return best
 }
 
-// leastKnown returns up to where all interests are known. It is complete if all of them are, and none is in a snapshot.
-func (r *replica) leastKnown() knowledge {
+// minSyncState returns up to where all interests are known. It is complete if all of them are, and none is in a snapshot.
+func (r *replica) minSyncState() syncState {
 	if len(r.interests) == 0 {
-		return knowledge{}
+		return syncState{}
 	}
-	least := knowledge{r.sharedPosition, r.sharedAsOfNs, true}
-	for k, i := range r.lagging {
+	least := syncState{r.sharedPosition, r.sharedAsOfNs, true}
+	for k, i := range r.unshared {
 		n := &r.interests[i]
 		if n.inSnapshot || !n.complete {
-			return knowledge{}
+			return syncState{}
 		}
-		if k == 0 && len(r.lagging) == len(r.interests) {
+		if k == 0 && len(r.unshared) == len(r.interests) {
 			least.position, least.asOfNs = n.position, n.asOfNs
 		}
 		if n.position.compare(least.position) < 0 {
@@ -177,7 +177,7 @@
 	n.shared = false
 	n.position = r.sharedPosition
 	n.asOfNs = r.sharedAsOfNs
-	r.lagging = append(r.lagging, index)
+	r.unshared = append(r.unshared, index)
 }
 
 // resetPositions has the interests that cover a scope sent once more with bodies: what the relay took for held is not.
@@ -215,8 +215,8 @@
 	}
 	r.sharedPosition = position
 	r.sharedAsOfNs = max(r.sharedAsOfNs, now-f.Age)
-	lagging := r.lagging[:0]
-	for _, i := range r.lagging {
+	lagging := r.unshared[:0]
+	for _, i := range r.unshared {
 		n := &r.interests[i]
 		n.shared = !n.inSnapshot && !except[uint32(i)] &&
 			n.position.Epoch == position.Epoch && n.position.compare(position) <= 0
@@ -224,6 +224,6 @@
 			lagging = append(lagging, i)
 		}
 	}
-	r.lagging = lagging
+	r.unshared = lagging
 	return nil
 }
--- a/internal/distribution/model_test.go
+++ b/internal/distribution/model_test.go
@@ -16,38 +16,38 @@
 	"pgregory.net/rapid"
 )
 
-type nameOf struct{ scope, key string }
+type recordKey struct{ scope, key string }
 
-type entry struct {
+type recordVersion struct {
 	version uint64
-	gone    bool
+	deleted bool
 	class   Class
 	body    string
 }
 
 // truth is the history of all records, by epoch; loaded is the version at which an epoch's origin had its complete
 // list.
-type truth struct {
-	history map[uint64]map[nameOf][]entry
-	loaded  map[uint64]uint64
+type recordHistory struct {
+	versions map[uint64]map[recordKey][]recordVersion
+	loadedAt map[uint64]uint64
 }
 
 // at is the newest entry up to a version, and whether there is a removal after it.
-func (h *truth) at(epoch uint64, n nameOf, through uint64) (now entry, goneLater bool) {
-	now.gone = true
-	for _, e := range h.history[epoch][n] {
+func (h *recordHistory) stateAt(epoch uint64, n recordKey, through uint64) (now recordVersion, goneLater bool) {
+	now.deleted = true
+	for _, e := range h.versions[epoch][n] {
 		if e.version <= through {
 			now = e
-		} else if e.gone {
+		} else if e.deleted {
 			goneLater = true
 		}
 	}
 	return now, goneLater
 }
 
-func (h *truth) exactly(r Record) bool {
-	for _, e := range h.history[r.Epoch][nameOf{r.Scope, r.Key}] {
-		if e.version == r.Version && !e.gone && e.class == r.Class && e.body == string(r.Body) {
+func (h *recordHistory) existed(r Record) bool {
+	for _, e := range h.versions[r.Epoch][recordKey{r.Scope, r.Key}] {
+		if e.version == r.Version && !e.deleted && e.class == r.Class && e.body == string(r.Body) {
 			return true
 		}
 	}
@@ -55,15 +55,15 @@
 }
 
 // claimed checks a claim to know the scopes that a selector covers against the truth.
-func (h *truth) claimed(t *rapid.T, who string, s Selector, at Position, holds map[nameOf]Record) {
+func (h *recordHistory) checkPosition(t *rapid.T, who string, s Selector, at Position, holds map[recordKey]Record) {
 	if at.Epoch == 0 {
 		return
 	}
-	if loaded, ok := h.loaded[at.Epoch]; !ok || at.Through < loaded {
+	if loaded, ok := h.loadedAt[at.Epoch]; !ok || at.Through < loaded {
 		t.Fatalf("%s claims %v of %v, when the origin had no list yet", who, at, s)
 	}
 	names := maps.Clone(holds)
-	for n := range h.history[at.Epoch] {
+	for n := range h.versions[at.Epoch] {
 		if _, ok := names[n]; !ok {
 			names[n] = Record{}
 		}
@@ -72,14 +72,14 @@
 		if !s.covers(n.scope) {
 			continue
 		}
-		then, goneLater := h.at(at.Epoch, n, at.Through)
+		then, goneLater := h.stateAt(at.Epoch, n, at.Through)
 		switch stamp := (Position{r.Epoch, r.Version}); {
 		case stamp == Position{}:
-			if !then.gone && !goneLater {
+			if !then.deleted && !goneLater {
 				t.Fatalf("%s claims %v of %v and lacks %v, version %d", who, at, s, n, then.version)
 			}
 		case stamp.compare(at) <= 0:
-			if then.gone || r.Epoch != at.Epoch || r.Version != then.version {
+			if then.deleted || r.Epoch != at.Epoch || r.Version != then.version {
 				t.Fatalf("%s claims %v of %v and holds %v of %v; true is %+v", who, at, s, n, stamp, then)
 			}
 		}
@@ -87,56 +87,56 @@
 }
 
 // end is a relay or a subscriber, with whom it may be connected to and the frames that are on their way to it.
-type end struct {
-	name    string
-	relay   *Relay      // either
-	leaf    *Subscriber // or
-	wants   []Selector
-	ups     []int // by place among the ends; -1 is the origin
-	from    *Relay
-	id      int
-	way     [][]byte // frames of this session that have not come yet
-	old     [][]byte // frames of sessions before
-	last    []byte
-	known   map[nameOf]Position // a subscriber's: never falls
-	changed map[nameOf]string   // the same, by its changes
-	pace    int
+type peer struct {
+	name           string
+	relay          *Relay      // either
+	subscriber     *Subscriber // or
+	selectors      []Selector
+	upstreams      []int // by place among the ends; -1 is the origin
+	upstream       *Relay
+	sessionID      int
+	inFlight       [][]byte // frames of this session that have not come yet
+	staleFrames    [][]byte // frames of sessions before
+	lastFrame      []byte
+	positions      map[recordKey]Position // a subscriber's: never falls
+	heldByChanges  map[recordKey]string   // the same, by its changes
+	bytesPerSecond int
 }
 
 type network struct {
-	t      *rapid.T
-	now    int64
-	truth  truth
-	origin *Origin
-	ends   []*end
-	epoch  uint64
-	bodies int
-	limits Limits
-	live   map[nameOf]entry
-	loaded bool
+	t            *rapid.T
+	now          int64
+	history      recordHistory
+	origin       *Origin
+	peers        []*peer
+	epoch        uint64
+	bodyCount    int
+	limits       Limits
+	live         map[recordKey]recordVersion
+	originLoaded bool
 }
 
 func newNetwork(t *rapid.T) *network {
 	n := &network{
-		t:      t,
-		truth:  truth{map[uint64]map[nameOf][]entry{}, map[uint64]uint64{}},
-		limits: Limits{Tombstones: rapid.IntRange(1, 4).Draw(t, "tombstones")},
-		live:   map[nameOf]entry{},
+		t:       t,
+		history: recordHistory{map[uint64]map[recordKey][]recordVersion{}, map[uint64]uint64{}},
+		limits:  Limits{Tombstones: rapid.IntRange(1, 4).Draw(t, "tombstones")},
+		live:    map[recordKey]recordVersion{},
 	}
 	n.newOrigin()
-	n.load()
+	n.loadOrigin()
 	pace := rapid.SampledFrom([]int{0, 8000}).Draw(t, "pace")
 	relay := func(name string, ups []int, s ...Selector) {
-		n.ends = append(n.ends, &end{name: name, wants: s, ups: ups, pace: pace})
-		n.restart(len(n.ends) - 1)
+		n.peers = append(n.peers, &peer{name: name, selectors: s, upstreams: ups, bytesPerSecond: pace})
+		n.restartRelay(len(n.peers) - 1)
 	}
 	leaf := func(name string, ups []int, s ...Selector) {
-		e := &end{
-			name: name, wants: s, ups: ups, pace: pace, known: map[nameOf]Position{},
-			changed: map[nameOf]string{},
+		e := &peer{
+			name: name, selectors: s, upstreams: ups, bytesPerSecond: pace, positions: map[recordKey]Position{},
+			heldByChanges: map[recordKey]string{},
 		}
-		e.leaf, _ = NewSubscriber(s, Limits{})
-		n.ends = append(n.ends, e)
+		e.subscriber, _ = NewSubscriber(s, Limits{})
+		n.peers = append(n.peers, e)
 	}
 	relay("top0", []int{-1}, Selector{Prefix: true})
 	relay("top1", []int{-1}, Selector{Prefix: true})
@@ -150,295 +150,295 @@
 
 func (n *network) newOrigin() {
 	n.epoch++
-	n.origin, n.loaded = NewOrigin(n.epoch, n.limits), false
+	n.origin, n.originLoaded = NewOrigin(n.epoch, n.limits), false
 	n.origin.Await("k")
-	n.truth.history[n.epoch] = map[nameOf][]entry{}
+	n.history.versions[n.epoch] = map[recordKey][]recordVersion{}
 }
 
 // load replaces the origin's list by what is live.
-func (n *network) load() {
+func (n *network) loadOrigin() {
 	var all []Record
 	for _, name := range slices.SortedFunc(maps.Keys(n.live),
-		func(a, b nameOf) int { return strings.Compare(a.scope+a.key, b.scope+b.key) }) {
+		func(a, b recordKey) int { return strings.Compare(a.scope+a.key, b.scope+b.key) }) {
 		e := n.live[name]
 		all = append(all, Record{Scope: name.scope, Key: name.key, Class: e.class, Body: []byte(e.body)})
 	}
 	if _, err := n.origin.Replace(n.now, "k", all); err != nil {
 		n.t.Fatal(err)
 	}
-	n.note()
-	if !n.loaded {
-		n.loaded, n.truth.loaded[n.epoch] = true, n.origin.version
+	n.recordOrigin()
+	if !n.originLoaded {
+		n.originLoaded, n.history.loadedAt[n.epoch] = true, n.origin.version
 	}
 }
 
 // note records the origin's state after its last call.
-func (n *network) note() {
-	history := n.truth.history[n.epoch]
+func (n *network) recordOrigin() {
+	history := n.history.versions[n.epoch]
 	n.origin.relay.replica.items.Ascend(func(it *item) bool {
-		name := nameOf{it.scope.name, it.key}
+		name := recordKey{it.scope.name, it.key}
 		if list := history[name]; len(list) == 0 || list[len(list)-1].version != it.version {
-			history[name] = append(list, entry{it.version, it.deleted, it.class, string(it.body)})
+			history[name] = append(list, recordVersion{it.version, it.deleted, it.class, string(it.body)})
 		}
 		return true
 	})
 	for name, list := range history {
-		if n.origin.relay.replica.find(name.scope, name.key) == nil && !list[len(list)-1].gone {
+		if n.origin.relay.replica.find(name.scope, name.key) == nil && !list[len(list)-1].deleted {
 			// Its tombstone was dropped, as it is over the limit.
-			history[name] = append(list, entry{version: n.origin.version, gone: true})
+			history[name] = append(list, recordVersion{version: n.origin.version, deleted: true})
 		}
 	}
 	for name, e := range n.live {
-		if list := history[name]; n.loaded && (len(list) == 0 || list[len(list)-1].body != e.body ||
-			list[len(list)-1].gone) {
+		if list := history[name]; n.originLoaded && (len(list) == 0 || list[len(list)-1].body != e.body ||
+			list[len(list)-1].deleted) {
 			n.t.Fatalf("the origin lacks %v", name)
 		}
 	}
 }
 
-func (n *network) restart(i int) {
-	e := n.ends[i]
+func (n *network) restartRelay(i int) {
+	e := n.peers[i]
 	e.relay = NewRelay(n.limits)
-	if err := e.relay.Follow(e.wants); err != nil {
+	if err := e.relay.Follow(e.selectors); err != nil {
 		n.t.Fatal(err)
 	}
-	n.cut(e)
-	e.old, e.last = nil, nil // a new process has new connections
-	for _, other := range n.ends {
-		if slices.Contains(other.ups, i) && other.from != nil && !n.serves(other.from) {
-			n.cut(other)
+	n.disconnect(e)
+	e.staleFrames, e.lastFrame = nil, nil // a new process has new connections
+	for _, other := range n.peers {
+		if slices.Contains(other.upstreams, i) && other.upstream != nil && !n.isRunning(other.upstream) {
+			n.disconnect(other)
 		}
 	}
 }
 
-func (n *network) serves(r *Relay) bool {
-	return r == n.origin.relay || slices.ContainsFunc(n.ends, func(e *end) bool { return e.relay == r })
+func (n *network) isRunning(r *Relay) bool {
+	return r == n.origin.relay || slices.ContainsFunc(n.peers, func(e *peer) bool { return e.relay == r })
 }
 
 // cut ends a session; frames that were on their way may still arrive.
-func (n *network) cut(e *end) {
-	if e.from != nil {
-		e.from.Detach(e.id)
+func (n *network) disconnect(e *peer) {
+	if e.upstream != nil {
+		e.upstream.Detach(e.sessionID)
 	}
-	e.old = append(e.old, e.way...)
-	if len(e.old) > 30 {
-		e.old = e.old[len(e.old)-30:]
+	e.staleFrames = append(e.staleFrames, e.inFlight...)
+	if len(e.staleFrames) > 30 {
+		e.staleFrames = e.staleFrames[len(e.staleFrames)-30:]
 	}
-	e.from, e.way = nil, nil
+	e.upstream, e.inFlight = nil, nil
 }
 
-func (n *network) connect(e *end, up int) {
-	n.cut(e)
+func (n *network) connect(e *peer, up int) {
+	n.disconnect(e)
 	from := n.origin.relay
 	if up >= 0 {
-		from = n.ends[up].relay
+		from = n.peers[up].relay
 	}
 	var hello []byte
 	if e.relay != nil {
 		hello = e.relay.UpstreamHello(n.now)
 	} else {
-		hello = e.leaf.Hello()
+		hello = e.subscriber.Hello()
 	}
-	id, err := from.Attach(n.now, hello, e.pace)
+	id, err := from.Attach(n.now, hello, e.bytesPerSecond)
 	if err != nil {
 		n.t.Fatalf("%s: %v", e.name, err)
 	}
-	e.from, e.id = from, id
+	e.upstream, e.sessionID = from, id
 }
 
 // send puts up to most frames on their way.
-func (n *network) send(e *end, most int) {
-	for sent := 0; e.from != nil && sent < most; sent++ {
-		f, _ := e.from.Next(n.now, e.id)
+func (n *network) sendFrames(e *peer, most int) {
+	for sent := 0; e.upstream != nil && sent < most; sent++ {
+		f, _ := e.upstream.Next(n.now, e.sessionID)
 		if f == nil {
 			break
 		}
 		if len(f) > MaxFrameBytes {
 			n.t.Fatalf("a frame of %d bytes", len(f))
 		}
-		e.way = append(e.way, f)
+		e.inFlight = append(e.inFlight, f)
 	}
 }
 
-func (n *network) come(e *end, frame []byte) error {
+func (n *network) receive(e *peer, frame []byte) error {
 	var err error
 	var changes []Change
 	if e.relay != nil {
 		err = e.relay.Receive(n.now, frame)
 	} else {
-		changes, err = e.leaf.Receive(n.now, frame)
+		changes, err = e.subscriber.Receive(n.now, frame)
 	}
-	n.look(e, changes)
+	n.checkInvariants(e, changes)
 	if err != nil && !errors.Is(err, ErrFrameGap) {
 		n.t.Fatalf("%s: %v", e.name, err)
 	}
 	if err != nil {
-		n.cut(e)
+		n.disconnect(e)
 	}
 	return err
 }
 
 // look checks the invariants of an end.
-func (n *network) look(e *end, changes []Change) {
+func (n *network) checkInvariants(e *peer, changes []Change) {
 	t := n.t
-	holds := map[nameOf]Record{}
+	holds := map[recordKey]Record{}
 	if e.relay != nil {
 		e.relay.replica.items.Ascend(func(it *item) bool {
 			if !it.deleted {
-				holds[nameOf{it.scope.name, it.key}] = it.record()
+				holds[recordKey{it.scope.name, it.key}] = it.record()
 			}
 			return true
 		})
 		if e.relay.Complete() {
-			for _, s := range e.wants {
-				n.truth.claimed(t, e.name, s, e.relay.claimed, holds)
+			for _, s := range e.selectors {
+				n.history.checkPosition(t, e.name, s, e.relay.advertised, holds)
 			}
 		}
 	} else {
 		for _, c := range changes {
-			name := nameOf{c.Scope, c.Key}
+			name := recordKey{c.Scope, c.Key}
 			if c.Deleted {
-				if _, ok := e.changed[name]; !ok {
+				if _, ok := e.heldByChanges[name]; !ok {
 					t.Fatalf("%s got a deletion of %v, which it did not hold", e.name, name)
 				}
-				delete(e.changed, name)
-				e.known[name] = Position{c.Epoch, c.Version}
+				delete(e.heldByChanges, name)
+				e.positions[name] = Position{c.Epoch, c.Version}
 			} else {
-				e.changed[name] = fmt.Sprint(c.Class, string(c.Body))
+				e.heldByChanges[name] = fmt.Sprint(c.Class, string(c.Body))
 			}
 		}
-		e.leaf.Each(func(r Record) { holds[nameOf{r.Scope, r.Key}] = r })
+		e.subscriber.Each(func(r Record) { holds[recordKey{r.Scope, r.Key}] = r })
 		for name, r := range holds {
 			at := Position{r.Epoch, r.Version}
-			if at.compare(e.known[name]) < 0 {
-				t.Fatalf("%s went back from %v to %v with %v", e.name, e.known[name], at, name)
+			if at.compare(e.positions[name]) < 0 {
+				t.Fatalf("%s went back from %v to %v with %v", e.name, e.positions[name], at, name)
 			}
-			e.known[name] = at
-			if e.changed[name] != fmt.Sprint(r.Class, string(r.Body)) {
-				t.Fatalf("%s holds %+v, its changes gave %q", e.name, r, e.changed[name])
+			e.positions[name] = at
+			if e.heldByChanges[name] != fmt.Sprint(r.Class, string(r.Body)) {
+				t.Fatalf("%s holds %+v, its changes gave %q", e.name, r, e.heldByChanges[name])
 			}
 		}
-		if len(e.changed) != len(holds) {
-			t.Fatalf("%s holds %d records, its changes gave %d", e.name, len(holds), len(e.changed))
+		if len(e.heldByChanges) != len(holds) {
+			t.Fatalf("%s holds %d records, its changes gave %d", e.name, len(holds), len(e.heldByChanges))
 		}
-		for i, s := range e.wants {
-			at := e.leaf.replica.knownOf(&e.leaf.replica.interests[i]).position
-			n.truth.claimed(t, e.name, s, at, holds)
+		for i, s := range e.selectors {
+			at := e.subscriber.replica.syncStateOf(&e.subscriber.replica.interests[i]).position
+			n.history.checkPosition(t, e.name, s, at, holds)
 		}
 	}
 	for name, r := range holds {
-		if !n.truth.exactly(r) {
+		if !n.history.existed(r) {
 			t.Fatalf("%s holds what never was: %v %+v", e.name, name, r)
 		}
 	}
 }
 
 var (
-	scopesOfModel = []string{"a/x", "a/y", "a/new", "b/x", "b/new"}
-	keysOfModel   = []string{"k/1", "k/2", "k/3", "k/4"}
+	modelScopes = []string{"a/x", "a/y", "a/new", "b/x", "b/new"}
+	modelKeys   = []string{"k/1", "k/2", "k/3", "k/4"}
 )
 
-func (n *network) act() {
+func (n *network) randomStep() {
 	t := n.t
-	who := func() *end { return n.ends[rapid.IntRange(0, len(n.ends)-1).Draw(t, "who")] }
+	who := func() *peer { return n.peers[rapid.IntRange(0, len(n.peers)-1).Draw(t, "who")] }
 	switch rapid.IntRange(0, 19).Draw(t, "act") {
 	case 0, 1, 2, 3, 4: // a change
-		name := nameOf{rapid.SampledFrom(scopesOfModel).Draw(t, "scope"), rapid.SampledFrom(keysOfModel).Draw(t, "key")}
+		name := recordKey{rapid.SampledFrom(modelScopes).Draw(t, "scope"), rapid.SampledFrom(modelKeys).Draw(t, "key")}
 		if rapid.IntRange(0, 2).Draw(t, "put") == 0 {
 			delete(n.live, name)
-			if n.loaded {
+			if n.originLoaded {
 				n.origin.Remove(n.now, name.scope, name.key)
 			}
 		} else {
-			n.bodies++
-			e := entry{
+			n.bodyCount++
+			e := recordVersion{
 				class: Class(rapid.IntRange(0, 2).Draw(t, "class")),
-				body:  fmt.Sprintf("%d%s", n.bodies, strings.Repeat("x", 250)),
+				body:  fmt.Sprintf("%d%s", n.bodyCount, strings.Repeat("x", 250)),
 			}
 			n.live[name] = e
-			if n.loaded {
+			if n.originLoaded {
 				if _, err := n.origin.Put(n.now, name.scope, name.key, e.class, []byte(e.body)); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		n.note()
+		n.recordOrigin()
 	case 5: // a complete list, without a random scope
-		gone := rapid.SampledFrom(scopesOfModel).Draw(t, "emptied")
-		maps.DeleteFunc(n.live, func(name nameOf, _ entry) bool { return name.scope == gone })
-		n.load()
+		gone := rapid.SampledFrom(modelScopes).Draw(t, "emptied")
+		maps.DeleteFunc(n.live, func(name recordKey, _ recordVersion) bool { return name.scope == gone })
+		n.loadOrigin()
 	case 6: // the origin restarts; its list comes with one of the next acts
 		if rapid.IntRange(0, 3).Draw(t, "really") == 0 {
 			n.newOrigin()
-			for _, e := range n.ends {
-				if e.from != nil && !n.serves(e.from) {
-					n.cut(e)
+			for _, e := range n.peers {
+				if e.upstream != nil && !n.isRunning(e.upstream) {
+					n.disconnect(e)
 				}
 			}
 		}
 	case 7: // a relay restarts empty
 		if rapid.IntRange(0, 1).Draw(t, "really") == 0 {
-			n.restart(rapid.IntRange(0, 3).Draw(t, "relay"))
+			n.restartRelay(rapid.IntRange(0, 3).Draw(t, "relay"))
 		}
 	case 8, 9: // to another relay
 		e := who()
-		n.connect(e, rapid.SampledFrom(e.ups).Draw(t, "up"))
+		n.connect(e, rapid.SampledFrom(e.upstreams).Draw(t, "up"))
 	case 10: // a way is cut
-		n.cut(who())
+		n.disconnect(who())
 	case 11: // a frame is lost
-		if e := who(); len(e.way) > 0 {
-			e.way = e.way[1:]
+		if e := who(); len(e.inFlight) > 0 {
+			e.inFlight = e.inFlight[1:]
 		}
 	case 12: // a frame comes again
-		if e := who(); e.last != nil {
-			_ = n.come(e, e.last) // a gap is no fault; come fails the test at any other error
+		if e := who(); e.lastFrame != nil {
+			_ = n.receive(e, e.lastFrame) // a gap is no fault; come fails the test at any other error
 		}
 	case 13, 14: // a frame of a session before comes
-		if e := who(); len(e.old) > 0 {
-			i := rapid.IntRange(0, len(e.old)-1).Draw(t, "old")
-			_ = n.come(e, e.old[i]) // a gap is no fault; come fails the test at any other error
+		if e := who(); len(e.staleFrames) > 0 {
+			i := rapid.IntRange(0, len(e.staleFrames)-1).Draw(t, "old")
+			_ = n.receive(e, e.staleFrames[i]) // a gap is no fault; come fails the test at any other error
 		}
 	case 15:
 		n.now += int64(rapid.IntRange(1, 1200).Draw(t, "ms")) * 1e6
 	default:
 		e := who()
-		n.send(e, rapid.IntRange(0, 3).Draw(t, "frames"))
+		n.sendFrames(e, rapid.IntRange(0, 3).Draw(t, "frames"))
 		for range rapid.IntRange(0, 3).Draw(t, "come") {
-			if len(e.way) == 0 || n.one(e) != nil {
+			if len(e.inFlight) == 0 || n.receiveNext(e) != nil {
 				break
 			}
 		}
 	}
 }
 
-func (n *network) one(e *end) error {
-	e.last, e.way = e.way[0], e.way[1:]
-	return n.come(e, e.last)
+func (n *network) receiveNext(e *peer) error {
+	e.lastFrame, e.inFlight = e.inFlight[0], e.inFlight[1:]
+	return n.receive(e, e.lastFrame)
 }
 
 // settle ends all faults: every end is connected, and time goes on.
-func (n *network) settle() {
+func (n *network) converge() {
 	t := n.t
-	if !n.loaded {
-		n.load()
+	if !n.originLoaded {
+		n.loadOrigin()
 	}
 	for range 400 {
 		n.now += 250e6
-		for _, e := range n.ends {
-			if e.from == nil {
-				n.connect(e, rapid.SampledFrom(e.ups).Draw(t, "up"))
+		for _, e := range n.peers {
+			if e.upstream == nil {
+				n.connect(e, rapid.SampledFrom(e.upstreams).Draw(t, "up"))
 			}
-			for n.send(e, 100); len(e.way) > 0; {
-				if n.one(e) != nil {
+			for n.sendFrames(e, 100); len(e.inFlight) > 0; {
+				if n.receiveNext(e) != nil {
 					break
 				}
 			}
 		}
 	}
-	for _, e := range n.ends {
+	for _, e := range n.peers {
 		var held, real bytes.Buffer
 		say := func(to *bytes.Buffer, scope, key, body string) {
-			if slices.ContainsFunc(e.wants, func(s Selector) bool { return s.covers(scope) }) {
+			if slices.ContainsFunc(e.selectors, func(s Selector) bool { return s.covers(scope) }) {
 				fmt.Fprintf(to, "%s %s %.8s\n", scope, key, body)
 			}
 		}
@@ -453,7 +453,7 @@
 		if e.relay != nil {
 			items = e.relay.replica.items
 		} else {
-			items = e.leaf.replica.items
+			items = e.subscriber.replica.items
 		}
 		items.Ascend(func(it *item) bool {
 			if !it.deleted {
@@ -466,37 +466,37 @@
 		if held.String() != real.String() {
 			t.Fatalf("%s holds in the end\n%sand true is\n%s", e.name, &held, &real)
 		}
-		if e.leaf == nil {
-			if at := e.relay.claimed; !e.relay.Complete() || at != (Position{n.epoch, n.origin.version}) ||
+		if e.subscriber == nil {
+			if at := e.relay.advertised; !e.relay.Complete() || at != (Position{n.epoch, n.origin.version}) ||
 				tombs > n.limits.Tombstones {
 				t.Fatalf("%s ends complete %v at %v of %d with %d tombstones", e.name, e.relay.Complete(), at,
 					n.origin.version, tombs)
 			}
 			continue
 		}
-		if !e.leaf.Complete() || tombs > 0 {
-			t.Fatalf("%s ends complete %v with %d tombstones", e.name, e.leaf.Complete(), tombs)
+		if !e.subscriber.Complete() || tombs > 0 {
+			t.Fatalf("%s ends complete %v with %d tombstones", e.name, e.subscriber.Complete(), tombs)
 		}
-		for _, scope := range []string{e.wants[0].Scope, e.wants[len(e.wants)-1].Scope} {
-			if age, known := e.leaf.Age(n.now, scope); !known || age > 4*second {
+		for _, scope := range []string{e.selectors[0].Scope, e.selectors[len(e.selectors)-1].Scope} {
+			if age, known := e.subscriber.Age(n.now, scope); !known || age > 4*second {
 				t.Fatalf("%s knows %q as of %d ns ago, %v", e.name, scope, age, known)
 			}
-			if at := e.leaf.Position(scope); at != (Position{n.epoch, n.origin.version}) {
+			if at := e.subscriber.Position(scope); at != (Position{n.epoch, n.origin.version}) {
 				t.Fatalf("%s knows %q up to %v", e.name, scope, at)
 			}
 		}
 	}
 }
 
-func TestNetwork(t *testing.T) {
+func TestRandomNetworkConverges(t *testing.T) {
 	for _, most := range []int{30, 100, 200} {
 		t.Run(fmt.Sprint("acts-", most), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				n := newNetwork(t)
 				for range rapid.IntRange(5, most).Draw(t, "acts") {
-					n.act()
+					n.randomStep()
 				}
-				n.settle()
+				n.converge()
 			})
 		})
 	}
--- a/internal/distribution/origin.go
+++ b/internal/distribution/origin.go
@@ -21,7 +21,7 @@
 	o := &Origin{relay: NewRelay(l), awaited: map[string]bool{}}
 	o.relay.origin = o
 	o.relay.replica.epochSeen = max(1, epoch)
-	o.relay.updateClaim()
+	o.relay.updateAdvertised()
 	return o
 }
 
@@ -34,14 +34,14 @@
 	for _, kind := range kinds {
 		o.awaited[kind] = true
 	}
-	o.relay.updateClaim()
+	o.relay.updateAdvertised()
 }
 
 // Put sets a record and returns its version; setting it to what it is is no change. The body must not be changed
 // afterwards. An error says that the record is invalid or wraps ErrLimit; then nothing has changed.
 func (o *Origin) Put(now int64, scope, key string, class Class, body []byte) (version uint64, err error) {
 	version, _, err = o.put(scope, key, class, body)
-	o.relay.updateClaim()
+	o.relay.updateAdvertised()
 	return version, err
 }
 
@@ -64,7 +64,7 @@
 // Remove deletes a record and returns the version of its tombstone.
 func (o *Origin) Remove(now int64, scope, key string) (version uint64, removed bool) {
 	removed = o.remove(o.relay.replica.find(scope, key))
-	o.relay.updateClaim()
+	o.relay.updateAdvertised()
 	if removed {
 		version = o.version
 	}
@@ -92,7 +92,7 @@
 		o.remove(it)
 	}
 	changed = len(absent)
-	for _, i := range byClass(records) {
+	for _, i := range orderByClass(records) {
 		record := &records[i]
 		if !strings.HasPrefix(record.Key, kind+"/") {
 			err = cmp.Or(err, fmt.Errorf("distribution: scope %q, key %.64q: a key that begins with %q expected",
@@ -106,7 +106,7 @@
 		}
 	}
 	delete(o.awaited, kind)
-	o.relay.updateClaim()
+	o.relay.updateAdvertised()
 	return changed, err
 }
 
@@ -128,8 +128,8 @@
 	return absent
 }
 
-// byClass returns the indexes of records with withdrawals first, so that these have the lower versions.
-func byClass(records []Record) []int {
+// orderByClass returns the indexes of records with withdrawals first, so that these have the lower versions.
+func orderByClass(records []Record) []int {
 	order := make([]int, len(records))
 	for i := range order {
 		order[i] = i
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	for _, scope := range invalidScopes {
-		r.noteInvalid(scope, fmt.Sprintf("scope %q: a record that can't be read", scope))
+		r.markInvalid(scope, fmt.Sprintf("scope %q: a record that can't be read", scope))
 	}
 	for i := range f.Groups {
 		if err := r.applyGroup(f, &f.Groups[i]); err != nil {
@@ -90,9 +90,9 @@
 	return nil
 }
 
-// noteInvalid records that a record of a scope, or with "" a whole group, could not be decoded: snapshots that are
+// markInvalid records that a record of a scope, or with "" a whole group, could not be decoded: snapshots that are
 // under way delete nothing of it.
-func (r *replica) noteInvalid(scopeName, description string) {
+func (r *replica) markInvalid(scopeName, description string) {
 	r.stats.InvalidRecords++
 	r.stats.LastInvalid = description
 	if scopeName == "" {
@@ -104,7 +104,7 @@
 
 func (r *replica) applyGroup(f *frame, g *recordGroup) error {
 	if g.Scope == "" || len(g.Scope) > MaxNameBytes {
-		r.noteInvalid("", fmt.Sprintf("scope %.64q: a name of 1 to %d bytes expected, found %d",
+		r.markInvalid("", fmt.Sprintf("scope %.64q: a name of 1 to %d bytes expected, found %d",
 			g.Scope, MaxNameBytes, len(g.Scope)))
 		return nil
 	}
@@ -115,7 +115,7 @@
 	for i := range g.Records {
 		in := &g.Records[i]
 		if !in.valid() {
-			r.noteInvalid(g.Scope, fmt.Sprintf("scope %q, key %.64q: flags %#x, version %d, %d bytes",
+			r.markInvalid(g.Scope, fmt.Sprintf("scope %q, key %.64q: flags %#x, version %d, %d bytes",
 				g.Scope, in.Key, in.Flags, in.Version, len(in.Body)))
 			continue
 		}
@@ -144,7 +144,7 @@
 			r.stats.Stale++
 			return nil
 		}
-	} else if position.compare(r.known(scopeName, r.exactInterest(scopeName)).position) <= 0 {
+	} else if position.compare(r.scopeSyncState(scopeName, r.exactInterest(scopeName)).position) <= 0 {
 		r.stats.Stale++
 		return nil
 	}
@@ -198,7 +198,7 @@
 	if r.invalidGroupMark >= n.snapshotMark {
 		return nil // a group could not be decoded, and may have named anything
 	}
-	for _, it := range r.unnamed(n, position) {
+	for _, it := range r.absentFromSnapshot(n, position) {
 		r.stats.Swept++
 		if it.epoch != position.Epoch && r.keepsTombstones {
 			r.remove(it) // no subscriber was sent it in this epoch, so none needs a tombstone
@@ -214,7 +214,7 @@
 
 // unnamed returns the live items of an interest that are not newer than a position and were not named since its
 // snapshot began.
-func (r *replica) unnamed(n *interest, position Position) []*item {
+func (r *replica) absentFromSnapshot(n *interest, position Position) []*item {
 	var items []*item
 	r.probeScope.name = n.scope
 	r.probe.scope = &r.probeScope
--- a/internal/distribution/record.go
+++ b/internal/distribution/record.go
@@ -51,8 +51,8 @@
 // Change is a change of a record at a subscriber.
 type Change struct {
 	Record
-	Old   []byte // the body before; nil where there was none
-	Swept bool   // deleted because a snapshot of the scope came without it
+	OldBody []byte // the body before; nil where there was none
+	Swept   bool   // deleted because a snapshot of the scope came without it
 }
 
 // Position says that all changes up to version Through of Epoch are known. The zero value says that none are.
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -26,7 +26,7 @@
 
 	epoch       uint64
 	complete    bool
-	claimed     Position // what is claimed to subscribers; never falls
+	advertised  Position // what is claimed to subscribers; never falls
 	floor       Position // a subscriber at a lower position gets a snapshot
 	snapshotEnd Position // the end of the last snapshot that this relay received
 
@@ -84,7 +84,7 @@
 // Receive applies a frame from upstream. After an error the connection must be closed.
 func (r *Relay) Receive(now int64, frame []byte) error {
 	err := r.replica.receive(now, frame)
-	r.updateClaim()
+	r.updateAdvertised()
 	return err
 }
 
@@ -134,21 +134,21 @@
 	r.complete = false
 	for _, s := range r.sortedSessions() {
 		for i := range s.feeds {
-			r.decideFeed(s, int32(i))
+			r.chooseFeedState(s, int32(i))
 		}
 		r.markReady(s)
 	}
 }
 
-// updateClaim brings what the relay claims to subscribers up to what its replica knows.
-func (r *Relay) updateClaim() {
+// updateAdvertised brings what the relay claims to subscribers up to what its replica knows.
+func (r *Relay) updateAdvertised() {
 	r.adoptEpoch()
 	position, complete := r.position()
 	wasComplete := r.complete
 	r.complete = complete
 	if complete {
-		if position.compare(r.claimed) > 0 {
-			r.claimed = position
+		if position.compare(r.advertised) > 0 {
+			r.advertised = position
 		}
 		snapshotEnd := Position{r.epoch, r.replica.maxSnapshotEnd}
 		if !wasComplete || r.snapshotEnd != snapshotEnd {
@@ -170,7 +170,7 @@
 		for i := range s.feeds {
 			switch f := &s.feeds[i]; f.state {
 			case feedDelta:
-				r.decideFeed(s, int32(i))
+				r.chooseFeedState(s, int32(i))
 			case feedSnapshotPending, feedSnapshot:
 				if f.queued&recordQueues == 0 {
 					s.enqueue(r, int32(i), endQueue)
@@ -187,7 +187,7 @@
 	if r.origin != nil {
 		return Position{r.epoch, r.origin.version}, len(r.origin.awaited) == 0
 	}
-	known := r.replica.leastKnown()
+	known := r.replica.minSyncState()
 	complete = known.complete && known.position.Epoch == r.epoch && known.position.Through >= r.replica.maxSnapshotEnd
 	return known.position, complete
 }
@@ -196,7 +196,7 @@
 	if r.origin != nil {
 		return now
 	}
-	return r.replica.leastKnown().asOfNs
+	return r.replica.minSyncState().asOfNs
 }
 
 // Age returns how long ago what the relay holds was current, in nanoseconds; not known until the relay is complete.
@@ -239,8 +239,8 @@
 func (r *Relay) Stats() Stats {
 	stats := r.replica.currentStats()
 	stats.Epoch = r.epoch
-	if r.claimed.Epoch == r.epoch {
-		stats.Through = r.claimed.Through
+	if r.advertised.Epoch == r.epoch {
+		stats.Through = r.advertised.Through
 	}
 	stats.Complete = r.complete
 	stats.Floor = r.floor.Through
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -90,7 +90,7 @@
 	interests         []interest
 	exactInterests    map[string]int32
 	prefixInterests   []int32
-	lagging           []int32 // interests that are not shared
+	unshared          []int32 // interests that are not shared
 	completeInterests int
 	sharedPosition    Position
 	sharedAsOfNs      int64
--- a/internal/distribution/session.go
+++ b/internal/distribution/session.go
@@ -13,12 +13,12 @@
 	lastFrame      uint64 // number of the last frame sent
 	epochSeen      uint64 // the highest epoch that the subscriber has seen
 	bytesPerSecond int64  // 0: not paced
-	dueNs          int64  // when all that was sent would have gone out at the pace
+	pacedUntilNs   int64  // when all that was sent would have gone out at the pace
 	lastSentNs     int64  // when the last frame went out
-	claimed        Position
+	advertised     Position
 	feeds          []feed
 	queues         [queueCount]queue
-	unsettled      int // feeds that are queued, or not in feedDelta
+	feedsBehind    int // feeds that are queued, or not in feedDelta
 	ready          bool
 }
 
@@ -97,17 +97,17 @@
 	return index
 }
 
-func (f *feed) settled() bool { return f.state == feedDelta && f.queued == 0 }
+func (f *feed) caughtUp() bool { return f.state == feedDelta && f.queued == 0 }
 
 // setState is the one place in which a feed's state changes, so that unsettled stays right.
 func (s *session) setState(f *feed, state feedState, queued uint8) {
-	wasSettled := f.settled()
+	wasSettled := f.caughtUp()
 	f.state = state
 	f.queued = queued
-	if wasSettled && !f.settled() {
-		s.unsettled++
-	} else if !wasSettled && f.settled() {
-		s.unsettled--
+	if wasSettled && !f.caughtUp() {
+		s.feedsBehind++
+	} else if !wasSettled && f.caughtUp() {
+		s.feedsBehind--
 	}
 }
 
@@ -126,9 +126,9 @@
 }
 
 // known returns up to where a feed's subscriber is known to know all changes.
-func (s *session) known(f *feed) Position {
-	if f.state == feedDelta && s.claimed.compare(f.position) > 0 {
-		return s.claimed
+func (s *session) knownPosition(f *feed) Position {
+	if f.state == feedDelta && s.advertised.compare(f.position) > 0 {
+		return s.advertised
 	}
 	return f.position
 }
@@ -147,15 +147,15 @@
 		clientSession:  h.Session,
 		epochSeen:      h.EpochSeen,
 		bytesPerSecond: int64(max(0, bytesPerSecond)),
-		dueNs:          now,
+		pacedUntilNs:   now,
 		lastSentNs:     now - HeartbeatNs,
 		feeds:          make([]feed, len(h.Selectors)),
-		unsettled:      len(h.Selectors),
+		feedsBehind:    len(h.Selectors),
 	}
 	r.sessions[s.id] = s
 	r.addFeeds(s, h)
 	for i := range s.feeds {
-		r.decideFeed(s, int32(i))
+		r.chooseFeedState(s, int32(i))
 		switch s.feeds[i].state {
 		case feedDelta:
 			r.stats.Resumed++
@@ -233,10 +233,10 @@
 	o.feeds = o.feeds[:last]
 }
 
-// decideFeed decides between a delta and a snapshot, by the subscriber's position and this relay's.
-func (r *Relay) decideFeed(s *session, index int32) {
+// chooseFeedState decides between a delta and a snapshot, by the subscriber's position and this relay's.
+func (r *Relay) chooseFeedState(s *session, index int32) {
 	f := &s.feeds[index]
-	f.position = s.known(f)
+	f.position = s.knownPosition(f)
 	switch {
 	case r.epoch == 0 || r.epoch < s.epochSeen:
 		s.setState(f, feedWaiting, f.queued)
@@ -270,7 +270,7 @@
 // startSnapshot has a feed sent from its first record on, with begin and end.
 func (r *Relay) startSnapshot(s *session, index int32) {
 	f := &s.feeds[index]
-	f.position = s.known(f)
+	f.position = s.knownPosition(f)
 	f.cursor = [classCount]uint64{}
 	s.setState(f, feedSnapshotPending, f.queued)
 	for class := range classCount {
--- a/internal/distribution/size_test.go
+++ b/internal/distribution/size_test.go
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-// bodyOf is an endpoint in the form in which discovery lists it.
-func bodyOf(i int) []byte {
+// endpointBody is an endpoint in the form in which discovery lists it.
+func endpointBody(i int) []byte {
 	return fmt.Appendf(nil, `{"host":"h%06d","dial":"10.%d.%d.%d:8080","site":"eu1-a","block":%d,"health":"ok","share":1,"born_ms":%d}`,
 		i, i>>16, i>>8&255, i&255, i/40, 1700000000000+i*1000)
 }
 
-func TestBytesOnTheWire(t *testing.T) {
+func TestMessageSizes(t *testing.T) {
 	o := NewOrigin(1764000000e9, Limits{})
 	content, scopes := 0, 0
 	var selectors []Selector
 	for i := range 1200 {
-		scope, key, body := fmt.Sprintf("eu1/service-%04d", i/3), fmt.Sprintf("endpoint/h%06d", i), bodyOf(i)
+		scope, key, body := fmt.Sprintf("eu1/service-%04d", i/3), fmt.Sprintf("endpoint/h%06d", i), endpointBody(i)
 		if i%3 == 0 {
 			selectors = append(selectors, Selector{Scope: scope})
 			scopes += len(scope)
@@ -28,9 +28,9 @@
 		content += len(key) + len(body)
 		put(t, o, scope, key, ClassEndpoint, string(body))
 	}
-	s := newLeaf(t, selectors...)
+	s := newTestSubscriber(t, selectors...)
 	sum, n := 0, 0
-	for _, f := range attach(t, 0, o.Relay(), s, 0).drain(t, 0, s) {
+	for _, f := range connect(t, 0, o.Relay(), s, 0).deliver(t, 0, s) {
 		sum += len(f)
 		n++
 	}
@@ -43,39 +43,39 @@
 	if hello > scopes+400*8+64 {
 		t.Errorf("hello of %d bytes for %d of names", hello, scopes)
 	}
-	l := attach(t, 0, o.Relay(), s, 0)
-	l.drain(t, 0, s)
-	put(t, o, "eu1/service-0000", "endpoint/h000000", ClassWithdrawal, string(bodyOf(0)))
-	change := l.drain(t, 0, s)
-	beat := l.drain(t, 2*second, s)
-	t.Logf("one change %d bytes, of them %d its content; a heartbeat %d", len(change[0]), 16+16+len(bodyOf(0)),
+	l := connect(t, 0, o.Relay(), s, 0)
+	l.deliver(t, 0, s)
+	put(t, o, "eu1/service-0000", "endpoint/h000000", ClassWithdrawal, string(endpointBody(0)))
+	change := l.deliver(t, 0, s)
+	beat := l.deliver(t, 2*second, s)
+	t.Logf("one change %d bytes, of them %d its content; a heartbeat %d", len(change[0]), 16+16+len(endpointBody(0)),
 		len(beat[0]))
-	if len(change[0]) > 32+len(bodyOf(0))+48 || len(beat[0]) > 32 {
+	if len(change[0]) > 32+len(endpointBody(0))+48 || len(beat[0]) > 32 {
 		t.Error("a change or a heartbeat is too long")
 	}
 }
 
 // region is a relay with subscribers, each of some of the scopes.
-func region(t testing.TB, records, scopes, subscribers, each int) (*Origin, []link, []*leaf) {
+func newRegion(t testing.TB, records, scopes, subscribers, each int) (*Origin, []testConnection, []*testSubscriber) {
 	o := NewOrigin(1, Limits{})
 	for i := range records {
 		put(t, o, fmt.Sprintf("eu1/service-%05d", i%scopes), fmt.Sprintf("endpoint/h%06d", i), ClassEndpoint,
-			string(bodyOf(i)))
+			string(endpointBody(i)))
 	}
-	links, leaves := make([]link, subscribers), make([]*leaf, subscribers)
+	links, leaves := make([]testConnection, subscribers), make([]*testSubscriber, subscribers)
 	for i := range subscribers {
 		var selectors []Selector
 		for k := range each {
 			selectors = append(selectors, Selector{Scope: fmt.Sprintf("eu1/service-%05d",
 				(i*37+k*(scopes/each))%scopes)})
 		}
-		leaves[i] = newLeaf(t, selectors...)
-		links[i] = attach(t, 0, o.Relay(), leaves[i], 0)
+		leaves[i] = newTestSubscriber(t, selectors...)
+		links[i] = connect(t, 0, o.Relay(), leaves[i], 0)
 	}
 	return o, links, leaves
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -84,10 +84,10 @@
 }
 
 // A change makes the subscribers of its scope ready, and no others.
-func TestChangeTouchesItsSubscribersAlone(t *testing.T) {
-	o, links, leaves := region(t, 4000, 1000, 50, 20)
+func TestChangeIsSentOnlyToSubscribersOfItsScope(t *testing.T) {
+	o, links, leaves := newRegion(t, 4000, 1000, 50, 20)
 	for i, l := range links {
-		l.drain(t, 0, leaves[i])
+		l.deliver(t, 0, leaves[i])
 	}
 	o.Relay().Ready()
 	sent := o.Relay().Stats()
@@ -104,22 +104,22 @@
 	}
 	for _, id := range ready {
 		s := o.Relay().sessions[id]
-		expect(t, "queued", s.queues[ClassEndpoint].len(), 1)
+		expectEqual(t, "queued", s.queues[ClassEndpoint].len(), 1)
 		o.Relay().Next(0, id)
 		if f, _ := o.Relay().Next(0, id); f != nil {
 			t.Fatal("a second frame for one change")
 		}
 	}
 	now := o.Relay().Stats()
-	expect(t, "records sent", now.SentRecords-sent.SentRecords, int64(want))
-	expect(t, "frames sent", now.Sent-sent.Sent, int64(want))
+	expectEqual(t, "records sent", now.SentRecords-sent.SentRecords, int64(want))
+	expectEqual(t, "frames sent", now.Sent-sent.Sent, int64(want))
 }
 
 func BenchmarkRelayMemory(b *testing.B) {
 	for range b.N {
-		before := heap()
-		o, _, _ := region(b, 120000, 50000, 0, 1)
-		bare := heap()
+		before := heapBytes()
+		o, _, _ := newRegion(b, 120000, 50000, 0, 1)
+		bare := heapBytes()
 		bodies := o.relay.replica.bytes
 		b.ReportMetric(float64(bare-before-int64(bodies))/120000, "B/record")
 		b.ReportMetric(float64(bodies)/120000, "content-B/record")
@@ -127,14 +127,14 @@
 		for k := range 500 {
 			selectors = append(selectors, Selector{Scope: fmt.Sprintf("eu1/service-%05d", k*100)})
 		}
-		hello := newLeaf(b, selectors...).Hello()
-		before = heap()
+		hello := newTestSubscriber(b, selectors...).Hello()
+		before = heapBytes()
 		for range 530 {
 			if _, err := o.Relay().Attach(0, hello, 20000); err != nil {
 				b.Fatal(err)
 			}
 		}
-		b.ReportMetric(float64(heap()-before)/530/500, "B/selector")
+		b.ReportMetric(float64(heapBytes()-before)/530/500, "B/selector")
 		runtime.KeepAlive(o)
 	}
 }
@@ -156,7 +156,7 @@
 		return p
 	}}
 	for range b.N {
-		o, _, _ := region(b, 12000, 5000, 0, 1)
+		o, _, _ := newRegion(b, 12000, 5000, 0, 1)
 		var selectors []Selector
 		for k := range 500 {
 			selectors = append(selectors, Selector{Scope: fmt.Sprintf("eu1/service-%05d", k*10)})
@@ -164,19 +164,19 @@
 		var all []*Subscriber
 		var before int64
 		for i := range 101 {
-			s := newLeaf(b, selectors...)
+			s := newTestSubscriber(b, selectors...)
 			s.SetInterner(share)
 			all = append(all, s.Subscriber)
-			l := attach(b, 0, o.Relay(), s, 0)
-			l.drain(b, 0, s)
-			o.Relay().Detach(l.id)
+			l := connect(b, 0, o.Relay(), s, 0)
+			l.deliver(b, 0, s)
+			o.Relay().Detach(l.sessionID)
 			s.changes = nil
 			if i == 0 {
-				before = heap() // the first has what all share
+				before = heapBytes() // the first has what all share
 			}
 		}
 		records := all[0].Stats().Records
-		b.ReportMetric(float64(heap()-before)/100/float64(records), "B/record")
+		b.ReportMetric(float64(heapBytes()-before)/100/float64(records), "B/record")
 		b.ReportMetric(float64(records), "records")
 		runtime.KeepAlive(all)
 		runtime.KeepAlive(o)
@@ -187,9 +187,9 @@
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{1200, 12000, 120000} {
 		b.Run(fmt.Sprint("records-", size), func(b *testing.B) {
-			o, links, _ := region(b, size, size*5/12, 530, 500)
+			o, links, _ := newRegion(b, size, size*5/12, 530, 500)
 			for _, l := range links {
-				for f, _ := l.from.Next(0, l.id); f != nil; f, _ = l.from.Next(0, l.id) {
+				for f, _ := l.relay.Next(0, l.sessionID); f != nil; f, _ = l.relay.Next(0, l.sessionID) {
 				}
 			}
 			o.Relay().Ready()
@@ -210,11 +210,11 @@
 
 // A heartbeat at the relay and at a subscriber of 500 scopes.
 func BenchmarkHeartbeat(b *testing.B) {
-	o, links, leaves := region(b, 12000, 5000, 1, 500)
-	links[0].drain(b, 0, leaves[0])
+	o, links, leaves := newRegion(b, 12000, 5000, 1, 500)
+	links[0].deliver(b, 0, leaves[0])
 	b.ResetTimer()
 	for i := range b.N {
-		links[0].drain(b, int64(i+1)*second, leaves[0])
+		links[0].deliver(b, int64(i+1)*second, leaves[0])
 	}
 	runtime.KeepAlive(o)
 }
@@ -223,8 +223,8 @@
 func BenchmarkStart(b *testing.B) {
 	for _, kind := range []string{"from-nothing", "resumed"} {
 		b.Run(kind, func(b *testing.B) {
-			o, links, leaves := region(b, 12000, 5000, 1, 500)
-			links[0].drain(b, 0, leaves[0])
+			o, links, leaves := newRegion(b, 12000, 5000, 1, 500)
+			links[0].deliver(b, 0, leaves[0])
 			selectors := make([]Selector, 0, 500)
 			for _, n := range leaves[0].replica.interests {
 				selectors = append(selectors, Selector{Scope: n.scope})
@@ -233,11 +233,11 @@
 			for range b.N {
 				s := leaves[0]
 				if kind == "from-nothing" {
-					s = newLeaf(b, selectors...)
+					s = newTestSubscriber(b, selectors...)
 				}
-				l := attach(b, 0, o.Relay(), s, 0)
-				l.drain(b, 0, s)
-				o.Relay().Detach(l.id)
+				l := connect(b, 0, o.Relay(), s, 0)
+				l.deliver(b, 0, s)
+				o.Relay().Detach(l.sessionID)
 			}
 		})
 	}
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -47,16 +47,16 @@
 	if bothDeleted || same {
 		return
 	}
-	s.changes = append(s.changes, Change{Record: it.record(), Old: was.body, Swept: swept})
+	s.changes = append(s.changes, Change{Record: it.record(), OldBody: was.body, Swept: swept})
 }
 
-func (s *Subscriber) known(scope string) knowledge {
-	return s.replica.known(scope, s.replica.exactInterest(scope))
+func (s *Subscriber) scopeSyncState(scope string) syncState {
+	return s.replica.scopeSyncState(scope, s.replica.exactInterest(scope))
 }
 
 // Age returns how long ago what is held of a scope was current, in nanoseconds; not known until it was complete once.
 func (s *Subscriber) Age(now int64, scope string) (ns int64, known bool) {
-	k := s.known(scope)
+	k := s.scopeSyncState(scope)
 	return now - k.asOfNs, k.complete
 }
 
@@ -74,12 +74,12 @@
 }
 
 // Position returns up to where a scope is known.
-func (s *Subscriber) Position(scope string) Position { return s.known(scope).position }
+func (s *Subscriber) Position(scope string) Position { return s.scopeSyncState(scope).position }
 
 // Stats returns the counters, and what is held now.
 func (s *Subscriber) Stats() Stats {
 	stats := s.replica.currentStats()
-	least := s.replica.leastKnown()
+	least := s.replica.minSyncState()
 	stats.Through = least.position.Through
 	stats.Complete = least.complete
 	return stats
--- a/internal/distribution/tombstones.go
+++ b/internal/distribution/tombstones.go
@@ -23,7 +23,7 @@
 		if tombstone.void() || r.replica.find(it.scope.name, it.key) != it {
 			continue
 		}
-		if it.position().compare(r.claimed) > 0 {
+		if it.position().compare(r.advertised) > 0 {
 			break // another relay may still send an older state of what this one can't claim to know
 		}
 		if it.epoch == r.epoch {
@@ -64,7 +64,7 @@
 			it.seq = 0
 			continue
 		}
-		if it.position().compare(r.known(it.scope.name, it.scope.exactInterest).position) <= 0 {
+		if it.position().compare(r.scopeSyncState(it.scope.name, it.scope.exactInterest).position) <= 0 {
 			r.remove(it)
 		} else {
 			kept = append(kept, it)
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -62,32 +62,32 @@
 // backoff and jitter, and returns to its first choice later. It uses one connection and, but for the return, one
 // goroutine.
 type Client struct {
-	config    ClientConfig
-	sink      Sink
-	log       *zap.Logger
-	order     []string // the upstreams, the first choice first
-	rng       *rand.Rand
-	heardAtNs atomic.Int64
-	counters  clientCounters
+	config      ClientConfig
+	sink        Sink
+	log         *zap.Logger
+	upstreams   []string // the upstreams, the first choice first
+	rng         *rand.Rand
+	lastFrameNs atomic.Int64
+	counters    clientCounters
 }
 
 // NewClient returns a client that feeds a sink; nothing runs before Run.
 func NewClient(config ClientConfig, sink Sink, log *zap.Logger) *Client {
 	seed := xxhash.Sum64String(config.Name)
 	return &Client{
-		config: config.withDefaults(),
-		sink:   sink,
-		log:    log,
-		order:  config.upstreamOrder(),
-		rng:    rand.New(rand.NewPCG(seed, 1)),
+		config:    config.withDefaults(),
+		sink:      sink,
+		log:       log,
+		upstreams: config.upstreamOrder(),
+		rng:       rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
 // Order returns the upstreams in the order in which the client tries them.
-func (c *Client) Order() []string { return slices.Clone(c.order) }
+func (c *Client) UpstreamOrder() []string { return slices.Clone(c.upstreams) }
 
-// HeardAtNs returns when the last frame came, by the clock, in nanoseconds; 0: not connected.
-func (c *Client) HeardAtNs() int64 { return c.heardAtNs.Load() }
+// LastFrameNs returns when the last frame came, by the clock, in nanoseconds; 0: not connected.
+func (c *Client) LastFrameNs() int64 { return c.lastFrameNs.Load() }
 
 // Stats returns the counters.
 func (c *Client) Stats() ClientStats {
@@ -109,7 +109,7 @@
 // followLoop is where a client is in its order of upstreams.
 type followLoop struct {
 	client              *Client
-	upstream            int // index in the order
+	upstreamIndex       int // index in the order
 	failures            int // in a row, since a connection was last stable
 	lagBackoff          time.Duration
 	lagToleratedUntilNs int64
@@ -126,11 +126,11 @@
 		c.countFailure(err)
 		loop.failures++
 		c.notifyState(ClientState{
-			Upstream:  c.order[loop.upstream],
+			Upstream:  c.upstreams[loop.upstreamIndex],
 			Reason:    err.Error(),
-			AllFailed: loop.failures >= len(c.order),
+			AllFailed: loop.failures >= len(c.upstreams),
 		})
-		loop.upstream = (loop.upstream + 1) % len(c.order)
+		loop.upstreamIndex = (loop.upstreamIndex + 1) % len(c.upstreams)
 		c.backOff(ctx, loop.failures)
 	}
 	c.notifyState(ClientState{Reason: "ended"})
@@ -139,11 +139,11 @@
 // follow connects to an upstream and follows it, and the first choice after a failback, until a connection fails.
 func (l *followLoop) follow(ctx context.Context) error {
 	c := l.client
-	conn, fresh, err := c.connect(ctx, c.order[l.upstream])
+	conn, fresh, err := c.connect(ctx, c.upstreams[l.upstreamIndex])
 	if err != nil {
 		return err
 	}
-	if !fresh && l.failures < len(c.order)-1 {
+	if !fresh && l.failures < len(c.upstreams)-1 {
 		conn.Close() // another may lack nothing; after a round without one, this is better than none
 		return errNotFresh
 	}
@@ -153,7 +153,7 @@
 			return err
 		}
 		c.counters.failbacks.Add(1)
-		l.upstream = 0
+		l.upstreamIndex = 0
 		l.failures = 0
 		conn = failback
 	}
@@ -165,11 +165,11 @@
 	c := l.client
 	began := c.config.Clock()
 	c.counters.connects.Add(1)
-	c.notifyState(ClientState{Upstream: c.order[l.upstream], Connected: true})
-	s := &session{client: c, conn: conn, firstChoice: l.upstream == 0, lagToleratedUntilNs: l.lagToleratedUntilNs}
+	c.notifyState(ClientState{Upstream: c.upstreams[l.upstreamIndex], Connected: true})
+	s := &session{client: c, conn: conn, firstChoice: l.upstreamIndex == 0, lagToleratedUntilNs: l.lagToleratedUntilNs}
 	reason = s.receiveFrames(ctx)
 	conn.Close()
-	c.heardAtNs.Store(0)
+	c.lastFrameNs.Store(0)
 	if next := s.failback.Swap(&failbackClosed); next != nil {
 		return *next, nil
 	}
@@ -193,7 +193,7 @@
 	if failures == 1 {
 		wait = time.Duration(c.rng.Int64N(int64(reconnectJitter)))
 	}
-	if rounds := failures / len(c.order); failures%len(c.order) == 0 && rounds > 0 {
+	if rounds := failures / len(c.upstreams); failures%len(c.upstreams) == 0 && rounds > 0 {
 		wait = min(initialBackoff<<min(rounds-1, maxBackoffDoublings), c.config.MaxBackoff)
 		wait = wait/2 + time.Duration(c.rng.Int64N(int64(wait/2)+1))
 	}
--- a/internal/relay/clientsession.go
+++ b/internal/relay/clientsession.go
@@ -49,7 +49,7 @@
 			return err
 		}
 		now := c.config.Clock()
-		c.heardAtNs.Store(now)
+		c.lastFrameNs.Store(now)
 		if !s.firstChoice && now > failbackAt {
 			failbackAt = s.nextFailback(now)
 			go s.dialFirstChoice(ctx)
@@ -70,7 +70,7 @@
 func (s *session) isLagging(began, now int64) bool {
 	c := s.client
 	maxLag := int64(c.config.MaxLag)
-	return len(c.order) > 1 && now-began > maxLag && now > s.lagToleratedUntilNs && c.sink.LagNs(now) > maxLag
+	return len(c.upstreams) > 1 && now-began > maxLag && now > s.lagToleratedUntilNs && c.sink.LagNs(now) > maxLag
 }
 
 func (s *session) receiveFrame() error {
@@ -105,7 +105,7 @@
 
 // dialFirstChoice connects to the first choice beside this session, and ends the session once the other has greeted.
 func (s *session) dialFirstChoice(ctx context.Context) {
-	conn, fresh, err := s.client.connect(ctx, s.client.order[0])
+	conn, fresh, err := s.client.connect(ctx, s.client.upstreams[0])
 	if err != nil {
 		return
 	}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -67,13 +67,13 @@
 	// Regions are the sites of each region.
 	Regions map[string][]string `toml:"regions"`
 
-	regionOf map[string]string // by site
+	regionByZone map[string]string // by site
 }
 
 const (
 	roleOrigin      = "origin"
 	roleRelay       = "relay"
-	serviceFromHost = "host"
+	serviceFromName = "host"
 
 	configPage          = "docs/operate/relay.md"
 	defaultPollInterval = time.Second
@@ -155,11 +155,11 @@
 		seen[upstream] = true
 	}
 	if len(f.Scopes) == 0 {
-		f.Scopes = []string{prefixMark}
+		f.Scopes = []string{wildcard}
 	}
 	c.Require(len(f.Scopes) <= maxScopes, "scopes", fmt.Sprintf("%d at most", maxScopes), len(f.Scopes))
 	for i, scope := range f.Scopes {
-		starAtEnd := !strings.Contains(strings.TrimSuffix(scope, prefixMark), prefixMark)
+		starAtEnd := !strings.Contains(strings.TrimSuffix(scope, wildcard), wildcard)
 		c.Require(scope != "" && len(scope) <= distribution.MaxNameBytes && starAtEnd, fmt.Sprintf("scopes.%d", i),
 			fmt.Sprintf("a scope of up to %d bytes, with a star at its end alone", distribution.MaxNameBytes),
 			fmt.Sprintf("%q", scope))
@@ -185,17 +185,17 @@
 func (s *ScopeRule) check(c *tomlfile.Problems) {
 	c.Require((s.Service == "") != (s.ServiceFrom == ""), "origin.scope.service", "a name, or service_from in its place",
 		fmt.Sprintf("%q and %q", s.Service, s.ServiceFrom))
-	c.Require(s.ServiceFrom == "" || s.ServiceFrom == serviceFromHost, "origin.scope.service_from", "host",
+	c.Require(s.ServiceFrom == "" || s.ServiceFrom == serviceFromName, "origin.scope.service_from", "host",
 		fmt.Sprintf("%q", s.ServiceFrom))
 	c.Require(s.Region != "" || len(s.Regions) > 0, "origin.scope.region",
 		"a region, or regions with their sites", "neither")
-	s.regionOf = map[string]string{}
+	s.regionByZone = map[string]string{}
 	for region, sites := range s.Regions {
 		for _, site := range sites {
-			other := s.regionOf[site]
+			other := s.regionByZone[site]
 			c.Require(other == "", "origin.scope.regions."+region, "sites of one region each",
 				fmt.Sprintf("%q, which is also of %s", site, other))
-			s.regionOf[site] = region
+			s.regionByZone[site] = region
 		}
 	}
 	for key, name := range map[string]string{"service": s.Service, "region": s.Region} {
@@ -214,9 +214,9 @@
 
 // scopeOf returns the scope of a host; empty: it has none.
 func (s *ScopeRule) scopeOf(host, site string) string {
-	region := cmp.Or(s.regionOf[site], s.Region)
+	region := cmp.Or(s.regionByZone[site], s.Region)
 	service := s.Service
-	if s.ServiceFrom == serviceFromHost {
+	if s.ServiceFrom == serviceFromName {
 		service = ""
 		if dash := strings.LastIndexByte(host, '-'); dash > 0 {
 			service = host[:dash]
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -45,23 +45,23 @@
 // configDirectory reads an origin's directory of configuration: *.jsonl files of records, one a line. A file counts
 // as a whole or not at all, and what can't be read removes nothing. It never writes.
 type configDirectory struct {
-	path     string
-	files    map[string]*recordFile
-	owner    map[recordName]string // the file of each record
-	log      *zap.Logger
-	warnings warnLimiter
+	path         string
+	files        map[string]*recordFile
+	fileByRecord map[recordName]string // the file of each record
+	log          *zap.Logger
+	warnings     warnLimiter
 
 	filesRead, filesSkipped atomic.Int64
 }
 
 func newConfigDirectory(path string, log *zap.Logger) *configDirectory {
-	return &configDirectory{path: path, files: map[string]*recordFile{}, owner: map[recordName]string{}, log: log}
+	return &configDirectory{path: path, files: map[string]*recordFile{}, fileByRecord: map[recordName]string{}, log: log}
 }
 
 // scan reads the files that have changed, and returns the records that have; Deleted ones are to be removed.
 // complete: the directory could be read, and holds files or never did.
 func (d *configDirectory) scan() (changes []distribution.Record, complete bool) {
-	names, ok := d.list()
+	names, ok := d.listFiles()
 	if !ok {
 		return nil, false
 	}
@@ -78,7 +78,7 @@
 }
 
 // list returns the names of the files of records, sorted; false: what was read of them stays.
-func (d *configDirectory) list() (names []string, ok bool) {
+func (d *configDirectory) listFiles() (names []string, ok bool) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		d.warnings.warn(d.log, "directory", "the directory of configuration can't be read: what was read stays",
@@ -113,7 +113,7 @@
 	for record := range file.records {
 		if _, stays := now[record]; !stays {
 			removed = append(removed, distribution.Record{Scope: record.scope, Key: record.key, Deleted: true})
-			delete(d.owner, record)
+			delete(d.fileByRecord, record)
 		}
 	}
 	return removed
@@ -136,7 +136,7 @@
 		return nil
 	}
 	records, err := readRecords(path, func(record recordName) error {
-		if other := d.owner[record]; other != "" && other != name {
+		if other := d.fileByRecord[record]; other != "" && other != name {
 			return fmt.Errorf("%w, found scope %q, key %q, which is in %s",
 				errDuplicateRecord, record.scope, record.key, other)
 		}
@@ -182,7 +182,7 @@
 	}
 	var changed []distribution.Record
 	for name, record := range records {
-		d.owner[name] = file
+		d.fileByRecord[name] = file
 		if old, held := previous[name]; held && bytes.Equal(old.Body, record.Body) {
 			continue
 		}
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -44,7 +44,7 @@
 
 	version        int64        // of the list; run's alone
 	appliedVersion atomic.Int64 // of the list that the origin has
-	heardAtNs      atomic.Int64 // when the watch last sent anything; 0: not connected
+	lastReceivedNs atomic.Int64 // when the watch last sent anything; 0: not connected
 
 	calls, failed, events, skipped atomic.Int64
 }
@@ -83,13 +83,13 @@
 		SilenceTimeout: w.silenceTimeout,
 		OnCall:         func() { w.calls.Add(1) },
 		OnFailure:      func() { w.failed.Add(1) },
-		OnData:         func() { w.heardAtNs.Store(w.clock()) },
+		OnData:         func() { w.lastReceivedNs.Store(w.clock()) },
 	}
 	body, err := call.Open(ctx)
 	if err != nil {
 		return false, err
 	}
-	defer w.heardAtNs.Store(0)
+	defer w.lastReceivedNs.Store(0)
 	defer body.Close()
 	lines := endpointlist.NewReader(body, w.limits)
 	for first := w.version == 0; ; first = false {
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -8,8 +8,8 @@
 	"fawnglade/internal/distribution"
 )
 
-// hostRecords are the records of hosts as an origin has them, by key. A host is removed only if discovery says so.
-type hostRecords map[string]distribution.Record
+// endpointRecords are the records of hosts as an origin has them, by key. A host is removed only if discovery says so.
+type endpointRecords map[string]distribution.Record
 
 // watchEvent is what a line of discovery's list says of hosts.
 type watchEvent struct {
@@ -21,7 +21,7 @@
 }
 
 // apply brings an origin up to an event. The error describes records that the origin refused.
-func (h hostRecords) apply(now int64, origin *distribution.Origin, event watchEvent) error {
+func (h endpointRecords) apply(now int64, origin *distribution.Origin, event watchEvent) error {
 	if event.complete || event.first {
 		return h.replace(now, origin, event)
 	}
@@ -32,7 +32,7 @@
 	return errors.Join(errs...)
 }
 
-func (h hostRecords) replace(now int64, origin *distribution.Origin, event watchEvent) error {
+func (h endpointRecords) replace(now int64, origin *distribution.Origin, event watchEvent) error {
 	if event.complete {
 		clear(h)
 	}
@@ -47,7 +47,7 @@
 	return err
 }
 
-func (h hostRecords) put(now int64, origin *distribution.Origin, record distribution.Record) error {
+func (h endpointRecords) put(now int64, origin *distribution.Origin, record distribution.Record) error {
 	previous, held := h[record.Key]
 	if held && (record.Deleted || previous.Scope != record.Scope) {
 		origin.Remove(now, previous.Scope, previous.Key)
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -44,7 +44,7 @@
 	list := DiscoveryState{Version: 9, Connected: true}.body()
 	golden.Check(t, "list.json", list)
 	golden.Check(t, "endpoint-key.txt", []byte(EndpointKey("s-1")+"\n"))
-	h := NewHostTable()
+	h := NewEndpointTable()
 	hosts := h.Apply([]distribution.Change{
 		{Record: distribution.Record{Scope: "eu/web", Key: EndpointKey("s-1"), Body: body}},
 		{Record: distribution.Record{Scope: ScopeOrigin, Key: KeyDiscovery, Body: list}},
--- a/internal/relay/hosttable.go
+++ b/internal/relay/hosttable.go
@@ -9,9 +9,9 @@
 	"fawnglade/internal/endpointlist"
 )
 
-// HostTable turns the records of a node's scopes back into hosts. A host that several scopes have is removed once none
+// EndpointTable turns the records of a node's scopes back into hosts. A host that several scopes have is removed once none
 // has it. It is not safe for concurrent use.
-type HostTable struct {
+type EndpointTable struct {
 	byName         map[string][]scopedEntry
 	discovery      DiscoveryState
 	discoveryKnown bool // the origin has sent it
@@ -22,35 +22,35 @@
 	entry endpointlist.Entry
 }
 
-// HostChanges are the hosts that changes of records concern.
-type HostChanges struct {
+// EndpointChanges are the hosts that changes of records concern.
+type EndpointChanges struct {
 	Entries []endpointlist.Entry // in the changes' order; one that no scope has any more is "removed"
 	Skipped int                  // records that could not be decoded; what was known of their hosts stays
 	LastErr error                // of the last record skipped
 }
 
-func (h *HostChanges) skip(err error) {
+func (h *EndpointChanges) skip(err error) {
 	h.Skipped++
 	h.LastErr = err
 }
 
-// NewHostTable returns a table without hosts.
-func NewHostTable() *HostTable { return &HostTable{byName: map[string][]scopedEntry{}} }
+// NewEndpointTable returns a table without hosts.
+func NewEndpointTable() *EndpointTable { return &EndpointTable{byName: map[string][]scopedEntry{}} }
 
 // Discovery returns the state of the origin's watch of discovery; false: the origin has not sent it, so the hosts are
 // no list yet.
-func (h *HostTable) Discovery() (DiscoveryState, bool) { return h.discovery, h.discoveryKnown }
+func (h *EndpointTable) Discovery() (DiscoveryState, bool) { return h.discovery, h.discoveryKnown }
 
 // Apply takes in changes of records. Records that are no endpoints are ignored.
-func (h *HostTable) Apply(changes []distribution.Change) HostChanges {
-	var out HostChanges
+func (h *EndpointTable) Apply(changes []distribution.Change) EndpointChanges {
+	var out EndpointChanges
 	for i := range changes {
 		record := &changes[i].Record
 		if record.Scope == ScopeOrigin && record.Key == KeyDiscovery && !record.Deleted {
 			h.applyDiscovery(record, &out)
 			continue
 		}
-		host, isHost := HostOf(record.Key)
+		host, isHost := EndpointName(record.Key)
 		switch {
 		case !isHost:
 		case record.Deleted:
@@ -62,7 +62,7 @@
 	return out
 }
 
-func (h *HostTable) applyDiscovery(record *distribution.Record, out *HostChanges) {
+func (h *EndpointTable) applyDiscovery(record *distribution.Record, out *EndpointChanges) {
 	var state DiscoveryState
 	if err := json.Unmarshal(record.Body, &state); err != nil || state.Version <= 0 {
 		out.skip(fmt.Errorf("scope %q, key %q: expected a version of the list, found %.80q",
@@ -73,7 +73,7 @@
 	h.discoveryKnown = true
 }
 
-func (h *HostTable) put(host string, record *distribution.Record, out *HostChanges) {
+func (h *EndpointTable) put(host string, record *distribution.Record, out *EndpointChanges) {
 	var entry endpointlist.Entry
 	if err := json.Unmarshal(record.Body, &entry); err != nil || entry.Name != host {
 		out.skip(fmt.Errorf("scope %q, key %q: expected an endpoint of that name, found %.80q",
@@ -90,7 +90,7 @@
 	out.Entries = append(out.Entries, newestEntry(entries))
 }
 
-func (h *HostTable) remove(host, scope string, out *HostChanges) {
+func (h *EndpointTable) remove(host, scope string, out *EndpointChanges) {
 	entries := h.byName[host]
 	i := indexOfScope(entries, scope)
 	if i < 0 {
@@ -99,7 +99,7 @@
 	entries = slices.Delete(entries, i, i+1)
 	if len(entries) == 0 {
 		delete(h.byName, host)
-		out.Entries = append(out.Entries, endpointlist.Entry{Name: host, State: healthRemoved})
+		out.Entries = append(out.Entries, endpointlist.Entry{Name: host, State: stateRemoved})
 		return
 	}
 	h.byName[host] = entries
--- a/internal/relay/originsources.go
+++ b/internal/relay/originsources.go
@@ -28,7 +28,7 @@
 		now := p.clock()
 		state := DiscoveryState{
 			Version:   p.watch.appliedVersion.Load(),
-			Connected: grace.connected(now, p.watch.heardAtNs.Load()),
+			Connected: grace.connected(now, p.watch.lastReceivedNs.Load()),
 		}
 		due := state != published && now-publishedAt >= statePublishIntervalNs
 		if state.Version > 0 && (state.Connected != published.Connected || due) {
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -142,7 +142,7 @@
 }
 
 func (p *Process) newDiscoveryWatch(config *OriginConfig) *discoveryWatch {
-	hosts := hostRecords{}
+	hosts := endpointRecords{}
 	return &discoveryWatch{
 		address:        config.Discovery,
 		limits:         endpointlist.LimitsFor(int64(p.config.Limits.Bytes)),
@@ -150,7 +150,7 @@
 		clock:          p.clock,
 		log:            p.log,
 		toRecord: func(entry endpointlist.Entry) (distribution.Record, error) {
-			return recordOfHost(&config.Scope, entry)
+			return newEndpointRecord(&config.Scope, entry)
 		},
 		apply: func(event watchEvent) {
 			p.server.Do(func(now int64) { p.warnRefused(hosts.apply(now, p.origin, event)) })
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -24,56 +24,56 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// standIn replaces discovery: it answers each watch with the complete list, then with changes.
-type standIn struct {
-	at      string
-	mu      sync.Mutex
-	version int
-	hosts   map[string]string // the entry of each
-	silent  bool              // it takes calls and says nothing
-	lines   []chan string
+// fakeDiscovery replaces discovery: it answers each watch with the complete list, then with changes.
+type fakeDiscovery struct {
+	address      string
+	mu           sync.Mutex
+	version      int
+	hosts        map[string]string // the entry of each
+	unresponsive bool              // it takes calls and says nothing
+	watches      []chan string
 }
 
-func hostEntry(host, site, health string) string {
+func endpointJSON(host, site, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":%q,"block":1,"health":%q,"share":1,"born_ms":5}`, host,
 		site, health)
 }
 
-func newStandIn(t *testing.T) *standIn {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	d := &standIn{at: l.Addr().String(), hosts: map[string]string{}, version: 1}
+	d := &fakeDiscovery{address: l.Addr().String(), hosts: map[string]string{}, version: 1}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go d.serve(c)
+			go d.serveWatch(c)
 		}
 	}()
 	return d
 }
 
-func (d *standIn) serve(c net.Conn) {
+func (d *fakeDiscovery) serveWatch(c net.Conn) {
 	defer c.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
 	}
 	lines := make(chan string, 1000) // more than a test ever sets at once
 	d.mu.Lock()
-	silent := d.silent
+	silent := d.unresponsive
 	all := make([]string, 0, len(d.hosts))
 	for _, e := range d.hosts {
 		all = append(all, e)
 	}
 	slices.Sort(all)
 	lines <- fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, d.version, strings.Join(all, ","))
-	d.lines = append(d.lines, lines)
+	d.watches = append(d.watches, lines)
 	d.mu.Unlock()
 	if silent {
 		time.Sleep(time.Minute)
@@ -101,16 +101,16 @@
 }
 
 // set changes a host; health "removed" removes it, as in the protocol.
-func (d *standIn) set(host, site, health string) {
+func (d *fakeDiscovery) setEndpoint(host, site, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	d.hosts[host] = hostEntry(host, site, health)
+	d.hosts[host] = endpointJSON(host, site, health)
 	line := fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[%s]}`, d.version, d.hosts[host])
 	if health == "removed" {
 		delete(d.hosts, host)
 	}
-	for _, l := range d.lines {
+	for _, l := range d.watches {
 		select {
 		case l <- line:
 		default:
@@ -119,25 +119,25 @@
 }
 
 // cut ends all watches; silent: from now on it accepts requests and sends nothing.
-func (d *standIn) cut(silent bool) {
+func (d *fakeDiscovery) endWatches(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = silent
-	for _, l := range d.lines {
+	d.unresponsive = silent
+	for _, l := range d.watches {
 		close(l)
 	}
-	d.lines = nil
+	d.watches = nil
 }
 
 // running is a process under test.
-type running struct {
+type testProcess struct {
 	*Process
 	signals chan os.Signal
 	done    chan error
 	logs    *observer.ObservedLogs
 }
 
-func (r *running) end(t *testing.T) {
+func (r *testProcess) terminate(t *testing.T) {
 	t.Helper()
 	select {
 	case r.signals <- syscall.SIGTERM:
@@ -154,7 +154,7 @@
 	}
 }
 
-func start(t *testing.T, text string) *running {
+func startProcess(t *testing.T, text string) *testProcess {
 	t.Helper()
 	config, err := ParseConfig("test.toml", []byte(text))
 	if err != nil {
@@ -165,40 +165,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &running{Process: p, signals: make(chan os.Signal, 1), done: make(chan error, 1), logs: logs}
+	r := &testProcess{Process: p, signals: make(chan os.Signal, 1), done: make(chan error, 1), logs: logs}
 	go func() { r.done <- p.Run(r.signals) }()
-	t.Cleanup(func() { r.end(t) })
+	t.Cleanup(func() { r.terminate(t) })
 	return r
 }
 
-func originText(listen, discovery, directory string) string {
+func originConfig(listen, discovery, directory string) string {
 	return fmt.Sprintf("name = \"o\"\nrole = \"origin\"\nlisten = %q\n"+
 		"[origin]\ndiscovery = %q\nconfiguration = %q\nevery = \"50ms\"\n\n"+
 		"[origin.scope]\nservice = \"cart\"\n"+
 		"[origin.scope.regions]\neu1 = [\"a\", \"b\"]\nus1 = [\"c\"]\n", listen, discovery, directory)
 }
 
-func relayText(name, listen string, scopes []string, upstream ...string) string {
+func relayConfig(name, listen string, scopes []string, upstream ...string) string {
 	list := func(all []string) string { text, _ := json.Marshal(append([]string{}, all...)); return string(text) }
 	return fmt.Sprintf("name = %q\nrole = \"relay\"\nlisten = %q\nupstream = %s\nscopes = %s\n", name, listen,
 		list(upstream), list(scopes))
 }
 
 // held is what a subscriber holds, and every change that it received.
-type held struct {
+type testSubscriber struct {
 	*SubscriberSink
 	client  *Client
 	mu      sync.Mutex
 	changes []distribution.Change
 }
 
-func subscribe(t *testing.T, scopes []string, config ClientConfig) *held {
+func startSubscriber(t *testing.T, scopes []string, config ClientConfig) *testSubscriber {
 	t.Helper()
 	core, err := distribution.NewSubscriber(Selectors(scopes), distribution.Limits{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &held{}
+	h := &testSubscriber{}
 	h.SubscriberSink = NewSubscriberSink(core, scopes, func(_ int64, changes []distribution.Change) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -216,7 +216,7 @@
 	return h
 }
 
-func (h *held) keys() (keys []string, complete bool) {
+func (h *testSubscriber) keys() (keys []string, complete bool) {
 	h.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) { keys = append(keys, r.Scope+" "+r.Key) })
 		complete = s.Complete()
@@ -225,7 +225,7 @@
 	return keys, complete
 }
 
-func (h *held) gone() (n int) {
+func (h *testSubscriber) deletionCount() (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.changes {
@@ -236,7 +236,7 @@
 	return n
 }
 
-func (h *held) wait(t *testing.T, what string, keys ...string) {
+func (h *testSubscriber) waitForKeys(t *testing.T, what string, keys ...string) {
 	t.Helper()
 	var found []string
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -250,7 +250,7 @@
 	}
 }
 
-func put(t *testing.T, dir, file string, lines ...string) {
+func writeRecords(t *testing.T, dir, file string, lines ...string) {
 	t.Helper()
 	path := filepath.Join(dir, file)
 	if err := os.WriteFile(path+".new", []byte(strings.Join(lines, "\n")), 0o600); err != nil {
@@ -261,25 +261,25 @@
 	}
 }
 
-func TestDiscoveryToNodeThroughTwoRelays(t *testing.T) {
-	d, dir := newStandIn(t), t.TempDir()
-	d.set("h1", "a", "up")
-	d.set("h2", "b", "up")
-	d.set("h3", "c", "up")
-	put(t, dir, "routes.jsonl", `{"scope":"eu1/cart","key":"route/x","body":{"to": "cart"}}`)
-	o := start(t, originText("127.0.0.1:0", d.at, dir))
-	top := start(t, relayText("top", "127.0.0.1:0", nil, o.Address()))
-	low := start(t, relayText("low", "127.0.0.1:0", []string{"eu1/*"}, top.Address()))
-	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{low.Address()}})
-	h.wait(t, "at first", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2", "eu1/cart route/x")
-	d.set("h1", "a", "draining")
-	d.set("h2", "b", "removed")
-	d.set("h4", "a", "up")
-	put(t, dir, "more.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`)
-	h.wait(t, "after changes", "eu1/cart endpoint/h1", "eu1/cart endpoint/h4", "eu1/cart route/x", "eu1/cart route/y")
-	d.set("h4", "c", "up") // another site: another region
-	put(t, dir, "routes.jsonl", "")
-	h.wait(t, "after a move", "eu1/cart endpoint/h1", "eu1/cart route/y")
+func TestDiscoveryChangesReachNodeThroughTwoRelays(t *testing.T) {
+	d, dir := newFakeDiscovery(t), t.TempDir()
+	d.setEndpoint("h1", "a", "up")
+	d.setEndpoint("h2", "b", "up")
+	d.setEndpoint("h3", "c", "up")
+	writeRecords(t, dir, "routes.jsonl", `{"scope":"eu1/cart","key":"route/x","body":{"to": "cart"}}`)
+	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
+	top := startProcess(t, relayConfig("top", "127.0.0.1:0", nil, o.Address()))
+	low := startProcess(t, relayConfig("low", "127.0.0.1:0", []string{"eu1/*"}, top.Address()))
+	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{low.Address()}})
+	h.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2", "eu1/cart route/x")
+	d.setEndpoint("h1", "a", "draining")
+	d.setEndpoint("h2", "b", "removed")
+	d.setEndpoint("h4", "a", "up")
+	writeRecords(t, dir, "more.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`)
+	h.waitForKeys(t, "after changes", "eu1/cart endpoint/h1", "eu1/cart endpoint/h4", "eu1/cart route/x", "eu1/cart route/y")
+	d.setEndpoint("h4", "c", "up") // another site: another region
+	writeRecords(t, dir, "routes.jsonl", "")
+	h.waitForKeys(t, "after a move", "eu1/cart endpoint/h1", "eu1/cart route/y")
 	h.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
 			if r.Key == "endpoint/h1" && (r.Class != distribution.ClassWithdrawal ||
@@ -292,68 +292,68 @@
 
 // While discovery is away nothing is removed, also not by an origin that starts without a list.
 func TestDiscoveryOutageRemovesNothing(t *testing.T) {
-	d := newStandIn(t)
-	d.set("h1", "a", "up")
+	d := newFakeDiscovery(t)
+	d.setEndpoint("h1", "a", "up")
 	dir := t.TempDir()
-	put(t, dir, "r.jsonl", `{"scope":"eu1/cart","key":"route/x","body":1}`)
-	text := originText("127.0.0.1:0", d.at, dir)
-	o := start(t, text)
+	writeRecords(t, dir, "r.jsonl", `{"scope":"eu1/cart","key":"route/x","body":1}`)
+	text := originConfig("127.0.0.1:0", d.address, dir)
+	o := startProcess(t, text)
 	at := o.Address()
-	r := start(t, relayText("r", "127.0.0.1:0", nil, at))
-	h := subscribe(t, []string{"eu1/*"}, ClientConfig{Upstreams: []string{r.Address()}})
-	h.wait(t, "at first", "eu1/cart endpoint/h1", "eu1/cart route/x")
-	d.cut(true)
-	soon(t, "a second call", 5*time.Second, func() bool { return o.watch.calls.Load() >= 2 })
-	o.end(t)
-	again := start(t, strings.Replace(text, "127.0.0.1:0", at, 1))
-	soon(t, "the relay at the origin's second life", 10*time.Second,
+	r := startProcess(t, relayConfig("r", "127.0.0.1:0", nil, at))
+	h := startSubscriber(t, []string{"eu1/*"}, ClientConfig{Upstreams: []string{r.Address()}})
+	h.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "eu1/cart route/x")
+	d.endWatches(true)
+	waitUntil(t, "a second call", 5*time.Second, func() bool { return o.watch.calls.Load() >= 2 })
+	o.terminate(t)
+	again := startProcess(t, strings.Replace(text, "127.0.0.1:0", at, 1))
+	waitUntil(t, "the relay at the origin's second life", 10*time.Second,
 		func() bool { return again.server.Stats().Subscribers == 1 })
-	put(t, dir, "s.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`) // what it does know comes through
-	soon(t, "a record of the second life", 10*time.Second, func() bool {
+	writeRecords(t, dir, "s.jsonl", `{"scope":"eu1/cart","key":"route/y","body":1}`) // what it does know comes through
+	waitUntil(t, "a record of the second life", 10*time.Second, func() bool {
 		keys, _ := h.keys()
 		return slices.Contains(keys, "eu1/cart route/y")
 	})
-	if keys, _ := h.keys(); !slices.Contains(keys, "eu1/cart endpoint/h1") || h.gone() != 0 {
-		t.Fatalf("an origin without a list took something away: %q, %d gone", keys, h.gone())
+	if keys, _ := h.keys(); !slices.Contains(keys, "eu1/cart endpoint/h1") || h.deletionCount() != 0 {
+		t.Fatalf("an origin without a list took something away: %q, %d gone", keys, h.deletionCount())
 	}
 	d.mu.Lock()
 	delete(d.hosts, "h1")
-	d.hosts["h2"] = hostEntry("h2", "a", "up")
+	d.hosts["h2"] = endpointJSON("h2", "a", "up")
 	d.version += 10
 	d.mu.Unlock()
-	d.cut(false) // calls that are out end by themselves
-	h.wait(t, "with discovery back", "eu1/cart endpoint/h2", "eu1/cart route/x", "eu1/cart route/y")
+	d.endWatches(false) // calls that are out end by themselves
+	h.waitForKeys(t, "with discovery back", "eu1/cart endpoint/h2", "eu1/cart route/x", "eu1/cart route/y")
 }
 
 // A relay that restarts empty while its upstream is away sends no removals, and nothing twice.
 func TestRestartedRelayRemovesNothing(t *testing.T) {
-	d, dir := newStandIn(t), t.TempDir()
+	d, dir := newFakeDiscovery(t), t.TempDir()
 	for i := range 50 {
-		d.set(fmt.Sprintf("h%02d", i), "a", "up")
+		d.setEndpoint(fmt.Sprintf("h%02d", i), "a", "up")
 	}
-	o := start(t, originText("127.0.0.1:0", d.at, dir))
-	r := start(t, relayText("r", "127.0.0.1:0", nil, o.Address()))
+	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
+	r := startProcess(t, relayConfig("r", "127.0.0.1:0", nil, o.Address()))
 	at := r.Address()
-	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{at}})
-	soon(t, "all fifty", 10*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == 50 })
-	r.end(t)
+	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{at}})
+	waitUntil(t, "all fifty", 10*time.Second, func() bool { keys, complete := h.keys(); return complete && len(keys) == 50 })
+	r.terminate(t)
 	originAt := o.Address()
-	o.end(t)
-	empty := start(t, relayText("r", at, nil, originAt))
-	soon(t, "the node at the empty relay", 10*time.Second, func() bool { return empty.server.Stats().Subscribers == 1 })
-	soon(t, "frames of the empty relay", 10*time.Second, func() bool { return empty.server.Stats().Frames >= 2 })
-	if keys, _ := h.keys(); len(keys) != 50 || h.gone() != 0 {
-		t.Fatalf("an empty relay took something away: %d left, %d gone", len(keys), h.gone())
-	}
-	d.set("h00", "a", "removed")
-	start(t, originText(originAt, d.at, dir))
+	o.terminate(t)
+	empty := startProcess(t, relayConfig("r", at, nil, originAt))
+	waitUntil(t, "the node at the empty relay", 10*time.Second, func() bool { return empty.server.Stats().Subscribers == 1 })
+	waitUntil(t, "frames of the empty relay", 10*time.Second, func() bool { return empty.server.Stats().Frames >= 2 })
+	if keys, _ := h.keys(); len(keys) != 50 || h.deletionCount() != 0 {
+		t.Fatalf("an empty relay took something away: %d left, %d gone", len(keys), h.deletionCount())
+	}
+	d.setEndpoint("h00", "a", "removed")
+	startProcess(t, originConfig(originAt, d.address, dir))
 	// The subscriber's keys change a moment before the change is recorded, so both are awaited.
-	soon(t, "what is left", 15*time.Second, func() bool {
+	waitUntil(t, "what is left", 15*time.Second, func() bool {
 		keys, _ := h.keys()
-		return len(keys) == 49 && h.gone() >= 1
+		return len(keys) == 49 && h.deletionCount() >= 1
 	})
-	if h.gone() != 1 {
-		t.Errorf("%d records gone, expected 1", h.gone())
+	if h.deletionCount() != 1 {
+		t.Errorf("%d records gone, expected 1", h.deletionCount())
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -363,89 +363,89 @@
 }
 
 // Of two relays one fails and one is stopped, and the node still gets the origin's changes.
-func TestTwoRelays(t *testing.T) {
-	d, dir := newStandIn(t), t.TempDir()
-	d.set("h0", "a", "up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir))
-	a := start(t, relayText("a", "127.0.0.1:0", nil, o.Address()))
-	b := start(t, relayText("b", "127.0.0.1:0", nil, o.Address()))
-	soon(t, "both relays fresh", 10*time.Second, func() bool {
+func TestNodeFailsOverToOtherRelays(t *testing.T) {
+	d, dir := newFakeDiscovery(t), t.TempDir()
+	d.setEndpoint("h0", "a", "up")
+	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
+	a := startProcess(t, relayConfig("a", "127.0.0.1:0", nil, o.Address()))
+	b := startProcess(t, relayConfig("b", "127.0.0.1:0", nil, o.Address()))
+	waitUntil(t, "both relays fresh", 10*time.Second, func() bool {
 		fresh := true
-		for _, r := range []*running{a, b} {
+		for _, r := range []*testProcess{a, b} {
 			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) })
 		}
 		return fresh
 	})
-	way, freeze := freezing(t, b.Address())
-	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), way, b.Address()}})
-	h.wait(t, "at first", "eu1/cart endpoint/h0")
-	a.end(t)
+	way, freeze := startFreezableProxy(t, b.Address())
+	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a.Address(), way, b.Address()}})
+	h.waitForKeys(t, "at first", "eu1/cart endpoint/h0")
+	a.terminate(t)
 	began := time.Now()
-	d.set("h1", "a", "up")
-	h.wait(t, "by the second", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1")
+	d.setEndpoint("h1", "a", "up")
+	h.waitForKeys(t, "by the second", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1")
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("received %v after the first one was killed, expected a second at most", took)
 	}
 	freeze()
 	began = time.Now()
-	d.set("h2", "a", "up")
-	h.wait(t, "by the third way", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2")
+	d.setEndpoint("h2", "a", "up")
+	h.waitForKeys(t, "by the third way", "eu1/cart endpoint/h0", "eu1/cart endpoint/h1", "eu1/cart endpoint/h2")
 	if took := time.Since(began); took > 6*time.Second {
 		t.Errorf("received %v after the second one was stopped, expected 6 s at most", took)
 	}
-	if h.gone() != 0 || len(h.changes) != 3 {
-		t.Errorf("%d changes, %d of them gone; expected 3 and none", len(h.changes), h.gone())
+	if h.deletionCount() != 0 || len(h.changes) != 3 {
+		t.Errorf("%d changes, %d of them gone; expected 3 and none", len(h.changes), h.deletionCount())
 	}
 }
 
 // A relay that is empty, and receives nothing, is left for another.
-func TestEmptyRelayIsLeft(t *testing.T) {
-	d, dir := newStandIn(t), t.TempDir()
-	d.set("h", "a", "up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir))
-	empty := start(t, relayText("empty", "127.0.0.1:0", nil, "127.0.0.1:1"))
-	other := start(t, relayText("other", "127.0.0.1:0", nil, "127.0.0.1:1"))
-	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{
+func TestClientLeavesEmptyRelay(t *testing.T) {
+	d, dir := newFakeDiscovery(t), t.TempDir()
+	d.setEndpoint("h", "a", "up")
+	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
+	empty := startProcess(t, relayConfig("empty", "127.0.0.1:0", nil, "127.0.0.1:1"))
+	other := startProcess(t, relayConfig("other", "127.0.0.1:0", nil, "127.0.0.1:1"))
+	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{
 		Upstreams: []string{empty.Address(), other.Address()},
 		MaxLag:    500 * time.Millisecond, FailbackDelay: time.Hour,
 	})
-	soon(t, "the first relay left", 10*time.Second, func() bool { return h.client.Stats().Lagging >= 2 })
+	waitUntil(t, "the first relay left", 10*time.Second, func() bool { return h.client.Stats().Lagging >= 2 })
 	at := other.Address()
-	other.end(t)
-	start(t, relayText("other", at, nil, o.Address()))
-	h.wait(t, "what the other has", "eu1/cart endpoint/h")
+	other.terminate(t)
+	startProcess(t, relayConfig("other", at, nil, o.Address()))
+	h.waitForKeys(t, "what the other has", "eu1/cart endpoint/h")
 }
 
 // A relay that sends at its pace is not left, during a snapshot or a burst of changes.
-func TestPacedRelayIsNotLeft(t *testing.T) {
+func TestClientKeepsPacedRelay(t *testing.T) {
 	const hosts = 150
-	d, dir := newStandIn(t), t.TempDir()
+	d, dir := newFakeDiscovery(t), t.TempDir()
 	set := func(health string) {
 		for i := range hosts {
-			d.set(fmt.Sprintf("h%03d", i), "a", health)
+			d.setEndpoint(fmt.Sprintf("h%03d", i), "a", health)
 		}
 	}
 	set("up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir))
-	one := start(t, relayText("one", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
-	two := start(t, relayText("two", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
-	soon(t, "both relays fresh", 10*time.Second, func() bool {
+	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
+	one := startProcess(t, relayConfig("one", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
+	two := startProcess(t, relayConfig("two", "127.0.0.1:0", nil, o.Address())+"pace = 6000\n")
+	waitUntil(t, "both relays fresh", 10*time.Second, func() bool {
 		fresh := true
-		for _, r := range []*running{one, two} {
+		for _, r := range []*testProcess{one, two} {
 			r.server.Do(func(now int64) { fresh = fresh && r.isFresh(now) && r.relay.Stats().Records > hosts })
 		}
 		return fresh
 	})
-	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{
+	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{
 		Upstreams: []string{one.Address(), two.Address()},
 		MaxLag:    500 * time.Millisecond,
 	})
-	soon(t, "all of it", 20*time.Second, func() bool {
+	waitUntil(t, "all of it", 20*time.Second, func() bool {
 		keys, complete := h.keys()
 		return complete && len(keys) == hosts
 	})
 	set("draining")
-	soon(t, "the burst", 20*time.Second, func() bool {
+	waitUntil(t, "the burst", 20*time.Second, func() bool {
 		drains := 0
 		h.Inspect(func(s *distribution.Subscriber) {
 			s.Each(func(r distribution.Record) {
@@ -461,20 +461,20 @@
 	}
 }
 
-func TestProcessShutdown(t *testing.T) {
-	d, dir := newStandIn(t), t.TempDir()
-	o := start(t, originText("127.0.0.1:0", d.at, dir))
-	subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{o.Address()}})
-	soon(t, "a subscriber", 10*time.Second, func() bool { return o.server.Stats().Subscribers == 1 })
+func TestProcessLogsCountersAndStops(t *testing.T) {
+	d, dir := newFakeDiscovery(t), t.TempDir()
+	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
+	startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{o.Address()}})
+	waitUntil(t, "a subscriber", 10*time.Second, func() bool { return o.server.Stats().Subscribers == 1 })
 	o.signals <- syscall.SIGUSR1
-	soon(t, "the counters", 5*time.Second, func() bool { return o.logs.FilterMessage("counters asked for").Len() == 1 })
-	o.end(t)
+	waitUntil(t, "the counters", 5*time.Second, func() bool { return o.logs.FilterMessage("counters asked for").Len() == 1 })
+	o.terminate(t)
 	if o.logs.FilterMessage("counters at exit").Len() != 1 || o.server.Stats().Subscribers != 0 {
 		t.Errorf("no counters at the end, or subscribers left: %+v", o.server.Stats())
 	}
 }
 
-func TestEpochsGrow(t *testing.T) {
+func TestNextEpochIncreases(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "epoch")
 	var last uint64
 	for _, now := range []int64{1000, 2000, 500, 501, 3000} { // the clock goes back once
@@ -496,7 +496,7 @@
 }
 
 // An origin whose clock was set back is ignored without a file that stores the epoch.
-func TestOriginWithClockSetBack(t *testing.T) {
+func TestOriginWithLowerEpochIsIgnored(t *testing.T) {
 	newer := distribution.NewOrigin(2000, distribution.Limits{})
 	older := distribution.NewOrigin(1000, distribution.Limits{})
 	for body, origin := range map[string]*distribution.Origin{"new": newer, "old": older} {
@@ -522,12 +522,12 @@
 	}
 	a, first := serve(newer)
 	b, second := serve(older)
-	h := subscribe(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a, b}})
-	h.wait(t, "at first", "eu1/cart route/x")
+	h := startSubscriber(t, []string{"eu1/cart"}, ClientConfig{Upstreams: []string{a, b}})
+	h.waitForKeys(t, "at first", "eu1/cart route/x")
 	if err := first.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	soon(t, "frames of the older", 10*time.Second, func() bool { return second.Stats().Frames >= 2 })
+	waitUntil(t, "frames of the older", 10*time.Second, func() bool { return second.Stats().Frames >= 2 })
 	h.Inspect(func(s *distribution.Subscriber) {
 		s.Each(func(r distribution.Record) {
 			if string(r.Body) != "new" {
@@ -558,12 +558,12 @@
 		}
 	}
 	look("nothing there", true)
-	put(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b": 1}}`, "",
+	writeRecords(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b": 1}}`, "",
 		`{"scope":"s","key":"route/2","body":2}`)
-	put(t, dir, "b.txt", "not ours")
+	writeRecords(t, dir, "b.txt", "not ours")
 	look("a file", true, `+route/1{"b":1}`, "+route/22")
 	look("the same", true)
-	put(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b":1}}`, `{"scope":"s","key":"route/2","body":3}`)
+	writeRecords(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b":1}}`, `{"scope":"s","key":"route/2","body":3}`)
 	look("one changed", true, "+route/23")
 	for i, bad := range []string{
 		`{"scope":"s","key":"route/1"`, `[]`, `{"scope":"","key":"route/1","body":1}`, `{"scope":"s","key":"endpoint/1","body":1}`,
@@ -572,7 +572,7 @@
 		`{"scope":"s","key":"route/1","body":"` + strings.Repeat("x", distribution.MaxBodyBytes) + `"}`,
 		`{"scope":"s","key":"route/1","body":1}` + "\n" + `{"scope":"s","key":"route/1","body":2}`, strings.Repeat("x", maxLineBytes+1),
 	} {
-		put(t, dir, "a.jsonl", bad)
+		writeRecords(t, dir, "a.jsonl", bad)
 		before := logs.Len()
 		look(fmt.Sprintf("bad %d", i), true)
 		look(fmt.Sprintf("bad %d again", i), true)
@@ -584,9 +584,9 @@
 			t.Errorf("bad %d: complaint without file, line and what was expected: %s", i, e)
 		}
 	}
-	put(t, dir, "c.jsonl", `{"scope":"s","key":"route/2","body":9}`)
+	writeRecords(t, dir, "c.jsonl", `{"scope":"s","key":"route/2","body":9}`)
 	look("a record that another file has", true)
-	put(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b":1}}`)
+	writeRecords(t, dir, "a.jsonl", `{"scope":"s","key":"route/1","body":{"b":1}}`)
 	look("the other lets go", true, "+route/29", "-route/2")
 	if err := os.Remove(filepath.Join(dir, "a.jsonl")); err != nil {
 		t.Fatal(err)
@@ -602,7 +602,7 @@
 	look("no directory", false)
 }
 
-func TestConfigReportsAllMistakes(t *testing.T) {
+func TestParseConfigReportsAllErrors(t *testing.T) {
 	_, err := ParseConfig("r.toml", []byte("name = \"\"\nrole = \"relay\"\nlisten = \"here\"\nupstream = [\"x\", \"127.0.0.1:1\", \"127.0.0.1:1\"]\nscopes = [\"a*b\"]\npace = 5\nwhat = 1\n[limits]\nrecords = -1\n[origin]\n"))
 	if err == nil {
 		t.Fatal("no complaint")
@@ -646,8 +646,8 @@
 }
 
 // A host's scope comes from its site and its name; one that has none is skipped, and nothing else is.
-func TestScopesOfHosts(t *testing.T) {
-	s := ScopeRule{ServiceFrom: "host", regionOf: map[string]string{"a": "eu1"}}
+func TestScopeOfEndpoint(t *testing.T) {
+	s := ScopeRule{ServiceFrom: "host", regionByZone: map[string]string{"a": "eu1"}}
 	for in, expected := range map[[2]string]string{
 		{"svc-12-h7", "a"}: "eu1/svc-12", {"h7", "a"}: "",
 		{"svc-1", "z"}: "", {"-1", "a"}: "",
@@ -656,19 +656,19 @@
 			t.Errorf("%q: %q, expected %q", in, got, expected)
 		}
 	}
-	s = ScopeRule{Service: "cart", Region: "far", regionOf: map[string]string{"a": "eu1"}}
+	s = ScopeRule{Service: "cart", Region: "far", regionByZone: map[string]string{"a": "eu1"}}
 	if a, z := s.scopeOf("h", "a"), s.scopeOf("h", "z"); a != "eu1/cart" || z != "far/cart" {
 		t.Errorf("%q, %q", a, z)
 	}
-	d, dir := newStandIn(t), t.TempDir()
-	d.set("h1", "a", "up")
-	d.set("h2", "unknown", "up")
-	o := start(t, originText("127.0.0.1:0", d.at, dir))
-	h := subscribe(t, []string{"*"}, ClientConfig{Upstreams: []string{o.Address()}})
-	h.wait(t, "at first", "eu1/cart endpoint/h1", "origin list/discovery")
+	d, dir := newFakeDiscovery(t), t.TempDir()
+	d.setEndpoint("h1", "a", "up")
+	d.setEndpoint("h2", "unknown", "up")
+	o := startProcess(t, originConfig("127.0.0.1:0", d.address, dir))
+	h := startSubscriber(t, []string{"*"}, ClientConfig{Upstreams: []string{o.Address()}})
+	h.waitForKeys(t, "at first", "eu1/cart endpoint/h1", "origin list/discovery")
 	if o.watch.skipped.Load() != 1 {
 		t.Errorf("%d entries skipped, expected 1", o.watch.skipped.Load())
 	}
-	d.set("h1", "a", "removed")
-	h.wait(t, "after that", "origin list/discovery")
+	d.setEndpoint("h1", "a", "removed")
+	h.waitForKeys(t, "after that", "origin list/discovery")
 }
--- a/internal/relay/recordfile.go
+++ b/internal/relay/recordfile.go
@@ -110,7 +110,7 @@
 }
 
 func (l *recordLine) checkName() error {
-	if l.Scope == "" || len(l.Scope) > distribution.MaxNameBytes || strings.Contains(l.Scope, prefixMark) {
+	if l.Scope == "" || len(l.Scope) > distribution.MaxNameBytes || strings.Contains(l.Scope, wildcard) {
 		return fmt.Errorf("scope: 1 to %d bytes without a star, found %.80q", distribution.MaxNameBytes, l.Scope)
 	}
 	if l.Scope == ScopeOrigin {
--- a/internal/relay/records.go
+++ b/internal/relay/records.go
@@ -13,16 +13,16 @@
 
 // States of a host in discovery's list.
 const (
-	healthDraining = "draining"
-	healthRemoved  = "removed"
-	healthUp       = "up"
+	stateDraining = "draining"
+	stateRemoved  = "removed"
+	stateUp       = "up"
 )
 
 // EndpointKey returns the key of a host's record.
 func EndpointKey(host string) string { return KindEndpoint + "/" + host }
 
-// HostOf returns the host that a record's key names; false: it is no endpoint's.
-func HostOf(key string) (string, bool) { return strings.CutPrefix(key, KindEndpoint+"/") }
+// EndpointName returns the host that a record's key names; false: it is no endpoint's.
+func EndpointName(key string) (string, bool) { return strings.CutPrefix(key, KindEndpoint+"/") }
 
 const (
 	// ScopeOrigin is the scope of an origin's records about itself. Every node and relay follows it.
@@ -42,14 +42,14 @@
 	return fmt.Appendf(nil, `{"seq":%d,"stands":%t}`, s.Version, s.Connected)
 }
 
-// recordOfHost returns a host's record. One that is removed needs no scope.
-func recordOfHost(rule *ScopeRule, entry endpointlist.Entry) (distribution.Record, error) {
+// newEndpointRecord returns a host's record. One that is removed needs no scope.
+func newEndpointRecord(rule *ScopeRule, entry endpointlist.Entry) (distribution.Record, error) {
 	r := distribution.Record{Key: EndpointKey(entry.Name), Class: distribution.ClassEndpoint}
 	switch entry.State {
-	case healthUp:
-	case healthDraining:
+	case stateUp:
+	case stateDraining:
 		r.Class = distribution.ClassWithdrawal
-	case healthRemoved:
+	case stateRemoved:
 		r.Deleted = true
 	default:
 		return r, fmt.Errorf("health: expected up, draining or removed, got %q", entry.State)
--- a/internal/relay/scopes.go
+++ b/internal/relay/scopes.go
@@ -7,13 +7,13 @@
 	"fawnglade/internal/distribution"
 )
 
-const prefixMark = "*" // at the end of a scope: all scopes that begin so
+const wildcard = "*" // at the end of a scope: all scopes that begin so
 
 // Selectors reads scopes as configuration files name them: a star at the end stands for all that begin so.
 func Selectors(scopes []string) []distribution.Selector {
 	out := make([]distribution.Selector, len(scopes))
 	for i, scope := range scopes {
-		name, prefix := strings.CutSuffix(scope, prefixMark)
+		name, prefix := strings.CutSuffix(scope, wildcard)
 		out[i] = distribution.Selector{Scope: name, Prefix: prefix}
 	}
 	return out
@@ -22,7 +22,7 @@
 // WithOrigin adds ScopeOrigin to scopes that don't cover it.
 func WithOrigin(scopes []string) []string {
 	for _, scope := range scopes {
-		prefix, isPrefix := strings.CutSuffix(scope, prefixMark)
+		prefix, isPrefix := strings.CutSuffix(scope, wildcard)
 		if scope == ScopeOrigin || isPrefix && strings.HasPrefix(ScopeOrigin, prefix) {
 			return scopes
 		}
--- a/internal/relay/serverconn.go
+++ b/internal/relay/serverconn.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxIdle         = time.Second // a writer asks the feed again so often, whatever the feed said
-	minIdle         = time.Millisecond
+	maxWriterWait   = time.Second // a writer asks the feed again so often, whatever the feed said
+	minWriterWait   = time.Millisecond
 	sendBufferBytes = 64 << 10 // of frames that the system holds for a slow subscriber
 	userTimeoutMs   = 10_000   // after which a peer that confirms nothing is taken for gone
 	tcpUserTimeout  = 0x12     // on Linux; package syscall lacks it
@@ -24,8 +24,8 @@
 // handle reads a connection's hello, attaches the subscriber and sends it frames until the connection ends.
 func (s *Server) handle(conn net.Conn) {
 	defer s.handlers.Done()
-	defer s.forget(conn)
-	hello, err := s.greet(conn)
+	defer s.removeConnection(conn)
+	hello, err := s.handshake(conn)
 	s.counters.pendingHellos.Add(-1)
 	if err != nil {
 		s.counters.badHellos.Add(1)
@@ -58,7 +58,7 @@
 	s.warnings.warn(s.log, kind, message, append([]zap.Field{zap.Stringer("from", conn.RemoteAddr())}, fields...)...)
 }
 
-func (s *Server) forget(conn net.Conn) {
+func (s *Server) removeConnection(conn net.Conn) {
 	s.mu.Lock()
 	delete(s.connections, conn)
 	s.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // greet sends the greeting and reads the hello.
-func (s *Server) greet(conn net.Conn) ([]byte, error) {
+func (s *Server) handshake(conn net.Conn) ([]byte, error) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		setTCPOptions(tcp)
 	}
@@ -169,7 +169,7 @@
 			}
 			continue
 		}
-		timer.Reset(max(min(time.Duration(at-now), maxIdle), minIdle))
+		timer.Reset(max(min(time.Duration(at-now), maxWriterWait), minWriterWait))
 		select {
 		case <-timer.C:
 		case <-sub.wakeup:
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -62,7 +62,7 @@
 
 	mu                  sync.Mutex
 	selector            *endpointsource.Selector[V]
-	hostTable           *relay.HostTable
+	hostTable           *relay.EndpointTable
 	active              endpointsource.Source // source in the last log entry
 	watchesDiscovery    bool                  // last argument of WatchDiscovery
 	discoveryConnected  bool
@@ -78,7 +78,7 @@
 	s := &Subscription[V]{
 		config:    config,
 		selector:  endpointsource.New[V](config.Clock(), config.StaleAfterNs, config.RestoredVersion),
-		hostTable: relay.NewHostTable(),
+		hostTable: relay.NewEndpointTable(),
 	}
 	scopes := relay.WithOrigin(config.Scopes)
 	subscriber, err := distribution.NewSubscriber(relay.Selectors(scopes), distribution.Limits{})
@@ -223,5 +223,5 @@
 	if s == nil || !s.relaysOnly.Load() {
 		return 0
 	}
-	return s.client.HeardAtNs()
+	return s.client.LastFrameNs()
 }
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -191,7 +191,7 @@
 			Deleted: deleted, Body: endpointBody(host),
 		}}
 	}
-	table := relay.NewHostTable()
+	table := relay.NewEndpointTable()
 	for i, step := range []struct {
 		change distribution.Change
 		health string
