--- a/cmd/fawnglade-lab/hunt.go
+++ b/cmd/fawnglade-lab/hunt.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	state, err := faultsearch.Run(c.Context(), faultsearch.Options{
-		Base: base, Seed: f.seed, Draws: f.draws, Keep: f.keep, Dir: f.out, ForEach: onAllCores, Play: f.play,
+		Base: base, Seed: f.seed, Draws: f.draws, Keep: f.keep, Dir: f.out, ForEach: onAllCores, Run: f.play,
 		Log: func(line string) { fmt.Fprintln(os.Stderr, line) },
 	})
 	if err != nil {
--- a/cmd/fawnglade-lab/members.go
+++ b/cmd/fawnglade-lab/members.go
@@ -180,7 +180,7 @@
 func (f *membersFlags) measure(command []string, nodes int, loss float64) (*fleet.Figures, error) {
 	if !f.processes {
 		virtual := fleet.NewVirtual(nodes, f.seed)
-		virtual.Round = int64(f.round)
+		virtual.ProtocolPeriodNs = int64(f.round)
 		return fleet.Measure(virtual, loss, f.burst, f.watch, f.deaths, measureMaxRounds)
 	}
 	processes, err := fleet.NewProcesses(command, nodes, f.round, nil)
--- a/cmd/fawnglade-lab/virtual.go
+++ b/cmd/fawnglade-lab/virtual.go
@@ -22,7 +22,7 @@
 	if name == "" || name == moduleName {
 		return simulation.NewBalancer, nil
 	}
-	if _, known := baseline.Kinds[name]; !known {
+	if _, known := baseline.Descriptions[name]; !known {
 		return nil, fmt.Errorf("--by %s: expected %s or one of %s", name, moduleName, strings.Join(baseline.Names(), ", "))
 	}
 	return baseline.New(name), nil
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -14,34 +14,34 @@
 
 // The names of the baselines, as the lab's commands take them.
 const (
-	random      = "random"
-	roundRobin  = "round-robin"
-	least       = "least"
-	twoChoices  = "two-choices"
-	peakEWMA    = "peak-ewma"
-	hotCold     = "hot-cold"
-	boundedHash = "bounded-hash"
-	allSeeing   = "all-seeing"
-	lateSeeing  = "late-seeing"
+	random           = "random"
+	roundRobin       = "round-robin"
+	leastInFlight    = "least"
+	twoChoices       = "two-choices"
+	peakEWMA         = "peak-ewma"
+	hotCold          = "hot-cold"
+	boundedHash      = "bounded-hash"
+	trueState        = "all-seeing"
+	delayedTrueState = "late-seeing"
 )
 
 // Kinds are the baselines by name, with what they do and where they are from.
-var Kinds = map[string]string{
-	random:      "an even draw",
-	roundRobin:  "one after another",
-	least:       "fewest own attempts in flight",
-	twoChoices:  "the one with fewer out of two drawn (Mitzenmacher, 2001)",
-	peakEWMA:    "the lower of two by peak-sensitive latency times attempts in flight (Finagle's balancer, by its documentation)",
-	hotCold:     "the quickest of those not hot by reported load, from a pool of reports (Wydrowski et al., Prequal, NSDI 2024)",
-	boundedHash: "consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018)",
-	allSeeing:   "the earliest end by the true state of all endpoints; it rejects what would be late",
-	lateSeeing:  "the same by the state of half a second ago, drawn by how soon each would end",
+var Descriptions = map[string]string{
+	random:           "an even draw",
+	roundRobin:       "one after another",
+	leastInFlight:    "fewest own attempts in flight",
+	twoChoices:       "the one with fewer out of two drawn (Mitzenmacher, 2001)",
+	peakEWMA:         "the lower of two by peak-sensitive latency times attempts in flight (Finagle's balancer, by its documentation)",
+	hotCold:          "the quickest of those not hot by reported load, from a pool of reports (Wydrowski et al., Prequal, NSDI 2024)",
+	boundedHash:      "consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018)",
+	trueState:        "the earliest end by the true state of all endpoints; it rejects what would be late",
+	delayedTrueState: "the same by the state of half a second ago, drawn by how soon each would end",
 }
 
 // Names returns the names of the baselines in order.
 func Names() []string {
 	var names []string
-	for name := range Kinds {
+	for name := range Descriptions {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -50,9 +50,9 @@
 
 const (
 	retryWatchAfter = policy.Time(time.Second)
-	// slowStartOffer is the part that an endpoint in slow start is offered of the capacity that it surely has.
-	slowStartOffer = 0.75
-	healthChecks   = 2 // per request, by hotCold
+	// slowStartLoadFactor is the part that an endpoint in slow start is offered of the capacity that it surely has.
+	slowStartLoadFactor    = 0.75
+	healthChecksPerRequest = 2 // per request, by hotCold
 )
 
 // Cookies of timers.
@@ -89,13 +89,13 @@
 	effects   policy.Effects
 	cluster   simulation.ClusterState
 	random    *rand.Rand
-	turn      int // of roundRobin
+	nextIndex int // of roundRobin
 	endpoints []*endpoint
 	byID      map[policy.EndpointID]*endpoint
 	requests  map[policy.RequestID]*request
 	reports   []pooledReport // of hotCold, the oldest first
-	work      []float64      // by class: running mean, nanoseconds of a core; of allSeeing and lateSeeing
-	snapshots []snapshot     // of lateSeeing, the oldest first
+	meanWork  []float64      // by class: running mean, nanoseconds of a core; of trueState and delayedTrueState
+	snapshots []snapshot     // of delayedTrueState, the oldest first
 	started   bool
 }
 
@@ -109,11 +109,11 @@
 	return func(node int, settings policy.Settings, seed uint64, effects policy.Effects, cluster simulation.ClusterState) simulation.Decider {
 		return &Decider{
 			kind: kind, node: node, settings: settings, effects: effects, cluster: cluster,
-			random:   rand.New(rand.NewPCG(seed, randomStream)),
-			turn:     int(seed % 7919), // so that nodes do not go in step
-			byID:     map[policy.EndpointID]*endpoint{},
-			requests: map[policy.RequestID]*request{},
-			work:     slices.Repeat([]float64{initialWork}, len(settings.Classes)),
+			random:    rand.New(rand.NewPCG(seed, randomStream)),
+			nextIndex: int(seed % 7919), // so that nodes do not go in step
+			byID:      map[policy.EndpointID]*endpoint{},
+			requests:  map[policy.RequestID]*request{},
+			meanWork:  slices.Repeat([]float64{initialWork}, len(settings.Classes)),
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	if d.settings.MustPollList {
 		d.effects.WatchEndpoints()
 	}
-	if d.kind == lateSeeing {
+	if d.kind == delayedTrueState {
 		d.takeSnapshot(now)
 	}
 }
@@ -171,7 +171,7 @@
 	r := &request{Request: arrived}
 	d.requests[r.ID] = r
 	if d.kind == hotCold && d.settings.MayCheckHealth && len(d.endpoints) > 0 {
-		for range healthChecks {
+		for range healthChecksPerRequest {
 			d.effects.CheckHealth(d.endpoints[d.random.IntN(len(d.endpoints))].ID)
 		}
 	}
@@ -181,9 +181,9 @@
 // startAttempt sends a request to an endpoint, or ends it if none is selected.
 func (d *Decider) startAttempt(now policy.Time, r *request) {
 	class := &d.settings.Classes[r.Class]
-	e := d.pick(now, r, d.candidates(now, r, class))
+	e := d.selectEndpoint(now, r, d.candidates(now, r, class))
 	if e == nil {
-		d.giveUp(r, class)
+		d.rejectOrFail(r, class)
 		return
 	}
 	r.attempts = append(r.attempts, e.ID)
@@ -210,15 +210,15 @@
 		if len(r.attempts) > 0 && r.attempts[len(r.attempts)-1] == e.ID {
 			continue
 		}
-		if part := d.warmCapacity(now, e); part == 1 || d.random.Float64() < slowStartOffer*part {
+		if part := d.warmFraction(now, e); part == 1 || d.random.Float64() < slowStartLoadFactor*part {
 			candidates = append(candidates, e)
 		}
 	}
 	return candidates
 }
 
-// warmCapacity is the part of its capacity that an endpoint surely has: 1 unless it is in slow start.
-func (d *Decider) warmCapacity(now policy.Time, e *endpoint) float64 {
+// warmFraction is the part of its capacity that an endpoint surely has: 1 unless it is in slow start.
+func (d *Decider) warmFraction(now policy.Time, e *endpoint) float64 {
 	age := now - e.StartedAt
 	if e.StartedAt == 0 || age >= policy.Time(d.settings.SlowStartWindow) {
 		return 1
@@ -227,8 +227,8 @@
 	return least + (1-least)*float64(max(age, 0))/float64(d.settings.SlowStartWindow)
 }
 
-// giveUp rejects a request if a retry by the client does no harm, else it fails it.
-func (d *Decider) giveUp(r *request, class *policy.Class) {
+// rejectOrFail rejects a request if a retry by the client does no harm, else it fails it.
+func (d *Decider) rejectOrFail(r *request, class *policy.Class) {
 	r.done = true
 	if class.Idempotency == policy.Idempotent || !r.mayHaveRun {
 		d.effects.Reject(r.ID, min(d.settings.MaxRetryAfter, class.LatencyObjective/4), policy.ReasonNone)
--- a/internal/lab/baseline/hotcold.go
+++ b/internal/lab/baseline/hotcold.go
@@ -38,14 +38,14 @@
 	}
 }
 
-// pickHotCold selects from the pool, at random while it has fewer than two reports. A report is used once, against
+// selectHotCold selects from the pool, at random while it has fewer than two reports. A report is used once, against
 // herding.
-func (d *Decider) pickHotCold(now policy.Time, candidates []*endpoint) *endpoint {
+func (d *Decider) selectHotCold(now policy.Time, candidates []*endpoint) *endpoint {
 	for len(d.reports) > 0 && now-d.reports[0].at > maxReportAge {
 		d.reports = d.reports[1:]
 	}
 	if len(d.reports) < 2 {
-		return d.any(candidates)
+		return d.drawEndpoint(candidates)
 	}
 	hot := d.hotLoad()
 	var best *endpoint
@@ -64,7 +64,7 @@
 		}
 	}
 	if best == nil {
-		return d.any(candidates)
+		return d.drawEndpoint(candidates)
 	}
 	d.reports = append(d.reports[:used:used], d.reports[used+1:]...)
 	return best
--- a/internal/lab/baseline/selection.go
+++ b/internal/lab/baseline/selection.go
@@ -15,42 +15,42 @@
 )
 
 // pick selects one of the candidates; nil if none is fit.
-func (d *Decider) pick(now policy.Time, r *request, candidates []*endpoint) *endpoint {
+func (d *Decider) selectEndpoint(now policy.Time, r *request, candidates []*endpoint) *endpoint {
 	if len(candidates) == 0 {
 		return nil
 	}
 	switch d.kind {
 	case roundRobin:
-		d.turn++
-		return candidates[d.turn%len(candidates)]
-	case least:
+		d.nextIndex++
+		return candidates[d.nextIndex%len(candidates)]
+	case leastInFlight:
 		return d.lowest(candidates, attemptsInFlight)
 	case twoChoices:
 		return d.lowerOfTwo(candidates, attemptsInFlight)
 	case peakEWMA:
 		return d.lowerOfTwo(candidates, func(e *endpoint) float64 { return e.decayedLatency(now) * float64(e.inFlight+1) })
 	case hotCold:
-		return d.pickHotCold(now, candidates)
+		return d.selectHotCold(now, candidates)
 	case boundedHash:
-		return pickBoundedHash(r, candidates)
-	case allSeeing:
-		return d.pickAllSeeing(now, r, candidates)
-	case lateSeeing:
-		return d.pickLateSeeing(now, r, candidates)
+		return selectBoundedHash(r, candidates)
+	case trueState:
+		return d.selectByTrueState(now, r, candidates)
+	case delayedTrueState:
+		return d.selectByDelayedState(now, r, candidates)
 	}
-	return d.any(candidates)
+	return d.drawEndpoint(candidates)
 }
 
 func attemptsInFlight(e *endpoint) float64 { return float64(e.inFlight) }
 
-func (d *Decider) any(candidates []*endpoint) *endpoint {
+func (d *Decider) drawEndpoint(candidates []*endpoint) *endpoint {
 	return candidates[d.random.IntN(len(candidates))]
 }
 
 // lowerOfTwo draws two and returns the one with the lower cost.
 func (d *Decider) lowerOfTwo(candidates []*endpoint, cost func(*endpoint) float64) *endpoint {
-	first := d.any(candidates)
-	second := d.any(candidates)
+	first := d.drawEndpoint(candidates)
+	second := d.drawEndpoint(candidates)
 	if cost(second) < cost(first) {
 		return second
 	}
@@ -95,8 +95,8 @@
 	e.updatedAt = now
 }
 
-// pickBoundedHash returns the first in the order of rendezvous hashing that is not over its bound; nil if all are.
-func pickBoundedHash(r *request, candidates []*endpoint) *endpoint {
+// selectBoundedHash returns the first in the order of rendezvous hashing that is not over its bound; nil if all are.
+func selectBoundedHash(r *request, candidates []*endpoint) *endpoint {
 	name := r.Key
 	if name == "" {
 		name = string(r.ID)
--- a/internal/lab/baseline/truestate.go
+++ b/internal/lab/baseline/truestate.go
@@ -7,7 +7,7 @@
 	"fawnglade/policy"
 )
 
-// allSeeing and lateSeeing read the true state of all endpoints, now or half a second ago. They tell how much a policy
+// trueState and delayedTrueState read the true state of all endpoints, now or half a second ago. They tell how much a policy
 // could gain.
 
 const (
@@ -43,8 +43,8 @@
 	d.effects.SetTimer(now+snapshotPeriod, snapshotTimer)
 }
 
-// pickAllSeeing returns the one that would end earliest; nil if that is after the deadline.
-func (d *Decider) pickAllSeeing(now policy.Time, r *request, candidates []*endpoint) *endpoint {
+// selectByTrueState returns the one that would end earliest; nil if that is after the deadline.
+func (d *Decider) selectByTrueState(now policy.Time, r *request, candidates []*endpoint) *endpoint {
 	latency := func(e *endpoint) float64 {
 		inFlight, capacity, up := d.cluster.Load(d.node, e.ID)
 		return d.predict(r, e, trueLoad{float64(inFlight), capacity}, up)
@@ -56,13 +56,13 @@
 	return best
 }
 
-// pickLateSeeing draws by how soon each would end by an old state: many nodes that all took the best of one and the
+// selectByDelayedState draws by how soon each would end by an old state: many nodes that all took the best of one and the
 // same state would overload it.
-func (d *Decider) pickLateSeeing(now policy.Time, r *request, candidates []*endpoint) *endpoint {
+func (d *Decider) selectByDelayedState(now policy.Time, r *request, candidates []*endpoint) *endpoint {
 	var chances []float64
 	sum := 0.0
 	for _, e := range candidates {
-		load, up := d.lateLoad(e)
+		load, up := d.delayedLoad(e)
 		chance := 0.0
 		if latency := d.predict(r, e, load, up); latency <= float64(r.Deadline-now) {
 			chance = 1 / latency
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// lateLoad is the state of an endpoint in the oldest snapshot, with the own attempts since; any is idle before the
+// delayedLoad is the state of an endpoint in the oldest snapshot, with the own attempts since; any is idle before the
 // first.
-func (d *Decider) lateLoad(e *endpoint) (load trueLoad, up bool) {
+func (d *Decider) delayedLoad(e *endpoint) (load trueLoad, up bool) {
 	if len(d.snapshots) == 0 {
 		return trueLoad{capacity: 1e9}, true
 	}
@@ -96,7 +96,7 @@
 	if !up || load.capacity <= 0 {
 		return math.Inf(1)
 	}
-	work := d.work[r.Class]
+	work := d.meanWork[r.Class]
 	if r.CostHint > 0 {
 		work = float64(r.CostHint)
 	}
@@ -105,7 +105,7 @@
 
 // observeWork updates the mean work of a class from a successful attempt.
 func (d *Decider) observeWork(e *endpoint, a policy.AttemptResult) {
-	if d.kind != allSeeing && d.kind != lateSeeing {
+	if d.kind != trueState && d.kind != delayedTrueState {
 		return
 	}
 	r := d.requests[a.Request]
@@ -117,5 +117,5 @@
 		return
 	}
 	work := (float64(a.Elapsed) - float64(d.cluster.RoundTrip(d.node, e.ID))) * capacity / 1e9 / float64(inFlight+1)
-	d.work[r.Class] += (max(work, 0) - d.work[r.Class]) / workSmoothing
+	d.meanWork[r.Class] += (max(work, 0) - d.meanWork[r.Class]) / workSmoothing
 }
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -380,7 +380,7 @@
 	}
 	if reused && !t.resent && errors.Is(err, io.EOF) {
 		// The node closed an idle connection and this crossed it; the client sends the same once more on a new one.
-		d.history.Update(func() { rec.CrossedAt = now })
+		d.history.Update(func() { rec.CloseRaceAt = now })
 		r.close()
 		t.resent, t.previousClosedAt = true, now
 		return true, t
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -397,7 +397,7 @@
 	defer s.mu.Unlock()
 	now := s.run.now()
 	if down && !s.down {
-		s.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: now}}
+		s.outage = &invariant.Outage{Node: -1, Interval: invariant.Interval{From: now}}
 		s.run.history.RecordOutage(s.outage)
 	} else if s.down && !down {
 		s.run.history.Update(func() { s.outage.To = now })
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -114,7 +114,7 @@
 				t.Fatalf("nothing broken; seen besides: %v", r.Anomalies)
 			}
 			for _, b := range r.Violations {
-				if b.Rule != c.rule || !strings.Contains(b.What, c.what) || b.Node != 0 || b.At < 0 ||
+				if b.Rule != c.rule || !strings.Contains(b.Description, c.what) || b.Node != 0 || b.At < 0 ||
 					b.At > int64(5*time.Second) {
 					t.Errorf("%v; want rule %d only, %s", b, c.rule, c.what)
 				}
--- a/internal/lab/emulator/endpoint.go
+++ b/internal/lab/emulator/endpoint.go
@@ -334,7 +334,7 @@
 	}
 	d.cut.Store(true)
 	d.listener.Close()
-	l, plugs, err := faultproxy.ListenFull(d.address)
+	l, plugs, err := faultproxy.ListenFullBacklog(d.address)
 	if err != nil {
 		return fmt.Errorf("cutting off %s: %w", d.address, err)
 	}
--- a/internal/lab/emulator/links.go
+++ b/internal/lab/emulator/links.go
@@ -64,13 +64,13 @@
 // start puts the schedule in force, by the run's clock.
 func (b *links) start() {
 	b.schedule = b.run.plan.LinkFaults(b.run.scenario)
-	b.faults.Set(b.schedule)
+	b.faults.SetSchedule(b.schedule)
 }
 
 // proxyStream is the address at which one part reaches another: through a proxy if such links have faults, else its
 // own.
 func (b *links) proxyStream(from, to netfault.End, target func() string) (string, error) {
-	if !b.schedule.Touches(from.Kind, to.Kind) {
+	if !b.schedule.Affects(from.Kind, to.Kind) {
 		return target(), nil
 	}
 	s, err := faultproxy.NewStream(
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -266,7 +266,7 @@
 		return
 	}
 	if excused {
-		n.run.history.Excuse(life, invariant.Span{From: n.run.now(), To: invariant.Never})
+		n.run.history.Excuse(life, invariant.Interval{From: n.run.now(), To: invariant.Never})
 	}
 	signal(p, s)
 }
@@ -298,7 +298,7 @@
 	}
 	now := n.run.now()
 	// Longer than it is paused, for the backlog.
-	n.run.history.Excuse(life, invariant.Span{From: now, To: now + int64(d) + int64(200*time.Millisecond)})
+	n.run.history.Excuse(life, invariant.Interval{From: now, To: now + int64(d) + int64(200*time.Millisecond)})
 	n.run.after(d, func() { signal(p, syscall.SIGCONT) })
 }
 
--- a/internal/lab/faultproxy/datagrams.go
+++ b/internal/lab/faultproxy/datagrams.go
@@ -1,7 +1,7 @@
 package faultproxy
 
 // Datagram relays between nodes: for each pair of nodes one socket, on which the one reaches the other and from which the
-// other's messages come, so that each sees the other at one address. At most mostLate delayed messages are held.
+// other's messages come, so that each sees the other at one address. At most maxDelayedDatagrams delayed messages are held.
 
 import (
 	"errors"
@@ -15,9 +15,9 @@
 )
 
 const (
-	mostLate   = 1 << 16 // messages on their way
-	mostBehind = int64(time.Second)
-	longest    = 2048
+	maxDelayedDatagrams = 1 << 16 // messages on their way
+	maxThrottleBacklog  = int64(time.Second)
+	maxDatagramSize     = 2048
 )
 
 // Mesh joins nodes by messages.
@@ -29,14 +29,14 @@
 	busyUntil     [][]atomic.Int64 // a narrow way is taken until then
 	delayed       atomic.Int64
 
-	mu     sync.Mutex
-	copied map[[2]int][]byte
+	mu       sync.Mutex
+	captured map[[2]int][]byte
 }
 
 // NewMesh opens the relays between nodes that listen at some addresses.
 func NewMesh(board *Proxies, listen []string) (*Mesh, error) {
 	n := len(listen)
-	m := &Mesh{proxies: board, copied: map[[2]int][]byte{}, messageCounts: make([][]atomic.Uint64, n), busyUntil: make([][]atomic.Int64, n)}
+	m := &Mesh{proxies: board, captured: map[[2]int][]byte{}, messageCounts: make([][]atomic.Uint64, n), busyUntil: make([][]atomic.Int64, n)}
 	for i, at := range listen {
 		real, err := netip.ParseAddrPort(at)
 		if err != nil {
@@ -89,7 +89,7 @@
 }
 
 func (m *Mesh) forward(from, to int) {
-	buffer := make([]byte, longest)
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		length, _, err := m.sockets[from][to].ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -106,7 +106,7 @@
 	number := m.messageCounts[from][to].Add(1)
 	if number == 1 {
 		m.mu.Lock()
-		m.copied[[2]int{from, to}] = datagram
+		m.captured[[2]int{from, to}] = datagram
 		m.mu.Unlock()
 	}
 	now := m.proxies.now()
@@ -120,7 +120,7 @@
 	}
 	if v.Rate > 0 {
 		ready := max(m.busyUntil[from][to].Load(), now) + int64(float64(len(datagram))/v.Rate*1e9)
-		if ready-now > mostBehind {
+		if ready-now > maxThrottleBacklog {
 			return // the queue before a narrow way is full
 		}
 		m.busyUntil[from][to].Store(ready)
@@ -137,7 +137,7 @@
 		do()
 		return
 	}
-	if m.delayed.Add(1) > mostLate {
+	if m.delayed.Add(1) > maxDelayedDatagrams {
 		m.delayed.Add(-1)
 		return
 	}
@@ -155,8 +155,8 @@
 func (m *Mesh) Inject(from, to int, datagram []byte) { m.deliver(from, to, datagram) }
 
 // Copied is the first message that went from one node to another; nil if none did.
-func (m *Mesh) Copied(from, to int) []byte {
+func (m *Mesh) CapturedDatagram(from, to int) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.copied[[2]int{from, to}]
+	return m.captured[[2]int{from, to}]
 }
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -13,7 +13,7 @@
 )
 
 // echo serves connections that get back what they send.
-func echo(t *testing.T) string {
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,16 +33,16 @@
 }
 
 var (
-	node   = netfault.End{Kind: netfault.Node, Index: 0}
-	server = netfault.End{Kind: netfault.Endpoint, Index: 0}
+	nodeEnd     = netfault.End{Kind: netfault.Node, Index: 0}
+	endpointEnd = netfault.End{Kind: netfault.Endpoint, Index: 0}
 )
 
 func fault(t netfault.Kind) netfault.Fault {
-	return netfault.Fault{Kind: t, From: []netfault.End{node}, To: []netfault.End{server}, Begin: 0, End: 1 << 62, Seed: 1}
+	return netfault.Fault{Kind: t, From: []netfault.End{nodeEnd}, To: []netfault.End{endpointEnd}, Begin: 0, End: 1 << 62, Seed: 1}
 }
 
-func set(b *Proxies, s *Stream, want state, faults ...netfault.Fault) {
-	b.Set(netfault.New(faults))
+func setFaults(b *Proxies, s *Stream, want linkState, faults ...netfault.Fault) {
+	b.SetSchedule(netfault.New(faults))
 	for {
 		s.mu.Lock()
 		is := s.state
@@ -54,7 +54,7 @@
 	}
 }
 
-func ask(c net.Conn, wait time.Duration) error {
+func roundTrip(c net.Conn, wait time.Duration) error {
 	if _, err := c.Write([]byte("hello")); err != nil {
 		return err
 	}
@@ -67,12 +67,12 @@
 	return err
 }
 
-func TestAStreamIsCutMendedAndRefused(t *testing.T) {
+func TestStreamCutRestoredAndRefused(t *testing.T) {
 	begin := time.Now()
 	b := NewProxies(func() int64 { return int64(time.Since(begin)) })
 	defer b.Close()
-	s, err := NewStream(b, "127.0.0.1:0", node, server, func() string { return at })
-	if at = echo(t); err != nil {
+	s, err := NewStream(b, "127.0.0.1:0", nodeEnd, endpointEnd, func() string { return echoAddress })
+	if echoAddress = startEchoServer(t); err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
@@ -80,52 +80,52 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := ask(c, 5*time.Second); err != nil {
+	if err := roundTrip(c, 5*time.Second); err != nil {
 		t.Fatal("whole: ", err)
 	}
 	for _, oneWay := range []bool{false, true} {
 		if c, err = net.Dial("tcp", s.Address()); err != nil {
 			t.Fatal(err)
 		}
-		_ = ask(c, 5*time.Second)
+		_ = roundTrip(c, 5*time.Second)
 		f := fault(netfault.Cut)
 		f.OneWay = oneWay
-		set(b, s, cut, f)
-		if err := ask(c, 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+		setFaults(b, s, stateCut, f)
+		if err := roundTrip(c, 100*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Error("cut: expected silence, got ", err)
 		}
 		if _, err := net.DialTimeout("tcp", s.Address(), 50*time.Millisecond); err == nil {
 			t.Error("cut: a new connection came up")
 		}
-		set(b, s, whole)
-		if err := ask(c, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		setFaults(b, s, stateOpen)
+		if err := roundTrip(c, 5*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Error("mended: expected a reset of what was held up, got ", err)
 		}
 	}
 	f := fault(netfault.Cut)
 	f.Variant = "refused"
-	set(b, s, refusing, f)
+	setFaults(b, s, stateRefusing, f)
 	if _, err := net.DialTimeout("tcp", s.Address(), time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error("refused: ", err)
 	}
 }
 
-var at string
+var echoAddress string
 
-// TestAStreamKeepsItsBytes has loss, delay and a narrow way at once: all comes, in order.
-func TestAStreamKeepsItsBytes(t *testing.T) {
+// TestStreamDeliversAllBytesInOrder has loss, delay and a narrow way at once: all comes, in order.
+func TestStreamDeliversAllBytesInOrder(t *testing.T) {
 	begin := time.Now()
 	b := NewProxies(func() int64 { return int64(time.Since(begin)) })
 	defer b.Close()
-	to := echo(t)
-	s, err := NewStream(b, "127.0.0.1:0", node, server, func() string { return to })
+	to := startEchoServer(t)
+	s, err := NewStream(b, "127.0.0.1:0", nodeEnd, endpointEnd, func() string { return to })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	lossy, late, narrow := fault(netfault.Drop), fault(netfault.Delay), fault(netfault.Narrow)
+	lossy, late, narrow := fault(netfault.Drop), fault(netfault.Delay), fault(netfault.Throttle)
 	lossy.Share, late.Variant, late.Wait, narrow.Rate = 0.1, "drawn", 1e6, 4e6
-	b.Set(netfault.New([]netfault.Fault{lossy, late, narrow}))
+	b.SetSchedule(netfault.New([]netfault.Fault{lossy, late, narrow}))
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/faultproxy/proxies.go
+++ b/internal/lab/faultproxy/proxies.go
@@ -21,7 +21,7 @@
 	closeOnce sync.Once
 }
 
-const lookEvery = 5 * time.Millisecond
+const pollInterval = 5 * time.Millisecond
 
 // NewProxies begins without faults. now is the run's clock, in nanoseconds.
 func NewProxies(now func() int64) *Proxies {
@@ -32,7 +32,7 @@
 }
 
 // Set puts a schedule in force.
-func (b *Proxies) Set(s *netfault.Schedule) { b.schedule.Store(s) }
+func (b *Proxies) SetSchedule(s *netfault.Schedule) { b.schedule.Store(s) }
 
 // Close ends the watching of streams.
 func (b *Proxies) Close() { b.closeOnce.Do(func() { close(b.done) }) }
@@ -45,7 +45,7 @@
 
 // look has streams notice that a way is cut, or mended.
 func (b *Proxies) applySchedule() {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	sentAgain   = int64(200 * time.Millisecond) // after a loss
-	piece       = 16 << 10
-	mostPieces  = 64 // on their way in one direction of a connection
-	reachWithin = time.Second
+	retransmitDelay = int64(200 * time.Millisecond) // after a loss
+	chunkSize       = 16 << 10
+	maxQueuedChunks = 64 // on their way in one direction of a connection
+	dialTimeout     = time.Second
 )
 
 // Stream is one relay: connections from one end to another.
@@ -36,22 +36,22 @@
 	listener     net.Listener
 	queueFillers []net.Conn
 	pairs        map[*connPair]struct{}
-	state        state
+	state        linkState
 	closed       bool
 }
 
-type state uint8
+type linkState uint8
 
 const (
-	whole state = iota
-	cut
-	refusing
+	stateOpen linkState = iota
+	stateCut
+	stateRefusing
 )
 
 // joint is one connection through a relay.
 type connPair struct {
 	client, server net.Conn
-	pieceCounts    [2]atomic.Uint64
+	chunkCounts    [2]atomic.Uint64
 }
 
 // NewStream opens a relay at an address with port 0, or a port of its own. target is asked with each connection.
@@ -89,14 +89,14 @@
 
 // join opens the way on, and carries both directions until either end is gone.
 func (s *Stream) connect(here net.Conn) {
-	there, err := net.DialTimeout("tcp", s.target(), reachWithin)
+	there, err := net.DialTimeout("tcp", s.target(), dialTimeout)
 	if err != nil {
 		Reset(here)
 		return
 	}
 	j := &connPair{client: here, server: there}
 	s.mu.Lock()
-	if s.closed || s.state != whole {
+	if s.closed || s.state != stateOpen {
 		s.mu.Unlock()
 		Reset(here)
 		Reset(there)
@@ -117,9 +117,9 @@
 }
 
 type chunk struct {
-	at   int64
-	data []byte
-	err  error
+	dueAt int64
+	data  []byte
+	err   error
 }
 
 // carry brings one direction over, each piece when it is due and in order.
@@ -128,22 +128,22 @@
 	if direction == 1 {
 		from, to = to, from
 	}
-	way := make(chan chunk, mostPieces)
+	way := make(chan chunk, maxQueuedChunks)
 	var held atomic.Bool // what came can't go on
 	go func() {
 		defer close(way)
 		last := int64(0)
 		for {
-			data := make([]byte, piece)
+			data := make([]byte, chunkSize)
 			n, err := in.Read(data)
 			now := s.proxies.now()
-			v := s.proxies.schedule.Load().FateOf(now, from, to, j.pieceCounts[direction].Add(1), n)
+			v := s.proxies.schedule.Load().FateOf(now, from, to, j.chunkCounts[direction].Add(1), n)
 			if v.Lost && !s.proxies.schedule.Load().Open(now, from, to) {
 				held.Store(true)
 				return // it is reset when the way is mended
 			}
 			if v.Lost {
-				v.Delay += sentAgain
+				v.Delay += retransmitDelay
 			}
 			at := max(last, now+v.Delay)
 			if v.Rate > 0 {
@@ -161,7 +161,7 @@
 		}
 	}()
 	for c := range way {
-		if wait := c.at - s.proxies.now(); wait > 0 {
+		if wait := c.dueAt - s.proxies.now(); wait > 0 {
 			select {
 			case <-time.After(time.Duration(wait)):
 			case <-s.proxies.done:
@@ -191,7 +191,7 @@
 			return
 		}
 		select {
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		case <-s.proxies.done:
 			return
 		}
@@ -206,12 +206,12 @@
 
 // follow notices what the schedule says of this way now.
 func (s *Stream) applySchedule(schedule *netfault.Schedule, now int64) {
-	want := whole
+	want := stateOpen
 	for _, way := range [][2]netfault.End{{s.from, s.to}, {s.to, s.from}} {
 		if !schedule.Open(now, way[0], way[1]) {
-			want = max(want, cut)
+			want = max(want, stateCut)
 			if schedule.FateOf(now, way[0], way[1], 0, 0).Refused {
-				want = refusing
+				want = stateRefusing
 			}
 		}
 	}
@@ -220,14 +220,14 @@
 	if want == s.state || s.closed {
 		return
 	}
-	s.reset()
+	s.closeListener()
 	s.state = want
 	switch want {
-	case whole:
+	case stateOpen:
 		_ = s.listen()
-	case cut:
-		s.listener, s.queueFillers, _ = ListenFull(s.address)
-	case refusing:
+	case stateCut:
+		s.listener, s.queueFillers, _ = ListenFullBacklog(s.address)
+	case stateRefusing:
 		for j := range s.pairs {
 			Reset(j.client)
 			Reset(j.server)
@@ -236,7 +236,7 @@
 }
 
 // shut closes the door; the lock is held.
-func (s *Stream) reset() {
+func (s *Stream) closeListener() {
 	if s.listener != nil {
 		s.listener.Close()
 		s.listener = nil
@@ -252,7 +252,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.reset()
+	s.closeListener()
 	for j := range s.pairs {
 		j.client.Close()
 		j.server.Close()
@@ -267,8 +267,8 @@
 	c.Close()
 }
 
-// ListenFull listens with a queue that is full, so that the system drops whoever knocks: an address that nobody gets through to.
-func ListenFull(address string) (net.Listener, []net.Conn, error) {
+// ListenFullBacklog listens with a queue that is full, so that the system drops whoever knocks: an address that nobody gets through to.
+func ListenFullBacklog(address string) (net.Listener, []net.Conn, error) {
 	a, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
 		return nil, nil, err
--- a/internal/lab/faultsearch/faultsearch.go
+++ b/internal/lab/faultsearch/faultsearch.go
@@ -36,7 +36,7 @@
 }
 
 // Play plays a scenario with a seed. It may be called from many goroutines at once.
-type Play func(ctx context.Context, s *scenario.Scenario, seed uint64) (Score, error)
+type Runner func(ctx context.Context, s *scenario.Scenario, seed uint64) (Score, error)
 
 // Options of a search.
 type Options struct {
@@ -45,7 +45,7 @@
 	Draws int    // random candidates of the first round
 	Keep  int    // of them are changed further
 	Dir   string // for the state and for the finds
-	Play  Play
+	Run   Runner
 	// ForEach calls do for 0 to n-1, perhaps at once, and returns an error of one of them.
 	ForEach func(ctx context.Context, n int, do func(i int) error) error
 	Log     func(string) // takes a line after each round; may be nil
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	for rounds := 1 + bits.Len(uint(o.Keep)); state.Round < rounds; {
-		if err := o.playRound(ctx, state); err != nil {
+		if err := o.runRound(ctx, state); err != nil {
 			return state, err
 		}
 	}
@@ -88,19 +88,19 @@
 	return state, nil
 }
 
-// playRound plays the candidates of one round, and stores the state.
-func (o *Options) playRound(ctx context.Context, state *State) error {
+// runRound plays the candidates of one round, and stores the state.
+func (o *Options) runRound(ctx context.Context, state *State) error {
 	candidates := o.candidatesOf(state)
-	if err := o.play(ctx, candidates); err != nil {
+	if err := o.runAll(ctx, candidates); err != nil {
 		return err
 	}
-	state.Played += len(candidates)
+	state.Runs += len(candidates)
 	state.Candidates = append(state.Candidates, candidates...)
 	slices.SortStableFunc(state.Candidates, func(a, b Candidate) int { return cmp.Compare(b.Loss, a.Loss) })
 	state.Candidates = diversify(state.Candidates, max(o.Keep*poolFactor, maxFinds))
 	state.Round++
 	if o.Log != nil {
-		o.Log(fmt.Sprintf("round %d: %d days played, the worst loses %.3f", state.Round, state.Played, state.Candidates[0].Loss))
+		o.Log(fmt.Sprintf("round %d: %d days played, the worst loses %.3f", state.Round, state.Runs, state.Candidates[0].Loss))
 	}
 	return state.save(o.Dir)
 }
@@ -127,10 +127,10 @@
 }
 
 // play plays candidates, and enters their loss and violations.
-func (o *Options) play(ctx context.Context, candidates []Candidate) error {
+func (o *Options) runAll(ctx context.Context, candidates []Candidate) error {
 	return o.ForEach(ctx, len(candidates), func(i int) error {
 		c := &candidates[i]
-		score, err := o.Play(ctx, o.scenarioOf(*c), c.Seed)
+		score, err := o.Run(ctx, o.scenarioOf(*c), c.Seed)
 		if err != nil {
 			return err
 		}
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	state.Played += played
+	state.Runs += played
 	state.Finds = append(state.Finds, reduced)
 	return errors.Join(state.save(o.Dir), o.writeFind(len(state.Finds), reduced))
 }
--- a/internal/lab/faultsearch/faultsearch_test.go
+++ b/internal/lab/faultsearch/faultsearch_test.go
@@ -13,7 +13,7 @@
 	"fawnglade/internal/lab/scenario"
 )
 
-func base(t *testing.T) *scenario.Scenario {
+func readBase(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Read("../../../lab/scenarios/calm.toml")
 	if err != nil {
@@ -24,7 +24,7 @@
 
 // costly loses by the part of the fleet that is silent and for how long, a little where any is slow, and by nothing
 // else.
-func costly(_ context.Context, s *scenario.Scenario, _ uint64) (Score, error) {
+func scoreByFaults(_ context.Context, s *scenario.Scenario, _ uint64) (Score, error) {
 	var score Score
 	for _, f := range s.Faults {
 		if f.Kind == "silent" {
@@ -40,8 +40,8 @@
 	return score, nil
 }
 
-// inTurn is a ForEach without concurrency.
-func inTurn(ctx context.Context, n int, do func(int) error) error {
+// forEachSequentially is a ForEach without concurrency.
+func forEachSequentially(ctx context.Context, n int, do func(int) error) error {
 	for i := range n {
 		if err := do(i); err != nil {
 			return err
@@ -50,14 +50,14 @@
 	return ctx.Err()
 }
 
-func options(t *testing.T, dir string, play Play) Options {
-	return Options{Base: base(t), Seed: 4, Draws: 60, Keep: 8, Dir: dir, Play: play, ForEach: inTurn}
+func options(t *testing.T, dir string, play Runner) Options {
+	return Options{Base: readBase(t), Seed: 4, Draws: 60, Keep: 8, Dir: dir, Run: play, ForEach: forEachSequentially}
 }
 
 func TestSearchFindsAndReducesCostlyFaults(t *testing.T) {
 	dir := t.TempDir()
 	withoutViolations := func(ctx context.Context, s *scenario.Scenario, seed uint64) (Score, error) {
-		score, err := costly(ctx, s, seed)
+		score, err := scoreByFaults(ctx, s, seed)
 		return Score{Loss: score.Loss}, err
 	}
 	state, err := Run(t.Context(), options(t, dir, withoutViolations))
@@ -83,7 +83,7 @@
 }
 
 func TestViolationsComeBeforeAnyLoss(t *testing.T) {
-	state, err := Run(t.Context(), options(t, t.TempDir(), costly))
+	state, err := Run(t.Context(), options(t, t.TempDir(), scoreByFaults))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 // A search that is ended at any moment is resumed, and finds what an undisturbed one finds.
 func TestSearchResumesAfterAnyInterruption(t *testing.T) {
 	undisturbed := t.TempDir()
-	if _, err := Run(t.Context(), options(t, undisturbed, costly)); err != nil {
+	if _, err := Run(t.Context(), options(t, undisturbed, scoreByFaults)); err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
@@ -106,7 +106,7 @@
 			if left--; left < 0 {
 				return Score{}, errEnded
 			}
-			return costly(ctx, s, seed)
+			return scoreByFaults(ctx, s, seed)
 		}))
 		if err == nil {
 			if runs < 2 {
@@ -133,7 +133,7 @@
 	if got, want := read(dir), read(undisturbed); !reflect.DeepEqual(got, want) {
 		t.Errorf("one that was ended found something else:\n%+v\n%+v", got, want)
 	}
-	o := options(t, dir, costly)
+	o := options(t, dir, scoreByFaults)
 	o.Seed = 5
 	if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), "another directory") {
 		t.Errorf("another search in the same directory: %v", err)
--- a/internal/lab/faultsearch/mutation.go
+++ b/internal/lab/faultsearch/mutation.go
@@ -14,7 +14,7 @@
 )
 
 // kinds of fault that are drawn.
-var kinds = []string{
+var drawnKinds = []string{
 	"slow", "silent", "fail", "turn-away", "reset", "pause", "crowd", "cut", "die", "restart-servers", "replace", "drain", "unlisted",
 	"discovery-down", "discovery-slow", "lists-late", "wait", "kill", "stop", "freeze", "cut-node",
 }
@@ -33,7 +33,7 @@
 func (o *Options) drawFault(random *rand.Rand) scenario.Fault {
 	length := float64(o.Base.Length)
 	f := scenario.Fault{
-		Kind:         kinds[random.IntN(len(kinds))],
+		Kind:         drawnKinds[random.IntN(len(drawnKinds))],
 		At:           scenario.Duration((0.05 + 0.7*random.Float64()) * length),
 		For:          scenario.Duration((0.02 + 0.5*random.Float64()*random.Float64()) * length),
 		AttemptShare: 1,
--- a/internal/lab/faultsearch/reduction.go
+++ b/internal/lab/faultsearch/reduction.go
@@ -23,7 +23,7 @@
 	*Options
 	candidate Candidate
 	minLoss   float64 // that a simpler candidate has to keep
-	played    int
+	runs      int
 }
 
 // reduce removes what does not matter: whole faults, then parts of their duration and of their targets. It returns the
@@ -34,17 +34,17 @@
 		r.minLoss = violationLoss
 	}
 	if err := r.removeFaults(ctx); err != nil {
-		return r.candidate, r.played, err
+		return r.candidate, r.runs, err
 	}
 	err := r.simplifyFaults(ctx)
-	return r.candidate, r.played, err
+	return r.candidate, r.runs, err
 }
 
 // try plays the candidate with other faults, and takes them over if it still loses enough.
 func (r *reduction) try(ctx context.Context, faults []scenario.Fault) (taken bool, err error) {
 	simpler := []Candidate{{Seed: r.candidate.Seed, Faults: faults}}
-	r.played++
-	if err := r.play(ctx, simpler); err != nil {
+	r.runs++
+	if err := r.runAll(ctx, simpler); err != nil {
 		return false, err
 	}
 	if simpler[0].Loss < r.minLoss {
--- a/internal/lab/faultsearch/state.go
+++ b/internal/lab/faultsearch/state.go
@@ -22,7 +22,7 @@
 	Seed       uint64      `json:"seed"`
 	Base       string      `json:"base"` // name of the scenario
 	Round      int         `json:"round"`
-	Played     int         `json:"played"`
+	Runs       int         `json:"played"`
 	Candidates []Candidate `json:"days"` // the pool for the next round, the worst first
 	Finds      []Candidate `json:"shrunk,omitempty"`
 }
--- a/internal/lab/fleet/cases.go
+++ b/internal/lab/fleet/cases.go
@@ -18,15 +18,15 @@
 }
 
 const (
-	meet   = 40  // rounds in which nodes that start together all know one another
-	notice = 60  // in which all know of a death
-	rejoin = 80  // in which two halves are one again
-	calm   = 25  // over which something is watched to stay
-	rough  = 160 // where a third of all is lost
+	startupPeriods        = 40  // rounds in which nodes that start together all know one another
+	detectionPeriods      = 60  // in which all know of a death
+	mergePeriods          = 80  // in which two halves are one again
+	stablePeriods         = 25  // over which something is watched to stay
+	lossyDetectionPeriods = 160 // where a third of all is lost
 )
 
 // first runs the steps of a case up to the first that fails.
-func inOrder(steps ...func() error) error {
+func runSteps(steps ...func() error) error {
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return err
@@ -42,36 +42,36 @@
 				return err
 			}
 		}
-		_, err := Until(f, meet, "all know one another", Agree(Numbers(0, f.Len()), Each("up")))
+		_, err := WaitUntil(f, startupPeriods, "all know one another", ViewsMatch(NodeRange(0, f.Len()), AllInState("up")))
 		return err
 	}
 }
 
-func until(f Fleet, rounds int64, what string, holds func([]*members.View) bool) func() error {
-	return func() error { _, err := Until(f, rounds, what, holds); return err }
+func waitStep(f Fleet, rounds int64, what string, holds func([]*members.View) bool) func() error {
+	return func() error { _, err := WaitUntil(f, rounds, what, holds); return err }
 }
 
-func hold(f Fleet, rounds int64, what string, holds func([]*members.View) bool) func() error {
-	return func() error { return Hold(f, rounds, what, holds) }
+func holdStep(f Fleet, rounds int64, what string, holds func([]*members.View) bool) func() error {
+	return func() error { return RequireDuring(f, rounds, what, holds) }
 }
 
-func do(what func()) func() error { return func() error { what(); return nil } }
+func actionStep(what func()) func() error { return func() error { what(); return nil } }
 
-func cut(a, b []int, oneWay bool) netfault.Fault {
-	return netfault.Fault{Kind: netfault.Cut, From: Ends(a), To: Ends(b), OneWay: oneWay}
+func cutFault(a, b []int, oneWay bool) netfault.Fault {
+	return netfault.Fault{Kind: netfault.Cut, From: NodeEnds(a), To: NodeEnds(b), OneWay: oneWay}
 }
 
 // dropShare is the part of the datagrams that drop loses.
 const dropShare = 0.3
 
 // drop loses datagrams between all nodes, in bursts of so many on average.
-func drop(nodes, burst int) netfault.Fault {
-	all := Ends(Numbers(0, nodes))
+func dropFault(nodes, burst int) netfault.Fault {
+	all := NodeEnds(NodeRange(0, nodes))
 	return netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: dropShare, Burst: burst, Seed: 7}
 }
 
-// neverFailed tells that none of some nodes takes one of others for failed or gone.
-func neverFailed(by, of []int) func([]*members.View) bool {
+// noneFailed tells that none of some nodes takes one of others for failed or gone.
+func noneFailed(by, of []int) func([]*members.View) bool {
 	return func(views []*members.View) bool {
 		for _, i := range by {
 			if views[i] == nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-func sides(a []int) func(int) string {
+func onlyUp(a []int) func(int) string {
 	in := map[int]bool{}
 	for _, i := range a {
 		in[i] = true
@@ -100,7 +100,7 @@
 	}
 }
 
-func without(gone ...int) func(int) string {
+func allUpExcept(gone ...int) func(int) string {
 	return func(k int) string {
 		for _, g := range gone {
 			if k == g {
@@ -124,32 +124,32 @@
 // Cases are all of them.
 var Cases = []Case{
 	{"half of twelve cut off and back: two views, then one", 12, func(f Fleet) error {
-		a, b := Numbers(0, 6), Numbers(6, 12)
-		return inOrder(startAll(f),
-			do(func() { f.AddFaults(cut(a, b, false)) }),
-			until(f, notice, "the first half sees itself alone", Agree(a, sides(a))),
-			until(f, notice, "the second half sees itself alone", Agree(b, sides(b))),
-			do(f.ClearFaults),
-			until(f, rejoin, "one view again", Agree(Numbers(0, 12), Each("up"))),
-			hold(f, calm, "nobody is lost afterwards", neverFailed(Numbers(0, 12), Numbers(0, 12))))
+		a, b := NodeRange(0, 6), NodeRange(6, 12)
+		return runSteps(startAll(f),
+			actionStep(func() { f.AddFaults(cutFault(a, b, false)) }),
+			waitStep(f, detectionPeriods, "the first half sees itself alone", ViewsMatch(a, onlyUp(a))),
+			waitStep(f, detectionPeriods, "the second half sees itself alone", ViewsMatch(b, onlyUp(b))),
+			actionStep(f.ClearFaults),
+			waitStep(f, mergePeriods, "one view again", ViewsMatch(NodeRange(0, 12), AllInState("up"))),
+			holdStep(f, stablePeriods, "nobody is lost afterwards", noneFailed(NodeRange(0, 12), NodeRange(0, 12))))
 	}},
 	{"one of twelve cut off and back: the others take nothing back", 12, func(f Fleet) error {
-		rest := Numbers(1, 12)
+		rest := NodeRange(1, 12)
 		var before [12]uint64
-		return inOrder(startAll(f),
-			do(func() {
+		return runSteps(startAll(f),
+			actionStep(func() {
 				for i, v := range f.Views() {
 					before[i] = v.Incarnation
 				}
-				f.AddFaults(cut([]int{0}, rest, false))
+				f.AddFaults(cutFault([]int{0}, rest, false))
 			}),
-			until(f, notice, "the others know", Agree(rest, without(0))),
-			until(f, notice, "it knows that it hears nobody, and says that nothing is known", func(views []*members.View) bool {
+			waitStep(f, detectionPeriods, "the others know", ViewsMatch(rest, allUpExcept(0))),
+			waitStep(f, detectionPeriods, "it knows that it hears nobody, and says that nothing is known", func(views []*members.View) bool {
 				v := views[0]
 				return v != nil && !v.Summary.Reliable && v.Summary.Reason == "this node hears nobody" && v.Summary.Dead == 11
 			}),
-			do(f.ClearFaults),
-			until(f, rejoin, "one view again", Agree(Numbers(0, 12), Each("up"))),
+			actionStep(f.ClearFaults),
+			waitStep(f, mergePeriods, "one view again", ViewsMatch(NodeRange(0, 12), AllInState("up"))),
 			func() error {
 				for i, v := range f.Views() {
 					if i > 0 && v != nil && v.Incarnation > before[i]+1 {
@@ -160,46 +160,46 @@
 			})
 	}},
 	{"one-way loss: others vouch for who is heard one way only", 6, func(f Fleet) error {
-		all := Numbers(0, 6)
-		return inOrder(startAll(f),
-			do(func() { f.AddFaults(cut([]int{0}, []int{1}, true)) }),
-			hold(f, 2*calm, "nobody is taken for silent", neverFailed(all, all)),
-			do(f.ClearFaults),
-			until(f, rejoin, "one view", Agree(all, Each("up"))))
+		all := NodeRange(0, 6)
+		return runSteps(startAll(f),
+			actionStep(func() { f.AddFaults(cutFault([]int{0}, []int{1}, true)) }),
+			holdStep(f, 2*stablePeriods, "nobody is taken for silent", noneFailed(all, all)),
+			actionStep(f.ClearFaults),
+			waitStep(f, mergePeriods, "one view", ViewsMatch(all, AllInState("up"))))
 	}},
 	{"a node that is heard by nobody, and hears all", 6, func(f Fleet) error {
-		rest := Numbers(1, 6)
-		return inOrder(startAll(f),
-			do(func() { f.AddFaults(cut([]int{0}, rest, true)) }),
-			until(f, notice, "the others take it for silent", Agree(rest, without(0))),
-			do(f.ClearFaults),
-			until(f, rejoin, "one view", Agree(Numbers(0, 6), Each("up"))))
+		rest := NodeRange(1, 6)
+		return runSteps(startAll(f),
+			actionStep(func() { f.AddFaults(cutFault([]int{0}, rest, true)) }),
+			waitStep(f, detectionPeriods, "the others take it for silent", ViewsMatch(rest, allUpExcept(0))),
+			actionStep(f.ClearFaults),
+			waitStep(f, mergePeriods, "one view", ViewsMatch(NodeRange(0, 6), AllInState("up"))))
 	}},
 	{"three in ten datagrams lost, in bursts", 12, func(f Fleet) error {
-		all := Numbers(0, 12)
-		return inOrder(startAll(f),
-			do(func() { f.AddFaults(drop(12, 4)) }),
-			hold(f, 2*calm, "nobody is taken for silent", neverFailed(all, all)),
-			do(func() { f.Kill(11) }),
-			until(f, rough, "a death is known all the same", Agree(Numbers(0, 11), without(11))),
-			do(f.ClearFaults),
-			until(f, rejoin, "one view", Agree(Numbers(0, 11), without(11))))
+		all := NodeRange(0, 12)
+		return runSteps(startAll(f),
+			actionStep(func() { f.AddFaults(dropFault(12, 4)) }),
+			holdStep(f, 2*stablePeriods, "nobody is taken for silent", noneFailed(all, all)),
+			actionStep(func() { f.Kill(11) }),
+			waitStep(f, lossyDetectionPeriods, "a death is known all the same", ViewsMatch(NodeRange(0, 11), allUpExcept(11))),
+			actionStep(f.ClearFaults),
+			waitStep(f, mergePeriods, "one view", ViewsMatch(NodeRange(0, 11), allUpExcept(11))))
 	}},
 	{"a node frozen among well ones sows no doubt when it wakes", 8, func(f Fleet) error {
-		rest, doubts := Numbers(1, 8), int64(0)
-		return inOrder(startAll(f),
-			do(func() { f.Freeze(0) }),
-			until(f, notice, "the others know", Agree(rest, without(0))),
-			do(func() {
-				f.Thaw(0)
+		rest, doubts := NodeRange(1, 8), int64(0)
+		return runSteps(startAll(f),
+			actionStep(func() { f.Pause(0) }),
+			waitStep(f, detectionPeriods, "the others know", ViewsMatch(rest, allUpExcept(0))),
+			actionStep(func() {
+				f.Resume(0)
 				for _, i := range rest {
 					if v := f.Views()[i]; v != nil {
 						doubts += v.Counters.Refutations
 					}
 				}
 			}),
-			until(f, rejoin, "it is back", Agree(Numbers(0, 8), Each("up"))),
-			hold(f, calm, "nobody is doubted", neverFailed(Numbers(0, 8), rest)),
+			waitStep(f, mergePeriods, "it is back", ViewsMatch(NodeRange(0, 8), AllInState("up"))),
+			holdStep(f, stablePeriods, "nobody is doubted", noneFailed(NodeRange(0, 8), rest)),
 			func() error {
 				after := int64(0)
 				for _, i := range rest {
@@ -215,11 +215,11 @@
 	}},
 	{"a restart that is faster than anybody notices", 6, func(f Fleet) error {
 		var start uint64
-		return inOrder(startAll(f),
-			do(func() { start = f.Views()[3].StartMs; f.Kill(3); f.Step() }),
+		return runSteps(startAll(f),
+			actionStep(func() { start = f.Views()[3].StartMs; f.Kill(3); f.Step() }),
 			func() error { return f.Start(3) },
-			until(f, meet, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 3, start) }),
-			until(f, meet, "the new one knows all", Agree([]int{3}, Each("up"))))
+			waitStep(f, startupPeriods, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 3, start) }),
+			waitStep(f, startupPeriods, "the new one knows all", ViewsMatch([]int{3}, AllInState("up"))))
 	}},
 	{"a node that ends in order has left, and is back under a new start", 6, func(f Fleet) error {
 		left := func(k int) string {
@@ -228,22 +228,22 @@
 			}
 			return "up"
 		}
-		return inOrder(startAll(f),
-			do(func() { f.Stop(2) }),
-			until(f, meet, "the others know that it left", Agree([]int{0, 1, 3, 4, 5}, left)),
+		return runSteps(startAll(f),
+			actionStep(func() { f.Stop(2) }),
+			waitStep(f, startupPeriods, "the others know that it left", ViewsMatch([]int{0, 1, 3, 4, 5}, left)),
 			func() error { return f.Start(2) },
-			until(f, meet, "it is back", Agree(Numbers(0, 6), Each("up"))))
+			waitStep(f, startupPeriods, "it is back", ViewsMatch(NodeRange(0, 6), AllInState("up"))))
 	}},
 	{"an old copy of a message comes again", 6, func(f Fleet) error {
 		var old []byte
 		var start uint64
-		return inOrder(startAll(f),
-			until(f, meet, "a message to be copied", func([]*members.View) bool { old = f.Copied(2, 1); return old != nil }),
-			do(func() { start = f.Views()[2].StartMs; f.Kill(2); f.Step() }),
+		return runSteps(startAll(f),
+			waitStep(f, startupPeriods, "a message to be copied", func([]*members.View) bool { old = f.CapturedDatagram(2, 1); return old != nil }),
+			actionStep(func() { start = f.Views()[2].StartMs; f.Kill(2); f.Step() }),
 			func() error { return f.Start(2) },
-			until(f, meet, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 2, start) }),
-			do(func() { f.Inject(1, old) }),
-			hold(f, calm, "the old message changes nothing", Agree([]int{0, 1, 3, 4, 5}, func(k int) string {
+			waitStep(f, startupPeriods, "all know the new start", func(views []*members.View) bool { return startedAfter(views, 2, start) }),
+			actionStep(func() { f.Inject(1, old) }),
+			holdStep(f, stablePeriods, "the old message changes nothing", ViewsMatch([]int{0, 1, 3, 4, 5}, func(k int) string {
 				if k == 2 {
 					return "up"
 				}
@@ -260,13 +260,13 @@
 		return startAll(f)()
 	}},
 	{"all killed but one", 12, func(f Fleet) error {
-		return inOrder(startAll(f),
-			do(func() {
+		return runSteps(startAll(f),
+			actionStep(func() {
 				for i := 1; i < 12; i++ {
 					f.Kill(i)
 				}
 			}),
-			until(f, 2*notice, "it holds all others for silent, and the figure for unknown", func(views []*members.View) bool {
+			waitStep(f, 2*detectionPeriods, "it holds all others for silent, and the figure for unknown", func(views []*members.View) bool {
 				v := views[0]
 				return v != nil && v.Summary.Dead == 11 && !v.Summary.Reliable
 			}),
@@ -278,18 +278,18 @@
 				}
 				return nil
 			},
-			until(f, rejoin, "all are back", Agree(Numbers(0, 12), Each("up"))))
+			waitStep(f, mergePeriods, "all are back", ViewsMatch(NodeRange(0, 12), AllInState("up"))))
 	}},
 	{"messages late, doubled, overtaken and spoilt at once", 8, func(f Fleet) error {
-		all := Ends(Numbers(0, 8))
+		all := NodeEnds(NodeRange(0, 8))
 		way := func(t netfault.Kind, share float64, wait int64) netfault.Fault {
 			return netfault.Fault{Kind: t, From: all, To: all, Share: share, Wait: wait, Seed: 3}
 		}
-		return inOrder(startAll(f),
-			do(func() {
+		return runSteps(startAll(f),
+			actionStep(func() {
 				f.AddFaults(way(netfault.Duplicate, 0.3, 2e9), way(netfault.Reorder, 0.2, 60e6), way(netfault.Corrupt, 0.1, 0), way(netfault.Delay, 0, 10e6))
 			}),
-			hold(f, 2*calm, "nobody is taken for silent", neverFailed(Numbers(0, 8), Numbers(0, 8))),
+			holdStep(f, 2*stablePeriods, "nobody is taken for silent", noneFailed(NodeRange(0, 8), NodeRange(0, 8))),
 			func() error {
 				bad := int64(0)
 				for _, v := range f.Views() {
--- a/internal/lab/fleet/distribution_test.go
+++ b/internal/lab/fleet/distribution_test.go
@@ -22,51 +22,51 @@
 
 // Who is who on the links: nodes from 0, then these.
 const (
-	relayA   = 100 // of region a, where discovery and the origin are
-	relayB   = 101
-	theOne   = 200 // the origin
-	theirs   = 201 // discovery
-	apartOne = 2   // the node that is in region b
+	relayA         = 100 // of region a, where discovery and the origin are
+	relayB         = 101
+	originIndex    = 200 // the origin
+	discoveryIndex = 201 // discovery
+	remoteNode     = 2   // the node that is in region b
 
-	toldWithin = 6 * time.Second // after discovery had it and could be reached
+	propagationLimit = 6 * time.Second // after discovery had it and could be reached
 )
 
-func end(i int) netfault.End { return netfault.End{Kind: netfault.Node, Index: i} }
+func linkEnd(i int) netfault.End { return netfault.End{Kind: netfault.Node, Index: i} }
 
 // relayed is a fleet of three nodes that follow two relays below an origin, each way through a relay of the lab's.
-type relayed struct {
+type relayFleet struct {
 	*Processes
-	t     *testing.T
-	ways  map[[2]int]*faultproxy.Stream
-	files map[string]string // configurations
-	addr  map[string]string
-	procs map[string]emulator.Process
-	book  *invariant.History
-	from  time.Time
-
-	open map[handOff]*invariant.Attempt // by the ledger's own lock
-
-	mu      sync.Mutex
-	asked   [3]int
-	good    [3]int
-	version int64
-	state   map[int]string     // health of each server
-	heard   map[[2]int][]heard // by node and server, of the test's own goroutine
+	t           *testing.T
+	streams     map[[2]int]*faultproxy.Stream
+	configPaths map[string]string // configurations
+	addresses   map[string]string
+	procs       map[string]emulator.Process
+	history     *invariant.History
+	startTime   time.Time
+
+	openAttempts map[attemptKey]*invariant.Attempt // by the ledger's own lock
+
+	mu             sync.Mutex
+	sent           [3]int
+	inTime         [3]int
+	version        int64
+	endpointStates map[int]string          // health of each server
+	listChanges    map[[2]int][]listChange // by node and server, of the test's own goroutine
 }
 
-type handOff struct {
-	task   string
-	server int
-	came   time.Time
+type attemptKey struct {
+	request   string
+	endpoint  int
+	arrivedAt time.Time
 }
 
-func (r *relayed) way(from, to int, target func() string) string {
-	s, err := faultproxy.NewStream(r.proxies, "127.0.0.1:0", end(from), end(to), target)
+func (r *relayFleet) openStream(from, to int, target func() string) string {
+	s, err := faultproxy.NewStream(r.proxies, "127.0.0.1:0", linkEnd(from), linkEnd(to), target)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(s.Close)
-	r.ways[[2]int{from, to}] = s
+	r.streams[[2]int{from, to}] = s
 	return s.Address()
 }
 
@@ -79,40 +79,40 @@
 	return l.Addr().String()
 }
 
-// newRelayed starts an origin, two relays and three nodes; with plain, the nodes watch discovery alone.
-func newRelayed(t *testing.T, plain bool) *relayed {
+// newRelayFleet starts an origin, two relays and three nodes; with plain, the nodes watch discovery alone.
+func newRelayFleet(t *testing.T, plain bool) *relayFleet {
 	t.Helper()
-	r := &relayed{
-		Processes: processes(t, 3), t: t, ways: map[[2]int]*faultproxy.Stream{}, files: map[string]string{}, addr: map[string]string{},
-		procs: map[string]emulator.Process{}, book: &invariant.History{}, open: map[handOff]*invariant.Attempt{}, from: time.Now(), version: 1, state: map[int]string{}, heard: map[[2]int][]heard{},
+	r := &relayFleet{
+		Processes: newTestFleet(t, 3), t: t, streams: map[[2]int]*faultproxy.Stream{}, configPaths: map[string]string{}, addresses: map[string]string{},
+		procs: map[string]emulator.Process{}, history: &invariant.History{}, openAttempts: map[attemptKey]*invariant.Attempt{}, startTime: time.Now(), version: 1, endpointStates: map[int]string{}, listChanges: map[[2]int][]listChange{},
 	}
 	for i := range r.endpoints {
-		r.state[i] = "up"
+		r.endpointStates[i] = "up"
 	}
 	discovery := func() string { return r.discovery.Address() }
-	r.DiscoveryFor = func(node int) string { return r.ways[[2]int{node, theirs}].Address() }
+	r.DiscoveryFor = func(node int) string { return r.streams[[2]int{node, discoveryIndex}].Address() }
 	for i := range 3 {
-		r.way(i, theirs, discovery)
+		r.openStream(i, discoveryIndex, discovery)
 	}
 	if !plain {
-		r.addr["origin"], r.addr["a"], r.addr["b"] = freePort(t), freePort(t), freePort(t)
-		at := func(name string) func() string { return func() string { return r.addr[name] } }
-		r.configure("origin", fmt.Sprintf("role = \"origin\"\n[origin]\ndiscovery = %q\n[origin.scope]\nservice = \"web\"\nregion = \"eu\"\n", r.way(theOne, theirs, discovery)))
-		r.configure("a", fmt.Sprintf("role = \"relay\"\nupstream = [%q]\n", r.way(relayA, theOne, at("origin"))))
-		r.configure("b", fmt.Sprintf("role = \"relay\"\nupstream = [%q]\n", r.way(relayB, theOne, at("origin"))))
+		r.addresses["origin"], r.addresses["a"], r.addresses["b"] = freePort(t), freePort(t), freePort(t)
+		at := func(name string) func() string { return func() string { return r.addresses[name] } }
+		r.writeConfig("origin", fmt.Sprintf("role = \"origin\"\n[origin]\ndiscovery = %q\n[origin.scope]\nservice = \"web\"\nregion = \"eu\"\n", r.openStream(originIndex, discoveryIndex, discovery)))
+		r.writeConfig("a", fmt.Sprintf("role = \"relay\"\nupstream = [%q]\n", r.openStream(relayA, originIndex, at("origin"))))
+		r.writeConfig("b", fmt.Sprintf("role = \"relay\"\nupstream = [%q]\n", r.openStream(relayB, originIndex, at("origin"))))
 		var to [3][2]string
 		for i := range 3 {
-			to[i] = [2]string{r.way(i, relayA, at("a")), r.way(i, relayB, at("b"))}
+			to[i] = [2]string{r.openStream(i, relayA, at("a")), r.openStream(i, relayB, at("b"))}
 		}
 		r.ExtraFeatures = func(node int) string {
 			return fmt.Sprintf("[distribution]\nrelays = [%q, %q]\nscopes = [\"eu/web\"]\n", to[node][0], to[node][1])
 		}
 		for _, name := range []string{"origin", "a", "b"} {
-			r.begin(name)
+			r.startProcess(name)
 		}
 		t.Cleanup(func() {
 			for name := range r.procs {
-				r.finish(name)
+				r.killProcess(name)
 			}
 		})
 	}
@@ -123,102 +123,102 @@
 				return
 			}
 			if !a.ClosedAt.IsZero() {
-				r.book.Update(func() { r.open[handOff{a.Request, i, a.ArrivedAt}].ClosedAt = r.at(a.ClosedAt) })
+				r.history.Update(func() { r.openAttempts[attemptKey{a.Request, i, a.ArrivedAt}].ClosedAt = r.sinceStart(a.ClosedAt) })
 				return
 			}
-			h := &invariant.Attempt{Request: a.Request, Node: task / perNode, Endpoint: i, Incarnation: 1, Zone: "a"}
-			r.book.RecordAttempt(h)
-			r.book.Update(func() {
-				r.open[handOff{a.Request, i, a.ArrivedAt}] = h
-				h.FirstByteAt, h.LastByteAt, h.AnsweredAt, h.Status, h.Executed = r.at(a.ArrivedAt), r.at(a.ArrivedAt), r.at(a.AnsweredAt), 200, true
+			h := &invariant.Attempt{Request: a.Request, Node: task / requestsPerNode, Endpoint: i, Incarnation: 1, Zone: "a"}
+			r.history.RecordAttempt(h)
+			r.history.Update(func() {
+				r.openAttempts[attemptKey{a.Request, i, a.ArrivedAt}] = h
+				h.FirstByteAt, h.LastByteAt, h.AnsweredAt, h.Status, h.Executed = r.sinceStart(a.ArrivedAt), r.sinceStart(a.ArrivedAt), r.sinceStart(a.AnsweredAt), 200, true
 			})
 		})
 	}
 	for i := range 3 {
-		r.book.RecordProcess(&invariant.Process{Node: i, Incarnation: 1, StartedAt: r.at(time.Now())})
+		r.history.RecordProcess(&invariant.Process{Node: i, Incarnation: 1, StartedAt: r.sinceStart(time.Now())})
 		if err := r.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.serving(t)
+	r.waitServing(t)
 	return r
 }
 
-const perNode = 1 << 20 // numbers of requests
+const requestsPerNode = 1 << 20 // numbers of requests
 
-func (r *relayed) at(t time.Time) int64 { return int64(t.Sub(r.from)) }
+func (r *relayFleet) sinceStart(t time.Time) int64 { return int64(t.Sub(r.startTime)) }
 
-func (r *relayed) configure(name, text string) {
-	r.files[name] = filepath.Join(r.dir, name+".toml")
-	text = fmt.Sprintf("name = %q\nlisten = %q\n", name, r.addr[name]) + text
-	if err := os.WriteFile(r.files[name], []byte(text), 0o600); err != nil {
+func (r *relayFleet) writeConfig(name, text string) {
+	r.configPaths[name] = filepath.Join(r.dir, name+".toml")
+	text = fmt.Sprintf("name = %q\nlisten = %q\n", name, r.addresses[name]) + text
+	if err := os.WriteFile(r.configPaths[name], []byte(text), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
 // begin starts a relay or the origin, with nothing.
-func (r *relayed) begin(name string) {
-	proc, err := emulator.Command([]string{r.Program[0], "relay", "--config", r.files[name]})("", nil, r.Log)
+func (r *relayFleet) startProcess(name string) {
+	proc, err := emulator.Command([]string{r.Program[0], "relay", "--config", r.configPaths[name]})("", nil, r.Log)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.procs[name] = proc
 }
 
-func (r *relayed) finish(name string) {
+func (r *relayFleet) killProcess(name string) {
 	_ = r.procs[name].Signal(syscall.SIGKILL)
 	<-r.procs[name].Done()
 }
 
 // set has discovery list an endpoint otherwise. Who has a way to be told counts as told six seconds later.
-func (r *relayed) set(server int, health string, apart bool) {
+func (r *relayFleet) setState(server int, health string, apart bool) {
 	r.mu.Lock()
-	r.state[server] = health
+	r.endpointStates[server] = health
 	r.version++
 	version := r.version
 	var list []ListEntry
 	for i, s := range r.endpoints {
-		list = append(list, ListEntry{Endpoint: s, State: r.state[i]})
+		list = append(list, ListEntry{Endpoint: s, State: r.endpointStates[i]})
 	}
 	r.mu.Unlock()
 	r.discovery.SetList(version, list...)
 	for node := range 3 {
-		if !apart || node != apartOne {
-			r.hear(node, server, health)
+		if !apart || node != remoteNode {
+			r.recordChange(node, server, health)
 		}
 	}
 }
 
 // heard is a change that a node could be told from a moment on.
-type heard struct {
-	health string
-	at     time.Time
+type listChange struct {
+	state string
+	at    time.Time
 }
 
-func (r *relayed) hear(node, server int, health string) {
+func (r *relayFleet) recordChange(node, server int, health string) {
 	k := [2]int{node, server}
-	r.heard[k] = append(r.heard[k], heard{health, time.Now()})
+	r.listChanges[k] = append(r.listChanges[k], listChange{health, time.Now()})
 }
 
 // tell enters what nodes are taken to know: a drain six seconds after each could be told of it, unless it had ended by then; and that a
 // server is up at once, as a node may use it from when it hears of it.
-func (r *relayed) tell() {
-	for k, all := range r.heard {
+func (r *relayFleet) recordPresumedEntries() {
+	for k, all := range r.listChanges {
 		for i, h := range all {
-			t := invariant.ListEntry{Node: k[0], Incarnation: 1, Endpoint: k[1], State: model.Up, At: r.at(h.at)}
-			if h.health != "up" {
-				t.State, t.At = model.Draining, t.At+int64(toldWithin)
-				if i+1 < len(all) && r.at(all[i+1].at) <= t.At {
+			t := invariant.ListEntry{Node: k[0], Incarnation: 1, Endpoint: k[1], State: model.Up, At: r.sinceStart(h.at)}
+			if h.state != "up" {
+				t.State, t.At = model.Draining, t.At+int64(propagationLimit)
+				if i+1 < len(all) && r.sinceStart(all[i+1].at) <= t.At {
 					continue
 				}
 			}
-			r.book.RecordEntries(t)
+			r.history.RecordEntries(t)
 		}
 	}
 }
 
 // load sends requests to all nodes until it is told to end.
-func (r *relayed) load() (end func()) {
+func (r *relayFleet) sendLoad() (end func()) {
 	over := make(chan struct{})
 	var all sync.WaitGroup
 	for node := range 3 {
@@ -229,7 +229,7 @@
 					case <-over:
 						return
 					case <-time.After(8 * time.Millisecond):
-						r.ask(node, node*perNode+1+k+3*n, k%2)
+						r.sendRecorded(node, node*requestsPerNode+1+k+3*n, k%2)
 					}
 				}
 			})
@@ -238,16 +238,16 @@
 	return func() { close(over); all.Wait() }
 }
 
-var kinds = []invariant.Class{{Name: "view", Idempotency: invariant.Idempotent}, {Name: "pay", Idempotency: invariant.NonIdempotent}}
+var requestClasses = []invariant.Class{{Name: "view", Idempotency: invariant.Idempotent}, {Name: "pay", Idempotency: invariant.NonIdempotent}}
 
 // ask sends one request and enters what became of it.
-func (r *relayed) ask(node, number, kind int) {
-	now := r.at(time.Now())
+func (r *relayFleet) sendRecorded(node, number, kind int) {
+	now := r.sinceStart(time.Now())
 	try := &invariant.Request{ID: fmt.Sprintf("%016x", number), Operation: number, Node: node, Incarnation: 1, Class: kind, SentAt: now, Deadline: now + int64(2*time.Second)}
-	r.book.RecordRequest(try)
-	status, err := r.once(node, kinds[kind].Name, try.ID)
-	done := r.at(time.Now())
-	r.book.Update(func() {
+	r.history.RecordRequest(try)
+	status, err := r.send(node, requestClasses[kind].Name, try.ID)
+	done := r.sinceStart(time.Now())
+	r.history.Update(func() {
 		if err != nil {
 			try.ClosedAt = done
 		} else {
@@ -256,14 +256,14 @@
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked[node]++
+	r.sent[node]++
 	if err == nil && status == 200 && done-now <= int64(time.Second) {
-		r.good[node]++
+		r.inTime[node]++
 	}
 }
 
-func (r *relayed) once(node int, category, id string) (int, error) {
-	c, err := net.DialTimeout("tcp", r.Listen(node), askWithin)
+func (r *relayFleet) send(node int, category, id string) (int, error) {
+	c, err := net.DialTimeout("tcp", r.ListenAddress(node), callTimeout)
 	if err != nil {
 		return 0, err
 	}
@@ -278,36 +278,36 @@
 	return in.StatusCode, nil
 }
 
-func (r *relayed) served() float64 {
+func (r *relayFleet) inTimeFraction() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	good, asked := 0, 0
-	for i := range r.good {
-		good, asked = good+r.good[i], asked+r.asked[i]
+	for i := range r.inTime {
+		good, asked = good+r.inTime[i], asked+r.sent[i]
 	}
 	return float64(good) / float64(max(asked, 1))
 }
 
 // by is whose list holds at a node, by its console.
-func (r *relayed) by(node int) string {
+func (r *relayFleet) listSource(node int) string {
 	var says struct {
 		By string `json:"by"`
 	}
-	if status, text, err := Ask(r.Console(node), "GET", "/relays"); err != nil || status != 200 || json.Unmarshal(text, &says) != nil {
+	if status, text, err := Call(r.AdminAddress(node), "GET", "/relays"); err != nil || status != 200 || json.Unmarshal(text, &says) != nil {
 		return fmt.Sprint(status, err)
 	}
 	return says.By
 }
 
 // gauge is how late this process runs: what endpoints and clients note here is as late.
-type gauge struct {
+type lagMeter struct {
 	mu    sync.Mutex
 	slots map[int64]int64
 }
 
-const slot = int64(100 * time.Millisecond)
+const lagSlot = int64(100 * time.Millisecond)
 
-func (g *gauge) run(from time.Time, over chan struct{}) {
+func (g *lagMeter) run(from time.Time, over chan struct{}) {
 	for last := int64(0); ; {
 		select {
 		case <-over:
@@ -316,7 +316,7 @@
 		}
 		now := int64(time.Since(from))
 		g.mu.Lock()
-		for i := last / slot; i <= now/slot; i++ {
+		for i := last / lagSlot; i <= now/lagSlot; i++ {
 			g.slots[i] = max(g.slots[i], now-last-int64(2*time.Millisecond))
 		}
 		g.mu.Unlock()
@@ -325,20 +325,20 @@
 }
 
 // late is the worst within half a second, twice over, as nodes on the same machine suffer the same.
-func (g *gauge) late(at int64) (worst int64) {
+func (g *lagMeter) lagAt(at int64) (worst int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for i := at/slot - 5; i <= at/slot+5; i++ {
+	for i := at/lagSlot - 5; i <= at/lagSlot+5; i++ {
 		worst = max(worst, 2*g.slots[i])
 	}
 	return worst
 }
 
 // used are the endpoints that a node sent to after a moment, by what came to endpoints.
-func (r *relayed) used(node int, after time.Time) (servers [8]int) {
-	r.book.Update(func() {
-		for _, h := range r.book.Attempts {
-			if h.Node == node && h.FirstByteAt > r.at(after) {
+func (r *relayFleet) attemptCounts(node int, after time.Time) (servers [8]int) {
+	r.history.Update(func() {
+		for _, h := range r.history.Attempts {
+			if h.Node == node && h.FirstByteAt > r.sinceStart(after) {
 				servers[h.Endpoint]++
 			}
 		}
@@ -349,10 +349,10 @@
 // order puts attempts of one request right that endpoints read in one moment, as this process had stood still: which of them came first was
 // lost, so the one whose connection the node closed unanswered, before the server read it, counts as the first. One that is not closed by
 // then stays where it was, and is a hedged request.
-func (r *relayed) order(late func(int64) int64) {
-	r.book.Update(func() {
+func (r *relayFleet) orderStalledAttempts(late func(int64) int64) {
+	r.history.Update(func() {
 		of := map[string][]*invariant.Attempt{}
-		for _, h := range r.book.Attempts {
+		for _, h := range r.history.Attempts {
 			of[h.Request] = append(of[h.Request], h)
 		}
 		for _, all := range of {
@@ -369,14 +369,14 @@
 }
 
 // story is what became of a request, for who reads a failure.
-func (r *relayed) story(task string) string {
+func (r *relayFleet) describeRequest(task string) string {
 	text := "nothing known"
-	for _, t := range r.book.Requests {
+	for _, t := range r.history.Requests {
 		if t.ID == task {
-			text = fmt.Sprintf("%s at %.1f ms, answered %d at %.1f", kinds[t.Class].Name, float64(t.SentAt)/1e6, t.Status, float64(t.AnsweredAt)/1e6)
+			text = fmt.Sprintf("%s at %.1f ms, answered %d at %.1f", requestClasses[t.Class].Name, float64(t.SentAt)/1e6, t.Status, float64(t.AnsweredAt)/1e6)
 		}
 	}
-	for _, h := range r.book.Attempts {
+	for _, h := range r.history.Attempts {
 		if h.Request == task {
 			text += fmt.Sprintf(", s%d %.1f to %.1f, closed %.1f", h.Endpoint, float64(h.FirstByteAt)/1e6, float64(h.AnsweredAt)/1e6, float64(h.ClosedAt)/1e6)
 		}
@@ -385,9 +385,9 @@
 }
 
 // history is how many requests a node sent to an endpoint in each second, for who reads a failure.
-func (r *relayed) history(node, server int) (all [64]int) {
-	r.book.Update(func() {
-		for _, h := range r.book.Attempts {
+func (r *relayFleet) attemptsPerSecond(node, server int) (all [64]int) {
+	r.history.Update(func() {
+		for _, h := range r.history.Attempts {
 			if s := h.FirstByteAt / int64(time.Second); h.Node == node && h.Endpoint == server && s >= 0 && s < int64(len(all)) {
 				all[s]++
 			}
@@ -400,30 +400,30 @@
 // nothing, the other frozen while none is left, and two regions lose each other: no rule is broken, all nodes end with the same endpoints, and requests are served as
 // by nodes that watch discovery themselves.
 func TestRelaysWithFaults(t *testing.T) {
-	r, plain := newRelayed(t, false), newRelayed(t, true)
+	r, plain := newRelayFleet(t, false), newRelayFleet(t, true)
 	for i := range 3 {
-		for tries := 0; r.by(i) != "relays"; tries++ {
+		for tries := 0; r.listSource(i) != "relays"; tries++ {
 			if tries > 500 {
-				t.Fatalf("n%d goes by %s", i, r.by(i))
+				t.Fatalf("n%d goes by %s", i, r.listSource(i))
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	both := []*relayed{r, plain}
+	both := []*relayFleet{r, plain}
 	over := make(chan struct{})
 	defer close(over)
-	machine := &gauge{slots: map[int64]int64{}}
-	go machine.run(r.from, over)
+	machine := &lagMeter{slots: map[int64]int64{}}
+	go machine.run(r.startTime, over)
 	var ends []func()
 	for _, one := range both {
-		ends = append(ends, one.load())
+		ends = append(ends, one.sendLoad())
 	}
 	set := func(server int, health string, apart bool) {
 		for _, one := range both {
-			one.set(server, health, apart)
+			one.setState(server, health, apart)
 		}
 	}
-	nodes, relays, origin := []netfault.End{end(0), end(1), end(2)}, []netfault.End{end(relayA), end(relayB)}, []netfault.End{end(theOne)}
+	nodes, relays, origin := []netfault.End{linkEnd(0), linkEnd(1), linkEnd(2)}, []netfault.End{linkEnd(relayA), linkEnd(relayB)}, []netfault.End{linkEnd(originIndex)}
 	lossy := func(from, to []netfault.End, seed uint64) []netfault.Fault {
 		return []netfault.Fault{
 			{Kind: netfault.Drop, From: from, To: to, Share: 0.1, Burst: 1, Seed: seed},
@@ -437,77 +437,77 @@
 	set(0, "draining", false)
 	time.Sleep(2 * time.Second)
 	// A relay is killed; a second later it is there again, with nothing.
-	r.finish("a")
+	r.killProcess("a")
 	time.Sleep(time.Second)
 	set(1, "draining", false)
-	r.begin("a")
+	r.startProcess("a")
 	time.Sleep(4500 * time.Millisecond)
 	r.ClearFaults()
 	set(0, "up", false)
 	// The other one stands still, and then the first is killed again: no relay answers, so that discovery has to tell.
 	_ = r.procs["b"].Signal(syscall.SIGSTOP)
 	time.Sleep(time.Second)
-	r.finish("a")
+	r.killProcess("a")
 	set(1, "up", false)
 	set(2, "draining", false)
-	time.Sleep(toldWithin + 1500*time.Millisecond)
-	r.begin("a")
+	time.Sleep(propagationLimit + 1500*time.Millisecond)
+	r.startProcess("a")
 	_ = r.procs["b"].Signal(syscall.SIGCONT)
 	time.Sleep(3 * time.Second)
 	// Two regions lose each other: relay b and one node on one side, all others on the other.
-	here := []netfault.End{end(0), end(1), end(relayA), end(theOne), end(theirs)}
-	there := []netfault.End{end(apartOne), end(relayB)}
+	here := []netfault.End{linkEnd(0), linkEnd(1), linkEnd(relayA), linkEnd(originIndex), linkEnd(discoveryIndex)}
+	there := []netfault.End{linkEnd(remoteNode), linkEnd(relayB)}
 	cut := netfault.Fault{Kind: netfault.Cut, From: here, To: there, Seed: 5}
 	r.AddFaults(cut)
-	plain.AddFaults(netfault.Fault{Kind: netfault.Cut, From: []netfault.End{end(theirs)}, To: []netfault.End{end(apartOne)}, Seed: 5})
+	plain.AddFaults(netfault.Fault{Kind: netfault.Cut, From: []netfault.End{linkEnd(discoveryIndex)}, To: []netfault.End{linkEnd(remoteNode)}, Seed: 5})
 	time.Sleep(time.Second)
 	set(2, "up", true)
 	set(3, "draining", true)
 	time.Sleep(7 * time.Second)
 	for _, one := range both {
 		one.ClearFaults()
-		one.hear(apartOne, 2, "up")
-		one.hear(apartOne, 3, "draining")
+		one.recordChange(remoteNode, 2, "up")
+		one.recordChange(remoteNode, 3, "draining")
 	}
-	time.Sleep(toldWithin + time.Second)
+	time.Sleep(propagationLimit + time.Second)
 	last := time.Now()
 	time.Sleep(2 * time.Second)
 	for _, e := range ends {
 		e()
 	}
 
-	for name, one := range map[string]*relayed{"relays": r, "discovery": plain} {
+	for name, one := range map[string]*relayFleet{"relays": r, "discovery": plain} {
 		for node := range 3 {
-			used := one.used(node, last)
+			used := one.attemptCounts(node, last)
 			for server, n := range used[:len(one.endpoints)] {
-				if up := one.state[server] == "up"; up != (n > 0) {
-					t.Errorf("%s: in the end n%d sent %d tasks to s%d, which is %s; all: %v; to it by seconds of the test: %v", name, node, n, server, one.state[server], used, one.history(node, server))
+				if up := one.endpointStates[server] == "up"; up != (n > 0) {
+					t.Errorf("%s: in the end n%d sent %d tasks to s%d, which is %s; all: %v; to it by seconds of the test: %v", name, node, n, server, one.endpointStates[server], used, one.attemptsPerSecond(node, server))
 				}
 			}
 		}
-		late := func(at int64) int64 { return machine.late(at + int64(one.from.Sub(r.from))) }
-		one.order(late)
-		one.tell()
-		one.book.Close()
-		breaks := one.book.Check(kinds, invariant.Rules{
-			StopSending: int64(500 * time.Millisecond), Slack: int64(50 * time.Millisecond),
+		late := func(at int64) int64 { return machine.lagAt(at + int64(one.startTime.Sub(r.startTime))) }
+		one.orderStalledAttempts(late)
+		one.recordPresumedEntries()
+		one.history.Close()
+		breaks := one.history.Check(requestClasses, invariant.Rules{
+			StopSendingWithin: int64(500 * time.Millisecond), Slack: int64(50 * time.Millisecond),
 			Lag: late,
 		})
 		for _, b := range breaks[:min(5, len(breaks))] {
-			t.Errorf("%s: %d breaks, %s; of the task, %s; the test ran %.0f ms late", name, len(breaks), b, one.story(b.Request),
+			t.Errorf("%s: %d breaks, %s; of the task, %s; the test ran %.0f ms late", name, len(breaks), b, one.describeRequest(b.Request),
 				float64(late(b.At))/2e6)
 		}
 	}
 	for i := range 3 {
-		if by := r.by(i); by != "relays" {
+		if by := r.listSource(i); by != "relays" {
 			t.Errorf("in the end n%d goes by %s", i, by)
 		}
-		_, text, _ := Ask(r.Console(i), "GET", "/relays")
+		_, text, _ := Call(r.AdminAddress(i), "GET", "/relays")
 		t.Logf("n%d: %s", i, text)
 	}
-	if with, without := r.served(), plain.served(); with < without-0.01 {
+	if with, without := r.inTimeFraction(), plain.inTimeFraction(); with < without-0.01 {
 		t.Errorf("%.4f of the tasks served in time with relays, %.4f with plain discovery", with, without)
 	} else {
-		t.Logf("%.4f of %v tasks served in time with relays, %.4f of %v with plain discovery", with, r.asked, without, plain.asked)
+		t.Logf("%.4f of %v tasks served in time with relays, %.4f of %v with plain discovery", with, r.sent, without, plain.sent)
 	}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -20,8 +20,8 @@
 	// Kill ends all processes of a node at once; Stop has it end in order; Freeze and Thaw hold it where it stands.
 	Kill(node int)
 	Stop(node int)
-	Freeze(node int)
-	Thaw(node int)
+	Pause(node int)
+	Resume(node int)
 	// AddFaults puts faults on links until ClearFaults. Times of a fault are counted from now; End 0: until ClearFaults.
 	AddFaults(faults ...netfault.Fault)
 	ClearFaults()
@@ -32,12 +32,12 @@
 	// Inject has a datagram come to a node as if from a wire.
 	Inject(to int, datagram []byte)
 	// Copied returns a datagram that once went from one node to another; nil if none did.
-	Copied(from, to int) []byte
+	CapturedDatagram(from, to int) []byte
 }
 
 // Until waits for a statement about all views to hold, and fails once every node that answers has been through so many rounds
 // since the call, with the statement false to the end.
-func Until(f Fleet, rounds int64, what string, holds func([]*members.View) bool) (took int64, err error) {
+func WaitUntil(f Fleet, rounds int64, what string, holds func([]*members.View) bool) (took int64, err error) {
 	first := make([]int64, f.Len())
 	for i := range first {
 		first[i] = -1
@@ -64,18 +64,18 @@
 			silent = 0
 		}
 		if least > rounds || silent > 2000 {
-			return least, fmt.Errorf("%s: not so after %d rounds of every node:\n%s", what, least, Table(views))
+			return least, fmt.Errorf("%s: not so after %d rounds of every node:\n%s", what, least, FormatViews(views))
 		}
 		f.Step()
 	}
 }
 
 // Hold watches a statement stay true while every node that answers goes through so many rounds.
-func Hold(f Fleet, rounds int64, what string, holds func([]*members.View) bool) error {
+func RequireDuring(f Fleet, rounds int64, what string, holds func([]*members.View) bool) error {
 	broken := ""
-	_, err := Until(f, rounds, what, func(views []*members.View) bool {
+	_, err := WaitUntil(f, rounds, what, func(views []*members.View) bool {
 		if !holds(views) && broken == "" {
-			broken = Table(views)
+			broken = FormatViews(views)
 		}
 		return broken != ""
 	})
@@ -86,10 +86,10 @@
 }
 
 // letters of the states in a table of views.
-var letters = map[string]string{"never seen": ".", "up": "U", "doubted": "?", "silent": "-", "left": "L"}
+var stateLetters = map[string]string{"never seen": ".", "up": "U", "doubted": "?", "silent": "-", "left": "L"}
 
 // Table shows views beneath one another: a row for each node that believes, a letter for each that it believes of.
-func Table(views []*members.View) string {
+func FormatViews(views []*members.View) string {
 	var b strings.Builder
 	for i, v := range views {
 		fmt.Fprintf(&b, "n%-3d ", i)
@@ -98,7 +98,7 @@
 			continue
 		}
 		for _, r := range v.Members {
-			b.WriteString(letters[r.State])
+			b.WriteString(stateLetters[r.State])
 		}
 		f := v.Summary
 		fmt.Fprintf(&b, "  round %d, strain %d, known %v %s, heard %.2f\n", v.Periods, v.HealthScore, f.Reliable, f.Reason, f.ProbeSuccessRate)
@@ -107,7 +107,7 @@
 }
 
 // Agree tells whether every node of some that answers believes of each node what a function says; "" stands for anything.
-func Agree(of []int, want func(node int) string) func([]*members.View) bool {
+func ViewsMatch(of []int, want func(node int) string) func([]*members.View) bool {
 	return func(views []*members.View) bool {
 		for _, i := range of {
 			if views[i] == nil {
@@ -124,10 +124,10 @@
 }
 
 // Each is a state for all nodes.
-func Each(state string) func(int) string { return func(int) string { return state } }
+func AllInState(state string) func(int) string { return func(int) string { return state } }
 
 // Numbers are the numbers from a to before b.
-func Numbers(a, b int) []int {
+func NodeRange(a, b int) []int {
 	var out []int
 	for i := a; i < b; i++ {
 		out = append(out, i)
@@ -136,7 +136,7 @@
 }
 
 // Ends names nodes as ends of links.
-func Ends(nodes []int) []netfault.End {
+func NodeEnds(nodes []int) []netfault.End {
 	out := make([]netfault.End, len(nodes))
 	for i, n := range nodes {
 		out[i] = netfault.End{Kind: netfault.Node, Index: n}
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -23,7 +23,7 @@
 	BytesPerS         float64   `json:"bytes_s"`     // of those
 	MaxSentPerS       float64   `json:"most_sent_s"` // of the node that sent most
 	DeathKnownS       []float64 `json:"death_known_s"`
-	DeathRounds       []int64   `json:"death_rounds"` // of the slowest node
+	DeathPeriods      []int64   `json:"death_rounds"` // of the slowest node
 }
 
 // timed is a fleet with a clock.
@@ -31,15 +31,15 @@
 	Fleet
 	Now() int64
 	// Counts of every node that runs, and what it believes of one.
-	Counts() []*members.Counters
-	AllSee(of int, state members.State) (all bool)
+	Counters() []*members.Counters
+	AllReport(of int, state members.State) (all bool)
 }
 
 // Now is the time since the fleet was made, nanoseconds.
 func (p *Processes) Now() int64 { return int64(time.Since(p.startedAt)) }
 
 // Counts implements measurable.
-func (p *Processes) Counts() []*members.Counters {
+func (p *Processes) Counters() []*members.Counters {
 	out := make([]*members.Counters, len(p.nodes))
 	for i, v := range p.Views() {
 		if v != nil {
@@ -49,8 +49,8 @@
 	return out
 }
 
-// AllSee implements measurable.
-func (p *Processes) AllSee(of int, state members.State) bool {
+// AllReport implements measurable.
+func (p *Processes) AllReport(of int, state members.State) bool {
 	for i, v := range p.Views() {
 		if i != of && (v == nil || v.Members[of].State != state.String()) {
 			return false
@@ -60,7 +60,7 @@
 }
 
 // Counts implements measurable.
-func (v *Virtual) Counts() []*members.Counters {
+func (v *Virtual) Counters() []*members.Counters {
 	out := make([]*members.Counters, len(v.nodes))
 	for i, s := range v.nodes {
 		if s.membership != nil {
@@ -71,8 +71,8 @@
 	return out
 }
 
-// AllSee implements measurable.
-func (v *Virtual) AllSee(of int, state members.State) bool {
+// AllReport implements measurable.
+func (v *Virtual) AllReport(of int, state members.State) bool {
 	for i, s := range v.nodes {
 		if i != of && (s.membership == nil || s.membership.StateOf(of) != state) {
 			return false
@@ -90,7 +90,7 @@
 		}
 	}
 	all := func(node int, state members.State, what string) (steps int64, err error) {
-		for ; !f.AllSee(node, state); steps++ {
+		for ; !f.AllReport(node, state); steps++ {
 			if steps > 5*rounds {
 				return steps, fmt.Errorf("%d nodes, loss %.2f: n%d not %s for all within %d rounds", f.Len(), loss, node, what, rounds)
 			}
@@ -103,17 +103,17 @@
 			return nil, err
 		}
 	}
-	everybody := Ends(Numbers(0, f.Len()))
+	everybody := NodeEnds(NodeRange(0, f.Len()))
 	if loss > 0 {
 		f.AddFaults(netfault.Fault{Kind: netfault.Drop, From: everybody, To: everybody, Share: loss, Burst: burst, Seed: 11})
 	}
-	before, from := f.Counts(), f.Now()
+	before, from := f.Counters(), f.Now()
 	for f.Now() < from+int64(watch) {
 		f.Step()
 	}
 	long := float64(f.Now()-from) / 1e9
 	out.WatchedS = long
-	for i, c := range f.Counts() {
+	for i, c := range f.Counters() {
 		if c == nil || before[i] == nil {
 			continue
 		}
@@ -133,7 +133,7 @@
 			return nil, err
 		}
 		out.DeathKnownS = append(out.DeathKnownS, float64(f.Now()-killed)/1e9)
-		out.DeathRounds = append(out.DeathRounds, (steps+4)/5)
+		out.DeathPeriods = append(out.DeathPeriods, (steps+4)/5)
 		if err := f.Start(victim); err != nil {
 			return nil, err
 		}
--- a/internal/lab/fleet/power_test.go
+++ b/internal/lab/fleet/power_test.go
@@ -15,28 +15,28 @@
 	"fawnglade/internal/members"
 )
 
-const grace = 550 * time.Millisecond // to stop sending, with what a socket may hold up
+const drainGrace = 550 * time.Millisecond // to stop sending, with what a socket may hold up
 
 // remembering is a fleet whose nodes keep a memory and know their endpoints.
-func remembering(t *testing.T, nodes int) *Processes {
+func newPersistentFleet(t *testing.T, nodes int) *Processes {
 	t.Helper()
-	p := processes(t, nodes)
+	p := newTestFleet(t, nodes)
 	p.PersistState = true
 	for i := range nodes {
 		if err := p.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p.serving(t)
+	p.waitServing(t)
 	return p
 }
 
 // serving waits until every node is ready, and has done a request.
-func (p *Processes) serving(t *testing.T) {
+func (p *Processes) waitServing(t *testing.T) {
 	t.Helper()
 	for i := range p.nodes {
 		for tries := 0; ; tries++ {
-			status, _, err := Ask(p.Listen(i), "GET", "/ready")
+			status, _, err := Call(p.ListenAddress(i), "GET", "/ready")
 			if err == nil && status == 200 && p.SendRequest(i, 0) == nil {
 				break
 			}
@@ -48,10 +48,10 @@
 	}
 }
 
-var numbers atomic.Int64
+var requestNumber atomic.Int64
 
 // busy sends exclusive requests to all nodes until it is told to end.
-func (p *Processes) busy() (end func()) {
+func (p *Processes) startLoad() (end func()) {
 	over := make(chan struct{})
 	var all sync.WaitGroup
 	for i := range p.nodes {
@@ -61,7 +61,7 @@
 				case <-over:
 					return
 				case <-time.After(4 * time.Millisecond):
-					_ = p.sendRequest(i, "pay", int(numbers.Add(1)))
+					_ = p.sendRequest(i, "pay", int(requestNumber.Add(1)))
 				}
 			}
 		})
@@ -70,7 +70,7 @@
 }
 
 // lists has discovery tell all endpoints, but one that drains.
-func (p *Processes) lists(version int64, draining int) {
+func (p *Processes) setDraining(version int64, draining int) {
 	var list []ListEntry
 	for i, s := range p.endpoints {
 		health := "up"
@@ -99,7 +99,7 @@
 }
 
 // doubles are requests that must run once and came to endpoints more often.
-func (p *Processes) doubles() (out []string) {
+func (p *Processes) duplicateRequests() (out []string) {
 	of := map[string]int{}
 	for _, s := range p.endpoints {
 		s.mu.Lock()
@@ -116,37 +116,37 @@
 	return out
 }
 
-// TestDrainsHoldWhenAllAreKilled takes the power from all nodes at drawn moments while an endpoint drains, and brings them back while
+// TestDrainsSurviveFleetRestart takes the power from all nodes at drawn moments while an endpoint drains, and brings them back while
 // nobody can tell them: the server gets nothing after the grace, no request runs twice. FAWNGLADE_ROUNDS plays it longer.
-func TestDrainsHoldWhenAllAreKilled(t *testing.T) {
+func TestDrainsSurviveFleetRestart(t *testing.T) {
 	nodes, rounds := 6, 6
 	if n, err := strconv.Atoi(os.Getenv("FAWNGLADE_ROUNDS")); err == nil {
 		nodes, rounds = 12, n
 	}
-	p := remembering(t, nodes)
+	p := newPersistentFleet(t, nodes)
 	draw := rand.New(rand.NewPCG(4, uint64(rounds)))
 	version := int64(1)
 	for round := range rounds {
 		draining := round % len(p.endpoints)
-		end := p.busy()
+		end := p.startLoad()
 		for p.discovery.Watches() < nodes { // who has no watch is not told
 			time.Sleep(2 * time.Millisecond)
 		}
 		version++
-		p.lists(version, draining)
+		p.setDraining(version, draining)
 		told := time.Now()
 		time.Sleep(time.Duration(30+draw.IntN(200)) * time.Millisecond)
 		p.discovery.SetDown(true)
 		p.killAll()
 		p.startAll(t)
-		p.serving(t)
-		if past := time.Until(told.Add(grace)); past > 0 {
+		p.waitServing(t)
+		if past := time.Until(told.Add(drainGrace)); past > 0 {
 			time.Sleep(past)
 		}
 		time.Sleep(time.Duration(100+draw.IntN(200)) * time.Millisecond)
 		late := 0
 		for _, at := range p.endpoints[draining].Arrivals() {
-			if at.After(told.Add(grace)) {
+			if at.After(told.Add(drainGrace)) {
 				late++
 			}
 		}
@@ -155,7 +155,7 @@
 		}
 		p.discovery.SetDown(false)
 		version++
-		p.lists(version, -1)
+		p.setDraining(version, -1)
 		before := len(p.endpoints[draining].Arrivals())
 		for tries := 0; len(p.endpoints[draining].Arrivals()) == before; tries++ {
 			if tries > 3000 {
@@ -165,29 +165,29 @@
 		}
 		end()
 	}
-	if twice := p.doubles(); len(twice) > 0 {
+	if twice := p.duplicateRequests(); len(twice) > 0 {
 		t.Errorf("%d tasks ran twice: %v", len(twice), twice[:min(len(twice), 5)])
 	}
 }
 
-// TestAnOlderListPutsNobodyBack has discovery come back with a list from before the drain.
-func TestAnOlderListPutsNobodyBack(t *testing.T) {
-	p := remembering(t, 3)
-	p.lists(7, 1)
+// TestOlderListDoesNotRestoreDrainedEndpoint has discovery come back with a list from before the drain.
+func TestOlderListDoesNotRestoreDrainedEndpoint(t *testing.T) {
+	p := newPersistentFleet(t, 3)
+	p.setDraining(7, 1)
 	told := time.Now()
 	time.Sleep(200 * time.Millisecond)
 	p.killAll()
-	p.lists(5, -1)
+	p.setDraining(5, -1)
 	p.startAll(t)
-	end := p.busy()
-	p.serving(t)
-	time.Sleep(time.Until(told.Add(grace)) + 400*time.Millisecond)
+	end := p.startLoad()
+	p.waitServing(t)
+	time.Sleep(time.Until(told.Add(drainGrace)) + 400*time.Millisecond)
 	for _, at := range p.endpoints[1].Arrivals() {
-		if at.After(told.Add(grace)) {
+		if at.After(told.Add(drainGrace)) {
 			t.Fatal("a task came to a server that only an older list calls up")
 		}
 	}
-	p.lists(8, -1)
+	p.setDraining(8, -1)
 	before := len(p.endpoints[1].Arrivals())
 	for tries := 0; len(p.endpoints[1].Arrivals()) == before; tries++ {
 		if tries > 3000 {
@@ -198,18 +198,18 @@
 	end()
 }
 
-// TestWhatBecomesOfDisks has some nodes lose their disk, one find an older copy, one a log cut in the middle, one a file where its
+// TestDamagedStateDirectories has some nodes lose their disk, one find an older copy, one a log cut in the middle, one a file where its
 // directory should be: all serve, those with a memory before anybody tells them of endpoints.
-func TestWhatBecomesOfDisks(t *testing.T) {
-	p := remembering(t, 5)
+func TestDamagedStateDirectories(t *testing.T) {
+	p := newPersistentFleet(t, 5)
 	time.Sleep(300 * time.Millisecond)
 	p.killAll()
 	if err := os.CopyFS(p.StateDir(1)+".old/memory", os.DirFS(p.StateDir(1)+"/memory")); err != nil {
 		t.Fatal(err)
 	}
 	p.startAll(t)
-	p.serving(t)
-	if _, err := Until(p, meet, "all know one another", Agree(Numbers(0, 5), Each("up"))); err != nil {
+	p.waitServing(t)
+	if _, err := WaitUntil(p, startupPeriods, "all know one another", ViewsMatch(NodeRange(0, 5), AllInState("up"))); err != nil {
 		t.Fatal(err)
 	}
 	p.discovery.SetDown(true)
@@ -248,40 +248,40 @@
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
-	if _, text, err := Ask(p.Console(3), "GET", "/state"); err != nil || !bytes.Contains(text, []byte("no memory of before")) {
+	if _, text, err := Call(p.AdminAddress(3), "GET", "/state"); err != nil || !bytes.Contains(text, []byte("no memory of before")) {
 		t.Errorf("a disk that is none: %s, %v", text, err)
 	}
-	if _, err := Until(p, rejoin, "the older copy is known by the others' word", func([]*members.View) bool {
-		_, text, err := Ask(p.Console(1), "GET", "/state")
+	if _, err := WaitUntil(p, mergePeriods, "the older copy is known by the others' word", func([]*members.View) bool {
+		_, text, err := Call(p.AdminAddress(1), "GET", "/state")
 		return err == nil && bytes.Contains(text, []byte(`"older_copy":true`))
 	}); err != nil {
 		t.Error(err)
 	}
 	p.discovery.SetDown(false)
-	p.serving(t)
+	p.waitServing(t)
 }
 
-// TestTheFleetComesBackInHalves has all killed while an endpoint drains, come back in two halves that can't hear each other, lose power
+// TestPartitionedFleetRestart has all killed while an endpoint drains, come back in two halves that can't hear each other, lose power
 // again in the middle of that, and join: no drain is broken, no request runs twice, and in the end there is one view.
-func TestTheFleetComesBackInHalves(t *testing.T) {
-	p := remembering(t, 6)
-	a, b := Numbers(0, 3), Numbers(3, 6)
+func TestPartitionedFleetRestart(t *testing.T) {
+	p := newPersistentFleet(t, 6)
+	a, b := NodeRange(0, 3), NodeRange(3, 6)
 	for p.discovery.Watches() < 6 {
 		time.Sleep(2 * time.Millisecond)
 	}
-	end := p.busy()
+	end := p.startLoad()
 	defer end()
-	p.lists(2, 1)
+	p.setDraining(2, 1)
 	told := time.Now()
 	time.Sleep(150 * time.Millisecond)
 	p.discovery.SetDown(true)
-	p.AddFaults(cut(a, b, false))
+	p.AddFaults(cutFault(a, b, false))
 	for range 2 { // the second time while they are coming back
 		p.killAll()
 		p.startAll(t)
 	}
-	p.serving(t)
-	if _, err := Until(p, notice, "two views", func(views []*members.View) bool {
+	p.waitServing(t)
+	if _, err := WaitUntil(p, detectionPeriods, "two views", func(views []*members.View) bool {
 		for _, half := range [][]int{a, b} {
 			for _, i := range half {
 				for _, k := range half {
@@ -296,16 +296,16 @@
 		t.Error(err)
 	}
 	p.ClearFaults()
-	if _, err := Until(p, rejoin, "one view", Agree(Numbers(0, 6), Each("up"))); err != nil {
+	if _, err := WaitUntil(p, mergePeriods, "one view", ViewsMatch(NodeRange(0, 6), AllInState("up"))); err != nil {
 		t.Error(err)
 	}
-	time.Sleep(time.Until(told.Add(grace)))
+	time.Sleep(time.Until(told.Add(drainGrace)))
 	for _, at := range p.endpoints[1].Arrivals() {
-		if at.After(told.Add(grace)) {
+		if at.After(told.Add(drainGrace)) {
 			t.Fatal("a task came to a draining server after the grace")
 		}
 	}
-	if twice := p.doubles(); len(twice) > 0 {
+	if twice := p.duplicateRequests(); len(twice) > 0 {
 		t.Errorf("%d tasks ran twice", len(twice))
 	}
 }
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -25,8 +25,8 @@
 	"fawnglade/internal/members"
 )
 
-// settingsOf is a small deployment whose nodes may talk.
-const settingsOf = `{"discovery":"push","family_info":{},"goal":{"whole":0.5},"group_size":%d,"position":%d,
+// settingsTemplate is a small deployment whose nodes may talk.
+const settingsTemplate = `{"discovery":"push","family_info":{},"goal":{"whole":0.5},"group_size":%d,"position":%d,
 "limits":{"cancelling":true,"connect_timeout_us":75000,"idle_close_us":60000000,"max_retry_after_us":1500000,"peer_messages":true,
 "may_duplicate":false,"retry_after":true,"try_limit":3},"profiles":[{"deadline_us":2000000,"name":"view","objective_us":1000000,"repeat":"safe"},
 {"deadline_us":2000000,"name":"pay","objective_us":1000000,"repeat":"unsafe"}],
@@ -35,13 +35,13 @@
 
 // Processes is a fleet of real processes.
 type Processes struct {
-	Program      []string      // the node's command, with serve
-	Round        time.Duration // of the members
-	Key          string
-	Settings     string    // of every node, with its number of nodes and position to be filled in
-	PersistState bool      // nodes remember through a crash
-	ListGossip   bool      // nodes ask one another for the list
-	Log          io.Writer // of all nodes
+	Program        []string      // the node's command, with serve
+	ProtocolPeriod time.Duration // of the members
+	Key            string
+	Settings       string    // of every node, with its number of nodes and position to be filled in
+	PersistState   bool      // nodes remember through a crash
+	ListGossip     bool      // nodes ask one another for the list
+	Log            io.Writer // of all nodes
 
 	ExtraFeatures func(node int) string // beside the members in a node's features file
 	DiscoveryFor  func(node int) string // where a node reaches discovery; nil: directly
@@ -55,7 +55,7 @@
 	endpoints []*Endpoint
 }
 
-const servers = 4
+const endpointCount = 4
 
 type node struct {
 	fleet     *Processes
@@ -63,14 +63,14 @@
 	mu        sync.Mutex
 	processes []emulator.Process // all that run under this name, the last started last
 	starts    int
-	frozen    bool
+	paused    bool
 }
 
-var fleets atomic.Int64
+var fleetCount atomic.Int64
 
 // NewProcesses makes a fleet of which nobody runs yet. Close ends it.
 func NewProcesses(program []string, nodes int, round time.Duration, log io.Writer) (p *Processes, err error) {
-	p = &Processes{Program: program, Round: round, Log: log, Settings: settingsOf, startedAt: time.Now()}
+	p = &Processes{Program: program, ProtocolPeriod: round, Log: log, Settings: settingsTemplate, startedAt: time.Now()}
 	if p.Log == nil {
 		p.Log = io.Discard
 	}
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	var up []ListEntry
-	for i := range servers {
+	for i := range endpointCount {
 		s, err := newEndpoint(fmt.Sprintf("s%d", i))
 		if err != nil {
 			return nil, err
@@ -96,7 +96,7 @@
 	}
 	p.discovery.SetList(1, up...)
 	p.proxies = faultproxy.NewProxies(func() int64 { return int64(time.Since(p.startedAt)) })
-	net := (os.Getpid()*67 + int(fleets.Add(1))) % (120 * 250)
+	net := (os.Getpid()*67 + int(fleetCount.Add(1))) % (120 * 250)
 	var listen []string
 	for i := range nodes {
 		p.nodes = append(p.nodes, &node{fleet: p, index: i})
@@ -106,7 +106,7 @@
 	return p, err
 }
 
-func serve(one func(net.Conn)) (net.Listener, error) {
+func serveConns(one func(net.Conn)) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -129,15 +129,15 @@
 }
 
 // Listen is where a node takes requests; Console where it answers staff.
-func (p *Processes) Listen(node int) string { return p.address(node, 8443) }
+func (p *Processes) ListenAddress(node int) string { return p.address(node, 8443) }
 
 // Console is the admin address of a node.
-func (p *Processes) Console(node int) string { return p.address(node, 9443) }
+func (p *Processes) AdminAddress(node int) string { return p.address(node, 9443) }
 
 // Features is the text of a node's features file.
-func (p *Processes) Features(node int) string {
+func (p *Processes) FeaturesText(node int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "[members]\nlisten = %q\nround = %q\nkey = %q\nlist = %v\n", p.mesh.Address(node, node), p.Round, p.Key, p.ListGossip)
+	fmt.Fprintf(&b, "[members]\nlisten = %q\nround = %q\nkey = %q\nlist = %v\n", p.mesh.Address(node, node), p.ProtocolPeriod, p.Key, p.ListGossip)
 	for k := range p.nodes {
 		fmt.Fprintf(&b, "[[members.node]]\nname = \"n%d\"\naddress = %q\n", k, p.mesh.Address(node, k))
 	}
@@ -169,7 +169,7 @@
 	defer n.mu.Unlock()
 	n.reap()
 	n.starts++
-	listen, console := p.Listen(node), p.Console(node)
+	listen, console := p.ListenAddress(node), p.AdminAddress(node)
 	if len(n.processes) > 0 {
 		listen, console = p.address(node, 8443+n.starts), p.address(node, 9443+n.starts)
 	}
@@ -181,7 +181,7 @@
 		node, listen, discovery, console, node+1, fmt.Sprintf(p.Settings, len(p.nodes), node))
 	base := filepath.Join(p.dir, fmt.Sprintf("n%d-%d", node, n.starts))
 	tmp := base + ".tmp"
-	for path, text := range map[string]string{base + ".json": config, base + ".toml": p.Features(node)} {
+	for path, text := range map[string]string{base + ".json": config, base + ".toml": p.FeaturesText(node)} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			return err
 		}
@@ -195,7 +195,7 @@
 	}
 	proc, err := emulator.Command(p.Program)("", env, p.Log)
 	if err == nil {
-		n.processes, n.frozen = append(n.processes, proc), false
+		n.processes, n.paused = append(n.processes, proc), false
 	}
 	return err
 }
@@ -233,33 +233,33 @@
 func (p *Processes) Stop(node int) { p.signal(node, syscall.SIGTERM, true) }
 
 // Freeze implements Fleet.
-func (p *Processes) Freeze(node int) {
+func (p *Processes) Pause(node int) {
 	p.signal(node, syscall.SIGSTOP, false)
-	p.nodes[node].frozen = true
+	p.nodes[node].paused = true
 }
 
 // Thaw implements Fleet.
-func (p *Processes) Thaw(node int) {
+func (p *Processes) Resume(node int) {
 	p.signal(node, syscall.SIGCONT, false)
-	p.nodes[node].frozen = false
+	p.nodes[node].paused = false
 }
 
 // AddFaults implements Fleet.
 func (p *Processes) AddFaults(faults ...netfault.Fault) {
-	p.proxies.Set(netfault.New(from(int64(time.Since(p.startedAt)), faults)))
+	p.proxies.SetSchedule(netfault.New(shiftFaults(int64(time.Since(p.startedAt)), faults)))
 }
 
 // ClearFaults implements Fleet.
-func (p *Processes) ClearFaults() { p.proxies.Set(netfault.New(nil)) }
+func (p *Processes) ClearFaults() { p.proxies.SetSchedule(netfault.New(nil)) }
 
 // Step implements Fleet.
-func (p *Processes) Step() { time.Sleep(p.Round / 5) }
+func (p *Processes) Step() { time.Sleep(p.ProtocolPeriod / 5) }
 
 // Inject implements Fleet.
 func (p *Processes) Inject(to int, datagram []byte) { p.mesh.Inject((to+1)%len(p.nodes), to, datagram) }
 
 // Copied implements Fleet.
-func (p *Processes) Copied(from, to int) []byte { return p.mesh.Copied(from, to) }
+func (p *Processes) CapturedDatagram(from, to int) []byte { return p.mesh.CapturedDatagram(from, to) }
 
 // PID of a node's newest process; 0 without one.
 func (p *Processes) PID(node int) int {
@@ -272,16 +272,16 @@
 	return n.processes[len(n.processes)-1].PID()
 }
 
-const askWithin = 2 * time.Second
+const callTimeout = 2 * time.Second
 
 // Ask calls a node's console, or its listener, once.
-func Ask(address, method, path string) (status int, text []byte, err error) {
-	c, err := net.DialTimeout("tcp", address, askWithin)
+func Call(address, method, path string) (status int, text []byte, err error) {
+	c, err := net.DialTimeout("tcp", address, callTimeout)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(askWithin))
+	c.SetDeadline(time.Now().Add(callTimeout))
 	if _, err := fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n", method, path); err != nil {
 		return 0, nil, err
 	}
@@ -301,14 +301,14 @@
 	for i, n := range p.nodes {
 		n.mu.Lock()
 		n.reap()
-		runs := len(n.processes) > 0 && !n.frozen
+		runs := len(n.processes) > 0 && !n.paused
 		n.mu.Unlock()
 		if !runs {
 			continue
 		}
 		all.Go(func() {
 			var v members.View
-			if status, text, err := Ask(p.Console(i), "GET", "/members"); err == nil && status == 200 && json.Unmarshal(text, &v) == nil {
+			if status, text, err := Call(p.AdminAddress(i), "GET", "/members"); err == nil && status == 200 && json.Unmarshal(text, &v) == nil {
 				out[i] = &v
 			}
 		})
@@ -321,12 +321,12 @@
 func (p *Processes) SendRequest(node, number int) error { return p.sendRequest(node, "view", number) }
 
 func (p *Processes) sendRequest(node int, category string, number int) error {
-	c, err := net.DialTimeout("tcp", p.Listen(node), askWithin)
+	c, err := net.DialTimeout("tcp", p.ListenAddress(node), callTimeout)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(askWithin))
+	c.SetDeadline(time.Now().Add(callTimeout))
 	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: lab\r\nX-Txn: %016x\r\nX-Lane: %s\r\nX-Remaining-Ms: 2000\r\nContent-Length: 0\r\n\r\n", category, number, category)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -354,7 +354,7 @@
 		p.discovery.Close()
 	}
 	for _, s := range p.endpoints {
-		s.l.Close()
+		s.listener.Close()
 	}
 	if p.dir == "" {
 		return errors.New("no fleet")
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -17,7 +17,7 @@
 )
 
 // program is the node, built once for all tests.
-var program = sync.OnceValues(func() (string, error) {
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "fawnglade-built-")
 	if err != nil {
 		return "", err
@@ -31,22 +31,22 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := program(); err == nil {
+	if path, err := buildProgram(); err == nil {
 		_ = os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-const round = 100 * time.Millisecond
+const testPeriod = 100 * time.Millisecond
 
-func processes(t *testing.T, nodes int) *Processes {
+func newTestFleet(t *testing.T, nodes int) *Processes {
 	t.Helper()
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(path, err)
 	}
 	log := &lockedLog{}
-	p, err := NewProcesses([]string{path, "serve"}, nodes, round, log)
+	p, err := NewProcesses([]string{path, "serve"}, nodes, testPeriod, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,24 +80,24 @@
 	for _, c := range Cases {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			if err := c.Run(processes(t, c.Nodes)); err != nil {
+			if err := c.Run(newTestFleet(t, c.Nodes)); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-// TestTheSameNameTwice starts a second process of a node by mistake: it shows, one of the two keeps the name, and the others lose
+// TestNameConflictIsReported starts a second process of a node by mistake: it shows, one of the two keeps the name, and the others lose
 // nobody.
-func TestTheSameNameTwice(t *testing.T) {
-	p := processes(t, 5)
+func TestNameConflictIsReported(t *testing.T) {
+	p := newTestFleet(t, 5)
 	if err := startAll(p)(); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.Start(2); err != nil {
 		t.Fatal(err)
 	}
-	_, err := Until(p, 3*meet, "somebody says that a name is there twice", func(views []*members.View) bool {
+	_, err := WaitUntil(p, 3*startupPeriods, "somebody says that a name is there twice", func(views []*members.View) bool {
 		for _, v := range views {
 			if v != nil && (v.NameConflict || v.Members[2].NameConflict) {
 				return true
@@ -108,15 +108,15 @@
 	if err != nil {
 		t.Error(err)
 	}
-	if err := Hold(p, calm, "the others lose nobody", neverFailed([]int{0, 1, 3, 4}, []int{0, 1, 3, 4})); err != nil {
+	if err := RequireDuring(p, stablePeriods, "the others lose nobody", noneFailed([]int{0, 1, 3, 4}, []int{0, 1, 3, 4})); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestAPeerThatSendsNonsense has ten thousand datagrams a second come to one node, of all lengths and some that begin well: requests are
+// TestInvalidDatagramsDoNotDisturbNode has ten thousand datagrams a second come to one node, of all lengths and some that begin well: requests are
 // answered as before, and nobody is taken for silent.
-func TestAPeerThatSendsNonsense(t *testing.T) {
-	p := processes(t, 4)
+func TestInvalidDatagramsDoNotDisturbNode(t *testing.T) {
+	p := newTestFleet(t, 4)
 	if err := startAll(p)(); err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 			break
 		}
 	}
-	err = Hold(p, 2*calm, "nobody is taken for silent", neverFailed(Numbers(0, 4), Numbers(0, 4)))
+	err = RequireDuring(p, 2*stablePeriods, "nobody is taken for silent", noneFailed(NodeRange(0, 4), NodeRange(0, 4)))
 	close(over)
 	if sent := <-done; err != nil {
 		t.Error(err)
@@ -167,48 +167,48 @@
 	}
 }
 
-// TestTheCommandShowsAView asks a node as staff do.
-func TestTheCommandShowsAView(t *testing.T) {
-	p := processes(t, 3)
+// TestFleetViewCommand asks a node as staff do.
+func TestFleetViewCommand(t *testing.T) {
+	p := newTestFleet(t, 3)
 	p.Key = strings.Repeat("5a", 16)
-	if err := inOrder(startAll(p), do(func() { p.Kill(2) }), until(p, notice, "the others know", Agree([]int{0, 1}, without(2)))); err != nil {
+	if err := runSteps(startAll(p), actionStep(func() { p.Kill(2) }), waitStep(p, detectionPeriods, "the others know", ViewsMatch([]int{0, 1}, allUpExcept(2)))); err != nil {
 		t.Fatal(err)
 	}
 	show := func(args ...string) string {
 		out, err := exec.Command(p.Program[0], append([]string{"fleet", "view"}, args...)...).CombinedOutput()
-		if err != nil && !strings.Contains(strings.Join(args, " "), p.Console(2)) {
+		if err != nil && !strings.Contains(strings.Join(args, " "), p.AdminAddress(2)) {
 			t.Error(err)
 		}
 		return string(out)
 	}
-	if out := show("--console", p.Console(0), "--console", p.Console(1)); !strings.Contains(out, "2 of 3 nodes up, 0 doubted, 1 silent") || strings.Count(out, "itself") != 2 {
+	if out := show("--console", p.AdminAddress(0), "--console", p.AdminAddress(1)); !strings.Contains(out, "2 of 3 nodes up, 0 doubted, 1 silent") || strings.Count(out, "itself") != 2 {
 		t.Error(out)
 	}
 	var v members.View
-	if out := show("--console", p.Console(1), "--json"); json.Unmarshal([]byte(out), &v) != nil || v.Name != "n1" || len(v.Members) != 3 {
+	if out := show("--console", p.AdminAddress(1), "--json"); json.Unmarshal([]byte(out), &v) != nil || v.Name != "n1" || len(v.Members) != 3 {
 		t.Error(out)
 	}
-	if out := show("--console", p.Console(2)); !strings.Contains(out, "refused") {
+	if out := show("--console", p.AdminAddress(2)); !strings.Contains(out, "refused") {
 		t.Error("a node that is gone: ", out)
 	}
 }
 
-// TestOffWithoutLeave has a features file where the settings do not allow messages: nothing listens, nothing is sent, nobody can ask.
-func TestOffWithoutLeave(t *testing.T) {
-	p := processes(t, 2)
-	refused := strings.Replace(settingsOf, `"peer_messages":true`, `"peer_messages":false`, 1)
+// TestMembershipDisabledBySettings has a features file where the settings do not allow messages: nothing listens, nothing is sent, nobody can ask.
+func TestMembershipDisabledBySettings(t *testing.T) {
+	p := newTestFleet(t, 2)
+	refused := strings.Replace(settingsTemplate, `"peer_messages":true`, `"peer_messages":false`, 1)
 	p.Settings = refused
 	if err := p.Start(0); err != nil {
 		t.Fatal(err)
 	}
 	for {
-		status, _, err := Ask(p.Console(0), "GET", "/ready")
+		status, _, err := Call(p.AdminAddress(0), "GET", "/ready")
 		if err == nil && status == 200 {
 			break
 		}
 		p.Step()
 	}
-	if status, _, err := Ask(p.Console(0), "GET", "/members"); err != nil || status != 404 {
+	if status, _, err := Call(p.AdminAddress(0), "GET", "/members"); err != nil || status != 404 {
 		t.Errorf("asked for members: %d, %v", status, err)
 	}
 	l, err := net.ListenPacket("udp", p.mesh.Address(0, 0))
--- a/internal/lab/fleet/standins.go
+++ b/internal/lab/fleet/standins.go
@@ -18,11 +18,11 @@
 type Endpoint struct {
 	Name string
 
-	l        net.Listener
+	listener net.Listener
 	mu       sync.Mutex
 	arrivals []time.Time
 	requests map[string]int
-	open     map[net.Conn]bool
+	conns    map[net.Conn]bool
 	down     bool
 	observer func(Arrival)
 }
@@ -47,23 +47,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	for c := range s.open {
+	for c := range s.conns {
 		c.Close()
 	}
 }
 
 // begin notes a connection; false: the server is down.
-func (s *Endpoint) begin(c net.Conn) bool {
+func (s *Endpoint) addConn(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[c] = true
+	s.conns[c] = true
 	return !s.down
 }
 
-func (s *Endpoint) end(c net.Conn) {
+func (s *Endpoint) removeConn(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, c)
+	delete(s.conns, c)
 }
 
 // Arrivals are the moments at which requests came, in order.
@@ -74,15 +74,15 @@
 }
 
 func newEndpoint(name string) (*Endpoint, error) {
-	s := &Endpoint{Name: name, requests: map[string]int{}, open: map[net.Conn]bool{}}
+	s := &Endpoint{Name: name, requests: map[string]int{}, conns: map[net.Conn]bool{}}
 	var err error
-	s.l, err = serve(s.answer)
+	s.listener, err = serveConns(s.serveConn)
 	return s, err
 }
 
-func (s *Endpoint) answer(c net.Conn) {
-	defer s.end(c)
-	if !s.begin(c) {
+func (s *Endpoint) serveConn(c net.Conn) {
+	defer s.removeConn(c)
+	if !s.addConn(c) {
 		return
 	}
 	var last Arrival
@@ -128,7 +128,7 @@
 
 // Discovery tells every watch the same list, whole each time.
 type Discovery struct {
-	l net.Listener
+	listener net.Listener
 
 	mu         sync.Mutex
 	changed    *sync.Cond
@@ -144,13 +144,13 @@
 	d := &Discovery{conns: map[net.Conn]bool{}}
 	d.changed = sync.NewCond(&d.mu)
 	var err error
-	d.l, err = serve(d.serveWatch)
+	d.listener, err = serveConns(d.serveWatch)
 	go d.sendKeepAlives()
 	return d, err
 }
 
 // Address is where it takes calls.
-func (d *Discovery) Address() string { return d.l.Addr().String() }
+func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
 // SetList has all watches told a list of a version, which may be lower than one before.
 func (d *Discovery) SetList(version int64, list ...ListEntry) {
@@ -197,7 +197,7 @@
 	d.mu.Lock()
 	d.closed = true
 	d.mu.Unlock()
-	d.l.Close()
+	d.listener.Close()
 }
 
 // Watches is how many follow the list.
@@ -210,7 +210,7 @@
 func (d *Discovery) encodeList() string {
 	var hosts []string
 	for _, l := range d.list {
-		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,"health":%q,"share":1.0,"born_ms":%d}`, l.Endpoint.Name, l.Endpoint.l.Addr(), l.State, l.StartedMs))
+		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":0,"health":%q,"share":1.0,"born_ms":%d}`, l.Endpoint.Name, l.Endpoint.listener.Addr(), l.State, l.StartedMs))
 	}
 	return fmt.Sprintf("{\"seq\":%d,\"whole\":true,\"hosts\":[%s]}\n", d.version, strings.Join(hosts, ","))
 }
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -12,8 +12,8 @@
 	"fawnglade/internal/members"
 )
 
-// mostCopied nodes at most have a message of each way kept: in a large fleet these would be most of the memory.
-const mostCopied = 64
+// maxCapturedNodes nodes at most have a message of each way kept: in a large fleet these would be most of the memory.
+const maxCapturedNodes = 64
 
 type event struct {
 	at  int64
@@ -37,19 +37,19 @@
 
 // Virtual is a fleet in virtual time.
 type Virtual struct {
-	Round         int64
-	LinkDelay     int64 // of a datagram, nanoseconds
-	ClockOffsets  []int64
-	Transform     func(to int, datagram []byte) []byte // what a later or earlier version would make of a datagram; nil: nothing
-	now           int64
-	seq           uint64
-	events        eventQueue
-	nodes         []*simulatedNode
-	names         []string
-	faults        *netfault.Schedule
-	messageCounts map[[2]int]uint64
-	copied        map[[2]int][]byte
-	random        *rand.Rand
+	ProtocolPeriodNs int64
+	LinkDelay        int64 // of a datagram, nanoseconds
+	ClockOffsets     []int64
+	Transform        func(to int, datagram []byte) []byte // what a later or earlier version would make of a datagram; nil: nothing
+	now              int64
+	seq              uint64
+	events           eventQueue
+	nodes            []*simulatedNode
+	names            []string
+	faults           *netfault.Schedule
+	messageCounts    map[[2]int]uint64
+	captured         map[[2]int][]byte
+	random           *rand.Rand
 }
 
 type simulatedNode struct {
@@ -57,7 +57,7 @@
 	index        int
 	incarnations int
 	membership   *members.Members
-	frozen       bool
+	paused       bool
 	missedTick   bool     // a beat while it was frozen
 	backlog      []func() // what came then
 }
@@ -65,7 +65,7 @@
 // NewVirtual makes a fleet of which nobody runs yet.
 func NewVirtual(nodes int, seed uint64) *Virtual {
 	v := &Virtual{
-		Round: 500e6, LinkDelay: 500e3, ClockOffsets: make([]int64, nodes), now: 1_700_000_000e9, messageCounts: map[[2]int]uint64{}, copied: map[[2]int][]byte{},
+		ProtocolPeriodNs: 500e6, LinkDelay: 500e3, ClockOffsets: make([]int64, nodes), now: 1_700_000_000e9, messageCounts: map[[2]int]uint64{}, captured: map[[2]int][]byte{},
 		faults: netfault.New(nil), random: rand.New(rand.NewPCG(seed, 5)),
 	}
 	for i := range nodes {
@@ -75,7 +75,7 @@
 	return v
 }
 
-func (v *Virtual) at(when int64, do func()) {
+func (v *Virtual) schedule(when int64, do func()) {
 	v.seq++
 	heap.Push(&v.events, event{when, v.seq, do})
 }
@@ -103,7 +103,7 @@
 func (v *Virtual) Len() int { return len(v.nodes) }
 
 // Step implements Fleet.
-func (v *Virtual) Step() { v.Run(v.Round / 5) }
+func (v *Virtual) Step() { v.Run(v.ProtocolPeriodNs / 5) }
 
 func (s *simulatedNode) clock() int64 { return s.fleet.now + s.fleet.ClockOffsets[s.index] }
 
@@ -115,7 +115,7 @@
 	}
 	s.incarnations++
 	var err error
-	s.membership, err = members.New(members.Config{Name: v.names[node], Nodes: v.names, ProtocolPeriodNs: v.Round, Seed: v.random.Uint64(), RunID: uint32(v.random.Uint32())}, s, s.clock())
+	s.membership, err = members.New(members.Config{Name: v.names[node], Nodes: v.names, ProtocolPeriodNs: v.ProtocolPeriodNs, Seed: v.random.Uint64(), RunID: uint32(v.random.Uint32())}, s, s.clock())
 	if err != nil {
 		return err
 	}
@@ -125,18 +125,18 @@
 		if s.incarnations != life || s.membership == nil {
 			return
 		}
-		if s.missedTick = s.frozen; !s.frozen {
+		if s.missedTick = s.paused; !s.paused {
 			s.membership.Tick(s.clock())
 		}
-		v.at(v.now+v.Round/10, beat)
+		v.schedule(v.now+v.ProtocolPeriodNs/10, beat)
 	}
-	v.at(v.now+int64(v.random.Uint64()%uint64(v.Round/10)), beat)
+	v.schedule(v.now+int64(v.random.Uint64()%uint64(v.ProtocolPeriodNs/10)), beat)
 	return nil
 }
 
 // enter has a node do something, once it is not held any more.
 func (s *simulatedNode) run(do func()) {
-	if s.frozen {
+	if s.paused {
 		if len(s.backlog) < 256 {
 			s.backlog = append(s.backlog, do)
 		}
@@ -153,8 +153,8 @@
 	if v.Transform != nil {
 		datagram = v.Transform(to, datagram)
 	}
-	if len(v.nodes) <= mostCopied && v.copied[way] == nil {
-		v.copied[way] = datagram
+	if len(v.nodes) <= maxCapturedNodes && v.captured[way] == nil {
+		v.captured[way] = datagram
 	}
 	p := v.faults.FateOf(v.now, netfault.End{Index: s.index}, netfault.End{Index: to}, v.messageCounts[way], len(datagram))
 	if p.Lost {
@@ -165,9 +165,9 @@
 		datagram[p.CorruptByte] ^= 0x55
 	}
 	after := v.LinkDelay + int64(v.random.Uint64()%uint64(v.LinkDelay/4+1)) + p.Delay
-	v.at(v.now+after, func() { v.Inject(to, datagram) })
+	v.schedule(v.now+after, func() { v.Inject(to, datagram) })
 	if p.DuplicateAfter > 0 {
-		v.at(v.now+after+p.DuplicateAfter, func() { v.Inject(to, datagram) })
+		v.schedule(v.now+after+p.DuplicateAfter, func() { v.Inject(to, datagram) })
 	}
 }
 
@@ -184,12 +184,12 @@
 }
 
 // Copied implements Fleet.
-func (v *Virtual) Copied(from, to int) []byte { return v.copied[[2]int{from, to}] }
+func (v *Virtual) CapturedDatagram(from, to int) []byte { return v.captured[[2]int{from, to}] }
 
 // Kill implements Fleet.
 func (v *Virtual) Kill(node int) {
 	s := v.nodes[node]
-	s.membership, s.backlog, s.frozen, s.missedTick = nil, nil, false, false
+	s.membership, s.backlog, s.paused, s.missedTick = nil, nil, false, false
 }
 
 // Stop implements Fleet.
@@ -201,13 +201,13 @@
 }
 
 // Freeze implements Fleet.
-func (v *Virtual) Freeze(node int) { v.nodes[node].frozen = true }
+func (v *Virtual) Pause(node int) { v.nodes[node].paused = true }
 
 // Thaw implements Fleet.
-func (v *Virtual) Thaw(node int) {
+func (v *Virtual) Resume(node int) {
 	s := v.nodes[node]
 	waits, missed := s.backlog, s.missedTick
-	s.frozen, s.missedTick, s.backlog = false, false, nil
+	s.paused, s.missedTick, s.backlog = false, false, nil
 	if missed && s.membership != nil { // of the ticks that a ticker missed it makes up for one
 		s.membership.Tick(s.clock())
 	}
@@ -220,11 +220,11 @@
 
 // AddFaults implements Fleet.
 func (v *Virtual) AddFaults(faults ...netfault.Fault) {
-	v.faults = netfault.New(from(v.now, faults))
+	v.faults = netfault.New(shiftFaults(v.now, faults))
 }
 
 // from counts faults' times from a moment.
-func from(now int64, faults []netfault.Fault) []netfault.Fault {
+func shiftFaults(now int64, faults []netfault.Fault) []netfault.Fault {
 	out := append([]netfault.Fault(nil), faults...)
 	for i := range out {
 		if out[i].Begin += now; out[i].End == 0 {
@@ -243,7 +243,7 @@
 func (v *Virtual) Views() []*members.View {
 	out := make([]*members.View, len(v.nodes))
 	for i, s := range v.nodes {
-		if s.membership != nil && !s.frozen {
+		if s.membership != nil && !s.paused {
 			view := s.membership.View(s.clock())
 			out[i] = &view
 		}
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -20,15 +20,15 @@
 	}
 }
 
-// TestClocksAMinuteOff has clocks a minute apart, one of which is set back by two minutes before its node starts anew.
-func TestClocksAMinuteOff(t *testing.T) {
+// TestStartOrderWithClockOffsets has clocks a minute apart, one of which is set back by two minutes before its node starts anew.
+func TestStartOrderWithClockOffsets(t *testing.T) {
 	f := NewVirtual(6, 1)
 	f.ClockOffsets[1], f.ClockOffsets[2] = 60e9, -60e9
 	var start uint64
-	err := inOrder(startAll(f),
-		do(func() { start = f.Views()[1].Incarnation; f.Kill(1); f.ClockOffsets[1] = -60e9; f.Step() }),
+	err := runSteps(startAll(f),
+		actionStep(func() { start = f.Views()[1].Incarnation; f.Kill(1); f.ClockOffsets[1] = -60e9; f.Step() }),
 		func() error { return f.Start(1) },
-		until(f, meet, "the new start goes before the old, though its clock is behind", func(views []*members.View) bool {
+		waitStep(f, startupPeriods, "the new start goes before the old, though its clock is behind", func(views []*members.View) bool {
 			for _, v := range views {
 				if v == nil || v.Members[1].State != "up" || v.Members[1].Incarnation <= start {
 					return false
@@ -36,34 +36,36 @@
 			}
 			return true
 		}),
-		hold(f, calm, "nobody is taken for silent", neverFailed(Numbers(0, 6), Numbers(0, 6))))
+		holdStep(f, stablePeriods, "nobody is taken for silent", noneFailed(NodeRange(0, 6), NodeRange(0, 6))))
 	if err != nil {
 		t.Error(err)
 	}
 }
 
-// TestThousandsAgree starts a large fleet at once, cuts it into halves, and mends it.
-func TestThousandsAgree(t *testing.T) {
+// TestLargeFleetPartitionsAndMerges starts a large fleet at once, cuts it into halves, and mends it.
+func TestLargeFleetPartitionsAndMerges(t *testing.T) {
 	const n = 120
 	f := NewVirtual(n, 2)
-	a, b := Numbers(0, n/2), Numbers(n/2, n)
-	err := inOrder(startAll(f),
-		do(func() { f.AddFaults(cut(a, b, false)) }),
-		until(f, notice, "two views", func(views []*members.View) bool { return Agree(a, sides(a))(views) && Agree(b, sides(b))(views) }),
-		do(f.ClearFaults),
-		until(f, rejoin, "one view", Agree(Numbers(0, n), Each("up"))))
+	a, b := NodeRange(0, n/2), NodeRange(n/2, n)
+	err := runSteps(startAll(f),
+		actionStep(func() { f.AddFaults(cutFault(a, b, false)) }),
+		waitStep(f, detectionPeriods, "two views", func(views []*members.View) bool {
+			return ViewsMatch(a, onlyUp(a))(views) && ViewsMatch(b, onlyUp(b))(views)
+		}),
+		actionStep(f.ClearFaults),
+		waitStep(f, mergePeriods, "one view", ViewsMatch(NodeRange(0, n), AllInState("up"))))
 	if err != nil {
 		t.Error(err)
 	}
 }
 
-func TestTheSameFleetIsTheSameTwice(t *testing.T) {
+func TestVirtualFleetIsDeterministic(t *testing.T) {
 	play := func() string {
 		f := NewVirtual(20, 3)
 		if err := startAll(f)(); err != nil {
 			t.Fatal(err)
 		}
-		f.AddFaults(drop(20, 2))
+		f.AddFaults(dropFault(20, 2))
 		f.Run(20e9)
 		out := ""
 		for _, v := range f.Views() {
@@ -77,15 +79,15 @@
 	}
 }
 
-// TestOthersVouch has one node hear another no more, though all others do: nobody suspects anybody, as the others are asked first.
-func TestOthersVouch(t *testing.T) {
+// TestIndirectProbesPreventSuspicion has one node hear another no more, though all others do: nobody suspects anybody, as the others are asked first.
+func TestIndirectProbesPreventSuspicion(t *testing.T) {
 	f := NewVirtual(6, 1)
 	if err := startAll(f)(); err != nil {
 		t.Fatal(err)
 	}
-	f.AddFaults(cut([]int{0}, []int{1}, true))
-	f.Run(60 * f.Round)
-	for i, c := range f.Counts() {
+	f.AddFaults(cutFault([]int{0}, []int{1}, true))
+	f.Run(60 * f.ProtocolPeriodNs)
+	for i, c := range f.Counters() {
 		if c.Suspicions != 0 {
 			t.Errorf("n%d raised %d doubts", i, c.Suspicions)
 		}
--- a/internal/lab/invariant/check.go
+++ b/internal/lab/invariant/check.go
@@ -8,17 +8,17 @@
 
 // Violation is one rule violated once. Attempt and Endpoint are -1 where it concerns none.
 type Violation struct {
-	Rule     int    `json:"rule"`
-	What     string `json:"what"`
-	Request  string `json:"task,omitempty"`
-	Attempt  int    `json:"hand_off"` // its place among the request's, from 0
-	Endpoint int    `json:"server"`
-	Node     int    `json:"node"`
-	At       int64  `json:"at_ns"`
+	Rule        int    `json:"rule"`
+	Description string `json:"what"`
+	Request     string `json:"task,omitempty"`
+	Attempt     int    `json:"hand_off"` // its place among the request's, from 0
+	Endpoint    int    `json:"server"`
+	Node        int    `json:"node"`
+	At          int64  `json:"at_ns"`
 }
 
 func (v Violation) String() string {
-	text := fmt.Sprintf("rule %d at %.3f s, node %d: %s", v.Rule, float64(v.At)/1e9, v.Node, v.What)
+	text := fmt.Sprintf("rule %d at %.3f s, node %d: %s", v.Rule, float64(v.At)/1e9, v.Node, v.Description)
 	if v.Request != "" {
 		text += ", task " + v.Request
 	}
@@ -36,13 +36,13 @@
 // checker checks one closed history.
 type checker struct {
 	*History
-	classes      []Class
-	rules        Rules
-	attemptsByID map[string][]*Attempt // by request, in order of their first bytes
-	processes    map[processKey]*Process
-	knownStarts  map[endpointStart]int64
-	afterCancel  []Violation // attempts for clients that had gone; the first few are tolerated
-	violations   []Violation
+	classes             []Class
+	rules               Rules
+	attemptsByID        map[string][]*Attempt // by request, in order of their first bytes
+	processes           map[processKey]*Process
+	knownStarts         map[endpointStart]int64
+	attemptsAfterCancel []Violation // attempts for clients that had gone; the first few are tolerated
+	violations          []Violation
 }
 
 func newChecker(h *History, classes []Class, rules Rules) *checker {
@@ -119,7 +119,7 @@
 		first++
 	}
 	end := first
-	for end < len(all) && all[end].FirstByteAt <= r.CrossedAt {
+	for end < len(all) && all[end].FirstByteAt <= r.CloseRaceAt {
 		end++
 	}
 	return all[first:end], first
--- a/internal/lab/invariant/check_test.go
+++ b/internal/lab/invariant/check_test.go
@@ -9,7 +9,7 @@
 
 const ms = int64(1e6)
 
-var rules = Rules{StopSending: 500 * ms, PollWithin: 10000 * ms, AnswerGrace: 20 * ms, Slack: 50 * ms}
+var rules = Rules{StopSendingWithin: 500 * ms, PollWithin: 10000 * ms, AnswerGrace: 20 * ms, Slack: 50 * ms}
 
 var classes = []Class{
 	{Name: "view"},
@@ -26,14 +26,14 @@
 	return l
 }
 
-func (l *History) request(category int, change func(*Request)) *History {
+func (l *History) addRequest(category int, change func(*Request)) *History {
 	t := &Request{ID: "t", Incarnation: 1, Class: category, SentAt: 1000 * ms, Deadline: 2000 * ms}
 	l.RecordRequest(t)
 	change(t)
 	return l
 }
 
-func (l *History) attempt(first int64, change func(*Attempt)) *History {
+func (l *History) addAttempt(first int64, change func(*Attempt)) *History {
 	h := &Attempt{Request: "t", Zone: "a", FirstByteAt: first * ms}
 	l.RecordAttempt(h)
 	h.LastByteAt = h.FirstByteAt
@@ -61,38 +61,38 @@
 		l    *History
 		want string
 	}{
-		"satisfied":                            {newHistory().attempt(1001, failed(1010)).attempt(1020, nil).request(0, answered(1100, 200)), ""},
-		"answered within the grace":            {newHistory().request(0, answered(2060, 502)), ""},
-		"answered late":                        {newHistory().request(0, answered(2080, 502)), "rule 1 at 2.080"},
-		"never answered":                       {newHistory().request(0, func(*Request) {}), "rule 1 at 2.070 s, node 0: no answer"},
-		"client left":                          {newHistory().request(0, func(t *Request) { t.CanceledAt = 1500 * ms }), ""},
-		"connection ended":                     {newHistory().request(0, func(t *Request) { t.ClosedAt = 1200 * ms }), "rule 1 at 1.200 s, node 0: connection ended"},
-		"crossed by a close":                   {newHistory().request(0, func(t *Request) { t.CrossedAt = 1200 * ms }), ""},
-		"attempted, then closed":               {newHistory().attempt(1001, failed(1002)).request(0, func(t *Request) { t.CrossedAt = 1200 * ms }), "rule 1 at 1.200 s, node 0: connection ended"},
-		"cut in the middle of it":              {newHistory().request(0, func(t *Request) { t.Truncated = true }), ""},
-		"of another request":                   {newHistory().request(0, func(t *Request) { answered(1100, 200)(t); t.ForeignBody = true }), "rule 1 at 1.100 s, node 0: answered with what no server"},
-		"answered twice":                       {newHistory().request(0, func(t *Request) { answered(1100, 200)(t); t.ExtraAt = 1101 * ms }), "rule 1 at 1.101 s, node 0: a second answer"},
-		"sent after the answer":                {newHistory().attempt(1001, failed(1002)).attempt(1300, nil).request(0, answered(1100, 503)), "rule 1 at 1.300 s, node 0: sent to a server after"},
-		"sent just after, as seen":             {newHistory().attempt(1001, failed(1002)).attempt(1140, nil).request(0, answered(1100, 503)), ""},
-		"non-idempotent, rejected first":       {newHistory().attempt(1001, rejected(1002)).attempt(1003, nil).request(2, answered(1100, 200)), ""},
-		"non-idempotent, never complete first": {newHistory().attempt(1001, func(h *Attempt) { h.LastByteAt = Never }).attempt(1003, nil).request(2, answered(1100, 200)), ""},
-		"non-idempotent, failed first":         {newHistory().attempt(1001, failed(1002)).attempt(1003, nil).request(2, answered(1100, 200)), "rule 2 at 1.003 s, node 0: an exclusive task sent again"},
-		"non-idempotent, unknown first":        {newHistory().attempt(1001, func(h *Attempt) { h.ClosedAt = 1002 * ms }).attempt(1003, nil).request(2, answered(1100, 200)), "rule 2 at 1.003"},
-		"non-idempotent, rejected later":       {newHistory().attempt(1001, rejected(1050)).attempt(1003, nil).request(2, answered(1100, 200)), "rule 2 at 1.003"},
-		"non-idempotent, rejected after":       {newHistory().attempt(1001, failed(1002)).request(2, answered(1100, 503)), "rule 2 at 1.100 s, node 0: declined though it may have run"},
-		"non-idempotent, rejected, never ran":  {newHistory().attempt(1001, rejected(1002)).request(2, answered(1100, 429)), ""},
-		"non-idempotent, failed":               {newHistory().attempt(1001, failed(1002)).request(2, answered(1100, 502)), ""},
-		"by key in its group":                  {newHistory().attempt(1001, failed(1002)).attempt(1003, nil).request(1, answered(1100, 200)), ""},
-		"by key outside it":                    {newHistory().attempt(1001, failed(1002)).attempt(1003, func(h *Attempt) { h.Zone = "b" }).request(1, answered(1100, 200)), "rule 2 at 1.003 s, node 0: a ticketed task that may have run sent again outside"},
-		"by key outside, never ran":            {newHistory().attempt(1001, rejected(1002)).attempt(1003, func(h *Attempt) { h.Zone = "b" }).request(1, answered(1100, 200)), ""},
+		"satisfied":                            {newHistory().addAttempt(1001, failed(1010)).addAttempt(1020, nil).addRequest(0, answered(1100, 200)), ""},
+		"answered within the grace":            {newHistory().addRequest(0, answered(2060, 502)), ""},
+		"answered late":                        {newHistory().addRequest(0, answered(2080, 502)), "rule 1 at 2.080"},
+		"never answered":                       {newHistory().addRequest(0, func(*Request) {}), "rule 1 at 2.070 s, node 0: no answer"},
+		"client left":                          {newHistory().addRequest(0, func(t *Request) { t.CanceledAt = 1500 * ms }), ""},
+		"connection ended":                     {newHistory().addRequest(0, func(t *Request) { t.ClosedAt = 1200 * ms }), "rule 1 at 1.200 s, node 0: connection ended"},
+		"crossed by a close":                   {newHistory().addRequest(0, func(t *Request) { t.CloseRaceAt = 1200 * ms }), ""},
+		"attempted, then closed":               {newHistory().addAttempt(1001, failed(1002)).addRequest(0, func(t *Request) { t.CloseRaceAt = 1200 * ms }), "rule 1 at 1.200 s, node 0: connection ended"},
+		"cut in the middle of it":              {newHistory().addRequest(0, func(t *Request) { t.Truncated = true }), ""},
+		"of another request":                   {newHistory().addRequest(0, func(t *Request) { answered(1100, 200)(t); t.ForeignBody = true }), "rule 1 at 1.100 s, node 0: answered with what no server"},
+		"answered twice":                       {newHistory().addRequest(0, func(t *Request) { answered(1100, 200)(t); t.ExtraAt = 1101 * ms }), "rule 1 at 1.101 s, node 0: a second answer"},
+		"sent after the answer":                {newHistory().addAttempt(1001, failed(1002)).addAttempt(1300, nil).addRequest(0, answered(1100, 503)), "rule 1 at 1.300 s, node 0: sent to a server after"},
+		"sent just after, as seen":             {newHistory().addAttempt(1001, failed(1002)).addAttempt(1140, nil).addRequest(0, answered(1100, 503)), ""},
+		"non-idempotent, rejected first":       {newHistory().addAttempt(1001, rejected(1002)).addAttempt(1003, nil).addRequest(2, answered(1100, 200)), ""},
+		"non-idempotent, never complete first": {newHistory().addAttempt(1001, func(h *Attempt) { h.LastByteAt = Never }).addAttempt(1003, nil).addRequest(2, answered(1100, 200)), ""},
+		"non-idempotent, failed first":         {newHistory().addAttempt(1001, failed(1002)).addAttempt(1003, nil).addRequest(2, answered(1100, 200)), "rule 2 at 1.003 s, node 0: an exclusive task sent again"},
+		"non-idempotent, unknown first":        {newHistory().addAttempt(1001, func(h *Attempt) { h.ClosedAt = 1002 * ms }).addAttempt(1003, nil).addRequest(2, answered(1100, 200)), "rule 2 at 1.003"},
+		"non-idempotent, rejected later":       {newHistory().addAttempt(1001, rejected(1050)).addAttempt(1003, nil).addRequest(2, answered(1100, 200)), "rule 2 at 1.003"},
+		"non-idempotent, rejected after":       {newHistory().addAttempt(1001, failed(1002)).addRequest(2, answered(1100, 503)), "rule 2 at 1.100 s, node 0: declined though it may have run"},
+		"non-idempotent, rejected, never ran":  {newHistory().addAttempt(1001, rejected(1002)).addRequest(2, answered(1100, 429)), ""},
+		"non-idempotent, failed":               {newHistory().addAttempt(1001, failed(1002)).addRequest(2, answered(1100, 502)), ""},
+		"by key in its group":                  {newHistory().addAttempt(1001, failed(1002)).addAttempt(1003, nil).addRequest(1, answered(1100, 200)), ""},
+		"by key outside it":                    {newHistory().addAttempt(1001, failed(1002)).addAttempt(1003, func(h *Attempt) { h.Zone = "b" }).addRequest(1, answered(1100, 200)), "rule 2 at 1.003 s, node 0: a ticketed task that may have run sent again outside"},
+		"by key outside, never ran":            {newHistory().addAttempt(1001, rejected(1002)).addAttempt(1003, func(h *Attempt) { h.Zone = "b" }).addRequest(1, answered(1100, 200)), ""},
 		"by key after the span": {
-			newHistory().attempt(1001, failed(1002)).attempt(3100, nil).request(1, func(t *Request) { t.Deadline = 9000 * ms; answered(3200, 200)(t) }),
+			newHistory().addAttempt(1001, failed(1002)).addAttempt(3100, nil).addRequest(1, func(t *Request) { t.Deadline = 9000 * ms; answered(3200, 200)(t) }),
 			"rule 2 at 3.100 s, node 0: a ticketed task that may have run sent again after the memory",
 		},
-		"by key, rejected":       {newHistory().attempt(1001, failed(1002)).request(1, answered(1100, 503)), "rule 2 at 1.100"},
-		"by key, fleet rejected": {newHistory().attempt(1001, failed(1002)).request(3, answered(1100, 503)), ""},
-		"two in flight at once":  {newHistory().attempt(1001, func(h *Attempt) { h.AnsweredAt = 1090 * ms }).attempt(1003, nil).request(0, answered(1100, 200)), "rule 2 at 1.003 s, node 0: a second copy"},
-		"given up, then again":   {newHistory().attempt(1001, func(h *Attempt) { h.ClosedAt = 1004 * ms }).attempt(1003, nil).request(0, answered(1100, 200)), ""},
+		"by key, rejected":       {newHistory().addAttempt(1001, failed(1002)).addRequest(1, answered(1100, 503)), "rule 2 at 1.100"},
+		"by key, fleet rejected": {newHistory().addAttempt(1001, failed(1002)).addRequest(3, answered(1100, 503)), ""},
+		"two in flight at once":  {newHistory().addAttempt(1001, func(h *Attempt) { h.AnsweredAt = 1090 * ms }).addAttempt(1003, nil).addRequest(0, answered(1100, 200)), "rule 2 at 1.003 s, node 0: a second copy"},
+		"given up, then again":   {newHistory().addAttempt(1001, func(h *Attempt) { h.ClosedAt = 1004 * ms }).addAttempt(1003, nil).addRequest(0, answered(1100, 200)), ""},
 	} {
 		got := c.l.Check(classes, rules)
 		switch {
@@ -104,25 +104,25 @@
 	}
 }
 
-func entry(at int64, h model.State) ListEntry {
+func listEntry(at int64, h model.State) ListEntry {
 	return ListEntry{Incarnation: 1, State: h, At: at * ms}
 }
 
-func TestDrains(t *testing.T) {
+func TestAttemptsAtDrainingEndpoints(t *testing.T) {
 	for name, c := range map[string]struct {
 		told []ListEntry
 		sent int64
 		want bool
 	}{
-		"within the grace":       {[]ListEntry{entry(0, model.Up), entry(1000, model.Draining)}, 1540, false},
-		"after it":               {[]ListEntry{entry(0, model.Up), entry(1000, model.Draining)}, 1560, true},
-		"after it, gone":         {[]ListEntry{entry(1000, model.Removed)}, 1560, true},
-		"not counted anew":       {[]ListEntry{entry(1000, model.Draining), entry(1400, model.Draining)}, 1560, true},
-		"back again":             {[]ListEntry{entry(1000, model.Draining), entry(1400, model.Up)}, 1560, false},
+		"within the grace":       {[]ListEntry{listEntry(0, model.Up), listEntry(1000, model.Draining)}, 1540, false},
+		"after it":               {[]ListEntry{listEntry(0, model.Up), listEntry(1000, model.Draining)}, 1560, true},
+		"after it, gone":         {[]ListEntry{listEntry(1000, model.Removed)}, 1560, true},
+		"not counted anew":       {[]ListEntry{listEntry(1000, model.Draining), listEntry(1400, model.Draining)}, 1560, true},
+		"back again":             {[]ListEntry{listEntry(1000, model.Draining), listEntry(1400, model.Up)}, 1560, false},
 		"never told":             {nil, 1560, false},
 		"told to an earlier one": {[]ListEntry{{Incarnation: 0, State: model.Draining, At: 100 * ms}}, 1560, false},
 	} {
-		l := newHistory().attempt(c.sent, nil).request(0, func(t *Request) { t.SentAt, t.Deadline = c.sent*ms-1, 9000*ms; answered(c.sent+9, 200)(t) })
+		l := newHistory().addAttempt(c.sent, nil).addRequest(0, func(t *Request) { t.SentAt, t.Deadline = c.sent*ms-1, 9000*ms; answered(c.sent+9, 200)(t) })
 		l.RecordEntries(c.told...)
 		got := l.Check(classes, rules)
 		if c.want != (len(got) == 1) || c.want && (got[0].Rule != 3 || got[0].At != c.sent*ms || got[0].Attempt != 0) {
@@ -145,8 +145,8 @@
 		"up only later":       {[]ListChange{{Endpoint: 0, State: model.Up, At: 2001 * ms}}, true, true},
 		"another":             {[]ListChange{{Endpoint: 1, State: model.Up, At: 1200 * ms}}, true, true},
 	} {
-		l := newHistory().attempt(2000, nil).request(0, func(t *Request) { t.SentAt, t.Deadline = 1999*ms, 9000*ms; answered(2009, 200)(t) })
-		l.RecordEntries(entry(1000, model.Draining))
+		l := newHistory().addAttempt(2000, nil).addRequest(0, func(t *Request) { t.SentAt, t.Deadline = 1999*ms, 9000*ms; answered(2009, 200)(t) })
+		l.RecordEntries(listEntry(1000, model.Draining))
 		for _, one := range c.listed {
 			l.RecordListChange(one)
 		}
@@ -176,14 +176,14 @@
 		w.Incarnation = 1
 		l.RecordWatch(&w)
 		l.RecordListChange(ListChange{State: model.Draining, At: 2000 * ms})
-		l.attempt(c.sent, nil).request(0, func(t *Request) { t.SentAt, t.Deadline = c.sent*ms-1, 99000*ms; answered(c.sent+9, 200)(t) })
+		l.addAttempt(c.sent, nil).addRequest(0, func(t *Request) { t.SentAt, t.Deadline = c.sent*ms-1, 99000*ms; answered(c.sent+9, 200)(t) })
 		if got := l.Check(classes, rules); c.want != (len(got) == 1) {
 			t.Errorf("%s: %v, want broken %v", name, got, c.want)
 		}
 	}
 }
 
-func TestCrashes(t *testing.T) {
+func TestSlowStartCrashes(t *testing.T) {
 	fall := func(knowing, unknowing int) *History {
 		l := newHistory()
 		l.RecordProcess(&Process{Node: 1, Incarnation: 1})
@@ -210,20 +210,20 @@
 }
 
 // Faults of the run itself are not held against a node, nor what the lab saw late.
-func TestExcused(t *testing.T) {
-	l := newHistory().request(0, func(t *Request) { t.ClosedAt = 1500 * ms })
-	l.Excuse(l.Processes[0], Span{1200 * ms, Never})
+func TestExcusedTimeAndLagAreNoViolations(t *testing.T) {
+	l := newHistory().addRequest(0, func(t *Request) { t.ClosedAt = 1500 * ms })
+	l.Excuse(l.Processes[0], Interval{1200 * ms, Never})
 	if got := l.Check(classes, rules); len(got) != 0 {
 		t.Errorf("killed outright: %v, want nothing broken", got)
 	}
-	l = newHistory().request(0, func(t *Request) { t.ClosedAt = 1100 * ms })
-	l.Excuse(l.Processes[0], Span{1200 * ms, Never})
+	l = newHistory().addRequest(0, func(t *Request) { t.ClosedAt = 1100 * ms })
+	l.Excuse(l.Processes[0], Interval{1200 * ms, Never})
 	if got := l.Check(classes, rules); len(got) != 1 {
 		t.Errorf("lost before it was killed: %v, want rule 1 broken", got)
 	}
 	late := rules
 	late.Lag = func(int64) int64 { return 30 * ms }
-	if got := newHistory().request(0, answered(2080, 502)).Check(classes, late); len(got) != 0 {
+	if got := newHistory().addRequest(0, answered(2080, 502)).Check(classes, late); len(got) != 0 {
 		t.Errorf("seen late by a rig that ran late: %v, want nothing broken", got)
 	}
 }
@@ -236,11 +236,11 @@
 		told      []ListEntry
 		want      bool
 	}{
-		"kept":               {true, []ListEntry{entry(300, model.Draining)}, true},
-		"lost":               {false, []ListEntry{entry(300, model.Draining)}, false},
-		"in the last moment": {true, []ListEntry{entry(950, model.Draining)}, false},
-		"up before the end":  {true, []ListEntry{entry(300, model.Draining), entry(500, model.Up)}, false},
-		"told otherwise":     {true, []ListEntry{entry(300, model.Draining), {Incarnation: 2, State: model.Up, At: 1100 * ms}}, false},
+		"kept":               {true, []ListEntry{listEntry(300, model.Draining)}, true},
+		"lost":               {false, []ListEntry{listEntry(300, model.Draining)}, false},
+		"in the last moment": {true, []ListEntry{listEntry(950, model.Draining)}, false},
+		"up before the end":  {true, []ListEntry{listEntry(300, model.Draining), listEntry(500, model.Up)}, false},
+		"told otherwise":     {true, []ListEntry{listEntry(300, model.Draining), {Incarnation: 2, State: model.Up, At: 1100 * ms}}, false},
 	} {
 		l := &History{}
 		l.RecordProcess(&Process{Incarnation: 1})
@@ -249,7 +249,7 @@
 		l.RecordWatch(&Watch{Incarnation: 1, To: 1000 * ms})
 		l.RecordWatch(&Watch{Incarnation: 2, From: 1050 * ms, To: Never})
 		l.RecordEntries(c.told...)
-		l.attempt(2000, nil).request(0, func(t *Request) { t.Incarnation, t.SentAt, t.Deadline = 2, 1999*ms, 9000*ms; answered(2009, 200)(t) })
+		l.addAttempt(2000, nil).addRequest(0, func(t *Request) { t.Incarnation, t.SentAt, t.Deadline = 2, 1999*ms, 9000*ms; answered(2009, 200)(t) })
 		if got := l.Check(classes, rules); c.want != (len(got) == 1) {
 			t.Errorf("%s: %v, want broken %v", name, got, c.want)
 		}
@@ -260,12 +260,12 @@
 func TestLinkDelay(t *testing.T) {
 	slow := rules
 	slow.LinkDelay = func(int64) int64 { return 200 * ms }
-	l := newHistory().attempt(1700, nil).request(0, func(t *Request) { t.SentAt, t.Deadline = 1699*ms, 9000*ms; answered(1709, 200)(t) })
-	l.RecordEntries(entry(1000, model.Draining))
+	l := newHistory().addAttempt(1700, nil).addRequest(0, func(t *Request) { t.SentAt, t.Deadline = 1699*ms, 9000*ms; answered(1709, 200)(t) })
+	l.RecordEntries(listEntry(1000, model.Draining))
 	if got := l.Check(classes, slow); len(got) != 0 {
 		t.Errorf("held up on the way: %v", got)
 	}
-	if got := newHistory().request(0, answered(2200, 502)).Check(classes, slow); len(got) != 1 {
+	if got := newHistory().addRequest(0, answered(2200, 502)).Check(classes, slow); len(got) != 1 {
 		t.Errorf("an answer past its time: %v, want rule 1 broken", got)
 	}
 }
--- a/internal/lab/invariant/drain.go
+++ b/internal/lab/invariant/drain.go
@@ -8,14 +8,14 @@
 )
 
 // Rule 3: no attempt begins at an endpoint that the node knows, or is presumed to know, to be draining or removed for
-// longer than StopSending.
+// longer than StopSendingWithin.
 
 func (c *checker) checkDrains() {
 	known := c.knownStates()
 	for _, a := range c.Attempts {
 		process := processKey{a.Node, c.incarnationAt(a.Node, a.FirstByteAt)}
 		drains := c.drainKnownAt(process, known[endpointKey{a.Node, process.incarnation, a.Endpoint}], a.FirstByteAt)
-		if drains == Never || a.FirstByteAt <= drains+c.rules.StopSending+c.rules.linkSlack(a.FirstByteAt) {
+		if drains == Never || a.FirstByteAt <= drains+c.rules.StopSendingWithin+c.rules.linkSlack(a.FirstByteAt) {
 			continue
 		}
 		if c.rules.ListGossip && c.listedUpSince(a.Endpoint, drains, a.FirstByteAt) {
@@ -23,7 +23,7 @@
 		}
 		late := float64(a.FirstByteAt-drains) / 1e6
 		c.report(Violation{
-			Rule: 3, What: fmt.Sprintf("sent to a draining or gone server %.0f ms after it was told", late),
+			Rule: 3, Description: fmt.Sprintf("sent to a draining or gone server %.0f ms after it was told", late),
 			Request: a.Request, Attempt: slices.Index(c.attemptsByID[a.Request], a),
 			Endpoint: a.Endpoint, Node: a.Node, At: a.FirstByteAt,
 		})
--- a/internal/lab/invariant/history.go
+++ b/internal/lab/invariant/history.go
@@ -26,7 +26,7 @@
 	SentAt      int64 // its last byte was written
 	Deadline    int64
 	CanceledAt  int64 // the client closed its connection or canceled; Never if it stayed
-	CrossedAt   int64 // the node's closing was seen to cross it, and the client sent it again; Never if not
+	CloseRaceAt int64 // the node's closing was seen to cross it, and the client sent it again; Never if not
 	ResentAfter int64 // of a request sent again: when the first was crossed. Earlier attempts are not this one's
 
 	AnsweredAt  int64 // the last byte of the response had come; Never if it did not
@@ -76,13 +76,13 @@
 type Process struct {
 	Node, Incarnation  int
 	StartedAt, EndedAt int64
-	Excused            []Span // the run itself had killed, paused or cut it off, so that it could not answer
-	Persistent         bool   // it knows the list of its predecessor, but for that one's last moment
-	ReadyAt            int64  // it first reported that it is ready; Never if it did not
+	Excused            []Interval // the run itself had killed, paused or cut it off, so that it could not answer
+	Persistent         bool       // it knows the list of its predecessor, but for that one's last moment
+	ReadyAt            int64      // it first reported that it is ready; Never if it did not
 }
 
 // Span is a time from and to, the end not included.
-type Span struct{ From, To int64 }
+type Interval struct{ From, To int64 }
 
 // Watch is a time in which a node watched the endpoint list, or a call that failed.
 type Watch struct {
@@ -97,7 +97,7 @@
 // Outage is a time in which discovery could not be reached by one node, or by AllNodes.
 type Outage struct {
 	Node int
-	Span
+	Interval
 }
 
 // Crash is an endpoint in slow start that was overloaded until it crashed.
@@ -150,7 +150,7 @@
 
 // RecordRequest records a request that a node has read.
 func (h *History) RecordRequest(r *Request) {
-	r.CanceledAt, r.CrossedAt, r.AnsweredAt, r.ClosedAt, r.ExtraAt = Never, Never, Never, Never, Never
+	r.CanceledAt, r.CloseRaceAt, r.AnsweredAt, r.ClosedAt, r.ExtraAt = Never, Never, Never, Never, Never
 	h.Update(func() { h.Requests = append(h.Requests, r) })
 }
 
@@ -177,7 +177,7 @@
 }
 
 // Excuse adds a time in which nothing can be required of a process.
-func (h *History) Excuse(p *Process, s Span) {
+func (h *History) Excuse(p *Process, s Interval) {
 	h.Update(func() { p.Excused = append(p.Excused, s) })
 }
 
--- a/internal/lab/invariant/knowledge_test.go
+++ b/internal/lab/invariant/knowledge_test.go
@@ -7,8 +7,8 @@
 	"fawnglade/internal/lab/model"
 )
 
-// standingTestRules are the rules with the later terms of the standing test.
-func standingTestRules() Rules {
+// rulesWithAllLimits are the rules with the later terms of the standing test.
+func rulesWithAllLimits() Rules {
 	r := rules
 	r.KnownWithin, r.CancelGrace, r.ReadyWithin, r.ReadyWithinAtEnd, r.End = 6000*ms, 100*ms, 10000*ms, 6000*ms, 60000*ms
 	return r
@@ -20,7 +20,7 @@
 	none := func(*History) {}
 	outage := func(node int, from, to int64) func(*History) {
 		return func(l *History) {
-			o := &Outage{Node: node, Span: Span{From: from * ms}}
+			o := &Outage{Node: node, Interval: Interval{From: from * ms}}
 			l.RecordOutage(o)
 			o.To = to * ms
 		}
@@ -40,22 +40,22 @@
 		"down only later":              {outage(-1, 8001, 30000), 8560, true},
 		"cut off from it alone":        {outage(0, 1000, 4000), 10540, false},
 		"another cut off from it":      {outage(1, 1000, 4000), 8560, true},
-		"never back":                   {func(l *History) { l.RecordOutage(&Outage{Node: -1, Span: Span{From: 1000 * ms}}) }, 30000, false},
-		"the node itself stood still":  {func(l *History) { l.Excuse(l.Processes[0], Span{1000 * ms, 5000 * ms}) }, 11540, false},
-		"and no longer":                {func(l *History) { l.Excuse(l.Processes[0], Span{1000 * ms, 5000 * ms}) }, 11560, true},
+		"never back":                   {func(l *History) { l.RecordOutage(&Outage{Node: -1, Interval: Interval{From: 1000 * ms}}) }, 30000, false},
+		"the node itself stood still":  {func(l *History) { l.Excuse(l.Processes[0], Interval{1000 * ms, 5000 * ms}) }, 11540, false},
+		"and no longer":                {func(l *History) { l.Excuse(l.Processes[0], Interval{1000 * ms, 5000 * ms}) }, 11560, true},
 		"told that it is up again": {func(l *History) {
 			l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
-			l.RecordEntries(entry(3100, model.Up))
+			l.RecordEntries(listEntry(3100, model.Up))
 		}, 8800, false},
 		"up again on the list, and not told":   {func(l *History) { l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms}) }, 9600, false},
-		"told before the change that it is up": {func(l *History) { l.RecordEntries(entry(1900, model.Up)) }, 8560, true},
+		"told before the change that it is up": {func(l *History) { l.RecordEntries(listEntry(1900, model.Up)) }, 8560, true},
 		"up and draining again, neither told": {func(l *History) {
 			l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
 			l.RecordListChange(ListChange{State: model.Draining, At: 4000 * ms})
 		}, 10560, true},
 		"told up, then draining again, not told": {func(l *History) {
 			l.RecordListChange(ListChange{State: model.Up, At: 3000 * ms})
-			l.RecordEntries(entry(3100, model.Up))
+			l.RecordEntries(listEntry(3100, model.Up))
 			l.RecordListChange(ListChange{State: model.Draining, At: 4000 * ms})
 		}, 10560, true},
 	} {
@@ -67,8 +67,8 @@
 			}
 			l.RecordListChange(ListChange{State: model.Draining, At: 2000 * ms})
 			c.change(l)
-			l.attempt(c.sent, nil).request(0, func(t *Request) { t.SentAt, t.Deadline = c.sent*ms-1, 99000*ms; answered(c.sent+9, 200)(t) })
-			r := standingTestRules()
+			l.addAttempt(c.sent, nil).addRequest(0, func(t *Request) { t.SentAt, t.Deadline = c.sent*ms-1, 99000*ms; answered(c.sent+9, 200)(t) })
+			r := rulesWithAllLimits()
 			if !asked {
 				r.PollWithin = 0 // lists are pushed
 			}
@@ -81,18 +81,18 @@
 }
 
 // A process that starts with a stale list has six seconds from its start.
-func TestPresumedKnowledgeOfANewProcess(t *testing.T) {
+func TestPresumedKnowledgeOfNewProcess(t *testing.T) {
 	for sent, want := range map[int64]bool{12540: false, 12560: true} {
 		l := &History{}
 		l.RecordProcess(&Process{Incarnation: 1})
 		l.Processes[0].EndedAt = 5000 * ms
 		l.RecordListChange(ListChange{State: model.Draining, At: 2000 * ms})
 		l.RecordProcess(&Process{Incarnation: 2, StartedAt: 6000 * ms})
-		l.attempt(sent, nil).request(0, func(t *Request) {
+		l.addAttempt(sent, nil).addRequest(0, func(t *Request) {
 			t.Incarnation, t.SentAt, t.Deadline = 2, sent*ms-1, 99000*ms
 			answered(sent+9, 200)(t)
 		})
-		r := standingTestRules()
+		r := rulesWithAllLimits()
 		r.ReadyWithin = 0
 		if got := l.Check(classes, r); want != (len(got) == 1) {
 			t.Errorf("sent at %d ms: %v, want broken %v", sent, got, want)
@@ -125,10 +125,10 @@
 			l.Attempts[2*i+1].LastByteAt = left + c.late*ms
 		}
 		if c.excuse > 0 {
-			l.Excuse(l.Processes[0], Span{990 * ms, (1000 + 10*int64(c.cases) + c.excuse) * ms})
+			l.Excuse(l.Processes[0], Interval{990 * ms, (1000 + 10*int64(c.cases) + c.excuse) * ms})
 		}
-		got := l.Check(classes, standingTestRules())
-		if len(got) != c.want || c.want > 0 && (got[0].Rule != 1 || got[0].Request != "c" || got[0].Attempt != 1 || !strings.Contains(got[0].What, "after its client had gone")) {
+		got := l.Check(classes, rulesWithAllLimits())
+		if len(got) != c.want || c.want > 0 && (got[0].Rule != 1 || got[0].Request != "c" || got[0].Attempt != 1 || !strings.Contains(got[0].Description, "after its client had gone")) {
 			t.Errorf("%s: %v, want %d breaks from the third on", name, got, c.want)
 		}
 	}
@@ -163,7 +163,7 @@
 		if c.ended > 0 {
 			l.Processes[len(l.Processes)-1].EndedAt = (20 + c.ended) * 1000 * ms
 		}
-		r := standingTestRules()
+		r := rulesWithAllLimits()
 		r.End = c.length * 1000 * ms
 		got := l.Check(classes, r)
 		if c.want == "" && len(got) > 0 || c.want != "" && (len(got) != 1 || !strings.HasPrefix(got[0].String(), c.want)) {
@@ -171,14 +171,14 @@
 		}
 	}
 	l := newHistory()
-	if got := l.Check(classes, standingTestRules()); len(got) != 0 {
+	if got := l.Check(classes, rulesWithAllLimits()); len(got) != 0 {
 		t.Errorf("a first life that was never ready: %v, want nothing broken: the day waits for these", got)
 	}
 }
 
 // Requests of a second of work arrive at an endpoint in slow start with a budget of four: first five from a node that does not
 // know of the start, then four from one that does, the last of them while one of the others is still within the window.
-func TestPeaks(t *testing.T) {
+func TestSlowStartPeaks(t *testing.T) {
 	l := &History{}
 	for node := range 2 {
 		l.RecordProcess(&Process{Node: node, Incarnation: 1, StartedAt: -10000 * ms})
@@ -194,7 +194,7 @@
 	add(1, 2100, 2650, 2660, 2670)
 	l.RecordSlowStart(cold)
 	l.RecordSlowStart(SlowStart{Endpoint: 4, MeanWork: 1, Window: 1000 * ms}) // nothing arrived
-	all, told := l.Peaks(standingTestRules())
+	all, told := l.Peaks(rulesWithAllLimits())
 	if len(all) != 1 || all[0] != (Peak{Endpoint: 3, At: 1700 * ms, Load: 5, Budget: 4, Excess: 0.5}) {
 		t.Errorf("of all that came: %+v, want five at 1.7 s, half a root over, none from who was told", all)
 	}
@@ -204,14 +204,14 @@
 	// Six seconds after discovery listed the start every node that could reach it is presumed to know.
 	l.RecordListChange(ListChange{Endpoint: 3, State: model.Up, At: -4395 * ms, StartedAt: 77})
 	l.RecordListChange(ListChange{Endpoint: 3, State: model.Up, At: -9000 * ms, StartedAt: 76})
-	if _, told := l.Peaks(standingTestRules()); len(told) != 1 || told[0] != (Peak{Endpoint: 3, At: 2670 * ms, Load: 5, Budget: 4, Excess: 0.5, KnownShare: 1}) {
+	if _, told := l.Peaks(rulesWithAllLimits()); len(told) != 1 || told[0] != (Peak{Endpoint: 3, At: 2670 * ms, Load: 5, Budget: 4, Excess: 0.5, KnownShare: 1}) {
 		t.Errorf("taken to know at 1.605 s: %+v, want all five of 2.67 s", told)
 	}
 	cold.Arrivals = cold.Arrivals[:5]
 	l = &History{}
 	l.RecordProcess(&Process{Incarnation: 1})
 	l.RecordSlowStart(cold)
-	if all, told := l.Peaks(standingTestRules()); len(all) != 1 || len(told) != 0 {
+	if all, told := l.Peaks(rulesWithAllLimits()); len(all) != 1 || len(told) != 0 {
 		t.Errorf("nobody was told: %+v and %+v", all, told)
 	}
 }
@@ -222,7 +222,7 @@
 		l := newHistory()
 		l.RecordListChange(ListChange{Endpoint: 4, State: model.Up, At: 0, StartedAt: 77})
 		l.RecordCrash(Crash{Endpoint: 4, StartedAt: 77, Crash: model.Crash{At: at * ms, Capacity: 0.5, Work: 1, Arrivals: []model.Arrival{{At: at * ms, Work: 1}}}})
-		if got := l.Check(classes, standingTestRules()); len(got) != want || want > 0 && got[0].Rule != 4 {
+		if got := l.Check(classes, rulesWithAllLimits()); len(got) != want || want > 0 && got[0].Rule != 4 {
 			t.Errorf("pushed over at %d ms: %v, want %d broken", at, got, want)
 		}
 	}
--- a/internal/lab/invariant/listknowledge.go
+++ b/internal/lab/invariant/listknowledge.go
@@ -34,7 +34,7 @@
 		known[k] = append(known[k], knownState{e.At, e.State})
 	}
 	for _, p := range c.Processes {
-		presumed := c.presumed(p, known)
+		presumed := c.presumedStates(p, known)
 		c.addMissedPolls(p, known)
 		for k, list := range presumed {
 			known[k] = append(known[k], list...)
@@ -49,21 +49,21 @@
 }
 
 // unreachable is when a process could not reach discovery, in order.
-func (c *checker) unreachable(p *Process) []Span {
+func (c *checker) discoveryUnreachable(p *Process) []Interval {
 	spans := slices.Clone(p.Excused)
 	for _, o := range c.Outages {
 		if o.Node == AllNodes || o.Node == p.Node {
-			spans = append(spans, o.Span)
+			spans = append(spans, o.Interval)
 		}
 	}
-	slices.SortFunc(spans, func(a, b Span) int { return cmp.Compare(a.From, b.From) })
+	slices.SortFunc(spans, func(a, b Interval) int { return cmp.Compare(a.From, b.From) })
 	return spans
 }
 
 // presumedAt is from when a process is presumed to know of a change that it did not receive: KnownWithin after discovery
 // had it, if the process could reach discovery for all of that time, whatever its calls came to. Never if that does not
 // come.
-func (c *checker) presumedAt(p *Process, unreachable []Span, changed int64) int64 {
+func (c *checker) presumedAt(p *Process, unreachable []Interval, changed int64) int64 {
 	within, from := c.rules.KnownWithin, max(changed, p.StartedAt)
 	for _, s := range unreachable {
 		if s.From < from+within && from < s.To {
@@ -78,8 +78,8 @@
 
 // presumed returns what a process is presumed to know of all changes. A change does not count if the process received
 // it, or a later one of the same endpoint, in the meantime.
-func (c *checker) presumed(p *Process, known map[endpointKey][]knownState) map[endpointKey][]knownState {
-	presumed, unreachable := map[endpointKey][]knownState{}, c.unreachable(p)
+func (c *checker) presumedStates(p *Process, known map[endpointKey][]knownState) map[endpointKey][]knownState {
+	presumed, unreachable := map[endpointKey][]knownState{}, c.discoveryUnreachable(p)
 	for _, change := range c.ListChanges {
 		at, k := c.presumedAt(p, unreachable, change.At), endpointKey{p.Node, p.Incarnation, change.Endpoint}
 		received := slices.ContainsFunc(known[k], func(s knownState) bool { return s.at >= change.At && s.at < at })
@@ -182,7 +182,7 @@
 		know(endpointStart{e.Node, e.Incarnation, e.Endpoint, e.StartedAt}, e.At)
 	}
 	for _, p := range c.Processes {
-		unreachable := c.unreachable(p)
+		unreachable := c.discoveryUnreachable(p)
 		for _, change := range c.ListChanges {
 			if at := c.presumedAt(p, unreachable, change.At); at != Never && change.State == model.Up {
 				know(endpointStart{p.Node, p.Incarnation, change.Endpoint, change.StartedAt}, at)
--- a/internal/lab/invariant/readiness.go
+++ b/internal/lab/invariant/readiness.go
@@ -4,7 +4,7 @@
 
 // Rule 5: of the processes that were started again, nine in ten are ready in time.
 
-const readyShare = 0.9
+const minReadyFraction = 0.9
 
 func (c *checker) checkReadiness() {
 	if c.rules.ReadyWithin <= 0 {
@@ -24,8 +24,8 @@
 			last = Violation{Rule: 5, Attempt: -1, Endpoint: -1, Node: p.Node, At: due}
 		}
 	}
-	if float64(inTime) < readyShare*float64(restarts) {
-		last.What = fmt.Sprintf("%d of %d processes started again were ready in time, expected %.1f of them", inTime, restarts, readyShare)
+	if float64(inTime) < minReadyFraction*float64(restarts) {
+		last.Description = fmt.Sprintf("%d of %d processes started again were ready in time, expected %.1f of them", inTime, restarts, minReadyFraction)
 		c.report(last)
 	}
 }
--- a/internal/lab/invariant/repeats.go
+++ b/internal/lab/invariant/repeats.go
@@ -34,7 +34,7 @@
 		for _, earlier := range attempts[:n] {
 			if what := c.wrongRepeat(class, earlier, a); what != "" {
 				c.report(Violation{
-					Rule: 2, What: what,
+					Rule: 2, Description: what,
 					Request: r.ID, Attempt: first + n, Endpoint: a.Endpoint, Node: a.Node, At: a.FirstByteAt,
 				})
 				break
@@ -84,7 +84,7 @@
 		// response came, the node rejected before it knew.
 		if a.FirstByteAt <= r.AnsweredAt && a.provenNotRunAt() > r.AnsweredAt {
 			c.report(Violation{
-				Rule: 2, What: "declined though it may have run",
+				Rule: 2, Description: "declined though it may have run",
 				Request: r.ID, Attempt: first + n, Endpoint: a.Endpoint, Node: r.Node, At: r.AnsweredAt,
 			})
 			return
--- a/internal/lab/invariant/response.go
+++ b/internal/lab/invariant/response.go
@@ -5,16 +5,16 @@
 // Rule 1: a request has one response, made by an endpoint for it, by its deadline and the grace; no attempt of it begins
 // after that, nor once its client has gone.
 
-// allowedAfterCancel is how many attempts of a run may begin after their client has gone.
-const allowedAfterCancel = 2
+// maxAttemptsAfterCancel is how many attempts of a run may begin after their client has gone.
+const maxAttemptsAfterCancel = 2
 
 func (c *checker) checkResponse(r *Request) {
 	due := r.Deadline + c.rules.AnswerGrace
 	due += c.rules.slack(due)
 	process := processKey{r.Node, r.Incarnation}
-	excused := c.excusedUntil(process, r.SentAt, min(r.AnsweredAt, r.ClosedAt, r.CrossedAt, due)) != 0
-	if r.CrossedAt != Never {
-		c.checkCrossed(r, excused)
+	excused := c.excusedUntil(process, r.SentAt, min(r.AnsweredAt, r.ClosedAt, r.CloseRaceAt, due)) != 0
+	if r.CloseRaceAt != Never {
+		c.checkCloseRace(r, excused)
 		return
 	}
 	if !excused {
@@ -37,14 +37,14 @@
 }
 
 func (c *checker) reportResponse(r *Request, at int64, what string) {
-	c.report(Violation{Rule: 1, What: what, Request: r.ID, Attempt: -1, Endpoint: -1, Node: r.Node, At: at})
+	c.report(Violation{Rule: 1, Description: what, Request: r.ID, Attempt: -1, Endpoint: -1, Node: r.Node, At: at})
 }
 
-// checkCrossed checks a request that crossed the closing of its connection. A node may close an idle connection, but one
+// checkCloseRace checks a request that crossed the closing of its connection. A node may close an idle connection, but one
 // that began an attempt had read the request and owed a response.
-func (c *checker) checkCrossed(r *Request, excused bool) {
+func (c *checker) checkCloseRace(r *Request, excused bool) {
 	if attempts, _ := c.attemptsOf(r); len(attempts) > 0 && !excused {
-		c.reportResponse(r, r.CrossedAt, "connection ended without an answer")
+		c.reportResponse(r, r.CloseRaceAt, "connection ended without an answer")
 	}
 }
 
@@ -67,7 +67,7 @@
 	for n, a := range attempts {
 		if a.Node == r.Node && a.FirstByteAt > over+c.rules.linkSlack(a.FirstByteAt) {
 			c.report(Violation{
-				Rule: 1, What: "sent to a server after its final answer was due or given",
+				Rule: 1, Description: "sent to a server after its final answer was due or given",
 				Request: r.ID, Attempt: first + n, Endpoint: a.Endpoint, Node: r.Node, At: a.FirstByteAt,
 			})
 		}
@@ -89,8 +89,8 @@
 	for n, a := range attempts {
 		if a.Node == r.Node && a.FirstByteAt > gone+c.rules.CancelGrace+c.rules.linkSlack(a.FirstByteAt) {
 			late := float64(a.FirstByteAt-gone) / 1e6
-			c.afterCancel = append(c.afterCancel, Violation{
-				Rule: 1, What: fmt.Sprintf("sent to a server %.0f ms after its client had gone", late),
+			c.attemptsAfterCancel = append(c.attemptsAfterCancel, Violation{
+				Rule: 1, Description: fmt.Sprintf("sent to a server %.0f ms after its client had gone", late),
 				Request: r.ID, Attempt: first + n, Endpoint: a.Endpoint, Node: a.Node, At: a.FirstByteAt,
 			})
 		}
@@ -99,8 +99,8 @@
 
 // reportCanceled reports the attempts for clients that had gone, beyond those that are tolerated.
 func (c *checker) reportCanceled() {
-	sortByTime(c.afterCancel)
-	if len(c.afterCancel) > allowedAfterCancel {
-		c.violations = append(c.violations, c.afterCancel[allowedAfterCancel:]...)
+	sortByTime(c.attemptsAfterCancel)
+	if len(c.attemptsAfterCancel) > maxAttemptsAfterCancel {
+		c.violations = append(c.violations, c.attemptsAfterCancel[maxAttemptsAfterCancel:]...)
 	}
 }
--- a/internal/lab/invariant/rules.go
+++ b/internal/lab/invariant/rules.go
@@ -30,8 +30,8 @@
 
 // Rules are the limits that nodes are held to, in nanoseconds.
 type Rules struct {
-	// StopSending is how long after a node knows that an endpoint drains it may still begin attempts there.
-	StopSending int64
+	// StopSendingWithin is how long after a node knows that an endpoint drains it may still begin attempts there.
+	StopSendingWithin int64
 	// PollWithin is how long a node may neither watch nor poll the endpoint list; 0: no limit.
 	PollWithin int64
 	// AnswerGrace is how long after its deadline a request may be answered.
--- a/internal/lab/invariant/slowstart.go
+++ b/internal/lab/invariant/slowstart.go
@@ -27,7 +27,7 @@
 		if known >= crash.Work*2/3 {
 			what := fmt.Sprintf("a cold server was pushed over: %.2f s of work on a capacity of %.2f a second", crash.Work, crash.Capacity)
 			c.report(Violation{
-				Rule: 4, What: what, Attempt: -1, Endpoint: crash.Endpoint, Node: worst, At: crash.At,
+				Rule: 4, Description: what, Attempt: -1, Endpoint: crash.Endpoint, Node: worst, At: crash.At,
 			})
 		}
 	}
--- a/internal/lab/netfault/fault.go
+++ b/internal/lab/netfault/fault.go
@@ -40,7 +40,7 @@
 	Duplicate Kind = "link-twice"   // a share arrives a second time, after Wait
 	Reorder   Kind = "link-reorder" // a share is held for Wait, so that others overtake it
 	Corrupt   Kind = "link-spoil"   // a byte of a share is changed
-	Narrow    Kind = "link-narrow"  // so many bytes a second
+	Throttle  Kind = "link-narrow"  // so many bytes a second
 )
 
 // Variants of some kinds; the first is the default.
@@ -64,14 +64,14 @@
 }
 
 // hits tells whether the fault is of the link from one end to another, at any time.
-func (f *Fault) hits(from, to End) bool {
+func (f *Fault) appliesTo(from, to End) bool {
 	return f.from[from] && f.to[to] || !f.OneWay && f.from[to] && f.to[from]
 }
 
 func (f *Fault) active(now int64) bool { return f.Begin <= now && now < f.End }
 
 // touches tells whether the fault is of any link between two kinds of ends, in either direction.
-func (f *Fault) touches(a, b EndKind) bool {
+func (f *Fault) affectsKinds(a, b EndKind) bool {
 	has := func(ends []End, k EndKind) bool {
 		return slices.ContainsFunc(ends, func(e End) bool { return e.Kind == k })
 	}
--- a/internal/lab/netfault/report.go
+++ b/internal/lab/netfault/report.go
@@ -7,19 +7,19 @@
 )
 
 // Reach tells which nodes could reach each other in one second of a run.
-type Reach struct {
-	Parts  []string `json:"parts"`              // nodes that reach one another, both ways, as n0..n5
-	OneWay []string `json:"one_way,omitempty"`  // cuts of one direction, as link-cut n3 -> n0
-	Faults []string `json:"troubled,omitempty"` // all other active faults
+type Reachability struct {
+	Partitions []string `json:"parts"`              // nodes that reach one another, both ways, as n0..n5
+	OneWay     []string `json:"one_way,omitempty"`  // cuts of one direction, as link-cut n3 -> n0
+	Faults     []string `json:"troubled,omitempty"` // all other active faults
 }
 
-// ReachAt tells which nodes reach each other at a moment, and which faults are active.
-func (s *Schedule) ReachAt(now int64, nodes int) Reach {
-	var r Reach
+// ReachabilityAt tells which nodes reach each other at a moment, and which faults are active.
+func (s *Schedule) ReachabilityAt(now int64, nodes int) Reachability {
+	var r Reachability
 	seen := make([]bool, nodes)
 	for i := range nodes {
 		if !seen[i] {
-			r.Parts = append(r.Parts, Ranges(s.partOf(now, i, seen)))
+			r.Partitions = append(r.Partitions, NodeRanges(s.partitionOf(now, i, seen)))
 		}
 	}
 	for i := range s.faults {
@@ -35,8 +35,8 @@
 	return r
 }
 
-// partOf returns the nodes that a node reaches both ways, directly or through others, in order, and marks them as seen.
-func (s *Schedule) partOf(now int64, node int, seen []bool) []int {
+// partitionOf returns the nodes that a node reaches both ways, directly or through others, in order, and marks them as seen.
+func (s *Schedule) partitionOf(now int64, node int, seen []bool) []int {
 	seen[node] = true
 	part := []int{node}
 	for k := 0; k < len(part); k++ {
@@ -69,25 +69,25 @@
 	}
 	var names []string
 	if of := byKind[Node]; len(of) > 0 {
-		names = append(names, Ranges(of))
+		names = append(names, NodeRanges(of))
 	}
 	if of := byKind[Endpoint]; len(of) > 0 {
-		names = append(names, "server "+numbers(of))
+		names = append(names, "server "+numberRanges(of))
 	}
 	if len(byKind[Discovery]) > 0 {
 		names = append(names, "discovery")
 	}
 	if of := byKind[Client]; len(of) > 0 {
-		names = append(names, "clients "+numbers(of))
+		names = append(names, "clients "+numberRanges(of))
 	}
 	return strings.Join(names, " ")
 }
 
 // numbers is Ranges without the letter for nodes.
-func numbers(list []int) string { return strings.ReplaceAll(Ranges(list), "n", "") }
+func numberRanges(list []int) string { return strings.ReplaceAll(NodeRanges(list), "n", "") }
 
 // Ranges puts numbers of nodes, in order, into words: n0..n3 n7.
-func Ranges(list []int) string {
+func NodeRanges(list []int) string {
 	var words []string
 	for i := 0; i < len(list); {
 		j := i
--- a/internal/lab/netfault/schedule.go
+++ b/internal/lab/netfault/schedule.go
@@ -56,20 +56,20 @@
 // message is one message on a link, with its size in bytes.
 type message struct {
 	from, to End
-	n        uint64
+	number   uint64
 	size     int
 }
 
 // random returns a number from 0 to 1 for a message, evenly spread and the same each time.
 func (f *Fault) random(m *message, purpose uint64) float64 {
-	return fraction(mix(f.Seed, m.from, m.to, m.n, purpose))
+	return fraction(mix(f.Seed, m.from, m.to, m.number, purpose))
 }
 
 // The purposes of random numbers.
 const (
-	forShare = 1 + iota
-	forDelay
-	forByte
+	purposeShare = 1 + iota
+	purposeDelay
+	purposeByte
 )
 
 // mix is a number from a fault's seed, a link and a message's number, evenly spread.
@@ -98,7 +98,7 @@
 		if f.Begin > now {
 			break
 		}
-		if now < f.End && f.hits(from, to) {
+		if now < f.End && f.appliesTo(from, to) {
 			f.apply(now, m, &fate)
 		}
 	}
@@ -106,9 +106,9 @@
 }
 
 // strikes tells whether the message is of the fault's share.
-func (f *Fault) strikes(m *message) bool {
-	burst := m.n / uint64(max(f.Burst, 1))
-	return f.Share == 0 || fraction(mix(f.Seed, m.from, m.to, burst, forShare)) < f.Share
+func (f *Fault) selects(m *message) bool {
+	burst := m.number / uint64(max(f.Burst, 1))
+	return f.Share == 0 || fraction(mix(f.Seed, m.from, m.to, burst, purposeShare)) < f.Share
 }
 
 // apply adds what an active fault does to a message.
@@ -121,11 +121,11 @@
 	case Delay:
 		fate.Delay += f.delay(now, m)
 		return
-	case Narrow:
+	case Throttle:
 		fate.Rate = f.Rate
 		return
 	}
-	if !f.strikes(m) {
+	if !f.selects(m) {
 		return
 	}
 	switch f.Kind {
@@ -137,7 +137,7 @@
 		fate.Delay += f.Wait
 	case Corrupt:
 		if m.size > 0 {
-			fate.CorruptByte = int(mix(f.Seed, m.from, m.to, m.n, forByte) % uint64(m.size))
+			fate.CorruptByte = int(mix(f.Seed, m.from, m.to, m.number, purposeByte) % uint64(m.size))
 		}
 	}
 }
@@ -145,7 +145,7 @@
 func (f *Fault) delay(now int64, m *message) int64 {
 	switch f.Variant {
 	case "drawn":
-		return int64(-math.Log(1-f.random(m, forDelay)) * float64(f.Wait))
+		return int64(-math.Log(1-f.random(m, purposeDelay)) * float64(f.Wait))
 	case "growing":
 		return int64(float64(f.Wait) * float64(now-f.Begin) / float64(f.End-f.Begin))
 	}
@@ -155,7 +155,7 @@
 // Open tells whether anything passes from one end to another at a moment.
 func (s *Schedule) Open(now int64, from, to End) bool {
 	for i := range s.faults {
-		if f := &s.faults[i]; f.Kind == Cut && f.active(now) && f.hits(from, to) {
+		if f := &s.faults[i]; f.Kind == Cut && f.active(now) && f.appliesTo(from, to) {
 			return false
 		}
 	}
@@ -163,24 +163,24 @@
 }
 
 // Touches tells whether any fault is of a link between two kinds of ends, in either direction.
-func (s *Schedule) Touches(a, b EndKind) bool {
-	return slices.ContainsFunc(s.faults, func(f Fault) bool { return f.touches(a, b) })
+func (s *Schedule) Affects(a, b EndKind) bool {
+	return slices.ContainsFunc(s.faults, func(f Fault) bool { return f.affectsKinds(a, b) })
 }
 
 const (
-	retransmission = int64(200 * time.Millisecond) // of a lost piece of a stream
-	allowedLosses  = 5                             // in a row
-	narrowDelay    = int64(time.Second)
-	drawnTail      = 10 // times its mean that a drawn delay may be
+	retransmitTimeout    = int64(200 * time.Millisecond) // of a lost piece of a stream
+	maxConsecutiveLosses = 5                             // in a row
+	maxThrottleDelay     = int64(time.Second)
+	maxDrawnDelayFactor  = 10 // times its mean that a drawn delay may be
 )
 
 // Allowance is by how much messages between two kinds of ends may be late at a moment: what a time limit is longer by
 // that is checked at the far end. Nothing of a node's own doing is in it.
-func (s *Schedule) Allowance(at int64, a, b EndKind) int64 {
+func (s *Schedule) MaxDelay(at int64, a, b EndKind) int64 {
 	sum := int64(0)
 	for i := range s.faults {
 		f := &s.faults[i]
-		if !f.touches(a, b) {
+		if !f.affectsKinds(a, b) {
 			continue
 		}
 		if late := f.maxDelay(); f.Begin <= at && at < f.End+late {
@@ -196,11 +196,11 @@
 	case f.Kind == Cut: // what was held up arrives when the link is mended
 		return f.End - f.Begin
 	case f.Kind == Drop:
-		return allowedLosses * retransmission
-	case f.Kind == Narrow:
-		return narrowDelay
+		return maxConsecutiveLosses * retransmitTimeout
+	case f.Kind == Throttle:
+		return maxThrottleDelay
 	case f.Kind == Delay && f.Variant == "drawn":
-		return drawnTail * f.Wait
+		return maxDrawnDelayFactor * f.Wait
 	}
 	return f.Wait
 }
--- a/internal/lab/netfault/site.go
+++ b/internal/lab/netfault/site.go
@@ -9,7 +9,7 @@
 )
 
 // Site is what names of ends are resolved against.
-type Site struct {
+type Topology struct {
 	Zones         []string
 	NodeZones     []string // by node
 	EndpointNames []string
@@ -18,7 +18,7 @@
 
 // Ends resolves the names of a scenario file: n3, n0..n5, nodes, nodes:ZONE, an endpoint's name, servers, servers:ZONE,
 // discovery, clients, clients:ZONE. An error says what was expected and what was found.
-func (s *Site) Ends(names []string) ([]End, error) {
+func (s *Topology) Ends(names []string) ([]End, error) {
 	var all []End
 	for _, name := range names {
 		ends, err := s.resolve(name)
@@ -33,7 +33,7 @@
 	return slices.Compact(all), nil
 }
 
-func (s *Site) resolve(name string) ([]End, error) {
+func (s *Topology) resolve(name string) ([]End, error) {
 	group, zone, zoned := strings.Cut(name, ":")
 	if zoned && !slices.Contains(s.Zones, zone) {
 		return nil, fmt.Errorf("a zone of network.zones after the colon, got %q", name)
@@ -69,7 +69,7 @@
 }
 
 // nodeRange resolves n3 and n0..n5.
-func (s *Site) nodeRange(name string) ([]End, error) {
+func (s *Topology) nodeRange(name string) ([]End, error) {
 	first, last, ranged := strings.Cut(name, "..")
 	if !ranged {
 		last = first
--- a/internal/lab/result/reachability.go
+++ b/internal/lab/result/reachability.go
@@ -62,7 +62,7 @@
 }
 
 // reachLines describes who could reach whom, a line for each stretch of seconds that are alike.
-func reachLines(reach []netfault.Reach) []string {
+func reachLines(reach []netfault.Reachability) []string {
 	var lines []string
 	for from := 0; from < len(reach); {
 		text := reachText(reach[from])
@@ -76,10 +76,10 @@
 	return lines
 }
 
-func reachText(r netfault.Reach) string {
-	text := strings.Join(r.Parts, " | ")
-	if len(r.Parts) > maxGroupsPrinted {
-		text = fmt.Sprintf("%d parts, the first %s", len(r.Parts), r.Parts[0])
+func reachText(r netfault.Reachability) string {
+	text := strings.Join(r.Partitions, " | ")
+	if len(r.Partitions) > maxGroupsPrinted {
+		text = fmt.Sprintf("%d parts, the first %s", len(r.Partitions), r.Partitions[0])
 	}
 	for _, more := range slices.Concat(r.OneWay, r.Faults) {
 		text += "; " + more
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -48,21 +48,21 @@
 	Spans   []Tally           `json:"by_5s"`
 	Seconds []Tally           `json:"by_1s"`
 
-	Attempts        Attempts               `json:"hand_offs"`
-	Nodes           []trace.NodeUsage      `json:"nodes"`
-	BadClients      trace.BadClientCounts  `json:"bad_clients"`
-	Oddities        map[string]int         `json:"odd,omitempty"`      // by description: how often
-	GivenUp         map[string]int         `json:"given_up,omitempty"` // requests, by the node's reason: no evidence, but a cause to look for
-	Faults          []FaultSpan            `json:"faults,omitempty"`
-	SlowStart       *SlowStart             `json:"cold,omitempty"`
-	Endpoints       []string               `json:"servers"`
-	Loads           []trace.LoadSample     `json:"loads,omitempty"`
-	Virtual         bool                   `json:"virtual,omitempty"`        // simulated, in virtual time
-	Activity        []trace.FleetActivity  `json:"together_by_1s,omitempty"` // of all nodes together, by second
-	Reach           []netfault.Reach       `json:"reach_by_1s,omitempty"`    // who could reach whom, by second
-	Views           *Views                 `json:"views,omitempty"`
-	MembershipViews []trace.MembershipView `json:"beliefs,omitempty"`
-	Running         []trace.RunningNodes   `json:"runs,omitempty"`
+	Attempts        Attempts                `json:"hand_offs"`
+	Nodes           []trace.NodeUsage       `json:"nodes"`
+	BadClients      trace.BadClientCounts   `json:"bad_clients"`
+	Oddities        map[string]int          `json:"odd,omitempty"`      // by description: how often
+	GivenUp         map[string]int          `json:"given_up,omitempty"` // requests, by the node's reason: no evidence, but a cause to look for
+	Faults          []FaultSpan             `json:"faults,omitempty"`
+	SlowStart       *SlowStart              `json:"cold,omitempty"`
+	Endpoints       []string                `json:"servers"`
+	Loads           []trace.LoadSample      `json:"loads,omitempty"`
+	Virtual         bool                    `json:"virtual,omitempty"`        // simulated, in virtual time
+	Activity        []trace.FleetActivity   `json:"together_by_1s,omitempty"` // of all nodes together, by second
+	Reach           []netfault.Reachability `json:"reach_by_1s,omitempty"`    // who could reach whom, by second
+	Views           *Views                  `json:"views,omitempty"`
+	MembershipViews []trace.MembershipView  `json:"beliefs,omitempty"`
+	Running         []trace.RunningNodes    `json:"runs,omitempty"`
 }
 
 // Plan identifies what was drawn: equal for runs of one scenario with one seed.
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -129,7 +129,7 @@
 			return err
 		}
 	}
-	all := fleet.Ends(fleet.Numbers(0, n))
+	all := fleet.NodeEnds(fleet.NodeRange(0, n))
 	m.fleet.AddFaults(netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: datagramLoss, Burst: 1, Seed: 11})
 	m.began = m.fleet.Now()
 	return nil
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -130,7 +130,7 @@
 
 // isReady tells whether a node takes requests.
 func isReady(admin string) bool {
-	status, _, err := fleet.Ask(admin, http.MethodGet, "/ready")
+	status, _, err := fleet.Call(admin, http.MethodGet, "/ready")
 	return err == nil && status == http.StatusOK
 }
 
@@ -153,7 +153,7 @@
 
 // adminGet reads a JSON answer of a node's admin API.
 func adminGet(admin, path string, into any) error {
-	status, text, err := fleet.Ask(admin, http.MethodGet, path)
+	status, text, err := fleet.Call(admin, http.MethodGet, path)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -15,8 +15,8 @@
 )
 
 // Site returns what the ends of links are called.
-func (s *Scenario) Site() *netfault.Site {
-	site := &netfault.Site{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
+func (s *Scenario) Site() *netfault.Topology {
+	site := &netfault.Topology{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
 	for i := range s.Nodes.Count {
 		site.NodeZones = append(site.NodeZones, s.NodeZone(i))
 	}
@@ -88,7 +88,7 @@
 	case netfault.Delay, netfault.Reorder:
 		wait := f.Wait.Std()
 		c.require(wait > 0 && wait <= maxWait, at+"wait", "a time above 0, 1m at most", wait)
-	case netfault.Narrow:
+	case netfault.Throttle:
 		c.require(f.Rate >= minLinkRate, at+"rate", "at least 100 bytes a second", f.Rate)
 	}
 }
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -345,7 +345,7 @@
 			w.fail() // its connection is reset
 		}
 	}
-	s.outage = &invariant.Outage{Node: -1, Span: invariant.Span{From: s.sim.now}}
+	s.outage = &invariant.Outage{Node: -1, Interval: invariant.Interval{From: s.sim.now}}
 	s.sim.history.RecordOutage(s.outage)
 	for _, w := range append([]*watch(nil), s.watches...) {
 		w.fail()
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -92,14 +92,14 @@
 	}
 	switch f.Kind {
 	case "kill":
-		d.history.Excuse(n.record, invariant.Span{From: d.now, To: invariant.Never})
+		d.history.Excuse(n.record, invariant.Interval{From: d.now, To: invariant.Never})
 		n.kill()
 		d.restartAfterFault(f, n)
 	case "stop":
 		d.stopNode(f, n)
 	case "freeze":
 		n.pausedUntil = d.now + int64(f.For)
-		d.history.Excuse(n.record, invariant.Span{From: d.now, To: n.pausedUntil + catchUpTime})
+		d.history.Excuse(n.record, invariant.Interval{From: d.now, To: n.pausedUntil + catchUpTime})
 	case "cut-node":
 		for _, m := range d.endpoints {
 			if f.Zone == "" || m.spec.Zone == f.Zone {
@@ -178,7 +178,7 @@
 		if !n.alive {
 			continue
 		}
-		d.history.Excuse(n.record, invariant.Span{From: d.now, To: invariant.Never})
+		d.history.Excuse(n.record, invariant.Interval{From: d.now, To: invariant.Never})
 		n.kill()
 		if f.NodesBack > 0 {
 			d.after(f.RestoreDelay(f.NodesBack, f.Seed, i), d.restartFunc(n))
--- a/internal/lab/trace/rules.go
+++ b/internal/lab/trace/rules.go
@@ -56,7 +56,7 @@
 ) invariant.Rules {
 	r := &s.Rules
 	rules := invariant.Rules{
-		StopSending: int64(r.StopSending), AnswerGrace: int64(r.AnswerGrace),
+		StopSendingWithin: int64(r.StopSending), AnswerGrace: int64(r.AnswerGrace),
 		KnownWithin: int64(knownWithin), CancelGrace: int64(cancelGrace),
 		ReadyWithin: int64(readyWithin), ReadyWithinAtEnd: int64(readyWithinAtEnd), End: startedAt + int64(s.Length),
 		MayHedge: r.MayHedge, ListGossip: s.Nodes.ListGossip, Slack: slack, Lag: lag,
@@ -68,15 +68,15 @@
 		return rules
 	}
 	rules.Lag = func(at int64) int64 {
-		by := faults.Allowance(at, netfault.Client, netfault.Node)
+		by := faults.MaxDelay(at, netfault.Client, netfault.Node)
 		if lag != nil {
 			by += lag(at)
 		}
 		return by
 	}
 	rules.LinkDelay = func(at int64) int64 {
-		return faults.Allowance(at, netfault.Node, netfault.Endpoint) +
-			faults.Allowance(at, netfault.Node, netfault.Discovery)
+		return faults.MaxDelay(at, netfault.Node, netfault.Endpoint) +
+			faults.MaxDelay(at, netfault.Node, netfault.Discovery)
 	}
 	return rules
 }
@@ -92,8 +92,8 @@
 		nodes := endsOf(&fault, netfault.Node)
 		if len(endsOf(&fault, netfault.Discovery)) > 0 {
 			for _, node := range nodes {
-				span := invariant.Span{From: fault.Begin, To: fault.End}
-				h.Outages = append(h.Outages, &invariant.Outage{Node: node, Span: span})
+				span := invariant.Interval{From: fault.Begin, To: fault.End}
+				h.Outages = append(h.Outages, &invariant.Outage{Node: node, Interval: span})
 			}
 		}
 		if len(endsOf(&fault, netfault.Client)) == 0 {
@@ -101,7 +101,7 @@
 		}
 		for _, process := range h.Processes {
 			if slices.Contains(nodes, process.Node) {
-				span := invariant.Span{From: fault.Begin, To: fault.End + excusedAfterReconnect}
+				span := invariant.Interval{From: fault.Begin, To: fault.End + excusedAfterReconnect}
 				process.Excused = append(process.Excused, span)
 			}
 		}
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -85,8 +85,8 @@
 	Peaks      Peaks
 	Nodes      []NodeUsage
 	Loads      []LoadSample
-	Activity   []FleetActivity  // by second
-	Reach      []netfault.Reach // by second, where links have faults
+	Activity   []FleetActivity         // by second
+	Reach      []netfault.Reachability // by second, where links have faults
 	Views      []MembershipView
 	Running    []RunningNodes
 	Anomalies  map[string]int // violations of the protocol that are no rule's, by what was seen
@@ -103,13 +103,13 @@
 
 // ReachOf tells which parts reach each other in the middle of each second of a run that begins at a moment; nil where no
 // link has a fault.
-func ReachOf(s *scenario.Scenario, faults *netfault.Schedule, startedAt int64) (reach []netfault.Reach) {
+func ReachOf(s *scenario.Scenario, faults *netfault.Schedule, startedAt int64) (reach []netfault.Reachability) {
 	if len(faults.Changes()) == 0 {
 		return nil
 	}
 	const second = int64(time.Second)
 	for n := range (int64(s.Length) + second - 1) / second {
-		reach = append(reach, faults.ReachAt(startedAt+n*second+second/2, s.Nodes.Count))
+		reach = append(reach, faults.ReachabilityAt(startedAt+n*second+second/2, s.Nodes.Count))
 	}
 	return reach
 }
