--- a/cmd/fawnglade-lab/capacity.go
+++ b/cmd/fawnglade-lab/capacity.go
@@ -42,11 +42,11 @@
 
 // capacityFlags are those of the capacity command.
 type capacityFlags struct {
-	cores   int
-	from    float64
-	most    float64
-	seconds int
-	asJSON  bool
+	cores     int
+	startRate float64
+	maxRate   float64
+	seconds   int
+	asJSON    bool
 }
 
 // newCapacityCommand measures the lab alone: clients and endpoints with nothing between them.
@@ -63,8 +63,8 @@
 	}
 	var f capacityFlags
 	c.Flags().IntVar(&f.cores, "cores", 1, "cores that the rig may use")
-	c.Flags().Float64Var(&f.from, "from", 8000, "tasks a second to begin with")
-	c.Flags().Float64Var(&f.most, "most", maxCapacity, "tasks a second to end with")
+	c.Flags().Float64Var(&f.startRate, "from", 8000, "tasks a second to begin with")
+	c.Flags().Float64Var(&f.maxRate, "most", maxCapacity, "tasks a second to end with")
 	c.Flags().IntVar(&f.seconds, "seconds", 3, "how long each rate is held")
 	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object")
 	c.RunE = func(c *cobra.Command, _ []string) error { return measureCapacity(c, f) }
@@ -72,13 +72,13 @@
 }
 
 func measureCapacity(c *cobra.Command, f capacityFlags) error {
-	if f.cores < 1 || f.from < 1 || f.most > maxCapacity || f.seconds < 1 || f.seconds > 60 {
+	if f.cores < 1 || f.startRate < 1 || f.maxRate > maxCapacity || f.seconds < 1 || f.seconds > 60 {
 		return errors.New("expected --cores and --from of at least 1, --most up to 100000, --seconds from 1 to 60")
 	}
 	runtime.GOMAXPROCS(f.cores)
 	var steps []capacityStep
-	for rate := f.from; rate <= f.most; rate *= capacityGrowth {
-		step, err := playCapacityStep(c.Context(), f.seconds, rate)
+	for rate := f.startRate; rate <= f.maxRate; rate *= capacityGrowth {
+		step, err := runCapacityStep(c.Context(), f.seconds, rate)
 		if err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func playCapacityStep(ctx context.Context, seconds int, rate float64) (capacityStep, error) {
+func runCapacityStep(ctx context.Context, seconds int, rate float64) (capacityStep, error) {
 	s, err := scenario.Parse("capacity", fmt.Appendf(nil, capacityText, seconds, rate))
 	if err != nil {
 		return capacityStep{}, err
--- a/cmd/fawnglade-lab/compare.go
+++ b/cmd/fawnglade-lab/compare.go
@@ -62,9 +62,9 @@
 	if err != nil {
 		return err
 	}
-	play := f.playOnSockets
+	play := f.runOnSockets
 	if f.virtual {
-		play = f.playVirtual
+		play = f.runVirtual
 	}
 	played, err := play(c.Context(), s)
 	if err != nil {
@@ -92,13 +92,13 @@
 	return nil
 }
 
-func (f *compareFlags) playVirtual(ctx context.Context, s *scenario.Scenario) (resultPairs, error) {
+func (f *compareFlags) runVirtual(ctx context.Context, s *scenario.Scenario) (resultPairs, error) {
 	var runs []virtualRun
 	for i := range f.pairs {
 		seed := s.Seed + uint64(i)
 		runs = append(runs, virtualRun{s, seed, f.a}, virtualRun{s, seed, f.b})
 	}
-	results, err := playAllVirtual(ctx, runs)
+	results, err := runAllVirtual(ctx, runs)
 	if err != nil {
 		return resultPairs{}, err
 	}
@@ -110,8 +110,8 @@
 	return pairs, nil
 }
 
-// playOnSockets plays pair by pair; which build goes first changes with each, so that neither has a warmer machine.
-func (f *compareFlags) playOnSockets(ctx context.Context, s *scenario.Scenario) (resultPairs, error) {
+// runOnSockets plays pair by pair; which build goes first changes with each, so that neither has a warmer machine.
+func (f *compareFlags) runOnSockets(ctx context.Context, s *scenario.Scenario) (resultPairs, error) {
 	commandA, err := parseCommand(f.a)
 	if err != nil {
 		return resultPairs{}, err
@@ -128,11 +128,11 @@
 			first, second = commandB, commandA
 		}
 		seed := s.Seed + uint64(i)
-		resultA, err := playOnSockets(ctx, playOptions{scenario: s, seed: seed, node: first})
+		resultA, err := runOnSockets(ctx, runOptions{scenario: s, seed: seed, node: first})
 		if err != nil {
 			return resultPairs{}, err
 		}
-		resultB, err := playOnSockets(ctx, playOptions{scenario: s, seed: seed, node: second})
+		resultB, err := runOnSockets(ctx, runOptions{scenario: s, seed: seed, node: second})
 		if err != nil {
 			return resultPairs{}, err
 		}
--- a/cmd/fawnglade-lab/cost.go
+++ b/cmd/fawnglade-lab/cost.go
@@ -73,7 +73,7 @@
 	for _, endpoints := range f.endpoints {
 		for _, rate := range f.rates {
 			for _, through := range f.through {
-				row, err := f.playCostRow(c.Context(), endpoints, rate, through)
+				row, err := f.runCostRow(c.Context(), endpoints, rate, through)
 				if err != nil {
 					return err
 				}
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (f *costFlags) playCostRow(ctx context.Context, endpoints int, rate float64, through string) (costRow, error) {
+func (f *costFlags) runCostRow(ctx context.Context, endpoints int, rate float64, through string) (costRow, error) {
 	command, err := nodeCommand(through)
 	if err != nil {
 		return costRow{}, err
@@ -102,7 +102,7 @@
 	if err != nil {
 		return costRow{}, err
 	}
-	r, err := playOnSockets(ctx, playOptions{scenario: s, seed: 1, node: command})
+	r, err := runOnSockets(ctx, runOptions{scenario: s, seed: 1, node: command})
 	if err != nil {
 		return costRow{}, err
 	}
--- a/cmd/fawnglade-lab/distribution.go
+++ b/cmd/fawnglade-lab/distribution.go
@@ -42,7 +42,7 @@
 		if f.quick {
 			f.size = quickSize(c, f.size)
 		}
-		return playDistribution(c, f)
+		return runDistribution(c, f)
 	}
 	return c
 }
@@ -90,7 +90,7 @@
 	return size
 }
 
-func playDistribution(c *cobra.Command, f distributionFlags) error {
+func runDistribution(c *cobra.Command, f distributionFlags) error {
 	relay := f.relay
 	if relay == "" {
 		node, err := nodeCommand("")
@@ -108,7 +108,7 @@
 	progress := func(format string, args ...any) {
 		c.PrintErrf("%5.1fs %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 	}
-	result, err := distsim.Play(c.Context(), f.size, programs, progress)
+	result, err := distsim.Run(c.Context(), f.size, programs, progress)
 	if result == nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 		err = errors.Join(err, printf(c.OutOrStdout(), "%s", result.Table()))
 	}
 	if err == nil && !result.Holds() {
-		return errFellShort
+		return errNotPassed
 	}
 	return err
 }
--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	results, err := playAllVirtual(c.Context(), runs)
+	results, err := runAllVirtual(c.Context(), runs)
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 		err = printGate(c.OutOrStdout(), judged, failure)
 	}
 	if err == nil && failure != "" {
-		return errFellShort
+		return errNotPassed
 	}
 	return err
 }
--- a/cmd/fawnglade-lab/hunt.go
+++ b/cmd/fawnglade-lab/hunt.go
@@ -18,13 +18,13 @@
 
 // huntFlags are those of the hunt command.
 type huntFlags struct {
-	out   string
-	seed  uint64
-	draws int
-	keep  int
-	nodes int
-	by    string
-	than  string
+	out      string
+	seed     uint64
+	draws    int
+	keep     int
+	nodes    int
+	by       string
+	baseline string
 }
 
 func newHuntCommand() *cobra.Command {
@@ -46,7 +46,7 @@
 	c.Flags().IntVar(&f.keep, "keep", 8, "of them are changed further")
 	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes in place of the scenario's")
 	c.Flags().StringVar(&f.by, "by", moduleName, "what is judged")
-	c.Flags().StringVar(&f.than, "than", lateSeeingName, "what it is judged against")
+	c.Flags().StringVar(&f.baseline, "than", lateSeeingName, "what it is judged against")
 	c.RunE = func(c *cobra.Command, args []string) error { return hunt(c, f, args[0]) }
 	return c
 }
@@ -60,7 +60,7 @@
 		return err
 	}
 	state, err := faultsearch.Run(c.Context(), faultsearch.Options{
-		Base: base, Seed: f.seed, Draws: f.draws, Keep: f.keep, Dir: f.out, ForEach: onAllCores, Run: f.play,
+		Base: base, Seed: f.seed, Draws: f.draws, Keep: f.keep, Dir: f.out, ForEach: forEachInParallel, Run: f.runBoth,
 		Log: func(line string) { fmt.Fprintln(os.Stderr, line) },
 	})
 	if err != nil {
@@ -70,18 +70,18 @@
 		return err
 	}
 	if slices.ContainsFunc(state.Finds, func(find faultsearch.Candidate) bool { return find.Violations > 0 }) {
-		return errFellShort
+		return errNotPassed
 	}
 	return nil
 }
 
 // play plays both deciders on one scenario and seed.
-func (f *huntFlags) play(ctx context.Context, s *scenario.Scenario, seed uint64) (faultsearch.Score, error) {
-	judged, err := playVirtual(ctx, virtualRun{s, seed, f.by})
+func (f *huntFlags) runBoth(ctx context.Context, s *scenario.Scenario, seed uint64) (faultsearch.Score, error) {
+	judged, err := runVirtual(ctx, virtualRun{s, seed, f.by})
 	if err != nil {
 		return faultsearch.Score{}, err
 	}
-	baseline, err := playVirtual(ctx, virtualRun{s, seed, f.than})
+	baseline, err := runVirtual(ctx, virtualRun{s, seed, f.baseline})
 	if err != nil {
 		return faultsearch.Score{}, err
 	}
@@ -92,7 +92,7 @@
 	var out strings.Builder
 	for i, find := range finds {
 		path := filepath.Join(f.out, faultsearch.FindName(base, i+1)+".toml")
-		fmt.Fprintf(&out, "%s: loses %.3f against %s, %d rules broken, seed %d\n", path, find.Loss, f.than, find.Violations, find.Seed)
+		fmt.Fprintf(&out, "%s: loses %.3f against %s, %d rules broken, seed %d\n", path, find.Loss, f.baseline, find.Violations, find.Seed)
 		for _, fault := range find.Faults {
 			fmt.Fprintf(&out, "  %s at %v for %v: share %.2f zone %q factor %.2f hand-offs %.2f wait %v %s%s\n",
 				fault.Kind, milliseconds(fault.At), milliseconds(fault.For), fault.Share, fault.Zone, fault.Factor, fault.AttemptShare,
--- a/cmd/fawnglade-lab/main.go
+++ b/cmd/fawnglade-lab/main.go
@@ -15,13 +15,13 @@
 
 // Exit codes.
 const (
-	exitHeld      = 0
-	exitFellShort = 1 // an expectation did not hold or a rule was broken
-	exitNotRun    = 2 // it could not run, or the machine ran late
+	exitPassed = 0
+	exitFailed = 1 // an expectation did not hold or a rule was broken
+	exitNotRun = 2 // it could not run, or the machine ran late
 )
 
-// errFellShort ends a command whose runs were played and did not hold.
-var errFellShort = errors.New("not as expected")
+// errNotPassed ends a command whose runs were played and did not hold.
+var errNotPassed = errors.New("not as expected")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -36,9 +36,9 @@
 	root.SetArgs(args)
 	switch err := root.ExecuteContext(ctx); {
 	case err == nil:
-		return exitHeld
-	case errors.Is(err, errFellShort):
-		return exitFellShort
+		return exitPassed
+	case errors.Is(err, errNotPassed):
+		return exitFailed
 	default:
 		fmt.Fprintln(os.Stderr, "fawnglade-lab:", err)
 		return exitNotRun
--- a/cmd/fawnglade-lab/main_test.go
+++ b/cmd/fawnglade-lab/main_test.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-var bin string // where the programs are that TestMain has built
+var binDir string // where the programs are that TestMain has built
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "lab-test-")
 	if err != nil {
 		panic(err)
 	}
-	bin = dir
+	binDir = dir
 	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", dir+"/", "../fawnglade", ".")
 	build.Stderr = os.Stderr
 	code := 2
@@ -36,10 +36,10 @@
 }
 
 // lab runs the program, and returns its exit code and what it wrote to standard output and standard error.
-func lab(t *testing.T, args ...string) (code int, out, complaint string) {
+func runLab(t *testing.T, args ...string) (code int, out, complaint string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
-	c := exec.Command(filepath.Join(bin, "fawnglade-lab"), args...)
+	c := exec.Command(filepath.Join(binDir, "fawnglade-lab"), args...)
 	c.Stdout, c.Stderr = &stdout, &stderr
 	err := c.Run()
 	var exit *exec.ExitError
@@ -49,7 +49,7 @@
 	return c.ProcessState.ExitCode(), stdout.String(), stderr.String()
 }
 
-func file(t *testing.T, text string) string {
+func writeScenario(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "x.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -58,12 +58,12 @@
 	return path
 }
 
-func TestExitCodeOfWhatCannotRun(t *testing.T) {
+func TestInvalidInvocationsExitNotRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		args []string
 		want string
 	}{
-		"unknown key":      {[]string{"run", file(t, "name = \"x\"\nsped = 1\n")}, "x.toml:2: unknown key sped"},
+		"unknown key":      {[]string{"run", writeScenario(t, "name = \"x\"\nsped = 1\n")}, "x.toml:2: unknown key sped"},
 		"no such file":     {[]string{"run", "/nowhere.toml"}, "no such file"},
 		"no scenario":      {[]string{"run"}, "requires at least 1 arg"},
 		"no such node":     {[]string{"demo", "--node", "/nowhere/node"}, "/nowhere/node"},
@@ -76,7 +76,7 @@
 		"no relay there":   {[]string{"distribution", "--quick", "--relay", "/nowhere/fawnglade"}, "/nowhere/fawnglade"},
 		"no result there":  {[]string{"report", t.TempDir()}, "no such file"},
 	} {
-		if code, out, complaint := lab(t, c.args...); code != exitNotRun || out != "" || !strings.Contains(complaint, c.want) {
+		if code, out, complaint := runLab(t, c.args...); code != exitNotRun || out != "" || !strings.Contains(complaint, c.want) {
 			t.Errorf("%s: exit %d, %q on standard output, %q; want exit 2 and %q", name, code, out, complaint, c.want)
 		}
 	}
@@ -87,7 +87,7 @@
 	var code int
 	var out, complaint string
 	for range 3 {
-		if code, out, complaint = lab(t, "demo", "--seconds", "6", "--json"); code != exitNotRun {
+		if code, out, complaint = runLab(t, "demo", "--seconds", "6", "--json"); code != exitNotRun {
 			break
 		}
 	}
@@ -95,7 +95,7 @@
 		t.Skip(complaint)
 	}
 	var r map[string]any
-	if err := json.Unmarshal([]byte(out), &r); err != nil || code != exitHeld || complaint != "" {
+	if err := json.Unmarshal([]byte(out), &r); err != nil || code != exitPassed || complaint != "" {
 		t.Fatalf("exit %d, %v: %s %s", code, err, out, complaint)
 	}
 	for _, name := range []string{"satisfied", "declined", "broken_off", "lost", "rules_broken", "earnings_in_time", "p50_ms", "p99_ms"} {
@@ -110,7 +110,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "result.json"), []byte(out), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, complaint := lab(t, "report", dir); code != exitHeld {
+	if code, _, complaint := runLab(t, "report", dir); code != exitPassed {
 		t.Fatal(complaint)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
@@ -120,17 +120,17 @@
 }
 
 // Two baselines on one scenario in virtual time, and the page that shows both.
-func TestReportOfRunsSideBySide(t *testing.T) {
+func TestReportShowsRunsSideBySide(t *testing.T) {
 	dir, day := t.TempDir(), filepath.Join("..", "..", "lab", "scenarios", "slow.toml")
 	dirs := []string{filepath.Join(dir, "random", "slow"), filepath.Join(dir, "round-robin", "slow")}
 	for _, d := range dirs {
 		by := filepath.Base(filepath.Dir(d))
-		if code, _, complaint := lab(t, "run", day, "--virtual", "--by", by, "--out", filepath.Dir(d)); code == exitNotRun {
+		if code, _, complaint := runLab(t, "run", day, "--virtual", "--by", by, "--out", filepath.Dir(d)); code == exitNotRun {
 			t.Fatal(complaint)
 		}
 	}
 	path := filepath.Join(dir, "beside.html")
-	if code, _, complaint := lab(t, append([]string{"report", "--page", path}, dirs...)...); code != exitHeld {
+	if code, _, complaint := runLab(t, append([]string{"report", "--page", path}, dirs...)...); code != exitPassed {
 		t.Fatal(complaint)
 	}
 	page, err := os.ReadFile(path)
@@ -140,38 +140,38 @@
 	if err := os.WriteFile(filepath.Join(dir, "result.json"), []byte(`{"scenario": "calm"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, complaint := lab(t, "report", dirs[0], dir); code != exitNotRun || !strings.Contains(complaint, "a run of calm, expected one of slow") {
+	if code, _, complaint := runLab(t, "report", dirs[0], dir); code != exitNotRun || !strings.Contains(complaint, "a run of calm, expected one of slow") {
 		t.Errorf("another day beside it: exit %d, %s", code, complaint)
 	}
 }
 
 // Some of the shipped scenarios around real nodes.
-func TestScenarios(t *testing.T) {
+func TestShippedScenariosPass(t *testing.T) {
 	var paths []string
 	for _, name := range []string{"calm", "drained", "fail-fast", "nodes-killed", "bad-clients", "between/halves", "between/to-servers"} {
 		paths = append(paths, filepath.Join("..", "..", "lab", "scenarios", name+".toml"))
 	}
-	code, out, complaint := lab(t, append([]string{"run", "--retry", "3"}, paths...)...)
+	code, out, complaint := runLab(t, append([]string{"run", "--retry", "3"}, paths...)...)
 	if strings.Contains(complaint, "ran late") {
 		t.Skip(complaint)
 	}
-	if code != exitHeld {
+	if code != exitPassed {
 		t.Errorf("exit %d: %s\n%s", code, complaint, out)
 	}
 }
 
 // An expectation that does not hold is exit 1, and is named.
-func TestMissedExpectationIsNamed(t *testing.T) {
+func TestRunNamesMissedExpectation(t *testing.T) {
 	text, err := os.ReadFile("demo.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := file(t, strings.NewReplacer(`"10s"`, `"6s"`, "earnings_in_time_min = 0.9", "p99_max = \"1ms\"").Replace(string(text)))
-	code, out, complaint := lab(t, "run", "--retry", "3", path)
+	path := writeScenario(t, strings.NewReplacer(`"10s"`, `"6s"`, "earnings_in_time_min = 0.9", "p99_max = \"1ms\"").Replace(string(text)))
+	code, out, complaint := runLab(t, "run", "--retry", "3", path)
 	if strings.Contains(complaint, "ran late") {
 		t.Skip(complaint)
 	}
-	if code != exitFellShort || !strings.Contains(out, "not as expected: 99th percentile") {
+	if code != exitFailed || !strings.Contains(out, "not as expected: 99th percentile") {
 		t.Errorf("exit %d: %s %s", code, out, complaint)
 	}
 }
@@ -181,8 +181,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := file(t, strings.Replace(string(text), `length = "10s"`, `length = "5s"`, 1))
-	code, out, complaint := lab(t, "compare", path, "--a", "plain:round-robin", "--b", filepath.Join(bin, "fawnglade"), "--pairs", "2", "--json")
+	path := writeScenario(t, strings.Replace(string(text), `length = "10s"`, `length = "5s"`, 1))
+	code, out, complaint := runLab(t, "compare", path, "--a", "plain:round-robin", "--b", filepath.Join(binDir, "fawnglade"), "--pairs", "2", "--json")
 	if strings.Contains(complaint, "ran late") {
 		t.Skip(complaint)
 	}
@@ -194,7 +194,7 @@
 			A, B []float64
 		}
 	}
-	if err := json.Unmarshal([]byte(out), &c); err != nil || code != exitHeld {
+	if err := json.Unmarshal([]byte(out), &c); err != nil || code != exitPassed {
 		t.Fatalf("exit %d, %v: %s %s", code, err, out, complaint)
 	}
 	if c.Pairs+c.Void != 2 || c.BrokenB != 0 || c.Differences[0].Name != "earnings_in_time" || len(c.Differences[0].A) != c.Pairs {
@@ -203,9 +203,9 @@
 }
 
 // Whatever ends the lab, its nodes end too.
-func TestNodesEndWithTheLab(t *testing.T) {
+func TestNodesEndWhenLabEnds(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
-		c := exec.Command(filepath.Join(bin, "fawnglade-lab"), "demo", "--seconds", "60")
+		c := exec.Command(filepath.Join(binDir, "fawnglade-lab"), "demo", "--seconds", "60")
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -250,11 +250,11 @@
 		t.Fatal(days, err)
 	}
 	days = slices.DeleteFunc(days, func(path string) bool { return strings.HasSuffix(path, "long.toml") })
-	code, first, complaint := lab(t, append([]string{"gate", "--nodes", "12"}, days...)...)
+	code, first, complaint := runLab(t, append([]string{"gate", "--nodes", "12"}, days...)...)
 	if code != 0 || !strings.Contains(first, fmt.Sprintf("gate passed: %d days", len(days))) {
 		t.Errorf("exit %d, %s\n%s", code, complaint, first)
 	}
-	if _, again, _ := lab(t, append([]string{"gate", "--nodes", "12"}, days...)...); again != first {
+	if _, again, _ := runLab(t, append([]string{"gate", "--nodes", "12"}, days...)...); again != first {
 		t.Errorf("a second run differs:\n%s\n%s", first, again)
 	}
 	text, err := os.ReadFile("../../lab/scenarios/fleet/calm.toml")
@@ -262,13 +262,13 @@
 		t.Fatal(err)
 	}
 	strict := strings.Replace(string(text), "seeing_part_min = 0.95", "seeing_part_min = 1", 1)
-	code, out, _ := lab(t, "gate", "--nodes", "12", "--by", "random", file(t, strict))
+	code, out, _ := runLab(t, "gate", "--nodes", "12", "--by", "random", writeScenario(t, strict))
 	if code != 1 || !strings.Contains(out, "gate failed: calm, seed 1: in time") {
 		t.Errorf("a random choice passes: exit %d\n%s", code, out)
 	}
 }
 
-func TestRunsInVirtualTime(t *testing.T) {
+func TestVirtualTimeCommands(t *testing.T) {
 	dir := t.TempDir()
 	for name, c := range map[string]struct {
 		args []string
@@ -283,7 +283,7 @@
 		"sweep":    {[]string{"sweep", "../../lab/scenarios/calm.toml", "nodes.count=1,4", "--repeats", "2", "--out", dir + "/s"}, 0, "nodes.count"},
 		"hunt":     {[]string{"hunt", "../../lab/scenarios/calm.toml", "--draws", "8", "--keep", "2", "--out", dir + "/h"}, 0, "calm-found-1.toml: loses"},
 	} {
-		if code, out, complaint := lab(t, c.args...); code != c.code || !strings.Contains(out+complaint, c.want) {
+		if code, out, complaint := runLab(t, c.args...); code != c.code || !strings.Contains(out+complaint, c.want) {
 			t.Errorf("%s: exit %d, expected %d and %q in\n%s%s", name, code, c.code, c.want, out, complaint)
 		}
 	}
--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -21,8 +21,8 @@
 //go:embed demo.toml
 var demoText []byte
 
-// playOptions are those of one run on sockets.
-type playOptions struct {
+// runOptions are those of one run on sockets.
+type runOptions struct {
 	scenario *scenario.Scenario
 	seed     uint64
 	node     []string // the command line of the node under test
@@ -30,8 +30,8 @@
 	verbose  bool
 }
 
-// playOnSockets plays a scenario once around processes of the node under test.
-func playOnSockets(ctx context.Context, o playOptions) (*result.Result, error) {
+// runOnSockets plays a scenario once around processes of the node under test.
+func runOnSockets(ctx context.Context, o runOptions) (*result.Result, error) {
 	s := o.scenario
 	options := emulator.Options{Scenario: s, Seed: o.seed, Start: emulator.Command(o.node), LogDir: o.out, Log: newLogger(o.verbose)}
 	if isTerminal(os.Stderr) {
@@ -56,7 +56,7 @@
 		case result.Void:
 			return fmt.Errorf("%s: the machine ran late by %.0f ms: play it again with less beside it", r.Scenario, r.LateMs)
 		case result.FellShort:
-			err = errFellShort
+			err = errNotPassed
 		}
 	}
 	return err
@@ -106,7 +106,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := playOnSockets(c.Context(), playOptions{scenario: s, seed: s.Seed, node: command})
+		r, err := runOnSockets(c.Context(), runOptions{scenario: s, seed: s.Seed, node: command})
 		if err != nil {
 			return err
 		}
@@ -178,7 +178,7 @@
 	}
 	var results []*result.Result
 	for _, s := range scenarios {
-		r, err := f.play(c.Context(), s, command)
+		r, err := f.runScenario(c.Context(), s, command)
 		if err != nil {
 			return err
 		}
@@ -224,7 +224,7 @@
 }
 
 // play plays one scenario, and stores its result if a directory is given.
-func (f *runFlags) play(ctx context.Context, s *scenario.Scenario, command []string) (*result.Result, error) {
+func (f *runFlags) runScenario(ctx context.Context, s *scenario.Scenario, command []string) (*result.Result, error) {
 	seed := s.Seed
 	if f.seed != 0 {
 		seed = f.seed
@@ -236,9 +236,9 @@
 	var r *result.Result
 	var err error
 	if f.virtual {
-		r, err = playVirtual(ctx, virtualRun{s, seed, f.by})
+		r, err = runVirtual(ctx, virtualRun{s, seed, f.by})
 	} else {
-		r, err = f.playWithRetries(ctx, playOptions{scenario: s, seed: seed, node: command, out: dir, verbose: f.verbose})
+		r, err = f.runWithRetries(ctx, runOptions{scenario: s, seed: seed, node: command, out: dir, verbose: f.verbose})
 	}
 	if err != nil {
 		return nil, err
@@ -251,10 +251,10 @@
 	return r, nil
 }
 
-// playWithRetries plays again while the machine runs late.
-func (f *runFlags) playWithRetries(ctx context.Context, o playOptions) (*result.Result, error) {
+// runWithRetries plays again while the machine runs late.
+func (f *runFlags) runWithRetries(ctx context.Context, o runOptions) (*result.Result, error) {
 	for retry := 0; ; retry++ {
-		r, err := playOnSockets(ctx, o)
+		r, err := runOnSockets(ctx, o)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", o.scenario.Name, err)
 		}
--- a/cmd/fawnglade-lab/proxy.go
+++ b/cmd/fawnglade-lab/proxy.go
@@ -18,7 +18,7 @@
 		if *kind == relayProxy {
 			go func() {
 				<-c.Context().Done()
-				os.Exit(exitHeld)
+				os.Exit(exitPassed)
 			}()
 			return emulator.PassThrough(configuration)
 		}
--- a/cmd/fawnglade-lab/scale_test.go
+++ b/cmd/fawnglade-lab/scale_test.go
@@ -11,7 +11,7 @@
 	"fawnglade/internal/lab/scale"
 )
 
-func slopes(t *testing.T, text []byte) map[string]scale.Slope {
+func slopesByName(t *testing.T, text []byte) map[string]scale.Slope {
 	t.Helper()
 	var r scale.Result
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -24,19 +24,19 @@
 	return out
 }
 
-// TestScaleOfARealNode has a real process before lists of four sizes, and from disk.
-func TestScaleOfARealNode(t *testing.T) {
+// TestScaleMeasuresNodeProcess has a real process before lists of four sizes, and from disk.
+func TestScaleMeasuresNodeProcess(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "slopes.json")
-	code, out, complaint := lab(t, "scale", "--quick", "--only", "process", "--json", path)
-	if code != exitHeld {
+	code, out, complaint := runLab(t, "scale", "--quick", "--only", "process", "--json", path)
+	if code != exitPassed {
 		t.Fatal(code, out, complaint)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := slopes(t, text)
+	all := slopesByName(t, text)
 	for name, s := range all {
 		if len(s.Points) != 4 || len(s.Notes) > 0 {
 			t.Errorf("%s: %v, %v", name, s.Points, s.Notes)
@@ -61,14 +61,14 @@
 	}
 }
 
-// TestScaleOfHollowNodes has hollow nodes and a real one know of one another and told the same list.
-func TestScaleOfHollowNodes(t *testing.T) {
+// TestScaleMeasuresHollowNodes has hollow nodes and a real one know of one another and told the same list.
+func TestScaleMeasuresHollowNodes(t *testing.T) {
 	t.Parallel()
-	code, out, complaint := lab(t, "scale", "--quick", "--only", "hollow", "--json", "-")
-	if code != exitHeld {
+	code, out, complaint := runLab(t, "scale", "--quick", "--only", "hollow", "--json", "-")
+	if code != exitPassed {
 		t.Fatal(code, out, complaint)
 	}
-	all := slopes(t, []byte(out))
+	all := slopesByName(t, []byte(out))
 	for _, name := range []string{"hollow.memory", "hollow.real", "hollow.idle", "hollow.realidle", "hollow.bytes", "hollow.realbytes", "hollow.bytesratio"} {
 		s := all[name]
 		if len(s.Points) != 4 || len(s.Notes) > 0 {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestScaleRefusesWithOneLine(t *testing.T) {
+func TestScaleRejectsInvalidFlagsWithOneLine(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ args, want string }{
 		{"--only decisions --sizes 1000,10000,100000,1000000000", "decisions: expected sizes that take at most half of the machine's memory"},
@@ -91,7 +91,7 @@
 		{"--only everything", "--only: expected some of"},
 		{"--limit-cores 0", "--limit-cores: expected a number above 0, got 0"},
 	} {
-		code, out, complaint := lab(t, append([]string{"scale"}, strings.Fields(c.args)...)...)
+		code, out, complaint := runLab(t, append([]string{"scale"}, strings.Fields(c.args)...)...)
 		if code != exitNotRun || out != "" || !strings.Contains(complaint, c.want) || strings.Count(complaint, "\n") != 1 {
 			t.Errorf("%s: %d, %q, %q, want one line with %q", c.args, code, out, complaint, c.want)
 		}
@@ -99,21 +99,21 @@
 }
 
 // A result is shown again without being measured anew, as it was measured.
-func TestScaleShowsWhatWasKept(t *testing.T) {
+func TestScaleShowsStoredResult(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	path, picture := filepath.Join(dir, "slopes.json"), filepath.Join(dir, "slopes.png")
-	if code, out, complaint := lab(t, "scale", "--quick", "--only", "services", "--json", path); code != exitHeld {
+	if code, out, complaint := runLab(t, "scale", "--quick", "--only", "services", "--json", path); code != exitPassed {
 		t.Fatal(code, out, complaint)
 	}
 	if text, err := os.ReadFile(path); err != nil || strings.Contains(string(text), dir) || !strings.Contains(string(text), `"fawnglade-lab scale --only services --quick"`) {
 		t.Error("the command that is kept names this machine's places, or not what was run: ", err, string(text))
 	}
-	code, out, complaint := lab(t, "scale", "--from", path, "--plot", picture)
-	if code != exitHeld || complaint != "" || !strings.Contains(out, "services.memory ") || !strings.Contains(out, "an instance of the decisions with 24 servers stands for one") {
+	code, out, complaint := runLab(t, "scale", "--from", path, "--plot", picture)
+	if code != exitPassed || complaint != "" || !strings.Contains(out, "services.memory ") || !strings.Contains(out, "an instance of the decisions with 24 servers stands for one") {
 		t.Error(code, out, complaint)
 	}
-	if code, _, complaint := lab(t, "scale", "--from", path, "--design-servers", "5"); code != exitNotRun || !strings.Contains(complaint, "from") {
+	if code, _, complaint := runLab(t, "scale", "--from", path, "--design-servers", "5"); code != exitNotRun || !strings.Contains(complaint, "from") {
 		t.Error("other figures beside --from: ", code, complaint)
 	}
 	if info, err := os.Stat(picture); err != nil || info.Size() < 10_000 {
--- a/cmd/fawnglade-lab/soak.go
+++ b/cmd/fawnglade-lab/soak.go
@@ -15,10 +15,10 @@
 
 // soakFlags are those of the soak command.
 type soakFlags struct {
-	seeds int
-	from  uint64
-	node  string
-	out   string
+	seeds     int
+	firstSeed uint64
+	node      string
+	out       string
 }
 
 func newSoakCommand() *cobra.Command {
@@ -35,7 +35,7 @@
 	}
 	var f soakFlags
 	c.Flags().IntVar(&f.seeds, "seeds", 8, "how many seeds to play, one after another")
-	c.Flags().Uint64Var(&f.from, "from", 1, "the first seed")
+	c.Flags().Uint64Var(&f.firstSeed, "from", 1, "the first seed")
 	c.Flags().StringVar(&f.node, "node", "", "the node's program; by default the one beside this program")
 	c.Flags().StringVar(&f.out, "out", "out", "directory for the nodes' logs")
 	c.RunE = func(c *cobra.Command, _ []string) error { return f.run(c) }
@@ -53,12 +53,12 @@
 	}
 	held, failed, void, requests := 0, 0, 0, 0
 	for i := range uint64(f.seeds) {
-		seed := f.from + i
-		day, err := soak.Draw(seed)
+		seed := f.firstSeed + i
+		day, err := soak.DrawCase(seed)
 		if err != nil {
 			return err
 		}
-		r, err := playOnSockets(c.Context(), playOptions{
+		r, err := runOnSockets(c.Context(), runOptions{
 			scenario: day.Scenario, seed: seed, node: command, out: filepath.Join(f.out, day.Scenario.Name),
 		})
 		if err != nil {
@@ -69,7 +69,7 @@
 			continue
 		}
 		requests += r.Requests
-		complaints := day.Complaints(r)
+		complaints := day.Problems(r)
 		if len(complaints) == 0 {
 			held++
 			continue
@@ -84,7 +84,7 @@
 		return err
 	}
 	if failed > 0 {
-		return errFellShort
+		return errNotPassed
 	}
 	return nil
 }
--- a/cmd/fawnglade-lab/sweep.go
+++ b/cmd/fawnglade-lab/sweep.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(playCells(c, table, cells, scenarios), table.Close()); err != nil {
+	if err := errors.Join(runCells(c, table, cells, scenarios), table.Close()); err != nil {
 		return err
 	}
 	rows := table.Rows()
@@ -109,13 +109,13 @@
 	return scenarios, nil
 }
 
-// playCells plays the cells that are not in the table yet, and adds them.
-func playCells(c *cobra.Command, table *sweep.Table, cells []sweep.Cell, scenarios map[string]*scenario.Scenario) error {
-	unplayed := table.Unplayed(cells)
+// runCells plays the cells that are not in the table yet, and adds them.
+func runCells(c *cobra.Command, table *sweep.Table, cells []sweep.Cell, scenarios map[string]*scenario.Scenario) error {
+	unplayed := table.Remaining(cells)
 	fmt.Fprintf(os.Stderr, "%d days, %d of them played before\n", len(cells), len(cells)-len(unplayed))
-	return onAllCores(c.Context(), len(unplayed), func(i int) error {
+	return forEachInParallel(c.Context(), len(unplayed), func(i int) error {
 		cell := unplayed[i]
-		r, err := playVirtual(c.Context(), virtualRun{scenarios[valuesKey(cell)], cell.Seed, cell.By})
+		r, err := runVirtual(c.Context(), virtualRun{scenarios[valuesKey(cell)], cell.Seed, cell.By})
 		if err != nil {
 			return err
 		}
--- a/cmd/fawnglade-lab/virtual.go
+++ b/cmd/fawnglade-lab/virtual.go
@@ -35,8 +35,8 @@
 	by       string // name of the decider
 }
 
-// playVirtual plays one run in this goroutine.
-func playVirtual(ctx context.Context, run virtualRun) (*result.Result, error) {
+// runVirtual plays one run in this goroutine.
+func runVirtual(ctx context.Context, run virtualRun) (*result.Result, error) {
 	decider, err := deciderByName(run.by)
 	if err != nil {
 		return nil, err
@@ -48,22 +48,22 @@
 	return result.FromTrace(run.scenario, trace), nil
 }
 
-// playAllVirtual plays runs on all cores, and returns their results in the order of the runs.
-func playAllVirtual(ctx context.Context, runs []virtualRun) ([]*result.Result, error) {
+// runAllVirtual plays runs on all cores, and returns their results in the order of the runs.
+func runAllVirtual(ctx context.Context, runs []virtualRun) ([]*result.Result, error) {
 	results := make([]*result.Result, len(runs))
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i, run := range runs {
 		group.Go(func() (err error) {
-			results[i], err = playVirtual(ctx, run)
+			results[i], err = runVirtual(ctx, run)
 			return err
 		})
 	}
 	return results, group.Wait()
 }
 
-// onAllCores calls do for each index, as many at once as there are cores, and stops at the first error.
-func onAllCores(ctx context.Context, n int, do func(i int) error) error {
+// forEachInParallel calls do for each index, as many at once as there are cores, and stops at the first error.
+func forEachInParallel(ctx context.Context, n int, do func(i int) error) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i := range n {
--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -11,7 +11,7 @@
 	"fawnglade/internal/distribution"
 )
 
-func TestCheckRefusesSizes(t *testing.T) {
+func TestSizeCheckRejectsSizes(t *testing.T) {
 	const half, files = 12 << 30, 20_000
 	for name, one := range map[string]struct {
 		change func(*Size)
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestRecordsOfTheFullSize has the design's numbers come out of the full size.
-func TestRecordsOfTheFullSize(t *testing.T) {
+// TestFullSizeSpreadsRecords has the design's numbers come out of the full size.
+func TestFullSizeSpreadsRecords(t *testing.T) {
 	s := Full()
 	zones, regions := map[int]int{}, map[int]int{}
 	for i := range s.Endpoints {
@@ -94,7 +94,7 @@
 	play := func(seed uint64) (all []Change) {
 		s := Quick()
 		s.Seed = seed
-		w := newTruth(s)
+		w := newExpectedState(s)
 		for range 50 {
 			all = append(all, w.configure())
 			all = append(all, w.drainRandom())
@@ -123,15 +123,15 @@
 }
 
 // fake is a subscriber that holds what it is given.
-type fake struct {
+type fakeSubscriber struct {
 	records map[recordKey]distribution.Record
 	next    []distribution.Change
 }
 
-func (f *fake) Hello() []byte  { return nil }
-func (f *fake) Complete() bool { return true }
+func (f *fakeSubscriber) Hello() []byte  { return nil }
+func (f *fakeSubscriber) Complete() bool { return true }
 
-func (f *fake) Receive(int64, []byte) ([]distribution.Change, error) {
+func (f *fakeSubscriber) Receive(int64, []byte) ([]distribution.Change, error) {
 	for _, c := range f.next {
 		f.records[recordKey{c.Scope, c.Key}] = c.Record
 	}
@@ -140,7 +140,7 @@
 	return out, nil
 }
 
-func (f *fake) Each(one func(distribution.Record)) {
+func (f *fakeSubscriber) Each(one func(distribution.Record)) {
 	for _, r := range f.records {
 		if !r.Deleted {
 			one(r)
@@ -148,38 +148,38 @@
 	}
 }
 
-// playFake plays changes into one node with a subscriber that is spoilt in a way, and judges.
-func playFake(t *testing.T, spoil func(all []distribution.Change, f *fake) []distribution.Change) *Phase {
+// runFaultyNode plays changes into one node with a subscriber that is spoilt in a way, and judges.
+func runFaultyNode(t *testing.T, spoil func(all []distribution.Change, f *fakeSubscriber) []distribution.Change) *Phase {
 	t.Helper()
 	s := Quick()
 	s.Nodes, s.SettleTimeout = 1, 0
-	r := &run{size: s, began: time.Now(), changes: make([]sentChange, 1), followers: map[string]int{}, truth: newTruth(s)}
-	r.nodes = newHollowNodes(s, r.began, nil)
+	r := &run{size: s, startedAt: time.Now(), changes: make([]sentChange, 1), followers: map[string]int{}, expected: newExpectedState(s)}
+	r.nodes = newHollowNodes(s, r.startedAt, nil)
 	h := r.nodes.all[0]
-	f := &fake{records: map[recordKey]distribution.Record{}}
+	f := &fakeSubscriber{records: map[recordKey]distribution.Record{}}
 	h.subscriber, h.removedAt = f, map[recordKey]uint64{}
 	follows := map[string]bool{}
 	h.scopes = slices.Sorted(slices.Values(s.scopesOf(0)))
 	for _, scope := range h.scopes {
 		r.followers[scope] = 1
 		follows[scope] = true
-		for key, is := range r.truth.scopes[scope] {
+		for key, is := range r.expected.scopes[scope] {
 			f.records[recordKey{scope, key}] = distribution.Record{Scope: scope, Key: key, Version: 1, Body: []byte(is.body)}
 		}
 	}
 	var all []distribution.Change
 	note := func(c Change) {
-		r.noteSent(c, 0)
+		r.recordSent(c, 0)
 		if follows[c.Scope] {
 			all = append(all, distribution.Change{Record: distribution.Record{Scope: c.Scope, Key: c.Key, Version: uint64(1 + c.number), Deleted: c.Removed, Body: []byte(c.Body)}})
 		}
 	}
 	for range 5 {
-		note(r.truth.configure())
+		note(r.expected.configure())
 	}
 	for i := range s.Endpoints {
 		if follows[s.endpointScope(i)] && i%7 == 0 {
-			note(r.truth.remove(i))
+			note(r.expected.remove(i))
 		}
 	}
 	f.next = spoil(all, f)
@@ -192,30 +192,30 @@
 	return a
 }
 
-// TestVerdictSeesEachFault has a node receive the truth with one error, in each way that the tree could go wrong.
-func TestVerdictSeesEachFault(t *testing.T) {
+// TestVerdictDetectsEachFault has a node receive the truth with one error, in each way that the tree could go wrong.
+func TestVerdictDetectsEachFault(t *testing.T) {
 	last := func(all []distribution.Change) distribution.Change { return all[len(all)-1] }
 	for name, one := range map[string]struct {
-		spoil  func([]distribution.Change, *fake) []distribution.Change
+		spoil  func([]distribution.Change, *fakeSubscriber) []distribution.Change
 		expect func(*Phase) bool
 	}{
-		"all is well": {func(all []distribution.Change, _ *fake) []distribution.Change { return all }, (*Phase).Holds},
+		"all is well": {func(all []distribution.Change, _ *fakeSubscriber) []distribution.Change { return all }, (*Phase).Holds},
 		"one end is lost": {
-			func(all []distribution.Change, _ *fake) []distribution.Change { return all[:len(all)-1] },
+			func(all []distribution.Change, _ *fakeSubscriber) []distribution.Change { return all[:len(all)-1] },
 			func(a *Phase) bool {
 				return a.WrongNodes == 1 && a.Missing == 1 && strings.Contains(a.Example, "which is gone")
 			},
 		},
 		"one is told twice": {
-			func(all []distribution.Change, _ *fake) []distribution.Change { return append(all, all[0]) },
+			func(all []distribution.Change, _ *fakeSubscriber) []distribution.Change { return append(all, all[0]) },
 			func(a *Phase) bool { return a.Duplicates == 1 && a.WrongNodes == 0 },
 		},
-		"one comes back from the dead": {func(all []distribution.Change, f *fake) []distribution.Change {
+		"one comes back from the dead": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
 			old := last(all)
 			old.Deleted, old.Version, old.Body = false, old.Version-1, []byte(`{"n":0}`)
 			return append(all, old)
-		}, func(a *Phase) bool { return a.Revived == 1 && a.WrongNodes == 1 }},
-		"one that is there is taken away": {func(all []distribution.Change, f *fake) []distribution.Change {
+		}, func(a *Phase) bool { return a.Resurrected == 1 && a.WrongNodes == 1 }},
+		"one that is there is taken away": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
 			c := all[0]
 			c.Deleted, c.Version, c.Body = true, 1e6, nil
 			back := all[0]
@@ -224,14 +224,14 @@
 		}, func(a *Phase) bool {
 			return a.WrongRemovals == 1 && a.WrongNodes == 0 && strings.Contains(a.Example, "is gone")
 		}},
-		"an older body is kept": {func(all []distribution.Change, f *fake) []distribution.Change {
+		"an older body is kept": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
 			c := all[0]
 			c.Body = []byte(`{"n":0}`)
 			return append(all[1:], c)
 		}, func(a *Phase) bool {
 			return a.WrongNodes == 1 && a.Missing == 1 && strings.Contains(a.Example, "and it is")
 		}},
-		"one too few": {func(all []distribution.Change, f *fake) []distribution.Change {
+		"one too few": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
 			for k, r := range f.records {
 				if r.Class != distribution.ClassConfiguration && strings.HasPrefix(k.scope, "r00/") && r.Version == 1 {
 					keep := true
@@ -246,18 +246,18 @@
 			}
 			return all
 		}, func(a *Phase) bool { return a.WrongNodes == 1 && strings.Contains(a.Example, "records of") }},
-		"one of a scope that nobody asked for": {func(all []distribution.Change, f *fake) []distribution.Change {
+		"one of a scope that nobody asked for": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
 			f.records[recordKey{"r01/s0000", "endpoint/x"}] = distribution.Record{Scope: "r01/s0000", Key: "endpoint/x"}
 			return all
 		}, func(a *Phase) bool { return a.WrongNodes == 1 && strings.Contains(a.Example, "does not follow") }},
 	} {
-		if a := playFake(t, one.spoil); !one.expect(a) {
+		if a := runFaultyNode(t, one.spoil); !one.expect(a) {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
 }
 
-func TestDelays(t *testing.T) {
+func TestDelayQuantiles(t *testing.T) {
 	var all []float64
 	for i := range 200 {
 		all = append(all, float64(200-i)/100)
@@ -265,7 +265,7 @@
 	if got, expect := delaysOf(all, 200), (Delays{1, 1.98, 2}); got != expect {
 		t.Errorf("%v, expected %v", got, expect)
 	}
-	if got, expect := delaysOf(all[:150], 200), (Delays{Half: 1.5, P99: -1, All: -1}); got.P99 != expect.P99 || got.All != expect.All {
+	if got, expect := delaysOf(all[:150], 200), (Delays{P50: 1.5, P99: -1, All: -1}); got.P99 != expect.P99 || got.All != expect.All {
 		t.Errorf("%v, expected %v", got, expect)
 	}
 	if got := (Delays{-1, 0.5, 2}).String(); got != "never 0.500 2.000" {
--- a/internal/lab/distsim/hollownodes.go
+++ b/internal/lab/distsim/hollownodes.go
@@ -44,7 +44,7 @@
 	removals      []removal
 	removedAt     map[recordKey]uint64 // version of the removal
 	completeAt    int64                // when all its scopes were complete, nanoseconds since the start of the run; 0: not yet
-	revived       int                  // records that came again in a version that is not newer than their removal
+	resurrected   int                  // records that came again in a version that is not newer than their removal
 	invalidFrames int                  // refused by its subscriber
 
 	client       *relay.Client
@@ -52,8 +52,8 @@
 	cancel       context.CancelFunc
 	done         chan struct{}
 
-	bytes     atomic.Int64 // in both directions
-	bytesMark []int64      // bytes at the ends of the seconds of a phase
+	bytes       atomic.Int64 // in both directions
+	byteSamples []int64      // bytes at the ends of the seconds of a phase
 }
 
 // subscriber is what a node holds: a *distribution.Subscriber, or in a test one with a fault.
@@ -67,7 +67,7 @@
 // hollowNodes are all of them, with what they share.
 type hollowNodes struct {
 	size      Size
-	began     time.Time
+	startedAt time.Time
 	upstreams func(node int) []string // addresses of relays
 	all       []*hollowNode
 	log       *zap.Logger
@@ -79,7 +79,7 @@
 
 func newHollowNodes(size Size, began time.Time, upstreams func(int) []string) *hollowNodes {
 	n := &hollowNodes{
-		size: size, began: began, upstreams: upstreams, log: zap.NewNop(), texts: map[string]string{}, bodies: map[string][]byte{},
+		size: size, startedAt: began, upstreams: upstreams, log: zap.NewNop(), texts: map[string]string{}, bodies: map[string][]byte{},
 	}
 	for i := range size.Nodes {
 		n.all = append(n.all, &hollowNode{index: i, nodes: n})
@@ -110,7 +110,7 @@
 }
 
 // now returns nanoseconds since the start of the run.
-func (n *hollowNodes) now() int64 { return int64(time.Since(n.began)) }
+func (n *hollowNodes) now() int64 { return int64(time.Since(n.startedAt)) }
 
 // start starts a node that holds nothing.
 func (h *hollowNode) start() {
@@ -227,7 +227,7 @@
 		h.invalidFrames++
 	}
 	for _, c := range changes {
-		h.noteChange(now, c)
+		h.recordChange(now, c)
 	}
 	if h.completeAt == 0 && h.subscriber.Complete() {
 		h.completeAt = now
@@ -238,8 +238,8 @@
 // LagNs implements relay.Sink.
 func (h *hollowNode) LagNs(int64) int64 { return 0 }
 
-// noteChange notes one change; the lock is held.
-func (h *hollowNode) noteChange(now int64, c distribution.Change) {
+// recordChange notes one change; the lock is held.
+func (h *hollowNode) recordChange(now int64, c distribution.Change) {
 	key := recordKey{c.Scope, c.Key}
 	atUs := int32(now / 1000)
 	if c.Deleted {
@@ -249,7 +249,7 @@
 	}
 	if version, removed := h.removedAt[key]; removed {
 		if c.Version <= version {
-			h.revived++
+			h.resurrected++
 		}
 		delete(h.removedAt, key)
 	}
--- a/internal/lab/distsim/phases.go
+++ b/internal/lab/distsim/phases.go
@@ -21,7 +21,7 @@
 // phase is one part of a run.
 type phase struct {
 	name string
-	play func(ctx context.Context, figures *Phase) error
+	run  func(ctx context.Context, figures *Phase) error
 }
 
 func (r *run) phases() []phase {
@@ -31,10 +31,10 @@
 			return r.startNodes(ctx, figures, r.nodes.all)
 		}},
 		{"a true day's pace", func(ctx context.Context, _ *Phase) error {
-			return r.playChanges(ctx, 1, r.size.OrdinaryTime)
+			return r.makeChanges(ctx, 1, r.size.OrdinaryTime)
 		}},
 		{fmt.Sprintf("a day at %g times", r.size.Speedup), func(ctx context.Context, _ *Phase) error {
-			return r.playFastChanges(ctx, r.size.PhaseTime)
+			return r.makeFastChanges(ctx, r.size.PhaseTime)
 		}},
 		{fmt.Sprintf("%d of a zone go", r.size.ZoneLoss), r.loseZone},
 	}
@@ -64,7 +64,7 @@
 			func() error { other.freeze(); return nil },
 			func(ctx context.Context) error {
 				other.thaw()
-				return r.playFastChanges(ctx, r.size.PhaseTime/5)
+				return r.makeFastChanges(ctx, r.size.PhaseTime/5)
 			})},
 		{"an upper relay is killed", r.duringChanges(
 			func() error { upper.kill(); return nil },
@@ -75,13 +75,13 @@
 // duringChanges plays changes, with a fault after a fifth of the time, and ends the fault.
 func (r *run) duringChanges(begin func() error, end func(context.Context) error) func(context.Context, *Phase) error {
 	return func(ctx context.Context, _ *Phase) error {
-		if err := r.playFastChanges(ctx, r.size.PhaseTime/5); err != nil {
+		if err := r.makeFastChanges(ctx, r.size.PhaseTime/5); err != nil {
 			return err
 		}
 		if err := begin(); err != nil {
 			return err
 		}
-		if err := r.playFastChanges(ctx, r.size.PhaseTime*4/5); err != nil {
+		if err := r.makeFastChanges(ctx, r.size.PhaseTime*4/5); err != nil {
 			return err
 		}
 		return end(ctx)
@@ -116,7 +116,7 @@
 	for _, h := range r.nodes.all {
 		h.connect()
 	}
-	return r.playFastChanges(ctx, r.size.PhaseTime/3)
+	return r.makeFastChanges(ctx, r.size.PhaseTime/3)
 }
 
 // send sends changes to the origin.
@@ -126,13 +126,13 @@
 	}
 	now := r.nodes.now()
 	for _, c := range changes {
-		r.noteSent(c, now)
+		r.recordSent(c, now)
 	}
 	_, err := r.processes.send(changes)
 	return err
 }
 
-func (r *run) noteSent(c Change, at int64) {
+func (r *run) recordSent(c Change, at int64) {
 	for len(r.changes) <= c.number {
 		r.changes = append(r.changes, sentChange{})
 	}
@@ -147,32 +147,32 @@
 
 // changeSource draws changes at the pace of an ordinary day, times a speedup.
 type changeSource struct {
-	truth *truth
-	kinds []changeKind
-	due   []restoration
-	last  time.Time
+	expected *expectedState
+	kinds    []changeKind
+	due      []restoration
+	last     time.Time
 }
 
 // changeKind is one kind of change with how much of it is owed: one change is made for each whole one.
 type changeKind struct {
 	perSecond float64
-	owed      float64
+	accrued   float64
 	make      func(now time.Time) Change
 }
 
 func (r *run) newChangeSource(speedup float64, now time.Time) *changeSource {
-	s := &changeSource{truth: r.truth, last: now}
+	s := &changeSource{expected: r.expected, last: now}
 	restoreAfter := func(c Change, at time.Time) Change {
 		s.due = append(s.due, restoration{at, c.endpoint})
 		return c
 	}
 	s.kinds = []changeKind{
-		{configurationChangesPerDay / daySeconds * speedup, 0, func(time.Time) Change { return s.truth.configure() }},
+		{configurationChangesPerDay / daySeconds * speedup, 0, func(time.Time) Change { return s.expected.configure() }},
 		{restartsPerDay / daySeconds * speedup, 0, func(now time.Time) Change {
-			return restoreAfter(s.truth.drainRandom(), now.Add(restartTime))
+			return restoreAfter(s.expected.drainRandom(), now.Add(restartTime))
 		}},
 		{failuresPerDay / daySeconds * speedup, 0, func(now time.Time) Change {
-			return restoreAfter(s.truth.removeRandom(), now.Add(replacementTime))
+			return restoreAfter(s.expected.removeRandom(), now.Add(replacementTime))
 		}},
 	}
 	return s
@@ -184,8 +184,8 @@
 	elapsed := now.Sub(s.last).Seconds()
 	for i := range s.kinds {
 		kind := &s.kinds[i]
-		kind.owed += kind.perSecond * elapsed
-		for ; kind.owed >= 1; kind.owed-- {
+		kind.accrued += kind.perSecond * elapsed
+		for ; kind.accrued >= 1; kind.accrued-- {
 			changes = append(changes, kind.make(now))
 		}
 	}
@@ -200,19 +200,19 @@
 		if d.at.After(now) {
 			later = append(later, d)
 		} else {
-			changes = append(changes, s.truth.restore(d.endpoint))
+			changes = append(changes, s.expected.restore(d.endpoint))
 		}
 	}
 	s.due = later
 	return changes
 }
 
-func (r *run) playFastChanges(ctx context.Context, duration time.Duration) error {
-	return r.playChanges(ctx, r.size.Speedup, duration)
+func (r *run) makeFastChanges(ctx context.Context, duration time.Duration) error {
+	return r.makeChanges(ctx, r.size.Speedup, duration)
 }
 
-// playChanges makes changes for a time, and then waits until all endpoints are restored.
-func (r *run) playChanges(ctx context.Context, speedup float64, duration time.Duration) error {
+// makeChanges makes changes for a time, and then waits until all endpoints are restored.
+func (r *run) makeChanges(ctx context.Context, speedup float64, duration time.Duration) error {
 	now := time.Now()
 	end := now.Add(duration)
 	source := r.newChangeSource(speedup, now)
@@ -238,7 +238,7 @@
 
 // loseZone removes a zone's endpoints in one step.
 func (r *run) loseZone(ctx context.Context, _ *Phase) error {
-	if err := r.send(r.truth.removeZone(int(r.size.Seed)%r.size.Zones, r.size.ZoneLoss)); err != nil {
+	if err := r.send(r.expected.removeZone(int(r.size.Seed)%r.size.Zones, r.size.ZoneLoss)); err != nil {
 		return err
 	}
 	return sleep(ctx, afterZoneLoss)
@@ -262,7 +262,7 @@
 	from := r.nodes.now()
 	for i, p := range r.processes.lower {
 		probe := &hollowNode{index: 2 * (i % size.relayGroups()), nodes: &hollowNodes{
-			size: size, began: r.began, log: r.nodes.log, upstreams: func(int) []string { return []string{p.address} },
+			size: size, startedAt: r.startedAt, log: r.nodes.log, upstreams: func(int) []string { return []string{p.address} },
 		}}
 		probe.start()
 		defer probe.stop()
--- a/internal/lab/distsim/result.go
+++ b/internal/lab/distsim/result.go
@@ -9,9 +9,9 @@
 
 // Delays are seconds until something held for half, for 99 in 100 and for all of the nodes concerned; -1: it did not.
 type Delays struct {
-	Half float64 `json:"half_s"`
-	P99  float64 `json:"most_s"`
-	All  float64 `json:"all_s"`
+	P50 float64 `json:"half_s"`
+	P99 float64 `json:"most_s"`
+	All float64 `json:"all_s"`
 }
 
 // delaysOf computes those of a number of nodes from the delays of the nodes for which it held; it sorts them.
@@ -29,7 +29,7 @@
 
 // String returns the three in seconds.
 func (d Delays) String() string {
-	return formatSeconds(d.Half) + " " + formatSeconds(d.P99) + " " + formatSeconds(d.All)
+	return formatSeconds(d.P50) + " " + formatSeconds(d.P99) + " " + formatSeconds(d.All)
 }
 
 func formatSeconds(x float64) string {
@@ -52,7 +52,7 @@
 	Superseded          int         `json:"superseded"` // deliveries that a later change of the same record replaced
 	Missing             int         `json:"missing"`    // deliveries that never came, and were not superseded
 	Duplicates          int         `json:"doubled"`    // deliveries that came twice to one node
-	Revived             int         `json:"revived"`    // records that came again in a version that is not newer than their removal
+	Resurrected         int         `json:"revived"`    // records that came again in a version that is not newer than their removal
 	WrongRemovals       int         `json:"taken"`      // removals of records that were present
 	InvalidFrames       int         `json:"spoilt"`     // that a node refused
 	WrongNodes          int         `json:"wrong"`      // whose records are not what is true, at the end
@@ -105,7 +105,7 @@
 
 // Holds tells whether all verdicts by numbers and versions held.
 func (p *Phase) Holds() bool {
-	return p.Missing == 0 && p.Duplicates == 0 && p.Revived == 0 && p.WrongRemovals == 0 && p.InvalidFrames == 0 && p.WrongNodes == 0
+	return p.Missing == 0 && p.Duplicates == 0 && p.Resurrected == 0 && p.WrongRemovals == 0 && p.InvalidFrames == 0 && p.WrongNodes == 0
 }
 
 // Holds tells whether there are phases and all of them hold.
@@ -127,7 +127,7 @@
 	verdict := "held"
 	if !p.Holds() {
 		verdict = fmt.Sprintf("FELL: %d wrong, %d missing, %d doubled, %d revived, %d taken, %d frames spoilt; %s",
-			p.WrongNodes, p.Missing, p.Duplicates, p.Revived, p.WrongRemovals, p.InvalidFrames, p.Example)
+			p.WrongNodes, p.Missing, p.Duplicates, p.Resurrected, p.WrongRemovals, p.InvalidFrames, p.Example)
 	}
 	return fmt.Sprintf(rowFormat, p.Name, p.Changes, p.Deliveries, p.Connects, median, worst,
 		p.BytesPerSecond, p.WorstBytesPerSecond, p.NodeCPU, p.NodeMB, p.RelayCPU, p.RelayWorstCPU, p.RelayMB, verdict)
--- a/internal/lab/distsim/run.go
+++ b/internal/lab/distsim/run.go
@@ -25,8 +25,8 @@
 type run struct {
 	size       Size
 	logf       func(string, ...any)
-	began      time.Time
-	truth      *truth
+	startedAt  time.Time
+	expected   *expectedState
 	processes  *processes
 	nodes      *hollowNodes
 	changes    []sentChange   // by number; the first is none
@@ -45,7 +45,7 @@
 func newRun(size Size, logf func(string, ...any)) *run {
 	load := loadAverage()
 	r := &run{
-		size: size, logf: logf, began: time.Now(), truth: newTruth(size), changes: make([]sentChange, 1), followers: map[string]int{},
+		size: size, logf: logf, startedAt: time.Now(), expected: newExpectedState(size), changes: make([]sentChange, 1), followers: map[string]int{},
 		result: &Result{Size: size, Day: time.Now().UTC().Format(time.DateOnly), Cores: runtime.NumCPU(), Load: LoadAverages{Begin: load}},
 	}
 	for i := range size.Nodes {
@@ -58,7 +58,7 @@
 
 // Play plays a run, and calls logf with lines of progress. If a phase cannot be played, it returns the result so far
 // beside the error; the result is nil if no phase could begin.
-func Play(ctx context.Context, size Size, programs Programs, logf func(format string, args ...any)) (result *Result, err error) {
+func Run(ctx context.Context, size Size, programs Programs, logf func(format string, args ...any)) (result *Result, err error) {
 	if err := size.Check(); err != nil {
 		return nil, err
 	}
@@ -73,35 +73,35 @@
 	}
 	defer func() { err = errors.Join(err, r.processes.close()) }()
 	logf("origin and %d relays run", size.UpperRelays+size.LowerRelays)
-	r.nodes = newHollowNodes(size, r.began, r.processes.relaysOf)
+	r.nodes = newHollowNodes(size, r.startedAt, r.processes.relaysOf)
 	defer forEachNode(r.nodes.all, (*hollowNode).stop)
 	runtime.GC()
 	debug.FreeOSMemory()
 	r.baseMemory = residentMemory(os.Getpid())
-	err = r.playPhases(ctx)
-	r.result.Seconds = time.Since(r.began).Seconds()
+	err = r.runPhases(ctx)
+	r.result.Seconds = time.Since(r.startedAt).Seconds()
 	r.result.Load.End = loadAverage()
 	return r.result, err
 }
 
-func (r *run) playPhases(ctx context.Context) error {
+func (r *run) runPhases(ctx context.Context) error {
 	for _, p := range r.phases() {
-		if err := r.playPhase(ctx, p); err != nil {
+		if err := r.runPhase(ctx, p); err != nil {
 			return fmt.Errorf("%s: %w", p.name, err)
 		}
 	}
 	return nil
 }
 
-// playPhase plays one phase, waits until every node holds what is true, and adds the figures to the result.
-func (r *run) playPhase(ctx context.Context, p phase) error {
+// runPhase plays one phase, waits until every node holds what is true, and adds the figures to the result.
+func (r *run) runPhase(ctx context.Context, p phase) error {
 	figures := &Phase{Name: p.name}
 	firstChange := len(r.changes)
 	r.prepareNodes()
 	clients := r.clientStats()
-	stopMarks := r.markBytes()
+	stopMarks := r.sampleBytes()
 	before, ownBefore, began := r.usage(), ownProcessorTime(), time.Now()
-	err := p.play(ctx, figures)
+	err := p.run(ctx, figures)
 	figures.Seconds = time.Since(began).Seconds()
 	figures.NodeCPU = 100 * float64(ownProcessorTime()-ownBefore) / 1e9 / figures.Seconds / float64(r.size.Nodes)
 	r.addProcesses(figures, before)
@@ -127,7 +127,7 @@
 		h.mu.Lock()
 		h.deliveries, h.removals = nil, nil
 		h.mu.Unlock()
-		h.bytesMark = append(h.bytesMark[max(0, len(h.bytesMark)-worstWindow):], h.bytes.Load())
+		h.byteSamples = append(h.byteSamples[max(0, len(h.byteSamples)-worstWindow):], h.bytes.Load())
 	}
 }
 
@@ -151,8 +151,8 @@
 	}
 }
 
-// markBytes notes the bytes of all nodes each second until the returned function is called, and then once more.
-func (r *run) markBytes() (stop func()) {
+// sampleBytes notes the bytes of all nodes each second until the returned function is called, and then once more.
+func (r *run) sampleBytes() (stop func()) {
 	stopped := make(chan struct{})
 	var marking sync.WaitGroup
 	marking.Go(func() {
@@ -165,7 +165,7 @@
 			case <-tick.C:
 			}
 			for _, h := range r.nodes.all {
-				h.bytesMark = append(h.bytesMark, h.bytes.Load())
+				h.byteSamples = append(h.byteSamples, h.bytes.Load())
 			}
 		}
 	})
--- a/internal/lab/distsim/truth.go
+++ b/internal/lab/distsim/truth.go
@@ -13,8 +13,8 @@
 	endpoint int // that this change leaves draining or removed
 }
 
-// truthRecord is one record as it should be.
-type truthRecord struct {
+// expectedRecord is one record as it should be.
+type expectedRecord struct {
 	body    string
 	change  int // number of the last one
 	removed bool
@@ -23,12 +23,12 @@
 // truth draws the changes of a run, and holds what every record should be after them. It depends on the size alone: on
 // no clock, and on nothing that a relay or a node says. Routes and tenants that no node follows never change and are
 // not held.
-type truth struct {
+type expectedState struct {
 	size              Size
 	random            *rand.Rand
-	scopes            map[string]map[string]*truthRecord // by scope and key
-	present           map[string]int                     // records of a scope that are not removed
-	names             []string                           // of endpoints, as they are now
+	scopes            map[string]map[string]*expectedRecord // by scope and key
+	present           map[string]int                        // records of a scope that are not removed
+	names             []string                              // of endpoints, as they are now
 	lastChange        int
 	successor         map[int]int // of changes, the next one of the same record
 	starts            int         // of endpoints
@@ -39,13 +39,13 @@
 	scope, key string
 }
 
-// truthStream separates the draws of changes from other users of the seed.
-const truthStream = 50
+// changeStream separates the draws of changes from other users of the seed.
+const changeStream = 50
 
-func newTruth(s Size) *truth {
-	t := &truth{
-		size: s, random: rand.New(rand.NewPCG(s.Seed, truthStream)),
-		scopes: map[string]map[string]*truthRecord{}, present: map[string]int{}, successor: map[int]int{},
+func newExpectedState(s Size) *expectedState {
+	t := &expectedState{
+		size: s, random: rand.New(rand.NewPCG(s.Seed, changeStream)),
+		scopes: map[string]map[string]*expectedRecord{}, present: map[string]int{}, successor: map[int]int{},
 	}
 	followed := map[string]bool{}
 	for i := range s.SharedServices {
@@ -58,7 +58,7 @@
 			}
 			t.configurationKeys = append(t.configurationKeys, scopedKey{c.Scope, c.Key})
 		}
-		t.scope(c.Scope)[c.Key] = &truthRecord{body: c.Body}
+		t.scope(c.Scope)[c.Key] = &expectedRecord{body: c.Body}
 		t.present[c.Scope]++
 	})
 	for i := range s.Endpoints {
@@ -68,15 +68,15 @@
 }
 
 // scope returns the records of a scope, by key.
-func (t *truth) scope(name string) map[string]*truthRecord {
+func (t *expectedState) scope(name string) map[string]*expectedRecord {
 	if t.scopes[name] == nil {
-		t.scopes[name] = map[string]*truthRecord{}
+		t.scopes[name] = map[string]*expectedRecord{}
 	}
 	return t.scopes[name]
 }
 
 // apply makes a change true.
-func (t *truth) apply(c Change) Change {
+func (t *expectedState) apply(c Change) Change {
 	records := t.scope(c.Scope)
 	if before := records[c.Key]; before != nil {
 		t.successor[before.change] = c.number
@@ -87,17 +87,17 @@
 	if !c.Removed {
 		t.present[c.Scope]++
 	}
-	records[c.Key] = &truthRecord{body: c.Body, change: c.number, removed: c.Removed}
+	records[c.Key] = &expectedRecord{body: c.Body, change: c.number, removed: c.Removed}
 	return c
 }
 
-func (t *truth) nextNumber() int {
+func (t *expectedState) nextNumber() int {
 	t.lastChange++
 	return t.lastChange
 }
 
 // configure changes a random route or tenant that every node follows.
-func (t *truth) configure() Change {
+func (t *expectedState) configure() Change {
 	at := t.configurationKeys[t.random.IntN(len(t.configurationKeys))]
 	n := t.nextNumber()
 	body := withChangeNumber(t.scopes[at.scope][at.key].body, n)
@@ -105,7 +105,7 @@
 }
 
 // setEndpoint puts an endpoint with a state of health.
-func (t *truth) setEndpoint(i int, health, class string) Change {
+func (t *expectedState) setEndpoint(i int, health, class string) Change {
 	n := t.nextNumber()
 	return t.apply(Change{
 		Scope: t.size.endpointScope(i), Key: endpointKey(t.names[i]), Class: class,
@@ -114,7 +114,7 @@
 }
 
 // drainRandom begins a restart, which restore ends.
-func (t *truth) drainRandom() Change {
+func (t *expectedState) drainRandom() Change {
 	i := t.random.IntN(len(t.names))
 	c := t.setEndpoint(i, "draining", classWithdrawal)
 	c.endpoint = i
@@ -122,20 +122,20 @@
 }
 
 // removeRandom is a failure of an endpoint, which restore replaces.
-func (t *truth) removeRandom() Change { return t.remove(t.random.IntN(len(t.names))) }
+func (t *expectedState) removeRandom() Change { return t.remove(t.random.IntN(len(t.names))) }
 
-func (t *truth) remove(i int) Change {
+func (t *expectedState) remove(i int) Change {
 	c := t.apply(Change{Scope: t.size.endpointScope(i), Key: endpointKey(t.names[i]), Removed: true, number: t.nextNumber()})
 	c.endpoint = i
 	return c
 }
 
-func (t *truth) isRemoved(i int) bool {
+func (t *expectedState) isRemoved(i int) bool {
 	return t.scopes[t.size.endpointScope(i)][endpointKey(t.names[i])].removed
 }
 
 // restore has a draining endpoint start anew, or puts another one in the place of a removed one.
-func (t *truth) restore(i int) Change {
+func (t *expectedState) restore(i int) Change {
 	t.starts++
 	if t.isRemoved(i) {
 		t.names[i] = endpointName(i, t.starts)
@@ -144,7 +144,7 @@
 }
 
 // removeZone removes the endpoints of a zone, up to a number.
-func (t *truth) removeZone(zone, most int) []Change {
+func (t *expectedState) removeZone(zone, most int) []Change {
 	var changes []Change
 	for i := range t.names {
 		if len(changes) < most && t.size.zoneOf(i) == zone && !t.isRemoved(i) {
--- a/internal/lab/distsim/verdict.go
+++ b/internal/lab/distsim/verdict.go
@@ -56,18 +56,18 @@
 	defer h.mu.Unlock()
 	wanted := 0
 	for _, scope := range h.scopes {
-		wanted += r.truth.present[scope]
+		wanted += r.expected.present[scope]
 	}
 	held, difference := 0, ""
 	scope, follows := "", false // records come scope by scope
-	var records map[string]*truthRecord
+	var records map[string]*expectedRecord
 	h.subscriber.Each(func(c distribution.Record) {
 		if c.Deleted {
 			return
 		}
 		held++
 		if c.Scope != scope {
-			scope, records = c.Scope, r.truth.scopes[c.Scope]
+			scope, records = c.Scope, r.expected.scopes[c.Scope]
 			_, follows = slices.BinarySearch(h.scopes, c.Scope)
 		}
 		if difference == "" {
@@ -81,7 +81,7 @@
 }
 
 // recordDifference compares one record of a node; empty if it is right.
-func recordDifference(node int, held *distribution.Record, follows bool, want *truthRecord) string {
+func recordDifference(node int, held *distribution.Record, follows bool, want *expectedRecord) string {
 	switch {
 	case !follows:
 		return fmt.Sprintf("node %d has %s of %s, which it does not follow", node, held.Key, held.Scope)
@@ -104,7 +104,7 @@
 	}
 	delays := make([][]float64, figures.Changes) // by change, of the nodes that it came to
 	for _, h := range r.nodes.all {
-		for _, d := range r.takeDeliveries(figures, h, removedBy, first) {
+		for _, d := range r.collectDeliveries(figures, h, removedBy, first) {
 			i := int(d.number) - first
 			delays[i] = append(delays[i], float64(int64(d.atUs)*1000-r.changes[d.number].sentAt)/1e9)
 		}
@@ -118,9 +118,9 @@
 	figures.addDelays(changes)
 }
 
-// takeDeliveries enters the counts of one node, returns its deliveries of changes from a number on, each once, and
+// collectDeliveries enters the counts of one node, returns its deliveries of changes from a number on, each once, and
 // forgets them.
-func (r *run) takeDeliveries(figures *Phase, h *hollowNode, removedBy map[recordKey]int32, first int) []delivery {
+func (r *run) collectDeliveries(figures *Phase, h *hollowNode, removedBy map[recordKey]int32, first int) []delivery {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, removed := range h.removals {
@@ -142,16 +142,16 @@
 		seen[d.number] = true
 		deliveries = append(deliveries, d)
 	}
-	figures.Revived += h.revived
+	figures.Resurrected += h.resurrected
 	figures.InvalidFrames += h.invalidFrames
-	h.revived, h.invalidFrames, h.deliveries, h.removals = 0, 0, nil, nil
+	h.resurrected, h.invalidFrames, h.deliveries, h.removals = 0, 0, nil, nil
 	return deliveries
 }
 
 // checkRemoval enters the removal of a record that is present: no removed endpoint comes back under its name, so it
 // always was.
 func (r *run) checkRemoval(figures *Phase, node int, key recordKey) {
-	record := r.truth.scopes[key.scope][key.key]
+	record := r.expected.scopes[key.scope][key.key]
 	if record == nil || record.removed {
 		return
 	}
@@ -172,7 +172,7 @@
 	if came >= followers {
 		return followers
 	}
-	if _, superseded := r.truth.successor[change]; superseded {
+	if _, superseded := r.expected.successor[change]; superseded {
 		figures.Superseded += followers - came
 		return came
 	}
@@ -186,7 +186,7 @@
 		return
 	}
 	for _, field := range []func(*Delays) *float64{
-		func(d *Delays) *float64 { return &d.Half },
+		func(d *Delays) *float64 { return &d.P50 },
 		func(d *Delays) *float64 { return &d.P99 },
 		func(d *Delays) *float64 { return &d.All },
 	} {
@@ -230,8 +230,8 @@
 func (r *run) addTraffic(figures *Phase, bytes int64) {
 	figures.BytesPerSecond = float64(bytes) / figures.Seconds / float64(len(r.nodes.all))
 	for _, h := range r.nodes.all {
-		for i := 1; i < len(h.bytesMark); i++ {
-			sum := h.bytesMark[i] - h.bytesMark[max(0, i-worstWindow)]
+		for i := 1; i < len(h.byteSamples); i++ {
+			sum := h.byteSamples[i] - h.byteSamples[max(0, i-worstWindow)]
 			figures.WorstBytesPerSecond = max(figures.WorstBytesPerSecond, float64(sum)/worstWindow)
 		}
 	}
--- a/internal/lab/result/analysis.go
+++ b/internal/lab/result/analysis.go
@@ -9,8 +9,8 @@
 	"fawnglade/internal/lab/trace"
 )
 
-// spanLength is that of Result.Spans, in nanoseconds.
-const spanLength = int64(5 * time.Second)
+// fiveSecondsNs is that of Result.Spans, in nanoseconds.
+const fiveSecondsNs = int64(5 * time.Second)
 
 // FromTrace derives the figures and the verdict of a run.
 func FromTrace(s *scenario.Scenario, r *trace.Trace) *Result {
@@ -34,15 +34,15 @@
 // tallyRequests counts each request in all of the tallies that it belongs to.
 func (r *Result) tallyRequests(s *scenario.Scenario, run *trace.Trace) {
 	all := newTally()
-	spans := newTallies(int64(s.Length), spanLength)
+	spans := newTallies(int64(s.Length), fiveSecondsNs)
 	seconds := newTallies(int64(s.Length), int64(time.Second))
 	for i := range run.Plan.Operations {
 		operation := &run.Plan.Operations[i]
 		class := &s.Classes[operation.Class]
 		due := operation.Due - run.StartedAt
-		tallies := []*Tally{all, tallyNamed(r.Classes, class.Name), spans[due/spanLength], seconds[due/int64(time.Second)]}
+		tallies := []*Tally{all, tallyByName(r.Classes, class.Name), spans[due/fiveSecondsNs], seconds[due/int64(time.Second)]}
 		if operation.Tenant >= 0 {
-			tallies = append(tallies, tallyNamed(r.Tenants, s.Tenants[operation.Tenant].Name))
+			tallies = append(tallies, tallyByName(r.Tenants, s.Tenants[operation.Tenant].Name))
 		}
 		for _, t := range tallies {
 			t.add(run.Outcomes[i], class)
@@ -55,7 +55,7 @@
 	for _, t := range r.Tenants {
 		t.finish()
 	}
-	r.Spans = finishAll(spans)
+	r.FiveSeconds = finishAll(spans)
 	r.Seconds = finishAll(seconds)
 }
 
@@ -79,7 +79,7 @@
 		if links, ok := s.LinkFault(&fault.Fault); ok {
 			targets = len(links.From) * len(links.To)
 		}
-		r.Faults = append(r.Faults, FaultSpan{fault.Kind, from, from + fault.For.Std().Seconds(), targets})
+		r.Faults = append(r.Faults, FaultInterval{fault.Kind, from, from + fault.For.Std().Seconds(), targets})
 	}
 }
 
--- a/internal/lab/result/curves_test.go
+++ b/internal/lab/result/curves_test.go
@@ -7,7 +7,7 @@
 	"fawnglade/internal/lab/trace"
 )
 
-func TestSpreadOfLoadOverEndpoints(t *testing.T) {
+func TestInFlightSpreadBySecond(t *testing.T) {
 	r := &Result{Loads: []trace.LoadSample{
 		{At: 0.1e9, InFlight: []int{4, 4, 4, 4}}, {At: 0.6e9, InFlight: []int{0, 0, 0, 16}}, // one second: even, then all at one
 		{At: 2.2e9, InFlight: []int{0, 0, 0, 0}}, // skipped: nothing in flight
--- a/internal/lab/result/page_test.go
+++ b/internal/lab/result/page_test.go
@@ -11,11 +11,11 @@
 )
 
 // The templates name fields as text: a renamed field fails here.
-func TestPagesShowAllSections(t *testing.T) {
+func TestPagesContainAllSections(t *testing.T) {
 	r := &Result{
 		Scenario: "calm", Verdict: FellShort, Missed: []string{"too slow"}, LengthS: 2, ViolationCount: 1,
 		Violations: make([]invariant.Violation, 1), Classes: map[string]*Tally{"view": newTally()}, Seconds: make([]Tally, 2),
-		Nodes: make([]trace.NodeUsage, 1), Oddities: map[string]int{"late": 3}, Faults: []FaultSpan{{Kind: "slow", FromS: 1, ToS: 2}},
+		Nodes: make([]trace.NodeUsage, 1), Oddities: map[string]int{"late": 3}, Faults: []FaultInterval{{Kind: "slow", FromS: 1, ToS: 2}},
 		Endpoints: []string{"a"}, Loads: make([]trace.LoadSample, 1), Activity: make([]trace.FleetActivity, 2),
 		Reach: make([]netfault.Reachability, 1), Views: &Views{Wrong: []int{0}, Unknown: []int{0}}, Running: make([]trace.RunningNodes, 1),
 	}
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -43,17 +43,17 @@
 	RecoveryS      float64               `json:"back_s,omitempty"` // from the last power loss until service recovered; -1: not by the end; 0: no power loss
 	Violations     []invariant.Violation `json:"breaks,omitempty"`
 
-	Classes map[string]*Tally `json:"by_category"`
-	Tenants map[string]*Tally `json:"by_customer,omitempty"`
-	Spans   []Tally           `json:"by_5s"`
-	Seconds []Tally           `json:"by_1s"`
+	Classes     map[string]*Tally `json:"by_category"`
+	Tenants     map[string]*Tally `json:"by_customer,omitempty"`
+	FiveSeconds []Tally           `json:"by_5s"`
+	Seconds     []Tally           `json:"by_1s"`
 
 	Attempts        Attempts                `json:"hand_offs"`
 	Nodes           []trace.NodeUsage       `json:"nodes"`
 	BadClients      trace.BadClientCounts   `json:"bad_clients"`
 	Oddities        map[string]int          `json:"odd,omitempty"`      // by description: how often
 	GivenUp         map[string]int          `json:"given_up,omitempty"` // requests, by the node's reason: no evidence, but a cause to look for
-	Faults          []FaultSpan             `json:"faults,omitempty"`
+	Faults          []FaultInterval         `json:"faults,omitempty"`
 	SlowStart       *SlowStart              `json:"cold,omitempty"`
 	Endpoints       []string                `json:"servers"`
 	Loads           []trace.LoadSample      `json:"loads,omitempty"`
@@ -82,8 +82,8 @@
 	DoubleEffects int `json:"double_effects"` // of requests that are not idempotent; a node killed under way may leave some
 }
 
-// FaultSpan is when a fault was in effect, in seconds since the start of the run, and how many targets or links it hit.
-type FaultSpan struct {
+// FaultInterval is when a fault was in effect, in seconds since the start of the run, and how many targets or links it hit.
+type FaultInterval struct {
 	Kind    string  `json:"kind"`
 	FromS   float64 `json:"from_s"`
 	ToS     float64 `json:"to_s"`
--- a/internal/lab/result/tally.go
+++ b/internal/lab/result/tally.go
@@ -48,8 +48,8 @@
 	return tallies
 }
 
-// tallyNamed returns the tally of a name, and creates it at its first use.
-func tallyNamed(tallies map[string]*Tally, name string) *Tally {
+// tallyByName returns the tally of a name, and creates it at its first use.
+func tallyByName(tallies map[string]*Tally, name string) *Tally {
 	if tallies[name] == nil {
 		tallies[name] = newTally()
 	}
--- a/internal/lab/scale/balancer.go
+++ b/internal/lab/scale/balancer.go
@@ -13,13 +13,13 @@
 // to it. What the node around the decisions costs is not in these figures.
 
 const (
-	tickTimer = 1                        // cookie of the decisions' own timer, each second
-	startTime = policy.Time(1000 * 1e9)  // of virtual time, nanoseconds
-	tick      = policy.Time(time.Second) // between two timers
-	step      = policy.Time(1_000_000)   // between two changes, nanoseconds
-	probeNode = 17                       // index of the node that is measured
-	zones     = 31
-	podSize   = 40
+	tickTimer      = 1                        // cookie of the decisions' own timer, each second
+	startTime      = policy.Time(1000 * 1e9)  // of virtual time, nanoseconds
+	tickInterval   = policy.Time(time.Second) // between two timers
+	changeInterval = policy.Time(1_000_000)   // between two changes, nanoseconds
+	probeNode      = 17                       // index of the node that is measured
+	zones          = 31
+	podSize        = 40
 	// scatter is a prime: steps of it visit indexes in no order that a cache likes.
 	scatter = 7919
 )
@@ -106,8 +106,8 @@
 
 // tickCost returns the mean processor time of the timer of each second, percent of a core.
 func (in *instance) tickCost(atLeast int, seconds float64) float64 {
-	return 100 * meanSpent(atLeast, seconds, func(int) {
-		in.now += tick
+	return 100 * meanCPUTime(atLeast, seconds, func(int) {
+		in.now += tickInterval
 		in.balancer.TimerFired(in.now, tickTimer)
 	})
 }
@@ -150,13 +150,13 @@
 			break
 		}
 		in.now += interval
-		if in.now-lastTick >= tick {
+		if in.now-lastTick >= tickInterval {
 			lastTick = in.now
 			in.balancer.TimerFired(in.now, tickTimer)
 		}
 		pending := &inFlight[i%len(inFlight)]
 		before := threadTime()
-		in.exchange(i, id, pending)
+		in.replaceRequest(i, id, pending)
 		cost := threadTime() - before
 		costs.sorted = append(costs.sorted, cost)
 		*pending = pendingRequest{endpoint: in.effects.endpoint, startedAt: in.now}
@@ -172,7 +172,7 @@
 }
 
 // exchange ends the request before in the same place, and starts the next.
-func (in *instance) exchange(i int, id policy.RequestID, before *pendingRequest) {
+func (in *instance) replaceRequest(i int, id policy.RequestID, before *pendingRequest) {
 	if before.id != "" {
 		in.balancer.AttemptEnded(in.now, policy.AttemptResult{
 			Request: before.id, Endpoint: before.endpoint, Outcome: policy.OutcomeSucceeded, RequestDone: true,
@@ -186,7 +186,7 @@
 		tenant = i * scatter % in.tenants
 	}
 	in.balancer.RequestArrived(in.now, policy.Request{
-		ID: id, Deadline: in.now + 600*step, Class: i % in.classes, Tenant: tenant,
+		ID: id, Deadline: in.now + 600*changeInterval, Class: i % in.classes, Tenant: tenant,
 	})
 }
 
--- a/internal/lab/scale/decisions.go
+++ b/internal/lab/scale/decisions.go
@@ -74,13 +74,13 @@
 	v["memory"] = heapInUse() - before
 
 	list := endpointInfos(n)
-	v["change"] = 1e3 * meanSpent(20, seconds, func(i int) { in.changeOne(list, i) })
+	v["change"] = 1e3 * meanCPUTime(20, seconds, func(i int) { in.changeOne(list, i) })
 	v["day"] = v["change"] / 1e3 * e.Design.EndpointChangesPerSecond() * 100
 	v["singly"] = v["change"] / 1e3 * e.Design.ZoneEndpoints
 	burst := min(int(e.Design.ZoneEndpoints), n)
-	v["burst"] = meanSpent(2, seconds/2, func(i int) { in.changeMany(list[:burst], i) })
-	v["whole"] = meanSpent(2, seconds/2, func(int) {
-		in.now += step
+	v["burst"] = meanCPUTime(2, seconds/2, func(i int) { in.changeMany(list[:burst], i) })
+	v["whole"] = meanCPUTime(2, seconds/2, func(int) {
+		in.now += changeInterval
 		in.balancer.EndpointsUpdated(in.now, list, true)
 	})
 	v["tick"] = in.tickCost(5, seconds/2)
@@ -95,7 +95,7 @@
 
 // changeOne drains an endpoint at an even index, and has the same one start anew at the next.
 func (in *instance) changeOne(list []policy.EndpointInfo, i int) {
-	in.now += step
+	in.now += changeInterval
 	changed := list[i/2*scatter%len(list)]
 	if i%2 == 0 {
 		changed.State = policy.StateDraining
@@ -108,7 +108,7 @@
 
 // changeMany changes the state of endpoints in one update: to active at an even index, to draining at an odd one.
 func (in *instance) changeMany(list []policy.EndpointInfo, i int) {
-	in.now += step
+	in.now += changeInterval
 	update := make([]policy.EndpointInfo, len(list))
 	for k := range update {
 		update[k] = list[k]
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -52,9 +52,9 @@
 
 // discovery sends every watch a complete list, then each update, and an empty line each second.
 type discovery struct {
-	listener net.Listener
-	first    []byte
-	running  sync.WaitGroup
+	listener      net.Listener
+	initialUpdate []byte
+	running       sync.WaitGroup
 
 	mu      sync.Mutex               // guards what follows
 	watches map[net.Conn]*sync.Mutex // with the lock of their writes
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &discovery{listener: listener, first: updateText(1, true, entries...), watches: map[net.Conn]*sync.Mutex{}}
+	d := &discovery{listener: listener, initialUpdate: updateText(1, true, entries...), watches: map[net.Conn]*sync.Mutex{}}
 	d.running.Go(d.accept)
 	return d, nil
 }
@@ -135,7 +135,7 @@
 		delete(d.watches, conn)
 		d.mu.Unlock()
 	}()
-	if d.write(conn, writing, []byte(watchHead)) != nil || d.write(conn, writing, d.first) != nil {
+	if d.write(conn, writing, []byte(watchHead)) != nil || d.write(conn, writing, d.initialUpdate) != nil {
 		return
 	}
 	conn.SetReadDeadline(time.Time{})
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -108,7 +108,7 @@
 		return err
 	}
 	all := stateEndpoints(0, d.endpoints)
-	d.values["listed"] = spent(func() { states[0].RecordList(d.now, all, 2, true) })
+	d.values["listed"] = cpuTimeOf(func() { states[0].RecordList(d.now, all, 2, true) })
 	if err := d.measureChanges(to, states[0]); err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 func (d *diskMeasurement) measureFirstWrite(to *store.Store, states []*nodestate.State) error {
 	var err error
 	began := time.Now()
-	d.values["write"] = spent(func() {
+	d.values["write"] = cpuTimeOf(func() {
 		for _, state := range states {
 			if err == nil {
 				err = writeChanges(to, state)
@@ -151,7 +151,7 @@
 	list := stateEndpoints(0, min(nodestate.MaxEndpoints, d.endpoints))
 	changes := pick(d.env, 50, 5)
 	var err error
-	d.values["change"] = 1e3 * spent(func() {
+	d.values["change"] = 1e3 * cpuTimeOf(func() {
 		for i := range changes {
 			changed := list[i%len(list)]
 			changed.State = nodestate.Draining
@@ -170,7 +170,7 @@
 	began := time.Now()
 	var from *store.Store
 	var state *nodestate.State
-	d.values["open"] = spent(func() {
+	d.values["open"] = cpuTimeOf(func() {
 		from, _, err = store.Open(d.path, store.Options{})
 		if err == nil {
 			state, err = loadState(from)
--- a/internal/lab/scale/endpointgossip.go
+++ b/internal/lab/scale/endpointgossip.go
@@ -96,7 +96,7 @@
 	v["memory"] = (heapInUse() - before) / informedNodes
 	g.exchanges = append(g.exchanges, endpointgossip.New(informedNodes, gossipLink{g.mailbox, informedNodes}, g.now, 0, nil, false))
 	var ticks int
-	v["cpu"] = spent(func() { ticks = g.runUntilTaken() })
+	v["cpu"] = cpuTimeOf(func() { ticks = g.runUntilListAccepted() })
 	for _, bytes := range g.bytes {
 		v["bytes"] += bytes
 		v["worst"] = max(v["worst"], bytes)
@@ -132,8 +132,8 @@
 	}
 }
 
-// runUntilTaken lets time pass until the last node has taken a list, and returns after how many ticks; 0: it has not.
-func (g *gossipGroup) runUntilTaken() int {
+// runUntilListAccepted lets time pass until the last node has taken a list, and returns after how many ticks; 0: it has not.
+func (g *gossipGroup) runUntilListAccepted() int {
 	for ticks := range maxGossipTicks {
 		g.now += gossipTick
 		if ticks%ticksPerSecond == 0 {
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -85,7 +85,7 @@
 
 // at returns the value at a size and its source: measured, there or between two sizes; by the line; where the line
 // breaks, by the power with which the last two points grow; where the line falls below zero, the last point's own.
-func (f *Fit) at(points []Point, size float64) (value float64, source string) {
+func (f *Fit) valueAt(points []Point, size float64) (value float64, source string) {
 	if len(points) == 0 {
 		return 0, "not measured"
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -71,7 +71,7 @@
 }
 
 func measureHollow(ctx context.Context, e *Env, size float64) (m Measurement, err error) {
-	h := &hollowMeasurement{env: e, size: size, endpoints: pick(e, fewEndpoints, 50), values: Values{}}
+	h := &hollowMeasurement{env: e, size: size, endpoints: pick(e, fixedEndpoints, 50), values: Values{}}
 	m.Values = h.values
 	if len(e.NodeCommand) == 0 || len(e.HollowCommand) == 0 {
 		m.Note = "no node program found"
@@ -87,7 +87,7 @@
 		return m, err
 	}
 	defer h.discovery.close()
-	if err := h.place(); err != nil {
+	if err := h.assignAddresses(); err != nil {
 		return m, err
 	}
 	h.hollow, err = startHollow(e, &h.fleet)
@@ -121,7 +121,7 @@
 }
 
 // place finds addresses for all nodes.
-func (h *hollowMeasurement) place() error {
+func (h *hollowMeasurement) assignAddresses() error {
 	const addressesOfNode = 3
 	nodes := int(h.size) + 1
 	addresses, err := freeAddresses(addressesOfNode * nodes)
@@ -131,7 +131,7 @@
 	h.fleet.Discovery = h.discovery.address()
 	for i := range nodes {
 		own := addresses[addressesOfNode*i:]
-		h.fleet.Nodes = append(h.fleet.Nodes, nodePlace{fmt.Sprintf("n%d", i), own[0], own[1], own[2]})
+		h.fleet.Nodes = append(h.fleet.Nodes, nodeAddresses{fmt.Sprintf("n%d", i), own[0], own[1], own[2]})
 	}
 	return nil
 }
@@ -143,13 +143,13 @@
 		return nil, err
 	}
 	return startNode(h.env, nodeOptions{
-		dir: h.fleet.Dir, discovery: h.fleet.Discovery, index: index, place: h.fleet.Nodes[index],
+		dir: h.fleet.Dir, discovery: h.fleet.Discovery, index: index, addresses: h.fleet.Nodes[index],
 		stateDir: h.fleet.stateDir(index), features: features,
 	})
 }
 
 func (h *hollowMeasurement) measure() error {
-	for _, part := range []func() error{h.measureRest, h.measureMemory, h.measureChanges} {
+	for _, part := range []func() error{h.measureIdle, h.measureMemory, h.measureChanges} {
 		if err := part(); err != nil {
 			return err
 		}
@@ -173,7 +173,7 @@
 }
 
 // during measures both processes while something is done.
-func (h *hollowMeasurement) during(do func() error) (usage, error) {
+func (h *hollowMeasurement) usageDuring(do func() error) (usage, error) {
 	u := usage{hollow: -h.hollow.processorSeconds(), real: -h.real.processorSeconds()}
 	began := time.Now()
 	err := do()
@@ -204,13 +204,13 @@
 	return view.Counts.Sent, err
 }
 
-// measureRest watches the nodes while nothing happens.
-func (h *hollowMeasurement) measureRest() error {
+// measureIdle watches the nodes while nothing happens.
+func (h *hollowMeasurement) measureIdle() error {
 	before, err := h.sent()
 	if err != nil {
 		return err
 	}
-	used, err := h.during(func() error {
+	used, err := h.usageDuring(func() error {
 		time.Sleep(pick(h.env, 5*time.Second, 500*time.Millisecond))
 		return nil
 	})
@@ -245,7 +245,7 @@
 // measureChanges sends changes of the endpoint list to all nodes.
 func (h *hollowMeasurement) measureChanges() error {
 	changes := pick(h.env, 100, 10)
-	used, err := h.during(func() error {
+	used, err := h.usageDuring(func() error {
 		for i := range changes {
 			health, startedMs := "draining", int64(0)
 			if i%2 == 1 {
--- a/internal/lab/scale/hollownodes.go
+++ b/internal/lab/scale/hollownodes.go
@@ -26,13 +26,13 @@
 
 // hollowFleet is the file that the process of hollow nodes reads.
 type hollowFleet struct {
-	Discovery string      `json:"Discovery"` // address
-	Nodes     []nodePlace `json:"Nodes"`     // the last is the real one
-	Dir       string      `json:"Dir"`
+	Discovery string          `json:"Discovery"` // address
+	Nodes     []nodeAddresses `json:"Nodes"`     // the last is the real one
+	Dir       string          `json:"Dir"`
 }
 
 // hollow are the places of the hollow nodes.
-func (f *hollowFleet) hollow() []nodePlace { return f.Nodes[:len(f.Nodes)-1] }
+func (f *hollowFleet) hollow() []nodeAddresses { return f.Nodes[:len(f.Nodes)-1] }
 
 // writeFeatures writes the features file of one node, and returns its path.
 func (f *hollowFleet) writeFeatures(index int) (string, error) {
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	output, input := io.Pipe()
-	p := &nodeProcess{began: time.Now()}
+	p := &nodeProcess{startedAt: time.Now()}
 	command := append(slices.Clone(e.HollowCommand), path)
 	p.Process, err = emulator.Command(command)("", []string{"TMPDIR=" + f.Dir}, input)
 	if err != nil {
--- a/internal/lab/scale/instances.go
+++ b/internal/lab/scale/instances.go
@@ -10,7 +10,7 @@
 // Probes of the decisions over tenants, classes and services.
 
 const (
-	fewEndpoints     = 1200 // where another size grows
+	fixedEndpoints   = 1200 // where another size grows
 	serviceEndpoints = 24   // of a service
 )
 
@@ -47,7 +47,7 @@
 		Sizes: []float64{3, 10, 30, 100, 300, 1000}, QuickSizes: []float64{2, 5, 10, 20},
 		Substitute: "a node has no notion of a route: a class stands for one",
 		DesignSize: func(d *Design) float64 { return d.Routes },
-		Need:       func(n float64) Need { return Need{Bytes: 200*n*fewEndpoints + 20e6} },
+		Need:       func(n float64) Need { return Need{Bytes: 200*n*fixedEndpoints + 20e6} },
 		Figures: []Figure{
 			{
 				Name: "memory", Description: "memory of one instance, before 1,200 servers",
@@ -72,7 +72,7 @@
 func measureInstance(e *Env, classes, tenants int) Measurement {
 	v := Values{}
 	before := heapInUse()
-	in := newInstance(classes, tenants, 1, endpointInfos(pick(e, fewEndpoints, 100)))
+	in := newInstance(classes, tenants, 1, endpointInfos(pick(e, fixedEndpoints, 100)))
 	v["memory"] = heapInUse() - before
 	v["tick"] = in.tickCost(3, pick(e, 0.3, 0.01))
 	costs := in.requestCosts(&e.Design, pick(e, 5000, 500), 8)
@@ -118,14 +118,14 @@
 		services[i].EndpointsUpdated(now, list[i*serviceEndpoints:(i+1)*serviceEndpoints], true)
 	}
 	v["memory"] = heapInUse() - before
-	v["tick"] = 100 * meanSpent(3, seconds, func(int) {
-		now += tick
+	v["tick"] = 100 * meanCPUTime(3, seconds, func(int) {
+		now += tickInterval
 		for _, balancer := range services {
 			balancer.TimerFired(now, tickTimer)
 		}
 	})
-	v["change"] = 1e3 * meanSpent(200, seconds, func(i int) {
-		now += step
+	v["change"] = 1e3 * meanCPUTime(200, seconds, func(i int) {
+		now += changeInterval
 		service := i * scatter % len(services)
 		changed := list[service*serviceEndpoints+i%serviceEndpoints]
 		changed.StartedAt = now
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -18,12 +18,12 @@
 	maxUpTime     = 300 * second
 	maxDeathTime  = 200 * second
 	maxSettleTime = 600 * second
-	// restDatagram is longer, in bytes, than the mean datagram of a fleet at rest.
-	restDatagram   = 100
-	membersWatch   = 20 * second
-	deathPoll      = 100 * millisecond
-	methodMembers  = "virtual time, 5% of datagrams lost"
-	membersVirtual = 1 // seed of the fleet
+	// maxIdleDatagramBytes is longer, in bytes, than the mean datagram of a fleet at rest.
+	maxIdleDatagramBytes = 100
+	membersWatch         = 20 * second
+	deathPoll            = 100 * millisecond
+	methodMembers        = "virtual time, 5% of datagrams lost"
+	membersSeed          = 1 // seed of the fleet
 )
 
 func membersProbe() Probe {
@@ -91,12 +91,12 @@
 
 // membersMeasurement is a fleet in virtual time.
 type membersMeasurement struct {
-	ctx    context.Context
-	env    *Env
-	size   float64
-	values Values
-	fleet  *fleet.Virtual
-	began  int64 // when all nodes had been started, nanoseconds
+	ctx       context.Context
+	env       *Env
+	size      float64
+	values    Values
+	fleet     *fleet.Virtual
+	startedAt int64 // when all nodes had been started, nanoseconds
 }
 
 // measure returns a note where something did not happen in time; what was measured before stays.
@@ -109,21 +109,21 @@
 	for _, part := range []func() (string, error){
 		m.waitUntilUp,
 		func() (string, error) { return m.measureDeath(1, "busy") },
-		m.waitUntilAtRest,
+		m.waitUntilIdle,
 	} {
 		if note, err := part(); err != nil || note != "" {
 			return note, err
 		}
 	}
 	m.values["memory"] = (heapInUse() - before) / m.size
-	m.measureRest()
+	m.measureIdle()
 	return m.measureDeath(2, "death")
 }
 
 // start starts all nodes at once.
 func (m *membersMeasurement) start() error {
 	n := int(m.size)
-	m.fleet = fleet.NewVirtual(n, membersVirtual)
+	m.fleet = fleet.NewVirtual(n, membersSeed)
 	for i := range n {
 		if err := m.fleet.Start(i); err != nil {
 			return err
@@ -131,16 +131,16 @@
 	}
 	all := fleet.NodeEnds(fleet.NodeRange(0, n))
 	m.fleet.AddFaults(netfault.Fault{Kind: netfault.Drop, From: all, To: all, Share: datagramLoss, Burst: 1, Seed: 11})
-	m.began = m.fleet.Now()
+	m.startedAt = m.fleet.Now()
 	return nil
 }
 
 // sinceStart returns seconds.
-func (m *membersMeasurement) sinceStart() float64 { return float64(m.fleet.Now()-m.began) / 1e9 }
+func (m *membersMeasurement) sinceStart() float64 { return float64(m.fleet.Now()-m.startedAt) / 1e9 }
 
 func (m *membersMeasurement) waitUntilUp() (note string, err error) {
-	for !allKnowAll(m.fleet) {
-		if m.fleet.Now()-m.began > maxUpTime {
+	for !allSeeAllAlive(m.fleet) {
+		if m.fleet.Now()-m.startedAt > maxUpTime {
 			return fmt.Sprintf("not all knew all within %d s", maxUpTime/second), nil
 		}
 		if err := m.ctx.Err(); err != nil {
@@ -153,29 +153,29 @@
 	return "", nil
 }
 
-// waitUntilAtRest waits until datagrams carry next to no updates.
-func (m *membersMeasurement) waitUntilAtRest() (note string, err error) {
+// waitUntilIdle waits until datagrams carry next to no updates.
+func (m *membersMeasurement) waitUntilIdle() (note string, err error) {
 	for atRest := false; !atRest; {
-		if m.fleet.Now()-m.began > maxSettleTime {
+		if m.fleet.Now()-m.startedAt > maxSettleTime {
 			return fmt.Sprintf("still telling of the start after %d s, so nothing was measured of a fleet at rest", maxSettleTime/second), nil
 		}
 		if err := m.ctx.Err(); err != nil {
 			return "", err
 		}
 		sent := m.watchTraffic(5 * second)
-		atRest = sent.bytes <= restDatagram*sent.datagrams
+		atRest = sent.bytes <= maxIdleDatagramBytes*sent.datagrams
 	}
 	m.values["told"] = m.sinceStart()
 	m.env.logf("  told after %.1f s", m.values["told"])
 	return "", nil
 }
 
-// measureRest measures the fleet while nothing happens.
-func (m *membersMeasurement) measureRest() {
+// measureIdle measures the fleet while nothing happens.
+func (m *membersMeasurement) measureIdle() {
 	watch := pick(m.env, membersWatch, membersWatch/4)
 	seconds := float64(watch) / 1e9
 	var sent traffic
-	m.values["cpu"] = 100 * spent(func() { sent = m.watchTraffic(watch) }) / m.size / seconds
+	m.values["cpu"] = 100 * cpuTimeOf(func() { sent = m.watchTraffic(watch) }) / m.size / seconds
 	m.values["datagrams"] = sent.datagrams / m.size / seconds
 	m.values["bytes"] = sent.bytes / m.size / seconds
 }
@@ -184,13 +184,13 @@
 func (m *membersMeasurement) measureDeath(victim int, name string) (note string, err error) {
 	m.fleet.Kill(victim)
 	killed := m.fleet.Now()
-	others := float64(running(m.fleet))
+	others := float64(countRunning(m.fleet))
 	for _, percent := range []int{50, 90, 99, 100} {
 		figure := fmt.Sprint(name, percent)
-		for float64(knownAs(m.fleet, victim, members.Dead)) < float64(percent)/100*others || m.fleet.Now() == killed {
+		for float64(countNodesSeeing(m.fleet, victim, members.Dead)) < float64(percent)/100*others || m.fleet.Now() == killed {
 			if m.fleet.Now()-killed > maxDeathTime {
 				return fmt.Sprintf("%s: %d of %.0f held it silent after %d s",
-					figure, knownAs(m.fleet, victim, members.Dead), others, maxDeathTime/second), nil
+					figure, countNodesSeeing(m.fleet, victim, members.Dead), others, maxDeathTime/second), nil
 			}
 			if err := m.ctx.Err(); err != nil {
 				return "", err
@@ -228,7 +228,7 @@
 }
 
 // running counts the nodes that run.
-func running(v *fleet.Virtual) int {
+func countRunning(v *fleet.Virtual) int {
 	n := 0
 	for i := range v.Len() {
 		if v.Members(i) != nil {
@@ -238,8 +238,8 @@
 	return n
 }
 
-// knownAs counts the nodes that hold another one in a state.
-func knownAs(v *fleet.Virtual, node int, state members.State) int {
+// countNodesSeeing counts the nodes that hold another one in a state.
+func countNodesSeeing(v *fleet.Virtual, node int, state members.State) int {
 	n := 0
 	for i := range v.Len() {
 		if one := v.Members(i); i != node && one != nil && one.StateOf(node) == state {
@@ -249,7 +249,7 @@
 	return n
 }
 
-func allKnowAll(v *fleet.Virtual) bool {
+func allSeeAllAlive(v *fleet.Virtual) bool {
 	for i := range v.Len() {
 		for _, state := range v.Members(i).States() {
 			if state != members.Alive {
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -37,8 +37,8 @@
 "weights":"off","zone":0,"zones":[%s]}`, nodes, index, gossip, strings.Join(names, ","))
 }
 
-// nodePlace is where one node runs. Its tags are of the file that the process of hollow nodes reads.
-type nodePlace struct {
+// nodeAddresses is where one node runs. Its tags are of the file that the process of hollow nodes reads.
+type nodeAddresses struct {
 	Name    string `json:"Name"`
 	Listen  string `json:"Listen"`
 	Admin   string `json:"Console"`
@@ -46,7 +46,7 @@
 }
 
 // nodeConfig is a node's configuration; with gossip it may send to other nodes.
-func nodeConfig(index int, place nodePlace, discovery string, gossip bool) string {
+func nodeConfig(index int, place nodeAddresses, discovery string, gossip bool) string {
 	gossipConfig := "{}"
 	if gossip {
 		gossipConfig = `{"listen":"127.0.0.1:0"}`
@@ -77,8 +77,8 @@
 // nodeProcess is one real node.
 type nodeProcess struct {
 	emulator.Process
-	admin string // address
-	began time.Time
+	admin     string // address
+	startedAt time.Time
 }
 
 // nodeOptions are those of a node's start.
@@ -86,7 +86,7 @@
 	dir       string // for configuration and log
 	discovery string // address
 	index     int
-	place     nodePlace
+	addresses nodeAddresses
 	stateDir  string // empty: none
 	features  string // path of the features file; empty: none, and no gossip
 }
@@ -99,13 +99,13 @@
 	}
 	return startNode(e, nodeOptions{
 		dir: dir, discovery: discovery, index: probeNode, stateDir: stateDir,
-		place: nodePlace{Listen: addresses[0], Admin: addresses[1]},
+		addresses: nodeAddresses{Listen: addresses[0], Admin: addresses[1]},
 	})
 }
 
 func startNode(e *Env, o nodeOptions) (*nodeProcess, error) {
 	config := filepath.Join(o.dir, "node.json")
-	text := nodeConfig(o.index, o.place, o.discovery, o.features != "")
+	text := nodeConfig(o.index, o.addresses, o.discovery, o.features != "")
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 	env := []string{
 		"NODE_CONFIG=" + config, "NODE_FEATURES=" + o.features, "NODE_STATE=" + o.stateDir, "NODE_CONSOLE=", "TMPDIR=" + o.dir,
 	}
-	p := &nodeProcess{admin: o.place.Admin, began: time.Now()}
+	p := &nodeProcess{admin: o.addresses.Admin, startedAt: time.Now()}
 	p.Process, err = emulator.Command(e.NodeCommand)("", env, log)
 	return p, err
 }
@@ -136,9 +136,9 @@
 
 // waitUntilReady returns the seconds from the start until the node takes requests; an error if it does not in time.
 func (p *nodeProcess) waitUntilReady(ctx context.Context, timeout time.Duration) (float64, error) {
-	for time.Since(p.began) < timeout {
+	for time.Since(p.startedAt) < timeout {
 		if isReady(p.admin) {
-			return time.Since(p.began).Seconds(), nil
+			return time.Since(p.startedAt).Seconds(), nil
 		}
 		select {
 		case <-ctx.Done():
@@ -194,10 +194,10 @@
 
 // workMeter begins before a process is given something to do.
 type workMeter struct {
-	process *nodeProcess
-	idle    float64 // its share while nothing happens
-	before  float64 // processor time
-	began   time.Time
+	process   *nodeProcess
+	idle      float64 // its share while nothing happens
+	before    float64 // processor time
+	startedAt time.Time
 }
 
 func (p *nodeProcess) newWorkMeter(idle float64) workMeter {
@@ -215,7 +215,7 @@
 	var seen []float64
 	for {
 		seen = append(seen, m.process.processorSeconds())
-		since := time.Since(m.began).Seconds()
+		since := time.Since(m.startedAt).Seconds()
 		last := len(seen) - 1
 		if last >= steps && seen[last]-seen[last-steps] < quiet || since > timeout.Seconds() {
 			return work{max(seen[last]-m.before-m.idle*since, 0), max(since-window, 0)}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -124,7 +124,7 @@
 		return m, err
 	}
 	defer p.discovery.close()
-	p.values["list"] = float64(len(p.discovery.first))
+	p.values["list"] = float64(len(p.discovery.initialUpdate))
 	for _, part := range []func() (string, error){p.measureFromDiscovery, p.measureFromDisk} {
 		m.Note, err = part()
 		if err != nil || m.Note != "" {
@@ -177,7 +177,7 @@
 
 // notReadyNote says what a node did that was not ready in time.
 func (p *processMeasurement) notReadyNote(reason error) string {
-	elapsed := time.Since(p.node.began).Seconds()
+	elapsed := time.Since(p.node.startedAt).Seconds()
 	stats := p.discovery.readStats()
 	memory, err := readResident(p.node.PID())
 	if err != nil {
--- a/internal/lab/scale/records.go
+++ b/internal/lab/scale/records.go
@@ -14,12 +14,12 @@
 
 const (
 	regions       = 10
-	scopesOfNode  = 20      // that a node follows
+	scopesPerNode = 20      // that a node follows
 	maxFrames     = 1 << 20 // that a relay may have for one subscriber at once
 	frameOverhead = 4       // bytes on the wire
 	methodFrames  = "bytes of frames"
 	probeStart    = int64(startTime)
-	millisecond   = int64(step) // nanoseconds
+	millisecond   = int64(changeInterval) // nanoseconds
 )
 
 var errEndlessFrames = fmt.Errorf("a relay that goes on for over %d frames", maxFrames)
@@ -71,12 +71,12 @@
 }
 
 // everything selects all scopes.
-func everything() []distribution.Selector {
+func allScopes() []distribution.Selector {
 	return []distribution.Selector{{Scope: "", Prefix: true}}
 }
 
-// passFrames passes all frames that a relay has for one subscriber on to it, and returns their bytes on the wire.
-func passFrames(
+// forwardFrames passes all frames that a relay has for one subscriber on to it, and returns their bytes on the wire.
+func forwardFrames(
 	now int64, r *distribution.Relay, id int, receive func(now int64, frame []byte) error,
 ) (bytes float64, err error) {
 	for range maxFrames {
@@ -221,7 +221,7 @@
 	before := heapInUse()
 	c.origin = distribution.NewOrigin(1, distribution.Limits{})
 	replace := func() (seconds float64, err error) {
-		seconds = spent(func() { _, err = c.origin.Replace(c.now, c.kind.name, records) })
+		seconds = cpuTimeOf(func() { _, err = c.origin.Replace(c.now, c.kind.name, records) })
 		return seconds, err
 	}
 	var err error
@@ -237,7 +237,7 @@
 func (c *recordChain) fillRelay() error {
 	before := heapInUse()
 	c.relay = distribution.NewRelay(distribution.Limits{})
-	if err := c.relay.Follow(everything()); err != nil {
+	if err := c.relay.Follow(allScopes()); err != nil {
 		return err
 	}
 	var err error
@@ -245,7 +245,7 @@
 	if err != nil {
 		return err
 	}
-	c.values["relaytake"] = spent(func() { c.values["wire"], err = c.passToRelay() })
+	c.values["relaytake"] = cpuTimeOf(func() { c.values["wire"], err = c.forwardToRelay() })
 	if err != nil {
 		return err
 	}
@@ -256,7 +256,7 @@
 func (c *recordChain) fillSubscriber() error {
 	before := heapInUse()
 	var err error
-	c.subscriber, err = distribution.NewSubscriber(everything(), distribution.Limits{})
+	c.subscriber, err = distribution.NewSubscriber(allScopes(), distribution.Limits{})
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 	if err != nil {
 		return err
 	}
-	c.values["subscribertake"] = spent(func() { _, err = c.passToSubscriber() })
+	c.values["subscribertake"] = cpuTimeOf(func() { _, err = c.forwardToSubscriber() })
 	if err != nil {
 		return err
 	}
@@ -275,12 +275,12 @@
 	return nil
 }
 
-func (c *recordChain) passToRelay() (bytes float64, err error) {
-	return passFrames(c.now, c.origin.Relay(), c.relayID, c.relay.Receive)
+func (c *recordChain) forwardToRelay() (bytes float64, err error) {
+	return forwardFrames(c.now, c.origin.Relay(), c.relayID, c.relay.Receive)
 }
 
-func (c *recordChain) passToSubscriber() (bytes float64, err error) {
-	return passFrames(c.now, c.relay, c.subscriberID, func(now int64, frame []byte) error {
+func (c *recordChain) forwardToSubscriber() (bytes float64, err error) {
+	return forwardFrames(c.now, c.relay, c.subscriberID, func(now int64, frame []byte) error {
 		_, err := c.subscriber.Receive(now, frame)
 		return err
 	})
@@ -300,10 +300,10 @@
 			return 0, err
 		}
 	}
-	if _, err := c.passToRelay(); err != nil {
+	if _, err := c.forwardToRelay(); err != nil {
 		return 0, err
 	}
-	return c.passToSubscriber()
+	return c.forwardToSubscriber()
 }
 
 // Revisions from which those of each measurement begin, so that none is put twice.
@@ -315,7 +315,7 @@
 func (c *recordChain) measureChange() error {
 	var problem error
 	bytes, changes := 0.0, 0.0
-	c.values["change"] = 1e3 * meanSpent(20, pick(c.env, 0.3, 0.01), func(i int) {
+	c.values["change"] = 1e3 * meanCPUTime(20, pick(c.env, 0.3, 0.01), func(i int) {
 		c.now += millisecond
 		n, err := c.change(i/2, 1, i+1)
 		problem = errors.Join(problem, err)
@@ -334,7 +334,7 @@
 		c.now += millisecond
 		var n float64
 		var err error
-		seconds += spent(func() { n, err = c.change(0, int(c.env.Design.ZoneEndpoints), burstRevision+1+i) })
+		seconds += cpuTimeOf(func() { n, err = c.change(0, int(c.env.Design.ZoneEndpoints), burstRevision+1+i) })
 		if err != nil {
 			return err
 		}
@@ -346,7 +346,7 @@
 
 func (c *recordChain) measurePut() error {
 	var problem error
-	c.values["put"] = 1e3 * meanSpent(20, pick(c.env, 0.3, 0.01), func(i int) {
+	c.values["put"] = 1e3 * meanCPUTime(20, pick(c.env, 0.3, 0.01), func(i int) {
 		problem = errors.Join(problem, c.put(i, 2*(putRevision+i)))
 	})
 	return problem
--- a/internal/lab/scale/resources.go
+++ b/internal/lab/scale/resources.go
@@ -41,7 +41,7 @@
 }
 
 // spent returns the processor time that a call takes this process, with its garbage collection, seconds.
-func spent(do func()) float64 {
+func cpuTimeOf(do func()) float64 {
 	before, errBefore := processorTime(0)
 	do()
 	after, errAfter := processorTime(0)
@@ -51,16 +51,16 @@
 	return after - before
 }
 
-// maxRepetitions of one call by meanSpent.
+// maxRepetitions of one call by meanCPUTime.
 const maxRepetitions = 1 << 20
 
-// meanSpent repeats a call at least so often, and until it has taken so many seconds, and returns the mean processor
+// meanCPUTime repeats a call at least so often, and until it has taken so many seconds, and returns the mean processor
 // time of one, seconds.
-func meanSpent(atLeast int, seconds float64, do func(i int)) float64 {
+func meanCPUTime(atLeast int, seconds float64, do func(i int)) float64 {
 	done, sum := 0, 0.0
 	for done < atLeast || sum < seconds && done < maxRepetitions {
 		first, count := done, max(atLeast, done)
-		sum += spent(func() {
+		sum += cpuTimeOf(func() {
 			for i := range count {
 				do(first + i)
 			}
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -49,7 +49,7 @@
 func (s Slope) withFit() Slope {
 	s.Fit = fitLine(s.Points)
 	s.LimitFactor = 0
-	s.DesignValue, s.Source = s.Fit.at(s.Points, s.DesignSize)
+	s.DesignValue, s.Source = s.Fit.valueAt(s.Points, s.DesignSize)
 	if s.NodeMax > 0 && s.DesignSize > s.NodeMax {
 		s.Source += ", but nothing beyond " + formatCount(s.NodeMax)
 	}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -20,28 +20,28 @@
 	return out
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*math.Max(math.Abs(a), math.Abs(b)) }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*math.Max(math.Abs(a), math.Abs(b)) }
 
-func TestFitOfALine(t *testing.T) {
+func TestFitRecoversExactLine(t *testing.T) {
 	p := points(func(x float64) float64 { return 1000 + 5*x }, 10, 100, 1000, 10000)
 	f := fitLine(p)
-	if !near(f.Slope, 5) || !near(f.Intercept, 1000) || f.Residual > 1e-9 || f.BreaksBeyond != 0 {
+	if !almostEqual(f.Slope, 5) || !almostEqual(f.Intercept, 1000) || f.Residual > 1e-9 || f.BreaksBeyond != 0 {
 		t.Errorf("%+v, want 1000 + 5 x that holds", f)
 	}
-	if v, how := f.at(p, 100000); !near(v, 501000) || how != "line" {
+	if v, how := f.valueAt(p, 100000); !almostEqual(v, 501000) || how != "line" {
 		t.Errorf("at 100,000: %v by %s", v, how)
 	}
-	if v, how := f.at(p, 1000); v != 6000 || how != "measured" {
+	if v, how := f.valueAt(p, 1000); v != 6000 || how != "measured" {
 		t.Errorf("at 1,000: %v by %s", v, how)
 	}
-	if v, how := f.at(p, 550); !near(v, 3750) || how != "measured" {
+	if v, how := f.valueAt(p, 550); !almostEqual(v, 3750) || how != "measured" {
 		t.Errorf("at 550, between two: %v by %s", v, how)
 	}
 }
 
 // Where the small sizes did not count, their errors would be past telling: a root mean square of relative errors has to
 // be small.
-func TestSmallSizesCountAsMuchAsLargeOnes(t *testing.T) {
+func TestFitWeighsRelativeErrors(t *testing.T) {
 	p := points(func(x float64) float64 { return 100 + x }, 10, 100, 1000, 10000)
 	p[3].Value *= 1.1
 	if f := fitLine(p); f.Residual > 0.06 || f.BreaksBeyond != 0 {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestFitFindsABreak(t *testing.T) {
+func TestFitDetectsBreak(t *testing.T) {
 	for name, c := range map[string]struct {
 		of     func(x float64) float64
 		breaks float64
@@ -64,7 +64,7 @@
 		if f.BreaksBeyond != c.breaks || c.power > 0 && math.Abs(f.Power-c.power) > 0.01 {
 			t.Errorf("%s: breaks beyond %v with power %.2f, want %v and %v", name, f.BreaksBeyond, f.Power, c.breaks, c.power)
 		}
-		v, how := f.at(p, 200000)
+		v, how := f.valueAt(p, 200000)
 		if want := c.of(200000); c.breaks > 0 && (how != "power" || v < want/3 || v > want*3) {
 			t.Errorf("%s: %v by %s at 200,000, want about %v by power", name, v, how, want)
 		}
@@ -72,27 +72,27 @@
 }
 
 // A figure drawn out beyond what the node's own code takes has to say so, or a page would promise it.
-func TestSourceNamesTheNodesMaximum(t *testing.T) {
+func TestSourceNamesNodeMaximum(t *testing.T) {
 	p := points(func(x float64) float64 { return x }, 10, 20, 50, 100)
 	for cap, want := range map[float64]string{0: "line", 2000: "line", 500: "line, but nothing beyond 500"} {
-		if s := (Slope{Points: p, DesignSize: 1000, NodeMax: cap}).withFit(); s.Source != want || !near(s.DesignValue, 1000) {
+		if s := (Slope{Points: p, DesignSize: 1000, NodeMax: cap}).withFit(); s.Source != want || !almostEqual(s.DesignValue, 1000) {
 			t.Errorf("cap %v: %v by %q, want %q", cap, s.DesignValue, s.Source, want)
 		}
 	}
 }
 
-func TestFallingFitIsNotBelowZero(t *testing.T) {
+func TestFitIsNotExtrapolatedBelowZero(t *testing.T) {
 	p := points(func(x float64) float64 { return 10 - x/100 }, 10, 50, 100, 200)
 	f := fitLine(p)
-	if v, how := f.at(p, 1e6); v != 8 || how != "last size" {
+	if v, how := f.valueAt(p, 1e6); v != 8 || how != "last size" {
 		t.Errorf("%v by %s, want the last point", v, how)
 	}
-	if v, how := (&Fit{}).at(nil, 5); v != 0 || how != "not measured" {
+	if v, how := (&Fit{}).valueAt(nil, 5); v != 0 || how != "not measured" {
 		t.Errorf("%v by %s of no points", v, how)
 	}
 }
 
-func TestCheckRefusesSizes(t *testing.T) {
+func TestProbeCheckRejectsSizes(t *testing.T) {
 	m := Machine{MemoryBytes: 10e9}
 	p := Probe{Name: "x", SizeUnit: "servers", MinSize: 10, MaxSize: 1e6, Need: func(n float64) Need { return Need{Bytes: 1e6 * n, Processes: int(n) / 20} }}
 	for _, c := range []struct {
@@ -124,7 +124,7 @@
 }
 
 // A refusal comes before any work, also where the probe that is refused is the last.
-func TestRunRefusesBeforeAnyWork(t *testing.T) {
+func TestRunRejectsOptionsBeforeMeasuring(t *testing.T) {
 	var log bytes.Buffer
 	_, err := Run(t.Context(), Options{Sizes: []float64{1200, 4000, 12000, 1e9}, Machine: Machine{MemoryBytes: 16e9}, Env: Env{Log: &log}, Design: DefaultDesign, Limits: DefaultLimits})
 	if err == nil || strings.Contains(err.Error(), "\n") || log.Len() > 0 {
@@ -137,7 +137,7 @@
 }
 
 // Each probe can do what it is asked for when nobody names sizes, on a machine as the operators' is.
-func TestProbesTakeTheirOwnSizes(t *testing.T) {
+func TestProbesAcceptTheirDefaultSizes(t *testing.T) {
 	m := Machine{MemoryBytes: 24e9}
 	seen := map[string]bool{}
 	for _, p := range Probes() {
@@ -162,7 +162,7 @@
 	}
 }
 
-func quick(t *testing.T, names ...string) *Result {
+func runQuick(t *testing.T, names ...string) *Result {
 	t.Helper()
 	r, err := Run(t.Context(), Options{
 		Only: names, Env: Env{Quick: true, Dir: t.TempDir()}, Command: "fawnglade-lab scale --quick", Time: time.Now(), Design: DefaultDesign,
@@ -176,7 +176,7 @@
 
 // TestQuickRun measures all that needs no process, shows it, and has it read again.
 func TestQuickRun(t *testing.T) {
-	r := quick(t, "decisions", "tenants", "classes", "services", "members", "disk", "endpoints", "routes", "subscribers", "inforce", "hearsay")
+	r := runQuick(t, "decisions", "tenants", "classes", "services", "members", "disk", "endpoints", "routes", "subscribers", "inforce", "hearsay")
 	for _, s := range r.Slopes {
 		if len(s.Points) != 4 {
 			t.Errorf("%s: %d points, want 4: %v", s.Name, len(s.Points), s.Notes)
@@ -186,13 +186,13 @@
 				t.Errorf("%s: %v at %v", s.Name, p.Value, p.Size)
 			}
 		}
-		if s.Limit > 0 && !near(s.LimitFactor, s.DesignValue/s.Limit) {
+		if s.Limit > 0 && !almostEqual(s.LimitFactor, s.DesignValue/s.Limit) {
 			t.Errorf("%s: %v of %v is not %v times", s.Name, s.DesignValue, s.Limit, s.LimitFactor)
 		}
 	}
 	// What is sure on any machine: a server more takes memory; so does a tenant.
 	for _, name := range []string{"decisions.memory", "tenants.memory", "services.memory", "disk.bytes"} {
-		if f := one(t, r, name).Fit; f.Slope < 20 || f.Slope > 100e3 {
+		if f := slopeByName(t, r, name).Fit; f.Slope < 20 || f.Slope > 100e3 {
 			t.Errorf("%s: %v bytes for one more", name, f.Slope)
 		}
 	}
@@ -217,10 +217,10 @@
 	if picture, err := png.Decode(bytes.NewReader(text)); err != nil || picture.Bounds().Dx() < 800 {
 		t.Errorf("the picture: %v", err)
 	}
-	reread(t, r)
+	checkJSONKeys(t, r)
 }
 
-func one(t *testing.T, r *Result, name string) *Slope {
+func slopeByName(t *testing.T, r *Result, name string) *Slope {
 	t.Helper()
 	for i := range r.Slopes {
 		if r.Slopes[i].Name == name {
@@ -232,7 +232,7 @@
 }
 
 // reread holds the JSON to the keys that the page and others read it by.
-func reread(t *testing.T, r *Result) {
+func checkJSONKeys(t *testing.T, r *Result) {
 	t.Helper()
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -273,8 +273,8 @@
 		return &Result{Command: command, Slopes: []Slope{Slope{Name: "a.b", Points: p, DesignSize: 1000, Limit: limit, Command: command}.withFit()}}
 	}
 	r := Join(Join(nil, of("one", 50, Point{1, 1}, Point{10, 10}, Point{20, 21})), of("two", 100, Point{20, 20}, Point{50, 50}))
-	s := one(t, r, "a.b")
-	if len(s.Points) != 4 || s.Points[2] != (Point{20, 20}) || !near(s.Fit.Slope, 1) || !near(s.DesignValue, 1000) || !near(s.LimitFactor, 10) || s.Command != "one; two" {
+	s := slopeByName(t, r, "a.b")
+	if len(s.Points) != 4 || s.Points[2] != (Point{20, 20}) || !almostEqual(s.Fit.Slope, 1) || !almostEqual(s.DesignValue, 1000) || !almostEqual(s.LimitFactor, 10) || s.Command != "one; two" {
 		t.Errorf("%+v", s)
 	}
 	r.Slopes[0].Name = "a.c"
@@ -314,7 +314,7 @@
 }
 
 // The example of the page is the operators' own figures, whole.
-func TestExampleOfThePageIsTheDefaultDesign(t *testing.T) {
+func TestDocumentedDesignMatchesDefault(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operate/scale.md")
 	if err != nil {
 		t.Fatal(err)
@@ -337,8 +337,8 @@
 }
 
 // What a probe could not measure at a size is told, and the others go on.
-func TestRunNotesSizesThatFail(t *testing.T) {
-	r := quick(t, "process", "hollow") // no program is given
+func TestRunRecordsNotesForFailedSizes(t *testing.T) {
+	r := runQuick(t, "process", "hollow") // no program is given
 	for _, s := range r.Slopes {
 		if len(s.Points) != 0 || s.Source != "not measured" || s.LimitFactor != 0 || len(s.Notes) != 4 || !strings.Contains(s.Notes[0], "no node program found") {
 			t.Errorf("%+v", s)
@@ -354,12 +354,12 @@
 
 func TestProcessorTimeGrowsWithWork(t *testing.T) {
 	sum := 0.0
-	took := spent(func() {
+	took := cpuTimeOf(func() {
 		for i := range 20_000_000 {
 			sum += float64(i)
 		}
 	})
-	if idle := spent(func() { time.Sleep(50 * time.Millisecond) }); took <= 0 || idle > 0.045 {
+	if idle := cpuTimeOf(func() { time.Sleep(50 * time.Millisecond) }); took <= 0 || idle > 0.045 {
 		t.Errorf("work took %v s and sleep %v s (%v)", took, idle, sum)
 	}
 	if memory, err := readResident(0); err != nil || memory.now < 1e6 || memory.peak < memory.now {
--- a/internal/lab/scale/subscribers.go
+++ b/internal/lab/scale/subscribers.go
@@ -108,7 +108,7 @@
 	}
 	s.relay = s.origin.Relay()
 	var selectors []distribution.Selector
-	for i := range scopesOfNode {
+	for i := range scopesPerNode {
 		selectors = append(selectors, distribution.Selector{Scope: scopeOf(i * serviceEndpoints)})
 	}
 	n := int(s.size)
@@ -176,12 +176,12 @@
 	hellos := s.hellos()
 	before := heapInUse()
 	var err error
-	s.values["start"] = spent(func() { s.values["startwire"], err = s.attach(hellos) })
+	s.values["start"] = cpuTimeOf(func() { s.values["startwire"], err = s.attach(hellos) })
 	if err != nil {
 		return err
 	}
 	sent := heapInUse()
-	s.values["startnode"] = spent(func() { err = s.receive() }) / s.size
+	s.values["startnode"] = cpuTimeOf(func() { err = s.receive() }) / s.size
 	if err != nil {
 		return err
 	}
@@ -191,8 +191,8 @@
 	s.values["relay"] = max(sent-before-frames, 0)
 	s.values["subscriber"] = max(received-sent+frames, 0) / s.size
 	for i, one := range s.all {
-		if held := one.Stats().Records; !one.Complete() || held != scopesOfNode*serviceEndpoints {
-			return fmt.Errorf("subscriber %d holds %d of %d records", i, held, scopesOfNode*serviceEndpoints)
+		if held := one.Stats().Records; !one.Complete() || held != scopesPerNode*serviceEndpoints {
+			return fmt.Errorf("subscriber %d holds %d of %d records", i, held, scopesPerNode*serviceEndpoints)
 		}
 	}
 	return nil
@@ -203,9 +203,9 @@
 	relay, nodes, bytes := 0.0, 0.0, 0.0
 	for range heartbeats {
 		s.now += distribution.HeartbeatNs
-		relay += spent(func() { bytes += s.send() })
+		relay += cpuTimeOf(func() { bytes += s.send() })
 		var err error
-		nodes += spent(func() { err = s.receive() })
+		nodes += cpuTimeOf(func() { err = s.receive() })
 		if err != nil {
 			return err
 		}
@@ -225,7 +225,7 @@
 		if _, err := s.origin.Put(s.now, r.Scope, r.Key, r.Class, r.Body); err != nil {
 			return err
 		}
-		seconds += spent(func() {
+		seconds += cpuTimeOf(func() {
 			s.relay.Ready()
 			s.send()
 		})
@@ -244,7 +244,7 @@
 	}
 	hellos := s.hellos()
 	var err error
-	s.values["resume"] = spent(func() { s.values["resumewire"], err = s.attach(hellos) })
+	s.values["resume"] = cpuTimeOf(func() { s.values["resumewire"], err = s.attach(hellos) })
 	if err := errors.Join(err, s.receive()); err != nil {
 		return err
 	}
--- a/internal/lab/scale/tree.go
+++ b/internal/lab/scale/tree.go
@@ -147,7 +147,7 @@
 // addRelay adds a relay that follows another.
 func (t *tree) addRelay(upstream *treeRelay) {
 	r := &treeRelay{relay: distribution.NewRelay(distribution.Limits{}), links: map[int]*treeLink{}}
-	if err := r.relay.Follow(everything()); err != nil {
+	if err := r.relay.Follow(allScopes()); err != nil {
 		t.fail(err)
 	}
 	t.attach(upstream, r.relay.UpstreamHello(t.now), 0, farDelay, func(frame []byte) {
@@ -183,7 +183,7 @@
 func (t *tree) selectors(node int) []distribution.Selector {
 	selectors := []distribution.Selector{{Scope: settingsScope}}
 	services := t.endpoints / serviceEndpoints / regions
-	for i := range min(scopesOfNode, services) {
+	for i := range min(scopesPerNode, services) {
 		service := (node*7 + i) % services
 		selectors = append(selectors, distribution.Selector{Scope: scopeOf((service*regions + node%regions) * serviceEndpoints)})
 	}
--- a/internal/lab/scale/virtual_test.go
+++ b/internal/lab/scale/virtual_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func probe(t *testing.T, name string) *Probe {
+func probeByName(t *testing.T, name string) *Probe {
 	t.Helper()
 	for _, p := range Probes() {
 		if p.Name == name {
@@ -17,9 +17,9 @@
 }
 
 // In virtual time the way alone decides: twice 40 ms from the origin over two relays, and 1 ms to the node.
-func TestPropagationTakesTheDelaysOfTheLinks(t *testing.T) {
+func TestPropagationTakesLinkDelays(t *testing.T) {
 	e := &Env{Quick: true, Design: DefaultDesign, Dir: t.TempDir()}
-	m, err := probe(t, "inforce").Measure(t.Context(), e, 20)
+	m, err := probeByName(t, "inforce").Measure(t.Context(), e, 20)
 	if err != nil || m.Note != "" {
 		t.Fatal(err, m.Note)
 	}
@@ -37,7 +37,7 @@
 	if least := 5*24*100/DefaultLimits.BytesPerSecond - 0.25; v["start99"] < least {
 		t.Errorf("all have started after %v s, which the pace lets nobody before %v", v["start99"], least)
 	}
-	again, err := probe(t, "inforce").Measure(t.Context(), e, 20)
+	again, err := probeByName(t, "inforce").Measure(t.Context(), e, 20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,8 +49,8 @@
 }
 
 // A list longer than the nodes take by others' word is told as one that never came, not as a figure.
-func TestEndpointGossipNotesAListThatIsNeverTaken(t *testing.T) {
-	p := probe(t, "hearsay")
+func TestEndpointGossipProbeReportsListNeverAccepted(t *testing.T) {
+	p := probeByName(t, "hearsay")
 	m, err := p.Measure(t.Context(), &Env{}, 500)
 	if err != nil || m.Note != "" || m.Values["taken"] <= 0 || m.Values["bytes"] < 500*50 {
 		t.Errorf("%+v, %v", m, err)
@@ -62,8 +62,8 @@
 }
 
 // A death is known to half before it is known to all, and nobody is counted who does not hold it.
-func TestMembersKnowOfADeath(t *testing.T) {
-	m, err := probe(t, "members").Measure(t.Context(), &Env{Quick: true}, 30)
+func TestMembersProbeOrdersDetectionTimes(t *testing.T) {
+	m, err := probeByName(t, "members").Measure(t.Context(), &Env{Quick: true}, 30)
 	if err != nil || m.Note != "" {
 		t.Fatal(err, m.Note)
 	}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -14,32 +14,32 @@
 const (
 	lengthSeconds = 5
 	// requestsPerCore is the load that a core carries with capacity to spare: 20 to 80 ms of work each.
-	requestsPerCore   = 5
-	coresPerEndpoint  = 16
-	maxRate           = 400 // requests a second
-	largeFleet        = 30
-	crowdDescriptors  = 128
-	faultyEndpointOdd = 2 // one seed in so many has faulty endpoints
-	crowdOdd          = 3 // one in so many has a crowd of clients that keep their connections
+	requestsPerCore      = 5
+	coresPerEndpoint     = 16
+	maxRate              = 400 // requests a second
+	largeFleet           = 30
+	crowdDescriptors     = 128
+	faultyEndpointsOneIn = 2 // one seed in so many has faulty endpoints
+	crowdOneIn           = 3 // one in so many has a crowd of clients that keep their connections
 )
 
 // Day is what a seed draws.
-type Day struct {
+type Case struct {
 	Scenario *scenario.Scenario
 	Healthy  bool // no endpoint is at fault, and there is capacity to spare
 }
 
 // Draw returns the day of a seed: the same for the same seed.
-func Draw(seed uint64) (*Day, error) {
+func DrawCase(seed uint64) (*Case, error) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	endpoints := 1 + random.IntN(3)
 	if random.IntN(2) == 0 {
 		endpoints = largeFleet
 	}
-	day := &Day{Healthy: random.IntN(faultyEndpointOdd) != 0}
+	day := &Case{Healthy: random.IntN(faultyEndpointsOneIn) != 0}
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = \"soak-%d\"\nlength = \"%ds\"\nseed = %d\n[nodes]\ncount = 2\n", seed, lengthSeconds, seed)
-	isCrowd := random.IntN(crowdOdd) == 0
+	isCrowd := random.IntN(crowdOneIn) == 0
 	if isCrowd {
 		fmt.Fprintf(&text, "sockets = %d\n[clients]\nonce = 0.3\n", crowdDescriptors)
 	}
@@ -79,7 +79,7 @@
 }
 
 // Complaints returns what is wrong with the run of a day; none if it held.
-func (d *Day) Complaints(r *result.Result) []string {
+func (d *Case) Problems(r *result.Result) []string {
 	var complaints []string
 	for _, violation := range r.Violations {
 		complaints = append(complaints, fmt.Sprint(violation))
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -9,14 +9,14 @@
 	"fawnglade/internal/lab/trace"
 )
 
-func TestEverySeedDrawsTheSameValidDay(t *testing.T) {
+func TestDrawCaseIsDeterministicAndValid(t *testing.T) {
 	healthy := 0
 	for seed := range uint64(200) {
-		day, err := Draw(seed)
+		day, err := DrawCase(seed)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		again, err := Draw(seed)
+		again, err := DrawCase(seed)
 		if err != nil || !reflect.DeepEqual(day, again) {
 			t.Errorf("seed %d draws two days (%v)", seed, err)
 		}
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestEachCheckComplains(t *testing.T) {
+func TestProblemsReportsEachFailure(t *testing.T) {
 	for name, c := range map[string]struct {
 		healthy bool
 		run     result.Result
@@ -43,8 +43,8 @@
 		"lost, healthy":        {true, result.Result{Tally: result.Tally{Lost: 1}}, 1},
 		"rejected, not wholly": {false, result.Result{Tally: result.Tally{Rejected: 1}}, 0},
 	} {
-		day := &Day{Healthy: c.healthy}
-		if got := day.Complaints(&c.run); len(got) != c.want {
+		day := &Case{Healthy: c.healthy}
+		if got := day.Problems(&c.run); len(got) != c.want {
 			t.Errorf("%s: %q, expected %d complaints", name, got, c.want)
 		}
 	}
--- a/internal/lab/sweep/plot.go
+++ b/internal/lab/sweep/plot.go
@@ -69,7 +69,7 @@
 		}
 		e := estimateOf(repeats, column)
 		points.XYs = append(points.XYs, plotter.XY{X: axis.position(i), Y: e.mean})
-		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{e.half, e.half})
+		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{e.halfWidth, e.halfWidth})
 	}
 	return points
 }
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -37,7 +37,7 @@
 }
 
 // A sweep that was killed in the middle of a line is resumed: no cell is played twice, none is lost.
-func TestSweepResumesAfterAnInterruptedWrite(t *testing.T) {
+func TestSweepResumesAfterInterruptedWrite(t *testing.T) {
 	dir := t.TempDir()
 	axes := []Axis{{"a.b", []string{"1", "2"}}, {"c", []string{"x", "y, z"}}}
 	cells := Grid(axes, []string{"one", "two"}, 5, 3)
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i, c := range table.Unplayed(cells) {
+		for i, c := range table.Remaining(cells) {
 			if i == 7 && run < 3 {
 				break
 			}
@@ -89,8 +89,8 @@
 			t.Error(err)
 		}
 	})
-	if len(table.Rows()) != len(cells) || len(table.Unplayed(cells)) != 0 {
-		t.Errorf("%d rows, %d cells left", len(table.Rows()), len(table.Unplayed(cells)))
+	if len(table.Rows()) != len(cells) || len(table.Remaining(cells)) != 0 {
+		t.Errorf("%d rows, %d cells left", len(table.Rows()), len(table.Remaining(cells)))
 	}
 	for name, n := range played {
 		if n != 1 {
--- a/internal/lab/sweep/table.go
+++ b/internal/lab/sweep/table.go
@@ -36,10 +36,10 @@
 type Table struct {
 	axes []Axis
 
-	mu     sync.Mutex // guards what follows
-	file   *os.File
-	rows   []Row
-	played map[string]bool // by Cell.name
+	mu       sync.Mutex // guards what follows
+	file     *os.File
+	rows     []Row
+	finished map[string]bool // by Cell.name
 }
 
 // Open opens the table in a directory, which it creates if needed, and reads the rows of earlier runs. An incomplete
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	complete := text[:bytes.LastIndexByte(text, '\n')+1]
-	t := &Table{axes: axes, played: map[string]bool{}}
+	t := &Table{axes: axes, finished: map[string]bool{}}
 	if err := t.read(complete); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -137,7 +137,7 @@
 
 func (t *Table) add(row Row) {
 	t.rows = append(t.rows, row)
-	t.played[row.name()] = true
+	t.finished[row.name()] = true
 }
 
 func (t *Table) write(fields []string) error {
@@ -157,10 +157,10 @@
 }
 
 // Unplayed returns the cells that are not in the table.
-func (t *Table) Unplayed(cells []Cell) []Cell {
+func (t *Table) Remaining(cells []Cell) []Cell {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(cells), func(c Cell) bool { return t.played[c.name()] })
+	return slices.DeleteFunc(slices.Clone(cells), func(c Cell) bool { return t.finished[c.name()] })
 }
 
 // Add writes the figures of a cell. It is safe for concurrent use.
--- a/internal/lab/sweep/text.go
+++ b/internal/lab/sweep/text.go
@@ -14,7 +14,7 @@
 
 // estimate is a mean with half the width of its 95% confidence interval, which is 0 for a single value.
 type estimate struct {
-	mean, half float64
+	mean, halfWidth float64
 }
 
 // estimateOf estimates one column over rows that differ in their seeds alone.
@@ -28,7 +28,7 @@
 		return e
 	}
 	n := float64(len(values))
-	e.half = stat.StdDev(values, nil) / math.Sqrt(n) * distuv.StudentsT{Nu: n - 1, Sigma: 1}.Quantile(0.975)
+	e.halfWidth = stat.StdDev(values, nil) / math.Sqrt(n) * distuv.StudentsT{Nu: n - 1, Sigma: 1}.Quantile(0.975)
 	return e
 }
 
@@ -61,7 +61,7 @@
 		fmt.Fprintf(&text, "%s\t%d", key, len(repeats))
 		for column := range Columns {
 			e := estimateOf(repeats, column)
-			fmt.Fprintf(&text, "\t%.3f +- %.3f", e.mean, e.half)
+			fmt.Fprintf(&text, "\t%.3f +- %.3f", e.mean, e.halfWidth)
 		}
 		text.WriteString("\t\n")
 	}
