--- a/cmd/fawnglade-lab/compare.go
+++ b/cmd/fawnglade-lab/compare.go
@@ -62,11 +62,11 @@
 	if err != nil {
 		return err
 	}
-	play := f.runOnSockets
+	runPairs := f.runOnSockets
 	if f.virtual {
-		play = f.runVirtual
+		runPairs = f.runVirtual
 	}
-	played, err := play(c.Context(), s)
+	results, err := runPairs(c.Context(), s)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 	if nameB == "" {
 		nameB = moduleName
 	}
-	comparison, err := result.Compare(s.Name, f.a, nameB, played.a, played.b)
+	comparison, err := result.Compare(s.Name, f.a, nameB, results.a, results.b)
 	if err != nil {
 		return err
 	}
--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -116,13 +116,13 @@
 		g.Connections += float64(second.Connections) / float64(max(own.Requests, 1))
 		g.ListCalls += second.ListCalls
 	}
-	if least := expect.MinShareOfLateSeeing * g.LateSeeing; g.InTime < least {
+	if minimum := expect.MinShareOfLateSeeing * g.LateSeeing; g.InTime < minimum {
 		g.Missed = append(g.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f of what %s keeps",
-			g.InTime, least, expect.MinShareOfLateSeeing, lateSeeingName))
+			g.InTime, minimum, expect.MinShareOfLateSeeing, lateSeeingName))
 	}
-	if least := g.Random - expect.MaxBelowRandom; expect.MaxBelowRandom > 0 && g.InTime < least {
+	if minimum := g.Random - expect.MaxBelowRandom; expect.MaxBelowRandom > 0 && g.InTime < minimum {
 		g.Missed = append(g.Missed, fmt.Sprintf("in time %.3f, expected %.3f at least, %.2f under %s",
-			g.InTime, least, expect.MaxBelowRandom, randomName))
+			g.InTime, minimum, expect.MaxBelowRandom, randomName))
 	}
 	return g
 }
--- a/cmd/fawnglade-lab/main_test.go
+++ b/cmd/fawnglade-lab/main_test.go
@@ -36,7 +36,7 @@
 }
 
 // lab runs the program, and returns its exit code and what it wrote to standard output and standard error.
-func runLab(t *testing.T, args ...string) (code int, out, complaint string) {
+func runLab(t *testing.T, args ...string) (code int, out, stderrText string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
 	c := exec.Command(filepath.Join(binDir, "fawnglade-lab"), args...)
@@ -76,8 +76,8 @@
 		"no relay there":   {[]string{"distribution", "--quick", "--relay", "/nowhere/fawnglade"}, "/nowhere/fawnglade"},
 		"no result there":  {[]string{"report", t.TempDir()}, "no such file"},
 	} {
-		if code, out, complaint := runLab(t, c.args...); code != exitNotRun || out != "" || !strings.Contains(complaint, c.want) {
-			t.Errorf("%s: exit %d, %q on standard output, %q; want exit 2 and %q", name, code, out, complaint, c.want)
+		if code, out, stderrText := runLab(t, c.args...); code != exitNotRun || out != "" || !strings.Contains(stderrText, c.want) {
+			t.Errorf("%s: exit %d, %q on standard output, %q; want exit 2 and %q", name, code, out, stderrText, c.want)
 		}
 	}
 }
@@ -85,18 +85,18 @@
 // The demo around a real node: a fault, a drain, a result, exit 0. Then its report.
 func TestDemo(t *testing.T) {
 	var code int
-	var out, complaint string
+	var out, stderrText string
 	for range 3 {
-		if code, out, complaint = runLab(t, "demo", "--seconds", "6", "--json"); code != exitNotRun {
+		if code, out, stderrText = runLab(t, "demo", "--seconds", "6", "--json"); code != exitNotRun {
 			break
 		}
 	}
-	if strings.Contains(complaint, "ran late") {
-		t.Skip(complaint)
+	if strings.Contains(stderrText, "ran late") {
+		t.Skip(stderrText)
 	}
 	var r map[string]any
-	if err := json.Unmarshal([]byte(out), &r); err != nil || code != exitPassed || complaint != "" {
-		t.Fatalf("exit %d, %v: %s %s", code, err, out, complaint)
+	if err := json.Unmarshal([]byte(out), &r); err != nil || code != exitPassed || stderrText != "" {
+		t.Fatalf("exit %d, %v: %s %s", code, err, out, stderrText)
 	}
 	for _, name := range []string{"satisfied", "declined", "broken_off", "lost", "rules_broken", "earnings_in_time", "p50_ms", "p99_ms"} {
 		if _, there := r[name].(float64); !there {
@@ -110,8 +110,8 @@
 	if err := os.WriteFile(filepath.Join(dir, "result.json"), []byte(out), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, complaint := runLab(t, "report", dir); code != exitPassed {
-		t.Fatal(complaint)
+	if code, _, stderrText := runLab(t, "report", dir); code != exitPassed {
+		t.Fatal(stderrText)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	if err != nil || bytes.Count(page, []byte("<svg")) != 5 || bytes.Contains(page, []byte("<script")) || bytes.Contains(page, []byte("src=")) {
@@ -121,17 +121,17 @@
 
 // Two baselines on one scenario in virtual time, and the page that shows both.
 func TestReportShowsRunsSideBySide(t *testing.T) {
-	dir, day := t.TempDir(), filepath.Join("..", "..", "lab", "scenarios", "slow.toml")
+	dir, scenarioPath := t.TempDir(), filepath.Join("..", "..", "lab", "scenarios", "slow.toml")
 	dirs := []string{filepath.Join(dir, "random", "slow"), filepath.Join(dir, "round-robin", "slow")}
 	for _, d := range dirs {
 		by := filepath.Base(filepath.Dir(d))
-		if code, _, complaint := runLab(t, "run", day, "--virtual", "--by", by, "--out", filepath.Dir(d)); code == exitNotRun {
-			t.Fatal(complaint)
+		if code, _, stderrText := runLab(t, "run", scenarioPath, "--virtual", "--by", by, "--out", filepath.Dir(d)); code == exitNotRun {
+			t.Fatal(stderrText)
 		}
 	}
 	path := filepath.Join(dir, "beside.html")
-	if code, _, complaint := runLab(t, append([]string{"report", "--page", path}, dirs...)...); code != exitPassed {
-		t.Fatal(complaint)
+	if code, _, stderrText := runLab(t, append([]string{"report", "--page", path}, dirs...)...); code != exitPassed {
+		t.Fatal(stderrText)
 	}
 	page, err := os.ReadFile(path)
 	if err != nil || bytes.Count(page, []byte("<svg")) != 5 || !bytes.Contains(page, []byte("<td>"+dirs[1]+"</td>")) {
@@ -140,8 +140,8 @@
 	if err := os.WriteFile(filepath.Join(dir, "result.json"), []byte(`{"scenario": "calm"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, complaint := runLab(t, "report", dirs[0], dir); code != exitNotRun || !strings.Contains(complaint, "a run of calm, expected one of slow") {
-		t.Errorf("another day beside it: exit %d, %s", code, complaint)
+	if code, _, stderrText := runLab(t, "report", dirs[0], dir); code != exitNotRun || !strings.Contains(stderrText, "a run of calm, expected one of slow") {
+		t.Errorf("another day beside it: exit %d, %s", code, stderrText)
 	}
 }
 
@@ -151,12 +151,12 @@
 	for _, name := range []string{"calm", "drained", "fail-fast", "nodes-killed", "bad-clients", "between/halves", "between/to-servers"} {
 		paths = append(paths, filepath.Join("..", "..", "lab", "scenarios", name+".toml"))
 	}
-	code, out, complaint := runLab(t, append([]string{"run", "--retry", "3"}, paths...)...)
-	if strings.Contains(complaint, "ran late") {
-		t.Skip(complaint)
+	code, out, stderrText := runLab(t, append([]string{"run", "--retry", "3"}, paths...)...)
+	if strings.Contains(stderrText, "ran late") {
+		t.Skip(stderrText)
 	}
 	if code != exitPassed {
-		t.Errorf("exit %d: %s\n%s", code, complaint, out)
+		t.Errorf("exit %d: %s\n%s", code, stderrText, out)
 	}
 }
 
@@ -167,12 +167,12 @@
 		t.Fatal(err)
 	}
 	path := writeScenario(t, strings.NewReplacer(`"10s"`, `"6s"`, "earnings_in_time_min = 0.9", "p99_max = \"1ms\"").Replace(string(text)))
-	code, out, complaint := runLab(t, "run", "--retry", "3", path)
-	if strings.Contains(complaint, "ran late") {
-		t.Skip(complaint)
+	code, out, stderrText := runLab(t, "run", "--retry", "3", path)
+	if strings.Contains(stderrText, "ran late") {
+		t.Skip(stderrText)
 	}
 	if code != exitFailed || !strings.Contains(out, "not as expected: 99th percentile") {
-		t.Errorf("exit %d: %s %s", code, out, complaint)
+		t.Errorf("exit %d: %s %s", code, out, stderrText)
 	}
 }
 
@@ -182,9 +182,9 @@
 		t.Fatal(err)
 	}
 	path := writeScenario(t, strings.Replace(string(text), `length = "10s"`, `length = "5s"`, 1))
-	code, out, complaint := runLab(t, "compare", path, "--a", "plain:round-robin", "--b", filepath.Join(binDir, "fawnglade"), "--pairs", "2", "--json")
-	if strings.Contains(complaint, "ran late") {
-		t.Skip(complaint)
+	code, out, stderrText := runLab(t, "compare", path, "--a", "plain:round-robin", "--b", filepath.Join(binDir, "fawnglade"), "--pairs", "2", "--json")
+	if strings.Contains(stderrText, "ran late") {
+		t.Skip(stderrText)
 	}
 	var c struct {
 		Pairs, Void int
@@ -195,7 +195,7 @@
 		}
 	}
 	if err := json.Unmarshal([]byte(out), &c); err != nil || code != exitPassed {
-		t.Fatalf("exit %d, %v: %s %s", code, err, out, complaint)
+		t.Fatalf("exit %d, %v: %s %s", code, err, out, stderrText)
 	}
 	if c.Pairs+c.Void != 2 || c.BrokenB != 0 || c.Differences[0].Name != "earnings_in_time" || len(c.Differences[0].A) != c.Pairs {
 		t.Errorf("%s", out)
@@ -245,16 +245,16 @@
 
 // The gate at a small size has a fixed verdict, as nothing in it depends on real time.
 func TestGate(t *testing.T) {
-	days, err := filepath.Glob("../../lab/scenarios/fleet/*.toml")
-	if err != nil || len(days) < 7 {
-		t.Fatal(days, err)
+	scenarioPaths, err := filepath.Glob("../../lab/scenarios/fleet/*.toml")
+	if err != nil || len(scenarioPaths) < 7 {
+		t.Fatal(scenarioPaths, err)
 	}
-	days = slices.DeleteFunc(days, func(path string) bool { return strings.HasSuffix(path, "long.toml") })
-	code, first, complaint := runLab(t, append([]string{"gate", "--nodes", "12"}, days...)...)
-	if code != 0 || !strings.Contains(first, fmt.Sprintf("gate passed: %d days", len(days))) {
-		t.Errorf("exit %d, %s\n%s", code, complaint, first)
+	scenarioPaths = slices.DeleteFunc(scenarioPaths, func(path string) bool { return strings.HasSuffix(path, "long.toml") })
+	code, first, stderrText := runLab(t, append([]string{"gate", "--nodes", "12"}, scenarioPaths...)...)
+	if code != 0 || !strings.Contains(first, fmt.Sprintf("gate passed: %d days", len(scenarioPaths))) {
+		t.Errorf("exit %d, %s\n%s", code, stderrText, first)
 	}
-	if _, again, _ := runLab(t, append([]string{"gate", "--nodes", "12"}, days...)...); again != first {
+	if _, again, _ := runLab(t, append([]string{"gate", "--nodes", "12"}, scenarioPaths...)...); again != first {
 		t.Errorf("a second run differs:\n%s\n%s", first, again)
 	}
 	text, err := os.ReadFile("../../lab/scenarios/fleet/calm.toml")
@@ -283,8 +283,8 @@
 		"sweep":    {[]string{"sweep", "../../lab/scenarios/calm.toml", "nodes.count=1,4", "--repeats", "2", "--out", dir + "/s"}, 0, "nodes.count"},
 		"hunt":     {[]string{"hunt", "../../lab/scenarios/calm.toml", "--draws", "8", "--keep", "2", "--out", dir + "/h"}, 0, "calm-found-1.toml: loses"},
 	} {
-		if code, out, complaint := runLab(t, c.args...); code != c.code || !strings.Contains(out+complaint, c.want) {
-			t.Errorf("%s: exit %d, expected %d and %q in\n%s%s", name, code, c.code, c.want, out, complaint)
+		if code, out, stderrText := runLab(t, c.args...); code != c.code || !strings.Contains(out+stderrText, c.want) {
+			t.Errorf("%s: exit %d, expected %d and %q in\n%s%s", name, code, c.code, c.want, out, stderrText)
 		}
 	}
 }
--- a/cmd/fawnglade-lab/program.go
+++ b/cmd/fawnglade-lab/program.go
@@ -28,8 +28,8 @@
 		return parseCommand(given)
 	}
 	if self, err := os.Executable(); err == nil {
-		if beside := filepath.Join(filepath.Dir(self), nodeProgram); isExecutable(beside) {
-			return []string{beside, serveArgument}, nil
+		if sibling := filepath.Join(filepath.Dir(self), nodeProgram); isExecutable(sibling) {
+			return []string{sibling, serveArgument}, nil
 		}
 	}
 	if inBin, err := filepath.Abs("bin/" + nodeProgram); err == nil && isExecutable(inBin) {
--- a/cmd/fawnglade-lab/scale_test.go
+++ b/cmd/fawnglade-lab/scale_test.go
@@ -28,9 +28,9 @@
 func TestScaleMeasuresNodeProcess(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "slopes.json")
-	code, out, complaint := runLab(t, "scale", "--quick", "--only", "process", "--json", path)
+	code, out, stderrText := runLab(t, "scale", "--quick", "--only", "process", "--json", path)
 	if code != exitPassed {
-		t.Fatal(code, out, complaint)
+		t.Fatal(code, out, stderrText)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,8 +41,8 @@
 		if len(s.Points) != 4 || len(s.Notes) > 0 {
 			t.Errorf("%s: %v, %v", name, s.Points, s.Notes)
 		}
-		if !strings.Contains(out, "\n"+name+" ") || !strings.Contains(complaint, "1 of 1: process, 500 servers") {
-			t.Errorf("the table lacks %s, or progress is not told: %s", name, complaint)
+		if !strings.Contains(out, "\n"+name+" ") || !strings.Contains(stderrText, "1 of 1: process, 500 servers") {
+			t.Errorf("the table lacks %s, or progress is not told: %s", name, stderrText)
 		}
 	}
 	// By what the stand-in wrote and the node says it remembers, not by time.
@@ -64,9 +64,9 @@
 // TestScaleMeasuresHollowNodes has hollow nodes and a real one know of one another and told the same list.
 func TestScaleMeasuresHollowNodes(t *testing.T) {
 	t.Parallel()
-	code, out, complaint := runLab(t, "scale", "--quick", "--only", "hollow", "--json", "-")
+	code, out, stderrText := runLab(t, "scale", "--quick", "--only", "hollow", "--json", "-")
 	if code != exitPassed {
-		t.Fatal(code, out, complaint)
+		t.Fatal(code, out, stderrText)
 	}
 	all := slopesByName(t, []byte(out))
 	for _, name := range []string{"hollow.memory", "hollow.real", "hollow.idle", "hollow.realidle", "hollow.bytes", "hollow.realbytes", "hollow.bytesratio"} {
@@ -91,9 +91,9 @@
 		{"--only everything", "--only: expected some of"},
 		{"--limit-cores 0", "--limit-cores: expected a number above 0, got 0"},
 	} {
-		code, out, complaint := runLab(t, append([]string{"scale"}, strings.Fields(c.args)...)...)
-		if code != exitNotRun || out != "" || !strings.Contains(complaint, c.want) || strings.Count(complaint, "\n") != 1 {
-			t.Errorf("%s: %d, %q, %q, want one line with %q", c.args, code, out, complaint, c.want)
+		code, out, stderrText := runLab(t, append([]string{"scale"}, strings.Fields(c.args)...)...)
+		if code != exitNotRun || out != "" || !strings.Contains(stderrText, c.want) || strings.Count(stderrText, "\n") != 1 {
+			t.Errorf("%s: %d, %q, %q, want one line with %q", c.args, code, out, stderrText, c.want)
 		}
 	}
 }
@@ -103,18 +103,18 @@
 	t.Parallel()
 	dir := t.TempDir()
 	path, picture := filepath.Join(dir, "slopes.json"), filepath.Join(dir, "slopes.png")
-	if code, out, complaint := runLab(t, "scale", "--quick", "--only", "services", "--json", path); code != exitPassed {
-		t.Fatal(code, out, complaint)
+	if code, out, stderrText := runLab(t, "scale", "--quick", "--only", "services", "--json", path); code != exitPassed {
+		t.Fatal(code, out, stderrText)
 	}
 	if text, err := os.ReadFile(path); err != nil || strings.Contains(string(text), dir) || !strings.Contains(string(text), `"fawnglade-lab scale --only services --quick"`) {
 		t.Error("the command that is kept names this machine's places, or not what was run: ", err, string(text))
 	}
-	code, out, complaint := runLab(t, "scale", "--from", path, "--plot", picture)
-	if code != exitPassed || complaint != "" || !strings.Contains(out, "services.memory ") || !strings.Contains(out, "an instance of the decisions with 24 servers stands for one") {
-		t.Error(code, out, complaint)
+	code, out, stderrText := runLab(t, "scale", "--from", path, "--plot", picture)
+	if code != exitPassed || stderrText != "" || !strings.Contains(out, "services.memory ") || !strings.Contains(out, "an instance of the decisions with 24 servers stands for one") {
+		t.Error(code, out, stderrText)
 	}
-	if code, _, complaint := runLab(t, "scale", "--from", path, "--design-servers", "5"); code != exitNotRun || !strings.Contains(complaint, "from") {
-		t.Error("other figures beside --from: ", code, complaint)
+	if code, _, stderrText := runLab(t, "scale", "--from", path, "--design-servers", "5"); code != exitNotRun || !strings.Contains(stderrText, "from") {
+		t.Error("other figures beside --from: ", code, stderrText)
 	}
 	if info, err := os.Stat(picture); err != nil || info.Size() < 10_000 {
 		t.Error("no picture: ", err)
--- a/cmd/fawnglade-lab/soak.go
+++ b/cmd/fawnglade-lab/soak.go
@@ -54,12 +54,12 @@
 	held, failed, void, requests := 0, 0, 0, 0
 	for i := range uint64(f.seeds) {
 		seed := f.firstSeed + i
-		day, err := soak.DrawCase(seed)
+		drawn, err := soak.DrawCase(seed)
 		if err != nil {
 			return err
 		}
 		r, err := runOnSockets(c.Context(), runOptions{
-			scenario: day.Scenario, seed: seed, node: command, out: filepath.Join(f.out, day.Scenario.Name),
+			scenario: drawn.Scenario, seed: seed, node: command, out: filepath.Join(f.out, drawn.Scenario.Name),
 		})
 		if err != nil {
 			return err
@@ -69,13 +69,13 @@
 			continue
 		}
 		requests += r.Requests
-		complaints := day.Problems(r)
-		if len(complaints) == 0 {
+		problems := drawn.Problems(r)
+		if len(problems) == 0 {
 			held++
 			continue
 		}
 		failed++
-		if err := printf(c.OutOrStdout(), "seed %d: %q; again: fawnglade-lab soak --seeds 1 --from %d\n", seed, complaints, seed); err != nil {
+		if err := printf(c.OutOrStdout(), "seed %d: %q; again: fawnglade-lab soak --seeds 1 --from %d\n", seed, problems, seed); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -12,10 +12,10 @@
 )
 
 func TestSizeCheckRejectsSizes(t *testing.T) {
-	const half, files = 12 << 30, 20_000
-	for name, one := range map[string]struct {
+	const halfMemory, descriptors = 12 << 30, 20_000
+	for name, c := range map[string]struct {
 		change func(*Size)
-		expect string
+		want string
 	}{
 		"memory":      {func(s *Size) { s.ServicesPerNode = 5000; s.SharedServices = 500 }, "MB at most, half of the machine's memory"},
 		"processes":   {func(s *Size) { s.LowerRelays = 300 }, "expected 200 at most"},
@@ -26,19 +26,19 @@
 		"zones":       {func(s *Size) { s.Zones = 3 }, "a zone for each region"},
 	} {
 		s := Full()
-		one.change(&s)
-		if err := s.check(half, files); err == nil || !strings.Contains(err.Error(), one.expect) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: expected %q, got %v", name, one.expect, err)
+		c.change(&s)
+		if err := s.check(halfMemory, descriptors); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: expected %q, got %v", name, c.want, err)
 		}
 	}
 	for _, s := range []Size{Full(), Quick()} {
-		if err := s.check(half, files); err != nil {
+		if err := s.check(halfMemory, descriptors); err != nil {
 			t.Error(err)
 		}
 	}
 	s := Full()
 	s.Nodes, s.ServicesPerNode, s.SharedServices = 28_000, 10, 1
-	if err := s.check(half, 100_000); err == nil || !strings.Contains(err.Error(), "ports") {
+	if err := s.check(halfMemory, 100_000); err == nil || !strings.Contains(err.Error(), "ports") {
 		t.Error(err)
 	}
 }
@@ -91,23 +91,23 @@
 }
 
 func TestSameSeedGivesSameChanges(t *testing.T) {
-	play := func(seed uint64) (all []Change) {
+	draw := func(seed uint64) (all []Change) {
 		s := Quick()
 		s.Seed = seed
-		w := newExpectedState(s)
+		state := newExpectedState(s)
 		for range 50 {
-			all = append(all, w.configure())
-			all = append(all, w.drainRandom())
-			all = append(all, w.restore(all[len(all)-1].endpoint))
-			all = append(all, w.removeRandom())
-			all = append(all, w.restore(all[len(all)-1].endpoint))
+			all = append(all, state.configure())
+			all = append(all, state.drainRandom())
+			all = append(all, state.restore(all[len(all)-1].endpoint))
+			all = append(all, state.removeRandom())
+			all = append(all, state.restore(all[len(all)-1].endpoint))
 		}
-		return append(all, w.removeZone(1, 100)...)
+		return append(all, state.removeZone(1, 100)...)
 	}
-	if !reflect.DeepEqual(play(1), play(1)) || reflect.DeepEqual(play(1), play(2)) {
+	if !reflect.DeepEqual(draw(1), draw(1)) || reflect.DeepEqual(draw(1), draw(2)) {
 		t.Error("the same seed must give the same changes, and another one others")
 	}
-	for i, c := range play(1) {
+	for i, c := range draw(1) {
 		if c.number != i+1 || !c.Removed && changeNumber([]byte(c.Body)) != c.number {
 			t.Fatalf("change %d: %+v", i+1, c)
 		}
@@ -115,9 +115,9 @@
 }
 
 func TestChangeNumber(t *testing.T) {
-	for text, expect := range map[string]int{`{"n":12}`: 12, `{"a":1,"n":0}`: 0, `{"n":"x"}`: -1, ``: -1, `12}`: -1, `{"n":7`: -1} {
-		if got := changeNumber([]byte(text)); got != expect {
-			t.Errorf("%s: %d, expected %d", text, got, expect)
+	for text, want := range map[string]int{`{"n":12}`: 12, `{"a":1,"n":0}`: 0, `{"n":"x"}`: -1, ``: -1, `12}`: -1, `{"n":7`: -1} {
+		if got := changeNumber([]byte(text)); got != want {
+			t.Errorf("%s: %d, expected %d", text, got, want)
 		}
 	}
 }
@@ -140,16 +140,16 @@
 	return out, nil
 }
 
-func (f *fakeSubscriber) Each(one func(distribution.Record)) {
+func (f *fakeSubscriber) Each(visit func(distribution.Record)) {
 	for _, r := range f.records {
 		if !r.Deleted {
-			one(r)
+			visit(r)
 		}
 	}
 }
 
 // runFaultyNode plays changes into one node with a subscriber that is spoilt in a way, and judges.
-func runFaultyNode(t *testing.T, spoil func(all []distribution.Change, f *fakeSubscriber) []distribution.Change) *Phase {
+func runFaultyNode(t *testing.T, inject func(changes []distribution.Change, f *fakeSubscriber) []distribution.Change) *Phase {
 	t.Helper()
 	s := Quick()
 	s.Nodes, s.SettleTimeout = 1, 0
@@ -163,41 +163,41 @@
 	for _, scope := range h.scopes {
 		r.followers[scope] = 1
 		follows[scope] = true
-		for key, is := range r.expected.scopes[scope] {
-			f.records[recordKey{scope, key}] = distribution.Record{Scope: scope, Key: key, Version: 1, Body: []byte(is.body)}
+		for key, record := range r.expected.scopes[scope] {
+			f.records[recordKey{scope, key}] = distribution.Record{Scope: scope, Key: key, Version: 1, Body: []byte(record.body)}
 		}
 	}
-	var all []distribution.Change
-	note := func(c Change) {
+	var changes []distribution.Change
+	send := func(c Change) {
 		r.recordSent(c, 0)
 		if follows[c.Scope] {
-			all = append(all, distribution.Change{Record: distribution.Record{Scope: c.Scope, Key: c.Key, Version: uint64(1 + c.number), Deleted: c.Removed, Body: []byte(c.Body)}})
+			changes = append(changes, distribution.Change{Record: distribution.Record{Scope: c.Scope, Key: c.Key, Version: uint64(1 + c.number), Deleted: c.Removed, Body: []byte(c.Body)}})
 		}
 	}
 	for range 5 {
-		note(r.expected.configure())
+		send(r.expected.configure())
 	}
 	for i := range s.Endpoints {
 		if follows[s.endpointScope(i)] && i%7 == 0 {
-			note(r.expected.remove(i))
+			send(r.expected.remove(i))
 		}
 	}
-	f.next = spoil(all, f)
+	f.next = inject(changes, f)
 	if err := h.Receive(1000, nil); err != nil {
 		t.Fatal(err)
 	}
-	a := &Phase{}
-	r.settle(t.Context(), a)
-	r.addDeliveries(a, 1)
-	return a
+	figures := &Phase{}
+	r.settle(t.Context(), figures)
+	r.addDeliveries(figures, 1)
+	return figures
 }
 
 // TestVerdictDetectsEachFault has a node receive the truth with one error, in each way that the tree could go wrong.
 func TestVerdictDetectsEachFault(t *testing.T) {
 	last := func(all []distribution.Change) distribution.Change { return all[len(all)-1] }
-	for name, one := range map[string]struct {
-		spoil  func([]distribution.Change, *fakeSubscriber) []distribution.Change
-		expect func(*Phase) bool
+	for name, c := range map[string]struct {
+		inject  func([]distribution.Change, *fakeSubscriber) []distribution.Change
+		detected func(*Phase) bool
 	}{
 		"all is well": {func(all []distribution.Change, _ *fakeSubscriber) []distribution.Change { return all }, (*Phase).Holds},
 		"one end is lost": {
@@ -251,22 +251,22 @@
 			return all
 		}, func(a *Phase) bool { return a.WrongNodes == 1 && strings.Contains(a.Example, "does not follow") }},
 	} {
-		if a := runFaultyNode(t, one.spoil); !one.expect(a) {
+		if a := runFaultyNode(t, c.inject); !c.detected(a) {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
 }
 
 func TestDelayQuantiles(t *testing.T) {
-	var all []float64
+	var delays []float64
 	for i := range 200 {
-		all = append(all, float64(200-i)/100)
+		delays = append(delays, float64(200-i)/100)
 	}
-	if got, expect := delaysOf(all, 200), (Delays{1, 1.98, 2}); got != expect {
-		t.Errorf("%v, expected %v", got, expect)
+	if got, want := delaysOf(delays, 200), (Delays{1, 1.98, 2}); got != want {
+		t.Errorf("%v, expected %v", got, want)
 	}
-	if got, expect := delaysOf(all[:150], 200), (Delays{P50: 1.5, P99: -1, All: -1}); got.P99 != expect.P99 || got.All != expect.All {
-		t.Errorf("%v, expected %v", got, expect)
+	if got, want := delaysOf(delays[:150], 200), (Delays{P50: 1.5, P99: -1, All: -1}); got.P99 != want.P99 || got.All != want.All {
+		t.Errorf("%v, expected %v", got, want)
 	}
 	if got := (Delays{-1, 0.5, 2}).String(); got != "never 0.500 2.000" {
 		t.Error(got)
--- a/internal/lab/distsim/truth.go
+++ b/internal/lab/distsim/expected.go
@@ -144,10 +144,10 @@
 }
 
 // removeZone removes the endpoints of a zone, up to a number.
-func (t *expectedState) removeZone(zone, most int) []Change {
+func (t *expectedState) removeZone(zone, limit int) []Change {
 	var changes []Change
 	for i := range t.names {
-		if len(changes) < most && t.size.zoneOf(i) == zone && !t.isRemoved(i) {
+		if len(changes) < limit && t.size.zoneOf(i) == zone && !t.isRemoved(i) {
 			changes = append(changes, t.remove(i))
 		}
 	}
--- a/internal/lab/distsim/hollownodes.go
+++ b/internal/lab/distsim/hollownodes.go
@@ -121,16 +121,16 @@
 		selectors = append(selectors, distribution.Selector{Scope: scope})
 	}
 	limits := distribution.Limits{Records: 4 * size.recordsPerNode(), Selectors: len(selectors)}
-	empty, err := distribution.NewSubscriber(selectors, limits)
+	fresh, err := distribution.NewSubscriber(selectors, limits)
 	if err != nil {
 		panic(err) // Size.Check lets no size through that makes such selectors
 	}
 	if size.ShareMemory {
-		empty.SetInterner(distribution.Interner{Text: h.nodes.shareText, Body: h.nodes.shareBody})
+		fresh.SetInterner(distribution.Interner{Text: h.nodes.shareText, Body: h.nodes.shareBody})
 	}
 	h.mu.Lock()
 	h.scopes = scopes
-	h.subscriber = empty
+	h.subscriber = fresh
 	h.completeAt = 0
 	h.removedAt = map[recordKey]uint64{}
 	h.mu.Unlock()
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	clock := relay.NewClock()
-	o, err := newOriginRecords(size, clock)
+	records, err := newOriginRecords(size, clock)
 	if err != nil {
 		return err
 	}
@@ -55,18 +55,18 @@
 	if err != nil {
 		return err
 	}
-	server := relay.NewServer(o.origin.Relay(), relay.ServerConfig{Clock: clock}, zap.NewNop())
+	server := relay.NewServer(records.origin.Relay(), relay.ServerConfig{Clock: clock}, zap.NewNop())
 	defer listener.Close()
 	go func() {
 		_ = server.Serve(listener) // ends with the listener; until then it logs
 	}()
 	defer func() {
-		end, cancel := context.WithTimeout(context.Background(), originCloseTimeout)
+		closeCtx, cancel := context.WithTimeout(context.Background(), originCloseTimeout)
 		defer cancel()
-		_ = server.Close(end) // connections that are left end with the process
+		_ = server.Close(closeCtx) // connections that are left end with the process
 	}()
 	replies := json.NewEncoder(out)
-	first := originReply{Address: listener.Addr().String(), Version: o.version, Records: size.records()}
+	first := originReply{Address: listener.Addr().String(), Version: records.version, Records: size.records()}
 	if err := replies.Encode(first); err != nil {
 		return err
 	}
@@ -75,11 +75,11 @@
 		if err := json.Unmarshal(lines.Bytes(), &changes); err != nil {
 			return err
 		}
-		server.Do(func(now int64) { err = o.apply(now, changes) })
+		server.Do(func(now int64) { err = records.apply(now, changes) })
 		if err != nil {
 			return err
 		}
-		if err := replies.Encode(originReply{Version: o.version}); err != nil {
+		if err := replies.Encode(originReply{Version: records.version}); err != nil {
 			return err
 		}
 	}
@@ -94,9 +94,9 @@
 
 // newOriginRecords makes an origin that holds all records as they are at first.
 func newOriginRecords(size Size, clock func() int64) (*originRecords, error) {
-	most := 2 * size.records()
+	maxRecords := 2 * size.records()
 	o := &originRecords{
-		origin: distribution.NewOrigin(uint64(time.Now().UnixNano()), distribution.Limits{Records: most, Bytes: most * relayRecordBytes}),
+		origin: distribution.NewOrigin(uint64(time.Now().UnixNano()), distribution.Limits{Records: maxRecords, Bytes: maxRecords * relayRecordBytes}),
 	}
 	var problem error
 	size.forEachRecord(func(c Change) {
--- a/internal/lab/distsim/result.go
+++ b/internal/lab/distsim/result.go
@@ -17,8 +17,8 @@
 // delaysOf computes those of a number of nodes from the delays of the nodes for which it held; it sorts them.
 func delaysOf(delays []float64, nodes int) Delays {
 	slices.Sort(delays)
-	at := func(part float64) float64 {
-		i := int(math.Ceil(part*float64(nodes))) - 1
+	at := func(fraction float64) float64 {
+		i := int(math.Ceil(fraction*float64(nodes))) - 1
 		if i < 0 || i >= len(delays) {
 			return -1
 		}
--- a/internal/lab/distsim/run.go
+++ b/internal/lab/distsim/run.go
@@ -99,7 +99,7 @@
 	firstChange := len(r.changes)
 	r.prepareNodes()
 	clients := r.clientStats()
-	stopMarks := r.sampleBytes()
+	stopSampling := r.sampleBytes()
 	before, ownBefore, began := r.usage(), ownProcessorTime(), time.Now()
 	err := p.run(ctx, figures)
 	figures.Seconds = time.Since(began).Seconds()
@@ -109,7 +109,7 @@
 	if err == nil {
 		r.settlePhase(ctx, figures)
 	}
-	stopMarks()
+	stopSampling()
 	if err != nil {
 		return err
 	}
--- a/internal/lab/distsim/size.go
+++ b/internal/lab/distsim/size.go
@@ -101,15 +101,15 @@
 
 // Check refuses a size that cannot be played on this machine.
 func (s Size) Check() error {
-	half, err := halfOfMemory()
+	halfMemory, err := halfOfMemory()
 	if err != nil {
 		return err
 	}
-	var files syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
+	var descriptors syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err != nil {
 		return err
 	}
-	return s.check(half, int64(files.Cur))
+	return s.check(halfMemory, int64(descriptors.Cur))
 }
 
 // check is Check on a machine with half its memory in bytes and a limit of descriptors.
--- a/internal/lab/distsim/verdict.go
+++ b/internal/lab/distsim/verdict.go
@@ -110,9 +110,9 @@
 		}
 	}
 	var changes []Delays
-	for i, one := range delays {
-		if expected := r.expectedDeliveries(figures, first+i, len(one)); expected > 0 {
-			changes = append(changes, delaysOf(one, expected))
+	for i, changeDelays := range delays {
+		if expected := r.expectedDeliveries(figures, first+i, len(changeDelays)); expected > 0 {
+			changes = append(changes, delaysOf(changeDelays, expected))
 		}
 	}
 	figures.addDelays(changes)
@@ -163,20 +163,20 @@
 
 // expectedDeliveries enters how many of a change's deliveries came, and returns how many should have; those that a
 // later change of the record replaced should not.
-func (r *run) expectedDeliveries(figures *Phase, change, came int) int {
+func (r *run) expectedDeliveries(figures *Phase, change, delivered int) int {
 	followers := r.followers[r.changes[change].Scope]
 	if followers == 0 {
 		return 0
 	}
-	figures.Deliveries += came
-	if came >= followers {
+	figures.Deliveries += delivered
+	if delivered >= followers {
 		return followers
 	}
 	if _, superseded := r.expected.successor[change]; superseded {
-		figures.Superseded += followers - came
-		return came
+		figures.Superseded += followers - delivered
+		return delivered
 	}
-	figures.Missing += followers - came
+	figures.Missing += followers - delivered
 	return followers
 }
 
--- a/internal/lab/result/analysis.go
+++ b/internal/lab/result/analysis.go
@@ -14,7 +14,7 @@
 
 // FromTrace derives the figures and the verdict of a run.
 func FromTrace(s *scenario.Scenario, r *trace.Trace) *Result {
-	out := &Result{
+	result := &Result{
 		Scenario: s.Name, About: s.About, LengthS: s.Length.Std().Seconds(), LateMs: float64(r.Lag) / 1e6,
 		Plan:           Plan{r.Plan.Seed, r.PlanHash, len(r.Plan.Operations)},
 		ViolationCount: len(r.Violations), Violations: r.Violations,
@@ -24,23 +24,23 @@
 		Virtual: r.Virtual, Activity: r.Activity, Reach: r.Reach,
 		Views: viewsOf(r.Views, r.Running), MembershipViews: r.Views, Running: r.Running,
 	}
-	out.tallyRequests(s, r)
-	out.addFaults(s, r)
-	out.checkExpectations(s, r.BadClients)
-	out.Verdict = out.verdict(r.Void)
-	return out
+	result.tallyRequests(s, r)
+	result.addFaults(s, r)
+	result.checkExpectations(s, r.BadClients)
+	result.Verdict = result.verdict(r.Void)
+	return result
 }
 
 // tallyRequests counts each request in all of the tallies that it belongs to.
 func (r *Result) tallyRequests(s *scenario.Scenario, run *trace.Trace) {
 	all := newTally()
-	spans := newTallies(int64(s.Length), fiveSecondsNs)
+	fiveSeconds := newTallies(int64(s.Length), fiveSecondsNs)
 	seconds := newTallies(int64(s.Length), int64(time.Second))
 	for i := range run.Plan.Operations {
 		operation := &run.Plan.Operations[i]
 		class := &s.Classes[operation.Class]
 		due := operation.Due - run.StartedAt
-		tallies := []*Tally{all, tallyByName(r.Classes, class.Name), spans[due/fiveSecondsNs], seconds[due/int64(time.Second)]}
+		tallies := []*Tally{all, tallyByName(r.Classes, class.Name), fiveSeconds[due/fiveSecondsNs], seconds[due/int64(time.Second)]}
 		if operation.Tenant >= 0 {
 			tallies = append(tallies, tallyByName(r.Tenants, s.Tenants[operation.Tenant].Name))
 		}
@@ -55,7 +55,7 @@
 	for _, t := range r.Tenants {
 		t.finish()
 	}
-	r.FiveSeconds = finishAll(spans)
+	r.FiveSeconds = finishAll(fiveSeconds)
 	r.Seconds = finishAll(seconds)
 }
 
@@ -153,16 +153,16 @@
 )
 
 // recoveryAfter returns the seconds from a moment until service had recovered; -1: not by the end.
-func (r *Result) recoveryAfter(from float64) float64 {
-	good := 0
-	for i := int(from); i < len(r.Seconds); i++ {
+func (r *Result) recoveryAfter(startS float64) float64 {
+	goodSeconds := 0
+	for i := int(startS); i < len(r.Seconds); i++ {
 		if t := &r.Seconds[i]; t.Weight > 0 && t.WeightInTime >= recoveredFraction*t.Weight {
-			good++
+			goodSeconds++
 		} else {
-			good = 0
+			goodSeconds = 0
 		}
-		if good == recoveredSeconds {
-			return float64(i-1) - from
+		if goodSeconds == recoveredSeconds {
+			return float64(i-1) - startS
 		}
 	}
 	return -1
--- a/internal/lab/result/compare.go
+++ b/internal/lab/result/compare.go
@@ -104,8 +104,8 @@
 	d.MeanB = stat.Mean(d.B, nil)
 	d.MeanDifference = stat.Mean(differences, nil)
 	if n := float64(len(differences)); n > 1 {
-		half := stat.StdDev(differences, nil) / math.Sqrt(n) * distuv.StudentsT{Nu: n - 1, Sigma: 1}.Quantile(0.975)
-		low, high := d.MeanDifference-half, d.MeanDifference+half
+		halfWidth := stat.StdDev(differences, nil) / math.Sqrt(n) * distuv.StudentsT{Nu: n - 1, Sigma: 1}.Quantile(0.975)
+		low, high := d.MeanDifference-halfWidth, d.MeanDifference+halfWidth
 		d.Low, d.High = &low, &high
 	}
 	return d
--- a/internal/lab/result/expectations.go
+++ b/internal/lab/result/expectations.go
@@ -15,16 +15,16 @@
 }
 
 // checkExpectations holds the run against what its scenario expects.
-func (r *Result) checkExpectations(s *scenario.Scenario, bad trace.BadClientCounts) {
+func (r *Result) checkExpectations(s *scenario.Scenario, badClients trace.BadClientCounts) {
 	e := &s.Expect
 	r.expect(r.ViolationCount == 0, "rules broken %d times, expected never", r.ViolationCount)
 	r.checkOutcomes(e)
-	if bad.Connected > 0 {
-		unanswered := float64(bad.Unanswered) / float64(bad.Connected)
+	if badClients.Connected > 0 {
+		unanswered := float64(badClients.Unanswered) / float64(badClients.Connected)
 		r.expect(unanswered <= e.MaxBadUnanswered,
 			"%.4f of the bad clients got neither an error nor a close, expected %.4f at most",
 			unanswered, e.MaxBadUnanswered)
-		r.expect(bad.Served == 0, "%d bad clients were served, expected none", bad.Served)
+		r.expect(badClients.Served == 0, "%d bad clients were served, expected none", badClients.Served)
 	}
 	r.expect(r.Lost <= e.MaxLost, "%d tasks lost, expected %d at most", r.Lost, e.MaxLost)
 	for _, n := range r.Nodes {
--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -64,10 +64,10 @@
 // name. Faults are drawn as of the first.
 func WriteSideBySide(w io.Writer, names []string, results []*Result) error {
 	var charts []chart
-	for _, wanted := range sideBySideCharts {
-		c := chart{title: wanted.title, unit: wanted.unit}
+	for _, spec := range sideBySideCharts {
+		c := chart{title: spec.title, unit: spec.unit}
 		for i, r := range results {
-			c.curves = append(c.curves, wanted.curve(r, names[i]))
+			c.curves = append(c.curves, spec.curve(r, names[i]))
 		}
 		charts = append(charts, c)
 	}
@@ -93,8 +93,8 @@
 }
 
 func (r *Result) charts() []chart {
-	count := func(name string, of func(*Tally) int) curve {
-		return r.tallyBySecond(name, func(t *Tally) float64 { return float64(of(t)) })
+	count := func(name string, value func(*Tally) int) curve {
+		return r.tallyBySecond(name, func(t *Tally) float64 { return float64(value(t)) })
 	}
 	charts := []chart{
 		{inTimeTitle, "part", []curve{
--- a/internal/lab/result/reachability.go
+++ b/internal/lab/result/reachability.go
@@ -25,28 +25,28 @@
 	if len(running) == 0 {
 		return nil
 	}
-	out := &Views{AgreeFromS: -1}
+	summary := &Views{AgreeFromS: -1}
 	next := 0
 	for _, sample := range running {
-		wrong, unknown, given := 0, 0, 0
+		wrong, unknown, viewCount := 0, 0, 0
 		for ; next < len(views) && views[next].At <= sample.At; next++ {
 			view := &views[next]
-			given++
+			viewCount++
 			if !view.Reliable {
 				unknown++
 			}
 			wrong += countWrong(view, sample)
 		}
-		out.Wrong = append(out.Wrong, wrong)
-		out.Unknown = append(out.Unknown, unknown)
+		summary.Wrong = append(summary.Wrong, wrong)
+		summary.Unknown = append(summary.Unknown, unknown)
 		switch {
-		case wrong > 0 || given == 0:
-			out.AgreeFromS = -1
-		case out.AgreeFromS < 0:
-			out.AgreeFromS = float64(sample.At) / 1e9
+		case wrong > 0 || viewCount == 0:
+			summary.AgreeFromS = -1
+		case summary.AgreeFromS < 0:
+			summary.AgreeFromS = float64(sample.At) / 1e9
 		}
 	}
-	return out
+	return summary
 }
 
 // countWrong counts the members that a view takes to be up and that do not run, or the other way round.
@@ -81,8 +81,8 @@
 	if len(r.Partitions) > maxGroupsPrinted {
 		text = fmt.Sprintf("%d parts, the first %s", len(r.Partitions), r.Partitions[0])
 	}
-	for _, more := range slices.Concat(r.OneWay, r.Faults) {
-		text += "; " + more
+	for _, detail := range slices.Concat(r.OneWay, r.Faults) {
+		text += "; " + detail
 	}
 	return text
 }
--- a/internal/lab/result/tally.go
+++ b/internal/lab/result/tally.go
@@ -40,8 +40,8 @@
 }
 
 // newTallies returns one tally for each span of a run; both lengths are in nanoseconds.
-func newTallies(length, span int64) []*Tally {
-	tallies := make([]*Tally, (length-1)/span+1)
+func newTallies(length, interval int64) []*Tally {
+	tallies := make([]*Tally, (length-1)/interval+1)
 	for i := range tallies {
 		tallies[i] = newTally()
 	}
--- a/internal/lab/result/text.go
+++ b/internal/lab/result/text.go
@@ -35,8 +35,8 @@
 	for _, reason := range slices.Sorted(maps.Keys(r.GivenUp)) {
 		fmt.Fprintf(&out, "given up: %s, %d times\n", reason, r.GivenUp[reason])
 	}
-	for _, what := range slices.Sorted(maps.Keys(r.Oddities)) {
-		fmt.Fprintf(&out, "seen: %s, %d times\n", what, r.Oddities[what])
+	for _, description := range slices.Sorted(maps.Keys(r.Oddities)) {
+		fmt.Fprintf(&out, "seen: %s, %d times\n", description, r.Oddities[description])
 	}
 	r.printReachability(&out)
 	r.printVerdict(&out)
@@ -66,7 +66,7 @@
 	if len(r.Activity) == 0 {
 		return
 	}
-	var sum, most trace.FleetActivity
+	var sum, peak trace.FleetActivity
 	for _, a := range r.Activity {
 		sum.Connections += a.Connections
 		sum.ListCalls += a.ListCalls
@@ -74,12 +74,12 @@
 		sum.Retries += a.Retries
 		sum.Hedged += a.Hedged
 		sum.Gossip += a.Gossip + a.Members
-		most.Connections = max(most.Connections, a.Connections)
-		most.ListCalls = max(most.ListCalls, a.ListCalls)
+		peak.Connections = max(peak.Connections, a.Connections)
+		peak.ListCalls = max(peak.ListCalls, a.ListCalls)
 	}
 	fmt.Fprintf(out, "all nodes together: %d connections (%d in the worst second), %d calls for the list (%d), "+
 		"%d resends, %d copies, %d probes, %d messages\n",
-		sum.Connections, most.Connections, sum.ListCalls, most.ListCalls, sum.Retries, sum.Hedged, sum.HealthChecks, sum.Gossip)
+		sum.Connections, peak.Connections, sum.ListCalls, peak.ListCalls, sum.Retries, sum.Hedged, sum.HealthChecks, sum.Gossip)
 }
 
 func (r *Result) printSlowStart(out *strings.Builder) {
--- a/internal/lab/scale/balancer.go
+++ b/internal/lab/scale/balancer.go
@@ -172,11 +172,11 @@
 }
 
 // exchange ends the request before in the same place, and starts the next.
-func (in *instance) replaceRequest(i int, id policy.RequestID, before *pendingRequest) {
-	if before.id != "" {
+func (in *instance) replaceRequest(i int, id policy.RequestID, previous *pendingRequest) {
+	if previous.id != "" {
 		in.balancer.AttemptEnded(in.now, policy.AttemptResult{
-			Request: before.id, Endpoint: before.endpoint, Outcome: policy.OutcomeSucceeded, RequestDone: true,
-			Elapsed: in.now.Sub(before.startedAt) + time.Duration(i%7)*time.Millisecond/4,
+			Request: previous.id, Endpoint: previous.endpoint, Outcome: policy.OutcomeSucceeded, RequestDone: true,
+			Elapsed: in.now.Sub(previous.startedAt) + time.Duration(i%7)*time.Millisecond/4,
 			Report:  policy.LoadReport{Utilization: -1, QueueLength: float64(i % queueReports), ServiceTime: -1},
 		})
 	}
@@ -194,7 +194,7 @@
 func (c *requestCosts) mean() float64 { return 1e6 * c.sum / float64(len(c.sorted)) }
 
 // quantile returns microseconds.
-func (c *requestCosts) quantile(part float64) float64 {
-	i := min(int(part*float64(len(c.sorted))), len(c.sorted)-1)
+func (c *requestCosts) quantile(fraction float64) float64 {
+	i := min(int(fraction*float64(len(c.sorted))), len(c.sorted)-1)
 	return 1e6 * c.sorted[i]
 }
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -139,14 +139,14 @@
 		return
 	}
 	conn.SetReadDeadline(time.Time{})
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
 		_, _ = io.Copy(io.Discard, conn) // ends when the client goes, with or without an error
-		close(gone)
+		close(closed)
 	}()
 	for {
 		select {
-		case <-gone:
+		case <-closed:
 			return
 		case <-time.After(heartbeatInterval):
 			if d.write(conn, writing, []byte("\n")) != nil {
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -96,20 +96,20 @@
 
 // measureWrites measures a new store, and closes it.
 func (d *diskMeasurement) measureWrites() (err error) {
-	to, _, err := store.Open(d.path, store.Options{})
+	stateStore, _, err := store.Open(d.path, store.Options{})
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, to.Close()) }()
+	defer func() { err = errors.Join(err, stateStore.Close()) }()
 	before := heapInUse()
 	states := d.states()
 	d.values["memory"] = heapInUse() - before
-	if err := d.measureFirstWrite(to, states); err != nil {
+	if err := d.measureFirstWrite(stateStore, states); err != nil {
 		return err
 	}
 	all := stateEndpoints(0, d.endpoints)
 	d.values["listed"] = cpuTimeOf(func() { states[0].RecordList(d.now, all, 2, true) })
-	if err := d.measureChanges(to, states[0]); err != nil {
+	if err := d.measureChanges(stateStore, states[0]); err != nil {
 		return err
 	}
 	runtime.KeepAlive(states)
@@ -128,13 +128,13 @@
 	return states
 }
 
-func (d *diskMeasurement) measureFirstWrite(to *store.Store, states []*nodestate.State) error {
+func (d *diskMeasurement) measureFirstWrite(stateStore *store.Store, states []*nodestate.State) error {
 	var err error
 	began := time.Now()
 	d.values["write"] = cpuTimeOf(func() {
 		for _, state := range states {
 			if err == nil {
-				err = writeChanges(to, state)
+				err = writeChanges(stateStore, state)
 			}
 		}
 	})
@@ -147,7 +147,7 @@
 }
 
 // measureChanges drains endpoints one by one, and writes after each.
-func (d *diskMeasurement) measureChanges(to *store.Store, state *nodestate.State) error {
+func (d *diskMeasurement) measureChanges(stateStore *store.Store, state *nodestate.State) error {
 	list := stateEndpoints(0, min(nodestate.MaxEndpoints, d.endpoints))
 	changes := pick(d.env, 50, 5)
 	var err error
@@ -157,7 +157,7 @@
 			changed.State = nodestate.Draining
 			state.RecordList(d.now, []nodestate.Endpoint{changed}, int64(10+i), false)
 			if err == nil {
-				err = writeChanges(to, state)
+				err = writeChanges(stateStore, state)
 			}
 		}
 	}) / float64(changes)
@@ -168,16 +168,16 @@
 func (d *diskMeasurement) measureOpen() (kept int, err error) {
 	before := heapInUse()
 	began := time.Now()
-	var from *store.Store
+	var stateStore *store.Store
 	var state *nodestate.State
 	d.values["open"] = cpuTimeOf(func() {
-		from, _, err = store.Open(d.path, store.Options{})
+		stateStore, _, err = store.Open(d.path, store.Options{})
 		if err == nil {
-			state, err = loadState(from)
+			state, err = loadState(stateStore)
 		}
 	})
-	if from != nil {
-		defer func() { err = errors.Join(err, from.Close()) }()
+	if stateStore != nil {
+		defer func() { err = errors.Join(err, stateStore.Close()) }()
 	}
 	if err != nil {
 		return 0, err
@@ -186,14 +186,14 @@
 	kept = state.EndpointCount()
 	state = nil // its memory is not the store's
 	d.values["index"] = heapInUse() - before
-	runtime.KeepAlive(from)
+	runtime.KeepAlive(stateStore)
 	return kept, nil
 }
 
-func loadState(from *store.Store) (*nodestate.State, error) {
+func loadState(stateStore *store.Store) (*nodestate.State, error) {
 	var err error
 	state := nodestate.Load(func(load func(string, []byte)) {
-		snapshot := from.Snapshot()
+		snapshot := stateStore.Snapshot()
 		defer snapshot.Release()
 		err = snapshot.Each("", func(key string, value []byte) bool {
 			load(key, value)
@@ -204,7 +204,7 @@
 }
 
 // writeChanges writes what has changed in a state.
-func writeChanges(to *store.Store, state *nodestate.State) error {
+func writeChanges(stateStore *store.Store, state *nodestate.State) error {
 	var batch store.Batch
 	for _, change := range state.Changes() {
 		if change.Value == nil {
@@ -213,14 +213,14 @@
 			batch.Put(change.Key, change.Value)
 		}
 	}
-	return to.Apply(&batch)
+	return stateStore.Apply(&batch)
 }
 
 // stateEndpoints returns n endpoints from a number on.
-func stateEndpoints(from, n int) []nodestate.Endpoint {
+func stateEndpoints(first, n int) []nodestate.Endpoint {
 	list := make([]nodestate.Endpoint, n)
 	for k := range list {
-		i := from + k
+		i := first + k
 		list[k] = nodestate.Endpoint{
 			Name: endpointName(i), Address: endpointAddress(i), Zone: zoneName(i), Pod: i / podSize, Weight: 1,
 			StartedNs: 1_700_000_000e9 + int64(i),
--- a/internal/lab/scale/endpointgossip.go
+++ b/internal/lab/scale/endpointgossip.go
@@ -143,18 +143,18 @@
 			if g.receive(i) {
 				return ticks + 1
 			}
-			heardFromDiscovery := g.now
+			watchReceivedAt := g.now
 			if i == informedNodes {
-				heardFromDiscovery = 0
+				watchReceivedAt = 0
 			}
-			exchange.Tick(g.now, heardFromDiscovery)
+			exchange.Tick(g.now, watchReceivedAt)
 		}
 	}
 	return 0
 }
 
 // receive has a node take its payloads, and tells whether it is the last one and has taken a list.
-func (g *gossipGroup) receive(node int) (taken bool) {
+func (g *gossipGroup) receive(node int) (accepted bool) {
 	payloads := g.mailbox.payloads[node]
 	g.mailbox.payloads[node] = nil
 	for _, p := range payloads {
@@ -163,8 +163,8 @@
 		}
 		list := g.exchanges[node].Receive(g.now, p.from, p.data)
 		if list != nil && node == informedNodes {
-			taken = true
+			accepted = true
 		}
 	}
-	return taken
+	return accepted
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -95,8 +95,8 @@
 		}
 		if i > 0 && points[i-1].Size < size && size < p.Size {
 			previous := points[i-1]
-			part := (size - previous.Size) / (p.Size - previous.Size)
-			return previous.Value + part*(p.Value-previous.Value), "measured"
+			fraction := (size - previous.Size) / (p.Size - previous.Size)
+			return previous.Value + fraction*(p.Value-previous.Value), "measured"
 		}
 	}
 	switch {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -130,8 +130,8 @@
 	}
 	h.fleet.Discovery = h.discovery.address()
 	for i := range nodes {
-		own := addresses[addressesOfNode*i:]
-		h.fleet.Nodes = append(h.fleet.Nodes, nodeAddresses{fmt.Sprintf("n%d", i), own[0], own[1], own[2]})
+		assigned := addresses[addressesOfNode*i:]
+		h.fleet.Nodes = append(h.fleet.Nodes, nodeAddresses{fmt.Sprintf("n%d", i), assigned[0], assigned[1], assigned[2]})
 	}
 	return nil
 }
@@ -149,8 +149,8 @@
 }
 
 func (h *hollowMeasurement) measure() error {
-	for _, part := range []func() error{h.measureIdle, h.measureMemory, h.measureChanges} {
-		if err := part(); err != nil {
+	for _, step := range []func() error{h.measureIdle, h.measureMemory, h.measureChanges} {
+		if err := step(); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/hollownodes.go
+++ b/internal/lab/scale/hollownodes.go
@@ -69,10 +69,10 @@
 		}
 		go func() { ended <- n.Run(nil) }()
 	}
-	for _, place := range f.hollow() {
-		for began := time.Now(); !isReady(place.Admin); time.Sleep(readyPoll) {
+	for _, addresses := range f.hollow() {
+		for began := time.Now(); !isReady(addresses.Admin); time.Sleep(readyPoll) {
 			if time.Since(began) > readyTimeout {
-				return fmt.Errorf("%s not ready within %v", place.Name, readyTimeout)
+				return fmt.Errorf("%s not ready within %v", addresses.Name, readyTimeout)
 			}
 		}
 	}
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -106,12 +106,12 @@
 		return "", err
 	}
 	defer runtime.KeepAlive(m)
-	for _, part := range []func() (string, error){
+	for _, step := range []func() (string, error){
 		m.waitUntilUp,
 		func() (string, error) { return m.measureDeath(1, "busy") },
 		m.waitUntilIdle,
 	} {
-		if note, err := part(); err != nil || note != "" {
+		if note, err := step(); err != nil || note != "" {
 			return note, err
 		}
 	}
@@ -210,8 +210,8 @@
 
 func (t *traffic) add(v *fleet.Virtual, sign float64) {
 	for i := range v.Len() {
-		if one := v.Members(i); one != nil {
-			counters := one.Counters()
+		if node := v.Members(i); node != nil {
+			counters := node.Counters()
 			t.datagrams += sign * float64(counters.Sent)
 			t.bytes += sign * float64(counters.SentBytes)
 		}
@@ -239,10 +239,10 @@
 }
 
 // countNodesSeeing counts the nodes that hold another one in a state.
-func countNodesSeeing(v *fleet.Virtual, node int, state members.State) int {
+func countNodesSeeing(v *fleet.Virtual, target int, state members.State) int {
 	n := 0
 	for i := range v.Len() {
-		if one := v.Members(i); i != node && one != nil && one.StateOf(node) == state {
+		if observer := v.Members(i); i != target && observer != nil && observer.StateOf(target) == state {
 			n++
 		}
 	}
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -46,13 +46,13 @@
 }
 
 // nodeConfig is a node's configuration; with gossip it may send to other nodes.
-func nodeConfig(index int, place nodeAddresses, discovery string, gossip bool) string {
+func nodeConfig(index int, addresses nodeAddresses, discovery string, gossip bool) string {
 	gossipConfig := "{}"
 	if gossip {
 		gossipConfig = `{"listen":"127.0.0.1:0"}`
 	}
 	return fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"console":%q,"seed":"%x","news":%s,"settings":%s}`,
-		index, place.Listen, discovery, place.Admin, index+1, gossipConfig, nodeSettings(int(DefaultDesign.Nodes), index, gossip))
+		index, addresses.Listen, discovery, addresses.Admin, index+1, gossipConfig, nodeSettings(int(DefaultDesign.Nodes), index, gossip))
 }
 
 // freeAddresses returns addresses that nothing listens at, for connections or datagrams. All are held until the last is
--- a/internal/lab/scale/plot.go
+++ b/internal/lab/scale/plot.go
@@ -98,8 +98,8 @@
 
 func (s *Slope) addPoints(p *plot.Plot) error {
 	var points plotter.XYs
-	for _, one := range s.Points {
-		points = append(points, plotter.XY{X: one.Size, Y: max(one.Value, minLogValue)})
+	for _, point := range s.Points {
+		points = append(points, plotter.XY{X: point.Size, Y: max(point.Value, minLogValue)})
 	}
 	dots, err := plotter.NewScatter(points)
 	if err != nil {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -125,8 +125,8 @@
 	}
 	defer p.discovery.close()
 	p.values["list"] = float64(len(p.discovery.initialUpdate))
-	for _, part := range []func() (string, error){p.measureFromDiscovery, p.measureFromDisk} {
-		m.Note, err = part()
+	for _, step := range []func() (string, error){p.measureFromDiscovery, p.measureFromDisk} {
+		m.Note, err = step()
 		if err != nil || m.Note != "" {
 			return m, err
 		}
@@ -167,8 +167,8 @@
 		return "", err
 	}
 	p.values["peak"] = memory.peak
-	for _, part := range []func() error{p.measureIdle, p.measureChanges, p.measureBurst, p.measureSingly} {
-		if err := part(); err != nil {
+	for _, step := range []func() error{p.measureIdle, p.measureChanges, p.measureBurst, p.measureSingly} {
+		if err := step(); err != nil {
 			return "", err
 		}
 	}
--- a/internal/lab/scale/records.go
+++ b/internal/lab/scale/records.go
@@ -207,10 +207,10 @@
 	records := makeRecords(c.size, c.kind.record)
 	defer runtime.KeepAlive(records)
 	defer runtime.KeepAlive(c)
-	for _, part := range []func() error{
+	for _, step := range []func() error{
 		func() error { return c.fillOrigin(records) }, c.fillRelay, c.fillSubscriber, c.measureChange, c.measureBurst, c.measurePut,
 	} {
-		if err := part(); err != nil {
+		if err := step(); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -115,14 +115,14 @@
 }
 
 func (p *Probe) checkSize(size float64, m Machine) error {
-	least := max(p.MinSize, 1)
-	if !(size >= least) || p.MaxSize > 0 && size > p.MaxSize || math.IsInf(size, 0) {
-		most := "more"
+	minSize := max(p.MinSize, 1)
+	if !(size >= minSize) || p.MaxSize > 0 && size > p.MaxSize || math.IsInf(size, 0) {
+		maxSize := "more"
 		if p.MaxSize > 0 {
-			most = formatCount(p.MaxSize)
+			maxSize = formatCount(p.MaxSize)
 		}
 		return fmt.Errorf("%s: expected sizes from %s to %s %s, got %s",
-			p.Name, formatCount(least), most, p.SizeUnit, formatCount(size))
+			p.Name, formatCount(minSize), maxSize, p.SizeUnit, formatCount(size))
 	}
 	need := p.Need(size)
 	if need.Bytes > m.MemoryBytes/2 {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -28,14 +28,14 @@
 	if !almostEqual(f.Slope, 5) || !almostEqual(f.Intercept, 1000) || f.Residual > 1e-9 || f.BreaksBeyond != 0 {
 		t.Errorf("%+v, want 1000 + 5 x that holds", f)
 	}
-	if v, how := f.valueAt(p, 100000); !almostEqual(v, 501000) || how != "line" {
-		t.Errorf("at 100,000: %v by %s", v, how)
+	if v, source := f.valueAt(p, 100000); !almostEqual(v, 501000) || source != "line" {
+		t.Errorf("at 100,000: %v by %s", v, source)
 	}
-	if v, how := f.valueAt(p, 1000); v != 6000 || how != "measured" {
-		t.Errorf("at 1,000: %v by %s", v, how)
+	if v, source := f.valueAt(p, 1000); v != 6000 || source != "measured" {
+		t.Errorf("at 1,000: %v by %s", v, source)
 	}
-	if v, how := f.valueAt(p, 550); !almostEqual(v, 3750) || how != "measured" {
-		t.Errorf("at 550, between two: %v by %s", v, how)
+	if v, source := f.valueAt(p, 550); !almostEqual(v, 3750) || source != "measured" {
+		t.Errorf("at 550, between two: %v by %s", v, source)
 	}
 }
 
@@ -51,7 +51,7 @@
 
 func TestFitDetectsBreak(t *testing.T) {
 	for name, c := range map[string]struct {
-		of     func(x float64) float64
+		value     func(x float64) float64
 		breaks float64
 		power  float64
 	}{
@@ -59,14 +59,14 @@
 		"a square":        {func(x float64) float64 { return x * x }, 20, 2},
 		"held":            {func(x float64) float64 { return 3 + x }, 0, 0},
 	} {
-		p := points(c.of, 10, 20, 100, 1000, 5000, 20000)
+		p := points(c.value, 10, 20, 100, 1000, 5000, 20000)
 		f := fitLine(p)
 		if f.BreaksBeyond != c.breaks || c.power > 0 && math.Abs(f.Power-c.power) > 0.01 {
 			t.Errorf("%s: breaks beyond %v with power %.2f, want %v and %v", name, f.BreaksBeyond, f.Power, c.breaks, c.power)
 		}
-		v, how := f.valueAt(p, 200000)
-		if want := c.of(200000); c.breaks > 0 && (how != "power" || v < want/3 || v > want*3) {
-			t.Errorf("%s: %v by %s at 200,000, want about %v by power", name, v, how, want)
+		v, source := f.valueAt(p, 200000)
+		if want := c.value(200000); c.breaks > 0 && (source != "power" || v < want/3 || v > want*3) {
+			t.Errorf("%s: %v by %s at 200,000, want about %v by power", name, v, source, want)
 		}
 	}
 }
@@ -84,11 +84,11 @@
 func TestFitIsNotExtrapolatedBelowZero(t *testing.T) {
 	p := points(func(x float64) float64 { return 10 - x/100 }, 10, 50, 100, 200)
 	f := fitLine(p)
-	if v, how := f.valueAt(p, 1e6); v != 8 || how != "last size" {
-		t.Errorf("%v by %s, want the last point", v, how)
+	if v, source := f.valueAt(p, 1e6); v != 8 || source != "last size" {
+		t.Errorf("%v by %s, want the last point", v, source)
 	}
-	if v, how := (&Fit{}).valueAt(nil, 5); v != 0 || how != "not measured" {
-		t.Errorf("%v by %s of no points", v, how)
+	if v, source := (&Fit{}).valueAt(nil, 5); v != 0 || source != "not measured" {
+		t.Errorf("%v by %s of no points", v, source)
 	}
 }
 
@@ -269,16 +269,16 @@
 }
 
 func TestJoin(t *testing.T) {
-	of := func(command string, limit float64, p ...Point) *Result {
+	newResult := func(command string, limit float64, p ...Point) *Result {
 		return &Result{Command: command, Slopes: []Slope{Slope{Name: "a.b", Points: p, DesignSize: 1000, Limit: limit, Command: command}.withFit()}}
 	}
-	r := Join(Join(nil, of("one", 50, Point{1, 1}, Point{10, 10}, Point{20, 21})), of("two", 100, Point{20, 20}, Point{50, 50}))
+	r := Join(Join(nil, newResult("one", 50, Point{1, 1}, Point{10, 10}, Point{20, 21})), newResult("two", 100, Point{20, 20}, Point{50, 50}))
 	s := slopeByName(t, r, "a.b")
 	if len(s.Points) != 4 || s.Points[2] != (Point{20, 20}) || !almostEqual(s.Fit.Slope, 1) || !almostEqual(s.DesignValue, 1000) || !almostEqual(s.LimitFactor, 10) || s.Command != "one; two" {
 		t.Errorf("%+v", s)
 	}
 	r.Slopes[0].Name = "a.c"
-	if got := len(Join(r, of("three", 1, Point{1, 1})).Slopes); got != 2 {
+	if got := len(Join(r, newResult("three", 1, Point{1, 1})).Slopes); got != 2 {
 		t.Errorf("%d slopes, want both", got)
 	}
 }
--- a/internal/lab/scale/subscribers.go
+++ b/internal/lab/scale/subscribers.go
@@ -93,8 +93,8 @@
 		return err
 	}
 	defer runtime.KeepAlive(s)
-	for _, part := range []func() error{s.measureStart, s.measureHeartbeats, s.measureFanOut, s.measureResumption} {
-		if err := part(); err != nil {
+	for _, step := range []func() error{s.measureStart, s.measureHeartbeats, s.measureFanOut, s.measureResumption} {
+		if err := step(); err != nil {
 			return err
 		}
 	}
@@ -114,11 +114,11 @@
 	n := int(s.size)
 	s.ids, s.frames = make([]int, n), make([][][]byte, n)
 	for range n {
-		one, err := distribution.NewSubscriber(selectors, distribution.Limits{})
+		subscriber, err := distribution.NewSubscriber(selectors, distribution.Limits{})
 		if err != nil {
 			return err
 		}
-		s.all = append(s.all, one)
+		s.all = append(s.all, subscriber)
 	}
 	return nil
 }
@@ -126,8 +126,8 @@
 // hellos are the first messages of all subscribers.
 func (s *subscribers) hellos() [][]byte {
 	var hellos [][]byte
-	for _, one := range s.all {
-		hellos = append(hellos, one.Hello())
+	for _, subscriber := range s.all {
+		hellos = append(hellos, subscriber.Hello())
 	}
 	return hellos
 }
@@ -161,9 +161,9 @@
 
 // receive has all subscribers take their frames.
 func (s *subscribers) receive() error {
-	for i, one := range s.all {
+	for i, subscriber := range s.all {
 		for _, frame := range s.frames[i] {
-			if _, err := one.Receive(s.now, frame); err != nil {
+			if _, err := subscriber.Receive(s.now, frame); err != nil {
 				return err
 			}
 		}
@@ -190,8 +190,8 @@
 	frames := s.values["startwire"] * s.size // in memory while they waited, freed now
 	s.values["relay"] = max(sent-before-frames, 0)
 	s.values["subscriber"] = max(received-sent+frames, 0) / s.size
-	for i, one := range s.all {
-		if held := one.Stats().Records; !one.Complete() || held != scopesPerNode*serviceEndpoints {
+	for i, subscriber := range s.all {
+		if held := subscriber.Stats().Records; !subscriber.Complete() || held != scopesPerNode*serviceEndpoints {
 			return fmt.Errorf("subscriber %d holds %d of %d records", i, held, scopesPerNode*serviceEndpoints)
 		}
 	}
@@ -248,8 +248,8 @@
 	if err := errors.Join(err, s.receive()); err != nil {
 		return err
 	}
-	for i, one := range s.all {
-		if stats := one.Stats(); stats.Snapshots+stats.Swept > 0 {
+	for i, subscriber := range s.all {
+		if stats := subscriber.Stats(); stats.Snapshots+stats.Swept > 0 {
 			return fmt.Errorf("subscriber %d was sent its scopes anew", i)
 		}
 	}
--- a/internal/lab/scale/tree.go
+++ b/internal/lab/scale/tree.go
@@ -256,7 +256,7 @@
 }
 
 // waitFor lets time pass until a part of the nodes has fulfilled a condition once, and returns how many have.
-func (t *tree) waitFor(w *treeWait, part float64) (fulfilled int, inTime bool) {
+func (t *tree) waitFor(w *treeWait, fraction float64) (fulfilled int, inTime bool) {
 	inTime = t.run(maxWait, func() bool {
 		for _, i := range t.received {
 			if !w.done[i] && w.holds(i, t.subscribers[i]) {
@@ -265,7 +265,7 @@
 			}
 		}
 		t.received = t.received[:0]
-		return float64(w.fulfilled) >= part*float64(len(t.subscribers))
+		return float64(w.fulfilled) >= fraction*float64(len(t.subscribers))
 	})
 	return w.fulfilled, inTime
 }
--- a/internal/lab/scale/virtual_test.go
+++ b/internal/lab/scale/virtual_test.go
@@ -30,12 +30,12 @@
 	if v["burst100"] < v["burst99"] || v["burst99"] < v["change99"] || v["start100"] < v["start99"] {
 		t.Errorf("%v: a burst before a change, or all before 99 in 100", v)
 	}
-	if most := DefaultLimits.BytesPerSecond * 1.05; v["worst"] <= 0 || v["worst"] > most {
+	if maximum := DefaultLimits.BytesPerSecond * 1.05; v["worst"] <= 0 || v["worst"] > maximum {
 		t.Errorf("%v bytes a second to a node, paced at %v", v["worst"], DefaultLimits.BytesPerSecond)
 	}
 	// Five scopes of 24 endpoints, over 100 bytes each, at 22 KB a second of which a quarter of a second may be ahead.
-	if least := 5*24*100/DefaultLimits.BytesPerSecond - 0.25; v["start99"] < least {
-		t.Errorf("all have started after %v s, which the pace lets nobody before %v", v["start99"], least)
+	if minimum := 5*24*100/DefaultLimits.BytesPerSecond - 0.25; v["start99"] < minimum {
+		t.Errorf("all have started after %v s, which the pace lets nobody before %v", v["start99"], minimum)
 	}
 	again, err := probeByName(t, "inforce").Measure(t.Context(), e, 20)
 	if err != nil {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -36,7 +36,7 @@
 	if random.IntN(2) == 0 {
 		endpoints = largeFleet
 	}
-	day := &Case{Healthy: random.IntN(faultyEndpointsOneIn) != 0}
+	drawn := &Case{Healthy: random.IntN(faultyEndpointsOneIn) != 0}
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = \"soak-%d\"\nlength = \"%ds\"\nseed = %d\n[nodes]\ncount = 2\n", seed, lengthSeconds, seed)
 	isCrowd := random.IntN(crowdOneIn) == 0
@@ -47,12 +47,12 @@
 	fmt.Fprintf(&text, "[load]\nrate = %d\n", min(endpoints*coresPerEndpoint*requestsPerCore, maxRate))
 	writeClasses(&text, random)
 	writeStops(&text, random)
-	if !day.Healthy {
+	if !drawn.Healthy {
 		writeEndpointFault(&text, random, endpoints)
 	}
 	var err error
-	day.Scenario, err = scenario.Parse(fmt.Sprintf("soak seed %d", seed), []byte(text.String()))
-	return day, err
+	drawn.Scenario, err = scenario.Parse(fmt.Sprintf("soak seed %d", seed), []byte(text.String()))
+	return drawn, err
 }
 
 // writeClasses writes a class of each kind of idempotency, with work that varies exponentially.
@@ -80,18 +80,18 @@
 
 // Complaints returns what is wrong with the run of a day; none if it held.
 func (d *Case) Problems(r *result.Result) []string {
-	var complaints []string
+	var problems []string
 	for _, violation := range r.Violations {
-		complaints = append(complaints, fmt.Sprint(violation))
+		problems = append(problems, fmt.Sprint(violation))
 	}
 	for _, node := range r.Nodes {
 		if node.Crashes > 0 {
-			complaints = append(complaints, fmt.Sprintf("node %d ended by itself %d times", node.Node, node.Crashes))
+			problems = append(problems, fmt.Sprintf("node %d ended by itself %d times", node.Node, node.Crashes))
 		}
 	}
 	if unanswered := r.Rejected + r.Failed + r.Lost; d.Healthy && unanswered > 0 {
-		complaints = append(complaints, fmt.Sprintf("healthy endpoints with capacity to spare: %d rejected, %d failed, %d lost of %d",
+		problems = append(problems, fmt.Sprintf("healthy endpoints with capacity to spare: %d rejected, %d failed, %d lost of %d",
 			r.Rejected, r.Failed, r.Lost, r.Requests))
 	}
-	return complaints
+	return problems
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -12,15 +12,15 @@
 func TestDrawCaseIsDeterministicAndValid(t *testing.T) {
 	healthy := 0
 	for seed := range uint64(200) {
-		day, err := DrawCase(seed)
+		drawn, err := DrawCase(seed)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		again, err := DrawCase(seed)
-		if err != nil || !reflect.DeepEqual(day, again) {
+		if err != nil || !reflect.DeepEqual(drawn, again) {
 			t.Errorf("seed %d draws two days (%v)", seed, err)
 		}
-		if day.Healthy {
+		if drawn.Healthy {
 			healthy++
 		}
 	}
@@ -43,8 +43,8 @@
 		"lost, healthy":        {true, result.Result{Tally: result.Tally{Lost: 1}}, 1},
 		"rejected, not wholly": {false, result.Result{Tally: result.Tally{Rejected: 1}}, 0},
 	} {
-		day := &Case{Healthy: c.healthy}
-		if got := day.Problems(&c.run); len(got) != c.want {
+		drawn := &Case{Healthy: c.healthy}
+		if got := drawn.Problems(&c.run); len(got) != c.want {
 			t.Errorf("%s: %q, expected %d complaints", name, got, c.want)
 		}
 	}
