--- a/cmd/fawnglade-lab/capacity.go
+++ b/cmd/fawnglade-lab/capacity.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	capacityGrowth = 1.5    // of the rate, from step to step
+	capacityGrowth = 1.5    // factor of the rate from one step to the next
 	maxCapacity    = 100000 // requests a second
-	maxLateMs      = 5      // lag of the lab, its 95th percentile, up to which a step holds
+	maxLateMs      = 5      // 95th percentile of the lab's lag up to which a step passes
 )
 
-// capacityReport is the JSON of the capacity command.
+// capacityReport is the JSON output of the capacity command.
 type capacityReport struct {
 	Cores int            `json:"cores"`
 	Steps []capacityStep `json:"steps"`
 }
 
-// capacityStep is one rate at which the lab was tried without a node.
+// capacityStep is the result of one rate at which the lab ran without a node.
 type capacityStep struct {
 	Rate      float64 `json:"rate"` // requests a second
 	Requests  int     `json:"tasks"`
 	Succeeded int     `json:"satisfied"`
-	LateMs    float64 `json:"late_ms"` // lag of the lab itself, its 95th percentile
+	LateMs    float64 `json:"late_ms"` // 95th percentile of the lab's own lag
 	P50       float64 `json:"p50_ms"`
 	P99       float64 `json:"p99_ms"`
 	Max       float64 `json:"most_ms"`
@@ -40,7 +40,7 @@
 	Held      bool    `json:"held"`
 }
 
-// capacityFlags are those of the capacity command.
+// capacityFlags holds the flags of the capacity command.
 type capacityFlags struct {
 	cores     int
 	startRate float64
@@ -49,24 +49,24 @@
 	asJSON    bool
 }
 
-// newCapacityCommand measures the lab alone: clients and endpoints with nothing between them.
+// newCapacityCommand returns the command that measures the lab alone, with clients connected directly to endpoints.
 func newCapacityCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "capacity",
-		Short: "Measure how many tasks a second the rig itself carries, without a node",
-		Long: `Measure how many tasks a second the rig itself carries, without a node.
+		Short: "Measure the request rate that the lab itself sustains, without a node",
+		Long: `Measure the request rate that the lab itself sustains, without a node.
 
-Clients ask the stand-in servers themselves, at rates that grow by half until the rig is late by more than 5 ms in a
-twentieth of the time, or a task goes unanswered.`,
+Clients send requests directly to the emulated servers. The rate grows by half from step to step until the 95th
+percentile of the lab's own lag exceeds 5 ms or a request fails.`,
 		Example: "  fawnglade-lab capacity\n  fawnglade-lab capacity --cores 2 --seconds 3 --json",
 		Args:    cobra.NoArgs,
 	}
 	var f capacityFlags
-	c.Flags().IntVar(&f.cores, "cores", 1, "cores that the rig may use")
-	c.Flags().Float64Var(&f.startRate, "from", 8000, "tasks a second to begin with")
-	c.Flags().Float64Var(&f.maxRate, "most", maxCapacity, "tasks a second to end with")
-	c.Flags().IntVar(&f.seconds, "seconds", 3, "how long each rate is held")
-	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object")
+	c.Flags().IntVar(&f.cores, "cores", 1, "CPU cores that the lab may use")
+	c.Flags().Float64Var(&f.startRate, "from", 8000, "initial rate, requests per second")
+	c.Flags().Float64Var(&f.maxRate, "most", maxCapacity, "maximum rate, requests per second")
+	c.Flags().IntVar(&f.seconds, "seconds", 3, "duration of each step, seconds")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print the result as one JSON object")
 	c.RunE = func(c *cobra.Command, _ []string) error { return measureCapacity(c, f) }
 	return c
 }
@@ -84,8 +84,8 @@
 		}
 		steps = append(steps, step)
 		if !f.asJSON {
-			err := printf(c.OutOrStdout(), "%8.0f a second: %d of %d satisfied, late %.2f ms, "+
-				"p50 %.2f ms, p99 %.2f ms, %.1f us of CPU a task\n",
+			err := printf(c.OutOrStdout(), "%8.0f requests/s: %d of %d succeeded, lag %.2f ms, "+
+				"p50 %.2f ms, p99 %.2f ms, %.1f us of CPU per request\n",
 				step.Rate, step.Succeeded, step.Requests, step.LateMs, step.P50, step.P99, step.CPU)
 			if err != nil {
 				return err
@@ -126,16 +126,16 @@
 	}, nil
 }
 
-// cpuMicrosecondsPerRequest spreads seconds of processor time over the requests of a run.
+// cpuMicrosecondsPerRequest divides seconds of CPU time by the number of requests of a run.
 func cpuMicrosecondsPerRequest(seconds float64, r *result.Result) float64 {
 	return seconds * 1e6 / float64(max(r.Requests, 1))
 }
 
-// ownCPU is the processor time that this process has used.
+// ownCPU returns the CPU time that this process has used.
 func ownCPU() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return 0, fmt.Errorf("processor time of this process: %w", err)
+		return 0, fmt.Errorf("read CPU time of the lab process: %w", err)
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
--- a/cmd/fawnglade-lab/compare.go
+++ b/cmd/fawnglade-lab/compare.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-// compareFlags are those of the compare command.
+// compareFlags holds the flags of the compare command.
 type compareFlags struct {
 	a, b    string
 	pairs   int
@@ -22,7 +22,7 @@
 	nodes   int
 }
 
-// resultPairs are the results of two builds; those at one index are of one seed.
+// resultPairs are the results of two builds. Results at the same index have the same seed.
 type resultPairs struct {
 	a, b []*result.Result
 }
@@ -30,25 +30,25 @@
 func newCompareCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "compare SCENARIO",
-		Short: "Play two builds on the same seeds in turn and tell how they differ",
-		Long: `Play two builds on the same seeds in turn and tell how they differ.
+		Short: "Run two builds with the same seeds and report how they differ",
+		Long: `Run two builds with the same seeds and report how they differ.
 
-A build is a command or the path of a node's program, or a built-in plain proxy: ` + "plain:" + strings.Join(emulator.ReferenceProxyKinds, ", plain:") + `.
-Which of the two goes first changes with each pair.`,
+A build is the path of a node's program, a whole command line, or a built-in reference proxy: ` + "plain:" + strings.Join(emulator.ReferenceProxyKinds, ", plain:") + `.
+The order of the two builds alternates from pair to pair.`,
 		Example: "  fawnglade-lab compare lab/scenarios/slow.toml --a plain:random --b bin/fawnglade --pairs 5\n" +
 			"  fawnglade-lab compare lab/scenarios/calm.toml --a old/fawnglade --b bin/fawnglade --json\n" +
 			"  fawnglade-lab compare lab/scenarios/fleet/zone.toml --virtual --a hot-cold --pairs 20 --nodes 50",
 		Args: cobra.ExactArgs(1),
 	}
 	var f compareFlags
-	c.Flags().StringVar(&f.a, "a", "", "the one build")
-	c.Flags().StringVar(&f.b, "b", "", "the other; by default the node beside this program")
-	c.Flags().IntVar(&f.pairs, "pairs", 3, "how many seeds, beginning with the scenario's")
-	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object")
-	c.Flags().BoolVar(&f.virtual, "virtual", false, "in virtual time; --a and --b then name what decides, as for run --by")
-	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes in place of the scenario's")
+	c.Flags().StringVar(&f.a, "a", "", "first build")
+	c.Flags().StringVar(&f.b, "b", "", "second build (default the node program in this program's directory, in bin/ or on the path)")
+	c.Flags().IntVar(&f.pairs, "pairs", 3, "number of seeds, counting up from the scenario's")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print the result as one JSON object")
+	c.Flags().BoolVar(&f.virtual, "virtual", false, "run in virtual time; --a and --b then name deciders, as in run --by")
+	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes (default the scenario's)")
 	if err := c.MarkFlagRequired("a"); err != nil {
-		panic(err) // there is no such flag: a mistake above
+		panic(err) // the flag is not defined above: a programming error
 	}
 	c.RunE = func(c *cobra.Command, args []string) error { return compareBuilds(c, f, args[0]) }
 	return c
@@ -87,7 +87,7 @@
 		return err
 	}
 	if comparison.Pairs == 0 {
-		return errors.New("the machine ran late in every pair: nothing can be said")
+		return errors.New("no valid pair: the lab lagged in every pair; run again with less load on the machine")
 	}
 	return nil
 }
@@ -110,7 +110,7 @@
 	return pairs, nil
 }
 
-// runOnSockets plays pair by pair; which build goes first changes with each, so that neither has a warmer machine.
+// runOnSockets runs pair by pair. The order of the builds alternates, so that neither benefits from running second.
 func (f *compareFlags) runOnSockets(ctx context.Context, s *scenario.Scenario) (resultPairs, error) {
 	commandA, err := parseCommand(f.a)
 	if err != nil {
--- a/cmd/fawnglade-lab/cost.go
+++ b/cmd/fawnglade-lab/cost.go
@@ -11,12 +11,12 @@
 	"github.com/spf13/cobra"
 )
 
-// costReport is the JSON of the cost command.
+// costReport is the JSON output of the cost command.
 type costReport struct {
 	Rows []costRow `json:"rows"`
 }
 
-// costRow is one proxy with one number of endpoints at one rate.
+// costRow is the result of one proxy with one number of endpoints at one request rate.
 type costRow struct {
 	Through   string  `json:"through"`
 	Endpoints int     `json:"servers"`
@@ -28,10 +28,10 @@
 	P99       float64 `json:"p99_ms"`
 	CPU       float64 `json:"cpu_us_a_task"`
 	MB        float64 `json:"memory_mb"`
-	Void      bool    `json:"void"` // the machine ran late
+	Void      bool    `json:"void"` // the lab lagged, so the row is not valid
 }
 
-// costFlags are those of the cost command.
+// costFlags holds the flags of the cost command.
 type costFlags struct {
 	endpoints []int
 	rates     []float64
@@ -41,26 +41,26 @@
 	asJSON    bool
 }
 
-// newCostCommand measures what a request costs a node's own process, by the number of endpoints.
+// newCostCommand returns the command that measures the CPU time of a node per request, by number of endpoints.
 func newCostCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "cost",
-		Short: "Measure what a task costs a node, beside a relay that reads nothing",
-		Long: `Measure what a task costs a node, beside a relay that reads nothing.
+		Short: "Measure a node's CPU time per request, compared with a TCP pass-through",
+		Long: `Measure a node's CPU time per request, compared with a TCP pass-through (plain:relay).
 
-Tasks with a body of 200 bytes come over 32 connections to idle servers that do hardly any work. What is told is the
-CPU of the node's process alone, over the tasks, with what its start took.`,
+Requests with a body of 200 bytes arrive over 32 connections; the servers are idle and do next to no work. The reported
+figure is the CPU time of the node process alone, including its start, divided by the number of requests.`,
 		Example: "  fawnglade-lab cost\n  fawnglade-lab cost --servers 64,4096 --rates 4000,16000 --through bin/fawnglade,plain:relay",
 		Args:    cobra.NoArgs,
 	}
 	var f costFlags
-	c.Flags().IntSliceVar(&f.endpoints, "servers", []int{8, 64, 512, 4096}, "numbers of servers")
-	c.Flags().Float64SliceVar(&f.rates, "rates", []float64{5000}, "tasks a second")
+	c.Flags().IntSliceVar(&f.endpoints, "servers", []int{8, 64, 512, 4096}, "numbers of servers to measure")
+	c.Flags().Float64SliceVar(&f.rates, "rates", []float64{5000}, "request rates to measure, per second")
 	c.Flags().StringSliceVar(&f.through, "through", []string{"", "plain:relay"},
-		"nodes' commands or plain:KIND; empty: the node beside this program")
-	c.Flags().IntVar(&f.seconds, "seconds", 4, "how long each is measured")
-	c.Flags().Float64Var(&f.cores, "cores", 1, "cores that the node is told it may use; 0: no bound")
-	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object")
+		"node commands or plain:KIND; empty: the default node program")
+	c.Flags().IntVar(&f.seconds, "seconds", 4, "duration of each measurement, seconds")
+	c.Flags().Float64Var(&f.cores, "cores", 1, "CPU cores that the node may use; 0: unlimited")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print the result as one JSON object")
 	c.RunE = func(c *cobra.Command, _ []string) error { return measureCost(c, f) }
 	return c
 }
@@ -120,10 +120,10 @@
 func (r *costRow) line() string {
 	late := ""
 	if r.Void {
-		late = ", the machine ran late"
+		late = ", void: the lab lagged"
 	}
-	return fmt.Sprintf("%5d servers, %6.0f a second, %-12s %6d of %d satisfied, %d declined, "+
-		"p50 %.2f ms, p99 %.2f ms, %.1f us of CPU a task, %.0f MB%s",
+	return fmt.Sprintf("%5d servers, %6.0f requests/s, %-12s %6d of %d succeeded, %d rejected, "+
+		"p50 %.2f ms, p99 %.2f ms, %.1f us of CPU per request, %.0f MB%s",
 		r.Endpoints, r.Rate, r.Through+":", r.Succeeded, r.Requests, r.Rejected, r.P50, r.P99, r.CPU, r.MB, late)
 }
 
--- a/cmd/fawnglade-lab/distribution.go
+++ b/cmd/fawnglade-lab/distribution.go
@@ -13,7 +13,7 @@
 
 const originCommand = "distribution-origin"
 
-// distributionFlags are those of the distribution command.
+// distributionFlags holds the flags of the distribution command.
 type distributionFlags struct {
 	size   distsim.Size
 	quick  bool
@@ -24,20 +24,20 @@
 func newDistributionCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "distribution",
-		Short: "Play the distribution tree at size: an origin, relays as processes, hollow nodes",
-		Long: `Play the distribution tree at size: an origin, relays in two levels as processes, and hollow nodes over TCP on loopback.
+		Short: "Test the distribution tree at scale: an origin, relay processes and hollow nodes",
+		Long: `Test the distribution tree at scale: an origin, two levels of relay processes, and hollow nodes over TCP on loopback.
 
-Hollow nodes run the node's own subscriber and client, without requests. Verdicts go by numbers and versions: in the end every node
-has exactly the origin's records of its scopes, nothing was told twice, left out or came back from the dead. Times, bytes, CPU and
-memory are told beside the aims. A run ends by itself within four minutes.`,
+Hollow nodes run the node's own subscriber and client, without requests. The verdict depends on records and versions only: at the
+end of each phase every node must hold exactly the origin's records of its scopes, and no change may be missing, duplicated or
+reverted. Times, bytes, CPU and memory are reported next to their targets. A run ends within four minutes.`,
 		Example: "  fawnglade-lab distribution --quick\n  fawnglade-lab distribution --nodes 5300 --json > distribution.json",
 		Args:    cobra.NoArgs,
 	}
 	f := distributionFlags{size: distsim.Full()}
-	c.Flags().BoolVar(&f.quick, "quick", false, "the small form: 300 nodes in 3 regions, under a minute")
+	c.Flags().BoolVar(&f.quick, "quick", false, "small size: 300 nodes in 3 regions, takes under a minute")
 	addSizeFlags(c, &f.size)
-	c.Flags().StringVar(&f.relay, "relay", "", "the program with the relay; by default fawnglade beside this one")
-	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object")
+	c.Flags().StringVar(&f.relay, "relay", "", "program with the relay command (default fawnglade in this program's directory, in bin/ or on the path)")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print the result as one JSON object")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if f.quick {
 			f.size = quickSize(c, f.size)
@@ -47,32 +47,32 @@
 	return c
 }
 
-// addSizeFlags adds a flag for each field of a size, whose values are the defaults.
+// addSizeFlags adds a flag for each field of a size. The current values are the defaults.
 func addSizeFlags(c *cobra.Command, size *distsim.Size) {
 	flags := c.Flags()
-	flags.IntVar(&size.Nodes, "nodes", size.Nodes, "hollow nodes")
-	flags.IntVar(&size.Regions, "regions", size.Regions, "regions")
-	flags.IntVar(&size.Zones, "zones", size.Zones, "zones in all")
-	flags.IntVar(&size.UpperRelays, "upper", size.UpperRelays, "relays that follow the origin")
-	flags.IntVar(&size.LowerRelays, "lower", size.LowerRelays, "relays that nodes follow")
-	flags.IntVar(&size.Services, "services", size.Services, "services, in every region")
-	flags.IntVar(&size.Endpoints, "endpoints", size.Endpoints, "endpoints over all scopes")
-	flags.IntVar(&size.ServicesPerNode, "take", size.ServicesPerNode, "services of its region that a node follows")
-	flags.IntVar(&size.Routes, "routes", size.Routes, "routes, as records of configuration")
-	flags.IntVar(&size.Tenants, "tenants", size.Tenants, "tenants, as records of configuration")
+	flags.IntVar(&size.Nodes, "nodes", size.Nodes, "number of hollow nodes")
+	flags.IntVar(&size.Regions, "regions", size.Regions, "number of regions")
+	flags.IntVar(&size.Zones, "zones", size.Zones, "number of zones over all regions")
+	flags.IntVar(&size.UpperRelays, "upper", size.UpperRelays, "number of upper relays, which follow the origin")
+	flags.IntVar(&size.LowerRelays, "lower", size.LowerRelays, "number of lower relays, which nodes follow")
+	flags.IntVar(&size.Services, "services", size.Services, "number of services; each exists in every region")
+	flags.IntVar(&size.Endpoints, "endpoints", size.Endpoints, "number of endpoints over all scopes")
+	flags.IntVar(&size.ServicesPerNode, "take", size.ServicesPerNode, "number of services that a node follows in its region")
+	flags.IntVar(&size.Routes, "routes", size.Routes, "number of routes, which are configuration records")
+	flags.IntVar(&size.Tenants, "tenants", size.Tenants, "number of tenants, which are configuration records")
 	flags.IntVar(&size.SharedServices, "shared", size.SharedServices,
-		"services whose configuration every node follows; all its changes fall there")
-	flags.Float64Var(&size.Speedup, "pace", size.Speedup, "times an ordinary day's changes")
-	flags.DurationVar(&size.OrdinaryTime, "true", size.OrdinaryTime, "how long a true day's pace is played")
-	flags.DurationVar(&size.PhaseTime, "day", size.PhaseTime, "how long the faster pace is played, alone and under each fault")
-	flags.IntVar(&size.ZoneLoss, "burst", size.ZoneLoss, "endpoints of one zone that go at once")
-	flags.IntVar(&size.BytesPerSecond, "bytes", size.BytesPerSecond, "pace of relays, bytes a second a subscriber; 0: no bound")
+		"number of services whose configuration every node follows; only their configuration changes")
+	flags.Float64Var(&size.Speedup, "pace", size.Speedup, "change rate of the faster phases, as a multiple of an ordinary day's rate")
+	flags.DurationVar(&size.OrdinaryTime, "true", size.OrdinaryTime, "duration of the phase at an ordinary day's change rate")
+	flags.DurationVar(&size.PhaseTime, "day", size.PhaseTime, "duration of each faster phase, without a fault and with each fault")
+	flags.IntVar(&size.ZoneLoss, "burst", size.ZoneLoss, "number of endpoints of one zone that are removed at once")
+	flags.IntVar(&size.BytesPerSecond, "bytes", size.BytesPerSecond, "send rate of lower relays, bytes per second and subscriber; 0: unlimited")
 	flags.BoolVar(&size.ShareMemory, "share", size.ShareMemory,
-		"hollow nodes hold equal names and bodies once, for a machine with less memory; what a node holds is not told by it")
-	flags.Uint64Var(&size.Seed, "seed", size.Seed, "of all that is drawn")
+		"store equal names and bodies once for all hollow nodes, to save memory; the reported memory of a node is then not valid")
+	flags.Uint64Var(&size.Seed, "seed", size.Seed, "random seed")
 }
 
-// quickSize is the small size, with the fields that were given by flags and may be combined with it.
+// quickSize returns the quick size with the fields that may be combined with --quick replaced by their flags.
 func quickSize(c *cobra.Command, given distsim.Size) distsim.Size {
 	size := distsim.Quick()
 	for name, set := range map[string]func(){
@@ -123,11 +123,11 @@
 	return err
 }
 
-// newDistributionOriginCommand runs the origin of a distribution run in a process of its own.
+// newDistributionOriginCommand returns the hidden command that runs the origin of a distribution run as a process.
 func newDistributionOriginCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    originCommand,
-		Short:  "The origin's process of distribution",
+		Short:  "Run the origin process of the distribution command",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -12,13 +12,13 @@
 	"github.com/spf13/cobra"
 )
 
-// The baselines that the gate compares with: one sees the true state late, one chooses at random.
+// Baselines of the gate: one sees the true state of the endpoints with a delay, the other chooses at random.
 const (
 	lateSeeingName = "late-seeing"
 	randomName     = "random"
 )
 
-// gateFlags are those of the gate command.
+// gateFlags holds the flags of the gate command.
 type gateFlags struct {
 	nodes  int
 	seeds  int
@@ -26,17 +26,17 @@
 	asJSON bool
 }
 
-// gateReport is the JSON of the gate command.
+// gateReport is the JSON output of the gate command.
 type gateReport struct {
 	Runs   []gateRun `json:"days"`
 	Passed bool      `json:"passed"`
 }
 
-// gateRun is one scenario with one seed at the gate.
+// gateRun is the result of one scenario with one seed.
 type gateRun struct {
 	Scenario    string   `json:"day"`
 	Seed        uint64   `json:"seed"`
-	InTime      float64  `json:"in_time"` // fraction of weight
+	InTime      float64  `json:"in_time"` // fraction of weight answered in time
 	LateSeeing  float64  `json:"late_seeing"`
 	Random      float64  `json:"random"`
 	Worst10s    float64  `json:"worst_10s"`
@@ -49,21 +49,21 @@
 func newGateCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "gate SCENARIO...",
-		Short: "Play days in virtual time and pass or fail them, with one line at the end",
-		Long: `Play days in virtual time and pass or fail them, with one line at the end.
+		Short: "Run scenarios in virtual time and pass or fail them, with a one-line verdict",
+		Long: `Run scenarios in virtual time and pass or fail them, with a one-line verdict at the end.
 
-A day passes if no rule was broken, its [expect] held, the earnings in time are at least seeing_part_min of what a
-policy keeps that sees the true state half a second late, and, where plain_less_max stands, no more than that under
-random choice. Exit code 0: all passed. 1: one did not. 2: one could not be played.`,
+A run passes if no rule was broken and its [expect] section held, if the earnings in time are at least seeing_part_min
+of those of a policy that sees the true state half a second late, and, if plain_less_max is set, if they are at most
+that much below those of random choice. Exit code 0: all passed. 1: at least one failed. 2: at least one could not run.`,
 		Example: "  fawnglade-lab gate lab/scenarios/fleet/*.toml\n" +
 			"  fawnglade-lab gate lab/scenarios/fleet/*.toml --nodes 30 --seeds 3",
 		Args: cobra.MinimumNArgs(1),
 	}
 	var f gateFlags
-	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes in place of the scenarios'")
-	c.Flags().IntVar(&f.seeds, "seeds", 1, "seeds of each day, from the scenario's on")
-	c.Flags().StringVar(&f.by, "by", moduleName, "what is judged")
-	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object")
+	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes (default the scenarios')")
+	c.Flags().IntVar(&f.seeds, "seeds", 1, "number of seeds for each scenario, counting up from the scenario's")
+	c.Flags().StringVar(&f.by, "by", moduleName, "decider to test")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print the result as one JSON object")
 	c.RunE = func(c *cobra.Command, paths []string) error { return runGate(c, f, paths) }
 	return c
 }
@@ -105,7 +105,7 @@
 	return err
 }
 
-// judge sets a run beside those of the baselines on the same seed.
+// judge compares a run with those of the baselines with the same seed.
 func judge(expect *scenario.Expect, own, lateSeeing, random *result.Result) gateRun {
 	g := gateRun{
 		Scenario: own.Scenario, Seed: own.Plan.Seed,
@@ -163,7 +163,7 @@
 	if failure != "" {
 		fmt.Fprintf(&out, "gate failed: %s\n", strings.TrimSpace(failure))
 	} else {
-		fmt.Fprintf(&out, "gate passed: %d days\n", len(runs))
+		fmt.Fprintf(&out, "gate passed: %d runs\n", len(runs))
 	}
 	return printf(w, "%s", out.String())
 }
--- a/cmd/fawnglade-lab/hunt.go
+++ b/cmd/fawnglade-lab/hunt.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-// huntFlags are those of the hunt command.
+// huntFlags holds the flags of the hunt command.
 type huntFlags struct {
 	out      string
 	seed     uint64
@@ -30,30 +30,30 @@
 func newHuntCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "hunt SCENARIO",
-		Short: "Search for the days on which the decisions lose most, or break a rule",
-		Long: `Search for the days on which the decisions lose most against a policy that sees the true state late, or break a rule.
+		Short: "Search for fault timelines on which a decider loses most or breaks a rule",
+		Long: `Search for fault timelines on which a decider loses most against a baseline, or breaks a rule.
 
-Fault timelines are drawn over the scenario, the worst are changed a little round by round, and the three worst are
-cut down to what matters and left in --out as scenario files. A hunt that was ended goes on where it stood.
-Exit code 1: a rule was broken on some day.`,
+The search draws random fault timelines for the scenario, mutates the worst ones round by round, reduces the three
+worst to the faults that matter, and writes them to --out as scenario files. An interrupted search resumes from its
+state in --out. Exit code 1: at least one result breaks a rule.`,
 		Example: "  fawnglade-lab hunt lab/scenarios/fleet/calm.toml --nodes 30 --out found",
 		Args:    cobra.ExactArgs(1),
 	}
 	var f huntFlags
-	c.Flags().StringVar(&f.out, "out", "found", "directory for the hunt's state and what it finds")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of all that is drawn")
-	c.Flags().IntVar(&f.draws, "draws", 64, "random days at the start")
-	c.Flags().IntVar(&f.keep, "keep", 8, "of them are changed further")
-	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes in place of the scenario's")
-	c.Flags().StringVar(&f.by, "by", moduleName, "what is judged")
-	c.Flags().StringVar(&f.baseline, "than", lateSeeingName, "what it is judged against")
+	c.Flags().StringVar(&f.out, "out", "found", "directory for the state of the search and its results")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "random seed")
+	c.Flags().IntVar(&f.draws, "draws", 64, "number of random timelines in the first round")
+	c.Flags().IntVar(&f.keep, "keep", 8, "number of the worst timelines to mutate in each round")
+	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes (default the scenario's)")
+	c.Flags().StringVar(&f.by, "by", moduleName, "decider to test")
+	c.Flags().StringVar(&f.baseline, "than", lateSeeingName, "decider to compare with")
 	c.RunE = func(c *cobra.Command, args []string) error { return hunt(c, f, args[0]) }
 	return c
 }
 
 func hunt(c *cobra.Command, f huntFlags, path string) error {
 	if f.draws < 1 || f.keep < 1 || f.keep > f.draws || f.draws > 100000 {
-		return fmt.Errorf("--draws, --keep: expected 1 to 100,000 and no more kept than drawn, got %d and %d", f.draws, f.keep)
+		return fmt.Errorf("--draws, --keep: expected 1 to 100,000 and --keep at most --draws, got %d and %d", f.draws, f.keep)
 	}
 	base, err := readScenario(path, f.nodes)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// play plays both deciders on one scenario and seed.
+// runBoth runs the tested decider and the baseline on one scenario and seed.
 func (f *huntFlags) runBoth(ctx context.Context, s *scenario.Scenario, seed uint64) (faultsearch.Score, error) {
 	judged, err := runVirtual(ctx, virtualRun{s, seed, f.by})
 	if err != nil {
--- a/cmd/fawnglade-lab/main.go
+++ b/cmd/fawnglade-lab/main.go
@@ -1,5 +1,5 @@
-// Fawnglade-lab emulates the platform around fawnglade nodes: it plays scenarios with faults, on sockets or in virtual
-// time, and judges the nodes by them. Each command has a file; program.go finds the node under test.
+// Fawnglade-lab emulates the platform around fawnglade nodes. It runs scenarios with faults, on sockets or in virtual
+// time, and checks the behavior of the nodes. Each command has a file; program.go locates the node under test.
 package main
 
 import (
@@ -17,10 +17,10 @@
 const (
 	exitPassed = 0
 	exitFailed = 1 // an expectation did not hold or a rule was broken
-	exitNotRun = 2 // it could not run, or the machine ran late
+	exitNotRun = 2 // the command could not run, or the lab lagged so that the results are void
 )
 
-// errNotPassed ends a command whose runs were played and did not hold.
+// errNotPassed is returned by a command whose runs completed and did not meet their expectations.
 var errNotPassed = errors.New("not as expected")
 
 func main() {
@@ -48,12 +48,12 @@
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "fawnglade-lab",
-		Short: "Play days around real fawnglade nodes, with faults, and judge them",
-		Long: `Play days around real fawnglade nodes, with faults, and judge them.
+		Short: "Run scenarios with faults around real fawnglade nodes and check the nodes",
+		Long: `Run scenarios with faults around real fawnglade nodes and check the nodes.
 
-Servers, discovery, clients and faults are stood in for on addresses in 127.0.0.0/8; the nodes are real processes.
-Exit code 0: all held. 1: an expectation did not hold or a rule was broken. 2: it could not run, or the machine
-ran so late that nothing can be said.`,
+Servers, discovery, clients and faults are emulated on addresses in 127.0.0.0/8; the nodes are real processes.
+Exit code 0: all expectations held. 1: an expectation did not hold or a rule was broken. 2: the command could not run,
+or the lab itself lagged so much that the results are void.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/fawnglade-lab/main_test.go
+++ b/cmd/fawnglade-lab/main_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-var binDir string // where the programs are that TestMain has built
+var binDir string // directory of the programs that TestMain built
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "lab-test-")
@@ -35,7 +35,7 @@
 	os.Exit(code)
 }
 
-// lab runs the program, and returns its exit code and what it wrote to standard output and standard error.
+// runLab runs fawnglade-lab, and returns its exit code, standard output and standard error.
 func runLab(t *testing.T, args ...string) (code int, out, stderrText string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -77,12 +77,12 @@
 		"no result there":  {[]string{"report", t.TempDir()}, "no such file"},
 	} {
 		if code, out, stderrText := runLab(t, c.args...); code != exitNotRun || out != "" || !strings.Contains(stderrText, c.want) {
-			t.Errorf("%s: exit %d, %q on standard output, %q; want exit 2 and %q", name, code, out, stderrText, c.want)
+			t.Errorf("%s: got exit code %d, stdout %q, stderr %q; want exit code 2, no stdout and %q in stderr", name, code, out, stderrText, c.want)
 		}
 	}
 }
 
-// The demo around a real node: a fault, a drain, a result, exit 0. Then its report.
+// TestDemo checks the demo with a real node, including its fault and its drain: exit code, figures and report page.
 func TestDemo(t *testing.T) {
 	var code int
 	var out, stderrText string
@@ -91,20 +91,20 @@
 			break
 		}
 	}
-	if strings.Contains(stderrText, "ran late") {
+	if strings.Contains(stderrText, "lab lagged") {
 		t.Skip(stderrText)
 	}
 	var r map[string]any
 	if err := json.Unmarshal([]byte(out), &r); err != nil || code != exitPassed || stderrText != "" {
-		t.Fatalf("exit %d, %v: %s %s", code, err, out, stderrText)
+		t.Fatalf("got exit code %d, JSON error %v, stdout %s, stderr %s; want exit code 0, JSON and no stderr", code, err, out, stderrText)
 	}
 	for _, name := range []string{"satisfied", "declined", "broken_off", "lost", "rules_broken", "earnings_in_time", "p50_ms", "p99_ms"} {
 		if _, there := r[name].(float64); !there {
-			t.Errorf("%s is not in the result", name)
+			t.Errorf("result lacks the figure %s", name)
 		}
 	}
 	if r["satisfied"].(float64) < 1000 {
-		t.Errorf("%v satisfied, want over a thousand", r["satisfied"])
+		t.Errorf("got %v succeeded requests, want at least 1000", r["satisfied"])
 	}
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "result.json"), []byte(out), 0o600); err != nil {
@@ -115,11 +115,12 @@
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	if err != nil || bytes.Count(page, []byte("<svg")) != 5 || bytes.Contains(page, []byte("<script")) || bytes.Contains(page, []byte("src=")) {
-		t.Errorf("%d plots in the page, %v; want five and nothing fetched", bytes.Count(page, []byte("<svg")), err)
+		t.Errorf("got %d plots in the page, error %v; want 5 plots and no external resources", bytes.Count(page, []byte("<svg")), err)
 	}
 }
 
-// Two baselines on one scenario in virtual time, and the page that shows both.
+// TestReportShowsRunsSideBySide runs two baselines on one scenario in virtual time and checks the page that compares
+// them. A run of another scenario must be rejected.
 func TestReportShowsRunsSideBySide(t *testing.T) {
 	dir, scenarioPath := t.TempDir(), filepath.Join("..", "..", "lab", "scenarios", "slow.toml")
 	dirs := []string{filepath.Join(dir, "random", "slow"), filepath.Join(dir, "round-robin", "slow")}
@@ -135,32 +136,32 @@
 	}
 	page, err := os.ReadFile(path)
 	if err != nil || bytes.Count(page, []byte("<svg")) != 5 || !bytes.Contains(page, []byte("<td>"+dirs[1]+"</td>")) {
-		t.Errorf("%d plots in the page, %v; want five and a row for each", bytes.Count(page, []byte("<svg")), err)
+		t.Errorf("got %d plots in the page, error %v; want 5 plots and a row for each run", bytes.Count(page, []byte("<svg")), err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "result.json"), []byte(`{"scenario": "calm"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if code, _, stderrText := runLab(t, "report", dirs[0], dir); code != exitNotRun || !strings.Contains(stderrText, "a run of calm, expected one of slow") {
-		t.Errorf("another day beside it: exit %d, %s", code, stderrText)
+		t.Errorf("report of two scenarios: got exit code %d, stderr %s; want exit code 2 and an error that names both", code, stderrText)
 	}
 }
 
-// Some of the shipped scenarios around real nodes.
+// TestShippedScenariosPass runs some of the shipped scenarios with real nodes.
 func TestShippedScenariosPass(t *testing.T) {
 	var paths []string
 	for _, name := range []string{"calm", "drained", "fail-fast", "nodes-killed", "bad-clients", "between/halves", "between/to-servers"} {
 		paths = append(paths, filepath.Join("..", "..", "lab", "scenarios", name+".toml"))
 	}
 	code, out, stderrText := runLab(t, append([]string{"run", "--retry", "3"}, paths...)...)
-	if strings.Contains(stderrText, "ran late") {
+	if strings.Contains(stderrText, "lab lagged") {
 		t.Skip(stderrText)
 	}
 	if code != exitPassed {
-		t.Errorf("exit %d: %s\n%s", code, stderrText, out)
+		t.Errorf("got exit code %d, want 0; stderr %s\nstdout %s", code, stderrText, out)
 	}
 }
 
-// An expectation that does not hold is exit 1, and is named.
+// TestRunNamesMissedExpectation checks that a missed expectation is printed and gives exit code 1.
 func TestRunNamesMissedExpectation(t *testing.T) {
 	text, err := os.ReadFile("demo.toml")
 	if err != nil {
@@ -168,11 +169,11 @@
 	}
 	path := writeScenario(t, strings.NewReplacer(`"10s"`, `"6s"`, "earnings_in_time_min = 0.9", "p99_max = \"1ms\"").Replace(string(text)))
 	code, out, stderrText := runLab(t, "run", "--retry", "3", path)
-	if strings.Contains(stderrText, "ran late") {
+	if strings.Contains(stderrText, "lab lagged") {
 		t.Skip(stderrText)
 	}
 	if code != exitFailed || !strings.Contains(out, "not as expected: 99th percentile") {
-		t.Errorf("exit %d: %s %s", code, out, stderrText)
+		t.Errorf("got exit code %d, stdout %s, stderr %s; want exit code 1 and the missed 99th percentile", code, out, stderrText)
 	}
 }
 
@@ -183,7 +184,7 @@
 	}
 	path := writeScenario(t, strings.Replace(string(text), `length = "10s"`, `length = "5s"`, 1))
 	code, out, stderrText := runLab(t, "compare", path, "--a", "plain:round-robin", "--b", filepath.Join(binDir, "fawnglade"), "--pairs", "2", "--json")
-	if strings.Contains(stderrText, "ran late") {
+	if strings.Contains(stderrText, "lab lagged") {
 		t.Skip(stderrText)
 	}
 	var c struct {
@@ -195,14 +196,14 @@
 		}
 	}
 	if err := json.Unmarshal([]byte(out), &c); err != nil || code != exitPassed {
-		t.Fatalf("exit %d, %v: %s %s", code, err, out, stderrText)
+		t.Fatalf("got exit code %d, JSON error %v, stdout %s, stderr %s; want exit code 0 and JSON", code, err, out, stderrText)
 	}
 	if c.Pairs+c.Void != 2 || c.BrokenB != 0 || c.Differences[0].Name != "earnings_in_time" || len(c.Differences[0].A) != c.Pairs {
-		t.Errorf("%s", out)
+		t.Errorf("got %s, want 2 pairs in all, no broken rules in B and a value of earnings_in_time for each valid pair", out)
 	}
 }
 
-// Whatever ends the lab, its nodes end too.
+// TestNodesEndWhenLabEnds guards against node processes that outlive a lab that was interrupted or killed.
 func TestNodesEndWhenLabEnds(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
 		c := exec.Command(filepath.Join(binDir, "fawnglade-lab"), "demo", "--seconds", "60")
@@ -212,7 +213,7 @@
 		var node string
 		for end := time.Now().Add(20 * time.Second); node == ""; time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("no node started")
+				t.Fatal("no node process started within 20 s")
 			}
 			children, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", c.Process.Pid))
 			for _, path := range children {
@@ -228,22 +229,23 @@
 			t.Fatal(err)
 		}
 		if s == syscall.SIGINT && c.ProcessState.ExitCode() != exitNotRun {
-			t.Errorf("interrupted: exit %d, want 2", c.ProcessState.ExitCode())
+			t.Errorf("after SIGINT: got exit code %d, want 2", c.ProcessState.ExitCode())
 		}
 		for end := time.Now().Add(5 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-			// A process that has ended is a zombie until it is reaped, which some systems do slowly.
+			// A process that has ended remains as a zombie until it is reaped, which is slow on some systems.
 			stat, err := os.ReadFile("/proc/" + node + "/stat")
 			if err != nil || strings.Contains(string(stat), ") Z ") {
 				break
 			}
 			if time.Now().After(end) {
-				t.Fatalf("after %v node %s still runs", s, node)
+				t.Fatalf("node process still runs 5 s after %v to the lab: PID %s", s, node)
 			}
 		}
 	}
 }
 
-// The gate at a small size has a fixed verdict, as nothing in it depends on real time.
+// TestGate checks that the gate passes the shipped fleet scenarios at a small size, that its output is deterministic in
+// virtual time, and that it fails a decider that chooses at random.
 func TestGate(t *testing.T) {
 	scenarioPaths, err := filepath.Glob("../../lab/scenarios/fleet/*.toml")
 	if err != nil || len(scenarioPaths) < 7 {
@@ -251,11 +253,11 @@
 	}
 	scenarioPaths = slices.DeleteFunc(scenarioPaths, func(path string) bool { return strings.HasSuffix(path, "long.toml") })
 	code, first, stderrText := runLab(t, append([]string{"gate", "--nodes", "12"}, scenarioPaths...)...)
-	if code != 0 || !strings.Contains(first, fmt.Sprintf("gate passed: %d days", len(scenarioPaths))) {
-		t.Errorf("exit %d, %s\n%s", code, stderrText, first)
+	if code != 0 || !strings.Contains(first, fmt.Sprintf("gate passed: %d runs", len(scenarioPaths))) {
+		t.Errorf("got exit code %d, want 0 and the line that the gate passed; stderr %s\nstdout %s", code, stderrText, first)
 	}
 	if _, again, _ := runLab(t, append([]string{"gate", "--nodes", "12"}, scenarioPaths...)...); again != first {
-		t.Errorf("a second run differs:\n%s\n%s", first, again)
+		t.Errorf("two gate runs with the same seeds differ:\n%s\n%s", first, again)
 	}
 	text, err := os.ReadFile("../../lab/scenarios/fleet/calm.toml")
 	if err != nil {
@@ -264,7 +266,7 @@
 	strict := strings.Replace(string(text), "seeing_part_min = 0.95", "seeing_part_min = 1", 1)
 	code, out, _ := runLab(t, "gate", "--nodes", "12", "--by", "random", writeScenario(t, strict))
 	if code != 1 || !strings.Contains(out, "gate failed: calm, seed 1: in time") {
-		t.Errorf("a random choice passes: exit %d\n%s", code, out)
+		t.Errorf("gate with random choice: got exit code %d, want 1 and a failure of calm; stdout\n%s", code, out)
 	}
 }
 
@@ -284,7 +286,7 @@
 		"hunt":     {[]string{"hunt", "../../lab/scenarios/calm.toml", "--draws", "8", "--keep", "2", "--out", dir + "/h"}, 0, "calm-found-1.toml: loses"},
 	} {
 		if code, out, stderrText := runLab(t, c.args...); code != c.code || !strings.Contains(out+stderrText, c.want) {
-			t.Errorf("%s: exit %d, expected %d and %q in\n%s%s", name, code, c.code, c.want, out, stderrText)
+			t.Errorf("%s: got exit code %d, want %d and %q in the output\n%s%s", name, code, c.code, c.want, out, stderrText)
 		}
 	}
 }
--- a/cmd/fawnglade-lab/members.go
+++ b/cmd/fawnglade-lab/members.go
@@ -18,12 +18,12 @@
 	maxMembers         = 4096
 	maxMemberProcesses = 64
 	maxMemberLoss      = 0.9
-	measureMaxRounds   = 400 // after which a death that is not known everywhere is an error
+	measureMaxRounds   = 400 // protocol periods after which it is an error if not all nodes know of a death
 	minMembersRound    = 50 * time.Millisecond
 	minMembersWatched  = time.Second
 )
 
-// membersFlags are those of the members command.
+// membersFlags holds the flags of the members command.
 type membersFlags struct {
 	nodes         []int
 	losses        []float64
@@ -43,28 +43,29 @@
 func newMembersCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "members",
-		Short: "Measure how nodes find out which of them are there",
-		Long: `Measure how nodes find out which of them are there: seconds until all know of a death, doubts against well nodes, messages.
+		Short: "Measure membership: failure detection time, false suspicions, message rate",
+		Long: `Measure membership: seconds until all nodes know of a death, suspicions against healthy nodes, message rate.
 
-In virtual time the members' core alone plays, the same figures with the same seed; with --processes real ones do, over relays.`,
+By default only the membership protocol runs, in virtual time, with the same figures for the same seed. With --processes
+real nodes run, and their datagrams pass through proxies of the lab.`,
 		Example: "  fawnglade-lab members --nodes 12,40,300 --loss 0,0.1,0.3\n" +
 			"  fawnglade-lab members --nodes 12 --loss 0.3 --processes --watch 30s",
 		Args: cobra.NoArgs,
 	}
 	var f membersFlags
-	c.Flags().IntSliceVar(&f.nodes, "nodes", []int{12, 40, 300}, "sizes of the fleet")
-	c.Flags().Float64SliceVar(&f.losses, "loss", []float64{0, 0.1, 0.3}, "parts of the messages that are lost")
-	c.Flags().IntVar(&f.burst, "burst", 1, "so many messages of a way in a row meet the same fate")
-	c.Flags().DurationVar(&f.watch, "watch", time.Minute, "how long well nodes are watched")
-	c.Flags().IntVar(&f.deaths, "deaths", 5, "nodes killed one after another")
-	c.Flags().DurationVar(&f.round, "round", 500*time.Millisecond, "of the members")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "of all that is drawn, in virtual time")
-	c.Flags().BoolVar(&f.processes, "processes", false, "with processes on loopback, 64 at most")
-	c.Flags().StringVar(&f.node, "node", "", "the node's command; by default the program beside this one")
-	c.Flags().BoolVar(&f.asJSON, "json", false, "print a list of JSON objects")
-	c.Flags().StringVar(&f.plot, "plot", "", "leave a picture, as PNG or SVG; with --from of figures that were kept")
-	c.Flags().StringSliceVar(&f.from, "from", nil, "measure nothing: files of --json, in virtual time")
-	c.Flags().StringSliceVar(&f.fromProcesses, "from-processes", nil, "and with processes")
+	c.Flags().IntSliceVar(&f.nodes, "nodes", []int{12, 40, 300}, "numbers of nodes to measure")
+	c.Flags().Float64SliceVar(&f.losses, "loss", []float64{0, 0.1, 0.3}, "fractions of messages lost to measure, 0 to under 0.9")
+	c.Flags().IntVar(&f.burst, "burst", 1, "number of consecutive messages on a link that are lost or delivered together")
+	c.Flags().DurationVar(&f.watch, "watch", time.Minute, "duration of the measurement without failures")
+	c.Flags().IntVar(&f.deaths, "deaths", 5, "number of nodes to kill, one after another")
+	c.Flags().DurationVar(&f.round, "round", 500*time.Millisecond, "protocol period")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "random seed, in virtual time")
+	c.Flags().BoolVar(&f.processes, "processes", false, "run real processes on loopback, 64 at most")
+	c.Flags().StringVar(&f.node, "node", "", "node command (default the program in this program's directory, in bin/ or on the path)")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print the results as a JSON list")
+	c.Flags().StringVar(&f.plot, "plot", "", "write a plot to this PNG or SVG file; with --from, of stored figures")
+	c.Flags().StringSliceVar(&f.from, "from", nil, "plot stored figures instead of measuring: output files of --json in virtual time")
+	c.Flags().StringSliceVar(&f.fromProcesses, "from-processes", nil, "plot stored figures: output files of --json with --processes")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if len(f.from)+len(f.fromProcesses) > 0 {
 			return f.plotStored()
@@ -74,7 +75,7 @@
 	return c
 }
 
-// plotStored plots figures of earlier measurements.
+// plotStored plots stored figures.
 func (f *membersFlags) plotStored() error {
 	virtual, err := readFigures(f.from)
 	processes, errProcesses := readFigures(f.fromProcesses)
@@ -82,7 +83,7 @@
 		return err
 	}
 	if f.plot == "" {
-		return errors.New("--from: expected --plot beside it")
+		return errors.New("--from: expected --plot too, got none")
 	}
 	return fleet.Plot(f.plot, virtual, processes)
 }
@@ -111,7 +112,7 @@
 	}
 	for _, loss := range f.losses {
 		if loss < 0 || loss >= maxMemberLoss {
-			return fmt.Errorf("--loss: expected a part from 0 to under 0.9, got %g", loss)
+			return fmt.Errorf("--loss: expected a fraction from 0 to under 0.9, got %g", loss)
 		}
 	}
 	if f.watch < minMembersWatched || f.deaths < 1 || f.round < minMembersRound || f.burst < 1 {
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// measureAll measures each size with each loss, and prints a line after each.
+// measureAll measures every fleet size with every loss, and prints a line after each.
 func (f *membersFlags) measureAll(c *cobra.Command, command []string) ([]*fleet.Figures, error) {
 	var all []*fleet.Figures
 	for _, nodes := range f.nodes {
--- a/cmd/fawnglade-lab/output.go
+++ b/cmd/fawnglade-lab/output.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// printf writes formatted text, and tells whether it could be written.
+// printf writes formatted text and returns the error of the write.
 func printf(w io.Writer, format string, args ...any) error {
 	_, err := fmt.Fprintf(w, format, args...)
 	return err
@@ -24,7 +24,7 @@
 	return printf(w, "%s\n", text)
 }
 
-// isTerminal tells whether a file is a terminal that can show progress.
+// isTerminal reports whether a file is a terminal that can show progress.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
@@ -34,7 +34,7 @@
 	return term != "" && term != "dumb"
 }
 
-// newLogger logs to standard error if verbose, else nowhere.
+// newLogger returns a logger to standard error if verbose, else one that discards everything.
 func newLogger(verbose bool) *zap.Logger {
 	if !verbose {
 		return zap.NewNop()
--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -21,22 +21,22 @@
 //go:embed demo.toml
 var demoText []byte
 
-// runOptions are those of one run on sockets.
+// runOptions are the options of one run on sockets.
 type runOptions struct {
 	scenario *scenario.Scenario
 	seed     uint64
-	node     []string // the command line of the node under test
-	out      string   // directory for the nodes' logs; empty: none are kept
+	node     []string // command line of the node under test
+	out      string   // directory for the nodes' logs; empty: logs are not kept
 	verbose  bool
 }
 
-// runOnSockets plays a scenario once around processes of the node under test.
+// runOnSockets runs a scenario once, with processes of the node under test.
 func runOnSockets(ctx context.Context, o runOptions) (*result.Result, error) {
 	s := o.scenario
 	options := emulator.Options{Scenario: s, Seed: o.seed, Start: emulator.Command(o.node), LogDir: o.out, Log: newLogger(o.verbose)}
 	if isTerminal(os.Stderr) {
 		options.Progress = func(at, length time.Duration, settled, requests int) {
-			fmt.Fprintf(os.Stderr, "\r\033[K%s: %.0f of %.0f s, %d of %d tasks settled",
+			fmt.Fprintf(os.Stderr, "\r\033[K%s: %.0f of %.0f s, %d of %d requests finished",
 				s.Name, min(at, length).Seconds(), length.Seconds(), settled, requests)
 		}
 		defer fmt.Fprint(os.Stderr, "\r\033[K")
@@ -48,13 +48,13 @@
 	return result.FromTrace(s, trace), nil
 }
 
-// verdictError returns the error of a command by the verdicts of its runs; nil if all held.
+// verdictError returns the error of a command from the verdicts of its runs; nil if all held.
 func verdictError(results []*result.Result) error {
 	var err error
 	for _, r := range results {
 		switch r.Verdict {
 		case result.Void:
-			return fmt.Errorf("%s: the machine ran late by %.0f ms: play it again with less beside it", r.Scenario, r.LateMs)
+			return fmt.Errorf("%s: void, the lab lagged by %.0f ms (95th percentile): run again with less load on the machine", r.Scenario, r.LateMs)
 		case result.FellShort:
 			err = errNotPassed
 		}
@@ -62,7 +62,7 @@
 	return err
 }
 
-// readScenario reads a scenario file; nodes replaces the number of its nodes unless it is 0.
+// readScenario reads a scenario file. Unless nodes is 0, it replaces the scenario's number of nodes.
 func readScenario(path string, nodes int) (*scenario.Scenario, error) {
 	s, err := scenario.Read(path)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return s, nil
 }
 
-// The shortest and the longest demo, seconds.
+// Bounds of the demo's length.
 const (
 	minDemoSeconds = 6
 	maxDemoSeconds = 600
@@ -85,14 +85,14 @@
 func newDemoCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "demo",
-		Short: "Play a short day with one fault and a drain, without any file",
+		Short: "Run a short built-in scenario with one fault and a drain",
 		Example: "  fawnglade-lab demo\n" +
 			"  fawnglade-lab demo --seconds 20 --json",
 		Args: cobra.NoArgs,
 	}
-	seconds := c.Flags().Int("seconds", 10, "how long the day lasts, 6 at least")
-	asJSON := c.Flags().Bool("json", false, "print one JSON object")
-	node := c.Flags().String("node", "", "the node's program; by default the one beside this program")
+	seconds := c.Flags().Int("seconds", 10, "length of the scenario, seconds, at least 6")
+	asJSON := c.Flags().Bool("json", false, "print the result as one JSON object")
+	node := c.Flags().String("node", "", "node program (default the one in this program's directory, in bin/ or on the path)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if *seconds < minDemoSeconds || *seconds > maxDemoSeconds {
 			return fmt.Errorf("--seconds: expected %d to %d, got %d", minDemoSeconds, maxDemoSeconds, *seconds)
@@ -120,7 +120,7 @@
 	return c
 }
 
-// runFlags are those of the run command.
+// runFlags holds the flags of the run command.
 type runFlags struct {
 	seed    uint64
 	out     string
@@ -136,11 +136,11 @@
 func newRunCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "run SCENARIO...",
-		Short: "Play scenarios and say whether they hold",
-		Long: `Play scenarios and say whether they hold.
+		Short: "Run scenarios and report whether their expectations hold",
+		Long: `Run scenarios and report whether their expectations hold.
 
-With --out DIR each run leaves DIR/NAME/result.json and the nodes' logs there; "report" makes a page of it.
---retry plays a day again, up to that often, on which the machine ran late.`,
+With --out DIR each run writes DIR/NAME/result.json and the nodes' logs; "report" makes a page of them.
+--retry repeats a void run, in which the lab itself lagged, up to that many times.`,
 		Example: "  fawnglade-lab run lab/scenarios/calm.toml\n" +
 			"  fawnglade-lab run lab/scenarios/*.toml --out out --json\n" +
 			"  fawnglade-lab run lab/scenarios/slow.toml --node plain:random\n" +
@@ -149,21 +149,21 @@
 		Args: cobra.MinimumNArgs(1),
 	}
 	var f runFlags
-	c.Flags().Uint64Var(&f.seed, "seed", 0, "seed of all that is drawn; 0: the scenario's")
+	c.Flags().Uint64Var(&f.seed, "seed", 0, "random seed; 0: the scenario's")
 	c.Flags().StringVar(&f.out, "out", "", "directory for results and logs")
-	c.Flags().BoolVar(&f.asJSON, "json", false, "print one JSON object, or a list of them for several scenarios")
-	c.Flags().StringVar(&f.node, "node", "", "the node's command, or plain:KIND; by default the program beside this one")
-	c.Flags().BoolVar(&f.verbose, "verbose", false, "say on standard error what the rig sees")
-	c.Flags().IntVar(&f.retries, "retry", 1, "how often to play again where the machine ran late")
-	c.Flags().BoolVar(&f.virtual, "virtual", false, "play in virtual time: no sockets, no processes, the same figures each time")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print the result as one JSON object, or as a list for several scenarios")
+	c.Flags().StringVar(&f.node, "node", "", "node command or plain:KIND (default the program in this program's directory, in bin/ or on the path)")
+	c.Flags().BoolVar(&f.verbose, "verbose", false, "log events of the lab to standard error")
+	c.Flags().IntVar(&f.retries, "retry", 1, "maximum number of repeats of a run in which the lab lagged")
+	c.Flags().BoolVar(&f.virtual, "virtual", false, "run in virtual time: no sockets, no processes, deterministic figures")
 	c.Flags().StringVar(&f.by, "by", moduleName,
-		"what decides in virtual time: "+moduleName+" or "+strings.Join(baseline.Names(), ", "))
-	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes in place of the scenario's; its load stays")
+		"decider in virtual time: "+moduleName+" or "+strings.Join(baseline.Names(), ", "))
+	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes (default the scenario's); the load does not change")
 	c.RunE = func(c *cobra.Command, paths []string) error { return runScenarios(c, f, paths) }
 	return c
 }
 
-// runScenarios plays scenarios in turn, after it has read all of them.
+// runScenarios reads all scenarios and then runs one after another.
 func runScenarios(c *cobra.Command, f runFlags, paths []string) error {
 	scenarios, err := readScenarios(paths, f.nodes)
 	if err != nil {
@@ -202,7 +202,7 @@
 	return verdictError(results)
 }
 
-// readScenarios reads all files before it changes any number of nodes, so that a file with an error is named first.
+// readScenarios reads all files before it changes any number of nodes, so that errors in files are reported first.
 func readScenarios(paths []string, nodes int) ([]*scenario.Scenario, error) {
 	var scenarios []*scenario.Scenario
 	for _, path := range paths {
@@ -223,7 +223,7 @@
 	return scenarios, nil
 }
 
-// play plays one scenario, and stores its result if a directory is given.
+// runScenario runs one scenario, and stores its result if an output directory is set.
 func (f *runFlags) runScenario(ctx context.Context, s *scenario.Scenario, command []string) (*result.Result, error) {
 	seed := s.Seed
 	if f.seed != 0 {
@@ -251,7 +251,7 @@
 	return r, nil
 }
 
-// runWithRetries plays again while the machine runs late.
+// runWithRetries repeats a void run, at most f.retries times.
 func (f *runFlags) runWithRetries(ctx context.Context, o runOptions) (*result.Result, error) {
 	for retry := 0; ; retry++ {
 		r, err := runOnSockets(ctx, o)
--- a/cmd/fawnglade-lab/program.go
+++ b/cmd/fawnglade-lab/program.go
@@ -12,17 +12,17 @@
 	"fawnglade/internal/lab/emulator"
 )
 
-// nodeProgram is the file name of a node's program, and the name of the project's own decisions in virtual time.
+// nodeProgram is the file name of the node program, and the name of the project's own decider in virtual time.
 const nodeProgram = "fawnglade"
 
-// serveArgument is what a node's program is started with unless a whole command line is given.
+// serveArgument is the argument with which a node program is started unless a whole command line is given.
 const serveArgument = "serve"
 
-// relayProxy is the kind of proxy that reads nothing of what it passes on, as a base for a node's cost.
+// relayProxy is the kind of proxy that forwards bytes without parsing them. It is the baseline of the cost command.
 const relayProxy = "relay"
 
-// nodeCommand returns the command line of the node under test: the given one, else the program beside this one, in
-// bin/, or on the path.
+// nodeCommand returns the command line of the node under test: the given one if not empty, else that of the node
+// program in this program's directory, in bin/ or on the path.
 func nodeCommand(given string) ([]string, error) {
 	if given != "" {
 		return parseCommand(given)
@@ -38,18 +38,18 @@
 	if onPath, err := exec.LookPath(nodeProgram); err == nil {
 		return []string{onPath, serveArgument}, nil
 	}
-	return nil, errors.New("no node found beside this program, in bin/ or on the path: build it with make build or give --node")
+	return nil, errors.New("no node program found in this program's directory, in bin/ or on the path: build it with make build or set --node")
 }
 
-// parseCommand returns the command line of what a user calls a node: plain:KIND for a built-in proxy, the path of a
-// node's program, or a whole command line.
+// parseCommand returns the command line for a node as given by a user: plain:KIND for a built-in proxy, the path of a
+// node program, or a whole command line.
 func parseCommand(text string) ([]string, error) {
 	if kind, plain := strings.CutPrefix(text, "plain:"); plain {
 		return proxyCommand(text, kind)
 	}
 	words := strings.Fields(text)
 	if len(words) == 0 {
-		return nil, errors.New("expected a command, got none")
+		return nil, errors.New("expected a node command, got an empty one")
 	}
 	path, err := exec.LookPath(words[0])
 	if err != nil {
--- a/cmd/fawnglade-lab/proxy.go
+++ b/cmd/fawnglade-lab/proxy.go
@@ -9,9 +9,9 @@
 	"github.com/spf13/cobra"
 )
 
-// newProxyCommand runs a plain proxy in a process of its own, in the place of a node.
+// newProxyCommand returns the hidden command that runs a reference proxy in place of a node.
 func newProxyCommand() *cobra.Command {
-	c := &cobra.Command{Use: "proxy", Short: "Run a plain proxy to measure against", Hidden: true, Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "proxy", Short: "Run a reference proxy in place of a node", Hidden: true, Args: cobra.NoArgs}
 	kind := c.Flags().String("kind", "random", strings.Join(emulator.ReferenceProxyKinds, ", "))
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		configuration := os.Getenv("NODE_CONFIG")
--- a/cmd/fawnglade-lab/report.go
+++ b/cmd/fawnglade-lab/report.go
@@ -16,18 +16,18 @@
 func newReportCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "report DIR...",
-		Short: "Make one page with plots of a run that was kept with --out, or of several side by side",
-		Long: `Make one page with plots of a run that was kept with --out: DIR/report.html.
+		Short: "Make an HTML page with plots of a stored run, or of several runs side by side",
+		Long: `Make an HTML page with plots of a run that was stored with --out: DIR/report.html.
 
-With several directories the page shows them side by side, each under its path, by second: earnings, answer times, how unevenly
-the servers were loaded, and, of runs in virtual time, connections, resends and second copies of all nodes.`,
+With several directories the page compares the runs, each named by its path, with plots over time of earnings in time, latency and
+the spread of load over the servers and, for runs in virtual time, connections, retries and hedged requests of all nodes.`,
 		Example: "  fawnglade-lab run lab/scenarios/slow.toml --out out\n" +
 			"  fawnglade-lab report out/slow\n" +
 			"  fawnglade-lab report out/slow older/slow --page beside.html",
 		Args: cobra.RangeArgs(1, 7),
 	}
 	page := c.Flags().String("page", "",
-		"where the page goes (default report.html in the directory, beside.html here if there are several)")
+		"path of the page (default DIR/report.html, or beside.html in the working directory for several runs)")
 	c.RunE = func(c *cobra.Command, dirs []string) error {
 		results, err := loadResults(dirs)
 		if err != nil {
@@ -51,7 +51,7 @@
 	return c
 }
 
-// loadResults loads results that are all of one scenario.
+// loadResults loads results, which must all be of the same scenario.
 func loadResults(dirs []string) ([]*result.Result, error) {
 	var results []*result.Result
 	for _, dir := range dirs {
--- a/cmd/fawnglade-lab/scale.go
+++ b/cmd/fawnglade-lab/scale.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 )
 
-// scaleFlags are those of the scale command.
+// scaleFlags holds the flags of the scale command.
 type scaleFlags struct {
 	only       []string
 	sizes      []float64
@@ -28,7 +28,7 @@
 	limits     scale.Limits
 }
 
-// figureFlags are the fields of the design and the limits that have a flag, by its name.
+// figureFlags returns the fields of the design and the limits that have a flag, by flag name.
 func (f *scaleFlags) figureFlags() map[string]*float64 {
 	return map[string]*float64{
 		"design-nodes":   &f.design.Nodes,
@@ -47,12 +47,12 @@
 	}
 	c := &cobra.Command{
 		Use:   "scale",
-		Short: "Measure how the costs of a node's control grow, and set them beside their limits",
-		Long: `Measure how the costs of a node's control grow with servers, services, classes, tenants and nodes. A line is fitted to each figure, and
-drawn out to the size that the operators design for; where the line breaks, the table says beyond which size.
+		Short: "Measure how the cost of a node's control plane grows, and compare it with limits",
+		Long: `Measure how the cost of a node's control plane grows with the number of servers, services, classes, tenants and nodes. A line is
+fitted to each figure and extrapolated to the design size. If the points leave the line, the table names the size up to which it holds.
 
-What can be measured: ` + strings.Join(probes, ", ") + `.
-Sizes that would take over half of the machine's memory, or more than 200 processes, are refused.`,
+Probes: ` + strings.Join(probes, ", ") + `.
+Sizes that need more than half of the machine's memory, or more than 200 processes, are rejected.`,
 		Example: "  fawnglade-lab scale --json slopes.json --plot slopes.png\n" +
 			"  fawnglade-lab scale --only decisions --sizes 1200,4000,12000,40000",
 		Args: cobra.NoArgs,
@@ -61,7 +61,7 @@
 	f.addTo(c)
 	c.RunE = func(c *cobra.Command, _ []string) error { return runScale(c, f) }
 	c.AddCommand(&cobra.Command{
-		Use: "hollow FILE", Short: "Run the hollow nodes of a file; scale starts this by itself",
+		Use: "hollow FILE", Short: "Run the hollow nodes of a configuration file; started by scale",
 		Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error { return scale.RunHollow(args[0], c.OutOrStdout()) },
 	})
@@ -70,34 +70,34 @@
 
 func (f *scaleFlags) addTo(c *cobra.Command) {
 	flags := c.Flags()
-	flags.StringSliceVar(&f.only, "only", nil, "measure these alone")
-	flags.Float64SliceVar(&f.sizes, "sizes", nil, "at these sizes; four at least, the last ten times the first")
-	flags.BoolVar(&f.quick, "quick", false, "small sizes and short watches: a look, not a figure")
-	flags.StringVar(&f.node, "node", "", "the node's command; by default the program beside this one")
-	flags.StringVar(&f.jsonPath, "json", "", "leave the result in a file as JSON; - prints it in place of the table")
-	flags.StringVar(&f.plotPath, "plot", "", "leave a picture as PNG, with the limits drawn in")
-	flags.StringVar(&f.designPath, "design", "", "TOML with [design] and [limits] that go before the operators' figures")
-	flags.StringSliceVar(&f.from, "from", nil, "measure nothing: show files of --json, the later going before the earlier")
-	flags.Float64Var(&f.design.Nodes, "design-nodes", f.design.Nodes, "nodes to design for")
-	flags.Float64Var(&f.design.Endpoints, "design-servers", f.design.Endpoints, "servers to design for")
-	flags.Float64Var(&f.design.Tenants, "design-tenants", f.design.Tenants, "tenants to design for")
-	flags.Float64Var(&f.limits.Cores, "limit-cores", f.limits.Cores, "part of a core that control may use of a node")
-	flags.Float64Var(&f.limits.MemoryBytes, "limit-bytes", f.limits.MemoryBytes, "bytes of memory that it may use")
+	flags.StringSliceVar(&f.only, "only", nil, "probes, or single figures as PROBE.FIGURE, to measure (default all)")
+	flags.Float64SliceVar(&f.sizes, "sizes", nil, "sizes to measure at, in order; at least four, the last at least ten times the first")
+	flags.BoolVar(&f.quick, "quick", false, "small sizes and short measurements: a smoke test, not valid figures")
+	flags.StringVar(&f.node, "node", "", "node command (default the program in this program's directory, in bin/ or on the path)")
+	flags.StringVar(&f.jsonPath, "json", "", "write the result to this file as JSON; -: print it instead of the table")
+	flags.StringVar(&f.plotPath, "plot", "", "write a plot with the limits to this PNG file")
+	flags.StringVar(&f.designPath, "design", "", "TOML file with [design] and [limits] that override the defaults")
+	flags.StringSliceVar(&f.from, "from", nil, "show stored results instead of measuring: output files of --json; later files override earlier ones")
+	flags.Float64Var(&f.design.Nodes, "design-nodes", f.design.Nodes, "design size: number of nodes")
+	flags.Float64Var(&f.design.Endpoints, "design-servers", f.design.Endpoints, "design size: number of servers")
+	flags.Float64Var(&f.design.Tenants, "design-tenants", f.design.Tenants, "design size: number of tenants")
+	flags.Float64Var(&f.limits.Cores, "limit-cores", f.limits.Cores, "limit for the control plane of a node: fraction of a CPU core")
+	flags.Float64Var(&f.limits.MemoryBytes, "limit-bytes", f.limits.MemoryBytes, "limit for the control plane of a node: bytes of memory")
 	flags.Float64Var(&f.limits.BytesPerSecond, "limit-bytes-s", f.limits.BytesPerSecond,
-		"bytes a second that it may send and receive")
-	// A stored result is shown as it was measured.
+		"limit for the control plane of a node: bytes per second sent and received")
+	// A stored result is shown as measured, so --from excludes the flags that affect measurements.
 	for _, name := range append([]string{"node"}, measurementFlags...) {
 		c.MarkFlagsMutuallyExclusive("from", name)
 	}
 }
 
-// measurementFlags decide what is measured, in the order in which the command line of a result names them.
+// measurementFlags are the flags that affect measurements, in their order in the command line of a result.
 var measurementFlags = []string{
 	"only", "sizes", "quick", "design", "design-nodes", "design-servers", "design-tenants",
 	"limit-cores", "limit-bytes", "limit-bytes-s",
 }
 
-// commandLine returns the command that repeats a measurement, without the places of this machine's files.
+// commandLine returns the command that repeats a measurement, without paths of this machine.
 func commandLine(c *cobra.Command) string {
 	line := "fawnglade-lab scale"
 	for _, name := range measurementFlags {
@@ -130,7 +130,7 @@
 			return err
 		}
 	} else {
-		result, err = f.measure(c) // a result may come with an error: what was measured before it is shown
+		result, err = f.measure(c) // a partial result may come with an error; it is shown too
 		if result == nil {
 			return err
 		}
@@ -140,7 +140,7 @@
 	return errors.Join(problems...)
 }
 
-// readDesign reads the design file; flags that are given go before it.
+// readDesign reads the design file. Flags on the command line override it.
 func (f *scaleFlags) readDesign(c *cobra.Command) error {
 	given := map[string]float64{}
 	for name, figure := range f.figureFlags() {
@@ -181,7 +181,7 @@
 	return joined, nil
 }
 
-// measure runs the probes. It may return what was measured beside an error.
+// measure runs the probes. It may return a partial result together with an error.
 func (f *scaleFlags) measure(c *cobra.Command) (result *scale.Result, err error) {
 	machine, err := scale.ThisMachine()
 	if err != nil {
@@ -189,7 +189,7 @@
 	}
 	node, err := nodeCommand(f.node)
 	if err != nil {
-		node = nil // probes that need a process say so
+		node = nil // probes that need a node process report that it is missing
 	}
 	var hollow []string
 	if self, err := os.Executable(); err == nil {
@@ -207,7 +207,7 @@
 	})
 }
 
-// write writes a result in the forms that were asked for; one that fails keeps none of the others back.
+// write writes a result in the requested formats. A failure of one format does not prevent the others.
 func (f *scaleFlags) write(c *cobra.Command, result *scale.Result) error {
 	var problems []error
 	if f.plotPath != "" {
--- a/cmd/fawnglade-lab/scale_test.go
+++ b/cmd/fawnglade-lab/scale_test.go
@@ -24,7 +24,8 @@
 	return out
 }
 
-// TestScaleMeasuresNodeProcess has a real process before lists of four sizes, and from disk.
+// TestScaleMeasuresNodeProcess measures a real node process with endpoint lists of four sizes and with a start from
+// persisted state.
 func TestScaleMeasuresNodeProcess(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "slopes.json")
@@ -39,29 +40,29 @@
 	all := slopesByName(t, text)
 	for name, s := range all {
 		if len(s.Points) != 4 || len(s.Notes) > 0 {
-			t.Errorf("%s: %v, %v", name, s.Points, s.Notes)
+			t.Errorf("%s: got points %v and notes %v, want 4 points and no notes", name, s.Points, s.Notes)
 		}
 		if !strings.Contains(out, "\n"+name+" ") || !strings.Contains(stderrText, "1 of 1: process, 500 servers") {
-			t.Errorf("the table lacks %s, or progress is not told: %s", name, stderrText)
+			t.Errorf("the table lacks %s, or standard error lacks the progress line: %s", name, stderrText)
 		}
 	}
-	// By what the stand-in wrote and the node says it remembers, not by time.
+	// These figures do not depend on time: bytes written by the emulated discovery, and entries in the persisted state.
 	if f := all["process.list"].Fit; math.Abs(f.Slope-124) > 5 || f.BreaksBeyond != 0 {
-		t.Errorf("a list of %v bytes a server", f.Slope)
+		t.Errorf("got a list of %v bytes per endpoint, want 119 to 129 and a line that holds", f.Slope)
 	}
 	for _, p := range all["process.remembered"].Points {
 		if p.Value != p.Size {
-			t.Errorf("%v of %v servers remembered", p.Value, p.Size)
+			t.Errorf("got %v endpoints in the persisted state, want %v", p.Value, p.Size)
 		}
 	}
 	for _, p := range all["process.memory"].Points {
 		if p.Value < 1e6 || p.Value > 200e6 {
-			t.Errorf("a node of %v bytes", p.Value)
+			t.Errorf("got a node with %v bytes of memory, want 1e6 to 200e6", p.Value)
 		}
 	}
 }
 
-// TestScaleMeasuresHollowNodes has hollow nodes and a real one know of one another and told the same list.
+// TestScaleMeasuresHollowNodes measures hollow nodes and a real node that share a membership and an endpoint list.
 func TestScaleMeasuresHollowNodes(t *testing.T) {
 	t.Parallel()
 	code, out, stderrText := runLab(t, "scale", "--quick", "--only", "hollow", "--json", "-")
@@ -72,11 +73,11 @@
 	for _, name := range []string{"hollow.memory", "hollow.real", "hollow.idle", "hollow.realidle", "hollow.bytes", "hollow.realbytes", "hollow.bytesratio"} {
 		s := all[name]
 		if len(s.Points) != 4 || len(s.Notes) > 0 {
-			t.Errorf("%s: %v, %v", name, s.Points, s.Notes)
+			t.Errorf("%s: got points %v and notes %v, want 4 points and no notes", name, s.Points, s.Notes)
 		}
 		for _, p := range s.Points {
 			if !(p.Value > 0) {
-				t.Errorf("%s: %v at %v", name, p.Value, p.Size)
+				t.Errorf("%s: got %v at size %v, want a value above 0", name, p.Value, p.Size)
 			}
 		}
 	}
@@ -93,12 +94,13 @@
 	} {
 		code, out, stderrText := runLab(t, append([]string{"scale"}, strings.Fields(c.args)...)...)
 		if code != exitNotRun || out != "" || !strings.Contains(stderrText, c.want) || strings.Count(stderrText, "\n") != 1 {
-			t.Errorf("%s: %d, %q, %q, want one line with %q", c.args, code, out, stderrText, c.want)
+			t.Errorf("scale %s: got exit code %d, stdout %q, stderr %q; want exit code 2 and one line of stderr with %q", c.args, code, out, stderrText, c.want)
 		}
 	}
 }
 
-// A result is shown again without being measured anew, as it was measured.
+// TestScaleShowsStoredResult checks that --from shows a stored result without measuring, and that the stored command
+// names no path of the machine.
 func TestScaleShowsStoredResult(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -107,16 +109,16 @@
 		t.Fatal(code, out, stderrText)
 	}
 	if text, err := os.ReadFile(path); err != nil || strings.Contains(string(text), dir) || !strings.Contains(string(text), `"fawnglade-lab scale --only services --quick"`) {
-		t.Error("the command that is kept names this machine's places, or not what was run: ", err, string(text))
+		t.Error("stored result: want the command that was run and no path of this machine; error and text: ", err, string(text))
 	}
 	code, out, stderrText := runLab(t, "scale", "--from", path, "--plot", picture)
 	if code != exitPassed || stderrText != "" || !strings.Contains(out, "services.memory ") || !strings.Contains(out, "an instance of the decisions with 24 servers stands for one") {
-		t.Error(code, out, stderrText)
+		t.Error("scale --from: want exit code 0, no stderr and the stored table; got ", code, out, stderrText)
 	}
 	if code, _, stderrText := runLab(t, "scale", "--from", path, "--design-servers", "5"); code != exitNotRun || !strings.Contains(stderrText, "from") {
-		t.Error("other figures beside --from: ", code, stderrText)
+		t.Error("scale --from with --design-servers: want exit code 2 and an error about --from; got ", code, stderrText)
 	}
 	if info, err := os.Stat(picture); err != nil || info.Size() < 10_000 {
-		t.Error("no picture: ", err)
+		t.Error("want a plot of at least 10 kB; got ", err)
 	}
 }
--- a/cmd/fawnglade-lab/soak.go
+++ b/cmd/fawnglade-lab/soak.go
@@ -10,10 +10,10 @@
 	"fawnglade/internal/lab/soak"
 )
 
-// maxSoakSeeds bounds one run of the soak command: some six seconds each.
+// maxSoakSeeds bounds one run of the soak command. Each seed takes about six seconds.
 const maxSoakSeeds = 1000
 
-// soakFlags are those of the soak command.
+// soakFlags holds the flags of the soak command.
 type soakFlags struct {
 	seeds     int
 	firstSeed uint64
@@ -24,25 +24,26 @@
 func newSoakCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "Play drawn days around stops and signals, and judge each by the rules",
-		Long: `Play drawn days around stops and signals, and judge each by the rules.
+		Short: "Run random scenarios with stops and signals, and check the invariants",
+		Long: `Run random scenarios with stops and signals, and check the invariants.
 
-Each seed draws endpoints, healthy or not, classes, stops amid other signals, and in some a crowd of clients that keep
-their connections. No rule may be broken and no node may end by itself; with healthy endpoints that have capacity to
-spare every request has to be answered. A seed that does not hold prints its command and keeps its logs under --out.`,
+Each seed draws healthy or faulty endpoints, classes, stops of nodes among other signals and, for some seeds, a crowd of
+clients that keep their connections open. No rule may be broken and no node may end by itself; with healthy endpoints
+that have spare capacity, every request must succeed. For a seed that fails, the command that repeats it is printed.
+The logs of the nodes are kept under --out.`,
 		Example: "  fawnglade-lab soak --seeds 8\n  fawnglade-lab soak --seeds 50 --from 100",
 		Args:    cobra.NoArgs,
 	}
 	var f soakFlags
-	c.Flags().IntVar(&f.seeds, "seeds", 8, "how many seeds to play, one after another")
-	c.Flags().Uint64Var(&f.firstSeed, "from", 1, "the first seed")
-	c.Flags().StringVar(&f.node, "node", "", "the node's program; by default the one beside this program")
+	c.Flags().IntVar(&f.seeds, "seeds", 8, "number of seeds to run, one after another")
+	c.Flags().Uint64Var(&f.firstSeed, "from", 1, "first seed")
+	c.Flags().StringVar(&f.node, "node", "", "node program (default the one in this program's directory, in bin/ or on the path)")
 	c.Flags().StringVar(&f.out, "out", "out", "directory for the nodes' logs")
 	c.RunE = func(c *cobra.Command, _ []string) error { return f.run(c) }
 	return c
 }
 
-// run plays the seeds; those on which the machine ran late say nothing and are counted apart.
+// run runs the seeds. Seeds whose run is void, because the lab lagged, are counted separately.
 func (f *soakFlags) run(c *cobra.Command) error {
 	if f.seeds < 1 || f.seeds > maxSoakSeeds {
 		return fmt.Errorf("--seeds: expected 1 to %d, got %d", maxSoakSeeds, f.seeds)
@@ -75,11 +76,11 @@
 			continue
 		}
 		failed++
-		if err := printf(c.OutOrStdout(), "seed %d: %q; again: fawnglade-lab soak --seeds 1 --from %d\n", seed, problems, seed); err != nil {
+		if err := printf(c.OutOrStdout(), "seed %d failed: %q; repeat with: fawnglade-lab soak --seeds 1 --from %d\n", seed, problems, seed); err != nil {
 			return err
 		}
 	}
-	if err := printf(c.OutOrStdout(), "soak: %d seeds held, %d did not, %d say nothing as the machine ran late; %d requests\n",
+	if err := printf(c.OutOrStdout(), "soak: %d seeds passed, %d failed, %d void because the lab lagged; %d requests\n",
 		held, failed, void, requests); err != nil {
 		return err
 	}
--- a/cmd/fawnglade-lab/sweep.go
+++ b/cmd/fawnglade-lab/sweep.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
-// sweepFlags are those of the sweep command.
+// sweepFlags holds the flags of the sweep command.
 type sweepFlags struct {
 	out     string
 	seed    uint64
@@ -23,20 +23,20 @@
 func newSweepCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "sweep SCENARIO KEY=a,b,c [KEY=a,b]",
-		Short: "Play a grid over one or two figures of a scenario, with repeats",
-		Long: `Play a grid over one or two figures of a scenario, with repeats, in virtual time and on all cores.
+		Short: "Run a scenario over a grid of values of one or two keys, with repeats",
+		Long: `Run a scenario over a grid of values of one or two keys, with repeats, in virtual time and on all cores.
 
-KEY is a key of the file, such as load.rate, nodes.count or fault.0.share. --out holds sweep.csv, a row for each day as
-it ends, and a plot for each figure: lines with their 95% intervals for one key, a heat map of the first decider for
-two. A sweep that was ended goes on where it stood.`,
+KEY is a key of the scenario file, such as load.rate, nodes.count or fault.0.share. The command writes sweep.csv to
+--out, with a row for each finished run, and a plot for each figure: for one key, lines with 95% confidence intervals;
+for two keys, a heat map of the first decider. An interrupted sweep resumes from sweep.csv.`,
 		Example: "  fawnglade-lab sweep lab/scenarios/fleet/calm.toml nodes.count=3,30,300 --by fawnglade,two-choices --repeats 5 --out swept",
 		Args:    cobra.RangeArgs(2, 3),
 	}
 	var f sweepFlags
 	c.Flags().StringVar(&f.out, "out", "swept", "directory for the table and the plots")
 	c.Flags().Uint64Var(&f.seed, "seed", 1, "first seed")
-	c.Flags().IntVar(&f.repeats, "repeats", 3, "days of each cell")
-	c.Flags().StringSliceVar(&f.by, "by", []string{moduleName}, "what decides, several with commas")
+	c.Flags().IntVar(&f.repeats, "repeats", 3, "number of runs, with different seeds, for each combination of values")
+	c.Flags().StringSliceVar(&f.by, "by", []string{moduleName}, "deciders, separated by commas")
 	c.RunE = func(c *cobra.Command, args []string) error { return runSweep(c, f, args[0], args[1:]) }
 	return c
 }
@@ -89,10 +89,10 @@
 	return axes, nil
 }
 
-// valuesKey identifies the scenario of a cell; cells that differ in decider or seed share it.
+// valuesKey identifies the scenario of a cell. Cells that differ only in decider or seed have the same key.
 func valuesKey(c sweep.Cell) string { return fmt.Sprint(c.Values) }
 
-// scenariosOf returns the scenarios of all cells by valuesKey, so that a wrong value is found before any run.
+// scenariosOf returns the scenarios of all cells by valuesKey. Invalid values are thus found before any run.
 func scenariosOf(cells []sweep.Cell, path string, text []byte, axes []sweep.Axis) (map[string]*scenario.Scenario, error) {
 	scenarios := map[string]*scenario.Scenario{}
 	for _, cell := range cells {
@@ -109,10 +109,10 @@
 	return scenarios, nil
 }
 
-// runCells plays the cells that are not in the table yet, and adds them.
+// runCells runs the cells that are not in the table yet, and adds their figures.
 func runCells(c *cobra.Command, table *sweep.Table, cells []sweep.Cell, scenarios map[string]*scenario.Scenario) error {
 	unplayed := table.Remaining(cells)
-	fmt.Fprintf(os.Stderr, "%d days, %d of them played before\n", len(cells), len(cells)-len(unplayed))
+	fmt.Fprintf(os.Stderr, "%d runs, %d of them finished earlier\n", len(cells), len(cells)-len(unplayed))
 	return forEachInParallel(c.Context(), len(unplayed), func(i int) error {
 		cell := unplayed[i]
 		r, err := runVirtual(c.Context(), virtualRun{scenarios[valuesKey(cell)], cell.Seed, cell.By})
--- a/cmd/fawnglade-lab/virtual.go
+++ b/cmd/fawnglade-lab/virtual.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// moduleName is the name of the project's own decisions among the deciders.
+// moduleName is the name of the project's own decider.
 const moduleName = nodeProgram
 
-// deciderByName returns the constructor of a decider: the project's own decisions, or a baseline.
+// deciderByName returns the constructor of the project's own decider or of a baseline.
 func deciderByName(name string) (simulation.NewDecider, error) {
 	if name == "" || name == moduleName {
 		return simulation.NewBalancer, nil
@@ -35,7 +35,7 @@
 	by       string // name of the decider
 }
 
-// runVirtual plays one run in this goroutine.
+// runVirtual runs a scenario in virtual time in the calling goroutine.
 func runVirtual(ctx context.Context, run virtualRun) (*result.Result, error) {
 	decider, err := deciderByName(run.by)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return result.FromTrace(run.scenario, trace), nil
 }
 
-// runAllVirtual plays runs on all cores, and returns their results in the order of the runs.
+// runAllVirtual executes runs on all cores, and returns their results in the order of the runs.
 func runAllVirtual(ctx context.Context, runs []virtualRun) ([]*result.Result, error) {
 	results := make([]*result.Result, len(runs))
 	group, ctx := errgroup.WithContext(ctx)
@@ -62,7 +62,7 @@
 	return results, group.Wait()
 }
 
-// forEachInParallel calls do for each index, as many at once as there are cores, and stops at the first error.
+// forEachInParallel calls do for each index, with as many concurrent calls as cores, and stops at the first error.
 func forEachInParallel(ctx context.Context, n int, do func(i int) error) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -15,7 +15,7 @@
 	const halfMemory, descriptors = 12 << 30, 20_000
 	for name, c := range map[string]struct {
 		change func(*Size)
-		want string
+		want   string
 	}{
 		"memory":      {func(s *Size) { s.ServicesPerNode = 5000; s.SharedServices = 500 }, "MB at most, half of the machine's memory"},
 		"processes":   {func(s *Size) { s.LowerRelays = 300 }, "expected 200 at most"},
@@ -28,7 +28,7 @@
 		s := Full()
 		c.change(&s)
 		if err := s.check(halfMemory, descriptors); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: expected %q, got %v", name, c.want, err)
+			t.Errorf("%s: want an error of one line with %q, got %v", name, c.want, err)
 		}
 	}
 	for _, s := range []Size{Full(), Quick()} {
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestFullSizeSpreadsRecords has the design's numbers come out of the full size.
+// TestFullSizeSpreadsRecords checks that records and scopes have the design's numbers: endpoints spread over all zones
+// and regions, every record generated once, and distinct scopes for each node.
 func TestFullSizeSpreadsRecords(t *testing.T) {
 	s := Full()
 	zones, regions := map[int]int{}, map[int]int{}
@@ -52,15 +53,15 @@
 		zones[z]++
 		regions[i%(s.Services*s.Regions)%s.Regions]++
 		if z%s.Regions != i%(s.Services*s.Regions)%s.Regions {
-			t.Fatalf("endpoint %d: zone %d of another region", i, z)
+			t.Fatalf("endpoint %d: got zone %d, which is in another region", i, z)
 		}
 	}
 	if len(zones) != 31 || len(regions) != 10 {
-		t.Errorf("%d zones, %d regions", len(zones), len(regions))
+		t.Errorf("got %d zones and %d regions, want 31 and 10", len(zones), len(regions))
 	}
 	for z, n := range zones {
 		if n < 2800 || n > 4100 {
-			t.Errorf("zone %d: %d endpoints", z, n)
+			t.Errorf("zone %d: got %d endpoints, want 2800 to 4100", z, n)
 		}
 	}
 	records := map[string]int{}
@@ -68,7 +69,7 @@
 	q.forEachRecord(func(c Change) {
 		records[c.Class]++
 		if changeNumber([]byte(c.Body)) != 0 || !json.Valid([]byte(c.Body)) {
-			t.Fatalf("%s: %s", c.Key, c.Body)
+			t.Fatalf("%s: got body %s, want JSON with change number 0", c.Key, c.Body)
 		}
 	})
 	if records[classEndpoint] != q.Endpoints || records[classConfiguration] != q.Routes+q.Tenants {
@@ -84,7 +85,7 @@
 				seen[scope] = true
 			}
 			if len(seen) != s.ServicesPerNode+s.SharedServices {
-				t.Errorf("node %d follows %d scopes", node, len(seen))
+				t.Errorf("node %d: got %d scopes, want one for each followed service and shared configuration", node, len(seen))
 			}
 		}
 	}
@@ -105,11 +106,11 @@
 		return append(all, state.removeZone(1, 100)...)
 	}
 	if !reflect.DeepEqual(draw(1), draw(1)) || reflect.DeepEqual(draw(1), draw(2)) {
-		t.Error("the same seed must give the same changes, and another one others")
+		t.Error("want equal changes for equal seeds and different changes for different seeds")
 	}
 	for i, c := range draw(1) {
 		if c.number != i+1 || !c.Removed && changeNumber([]byte(c.Body)) != c.number {
-			t.Fatalf("change %d: %+v", i+1, c)
+			t.Fatalf("change %d: got %+v, want this number in the change and, unless it is a removal, in its body", i+1, c)
 		}
 	}
 }
@@ -117,12 +118,12 @@
 func TestChangeNumber(t *testing.T) {
 	for text, want := range map[string]int{`{"n":12}`: 12, `{"a":1,"n":0}`: 0, `{"n":"x"}`: -1, ``: -1, `12}`: -1, `{"n":7`: -1} {
 		if got := changeNumber([]byte(text)); got != want {
-			t.Errorf("%s: %d, expected %d", text, got, want)
+			t.Errorf("changeNumber(%s) = %d, want %d", text, got, want)
 		}
 	}
 }
 
-// fake is a subscriber that holds what it is given.
+// fakeSubscriber is a subscriber that applies the changes in next and returns them.
 type fakeSubscriber struct {
 	records map[recordKey]distribution.Record
 	next    []distribution.Change
@@ -148,7 +149,8 @@
 	}
 }
 
-// runFaultyNode plays changes into one node with a subscriber that is spoilt in a way, and judges.
+// runFaultyNode delivers changes to one node, with a fault injected into the changes or the subscriber's records, and
+// returns the figures of the phase.
 func runFaultyNode(t *testing.T, inject func(changes []distribution.Change, f *fakeSubscriber) []distribution.Change) *Phase {
 	t.Helper()
 	s := Quick()
@@ -192,30 +194,31 @@
 	return figures
 }
 
-// TestVerdictDetectsEachFault has a node receive the truth with one error, in each way that the tree could go wrong.
+// TestVerdictDetectsEachFault injects into a correct node each kind of fault that the tree could cause, and checks that
+// the verdict counts it.
 func TestVerdictDetectsEachFault(t *testing.T) {
 	last := func(all []distribution.Change) distribution.Change { return all[len(all)-1] }
 	for name, c := range map[string]struct {
-		inject  func([]distribution.Change, *fakeSubscriber) []distribution.Change
+		inject   func([]distribution.Change, *fakeSubscriber) []distribution.Change
 		detected func(*Phase) bool
 	}{
-		"all is well": {func(all []distribution.Change, _ *fakeSubscriber) []distribution.Change { return all }, (*Phase).Holds},
-		"one end is lost": {
+		"no fault": {func(all []distribution.Change, _ *fakeSubscriber) []distribution.Change { return all }, (*Phase).Holds},
+		"removal lost": {
 			func(all []distribution.Change, _ *fakeSubscriber) []distribution.Change { return all[:len(all)-1] },
 			func(a *Phase) bool {
 				return a.WrongNodes == 1 && a.Missing == 1 && strings.Contains(a.Example, "which is gone")
 			},
 		},
-		"one is told twice": {
+		"change delivered twice": {
 			func(all []distribution.Change, _ *fakeSubscriber) []distribution.Change { return append(all, all[0]) },
 			func(a *Phase) bool { return a.Duplicates == 1 && a.WrongNodes == 0 },
 		},
-		"one comes back from the dead": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
+		"removed record resurrected": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
 			old := last(all)
 			old.Deleted, old.Version, old.Body = false, old.Version-1, []byte(`{"n":0}`)
 			return append(all, old)
 		}, func(a *Phase) bool { return a.Resurrected == 1 && a.WrongNodes == 1 }},
-		"one that is there is taken away": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
+		"present record removed": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
 			c := all[0]
 			c.Deleted, c.Version, c.Body = true, 1e6, nil
 			back := all[0]
@@ -224,14 +227,14 @@
 		}, func(a *Phase) bool {
 			return a.WrongRemovals == 1 && a.WrongNodes == 0 && strings.Contains(a.Example, "is gone")
 		}},
-		"an older body is kept": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
+		"older body kept": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
 			c := all[0]
 			c.Body = []byte(`{"n":0}`)
 			return append(all[1:], c)
 		}, func(a *Phase) bool {
 			return a.WrongNodes == 1 && a.Missing == 1 && strings.Contains(a.Example, "and it is")
 		}},
-		"one too few": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
+		"record missing": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
 			for k, r := range f.records {
 				if r.Class != distribution.ClassConfiguration && strings.HasPrefix(k.scope, "r00/") && r.Version == 1 {
 					keep := true
@@ -246,13 +249,13 @@
 			}
 			return all
 		}, func(a *Phase) bool { return a.WrongNodes == 1 && strings.Contains(a.Example, "records of") }},
-		"one of a scope that nobody asked for": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
+		"record of a scope that is not followed": {func(all []distribution.Change, f *fakeSubscriber) []distribution.Change {
 			f.records[recordKey{"r01/s0000", "endpoint/x"}] = distribution.Record{Scope: "r01/s0000", Key: "endpoint/x"}
 			return all
 		}, func(a *Phase) bool { return a.WrongNodes == 1 && strings.Contains(a.Example, "does not follow") }},
 	} {
 		if a := runFaultyNode(t, c.inject); !c.detected(a) {
-			t.Errorf("%s: %+v", name, a)
+			t.Errorf("%s: the verdict does not show the fault, or shows another: got %+v", name, a)
 		}
 	}
 }
@@ -263,10 +266,10 @@
 		delays = append(delays, float64(200-i)/100)
 	}
 	if got, want := delaysOf(delays, 200), (Delays{1, 1.98, 2}); got != want {
-		t.Errorf("%v, expected %v", got, want)
+		t.Errorf("delays of all nodes: got %v, want %v", got, want)
 	}
 	if got, want := delaysOf(delays[:150], 200), (Delays{P50: 1.5, P99: -1, All: -1}); got.P99 != want.P99 || got.All != want.All {
-		t.Errorf("%v, expected %v", got, want)
+		t.Errorf("delays of 150 of 200 nodes: got %v, want %v", got, want)
 	}
 	if got := (Delays{-1, 0.5, 2}).String(); got != "never 0.500 2.000" {
 		t.Error(got)
--- a/internal/lab/distsim/expected.go
+++ b/internal/lab/distsim/expected.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Change is one change at the origin. Its JSON is a line of what the origin's process reads.
+// Change is a change of one record at the origin. The input lines of the origin process are JSON lists of changes.
 type Change struct {
 	Scope    string `json:"scope"`
 	Key      string `json:"key"`
@@ -10,36 +10,36 @@
 	Body     string `json:"body,omitempty"`
 	Removed  bool   `json:"gone,omitempty"`
 	number   int
-	endpoint int // that this change leaves draining or removed
+	endpoint int // index of the endpoint that this change drains or removes; -1: none
 }
 
-// expectedRecord is one record as it should be.
+// expectedRecord is the expected state of one record.
 type expectedRecord struct {
 	body    string
-	change  int // number of the last one
+	change  int // number of its last change
 	removed bool
 }
 
-// truth draws the changes of a run, and holds what every record should be after them. It depends on the size alone: on
-// no clock, and on nothing that a relay or a node says. Routes and tenants that no node follows never change and are
-// not held.
+// expectedState draws the changes of a run, and holds the state that every record should have after them. It depends on
+// the size alone, not on a clock or on the state of relays and nodes. Routes and tenants that no node follows never
+// change and are not held.
 type expectedState struct {
 	size              Size
 	random            *rand.Rand
 	scopes            map[string]map[string]*expectedRecord // by scope and key
-	present           map[string]int                        // records of a scope that are not removed
-	names             []string                              // of endpoints, as they are now
+	present           map[string]int                        // number of records of each scope that are not removed
+	names             []string                              // current names of the endpoints
 	lastChange        int
-	successor         map[int]int // of changes, the next one of the same record
-	starts            int         // of endpoints
-	configurationKeys []scopedKey // that change
+	successor         map[int]int // for the number of a change, that of the next change of the same record
+	starts            int         // number of endpoint starts so far
+	configurationKeys []scopedKey // configuration records that change
 }
 
 type scopedKey struct {
 	scope, key string
 }
 
-// changeStream separates the draws of changes from other users of the seed.
+// changeStream is the random stream of the changes, separate from other uses of the seed.
 const changeStream = 50
 
 func newExpectedState(s Size) *expectedState {
@@ -67,7 +67,7 @@
 	return t
 }
 
-// scope returns the records of a scope, by key.
+// scope returns the records of a scope by key.
 func (t *expectedState) scope(name string) map[string]*expectedRecord {
 	if t.scopes[name] == nil {
 		t.scopes[name] = map[string]*expectedRecord{}
@@ -75,7 +75,7 @@
 	return t.scopes[name]
 }
 
-// apply makes a change true.
+// apply applies a change to the expected state and returns it.
 func (t *expectedState) apply(c Change) Change {
 	records := t.scope(c.Scope)
 	if before := records[c.Key]; before != nil {
@@ -96,7 +96,7 @@
 	return t.lastChange
 }
 
-// configure changes a random route or tenant that every node follows.
+// configure changes a random route or tenant that all nodes follow.
 func (t *expectedState) configure() Change {
 	at := t.configurationKeys[t.random.IntN(len(t.configurationKeys))]
 	n := t.nextNumber()
@@ -104,7 +104,7 @@
 	return t.apply(Change{Scope: at.scope, Key: at.key, Class: classConfiguration, Body: body, number: n, endpoint: -1})
 }
 
-// setEndpoint puts an endpoint with a state of health.
+// setEndpoint writes an endpoint's record with a health state.
 func (t *expectedState) setEndpoint(i int, health, class string) Change {
 	n := t.nextNumber()
 	return t.apply(Change{
@@ -113,7 +113,7 @@
 	})
 }
 
-// drainRandom begins a restart, which restore ends.
+// drainRandom drains a random endpoint, which begins a restart. restore ends it.
 func (t *expectedState) drainRandom() Change {
 	i := t.random.IntN(len(t.names))
 	c := t.setEndpoint(i, "draining", classWithdrawal)
@@ -121,7 +121,7 @@
 	return c
 }
 
-// removeRandom is a failure of an endpoint, which restore replaces.
+// removeRandom removes a random endpoint, as after a failure. restore replaces it.
 func (t *expectedState) removeRandom() Change { return t.remove(t.random.IntN(len(t.names))) }
 
 func (t *expectedState) remove(i int) Change {
@@ -134,7 +134,7 @@
 	return t.scopes[t.size.endpointScope(i)][endpointKey(t.names[i])].removed
 }
 
-// restore has a draining endpoint start anew, or puts another one in the place of a removed one.
+// restore restarts a draining endpoint, or replaces a removed one by an endpoint with a new name.
 func (t *expectedState) restore(i int) Change {
 	t.starts++
 	if t.isRemoved(i) {
@@ -143,7 +143,7 @@
 	return t.setEndpoint(i, "up", classEndpoint)
 }
 
-// removeZone removes the endpoints of a zone, up to a number.
+// removeZone removes endpoints of a zone, at most limit.
 func (t *expectedState) removeZone(zone, limit int) []Change {
 	var changes []Change
 	for i := range t.names {
--- a/internal/lab/distsim/hollownodes.go
+++ b/internal/lab/distsim/hollownodes.go
@@ -14,10 +14,10 @@
 	"go.uber.org/zap"
 )
 
-// Hollow nodes run the node's own subscriber and client, without requests. Each notes what it received and when; the
-// verdict is made elsewhere.
+// Hollow nodes run the node's own subscriber and client, without requests. Each records what it received and when;
+// verdict.go evaluates these records.
 
-// delivery is one change that came to a node.
+// delivery is one change that a node received.
 type delivery struct {
 	number int32 // of the change
 	atUs   int32 // microseconds since the start of the run
@@ -26,37 +26,37 @@
 // recordKey identifies a record.
 type recordKey struct{ scope, key string }
 
-// removal is a record that was removed at a node; it has no number of a change.
+// removal is the removal of a record at a node. Removals carry no change number.
 type removal struct {
 	recordKey
 	atUs int32
 }
 
-// hollowNode is one of them. A start empties what it holds; its counts stay.
+// hollowNode is one hollow node. A start resets its records but not its counters.
 type hollowNode struct {
 	index int
 	nodes *hollowNodes
 
-	mu            sync.Mutex // guards what follows, up to the client
-	scopes        []string   // that it follows, in order
+	mu            sync.Mutex // guards the fields up to invalidFrames
+	scopes        []string   // scopes that the node follows, sorted
 	subscriber    subscriber
 	deliveries    []delivery
 	removals      []removal
-	removedAt     map[recordKey]uint64 // version of the removal
-	completeAt    int64                // when all its scopes were complete, nanoseconds since the start of the run; 0: not yet
-	resurrected   int                  // records that came again in a version that is not newer than their removal
-	invalidFrames int                  // refused by its subscriber
+	removedAt     map[recordKey]uint64 // versions of removals
+	completeAt    int64                // when all scopes were complete, nanoseconds since the start of the run; 0: not yet
+	resurrected   int                  // records received again in a version not newer than their removal
+	invalidFrames int                  // frames that the subscriber rejected
 
 	client       *relay.Client
-	earlierStats relay.ClientStats // of the clients before this one
+	earlierStats relay.ClientStats // counters of the clients before this one
 	cancel       context.CancelFunc
 	done         chan struct{}
 
 	bytes       atomic.Int64 // in both directions
-	byteSamples []int64      // bytes at the ends of the seconds of a phase
+	byteSamples []int64      // values of bytes, sampled once a second
 }
 
-// subscriber is what a node holds: a *distribution.Subscriber, or in a test one with a fault.
+// subscriber holds the records of a node. It is a *distribution.Subscriber, or a faulty one in tests.
 type subscriber interface {
 	Hello() []byte
 	Receive(now int64, frame []byte) ([]distribution.Change, error)
@@ -64,15 +64,15 @@
 	Each(func(distribution.Record))
 }
 
-// hollowNodes are all of them, with what they share.
+// hollowNodes holds all hollow nodes and the state that they share.
 type hollowNodes struct {
 	size      Size
 	startedAt time.Time
-	upstreams func(node int) []string // addresses of relays
+	upstreams func(node int) []string // addresses of the relays that a node may follow
 	all       []*hollowNode
 	log       *zap.Logger
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	texts  map[string]string
 	bodies map[string][]byte
 }
@@ -87,7 +87,7 @@
 	return n
 }
 
-// shareText returns one value for all equal texts.
+// shareText interns a text.
 func (n *hollowNodes) shareText(text string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -98,7 +98,7 @@
 	return text
 }
 
-// shareBody returns one value for all equal bodies.
+// shareBody interns a body.
 func (n *hollowNodes) shareBody(body []byte) []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,10 +109,10 @@
 	return body
 }
 
-// now returns nanoseconds since the start of the run.
+// now returns the nanoseconds since the start of the run.
 func (n *hollowNodes) now() int64 { return int64(time.Since(n.startedAt)) }
 
-// start starts a node that holds nothing.
+// start starts a node without any records.
 func (h *hollowNode) start() {
 	size := h.nodes.size
 	scopes := slices.Sorted(slices.Values(size.scopesOf(h.index)))
@@ -123,7 +123,7 @@
 	limits := distribution.Limits{Records: 4 * size.recordsPerNode(), Selectors: len(selectors)}
 	fresh, err := distribution.NewSubscriber(selectors, limits)
 	if err != nil {
-		panic(err) // Size.Check lets no size through that makes such selectors
+		panic(err) // Size.Check rejects sizes with invalid selectors
 	}
 	if size.ShareMemory {
 		fresh.SetInterner(distribution.Interner{Text: h.nodes.shareText, Body: h.nodes.shareBody})
@@ -137,7 +137,7 @@
 	h.connect()
 }
 
-// connect runs a client on what the node holds.
+// connect starts a client for the node's current records.
 func (h *hollowNode) connect() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.earlierStats = h.stats()
@@ -165,7 +165,7 @@
 	return &countingConn{conn, &h.bytes}, nil
 }
 
-// stats sums the counters of all the node's clients.
+// stats returns the sums of the counters over all clients that the node has had.
 func (h *hollowNode) stats() relay.ClientStats {
 	if h.client == nil {
 		return relay.ClientStats{}
@@ -183,7 +183,7 @@
 	return a
 }
 
-// stop ends the client; what the node holds stays.
+// stop ends the client. The node keeps its records.
 func (h *hollowNode) stop() {
 	if h.cancel != nil {
 		h.cancel()
@@ -191,7 +191,7 @@
 	}
 }
 
-// countingConn counts the bytes in both directions.
+// countingConn counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -238,7 +238,7 @@
 // LagNs implements relay.Sink.
 func (h *hollowNode) LagNs(int64) int64 { return 0 }
 
-// recordChange notes one change; the lock is held.
+// recordChange records one received change. The caller must hold the lock.
 func (h *hollowNode) recordChange(now int64, c distribution.Change) {
 	key := recordKey{c.Scope, c.Key}
 	atUs := int32(now / 1000)
@@ -258,10 +258,10 @@
 	}
 }
 
-// concurrentNodes is with how many nodes something is done at once.
+// concurrentNodes is the number of concurrent calls of forEachNode.
 const concurrentNodes = 8
 
-// forEachNode does something with all nodes, and waits for it.
+// forEachNode calls do for all nodes, concurrentNodes at a time, and waits for all calls.
 func forEachNode(all []*hollowNode, do func(*hollowNode)) {
 	var workers sync.WaitGroup
 	var next atomic.Int64
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -15,15 +15,15 @@
 	"go.uber.org/zap"
 )
 
-// originReply is one line of the origin's process on its standard output.
+// originReply is a line that the origin process writes to its standard output.
 type originReply struct {
-	Address string `json:"address,omitempty"` // in the first line
-	Version uint64 `json:"through"`           // of the last change
-	Records int    `json:"records,omitempty"` // in the first line
+	Address string `json:"address,omitempty"` // only in the first line
+	Version uint64 `json:"through"`           // version of the last change
+	Records int    `json:"records,omitempty"` // only in the first line
 }
 
 const (
-	maxRequestBytes    = 16 << 20 // of one line
+	maxRequestBytes    = 16 << 20 // of one input line
 	originCloseTimeout = time.Second
 )
 
@@ -33,14 +33,15 @@
 	classConfiguration: distribution.ClassConfiguration,
 }
 
-// Origin is the origin's process: the module's origin behind the server that relays connect to. In place of endpoint
-// sources it reads its input, so that the run knows when each change was made: the first line is a Size, every other a
-// list of changes. Each line is replied to. It ends with its input.
+// Origin runs the origin process: the distribution package's origin, served to relays over TCP. Instead of polling
+// endpoint sources it reads changes from its input, so that the run knows when each change was made. The first line is
+// a Size, each further line a list of changes. Every line is answered with an originReply. Origin returns at the end of
+// its input.
 func Origin(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxRequestBytes)
 	if !lines.Scan() {
-		return fmt.Errorf("expected a size: %w", io.ErrUnexpectedEOF)
+		return fmt.Errorf("origin input: expected a size in the first line: %w", io.ErrUnexpectedEOF)
 	}
 	var size Size
 	if err := json.Unmarshal(lines.Bytes(), &size); err != nil {
@@ -58,12 +59,12 @@
 	server := relay.NewServer(records.origin.Relay(), relay.ServerConfig{Clock: clock}, zap.NewNop())
 	defer listener.Close()
 	go func() {
-		_ = server.Serve(listener) // ends with the listener; until then it logs
+		_ = server.Serve(listener) // returns when the listener is closed; other errors are logged
 	}()
 	defer func() {
 		closeCtx, cancel := context.WithTimeout(context.Background(), originCloseTimeout)
 		defer cancel()
-		_ = server.Close(closeCtx) // connections that are left end with the process
+		_ = server.Close(closeCtx) // remaining connections end with the process
 	}()
 	replies := json.NewEncoder(out)
 	first := originReply{Address: listener.Addr().String(), Version: records.version, Records: size.records()}
@@ -86,13 +87,13 @@
 	return lines.Err()
 }
 
-// originRecords is the origin with the version of its last change.
+// originRecords is the origin together with the version of its last change.
 type originRecords struct {
 	origin  *distribution.Origin
 	version uint64
 }
 
-// newOriginRecords makes an origin that holds all records as they are at first.
+// newOriginRecords returns an origin with the initial state of all records.
 func newOriginRecords(size Size, clock func() int64) (*originRecords, error) {
 	maxRecords := 2 * size.records()
 	o := &originRecords{
--- a/internal/lab/distsim/phases.go
+++ b/internal/lab/distsim/phases.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	changeInterval   = 20 * time.Millisecond // in which changes are sent to the origin
-	restartTime      = time.Second           // after which a draining endpoint is back
+	changeInterval   = 20 * time.Millisecond // interval at which changes are sent to the origin
+	restartTime      = time.Second           // after which a draining endpoint is active again
 	replacementTime  = 3 * time.Second       // after which a removed endpoint is replaced
 	afterZoneLoss    = 5 * time.Second
 	completePoll     = 50 * time.Millisecond
-	completeTimeouts = 3 // times Size.SettleTimeout, until nodes are complete
-	// emptyRelayTime leaves nodes time to come to a relay that holds nothing, and is less than makes a relay leave its
-	// upstream.
+	completeTimeouts = 3 // timeout for nodes to become complete, in multiples of Size.SettleTimeout
+	// emptyRelayTime is long enough for nodes to connect to a relay without records, and short enough that the relay
+	// does not leave its frozen upstream.
 	emptyRelayTime = 1200 * time.Millisecond
 )
 
-// phase is one part of a run.
+// phase is one phase of a run.
 type phase struct {
 	name string
 	run  func(ctx context.Context, figures *Phase) error
@@ -47,11 +47,11 @@
 	)
 }
 
-// relayFaults are the phases in which relays fail while changes are made.
+// relayFaults returns the phases in which relays fail while changes are made.
 func (r *run) relayFaults() []phase {
 	groups := r.size.relayGroups()
-	first, second := r.processes.lower[0], r.processes.lower[groups] // of one group
-	other := r.processes.lower[1%groups]                             // of another group, which nodes still follow
+	first, second := r.processes.lower[0], r.processes.lower[groups] // of the same group
+	other := r.processes.lower[1%groups]                             // of another group, whose relays all run
 	upper := r.processes.upper[0]
 	return []phase{
 		{"a relay is killed", r.duringChanges(
@@ -72,7 +72,7 @@
 	}
 }
 
-// duringChanges plays changes, with a fault after a fifth of the time, and ends the fault.
+// duringChanges returns a phase that makes changes, begins a fault after a fifth of PhaseTime, and ends it at the end.
 func (r *run) duringChanges(begin func() error, end func(context.Context) error) func(context.Context, *Phase) error {
 	return func(ctx context.Context, _ *Phase) error {
 		if err := r.makeFastChanges(ctx, r.size.PhaseTime/5); err != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// startEmptyRelay starts a relay and kills another, so that nodes come to the first while it holds nothing: its
-// upstreams are frozen for a moment.
+// startEmptyRelay starts one relay and kills another, so that nodes connect to the first while it has no records. The
+// upper relays are frozen for emptyRelayTime to keep it empty.
 func (r *run) startEmptyRelay(empty, killed *relayProcess) error {
 	for _, upper := range r.processes.upper {
 		upper.freeze()
@@ -119,7 +119,7 @@
 	return r.makeFastChanges(ctx, r.size.PhaseTime/3)
 }
 
-// send sends changes to the origin.
+// send records changes as sent, and sends them to the origin.
 func (r *run) send(changes []Change) error {
 	if len(changes) == 0 {
 		return nil
@@ -139,13 +139,13 @@
 	r.changes[c.number] = sentChange{c, at}
 }
 
-// restoration is an endpoint that is to be back at a time.
+// restoration is an endpoint to restore at a given time.
 type restoration struct {
 	at       time.Time
 	endpoint int
 }
 
-// changeSource draws changes at the pace of an ordinary day, times a speedup.
+// changeSource draws changes at the rate of an ordinary day times a speedup.
 type changeSource struct {
 	expected *expectedState
 	kinds    []changeKind
@@ -153,7 +153,8 @@
 	last     time.Time
 }
 
-// changeKind is one kind of change with how much of it is owed: one change is made for each whole one.
+// changeKind is one kind of change. accrued is the fractional number of changes due; a change is made for each whole
+// one.
 type changeKind struct {
 	perSecond float64
 	accrued   float64
@@ -178,7 +179,7 @@
 	return s
 }
 
-// draw makes the changes since the last call.
+// draw returns the changes that have become due since s.last.
 func (s *changeSource) draw(now time.Time) []Change {
 	var changes []Change
 	elapsed := now.Sub(s.last).Seconds()
@@ -192,7 +193,7 @@
 	return changes
 }
 
-// restoreDue makes the changes of endpoints that are back.
+// restoreDue returns the changes that restore the endpoints whose time has come.
 func (s *changeSource) restoreDue(now time.Time) []Change {
 	var changes []Change
 	var later []restoration
@@ -211,7 +212,7 @@
 	return r.makeChanges(ctx, r.size.Speedup, duration)
 }
 
-// makeChanges makes changes for a time, and then waits until all endpoints are restored.
+// makeChanges makes changes for a duration, and then continues until all endpoints are restored.
 func (r *run) makeChanges(ctx context.Context, speedup float64, duration time.Duration) error {
 	now := time.Now()
 	end := now.Add(duration)
@@ -236,7 +237,7 @@
 	return nil
 }
 
-// loseZone removes a zone's endpoints in one step.
+// loseZone removes the endpoints of one zone in one step, up to Size.ZoneLoss.
 func (r *run) loseZone(ctx context.Context, _ *Phase) error {
 	if err := r.send(r.expected.removeZone(int(r.size.Seed)%r.size.Zones, r.size.ZoneLoss)); err != nil {
 		return err
@@ -244,7 +245,7 @@
 	return sleep(ctx, afterZoneLoss)
 }
 
-// sleep returns early, with an error, if the context ends.
+// sleep waits for a duration. It returns early with an error if the context ends.
 func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-time.After(duration):
@@ -254,7 +255,8 @@
 	}
 }
 
-// fillRelays waits until every lower relay holds what it follows: until a node that follows a scope there is complete.
+// fillRelays waits until every lower relay has its records. To detect that, it connects a hollow node with a few scopes
+// to each of them and waits until these nodes are complete.
 func (r *run) fillRelays(ctx context.Context, figures *Phase) error {
 	size := r.size
 	size.ServicesPerNode = 1
@@ -271,7 +273,7 @@
 	return r.waitUntilComplete(ctx, figures, probes, from)
 }
 
-// startNodes starts nodes that hold nothing, all at once, and waits until each was complete once.
+// startNodes starts nodes without records, all at once, and waits until each has been complete once.
 func (r *run) startNodes(ctx context.Context, figures *Phase, nodes []*hollowNode) error {
 	forEachNode(nodes, (*hollowNode).stop)
 	from := r.nodes.now()
@@ -280,8 +282,8 @@
 	return r.waitUntilComplete(ctx, figures, nodes, from)
 }
 
-// waitUntilComplete waits until nodes have been complete once, and no longer than completeTimeouts: the verdict names
-// those that are not.
+// waitUntilComplete waits until all nodes have been complete once, or until the timeout. Incomplete nodes are no error
+// here; the verdict reports them.
 func (r *run) waitUntilComplete(ctx context.Context, figures *Phase, nodes []*hollowNode, from int64) error {
 	timeout := int64(completeTimeouts * r.size.SettleTimeout)
 	for {
@@ -296,7 +298,7 @@
 	}
 }
 
-// completeTimes returns the seconds from a moment until the nodes were complete, of those that are.
+// completeTimes returns the seconds from the given time until each complete node became complete.
 func completeTimes(nodes []*hollowNode, from int64) []float64 {
 	var times []float64
 	for _, h := range nodes {
--- a/internal/lab/distsim/processes.go
+++ b/internal/lab/distsim/processes.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	replyTimeout     = 60 * time.Second // of the origin
+	replyTimeout     = 60 * time.Second // for a reply of the origin
 	originEndTimeout = 2 * time.Second
 )
 
-// Programs are the command lines of the processes.
+// Programs holds the command lines of the processes.
 type Programs struct {
-	Relay  []string // with relay; --config FILE is added
-	Origin []string // the lab's own
+	Relay  []string // including the relay command; --config FILE is appended
+	Origin []string // of the lab's hidden origin command
 }
 
-// processes are the origin and the relays of a run.
+// processes holds the origin and relay processes of a run.
 type processes struct {
 	size     Size
 	programs Programs
-	dir      string // for configurations and logs
+	dir      string // directory for configuration files and logs
 	upper    []*relayProcess
 	lower    []*relayProcess
 	origin   *exec.Cmd
-	input    io.WriteCloser // of the origin
+	input    io.WriteCloser // standard input of the origin
 	output   *bufio.Scanner
 }
 
-// newProcesses starts the origin, waits until it has all records, and starts the relays.
+// newProcesses starts the origin, waits until it has all records, and then starts the relays.
 func newProcesses(size Size, programs Programs) (*processes, error) {
 	p := &processes{size: size, programs: programs}
 	if err := p.startAll(); err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// startOrigin returns the address at which relays follow the origin.
+// startOrigin starts the origin and returns the address that relays connect to.
 func (p *processes) startOrigin() (string, error) {
 	origin := exec.Command(p.programs.Origin[0], p.programs.Origin[1:]...)
 	origin.Stderr = os.Stderr
@@ -92,7 +92,7 @@
 	return reply.Address, nil
 }
 
-// prepareRelays makes the relays' configurations. Lower relays prefer different upper ones.
+// prepareRelays writes the configurations of all relays. The lower relays list the upper ones in different orders.
 func (p *processes) prepareRelays(origin string) error {
 	var upstreams []string
 	for i := range p.size.UpperRelays {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// send writes the origin one line, and waits for its reply.
+// send writes one line of JSON to the origin, and waits for its reply.
 func (p *processes) send(line any) (originReply, error) {
 	text, err := json.Marshal(line)
 	if err != nil {
@@ -127,7 +127,7 @@
 		return originReply{}, err
 	}
 	if !p.output.Scan() {
-		return originReply{}, errors.New("the origin's process ended, or did not answer in time")
+		return originReply{}, errors.New("origin process ended or did not reply within the timeout")
 	}
 	var reply originReply
 	err = json.Unmarshal(p.output.Bytes(), &reply)
@@ -135,7 +135,7 @@
 }
 
 func (p *processes) killOrigin() {
-	_ = p.origin.Process.Kill() // fails only if it has ended
+	_ = p.origin.Process.Kill() // fails only if the process has ended
 }
 
 func (p *processes) relays() []*relayProcess { return slices.Concat(p.upper, p.lower) }
@@ -144,7 +144,7 @@
 	return slices.DeleteFunc(p.relays(), func(r *relayProcess) bool { return r.process == nil })
 }
 
-// warnings counts the warnings in the relays' logs since the last call, by message.
+// warnings counts the new warnings in the relays' logs since the last call, by message.
 func (p *processes) warnings() map[string]int {
 	count := map[string]int{}
 	for _, r := range p.relays() {
@@ -162,7 +162,8 @@
 	return count
 }
 
-// warningOf returns the message of a log line above the level info; a line that is no JSON is its own message.
+// warningOf returns the message of a log line above level info, else an empty string. A line that is not JSON is
+// returned whole.
 func warningOf(line string) string {
 	var entry struct {
 		Level   string `json:"level"`
@@ -178,7 +179,7 @@
 	return strings.TrimSpace(entry.Message + " " + entry.Reason)
 }
 
-// close ends all processes, and removes their files.
+// close kills the relays, ends the origin, and removes all files.
 func (p *processes) close() error {
 	var kills sync.WaitGroup
 	for _, r := range p.relays() {
@@ -197,10 +198,10 @@
 	return os.RemoveAll(p.dir)
 }
 
-// closeOrigin ends the origin's input, with which it ends, and kills it if it does not.
+// closeOrigin closes the origin's input, at whose end the process exits, and kills it after a timeout.
 func (p *processes) closeOrigin() {
 	p.input.Close()
 	timeout := time.AfterFunc(originEndTimeout, p.killOrigin)
 	defer timeout.Stop()
-	_ = p.origin.Wait() // how it ends makes no difference to the run
+	_ = p.origin.Wait() // its exit status does not matter to the run
 }
--- a/internal/lab/distsim/records.go
+++ b/internal/lab/distsim/records.go
@@ -6,10 +6,10 @@
 	"strconv"
 )
 
-// The records of a run, as they follow from its size: their scopes, keys and bodies. The last field of each body is the
-// number of the change that made it.
+// Scopes, keys and bodies of the records of a run, which are functions of its size. The last field of each body is the
+// number of the change that wrote it.
 
-// Classes of records, as changes name them.
+// Classes of records in the JSON of a Change.
 const (
 	classWithdrawal    = "withdrawal"
 	classEndpoint      = "endpoint"
@@ -19,7 +19,7 @@
 func regionName(i int) string  { return fmt.Sprintf("r%02d", i) }
 func serviceName(i int) string { return fmt.Sprintf("s%04d", i) }
 
-// endpointName returns the name of an endpoint; a replacement has the number of a start in it.
+// endpointName returns the name of an endpoint. The name of a replacement contains the number of its start.
 func endpointName(i, start int) string {
 	if start == 0 {
 		return fmt.Sprintf("e%06d", i)
@@ -29,16 +29,16 @@
 
 func endpointKey(name string) string { return "endpoint/" + name }
 
-// configScope is the scope of a service's routes and tenants, the same in all regions.
+// configScope returns the scope of a service's routes and tenants, which is the same in all regions.
 func configScope(service int) string { return "configuration/" + serviceName(service) }
 
-// endpointScope is a service within a region.
+// endpointScope returns the scope of an endpoint, which is a service within a region.
 func (s Size) endpointScope(i int) string {
 	i %= s.Services * s.Regions
 	return regionName(i%s.Regions) + "/" + serviceName(i/s.Regions)
 }
 
-// zoneOf is one of the zones of the endpoint's region.
+// zoneOf returns the zone of an endpoint, which is one of the zones of its region.
 func (s Size) zoneOf(i int) int {
 	scopes := s.Services * s.Regions
 	region := i % scopes % s.Regions
@@ -51,7 +51,7 @@
 		name, i>>16&255, i>>8&255, i&255, s.zoneOf(i), i%512, health, start, change)
 }
 
-// configurationRecord is a record as it is at first: routes, then tenants.
+// configurationRecord returns the initial state of a configuration record. Routes have the first numbers, then tenants.
 func (s Size) configurationRecord(i int) Change {
 	service := i % s.Services
 	c := Change{Scope: configScope(service), Class: classConfiguration}
@@ -65,7 +65,7 @@
 	return c
 }
 
-// forEachRecord visits all records as they are at first, in the same order for the origin and for the truth.
+// forEachRecord visits the initial state of all records, always in the same order.
 func (s Size) forEachRecord(visit func(Change)) {
 	for i := range s.Endpoints {
 		name := endpointName(i, 0)
@@ -78,13 +78,13 @@
 	}
 }
 
-// scopesOf returns what a node follows: some services of its region, and the shared configuration.
+// scopesOf returns the scopes that a node follows: some services of its region, and the shared configuration.
 func (s Size) scopesOf(node int) []string {
 	region := regionName(node % s.Regions)
 	first := int(uint64(node/s.Regions) * 2654435761 % uint64(s.Services))
 	step := 1
 	if s.Services%7 != 0 {
-		step = 7 // spreads them; no service comes twice, as 7 is no divisor
+		step = 7 // spreads the services; none repeats, as 7 does not divide their number
 	}
 	var scopes []string
 	for i := range s.ServicesPerNode {
@@ -96,7 +96,7 @@
 	return scopes
 }
 
-// changeNumber reads the number of the change from a body; -1 if it has none.
+// changeNumber returns the change number in a body, or -1 if there is none.
 func changeNumber(body []byte) int {
 	at := bytes.LastIndexByte(body, ':')
 	if at < 0 || !bytes.HasSuffix(body, []byte("}")) {
@@ -109,7 +109,7 @@
 	return n
 }
 
-// withChangeNumber returns a body with another number.
+// withChangeNumber returns a body with its change number replaced.
 func withChangeNumber(body string, n int) string {
 	return body[:bytes.LastIndexByte([]byte(body), ':')+1] + strconv.Itoa(n) + "}"
 }
--- a/internal/lab/distsim/relays.go
+++ b/internal/lab/distsim/relays.go
@@ -18,21 +18,21 @@
 const (
 	startTimeout     = 10 * time.Second
 	startPoll        = 20 * time.Millisecond
-	maxStartAttempts = 3   // the port may have been taken meanwhile
-	logTailBytes     = 400 // that an error shows
+	maxStartAttempts = 3   // another process may have taken the port in the meantime
+	logTailBytes     = 400 // length of the end of the log in an error message
 )
 
-// relayProcess is a relay at its address; its process may be killed and started anew.
+// relayProcess is a relay with a fixed address. Its process may be killed and restarted.
 type relayProcess struct {
 	name    string
 	address string
-	config  string // path
+	config  string // path of the configuration file
 	log     *os.File
-	logRead int64            // bytes of the log that were looked at
-	process emulator.Process // nil: none runs
+	logRead int64            // bytes of the log that warnings has read
+	process emulator.Process // nil: not running
 }
 
-// prepareRelay takes an address that the system chooses, and writes the relay's configuration.
+// prepareRelay chooses a free address, creates the log and writes the relay's configuration.
 func (p *processes) prepareRelay(name string, upstreams, scopes []string, bytesPerSecond int) (*relayProcess, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,7 +63,7 @@
 	return "[" + strings.Join(quoted, ", ") + "]"
 }
 
-// relayScopes are those of a lower relay: its regions, and the configuration that nodes follow.
+// relayScopes returns the scopes of a lower relay: those of its regions, and the configuration that nodes follow.
 func (p *processes) relayScopes(i int) []string {
 	var scopes []string
 	for region := range p.size.Regions {
@@ -77,7 +77,7 @@
 	return scopes
 }
 
-// relaysOf are the addresses of the lower relays that a node may follow.
+// relaysOf returns the addresses of the lower relays that a node may follow.
 func (p *processes) relaysOf(node int) []string {
 	var addresses []string
 	for i, r := range p.lower {
@@ -88,7 +88,7 @@
 	return addresses
 }
 
-// start starts a relay that holds nothing, and waits until it accepts connections.
+// start starts a relay without records, and waits until it accepts connections.
 func (p *processes) start(r *relayProcess) error {
 	command := append(slices.Clone(p.programs.Relay), "--config", r.config)
 	for range maxStartAttempts {
@@ -103,10 +103,11 @@
 		r.kill()
 	}
 	text, err := os.ReadFile(r.log.Name())
-	return errors.Join(fmt.Errorf("relay %s did not come up: %s", r.name, text[max(0, len(text)-logTailBytes):]), err)
+	return errors.Join(fmt.Errorf("relay %s did not accept connections after several starts; end of its log: %s", r.name, text[max(0, len(text)-logTailBytes):]), err)
 }
 
-// waitUntilAccepting tells whether the relay accepts connections; false if it has ended, or does not in time.
+// waitUntilAccepting waits until the relay accepts connections. It returns false if the process ends or startTimeout
+// passes first.
 func (r *relayProcess) waitUntilAccepting() bool {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(startPoll) {
 		select {
@@ -122,7 +123,7 @@
 	return false
 }
 
-// kill ends the process, and waits for its end.
+// kill kills the process and waits until it has ended.
 func (r *relayProcess) kill() {
 	if r.process == nil {
 		return
@@ -135,7 +136,7 @@
 func (r *relayProcess) freeze() { r.signal(syscall.SIGSTOP) }
 func (r *relayProcess) thaw()   { r.signal(syscall.SIGCONT) }
 
-// signal is lost on a process that has ended.
+// signal sends a signal to the process. It has no effect if the process has ended.
 func (r *relayProcess) signal(s syscall.Signal) {
 	_ = r.process.Signal(s)
 }
--- a/internal/lab/distsim/resources.go
+++ b/internal/lab/distsim/resources.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// What processes and the machine use, by the system's account. A figure that cannot be read is 0: the process has
-// ended.
+// Resource usage of processes and the machine, as reported by the kernel. A figure that cannot be read, because the
+// process has ended, is 0.
 
-// ticksPerSecond is the unit of processor time in /proc: USER_HZ.
+// ticksPerSecond is USER_HZ, the unit of CPU time in /proc.
 const ticksPerSecond = 100
 
-// Fields of /proc/PID/stat, after the name of the program.
+// Indexes of fields in /proc/PID/stat, counted after the name of the program.
 const (
 	statUserTicks   = 11
 	statSystemTicks = 12
 )
 
-// processorTime returns what a process has used, nanoseconds.
+// processorTime returns the CPU time that a process has used, in nanoseconds.
 func processorTime(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -35,7 +35,7 @@
 	return (parseCount(fields[statUserTicks]) + parseCount(fields[statSystemTicks])) * int64(time.Second) / ticksPerSecond
 }
 
-// ownProcessorTime returns what this process has used, nanoseconds.
+// ownProcessorTime returns the CPU time that this process has used, in nanoseconds.
 func ownProcessorTime() int64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -44,7 +44,7 @@
 	return usage.Utime.Nano() + usage.Stime.Nano()
 }
 
-// residentMemory returns what a process has in memory now, bytes.
+// residentMemory returns the resident memory of a process, in bytes.
 func residentMemory(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -65,7 +65,7 @@
 	return n
 }
 
-// loadAverage returns the machine's over the last minute.
+// loadAverage returns the machine's load average over the last minute.
 func loadAverage() float64 {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -79,7 +79,7 @@
 	return load
 }
 
-// halfOfMemory returns half of what the machine has, bytes.
+// halfOfMemory returns half of the machine's memory, in bytes.
 func halfOfMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -91,5 +91,5 @@
 			return kib << 10 / 2, err
 		}
 	}
-	return 0, errors.New("/proc/meminfo: expected MemTotal")
+	return 0, errors.New("/proc/meminfo: expected a MemTotal line, found none")
 }
--- a/internal/lab/distsim/run.go
+++ b/internal/lab/distsim/run.go
@@ -15,13 +15,13 @@
 
 const (
 	maxRunTime  = 230 * time.Second
-	worstWindow = 10 // seconds, over which the worst rate to a node is taken
-	// gcPercent while a run plays: most of what this process holds lives long, and the usual heap would be half
-	// garbage.
+	worstWindow = 10 // seconds over which the highest rate of a node is computed
+	// gcPercent during a run: most objects of this process live long, and with the default of 100 half of the heap
+	// would be garbage.
 	gcPercent = 40
 )
 
-// run is one run while it plays.
+// run is the state of a run in progress.
 type run struct {
 	size       Size
 	logf       func(string, ...any)
@@ -29,14 +29,14 @@
 	expected   *expectedState
 	processes  *processes
 	nodes      *hollowNodes
-	changes    []sentChange   // by number; the first is none
-	followers  map[string]int // nodes that follow a scope
-	baseMemory int64          // of this process before the nodes, bytes
-	started    bool           // nodes have started, so that they can be judged
+	changes    []sentChange   // by number; index 0 is unused
+	followers  map[string]int // number of nodes by scope
+	baseMemory int64          // of this process before the nodes were started, bytes
+	started    bool           // nodes have been started and can be compared with the expected state
 	result     *Result
 }
 
-// sentChange is a change with the time at which it was sent to the origin, nanoseconds since the start of the run.
+// sentChange is a change with the time when it was sent to the origin, in nanoseconds since the start of the run.
 type sentChange struct {
 	Change
 	sentAt int64
@@ -56,8 +56,8 @@
 	return r
 }
 
-// Play plays a run, and calls logf with lines of progress. If a phase cannot be played, it returns the result so far
-// beside the error; the result is nil if no phase could begin.
+// Run executes a run and reports progress to logf. If a phase fails, it returns the result so far together with the
+// error; the result is nil if no phase could begin.
 func Run(ctx context.Context, size Size, programs Programs, logf func(format string, args ...any)) (result *Result, err error) {
 	if err := size.Check(); err != nil {
 		return nil, err
@@ -66,13 +66,13 @@
 	defer cancel()
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	r := newRun(size, logf)
-	logf("%d records at the origin, %d for a node; about %d MB in all", size.records(), size.recordsPerNode(), size.Memory()>>20)
+	logf("%d records at the origin, %d per node; about %d MB of memory in total", size.records(), size.recordsPerNode(), size.Memory()>>20)
 	r.processes, err = newProcesses(size, programs)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, r.processes.close()) }()
-	logf("origin and %d relays run", size.UpperRelays+size.LowerRelays)
+	logf("origin and %d relays are running", size.UpperRelays+size.LowerRelays)
 	r.nodes = newHollowNodes(size, r.startedAt, r.processes.relaysOf)
 	defer forEachNode(r.nodes.all, (*hollowNode).stop)
 	runtime.GC()
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// runPhase plays one phase, waits until every node holds what is true, and adds the figures to the result.
+// runPhase runs one phase, waits until every node has the expected records, and adds the figures to the result.
 func (r *run) runPhase(ctx context.Context, p phase) error {
 	figures := &Phase{Name: p.name}
 	firstChange := len(r.changes)
@@ -121,7 +121,7 @@
 	return ctx.Err()
 }
 
-// prepareNodes forgets what the nodes noted in the phase before, but for the bytes of its last seconds.
+// prepareNodes discards what the nodes recorded in the previous phase, except for the byte samples of its last seconds.
 func (r *run) prepareNodes() {
 	for _, h := range r.nodes.all {
 		h.mu.Lock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// settlePhase waits until the nodes are right, once they have started.
+// settlePhase waits until the nodes have the expected records, if nodes have been started.
 func (r *run) settlePhase(ctx context.Context, figures *Phase) {
 	began := time.Now()
 	if r.started {
@@ -144,14 +144,14 @@
 func (r *run) logPhase(figures *Phase) {
 	r.logf("%s", figures.row())
 	if figures.Leaves != (LeaveCounts{}) {
-		r.logf("  relays left by nodes: %+v", figures.Leaves)
+		r.logf("  nodes left relays, by reason: %+v", figures.Leaves)
 	}
 	for warning, n := range r.processes.warnings() {
-		r.logf("  in the relays' logs, %d times at least: %s", n, warning)
+		r.logf("  relay logs, at least %d times: %s", n, warning)
 	}
 }
 
-// sampleBytes notes the bytes of all nodes each second until the returned function is called, and then once more.
+// sampleBytes samples the byte counters of all nodes every second until stop is called, and then once more.
 func (r *run) sampleBytes() (stop func()) {
 	stopped := make(chan struct{})
 	var marking sync.WaitGroup
@@ -175,7 +175,7 @@
 	}
 }
 
-// clientStats sums those of all nodes.
+// clientStats returns the sums of the client counters over all nodes.
 func (r *run) clientStats() relay.ClientStats {
 	var sum relay.ClientStats
 	for _, h := range r.nodes.all {
@@ -184,7 +184,7 @@
 	return sum
 }
 
-// totalBytes sums those of all nodes.
+// totalBytes returns the sum of the byte counters over all nodes.
 func (r *run) totalBytes() int64 {
 	var sum int64
 	for _, h := range r.nodes.all {
@@ -193,9 +193,9 @@
 	return sum
 }
 
-// usage is what was used up to a moment.
+// usage holds the resources used up to some time.
 type usage struct {
-	processor map[int]int64 // by process ID, nanoseconds
+	processor map[int]int64 // CPU time by process ID, nanoseconds
 	bytes     int64         // of all nodes
 }
 
--- a/internal/lab/distsim/verdict.go
+++ b/internal/lab/distsim/verdict.go
@@ -12,13 +12,13 @@
 	"fawnglade/internal/relay"
 )
 
-// The verdict of a phase: the records of every node against the truth, byte by byte, and every change against the nodes
-// that follow its scope. Times are figures, and no part of the verdict.
+// The verdict of a phase compares the records of every node with the expected state, byte by byte, and the deliveries
+// of every change with the nodes that follow its scope. Times are reported, but do not affect the verdict.
 
-// settlePoll is how often the nodes are compared while a phase settles.
+// settlePoll is the interval at which nodes are compared with the expected state while a phase settles.
 const settlePoll = 250 * time.Millisecond
 
-// settle waits until all nodes hold what is true, and enters those that do not within the size's timeout.
+// settle waits until all nodes have the expected records, and reports those that do not within Size.SettleTimeout.
 func (r *run) settle(ctx context.Context, figures *Phase) {
 	end := time.Now().Add(r.size.SettleTimeout)
 	for wrong := r.nodes.all; ; {
@@ -34,7 +34,7 @@
 	}
 }
 
-// wrongNodes returns those of some nodes that do not hold what is true, with the difference of one of them.
+// wrongNodes returns the nodes that do not have the expected records, and the difference of one of them as an example.
 func (r *run) wrongNodes(nodes []*hollowNode) (wrong []*hollowNode, example string) {
 	var mu sync.Mutex
 	forEachNode(nodes, func(h *hollowNode) {
@@ -50,7 +50,7 @@
 	return wrong, example
 }
 
-// difference describes the first difference of a node's records from what is true; empty if there is none.
+// difference describes the first difference between a node's records and the expected state; empty if there is none.
 func (r *run) difference(h *hollowNode) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,7 +59,7 @@
 		wanted += r.expected.present[scope]
 	}
 	held, difference := 0, ""
-	scope, follows := "", false // records come scope by scope
+	scope, follows := "", false // Each visits the records scope by scope
 	var records map[string]*expectedRecord
 	h.subscriber.Each(func(c distribution.Record) {
 		if c.Deleted {
@@ -80,7 +80,7 @@
 	return difference
 }
 
-// recordDifference compares one record of a node; empty if it is right.
+// recordDifference describes how a record of a node differs from the expected one; empty if it does not.
 func recordDifference(node int, held *distribution.Record, follows bool, want *expectedRecord) string {
 	switch {
 	case !follows:
@@ -93,7 +93,7 @@
 	return ""
 }
 
-// addDeliveries enters which changes from a number on came to the nodes, and when.
+// addDeliveries adds the figures of the deliveries of all changes from number first on.
 func (r *run) addDeliveries(figures *Phase, first int) {
 	figures.Changes = len(r.changes) - first
 	removedBy := map[recordKey]int32{} // number of the change
@@ -102,7 +102,7 @@
 			removedBy[recordKey{c.Scope, c.Key}] = int32(n)
 		}
 	}
-	delays := make([][]float64, figures.Changes) // by change, of the nodes that it came to
+	delays := make([][]float64, figures.Changes) // by change, of the nodes that received it
 	for _, h := range r.nodes.all {
 		for _, d := range r.collectDeliveries(figures, h, removedBy, first) {
 			i := int(d.number) - first
@@ -118,8 +118,8 @@
 	figures.addDelays(changes)
 }
 
-// collectDeliveries enters the counts of one node, returns its deliveries of changes from a number on, each once, and
-// forgets them.
+// collectDeliveries adds the counts of one node to the figures, and returns its deliveries of changes from number first
+// on, without duplicates. It resets what the node recorded.
 func (r *run) collectDeliveries(figures *Phase, h *hollowNode, removedBy map[recordKey]int32, first int) []delivery {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,8 +148,8 @@
 	return deliveries
 }
 
-// checkRemoval enters the removal of a record that is present: no removed endpoint comes back under its name, so it
-// always was.
+// checkRemoval counts the removal of a record that exists as wrong. Removed endpoints never return under the same name,
+// so a record that exists now was never removed.
 func (r *run) checkRemoval(figures *Phase, node int, key recordKey) {
 	record := r.expected.scopes[key.scope][key.key]
 	if record == nil || record.removed {
@@ -161,8 +161,8 @@
 	}
 }
 
-// expectedDeliveries enters how many of a change's deliveries came, and returns how many should have; those that a
-// later change of the record replaced should not.
+// expectedDeliveries adds the received and missing deliveries of a change to the figures, and returns the number of
+// expected ones. Deliveries that a later change of the record superseded are not expected.
 func (r *run) expectedDeliveries(figures *Phase, change, delivered int) int {
 	followers := r.followers[r.changes[change].Scope]
 	if followers == 0 {
@@ -180,7 +180,7 @@
 	return followers
 }
 
-// addDelays enters the median and the worst of all changes.
+// addDelays sets the median and the maximum over all changes.
 func (p *Phase) addDelays(changes []Delays) {
 	if len(changes) == 0 {
 		return
@@ -204,7 +204,7 @@
 	}
 }
 
-// finiteDelay returns -1 for what never held.
+// finiteDelay replaces +Inf, for a condition that was never met, by -1.
 func finiteDelay(seconds float64) float64 {
 	if math.IsInf(seconds, 1) {
 		return -1
@@ -212,7 +212,7 @@
 	return seconds
 }
 
-// addClients enters what the nodes' clients did since the given counts.
+// addClients sets the counters of the nodes' clients since the given values.
 func (r *run) addClients(figures *Phase, before relay.ClientStats) {
 	after := r.clientStats()
 	figures.Connects = int(after.Connects - before.Connects)
@@ -225,8 +225,8 @@
 	}
 }
 
-// addTraffic enters the bytes of a node, the mean and of the worst one in its worst seconds, which may have begun
-// before the phase.
+// addTraffic sets the mean byte rate of the nodes and the highest rate of any node over worstWindow. That window may
+// begin before the phase.
 func (r *run) addTraffic(figures *Phase, bytes int64) {
 	figures.BytesPerSecond = float64(bytes) / figures.Seconds / float64(len(r.nodes.all))
 	for _, h := range r.nodes.all {
@@ -237,7 +237,8 @@
 	}
 }
 
-// addProcesses enters what the processes used since a moment, from their start if that was later.
+// addProcesses sets the resource usage of the processes since the given values; of those started later, since their
+// start.
 func (r *run) addProcesses(figures *Phase, before usage) {
 	percent := func(pid int) float64 {
 		return 100 * float64(processorTime(pid)-before.processor[pid]) / 1e9 / figures.Seconds
--- a/internal/lab/result/analysis.go
+++ b/internal/lab/result/analysis.go
@@ -9,10 +9,10 @@
 	"fawnglade/internal/lab/trace"
 )
 
-// fiveSecondsNs is that of Result.Spans, in nanoseconds.
+// fiveSecondsNs is the interval of each tally in Result.FiveSeconds, in nanoseconds.
 const fiveSecondsNs = int64(5 * time.Second)
 
-// FromTrace derives the figures and the verdict of a run.
+// FromTrace computes the figures and the verdict of a run from its trace.
 func FromTrace(s *scenario.Scenario, r *trace.Trace) *Result {
 	result := &Result{
 		Scenario: s.Name, About: s.About, LengthS: s.Length.Std().Seconds(), LateMs: float64(r.Lag) / 1e6,
@@ -31,7 +31,7 @@
 	return result
 }
 
-// tallyRequests counts each request in all of the tallies that it belongs to.
+// tallyRequests counts each request in the total and in the tallies of its class, its tenant and its due time.
 func (r *Result) tallyRequests(s *scenario.Scenario, run *trace.Trace) {
 	all := newTally()
 	fiveSeconds := newTallies(int64(s.Length), fiveSecondsNs)
@@ -67,7 +67,7 @@
 	return finished
 }
 
-// addFaults lists the faults, and computes the recovery after the last power loss.
+// addFaults lists the faults of the run and computes the recovery time after the last power loss.
 func (r *Result) addFaults(s *scenario.Scenario, run *trace.Trace) {
 	for i := range run.Plan.Faults {
 		fault := &run.Plan.Faults[i]
@@ -83,7 +83,7 @@
 	}
 }
 
-// countAttempts counts attempts from the history that the endpoints recorded.
+// countAttempts counts attempts and their outcomes from the history that the endpoints recorded.
 func countAttempts(s *scenario.Scenario, r *trace.Trace) Attempts {
 	classOf := map[string]int{}
 	operationOf := map[string]string{}
@@ -101,20 +101,20 @@
 	}
 }
 
-// SlowStart tells how much load endpoints got at most within a window after a start, against their slow-start budget N
-// of requests of mean work.
+// SlowStart reports the highest load that endpoints received within a window after a start, relative to their
+// slow-start budget of N requests of mean work.
 type SlowStart struct {
 	Starts  int           `json:"lives"`
 	Crashes int           `json:"falls"` // endpoints that were overloaded in slow start
-	All     SlowStartPeak `json:"all"`   // the worst peak of all load
-	Known   SlowStartPeak `json:"told"`  // of moments at which over two thirds came from nodes that knew of the start
+	All     SlowStartPeak `json:"all"`   // the worst peak
+	Known   SlowStartPeak `json:"told"`  // the worst peak with over two thirds of the load from nodes that knew of the start
 }
 
-// SlowStartPeak is the worst peak over a number of starts.
+// SlowStartPeak is the peak load with the largest excess over a number of starts.
 type SlowStartPeak struct {
 	Starts   int     `json:"lives"`
-	Excess   float64 `json:"over"` // over the budget N, in square roots of N; negative: within the budget
-	Load     float64 `json:"got"`  // requests of mean work
+	Excess   float64 `json:"over"` // load above the budget N, in units of the square root of N; negative: within the budget
+	Load     float64 `json:"got"`  // in requests of mean work
 	Budget   float64 `json:"budget"`
 	Endpoint int     `json:"server"`
 	AtS      float64 `json:"at_s"` // seconds since the start of the run
@@ -131,7 +131,7 @@
 	}
 }
 
-// worstPeak returns the first of those with the largest excess.
+// worstPeak returns the peak with the largest excess; of equal ones, the first.
 func worstPeak(peaks []invariant.Peak, startedAt int64) SlowStartPeak {
 	var worst SlowStartPeak
 	for i, p := range peaks {
@@ -146,13 +146,14 @@
 	return worst
 }
 
-// Service has recovered once this part of the weight is in time, in so many seconds on end.
+// Service counts as recovered after recoveredSeconds consecutive seconds in each of which at least recoveredFraction of
+// the weight was answered in time.
 const (
 	recoveredFraction = 0.95
 	recoveredSeconds  = 2
 )
 
-// recoveryAfter returns the seconds from a moment until service had recovered; -1: not by the end.
+// recoveryAfter returns the seconds from startS until service had recovered; -1 if it had not by the end of the run.
 func (r *Result) recoveryAfter(startS float64) float64 {
 	goodSeconds := 0
 	for i := int(startS); i < len(r.Seconds); i++ {
--- a/internal/lab/result/compare.go
+++ b/internal/lab/result/compare.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Difference of one figure between two builds, over pairs of runs. Low and High are the 95% confidence interval of
-// MeanDifference, under normally distributed differences; nil with fewer than two pairs.
+// Difference is the difference of one figure between two builds, over pairs of runs. Low and High bound the 95%
+// confidence interval of MeanDifference, assuming normally distributed differences; nil with fewer than two pairs.
 type Difference struct {
 	Name           string    `json:"name"`
 	A              []float64 `json:"a"`
@@ -23,19 +23,19 @@
 	High           *float64  `json:"high"`
 }
 
-// Comparison of two builds over pairs of runs, each pair with one seed.
+// Comparison compares two builds over pairs of runs; both runs of a pair have the same seed.
 type Comparison struct {
 	Scenario    string       `json:"scenario"`
 	NameA       string       `json:"name_a"`
 	NameB       string       `json:"name_b"`
 	Pairs       int          `json:"pairs"`
-	VoidPairs   int          `json:"void"` // left out, as the machine ran late
+	VoidPairs   int          `json:"void"` // excluded because the lab lagged in at least one of the two runs
 	ViolationsA int          `json:"rules_broken_a"`
 	ViolationsB int          `json:"rules_broken_b"`
 	Differences []Difference `json:"differences"`
 }
 
-// comparedFigures are those of a Comparison, in its order.
+// comparedFigures are the figures of a Comparison, in its order.
 var comparedFigures = []struct {
 	name  string
 	value func(*Result) float64
@@ -60,17 +60,17 @@
 	return sum
 }
 
-// Compare tells how build B differs from build A. Results at one index are of one plan, else it returns an error. Pairs
-// in which the machine ran late are counted and left out of the differences.
+// Compare computes how build B differs from build A. Results at the same index form a pair and must have the same plan;
+// otherwise it returns an error. Pairs with a void run are counted and excluded from the differences.
 func Compare(scenario, nameA, nameB string, a, b []*Result) (*Comparison, error) {
 	if len(a) != len(b) {
-		return nil, fmt.Errorf("expected as many days of one as of the other, got %d and %d", len(a), len(b))
+		return nil, fmt.Errorf("expected the same number of runs of both builds, got %d and %d", len(a), len(b))
 	}
 	c := &Comparison{Scenario: scenario, NameA: nameA, NameB: nameB}
 	var validA, validB []*Result
 	for i := range a {
 		if a[i].Plan != b[i].Plan {
-			return nil, fmt.Errorf("pair %d is not of one plan: %v and %v", i, a[i].Plan, b[i].Plan)
+			return nil, fmt.Errorf("pair %d: expected runs of the same plan, got %v and %v", i, a[i].Plan, b[i].Plan)
 		}
 		c.ViolationsA += a[i].ViolationCount
 		c.ViolationsB += b[i].ViolationCount
@@ -114,7 +114,7 @@
 // Print writes the comparison as a table.
 func (c *Comparison) Print(w io.Writer) error {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%s: A %s, B %s, %d pairs, %d left out as the machine ran late\n",
+	fmt.Fprintf(&out, "%s: A %s, B %s, %d pairs, %d excluded because the lab lagged\n",
 		c.Scenario, c.NameA, c.NameB, c.Pairs, c.VoidPairs)
 	fmt.Fprintf(&out, "%18s %12s %12s %12s   %s\n", "", "A", "B", "B less A", "95% interval")
 	for _, d := range c.Differences {
--- a/internal/lab/result/curves.go
+++ b/internal/lab/result/curves.go
@@ -8,12 +8,12 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// minMeanInFlight is the mean of requests in flight at an endpoint below which their spread is chance.
+// minMeanInFlight is the mean number of requests in flight per endpoint below which their spread is mostly noise.
 const minMeanInFlight = 0.1
 
 // curve is one line of a plot, over seconds since the start of the run.
 type curve struct {
-	name string // in the legend; empty: not there
+	name string // in the legend; empty: no entry
 	x, y []float64
 }
 
@@ -22,7 +22,7 @@
 	c.y = append(c.y, y)
 }
 
-// midSecond is where a figure of a whole second is drawn.
+// midSecond returns the x position of a figure that covers a whole second.
 func midSecond(second int) float64 { return float64(second) + 0.5 }
 
 func (r *Result) tallyBySecond(name string, value func(*Tally) float64) curve {
@@ -49,7 +49,7 @@
 	return c
 }
 
-// inFlightOf returns the requests in flight at one endpoint.
+// inFlightOf returns the curve of the requests in flight at one endpoint.
 func inFlightOf(loads []trace.LoadSample, endpoint int, name string) curve {
 	c := curve{name: name}
 	for _, sample := range loads {
@@ -60,9 +60,9 @@
 	return c
 }
 
-// inFlightSpread returns how unevenly load was spread over the endpoints: by second, the standard deviation of their
-// requests in flight over the mean. Many nodes that follow one load report make it rise and fall with the reports.
-// Samples with next to nothing in flight are skipped.
+// inFlightSpread returns how unevenly load was spread over the endpoints: for each second, the standard deviation of
+// their requests in flight divided by the mean. When many nodes react to the same load report, it oscillates with the
+// reports. Samples with a mean of at most minMeanInFlight are skipped.
 func (r *Result) inFlightSpread(name string) curve {
 	c := curve{name: name}
 	sum, samples, second := 0.0, 0.0, 0
--- a/internal/lab/result/expectations.go
+++ b/internal/lab/result/expectations.go
@@ -7,14 +7,14 @@
 	"fawnglade/internal/lab/trace"
 )
 
-// expect notes an expectation that did not hold.
+// expect adds a message to Missed unless the expectation holds.
 func (r *Result) expect(holds bool, format string, args ...any) {
 	if !holds {
 		r.Missed = append(r.Missed, fmt.Sprintf(format, args...))
 	}
 }
 
-// checkExpectations holds the run against what its scenario expects.
+// checkExpectations checks the run against the expectations of its scenario.
 func (r *Result) checkExpectations(s *scenario.Scenario, badClients trace.BadClientCounts) {
 	e := &s.Expect
 	r.expect(r.ViolationCount == 0, "rules broken %d times, expected never", r.ViolationCount)
@@ -46,7 +46,7 @@
 		"at the end nodes believe wrongly which of them run, expected that all know")
 }
 
-// checkOutcomes checks the outcomes of requests; those that clients canceled count for nothing.
+// checkOutcomes checks the outcomes of requests. Requests that clients canceled are not counted.
 func (r *Result) checkOutcomes(e *scenario.Expect) {
 	requests := float64(max(r.Requests-r.Canceled, 1))
 	r.expect(r.FractionInTime >= e.MinWeightInTime, "earnings in time %.4f, expected %.4f at least", r.FractionInTime, e.MinWeightInTime)
--- a/internal/lab/result/page.go
+++ b/internal/lab/result/page.go
@@ -12,22 +12,22 @@
 
 const (
 	maxEndpointsDrawn = 24
-	maxCurvesNamed    = 8 // with more, the legend would hide the curves
+	maxCurvesNamed    = 8 // the legend of more curves would cover them
 )
 
 const (
-	inTimeTitle = "Earnings in time, part of what came in the second"
-	spreadTitle = "Spread of the tasks held over the servers"
+	inTimeTitle = "Earnings in time, as a fraction of each second's requests"
+	spreadTitle = "Spread of requests in flight over the servers"
 )
 
-// chart is one plot of a page.
+// chart is one plot on a page.
 type chart struct {
 	title  string
 	unit   string // of the vertical axis
 	curves []curve
 }
 
-// drawAll draws charts with the faults of a run.
+// drawAll draws charts, each with the faults of the run as bands.
 func (r *Result) drawAll(charts []chart) ([]template.HTML, error) {
 	var plots []template.HTML
 	for _, c := range charts {
@@ -40,7 +40,7 @@
 	return plots, nil
 }
 
-// sideBySideCharts are the figures that WriteSideBySide draws, a curve for each result.
+// sideBySideCharts are the charts of WriteSideBySide, each with a curve for every result.
 var sideBySideCharts = []struct {
 	title, unit string
 	curve       func(r *Result, name string) curve
@@ -48,20 +48,20 @@
 	{inTimeTitle, "part", func(r *Result, name string) curve {
 		return r.tallyBySecond(name, func(t *Tally) float64 { return t.FractionInTime })
 	}},
-	{"Answer times of satisfied tasks, 99th percentile", "ms", func(r *Result, name string) curve {
+	{"Latency of satisfied tasks, 99th percentile", "ms", func(r *Result, name string) curve {
 		return r.tallyBySecond(name, func(t *Tally) float64 { return t.P99 })
 	}},
 	{spreadTitle, "deviation over mean", (*Result).inFlightSpread},
 	{"Connections opened by all nodes", "in the second", func(r *Result, name string) curve {
 		return r.activityBySecond(name, func(a *trace.FleetActivity) int { return a.Connections })
 	}},
-	{"Resends and second copies of all nodes", "in the second", func(r *Result, name string) curve {
+	{"Retries and hedged requests of all nodes", "in the second", func(r *Result, name string) curve {
 		return r.activityBySecond(name, func(a *trace.FleetActivity) int { return a.Retries + a.Hedged })
 	}},
 }
 
-// WriteSideBySide writes one HTML page on several results of a scenario, one at least, with a curve for each under its
-// name. Faults are drawn as of the first.
+// WriteSideBySide writes an HTML page that compares results of one scenario, at least one, with a named curve for each.
+// The faults that are drawn are those of the first result.
 func WriteSideBySide(w io.Writer, names []string, results []*Result) error {
 	var charts []chart
 	for _, spec := range sideBySideCharts {
@@ -78,7 +78,7 @@
 	return sideBySideTemplate.Execute(w, sideBySideData{names, results, plots})
 }
 
-// WritePage writes the report as one HTML page that fetches nothing.
+// WritePage writes the report as a self-contained HTML page.
 func (r *Result) WritePage(w io.Writer) error {
 	plots, err := r.drawAll(r.charts())
 	if err != nil {
@@ -100,18 +100,18 @@
 		{inTimeTitle, "part", []curve{
 			r.tallyBySecond("", func(t *Tally) float64 { return t.FractionInTime }),
 		}},
-		{"Answer times of satisfied tasks, from when they were due", "ms", []curve{
+		{"Latency of satisfied tasks, from their due time", "ms", []curve{
 			r.tallyBySecond("p50", func(t *Tally) float64 { return t.P50 }),
 			r.tallyBySecond("p90", func(t *Tally) float64 { return t.P90 }),
 			r.tallyBySecond("p99", func(t *Tally) float64 { return t.P99 }),
 		}},
-		{"Tasks by their end", "tasks due in the second", []curve{
+		{"Tasks by outcome", "tasks due in the second", []curve{
 			count("satisfied", func(t *Tally) int { return t.Succeeded }),
 			count("declined", func(t *Tally) int { return t.Rejected }),
 			count("broken off", func(t *Tally) int { return t.Failed }),
 			count("lost", func(t *Tally) int { return t.Lost }),
 		}},
-		{"Tasks held by each server", "tasks", r.inFlightByEndpoint()},
+		{"Tasks in flight at each server", "tasks", r.inFlightByEndpoint()},
 	}
 	if len(r.Loads) > 0 {
 		charts = append(charts, chart{spreadTitle, "deviation over mean", []curve{r.inFlightSpread("")}})
@@ -120,26 +120,26 @@
 		charts = append(charts, r.activityChart())
 	}
 	if r.Views != nil {
-		charts = append(charts, chart{"What nodes believe of one another", "in the sample", []curve{
-			r.viewsBySample("wrong beliefs", r.Views.Wrong),
-			r.viewsBySample("views that say unknown", r.Views.Unknown),
+		charts = append(charts, chart{"Membership views of the nodes", "in the sample", []curve{
+			r.viewsBySample("wrong member states", r.Views.Wrong),
+			r.viewsBySample("unreliable views", r.Views.Unknown),
 		}})
 	}
 	return charts
 }
 
 func (r *Result) activityChart() chart {
-	return chart{"What all nodes do together, beside the tasks", "in the second", []curve{
+	return chart{"Activity of all nodes besides first attempts", "in the second", []curve{
 		r.activityBySecond("resends", func(a *trace.FleetActivity) int { return a.Retries }),
 		r.activityBySecond("copies", func(a *trace.FleetActivity) int { return a.Hedged }),
 		r.activityBySecond("connections", func(a *trace.FleetActivity) int { return a.Connections }),
-		r.activityBySecond("calls for the list", func(a *trace.FleetActivity) int { return a.ListCalls }),
+		r.activityBySecond("endpoint list calls", func(a *trace.FleetActivity) int { return a.ListCalls }),
 		r.activityBySecond("probes", func(a *trace.FleetActivity) int { return a.HealthChecks }),
 		r.activityBySecond("messages", func(a *trace.FleetActivity) int { return a.Gossip }),
 	}}
 }
 
-// inFlightByEndpoint returns a curve for each of the first endpoints.
+// inFlightByEndpoint returns a curve for each of the first maxEndpointsDrawn endpoints.
 func (r *Result) inFlightByEndpoint() []curve {
 	var curves []curve
 	for i, name := range r.Endpoints[:min(len(r.Endpoints), maxEndpointsDrawn)] {
@@ -153,7 +153,7 @@
 	return curves
 }
 
-// sideBySideData is what sideBySideTemplate shows.
+// sideBySideData is the data of sideBySideTemplate.
 type sideBySideData struct {
 	Names   []string
 	Results []*Result
@@ -171,13 +171,13 @@
 {{end}}</table>{{range .Plots}}{{.}}{{end}}</body></html>
 `))
 
-// tallyRow is a line of the table of requests.
+// tallyRow is a row of the table of requests.
 type tallyRow struct {
 	Name string
 	*Tally
 }
 
-// pageData is what pageTemplate shows.
+// pageData is the data of pageTemplate.
 type pageData struct {
 	Result *Result
 	Rows   []tallyRow
--- a/internal/lab/result/page_test.go
+++ b/internal/lab/result/page_test.go
@@ -10,7 +10,8 @@
 	"fawnglade/internal/lab/trace"
 )
 
-// The templates name fields as text: a renamed field fails here.
+// TestPagesContainAllSections guards against renamed fields: the templates name fields as text, which the compiler does
+// not check.
 func TestPagesContainAllSections(t *testing.T) {
 	r := &Result{
 		Scenario: "calm", Verdict: FellShort, Missed: []string{"too slow"}, LengthS: 2, ViolationCount: 1,
@@ -35,7 +36,7 @@
 		{"side by side", sideBySide.String(), 5, "</body></html>\n"},
 	} {
 		if n := strings.Count(c.page, "<svg"); n != c.plots || !strings.HasSuffix(c.page, c.end) {
-			t.Errorf("%s: %d plots, want %d, and at its end %q", c.name, n, c.plots, c.end)
+			t.Errorf("%s: got %d plots, want %d and a page that ends with %q", c.name, n, c.plots, c.end)
 		}
 	}
 }
--- a/internal/lab/result/plot.go
+++ b/internal/lab/result/plot.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// curveColors can be told apart with any usual color vision.
+// curveColors is a palette that is distinguishable with the common forms of color blindness.
 var curveColors = []color.RGBA{
 	{0, 114, 178, 255},
 	{213, 94, 0, 255},
@@ -31,9 +31,9 @@
 	plotHeight = 3 * vg.Inch
 	bandAlpha  = 36 // of 255
 
-	bandTop        = 1.05 // of the highest value
-	axisTop        = 1.25 // of the highest value: leaves the legend its space
-	minBandDivisor = 400  // the run over it is the least width, so that short faults are seen
+	bandTop        = 1.05 // times the highest value
+	axisTop        = 1.25 // times the highest value: leaves space for the legend
+	minBandDivisor = 400  // run length over minimum width of a fault band, so that short faults stay visible
 	curveLine      = 1.4  // points
 )
 
@@ -58,7 +58,7 @@
 	return svg(p)
 }
 
-// highest returns the highest value of all curves; 1 if it is 0.
+// highest returns the highest value of all curves, or 1 if there is none above 0.
 func highest(curves []curve) float64 {
 	top := 0.0
 	for _, c := range curves {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// addCurve adds the curve of an index, which decides its color; once all colors are used, curves are dashed.
+// addCurve adds a curve in the color of its index. Curves are dashed once all colors are in use.
 func addCurve(p *plot.Plot, index int, c curve) error {
 	if len(c.x) == 0 {
 		return nil
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// svg draws a plot as an element for an HTML page, without the XML declaration.
+// svg renders a plot as an SVG element for an HTML page, without the XML declaration.
 func svg(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
--- a/internal/lab/result/reachability.go
+++ b/internal/lab/result/reachability.go
@@ -9,18 +9,18 @@
 	"fawnglade/internal/lab/trace"
 )
 
-// maxGroupsPrinted is how many groups of nodes that reach one another are named one by one.
+// maxGroupsPrinted is the number of partitions up to which all are listed.
 const maxGroupsPrinted = 12
 
-// Views compares, by sample, what nodes took to be the members with the nodes that ran.
+// Views compares, for each sample, the membership views of the nodes with the nodes that ran.
 type Views struct {
-	AgreeFromS float64 `json:"agree_from_s"` // from then on all nodes know which of them run; -1: not at the end
-	Wrong      []int   `json:"wrong_by_1s"`  // members taken to be up that do not run, or the other way round
+	AgreeFromS float64 `json:"agree_from_s"` // since when all views are correct until the end; -1: not at the end
+	Wrong      []int   `json:"wrong_by_1s"`  // member states per sample: down but seen as up, or up but not seen as up
 	Unknown    []int   `json:"unknown_by_1s"`
 }
 
-// viewsOf compares the views of each sample with what ran at that moment; nil without samples. A sample in which no
-// node gave its view is not one in which all agree.
+// viewsOf compares the views of each sample with the nodes that ran at its time; it returns nil without samples. A
+// sample without any view does not count as agreement.
 func viewsOf(views []trace.MembershipView, running []trace.RunningNodes) *Views {
 	if len(running) == 0 {
 		return nil
@@ -49,7 +49,8 @@
 	return summary
 }
 
-// countWrong counts the members that a view takes to be up and that do not run, or the other way round.
+// countWrong counts the members that a view reports as up although they do not run, or does not report as up although
+// they do.
 func countWrong(view *trace.MembershipView, sample trace.RunningNodes) int {
 	const up = 'U'
 	wrong := 0
@@ -61,7 +62,7 @@
 	return wrong
 }
 
-// reachLines describes who could reach whom, a line for each stretch of seconds that are alike.
+// reachLines describes which nodes could reach one another, in one line for each run of identical seconds.
 func reachLines(reach []netfault.Reachability) []string {
 	var lines []string
 	for from := 0; from < len(reach); {
@@ -79,7 +80,7 @@
 func reachText(r netfault.Reachability) string {
 	text := strings.Join(r.Partitions, " | ")
 	if len(r.Partitions) > maxGroupsPrinted {
-		text = fmt.Sprintf("%d parts, the first %s", len(r.Partitions), r.Partitions[0])
+		text = fmt.Sprintf("%d partitions, the first %s", len(r.Partitions), r.Partitions[0])
 	}
 	for _, detail := range slices.Concat(r.OneWay, r.Faults) {
 		text += "; " + detail
@@ -99,10 +100,10 @@
 		wrong += r.Views.Wrong[i]
 		unknown += r.Views.Unknown[i]
 	}
-	from := "not at the end"
+	from := "not by the end"
 	if r.Views.AgreeFromS >= 0 {
 		from = fmt.Sprintf("from %.0f s on", r.Views.AgreeFromS)
 	}
-	fmt.Fprintf(out, "who is there: all agree %s; %d beliefs wrong, %d views that say unknown, over %d samples\n",
+	fmt.Fprintf(out, "membership: all nodes agree %s; %d wrong member states, %d unreliable views, in %d samples\n",
 		from, wrong, unknown, len(r.Views.Wrong))
 }
--- a/internal/lab/result/tally.go
+++ b/internal/lab/result/tally.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	maxElapsedUs      = int64(10 * time.Minute / time.Microsecond) // longer times are recorded as this
-	significantDigits = 3                                          // of recorded times
+	maxElapsedUs      = int64(10 * time.Minute / time.Microsecond) // longer latencies are recorded as this value
+	significantDigits = 3                                          // of recorded latencies
 )
 
-// Tally counts requests by outcome. Quantiles are of the latencies of those that succeeded, from when they were due.
+// Tally counts requests by outcome. The quantiles are those of the latencies of succeeded requests, measured from their
+// due times.
 type Tally struct {
 	Requests       int     `json:"tasks"`
 	Succeeded      int     `json:"satisfied"`
 	InTime         int     `json:"in_time"` // succeeded within the latency objective
 	Rejected       int     `json:"declined"`
 	Failed         int     `json:"broken_off"`
-	Lost           int     `json:"lost"` // without an answer
-	Canceled       int     `json:"left"` // by their clients; in no other figure but Requests
+	Lost           int     `json:"lost"` // no response received
+	Canceled       int     `json:"left"` // by their clients; otherwise counted only in Requests
 	Weight         float64 `json:"earnings"`
 	WeightInTime   float64 `json:"earned_in_time"`
-	FractionInTime float64 `json:"earnings_in_time"` // WeightInTime over Weight; 1 if there is none
+	FractionInTime float64 `json:"earnings_in_time"` // WeightInTime / Weight; 1 if Weight is 0
 	P50            float64 `json:"p50_ms"`
 	P90            float64 `json:"p90_ms"`
 	P99            float64 `json:"p99_ms"`
@@ -39,7 +40,8 @@
 	return &Tally{histogram: hdrhistogram.New(1, maxElapsedUs, significantDigits)}
 }
 
-// newTallies returns one tally for each span of a run; both lengths are in nanoseconds.
+// newTallies returns a tally for each interval of a run. Both the length of the run and the interval are in
+// nanoseconds.
 func newTallies(length, interval int64) []*Tally {
 	tallies := make([]*Tally, (length-1)/interval+1)
 	for i := range tallies {
@@ -48,7 +50,7 @@
 	return tallies
 }
 
-// tallyByName returns the tally of a name, and creates it at its first use.
+// tallyByName returns the tally of a name, creating it on first use.
 func tallyByName(tallies map[string]*Tally, name string) *Tally {
 	if tallies[name] == nil {
 		tallies[name] = newTally()
@@ -56,7 +58,7 @@
 	return tallies[name]
 }
 
-// add counts one request. Outcomes without an end by the end of the run count as failed.
+// add counts one request. Requests that were unfinished at the end of the run count as failed.
 func (t *Tally) add(outcome trace.Outcome, class *scenario.Class) {
 	t.Requests++
 	if outcome.State == trace.Canceled {
@@ -76,18 +78,18 @@
 	}
 }
 
-// addSuccess counts a request that succeeded after so many nanoseconds.
+// addSuccess counts a request that succeeded; elapsed is its latency in nanoseconds.
 func (t *Tally) addSuccess(elapsed int64, class *scenario.Class) {
 	t.Succeeded++
 	microseconds := max(min(elapsed/int64(time.Microsecond), maxElapsedUs), 1)
-	_ = t.histogram.RecordValue(microseconds) // fails for values out of its range only
+	_ = t.histogram.RecordValue(microseconds) // fails only for values outside the histogram's range
 	if elapsed <= int64(class.LatencyObjective) {
 		t.InTime++
 		t.WeightInTime += class.PriorityWeight
 	}
 }
 
-// finish computes the fraction and the quantiles once all requests are counted.
+// finish computes FractionInTime and the quantiles. It is called after all requests are counted.
 func (t *Tally) finish() Tally {
 	t.FractionInTime = 1
 	if t.Weight > 0 {
@@ -101,7 +103,7 @@
 	return *t
 }
 
-// WorstWindow returns the fraction of weight in time of the worst stretch of so many whole seconds.
+// WorstWindow returns the lowest fraction of weight in time over any window of the given number of whole seconds.
 func (r *Result) WorstWindow(seconds int) float64 {
 	worst := 1.0
 	for i := 0; i+seconds <= len(r.Seconds); i++ {
@@ -117,7 +119,7 @@
 	return worst
 }
 
-// WorstClass returns the fraction of weight in time of the class that fares worst.
+// WorstClass returns the lowest fraction of weight in time of any class.
 func (r *Result) WorstClass() float64 {
 	worst := 1.0
 	for _, t := range r.Classes {
--- a/internal/lab/result/text.go
+++ b/internal/lab/result/text.go
@@ -16,7 +16,7 @@
 	maxViolationsPrinted = 10
 )
 
-// Print writes the result as text, for a terminal.
+// Print writes the result as text for a terminal.
 func (r *Result) Print(w io.Writer) error {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s, seed %d: %s\n", r.Scenario, r.Plan.Seed, r.Verdict)
@@ -30,13 +30,13 @@
 	r.printSlowStart(&out)
 	r.printNodes(&out)
 	if b := r.BadClients; b.Connected > 0 {
-		fmt.Fprintf(&out, "bad clients %d: %d got neither an error nor a close, %d were served\n", b.Connected, b.Unanswered, b.Served)
+		fmt.Fprintf(&out, "bad clients %d: %d received neither an error nor a close, %d were served\n", b.Connected, b.Unanswered, b.Served)
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.GivenUp)) {
 		fmt.Fprintf(&out, "given up: %s, %d times\n", reason, r.GivenUp[reason])
 	}
 	for _, description := range slices.Sorted(maps.Keys(r.Oddities)) {
-		fmt.Fprintf(&out, "seen: %s, %d times\n", description, r.Oddities[description])
+		fmt.Fprintf(&out, "anomaly: %s, %d times\n", description, r.Oddities[description])
 	}
 	r.printReachability(&out)
 	r.printVerdict(&out)
@@ -61,7 +61,7 @@
 	return table.Flush()
 }
 
-// printActivity writes the sums over the run, and of some figures the worst second.
+// printActivity writes the sums over the run and, for some figures, the value of the worst second.
 func (r *Result) printActivity(out *strings.Builder) {
 	if len(r.Activity) == 0 {
 		return
@@ -77,8 +77,8 @@
 		peak.Connections = max(peak.Connections, a.Connections)
 		peak.ListCalls = max(peak.ListCalls, a.ListCalls)
 	}
-	fmt.Fprintf(out, "all nodes together: %d connections (%d in the worst second), %d calls for the list (%d), "+
-		"%d resends, %d copies, %d probes, %d messages\n",
+	fmt.Fprintf(out, "all nodes together: %d connections (%d in the worst second), %d endpoint list calls (%d), "+
+		"%d retries, %d hedged requests, %d health checks, %d gossip messages\n",
 		sum.Connections, peak.Connections, sum.ListCalls, peak.ListCalls, sum.Retries, sum.Hedged, sum.HealthChecks, sum.Gossip)
 }
 
@@ -87,9 +87,9 @@
 	if s == nil {
 		return
 	}
-	fmt.Fprintf(out, "cold servers %d, %d pushed over: the worst got %.1f requests of mean work where N = %.1f, "+
-		"%+.2f times the root of N over it; "+
-		"of those pushed by nodes that were told %.1f where N = %.1f, %+.2f\n",
+	fmt.Fprintf(out, "slow starts %d, endpoints overloaded %d: worst peak %.1f requests of mean work with budget N = %.1f, "+
+		"excess %+.2f * sqrt(N); "+
+		"worst peak from nodes that knew of the start %.1f with N = %.1f, excess %+.2f\n",
 		s.Starts, s.Crashes, s.All.Load, s.All.Budget, s.All.Excess, s.Known.Load, s.Known.Budget, s.Known.Excess)
 }
 
@@ -113,6 +113,6 @@
 		fmt.Fprintf(out, "not as expected: %s\n", missed)
 	}
 	if r.Verdict == Void {
-		fmt.Fprintf(out, "the machine ran late, by %.0f ms in a twentieth of the time or more: nothing can be said\n", r.LateMs)
+		fmt.Fprintf(out, "void: the lab lagged by %.0f ms (95th percentile), so the figures are not valid\n", r.LateMs)
 	}
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,5 +1,6 @@
-// Package soak draws short scenarios from seeds and judges their runs: whatever a seed draws, no rule is broken and no
-// node ends by itself; and where all endpoints are healthy and have capacity to spare, every request is answered.
+// Package soak generates short random scenarios from seeds and checks their runs. For every seed, no invariant may be
+// violated and no node may end by itself; if all endpoints are healthy and have spare capacity, every request must
+// succeed.
 package soak
 
 import (
@@ -13,23 +14,23 @@
 
 const (
 	lengthSeconds = 5
-	// requestsPerCore is the load that a core carries with capacity to spare: 20 to 80 ms of work each.
+	// requestsPerCore is the request rate per second that leaves a core spare capacity: each takes 20 to 80 ms of work.
 	requestsPerCore      = 5
 	coresPerEndpoint     = 16
 	maxRate              = 400 // requests a second
 	largeFleet           = 30
 	crowdDescriptors     = 128
-	faultyEndpointsOneIn = 2 // one seed in so many has faulty endpoints
-	crowdOneIn           = 3 // one in so many has a crowd of clients that keep their connections
+	faultyEndpointsOneIn = 2 // one seed in this many has faulty endpoints
+	crowdOneIn           = 3 // one seed in this many has a crowd of clients that keep their connections open
 )
 
-// Day is what a seed draws.
+// Case is the scenario of a seed.
 type Case struct {
 	Scenario *scenario.Scenario
-	Healthy  bool // no endpoint is at fault, and there is capacity to spare
+	Healthy  bool // all endpoints are healthy and have spare capacity
 }
 
-// Draw returns the day of a seed: the same for the same seed.
+// DrawCase returns the case of a seed. It is deterministic.
 func DrawCase(seed uint64) (*Case, error) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	endpoints := 1 + random.IntN(3)
@@ -55,7 +56,7 @@
 	return drawn, err
 }
 
-// writeClasses writes a class of each kind of idempotency, with work that varies exponentially.
+// writeClasses writes one class for each kind of idempotency, with exponentially distributed work.
 func writeClasses(text *strings.Builder, random *rand.Rand) {
 	for _, class := range []string{"rerunnable", "ticketed", "exclusive"} {
 		fmt.Fprintf(text, "[[category]]\nname = %q\nrepeat = %q\nsoft_limit = \"1s\"\nhard_limit = \"2s\"\nvary = 1.0\nwork = \"%dms\"\n",
@@ -63,7 +64,7 @@
 	}
 }
 
-// writeStops has one node told to stop, and to come back, one to three times, amid other signals.
+// writeStops writes one to three faults that stop a node and restart it, with other signals sent in between.
 func writeStops(text *strings.Builder, random *rand.Rand) {
 	for stop := range 1 + random.IntN(3) {
 		fmt.Fprintf(text, "[[fault]]\nkind = \"stop\"\nhow = \"signals\"\nat = \"%dms\"\nfor = \"200ms\"\nnodes = [%d]\n",
@@ -71,14 +72,14 @@
 	}
 }
 
-// writeEndpointFault has some endpoints hang, reset, fail or reject for a while.
+// writeEndpointFault writes a fault that makes some endpoints hang, reset, fail or reject for two seconds.
 func writeEndpointFault(text *strings.Builder, random *rand.Rand, endpoints int) {
 	kinds := []string{"silent", "reset", "fail", "turn-away"}
 	fmt.Fprintf(text, "[[fault]]\nkind = %q\nat = \"1s\"\nfor = \"2s\"\ncount = %d\n",
 		kinds[random.IntN(len(kinds))], 1+random.IntN(max(1, endpoints/3)))
 }
 
-// Complaints returns what is wrong with the run of a day; none if it held.
+// Problems returns a message for each failed check of a run; none if the run passed.
 func (d *Case) Problems(r *result.Result) []string {
 	var problems []string
 	for _, violation := range r.Violations {
@@ -90,7 +91,7 @@
 		}
 	}
 	if unanswered := r.Rejected + r.Failed + r.Lost; d.Healthy && unanswered > 0 {
-		problems = append(problems, fmt.Sprintf("healthy endpoints with capacity to spare: %d rejected, %d failed, %d lost of %d",
+		problems = append(problems, fmt.Sprintf("healthy endpoints with spare capacity: %d requests rejected, %d failed, %d lost of %d",
 			r.Rejected, r.Failed, r.Lost, r.Requests))
 	}
 	return problems
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -18,14 +18,14 @@
 		}
 		again, err := DrawCase(seed)
 		if err != nil || !reflect.DeepEqual(drawn, again) {
-			t.Errorf("seed %d draws two days (%v)", seed, err)
+			t.Errorf("seed %d: two calls of DrawCase returned different cases (error %v)", seed, err)
 		}
 		if drawn.Healthy {
 			healthy++
 		}
 	}
 	if healthy < 50 || healthy > 150 {
-		t.Errorf("%d of 200 days are healthy", healthy)
+		t.Errorf("got %d of 200 cases with healthy endpoints, want 50 to 150", healthy)
 	}
 }
 
@@ -36,16 +36,16 @@
 		want    int
 	}{
 		"held":                 {true, result.Result{}, 0},
-		"a rule is broken":     {false, result.Result{Violations: make([]invariant.Violation, 1)}, 1},
-		"a node ended":         {false, result.Result{Nodes: []trace.NodeUsage{{Crashes: 1}}}, 1},
+		"invariant violated":   {false, result.Result{Violations: make([]invariant.Violation, 1)}, 1},
+		"node ended by itself": {false, result.Result{Nodes: []trace.NodeUsage{{Crashes: 1}}}, 1},
 		"rejected, healthy":    {true, result.Result{Tally: result.Tally{Rejected: 1}}, 1},
 		"failed, healthy":      {true, result.Result{Tally: result.Tally{Failed: 1}}, 1},
 		"lost, healthy":        {true, result.Result{Tally: result.Tally{Lost: 1}}, 1},
-		"rejected, not wholly": {false, result.Result{Tally: result.Tally{Rejected: 1}}, 0},
+		"rejected, unhealthy":  {false, result.Result{Tally: result.Tally{Rejected: 1}}, 0},
 	} {
 		drawn := &Case{Healthy: c.healthy}
 		if got := drawn.Problems(&c.run); len(got) != c.want {
-			t.Errorf("%s: %q, expected %d complaints", name, got, c.want)
+			t.Errorf("%s: got problems %q, want %d of them", name, got, c.want)
 		}
 	}
 }
--- a/internal/lab/sweep/plot.go
+++ b/internal/lab/sweep/plot.go
@@ -16,8 +16,8 @@
 
 const heatMapColors = 64
 
-// Plot writes a PNG for each figure into a directory: over one axis, a line with 95% intervals for each decider; over
-// two, a heat map of the first decider.
+// Plot writes a PNG for each figure to a directory: for one axis, a line with 95% confidence intervals for each
+// decider; for two axes, a heat map of the first decider.
 func Plot(dir string, axes []Axis, deciders []string, rows []Row) error {
 	var problems []error
 	for column, name := range Columns {
@@ -31,7 +31,7 @@
 	return errors.Join(problems...)
 }
 
-// estimates are the points of one line.
+// estimates are the points of one line with their error bars.
 type estimates struct {
 	plotter.XYs
 	plotter.YErrors
@@ -59,7 +59,7 @@
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
-// estimatesOf returns the estimates along an axis, without values that were not played.
+// estimatesOf returns the estimates along an axis. Values without a finished run are omitted.
 func estimatesOf(axis Axis, by string, rows []Row, column int) estimates {
 	var points estimates
 	for i, value := range axis.Values {
@@ -74,7 +74,7 @@
 	return points
 }
 
-// position returns where a value is drawn: at its number, or at its index if it is not a number.
+// position returns the x position of a value: the value itself if it is a number, else its index.
 func (a Axis) position(index int) float64 {
 	if v, err := strconv.ParseFloat(a.Values[index], 64); err == nil {
 		return v
@@ -82,10 +82,10 @@
 	return float64(index)
 }
 
-// heatMap holds the means of two axes' cells.
+// heatMap holds the mean of each cell of a grid with two axes. It implements plotter.GridXYZ.
 type heatMap struct {
 	axes  []Axis
-	means [][]float64 // by index on the first axis, then on the second
+	means [][]float64 // indexed by the first axis, then by the second
 }
 
 // Dims implements plotter.GridXYZ.
@@ -112,7 +112,7 @@
 		}
 		grid.means = append(grid.means, means)
 	}
-	if !(low < high) { // all equal: the color scale needs a width
+	if !(low < high) { // all equal or none: the color scale needs a nonempty range
 		high = low + 1e-9
 	}
 	colors := moreland.SmoothBlueRed()
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -1,6 +1,6 @@
-// Package sweep plays a scenario over a grid of values: it enumerates the cells, sets their values in the scenario's
-// text, keeps the figures of the cells in a CSV table that an interrupted sweep resumes from, and shows their means as
-// text and as plots. The caller plays the runs.
+// Package sweep evaluates a scenario over a grid of parameter values. It enumerates the cells of the grid, sets their
+// values in the scenario's text, stores the figures of finished cells in a CSV table from which an interrupted sweep
+// resumes, and reports their means as text and as plots. The caller runs the scenarios.
 package sweep
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Axis is one key of the scenario file with its values.
+// Axis is one key of the scenario file and the values to set it to.
 type Axis struct {
 	Key    string // such as load.rate or fault.0.share
 	Values []string
 }
 
-// ParseAxis reads KEY=a,b,c.
+// ParseAxis parses an axis of the form KEY=a,b,c.
 func ParseAxis(text string) (Axis, error) {
 	key, values, ok := strings.Cut(text, "=")
 	if !ok || key == "" || values == "" {
@@ -39,12 +39,13 @@
 // name identifies the cell within its sweep.
 func (c Cell) name() string { return strings.Join(c.fields(), ",") }
 
-// fields are the cell's part of a row of the table.
+// fields returns the leading fields of the cell's row in the table: its values, decider and seed.
 func (c Cell) fields() []string {
 	return append(slices.Clone(c.Values), c.By, strconv.FormatUint(c.Seed, 10))
 }
 
-// Grid returns all cells: the axes' values outermost, then the deciders, then the seeds from firstSeed on.
+// Grid returns all cells: combinations of the axes' values in the outer loop, then deciders, then as many seeds as
+// there are repeats, counting up from firstSeed.
 func Grid(axes []Axis, deciders []string, firstSeed uint64, repeats int) []Cell {
 	combinations := [][]string{nil}
 	for _, a := range axes {
@@ -67,7 +68,7 @@
 	return cells
 }
 
-// Scenario returns the scenario of a cell: the text with the cell's values set. The path names it in errors.
+// Scenario returns the scenario of a cell: the text with the cell's values set. The path is used in error messages.
 func Scenario(path string, text []byte, axes []Axis, c Cell) (*scenario.Scenario, error) {
 	for i, a := range axes {
 		var err error
@@ -83,8 +84,8 @@
 	return s, nil
 }
 
-// setKey returns a TOML text with one key set. Tables on the way are created; a part of the key that is a number is the
-// index of one of several tables.
+// setKey returns a TOML text with one dotted key set. Missing tables along the path are created; a number in the path
+// is an index into an array of tables.
 func setKey(text []byte, key, value string) ([]byte, error) {
 	var root map[string]any
 	if err := toml.Unmarshal(text, &root); err != nil {
@@ -105,20 +106,20 @@
 		case []any:
 			index, err := strconv.Atoi(part)
 			if err != nil || index < 0 || index >= len(table) {
-				return nil, fmt.Errorf("%s: expected a number from 0 to %d, got %s", key, len(table)-1, part)
+				return nil, fmt.Errorf("%s: expected an array index, a number from 0 to %d, got %s", key, len(table)-1, part)
 			}
 			if last {
 				table[index] = parseValue(value)
 			}
 			node = table[index]
 		default:
-			return nil, fmt.Errorf("%s: %s is no table", key, strings.Join(parts[:i], "."))
+			return nil, fmt.Errorf("%s: %s is not a table", key, strings.Join(parts[:i], "."))
 		}
 	}
 	return toml.Marshal(root)
 }
 
-// parseValue returns the TOML value of a text: a number or a boolean if it reads as one, else a string.
+// parseValue returns a text as a TOML value: a number or a boolean if it parses as one, else a string.
 func parseValue(text string) any {
 	if v, err := strconv.ParseInt(text, 10, 64); err == nil {
 		return v
--- a/internal/lab/sweep/table.go
+++ b/internal/lab/sweep/table.go
@@ -15,10 +15,10 @@
 	"sync"
 )
 
-// tableFile in the directory of a sweep.
+// tableFile is the name of the table in the directory of a sweep.
 const tableFile = "sweep.csv"
 
-// Figures of a cell, in the order of Columns.
+// Figures are the results of a cell, in the order of Columns.
 type Figures []float64
 
 // Columns are the names of the figures.
@@ -26,24 +26,24 @@
 	"in_time", "declined", "p50_ms", "p99_ms", "worst_10s", "worst_category", "connections_a_task", "rules_broken",
 }
 
-// Row is a cell that was played.
+// Row is a finished cell with its figures.
 type Row struct {
 	Cell
 	Figures
 }
 
-// Table is the CSV file of a sweep, with a row for each cell that was played.
+// Table is the CSV file of a sweep, with a row for each finished cell.
 type Table struct {
 	axes []Axis
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	file     *os.File
 	rows     []Row
 	finished map[string]bool // by Cell.name
 }
 
-// Open opens the table in a directory, which it creates if needed, and reads the rows of earlier runs. An incomplete
-// last line, as an interrupted write leaves it, is removed. A table of other axes is an error.
+// Open opens the table in a directory, which it creates if needed, and reads the rows of earlier runs. It removes an
+// incomplete last line, which an interrupted write leaves behind. A table with other axes is an error.
 func Open(dir string, axes []Axis) (*Table, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	return t, nil
 }
 
-// read takes over the rows of an earlier run.
+// read adds the rows of an earlier run.
 func (t *Table) read(text []byte) error {
 	in := csv.NewReader(bytes.NewReader(text))
 	for line := 1; ; line++ {
@@ -81,7 +81,7 @@
 		}
 		if line == 1 {
 			if header := t.header(); !slices.Equal(fields, header) {
-				return fmt.Errorf("holds another sweep, of %s: expected %s, or another directory",
+				return fmt.Errorf("contains a sweep with columns %s: expected columns %s, or choose another directory",
 					strings.Join(fields, ","), strings.Join(header, ","))
 			}
 			continue
@@ -94,7 +94,7 @@
 	}
 }
 
-// continueAt has the next row written at an offset, and writes the header of an empty table.
+// continueAt truncates the file at an offset, where the next row is written, and writes the header of an empty table.
 func (t *Table) continueAt(offset int64) error {
 	if err := t.file.Truncate(offset); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	return append(fields, Columns...)
 }
 
-// parse reads a row; the CSV reader has checked the number of fields.
+// parse parses a row. The CSV reader has already checked the number of fields.
 func (t *Table) parse(fields []string) (Row, error) {
 	values, by, figures := len(t.axes), len(t.axes), len(t.axes)+2
 	seed, err := strconv.ParseUint(fields[by+1], 10, 64)
@@ -149,21 +149,21 @@
 	return w.Error()
 }
 
-// Rows returns the rows so far, in the order in which they were written.
+// Rows returns all rows, in the order in which they were written.
 func (t *Table) Rows() []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.rows)
 }
 
-// Unplayed returns the cells that are not in the table.
+// Remaining returns the cells that are not in the table yet.
 func (t *Table) Remaining(cells []Cell) []Cell {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(cells), func(c Cell) bool { return t.finished[c.name()] })
 }
 
-// Add writes the figures of a cell. It is safe for concurrent use.
+// Add appends a row with the figures of a cell. It is safe for concurrent use.
 func (t *Table) Add(c Cell, figures Figures) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,7 +174,7 @@
 	if err := t.write(fields); err != nil {
 		return err
 	}
-	row, err := t.parse(fields) // with the precision of the file, as after a resumption
+	row, err := t.parse(fields) // rounded to the precision of the file, so that resumed and uninterrupted sweeps agree
 	if err != nil {
 		return err
 	}
--- a/internal/lab/sweep/text.go
+++ b/internal/lab/sweep/text.go
@@ -12,12 +12,12 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// estimate is a mean with half the width of its 95% confidence interval, which is 0 for a single value.
+// estimate is a mean with half the width of its 95% confidence interval; halfWidth is 0 for a single value.
 type estimate struct {
 	mean, halfWidth float64
 }
 
-// estimateOf estimates one column over rows that differ in their seeds alone.
+// estimateOf estimates the mean of one column over rows that differ only in their seeds.
 func estimateOf(rows []Row, column int) estimate {
 	var values []float64
 	for _, r := range rows {
@@ -32,7 +32,7 @@
 	return e
 }
 
-// selectRows returns the rows of one decider with these values, one for each seed.
+// selectRows returns the rows of one decider with the given values, one for each seed.
 func selectRows(rows []Row, by string, values ...string) []Row {
 	var selected []Row
 	for _, r := range rows {
@@ -43,7 +43,7 @@
 	return selected
 }
 
-// Print writes a table with the means over the seeds.
+// Print writes a table with the means over the seeds and their confidence intervals.
 func Print(w io.Writer, axes []Axis, rows []Row) error {
 	var text strings.Builder
 	for _, a := range axes {
